--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -150,9 +150,9 @@
 func (f *file) check(getenv func(string) string) (*Config, error) {
 	c := &Config{Limits: f.Limits, Known: f.Known}
 	for _, v := range []struct {
-		to                    *string
-		variable, field, told string
-		address               bool
+		to                        *string
+		variable, field, fromFile string
+		address                   bool
 	}{
 		{&c.Name, "EDGE_NAME", "name", f.Name, false},
 		{&c.Listen, "EDGE_LISTEN", "listen", f.Listen, true},
@@ -160,7 +160,7 @@
 		{&c.State, "EDGE_STATE", "state", f.State, false},
 	} {
 		if *v.to = getenv(v.variable); *v.to == "" {
-			*v.to = v.told
+			*v.to = v.fromFile
 		}
 		if *v.to == "" {
 			return nil, fmt.Errorf("field %s: missing, and %s is not set", v.field, v.variable)
--- a/internal/config/extremes_test.go
+++ b/internal/config/extremes_test.go
@@ -14,8 +14,8 @@
 // object is a JSON object whose fields a case sets or takes away.
 type object = map[string]any
 
-// told is a whole configuration with one class of each effect.
-func told() object {
+// completeConfig is a complete configuration with one class of each effect.
+func completeConfig() object {
 	class := func(name, effect string) any {
 		return object{"name": name, "idempotency": effect, "aim": 1e9, "deadline": 6e9, "worth": 1, "lateWorth": 0.1, "repeatWindow": 1e9}
 	}
@@ -111,7 +111,7 @@
 		{class + "deadline", 1e30, "settings.classes.deadline"}, {class + "worth", "much", "settings.classes.worth"},
 		{"settings.bounds.maxOpen", 2.5, "settings.bounds.maxOpen"}, {class + "byArrival", "yes", "settings.classes.byArrival"},
 	} {
-		o := told()
+		o := completeConfig()
 		set(o, c.path, c.value)
 		if _, err := read(t, o); err == nil {
 			t.Errorf("%s: %v is taken", c.path, c.value)
@@ -137,7 +137,7 @@
 		class + "lateWorth", "settings.accounts.0.quotaRps", "settings.rules.coldFrom", "settings.rules.fallMultiple",
 		"settings.bounds", "settings.rules", "settings.accounts", "settings.zones", "settings.machineTypes", "settings.extra.carriage", "limits"} {
 		for _, value := range []any{gone, 0, highest} {
-			o := told()
+			o := completeConfig()
 			last := path[strings.LastIndex(path, ".")+1:]
 			isList := strings.Contains(" bounds rules accounts zones machineTypes carriage limits ", " "+last+" ")
 			if value != gone && (isList || last == "deadline" && value == 0 || last == "balancers" && value == highest) {
@@ -175,7 +175,7 @@
 	}
 	odd := []any{"a b", "täglich", "x=y", `q"u\o`, "日本", strings.Repeat("n", 500), "-", "%s", "../up", "0", "\t"}
 	for _, path := range []string{"settings.zones", "settings.machineTypes"} {
-		o := told()
+		o := completeConfig()
 		set(o, "settings.extra.carriage", gone)
 		set(o, path, odd)
 		if c, err := read(t, o); err != nil || max(len(c.Zones), len(c.Kinds)) != len(odd) {
@@ -184,7 +184,7 @@
 	}
 	for _, classes := range [][]string{{"pure"}, {"side_effect"}, {"token"}, {"pure", "token"}, {"side_effect", "side_effect"},
 		strings.Split(strings.TrimSpace(strings.Repeat("pure token side_effect pure ", 5)), " ")} {
-		o := told()
+		o := completeConfig()
 		var list []any
 		for i, effect := range classes {
 			name := fmt.Sprint(odd[i%len(odd)])
@@ -224,19 +224,19 @@
 			t.Fatal(err)
 		}
 	}
-	write(told())
+	write(completeConfig())
 	first, err := Load(env)
 	if err != nil || first.Discovery != "127.0.0.1:9" {
 		t.Fatalf("%v %+v", err, first)
 	}
-	o := told()
+	o := completeConfig()
 	set(o, "settings.classes.0.worth", -1)
 	set(o, "discovery", "127.0.0.1:3")
 	write(o)
 	if c, err := Reload(env); err == nil || c != nil || !strings.Contains(err.Error(), "classes[0].worth") {
 		t.Errorf("what is wrong brings %v, %v", c, err)
 	}
-	o = told()
+	o = completeConfig()
 	set(o, "settings.bounds.maxOpen", 7)
 	set(o, "discovery", "127.0.0.1:3")
 	write(o)
--- a/internal/config/running_test.go
+++ b/internal/config/running_test.go
@@ -11,7 +11,7 @@
 // settingsOf is the settings object of a configuration, with changes by path.
 func settingsOf(t *testing.T, change func(o object)) json.RawMessage {
 	t.Helper()
-	o := told()
+	o := completeConfig()
 	change(o)
 	text, err := json.Marshal(o["settings"])
 	if err != nil {
@@ -60,7 +60,7 @@
 	{"MachineTypes", "machineTypes", []any{"m", "n"}, ""},
 	{"MachineTypes", "machineTypes", []any{"n", "m"}, "machineTypes[0]"},
 	{"MachineTypes", "machineTypes", []any{}, "machineTypes[0]"},
-	{"OverShareWorth", "overShareWorth", 0.9, ""},
+	{"OverQuotaPriorityWeight", "overShareWorth", 0.9, ""},
 	{"Quantum", "quantum", 1e7, ""},
 	{"Rules", "rules", object{"cold": 9e9, "coldFrom": 0.1, "fall": 5e9, "fallMultiple": 1.5, "keyRest": 1e9}, ""},
 	{"Rules", "rules.cold", -1, "rules.cold"},
@@ -120,7 +120,7 @@
 // A process keeps what is its own; all else is as if its file had said so.
 func TestWithSettings(t *testing.T) {
 	t.Parallel()
-	o := told()
+	o := completeConfig()
 	set(o, "settings.slotNo", 4)
 	set(o, "settings.zone", 1)
 	own, err := read(t, o)
@@ -167,7 +167,7 @@
 	peers := func(allowed bool) json.RawMessage {
 		return settingsOf(t, func(o object) { set(o, "settings.bounds.peers", allowed) })
 	}
-	o := told()
+	o := completeConfig()
 	set(o, "peer_listen", "127.0.0.1:3")
 	set(o, "peers", []any{"127.0.0.1:3"})
 	set(o, "settings.bounds.peers", true)
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -30,35 +30,35 @@
 		RetryAfter    bool
 	}
 	Classes []struct {
-		Name         string
-		Aim          int64
-		Deadline     int64
-		Group        string
-		Idempotency  string
-		ByArrival    bool
-		LateWorth    float64
-		RepeatWindow int64
-		Worth        float64
+		Name               string
+		LatencyObjective   int64 `json:"Aim"`
+		Deadline           int64
+		Group              string
+		Idempotency        string
+		ByArrival          bool
+		LatePriorityWeight float64 `json:"LateWorth"`
+		RepeatWindow       int64
+		PriorityWeight     float64 `json:"Worth"`
 	}
 	Deductions struct{ Handshake float64 }
 	Discovery  string
 	Extra      struct {
-		BundleMax       []int
-		CallsOut        int
-		Carriage        []float64
-		Fades           string
-		SeparateRoutes  []bool
-		TurnedAwayPrice float64
+		BundleMax      []int
+		CallsOut       int
+		Carriage       []float64
+		Fades          string
+		SeparateRoutes []bool
+		RejectedPrice  float64 `json:"TurnedAwayPrice"`
 	}
-	MachineTypes   []string
-	OverShareWorth float64
-	Quantum        int64
-	Rules          struct {
-		Cold         int64
-		ColdFrom     float64
-		Fall         int64
-		FallMultiple float64
-		KeyRest      int64
+	MachineTypes            []string
+	OverQuotaPriorityWeight float64 `json:"OverShareWorth"`
+	Quantum                 int64
+	Rules                   struct {
+		SlowStart     int64   `json:"Cold"`
+		SlowStartFrom float64 `json:"ColdFrom"`
+		Fall          int64
+		FallMultiple  float64
+		KeyRest       int64
 	}
 	SlotNo  int
 	Stats   struct{ Fields []string }
@@ -108,7 +108,7 @@
 		InFlightLimit:  b.Extra.CallsOut,
 		MaxOpen:        b.Bounds.MaxOpen,
 		MaxAttempts:    b.Bounds.MaxAttempts,
-		OverShareValue: b.OverShareWorth,
+		OverShareValue: b.OverQuotaPriorityWeight,
 		Halving:        b.Extra.Fades == "halving",
 		Probing:        b.Bounds.Probing,
 		Notes:          b.Bounds.Peers,
@@ -119,10 +119,10 @@
 		Turn:           Up(min(longest, b.Quantum)),
 		FallMultiple:   b.Rules.FallMultiple,
 		Fall:           Up(min(longest, b.Rules.Fall)),
-		ColdFrom:       b.Rules.ColdFrom,
-		Cold:           Up(min(longest, b.Rules.Cold)),
+		ColdFrom:       b.Rules.SlowStartFrom,
+		Cold:           Up(min(longest, b.Rules.SlowStart)),
 		KeyRest:        Up(min(longest, b.Rules.KeyRest)),
-		RefusedPrice:   b.Extra.TurnedAwayPrice,
+		RefusedPrice:   b.Extra.RejectedPrice,
 		HandshakePrice: b.Deductions.Handshake,
 	}
 	var known bool
@@ -149,18 +149,18 @@
 		if c.Deadline <= 0 {
 			return s, fmt.Errorf("classes[%d].deadline: %d is not above 0", i, c.Deadline)
 		}
-		aim := c.Aim
-		if aim == 0 {
-			aim = c.Deadline // none is told: with 0 each call would be given up within a millisecond
+		objective := c.LatencyObjective
+		if objective == 0 {
+			objective = c.Deadline // none is told: with 0 each call would be given up within a millisecond
 		}
 		s.Classes = append(s.Classes, choice.Class{
 			Repeat:       repeat,
 			ZoneGroup:    c.Group == "zone" || c.Group == "cell",
 			RepeatWindow: Down(min(longest, c.RepeatWindow)),
-			ContractTime: Down(min(longest, aim)),
+			ContractTime: Down(min(longest, objective)),
 			Deadline:     Down(min(longest, c.Deadline)),
-			Value:        c.Worth,
-			LateValue:    c.LateWorth,
+			Value:        c.PriorityWeight,
+			LateValue:    c.LatePriorityWeight,
 			ByArrival:    c.ByArrival,
 		})
 	}
@@ -202,27 +202,27 @@
 func (b *Boot) checkNumbers() error {
 	type number struct {
 		field string
-		told  float64
+		value float64
 	}
 	all := []number{
-		{"balancers", float64(b.Balancers)}, {"quantum", float64(b.Quantum)}, {"overShareWorth", b.OverShareWorth},
-		{"extra.callsOut", float64(b.Extra.CallsOut)}, {"extra.turnedAwayPrice", b.Extra.TurnedAwayPrice},
+		{"balancers", float64(b.Balancers)}, {"quantum", float64(b.Quantum)}, {"overShareWorth", b.OverQuotaPriorityWeight},
+		{"extra.callsOut", float64(b.Extra.CallsOut)}, {"extra.turnedAwayPrice", b.Extra.RejectedPrice},
 		{"bounds.maxOpen", float64(b.Bounds.MaxOpen)}, {"bounds.maxAttempts", float64(b.Bounds.MaxAttempts)},
 		{"bounds.maxRetryAfter", float64(b.Bounds.MaxRetryAfter)}, {"bounds.connIdle", float64(b.Bounds.ConnIdle)},
 		{"bounds.dialTimeout", float64(b.Bounds.DialTimeout)}, {"deductions.handshake", b.Deductions.Handshake},
-		{"rules.keyRest", float64(b.Rules.KeyRest)}, {"rules.cold", float64(b.Rules.Cold)}, {"rules.fall", float64(b.Rules.Fall)},
-		{"rules.coldFrom", b.Rules.ColdFrom}, {"rules.fallMultiple", b.Rules.FallMultiple},
+		{"rules.keyRest", float64(b.Rules.KeyRest)}, {"rules.cold", float64(b.Rules.SlowStart)}, {"rules.fall", float64(b.Rules.Fall)},
+		{"rules.coldFrom", b.Rules.SlowStartFrom}, {"rules.fallMultiple", b.Rules.FallMultiple},
 	}
 	for i, c := range b.Classes {
-		all = append(all, number{fmt.Sprintf("classes[%d].worth", i), c.Worth}, number{fmt.Sprintf("classes[%d].aim", i), float64(c.Aim)},
+		all = append(all, number{fmt.Sprintf("classes[%d].worth", i), c.PriorityWeight}, number{fmt.Sprintf("classes[%d].aim", i), float64(c.LatencyObjective)},
 			number{fmt.Sprintf("classes[%d].repeatWindow", i), float64(c.RepeatWindow)})
 	}
 	for i, a := range b.Accounts {
 		all = append(all, number{fmt.Sprintf("accounts[%d].quotaRps", i), a.QuotaRps})
 	}
 	for _, n := range all {
-		if n.told < 0 {
-			return fmt.Errorf("%s: %v is below 0", n.field, n.told)
+		if n.value < 0 {
+			return fmt.Errorf("%s: %v is below 0", n.field, n.value)
 		}
 	}
 	if b.Balancers > mostSenders {
