--- a/internal/directory/fleet_test.go
+++ b/internal/directory/fleet_test.go
@@ -44,7 +44,7 @@
 			chance, heard := rand.New(rand.NewPCG(7, uint64(i))), false
 			w := &watcher{addr: "discovery:1", waits: standing(senders), dial: f.dial, failed: func(error) {},
 				upTo: func(most time.Duration) time.Duration { return time.Duration(chance.Int64N(int64(most))) },
-				news: func(List) {
+				onList: func(List) {
 					mu.Lock()
 					defer mu.Unlock()
 					if !heard {
@@ -102,10 +102,10 @@
 		within  time.Duration
 	}{{12, 0, 30 * time.Second}, {24, 0, 45 * time.Second}, {25, 0, 45 * time.Second}, {80, 0, time.Minute}, {80, 2 * time.Second, time.Minute}, {300, 0, 0}} {
 		const perSecond = 10.0
-		room, asked := 0.0, time.Duration(0)
+		tokens, asked := 0.0, time.Duration(0)
 		f := &fleet{answers: func(at time.Duration) (script, error) {
-			room = max(-perSecond, min(perSecond, room+perSecond*(at-asked).Seconds())-1)
-			if asked = at; room >= 0 {
+			tokens = max(-perSecond, min(perSecond, tokens+perSecond*(at-asked).Seconds())-1)
+			if asked = at; tokens >= 0 {
 				return lively(), nil
 			}
 			s := overbooked
--- a/internal/directory/outage_test.go
+++ b/internal/directory/outage_test.go
@@ -84,7 +84,7 @@
 func (o *outage) lasts(senders int, upTo func(time.Duration) time.Duration) time.Duration {
 	heard, stop, done := make(chan time.Time, 1), make(chan struct{}), make(chan struct{})
 	w := &watcher{addr: "discovery:1", waits: standing(senders), dial: o.dial, upTo: upTo, failed: func(error) {},
-		news: func(l List) {
+		onList: func(l List) {
 			if l.Version == 9 {
 				heard <- time.Now()
 			}
--- a/internal/directory/silence_test.go
+++ b/internal/directory/silence_test.go
@@ -112,7 +112,7 @@
 	d.start = time.Now()
 	w := &watcher{addr: "discovery:1", waits: standing(senders), dial: d.dial,
 		upTo: func(most time.Duration) time.Duration { return most },
-		news: func(l List) {
+		onList: func(l List) {
 			all = append(all, heard{l.Version, time.Since(d.start)})
 			time.Sleep(d.stands)
 		},
@@ -166,7 +166,7 @@
 				d := &standIn{scripts: append(c.scripts, healthy(9))}
 				all, _ := watched(300, 30*time.Second, d)
 				last := all[len(all)-1]
-				if within := last.at - c.life; last.version != 9 || within > standing(300).Told {
+				if within := last.at - c.life; last.version != 9 || within > standing(300).NotifyWithin {
 					t.Errorf("heard %v, calls at %v", all, d.calls)
 				}
 				if len(d.calls) != c.calls {
@@ -257,7 +257,7 @@
 	}()
 	var d net.Dialer
 	versions, stop, done := make(chan int64, 100), make(chan struct{}), make(chan struct{})
-	w := &watcher{addr: listener.Addr().String(), waits: standing(1), news: func(l List) { versions <- l.Version }, failed: func(error) {},
+	w := &watcher{addr: listener.Addr().String(), waits: standing(1), onList: func(l List) { versions <- l.Version }, failed: func(error) {},
 		dial: func(ctx context.Context, addr string) (net.Conn, error) { return d.DialContext(ctx, "tcp", addr) },
 		upTo: func(most time.Duration) time.Duration { return most }}
 	w.waits.Quiet /= 10
--- a/internal/directory/waits.go
+++ b/internal/directory/waits.go
@@ -3,7 +3,7 @@
 // This file owns how long each step of a watch may take and how long the next call waits. It opens nothing and reads
 // no clock.
 //
-// Whatever became of a call, the next one begins so soon that a change is heard within Told of the moment in which
+// Whatever became of a call, the next one begins so soon that a change is heard within NotifyWithin of the moment in which
 // discovery had it and could be reached: within apart() of the beginning of the one before, since that one may have
 // begun just too early and hang, and the next may come up late. So the wait is what the call has left of that, and
 // calls are drawn evenly over it. Source: the operators' terms, by which such a change counts as told.
@@ -21,10 +21,10 @@
 // standing: silent (2.75 s); half a message begun just before that (3.8 s); either, and then a call whose head never
 // comes (4.85 s); silent, and then a head with nothing behind it (5.25 s).
 type Waits struct {
-	// Told is when missed news counts as told, from the last sign of life or from when discovery could be reached
+	// NotifyWithin is when missed news counts as told, from the last sign of life or from when discovery could be reached
 	// again. Source: the page of the standing test, and the operators' terms.
-	Told time.Duration
-	// Slack is what of Told is left to the machine.
+	NotifyWithin time.Duration
+	// Slack is what of NotifyWithin is left to the machine.
 	Slack time.Duration
 	// Quiet is how long an open watch may say nothing. An empty line is due every two seconds.
 	Quiet time.Duration
@@ -54,22 +54,22 @@
 // standing are the waits in service, with so many senders at one discovery.
 func standing(senders int) Waits {
 	return Waits{
-		Told:    6 * time.Second,
-		Slack:   100 * time.Millisecond,
-		Quiet:   2750 * time.Millisecond,
-		Head:    1050 * time.Millisecond,
-		First:   2500 * time.Millisecond,
-		Whole:   1050 * time.Millisecond,
-		Patient: 6 * time.Second,
-		Soon:    600 * time.Millisecond,
-		Apart:   100 * time.Millisecond,
-		Longest: 30 * time.Second,
-		Senders: senders,
+		NotifyWithin: 6 * time.Second,
+		Slack:        100 * time.Millisecond,
+		Quiet:        2750 * time.Millisecond,
+		Head:         1050 * time.Millisecond,
+		First:        2500 * time.Millisecond,
+		Whole:        1050 * time.Millisecond,
+		Patient:      6 * time.Second,
+		Soon:         600 * time.Millisecond,
+		Apart:        100 * time.Millisecond,
+		Longest:      30 * time.Second,
+		Senders:      senders,
 	}
 }
 
 // apart is how long after a call began the next one begins at the latest.
-func (w *Waits) apart() time.Duration { return w.Told - w.Head - w.Slack }
+func (w *Waits) apart() time.Duration { return w.NotifyWithin - w.Head - w.Slack }
 
 // all is the span over which the calls of all senders are Apart.
 func (w *Waits) all() time.Duration { return time.Duration(w.Senders) * w.Apart }
@@ -104,7 +104,7 @@
 // next is the longest wait before the next call, all shorter ones being as likely. since is the time since the last
 // sign of life, took that since the call began.
 func (l *ladder) next(w *Waits, how ending, since, took time.Duration) time.Duration {
-	if how >= cutOff && l.silences < atOnce && since < w.Told {
+	if how >= cutOff && l.silences < atOnce && since < w.NotifyWithin {
 		if l.silences++; how == silent {
 			return 0
 		}
--- a/internal/directory/waits_test.go
+++ b/internal/directory/waits_test.go
@@ -20,7 +20,7 @@
 	for range senders {
 		waiting = append(waiting, sender{asks: time.Duration(chance.Int64N(int64(ceiling(0, senders))))})
 	}
-	room, at := 0.0, time.Duration(0)
+	tokens, at := 0.0, time.Duration(0)
 	for len(waiting) > 0 {
 		slices.SortFunc(waiting, func(a, b sender) int { return cmp.Compare(a.asks, b.asks) })
 		next := waiting[0]
@@ -28,8 +28,8 @@
 		if next.asks > time.Minute {
 			break
 		}
-		room = max(-perSecond, min(perSecond, room+perSecond*(next.asks-at).Seconds())-1)
-		if at = next.asks; room >= 0 {
+		tokens = max(-perSecond, min(perSecond, tokens+perSecond*(next.asks-at).Seconds())-1)
+		if at = next.asks; tokens >= 0 {
 			watches++
 			continue
 		}
--- a/internal/directory/watch.go
+++ b/internal/directory/watch.go
@@ -5,7 +5,7 @@
 // what discovery says, or pass on an entry that it could not read.
 //
 // Calls are begun one after another. One that stalls before it has shown life is read on for a while beside the next:
-// a list that is always slow would never be heard else, and to wait for it would hold up the next call beyond Told.
+// a list that is always slow would never be heard else, and to wait for it would hold up the next call beyond NotifyWithin.
 // Whichever shows life first is the watch, and the other is ended. It costs one more connection while discovery says
 // nothing. It harms where a call begun long ago speaks at last, tells an old list and falls silent: the clock of
 // silence starts anew from there.
@@ -34,7 +34,7 @@
 	slow   *call       // one that stalled, read on until either shows life or its patience is over
 	dial   func(ctx context.Context, addr string) (net.Conn, error)
 	upTo   func(time.Duration) time.Duration // a wait drawn evenly
-	news   func(List)
+	onList func(List)
 	failed func(error)
 }
 
@@ -56,10 +56,10 @@
 )
 
 // Watch follows discovery at addr, which so many senders share, from a version on until stop is closed. It hands each
-// message to news, and why a call was given up to failed, both from its own goroutine.
-func Watch(addr string, senders int, since int64, stop <-chan struct{}, news func(List), failed func(error)) {
+// message to onList, and why a call was given up to failed, both from its own goroutine.
+func Watch(addr string, senders int, since int64, stop <-chan struct{}, onList func(List), failed func(error)) {
 	var d net.Dialer
-	w := &watcher{addr: addr, since: since, waits: standing(senders), news: news, failed: failed,
+	w := &watcher{addr: addr, since: since, waits: standing(senders), onList: onList, failed: failed,
 		dial: func(ctx context.Context, addr string) (net.Conn, error) { return d.DialContext(ctx, "tcp", addr) },
 		upTo: func(most time.Duration) time.Duration { return rand.N(most) }}
 	w.run(stop)
@@ -97,7 +97,7 @@
 		w.settle(c)
 		if e.list != nil {
 			w.since = e.list.Version
-			w.news(*e.list)
+			w.onList(*e.list)
 		}
 	case e.what == stalled && c == w.newest && !c.spoke:
 		w.failed(e.err)
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -32,7 +32,7 @@
 
 // Counts are what has become of datagrams since the start.
 type Counts struct {
-	Told    int64 // notes sent
+	Sent    int64 // notes sent
 	Unsent  int64 // notes dropped: too long, too many waiting, or refused by the socket
 	Heard   int64 // notes handed on
 	Strange int64 // datagrams dropped, from an address that is no peer's
@@ -51,7 +51,7 @@
 	stop  chan struct{}
 	ended sync.WaitGroup
 
-	told, unsent, heard, strange, mine, tooLong, spoilt atomic.Int64
+	sent, unsent, heard, strange, mine, tooLong, spoilt atomic.Int64
 }
 
 // Open binds the socket. It tells what is wrong with the addresses by the configuration's field. What comes waits in
@@ -136,7 +136,7 @@
 
 // Counts may be asked for at any time.
 func (p *Peers) Counts() Counts {
-	return Counts{Told: p.told.Load(), Unsent: p.unsent.Load(), Heard: p.heard.Load(), Strange: p.strange.Load(),
+	return Counts{Sent: p.sent.Load(), Unsent: p.unsent.Load(), Heard: p.heard.Load(), Strange: p.strange.Load(),
 		Own: p.mine.Load(), TooLong: p.tooLong.Load(), Spoilt: p.spoilt.Load()}
 }
 
@@ -159,7 +159,7 @@
 		left = left || err == nil
 	}
 	if left {
-		p.told.Add(1)
+		p.sent.Add(1)
 	} else {
 		p.unsent.Add(1)
 	}
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -111,7 +111,7 @@
 		t.Errorf("%d bytes to each as well as to all", n)
 	}
 	once.Tell(make([]byte, MostBytes))
-	if got := once.Counts(); got.Told != 1 || got.Unsent != 1 {
+	if got := once.Counts(); got.Sent != 1 || got.Unsent != 1 {
 		t.Errorf("%+v", got)
 	}
 }
--- a/internal/routes/override.go
+++ b/internal/routes/override.go
@@ -14,7 +14,7 @@
 // OverrideKind is what an override does.
 type OverrideKind int
 
-// In the order in which they win: what is out of service stays out whatever is pinned to it.
+// In the order in which they win: what is out of service stays out whatever is made sticky to it.
 const (
 	Out    OverrideKind = iota // its endpoint takes nothing
 	Pin                        // what it covers goes to these endpoints and no others
--- a/internal/routes/resolve.go
+++ b/internal/routes/resolve.go
@@ -31,7 +31,7 @@
 	if rule := t.Rule(n); rule != nil {
 		r.Rule, r.Nowhere, all = rule.Name, rule.Nowhere, rule.Sets
 	}
-	var out, pinned []choice.EndpointID
+	var out, sticky []choice.EndpointID
 	weights := map[choice.EndpointID]float64{}
 	for i := range o.standing {
 		v := &o.standing[i].Override
@@ -43,7 +43,7 @@
 			out = append(out, v.Endpoints...)
 		case Pin:
 			if r.Pin == "" && !allIn(v.Endpoints, out) {
-				r.Pin, pinned = v.ID, v.Endpoints
+				r.Pin, sticky = v.ID, v.Endpoints
 			}
 		case Weight:
 			if _, set := weights[v.Endpoints[0]]; !set {
@@ -82,7 +82,7 @@
 		w, is := weighs[e.ID]
 		if r.Pin != "" {
 			// A pin goes before the rule: it is what an operator wants now.
-			is, w = slices.Contains(pinned, e.ID) && e.Destination == n.Destination, 1
+			is, w = slices.Contains(sticky, e.ID) && e.Destination == n.Destination, 1
 		}
 		if is && w > 0 && e.Ready && !slices.Contains(out, e.ID) {
 			r.Allowed = append(r.Allowed, Allowed{e.ID, w})
--- a/internal/sender/notes.go
+++ b/internal/sender/notes.go
@@ -63,7 +63,7 @@
 		return
 	}
 	c := s.peers.Counts()
-	add("notes_told", c.Told)
+	add("notes_told", c.Sent)
 	add("notes_unsent", c.Unsent)
 	add("notes_heard", c.Heard)
 	add("notes_from_strangers", c.Strange)
