--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -1,5 +1,8 @@
 package config
 
+// This file owns the settings object and its turning into the module's choice.Settings: spans rounded to choice.Time,
+// words looked up, numbers and names checked. It must never pass a value it cannot read; it names the field instead.
+
 import (
 	"cmp"
 	"errors"
@@ -126,34 +129,40 @@
 		HandshakePrice: b.Deductions.Handshake,
 	}
 	var known bool
+	var err error
 	if s.Rating, known = ratings[b.Weights]; !known {
 		return s, fmt.Errorf("weights: unknown word %q", b.Weights)
 	}
-	if err := b.checkNumbers(); err != nil {
+	if err = b.checkNumbers(); err != nil {
 		return s, err
 	}
-	if s.MaxOpen == 0 {
-		s.MaxOpen = math.MaxInt
-	}
-	if s.MaxAttempts == 0 {
-		s.MaxAttempts = math.MaxInt
+	b.setBounds(&s)
+	if s.Classes, err = b.classes(); err != nil {
+		return s, err
 	}
-	if b.Bounds.RetryAfter {
-		s.LongestReturn = Down(min(longest, b.Bounds.MaxRetryAfter))
+	s.Kinds = b.kinds()
+	if s.RouteFees, err = b.routeFees(); err != nil {
+		return s, err
 	}
+	s.Quotas = b.quotas()
+	return s, nil
+}
+
+// classes turns each class of the settings into the module's, in their order; on an error, those before it come along.
+func (b *Boot) classes() (all []choice.Class, err error) {
 	for i, c := range b.Classes {
 		repeat, known := repeats[c.Idempotency]
 		if !known {
-			return s, fmt.Errorf("classes[%d].idempotency: unknown word %q", i, c.Idempotency)
+			return all, fmt.Errorf("classes[%d].idempotency: unknown word %q", i, c.Idempotency)
 		}
 		if c.Deadline <= 0 {
-			return s, fmt.Errorf("classes[%d].deadline: %d is not above 0", i, c.Deadline)
+			return all, fmt.Errorf("classes[%d].deadline: %d is not above 0", i, c.Deadline)
 		}
 		objective := c.LatencyObjective
 		if objective == 0 {
-			objective = c.Deadline // none is told: with 0 each call would be given up within a millisecond
+			objective = c.Deadline // none is set: with 0 each call would be given up within a millisecond
 		}
-		s.Classes = append(s.Classes, choice.Class{
+		all = append(all, choice.Class{
 			Repeat:       repeat,
 			ZoneGroup:    c.Group == "zone" || c.Group == "cell",
 			RepeatWindow: Down(min(longest, c.RepeatWindow)),
@@ -164,22 +173,45 @@
 			ByArrival:    c.ByArrival,
 		})
 	}
-	if len(s.Classes) == 0 {
-		return s, errors.New("classes: missing")
+	if len(all) == 0 {
+		return all, errors.New("classes: missing")
 	}
-	s.Kinds = b.kinds()
+	return all, nil
+}
+
+// routeFees are the carriage fees, one for each zone or none at all, each a share from 0 to 1.
+func (b *Boot) routeFees() ([]float64, error) {
 	for i, fee := range b.Extra.Carriage {
 		if !(fee >= 0 && fee <= 1) {
-			return s, fmt.Errorf("extra.carriage[%d]: %v is not 0 to 1", i, fee)
+			return nil, fmt.Errorf("extra.carriage[%d]: %v is not 0 to 1", i, fee)
 		}
 	}
-	if s.RouteFees = b.Extra.Carriage; len(s.RouteFees) > 0 && len(s.RouteFees) != len(b.Zones) {
-		return s, fmt.Errorf("extra.carriage: %d fees for %d zones", len(s.RouteFees), len(b.Zones))
+	fees := b.Extra.Carriage
+	if len(fees) > 0 && len(fees) != len(b.Zones) {
+		return fees, fmt.Errorf("extra.carriage: %d fees for %d zones", len(fees), len(b.Zones))
 	}
+	return fees, nil
+}
+
+// quotas are the accounts' quotas in requests a second, by account number.
+func (b *Boot) quotas() (all []float64) {
 	for _, a := range b.Accounts {
-		s.Quotas = append(s.Quotas, a.QuotaRps)
+		all = append(all, a.QuotaRps)
+	}
+	return all
+}
+
+// setBounds reads 0 as no bound, and takes the longest Retry-After only where Retry-After is honoured.
+func (b *Boot) setBounds(s *choice.Settings) {
+	if s.MaxOpen == 0 {
+		s.MaxOpen = math.MaxInt
+	}
+	if s.MaxAttempts == 0 {
+		s.MaxAttempts = math.MaxInt
+	}
+	if b.Bounds.RetryAfter {
+		s.LongestReturn = Down(min(longest, b.Bounds.MaxRetryAfter))
 	}
-	return s, nil
 }
 
 // kinds are as many as the longest of three lists tells of, one at least.
