--- a/internal/cluster/configuration/run/lead.go
+++ b/internal/cluster/configuration/run/lead.go
@@ -15,7 +15,7 @@
 	"flaxcove/internal/cluster/configuration"
 	"flaxcove/internal/cluster/configuration/ledger"
 	"flaxcove/internal/cluster/configuration/spread"
-	"flaxcove/internal/cluster/council/machine"
+	"flaxcove/internal/cluster/consensus/machine"
 	"flaxcove/internal/cluster/ordering"
 	"flaxcove/internal/cluster/view"
 )
--- a/internal/cluster/council/carry.go
+++ b/internal/cluster/consensus/carry.go
@@ -1,4 +1,4 @@
-package council
+package consensus
 
 import (
 	"fmt"
@@ -39,7 +39,7 @@
 // leftOutText carries the index at which one was left out, in the library's field for errors.
 const leftOutText = "left out at "
 
-func newCarry(of *Council, timeout time.Duration, logger *zapped) *carry {
+func newCarry(of *Group, timeout time.Duration, logger *zapped) *carry {
 	c := &carry{beat: of.o.Beat, calls: make(chan raft.RPC), ended: make(chan struct{}),
 		leftOut: of.isOut, outSince: of.heardOut, called: of.heardLeader,
 		peers: map[raft.ServerID]*peer{}, news: make(chan struct{})}
--- a/internal/cluster/council/council.go
+++ b/internal/cluster/consensus/consensus.go
@@ -1,4 +1,4 @@
-// Package council decides in common: the parts' commands (package machine) in one order, by a few voters.
+// Package consensus decides in common: the parts' commands (package machine) in one order, by a few voters.
 //
 // It owns the consensus library (hashicorp/raft), the folder in which its records lie, the port on which voters talk,
 // the founding, and the change of voters, of which package voters says what comes next. It must never decide anything
@@ -10,7 +10,7 @@
 // No quorum: nothing is decided, what was decided can still be read here, and Propose says Unsure within its bound.
 //
 // docs/design/cluster/council.md says what is promised, and when it could do harm.
-package council
+package consensus
 
 import (
 	"errors"
@@ -28,8 +28,8 @@
 	"go.etcd.io/bbolt"
 	"go.uber.org/zap"
 
-	"flaxcove/internal/cluster/council/machine"
-	"flaxcove/internal/cluster/council/voters"
+	"flaxcove/internal/cluster/consensus/machine"
+	"flaxcove/internal/cluster/consensus/voters"
 	"flaxcove/internal/cluster/view"
 )
 
@@ -99,8 +99,8 @@
 	trailing uint64
 }
 
-// Council is one process's part in it.
-type Council struct {
+// Group is one process's part in it.
+type Group struct {
 	o       Options
 	self    voters.ID
 	stream  *stream
@@ -134,11 +134,11 @@
 }
 
 // Start opens the records, listens, and takes part: it waits to be called, unless it is to found (see Founders).
-func Start(o Options) (*Council, error) {
+func Start(o Options) (*Group, error) {
 	if err := o.check(); err != nil {
 		return nil, err
 	}
-	c := &Council{o: o, self: voters.ID{Name: o.Self.Name, Folder: o.Self.Folder}, log: o.Log,
+	c := &Group{o: o, self: voters.ID{Name: o.Self.Name, Folder: o.Self.Folder}, log: o.Log,
 		slots: make(chan struct{}, inFlight), poke: make(chan struct{}, 1), applied: make(chan struct{}, 1),
 		done: make(chan struct{}), machine: machine.New(o.Parts), clockFrom: time.Now()}
 	if err := os.MkdirAll(o.Folder, 0o755); err != nil {
@@ -222,14 +222,14 @@
 func nameOf(id raft.ServerID) view.Name { return serverOf(id).Name }
 
 // SetView tells who is here, by which the council is founded and its voters change.
-func (c *Council) SetView(v *view.View) {
+func (c *Group) SetView(v *view.View) {
 	c.mu.Lock()
 	c.view = v
 	c.mu.Unlock()
 	c.wakeUp()
 }
 
-func (c *Council) wakeUp() {
+func (c *Group) wakeUp() {
 	select {
 	case c.poke <- struct{}{}:
 	default:
@@ -237,7 +237,7 @@
 }
 
 // Close hands leadership over if it can within a second, and ends all within some four.
-func (c *Council) Close() error {
+func (c *Group) Close() error {
 	if c.raft.State() == raft.Leader {
 		handed := c.raft.LeadershipTransfer()
 		over := make(chan struct{})
@@ -248,7 +248,7 @@
 }
 
 // halt ends all at once.
-func (c *Council) halt() error {
+func (c *Group) halt() error {
 	var err error
 	c.closing.Do(func() {
 		close(c.done)
--- a/internal/cluster/council/council_test.go
+++ b/internal/cluster/consensus/consensus_test.go
@@ -1,4 +1,4 @@
-package council
+package consensus
 
 import (
 	"context"
@@ -17,7 +17,7 @@
 	"github.com/hashicorp/raft"
 	"go.uber.org/goleak"
 
-	"flaxcove/internal/cluster/council/machine"
+	"flaxcove/internal/cluster/consensus/machine"
 	"flaxcove/internal/cluster/view"
 )
 
@@ -75,7 +75,7 @@
 	FoundAfter: 100 * time.Millisecond}
 
 type process struct {
-	*Council
+	*Group
 	book   *book
 	member view.Member
 	folder string
@@ -118,7 +118,7 @@
 	p.member = view.Member{Life: view.Life{Name: name}, Zone: zone, Region: view.Region("r" + zone), Size: view.Large,
 		Raft: "here", Folder: drawn}
 	var err error
-	p.Council, err = Start(Options{Self: p.member, Cluster: "test", Folder: filepath.Join(folder, drawn),
+	p.Group, err = Start(Options{Self: p.member, Cluster: "test", Folder: filepath.Join(folder, drawn),
 		Listen: "127.0.0.1:0", Founders: founders, Parts: map[string]machine.Part{"book": p.book},
 		Reach: func(to view.Name) (string, bool) {
 			f.mu.Lock()
--- a/internal/cluster/council/fsm.go
+++ b/internal/cluster/consensus/fsm.go
@@ -1,4 +1,4 @@
-package council
+package consensus
 
 import (
 	"encoding/json"
@@ -9,7 +9,7 @@
 )
 
 // fsm is the council as the library sees it: what applies commands, and tells its state.
-type fsm Council
+type fsm Group
 
 // outcome is what applying a command answered.
 type outcome struct {
@@ -19,7 +19,7 @@
 
 // Apply answers one command.
 func (f *fsm) Apply(l *raft.Log) any {
-	c := (*Council)(f)
+	c := (*Group)(f)
 	c.mu.Lock()
 	answer, err := c.machine.Apply(l.Index, l.Data)
 	c.weight += len(l.Data)
@@ -34,14 +34,14 @@
 }
 
 // setClock puts the clock forward to the machine's where it is behind; between commands it runs on by itself.
-func (c *Council) setClock() {
+func (c *Group) setClock() {
 	now := time.Now()
 	if at := c.machine.At(); at > c.clockAt+now.Sub(c.clockFrom) {
 		c.clockAt, c.clockFrom = at, now
 	}
 }
 
-func (c *Council) news() {
+func (c *Group) news() {
 	select {
 	case c.applied <- struct{}{}:
 	default:
@@ -50,10 +50,10 @@
 
 // StoreConfiguration hears which servers were decided.
 func (f *fsm) StoreConfiguration(index uint64, configuration raft.Configuration) {
-	(*Council)(f).setPlaced(index, configuration)
+	(*Group)(f).setPlaced(index, configuration)
 }
 
-func (c *Council) setPlaced(index uint64, configuration raft.Configuration) {
+func (c *Group) setPlaced(index uint64, configuration raft.Configuration) {
 	in := map[raft.ServerID]bool{}
 	for _, s := range configuration.Servers {
 		in[s.ID] = true
@@ -67,7 +67,7 @@
 
 // Snapshot takes the state while nothing is applied.
 func (f *fsm) Snapshot() (raft.FSMSnapshot, error) {
-	c := (*Council)(f)
+	c := (*Group)(f)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	state, err := c.machine.Snapshot()
@@ -80,7 +80,7 @@
 
 // Restore takes a snapshot's state, of which the parts bound the size.
 func (f *fsm) Restore(from io.ReadCloser) error {
-	c := (*Council)(f)
+	c := (*Group)(f)
 	data, err := io.ReadAll(from)
 	_ = from.Close()
 	if err != nil {
--- a/internal/cluster/council/history_test.go
+++ b/internal/cluster/consensus/history_test.go
@@ -1,4 +1,4 @@
-package council
+package consensus
 
 import (
 	"context"
--- a/internal/cluster/council/keep.go
+++ b/internal/cluster/consensus/keep.go
@@ -1,4 +1,4 @@
-package council
+package consensus
 
 import (
 	"maps"
@@ -7,7 +7,7 @@
 	"github.com/hashicorp/raft"
 	"go.uber.org/zap"
 
-	"flaxcove/internal/cluster/council/voters"
+	"flaxcove/internal/cluster/consensus/voters"
 	"flaxcove/internal/cluster/view"
 )
 
@@ -23,7 +23,7 @@
 
 // keep is the loop that takes leadership up, founds, changes voters, and cuts the log. Each call of the library in it
 // ends when leadership is lost, at the latest.
-func (c *Council) keep() {
+func (c *Group) keep() {
 	defer c.running.Done()
 	k := &keeper{passed: map[voters.ID]time.Time{}}
 	ticker := time.NewTicker(c.o.Adjust)
@@ -59,7 +59,7 @@
 }
 
 // takeUp waits until all that earlier leaders had decided is applied here: only then does this one lead.
-func (c *Council) takeUp(k *keeper) bool {
+func (c *Group) takeUp(k *keeper) bool {
 	term := c.raft.CurrentTerm()
 	configuration := c.raft.GetConfiguration()
 	err := c.raft.Barrier(c.o.Heartbeat).Error()
@@ -78,7 +78,7 @@
 
 // found begins the council, once: the founder with the lowest name does, while all founders are here and none holds
 // records. It can't be done by halves: the others only ever take what it sends them.
-func (c *Council) found(k *keeper, v *view.View) {
+func (c *Group) found(k *keeper, v *view.View) {
 	first := c.self.Name == c.o.Founders[0] && !c.Voted()
 	configuration := raft.Configuration{}
 	for _, name := range c.o.Founders {
@@ -103,7 +103,7 @@
 }
 
 // adjust makes the change of voters that is due.
-func (c *Council) adjust(k *keeper, v *view.View) {
+func (c *Group) adjust(k *keeper, v *view.View) {
 	rule := voters.Rule{Most: mostVoters, DeadFor: c.o.DeadFor, Silent: 2 * c.o.Heartbeat}
 	now := time.Now()
 	if now.Sub(k.led) < rule.Silent {
@@ -147,7 +147,7 @@
 }
 
 // change has one change decided, upon the configuration that it was worked out from and no other.
-func (c *Council) change(k *keeper, change voters.Change, upon uint64, now time.Time) {
+func (c *Group) change(k *keeper, change voters.Change, upon uint64, now time.Time) {
 	id := idOf(change.ID)
 	var done raft.IndexFuture
 	what := ""
@@ -173,21 +173,21 @@
 }
 
 // isOut tells whether a server has no place by the configuration decided last, and at which index that was.
-func (c *Council) isOut(id raft.ServerID) (uint64, bool) {
+func (c *Group) isOut(id raft.ServerID) (uint64, bool) {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	return c.decided.index, c.decided.index > 0 && !c.decided.in[id]
 }
 
 // heardOut is told by another that this one has no place by what was decided at an index.
-func (c *Council) heardOut(index uint64) {
+func (c *Group) heardOut(index uint64) {
 	if c.outAt.Swap(index) != index {
 		c.wakeUp()
 	}
 }
 
 // heardLeader is told that a leader called: this one has a place.
-func (c *Council) heardLeader() {
+func (c *Group) heardLeader() {
 	if c.outAt.Load() > 0 && c.outAt.Swap(0) > 0 {
 		c.wakeUp()
 	}
@@ -196,7 +196,7 @@
 // hush has one that was left out ask for votes rarely. Only what is newer than the configuration here counts: the other
 // may itself be behind. It still answers, so that it can be asked back, and still asks: it may have been told what
 // is wrong.
-func (c *Council) hush(k *keeper) {
+func (c *Group) hush(k *keeper) {
 	known := c.raft.GetConfiguration()
 	quiet := known.Error() == nil && c.outAt.Load() > known.Index()
 	if quiet == k.quiet {
@@ -216,7 +216,7 @@
 }
 
 // tell calls Applied.
-func (c *Council) tell() {
+func (c *Group) tell() {
 	defer c.running.Done()
 	for {
 		select {
--- a/internal/cluster/council/propose.go
+++ b/internal/cluster/consensus/propose.go
@@ -1,4 +1,4 @@
-package council
+package consensus
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 	"github.com/hashicorp/raft"
 	"go.uber.org/zap"
 
-	"flaxcove/internal/cluster/council/machine"
+	"flaxcove/internal/cluster/consensus/machine"
 	"flaxcove/internal/cluster/view"
 )
 
@@ -34,7 +34,7 @@
 
 // Propose has a command decided, at the leader, and answers what its part answered. Errors are told apart: *NotLeader
 // and ErrBusy, nothing was proposed; *Unsure, it may have been decided; *machine.Refused, the part does not take it.
-func (c *Council) Propose(ctx context.Context, part, kind string, body any) (json.RawMessage, error) {
+func (c *Group) Propose(ctx context.Context, part, kind string, body any) (json.RawMessage, error) {
 	if !c.Leading() {
 		return nil, c.notLeader()
 	}
@@ -82,7 +82,7 @@
 	return nil, &Unsure{err}
 }
 
-func (c *Council) notLeader() error {
+func (c *Group) notLeader() error {
 	leader, _ := c.Leader()
 	if leader == c.self.Name {
 		leader = "" // elected, but not yet at the end of what was decided before
@@ -92,26 +92,26 @@
 
 // Clock is the council's clock here and now: what a command proposed now would carry. Two processes may differ by how
 // long a command was under way.
-func (c *Council) Clock() time.Duration {
+func (c *Group) Clock() time.Duration {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	return c.clockAt + time.Since(c.clockFrom)
 }
 
 // Leader is whom this process holds to lead. One that has no place in the council doesn't know: see Ask.
-func (c *Council) Leader() (view.Name, bool) {
+func (c *Group) Leader() (view.Name, bool) {
 	_, id := c.raft.LeaderWithID()
 	return nameOf(id), id != ""
 }
 
 // Leading tells whether this one leads, and has applied all that was decided before it did. Where it is cut off it
 // holds so for Heartbeat at most.
-func (c *Council) Leading() bool {
+func (c *Group) Leading() bool {
 	return c.raft.State() == raft.Leader && c.ledTerm.Load() == c.raft.CurrentTerm()
 }
 
 // Ask is whom to ask for a decision, the likeliest first: the leader; the voters; those here that hold records.
-func (c *Council) Ask() []view.Name {
+func (c *Group) Ask() []view.Name {
 	var names []view.Name
 	if leader, known := c.Leader(); known {
 		names = append(names, leader)
@@ -136,14 +136,14 @@
 }
 
 // Read lets the parts be read inside f, with the index of the latest command. f must be short and call nothing here.
-func (c *Council) Read(f func(index uint64)) {
+func (c *Group) Read(f func(index uint64)) {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	f(c.machine.Index())
 }
 
 // Voters are those with a vote by the configuration known here, sorted; none where it has no place in it.
-func (c *Council) Voters() []view.Name {
+func (c *Group) Voters() []view.Name {
 	var names []view.Name
 	configuration := c.raft.GetConfiguration()
 	if configuration.Error() != nil {
@@ -159,15 +159,15 @@
 }
 
 // Voted tells whether the folder holds a council's records, as this member's view says of it (view.Member.Voted).
-func (c *Council) Voted() bool { return c.raft.LastIndex() > 0 }
+func (c *Group) Voted() bool { return c.raft.LastIndex() > 0 }
 
 // Addr is where the council listens.
-func (c *Council) Addr() string { return c.stream.listener.Addr().String() }
+func (c *Group) Addr() string { return c.stream.listener.Addr().String() }
 
 // Traffic is how many bytes the council's connections carried here, in and out.
-func (c *Council) Traffic() (in, out uint64) { return c.stream.in.Load(), c.stream.out.Load() }
+func (c *Group) Traffic() (in, out uint64) { return c.stream.in.Load(), c.stream.out.Load() }
 
 func zapError(err error) zap.Field { return zap.NamedError("why", err) }
 
 // Term is the council's term in which this one leads, or led last; it grows with each leader.
-func (c *Council) Term() uint64 { return c.ledTerm.Load() }
+func (c *Group) Term() uint64 { return c.ledTerm.Load() }
--- a/internal/cluster/node.go
+++ b/internal/cluster/node.go
@@ -14,8 +14,8 @@
 	"go.uber.org/zap"
 
 	"flaxcove/choice"
-	"flaxcove/internal/cluster/council"
-	"flaxcove/internal/cluster/council/machine"
+	"flaxcove/internal/cluster/consensus"
+	"flaxcove/internal/cluster/consensus/machine"
 	"flaxcove/internal/cluster/evidence"
 	"flaxcove/internal/cluster/link"
 	"flaxcove/internal/cluster/member"
@@ -66,7 +66,7 @@
 	folder  *folder.Folder
 	link    *link.Link
 	members *member.Members
-	council *council.Council // nil at a small process
+	council *consensus.Group // nil at a small process
 	saw     *evidence.Evidence
 	tree    atomic.Pointer[outlook]
 	uses    uses
@@ -120,7 +120,7 @@
 	parts := map[string]machine.Part{}
 	n.uses.parts(parts)
 	if n.self.Size != view.Small {
-		if n.council, err = council.Start(council.Options{Cut: o.Cut, Self: n.self, Cluster: set.Cluster, Folder: filepath.Join(set.Here.Folder, "council"),
+		if n.council, err = consensus.Start(consensus.Options{Cut: o.Cut, Self: n.self, Cluster: set.Cluster, Folder: filepath.Join(set.Here.Folder, "council"),
 			Listen: set.Here.Listen.Council, Founders: set.Founders, Parts: parts, Log: o.Log.Named("council"),
 			Reach: n.reach(func(a settings.Addresses, m view.Member) (string, string) { return a.Council, m.Raft })}); err != nil {
 			return n, err
--- a/internal/cluster/uses.go
+++ b/internal/cluster/uses.go
@@ -5,7 +5,7 @@
 
 	versions "flaxcove/internal/cluster/configuration/ledger"
 	configuration "flaxcove/internal/cluster/configuration/run"
-	"flaxcove/internal/cluster/council/machine"
+	"flaxcove/internal/cluster/consensus/machine"
 	"flaxcove/internal/cluster/failover/plan"
 	failover "flaxcove/internal/cluster/failover/run"
 	"flaxcove/internal/cluster/failover/weigh"
