--- a/cmd/flaxcove/serve_cluster.go
+++ b/cmd/flaxcove/serve_cluster.go
@@ -30,7 +30,7 @@
 		return cfg, nil
 	}
 	folder := joining.Here.Folder
-	kept, err := configuration.Kept(folder)
+	kept, err := configuration.LoadCached(folder)
 	switch {
 	case err != nil:
 		return nil, fmt.Errorf("%w; without this file the process starts with its own settings, and takes the version in force as it joins", err)
--- a/internal/cluster/configuration/kept.go
+++ b/internal/cluster/configuration/cached.go
@@ -24,8 +24,8 @@
 )
 
 const (
-	keptFile = "configuration.json"
-	tempFile = "configuration.json.new"
+	cachedFile = "configuration.json"
+	tempFile   = "configuration.json.new"
 	// MostBytes bounds a settings object in its canonical form. A proposal with its envelope stays under the council's
 	// bound for one command (machine.MaxBody).
 	MostBytes = 240 << 10
@@ -71,19 +71,19 @@
 	return text, nil
 }
 
-// keptForm is the file. Unknown fields are skipped: a later version of the program may have written it.
-type keptForm struct {
+// cachedForm is the file. Unknown fields are skipped: a later version of the program may have written it.
+type cachedForm struct {
 	Version  uint64          `json:"version"`
 	Sum      Sum             `json:"sum"`
 	Settings json.RawMessage `json:"settings"`
 }
 
 // Path is where a cluster folder keeps the newest version.
-func Path(folder string) string { return filepath.Join(folder, keptFile) }
+func Path(folder string) string { return filepath.Join(folder, cachedFile) }
 
-// Kept reads what an earlier life kept in a cluster folder (here.folder of the cluster file); version 0 where there is
+// LoadCached reads what an earlier life kept in a cluster folder (here.folder of the cluster file); version 0 where there is
 // nothing. An error names the file and what is wrong with it: its content must not be used then.
-func Kept(folder string) (together.Configuration, error) {
+func LoadCached(folder string) (together.Configuration, error) {
 	path := Path(folder)
 	text, err := os.ReadFile(path)
 	switch {
@@ -94,7 +94,7 @@
 	case len(text) > mostFile:
 		return together.Configuration{}, fmt.Errorf("%s: %d bytes; it is not this file", path, len(text))
 	}
-	var k keptForm
+	var k cachedForm
 	if err := json.Unmarshal(text, &k); err != nil {
 		return together.Configuration{}, fmt.Errorf("%s: torn or damaged: %w", path, err)
 	}
@@ -112,7 +112,7 @@
 	var out bytes.Buffer
 	encoder := json.NewEncoder(&out)
 	encoder.SetEscapeHTML(false) // as the sum is over the bytes
-	if err := encoder.Encode(keptForm{c.Version, SumOf(c.Settings), c.Settings}); err != nil {
+	if err := encoder.Encode(cachedForm{c.Version, SumOf(c.Settings), c.Settings}); err != nil {
 		return err
 	}
 	aside := filepath.Join(folder, tempFile)
--- a/internal/cluster/configuration/kept_test.go
+++ b/internal/cluster/configuration/cached_test.go
@@ -10,9 +10,9 @@
 	"flaxcove/internal/sender/together"
 )
 
-func TestKeepAndKept(t *testing.T) {
+func TestKeepAndLoadCached(t *testing.T) {
 	folder := t.TempDir()
-	if c, err := Kept(folder); err != nil || c.Version != 0 {
+	if c, err := LoadCached(folder); err != nil || c.Version != 0 {
 		t.Fatal(c, err)
 	}
 	for version := range uint64(3) {
@@ -24,7 +24,7 @@
 		if err := Keep(folder, want); err != nil {
 			t.Fatal(err)
 		}
-		got, err := Kept(folder)
+		got, err := LoadCached(folder)
 		if err != nil || got.Version != want.Version || string(got.Settings) != string(want.Settings) {
 			t.Fatalf("%s %v", got.Settings, err)
 		}
@@ -32,9 +32,9 @@
 }
 
 // A file that a crash, a disk or a hand left damaged is named and not used, wherever it was cut.
-func TestKeptDamaged(t *testing.T) {
+func TestCachedDamaged(t *testing.T) {
 	folder := t.TempDir()
-	path := filepath.Join(folder, keptFile)
+	path := filepath.Join(folder, cachedFile)
 	if err := Keep(folder, together.Configuration{Version: 7, Settings: json.RawMessage(`{"pace":41}`)}); err != nil {
 		t.Fatal(err)
 	}
@@ -50,7 +50,7 @@
 		if err := os.WriteFile(path, []byte(text), 0o640); err != nil {
 			t.Fatal(err)
 		}
-		if c, err := Kept(folder); err == nil || c.Version != 0 || !strings.Contains(err.Error(), path) {
+		if c, err := LoadCached(folder); err == nil || c.Version != 0 || !strings.Contains(err.Error(), path) {
 			t.Fatalf("%.80q: %v %v", text, c, err)
 		}
 	}
--- a/internal/cluster/configuration/ledger/read.go
+++ b/internal/cluster/configuration/ledger/read.go
@@ -58,8 +58,8 @@
 	return l.entries[i], true
 }
 
-// kept is the ledger on disk.
-type kept struct {
+// onDisk is the ledger on disk.
+type onDisk struct {
 	Entries   []Entry                  `json:"entries"`
 	Documents []configuration.Document `json:"documents"`
 	At        time.Duration            `json:"at"`
@@ -71,7 +71,7 @@
 	if len(l.entries) == 0 {
 		return json.RawMessage("null"), nil
 	}
-	return json.Marshal(kept{l.entries, l.documents, l.at})
+	return json.Marshal(onDisk{l.entries, l.documents, l.at})
 }
 
 // Restore puts a snapshot in place of all; one that does not hold together is refused and changes nothing.
@@ -82,7 +82,7 @@
 		*l = *fresh
 		return nil
 	}
-	var k kept
+	var k onDisk
 	if err := json.Unmarshal(text, &k); err != nil {
 		return fmt.Errorf("configuration ledger: snapshot: %w", err)
 	}
--- a/internal/cluster/configuration/run/nudge.go
+++ b/internal/cluster/configuration/run/announce.go
@@ -15,37 +15,37 @@
 )
 
 const (
-	pathNudge = "/configuration/nudge"
-	// At most mostNudged calls in nudgeEach: 3 KB/s where many are away and all of them answer.
-	nudgeEach  = time.Second
-	mostNudged = 8
+	pathAnnounce = "/configuration/nudge"
+	// At most mostAnnounced calls in announceEvery: 3 KB/s where many are away and all of them answer.
+	announceEvery = time.Second
+	mostAnnounced = 8
 )
 
-// nudge tells of the newest version.
-type nudge struct {
+// announcement tells of the newest version.
+type announcement struct {
 	Held spread.Digest `json:"h"`
 }
 
-// nudged answers it.
-type nudged struct {
+// announceAnswer answers it.
+type announceAnswer struct {
 	Held    spread.Digest `json:"h"`
 	InForce uint64        `json:"i"`
 }
 
-// nudgeOn begins what is due. The lock is held.
-func (r *Runner) nudgeOn(now view.Now) {
+// announceToLaggards begins what is due. The lock is held.
+func (r *Runner) announceToLaggards(now view.Now) {
 	l := &r.lead
-	if now < l.nudgeAt || l.top.Held().Version == 0 {
+	if now < l.announceAt || l.top.Held().Version == 0 {
 		return
 	}
-	l.nudgeAt = now + nudgeEach
+	l.announceAt = now + announceEvery
 	held := l.top.Held()
-	of := nudge{spread.Digest{Version: held.Version, Sum: held.Sum}}
-	for _, name := range l.roster.Due(l.top.Summary(now).Laggards, mostNudged, now) {
-		r.figures.Nudges++
+	of := announcement{spread.Digest{Version: held.Version, Sum: held.Sum}}
+	for _, name := range l.roster.Due(l.top.Summary(now).Laggards, mostAnnounced, now) {
+		r.figures.Announcements++
 		r.going.Go(func() {
-			var answer nudged
-			if r.caller.Call(r.ctx, name, pathNudge, of, &answer) != nil {
+			var answer announceAnswer
+			if r.caller.Call(r.ctx, name, pathAnnounce, of, &answer) != nil {
 				return // it is away: that is why it was tried
 			}
 			r.mu.Lock()
@@ -55,9 +55,9 @@
 	}
 }
 
-// takeNudge has the caller asked for what is lacking here.
-func (r *Runner) takeNudge(_ context.Context, from view.Life, body []byte) (any, error) {
-	var n nudge
+// takeAnnouncement has the caller asked for what is lacking here.
+func (r *Runner) takeAnnouncement(_ context.Context, from view.Life, body []byte) (any, error) {
+	var n announcement
 	if err := json.Unmarshal(body, &n); err != nil {
 		return nil, fmt.Errorf("configuration: nudge: %w", err)
 	}
@@ -65,8 +65,8 @@
 	defer r.mu.Unlock()
 	held := r.state.Held()
 	if n.Held.Version > held.Version {
-		r.nudgedBy = from.Name
+		r.announcedBy = from.Name
 		r.signals.Wake()
 	}
-	return nudged{spread.Digest{Version: held.Version, Sum: held.Sum}, r.running.Version}, nil
+	return announceAnswer{spread.Digest{Version: held.Version, Sum: held.Sum}, r.running.Version}, nil
 }
--- a/internal/cluster/configuration/run/ask.go
+++ b/internal/cluster/configuration/run/ask.go
@@ -19,9 +19,9 @@
 	}
 	of := r.state
 	name, is := of.Newer()
-	if !is && r.nudgedBy != "" {
-		name, is = r.nudgedBy, true
-		r.nudgedBy = ""
+	if !is && r.announcedBy != "" {
+		name, is = r.announcedBy, true
+		r.announcedBy = ""
 	}
 	if !is && r.lead.top != nil {
 		if name, is = r.lead.top.Newer(); is {
--- a/internal/cluster/configuration/run/calls.go
+++ b/internal/cluster/configuration/run/calls.go
@@ -30,7 +30,7 @@
 func (r *Runner) handle() {
 	r.caller.Handle(map[string]ordering.Handler{
 		pathDown: r.takeDown, pathReport: r.takeReport, pathFetch: r.takeFetch, pathPropose: r.takePropose, pathShow: r.takeShow,
-		pathNudge: r.takeNudge,
+		pathAnnounce: r.takeAnnouncement,
 	})
 }
 
--- a/internal/cluster/configuration/run/fleet_test.go
+++ b/internal/cluster/configuration/run/fleet_test.go
@@ -106,7 +106,7 @@
 func (f *fleet) start(i int) {
 	s, m := f.senders[i], f.members[i]
 	l := f.net.Link(m.Life)
-	running, err := configuration.Kept(s.folder)
+	running, err := configuration.LoadCached(s.folder)
 	if err != nil {
 		f.t.Log(err)
 	}
--- a/internal/cluster/configuration/run/lead.go
+++ b/internal/cluster/configuration/run/lead.go
@@ -27,17 +27,17 @@
 
 // leading is what the leader knows beside its State. Guarded by configuration.mu.
 type leading struct {
-	top      *spread.State // nil while another leads
-	before   *spread.State // of when this life led last
-	leads    bool
-	told     bool   // top has heard something
-	no       uint64 // of the ledger, when it was read
-	last     uint64 // its newest version then
-	seen     *view.View
-	roster   spread.Roster
-	progress spread.Progress
-	adopting bool
-	nudgeAt  view.Now
+	top        *spread.State // nil while another leads
+	before     *spread.State // of when this life led last
+	leads      bool
+	told       bool   // top has heard something
+	no         uint64 // of the ledger, when it was read
+	last       uint64 // its newest version then
+	seen       *view.View
+	roster     spread.Roster
+	progress   spread.Progress
+	adopting   bool
+	announceAt view.Now
 }
 
 // news is what was read of the ledger in one go.
@@ -106,7 +106,7 @@
 		l.progress.Saw(sum.AtLeast(l.progress.Version), l.roster.Here(), now)
 	}
 	r.adopt()
-	r.nudgeOn(now)
+	r.announceToLaggards(now)
 }
 
 // adopt has the council take in a version that members have and it does not know: its records were lost, and numbers
--- a/internal/cluster/configuration/run/run.go
+++ b/internal/cluster/configuration/run/run.go
@@ -57,19 +57,19 @@
 	caller  ordering.Caller
 	handed  *handing // apply's alone, of which one runs at a time
 
-	mu       sync.Mutex // configuration.mu
-	state    *spread.State
-	lead     leading
-	view     *view.View
-	tree     ordering.Tree
-	leader   view.Life              // who last spoke to this process as the one that leads
-	running  together.Configuration // what the sender runs
-	fetching bool                   // a question to others is under way
-	fetchAt  view.Now               // not before
-	nudgedBy view.Name              // who has what is newer, by its own word; to be asked
-	asked    int                    // of those who may be asked, whose turn it is
-	caught   bool                   // this life has what was decided before it
-	figures  Figures
+	mu          sync.Mutex // configuration.mu
+	state       *spread.State
+	lead        leading
+	view        *view.View
+	tree        ordering.Tree
+	leader      view.Life              // who last spoke to this process as the one that leads
+	running     together.Configuration // what the sender runs
+	fetching    bool                   // a question to others is under way
+	fetchAt     view.Now               // not before
+	announcedBy view.Name              // who has what is newer, by its own word; to be asked
+	asked       int                    // of those who may be asked, whose turn it is
+	caught      bool                   // this life has what was decided before it
+	figures     Figures
 }
 
 // Start takes the handlers' paths and begins. What an earlier life kept is read before it returns.
@@ -92,7 +92,7 @@
 		o.Check = func(json.RawMessage, json.RawMessage) error { return nil }
 	}
 	r := &Runner{o: o, posts: make(ordering.Gate, mostPosts), running: o.Running}
-	r.state = spread.New(o.Self.Life, r.kept(), o.Running.Version)
+	r.state = spread.New(o.Self.Life, r.loadCached(), o.Running.Version)
 	r.signals = ordering.NewSignals(&r.mu)
 	r.ctx, r.stop = context.WithCancel(context.Background())
 	r.caller = ordering.Caller{Part: "configuration", Link: o.Link, Council: o.Council, Self: o.Self.Name, Life: r.life, Whom: r.whomToAsk,
@@ -104,9 +104,9 @@
 	return r, nil
 }
 
-// kept is what an earlier life left. What is damaged is named and not used: the others have it.
-func (r *Runner) kept() configuration.Document {
-	c, err := configuration.Kept(r.o.Folder)
+// loadCached is what an earlier incarnation left. What is damaged is named and not used: the others have it.
+func (r *Runner) loadCached() configuration.Document {
+	c, err := configuration.LoadCached(r.o.Folder)
 	if err != nil {
 		r.o.Log.Error("configuration: what was kept is not used; it is asked of the others", zap.Error(err))
 	}
--- a/internal/cluster/configuration/run/run_test.go
+++ b/internal/cluster/configuration/run/run_test.go
@@ -34,9 +34,9 @@
 		if status.Version != 2 || status.Sum != second.Sum || !status.CaughtUp {
 			t.Errorf("%+v", status)
 		}
-		kept, err := configuration.Kept(f.senders[i].folder)
-		if err != nil || kept.Version != 2 || !strings.Contains(string(kept.Settings), `"pace":2`) {
-			t.Errorf("%+v %v", kept, err)
+		cached, err := configuration.LoadCached(f.senders[i].folder)
+		if err != nil || cached.Version != 2 || !strings.Contains(string(cached.Settings), `"pace":2`) {
+			t.Errorf("%+v %v", cached, err)
 		}
 	}
 	if status := f.runners[0].Status(); status.Figures.Changes == 0 {
@@ -124,9 +124,9 @@
 			t.Fatalf("%d %+v", code, got)
 		}
 	}
-	kept, err := configuration.Kept(f.senders[3].folder)
-	if err != nil || string(kept.Settings) != own || kept.Version != 4 {
-		t.Fatalf("%s %v", kept.Settings, err)
+	cached, err := configuration.LoadCached(f.senders[3].folder)
+	if err != nil || string(cached.Settings) != own || cached.Version != 4 {
+		t.Fatalf("%s %v", cached.Settings, err)
 	}
 	if s := f.shown(); s.Restored == nil || *s.Restored != 0 {
 		t.Fatalf("%+v", s)
@@ -280,7 +280,7 @@
 }
 
 // What was kept and is damaged is not used, and comes from the others before the process is ready.
-func TestKeptIsDamaged(t *testing.T) {
+func TestCachedIsDamaged(t *testing.T) {
 	f := newFleet(t, 4)
 	f.change3("a", 0)
 	f.runners[3].Close()
@@ -320,7 +320,7 @@
 }
 
 // What cannot be written is not put in force, and told.
-func TestNotKept(t *testing.T) {
+func TestNotCached(t *testing.T) {
 	f := newFleet(t, 4)
 	folder := f.senders[3].folder
 	if err := errors.Join(os.Remove(folder), os.WriteFile(folder, nil, 0o600)); err != nil {
--- a/internal/cluster/configuration/run/silent_test.go
+++ b/internal/cluster/configuration/run/silent_test.go
@@ -70,8 +70,8 @@
 	if given := halted.handed(); !slices.Equal(given, []uint64{1, 2}) {
 		t.Errorf("it was given %v", given)
 	}
-	if kept, err := configuration.Kept(halted.folder); err != nil || kept.Version != 2 {
-		t.Errorf("kept: %+v %v", kept, err)
+	if cached, err := configuration.LoadCached(halted.folder); err != nil || cached.Version != 2 {
+		t.Errorf("kept: %+v %v", cached, err)
 	}
 	goOn()
 	f.until("p03 has it, too", func() bool { return f.runners[3].Status().Version == 3 })
@@ -88,8 +88,8 @@
 	halted.mu.Unlock()
 	goOn()
 	f.until("what was refused is no longer kept", func() bool {
-		kept, err := configuration.Kept(halted.folder)
-		return err == nil && kept.Version == 1
+		cached, err := configuration.LoadCached(halted.folder)
+		return err == nil && cached.Version == 1
 	})
 	f.order("c", 2, 3)
 	f.until("p03 has the next", func() bool { return f.runners[3].Status().Version == 3 })
--- a/internal/cluster/configuration/run/words.go
+++ b/internal/cluster/configuration/run/words.go
@@ -27,7 +27,7 @@
 	Council ordering.Council // nil at a process that has no place in it
 	Ledger  *ledger.Ledger   // the council's part of that name; nil where there is no council
 	Orders  Orders
-	Folder  string                 // of the cluster; see configuration.Kept
+	Folder  string                 // of the cluster; see configuration.LoadCached
 	Running together.Configuration // what the sender was started with; version 0 for its own file
 	Own     json.RawMessage        // the settings of the sender's own file
 	// Check tells what is wrong with settings for a sender that runs inForce (nil: its own file). Pure.
@@ -42,7 +42,7 @@
 // Figures are counters since the start, by kind.
 type Figures struct {
 	Downs, Ups, Fetches     uint64 // messages begun
-	Nudges                  uint64 // of whoever leads to those whom the tree does not reach
+	Announcements           uint64 `json:"Nudges"` // of whoever leads to those whom the tree does not reach
 	Changes, Wholes         uint64 // of these, with content: a change, or the whole
 	ContentBytes            uint64 // in them
 	DownsIn, UpsIn, FetchIn uint64 // messages taken
