--- a/cmd/flaxcove/lab_hunt.go
+++ b/cmd/flaxcove/lab_hunt.go
@@ -40,74 +40,115 @@
 	defer stop()
 	ctx, cancel := context.WithTimeout(ctx, c.Duration("for"))
 	defer cancel()
-	goal := hunt.Goal{Rules: c.Bool("rules"), Least: c.Float("gap")}
-	type find struct {
-		File    string       `json:"file"`
-		Rule    referee.Rule `json:"rule,omitempty"`
-		Gap     float64      `json:"gap"`
-		Seed    uint64       `json:"seed"`
-		Senders int          `json:"senders"`
-		About   string       `json:"about"`
-	}
-	var mu sync.Mutex
-	var finds []find
-	var failed error
-	next, done, runs := 0, 0, c.Int("runs")
-	p := newProgress()
+	h := &hunter{ctx: ctx, c: c, goal: hunt.Goal{Rules: c.Bool("rules"), Least: c.Float("gap")}, runs: c.Int("runs"), p: newProgress()}
+	h.playAll(max(1, c.Int("cores")))
+	if h.failed != nil {
+		return h.failed
+	}
+	if err := printFinds(c.Bool("json"), h.done, h.finds); err != nil {
+		return err
+	}
+	if len(h.finds) > 0 {
+		return cli.Exit("", exitBroken)
+	}
+	return nil
+}
+
+// huntFind is one scenario that a hunt kept, as it is printed.
+type huntFind struct {
+	File    string       `json:"file"`
+	Rule    referee.Rule `json:"rule,omitempty"`
+	Gap     float64      `json:"gap"`
+	Seed    uint64       `json:"seed"`
+	Senders int          `json:"senders"`
+	About   string       `json:"about"`
+}
+
+// hunter draws and plays scenarios on several goroutines; mu guards all that they share.
+type hunter struct {
+	ctx  context.Context
+	c    *cli.Command
+	goal hunt.Goal
+	runs int
+	p    *progress
+
+	mu     sync.Mutex
+	next   int
+	done   int
+	finds  []huntFind
+	failed error
+}
+
+// playAll plays scenarios on the given number of goroutines until the hunt ends.
+func (h *hunter) playAll(cores int) {
 	var wg sync.WaitGroup
-	for range max(1, c.Int("cores")) {
+	for range cores {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			for {
-				mu.Lock()
-				if next >= runs || len(finds) >= c.Int("finds") || failed != nil || ctx.Err() != nil {
-					mu.Unlock()
-					return
-				}
-				seed := c.Uint64("seed") + uint64(next)
-				next++
-				mu.Unlock()
-				spec := hunt.Draw(rand.New(rand.NewPCG(seed, 0x4047)), c.Float("scale"))
-				found, kept, err := huntOne(ctx, spec, seed, goal)
-				mu.Lock()
-				done++
-				if err != nil && ctx.Err() == nil {
-					failed = err
-				}
-				if found {
-					path, err := hunt.Save(c.String("dir"), kept)
-					if err != nil {
-						failed = err
-					}
-					finds = append(finds, find{path, kept.Found.Rule, kept.Found.Gap, seed, kept.Senders, kept.About})
-				}
-				p.say("%d of %d scenarios, %d finds", done, runs, len(finds))
-				mu.Unlock()
+			for h.playNext() {
 			}
 		}()
 	}
 	wg.Wait()
-	p.end()
-	if failed != nil {
-		return failed
+	h.p.end()
+}
+
+// nextSeed hands out the seed of the next scenario, or says that the hunt has ended: all runs drawn, enough finds,
+// a failure, or the time is up.
+func (h *hunter) nextSeed() (uint64, bool) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if h.next >= h.runs || len(h.finds) >= h.c.Int("finds") || h.failed != nil || h.ctx.Err() != nil {
+		return 0, false
 	}
-	if c.Bool("json") {
-		if err := json.NewEncoder(os.Stdout).Encode(finds); err != nil {
-			return err
-		}
-	} else {
-		fmt.Printf("%d scenarios played, %d finds\n", done, len(finds))
-		for _, f := range finds {
-			what := fmt.Sprintf("gap %.2f", f.Gap)
-			if f.Rule != "" {
-				what = "breaks " + string(f.Rule)
-			}
-			fmt.Printf("  %s: %s, seed %d, %d senders; %s\n", f.File, what, f.Seed, f.Senders, f.About)
+	seed := h.c.Uint64("seed") + uint64(h.next)
+	h.next++
+	return seed, true
+}
+
+// playNext draws, plays and records one scenario; it says false when the hunt has ended.
+func (h *hunter) playNext() bool {
+	seed, more := h.nextSeed()
+	if !more {
+		return false
+	}
+	spec := hunt.Draw(rand.New(rand.NewPCG(seed, 0x4047)), h.c.Float("scale"))
+	found, saved, err := huntOne(h.ctx, spec, seed, h.goal)
+	h.record(seed, found, saved, err)
+	return true
+}
+
+// record counts a played scenario, saves what it found, and shows the progress.
+func (h *hunter) record(seed uint64, found bool, saved *hunt.Kept, err error) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.done++
+	if err != nil && h.ctx.Err() == nil {
+		h.failed = err
+	}
+	if found {
+		path, err := hunt.Save(h.c.String("dir"), saved)
+		if err != nil {
+			h.failed = err
 		}
+		h.finds = append(h.finds, huntFind{path, saved.Found.Rule, saved.Found.Gap, seed, saved.Senders, saved.About})
 	}
-	if len(finds) > 0 {
-		return cli.Exit("", exitBroken)
+	h.p.say("%d of %d scenarios, %d finds", h.done, h.runs, len(h.finds))
+}
+
+// printFinds prints the finds as JSON or as lines for a person.
+func printFinds(asJSON bool, done int, finds []huntFind) error {
+	if asJSON {
+		return json.NewEncoder(os.Stdout).Encode(finds)
+	}
+	fmt.Printf("%d scenarios played, %d finds\n", done, len(finds))
+	for _, f := range finds {
+		what := fmt.Sprintf("gap %.2f", f.Gap)
+		if f.Rule != "" {
+			what = "breaks " + string(f.Rule)
+		}
+		fmt.Printf("  %s: %s, seed %d, %d senders; %s\n", f.File, what, f.Seed, f.Senders, f.About)
 	}
 	return nil
 }
--- a/cmd/flaxcove/lab_limits.go
+++ b/cmd/flaxcove/lab_limits.go
@@ -43,65 +43,101 @@
 	if only != "" && only != "noise" && only != "sharing" {
 		return wrongInput(fmt.Errorf("--only: %q is neither noise nor sharing", only))
 	}
+	o, err := limitsOptions(c)
+	if err != nil {
+		return err
+	}
+	var g limitsGrids
+	if only != "sharing" {
+		g.addNoise(o, c.FloatSlice("rates"), c.FloatSlice("shares"))
+	}
+	if only != "noise" {
+		g.addSharing(o, c.IntSlice("senders"), c.Float("part"))
+	}
+	if err := inParallel(ctx, c.Int("cores"), g.jobs); err != nil {
+		return err
+	}
+	if err := g.print(c.Bool("json")); err != nil {
+		return err
+	}
+	if g.broken() {
+		return cli.Exit("", exitBroken)
+	}
+	return nil
+}
+
+// limitsOptions are the options that all points of both grids share, from the flags.
+func limitsOptions(c *cli.Command) (limits.Options, error) {
 	o := limits.Options{Seed: c.Uint64("seed"), Seconds: c.Float("seconds")}
 	if p := c.String("policy"); p != "" {
 		if o.Policy = baseline.Make(p); o.Policy == nil {
-			return wrongInput(fmt.Errorf("--policy: no policy is called %q", p))
+			return o, wrongInput(fmt.Errorf("--policy: no policy is called %q", p))
 		}
 	}
-	var jobs []func() error
-	var noise []*limits.NoisePoint
-	var share []*limits.SharePoint
-	if only != "sharing" {
-		for _, mode := range limits.Modes {
-			for _, rate := range c.FloatSlice("rates") {
-				for _, part := range c.FloatSlice("shares") {
-					i := len(noise)
-					noise = append(noise, nil)
-					jobs = append(jobs, func() (err error) {
-						noise[i], err = limits.Noise(o, mode, rate, part)
-						return err
-					})
-				}
-			}
-		}
-	}
-	if only != "noise" {
-		for _, n := range c.IntSlice("senders") {
-			for _, kind := range []struct {
-				span float64
-				all  bool
-			}{{0, false}, {0, true}, {1, false}, {2, true}} {
-				i := len(share)
-				share = append(share, nil)
-				jobs = append(jobs, func() (err error) {
-					share[i], err = limits.Share(o, n, c.Float("part"), kind.span, kind.all)
+	return o, nil
+}
+
+// limitsGrids are the points of both grids and the jobs that fill them in; each job writes its own point only.
+type limitsGrids struct {
+	jobs  []func() error
+	noise []*limits.NoisePoint
+	share []*limits.SharePoint
+}
+
+// addNoise adds a point for each mode, rate and share of calls that fail.
+func (g *limitsGrids) addNoise(o limits.Options, rates, shares []float64) {
+	for _, mode := range limits.Modes {
+		for _, rate := range rates {
+			for _, part := range shares {
+				i := len(g.noise)
+				g.noise = append(g.noise, nil)
+				g.jobs = append(g.jobs, func() (err error) {
+					g.noise[i], err = limits.Noise(o, mode, rate, part)
 					return err
 				})
 			}
 		}
 	}
-	if err := inParallel(ctx, c.Int("cores"), jobs); err != nil {
-		return err
-	}
-	if c.Bool("json") {
-		if err := json.NewEncoder(os.Stdout).Encode(map[string]any{"noise": noise, "sharing": share}); err != nil {
-			return err
+}
+
+// addSharing adds, for each number of senders, a point for each way of counting at the limit.
+func (g *limitsGrids) addSharing(o limits.Options, senders []int, part float64) {
+	for _, n := range senders {
+		for _, kind := range []struct {
+			span float64
+			all  bool
+		}{{0, false}, {0, true}, {1, false}, {2, true}} {
+			i := len(g.share)
+			g.share = append(g.share, nil)
+			g.jobs = append(g.jobs, func() (err error) {
+				g.share[i], err = limits.Share(o, n, part, kind.span, kind.all)
+				return err
+			})
 		}
-	} else if err := printLimits(noise, share); err != nil {
-		return err
 	}
-	for _, p := range noise {
+}
+
+// print writes both grids as JSON or as tables.
+func (g *limitsGrids) print(asJSON bool) error {
+	if asJSON {
+		return json.NewEncoder(os.Stdout).Encode(map[string]any{"noise": g.noise, "sharing": g.share})
+	}
+	return printLimits(g.noise, g.share)
+}
+
+// broken says whether a point of the noise grid did not hold or a point of the sharing grid broke a rule.
+func (g *limitsGrids) broken() bool {
+	for _, p := range g.noise {
 		if !p.Held() {
-			return cli.Exit("", exitBroken)
+			return true
 		}
 	}
-	for _, p := range share {
+	for _, p := range g.share {
 		if p.BrokenRules > 0 {
-			return cli.Exit("", exitBroken)
+			return true
 		}
 	}
-	return nil
+	return false
 }
 
 // inParallel runs jobs on so many cores, tells how far it is, and ends early with the context or the first error.
--- a/cmd/flaxcove/lab_load.go
+++ b/cmd/flaxcove/lab_load.go
@@ -66,105 +66,156 @@
 func runLoad(ctx context.Context, c *cli.Command) error {
 	ctx, stop := stoppable(ctx)
 	defer stop()
-	s, err := findScenario(c)
+	r, err := newLoadRun(ctx, c)
 	if err != nil {
 		return err
 	}
-	binary := c.String("binary")
-	if binary == "" {
-		if binary, err = os.Executable(); err != nil {
-			return err
-		}
+	if err := r.playChosenForm(); err != nil {
+		return err
+	}
+	if c.Bool("json") {
+		return json.NewEncoder(os.Stdout).Encode(r.steps)
+	}
+	return nil
+}
+
+// loadRun holds what the steps of one `lab load` share: the scenario, the program that sends, and what was measured.
+type loadRun struct {
+	ctx    context.Context
+	c      *cli.Command
+	s      *scenario.Scenario
+	binary string
+	steps  []loadStep
+	table  *tabwriter.Writer
+}
+
+// newLoadRun finds the scenario and the program to play, and prints the table's head unless JSON was asked for.
+func newLoadRun(ctx context.Context, c *cli.Command) (*loadRun, error) {
+	s, err := findScenario(c)
+	if err != nil {
+		return nil, err
+	}
+	binary, err := loadBinary(c)
+	if err != nil {
+		return nil, err
 	}
-	var steps []loadStep
-	t := tabwriter.NewWriter(os.Stdout, 2, 0, 2, ' ', tabwriter.AlignRight)
-	head := "program\trate\tin time\tok p50\tp99\tp99.9 ms\tdelivery p50\tp99\tp99.9 ms\tCPU us a notice\tpeak MB\t\t"
+	r := &loadRun{ctx: ctx, c: c, s: s, binary: binary, table: tabwriter.NewWriter(os.Stdout, 2, 0, 2, ' ', tabwriter.AlignRight)}
 	if !c.Bool("json") {
-		fmt.Fprintln(t, head)
+		fmt.Fprintln(r.table, "program\trate\tin time\tok p50\tp99\tp99.9 ms\tdelivery p50\tp99\tp99.9 ms\tCPU us a notice\tpeak MB\t\t")
 	}
-	play := func(rate, seconds float64, command ...string) (loadStep, error) {
-		spec := *s.Spec
-		spec.Load.Rate, spec.Seconds = rate, seconds
-		if file := c.String("profile"); file != "" && command[0] == "serve" {
-			command = append(command, "--profile", file)
-		}
-		fmt.Fprintf(os.Stderr, "%s at %.0f a second for %.0f s\n", command[0], rate, seconds)
-		step, err := loadOne(ctx, &scenario.Scenario{Spec: &spec, Trace: s.Trace}, c, append([]string{binary}, command...))
-		step.Command = "serve"
-		if command[0] == "lab" {
-			step.Command = "yardstick"
+	return r, nil
+}
+
+// loadBinary is the program given by --binary, or this one.
+func loadBinary(c *cli.Command) (string, error) {
+	if binary := c.String("binary"); binary != "" {
+		return binary, nil
+	}
+	return os.Executable()
+}
+
+// playChosenForm plays the form that the flags ask for: a search, a list of rates, or a soak.
+func (r *loadRun) playChosenForm() error {
+	switch {
+	case r.c.Bool("search"):
+		return r.search()
+	case r.c.String("rates") != "":
+		return r.playRates(r.c.String("rates"))
+	case r.c.Duration("soak") > 0:
+		_, err := r.both(r.s.Spec.Load.Rate, min(r.c.Duration("soak"), time.Hour).Seconds(), 0)
+		return err
+	default:
+		return wrongInput(errors.New("say --search, --rates or --soak"))
+	}
+}
+
+// search plays rates until the highest one that is held is found, and prints it.
+func (r *loadRun) search() error {
+	search := load.NewSearch(r.c.Float("from"), r.c.Float("most"), r.c.Int("steps"))
+	for turn := 0; ; turn++ {
+		rate, more := search.Next()
+		if !more {
+			break
 		}
+		step, err := r.both(rate, r.c.Float("seconds"), turn)
 		if err != nil {
-			return step, err
-		}
-		steps = append(steps, step)
-		if !c.Bool("json") {
-			verdict := "held"
-			if !step.Held {
-				verdict = step.Why
-			}
-			fmt.Fprintf(t, "%s\t%.0f\t%.4f\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%.0f\t%.0f\t%s\t\n", step.Command, rate, step.InTime, step.OKP50,
-				step.OKP99, step.OKP999, step.P50, step.P99, step.P999, step.CPUUS, step.PeakMB, verdict)
-			t.Flush()
+			return err
 		}
-		return step, nil
+		search.Told(rate, step.Held)
 	}
-	// The order of sender and yardstick changes from step to step, so that neither always plays on a warm machine.
-	both := func(rate, seconds float64, turn int) (loadStep, error) {
-		if !c.Bool("yardstick") {
-			return play(rate, seconds, "serve")
+	good, bad := search.Best()
+	if !r.c.Bool("json") {
+		fmt.Printf("held at %.0f a second; not at %.0f\n", good, bad)
+	}
+	return nil
+}
+
+// playRates plays each rate of a list parted by commas in turn.
+func (r *loadRun) playRates(list string) error {
+	for turn, text := range strings.Split(list, ",") {
+		rate, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
+		if err != nil || !(rate > 0 && rate <= 100000) {
+			return wrongInput(fmt.Errorf("--rates: %q is not a rate", text))
 		}
-		if turn%2 == 1 {
-			if _, err := play(rate, seconds, "lab", "yardstick"); err != nil {
-				return loadStep{}, err
-			}
-			return play(rate, seconds, "serve")
+		if _, err := r.both(rate, r.c.Float("seconds"), turn); err != nil {
+			return err
 		}
-		step, err := play(rate, seconds, "serve")
-		if err == nil {
-			_, err = play(rate, seconds, "lab", "yardstick")
+	}
+	return nil
+}
+
+// both plays a step with the sender and, where --yardstick asks for it, with the plain forwarder too. The order of
+// sender and yardstick changes from step to step, so that neither always plays on a warm machine. It returns the
+// sender's step.
+func (r *loadRun) both(rate, seconds float64, turn int) (loadStep, error) {
+	if !r.c.Bool("yardstick") {
+		return r.play(rate, seconds, "serve")
+	}
+	if turn%2 == 1 {
+		if _, err := r.play(rate, seconds, "lab", "yardstick"); err != nil {
+			return loadStep{}, err
 		}
+		return r.play(rate, seconds, "serve")
+	}
+	step, err := r.play(rate, seconds, "serve")
+	if err == nil {
+		_, err = r.play(rate, seconds, "lab", "yardstick")
+	}
+	return step, err
+}
+
+// play runs one step of the given command at the given rate, keeps it, and prints its row.
+func (r *loadRun) play(rate, seconds float64, command ...string) (loadStep, error) {
+	spec := *r.s.Spec
+	spec.Load.Rate, spec.Seconds = rate, seconds
+	if file := r.c.String("profile"); file != "" && command[0] == "serve" {
+		command = append(command, "--profile", file)
+	}
+	fmt.Fprintf(os.Stderr, "%s at %.0f a second for %.0f s\n", command[0], rate, seconds)
+	step, err := loadOne(r.ctx, &scenario.Scenario{Spec: &spec, Trace: r.s.Trace}, r.c, append([]string{r.binary}, command...))
+	step.Command = "serve"
+	if command[0] == "lab" {
+		step.Command = "yardstick"
+	}
+	if err != nil {
 		return step, err
 	}
-	switch {
-	case c.Bool("search"):
-		search := load.NewSearch(c.Float("from"), c.Float("most"), c.Int("steps"))
-		for turn := 0; ; turn++ {
-			rate, more := search.Next()
-			if !more {
-				break
-			}
-			step, err := both(rate, c.Float("seconds"), turn)
-			if err != nil {
-				return err
-			}
-			search.Told(rate, step.Held)
-		}
-		good, bad := search.Best()
-		if !c.Bool("json") {
-			fmt.Printf("held at %.0f a second; not at %.0f\n", good, bad)
-		}
-	case c.String("rates") != "":
-		for turn, text := range strings.Split(c.String("rates"), ",") {
-			rate, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
-			if err != nil || !(rate > 0 && rate <= 100000) {
-				return wrongInput(fmt.Errorf("--rates: %q is not a rate", text))
-			}
-			if _, err := both(rate, c.Float("seconds"), turn); err != nil {
-				return err
-			}
-		}
-	case c.Duration("soak") > 0:
-		if _, err := both(s.Spec.Load.Rate, min(c.Duration("soak"), time.Hour).Seconds(), 0); err != nil {
-			return err
-		}
-	default:
-		return wrongInput(errors.New("say --search, --rates or --soak"))
+	r.steps = append(r.steps, step)
+	if !r.c.Bool("json") {
+		r.printRow(step, rate)
 	}
-	if c.Bool("json") {
-		return json.NewEncoder(os.Stdout).Encode(steps)
+	return step, nil
+}
+
+// printRow writes one step's line of the table and flushes it, so that each step shows as soon as it ends.
+func (r *loadRun) printRow(step loadStep, rate float64) {
+	verdict := "held"
+	if !step.Held {
+		verdict = step.Why
 	}
-	return nil
+	fmt.Fprintf(r.table, "%s\t%.0f\t%.4f\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%.0f\t%.0f\t%s\t\n", step.Command, rate, step.InTime, step.OKP50,
+		step.OKP99, step.OKP999, step.P50, step.P99, step.P999, step.CPUUS, step.PeakMB, verdict)
+	r.table.Flush()
 }
 
 // loadOne plays one rate and says whether it was held.
--- a/cmd/flaxcove/main.go
+++ b/cmd/flaxcove/main.go
@@ -1,6 +1,6 @@
 // Flaxcove is the gateway's command line.
 //
-// This file owns the sub-commands, the process's limits and its signals. It must never decide anything about a
+// This file owns the list of sub-commands, the logger and the process's limits; serve.go owns the signals. It must never decide anything about a
 // message.
 package main
 
@@ -8,20 +8,14 @@
 	"context"
 	"fmt"
 	"os"
-	"os/signal"
 	"runtime"
-	"runtime/debug"
-	"runtime/pprof"
-	"syscall"
 	"time"
 
 	"github.com/urfave/cli/v3"
 	"go.uber.org/zap"
 	"go.uber.org/zap/zapcore"
 
-	"flaxcove/internal/cluster/settings"
 	"flaxcove/internal/config"
-	"flaxcove/internal/sender"
 )
 
 // version is set by the build where it is known: -ldflags "-X main.version=...".
@@ -68,91 +62,6 @@
 	return err
 }
 
-func serve(_ context.Context, c *cli.Command) error {
-	// Before all else: SIGHUP asks for the file to be read anew, and must never end the process.
-	hups := make(chan os.Signal, 1)
-	signal.Notify(hups, syscall.SIGHUP)
-	cfg, err := config.Load(os.Getenv)
-	if err != nil {
-		return err
-	}
-	runtime.GOMAXPROCS(1)
-	var joining *settings.Settings
-	if path := c.String("cluster"); path != "" {
-		runtime.GOMAXPROCS(withCluster)
-		if joining, err = settings.Load(path); err != nil {
-			return err
-		}
-		if cfg, err = withKept(cfg, joining); err != nil {
-			return err
-		}
-	}
-	debug.SetMemoryLimit(int64(heapShare * float64(cfg.Limits.MemoryMB<<20)))
-	log, err := logger(c.Bool("trace"))
-	if err != nil {
-		return err
-	}
-	defer log.Sync()
-	notes := c.Bool("notes")
-	if notes {
-		if err := cfg.TurnOnNotes(); err != nil {
-			log.Warn("notes stay off", zap.Error(err))
-		}
-	}
-	// A log that nobody reads any more must not end the process.
-	signal.Ignore(syscall.SIGPIPE)
-	signals := make(chan os.Signal, 1)
-	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
-	told := whenTold(signals)
-	if path := c.String("profile"); path != "" {
-		file, err := os.Create(path)
-		if err != nil {
-			return err
-		}
-		defer file.Close()
-		if err := pprof.StartCPUProfile(file); err != nil {
-			return err
-		}
-		defer pprof.StopCPUProfile()
-	}
-	s, err := sender.Start(cfg, log)
-	if err != nil {
-		return err
-	}
-	if joining != nil {
-		leave, err := startCluster(joining, cfg, s, log)
-		if err != nil {
-			return err
-		}
-		defer leave()
-	}
-	go func() { s.DrainSince(<-told) }()
-	go func() {
-		for range hups {
-			fresh, err := config.Reload(os.Getenv)
-			if notes && err == nil {
-				_ = fresh.TurnOnNotes() // why not was told at the start
-			}
-			s.Reload(fresh, err)
-		}
-	}()
-	log.Debug("configuration", zap.Any("settings", cfg.Settings), zap.Any("limits", cfg.Limits), zap.Any("known", cfg.Known))
-	log.Info("serving", zap.String("name", cfg.Name), zap.String("listen", s.Addr()), zap.String("version", version),
-		zap.Uint64("configuration_version", cfg.Version))
-	s.Run()
-	return nil
-}
-
-// whenTold tells when the first signal came. The kill counts from then, and the start may take a while yet.
-func whenTold(signals <-chan os.Signal) <-chan time.Time {
-	told := make(chan time.Time, 1)
-	go func() {
-		<-signals
-		told <- time.Now()
-	}()
-	return told
-}
-
 // logger writes a line of JSON for each entry to standard error, and drops none.
 func logger(trace bool) (*zap.Logger, error) {
 	c := zap.NewProductionConfig()
--- a/cmd/flaxcove/main_test.go
+++ b/cmd/flaxcove/main_test.go
@@ -71,15 +71,15 @@
 // A signal that comes during the start counts from then, not from when the start is over.
 func TestSignalDuringTheStart(t *testing.T) {
 	signals := make(chan os.Signal) // without room: once it is sent, it is taken
-	told := whenTold(signals)
+	signalledAt := firstSignalTime(signals)
 	signals <- syscall.SIGTERM
-	for end := time.Now().Add(20 * time.Second); len(told) == 0; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(20 * time.Second); len(signalledAt) == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("nobody notes when the signal came")
 		}
 	}
 	startOver := time.Now()
-	if at := <-told; at.After(startOver) {
+	if at := <-signalledAt; at.After(startOver) {
 		t.Errorf("told at %v, after %v", at, startOver)
 	}
 }
--- a/cmd/flaxcove/serve_cluster.go
+++ b/cmd/flaxcove/serve_cluster.go
@@ -22,26 +22,26 @@
 // withCluster is how many threads run Go code with a cluster: the sender's one loop keeps one to itself.
 const withCluster = 2
 
-// withKept is a configuration with the settings that all senders share, where an earlier life of this process kept a
+// withCachedSettings is a configuration with the settings that all senders share, where an earlier incarnation of this process cached a
 // version of them. What cannot be read or run with ends the start, named by its file, as a wrong configuration file does:
 // the file's own settings are older, and no process runs an older version after a newer one.
-func withKept(cfg *config.Config, joining *settings.Settings) (*config.Config, error) {
+func withCachedSettings(cfg *config.Config, joining *settings.Settings) (*config.Config, error) {
 	if !joining.Uses.Configuration {
 		return cfg, nil
 	}
 	folder := joining.Here.Folder
-	kept, err := configuration.Kept(folder)
+	cached, err := configuration.Kept(folder)
 	switch {
 	case err != nil:
 		return nil, fmt.Errorf("%w; without this file the process starts with its own settings, and takes the version in force as it joins", err)
-	case kept.Version == 0:
+	case cached.Version == 0:
 		return cfg, nil
 	}
-	with, err := cfg.WithSettings(kept.Settings)
+	with, err := cfg.WithSettings(cached.Settings)
 	if err != nil {
-		return nil, fmt.Errorf("%s: version %d: %w", configuration.Path(folder), kept.Version, err)
+		return nil, fmt.Errorf("%s: version %d: %w", configuration.Path(folder), cached.Version, err)
 	}
-	with.Version = kept.Version
+	with.Version = cached.Version
 	return with, nil
 }
 
