--- a/choice/configure_bench_test.go
+++ b/choice/configure_bench_test.go
@@ -28,7 +28,7 @@
 			for i := range 2 * size.destinations {
 				list = append(list, Entry{Endpoint: EndpointID(fmt.Sprint("endpoint", i)), Destination: DestinationID(i / 2), Rating: 10})
 			}
-			d.s.ListNews(list, true)
+			d.s.UpdateEndpoints(list, true)
 			for i := range size.open {
 				d.s.Taken(Message{ID: MessageID(fmt.Sprint("notice", i)), Key: NoKey, Destination: DestinationID(i % size.destinations),
 					Deadline: d.clock + 6*Second})
--- a/choice/configure_test.go
+++ b/choice/configure_test.go
@@ -262,7 +262,7 @@
 	set := plain()
 	set.Kinds[1].Apart, set.RouteFees = true, []float64{0, 0.05}
 	d := open(set)
-	d.s.ListNews([]Entry{{Endpoint: "near", Destination: 3, Kind: 1}, {Endpoint: "far", Destination: 3, Kind: 1, Zone: 1}}, false)
+	d.s.UpdateEndpoints([]Entry{{Endpoint: "near", Destination: 3, Kind: 1}, {Endpoint: "far", Destination: 3, Kind: 1, Zone: 1}}, false)
 	for _, id := range []EndpointID{"near", "far"} {
 		d.s.endpoints[id].measure(float64(200*Millisecond), 1, 1)
 	}
--- a/choice/desk_test.go
+++ b/choice/desk_test.go
@@ -38,7 +38,7 @@
 func open(set Settings) *desk {
 	d := &desk{tries: map[MessageID]int{}}
 	d.s = Start(d, "s", 7, set)
-	d.s.ListNews([]Entry{{Endpoint: "a", Destination: 1, Rating: 10}, {Endpoint: "b", Destination: 1, Stage: Gone, Rating: 10},
+	d.s.UpdateEndpoints([]Entry{{Endpoint: "a", Destination: 1, Rating: 10}, {Endpoint: "b", Destination: 1, Stage: Gone, Rating: 10},
 		{Endpoint: "c", Destination: 2, Kind: 1, Rating: 10}}, true)
 	d.s.TurnEnd()
 	return d
--- a/choice/fleet_test.go
+++ b/choice/fleet_test.go
@@ -126,7 +126,7 @@
 			entries = append(entries, h.f.entry(id))
 		}
 	}
-	h.s.ListNews(entries, true)
+	h.s.UpdateEndpoints(entries, true)
 	h.s.TurnEnd()
 }
 
@@ -237,7 +237,7 @@
 			gone := f.entry(at.id)
 			gone.Stage = Gone
 			for _, h := range f.seats {
-				h.later(Time(f.rng.IntN(1000)), func() { h.s.ListNews([]Entry{gone, f.entry(fresh.id)}, false) })
+				h.later(Time(f.rng.IntN(1000)), func() { h.s.UpdateEndpoints([]Entry{gone, f.entry(fresh.id)}, false) })
 			}
 			at.back = forever // what is replaced stays away
 		})
--- a/choice/purge_test.go
+++ b/choice/purge_test.go
@@ -178,7 +178,7 @@
 	d.s.comeBack(d.s.endpoints["c"], d.clock)
 	show("cold:", d, 2)
 	show("warm:", d.run(11*Second), 2)
-	d.s.ListNews([]Entry{{Endpoint: "c", Destination: 2, Kind: 1, Stage: Draining}}, false)
+	d.s.UpdateEndpoints([]Entry{{Endpoint: "c", Destination: 2, Kind: 1, Stage: Draining}}, false)
 	show("draining:", d, 2)
 	d = open(ordered())
 	d.mute = true
--- a/choice/returns_test.go
+++ b/choice/returns_test.go
@@ -151,7 +151,7 @@
 	for i := range p.senders {
 		d := &desk{tries: map[MessageID]int{}, mute: true}
 		d.s = Start(d, SenderID(fmt.Sprint(i)), 7, p.set)
-		d.s.ListNews([]Entry{{Endpoint: "a", Destination: 1, Rating: 20}, {Endpoint: "b", Destination: 1, Rating: 20}}, true)
+		d.s.UpdateEndpoints([]Entry{{Endpoint: "a", Destination: 1, Rating: 20}, {Endpoint: "b", Destination: 1, Rating: 20}}, true)
 		d.clock = 20 * Second
 		for _, id := range []EndpointID{"a", "b"} {
 			e := d.s.endpoints[id]
--- a/choice/start.go
+++ b/choice/start.go
@@ -51,7 +51,7 @@
 	}
 }
 
-func (s *Sender) ListNews(entries []Entry, whole bool) {
+func (s *Sender) UpdateEndpoints(entries []Entry, whole bool) {
 	s.now = s.h.Now()
 	for _, e := range s.endpoints {
 		e.listed = e.listed && !whole
--- a/choice/town_test.go
+++ b/choice/town_test.go
@@ -189,7 +189,7 @@
 	for i, id := range []EndpointID{"a", "b", "c", "d"} {
 		all = append(all, Entry{Endpoint: id, Destination: DestinationID(i / 2), Kind: KindNo(i / 2), Zone: ZoneNo(i % 2), Rating: 10})
 	}
-	w.s.ListNews(all, true)
+	w.s.UpdateEndpoints(all, true)
 }
 
 // load has messages come steadily, of all that the settings name by then.
--- a/internal/sender/route.go
+++ b/internal/sender/route.go
@@ -120,7 +120,7 @@
 	}
 	s.log.Debug("list", zap.Bool("full", l.Full), zap.Bool("stale", stale), zap.Any("entries", l.Servers))
 	s.listTold = s.listTold || !stale
-	s.module.ListNews(entries, l.Full)
+	s.module.UpdateEndpoints(entries, l.Full)
 }
 
 func (s *Sender) forget(e *endpoint) {
--- a/lab/baseline/messages.go
+++ b/lab/baseline/messages.go
@@ -8,8 +8,8 @@
 	"flaxcove/choice"
 )
 
-// ListNews takes the list on.
-func (p *plain) ListNews(entries []choice.Entry, whole bool) {
+// UpdateEndpoints takes the list on.
+func (p *plain) UpdateEndpoints(entries []choice.Entry, whole bool) {
 	if whole {
 		for _, e := range p.ends {
 			e.Stage = choice.Gone
--- a/lab/cluster/size/sender.go
+++ b/lab/cluster/size/sender.go
@@ -98,7 +98,7 @@
 
 // And what follows is sim.Policy.
 
-func (c *counted) ListNews(entries []choice.Entry, whole bool) {
+func (c *counted) UpdateEndpoints(entries []choice.Entry, whole bool) {
 	if whole {
 		for _, e := range c.entries {
 			e.Stage = choice.Gone
@@ -112,7 +112,7 @@
 		c.entries[e.Endpoint].Entry = e
 	}
 	c.changed = true
-	c.policy.ListNews(entries, whole)
+	c.policy.UpdateEndpoints(entries, whole)
 }
 
 func (c *counted) Taken(n choice.Message) {
--- a/lab/referee/referee_test.go
+++ b/lab/referee/referee_test.go
@@ -110,14 +110,14 @@
 	p.Policy.Taken(n)
 }
 
-func (p *wrong) ListNews(entries []choice.Entry, whole bool) {
+func (p *wrong) UpdateEndpoints(entries []choice.Entry, whole bool) {
 	if p.how == "passes over drains" {
 		entries = append([]choice.Entry(nil), entries...)
 		for i := range entries {
 			entries[i].Stage = choice.Ready
 		}
 	}
-	p.Policy.ListNews(entries, whole)
+	p.Policy.UpdateEndpoints(entries, whole)
 }
 
 func (p *wrong) TurnEnd() {
--- a/lab/sim/replay_test.go
+++ b/lab/sim/replay_test.go
@@ -193,13 +193,13 @@
 	return r.r.odd && crc32.ChecksumIEEE([]byte(id))%n == 0
 }
 
-func (r *recorder) ListNews(entries []choice.Entry, whole bool) {
+func (r *recorder) UpdateEndpoints(entries []choice.Entry, whole bool) {
 	for i, e := range entries {
 		if r.oneIn(3, string(e.Endpoint)) {
 			entries[i].Learnt = &choice.Learnt{Mean: 900, Dev: 300, Past: 800, Seen: 12, Limit: 6, Wait: choice.Second}
 		}
 	}
-	r.Sender.ListNews(entries, whole)
+	r.Sender.UpdateEndpoints(entries, whole)
 }
 
 func (r *recorder) Taken(n choice.Message) {
