--- a/choice/desk_test.go
+++ b/choice/desk_test.go
@@ -31,7 +31,7 @@
 	return Settings{Senders: 2, InFlightLimit: 8, MaxOpen: 100, MaxAttempts: 6,
 		Classes: []Class{w(Idempotent, false), w(Keyed, false), w(SingleUse, false), w(Idempotent, true)},
 		Kinds:   []Kind{{BundleMax: 1}, {BundleMax: 3}}, Turn: 5 * Millisecond, Probing: true, Rating: RatingExact,
-		FallMultiple: 2, Fall: 2 * Second, ColdFrom: 0.2, Cold: 10 * Second, KeyRest: Second}
+		FallMultiple: 2, Fall: 2 * Second, SlowStartFrom: 0.2, SlowStart: 10 * Second, KeyRest: Second}
 }
 
 // open starts a sender whose list holds a and b at destination 1 and c at destination 2.
--- a/choice/endpoints_test.go
+++ b/choice/endpoints_test.go
@@ -152,7 +152,7 @@
 		aside := a.ejected
 		d.run(pause)
 		d.s.comeBack(a, d.clock)
-		fmt.Println(aside, a.ejected, "cold:", d.clock < a.coldFrom+d.s.set.Cold)
+		fmt.Println(aside, a.ejected, "cold:", d.clock < a.coldFrom+d.s.set.SlowStart)
 	}
 	// Output:
 	// true false cold: false
--- a/choice/host.go
+++ b/choice/host.go
@@ -89,8 +89,8 @@
 	Rating         Rating
 	FallMultiple   float64
 	Fall           Time
-	ColdFrom       float64
-	Cold           Time
+	SlowStartFrom  float64
+	SlowStart      Time
 	KeyRest        Time
 	RouteFees      []float64 // by zone: what a message taken on by a route apart there costs, in messages of mean value
 	RefusedPrice   float64
--- a/choice/ranks.go
+++ b/choice/ranks.go
@@ -21,7 +21,7 @@
 // settled renews a destination; it tells whether nothing is left to come back for.
 func (s *Sender) settled(d *destination) bool {
 	d.ranked = slices.DeleteFunc(d.ranked, func(e *endpoint) bool {
-		if e.listed || e.calls > 0 || e.probing || s.now < max(e.coldFrom+s.set.Cold, e.route.haltUntil) {
+		if e.listed || e.calls > 0 || e.probing || s.now < max(e.coldFrom+s.set.SlowStart, e.route.haltUntil) {
 			return false
 		}
 		if s.endpoints[e.id] == e {
--- a/internal/cluster/failover/plan/route.go
+++ b/internal/cluster/failover/plan/route.go
@@ -158,8 +158,8 @@
 		return share
 	}
 	warm := 1.0
-	if p.set.Cold > 0 && r.coldAt != never {
-		warm = min(1, p.set.ColdFrom+(1-p.set.ColdFrom)*float64(now-r.coldAt)/float64(p.set.Cold))
+	if p.set.SlowStart > 0 && r.coldAt != never {
+		warm = min(1, p.set.SlowStartFrom+(1-p.set.SlowStartFrom)*float64(now-r.coldAt)/float64(p.set.SlowStart))
 	}
 	return min(share, can*warm*min(1, p.set.FallMultiple/2)/handed)
 }
--- a/internal/cluster/node.go
+++ b/internal/cluster/node.go
@@ -43,10 +43,10 @@
 	// Longest is the longest deadline of any class.
 	Longest time.Duration
 	// What the service's settings say of cold endpoints, and whether the list's ratings are calls a second.
-	Cold         time.Duration
-	ColdFrom     float64
-	FallMultiple float64
-	RatingIsRate bool
+	SlowStart     time.Duration
+	SlowStartFrom float64
+	FallMultiple  float64
+	RatingIsRate  bool
 	// Cut tells whom this process neither reaches nor hears, for a laboratory that hosts many; nil for nobody.
 	Cut func(view.Name) bool
 	// CheckSettings tells what is wrong with proposed settings for a sender that runs inForce (nil: its own file). Pure.
--- a/internal/cluster/uses.go
+++ b/internal/cluster/uses.go
@@ -42,7 +42,7 @@
 		set := plan.Usual()
 		set.RatingIsRate = n.o.RatingIsRate
 		if n.o.FallMultiple > 0 {
-			set.Cold, set.ColdFrom, set.FallMultiple = n.o.Cold, n.o.ColdFrom, n.o.FallMultiple
+			set.SlowStart, set.SlowStartFrom, set.FallMultiple = n.o.SlowStart, n.o.SlowStartFrom, n.o.FallMultiple
 		}
 		u.failover = failover.Start(failover.Options{Self: n.self.Name, Zone: n.self.Zone, Now: n.Now, Link: n.link, Council: council,
 			InForce: u.inForce, Term: council.Term, Tree: n.Soon, Sightings: n.saw.Read, Local: n.counted.local, Bounds: weigh.Usual(),
--- a/internal/config/extremes_test.go
+++ b/internal/config/extremes_test.go
@@ -156,7 +156,7 @@
 				continue
 			}
 			s := &c.Settings
-			spans := []choice.Time{s.Turn, s.ConnIdle, s.DialTimeout, s.LongestReturn, s.Cold, s.Fall, s.KeyRest}
+			spans := []choice.Time{s.Turn, s.ConnIdle, s.DialTimeout, s.LongestReturn, s.SlowStart, s.Fall, s.KeyRest}
 			for _, w := range s.Classes {
 				spans = append(spans, w.ContractTime, w.Deadline, w.RepeatWindow)
 				if w.ContractTime == 0 {
--- a/lab/hunt/draw.go
+++ b/lab/hunt/draw.go
@@ -112,20 +112,20 @@
 
 func (d *drawer) partner(no int) world.Kind {
 	k := world.Kind{
-		Name:       fmt.Sprintf("k%d", no),
-		Count:      max(1, int(d.between(1, 7)*d.scale+0.5)),
-		Endpoints:  world.Pair{1, float64(1 + d.rng.IntN(4))},
-		MeanMS:     d.pair(world.Pair{15, 100}, world.Pair{100, 350}),
-		Sigma:      d.figure(0.2, 1.2),
-		Headroom:   d.pair(world.Pair{1.05, 1.8}, world.Pair{1.8, 4}),
-		Queue:      d.figure(0.5, 6),
-		Told:       d.figure(0, 1),
-		Reports:    d.chance(0.6),
-		ColdS:      d.figure(3, 15),
-		ColdFrom:   d.figure(0.1, 0.5),
-		IdleS:      d.figure(2, 15),
-		ShakeMS:    float64(d.rng.IntN(60)),
-		ErrorShare: d.figure(0, 0.02),
+		Name:          fmt.Sprintf("k%d", no),
+		Count:         max(1, int(d.between(1, 7)*d.scale+0.5)),
+		Endpoints:     world.Pair{1, float64(1 + d.rng.IntN(4))},
+		MeanMS:        d.pair(world.Pair{15, 100}, world.Pair{100, 350}),
+		Sigma:         d.figure(0.2, 1.2),
+		Headroom:      d.pair(world.Pair{1.05, 1.8}, world.Pair{1.8, 4}),
+		Queue:         d.figure(0.5, 6),
+		Told:          d.figure(0, 1),
+		Reports:       d.chance(0.6),
+		SlowStartS:    d.figure(3, 15),
+		SlowStartFrom: d.figure(0.1, 0.5),
+		IdleS:         d.figure(2, 15),
+		ShakeMS:       float64(d.rng.IntN(60)),
+		ErrorShare:    d.figure(0, 0.02),
 	}
 	d.drawLimit(&k)
 	if d.chance(0.3) {
--- a/lab/limits/limits.go
+++ b/lab/limits/limits.go
@@ -78,7 +78,7 @@
 	s.Sender.InFlightLimit = max(8, int(rate/10))
 	s.Sender.MaxOpen = max(64, int(8*rate))
 	s.Partners = []world.Kind{{Name: "noisy", Count: 1, Endpoints: world.Pair{1, 1}, MeanMS: world.Pair{20, 20}, Sigma: 0.5,
-		Headroom: world.Pair{4, 4}, LeastRate: 100, Queue: 4, ColdS: 8, ColdFrom: 0.2, IdleS: 10}}
+		Headroom: world.Pair{4, 4}, LeastRate: 100, Queue: 4, SlowStartS: 8, SlowStartFrom: 0.2, IdleS: 10}}
 	t := world.Trouble{Seconds: seconds, Amount: share}
 	switch mode {
 	case Chance:
@@ -173,7 +173,7 @@
 	s.Sender.InFlightLimit = max(8, int(perSender))
 	s.Clients.Own = true
 	kind := world.Kind{Name: "shared", Count: 1, Endpoints: world.Pair{2, 2}, MeanMS: world.Pair{20, 20}, Sigma: 0.5, Limit: "rate",
-		LimitTimes: world.Pair{0.75, 0.75}, LeastRate: 1, Headroom: world.Pair{4, 4}, Queue: 4, ColdS: 8, ColdFrom: 0.2, IdleS: 10,
+		LimitTimes: world.Pair{0.75, 0.75}, LeastRate: 1, Headroom: world.Pair{4, 4}, Queue: 4, SlowStartS: 8, SlowStartFrom: 0.2, IdleS: 10,
 		CountAll: countAll}
 	if span > 0 {
 		kind.Limit, kind.SpanS = "span", span
--- a/lab/referee/referee_test.go
+++ b/lab/referee/referee_test.go
@@ -22,7 +22,7 @@
 		{Name: "order", Repeat: "single-use", Share: 1, ContractMS: 2000, DeadlineMS: 8000, Value: 3, LateValue: 0.5},
 		{Name: "ledger", Repeat: "replayable", Share: 1, ContractMS: 2000, DeadlineMS: 8000, Value: 2, LateValue: 0.5, Ordered: true},
 	}
-	s.Partners = []world.Kind{{Name: "plain", Count: 5, Endpoints: world.Pair{1, 3}, ColdS: 10, ColdFrom: 0.1, Headroom: world.Pair{1.2, 1.6}},
+	s.Partners = []world.Kind{{Name: "plain", Count: 5, Endpoints: world.Pair{1, 3}, SlowStartS: 10, SlowStartFrom: 0.1, Headroom: world.Pair{1.2, 1.6}},
 		{Name: "strict", Count: 3, Limit: "span", SpanS: 2, Told: 1, LimitTimes: world.Pair{0.8, 1.1}}}
 	s.Troubles = []world.Trouble{
 		{Kind: "crash", At: 4, Seconds: 3, Part: world.Part{Kind: "plain", Share: 0.4}},
--- a/lab/sim/settings.go
+++ b/lab/sim/settings.go
@@ -34,7 +34,7 @@
 	for i := range spec.Partners {
 		k := &spec.Partners[i]
 		bundles, apart, kinds = append(bundles, k.Bundle), append(apart, k.Apart), append(kinds, k.Name)
-		coldFrom, cold, idle = min(coldFrom, k.ColdFrom), max(cold, k.ColdS), min(idle, k.IdleS)
+		coldFrom, cold, idle = min(coldFrom, k.SlowStartFrom), max(cold, k.SlowStartS), min(idle, k.IdleS)
 	}
 	zones := []string{}
 	for i := range spec.Zones {
--- a/lab/world/check.go
+++ b/lab/world/check.go
@@ -158,8 +158,8 @@
 	c.within(at+"connections", float64(k.Table), 0, 1e6)
 	c.within(at+"handshake_ms", k.ShakeMS, 0, 1e5)
 	c.within(at+"idle_s", k.IdleS, 0.5, 1e5)
-	c.within(at+"cold_s", k.ColdS, 0.1, 1e4)
-	c.within(at+"cold_from", k.ColdFrom, 0.01, 1)
+	c.within(at+"cold_s", k.SlowStartS, 0.1, 1e4)
+	c.within(at+"cold_from", k.SlowStartFrom, 0.01, 1)
 	c.within(at+"down_s", k.DownS, 0.1, 1e4)
 	c.within(at+"errors", k.ErrorShare, 0, 1)
 }
