--- a/choice/configure_test.go
+++ b/choice/configure_test.go
@@ -45,7 +45,7 @@
 	"RouteFees":            {change: func(s *Settings) { s.RouteFees = []float64{0.3, 0} }},
 	"RefusedPrice":         {change: func(s *Settings) { s.RefusedPrice = 0.5 }, silent: true},
 	"HandshakePrice":       {change: func(s *Settings) { s.HandshakePrice = 0.5 }, silent: true},
-	"Classes.Repeat":       {change: class(func(w *Class) { w.Repeat = SingleUse })},
+	"Classes.Repeat":       {change: class(func(w *Class) { w.Repeat = NonIdempotent })},
 	"Classes.ZoneGroup":    {change: class(func(w *Class) { w.ZoneGroup = !w.ZoneGroup })},
 	"Classes.RepeatWindow": {change: class(func(w *Class) { w.RepeatWindow = 300 * Millisecond })},
 	"Classes.ContractTime": {change: class(func(w *Class) { w.ContractTime = 400 * Millisecond })},
@@ -230,7 +230,7 @@
 func ExampleSender_Configure() {
 	for _, change := range []func(*Settings){
 		func(s *Settings) { s.MaxAttempts = 1 },
-		class(func(w *Class) { w.Repeat = SingleUse }),
+		class(func(w *Class) { w.Repeat = NonIdempotent }),
 		class(func(w *Class) { w.RepeatWindow = 100 * Millisecond }),
 		class(func(w *Class) { w.LateValue = 0 }), // and where nothing forbids it, it goes on
 	} {
--- a/choice/desk_test.go
+++ b/choice/desk_test.go
@@ -29,7 +29,7 @@
 			Value: 1 + float64(r), LateValue: 0.1, ByArrival: order}
 	}
 	return Settings{Senders: 2, InFlightLimit: 8, MaxOpen: 100, MaxAttempts: 6,
-		Classes: []Class{w(Idempotent, false), w(Keyed, false), w(SingleUse, false), w(Idempotent, true)},
+		Classes: []Class{w(Idempotent, false), w(Keyed, false), w(NonIdempotent, false), w(Idempotent, true)},
 		Kinds:   []Kind{{BundleMax: 1}, {BundleMax: 3}}, Turn: 5 * Millisecond, Probing: true, Rating: RatingExact,
 		FallMultiple: 2, Fall: 2 * Second, SlowStartFrom: 0.2, SlowStart: 10 * Second, KeyRest: Second}
 }
--- a/choice/host.go
+++ b/choice/host.go
@@ -35,7 +35,7 @@
 const (
 	Idempotent Repeat = iota
 	Keyed
-	SingleUse
+	NonIdempotent
 )
 
 // Class is one class's settings.
--- a/choice/returns_test.go
+++ b/choice/returns_test.go
@@ -84,7 +84,7 @@
 		"extreme, nothing if cold": func(p *play) { p.rating, p.set.FallMultiple, p.set.SlowStartFrom = math.MaxFloat64, 1e300, 0 },
 		"one class":                func(p *play) { classes(p, 1, Idempotent) },
 		"twenty classes":           func(p *play) { classes(p, 20, Keyed) },
-		"single-use alone":         func(p *play) { classes(p, 3, SingleUse) },
+		"single-use alone":         func(p *play) { classes(p, 3, NonIdempotent) },
 		"nothing single-use":       func(p *play) { classes(p, 3, Idempotent) },
 	}
 	for _, name := range inOrder(odds) {
--- a/choice/town_test.go
+++ b/choice/town_test.go
@@ -110,7 +110,7 @@
 	check(e.open.n > 1 || len(w.s.calls) <= set.InFlightLimit, fmt.Sprint(len(w.s.calls), " calls out of ", set.InFlightLimit))
 	check(e.open.n <= max(1, e.d.kind.BundleMax) && e.d.kind.BundleMax == set.Kinds[e.d.id%2].BundleMax, "a bundle too large")
 	check(w.tries[n.ID] <= set.MaxAttempts, "one dispatch too many")
-	check(!n.MayRun || class.Repeat != SingleUse, "a second run")
+	check(!n.MayRun || class.Repeat != NonIdempotent, "a second run")
 	check(!n.MayRun || class.Repeat != Keyed || w.clock <= n.RanAt+class.RepeatWindow-set.Turn, "out of its window")
 	check(!n.MayRun || !class.ZoneGroup || e.zone == n.RanIn, "known in another zone alone")
 	check(n.line == nil || n.line.messages[0] == n, "before its turn")
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -89,7 +89,7 @@
 func Nanoseconds(t choice.Time) int64 { return int64(t) * perTenth }
 
 var repeats = map[string]choice.Repeat{
-	"pure": choice.Idempotent, "token": choice.Keyed, "side_effect": choice.SingleUse,
+	"pure": choice.Idempotent, "token": choice.Keyed, "side_effect": choice.NonIdempotent,
 }
 
 var ratings = map[string]choice.Rating{
--- a/lab/baseline/messages.go
+++ b/lab/baseline/messages.go
@@ -45,7 +45,7 @@
 		n.line = p.lineOf(n.Key)
 		n.line.messages = append(n.line.messages, n)
 	}
-	if n.MayRun && w.Repeat == choice.SingleUse {
+	if n.MayRun && w.Repeat == choice.NonIdempotent {
 		p.finish(n)
 		return
 	}
--- a/lab/hunt/draw.go
+++ b/lab/hunt/draw.go
@@ -98,7 +98,7 @@
 	contract := float64(300 + d.rng.IntN(3000))
 	return world.Class{
 		Name:       fmt.Sprintf("w%d", no),
-		Repeat:     pick(d, world.Idempotent, world.Keyed, world.SingleUse),
+		Repeat:     pick(d, world.Idempotent, world.Keyed, world.NonIdempotent),
 		Share:      d.figure(0.3, 3),
 		ContractMS: contract,
 		DeadlineMS: contract * (2 + float64(d.rng.IntN(6))),
--- a/lab/limits/limits.go
+++ b/lab/limits/limits.go
@@ -65,7 +65,7 @@
 	s.Prices = world.Prices{}
 	s.Classes = []world.Class{
 		{Name: "status", Repeat: world.Idempotent, Share: 1, ContractMS: 1000, DeadlineMS: 6000, Value: 1, LateValue: 0.1},
-		{Name: "order", Repeat: world.SingleUse, Share: 1, ContractMS: 2000, DeadlineMS: 8000, Value: 2, LateValue: 0.5}}
+		{Name: "order", Repeat: world.NonIdempotent, Share: 1, ContractMS: 2000, DeadlineMS: 8000, Value: 2, LateValue: 0.5}}
 	s.Clients.Retries = 0 // a message that is turned away counts as that
 	return s
 }
--- a/lab/sim/settings.go
+++ b/lab/sim/settings.go
@@ -17,7 +17,7 @@
 func Boot(w *world.World) json.RawMessage {
 	spec := w.Spec
 	ns := func(ms float64) int64 { return int64(math.Round(ms * 1e6)) }
-	words := map[string]string{world.Idempotent: "pure", world.Keyed: "token", world.SingleUse: "side_effect"}
+	words := map[string]string{world.Idempotent: "pure", world.Keyed: "token", world.NonIdempotent: "side_effect"}
 	classes := []map[string]any{}
 	for i := range spec.Classes {
 		l := &spec.Classes[i]
--- a/lab/world/check.go
+++ b/lab/world/check.go
@@ -116,7 +116,7 @@
 		if w.Name == "" {
 			c.wrong(at+"name", "missing")
 		}
-		c.word(at+"repeat", w.Repeat, Idempotent, Keyed, SingleUse)
+		c.word(at+"repeat", w.Repeat, Idempotent, Keyed, NonIdempotent)
 		c.within(at+"share", w.Share, 0, 1e6)
 		c.within(at+"contract_ms", w.ContractMS, 1, 1e7)
 		c.within(at+"hard_stop_ms", w.DeadlineMS, w.ContractMS, 86.4e6)
--- a/lab/world/spec.go
+++ b/lab/world/spec.go
@@ -88,15 +88,15 @@
 
 // What may be done with a message that may have had its effect, in the words of scenario files.
 const (
-	Idempotent = "replayable" // send it again: its effect is the same
-	Keyed      = "tokened"    // send it again within a window: its endpoint knows its idempotency key
-	SingleUse  = "single-use" // nothing: its effect would come twice
+	Idempotent    = "replayable" // send it again: its effect is the same
+	Keyed         = "tokened"    // send it again within a window: its endpoint knows its idempotency key
+	NonIdempotent = "single-use" // nothing: its effect would come twice
 )
 
 // Class is one class of messages.
 type Class struct {
 	Name       string  `toml:"name"`
-	Repeat     string  `toml:"repeat"` // Idempotent, Keyed or SingleUse
+	Repeat     string  `toml:"repeat"` // Idempotent, Keyed or NonIdempotent
 	ZoneGroup  bool    `toml:"zone_group"`
 	WindowS    float64 `toml:"window_s"` // for which a partner knows an idempotency key
 	Share      float64 `toml:"share"`
