--- a/choice/host.go
+++ b/choice/host.go
@@ -108,18 +108,18 @@
 
 // Entry is one endpoint of the list.
 type Entry struct {
-	Endpoint    EndpointID
-	Destination DestinationID
-	Kind        KindNo
-	Zone        ZoneNo
-	Rating      float64
-	Stage       Stage
-	Learnt      *Learnt // of an earlier life, where there is any; read when the endpoint is new
+	Endpoint     EndpointID
+	Destination  DestinationID
+	Kind         KindNo
+	Zone         ZoneNo
+	Rating       float64
+	Stage        Stage
+	LearnedState *LearnedState // of an earlier life, where there is any; read when the endpoint is new
 }
 
-// Learnt is what an earlier life knew of an endpoint and still holds: the times of calls there in tenths of a
+// LearnedState is what an earlier life knew of an endpoint and still holds: the times of calls there in tenths of a
 // millisecond (mean and spread of late, long mean, how many), the limit last told, and what is left of a wait.
-type Learnt struct {
+type LearnedState struct {
 	Mean, Dev, Past, Seen float64
 	Limit                 float64
 	Wait                  Time
--- a/internal/cluster/popularity/run/run_test.go
+++ b/internal/cluster/popularity/run/run_test.go
@@ -75,7 +75,7 @@
 	w.senders["p6"].mu.Lock()
 	l := w.senders["p6"].taught[endpoint(5)]
 	w.senders["p6"].mu.Unlock()
-	if l.Learnt.Seen > 4 || l.Learnt.Mean != 50 || l.Age < 0 || math.IsNaN(l.Learnt.Seen) {
+	if l.LearnedState.Seen > 4 || l.LearnedState.Mean != 50 || l.Age < 0 || math.IsNaN(l.LearnedState.Seen) {
 		t.Error(l)
 	}
 	w.fall(w.branches().RegionHead("r0"))
--- a/internal/cluster/uses.go
+++ b/internal/cluster/uses.go
@@ -88,7 +88,7 @@
 
 func (f forgetting) Purge(all []together.Purge, done func(uint64, []together.Found)) {
 	for _, p := range all {
-		if p.Learnt && p.Match.Destination != nil && f.u.popularity != nil {
+		if p.LearnedState && p.Match.Destination != nil && f.u.popularity != nil {
 			f.u.popularity.Forget(*p.Match.Destination)
 		}
 	}
--- a/lab/sim/replay_test.go
+++ b/lab/sim/replay_test.go
@@ -196,7 +196,7 @@
 func (r *recorder) UpdateEndpoints(entries []choice.Entry, whole bool) {
 	for i, e := range entries {
 		if r.oneIn(3, string(e.Endpoint)) {
-			entries[i].Learnt = &choice.Learnt{Mean: 900, Dev: 300, Past: 800, Seen: 12, Limit: 6, Wait: choice.Second}
+			entries[i].LearnedState = &choice.LearnedState{Mean: 900, Dev: 300, Past: 800, Seen: 12, Limit: 6, Wait: choice.Second}
 		}
 	}
 	r.Sender.UpdateEndpoints(entries, whole)
