--- a/internal/cluster/popularity/run/run_test.go
+++ b/internal/cluster/popularity/run/run_test.go
@@ -27,7 +27,7 @@
 	for d := range choice.DestinationID(30) {
 		w.senders["p6"].holds(together.Held{Destination: 100 + d, Bytes: 500, Calls: 20})
 	}
-	w.senders["p6"].holds(together.Held{Destination: 99, Bytes: 500, Pinned: true})
+	w.senders["p6"].holds(together.Held{Destination: 99, Bytes: 500, InUse: true})
 	for _, p := range []view.Name{"p0", "p2", "p4"} {
 		w.runners[p].Digest(hand(107, 40))
 	}
--- a/internal/cluster/popularity/run/world_test.go
+++ b/internal/cluster/popularity/run/world_test.go
@@ -87,7 +87,7 @@
 	s.mu.Lock()
 	var kept []choice.DestinationID
 	for _, d := range all {
-		if s.held[d].Pinned {
+		if s.held[d].InUse {
 			kept = append(kept, d)
 		} else {
 			delete(s.held, d)
--- a/internal/sender/holding.go
+++ b/internal/sender/holding.go
@@ -62,15 +62,15 @@
 		h := by[e.dest]
 		if h == nil {
 			h = &together.Held{Destination: e.dest}
-			h.Calls, h.Pinned = s.memory.Holds(e.dest)
+			h.Calls, h.InUse = s.memory.Holds(e.dest)
 			by[e.dest] = h
 		}
 		h.Bytes += endpointBytes + e.links*linkBytes
-		h.Pinned = h.Pinned || e.links > len(e.idle)
+		h.InUse = h.InUse || e.links > len(e.idle)
 	}
 	for _, n := range s.owed {
 		if h := by[n.Destination]; h != nil {
-			h.Pinned = true
+			h.InUse = true
 		}
 	}
 	for _, d := range slices.Sorted(maps.Keys(by)) {
--- a/internal/sender/together/together.go
+++ b/internal/sender/together/together.go
@@ -116,5 +116,5 @@
 	Destination choice.DestinationID
 	Bytes       int
 	Calls       float64 // answers seen that what is learnt rests on: what it would cost to learn again
-	Pinned      bool    // a told wait, an outage, a cold budget, a drain, order in a key, or anything open
+	InUse       bool    // a told wait, an outage, a cold budget, a drain, order in a key, or anything open
 }
--- a/internal/sender/together_test.go
+++ b/internal/sender/together_test.go
@@ -173,7 +173,7 @@
 	// call a: POST /inbox
 	//    id
 	// known [{Endpoint:a LearnedState:{Mean:550 Dev:3450 Past:550 Seen:1 Limit:0 Wait:0} Age:5ms}]
-	// held [{Destination:1 Bytes:1024 Calls:7 Pinned:false}]
+	// held [{Destination:1 Bytes:1024 Calls:7 InUse:false}]
 	// kept [2] void [z <nil> a <nil> z <nil>]
 	// client: +OK
 	// client: +OK
