--- a/choice/configure_bench_test.go
+++ b/choice/configure_bench_test.go
@@ -10,7 +10,7 @@
 // next tick, which looks at all destinations.
 func BenchmarkConfigure(b *testing.B) {
 	gain := func(set *Settings, i int) { set.Classes[0].Value = float64(2 + i%2) }
-	contract := func(set *Settings, i int) { set.Classes[0].ContractTime = Time(1+i%2) * Second / 2 }
+	contract := func(set *Settings, i int) { set.Classes[0].LatencyObjective = Time(1+i%2) * Second / 2 }
 	for _, size := range []struct {
 		name               string
 		change             func(*Settings, int)
--- a/choice/desk_test.go
+++ b/choice/desk_test.go
@@ -25,7 +25,7 @@
 // plain settings: class 0 is idempotent, 1 keyed, 2 single-use, 3 idempotent in order.
 func plain() Settings {
 	w := func(r Repeat, order bool) Class {
-		return Class{Repeat: r, RepeatWindow: 3 * Second, ContractTime: Second, Deadline: 6 * Second,
+		return Class{Repeat: r, RepeatWindow: 3 * Second, LatencyObjective: Second, Deadline: 6 * Second,
 			Value: 1 + float64(r), LateValue: 0.1, ByArrival: order}
 	}
 	return Settings{Senders: 2, InFlightLimit: 8, MaxOpen: 100, MaxAttempts: 6,
--- a/choice/host.go
+++ b/choice/host.go
@@ -40,14 +40,14 @@
 
 // Class is one class's settings.
 type Class struct {
-	Repeat       Repeat
-	ZoneGroup    bool // a keyed repeat is known only to endpoints of one zone
-	RepeatWindow Time
-	ContractTime Time
-	Deadline     Time
-	Value        float64
-	LateValue    float64 // share of Value left at the deadline
-	ByArrival    bool    // messages of one key keep their order
+	Repeat           Repeat
+	ZoneGroup        bool // a keyed repeat is known only to endpoints of one zone
+	RepeatWindow     Time
+	LatencyObjective Time
+	Deadline         Time
+	Value            float64
+	LateValue        float64 // share of Value left at the deadline
+	ByArrival        bool    // messages of one key keep their order
 }
 
 // Kind is what the settings tell of one kind of destination.
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -163,14 +163,14 @@
 			objective = c.Deadline // none is set: with 0 each call would be given up within a millisecond
 		}
 		all = append(all, choice.Class{
-			Repeat:       repeat,
-			ZoneGroup:    c.Group == "zone" || c.Group == "cell",
-			RepeatWindow: Down(min(longest, c.RepeatWindow)),
-			ContractTime: Down(min(longest, objective)),
-			Deadline:     Down(min(longest, c.Deadline)),
-			Value:        c.PriorityWeight,
-			LateValue:    c.LatePriorityWeight,
-			ByArrival:    c.ByArrival,
+			Repeat:           repeat,
+			ZoneGroup:        c.Group == "zone" || c.Group == "cell",
+			RepeatWindow:     Down(min(longest, c.RepeatWindow)),
+			LatencyObjective: Down(min(longest, objective)),
+			Deadline:         Down(min(longest, c.Deadline)),
+			Value:            c.PriorityWeight,
+			LateValue:        c.LatePriorityWeight,
+			ByArrival:        c.ByArrival,
 		})
 	}
 	if len(all) == 0 {
--- a/lab/cluster/size/cases.go
+++ b/lab/cluster/size/cases.go
@@ -24,8 +24,8 @@
 	s.Network.SameMS, s.Network.CrossMS = world.Pair{1, 3}, world.Pair{30, 40}
 	s.Load = load.Spec{Rate: rate, Zipf: 0.7, SenderSkew: 0}
 	s.Classes = []world.Class{
-		{Name: "status", Repeat: world.Idempotent, Share: 3, ContractMS: 800, DeadlineMS: 5000, Value: 1, LateValue: 0.1},
-		{Name: "order", Repeat: world.NonIdempotent, Share: 1, ContractMS: 3000, DeadlineMS: 9000, Value: 3, LateValue: 0.5},
+		{Name: "status", Repeat: world.Idempotent, Share: 3, LatencyObjectiveMS: 800, DeadlineMS: 5000, Value: 1, LateValue: 0.1},
+		{Name: "order", Repeat: world.NonIdempotent, Share: 1, LatencyObjectiveMS: 3000, DeadlineMS: 9000, Value: 3, LateValue: 0.5},
 	}
 	s.Partners = []world.Kind{
 		{Name: "told", Count: partners / 2, Endpoints: world.Pair{4, 4}, MeanMS: world.Pair{40, 100}, Reports: true,
--- a/lab/cluster/size/sender.go
+++ b/lab/cluster/size/sender.go
@@ -55,8 +55,8 @@
 	c := &counted{Host: h, zone: set.Zone, set: set, values: g, open: map[choice.MessageID]choice.Message{},
 		entries: map[choice.EndpointID]*entry{}, byDest: map[choice.DestinationID][]*entry{}, seen: map[sight.Place]*together.Row{}, listed: map[sight.Place]*listing{}}
 	for i, w := range set.Classes {
-		if i == 0 || w.ContractTime < c.shortest {
-			c.shortest = w.ContractTime
+		if i == 0 || w.LatencyObjective < c.shortest {
+			c.shortest = w.LatencyObjective
 		}
 	}
 	return c
--- a/lab/hunt/draw.go
+++ b/lab/hunt/draw.go
@@ -97,16 +97,16 @@
 func (d *drawer) class(no int) world.Class {
 	contract := float64(300 + d.rng.IntN(3000))
 	return world.Class{
-		Name:       fmt.Sprintf("w%d", no),
-		Repeat:     pick(d, world.Idempotent, world.Keyed, world.NonIdempotent),
-		Share:      d.figure(0.3, 3),
-		ContractMS: contract,
-		DeadlineMS: contract * (2 + float64(d.rng.IntN(6))),
-		Value:      d.figure(0.5, 4),
-		LateValue:  d.figure(0, 0.6),
-		Ordered:    d.chance(0.25),
-		ZoneGroup:  d.chance(0.3),
-		WindowS:    d.figure(0.5, 6),
+		Name:               fmt.Sprintf("w%d", no),
+		Repeat:             pick(d, world.Idempotent, world.Keyed, world.NonIdempotent),
+		Share:              d.figure(0.3, 3),
+		LatencyObjectiveMS: contract,
+		DeadlineMS:         contract * (2 + float64(d.rng.IntN(6))),
+		Value:              d.figure(0.5, 4),
+		LateValue:          d.figure(0, 0.6),
+		Ordered:            d.chance(0.25),
+		ZoneGroup:          d.chance(0.3),
+		WindowS:            d.figure(0.5, 6),
 	}
 }
 
--- a/lab/limits/limits.go
+++ b/lab/limits/limits.go
@@ -64,8 +64,8 @@
 	s.Name, s.Seconds = name, seconds
 	s.Prices = world.Prices{}
 	s.Classes = []world.Class{
-		{Name: "status", Repeat: world.Idempotent, Share: 1, ContractMS: 1000, DeadlineMS: 6000, Value: 1, LateValue: 0.1},
-		{Name: "order", Repeat: world.NonIdempotent, Share: 1, ContractMS: 2000, DeadlineMS: 8000, Value: 2, LateValue: 0.5}}
+		{Name: "status", Repeat: world.Idempotent, Share: 1, LatencyObjectiveMS: 1000, DeadlineMS: 6000, Value: 1, LateValue: 0.1},
+		{Name: "order", Repeat: world.NonIdempotent, Share: 1, LatencyObjectiveMS: 2000, DeadlineMS: 8000, Value: 2, LateValue: 0.5}}
 	s.Clients.Retries = 0 // a message that is turned away counts as that
 	return s
 }
--- a/lab/live/live_test.go
+++ b/lab/live/live_test.go
@@ -28,8 +28,8 @@
 	s := world.Base()
 	s.Name, s.Seconds, s.Senders = "short", 5, 2
 	s.Load.Rate = 40
-	s.Classes = []world.Class{{Name: "status", Share: 3, ContractMS: 500, DeadlineMS: 2500},
-		{Name: "order", Repeat: "single-use", Share: 1, ContractMS: 800, DeadlineMS: 3000, Value: 3}}
+	s.Classes = []world.Class{{Name: "status", Share: 3, LatencyObjectiveMS: 500, DeadlineMS: 2500},
+		{Name: "order", Repeat: "single-use", Share: 1, LatencyObjectiveMS: 800, DeadlineMS: 3000, Value: 3}}
 	s.Partners = []world.Kind{{Name: "small", Count: 3, Reports: true}, {Name: "bulk", Count: 2, Bundle: 4, Endpoints: world.Pair{2, 2}}}
 	s.Troubles = []world.Trouble{{Kind: "crash", At: 1, Seconds: 1, Part: world.Part{Partners: []int{0}}},
 		{Kind: "sender_kill", At: 2, Seconds: 0.6, Part: world.Part{Senders: []int{1}}},
--- a/lab/referee/referee_test.go
+++ b/lab/referee/referee_test.go
@@ -18,9 +18,9 @@
 	s.Load.Rate, s.Load.Zipf = 60, 0.6
 	s.Load.Keys = 2
 	s.Classes = []world.Class{
-		{Name: "status", Repeat: "replayable", Share: 2, ContractMS: 800, DeadlineMS: 5000, Value: 1, LateValue: 0.1},
-		{Name: "order", Repeat: "single-use", Share: 1, ContractMS: 2000, DeadlineMS: 8000, Value: 3, LateValue: 0.5},
-		{Name: "ledger", Repeat: "replayable", Share: 1, ContractMS: 2000, DeadlineMS: 8000, Value: 2, LateValue: 0.5, Ordered: true},
+		{Name: "status", Repeat: "replayable", Share: 2, LatencyObjectiveMS: 800, DeadlineMS: 5000, Value: 1, LateValue: 0.1},
+		{Name: "order", Repeat: "single-use", Share: 1, LatencyObjectiveMS: 2000, DeadlineMS: 8000, Value: 3, LateValue: 0.5},
+		{Name: "ledger", Repeat: "replayable", Share: 1, LatencyObjectiveMS: 2000, DeadlineMS: 8000, Value: 2, LateValue: 0.5, Ordered: true},
 	}
 	s.Partners = []world.Kind{{Name: "plain", Count: 5, Endpoints: world.Pair{1, 3}, SlowStartS: 10, SlowStartFrom: 0.1, Headroom: world.Pair{1.2, 1.6}},
 		{Name: "strict", Count: 3, Limit: "span", SpanS: 2, Told: 1, LimitTimes: world.Pair{0.8, 1.1}}}
--- a/lab/scale/real.go
+++ b/lab/scale/real.go
@@ -119,7 +119,7 @@
 	n := len(r.realMembers)
 	spec.Name, spec.Seconds, spec.Senders, spec.Zones = "scale", realLoadFor, n, r.fleet.RealZones()
 	spec.Load.Rate = max(1, r.o.RealRate*float64(n))
-	spec.Classes = []world.Class{{Name: "status", ContractMS: 1500, DeadlineMS: 4000}}
+	spec.Classes = []world.Class{{Name: "status", LatencyObjectiveMS: 1500, DeadlineMS: 4000}}
 	ends := min(2, spec.Zones)
 	count := max(1, min(r.o.RealDestinations, mostListeners/n/ends))
 	spec.Partners = []world.Kind{{Name: "shop", Count: count, Endpoints: world.Pair{float64(ends), float64(ends)}, Headroom: world.Pair{3, 4}, LeastRate: 40}}
--- a/lab/sim/settings.go
+++ b/lab/sim/settings.go
@@ -25,7 +25,7 @@
 		if l.ZoneGroup {
 			group = "zone"
 		}
-		classes = append(classes, map[string]any{"name": l.Name, "idempotency": words[l.Repeat], "aim": ns(l.ContractMS),
+		classes = append(classes, map[string]any{"name": l.Name, "idempotency": words[l.Repeat], "aim": ns(l.LatencyObjectiveMS),
 			"deadline": ns(l.DeadlineMS), "worth": l.Value, "lateWorth": l.LateValue, "byArrival": l.Ordered,
 			"repeatWindow": ns(l.WindowS * 1e3), "group": group})
 	}
--- a/lab/sim/sim_test.go
+++ b/lab/sim/sim_test.go
@@ -18,9 +18,9 @@
 	s.Name, s.Seconds, s.Senders, s.Zones = "small", 20, 3, 2
 	s.Load.Rate, s.Load.Zipf, s.Load.ClumpShare = 50, 0.8, 0.1
 	s.Classes = []world.Class{
-		{Name: "status", Repeat: "replayable", Share: 3, ContractMS: 800, DeadlineMS: 5000, Value: 1, LateValue: 0.1},
-		{Name: "order", Repeat: "single-use", Share: 1, ContractMS: 3000, DeadlineMS: 9000, Value: 3, LateValue: 0.5},
-		{Name: "booking", Repeat: "tokened", ZoneGroup: true, WindowS: 3, Share: 1, ContractMS: 2000, DeadlineMS: 8000, Value: 2, LateValue: 0.2},
+		{Name: "status", Repeat: "replayable", Share: 3, LatencyObjectiveMS: 800, DeadlineMS: 5000, Value: 1, LateValue: 0.1},
+		{Name: "order", Repeat: "single-use", Share: 1, LatencyObjectiveMS: 3000, DeadlineMS: 9000, Value: 3, LateValue: 0.5},
+		{Name: "booking", Repeat: "tokened", ZoneGroup: true, WindowS: 3, Share: 1, LatencyObjectiveMS: 2000, DeadlineMS: 8000, Value: 2, LateValue: 0.2},
 	}
 	s.Partners = []world.Kind{{Name: "small", Count: 8, Told: 0.4, Reports: true, Table: 20, ShakeMS: 10},
 		{Name: "bulk", Count: 4, Bundle: 5, Endpoints: world.Pair{2, 3}, Apart: true, Reports: true}}
--- a/lab/world/check.go
+++ b/lab/world/check.go
@@ -118,8 +118,8 @@
 		}
 		c.word(at+"repeat", w.Repeat, Idempotent, Keyed, NonIdempotent)
 		c.within(at+"share", w.Share, 0, 1e6)
-		c.within(at+"contract_ms", w.ContractMS, 1, 1e7)
-		c.within(at+"hard_stop_ms", w.DeadlineMS, w.ContractMS, 86.4e6)
+		c.within(at+"contract_ms", w.LatencyObjectiveMS, 1, 1e7)
+		c.within(at+"hard_stop_ms", w.DeadlineMS, w.LatencyObjectiveMS, 86.4e6)
 		c.within(at+"gain", w.Value, 0, 1e6)
 		c.within(at+"late_gain", w.LateValue, 0, 1)
 		c.within(at+"window_s", w.WindowS, 0, 1e5)
--- a/lab/world/spec.go
+++ b/lab/world/spec.go
@@ -95,16 +95,16 @@
 
 // Class is one class of messages.
 type Class struct {
-	Name       string  `toml:"name"`
-	Repeat     string  `toml:"repeat"` // Idempotent, Keyed or NonIdempotent
-	ZoneGroup  bool    `toml:"zone_group"`
-	WindowS    float64 `toml:"window_s"` // for which a partner knows an idempotency key
-	Share      float64 `toml:"share"`
-	ContractMS float64 `toml:"contract_ms"`
-	DeadlineMS float64 `toml:"hard_stop_ms"`
-	Value      float64 `toml:"gain"`
-	LateValue  float64 `toml:"late_gain"`
-	Ordered    bool    `toml:"ordered"`
+	Name               string  `toml:"name"`
+	Repeat             string  `toml:"repeat"` // Idempotent, Keyed or NonIdempotent
+	ZoneGroup          bool    `toml:"zone_group"`
+	WindowS            float64 `toml:"window_s"` // for which a partner knows an idempotency key
+	Share              float64 `toml:"share"`
+	LatencyObjectiveMS float64 `toml:"contract_ms"`
+	DeadlineMS         float64 `toml:"hard_stop_ms"`
+	Value              float64 `toml:"gain"`
+	LateValue          float64 `toml:"late_gain"`
+	Ordered            bool    `toml:"ordered"`
 }
 
 // Kind is one kind of partner.
--- a/lab/world/world_test.go
+++ b/lab/world/world_test.go
@@ -81,7 +81,7 @@
 	s.Seconds, s.Senders, s.Load.Rate = 60, 2, 0.001
 	s.Network = Network{SameMS: Pair{10, 10}, CrossMS: Pair{10, 10}}
 	s.Discovery.DelayMS = Pair{100, 100}
-	s.Classes = []Class{{Name: "w", ContractMS: 1000, DeadlineMS: 9000}}
+	s.Classes = []Class{{Name: "w", LatencyObjectiveMS: 1000, DeadlineMS: 9000}}
 	s.Partners = []Kind{{Name: "k", Endpoints: Pair{1, 1}, MeanMS: Pair{50, 50}, Sigma: 1e-9, LeastRate: 20}}
 	change(&s)
 	s.Defaults()
