--- a/choice/connections_test.go
+++ b/choice/connections_test.go
@@ -50,7 +50,7 @@
 	d.take(0, 1, "o").ended(Done, 0, "a", "o")
 	for _, id := range []MessageID{"p", "q"} {
 		d.take(2, 1, id)
-		d.s.Ended(Outcome{Message: id, Endpoint: "a", Result: Reset, Kept: true})
+		d.s.Ended(Outcome{Message: id, Endpoint: "a", Result: Reset, Reused: true})
 	}
 	fmt.Println("aside:", d.s.endpoints["a"].ejected)
 	// Output:
--- a/choice/host.go
+++ b/choice/host.go
@@ -175,7 +175,7 @@
 	Wait     Time // told with Full; 0 when none was
 	NoSlot   bool // told with Moot
 	Report   Report
-	Kept     bool // its connection had carried a call before, where the host can tell
+	Reused   bool // its connection had carried a call before, where the host can tell
 	Closed   bool // its answer ended the connection, likewise
 }
 
--- a/choice/town_test.go
+++ b/choice/town_test.go
@@ -86,7 +86,7 @@
 	case luck < 0.18:
 		o.Result, o.Final = Errored, false
 	case luck < 0.22:
-		o.Result, o.Final, o.Kept = Reset, false, true
+		o.Result, o.Final, o.Reused = Reset, false, true
 	case luck < 0.26 || took > timeOut:
 		o.Result, o.Final, o.Took = TimedOut, false, timeOut
 	}
