--- a/internal/cluster/failover/run/run.go
+++ b/internal/cluster/failover/run/run.go
@@ -42,8 +42,8 @@
 	Handle(path string, h func(ctx context.Context, from view.Life, body []byte) (any, error))
 }
 
-// Council decides. A leader without a quorum must not say that it leads for longer than its lease.
-type Council interface {
+// Consensus decides. A leader without a quorum must not say that it leads for longer than its lease.
+type Consensus interface {
 	Propose(ctx context.Context, part, kind string, body any) (json.RawMessage, error)
 	Leader() (view.Name, bool)
 	Leading() bool
@@ -56,8 +56,8 @@
 	Zone      view.Zone
 	Now       func() view.Now // since the process began; monotonic
 	Link      Link
-	Council   Council
-	InForce   *plan.InForce                   // the council's part; read inside Council.Read alone
+	Consensus Consensus
+	InForce   *plan.InForce                   // the council's part; read inside Consensus.Read alone
 	Term      func() uint64                   // the council's, at its leader; nil for 0
 	Tree      func() *tree.Tree               // as of now
 	Sightings func(view.Now) []sight.Sighting // of this process, and at a zone's head of its zone
@@ -150,7 +150,7 @@
 
 // Stats are counts for operators.
 func (r *Runner) Stats() Stats {
-	leading, now := r.o.Council.Leading(), r.o.Now()
+	leading, now := r.o.Consensus.Leading(), r.o.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := r.stats
--- a/internal/cluster/failover/run/run_test.go
+++ b/internal/cluster/failover/run/run_test.go
@@ -128,7 +128,7 @@
 	w.mu.Lock()
 	delete(w.handlers, m.Name)
 	w.mu.Unlock()
-	r := Start(Options{Self: m.Name, Zone: m.Zone, Now: func() view.Now { return time.Since(begun) }, Link: e, Council: e,
+	r := Start(Options{Self: m.Name, Zone: m.Zone, Now: func() view.Now { return time.Since(begun) }, Link: e, Consensus: e,
 		InForce: &w.inForce, Tree: func() *tree.Tree { w.mu.Lock(); defer w.mu.Unlock(); return w.tree },
 		Sightings: func(view.Now) []sight.Sighting { return w.sightings(m.Zone) },
 		Local: func() apply.Local {
--- a/internal/cluster/node.go
+++ b/internal/cluster/node.go
@@ -121,8 +121,8 @@
 	n.uses.parts(parts)
 	if n.self.Size != view.Small {
 		if n.council, err = consensus.Start(consensus.Options{Cut: o.Cut, Self: n.self, Cluster: set.Cluster, Folder: filepath.Join(set.Here.Folder, "council"),
-			Listen: set.Here.Listen.Council, Founders: set.Founders, Parts: parts, Log: o.Log.Named("council"),
-			Reach: n.reach(func(a settings.Addresses, m view.Member) (string, string) { return a.Council, m.Raft })}); err != nil {
+			Listen: set.Here.Listen.Consensus, Founders: set.Founders, Parts: parts, Log: o.Log.Named("council"),
+			Reach: n.reach(func(a settings.Addresses, m view.Member) (string, string) { return a.Consensus, m.Raft })}); err != nil {
 			return n, err
 		}
 		n.self.Raft, n.self.Voted = n.council.Addr(), n.council.Voted()
--- a/lab/scale/real.go
+++ b/lab/scale/real.go
@@ -101,7 +101,7 @@
 			continue
 		}
 		from, to := r.fleet.RelayAddresses(m.No), r.fleet.Addresses(m.No)
-		for _, way := range [][2]string{{from.Gossip, to.Gossip}, {from.Council, to.Council}, {from.HTTP, to.HTTP}} {
+		for _, way := range [][2]string{{from.Gossip, to.Gossip}, {from.Consensus, to.Consensus}, {from.HTTP, to.HTTP}} {
 			one, err := relay.Open(way[0], way[1])
 			if err != nil {
 				return nil, err
--- a/lab/scale/report.go
+++ b/lab/scale/report.go
@@ -35,7 +35,7 @@
 			kind = ", real"
 		}
 		say("| %s%s | %d | %.0f (%.0f) | %.0f | %.0f, %.1f | %.0f | %.1f, %.1f | %.4f | %.1f | %.1f |", u.Role, kind, u.Members, u.BytesOut, u.MostOut,
-			u.BytesIn, u.Gossip, u.Packets, u.Council, u.Calls, u.Answers, u.CPU, u.HeapMB, u.RSSMB)
+			u.BytesIn, u.Gossip, u.Packets, u.Consensus, u.Calls, u.Answers, u.CPU, u.HeapMB, u.RSSMB)
 	}
 	say("\n| role | path | calls/s | answers/s | out B/s | in B/s |\n| --- | --- | --- | --- | --- | --- |")
 	for _, u := range r.Roles {
