--- a/internal/cluster/failover/plan/route.go
+++ b/internal/cluster/failover/plan/route.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"flaxcove/internal/cluster/failover/weigh"
-	"flaxcove/internal/cluster/sight"
+	"flaxcove/internal/cluster/healthreport"
 	"flaxcove/internal/cluster/view"
 )
 
@@ -144,7 +144,7 @@
 	share := p.set.Steps[r.step]
 	can, handed := 0.0, 0.0
 	for _, z := range home {
-		pl := p.places[sight.Place{Destination: k.d, Zone: z}]
+		pl := p.places[healthreport.Locality{Destination: k.d, Zone: z}]
 		if pl == nil {
 			return share
 		}
@@ -152,7 +152,7 @@
 		if !known {
 			return share
 		}
-		can, handed = can+some, max(handed, p.homed[pl.Place])
+		can, handed = can+some, max(handed, p.homed[pl.Locality])
 	}
 	if handed <= 0 {
 		return share
@@ -227,7 +227,7 @@
 func (p *Planner) fits(now view.Now, k key, home []view.Zone) float64 {
 	can, handed, short := 0.0, 0.0, false
 	for _, z := range home {
-		pl := p.places[sight.Place{Destination: k.d, Zone: z}]
+		pl := p.places[healthreport.Locality{Destination: k.d, Zone: z}]
 		if pl == nil {
 			return 1
 		}
@@ -240,7 +240,7 @@
 		if state == weigh.Weak {
 			some *= part
 		}
-		can, handed = can+some, handed+p.homed[pl.Place]
+		can, handed = can+some, handed+p.homed[pl.Locality]
 	}
 	if !short || handed <= 0 {
 		return 1
--- a/internal/cluster/failover/run/run.go
+++ b/internal/cluster/failover/run/run.go
@@ -19,7 +19,7 @@
 	"flaxcove/internal/cluster/failover/apply"
 	"flaxcove/internal/cluster/failover/plan"
 	"flaxcove/internal/cluster/failover/weigh"
-	"flaxcove/internal/cluster/sight"
+	"flaxcove/internal/cluster/healthreport"
 	"flaxcove/internal/cluster/tree"
 	"flaxcove/internal/cluster/view"
 	"flaxcove/internal/sender/together"
@@ -57,11 +57,11 @@
 	Now       func() view.Now // since the process began; monotonic
 	Link      Link
 	Consensus Consensus
-	InForce   *plan.InForce                   // the council's part; read inside Consensus.Read alone
-	Term      func() uint64                   // the council's, at its leader; nil for 0
-	Tree      func() *tree.Tree               // as of now
-	Sightings func(view.Now) []sight.Sighting // of this process, and at a zone's head of its zone
-	Local     func() apply.Local              // Ill is filled in here
+	InForce   *plan.InForce                        // the council's part; read inside Consensus.Read alone
+	Term      func() uint64                        // the council's, at its leader; nil for 0
+	Tree      func() *tree.Tree                    // as of now
+	Samples   func(view.Now) []healthreport.Sample // of this process, and at a zone's head of its zone
+	Local     func() apply.Local                   // Ill is filled in here
 	Bounds    weigh.Bounds
 	Settings  plan.Settings
 	Turn      time.Duration // turnEach if 0
@@ -204,7 +204,7 @@
 	if t == nil {
 		return
 	}
-	seen, local := r.o.Sightings(now), r.o.Local()
+	seen, local := r.o.Samples(now), r.o.Local()
 	local.Ill = r.ill(seen, local)
 	weighs := now-r.weighed >= min(weighEach, r.o.Turn)
 	if weighs {
@@ -227,11 +227,11 @@
 }
 
 // ill is what this process sees fail by itself.
-func (r *Runner) ill(seen []sight.Sighting, local apply.Local) map[apply.At]bool {
-	own := map[sight.Place][]sight.Sighting{}
+func (r *Runner) ill(seen []healthreport.Sample, local apply.Local) map[apply.At]bool {
+	own := map[healthreport.Locality][]healthreport.Sample{}
 	for _, s := range seen {
 		if s.Witness == r.o.Self {
-			own[s.Place] = append(own[s.Place], s)
+			own[s.Locality] = append(own[s.Locality], s)
 		}
 	}
 	ill := map[apply.At]bool{}
--- a/internal/cluster/uses.go
+++ b/internal/cluster/uses.go
@@ -45,7 +45,7 @@
 			set.SlowStart, set.SlowStartFrom, set.FallMultiple = n.o.SlowStart, n.o.SlowStartFrom, n.o.FallMultiple
 		}
 		u.failover = failover.Start(failover.Options{Self: n.self.Name, Zone: n.self.Zone, Now: n.Now, Link: n.link, Consensus: council,
-			InForce: u.inForce, Term: council.Term, Tree: n.Soon, Sightings: n.saw.Read, Local: n.counted.local, Bounds: weigh.Usual(),
+			InForce: u.inForce, Term: council.Term, Tree: n.Soon, Samples: n.saw.Read, Local: n.counted.local, Bounds: weigh.Usual(),
 			Settings: set, Log: n.log.Named("failover")})
 	}
 	if on.Popularity {
