--- a/lab/cluster/play/play.go
+++ b/lab/cluster/play/play.go
@@ -155,14 +155,14 @@
 	ends := float64(min(4, s.Zones))
 	spec.Partners = []world.Kind{{Name: "shop", Count: 4, Endpoints: world.Pair{ends, ends}, Headroom: world.Pair{3, 4}, LeastRate: 40, Reports: true}}
 	for _, f := range s.Faults {
-		t := world.Trouble{At: f.At, Seconds: f.Seconds, Part: world.Part{Senders: f.From}}
+		t := world.Fault{At: f.At, Seconds: f.Seconds, Part: world.Part{Senders: f.From}}
 		switch f.Kind {
 		case "zone":
 			t.Kind, t.Part = "silent", world.Part{Zone: f.Zone}
 			if f.Every > 0 {
 				for at := f.At; at < f.At+f.Seconds; at += 2 * f.Every {
 					t.At, t.Seconds = at, min(f.Every, f.At+f.Seconds-at)
-					spec.Troubles = append(spec.Troubles, t)
+					spec.Faults = append(spec.Faults, t)
 				}
 				continue
 			}
@@ -173,7 +173,7 @@
 		default:
 			continue
 		}
-		spec.Troubles = append(spec.Troubles, t)
+		spec.Faults = append(spec.Faults, t)
 	}
 	spec.Defaults()
 	return &spec
--- a/lab/hunt/draw.go
+++ b/lab/hunt/draw.go
@@ -15,7 +15,7 @@
 var endpointTroubles, otherTroubles = troubleKinds()
 
 func troubleKinds() (endpoints, others []string) {
-	for name, kind := range world.TroubleKinds {
+	for name, kind := range world.FaultKinds {
 		switch {
 		case kind.Strikes == "endpoints":
 			endpoints = append(endpoints, name)
@@ -47,7 +47,7 @@
 		d.spec.Partners = append(d.spec.Partners, d.partner(i))
 	}
 	for range 1 + rng.IntN(4) {
-		d.spec.Troubles = append(d.spec.Troubles, d.trouble())
+		d.spec.Faults = append(d.spec.Faults, d.trouble())
 	}
 	for range rng.IntN(3) {
 		d.spec.Changes = append(d.spec.Changes, d.change())
@@ -154,8 +154,8 @@
 	}
 }
 
-func (d *drawer) trouble() world.Trouble {
-	t := world.Trouble{
+func (d *drawer) trouble() world.Fault {
+	t := world.Fault{
 		At:      d.figure(1, d.spec.Seconds*0.6),
 		Seconds: d.figure(2, d.spec.Seconds*0.35),
 	}
@@ -163,18 +163,18 @@
 		d.drawEndpoints(&t)
 	} else {
 		t.Kind = pick(d, otherTroubles...)
-		if world.TroubleKinds[t.Kind].Strikes == "senders" {
+		if world.FaultKinds[t.Kind].Strikes == "senders" {
 			t.Part.Share = d.figure(0.2, 1)
 		}
 	}
-	if kind := world.TroubleKinds[t.Kind]; kind.Amount != "" && d.chance(0.7) {
+	if kind := world.FaultKinds[t.Kind]; kind.Amount != "" && d.chance(0.7) {
 		t.Amount = round(min(kind.Most, max(kind.Least, kind.Default*d.between(0.4, 1.6))))
 	}
 	return t
 }
 
 // drawEndpoints draws a trouble of endpoints and which ones it strikes.
-func (d *drawer) drawEndpoints(t *world.Trouble) {
+func (d *drawer) drawEndpoints(t *world.Fault) {
 	t.Kind = pick(d, endpointTroubles...)
 	t.Part.Share = d.figure(0.1, 0.7)
 	if d.chance(0.3) {
--- a/lab/limits/limits.go
+++ b/lab/limits/limits.go
@@ -79,7 +79,7 @@
 	s.Sender.MaxOpen = max(64, int(8*rate))
 	s.Partners = []world.Kind{{Name: "noisy", Count: 1, Endpoints: world.Pair{1, 1}, MeanMS: world.Pair{20, 20}, Sigma: 0.5,
 		Headroom: world.Pair{4, 4}, LeastRate: 100, Queue: 4, SlowStartS: 8, SlowStartFrom: 0.2, IdleS: 10}}
-	t := world.Trouble{Seconds: seconds, Amount: share}
+	t := world.Fault{Seconds: seconds, Amount: share}
 	switch mode {
 	case Chance:
 		t.Kind = "refusing"
@@ -98,7 +98,7 @@
 		return nil, fmt.Errorf("no noise is called %q", mode)
 	}
 	if share > 0 {
-		s.Troubles = []world.Trouble{t}
+		s.Faults = []world.Fault{t}
 	}
 	s.Defaults()
 	if p := s.Check(); len(p) > 0 {
@@ -180,7 +180,7 @@
 	}
 	s.Partners = []world.Kind{kind}
 	third := seconds / 3
-	s.Troubles = []world.Trouble{{Kind: "throttled", At: third, Seconds: third, Amount: 1. / 3},
+	s.Faults = []world.Fault{{Kind: "throttled", At: third, Seconds: third, Amount: 1. / 3},
 		{Kind: "sender_kill", At: 0.01, Seconds: third / 2, Part: world.Part{Senders: []int{senders - 1}}}}
 	s.Defaults()
 	if p := s.Check(); len(p) > 0 {
--- a/lab/referee/referee_test.go
+++ b/lab/referee/referee_test.go
@@ -24,7 +24,7 @@
 	}
 	s.Partners = []world.Kind{{Name: "plain", Count: 5, Endpoints: world.Pair{1, 3}, SlowStartS: 10, SlowStartFrom: 0.1, Headroom: world.Pair{1.2, 1.6}},
 		{Name: "strict", Count: 3, Limit: "span", SpanS: 2, Told: 1, LimitTimes: world.Pair{0.8, 1.1}}}
-	s.Troubles = []world.Trouble{
+	s.Faults = []world.Fault{
 		{Kind: "crash", At: 4, Seconds: 3, Part: world.Part{Kind: "plain", Share: 0.4}},
 		{Kind: "failing", At: 10, Seconds: 4, Amount: 0.4, Part: world.Part{Kind: "plain"}},
 		{Kind: "sender_kill", At: 14, Seconds: 1, Part: world.Part{Share: 0.3}},
@@ -168,7 +168,7 @@
 			if how == "pushes over" {
 				spec.Load.Rate = 200
 				spec.Partners[0].Headroom = world.Pair{1, 1}
-				spec.Troubles = spec.Troubles[:1]
+				spec.Faults = spec.Faults[:1]
 				spec.Defaults()
 			}
 			v := play(t, spec, how)
--- a/lab/scale/measure.go
+++ b/lab/scale/measure.go
@@ -25,7 +25,7 @@
 	Falls        []Fall        `json:"falls,omitempty"`
 	RollingS     float64       `json:"rolling_s,omitempty"`
 	Disturbances []Disturbance `json:"disturbances,omitempty"`
-	Trouble      string        `json:"trouble,omitempty"` // with real members' processes
+	Fault        string        `json:"trouble,omitempty"` // with real members' processes
 }
 
 // RoleUse is what members of one role carried, on average, while all was calm.
--- a/lab/scale/real.go
+++ b/lab/scale/real.go
@@ -72,9 +72,9 @@
 		switch {
 		case err != nil:
 		case result.SlowEnd:
-			r.real.trouble = result.Trouble
-		case result.Trouble != "":
-			err = fmt.Errorf("real members: %s", result.Trouble)
+			r.real.trouble = result.Fault
+		case result.Fault != "":
+			err = fmt.Errorf("real members: %s", result.Fault)
 		}
 		r.real.ended <- err
 	}()
@@ -201,7 +201,7 @@
 	}
 	r.real.stop()
 	err := <-r.real.ended
-	r.result.Trouble = r.real.trouble
+	r.result.Fault = r.real.trouble
 	return err
 }
 
--- a/lab/scale/report.go
+++ b/lab/scale/report.go
@@ -75,8 +75,8 @@
 	if r.RollingS > 0 {
 		say("\nAll members restarted in steps: %.1f s.", r.RollingS)
 	}
-	if r.Trouble != "" {
-		say("\nReal members: %s.", r.Trouble)
+	if r.Fault != "" {
+		say("\nReal members: %s.", r.Fault)
 	}
 	for _, d := range r.Disturbances {
 		say("\n%s: %.1f s in all; all agreed %.1f s after the last fault; %.1f s of processor time, %.0f bytes sent a member.", d.Name, d.Seconds, d.AgreedS,
--- a/lab/world/check.go
+++ b/lab/world/check.go
@@ -165,9 +165,9 @@
 }
 
 func (c *checker) troubles(s *Spec) {
-	for i := range s.Troubles {
-		t, at := &s.Troubles[i], fmt.Sprintf("trouble[%d].", i)
-		kind, known := TroubleKinds[t.Kind]
+	for i := range s.Faults {
+		t, at := &s.Faults[i], fmt.Sprintf("trouble[%d].", i)
+		kind, known := FaultKinds[t.Kind]
 		if !known {
 			c.wrong(at+"kind", "no trouble is called %q", t.Kind)
 			continue
--- a/lab/world/defaults.go
+++ b/lab/world/defaults.go
@@ -30,9 +30,9 @@
 	for i := range s.Partners {
 		s.Partners[i].defaults(i)
 	}
-	for i := range s.Troubles {
-		s.Troubles[i].Amount = cmp.Or(s.Troubles[i].Amount, TroubleKinds[s.Troubles[i].Kind].Default)
-		s.Troubles[i].Every = cmp.Or(s.Troubles[i].Every, 3)
+	for i := range s.Faults {
+		s.Faults[i].Amount = cmp.Or(s.Faults[i].Amount, FaultKinds[s.Faults[i].Kind].Default)
+		s.Faults[i].Every = cmp.Or(s.Faults[i].Every, 3)
 	}
 }
 
--- a/lab/world/spec.go
+++ b/lab/world/spec.go
@@ -26,7 +26,7 @@
 	Prices    Prices      `toml:"prices"`
 	Classes   []Class     `toml:"workload"`
 	Partners  []Kind      `toml:"partner"`
-	Troubles  []Trouble   `toml:"trouble"`
+	Faults    []Fault     `toml:"trouble"`
 	Changes   []ListEvent `toml:"change"`
 }
 
