--- a/internal/sender/together/together.go
+++ b/internal/sender/together/together.go
@@ -79,7 +79,7 @@
 type Purge struct {
 	Seq          uint64 // of the ledger; a process applies them in this order, each once
 	ID           string
-	LearnedState bool // the subject: what was learnt, not messages
+	LearnedState bool `json:"Learnt"` // the subject: learned state, not messages; the name in JSON is that of older versions
 	Match        Match
 	// Age is for how long the purge has been in force: what was taken on since is not touched.
 	Age time.Duration
