--- a/internal/cluster/purge/run/show.go
+++ b/internal/cluster/purge/run/show.go
@@ -50,7 +50,7 @@
 	Found        together.Found `json:"found"`
 }
 
-// ShownRegion, ShownZone and ShownProcess are the tree. Of a closed purge the sums are kept.
+// ShownRegion is one region of the tree of acknowledgements. Of a closed purge only the sums are stored.
 type ShownRegion struct {
 	Region view.Region `json:"region"`
 	Sums   Sums        `json:"sums"`
--- a/lab/experiment/compare.go
+++ b/lab/experiment/compare.go
@@ -173,7 +173,7 @@
 	d.Low, d.High, d.Known = sum-half, sum+half, true
 }
 
-// Means are the mean figures of each variant by scenario and size, in the order met.
+// Mean holds the mean figures of one variant at one scenario and size.
 type Mean struct {
 	Scenario string
 	Size     float64
