--- /dev/null
+++ b/cmd/flaxcove/helpers_test.go
@@ -0,0 +1,94 @@
+package main
+
+import (
+	"bytes"
+	"errors"
+	"net"
+	"os"
+	"os/exec"
+	"slices"
+	"testing"
+	"time"
+)
+
+// startTimeout bounds how long a test waits for a process that it has started.
+const startTimeout = 30 * time.Second
+
+// TestMain lets the test's own binary stand in for the program.
+func TestMain(m *testing.M) {
+	if len(os.Args) > 1 && slices.Contains([]string{"serve", "lab", "routes"}, os.Args[1]) {
+		main()
+		return
+	}
+	os.Exit(m.Run())
+}
+
+// runProgram runs the program to its end and returns its exit code, -1 where it did not start, and what it printed.
+func runProgram(dir string, args ...string) (code int, stdout, stderr string) {
+	program := exec.Command(os.Args[0], args...)
+	program.Dir = dir
+	var out, errOut bytes.Buffer
+	program.Stdout, program.Stderr = &out, &errOut
+	err := program.Run()
+	var exit *exec.ExitError
+	if errors.As(err, &exit) {
+		code = exit.ExitCode()
+	} else if err != nil {
+		code = -1
+	}
+	return code, out.String(), errOut.String()
+}
+
+// runLab runs a lab command to its end.
+func runLab(dir string, args ...string) (code int, stdout, stderr string) {
+	return runProgram(dir, append([]string{"lab"}, args...)...)
+}
+
+// startProgram starts the program, which is killed at the end of the test where it has not ended by then.
+func startProgram(t *testing.T, program *exec.Cmd) {
+	t.Helper()
+	if err := program.Start(); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() {
+		program.Process.Kill()
+		program.Wait()
+	})
+}
+
+// freeAddr is a loopback address that nobody listened on a moment ago.
+func freeAddr(t *testing.T) string {
+	t.Helper()
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer ln.Close()
+	return ln.Addr().String()
+}
+
+func writeFile(t *testing.T, path, text string) {
+	t.Helper()
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+}
+
+func readFile(t *testing.T, path string) string {
+	t.Helper()
+	text, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(text)
+}
+
+// eventually polls until the condition holds, and fails the test where that takes longer than startTimeout.
+func eventually(t *testing.T, what string, condition func() bool) {
+	t.Helper()
+	for end := time.Now().Add(startTimeout); !condition(); time.Sleep(20 * time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatalf("never: %s", what)
+		}
+	}
+}
--- a/cmd/flaxcove/lab_hunt.go
+++ b/cmd/flaxcove/lab_hunt.go
@@ -2,11 +2,8 @@
 
 import (
 	"context"
-	"encoding/json"
 	"fmt"
 	"math/rand/v2"
-	"os"
-	"runtime"
 	"sync"
 	"time"
 
@@ -17,6 +14,12 @@
 	"flaxcove/lab/world"
 )
 
+// huntStream selects the random stream from which scenarios are drawn; a seed gives the same scenario in every version.
+const huntStream = 0x4047
+
+// shrinkRuns is how many runs may go into making one find small.
+const shrinkRuns = 120
+
 func labHunt() *cli.Command {
 	return &cli.Command{
 		Name: "hunt", Usage: "draw random scenarios and keep those that break a rule or lie far under the bound",
@@ -29,27 +32,27 @@
 			&cli.IntFlag{Name: "runs", Usage: "scenarios to draw", Value: 200},
 			&cli.DurationFlag{Name: "for", Usage: "and for no longer than this", Value: 10 * time.Minute},
 			&cli.IntFlag{Name: "finds", Usage: "finds after which it ends", Value: 5},
-			&cli.IntFlag{Name: "cores", Usage: "scenarios at once", Value: runtime.NumCPU()},
+			flagCores("scenarios at once"),
 			&cli.StringFlag{Name: "dir", Usage: "where finds go", Value: "finds"}},
-		Action: runHunt,
+		Action: untilStopSignal(runHunt),
 	}
 }
 
+// runHunt plays random scenarios until the hunt ends, prints the finds, and ends with the exit code that they ask for.
 func runHunt(ctx context.Context, c *cli.Command) error {
-	ctx, stop := stoppable(ctx)
-	defer stop()
 	ctx, cancel := context.WithTimeout(ctx, c.Duration("for"))
 	defer cancel()
-	h := &hunter{ctx: ctx, c: c, goal: hunt.Goal{Rules: c.Bool("rules"), Least: c.Float("gap")}, runs: c.Int("runs"), p: newProgress()}
-	h.playAll(max(1, c.Int("cores")))
-	if h.failed != nil {
-		return h.failed
+	h := &hunter{goal: hunt.Goal{Rules: c.Bool("rules"), Least: c.Float("gap")}, firstSeed: c.Uint64("seed"), scale: c.Float("scale"),
+		maxRuns: c.Int("runs"), maxFinds: c.Int("finds"), folder: c.String("dir"), progress: newProgress()}
+	h.playAll(ctx, max(1, c.Int("cores")))
+	if h.err != nil {
+		return h.err
 	}
-	if err := printFinds(c.Bool("json"), h.done, h.finds); err != nil {
+	if err := printFinds(c.Bool("json"), h.played, h.finds); err != nil {
 		return err
 	}
 	if len(h.finds) > 0 {
-		return cli.Exit("", exitBroken)
+		return exitSilently(exitRuleBroken)
 	}
 	return nil
 }
@@ -64,85 +67,84 @@
 	About   string       `json:"about"`
 }
 
-// hunter draws and plays scenarios on several goroutines; mu guards all that they share.
+// hunter draws and plays scenarios on several goroutines.
 type hunter struct {
-	ctx  context.Context
-	c    *cli.Command
-	goal hunt.Goal
-	runs int
-	p    *progress
-
-	mu     sync.Mutex
-	next   int
-	done   int
-	finds  []huntFind
-	failed error
+	goal              hunt.Goal
+	firstSeed         uint64 // of the first scenario; each next one has the next
+	scale             float64
+	maxRuns, maxFinds int
+	folder            string // where finds are saved
+
+	mu       sync.Mutex // guards what follows
+	progress *progress
+	drawn    int
+	played   int
+	finds    []huntFind
+	err      error // ends the hunt
 }
 
 // playAll plays scenarios on the given number of goroutines until the hunt ends.
-func (h *hunter) playAll(cores int) {
+func (h *hunter) playAll(ctx context.Context, cores int) {
 	var wg sync.WaitGroup
 	for range cores {
-		wg.Add(1)
-		go func() {
-			defer wg.Done()
-			for h.playNext() {
+		wg.Go(func() {
+			for h.playNext(ctx) {
 			}
-		}()
+		})
 	}
 	wg.Wait()
-	h.p.end()
+	h.progress.clear()
 }
 
 // nextSeed hands out the seed of the next scenario, or says that the hunt has ended: all runs drawn, enough finds,
-// a failure, or the time is up.
-func (h *hunter) nextSeed() (uint64, bool) {
+// an error, or the time is up.
+func (h *hunter) nextSeed(ctx context.Context) (seed uint64, more bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.next >= h.runs || len(h.finds) >= h.c.Int("finds") || h.failed != nil || h.ctx.Err() != nil {
+	if h.drawn >= h.maxRuns || len(h.finds) >= h.maxFinds || h.err != nil || ctx.Err() != nil {
 		return 0, false
 	}
-	seed := h.c.Uint64("seed") + uint64(h.next)
-	h.next++
+	seed = h.firstSeed + uint64(h.drawn)
+	h.drawn++
 	return seed, true
 }
 
 // playNext draws, plays and records one scenario; it says false when the hunt has ended.
-func (h *hunter) playNext() bool {
-	seed, more := h.nextSeed()
+func (h *hunter) playNext(ctx context.Context) bool {
+	seed, more := h.nextSeed(ctx)
 	if !more {
 		return false
 	}
-	spec := hunt.Draw(rand.New(rand.NewPCG(seed, 0x4047)), h.c.Float("scale"))
-	found, saved, err := huntOne(h.ctx, spec, seed, h.goal)
-	h.record(seed, found, saved, err)
+	spec := hunt.Draw(rand.New(rand.NewPCG(seed, huntStream)), h.scale)
+	saved, err := playAndShrink(ctx, spec, seed, h.goal)
+	h.record(ctx, seed, saved, err)
 	return true
 }
 
-// record counts a played scenario, saves what it found, and shows the progress.
-func (h *hunter) record(seed uint64, found bool, saved *hunt.Kept, err error) {
+// record counts a played scenario, saves what was found in it, nil for nothing, and shows the progress.
+func (h *hunter) record(ctx context.Context, seed uint64, found *hunt.Kept, err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.done++
-	if err != nil && h.ctx.Err() == nil {
-		h.failed = err
+	h.played++
+	if err != nil && ctx.Err() == nil { // a run that the end of the hunt cut off has not failed
+		h.err = err
 	}
-	if found {
-		path, err := hunt.Save(h.c.String("dir"), saved)
+	if found != nil {
+		path, err := hunt.Save(h.folder, found)
 		if err != nil {
-			h.failed = err
+			h.err = err
 		}
-		h.finds = append(h.finds, huntFind{path, saved.Found.Rule, saved.Found.Gap, seed, saved.Senders, saved.About})
+		h.finds = append(h.finds, huntFind{path, found.Found.Rule, found.Found.Gap, seed, found.Senders, found.About})
 	}
-	h.p.say("%d of %d scenarios, %d finds", h.done, h.runs, len(h.finds))
+	h.progress.show("%d of %d scenarios, %d finds", h.played, h.maxRuns, len(h.finds))
 }
 
 // printFinds prints the finds as JSON or as lines for a person.
-func printFinds(asJSON bool, done int, finds []huntFind) error {
+func printFinds(asJSON bool, played int, finds []huntFind) error {
 	if asJSON {
-		return json.NewEncoder(os.Stdout).Encode(finds)
+		return printJSON(finds)
 	}
-	fmt.Printf("%d scenarios played, %d finds\n", done, len(finds))
+	fmt.Printf("%d scenarios played, %d finds\n", played, len(finds))
 	for _, f := range finds {
 		what := fmt.Sprintf("gap %.2f", f.Gap)
 		if f.Rule != "" {
@@ -153,28 +155,31 @@
 	return nil
 }
 
-// huntOne plays a scenario and, where it shows something, makes it small.
-func huntOne(ctx context.Context, spec *world.Spec, seed uint64, goal hunt.Goal) (bool, *hunt.Kept, error) {
+// playAndShrink plays a scenario and, where it shows something, returns a small scenario that shows the same; else nil.
+func playAndShrink(ctx context.Context, spec *world.Spec, seed uint64, goal hunt.Goal) (*hunt.Kept, error) {
 	played, err := hunt.Simulated(spec, seed, !goal.Rules)
 	if err != nil {
-		return false, nil, err
+		return nil, err
 	}
 	rule, hit := goal.Hit(played)
 	if !hit || ctx.Err() != nil {
-		return false, nil, nil
+		return nil, nil
 	}
-	small, played, err := hunt.Shrink(spec, seed, goal, hunt.Simulated, 120, nil)
+	small, played, err := hunt.Shrink(spec, seed, goal, hunt.Simulated, shrinkRuns, nil)
 	if err != nil {
-		return false, nil, err
+		return nil, err
 	}
-	what := "gap"
+	kind := "gap"
 	if rule != "" {
-		what = string(rule)
+		kind = string(rule)
 	}
-	small.Name = fmt.Sprintf("%s-%d", what, seed)
+	small.Name = fmt.Sprintf("%s-%d", kind, seed)
 	small.About = "found by hunt:"
 	for _, t := range small.Troubles {
 		small.About += " " + t.Kind
 	}
-	return true, &hunt.Kept{Spec: *small, Found: hunt.Find{Rule: rule, Seed: seed, Gap: float64(int(played.Gap*1000)) / 1000, Open: true}}, nil
+	return &hunt.Kept{Spec: *small, Found: hunt.Find{Rule: rule, Seed: seed, Gap: cutToThousandths(played.Gap), Open: true}}, nil
 }
+
+// cutToThousandths drops the digits that would only make the saved file harder to read.
+func cutToThousandths(x float64) float64 { return float64(int(x*1000)) / 1000 }
--- a/cmd/flaxcove/lab_limits.go
+++ b/cmd/flaxcove/lab_limits.go
@@ -2,17 +2,15 @@
 
 import (
 	"context"
-	"encoding/json"
 	"fmt"
+	"io"
 	"os"
-	"runtime"
 	"sync"
 	"text/tabwriter"
 
 	"github.com/urfave/cli/v3"
 	"golang.org/x/sync/errgroup"
 
-	"flaxcove/lab/baseline"
 	"flaxcove/lab/limits"
 )
 
@@ -30,17 +28,22 @@
 			&cli.IntSliceFlag{Name: "senders", Usage: "at one limit (sharing)", Value: []int{2, 8, 50, 250}},
 			&cli.FloatFlag{Name: "part", Usage: "of the limit for each sender, in calls a second (sharing)", Value: 4},
 			&cli.FloatFlag{Name: "seconds", Usage: "simulated, for each point", Value: 60},
-			&cli.IntFlag{Name: "cores", Usage: "points at once", Value: runtime.NumCPU()},
+			flagCores("points at once"),
 			&cli.StringFlag{Name: "policy", Usage: "choice, or a baseline"}},
-		Action: runLimits,
+		Action: untilStopSignal(runLimits),
 	}
 }
 
+// The grids, as --only names them.
+const (
+	gridNoise   = "noise"
+	gridSharing = "sharing"
+)
+
+// runLimits plays the points of the grids that the flags ask for, prints them, and ends with the exit code that they ask for.
 func runLimits(ctx context.Context, c *cli.Command) error {
-	ctx, stop := stoppable(ctx)
-	defer stop()
 	only := c.String("only")
-	if only != "" && only != "noise" && only != "sharing" {
+	if only != "" && only != gridNoise && only != gridSharing {
 		return wrongInput(fmt.Errorf("--only: %q is neither noise nor sharing", only))
 	}
 	o, err := limitsOptions(c)
@@ -48,10 +51,10 @@
 		return err
 	}
 	var g limitsGrids
-	if only != "sharing" {
+	if only != gridSharing {
 		g.addNoise(o, c.FloatSlice("rates"), c.FloatSlice("shares"))
 	}
-	if only != "noise" {
+	if only != gridNoise {
 		g.addSharing(o, c.IntSlice("senders"), c.Float("part"))
 	}
 	if err := inParallel(ctx, c.Int("cores"), g.jobs); err != nil {
@@ -61,38 +64,33 @@
 		return err
 	}
 	if g.broken() {
-		return cli.Exit("", exitBroken)
+		return exitSilently(exitRuleBroken)
 	}
 	return nil
 }
 
 // limitsOptions are the options that all points of both grids share, from the flags.
 func limitsOptions(c *cli.Command) (limits.Options, error) {
-	o := limits.Options{Seed: c.Uint64("seed"), Seconds: c.Float("seconds")}
-	if p := c.String("policy"); p != "" {
-		if o.Policy = baseline.Make(p); o.Policy == nil {
-			return o, wrongInput(fmt.Errorf("--policy: no policy is called %q", p))
-		}
-	}
-	return o, nil
+	policy, err := findPolicy(c.String("policy"))
+	return limits.Options{Seed: c.Uint64("seed"), Seconds: c.Float("seconds"), Policy: policy}, err
 }
 
 // limitsGrids are the points of both grids and the jobs that fill them in; each job writes its own point only.
 type limitsGrids struct {
-	jobs  []func() error
-	noise []*limits.NoisePoint
-	share []*limits.SharePoint
+	jobs    []func() error
+	noise   []*limits.NoisePoint
+	sharing []*limits.SharePoint
 }
 
 // addNoise adds a point for each mode, rate and share of calls that fail.
 func (g *limitsGrids) addNoise(o limits.Options, rates, shares []float64) {
 	for _, mode := range limits.Modes {
 		for _, rate := range rates {
-			for _, part := range shares {
+			for _, failing := range shares {
 				i := len(g.noise)
 				g.noise = append(g.noise, nil)
 				g.jobs = append(g.jobs, func() (err error) {
-					g.noise[i], err = limits.Noise(o, mode, rate, part)
+					g.noise[i], err = limits.Noise(o, mode, rate, failing)
 					return err
 				})
 			}
@@ -101,16 +99,16 @@
 }
 
 // addSharing adds, for each number of senders, a point for each way of counting at the limit.
-func (g *limitsGrids) addSharing(o limits.Options, senders []int, part float64) {
-	for _, n := range senders {
-		for _, kind := range []struct {
-			span float64
-			all  bool
+func (g *limitsGrids) addSharing(o limits.Options, senderCounts []int, part float64) {
+	for _, senders := range senderCounts {
+		for _, counting := range []struct {
+			span float64 // seconds of a window; 0 for a steady rate
+			all  bool    // refused calls count too
 		}{{0, false}, {0, true}, {1, false}, {2, true}} {
-			i := len(g.share)
-			g.share = append(g.share, nil)
+			i := len(g.sharing)
+			g.sharing = append(g.sharing, nil)
 			g.jobs = append(g.jobs, func() (err error) {
-				g.share[i], err = limits.Share(o, n, part, kind.span, kind.all)
+				g.sharing[i], err = limits.Share(o, senders, part, counting.span, counting.all)
 				return err
 			})
 		}
@@ -120,9 +118,16 @@
 // print writes both grids as JSON or as tables.
 func (g *limitsGrids) print(asJSON bool) error {
 	if asJSON {
-		return json.NewEncoder(os.Stdout).Encode(map[string]any{"noise": g.noise, "sharing": g.share})
+		return printJSON(map[string]any{gridNoise: g.noise, gridSharing: g.sharing})
 	}
-	return printLimits(g.noise, g.share)
+	table := tabwriter.NewWriter(os.Stdout, 2, 0, 2, ' ', tabwriter.AlignRight)
+	printNoise(table, g.noise)
+	// Columns are aligned within a table only.
+	if err := table.Flush(); err != nil {
+		return err
+	}
+	printSharing(table, g.sharing)
+	return table.Flush()
 }
 
 // broken says whether a point of the noise grid did not hold or a point of the sharing grid broke a rule.
@@ -132,7 +137,7 @@
 			return true
 		}
 	}
-	for _, p := range g.share {
+	for _, p := range g.sharing {
 		if p.BrokenRules > 0 {
 			return true
 		}
@@ -142,8 +147,8 @@
 
 // inParallel runs jobs on so many cores, tells how far it is, and ends early with the context or the first error.
 func inParallel(ctx context.Context, cores int, jobs []func() error) error {
-	p := newProgress()
-	defer p.end()
+	progress := newProgress()
+	defer progress.clear()
 	var mu sync.Mutex
 	done := 0
 	group, ctx := errgroup.WithContext(ctx)
@@ -157,49 +162,54 @@
 			mu.Lock()
 			defer mu.Unlock()
 			done++
-			p.say("%d of %d", done, len(jobs))
+			progress.show("%d of %d", done, len(jobs))
 			return err
 		})
 	}
 	return group.Wait()
 }
 
-func printLimits(noise []*limits.NoisePoint, share []*limits.SharePoint) error {
-	t := tabwriter.NewWriter(os.Stdout, 2, 0, 2, ' ', tabwriter.AlignRight)
-	if len(noise) > 0 {
-		fmt.Fprintln(t, "noise\trate\tshare\tdelivered\tin time\tof ideal\tsingle-use\tcalls\tat most\trules\t")
+// printNoise writes the noise grid, a row for each point; nothing where it was not played.
+func printNoise(table io.Writer, points []*limits.NoisePoint) {
+	if len(points) > 0 {
+		fmt.Fprintln(table, "noise\trate\tshare\tdelivered\tin time\tof ideal\tsingle-use\tcalls\tat most\trules\t")
 	}
-	for _, p := range noise {
-		held := ""
+	for _, p := range points {
+		mark := ""
 		if !p.Held() {
-			held = "!"
+			mark = "!"
 		}
-		fmt.Fprintf(t, "%s\t%g\t%g\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%d\t%s\n", p.Mode, p.Rate, p.Share, p.Delivered, p.InTime, p.OfIdeal,
-			p.Single, p.Calls, p.CallsMost, p.BrokenRules, held)
-	}
-	if err := t.Flush(); err != nil {
-		return err
-	}
-	if len(share) > 0 {
-		fmt.Fprintln(t, "senders\tlimit\tcounts\tpart\tdone/limit\trefused\tsettled s\tovershoot\twaves\tJain\tby luck\tjoiner\trules\t")
+		fmt.Fprintf(table, "%s\t%g\t%g\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%d\t%s\n", p.Mode, p.Rate, p.Share, p.Delivered, p.InTime, p.OfIdeal,
+			p.Single, p.Calls, p.CallsMost, p.BrokenRules, mark)
 	}
-	for _, p := range share {
-		counts := "rate"
-		if p.Span > 0 {
-			counts = fmt.Sprintf("%g s", p.Span)
-		}
-		if p.CountAll {
-			counts += ", refused too"
-		}
-		for i, ph := range p.Phases {
-			fmt.Fprintf(t, "%d\t%.0f\t%s\t%d\t%.2f\t%.3f\t%.0f\t%.2f\t%.2f\t", p.Senders, ph.Limit, counts, i+1, ph.Done, ph.Refused,
-				ph.Settled, ph.Overshoot, ph.Waves)
+}
+
+// printSharing writes the sharing grid, a row for each phase of each point; nothing where it was not played.
+func printSharing(table io.Writer, points []*limits.SharePoint) {
+	if len(points) > 0 {
+		fmt.Fprintln(table, "senders\tlimit\tcounts\tpart\tdone/limit\trefused\tsettled s\tovershoot\twaves\tJain\tby luck\tjoiner\trules\t")
+	}
+	for _, p := range points {
+		for i, phase := range p.Phases {
+			fmt.Fprintf(table, "%d\t%.0f\t%s\t%d\t%.2f\t%.3f\t%.0f\t%.2f\t%.2f\t", p.Senders, phase.Limit, countedBy(p), i+1, phase.Done, phase.Refused,
+				phase.Settled, phase.Overshoot, phase.Waves)
 			if i == 0 {
-				fmt.Fprintf(t, "%.3f\t%.3f\t%.2f\t%d\t\n", p.Jain, p.JainLuck, p.Joiner, p.BrokenRules)
+				fmt.Fprintf(table, "%.3f\t%.3f\t%.2f\t%d\t\n", p.Jain, p.JainLuck, p.Joiner, p.BrokenRules)
 			} else {
-				fmt.Fprintf(t, "\t\t\t\t\n")
+				fmt.Fprintf(table, "\t\t\t\t\n")
 			}
 		}
 	}
-	return t.Flush()
+}
+
+// countedBy says how the limit of a point counts calls.
+func countedBy(p *limits.SharePoint) string {
+	counts := "rate"
+	if p.Span > 0 {
+		counts = fmt.Sprintf("%g s", p.Span)
+	}
+	if p.CountAll {
+		counts += ", refused too"
+	}
+	return counts
 }
--- a/cmd/flaxcove/lab_load.go
+++ b/cmd/flaxcove/lab_load.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"os"
@@ -18,13 +17,31 @@
 	"flaxcove/lab/scenario"
 )
 
+// The programs that are measured, as the table and the JSON name them.
+const (
+	programServe     = "serve"
+	programYardstick = "yardstick"
+)
+
+// programArguments are the arguments with which a build of this program becomes the one that is measured.
+var programArguments = map[string][]string{
+	programServe:     {"serve"},
+	programYardstick: {"lab", "yardstick"},
+}
+
+// Bounds of what may be asked for.
+const (
+	maxRate = 100_000 // messages a second
+	maxSoak = time.Hour
+)
+
 // loadStep is what one rate gave.
 type loadStep struct {
-	Command   string  `json:"command"` // serve, or yardstick
+	Command   string  `json:"command"` // programServe or programYardstick
 	Rate      float64 `json:"rate"`
-	Held      bool    `json:"held"`
-	Why       string  `json:"why,omitempty"`
-	InTime    float64 `json:"in_time"` // share of what was asked
+	Sustained bool    `json:"held"`
+	Reason    string  `json:"why,omitempty"` // why it was not sustained
+	InTime    float64 `json:"in_time"`       // share of what was asked
 	OKP50     float64 `json:"ok_p50_ms"`
 	OKP99     float64 `json:"ok_p99_ms"`
 	OKP999    float64 `json:"ok_p999_ms"`
@@ -59,48 +76,43 @@
 			&cli.IntFlag{Name: "steps", Usage: "most steps of a search", Value: 14},
 			&cli.StringFlag{Name: "profile", Usage: "write a CPU profile of the last step's sender to this file"},
 			&cli.BoolFlag{Name: "yardstick", Usage: "play each step with the plain forwarder too"}},
-		Action: runLoad,
+		Action: withScenario(runLoad),
 	}
 }
 
-func runLoad(ctx context.Context, c *cli.Command) error {
-	ctx, stop := stoppable(ctx)
-	defer stop()
-	r, err := newLoadRun(ctx, c)
+// runLoad plays the steps that the flags ask for and prints what each gave.
+func runLoad(ctx context.Context, c *cli.Command, s *scenario.Scenario) error {
+	r, err := newLoadRun(c, s)
 	if err != nil {
 		return err
 	}
-	if err := r.playChosenForm(); err != nil {
+	if err := r.playChosenForm(ctx); err != nil {
 		return err
 	}
-	if c.Bool("json") {
-		return json.NewEncoder(os.Stdout).Encode(r.steps)
+	if r.json {
+		return printJSON(r.steps)
 	}
 	return nil
 }
 
 // loadRun holds what the steps of one `lab load` share: the scenario, the program that sends, and what was measured.
 type loadRun struct {
-	ctx    context.Context
-	c      *cli.Command
-	s      *scenario.Scenario
-	binary string
-	steps  []loadStep
-	table  *tabwriter.Writer
+	flags    *cli.Command
+	json     bool // the steps are printed as JSON once all are played, not as rows of the table
+	scenario *scenario.Scenario
+	binary   string
+	steps    []loadStep
+	table    *tabwriter.Writer
 }
 
-// newLoadRun finds the scenario and the program to play, and prints the table's head unless JSON was asked for.
-func newLoadRun(ctx context.Context, c *cli.Command) (*loadRun, error) {
-	s, err := findScenario(c)
-	if err != nil {
-		return nil, err
-	}
+// newLoadRun finds the program to play, and prints the table's head unless JSON was asked for.
+func newLoadRun(c *cli.Command, s *scenario.Scenario) (*loadRun, error) {
 	binary, err := loadBinary(c)
 	if err != nil {
 		return nil, err
 	}
-	r := &loadRun{ctx: ctx, c: c, s: s, binary: binary, table: tabwriter.NewWriter(os.Stdout, 2, 0, 2, ' ', tabwriter.AlignRight)}
-	if !c.Bool("json") {
+	r := &loadRun{flags: c, json: c.Bool("json"), scenario: s, binary: binary, table: tabwriter.NewWriter(os.Stdout, 2, 0, 2, ' ', tabwriter.AlignRight)}
+	if !r.json {
 		fmt.Fprintln(r.table, "program\trate\tin time\tok p50\tp99\tp99.9 ms\tdelivery p50\tp99\tp99.9 ms\tCPU us a notice\tpeak MB\t\t")
 	}
 	return r, nil
@@ -115,93 +127,92 @@
 }
 
 // playChosenForm plays the form that the flags ask for: a search, a list of rates, or a soak.
-func (r *loadRun) playChosenForm() error {
+func (r *loadRun) playChosenForm(ctx context.Context) error {
 	switch {
-	case r.c.Bool("search"):
-		return r.search()
-	case r.c.String("rates") != "":
-		return r.playRates(r.c.String("rates"))
-	case r.c.Duration("soak") > 0:
-		_, err := r.both(r.s.Spec.Load.Rate, min(r.c.Duration("soak"), time.Hour).Seconds(), 0)
+	case r.flags.Bool("search"):
+		return r.search(ctx)
+	case r.flags.String("rates") != "":
+		return r.playRates(ctx, r.flags.String("rates"))
+	case r.flags.Duration("soak") > 0:
+		_, err := r.playStep(ctx, r.scenario.Spec.Load.Rate, min(r.flags.Duration("soak"), maxSoak).Seconds(), 0)
 		return err
 	default:
 		return wrongInput(errors.New("say --search, --rates or --soak"))
 	}
 }
 
-// search plays rates until the highest one that is held is found, and prints it.
-func (r *loadRun) search() error {
-	search := load.NewSearch(r.c.Float("from"), r.c.Float("most"), r.c.Int("steps"))
-	for turn := 0; ; turn++ {
+// search plays rates until the highest one that is sustained is found, and prints it.
+func (r *loadRun) search(ctx context.Context) error {
+	search := load.NewSearch(r.flags.Float("from"), r.flags.Float("most"), r.flags.Int("steps"))
+	for stepNo := 0; ; stepNo++ {
 		rate, more := search.Next()
 		if !more {
 			break
 		}
-		step, err := r.both(rate, r.c.Float("seconds"), turn)
+		step, err := r.playStep(ctx, rate, r.flags.Float("seconds"), stepNo)
 		if err != nil {
 			return err
 		}
-		search.Told(rate, step.Held)
+		search.Told(rate, step.Sustained)
 	}
 	good, bad := search.Best()
-	if !r.c.Bool("json") {
+	if !r.json {
 		fmt.Printf("held at %.0f a second; not at %.0f\n", good, bad)
 	}
 	return nil
 }
 
 // playRates plays each rate of a list parted by commas in turn.
-func (r *loadRun) playRates(list string) error {
-	for turn, text := range strings.Split(list, ",") {
+func (r *loadRun) playRates(ctx context.Context, list string) error {
+	for stepNo, text := range strings.Split(list, ",") {
 		rate, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
-		if err != nil || !(rate > 0 && rate <= 100000) {
+		if err != nil || !(rate > 0 && rate <= maxRate) {
 			return wrongInput(fmt.Errorf("--rates: %q is not a rate", text))
 		}
-		if _, err := r.both(rate, r.c.Float("seconds"), turn); err != nil {
+		if _, err := r.playStep(ctx, rate, r.flags.Float("seconds"), stepNo); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// both plays a step with the sender and, where --yardstick asks for it, with the plain forwarder too. The order of
+// playStep plays a step with the sender and, where --yardstick asks for it, with the plain forwarder too. The order of
 // sender and yardstick changes from step to step, so that neither always plays on a warm machine. It returns the
 // sender's step.
-func (r *loadRun) both(rate, seconds float64, turn int) (loadStep, error) {
-	if !r.c.Bool("yardstick") {
-		return r.play(rate, seconds, "serve")
+func (r *loadRun) playStep(ctx context.Context, rate, seconds float64, stepNo int) (loadStep, error) {
+	if !r.flags.Bool("yardstick") {
+		return r.play(ctx, rate, seconds, programServe)
 	}
-	if turn%2 == 1 {
-		if _, err := r.play(rate, seconds, "lab", "yardstick"); err != nil {
+	if stepNo%2 == 1 {
+		if _, err := r.play(ctx, rate, seconds, programYardstick); err != nil {
 			return loadStep{}, err
 		}
-		return r.play(rate, seconds, "serve")
+		return r.play(ctx, rate, seconds, programServe)
 	}
-	step, err := r.play(rate, seconds, "serve")
+	step, err := r.play(ctx, rate, seconds, programServe)
 	if err == nil {
-		_, err = r.play(rate, seconds, "lab", "yardstick")
+		_, err = r.play(ctx, rate, seconds, programYardstick)
 	}
 	return step, err
 }
 
-// play runs one step of the given command at the given rate, keeps it, and prints its row.
-func (r *loadRun) play(rate, seconds float64, command ...string) (loadStep, error) {
-	spec := *r.s.Spec
+// play runs one step of a program at the given rate, notes what it gave, and prints its row.
+func (r *loadRun) play(ctx context.Context, rate, seconds float64, program string) (loadStep, error) {
+	spec := *r.scenario.Spec
 	spec.Load.Rate, spec.Seconds = rate, seconds
-	if file := r.c.String("profile"); file != "" && command[0] == "serve" {
+	arguments := programArguments[program]
+	printStatus("%s at %.0f a second for %.0f s", arguments[0], rate, seconds)
+	command := append([]string{r.binary}, arguments...)
+	if file := r.flags.String("profile"); file != "" && program == programServe {
 		command = append(command, "--profile", file)
 	}
-	fmt.Fprintf(os.Stderr, "%s at %.0f a second for %.0f s\n", command[0], rate, seconds)
-	step, err := loadOne(r.ctx, &scenario.Scenario{Spec: &spec, Trace: r.s.Trace}, r.c, append([]string{r.binary}, command...))
-	step.Command = "serve"
-	if command[0] == "lab" {
-		step.Command = "yardstick"
-	}
+	step, err := measureStep(ctx, &scenario.Scenario{Spec: &spec, Trace: r.scenario.Trace}, r.flags, command)
+	step.Command = program
 	if err != nil {
 		return step, err
 	}
 	r.steps = append(r.steps, step)
-	if !r.c.Bool("json") {
+	if !r.json {
 		r.printRow(step, rate)
 	}
 	return step, nil
@@ -210,16 +221,16 @@
 // printRow writes one step's line of the table and flushes it, so that each step shows as soon as it ends.
 func (r *loadRun) printRow(step loadStep, rate float64) {
 	verdict := "held"
-	if !step.Held {
-		verdict = step.Why
+	if !step.Sustained {
+		verdict = step.Reason
 	}
 	fmt.Fprintf(r.table, "%s\t%.0f\t%.4f\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%.0f\t%.0f\t%s\t\n", step.Command, rate, step.InTime, step.OKP50,
 		step.OKP99, step.OKP999, step.P50, step.P99, step.P999, step.CPUUS, step.PeakMB, verdict)
 	r.table.Flush()
 }
 
-// loadOne plays one rate and says whether it was held.
-func loadOne(ctx context.Context, s *scenario.Scenario, c *cli.Command, command []string) (loadStep, error) {
+// measureStep plays one rate and says whether it was sustained.
+func measureStep(ctx context.Context, s *scenario.Scenario, c *cli.Command, command []string) (loadStep, error) {
 	step := loadStep{Rate: s.Spec.Load.Rate}
 	r, err := live.Run(ctx, live.Options{Spec: s.Spec, Seed: c.Uint64("seed"), Trace: s.Trace, Command: command, Logs: c.String("logs")})
 	if err != nil {
@@ -235,17 +246,22 @@
 	}
 	step.PeakMB, step.JournalB, step.Fds = r.Figures.PeakMB, float64(r.Figures.JournalBytes), r.Figures.Descriptors
 	step.LateShare, step.WorstLate = r.Figures.LateShare, r.Figures.WorstLateMS
+	step.Reason = notSustained(r, step.InTime, c.Float("share"))
+	step.Sustained = step.Reason == ""
+	return step, nil
+}
+
+// notSustained says why a rate was not sustained; "" where it was.
+func notSustained(r *live.Result, inTime, wanted float64) string {
 	switch {
 	case r.Trouble != "":
-		step.Why = r.Trouble
+		return r.Trouble
 	case r.Void != "":
-		step.Why = "the lab was the bottleneck: " + r.Void
+		return "the lab was the bottleneck: " + r.Void
 	case r.Broken():
-		step.Why = fmt.Sprintf("rules broken: %v", r.Rules)
-	case step.InTime < c.Float("share"):
-		step.Why = "too few in contract time"
-	default:
-		step.Held = true
+		return fmt.Sprintf("rules broken: %v", r.Rules)
+	case inTime < wanted:
+		return "too few in contract time"
 	}
-	return step, nil
+	return ""
 }
--- a/cmd/flaxcove/lab_report.go
+++ b/cmd/flaxcove/lab_report.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"os"
 	"strings"
@@ -21,35 +22,47 @@
 			"Example: flaxcove lab report --out both.html crash.json tiers.jsonl",
 		Flags: []cli.Flag{&cli.StringFlag{Name: "out", Usage: "the page", Value: "report.html"}, &cli.StringFlag{Name: "title", Value: "Laboratory report"},
 			&cli.StringFlag{Name: "base", Usage: "the variant that others are compared with (default: the first)"}},
-		Action: func(_ context.Context, c *cli.Command) error {
-			page := &report.Page{Title: c.String("title"), Base: c.String("base")}
-			if c.Args().Len() == 0 {
-				return wrongInput(fmt.Errorf("name at least one file"))
-			}
-			for _, path := range c.Args().Slice() {
-				if strings.HasSuffix(path, ".jsonl") {
-					results, err := experiment.ReadResults(path)
-					if err != nil {
-						return wrongInput(err)
-					}
-					page.Results = append(page.Results, results...)
-					continue
-				}
-				text, err := os.ReadFile(path)
-				if err != nil {
-					return wrongInput(err)
-				}
-				v := &referee.Verdict{}
-				if err := json.Unmarshal(text, v); err != nil {
-					return wrongInput(fmt.Errorf("%s: %w", path, err))
-				}
-				page.Verdicts = append(page.Verdicts, v)
-			}
-			if err := writeReport(c.String("out"), page); err != nil {
-				return err
-			}
-			fmt.Println(c.String("out"))
-			return nil
-		},
+		Action: runReport,
 	}
 }
+
+// runReport reads all files that the arguments name and writes them as one page.
+func runReport(_ context.Context, c *cli.Command) error {
+	if c.Args().Len() == 0 {
+		return wrongInput(errors.New("name at least one file"))
+	}
+	page := &report.Page{Title: c.String("title"), Base: c.String("base")}
+	for _, path := range c.Args().Slice() {
+		if err := addToPage(page, path); err != nil {
+			return wrongInput(err)
+		}
+	}
+	file := c.String("out")
+	if err := writeReport(file, page); err != nil {
+		return err
+	}
+	fmt.Println(file)
+	return nil
+}
+
+// addToPage reads a file of experiment results (.jsonl) or of one verdict into the page.
+func addToPage(page *report.Page, path string) error {
+	if strings.HasSuffix(path, ".jsonl") {
+		results, err := experiment.ReadResults(path)
+		if err != nil {
+			return err
+		}
+		page.Results = append(page.Results, results...)
+		return nil
+	}
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return err
+	}
+	verdict := &referee.Verdict{}
+	if err := json.Unmarshal(text, verdict); err != nil {
+		return fmt.Errorf("%s: %w", path, err)
+	}
+	page.Verdicts = append(page.Verdicts, verdict)
+	return nil
+}
--- /dev/null
+++ b/cmd/flaxcove/lab_run.go
@@ -0,0 +1,97 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"os"
+
+	"github.com/urfave/cli/v3"
+
+	"flaxcove/lab/baseline"
+	"flaxcove/lab/experiment"
+	"flaxcove/lab/referee"
+	"flaxcove/lab/report"
+	"flaxcove/lab/scenario"
+	"flaxcove/lab/sim"
+)
+
+func labRun() *cli.Command {
+	return &cli.Command{
+		Name: "run", Usage: "play one scenario and judge it", ArgsUsage: "SCENARIO",
+		Description: "SCENARIO is a file that ends in .toml or the name of one that comes with the program. What a hunt has saved is\n" +
+			"played with its own seed, where none is given.\n\n" +
+			"Examples: flaxcove lab run crash\n" +
+			"          flaxcove lab run --engine sockets --report crash.html crash\n" +
+			"          flaxcove lab run --policy backoff --set load.rate=100 slow",
+		Flags: []cli.Flag{flagEngine, flagSeed, flagSet, flagSize, flagJSON, flagBinary, flagLogs,
+			&cli.StringFlag{Name: "policy", Usage: "choice, or a baseline (simulated): one_try, fixed, backoff, least, all_seen"},
+			&cli.StringFlag{Name: "out", Usage: "write the verdict as JSON to this file"},
+			&cli.StringFlag{Name: "report", Usage: "write an HTML report to this file"}},
+		Action: withScenario(runScenario),
+	}
+}
+
+// runScenario plays the scenario once, writes and prints the verdict, and ends with the exit code that it asks for.
+func runScenario(ctx context.Context, c *cli.Command, s *scenario.Scenario) error {
+	run, err := singleRun(c, s)
+	if err != nil {
+		return err
+	}
+	if run.Engine == engineSockets {
+		fmt.Fprintf(os.Stderr, "%s: %d senders, %.0f s and what is left after that\n", s.Spec.Name, s.Spec.Senders, s.Spec.Seconds)
+	}
+	verdict, err := experiment.Once(ctx, run)
+	if err != nil {
+		return err
+	}
+	if err := writeVerdict(c, s.Spec.Name, verdict); err != nil {
+		return err
+	}
+	if err := printVerdict(c, verdict, verdict); err != nil {
+		return err
+	}
+	return verdictCode(verdict)
+}
+
+// singleRun is the run that the flags ask for.
+func singleRun(c *cli.Command, s *scenario.Scenario) (experiment.Single, error) {
+	policy := c.String("policy")
+	if _, err := findPolicy(policy); err != nil {
+		return experiment.Single{}, err
+	}
+	engine := c.String("engine")
+	if engine != engineSimulated && engine != engineSockets {
+		return experiment.Single{}, wrongInput(fmt.Errorf("--engine: %q is neither simulated nor sockets", engine))
+	}
+	self, err := os.Executable()
+	if err != nil {
+		return experiment.Single{}, err
+	}
+	return experiment.Single{Engine: engine, Spec: s.Spec, Scenario: s, Seed: c.Uint64("seed"),
+		Policy: policy, Binary: c.String("binary"), Self: self, Logs: c.String("logs")}, nil
+}
+
+// findPolicy is the policy that --policy names; nil, for the program's own, where it names none.
+func findPolicy(name string) (sim.Make, error) {
+	if name == "" {
+		return nil, nil
+	}
+	policy := baseline.Make(name)
+	if policy == nil {
+		return nil, wrongInput(fmt.Errorf("--policy: no policy is called %q", name))
+	}
+	return policy, nil
+}
+
+// writeVerdict writes the verdict to the files that --out and --report name.
+func writeVerdict(c *cli.Command, title string, verdict *referee.Verdict) error {
+	if path := c.String("out"); path != "" {
+		if err := writeJSON(path, verdict); err != nil {
+			return err
+		}
+	}
+	if path := c.String("report"); path != "" {
+		return writeReport(path, &report.Page{Title: title, Verdicts: []*referee.Verdict{verdict}})
+	}
+	return nil
+}
--- a/cmd/flaxcove/lab_scale.go
+++ b/cmd/flaxcove/lab_scale.go
@@ -3,13 +3,13 @@
 import (
 	"context"
 	"errors"
-	"fmt"
 	"os"
 	"path/filepath"
 	"time"
 
 	"github.com/urfave/cli/v3"
 
+	"flaxcove/lab/cluster/schedule"
 	"flaxcove/lab/scale"
 	"flaxcove/lab/scale/fleet"
 	"flaxcove/lab/scale/hollow"
@@ -21,7 +21,7 @@
 	plannedRate         = 570_000.0 / 660
 	plannedDestinations = 61_000
 	plannedDown         = 0.027
-	plannedOutageS      = 300
+	plannedOutageS      = 300 // how long one is down, in seconds
 )
 
 func labScale() *cli.Command {
@@ -51,24 +51,48 @@
 			&cli.IntFlag{Name: "changes", Usage: "of the configuration, ordered and timed while all is calm", Value: 3},
 			&cli.StringSliceFlag{Name: "schedule", Usage: "what goes wrong, one after the other: files, or calm, machine, leader, rack, zone, endpoints, region, restarts, rolling"},
 			&cli.StringFlag{Name: "json", Usage: "write the result to this file"}},
-		Action: runScale,
+		Action: scaleAction,
 	}
 }
 
-func runScale(ctx context.Context, c *cli.Command) error {
+// scaleAction measures a fleet, or, in a process that such a run has started for its hollow members, serves these until its
+// input ends; such a process catches no signals, since its parent ends it.
+func scaleAction(ctx context.Context, c *cli.Command) error {
 	if os.Getenv(scale.HostVariable) != "" {
 		return host.Main(os.Stdin, os.Stdout)
 	}
-	ctx, stop := stoppable(ctx)
-	defer stop()
-	self, err := os.Executable()
+	return untilStopSignal(runScale)(ctx, c)
+}
+
+// runScale runs the fleet that the flags describe, and prints and writes what was measured.
+func runScale(ctx context.Context, c *cli.Command) error {
+	o, err := scaleOptions(c)
 	if err != nil {
 		return err
 	}
-	serve := self
+	// What was measured before a run failed is reported, too.
+	result, runErr := scale.Run(ctx, o)
+	if result == nil {
+		return runErr
+	}
+	if path := c.String("json"); path != "" {
+		if err := writeJSON(path, result); err != nil {
+			return errors.Join(runErr, err)
+		}
+	}
+	return errors.Join(runErr, result.Markdown(os.Stdout))
+}
+
+// scaleOptions are the options of the run, from the flags.
+func scaleOptions(c *cli.Command) (scale.Options, error) {
+	self, err := os.Executable()
+	if err != nil {
+		return scale.Options{}, err
+	}
+	sender := self
 	if other := c.String("binary"); other != "" {
-		if serve, err = filepath.Abs(other); err != nil {
-			return err
+		if sender, err = filepath.Abs(other); err != nil {
+			return scale.Options{}, err
 		}
 	}
 	o := scale.Options{
@@ -77,26 +101,21 @@
 		Load: hollow.Load{Destinations: c.Int("destinations"), Rate: c.Float("rate"), Down: c.Float("down"), OutageS: plannedOutageS,
 			Ends: c.Int("ends"), Seed: c.Uint64("seed")},
 		Hosts: c.Int("hosts"), Calm: c.Duration("calm"), RealRate: c.Float("real-rate"), RealDestinations: c.Int("real-destinations"),
-		HostCommand: []string{self, "lab", "scale"}, ServeCommand: []string{serve, "serve"}, Purges: c.Int("purges"), Changes: c.Int("changes"),
-		AgreeWithin: c.Duration("agree-within"), Logs: c.String("logs"),
-		Say: func(format string, args ...any) { fmt.Fprintf(os.Stderr, format+"\n", args...) },
+		HostCommand: []string{self, "lab", "scale"}, ServeCommand: []string{sender, "serve"}, Purges: c.Int("purges"), Changes: c.Int("changes"),
+		AgreeWithin: c.Duration("agree-within"), Logs: c.String("logs"), Say: printStatus,
 	}
-	for _, name := range c.StringSlice("schedule") {
+	o.Schedules, err = findSchedules(c.StringSlice("schedule"))
+	return o, err
+}
+
+// findSchedules reads the schedules that --schedule names.
+func findSchedules(names []string) (found []*schedule.Schedule, err error) {
+	for _, name := range names {
 		s, err := scale.FindSchedule(name)
 		if err != nil {
-			return wrongInput(err)
-		}
-		o.Schedules = append(o.Schedules, s)
-	}
-	// What was measured before a run failed is told, too.
-	result, failed := scale.Run(ctx, o)
-	if result == nil {
-		return failed
-	}
-	if path := c.String("json"); path != "" {
-		if err := writeJSON(path, result); err != nil {
-			return errors.Join(failed, err)
+			return nil, wrongInput(err)
 		}
+		found = append(found, s)
 	}
-	return errors.Join(failed, result.Markdown(os.Stdout))
+	return found, nil
 }
--- a/cmd/flaxcove/lab_scenarios.go
+++ b/cmd/flaxcove/lab_scenarios.go
@@ -2,8 +2,8 @@
 
 import (
 	"context"
-	"encoding/json"
 	"fmt"
+	"maps"
 	"os"
 	"slices"
 	"text/tabwriter"
@@ -21,57 +21,79 @@
 			"Examples: flaxcove lab scenarios\n          flaxcove lab scenarios --print crash > mine.toml\n          flaxcove lab scenarios mine.toml",
 		Flags: []cli.Flag{flagJSON, &cli.BoolFlag{Name: "print", Usage: "print the scenario with all its fields"},
 			&cli.BoolFlag{Name: "troubles", Usage: "list the kinds of trouble"}},
-		Action: func(_ context.Context, c *cli.Command) error {
-			t := tabwriter.NewWriter(os.Stdout, 2, 0, 2, ' ', 0)
-			if c.Bool("troubles") {
-				var kinds []string
-				for kind := range world.TroubleKinds {
-					kinds = append(kinds, kind)
-				}
-				slices.Sort(kinds)
-				if c.Bool("json") {
-					return json.NewEncoder(os.Stdout).Encode(world.TroubleKinds)
-				}
-				for _, kind := range kinds {
-					k := world.TroubleKinds[kind]
-					fmt.Fprintf(t, "%s\tstrikes %s\t%s\n", kind, k.Strikes, k.Amount)
-				}
-				return t.Flush()
-			}
-			names := c.Args().Slice()
-			if len(names) == 0 {
-				names = scenario.Names()
-			}
-			type row struct {
-				Name    string  `json:"name"`
-				About   string  `json:"about"`
-				Seconds float64 `json:"seconds"`
-				Senders int     `json:"senders"`
-				Rate    float64 `json:"rate"`
-			}
-			var rows []row
-			for _, name := range names {
-				s, err := scenario.Find(name, "")
-				if err != nil {
-					return wrongInput(err)
-				}
-				if c.Bool("print") {
-					text, err := scenario.Write(s.Spec)
-					if err != nil {
-						return err
-					}
-					fmt.Printf("%s", text)
-					continue
-				}
-				rows = append(rows, row{s.Spec.Name, s.Spec.About, s.Spec.Seconds, s.Spec.Senders, s.Spec.Load.Rate})
-			}
-			if c.Bool("json") {
-				return json.NewEncoder(os.Stdout).Encode(rows)
-			}
-			for _, r := range rows {
-				fmt.Fprintf(t, "%s\t%g s\t%d senders\t%g a second\t%s\n", r.Name, r.Seconds, r.Senders, r.Rate, r.About)
+		Action: runScenarios,
+	}
+}
+
+// scenarioRow is one scenario of the list, as it is printed.
+type scenarioRow struct {
+	Name    string  `json:"name"`
+	About   string  `json:"about"`
+	Seconds float64 `json:"seconds"`
+	Senders int     `json:"senders"`
+	Rate    float64 `json:"rate"`
+}
+
+// runScenarios does what the flags ask for: list the kinds of fault, print scenarios in full, or list them.
+func runScenarios(_ context.Context, c *cli.Command) error {
+	if c.Bool("troubles") {
+		return listFaultKinds(c.Bool("json"))
+	}
+	names := c.Args().Slice()
+	if len(names) == 0 {
+		names = scenario.Names()
+	}
+	var rows []scenarioRow
+	for _, name := range names {
+		s, err := scenario.Find(name, "")
+		if err != nil {
+			return wrongInput(err)
+		}
+		if c.Bool("print") {
+			if err := printScenario(s); err != nil {
+				return err
 			}
-			return t.Flush()
-		},
+			continue
+		}
+		rows = append(rows, scenarioRow{s.Spec.Name, s.Spec.About, s.Spec.Seconds, s.Spec.Senders, s.Spec.Load.Rate})
 	}
+	return listScenarios(c.Bool("json"), rows)
 }
+
+// listFaultKinds prints the kinds of fault that a scenario may name, by name.
+func listFaultKinds(asJSON bool) error {
+	if asJSON {
+		return printJSON(world.TroubleKinds)
+	}
+	table := newTable()
+	for _, name := range slices.Sorted(maps.Keys(world.TroubleKinds)) {
+		kind := world.TroubleKinds[name]
+		fmt.Fprintf(table, "%s\tstrikes %s\t%s\n", name, kind.Strikes, kind.Amount)
+	}
+	return table.Flush()
+}
+
+// printScenario prints a scenario as TOML with all its fields.
+func printScenario(s *scenario.Scenario) error {
+	text, err := scenario.Write(s.Spec)
+	if err != nil {
+		return err
+	}
+	fmt.Printf("%s", text)
+	return nil
+}
+
+// listScenarios prints the rows as JSON or as a table.
+func listScenarios(asJSON bool, rows []scenarioRow) error {
+	if asJSON {
+		return printJSON(rows)
+	}
+	table := newTable()
+	for _, r := range rows {
+		fmt.Fprintf(table, "%s\t%g s\t%d senders\t%g a second\t%s\n", r.Name, r.Seconds, r.Senders, r.Rate, r.About)
+	}
+	return table.Flush()
+}
+
+// newTable is a table on standard output whose columns are aligned to the left.
+func newTable() *tabwriter.Writer { return tabwriter.NewWriter(os.Stdout, 2, 0, 2, ' ', 0) }
--- a/cmd/flaxcove/lab_serve.go
+++ b/cmd/flaxcove/lab_serve.go
@@ -2,16 +2,14 @@
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
-	"fmt"
 	"os"
 
 	"github.com/urfave/cli/v3"
 
 	"flaxcove/choice"
 	"flaxcove/lab/live"
-	"flaxcove/lab/report"
+	"flaxcove/lab/scenario"
 )
 
 func labServe() *cli.Command {
@@ -24,31 +22,26 @@
 			"         EDGE_CONFIG=/tmp/try/s0/config.json flaxcove serve      # in another terminal, for each sender",
 		Flags: []cli.Flag{flagSeed, flagSet, flagSize, flagJSON,
 			&cli.StringFlag{Name: "dir", Usage: "where configurations and the senders' folders go", Value: "lab-senders"}},
-		Action: func(ctx context.Context, c *cli.Command) error {
-			ctx, stop := stoppable(ctx)
-			defer stop()
-			s, err := findScenario(c)
-			if err != nil {
-				return err
-			}
-			if err := os.MkdirAll(c.String("dir"), 0o755); err != nil {
-				return err
-			}
-			p := newProgress()
-			r, err := live.Run(ctx, live.Options{Spec: s.Spec, Seed: c.Uint64("seed"), Trace: s.Trace, Alone: c.String("dir"), KeepVerdict: true,
-				Say:   func(format string, args ...any) { fmt.Fprintf(os.Stderr, format+"\n", args...) },
-				Watch: func(now choice.Time) { p.say("%d of %.0f s", now/choice.Second, s.Spec.Seconds) }})
-			p.end()
-			if errors.Is(err, context.Canceled) {
-				return nil
-			}
-			if err != nil {
-				return err
-			}
-			if c.Bool("json") {
-				return json.NewEncoder(os.Stdout).Encode(r)
-			}
-			return report.Summary(os.Stdout, r.Verdict)
-		},
+		Action: withScenario(runWorld),
 	}
 }
+
+// runWorld plays the outside world of the scenario until it ends or a stop signal comes, and prints the verdict.
+func runWorld(ctx context.Context, c *cli.Command, s *scenario.Scenario) error {
+	folder := c.String("dir")
+	if err := os.MkdirAll(folder, 0o755); err != nil {
+		return err
+	}
+	progress := newProgress()
+	showTime := func(now choice.Time) { progress.show("%d of %.0f s", now/choice.Second, s.Spec.Seconds) }
+	result, err := live.Run(ctx, live.Options{Spec: s.Spec, Seed: c.Uint64("seed"), Trace: s.Trace, Alone: folder, KeepVerdict: true,
+		Say: printStatus, Watch: showTime})
+	progress.clear()
+	if errors.Is(err, context.Canceled) {
+		return nil
+	}
+	if err != nil {
+		return err
+	}
+	return printVerdict(c, result, result.Verdict)
+}
--- a/cmd/flaxcove/lab_test.go
+++ b/cmd/flaxcove/lab_test.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"os"
 	"os/exec"
@@ -16,26 +15,6 @@
 	"flaxcove/lab/referee"
 )
 
-// lab runs a lab command and tells its exit code and what it printed.
-func lab(dir string, args ...string) (code int, out, said string) {
-	return flaxcove(dir, append([]string{"lab"}, args...)...)
-}
-
-func flaxcove(dir string, args ...string) (code int, out, said string) {
-	program := exec.Command(os.Args[0], args...)
-	program.Dir = dir
-	var o, e bytes.Buffer
-	program.Stdout, program.Stderr = &o, &e
-	err := program.Run()
-	var exit *exec.ExitError
-	if errors.As(err, &exit) {
-		code = exit.ExitCode()
-	} else if err != nil {
-		code = -1
-	}
-	return code, o.String(), e.String()
-}
-
 // What is wrong with the input is told in one line, and nothing runs.
 func ExampleMain_labInput() {
 	dir, _ := os.MkdirTemp("", "lab")
@@ -44,8 +23,8 @@
 	for _, args := range [][]string{{"run", "bad.toml"}, {"run"}, {"run", "--policy", "best", "calm"}, {"run", "--engine", "real", "calm"},
 		{"run", "--set", "load.rates=3", "calm"}, {"run", "--set", "load.rate=-3", "calm"}, {"load", "calm"}, {"load", "--rates", "fast", "calm"},
 		{"report", "none.json"}, {"experiment", "none.toml"}, {"scenarios", "bad.toml"}} {
-		code, out, said := lab(dir, args...)
-		fmt.Printf("%d %q %s", code, out, said)
+		code, stdout, stderr := runLab(dir, args...)
+		fmt.Printf("%d %q %s", code, stdout, stderr)
 	}
 	// Output:
 	// 2 "" flaxcove: bad.toml:3: field load.rate: 0 is not within 0.001 and 1e+06
@@ -61,19 +40,35 @@
 	// 2 "" flaxcove: bad.toml:3: field load.rate: 0 is not within 0.001 and 1e+06
 }
 
+// Wrong flags of lab limits run nothing.
+func ExampleMain_limits() {
+	for _, args := range [][]string{{"--only", "thunder"}, {"--policy", "best"},
+		{"--only", "noise", "--rates", "50", "--shares", "0.06", "--seconds", "5", "--cores", "1"}} {
+		code, stdout, stderr := runLab("", append([]string{"limits"}, args...)...)
+		if code == 0 {
+			stderr = "" // progress
+		}
+		fmt.Println(code, len(stdout) > 0, strings.TrimSpace(stderr))
+	}
+	// Output:
+	// 2 false flaxcove: --only: "thunder" is neither noise nor sharing
+	// 2 false flaxcove: --policy: no policy is called "best"
+	// 0 true
+}
+
 // A run prints JSON that can be read, writes its page, and tells by its exit code whether rules were kept.
 func TestLabRunAndReport(t *testing.T) {
 	dir := t.TempDir()
-	code, out, said := lab(dir, "run", "--json", "--out", "v.json", "--report", "v.html", "--set", "seconds=10", "calm")
+	code, stdout, stderr := runLab(dir, "run", "--json", "--out", "v.json", "--report", "v.html", "--set", "seconds=10", "calm")
 	var v referee.Verdict
-	if err := json.Unmarshal([]byte(out), &v); code != 0 || err != nil || v.Asked == 0 || v.Figure < 0.5 {
-		t.Fatalf("%d, %v, %s", code, err, said)
+	if err := json.Unmarshal([]byte(stdout), &v); code != 0 || err != nil || v.Asked == 0 || v.Figure < 0.5 {
+		t.Fatalf("%d, %v, %s", code, err, stderr)
 	}
-	if code, out, _ := lab(dir, "run", "--policy", "one_try", "hard-outage"); code != exitBroken || !strings.Contains(out, "broken rules:") {
-		t.Errorf("a run that breaks rules ends with %d: %s", code, out)
+	if code, stdout, _ := runLab(dir, "run", "--policy", "one_try", "hard-outage"); code != exitRuleBroken || !strings.Contains(stdout, "broken rules:") {
+		t.Errorf("a run that breaks rules ends with %d: %s", code, stdout)
 	}
-	if code, _, said := lab(dir, "report", "--out", "r.html", "v.json"); code != 0 {
-		t.Error(code, said)
+	if code, _, stderr := runLab(dir, "report", "--out", "r.html", "v.json"); code != 0 {
+		t.Error(code, stderr)
 	}
 	for _, name := range []string{"v.html", "r.html"} {
 		if text, err := os.ReadFile(filepath.Join(dir, name)); err != nil || !bytes.Contains(text, []byte("<svg")) {
@@ -88,16 +83,11 @@
 	program := exec.Command(os.Args[0], "lab", "run", "--engine", "sockets", "calm")
 	program.Dir = dir
 	program.Env = append(os.Environ(), "TMPDIR="+dir)
-	if err := program.Start(); err != nil {
-		t.Fatal(err)
-	}
-	started := func() bool {
+	startProgram(t, program)
+	eventually(t, "three senders have started", func() bool {
 		logs, _ := filepath.Glob(filepath.Join(dir, "flaxcove-lab-*", "s*.log"))
 		return len(logs) == 3
-	}
-	for end := time.Now().Add(20 * time.Second); !started() && time.Now().Before(end); {
-		time.Sleep(20 * time.Millisecond)
-	}
+	})
 	program.Process.Signal(syscall.SIGINT)
 	began := time.Now()
 	err := program.Wait()
--- a/cmd/flaxcove/lab_yardstick.go
+++ b/cmd/flaxcove/lab_yardstick.go
@@ -15,16 +15,17 @@
 func labYardstick() *cli.Command {
 	return &cli.Command{
 		Name: "yardstick", Hidden: true, Usage: "run the forwarder that lab load measures senders against; keeps no rule",
-		Action: func(ctx context.Context, _ *cli.Command) error {
-			ctx, stop := stoppable(ctx)
-			defer stop()
-			cfg, err := config.Load(os.Getenv)
-			if err != nil {
-				return err
-			}
-			runtime.GOMAXPROCS(1)
-			fmt.Fprintln(os.Stderr, "yardstick: a plain forwarder for measurements; it keeps no rule")
-			return yardstick.Run(ctx, cfg)
-		},
+		Action: untilStopSignal(runYardstick),
 	}
 }
+
+// runYardstick forwards until a stop signal, on one thread as a sender does, so that both are measured alike.
+func runYardstick(ctx context.Context, _ *cli.Command) error {
+	cfg, err := config.Load(os.Getenv)
+	if err != nil {
+		return err
+	}
+	runtime.GOMAXPROCS(1)
+	fmt.Fprintln(os.Stderr, "yardstick: a plain forwarder for measurements; it keeps no rule")
+	return yardstick.Run(ctx, cfg)
+}
--- a/cmd/flaxcove/main.go
+++ b/cmd/flaxcove/main.go
@@ -1,7 +1,8 @@
 // Flaxcove is the gateway's command line.
 //
-// This file owns the list of sub-commands, the logger and the process's limits; serve.go owns the signals. It must never decide anything about a
-// message.
+// The package owns flags, exit codes and what is printed on a terminal, one file a sub-command; what the sub-commands do
+// is in internal (serve), lab (lab ...) and internal/routes (routes ...). It never decides anything about a message.
+// This file owns the list of sub-commands and the logger; serve.go owns the process's limits and signals.
 package main
 
 import (
@@ -9,7 +10,6 @@
 	"fmt"
 	"os"
 	"runtime"
-	"time"
 
 	"github.com/urfave/cli/v3"
 	"go.uber.org/zap"
@@ -21,31 +21,16 @@
 // version is set by the build where it is known: -ldflags "-X main.version=...".
 var version = "development"
 
-// heapShare of the memory limit is left to the collector; stacks, sockets and the program itself need the rest.
-const heapShare = 0.6
-
 func main() {
 	app := &cli.Command{
 		Name:  "flaxcove",
 		Usage: "take notices from clients and deliver them to partners' endpoints",
-		Commands: []*cli.Command{
-			{Name: "serve", Usage: "run one sender, as EDGE_CONFIG and the other EDGE_ variables say", Action: serve, Flags: []cli.Flag{
-				&cli.BoolFlag{Name: "notes", Usage: "tell other senders of limits met and hear them, where the configuration allows it"},
-				&cli.StringFlag{Name: "profile", Usage: "write a CPU profile of the whole run to this file"},
-				&cli.StringFlag{Name: "cluster", Usage: "join the processes around this one, as this file says"},
-				&cli.BoolFlag{Name: "trace", Usage: "log each step of each notice too, by its id, and the settings once"}}},
-			{Name: "add", Usage: "hand one notice to a running sender", ArgsUsage: "BODY", Action: add, Flags: []cli.Flag{addr,
-				&cli.StringFlag{Name: "class", Usage: "its workload, as the settings name it", Required: true},
-				&cli.Int64Flag{Name: "dest", Usage: "the number of its destination", Required: true},
-				&cli.DurationFlag{Name: "within", Usage: "how long it may still be delivered", Value: 5 * time.Second}}},
-			{Name: "counters", Usage: "print a running sender's counters", Action: counters, Flags: []cli.Flag{addr}},
-			{Name: "ping", Usage: "ask a sender whether it is ready", Action: ping, Flags: []cli.Flag{addr}},
-			{Name: "check", Usage: "read the configuration and say what is wrong with it", Action: check},
+		Commands: []*cli.Command{serveCommand(), addCommand(),
+			{Name: "counters", Usage: "print a running sender's counters", Action: counters, Flags: []cli.Flag{flagAddr}},
+			{Name: "ping", Usage: "ask a sender whether it is ready", Action: ping, Flags: []cli.Flag{flagAddr}},
+			{Name: "check", Usage: "read the configuration and say what is wrong with it", Action: checkConfig},
 			labCommand(), routesCommand(),
-			{Name: "version", Usage: "print the version", Action: func(context.Context, *cli.Command) error {
-				_, err := fmt.Println("flaxcove", version, runtime.Version())
-				return err
-			}},
+			{Name: "version", Usage: "print the version", Action: printVersion},
 		},
 	}
 	if err := app.Run(context.Background(), os.Args); err != nil {
@@ -54,22 +39,29 @@
 	}
 }
 
-func check(context.Context, *cli.Command) error {
-	c, err := config.Load(os.Getenv)
-	if err == nil {
-		fmt.Printf("%s: %d endpoints known, %d workloads, %d slots\n", c.Name, len(c.Known.Servers), len(c.ClassNumbers), c.Settings.InFlightLimit)
-	}
+func printVersion(context.Context, *cli.Command) error {
+	_, err := fmt.Println("flaxcove", version, runtime.Version())
 	return err
 }
 
-// logger writes a line of JSON for each entry to standard error, and drops none.
-func logger(trace bool) (*zap.Logger, error) {
-	c := zap.NewProductionConfig()
+// checkConfig reads the configuration as serve would and sums it up.
+func checkConfig(context.Context, *cli.Command) error {
+	cfg, err := config.Load(os.Getenv)
+	if err != nil {
+		return err
+	}
+	fmt.Printf("%s: %d endpoints known, %d workloads, %d slots\n", cfg.Name, len(cfg.Known.Servers), len(cfg.ClassNumbers), cfg.Settings.InFlightLimit)
+	return nil
+}
+
+// newLogger writes a line of JSON for each entry to standard error, and drops none.
+func newLogger(trace bool) (*zap.Logger, error) {
+	cfg := zap.NewProductionConfig()
 	if trace {
-		c.Level.SetLevel(zap.DebugLevel)
+		cfg.Level.SetLevel(zap.DebugLevel)
 	}
-	c.Sampling = nil
-	c.DisableCaller, c.DisableStacktrace = true, true
-	c.EncoderConfig.EncodeTime = zapcore.ISO8601TimeEncoder
-	return c.Build()
+	cfg.Sampling = nil
+	cfg.DisableCaller, cfg.DisableStacktrace = true, true
+	cfg.EncoderConfig.EncodeTime = zapcore.ISO8601TimeEncoder
+	return cfg.Build()
 }
--- a/cmd/flaxcove/routes.go
+++ b/cmd/flaxcove/routes.go
@@ -1,6 +1,12 @@
 package main
 
-import "github.com/urfave/cli/v3"
+import (
+	"errors"
+
+	"github.com/urfave/cli/v3"
+
+	"flaxcove/internal/routes/file"
+)
 
 func routesCommand() *cli.Command {
 	return &cli.Command{
@@ -10,3 +16,15 @@
 		Commands: []*cli.Command{routesTest(), routesExplain()},
 	}
 }
+
+// loadRouting reads the files that the arguments name; they add up.
+func loadRouting(c *cli.Command) (*file.Routing, error) {
+	if c.Args().Len() == 0 {
+		return nil, wrongInput(errors.New("name at least one file"))
+	}
+	r, err := file.Load(c.Args().Slice()...)
+	if err != nil {
+		return nil, wrongInput(err)
+	}
+	return r, nil
+}
--- a/cmd/flaxcove/routes_expect.go
+++ b/cmd/flaxcove/routes_expect.go
@@ -2,15 +2,11 @@
 
 import (
 	"context"
-	"encoding/json"
-	"errors"
 	"fmt"
-	"os"
 
 	"github.com/urfave/cli/v3"
 
 	"flaxcove/internal/routes"
-	"flaxcove/internal/routes/file"
 )
 
 func routesTest() *cli.Command {
@@ -24,17 +20,7 @@
 	}
 }
 
-func loadRouting(c *cli.Command) (*file.Routing, error) {
-	if c.Args().Len() == 0 {
-		return nil, wrongInput(errors.New("name at least one file"))
-	}
-	r, err := file.Load(c.Args().Slice()...)
-	if err != nil {
-		return nil, wrongInput(err)
-	}
-	return r, nil
-}
-
+// runRoutesTest checks all expectations, prints those that fail, and ends with the exit code that they ask for.
 func runRoutesTest(_ context.Context, c *cli.Command) error {
 	r, err := loadRouting(c)
 	if err != nil {
@@ -42,31 +28,40 @@
 	}
 	failures := routes.Test(routes.Compile(r.Rules), r.Overrides, r.List, r.Expects)
 	if c.Bool("json") {
-		type failure struct {
-			Expect      string              `json:"expect"`
-			Destination int64               `json:"destination"`
-			What        string              `json:"what"`
-			Lost        []string            `json:"lost,omitempty"`
-			Overrides   []routes.OverrideID `json:"overrides,omitempty"`
-			Route       string              `json:"route,omitempty"`
-		}
-		all := []failure{}
-		for _, f := range failures {
-			one := failure{Expect: f.Expect, Destination: int64(f.Destination), What: f.What, Overrides: f.Overrides, Route: f.Route.Rule}
-			for _, id := range f.Lost {
-				one.Lost = append(one.Lost, string(id))
-			}
-			all = append(all, one)
+		if err := printFailuresAsJSON(failures); err != nil {
+			return err
 		}
-		err = json.NewEncoder(os.Stdout).Encode(all)
 	} else {
 		for i := range failures {
 			fmt.Println(&failures[i])
 		}
 		fmt.Printf("%d of %d expectations hold over %d routes, %d endpoints\n", len(r.Expects)-len(failures), len(r.Expects), len(r.Rules), len(r.List))
 	}
-	if err == nil && len(failures) > 0 {
-		return cli.Exit("", exitBroken)
+	if len(failures) > 0 {
+		return exitSilently(exitRuleBroken)
+	}
+	return nil
+}
+
+// failureRow is one expectation that failed, as it is printed.
+type failureRow struct {
+	Expect      string              `json:"expect"`
+	Destination int64               `json:"destination"`
+	What        string              `json:"what"`
+	Lost        []string            `json:"lost,omitempty"`
+	Overrides   []routes.OverrideID `json:"overrides,omitempty"`
+	Route       string              `json:"route,omitempty"`
+}
+
+// printFailuresAsJSON prints the failures as a list, an empty one where there are none.
+func printFailuresAsJSON(failures []routes.Failure) error {
+	rows := []failureRow{}
+	for _, f := range failures {
+		row := failureRow{Expect: f.Expect, Destination: int64(f.Destination), What: f.What, Overrides: f.Overrides, Route: f.Route.Rule}
+		for _, id := range f.Lost {
+			row.Lost = append(row.Lost, string(id))
+		}
+		rows = append(rows, row)
 	}
-	return err
+	return printJSON(rows)
 }
--- a/cmd/flaxcove/routes_explain.go
+++ b/cmd/flaxcove/routes_explain.go
@@ -2,9 +2,7 @@
 
 import (
 	"context"
-	"encoding/json"
 	"fmt"
-	"os"
 
 	"github.com/urfave/cli/v3"
 
@@ -18,30 +16,36 @@
 		Description: "Example: flaxcove routes explain --dest 1 --workload order routes.toml list.toml",
 		Flags: []cli.Flag{flagJSON, &cli.Int64Flag{Name: "dest", Usage: "its destination", Required: true},
 			&cli.StringFlag{Name: "workload"}, &cli.StringFlag{Name: "tenant"}, &cli.StringFlag{Name: "key"}},
-		Action: func(_ context.Context, c *cli.Command) error {
-			r, err := loadRouting(c)
-			if err != nil {
-				return err
-			}
-			n := &routes.Message{Destination: choice.DestinationID(c.Int64("dest")), Class: c.String("workload"), Tenant: c.String("tenant"), Key: c.String("key")}
-			to := routes.Resolve(routes.Compile(r.Rules), r.Overrides, n, r.List)
-			nowhere := []string{"held until one is there", "handed back with a time"}[to.Nowhere]
-			if c.Bool("json") {
-				return json.NewEncoder(os.Stdout).Encode(map[string]any{"route": to.Rule, "open_sets": to.Sets, "pin": to.Pin, "allowed": to.Allowed,
-					"nowhere": nowhere})
-			}
-			fmt.Printf("route: %q, open sets: %d, pinned by: %q\n", to.Rule, to.Sets, to.Pin)
-			total := 0.0
-			for _, a := range to.Allowed {
-				total += a.Weight
-			}
-			for _, a := range to.Allowed {
-				fmt.Printf("  %s  %.1f%%\n", a.Endpoint, 100*a.Weight/total)
-			}
-			if len(to.Allowed) == 0 {
-				fmt.Println("  nowhere now:", nowhere)
-			}
-			return nil
-		},
+		Action: runRoutesExplain,
 	}
 }
+
+// whenNowhere says what becomes of a message while no endpoint may get it, as its route chooses.
+var whenNowhere = map[routes.Nowhere]string{routes.Hold: "held until one is there", routes.HandBack: "handed back with a time"}
+
+// runRoutesExplain resolves the message that the flags describe and prints its route and the endpoints that may get it.
+func runRoutesExplain(_ context.Context, c *cli.Command) error {
+	r, err := loadRouting(c)
+	if err != nil {
+		return err
+	}
+	message := &routes.Message{Destination: choice.DestinationID(c.Int64("dest")), Class: c.String("workload"), Tenant: c.String("tenant"), Key: c.String("key")}
+	resolved := routes.Resolve(routes.Compile(r.Rules), r.Overrides, message, r.List)
+	nowhere := whenNowhere[resolved.Nowhere]
+	if c.Bool("json") {
+		return printJSON(map[string]any{"route": resolved.Rule, "open_sets": resolved.Sets, "pin": resolved.Pin, "allowed": resolved.Allowed,
+			"nowhere": nowhere})
+	}
+	fmt.Printf("route: %q, open sets: %d, pinned by: %q\n", resolved.Rule, resolved.Sets, resolved.Pin)
+	total := 0.0
+	for _, a := range resolved.Allowed {
+		total += a.Weight
+	}
+	for _, a := range resolved.Allowed {
+		fmt.Printf("  %s  %.1f%%\n", a.Endpoint, 100*a.Weight/total)
+	}
+	if len(resolved.Allowed) == 0 {
+		fmt.Println("  nowhere now:", nowhere)
+	}
+	return nil
+}
--- a/cmd/flaxcove/routes_test.go
+++ b/cmd/flaxcove/routes_test.go
@@ -4,7 +4,6 @@
 	"fmt"
 	"os"
 	"path/filepath"
-	"strings"
 )
 
 // A file that fails its expectations is told from one that is wrong, and neither from a good one by words alone.
@@ -20,8 +19,8 @@
 	for _, args := range [][]string{{"test", "list.toml", "expect.toml"}, {"test", "rules.toml", "list.toml", "expect.toml"},
 		{"test", "--json", "rules.toml", "list.toml", "expect.toml"}, {"test", "wrong.toml"}, {"test"},
 		{"explain", "--dest", "1", "rules.toml", "list.toml"}, {"explain", "--dest", "2", "rules.toml", "list.toml"}} {
-		code, out, said := flaxcove(dir, append([]string{"routes"}, args...)...)
-		fmt.Printf("%d %s%s", code, out, said)
+		code, stdout, stderr := runProgram(dir, append([]string{"routes"}, args...)...)
+		fmt.Printf("%d %s%s", code, stdout, stderr)
 	}
 	// Output:
 	// 0 1 of 1 expectations hold over 0 routes, 2 endpoints
@@ -35,19 +34,3 @@
 	// 0 route: "", open sets: 1, pinned by: ""
 	//   nowhere now: held until one is there
 }
-
-// Limits and noise: wrong flags run nothing.
-func ExampleMain_limits() {
-	for _, args := range [][]string{{"--only", "thunder"}, {"--policy", "best"},
-		{"--only", "noise", "--rates", "50", "--shares", "0.06", "--seconds", "5", "--cores", "1"}} {
-		code, out, said := flaxcove("", append([]string{"lab", "limits"}, args...)...)
-		if code == 0 {
-			said = "" // progress
-		}
-		fmt.Println(code, len(out) > 0, strings.TrimSpace(said))
-	}
-	// Output:
-	// 2 false flaxcove: --only: "thunder" is neither noise nor sharing
-	// 2 false flaxcove: --policy: no policy is called "best"
-	// 0 true
-}
--- a/cmd/flaxcove/serve.go
+++ b/cmd/flaxcove/serve.go
@@ -22,16 +22,34 @@
 	"flaxcove/internal/sender"
 )
 
+// heapShare is the part of the memory limit that the heap may take; stacks, sockets and the program itself need the rest.
+const heapShare = 0.6
+
+// How many threads run Go code: a sender is one loop on one thread; with a cluster, the cluster's part has another.
+const (
+	threadsAlone       = 1
+	threadsWithCluster = 2
+)
+
+func serveCommand() *cli.Command {
+	return &cli.Command{Name: "serve", Usage: "run one sender, as EDGE_CONFIG and the other EDGE_ variables say", Action: serve, Flags: []cli.Flag{
+		&cli.BoolFlag{Name: "notes", Usage: "tell other senders of limits met and hear them, where the configuration allows it"},
+		&cli.StringFlag{Name: "profile", Usage: "write a CPU profile of the whole run to this file"},
+		&cli.StringFlag{Name: "cluster", Usage: "join the processes around this one, as this file says"},
+		&cli.BoolFlag{Name: "trace", Usage: "log each step of each notice too, by its id, and the settings once"}}}
+}
+
+// serve runs one sender until it has drained.
 func serve(_ context.Context, c *cli.Command) error {
 	// Before all else: SIGHUP asks for the file to be read anew, and must never end the process.
-	hups := make(chan os.Signal, 1)
-	signal.Notify(hups, syscall.SIGHUP)
-	cfg, joining, err := serveConfig(c.String("cluster"))
+	hangups := make(chan os.Signal, 1)
+	signal.Notify(hangups, syscall.SIGHUP)
+	cfg, clusterSettings, err := serveConfig(c.String("cluster"))
 	if err != nil {
 		return err
 	}
 	debug.SetMemoryLimit(int64(heapShare * float64(cfg.Limits.MemoryMB<<20)))
-	log, err := logger(c.Bool("trace"))
+	log, err := newLogger(c.Bool("trace"))
 	if err != nil {
 		return err
 	}
@@ -48,7 +66,7 @@
 		return err
 	}
 	defer stopProfile()
-	return runSender(cfg, joining, log, hups, signalledAt, notes)
+	return runSender(cfg, clusterSettings, log, hangups, signalledAt, notes)
 }
 
 // serveConfig reads the configuration and, for a sender that joins a cluster, its cluster settings; it also sets how
@@ -58,19 +76,19 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	runtime.GOMAXPROCS(1)
+	runtime.GOMAXPROCS(threadsAlone)
 	if clusterFile == "" {
 		return cfg, nil, nil
 	}
-	runtime.GOMAXPROCS(withCluster)
-	joining, err := settings.Load(clusterFile)
+	runtime.GOMAXPROCS(threadsWithCluster)
+	clusterSettings, err := settings.Load(clusterFile)
 	if err != nil {
 		return nil, nil, err
 	}
-	if cfg, err = withCachedSettings(cfg, joining); err != nil {
+	if cfg, err = withCachedSettings(cfg, clusterSettings); err != nil {
 		return nil, nil, err
 	}
-	return cfg, joining, nil
+	return cfg, clusterSettings, nil
 }
 
 // catchStopSignals ignores SIGPIPE and says when the first SIGTERM or SIGINT came.
@@ -104,20 +122,20 @@
 
 // runSender starts the sender, joins it to the cluster where settings for one are given, drains it from the first
 // stop signal on, reads the configuration anew on each SIGHUP, and serves until the sender has drained.
-func runSender(cfg *config.Config, joining *settings.Settings, log *zap.Logger, hups <-chan os.Signal, signalledAt <-chan time.Time, notes bool) error {
+func runSender(cfg *config.Config, clusterSettings *settings.Settings, log *zap.Logger, hangups <-chan os.Signal, signalledAt <-chan time.Time, notes bool) error {
 	s, err := sender.Start(cfg, log)
 	if err != nil {
 		return err
 	}
-	if joining != nil {
-		leave, err := startCluster(joining, cfg, s, log)
+	if clusterSettings != nil {
+		leave, err := startCluster(clusterSettings, cfg, s, log)
 		if err != nil {
 			return err
 		}
 		defer leave()
 	}
 	go func() { s.DrainSince(<-signalledAt) }()
-	go reloadOnHangup(s, hups, notes)
+	go reloadOnHangup(s, hangups, notes)
 	log.Debug("configuration", zap.Any("settings", cfg.Settings), zap.Any("limits", cfg.Limits), zap.Any("known", cfg.Known))
 	log.Info("serving", zap.String("name", cfg.Name), zap.String("listen", s.Addr()), zap.String("version", version),
 		zap.Uint64("configuration_version", cfg.Version))
@@ -126,8 +144,8 @@
 }
 
 // reloadOnHangup reads the configuration anew on each SIGHUP and hands it, or what is wrong with it, to the sender.
-func reloadOnHangup(s *sender.Sender, hups <-chan os.Signal, notes bool) {
-	for range hups {
+func reloadOnHangup(s *sender.Sender, hangups <-chan os.Signal, notes bool) {
+	for range hangups {
 		fresh, err := config.Reload(os.Getenv)
 		if notes && err == nil {
 			_ = fresh.TurnOnNotes() // why not was logged at the start
--- a/cmd/flaxcove/serve_cluster.go
+++ b/cmd/flaxcove/serve_cluster.go
@@ -19,17 +19,14 @@
 	"flaxcove/internal/sender/together"
 )
 
-// withCluster is how many threads run Go code with a cluster: the sender's one loop keeps one to itself.
-const withCluster = 2
-
 // withCachedSettings is a configuration with the settings that all senders share, where an earlier incarnation of this process cached a
 // version of them. What cannot be read or run with ends the start, named by its file, as a wrong configuration file does:
 // the file's own settings are older, and no process runs an older version after a newer one.
-func withCachedSettings(cfg *config.Config, joining *settings.Settings) (*config.Config, error) {
-	if !joining.Uses.Configuration {
+func withCachedSettings(cfg *config.Config, clusterSettings *settings.Settings) (*config.Config, error) {
+	if !clusterSettings.Uses.Configuration {
 		return cfg, nil
 	}
-	folder := joining.Here.Folder
+	folder := clusterSettings.Here.Folder
 	cached, err := configuration.LoadCached(folder)
 	switch {
 	case err != nil:
@@ -45,16 +42,16 @@
 	return with, nil
 }
 
-// running is the shared version that a sender starts with; version 0 for its own file.
-func running(cfg *config.Config) (c together.Configuration) {
-	if cfg.Version > 0 {
-		c = together.Configuration{Version: cfg.Version, Settings: cfg.SettingsInForce()}
+// runningConfiguration is the shared version that a sender starts with; version 0 for its own file.
+func runningConfiguration(cfg *config.Config) together.Configuration {
+	if cfg.Version == 0 {
+		return together.Configuration{}
 	}
-	return c
+	return together.Configuration{Version: cfg.Version, Settings: cfg.SettingsInForce()}
 }
 
-// checkOf checks settings for a sender that runs others; those of its own file where none are told.
-func checkOf(cfg *config.Config) func(inForce, proposed json.RawMessage) error {
+// settingsCheck checks proposed settings against those in force; against those of the sender's own file where none are given.
+func settingsCheck(cfg *config.Config) func(inForce, proposed json.RawMessage) error {
 	return func(inForce, proposed json.RawMessage) error {
 		if len(inForce) == 0 {
 			inForce = cfg.OwnSettings()
@@ -65,23 +62,30 @@
 
 // startCluster is called between the sender's start and its Run: it joins the sender (sender.Join), and its orders
 // (sender.Orders) may be given from then on. What it returns is called once Run has returned.
-func startCluster(joining *settings.Settings, cfg *config.Config, s *sender.Sender, log *zap.Logger) (leave func(), err error) {
-	span := func(t choice.Time) time.Duration { return time.Duration(config.Nanoseconds(t)) }
-	longest := choice.Time(0)
-	for _, w := range cfg.Settings.Classes {
-		longest = max(longest, w.Deadline)
-	}
-	n, err := cluster.Start(cluster.Options{Settings: joining, Log: log.Named("cluster"), Orders: s.Orders(), Zones: cfg.Zones,
-		Longest: span(longest), Cold: span(cfg.Settings.Cold), ColdFrom: cfg.Settings.ColdFrom, FallMultiple: cfg.Settings.FallMultiple,
-		RatingIsRate:  cfg.Settings.Rating != choice.RatingNone,
-		CheckSettings: checkOf(cfg), OwnSettings: cfg.OwnSettings(), Running: running(cfg)})
+func startCluster(clusterSettings *settings.Settings, cfg *config.Config, s *sender.Sender, log *zap.Logger) (leave func(), err error) {
+	node, err := cluster.Start(cluster.Options{Settings: clusterSettings, Log: log.Named("cluster"), Orders: s.Orders(), Zones: cfg.Zones,
+		Longest: duration(longestDeadline(cfg.Settings.Classes)), Cold: duration(cfg.Settings.Cold), ColdFrom: cfg.Settings.ColdFrom,
+		FallMultiple: cfg.Settings.FallMultiple, RatingIsRate: cfg.Settings.Rating != choice.RatingNone,
+		CheckSettings: settingsCheck(cfg), OwnSettings: cfg.OwnSettings(), Running: runningConfiguration(cfg)})
 	if err != nil {
 		return nil, err
 	}
-	s.Join(n, sender.Joining{Gate: n.Gate()})
+	s.Join(node, sender.Joining{Gate: node.Gate()})
 	return func() {
-		if err := n.Close(); err != nil {
-			log.Warn("cluster left with trouble", zap.Error(err))
+		if err := node.Close(); err != nil {
+			log.Warn("cluster shutdown failed", zap.Error(err))
 		}
 	}, nil
 }
+
+// longestDeadline is how long a message of any class may be owed.
+func longestDeadline(classes []choice.Class) choice.Time {
+	longest := choice.Time(0)
+	for _, class := range classes {
+		longest = max(longest, class.Deadline)
+	}
+	return longest
+}
+
+// duration converts a time of the decision package, which counts microseconds, to one of the standard library.
+func duration(t choice.Time) time.Duration { return time.Duration(config.Nanoseconds(t)) }
--- a/cmd/flaxcove/serve_cluster_test.go
+++ b/cmd/flaxcove/serve_cluster_test.go
@@ -5,7 +5,6 @@
 	"encoding/json"
 	"fmt"
 	"io"
-	"net"
 	"net/http"
 	"os"
 	"os/exec"
@@ -13,39 +12,28 @@
 	"strings"
 	"syscall"
 	"testing"
-	"time"
 
 	"flaxcove/internal/cluster/configuration"
 	"flaxcove/internal/sender/together"
 )
 
-// alone is one process that is its own cluster, on a folder that lasts.
-type alone struct {
+// singleProcessCluster is one process that is its own cluster; its folders outlive the process.
+type singleProcessCluster struct {
 	t                              *testing.T
 	dir, listen, http              string
-	gossip, council                string
+	gossip, consensus              string
 	program                        *exec.Cmd
 	log                            bytes.Buffer
 	clusterFile, configurationFile string
 }
 
-const aloneSettings = `{"classes":[{"name":"a","idempotency":"pure","deadline":60000000000}],"extra":{"callsOut":4}}`
+const oneClassSettings = `{"classes":[{"name":"a","idempotency":"pure","deadline":60000000000}],"extra":{"callsOut":4}}`
 
-func freeAddr(t *testing.T) string {
+func newSingleProcessCluster(t *testing.T) *singleProcessCluster {
 	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer ln.Close()
-	return ln.Addr().String()
-}
-
-func makeAlone(t *testing.T) *alone {
-	t.Helper()
-	a := &alone{t: t, dir: t.TempDir(), listen: freeAddr(t), http: freeAddr(t), gossip: freeAddr(t), council: freeAddr(t)}
+	a := &singleProcessCluster{t: t, dir: t.TempDir(), listen: freeAddr(t), http: freeAddr(t), gossip: freeAddr(t), consensus: freeAddr(t)}
 	a.clusterFile, a.configurationFile = filepath.Join(a.dir, "cluster.toml"), filepath.Join(a.dir, "config.json")
-	a.write(a.clusterFile, fmt.Sprintf(`name = "one"
+	writeFile(t, a.clusterFile, fmt.Sprintf(`name = "one"
 founders = ["anna"]
 [here]
 process = "anna"
@@ -60,59 +48,43 @@
 east = "coast"
 [uses]
 configuration = true
-`, a.folder(), a.gossip, a.council, a.http))
-	a.write(a.configurationFile, fmt.Sprintf(`{"name":"s","listen":%q,"discovery":"127.0.0.1:1","state":%q,"settings":%s,
+`, a.folder(), a.gossip, a.consensus, a.http))
+	writeFile(t, a.configurationFile, fmt.Sprintf(`{"name":"s","listen":%q,"discovery":"127.0.0.1:1","state":%q,"settings":%s,
 "known":{"version":1,"full":true,"servers":[{"id":"e","addr":"127.0.0.1:1","zone":"z","kind":"k","cell":1,"state":"up","weight":1}]}}`,
-		a.listen, filepath.Join(a.dir, "state"), aloneSettings))
+		a.listen, filepath.Join(a.dir, "state"), oneClassSettings))
 	t.Cleanup(func() {
-		if a.program != nil {
-			a.program.Process.Kill()
+		if t.Failed() {
+			t.Logf("the last process's log:\n%s", a.log.String())
 		}
 	})
 	return a
 }
 
-func (a *alone) folder() string { return filepath.Join(a.dir, "cluster") }
+func (a *singleProcessCluster) folder() string { return filepath.Join(a.dir, "cluster") }
 
-func (a *alone) write(path, text string) {
-	a.t.Helper()
-	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-		a.t.Fatal(err)
-	}
-}
-
-func (a *alone) start() {
+// start starts the process, with an empty log.
+func (a *singleProcessCluster) start() {
 	a.t.Helper()
 	a.log.Reset()
 	a.program = exec.Command(os.Args[0], "serve", "--cluster", a.clusterFile)
 	a.program.Env = append(os.Environ(), "EDGE_CONFIG="+a.configurationFile)
 	a.program.Stderr = &a.log
-	if err := a.program.Start(); err != nil {
-		a.t.Fatal(err)
-	}
-}
-
-// within waits until what is asked for holds.
-func (a *alone) within(what string, f func() bool) {
-	a.t.Helper()
-	for end := time.Now().Add(30 * time.Second); !f(); time.Sleep(20 * time.Millisecond) {
-		if time.Now().After(end) {
-			a.t.Fatalf("never: %s\n%s", what, a.log.String())
-		}
-	}
+	startProgram(a.t, a.program)
 }
 
-func (a *alone) runs(version int) func() bool {
+// servesVersion is the condition that the sender runs this version of the shared settings; 0 for its own file.
+func (a *singleProcessCluster) servesVersion(version int) func() bool {
 	return func() bool {
-		text, err := ask(a.listen, "INFO")
+		text, err := sendCommand(a.listen, "INFO")
 		return err == nil && strings.Contains(text, fmt.Sprintf("configuration_version:%d\r", version))
 	}
 }
 
-// change orders one, and is what is answered.
-func (a *alone) change(id string, base int, settings string) (status int, answer string) {
+// change orders a change of the settings and returns the answer.
+func (a *singleProcessCluster) change(id string, base int, settings string) (status int, answer string) {
 	body := fmt.Sprintf(`{"id":%q,"base":%d,"settings":%s,"who":"test","why":"test"}`, id, base, settings)
-	a.within("an answer to the order", func() bool {
+	a.t.Helper()
+	eventually(a.t, "an answer to the order", func() bool {
 		r, err := http.Post("http://"+a.http+"/v1/configuration?wait=in_force&for=10s", "application/json", strings.NewReader(body))
 		if err != nil {
 			return false
@@ -125,32 +97,32 @@
 	return status, answer
 }
 
-// A process takes a version that was decided, refuses one that no sender can run, starts again with what it kept after a
-// kill, and does not start at all where what it kept cannot be read or run with: its own file is older.
+// A process applies a version that was decided, rejects one that no sender can run, and starts again with the version it
+// stored after a kill. It does not start at all where the stored version cannot be read or run with: its own file is older.
 func TestServeWithSharedSettings(t *testing.T) {
-	a := makeAlone(t)
+	a := newSingleProcessCluster(t)
 	a.start()
-	a.within("it serves by its own file", a.runs(0))
-	if text, err := ask(a.listen, "OUT.ADD", "0", "early", "c=b,d=60000,dest=1", "x"); err == nil {
+	eventually(t, "it serves by its own file", a.servesVersion(0))
+	if text, err := sendCommand(a.listen, "OUT.ADD", "0", "early", "c=b,d=60000,dest=1", "x"); err == nil {
 		t.Errorf("a class that is not there yet: %s", text)
 	}
-	two := strings.Replace(aloneSettings, `],"extra"`, `,{"name":"b","idempotency":"pure","deadline":60000000000}],"extra"`, 1)
+	two := strings.Replace(oneClassSettings, `],"extra"`, `,{"name":"b","idempotency":"pure","deadline":60000000000}],"extra"`, 1)
 	if status, answer := a.change("one", 0, two); status != http.StatusOK {
 		t.Fatal(status, answer)
 	}
-	a.within("version 1 is in force", a.runs(1))
-	if status, answer := a.change("two", 1, aloneSettings); status != http.StatusBadRequest || !strings.Contains(answer, "classes[1].name") {
+	eventually(t, "version 1 is in force", a.servesVersion(1))
+	if status, answer := a.change("two", 1, oneClassSettings); status != http.StatusBadRequest || !strings.Contains(answer, "classes[1].name") {
 		t.Error("a class is taken out: ", status, answer)
 	}
-	if text, err := ask(a.listen, "OUT.ADD", "0", "owed", "c=b,d=60000,dest=1", "x"); err != nil || text != "OK" {
+	if text, err := sendCommand(a.listen, "OUT.ADD", "0", "owed", "c=b,d=60000,dest=1", "x"); err != nil || text != "OK" {
 		t.Errorf("the new class: %s %v", text, err)
 	}
 	a.program.Process.Kill()
 	a.program.Wait()
 
 	a.start()
-	a.within("it serves again by what it kept", a.runs(1))
-	if text, err := ask(a.listen, "OUT.ADD", "0", "later", "c=b,d=60000,dest=1", "x"); err != nil || text != "OK" {
+	eventually(t, "it serves again by the stored version", a.servesVersion(1))
+	if text, err := sendCommand(a.listen, "OUT.ADD", "0", "later", "c=b,d=60000,dest=1", "x"); err != nil || text != "OK" {
 		t.Errorf("the new class after a restart: %s %v", text, err)
 	}
 	a.program.Process.Signal(syscall.SIGTERM)
@@ -159,13 +131,13 @@
 	}
 
 	path := configuration.Path(a.folder())
-	whole, err := os.ReadFile(path)
+	stored, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, damaged := range []func() string{
 		func() string {
-			a.write(path, string(whole[:len(whole)/2]))
+			writeFile(t, path, string(stored[:len(stored)/2]))
 			return "torn or damaged"
 		},
 		func() string {
