--- a/cmd/flaxcove/lab_hunt.go
+++ b/cmd/flaxcove/lab_hunt.go
@@ -175,7 +175,7 @@
 	}
 	small.Name = fmt.Sprintf("%s-%d", kind, seed)
 	small.About = "found by hunt:"
-	for _, t := range small.Troubles {
+	for _, t := range small.Faults {
 		small.About += " " + t.Kind
 	}
 	return &hunt.Kept{Spec: *small, Found: hunt.Find{Rule: rule, Seed: seed, Gap: cutToThousandths(played.Gap), Open: true}}, nil
--- a/cmd/flaxcove/lab_load.go
+++ b/cmd/flaxcove/lab_load.go
@@ -254,8 +254,8 @@
 // notSustained says why a rate was not sustained; "" where it was.
 func notSustained(r *live.Result, inTime, wanted float64) string {
 	switch {
-	case r.Trouble != "":
-		return r.Trouble
+	case r.Fault != "":
+		return r.Fault
 	case r.Void != "":
 		return "the lab was the bottleneck: " + r.Void
 	case r.Broken():
--- a/cmd/flaxcove/lab_scenarios.go
+++ b/cmd/flaxcove/lab_scenarios.go
@@ -63,11 +63,11 @@
 // listFaultKinds prints the kinds of fault that a scenario may name, by name.
 func listFaultKinds(asJSON bool) error {
 	if asJSON {
-		return printJSON(world.TroubleKinds)
+		return printJSON(world.FaultKinds)
 	}
 	table := newTable()
-	for _, name := range slices.Sorted(maps.Keys(world.TroubleKinds)) {
-		kind := world.TroubleKinds[name]
+	for _, name := range slices.Sorted(maps.Keys(world.FaultKinds)) {
+		kind := world.FaultKinds[name]
 		fmt.Fprintf(table, "%s\tstrikes %s\t%s\n", name, kind.Strikes, kind.Amount)
 	}
 	return table.Flush()
--- a/cmd/flaxcove/serve_cluster.go
+++ b/cmd/flaxcove/serve_cluster.go
@@ -64,7 +64,7 @@
 // (sender.Orders) may be given from then on. What it returns is called once Run has returned.
 func startCluster(clusterSettings *settings.Settings, cfg *config.Config, s *sender.Sender, log *zap.Logger) (leave func(), err error) {
 	node, err := cluster.Start(cluster.Options{Settings: clusterSettings, Log: log.Named("cluster"), Orders: s.Orders(), Zones: cfg.Zones,
-		Longest: duration(longestDeadline(cfg.Settings.Classes)), Cold: duration(cfg.Settings.Cold), ColdFrom: cfg.Settings.ColdFrom,
+		Longest: duration(longestDeadline(cfg.Settings.Classes)), SlowStart: duration(cfg.Settings.SlowStart), SlowStartFrom: cfg.Settings.SlowStartFrom,
 		FallMultiple: cfg.Settings.FallMultiple, RatingIsRate: cfg.Settings.Rating != choice.RatingNone,
 		CheckSettings: settingsCheck(cfg), OwnSettings: cfg.OwnSettings(), Running: runningConfiguration(cfg)})
 	if err != nil {
