--- a/internal/cluster/failover/apply/apply_test.go
+++ b/internal/cluster/failover/apply/apply_test.go
@@ -58,7 +58,7 @@
 func TestSharesAndSmallMoves(t *testing.T) {
 	const n = 20000
 	to := func(near, b, c float64) *apply.Guide {
-		return apply.Compile(withNear(1, near, plan.Share{Zone: "b", Part: b}, plan.Share{Zone: "c", Part: c}), local())
+		return apply.Compile(withNear(1, near, plan.Share{Zone: "b", Fraction: b}, plan.Share{Zone: "c", Fraction: c}), local())
 	}
 	before, after := to(0.05, 0.57, 0.38), to(0.15, 0.51, 0.34)
 	var counts [3]float64
@@ -89,7 +89,7 @@
 func TestNoMessageIsStuck(t *testing.T) {
 	l := local()
 	l.Ill[apply.At{Destination: 1, Zone: 1}] = true
-	g := apply.Compile(withNear(1, 0.5, plan.Share{Zone: "b", Part: 0.3}, plan.Share{Zone: "x", Part: 0.2}), l)
+	g := apply.Compile(withNear(1, 0.5, plan.Share{Zone: "b", Fraction: 0.3}, plan.Share{Zone: "x", Fraction: 0.2}), l)
 	all, near := 0, 0
 	for i := range 1000 {
 		switch len(zones(g, i, 1)) {
@@ -149,7 +149,7 @@
 }
 
 func BenchmarkAllowed(b *testing.B) {
-	g := apply.Compile(withNear(1, 0.5, plan.Share{Zone: "b", Part: 0.3}, plan.Share{Zone: "c", Part: 0.2}), local())
+	g := apply.Compile(withNear(1, 0.5, plan.Share{Zone: "b", Fraction: 0.3}, plan.Share{Zone: "c", Fraction: 0.2}), local())
 	id := choice.MessageID("018f5f4e-9a5c-7b1e-8c7d-2f0e4a9b1c3d-order-77")
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/cluster/failover/apply/guide.go
+++ b/internal/cluster/failover/apply/guide.go
@@ -38,17 +38,17 @@
 }
 
 type rule struct {
-	near    float64
-	firm    bool // by a route of the plan
-	home    []choice.ZoneNo
-	targets []target
+	nearShare float64
+	planned   bool // by a route of the plan
+	homeZones []choice.ZoneNo
+	targets   []target
 }
 
 // target takes what falls below upTo, of what does not go near.
 type target struct {
-	upTo float64
-	zone choice.ZoneNo
-	free bool // it cannot be used here: package choice alone
+	upperBound   float64
+	zone         choice.ZoneNo
+	unrestricted bool // it cannot be used here: package choice alone
 }
 
 // Allowed tells whether a message may go to an endpoint of a destination in a zone. It hangs on its arguments alone, so
@@ -58,16 +58,16 @@
 	if r == nil || zone < 0 || int(zone) >= len(g.outside) || g.outside[zone] {
 		return true
 	}
-	if r.near >= 1 {
-		return slices.Contains(r.home, zone)
+	if r.nearShare >= 1 {
+		return slices.Contains(r.homeZones, zone)
 	}
-	near, away := draws(n)
-	if near < r.near {
-		return slices.Contains(r.home, zone)
+	near, away := placementDraws(n)
+	if near < r.nearShare {
+		return slices.Contains(r.homeZones, zone)
 	}
 	for _, t := range r.targets {
-		if away < t.upTo {
-			return t.free || t.zone == zone
+		if away < t.upperBound {
+			return t.unrestricted || t.zone == zone
 		}
 	}
 	return true
@@ -77,14 +77,14 @@
 // what is near; a sender that finds all of that set aside need not wait for the plan and may go anywhere.
 func (g *Guide) Firm(d choice.DestinationID) bool {
 	r := g.rules[d]
-	return r != nil && r.firm
+	return r != nil && r.planned
 }
 
 // draws are two even draws from an id. The first says whether a message goes near: as that share grows, only messages in
 // between move. The second says where else; it does not hang on the first. xxhash rather than hash/crc32, which has 32
 // bits for both, uneven for ids that differ in their last digits, and copies each id to the heap: this is asked at
 // each attempt, for each endpoint looked at.
-func draws(n choice.MessageID) (near, away float64) {
+func placementDraws(n choice.MessageID) (near, away float64) {
 	sum := xxhash.Sum64String(string(n))
 	return float64(sum>>32) / (1 << 32), float64(sum&math.MaxUint32) / (1 << 32)
 }
@@ -95,7 +95,7 @@
 	regions := make(map[choice.ZoneNo]view.Region, len(l.Numbers))
 	for z, no := range l.Numbers {
 		region, known := p.Regions[z]
-		if no < 0 || no >= mostZoneNo || !known {
+		if no < 0 || no >= maxZoneNo || !known {
 			continue
 		}
 		regions[no] = region
@@ -109,8 +109,8 @@
 		return g // where it stands is outside the plan
 	}
 	for d, listed := range l.Listed {
-		home := homeOf(listed, here, regions)
-		if r := ruled(p, l, d, listed, home); r != nil {
+		near := homeZones(listed, here, regions)
+		if r := compileRule(p, l, d, listed, near); r != nil {
 			g.rules[d] = r
 		}
 	}
@@ -118,10 +118,10 @@
 }
 
 // mostZoneNo bounds the table of zones.
-const mostZoneNo = 4096
+const maxZoneNo = 4096
 
 // homeOf are the zones that messages go to while all is well; nil where these are all that there are.
-func homeOf(listed []choice.ZoneNo, here choice.ZoneNo, regions map[choice.ZoneNo]view.Region) []choice.ZoneNo {
+func homeZones(listed []choice.ZoneNo, here choice.ZoneNo, regions map[choice.ZoneNo]view.Region) []choice.ZoneNo {
 	if slices.Contains(listed, here) {
 		return []choice.ZoneNo{here}
 	}
@@ -134,43 +134,43 @@
 	return home
 }
 
-func ruled(p *plan.Plan, l Local, d choice.DestinationID, listed, home []choice.ZoneNo) *rule {
-	ill := !slices.ContainsFunc(home, func(z choice.ZoneNo) bool { return !l.Ill[At{d, z}] })
-	o, found := p.Find(d, l.Zone)
+func compileRule(p *plan.Plan, l Local, d choice.DestinationID, listed, homeZones []choice.ZoneNo) *rule {
+	homeFailing := !slices.ContainsFunc(homeZones, func(z choice.ZoneNo) bool { return !l.Ill[At{d, z}] })
+	route, found := p.Find(d, l.Zone)
 	switch {
-	case !found || o.Phase == plan.Over:
+	case !found || route.Phase == plan.Overloaded:
 		// Its own traffic alone: the plan has not heard yet, or this process's link is ill.
-		if len(home) == 0 || ill {
+		if len(homeZones) == 0 || homeFailing {
 			return nil
 		}
 		if !found {
-			return &rule{near: 1, home: home}
+			return &rule{nearShare: 1, homeZones: homeZones}
 		}
-	case o.Phase == plan.Free:
+	case route.Phase == plan.Unrestricted:
 		return nil
 	}
-	r := &rule{near: o.Near, firm: true, home: home}
-	if len(home) == 0 {
-		r.home = listed // none near here, though others of the zone list some: no message is to wait for it
+	r := &rule{nearShare: route.Near, planned: true, homeZones: homeZones}
+	if len(homeZones) == 0 {
+		r.homeZones = listed // none near here, though others of the zone list some: no message is to wait for it
 	}
 	sum := 0.0
-	for _, s := range o.Shares {
-		sum += s.Part
+	for _, s := range route.Shares {
+		sum += s.Fraction
 	}
 	if sum <= 0 {
-		if o.Near >= 1 && len(home) > 0 {
-			return &rule{near: 1, firm: true, home: home}
+		if route.Near >= 1 && len(homeZones) > 0 {
+			return &rule{nearShare: 1, planned: true, homeZones: homeZones}
 		}
 		return nil
 	}
-	upTo := 0.0
-	for i, s := range o.Shares {
-		upTo += s.Part / sum
-		if i == len(o.Shares)-1 {
-			upTo = 1
+	upperBound := 0.0
+	for i, s := range route.Shares {
+		upperBound += s.Fraction / sum
+		if i == len(route.Shares)-1 {
+			upperBound = 1
 		}
 		no, known := l.Numbers[s.Zone]
-		t := target{upTo: upTo, zone: no, free: !known || !slices.Contains(listed, no) || l.Ill[At{d, no}]}
+		t := target{upperBound: upperBound, zone: no, unrestricted: !known || !slices.Contains(listed, no) || l.Ill[At{d, no}]}
 		r.targets = append(r.targets, t)
 	}
 	return r
--- a/internal/cluster/failover/apply/holder.go
+++ b/internal/cluster/failover/apply/holder.go
@@ -9,7 +9,7 @@
 
 // forgetAfter is how long after a plan lapsed one of a lower epoch is taken: a council that lost all its disks begins
 // anew at 1, and no message is so long on its way, as none older than its hold is taken.
-const forgetAfter = time.Minute
+const lowerEpochAfter = time.Minute
 
 // Heard is how a plan travels: as of Age ago its leader had it in force. Without the plan itself it renews one.
 type Heard struct {
@@ -22,10 +22,10 @@
 // Holder is the plan that counts at one process. It counts by its own clock from when it heard, less the age that
 // travelled. Not for two goroutines at once.
 type Holder struct {
-	held  *plan.Plan
-	term  uint64
-	from  view.Now // when its leader last had it in force, on this clock
-	until view.Now
+	current     *plan.Plan
+	term        uint64
+	confirmedAt view.Now // when its leader last had it in force, on this clock
+	expiresAt   view.Now
 }
 
 // Hear takes what came; changed tells that another plan counts now. What is of a lower epoch, of an earlier leader or
@@ -35,7 +35,7 @@
 		return false, nil
 	}
 	if in.Plan == nil {
-		if h.held != nil && in.Epoch == h.held.Epoch && in.Term >= h.term {
+		if h.current != nil && in.Epoch == h.current.Epoch && in.Term >= h.term {
 			h.renew(now, in)
 		}
 		return false, nil
@@ -46,46 +46,46 @@
 	switch {
 	case in.Age >= in.Plan.Hold || in.Plan.Epoch != in.Epoch:
 		return false, nil
-	case h.held != nil && in.Epoch <= h.held.Epoch && now < h.until+forgetAfter:
-		if in.Epoch == h.held.Epoch && in.Term >= h.term {
+	case h.current != nil && in.Epoch <= h.current.Epoch && now < h.expiresAt+lowerEpochAfter:
+		if in.Epoch == h.current.Epoch && in.Term >= h.term {
 			h.renew(now, in)
 		}
 		return false, nil
 	}
-	h.held, h.term, h.from, h.until = in.Plan, in.Term, now-in.Age, now-in.Age+in.Plan.Hold
+	h.current, h.term, h.confirmedAt, h.expiresAt = in.Plan, in.Term, now-in.Age, now-in.Age+in.Plan.Hold
 	return true, nil
 }
 
 func (h *Holder) renew(now view.Now, in Heard) {
 	h.term = in.Term
-	h.from = max(h.from, now-in.Age)
-	h.until = max(h.until, now-in.Age+h.held.Hold)
+	h.confirmedAt = max(h.confirmedAt, now-in.Age)
+	h.expiresAt = max(h.expiresAt, now-in.Age+h.current.Hold)
 }
 
 // Plan is what counts now, and until when by this clock; nil when nothing does.
 func (h *Holder) Plan(now view.Now) (*plan.Plan, view.Now) {
-	if h.held == nil || now >= h.until {
+	if h.current == nil || now >= h.expiresAt {
 		return nil, 0
 	}
-	return h.held, h.until
+	return h.current, h.expiresAt
 }
 
 // Epoch is the last epoch heard of, lapsed or not.
 func (h *Holder) Epoch() view.Epoch {
-	if h.held == nil {
+	if h.current == nil {
 		return 0
 	}
-	return h.held.Epoch
+	return h.current.Epoch
 }
 
 // Tell is what to pass on now; false when nothing counts.
-func (h *Holder) Tell(now view.Now, whole bool) (Heard, bool) {
+func (h *Holder) Tell(now view.Now, withPlan bool) (Heard, bool) {
 	p, _ := h.Plan(now)
 	if p == nil {
 		return Heard{}, false
 	}
-	out := Heard{Epoch: p.Epoch, Term: h.term, Age: now - h.from}
-	if whole {
+	out := Heard{Epoch: p.Epoch, Term: h.term, Age: now - h.confirmedAt}
+	if withPlan {
 		out.Plan = p
 	}
 	return out, true
--- a/internal/cluster/failover/plan/room_test.go
+++ b/internal/cluster/failover/plan/capacity_limits_test.go
@@ -13,9 +13,9 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// Whatever is judged, no plan gives a place more than it was told that it can do, less what its own zone hands in; no
-// part is negative; epochs follow each other; and nothing is sent to where nobody is answered.
-func TestPlansFitTheirRooms(t *testing.T) {
+// Whatever is judged, no plan gives a place more than its limit less the demand of its own zone; no fraction is
+// negative; epochs follow each other; and nothing is sent to a place that answers nobody.
+func TestPlansStayWithinCapacity(t *testing.T) {
 	zones := []view.Zone{"a1", "a2", "b1", "b2"}
 	regions := map[view.Zone]view.Region{"a1": "A", "a2": "A", "b1": "B", "b2": "B"}
 	rapid.Check(t, func(t *rapid.T) {
@@ -23,7 +23,7 @@
 		p, now, epoch := plan.New(set), view.Now(0), view.Epoch(0)
 		p.Members(regions)
 		rate, limit := map[view.Zone]float64{}, map[view.Zone]float64{}
-		bad := map[view.Zone]bool{}
+		failing := map[view.Zone]bool{}
 		for _, z := range zones {
 			rate[z] = float64(rapid.IntRange(1, 80).Draw(t, "rate"))
 			limit[z] = rate[z] + float64(rapid.IntRange(0, 80).Draw(t, "spare"))
@@ -32,11 +32,11 @@
 			now += view.Now(rapid.IntRange(1, 30).Draw(t, "tenths")) * second / 10
 			if rapid.IntRange(0, 9).Draw(t, "turn") == 0 {
 				z := rapid.SampledFrom(zones).Draw(t, "zone")
-				bad[z] = !bad[z]
+				failing[z] = !failing[z]
 			}
-			p.Judged(now, standings(zones, rate, limit, bad))
-			next, some := p.Step(now)
-			if !some {
+			p.Judged(now, placeHealth(zones, rate, limit, failing))
+			next, found := p.Step(now)
+			if !found {
 				continue
 			}
 			if next.Epoch != epoch+1 {
@@ -45,7 +45,7 @@
 			if err := next.Check(); err != nil {
 				t.Fatal(err)
 			}
-			if fits(t, next, rate, limit, bad); rapid.Bool().Draw(t, "applied") {
+			if expectWithinCapacity(t, next, rate, limit, failing); rapid.Bool().Draw(t, "applied") {
 				epoch++
 				p.Applied(now, next)
 			}
@@ -53,16 +53,16 @@
 	})
 }
 
-func fits(t *rapid.T, next plan.Plan, rate, limit map[view.Zone]float64, bad map[view.Zone]bool) {
+func expectWithinCapacity(t *rapid.T, next plan.Plan, rate, limit map[view.Zone]float64, failing map[view.Zone]bool) {
 	given, near := map[view.Zone]float64{}, maps.Clone(rate)
 	for _, r := range next.Routes {
 		near[r.From] = rate[r.From] * r.Near
 		for _, s := range r.Shares {
-			given[s.Zone] += s.Part * rate[r.From]
+			given[s.Zone] += s.Fraction * rate[r.From]
 		}
 	}
 	for z, g := range given {
-		if bad[z] && g > 0.01 {
+		if failing[z] && g > 0.01 {
 			t.Fatalf("%v goes to %v, where nobody is answered: %+v", g, z, next.Routes)
 		}
 		if g+near[z] > 1.1*limit[z]+0.5 {
@@ -71,29 +71,29 @@
 	}
 }
 
-// standings are as if each zone tried each place each time, and had its messages done where that can be.
-func standings(zones []view.Zone, rate, limit map[view.Zone]float64, bad map[view.Zone]bool) (all []weigh.Standing) {
+// placeHealth is as if each zone tried each place each time, and had its messages done at the first that answers.
+func placeHealth(zones []view.Zone, rate, limit map[view.Zone]float64, failing map[view.Zone]bool) (all []weigh.PlaceHealth) {
 	served := map[view.Zone]view.Zone{}
 	for _, from := range zones {
 		for _, z := range append([]view.Zone{from}, zones...) {
-			if _, done := served[from]; !done && !bad[z] {
+			if _, done := served[from]; !done && !failing[z] {
 				served[from] = z
 			}
 		}
 	}
 	for _, z := range zones {
-		s := weigh.Standing{Place: sight.Place{Destination: choice.DestinationID(1), Zone: z}, State: weigh.Well, Part: 1,
+		s := weigh.PlaceHealth{Place: sight.Place{Destination: choice.DestinationID(1), Zone: z}, State: weigh.Healthy, SuccessShare: 1,
 			Limit: limit[z], Endpoints: 1}
-		if bad[z] {
-			s.State = weigh.Bad
+		if failing[z] {
+			s.State = weigh.Failing
 		}
 		for _, from := range zones {
-			pair := weigh.Pair{From: from, State: s.State, Part: 1}
+			pair := weigh.ZoneView{From: from, State: s.State, SuccessShare: 1}
 			if served[from] == z {
 				pair.Done = rate[from]
 			}
 			s.Done += pair.Done
-			s.Pairs = append(s.Pairs, pair)
+			s.ByZone = append(s.ByZone, pair)
 		}
 		all = append(all, s)
 	}
--- a/internal/cluster/failover/plan/capacity_test.go
+++ b/internal/cluster/failover/plan/capacity_test.go
@@ -8,41 +8,22 @@
 	"fmt"
 	"testing"
 
-	"flaxcove/choice"
 	"flaxcove/internal/cluster/failover/plan"
 	"flaxcove/internal/cluster/failover/weigh"
-	"flaxcove/internal/cluster/sight"
 	"flaxcove/internal/cluster/view"
 	"flaxcove/lab/capacity/bench"
 )
 
-// capacityReports are those of 8 zones in 3 regions, each of which sends to its own place of so many destinations; all
-// calls to places in zone dead fail.
-func capacityReports(destinations int, dead view.Zone) (map[view.Zone]view.Region, []weigh.Report) {
-	const zones = 8
-	regions := map[view.Zone]view.Region{}
-	var all []weigh.Report
-	for i := range zones {
-		z := view.Zone(fmt.Sprintf("zone-%d", i))
-		regions[z] = view.Region(fmt.Sprint("region-", i%3))
-		for d := range destinations {
-			r := weigh.Report{Place: sight.Place{Destination: choice.DestinationID(d), Zone: z}, From: z, Processes: 27,
-				Well: 9, Successes: 20, Sent: 20, Done: 20, Limit: 40, Endpoints: 1}
-			if z == dead {
-				r.Well, r.Bad, r.Successes, r.Failures, r.Done = 0, 9, 0, 20, 0
-			}
-			all = append(all, r)
-		}
-	}
-	return regions, all
-}
+// plannedFleet is 8 zones in 3 regions.
+var plannedFleet = fleetShape{zones: 8, processes: 27, endpoints: 1, zoneName: "zone-%d",
+	region: func(zone int) view.Region { return view.Region(fmt.Sprint("region-", zone%3)) }}
 
 // BenchmarkCapacityTurn is a judgement and a step with one of eight zones lost; the metrics are of the plan that
-// follows: its routes, its bytes, and what it keeps of what fell.
+// follows: its routes and its bytes.
 func BenchmarkCapacityTurn(b *testing.B) {
 	bench.Sizes(b, "destinations", []int{61, 610, 6_100}, func(b *testing.B, n int) {
-		regions, well := capacityReports(n, "")
-		_, bad := capacityReports(n, "zone-0")
+		regions, well := plannedFleet.reports(n, "")
+		_, bad := plannedFleet.reports(n, "zone-0")
 		var routes, size int
 		for b.Loop() {
 			p := plan.New(plan.Usual())
@@ -66,11 +47,11 @@
 	})
 }
 
-// BenchmarkCapacityBoard is a coordinator's board: reports put in and those fresh read, as at each judgement. It holds
-// 24,000 at most.
+// BenchmarkCapacityBoard is a coordinator's board: reports stored and the fresh ones read, as at each judgement. It
+// holds 24,000 at most.
 func BenchmarkCapacityBoard(b *testing.B) {
 	bench.Sizes(b, "reports", []int{240, 2_400, 24_000}, func(b *testing.B, n int) {
-		_, reports := capacityReports(n/8, "")
+		_, reports := plannedFleet.reports(n/8, "")
 		var board *weigh.Board
 		heap := bench.Heap(func() any {
 			board = weigh.NewBoard(weigh.Usual())
--- a/internal/cluster/failover/plan/inforce.go
+++ b/internal/cluster/failover/plan/inforce.go
@@ -8,28 +8,29 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// Kind is how a plan is proposed to the council; PartName is where the part stands there.
+// Names under which the consensus group knows the plan.
 const (
-	PartName = "failover"
-	Kind     = "plan"
+	PartName = "failover" // of the replicated state machine
+	Kind     = "plan"     // of the command that proposes a plan
 )
 
-// InForce is the council's part that keeps the plan: pure and the same at each member. A plan is taken only if its
-// epoch follows the one in force, so that two leaders that each made one cannot both have it decided.
+// InForce is the replicated state machine that holds the plan in force: pure, and the same at each member of the
+// consensus group. A plan is accepted only if its epoch follows the one in force, so that of two leaders that each
+// made a plan only one succeeds.
 type InForce struct {
-	plan  Plan
-	at    time.Duration
-	index uint64
+	plan      Plan
+	decidedAt time.Duration
+	index     uint64
 }
 
-// Stale tells that a plan was made on another than the one in force.
-type Stale struct{ Epoch, InForce view.Epoch }
+// StaleEpochError is returned for a plan that was made on another than the one in force.
+type StaleEpochError struct{ Epoch, InForce view.Epoch }
 
-func (e *Stale) Error() string {
+func (e *StaleEpochError) Error() string {
 	return fmt.Sprintf("plan: epoch: %d does not follow %d, which is in force", e.Epoch, e.InForce)
 }
 
-// Apply takes a plan (kind "plan") and answers its epoch. Anything else leaves what is in force.
+// Apply puts a plan (kind "plan") in force and returns its epoch. On an error the plan in force stays.
 func (f *InForce) Apply(index uint64, at time.Duration, kind string, body json.RawMessage) (json.RawMessage, error) {
 	if kind != Kind {
 		return nil, fmt.Errorf("plan: kind: %q is unknown", kind)
@@ -39,40 +40,40 @@
 		return nil, fmt.Errorf("plan: body: %w", err)
 	}
 	if p.Epoch != f.plan.Epoch+1 {
-		return nil, &Stale{p.Epoch, f.plan.Epoch}
+		return nil, &StaleEpochError{p.Epoch, f.plan.Epoch}
 	}
 	if err := p.Check(); err != nil {
 		return nil, err
 	}
-	f.plan, f.at, f.index = p, at, index
+	f.plan, f.decidedAt, f.index = p, at, index
 	return json.Marshal(p.Epoch)
 }
 
-// Plan is what is in force; its epoch is 0 while nothing was decided. It is not to be changed.
+// Plan returns the plan in force, which the caller must not change. Its epoch is 0 until one is decided.
 func (f *InForce) Plan() Plan { return f.plan }
 
-type kept struct {
+type snapshot struct {
 	Plan  Plan          `json:"plan"`
 	At    time.Duration `json:"at"`
 	Index uint64        `json:"index"`
 }
 
-// Snapshot is all of it.
+// Snapshot encodes the whole state.
 func (f *InForce) Snapshot() (json.RawMessage, error) {
-	return json.Marshal(kept{f.plan, f.at, f.index})
+	return json.Marshal(snapshot{f.plan, f.decidedAt, f.index})
 }
 
-// Restore takes a snapshot's place; on an error what stood stays.
+// Restore replaces the state by that of a snapshot; on an error it stays as it was.
 func (f *InForce) Restore(body json.RawMessage) error {
-	var k kept
-	if err := json.Unmarshal(body, &k); err != nil {
+	var restored snapshot
+	if err := json.Unmarshal(body, &restored); err != nil {
 		return fmt.Errorf("plan: snapshot: %w", err)
 	}
-	if k.Plan.Epoch > 0 {
-		if err := k.Plan.Check(); err != nil {
+	if restored.Plan.Epoch > 0 {
+		if err := restored.Plan.Check(); err != nil {
 			return fmt.Errorf("plan: snapshot: %w", err)
 		}
 	}
-	f.plan, f.at, f.index = k.Plan, k.At, k.Index
+	f.plan, f.decidedAt, f.index = restored.Plan, restored.At, restored.Index
 	return nil
 }
--- a/internal/cluster/failover/plan/noise_test.go
+++ b/internal/cluster/failover/plan/noise_test.go
@@ -14,94 +14,108 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// sparse is a fleet in which each destination has few calls: six senders a zone, twelve destinations of 0.5 to 8 calls
-// a second a zone, one call in a hundred failed by chance, no limits told, digests over one sliding second. A sender
-// that saw two fail leaves near alone but for what the plan holds to it, as package choice does.
-type sparse struct {
-	rng     *rand.Rand
-	now     view.Now
-	dead    map[view.Zone]bool
-	last    map[sight.Place]map[view.Name]sight.Sighting
-	aside   map[sight.Place]map[view.Name]bool
-	board   *weigh.Board
-	planner *plan.Planner
-	plan    plan.Plan
-	changes []view.Now
-	nearBy  float64 // share of a1's calls that went near in the last half second
-	left    float64 // of all zones' calls, those that left their zone since the start
-	all     float64
+// sparseFleet is a fleet in which each destination has few calls: six senders a zone, twelve destinations of 0.5 to 8
+// calls a second a zone, one call in a hundred fails at random, no limits are known, digests cover one sliding second.
+// A sender that saw two calls fail stops sending near unless the plan makes it, as package choice does.
+type sparseFleet struct {
+	random      *rand.Rand
+	now         view.Now
+	failing     map[view.Zone]bool
+	lastReports map[sight.Place]map[view.Name]sight.Sighting
+	ejected     map[sight.Place]map[view.Name]bool
+	board       *weigh.Board
+	planner     *plan.Planner
+	plan        plan.Plan
+	planChanges []view.Now
+	nearShare   float64 // share of a1's calls that went near in the last half second
+	leftZone    float64 // of all zones' calls, those that left their zone since the start
+	totalCalls  float64
 }
 
-func (s *sparse) poisson(mean float64) float64 {
-	n, p := 0.0, s.rng.Float64()
-	for limit := math.Exp(-mean); p > limit; p *= s.rng.Float64() {
+func (s *sparseFleet) poisson(mean float64) float64 {
+	n, p := 0.0, s.random.Float64()
+	for limit := math.Exp(-mean); p > limit; p *= s.random.Float64() {
 		n++
 	}
 	return n
 }
 
-func (s *sparse) step() {
-	s.now += tick
+const sparseSenders = 6 // of a zone
+
+var sparseZones = []view.Zone{"a1", "a2", "b1", "b2"}
+
+// sparseRate is in calls a second of a zone.
+func sparseRate(d choice.DestinationID) float64 { return 0.5 * math.Exp2(float64(d)/2.75) }
+
+func (s *sparseFleet) step() {
+	s.now += halfSecond
 	near, all := 0.0, 0.0
-	for _, from := range []view.Zone{"a1", "a2", "b1", "b2"} {
+	for _, from := range sparseZones {
 		var rows []sight.Sighting
 		for d := range choice.DestinationID(12) {
-			rate := 0.5 * math.Exp2(float64(d)/2.75)
-			part, others := 1.0, map[view.Zone]float64{}
-			r, found := s.plan.Find(d, from)
-			if found && r.Phase != plan.Free {
-				part = r.Near
-				for _, share := range r.Shares {
-					others[share.Zone] = share.Part
-				}
-			}
-			for w := range 6 {
+			shares, planned := s.sharesOf(d, from)
+			for w := range sparseSenders {
 				name := view.Name(fmt.Sprint(from, w))
-				for _, to := range []view.Zone{"a1", "a2", "b1", "b2"} {
+				for _, to := range sparseZones {
 					at := sight.Place{Destination: d, Zone: to}
-					mean := rate / 6 * tick.Seconds() * others[to]
-					if to == from {
-						mean = rate / 6 * tick.Seconds() * part
-						if s.aside[at] != nil && s.aside[at][name] && !found {
-							mean = 0 // it tries nobody that failed while others can be placed
-						}
+					mean := sparseRate(d) / sparseSenders * halfSecond.Seconds() * shares[to]
+					if to == from && s.ejected[at][name] && !planned {
+						mean = 0 // a sender does not try what it ejected while others can be used
 					}
-					row := s.draw(at, name, from, mean)
+					row := s.drawCalls(at, name, from, mean)
 					if all += row.Sent; to == from {
 						near += row.Sent
 					}
-					if old, known := s.last[at][name]; known {
-						old.Age += tick
-						rows = append(rows, joined(row, old))
-					} else {
-						rows = append(rows, row)
-					}
-					s.last[at][name] = row
+					rows = append(rows, s.overOneSecond(at, name, row))
 				}
 			}
 		}
 		s.board.Put(s.now, weigh.Zonal(from, rows, weigh.Usual()))
 		if from == "a1" {
-			s.nearBy = near / max(1, all)
+			s.nearShare = near / max(1, all)
 		}
 	}
-	s.left, s.all = s.left+all-near, s.all+all
+	s.leftZone, s.totalCalls = s.leftZone+all-near, s.totalCalls+all
 	s.planner.Judged(s.now, weigh.Judge(s.board.Fresh(s.now), weigh.Usual()))
 	if next, some := s.planner.Step(s.now); some {
 		s.plan = next
 		s.planner.Applied(s.now, next)
-		s.changes = append(s.changes, s.now)
+		s.planChanges = append(s.planChanges, s.now)
+	}
+}
+
+// sharesOf is where a zone's calls to a destination go; planned if a route of the plan in force says so.
+func (s *sparseFleet) sharesOf(d choice.DestinationID, from view.Zone) (shares map[view.Zone]float64, planned bool) {
+	shares = map[view.Zone]float64{from: 1}
+	r, found := s.plan.Find(d, from)
+	if found && r.Phase != plan.Unrestricted {
+		shares[from] = r.Near
+		for _, share := range r.Shares {
+			shares[share.Zone] = share.Fraction
+		}
+	}
+	return shares, found
+}
+
+// overOneSecond joins a sender's half second to the one before it.
+func (s *sparseFleet) overOneSecond(at sight.Place, name view.Name, row sight.Sighting) sight.Sighting {
+	old, known := s.lastReports[at][name]
+	s.lastReports[at][name] = row
+	if !known {
+		return row
 	}
+	old.Age += halfSecond
+	return sumOf(row, old)
 }
 
-// draw is half a second of one sender at one place.
-func (s *sparse) draw(at sight.Place, name view.Name, from view.Zone, mean float64) sight.Sighting {
-	if s.last[at] == nil {
-		s.last[at], s.aside[at] = map[view.Name]sight.Sighting{}, map[view.Name]bool{}
+// drawCalls is half a second of one sender at one place.
+func (s *sparseFleet) drawCalls(at sight.Place, name view.Name, from view.Zone, mean float64) sight.Sighting {
+	if s.lastReports[at] == nil {
+		s.lastReports[at], s.ejected[at] = map[view.Name]sight.Sighting{}, map[view.Name]bool{}
 	}
-	row := sight.Sighting{Place: at, Witness: name, From: from, Span: tick, Endpoints: 2, Sent: s.poisson(mean)}
+	row := sight.Sighting{Place: at, Witness: name, From: from, Span: halfSecond, Endpoints: 2, Sent: s.poisson(mean)}
 	for range int(row.Sent) {
-		if s.dead[at.Zone] || s.rng.Float64() < 0.01 {
+		if s.failing[at.Zone] || s.random.Float64() < 0.01 {
 			row.Failed++
 		} else {
 			row.Done++
@@ -109,21 +123,21 @@
 	}
 	switch {
 	case row.Done > 0:
-		s.aside[at][name] = false
+		s.ejected[at][name] = false
 	case row.Failed >= 2:
-		s.aside[at][name] = true
+		s.ejected[at][name] = true
 	}
 	return row
 }
 
-func joined(a, b sight.Sighting) sight.Sighting {
+func sumOf(a, b sight.Sighting) sight.Sighting {
 	a.Sent, a.Done, a.Failed, a.Span = a.Sent+b.Sent, a.Done+b.Done, a.Failed+b.Failed, a.Span+b.Span
 	return a
 }
 
-func TestFewCallsAndChance(t *testing.T) {
-	s := &sparse{rng: rand.New(rand.NewPCG(1, 2)), dead: map[view.Zone]bool{}, board: weigh.NewBoard(weigh.Usual()),
-		last: map[sight.Place]map[view.Name]sight.Sighting{}, aside: map[sight.Place]map[view.Name]bool{},
+func TestFewCallsAndRandomFailures(t *testing.T) {
+	s := &sparseFleet{random: rand.New(rand.NewPCG(1, 2)), failing: map[view.Zone]bool{}, board: weigh.NewBoard(weigh.Usual()),
+		lastReports: map[sight.Place]map[view.Name]sight.Sighting{}, ejected: map[sight.Place]map[view.Name]bool{},
 		planner: plan.New(plan.Usual())}
 	s.planner.Members(map[view.Zone]view.Region{"a1": "A", "a2": "A", "b1": "B", "b2": "B"})
 	run := func(span time.Duration) {
@@ -132,26 +146,26 @@
 		}
 	}
 	run(time.Minute)
-	if len(s.changes) > 1 || s.left > 0.02*s.all {
-		t.Errorf("all is well: plans at %v, %.4f of calls left their zone", s.changes, s.left/s.all)
+	if len(s.planChanges) > 1 || s.leftZone > 0.02*s.totalCalls {
+		t.Errorf("all is well: plans at %v, %.4f of calls left their zone", s.planChanges, s.leftZone/s.totalCalls)
 	}
-	fell, n := s.now, len(s.changes)
-	s.dead["a1"] = true
-	for s.nearBy > 0.15 && s.now < fell+20*time.Second {
+	fell, n := s.now, len(s.planChanges)
+	s.failing["a1"] = true
+	for s.nearShare > 0.15 && s.now < fell+20*time.Second {
 		s.step()
 	}
-	t.Logf("moved after %v in %d plans", s.now-fell, len(s.changes)-n)
+	t.Logf("moved after %v in %d plans", s.now-fell, len(s.planChanges)-n)
 	if s.now-fell > 3*time.Second {
 		t.Errorf("moved only after %v", s.now-fell)
 	}
 	run(12 * time.Second)
-	n = len(s.changes)
-	s.dead["a1"] = false
+	n = len(s.planChanges)
+	s.failing["a1"] = false
 	well := s.now
 	for len(s.plan.Routes) > 0 && s.now < well+time.Minute {
 		s.step()
 	}
-	t.Logf("back after %v in %d plans", s.now-well, len(s.changes)-n)
+	t.Logf("back after %v in %d plans", s.now-well, len(s.planChanges)-n)
 	if s.now-well > 25*time.Second {
 		t.Errorf("back only after %v: %+v", s.now-well, s.plan.Routes)
 	}
--- a/internal/cluster/failover/plan/planner.go
+++ b/internal/cluster/failover/plan/planner.go
@@ -12,103 +12,111 @@
 )
 
 const (
-	mostZones    = 256
-	pendingFor   = 3 * time.Second // a plan handed out that was not applied by then is made anew
-	improveAfter = 3 * time.Second // between two tries to move what had to stay
+	maxZones       = 256
+	pendingTimeout = 3 * time.Second // a proposed plan that is not in force by then is made anew
 )
 
-// Planner makes plans. It belongs to one goroutine, of the council's leader; a new leader begins with the plan in
-// force (Applied) and what it then hears.
+// Planner makes plans. It belongs to one goroutine, of the consensus leader. A new leader starts with the plan in
+// force (Applied) and with the reports that it then receives.
 type Planner struct {
-	set       Settings
-	regions   map[view.Zone]view.Region
-	places    map[sight.Place]*place
-	listed    map[choice.DestinationID][]view.Zone
-	tiers     map[key]tiers
-	stale     bool // places or zones changed since listed and tiers were made
-	listedAt  view.Now
-	loads     map[key]*load
-	homed     map[sight.Place]float64 // calls a second that are handed in by those whose home it is
-	routes    map[key]*route
-	lastBad   map[key]view.Now
-	judgedAt  view.Now
-	beatAt    view.Now              // when returns last took a step
-	wellZones map[[2]view.Zone]bool // from, to: two places or more are answered and none fails
-	inForce   Plan
-	pending   *Plan
-	revs      map[key]int // of the routes in pending
-	madeAt    view.Now
-	regioned  bool // zones differ from those of the plan in force
+	settings         Settings
+	regions          map[view.Zone]view.Region
+	places           map[sight.Place]*place
+	listedZones      map[choice.DestinationID][]view.Zone
+	tiers            map[routeKey]zoneTiers
+	indexStale       bool // places or zones changed since listedZones and tiers were made
+	indexedAt        view.Now
+	demands          map[routeKey]*demand
+	homeDemand       map[sight.Place]float64 // calls a second of the zones whose home it is
+	routes           map[routeKey]*routeState
+	lastFailing      map[routeKey]view.Now
+	assessedAt       view.Now
+	lastStepAt       view.Now      // when returns last took a step
+	healthyLinks     map[link]bool // two places or more are healthy and none fails
+	inForce          Plan
+	pending          *Plan
+	pendingRevisions map[routeKey]int // of the routes in pending
+	plannedAt        view.Now
+	regionsChanged   bool // regions differ from those of the plan in force
 }
 
-// New makes a planner that knows nothing.
+// New returns a planner that knows nothing yet.
 func New(s Settings) *Planner {
-	return &Planner{set: s, regions: map[view.Zone]view.Region{}, places: map[sight.Place]*place{},
-		listed: map[choice.DestinationID][]view.Zone{}, tiers: map[key]tiers{}, loads: map[key]*load{},
-		routes:  map[key]*route{},
-		lastBad: map[key]view.Now{}, homed: map[sight.Place]float64{}, judgedAt: never, madeAt: never, beatAt: never}
+	return &Planner{
+		settings:    s,
+		regions:     map[view.Zone]view.Region{},
+		places:      map[sight.Place]*place{},
+		listedZones: map[choice.DestinationID][]view.Zone{},
+		tiers:       map[routeKey]zoneTiers{},
+		demands:     map[routeKey]*demand{},
+		homeDemand:  map[sight.Place]float64{},
+		routes:      map[routeKey]*routeState{},
+		lastFailing: map[routeKey]view.Now{},
+		assessedAt:  neverAt,
+		plannedAt:   neverAt,
+		lastStepAt:  neverAt,
+	}
 }
 
-// Epoch is of the plan in force, as far as it was told.
+// Epoch returns the epoch of the plan in force, as far as the planner was told.
 func (p *Planner) Epoch() view.Epoch { return p.inForce.Epoch }
 
-// Members tells which zones there are. A zone that is gone stays known: its endpoints may still be there.
+// Members sets which zones there are. A zone that has gone stays known: its endpoints may still be there.
 func (p *Planner) Members(regions map[view.Zone]view.Region) {
 	for z, r := range regions {
-		if old, known := p.regions[z]; (!known || old != r) && (known || len(p.regions) < mostZones) {
-			p.regions[z], p.regioned, p.stale = r, true, true
+		if old, known := p.regions[z]; (!known || old != r) && (known || len(p.regions) < maxZones) {
+			p.regions[z], p.regionsChanged, p.indexStale = r, true, true
 		}
 	}
 }
 
-// Judged tells what is known of all places now.
-func (p *Planner) Judged(now view.Now, all []weigh.Standing) {
-	p.judgedAt = now
+// Judged takes the current health of all places.
+func (p *Planner) Judged(now view.Now, all []weigh.PlaceHealth) {
+	p.assessedAt = now
 	for _, s := range all {
 		pl := p.places[s.Place]
 		if pl == nil {
-			if len(p.places) >= mostPlaces {
+			if len(p.places) >= maxPlaces {
 				continue
 			}
-			pl = &place{seen: now}
+			pl = &place{seenAt: now}
 			p.places[s.Place] = pl
 		}
-		was := pl.listed()
-		pl.take(now, s)
-		p.stale = p.stale || was != pl.listed()
-	}
-	p.wellZones = wellZones(all)
-	p.relist(now)
-	p.demands(now, all)
-	clear(p.homed)
-	for k, l := range p.loads {
-		home, _ := p.home(k.d, k.from)
-		for _, z := range home {
-			p.homed[sight.Place{Destination: k.d, Zone: z}] += l.rate / float64(len(home))
-		}
+		wasListed := pl.listed()
+		pl.update(now, s)
+		p.indexStale = p.indexStale || wasListed != pl.listed()
 	}
+	p.healthyLinks = healthyLinks(all)
+	p.rebuildIndex(now)
+	p.updateDemands(now, all)
+	p.updateHomeDemand()
 }
 
-func wellZones(all []weigh.Standing) map[[2]view.Zone]bool {
-	wells, fails := map[[2]view.Zone]int{}, map[[2]view.Zone]bool{}
+// link is from a zone that sends to a zone that is sent to.
+type link struct{ from, to view.Zone }
+
+// healthyLinks returns the links on which two places or more are healthy and none fails.
+func healthyLinks(all []weigh.PlaceHealth) map[link]bool {
+	healthyPlaces, failing := map[link]int{}, map[link]bool{}
 	for _, s := range all {
-		for _, pair := range s.Pairs {
-			switch k := [2]view.Zone{pair.From, s.Zone}; pair.State {
-			case weigh.Well:
-				wells[k]++
-			case weigh.Bad:
-				fails[k] = true
+		for _, pair := range s.ByZone {
+			l := link{pair.From, s.Zone}
+			switch pair.State {
+			case weigh.Healthy:
+				healthyPlaces[l]++
+			case weigh.Failing:
+				failing[l] = true
 			}
 		}
 	}
-	well := map[[2]view.Zone]bool{}
-	for k, n := range wells {
-		well[k] = n >= 2 && !fails[k]
+	healthy := map[link]bool{}
+	for l, n := range healthyPlaces {
+		healthy[l] = n >= 2 && !failing[l]
 	}
-	return well
+	return healthy
 }
 
-// Applied tells which plan is in force, of this planner or of another before it.
+// Applied takes the plan in force, of this planner or of another before it.
 func (p *Planner) Applied(now view.Now, in Plan) {
 	if in.Epoch < p.inForce.Epoch {
 		return
@@ -117,114 +125,132 @@
 	p.inForce = in
 	for z, r := range in.Regions {
 		if _, known := p.regions[z]; !known {
-			p.regions[z], p.stale = r, true
+			p.regions[z], p.indexStale = r, true
 		}
 	}
-	p.regioned = !maps.Equal(p.regions, in.Regions)
+	p.regionsChanged = !maps.Equal(p.regions, in.Regions)
+	p.takePublished(now, in, ours)
+	p.pending, p.pendingRevisions = nil, nil
+}
+
+// takePublished notes for each route what the plan in force has of it; ours if it is the pending plan of this planner.
+func (p *Planner) takePublished(now view.Now, in Plan, ours bool) {
 	for k, r := range p.routes {
-		if _, found := in.Find(k.d, k.from); !found {
-			r.out, r.outRev = Route{}, p.revs[k]
+		if _, found := in.Find(k.destination, k.from); !found {
+			r.published, r.publishedRevision = Route{}, p.pendingRevisions[k]
 		}
 	}
-	for _, o := range in.Routes {
-		k := o.key()
+	for _, published := range in.Routes {
+		k := published.key()
 		r := p.routes[k]
 		if r == nil {
-			r = p.resumed(now, o)
+			r = p.resumeRoute(now, published)
 			p.routes[k] = r
 		}
-		r.out, r.shared = o, now
-		if rev, found := p.revs[k]; ours && found {
-			r.outRev = rev
+		r.published, r.publishedAt = published, now
+		if revision, found := p.pendingRevisions[k]; ours && found {
+			r.publishedRevision = revision
 		}
 	}
-	p.pending, p.revs = nil, nil
 }
 
-// resumed takes up a route that another planner made: its turns count as of now.
-func (p *Planner) resumed(now view.Now, o Route) *route {
-	r := newRoute()
-	r.phase, r.step, r.near, r.outage = o.Phase, min(max(0, o.Step), len(p.set.Steps)-1), o.Near, o.Outage
-	home := o.Home
-	if len(home) == 0 {
-		home = []view.Zone{o.From}
-	}
-	for _, z := range home { // whoever tells of it may be gone: what is near must not be taken for another zone by that
-		at := sight.Place{Destination: o.Destination, Zone: z}
-		if p.places[at] == nil && len(p.places) < mostPlaces {
-			s := weigh.Standing{Place: at, Part: 1, Endpoints: 1}
-			p.places[at], p.stale = &place{Standing: s, seen: now}, true
-		}
-	}
-	switch o.Phase { // of Near, a part may be what there was no room for
-	case Away, Free:
-		r.phase, r.near = Away, min(o.Near, p.set.MostTest)
+// resumeRoute takes over a route that another planner made: its diversions count as of now.
+func (p *Planner) resumeRoute(now view.Now, published Route) *routeState {
+	p.assumeHomeListed(now, published)
+	r := newRouteState()
+	r.phase, r.nearShare, r.outage = published.Phase, published.Near, published.Outage
+	r.step = min(max(0, published.Step), len(p.settings.Steps)-1)
+	switch published.Phase { // Near may include what there was no capacity for
+	case Away, Unrestricted:
+		r.phase, r.nearShare = Away, min(published.Near, p.settings.MaxTrialShare)
 	case Returning:
-		r.near = min(o.Near, p.set.Steps[r.step])
+		r.nearShare = min(published.Near, p.settings.Steps[r.step])
 	}
-	r.downAt, r.turned, r.stepped = now-o.Outage, now, now
-	for range min(o.Turns, mostTurns) {
-		r.turns = append(r.turns, now)
+	r.failingSince, r.turnedAt, r.steppedAt = now-published.Outage, now, now
+	for range min(published.Diversions, maxDiversions) {
+		r.diversions = append(r.diversions, now)
 	}
 	return r
 }
 
-// Step moves all routes on and tells the next plan where one is worth it: the caller has it decided in common and
-// tells Applied. Until then, for a while, there is no other.
+// assumeHomeListed takes the home zones of a route as listed: those that report on them may be gone, and another zone
+// must not be taken for the home because of that.
+func (p *Planner) assumeHomeListed(now view.Now, published Route) {
+	home := published.Home
+	if len(home) == 0 {
+		home = []view.Zone{published.From}
+	}
+	for _, z := range home {
+		at := sight.Place{Destination: published.Destination, Zone: z}
+		if p.places[at] == nil && len(p.places) < maxPlaces {
+			health := weigh.PlaceHealth{Place: at, SuccessShare: 1, Endpoints: 1}
+			p.places[at], p.indexStale = &place{PlaceHealth: health, seenAt: now}, true
+		}
+	}
+}
+
+// Step moves all routes on and returns the next plan if one is worth making. The caller proposes it and reports the
+// outcome by Applied; until then, for a while, Step makes no other.
 func (p *Planner) Step(now view.Now) (Plan, bool) {
-	p.move(now)
-	if p.pending != nil && now-p.madeAt < pendingFor || now-p.madeAt < p.set.Gap || len(p.regions) == 0 {
+	p.advanceRoutes(now)
+	sinceLast := now - p.plannedAt
+	if p.pending != nil && sinceLast < pendingTimeout || sinceLast < p.settings.MinPlanInterval || len(p.regions) == 0 {
 		return Plan{}, false
 	}
-	routes, changed, urgent := p.share(now)
-	if !changed && !p.regioned && p.inForce.Epoch > 0 || !urgent && !p.regioned && now-p.madeAt < p.set.CalmGap {
-		return Plan{}, false
+	routes, changed, urgent := p.shareOut(now)
+	if !p.regionsChanged {
+		unchanged := !changed && p.inForce.Epoch > 0
+		tooSoon := !urgent && sinceLast < p.settings.MinSharesOnlyInterval
+		if unchanged || tooSoon {
+			return Plan{}, false
+		}
 	}
-	next := Plan{Epoch: p.inForce.Epoch + 1, Hold: p.set.Hold, Regions: maps.Clone(p.regions), Routes: routes}
-	p.most(&next)
-	p.pending, p.madeAt, p.revs = &next, now, map[key]int{}
+	next := Plan{Epoch: p.inForce.Epoch + 1, Hold: p.settings.Hold, Regions: maps.Clone(p.regions), Routes: routes}
+	p.trimToLimits(&next)
+	p.pending, p.plannedAt, p.pendingRevisions = &next, now, map[routeKey]int{}
 	for k, r := range p.routes {
-		p.revs[k] = r.rev
+		p.pendingRevisions[k] = r.revision
 	}
 	return next, true
 }
 
-// move advances what has a load or is under way, in order.
-func (p *Planner) move(now view.Now) {
+// advanceRoutes moves on, in order, all routes that have demand or are not steady.
+func (p *Planner) advanceRoutes(now view.Now) {
 	keys := slices.Collect(maps.Keys(p.routes))
-	for k := range p.loads {
+	for k := range p.demands {
 		if p.routes[k] == nil {
 			keys = append(keys, k)
 		}
 	}
-	slices.SortFunc(keys, key.compare)
+	slices.SortFunc(keys, routeKey.compare)
 	for _, k := range keys {
-		home, _ := p.home(k.d, k.from)
+		home := p.tiersFor(k).home
 		r := p.routes[k]
 		if len(home) == 0 {
-			if r != nil && p.judgedAt != never && now-r.turned > p.set.TurnsFor {
-				r.to("", 1)
-				p.forget(now, k, r)
+			if r != nil && p.assessedAt != neverAt && now-r.turnedAt > p.settings.DiversionMemory {
+				r.setPhase(steady, 1)
+				p.forgetIfSettled(now, k, r)
 			}
 			continue
 		}
 		fresh := r == nil
 		if fresh {
-			r = newRoute()
+			r = newRouteState()
 		}
-		p.advance(now, k, r, home)
-		if fresh && r.phase == "" && r.overAt == never {
-			continue // steady: nothing to remember
+		p.advanceRoute(now, k, r, home)
+		if fresh && r.phase == steady && r.overloadedSince == neverAt {
+			continue // nothing to remember
 		}
 		p.routes[k] = r
-		p.forget(now, k, r)
+		p.forgetIfSettled(now, k, r)
 	}
 }
 
-// forget lets go of a route that goes near again once its turns no longer count.
-func (p *Planner) forget(now view.Now, k key, r *route) {
-	if r.phase == "" && r.out.Phase == "" && r.overAt == never && now-r.turned > p.set.TurnsFor {
+// forgetIfSettled drops a route that is steady again once its diversions no longer count.
+func (p *Planner) forgetIfSettled(now view.Now, k routeKey, r *routeState) {
+	settled := r.phase == steady && r.published.Phase == steady && r.overloadedSince == neverAt
+	if settled && now-r.turnedAt > p.settings.DiversionMemory {
 		delete(p.routes, k)
-		delete(p.lastBad, k)
+		delete(p.lastFailing, k)
 	}
 }
--- /dev/null
+++ b/internal/cluster/failover/plan/reports_test.go
@@ -0,0 +1,36 @@
+package plan_test
+
+import (
+	"fmt"
+
+	"flaxcove/choice"
+	"flaxcove/internal/cluster/failover/weigh"
+	"flaxcove/internal/cluster/sight"
+	"flaxcove/internal/cluster/view"
+)
+
+// fleetShape is a fleet in which each zone sends to its own place of each destination.
+type fleetShape struct {
+	zones, processes, endpoints int    // zones; processes of a zone; endpoints of a place
+	zoneName                    string // format, of the zone's number
+	region                      func(zone int) view.Region
+}
+
+// reports are those of all zones; all calls to places in zone failing fail.
+func (f fleetShape) reports(destinations int, failing view.Zone) (map[view.Zone]view.Region, []weigh.Report) {
+	regions := map[view.Zone]view.Region{}
+	var all []weigh.Report
+	for i := range f.zones {
+		z := view.Zone(fmt.Sprintf(f.zoneName, i))
+		regions[z] = f.region(i)
+		for d := range destinations {
+			r := weigh.Report{Place: sight.Place{Destination: choice.DestinationID(d), Zone: z}, From: z, Processes: f.processes,
+				HealthyWitnesses: 9, Successes: 20, Sent: 20, Done: 20, Limit: 40, Endpoints: f.endpoints}
+			if z == failing {
+				r.HealthyWitnesses, r.FailingWitnesses, r.Successes, r.Failures, r.Done = 0, 9, 0, 20, 0
+			}
+			all = append(all, r)
+		}
+	}
+	return regions, all
+}
--- a/internal/cluster/failover/plan/route.go
+++ b/internal/cluster/failover/plan/route.go
@@ -6,244 +6,269 @@
 	"time"
 
 	"flaxcove/internal/cluster/failover/weigh"
-	"flaxcove/internal/cluster/sight"
 	"flaxcove/internal/cluster/view"
 )
 
 const (
-	never     = view.Now(math.MinInt64 / 4)
-	mostTurns = 8                       // remembered; the hold is at its longest by then
-	lastsFor  = 1500 * time.Millisecond // too full, or weak: so long before anything moves over it
-	raise     = 0.25                    // the most that near takes back at once where it had not room
+	neverAt             = view.Now(math.MinInt64 / 4)
+	maxDiversions       = 8                       // remembered; the return delay is at its longest by then
+	overloadPersistence = 1500 * time.Millisecond // how long near is overloaded or degraded before anything moves
+	maxShareIncrease    = 0.25                    // the most that near takes back at once after an overload
 )
 
-// route is where one zone's messages to one destination stand. A phase of "" is steady: all near.
-type route struct {
-	phase                  Phase
-	step                   int
-	near                   float64    // what is to go near, by the phase
-	turns                  []view.Now // to away, or to less
-	turned, stepped        view.Now
-	downAt, wellAt, wellBy view.Now // since when near is bad; well without a break, and last seen so; never if not
-	coldAt                 view.Now
-	overAt                 view.Now
-	outage                 time.Duration
-	rev, outRev            int // of what the machine wants, and of what is in force
-	out                    Route
-	shared                 view.Now
+// routeState is where one zone's messages to one destination stand.
+type routeState struct {
+	phase      Phase
+	step       int        // of a return
+	nearShare  float64    // that is to go near in this phase
+	diversions []view.Now // times at which the near share was reduced
+
+	turnedAt, steppedAt view.Now // last diversion or begin of a return; last step
+	failingSince        view.Now // these are neverAt if they don't apply
+	healthySince        view.Now // without a break
+	lastHealthyAt       view.Now
+	warmingSince        view.Now
+	overloadedSince     view.Now
+	outage              time.Duration // how long the last one lasted
+
+	revision          int      // counts changes of phase and near share
+	published         Route    // in the plan in force
+	publishedRevision int      // that published was made from
+	publishedAt       view.Now // when it was last seen in force
 }
 
-func newRoute() *route {
-	return &route{near: 1, turned: never, stepped: never, downAt: never, wellAt: never, wellBy: never, coldAt: never,
-		overAt: never, shared: never}
+func newRouteState() *routeState {
+	return &routeState{nearShare: 1, turnedAt: neverAt, steppedAt: neverAt, failingSince: neverAt, healthySince: neverAt, lastHealthyAt: neverAt, warmingSince: neverAt,
+		overloadedSince: neverAt, publishedAt: neverAt}
 }
 
-// hold is how long near must be well before a return: a part of how long it was away, doubled for each turn of late.
-func (r *route) hold(s Settings, now view.Now) time.Duration {
-	r.turns = slices.DeleteFunc(r.turns, func(t view.Now) bool { return now-t > s.TurnsFor })
-	hold := max(s.Calm, min(s.MostCalm, time.Duration(s.OutagePart*float64(r.outage))))
-	for range max(0, len(r.turns)-1) {
-		hold = min(2*hold, s.LongestCalm)
+// returnDelay is how long near must be healthy before a return: a fraction of the outage's length, doubled for each
+// recent diversion but the last.
+func (r *routeState) returnDelay(s Settings, now view.Now) time.Duration {
+	r.diversions = slices.DeleteFunc(r.diversions, func(t view.Now) bool { return now-t > s.DiversionMemory })
+	delay := max(s.MinReturnDelay, min(s.MaxOutageDelay, time.Duration(s.OutageFraction*float64(r.outage))))
+	for range max(0, len(r.diversions)-1) {
+		delay = min(2*delay, s.MaxReturnDelay)
 	}
-	return min(hold, s.LongestCalm)
+	return min(delay, s.MaxReturnDelay)
 }
 
-func (r *route) to(phase Phase, near float64) { r.phase, r.near, r.rev = phase, near, r.rev+1 }
+func (r *routeState) setPhase(phase Phase, near float64) {
+	r.phase, r.nearShare, r.revision = phase, near, r.revision+1
+}
 
-func (r *route) turn(now view.Now) {
-	r.turned = now
-	if len(r.turns) < mostTurns {
-		r.turns = append(r.turns, now)
+func (r *routeState) recordDiversion(now view.Now) {
+	r.turnedAt = now
+	if len(r.diversions) < maxDiversions {
+		r.diversions = append(r.diversions, now)
 	}
 }
 
-// see takes in how near is seen; what is unknown changes nothing.
-func (r *route) see(now view.Now, state weigh.State) {
+// observe takes the state that near is seen in; Unknown changes nothing.
+func (r *routeState) observe(now view.Now, state weigh.State) {
 	switch state {
-	case weigh.Well:
-		if r.wellAt == never {
-			r.wellAt = now
-			if r.downAt != never {
-				r.outage = now - r.downAt
+	case weigh.Healthy:
+		if r.healthySince == neverAt {
+			r.healthySince = now
+			if r.failingSince != neverAt {
+				r.outage = now - r.failingSince
 			}
 		}
-		r.wellBy = now
-	case weigh.Bad, weigh.Weak:
-		r.wellAt = never
+		r.lastHealthyAt = now
+	case weigh.Failing, weigh.Degraded:
+		r.healthySince = neverAt
 	}
 }
 
-// advance moves a route on by what is seen of its home; news tells that something was judged since the last time.
-func (p *Planner) advance(now view.Now, k key, r *route, home []view.Zone) {
+// advanceRoute moves a route on by the state that its home is seen in.
+func (p *Planner) advanceRoute(now view.Now, k routeKey, r *routeState, home []view.Zone) {
 	state := p.homeState(k, home)
-	r.see(now, state)
+	r.observe(now, state)
 	switch r.phase {
-	case "", Over:
-		if state == weigh.Bad && now-r.turned >= p.set.Calm {
-			r.away(now, p.test(k))
+	case steady, Overloaded:
+		if state == weigh.Failing && now-r.turnedAt >= p.settings.MinReturnDelay {
+			r.divert(now, p.trialShare(k))
 			return
 		}
-		if state != weigh.Bad {
-			p.fit(now, k, r, home)
+		if state != weigh.Failing {
+			p.adjustToCapacity(now, k, r, home)
 		}
 	case Away:
-		hold := r.hold(p.set, now)
-		well := r.wellAt != never && now-r.wellAt >= hold
-		blind := r.wellAt == never && state == weigh.Unknown && now-max(r.turned, p.lastBad[k]) >= max(hold, p.set.Blind)
-		if now-r.turned >= hold && (well || blind) && p.onBeat(now) {
-			p.beatAt = now
-			r.turned, r.stepped, r.step, r.coldAt = now, now, 0, r.wellAt
-			if blind {
-				r.coldAt = now
-			}
-			r.to(Returning, p.stepped(now, k, r, home))
-		}
+		p.beginReturn(now, k, r, home, state)
 	case Returning:
-		p.climb(now, k, r, home, state)
+		p.continueReturn(now, k, r, home, state)
+	}
+	if state == weigh.Failing {
+		p.lastFailing[k] = now
+	}
+}
+
+// beginReturn takes the first step of a return once near was healthy for the delay, or was not seen at all for long.
+func (p *Planner) beginReturn(now view.Now, k routeKey, r *routeState, home []view.Zone, state weigh.State) {
+	delay := r.returnDelay(p.settings, now)
+	healthy := r.healthySince != neverAt && now-r.healthySince >= delay
+	unseen := r.healthySince == neverAt && state == weigh.Unknown &&
+		now-max(r.turnedAt, p.lastFailing[k]) >= max(delay, p.settings.UnseenReturnAfter)
+	if now-r.turnedAt < delay || !healthy && !unseen || !p.returnsMayStep(now) {
+		return
 	}
-	if state == weigh.Bad {
-		p.lastBad[k] = now
+	p.lastStepAt = now
+	r.turnedAt, r.steppedAt, r.step, r.warmingSince = now, now, 0, r.healthySince
+	if unseen {
+		r.warmingSince = now
 	}
+	r.setPhase(Returning, p.stepShare(now, k, r, home))
 }
 
-func (r *route) away(now view.Now, test float64) {
-	r.turn(now)
-	r.downAt, r.wellAt = now, never
-	r.to(Away, test)
+// divert sends all but trials away from near.
+func (r *routeState) divert(now view.Now, trialShare float64) {
+	r.recordDiversion(now)
+	r.failingSince, r.healthySince = now, neverAt
+	r.setPhase(Away, trialShare)
 }
 
-// climb takes the next step of a return once the last has gone well for a while, or goes back.
-func (p *Planner) climb(now view.Now, k key, r *route, home []view.Zone, state weigh.State) {
+// continueReturn takes the next step of a return once the last went well for StepDuration, or diverts the route again.
+func (p *Planner) continueReturn(now view.Now, k routeKey, r *routeState, home []view.Zone, state weigh.State) {
 	switch {
-	case state == weigh.Bad && now-r.turned >= p.set.Calm,
-		state == weigh.Weak && now-max(r.wellBy, r.stepped) > 2*p.set.StepFor:
-		r.away(now, p.test(k))
+	case state == weigh.Failing && now-r.turnedAt >= p.settings.MinReturnDelay,
+		state == weigh.Degraded && now-max(r.lastHealthyAt, r.steppedAt) > 2*p.settings.StepDuration:
+		r.divert(now, p.trialShare(k))
 		return
-	case now-r.stepped < p.set.StepFor || !p.onBeat(now):
+	case now-r.steppedAt < p.settings.StepDuration || !p.returnsMayStep(now):
 		return
-	case r.wellAt == never || r.wellBy <= r.stepped:
-		if state != weigh.Unknown || now-r.stepped < p.set.Blind {
+	case r.healthySince == neverAt || r.lastHealthyAt <= r.steppedAt:
+		if state != weigh.Unknown || now-r.steppedAt < p.settings.UnseenReturnAfter {
 			return
 		}
 	}
-	p.beatAt = now
-	last := len(p.set.Steps) - 1
-	r.stepped, r.step = now, min(r.step+1, last)
-	near := p.stepped(now, k, r, home)
+	p.lastStepAt = now
+	last := len(p.settings.Steps) - 1
+	r.steppedAt, r.step = now, min(r.step+1, last)
+	near := p.stepShare(now, k, r, home)
 	switch {
 	case r.step == last && near >= 1:
-		r.to("", 1)
-	case near > r.near:
-		r.to(Returning, near)
+		r.setPhase(steady, 1)
+	case near > r.nearShare:
+		r.setPhase(Returning, near)
 	}
 }
 
-// stepped is the share of a step, held to what cold endpoints may take from all senders together. Half of what fells
-// them is kept clear.
-func (p *Planner) stepped(now view.Now, k key, r *route, home []view.Zone) float64 {
-	share := p.set.Steps[r.step]
-	can, handed := 0.0, 0.0
+// stepShare is the near share of a step, limited to what endpoints in slow start can take from all senders together.
+// Half of the margin up to the load that makes them fail is kept free.
+func (p *Planner) stepShare(now view.Now, k routeKey, r *routeState, home []view.Zone) float64 {
+	share := p.settings.Steps[r.step]
+	capacity, demand := 0.0, 0.0
 	for _, z := range home {
-		pl := p.places[sight.Place{Destination: k.d, Zone: z}]
+		pl := p.places[k.placeIn(z)]
 		if pl == nil {
 			return share
 		}
-		some, known := pl.can(p.set, now)
+		zoneCapacity, known := pl.capacity(p.settings, now)
 		if !known {
 			return share
 		}
-		can, handed = can+some, max(handed, p.homed[pl.Place])
+		capacity, demand = capacity+zoneCapacity, max(demand, p.homeDemand[pl.Place])
 	}
-	if handed <= 0 {
+	if demand <= 0 {
 		return share
 	}
-	warm := 1.0
-	if p.set.Cold > 0 && r.coldAt != never {
-		warm = min(1, p.set.ColdFrom+(1-p.set.ColdFrom)*float64(now-r.coldAt)/float64(p.set.Cold))
+	return min(share, capacity*p.warmedFraction(now, r)*min(1, p.settings.FallMultiple/2)/demand)
+}
+
+// warmedFraction is the part of its capacity that near has by now in its slow start.
+func (p *Planner) warmedFraction(now view.Now, r *routeState) float64 {
+	s := p.settings
+	if s.Cold <= 0 || r.warmingSince == neverAt {
+		return 1
 	}
-	return min(share, can*warm*min(1, p.set.FallMultiple/2)/handed)
+	return min(1, s.ColdFrom+(1-s.ColdFrom)*float64(now-r.warmingSince)/float64(s.Cold))
 }
 
-// onBeat lets all returns take their steps at the same moments, so that a zone with a hundred destinations that comes
-// back makes a plan for each step and not for each destination.
-func (p *Planner) onBeat(now view.Now) bool { return now == p.beatAt || now-p.beatAt >= p.set.StepFor }
+// returnsMayStep makes all returns take their steps at the same moments, so that a returning zone with a hundred
+// destinations makes one plan for each step and not one for each destination.
+func (p *Planner) returnsMayStep(now view.Now) bool {
+	return now == p.lastStepAt || now-p.lastStepAt >= p.settings.StepDuration
+}
 
-// test is the part that keeps trying near while it is bad: without it nobody would ever see it well again.
-func (p *Planner) test(k key) float64 {
-	return min(max(p.set.TestRate/max(nearNothing, p.rate(k)), p.set.LeastTest), p.set.MostTest)
+// trialShare is the share that keeps trying near while it fails; without it nobody would ever see it healthy again.
+func (p *Planner) trialShare(k routeKey) float64 {
+	return min(max(p.settings.TrialRate/max(minRate, p.demand(k)), p.settings.MinTrialShare), p.settings.MaxTrialShare)
 }
 
-// homeState joins the states of a home: bad only where all of it is. A place that nobody called lately is as well as
-// all others that the zone calls there: where calls are few they come back with the rest.
-func (p *Planner) homeState(k key, home []view.Zone) weigh.State {
-	var states [weigh.Bad + 1]int
+// homeState joins the states of a home's zones; it is failing only if all of them are. A place that nobody called
+// lately counts as healthy if the other places that the zone calls there are: where calls are few, it returns together
+// with the rest.
+func (p *Planner) homeState(k routeKey, home []view.Zone) weigh.State {
+	var states [weigh.Failing + 1]int
 	for _, z := range home {
-		state, _ := p.state(k.d, z, k.from)
-		if state == weigh.Unknown && p.wellZones[[2]view.Zone{k.from, z}] {
-			state = weigh.Well
+		state, _ := p.stateSeenBy(k, z)
+		if state == weigh.Unknown && p.healthyLinks[link{k.from, z}] {
+			state = weigh.Healthy
 		}
 		states[state]++
 	}
 	switch {
-	case states[weigh.Bad] == len(home):
-		return weigh.Bad
-	case states[weigh.Well] > 0:
-		return weigh.Well
-	case states[weigh.Weak] > 0:
-		return weigh.Weak
+	case states[weigh.Failing] == len(home):
+		return weigh.Failing
+	case states[weigh.Healthy] > 0:
+		return weigh.Healthy
+	case states[weigh.Degraded] > 0:
+		return weigh.Degraded
 	}
 	return weigh.Unknown
 }
 
-// fit sends on what near has no room for, once that has lasted, and takes it back little by little.
-func (p *Planner) fit(now view.Now, k key, r *route, home []view.Zone) {
-	want := p.fits(now, k, home)
-	if want > 1-p.set.Coarse {
-		want = 1
+// adjustToCapacity diverts what near lacks capacity for once that has lasted a while, and takes it back step by step.
+func (p *Planner) adjustToCapacity(now view.Now, k routeKey, r *routeState, home []view.Zone) {
+	wanted := p.capacityShare(now, k, home)
+	if wanted > 1-p.settings.MinShareChange {
+		wanted = 1
 	}
 	switch {
-	case want > r.near-p.set.Coarse && want < r.near+p.set.Coarse && want < 1 || want == r.near:
-		r.overAt = never
-	case want < r.near:
-		if r.overAt == never {
-			r.overAt = now
+	case wanted == r.nearShare, wanted < 1 &&
+		wanted > r.nearShare-p.settings.MinShareChange && wanted < r.nearShare+p.settings.MinShareChange:
+		r.overloadedSince = neverAt
+	case wanted < r.nearShare:
+		if r.overloadedSince == neverAt {
+			r.overloadedSince = now
 		}
-		if now-r.overAt >= lastsFor && now-r.turned >= p.set.Calm {
-			r.turn(now)
-			r.overAt = never
-			r.to(Over, want)
+		if now-r.overloadedSince >= overloadPersistence && now-r.turnedAt >= p.settings.MinReturnDelay {
+			r.recordDiversion(now)
+			r.overloadedSince = neverAt
+			r.setPhase(Overloaded, wanted)
 		}
-	case now-r.turned >= r.hold(p.set, now) && now-r.stepped >= p.set.Calm:
-		r.stepped, r.overAt = now, never
-		if near := min(want, r.near+raise); near < 1 {
-			r.to(Over, near)
+	case now-r.turnedAt >= r.returnDelay(p.settings, now) && now-r.steppedAt >= p.settings.MinReturnDelay:
+		r.steppedAt, r.overloadedSince = now, neverAt
+		if near := min(wanted, r.nearShare+maxShareIncrease); near < 1 {
+			r.setPhase(Overloaded, near)
 		} else {
-			r.to("", 1)
+			r.setPhase(steady, 1)
 		}
 	}
 }
 
-// fits is the part of what is handed in that near can do, where it is seen to be weak or full; 1 else.
-func (p *Planner) fits(now view.Now, k key, home []view.Zone) float64 {
-	can, handed, short := 0.0, 0.0, false
+// capacityShare is the share of the demand that near has capacity for, where it is seen to be degraded or saturated;
+// otherwise 1.
+func (p *Planner) capacityShare(now view.Now, k routeKey, home []view.Zone) float64 {
+	capacity, demand, limited := 0.0, 0.0, false
 	for _, z := range home {
-		pl := p.places[sight.Place{Destination: k.d, Zone: z}]
+		pl := p.places[k.placeIn(z)]
 		if pl == nil {
 			return 1
 		}
-		some, known := pl.can(p.set, now)
+		zoneCapacity, known := pl.capacity(p.settings, now)
 		if !known {
 			return 1
 		}
-		state, part := p.state(k.d, z, k.from)
-		short = short || state == weigh.Weak || now < pl.fullUntil
-		if state == weigh.Weak {
-			some *= part
+		state, successShare := p.stateSeenBy(k, z)
+		limited = limited || state == weigh.Degraded || now < pl.saturatedUntil
+		if state == weigh.Degraded {
+			zoneCapacity *= successShare
 		}
-		can, handed = can+some, handed+p.homed[pl.Place]
+		capacity, demand = capacity+zoneCapacity, demand+p.homeDemand[pl.Place]
 	}
-	if !short || handed <= 0 {
+	if !limited || demand <= 0 {
 		return 1
 	}
-	return min(1, can/handed)
+	return min(1, capacity/demand)
 }
--- a/internal/cluster/failover/plan/share.go
+++ b/internal/cluster/failover/plan/share.go
@@ -5,6 +5,7 @@
 	"maps"
 	"math"
 	"slices"
+	"time"
 
 	"flaxcove/internal/cluster/failover/weigh"
 	"flaxcove/internal/cluster/sight"
@@ -12,255 +13,214 @@
 )
 
 const (
-	overFilled  = 1.05 // times the room: so far rates may wander before routes are shared out anew
-	unknownRoom = 2.0  // calls a second that a place of which nothing is known is tried with
-	unseenPart  = 0.5  // of the room of one that was told a limit but was not sent to lately
-	littleRoom  = 0.5  // calls a second that are too few to count as overfilled
+	overloadTolerance  = 1.05            // multiple of a receiver's capacity beyond which its routes are assigned anew
+	negligibleCapacity = 0.5             // calls a second that are too few to count as an overload
+	improveInterval    = 3 * time.Second // between two attempts to move what had to stay
 )
 
-// rooms is what each place can take beyond what it carries for those whose home it is.
-type rooms map[sight.Place]float64
-
-func (p *Planner) rooms(now view.Now) rooms {
-	left := rooms{}
-	for at, pl := range p.places {
-		can, known := pl.can(p.set, now)
-		switch {
-		case !pl.listed() || pl.seen != p.judgedAt || pl.State == weigh.Bad:
-			continue
-		case !known:
-			left[at] = unknownRoom
-			continue
-		case pl.State == weigh.Weak:
-			can *= pl.Part
-		case pl.State == weigh.Unknown:
-			can *= unseenPart
-		}
-		left[at] = can * p.set.RoomPart
-	}
-	for k, l := range p.loads {
-		home, _ := p.home(k.d, k.from)
-		for _, z := range home {
-			at := sight.Place{Destination: k.d, Zone: z}
-			if room, some := left[at]; some {
-				left[at] = max(0, room-p.carried(k, at)*l.rate/float64(len(home)))
-			}
-		}
-	}
-	return left
-}
-
-// carried is how much of what a zone hands in its home must be able to take: all, but for what it has not room for.
-// One that comes back is cold and takes nothing else, and whatever may stay or return must find its room.
-func (p *Planner) carried(k key, at sight.Place) float64 {
-	r := p.routes[k]
-	switch {
-	case r == nil || r.phase == "":
-		return 1
-	case r.phase == Over:
-		return r.near
-	}
-	if state, _ := p.state(k.d, at.Zone, k.from); state == weigh.Bad {
-		return 1 // its link is bad; the place serves others
-	}
-	return math.Inf(1)
-}
-
-// share works out all routes that are not steady. Those in force are kept to the letter while they still fit, so that
-// a rate that wanders makes no plan; changed tells that some are new or gone.
-func (p *Planner) share(now view.Now) (routes []Route, changed, urgent bool) {
-	if !p.abroad() {
+// shareOut makes the routes of the next plan. Routes in force are kept unchanged while they fit, so that a varying
+// rate makes no plan. changed reports whether some are new or gone, and urgent whether more than shares changed.
+func (p *Planner) shareOut(now view.Now) (routes []Route, changed, urgent bool) {
+	if !p.anyRouteActive() {
 		return nil, false, false
 	}
-	left := p.rooms(now)
-	keys := slices.SortedFunc(maps.Keys(p.routes), key.compare)
-	kept, anew := p.keep(now, keys, left)
+	spare := p.spareCapacity(now)
+	keys := slices.SortedFunc(maps.Keys(p.routes), routeKey.compare)
+	reused, reassigned := p.reusableRoutes(now, keys, spare)
 	routes = make([]Route, 0, len(keys))
 	for _, k := range keys {
-		if kept[k] {
-			p.take(k, p.routes[k].out, left)
-			routes = append(routes, p.routes[k].out)
-		} else if p.routes[k].out.Phase != "" && p.routes[k].phase == "" {
+		if reused[k] {
+			p.reserve(k, p.routes[k].published, spare)
+			routes = append(routes, p.routes[k].published)
+		} else if p.routes[k].published.Phase != steady && p.routes[k].phase == steady {
 			changed, urgent = true, true
 		}
 	}
-	made := map[key]*Route{}
-	for _, k := range anew {
-		r := p.routes[k]
-		made[k] = &Route{Destination: k.d, From: k.from, Phase: r.phase, Near: r.near, Step: r.step,
-			Turns: len(r.turns), Outage: r.outage}
-		if r.phase != Returning {
-			made[k].Step = 0
+	for _, next := range p.assign(reassigned, spare) {
+		k := next.key()
+		if published := p.routes[k].published; !sameEffect(next, published) {
+			changed = true
+			urgent = urgent || next.Phase != published.Phase || next.Step != published.Step || p.sendsToFailing(k, published)
 		}
+		routes = append(routes, next)
 	}
-	for tier := range 2 { // all zones' regions before anything goes beyond
-		for _, k := range anew {
-			_, tiers := p.home(k.d, k.from)
-			p.fill(k, made[k], tiers[tier], left)
+	slices.SortFunc(routes, func(a, b Route) int { return a.key().compare(b.key()) })
+	return routes, changed, urgent
+}
+
+// assign makes routes for these keys, in their order, out of the spare capacity.
+func (p *Planner) assign(keys []routeKey, spare capacities) []Route {
+	routes := make([]Route, len(keys))
+	for i, k := range keys {
+		r := p.routes[k]
+		routes[i] = Route{Destination: k.destination, From: k.from, Phase: r.phase, Near: r.nearShare,
+			Diversions: len(r.diversions), Outage: r.outage}
+		if r.phase == Returning {
+			routes[i].Step = r.step
 		}
 	}
-	for _, k := range anew {
-		o := made[k]
-		p.finish(k, o)
-		if out := p.routes[k].out; !same(*o, out) {
-			changed = true
-			urgent = urgent || o.Phase != out.Phase || o.Step != out.Step || p.sendsToBad(k, out)
+	for tier := range 2 { // the regions of all zones before anything goes beyond them
+		for i, k := range keys {
+			p.fillTier(k, &routes[i], p.tiersFor(k).others[tier], spare)
 		}
-		routes = append(routes, *o)
 	}
-	slices.SortFunc(routes, func(a, b Route) int { return a.key().compare(b.key()) })
-	return routes, changed, urgent
+	for i, k := range keys {
+		p.assignRemainder(k, &routes[i])
+	}
+	return routes
 }
 
-// sendsToBad tells whether a route sends to where it is bad.
-func (p *Planner) sendsToBad(k key, o Route) bool {
+// sendsToFailing reports whether a route sends to a place that is failing.
+func (p *Planner) sendsToFailing(k routeKey, o Route) bool {
 	return slices.ContainsFunc(o.Shares, func(s Share) bool {
-		state, _ := p.state(k.d, s.Zone, k.from)
-		return s.Part > 0 && state == weigh.Bad
+		state, _ := p.stateSeenBy(k, s.Zone)
+		return s.Fraction > 0 && state == weigh.Failing
 	})
 }
 
-// abroad tells whether any route is not steady, or is still so in the plan.
-func (p *Planner) abroad() bool {
+// anyRouteActive reports whether any route is not steady, or is not yet steady in the plan in force.
+func (p *Planner) anyRouteActive() bool {
 	for _, r := range p.routes {
-		if r.phase != "" || r.out.Phase != "" {
+		if r.phase != steady || r.published.Phase != steady {
 			return true
 		}
 	}
 	return false
 }
 
-// keep tells which routes in force stand, and which are to be shared out (anew).
-func (p *Planner) keep(now view.Now, keys []key, left rooms) (kept map[key]bool, anew []key) {
-	kept = map[key]bool{}
+// reusableRoutes returns which routes in force stay as they are, and which are to be assigned anew.
+func (p *Planner) reusableRoutes(now view.Now, keys []routeKey, spare capacities) (reused map[routeKey]bool, reassigned []routeKey) {
+	reused = map[routeKey]bool{}
 	used := map[sight.Place]float64{}
 	for _, k := range keys {
 		r := p.routes[k]
-		if r.phase == "" {
+		if r.phase == steady {
 			continue
 		}
-		if r.out.Phase != "" && r.rev == r.outRev && p.stands(now, k, r, left) {
-			kept[k] = true
-			for _, s := range r.out.Shares {
-				used[sight.Place{Destination: k.d, Zone: s.Zone}] += s.Part * p.rate(k)
+		if r.published.Phase != steady && r.revision == r.publishedRevision && p.stillFits(now, k, r, spare) {
+			reused[k] = true
+			for _, s := range r.published.Shares {
+				used[k.placeIn(s.Zone)] += s.Fraction * p.demand(k)
 			}
 		}
 	}
 	for _, k := range keys {
 		r := p.routes[k]
-		if r.phase == "" {
+		if r.phase == steady {
 			continue
 		}
-		for _, s := range r.out.Shares {
-			at := sight.Place{Destination: k.d, Zone: s.Zone}
-			room, known := left[at] // of what nobody tells, as to a new leader, what is in force stays
-			if kept[k] && known && s.Part > 0 && used[at] > room*overFilled+littleRoom {
-				kept[k] = false
+		for _, s := range r.published.Shares {
+			at := k.placeIn(s.Zone)
+			capacity, known := spare[at] // where it is not known, as to a new leader, what is in force stays
+			if reused[k] && known && s.Fraction > 0 && used[at] > capacity*overloadTolerance+negligibleCapacity {
+				reused[k] = false
 			}
 		}
-		if !kept[k] {
-			anew = append(anew, k)
+		if !reused[k] {
+			reassigned = append(reassigned, k)
 		}
 	}
-	return kept, anew
+	return reused, reassigned
 }
 
-// stands tells whether what is in force can stay: no receiver has failed, and nothing that had to stay could now go.
-func (p *Planner) stands(now view.Now, k key, r *route, left rooms) bool {
-	if p.sendsToBad(k, r.out) {
+// stillFits reports whether a route in force can stay: no receiver fails, and nothing that had to stay near could go
+// now.
+func (p *Planner) stillFits(now view.Now, k routeKey, r *routeState, spare capacities) bool {
+	if p.sendsToFailing(k, r.published) {
 		return false
 	}
-	stays := r.out.Near - r.near
-	if r.out.Phase == Free {
+	stays := r.published.Near - r.nearShare
+	if r.published.Phase == Unrestricted {
 		stays = 1
 	}
-	if stays <= p.set.Coarse || now-r.shared < improveAfter {
+	if stays <= p.settings.MinShareChange || now-r.publishedAt < improveInterval {
 		return true
 	}
-	room, rate := 0.0, p.rate(k)
-	_, tiers := p.home(k.d, k.from)
-	for _, z := range slices.Concat(tiers[0], tiers[1]) {
+	available, rate := 0.0, p.demand(k)
+	others := p.tiersFor(k).others
+	for _, z := range slices.Concat(others[0], others[1]) {
 		if p.usable(k, z) {
-			room += left[sight.Place{Destination: k.d, Zone: z}]
+			available += spare[k.placeIn(z)]
 		}
 	}
-	return room < (1-r.out.Near+p.set.Coarse)*rate || r.out.Phase == Free && room == 0
+	movable := available >= (1-r.published.Near+p.settings.MinShareChange)*rate
+	return !movable || r.published.Phase == Unrestricted && available == 0
 }
 
-func (p *Planner) usable(k key, z view.Zone) bool {
-	state, _ := p.state(k.d, z, k.from)
-	return state != weigh.Bad
+func (p *Planner) usable(k routeKey, z view.Zone) bool {
+	state, _ := p.stateSeenBy(k, z)
+	return state != weigh.Failing
 }
 
-// take takes what a route sends off the rooms.
-func (p *Planner) take(k key, o Route, left rooms) {
+// reserve takes what a route sends from the spare capacity.
+func (p *Planner) reserve(k routeKey, o Route, spare capacities) {
 	for _, s := range o.Shares {
-		at := sight.Place{Destination: k.d, Zone: s.Zone}
-		left[at] = max(0, left[at]-s.Part*p.rate(k))
+		at := k.placeIn(s.Zone)
+		spare[at] = max(0, spare[at]-s.Fraction*p.demand(k))
 	}
 }
 
-// fill gives what is still to go to the zones of a tier, by their room.
-func (p *Planner) fill(k key, o *Route, zones []view.Zone, left rooms) {
-	rest, room := 1-o.Near, 0.0
+// fillTier assigns what is still to go to the zones of a tier, in proportion to their spare capacity.
+func (p *Planner) fillTier(k routeKey, o *Route, zones []view.Zone, spare capacities) {
+	remaining, available := 1-o.Near, 0.0
 	for _, s := range o.Shares {
-		rest -= s.Part
+		remaining -= s.Fraction
 	}
 	zones = slices.DeleteFunc(slices.Clone(zones), func(z view.Zone) bool { return !p.usable(k, z) })
 	for _, z := range zones {
-		room += left[sight.Place{Destination: k.d, Zone: z}]
+		available += spare[k.placeIn(z)]
 	}
-	if rest <= 1e-9 || room <= 0 {
+	if remaining <= 1e-9 || available <= 0 {
 		return
 	}
-	rate := max(nearNothing, p.rate(k))
-	part := min(1, room/(rest*rate)) // of the rest, that there is room for
+	rate := max(minRate, p.demand(k))
+	fraction := min(1, available/(remaining*rate)) // of the remaining share, that there is capacity for
 	for _, z := range zones {
-		at := sight.Place{Destination: k.d, Zone: z}
-		if s := floor(rest * part * left[at] / room); s > 0 && len(o.Shares) < mostShares {
+		at := k.placeIn(z)
+		if s := floorShare(remaining * fraction * spare[at] / available); s > 0 && len(o.Shares) < maxShares {
 			o.Shares = append(o.Shares, Share{z, s})
-			left[at] = max(0, left[at]-s*rate)
+			spare[at] = max(0, spare[at]-s*rate)
 		}
 	}
 }
 
-// finish lets the rest stay near, where package choice sheds it with a time. Where no other zone can do anything
-// nothing moves, and all is as without a plan.
-func (p *Planner) finish(k key, o *Route) {
-	if home, _ := p.home(k.d, k.from); !slices.Equal(home, []view.Zone{k.from}) {
+// assignRemainder lets the rest stay near, where package choice sheds it with a Retry-After. Where no other zone can
+// take anything, nothing moves and all is as without a plan.
+func (p *Planner) assignRemainder(k routeKey, o *Route) {
+	if home := p.tiersFor(k).home; !slices.Equal(home, []view.Zone{k.from}) {
 		o.Home = home
 	}
 	moved := 0.0
 	for _, s := range o.Shares {
-		moved += s.Part
+		moved += s.Fraction
 	}
 	if moved == 0 && o.Phase == Away {
-		_, tiers := p.home(k.d, k.from)
-		if !slices.ContainsFunc(slices.Concat(tiers[0], tiers[1]), func(z view.Zone) bool { return p.usable(k, z) }) {
-			o.Phase = Free
+		others := p.tiersFor(k).others
+		if !slices.ContainsFunc(slices.Concat(others[0], others[1]), func(z view.Zone) bool { return p.usable(k, z) }) {
+			o.Phase = Unrestricted
 		}
 	}
 	o.Near = math.Round((1-moved)*1e4) / 1e4
 }
 
-// same tells whether two routes act alike.
-func same(a, b Route) bool {
+// sameEffect reports whether two routes send messages alike.
+func sameEffect(a, b Route) bool {
 	return a.Phase == b.Phase && a.Near == b.Near && a.Step == b.Step && slices.Equal(a.Shares, b.Shares)
 }
 
-// most leaves out routes of the fewest calls until a plan is small enough to be decided: what is left out goes as if
-// all were well, and each process by itself around what it sees fail.
-func (p *Planner) most(next *Plan) {
-	size := next.Bytes()
-	if size <= mostBytes && len(next.Routes) <= MostRoutes {
+// trimToLimits drops routes with the fewest calls until the plan is small enough to be proposed. Messages of dropped
+// routes go to their home, and each process by itself avoids what it sees fail.
+func (p *Planner) trimToLimits(next *Plan) {
+	size := next.EncodedSize()
+	if size <= maxPlanBytes && len(next.Routes) <= MaxRoutes {
 		return
 	}
-	n := min(MostRoutes, len(next.Routes)*9/10*mostBytes/size)
-	by := slices.Clone(next.Routes)
-	slices.SortStableFunc(by, func(a, b Route) int { return cmp.Compare(p.rate(b.key()), p.rate(a.key())) })
-	next.Routes = by[:n]
+	n := min(MaxRoutes, len(next.Routes)*9/10*maxPlanBytes/size)
+	byDemand := slices.Clone(next.Routes)
+	slices.SortStableFunc(byDemand, func(a, b Route) int { return cmp.Compare(p.demand(b.key()), p.demand(a.key())) })
+	next.Routes = byDemand[:n]
 	slices.SortFunc(next.Routes, func(a, b Route) int { return a.key().compare(b.key()) })
 }
 
-// floor rounds down to a ten-thousandth: shares must never add up to more than there is.
-func floor(v float64) float64 { return math.Floor(v*1e4) / 1e4 }
+// floorShare rounds down to a ten-thousandth: shares must never add up to more than 1.
+func floorShare(v float64) float64 { return math.Floor(v*1e4) / 1e4 }
--- /dev/null
+++ b/internal/cluster/failover/run/announce.go
@@ -0,0 +1,126 @@
+package run
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+
+	"go.uber.org/zap"
+
+	"flaxcove/internal/cluster/failover/apply"
+	"flaxcove/internal/cluster/tree"
+	"flaxcove/internal/cluster/view"
+)
+
+// child is what is known of one that is told of the plan here.
+type child struct {
+	epoch       view.Epoch // that it answered last; 0 for not known
+	confirmedAt view.Now   // as of when the leader had what was told in force
+	calling     bool       // a call is out
+	failing     bool       // the last call failed: those below it are told from here
+	triedAt     view.Now
+}
+
+// told is the answer to what came down.
+type planAnswer struct {
+	Epoch view.Epoch `json:"epoch"`
+}
+
+// tellDown tells each child what it does not have, and renews what it has. Where one does not answer, its own children
+// are told from here until it does: a coordinator that died holds nobody's plan back until the tree has changed.
+func (r *Runner) announcePlan(now view.Now, t *tree.Tree) {
+	targets := t.Children(r.options.Self)
+	if r.options.Council.Leading() && t.Root() != r.options.Self && t.Root() != "" {
+		targets = append(targets, t.Root())
+	}
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	visited := map[view.Name]bool{r.options.Self: true}
+	for i := 0; i < len(targets); i++ { // grows by those below who fail
+		name := targets[i]
+		if visited[name] {
+			continue
+		}
+		visited[name] = true
+		c := r.children[name]
+		if c == nil {
+			c = &child{confirmedAt: -r.options.Settings.Hold, triedAt: -r.options.Settings.Hold}
+			r.children[name] = c
+		}
+		if c.failing {
+			targets = append(targets, t.Children(name)...)
+		}
+		r.announceTo(now, name, c)
+	}
+	for name, c := range r.children {
+		if !visited[name] && !c.calling {
+			delete(r.children, name)
+		}
+	}
+}
+
+// tell sends one what it needs, if anything. Called with mu held.
+func (r *Runner) announceTo(now view.Now, name view.Name, c *child) {
+	withPlan := c.epoch != r.holder.Epoch()
+	announcement, found := r.holder.Tell(now, withPlan)
+	renew := r.options.Settings.Hold / renewalsPerHold
+	due := c.epoch < announcement.Epoch || now-announcement.Age-c.confirmedAt >= renew
+	if !found || !due || c.calling || c.failing && now-c.triedAt < renew/2 {
+		return
+	}
+	c.triedAt = now
+	c.calling = r.startCall(func() { r.callWithPlan(name, c, announcement, now) })
+}
+
+func (r *Runner) callWithPlan(name view.Name, c *child, announcement apply.Heard, announcedAt view.Now) {
+	confirmedAt := announcedAt - announcement.Age
+	announcement.Age = r.options.Now() - confirmedAt
+	ctx, cancel := context.WithTimeout(r.ctx, callTimeout)
+	defer cancel()
+	var answer planAnswer
+	err := r.options.Link.Call(ctx, name, planPath, announcement, &answer)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	c.calling = false
+	r.stats.Down++
+	if err != nil {
+		if c.epoch = 0; !c.failing {
+			c.failing = true
+			r.wakeLoop()
+		}
+		r.stats.Failed++
+		return
+	}
+	c.epoch, c.confirmedAt = answer.Epoch, confirmedAt
+	if c.failing = false; answer.Epoch < announcement.Epoch && announcement.Plan == nil || r.holder.Epoch() > announcement.Epoch {
+		r.wakeLoop() // it lost what it had, or there is a newer one by now
+	}
+}
+
+func (r *Runner) handlePlan(_ context.Context, from view.Life, body []byte) (any, error) {
+	var in apply.Heard
+	if err := json.Unmarshal(body, &in); err != nil {
+		r.mu.Lock()
+		defer r.mu.Unlock()
+		r.stats.Malformed++
+		return nil, fmt.Errorf("failover: plan of %s: %w", from.Name, err)
+	}
+	local, now := r.options.Local(), r.options.Now()
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	changed, err := r.holder.Hear(now, in)
+	if err != nil {
+		r.stats.Malformed++
+		r.options.Log.Error("a plan cannot be used", zap.String("from", string(from.Name)), zap.Error(err))
+		return nil, err
+	}
+	r.stats.Received++
+	if changed {
+		local.Ill = r.local.Ill
+	} else {
+		local = r.local
+	}
+	r.compileGuide(now, local)
+	r.wakeLoop() // passed on at once: ages would add up from tier to tier
+	return planAnswer{r.holder.Epoch()}, nil
+}
--- /dev/null
+++ b/internal/cluster/failover/run/reports.go
@@ -0,0 +1,101 @@
+package run
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+
+	"flaxcove/internal/cluster/failover/weigh"
+	"flaxcove/internal/cluster/tree"
+	"flaxcove/internal/cluster/view"
+)
+
+// up is what goes to a parent; Final is to the council's leader, which passes it no further.
+type reportsMessage struct {
+	Reports []weigh.Report `json:"reports"`
+	Final   bool           `json:"final,omitempty"`
+}
+
+// mostUp bounds one message: what is beyond waits for the next turn, as the board has it still.
+const maxReports = 3000
+
+// tellUp passes reports to the parent, past it to its own where it does not answer, and where that does not either to
+// the leader, as the root does. One call is out at a time: what it misses the next one has.
+func (r *Runner) sendReports(now view.Now, t *tree.Tree) {
+	var targets []view.Name
+	if parent, known := t.Parent(r.options.Self); known {
+		targets = append(targets, parent)
+		if above, known := t.Parent(parent); known {
+			targets = append(targets, above)
+		}
+	}
+	leader, known := r.options.Council.Leader()
+	if known && leader != r.options.Self {
+		targets = append(targets, leader)
+	} else {
+		leader = ""
+	}
+	if len(targets) == 0 {
+		return
+	}
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.reporting {
+		return
+	}
+	if targets[0] != r.reportingTo {
+		r.reportingTo = targets[0]
+		r.outgoing.Again()
+	}
+	reports := r.outgoing.Up(now, maxReports)
+	if len(reports) == 0 {
+		return
+	}
+	r.reporting = r.startCall(func() { r.callWithReports(targets, leader, reports) })
+}
+
+func (r *Runner) callWithReports(targets []view.Name, leader view.Name, reports []weigh.Report) {
+	calls, failed := uint64(0), uint64(0)
+	countedFrom := r.options.Now()
+	for i, name := range targets {
+		if waited := r.options.Now() - countedFrom; waited > 0 { // the first did not answer: all is older by that
+			for j := range reports {
+				reports[j].Age += waited
+			}
+			countedFrom += waited
+		}
+		ctx, cancel := context.WithTimeout(r.ctx, callTimeout)
+		err := r.options.Link.Call(ctx, name, reportsPath, reportsMessage{reports, i == len(targets)-1 && name == leader}, nil)
+		cancel()
+		if calls++; err == nil || r.ctx.Err() != nil {
+			break
+		}
+		failed++
+	}
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.reporting = false
+	r.stats.Up, r.stats.Failed = r.stats.Up+calls, r.stats.Failed+failed
+	r.stats.ReportsSent += uint64(len(reports))
+}
+
+func (r *Runner) handleReports(_ context.Context, from view.Life, body []byte) (any, error) {
+	var in reportsMessage
+	err := json.Unmarshal(body, &in)
+	now := r.options.Now()
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if err != nil {
+		r.stats.Malformed++
+		return nil, fmt.Errorf("failover: reports of %s: %w", from.Name, err)
+	}
+	r.stats.Received++
+	board := r.outgoing
+	if in.Final {
+		board = r.collected
+	}
+	if board.Put(now, in.Reports) {
+		r.wakeLoop()
+	}
+	return nil, nil
+}
--- a/internal/cluster/failover/run/run.go
+++ b/internal/cluster/failover/run/run.go
@@ -26,14 +26,14 @@
 )
 
 const (
-	turnEach  = 500 * time.Millisecond
-	leastTurn = 50 * time.Millisecond  // between two turns, however often it is woken
-	weighEach = 150 * time.Millisecond // between two judgements: a message that wakes it is passed on sooner
-	callFor   = 700 * time.Millisecond
-	decideFor = 2 * time.Second
-	renewals  = 5 // in a hold
-	upPath    = "/failover/up"
-	downPath  = "/failover/down"
+	defaultTickInterval = 500 * time.Millisecond
+	minTickInterval     = 50 * time.Millisecond  // between two turns, however often it is woken
+	assessInterval      = 150 * time.Millisecond // between two judgements: a message that wakes it is passed on sooner
+	callTimeout         = 700 * time.Millisecond
+	proposeTimeout      = 2 * time.Second
+	renewalsPerHold     = 5 // in a hold
+	reportsPath         = "/failover/up"
+	planPath            = "/failover/down"
 )
 
 // Link carries calls to other processes.
@@ -43,7 +43,7 @@
 }
 
 // Council decides. A leader without a quorum must not say that it leads for longer than its lease.
-type Council interface {
+type Consensus interface {
 	Propose(ctx context.Context, part, kind string, body any) (json.RawMessage, error)
 	Leader() (view.Name, bool)
 	Leading() bool
@@ -52,68 +52,68 @@
 
 // Options are what it is started with; all but Term, Turn and Log must be set.
 type Options struct {
-	Self      view.Name
-	Zone      view.Zone
-	Now       func() view.Now // since the process began; monotonic
-	Link      Link
-	Council   Council
-	InForce   *plan.InForce                   // the council's part; read inside Council.Read alone
-	Term      func() uint64                   // the council's, at its leader; nil for 0
-	Tree      func() *tree.Tree               // as of now
-	Sightings func(view.Now) []sight.Sighting // of this process, and at a zone's head of its zone
-	Local     func() apply.Local              // Ill is filled in here
-	Bounds    weigh.Bounds
-	Settings  plan.Settings
-	Turn      time.Duration // turnEach if 0
-	Log       *zap.Logger
+	Self         view.Name
+	Zone         view.Zone
+	Now          func() view.Now // since the process began; monotonic
+	Link         Link
+	Council      Consensus
+	InForce      *plan.InForce                   // the council's part; read inside Council.Read alone
+	Term         func() uint64                   // the council's, at its leader; nil for 0
+	Tree         func() *tree.Tree               // as of now
+	Sightings    func(view.Now) []sight.Sighting // of this process, and at a zone's head of its zone
+	Local        func() apply.Local              // Ill is filled in here
+	Bounds       weigh.Bounds
+	Settings     plan.Settings
+	TickInterval time.Duration // turnEach if 0
+	Log          *zap.Logger
 }
 
 // Stats are counts since the start, but for Epoch (of the plan that counts; 0 for none) and Leading.
 type Stats struct {
-	Epoch               view.Epoch
-	Leading             bool
-	Up, Down            uint64 // calls out
-	Failed              uint64 // of these
-	Reports, Plans      uint64 // reports passed up; plans decided here
-	Refused, Heard, Bad uint64 // plans not decided; messages taken; messages that could not be read
+	Epoch                              view.Epoch
+	Leading                            bool
+	Up, Down                           uint64 // calls out
+	Failed                             uint64 // of these
+	ReportsSent, Plans                 uint64 // reports passed up; plans decided here
+	PlansRejected, Received, Malformed uint64 // plans not decided; messages taken; messages that could not be read
 }
 
 // compiled is what attempts ask, and until when.
-type compiled struct {
-	guide *apply.Guide
-	until view.Now
+type compiledGuide struct {
+	guide     *apply.Guide
+	expiresAt view.Now
 }
 
 // Runner is one process's.
 type Runner struct {
-	o       Options
-	guide   atomic.Pointer[compiled]
-	wake    chan struct{}
-	ctx     context.Context
-	cancel  context.CancelFunc
-	working sync.WaitGroup
+	options    Options
+	guide      atomic.Pointer[compiledGuide]
+	wake       chan struct{}
+	ctx        context.Context
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup
 
 	// mu stands beside node.mu in the order of package cluster: no other lock is taken under it.
-	mu      sync.Mutex
-	closed  bool
-	holder  apply.Holder
-	passing *weigh.Board // what is passed up
-	all     *weigh.Board // at the leader: what came from the root
-	planner *plan.Planner
-	local   apply.Local
-	made    *plan.Plan // that guide was compiled of
-	out     map[view.Name]*child
-	uping   bool
-	upTo    view.Name // who got the last reports
-	weighed view.Now  // when reports were last made, and judged
-	asking  bool      // a proposal is out
-	stats   Stats
+	mu           sync.Mutex
+	closed       bool
+	holder       apply.Holder
+	outgoing     *weigh.Board // what is passed up
+	collected    *weigh.Board // at the leader: what came from the root
+	planner      *plan.Planner
+	local        apply.Local
+	compiledFrom *plan.Plan // that guide was compiled of
+	children     map[view.Name]*child
+	reporting    bool
+	reportingTo  view.Name // who got the last reports
+	assessedAt   view.Now  // when reports were last made, and judged
+	proposing    bool      // a proposal is out
+	stats        Stats
 }
 
 // Start begins; handlers are added to the link at once.
 func Start(o Options) *Runner {
-	if o.Turn <= 0 {
-		o.Turn = turnEach
+	if o.TickInterval <= 0 {
+		o.TickInterval = defaultTickInterval
 	}
 	if o.Log == nil {
 		o.Log = zap.NewNop()
@@ -121,12 +121,12 @@
 	if o.Term == nil {
 		o.Term = func() uint64 { return 0 }
 	}
-	r := &Runner{o: o, weighed: -weighEach, wake: make(chan struct{}, 1), out: map[view.Name]*child{},
-		passing: weigh.NewBoard(o.Bounds), all: weigh.NewBoard(o.Bounds)}
+	r := &Runner{options: o, assessedAt: -assessInterval, wake: make(chan struct{}, 1), children: map[view.Name]*child{},
+		outgoing: weigh.NewBoard(o.Bounds), collected: weigh.NewBoard(o.Bounds)}
 	r.ctx, r.cancel = context.WithCancel(context.Background())
-	o.Link.Handle(upPath, r.hearUp)
-	o.Link.Handle(downPath, r.hearDown)
-	r.working.Add(1)
+	o.Link.Handle(reportsPath, r.handleReports)
+	o.Link.Handle(planPath, r.handlePlan)
+	r.goroutines.Add(1)
 	go r.loop()
 	return r
 }
@@ -137,12 +137,12 @@
 	r.closed = true
 	r.mu.Unlock()
 	r.cancel()
-	r.working.Wait()
+	r.goroutines.Wait()
 }
 
 // Guide is what counts now: nil when no plan does.
 func (r *Runner) Guide() together.Guide {
-	if c := r.guide.Load(); c != nil && r.o.Now() < c.until {
+	if c := r.guide.Load(); c != nil && r.options.Now() < c.expiresAt {
 		return c.guide
 	}
 	return nil
@@ -150,7 +150,7 @@
 
 // Stats are counts for operators.
 func (r *Runner) Stats() Stats {
-	leading, now := r.o.Council.Leading(), r.o.Now()
+	leading, now := r.options.Council.Leading(), r.options.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := r.stats
@@ -163,11 +163,11 @@
 }
 
 func (r *Runner) loop() {
-	defer r.working.Done()
-	ticker := time.NewTicker(r.o.Turn)
+	defer r.goroutines.Done()
+	ticker := time.NewTicker(r.options.TickInterval)
 	defer ticker.Stop()
 	for {
-		r.turn()
+		r.tick()
 		select {
 		case <-r.ctx.Done():
 			return
@@ -176,14 +176,14 @@
 			select { // what comes together is told together
 			case <-r.ctx.Done():
 				return
-			case <-time.After(leastTurn):
+			case <-time.After(minTickInterval):
 			}
 		}
 	}
 }
 
 // news has the next turn come at once.
-func (r *Runner) news() {
+func (r *Runner) wakeLoop() {
 	select {
 	case r.wake <- struct{}{}:
 	default:
@@ -191,72 +191,72 @@
 }
 
 // begin starts a call in a goroutine of its own; false once closed. Called with mu held.
-func (r *Runner) begin(f func()) bool {
+func (r *Runner) startCall(f func()) bool {
 	if r.closed {
 		return false
 	}
-	r.working.Go(f)
+	r.goroutines.Go(f)
 	return true
 }
 
-func (r *Runner) turn() {
-	now, t := r.o.Now(), r.o.Tree()
+func (r *Runner) tick() {
+	now, t := r.options.Now(), r.options.Tree()
 	if t == nil {
 		return
 	}
-	seen, local := r.o.Sightings(now), r.o.Local()
-	local.Ill = r.ill(seen, local)
-	weighs := now-r.weighed >= min(weighEach, r.o.Turn)
-	if weighs {
-		r.weighed = now
+	reports, local := r.options.Sightings(now), r.options.Local()
+	local.Ill = r.failingEndpoints(reports, local)
+	assess := now-r.assessedAt >= min(assessInterval, r.options.TickInterval)
+	if assess {
+		r.assessedAt = now
 	}
-	if weighs && t.ZoneHead(r.o.Zone) == r.o.Self {
-		reports := slices.DeleteFunc(weigh.Zonal(r.o.Zone, seen, r.o.Bounds), func(w weigh.Report) bool {
-			return w.Idle() && w.Zone != r.o.Zone && t.ZoneHead(w.Zone) != "" // its own zone tells of it
+	if assess && t.ZoneHead(r.options.Zone) == r.options.Self {
+		summaries := slices.DeleteFunc(weigh.Zonal(r.options.Zone, reports, r.options.Bounds), func(w weigh.Report) bool {
+			return w.Idle() && w.Zone != r.options.Zone && t.ZoneHead(w.Zone) != "" // its own zone tells of it
 		})
 		r.mu.Lock()
-		r.passing.Put(now, reports)
+		r.outgoing.Put(now, summaries)
 		r.mu.Unlock()
 	}
-	r.lead(now, t, weighs)
+	r.leaderTick(now, t, assess)
 	r.mu.Lock()
-	r.compile(now, local)
+	r.compileGuide(now, local)
 	r.mu.Unlock()
-	r.tellUp(now, t)
-	r.tellDown(now, t)
+	r.sendReports(now, t)
+	r.announcePlan(now, t)
 }
 
 // ill is what this process sees fail by itself.
-func (r *Runner) ill(seen []sight.Sighting, local apply.Local) map[apply.At]bool {
-	own := map[sight.Place][]sight.Sighting{}
-	for _, s := range seen {
-		if s.Witness == r.o.Self {
-			own[s.Place] = append(own[s.Place], s)
+func (r *Runner) failingEndpoints(reports []sight.Sighting, local apply.Local) map[apply.At]bool {
+	ownReports := map[sight.Place][]sight.Sighting{}
+	for _, s := range reports {
+		if s.Witness == r.options.Self {
+			ownReports[s.Place] = append(ownReports[s.Place], s)
 		}
 	}
-	ill := map[apply.At]bool{}
-	for at, rows := range own {
-		if no, known := local.Numbers[at.Zone]; known && weigh.Ill(rows, r.o.Bounds) {
-			ill[apply.At{Destination: at.Destination, Zone: no}] = true
+	failing := map[apply.At]bool{}
+	for at, rows := range ownReports {
+		if no, known := local.Numbers[at.Zone]; known && weigh.Ill(rows, r.options.Bounds) {
+			failing[apply.At{Destination: at.Destination, Zone: no}] = true
 		}
 	}
-	return ill
+	return failing
 }
 
 // compile makes the guide anew where the plan or what is known here has changed, and tells until when it counts.
 // Called with mu held.
-func (r *Runner) compile(now view.Now, local apply.Local) {
+func (r *Runner) compileGuide(now view.Now, local apply.Local) {
 	p, until := r.holder.Plan(now)
 	if p == nil {
 		r.guide.Store(nil)
-		r.made = nil
+		r.compiledFrom = nil
 		return
 	}
 	old := r.guide.Load()
-	if old != nil && p == r.made && alike(local, r.local) {
-		r.guide.Store(&compiled{old.guide, until})
+	if old != nil && p == r.compiledFrom && sameLocal(local, r.local) {
+		r.guide.Store(&compiledGuide{old.guide, until})
 		return
 	}
-	r.made, r.local = p, local
-	r.guide.Store(&compiled{apply.Compile(p, local), until})
+	r.compiledFrom, r.local = p, local
+	r.guide.Store(&compiledGuide{apply.Compile(p, local), until})
 }
--- a/internal/cluster/failover/run/run_test.go
+++ b/internal/cluster/failover/run/run_test.go
@@ -25,7 +25,7 @@
 type handler = func(context.Context, view.Life, []byte) (any, error)
 
 // world is processes in memory: a link that can lose any of them, and a council of one mind.
-type world struct {
+type testCluster struct {
 	mu       sync.Mutex
 	members  []view.Member
 	tree     *tree.Tree
@@ -40,30 +40,30 @@
 
 var errDown = errors.New("no answer")
 
-type end struct {
-	w    *world
-	self view.Name
+type testLink struct {
+	cluster *testCluster
+	self    view.Name
 }
 
-func (e end) Handle(path string, h handler) {
-	e.w.mu.Lock()
-	defer e.w.mu.Unlock()
-	if e.w.handlers[e.self] == nil {
-		e.w.handlers[e.self] = map[string]handler{}
+func (e testLink) Handle(path string, h handler) {
+	e.cluster.mu.Lock()
+	defer e.cluster.mu.Unlock()
+	if e.cluster.handlers[e.self] == nil {
+		e.cluster.handlers[e.self] = map[string]handler{}
 	}
-	e.w.handlers[e.self][path] = h
+	e.cluster.handlers[e.self][path] = h
 }
 
-func (e end) Call(ctx context.Context, to view.Name, path string, in, out any) error {
+func (e testLink) Call(ctx context.Context, to view.Name, path string, in, out any) error {
 	body, err := json.Marshal(in)
 	if err != nil {
 		return err
 	}
-	e.w.mu.Lock()
-	h := e.w.handlers[to][path]
-	lost := h == nil || e.w.down[to] || e.w.down[e.self]
-	e.w.calls[to]++
-	e.w.mu.Unlock()
+	e.cluster.mu.Lock()
+	h := e.cluster.handlers[to][path]
+	lost := h == nil || e.cluster.down[to] || e.cluster.down[e.self]
+	e.cluster.calls[to]++
+	e.cluster.mu.Unlock()
 	if lost {
 		return errDown
 	}
@@ -77,33 +77,33 @@
 	return json.Unmarshal(body, out)
 }
 
-func (e end) Propose(_ context.Context, _, kind string, body any) (json.RawMessage, error) {
+func (e testLink) Propose(_ context.Context, _, kind string, body any) (json.RawMessage, error) {
 	b, err := json.Marshal(body)
 	if err != nil {
 		return nil, err
 	}
-	e.w.mu.Lock()
-	defer e.w.mu.Unlock()
-	if e.w.leader != e.self {
+	e.cluster.mu.Lock()
+	defer e.cluster.mu.Unlock()
+	if e.cluster.leader != e.self {
 		return nil, errors.New("leads no more")
 	}
-	return e.w.inForce.Apply(1, 0, kind, b)
+	return e.cluster.inForce.Apply(1, 0, kind, b)
 }
 
-func (e end) Leader() (view.Name, bool) {
-	e.w.mu.Lock()
-	defer e.w.mu.Unlock()
-	return e.w.leader, e.w.leader != ""
+func (e testLink) Leader() (view.Name, bool) {
+	e.cluster.mu.Lock()
+	defer e.cluster.mu.Unlock()
+	return e.cluster.leader, e.cluster.leader != ""
 }
 
-func (e end) Leading() bool { l, known := e.Leader(); return known && l == e.self }
+func (e testLink) Leading() bool { l, known := e.Leader(); return known && l == e.self }
 
-func (e end) Read(f func(uint64)) { e.w.mu.Lock(); defer e.w.mu.Unlock(); f(1) }
+func (e testLink) Read(f func(uint64)) { e.cluster.mu.Lock(); defer e.cluster.mu.Unlock(); f(1) }
 
 var zones = []view.Zone{"a1", "a2", "b1", "b2"}
 
-func newWorld(t *testing.T, perZone int) *world {
-	w := &world{handlers: map[view.Name]map[string]handler{}, down: map[view.Name]bool{}, failing: map[view.Zone]bool{},
+func newTestCluster(t *testing.T, perZone int) *testCluster {
+	w := &testCluster{handlers: map[view.Name]map[string]handler{}, down: map[view.Name]bool{}, failing: map[view.Zone]bool{},
 		runners: map[view.Name]*Runner{}, calls: map[view.Name]int{}}
 	for _, z := range zones {
 		for i := range perZone {
@@ -120,26 +120,26 @@
 	return w
 }
 
-func (w *world) start(m view.Member) {
+func (w *testCluster) start(m view.Member) {
 	begun := time.Now()
 	set := plan.Usual()
-	set.Gap, set.Hold, set.Calm = 50*time.Millisecond, time.Second, 200*time.Millisecond
-	e := end{w, m.Name}
+	set.MinPlanInterval, set.Hold, set.MinReturnDelay = 50*time.Millisecond, time.Second, 200*time.Millisecond
+	e := testLink{w, m.Name}
 	w.mu.Lock()
 	delete(w.handlers, m.Name)
 	w.mu.Unlock()
 	r := Start(Options{Self: m.Name, Zone: m.Zone, Now: func() view.Now { return time.Since(begun) }, Link: e, Council: e,
 		InForce: &w.inForce, Tree: func() *tree.Tree { w.mu.Lock(); defer w.mu.Unlock(); return w.tree },
-		Sightings: func(view.Now) []sight.Sighting { return w.sightings(m.Zone) },
+		Sightings: func(view.Now) []sight.Sighting { return w.healthReports(m.Zone) },
 		Local: func() apply.Local {
 			return apply.Local{Zone: m.Zone, Numbers: map[view.Zone]choice.ZoneNo{"a1": 0, "a2": 1, "b1": 2, "b2": 3},
 				Listed: map[choice.DestinationID][]choice.ZoneNo{1: {0, 1, 2, 3}}}
-		}, Bounds: weigh.Usual(), Settings: set, Turn: 20 * time.Millisecond})
+		}, Bounds: weigh.Usual(), Settings: set, TickInterval: 20 * time.Millisecond})
 	w.runners[m.Name] = r
 }
 
 // sightings are those of two processes a zone that send near alone.
-func (w *world) sightings(z view.Zone) (all []sight.Sighting) {
+func (w *testCluster) healthReports(z view.Zone) (all []sight.Sighting) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for i := range 2 {
@@ -154,24 +154,24 @@
 }
 
 // within waits until all that are up say so, or fails.
-func (w *world) within(t *testing.T, d time.Duration, what string, say func(view.Member, *Runner) bool) {
+func (w *testCluster) waitFor(t *testing.T, d time.Duration, what string, holds func(view.Member, *Runner) bool) {
 	t.Helper()
-	begun := time.Now()
+	started := time.Now()
 	for {
 		missing := ""
 		for _, m := range w.members {
 			w.mu.Lock()
 			down := w.down[m.Name]
 			w.mu.Unlock()
-			if !down && !say(m, w.runners[m.Name]) {
+			if !down && !holds(m, w.runners[m.Name]) {
 				missing = fmt.Sprint(missing, " ", m.Name)
 			}
 		}
 		if missing == "" {
-			t.Logf("%s: after %v", what, time.Since(begun).Round(time.Millisecond))
+			t.Logf("%s: after %v", what, time.Since(started).Round(time.Millisecond))
 			return
 		}
-		if time.Since(begun) > d {
+		if time.Since(started) > d {
 			w.mu.Lock()
 			defer w.mu.Unlock()
 			t.Fatalf("%s: not at%s after %v; led by %s, in force %+v", what, missing, d, w.leader, w.inForce.Plan())
@@ -199,8 +199,8 @@
 
 func planned(_ view.Member, r *Runner) bool { return r.Guide() != nil }
 
-func TestPlanReachesAllWithoutTheirCoordinators(t *testing.T) {
-	w := newWorld(t, 3)
+func TestPlanReachesAllWithoutCoordinators(t *testing.T) {
+	w := newTestCluster(t, 3)
 	w.leader = w.members[len(w.members)-1].Name
 	if w.leader == w.tree.Root() {
 		w.leader = w.members[0].Name
@@ -208,11 +208,11 @@
 	for _, m := range w.members {
 		w.start(m)
 	}
-	w.within(t, 5*time.Second, "a first plan", planned)
+	w.waitFor(t, 5*time.Second, "a first plan", planned)
 	w.mu.Lock()
 	w.failing["a1"] = true
 	w.mu.Unlock()
-	w.within(t, 5*time.Second, "moved", moved)
+	w.waitFor(t, 5*time.Second, "moved", moved)
 
 	w.mu.Lock() // from here on the root and the head of zone b1 are gone, and no view has noticed
 	w.down[w.tree.Root()], w.down[w.tree.ZoneHead("b1")] = true, true
@@ -227,7 +227,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.within(t, 5*time.Second, "past those who are gone", func(_ view.Member, r *Runner) bool {
+	w.waitFor(t, 5*time.Second, "past those who are gone", func(_ view.Member, r *Runner) bool {
 		return r.Stats().Epoch >= before.Epoch
 	})
 
@@ -246,7 +246,7 @@
 	}
 	w.failing[other] = true
 	w.mu.Unlock()
-	w.within(t, 5*time.Second, "decided by another", func(m view.Member, r *Runner) bool {
+	w.waitFor(t, 5*time.Second, "decided by another", func(m view.Member, r *Runner) bool {
 		w.mu.Lock()
 		p := w.inForce.Plan()
 		w.mu.Unlock()
@@ -255,42 +255,42 @@
 	})
 }
 
-func TestLapsesWithoutALeader(t *testing.T) {
-	w := newWorld(t, 2)
+func TestPlanLapsesWithoutALeader(t *testing.T) {
+	w := newTestCluster(t, 2)
 	w.leader = "a1-0"
 	for _, m := range w.members {
 		w.start(m)
 	}
-	w.within(t, 5*time.Second, "a first plan", planned)
+	w.waitFor(t, 5*time.Second, "a first plan", planned)
 	time.Sleep(1200 * time.Millisecond) // longer than it holds unheard of
-	w.within(t, 0, "renewed", planned)
+	w.waitFor(t, 0, "renewed", planned)
 	w.runners["b2-1"].Close() // a process begins anew, with nothing
 	w.start(w.members[len(w.members)-1])
-	w.within(t, 2*time.Second, "told again", planned)
+	w.waitFor(t, 2*time.Second, "told again", planned)
 	w.mu.Lock()
 	w.leader = "" // no quorum: the old leader knows it
 	w.mu.Unlock()
-	w.within(t, 4*time.Second, "lapsed", func(m view.Member, r *Runner) bool { return r.Guide() == nil })
+	w.waitFor(t, 4*time.Second, "lapsed", func(m view.Member, r *Runner) bool { return r.Guide() == nil })
 	w.mu.Lock()
 	w.leader = "b1-0"
 	w.mu.Unlock()
-	w.within(t, 4*time.Second, "in force again", planned)
+	w.waitFor(t, 4*time.Second, "in force again", planned)
 }
 
-func TestSpoiltMessagesChangeNothing(t *testing.T) {
-	w := newWorld(t, 1)
+func TestMalformedMessagesChangeNothing(t *testing.T) {
+	w := newTestCluster(t, 1)
 	w.leader = "a1-0"
 	for _, m := range w.members {
 		w.start(m)
 	}
-	w.within(t, 5*time.Second, "a first plan", planned)
+	w.waitFor(t, 5*time.Second, "a first plan", planned)
 	r := w.runners["b1-0"]
 	epoch := r.Stats().Epoch
 	for _, body := range []string{`{`, `{"epoch":99,"plan":{"epoch":99,"hold":-1}}`, `{"epoch":99,"age":-5}`} {
-		r.hearDown(t.Context(), view.Life{Name: "x"}, []byte(body))
-		r.hearUp(t.Context(), view.Life{Name: "x"}, []byte(body))
+		r.handlePlan(t.Context(), view.Life{Name: "x"}, []byte(body))
+		r.handleReports(t.Context(), view.Life{Name: "x"}, []byte(body))
 	}
-	if s := r.Stats(); s.Epoch != epoch || s.Bad != 3 {
+	if s := r.Stats(); s.Epoch != epoch || s.Malformed != 3 {
 		t.Errorf("%+v after spoilt messages at epoch %d", s, epoch)
 	}
 }
--- a/internal/cluster/failover/weigh/judge.go
+++ b/internal/cluster/failover/weigh/judge.go
@@ -8,84 +8,93 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// Pair is a place as one zone sees it. Rates are calls a second.
-type Pair struct {
+// ZoneView is what one zone sees of a place. Rates are calls a second.
+type ZoneView struct {
 	From                view.Zone
 	State               State
-	Part                float64 // of its calls that are answered, where Weak
+	SuccessShare        float64 // of its calls that are answered, where Degraded
 	Sent, Done, Refused float64
 }
 
-// Standing is what is known of a place in common.
-type Standing struct {
+// PlaceHealth is what is known of a place from the reports of all zones.
+type PlaceHealth struct {
 	sight.Place
-	State     State // for a zone that has seen nothing of it
-	Part      float64
-	Limit     float64 // calls a second of all senders; 0 where none was told
-	Rating    float64
-	Endpoints int
-	Done      float64 // calls a second, of all zones
-	Refused   float64
-	Witnesses []view.Name // of Bad
-	Pairs     []Pair      // by From; only zones that sent there
+	State            State // for a zone that has seen nothing of it
+	SuccessShare     float64
+	Limit            float64 // calls a second of all senders together; 0 where none is known
+	Rating           float64
+	Endpoints        int
+	Done             float64 // calls a second, of all zones
+	Refused          float64
+	FailureWitnesses []view.Name // where Failing
+	ByZone           []ZoneView  // sorted by From; only zones that sent there
 }
 
-// For is the place's state as it counts for what a zone sends: what that zone sees itself, else what is known.
-func (s Standing) For(from view.Zone) (State, float64) {
-	for _, p := range s.Pairs {
+// StateFrom returns the place's state and success share for messages that a zone sends: what that zone sees itself if
+// it sees anything, otherwise the common state.
+func (s PlaceHealth) StateFrom(from view.Zone) (State, float64) {
+	for _, p := range s.ByZone {
 		if p.From == from && p.State != Unknown {
-			return p.State, p.Part
+			return p.State, p.SuccessShare
 		}
 	}
-	return s.State, s.Part
+	return s.State, s.SuccessShare
 }
 
-// half stands for the part that a place can do of which that is not known: one zone is answered and its own is not, or
-// a few calls failed and none was answered.
-const half = 0.5
+// assumedSuccessShare stands in for a success share that is not known: one zone gets answers and the place's own zone
+// does not, or a few calls failed and none was answered.
+const assumedSuccessShare = 0.5
 
-type pool struct{ failures, successes float64 }
+// outcomes counts failed and answered calls.
+type outcomes struct{ failures, successes float64 }
 
-// Judge weighs the reports of all zones, one for each zone and place, into standings by place, sorted. A place is bad
-// for all only if two zones say so and none is answered there, or if all witnesses of its own zone do and none is
-// answered; where one zone fails and others are answered it is the link, and that zone's traffic alone is meant.
-func Judge(reports []Report, b Bounds) []Standing {
+// link is from a zone that sends to a zone that is sent to.
+type link struct{ from, to view.Zone }
+
+// Judge combines the reports of all zones, one for each zone and place, into the health of each place, sorted by
+// place. A place is failing for everyone only if two zones say so and none gets answers, or if all witnesses of its
+// own zone say so and none gets answers. Where one zone fails and others get answers, the link is at fault and only
+// that zone's traffic is concerned.
+func Judge(reports []Report, b Bounds) []PlaceHealth {
 	reports = slices.Clone(reports)
 	slices.SortStableFunc(reports, func(x, y Report) int {
-		return cmp.Or(Order(x.Place, y.Place), cmp.Compare(x.From, y.From))
+		return cmp.Or(ComparePlaces(x.Place, y.Place), cmp.Compare(x.From, y.From))
 	})
-	pools := pooled(reports, b)
-	var all []Standing
+	outcomesByZones := sumByZones(reports, b)
+	var places []PlaceHealth
 	for i := 0; i < len(reports); {
 		j := i
 		for j < len(reports) && reports[j].Place == reports[i].Place {
 			j++
 		}
-		if s, ok := stand(reports[i:j], pools, b); ok {
-			all = append(all, s)
+		if s, ok := assessPlace(reports[i:j], outcomesByZones, b); ok {
+			places = append(places, s)
 		}
 		i = j
 	}
-	settle(all, reports, b)
-	return all
+	settleCommonStates(places, reports, b)
+	return places
 }
 
-// pooled sums what a zone sees of all places in another: a place with few calls falls with the rest of its zone, so
-// that one fall makes one plan and not one for each destination as its calls come.
-func pooled(reports []Report, b Bounds) map[[2]view.Zone]pool {
-	pools := map[[2]view.Zone]pool{}
+// sumByZones sums what each zone sees of all places in another. A place with few calls is then judged together with
+// the rest of its zone, so that the failure of a zone makes one plan rather than one for each destination as its calls
+// fail.
+func sumByZones(reports []Report, b Bounds) map[link]outcomes {
+	sums := map[link]outcomes{}
 	for _, r := range reports {
 		if r.Age <= b.MaxAge {
-			key := [2]view.Zone{r.From, r.Zone}
-			p := pools[key]
-			pools[key] = pool{p.failures + r.Failures, p.successes + r.Successes}
+			key := link{r.From, r.Zone}
+			p := sums[key]
+			sums[key] = outcomes{p.failures + r.Failures, p.successes + r.Successes}
 		}
 	}
-	return pools
+	return sums
 }
 
-func stand(reports []Report, pools map[[2]view.Zone]pool, b Bounds) (Standing, bool) {
-	s := Standing{Place: reports[0].Place, Part: 1}
+// assessPlace combines the reports about one place; false if all of them are too old. The common state is left to
+// settleCommonStates.
+func assessPlace(reports []Report, outcomesByZones map[link]outcomes, b Bounds) (PlaceHealth, bool) {
+	s := PlaceHealth{Place: reports[0].Place, SuccessShare: 1}
 	known := false
 	for _, r := range reports {
 		if r.Age < 0 || r.Age > b.IdleAge {
@@ -96,94 +105,109 @@
 		if r.Age > b.MaxAge || r.Idle() {
 			continue
 		}
-		p := Pair{From: r.From, Sent: r.Sent, Done: r.Done, Refused: r.Refused}
-		p.State, p.Part = seen(r, pools[[2]view.Zone{r.From, r.Zone}], b)
+		p := ZoneView{From: r.From, Sent: r.Sent, Done: r.Done, Refused: r.Refused}
+		p.State, p.SuccessShare = stateSeenBy(r, outcomesByZones[link{r.From, r.Zone}], b)
 		s.Done, s.Refused = s.Done+r.Done, s.Refused+r.Refused
-		s.Pairs = append(s.Pairs, p)
+		s.ByZone = append(s.ByZone, p)
 	}
 	return s, known
 }
 
-// seen is one zone's word: by two witnesses or by all of its own that sent there, and beyond luck.
-func seen(r Report, p pool, b Bounds) (State, float64) {
-	state, part := b.state(r.Failures, r.Successes)
-	agreed := r.Bad >= 2 && r.Bad > r.Well || r.Bad > 0 && r.Well == 0
+// stateSeenBy is the state of a place as the witnesses of one zone see it. Failing takes two witnesses, or all of the
+// zone's witnesses that sent there, and more failures than chance explains.
+func stateSeenBy(r Report, zoneOutcomes outcomes, b Bounds) (State, float64) {
+	state, share := b.classify(r.Failures, r.Successes)
+	majority := r.FailingWitnesses >= 2 && r.FailingWitnesses > r.HealthyWitnesses ||
+		r.FailingWitnesses > 0 && r.HealthyWitnesses == 0
 	switch {
-	case state == Bad && !agreed:
-		return Weak, max(0.1, r.Successes/max(1, r.Failures+r.Successes)) // some fail wholly, others not
-	case state != Bad && r.Bad > 0:
-		// Its zone falls as a whole, of which this is one place.
-		if whole, _ := b.state(p.failures, p.successes); whole == Bad {
-			return Bad, 0
+	case state == Failing && !majority:
+		return Degraded, max(0.1, r.Successes/max(1, r.Failures+r.Successes)) // all calls of some witnesses fail, those of others don't
+	case state != Failing && r.FailingWitnesses > 0:
+		// The whole zone fails, and this is one of its places.
+		if zoneState, _ := b.classify(zoneOutcomes.failures, zoneOutcomes.successes); zoneState == Failing {
+			return Failing, 0
 		}
-	case state == Weak && r.Bad == 1 && r.Well > 0:
-		return Well, 1 // one sender's trouble
+	case state == Degraded && r.FailingWitnesses == 1 && r.HealthyWitnesses > 0:
+		return Healthy, 1 // one sender's fault
 	}
-	return state, part
+	return state, share
 }
 
-// settle finds what holds for zones that have seen nothing of a place. A zone that sees places of two zones or more
-// fail and none answer, where others are answered, is cut off itself: its word counts for nobody else.
-func settle(all []Standing, reports []Report, b Bounds) {
-	away := cutOff(all)
-	for i := range all {
-		s := &all[i]
-		bad, well, weak, own, part := 0, 0, 0, false, 1.0
-		for _, p := range s.Pairs {
-			switch {
-			case p.State == Bad && !away[p.From]:
-				bad, own = bad+1, own || p.From == s.Zone
-			case p.State == Well:
-				well++
-			case p.State == Weak:
-				weak, part = weak+1, min(part, p.Part)
-			}
+// settleCommonStates sets the state that holds for zones that have seen nothing of a place. The word of an isolated
+// zone counts for no other zone.
+func settleCommonStates(places []PlaceHealth, reports []Report, b Bounds) {
+	isolated := isolatedZones(places)
+	for i := range places {
+		s := &places[i]
+		s.settleCommonState(isolated)
+		if s.State == Failing {
+			s.FailureWitnesses = failureWitnesses(reports, s.Place, b)
 		}
+	}
+}
+
+func (s *PlaceHealth) settleCommonState(isolated map[view.Zone]bool) {
+	failing, healthy, degraded := 0, 0, 0
+	failsAtHome, share := false, 1.0
+	for _, seen := range s.ByZone {
 		switch {
-		case well == 0 && weak == 0 && (bad >= 2 || own):
-			s.State, s.Part, s.Witnesses = Bad, 0, named(reports, s.Place, b)
-		case weak > 0 && well == 0 || own:
-			s.State, s.Part = Weak, min(part, half)
-			if weak > 0 {
-				s.Part = part
-			}
-		case well > 0:
-			s.State = Well
+		case seen.State == Failing && !isolated[seen.From]:
+			failing++
+			failsAtHome = failsAtHome || seen.From == s.Zone
+		case seen.State == Healthy:
+			healthy++
+		case seen.State == Degraded:
+			degraded++
+			share = min(share, seen.SuccessShare)
+		}
+	}
+	switch {
+	case healthy == 0 && degraded == 0 && (failing >= 2 || failsAtHome):
+		s.State, s.SuccessShare = Failing, 0
+	case degraded > 0 && healthy == 0 || failsAtHome:
+		s.State, s.SuccessShare = Degraded, share
+		if degraded == 0 {
+			s.SuccessShare = assumedSuccessShare
 		}
+	case healthy > 0:
+		s.State = Healthy
 	}
 }
 
-func cutOff(all []Standing) map[view.Zone]bool {
-	zones, well, alone := map[view.Zone]map[view.Zone]bool{}, map[view.Zone]bool{}, map[view.Zone]bool{}
-	for _, s := range all {
-		answered := slices.ContainsFunc(s.Pairs, func(p Pair) bool { return p.State == Well })
-		for _, p := range s.Pairs {
-			well[p.From] = well[p.From] || p.State == Well || p.State == Weak
-			if p.State == Bad {
-				if zones[p.From] == nil {
-					zones[p.From] = map[view.Zone]bool{}
+// isolatedZones returns the zones that are cut off themselves: they see places of two zones or more fail and none
+// answer, while other zones get answers there.
+func isolatedZones(places []PlaceHealth) map[view.Zone]bool {
+	failingZones := map[view.Zone]map[view.Zone]bool{} // by the zone that sees them fail
+	sawHealthy, othersAnswered := map[view.Zone]bool{}, map[view.Zone]bool{}
+	for _, s := range places {
+		answered := slices.ContainsFunc(s.ByZone, func(p ZoneView) bool { return p.State == Healthy })
+		for _, p := range s.ByZone {
+			sawHealthy[p.From] = sawHealthy[p.From] || p.State == Healthy || p.State == Degraded
+			if p.State == Failing {
+				if failingZones[p.From] == nil {
+					failingZones[p.From] = map[view.Zone]bool{}
 				}
-				zones[p.From][s.Zone] = true
-				alone[p.From] = alone[p.From] || answered
+				failingZones[p.From][s.Zone] = true
+				othersAnswered[p.From] = othersAnswered[p.From] || answered
 			}
 		}
 	}
-	away := map[view.Zone]bool{}
-	for from, of := range zones {
-		if len(of) >= 2 && !well[from] && alone[from] {
-			away[from] = true
+	isolated := map[view.Zone]bool{}
+	for from, seenFailing := range failingZones {
+		if len(seenFailing) >= 2 && !sawHealthy[from] && othersAnswered[from] {
+			isolated[from] = true
 		}
 	}
-	return away
+	return isolated
 }
 
-// named tells who saw it; reports are sorted by place.
-func named(reports []Report, place sight.Place, b Bounds) []view.Name {
+// failureWitnesses returns the names of witnesses of a place's failure. The reports must be sorted by place.
+func failureWitnesses(reports []Report, place sight.Place, b Bounds) []view.Name {
 	var names []view.Name
-	i, _ := slices.BinarySearchFunc(reports, place, func(r Report, p sight.Place) int { return Order(r.Place, p) })
+	i, _ := slices.BinarySearchFunc(reports, place, func(r Report, p sight.Place) int { return ComparePlaces(r.Place, p) })
 	for ; i < len(reports) && reports[i].Place == place; i++ {
-		if r := reports[i]; r.Bad > 0 && r.Age <= b.MaxAge && len(names) < 2*b.Named {
-			names = append(names, r.By...)
+		if r := reports[i]; r.FailingWitnesses > 0 && r.Age <= b.MaxAge && len(names) < 2*b.MaxNames {
+			names = append(names, r.FailingNames...)
 		}
 	}
 	return names
--- a/internal/cluster/failover/weigh/zonal.go
+++ b/internal/cluster/failover/weigh/zonal.go
@@ -10,47 +10,55 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// tally is what one witness saw of one place.
-type tally struct {
+// witnessCounts is what one witness saw of one place.
+type witnessCounts struct {
 	witness                     view.Name
 	sent, done, failed, refused float64
 	span, age                   time.Duration
 }
 
-// end settles calls that are still out: once nothing came back for a while they count as failed, since a place that
-// hangs answers none and time-outs may be long.
-func (t *tally) end(b Bounds) {
+func (t *witnessCounts) add(s sight.Sighting) {
+	t.sent, t.done, t.failed, t.refused = t.sent+s.Sent, t.done+s.Done, t.failed+s.Failed, t.refused+s.Refused
+	t.span += s.Span
+}
+
+// countSilenceAsFailures counts unanswered calls as failed once nothing at all came back for SilenceTimeout: an
+// endpoint that hangs answers nothing, and timeouts may be long.
+func (t *witnessCounts) countSilenceAsFailures(b Bounds) {
 	out := t.sent - t.done - t.failed - t.refused
-	if t.done+t.refused == 0 && t.span >= b.Silence && out > 0 {
+	if t.done+t.refused == 0 && t.span >= b.SilenceTimeout && out > 0 {
 		t.failed += out
 	}
 }
 
-func (t *tally) bad() bool  { return t.failed > 0 && t.failed > t.done+t.refused }
-func (t *tally) well() bool { return !t.bad() && t.done+t.refused > 0 }
+func (t *witnessCounts) failing() bool { return t.failed > 0 && t.failed > t.done+t.refused }
+func (t *witnessCounts) healthy() bool { return !t.failing() && t.done+t.refused > 0 }
 
-type table struct {
-	order  []sight.Place
-	places map[sight.Place][]*tally
-	facts  map[sight.Place]*Report
+// zoneTable holds the rows of one zone's witnesses by place, in a fixed order.
+type zoneTable struct {
+	order     []sight.Place
+	witnesses map[sight.Place][]*witnessCounts
+	reports   map[sight.Place]*Report
 }
 
-// Zonal sums what the processes of one zone saw to a report a place, sorted. Several sightings of one witness and
-// place are spans that follow each other; the same one twice must not be handed in. A witness that sees all fail that
-// it tries, where others of its zone are answered, is ill itself and does not count.
-func Zonal(from view.Zone, all []sight.Sighting, b Bounds) []Report {
-	t := gather(from, all, b)
-	sick := t.sick()
+// Zonal sums what the processes of one zone saw into one report for each place, sorted. Several sightings of one
+// witness and place are consecutive spans; the same sighting must not be passed in twice. Witnesses that are at fault
+// themselves are excluded.
+func Zonal(from view.Zone, rows []sight.Sighting, b Bounds) []Report {
+	t := tabulate(from, rows, b)
+	excluded := t.excludedWitnesses()
 	reports := make([]Report, 0, len(t.order))
 	for _, place := range t.order {
-		r := t.facts[place]
-		fails := slices.ContainsFunc(t.places[place], func(w *tally) bool { return w.bad() && !sick[w.witness] })
-		for _, w := range t.places[place] {
-			if fails && w.well() && w.age > calmFor {
+		r := t.reports[place]
+		someFail := slices.ContainsFunc(t.witnesses[place], func(w *witnessCounts) bool {
+			return w.failing() && !excluded[w.witness]
+		})
+		for _, w := range t.witnesses[place] {
+			if someFail && w.healthy() && w.age > healthyReportGrace {
 				continue
 			}
-			if sick[w.witness] {
-				r.Sick++
+			if excluded[w.witness] {
+				r.ExcludedWitnesses++
 				continue
 			}
 			r.add(w, b)
@@ -60,104 +68,107 @@
 	return reports
 }
 
-// calmFor is for how long the word of a witness that is answered counts against others that see a place fail now: it
-// tells of what is well once in two seconds, and then of calls of the two before, and of what fails at once.
-const calmFor = 700 * time.Millisecond
+// healthyReportGrace is for how long a witness that gets answers contradicts others that see a place fail now. Healthy
+// places are reported every two seconds, and with calls of the two seconds before; failures are reported at once.
+const healthyReportGrace = 700 * time.Millisecond
 
-func (r *Report) add(w *tally, b Bounds) {
+// add adds one witness's counts.
+func (r *Report) add(w *witnessCounts, b Bounds) {
 	switch {
-	case w.bad():
-		r.Bad++
-		if len(r.By) < b.Named {
-			r.By = append(r.By, w.witness)
+	case w.failing():
+		r.FailingWitnesses++
+		if len(r.FailingNames) < b.MaxNames {
+			r.FailingNames = append(r.FailingNames, w.witness)
 		}
-	case w.well():
-		r.Well++
+	case w.healthy():
+		r.HealthyWitnesses++
 	default:
 		return
 	}
-	per := 1 / max(0.1, w.span.Seconds())
-	r.Failures, r.Successes = r.Failures+w.failed, r.Successes+w.done+w.refused // a refusal is an answer
-	r.Sent, r.Done, r.Refused = tenth(r.Sent+w.sent*per), tenth(r.Done+w.done*per), tenth(r.Refused+w.refused*per)
-	if r.Bad+r.Well == 1 || w.age < r.Age {
+	perSecond := 1 / max(0.1, w.span.Seconds())
+	r.Failures, r.Successes = r.Failures+w.failed, r.Successes+w.done+w.refused // a rejection is an answer
+	r.Sent = roundToTenth(r.Sent + w.sent*perSecond)
+	r.Done = roundToTenth(r.Done + w.done*perSecond)
+	r.Refused = roundToTenth(r.Refused + w.refused*perSecond)
+	if r.FailingWitnesses+r.HealthyWitnesses == 1 || w.age < r.Age {
 		r.Age = w.age
 	}
 }
 
-// gather sorts first, so that neither the order of rows nor of a map shows in what is told.
-func gather(from view.Zone, all []sight.Sighting, b Bounds) *table {
-	all = slices.DeleteFunc(slices.Clone(all), func(s sight.Sighting) bool {
-		return s.From != from || s.Age < 0 || s.Age > b.IdleAge || !sound(s)
+// tabulate sorts the rows first, so that neither their order nor that of a map shows in the reports.
+func tabulate(from view.Zone, rows []sight.Sighting, b Bounds) *zoneTable {
+	rows = slices.DeleteFunc(slices.Clone(rows), func(s sight.Sighting) bool {
+		return s.From != from || s.Age < 0 || s.Age > b.IdleAge || !valid(s)
 	})
-	slices.SortStableFunc(all, func(x, y sight.Sighting) int {
-		return cmp.Or(Order(x.Place, y.Place), cmp.Compare(x.Witness, y.Witness), cmp.Compare(x.Age, y.Age))
+	slices.SortStableFunc(rows, func(x, y sight.Sighting) int {
+		return cmp.Or(ComparePlaces(x.Place, y.Place), cmp.Compare(x.Witness, y.Witness), cmp.Compare(x.Age, y.Age))
 	})
-	t := &table{places: map[sight.Place][]*tally{}, facts: map[sight.Place]*Report{}}
-	here := map[view.Name]bool{}
-	for _, s := range all {
-		r := t.facts[s.Place]
+	t := &zoneTable{witnesses: map[sight.Place][]*witnessCounts{}, reports: map[sight.Place]*Report{}}
+	active := map[view.Name]bool{}
+	for _, s := range rows {
+		r := t.reports[s.Place]
 		if r == nil {
 			r = &Report{Place: s.Place, From: from, Kind: s.Kind, Age: s.Age}
-			t.facts[s.Place], t.order = r, append(t.order, s.Place)
+			t.reports[s.Place], t.order = r, append(t.order, s.Place)
 		}
 		r.Limit, r.Rating, r.Endpoints = max(r.Limit, s.Limit), max(r.Rating, s.Rating), max(r.Endpoints, s.Endpoints)
 		if s.Age > b.MaxAge {
 			continue
 		}
-		here[s.Witness] = true
+		active[s.Witness] = true
 		if s.Sent+s.Done+s.Failed+s.Refused > 0 {
-			t.count(s, b)
+			t.addRow(s, b)
 		}
 	}
 	for _, place := range t.order {
-		t.facts[place].Processes = len(here)
-		for _, w := range t.places[place] {
-			w.end(b)
+		t.reports[place].Processes = len(active)
+		for _, w := range t.witnesses[place] {
+			w.countSilenceAsFailures(b)
 		}
 	}
 	return t
 }
 
-// count adds a row to its witness's tally: rows of the window, or the youngest where all are older.
-func (t *table) count(s sight.Sighting, b Bounds) {
-	of := t.places[s.Place]
-	if len(of) == 0 || of[len(of)-1].witness != s.Witness {
-		of = append(of, &tally{witness: s.Witness, age: s.Age})
-		t.places[s.Place] = of
+// addRow adds a row to its witness's counts: rows within the window, or the newest row where all are older.
+func (t *zoneTable) addRow(s sight.Sighting, b Bounds) {
+	witnesses := t.witnesses[s.Place]
+	if len(witnesses) == 0 || witnesses[len(witnesses)-1].witness != s.Witness {
+		witnesses = append(witnesses, &witnessCounts{witness: s.Witness, age: s.Age})
+		t.witnesses[s.Place] = witnesses
 	} else if s.Age > b.Window {
 		return
 	}
-	w := of[len(of)-1]
-	w.sent, w.done, w.failed, w.refused = w.sent+s.Sent, w.done+s.Done, w.failed+s.Failed, w.refused+s.Refused
-	w.span += s.Span
+	w := witnesses[len(witnesses)-1]
+	w.add(s)
 }
 
-// sick finds witnesses that see two places or more fail and none answer, while another of the zone is answered at one
-// of these.
-func (t *table) sick() map[view.Name]bool {
-	bad, well, alone := map[view.Name]int{}, map[view.Name]int{}, map[view.Name]bool{}
+// excludedWitnesses returns the witnesses that are at fault themselves: they see two places or more fail and none
+// answer, while another witness of the zone gets answers from one of these.
+func (t *zoneTable) excludedWitnesses() map[view.Name]bool {
+	failing, healthy, othersAnswered := map[view.Name]int{}, map[view.Name]int{}, map[view.Name]bool{}
 	for _, place := range t.order {
-		answered := slices.ContainsFunc(t.places[place], (*tally).well)
-		for _, w := range t.places[place] {
-			if w.well() {
-				well[w.witness]++
+		answered := slices.ContainsFunc(t.witnesses[place], (*witnessCounts).healthy)
+		for _, w := range t.witnesses[place] {
+			if w.healthy() {
+				healthy[w.witness]++
 			}
-			if w.bad() {
-				bad[w.witness]++
-				alone[w.witness] = alone[w.witness] || answered
+			if w.failing() {
+				failing[w.witness]++
+				othersAnswered[w.witness] = othersAnswered[w.witness] || answered
 			}
 		}
 	}
-	sick := map[view.Name]bool{}
-	for name, n := range bad {
-		if n >= 2 && well[name] == 0 && alone[name] {
-			sick[name] = true
+	excluded := map[view.Name]bool{}
+	for name, n := range failing {
+		if n >= 2 && healthy[name] == 0 && othersAnswered[name] {
+			excluded[name] = true
 		}
 	}
-	return sick
+	return excluded
 }
 
-func sound(s sight.Sighting) bool {
+// valid reports whether all figures of a row are finite and not negative.
+func valid(s sight.Sighting) bool {
 	for _, v := range [...]float64{s.Sent, s.Done, s.Failed, s.Refused, s.Limit, s.Rating} {
 		if math.IsNaN(v) || math.IsInf(v, 0) || v < 0 {
 			return false
@@ -166,9 +177,9 @@
 	return s.Span >= 0
 }
 
-// Order sorts places.
-func Order(a, b sight.Place) int {
+// ComparePlaces orders places by destination, then zone.
+func ComparePlaces(a, b sight.Place) int {
 	return cmp.Or(cmp.Compare(a.Destination, b.Destination), cmp.Compare(a.Zone, b.Zone))
 }
 
-func tenth(v float64) float64 { return math.Round(v*10) / 10 }
+func roundToTenth(v float64) float64 { return math.Round(v*10) / 10 }
