--- a/internal/cluster/failover/apply/apply_test.go
+++ b/internal/cluster/failover/apply/apply_test.go
@@ -66,13 +66,13 @@
 	for i := range n {
 		to, then := zones(before, i, 1), zones(after, i, 1)
 		if len(to) != 1 || len(then) != 1 {
-			t.Fatalf("notice %d may go to %v", i, to)
+			t.Fatalf("message %d may go to %v", i, to)
 		}
 		counts[to[0]]++
 		if to[0] != then[0] {
 			moved++
 			if then[0] != 0 {
-				t.Fatalf("notice %d moves between receivers", i)
+				t.Fatalf("message %d moves between receivers", i)
 			}
 		}
 	}
@@ -110,7 +110,7 @@
 
 func TestHolder(t *testing.T) {
 	var h apply.Holder
-	hear := func(now view.Now, in apply.Heard) {
+	receive := func(now view.Now, in apply.Heard) {
 		t.Helper()
 		if _, err := h.Hear(now, in); err != nil {
 			t.Fatal(err)
@@ -126,25 +126,25 @@
 			t.Errorf("at %v: epoch %d counts, not %d", now, got, want)
 		}
 	}
-	hear(0, apply.Heard{Epoch: 5, Term: 2, Age: 4 * second, Plan: withNear(5, 1)})
-	hear(second, apply.Heard{Epoch: 4, Term: 2, Plan: withNear(4, 1)}) // after its successor
+	receive(0, apply.Heard{Epoch: 5, Term: 2, Age: 4 * second, Plan: withNear(5, 1)})
+	receive(second, apply.Heard{Epoch: 4, Term: 2, Plan: withNear(4, 1)}) // after its successor
 	epoch(5*second, 5)
 	epoch(6*second, 0) // 4 s old when it came
-	hear(5*second, apply.Heard{Epoch: 5, Term: 3})
-	hear(7*second, apply.Heard{Epoch: 5, Term: 2}) // a leader that was replaced
-	hear(8*second, apply.Heard{Epoch: 6, Term: 3}) // of what it never had
+	receive(5*second, apply.Heard{Epoch: 5, Term: 3})
+	receive(7*second, apply.Heard{Epoch: 5, Term: 2}) // a leader that was replaced
+	receive(8*second, apply.Heard{Epoch: 6, Term: 3}) // of what it never had
 	epoch(14*second, 5)
 	epoch(15*second, 0)
-	hear(16*second, apply.Heard{Epoch: 6, Term: 3, Age: hold, Plan: withNear(6, 1)}) // too old
-	hear(16*second, apply.Heard{Epoch: 1, Term: 1, Plan: withNear(1, 1)})
+	receive(16*second, apply.Heard{Epoch: 6, Term: 3, Age: hold, Plan: withNear(6, 1)}) // too old
+	receive(16*second, apply.Heard{Epoch: 1, Term: 1, Plan: withNear(1, 1)})
 	epoch(16*second, 0)
-	hear(2*time.Minute, apply.Heard{Epoch: 1, Term: 1, Plan: withNear(1, 1)}) // a council begun anew
+	receive(2*time.Minute, apply.Heard{Epoch: 1, Term: 1, Plan: withNear(1, 1)}) // a consensus group that starts anew
 	epoch(2*time.Minute, 1)
 	if _, err := h.Hear(2*time.Minute, apply.Heard{Epoch: 2, Plan: &plan.Plan{Epoch: 2}}); err == nil {
 		t.Error("a plan that holds for nothing was taken")
 	}
 	if in, some := h.Tell(2*time.Minute+3*second, true); !some || in.Age != 3*second || in.Plan == nil {
-		t.Errorf("told on as %+v", in)
+		t.Errorf("announced as %+v", in)
 	}
 }
 
--- a/internal/cluster/failover/apply/guide.go
+++ b/internal/cluster/failover/apply/guide.go
@@ -1,9 +1,9 @@
-// Package apply makes of a plan what one process's attempts ask for.
+// Package apply turns a plan into what the attempts of one process ask: whether a message may go to a zone.
 //
-// It owns how a message is matched to a zone (this file) and which plan counts here and for how long (holder.go). Pure.
-// It must never leave a message without any place to go because of a plan: where the process lists no endpoint in the
-// zone that a plan names, sees that zone fail by itself, or has heard of no plan for too long, all is allowed and
-// package choice decides alone.
+// It matches messages to zones (guide.go) and knows which plan is in force here and for how long (holder.go). The package
+// is pure. No message is left without any place to go because of a plan: where the process lists no endpoint in the zone
+// that a plan names, sees that zone fail by itself, or has heard of no plan for too long, all is allowed and package
+// choice decides alone.
 package apply
 
 import (
@@ -17,7 +17,7 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// At is a destination's endpoints in a zone, by the process's own number of it.
+// At is a destination's endpoints in a zone, by the process's own number of the zone.
 type At struct {
 	Destination choice.DestinationID
 	Zone        choice.ZoneNo
@@ -26,33 +26,34 @@
 // Local is what a process knows itself.
 type Local struct {
 	Zone    view.Zone
-	Numbers map[view.Zone]choice.ZoneNo              // its numbers of zones; what is missing is outside the plan
+	Numbers map[view.Zone]choice.ZoneNo              // its numbers of zones; other zones are outside the plan
 	Listed  map[choice.DestinationID][]choice.ZoneNo // where it lists endpoints
-	Ill     map[At]bool                              // what it sees fail by itself (weigh.Ill)
+	Ill     map[At]bool                              // endpoints that it sees fail by itself (weigh.Ill)
 }
 
-// Guide answers for one plan and one list of endpoints. Immutable.
+// Guide answers for one plan and one list of endpoints. It is immutable.
 type Guide struct {
 	rules   map[choice.DestinationID]*rule
 	outside []bool // by zone number: in the plan (false) or not; beyond its end all are outside
 }
 
+// rule is for one destination.
 type rule struct {
 	nearShare float64
-	planned   bool // by a route of the plan
+	planned   bool // by a route of the plan; otherwise all goes near
 	homeZones []choice.ZoneNo
 	targets   []target
 }
 
-// target takes what falls below upTo, of what does not go near.
+// target takes messages that don't go near and whose draw is below upperBound, and not below that of the target before.
 type target struct {
 	upperBound   float64
 	zone         choice.ZoneNo
-	unrestricted bool // it cannot be used here: package choice alone
+	unrestricted bool // the zone cannot be used here: package choice decides alone
 }
 
-// Allowed tells whether a message may go to an endpoint of a destination in a zone. It hangs on its arguments alone, so
-// that a message has the same answer each time it is tried under one plan.
+// Allowed reports whether a message may go to an endpoint of a destination in a zone. It depends on its arguments
+// alone, so that a message gets the same answer at each attempt under one plan.
 func (g *Guide) Allowed(n choice.MessageID, d choice.DestinationID, zone choice.ZoneNo) bool {
 	r := g.rules[d]
 	if r == nil || zone < 0 || int(zone) >= len(g.outside) || g.outside[zone] {
@@ -73,17 +74,17 @@
 	return true
 }
 
-// Firm tells whether a plan is in force for what this process sends to a destination. Where none is, Allowed keeps to
-// what is near; a sender that finds all of that set aside need not wait for the plan and may go anywhere.
+// Firm reports whether a route of the plan is in force for what this process sends to a destination. Where none is,
+// Allowed keeps to the home; a sender that finds all of that ejected need not wait for a plan and may go anywhere.
 func (g *Guide) Firm(d choice.DestinationID) bool {
 	r := g.rules[d]
 	return r != nil && r.planned
 }
 
-// draws are two even draws from an id. The first says whether a message goes near: as that share grows, only messages in
-// between move. The second says where else; it does not hang on the first. xxhash rather than hash/crc32, which has 32
-// bits for both, uneven for ids that differ in their last digits, and copies each id to the heap: this is asked at
-// each attempt, for each endpoint looked at.
+// placementDraws are two even draws from an id. The first says whether a message goes near: as that share grows, only
+// messages in between move. The second says where else, and does not depend on the first. It uses xxhash rather than
+// hash/crc32, which has 32 bits for both, is uneven for ids that differ in their last digits, and copies each id to
+// the heap: this is asked at each attempt, for each endpoint considered.
 func placementDraws(n choice.MessageID) (near, away float64) {
 	sum := xxhash.Sum64String(string(n))
 	return float64(sum>>32) / (1 << 32), float64(sum&math.MaxUint32) / (1 << 32)
@@ -106,7 +107,7 @@
 	}
 	here, known := l.Numbers[l.Zone]
 	if _, planned := p.Regions[l.Zone]; !known || !planned {
-		return g // where it stands is outside the plan
+		return g // its own zone is outside the plan
 	}
 	for d, listed := range l.Listed {
 		near := homeZones(listed, here, regions)
@@ -117,10 +118,10 @@
 	return g
 }
 
-// mostZoneNo bounds the table of zones.
+// maxZoneNo bounds the table of zones.
 const maxZoneNo = 4096
 
-// homeOf are the zones that messages go to while all is well; nil where these are all that there are.
+// homeZones returns the zones that messages go to while all is well; nil if those are all zones.
 func homeZones(listed []choice.ZoneNo, here choice.ZoneNo, regions map[choice.ZoneNo]view.Region) []choice.ZoneNo {
 	if slices.Contains(listed, here) {
 		return []choice.ZoneNo{here}
@@ -134,18 +135,18 @@
 	return home
 }
 
+// compileRule makes the rule for one destination; nil if all is allowed.
 func compileRule(p *plan.Plan, l Local, d choice.DestinationID, listed, homeZones []choice.ZoneNo) *rule {
-	homeFailing := !slices.ContainsFunc(homeZones, func(z choice.ZoneNo) bool { return !l.Ill[At{d, z}] })
 	route, found := p.Find(d, l.Zone)
-	switch {
-	case !found || route.Phase == plan.Overloaded:
-		// Its own traffic alone: the plan has not heard yet, or this process's link is ill.
-		if len(homeZones) == 0 || homeFailing {
-			return nil
-		}
-		if !found {
-			return &rule{nearShare: 1, homeZones: homeZones}
+	if !found || route.Phase == plan.Overloaded {
+		homeFailing := !slices.ContainsFunc(homeZones, func(z choice.ZoneNo) bool { return !l.Ill[At{d, z}] })
+		if homeFailing {
+			return nil // at this process alone: the plan has not heard yet, or the process's link fails
 		}
+	}
+	switch {
+	case !found:
+		return &rule{nearShare: 1, homeZones: homeZones}
 	case route.Phase == plan.Unrestricted:
 		return nil
 	}
@@ -153,25 +154,35 @@
 	if len(homeZones) == 0 {
 		r.homeZones = listed // none near here, though others of the zone list some: no message is to wait for it
 	}
-	sum := 0.0
+	r.targets = compileTargets(route, l, listed)
+	if len(r.targets) > 0 {
+		return r
+	}
+	if route.Near >= 1 && len(homeZones) > 0 {
+		return &rule{nearShare: 1, planned: true, homeZones: homeZones}
+	}
+	return nil
+}
+
+// compileTargets scales a route's shares so that they add up to 1; it returns none if nothing is to go elsewhere.
+func compileTargets(route *plan.Route, l Local, listed []choice.ZoneNo) []target {
+	total := 0.0
 	for _, s := range route.Shares {
-		sum += s.Fraction
+		total += s.Fraction
 	}
-	if sum <= 0 {
-		if route.Near >= 1 && len(homeZones) > 0 {
-			return &rule{nearShare: 1, planned: true, homeZones: homeZones}
-		}
+	if total <= 0 {
 		return nil
 	}
+	targets := make([]target, 0, len(route.Shares))
 	upperBound := 0.0
 	for i, s := range route.Shares {
-		upperBound += s.Fraction / sum
+		upperBound += s.Fraction / total
 		if i == len(route.Shares)-1 {
-			upperBound = 1
+			upperBound = 1 // whatever rounding left
 		}
 		no, known := l.Numbers[s.Zone]
-		t := target{upperBound: upperBound, zone: no, unrestricted: !known || !slices.Contains(listed, no) || l.Ill[At{d, no}]}
-		r.targets = append(r.targets, t)
+		usable := known && slices.Contains(listed, no) && !l.Ill[At{route.Destination, no}]
+		targets = append(targets, target{upperBound: upperBound, zone: no, unrestricted: !usable})
 	}
-	return r
+	return targets
 }
--- a/internal/cluster/failover/apply/holder.go
+++ b/internal/cluster/failover/apply/holder.go
@@ -7,11 +7,11 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// forgetAfter is how long after a plan lapsed one of a lower epoch is taken: a council that lost all its disks begins
-// anew at 1, and no message is so long on its way, as none older than its hold is taken.
+// lowerEpochAfter is how long after a plan lapsed one of a lower epoch is taken: a consensus group that lost all its
+// disks starts anew at 1, and no message is in flight for so long, as none older than its hold is taken.
 const lowerEpochAfter = time.Minute
 
-// Heard is how a plan travels: as of Age ago its leader had it in force. Without the plan itself it renews one.
+// Heard is how a plan travels: its leader had it in force Age ago. Without the plan itself it is a renewal.
 type Heard struct {
 	Epoch view.Epoch    `json:"epoch"`
 	Term  uint64        `json:"term"` // of the council's leader
@@ -19,8 +19,8 @@
 	Plan  *plan.Plan    `json:"plan,omitempty"`
 }
 
-// Holder is the plan that counts at one process. It counts by its own clock from when it heard, less the age that
-// travelled. Not for two goroutines at once.
+// Holder holds the plan in force at one process. It counts by the process's own clock from when it received the plan,
+// less the age that travelled with it. It is not for two goroutines at once.
 type Holder struct {
 	current     *plan.Plan
 	term        uint64
@@ -28,8 +28,8 @@
 	expiresAt   view.Now
 }
 
-// Hear takes what came; changed tells that another plan counts now. What is of a lower epoch, of an earlier leader or
-// too old is left out, in whatever order it comes.
+// Hear takes a received plan or renewal; changed reports whether another plan is in force now. A lower epoch, an
+// earlier leader's term or a plan that is too old is ignored, in whatever order they arrive.
 func (h *Holder) Hear(now view.Now, in Heard) (changed bool, err error) {
 	if in.Age < 0 {
 		return false, nil
@@ -62,7 +62,7 @@
 	h.expiresAt = max(h.expiresAt, now-in.Age+h.current.Hold)
 }
 
-// Plan is what counts now, and until when by this clock; nil when nothing does.
+// Plan returns the plan in force, and until when by this clock; nil if none is.
 func (h *Holder) Plan(now view.Now) (*plan.Plan, view.Now) {
 	if h.current == nil || now >= h.expiresAt {
 		return nil, 0
@@ -70,7 +70,7 @@
 	return h.current, h.expiresAt
 }
 
-// Epoch is the last epoch heard of, lapsed or not.
+// Epoch returns the last epoch received, whether lapsed or not.
 func (h *Holder) Epoch() view.Epoch {
 	if h.current == nil {
 		return 0
@@ -78,7 +78,7 @@
 	return h.current.Epoch
 }
 
-// Tell is what to pass on now; false when nothing counts.
+// Tell returns what to pass on now; false if no plan is in force.
 func (h *Holder) Tell(now view.Now, withPlan bool) (Heard, bool) {
 	p, _ := h.Plan(now)
 	if p == nil {
--- a/internal/cluster/failover/run/announce.go
+++ b/internal/cluster/failover/run/announce.go
@@ -12,22 +12,23 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// child is what is known of one that is told of the plan here.
+// child is what is known of a process to which this one announces the plan.
 type child struct {
-	epoch       view.Epoch // that it answered last; 0 for not known
-	confirmedAt view.Now   // as of when the leader had what was told in force
-	calling     bool       // a call is out
-	failing     bool       // the last call failed: those below it are told from here
+	epoch       view.Epoch // of its last answer; 0 for not known
+	confirmedAt view.Now   // when the leader had the announced plan in force
+	calling     bool       // a call is in flight
+	failing     bool       // the last call failed: its children are called from here
 	triedAt     view.Now
 }
 
-// told is the answer to what came down.
+// planAnswer is the answer to an announcement: the epoch that the receiver has now.
 type planAnswer struct {
 	Epoch view.Epoch `json:"epoch"`
 }
 
-// tellDown tells each child what it does not have, and renews what it has. Where one does not answer, its own children
-// are told from here until it does: a coordinator that died holds nobody's plan back until the tree has changed.
+// announcePlan announces to each child the plan that it lacks, or renews the one it has. Where a child does not
+// answer, its own children are called from here until it does: a coordinator that died delays nobody's plan until the
+// tree has changed.
 func (r *Runner) announcePlan(now view.Now, t *tree.Tree) {
 	targets := t.Children(r.options.Self)
 	if r.options.Council.Leading() && t.Root() != r.options.Self && t.Root() != "" {
@@ -36,7 +37,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	visited := map[view.Name]bool{r.options.Self: true}
-	for i := 0; i < len(targets); i++ { // grows by those below who fail
+	for i := 0; i < len(targets); i++ { // grows by the children of those that fail
 		name := targets[i]
 		if visited[name] {
 			continue
@@ -59,7 +60,7 @@
 	}
 }
 
-// tell sends one what it needs, if anything. Called with mu held.
+// announceTo sends a child what it needs, if anything. The caller holds mu.
 func (r *Runner) announceTo(now view.Now, name view.Name, c *child) {
 	withPlan := c.epoch != r.holder.Epoch()
 	announcement, found := r.holder.Tell(now, withPlan)
@@ -92,8 +93,10 @@
 		return
 	}
 	c.epoch, c.confirmedAt = answer.Epoch, confirmedAt
-	if c.failing = false; answer.Epoch < announcement.Epoch && announcement.Plan == nil || r.holder.Epoch() > announcement.Epoch {
-		r.wakeLoop() // it lost what it had, or there is a newer one by now
+	c.failing = false
+	lostPlan := answer.Epoch < announcement.Epoch && announcement.Plan == nil
+	if lostPlan || r.holder.Epoch() > announcement.Epoch {
+		r.wakeLoop()
 	}
 }
 
@@ -111,7 +114,7 @@
 	changed, err := r.holder.Hear(now, in)
 	if err != nil {
 		r.stats.Malformed++
-		r.options.Log.Error("a plan cannot be used", zap.String("from", string(from.Name)), zap.Error(err))
+		r.options.Log.Error("received plan is invalid", zap.String("from", string(from.Name)), zap.Error(err))
 		return nil, err
 	}
 	r.stats.Received++
@@ -121,6 +124,6 @@
 		local = r.local
 	}
 	r.compileGuide(now, local)
-	r.wakeLoop() // passed on at once: ages would add up from tier to tier
+	r.wakeLoop() // to pass it on at once: ages would add up from tier to tier
 	return planAnswer{r.holder.Epoch()}, nil
 }
--- a/internal/cluster/failover/run/leader.go
+++ b/internal/cluster/failover/run/leader.go
@@ -15,8 +15,8 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// lead is the leader's turn: it renews what is in force, and makes plans of what came up to it. One that leads no more
-// does neither, so that what it had in force lapses where nobody else is heard.
+// leaderTick renews the plan in force and makes plans from the collected reports. A process that leads no more does
+// neither, so that its plan lapses where no other leader is heard.
 func (r *Runner) leaderTick(now view.Now, t *tree.Tree, assess bool) {
 	if !r.options.Council.Leading() {
 		r.mu.Lock()
@@ -27,12 +27,7 @@
 	var inForce plan.Plan
 	r.options.Council.Read(func(uint64) { inForce = r.options.InForce.Plan() })
 	term := r.options.Term()
-	regions := map[view.Zone]view.Region{}
-	for _, region := range t.Regions() {
-		for _, z := range t.Zones(region) {
-			regions[z] = region
-		}
-	}
+	regions := regionsOf(t)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.planner == nil {
@@ -43,18 +38,28 @@
 		r.renewPlan(now, term, inForce)
 	}
 	if !assess {
-		r.wakeLoop() // what woke it is judged a moment later
+		r.wakeLoop() // what woke the loop is judged a moment later
 		return
 	}
-	r.collected.Put(now, r.outgoing.Fresh(now)) // as a root, or a head whose parents do not answer
+	r.collected.Put(now, r.outgoing.Fresh(now)) // at a root, or at a coordinator whose parents do not answer
 	r.planner.Members(regions)
 	r.planner.Judged(now, weigh.Judge(r.collected.Fresh(now), r.options.Bounds))
-	if next, some := r.planner.Step(now); some && !r.proposing {
+	if next, found := r.planner.Step(now); found && !r.proposing {
 		r.proposing = r.startCall(func() { r.propose(next) })
 	}
 }
 
-// renew hears what is in force from oneself, as from any other leader. Called with mu held.
+func regionsOf(t *tree.Tree) map[view.Zone]view.Region {
+	regions := map[view.Zone]view.Region{}
+	for _, region := range t.Regions() {
+		for _, z := range t.Zones(region) {
+			regions[z] = region
+		}
+	}
+	return regions
+}
+
+// renewPlan takes the plan in force from this process itself, as from any other leader. The caller holds mu.
 func (r *Runner) renewPlan(now view.Now, term uint64, inForce plan.Plan) {
 	if r.planner.Epoch() < inForce.Epoch {
 		r.planner.Applied(now, inForce)
@@ -64,12 +69,12 @@
 		in.Plan = &inForce
 	}
 	if _, err := r.holder.Hear(now, in); err != nil {
-		r.options.Log.Error("the plan in force cannot be used", zap.Error(err))
+		r.options.Log.Error("plan in force is invalid", zap.Error(err))
 	}
 }
 
-// decide has a plan decided. One that was made on another than is in force by then is dropped: the next turn makes
-// another on that.
+// propose has a plan decided. A plan that was made on another than the one in force by then is dropped: the next tick
+// makes another.
 func (r *Runner) propose(next plan.Plan) {
 	ctx, cancel := context.WithTimeout(r.ctx, proposeTimeout)
 	defer cancel()
@@ -90,12 +95,12 @@
 	r.mu.Unlock()
 	var stale *plan.StaleEpochError
 	if err != nil && !errors.As(err, &stale) && r.ctx.Err() == nil {
-		r.options.Log.Info("a plan was not decided", zap.Uint64("epoch", uint64(next.Epoch)), zap.Error(err))
+		r.options.Log.Info("plan proposal failed", zap.Uint64("epoch", uint64(next.Epoch)), zap.Error(err))
 	}
 	r.wakeLoop()
 }
 
-// alike tells whether two states of what a process knows compile alike.
+// sameLocal reports whether two local states compile to the same guide.
 func sameLocal(a, b apply.Local) bool {
 	return a.Zone == b.Zone && maps.Equal(a.Numbers, b.Numbers) && maps.Equal(a.Ill, b.Ill) &&
 		maps.EqualFunc(a.Listed, b.Listed, slices.Equal)
--- a/internal/cluster/failover/run/reports.go
+++ b/internal/cluster/failover/run/reports.go
@@ -10,31 +10,19 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// up is what goes to a parent; Final is to the council's leader, which passes it no further.
+// reportsMessage goes to a parent; with Final set to the leader, which passes it no further.
 type reportsMessage struct {
 	Reports []weigh.Report `json:"reports"`
 	Final   bool           `json:"final,omitempty"`
 }
 
-// mostUp bounds one message: what is beyond waits for the next turn, as the board has it still.
+// maxReports bounds one message. Reports beyond it wait for the next tick, as the board still has them.
 const maxReports = 3000
 
-// tellUp passes reports to the parent, past it to its own where it does not answer, and where that does not either to
-// the leader, as the root does. One call is out at a time: what it misses the next one has.
+// sendReports sends reports to the parent; if it does not answer, to the parent's parent; and if that does not either,
+// to the leader, as the root does. One call is in flight at a time; what it misses goes with the next.
 func (r *Runner) sendReports(now view.Now, t *tree.Tree) {
-	var targets []view.Name
-	if parent, known := t.Parent(r.options.Self); known {
-		targets = append(targets, parent)
-		if above, known := t.Parent(parent); known {
-			targets = append(targets, above)
-		}
-	}
-	leader, known := r.options.Council.Leader()
-	if known && leader != r.options.Self {
-		targets = append(targets, leader)
-	} else {
-		leader = ""
-	}
+	targets, leader := r.reportTargets(t)
 	if len(targets) == 0 {
 		return
 	}
@@ -54,18 +42,35 @@
 	r.reporting = r.startCall(func() { r.callWithReports(targets, leader, reports) })
 }
 
+// reportTargets is whom to try, in this order, and the leader if that is another process.
+func (r *Runner) reportTargets(t *tree.Tree) (targets []view.Name, leader view.Name) {
+	if parent, known := t.Parent(r.options.Self); known {
+		targets = append(targets, parent)
+		if above, known := t.Parent(parent); known {
+			targets = append(targets, above)
+		}
+	}
+	leader, known := r.options.Council.Leader()
+	if !known || leader == r.options.Self {
+		return targets, ""
+	}
+	return append(targets, leader), leader
+}
+
+// callWithReports calls the targets until one answers.
 func (r *Runner) callWithReports(targets []view.Name, leader view.Name, reports []weigh.Report) {
 	calls, failed := uint64(0), uint64(0)
 	countedFrom := r.options.Now()
 	for i, name := range targets {
-		if waited := r.options.Now() - countedFrom; waited > 0 { // the first did not answer: all is older by that
+		if waited := r.options.Now() - countedFrom; waited > 0 { // one did not answer: all reports are older by that
 			for j := range reports {
 				reports[j].Age += waited
 			}
 			countedFrom += waited
 		}
+		message := reportsMessage{reports, i == len(targets)-1 && name == leader}
 		ctx, cancel := context.WithTimeout(r.ctx, callTimeout)
-		err := r.options.Link.Call(ctx, name, reportsPath, reportsMessage{reports, i == len(targets)-1 && name == leader}, nil)
+		err := r.options.Link.Call(ctx, name, reportsPath, message, nil)
 		cancel()
 		if calls++; err == nil || r.ctx.Err() != nil {
 			break
--- a/internal/cluster/failover/run/run.go
+++ b/internal/cluster/failover/run/run.go
@@ -1,9 +1,9 @@
-// Package run carries failover between processes: reports up the tree, the plan and its renewals down, and at the
-// council's leader the planner.
+// Package run carries failover between processes: health reports go up the tree, plans and their renewals go down, and the
+// leader of the consensus group runs the planner.
 //
-// It owns one goroutine that turns twice a second or when woken, and one for each call that is out, all of which
-// end with Close. What is decided is package weigh's, plan's and apply's. It must never hold its lock over a call out,
-// keep a plan alive that its leader does not renew, or have the sender wait: Guide reads what is compiled.
+// It owns one goroutine that ticks twice a second or when woken, and one for each call in flight; all of them end with
+// Close. Packages weigh, plan and apply decide. The lock is never held over a call to another process, a plan that its
+// leader does not renew is not kept in force, and the sender never waits: Guide reads a compiled value.
 package run
 
 import (
@@ -27,11 +27,11 @@
 
 const (
 	defaultTickInterval = 500 * time.Millisecond
-	minTickInterval     = 50 * time.Millisecond  // between two turns, however often it is woken
-	assessInterval      = 150 * time.Millisecond // between two judgements: a message that wakes it is passed on sooner
+	minTickInterval     = 50 * time.Millisecond  // between two ticks, however often the loop is woken
+	assessInterval      = 150 * time.Millisecond // between two judgements; messages that wake the loop are passed on sooner
 	callTimeout         = 700 * time.Millisecond
 	proposeTimeout      = 2 * time.Second
-	renewalsPerHold     = 5 // in a hold
+	renewalsPerHold     = 5 // in the Hold of a plan
 	reportsPath         = "/failover/up"
 	planPath            = "/failover/down"
 )
@@ -42,7 +42,7 @@
 	Handle(path string, h func(ctx context.Context, from view.Life, body []byte) (any, error))
 }
 
-// Council decides. A leader without a quorum must not say that it leads for longer than its lease.
+// Consensus decides in common. A leader without a quorum must not say that it leads for longer than its lease.
 type Consensus interface {
 	Propose(ctx context.Context, part, kind string, body any) (json.RawMessage, error)
 	Leader() (view.Name, bool)
@@ -50,41 +50,44 @@
 	Read(f func(index uint64))
 }
 
-// Options are what it is started with; all but Term, Turn and Log must be set.
+// Options are what a runner is started with; all but Term, TickInterval and Log must be set.
 type Options struct {
 	Self         view.Name
 	Zone         view.Zone
 	Now          func() view.Now // since the process began; monotonic
 	Link         Link
 	Council      Consensus
-	InForce      *plan.InForce                   // the council's part; read inside Council.Read alone
-	Term         func() uint64                   // the council's, at its leader; nil for 0
+	InForce      *plan.InForce                   // replicated state; read only inside Council.Read
+	Term         func() uint64                   // of the consensus group, at its leader; nil for 0
 	Tree         func() *tree.Tree               // as of now
-	Sightings    func(view.Now) []sight.Sighting // of this process, and at a zone's head of its zone
-	Local        func() apply.Local              // Ill is filled in here
+	Sightings    func(view.Now) []sight.Sighting // of this process, and at the coordinator of a zone of its zone
+	Local        func() apply.Local              // but for Ill, which is filled in here
 	Bounds       weigh.Bounds
 	Settings     plan.Settings
-	TickInterval time.Duration // turnEach if 0
+	TickInterval time.Duration // defaultTickInterval if 0
 	Log          *zap.Logger
 }
 
-// Stats are counts since the start, but for Epoch (of the plan that counts; 0 for none) and Leading.
+// Stats are counts since the start, but for Epoch and Leading.
 type Stats struct {
-	Epoch                              view.Epoch
-	Leading                            bool
-	Up, Down                           uint64 // calls out
-	Failed                             uint64 // of these
-	ReportsSent, Plans                 uint64 // reports passed up; plans decided here
-	PlansRejected, Received, Malformed uint64 // plans not decided; messages taken; messages that could not be read
+	Epoch         view.Epoch // of the plan in force here; 0 for none
+	Leading       bool
+	Up, Down      uint64 // calls begun: with reports; with plans
+	Failed        uint64 // of these calls
+	ReportsSent   uint64
+	Plans         uint64 // proposed here and decided
+	PlansRejected uint64 // proposed here and not decided
+	Received      uint64 // messages
+	Malformed     uint64 // messages that could not be read
 }
 
-// compiled is what attempts ask, and until when.
+// compiledGuide is what attempts ask, and until when.
 type compiledGuide struct {
 	guide     *apply.Guide
 	expiresAt view.Now
 }
 
-// Runner is one process's.
+// Runner runs failover at one process.
 type Runner struct {
 	options    Options
 	guide      atomic.Pointer[compiledGuide]
@@ -97,20 +100,20 @@
 	mu           sync.Mutex
 	closed       bool
 	holder       apply.Holder
-	outgoing     *weigh.Board // what is passed up
-	collected    *weigh.Board // at the leader: what came from the root
+	outgoing     *weigh.Board // reports to send up
+	collected    *weigh.Board // at the leader: reports that came from the root
 	planner      *plan.Planner
-	local        apply.Local
-	compiledFrom *plan.Plan // that guide was compiled of
+	local        apply.Local // that guide was compiled with
+	compiledFrom *plan.Plan  // that guide was compiled from
 	children     map[view.Name]*child
-	reporting    bool
-	reportingTo  view.Name // who got the last reports
-	assessedAt   view.Now  // when reports were last made, and judged
-	proposing    bool      // a proposal is out
+	reporting    bool      // a call with reports is in flight
+	reportingTo  view.Name // receiver of the last reports
+	assessedAt   view.Now  // when reports were last made and judged
+	proposing    bool      // a proposal is in flight
 	stats        Stats
 }
 
-// Start begins; handlers are added to the link at once.
+// Start starts a runner; its handlers are added to the link at once.
 func Start(o Options) *Runner {
 	if o.TickInterval <= 0 {
 		o.TickInterval = defaultTickInterval
@@ -131,7 +134,7 @@
 	return r
 }
 
-// Close ends all goroutines; calls that are out are given up. What was in force stays readable until it lapses.
+// Close ends all goroutines and abandons calls in flight. The plan in force stays readable until it lapses.
 func (r *Runner) Close() {
 	r.mu.Lock()
 	r.closed = true
@@ -140,7 +143,7 @@
 	r.goroutines.Wait()
 }
 
-// Guide is what counts now: nil when no plan does.
+// Guide returns what attempts ask; nil while no plan is in force.
 func (r *Runner) Guide() together.Guide {
 	if c := r.guide.Load(); c != nil && r.options.Now() < c.expiresAt {
 		return c.guide
@@ -148,7 +151,15 @@
 	return nil
 }
 
-// Stats are counts for operators.
+// Plan is the plan in force at this process, and until when by its clock; nil for none. The caller must not change it.
+func (r *Runner) Plan() (*plan.Plan, view.Now) {
+	now := r.options.Now()
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.holder.Plan(now)
+}
+
+// Stats returns counts for operators.
 func (r *Runner) Stats() Stats {
 	leading, now := r.options.Council.Leading(), r.options.Now()
 	r.mu.Lock()
@@ -173,7 +184,7 @@
 			return
 		case <-ticker.C:
 		case <-r.wake:
-			select { // what comes together is told together
+			select { // changes that come together are passed on together
 			case <-r.ctx.Done():
 				return
 			case <-time.After(minTickInterval):
@@ -182,7 +193,7 @@
 	}
 }
 
-// news has the next turn come at once.
+// wakeLoop makes the next tick come at once.
 func (r *Runner) wakeLoop() {
 	select {
 	case r.wake <- struct{}{}:
@@ -190,7 +201,7 @@
 	}
 }
 
-// begin starts a call in a goroutine of its own; false once closed. Called with mu held.
+// startCall runs a call in a goroutine of its own; false once closed. The caller holds mu.
 func (r *Runner) startCall(f func()) bool {
 	if r.closed {
 		return false
@@ -211,8 +222,9 @@
 		r.assessedAt = now
 	}
 	if assess && t.ZoneHead(r.options.Zone) == r.options.Self {
-		summaries := slices.DeleteFunc(weigh.Zonal(r.options.Zone, reports, r.options.Bounds), func(w weigh.Report) bool {
-			return w.Idle() && w.Zone != r.options.Zone && t.ZoneHead(w.Zone) != "" // its own zone tells of it
+		summaries := weigh.Zonal(r.options.Zone, reports, r.options.Bounds)
+		summaries = slices.DeleteFunc(summaries, func(w weigh.Report) bool {
+			return w.Idle() && w.Zone != r.options.Zone && t.ZoneHead(w.Zone) != "" // its own zone reports on it
 		})
 		r.mu.Lock()
 		r.outgoing.Put(now, summaries)
@@ -226,7 +238,7 @@
 	r.announcePlan(now, t)
 }
 
-// ill is what this process sees fail by itself.
+// failingEndpoints returns what this process sees fail by itself.
 func (r *Runner) failingEndpoints(reports []sight.Sighting, local apply.Local) map[apply.At]bool {
 	ownReports := map[sight.Place][]sight.Sighting{}
 	for _, s := range reports {
@@ -243,8 +255,8 @@
 	return failing
 }
 
-// compile makes the guide anew where the plan or what is known here has changed, and tells until when it counts.
-// Called with mu held.
+// compileGuide compiles the guide anew if the plan or the local state changed, and otherwise only renews it. The
+// caller holds mu.
 func (r *Runner) compileGuide(now view.Now, local apply.Local) {
 	p, until := r.holder.Plan(now)
 	if p == nil {
--- a/internal/cluster/failover/run/run_test.go
+++ b/internal/cluster/failover/run/run_test.go
@@ -24,7 +24,7 @@
 
 type handler = func(context.Context, view.Life, []byte) (any, error)
 
-// world is processes in memory: a link that can lose any of them, and a council of one mind.
+// testCluster is processes in memory: a link that can lose any of them, and a consensus group of one mind.
 type testCluster struct {
 	mu       sync.Mutex
 	members  []view.Member
@@ -35,7 +35,7 @@
 	inForce  plan.InForce
 	leader   view.Name // "" for none
 	runners  map[view.Name]*Runner
-	calls    map[view.Name]int // that came down to or up to one
+	calls    map[view.Name]int // received by each process
 }
 
 var errDown = errors.New("no answer")
@@ -138,7 +138,7 @@
 	w.runners[m.Name] = r
 }
 
-// sightings are those of two processes a zone that send near alone.
+// healthReports are those of two processes a zone that send near alone.
 func (w *testCluster) healthReports(z view.Zone) (all []sight.Sighting) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -153,7 +153,7 @@
 	return all
 }
 
-// within waits until all that are up say so, or fails.
+// waitFor waits until the condition holds at all processes that are up, or fails.
 func (w *testCluster) waitFor(t *testing.T, d time.Duration, what string, holds func(view.Member, *Runner) bool) {
 	t.Helper()
 	started := time.Now()
@@ -180,7 +180,7 @@
 	}
 }
 
-// moved tells whether hardly any message of zone a1 goes near there, and those of other zones do.
+// moved reports whether hardly any message of zone a1 goes near there, and all those of other zones do.
 func moved(m view.Member, r *Runner) bool {
 	g := r.Guide()
 	if g == nil {
@@ -214,7 +214,7 @@
 	w.mu.Unlock()
 	w.waitFor(t, 5*time.Second, "moved", moved)
 
-	w.mu.Lock() // from here on the root and the head of zone b1 are gone, and no view has noticed
+	w.mu.Lock() // from here on the root and the coordinator of zone b1 are gone, and no view has noticed
 	w.down[w.tree.Root()], w.down[w.tree.ZoneHead("b1")] = true, true
 	if w.down[w.leader] {
 		w.leader = "a1-1"
@@ -231,7 +231,7 @@
 		return r.Stats().Epoch >= before.Epoch
 	})
 
-	w.mu.Lock() // and now the leader falls, and another zone, whose head finds no parent that answers
+	w.mu.Lock() // now the leader fails, and another zone, whose coordinator finds no parent that answers
 	w.down[w.leader] = true
 	for _, m := range w.members {
 		if !w.down[m.Name] {
@@ -262,9 +262,9 @@
 		w.start(m)
 	}
 	w.waitFor(t, 5*time.Second, "a first plan", planned)
-	time.Sleep(1200 * time.Millisecond) // longer than it holds unheard of
+	time.Sleep(1200 * time.Millisecond) // longer than a plan holds without renewal
 	w.waitFor(t, 0, "renewed", planned)
-	w.runners["b2-1"].Close() // a process begins anew, with nothing
+	w.runners["b2-1"].Close() // a process restarts with no state
 	w.start(w.members[len(w.members)-1])
 	w.waitFor(t, 2*time.Second, "told again", planned)
 	w.mu.Lock()
