--- a/internal/cluster/popularity/count/count_test.go
+++ b/internal/cluster/popularity/count/count_test.go
@@ -13,16 +13,16 @@
 	"flaxcove/internal/sender/together"
 )
 
-func one(d int, program string, n uint64) []together.Count {
-	return []together.Count{{Destination: choice.DestinationID(d), Program: program, Messages: n}}
+func handedIn(d int, client string, n uint64) []together.Count {
+	return []together.Count{{Destination: choice.DestinationID(d), Program: client, Messages: n}}
 }
 
-// Against exact counts: never more than was handed in, and less by no more than all over the number of rows. Programs
-// are many, so that no part is held.
-func TestWithinBounds(t *testing.T) {
+// Against exact counts: never more than was handed in, and less by no more than the total over the number of rows.
+// Clients are many, so that none is held to its bound.
+func TestEstimatesWithinBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rows := rapid.IntRange(1, 6).Draw(t, "rows")
-		table := Make(Bounds{Destinations: rows, Part: 1e9})
+		table := NewTable(Bounds{Destinations: rows, ClientShare: 1e9})
 		now, exact, all := view.Now(0), map[int]float64{}, 0.0
 		for i := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			step := time.Duration(rapid.IntRange(0, 90).Draw(t, "wait")) * HalfLife / 2
@@ -33,12 +33,12 @@
 			}
 			all = all*Decay(step, HalfLife) + float64(n)
 			exact[d] += float64(n)
-			table.Take(now, one(d, fmt.Sprint(i), n))
-			if len(table.rows) > rows || len(table.least) > rows {
+			table.Add(now, handedIn(d, fmt.Sprint(i), n))
+			if len(table.rows) > rows || len(table.byCount) > rows {
 				t.Fatal("over the bound of rows")
 			}
-			if math.Abs(table.All(now)-all) > 1e-6*all {
-				t.Fatal("all", table.All(now), all)
+			if math.Abs(table.Total(now)-all) > 1e-6*all {
+				t.Fatal("all", table.Total(now), all)
 			}
 			for k, want := range exact {
 				r := table.rows[choice.DestinationID(k)]
@@ -48,9 +48,9 @@
 					}
 					continue
 				}
-				down := Decay(now-table.since, HalfLife)
-				if low, high := (r.count-r.over)*down, r.count*down; low > want*(1+1e-6) || high < want*(1-1e-6) ||
-					r.over*down > all/float64(rows)*(1+1e-6) || len(r.named) > programs {
+				scale := Decay(now-table.baseTime, HalfLife)
+				if low, high := (r.count-r.overestimate)*scale, r.count*scale; low > want*(1+1e-6) || high < want*(1-1e-6) ||
+					r.overestimate*scale > all/float64(rows)*(1+1e-6) || len(r.clients) > maxClients {
 					t.Fatal(k, low, want, high)
 				}
 			}
@@ -58,52 +58,52 @@
 	})
 }
 
-// A program that sends ten thousand to make one popular gains a quarter of what others add, and the floor by its
-// logarithm.
-func TestOneProgramMakesNonePopular(t *testing.T) {
-	table := Make(Bounds{})
+// A client that sends ten thousand messages to make a destination popular gains a quarter of what others add, and the
+// floor by its logarithm.
+func TestOneClientMakesNothingPopular(t *testing.T) {
+	table := NewTable(Bounds{})
 	for d := range 400 {
 		for p := range 4 {
-			table.Take(0, one(d, fmt.Sprint("honest", p), 25))
+			table.Add(0, handedIn(d, fmt.Sprint("honest", p), 25))
 		}
 	}
-	if n := table.Of(0, 7); n != 100 {
+	if n := table.Estimate(0, 7); n != 100 {
 		t.Fatal("honest programs are held", n)
 	}
-	table.Take(0, one(7, "pusher", 10_000))
-	table.Take(0, one(1000, "pusher", 10_000))
-	own := table.All(0) * floor
-	own *= 1 + math.Log(10_000/own) // 150 by 5.2
-	if n := table.Of(0, 7); n > 100+0.25*100+own+1e-6 {
+	table.Add(0, handedIn(7, "pusher", 10_000))
+	table.Add(0, handedIn(1000, "pusher", 10_000))
+	floor := table.Total(0) * defaultClientFloor
+	floor *= 1 + math.Log(10_000/floor) // 150 by 5.2
+	if n := table.Estimate(0, 7); n > 100+0.25*100+floor+1e-6 {
 		t.Error("a pushed one", n)
 	}
-	if n := table.Of(0, 1000); n > own+1e-6 {
+	if n := table.Estimate(0, 1000); n > floor+1e-6 {
 		t.Error("one that it alone sends to", n)
 	}
-	// Its many names in turn are more than are held by name; each counts for what it sent, and no more is held.
+	// Many client names in turn are more than have counts of their own: each counts for what it sent.
 	for i := range 100 {
-		table.Take(0, one(7, fmt.Sprint("name", i), 1))
+		table.Add(0, handedIn(7, fmt.Sprint("name", i), 1))
 	}
-	if n := len(table.rows[7].named); n > programs {
+	if n := len(table.rows[7].clients); n > maxClients {
 		t.Error(n)
 	}
 }
 
-func TestTopIsOrderedAndFades(t *testing.T) {
-	table := Make(Bounds{})
+func TestTopIsOrderedAndDecays(t *testing.T) {
+	table := NewTable(Bounds{})
 	for d := 1; d <= 50; d++ {
-		table.Take(0, one(d, "a", uint64(d)))
-		table.Take(0, one(d, "b", uint64(d)))
+		table.Add(0, handedIn(d, "a", uint64(d)))
+		table.Add(0, handedIn(d, "b", uint64(d)))
 	}
 	top := table.Top(0, 3)
 	if len(top) != 3 || top[0].Destination != 50 || top[2].Destination != 48 {
 		t.Fatal(top)
 	}
-	was := table.Of(0, 10)
-	if now := table.Of(HalfLife, 10); math.Abs(now-was/2) > 1e-9 {
+	was := table.Estimate(0, 10)
+	if now := table.Estimate(HalfLife, 10); math.Abs(now-was/2) > 1e-9 {
 		t.Error("half a life later", now, was)
 	}
-	table.Take(1000*HalfLife, one(1, "a", 1))
+	table.Add(1000*HalfLife, handedIn(1, "a", 1))
 	if top := table.Top(1000*HalfLife, 10); len(top) != 1 || top[0].Destination != 1 {
 		t.Error("a day later", top)
 	}
--- /dev/null
+++ b/internal/cluster/popularity/evict/cache_test.go
@@ -0,0 +1,54 @@
+package evict
+
+import (
+	"math"
+
+	"flaxcove/choice"
+	"flaxcove/internal/sender/together"
+)
+
+// cache is what a simulated sender holds under one policy.
+type cache struct {
+	held  []together.Held
+	index map[choice.DestinationID]int
+	bytes int
+	hits  int
+}
+
+func (c *cache) drop(d choice.DestinationID) {
+	i := c.index[d]
+	last := len(c.held) - 1
+	c.bytes -= c.held[i].Bytes
+	c.held[i] = c.held[last]
+	c.index[c.held[i].Destination] = i
+	c.held = c.held[:last]
+	delete(c.index, d)
+}
+
+// request is one message; true where its destination was not cached.
+func (c *cache) request(d choice.DestinationID, bytes int, counted bool) bool {
+	if i, held := c.index[d]; held {
+		c.held[i].Calls++
+		if counted {
+			c.hits++
+		}
+		return false
+	}
+	c.index[d] = len(c.held)
+	c.held = append(c.held, together.Held{Destination: d, Bytes: bytes, Calls: 1})
+	c.bytes += bytes
+	return true
+}
+
+// evictLowest evicts the destinations of the lowest value until the bounds hold.
+func (c *cache) evictLowest(b Bounds, of func(h *together.Held) float64) {
+	for b.Destinations > 0 && len(c.held) > b.Destinations || b.Bytes > 0 && c.bytes > b.Bytes {
+		low, least := 0, math.Inf(1)
+		for i := range c.held {
+			if w := of(&c.held[i]); w < least {
+				low, least = i, w
+			}
+		}
+		c.drop(c.held[low].Destination)
+	}
+}
--- a/internal/cluster/popularity/evict/evict.go
+++ b/internal/cluster/popularity/evict/evict.go
@@ -1,7 +1,8 @@
-// Package evict says which destinations a small process lets go of, to stay within a number and within bytes.
+// Package evict chooses which cached destinations a small process evicts, to stay within a number and within bytes.
 //
-// Pure. What goes is worth least: a destination's score by what it would cost to learn again, for each byte it takes.
-// It must never name one that is pinned: then a bound is exceeded, and that is told.
+// The package is pure. Those of the lowest priority weight go first: a destination's score, multiplied by what it would cost
+// to learn it again, for each byte it takes. A protected destination (together.Held.Pinned) is never chosen; if that leaves
+// a bound exceeded, the selection says so.
 package evict
 
 import (
@@ -16,128 +17,132 @@
 )
 
 const (
-	// callsToLearn is from how many answers on what is learnt is as good as it gets, near enough: then it is worth
-	// twice what a destination of none is. The module weighs a call by one over those seen.
+	// callsToLearn is from how many answers on learned state is about as good as it gets: it then has twice the weight of a
+	// destination without any. Package choice weighs a call by one over those seen.
 	callsToLearn = 16
-	// backFor is for how long one that was let go and woke again is worth more, and backWorth how much more: what
-	// just came back was let go in error, and letting it go again would have it asked for in turn with another.
+	// returnWindow is for how long a destination that was evicted and loaded again has a higher weight, and returnFactor how
+	// much higher: it was evicted in error, and evicting it again would make it alternate with another.
 	// Simulated (size_test.go): with 2 hit rates are up to 0.007 above those with 1.
-	backFor   = time.Minute
-	backWorth = 2.0
-	least     = 1e-3 // messages; so that cost and bytes count among those of no score
-	mostGone  = 2048
-	perBytes  = 1024.0 // of less, bytes are no matter: a destination costs that much to keep in any form
+	returnWindow = time.Minute
+	returnFactor = 2.0
+	minScore     = 1e-3   // messages; so that cost and bytes count among destinations without a score
+	maxTracked   = 2048   // destinations in each of an evictor's tables
+	baseBytes    = 1024.0 // added to all sizes: a destination costs that much to cache in any form
 )
 
-// Bounds are what may be held; 0 is no bound.
+// Bounds are what may be cached; 0 is no bound.
 type Bounds struct {
 	Destinations int
 	Bytes        int
 }
 
-// Choice is what goes.
-type Choice struct {
-	Go []choice.DestinationID // the least worth first
-	// Over is set where a bound is exceeded by what must never go.
-	Over bool
+// Selection is what Choose says.
+type Selection struct {
+	Evict         []choice.DestinationID // the lowest weight first
+	BoundExceeded bool                   // by protected destinations
 }
 
-// Evictor remembers what went and came back. It is for one goroutine at a time.
+// Evictor remembers which destinations were evicted and loaded again. It is for one goroutine at a time.
 type Evictor struct {
-	gone map[choice.DestinationID]view.Now // let go when; at most mostGone, the longest ago leaves
-	back map[choice.DestinationID]view.Now // came back when; a part of what is held
+	evictedAt  map[choice.DestinationID]view.Now // within returnWindow, at most maxTracked
+	returnedAt map[choice.DestinationID]view.Now // those of the cached destinations that were loaded again
 }
 
-// Make makes one.
-func Make() *Evictor {
-	return &Evictor{gone: map[choice.DestinationID]view.Now{}, back: map[choice.DestinationID]view.Now{}}
+// New returns an evictor that remembers nothing.
+func New() *Evictor {
+	return &Evictor{evictedAt: map[choice.DestinationID]view.Now{}, returnedAt: map[choice.DestinationID]view.Now{}}
 }
 
-// Woke tells of a destination that nothing was held of.
-func (e *Evictor) Woke(now view.Now, d choice.DestinationID) {
-	if when, was := e.gone[d]; was && now-when <= backFor {
-		if len(e.back) >= mostGone {
-			e.lapse(now)
+// Loaded records that a destination is cached that was not before.
+func (e *Evictor) Loaded(now view.Now, d choice.DestinationID) {
+	if when, evicted := e.evictedAt[d]; evicted && now-when <= returnWindow {
+		if len(e.returnedAt) >= maxTracked {
+			e.expire(now)
 		}
-		if len(e.back) < mostGone {
-			e.back[d] = now
+		if len(e.returnedAt) < maxTracked {
+			e.returnedAt[d] = now
 		}
 	}
-	delete(e.gone, d)
+	delete(e.evictedAt, d)
 }
 
-// Went tells of one that was let go.
-func (e *Evictor) Went(now view.Now, d choice.DestinationID) {
-	delete(e.back, d)
-	if _, is := e.gone[d]; !is && len(e.gone) >= mostGone {
-		e.lapse(now)
-		if len(e.gone) >= mostGone {
-			return // so many in a minute are more than a table holds: those that come back are not favoured
+// Evicted records an eviction.
+func (e *Evictor) Evicted(now view.Now, d choice.DestinationID) {
+	delete(e.returnedAt, d)
+	if _, tracked := e.evictedAt[d]; !tracked && len(e.evictedAt) >= maxTracked {
+		e.expire(now)
+		if len(e.evictedAt) >= maxTracked {
+			return // not tracked, and so not favoured if it returns
 		}
 	}
-	e.gone[d] = now
+	e.evictedAt[d] = now
 }
 
-func (e *Evictor) lapse(now view.Now) {
-	for _, m := range []map[choice.DestinationID]view.Now{e.gone, e.back} {
+func (e *Evictor) expire(now view.Now) {
+	for _, m := range []map[choice.DestinationID]view.Now{e.evictedAt, e.returnedAt} {
 		for d, when := range m {
-			if now-when > backFor {
+			if now-when > returnWindow {
 				delete(m, d)
 			}
 		}
 	}
 }
 
-type worth struct {
-	held together.Held
-	of   float64
+type candidate struct {
+	held   together.Held
+	weight float64
 }
 
-// Choose names what goes so that the rest is within bounds. The score is of each destination, as of now.
+// Choose selects what to evict so that the rest is within bounds. score is of each destination, as of now.
 func (e *Evictor) Choose(now view.Now, held []together.Held, b Bounds,
-	score func(choice.DestinationID) float64) (c Choice) {
+	score func(choice.DestinationID) float64) (s Selection) {
 	number, bytes := len(held), 0
 	for i := range held {
 		bytes += max(held[i].Bytes, 0)
 	}
-	over := func() bool {
+	exceeded := func() bool {
 		return b.Destinations > 0 && number > b.Destinations || b.Bytes > 0 && bytes > b.Bytes
 	}
-	if !over() {
-		return c
+	if !exceeded() {
+		return s
 	}
-	all := make([]worth, 0, len(held))
+	for _, c := range e.candidates(now, held, score) {
+		if !exceeded() {
+			break
+		}
+		number, bytes = number-1, bytes-max(c.held.Bytes, 0)
+		s.Evict = append(s.Evict, c.held.Destination)
+	}
+	s.BoundExceeded = exceeded()
+	return s
+}
+
+// candidates are the destinations that may be evicted, the lowest weight first.
+func (e *Evictor) candidates(now view.Now, held []together.Held, score func(choice.DestinationID) float64) []candidate {
+	all := make([]candidate, 0, len(held))
 	for _, h := range held {
 		if !h.Pinned {
-			all = append(all, worth{h, e.worth(now, h, score(h.Destination))})
+			all = append(all, candidate{h, e.priorityWeight(now, h, score(h.Destination))})
 		}
 	}
-	slices.SortFunc(all, func(a, b worth) int {
-		return cmp.Or(cmp.Compare(a.of, b.of), cmp.Compare(a.held.Destination, b.held.Destination))
+	slices.SortFunc(all, func(a, b candidate) int {
+		return cmp.Or(cmp.Compare(a.weight, b.weight), cmp.Compare(a.held.Destination, b.held.Destination))
 	})
-	for _, w := range all {
-		if !over() {
-			break
-		}
-		number, bytes = number-1, bytes-max(w.held.Bytes, 0)
-		c.Go = append(c.Go, w.held.Destination)
-	}
-	c.Over = over()
-	return c
+	return all
 }
 
-// worth is what is lost with a destination, for what it takes.
-func (e *Evictor) worth(now view.Now, h together.Held, score float64) float64 {
-	if !(score >= least) || math.IsInf(score, 0) {
-		score = least
+// priorityWeight is what is lost with a destination, for each byte it takes.
+func (e *Evictor) priorityWeight(now view.Now, h together.Held, score float64) float64 {
+	if !(score >= minScore) || math.IsInf(score, 0) {
+		score = minScore
 	}
 	calls := h.Calls
 	if !(calls > 0) {
 		calls = 0
 	}
-	w := score * (1 + min(calls, callsToLearn)/callsToLearn) / (perBytes + float64(max(h.Bytes, 0)))
-	if when, back := e.back[h.Destination]; back && now-when <= backFor {
-		w *= backWorth
+	weight := score * (1 + min(calls, callsToLearn)/callsToLearn) / (baseBytes + float64(max(h.Bytes, 0)))
+	if when, returned := e.returnedAt[h.Destination]; returned && now-when <= returnWindow {
+		weight *= returnFactor
 	}
-	return w
+	return weight
 }
--- a/internal/cluster/popularity/evict/evict_test.go
+++ b/internal/cluster/popularity/evict/evict_test.go
@@ -9,21 +9,21 @@
 	"flaxcove/internal/sender/together"
 )
 
-func hold(n int) (all []together.Held) {
+func heldDestinations(n int) (all []together.Held) {
 	for d := 1; d <= n; d++ {
 		all = append(all, together.Held{Destination: choice.DestinationID(d), Bytes: 1000, Calls: 20})
 	}
 	return all
 }
 
-// The higher its number the more popular it is.
+// byNumber has the higher number more popular.
 func byNumber(d choice.DestinationID) float64 { return float64(d) }
 
-func TestLeastWorthGoesAndPinnedNever(t *testing.T) {
-	e, held := Make(), hold(6)
+func TestLowestWeightIsEvictedAndProtectedNever(t *testing.T) {
+	e, held := New(), heldDestinations(6)
 	held[0].Pinned = true  // 1, the least popular
-	held[2].Calls = 0      // 3: as dear as 1.5 of those learnt
-	held[4].Bytes = 10_000 // 5: for its bytes worth less than 1
+	held[2].Calls = 0      // 3: weighs as much as 1.5 with learned state
+	held[4].Bytes = 10_000 // 5: for its bytes weighs less than 1
 	for _, c := range []struct {
 		b    Bounds
 		want []choice.DestinationID
@@ -36,49 +36,50 @@
 		{Bounds{Bytes: 500}, []choice.DestinationID{5, 3, 2, 4, 6}, true},
 	} {
 		got := e.Choose(0, held, c.b, byNumber)
-		if !slices.Equal(got.Go, c.want) || got.Over != c.over {
+		if !slices.Equal(got.Evict, c.want) || got.BoundExceeded != c.over {
 			t.Error(c, got)
 		}
 	}
 }
 
-// A bound lowered while it runs lets go of what is beyond it at once, and of nothing more.
-func TestBoundLowered(t *testing.T) {
-	e := Make()
-	if c := e.Choose(0, hold(100), Bounds{Destinations: 100}, byNumber); c.Go != nil {
+// A bound lowered at run time evicts what is beyond it at once, and nothing more.
+func TestLoweredBound(t *testing.T) {
+	e := New()
+	if c := e.Choose(0, heldDestinations(100), Bounds{Destinations: 100}, byNumber); c.Evict != nil {
 		t.Fatal(c)
 	}
-	c := e.Choose(0, hold(100), Bounds{Destinations: 40}, byNumber)
-	if len(c.Go) != 60 || slices.Max(c.Go) != 60 || c.Over {
+	c := e.Choose(0, heldDestinations(100), Bounds{Destinations: 40}, byNumber)
+	if len(c.Evict) != 60 || slices.Max(c.Evict) != 60 || c.BoundExceeded {
 		t.Error(c)
 	}
 }
 
-// What was let go and woke again stands above its like for a minute: two of about the same score do not take turns.
-func TestNotWhatJustCameBack(t *testing.T) {
-	e, score := Make(), func(d choice.DestinationID) float64 { return 10 - float64(d)/10 }
-	e.Went(0, 3)
-	e.Woke(time.Second, 3)
-	c := e.Choose(2*time.Second, hold(3), Bounds{Destinations: 2}, score)
-	if !slices.Equal(c.Go, []choice.DestinationID{2}) {
+// A destination that was evicted and loaded again is favoured for a minute: two of about the same score do not
+// alternate.
+func TestReturnedDestinationIsFavoured(t *testing.T) {
+	e, score := New(), func(d choice.DestinationID) float64 { return 10 - float64(d)/10 }
+	e.Evicted(0, 3)
+	e.Loaded(time.Second, 3)
+	c := e.Choose(2*time.Second, heldDestinations(3), Bounds{Destinations: 2}, score)
+	if !slices.Equal(c.Evict, []choice.DestinationID{2}) {
 		t.Error("it went again", c)
 	}
-	c = e.Choose(2*backFor, hold(3), Bounds{Destinations: 2}, score)
-	if !slices.Equal(c.Go, []choice.DestinationID{3}) {
+	c = e.Choose(2*returnWindow, heldDestinations(3), Bounds{Destinations: 2}, score)
+	if !slices.Equal(c.Evict, []choice.DestinationID{3}) {
 		t.Error("for good", c)
 	}
-	for d := range choice.DestinationID(3 * mostGone) {
-		e.Went(0, d)
-		e.Woke(0, d/2)
+	for d := range choice.DestinationID(3 * maxTracked) {
+		e.Evicted(0, d)
+		e.Loaded(0, d/2)
 	}
-	if len(e.gone) > mostGone || len(e.back) > mostGone {
-		t.Error(len(e.gone), len(e.back))
+	if len(e.evictedAt) > maxTracked || len(e.returnedAt) > maxTracked {
+		t.Error(len(e.evictedAt), len(e.returnedAt))
 	}
 }
 
-// A hundred that wake in one minute do not drive out what the region knows to be popular.
-func TestHundredWake(t *testing.T) {
-	e, held := Make(), hold(50)
+// A hundred destinations loaded within a minute do not evict those that the region knows to be popular.
+func TestPopularSurvivesManyLoads(t *testing.T) {
+	e, held := New(), heldDestinations(50)
 	score := func(d choice.DestinationID) float64 {
 		if d <= 50 {
 			return 30
@@ -88,13 +89,13 @@
 	for n := range 100 {
 		now := time.Duration(n) * 600 * time.Millisecond
 		d := choice.DestinationID(1000 + n)
-		e.Woke(now, d)
+		e.Loaded(now, d)
 		held = append(held, together.Held{Destination: d, Bytes: 1000, Calls: 1})
-		for _, gone := range e.Choose(now, held, Bounds{Destinations: 50}, score).Go {
+		for _, gone := range e.Choose(now, held, Bounds{Destinations: 50}, score).Evict {
 			if gone <= 50 {
 				t.Fatal("a popular one went for one that woke", gone)
 			}
-			e.Went(now, gone)
+			e.Evicted(now, gone)
 			held = slices.DeleteFunc(held, func(h together.Held) bool { return h.Destination == gone })
 		}
 	}
--- a/internal/cluster/popularity/evict/size_test.go
+++ b/internal/cluster/popularity/evict/size_test.go
@@ -17,27 +17,27 @@
 	"flaxcove/internal/sender/together"
 )
 
-// This file is the proof at size, in simulated time: two regions of eight senders, of which one each is small and
-// holds 3% of the destinations; scores are four seconds old, two tiers, when they are told anew. A region's
-// ranking is its own and shifts each 50 s; a flash crowd meets one region.
+// This file measures hit rates at size, in simulated time: two regions of eight senders, one of each region small and
+// caching 3% of the destinations; rankings are four seconds old, two tiers, when the next one arrives. A region's
+// popularity is its own and shifts each 50 s; a flash crowd meets one region.
 
 const (
-	destinations = 1200
-	capacity     = destinations * 3 / 100
-	senders      = 8
-	smalls       = 1
-	aSecond      = 20 // messages at a sender
-	seconds      = 100
-	warm         = 20 // not counted
+	destinations  = 1200
+	capacity      = destinations * 3 / 100
+	senders       = 8
+	perSecond     = 20 // messages at a sender
+	seconds       = 100
+	warmupSeconds = 20 // not counted
 )
 
-// draws is what each sender of a region is handed, by step, and whichever destinations have the highest true rates.
-type draws struct {
+// arrivals are the messages that each sender of a region is handed, by step, and which destinations have the highest
+// true rates.
+type arrivals struct {
 	of  [senders][]int
 	top [][]bool // by second
 }
 
-func draw(rng *rand.Rand, skew float64, crowd bool) (d draws) {
+func drawArrivals(rng *rand.Rand, skew float64, crowd bool) (d arrivals) {
 	ranks := rng.Perm(destinations)
 	sum, sums := 0.0, make([]float64, destinations)
 	for i := range sums {
@@ -62,7 +62,7 @@
 			top[id] = true
 		}
 		d.top = append(d.top, top)
-		for range aSecond {
+		for range perSecond {
 			for p := range d.of {
 				at, _ := slices.BinarySearch(sums, rng.Float64()*sum)
 				id := ranks[at]
@@ -76,168 +76,165 @@
 	return d
 }
 
-type cache struct {
-	held  []together.Held
-	index map[choice.DestinationID]int
-	bytes int
-	hits  int
+// The policies: with its region, isolated from it all the time, local LRU and LFU (counts of all destinations ever
+// requested, not only of cached ones), the best that knows all requests to come, and the best that knows the true rates
+// of each second.
+const (
+	withRegion = iota
+	isolated
+	lru
+	lfu
+	knowsFuture
+	knowsRates
+	policies
+)
+
+// smallSender is the one sender of a region with a small cache, played under all policies.
+type smallSender struct {
+	requests []int // destinations, by step
+	next     []int // the step of the next request for the same destination, by step
+	counts   *count.Table
+	bounds   Bounds
+	caches   [policies]cache
+	evictors [2]*Evictor // of withRegion and isolated
+	rankings [2]*score.Table
+	last     [destinations]int // step of the last request
+	total    [destinations]float64
 }
 
-func (c *cache) drop(d choice.DestinationID) {
-	i := c.index[d]
-	last := len(c.held) - 1
-	c.bytes -= c.held[i].Bytes
-	c.held[i] = c.held[last]
-	c.index[c.held[i].Destination] = i
-	c.held = c.held[:last]
-	delete(c.index, d)
+func newSmallSender(requests []int, counts *count.Table, bounds Bounds, ranking *score.Table) *smallSender {
+	s := &smallSender{requests: requests, next: nextRequests(requests), counts: counts, bounds: bounds,
+		evictors: [2]*Evictor{New(), New()}, rankings: [2]*score.Table{ranking, score.NewTable(count.HalfLife)}}
+	for p := range s.caches {
+		s.caches[p].index = map[choice.DestinationID]int{}
+	}
+	return s
 }
 
-// meet is one message; true where nothing was held.
-func (c *cache) meet(d choice.DestinationID, bytes int, counted bool) bool {
-	if i, held := c.index[d]; held {
-		c.held[i].Calls++
-		if counted {
-			c.hits++
-		}
-		return false
+func nextRequests(requests []int) []int {
+	next := make([]int, len(requests))
+	var at [destinations]int
+	for i := range at {
+		at[i] = math.MaxInt32
+	}
+	for i := len(requests) - 1; i >= 0; i-- {
+		next[i], at[requests[i]] = at[requests[i]], i
 	}
-	c.index[d] = len(c.held)
-	c.held = append(c.held, together.Held{Destination: d, Bytes: bytes, Calls: 1})
-	c.bytes += bytes
-	return true
+	return next
 }
 
-// lowest lets go of what is least until the bounds hold.
-func (c *cache) lowest(b Bounds, of func(h *together.Held) float64) {
-	for b.Destinations > 0 && len(c.held) > b.Destinations || b.Bytes > 0 && c.bytes > b.Bytes {
-		low, least := 0, math.Inf(1)
-		for i := range c.held {
-			if w := of(&c.held[i]); w < least {
-				low, least = i, w
-			}
+// step plays one request; hot are the destinations with the highest true rates now.
+func (s *smallSender) step(step, bytes int, counted bool, hot []bool) {
+	now, n := stepTime(step), s.requests[step]
+	id := choice.DestinationID(n)
+	s.last[n], s.total[n] = step, s.total[n]+1
+	for p := range s.evictors {
+		if s.caches[p].request(id, bytes, counted) {
+			s.evict(now, p, id)
+		}
+	}
+	play := func(policy int, value func(h *together.Held) float64) {
+		if s.caches[policy].request(id, bytes, counted) {
+			s.caches[policy].evictLowest(s.bounds, value)
 		}
-		c.drop(c.held[low].Destination)
 	}
+	play(lru, func(h *together.Held) float64 { return float64(s.last[h.Destination]) })
+	play(lfu, func(h *together.Held) float64 {
+		return s.total[h.Destination] + float64(s.last[h.Destination])/1e9
+	})
+	play(knowsFuture, func(h *together.Held) float64 {
+		return -float64(min(math.MaxInt32, s.next[s.last[h.Destination]])-step) * float64(h.Bytes)
+	})
+	play(knowsRates, func(h *together.Held) float64 {
+		value := float64(s.last[h.Destination])
+		if hot[h.Destination] {
+			value += 1e12
+		}
+		return value
+	})
 }
 
-// The ways: with its region, cut off from it all the time, local LRU and LFU (counts of all ever met, not of what is
-// held alone), the best that knows all that will come, and the best that knows the true rates of each second.
-const (
-	ours = iota
-	alone
-	lru
-	lfu
-	future
-	rates
-	ways
-)
+// evict has an evictor of this package make space after a destination was loaded.
+func (s *smallSender) evict(now view.Now, policy int, loaded choice.DestinationID) {
+	e, c := s.evictors[policy], &s.caches[policy]
+	e.Loaded(now, loaded)
+	selection := e.Choose(now, c.held, s.bounds, func(d choice.DestinationID) float64 {
+		return s.rankings[policy].Score(now, d, s.counts.Estimate(now, d))
+	})
+	for _, d := range selection.Evict {
+		e.Evicted(now, d)
+		c.drop(d)
+	}
+}
+
+// regionCounts counts at all senders of a region and makes its ranking.
+type regionCounts struct {
+	lives   []view.Life
+	tables  [senders]*count.Table
+	merged  *merge.Table
+	ranking *score.Table
+}
 
-func play(seed uint64, skew float64, sized bool) (share [ways]float64) {
-	b := Bounds{Destinations: capacity}
+func newRegionCounts() *regionCounts {
+	r := &regionCounts{merged: merge.NewTable(count.HalfLife), ranking: score.NewTable(count.HalfLife)}
+	for p := range r.tables {
+		r.tables[p] = count.NewTable(count.Bounds{})
+		r.lives = append(r.lives, view.Life{Name: view.Name(fmt.Sprint("p", p)), Incarnation: 1})
+	}
+	r.merged.SetReporters(r.lives[1:])
+	return r
+}
+
+func (r *regionCounts) step(step int, arrived *arrivals) {
+	now := stepTime(step)
+	for p := range r.tables {
+		n := arrived.of[p][step]
+		r.tables[p].Add(now, []together.Count{{Destination: choice.DestinationID(n), Program: fmt.Sprint(n % 7), Messages: 1}})
+	}
+	if step%(4*perSecond) == 0 {
+		r.rank(now, uint64(step+1))
+	}
+}
+
+func (r *regionCounts) rank(now view.Now, seq uint64) {
+	for p := 1; p < senders; p++ {
+		r.merged.Put(now, merge.NewDigest(r.lives[p], seq, 1, r.tables[p].Top(now, merge.MaxRows)))
+	}
+	rows, processes := r.merged.Sum(now, r.tables[0].Top(now, merge.MaxRows))
+	ranking := score.Ranking{Version: score.Version{Head: r.lives[0], Seq: seq}, Region: "r", Processes: processes}
+	ranking.Destinations, ranking.Messages = merge.Columns(rows)
+	r.ranking.Update(now, "r", ranking)
+}
+
+func stepTime(step int) view.Now { return view.Now(step) * time.Second / perSecond }
+
+// simulate returns each policy's share of hits over two regions.
+func simulate(seed uint64, skew float64, sized bool) (share [policies]float64) {
+	bounds := Bounds{Destinations: capacity}
 	size := func(int) int { return 2048 }
 	if sized {
-		b = Bounds{Bytes: capacity * 2560}
+		bounds = Bounds{Bytes: capacity * 2560}
 		size = func(id int) int { return 1024 * (1 + id%4) }
 	}
 	counted := 0
 	for region := range 2 {
-		d := draw(rand.New(rand.NewPCG(seed, uint64(region))), skew, region == 0)
-		head := view.Life{Name: "p0", Incarnation: 1}
-		merged, board := merge.MakeTable(count.HalfLife), score.Make(count.HalfLife)
-		var lives []view.Life
-		var tables [senders]*count.Table
-		for p := range tables {
-			tables[p] = count.Make(count.Bounds{})
-			lives = append(lives, view.Life{Name: view.Name(fmt.Sprint("p", p)), Incarnation: 1})
-		}
-		merged.Reports(lives[1:])
-		var caches [smalls][ways]cache
-		var evictors [smalls][2]*Evictor
-		last := [smalls][destinations]int{}
-		total := [smalls][destinations]float64{}
-		next := [smalls][]int{}
-		for q := range caches {
-			evictors[q] = [2]*Evictor{Make(), Make()}
-			for w := range caches[q] {
-				caches[q][w].index = map[choice.DestinationID]int{}
-			}
-			stream := d.of[senders-1-q]
-			next[q] = make([]int, len(stream))
-			var at [destinations]int
-			for i := range at {
-				at[i] = math.MaxInt32
-			}
-			for i := len(stream) - 1; i >= 0; i-- {
-				next[q][i], at[stream[i]] = at[stream[i]], i
-			}
-		}
-		cut := score.Make(count.HalfLife)
-		for step := range seconds * aSecond {
-			now := view.Now(step) * time.Second / aSecond
-			for p := range tables {
-				tables[p].Take(now, []together.Count{{Destination: choice.DestinationID(d.of[p][step]),
-					Program: fmt.Sprint(d.of[p][step] % 7), Messages: 1}})
-			}
-			if step%(4*aSecond) == 0 {
-				seq := uint64(step + 1)
-				for p := 1; p < senders; p++ {
-					merged.Put(now, merge.Make(lives[p], seq, 1, tables[p].Top(now, merge.MostRows)))
-				}
-				rows, processes := merged.Sum(now, tables[0].Top(now, merge.MostRows))
-				told := score.Told{Mark: score.Mark{Head: head, Seq: seq}, Region: "r", Processes: processes}
-				told.Destinations, told.Notices = merge.Split(rows)
-				board.Take(now, "r", told)
-			}
-			for q := range caches {
-				p := senders - 1 - q
-				n := d.of[p][step]
-				id, bytes, counts := choice.DestinationID(n), size(n), step >= warm*aSecond
-				if counts {
-					counted++
-				}
-				last[q][n], total[q][n] = step, total[q][n]+1
-				for w, c := range [2]*score.Board{board, cut} {
-					if mine := &caches[q][w]; mine.meet(id, bytes, counts) {
-						evictors[q][w].Woke(now, id)
-						for _, gone := range evictors[q][w].Choose(now, mine.held, b, func(x choice.DestinationID) float64 {
-							return c.Of(now, x, tables[p].Of(now, x))
-						}).Go {
-							evictors[q][w].Went(now, gone)
-							mine.drop(gone)
-						}
-					}
-				}
-				other := func(w int, of func(h *together.Held) float64) {
-					if caches[q][w].meet(id, bytes, counts) {
-						caches[q][w].lowest(b, of)
-					}
-				}
-				other(lru, func(h *together.Held) float64 { return float64(last[q][h.Destination]) })
-				other(lfu, func(h *together.Held) float64 {
-					return total[q][h.Destination] + float64(last[q][h.Destination])/1e9
-				})
-				uses := &next[q]
-				other(future, func(h *together.Held) float64 {
-					return -float64(min(math.MaxInt32, (*uses)[last[q][h.Destination]])-step) * float64(h.Bytes)
-				})
-				other(rates, func(h *together.Held) float64 {
-					w := float64(last[q][h.Destination])
-					if d.top[step/aSecond][h.Destination] {
-						w += 1e12
-					}
-					return w
-				})
+		arrived := drawArrivals(rand.New(rand.NewPCG(seed, uint64(region))), skew, region == 0)
+		counts := newRegionCounts()
+		small := newSmallSender(arrived.of[senders-1], counts.tables[senders-1], bounds, counts.ranking)
+		for step := range seconds * perSecond {
+			counts.step(step, &arrived)
+			warm := step >= warmupSeconds*perSecond
+			if warm {
+				counted++
 			}
+			small.step(step, size(small.requests[step]), warm, arrived.top[step/perSecond])
 		}
-		for q := range caches {
-			for w := range caches[q] {
-				share[w] += float64(caches[q][w].hits)
-			}
+		for p := range small.caches {
+			share[p] += float64(small.caches[p].hits)
 		}
 	}
-	for w := range share {
-		share[w] /= float64(counted)
+	for p := range share {
+		share[p] /= float64(counted)
 	}
 	return share
 }
@@ -252,14 +249,14 @@
 				if *seeds == 1 && sized != (skew == 1) { // half of them, for time
 					continue
 				}
-				s := play(seed+1, skew, sized)
-				best, known := s[ours]/s[future], s[ours]/s[rates]
-				t.Logf("%5v %.1f %d | %.3f %.3f | %.3f %.3f | %.3f %.3f | %.2f %.2f", sized, skew, seed+1, s[ours], s[alone],
-					s[lru], s[lfu], s[future], s[rates], best, known)
-				if s[ours] < s[lru]+0.04 || s[ours] < s[lfu]+0.005 {
+				s := simulate(seed+1, skew, sized)
+				best, known := s[withRegion]/s[knowsFuture], s[withRegion]/s[knowsRates]
+				t.Logf("%5v %.1f %d | %.3f %.3f | %.3f %.3f | %.3f %.3f | %.2f %.2f", sized, skew, seed+1, s[withRegion], s[isolated],
+					s[lru], s[lfu], s[knowsFuture], s[knowsRates], best, known)
+				if s[withRegion] < s[lru]+0.04 || s[withRegion] < s[lfu]+0.005 {
 					t.Error("not above both")
 				}
-				// The aim is 0.9 of the best. Who knows the true rates of each second and not the draws has less.
+				// The objective is 0.9 of the best; a policy that knows the true rates, and not the draws, reaches less.
 				if best < [...]float64{0.68, 0.77, 0.85}[i] || known < 0.86 {
 					t.Error("lower than it was")
 				}
--- a/internal/cluster/popularity/merge/merge.go
+++ b/internal/cluster/popularity/merge/merge.go
@@ -1,10 +1,10 @@
 // Package merge adds up what processes counted, on the way up the tree of one region.
 //
-// Pure. A digest is one process's whole count as it stands, with the life that told it and a number: the newest of
-// each process stays, whatever the order in which they come and however often. A coordinator's digest is its own sum,
-// so that a region's head holds one row set for each that reports to it and not for each process. No clock crosses:
-// a digest carries its age. It must never add one process's counts twice, nor take a digest of one that does not
-// report here.
+// The package is pure. A digest is one process's complete count, with the process's incarnation and a sequence number: the
+// newest of each process is stored, in whatever order and however often digests arrive. A coordinator's digest is its own
+// sum, so that a region's coordinator stores one set of rows for each process that reports to it and not for each process
+// of the region. No clock is compared with another: a digest carries its age. One process's counts are never added twice,
+// and a digest of a process that does not report here is rejected.
 package merge
 
 import (
@@ -20,51 +20,53 @@
 )
 
 const (
-	// MostRows bounds a digest: what is beyond weighs, at each process, at most as much as the last of these. At ten
-	// bytes a row it is 4 KB.
-	MostRows = 384
-	// keep: a process that told nothing for so long has none of its counts left here. Two renewals and a half life.
-	keep = 90 * time.Second
-	// mostChildren is over tree.Fan in each of three roles.
-	mostChildren = 128
-	mostMarks    = 512
-	most         = 1e9 // messages in a digest's row; more is no count but a fault
+	// MaxRows bounds a digest: a destination beyond it counts, at each process, at most as much as the last row. At ten bytes
+	// a row it is 4 KB.
+	MaxRows = 384
+	// maxAge of a digest: two renewals and a half-life later nothing of it counts any more.
+	maxAge = 90 * time.Second
+	// maxChildren is above tree.Fan in each of three roles.
+	maxChildren       = 128
+	maxFormerVersions = 512
+	maxMessages       = 1e9 // in a digest's row; more is a fault and no count
 )
 
-// Digest is one process's count, or a coordinator's sum. Rows are told as two lists of one length, which is less text.
+// Digest is one process's count, or a coordinator's sum. Its rows travel as two lists of one length, which are shorter
+// than objects.
 type Digest struct {
 	From         view.Life              `json:"from"`
-	Seq          uint64                 `json:"seq"` // grows with each digest of a life
+	Seq          uint64                 `json:"seq"` // grows with each digest of an incarnation
 	Age          time.Duration          `json:"age"`
 	Processes    int                    `json:"processes"` // that it sums up
 	Destinations []choice.DestinationID `json:"d"`
-	Notices      []float64              `json:"n"`
+	Messages     []float64              `json:"n"`
 }
 
-// Make is a digest of rows, messages to a tenth.
-func Make(from view.Life, seq uint64, processes int, rows []count.Row) Digest {
+// NewDigest makes a digest of rows, messages rounded to a tenth.
+func NewDigest(from view.Life, seq uint64, processes int, rows []count.Row) Digest {
 	d := Digest{From: from, Seq: seq, Processes: processes}
-	d.Destinations, d.Notices = Split(rows)
+	d.Destinations, d.Messages = Columns(rows)
 	return d
 }
 
-// Split is rows as two lists, messages to a tenth.
-func Split(rows []count.Row) (ids []choice.DestinationID, notices []float64) {
+// Columns returns rows as two lists, messages rounded to a tenth.
+func Columns(rows []count.Row) (ids []choice.DestinationID, messages []float64) {
 	for _, r := range rows {
 		ids = append(ids, r.Destination)
-		notices = append(notices, math.Round(r.Notices*10)/10)
+		messages = append(messages, math.Round(r.Messages*10)/10)
 	}
-	return ids, notices
+	return ids, messages
 }
 
-// Sound tells whether two lists can be rows: as many of each, not too many, each destination once, counts that can be.
-func Sound(ids []choice.DestinationID, notices []float64) bool {
-	if len(ids) != len(notices) || len(ids) > MostRows {
+// ValidColumns reports whether two lists can be rows: as many of each, not too many, each destination once, counts
+// that are possible.
+func ValidColumns(ids []choice.DestinationID, messages []float64) bool {
+	if len(ids) != len(messages) || len(ids) > MaxRows {
 		return false
 	}
 	seen := make(map[choice.DestinationID]bool, len(ids))
-	for i, n := range notices {
-		if !(n >= 0 && n <= most) || seen[ids[i]] {
+	for i, n := range messages {
+		if !(n >= 0 && n <= maxMessages) || seen[ids[i]] {
 			return false
 		}
 		seen[ids[i]] = true
@@ -72,141 +74,149 @@
 	return true
 }
 
-// Taken is what became of a digest.
-type Taken uint8
+// PutResult is what became of a digest.
+type PutResult uint8
 
 const (
-	New     Taken = iota
-	Older         // this one or a newer is here already, or it is so old that nothing of it is left
-	Foreign       // of one that does not report here, or of an earlier life of it
-	Unsound
+	Accepted     PutResult = iota
+	Outdated               // this digest or a newer one is stored already, or it is older than maxAge
+	NotReporting           // of a process, or an earlier incarnation of it, that does not report here
+	Invalid
 )
 
 // Table is for one goroutine at a time.
 type Table struct {
-	half    time.Duration
-	reports map[view.Name]view.Incarnation
-	held    map[view.Name]held
-	// marks are what was last taken of those who left: one that reports here again is not taken at an older word.
-	marks map[view.Name]mark
+	halfLife  time.Duration
+	reporters map[view.Name]view.Incarnation
+	digests   map[view.Name]storedDigest
+	// formerVersions are those of digests that were removed: a process that reports here again must send a newer one.
+	formerVersions map[view.Name]version
 }
 
-type mark struct {
-	life view.Incarnation
-	seq  uint64
-	at   view.Now
+type version struct {
+	incarnation view.Incarnation
+	seq         uint64
+	countedAt   view.Now
 }
 
-type held struct {
-	mark
+func (v version) newer(than version) bool {
+	return cmp.Or(cmp.Compare(v.incarnation, than.incarnation), cmp.Compare(v.seq, than.seq)) > 0
+}
+
+type storedDigest struct {
+	version
 	processes int
 	rows      []count.Row
 }
 
-// MakeTable takes the half life of counts.
-func MakeTable(half time.Duration) *Table {
-	return &Table{half: half, held: map[view.Name]held{}, marks: map[view.Name]mark{}}
+// NewTable takes the half-life of counts.
+func NewTable(halfLife time.Duration) *Table {
+	return &Table{halfLife: halfLife, digests: map[view.Name]storedDigest{}, formerVersions: map[view.Name]version{}}
 }
 
-// Reports sets who reports here. All others leave.
-func (t *Table) Reports(all []view.Life) {
-	t.reports = map[view.Name]view.Incarnation{}
-	for _, l := range all[:min(len(all), mostChildren)] {
-		t.reports[l.Name] = l.Incarnation
+// SetReporters sets which processes report here. The digests of all others are removed.
+func (t *Table) SetReporters(all []view.Life) {
+	t.reporters = map[view.Name]view.Incarnation{}
+	for _, l := range all[:min(len(all), maxChildren)] {
+		t.reporters[l.Name] = l.Incarnation
 	}
-	for name, h := range t.held {
-		if _, stays := t.reports[name]; !stays {
-			t.leave(name, h)
+	for name, stored := range t.digests {
+		if _, stays := t.reporters[name]; !stays {
+			t.remove(name, stored)
 		}
 	}
 }
 
-func (t *Table) leave(name view.Name, h held) {
-	delete(t.held, name)
-	t.marks[name] = h.mark
-	if len(t.marks) > mostMarks {
-		delete(t.marks, slices.MinFunc(slices.Sorted(maps.Keys(t.marks)), func(a, b view.Name) int {
-			return cmp.Compare(t.marks[a].at, t.marks[b].at)
-		}))
+func (t *Table) remove(name view.Name, stored storedDigest) {
+	delete(t.digests, name)
+	t.formerVersions[name] = stored.version
+	if len(t.formerVersions) > maxFormerVersions {
+		names := slices.Sorted(maps.Keys(t.formerVersions))
+		oldest := slices.MinFunc(names, func(a, b view.Name) int {
+			return cmp.Compare(t.formerVersions[a].countedAt, t.formerVersions[b].countedAt)
+		})
+		delete(t.formerVersions, oldest)
 	}
 }
 
-// Put takes a digest whose age is of now.
-func (t *Table) Put(now view.Now, d Digest) Taken {
-	least, reports := t.reports[d.From.Name]
-	was, known := t.marks[d.From.Name]
-	if h, here := t.held[d.From.Name]; here {
-		was, known = h.mark, true
+// Put stores a digest whose age is as of now.
+func (t *Table) Put(now view.Now, d Digest) PutResult {
+	minIncarnation, reports := t.reporters[d.From.Name]
+	last, known := t.formerVersions[d.From.Name]
+	if stored, found := t.digests[d.From.Name]; found {
+		last, known = stored.version, true
 	}
+	next := version{d.From.Incarnation, d.Seq, now - d.Age}
 	switch {
-	case d.Age < 0 || d.Processes < 1 || !Sound(d.Destinations, d.Notices):
-		return Unsound
-	case !reports || d.From.Incarnation < least:
-		return Foreign
-	case d.Age > keep, known && cmp.Or(cmp.Compare(d.From.Incarnation, was.life), cmp.Compare(d.Seq, was.seq)) <= 0:
-		return Older
-	}
-	h := held{mark{d.From.Incarnation, d.Seq, now - d.Age}, d.Processes, make([]count.Row, len(d.Notices))}
-	for i, n := range d.Notices {
-		h.rows[i] = count.Row{Destination: d.Destinations[i], Notices: n}
-	}
-	t.held[d.From.Name] = h
-	delete(t.marks, d.From.Name)
-	return New
+	case d.Age < 0 || d.Processes < 1 || !ValidColumns(d.Destinations, d.Messages):
+		return Invalid
+	case !reports || d.From.Incarnation < minIncarnation:
+		return NotReporting
+	case d.Age > maxAge, known && !next.newer(last):
+		return Outdated
+	}
+	stored := storedDigest{next, d.Processes, make([]count.Row, len(d.Messages))}
+	for i, n := range d.Messages {
+		stored.rows[i] = count.Row{Destination: d.Destinations[i], Messages: n}
+	}
+	t.digests[d.From.Name] = stored
+	delete(t.formerVersions, d.From.Name)
+	return Accepted
 }
 
-// Holds tells whether a digest of a life is held.
-func (t *Table) Holds(l view.Life) bool {
-	h, is := t.held[l.Name]
-	return is && h.life == l.Incarnation
+// Has reports whether a digest of this incarnation is stored.
+func (t *Table) Has(l view.Life) bool {
+	stored, found := t.digests[l.Name]
+	return found && stored.incarnation == l.Incarnation
 }
 
-// Sum adds what all told to what this process counted itself: the rows of most messages, and how many processes they
-// rest on. It hangs on nothing but what is held.
+// Sum adds all stored digests to what this process counted itself: the rows of most messages, and how many processes
+// they are from. It depends on nothing but the table.
 func (t *Table) Sum(now view.Now, own []count.Row) (rows []count.Row, processes int) {
 	sum := make(map[choice.DestinationID]float64, len(own))
 	for _, r := range own {
-		sum[r.Destination] += r.Notices
+		sum[r.Destination] += r.Messages
 	}
 	processes = 1
-	for _, name := range slices.Sorted(maps.Keys(t.held)) { // in order: sums of floats hang on it
-		h := t.held[name]
-		if now-h.at > keep {
-			t.leave(name, h)
+	for _, name := range slices.Sorted(maps.Keys(t.digests)) { // in order, as sums of floats depend on it
+		stored := t.digests[name]
+		if now-stored.countedAt > maxAge {
+			t.remove(name, stored)
 			continue
 		}
-		processes += h.processes
-		left := count.Decay(now-h.at, t.half)
-		for _, r := range h.rows {
-			sum[r.Destination] += r.Notices * left
+		processes += stored.processes
+		decayed := count.Decay(now-stored.countedAt, t.halfLife)
+		for _, r := range stored.rows {
+			sum[r.Destination] += r.Messages * decayed
 		}
 	}
 	for d, n := range sum {
-		rows = append(rows, count.Row{Destination: d, Notices: n})
+		rows = append(rows, count.Row{Destination: d, Messages: n})
 	}
-	slices.SortFunc(rows, count.Order)
-	return slices.Clip(rows[:min(len(rows), MostRows)]), processes
+	slices.SortFunc(rows, count.CompareRows)
+	return slices.Clip(rows[:min(len(rows), MaxRows)]), processes
 }
 
-// Changed is how much of what is told is new, from 0 to 1: was are the rows told last, left what decay left of them.
-func Changed(was, is []count.Row, left float64) float64 {
-	before := make(map[choice.DestinationID]float64, len(was))
-	var apart, whole float64
-	for _, r := range was {
-		before[r.Destination] = r.Notices * left
-	}
-	for _, r := range is {
-		b := before[r.Destination]
-		delete(before, r.Destination)
-		apart, whole = apart+math.Abs(r.Notices-b), whole+max(r.Notices, b)
-	}
-	for _, r := range was { // in order, as above
-		if n, gone := before[r.Destination]; gone {
-			apart, whole = apart+n, whole+n
+// ChangedFraction is how much of a digest is new, from 0 to 1: before are the rows of the last one, and decayed is
+// what decay left of them.
+func ChangedFraction(before, after []count.Row, decayed float64) float64 {
+	expected := make(map[choice.DestinationID]float64, len(before))
+	var difference, total float64
+	for _, r := range before {
+		expected[r.Destination] = r.Messages * decayed
+	}
+	for _, r := range after {
+		b := expected[r.Destination]
+		delete(expected, r.Destination)
+		difference, total = difference+math.Abs(r.Messages-b), total+max(r.Messages, b)
+	}
+	for _, r := range before { // in order, as above
+		if n, gone := expected[r.Destination]; gone {
+			difference, total = difference+n, total+n
 		}
 	}
-	if whole == 0 {
+	if total == 0 {
 		return 0
 	}
-	return apart / whole
+	return difference / total
 }
--- a/internal/cluster/popularity/recall/recall.go
+++ b/internal/cluster/popularity/recall/recall.go
@@ -1,8 +1,8 @@
-// Package recall is a region's summary: what its larger processes have learnt of endpoints, the newest of each, for
-// the small ones that let go of it.
+// Package recall is a region's summary of learned state: what its larger processes have learned of endpoints, the newest of
+// each, for the small processes that evicted theirs.
 //
-// Pure. Bounded by destinations; each lesson with its age and the zone it was learnt in. What is given back is weighed
-// by age (trust.go). It must never pass a lesson on as younger than it is.
+// The package is pure, and bounded by destinations. Each lesson carries its age and the zone where it was learned; what is
+// handed back is discounted by age (discount.go). A lesson is never passed on as younger than it is.
 package recall
 
 import (
@@ -13,15 +13,16 @@
 	"time"
 
 	"flaxcove/choice"
+	"flaxcove/internal/cluster/popularity/indexheap"
 	"flaxcove/internal/cluster/view"
 )
 
 const (
-	mostDestinations = 4096
-	mostEndpoints    = 64 // of a destination
+	defaultMaxDestinations = 4096
+	maxEndpoints           = 64 // of a destination
 )
 
-// Lesson is one on its way; a destination's lessons travel together.
+// Lesson is the learned state of one endpoint on its way between processes; a destination's lessons travel together.
 type Lesson struct {
 	Endpoint choice.EndpointID `json:"e"`
 	Mean     float64           `json:"m"` // all as in choice.Learnt
@@ -29,9 +30,9 @@
 	Past     float64           `json:"p,omitempty"`
 	Seen     float64           `json:"s,omitempty"`
 	Limit    float64           `json:"l,omitempty"`
-	Wait     choice.Time       `json:"w,omitempty"` // left when it was learnt, Age ago
+	Wait     choice.Time       `json:"w,omitempty"` // left when it was learned, Age ago
 	Age      time.Duration     `json:"a"`
-	Zone     view.Zone         `json:"z"` // where who learnt it is: calls from elsewhere take other times
+	Zone     view.Zone         `json:"z"` // of the process that learned it: calls from elsewhere take other times
 }
 
 // Lessons are those of one destination.
@@ -42,91 +43,122 @@
 
 // Summary is for one goroutine at a time.
 type Summary struct {
-	most   int
-	of     map[choice.DestinationID]*entry
-	oldest entries
-	// void are destinations whose lessons are void, and since when; at most as many as most.
-	void map[choice.DestinationID]view.Now
+	maxDestinations int
+	entries         map[choice.DestinationID]*entry
+	oldest          indexheap.Heap[*entry]
+	// voidSince is when destinations were forgotten: older lessons are void. At most maxDestinations.
+	voidSince map[choice.DestinationID]view.Now
 }
 
 type entry struct {
-	d    choice.DestinationID
-	all  []kept // by endpoint
-	last view.Now
-	no   int // in oldest
+	destination choice.DestinationID
+	lessons     []storedLesson // by endpoint
+	newestAt    view.Now
+	heapIndex   int // in oldest
 }
 
-type kept struct {
-	at view.Now
-	l  Lesson // without its age
+type storedLesson struct {
+	learnedAt view.Now
+	lesson    Lesson // without its age
 }
 
-// Make takes how many destinations it holds at most; 0 for the package's own bound.
-func Make(most int) *Summary {
-	return &Summary{most: cmp.Or(max(most, 0), mostDestinations), of: map[choice.DestinationID]*entry{},
-		void: map[choice.DestinationID]view.Now{}}
+// NewSummary takes how many destinations it stores at most; 0 for the package's own bound.
+func NewSummary(maxDestinations int) *Summary {
+	return &Summary{
+		maxDestinations: cmp.Or(max(maxDestinations, 0), defaultMaxDestinations),
+		entries:         map[choice.DestinationID]*entry{},
+		voidSince:       map[choice.DestinationID]view.Now{},
+	}
 }
 
-// Put takes lessons whose ages are of now. Of one endpoint the newest stays, however they come.
+// Put stores lessons whose ages are as of now. Of one endpoint the newest stays, in whatever order they arrive.
 func (s *Summary) Put(now view.Now, all Lessons) {
-	for _, l := range all.All[:min(len(all.All), mostEndpoints)] {
-		if sound(l) && l.Age <= MostAge {
-			s.put(all.Destination, kept{now - l.Age, l})
+	for _, l := range all.All[:min(len(all.All), maxEndpoints)] {
+		if valid(l) && l.Age <= MaxAge {
+			s.put(all.Destination, storedLesson{now - l.Age, l})
 		}
 	}
 }
 
-func (s *Summary) put(d choice.DestinationID, k kept) {
-	k.l.Age = 0
-	if since, is := s.void[d]; is && k.at <= since {
+func (s *Summary) put(d choice.DestinationID, l storedLesson) {
+	l.lesson.Age = 0
+	if since, found := s.voidSince[d]; found && l.learnedAt <= since {
 		return
 	}
-	e := s.of[d]
-	if e == nil {
-		if len(s.of) >= s.most {
-			if s.oldest[0].last >= k.at {
-				return
-			}
-			delete(s.of, heap.Pop(&s.oldest).(*entry).d)
+	e := s.entryFor(d, l.learnedAt)
+	if e == nil || !e.put(l) {
+		return
+	}
+	if l.learnedAt > e.newestAt {
+		e.newestAt = l.learnedAt
+		heap.Fix(&s.oldest, e.heapIndex)
+	}
+}
+
+// entryFor returns the entry of a destination. A new one replaces the oldest where the summary is full; nil if a lesson
+// learned at that time is older than all.
+func (s *Summary) entryFor(d choice.DestinationID, learnedAt view.Now) *entry {
+	if e := s.entries[d]; e != nil {
+		return e
+	}
+	if len(s.entries) >= s.maxDestinations {
+		if s.oldest[0].newestAt >= learnedAt {
+			return nil
 		}
-		e = &entry{d: d, last: k.at}
-		s.of[d] = e
-		heap.Push(&s.oldest, e)
+		delete(s.entries, heap.Pop(&s.oldest).(*entry).destination)
 	}
-	i, known := slices.BinarySearchFunc(e.all, k.l.Endpoint, func(k kept, id choice.EndpointID) int {
-		return cmp.Compare(k.l.Endpoint, id)
+	e := &entry{destination: d, newestAt: learnedAt}
+	s.entries[d] = e
+	heap.Push(&s.oldest, e)
+	return e
+}
+
+// put stores a lesson unless a newer one of its endpoint is there; beyond maxEndpoints the oldest is dropped.
+func (e *entry) put(l storedLesson) bool {
+	i, found := slices.BinarySearchFunc(e.lessons, l.lesson.Endpoint, func(stored storedLesson, id choice.EndpointID) int {
+		return cmp.Compare(stored.lesson.Endpoint, id)
 	})
-	switch {
-	case known && newer(k, e.all[i]):
-		e.all[i] = k
-	case known:
-		return
-	default:
-		e.all = slices.Insert(e.all, i, k)
-		if len(e.all) > mostEndpoints {
-			low := 0
-			for j := range e.all {
-				if newer(e.all[low], e.all[j]) {
-					low = j
-				}
-			}
-			e.all = slices.Delete(e.all, low, low+1)
+	if found {
+		if !newer(l, e.lessons[i]) {
+			return false
 		}
+		e.lessons[i] = l
+		return true
 	}
-	if k.at > e.last {
-		e.last = k.at
-		heap.Fix(&s.oldest, e.no)
+	e.lessons = slices.Insert(e.lessons, i, l)
+	if len(e.lessons) > maxEndpoints {
+		e.dropOldest()
 	}
+	return true
 }
 
-// newer settles which of two of one endpoint stays, also where both are as old: any rule that hangs on no order.
-func newer(a, b kept) bool {
-	return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.l.Seen, b.l.Seen), cmp.Compare(a.l.Mean, b.l.Mean),
-		cmp.Compare(a.l.Dev, b.l.Dev), cmp.Compare(a.l.Past, b.l.Past), cmp.Compare(a.l.Limit, b.l.Limit),
-		cmp.Compare(a.l.Wait, b.l.Wait), cmp.Compare(a.l.Zone, b.l.Zone), cmp.Compare(a.l.Endpoint, b.l.Endpoint)) > 0
-}
-
-func sound(l Lesson) bool {
+func (e *entry) dropOldest() {
+	oldest := 0
+	for i := range e.lessons {
+		if newer(e.lessons[oldest], e.lessons[i]) {
+			oldest = i
+		}
+	}
+	e.lessons = slices.Delete(e.lessons, oldest, oldest+1)
+}
+
+// newer settles which of two lessons of one endpoint stays, also where both are as old: any rule will do that does not
+// depend on their order.
+func newer(a, b storedLesson) bool {
+	x, y := a.lesson, b.lesson
+	return cmp.Or(
+		cmp.Compare(a.learnedAt, b.learnedAt),
+		cmp.Compare(x.Seen, y.Seen),
+		cmp.Compare(x.Mean, y.Mean),
+		cmp.Compare(x.Dev, y.Dev),
+		cmp.Compare(x.Past, y.Past),
+		cmp.Compare(x.Limit, y.Limit),
+		cmp.Compare(x.Wait, y.Wait),
+		cmp.Compare(x.Zone, y.Zone),
+		cmp.Compare(x.Endpoint, y.Endpoint)) > 0
+}
+
+func valid(l Lesson) bool {
 	for _, v := range [...]float64{l.Mean, l.Dev, l.Past, l.Seen, l.Limit} {
 		if !(v >= 0) || math.IsInf(v, 1) {
 			return false
@@ -135,13 +167,13 @@
 	return l.Age >= 0 && l.Wait >= 0 && l.Wait < math.MaxInt32
 }
 
-// Of is what is known of a destination, ages as of now; false where nothing young enough is.
-func (s *Summary) Of(now view.Now, d choice.DestinationID) (Lessons, bool) {
+// Lookup is what is known of a destination, ages as of now; false if nothing young enough is.
+func (s *Summary) Lookup(now view.Now, d choice.DestinationID) (Lessons, bool) {
 	out := Lessons{Destination: d}
-	if e := s.of[d]; e != nil {
-		for _, k := range e.all {
-			if l := k.l; now-k.at <= MostAge {
-				l.Age = max(0, now-k.at)
+	if e := s.entries[d]; e != nil {
+		for _, stored := range e.lessons {
+			if l := stored.lesson; now-stored.learnedAt <= MaxAge {
+				l.Age = max(0, now-stored.learnedAt)
 				out.All = append(out.All, l)
 			}
 		}
@@ -149,46 +181,29 @@
 	return out, len(out.All) > 0
 }
 
-// Forget drops a destination: what was learnt of it up to now is void, also what is still on its way here.
+// Forget drops a destination: what was learned of it up to now is void, also what is still on its way here.
 func (s *Summary) Forget(now view.Now, d choice.DestinationID) {
-	if e := s.of[d]; e != nil {
-		heap.Remove(&s.oldest, e.no)
-		delete(s.of, d)
+	if e := s.entries[d]; e != nil {
+		heap.Remove(&s.oldest, e.heapIndex)
+		delete(s.entries, d)
 	}
-	for other, when := range s.void {
-		if now-when > MostAge { // what is so old is not taken anyway
-			delete(s.void, other)
+	for other, when := range s.voidSince {
+		if now-when > MaxAge { // lessons so old are not taken anyway
+			delete(s.voidSince, other)
 		}
 	}
-	if _, is := s.void[d]; is || len(s.void) < s.most {
-		s.void[d] = now
+	if _, found := s.voidSince[d]; found || len(s.voidSince) < s.maxDestinations {
+		s.voidSince[d] = now
 	}
 }
 
-// Held is how many destinations something is known of.
-func (s *Summary) Held() int { return len(s.of) }
+// Len is how many destinations something is known of.
+func (s *Summary) Len() int { return len(s.entries) }
 
-// entries has the one first that leaves first. It is container/heap's.
-type entries []*entry
-
-func (l entries) Len() int { return len(l) }
-func (l entries) Less(i, j int) bool {
-	return l[i].last < l[j].last || l[i].last == l[j].last && l[i].d < l[j].d
-}
-func (l entries) Swap(i, j int) {
-	l[i], l[j] = l[j], l[i]
-	l[i].no, l[j].no = i, j
-}
-
-func (l *entries) Push(e any) {
-	e.(*entry).no = len(*l)
-	*l = append(*l, e.(*entry))
+// Less has the entry first that is dropped first.
+func (e *entry) Less(other *entry) bool {
+	return e.newestAt < other.newestAt || e.newestAt == other.newestAt && e.destination < other.destination
 }
 
-func (l *entries) Pop() any {
-	last := len(*l) - 1
-	e := (*l)[last]
-	(*l)[last] = nil
-	*l = (*l)[:last]
-	return e
-}
+// SetIndex is called by the heap.
+func (e *entry) SetIndex(i int) { e.heapIndex = i }
--- a/internal/cluster/popularity/recall/recall_test.go
+++ b/internal/cluster/popularity/recall/recall_test.go
@@ -11,7 +11,7 @@
 	"flaxcove/internal/cluster/view"
 )
 
-func lesson(e int, mean float64, age time.Duration) Lesson {
+func newLesson(e int, mean float64, age time.Duration) Lesson {
 	return Lesson{Endpoint: choice.EndpointID(rune(96 + e)), Mean: mean, Past: mean, Seen: 10, Age: age, Zone: "z"}
 }
 
@@ -24,15 +24,15 @@
 		}
 		all := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) sent {
 			return sent{time.Duration(rapid.IntRange(0, 5).Draw(t, "at")) * time.Second,
-				lesson(rapid.IntRange(1, 3).Draw(t, "e"), float64(rapid.IntRange(1, 3).Draw(t, "mean")), 0)}
+				newLesson(rapid.IntRange(1, 3).Draw(t, "e"), float64(rapid.IntRange(1, 3).Draw(t, "mean")), 0)}
 		}), 1, 12).Draw(t, "all")
 		put := func(order []sent) Lessons {
-			s := Make(0)
+			s := NewSummary(0)
 			for _, x := range order {
 				x.l.Age = 9*time.Second - x.at
 				s.Put(9*time.Second, Lessons{1, []Lesson{x.l}})
 			}
-			got, _ := s.Of(10*time.Second, 1)
+			got, _ := s.Lookup(10*time.Second, 1)
 			return got
 		}
 		late := append(rapid.Permutation(all).Draw(t, "order"), all...)
@@ -42,30 +42,30 @@
 	})
 }
 
-func TestBoundsAndForgotten(t *testing.T) {
-	s := Make(3)
+func TestBoundsAndForget(t *testing.T) {
+	s := NewSummary(3)
 	for d := range choice.DestinationID(10) {
-		s.Put(view.Now(d), Lessons{d, []Lesson{lesson(1, 1, 0)}})
+		s.Put(view.Now(d), Lessons{d, []Lesson{newLesson(1, 1, 0)}})
 	}
-	if _, oldest := s.Of(10, 0); oldest || s.Held() != 3 {
-		t.Error("the oldest stayed", s.Held())
+	if _, oldest := s.Lookup(10, 0); oldest || s.Len() != 3 {
+		t.Error("the oldest stayed", s.Len())
 	}
 	s.Forget(20, 9)
-	s.Put(30, Lessons{9, []Lesson{lesson(1, 1, 15)}}) // learnt at 15, on its way when it was forgotten
-	if _, some := s.Of(30, 9); some {
+	s.Put(30, Lessons{9, []Lesson{newLesson(1, 1, 15)}}) // learned at 15, on its way when it was forgotten
+	if _, some := s.Lookup(30, 9); some {
 		t.Error("what is void came back")
 	}
-	s.Put(30, Lessons{9, []Lesson{lesson(1, 1, 5)}})
-	if _, some := s.Of(30, 9); !some {
-		t.Error("what was learnt since is not taken")
+	s.Put(30, Lessons{9, []Lesson{newLesson(1, 1, 5)}})
+	if _, some := s.Lookup(30, 9); !some {
+		t.Error("what was learned since is not taken")
 	}
-	if _, some := s.Of(30+MostAge+1, 9); some {
-		t.Error("told although it is too old")
+	if _, some := s.Lookup(30+MaxAge+1, 9); some {
+		t.Error("returned although it is too old")
 	}
 }
 
-func TestTrustByAge(t *testing.T) {
-	l := lesson(1, 50, 0)
+func TestDiscountByAge(t *testing.T) {
+	l := newLesson(1, 50, 0)
 	l.Seen, l.Limit, l.Wait = 1000, 20, 90*choice.Second
 	for _, c := range []struct {
 		age         time.Duration
@@ -74,15 +74,15 @@
 		wait        choice.Time
 		some        bool
 	}{
-		{0, "z", mostSeen, 20, 90 * choice.Second, true},
-		{0, "y", elsewhere, 20, 90 * choice.Second, true},
+		{0, "z", maxAnswers, 20, 90 * choice.Second, true},
+		{0, "y", maxAnswersElsewhere, 20, 90 * choice.Second, true},
 		{time.Minute + time.Second, "z", 2.8, 0, 29 * choice.Second, true}, // an old limit is not trusted, a wait is
-		{2 * trustHalf, "z", 1, 0, 0, true},
-		{MostAge + 1, "z", 0, 0, 0, false},
+		{2 * ageHalfLife, "z", 1, 0, 0, true},
+		{MaxAge + 1, "z", 0, 0, 0, false},
 		{-1, "z", 0, 0, 0, false},
 	} {
 		l.Age = c.age
-		got, some := Trust(l, c.zone)
+		got, some := Discount(l, c.zone)
 		k := got.Learnt
 		if some != c.some || k.Limit != c.limit || k.Wait != c.wait || k.Seen < c.seen-0.05 || k.Seen > c.seen+0.05 {
 			t.Error(c, got, some)
--- a/internal/cluster/popularity/run/run.go
+++ b/internal/cluster/popularity/run/run.go
@@ -1,10 +1,10 @@
-// Package run carries popularity between the processes of one region: counts up the tree, scores down, lessons of the
-// larger processes to the region's head, and back to small ones; at a small process it has the sender let go of what is
-// least worth.
+// Package run carries popularity between the processes of one region. Counts go up the tree and rankings come down
+// (counts.go); larger processes send what they learned to the region's coordinator (lessons.go), and small ones ask it for
+// that (requests.go); at a small process the sender evicts the destinations of the lowest priority weight (eviction.go).
 //
-// It owns one goroutine that turns each two seconds or when woken, and one for each call that is out, at most five; all
-// end with Close. What is decided is package count's, merge's, score's, evict's and recall's. It must never hold its
-// lock over a call out, have the sender wait, nor tell anything across regions.
+// It owns one goroutine that ticks each two seconds or when woken, and one for each call in flight, at most five; all end
+// with Close. Packages count, merge, score, evict and recall decide. The lock is never held over a call to another process,
+// the sender never waits, and nothing is sent to another region.
 package run
 
 import (
@@ -27,13 +27,14 @@
 )
 
 const (
-	turnEach = 2 * time.Second
-	// Of a turn: counts and scores that changed little are told anew each five, which the half life of counts allows;
-	// one that asks for scores passes for one that does for three renewals.
-	renewTurns, wantTurns = 5, 15
-	callFor               = 700 * time.Millisecond
-	mostDigests           = 16  // handed over and not yet counted: eight seconds of them
-	mostWoken             = 256 // woken and not yet asked for
+	defaultTickInterval = 2 * time.Second
+	// renewTicks: counts and rankings that changed little are sent again after so long, which the half-life of counts allows.
+	renewTicks = 5
+	// wantTicks: a process that asked for rankings still wants them for three renewals.
+	wantTicks        = 15
+	callTimeout      = 700 * time.Millisecond
+	maxQueuedDigests = 16  // handed over and not yet counted: eight seconds of them
+	maxQueuedLoads   = 256 // destinations loaded by the sender and not yet asked for
 )
 
 // Link carries calls to other processes.
@@ -44,118 +45,128 @@
 
 // Orders is what is asked of the sender; see together.Orders.
 type Orders interface {
-	Evict(all []choice.DestinationID, done func(kept []choice.DestinationID))
+	Evict(all []choice.DestinationID, done func(retained []choice.DestinationID))
 	Holding(done func([]together.Held))
 	Teach(lessons []together.Lesson)
 	Know(of []choice.DestinationID, done func([]together.Lesson))
 }
 
-// Options are what it is started with; all but Bounds, Turn and Log must be set.
+// Options are what a runner is made with; all but Bounds, TickInterval and Log must be set.
 type Options struct {
-	Self   view.Member
-	Now    func() view.Now // since the process began; monotonic
-	Link   Link
-	Orders Orders
-	View   func() *view.View
-	Tree   func() *tree.Tree
-	Bounds evict.Bounds  // of a small process
-	Turn   time.Duration // turnEach if 0; all other spans but callFor are told in turns
-	Log    *zap.Logger
+	Self         view.Member
+	Now          func() view.Now // since the process began; monotonic
+	Link         Link
+	Orders       Orders
+	View         func() *view.View
+	Tree         func() *tree.Tree
+	Bounds       evict.Bounds  // of a small process
+	TickInterval time.Duration // defaultTickInterval if 0; all other spans but callTimeout are multiples of it
+	Log          *zap.Logger
 }
 
-// Status is how it stands, for operators; counts are since the start.
+// Status is the state as operators see it; counts are since the start.
 type Status struct {
-	Region    view.Region   `json:"region"`
-	Head      view.Name     `json:"head"`
-	Cut       bool          `json:"cut"`        // nothing heard of the region: goes by its last scores and its own sight
-	ScoresAge time.Duration `json:"scores_age"` // -1 for no scores
-	Scored    int           `json:"scored"`     // processes that they rest on
-	Counted   float64       `json:"counted"`    // messages handed in here, decayed
-	Summary   int           `json:"summary"`    // destinations of which lessons are kept here for the region
-	Over      bool          `json:"over"`       // a bound is exceeded by what must never go
-	Held      int           `json:"held"`       // destinations, at the last look
-	Evicted   uint64        `json:"evicted"`
-	Kept      uint64        `json:"kept"` // chosen to go and kept by the sender
-	Woke      uint64        `json:"woke"`
-	Asked     uint64        `json:"asked"`  // destinations asked for
-	Taught    uint64        `json:"taught"` // lessons handed to the sender
-	Passed    uint64        `json:"passed"` // destinations whose lessons were passed to the region
-	Calls     uint64        `json:"calls"`
-	Failed    uint64        `json:"failed"` // of these
-	Bad       uint64        `json:"bad"`    // messages that could not be read or were not taken
-	Dropped   uint64        `json:"dropped"`
+	Region          view.Region   `json:"region"`
+	Head            view.Name     `json:"head"`       // coordinator of the region
+	Isolated        bool          `json:"cut"`        // no ranking lately: goes by the last one and its own counts
+	RankingAge      time.Duration `json:"scores_age"` // -1 for no ranking
+	RankedProcesses int           `json:"scored"`     // processes that the ranking is from
+	Counted         float64       `json:"counted"`    // messages handed in here, decayed
+	SummarySize     int           `json:"summary"`    // destinations of which lessons are stored here for the region
+	BoundExceeded   bool          `json:"over"`       // by protected destinations
+	Held            int           `json:"held"`       // destinations, at the last check
+	Evicted         uint64        `json:"evicted"`
+	Retained        uint64        `json:"kept"`   // selected for eviction and retained by the sender
+	Loaded          uint64        `json:"woke"`   // destinations that the sender had nothing of
+	Asked           uint64        `json:"asked"`  // destinations asked for
+	LessonsApplied  uint64        `json:"taught"` // handed to the sender
+	LessonsSent     uint64        `json:"passed"` // destinations whose lessons were sent to the region's coordinator
+	Calls           uint64        `json:"calls"`
+	Failed          uint64        `json:"failed"` // of these
+	Malformed       uint64        `json:"bad"`    // messages that could not be read or were rejected
+	Dropped         uint64        `json:"dropped"`
 }
 
-// Runner is one process's.
+// Runner runs popularity at one process.
 type Runner struct {
-	o       Options
-	ctx     context.Context
-	cancel  context.CancelFunc
-	working sync.WaitGroup
-	digests chan []together.Count
-	woken   chan choice.DestinationID
-	wake    chan struct{}
-	held    chan holding
-	learnt  chan gathered
-	dropped atomic.Uint64
-	kept    atomic.Uint64
+	options       Options
+	ctx           context.Context
+	cancel        context.CancelFunc
+	goroutines    sync.WaitGroup
+	digests       chan []together.Count
+	loaded        chan choice.DestinationID
+	wake          chan struct{}
+	holdings      chan holdings
+	lessonBatches chan lessonBatch
+	dropped       atomic.Uint64
+	retained      atomic.Uint64
 
 	// Of the loop alone.
-	evictor *evict.Evictor
-	letting letting
-	passing passing
-	asking  asking
+	evictor       *evict.Evictor
+	eviction      evictionState
+	lessonSending lessonState
+	requests      requestState
 
 	// mu is popularity.mu in the order of package cluster; no other lock is taken under it.
-	mu       sync.Mutex
-	closed   bool
-	counts   *count.Table
-	merged   *merge.Table
-	board    *score.Board
-	summary  *recall.Summary
-	telling  telling
-	asks     int  // calls out for what woke
-	passes   int  // calls out with lessons
-	unpassed bool // one of them failed: all is passed anew
-	finished []choice.DestinationID
-	status   Status
-	bounds   evict.Bounds
+	mu               sync.Mutex
+	closed           bool
+	counts           *count.Table
+	merged           *merge.Table
+	scores           *score.Table
+	summary          *recall.Summary
+	countSending     countState
+	requestsInFlight int  // calls that ask for lessons
+	batchesInFlight  int  // calls with lessons
+	batchFailed      bool // one of them did: all lessons are sent anew
+	finishedRequests []choice.DestinationID
+	status           Status
+	bounds           evict.Bounds
 }
 
-// New makes one; handlers are added to the link at once, nothing runs before Start.
+// New makes a runner; its handlers are added to the link at once, and nothing runs before Start.
 func New(o Options) *Runner {
-	if o.Turn <= 0 {
-		o.Turn = turnEach
+	if o.TickInterval <= 0 {
+		o.TickInterval = defaultTickInterval
 	}
 	if o.Log == nil {
 		o.Log = zap.NewNop()
 	}
-	r := &Runner{o: o, bounds: o.Bounds, evictor: evict.Make(), wake: make(chan struct{}, 1),
-		digests: make(chan []together.Count, mostDigests), woken: make(chan choice.DestinationID, mostWoken),
-		held: make(chan holding, 1), learnt: make(chan gathered, 1), counts: count.Make(count.Bounds{}),
-		merged: merge.MakeTable(count.HalfLife), board: score.Make(count.HalfLife), summary: recall.Make(0)}
-	r.asking.out = map[choice.DestinationID]bool{}
-	r.passing.told = map[choice.DestinationID]passed{}
+	r := &Runner{
+		options:       o,
+		bounds:        o.Bounds,
+		digests:       make(chan []together.Count, maxQueuedDigests),
+		loaded:        make(chan choice.DestinationID, maxQueuedLoads),
+		wake:          make(chan struct{}, 1),
+		holdings:      make(chan holdings, 1),
+		lessonBatches: make(chan lessonBatch, 1),
+		evictor:       evict.New(),
+		counts:        count.NewTable(count.Bounds{}),
+		merged:        merge.NewTable(count.HalfLife),
+		scores:        score.NewTable(count.HalfLife),
+		summary:       recall.NewSummary(0),
+	}
+	r.requests.pending = map[choice.DestinationID]bool{}
+	r.lessonSending.sent = map[choice.DestinationID]sentLessons{}
 	r.ctx, r.cancel = context.WithCancel(context.Background())
-	o.Link.Handle(upPath, r.hearUp)
-	o.Link.Handle(askPath, r.hearAsk)
-	o.Link.Handle(learntPath, r.hearLearnt)
+	o.Link.Handle(countsPath, r.handleCounts)
+	o.Link.Handle(requestPath, r.handleRequest)
+	o.Link.Handle(lessonsPath, r.handleLessons)
 	return r
 }
 
-// Start begins.
-func (r *Runner) Start() { r.begin(r.loop) }
+// Start starts the loop.
+func (r *Runner) Start() { r.startGoroutine(r.loop) }
 
-// Close ends all goroutines; calls that are out are given up.
+// Close ends all goroutines and abandons calls in flight.
 func (r *Runner) Close() {
 	r.mu.Lock()
 	r.closed = true
 	r.mu.Unlock()
 	r.cancel()
-	r.working.Wait()
+	r.goroutines.Wait()
 }
 
-// Digest hands over what programs handed in. It never waits: what finds the queue full is left out and counted.
+// Digest hands over what clients handed in. It never waits: a digest that finds the queue full is dropped and counted.
 func (r *Runner) Digest(d together.Digest) {
 	if len(d.Counts) == 0 {
 		return
@@ -168,42 +179,45 @@
 }
 
 // Woke asks the region for what it knows of a destination that the sender holds nothing of. It never waits; the answer
-// is taught, or never comes.
+// is handed to the sender as lessons, or never comes.
 func (r *Runner) Woke(d choice.DestinationID) {
 	select {
-	case r.woken <- d:
+	case r.loaded <- d:
 	default:
 		r.dropped.Add(1)
 	}
 }
 
-// SetBounds has other bounds count from the next turn on, which comes at once.
+// SetBounds sets other bounds and makes the loop check them at once.
 func (r *Runner) SetBounds(b evict.Bounds) {
 	r.mu.Lock()
 	r.bounds = b
 	r.mu.Unlock()
-	r.news()
+	r.wakeLoop()
 }
 
-// Forget drops what the region's summary here holds of a destination: what was learnt of it is void.
+// Forget drops what the region's summary here has of a destination: what was learned of it is void.
 func (r *Runner) Forget(d choice.DestinationID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.summary.Forget(r.o.Now(), d)
+	r.summary.Forget(r.options.Now(), d)
 }
 
-// Status is how it stands.
+// Status returns the current state.
 func (r *Runner) Status() Status {
-	now, t := r.o.Now(), r.o.Tree()
+	now, t := r.options.Now(), r.options.Tree()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := r.status
-	s.Region, s.Cut, s.Counted, s.Summary = r.o.Self.Region, r.board.Cut(now), r.counts.All(now), r.summary.Held()
-	s.ScoresAge = -1
-	if age, some := r.board.Age(now); some {
-		s.ScoresAge = age
+	s.Isolated = r.scores.Isolated(now)
+	s.Counted = r.counts.Total(now)
+	s.SummarySize = r.summary.Len()
+	s.RankingAge = -1
+	if age, found := r.scores.Age(now); found {
+		s.RankingAge = age
 	}
-	s.Dropped, s.Kept = r.dropped.Load(), r.kept.Load()
+	s.Dropped, s.Retained = r.dropped.Load(), r.retained.Load()
+	s.Region = r.options.Self.Region
 	if t != nil {
 		s.Region = r.region(t)
 		s.Head = t.RegionHead(s.Region)
@@ -211,27 +225,27 @@
 	return s
 }
 
-// begin starts a goroutine that Close waits for; false once closed.
-func (r *Runner) begin(f func()) bool {
+// startGoroutine starts a goroutine that Close waits for; false once closed.
+func (r *Runner) startGoroutine(f func()) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.closed {
-		r.working.Go(f)
+		r.goroutines.Go(f)
 	}
 	return !r.closed
 }
 
-func (r *Runner) news() {
+func (r *Runner) wakeLoop() {
 	select {
 	case r.wake <- struct{}{}:
 	default:
 	}
 }
 
-func (r *Runner) small() bool { return r.o.Self.Size == view.Small }
+func (r *Runner) small() bool { return r.options.Self.Size == view.Small }
 
 func (r *Runner) loop() {
-	tick := time.NewTicker(r.o.Turn)
+	tick := time.NewTicker(r.options.TickInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -239,31 +253,31 @@
 			return
 		case all := <-r.digests:
 			r.mu.Lock()
-			r.counts.Take(r.o.Now(), all)
+			r.counts.Add(r.options.Now(), all)
 			r.mu.Unlock()
 			continue
-		case d := <-r.woken:
-			r.wakes(d)
-		case h := <-r.held:
-			r.holds(h)
-		case g := <-r.learnt:
-			r.pass(g)
+		case d := <-r.loaded:
+			r.takeLoaded(d)
+		case h := <-r.holdings:
+			r.handleHoldings(h)
+		case b := <-r.lessonBatches:
+			r.sendBatch(b)
 		case <-r.wake:
 		case <-tick.C:
-			r.tell()
-			r.gather()
-			r.look(true)
+			r.countsTick()
+			r.startBatch()
+			r.checkBounds(true)
 		}
-		r.ask()
-		r.look(false)
+		r.requestLessons()
+		r.checkBounds(false)
 	}
 }
 
-// call is one message out, within callFor.
+// call makes one call to another process, within callTimeout, and counts it.
 func (r *Runner) call(to view.Name, path string, in, out any) error {
-	ctx, cancel := context.WithTimeout(r.ctx, callFor)
+	ctx, cancel := context.WithTimeout(r.ctx, callTimeout)
 	defer cancel()
-	err := r.o.Link.Call(ctx, to, path, in, out)
+	err := r.options.Link.Call(ctx, to, path, in, out)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.status.Calls++
@@ -273,9 +287,9 @@
 	return err
 }
 
-func (r *Runner) bad(err error) error {
+func (r *Runner) countMalformed(err error) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.status.Bad++
+	r.status.Malformed++
 	return err
 }
--- a/internal/cluster/popularity/score/score.go
+++ b/internal/cluster/popularity/score/score.go
@@ -1,9 +1,9 @@
-// Package score holds a region's ranking as one process of it was told, and what that and its own sight make of a
-// destination.
+// Package score holds a region's ranking as one process received it, and computes the score of a destination from that and
+// from what the process counted itself.
 //
-// Pure. Scores come from the region's head with their age; they fade by the half life of counts, so that a process
-// that is cut off goes over to what it sees itself without a jump. It must never take the scores of another region,
-// nor older ones for newer.
+// The package is pure. Rankings come from the region's coordinator with their age; they decay by the half-life of counts,
+// so that a process that is cut off goes over to its own counts without a jump. The ranking of another region is never
+// taken, nor an older one in place of a newer.
 package score
 
 import (
@@ -17,96 +17,100 @@
 )
 
 const (
-	// CutAfter is the age of scores from which a process counts as cut off from its region: heads tell anew each ten
-	// seconds, and news passes three tiers of two.
-	CutAfter = 30 * time.Second
-	keep     = 10 * time.Minute // ten half lives: a thousandth is left
-	// regional is how much the mean of the region's processes weighs beside what this one saw. Its own sight is a part
-	// of the same stream and the mean rests on many times as many messages; what is its own alone still shows.
-	regional = 4
+	// IsolatedAfter is the age of a ranking from which a process counts as cut off from its region: coordinators send anew
+	// each ten seconds, and a ranking passes three tiers of two seconds.
+	IsolatedAfter = 30 * time.Second
+	maxAge        = 10 * time.Minute // twenty half-lives of counts
+	// regionWeight is how much the mean of the region's processes weighs beside the process's own count. Its own messages
+	// are a part of the same stream, and the mean rests on many times as many; what it alone is handed still shows.
+	regionWeight = 4
 )
 
-// Mark names one ranking: a head's life and its number.
-type Mark struct {
+// Version names one ranking: the incarnation of the region's coordinator, and a sequence number.
+type Version struct {
 	Head view.Life `json:"head"`
 	Seq  uint64    `json:"seq"`
 }
 
-// Told is a region's ranking on its way down.
-type Told struct {
-	Mark
+// Ranking is a region's ranking on its way down the tree.
+type Ranking struct {
+	Version
 	Region       view.Region            `json:"region"`
 	Age          time.Duration          `json:"age"`
 	Processes    int                    `json:"processes"`
 	Destinations []choice.DestinationID `json:"d"`
-	Notices      []float64              `json:"n"`
+	Messages     []float64              `json:"n"`
 }
 
-// Board is for one goroutine at a time.
-type Board struct {
-	half time.Duration
-	told *Told // not changed once taken
-	at   view.Now
-	of   map[choice.DestinationID]float64 // the mean a process, at the time of told
+// Table is for one goroutine at a time.
+type Table struct {
+	halfLife time.Duration
+	ranking  *Ranking // immutable
+	rankedAt view.Now
+	means    map[choice.DestinationID]float64 // messages a process of the region, as of rankedAt
 }
 
-// Make takes the half life of counts.
-func Make(half time.Duration) *Board { return &Board{half: half} }
+// NewTable takes the half-life of counts.
+func NewTable(halfLife time.Duration) *Table { return &Table{halfLife: halfLife} }
 
-// Take takes scores whose age is of now, at a process of the region here; false where they change nothing. Of one
-// head the later life and the higher number count; of two the younger scores, as a head that lost its place may tell
-// for a while what it has.
-func (b *Board) Take(now view.Now, here view.Region, t Told) bool {
-	if t.Region != here || t.Age < 0 || t.Age > keep || t.Processes < 1 || t.Head.Name == "" ||
-		!merge.Sound(t.Destinations, t.Notices) {
+// Update takes a ranking whose age is as of now, at a process of the region here; false where it changes nothing. Of
+// one coordinator the later incarnation and the higher number count; of two coordinators the younger ranking, as one
+// that lost its role may go on sending for a while.
+func (b *Table) Update(now view.Now, here view.Region, t Ranking) bool {
+	if t.Region != here || t.Age < 0 || t.Age > maxAge || t.Processes < 1 || t.Head.Name == "" ||
+		!merge.ValidColumns(t.Destinations, t.Messages) {
 		return false
 	}
 	at := now - t.Age
-	if b.told != nil {
-		newer := at > b.at
-		if t.Head.Name == b.told.Head.Name {
-			newer = cmp.Or(cmp.Compare(t.Head.Incarnation, b.told.Head.Incarnation), cmp.Compare(t.Seq, b.told.Seq)) > 0
-		}
-		if !newer {
-			return false
-		}
+	if b.ranking != nil && !b.supersededBy(t, at) {
+		return false
 	}
-	b.told, b.at, b.of = &t, at, make(map[choice.DestinationID]float64, len(t.Destinations))
+	b.ranking, b.rankedAt, b.means = &t, at, make(map[choice.DestinationID]float64, len(t.Destinations))
 	for i, d := range t.Destinations {
-		b.of[d] = t.Notices[i] / float64(t.Processes)
+		b.means[d] = t.Messages[i] / float64(t.Processes)
 	}
 	return true
 }
 
-// Tell is what this process passes on, its age as of now; nil where it knows none or those below have it.
-func (b *Board) Tell(now view.Now, have Mark) *Told {
-	if b.told == nil || b.told.Mark == have || now-b.at > keep {
+func (b *Table) supersededBy(t Ranking, rankedAt view.Now) bool {
+	if t.Head.Name != b.ranking.Head.Name {
+		return rankedAt > b.rankedAt
+	}
+	return cmp.Or(cmp.Compare(t.Head.Incarnation, b.ranking.Head.Incarnation), cmp.Compare(t.Seq, b.ranking.Seq)) > 0
+}
+
+// RankingFor is what this process passes on to one that knows a version, its age as of now; nil if that has nothing
+// newer to learn.
+func (b *Table) RankingFor(now view.Now, known Version) *Ranking {
+	if b.ranking == nil || b.ranking.Version == known || now-b.rankedAt > maxAge {
 		return nil
 	}
-	t := *b.told
-	t.Age = now - b.at
+	t := *b.ranking
+	t.Age = now - b.rankedAt
 	return &t
 }
 
-// Mark is of what is held.
-func (b *Board) Mark() (m Mark) {
-	if b.told != nil {
-		m = b.told.Mark
+// Version is that of the stored ranking; zero for none.
+func (b *Table) Version() Version {
+	if b.ranking == nil {
+		return Version{}
 	}
-	return m
+	return b.ranking.Version
 }
 
-// Age is how old the scores are; false where there are none.
-func (b *Board) Age(now view.Now) (time.Duration, bool) { return now - b.at, b.told != nil }
+// Age is how old the ranking is; false if there is none.
+func (b *Table) Age(now view.Now) (time.Duration, bool) { return now - b.rankedAt, b.ranking != nil }
 
-// Cut tells whether this process hears nothing from its region.
-func (b *Board) Cut(now view.Now) bool { return b.told == nil || now-b.at > CutAfter }
+// Isolated reports whether this process hears nothing from its region.
+func (b *Table) Isolated(now view.Now) bool {
+	return b.ranking == nil || now-b.rankedAt > IsolatedAfter
+}
 
-// Of is a destination's score: what one process of the region is handed in for it on average, faded by age, and what
-// was handed in here.
-func (b *Board) Of(now view.Now, d choice.DestinationID, own float64) float64 {
-	if b.told == nil {
+// Score is how many messages one process of the region is handed in for a destination on average, decayed by the
+// ranking's age, and what was handed in here (own).
+func (b *Table) Score(now view.Now, d choice.DestinationID, own float64) float64 {
+	if b.ranking == nil {
 		return own
 	}
-	return own + regional*b.of[d]*count.Decay(now-b.at, b.half)
+	return own + regionWeight*b.means[d]*count.Decay(now-b.rankedAt, b.halfLife)
 }
