--- a/internal/cluster/failover/apply/guide.go
+++ b/internal/cluster/failover/apply/guide.go
@@ -2,7 +2,7 @@
 //
 // It matches messages to zones (guide.go) and knows which plan is in force here and for how long (holder.go). The package
 // is pure. No message is left without any place to go because of a plan: where the process lists no endpoint in the zone
-// that a plan names, sees that zone fail by itself, or has heard of no plan for too long, all is allowed and package
+// that a plan names, sees that zone fail by itself, or has received no plan for too long, all is allowed and package
 // choice decides alone.
 package apply
 
@@ -141,7 +141,7 @@
 	if !found || route.Phase == plan.Overloaded {
 		homeFailing := !slices.ContainsFunc(homeZones, func(z choice.ZoneNo) bool { return !l.Ill[At{d, z}] })
 		if homeFailing {
-			return nil // at this process alone: the plan has not heard yet, or the process's link fails
+			return nil // at this process alone: the plan does not know yet, or the process's link fails
 		}
 	}
 	switch {
--- a/internal/cluster/failover/plan/capacity.go
+++ b/internal/cluster/failover/plan/capacity.go
@@ -92,12 +92,12 @@
 		}
 		spare[at] = capacity * p.settings.CapacityFraction
 	}
-	for k, l := range p.demands {
+	for k, demanded := range p.demands {
 		home := p.tiersFor(k).home
 		for _, z := range home {
 			at := k.placeIn(z)
 			if remaining, found := spare[at]; found {
-				spare[at] = max(0, remaining-p.homeLoadFactor(k, at)*l.rate/float64(len(home)))
+				spare[at] = max(0, remaining-p.homeLoadFactor(k, at)*demanded.rate/float64(len(home)))
 			}
 		}
 	}
--- a/internal/cluster/failover/plan/cases_test.go
+++ b/internal/cluster/failover/plan/cases_test.go
@@ -61,7 +61,7 @@
 	f.working["a1"] = 0.5 // 50 of 60
 	f.run(10 * second)
 	if got := f.maxShare("a1", "a1"); got < 0.6 || got > 0.95 {
-		t.Errorf("%.2f stay near, of which there is room for 0.83", got)
+		t.Errorf("%.2f stay near, of which there is capacity for 0.83", got)
 	}
 	f.working["a1"] = 1
 	f.until("back", 40*second, f.allNear)
@@ -78,11 +78,11 @@
 	f.working["a1"], f.working["a2"] = 0, 0
 	f.run(8 * second)
 	if f.maxShare("a1", "b2")+f.maxShare("a2", "b2") < 0.4 {
-		t.Errorf("little goes to where there is room: %v", f.inForce.Plan().Routes)
+		t.Errorf("little goes to where there is capacity: %v", f.inForce.Plan().Routes)
 	}
 	f.expectNoOverload() // 120 a second lost their home and there is capacity for under 40: the rest stays
 	if near := f.distribution(1, "a1")["a1"] + f.distribution(1, "a2")["a2"]; near < 1 {
-		t.Errorf("more moved than there is room for: %.2f of 2 stay", near)
+		t.Errorf("more was diverted than there is capacity for: %.2f of 2 stay", near)
 	}
 }
 
@@ -265,7 +265,7 @@
 	}
 }
 
-// A new leader that starts in an outage hears nothing of one zone that failed, and of another only what fails: the
+// A new leader that starts in an outage gets no reports of one zone that failed, and of another only what fails: the
 // first stays diverted, and the second is diverted by the calls tried there.
 func TestNewLeaderDuringOutage(t *testing.T) {
 	f := newFleet(t)
@@ -283,6 +283,6 @@
 	f.until("the second moved", 3*second, func() bool { return f.maxShare("b1", "a2")+f.maxShare("b1", "b2") > 0.2 })
 	f.run(6 * second)
 	if !f.awayFrom("a1")() {
-		t.Errorf("a zone of which nothing is heard is taken for well: %v", f.inForce.Plan().Routes)
+		t.Errorf("a zone that nobody reports on is taken for healthy: %v", f.inForce.Plan().Routes)
 	}
 }
--- a/internal/cluster/failover/plan/demand.go
+++ b/internal/cluster/failover/plan/demand.go
@@ -23,9 +23,9 @@
 
 // updateDemands takes as a zone's demand what it sent and had answered, over all places of a destination: which of them
 // the calls went to does not matter.
-func (p *Planner) updateDemands(now view.Now, all []weigh.PlaceHealth) {
+func (p *Planner) updateDemands(now view.Now, places []weigh.PlaceHealth) {
 	answered, sent := map[routeKey]float64{}, map[routeKey]float64{}
-	for _, place := range all {
+	for _, place := range places {
 		for _, seen := range place.ByZone {
 			k := routeKey{place.Destination, seen.From}
 			answered[k] += seen.Done + min(seen.Refused, maxRefusedFraction*seen.Done)
--- a/internal/cluster/failover/plan/inforce.go
+++ b/internal/cluster/failover/plan/inforce.go
@@ -58,7 +58,7 @@
 	Index uint64        `json:"index"`
 }
 
-// Snapshot encodes the whole state.
+// Snapshot encodes the complete state.
 func (f *InForce) Snapshot() (json.RawMessage, error) {
 	return json.Marshal(snapshot{f.plan, f.decidedAt, f.index})
 }
--- a/internal/cluster/failover/plan/noise_test.go
+++ b/internal/cluster/failover/plan/noise_test.go
@@ -149,24 +149,24 @@
 	if len(s.planChanges) > 1 || s.leftZone > 0.02*s.totalCalls {
 		t.Errorf("all is well: plans at %v, %.4f of calls left their zone", s.planChanges, s.leftZone/s.totalCalls)
 	}
-	fell, n := s.now, len(s.planChanges)
+	failedAt, n := s.now, len(s.planChanges)
 	s.failing["a1"] = true
-	for s.nearShare > 0.15 && s.now < fell+20*time.Second {
+	for s.nearShare > 0.15 && s.now < failedAt+20*time.Second {
 		s.step()
 	}
-	t.Logf("moved after %v in %d plans", s.now-fell, len(s.planChanges)-n)
-	if s.now-fell > 3*time.Second {
-		t.Errorf("moved only after %v", s.now-fell)
+	t.Logf("moved after %v in %d plans", s.now-failedAt, len(s.planChanges)-n)
+	if s.now-failedAt > 3*time.Second {
+		t.Errorf("moved only after %v", s.now-failedAt)
 	}
 	run(12 * time.Second)
 	n = len(s.planChanges)
 	s.failing["a1"] = false
-	well := s.now
-	for len(s.plan.Routes) > 0 && s.now < well+time.Minute {
+	healthyAt := s.now
+	for len(s.plan.Routes) > 0 && s.now < healthyAt+time.Minute {
 		s.step()
 	}
-	t.Logf("back after %v in %d plans", s.now-well, len(s.planChanges)-n)
-	if s.now-well > 25*time.Second {
-		t.Errorf("back only after %v: %+v", s.now-well, s.plan.Routes)
+	t.Logf("back after %v in %d plans", s.now-healthyAt, len(s.planChanges)-n)
+	if s.now-healthyAt > 25*time.Second {
+		t.Errorf("back only after %v: %+v", s.now-healthyAt, s.plan.Routes)
 	}
 }
--- a/internal/cluster/failover/plan/planner.go
+++ b/internal/cluster/failover/plan/planner.go
@@ -58,7 +58,7 @@
 	}
 }
 
-// Epoch returns the epoch of the plan in force, as far as the planner was told.
+// Epoch returns the epoch of the plan in force, as far as the planner knows it.
 func (p *Planner) Epoch() view.Epoch { return p.inForce.Epoch }
 
 // Members sets which zones there are. A zone that has gone stays known: its endpoints may still be there.
@@ -71,9 +71,9 @@
 }
 
 // Judged takes the current health of all places.
-func (p *Planner) Judged(now view.Now, all []weigh.PlaceHealth) {
+func (p *Planner) Judged(now view.Now, places []weigh.PlaceHealth) {
 	p.assessedAt = now
-	for _, s := range all {
+	for _, s := range places {
 		pl := p.places[s.Place]
 		if pl == nil {
 			if len(p.places) >= maxPlaces {
@@ -86,9 +86,9 @@
 		pl.update(now, s)
 		p.indexStale = p.indexStale || wasListed != pl.listed()
 	}
-	p.healthyLinks = healthyLinks(all)
+	p.healthyLinks = healthyLinks(places)
 	p.rebuildIndex(now)
-	p.updateDemands(now, all)
+	p.updateDemands(now, places)
 	p.updateHomeDemand()
 }
 
@@ -96,12 +96,12 @@
 type link struct{ from, to view.Zone }
 
 // healthyLinks returns the links on which two places or more are healthy and none fails.
-func healthyLinks(all []weigh.PlaceHealth) map[link]bool {
+func healthyLinks(places []weigh.PlaceHealth) map[link]bool {
 	healthyPlaces, failing := map[link]int{}, map[link]bool{}
-	for _, s := range all {
-		for _, pair := range s.ByZone {
-			l := link{pair.From, s.Zone}
-			switch pair.State {
+	for _, s := range places {
+		for _, seen := range s.ByZone {
+			l := link{seen.From, s.Zone}
+			switch seen.State {
 			case weigh.Healthy:
 				healthyPlaces[l]++
 			case weigh.Failing:
--- a/internal/cluster/failover/plan/share.go
+++ b/internal/cluster/failover/plan/share.go
@@ -71,8 +71,8 @@
 }
 
 // sendsToFailing reports whether a route sends to a place that is failing.
-func (p *Planner) sendsToFailing(k routeKey, o Route) bool {
-	return slices.ContainsFunc(o.Shares, func(s Share) bool {
+func (p *Planner) sendsToFailing(k routeKey, r Route) bool {
+	return slices.ContainsFunc(r.Shares, func(s Share) bool {
 		state, _ := p.stateSeenBy(k, s.Zone)
 		return s.Fraction > 0 && state == weigh.Failing
 	})
@@ -109,12 +109,8 @@
 		if r.phase == steady {
 			continue
 		}
-		for _, s := range r.published.Shares {
-			at := k.placeIn(s.Zone)
-			capacity, known := spare[at] // where it is not known, as to a new leader, what is in force stays
-			if reused[k] && known && s.Fraction > 0 && used[at] > capacity*overloadTolerance+negligibleCapacity {
-				reused[k] = false
-			}
+		if reused[k] && sendsToOverloaded(k, r.published, used, spare) {
+			reused[k] = false
 		}
 		if !reused[k] {
 			reassigned = append(reassigned, k)
@@ -123,6 +119,16 @@
 	return reused, reassigned
 }
 
+// sendsToOverloaded reports whether a receiver of a route gets more than its spare capacity. Where that is not known, as
+// to a new leader, what is in force stays.
+func sendsToOverloaded(k routeKey, r Route, used map[sight.Place]float64, spare capacities) bool {
+	return slices.ContainsFunc(r.Shares, func(s Share) bool {
+		at := k.placeIn(s.Zone)
+		capacity, known := spare[at]
+		return known && s.Fraction > 0 && used[at] > capacity*overloadTolerance+negligibleCapacity
+	})
+}
+
 // stillFits reports whether a route in force can stay: no receiver fails, and nothing that had to stay near could go
 // now.
 func (p *Planner) stillFits(now view.Now, k routeKey, r *routeState, spare capacities) bool {
@@ -153,17 +159,17 @@
 }
 
 // reserve takes what a route sends from the spare capacity.
-func (p *Planner) reserve(k routeKey, o Route, spare capacities) {
-	for _, s := range o.Shares {
+func (p *Planner) reserve(k routeKey, r Route, spare capacities) {
+	for _, s := range r.Shares {
 		at := k.placeIn(s.Zone)
 		spare[at] = max(0, spare[at]-s.Fraction*p.demand(k))
 	}
 }
 
 // fillTier assigns what is still to go to the zones of a tier, in proportion to their spare capacity.
-func (p *Planner) fillTier(k routeKey, o *Route, zones []view.Zone, spare capacities) {
-	remaining, available := 1-o.Near, 0.0
-	for _, s := range o.Shares {
+func (p *Planner) fillTier(k routeKey, r *Route, zones []view.Zone, spare capacities) {
+	remaining, available := 1-r.Near, 0.0
+	for _, s := range r.Shares {
 		remaining -= s.Fraction
 	}
 	zones = slices.DeleteFunc(slices.Clone(zones), func(z view.Zone) bool { return !p.usable(k, z) })
@@ -177,8 +183,8 @@
 	fraction := min(1, available/(remaining*rate)) // of the remaining share, that there is capacity for
 	for _, z := range zones {
 		at := k.placeIn(z)
-		if s := floorShare(remaining * fraction * spare[at] / available); s > 0 && len(o.Shares) < maxShares {
-			o.Shares = append(o.Shares, Share{z, s})
+		if s := floorShare(remaining * fraction * spare[at] / available); s > 0 && len(r.Shares) < maxShares {
+			r.Shares = append(r.Shares, Share{z, s})
 			spare[at] = max(0, spare[at]-s*rate)
 		}
 	}
@@ -186,21 +192,21 @@
 
 // assignRemainder lets the rest stay near, where package choice sheds it with a Retry-After. Where no other zone can
 // take anything, nothing moves and all is as without a plan.
-func (p *Planner) assignRemainder(k routeKey, o *Route) {
+func (p *Planner) assignRemainder(k routeKey, r *Route) {
 	if home := p.tiersFor(k).home; !slices.Equal(home, []view.Zone{k.from}) {
-		o.Home = home
+		r.Home = home
 	}
 	moved := 0.0
-	for _, s := range o.Shares {
+	for _, s := range r.Shares {
 		moved += s.Fraction
 	}
-	if moved == 0 && o.Phase == Away {
+	if moved == 0 && r.Phase == Away {
 		others := p.tiersFor(k).others
 		if !slices.ContainsFunc(slices.Concat(others[0], others[1]), func(z view.Zone) bool { return p.usable(k, z) }) {
-			o.Phase = Unrestricted
+			r.Phase = Unrestricted
 		}
 	}
-	o.Near = math.Round((1-moved)*1e4) / 1e4
+	r.Near = math.Round((1-moved)*1e4) / 1e4
 }
 
 // sameEffect reports whether two routes send messages alike.
--- a/internal/cluster/failover/plan/types.go
+++ b/internal/cluster/failover/plan/types.go
@@ -65,7 +65,7 @@
 	Routes  []Route                   `json:"routes,omitempty"` // sorted by destination and zone
 }
 
-// Bounds of what a plan may hold. The council takes commands of 256 KB; a route is 100 to 200 bytes.
+// Bounds of a plan. The consensus group takes commands of up to 256 KB; a route is 100 to 200 bytes.
 const (
 	MaxRoutes    = 5000
 	maxPlanBytes = 200 << 10
--- a/internal/cluster/failover/run/announce.go
+++ b/internal/cluster/failover/run/announce.go
@@ -43,11 +43,7 @@
 			continue
 		}
 		visited[name] = true
-		c := r.children[name]
-		if c == nil {
-			c = &child{confirmedAt: -r.options.Settings.Hold, triedAt: -r.options.Settings.Hold}
-			r.children[name] = c
-		}
+		c := r.childNamed(name)
 		if c.failing {
 			targets = append(targets, t.Children(name)...)
 		}
@@ -60,6 +56,17 @@
 	}
 }
 
+// childNamed is the child of that name; a new one lacks everything. The caller holds mu.
+func (r *Runner) childNamed(name view.Name) *child {
+	c := r.children[name]
+	if c == nil {
+		longAgo := -r.options.Settings.Hold
+		c = &child{confirmedAt: longAgo, triedAt: longAgo}
+		r.children[name] = c
+	}
+	return c
+}
+
 // announceTo sends a child what it needs, if anything. The caller holds mu.
 func (r *Runner) announceTo(now view.Now, name view.Name, c *child) {
 	withPlan := c.epoch != r.holder.Epoch()
--- a/internal/cluster/failover/run/leader.go
+++ b/internal/cluster/failover/run/leader.go
@@ -16,7 +16,7 @@
 )
 
 // leaderTick renews the plan in force and makes plans from the collected reports. A process that leads no more does
-// neither, so that its plan lapses where no other leader is heard.
+// neither, so that its plan lapses unless another leader renews it.
 func (r *Runner) leaderTick(now view.Now, t *tree.Tree, assess bool) {
 	if !r.options.Council.Leading() {
 		r.mu.Lock()
--- a/internal/cluster/failover/run/run_test.go
+++ b/internal/cluster/failover/run/run_test.go
@@ -138,6 +138,15 @@
 	w.runners[m.Name] = r
 }
 
+// startAll starts all members and waits for the first plan.
+func (w *testCluster) startAll(t *testing.T) {
+	t.Helper()
+	for _, m := range w.members {
+		w.start(m)
+	}
+	w.waitFor(t, 5*time.Second, "a first plan", planned)
+}
+
 // healthReports are those of two processes a zone that send near alone.
 func (w *testCluster) healthReports(z view.Zone) (all []sight.Sighting) {
 	w.mu.Lock()
@@ -205,10 +214,7 @@
 	if w.leader == w.tree.Root() {
 		w.leader = w.members[0].Name
 	}
-	for _, m := range w.members {
-		w.start(m)
-	}
-	w.waitFor(t, 5*time.Second, "a first plan", planned)
+	w.startAll(t)
 	w.mu.Lock()
 	w.failing["a1"] = true
 	w.mu.Unlock()
@@ -258,15 +264,12 @@
 func TestPlanLapsesWithoutALeader(t *testing.T) {
 	w := newTestCluster(t, 2)
 	w.leader = "a1-0"
-	for _, m := range w.members {
-		w.start(m)
-	}
-	w.waitFor(t, 5*time.Second, "a first plan", planned)
+	w.startAll(t)
 	time.Sleep(1200 * time.Millisecond) // longer than a plan holds without renewal
 	w.waitFor(t, 0, "renewed", planned)
 	w.runners["b2-1"].Close() // a process restarts with no state
 	w.start(w.members[len(w.members)-1])
-	w.waitFor(t, 2*time.Second, "told again", planned)
+	w.waitFor(t, 2*time.Second, "announced again", planned)
 	w.mu.Lock()
 	w.leader = "" // no quorum: the old leader knows it
 	w.mu.Unlock()
@@ -280,10 +283,7 @@
 func TestMalformedMessagesChangeNothing(t *testing.T) {
 	w := newTestCluster(t, 1)
 	w.leader = "a1-0"
-	for _, m := range w.members {
-		w.start(m)
-	}
-	w.waitFor(t, 5*time.Second, "a first plan", planned)
+	w.startAll(t)
 	r := w.runners["b1-0"]
 	epoch := r.Stats().Epoch
 	for _, body := range []string{`{`, `{"epoch":99,"plan":{"epoch":99,"hold":-1}}`, `{"epoch":99,"age":-5}`} {
--- a/internal/cluster/failover/weigh/judge.go
+++ b/internal/cluster/failover/weigh/judge.go
@@ -133,8 +133,8 @@
 	return state, share
 }
 
-// settleCommonStates sets the state that holds for zones that have seen nothing of a place. The word of an isolated
-// zone counts for no other zone.
+// settleCommonStates sets the state that holds for zones that have seen nothing of a place. What an
+// isolated zone reports counts for no other zone.
 func settleCommonStates(places []PlaceHealth, reports []Report, b Bounds) {
 	isolated := isolatedZones(places)
 	for i := range places {
--- a/internal/cluster/failover/weigh/weigh_test.go
+++ b/internal/cluster/failover/weigh/weigh_test.go
@@ -70,7 +70,7 @@
 	expectStates(t, got, map[string]weigh.State{"1a": weigh.Healthy, "1a<b": weigh.Failing, "1a<c": weigh.Healthy})
 }
 
-// A zone that is cut off sees all calls fail: its word fails a place for nobody else.
+// A zone that is cut off sees all calls fail: its reports fail a place for nobody else.
 func TestIsolatedZone(t *testing.T) {
 	got := statesOf(sighting("a", 1, 1, "a", 0, 9), sighting("a", 1, 1, "b", 0, 9), sighting("b", 1, 1, "b", 9, 0))
 	expectStates(t, got, map[string]weigh.State{"1a<a": weigh.Failing, "1a": weigh.Unknown, "1b": weigh.Healthy})
--- a/internal/cluster/popularity/count/count_test.go
+++ b/internal/cluster/popularity/count/count_test.go
@@ -35,7 +35,7 @@
 			exact[d] += float64(n)
 			table.Add(now, handedIn(d, fmt.Sprint(i), n))
 			if len(table.rows) > rows || len(table.byCount) > rows {
-				t.Fatal("over the bound of rows")
+				t.Fatal("more rows than the bound")
 			}
 			if math.Abs(table.Total(now)-all) > 1e-6*all {
 				t.Fatal("all", table.Total(now), all)
@@ -44,7 +44,7 @@
 				r := table.rows[choice.DestinationID(k)]
 				if r == nil {
 					if want > all/float64(rows)*(1+1e-9) {
-						t.Fatal("one over the least is not counted", k, want)
+						t.Fatal("a count above the lowest has no row", k, want)
 					}
 					continue
 				}
@@ -68,17 +68,17 @@
 		}
 	}
 	if n := table.Estimate(0, 7); n != 100 {
-		t.Fatal("honest programs are held", n)
+		t.Fatal("honest clients are bounded", n)
 	}
 	table.Add(0, handedIn(7, "pusher", 10_000))
 	table.Add(0, handedIn(1000, "pusher", 10_000))
 	floor := table.Total(0) * defaultClientFloor
 	floor *= 1 + math.Log(10_000/floor) // 150 by 5.2
 	if n := table.Estimate(0, 7); n > 100+0.25*100+floor+1e-6 {
-		t.Error("a pushed one", n)
+		t.Error("a destination pushed by one client", n)
 	}
 	if n := table.Estimate(0, 1000); n > floor+1e-6 {
-		t.Error("one that it alone sends to", n)
+		t.Error("a destination that only one client sends to", n)
 	}
 	// Many client names in turn are more than have counts of their own: each counts for what it sent.
 	for i := range 100 {
@@ -101,7 +101,7 @@
 	}
 	was := table.Estimate(0, 10)
 	if now := table.Estimate(HalfLife, 10); math.Abs(now-was/2) > 1e-9 {
-		t.Error("half a life later", now, was)
+		t.Error("one half-life later", now, was)
 	}
 	table.Add(1000*HalfLife, handedIn(1, "a", 1))
 	if top := table.Top(1000*HalfLife, 10); len(top) != 1 || top[0].Destination != 1 {
--- a/internal/cluster/popularity/evict/evict_test.go
+++ b/internal/cluster/popularity/evict/evict_test.go
@@ -62,11 +62,11 @@
 	e.Loaded(time.Second, 3)
 	c := e.Choose(2*time.Second, heldDestinations(3), Bounds{Destinations: 2}, score)
 	if !slices.Equal(c.Evict, []choice.DestinationID{2}) {
-		t.Error("it went again", c)
+		t.Error("it was evicted again", c)
 	}
 	c = e.Choose(2*returnWindow, heldDestinations(3), Bounds{Destinations: 2}, score)
 	if !slices.Equal(c.Evict, []choice.DestinationID{3}) {
-		t.Error("for good", c)
+		t.Error("still favoured after the window", c)
 	}
 	for d := range choice.DestinationID(3 * maxTracked) {
 		e.Evicted(0, d)
@@ -93,7 +93,7 @@
 		held = append(held, together.Held{Destination: d, Bytes: 1000, Calls: 1})
 		for _, gone := range e.Choose(now, held, Bounds{Destinations: 50}, score).Evict {
 			if gone <= 50 {
-				t.Fatal("a popular one went for one that woke", gone)
+				t.Fatal("a popular destination was evicted for one just loaded", gone)
 			}
 			e.Evicted(now, gone)
 			held = slices.DeleteFunc(held, func(h together.Held) bool { return h.Destination == gone })
--- a/internal/cluster/popularity/evict/size_test.go
+++ b/internal/cluster/popularity/evict/size_test.go
@@ -254,7 +254,7 @@
 				t.Logf("%5v %.1f %d | %.3f %.3f | %.3f %.3f | %.3f %.3f | %.2f %.2f", sized, skew, seed+1, s[withRegion], s[isolated],
 					s[lru], s[lfu], s[knowsFuture], s[knowsRates], best, known)
 				if s[withRegion] < s[lru]+0.04 || s[withRegion] < s[lfu]+0.005 {
-					t.Error("not above both")
+					t.Error("not above both LRU and LFU")
 				}
 				// The objective is 0.9 of the best; a policy that knows the true rates, and not the draws, reaches less.
 				if best < [...]float64{0.68, 0.77, 0.85}[i] || known < 0.86 {
--- a/internal/cluster/popularity/merge/merge.go
+++ b/internal/cluster/popularity/merge/merge.go
@@ -115,9 +115,9 @@
 }
 
 // SetReporters sets which processes report here. The digests of all others are removed.
-func (t *Table) SetReporters(all []view.Life) {
+func (t *Table) SetReporters(reporters []view.Life) {
 	t.reporters = map[view.Name]view.Incarnation{}
-	for _, l := range all[:min(len(all), maxChildren)] {
+	for _, l := range reporters[:min(len(reporters), maxChildren)] {
 		t.reporters[l.Name] = l.Incarnation
 	}
 	for name, stored := range t.digests {
--- a/internal/cluster/popularity/merge/merge_test.go
+++ b/internal/cluster/popularity/merge/merge_test.go
@@ -113,7 +113,7 @@
 	}
 	table.SetReporters(nil)
 	if rows, n := table.Sum(time.Hour, nil); len(rows) != 0 || n != 1 {
-		t.Error("one that went still counts", rows, n)
+		t.Error("a process that stopped reporting still counts", rows, n)
 	}
 }
 
@@ -149,6 +149,6 @@
 		}
 	}
 	if ChangedFraction(nil, nil, 1) != 0 {
-		t.Error("nothing is no change")
+		t.Error("nothing counts as a change")
 	}
 }
--- a/internal/cluster/popularity/recall/recall_test.go
+++ b/internal/cluster/popularity/recall/recall_test.go
@@ -48,12 +48,12 @@
 		s.Put(view.Now(d), Lessons{d, []Lesson{newLesson(1, 1, 0)}})
 	}
 	if _, oldest := s.Lookup(10, 0); oldest || s.Len() != 3 {
-		t.Error("the oldest stayed", s.Len())
+		t.Error("the oldest destination stayed", s.Len())
 	}
 	s.Forget(20, 9)
 	s.Put(30, Lessons{9, []Lesson{newLesson(1, 1, 15)}}) // learned at 15, on its way when it was forgotten
 	if _, some := s.Lookup(30, 9); some {
-		t.Error("what is void came back")
+		t.Error("void lessons came back")
 	}
 	s.Put(30, Lessons{9, []Lesson{newLesson(1, 1, 5)}})
 	if _, some := s.Lookup(30, 9); !some {
--- a/internal/cluster/popularity/run/run_test.go
+++ b/internal/cluster/popularity/run/run_test.go
@@ -69,7 +69,7 @@
 	s := w.runners["p6"].Status()
 	w.mu.Lock()
 	if s.Asked != 100 || w.requests > 4 { // two for what was loaded first, two for all the rest
-		t.Error("asked more than once, or one by one", s, w.requests)
+		t.Error("asked more than once, or in single requests", s, w.requests)
 	}
 	w.mu.Unlock()
 	w.senders["p6"].mu.Lock()
@@ -83,7 +83,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.maxMessageSize > 20_000 {
-		t.Error("a message of", w.maxMessageSize)
+		t.Error("a message is too large:", w.maxMessageSize)
 	}
 }
 
@@ -95,7 +95,7 @@
 		`{"digest":{"from":{"name":"p6","incarnation":1},"seq":1,"processes":1,"d":[1],"n":[-5]}}`} {
 		_, err := w.handlers[head][countsPath](context.Background(), view.Life{Name: "p6", Incarnation: 1}, []byte(body))
 		if err == nil {
-			t.Error("taken:", body)
+			t.Error("accepted:", body)
 		}
 	}
 	if s := w.runners[head].Status(); s.Malformed != 3 {
@@ -107,6 +107,6 @@
 		w.runners["p7"].Digest(handedIn(1, 1))
 	}
 	if s := w.runners["p7"].Status(); s.Dropped == 0 {
-		t.Error("nothing was left out")
+		t.Error("nothing was dropped")
 	}
 }
--- a/internal/cluster/popularity/score/score_test.go
+++ b/internal/cluster/popularity/score/score_test.go
@@ -39,7 +39,7 @@
 		}
 	}
 	if s := b.Score(time.Minute, 1, 3); s != 3+regionWeight*2 {
-		t.Error("the mean of ten processes and what is seen here", s)
+		t.Error("not the mean of ten processes and what is counted here", s)
 	}
 }
 
@@ -47,11 +47,11 @@
 func TestIsolated(t *testing.T) {
 	b := NewTable(halfLife)
 	if !b.Isolated(0) || b.RankingFor(0, Version{}) != nil || b.Score(0, 1, 3) != 3 {
-		t.Error("before it heard any")
+		t.Error("before any ranking came")
 	}
 	b.Update(0, "r", ranking("a", 1, 1, 0, 100))
 	if b.Isolated(IsolatedAfter) || !b.Isolated(IsolatedAfter+1) {
-		t.Error("cut")
+		t.Error("isolated at the wrong age")
 	}
 	if s := b.Score(halfLife, 1, 3); math.Abs(s-3-regionWeight*10/2) > 1e-9 {
 		t.Error(s)
