--- a/internal/cluster/failover/plan/capacity.go
+++ b/internal/cluster/failover/plan/capacity.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"flaxcove/internal/cluster/failover/weigh"
-	"flaxcove/internal/cluster/sight"
+	"flaxcove/internal/cluster/healthreport"
 	"flaxcove/internal/cluster/view"
 )
 
@@ -72,7 +72,7 @@
 }
 
 // capacities is the spare capacity of each place in calls a second.
-type capacities map[sight.Place]float64
+type capacities map[healthreport.Locality]float64
 
 // spareCapacity is what each place can take beyond the demand of the zones whose home it is.
 func (p *Planner) spareCapacity(now view.Now) capacities {
@@ -107,7 +107,7 @@
 // homeLoadFactor is the part of a zone's demand for which its home must reserve capacity: all of it, less what was
 // diverted for lack of capacity. A home that is failing or returning takes nothing else: it may be in slow start, and
 // what stays or returns needs its capacity.
-func (p *Planner) homeLoadFactor(k routeKey, at sight.Place) float64 {
+func (p *Planner) homeLoadFactor(k routeKey, at healthreport.Locality) float64 {
 	r := p.routes[k]
 	switch {
 	case r == nil || r.phase == steady:
--- a/internal/cluster/failover/plan/capacity_limits_test.go
+++ b/internal/cluster/failover/plan/capacity_limits_test.go
@@ -9,7 +9,7 @@
 	"flaxcove/choice"
 	"flaxcove/internal/cluster/failover/plan"
 	"flaxcove/internal/cluster/failover/weigh"
-	"flaxcove/internal/cluster/sight"
+	"flaxcove/internal/cluster/healthreport"
 	"flaxcove/internal/cluster/view"
 )
 
@@ -82,7 +82,7 @@
 		}
 	}
 	for _, z := range zones {
-		s := weigh.PlaceHealth{Place: sight.Place{Destination: choice.DestinationID(1), Zone: z}, State: weigh.Healthy, SuccessShare: 1,
+		s := weigh.PlaceHealth{Locality: healthreport.Locality{Destination: choice.DestinationID(1), Zone: z}, State: weigh.Healthy, SuccessShare: 1,
 			Limit: limit[z], Endpoints: 1}
 		if failing[z] {
 			s.State = weigh.Failing
--- a/internal/cluster/failover/plan/fleet_test.go
+++ b/internal/cluster/failover/plan/fleet_test.go
@@ -8,7 +8,7 @@
 	"flaxcove/choice"
 	"flaxcove/internal/cluster/failover/plan"
 	"flaxcove/internal/cluster/failover/weigh"
-	"flaxcove/internal/cluster/sight"
+	"flaxcove/internal/cluster/healthreport"
 	"flaxcove/internal/cluster/view"
 )
 
@@ -25,14 +25,14 @@
 	brokenLinks          map[[2]view.Zone]bool // from, to
 	silentZones          map[view.Zone]bool    // whose reports do not arrive
 	limitsKnown          bool                  // endpoints report their limit
-	reports              map[view.Zone][]sight.Sighting
+	reports              map[view.Zone][]healthreport.Sample
 	board                *weigh.Board
 	planner              *plan.Planner
 	inForce              plan.InForce
 	planChanges          []view.Now
-	overloadedFor        map[sight.Place]time.Duration // for how long over 1.1 of its capacity because of diverted calls
-	leftZone, totalCalls float64                       // calls of the last half second
-	decideNothing        bool                          // no plan is made
+	overloadedFor        map[healthreport.Locality]time.Duration // for how long over 1.1 of its capacity because of diverted calls
+	leftZone, totalCalls float64                                 // calls of the last half second
+	decideNothing        bool                                    // no plan is made
 }
 
 const halfSecond = 500 * time.Millisecond
@@ -41,8 +41,8 @@
 	f := &fleet{t: t, regions: map[view.Zone]view.Region{"a1": "A", "a2": "A", "b1": "B", "b2": "B"},
 		zones: []view.Zone{"a1", "a2", "b1", "b2"}, destinations: []choice.DestinationID{1, 2, 3}, limitsKnown: true,
 		rate: map[view.Zone]float64{}, capacity: map[view.Zone]float64{}, working: map[view.Zone]float64{},
-		brokenLinks: map[[2]view.Zone]bool{}, silentZones: map[view.Zone]bool{}, reports: map[view.Zone][]sight.Sighting{},
-		overloadedFor: map[sight.Place]time.Duration{}, board: weigh.NewBoard(weigh.Usual()), planner: plan.New(plan.Usual())}
+		brokenLinks: map[[2]view.Zone]bool{}, silentZones: map[view.Zone]bool{}, reports: map[view.Zone][]healthreport.Sample{},
+		overloadedFor: map[healthreport.Locality]time.Duration{}, board: weigh.NewBoard(weigh.Usual()), planner: plan.New(plan.Usual())}
 	for _, z := range f.zones {
 		f.rate[z], f.capacity[z] = 60, 100
 	}
@@ -95,12 +95,12 @@
 }
 
 // routeCalls spreads the calls of the step by the plan in force: all calls by place, and those that left their zone.
-func (f *fleet) routeCalls() (load, diverted map[sight.Place]float64) {
-	load, diverted = map[sight.Place]float64{}, map[sight.Place]float64{}
+func (f *fleet) routeCalls() (load, diverted map[healthreport.Locality]float64) {
+	load, diverted = map[healthreport.Locality]float64{}, map[healthreport.Locality]float64{}
 	for _, d := range f.destinations {
 		for _, from := range f.zones {
 			for to, share := range f.distribution(d, from) {
-				at, rate := sight.Place{Destination: d, Zone: to}, f.rate[from]*share
+				at, rate := healthreport.Locality{Destination: d, Zone: to}, f.rate[from]*share
 				load[at] += rate
 				f.totalCalls += rate
 				if to != from {
@@ -113,7 +113,7 @@
 	return load, diverted
 }
 
-func (f *fleet) countOverloads(load, diverted map[sight.Place]float64) {
+func (f *fleet) countOverloads(load, diverted map[healthreport.Locality]float64) {
 	for at, rate := range diverted {
 		capacity := f.capacity[at.Zone] * f.workingFraction(at.Zone)
 		if rate > 0.01 && load[at] > 1.1*capacity && capacity > 0 {
@@ -134,8 +134,8 @@
 }
 
 // updateReports makes the reports of the last second, of two processes a zone.
-func (f *fleet) updateReports(from view.Zone, load map[sight.Place]float64) {
-	var all []sight.Sighting
+func (f *fleet) updateReports(from view.Zone, load map[healthreport.Locality]float64) {
+	var all []healthreport.Sample
 	for _, s := range f.reports[from] {
 		if s.Age += halfSecond; s.Age <= halfSecond {
 			all = append(all, s)
@@ -144,9 +144,9 @@
 	for _, d := range f.destinations {
 		to := f.distribution(d, from)
 		for _, z := range f.zones {
-			at := sight.Place{Destination: d, Zone: z}
+			at := healthreport.Locality{Destination: d, Zone: z}
 			for w := range 2 {
-				s := sight.Sighting{Place: at, Witness: view.Name(fmt.Sprint(from, "-", w)), From: from, Span: halfSecond, Endpoints: 2}
+				s := healthreport.Sample{Locality: at, Witness: view.Name(fmt.Sprint(from, "-", w)), From: from, Span: halfSecond, Endpoints: 2}
 				if f.limitsKnown {
 					s.Limit = f.capacity[z]
 				}
--- a/internal/cluster/failover/plan/planner.go
+++ b/internal/cluster/failover/plan/planner.go
@@ -7,7 +7,7 @@
 
 	"flaxcove/choice"
 	"flaxcove/internal/cluster/failover/weigh"
-	"flaxcove/internal/cluster/sight"
+	"flaxcove/internal/cluster/healthreport"
 	"flaxcove/internal/cluster/view"
 )
 
@@ -21,13 +21,13 @@
 type Planner struct {
 	settings         Settings
 	regions          map[view.Zone]view.Region
-	places           map[sight.Place]*place
+	places           map[healthreport.Locality]*place
 	listedZones      map[choice.DestinationID][]view.Zone
 	tiers            map[routeKey]zoneTiers
 	indexStale       bool // places or zones changed since listedZones and tiers were made
 	indexedAt        view.Now
 	demands          map[routeKey]*demand
-	homeDemand       map[sight.Place]float64 // calls a second of the zones whose home it is
+	homeDemand       map[healthreport.Locality]float64 // calls a second of the zones whose home it is
 	routes           map[routeKey]*routeState
 	lastFailing      map[routeKey]view.Now
 	assessedAt       view.Now
@@ -45,11 +45,11 @@
 	return &Planner{
 		settings:    s,
 		regions:     map[view.Zone]view.Region{},
-		places:      map[sight.Place]*place{},
+		places:      map[healthreport.Locality]*place{},
 		listedZones: map[choice.DestinationID][]view.Zone{},
 		tiers:       map[routeKey]zoneTiers{},
 		demands:     map[routeKey]*demand{},
-		homeDemand:  map[sight.Place]float64{},
+		homeDemand:  map[healthreport.Locality]float64{},
 		routes:      map[routeKey]*routeState{},
 		lastFailing: map[routeKey]view.Now{},
 		assessedAt:  neverAt,
@@ -74,13 +74,13 @@
 func (p *Planner) Judged(now view.Now, places []weigh.PlaceHealth) {
 	p.assessedAt = now
 	for _, s := range places {
-		pl := p.places[s.Place]
+		pl := p.places[s.Locality]
 		if pl == nil {
 			if len(p.places) >= maxPlaces {
 				continue
 			}
 			pl = &place{seenAt: now}
-			p.places[s.Place] = pl
+			p.places[s.Locality] = pl
 		}
 		wasListed := pl.listed()
 		pl.update(now, s)
@@ -181,9 +181,9 @@
 		home = []view.Zone{published.From}
 	}
 	for _, z := range home {
-		at := sight.Place{Destination: published.Destination, Zone: z}
+		at := healthreport.Locality{Destination: published.Destination, Zone: z}
 		if p.places[at] == nil && len(p.places) < maxPlaces {
-			health := weigh.PlaceHealth{Place: at, SuccessShare: 1, Endpoints: 1}
+			health := weigh.PlaceHealth{Locality: at, SuccessShare: 1, Endpoints: 1}
 			p.places[at], p.indexStale = &place{PlaceHealth: health, seenAt: now}, true
 		}
 	}
--- a/internal/cluster/failover/plan/reports_test.go
+++ b/internal/cluster/failover/plan/reports_test.go
@@ -5,7 +5,7 @@
 
 	"flaxcove/choice"
 	"flaxcove/internal/cluster/failover/weigh"
-	"flaxcove/internal/cluster/sight"
+	"flaxcove/internal/cluster/healthreport"
 	"flaxcove/internal/cluster/view"
 )
 
@@ -24,7 +24,7 @@
 		z := view.Zone(fmt.Sprintf(f.zoneName, i))
 		regions[z] = f.region(i)
 		for d := range destinations {
-			r := weigh.Report{Place: sight.Place{Destination: choice.DestinationID(d), Zone: z}, From: z, Processes: f.processes,
+			r := weigh.Report{Locality: healthreport.Locality{Destination: choice.DestinationID(d), Zone: z}, From: z, Processes: f.processes,
 				HealthyWitnesses: 9, Successes: 20, Sent: 20, Done: 20, Limit: 40, Endpoints: f.endpoints}
 			if z == failing {
 				r.HealthyWitnesses, r.FailingWitnesses, r.Successes, r.Failures, r.Done = 0, 9, 0, 20, 0
--- a/internal/cluster/failover/plan/route.go
+++ b/internal/cluster/failover/plan/route.go
@@ -167,7 +167,7 @@
 		if !known {
 			return share
 		}
-		capacity, demand = capacity+zoneCapacity, max(demand, p.homeDemand[pl.Place])
+		capacity, demand = capacity+zoneCapacity, max(demand, p.homeDemand[pl.Locality])
 	}
 	if demand <= 0 {
 		return share
@@ -178,10 +178,10 @@
 // warmedFraction is the part of its capacity that near has by now in its slow start.
 func (p *Planner) warmedFraction(now view.Now, r *routeState) float64 {
 	s := p.settings
-	if s.Cold <= 0 || r.warmingSince == neverAt {
+	if s.SlowStart <= 0 || r.warmingSince == neverAt {
 		return 1
 	}
-	return min(1, s.ColdFrom+(1-s.ColdFrom)*float64(now-r.warmingSince)/float64(s.Cold))
+	return min(1, s.SlowStartFrom+(1-s.SlowStartFrom)*float64(now-r.warmingSince)/float64(s.SlowStart))
 }
 
 // returnsMayStep makes all returns take their steps at the same moments, so that a returning zone with a hundred
@@ -265,7 +265,7 @@
 		if state == weigh.Degraded {
 			zoneCapacity *= successShare
 		}
-		capacity, demand = capacity+zoneCapacity, demand+p.homeDemand[pl.Place]
+		capacity, demand = capacity+zoneCapacity, demand+p.homeDemand[pl.Locality]
 	}
 	if !limited || demand <= 0 {
 		return 1
--- a/internal/cluster/failover/plan/settings.go
+++ b/internal/cluster/failover/plan/settings.go
@@ -4,7 +4,7 @@
 
 // Settings are the tuned values. Hold, the returns and MinShareChange are from the table of issue 36 (back 15 s after a
 // zone is healthy, three changes in a minute of a flapping link, a plan in force after 3 s) and were tried on the traces
-// of this package; ColdFrom, Cold and FallMultiple are the service's, as package choice has them.
+// of this package; SlowStartFrom, SlowStart and FallMultiple are the service's, as package choice has them.
 type Settings struct {
 	Hold                  time.Duration // how long a plan stays in force without renewal
 	Steps                 []float64     // of a return: the share that goes near
@@ -24,8 +24,8 @@
 	CapacityFraction      float64       // of a place's capacity: how far it is filled
 	ObservedMultiple      float64       // capacity of a place that rejected nothing, in multiples of the best rate seen
 	RatingIsRate          bool          // the list's ratings are calls a second
-	ColdFrom              float64       // slow start: the fraction of its capacity that an endpoint has at first
-	Cold                  time.Duration // slow start: until it has all of it
+	SlowStartFrom         float64       // slow start: the fraction of its capacity that an endpoint has at first
+	SlowStart             time.Duration // slow start: until it has all of it
 	FallMultiple          float64       // multiple of its capacity that makes an endpoint fail
 }
 
@@ -36,5 +36,5 @@
 		MinReturnDelay: 3 * time.Second, MaxOutageDelay: 6 * time.Second, MaxReturnDelay: time.Minute, OutageFraction: 0.25,
 		DiversionMemory: 2 * time.Minute, UnseenReturnAfter: 12 * time.Second, TrialRate: 2, MinTrialShare: 0.01, MaxTrialShare: 0.05,
 		MinShareChange: 0.1, MinPlanInterval: time.Second, MinSharesOnlyInterval: 4 * time.Second,
-		CapacityFraction: 0.95, ObservedMultiple: 2, ColdFrom: 0.2, Cold: 10 * time.Second, FallMultiple: 2}
+		CapacityFraction: 0.95, ObservedMultiple: 2, SlowStartFrom: 0.2, SlowStart: 10 * time.Second, FallMultiple: 2}
 }
--- a/internal/cluster/failover/plan/share.go
+++ b/internal/cluster/failover/plan/share.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"flaxcove/internal/cluster/failover/weigh"
-	"flaxcove/internal/cluster/sight"
+	"flaxcove/internal/cluster/healthreport"
 	"flaxcove/internal/cluster/view"
 )
 
@@ -91,7 +91,7 @@
 // reusableRoutes returns which routes in force stay as they are, and which are to be assigned anew.
 func (p *Planner) reusableRoutes(now view.Now, keys []routeKey, spare capacities) (reused map[routeKey]bool, reassigned []routeKey) {
 	reused = map[routeKey]bool{}
-	used := map[sight.Place]float64{}
+	used := map[healthreport.Locality]float64{}
 	for _, k := range keys {
 		r := p.routes[k]
 		if r.phase == steady {
@@ -121,7 +121,7 @@
 
 // sendsToOverloaded reports whether a receiver of a route gets more than its spare capacity. Where that is not known, as
 // to a new leader, what is in force stays.
-func sendsToOverloaded(k routeKey, r Route, used map[sight.Place]float64, spare capacities) bool {
+func sendsToOverloaded(k routeKey, r Route, used map[healthreport.Locality]float64, spare capacities) bool {
 	return slices.ContainsFunc(r.Shares, func(s Share) bool {
 		at := k.placeIn(s.Zone)
 		capacity, known := spare[at]
--- a/internal/cluster/failover/plan/sparse_fleet_test.go
+++ b/internal/cluster/failover/plan/sparse_fleet_test.go
@@ -10,7 +10,7 @@
 	"flaxcove/choice"
 	"flaxcove/internal/cluster/failover/plan"
 	"flaxcove/internal/cluster/failover/weigh"
-	"flaxcove/internal/cluster/sight"
+	"flaxcove/internal/cluster/healthreport"
 	"flaxcove/internal/cluster/view"
 )
 
@@ -21,8 +21,8 @@
 	random      *rand.Rand
 	now         view.Now
 	failing     map[view.Zone]bool
-	lastReports map[sight.Place]map[view.Name]sight.Sighting
-	ejected     map[sight.Place]map[view.Name]bool
+	lastReports map[healthreport.Locality]map[view.Name]healthreport.Sample
+	ejected     map[healthreport.Locality]map[view.Name]bool
 	board       *weigh.Board
 	planner     *plan.Planner
 	plan        plan.Plan
@@ -51,13 +51,13 @@
 	s.now += halfSecond
 	near, all := 0.0, 0.0
 	for _, from := range sparseZones {
-		var rows []sight.Sighting
+		var rows []healthreport.Sample
 		for d := range choice.DestinationID(12) {
 			shares, planned := s.sharesOf(d, from)
 			for w := range sparseSenders {
 				name := view.Name(fmt.Sprint(from, w))
 				for _, to := range sparseZones {
-					at := sight.Place{Destination: d, Zone: to}
+					at := healthreport.Locality{Destination: d, Zone: to}
 					mean := sparseRate(d) / sparseSenders * halfSecond.Seconds() * shares[to]
 					if to == from && s.ejected[at][name] && !planned {
 						mean = 0 // a sender does not try what it ejected while others can be used
@@ -98,7 +98,7 @@
 }
 
 // overOneSecond joins a sender's half second to the one before it.
-func (s *sparseFleet) overOneSecond(at sight.Place, name view.Name, row sight.Sighting) sight.Sighting {
+func (s *sparseFleet) overOneSecond(at healthreport.Locality, name view.Name, row healthreport.Sample) healthreport.Sample {
 	old, known := s.lastReports[at][name]
 	s.lastReports[at][name] = row
 	if !known {
@@ -109,11 +109,11 @@
 }
 
 // drawCalls is half a second of one sender at one place.
-func (s *sparseFleet) drawCalls(at sight.Place, name view.Name, from view.Zone, mean float64) sight.Sighting {
+func (s *sparseFleet) drawCalls(at healthreport.Locality, name view.Name, from view.Zone, mean float64) healthreport.Sample {
 	if s.lastReports[at] == nil {
-		s.lastReports[at], s.ejected[at] = map[view.Name]sight.Sighting{}, map[view.Name]bool{}
+		s.lastReports[at], s.ejected[at] = map[view.Name]healthreport.Sample{}, map[view.Name]bool{}
 	}
-	row := sight.Sighting{Place: at, Witness: name, From: from, Span: halfSecond, Endpoints: 2, Sent: s.poisson(mean)}
+	row := healthreport.Sample{Locality: at, Witness: name, From: from, Span: halfSecond, Endpoints: 2, Sent: s.poisson(mean)}
 	for range int(row.Sent) {
 		if s.failing[at.Zone] || s.random.Float64() < 0.01 {
 			row.Failed++
@@ -130,14 +130,14 @@
 	return row
 }
 
-func sumOf(a, b sight.Sighting) sight.Sighting {
+func sumOf(a, b healthreport.Sample) healthreport.Sample {
 	a.Sent, a.Done, a.Failed, a.Span = a.Sent+b.Sent, a.Done+b.Done, a.Failed+b.Failed, a.Span+b.Span
 	return a
 }
 
 func TestFewCallsAndRandomFailures(t *testing.T) {
 	s := &sparseFleet{random: rand.New(rand.NewPCG(1, 2)), failing: map[view.Zone]bool{}, board: weigh.NewBoard(weigh.Usual()),
-		lastReports: map[sight.Place]map[view.Name]sight.Sighting{}, ejected: map[sight.Place]map[view.Name]bool{},
+		lastReports: map[healthreport.Locality]map[view.Name]healthreport.Sample{}, ejected: map[healthreport.Locality]map[view.Name]bool{},
 		planner: plan.New(plan.Usual())}
 	s.planner.Members(map[view.Zone]view.Region{"a1": "A", "a2": "A", "b1": "B", "b2": "B"})
 	run := func(span time.Duration) {
--- a/internal/cluster/failover/plan/types.go
+++ b/internal/cluster/failover/plan/types.go
@@ -21,7 +21,7 @@
 	"time"
 
 	"flaxcove/choice"
-	"flaxcove/internal/cluster/sight"
+	"flaxcove/internal/cluster/healthreport"
 	"flaxcove/internal/cluster/view"
 )
 
@@ -93,8 +93,8 @@
 }
 
 // placeIn is the route's destination in a zone.
-func (k routeKey) placeIn(z view.Zone) sight.Place {
-	return sight.Place{Destination: k.destination, Zone: z}
+func (k routeKey) placeIn(z view.Zone) healthreport.Locality {
+	return healthreport.Locality{Destination: k.destination, Zone: z}
 }
 
 func (r Route) key() routeKey { return routeKey{r.Destination, r.From} }
--- a/internal/cluster/failover/run/announce.go
+++ b/internal/cluster/failover/run/announce.go
@@ -31,7 +31,7 @@
 // tree has changed.
 func (r *Runner) announcePlan(now view.Now, t *tree.Tree) {
 	targets := t.Children(r.options.Self)
-	if r.options.Council.Leading() && t.Root() != r.options.Self && t.Root() != "" {
+	if r.options.Consensus.Leading() && t.Root() != r.options.Self && t.Root() != "" {
 		targets = append(targets, t.Root())
 	}
 	r.mu.Lock()
--- a/internal/cluster/failover/run/leader.go
+++ b/internal/cluster/failover/run/leader.go
@@ -18,14 +18,14 @@
 // leaderTick renews the plan in force and makes plans from the collected reports. A process that leads no more does
 // neither, so that its plan lapses unless another leader renews it.
 func (r *Runner) leaderTick(now view.Now, t *tree.Tree, assess bool) {
-	if !r.options.Council.Leading() {
+	if !r.options.Consensus.Leading() {
 		r.mu.Lock()
 		r.planner = nil
 		r.mu.Unlock()
 		return
 	}
 	var inForce plan.Plan
-	r.options.Council.Read(func(uint64) { inForce = r.options.InForce.Plan() })
+	r.options.Consensus.Read(func(uint64) { inForce = r.options.InForce.Plan() })
 	term := r.options.Term()
 	regions := regionsOf(t)
 	r.mu.Lock()
@@ -78,9 +78,9 @@
 func (r *Runner) propose(next plan.Plan) {
 	ctx, cancel := context.WithTimeout(r.ctx, proposeTimeout)
 	defer cancel()
-	_, err := r.options.Council.Propose(ctx, plan.PartName, plan.Kind, next)
+	_, err := r.options.Consensus.Propose(ctx, plan.PartName, plan.Kind, next)
 	var inForce plan.Plan
-	r.options.Council.Read(func(uint64) { inForce = r.options.InForce.Plan() })
+	r.options.Consensus.Read(func(uint64) { inForce = r.options.InForce.Plan() })
 	now := r.options.Now()
 	r.mu.Lock()
 	r.proposing = false
--- a/internal/cluster/failover/run/reports.go
+++ b/internal/cluster/failover/run/reports.go
@@ -50,7 +50,7 @@
 			targets = append(targets, above)
 		}
 	}
-	leader, known := r.options.Council.Leader()
+	leader, known := r.options.Consensus.Leader()
 	if !known || leader == r.options.Self {
 		return targets, ""
 	}
--- a/internal/cluster/failover/run/run.go
+++ b/internal/cluster/failover/run/run.go
@@ -19,7 +19,7 @@
 	"flaxcove/internal/cluster/failover/apply"
 	"flaxcove/internal/cluster/failover/plan"
 	"flaxcove/internal/cluster/failover/weigh"
-	"flaxcove/internal/cluster/sight"
+	"flaxcove/internal/cluster/healthreport"
 	"flaxcove/internal/cluster/tree"
 	"flaxcove/internal/cluster/view"
 	"flaxcove/internal/sender/together"
@@ -56,12 +56,12 @@
 	Zone         view.Zone
 	Now          func() view.Now // since the process began; monotonic
 	Link         Link
-	Council      Consensus
-	InForce      *plan.InForce                   // replicated state; read only inside Council.Read
-	Term         func() uint64                   // of the consensus group, at its leader; nil for 0
-	Tree         func() *tree.Tree               // as of now
-	Sightings    func(view.Now) []sight.Sighting // of this process, and at the coordinator of a zone of its zone
-	Local        func() apply.Local              // but for Ill, which is filled in here
+	Consensus    Consensus
+	InForce      *plan.InForce                        // replicated state; read only inside Consensus.Read
+	Term         func() uint64                        // of the consensus group, at its leader; nil for 0
+	Tree         func() *tree.Tree                    // as of now
+	Samples      func(view.Now) []healthreport.Sample // of this process, and at the coordinator of a zone of its zone
+	Local        func() apply.Local                   // but for Ill, which is filled in here
 	Bounds       weigh.Bounds
 	Settings     plan.Settings
 	TickInterval time.Duration // defaultTickInterval if 0
@@ -161,7 +161,7 @@
 
 // Stats returns counts for operators.
 func (r *Runner) Stats() Stats {
-	leading, now := r.options.Council.Leading(), r.options.Now()
+	leading, now := r.options.Consensus.Leading(), r.options.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := r.stats
@@ -215,7 +215,7 @@
 	if t == nil {
 		return
 	}
-	reports, local := r.options.Sightings(now), r.options.Local()
+	reports, local := r.options.Samples(now), r.options.Local()
 	local.Ill = r.failingEndpoints(reports, local)
 	assess := now-r.assessedAt >= min(assessInterval, r.options.TickInterval)
 	if assess {
@@ -239,11 +239,11 @@
 }
 
 // failingEndpoints returns what this process sees fail by itself.
-func (r *Runner) failingEndpoints(reports []sight.Sighting, local apply.Local) map[apply.At]bool {
-	ownReports := map[sight.Place][]sight.Sighting{}
+func (r *Runner) failingEndpoints(reports []healthreport.Sample, local apply.Local) map[apply.At]bool {
+	ownReports := map[healthreport.Locality][]healthreport.Sample{}
 	for _, s := range reports {
 		if s.Witness == r.options.Self {
-			ownReports[s.Place] = append(ownReports[s.Place], s)
+			ownReports[s.Locality] = append(ownReports[s.Locality], s)
 		}
 	}
 	failing := map[apply.At]bool{}
--- a/internal/cluster/failover/weigh/judge.go
+++ b/internal/cluster/failover/weigh/judge.go
@@ -4,7 +4,7 @@
 	"cmp"
 	"slices"
 
-	"flaxcove/internal/cluster/sight"
+	"flaxcove/internal/cluster/healthreport"
 	"flaxcove/internal/cluster/view"
 )
 
@@ -18,7 +18,7 @@
 
 // PlaceHealth is what is known of a place from the reports of all zones.
 type PlaceHealth struct {
-	sight.Place
+	healthreport.Locality
 	State            State // for a zone that has seen nothing of it
 	SuccessShare     float64
 	Limit            float64 // calls a second of all senders together; 0 where none is known
@@ -58,13 +58,13 @@
 func Judge(reports []Report, b Bounds) []PlaceHealth {
 	reports = slices.Clone(reports)
 	slices.SortStableFunc(reports, func(x, y Report) int {
-		return cmp.Or(ComparePlaces(x.Place, y.Place), cmp.Compare(x.From, y.From))
+		return cmp.Or(ComparePlaces(x.Locality, y.Locality), cmp.Compare(x.From, y.From))
 	})
 	outcomesByZones := sumByZones(reports, b)
 	var places []PlaceHealth
 	for i := 0; i < len(reports); {
 		j := i
-		for j < len(reports) && reports[j].Place == reports[i].Place {
+		for j < len(reports) && reports[j].Locality == reports[i].Locality {
 			j++
 		}
 		if s, ok := assessPlace(reports[i:j], outcomesByZones, b); ok {
@@ -94,7 +94,7 @@
 // assessPlace combines the reports about one place; false if all of them are too old. The common state is left to
 // settleCommonStates.
 func assessPlace(reports []Report, outcomesByZones map[link]outcomes, b Bounds) (PlaceHealth, bool) {
-	s := PlaceHealth{Place: reports[0].Place, SuccessShare: 1}
+	s := PlaceHealth{Locality: reports[0].Locality, SuccessShare: 1}
 	known := false
 	for _, r := range reports {
 		if r.Age < 0 || r.Age > b.IdleAge {
@@ -141,7 +141,7 @@
 		s := &places[i]
 		s.settleCommonState(isolated)
 		if s.State == Failing {
-			s.FailureWitnesses = failureWitnesses(reports, s.Place, b)
+			s.FailureWitnesses = failureWitnesses(reports, s.Locality, b)
 		}
 	}
 }
@@ -202,10 +202,10 @@
 }
 
 // failureWitnesses returns the names of witnesses of a place's failure. The reports must be sorted by place.
-func failureWitnesses(reports []Report, place sight.Place, b Bounds) []view.Name {
+func failureWitnesses(reports []Report, place healthreport.Locality, b Bounds) []view.Name {
 	var names []view.Name
-	i, _ := slices.BinarySearchFunc(reports, place, func(r Report, p sight.Place) int { return ComparePlaces(r.Place, p) })
-	for ; i < len(reports) && reports[i].Place == place; i++ {
+	i, _ := slices.BinarySearchFunc(reports, place, func(r Report, p healthreport.Locality) int { return ComparePlaces(r.Locality, p) })
+	for ; i < len(reports) && reports[i].Locality == place; i++ {
 		if r := reports[i]; r.FailingWitnesses > 0 && r.Age <= b.MaxAge && len(names) < 2*b.MaxNames {
 			names = append(names, r.FailingNames...)
 		}
--- a/internal/cluster/failover/weigh/report_board.go
+++ b/internal/cluster/failover/weigh/report_board.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"flaxcove/internal/cluster/sight"
+	"flaxcove/internal/cluster/healthreport"
 	"flaxcove/internal/cluster/view"
 )
 
@@ -14,7 +14,7 @@
 
 // reportKey names one report: the place it is about and the zone that made it.
 type reportKey struct {
-	place sight.Place
+	place healthreport.Locality
 	from  view.Zone
 }
 
@@ -42,7 +42,7 @@
 // one before it.
 func (b *Board) Put(now view.Now, reports []Report) (worsened bool) {
 	for _, r := range reports {
-		key := reportKey{r.Place, r.From}
+		key := reportKey{r.Locality, r.From}
 		stored := b.reports[key]
 		if stored == nil {
 			if len(b.reports) >= maxReports {
@@ -75,7 +75,7 @@
 		all = append(all, r)
 	}
 	slices.SortFunc(all, func(x, y Report) int {
-		return cmp.Or(ComparePlaces(x.Place, y.Place), cmp.Compare(x.From, y.From))
+		return cmp.Or(ComparePlaces(x.Locality, y.Locality), cmp.Compare(x.From, y.From))
 	})
 	return all
 }
@@ -94,7 +94,7 @@
 	n := 0
 	fresh := b.Fresh(now)
 	return slices.DeleteFunc(fresh, func(r Report) bool {
-		row := b.reports[reportKey{r.Place, r.From}]
+		row := b.reports[reportKey{r.Locality, r.From}]
 		interval := healthyInterval
 		switch {
 		case row.changed && r.FailingWitnesses > 0:
@@ -133,7 +133,7 @@
 
 // Ill reports whether one process by itself sees a place fail, by its own rows of the last window. Its own traffic may
 // then go wherever package choice sends it until the plan takes account of the failure.
-func Ill(rows []sight.Sighting, b Bounds) bool {
+func Ill(rows []healthreport.Sample, b Bounds) bool {
 	var t witnessCounts
 	for _, s := range rows {
 		if s.Age <= b.Window {
--- a/internal/cluster/failover/weigh/types.go
+++ b/internal/cluster/failover/weigh/types.go
@@ -1,7 +1,7 @@
 // Package weigh turns what senders saw of places into what is known of them in common. A place is the endpoints of one
 // destination in one zone; a witness is a process that reports on it.
 //
-// Sightings of a zone's processes become one report for each place (zonal.go). Reports of all zones become the health of
+// Samples of a zone's processes become one report for each place (zonal.go). Reports of all zones become the health of
 // each place (judge.go), given separately for each zone that sends there, since a link may fail where the place does not.
 //
 // The package is pure: it has no clock and never waits, and its results don't depend on the order of a map. One witness
@@ -14,7 +14,7 @@
 	"time"
 
 	"flaxcove/choice"
-	"flaxcove/internal/cluster/sight"
+	"flaxcove/internal/cluster/healthreport"
 	"flaxcove/internal/cluster/view"
 )
 
@@ -53,7 +53,7 @@
 // Report is what one zone's processes see of a place. Rates are calls a second over all of them; counts are those of
 // the window.
 type Report struct {
-	sight.Place
+	healthreport.Locality
 	From              view.Zone     `json:"from"`
 	Kind              choice.KindNo `json:"k,omitempty"`
 	Age               time.Duration `json:"age"`
--- a/internal/cluster/failover/weigh/weigh_test.go
+++ b/internal/cluster/failover/weigh/weigh_test.go
@@ -7,22 +7,22 @@
 
 	"flaxcove/choice"
 	"flaxcove/internal/cluster/failover/weigh"
-	"flaxcove/internal/cluster/sight"
+	"flaxcove/internal/cluster/healthreport"
 	"flaxcove/internal/cluster/view"
 )
 
 var defaultBounds = weigh.Usual()
 
 // sighting is what a witness of a zone saw of a destination's place in the last second.
-func sighting(from view.Zone, w int, d choice.DestinationID, z view.Zone, done, failed float64) sight.Sighting {
-	return sight.Sighting{Place: sight.Place{Destination: d, Zone: z}, From: from,
+func sighting(from view.Zone, w int, d choice.DestinationID, z view.Zone, done, failed float64) healthreport.Sample {
+	return healthreport.Sample{Locality: healthreport.Locality{Destination: d, Zone: z}, From: from,
 		Witness: view.Name(fmt.Sprint(from, w)), Span: time.Second, Sent: done + failed, Done: done, Failed: failed,
 		Endpoints: 2}
 }
 
 // statesOf judges sightings of all zones and returns the states by "destination zone", and by "destination zone<from"
 // as a zone sees it.
-func statesOf(all ...sight.Sighting) map[string]weigh.State {
+func statesOf(all ...healthreport.Sample) map[string]weigh.State {
 	var reports []weigh.Report
 	for _, from := range []view.Zone{"a", "b", "c"} {
 		reports = append(reports, weigh.Zonal(from, all, defaultBounds)...)
@@ -98,7 +98,7 @@
 	old.Age = 6 * time.Second
 	expectStates(t, statesOf(old), map[string]weigh.State{"1a": weigh.Unknown})
 	b := weigh.NewBoard(defaultBounds)
-	b.Put(0, weigh.Zonal("a", []sight.Sighting{sighting("a", 1, 1, "a", 0, 9)}, defaultBounds))
+	b.Put(0, weigh.Zonal("a", []healthreport.Sample{sighting("a", 1, 1, "a", 0, 9)}, defaultBounds))
 	for at, want := range map[view.Now]weigh.State{time.Second: weigh.Failing, 6 * time.Second: weigh.Unknown} {
 		if got := weigh.Judge(b.Fresh(at), defaultBounds)[0].State; got != want {
 			t.Errorf("at %v: %v, not %v", at, got, want)
@@ -111,7 +111,7 @@
 
 func TestBoardSendsChanges(t *testing.T) {
 	b := weigh.NewBoard(defaultBounds)
-	well := weigh.Zonal("a", []sight.Sighting{sighting("a", 1, 1, "a", 9, 0), sighting("a", 1, 2, "b", 0, 0)}, defaultBounds)
+	well := weigh.Zonal("a", []healthreport.Sample{sighting("a", 1, 1, "a", 9, 0), sighting("a", 1, 2, "b", 0, 0)}, defaultBounds)
 	sent := 0
 	for i := range 20 { // ten seconds
 		b.Put(view.Now(i)*500*time.Millisecond, well)
@@ -120,7 +120,7 @@
 	if sent > 7 {
 		t.Errorf("%d reports in ten seconds in which nothing changed", sent)
 	}
-	b.Put(10*time.Second, weigh.Zonal("a", []sight.Sighting{sighting("a", 1, 1, "a", 0, 9)}, defaultBounds))
+	b.Put(10*time.Second, weigh.Zonal("a", []healthreport.Sample{sighting("a", 1, 1, "a", 0, 9)}, defaultBounds))
 	if up := b.Up(10*time.Second, 9); len(up) != 1 || up[0].FailingWitnesses != 1 {
 		t.Errorf("a place failed, and what goes up is %v", up)
 	}
--- a/internal/cluster/failover/weigh/zonal.go
+++ b/internal/cluster/failover/weigh/zonal.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"flaxcove/internal/cluster/sight"
+	"flaxcove/internal/cluster/healthreport"
 	"flaxcove/internal/cluster/view"
 )
 
@@ -17,7 +17,7 @@
 	span, age                   time.Duration
 }
 
-func (t *witnessCounts) add(s sight.Sighting) {
+func (t *witnessCounts) add(s healthreport.Sample) {
 	t.sent, t.done, t.failed, t.refused = t.sent+s.Sent, t.done+s.Done, t.failed+s.Failed, t.refused+s.Refused
 	t.span += s.Span
 }
@@ -36,15 +36,15 @@
 
 // zoneTable holds the rows of one zone's witnesses by place, in a fixed order.
 type zoneTable struct {
-	order     []sight.Place
-	witnesses map[sight.Place][]*witnessCounts
-	reports   map[sight.Place]*Report
+	order     []healthreport.Locality
+	witnesses map[healthreport.Locality][]*witnessCounts
+	reports   map[healthreport.Locality]*Report
 }
 
 // Zonal sums what the processes of one zone saw into one report for each place, sorted. Several sightings of one
 // witness and place are consecutive spans; the same sighting must not be passed in twice. Witnesses that are at fault
 // themselves are excluded.
-func Zonal(from view.Zone, rows []sight.Sighting, b Bounds) []Report {
+func Zonal(from view.Zone, rows []healthreport.Sample, b Bounds) []Report {
 	t := tabulate(from, rows, b)
 	excluded := t.excludedWitnesses()
 	reports := make([]Report, 0, len(t.order))
@@ -96,20 +96,20 @@
 }
 
 // tabulate sorts the rows first, so that neither their order nor that of a map shows in the reports.
-func tabulate(from view.Zone, rows []sight.Sighting, b Bounds) *zoneTable {
-	rows = slices.DeleteFunc(slices.Clone(rows), func(s sight.Sighting) bool {
+func tabulate(from view.Zone, rows []healthreport.Sample, b Bounds) *zoneTable {
+	rows = slices.DeleteFunc(slices.Clone(rows), func(s healthreport.Sample) bool {
 		return s.From != from || s.Age < 0 || s.Age > b.IdleAge || !valid(s)
 	})
-	slices.SortStableFunc(rows, func(x, y sight.Sighting) int {
-		return cmp.Or(ComparePlaces(x.Place, y.Place), cmp.Compare(x.Witness, y.Witness), cmp.Compare(x.Age, y.Age))
+	slices.SortStableFunc(rows, func(x, y healthreport.Sample) int {
+		return cmp.Or(ComparePlaces(x.Locality, y.Locality), cmp.Compare(x.Witness, y.Witness), cmp.Compare(x.Age, y.Age))
 	})
-	t := &zoneTable{witnesses: map[sight.Place][]*witnessCounts{}, reports: map[sight.Place]*Report{}}
+	t := &zoneTable{witnesses: map[healthreport.Locality][]*witnessCounts{}, reports: map[healthreport.Locality]*Report{}}
 	active := map[view.Name]bool{}
 	for _, s := range rows {
-		r := t.reports[s.Place]
+		r := t.reports[s.Locality]
 		if r == nil {
-			r = &Report{Place: s.Place, From: from, Kind: s.Kind, Age: s.Age}
-			t.reports[s.Place], t.order = r, append(t.order, s.Place)
+			r = &Report{Locality: s.Locality, From: from, Kind: s.Kind, Age: s.Age}
+			t.reports[s.Locality], t.order = r, append(t.order, s.Locality)
 		}
 		r.Limit, r.Rating, r.Endpoints = max(r.Limit, s.Limit), max(r.Rating, s.Rating), max(r.Endpoints, s.Endpoints)
 		if s.Age > b.MaxAge {
@@ -130,11 +130,11 @@
 }
 
 // addRow adds a row to its witness's counts: rows within the window, or the newest row where all are older.
-func (t *zoneTable) addRow(s sight.Sighting, b Bounds) {
-	witnesses := t.witnesses[s.Place]
+func (t *zoneTable) addRow(s healthreport.Sample, b Bounds) {
+	witnesses := t.witnesses[s.Locality]
 	if len(witnesses) == 0 || witnesses[len(witnesses)-1].witness != s.Witness {
 		witnesses = append(witnesses, &witnessCounts{witness: s.Witness, age: s.Age})
-		t.witnesses[s.Place] = witnesses
+		t.witnesses[s.Locality] = witnesses
 	} else if s.Age > b.Window {
 		return
 	}
@@ -168,7 +168,7 @@
 }
 
 // valid reports whether all figures of a row are finite and not negative.
-func valid(s sight.Sighting) bool {
+func valid(s healthreport.Sample) bool {
 	for _, v := range [...]float64{s.Sent, s.Done, s.Failed, s.Refused, s.Limit, s.Rating} {
 		if math.IsNaN(v) || math.IsInf(v, 0) || v < 0 {
 			return false
@@ -178,7 +178,7 @@
 }
 
 // ComparePlaces orders places by destination, then zone.
-func ComparePlaces(a, b sight.Place) int {
+func ComparePlaces(a, b healthreport.Locality) int {
 	return cmp.Or(cmp.Compare(a.Destination, b.Destination), cmp.Compare(a.Zone, b.Zone))
 }
 
--- a/internal/cluster/popularity/evict/evict.go
+++ b/internal/cluster/popularity/evict/evict.go
@@ -1,7 +1,7 @@
 // Package evict chooses which cached destinations a small process evicts, to stay within a number and within bytes.
 //
 // The package is pure. Those of the lowest priority weight go first: a destination's score, multiplied by what it would cost
-// to learn it again, for each byte it takes. A protected destination (together.Held.Pinned) is never chosen; if that leaves
+// to learn it again, for each byte it takes. A protected destination (together.Held.InUse) is never chosen; if that leaves
 // a bound exceeded, the selection says so.
 package evict
 
@@ -121,7 +121,7 @@
 func (e *Evictor) candidates(now view.Now, held []together.Held, score func(choice.DestinationID) float64) []candidate {
 	all := make([]candidate, 0, len(held))
 	for _, h := range held {
-		if !h.Pinned {
+		if !h.InUse {
 			all = append(all, candidate{h, e.priorityWeight(now, h, score(h.Destination))})
 		}
 	}
--- a/internal/cluster/popularity/evict/evict_test.go
+++ b/internal/cluster/popularity/evict/evict_test.go
@@ -21,7 +21,7 @@
 
 func TestLowestWeightIsEvictedAndProtectedNever(t *testing.T) {
 	e, held := New(), heldDestinations(6)
-	held[0].Pinned = true  // 1, the least popular
+	held[0].InUse = true   // 1, the least popular
 	held[2].Calls = 0      // 3: weighs as much as 1.5 with learned state
 	held[4].Bytes = 10_000 // 5: for its bytes weighs less than 1
 	for _, c := range []struct {
--- a/internal/cluster/popularity/recall/discount.go
+++ b/internal/cluster/popularity/recall/discount.go
@@ -31,7 +31,7 @@
 	if !valid(l) || l.Age > MaxAge {
 		return together.Lesson{}, false
 	}
-	state := choice.Learnt{Wait: max(0, l.Wait-choice.Time(l.Age/(100*time.Microsecond)))}
+	state := choice.LearnedState{Wait: max(0, l.Wait-choice.Time(l.Age/(100*time.Microsecond)))}
 	if l.Seen > 0 && l.Mean > 0 && l.Past > 0 {
 		state.Mean, state.Dev, state.Past = l.Mean, l.Dev, l.Past
 		state.Seen = min(l.Seen, maxAnswers) * count.Decay(l.Age, ageHalfLife)
@@ -42,12 +42,12 @@
 	if l.Age <= limitMaxAge {
 		state.Limit = l.Limit
 	}
-	return together.Lesson{Endpoint: l.Endpoint, Learnt: state, Age: l.Age}, state != choice.Learnt{}
+	return together.Lesson{Endpoint: l.Endpoint, LearnedState: state, Age: l.Age}, state != choice.LearnedState{}
 }
 
 // FromSender turns what a sender handed over into a lesson for the summary.
 func FromSender(l together.Lesson, zone view.Zone) Lesson {
-	state := l.Learnt
+	state := l.LearnedState
 	return Lesson{
 		Endpoint: l.Endpoint,
 		Mean:     state.Mean,
