--- a/internal/cluster/failover/run/run.go
+++ b/internal/cluster/failover/run/run.go
@@ -1,9 +1,9 @@
-// Package run carries failover between processes: reports up the tree, the plan and its renewals down, and at the
-// council's leader the planner.
+// Package run carries failover between processes: health reports go up the tree, plans and their renewals go down, and the
+// leader of the consensus group runs the planner.
 //
-// It owns one goroutine that turns twice a second or when woken, and one for each call that is out, all of which
-// end with Close. What is decided is package weigh's, plan's and apply's. It must never hold its lock over a call out,
-// keep a plan alive that its leader does not renew, or have the sender wait: Guide reads what is compiled.
+// It owns one goroutine that ticks twice a second or when woken, and one for each call in flight; all of them end with
+// Close. Packages weigh, plan and apply decide. The lock is never held over a call to another process, a plan that its
+// leader does not renew is not kept in force, and the sender never waits: Guide reads a compiled value.
 package run
 
 import (
@@ -26,14 +26,14 @@
 )
 
 const (
-	turnEach  = 500 * time.Millisecond
-	leastTurn = 50 * time.Millisecond  // between two turns, however often it is woken
-	weighEach = 150 * time.Millisecond // between two judgements: a message that wakes it is passed on sooner
-	callFor   = 700 * time.Millisecond
-	decideFor = 2 * time.Second
-	renewals  = 5 // in a hold
-	upPath    = "/failover/up"
-	downPath  = "/failover/down"
+	defaultTickInterval = 500 * time.Millisecond
+	minTickInterval     = 50 * time.Millisecond  // between two ticks, however often the loop is woken
+	assessInterval      = 150 * time.Millisecond // between two judgements; messages that wake the loop are passed on sooner
+	callTimeout         = 700 * time.Millisecond
+	proposeTimeout      = 2 * time.Second
+	renewalsPerHold     = 5 // in the Hold of a plan
+	reportsPath         = "/failover/up"
+	planPath            = "/failover/down"
 )
 
 // Link carries calls to other processes.
@@ -42,7 +42,7 @@
 	Handle(path string, h func(ctx context.Context, from view.Life, body []byte) (any, error))
 }
 
-// Consensus decides. A leader without a quorum must not say that it leads for longer than its lease.
+// Consensus decides in common. A leader without a quorum must not say that it leads for longer than its lease.
 type Consensus interface {
 	Propose(ctx context.Context, part, kind string, body any) (json.RawMessage, error)
 	Leader() (view.Name, bool)
@@ -50,70 +50,73 @@
 	Read(f func(index uint64))
 }
 
-// Options are what it is started with; all but Term, Turn and Log must be set.
+// Options are what a runner is started with; all but Term, TickInterval and Log must be set.
 type Options struct {
-	Self      view.Name
-	Zone      view.Zone
-	Now       func() view.Now // since the process began; monotonic
-	Link      Link
-	Consensus Consensus
-	InForce   *plan.InForce                        // the council's part; read inside Consensus.Read alone
-	Term      func() uint64                        // the council's, at its leader; nil for 0
-	Tree      func() *tree.Tree                    // as of now
-	Samples   func(view.Now) []healthreport.Sample // of this process, and at a zone's head of its zone
-	Local     func() apply.Local                   // Ill is filled in here
-	Bounds    weigh.Bounds
-	Settings  plan.Settings
-	Turn      time.Duration // turnEach if 0
-	Log       *zap.Logger
+	Self         view.Name
+	Zone         view.Zone
+	Now          func() view.Now // since the process began; monotonic
+	Link         Link
+	Consensus    Consensus
+	InForce      *plan.InForce                        // replicated state; read only inside Consensus.Read
+	Term         func() uint64                        // of the consensus group, at its leader; nil for 0
+	Tree         func() *tree.Tree                    // as of now
+	Samples      func(view.Now) []healthreport.Sample // of this process, and at the coordinator of a zone of its zone
+	Local        func() apply.Local                   // but for Ill, which is filled in here
+	Bounds       weigh.Bounds
+	Settings     plan.Settings
+	TickInterval time.Duration // defaultTickInterval if 0
+	Log          *zap.Logger
 }
 
-// Stats are counts since the start, but for Epoch (of the plan that counts; 0 for none) and Leading.
+// Stats are counts since the start, but for Epoch and Leading.
 type Stats struct {
-	Epoch               view.Epoch
-	Leading             bool
-	Up, Down            uint64 // calls out
-	Failed              uint64 // of these
-	Reports, Plans      uint64 // reports passed up; plans decided here
-	Refused, Heard, Bad uint64 // plans not decided; messages taken; messages that could not be read
+	Epoch         view.Epoch // of the plan in force here; 0 for none
+	Leading       bool
+	Up, Down      uint64 // calls begun: with reports; with plans
+	Failed        uint64 // of these calls
+	ReportsSent   uint64
+	Plans         uint64 // proposed here and decided
+	PlansRejected uint64 // proposed here and not decided
+	Received      uint64 // messages
+	Malformed     uint64 // messages that could not be read
 }
 
-// compiled is what attempts ask, and until when.
-type compiled struct {
-	guide *apply.Guide
-	until view.Now
+// compiledGuide is what attempts ask, and until when.
+type compiledGuide struct {
+	guide     *apply.Guide
+	expiresAt view.Now
 }
 
-// Runner is one process's.
+// Runner runs failover at one process.
 type Runner struct {
-	o       Options
-	guide   atomic.Pointer[compiled]
-	wake    chan struct{}
-	ctx     context.Context
-	cancel  context.CancelFunc
-	working sync.WaitGroup
+	options    Options
+	guide      atomic.Pointer[compiledGuide]
+	wake       chan struct{}
+	ctx        context.Context
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup
 
 	// mu stands beside node.mu in the order of package cluster: no other lock is taken under it.
-	mu      sync.Mutex
-	closed  bool
-	holder  apply.Holder
-	passing *weigh.Board // what is passed up
-	all     *weigh.Board // at the leader: what came from the root
-	planner *plan.Planner
-	local   apply.Local
-	made    *plan.Plan // that guide was compiled of
-	out     map[view.Name]*child
-	uping   bool
-	upTo    view.Name // who got the last reports
-	weighed view.Now  // when reports were last made, and judged
-	asking  bool      // a proposal is out
-	stats   Stats
+	mu           sync.Mutex
+	closed       bool
+	holder       apply.Holder
+	outgoing     *weigh.Board // reports to send up
+	collected    *weigh.Board // at the leader: reports that came from the root
+	planner      *plan.Planner
+	local        apply.Local // that guide was compiled with
+	compiledFrom *plan.Plan  // that guide was compiled from
+	children     map[view.Name]*child
+	reporting    bool      // a call with reports is in flight
+	reportingTo  view.Name // receiver of the last reports
+	assessedAt   view.Now  // when reports were last made and judged
+	proposing    bool      // a proposal is in flight
+	stats        Stats
 }
 
-// Start begins; handlers are added to the link at once.
+// Start starts a runner; its handlers are added to the link at once.
 func Start(o Options) *Runner {
-	if o.Turn <= 0 {
-		o.Turn = turnEach
+	if o.TickInterval <= 0 {
+		o.TickInterval = defaultTickInterval
 	}
 	if o.Log == nil {
 		o.Log = zap.NewNop()
@@ -121,36 +124,44 @@
 	if o.Term == nil {
 		o.Term = func() uint64 { return 0 }
 	}
-	r := &Runner{o: o, weighed: -weighEach, wake: make(chan struct{}, 1), out: map[view.Name]*child{},
-		passing: weigh.NewBoard(o.Bounds), all: weigh.NewBoard(o.Bounds)}
+	r := &Runner{options: o, assessedAt: -assessInterval, wake: make(chan struct{}, 1), children: map[view.Name]*child{},
+		outgoing: weigh.NewBoard(o.Bounds), collected: weigh.NewBoard(o.Bounds)}
 	r.ctx, r.cancel = context.WithCancel(context.Background())
-	o.Link.Handle(upPath, r.hearUp)
-	o.Link.Handle(downPath, r.hearDown)
-	r.working.Add(1)
+	o.Link.Handle(reportsPath, r.handleReports)
+	o.Link.Handle(planPath, r.handlePlan)
+	r.goroutines.Add(1)
 	go r.loop()
 	return r
 }
 
-// Close ends all goroutines; calls that are out are given up. What was in force stays readable until it lapses.
+// Close ends all goroutines and abandons calls in flight. The plan in force stays readable until it lapses.
 func (r *Runner) Close() {
 	r.mu.Lock()
 	r.closed = true
 	r.mu.Unlock()
 	r.cancel()
-	r.working.Wait()
+	r.goroutines.Wait()
 }
 
-// Guide is what counts now: nil when no plan does.
+// Guide returns what attempts ask; nil while no plan is in force.
 func (r *Runner) Guide() together.Guide {
-	if c := r.guide.Load(); c != nil && r.o.Now() < c.until {
+	if c := r.guide.Load(); c != nil && r.options.Now() < c.expiresAt {
 		return c.guide
 	}
 	return nil
 }
 
-// Stats are counts for operators.
+// Plan is the plan in force at this process, and until when by its clock; nil for none. The caller must not change it.
+func (r *Runner) Plan() (*plan.Plan, view.Now) {
+	now := r.options.Now()
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.holder.Plan(now)
+}
+
+// Stats returns counts for operators.
 func (r *Runner) Stats() Stats {
-	leading, now := r.o.Consensus.Leading(), r.o.Now()
+	leading, now := r.options.Consensus.Leading(), r.options.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := r.stats
@@ -163,100 +174,101 @@
 }
 
 func (r *Runner) loop() {
-	defer r.working.Done()
-	ticker := time.NewTicker(r.o.Turn)
+	defer r.goroutines.Done()
+	ticker := time.NewTicker(r.options.TickInterval)
 	defer ticker.Stop()
 	for {
-		r.turn()
+		r.tick()
 		select {
 		case <-r.ctx.Done():
 			return
 		case <-ticker.C:
 		case <-r.wake:
-			select { // what comes together is told together
+			select { // changes that come together are passed on together
 			case <-r.ctx.Done():
 				return
-			case <-time.After(leastTurn):
+			case <-time.After(minTickInterval):
 			}
 		}
 	}
 }
 
-// news has the next turn come at once.
-func (r *Runner) news() {
+// wakeLoop makes the next tick come at once.
+func (r *Runner) wakeLoop() {
 	select {
 	case r.wake <- struct{}{}:
 	default:
 	}
 }
 
-// begin starts a call in a goroutine of its own; false once closed. Called with mu held.
-func (r *Runner) begin(f func()) bool {
+// startCall runs a call in a goroutine of its own; false once closed. The caller holds mu.
+func (r *Runner) startCall(f func()) bool {
 	if r.closed {
 		return false
 	}
-	r.working.Go(f)
+	r.goroutines.Go(f)
 	return true
 }
 
-func (r *Runner) turn() {
-	now, t := r.o.Now(), r.o.Tree()
+func (r *Runner) tick() {
+	now, t := r.options.Now(), r.options.Tree()
 	if t == nil {
 		return
 	}
-	seen, local := r.o.Samples(now), r.o.Local()
-	local.Ill = r.ill(seen, local)
-	weighs := now-r.weighed >= min(weighEach, r.o.Turn)
-	if weighs {
-		r.weighed = now
+	reports, local := r.options.Samples(now), r.options.Local()
+	local.Ill = r.failingEndpoints(reports, local)
+	assess := now-r.assessedAt >= min(assessInterval, r.options.TickInterval)
+	if assess {
+		r.assessedAt = now
 	}
-	if weighs && t.ZoneHead(r.o.Zone) == r.o.Self {
-		reports := slices.DeleteFunc(weigh.Zonal(r.o.Zone, seen, r.o.Bounds), func(w weigh.Report) bool {
-			return w.Idle() && w.Zone != r.o.Zone && t.ZoneHead(w.Zone) != "" // its own zone tells of it
+	if assess && t.ZoneHead(r.options.Zone) == r.options.Self {
+		summaries := weigh.Zonal(r.options.Zone, reports, r.options.Bounds)
+		summaries = slices.DeleteFunc(summaries, func(w weigh.Report) bool {
+			return w.Idle() && w.Zone != r.options.Zone && t.ZoneHead(w.Zone) != "" // its own zone reports on it
 		})
 		r.mu.Lock()
-		r.passing.Put(now, reports)
+		r.outgoing.Put(now, summaries)
 		r.mu.Unlock()
 	}
-	r.lead(now, t, weighs)
+	r.leaderTick(now, t, assess)
 	r.mu.Lock()
-	r.compile(now, local)
+	r.compileGuide(now, local)
 	r.mu.Unlock()
-	r.tellUp(now, t)
-	r.tellDown(now, t)
+	r.sendReports(now, t)
+	r.announcePlan(now, t)
 }
 
-// ill is what this process sees fail by itself.
-func (r *Runner) ill(seen []healthreport.Sample, local apply.Local) map[apply.At]bool {
-	own := map[healthreport.Locality][]healthreport.Sample{}
-	for _, s := range seen {
-		if s.Witness == r.o.Self {
-			own[s.Locality] = append(own[s.Locality], s)
+// failingEndpoints returns what this process sees fail by itself.
+func (r *Runner) failingEndpoints(reports []healthreport.Sample, local apply.Local) map[apply.At]bool {
+	ownReports := map[healthreport.Locality][]healthreport.Sample{}
+	for _, s := range reports {
+		if s.Witness == r.options.Self {
+			ownReports[s.Locality] = append(ownReports[s.Locality], s)
 		}
 	}
-	ill := map[apply.At]bool{}
-	for at, rows := range own {
-		if no, known := local.Numbers[at.Zone]; known && weigh.Ill(rows, r.o.Bounds) {
-			ill[apply.At{Destination: at.Destination, Zone: no}] = true
+	failing := map[apply.At]bool{}
+	for at, rows := range ownReports {
+		if no, known := local.Numbers[at.Zone]; known && weigh.Ill(rows, r.options.Bounds) {
+			failing[apply.At{Destination: at.Destination, Zone: no}] = true
 		}
 	}
-	return ill
+	return failing
 }
 
-// compile makes the guide anew where the plan or what is known here has changed, and tells until when it counts.
-// Called with mu held.
-func (r *Runner) compile(now view.Now, local apply.Local) {
+// compileGuide compiles the guide anew if the plan or the local state changed, and otherwise only renews it. The
+// caller holds mu.
+func (r *Runner) compileGuide(now view.Now, local apply.Local) {
 	p, until := r.holder.Plan(now)
 	if p == nil {
 		r.guide.Store(nil)
-		r.made = nil
+		r.compiledFrom = nil
 		return
 	}
 	old := r.guide.Load()
-	if old != nil && p == r.made && alike(local, r.local) {
-		r.guide.Store(&compiled{old.guide, until})
+	if old != nil && p == r.compiledFrom && sameLocal(local, r.local) {
+		r.guide.Store(&compiledGuide{old.guide, until})
 		return
 	}
-	r.made, r.local = p, local
-	r.guide.Store(&compiled{apply.Compile(p, local), until})
+	r.compiledFrom, r.local = p, local
+	r.guide.Store(&compiledGuide{apply.Compile(p, local), until})
 }
