--- /dev/null
+++ b/internal/cluster/failover/plan/storeddata_test.go
@@ -0,0 +1,50 @@
+package plan_test
+
+import (
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+
+	"flaxcove/internal/cluster/consensus/machine/machinetest"
+	"flaxcove/internal/cluster/failover/plan"
+	"flaxcove/internal/cluster/view"
+)
+
+// storedPlan is the plan in force after the stored commands.
+func storedPlan() plan.Plan {
+	return plan.Plan{
+		Epoch:   2,
+		Hold:    20 * time.Second,
+		Regions: map[view.Zone]view.Region{"z1": "r1", "z2": "r1", "z3": "r2"},
+		Routes: []plan.Route{
+			{Destination: -7, From: "z1", Phase: "away", Near: 0.25,
+				Shares: []plan.Share{{Zone: "z2", Part: 0.5}, {Zone: "z3", Part: 0.25}}, Turns: 2, Outage: 90 * time.Second},
+			{Destination: 7, From: "z1", Phase: "return", Near: 0.5, Shares: []plan.Share{{Zone: "z2", Part: 0.5}}, Step: 3, Turns: 1},
+			{Destination: 7, From: "z3", Phase: "over", Near: 0.75, Shares: []plan.Share{{Zone: "z1", Part: 0.25}},
+				Home: []view.Zone{"z2", "z1"}},
+			{Destination: 8, From: "z2", Phase: "free", Near: 1},
+		},
+	}
+}
+
+// TestReplaysStoredPlans: the plans in an older program's log are decided and answered as they were.
+func TestReplaysStoredPlans(t *testing.T) {
+	part := &plan.InForce{}
+	machinetest.Replay(t, part)
+	checkStoredPlan(t, part)
+}
+
+// TestReadsStoredPlan: the plan in an older program's snapshot is in force, with every field.
+func TestReadsStoredPlan(t *testing.T) {
+	part := &plan.InForce{}
+	machinetest.Restore(t, part)
+	checkStoredPlan(t, part)
+}
+
+func checkStoredPlan(t *testing.T, part *plan.InForce) {
+	t.Helper()
+	if diff := cmp.Diff(storedPlan(), part.Plan()); diff != "" {
+		t.Errorf("the plan in force (-stored +read):\n%s", diff)
+	}
+}
--- /dev/null
+++ b/internal/cluster/purge/ledger/storeddata_test.go
@@ -0,0 +1,87 @@
+package ledger_test
+
+import (
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+
+	"flaxcove/choice"
+	"flaxcove/internal/cluster/consensus/machine/machinetest"
+	"flaxcove/internal/cluster/purge/ledger"
+	"flaxcove/internal/cluster/view"
+	"flaxcove/internal/sender/together"
+)
+
+// storedRows are the purges after the stored commands, one of each state and subject.
+func storedRows() []ledger.Row {
+	destination := new(choice.DestinationID(-7))
+	return []ledger.Row{
+		{Seq: 1, ID: "one", Subject: "notices", Match: together.Match{Destination: destination, Class: "pure", Key: "k"},
+			Who: "ops", Why: "a key", At: 2 * time.Minute, State: "complete", Zones: []ledger.ZoneSum{
+				{Region: "r1", Zone: "z1", Reached: 1, Found: together.Found{NotBegun: 1, MayRun: 2, Delivered: 3, Learnt: 4}},
+				{Region: "r1", Zone: "z2", Reached: 1, Found: together.Found{NotBegun: 5}},
+			}, Reached: 2, Found: together.Found{NotBegun: 6, MayRun: 2, Delivered: 3, Learnt: 4},
+			Prints: [4]uint32{1848402386, 70654881, 1526271103, 3079894117}, Short: true},
+		{Seq: 2, ID: "two", Subject: "notices", Match: together.Match{KeyPrefix: "k-"},
+			Who: "ops", Why: "a prefix", At: 3 * time.Minute, State: "complete with lapsed", Zones: []ledger.ZoneSum{
+				{Region: "r1", Zone: "z1", Reached: 1, Found: together.Found{Delivered: 6}},
+				{Region: "r1", Zone: "z2", Lapsed: 1},
+			}, Names: []view.Name{"b"}, Reached: 1, Lapsed: 1, Found: together.Found{Delivered: 6},
+			Prints: [4]uint32{1848402386, 3348729753, 1526271103, 2494390781}, Short: true},
+		{Seq: 3, ID: "three", Subject: "learnt", Match: together.Match{Destination: destination},
+			Who: "ops", Why: "learnt", At: 4 * time.Minute, State: "complete", Zones: []ledger.ZoneSum{
+				{Region: "r1", Zone: "z1", Reached: 1, Found: together.Found{Learnt: 9}},
+				{Region: "r1", Zone: "z2", Reached: 1},
+			}, Reached: 2, Found: together.Found{Learnt: 9},
+			Prints: [4]uint32{3890170347, 3617051539, 1526271103, 3890170347}},
+		{Seq: 4, ID: "four", Subject: "notices", Match: together.Match{Class: "line"},
+			Who: "ops", Why: "a workload", At: 11 * time.Minute, State: "spreading",
+			Prints: [4]uint32{1848402386, 1578569718, 1526271103, 679473289}},
+	}
+}
+
+func storedSeats() []ledger.Seat {
+	return []ledger.Seat{
+		{Life: view.Life{Name: "a", Incarnation: 5}, Zone: "z1", Region: "r1", Folder: "fa", Longest: time.Minute},
+		{Life: view.Life{Name: "b", Incarnation: 6}, Zone: "z2", Region: "r1", Longest: 2 * time.Minute},
+	}
+}
+
+// TestReplaysStoredPurges: the commands in an older program's log are decided and answered as they were.
+func TestReplaysStoredPurges(t *testing.T) {
+	l := ledger.New()
+	machinetest.Replay(t, l)
+	checkStoredPurges(t, l)
+}
+
+// TestReadsStoredPurges: all of an older program's snapshot is read.
+func TestReadsStoredPurges(t *testing.T) {
+	l := ledger.New()
+	machinetest.Restore(t, l)
+	checkStoredPurges(t, l)
+}
+
+func checkStoredPurges(t *testing.T, l *ledger.Ledger) {
+	t.Helper()
+	for _, want := range storedRows() {
+		got, found := l.Find(want.ID)
+		if diff := cmp.Diff(want, got); !found || diff != "" {
+			t.Errorf("purge %q, found %v (-stored +read):\n%s", want.ID, found, diff)
+		}
+	}
+	if diff := cmp.Diff(storedSeats(), l.Seats()); diff != "" {
+		t.Errorf("seats (-stored +read):\n%s", diff)
+	}
+	for _, c := range []struct {
+		what      string
+		got, want uint64
+	}{{"last", l.Last(), 4}, {"floor", l.Floor(), 4}, {"roster", l.Roster(), 5}} {
+		if c.got != c.want {
+			t.Errorf("%s is %d, stored is %d", c.what, c.got, c.want)
+		}
+	}
+	if at := l.At(); at != 11*time.Minute {
+		t.Errorf("the time of the newest command is %v", at)
+	}
+}
