--- /dev/null
+++ b/internal/cluster/consensus/storeddata_test.go
@@ -0,0 +1,158 @@
+package consensus_test
+
+import (
+	"bytes"
+	"encoding/json"
+	"os"
+	"slices"
+	"testing"
+	"time"
+
+	versions "flaxcove/internal/cluster/configuration/ledger"
+	"flaxcove/internal/cluster/consensus"
+	"flaxcove/internal/cluster/consensus/machine"
+	"flaxcove/internal/cluster/failover/plan"
+	purges "flaxcove/internal/cluster/purge/ledger"
+	"flaxcove/internal/cluster/view"
+)
+
+// What testdata/stored/council holds: the folder of a single voter, with a snapshot after the first commands of each part
+// and later commands in the log. Commit 485f0e4 wrote it, and testdata/stored/state.json, which is the state after all of
+// them; neither is written anew.
+const (
+	storedFolderID      = "00112233445566778899aabbccddeeff"
+	storedTerm          = 2
+	storedSnapshotIndex = 7
+	storedLastIndex     = 11
+
+	// storedWait bounds a wait for the election of the only voter, which takes some 0.2 s.
+	storedWait      = 20 * time.Second
+	storedHeartbeat = 100 * time.Millisecond
+)
+
+// storedParts are the parts of the state by the names under which an older program stored them.
+func storedParts() map[string]machine.Part {
+	return map[string]machine.Part{"failover": &plan.InForce{}, "purge": purges.New(), "configuration": versions.New()}
+}
+
+// startStored starts the only voter on a copy of the stored folder and waits until it leads, with all of the log applied.
+func startStored(t *testing.T, parts map[string]machine.Part) *consensus.Group {
+	t.Helper()
+	folder := t.TempDir()
+	if err := os.CopyFS(folder, os.DirFS("testdata/stored/council")); err != nil {
+		t.Fatal(err)
+	}
+	applied := make(chan struct{}, 1)
+	group, err := consensus.Start(consensus.Options{
+		Self:     view.Member{Life: view.Life{Name: "a", Incarnation: 6}, Zone: "z1", Region: "r1", Size: view.Large, Folder: storedFolderID},
+		Cluster:  "stored",
+		Folder:   folder,
+		Listen:   "127.0.0.1:0",
+		Founders: []view.Name{"a"},
+		Parts:    parts,
+		Reach:    func(view.Name) (string, bool) { return "", false },
+		Timing:   consensus.Timing{Heartbeat: storedHeartbeat},
+		Applied: func(uint64) {
+			select {
+			case applied <- struct{}{}:
+			default:
+			}
+		},
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() {
+		if err := group.Close(); err != nil {
+			t.Error(err)
+		}
+	})
+	timeout := time.After(storedWait)
+	for !group.Leading() {
+		select {
+		case <-applied:
+		case <-timeout:
+			t.Fatalf("does not lead after %v", storedWait)
+		}
+	}
+	return group
+}
+
+// TestReadsStoredRecords: the stable store, the log and the snapshot of an older program give the state that it had.
+func TestReadsStoredRecords(t *testing.T) {
+	parts := storedParts()
+	group := startStored(t, parts)
+	if voters := group.Voters(); !slices.Equal(voters, []view.Name{"a"}) || !group.Voted() {
+		t.Errorf("voters %v, holds records: %v", voters, group.Voted())
+	}
+	if term := group.Term(); term <= storedTerm {
+		t.Errorf("term %d does not follow the stored one, %d", term, storedTerm)
+	}
+	text, err := os.ReadFile("testdata/stored/state.json")
+	if err != nil {
+		t.Fatal(err)
+	}
+	stored := readState(t, text)
+	if clock := group.Clock(); clock < stored.At {
+		t.Errorf("the clock went back to %v from %v", clock, stored.At)
+	}
+	if len(stored.Parts) != len(parts) {
+		t.Fatalf("%d parts are stored, %d are here", len(stored.Parts), len(parts))
+	}
+	group.Read(func(index uint64) {
+		if index != storedLastIndex {
+			t.Errorf("applied up to %d, stored is %d", index, storedLastIndex)
+		}
+		for _, want := range stored.Parts {
+			if got, err := parts[want.Name].Snapshot(); err != nil || !bytes.Equal(got, want.State) {
+				t.Errorf("part %q: %v, the state is\n%s, stored is\n%s", want.Name, err, got, want.State)
+			}
+		}
+	})
+}
+
+// storedState is the form of a snapshot, apart from the code under test.
+type storedState struct {
+	At    time.Duration `json:"at"`
+	Index uint64        `json:"index"`
+	Parts []struct {
+		Name  string          `json:"name"`
+		State json.RawMessage `json:"state"`
+	} `json:"parts"`
+}
+
+func readState(t *testing.T, text []byte) (s storedState) {
+	t.Helper()
+	if err := json.Unmarshal(text, &s); err != nil {
+		t.Fatal(err)
+	}
+	return s
+}
+
+// TestMachineReadsStoredSnapshot: the state machine takes a snapshot of an older program whole, and writes it again byte
+// for byte.
+func TestMachineReadsStoredSnapshot(t *testing.T) {
+	for _, c := range []struct {
+		path  string
+		index uint64
+	}{
+		{"testdata/stored/council/snapshots/2-7-1796243312360/state.bin", storedSnapshotIndex},
+		{"testdata/stored/state.json", storedLastIndex},
+	} {
+		text, err := os.ReadFile(c.path)
+		if err != nil {
+			t.Fatal(err)
+		}
+		text = bytes.TrimSpace(text)
+		m := machine.New(storedParts())
+		if err := m.Restore(text); err != nil {
+			t.Fatalf("%s: %v", c.path, err)
+		}
+		if stored := readState(t, text); m.Index() != c.index || m.At() != stored.At {
+			t.Errorf("%s: index %d, clock %v", c.path, m.Index(), m.At())
+		}
+		if again, err := m.Snapshot(); err != nil || !bytes.Equal(again, text) {
+			t.Errorf("%s: %v, the state is\n%s, stored is\n%s", c.path, err, again, text)
+		}
+	}
+}
