--- a/internal/sender/storeddata_test.go
+++ b/internal/sender/storeddata_test.go
@@ -179,6 +179,9 @@
 		return false
 	}
 	s := startStored(t, dir)
+	if want := storedWant(); len(s.order) != len(want.Messages) || len(s.past) != len(want.Purges) {
+		t.Errorf("%d messages and %d purges are held", len(s.order), len(s.past))
+	}
 	for _, n := range s.order {
 		// The times of "early" are of the clock before it was put back.
 		if record := n.record(); n.ID != "early" && !contains(record) {
