--- a/internal/cluster/purge/ledger/storeddata_test.go
+++ b/internal/cluster/purge/ledger/storeddata_test.go
@@ -19,9 +19,9 @@
 	return []ledger.Row{
 		{Seq: 1, ID: "one", Subject: "notices", Match: together.Match{Destination: destination, Class: "pure", Key: "k"},
 			Who: "ops", Why: "a key", At: 2 * time.Minute, State: "complete", Zones: []ledger.ZoneSum{
-				{Region: "r1", Zone: "z1", Reached: 1, Found: together.Found{NotBegun: 1, MayRun: 2, Delivered: 3, Learnt: 4}},
+				{Region: "r1", Zone: "z1", Reached: 1, Found: together.Found{NotBegun: 1, MayRun: 2, Delivered: 3, LearnedState: 4}},
 				{Region: "r1", Zone: "z2", Reached: 1, Found: together.Found{NotBegun: 5}},
-			}, Reached: 2, Found: together.Found{NotBegun: 6, MayRun: 2, Delivered: 3, Learnt: 4},
+			}, Reached: 2, Found: together.Found{NotBegun: 6, MayRun: 2, Delivered: 3, LearnedState: 4},
 			Prints: [4]uint32{1848402386, 70654881, 1526271103, 3079894117}, Short: true},
 		{Seq: 2, ID: "two", Subject: "notices", Match: together.Match{KeyPrefix: "k-"},
 			Who: "ops", Why: "a prefix", At: 3 * time.Minute, State: "complete with lapsed", Zones: []ledger.ZoneSum{
@@ -31,9 +31,9 @@
 			Prints: [4]uint32{1848402386, 3348729753, 1526271103, 2494390781}, Short: true},
 		{Seq: 3, ID: "three", Subject: "learnt", Match: together.Match{Destination: destination},
 			Who: "ops", Why: "learnt", At: 4 * time.Minute, State: "complete", Zones: []ledger.ZoneSum{
-				{Region: "r1", Zone: "z1", Reached: 1, Found: together.Found{Learnt: 9}},
+				{Region: "r1", Zone: "z1", Reached: 1, Found: together.Found{LearnedState: 9}},
 				{Region: "r1", Zone: "z2", Reached: 1},
-			}, Reached: 2, Found: together.Found{Learnt: 9},
+			}, Reached: 2, Found: together.Found{LearnedState: 9},
 			Prints: [4]uint32{3890170347, 3617051539, 1526271103, 3890170347}},
 		{Seq: 4, ID: "four", Subject: "notices", Match: together.Match{Class: "line"},
 			Who: "ops", Why: "a workload", At: 11 * time.Minute, State: "spreading",
--- a/internal/sender/storeddata_test.go
+++ b/internal/sender/storeddata_test.go
@@ -46,8 +46,8 @@
 	Ended        bool // the id of the message that is over is known again
 	Purges       map[uint64]together.Found
 	HighestPurge uint64
-	Learned      choice.Learnt // of an endpoint that is listed; its wait has run on
-	Unlisted     choice.Learnt // of one that is not
+	Learned      choice.LearnedState // of an endpoint that is listed; its wait has run on
+	Unlisted     choice.LearnedState // of one that is not
 	UnlistedAt   string
 	UnlistedOf   choice.DestinationID
 	LearnedAt    choice.Time
@@ -66,7 +66,7 @@
 	unlisted := s.learnt["unlisted"]
 	_, ended := s.admission.ended["over"]
 	start := storedStart{EndingsOwed: len(s.endings), Ended: ended, Purges: map[uint64]together.Found{}, HighestPurge: s.applied.Load(),
-		Learned: s.module.Learnt("a"), Unlisted: unlisted.Learnt, UnlistedAt: unlisted.Addr,
+		Learned: s.module.LearnedState("a"), Unlisted: unlisted.LearnedState, UnlistedAt: unlisted.Addr,
 		UnlistedOf: unlisted.Destination, LearnedAt: sinceDay(s.learntAt)}
 	for _, n := range s.order {
 		m := storedMessage{ID: string(n.ID), Key: n.key, IdempotencyKey: n.idempotencyKey, Tenant: n.tenant, Class: n.className,
@@ -106,10 +106,10 @@
 		},
 		EndingsOwed:  5,
 		Ended:        true,
-		Purges:       map[uint64]together.Found{3: {NotBegun: 1, MayRun: 2, Delivered: 3, Learnt: 4}, 9: {}},
+		Purges:       map[uint64]together.Found{3: {NotBegun: 1, MayRun: 2, Delivered: 3, LearnedState: 4}, 9: {}},
 		HighestPurge: 9,
-		Learned:      choice.Learnt{Mean: 900, Dev: 300, Past: 950, Seen: 9, Limit: 7, Wait: 4 * second},
-		Unlisted:     choice.Learnt{Mean: 1.5, Dev: 0.5, Past: 2.5, Seen: 3, Limit: 0.25, Wait: 4},
+		Learned:      choice.LearnedState{Mean: 900, Dev: 300, Past: 950, Seen: 9, Limit: 7, Wait: 4 * second},
+		Unlisted:     choice.LearnedState{Mean: 1.5, Dev: 0.5, Past: 2.5, Seen: 3, Limit: 0.25, Wait: 4},
 		UnlistedAt:   "127.0.0.2:2",
 		UnlistedOf:   -2,
 		LearnedAt:    59 * second,
--- a/internal/sender/together/storeddata_test.go
+++ b/internal/sender/together/storeddata_test.go
@@ -17,7 +17,7 @@
 
 // TestReadsStoredPurge: a purge is read and written as by an older program.
 func TestReadsStoredPurge(t *testing.T) {
-	want := together.Purge{Seq: 3, ID: "one", Learnt: true, Age: 90 * time.Second,
+	want := together.Purge{Seq: 3, ID: "one", LearnedState: true, Age: 90 * time.Second,
 		Match: together.Match{Destination: new(choice.DestinationID(-7)), Class: "pure", Key: "k", KeyPrefix: "k-"}}
 	var got together.Purge
 	if err := json.Unmarshal([]byte(storedPurge), &got); err != nil {
