--- a/internal/cluster/link/call.go
+++ b/internal/cluster/link/call.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -14,40 +15,45 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// mostText is how much of a refusal's text is kept.
-const mostText = 512
+// maxErrorText is how many bytes of a refusal's text are retained.
+const maxErrorText = 512
 
-// caller is the client and its connections. No proxy, no redirect, no compression: addresses are what Reach tells.
-func (l *Link) caller() (*http.Client, *http.Transport) {
-	d := &net.Dialer{Timeout: dialFor}
-	pool := &http.Transport{
+// errNoAddress is returned for a process that Options.Reach does not know.
+var errNoAddress = errors.New("no address is known")
+
+// newClient returns the HTTP client and its connection pool. It uses no proxy, follows no redirect and does not
+// compress: addresses are exactly what Options.Reach returns.
+func (l *Link) newClient() (*http.Client, *http.Transport) {
+	dialer := &net.Dialer{Timeout: dialTimeout}
+	transport := &http.Transport{
 		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
-			// The library dials on after a call has ended, for the next one; not after Close.
+			// net/http goes on dialling after a call has ended, to have a connection for the next one. Close must
+			// end such a dial too.
 			ctx, cancel := context.WithCancel(ctx)
 			defer cancel()
 			defer context.AfterFunc(l.base, cancel)()
-			c, err := d.DialContext(ctx, network, addr)
+			conn, err := dialer.DialContext(ctx, network, addr)
 			if err != nil {
 				return nil, err
 			}
-			return &countedConn{Conn: c, link: l}, nil
+			return &countingConn{Conn: conn, link: l}, nil
 		},
-		MaxIdleConns: mostKept, MaxIdleConnsPerHost: keptPerPeer, MaxConnsPerHost: callsPerPeer,
-		// Shorter than the other side keeps it: a call must not meet a connection that is just being closed.
-		IdleConnTimeout: idleFor / 2, DisableCompression: true, MaxResponseHeaderBytes: headLimit,
+		MaxIdleConns: maxIdleConns, MaxIdleConnsPerHost: maxIdleConnsPerPeer, MaxConnsPerHost: maxConnsPerPeer,
+		// Shorter than the server's idle timeout: a call must not use a connection that is just being closed.
+		IdleConnTimeout: idleTimeout / 2, DisableCompression: true, MaxResponseHeaderBytes: maxHeaderBytes,
 	}
-	stay := func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
-	return &http.Client{Transport: pool, CheckRedirect: stay}, pool
+	noRedirect := func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
+	return &http.Client{Transport: transport, CheckRedirect: noRedirect}, transport
 }
 
-// Call posts in, as JSON, to a path of another process and reads its answer into out; nil for either sends or reads
-// nothing. It ends with ctx, or after CallFor if ctx has no end, or with Close. An answer other than 200 is a
-// *Refused; after any other error it is not known whether the call was taken.
+// Call posts in, encoded as JSON, to a path of another process and decodes the response into out; nil for either sends
+// or decodes nothing. It ends with ctx, or after CallTimeout if ctx has no deadline, or with Close. A response other
+// than 200 is a *Refused; after any other error it is unknown whether the peer handled the call.
 func (l *Link) Call(ctx context.Context, to view.Name, path string, in, out any) error {
-	if !l.enter() {
+	if !l.begin() {
 		return ErrClosed
 	}
-	defer l.leave()
+	defer l.finish()
 	if err := l.call(ctx, to, path, in, out); err != nil {
 		if l.base.Err() != nil {
 			err = fmt.Errorf("%w: %w", ErrClosed, err)
@@ -58,58 +64,80 @@
 }
 
 func (l *Link) call(ctx context.Context, to view.Name, path string, in, out any) error {
-	addr, known := l.o.Reach(to)
+	addr, known := l.opts.Reach(to)
 	if !known {
-		return fmt.Errorf("no address is known")
-	}
-	var body []byte
-	if in != nil {
-		var err error
-		if body, err = json.Marshal(in); err != nil {
-			return err
-		}
+		return errNoAddress
 	}
-	if len(body) > l.o.BodyLimit {
-		return fmt.Errorf("a body of %d bytes; at most %d", len(body), l.o.BodyLimit)
+	body, err := l.encodeBody(in)
+	if err != nil {
+		return err
 	}
-	if _, bound := ctx.Deadline(); !bound {
+	if _, hasDeadline := ctx.Deadline(); !hasDeadline {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, l.o.CallFor)
+		ctx, cancel = context.WithTimeout(ctx, l.opts.CallTimeout)
 		defer cancel()
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer context.AfterFunc(l.base, cancel)()
 	l.volumes.add(path, Volume{Calls: 1, Out: uint64(len(body))})
-	if l.cutOff(to) {
+	if l.partitionedFrom(to) {
 		<-ctx.Done()
 		return ctx.Err()
 	}
-	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+path, bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+path, bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
-	r.Host = string(to)
-	r.Header[headCluster] = []string{l.o.Cluster}
-	r.Header[headFrom] = []string{string(l.o.Self.Name)}
-	r.Header[headLife] = []string{strconv.FormatUint(l.self.Load(), 10)}
-	r.Header["User-Agent"] = []string{""} // none, rather than the library's
-	answer, err := l.client.Do(r)
+	l.setHeaders(request, to)
+	response, err := l.client.Do(request)
 	if err != nil {
 		return err
 	}
-	defer answer.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(answer.Body, int64(l.o.BodyLimit)+1))
+	defer response.Body.Close()
+	return l.decodeResponse(response, path, out)
+}
+
+// encodeBody returns in as JSON, empty for nil, or an error if it exceeds the body limit.
+func (l *Link) encodeBody(in any) ([]byte, error) {
+	if in == nil {
+		return nil, nil
+	}
+	body, err := json.Marshal(in)
+	if err != nil {
+		return nil, err
+	}
+	if len(body) > l.opts.BodyLimit {
+		return nil, fmt.Errorf("a body of %d bytes; at most %d", len(body), l.opts.BodyLimit)
+	}
+	return body, nil
+}
+
+// setHeaders identifies the caller and the called process. Each call carries these, so they are few and short.
+func (l *Link) setHeaders(request *http.Request, to view.Name) {
+	request.Host = string(to)
+	request.Header[headerCluster] = []string{l.opts.Cluster}
+	request.Header[headerFrom] = []string{string(l.opts.Self.Name)}
+	request.Header[headerLife] = []string{strconv.FormatUint(l.incarnation.Load(), 10)}
+	request.Header["User-Agent"] = []string{""} // none, instead of net/http's default
+}
+
+// decodeResponse reads a response's body into out, or returns its refusal.
+func (l *Link) decodeResponse(response *http.Response, path string, out any) error {
+	text, err := io.ReadAll(io.LimitReader(response.Body, int64(l.opts.BodyLimit)+1))
 	l.volumes.add(path, Volume{In: uint64(len(text))})
 	switch {
 	case err != nil:
 		return err
-	case answer.StatusCode != http.StatusOK:
-		seen, _ := strconv.ParseUint(answer.Header.Get(headSeen), 10, 64)
-		return &Refused{Status: answer.StatusCode, Text: strings.TrimSpace(string(text[:min(len(text), mostText)])),
-			Seen: view.Incarnation(seen)}
-	case len(text) > l.o.BodyLimit:
-		return fmt.Errorf("an answer over %d bytes", l.o.BodyLimit)
+	case response.StatusCode != http.StatusOK:
+		seen, _ := strconv.ParseUint(response.Header.Get(headerSeen), 10, 64) // absent or unreadable: 0
+		return &Refused{
+			Status: response.StatusCode,
+			Text:   strings.TrimSpace(string(text[:min(len(text), maxErrorText)])),
+			Seen:   view.Incarnation(seen),
+		}
+	case len(text) > l.opts.BodyLimit:
+		return fmt.Errorf("an answer over %d bytes", l.opts.BodyLimit)
 	case out == nil || len(text) == 0:
 		return nil
 	}
--- a/internal/cluster/link/guard.go
+++ b/internal/cluster/link/guard.go
@@ -9,88 +9,91 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// The heads of a call. Short, as each call carries them; whom it is for stands in Host.
+// Headers of a call. Short, as each call carries them; the called process's name is in Host.
 const (
-	headCluster = "Fc-Cluster"
-	headFrom    = "Fc-From"
-	headLife    = "Fc-Life"
-	// headSeen is in a refusal of an older life: the highest incarnation seen of its name.
-	headSeen = "Fc-Seen"
+	headerCluster = "Fc-Cluster"
+	headerFrom    = "Fc-From"
+	headerLife    = "Fc-Life"
+	// headerSeen is in the refusal of an outdated incarnation: the highest incarnation observed of the caller's name.
+	headerSeen = "Fc-Seen"
 )
 
-// Refused is an answer other than 200.
+// Refused is the error of a call that was answered with an HTTP status other than 200.
 type Refused struct {
 	Status int
 	Text   string
-	// Seen is with 409 the incarnation that the other has seen of the caller's name.
+	// Seen is, with status 409, the highest incarnation that the peer has observed of the caller's name.
 	Seen view.Incarnation
 }
 
+// Error returns the status and the peer's text.
 func (r *Refused) Error() string { return fmt.Sprintf("refused with %d: %s", r.Status, r.Text) }
 
-// guard tells who calls, or why not to listen: another cluster (403), a call for another process, as when a port has
-// changed hands (421), or an older life of a name, as a process that stood still while its successor began (409).
-func (l *Link) guard(r *http.Request) (view.Life, *Refused) {
-	if name := r.Header.Get(headCluster); name != l.o.Cluster {
+// authorize returns who calls, or why the call is refused: the caller belongs to another cluster (403), the call is for
+// another process, as when a port was reassigned (421), or the caller's incarnation is outdated, as of a process that
+// was suspended while its successor started (409).
+func (l *Link) authorize(r *http.Request) (view.Life, *Refused) {
+	if name := r.Header.Get(headerCluster); name != l.opts.Cluster {
 		return view.Life{}, &Refused{Status: http.StatusForbidden,
-			Text: fmt.Sprintf("this is cluster %q, not %q", l.o.Cluster, name)}
+			Text: fmt.Sprintf("this is cluster %q, not %q", l.opts.Cluster, name)}
 	}
-	if r.Host != string(l.o.Self.Name) {
+	if r.Host != string(l.opts.Self.Name) {
 		return view.Life{}, &Refused{Status: http.StatusMisdirectedRequest,
-			Text: fmt.Sprintf("this is process %q, not %q", l.o.Self.Name, r.Host)}
+			Text: fmt.Sprintf("this is process %q, not %q", l.opts.Self.Name, r.Host)}
 	}
-	no, err := strconv.ParseUint(r.Header.Get(headLife), 10, 64)
-	from := view.Life{Name: view.Name(r.Header.Get(headFrom)), Incarnation: view.Incarnation(no)}
+	no, err := strconv.ParseUint(r.Header.Get(headerLife), 10, 64)
+	from := view.Life{Name: view.Name(r.Header.Get(headerFrom)), Incarnation: view.Incarnation(no)}
 	if err != nil || from.Name == "" {
 		return view.Life{}, &Refused{Status: http.StatusBadRequest, Text: "does not tell who calls"}
 	}
-	if highest := l.lives.take(from); highest > from.Incarnation {
+	if highest := l.lives.observe(from); highest > from.Incarnation {
 		return view.Life{}, &Refused{Status: http.StatusConflict, Seen: highest,
 			Text: fmt.Sprintf("%q lives as %d; %d is an older life", from.Name, highest, no)}
 	}
 	return from, nil
 }
 
-// lives are the highest incarnations seen, by name. At most so many names: the one silent for longest is forgotten,
-// and an older life of it would be believed once more.
-type lives struct {
-	most int
+// knownLives holds the highest incarnation observed of each process name. Of more than limit names the one heard of
+// longest ago is evicted; an outdated incarnation of it would then be accepted again.
+type knownLives struct {
+	limit int
 
-	mu    sync.Mutex // innermost; held over nothing that waits
-	turns uint64
-	seen  map[view.Name]*heard
+	mu     sync.Mutex // innermost; never held while waiting
+	clock  uint64     // counts observations
+	byName map[view.Name]*knownLife
 }
 
-type heard struct {
-	highest view.Incarnation
-	turn    uint64 // when it was last heard of
+type knownLife struct {
+	highest   view.Incarnation
+	lastHeard uint64 // knownLives.clock at its last observation
 }
 
-// take remembers a life and tells the highest of its name.
-func (s *lives) take(life view.Life) view.Incarnation {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.turns++
-	h := s.seen[life.Name]
-	if h == nil {
-		if len(s.seen) >= s.most {
-			s.forget()
+// observe records a life and returns the highest incarnation of its name.
+func (k *knownLives) observe(life view.Life) view.Incarnation {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	k.clock++
+	known := k.byName[life.Name]
+	if known == nil {
+		if len(k.byName) >= k.limit {
+			k.evictOldest()
 		}
-		h = &heard{}
-		s.seen[life.Name] = h
+		known = &knownLife{}
+		k.byName[life.Name] = known
 	}
-	h.turn = s.turns
-	h.highest = max(h.highest, life.Incarnation)
-	return h.highest
+	known.lastHeard = k.clock
+	known.highest = max(known.highest, life.Incarnation)
+	return known.highest
 }
 
-func (s *lives) forget() {
+// evictOldest forgets the name heard of longest ago; under mu.
+func (k *knownLives) evictOldest() {
 	var oldest view.Name
-	turn := s.turns
-	for name, h := range s.seen {
-		if h.turn < turn {
-			oldest, turn = name, h.turn
+	lastHeard := k.clock
+	for name, known := range k.byName {
+		if known.lastHeard < lastHeard {
+			oldest, lastHeard = name, known.lastHeard
 		}
 	}
-	delete(s.seen, oldest)
+	delete(k.byName, oldest)
 }
--- a/internal/cluster/link/link.go
+++ b/internal/cluster/link/link.go
@@ -1,10 +1,10 @@
-// Package link carries calls between the processes of one cluster: HTTP with JSON over one listener of our own.
+// Package link carries calls between the processes of one cluster: JSON over HTTP, with one listener per process.
 //
-// It owns the listener, the connections that are kept for the next call, who may call (guard.go), and the bounds: each
-// call, body, connection and wait has one. The files: serve.go answers, call.go calls, count.go counts bytes. It must
-// never decide what a call means, send one again by itself (whether that is safe is its caller's to know), follow
-// another's redirect, or dial anything but what Reach tells. Nobody is signed in: it is for loopback or a net of one's
-// own, and the guard is against mistakes.
+// It owns the listener, the pool of idle connections, the check of who may call (guard.go), and the bounds: each call,
+// body, connection and wait has one. serve.go answers calls, call.go makes them, conncount.go and volumes.go count
+// them. It must never interpret a call, retry one (whether that is safe only the caller knows), follow a redirect, or
+// dial an address other than what Options.Reach returns. Peers are not authenticated: the link is for loopback or a
+// private network, and the guard protects against mistakes, not against attackers.
 package link
 
 import (
@@ -21,166 +21,188 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// What is not tuned by its user. Guesses for one machine and for nets of a few milliseconds.
+// Fixed bounds, estimated for one machine and for networks of a few milliseconds.
 const (
-	callFor   = 2 * time.Second  // a call whose context has no end
-	dialFor   = time.Second      // of it
-	handleFor = 10 * time.Second // one call here; longer than any that is told to wait
-	readFor   = 5 * time.Second  // a whole request; the listener's own slow-reader bound
-	idleFor   = 60 * time.Second // a connection kept for the next; calls are half a second apart
-	closeFor  = time.Second      // answers under way when Close is called
-	// bodyLimit is of a request and of an answer. The largest rows travel in hundreds of kilobytes.
-	bodyLimit = 1 << 20
-	headLimit = 8 << 10
-	// keptPerPeer are idle, callsPerPeer open: what is told up, down and asked at once. More wait for one to be free.
-	keptPerPeer, callsPerPeer = 2, 8
-	// mostKept bounds the idle connections to all; parents talk to a few dozen children.
-	mostKept = 256
-	// mostOpen bounds the connections that others open here; what comes beyond is closed at once.
-	mostOpen = 2048
-	// mostNames bounds the lives remembered; twice the largest fleet. Who was silent longest is forgotten.
-	mostNames = 2048
+	defaultCallTimeout = 2 * time.Second  // a call whose context has no end
+	dialTimeout        = time.Second      // the part of a call spent on connecting
+	handlerTimeout     = 10 * time.Second // one handler; longer than any call that is asked to wait
+	readTimeout        = 5 * time.Second  // reading a complete request, against slow clients
+	idleTimeout        = 60 * time.Second // an idle connection; calls are half a second apart
+	shutdownGrace      = time.Second      // for responses being written when Close is called
+	// defaultBodyLimit bounds the body of a request and of a response. The largest reports take hundreds of kilobytes.
+	defaultBodyLimit = 1 << 20
+	maxHeaderBytes   = 8 << 10
+	// maxIdleConnsPerPeer and maxConnsPerPeer bound the idle and the open connections to one process: reports to a
+	// parent, updates to a child and queries may be in flight at once. Further calls wait for a free connection.
+	maxIdleConnsPerPeer, maxConnsPerPeer = 2, 8
+	// maxIdleConns bounds the idle connections to all processes; parents talk to a few dozen children.
+	maxIdleConns = 256
+	// maxInboundConns bounds the accepted connections; further ones are closed at once.
+	maxInboundConns = 2048
+	// maxKnownNames bounds the names whose incarnations are remembered; twice the largest fleet.
+	maxKnownNames = 2048
 )
 
-// ErrClosed is what calls end with once Close was called.
+// ErrClosed is the error of calls once Close was called.
 var ErrClosed = errors.New("link: closed")
 
-// Options are what a link is started with.
+// Options configure a link.
 type Options struct {
-	Cluster string    // who carries another is refused
-	Self    view.Life // who calls
+	Cluster string    // the cluster's name; calls of another cluster are refused
+	Self    view.Life // this process, as the caller
 	Listen  string    // host:port
-	// Reach is where a process is dialled, at each call anew; it may be a relay. False for whom nobody knows.
+	// Reach returns the address at which a process is dialled, possibly a relay's; false for an unknown process. It is
+	// asked for each call.
 	Reach func(view.Name) (string, bool)
 	Log   *zap.Logger
-	// Cut tells whom this process neither reaches nor hears: calls there, and answers to calls from there, wait until
-	// their time is over, as on a network that is parted. It is a laboratory's; may be nil.
+	// Cut reports processes from which this one is partitioned: calls to them, and responses to their calls, wait until
+	// their timeout. For test rigs; may be nil.
 	Cut func(view.Name) bool
-	// CallFor and BodyLimit are the package's own if zero.
-	CallFor   time.Duration
-	BodyLimit int
+	// CallTimeout and BodyLimit have defaults for zero.
+	CallTimeout time.Duration
+	BodyLimit   int
 }
 
-// Link is one process's.
+// Link is one process's listener and client for calls within the cluster.
 type Link struct {
-	o        Options
-	self     atomic.Uint64 // the incarnation; Rise
-	lives    *lives
-	in, out  atomic.Uint64
-	volumes  volumes
-	open     atomic.Int64
-	listener net.Listener
-	server   *http.Server
-	client   *http.Client
-	pool     *http.Transport
-	public   *http.ServeMux
-	base     context.Context // ends with Close, and all calls with it
-	cancel   context.CancelFunc
-	served   chan struct{} // closed when the listener's goroutine is done
-
-	// mu is innermost: it is held for a look-up, over nothing that waits and no call out.
+	opts              Options
+	incarnation       atomic.Uint64 // raised by Rise
+	lives             *knownLives
+	bytesIn, bytesOut atomic.Uint64
+	volumes           volumes
+	inboundConns      atomic.Int64
+	listener          net.Listener
+	server            *http.Server
+	client            *http.Client
+	transport         *http.Transport
+	public            *http.ServeMux
+	base              context.Context // canceled by Close; every call and handler ends with it
+	cancel            context.CancelFunc
+	serveDone         chan struct{} // closed when the listener's goroutine is done
+
+	// mu is innermost: it is held for a look-up, never while waiting or calling out of the package.
 	mu       sync.Mutex
 	handlers map[string]handler
 	closed   bool
-	under    int           // calls and answers under way
-	idle     chan struct{} // closed when closed and none is
+	inFlight int           // calls made and handlers running
+	drained  chan struct{} // closed once the link is closed and inFlight is 0
 }
 
-// Start listens and answers. Handlers may be added later; what has none yet is refused as not found.
-func Start(o Options) (*Link, error) {
-	if o.CallFor <= 0 {
-		o.CallFor = callFor
+// Start listens and serves. Handlers may be added later; a path without one is answered with 404.
+func Start(opts Options) (*Link, error) {
+	if opts.CallTimeout <= 0 {
+		opts.CallTimeout = defaultCallTimeout
 	}
-	if o.BodyLimit <= 0 {
-		o.BodyLimit = bodyLimit
+	if opts.BodyLimit <= 0 {
+		opts.BodyLimit = defaultBodyLimit
 	}
-	if o.Log == nil {
-		o.Log = zap.NewNop()
+	if opts.Log == nil {
+		opts.Log = zap.NewNop()
 	}
-	listener, err := net.Listen("tcp", o.Listen)
+	listener, err := net.Listen("tcp", opts.Listen)
 	if err != nil {
 		return nil, err
 	}
-	l := &Link{o: o, lives: &lives{most: mostNames, seen: map[view.Name]*heard{}}, public: http.NewServeMux(),
-		handlers: map[string]handler{}, served: make(chan struct{}), idle: make(chan struct{})}
-	l.Rise(o.Self.Incarnation)
+	l := &Link{
+		opts:      opts,
+		lives:     &knownLives{limit: maxKnownNames, byName: map[view.Name]*knownLife{}},
+		public:    http.NewServeMux(),
+		handlers:  map[string]handler{},
+		serveDone: make(chan struct{}),
+		drained:   make(chan struct{}),
+	}
+	l.Rise(opts.Self.Incarnation)
 	l.base, l.cancel = context.WithCancel(context.Background())
-	l.listener = &counted{Listener: listener, link: l}
-	l.client, l.pool = l.caller()
-	l.server = &http.Server{Handler: http.HandlerFunc(l.serve), ReadHeaderTimeout: readFor, ReadTimeout: readFor,
-		WriteTimeout: handleFor + readFor, IdleTimeout: idleFor, MaxHeaderBytes: headLimit,
-		ErrorLog: zap.NewStdLog(o.Log.Named("http")), BaseContext: func(net.Listener) context.Context { return l.base }}
+	l.listener = &countingListener{Listener: listener, link: l}
+	l.client, l.transport = l.newClient()
+	l.server = l.newServer()
 	go func() {
-		defer close(l.served)
+		defer close(l.serveDone)
 		if err := l.server.Serve(l.listener); !errors.Is(err, http.ErrServerClosed) {
-			o.Log.Error("the cluster's listener ended", zap.String("addr", l.Addr()), zap.Error(err))
+			opts.Log.Error("the cluster's listener ended", zap.String("addr", l.Addr()), zap.Error(err))
 		}
 	}()
 	return l, nil
 }
 
-// Addr is where it listens.
+// newServer returns the HTTP server that answers members and the public.
+func (l *Link) newServer() *http.Server {
+	return &http.Server{
+		Handler:           http.HandlerFunc(l.serve),
+		ReadHeaderTimeout: readTimeout,
+		ReadTimeout:       readTimeout,
+		WriteTimeout:      handlerTimeout + readTimeout,
+		IdleTimeout:       idleTimeout,
+		MaxHeaderBytes:    maxHeaderBytes,
+		ErrorLog:          zap.NewStdLog(l.opts.Log.Named("http")),
+		BaseContext:       func(net.Listener) context.Context { return l.base },
+	}
+}
+
+// Addr returns the address that the link listens on.
 func (l *Link) Addr() string { return l.listener.Addr().String() }
 
-// Traffic is the bytes that came in and went out over all connections, heads included, since Start.
-func (l *Link) Traffic() (in, out uint64) { return l.in.Load(), l.out.Load() }
+// Traffic returns the bytes received and sent over all connections since Start, headers included.
+func (l *Link) Traffic() (in, out uint64) { return l.bytesIn.Load(), l.bytesOut.Load() }
 
-// Rise has calls from now on carry a higher incarnation, as after another refused this one as an older life at the
-// process's start (settings/folder, Raise). It never goes back.
+// Rise raises the incarnation that later calls carry, as after a peer refused this process's incarnation as outdated
+// at its start (settings/folder, Raise). A lower incarnation than the present one changes nothing.
 func (l *Link) Rise(to view.Incarnation) {
-	for was := l.self.Load(); was < uint64(to) && !l.self.CompareAndSwap(was, uint64(to)); was = l.self.Load() {
+	for was := l.incarnation.Load(); was < uint64(to) && !l.incarnation.CompareAndSwap(was, uint64(to)); was = l.incarnation.Load() {
 	}
-	// Another that was started under this name is an older life, too.
-	l.lives.take(view.Life{Name: l.o.Self.Name, Incarnation: to})
+	// Another process that was started under this name is outdated as well.
+	l.lives.observe(view.Life{Name: l.opts.Self.Name, Incarnation: to})
 }
 
-// Saw tells the guard of a life that was seen by other means, as the roster's.
-func (l *Link) Saw(life view.Life) { l.lives.take(life) }
+// Saw records a life that was observed by other means, as by the membership.
+func (l *Link) Saw(life view.Life) { l.lives.observe(life) }
 
-// enter counts a call or an answer in, unless the link is closed.
-func (l *Link) enter() bool {
+// begin counts a call or a handler as in flight and returns true, unless the link is closed.
+func (l *Link) begin() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.closed {
 		return false
 	}
-	l.under++
+	l.inFlight++
 	return true
 }
 
-func (l *Link) leave() {
+// finish ends what begin counted.
+func (l *Link) finish() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.under--; l.under == 0 && l.closed {
-		close(l.idle)
+	if l.inFlight--; l.inFlight == 0 && l.closed {
+		close(l.drained)
 	}
 }
 
-// Close cancels calls and handlers, waits a moment for answers to get out and closes all connections. It returns when
-// nothing of the link runs any more, or an error when ctx ends before that: a handler then has not heeded its context.
-// A second Close waits likewise.
+// Close cancels calls and handlers, waits up to shutdownGrace for responses being written and closes all connections.
+// It returns when nothing of the link runs any more, or an error when ctx ends before that: a handler has then ignored
+// its context. A second Close waits in the same way.
 func (l *Link) Close(ctx context.Context) error {
 	l.mu.Lock()
 	first := !l.closed
-	if l.closed = true; first && l.under == 0 {
-		close(l.idle)
+	l.closed = true
+	if first && l.inFlight == 0 {
+		close(l.drained)
 	}
 	l.mu.Unlock()
 	if first {
 		l.cancel()
-		soon, done := context.WithTimeout(ctx, closeFor)
-		if err := l.server.Shutdown(soon); err != nil {
-			// Connections that are new or stalled; nothing is owed on them.
+		shutdownCtx, cancel := context.WithTimeout(ctx, shutdownGrace)
+		if err := l.server.Shutdown(shutdownCtx); err != nil {
+			// What is left are new or stalled connections, on which no response is due.
 			l.server.Close()
 		}
-		done()
-		l.pool.CloseIdleConnections()
+		cancel()
+		l.transport.CloseIdleConnections()
 	}
 	select {
-	case <-l.idle:
+	case <-l.drained:
 	case <-ctx.Done():
 		return errors.Join(errors.New("link: still under way at the end of Close"), ctx.Err())
 	}
-	<-l.served
+	<-l.serveDone
 	return nil
 }
--- a/internal/cluster/link/link_test.go
+++ b/internal/cluster/link/link_test.go
@@ -17,27 +17,27 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// long is far over what any step here takes, and under what would hide a wait without a bound.
-const long = 5 * time.Second
+// testTimeout is far above what any step takes, and low enough to reveal an unbounded wait.
+const testTimeout = 5 * time.Second
 
 type addresses map[view.Name]string
 
 func (a addresses) reach(name view.Name) (string, bool) { addr, known := a[name]; return addr, known }
 
-func start(t *testing.T, all addresses, cluster string, name view.Name, no view.Incarnation, listen string) *Link {
+func startLink(t *testing.T, all addresses, cluster string, name view.Name, no view.Incarnation, listen string) *Link {
 	t.Helper()
 	l, err := Start(Options{Cluster: cluster, Self: view.Life{Name: name, Incarnation: no},
 		Listen: listen, Reach: all.reach, BodyLimit: 4096})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { end(t, l) })
+	t.Cleanup(func() { closeLink(t, l) })
 	return l
 }
 
-func end(t *testing.T, l *Link) {
+func closeLink(t *testing.T, l *Link) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), long)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	if err := l.Close(ctx); err != nil {
 		t.Error(err)
@@ -56,9 +56,9 @@
 	return map[string]any{"from": from, "body": string(body)}, nil
 }
 
-func TestWhoMayCall(t *testing.T) {
+func TestAuthorization(t *testing.T) {
 	all := addresses{}
-	b := start(t, all, "ours", "b", 1, "127.0.0.1:0")
+	b := startLink(t, all, "ours", "b", 1, "127.0.0.1:0")
 	b.Handle("/echo", echo)
 	b.Handle("/no", func(context.Context, view.Life, []byte) (any, error) {
 		return nil, &Refused{Status: 410, Text: "gone"}
@@ -66,13 +66,13 @@
 	b.Handle("/bad", func(context.Context, view.Life, []byte) (any, error) { return nil, errors.New("broken") })
 	b.Public().HandleFunc("GET /v1/x", func(w http.ResponseWriter, _ *http.Request) { w.Write([]byte("public")) })
 	all["b"], all["c"] = b.Addr(), b.Addr()
-	a := start(t, all, "ours", "a", 5, "127.0.0.1:0")
+	a := startLink(t, all, "ours", "a", 5, "127.0.0.1:0")
 	ctx := context.Background()
 	var got struct {
 		From view.Life
 		Body string
 	}
-	if err := a.Call(ctx, "b", "/echo", 7, &got); err != nil || got.From != a.o.Self || got.Body != "7" {
+	if err := a.Call(ctx, "b", "/echo", 7, &got); err != nil || got.From != a.opts.Self || got.Body != "7" {
 		t.Fatal(got, err)
 	}
 	in, out := a.Traffic()
@@ -80,8 +80,8 @@
 	if out == 0 || in == 0 || out > 160 || in > 160 || out != bIn || in != bOut {
 		t.Fatal("a small call's bytes", in, out, bIn, bOut)
 	}
-	old, other := start(t, all, "ours", "a", 3, "127.0.0.1:0"), start(t, all, "theirs", "d", 1, "127.0.0.1:0")
-	twin := start(t, all, "ours", "b", 0, "127.0.0.1:0")
+	old, other := startLink(t, all, "ours", "a", 3, "127.0.0.1:0"), startLink(t, all, "theirs", "d", 1, "127.0.0.1:0")
+	twin := startLink(t, all, "ours", "b", 0, "127.0.0.1:0")
 	for _, c := range []struct {
 		who  *Link
 		to   view.Name
@@ -91,7 +91,7 @@
 		{a, "b", "/none", 404},
 		{a, "b", "/no", 410}, {a, "b", "/bad", 500}} {
 		if err := c.who.Call(ctx, c.to, c.path, nil, nil); status(err) != c.want {
-			t.Errorf("%s to %s%s: %v, not %d", c.who.o.Self.Name, c.to, c.path, err, c.want)
+			t.Errorf("%s to %s%s: %v, not %d", c.who.opts.Self.Name, c.to, c.path, err, c.want)
 		}
 	}
 	var refused *Refused
@@ -103,7 +103,7 @@
 		t.Fatal(err)
 	}
 	if err := a.Call(ctx, "b", "/echo", nil, nil); status(err) != 409 {
-		t.Fatal("the older life was heard", err)
+		t.Fatal("an outdated incarnation was accepted", err)
 	}
 	if err := a.Call(ctx, "nobody", "/echo", nil, nil); err == nil || status(err) != 0 {
 		t.Fatal(err)
@@ -118,19 +118,19 @@
 	http.DefaultClient.CloseIdleConnections()
 }
 
-func TestTooLarge(t *testing.T) {
+func TestBodyLimits(t *testing.T) {
 	all := addresses{}
-	b := start(t, all, "ours", "b", 1, "127.0.0.1:0")
+	b := startLink(t, all, "ours", "b", 1, "127.0.0.1:0")
 	var calls atomic.Int32
 	b.Handle("/take", func(context.Context, view.Life, []byte) (any, error) { calls.Add(1); return nil, nil })
 	b.Handle("/give", func(context.Context, view.Life, []byte) (any, error) { return strings.Repeat("x", 5000), nil })
 	all["b"] = b.Addr()
-	a := start(t, all, "ours", "a", 1, "127.0.0.1:0")
+	a := startLink(t, all, "ours", "a", 1, "127.0.0.1:0")
 	ctx := context.Background()
 	if err := a.Call(ctx, "b", "/take", strings.Repeat("x", 5000), nil); err == nil || status(err) != 0 {
 		t.Fatal("went out", err)
 	}
-	a.o.BodyLimit = 1 << 20
+	a.opts.BodyLimit = 1 << 20
 	if err := a.Call(ctx, "b", "/take", strings.Repeat("x", 5000), nil); status(err) != 413 || calls.Load() != 0 {
 		t.Fatal(err, calls.Load())
 	}
@@ -142,50 +142,50 @@
 	}
 }
 
-// A peer that takes connections and says nothing costs a call its bound, and other calls nothing.
-func TestStalled(t *testing.T) {
+// TestStalledPeer: a peer that accepts connections and never answers delays its own calls up to their timeout and no others.
+func TestStalledPeer(t *testing.T) {
 	mute, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer mute.Close()
 	all := addresses{"mute": mute.Addr().String()}
-	a := start(t, all, "ours", "a", 1, "127.0.0.1:0")
+	a := startLink(t, all, "ours", "a", 1, "127.0.0.1:0")
 	a.Handle("/echo", echo)
 	all["a"] = a.Addr()
-	a.o.CallFor = 50 * time.Millisecond
+	a.opts.CallTimeout = 50 * time.Millisecond
 	begun := time.Now()
 	if err := a.Call(context.Background(), "mute", "/x", nil, nil); !errors.Is(err, context.DeadlineExceeded) {
 		t.Fatal(err)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), long)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	ended := make(chan error, callsPerPeer+1)
-	for range callsPerPeer + 1 { // the last waits for a connection of its own
+	ended := make(chan error, maxConnsPerPeer+1)
+	for range maxConnsPerPeer + 1 { // the last waits for a connection of its own
 		go func() { ended <- a.Call(ctx, "mute", "/x", nil, nil) }()
 	}
 	if err := a.Call(ctx, "a", "/echo", nil, nil); err != nil {
 		t.Fatal(err)
 	}
 	cancel()
-	for range callsPerPeer + 1 {
+	for range maxConnsPerPeer + 1 {
 		if err := <-ended; !errors.Is(err, context.Canceled) {
 			t.Fatal(err)
 		}
 	}
-	if took := time.Since(begun); took > long {
+	if took := time.Since(begun); took > testTimeout {
 		t.Fatal("took", took)
 	}
 }
 
-// A peer that ends and comes back is reached again over the same link, and its listener's address is free at once.
-func TestPeerRestarts(t *testing.T) {
+// TestPeerRestart: a peer that ends and returns is reached again over the same link, and its address is free at once.
+func TestPeerRestart(t *testing.T) {
 	all := addresses{}
-	b := start(t, all, "ours", "b", 1, "127.0.0.1:0")
+	b := startLink(t, all, "ours", "b", 1, "127.0.0.1:0")
 	b.Handle("/echo", echo)
 	addr := b.Addr()
 	all["b"] = addr
-	a := start(t, all, "ours", "a", 1, "127.0.0.1:0")
+	a := startLink(t, all, "ours", "a", 1, "127.0.0.1:0")
 	for no := range 4 {
 		failures := 0
 		for err := error(nil); ; failures++ {
@@ -196,74 +196,74 @@
 				t.Fatal("more than the call that met the old connection failed", err)
 			}
 		}
-		end(t, b)
+		closeLink(t, b)
 		if err := a.Call(context.Background(), "b", "/echo", nil, nil); err == nil {
 			t.Fatal("nobody answered")
 		}
-		b = start(t, all, "ours", "b", view.Incarnation(no+2), addr)
+		b = startLink(t, all, "ours", "b", view.Incarnation(no+2), addr)
 		b.Handle("/echo", echo)
 	}
 }
 
-func TestCloseWithCallsOut(t *testing.T) {
+func TestCloseCancelsCallsInFlight(t *testing.T) {
 	all := addresses{}
-	a, b := start(t, all, "ours", "a", 1, "127.0.0.1:0"), start(t, all, "ours", "b", 1, "127.0.0.1:0")
+	a, b := startLink(t, all, "ours", "a", 1, "127.0.0.1:0"), startLink(t, all, "ours", "b", 1, "127.0.0.1:0")
 	all["a"], all["b"] = a.Addr(), b.Addr()
-	inside, deaf := make(chan struct{}, 8), make(chan struct{})
+	entered, unblock := make(chan struct{}, 8), make(chan struct{})
 	wait := func(ctx context.Context, _ view.Life, _ []byte) (any, error) {
-		inside <- struct{}{}
+		entered <- struct{}{}
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
 	a.Handle("/wait", wait)
 	b.Handle("/wait", wait)
-	b.Handle("/deaf", func(context.Context, view.Life, []byte) (any, error) {
-		inside <- struct{}{}
-		<-deaf
+	b.Handle("/ignores", func(context.Context, view.Life, []byte) (any, error) {
+		entered <- struct{}{}
+		<-unblock
 		return nil, nil
 	})
-	ctx, cancel := context.WithTimeout(context.Background(), long)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	entered := func() {
+	awaitEntry := func() {
 		select {
-		case <-inside:
+		case <-entered:
 		case <-ctx.Done():
 			t.Fatal("a call did not arrive")
 		}
 	}
 	ended := make(chan error, 2)
 	go func() { ended <- a.Call(ctx, "b", "/wait", nil, nil) }()
-	entered()
+	awaitEntry()
 	go func() { b.Call(ctx, "a", "/wait", nil, nil); ended <- a.Call(ctx, "b", "/x", nil, nil) }()
-	entered()
-	end(t, a)
-	end(t, a)
+	awaitEntry()
+	closeLink(t, a)
+	closeLink(t, a)
 	for range 2 {
 		if err := <-ended; !errors.Is(err, ErrClosed) {
 			t.Fatal(err)
 		}
 	}
-	c := start(t, all, "ours", "c", 1, "127.0.0.1:0")
-	go func() { ended <- c.Call(ctx, "b", "/deaf", nil, nil) }()
-	entered()
+	c := startLink(t, all, "ours", "c", 1, "127.0.0.1:0")
+	go func() { ended <- c.Call(ctx, "b", "/ignores", nil, nil) }()
+	awaitEntry()
 	short, done := context.WithTimeout(ctx, 20*time.Millisecond)
 	defer done()
 	if err := b.Close(short); !errors.Is(err, context.DeadlineExceeded) {
-		t.Fatal("did not tell of a handler that heeds nothing", err)
+		t.Fatal("Close did not report a handler that ignores its context", err)
 	}
 	if err := <-ended; err == nil {
 		t.Fatal("a call of a closed link was answered")
 	}
-	close(deaf)
+	close(unblock)
 }
 
-func TestLivesAreBounded(t *testing.T) {
-	s := &lives{most: 3, seen: map[view.Name]*heard{}}
+func TestKnownLivesAreBounded(t *testing.T) {
+	s := &knownLives{limit: 3, byName: map[view.Name]*knownLife{}}
 	for _, name := range []view.Name{"a", "b", "c", "a", "d"} {
-		s.take(view.Life{Name: name, Incarnation: 9})
+		s.observe(view.Life{Name: name, Incarnation: 9})
 	}
-	if len(s.seen) != 3 || s.take(view.Life{Name: "a", Incarnation: 1}) != 9 ||
-		s.take(view.Life{Name: "b", Incarnation: 1}) != 1 {
-		t.Fatal(s.seen)
+	if len(s.byName) != 3 || s.observe(view.Life{Name: "a", Incarnation: 1}) != 9 ||
+		s.observe(view.Life{Name: "b", Incarnation: 1}) != 1 {
+		t.Fatal(s.byName)
 	}
 }
--- a/internal/cluster/link/volume_test.go
+++ b/internal/cluster/link/volumes_test.go
@@ -11,9 +11,9 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// TestVolumes: both sides count a call's bodies alike, and one whom a laboratory cut off is neither called nor answered
-// until the cut is over.
-func TestVolumes(t *testing.T) {
+// TestVolumesAndPartition: both sides count a call's bodies alike, and a process behind a partition is neither called nor
+// answered until the partition ends.
+func TestVolumesAndPartition(t *testing.T) {
 	all := addresses{}
 	var cut atomic.Bool
 	b, err := Start(Options{Cluster: "ours", Self: view.Life{Name: "b", Incarnation: 1}, Listen: "127.0.0.1:0", Reach: all.reach,
@@ -21,8 +21,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { end(t, b) })
-	a := start(t, all, "ours", "a", 1, "127.0.0.1:0")
+	t.Cleanup(func() { closeLink(t, b) })
+	a := startLink(t, all, "ours", "a", 1, "127.0.0.1:0")
 	all["a"], all["b"] = a.Addr(), b.Addr()
 	var answered atomic.Int64
 	for _, l := range []*Link{a, b} {
