--- a/internal/cluster/member/member.go
+++ b/internal/cluster/member/member.go
@@ -1,10 +1,10 @@
-// Package member tells who is here: it runs the fleet's membership by hashicorp/memberlist and shows it as views.
+// Package member runs the cluster's membership on hashicorp/memberlist and publishes it as views.
 //
-// It owns the library's sockets, the card that this process tells of itself, and the goroutines that watch; what is
-// known of whom is in package roster. It must never take in a process of another fleet, let two processes of one name
-// take turns, hold its lock over a call into the library or out of the package, or end the process over what others
-// say. It listens on loopback unless told otherwise. Nothing that it carries is secret or signed: whoever can send to
-// its port and knows the fleet's name can forge a member, so the port must be closed to all but the fleet.
+// It owns the library's sockets, the metadata that this process announces, and three goroutines (loops.go); what is
+// known of each member is in package roster. It must never accept a process of another cluster, let two processes of
+// one name alternate, hold its lock over a call into the library or out of the package, or end the process because of
+// what others say. It listens on loopback unless configured otherwise. Gossip is neither encrypted nor signed: whoever
+// can send to its port and knows the cluster's name can forge a member, so the port must be closed to all others.
 package member
 
 import (
@@ -12,6 +12,7 @@
 	"context"
 	"errors"
 	"fmt"
+	"log"
 	"strings"
 	"sync"
 	"sync/atomic"
@@ -24,27 +25,28 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// Options say who this process is and how it finds the others.
+// Options identify this process and how it reaches the others.
 type Options struct {
-	Fleet     string      // the cluster's name: whoever carries another is refused
+	Cluster   string      // the cluster's name: processes of another are rejected
 	Self      view.Member // its Incarnation must be above that of every earlier start from the same folder
-	Listen    string      // address for gossip, UDP and TCP; "" is a drawn port on loopback
-	Advertise string      // what others are told of it where Reach says nothing; "" is what it is bound to
-	// Reach gives the address at which this process reaches the gossip port of that name; it overrides what the other
-	// tells of itself. Must be quick and safe for several goroutines. May be nil.
+	Listen    string      // address for gossip, UDP and TCP; "" is an ephemeral port on loopback
+	Advertise string      // the gossip address announced to others, which Reach overrides there; "" is the bound address
+	// Reach returns the address at which this process reaches the gossip port of another; it overrides what that one
+	// announces. It must return at once and be safe for concurrent use. May be nil.
 	Reach func(view.Name) (addr string, known bool)
-	Seeds []view.Name // joined at start, and again for as long as they are not here
+	Seeds []view.Name // joined at start, and again while they are missing
 	Log   *zap.Logger
-	// Changed is called with the newest view after changes, one call at a time, never under a lock. May be nil.
-	Changed func(*view.View)
-	// Conflict is called once when another process of this name counts before this one. Membership has ended by then
-	// without a word to others: the name is the other's. May be nil.
-	Conflict func(other view.Life)
-	// Raised is called when the fleet remembers a later life of this name than Self, as after a folder was lost or an
-	// old one put back: this process has taken the next incarnation, which its owner must keep. May be nil.
-	Raised func(view.Incarnation)
-	// Cut tells whom this process neither reaches nor hears: what it sends there is lost in silence, as on a network
-	// that is parted. It is a laboratory's, which hosts many members; quick, and safe for several goroutines. May be nil.
+	// OnViewChange is called with the latest view after changes, one call at a time, never under a lock. May be nil.
+	OnViewChange func(*view.View)
+	// OnNameConflict is called once when another process takes precedence for this process's name. Membership has ended
+	// by then without a leave message: the name is the other's. May be nil.
+	OnNameConflict func(other view.Life)
+	// OnIncarnationRaised is called when the cluster remembers a later incarnation of this name than Self's, as after a
+	// folder was lost or an old one restored: this process has taken the next incarnation, which its owner must store.
+	// May be nil.
+	OnIncarnationRaised func(view.Incarnation)
+	// Cut reports processes from which this one is partitioned: what is sent there is lost. For test rigs that run many
+	// members in one process; it must return at once and be safe for concurrent use. May be nil.
 	Cut    func(view.Name) bool
 	Timing Timing
 	Bounds roster.Bounds
@@ -52,42 +54,45 @@
 
 // Members is this process's membership.
 type Members struct {
-	opts  Options
-	bound string
-	list  *memberlist.Memberlist
-	way   *way
-	glass *glass
-	began time.Time
-	stop  context.CancelFunc
-	work  sync.WaitGroup
-	ended chan struct{} // closed when all goroutines of ours have ended
+	opts      Options
+	addr      string // the bound gossip address
+	list      *memberlist.Memberlist
+	transport *transport
+	snapshots *snapshotter
+	startedAt time.Time
+	cancel    context.CancelFunc
+	wg        sync.WaitGroup
+	done      chan struct{} // closed when all goroutines of this package have ended
 
-	look chan struct{} // something may have changed
-	tell chan struct{} // a view, a raise or a conflict waits to be told
-	// answered is when a probe of ours was last answered, as a view.Now.
-	answered atomic.Int64
-	over     atomic.Bool   // no call into the library any more
-	turn     chan struct{} // of one place: leaving and ending take turns, as the library bears no leave after its end
+	snapshotNeeded chan struct{} // wakes runSnapshots; capacity one
+	notifyNeeded   chan struct{} // wakes runNotifications; capacity one
+	lastAnswer     atomic.Int64  // when a probe or exchange of this process last succeeded, as a view.Now
+	libraryClosed  atomic.Bool   // the library may not be called any more
+	// libraryTurn, of capacity one, serialises Leave and shutdown: the library fails on a leave after its shutdown.
+	libraryTurn chan struct{}
 
-	mu       sync.Mutex
-	roster   *roster.Roster
-	heard    map[view.Name]bool // of whom the library told since the last look began; no more than the roster holds
-	cards    cards              // of whom the last look showed, and who was admitted since
-	self     roster.Seen
-	card     []byte // self as it travels
-	spread   bool   // card is newer than what the library carries
-	gone     []byte // LocalState, of the roster's GoneNo goneOf
-	goneOf   uint64
-	refused  view.Name // told with an earlier life than is known; to be told so
-	met      view.Now
-	known    bool // somebody was met, at met
-	raises   int
-	raised   bool // Raised is to be told
-	usurper  *view.Life
-	told     bool // Conflict has been told
-	closing  sync.Once
-	ending   sync.Once
-	leaveErr error
+	closeOnce    sync.Once
+	shutdownOnce sync.Once
+	closeErr     error
+
+	mu     sync.Mutex
+	roster *roster.Roster
+	// updatedSinceSnapshot are the members of which the library reported since the last snapshot began, which may not
+	// show that yet; no more than the roster holds.
+	updatedSinceSnapshot map[view.Name]bool
+	metaCache            metaCache // of the last snapshot's members, and of those admitted since
+	self                 roster.Observation
+	meta                 []byte // self as announced
+	metaChanged          bool   // meta is newer than what the library gossips
+	goneState            []byte // what LocalState returns for the roster's goneVersion
+	goneVersion          uint64
+	rejected             view.Name // announces an outdated incarnation, and is to be joined so that it learns of it
+	metAt                view.Now  // when the first other member was met, if hasMetPeer
+	hasMetPeer           bool
+	raiseCount           int
+	raisePending         bool       // OnIncarnationRaised is due
+	nameOwner            *view.Life // the other process that owns this process's name; nil without a conflict
+	conflictReported     bool       // OnNameConflict was called
 }
 
 // Start listens, begins to join the seeds in the background and returns at once.
@@ -95,75 +100,107 @@
 	if opts.Log == nil {
 		opts.Log = zap.NewNop()
 	}
-	opts.Timing = opts.Timing.filled()
+	opts.Timing = opts.Timing.withDefaults()
 	opts.Listen = cmp.Or(opts.Listen, "127.0.0.1:0")
-	name := string(opts.Self.Name)
-	switch {
-	case opts.Fleet == "":
-		return nil, errors.New("membership: the fleet has no name")
-	case name == "" || strings.Contains(name, "/") || name == glassName:
-		return nil, fmt.Errorf("membership: %q cannot be a process's name", name)
-	case opts.Self.Incarnation == 0:
-		return nil, fmt.Errorf("membership: %q has no incarnation", name)
+	if err := opts.validate(); err != nil {
+		return nil, err
 	}
-	logger := libraryLog(opts.Log)
+	logger := newLibraryLogger(opts.Log)
 	nt, bound, err := bind(opts.Listen, logger)
 	if err != nil {
 		return nil, err
 	}
-	m := &Members{opts: opts, bound: bound, began: time.Now(), ended: make(chan struct{}), look: make(chan struct{}, 1),
-		tell: make(chan struct{}, 1), turn: make(chan struct{}, 1)}
-	m.way = &way{NetTransport: nt, reach: m.reach, cut: opts.Cut}
-	m.self = roster.Seen{Member: opts.Self, Gossip: cmp.Or(opts.Advertise, bound)}
-	m.self.Member.State = view.Alive
-	m.roster, m.heard, m.cards = roster.New(m.self, opts.Bounds, 0), map[view.Name]bool{}, cards{}
-	if m.card, err = encode(m.self); err == nil {
-		m.glass, err = newGlass(label(opts.Fleet))
+	m := newMembers(opts, bound)
+	m.transport = &transport{NetTransport: nt, addressOf: m.addressOf, partitionedFrom: opts.Cut}
+	if m.meta, err = encodeMeta(m.self); err == nil {
+		m.snapshots, err = newSnapshotter(clusterLabel(opts.Cluster))
 	}
 	if err != nil {
 		return nil, errors.Join(err, nt.Shutdown())
 	}
-	m.way.glass = m.glass
-	conf := opts.Timing.config(name, label(opts.Fleet))
-	conf.Transport, conf.Logger = m.way, logger
-	conf.Delegate, conf.Events, conf.Alive, conf.Merge, conf.Ping = ears{m}, ears{m}, ears{m}, ears{m}, ears{m}
-	if m.list, err = memberlist.Create(conf); err != nil {
-		return nil, errors.Join(fmt.Errorf("membership: %w", err), m.glass.list.Shutdown(), nt.Shutdown())
+	m.transport.snapshots = m.snapshots
+	if m.list, err = memberlist.Create(m.libraryConfig(logger)); err != nil {
+		return nil, errors.Join(fmt.Errorf("membership: %w", err), m.snapshots.list.Shutdown(), nt.Shutdown())
 	}
-	ctx, stop := context.WithCancel(context.Background())
-	m.stop = stop
-	m.work.Add(3)
-	go m.watch(ctx)
-	go m.join(ctx)
-	go m.teller(ctx)
-	go func() { m.work.Wait(); close(m.ended) }()
-	kick(m.tell)
+	m.startLoops()
 	return m, nil
 }
 
-// Addr is the address that gossip is bound to.
-func (m *Members) Addr() string { return m.bound }
+// validate reports options that the membership cannot run with.
+func (o *Options) validate() error {
+	name := string(o.Self.Name)
+	switch {
+	case o.Cluster == "":
+		return errors.New("membership: the cluster has no name")
+	case name == "" || strings.Contains(name, "/") || name == snapshotNode:
+		return fmt.Errorf("membership: %q cannot be a process's name", name)
+	case o.Self.Incarnation == 0:
+		return fmt.Errorf("membership: %q has no incarnation", name)
+	}
+	return nil
+}
+
+// newMembers returns a membership that knows only this process, without the library.
+func newMembers(opts Options, bound string) *Members {
+	self := roster.Observation{Member: opts.Self, GossipAddr: cmp.Or(opts.Advertise, bound)}
+	self.Member.State = view.Alive
+	return &Members{
+		opts: opts, addr: bound, startedAt: time.Now(), done: make(chan struct{}),
+		snapshotNeeded: make(chan struct{}, 1), notifyNeeded: make(chan struct{}, 1), libraryTurn: make(chan struct{}, 1),
+		self: self, roster: roster.New(self, opts.Bounds, 0), updatedSinceSnapshot: map[view.Name]bool{}, metaCache: metaCache{},
+	}
+}
+
+// libraryConfig is the configuration of the library's instance that holds the cluster's members.
+func (m *Members) libraryConfig(logger *log.Logger) *memberlist.Config {
+	conf := m.opts.Timing.config(string(m.opts.Self.Name), clusterLabel(m.opts.Cluster))
+	conf.Transport, conf.Logger = m.transport, logger
+	d := delegate{m}
+	conf.Delegate, conf.Events, conf.Alive, conf.Merge, conf.Ping = d, d, d, d, d
+	return conf
+}
 
-// View is who is here as this process sees it now. Never nil.
+// startLoops starts the goroutines of loops.go, which Close ends.
+func (m *Members) startLoops() {
+	var ctx context.Context
+	ctx, m.cancel = context.WithCancel(context.Background())
+	m.wg.Add(3)
+	go m.runSnapshots(ctx)
+	go m.runJoins(ctx)
+	go m.runNotifications(ctx)
+	go func() {
+		m.wg.Wait()
+		close(m.done)
+	}()
+	wake(m.notifyNeeded)
+}
+
+// Addr returns the address that gossip is bound to.
+func (m *Members) Addr() string { return m.addr }
+
+// View returns the members as this process sees them now. Never nil.
 func (m *Members) View() *view.View {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.roster.View()
 }
 
-// Self is this process as it tells of itself; its incarnation may be above the one it started with (Options.Raised).
+// Self returns this process as it announces itself; its incarnation may be above the one it started with
+// (Options.OnIncarnationRaised).
 func (m *Members) Self() view.Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.self.Member
 }
 
-// Sent is how many bytes of gossip this process has sent in packets and exchanged over streams that it began, and how
-// many packets, without the headers of UDP, TCP and IP.
-func (m *Members) Sent() (bytes, packets int64) { return m.way.sent.Load(), m.way.count.Load() }
+// Sent returns how many bytes of gossip this process has sent in packets and exchanged over streams that it dialled,
+// and how many packets, without the headers of UDP, TCP and IP.
+func (m *Members) Sent() (bytes, packets int64) {
+	return m.transport.bytesSent.Load(), m.transport.packetsSent.Load()
+}
 
-// Update changes what this process tells of itself and spreads it. Name, incarnation, folder and state stay. It
-// fails, and changes nothing, when the card grows too long.
+// Update changes what this process announces of itself and gossips it. Name, incarnation, folder and state stay. It
+// fails, and changes nothing, when the metadata becomes too long.
 func (m *Members) Update(change func(*view.Member)) error {
 	m.mu.Lock()
 	next := m.self
@@ -172,46 +209,46 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	next.Member.Life, next.Member.State, next.Member.Folder = m.self.Member.Life, view.Alive, m.self.Member.Folder
-	return m.adopt(next)
+	return m.setSelf(next)
 }
 
-// adopt makes next what this process tells of itself; under mu.
-func (m *Members) adopt(next roster.Seen) error {
-	body, err := encode(next)
+// setSelf makes next what this process announces of itself; under mu.
+func (m *Members) setSelf(next roster.Observation) error {
+	meta, err := encodeMeta(next)
 	if err != nil {
 		return err
 	}
-	m.self, m.card, m.spread = next, body, true
-	if m.roster.Heard(next, m.now()) {
-		kick(m.tell)
+	m.self, m.meta, m.metaChanged = next, meta, true
+	if m.roster.MarkAlive(next, m.now()) {
+		wake(m.notifyNeeded)
 	}
-	kick(m.look)
+	wake(m.snapshotNeeded)
 	return nil
 }
 
-// Exchange has this process and another tell each other all that they know of the fleet, if the other can be reached.
-// It waits for that, bounded by Timing.Stream.
+// Exchange runs a push/pull exchange with another process, in which both learn all that the other knows of the cluster.
+// It waits for that, bounded by Timing.StreamTimeout, and does nothing if the other cannot be reached.
 func (m *Members) Exchange(with view.Name) {
-	if m.over.Load() {
+	if m.libraryClosed.Load() {
 		return
 	}
-	if _, err := m.list.Join([]string{string(with) + "/" + nowhere}); err == nil {
-		m.answered.Store(int64(m.now()))
+	if _, err := m.list.Join([]string{joinAddr(string(with))}); err == nil {
+		m.lastAnswer.Store(int64(m.now()))
 	}
 }
 
-// Leave tells the others that this process goes, and waits at most so long for that to be sent. Close must follow.
+// Leave announces that this process leaves, and waits at most within for that to be sent. Close must follow.
 func (m *Members) Leave(within time.Duration) error {
 	m.mu.Lock()
-	usurped := m.usurper != nil
-	if !usurped && m.roster.Leave(m.self, m.now()) {
-		kick(m.tell)
+	conflict := m.nameOwner != nil
+	if !conflict && m.roster.MarkLeft(m.self, m.now()) {
+		wake(m.notifyNeeded)
 	}
 	m.mu.Unlock()
-	m.turn <- struct{}{} // held at most for another Leave's time
-	defer func() { <-m.turn }()
-	if usurped || m.over.Load() {
-		return nil // the name is another's, or it is too late
+	m.libraryTurn <- struct{}{} // occupied for at most another Leave's time
+	defer func() { <-m.libraryTurn }()
+	if conflict || m.libraryClosed.Load() {
+		return nil // the name is another process's, or the library has ended
 	}
 	if err := m.list.Leave(max(within, time.Millisecond)); err != nil {
 		return fmt.Errorf("membership: %w", err)
@@ -219,40 +256,40 @@
 	return nil
 }
 
-// closeFor bounds Close: the longest is a stream in the middle of an exchange.
-const closeFor = 5 * time.Second
+// closeTimeout bounds Close: what takes longest is a stream in the middle of an exchange.
+const closeTimeout = 5 * time.Second
 
-// Close ends membership without a word to the others, who find out by themselves unless Leave came before. It waits
-// at most closeFor for what runs.
+// Close ends membership without a leave message: the others detect a failure, unless Leave came before. It waits at most
+// closeTimeout for the goroutines.
 func (m *Members) Close() error {
-	m.closing.Do(func() {
-		m.stop()
+	m.closeOnce.Do(func() {
+		m.cancel()
 		select {
-		case <-m.ended:
-		case <-time.After(closeFor):
-			m.leaveErr = errors.New("membership: something still runs: Changed, Conflict or a stream does not end")
+		case <-m.done:
+		case <-time.After(closeTimeout):
+			m.closeErr = errors.New("membership: still running after Close: OnViewChange, OnNameConflict or a stream does not end")
 		}
-		m.end()
+		m.shutdown()
 	})
-	return m.leaveErr
+	return m.closeErr
 }
 
-// end silences the library, once.
-func (m *Members) end() {
-	m.ending.Do(func() {
-		m.turn <- struct{}{}
-		defer func() { <-m.turn }()
-		m.over.Store(true)
+// shutdown ends both instances of the library, once.
+func (m *Members) shutdown() {
+	m.shutdownOnce.Do(func() {
+		m.libraryTurn <- struct{}{}
+		defer func() { <-m.libraryTurn }()
+		m.libraryClosed.Store(true)
 		_ = m.list.Shutdown()
-		_ = m.glass.list.Shutdown()
+		_ = m.snapshots.list.Shutdown()
 	})
 }
 
-// now is the span since this membership began.
-func (m *Members) now() view.Now { return time.Since(m.began) }
+// now is the time since this membership started.
+func (m *Members) now() view.Now { return time.Since(m.startedAt) }
 
-// reach is where a process's gossip port is: by the settings, else by what it tells.
-func (m *Members) reach(name view.Name) (string, bool) {
+// addressOf returns where a process's gossip port is: by Options.Reach, else by what the process announces.
+func (m *Members) addressOf(name view.Name) (string, bool) {
 	if m.opts.Reach != nil {
 		if addr, known := m.opts.Reach(name); known {
 			return addr, true
@@ -260,12 +297,12 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	addr := m.roster.Gossip(name)
+	addr := m.roster.GossipAddr(name)
 	return addr, addr != ""
 }
 
-// kick wakes whoever waits on a channel of one place; a wake-up that is already due is enough.
-func kick(c chan struct{}) {
+// wake signals a channel of capacity one, unless a signal is pending already.
+func wake(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
 	default:
--- a/internal/cluster/member/member_test.go
+++ b/internal/cluster/member/member_test.go
@@ -14,32 +14,32 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// quick is a fifth of the defaults, so that a test sees a death within its time.
-var quick = Timing{Probe: 150 * time.Millisecond, Answer: 75 * time.Millisecond, Gossip: 40 * time.Millisecond,
-	Look: 50 * time.Millisecond, Rejoin: 300 * time.Millisecond, Stream: 500 * time.Millisecond}
+// fastTiming is a fifth of the defaults, so that a test sees a death within its time.
+var fastTiming = Timing{ProbeInterval: 150 * time.Millisecond, ProbeTimeout: 75 * time.Millisecond, GossipInterval: 40 * time.Millisecond,
+	SnapshotInterval: 50 * time.Millisecond, RejoinInterval: 300 * time.Millisecond, StreamTimeout: 500 * time.Millisecond}
 
-// place is where the processes of one test are bound, as a settings file would tell it.
-type place struct {
-	mu sync.Mutex
-	at map[view.Name]string
+// addressBook holds where the processes of one test listen, as a settings file would.
+type addressBook struct {
+	mu    sync.Mutex
+	addrs map[view.Name]string
 }
 
-func (p *place) reach(name view.Name) (string, bool) {
+func (p *addressBook) addressOf(name view.Name) (string, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	addr, known := p.at[name]
+	addr, known := p.addrs[name]
 	return addr, known
 }
 
-func (p *place) put(name view.Name, addr string) {
+func (p *addressBook) set(name view.Name, addr string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.at[name] = addr
+	p.addrs[name] = addr
 }
 
-func (p *place) start(t *testing.T, name view.Name, incarnation view.Incarnation, change func(*Options)) *Members {
+func (p *addressBook) start(t *testing.T, name view.Name, incarnation view.Incarnation, change func(*Options)) *Members {
 	t.Helper()
-	opts := Options{Fleet: "fleet", Reach: p.reach, Seeds: []view.Name{"a", "b"}, Timing: quick,
+	opts := Options{Cluster: "fleet", Reach: p.addressOf, Seeds: []view.Name{"a", "b"}, Timing: fastTiming,
 		Self: view.Member{Life: view.Life{Name: name, Incarnation: incarnation}, Zone: "z1", Region: "r1", Size: view.Large}}
 	if change != nil {
 		change(&opts)
@@ -48,8 +48,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, known := p.reach(name); !known {
-		p.put(name, m.Addr())
+	if _, known := p.addressOf(name); !known {
+		p.set(name, m.Addr())
 	}
 	t.Cleanup(func() {
 		if err := m.Close(); err != nil {
@@ -59,7 +59,7 @@
 	return m
 }
 
-// eventually waits for what is to come about, with a bound far above what it takes.
+// eventually waits until f holds, with a bound far above what that takes.
 func eventually(t *testing.T, what string, f func() bool, at ...*Members) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !f(); time.Sleep(10 * time.Millisecond) {
@@ -72,19 +72,19 @@
 	}
 }
 
-func shows(m *Members, name view.Name, state view.State, incarnation view.Incarnation) bool {
+func hasState(m *Members, name view.Name, state view.State, incarnation view.Incarnation) bool {
 	s, found := m.View().Find(name)
 	return found && s.State == state && s.Incarnation == incarnation
 }
 
-func TestFleet(t *testing.T) {
+func TestMembershipChanges(t *testing.T) {
 	t.Parallel()
-	p := &place{at: map[view.Name]string{}}
+	p := &addressBook{addrs: map[view.Name]string{}}
 	all := map[view.Name]*Members{}
 	var suspected sync.Map
 	for _, name := range []view.Name{"a", "b", "c", "d", "e"} {
 		all[name] = p.start(t, name, 1, func(o *Options) {
-			o.Changed = func(v *view.View) {
+			o.OnViewChange = func(v *view.View) {
 				for _, s := range v.Members {
 					if s.State == view.Suspected {
 						suspected.Store(s.Name, true)
@@ -97,7 +97,7 @@
 		t.Helper()
 		for at, m := range all {
 			if at != but {
-				eventually(t, fmt.Sprint(what, " at ", at), func() bool { return shows(m, name, state, incarnation) }, m)
+				eventually(t, fmt.Sprint(what, " at ", at), func() bool { return hasState(m, name, state, incarnation) }, m)
 			}
 		}
 	}
@@ -115,7 +115,7 @@
 	long := make([]byte, 600)
 	err := all["c"].Update(func(s *view.Member) { s.Zone = view.Zone(long) })
 	if err == nil || all["c"].Self().Zone != "z1" {
-		t.Error("a card too long to be carried was taken: ", err)
+		t.Error("metadata too long for the library was accepted: ", err)
 	}
 
 	if err := all["d"].Leave(5 * time.Second); err != nil {
@@ -127,7 +127,7 @@
 	}
 	delete(all, "d")
 
-	if err := all["e"].Close(); err != nil { // without a word
+	if err := all["e"].Close(); err != nil { // without a leave message
 		t.Error(err)
 	}
 	everywhere("died", "e", "e", view.Dead, 1)
@@ -135,28 +135,28 @@
 		t.Error("e was dead before it was suspected")
 	}
 
-	// It comes back on another port, its folder lost and its count begun anew: above what the fleet remembers.
+	// It returns on another port with an empty folder and starts counting anew: it is raised above what others remember.
 	raised := make(chan view.Incarnation, 9)
 	p.mu.Lock()
-	delete(p.at, "e")
+	delete(p.addrs, "e")
 	p.mu.Unlock()
 	all["e"] = p.start(t, "e", 1, func(o *Options) {
 		o.Self.Empty, o.Self.Folder = true, "anew"
-		o.Raised = func(i view.Incarnation) { raised <- i }
+		o.OnIncarnationRaised = func(i view.Incarnation) { raised <- i }
 	})
 	everywhere("back with an empty folder", "", "e", view.Alive, 2)
 	if s, _ := all["a"].View().Find("e"); !s.Empty || s.Folder != "anew" || <-raised != 2 {
 		t.Errorf("came back as %+v", s)
 	}
 
-	// One is killed and is back before anybody missed it, on the same port.
+	// A process is killed and returns on the same port before its failure is detected.
 	if err := all["c"].Close(); err != nil {
 		t.Error(err)
 	}
 	all["c"] = p.start(t, "c", 7, func(o *Options) { o.Listen = all["c"].Addr() })
 	everywhere("back at once", "", "c", view.Alive, 7)
 
-	// One comes back from an old copy of its folder.
+	// A process returns with an old copy of its folder.
 	if err := all["c"].Close(); err != nil {
 		t.Error(err)
 	}
@@ -165,58 +165,58 @@
 	everywhere("back from an old folder", "", "c", view.Alive, 8)
 }
 
-func TestAnotherFleetIsRefused(t *testing.T) {
+func TestOtherClusterIsRejected(t *testing.T) {
 	t.Parallel()
-	p := &place{at: map[view.Name]string{}}
+	p := &addressBook{addrs: map[view.Name]string{}}
 	a := p.start(t, "a", 1, nil)
-	other := p.start(t, "b", 1, func(o *Options) { o.Fleet = "other fleet" })
+	other := p.start(t, "b", 1, func(o *Options) { o.Cluster = "other fleet" })
 	c := p.start(t, "c", 1, nil)
-	eventually(t, "c is here", func() bool { return shows(a, "c", view.Alive, 1) })
-	time.Sleep(4 * quick.Rejoin) // both have b for a seed and go on trying
+	eventually(t, "c is here", func() bool { return hasState(a, "c", view.Alive, 1) })
+	time.Sleep(4 * fastTiming.RejoinInterval) // both have b for a seed and go on trying
 	for _, m := range []*Members{a, c, other} {
 		for _, s := range m.View().Members {
 			if (s.Name == "b") != (m == other) {
-				t.Errorf("%s took %s in", m.Self().Name, s.Name)
+				t.Errorf("%s accepted %s", m.Self().Name, s.Name)
 			}
 		}
 	}
 	if _, err := Start(Options{Self: a.Self()}); err == nil {
-		t.Error("a fleet without a name was begun")
+		t.Error("a cluster without a name was started")
 	}
 }
 
-// TestOneNameTwice: the later life has the name everywhere, the earlier is told and falls silent, and they do not take
-// turns. Nobody has an address of it but what it tells itself.
-func TestOneNameTwice(t *testing.T) {
+// TestNameConflict: the later incarnation owns the name everywhere, the earlier is notified and ends its membership, and
+// they do not alternate. Others know only the addresses that both announce.
+func TestNameConflict(t *testing.T) {
 	t.Parallel()
-	p := &place{at: map[view.Name]string{}}
+	p := &addressBook{addrs: map[view.Name]string{}}
 	reach := func(name view.Name) (string, bool) {
 		if name == "x" {
 			return "", false
 		}
-		return p.reach(name)
+		return p.addressOf(name)
 	}
-	told := make(chan view.Life, 9)
-	twice := func(o *Options) {
+	conflicts := make(chan view.Life, 9)
+	conflicting := func(o *Options) {
 		o.Reach = reach
-		o.Conflict = func(l view.Life) { told <- l }
+		o.OnNameConflict = func(l view.Life) { conflicts <- l }
 	}
 	a := p.start(t, "a", 1, func(o *Options) { o.Reach = reach })
 	b := p.start(t, "b", 1, func(o *Options) { o.Reach = reach })
-	first := p.start(t, "x", 4, twice)
-	eventually(t, "the first is here", func() bool { return shows(a, "x", view.Alive, 4) && shows(b, "x", view.Alive, 4) })
+	first := p.start(t, "x", 4, conflicting)
+	eventually(t, "the first is here", func() bool { return hasState(a, "x", view.Alive, 4) && hasState(b, "x", view.Alive, 4) })
 	first.mu.Lock()
-	first.met -= settling // it has been here for long
+	first.metAt -= settlingPeriod // it has been here for long
 	first.mu.Unlock()
-	second := p.start(t, "x", 5, twice)
-	eventually(t, "the first is told", func() bool { return len(told) > 0 })
-	if l := <-told; l.Incarnation != 5 {
-		t.Errorf("told of %+v", l)
+	second := p.start(t, "x", 5, conflicting)
+	eventually(t, "the first is notified", func() bool { return len(conflicts) > 0 })
+	if l := <-conflicts; l.Incarnation != 5 {
+		t.Errorf("notified of %+v", l)
 	}
 	for range 50 {
 		eventually(t, "the later has the name", func() bool {
 			s, _ := b.View().Find("x")
-			return shows(a, "x", s.State, 5) && s.Incarnation == 5
+			return hasState(a, "x", s.State, 5) && s.Incarnation == 5
 		})
 		time.Sleep(10 * time.Millisecond)
 	}
@@ -224,68 +224,69 @@
 		t.Error(err)
 	}
 	eventually(t, "it is still here", func() bool {
-		return shows(a, "x", view.Alive, 5) && shows(second, "a", view.Alive, 1)
+		return hasState(a, "x", view.Alive, 5) && hasState(second, "a", view.Alive, 1)
 	})
-	if len(told) > 0 {
-		t.Errorf("told again: %+v", <-told)
+	if len(conflicts) > 0 {
+		t.Errorf("notified again: %+v", <-conflicts)
 	}
 }
 
-// TestThroughARelay: a and b reach each other through relays alone; a cut is death to both, its end brings both back.
-func TestThroughARelay(t *testing.T) {
+// TestReachableOnlyThroughRelays: a and b reach each other through relays alone; each takes the other for dead
+// during a partition, and both return as the same incarnation after it.
+func TestReachableOnlyThroughRelays(t *testing.T) {
 	t.Parallel()
-	p := &place{at: map[view.Name]string{}}
-	ways := map[view.Name]*relay{"a": newRelay(t), "b": newRelay(t)}
+	p := &addressBook{addrs: map[view.Name]string{}}
+	relays := map[view.Name]*relay{"a": newRelay(t), "b": newRelay(t)}
 	start := func(name, other view.Name) *Members {
 		return p.start(t, name, 1, func(o *Options) {
 			o.Advertise = "127.0.0.1:9" // what a process tells is of no use to others here
-			o.Reach = func(n view.Name) (string, bool) { return ways[n].addr, n == other }
+			o.Reach = func(n view.Name) (string, bool) { return relays[n].addr, n == other }
 		})
 	}
 	a, b := start("a", "b"), start("b", "a")
-	ways["a"].lead(a.Addr())
-	ways["b"].lead(b.Addr())
+	relays["a"].forwardTo(a.Addr())
+	relays["b"].forwardTo(b.Addr())
 	both := func(state view.State) func() bool {
-		return func() bool { return shows(a, "b", state, 1) && shows(b, "a", state, 1) }
+		return func() bool { return hasState(a, "b", state, 1) && hasState(b, "a", state, 1) }
 	}
 	eventually(t, "both are here", both(view.Alive))
-	ways["a"].lead("")
-	ways["b"].lead("")
+	relays["a"].forwardTo("")
+	relays["b"].forwardTo("")
 	eventually(t, "both are cut off", both(view.Dead))
-	ways["a"].lead(a.Addr())
-	ways["b"].lead(b.Addr())
+	relays["a"].forwardTo(a.Addr())
+	relays["b"].forwardTo(b.Addr())
 	eventually(t, "both are back, the same lives", both(view.Alive))
 }
 
-// TestStoodStill: the far end neither hears nor says anything, as under SIGSTOP, while it takes itself for well.
-func TestStoodStill(t *testing.T) {
+// TestSuspendedProcess: a process that neither sends nor receives, as under SIGSTOP, returns as the same incarnation.
+func TestSuspendedProcess(t *testing.T) {
 	t.Parallel()
-	p := &place{at: map[view.Name]string{}}
+	p := &addressBook{addrs: map[view.Name]string{}}
 	a, b := p.start(t, "a", 1, nil), p.start(t, "b", 1, nil)
-	way := newRelay(t)
-	p.put("c", way.addr)
-	var still sync.Mutex
+	relayToC := newRelay(t)
+	p.set("c", relayToC.addr)
+	var suspended sync.Mutex
 	c := p.start(t, "c", 1, func(o *Options) {
 		o.Reach = func(n view.Name) (string, bool) {
-			still.Lock() // as long as it stands still nothing of it is sent
-			defer still.Unlock()
-			return p.reach(n)
+			suspended.Lock() // as long as it stands still nothing of it is sent
+			defer suspended.Unlock()
+			return p.addressOf(n)
 		}
 	})
-	way.lead(c.Addr())
-	eventually(t, "c is here", func() bool { return shows(a, "c", view.Alive, 1) && shows(c, "b", view.Alive, 1) })
-	still.Lock()
-	way.lead("")
-	eventually(t, "c is dead", func() bool { return shows(a, "c", view.Dead, 1) && shows(b, "c", view.Dead, 1) })
-	way.lead(c.Addr())
-	still.Unlock()
+	relayToC.forwardTo(c.Addr())
+	eventually(t, "c is here", func() bool { return hasState(a, "c", view.Alive, 1) && hasState(c, "b", view.Alive, 1) })
+	suspended.Lock()
+	relayToC.forwardTo("")
+	eventually(t, "c is dead", func() bool { return hasState(a, "c", view.Dead, 1) && hasState(b, "c", view.Dead, 1) })
+	relayToC.forwardTo(c.Addr())
+	suspended.Unlock()
 	eventually(t, "c is back, the same life", func() bool {
-		return shows(a, "c", view.Alive, 1) && shows(b, "c", view.Alive, 1)
+		return hasState(a, "c", view.Alive, 1) && hasState(b, "c", view.Alive, 1)
 	})
 }
 
 func TestNothingListensBeyondLoopback(t *testing.T) {
-	p := &place{at: map[view.Name]string{}}
+	p := &addressBook{addrs: map[view.Name]string{}}
 	host, _, err := net.SplitHostPort(p.start(t, "a", 1, nil).Addr())
 	if err != nil || !net.ParseIP(host).IsLoopback() {
 		t.Errorf("bound to %q: %v", host, err)
--- a/internal/cluster/member/relay_test.go
+++ b/internal/cluster/member/relay_test.go
@@ -10,23 +10,23 @@
 	"flaxcove/internal/loopback"
 )
 
-// relay passes packets and streams on to where it leads; to nowhere it drops the ones and refuses the others.
+// relay forwards packets and streams to its target; without one it drops packets and closes streams.
 type relay struct {
-	addr string
-	mu   sync.Mutex
-	to   string
+	addr   string
+	mu     sync.Mutex
+	addrTo string
 }
 
-func (r *relay) lead(to string) {
+func (r *relay) forwardTo(to string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.to = to
+	r.addrTo = to
 }
 
-func (r *relay) where() string {
+func (r *relay) target() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.to
+	return r.addrTo
 }
 
 func newRelay(t *testing.T) *relay {
@@ -48,7 +48,7 @@
 			if err != nil {
 				return
 			}
-			if to, err := net.ResolveUDPAddr("udp", r.where()); err == nil && r.where() != "" {
+			if to, err := net.ResolveUDPAddr("udp", r.target()); err == nil && r.target() != "" {
 				_, _ = packets.WriteTo(buf[:n], to)
 			}
 		}
@@ -59,7 +59,7 @@
 			if err != nil {
 				return
 			}
-			far, err := net.DialTimeout("tcp", r.where(), time.Second)
+			far, err := net.DialTimeout("tcp", r.target(), time.Second)
 			if err != nil {
 				_ = near.Close()
 				continue
--- a/internal/cluster/member/roster/roster.go
+++ b/internal/cluster/member/roster/roster.go
@@ -1,8 +1,8 @@
-// Package roster keeps what is known of each process of the fleet: its card, its state, and since when.
+// Package roster keeps what is known of each process of the cluster: its metadata, its state, and since when.
 //
-// It is pure: what was seen comes in with the time (view.Now of this process), a view comes out. It must never let an
-// earlier life of a name stand in for a later one, grow past its bounds, or forget one that is here. It does not
-// decide who is silent: the library that watches does, and says so by the methods below.
+// It is pure: observations come in with their time (view.Now of this process), a view comes out. It must never replace
+// a later incarnation of a name by an earlier one, grow beyond its bounds, or forget a member that is present. It does
+// not detect failures: the membership library does, and reports them by the methods below.
 package roster
 
 import (
@@ -14,205 +14,211 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// Bounds of a roster. Zero figures stand for the defaults.
+// Bounds of a roster. Zero values stand for the defaults.
 type Bounds struct {
-	Keep time.Duration // how long one that left or died is still shown (default KeepGone)
-	Gone int           // at most so many of these, the longest gone leave first (default MostGone)
-	Here int           // at most so many are here; further names are refused (default MostHere)
+	RetainGone time.Duration // how long members that left or died are retained
+	MaxGone    int           // how many of these are retained; the longest gone are dropped first
+	MaxHere    int           // how many members may be present; further names are rejected
 }
 
+// Defaults of Bounds.
 const (
-	// KeepGone is long enough for an operator to see who went, and for most purges to lapse by their own deadline;
-	// who needs more asks for it. An earlier life is refused for as long as its name is kept.
-	KeepGone = 10 * time.Minute
-	MostGone = 1024
-	// MostHere is four times the size that the design is measured at: beyond it somebody forges names.
-	MostHere = 4096
+	// DefaultRetainGone is long enough for an operator to see who left, and for most purges to lapse by their own
+	// deadline. An earlier incarnation is rejected for as long as its name is retained.
+	DefaultRetainGone = 10 * time.Minute
+	DefaultMaxGone    = 1024
+	// DefaultMaxHere is four times the largest measured size: beyond it somebody forges names.
+	DefaultMaxHere = 4096
 )
 
-// Seen is one process as the watch shows it at one moment.
-type Seen struct {
-	Member view.Member // its card, with its state
-	Gossip string      // where it says that its gossip port is; "" when it says nothing
+// Observation is one process as the library reports it at one moment.
+type Observation struct {
+	Member     view.Member // its metadata and state
+	GossipAddr string      // the gossip address that it announces; "" for none
 }
 
+// entry is the last accepted observation of a name.
 type entry struct {
-	Seen
-	since view.Now // when it took on its state here
+	Observation
+	stateSince view.Now // when its present state was first observed
 }
 
-// Roster is what is known. Not for use by several goroutines at once.
+// Roster holds what is known of all processes. It is not safe for concurrent use.
 type Roster struct {
-	self    view.Name
-	bounds  Bounds
-	entries map[view.Name]*entry
-	here    int    // how many of entries are here
-	goneNo  uint64 // changes of those that are not
-	no      uint64
-	made    *view.View
-}
-
-// New is a roster that knows only the process itself, alive.
-func New(self Seen, bounds Bounds, now view.Now) *Roster {
-	bounds.Keep = cmp.Or(max(0, bounds.Keep), KeepGone)
-	bounds.Gone = cmp.Or(max(0, bounds.Gone), MostGone)
-	bounds.Here = cmp.Or(max(0, bounds.Here), MostHere)
+	self        view.Name
+	bounds      Bounds
+	entries     map[view.Name]*entry
+	hereCount   int        // entries that are present
+	goneVersion uint64     // counts changes of entries that are gone
+	version     uint64     // counts all changes
+	cachedView  *view.View // nil after a change
+}
+
+// New returns a roster that knows only the process itself, alive.
+func New(self Observation, bounds Bounds, now view.Now) *Roster {
+	bounds.RetainGone = cmp.Or(max(0, bounds.RetainGone), DefaultRetainGone)
+	bounds.MaxGone = cmp.Or(max(0, bounds.MaxGone), DefaultMaxGone)
+	bounds.MaxHere = cmp.Or(max(0, bounds.MaxHere), DefaultMaxHere)
 	r := &Roster{self: self.Member.Name, bounds: bounds, entries: map[view.Name]*entry{}}
 	self.Member.State = view.Alive
-	r.put(self, now)
+	r.store(self, now)
 	return r
 }
 
-// View is everybody as known now. The same until something changes.
+// View returns all members as known now. It returns the same view until something changes.
 func (r *Roster) View() *view.View {
-	if r.made == nil {
+	if r.cachedView == nil {
 		members := make([]view.Member, 0, len(r.entries))
 		for _, e := range r.entries {
 			members = append(members, e.Member)
 		}
-		r.made = view.Make(r.self, r.no, members)
+		r.cachedView = view.Make(r.self, r.version, members)
 	}
-	return r.made
+	return r.cachedView
 }
 
-// Gossip is where a process says that its gossip port is.
-func (r *Roster) Gossip(name view.Name) string {
+// GossipAddr returns the gossip address that a process announces, "" for none or an unknown process.
+func (r *Roster) GossipAddr(name view.Name) string {
 	if e := r.entries[name]; e != nil {
-		return e.Gossip
+		return e.GossipAddr
 	}
 	return ""
 }
 
-// GoneNo counts the changes of those that Gone tells.
-func (r *Roster) GoneNo() uint64 { return r.goneNo }
+// GoneVersion counts the changes of what Gone returns.
+func (r *Roster) GoneVersion() uint64 { return r.goneVersion }
 
-// Seen is a process as it is known now.
-func (r *Roster) Seen(name view.Name) (s Seen, known bool) {
+// Find returns a process as it is known now.
+func (r *Roster) Find(name view.Name) (o Observation, known bool) {
 	if e := r.entries[name]; e != nil {
-		return e.Seen, true
+		return e.Observation, true
 	}
-	return Seen{}, false
+	return Observation{}, false
 }
 
-// Since is when a process took on the state that is shown of it.
-func (r *Roster) Since(name view.Name) (view.Now, bool) {
+// StateSince returns when a process's present state was first observed.
+func (r *Roster) StateSince(name view.Name) (view.Now, bool) {
 	if e := r.entries[name]; e != nil {
-		return e.since, true
+		return e.stateSince, true
 	}
 	return 0, false
 }
 
-// Gone are those that left or died and are still kept, by name.
-func (r *Roster) Gone() []Seen {
-	var gone []Seen
+// Gone returns the retained processes that left or died, by name.
+func (r *Roster) Gone() []Observation {
+	var gone []Observation
 	for _, name := range slices.Sorted(maps.Keys(r.entries)) {
 		if e := r.entries[name]; !e.Member.Here() {
-			gone = append(gone, e.Seen)
+			gone = append(gone, e.Observation)
 		}
 	}
 	return gone
 }
 
-// Later tells whether life a of a name counts before life b: by incarnation, and between two that claim the same one
-// by what else sets them apart, so that all decide alike.
-func Later(a, b Seen) bool {
+// Supersedes reports whether observation a of a name takes precedence over b: by incarnation, and between two of the
+// same incarnation by folder and address, so that every process decides alike.
+func Supersedes(a, b Observation) bool {
 	return cmp.Or(cmp.Compare(a.Member.Incarnation, b.Member.Incarnation), cmp.Compare(a.Member.Folder, b.Member.Folder),
-		cmp.Compare(a.Gossip, b.Gossip)) > 0
+		cmp.Compare(a.GossipAddr, b.GossipAddr)) > 0
 }
 
-// Admits tells whether a card may be taken in: not one of an earlier life, and no new name beyond the bound.
-func (r *Roster) Admits(s Seen) bool {
-	if e := r.entries[s.Member.Name]; e != nil {
-		return !Later(e.Seen, s)
+// Admits reports whether an observation may be accepted: not of an earlier incarnation, and no new name beyond the
+// bound.
+func (r *Roster) Admits(o Observation) bool {
+	if e := r.entries[o.Member.Name]; e != nil {
+		return !Supersedes(e.Observation, o)
 	}
-	return r.here < r.bounds.Here
+	return r.hereCount < r.bounds.MaxHere
 }
 
-// Heard takes a card from one that is alive: it joined, it tells something new, it came back, or a later life of its
-// name began. Like all below it tells whether anything changed.
-func (r *Roster) Heard(s Seen, now view.Now) bool {
-	return r.to(view.Alive, s, now)
+// MarkAlive records that a process is alive: it joined, changed its metadata, returned, or a later incarnation of its
+// name started. Like all below it reports whether anything changed.
+func (r *Roster) MarkAlive(o Observation, now view.Now) bool {
+	return r.transition(view.Alive, o, now)
 }
 
-// Suspect takes that a process is silent.
-func (r *Roster) Suspect(s Seen, now view.Now) bool {
-	return r.to(view.Suspected, s, now)
+// MarkSuspected records that a process does not answer probes.
+func (r *Roster) MarkSuspected(o Observation, now view.Now) bool {
+	return r.transition(view.Suspected, o, now)
 }
 
-// Leave takes that a process said it goes.
-func (r *Roster) Leave(s Seen, now view.Now) bool {
-	return r.to(view.Left, s, now)
+// MarkLeft records that a process announced its leave.
+func (r *Roster) MarkLeft(o Observation, now view.Now) bool {
+	return r.transition(view.Left, o, now)
 }
 
-// Fail takes that a process is taken for dead.
-func (r *Roster) Fail(s Seen, now view.Now) bool {
-	return r.to(view.Dead, s, now)
+// MarkDead records that a process was declared dead.
+func (r *Roster) MarkDead(o Observation, now view.Now) bool {
+	return r.transition(view.Dead, o, now)
 }
 
-func (r *Roster) to(state view.State, s Seen, now view.Now) bool {
-	s.Member.State = state
-	changed := r.turn(s, now)
-	if gone := len(r.entries) - r.here; gone > r.bounds.Gone { // by time the next look forgets, as this goes over all
-		return r.Age(now) || changed
+// transition applies an observation with a state, and enforces MaxGone. RetainGone is left to the next snapshot, as
+// Expire goes over all entries.
+func (r *Roster) transition(state view.State, o Observation, now view.Now) bool {
+	o.Member.State = state
+	changed := r.apply(o, now)
+	if gone := len(r.entries) - r.hereCount; gone > r.bounds.MaxGone {
+		return r.Expire(now) || changed
 	}
 	return changed
 }
 
-// turn puts what was seen in its place. It leaves the bounds to its caller: within one look nothing that is shown may
-// be forgotten and then come back as an earlier life.
-func (r *Roster) turn(s Seen, now view.Now) bool {
-	e := r.entries[s.Member.Name]
-	if !r.Admits(s) || (e != nil && e.Seen == s) {
+// apply stores an observation if it is admitted and new. It leaves the bounds to its caller: within one snapshot no
+// member may be dropped and then return as an earlier incarnation.
+func (r *Roster) apply(o Observation, now view.Now) bool {
+	e := r.entries[o.Member.Name]
+	if !r.Admits(o) || (e != nil && e.Observation == o) {
 		return false
 	}
-	if s.Member.Name == r.self && (s.Member.State == view.Suspected || s.Member.State == view.Dead) {
-		return false // others think so; it is for the watch to put that right
+	if o.Member.Name == r.self && (o.Member.State == view.Suspected || o.Member.State == view.Dead) {
+		return false // others believe so; the library refutes it
 	}
-	// One that was gone before it was ever here is remembered too: its earlier lives must not come back.
-	r.put(s, now)
+	// A name that is first observed as gone is stored too: its earlier incarnations must not return.
+	r.store(o, now)
 	return true
 }
 
-func (r *Roster) put(s Seen, now view.Now) {
+// store replaces an entry and updates the counts.
+func (r *Roster) store(o Observation, now view.Now) {
 	since := now
-	e := r.entries[s.Member.Name]
-	if e != nil && e.Member.Life == s.Member.Life && e.Member.State == s.Member.State {
-		since = e.since
+	e := r.entries[o.Member.Name]
+	if e != nil && e.Member.Life == o.Member.Life && e.Member.State == o.Member.State {
+		since = e.stateSince
 	}
 	if e != nil && e.Member.Here() {
-		r.here--
+		r.hereCount--
 	}
-	if s.Member.Here() {
-		r.here++
+	if o.Member.Here() {
+		r.hereCount++
 	}
-	if e != nil && !e.Member.Here() || !s.Member.Here() {
-		r.goneNo++
+	if e != nil && !e.Member.Here() || !o.Member.Here() {
+		r.goneVersion++
 	}
-	r.entries[s.Member.Name] = &entry{s, since}
-	r.changed()
+	r.entries[o.Member.Name] = &entry{o, since}
+	r.invalidate()
 }
 
-// Look takes all that the watch shows at one moment. One that is here and not shown is taken for dead: the watch
-// forgets only those that are gone.
-func (r *Roster) Look(seen []Seen, now view.Now) bool {
+// ApplySnapshot takes all that the library has at one moment. A present member that is not among it is marked dead: the
+// library drops only members that are gone.
+func (r *Roster) ApplySnapshot(snapshot []Observation, now view.Now) bool {
 	changed := false
-	shown := make(map[view.Name]bool, len(seen))
-	for _, s := range seen {
-		shown[s.Member.Name] = true
-		changed = r.turn(s, now) || changed
+	present := make(map[view.Name]bool, len(snapshot))
+	for _, s := range snapshot {
+		present[s.Member.Name] = true
+		changed = r.apply(s, now) || changed
 	}
 	for _, name := range slices.Sorted(maps.Keys(r.entries)) {
-		if e := r.entries[name]; e != nil && !shown[name] && name != r.self && e.Member.Here() {
-			s := e.Seen
+		if e := r.entries[name]; e != nil && !present[name] && name != r.self && e.Member.Here() {
+			s := e.Observation
 			s.Member.State = view.Dead
-			changed = r.turn(s, now) || changed
+			changed = r.apply(s, now) || changed
 		}
 	}
-	return r.Age(now) || changed
+	return r.Expire(now) || changed
 }
 
-// Age drops those that are gone for longer than they are kept, and the longest gone beyond the bound.
-func (r *Roster) Age(now view.Now) bool {
+// Expire drops members that are gone for longer than RetainGone, and the longest gone beyond MaxGone.
+func (r *Roster) Expire(now view.Now) bool {
 	var gone []*entry
 	for _, e := range r.entries {
 		if !e.Member.Here() && e.Member.Name != r.self {
@@ -220,23 +226,24 @@
 		}
 	}
 	slices.SortFunc(gone, func(a, b *entry) int {
-		return cmp.Or(cmp.Compare(b.since, a.since), cmp.Compare(a.Member.Name, b.Member.Name))
+		return cmp.Or(cmp.Compare(b.stateSince, a.stateSince), cmp.Compare(a.Member.Name, b.Member.Name))
 	})
-	dropped := false
+	expired := false
 	for i, e := range gone {
-		if i >= r.bounds.Gone || now-e.since > r.bounds.Keep {
+		if i >= r.bounds.MaxGone || now-e.stateSince > r.bounds.RetainGone {
 			delete(r.entries, e.Member.Name)
-			r.goneNo++
-			dropped = true
+			r.goneVersion++
+			expired = true
 		}
 	}
-	if dropped {
-		r.changed()
+	if expired {
+		r.invalidate()
 	}
-	return dropped
+	return expired
 }
 
-func (r *Roster) changed() {
-	r.no++
-	r.made = nil
+// invalidate counts a change and drops the cached view.
+func (r *Roster) invalidate() {
+	r.version++
+	r.cachedView = nil
 }
--- a/internal/cluster/member/timing.go
+++ b/internal/cluster/member/timing.go
@@ -1,6 +1,6 @@
 package member
 
-// This file holds how quickly silence is noticed and what that costs, and hands the library its settings.
+// This file holds how quickly failures are detected and what that costs, and configures the library.
 
 import (
 	"cmp"
@@ -16,123 +16,136 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// Timing says how quickly silence is noticed. Zero figures stand for the defaults below.
+// Timing configures failure detection and gossip. Zero values stand for the defaults below.
 type Timing struct {
-	Probe     time.Duration // each process asks one other in turn whether it is there
-	Answer    time.Duration // how long a probe's packet may take; then by others and by a stream until Probe has passed
-	Suspicion int           // for so many Probe (more by log10 of the fleet beyond ten) suspected, then dead
-	Gossip    time.Duration // how often news is passed on, to three others
-	Exchange  time.Duration // how often all is exchanged with one other; beyond 32 longer with each doubling
-	Look      time.Duration // how often the library's states are looked at, apart from what it tells at once
-	Rejoin    time.Duration // between two tries at a seed that is not here
-	Stream    time.Duration // bound of one exchange over a stream
+	ProbeInterval time.Duration // each process probes one other in turn
+	// ProbeTimeout is for the direct probe; indirect probes and one over a stream follow until ProbeInterval has passed.
+	ProbeTimeout time.Duration
+	// SuspicionMult is for how many ProbeInterval (more by log10 of the cluster beyond ten) a silent member is suspected
+	// before it is dead.
+	SuspicionMult    int
+	GossipInterval   time.Duration // how often messages are gossiped, to three others
+	PushPullInterval time.Duration // how often full state is exchanged with one other; longer with each doubling beyond 32
+	SnapshotInterval time.Duration // how often the library's states are read, apart from the events that it reports
+	RejoinInterval   time.Duration // between two attempts to join a seed that is missing
+	StreamTimeout    time.Duration // bounds one exchange over a stream
 }
 
-// Defaults, chosen for one site on a good network and checked by TestTraffic: a process that dies is
-// probed within Probe by somebody and suspected Probe later; dead 3 s after it fell silent, of 30.
+// Defaults, chosen for one site on a good network and checked by TestTraffic: a process that dies is probed by somebody
+// within ProbeInterval and suspected ProbeInterval later; of 30 it is dead 3 s after it fell silent.
 const (
-	defaultProbe     = 500 * time.Millisecond
-	defaultAnswer    = 250 * time.Millisecond // 30 to 40 ms across zones, twice by a third, and room
-	defaultSuspicion = 3
-	defaultGossip    = 200 * time.Millisecond
-	// defaultExchange only mends what gossip lost: at 30 processes each costs some 6 KB each way, which at the
-	// library's half minute would be the larger part of what may be spent.
-	defaultExchange = time.Minute
-	defaultLook     = 250 * time.Millisecond
-	// defaultRejoin bounds how long two halves stay apart after a cut of more than aftermath.
-	defaultRejoin = 3 * time.Second
-	defaultStream = 2 * time.Second
+	defaultProbeInterval  = 500 * time.Millisecond
+	defaultProbeTimeout   = 250 * time.Millisecond // 30 to 40 ms across zones, twice with an indirect probe, and a margin
+	defaultSuspicionMult  = 3
+	defaultGossipInterval = 200 * time.Millisecond
+	// defaultPushPullInterval is for anti-entropy only: at 30 processes an exchange costs some 6 KB each way, which at the
+	// library's default of half a minute would be the larger part of the traffic budget.
+	defaultPushPullInterval = time.Minute
+	defaultSnapshotInterval = 250 * time.Millisecond
+	// defaultRejoinInterval bounds how long two halves stay apart after a partition longer than gossipToDeadTime.
+	defaultRejoinInterval = 3 * time.Second
+	defaultStreamTimeout  = 2 * time.Second
 
-	// aftermath is how long the dead are still told news, so that one that woke can put right what is said of it.
-	aftermath = 30 * time.Second
-	// quietFor without an answer to any probe means that this process was standing still, or that its packets get
-	// nowhere: it then asks one other for everything.
-	quietFor = 6 // times Probe
-	// settling is how long after it met somebody a process may still find that its name was used with a later
-	// incarnation, and go above it. Later on such a find means that another took the name over.
-	settling  = 10 * time.Second
-	mostRaise = 3
-	// triers is how many of the fleet, on average, try one that is not here in each Rejoin: enough to mend a cut in a few
-	// seconds, and no crowd at the door of one that starts.
-	triers    = 4
-	mostTries = 16 // while alone, in one round; seeds come first
-	// perMember spaces regular looks out beyond a hundred members: one costs 9 us a member (BenchmarkLook), and with the
-	// pause after it looking takes 0.2% of a core at rest. Of 660 a suspicion is seen 2.8 s late at most, of 1,000 4.3 s;
-	// joining, leaving and dying are told at once whatever the size.
-	perMember = 2500 * time.Microsecond
+	// gossipToDeadTime is how long the dead still receive gossip, so that one that resumes can refute what is said of it.
+	gossipToDeadTime = 30 * time.Second
+	// isolationProbes is for how many ProbeInterval all probes may fail before the process counts as having been suspended
+	// or isolated: it then exchanges full state with another.
+	isolationProbes = 6
+	// settlingPeriod is how long after it met its first member a process may still find that its name was used with a
+	// later incarnation, and raise its own above it. Later on such a find means that another process took the name over.
+	settlingPeriod = 10 * time.Second
+	maxRaises      = 3
+	// expectedRejoiners is how many members, on average, try to join a missing one in each RejoinInterval: enough to end a
+	// partition in a few seconds, without a stampede on a process that starts.
+	expectedRejoiners = 4
+	maxJoinsPerRound  = 16 // while alone, in one round; seeds come first
+	// snapshotIntervalPerMember spaces regular snapshots out beyond a hundred members: one costs 9 us a member
+	// (BenchmarkSnapshot), and with the pause after it snapshots take 0.2% of a core at rest. Of 660 members a suspicion is
+	// seen 2.8 s late at most, of 1,000 4.3 s; joins, leaves and deaths are events, and seen at once whatever the size.
+	snapshotIntervalPerMember = 2500 * time.Microsecond
 
-	// gather is how long news of the same moment is waited for: a zone that falls is told by many packets.
-	gather = 20 * time.Millisecond
-	// lookShare and tellShare bound what looks and views cost while news keeps coming: each is followed by a pause of so
-	// many times what it took, mostPause at most, so that either takes half a percent of a core. At 660 members a look takes
-	// 6 ms and a view's way to the owner 3 ms. Fixed pauses, and these with a part of two percent, kept a machine with
-	// several hundred members that was too busy to answer probes too busy for good.
-	lookShare, tellShare = 200, 200
-	mostPause            = 2 * time.Second
+	// coalesceDelay is how long further events of the same moment are awaited: a zone's failure arrives in many packets.
+	coalesceDelay = 20 * time.Millisecond
+	// snapshotPauseFactor and notifyPauseFactor bound the cost of snapshots and notifications under continuous change:
+	// each is followed by a pause of that many times its duration, maxPause at most, so that either takes half a percent
+	// of a core. At 660 members a snapshot takes 6 ms and a notification 3 ms. Fixed pauses, and a share of two percent,
+	// kept a machine with several hundred members that was too busy to answer probes overloaded for good.
+	snapshotPauseFactor, notifyPauseFactor = 200, 200
+	maxPause                               = 2 * time.Second
 )
 
-func (t Timing) filled() Timing {
-	return Timing{cmp.Or(t.Probe, defaultProbe), cmp.Or(t.Answer, defaultAnswer), cmp.Or(t.Suspicion, defaultSuspicion),
-		cmp.Or(t.Gossip, defaultGossip), cmp.Or(t.Exchange, defaultExchange), cmp.Or(t.Look, defaultLook),
-		cmp.Or(t.Rejoin, defaultRejoin), cmp.Or(t.Stream, defaultStream)}
+// withDefaults returns t with defaults for zero values.
+func (t Timing) withDefaults() Timing {
+	return Timing{
+		ProbeInterval:    cmp.Or(t.ProbeInterval, defaultProbeInterval),
+		ProbeTimeout:     cmp.Or(t.ProbeTimeout, defaultProbeTimeout),
+		SuspicionMult:    cmp.Or(t.SuspicionMult, defaultSuspicionMult),
+		GossipInterval:   cmp.Or(t.GossipInterval, defaultGossipInterval),
+		PushPullInterval: cmp.Or(t.PushPullInterval, defaultPushPullInterval),
+		SnapshotInterval: cmp.Or(t.SnapshotInterval, defaultSnapshotInterval),
+		RejoinInterval:   cmp.Or(t.RejoinInterval, defaultRejoinInterval),
+		StreamTimeout:    cmp.Or(t.StreamTimeout, defaultStreamTimeout),
+	}
 }
 
-// base is what the watching instance and the glass have in common.
-func base(name, label string) *memberlist.Config {
+// baseConfig is the configuration that both of the library's instances have in common.
+func baseConfig(name, label string) *memberlist.Config {
 	conf := memberlist.DefaultLANConfig()
 	conf.Name, conf.Label = name, label
-	conf.BindAddr, conf.AdvertiseAddr = "127.0.0.1", "127.0.0.1" // both unused: the transport says
-	conf.EnableCompression = false                               // of little use to small packets, and dear to looks
-	conf.RequireNodeNames = true                                 // addresses lead nowhere here
+	conf.BindAddr, conf.AdvertiseAddr = "127.0.0.1", "127.0.0.1" // both unused: the transport has its own
+	conf.EnableCompression = false                               // of little use for small packets, and costly for snapshots
+	conf.RequireNodeNames = true                                 // the transport addresses members by name only
 	return conf
 }
 
+// config is the configuration of the instance that has the cluster's members.
 func (t Timing) config(name, label string) *memberlist.Config {
-	conf := base(name, label)
-	conf.ProbeInterval, conf.ProbeTimeout = t.Probe, t.Answer
-	conf.SuspicionMult = t.Suspicion
-	conf.SuspicionMaxTimeoutMult = 3 // until one other confirms
-	conf.AwarenessMaxMultiplier = 4  // one that hears nobody doubts itself first, but not for long
-	conf.GossipInterval, conf.GossipToTheDeadTime = t.Gossip, aftermath
-	conf.PushPullInterval = t.Exchange
-	conf.TCPTimeout = t.Stream
+	conf := baseConfig(name, label)
+	conf.ProbeInterval, conf.ProbeTimeout = t.ProbeInterval, t.ProbeTimeout
+	conf.SuspicionMult = t.SuspicionMult
+	conf.SuspicionMaxTimeoutMult = 3 // until another member confirms the suspicion
+	conf.AwarenessMaxMultiplier = 4  // a process that receives nothing suspects itself first, but not for long
+	conf.GossipInterval, conf.GossipToTheDeadTime = t.GossipInterval, gossipToDeadTime
+	conf.PushPullInterval = t.PushPullInterval
+	conf.TCPTimeout = t.StreamTimeout
 	conf.RetransmitMult = 3
 	return conf
 }
 
-// label is what every packet and stream carries and must carry: the library drops those of another. It stands for the
-// fleet's name in eight letters, as the name itself would be a tenth of the traffic; two names that are in use meet in
-// one label once in 2^48.
-func label(fleet string) string {
+// clusterLabel is the label that every packet and stream carries; the library drops those with another. It is a hash of
+// the cluster's name in eight letters, as the name itself would be a tenth of the traffic; two names collide with a
+// probability of 2^-48.
+func clusterLabel(cluster string) string {
 	var sum [8]byte
-	binary.BigEndian.PutUint64(sum[:], xxhash.Sum64String(fleet))
+	binary.BigEndian.PutUint64(sum[:], xxhash.Sum64String(cluster))
 	return base64.RawURLEncoding.EncodeToString(sum[:6])
 }
 
-// libraryLog carries the library's lines to ours, without its chatter, and a few a minute of those that are left: a
-// stranger that keeps knocking must not fill a disk.
-func libraryLog(to *zap.Logger) *log.Logger {
+// newLibraryLogger forwards the library's log lines without its debug output, at most twenty of a kind a minute: a
+// stranger that keeps sending packets must not fill the disk.
+func newLibraryLogger(to *zap.Logger) *log.Logger {
 	sampled := to.WithOptions(zap.WrapCore(func(c zapcore.Core) zapcore.Core {
 		return zapcore.NewSamplerWithOptions(c, time.Minute, 20, 0)
 	}))
-	return log.New(lines{sampled}, "", 0)
+	return log.New(libraryLogWriter{sampled}, "", 0)
 }
 
-type lines struct{ to *zap.Logger }
+// libraryLogWriter parses the library's log lines and logs them at their level.
+type libraryLogWriter struct{ to *zap.Logger }
 
-func (l lines) Write(b []byte) (int, error) {
+func (l libraryLogWriter) Write(b []byte) (int, error) {
 	line := strings.TrimSpace(string(b))
-	level, says, _ := strings.Cut(line, " memberlist: ")
+	level, text, _ := strings.Cut(line, " memberlist: ")
 	switch level {
 	case "[ERR]", "[WARN]":
-		l.to.Warn("membership", zap.String("library", says))
+		l.to.Warn("membership", zap.String("library", text))
 	case "[INFO]":
-		l.to.Info("membership", zap.String("library", says))
+		l.to.Info("membership", zap.String("library", text))
 	}
 	return len(b), nil
 }
 
-// rest is the pause after work that took so long, where it may take one part in share of a core.
-func rest(took time.Duration, share int) time.Duration {
-	return min(time.Duration(share)*took, mostPause)
+// pauseAfter is the pause after work that took so long: factor times as long, maxPause at most.
+func pauseAfter(took time.Duration, factor int) time.Duration {
+	return min(time.Duration(factor)*took, maxPause)
 }
--- a/internal/cluster/member/traffic_test.go
+++ b/internal/cluster/member/traffic_test.go
@@ -11,17 +11,17 @@
 	"flaxcove/internal/cluster/view"
 )
 
-var measure = flag.Int("traffic", 0, "measure the gossip of so many processes, for three minutes")
+var trafficProcesses = flag.Int("traffic", 0, "measure the gossip of so many processes, for three minutes")
 
 // TestTraffic prints what one process of many sends while nothing happens, and how soon one that dies is suspected and
 // dead. Only with -traffic N: it takes over three minutes.
 func TestTraffic(t *testing.T) {
-	if *measure == 0 {
+	if *trafficProcesses == 0 {
 		t.Skip("only with -traffic N")
 	}
-	p := &place{at: map[view.Name]string{}}
+	p := &addressBook{addrs: map[view.Name]string{}}
 	var all []*Members
-	for i := range *measure {
+	for i := range *trafficProcesses {
 		all = append(all, p.start(t, view.Name(fmt.Sprintf("sender-%03d", i)), 1, func(o *Options) {
 			o.Timing = Timing{}
 			o.Seeds = []view.Name{"sender-000", "sender-001", "sender-002"}
@@ -40,7 +40,7 @@
 	began := time.Now()
 	eventually(t, "all are here", here)
 	t.Logf("all see all after %v", time.Since(began).Round(10*time.Millisecond))
-	time.Sleep(2 * defaultExchange) // the first exchange comes after one to two of its spans
+	time.Sleep(2 * defaultPushPullInterval) // the first exchange comes after one to two of its spans
 	sum := func() (b, n int64, cpu time.Duration) {
 		for _, m := range all {
 			mb, mn := m.Sent()
@@ -65,7 +65,7 @@
 	_ = gone.Close()
 	began = time.Now()
 	for _, state := range []view.State{view.Suspected, view.Dead} {
-		eventually(t, "told", func() bool {
+		eventually(t, "seen everywhere", func() bool {
 			for _, m := range all[:len(all)-1] {
 				if s, _ := m.View().Find(name); s.State < state {
 					return false
--- a/internal/cluster/node.go
+++ b/internal/cluster/node.go
@@ -137,12 +137,12 @@
 			seeds = append(seeds, name)
 		}
 	}
-	n.members, err = member.Start(member.Options{Cut: o.Cut, Fleet: set.Cluster, Self: n.self, Listen: set.Here.Listen.Gossip, Seeds: seeds,
+	n.members, err = member.Start(member.Options{Cut: o.Cut, Cluster: set.Cluster, Self: n.self, Listen: set.Here.Listen.Gossip, Seeds: seeds,
 		Reach: func(name view.Name) (string, bool) {
 			a, known := set.Reach(name)
 			return a.Gossip, known && a.Gossip != ""
 		},
-		Log: o.Log.Named("member"), Changed: n.see, Conflict: n.conflict, Raised: n.raised})
+		Log: o.Log.Named("member"), OnViewChange: n.see, OnNameConflict: n.conflict, OnIncarnationRaised: n.raised})
 	if err != nil {
 		return n, err
 	}
