--- a/internal/cluster/evidence/capacity_test.go
+++ b/internal/cluster/evidence/capacity_test.go
@@ -17,8 +17,8 @@
 	for w := range witnesses {
 		name := view.Name(fmt.Sprintf("sender-%04d", w))
 		for d := range rows {
-			s := saw(d, view.Zone(fmt.Sprintf("zone-%d", d%8)), name, 0, 1)
-			e.take(time.Second, &s)
+			s := sample(d, view.Zone(fmt.Sprintf("zone-%d", d%8)), name, 0, 1)
+			e.apply(time.Second, &s)
 		}
 	}
 	return e
@@ -26,7 +26,7 @@
 
 var capacityRows = []int{400, 4_000, 40_000, 122_000}
 
-// BenchmarkCapacityRows takes a sighting into tables of so many places with one witness each, and tells what they hold.
+// BenchmarkCapacityRows adds a sample to tables of so many places with one witness each, and measures their memory.
 func BenchmarkCapacityRows(b *testing.B) {
 	bench.Sizes(b, "rows", capacityRows, func(b *testing.B, n int) {
 		var e *Evidence
@@ -37,18 +37,18 @@
 		defer e.Close()
 		batch := make([]sight.Sighting, n)
 		for d := range batch {
-			batch[d] = saw(d, view.Zone(fmt.Sprintf("zone-%d", d%8)), "sender-0000", 0, 1)
+			batch[d] = sample(d, view.Zone(fmt.Sprintf("zone-%d", d%8)), "sender-0000", 0, 1)
 		}
 		i := 0
 		for b.Loop() {
 			i++
-			e.take(time.Second+view.Now(i)*time.Microsecond, &batch[i%n])
+			e.apply(time.Second+view.Now(i)*time.Microsecond, &batch[i%n])
 		}
 		b.ReportMetric(heap, "heap-B")
 	})
 }
 
-// BenchmarkCapacityWitnesses is the same for a thousand places by witnesses, of which 32 are kept.
+// BenchmarkCapacityWitnesses is the same for a thousand places by witnesses, of which 32 are retained.
 func BenchmarkCapacityWitnesses(b *testing.B) {
 	bench.Sizes(b, "witnesses", []int{1, 10, 28}, func(b *testing.B, n int) {
 		var e *Evidence
@@ -64,7 +64,7 @@
 	})
 }
 
-// BenchmarkCapacityRead is a reading of all, which each judgement of a coordinator begins with.
+// BenchmarkCapacityRead is a reading of all, which each of a coordinator's decisions begins with.
 func BenchmarkCapacityRead(b *testing.B) {
 	bench.Sizes(b, "rows", capacityRows, func(b *testing.B, n int) {
 		e := capacityFilled(n, 1)
--- a/internal/cluster/evidence/digest/digest.go
+++ b/internal/cluster/evidence/digest/digest.go
@@ -1,9 +1,9 @@
-// Package digest turns a sender's digests, which are counts since the last, into sightings over a sliding span.
+// Package digest turns a sender's digests, which are counts since the previous one, into health samples over a sliding
+// window.
 //
-// A sender tells twice a second; half a second holds too few calls for a share of failures, and a rate over it
-// jumps. A sighting is the sum of the digests that began within the span, and says over how long that truly was.
-// Pure. It must never take a count for longer or shorter than it was counted: after a sender stood still, the span
-// is longer.
+// A sender hands over a digest twice a second; half a second has too few calls for a failure rate. A sample is the sum
+// of the digests that began within the window's span, with the span that they actually cover: it is longer after a
+// sender was suspended. Pure.
 package digest
 
 import (
@@ -17,142 +17,150 @@
 )
 
 const (
-	// Span is what is summed over if nothing else is told: some four digests. Shorter shows a fall sooner, of which
-	// three seconds may pass until a plan is in force; longer has more calls to tell a fall from bad luck by.
+	// Span is the default span, some four digests. A shorter one reveals an outage sooner, for which a plan must be in
+	// force within three seconds; a longer one has more calls to distinguish an outage from chance by.
 	Span = 2 * time.Second
-	// most digests are told apart in a span; of those that come closer the later is put to the one before it.
-	most = 16
+	// maxBuckets bounds the buckets of a span; a digest that follows too soon is added to the bucket before it.
+	maxBuckets = 16
 )
 
-// Window is one sender's.
+// Window is the sliding window over one sender's digests.
 type Window struct {
-	witness view.Name
-	from    view.Zone
-	span    time.Duration
-	places  int
-	told    view.Now // when counting for the next digest began
-	parts   []part   // oldest first
-	sums    map[sight.Place]*sum
-	left    uint64
+	witness    view.Name
+	from       view.Zone
+	span       time.Duration
+	maxPlaces  int
+	lastTaken  view.Now // when the sender began to count for the next digest
+	buckets    []bucket // oldest first
+	aggregates map[sight.Place]*aggregate
+	dropped    uint64 // rows beyond maxPlaces
 }
 
-// part is a digest, or several that came close together.
-type part struct {
-	from view.Now
-	rows map[sight.Place]together.Row
+// bucket holds one digest, or several that came close together.
+type bucket struct {
+	startedAt view.Now
+	rows      map[sight.Place]together.Row
 }
 
-// sum is over all parts: counts are added as a row comes and taken away as its part leaves; the rest is as last told,
-// which may be a span ago.
-type sum struct {
-	parts int // that hold its place
-	row   together.Row
+// aggregate is a place's sum over all buckets: counts are added with a row and subtracted when its bucket expires; all
+// else is as last reported, which may be a span ago.
+type aggregate struct {
+	buckets int // how many buckets hold the place
+	row     together.Row
 }
 
-// Make begins counting at now. At most so many places are held, over the span; those that come beyond are left out
-// until others have been silent for as long.
+// Make returns a window that counts from now on. It holds at most so many places; rows of further places are dropped
+// until others have expired.
 func Make(witness view.Name, from view.Zone, span time.Duration, places int, now view.Now) *Window {
 	if span <= 0 {
 		span = Span
 	}
-	return &Window{witness: witness, from: from, span: span, places: max(places, 1), told: now,
-		sums: map[sight.Place]*sum{}}
+	return &Window{witness: witness, from: from, span: span, maxPlaces: max(places, 1), lastTaken: now,
+		aggregates: map[sight.Place]*aggregate{}}
 }
 
-// Take adds a digest and tells all that was seen over the span up to now, by place.
+// Take adds a digest and returns the samples over the span up to now, by place.
 func (w *Window) Take(now view.Now, d together.Digest) []sight.Sighting {
-	w.add(now, d.Rows)
-	// The newest stays, however long it was counted.
-	for len(w.parts) > 1 && w.parts[0].from < now-w.span {
-		w.drop(w.parts[0].rows)
-		w.parts = slices.Delete(w.parts, 0, 1)
+	w.addDigest(now, d.Rows)
+	// The newest bucket stays, however long a time it covers.
+	for len(w.buckets) > 1 && w.buckets[0].startedAt < now-w.span {
+		w.removeBucket(w.buckets[0].rows)
+		w.buckets = slices.Delete(w.buckets, 0, 1)
 	}
-	over := now - w.parts[0].from
-	all := make([]sight.Sighting, 0, len(w.sums))
-	for place, s := range w.sums {
-		r, over := &s.row, over
-		if row, from, all := w.silentSince(place); all {
-			r, over = &row, now-from
+	windowSpan := now - w.buckets[0].startedAt
+	samples := make([]sight.Sighting, 0, len(w.aggregates))
+	for place, total := range w.aggregates {
+		row, span := total.row, windowSpan
+		if unanswered, since, failing := w.unansweredSince(place); failing {
+			row, span = unanswered, now-since
 		}
-		all = append(all, sight.Sighting{Place: place, Witness: w.witness, From: w.from, Kind: r.Kind, Span: max(over, 1),
-			Sent: float64(r.Sent), Done: float64(r.Done), Failed: float64(r.Failed),
-			Silent: float64(r.Silent), Refused: float64(r.Refused), Limit: r.Limit, Rating: r.Rating,
-			Endpoints: r.Endpoints, Held: r.Held})
+		samples = append(samples, w.sample(place, row, span))
 	}
-	slices.SortFunc(all, func(a, b sight.Sighting) int { return table.Order(&a, &b) })
-	return all
+	slices.SortFunc(samples, func(a, b sight.Sighting) int { return table.Order(&a, &b) })
+	return samples
 }
 
-// silentSince sums the newest parts in which a place answered nothing, where something failed in them: a place that has
-// fallen is not well for what it did a moment before.
-func (w *Window) silentSince(at sight.Place) (row together.Row, from view.Now, all bool) {
-	some := false
-	for i := len(w.parts) - 1; i >= 0; i-- {
-		r, held := w.parts[i].rows[at]
+// sample returns a place's counts over a span in the form in which they are sent.
+func (w *Window) sample(place sight.Place, row together.Row, span time.Duration) sight.Sighting {
+	return sight.Sighting{
+		Place: place, Witness: w.witness, From: w.from, Kind: row.Kind, Span: max(span, 1),
+		Sent: float64(row.Sent), Done: float64(row.Done), Failed: float64(row.Failed), Silent: float64(row.Silent),
+		Refused: float64(row.Refused), Limit: row.Limit, Rating: row.Rating, Endpoints: row.Endpoints, Held: row.Held,
+	}
+}
+
+// unansweredSince sums the newest buckets in which a place answered nothing, and reports since when, and whether
+// anything failed in them: a place that just went down must not look healthy because of earlier successes.
+func (w *Window) unansweredSince(place sight.Place) (row together.Row, since view.Now, failing bool) {
+	found := false
+	for i := len(w.buckets) - 1; i >= 0; i-- {
+		r, present := w.buckets[i].rows[place]
 		if r.Done+r.Refused > 0 {
 			break
 		}
-		switch from = w.parts[i].from; {
-		case held && some:
-			row = plus(r, row)
-		case held:
-			row, some = r, true
+		switch since = w.buckets[i].startedAt; {
+		case present && found:
+			row = addCounts(r, row)
+		case present:
+			row, found = r, true
 		}
 	}
-	return row, from, row.Failed > 0
+	return row, since, row.Failed > 0
 }
 
-// Left is how many rows were left out, as there were too many places.
-func (w *Window) Left() uint64 { return w.left }
+// Dropped returns how many rows were dropped because there were too many places.
+func (w *Window) Dropped() uint64 { return w.dropped }
 
-func (w *Window) add(now view.Now, rows []together.Row) {
-	now = max(now, w.told)
-	if n := len(w.parts); n == 0 || now-w.parts[n-1].from >= w.span/most {
-		w.parts = append(w.parts, part{w.told, make(map[sight.Place]together.Row, len(rows))})
+// addDigest adds rows to the newest bucket, or to a new one, and to the aggregates.
+func (w *Window) addDigest(now view.Now, rows []together.Row) {
+	now = max(now, w.lastTaken)
+	if n := len(w.buckets); n == 0 || now-w.buckets[n-1].startedAt >= w.span/maxBuckets {
+		w.buckets = append(w.buckets, bucket{w.lastTaken, make(map[sight.Place]together.Row, len(rows))})
 	}
-	w.told = now
-	into := w.parts[len(w.parts)-1].rows
+	w.lastTaken = now
+	current := w.buckets[len(w.buckets)-1].rows
 	for _, r := range rows {
 		place := sight.Place{Destination: r.Destination, Zone: view.Zone(r.Zone)}
-		s := w.sums[place]
-		if s == nil {
-			if len(w.sums) >= w.places {
-				w.left++
+		total := w.aggregates[place]
+		if total == nil {
+			if len(w.aggregates) >= w.maxPlaces {
+				w.dropped++
 				continue
 			}
-			s = &sum{}
-			w.sums[place] = s
+			total = &aggregate{}
+			w.aggregates[place] = total
 		}
-		was, held := into[place]
-		if !held {
-			s.parts++
+		previous, present := current[place]
+		if !present {
+			total.buckets++
 		}
-		into[place] = plus(was, r)
-		s.row = plus(s.row, r)
+		current[place] = addCounts(previous, r)
+		total.row = addCounts(total.row, r)
 	}
 }
 
-// plus is a later row with the counts of an earlier one added.
-func plus(was, r together.Row) together.Row {
-	r.Sent += was.Sent
-	r.Done += was.Done
-	r.Failed += was.Failed
-	r.Silent += was.Silent
-	r.Refused += was.Refused
-	return r
+// addCounts returns a later row with the counts of an earlier one added.
+func addCounts(earlier, later together.Row) together.Row {
+	later.Sent += earlier.Sent
+	later.Done += earlier.Done
+	later.Failed += earlier.Failed
+	later.Silent += earlier.Silent
+	later.Refused += earlier.Refused
+	return later
 }
 
-func (w *Window) drop(rows map[sight.Place]together.Row) {
+// removeBucket subtracts an expired bucket's rows from the aggregates.
+func (w *Window) removeBucket(rows map[sight.Place]together.Row) {
 	for place, r := range rows {
-		s := w.sums[place]
-		if s.parts--; s.parts == 0 {
-			delete(w.sums, place)
+		total := w.aggregates[place]
+		if total.buckets--; total.buckets == 0 {
+			delete(w.aggregates, place)
 			continue
 		}
-		s.row.Sent -= r.Sent
-		s.row.Done -= r.Done
-		s.row.Failed -= r.Failed
-		s.row.Silent -= r.Silent
-		s.row.Refused -= r.Refused
+		total.row.Sent -= r.Sent
+		total.row.Done -= r.Done
+		total.row.Failed -= r.Failed
+		total.row.Silent -= r.Silent
+		total.row.Refused -= r.Refused
 	}
 }
--- a/internal/cluster/evidence/digest/digest_test.go
+++ b/internal/cluster/evidence/digest/digest_test.go
@@ -14,7 +14,7 @@
 
 func rows(rows ...together.Row) together.Digest { return together.Digest{Rows: rows} }
 
-// Counts are summed over the span and leave after it; what is told and not counted is the last.
+// Counts are summed over the span and expire after it; gauges are as last reported.
 func ExampleWindow() {
 	w := Make("anna", "east", time.Second, 2, 0)
 	show := func(now time.Duration, d together.Digest) {
@@ -29,20 +29,20 @@
 	show(at(10), rows(together.Row{Destination: 1, Zone: "e", Sent: 10, Held: 3},
 		together.Row{Destination: 1, Zone: "b", Sent: 1}))
 	show(at(15), rows(together.Row{Destination: 2, Zone: "e", Sent: 1}))
-	show(at(45), rows()) // it stood still
+	show(at(45), rows()) // the sender was suspended
 	show(at(50), rows(together.Row{Destination: 2, Zone: "e", Sent: 2}))
-	fmt.Println("left out:", w.Left())
+	fmt.Println("dropped:", w.Dropped())
 	// Output:
 	// 500ms: 1/e over 500ms: sent 10, failed 4, held 7;
 	// 1s: 1/b over 1s: sent 1, failed 0, held 0; 1/e over 1s: sent 20, failed 4, held 3;
 	// 1.5s: 1/b over 1s: sent 1, failed 0, held 0; 1/e over 1s: sent 10, failed 0, held 3;
 	// 4.5s:
 	// 5s: 2/e over 500ms: sent 2, failed 0, held 0;
-	// left out: 1
+	// dropped: 1
 }
 
-// However close digests come, no call is lost or told twice, and memory is bounded.
-func TestNothingLostOrDoubled(t *testing.T) {
+// TestCountsAreNeitherLostNorDoubled: however close digests come, each call is counted once, and memory is bounded.
+func TestCountsAreNeitherLostNorDoubled(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const span = time.Second
 		w := Make("a", "z", span, 10, 0)
@@ -70,8 +70,8 @@
 			if len(got) != 1 || got[0].Sent != want || got[0].Done != want || got[0].Place != place {
 				t.Fatal(got, want)
 			}
-			if got[0].Span > span && len(w.parts) > 1 || len(w.parts) > 2*most+2 {
-				t.Fatal("over", got[0].Span, len(w.parts))
+			if got[0].Span > span && len(w.buckets) > 1 || len(w.buckets) > 2*maxBuckets+2 {
+				t.Fatal("over", got[0].Span, len(w.buckets))
 			}
 		}
 	})
--- a/internal/cluster/evidence/evidence.go
+++ b/internal/cluster/evidence/evidence.go
@@ -1,14 +1,14 @@
-// Package evidence holds what this process and others saw, by destination and zone: tables that a pool of workers
-// fills and anyone reads.
+// Package evidence stores the health samples of this process and of others, by destination and zone, in sharded tables
+// that a pool of workers fills and anyone reads.
 //
-// It owns the pool, its bounded queue and the shards; what a table keeps is package table's to say. Handing over
-// never waits: what finds the queue full is left out and counted, as the next digest is half a second behind. It
-// must never take a decision, nor hold a lock over a channel, I/O or a call out of its packages.
+// It owns the pool, its bounded queue and the shards; what a table retains is decided by package table. Add never
+// waits: a batch that finds the queue full is dropped and counted, as the next one follows half a second later. It must
+// never take a decision, nor hold a lock over a channel operation, I/O or a call out of its packages.
 //
-// Lock order: each shard has its lock, held for one look at its table. No two shards are ever held at once, and no
-// other lock is taken while one is held, so that there is no order among them to keep; whoever holds a lock of
-// internal/cluster's list above these may take one, never the other way round. Readers take shard after shard: what
-// they read is of one moment by shard, not over all.
+// Lock order: each shard has its own lock, held for one operation on its table. No two shards are ever locked at once,
+// and no other lock is taken under one, so there is no order among them; a holder of a lock that is above these in the
+// list of internal/cluster may take one, never the reverse. Readers lock one shard after another: what they read is of
+// one moment within a shard, not across all.
 package evidence
 
 import (
@@ -25,93 +25,95 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// What is taken where Options leave it out.
+// Defaults of Options.
 const (
-	rows      = 40_000
-	witnesses = 32 // a place; two of two zones settle a plan, the rest show how wide it is
-	shards    = 16 // over eight times the workers, so that two seldom meet
-	workers   = 2
-	queue     = 256 // batches; a process of the root's has a few dozen children twice a second
-	// keep is for how long a sighting may weigh at all; what decides asks for a far shorter age.
-	keep = time.Minute
-	// mostBatch bounds one batch, so that the queue's memory is bounded: more than a call's body can hold.
-	mostBatch = 16_384
+	defaultRows      = 40_000
+	defaultWitnesses = 32 // of a place; two from two zones suffice for a plan, the rest show how wide a fault is
+	defaultShards    = 16 // eight times the workers, so that two seldom contend for one
+	defaultWorkers   = 2
+	defaultQueue     = 256 // batches; a coordinator has a few dozen children, each reporting twice a second
+	// defaultMaxAge is the age up to which a sample is retained; decisions require a far lower age.
+	defaultMaxAge = time.Minute
+	// maxBatch bounds one batch, and so the queue's memory: more samples than the body of a call can hold.
+	maxBatch = 16_384
 )
 
-// Options are a pool's bounds; zero is the package's own.
+// Options are a pool's bounds; zero values stand for defaults.
 type Options struct {
-	Rows      int // places over all shards. Each shard holds its even part: one may be full before others are
-	Witnesses int // sightings a place
-	Keep      time.Duration
+	Rows      int // places over all shards; each shard holds an equal part, so one may be full before others are
+	Witnesses int // samples of a place
+	MaxAge    time.Duration
 	Shards    int
 	Workers   int
 	Queue     int // batches
 }
 
-// Stats are counts since the start, but for Rows and Waiting, which are of now.
+// Stats are counts since the start, except Rows and Waiting, which are present values.
 type Stats struct {
-	Taken, Same, Older, Void, Unsound uint64 // sightings, by what became of them
-	Left                              uint64 // sightings left out: the queue was full, or their batch too long
-	Rows, Waiting                     int    // places held; batches handed over and not yet taken in
+	Accepted, Duplicate, Outdated, Forgotten, Invalid uint64 // samples, by their outcome
+	Dropped                                           uint64 // samples dropped: the queue was full, or their batch too long
+	Rows, Waiting                                     int    // places stored; batches queued or being applied
 }
 
-// Evidence is a running pool.
+// Evidence is a running pool of workers with its sharded tables.
 type Evidence struct {
-	shards  []shard
-	queue   chan batch
-	stop    chan struct{}
-	stopped sync.Once
-	working sync.WaitGroup
-	waiting atomic.Int64
-	left    atomic.Uint64
-	became  [table.Unsound + 1]atomic.Uint64
+	shards   []shard
+	queue    chan batch
+	stop     chan struct{}
+	stopOnce sync.Once
+	wg       sync.WaitGroup
+	waiting  atomic.Int64
+	dropped  atomic.Uint64
+	outcomes [table.Invalid + 1]atomic.Uint64
 }
 
+// shard is the table of a part of all places.
 type shard struct {
 	mu    sync.Mutex
 	table *table.Table
 }
 
+// batch is what one call of Add handed over, with ages as of now.
 type batch struct {
-	now view.Now
-	all []sight.Sighting
+	now     view.Now
+	samples []sight.Sighting
 }
 
 // Start starts the workers.
-func Start(o Options) *Evidence {
-	def := func(v *int, own int) {
+func Start(opts Options) *Evidence {
+	setDefault := func(v *int, own int) {
 		if *v <= 0 {
 			*v = own
 		}
 	}
-	def(&o.Rows, rows)
-	def(&o.Witnesses, witnesses)
-	def(&o.Shards, shards)
-	def(&o.Workers, workers)
-	def(&o.Queue, queue)
-	if o.Keep <= 0 {
-		o.Keep = keep
+	setDefault(&opts.Rows, defaultRows)
+	setDefault(&opts.Witnesses, defaultWitnesses)
+	setDefault(&opts.Shards, defaultShards)
+	setDefault(&opts.Workers, defaultWorkers)
+	setDefault(&opts.Queue, defaultQueue)
+	if opts.MaxAge <= 0 {
+		opts.MaxAge = defaultMaxAge
 	}
-	o.Shards = min(o.Shards, o.Rows)
-	e := &Evidence{shards: make([]shard, o.Shards), queue: make(chan batch, o.Queue), stop: make(chan struct{})}
+	opts.Shards = min(opts.Shards, opts.Rows)
+	e := &Evidence{shards: make([]shard, opts.Shards), queue: make(chan batch, opts.Queue), stop: make(chan struct{})}
 	for i := range e.shards {
-		e.shards[i].table = table.Make(table.Bounds{Rows: o.Rows / o.Shards, Witnesses: o.Witnesses, Keep: o.Keep})
+		e.shards[i].table = table.Make(table.Bounds{Rows: opts.Rows / opts.Shards, Witnesses: opts.Witnesses, Keep: opts.MaxAge})
 	}
-	for range o.Workers {
-		e.working.Go(e.work)
+	for range opts.Workers {
+		e.wg.Go(e.runWorker)
 	}
 	return e
 }
 
-// Add hands sightings to the pool, whose they are from then on; their ages are of now. It never waits. False if they
-// were left out: the queue is full, there are too many at once, or the pool is closed.
+// Add hands samples to the pool, which owns the slice from then on; their ages are as of now. It never waits, and
+// returns false if they were dropped: the queue is full, there are too many at once, or the pool is closed.
 func (e *Evidence) Add(now view.Now, all []sight.Sighting) bool {
 	select {
 	case <-e.stop:
 		return false
 	default:
 	}
-	if len(all) <= mostBatch {
+	if len(all) <= maxBatch {
 		e.waiting.Add(1)
 		select {
 		case e.queue <- batch{now, all}:
@@ -120,95 +122,96 @@
 			e.waiting.Add(-1)
 		}
 	}
-	e.left.Add(uint64(len(all)))
+	e.dropped.Add(uint64(len(all)))
 	return false
 }
 
-func (e *Evidence) work() {
+// runWorker applies queued batches until Close.
+func (e *Evidence) runWorker() {
 	for {
 		select {
 		case <-e.stop:
 			return
 		case b := <-e.queue:
-			for i := range b.all {
-				e.became[e.take(b.now, &b.all[i])].Add(1)
+			for i := range b.samples {
+				e.outcomes[e.apply(b.now, &b.samples[i])].Add(1)
 			}
 			e.waiting.Add(-1)
 		}
 	}
 }
 
-// take is one sighting under its shard's lock.
-func (e *Evidence) take(now view.Now, s *sight.Sighting) table.Taken {
-	h := e.of(s.Place)
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.table.Take(now, *s)
+// apply adds one sample to its shard's table.
+func (e *Evidence) apply(now view.Now, s *sight.Sighting) table.Outcome {
+	target := e.shardOf(s.Place)
+	target.mu.Lock()
+	defer target.mu.Unlock()
+	return target.table.Take(now, *s)
 }
 
-// of is a place's shard, the same on each run.
-func (e *Evidence) of(p sight.Place) *shard {
-	sum := crc32.ChecksumIEEE(binary.LittleEndian.AppendUint64(make([]byte, 0, 8), uint64(p.Destination)))
-	sum = crc32.Update(sum, crc32.IEEETable, []byte(p.Zone))
+// shardOf returns a place's shard, the same one in every run.
+func (e *Evidence) shardOf(place sight.Place) *shard {
+	sum := crc32.ChecksumIEEE(binary.LittleEndian.AppendUint64(make([]byte, 0, 8), uint64(place.Destination)))
+	sum = crc32.Update(sum, crc32.IEEETable, []byte(place.Zone))
 	return &e.shards[sum%uint32(len(e.shards))]
 }
 
-// Read is all that is kept, ages as of now, by destination, zone and witness. The caller owns it.
+// Read returns all samples with ages as of now, ordered by destination, zone and witness. The caller owns the slice.
 func (e *Evidence) Read(now view.Now) []sight.Sighting {
-	var order []*sight.Sighting
+	var ordered []*sight.Sighting
 	for i := range e.shards {
-		part := e.shards[i].read(now)
-		for j := range part {
-			order = append(order, &part[j])
+		fromShard := e.shards[i].read(now)
+		for j := range fromShard {
+			ordered = append(ordered, &fromShard[j])
 		}
 	}
-	slices.SortFunc(order, table.Order)
-	all := make([]sight.Sighting, len(order))
-	for i, s := range order {
+	slices.SortFunc(ordered, table.Order)
+	all := make([]sight.Sighting, len(ordered))
+	for i, s := range ordered {
 		all[i] = *s
 	}
 	return all
 }
 
-func (h *shard) read(now view.Now) []sight.Sighting {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.table.Read(now)
+func (s *shard) read(now view.Now) []sight.Sighting {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.table.Read(now)
 }
 
-// Forget drops what was seen of a destination up to now, also what is still on its way here.
+// Forget drops what was observed of a destination up to now, including samples that arrive later.
 func (e *Evidence) Forget(now view.Now, d choice.DestinationID) {
 	for i := range e.shards {
 		e.shards[i].forget(now, d)
 	}
 }
 
-func (h *shard) forget(now view.Now, d choice.DestinationID) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.table.Forget(now, d)
+func (s *shard) forget(now view.Now, d choice.DestinationID) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.table.Forget(now, d)
 }
 
-// Stats are for what is shown.
+// Stats returns the pool's counters.
 func (e *Evidence) Stats() Stats {
-	count := func(t table.Taken) uint64 { return e.became[t].Load() }
-	s := Stats{Taken: count(table.New) + count(table.Newer), Same: count(table.Same),
-		Older: count(table.Older), Void: count(table.Void),
-		Unsound: count(table.Unsound), Left: e.left.Load(), Waiting: int(e.waiting.Load())}
+	count := func(t table.Outcome) uint64 { return e.outcomes[t].Load() }
+	s := Stats{Accepted: count(table.New) + count(table.Newer), Duplicate: count(table.Duplicate),
+		Outdated: count(table.Outdated), Forgotten: count(table.Forgotten),
+		Invalid: count(table.Invalid), Dropped: e.dropped.Load(), Waiting: int(e.waiting.Load())}
 	for i := range e.shards {
 		s.Rows += e.shards[i].rows()
 	}
 	return s
 }
 
-func (h *shard) rows() int {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.table.Rows()
+func (s *shard) rows() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.table.Rows()
 }
 
-// Close ends the workers, each after the batch that it is at; what waits is dropped. What is kept may be read on.
+// Close ends the workers, each after its present batch; queued batches are discarded. The tables can still be read.
 func (e *Evidence) Close() {
-	e.stopped.Do(func() { close(e.stop) })
-	e.working.Wait()
+	e.stopOnce.Do(func() { close(e.stop) })
+	e.wg.Wait()
 }
--- a/internal/cluster/evidence/table/table.go
+++ b/internal/cluster/evidence/table/table.go
@@ -1,10 +1,10 @@
-// Package table keeps what was seen of places, each sighting with its age and its witness, and bounded in both ways.
+// Package table stores health samples of places, each with its age and its witness, in bounded rows.
 //
-// A row is a place (a destination in one zone); it holds one sighting of each witness. Pure: time comes in as a span
-// since the process began, and a sighting's own time is Now less its age. What is kept does not hang on the order in
-// which sightings of different witnesses come: of a row, the newest; of the table, the rows last seen. (A row that
-// had to leave and comes back has lost what other witnesses told before, which is all that order can change.) It
-// must never decide what a sighting means.
+// A row is a place (a destination in one zone); it holds one sample of each witness. Pure: time comes in as a span since
+// the process began, and the time of a sample is now less its age. What is stored does not depend on the order in which
+// samples of different witnesses arrive: a row keeps the newest samples, the table the rows most recently observed. (A
+// row that was evicted and returns has lost what other witnesses reported before, which is all that order can change.)
+// It must never decide what a sample means.
 package table
 
 import (
@@ -20,187 +20,211 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// Bounds are what a table holds at most.
+// Bounds limit what a table holds.
 type Bounds struct {
-	Rows      int           // the one whose newest sighting is oldest leaves
-	Witnesses int           // a row; the oldest leaves
-	Keep      time.Duration // older sightings are dropped, and those over a longer span not taken
+	Rows      int           // when exceeded, the row whose newest sample is oldest is evicted
+	Witnesses int           // of a row; when exceeded, the oldest sample is evicted
+	Keep      time.Duration // the highest age of a sample, and the longest span that is accepted
 }
 
-// Taken is what became of a sighting.
-type Taken uint8
+// Outcome is what became of a sample that was handed to Take.
+type Outcome uint8
 
+// Outcomes of Take.
 const (
-	New     Taken = iota // of a witness not heard of this place
-	Newer                // in the place of its earlier one
-	Same                 // nothing changed
-	Older                // than what its witness told, what a full row or table keeps, or Keep
-	Void                 // seen before the destination was forgotten
-	Unsound              // counts that cannot be
+	New       Outcome = iota // the first of its witness for this place
+	Newer                    // replaced its witness's earlier one
+	Duplicate                // nothing changed
+	Outdated                 // older than its witness's last, than what a full row or table holds, or than Keep
+	Forgotten                // observed before its destination was forgotten
+	Invalid                  // impossible counts
 )
 
-// Table is for one goroutine at a time.
+// Table is a bounded store of samples. It is not safe for concurrent use.
 type Table struct {
-	b      Bounds
+	bounds Bounds
 	rows   map[sight.Place]*row
-	oldest ages // the same rows
-	// void are destinations forgotten, and when: what was seen before and comes later is not taken. Each leaves after
-	// twice Keep, as what is so old, or over a span that reaches back so far, is dropped anyway.
-	void map[choice.DestinationID]view.Now
+	byAge  ageHeap // the same rows
+	// forgottenAt is when destinations were forgotten: samples from before are rejected. An entry expires after twice
+	// Keep, as older samples, and spans that reach back so far, are rejected anyway.
+	forgottenAt map[choice.DestinationID]view.Now
 }
 
+// row holds the samples of one place.
 type row struct {
-	place sight.Place
-	seen  []seen   // by witness
-	last  view.Now // of the newest of seen
-	no    int      // in ages
+	place        sight.Place
+	observations []observation // by witness
+	newestAt     view.Now      // of the newest observation
+	heapIndex    int           // in Table.byAge
 }
 
-// seen is a sighting and when that was; its Age is not kept.
-type seen struct {
-	at view.Now
-	s  sight.Sighting
+// observation is a sample and the time that it was observed at; the sample's Age is 0.
+type observation struct {
+	at     view.Now
+	sample sight.Sighting
 }
 
-// newer orders sightings of one place: by time, then by witness, so that of two that are as old always the same
-// leaves.
-func newer(a, b *seen) int {
-	return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.s.Witness, b.s.Witness))
+// compareAge orders observations of one place by time, then by witness, so that among equally old ones always the same
+// is evicted.
+func compareAge(a, b *observation) int {
+	return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.sample.Witness, b.sample.Witness))
 }
 
-// Make takes bounds of at least one row, witness and nanosecond.
+// Make returns an empty table. Bounds below one row, witness and nanosecond are raised to that.
 func Make(b Bounds) *Table {
 	b = Bounds{max(b.Rows, 1), max(b.Witnesses, 1), max(b.Keep, 1)}
-	return &Table{b: b, rows: map[sight.Place]*row{}, void: map[choice.DestinationID]view.Now{}}
+	return &Table{bounds: b, rows: map[sight.Place]*row{}, forgottenAt: map[choice.DestinationID]view.Now{}}
 }
 
-// Take adds a sighting whose age is of now.
-func (t *Table) Take(now view.Now, s sight.Sighting) Taken {
-	if !sound(&s) {
-		return Unsound
+// Take adds a sample whose age is as of now.
+func (t *Table) Take(now view.Now, s sight.Sighting) Outcome {
+	if !valid(&s) {
+		return Invalid
 	}
-	n := seen{now - s.Age, s}
-	n.s.Age = 0
-	if s.Age > t.b.Keep || s.Span > t.b.Keep {
-		return Older
+	observed := observation{now - s.Age, s}
+	observed.sample.Age = 0
+	if s.Age > t.bounds.Keep || s.Span > t.bounds.Keep {
+		return Outdated
 	}
-	// A span that began before holds what is to be forgotten.
-	if when, forgotten := t.void[s.Destination]; forgotten && n.at-s.Span < when {
-		return Void
+	// A span that began before the destination was forgotten contains what is to be forgotten.
+	if when, forgotten := t.forgottenAt[s.Destination]; forgotten && observed.at-s.Span < when {
+		return Forgotten
 	}
-	r := t.rows[s.Place]
-	if r == nil {
-		r = &row{place: s.Place, last: n.at}
-		if len(t.rows) >= t.b.Rows {
-			if r.before(t.oldest[0]) {
-				return Older
+	target := t.rows[s.Place]
+	if target == nil {
+		target = &row{place: s.Place, newestAt: observed.at}
+		if len(t.rows) >= t.bounds.Rows {
+			if target.olderThan(t.byAge[0]) {
+				return Outdated
 			}
-			t.leave(t.oldest[0])
+			t.remove(t.byAge[0])
 		}
-		t.rows[s.Place] = r
-		heap.Push(&t.oldest, r)
+		t.rows[s.Place] = target
+		heap.Push(&t.byAge, target)
 	}
-	taken := r.take(n, t.b.Witnesses)
-	if n.at > r.last {
-		r.last = n.at
-		heap.Fix(&t.oldest, r.no)
+	outcome := target.insert(observed, t.bounds.Witnesses)
+	if observed.at > target.newestAt {
+		target.newestAt = observed.at
+		heap.Fix(&t.byAge, target.heapIndex)
 	}
-	return taken
+	return outcome
 }
 
-func (t *Table) leave(r *row) {
+// remove drops a row.
+func (t *Table) remove(r *row) {
 	delete(t.rows, r.place)
-	heap.Remove(&t.oldest, r.no)
+	heap.Remove(&t.byAge, r.heapIndex)
 }
 
-func (r *row) take(n seen, most int) Taken {
-	i, known := slices.BinarySearchFunc(r.seen, n.s.Witness,
-		func(h seen, w view.Name) int { return cmp.Compare(h.s.Witness, w) })
+// insert adds an observation, or replaces an earlier one of its witness. Of more than limit the oldest is evicted.
+func (r *row) insert(next observation, limit int) Outcome {
+	i, known := slices.BinarySearchFunc(r.observations, next.sample.Witness,
+		func(o observation, w view.Name) int { return cmp.Compare(o.sample.Witness, w) })
 	switch {
-	case known && r.seen[i] == n:
-		return Same
-	case known && (n.at < r.seen[i].at || n.at == r.seen[i].at && compare(&n.s, &r.seen[i].s) < 0):
-		return Older
 	case known:
-		r.seen[i] = n
-		return Newer
-	case len(r.seen) < most:
-		r.seen = slices.Insert(r.seen, i, n)
+		return r.replace(i, next)
+	case len(r.observations) < limit:
+		r.observations = slices.Insert(r.observations, i, next)
 		return New
 	}
-	oldest := 0
-	for j := range r.seen {
-		if newer(&r.seen[j], &r.seen[oldest]) < 0 {
-			oldest = j
-		}
+	oldest := r.oldest()
+	if compareAge(&next, &r.observations[oldest]) < 0 {
+		return Outdated
 	}
-	if newer(&n, &r.seen[oldest]) < 0 {
-		return Older
-	}
-	r.seen = slices.Delete(r.seen, oldest, oldest+1)
+	r.observations = slices.Delete(r.observations, oldest, oldest+1)
 	if oldest < i {
 		i--
 	}
-	r.seen = slices.Insert(r.seen, i, n)
+	r.observations = slices.Insert(r.observations, i, next)
 	return New
 }
 
-// Read is all sightings, with their ages as of now, by Order; those older than Keep leave the table.
-func (t *Table) Read(now view.Now) (to []sight.Sighting) {
-	for len(t.oldest) > 0 && now-t.oldest[0].last > t.b.Keep {
-		t.leave(t.oldest[0])
+// replace puts next in the place of observation i, which is of the same witness, unless that is the same or newer.
+func (r *row) replace(i int, next observation) Outcome {
+	previous := &r.observations[i]
+	if *previous == next {
+		return Duplicate
+	}
+	if next.at < previous.at || next.at == previous.at && compareSamples(&next.sample, &previous.sample) < 0 {
+		return Outdated
+	}
+	*previous = next
+	return Newer
+}
+
+// oldest returns the index of the oldest observation.
+func (r *row) oldest() int {
+	oldest := 0
+	for i := range r.observations {
+		if compareAge(&r.observations[i], &r.observations[oldest]) < 0 {
+			oldest = i
+		}
+	}
+	return oldest
+}
+
+// Read returns all samples, with their ages as of now, by Order; those older than Keep are dropped from the table.
+func (t *Table) Read(now view.Now) (samples []sight.Sighting) {
+	for len(t.byAge) > 0 && now-t.byAge[0].newestAt > t.bounds.Keep {
+		t.remove(t.byAge[0])
 	}
-	// Rows are put in order, and not what they hold: a sighting is long to move.
+	// Rows are sorted, not samples, as a sample is large to move.
 	rows := slices.SortedFunc(maps.Values(t.rows), func(a, b *row) int { return comparePlace(&a.place, &b.place) })
 	for _, r := range rows {
-		r.seen = slices.DeleteFunc(r.seen, func(h seen) bool { return now-h.at > t.b.Keep })
-		for i := range r.seen {
-			s := r.seen[i].s
-			s.Age = max(0, now-r.seen[i].at)
-			to = append(to, s)
+		r.observations = slices.DeleteFunc(r.observations, func(o observation) bool { return now-o.at > t.bounds.Keep })
+		for i := range r.observations {
+			s := r.observations[i].sample
+			s.Age = max(0, now-r.observations[i].at)
+			samples = append(samples, s)
 		}
 	}
-	t.lapse(now)
-	return to
+	t.expireForgotten(now)
+	return samples
 }
 
-// Forget drops all of a destination, and what was seen of it up to now and comes later.
+// Forget drops all samples of a destination, and rejects those observed up to now that arrive later.
 func (t *Table) Forget(now view.Now, d choice.DestinationID) {
 	for place, r := range t.rows {
 		if place.Destination == d {
-			t.leave(r)
+			t.remove(r)
 		}
 	}
-	t.lapse(now)
-	when, known := t.void[d]
-	if !known && len(t.void) >= t.b.Rows {
-		// More destinations than rows forgotten within Keep: the one longest ago leaves, the lower of two.
-		first := true
-		var least choice.DestinationID
-		for other, at := range t.void {
-			if first || at < t.void[least] || at == t.void[least] && other < least {
-				first, least = false, other
-			}
+	t.expireForgotten(now)
+	previous, known := t.forgottenAt[d]
+	if !known && len(t.forgottenAt) >= t.bounds.Rows {
+		t.evictForgotten()
+	}
+	t.forgottenAt[d] = max(now, previous)
+}
+
+// evictForgotten drops the destination that was forgotten longest ago, of several the lowest, where more of them than
+// rows were forgotten within Keep.
+func (t *Table) evictForgotten() {
+	first := true
+	var oldest choice.DestinationID
+	for other, at := range t.forgottenAt {
+		if first || at < t.forgottenAt[oldest] || at == t.forgottenAt[oldest] && other < oldest {
+			first, oldest = false, other
 		}
-		delete(t.void, least)
 	}
-	t.void[d] = max(now, when)
+	delete(t.forgottenAt, oldest)
 }
 
-func (t *Table) lapse(now view.Now) {
-	for d, when := range t.void {
-		if now-when > 2*t.b.Keep {
-			delete(t.void, d)
+// expireForgotten drops the destinations that were forgotten too long ago to matter.
+func (t *Table) expireForgotten(now view.Now) {
+	for d, when := range t.forgottenAt {
+		if now-when > 2*t.bounds.Keep {
+			delete(t.forgottenAt, d)
 		}
 	}
 }
 
-// Rows is how many places are held.
+// Rows returns the number of places stored.
 func (t *Table) Rows() int { return len(t.rows) }
 
-// sound tells whether a sighting's counts can be: others' programs write them, and one of a span of nothing would be
-// read as an endless rate.
-func sound(s *sight.Sighting) bool {
+// valid reports whether a sample's values are possible: they come from other processes, and an empty span would be read
+// as an infinite rate.
+func valid(s *sight.Sighting) bool {
 	for _, v := range [...]float64{s.Sent, s.Done, s.Failed, s.Silent, s.Refused, s.Limit, s.Rating} {
 		if !(v >= 0) || math.IsInf(v, 1) {
 			return false
@@ -209,7 +233,7 @@
 	return s.Witness != "" && s.Age >= 0 && s.Span > 0 && s.Endpoints >= 0 && s.Held >= 0
 }
 
-// Order is that of Read's users: by destination, zone, witness.
+// Order compares samples as Read orders them: by destination, zone, witness.
 func Order(a, b *sight.Sighting) int {
 	if c := comparePlace(&a.Place, &b.Place); c != 0 {
 		return c
@@ -224,9 +248,9 @@
 	return cmp.Compare(a.Zone, b.Zone)
 }
 
-// compare settles which of two sightings stays that one witness told of one place and time: any rule will do that
-// does not hang on which came first. The later count of one moment is the larger.
-func compare(a, b *sight.Sighting) int {
+// compareSamples decides which of two samples of one witness, place and time is retained. Any rule that does not depend
+// on the order of arrival will do; of one moment's counts the later is the larger.
+func compareSamples(a, b *sight.Sighting) int {
 	return cmp.Or(cmp.Compare(a.Span, b.Span), cmp.Compare(a.Sent, b.Sent), cmp.Compare(a.Done, b.Done),
 		cmp.Compare(a.Failed, b.Failed), cmp.Compare(a.Silent, b.Silent), cmp.Compare(a.Refused, b.Refused),
 		cmp.Compare(a.Limit, b.Limit), cmp.Compare(a.Rating, b.Rating), cmp.Compare(a.Endpoints, b.Endpoints),
--- a/internal/cluster/evidence/table/table_test.go
+++ b/internal/cluster/evidence/table/table_test.go
@@ -14,42 +14,42 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// drawn is a sighting and when it was; few of each, so that they meet.
-func drawn(t *rapid.T) seen {
-	return seen{time.Duration(rapid.IntRange(0, 8).Draw(t, "at")) * time.Second, sight.Sighting{
+// drawObservation draws from few places, witnesses and times, so that observations collide.
+func drawObservation(t *rapid.T) observation {
+	return observation{time.Duration(rapid.IntRange(0, 8).Draw(t, "at")) * time.Second, sight.Sighting{
 		Place: sight.Place{Destination: choice.DestinationID(rapid.IntRange(1, 3).Draw(t, "d")),
 			Zone: rapid.SampledFrom([]view.Zone{"e", "w"}).Draw(t, "z")},
 		Witness: rapid.SampledFrom([]view.Name{"a", "b", "c"}).Draw(t, "w"), Span: time.Second,
 		Sent: float64(rapid.IntRange(0, 2).Draw(t, "n"))}}
 }
 
-func (n seen) aged(now view.Now) sight.Sighting {
-	s := n.s
+func (n observation) sampleAt(now view.Now) sight.Sighting {
+	s := n.sample
 	s.Age = now - n.at
 	return s
 }
 
 const end = 10 * time.Second
 
-// However sightings come, twice or late, the same is kept: all of it while there is room for the places, and else of
-// the same places.
+// TestOrderDoesNotMatter: whatever the order of samples, duplicates and delays, the table holds the same: all of it while
+// there are rows for all places, and otherwise of the same places.
 func TestOrderDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		all := rapid.SliceOfN(rapid.Custom(drawn), 1, 30).Draw(t, "all")
+		all := rapid.SliceOfN(rapid.Custom(drawObservation), 1, 30).Draw(t, "all")
 		b := Bounds{rapid.IntRange(1, 6).Draw(t, "rows"), rapid.IntRange(1, 3).Draw(t, "witnesses"), time.Minute}
 		one, two := Make(b), Make(b)
 		for _, n := range all {
-			one.Take(n.at, n.aged(n.at)) // as it is seen
+			one.Take(n.at, n.sampleAt(n.at)) // as it is observed
 		}
 		for _, n := range rapid.Permutation(all).Draw(t, "late") {
-			now := max(n.at, rapid.Custom(drawn).Draw(t, "later").at)
-			two.Take(now, n.aged(now))
+			now := max(n.at, rapid.Custom(drawObservation).Draw(t, "later").at)
+			two.Take(now, n.sampleAt(now))
 			before := two.Read(end)
-			if again := two.Take(end, n.aged(end)); again == New || again == Newer {
-				t.Fatal("a second time it was news", n, again)
+			if again := two.Take(end, n.sampleAt(end)); again == New || again == Newer {
+				t.Fatal("a repeated sample was new", n, again)
 			}
 			if d := cmp.Diff(before, two.Read(end)); d != "" {
-				t.Fatal("a second time it changed", d)
+				t.Fatal("a repeated sample changed the table", d)
 			}
 		}
 		got, want := two.Read(end), one.Read(end)
@@ -74,44 +74,44 @@
 	return only
 }
 
-// Against a list of all that was told: what is read is the newest of each witness, the newest witnesses of each place,
-// none too old, none from before its destination was forgotten.
+// TestAgainstAList compares the table with a list of all samples: Read returns the newest sample of each witness, of the
+// newest witnesses of each place, none too old and none from before its destination was forgotten.
 func TestAgainstAList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const keep, most = 4 * time.Second, 2
 		table := Make(Bounds{6, most, keep})
-		var told []seen
-		void := map[choice.DestinationID]view.Now{}
+		var accepted []observation
+		forgottenAt := map[choice.DestinationID]view.Now{}
 		now := view.Now(0)
 		t.Repeat(map[string]func(*rapid.T){
 			"take": func(t *rapid.T) {
-				n := drawn(t)
+				n := drawObservation(t)
 				n.at = now - n.at
-				when, is := void[n.s.Destination]
-				is = is && n.at-n.s.Span < when
-				if (table.Take(now, n.aged(now)) == Void) != (is && now-n.at <= keep) {
+				when, is := forgottenAt[n.sample.Destination]
+				is = is && n.at-n.sample.Span < when
+				if (table.Take(now, n.sampleAt(now)) == Forgotten) != (is && now-n.at <= keep) {
 					t.Fatal("void or not", n, when)
 				}
 				if !is {
-					told = append(told, n)
+					accepted = append(accepted, n)
 				}
 			},
 			"forget": func(t *rapid.T) {
-				d := drawn(t).s.Destination
+				d := drawObservation(t).sample.Destination
 				table.Forget(now, d)
-				void[d] = now
-				told = slices.DeleteFunc(told, func(n seen) bool { return n.s.Destination == d })
+				forgottenAt[d] = now
+				accepted = slices.DeleteFunc(accepted, func(n observation) bool { return n.sample.Destination == d })
 			},
 			"wait": func(t *rapid.T) {
-				now += drawn(t).at / 3
-				for d, when := range void {
+				now += drawObservation(t).at / 3
+				for d, when := range forgottenAt {
 					if now-when > 2*keep {
-						delete(void, d)
+						delete(forgottenAt, d)
 					}
 				}
 			},
 			"": func(t *rapid.T) {
-				if d := cmp.Diff(newest(told, now, keep, most), table.Read(now)); d != "" {
+				if d := cmp.Diff(referenceRead(accepted, now, keep, most), table.Read(now)); d != "" {
 					t.Fatal(d)
 				}
 			},
@@ -119,28 +119,28 @@
 	})
 }
 
-func newest(told []seen, now view.Now, keep time.Duration, most int) (all []sight.Sighting) {
-	by := slices.Clone(told)
-	slices.SortFunc(by, func(a, b seen) int {
-		if c := newer(&b, &a); c != 0 {
+func referenceRead(accepted []observation, now view.Now, keep time.Duration, most int) (all []sight.Sighting) {
+	newestFirst := slices.Clone(accepted)
+	slices.SortFunc(newestFirst, func(a, b observation) int {
+		if c := compareAge(&b, &a); c != 0 {
 			return c
 		}
-		return compare(&b.s, &a.s)
+		return compareSamples(&b.sample, &a.sample)
 	})
-	count, has := map[sight.Place]int{}, map[sight.Sighting]bool{}
-	for _, n := range by {
-		who := sight.Sighting{Place: n.s.Place, Witness: n.s.Witness}
-		if count[n.s.Place] < most && !has[who] && now-n.at <= keep {
-			count[n.s.Place]++
-			has[who] = true
-			all = append(all, n.aged(now))
+	count, counted := map[sight.Place]int{}, map[sight.Sighting]bool{}
+	for _, n := range newestFirst {
+		source := sight.Sighting{Place: n.sample.Place, Witness: n.sample.Witness}
+		if count[n.sample.Place] < most && !counted[source] && now-n.at <= keep {
+			count[n.sample.Place]++
+			counted[source] = true
+			all = append(all, n.sampleAt(now))
 		}
 	}
 	slices.SortFunc(all, func(a, b sight.Sighting) int { return Order(&a, &b) })
 	return all
 }
 
-func TestUnsoundAndForgottenAreBounded(t *testing.T) {
+func TestInvalidSamplesAndForgottenBound(t *testing.T) {
 	table := Make(Bounds{4, 1, time.Minute})
 	good := sight.Sighting{Place: sight.Place{Destination: 1}, Witness: "a", Span: time.Second}
 	for i, spoil := range []func(s *sight.Sighting){
@@ -149,18 +149,18 @@
 		func(s *sight.Sighting) { s.Age = -1 },
 		func(s *sight.Sighting) { s.Held = -1 }, func(s *sight.Sighting) { s.Witness = "" }} {
 		s := good
-		if spoil(&s); table.Take(end, s) != Unsound {
+		if spoil(&s); table.Take(end, s) != Invalid {
 			t.Error(i)
 		}
 	}
 	endless := good
-	if endless.Span = math.MaxInt64; table.Take(end, endless) != Older {
-		t.Error("took a span that reaches back beyond what is kept")
+	if endless.Span = math.MaxInt64; table.Take(end, endless) != Outdated {
+		t.Error("accepted a span that reaches back beyond Keep")
 	}
 	for d := choice.DestinationID(50); d > 0; d-- { // all at once, each lower than those before
 		table.Forget(end, d)
 	}
-	if len(table.void) != 4 || table.Take(end, good) != Void {
-		t.Fatal(table.void)
+	if len(table.forgottenAt) != 4 || table.Take(end, good) != Forgotten {
+		t.Fatal(table.forgottenAt)
 	}
 }
