--- a/internal/cluster/tree/rendezvous.go
+++ b/internal/cluster/tree/rendezvous.go
@@ -1,7 +1,7 @@
 package tree
 
-// This file draws coordinators and keeps groups small. Both are by rendezvous hashing: what one process does, coming
-// or going, moves none but those who reported to it, short of a group that doubles or halves.
+// This file selects coordinators and limits the size of groups, both by rendezvous hashing: a process that joins or
+// leaves moves only those who reported to it, unless the number of groups doubles or halves.
 
 import (
 	"cmp"
@@ -14,20 +14,21 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// score ranks a candidate for a group; the greatest leads.
+// score ranks a candidate for a group; the highest becomes its coordinator.
 func score(kind, group, candidate string) uint64 {
 	return xxhash.Sum64String(kind + "\x00" + group + "\x00" + candidate)
 }
 
-// first draws a group's coordinator: a large one where there is any. Of an empty group it is the zero node.
-func first(kind, group string, all []node) node {
-	return slices.MaxFunc(all, func(a, b node) int {
-		return cmp.Or(boolean(a.large, b.large), cmp.Compare(score(kind, group, a.under), score(kind, group, b.under)),
-			cmp.Compare(b.under, a.under))
+// selectCoordinator returns a group's coordinator: a large process if there is any. It panics for an empty group.
+func selectCoordinator(kind, group string, candidates []candidate) candidate {
+	return slices.MaxFunc(candidates, func(a, b candidate) int {
+		return cmp.Or(compareBools(a.large, b.large), cmp.Compare(score(kind, group, a.key), score(kind, group, b.key)),
+			cmp.Compare(b.key, a.key))
 	})
 }
 
-func boolean(a, b bool) int {
+// compareBools orders false before true.
+func compareBools(a, b bool) int {
 	switch {
 	case a == b:
 		return 0
@@ -37,43 +38,46 @@
 	return -1
 }
 
-// gather has all but the head report to it: at once where they are few, else by groups, each through one of its own,
-// and so on within these. Into which group a member falls hangs on its own name alone: one that leaves, be it the one
-// that a group reports through, moves no other group. What moves more is a bound that is crossed: a group that now
-// fits without a further level, or so many members that there are half or twice as many groups. A group without a
-// large process is led by a small one: a bound that holds is worth more here than a small process spared.
-func (t *Tree) gather(key string, head node, all []node) {
-	rest := slices.DeleteFunc(slices.Clone(all), func(n node) bool { return n.name == head.name })
-	if len(rest) <= Fan {
-		for _, n := range rest {
-			t.report(n.name, head.name)
+// assignChildren makes all candidates but the head report to it: directly if they are few, otherwise in groups, each
+// through a coordinator of its own, and so on within the groups.
+//
+// A member's group depends on its own key alone: one that leaves, even a group's coordinator, moves no other group. More
+// members move only when a bound is crossed: a group then fits without a further level, or there are half or twice as
+// many groups. A group without a large process is coordinated by a small one: keeping the bound on children matters
+// more here than sparing a small process.
+func (t *Tree) assignChildren(key string, head candidate, candidates []candidate) {
+	others := slices.DeleteFunc(slices.Clone(candidates), func(n candidate) bool { return n.name == head.name })
+	if len(others) <= Fan {
+		for _, n := range others {
+			t.setParent(n.name, head.name)
 		}
 		return
 	}
-	for no, group := range groups(key, rest) {
+	for no, group := range partition(key, others) {
 		if len(group) == 0 {
 			continue
 		}
-		sub := key + "\x00" + strconv.Itoa(no)
-		through := first("group", sub, group)
-		t.report(through.name, head.name)
-		t.gather(sub, through, group)
+		groupKey := key + "\x00" + strconv.Itoa(no)
+		coordinator := selectCoordinator("group", groupKey, group)
+		t.setParent(coordinator.name, head.name)
+		t.assignChildren(groupKey, coordinator, group)
 	}
 }
 
-// groups deals members by the lowest bits of a hash, so that twice as many groups are the same ones, each in two.
-// They are half full on average: a full one would spill over into a further level by chance.
-func groups(key string, rest []node) [][]node {
-	count := min(Fan, 1<<bits.Len(uint(2*len(rest)/Fan)))
-	dealt := make([][]node, count)
-	for _, n := range rest {
-		no := score("deal", key, n.under) & uint64(count-1)
-		dealt[no] = append(dealt[no], n)
+// partition distributes candidates by the lowest bits of a hash, so that doubling the number of groups splits each in
+// two. Groups are half full on average: full ones would often need a further level by chance.
+func partition(key string, candidates []candidate) [][]candidate {
+	count := min(Fan, 1<<bits.Len(uint(2*len(candidates)/Fan)))
+	groups := make([][]candidate, count)
+	for _, n := range candidates {
+		i := score("deal", key, n.key) & uint64(count-1)
+		groups[i] = append(groups[i], n)
 	}
-	return dealt
+	return groups
 }
 
-func (t *Tree) report(p, to view.Name) {
-	t.parents[p] = to
-	t.children[to] = append(t.children[to], p)
+// setParent makes child report to parent.
+func (t *Tree) setParent(child, parent view.Name) {
+	t.parents[child] = parent
+	t.children[parent] = append(t.children[parent], child)
 }
--- a/internal/cluster/tree/tree_test.go
+++ b/internal/cluster/tree/tree_test.go
@@ -25,9 +25,9 @@
 	return all
 }
 
-// sound checks what holds of every tree: one root, everybody under it within the depth, both directions agree, and
-// no role with more than Fan.
-func sound(t interface{ Fatalf(string, ...any) }, tr *Tree, members []view.Member, depth int) {
+// checkInvariants checks what holds of every tree: one root that every member reaches within the depth, parents and
+// children that agree, and no role with more than Fan children.
+func checkInvariants(t interface{ Fatalf(string, ...any) }, tr *Tree, members []view.Member, depth int) {
 	here := 0
 	for _, m := range members {
 		if !m.Here() {
@@ -64,7 +64,7 @@
 	}
 }
 
-func TestEveryTreeIsSoundWhateverTheOrder(t *testing.T) {
+func TestInvariantsAndOrderIndependence(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := rapid.SliceOfNDistinct(rapid.Custom(func(t *rapid.T) view.Member {
 			z := rapid.IntRange(0, 5).Draw(t, "zone")
@@ -77,7 +77,7 @@
 			}
 		}), 0, 120, func(m view.Member) view.Name { return m.Name }).Draw(t, "members")
 		tr := Derive(view.Make("p0", 1, members))
-		sound(t, tr, members, 5)
+		checkInvariants(t, tr, members, 5)
 		shuffled := rapid.Permutation(members).Draw(t, "order")
 		other := Derive(&view.View{Self: "p1", No: 9, Members: shuffled})
 		if d := cmp.Diff(tr, other, cmp.AllowUnexported(Tree{})); d != "" {
@@ -97,7 +97,7 @@
 	})
 }
 
-func TestHeadsAreOfTheirNodes(t *testing.T) {
+func TestHeadsBelongToTheirGroups(t *testing.T) {
 	tr := Derive(view.Make("", 1, fleet(300, 12, 4)))
 	for _, r := range tr.Regions() {
 		among := false
@@ -116,8 +116,9 @@
 	}
 }
 
-// TestOneGoesAndFewMove: of 300 without groups nobody but those who reported to the one that goes has another parent.
-func TestOneGoesAndFewMove(t *testing.T) {
+// TestDepartureMovesOnlyItsChildren: of 300 members without groups only the children of the one that leaves get another
+// parent.
+func TestDepartureMovesOnlyItsChildren(t *testing.T) {
 	all := fleet(300, 12, 4)
 	before := Derive(view.Make("", 1, all))
 	for i, gone := range all {
@@ -133,20 +134,20 @@
 	}
 }
 
-func TestAtSizeNobodyHasTooMany(t *testing.T) {
+func TestFanAtSize(t *testing.T) {
 	for _, c := range []struct{ processes, zones, regions, most, depth int }{
 		{1000, 12, 4, Fan, 4}, {1000, 1, 1, Fan, 3}, {1000, 200, 2, 2 * Fan, 6}, {3000, 3, 3, 2 * Fan, 6}, {1, 1, 1, 0, 0},
 	} {
 		all := fleet(c.processes, c.zones, c.regions)
 		rand.New(rand.NewPCG(1, 2)).Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 		tr := Derive(view.Make("", 1, all))
-		sound(t, tr, all, c.depth)
+		checkInvariants(t, tr, all, c.depth)
 		for _, m := range all {
 			if n := len(tr.Children(m.Name)); n > c.most {
 				t.Errorf("%+v: %s has %d children", c, m.Name, n)
 			}
 		}
-		// In groups too, one that coordinates nothing moves nobody, or one group that now fits without a level.
+		// With groups too: a leaving member without children moves nobody, or one group that now fits without a level.
 		for i, gone := range all {
 			if i > 20 || len(tr.Children(gone.Name)) > 0 || c.processes == 1 {
 				continue
@@ -166,7 +167,7 @@
 	}
 }
 
-func TestNobodyHere(t *testing.T) {
+func TestEmptyViews(t *testing.T) {
 	dead := view.Make("a", 1, []view.Member{{Life: view.Life{Name: "a"}, State: view.Dead}})
 	for _, v := range []*view.View{nil, {}, dead} {
 		if tr := Derive(v); tr.Root() != "" || len(tr.Regions()) != 0 {
@@ -175,7 +176,7 @@
 	}
 }
 
-func BenchmarkDeriveOfAThousand(b *testing.B) {
+func BenchmarkDerive(b *testing.B) {
 	v := view.Make("", 1, fleet(1000, 12, 4))
 	for b.Loop() {
 		Derive(v)
