--- a/internal/cluster/settings/address.go
+++ b/internal/cluster/settings/address.go
@@ -9,15 +9,16 @@
 
 const loopback = "127.0.0.1"
 
-// heard is an address to listen at: host:port, the host 127.0.0.1 if left out. One beyond loopback must be asked for.
-func (c *checker) heard(path string, leaf any, beyond bool) string {
-	s, is := c.text(path, leaf)
-	if !is {
+// listenAddress returns an address to listen on: host:port, with host 127.0.0.1 if omitted. One beyond loopback must be
+// permitted.
+func (c *checker) listenAddress(path string, leaf any, beyondLoopback bool) string {
+	s, ok := c.text(path, leaf)
+	if !ok {
 		return ""
 	}
-	host, port, err := split(s)
+	host, port, err := splitHostPort(s)
 	if err != nil {
-		c.wrong(path, "%v", err)
+		c.reject(path, "%v", err)
 		return ""
 	}
 	if host == "" || host == "localhost" {
@@ -26,34 +27,34 @@
 	ip, err := netip.ParseAddr(host)
 	switch {
 	case err != nil:
-		c.wrong(path, "%q: to listen takes an IP address, not a name", s)
+		c.reject(path, "%q: to listen takes an IP address, not a name", s)
 	case ip.IsUnspecified():
-		c.wrong(path, "%q tells others no address to come to; name one", s)
-	case !ip.IsLoopback() && !beyond:
-		c.wrong(path, "%q is not on loopback, and here.beyond_loopback is not set", s)
+		c.reject(path, "%q tells others no address to come to; name one", s)
+	case !ip.IsLoopback() && !beyondLoopback:
+		c.reject(path, "%q is not on loopback, and here.beyond_loopback is not set", s)
 	}
 	return net.JoinHostPort(host, port)
 }
 
-// reached is an address to dial: host:port.
-func (c *checker) reached(path string, leaf any) string {
-	s, is := c.text(path, leaf)
-	if !is {
+// dialAddress returns an address to dial: host:port.
+func (c *checker) dialAddress(path string, leaf any) string {
+	s, ok := c.text(path, leaf)
+	if !ok {
 		return ""
 	}
-	host, port, err := split(s)
+	host, port, err := splitHostPort(s)
 	switch {
 	case err != nil:
-		c.wrong(path, "%v", err)
+		c.reject(path, "%v", err)
 		return ""
 	case host == "":
-		c.wrong(path, "%q has no host", s)
+		c.reject(path, "%q has no host", s)
 	}
 	return net.JoinHostPort(host, port)
 }
 
-// split parts host and port. Port 0 is refused: what the system draws, nobody else would know.
-func split(s string) (host, port string, err error) {
+// splitHostPort splits host and port. Port 0 is rejected: nobody else would know the port that the system assigns.
+func splitHostPort(s string) (host, port string, err error) {
 	host, port, err = net.SplitHostPort(s)
 	if err != nil || port == "" {
 		return "", "", fmt.Errorf("%q is not host:port", s)
@@ -64,16 +65,17 @@
 	return host, port, nil
 }
 
-// takenBy tells which field has an address already, by address. Those of one kind may not be one: gossip and others
-// share TCP, so that no two of all may.
-type takenBy map[string]string
+// claimedAddresses holds which field has claimed an address, by address. No two fields may have the same one, as all
+// kinds use TCP.
+type claimedAddresses map[string]string
 
-func (t takenBy) take(c *checker, path, address string) {
+// claim records a field's address, or reports that another field has it.
+func (t claimedAddresses) claim(c *checker, path, address string) {
 	if address == "" {
 		return
 	}
-	if by, taken := t[address]; taken {
-		c.wrong(path, "%s is taken by %s", address, by)
+	if owner, taken := t[address]; taken {
+		c.reject(path, "%s is taken by %s", address, owner)
 		return
 	}
 	t[address] = path
--- a/internal/cluster/settings/check.go
+++ b/internal/cluster/settings/check.go
@@ -9,140 +9,169 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// settings turns a form into settings and gathers all that is wrong on the way.
+// settings turns the decoded file into settings and records every problem that it finds.
 func (c *checker) settings(f *form) *Settings {
 	s := &Settings{Cluster: c.name("name", f.Name), Zones: map[view.Zone]view.Region{}}
 	for _, zone := range slices.Sorted(maps.Keys(f.Zones)) {
 		path := "zones." + zone
-		if !named.MatchString(zone) {
-			c.wrong(path, "%q is no name: %s", zone, naming)
+		if !validName.MatchString(zone) {
+			c.reject(path, "%q is no name: %s", zone, nameRule)
 		}
 		s.Zones[view.Zone(zone)] = view.Region(c.name(path, f.Zones[zone]))
 	}
-	taken := takenBy{}
-	s.Here = c.here(&f.Here, s.Zones, taken)
-	s.Members = c.members(f.Members, s, taken)
+	claimed := claimedAddresses{}
+	s.Here = c.here(&f.Here, s.Zones, claimed)
+	s.Members = c.members(f.Members, s, claimed)
 	s.Founders = c.founders(f.Founders, s)
-	s.Uses = Uses{c.yes("uses.failover", f.Uses.Failover), c.yes("uses.purges", f.Uses.Purges),
-		c.yes("uses.popularity", f.Uses.Popularity), c.yes("uses.configuration", f.Uses.Configuration)}
-	b := &f.Bounds
-	s.Bounds = Bounds{
-		Destinations: c.number("bounds.destinations", b.Destinations,
-			defaultDestinations, leastDestinations, mostDestinations),
-		SmallDestinations: c.number("bounds.small_destinations", b.SmallDestinations, defaultSmall, leastSmall, mostSmall),
-		SmallBytes:        c.number("bounds.small_bytes", b.SmallBytes, defaultBytes, leastBytes, mostBytes),
-		Purges:            c.number("bounds.purges", b.Purges, defaultPurges, leastPurges, mostPurges),
+	s.Uses = Uses{
+		Failover:      c.boolean("uses.failover", f.Uses.Failover),
+		Purges:        c.boolean("uses.purges", f.Uses.Purges),
+		Popularity:    c.boolean("uses.popularity", f.Uses.Popularity),
+		Configuration: c.boolean("uses.configuration", f.Uses.Configuration),
 	}
+	s.Bounds = c.bounds(&f.Bounds)
 	return s
 }
 
-func (c *checker) here(f *here, zones map[view.Zone]view.Region, taken takenBy) Here {
+// bounds reads the table [bounds].
+func (c *checker) bounds(f *bounds) Bounds {
+	return Bounds{
+		Destinations: c.number("bounds.destinations", f.Destinations, defaultDestinations, minDestinations, maxDestinations),
+		SmallDestinations: c.number("bounds.small_destinations", f.SmallDestinations,
+			defaultSmallDestinations, minSmallDestinations, maxSmallDestinations),
+		SmallBytes: c.number("bounds.small_bytes", f.SmallBytes, defaultSmallBytes, minSmallBytes, maxSmallBytes),
+		Purges:     c.number("bounds.purges", f.Purges, defaultPurges, minPurges, maxPurges),
+	}
+}
+
+// here reads the table [here].
+func (c *checker) here(f *here, zones map[view.Zone]view.Region, claimed claimedAddresses) Here {
 	h := Here{Name: view.Name(c.name("here.process", f.Process)), Size: view.Large}
 	h.Zone, h.Region = c.zone("here.zone", f.Zone, zones)
 	if f.Size != nil {
-		word, is := c.text("here.size", f.Size)
-		if h.Size = view.Size(word); is && h.Size != view.Large && h.Size != view.Small {
-			c.wrong("here.size", "%q is neither large nor small", word)
+		word, ok := c.text("here.size", f.Size)
+		if h.Size = view.Size(word); ok && h.Size != view.Large && h.Size != view.Small {
+			c.reject("here.size", "%q is neither large nor small", word)
 		}
 	}
 	h.Folder, _ = c.text("here.folder", f.Folder)
-	beyond := c.yes("here.beyond_loopback", f.BeyondLoopback)
-	h.Listen = Addresses{c.heard("here.gossip", f.Gossip, beyond), c.heard("here.council", f.Council, beyond),
-		c.heard("here.http", f.HTTP, beyond)}
-	taken.take(c, "here.gossip", h.Listen.Gossip)
-	taken.take(c, "here.council", h.Listen.Council)
-	taken.take(c, "here.http", h.Listen.HTTP)
+	beyondLoopback := c.boolean("here.beyond_loopback", f.BeyondLoopback)
+	h.Listen = Addresses{
+		c.listenAddress("here.gossip", f.Gossip, beyondLoopback),
+		c.listenAddress("here.council", f.Council, beyondLoopback),
+		c.listenAddress("here.http", f.HTTP, beyondLoopback),
+	}
+	claimed.claim(c, "here.gossip", h.Listen.Gossip)
+	claimed.claim(c, "here.council", h.Listen.Council)
+	claimed.claim(c, "here.http", h.Listen.HTTP)
 	return h
 }
 
-// zone is a leaf's zone and the region it is in.
+// zone returns the zone that a value names, and its region.
 func (c *checker) zone(path string, leaf any, zones map[view.Zone]view.Region) (view.Zone, view.Region) {
 	zone := view.Zone(c.name(path, leaf))
 	region, known := zones[zone]
 	if zone != "" && !known {
-		c.wrong(path, "%q has no region under zones", zone)
+		c.reject(path, "%q has no region under zones", zone)
 	}
 	return zone, region
 }
 
-func (c *checker) members(forms []member, s *Settings, taken takenBy) (all []Member) {
-	if len(forms) > mostMembers {
-		c.wrong(fmt.Sprintf("member[%d]", mostMembers), "%d members; at most %d", len(forms), mostMembers)
+// members reads the tables [[member]], sorted by name.
+func (c *checker) members(forms []member, s *Settings, claimed claimedAddresses) (members []Member) {
+	if len(forms) > maxMembers {
+		c.reject(fmt.Sprintf("member[%d]", maxMembers), "%d members; at most %d", len(forms), maxMembers)
 	}
-	first := map[view.Name]int{}
+	firstIndex := map[view.Name]int{}
 	for i := range forms {
 		f, at := &forms[i], fmt.Sprintf("member[%d].", i)
 		m := Member{Name: view.Name(c.name(at+"name", f.Name))}
 		m.Zone, m.Region = c.zone(at+"zone", f.Zone, s.Zones)
-		if j, twice := first[m.Name]; twice && m.Name != "" {
-			c.wrong(at+"name", "%q is taken by member[%d]", m.Name, j)
+		if j, twice := firstIndex[m.Name]; twice && m.Name != "" {
+			c.reject(at+"name", "%q is taken by member[%d]", m.Name, j)
 		} else {
-			first[m.Name] = i
+			firstIndex[m.Name] = i
 		}
 		self := m.Name != "" && m.Name == s.Here.Name
 		if self && m.Zone != "" && s.Here.Zone != "" && m.Zone != s.Here.Zone {
-			c.wrong(at+"zone", "%q is this process, and here.zone is %q", m.Zone, s.Here.Zone)
+			c.reject(at+"zone", "%q is this process, and here.zone is %q", m.Zone, s.Here.Zone)
 		}
-		m.Reach = Addresses{c.reach(at+"gossip", f.Gossip, self, s.Here.Listen.Gossip, taken),
-			c.reach(at+"council", f.Council, self, s.Here.Listen.Council, taken),
-			c.reach(at+"http", f.HTTP, self, s.Here.Listen.HTTP, taken)}
-		all = append(all, m)
+		m.Reach = Addresses{c.memberAddress(at+"gossip", f.Gossip, self, s.Here.Listen.Gossip, claimed),
+			c.memberAddress(at+"council", f.Council, self, s.Here.Listen.Council, claimed),
+			c.memberAddress(at+"http", f.HTTP, self, s.Here.Listen.HTTP, claimed)}
+		members = append(members, m)
 	}
-	slices.SortFunc(all, func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
-	return all
+	slices.SortFunc(members, func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
+	return members
 }
 
-// reach is where a member is reached. This process's own may be left out, and is where it listens then.
-func (c *checker) reach(path string, leaf any, self bool, own string, taken takenBy) string {
+// memberAddress returns where a member is reached. This process's own address may be omitted, and is then where it
+// listens.
+func (c *checker) memberAddress(path string, leaf any, self bool, own string, claimed claimedAddresses) string {
 	if self && leaf == nil {
 		return own
 	}
-	address := c.reached(path, leaf)
+	address := c.dialAddress(path, leaf)
 	if !self || address != own {
-		taken.take(c, path, address)
+		claimed.claim(c, path, address)
 	}
 	return address
 }
 
-func (c *checker) founders(leaf any, s *Settings) (all []view.Name) {
+// founders reads the names of the consensus group's first voters, sorted.
+func (c *checker) founders(leaf any, s *Settings) (founders []view.Name) {
 	const path = "founders"
-	list, is := leaf.([]any)
-	if leaf != nil && !is {
-		c.wrong(path, "takes a list of names, not %v", leaf)
+	list, isList := leaf.([]any)
+	if leaf != nil && !isList {
+		c.reject(path, "takes a list of names, not %v", leaf)
 		return nil
 	}
-	if len(list) < 1 || len(list) > mostFounders {
-		c.wrong(path, "%d named; 1 to %d begin a council", len(list), mostFounders)
+	if len(list) < 1 || len(list) > maxFounders {
+		c.reject(path, "%d named; 1 to %d begin a council", len(list), maxFounders)
 		return nil
 	}
-	zones := map[view.Zone]int{}
-	for _, each := range list {
-		name := view.Name(c.name(path, each))
-		i := slices.IndexFunc(s.Members, func(m Member) bool { return m.Name == name })
+	perZone := map[view.Zone]int{}
+	for _, entry := range list {
+		name := view.Name(c.name(path, entry))
 		switch {
 		case name == "":
 			continue
-		case slices.Contains(all, name):
-			c.wrong(path, "%q stands twice", name)
+		case slices.Contains(founders, name):
+			c.reject(path, "%q stands twice", name)
 			continue
-		case i >= 0:
-			zones[s.Members[i].Zone]++
-		case name == s.Here.Name:
-			zones[s.Here.Zone]++
-		default:
-			c.wrong(path, "%q is neither a member nor this process", name)
 		}
-		all = append(all, name)
+		if zone, known := s.zoneOf(name); known {
+			perZone[zone]++
+		} else {
+			c.reject(path, "%q is neither a member nor this process", name)
+		}
+		founders = append(founders, name)
 	}
-	slices.Sort(all)
-	if len(all)%2 == 0 {
-		s.Advice = append(s.Advice, fmt.Sprintf("founders: %d outlast no more losses than %d", len(all), len(all)-1))
+	slices.Sort(founders)
+	s.Advice = append(s.Advice, founderAdvice(len(founders), perZone)...)
+	return founders
+}
+
+// zoneOf returns the zone of a member or of this process.
+func (s *Settings) zoneOf(name view.Name) (zone view.Zone, known bool) {
+	if i := slices.IndexFunc(s.Members, func(m Member) bool { return m.Name == name }); i >= 0 {
+		return s.Members[i].Zone, true
+	}
+	if name == s.Here.Name {
+		return s.Here.Zone, true
+	}
+	return "", false
+}
+
+// founderAdvice warns of an even number of founders, and of a zone whose loss would cost the majority.
+func founderAdvice(founders int, perZone map[view.Zone]int) (advice []string) {
+	if founders%2 == 0 {
+		advice = append(advice, fmt.Sprintf("founders: %d outlast no more losses than %d", founders, founders-1))
 	}
-	for _, zone := range slices.Sorted(maps.Keys(zones)) {
-		if n := zones[zone]; n > 1 && 2*n >= len(all) {
-			s.Advice = append(s.Advice,
-				fmt.Sprintf("founders: %d of %d are in zone %q; without it nothing is decided", n, len(all), zone))
+	for _, zone := range slices.Sorted(maps.Keys(perZone)) {
+		if n := perZone[zone]; n > 1 && 2*n >= founders {
+			advice = append(advice, fmt.Sprintf("founders: %d of %d are in zone %q; without it nothing is decided", n, founders, zone))
 		}
 	}
-	return all
+	return advice
 }
--- a/internal/cluster/settings/folder/folder.go
+++ b/internal/cluster/settings/folder/folder.go
@@ -1,9 +1,9 @@
-// Package folder keeps what lasts of one process's lives in the cluster: a number that grows with each, and an id of
-// the folder itself.
+// Package folder stores a process's identity in the cluster across restarts: its incarnation, which grows with each
+// start, and an id of the folder itself.
 //
-// It owns the file life.json and a lock in the folder; what else is there belongs to others. A number is on disk
-// before it is told, so that no two lives share one. It must never make up for a file that it cannot read: who that
-// folder belonged to is not known then, and a person decides.
+// It owns the file life.json and a lock in the folder; other files there belong to other packages. An incarnation is on
+// disk before it is announced, so that no two starts share one. It must never replace a file that it cannot read: whose
+// folder it was is then unknown, and an operator must decide.
 package folder
 
 import (
@@ -28,32 +28,33 @@
 	lifeFile = "life.json"
 	tempFile = "life.json.new"
 	lockFile = "life.lock"
-	// idBytes makes two folders of one id unthinkable.
+	// idBytes is the length of a random id; two folders practically never draw the same.
 	idBytes = 16
-	// mostBytes is far over the file's length: what is longer is another file.
-	mostBytes = 4 << 10
+	// maxFileBytes is far above the file's length: a longer one is another file.
+	maxFileBytes = 4 << 10
 )
 
-var isID = regexp.MustCompile(`^[0-9a-f]{32}$`)
+// idPattern matches a folder's id.
+var idPattern = regexp.MustCompile(`^[0-9a-f]{32}$`)
 
-// kept is the file.
-type kept struct {
+// lifeRecord is the content of life.json.
+type lifeRecord struct {
 	Folder      string           `json:"folder"`
 	Incarnation view.Incarnation `json:"incarnation"`
 }
 
-// Folder is an open one, of this process alone until Close. It is for one goroutine, at the process's start.
+// Folder is an open folder, locked for this process until Close. It is not safe for concurrent use.
 type Folder struct {
 	Path        string
-	ID          string           // drawn when it was made
-	Empty       bool             // it was made just now: what its name held before, if anything, is lost
-	Incarnation view.Incarnation // of this life; on disk
+	ID          string           // random, drawn when the folder was created
+	Empty       bool             // created by Open: what the process had stored before, if anything, is lost
+	Incarnation view.Incarnation // of this start; on disk
 
 	lock *os.File
 }
 
-// Open takes a folder, makes it if there is none, and begins a life in it. It fails if another process has it, if its
-// file cannot be read, or if it holds files of others but none of ours; the error names what is in the way.
+// Open locks a folder, creates it if missing, and starts a new incarnation in it. It fails if another process has it,
+// if life.json cannot be read, or if there is none but other files exist; the error names the file in question.
 func Open(path string) (*Folder, error) {
 	if err := os.MkdirAll(path, 0o750); err != nil {
 		return nil, err
@@ -67,83 +68,85 @@
 		lock.Close()
 		return nil, fmt.Errorf("%s: another process has this folder: %w", lock.Name(), err)
 	}
-	if err := f.begin(); err != nil {
+	if err := f.startLife(); err != nil {
 		lock.Close()
 		return nil, err
 	}
 	return f, nil
 }
 
-// begin reads or draws what lasts, and grows the number.
-func (f *Folder) begin() error {
-	k, err := f.read()
+// startLife reads or creates the record, and stores the next incarnation.
+func (f *Folder) startLife() error {
+	record, err := f.readRecord()
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
-		if k, err = f.first(); err != nil {
+		if record, err = f.newRecord(); err != nil {
 			return err
 		}
 	case err != nil:
 		return err
 	default:
-		k.Incarnation++
+		record.Incarnation++
 	}
-	f.ID, f.Incarnation = k.Folder, k.Incarnation
-	return f.write(k)
+	f.ID, f.Incarnation = record.Folder, record.Incarnation
+	return f.writeRecord(record)
 }
 
-// first is what a new folder begins with. Its number is drawn from the clock, so that a name that lost its disk
-// begins above what the lost folder had counted to; it is never read as a time. Where the clock went back, the others
-// still refuse it, tell what they have seen, and Raise goes above.
-func (f *Folder) first() (kept, error) {
+// newRecord returns the record of a new folder. Its incarnation is taken from the clock, so that a process that lost its
+// disk starts above the lost folder's incarnation; it is never read as a time. Should the clock have gone back, the
+// other processes reject the incarnation and report what they know, and Raise goes above that.
+func (f *Folder) newRecord() (lifeRecord, error) {
 	entries, err := os.ReadDir(f.Path)
 	if err != nil {
-		return kept{}, err
+		return lifeRecord{}, err
 	}
 	for _, e := range entries {
 		if e.Name() != tempFile && e.Name() != lockFile {
-			return kept{}, fmt.Errorf("%s: missing, and the folder holds %s: it is another's, or was damaged",
+			return lifeRecord{}, fmt.Errorf("%s: missing, and the folder holds %s: it is another's, or was damaged",
 				filepath.Join(f.Path, lifeFile), e.Name())
 		}
 	}
 	id := make([]byte, idBytes)
 	if _, err := rand.Read(id); err != nil {
-		return kept{}, err
+		return lifeRecord{}, err
 	}
 	f.Empty = true
-	return kept{hex.EncodeToString(id), view.Incarnation(max(1, time.Now().UnixMilli()))}, nil
+	return lifeRecord{hex.EncodeToString(id), view.Incarnation(max(1, time.Now().UnixMilli()))}, nil
 }
 
-func (f *Folder) read() (k kept, err error) {
+// readRecord reads and checks life.json.
+func (f *Folder) readRecord() (record lifeRecord, err error) {
 	path := filepath.Join(f.Path, lifeFile)
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return k, err
+		return record, err
 	}
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields()
-	switch err := d.Decode(&k); {
-	case len(text) > mostBytes:
-		return k, fmt.Errorf("%s: %d bytes; it is not this file", path, len(text))
+	switch err := d.Decode(&record); {
+	case len(text) > maxFileBytes:
+		return record, fmt.Errorf("%s: %d bytes; it is not this file", path, len(text))
 	case err != nil:
-		return k, fmt.Errorf("%s: torn or damaged: %w", path, err)
+		return record, fmt.Errorf("%s: torn or damaged: %w", path, err)
 	case d.More():
-		return k, fmt.Errorf("%s: damaged: more behind its end", path)
-	case !isID.MatchString(k.Folder):
-		return k, fmt.Errorf("%s: field folder: %q is no id of a folder", path, k.Folder)
-	case k.Incarnation == 0 || k.Incarnation >= math.MaxInt64:
-		return k, fmt.Errorf("%s: field incarnation: %d was never told", path, k.Incarnation)
+		return record, fmt.Errorf("%s: damaged: more behind its end", path)
+	case !idPattern.MatchString(record.Folder):
+		return record, fmt.Errorf("%s: field folder: %q is no id of a folder", path, record.Folder)
+	case record.Incarnation == 0 || record.Incarnation >= math.MaxInt64:
+		return record, fmt.Errorf("%s: field incarnation: %d was never told", path, record.Incarnation)
 	}
-	return k, nil
+	return record, nil
 }
 
-// write replaces the file whole, on disk when it returns: a file aside, its bytes, its name, then the folder.
-func (f *Folder) write(k kept) error {
-	text, err := json.Marshal(k)
+// writeRecord replaces the file atomically and durably: it writes and syncs a temporary file, renames it, and syncs the
+// folder.
+func (f *Folder) writeRecord(record lifeRecord) error {
+	text, err := json.Marshal(record)
 	if err != nil {
 		return err
 	}
-	aside := filepath.Join(f.Path, tempFile)
-	file, err := os.OpenFile(aside, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o640)
+	tempPath := filepath.Join(f.Path, tempFile)
+	file, err := os.OpenFile(tempPath, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o640)
 	if err != nil {
 		return err
 	}
@@ -151,7 +154,7 @@
 	if err = errors.Join(err, file.Sync(), file.Close()); err != nil {
 		return err
 	}
-	if err := os.Rename(aside, filepath.Join(f.Path, lifeFile)); err != nil {
+	if err := os.Rename(tempPath, filepath.Join(f.Path, lifeFile)); err != nil {
 		return err
 	}
 	dir, err := os.Open(f.Path)
@@ -161,9 +164,9 @@
 	return errors.Join(dir.Sync(), dir.Close())
 }
 
-// Raise puts this life above one that others have seen of the name, as after an old folder was put back. Only a life
-// that nobody has taken in yet may: one that was, and is refused now, has a successor, and two that raise in turn
-// would never settle.
+// Raise raises the incarnation above one that others know of this process's name, as after an old folder was restored.
+// Only a process that no other has accepted yet may do so: one that was accepted and is now rejected has a successor, and
+// two that raise in turn would never end.
 func (f *Folder) Raise(above view.Incarnation) error {
 	if above >= math.MaxInt64-1 {
 		return fmt.Errorf("%s: incarnation %d was never told", f.Path, above)
@@ -171,12 +174,12 @@
 	if above < f.Incarnation {
 		return nil
 	}
-	if err := f.write(kept{f.ID, above + 1}); err != nil {
+	if err := f.writeRecord(lifeRecord{f.ID, above + 1}); err != nil {
 		return err
 	}
 	f.Incarnation = above + 1
 	return nil
 }
 
-// Close lets another process have the folder.
+// Close unlocks the folder.
 func (f *Folder) Close() error { return f.lock.Close() }
--- a/internal/cluster/settings/folder/folder_test.go
+++ b/internal/cluster/settings/folder/folder_test.go
@@ -17,7 +17,7 @@
 	return f
 }
 
-func TestLives(t *testing.T) {
+func TestIncarnations(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "deep", "anna")
 	first := open(t, path)
 	if !first.Empty || first.Incarnation == 0 {
@@ -35,7 +35,7 @@
 		t.Fatal(second, err)
 	}
 	if err := second.Raise(3); err != nil || second.Incarnation != first.Incarnation+42 {
-		t.Fatal("went back", second, err)
+		t.Fatal("the incarnation went back", second, err)
 	}
 	second.Close()
 	if third := open(t, path); third.Incarnation != first.Incarnation+43 {
@@ -46,8 +46,9 @@
 	}
 }
 
-// What is torn at any byte, damaged, or not ours is an error that names it, and is left as it is.
-func TestTornOrForeign(t *testing.T) {
+// TestDamagedOrForeignFolder: a file truncated at any byte, damaged or another program's is an error that names it, and
+// stays unchanged.
+func TestDamagedOrForeignFolder(t *testing.T) {
 	path := t.TempDir()
 	open(t, path).Close()
 	file := filepath.Join(path, lifeFile)
@@ -57,7 +58,7 @@
 	}
 	bad := []string{strings.Repeat("\x00", len(whole)), string(whole) + "{}", `{"folder":"x","incarnation":1}`,
 		strings.Replace(string(whole), `"incarnation":`, `"incarnation":-`, 1),
-		strings.Repeat(" ", mostBytes) + string(whole)}
+		strings.Repeat(" ", maxFileBytes) + string(whole)}
 	for n := range len(whole) - 1 {
 		bad = append(bad, string(whole[:n]))
 	}
@@ -69,11 +70,11 @@
 			t.Fatalf("%q: %v %v", text, f, err)
 		}
 		if left, _ := os.ReadFile(file); string(left) != text {
-			t.Fatal("was made up for")
+			t.Fatal("the damaged file was replaced")
 		}
 	}
 	os.Remove(file)
-	// A life that ended before its first write lasted leaves no more than this.
+	// A process that ended during its first write leaves no more than this.
 	os.WriteFile(filepath.Join(path, tempFile), whole[:9], 0o640)
 	if f := open(t, path); !f.Empty {
 		t.Fatal(f)
@@ -82,6 +83,6 @@
 	}
 	os.Rename(file, filepath.Join(path, "raft.db"))
 	if _, err := Open(path); err == nil || !strings.Contains(err.Error(), file) {
-		t.Fatal("took another's folder", err)
+		t.Fatal("accepted another's folder", err)
 	}
 }
--- a/internal/cluster/settings/form.go
+++ b/internal/cluster/settings/form.go
@@ -11,8 +11,9 @@
 	"flaxcove/internal/tomlfile"
 )
 
-// form is the file as it is written. Its leaves take any value, so that one of a wrong type is told along with all
-// else; decoding into the type itself would end at the first.
+// form is the file as written. Its values have type any, so that one of a wrong type is reported along with all other
+// problems; decoding into the expected type would end at the first. Error messages of the TOML library print the names
+// of these types and their fields, so they keep them.
 type form struct {
 	Name     any            `toml:"name"`
 	Founders any            `toml:"founders"`
@@ -46,7 +47,7 @@
 	Failover   any `toml:"failover"`
 	Purges     any `toml:"purges"`
 	Popularity any `toml:"popularity"`
-	// Configuration is on at all processes or at none.
+	// Configuration must be on in all processes or in none.
 	Configuration any `toml:"configuration"`
 }
 
@@ -57,29 +58,29 @@
 	Purges            any `toml:"purges"`
 }
 
-// Parse reads a file's text; name stands for it in messages. The folder is left as it is written.
+// Parse reads and checks a file's text; name is the file's in messages. The folder is left as written.
 func Parse(name string, text []byte) (*Settings, error) {
 	var f form
 	var all tomlfile.Errors
 	if err := tomlfile.Decode(name, text, &f); err != nil {
-		// Fields that are not known leave the rest readable; what is no TOML, or a table of another shape, does not.
+		// Unknown fields leave the rest readable; invalid TOML, or a table of another structure, does not.
 		f = form{}
 		if toml.Unmarshal(text, &f) != nil {
 			return nil, err
 		}
-		all = add(all, err)
+		all = appendErrors(all, err)
 	}
 	c := checker{}
 	s := c.settings(&f)
-	if all = add(all, tomlfile.At(name, text, c.problems)); len(all) > 0 {
+	if all = appendErrors(all, tomlfile.At(name, text, c.problems)); len(all) > 0 {
 		slices.SortStableFunc(all, func(a, b *tomlfile.Error) int { return cmp.Compare(a.Line, b.Line) })
 		return nil, all
 	}
 	return s, nil
 }
 
-// add puts what tomlfile tells, which is one error or many, to the others.
-func add(all tomlfile.Errors, err error) tomlfile.Errors {
+// appendErrors appends an error of package tomlfile, which is one or a list.
+func appendErrors(all tomlfile.Errors, err error) tomlfile.Errors {
 	switch e := err.(type) {
 	case *tomlfile.Error:
 		return append(all, e)
@@ -89,58 +90,61 @@
 	return all
 }
 
-// checker gathers problems; each of its readers tells what is wrong with a leaf and goes on with a zero value.
+// checker gathers problems; each of its methods reports what is wrong with a value and continues with a zero value.
 type checker struct{ problems []tomlfile.Problem }
 
-func (c *checker) wrong(path, format string, args ...any) {
+// reject records a problem of the field at path.
+func (c *checker) reject(path, format string, args ...any) {
 	c.problems = append(c.problems, tomlfile.Problem{Path: path, What: fmt.Sprintf(format, args...)})
 }
 
-// Names travel in headers, as hosts and in logs: no blanks, nothing that one of these would have to escape.
-var named = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
+// validName matches names. They are used in headers, as hosts and in logs, so they have no character that any of these
+// would have to escape.
+var validName = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
 
-const naming = "letters, digits, '.', '_' and '-', the first a letter or digit, 63 at most"
+const nameRule = "letters, digits, '.', '_' and '-', the first a letter or digit, 63 at most"
 
-// text is a leaf's words; false if there are none or it is no text, which is told.
+// text returns a value that is a string; false if it is missing or no string, which is reported.
 func (c *checker) text(path string, leaf any) (string, bool) {
-	s, is := leaf.(string)
+	s, isText := leaf.(string)
 	switch {
-	case leaf == nil || is && s == "":
-		c.wrong(path, "missing")
-	case !is:
-		c.wrong(path, "takes a text in quotes, not %v", leaf)
+	case leaf == nil || isText && s == "":
+		c.reject(path, "missing")
+	case !isText:
+		c.reject(path, "takes a text in quotes, not %v", leaf)
 	}
-	return s, is && s != ""
+	return s, isText && s != ""
 }
 
-// name is a leaf's name, or "" if it is none, which is told.
+// name returns a value that is a valid name, or "" if it is not, which is reported.
 func (c *checker) name(path string, leaf any) string {
-	s, is := c.text(path, leaf)
-	if is && !named.MatchString(s) {
-		c.wrong(path, "%q is no name: %s", s, naming)
+	s, ok := c.text(path, leaf)
+	if ok && !validName.MatchString(s) {
+		c.reject(path, "%q is no name: %s", s, nameRule)
 		return ""
 	}
 	return s
 }
 
-func (c *checker) yes(path string, leaf any) bool {
-	b, is := leaf.(bool)
-	if leaf != nil && !is {
-		c.wrong(path, "takes true or false, not %v", leaf)
+// boolean returns a value that is a bool; a missing one is false.
+func (c *checker) boolean(path string, leaf any) bool {
+	b, isBool := leaf.(bool)
+	if leaf != nil && !isBool {
+		c.reject(path, "takes true or false, not %v", leaf)
 	}
 	return b
 }
 
-// number is a leaf's whole number within bounds, or what it is when left out.
-func (c *checker) number(path string, leaf any, none, least, most int) int {
-	n, is := leaf.(int64)
+// number returns a value that is an integer within min and max; a missing one is fallback.
+func (c *checker) number(path string, leaf any, fallback, min, max int) int {
+	n, isNumber := leaf.(int64)
 	switch {
 	case leaf == nil:
-		return none
-	case !is:
-		c.wrong(path, "takes a whole number, not %v", leaf)
-	case n < int64(least) || n > int64(most):
-		c.wrong(path, "%d is not within %d and %d", n, least, most)
+		return fallback
+	case !isNumber:
+		c.reject(path, "takes a whole number, not %v", leaf)
+	case n < int64(min) || n > int64(max):
+		c.reject(path, "%d is not within %d and %d", n, min, max)
 	}
 	return int(n)
 }
--- a/internal/cluster/settings/settings.go
+++ b/internal/cluster/settings/settings.go
@@ -1,9 +1,8 @@
-// Package settings reads what a process is told of the cluster: one TOML file, handed to `serve --cluster`.
+// Package settings reads a process's cluster file: one TOML file, named by `serve --cluster`.
 //
-// It owns the file's form (form.go), all that can be wrong with it (check.go, address.go), and the defaults.
-// Whatever passes can be run with; every problem is told at once, with file, line and field. It must never take a
-// part of a file, guess at a value that is there but wrong, open a socket, or look at the folder: that is
-// settings/folder.
+// It owns the file's structure (form.go), its checks (check.go, address.go), and the defaults. A file that passes can be
+// run with; all problems are reported at once, with file, line and field. It must never accept a part of a file, replace
+// an invalid value by a default, open a socket, or read the cluster folder, which package settings/folder does.
 package settings
 
 import (
@@ -13,30 +12,30 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// Settings is one process's file. Addresses are host:port, ready to be listened at or dialled.
+// Settings is one process's file. Addresses are host:port, ready to listen on or to dial.
 type Settings struct {
-	Cluster  string // its name; who carries another is refused
+	Cluster  string // its name; processes of another cluster are rejected
 	Here     Here
-	Members  []Member // the seeds, by name; may hold this process too
+	Members  []Member // the seeds, by name; may include this process
 	Zones    map[view.Zone]view.Region
-	Founders []view.Name // who begins the council, by name; the same in every process's file
+	Founders []view.Name // the first voters of the consensus group, by name; the same in every process's file
 	Uses     Uses
 	Bounds   Bounds
-	// Advice is what is allowed and yet seldom meant, a line each, for the log.
+	// Advice has a line for the log for each setting that is allowed but seldom intended.
 	Advice []string
 }
 
-// Here is this process.
+// Here describes this process.
 type Here struct {
 	Name   view.Name
 	Zone   view.Zone
 	Region view.Region // of the zone
 	Size   view.Size
-	Folder string // where its incarnation and its part of the council last; of its own, and absolute
+	Folder string // absolute; stores this process's incarnation and its part of the consensus group's records
 	Listen Addresses
 }
 
-// Member is a seed: where this process reaches another, which may be a relay and not where that one listens.
+// Member is a seed. Reach is where this process reaches it, possibly a relay and not where it listens.
 type Member struct {
 	Name   view.Name
 	Zone   view.Zone
@@ -44,36 +43,35 @@
 	Reach  Addresses
 }
 
-// Addresses are those of one process: gossip is UDP and TCP, the others TCP.
+// Addresses of one process: gossip is UDP and TCP, the others TCP.
 type Addresses struct{ Gossip, Council, HTTP string }
 
-// Uses are what the cluster is used for, each off unless switched on.
+// Uses are the features of the cluster, each off unless switched on.
 type Uses struct{ Failover, Purges, Popularity, Configuration bool }
 
-// Bounds are what this process holds at most.
+// Bounds limit what this process stores.
 type Bounds struct {
-	Destinations      int // places, a destination in one zone each, in the tables of what was seen
-	SmallDestinations int // destinations that a small process holds what was learnt of
-	SmallBytes        int // and their bytes
+	Destinations      int // places (a destination in one zone) in the tables of health samples
+	SmallDestinations int // destinations whose learned state a small process holds
+	SmallBytes        int // bytes of that learned state
 	Purges            int // in the ledger
 }
 
-// Defaults and ranges of the bounds. Guesses with room: the largest fleet drawn has 3,000 destinations in 12 zones,
-// the longest list of purges asked for is ten thousand. The ceilings keep a slip of the finger from taking the
-// machine.
+// Defaults and ranges of the bounds, estimated with a margin: the largest planned fleet has 3,000 destinations in 12
+// zones, the longest list of purges has ten thousand. The maxima keep a typing mistake from exhausting the machine.
 const (
-	defaultDestinations, leastDestinations, mostDestinations = 40_000, 16, 1_000_000
-	defaultSmall, leastSmall, mostSmall                      = 500, 1, 1_000_000
-	defaultBytes, leastBytes, mostBytes                      = 4 << 20, 16 << 10, 1 << 30
-	defaultPurges, leastPurges, mostPurges                   = 20_000, 16, 1_000_000
-	// mostMembers bounds the seeds; twice the largest fleet that was simulated.
-	mostMembers = 2_000
-	// mostFounders is the most voters that a council has, whatever the size of the fleet.
-	mostFounders = 5
+	defaultDestinations, minDestinations, maxDestinations                = 40_000, 16, 1_000_000
+	defaultSmallDestinations, minSmallDestinations, maxSmallDestinations = 500, 1, 1_000_000
+	defaultSmallBytes, minSmallBytes, maxSmallBytes                      = 4 << 20, 16 << 10, 1 << 30
+	defaultPurges, minPurges, maxPurges                                  = 20_000, 16, 1_000_000
+	// maxMembers bounds the seeds; twice the largest fleet that was simulated.
+	maxMembers = 2_000
+	// maxFounders is the most voters that a consensus group has, whatever the size of the fleet.
+	maxFounders = 5
 )
 
-// Reach is where this process reaches another. The second is false for whom the file does not name, and for itself
-// unless the file says how.
+// Reach returns where this process reaches another. It returns false for a process that the file does not name, and for
+// this process unless the file has addresses for it.
 func (s *Settings) Reach(name view.Name) (Addresses, bool) {
 	for i := range s.Members {
 		if s.Members[i].Name == name {
@@ -83,7 +81,7 @@
 	return Addresses{}, false
 }
 
-// Load reads the file at path.
+// Load reads and checks the file at path.
 func Load(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -93,7 +91,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// What the process changes into later must not move its folder.
+	// Absolute, as a later change of the working directory must not move the folder.
 	s.Here.Folder, err = filepath.Abs(s.Here.Folder)
 	return s, err
 }
--- a/internal/cluster/settings/settings_test.go
+++ b/internal/cluster/settings/settings_test.go
@@ -12,7 +12,7 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// All that is wrong is told at once: what is not known, of a wrong type, out of range and at odds with the rest.
+// All problems are reported at once: unknown fields, wrong types, values out of range and contradictions.
 func ExampleParse() {
 	_, err := Parse("bad.toml", []byte(`name = "two words"
 founders = ["a", "nobody", "a"]
@@ -76,8 +76,8 @@
 	// bad.toml:38: field bounds.purges: takes a whole number, not 1.5
 }
 
-// The example under deploy is what it says: defaults stand in it, nothing of it is advised against.
-func TestTheExample(t *testing.T) {
+// TestExampleFile: the example under deploy has the defaults that it claims, and gives no advice.
+func TestExampleFile(t *testing.T) {
 	path := filepath.Join("..", "..", "..", "deploy", "cluster.toml")
 	got, err := Load(path)
 	if err != nil {
@@ -91,7 +91,7 @@
 			{"cara", "north", "hills", Addresses{"127.0.0.1:7301", "127.0.0.1:7302", "127.0.0.1:7303"}}},
 		Zones:    map[view.Zone]view.Region{"east": "coast", "west": "coast", "north": "hills"},
 		Founders: []view.Name{"anna", "bert", "cara"}, Uses: Uses{Failover: true, Purges: true},
-		Bounds: Bounds{defaultDestinations, defaultSmall, defaultBytes, defaultPurges}}
+		Bounds: Bounds{defaultDestinations, defaultSmallDestinations, defaultSmallBytes, defaultPurges}}
 	if d := cmp.Diff(want, got); d != "" {
 		t.Fatal(d)
 	}
@@ -102,7 +102,7 @@
 	}
 }
 
-const small = `name = "c"
+const minimalFile = `name = "c"
 founders = [%s]
 [here]
 process = "a"
@@ -127,7 +127,7 @@
 `
 
 func TestSelfAmongMembersAndAdvice(t *testing.T) {
-	s, err := Parse("f", fmt.Appendf(nil, small, `"a", "b"`, "[::1]:3", false))
+	s, err := Parse("f", fmt.Appendf(nil, minimalFile, `"a", "b"`, "[::1]:3", false))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -141,7 +141,7 @@
 		t.Fatal(s.Advice)
 	}
 	for listen, ok := range map[string]bool{"10.0.0.1:3": true, "0.0.0.0:3": false, "host:3": false} {
-		if _, err := Parse("f", fmt.Appendf(nil, small, `"a"`, listen, true)); (err == nil) != ok {
+		if _, err := Parse("f", fmt.Appendf(nil, minimalFile, `"a"`, listen, true)); (err == nil) != ok {
 			t.Error(listen, err)
 		}
 	}
@@ -151,7 +151,7 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add(fmt.Appendf(nil, small, `"a"`, ":3", true))
+	f.Add(fmt.Appendf(nil, minimalFile, `"a"`, ":3", true))
 	f.Add([]byte("founders = [1, {a = 2}]\n[zones]\n\"\" = []\n[[member]]\nname = 1\n"))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		if s, err := Parse("f", text); (s == nil) == (err == nil) {
