--- a/internal/cluster/sight/capacity_test.go
+++ b/internal/cluster/sight/capacity_test.go
@@ -1,6 +1,6 @@
 package sight
 
-// Benchmark behind docs/CAPACITY.md: what a message of sightings takes on the wire.
+// Benchmark behind docs/CAPACITY.md: the size of a health report on the wire.
 
 import (
 	"encoding/json"
@@ -13,8 +13,8 @@
 	"flaxcove/lab/capacity/bench"
 )
 
-// capacitySightings are of so many places, as a sender of the planned fleet tells them.
-func capacitySightings(n int) (all []Sighting) {
+// capacitySamples returns samples of so many places, as a sender of the planned fleet reports them.
+func capacitySamples(n int) (all []Sighting) {
 	for d := range n {
 		all = append(all, Sighting{Place: Place{choice.DestinationID(d), view.Zone(fmt.Sprintf("zone-%d", d%8))},
 			Witness: "sender-0123", From: "zone-3", Kind: 1, Age: 131 * time.Millisecond, Span: 1003 * time.Millisecond,
@@ -23,10 +23,10 @@
 	return all
 }
 
-// BenchmarkCapacityMessage encodes sightings of so many places as a sender tells its zone's head.
+// BenchmarkCapacityMessage encodes the samples of so many places that a sender reports to its zone's coordinator.
 func BenchmarkCapacityMessage(b *testing.B) {
 	bench.Sizes(b, "places", []int{10, 100, 1_000, 10_000}, func(b *testing.B, n int) {
-		all := capacitySightings(n)
+		all := capacitySamples(n)
 		var body []byte
 		for b.Loop() {
 			var err error
@@ -38,10 +38,10 @@
 	})
 }
 
-// BenchmarkCapacityDecode is what a zone's head does first with such a message.
+// BenchmarkCapacityDecode decodes such a report, as its zone's coordinator does.
 func BenchmarkCapacityDecode(b *testing.B) {
 	bench.Sizes(b, "places", []int{10, 100, 1_000, 10_000}, func(b *testing.B, n int) {
-		body, err := json.Marshal(capacitySightings(n))
+		body, err := json.Marshal(capacitySamples(n))
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/internal/cluster/sight/sight.go
+++ b/internal/cluster/sight/sight.go
@@ -1,6 +1,7 @@
-// Package sight holds what was seen of destinations, as it travels between processes: counts, their age, who saw them.
+// Package sight holds health reports of destinations in the form in which processes send them: counts, their age, and
+// the process that observed them.
 //
-// Plain data, no decision. Ages are spans, added to by each that passes a row on; no wall clock crosses.
+// Plain data, no decision. Ages are spans, to which each process that forwards a sample adds; no wall-clock time is sent.
 package sight
 
 import (
@@ -10,17 +11,17 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// Place is the endpoints of one destination in one zone.
+// Place identifies the endpoints of one destination in one zone.
 type Place struct {
 	Destination choice.DestinationID `json:"d"`
 	Zone        view.Zone            `json:"z"`
 }
 
-// Sighting is what one process saw of a place over Span, up to Age ago.
+// Sighting is what one process observed of a place over Span, up to Age ago.
 type Sighting struct {
 	Place
 	Witness   view.Name     `json:"w"`
-	From      view.Zone     `json:"from"` // where the witness is
+	From      view.Zone     `json:"from"` // the witness's zone
 	Kind      choice.KindNo `json:"k,omitempty"`
 	Age       time.Duration `json:"age"`
 	Span      time.Duration `json:"span"`
@@ -29,8 +30,8 @@
 	Failed    float64       `json:"failed"`
 	Silent    float64       `json:"silent"` // of Failed: no answer, or no connection
 	Refused   float64       `json:"refused"`
-	Limit     float64       `json:"limit,omitempty"`  // calls a second last told, of all senders; 0 for none
-	Rating    float64       `json:"rating,omitempty"` // summed over the endpoints there
+	Limit     float64       `json:"limit,omitempty"`  // calls a second that the place last announced, for all senders; 0 for none
+	Rating    float64       `json:"rating,omitempty"` // sum over the place's endpoints
 	Endpoints int           `json:"ends,omitempty"`
-	Held      int           `json:"held,omitempty"`
+	Held      int           `json:"held,omitempty"` // messages waiting for the destination, reported with one place of it
 }
--- a/internal/cluster/status/status.go
+++ b/internal/cluster/status/status.go
@@ -1,6 +1,6 @@
-// Package status is what one process tells of the cluster as it sees it: the answer to GET /v1/cluster.
+// Package status defines the answer to GET /v1/cluster: the cluster as one process sees it.
 //
-// Plain data in the form in which it is told; for staff, for tests, and for whoever watches a fleet.
+// Plain data in the form in which it is sent; for operators, tests and monitoring.
 package status
 
 import (
@@ -12,43 +12,43 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// Status is one process's sight of the cluster. Spans are in milliseconds.
+// Status is the cluster as one process sees it. Spans are in milliseconds.
 type Status struct {
 	Cluster string        `json:"cluster"`
 	Self    view.Member   `json:"self"`
 	Members []view.Member `json:"members"`
 	Root    view.Name     `json:"root"`
 	Parent  view.Name     `json:"parent,omitempty"`
-	// Children are those who report to it.
+	// Children are the processes that report to this one in the tree.
 	Children []view.Name `json:"children,omitempty"`
 
-	Leader  view.Name   `json:"leader,omitempty"` // of the council, as known here
-	Leading bool        `json:"leading,omitempty"`
+	Leader  view.Name   `json:"leader,omitempty"`  // of the consensus group, as known here
+	Leading bool        `json:"leading,omitempty"` // this process is the leader
 	Voters  []view.Name `json:"voters,omitempty"`
-	Applied uint64      `json:"applied"` // index in the council's log, where this process keeps it
+	Applied uint64      `json:"applied"` // index in the consensus log, where this process has it
 
-	Epoch   view.Epoch `json:"epoch"` // of the plan in force here; 0 for none
+	Epoch   view.Epoch `json:"epoch"` // of the routing plan in force here; 0 for none
 	Plan    string     `json:"plan,omitempty"`
-	PlanSum uint32     `json:"plan_sum,omitempty"` // of its content: two plans of one epoch must not differ
+	PlanSum uint32     `json:"plan_sum,omitempty"` // checksum of its content: two plans of one epoch must not differ
 	HoldsMS int64      `json:"holds_ms,omitempty"` // until it lapses, unless it is renewed
-	Since   int64      `json:"since_ms"`           // for how long this process runs
+	Since   int64      `json:"since_ms"`           // for how long this process has been running
 
 	Purged  uint64         `json:"purged"` // highest purge that is on disk here
 	Traffic Traffic        `json:"traffic"`
 	Counts  map[string]int `json:"counts,omitempty"`
 
-	Configuration *configuration.Status `json:"configuration,omitempty"` // where that is switched on
+	Configuration *configuration.Status `json:"configuration,omitempty"` // nil where that is switched off
 
-	Popularity *popularity.Status `json:"popularity,omitempty"` // where that is switched on
+	Popularity *popularity.Status `json:"popularity,omitempty"` // nil where that is switched off
 }
 
-// Traffic is bytes of control traffic through our own listener since the start, and the processor time of all of the
-// process.
+// Traffic counts the bytes of control traffic since the start, and the processor time of the whole process.
 type Traffic struct {
 	In  uint64        `json:"in"`
 	Out uint64        `json:"out"`
 	CPU time.Duration `json:"cpu_ns"`
-	// Gossip and Council are parts of Out; Kinds are calls between members by path, bytes without heads.
+	// Gossip and Council (the consensus group's) are parts of Out; Kinds are calls between members by path, with the
+	// bytes of their bodies.
 	Gossip  uint64                 `json:"gossip"`
 	Packets uint64                 `json:"gossip_packets"`
 	Council uint64                 `json:"council"`
