--- a/internal/cluster/capacity_test.go
+++ b/internal/cluster/capacity_test.go
@@ -1,6 +1,6 @@
 package cluster
 
-// Benchmark behind docs/CAPACITY.md: what one sender tells its zone's coordinator, in played time.
+// Benchmark behind docs/CAPACITY.md: what one sender reports to its zone's coordinator, in simulated time.
 
 import (
 	"encoding/json"
@@ -18,16 +18,16 @@
 )
 
 const (
-	capacityRate   = 864 // messages a second of one sender
-	capacityPlaces = 8192
-	capacityEach   = 500 * time.Millisecond
-	capacitySpan   = 30 * time.Second
-	capacityWhole  = 10 // digests in which each place is told once
-	capacityDown   = 0.027
+	capacityRate      = 864 // messages a second of one sender
+	capacityPlaces    = 8192
+	capacityEach      = 500 * time.Millisecond
+	capacitySpan      = 30 * time.Second
+	capacityFullRound = 10 // digests in which each place is reported once
+	capacityDown      = 0.027
 )
 
-// capacityDigest is a sender's digest as internal/sender makes it: a row for each place that was called, and a tenth of
-// the places that it lists, of which it lists no more than 8,192.
+// capacityDigest returns a sender's digest as internal/sender makes it: a row for each place that was called, and a tenth
+// of the places that it lists, 8,192 of them at most.
 func capacityDigest(chance *rand.Rand, destinations, no int) together.Digest {
 	rows := map[int]*together.Row{}
 	row := func(d int) *together.Row {
@@ -46,7 +46,7 @@
 			r.Done++
 		}
 	}
-	for d := no % capacityWhole; d < min(destinations, capacityPlaces); d += capacityWhole {
+	for d := no % capacityFullRound; d < min(destinations, capacityPlaces); d += capacityFullRound {
 		row(d)
 	}
 	var d together.Digest
@@ -56,7 +56,7 @@
 	return d
 }
 
-// BenchmarkCapacityTold plays half a minute of one sender's digests, with calls spread evenly over so many destinations
+// BenchmarkCapacityTold simulates half a minute of one sender's digests, with calls spread evenly over so many destinations
 // of one place each, of which 2.7% fail all calls: rows and bytes a second that go to the coordinator, without HTTP's
 // own.
 func BenchmarkCapacityTold(b *testing.B) {
@@ -65,20 +65,23 @@
 		for b.Loop() {
 			rows, bytes, messages = 0, 0, 0
 			chance := rand.New(rand.NewPCG(1, 2))
-			c := &counted{zones: map[view.Zone]choice.ZoneNo{}, listed: map[sight.Place]view.Now{}, told: map[sight.Place]telling{},
-				window: digest.Make("sender-0123", "zone-3", spanOf, 40_000, 0)}
+			feed := &digestFeed{
+				zoneNumbers: map[view.Zone]choice.ZoneNo{}, listedAt: map[sight.Place]view.Now{},
+				reported: map[sight.Place]lastReport{},
+				window:   digest.Make("sender-0123", "zone-3", sampleSpan, 40_000, 0),
+			}
 			for now, no := capacityEach, 0; now <= capacitySpan; now, no = now+capacityEach, no+1 {
 				d := capacityDigest(chance, n, no)
-				c.list(now, d.Rows, "zone-3")
-				tell := c.due(now, c.window.Take(now, d))
-				if len(tell) == 0 {
+				feed.updateListing(now, d.Rows, "zone-3")
+				due := feed.dueSamples(now, feed.window.Take(now, d))
+				if len(due) == 0 {
 					continue
 				}
-				text, err := json.Marshal(tell)
+				text, err := json.Marshal(due)
 				if err != nil {
 					b.Fatal(err)
 				}
-				messages, rows, bytes = messages+1, rows+len(tell), bytes+len(text)
+				messages, rows, bytes = messages+1, rows+len(due), bytes+len(text)
 			}
 		}
 		b.ReportMetric(float64(b.Elapsed())/float64(b.N)/float64(capacitySpan/capacityEach), "ns/digest")
--- a/internal/cluster/feed.go
+++ b/internal/cluster/feed.go
@@ -17,174 +17,193 @@
 	"flaxcove/internal/sender/together"
 )
 
-// This file is the sender's side: its digests become sightings, which go into this process's tables and to its zone's
-// head, and what it lists is known to the guide. The loop only puts a digest into a queue.
+// This file connects the sender: its digests become health samples, which go into this process's tables and to its zone's
+// coordinator, and what it lists is available to the routing plan. The sender's loop only puts a digest into a queue.
 
 const (
-	seenPath   = "/evidence"
-	seenFor    = 400 * time.Millisecond
-	digestsHas = 8 // in the queue; a digest is lost beyond, and its counts with it
-	// calmEach is how often a row that tells of nothing wrong is told again: half of what package weigh believes.
-	calmEach = 2 * time.Second
-	// listedFor is how long a place counts as listed unless told again; the sender tells each within five seconds.
-	listedFor = 15 * time.Second
-	mostSeen  = 4096 // rows in one message
-	// spanOf is what a share of failures is taken over: in the model of failover a fall shows after 1.5 s, with 2 s after 3.
-	spanOf = time.Second
+	evidencePath    = "/evidence"
+	evidenceTimeout = 400 * time.Millisecond
+	digestQueueSize = 8 // further digests are dropped, and their counts with them
+	// healthyInterval is how often a sample without failures is reported: twice in the time for which package weigh
+	// considers one.
+	healthyInterval = 2 * time.Second
+	// listingTTL is how long a place counts as listed after the sender last reported it, which it does every five seconds.
+	listingTTL       = 15 * time.Second
+	maxReportSamples = 4096 // in one report
+	// sampleSpan is what a failure rate is taken over: in the model of failover an outage shows after 1.5 s, with 2 s
+	// after 3.
+	sampleSpan = time.Second
 )
 
-// counted is what a node makes of its sender's digests. All but queue and known belong to one goroutine.
-type counted struct {
-	queue  chan together.Digest
-	known  atomic.Pointer[apply.Local]
-	lost   atomic.Uint64
-	zones  map[view.Zone]choice.ZoneNo
-	window *digest.Window
-	listed map[sight.Place]view.Now
-	told   map[sight.Place]telling
+// digestFeed processes the digests of a node's sender. All but queue, listing and dropped belong to one goroutine.
+type digestFeed struct {
+	queue       chan together.Digest
+	listing     atomic.Pointer[apply.Local]
+	dropped     atomic.Uint64
+	zoneNumbers map[view.Zone]choice.ZoneNo
+	window      *digest.Window
+	listedAt    map[sight.Place]view.Now
+	reported    map[sight.Place]lastReport
 }
 
-// telling is what the zone's head was told of a place last.
-type telling struct {
-	at  view.Now
-	ill bool
+// lastReport is what the zone's coordinator was last sent of a place.
+type lastReport struct {
+	at      view.Now
+	failing bool
 }
 
-func (c *counted) init(n *Node) {
-	c.queue, c.zones = make(chan together.Digest, digestsHas), map[view.Zone]choice.ZoneNo{}
-	for zone, no := range n.o.Zones {
-		c.zones[view.Zone(zone)] = no
+// init prepares the feed of a node.
+func (f *digestFeed) init(n *Node) {
+	f.queue = make(chan together.Digest, digestQueueSize)
+	f.zoneNumbers = map[view.Zone]choice.ZoneNo{}
+	for zone, no := range n.opts.Zones {
+		f.zoneNumbers[view.Zone(zone)] = no
 	}
-	c.listed, c.told = map[sight.Place]view.Now{}, map[sight.Place]telling{}
-	c.window = digest.Make(n.self.Name, n.self.Zone, spanOf, n.o.Settings.Bounds.Destinations, n.Now())
-	c.known.Store(&apply.Local{Zone: n.self.Zone, Numbers: c.zones})
+	f.listedAt, f.reported = map[sight.Place]view.Now{}, map[sight.Place]lastReport{}
+	f.window = digest.Make(n.self.Name, n.self.Zone, sampleSpan, n.opts.Settings.Bounds.Destinations, n.Now())
+	f.listing.Store(&apply.Local{Zone: n.self.Zone, Numbers: f.zoneNumbers})
 }
 
-func (c *counted) local() apply.Local { return *c.known.Load() }
+// local returns which destinations the sender lists in which zones.
+func (f *digestFeed) local() apply.Local { return *f.listing.Load() }
 
 // Digest takes a sender's digest; it never waits.
 func (n *Node) Digest(d together.Digest) {
 	select {
-	case n.counted.queue <- d:
+	case n.digests.queue <- d:
 	default:
-		n.counted.lost.Add(1)
+		n.digests.dropped.Add(1)
 	}
 }
 
-// Guide is what is decided in common, nil for nothing.
+// Guide returns the routing plan in force, nil for none.
 func (n *Node) Guide() together.Guide {
-	if n.uses.failover == nil {
+	if n.subsystems.failover == nil {
 		return nil
 	}
-	return n.uses.failover.Guide()
+	return n.subsystems.failover.Guide()
 }
 
-// Woke asks the region what it knows of a destination.
+// Woke asks the region for its learned state of a destination.
 func (n *Node) Woke(d choice.DestinationID) {
-	if n.uses.popularity != nil {
-		n.uses.popularity.Woke(d)
+	if n.subsystems.popularity != nil {
+		n.subsystems.popularity.Woke(d)
 	}
 }
 
-// feed takes digests until ctx ends.
-func (n *Node) feed(ctx context.Context) {
+// consumeDigests handles queued digests until ctx ends.
+func (n *Node) consumeDigests(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case d := <-n.counted.queue:
-			n.take(ctx, d)
+		case d := <-n.digests.queue:
+			n.handleDigest(ctx, d)
 		}
 	}
 }
 
-func (n *Node) take(ctx context.Context, d together.Digest) {
-	c, now := &n.counted, n.Now()
-	if n.uses.purge != nil {
-		n.uses.purge.Longest(d.Longest)
+// handleDigest passes a digest to the subsystems that need it, and its samples to this process's tables and to the zone's
+// coordinator.
+func (n *Node) handleDigest(ctx context.Context, d together.Digest) {
+	feed, now := &n.digests, n.Now()
+	if n.subsystems.purge != nil {
+		n.subsystems.purge.Longest(d.Longest)
 	}
-	if n.uses.popularity != nil {
-		n.uses.popularity.Digest(d)
+	if n.subsystems.popularity != nil {
+		n.subsystems.popularity.Digest(d)
 	}
-	if n.uses.failover == nil {
+	if n.subsystems.failover == nil {
 		return
 	}
-	c.list(now, d.Rows, n.self.Zone)
-	all := c.window.Take(now, d)
-	// The tables keep what they are handed.
-	n.saw.Add(now, slices.Clone(all))
-	head := n.Soon().ZoneHead(n.self.Zone)
-	if head == "" || head == n.self.Name {
+	feed.updateListing(now, d.Rows, n.self.Zone)
+	samples := feed.window.Take(now, d)
+	n.evidence.Add(now, slices.Clone(samples)) // a copy, as the tables own what they are handed
+	n.reportSamples(ctx, now, samples)
+}
+
+// reportSamples sends the zone's coordinator the samples that are due.
+func (n *Node) reportSamples(ctx context.Context, now view.Now, samples []sight.Sighting) {
+	coordinator := n.TreeWithoutSuspected().ZoneHead(n.self.Zone)
+	if coordinator == "" || coordinator == n.self.Name {
 		return
 	}
-	if tell := c.due(now, all); len(tell) > 0 {
-		call, cancel := context.WithTimeout(ctx, seenFor)
-		defer cancel()
-		if n.link.Call(call, head, seenPath, tell, nil) != nil {
-			clear(c.told) // told anew next time, perhaps to another head
-		}
+	due := n.digests.dueSamples(now, samples)
+	if len(due) == 0 {
+		return
+	}
+	ctx, cancel := context.WithTimeout(ctx, evidenceTimeout)
+	defer cancel()
+	if n.link.Call(ctx, coordinator, evidencePath, due, nil) != nil {
+		clear(n.digests.reported) // all is due again next time, perhaps for another coordinator
 	}
 }
 
-// list keeps where endpoints are listed.
-func (c *counted) list(now view.Now, rows []together.Row, zone view.Zone) {
+// updateListing follows in which zones the sender lists endpoints of a destination.
+func (f *digestFeed) updateListing(now view.Now, rows []together.Row, zone view.Zone) {
 	changed := false
 	for _, r := range rows {
 		place := sight.Place{Destination: r.Destination, Zone: view.Zone(r.Zone)}
-		if _, is := c.listed[place]; r.Endpoints > 0 {
-			c.listed[place], changed = now, changed || !is
-		} else if is {
-			delete(c.listed, place)
+		if _, known := f.listedAt[place]; r.Endpoints > 0 {
+			f.listedAt[place], changed = now, changed || !known
+		} else if known {
+			delete(f.listedAt, place)
 			changed = true
 		}
 	}
-	for place, at := range c.listed {
-		if now-at > listedFor {
-			delete(c.listed, place)
+	for place, at := range f.listedAt {
+		if now-at > listingTTL {
+			delete(f.listedAt, place)
 			changed = true
 		}
 	}
-	if !changed {
-		return
+	if changed {
+		f.publishListing(zone)
 	}
-	local := &apply.Local{Zone: zone, Numbers: c.zones, Listed: map[choice.DestinationID][]choice.ZoneNo{}}
-	for place := range c.listed {
-		if no, known := c.zones[place.Zone]; known {
+}
+
+// publishListing makes the present listing available to the routing plan.
+func (f *digestFeed) publishListing(zone view.Zone) {
+	local := &apply.Local{Zone: zone, Numbers: f.zoneNumbers, Listed: map[choice.DestinationID][]choice.ZoneNo{}}
+	for place := range f.listedAt {
+		if no, known := f.zoneNumbers[place.Zone]; known {
 			local.Listed[place.Destination] = append(local.Listed[place.Destination], no)
 		}
 	}
 	for d := range maps.Keys(local.Listed) {
 		slices.Sort(local.Listed[d])
 	}
-	c.known.Store(local)
+	f.listing.Store(local)
 }
 
-// due are the rows to be told now: those that tell of failures at once, and what has just got well; the rest at times.
-func (c *counted) due(now view.Now, all []sight.Sighting) (tell []sight.Sighting) {
-	for _, s := range all {
-		last, ill := c.told[s.Place], s.Failed > 0
-		if (ill || ill != last.ill || last.at == 0 || now-last.at >= calmEach) && len(tell) < mostSeen {
-			tell = append(tell, s)
-			c.told[s.Place] = telling{now, ill}
+// dueSamples returns the samples to be reported now: at once those with failures, and the first without any after them;
+// the others every healthyInterval.
+func (f *digestFeed) dueSamples(now view.Now, samples []sight.Sighting) (due []sight.Sighting) {
+	for _, s := range samples {
+		last, failing := f.reported[s.Place], s.Failed > 0
+		isDue := failing || failing != last.failing || last.at == 0 || now-last.at >= healthyInterval
+		if isDue && len(due) < maxReportSamples {
+			due = append(due, s)
+			f.reported[s.Place] = lastReport{now, failing}
 		}
 	}
-	maps.DeleteFunc(c.told, func(_ sight.Place, t telling) bool { return now-t.at > listedFor })
-	return tell
+	maps.DeleteFunc(f.reported, func(_ sight.Place, last lastReport) bool { return now-last.at > listingTTL })
+	return due
 }
 
-// serveSeen takes what another process of the zone saw.
-func (n *Node) serveSeen() {
-	n.link.Handle(seenPath, func(_ context.Context, from view.Life, body []byte) (any, error) {
-		var all []sight.Sighting
-		if err := json.Unmarshal(body, &all); err != nil {
+// serveEvidence stores what another process of the zone observed.
+func (n *Node) serveEvidence() {
+	n.link.Handle(evidencePath, func(_ context.Context, from view.Life, body []byte) (any, error) {
+		var samples []sight.Sighting
+		if err := json.Unmarshal(body, &samples); err != nil {
 			return nil, fmt.Errorf("evidence of %s: %w", from.Name, err)
 		}
-		for _, s := range all {
+		for _, s := range samples {
 			if s.Witness != from.Name {
 				return nil, fmt.Errorf("evidence of %s: field w: tells of %q", from.Name, s.Witness)
 			}
 		}
-		n.saw.Add(n.Now(), all)
+		n.evidence.Add(n.Now(), samples)
 		return nil, nil
 	})
 }
--- a/internal/cluster/node.go
+++ b/internal/cluster/node.go
@@ -4,9 +4,7 @@
 	"context"
 	"encoding/json"
 	"errors"
-	"math/rand/v2"
 	"path/filepath"
-	"slices"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -21,223 +19,190 @@
 	"flaxcove/internal/cluster/member"
 	"flaxcove/internal/cluster/settings"
 	"flaxcove/internal/cluster/settings/folder"
-	"flaxcove/internal/cluster/tree"
 	"flaxcove/internal/cluster/view"
 	"flaxcove/internal/sender/together"
 )
 
-// This file starts the parts in their order and ends them in the other.
+// This file starts the parts of a node in order and ends them in reverse.
 
 const (
-	leaveFor = 500 * time.Millisecond // a word to others on a planned end
-	closeFor = 2 * time.Second
+	leaveTimeout = 500 * time.Millisecond // for announcing a planned leave
+	closeTimeout = 2 * time.Second        // for closing the link
 )
 
-// Options are what a node is started with.
+// Options configure a node.
 type Options struct {
 	Settings *settings.Settings
 	Log      *zap.Logger
 	Orders   together.Orders
-	// Zones are the sender's own numbers.
+	// Zones are the sender's numbers of zones, by name.
 	Zones map[string]choice.ZoneNo
 	// Longest is the longest deadline of any class.
 	Longest time.Duration
-	// What the service's settings say of cold endpoints, and whether the list's ratings are calls a second.
+	// Cold, ColdFrom and FallMultiple are the service's settings for slow start.
 	Cold         time.Duration
 	ColdFrom     float64
 	FallMultiple float64
+	// RatingIsRate is set if the endpoint list's ratings are calls a second.
 	RatingIsRate bool
-	// Cut tells whom this process neither reaches nor hears, for a laboratory that hosts many; nil for nobody.
+	// Cut reports processes from which this one is partitioned, for test rigs that run many nodes; nil for none.
 	Cut func(view.Name) bool
-	// CheckSettings tells what is wrong with proposed settings for a sender that runs inForce (nil: its own file). Pure.
+	// CheckSettings reports what is wrong with proposed settings for a sender that runs inForce (nil: its own file). Pure.
 	CheckSettings func(inForce, proposed json.RawMessage) error
 	// OwnSettings is the settings object of this process's own file: version 0.
 	OwnSettings json.RawMessage
-	// Running is the version that the sender was started with: kept in the folder by an earlier life, or 0.
+	// Running is the version that the sender was started with: stored in the folder by an earlier run, or 0.
 	Running together.Configuration
 }
 
 // Node is one process's part in the cluster.
 type Node struct {
-	o       Options
-	log     *zap.Logger
-	began   time.Time
-	self    view.Member
-	folder  *folder.Folder
-	link    *link.Link
-	members *member.Members
-	council *consensus.Group // nil at a small process
-	saw     *evidence.Evidence
-	tree    atomic.Pointer[outlook]
-	uses    uses
-	counted counted
-	hint    atomic.Pointer[hint]
-	stop    context.CancelFunc
-	ended   <-chan struct{} // closed with stop
-	work    sync.WaitGroup
+	opts       Options
+	log        *zap.Logger
+	startedAt  time.Time
+	self       view.Member
+	folder     *folder.Folder
+	link       *link.Link
+	members    *member.Members
+	consensus  *consensus.Group // nil in a small process
+	evidence   *evidence.Evidence
+	topology   atomic.Pointer[topology]
+	subsystems subsystems
+	digests    digestFeed
+	leaderHint atomic.Pointer[leaderHint]
+	cancel     context.CancelFunc
+	done       <-chan struct{} // closed by cancel
+	wg         sync.WaitGroup
 
 	mu     sync.Mutex
 	closed bool
 }
 
-// outlook is a view with the trees that it gives; all change at once.
-type outlook struct {
-	view *view.View
-	tree *tree.Tree
-	// soon leaves out those who are suspected, two seconds before they count as dead: what a zone sees fail is lost
-	// while it is told to a head that fell with it. Harm: whoever suspects wrongly tells another head than the rest for
-	// as long, which gathering bears; purges keep to tree, as each turn of it costs them messages.
-	soon *tree.Tree
-}
-
-// Start joins the cluster. What it started before an error has ended again.
-func Start(o Options) (n *Node, err error) {
-	n = &Node{o: o, log: o.Log, began: time.Now()}
+// Start joins the cluster. On an error everything that it had started has ended again.
+func Start(opts Options) (n *Node, err error) {
+	n = &Node{opts: opts, log: opts.Log, startedAt: time.Now()}
 	defer func() {
 		if err != nil {
 			err = errors.Join(err, n.Close())
 			n = nil
 		}
 	}()
-	set := o.Settings
-	for _, advice := range set.Advice {
+	for _, advice := range opts.Settings.Advice {
 		n.log.Warn("cluster file", zap.String("advice", advice))
 	}
-	if n.folder, err = folder.Open(set.Here.Folder); err != nil {
+	if err = n.openFolder(); err != nil {
 		return n, err
 	}
-	n.self = view.Member{Life: view.Life{Name: set.Here.Name, Incarnation: n.folder.Incarnation}, Zone: set.Here.Zone,
-		Region: set.Here.Region, Size: set.Here.Size, Folder: n.folder.ID, Empty: n.folder.Empty}
-	n.see(view.Make(n.self.Name, 0, []view.Member{n.self}))
-	if n.link, err = link.Start(link.Options{Cut: o.Cut, Cluster: set.Cluster, Self: n.self.Life, Listen: set.Here.Listen.HTTP,
-		Reach: n.reach(func(a settings.Addresses, m view.Member) (string, string) { return a.HTTP, m.HTTP }), Log: o.Log.Named("link")}); err != nil {
+	if err = n.startLink(); err != nil {
 		return n, err
 	}
-	n.self.HTTP = n.link.Addr()
-	n.saw = evidence.Start(evidence.Options{Rows: set.Bounds.Destinations})
-	ctx, stop := context.WithCancel(context.Background())
-	n.stop, n.ended = stop, ctx.Done()
-	parts := map[string]machine.Part{}
-	n.uses.parts(parts)
-	if n.self.Size != view.Small {
-		if n.council, err = consensus.Start(consensus.Options{Cut: o.Cut, Self: n.self, Cluster: set.Cluster, Folder: filepath.Join(set.Here.Folder, "council"),
-			Listen: set.Here.Listen.Council, Founders: set.Founders, Parts: parts, Log: o.Log.Named("council"),
-			Reach: n.reach(func(a settings.Addresses, m view.Member) (string, string) { return a.Council, m.Raft })}); err != nil {
-			return n, err
-		}
-		n.self.Raft, n.self.Voted = n.council.Addr(), n.council.Voted()
-	}
-	n.counted.init(n)
-	if err = n.uses.start(ctx, n); err != nil {
+	n.evidence = evidence.Start(evidence.Options{Rows: opts.Settings.Bounds.Destinations})
+	ctx, cancel := context.WithCancel(context.Background())
+	n.cancel, n.done = cancel, ctx.Done()
+	if err = n.startConsensus(); err != nil {
 		return n, err
 	}
-	var seeds []view.Name
-	for i := range set.Members {
-		if name := set.Members[i].Name; name != n.self.Name {
-			seeds = append(seeds, name)
-		}
+	n.digests.init(n)
+	if err = n.subsystems.start(n); err != nil {
+		return n, err
 	}
-	n.members, err = member.Start(member.Options{Cut: o.Cut, Cluster: set.Cluster, Self: n.self, Listen: set.Here.Listen.Gossip, Seeds: seeds,
-		Reach: func(name view.Name) (string, bool) {
-			a, known := set.Reach(name)
-			return a.Gossip, known && a.Gossip != ""
-		},
-		Log: o.Log.Named("member"), OnViewChange: n.see, OnNameConflict: n.conflict, OnIncarnationRaised: n.raised})
-	if err != nil {
+	if err = n.startMembership(); err != nil {
 		return n, err
 	}
-	n.serve()
-	n.work.Go(func() { n.keep(ctx) })
-	n.work.Go(func() { n.feed(ctx) })
+	n.registerHandlers()
+	n.wg.Go(func() { n.maintain(ctx) })
+	n.wg.Go(func() { n.consumeDigests(ctx) })
 	return n, nil
 }
 
-// reach finds where a process is, by the file or by what it tells of itself.
-func (n *Node) reach(pick func(settings.Addresses, view.Member) (byFile, told string)) func(view.Name) (string, bool) {
-	return func(name view.Name) (string, bool) {
-		byFile, _ := n.o.Settings.Reach(name)
-		m, _ := n.tree.Load().view.Find(name)
-		addr, told := pick(byFile, m)
-		if addr == "" {
-			addr = told
-		}
-		return addr, addr != ""
+// openFolder starts a new incarnation of this process, which at first sees nobody but itself.
+func (n *Node) openFolder() (err error) {
+	here := n.opts.Settings.Here
+	if n.folder, err = folder.Open(here.Folder); err != nil {
+		return err
+	}
+	n.self = view.Member{
+		Life: view.Life{Name: here.Name, Incarnation: n.folder.Incarnation},
+		Zone: here.Zone, Region: here.Region, Size: here.Size, Folder: n.folder.ID, Empty: n.folder.Empty,
 	}
+	n.setView(view.Make(n.self.Name, 0, []view.Member{n.self}))
+	return nil
 }
 
-// see takes a new view.
-func (n *Node) see(v *view.View) {
-	at := &outlook{view: v, tree: tree.Derive(v)}
-	at.soon = at.tree
-	if slices.ContainsFunc(v.Members, suspected) {
-		at.soon = tree.Derive(view.Make(v.Self, v.No, slices.DeleteFunc(slices.Clone(v.Members), suspected)))
+// startLink starts the listener and client for calls between processes.
+func (n *Node) startLink() (err error) {
+	file := n.opts.Settings
+	n.link, err = link.Start(link.Options{
+		Cut: n.opts.Cut, Cluster: file.Cluster, Self: n.self.Life, Listen: file.Here.Listen.HTTP, Log: n.log.Named("link"),
+		Reach: n.addressOf(func(a settings.Addresses, m view.Member) (string, string) { return a.HTTP, m.HTTP }),
+	})
+	if err != nil {
+		return err
 	}
-	n.tree.Store(at)
-	if n.link == nil {
-		return
+	n.self.HTTP = n.link.Addr()
+	return nil
+}
+
+// startConsensus starts this process's part of the consensus group; a small process has none.
+func (n *Node) startConsensus() (err error) {
+	parts := map[string]machine.Part{}
+	n.subsystems.registerParts(parts)
+	if n.self.Size == view.Small {
+		return nil
 	}
-	for _, m := range v.Members {
-		n.link.Saw(m.Life)
+	file := n.opts.Settings
+	n.consensus, err = consensus.Start(consensus.Options{
+		Cut: n.opts.Cut, Self: n.self, Cluster: file.Cluster, Folder: filepath.Join(file.Here.Folder, "council"),
+		Listen: file.Here.Listen.Council, Founders: file.Founders, Parts: parts, Log: n.log.Named("council"),
+		Reach: n.addressOf(func(a settings.Addresses, m view.Member) (string, string) { return a.Council, m.Raft }),
+	})
+	if err != nil {
+		return err
 	}
-	if n.council != nil {
-		n.council.SetView(v)
+	n.self.Raft, n.self.Voted = n.consensus.Addr(), n.consensus.Voted()
+	return nil
+}
+
+// startMembership joins the seeds, whose views arrive from then on.
+func (n *Node) startMembership() (err error) {
+	file := n.opts.Settings
+	var seeds []view.Name
+	for i := range file.Members {
+		if name := file.Members[i].Name; name != n.self.Name {
+			seeds = append(seeds, name)
+		}
 	}
-	n.uses.seen(n)
+	n.members, err = member.Start(member.Options{
+		Cut: n.opts.Cut, Cluster: file.Cluster, Self: n.self, Listen: file.Here.Listen.Gossip, Seeds: seeds,
+		Reach: func(name view.Name) (string, bool) {
+			addresses, known := file.Reach(name)
+			return addresses.Gossip, known && addresses.Gossip != ""
+		},
+		Log:                 n.log.Named("member"),
+		OnViewChange:        n.setView,
+		OnNameConflict:      n.leaveToNameOwner,
+		OnIncarnationRaised: n.storeRaisedIncarnation,
+	})
+	return err
 }
 
-// conflict ends this process's part: its name is another's.
-func (n *Node) conflict(other view.Life) {
+// leaveToNameOwner ends this process's part in the cluster: its name is another's.
+func (n *Node) leaveToNameOwner(owner view.Life) {
 	n.log.Error("another process has this one's name and a later life; the cluster is left",
-		zap.String("name", string(other.Name)), zap.Uint64("incarnation", uint64(other.Incarnation)))
+		zap.String("name", string(owner.Name)), zap.Uint64("incarnation", uint64(owner.Incarnation)))
 	go n.Close()
 }
 
-func (n *Node) raised(to view.Incarnation) {
+// storeRaisedIncarnation takes on an incarnation that the membership raised.
+func (n *Node) storeRaisedIncarnation(to view.Incarnation) {
 	n.link.Rise(to)
 	if err := n.folder.Raise(to - 1); err != nil {
-		n.log.Error("the folder could not keep this life's number", zap.Error(err))
+		n.log.Error("the folder could not store the raised incarnation", zap.Error(err))
 	}
 }
 
-// keep does what is due once a second: it asks who leads, and tells on whether this folder holds a council's records.
-func (n *Node) keep(ctx context.Context) {
-	look := time.NewTicker(leaderEach)
-	defer look.Stop()
-	voted := n.self.Voted
-	var gone lost
-	lostAt := rand.IntN(lostEach) // many that start at once must not ask in step
-	for round := 0; ; round++ {
-		select {
-		case <-ctx.Done():
-			return
-		case <-look.C:
-		}
-		n.askLeader(ctx, round)
-		if round%lostEach == lostAt {
-			n.askLost(ctx, &gone)
-		}
-		if n.council != nil && n.council.Voted() != voted {
-			voted = !voted
-			if err := n.members.Update(func(m *view.Member) { m.Voted = voted }); err != nil {
-				n.log.Warn("own card not told", zap.Error(err))
-			}
-		}
-	}
-}
-
-// Now is for how long this process runs.
-func (n *Node) Now() view.Now { return time.Since(n.began) }
-
-func suspected(m view.Member) bool { return m.State == view.Suspected }
-
-// Soon is who reports to whom once those who are suspected are gone.
-func (n *Node) Soon() *tree.Tree { return n.tree.Load().soon }
-
-// Tree is who reports to whom, as seen here now.
-func (n *Node) Tree() *tree.Tree { return n.tree.Load().tree }
-
-// View is who is here.
-func (n *Node) View() *view.View { return n.tree.Load().view }
+// Now is for how long this process has been running.
+func (n *Node) Now() view.Now { return time.Since(n.startedAt) }
 
 // Close leaves the cluster. It may be called twice, and ends within a few seconds.
 func (n *Node) Close() error {
@@ -249,25 +214,25 @@
 		return nil
 	}
 	var errs []error
-	if n.stop != nil {
-		n.stop()
+	if n.cancel != nil {
+		n.cancel()
 	}
 	if n.members != nil {
-		n.members.Leave(leaveFor) // whoever does not hear of it sees us dead in a moment
+		n.members.Leave(leaveTimeout) // a member that misses this detects a failure shortly after
 		errs = append(errs, n.members.Close())
 	}
-	n.uses.close()
-	n.work.Wait()
-	if n.council != nil {
-		errs = append(errs, n.council.Close())
+	n.subsystems.close()
+	n.wg.Wait()
+	if n.consensus != nil {
+		errs = append(errs, n.consensus.Close())
 	}
 	if n.link != nil {
-		ctx, cancel := context.WithTimeout(context.Background(), closeFor)
+		ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 		errs = append(errs, n.link.Close(ctx))
 		cancel()
 	}
-	if n.saw != nil {
-		n.saw.Close()
+	if n.evidence != nil {
+		n.evidence.Close()
 	}
 	if n.folder != nil {
 		errs = append(errs, n.folder.Close())
--- a/internal/cluster/serve.go
+++ b/internal/cluster/serve.go
@@ -13,64 +13,97 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// This file tells what this process sees.
+// This file answers what this process sees of the cluster.
 
-func (n *Node) serve() {
+// registerHandlers registers everything that this package answers, for members and for the public.
+func (n *Node) registerHandlers() {
 	n.serveLeader()
-	n.serveSeen()
-	n.serveLost()
+	n.serveEvidence()
+	n.servePresence()
 	n.link.Public().HandleFunc("GET /v1/cluster", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(n.Status()) // who is gone hears nothing
+		_ = json.NewEncoder(w).Encode(n.Status()) // an error means that the client is gone
 	})
 }
 
-// Status is what this process sees of the cluster now.
+// Status returns what this process sees of the cluster now.
 func (n *Node) Status() *status.Status {
-	at := n.tree.Load()
-	s := &status.Status{Cluster: n.o.Settings.Cluster, Members: at.view.Members, Root: at.tree.Root(), Children: at.tree.Children(n.self.Name),
-		Since: n.Now().Milliseconds(), Purged: n.o.Orders.Applied(), Counts: map[string]int{}}
-	s.Self, _ = at.view.Find(n.self.Name)
-	s.Parent, _ = at.tree.Parent(n.self.Name)
-	council := asked{n}
-	s.Leader, _ = council.Leader()
-	s.Leading = council.Leading()
-	if n.council != nil {
-		s.Voters = n.council.Voters()
-		n.council.Read(func(index uint64) { s.Applied = index })
-		in, out := n.council.Traffic()
-		s.Traffic.In, s.Traffic.Out = in, out
+	topology := n.topology.Load()
+	s := &status.Status{
+		Cluster:  n.opts.Settings.Cluster,
+		Members:  topology.view.Members,
+		Root:     topology.tree.Root(),
+		Children: topology.tree.Children(n.self.Name),
+		Since:    n.Now().Milliseconds(),
+		Purged:   n.opts.Orders.Applied(),
+		Counts:   map[string]int{},
 	}
-	if n.uses.failover != nil {
-		if p, until := n.uses.failover.Plan(); p != nil {
-			text, _ := json.Marshal(p)
-			s.Epoch, s.PlanSum, s.HoldsMS = p.Epoch, crc32.ChecksumIEEE(text), (until - n.Now()).Milliseconds()
-			s.Plan = fmt.Sprintf("%d routes do not go near", len(p.Routes))
-			s.Counts["plan_routes"] = len(p.Routes)
-			for _, r := range p.Routes {
-				if r.Phase != plan.Away {
-					continue
-				}
-				home := r.Home
-				if len(home) == 0 {
-					home = []view.Zone{r.From}
-				}
-				for _, z := range home { // at most one number a zone
-					s.Counts["away_from_"+string(z)]++
-				}
-			}
-		}
-		f := n.uses.failover.Stats()
-		s.Counts["plans_decided_here"], s.Counts["failover_up"], s.Counts["failover_down"] = int(f.Plans), int(f.Up), int(f.Down)
-	}
-	if n.uses.configuration != nil {
-		c := n.uses.configuration.Status()
+	s.Self, _ = topology.view.Find(n.self.Name)
+	s.Parent, _ = topology.tree.Parent(n.self.Name)
+	n.addConsensusStatus(s)
+	n.addFailoverStatus(s)
+	if n.subsystems.configuration != nil {
+		c := n.subsystems.configuration.Status()
 		s.Configuration = &c
 	}
-	if n.uses.popularity != nil {
-		p := n.uses.popularity.Status()
+	if n.subsystems.popularity != nil {
+		p := n.subsystems.popularity.Status()
 		s.Popularity = &p
 	}
+	n.addTraffic(s)
+	s.Counts["digests_lost"] = int(n.digests.dropped.Load())
+	return s
+}
+
+// addConsensusStatus fills in the leader, and what this process's part of the consensus group has.
+func (n *Node) addConsensusStatus(s *status.Status) {
+	client := consensusClient{n}
+	s.Leader, _ = client.Leader()
+	s.Leading = client.Leading()
+	if n.consensus == nil {
+		return
+	}
+	s.Voters = n.consensus.Voters()
+	n.consensus.Read(func(index uint64) { s.Applied = index })
+	s.Traffic.In, s.Traffic.Out = n.consensus.Traffic()
+}
+
+// addFailoverStatus fills in the routing plan in force, and what was decided here.
+func (n *Node) addFailoverStatus(s *status.Status) {
+	if n.subsystems.failover == nil {
+		return
+	}
+	if p, until := n.subsystems.failover.Plan(); p != nil {
+		n.addPlan(s, p, until)
+	}
+	stats := n.subsystems.failover.Stats()
+	s.Counts["plans_decided_here"] = int(stats.Plans)
+	s.Counts["failover_up"] = int(stats.Up)
+	s.Counts["failover_down"] = int(stats.Down)
+}
+
+// addPlan fills in a plan that holds until then, with the number of routes that lead away from each zone.
+func (n *Node) addPlan(s *status.Status, p *plan.Plan, until view.Now) {
+	text, _ := json.Marshal(p)
+	s.Epoch, s.PlanSum, s.HoldsMS = p.Epoch, crc32.ChecksumIEEE(text), (until - n.Now()).Milliseconds()
+	s.Plan = fmt.Sprintf("%d routes do not go near", len(p.Routes))
+	s.Counts["plan_routes"] = len(p.Routes)
+	for _, route := range p.Routes {
+		if route.Phase != plan.Away {
+			continue
+		}
+		home := route.Home
+		if len(home) == 0 {
+			home = []view.Zone{route.From}
+		}
+		for _, zone := range home { // one count for each zone at most, so that their number is bounded
+			s.Counts["away_from_"+string(zone)]++
+		}
+	}
+}
+
+// addTraffic adds the link's and gossip's traffic to that of the consensus group, and the processor time.
+func (n *Node) addTraffic(s *status.Status) {
 	in, out := n.link.Traffic()
 	sent, packets := n.members.Sent()
 	s.Traffic.Council, s.Traffic.Gossip, s.Traffic.Packets = s.Traffic.Out, uint64(sent), uint64(packets)
@@ -80,30 +113,28 @@
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &used) == nil {
 		s.Traffic.CPU = time.Duration(used.Utime.Nano() + used.Stime.Nano())
 	}
-	s.Counts["digests_lost"] = int(n.counted.lost.Load())
-	return s
 }
 
-// Gate is closed once what this process missed is in force here: purges, and the settings in common. nil where neither
-// is followed.
+// Gate returns a channel that is closed once this process has applied what it missed: purges, and the settings in common.
+// It is nil where neither is followed.
 func (n *Node) Gate() <-chan struct{} {
-	var all []<-chan struct{}
-	if n.uses.purge != nil {
-		all = append(all, n.uses.purge.Ready())
+	var gates []<-chan struct{}
+	if n.subsystems.purge != nil {
+		gates = append(gates, n.subsystems.purge.Ready())
 	}
-	if n.uses.configuration != nil {
-		all = append(all, n.uses.configuration.Ready())
+	if n.subsystems.configuration != nil {
+		gates = append(gates, n.subsystems.configuration.Ready())
 	}
-	if len(all) < 2 {
-		return append(all, nil)[0]
+	if len(gates) < 2 {
+		return append(gates, nil)[0]
 	}
 	gate := make(chan struct{})
-	n.work.Go(func() {
-		defer close(gate) // each opens by itself in time, or the node is closed
-		for _, ready := range all {
+	n.wg.Go(func() {
+		defer close(gate) // each opens within its own bound, or the node is closed
+		for _, ready := range gates {
 			select {
 			case <-ready:
-			case <-n.ended:
+			case <-n.done:
 				return
 			}
 		}
