--- a/internal/cluster/evidence/evidence_test.go
+++ b/internal/cluster/evidence/evidence_test.go
@@ -50,7 +50,7 @@
 					batch = append(batch, sample(d, "e", name, 0, float64(round)), sample(d, "w", name, 0, 1))
 				}
 				reported[who] += uint64(len(batch))
-				for !e.Add(now, batch) && round == rounds { // the last comes in for sure
+				for !e.Add(now, batch) && round == rounds { // the last round is retried until it is accepted
 					reported[who] += uint64(len(batch))
 					time.Sleep(time.Millisecond)
 				}
@@ -85,7 +85,7 @@
 	}
 	for _, s := range retained {
 		if s.Age != time.Second || s.Zone == "e" && s.Sent != rounds {
-			t.Fatal("not the last", s)
+			t.Fatal("not the latest", s)
 		}
 	}
 }
--- a/internal/cluster/link/link.go
+++ b/internal/cluster/link/link.go
@@ -66,7 +66,7 @@
 // Link is one process's listener and client for calls within the cluster.
 type Link struct {
 	opts              Options
-	incarnation       atomic.Uint64 // raised by Rise
+	incarnation       atomic.Uint64 // raised by RaiseIncarnation
 	lives             *knownLives
 	bytesIn, bytesOut atomic.Uint64
 	volumes           volumes
@@ -111,7 +111,7 @@
 		serveDone: make(chan struct{}),
 		drained:   make(chan struct{}),
 	}
-	l.Rise(opts.Self.Incarnation)
+	l.RaiseIncarnation(opts.Self.Incarnation)
 	l.base, l.cancel = context.WithCancel(context.Background())
 	l.listener = &countingListener{Listener: listener, link: l}
 	l.client, l.transport = l.newClient()
@@ -145,17 +145,17 @@
 // Traffic returns the bytes received and sent over all connections since Start, headers included.
 func (l *Link) Traffic() (in, out uint64) { return l.bytesIn.Load(), l.bytesOut.Load() }
 
-// Rise raises the incarnation that later calls carry, as after a peer refused this process's incarnation as outdated
+// RaiseIncarnation raises the incarnation that later calls carry, as after a peer refused this process's incarnation as outdated
 // at its start (settings/folder, Raise). A lower incarnation than the present one changes nothing.
-func (l *Link) Rise(to view.Incarnation) {
+func (l *Link) RaiseIncarnation(to view.Incarnation) {
 	for was := l.incarnation.Load(); was < uint64(to) && !l.incarnation.CompareAndSwap(was, uint64(to)); was = l.incarnation.Load() {
 	}
 	// Another process that was started under this name is outdated as well.
 	l.lives.observe(view.Life{Name: l.opts.Self.Name, Incarnation: to})
 }
 
-// Saw records a life that was observed by other means, as by the membership.
-func (l *Link) Saw(life view.Life) { l.lives.observe(life) }
+// ObserveLife records a life that was observed by other means, as by the membership.
+func (l *Link) ObserveLife(life view.Life) { l.lives.observe(life) }
 
 // begin counts a call or a handler as in flight and returns true, unless the link is closed.
 func (l *Link) begin() bool {
--- a/internal/cluster/link/link_test.go
+++ b/internal/cluster/link/link_test.go
@@ -80,14 +80,14 @@
 	if out == 0 || in == 0 || out > 160 || in > 160 || out != bIn || in != bOut {
 		t.Fatal("a small call's bytes", in, out, bIn, bOut)
 	}
-	old, other := startLink(t, all, "ours", "a", 3, "127.0.0.1:0"), startLink(t, all, "theirs", "d", 1, "127.0.0.1:0")
-	twin := startLink(t, all, "ours", "b", 0, "127.0.0.1:0")
+	outdated, otherCluster := startLink(t, all, "ours", "a", 3, "127.0.0.1:0"), startLink(t, all, "theirs", "d", 1, "127.0.0.1:0")
+	sameName := startLink(t, all, "ours", "b", 0, "127.0.0.1:0")
 	for _, c := range []struct {
 		who  *Link
 		to   view.Name
 		path string
 		want int
-	}{{other, "b", "/echo", 403}, {old, "b", "/echo", 409}, {twin, "b", "/echo", 409}, {a, "c", "/echo", 421},
+	}{{otherCluster, "b", "/echo", 403}, {outdated, "b", "/echo", 409}, {sameName, "b", "/echo", 409}, {a, "c", "/echo", 421},
 		{a, "b", "/none", 404},
 		{a, "b", "/no", 410}, {a, "b", "/bad", 500}} {
 		if err := c.who.Call(ctx, c.to, c.path, nil, nil); status(err) != c.want {
@@ -95,11 +95,11 @@
 		}
 	}
 	var refused *Refused
-	if err := old.Call(ctx, "b", "/echo", nil, nil); !errors.As(err, &refused) || refused.Seen != 5 {
+	if err := outdated.Call(ctx, "b", "/echo", nil, nil); !errors.As(err, &refused) || refused.Seen != 5 {
 		t.Fatal(err)
 	}
-	old.Rise(refused.Seen + 1)
-	if err := old.Call(ctx, "b", "/echo", nil, nil); err != nil {
+	outdated.RaiseIncarnation(refused.Seen + 1)
+	if err := outdated.Call(ctx, "b", "/echo", nil, nil); err != nil {
 		t.Fatal(err)
 	}
 	if err := a.Call(ctx, "b", "/echo", nil, nil); status(err) != 409 {
--- a/internal/cluster/member/member_test.go
+++ b/internal/cluster/member/member_test.go
@@ -108,7 +108,7 @@
 	if err := all["c"].Update(func(s *view.Member) { s.Size, s.Voted, s.Name = view.Small, true, "other" }); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "what c tells anew", func() bool {
+	eventually(t, "c's new metadata", func() bool {
 		s, _ := all["e"].View().Find("c")
 		return s.Size == view.Small && s.Voted
 	})
@@ -135,7 +135,7 @@
 		t.Error("e was dead before it was suspected")
 	}
 
-	// It returns on another port with an empty folder and starts counting anew: it is raised above what others remember.
+	// It returns on another port with an empty folder and a low incarnation: it is raised above what others remember.
 	raised := make(chan view.Incarnation, 9)
 	p.mu.Lock()
 	delete(p.addrs, "e")
@@ -239,7 +239,7 @@
 	relays := map[view.Name]*relay{"a": newRelay(t), "b": newRelay(t)}
 	start := func(name, other view.Name) *Members {
 		return p.start(t, name, 1, func(o *Options) {
-			o.Advertise = "127.0.0.1:9" // what a process tells is of no use to others here
+			o.Advertise = "127.0.0.1:9" // the announced address is useless here
 			o.Reach = func(n view.Name) (string, bool) { return relays[n].addr, n == other }
 		})
 	}
@@ -255,7 +255,7 @@
 	eventually(t, "both are cut off", both(view.Dead))
 	relays["a"].forwardTo(a.Addr())
 	relays["b"].forwardTo(b.Addr())
-	eventually(t, "both are back, the same lives", both(view.Alive))
+	eventually(t, "both are back, as the same incarnations", both(view.Alive))
 }
 
 // TestSuspendedProcess: a process that neither sends nor receives, as under SIGSTOP, returns as the same incarnation.
@@ -268,7 +268,7 @@
 	var suspended sync.Mutex
 	c := p.start(t, "c", 1, func(o *Options) {
 		o.Reach = func(n view.Name) (string, bool) {
-			suspended.Lock() // as long as it stands still nothing of it is sent
+			suspended.Lock() // while it is suspended it sends nothing
 			defer suspended.Unlock()
 			return p.addressOf(n)
 		}
@@ -280,7 +280,7 @@
 	eventually(t, "c is dead", func() bool { return hasState(a, "c", view.Dead, 1) && hasState(b, "c", view.Dead, 1) })
 	relayToC.forwardTo(c.Addr())
 	suspended.Unlock()
-	eventually(t, "c is back, the same life", func() bool {
+	eventually(t, "c is back, as the same incarnation", func() bool {
 		return hasState(a, "c", view.Alive, 1) && hasState(b, "c", view.Alive, 1)
 	})
 }
--- a/internal/cluster/member/meta.go
+++ b/internal/cluster/member/meta.go
@@ -82,7 +82,7 @@
 	err      error
 }
 
-// lookup returns a node's metadata, decoded anew if it is not the cached one. It does not store it.
+// lookup returns a node's metadata, decoded if it is not the cached one. It does not store it.
 func (c metaCache) lookup(n *memberlist.Node) decodedMeta {
 	entry, known := c[n.Name]
 	if !known || !bytes.Equal(entry.meta, n.Meta) {
--- a/internal/cluster/member/meta_test.go
+++ b/internal/cluster/member/meta_test.go
@@ -9,7 +9,7 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// TestMetaCache: a cached entry equals what decoding anew would give, and only the last snapshot's members are cached.
+// TestMetaCache: a cached entry equals what decoding would give, and only the last snapshot's members are cached.
 func TestMetaCache(t *testing.T) {
 	node := func(name string, incarnation view.Incarnation, state memberlist.NodeStateType) *memberlist.Node {
 		meta, err := encodeMeta(roster.Observation{Member: view.Member{Life: view.Life{Name: view.Name(name), Incarnation: incarnation}, Zone: "z"}})
--- a/internal/cluster/member/roster/roster_test.go
+++ b/internal/cluster/member/roster/roster_test.go
@@ -20,8 +20,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var now view.Now
 		r := New(observed("self", 1, view.Alive), bounds, now)
-		last := map[view.Name]view.Member{} // what the last view showed
-		lastNo := r.View().No
+		lastMembers := map[view.Name]view.Member{} // what the last view showed
+		lastVersion := r.View().No
 		drawObservation := func(t *rapid.T) Observation {
 			return observed(view.Name(fmt.Sprintf("p%d", rapid.IntRange(0, 8).Draw(t, "name"))),
 				view.Incarnation(rapid.IntRange(1, 4).Draw(t, "incarnation")),
@@ -30,16 +30,16 @@
 		marking := func(f func(*Roster, Observation, view.Now) bool, state view.State) func(*rapid.T) {
 			return func(t *rapid.T) {
 				s := drawObservation(t)
-				was, known := last[s.Member.Name]
+				previous, known := lastMembers[s.Member.Name]
 				f(r, s, now)
-				m, is := r.View().Find(s.Member.Name)
-				if known && was.Incarnation > s.Member.Incarnation {
-					if m != was {
-						t.Fatalf("an earlier incarnation turned %+v into %+v", was, m)
+				m, byName := r.View().Find(s.Member.Name)
+				if known && previous.Incarnation > s.Member.Incarnation {
+					if m != previous {
+						t.Fatalf("an earlier incarnation turned %+v into %+v", previous, m)
 					}
-				} else if is && (m.State != state || m.Incarnation != s.Member.Incarnation) {
+				} else if byName && (m.State != state || m.Incarnation != s.Member.Incarnation) {
 					t.Fatalf("observed %+v as %d, shown %+v", s.Member, state, m)
-				} else if known && !is && (view.Member{State: state}).Here() {
+				} else if known && !byName && (view.Member{State: state}).Here() {
 					t.Fatalf("%s was forgotten", s.Member.Name)
 				}
 			}
@@ -60,9 +60,9 @@
 			"": func(t *rapid.T) {
 				v := r.View()
 				here, gone := 0, 0
-				is := map[view.Name]view.Member{}
+				byName := map[view.Name]view.Member{}
 				for i, m := range v.Members {
-					is[m.Name] = m
+					byName[m.Name] = m
 					if i > 0 && v.Members[i-1].Name >= m.Name {
 						t.Fatalf("not by name: %v", v.Members)
 					}
@@ -74,26 +74,26 @@
 					} else {
 						here++
 					}
-					if was, known := last[m.Name]; known && was.Incarnation > m.Incarnation {
-						t.Fatalf("%s went back from incarnation %d to %d", m.Name, was.Incarnation, m.Incarnation)
+					if previous, known := lastMembers[m.Name]; known && previous.Incarnation > m.Incarnation {
+						t.Fatalf("%s went back from incarnation %d to %d", m.Name, previous.Incarnation, m.Incarnation)
 					}
 				}
 				// Retained gone members may return, so only both bounds together hold.
 				if gone > bounds.MaxGone || here > bounds.MaxHere+bounds.MaxGone {
 					t.Fatalf("%d here, %d gone", here, gone)
 				}
-				if self, is := v.Find("self"); !is || self.State != view.Alive {
+				if self, byName := v.Find("self"); !byName || self.State != view.Alive {
 					t.Fatalf("self is shown as %+v", self)
 				}
-				for name, was := range last {
-					if _, still := is[name]; !still && was.Here() && v.No == lastNo {
+				for name, previous := range lastMembers {
+					if _, still := byName[name]; !still && previous.Here() && v.No == lastVersion {
 						t.Fatalf("%s went without a change", name)
 					}
 				}
-				if v.No < lastNo || fmt.Sprint(is) != fmt.Sprint(last) && len(last) > 0 && v.No == lastNo {
-					t.Fatalf("No %d after %d", v.No, lastNo)
+				if v.No < lastVersion || fmt.Sprint(byName) != fmt.Sprint(lastMembers) && len(lastMembers) > 0 && v.No == lastVersion {
+					t.Fatalf("No %d after %d", v.No, lastVersion)
 				}
-				last, lastNo = is, v.No
+				lastMembers, lastVersion = byName, v.No
 			},
 		})
 	})
--- a/internal/cluster/node.go
+++ b/internal/cluster/node.go
@@ -87,8 +87,8 @@
 			n = nil
 		}
 	}()
-	for _, advice := range opts.Settings.Advice {
-		n.log.Warn("cluster file", zap.String("advice", advice))
+	for _, warning := range opts.Settings.Warnings {
+		n.log.Warn("cluster file", zap.String("advice", warning))
 	}
 	if err = n.openFolder(); err != nil {
 		return n, err
@@ -195,7 +195,7 @@
 
 // storeRaisedIncarnation takes on an incarnation that the membership raised.
 func (n *Node) storeRaisedIncarnation(to view.Incarnation) {
-	n.link.Rise(to)
+	n.link.RaiseIncarnation(to)
 	if err := n.folder.Raise(to - 1); err != nil {
 		n.log.Error("the folder could not store the raised incarnation", zap.Error(err))
 	}
--- a/internal/cluster/settings/check.go
+++ b/internal/cluster/settings/check.go
@@ -148,7 +148,7 @@
 		founders = append(founders, name)
 	}
 	slices.Sort(founders)
-	s.Advice = append(s.Advice, founderAdvice(len(founders), perZone)...)
+	s.Warnings = append(s.Warnings, founderWarnings(len(founders), perZone)...)
 	return founders
 }
 
@@ -163,15 +163,15 @@
 	return "", false
 }
 
-// founderAdvice warns of an even number of founders, and of a zone whose loss would cost the majority.
-func founderAdvice(founders int, perZone map[view.Zone]int) (advice []string) {
+// founderWarnings returns warnings about an even number of founders, and of a zone whose loss would cost the majority.
+func founderWarnings(founders int, perZone map[view.Zone]int) (warnings []string) {
 	if founders%2 == 0 {
-		advice = append(advice, fmt.Sprintf("founders: %d outlast no more losses than %d", founders, founders-1))
+		warnings = append(warnings, fmt.Sprintf("founders: %d outlast no more losses than %d", founders, founders-1))
 	}
 	for _, zone := range slices.Sorted(maps.Keys(perZone)) {
 		if n := perZone[zone]; n > 1 && 2*n >= founders {
-			advice = append(advice, fmt.Sprintf("founders: %d of %d are in zone %q; without it nothing is decided", n, founders, zone))
+			warnings = append(warnings, fmt.Sprintf("founders: %d of %d are in zone %q; without it nothing is decided", n, founders, zone))
 		}
 	}
-	return advice
+	return warnings
 }
--- a/internal/cluster/settings/settings.go
+++ b/internal/cluster/settings/settings.go
@@ -21,8 +21,8 @@
 	Founders []view.Name // the first voters of the consensus group, by name; the same in every process's file
 	Uses     Uses
 	Bounds   Bounds
-	// Advice has a line for the log for each setting that is allowed but seldom intended.
-	Advice []string
+	// Warnings has a line for the log for each setting that is allowed but seldom intended.
+	Warnings []string
 }
 
 // Here describes this process.
--- a/internal/cluster/settings/settings_test.go
+++ b/internal/cluster/settings/settings_test.go
@@ -76,7 +76,7 @@
 	// bad.toml:38: field bounds.purges: takes a whole number, not 1.5
 }
 
-// TestExampleFile: the example under deploy has the defaults that it claims, and gives no advice.
+// TestExampleFile: the example under deploy has the defaults that it claims, and causes no warning.
 func TestExampleFile(t *testing.T) {
 	path := filepath.Join("..", "..", "..", "deploy", "cluster.toml")
 	got, err := Load(path)
@@ -126,7 +126,7 @@
 http = "h:3"
 `
 
-func TestSelfAmongMembersAndAdvice(t *testing.T) {
+func TestSelfAmongMembersAndWarnings(t *testing.T) {
 	s, err := Parse("f", fmt.Appendf(nil, minimalFile, `"a", "b"`, "[::1]:3", false))
 	if err != nil {
 		t.Fatal(err)
@@ -137,8 +137,8 @@
 	if _, known := s.Reach("x"); known {
 		t.Fatal("reaches whom the file does not name")
 	}
-	if len(s.Advice) != 2 {
-		t.Fatal(s.Advice)
+	if len(s.Warnings) != 2 {
+		t.Fatal(s.Warnings)
 	}
 	for listen, ok := range map[string]bool{"10.0.0.1:3": true, "0.0.0.0:3": false, "host:3": false} {
 		if _, err := Parse("f", fmt.Appendf(nil, minimalFile, `"a"`, listen, true)); (err == nil) != ok {
--- a/internal/cluster/topology.go
+++ b/internal/cluster/topology.go
@@ -36,7 +36,7 @@
 		return
 	}
 	for _, m := range v.Members {
-		n.link.Saw(m.Life)
+		n.link.ObserveLife(m.Life)
 	}
 	if n.consensus != nil {
 		n.consensus.SetView(v)
