--- /dev/null
+++ b/internal/cluster/member/changes_test.go
@@ -0,0 +1,135 @@
+package member
+
+import (
+	"fmt"
+	"sync"
+	"testing"
+	"time"
+
+	"flaxcove/internal/cluster/view"
+)
+
+// testCluster is a cluster whose members a test starts, changes and ends step by step.
+type testCluster struct {
+	t         *testing.T
+	addresses *addressBook
+	members   map[view.Name]*Members
+	suspected sync.Map // names that any member saw suspected
+}
+
+func startCluster(t *testing.T, names ...view.Name) *testCluster {
+	t.Helper()
+	c := &testCluster{t: t, addresses: &addressBook{addrs: map[view.Name]string{}}, members: map[view.Name]*Members{}}
+	for _, name := range names {
+		c.members[name] = c.addresses.start(t, name, 1, func(o *Options) { o.OnViewChange = c.recordSuspected })
+	}
+	return c
+}
+
+func (c *testCluster) recordSuspected(v *view.View) {
+	for _, m := range v.Members {
+		if m.State == view.Suspected {
+			c.suspected.Store(m.Name, true)
+		}
+	}
+}
+
+// everywhere waits until all members but one show a name's state.
+func (c *testCluster) everywhere(what string, but view.Name, name view.Name, state view.State, incarnation view.Incarnation) {
+	c.t.Helper()
+	for at, m := range c.members {
+		if at != but {
+			eventually(c.t, fmt.Sprint(what, " at ", at), func() bool { return hasState(m, name, state, incarnation) }, m)
+		}
+	}
+}
+
+// kill ends a member without a leave message.
+func (c *testCluster) kill(name view.Name) {
+	c.t.Helper()
+	if err := c.members[name].Close(); err != nil {
+		c.t.Error(err)
+	}
+}
+
+// TestMembershipChanges follows one cluster through all that can become of a member.
+func TestMembershipChanges(t *testing.T) {
+	t.Parallel()
+	c := startCluster(t, "a", "b", "c", "d", "e")
+	for name := range c.members {
+		c.everywhere("joined", "", name, view.Alive, 1)
+	}
+	c.checkUpdate("c", "e")
+	c.checkLeave("d")
+	c.checkDeath("e")
+	c.checkReturnWithEmptyFolder("e")
+	c.checkRestartBeforeDetection("c", 7)
+	c.checkReturnWithOldFolder("c", 7)
+}
+
+// checkUpdate: new metadata reaches another member, and metadata too long for the library is rejected.
+func (c *testCluster) checkUpdate(name, other view.Name) {
+	m := c.members[name]
+	if err := m.Update(func(s *view.Member) { s.Size, s.Voted, s.Name = view.Small, true, "other" }); err != nil {
+		c.t.Fatal(err)
+	}
+	eventually(c.t, "new metadata", func() bool {
+		s, _ := c.members[other].View().Find(name)
+		return s.Size == view.Small && s.Voted
+	})
+	long := make([]byte, 600)
+	err := m.Update(func(s *view.Member) { s.Zone = view.Zone(long) })
+	if err == nil || m.Self().Zone != "z1" {
+		c.t.Error("metadata too long for the library was accepted: ", err)
+	}
+}
+
+func (c *testCluster) checkLeave(name view.Name) {
+	if err := c.members[name].Leave(5 * time.Second); err != nil {
+		c.t.Error(err)
+	}
+	c.everywhere("left", "", name, view.Left, 1)
+	c.kill(name)
+	delete(c.members, name)
+}
+
+// checkDeath: a member that is killed is suspected and then dead.
+func (c *testCluster) checkDeath(name view.Name) {
+	c.kill(name)
+	c.everywhere("died", name, name, view.Dead, 1)
+	if _, was := c.suspected.Load(name); !was {
+		c.t.Errorf("%s was dead before it was suspected", name)
+	}
+}
+
+// checkReturnWithEmptyFolder: a dead member that returns on another port with an empty folder and a low incarnation is
+// raised above what the others remember.
+func (c *testCluster) checkReturnWithEmptyFolder(name view.Name) {
+	raised := make(chan view.Incarnation, 9)
+	c.addresses.remove(name)
+	c.members[name] = c.addresses.start(c.t, name, 1, func(o *Options) {
+		o.Self.Empty, o.Self.Folder = true, "new"
+		o.OnIncarnationRaised = func(i view.Incarnation) { raised <- i }
+	})
+	c.everywhere("back with an empty folder", "", name, view.Alive, 2)
+	if s, _ := c.members["a"].View().Find(name); !s.Empty || s.Folder != "new" || <-raised != 2 {
+		c.t.Errorf("came back as %+v", s)
+	}
+}
+
+// checkRestartBeforeDetection: a member is killed and returns on the same port before its failure is detected.
+func (c *testCluster) checkRestartBeforeDetection(name view.Name, incarnation view.Incarnation) {
+	c.kill(name)
+	c.members[name] = c.addresses.start(c.t, name, incarnation, func(o *Options) { o.Listen = c.members[name].Addr() })
+	c.everywhere("back at once", "", name, view.Alive, incarnation)
+}
+
+// checkReturnWithOldFolder: a dead member returns with an old copy of its folder, and is raised above what others remember.
+func (c *testCluster) checkReturnWithOldFolder(name view.Name, incarnation view.Incarnation) {
+	c.kill(name)
+	c.everywhere("died", name, name, view.Dead, incarnation)
+	c.members[name] = c.addresses.start(c.t, name, 3, func(o *Options) {
+		o.Listen, o.Seeds = c.members[name].Addr(), []view.Name{"e"}
+	})
+	c.everywhere("back from an old folder", "", name, view.Alive, incarnation+1)
+}
--- a/internal/cluster/member/member_test.go
+++ b/internal/cluster/member/member_test.go
@@ -1,7 +1,6 @@
 package member
 
 import (
-	"fmt"
 	"net"
 	"sync"
 	"testing"
@@ -37,6 +36,12 @@
 	p.addrs[name] = addr
 }
 
+func (p *addressBook) remove(name view.Name) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	delete(p.addrs, name)
+}
+
 func (p *addressBook) start(t *testing.T, name view.Name, incarnation view.Incarnation, change func(*Options)) *Members {
 	t.Helper()
 	opts := Options{Cluster: "fleet", Reach: p.addressOf, Seeds: []view.Name{"a", "b"}, Timing: fastTiming,
@@ -77,94 +82,6 @@
 	return found && s.State == state && s.Incarnation == incarnation
 }
 
-func TestMembershipChanges(t *testing.T) {
-	t.Parallel()
-	p := &addressBook{addrs: map[view.Name]string{}}
-	all := map[view.Name]*Members{}
-	var suspected sync.Map
-	for _, name := range []view.Name{"a", "b", "c", "d", "e"} {
-		all[name] = p.start(t, name, 1, func(o *Options) {
-			o.OnViewChange = func(v *view.View) {
-				for _, s := range v.Members {
-					if s.State == view.Suspected {
-						suspected.Store(s.Name, true)
-					}
-				}
-			}
-		})
-	}
-	everywhere := func(what string, but view.Name, name view.Name, state view.State, incarnation view.Incarnation) {
-		t.Helper()
-		for at, m := range all {
-			if at != but {
-				eventually(t, fmt.Sprint(what, " at ", at), func() bool { return hasState(m, name, state, incarnation) }, m)
-			}
-		}
-	}
-	for name := range all {
-		everywhere("joined", "", name, view.Alive, 1)
-	}
-
-	if err := all["c"].Update(func(s *view.Member) { s.Size, s.Voted, s.Name = view.Small, true, "other" }); err != nil {
-		t.Fatal(err)
-	}
-	eventually(t, "c's new metadata", func() bool {
-		s, _ := all["e"].View().Find("c")
-		return s.Size == view.Small && s.Voted
-	})
-	long := make([]byte, 600)
-	err := all["c"].Update(func(s *view.Member) { s.Zone = view.Zone(long) })
-	if err == nil || all["c"].Self().Zone != "z1" {
-		t.Error("metadata too long for the library was accepted: ", err)
-	}
-
-	if err := all["d"].Leave(5 * time.Second); err != nil {
-		t.Error(err)
-	}
-	everywhere("left", "", "d", view.Left, 1)
-	if err := all["d"].Close(); err != nil {
-		t.Error(err)
-	}
-	delete(all, "d")
-
-	if err := all["e"].Close(); err != nil { // without a leave message
-		t.Error(err)
-	}
-	everywhere("died", "e", "e", view.Dead, 1)
-	if _, was := suspected.Load(view.Name("e")); !was {
-		t.Error("e was dead before it was suspected")
-	}
-
-	// It returns on another port with an empty folder and a low incarnation: it is raised above what others remember.
-	raised := make(chan view.Incarnation, 9)
-	p.mu.Lock()
-	delete(p.addrs, "e")
-	p.mu.Unlock()
-	all["e"] = p.start(t, "e", 1, func(o *Options) {
-		o.Self.Empty, o.Self.Folder = true, "anew"
-		o.OnIncarnationRaised = func(i view.Incarnation) { raised <- i }
-	})
-	everywhere("back with an empty folder", "", "e", view.Alive, 2)
-	if s, _ := all["a"].View().Find("e"); !s.Empty || s.Folder != "anew" || <-raised != 2 {
-		t.Errorf("came back as %+v", s)
-	}
-
-	// A process is killed and returns on the same port before its failure is detected.
-	if err := all["c"].Close(); err != nil {
-		t.Error(err)
-	}
-	all["c"] = p.start(t, "c", 7, func(o *Options) { o.Listen = all["c"].Addr() })
-	everywhere("back at once", "", "c", view.Alive, 7)
-
-	// A process returns with an old copy of its folder.
-	if err := all["c"].Close(); err != nil {
-		t.Error(err)
-	}
-	everywhere("died", "c", "c", view.Dead, 7)
-	all["c"] = p.start(t, "c", 3, func(o *Options) { o.Listen, o.Seeds = all["c"].Addr(), []view.Name{"e"} })
-	everywhere("back from an old folder", "", "c", view.Alive, 8)
-}
-
 func TestOtherClusterIsRejected(t *testing.T) {
 	t.Parallel()
 	p := &addressBook{addrs: map[view.Name]string{}}
