--- a/internal/cluster/node.go
+++ b/internal/cluster/node.go
@@ -190,7 +190,7 @@
 func (n *Node) leaveToNameOwner(owner view.Life) {
 	n.log.Error("another process has this one's name and a later life; the cluster is left",
 		zap.String("name", string(owner.Name)), zap.Uint64("incarnation", uint64(owner.Incarnation)))
-	go n.Close()
+	go n.Close() // not here: Close waits for the membership's goroutine, which makes this call
 }
 
 // storeRaisedIncarnation takes on an incarnation that the membership raised.
