--- a/internal/cluster/capacity_test.go
+++ b/internal/cluster/capacity_test.go
@@ -11,7 +11,7 @@
 
 	"flaxcove/choice"
 	"flaxcove/internal/cluster/evidence/digest"
-	"flaxcove/internal/cluster/sight"
+	"flaxcove/internal/cluster/healthreport"
 	"flaxcove/internal/cluster/view"
 	"flaxcove/internal/sender/together"
 	"flaxcove/lab/capacity/bench"
@@ -66,8 +66,8 @@
 			rows, bytes, messages = 0, 0, 0
 			chance := rand.New(rand.NewPCG(1, 2))
 			feed := &digestFeed{
-				zoneNumbers: map[view.Zone]choice.ZoneNo{}, listedAt: map[sight.Place]view.Now{},
-				reported: map[sight.Place]lastReport{},
+				zoneNumbers: map[view.Zone]choice.ZoneNo{}, listedAt: map[healthreport.Locality]view.Now{},
+				reported: map[healthreport.Locality]lastReport{},
 				window:   digest.Make("sender-0123", "zone-3", sampleSpan, 40_000, 0),
 			}
 			for now, no := capacityEach, 0; now <= capacitySpan; now, no = now+capacityEach, no+1 {
--- a/internal/cluster/evidence/digest/digest.go
+++ b/internal/cluster/evidence/digest/digest.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"flaxcove/internal/cluster/evidence/table"
-	"flaxcove/internal/cluster/sight"
+	"flaxcove/internal/cluster/healthreport"
 	"flaxcove/internal/cluster/view"
 	"flaxcove/internal/sender/together"
 )
@@ -32,14 +32,14 @@
 	maxPlaces  int
 	lastTaken  view.Now // when the sender began to count for the next digest
 	buckets    []bucket // oldest first
-	aggregates map[sight.Place]*aggregate
+	aggregates map[healthreport.Locality]*aggregate
 	dropped    uint64 // rows beyond maxPlaces
 }
 
 // bucket holds one digest, or several that came close together.
 type bucket struct {
 	startedAt view.Now
-	rows      map[sight.Place]together.Row
+	rows      map[healthreport.Locality]together.Row
 }
 
 // aggregate is a place's sum over all buckets: counts are added with a row and subtracted when its bucket expires; all
@@ -56,11 +56,11 @@
 		span = Span
 	}
 	return &Window{witness: witness, from: from, span: span, maxPlaces: max(places, 1), lastTaken: now,
-		aggregates: map[sight.Place]*aggregate{}}
+		aggregates: map[healthreport.Locality]*aggregate{}}
 }
 
 // Take adds a digest and returns the samples over the span up to now, by place.
-func (w *Window) Take(now view.Now, d together.Digest) []sight.Sighting {
+func (w *Window) Take(now view.Now, d together.Digest) []healthreport.Sample {
 	w.addDigest(now, d.Rows)
 	// The newest bucket stays, however long a time it covers.
 	for len(w.buckets) > 1 && w.buckets[0].startedAt < now-w.span {
@@ -68,7 +68,7 @@
 		w.buckets = slices.Delete(w.buckets, 0, 1)
 	}
 	windowSpan := now - w.buckets[0].startedAt
-	samples := make([]sight.Sighting, 0, len(w.aggregates))
+	samples := make([]healthreport.Sample, 0, len(w.aggregates))
 	for place, total := range w.aggregates {
 		row, span := total.row, windowSpan
 		if unanswered, since, failing := w.unansweredSince(place); failing {
@@ -76,14 +76,14 @@
 		}
 		samples = append(samples, w.sample(place, row, span))
 	}
-	slices.SortFunc(samples, func(a, b sight.Sighting) int { return table.Order(&a, &b) })
+	slices.SortFunc(samples, func(a, b healthreport.Sample) int { return table.Order(&a, &b) })
 	return samples
 }
 
 // sample returns a place's counts over a span in the form in which they are sent.
-func (w *Window) sample(place sight.Place, row together.Row, span time.Duration) sight.Sighting {
-	return sight.Sighting{
-		Place: place, Witness: w.witness, From: w.from, Kind: row.Kind, Span: max(span, 1),
+func (w *Window) sample(place healthreport.Locality, row together.Row, span time.Duration) healthreport.Sample {
+	return healthreport.Sample{
+		Locality: place, Witness: w.witness, From: w.from, Kind: row.Kind, Span: max(span, 1),
 		Sent: float64(row.Sent), Done: float64(row.Done), Failed: float64(row.Failed), Silent: float64(row.Silent),
 		Refused: float64(row.Refused), Limit: row.Limit, Rating: row.Rating, Endpoints: row.Endpoints, Held: row.Held,
 	}
@@ -91,7 +91,7 @@
 
 // unansweredSince sums the newest buckets in which a place answered nothing, and reports since when, and whether
 // anything failed in them: a place that just went down must not look healthy because of earlier successes.
-func (w *Window) unansweredSince(place sight.Place) (row together.Row, since view.Now, failing bool) {
+func (w *Window) unansweredSince(place healthreport.Locality) (row together.Row, since view.Now, failing bool) {
 	found := false
 	for i := len(w.buckets) - 1; i >= 0; i-- {
 		r, present := w.buckets[i].rows[place]
@@ -115,12 +115,12 @@
 func (w *Window) addDigest(now view.Now, rows []together.Row) {
 	now = max(now, w.lastTaken)
 	if n := len(w.buckets); n == 0 || now-w.buckets[n-1].startedAt >= w.span/maxBuckets {
-		w.buckets = append(w.buckets, bucket{w.lastTaken, make(map[sight.Place]together.Row, len(rows))})
+		w.buckets = append(w.buckets, bucket{w.lastTaken, make(map[healthreport.Locality]together.Row, len(rows))})
 	}
 	w.lastTaken = now
 	current := w.buckets[len(w.buckets)-1].rows
 	for _, r := range rows {
-		place := sight.Place{Destination: r.Destination, Zone: view.Zone(r.Zone)}
+		place := healthreport.Locality{Destination: r.Destination, Zone: view.Zone(r.Zone)}
 		total := w.aggregates[place]
 		if total == nil {
 			if len(w.aggregates) >= w.maxPlaces {
@@ -150,7 +150,7 @@
 }
 
 // removeBucket subtracts an expired bucket's rows from the aggregates.
-func (w *Window) removeBucket(rows map[sight.Place]together.Row) {
+func (w *Window) removeBucket(rows map[healthreport.Locality]together.Row) {
 	for place, r := range rows {
 		total := w.aggregates[place]
 		if total.buckets--; total.buckets == 0 {
--- a/internal/cluster/evidence/evidence.go
+++ b/internal/cluster/evidence/evidence.go
@@ -21,7 +21,7 @@
 
 	"flaxcove/choice"
 	"flaxcove/internal/cluster/evidence/table"
-	"flaxcove/internal/cluster/sight"
+	"flaxcove/internal/cluster/healthreport"
 	"flaxcove/internal/cluster/view"
 )
 
@@ -76,7 +76,7 @@
 // batch is what one call of Add handed over, with ages as of now.
 type batch struct {
 	now     view.Now
-	samples []sight.Sighting
+	samples []healthreport.Sample
 }
 
 // Start starts the workers.
@@ -107,7 +107,7 @@
 
 // Add hands samples to the pool, which owns the slice from then on; their ages are as of now. It never waits, and
 // returns false if they were dropped: the queue is full, there are too many at once, or the pool is closed.
-func (e *Evidence) Add(now view.Now, all []sight.Sighting) bool {
+func (e *Evidence) Add(now view.Now, all []healthreport.Sample) bool {
 	select {
 	case <-e.stop:
 		return false
@@ -142,23 +142,23 @@
 }
 
 // apply adds one sample to its shard's table.
-func (e *Evidence) apply(now view.Now, s *sight.Sighting) table.Outcome {
-	target := e.shardOf(s.Place)
+func (e *Evidence) apply(now view.Now, s *healthreport.Sample) table.Outcome {
+	target := e.shardOf(s.Locality)
 	target.mu.Lock()
 	defer target.mu.Unlock()
 	return target.table.Take(now, *s)
 }
 
 // shardOf returns a place's shard, the same one in every run.
-func (e *Evidence) shardOf(place sight.Place) *shard {
+func (e *Evidence) shardOf(place healthreport.Locality) *shard {
 	sum := crc32.ChecksumIEEE(binary.LittleEndian.AppendUint64(make([]byte, 0, 8), uint64(place.Destination)))
 	sum = crc32.Update(sum, crc32.IEEETable, []byte(place.Zone))
 	return &e.shards[sum%uint32(len(e.shards))]
 }
 
 // Read returns all samples with ages as of now, ordered by destination, zone and witness. The caller owns the slice.
-func (e *Evidence) Read(now view.Now) []sight.Sighting {
-	var ordered []*sight.Sighting
+func (e *Evidence) Read(now view.Now) []healthreport.Sample {
+	var ordered []*healthreport.Sample
 	for i := range e.shards {
 		fromShard := e.shards[i].read(now)
 		for j := range fromShard {
@@ -166,14 +166,14 @@
 		}
 	}
 	slices.SortFunc(ordered, table.Order)
-	all := make([]sight.Sighting, len(ordered))
+	all := make([]healthreport.Sample, len(ordered))
 	for i, s := range ordered {
 		all[i] = *s
 	}
 	return all
 }
 
-func (s *shard) read(now view.Now) []sight.Sighting {
+func (s *shard) read(now view.Now) []healthreport.Sample {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.table.Read(now)
--- a/internal/cluster/evidence/table/table.go
+++ b/internal/cluster/evidence/table/table.go
@@ -16,7 +16,7 @@
 	"time"
 
 	"flaxcove/choice"
-	"flaxcove/internal/cluster/sight"
+	"flaxcove/internal/cluster/healthreport"
 	"flaxcove/internal/cluster/view"
 )
 
@@ -43,7 +43,7 @@
 // Table is a bounded store of samples. It is not safe for concurrent use.
 type Table struct {
 	bounds Bounds
-	rows   map[sight.Place]*row
+	rows   map[healthreport.Locality]*row
 	byAge  ageHeap // the same rows
 	// forgottenAt is when destinations were forgotten: samples from before are rejected. An entry expires after twice
 	// Keep, as older samples, and spans that reach back so far, are rejected anyway.
@@ -52,7 +52,7 @@
 
 // row holds the samples of one place.
 type row struct {
-	place        sight.Place
+	place        healthreport.Locality
 	observations []observation // by witness
 	newestAt     view.Now      // of the newest observation
 	heapIndex    int           // in Table.byAge
@@ -61,7 +61,7 @@
 // observation is a sample and the time that it was observed at; the sample's Age is 0.
 type observation struct {
 	at     view.Now
-	sample sight.Sighting
+	sample healthreport.Sample
 }
 
 // compareAge orders observations of one place by time, then by witness, so that among equally old ones always the same
@@ -73,11 +73,11 @@
 // Make returns an empty table. Bounds below one row, witness and nanosecond are raised to that.
 func Make(b Bounds) *Table {
 	b = Bounds{max(b.Rows, 1), max(b.Witnesses, 1), max(b.Keep, 1)}
-	return &Table{bounds: b, rows: map[sight.Place]*row{}, forgottenAt: map[choice.DestinationID]view.Now{}}
+	return &Table{bounds: b, rows: map[healthreport.Locality]*row{}, forgottenAt: map[choice.DestinationID]view.Now{}}
 }
 
 // Take adds a sample whose age is as of now.
-func (t *Table) Take(now view.Now, s sight.Sighting) Outcome {
+func (t *Table) Take(now view.Now, s healthreport.Sample) Outcome {
 	if !valid(&s) {
 		return Invalid
 	}
@@ -90,16 +90,16 @@
 	if when, forgotten := t.forgottenAt[s.Destination]; forgotten && observed.at-s.Span < when {
 		return Forgotten
 	}
-	target := t.rows[s.Place]
+	target := t.rows[s.Locality]
 	if target == nil {
-		target = &row{place: s.Place, newestAt: observed.at}
+		target = &row{place: s.Locality, newestAt: observed.at}
 		if len(t.rows) >= t.bounds.Rows {
 			if target.olderThan(t.byAge[0]) {
 				return Outdated
 			}
 			t.remove(t.byAge[0])
 		}
-		t.rows[s.Place] = target
+		t.rows[s.Locality] = target
 		heap.Push(&t.byAge, target)
 	}
 	outcome := target.insert(observed, t.bounds.Witnesses)
@@ -164,7 +164,7 @@
 }
 
 // Read returns all samples, with their ages as of now, by Order; those older than Keep are dropped from the table.
-func (t *Table) Read(now view.Now) (samples []sight.Sighting) {
+func (t *Table) Read(now view.Now) (samples []healthreport.Sample) {
 	for len(t.byAge) > 0 && now-t.byAge[0].newestAt > t.bounds.Keep {
 		t.remove(t.byAge[0])
 	}
@@ -224,7 +224,7 @@
 
 // valid reports whether a sample's values are possible: they come from other processes, and an empty span would be read
 // as an infinite rate.
-func valid(s *sight.Sighting) bool {
+func valid(s *healthreport.Sample) bool {
 	for _, v := range [...]float64{s.Sent, s.Done, s.Failed, s.Silent, s.Refused, s.Limit, s.Rating} {
 		if !(v >= 0) || math.IsInf(v, 1) {
 			return false
@@ -234,14 +234,14 @@
 }
 
 // Order compares samples as Read orders them: by destination, zone, witness.
-func Order(a, b *sight.Sighting) int {
-	if c := comparePlace(&a.Place, &b.Place); c != 0 {
+func Order(a, b *healthreport.Sample) int {
+	if c := comparePlace(&a.Locality, &b.Locality); c != 0 {
 		return c
 	}
 	return cmp.Compare(a.Witness, b.Witness)
 }
 
-func comparePlace(a, b *sight.Place) int {
+func comparePlace(a, b *healthreport.Locality) int {
 	if c := cmp.Compare(a.Destination, b.Destination); c != 0 {
 		return c
 	}
@@ -250,7 +250,7 @@
 
 // compareSamples decides which of two samples of one witness, place and time is retained. Any rule that does not depend
 // on the order of arrival will do; of one moment's counts the later is the larger.
-func compareSamples(a, b *sight.Sighting) int {
+func compareSamples(a, b *healthreport.Sample) int {
 	return cmp.Or(cmp.Compare(a.Span, b.Span), cmp.Compare(a.Sent, b.Sent), cmp.Compare(a.Done, b.Done),
 		cmp.Compare(a.Failed, b.Failed), cmp.Compare(a.Silent, b.Silent), cmp.Compare(a.Refused, b.Refused),
 		cmp.Compare(a.Limit, b.Limit), cmp.Compare(a.Rating, b.Rating), cmp.Compare(a.Endpoints, b.Endpoints),
--- a/internal/cluster/evidence/table/table_test.go
+++ b/internal/cluster/evidence/table/table_test.go
@@ -10,20 +10,20 @@
 	"pgregory.net/rapid"
 
 	"flaxcove/choice"
-	"flaxcove/internal/cluster/sight"
+	"flaxcove/internal/cluster/healthreport"
 	"flaxcove/internal/cluster/view"
 )
 
 // drawObservation draws from few places, witnesses and times, so that observations collide.
 func drawObservation(t *rapid.T) observation {
-	return observation{time.Duration(rapid.IntRange(0, 8).Draw(t, "at")) * time.Second, sight.Sighting{
-		Place: sight.Place{Destination: choice.DestinationID(rapid.IntRange(1, 3).Draw(t, "d")),
+	return observation{time.Duration(rapid.IntRange(0, 8).Draw(t, "at")) * time.Second, healthreport.Sample{
+		Locality: healthreport.Locality{Destination: choice.DestinationID(rapid.IntRange(1, 3).Draw(t, "d")),
 			Zone: rapid.SampledFrom([]view.Zone{"e", "w"}).Draw(t, "z")},
 		Witness: rapid.SampledFrom([]view.Name{"a", "b", "c"}).Draw(t, "w"), Span: time.Second,
 		Sent: float64(rapid.IntRange(0, 2).Draw(t, "n"))}}
 }
 
-func (n observation) sampleAt(now view.Now) sight.Sighting {
+func (n observation) sampleAt(now view.Now) healthreport.Sample {
 	s := n.sample
 	s.Age = now - n.at
 	return s
@@ -65,10 +65,10 @@
 	})
 }
 
-func places(all []sight.Sighting) (only []sight.Sighting) {
+func places(all []healthreport.Sample) (only []healthreport.Sample) {
 	for _, s := range all {
-		if len(only) == 0 || only[len(only)-1].Place != s.Place {
-			only = append(only, sight.Sighting{Place: s.Place})
+		if len(only) == 0 || only[len(only)-1].Locality != s.Locality {
+			only = append(only, healthreport.Sample{Locality: s.Locality})
 		}
 	}
 	return only
@@ -119,7 +119,7 @@
 	})
 }
 
-func referenceRead(accepted []observation, now view.Now, keep time.Duration, most int) (all []sight.Sighting) {
+func referenceRead(accepted []observation, now view.Now, keep time.Duration, most int) (all []healthreport.Sample) {
 	newestFirst := slices.Clone(accepted)
 	slices.SortFunc(newestFirst, func(a, b observation) int {
 		if c := compareAge(&b, &a); c != 0 {
@@ -127,27 +127,27 @@
 		}
 		return compareSamples(&b.sample, &a.sample)
 	})
-	count, counted := map[sight.Place]int{}, map[sight.Sighting]bool{}
+	count, counted := map[healthreport.Locality]int{}, map[healthreport.Sample]bool{}
 	for _, n := range newestFirst {
-		source := sight.Sighting{Place: n.sample.Place, Witness: n.sample.Witness}
-		if count[n.sample.Place] < most && !counted[source] && now-n.at <= keep {
-			count[n.sample.Place]++
+		source := healthreport.Sample{Locality: n.sample.Locality, Witness: n.sample.Witness}
+		if count[n.sample.Locality] < most && !counted[source] && now-n.at <= keep {
+			count[n.sample.Locality]++
 			counted[source] = true
 			all = append(all, n.sampleAt(now))
 		}
 	}
-	slices.SortFunc(all, func(a, b sight.Sighting) int { return Order(&a, &b) })
+	slices.SortFunc(all, func(a, b healthreport.Sample) int { return Order(&a, &b) })
 	return all
 }
 
 func TestInvalidSamplesAndForgottenBound(t *testing.T) {
 	table := Make(Bounds{4, 1, time.Minute})
-	good := sight.Sighting{Place: sight.Place{Destination: 1}, Witness: "a", Span: time.Second}
-	for i, spoil := range []func(s *sight.Sighting){
-		func(s *sight.Sighting) { s.Failed = math.NaN() }, func(s *sight.Sighting) { s.Limit = math.Inf(1) },
-		func(s *sight.Sighting) { s.Sent = -1 }, func(s *sight.Sighting) { s.Span = 0 },
-		func(s *sight.Sighting) { s.Age = -1 },
-		func(s *sight.Sighting) { s.Held = -1 }, func(s *sight.Sighting) { s.Witness = "" }} {
+	good := healthreport.Sample{Locality: healthreport.Locality{Destination: 1}, Witness: "a", Span: time.Second}
+	for i, spoil := range []func(s *healthreport.Sample){
+		func(s *healthreport.Sample) { s.Failed = math.NaN() }, func(s *healthreport.Sample) { s.Limit = math.Inf(1) },
+		func(s *healthreport.Sample) { s.Sent = -1 }, func(s *healthreport.Sample) { s.Span = 0 },
+		func(s *healthreport.Sample) { s.Age = -1 },
+		func(s *healthreport.Sample) { s.Held = -1 }, func(s *healthreport.Sample) { s.Witness = "" }} {
 		s := good
 		if spoil(&s); table.Take(end, s) != Invalid {
 			t.Error(i)
--- a/internal/cluster/feed.go
+++ b/internal/cluster/feed.go
@@ -12,7 +12,7 @@
 	"flaxcove/choice"
 	"flaxcove/internal/cluster/evidence/digest"
 	"flaxcove/internal/cluster/failover/apply"
-	"flaxcove/internal/cluster/sight"
+	"flaxcove/internal/cluster/healthreport"
 	"flaxcove/internal/cluster/view"
 	"flaxcove/internal/sender/together"
 )
@@ -42,8 +42,8 @@
 	dropped     atomic.Uint64
 	zoneNumbers map[view.Zone]choice.ZoneNo
 	window      *digest.Window
-	listedAt    map[sight.Place]view.Now
-	reported    map[sight.Place]lastReport
+	listedAt    map[healthreport.Locality]view.Now
+	reported    map[healthreport.Locality]lastReport
 }
 
 // lastReport is what the zone's coordinator was last sent of a place.
@@ -59,7 +59,7 @@
 	for zone, no := range n.opts.Zones {
 		f.zoneNumbers[view.Zone(zone)] = no
 	}
-	f.listedAt, f.reported = map[sight.Place]view.Now{}, map[sight.Place]lastReport{}
+	f.listedAt, f.reported = map[healthreport.Locality]view.Now{}, map[healthreport.Locality]lastReport{}
 	f.window = digest.Make(n.self.Name, n.self.Zone, sampleSpan, n.opts.Settings.Bounds.Destinations, n.Now())
 	f.listing.Store(&apply.Local{Zone: n.self.Zone, Numbers: f.zoneNumbers})
 }
@@ -123,7 +123,7 @@
 }
 
 // reportSamples sends the zone's coordinator the samples that are due.
-func (n *Node) reportSamples(ctx context.Context, now view.Now, samples []sight.Sighting) {
+func (n *Node) reportSamples(ctx context.Context, now view.Now, samples []healthreport.Sample) {
 	coordinator := n.TreeWithoutSuspected().ZoneHead(n.self.Zone)
 	if coordinator == "" || coordinator == n.self.Name {
 		return
@@ -143,7 +143,7 @@
 func (f *digestFeed) updateListing(now view.Now, rows []together.Row, zone view.Zone) {
 	changed := false
 	for _, r := range rows {
-		place := sight.Place{Destination: r.Destination, Zone: view.Zone(r.Zone)}
+		place := healthreport.Locality{Destination: r.Destination, Zone: view.Zone(r.Zone)}
 		if _, known := f.listedAt[place]; r.Endpoints > 0 {
 			f.listedAt[place], changed = now, changed || !known
 		} else if known {
@@ -178,23 +178,23 @@
 
 // dueSamples returns the samples to be reported now: at once those with failures, and the first without any after them;
 // the others every healthyInterval.
-func (f *digestFeed) dueSamples(now view.Now, samples []sight.Sighting) (due []sight.Sighting) {
+func (f *digestFeed) dueSamples(now view.Now, samples []healthreport.Sample) (due []healthreport.Sample) {
 	for _, s := range samples {
-		last, failing := f.reported[s.Place], s.Failed > 0
+		last, failing := f.reported[s.Locality], s.Failed > 0
 		isDue := failing || failing != last.failing || last.at == 0 || now-last.at >= healthyInterval
 		if isDue && len(due) < maxReportSamples {
 			due = append(due, s)
-			f.reported[s.Place] = lastReport{now, failing}
+			f.reported[s.Locality] = lastReport{now, failing}
 		}
 	}
-	maps.DeleteFunc(f.reported, func(_ sight.Place, last lastReport) bool { return now-last.at > listingTTL })
+	maps.DeleteFunc(f.reported, func(_ healthreport.Locality, last lastReport) bool { return now-last.at > listingTTL })
 	return due
 }
 
 // serveEvidence stores what another process of the zone observed.
 func (n *Node) serveEvidence() {
 	n.link.Handle(evidencePath, func(_ context.Context, from view.Life, body []byte) (any, error) {
-		var samples []sight.Sighting
+		var samples []healthreport.Sample
 		if err := json.Unmarshal(body, &samples); err != nil {
 			return nil, fmt.Errorf("evidence of %s: %w", from.Name, err)
 		}
--- a/internal/cluster/sight/sight.go
+++ b/internal/cluster/healthreport/healthreport.go
@@ -1,8 +1,8 @@
-// Package sight holds health reports of destinations in the form in which processes send them: counts, their age, and
+// Package healthreport holds health reports of destinations in the form in which processes send them: counts, their age, and
 // the process that observed them.
 //
 // Plain data, no decision. Ages are spans, to which each process that forwards a sample adds; no wall-clock time is sent.
-package sight
+package healthreport
 
 import (
 	"time"
@@ -11,15 +11,15 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// Place identifies the endpoints of one destination in one zone.
-type Place struct {
+// Locality identifies the endpoints of one destination in one zone.
+type Locality struct {
 	Destination choice.DestinationID `json:"d"`
 	Zone        view.Zone            `json:"z"`
 }
 
-// Sighting is what one process observed of a place over Span, up to Age ago.
-type Sighting struct {
-	Place
+// Sample is what one process observed of a place over Span, up to Age ago.
+type Sample struct {
+	Locality
 	Witness   view.Name     `json:"w"`
 	From      view.Zone     `json:"from"` // the witness's zone
 	Kind      choice.KindNo `json:"k,omitempty"`
--- a/internal/cluster/node.go
+++ b/internal/cluster/node.go
@@ -39,10 +39,10 @@
 	Zones map[string]choice.ZoneNo
 	// Longest is the longest deadline of any class.
 	Longest time.Duration
-	// Cold, ColdFrom and FallMultiple are the service's settings for slow start.
-	Cold         time.Duration
-	ColdFrom     float64
-	FallMultiple float64
+	// SlowStart, SlowStartFrom and FallMultiple are the service's settings for slow start.
+	SlowStart     time.Duration
+	SlowStartFrom float64
+	FallMultiple  float64
 	// RatingIsRate is set if the endpoint list's ratings are calls a second.
 	RatingIsRate bool
 	// Cut reports processes from which this one is partitioned, for test rigs that run many nodes; nil for none.
@@ -153,8 +153,8 @@
 	file := n.opts.Settings
 	n.consensus, err = consensus.Start(consensus.Options{
 		Cut: n.opts.Cut, Self: n.self, Cluster: file.Cluster, Folder: filepath.Join(file.Here.Folder, "council"),
-		Listen: file.Here.Listen.Council, Founders: file.Founders, Parts: parts, Log: n.log.Named("council"),
-		Reach: n.addressOf(func(a settings.Addresses, m view.Member) (string, string) { return a.Council, m.Raft }),
+		Listen: file.Here.Listen.Consensus, Founders: file.Founders, Parts: parts, Log: n.log.Named("council"),
+		Reach: n.addressOf(func(a settings.Addresses, m view.Member) (string, string) { return a.Consensus, m.Raft }),
 	})
 	if err != nil {
 		return err
--- a/internal/cluster/serve.go
+++ b/internal/cluster/serve.go
@@ -106,7 +106,7 @@
 func (n *Node) addTraffic(s *status.Status) {
 	in, out := n.link.Traffic()
 	sent, packets := n.members.Sent()
-	s.Traffic.Council, s.Traffic.Gossip, s.Traffic.Packets = s.Traffic.Out, uint64(sent), uint64(packets)
+	s.Traffic.Consensus, s.Traffic.Gossip, s.Traffic.Packets = s.Traffic.Out, uint64(sent), uint64(packets)
 	s.Traffic.Kinds = n.link.Volumes()
 	s.Traffic.In, s.Traffic.Out = s.Traffic.In+in, s.Traffic.Out+out+uint64(sent)
 	var used syscall.Rusage
--- a/internal/cluster/settings/check.go
+++ b/internal/cluster/settings/check.go
@@ -58,11 +58,11 @@
 	beyondLoopback := c.boolean("here.beyond_loopback", f.BeyondLoopback)
 	h.Listen = Addresses{
 		c.listenAddress("here.gossip", f.Gossip, beyondLoopback),
-		c.listenAddress("here.council", f.Council, beyondLoopback),
+		c.listenAddress("here.council", f.Consensus, beyondLoopback),
 		c.listenAddress("here.http", f.HTTP, beyondLoopback),
 	}
 	claimed.claim(c, "here.gossip", h.Listen.Gossip)
-	claimed.claim(c, "here.council", h.Listen.Council)
+	claimed.claim(c, "here.council", h.Listen.Consensus)
 	claimed.claim(c, "here.http", h.Listen.HTTP)
 	return h
 }
@@ -97,7 +97,7 @@
 			c.reject(at+"zone", "%q is this process, and here.zone is %q", m.Zone, s.Here.Zone)
 		}
 		m.Reach = Addresses{c.memberAddress(at+"gossip", f.Gossip, self, s.Here.Listen.Gossip, claimed),
-			c.memberAddress(at+"council", f.Council, self, s.Here.Listen.Council, claimed),
+			c.memberAddress(at+"council", f.Consensus, self, s.Here.Listen.Consensus, claimed),
 			c.memberAddress(at+"http", f.HTTP, self, s.Here.Listen.HTTP, claimed)}
 		members = append(members, m)
 	}
--- a/internal/cluster/settings/settings.go
+++ b/internal/cluster/settings/settings.go
@@ -44,7 +44,7 @@
 }
 
 // Addresses of one process: gossip is UDP and TCP, the others TCP.
-type Addresses struct{ Gossip, Council, HTTP string }
+type Addresses struct{ Gossip, Consensus, HTTP string }
 
 // Uses are the features of the cluster, each off unless switched on.
 type Uses struct{ Failover, Purges, Popularity, Configuration bool }
--- a/internal/cluster/status/status.go
+++ b/internal/cluster/status/status.go
@@ -47,10 +47,10 @@
 	In  uint64        `json:"in"`
 	Out uint64        `json:"out"`
 	CPU time.Duration `json:"cpu_ns"`
-	// Gossip and Council (the consensus group's) are parts of Out; Kinds are calls between members by path, with the
+	// Gossip and Consensus (the consensus group's) are parts of Out; Kinds are calls between members by path, with the
 	// bytes of their bodies.
-	Gossip  uint64                 `json:"gossip"`
-	Packets uint64                 `json:"gossip_packets"`
-	Council uint64                 `json:"council"`
-	Kinds   map[string]link.Volume `json:"kinds,omitempty"`
+	Gossip    uint64                 `json:"gossip"`
+	Packets   uint64                 `json:"gossip_packets"`
+	Consensus uint64                 `json:"council"`
+	Kinds     map[string]link.Volume `json:"kinds,omitempty"`
 }
--- a/internal/cluster/subsystems.go
+++ b/internal/cluster/subsystems.go
@@ -60,12 +60,12 @@
 	planSettings := plan.Usual()
 	planSettings.RatingIsRate = n.opts.RatingIsRate
 	if n.opts.FallMultiple > 0 {
-		planSettings.Cold, planSettings.ColdFrom, planSettings.FallMultiple = n.opts.Cold, n.opts.ColdFrom, n.opts.FallMultiple
+		planSettings.SlowStart, planSettings.SlowStartFrom, planSettings.FallMultiple = n.opts.SlowStart, n.opts.SlowStartFrom, n.opts.FallMultiple
 	}
 	client := consensusClient{n}
 	u.failover = failover.Start(failover.Options{
-		Self: n.self.Name, Zone: n.self.Zone, Now: n.Now, Link: n.link, Council: client, InForce: u.inForce,
-		Term: client.Term, Tree: n.TreeWithoutSuspected, Sightings: n.evidence.Read, Local: n.digests.local,
+		Self: n.self.Name, Zone: n.self.Zone, Now: n.Now, Link: n.link, Consensus: client, InForce: u.inForce,
+		Term: client.Term, Tree: n.TreeWithoutSuspected, Samples: n.evidence.Read, Local: n.digests.local,
 		Bounds: weigh.Usual(), Settings: planSettings, Log: n.log.Named("failover"),
 	})
 }
@@ -86,7 +86,7 @@
 		Log: n.log.Named("purge"),
 	}
 	if n.consensus != nil {
-		opts.Council, opts.Ledger = consensusClient{n}, u.purgeLedger
+		opts.Consensus, opts.Ledger = consensusClient{n}, u.purgeLedger
 	}
 	u.purge, err = purge.Start(opts)
 	return err
@@ -98,7 +98,7 @@
 		Own: n.opts.OwnSettings, Check: n.opts.CheckSettings, Now: n.Now, Log: n.log.Named("configuration"),
 	}
 	if n.consensus != nil {
-		opts.Council, opts.Ledger = consensusClient{n}, u.configurationLedger
+		opts.Consensus, opts.Ledger = consensusClient{n}, u.configurationLedger
 	}
 	u.configuration, err = configuration.Start(opts)
 	return err
@@ -114,7 +114,7 @@
 // Purge passes purges on to the sender.
 func (f forgettingOrders) Purge(all []together.Purge, done func(uint64, []together.Found)) {
 	for _, p := range all {
-		if p.Learnt && p.Match.Destination != nil && f.subsystems.popularity != nil {
+		if p.LearnedState && p.Match.Destination != nil && f.subsystems.popularity != nil {
 			f.subsystems.popularity.Forget(*p.Match.Destination)
 		}
 	}
