--- a/internal/cluster/settings/storeddata_test.go
+++ b/internal/cluster/settings/storeddata_test.go
@@ -37,7 +37,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got.Advice = nil // a text for the log, and no field of the file
+	got.Warnings = nil // a text for the log, and no field of the file
 	if diff := cmp.Diff(storedSettings(t), got); diff != "" {
 		t.Errorf("the cluster file (-stored +read):\n%s", diff)
 	}
