--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,11 +1,12 @@
-// Package config reads what a sender is told: the environment, the configuration file and the settings in it.
+// Package config reads a sender's configuration: the environment, the configuration file and the settings object in it.
 //
-// It owns the checks of both: whatever passes can be run with. It must never guess at a value that is there but
-// wrong; it names the field instead. settings.go turns the settings object, which the bench hands over too, into
-// what the module takes.
+// It owns the checks of both: a sender can run with whatever passes them. A value that is present but wrong is never
+// replaced by a guess; it is an error that names the field. settings.go converts the settings object, which the simulator
+// hands over too, for the deciding module choice.
 package config
 
 import (
+	"cmp"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -19,12 +20,12 @@
 	"flaxcove/internal/directory"
 )
 
-// Config is all that one sender is told.
+// Config is the configuration of one sender.
 type Config struct {
 	Name         string
 	Listen       string
 	Discovery    string
-	State        string // the folder that lasts
+	State        string // the folder that outlives the process
 	Seed         int64
 	Limits       Limits
 	Known        directory.List
@@ -35,27 +36,37 @@
 	Reports      []string // fields of load reports
 	Settings     choice.Settings
 
-	PeerListen string   // where notes of other senders arrive; empty for nowhere
+	PeerListen string   // where gossip of other senders arrives; empty for nowhere
 	Peers      []string // the address of each sender of the tier, by number
 	PeersAll   string   // the address that reaches all of them; empty for none
-	mayNote    bool     // the settings allow notes between senders
-	notes      bool     // and they are wanted
 
-	Version      uint64          // of the settings that all senders of a cluster share; 0 for the file's own
-	own, inForce json.RawMessage // the settings object of the file, and the one that Settings are made of
+	Version uint64 // of the settings that all senders of a cluster share; 0 for the file's own
+
+	gossipAllowed   bool            // the settings allow gossip between senders
+	gossipWanted    bool            // TurnOnNotes has asked for it
+	ownSettings     json.RawMessage // the settings object of the file
+	settingsInForce json.RawMessage // the settings object that Settings are made from
 }
 
-// Limits bind all that the program holds.
+// Limits bound the program's use of memory, sockets and disk.
 type Limits struct {
 	MemoryMB int64   `json:"memory_mb"`
 	Sockets  int     `json:"sockets"`
 	DiskMB   float64 `json:"disk_mb"`
 }
 
-// mostMB is far above any machine and far below what passes the highest number in bytes.
-const mostMB = 1 << 40
+const (
+	// maxMB is far above any machine, and in bytes far below the highest number.
+	maxMB       = 1 << 40
+	minMemoryMB = 16
+	minSockets  = 64
+)
+
+// defaultLimits hold where the file has no limits.
+var defaultLimits = Limits{MemoryMB: 192, Sockets: 1024, DiskMB: 8}
 
-type file struct {
+// configFile is the configuration file as written.
+type configFile struct {
 	Name      string          `json:"name"`
 	Listen    string          `json:"listen"`
 	Discovery string          `json:"discovery"`
@@ -70,8 +81,8 @@
 	PeersAll   string   `json:"peers_all"`
 }
 
-// Reload reads the file anew for a running sender. The other variables still go before it, but not EDGE_DISCOVERY:
-// that tells of the start, and the file may have been replaced to tell otherwise.
+// Reload reads the file again for a running sender. The environment still overrides it, except for EDGE_DISCOVERY: that
+// is the address at the start, and the file may have been replaced to give another one.
 func Reload(getenv func(string) string) (*Config, error) {
 	return Load(func(name string) string {
 		if name == "EDGE_DISCOVERY" {
@@ -81,20 +92,29 @@
 	})
 }
 
-// Fixed names the fields in which a configuration read anew differs and which a running sender keeps. The seed and
-// the known list are for starts alone; so are the file's settings once shared ones are in force, at the next start too.
+// Fixed names the fields in which a configuration that was read again differs and which a running sender cannot change.
+// The seed and the known list matter only at a start; once shared settings are in force, the file's settings matter to
+// neither.
 func (c *Config) Fixed(fresh *Config) (fields []string) {
 	for _, f := range []struct {
 		name     string
 		old, new any
 	}{
-		{"name", c.Name, fresh.Name}, {"listen", c.Listen, fresh.Listen}, {"state", c.State, fresh.State},
-		{"limits", c.Limits, fresh.Limits}, {"settings", c.Settings, fresh.Settings},
-		{"settings.classes", c.ClassNumbers, fresh.ClassNumbers}, {"settings.accounts", c.Accounts, fresh.Accounts}, {"settings.zones", c.Zones, fresh.Zones},
-		{"settings.machineTypes", c.Kinds, fresh.Kinds}, {"settings.stats.fields", c.Reports, fresh.Reports},
-		{"peer_listen", c.PeerListen, fresh.PeerListen}, {"peers", c.Peers, fresh.Peers}, {"peers_all", c.PeersAll, fresh.PeersAll},
+		{"name", c.Name, fresh.Name},
+		{"listen", c.Listen, fresh.Listen},
+		{"state", c.State, fresh.State},
+		{"limits", c.Limits, fresh.Limits},
+		{"settings", c.Settings, fresh.Settings},
+		{"settings.classes", c.ClassNumbers, fresh.ClassNumbers},
+		{"settings.accounts", c.Accounts, fresh.Accounts},
+		{"settings.zones", c.Zones, fresh.Zones},
+		{"settings.machineTypes", c.Kinds, fresh.Kinds},
+		{"settings.stats.fields", c.Reports, fresh.Reports},
+		{"peer_listen", c.PeerListen, fresh.PeerListen},
+		{"peers", c.Peers, fresh.Peers},
+		{"peers_all", c.PeersAll, fresh.PeersAll},
 	} {
-		shared := c.Version > 0 && strings.HasPrefix(f.name, "settings")
+		shared := c.Version > 0 && strings.HasPrefix(f.name, settingsField)
 		if !shared && !reflect.DeepEqual(f.old, f.new) {
 			fields = append(fields, f.name)
 		}
@@ -102,22 +122,22 @@
 	return fields
 }
 
-// TurnOnNotes has notes go between senders, where that can be: the settings allow them, and the file says where they go.
-// Else it tells why not, and nothing is changed.
+// TurnOnNotes turns on gossip between senders if the settings allow it and the file says where it goes. Otherwise it
+// returns what is missing and changes nothing.
 func (c *Config) TurnOnNotes() error {
 	switch {
-	case !c.mayNote:
-		return errors.New("field settings: bounds.peers: notes are not allowed")
+	case !c.gossipAllowed:
+		return &FieldError{settingsField, settingError("bounds.peers", "notes are not allowed")}
 	case c.PeerListen == "":
-		return errors.New("field peer_listen: missing")
+		return fieldError("peer_listen", "missing")
 	case len(c.Peers) == 0:
-		return errors.New("field peers: missing")
+		return fieldError("peers", "missing")
 	}
-	c.notes, c.Settings.Notes = true, true
+	c.gossipWanted, c.Settings.Notes = true, true
 	return nil
 }
 
-// Load reads the file that EDGE_CONFIG names; the other EDGE_ variables go before what it says.
+// Load reads the file that EDGE_CONFIG names; the other EDGE_ variables override it.
 func Load(getenv func(string) string) (*Config, error) {
 	path := getenv("EDGE_CONFIG")
 	if path == "" {
@@ -127,28 +147,43 @@
 	if err != nil {
 		return nil, fmt.Errorf("EDGE_CONFIG: %w", err)
 	}
-	f := file{Limits: Limits{MemoryMB: 192, Sockets: 1024, DiskMB: 8}}
+	f := configFile{Limits: defaultLimits}
 	if err := json.Unmarshal(text, &f); err != nil {
-		return nil, fmt.Errorf("%s: %w", path, misfit(err, ""))
+		return nil, fmt.Errorf("%s: %w", path, jsonError(err, ""))
 	}
-	c, err := f.check(getenv)
+	c, err := f.config(getenv)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	return c, nil
 }
 
-// misfit names the field, behind a prefix, whose value has not its type.
-func misfit(err error, prefix string) error {
-	var kind *json.UnmarshalTypeError
-	if !errors.As(err, &kind) {
-		return err
+// config checks the file and makes a configuration of it and the environment.
+func (f *configFile) config(getenv func(string) string) (*Config, error) {
+	c := &Config{Limits: f.Limits, Known: f.Known, PeerListen: f.PeerListen, Peers: f.Peers, PeersAll: f.PeersAll, ownSettings: f.Settings}
+	if err := f.setNamesAndAddresses(c, getenv); err != nil {
+		return nil, err
+	}
+	seed, err := strconv.ParseUint(f.Seed, 16, 64)
+	if err != nil && f.Seed != "" {
+		return nil, fieldError("seed", "%q is not a hexadecimal number of 64 bits", f.Seed)
+	}
+	c.Seed = int64(seed)
+	if err := f.Limits.check(); err != nil {
+		return nil, err
+	}
+	settings, err := readSettings(f.Settings)
+	if err != nil {
+		return nil, err
+	}
+	if err := c.useSettings(settings, f.Settings); err != nil {
+		return nil, err
 	}
-	return fmt.Errorf("field %s: %s does not fit", strings.TrimSuffix(prefix+kind.Field, "."), kind.Value)
+	return c, nil
 }
 
-func (f *file) check(getenv func(string) string) (*Config, error) {
-	c := &Config{Limits: f.Limits, Known: f.Known}
+// setNamesAndAddresses sets the fields that the environment may override and that must not be empty.
+func (f *configFile) setNamesAndAddresses(c *Config, getenv func(string) string) error {
 	for _, v := range []struct {
 		to                        *string
 		variable, field, fromFile string
@@ -159,42 +194,33 @@
 		{&c.Discovery, "EDGE_DISCOVERY", "discovery", f.Discovery, true},
 		{&c.State, "EDGE_STATE", "state", f.State, false},
 	} {
-		if *v.to = getenv(v.variable); *v.to == "" {
-			*v.to = v.fromFile
-		}
+		*v.to = cmp.Or(getenv(v.variable), v.fromFile)
 		if *v.to == "" {
-			return nil, fmt.Errorf("field %s: missing, and %s is not set", v.field, v.variable)
+			return fieldError(v.field, "missing, and %s is not set", v.variable)
 		}
-		if v.address {
-			if _, _, err := net.SplitHostPort(*v.to); err != nil {
-				return nil, fmt.Errorf("field %s: %w", v.field, err)
-			}
+		if !v.address {
+			continue
+		}
+		if _, _, err := net.SplitHostPort(*v.to); err != nil {
+			return &FieldError{v.field, err}
 		}
 	}
-	seed, err := strconv.ParseUint(f.Seed, 16, 64)
-	if err != nil && f.Seed != "" {
-		return nil, fmt.Errorf("field seed: %q is not a hexadecimal number of 64 bits", f.Seed)
-	}
-	c.Seed = int64(seed)
+	return nil
+}
+
+// check rejects limits that are too high to count with or too low to run with.
+func (l *Limits) check() error {
 	switch {
-	case f.Limits.MemoryMB > mostMB:
-		return nil, fmt.Errorf("field limits.memory_mb: %d is above %d", f.Limits.MemoryMB, int64(mostMB))
-	case f.Limits.DiskMB > mostMB:
-		return nil, fmt.Errorf("field limits.disk_mb: %g is above %d", f.Limits.DiskMB, int64(mostMB))
-	case f.Limits.MemoryMB < 16:
-		return nil, fmt.Errorf("field limits.memory_mb: %d is under 16", f.Limits.MemoryMB)
-	case f.Limits.Sockets < 64:
-		return nil, fmt.Errorf("field limits.sockets: %d is under 64", f.Limits.Sockets)
-	case f.Limits.DiskMB <= 0:
-		return nil, fmt.Errorf("field limits.disk_mb: %g is not above 0", f.Limits.DiskMB)
-	}
-	boot, err := readSettings(f.Settings)
-	if err != nil {
-		return nil, err
+	case l.MemoryMB > maxMB:
+		return fieldError("limits.memory_mb", "%d is above %d", l.MemoryMB, int64(maxMB))
+	case l.DiskMB > maxMB:
+		return fieldError("limits.disk_mb", "%g is above %d", l.DiskMB, int64(maxMB))
+	case l.MemoryMB < minMemoryMB:
+		return fieldError("limits.memory_mb", "%d is under %d", l.MemoryMB, minMemoryMB)
+	case l.Sockets < minSockets:
+		return fieldError("limits.sockets", "%d is under %d", l.Sockets, minSockets)
+	case l.DiskMB <= 0:
+		return fieldError("limits.disk_mb", "%g is not above 0", l.DiskMB)
 	}
-	c.own, c.PeerListen, c.Peers, c.PeersAll = f.Settings, f.PeerListen, f.Peers, f.PeersAll
-	if err := c.take(boot, f.Settings); err != nil {
-		return nil, err
-	}
-	return c, nil
+	return nil
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -34,7 +34,7 @@
 	fmt.Println(c.Name, c.Listen, c.Discovery, c.State, c.Seed, c.Limits, c.Settings.InFlightLimit, c.ClassNumbers)
 }
 
-// The environment goes before the file; what is wrong is named by its field, and nothing is guessed.
+// The environment overrides the file; what is wrong is named by its field, and nothing is guessed.
 func ExampleLoad() {
 	load(good)
 	load(good, "EDGE_NAME", "other", "EDGE_STATE", "/run/state")
@@ -60,7 +60,7 @@
 	// FILE: invalid character ',' looking for beginning of object key string
 }
 
-// Notes are on only where they are wanted, the settings allow them, and the file says where they go.
+// Gossip is on only where it is wanted, the settings allow it, and the file says where it goes.
 func ExampleConfig_TurnOnNotes() {
 	const allowed = `"extra":{"callsOut":4},"bounds":{"peers":true}`
 	peers := `{"peer_listen":"127.0.0.1:3","peers":["127.0.0.1:3","127.0.0.1:4"],"peers_all":"127.0.0.1:5",`
--- a/internal/config/extremes_test.go
+++ b/internal/config/extremes_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -75,9 +76,9 @@
 	return c, err
 }
 
-// A number that means nothing, and a name that stands for nothing or for two things, is refused by one line with the
-// file, the field and the reason.
-func TestWrongSettingIsRefused(t *testing.T) {
+// A number that means nothing, and a name that is empty or given twice, is rejected by one line with the file, the field
+// and the reason.
+func TestInvalidSettingIsRejected(t *testing.T) {
 	t.Parallel()
 	class := "settings.classes.0."
 	for _, c := range []struct {
@@ -114,7 +115,7 @@
 		o := completeConfig()
 		set(o, c.path, c.value)
 		if _, err := read(t, o); err == nil {
-			t.Errorf("%s: %v is taken", c.path, c.value)
+			t.Errorf("%s: %v is accepted", c.path, c.value)
 		} else if text := err.Error(); !strings.Contains(strings.ToLower(text), strings.ToLower(c.field)+":") || strings.Contains(text, "\n") {
 			t.Errorf("%s: %v: the message is %q", c.path, c.value, text)
 		}
@@ -126,69 +127,103 @@
 	}
 }
 
-// What is absent, zero, the highest there is, or oddly named is taken, and no span in it passes what can be added to.
-func TestOddSettingIsTaken(t *testing.T) {
+// highest is the highest whole number that JSON can bring into the settings.
+const highest = 1<<63 - 1
+
+// numberPaths are fields that hold numbers: each may be absent, 0 or the highest number, but for the exceptions of accepts.
+var numberPaths = []string{"settings.quantum", "settings.bounds.connIdle", "settings.bounds.dialTimeout",
+	"settings.bounds.maxRetryAfter", "settings.rules.cold", "settings.rules.fall", "settings.rules.keyRest", "settings.classes.0.aim",
+	"settings.classes.0.deadline", "settings.classes.0.repeatWindow", "settings.bounds.maxOpen", "settings.bounds.maxAttempts",
+	"settings.balancers", "settings.overShareWorth", "settings.classes.0.worth", "settings.classes.0.lateWorth",
+	"settings.accounts.0.quotaRps", "settings.rules.coldFrom", "settings.rules.fallMultiple"}
+
+// objectPaths are fields that hold objects or lists: each may be absent.
+var objectPaths = []string{"settings.bounds", "settings.rules", "settings.accounts", "settings.zones", "settings.machineTypes",
+	"settings.extra.carriage", "limits"}
+
+// accepts tells whether a number field may have an extreme value: a class must have a deadline, and the number of senders
+// is bounded.
+func accepts(path string, value any) bool {
+	switch path {
+	case "settings.classes.0.deadline":
+		return value == highest
+	case "settings.balancers":
+		return value != highest
+	}
+	return true
+}
+
+// What is absent, zero or the highest there is is accepted, and no duration in it is too long to be added to.
+func TestExtremeSettingIsAccepted(t *testing.T) {
 	t.Parallel()
-	const highest = 1<<63 - 1
-	class := "settings.classes.0."
-	for _, path := range []string{"settings.quantum", "settings.bounds.connIdle", "settings.bounds.dialTimeout", "settings.bounds.maxRetryAfter",
-		"settings.rules.cold", "settings.rules.fall", "settings.rules.keyRest", class + "aim", class + "deadline", class + "repeatWindow",
-		"settings.bounds.maxOpen", "settings.bounds.maxAttempts", "settings.balancers", "settings.overShareWorth", class + "worth",
-		class + "lateWorth", "settings.accounts.0.quotaRps", "settings.rules.coldFrom", "settings.rules.fallMultiple",
-		"settings.bounds", "settings.rules", "settings.accounts", "settings.zones", "settings.machineTypes", "settings.extra.carriage", "limits"} {
+	for _, path := range numberPaths {
 		for _, value := range []any{gone, 0, highest} {
-			o := completeConfig()
-			last := path[strings.LastIndex(path, ".")+1:]
-			isList := strings.Contains(" bounds rules accounts zones machineTypes carriage limits ", " "+last+" ")
-			if value != gone && (isList || last == "deadline" && value == 0 || last == "balancers" && value == highest) {
-				continue
-			}
-			if path == "settings.zones" {
-				set(o, "settings.extra.carriage", gone)
-			}
-			if last == "deadline" && value == gone {
-				continue
-			}
-			set(o, path, value)
-			c, err := read(t, o)
-			if err != nil {
-				t.Errorf("%s %v: %v", path, value, err)
-				continue
-			}
-			s := &c.Settings
-			spans := []choice.Time{s.Turn, s.ConnIdle, s.DialTimeout, s.LongestReturn, s.Cold, s.Fall, s.KeyRest}
-			for _, w := range s.Classes {
-				spans = append(spans, w.ContractTime, w.Deadline, w.RepeatWindow)
-				if w.ContractTime == 0 {
-					t.Errorf("%s %v: a contract time of 0, from which time-outs are made", path, value)
-				}
-			}
-			for i, span := range spans {
-				if ns := Nanoseconds(2 * span); span < 0 || ns < 0 || ns/2 != Nanoseconds(span) || ns > highest-1<<61 {
-					t.Errorf("%s %v: span %d is %d, which cannot be added to", path, value, i, span)
-				}
-			}
-			if s.MaxOpen <= 0 || s.MaxAttempts <= 0 || s.Senders <= 0 {
-				t.Errorf("%s %v: %d open, %d tries, %d senders", path, value, s.MaxOpen, s.MaxAttempts, s.Senders)
+			if accepts(path, value) {
+				checkExtreme(t, path, value)
 			}
 		}
 	}
-	odd := []any{"a b", "täglich", "x=y", `q"u\o`, "日本", strings.Repeat("n", 500), "-", "%s", "../up", "0", "\t"}
+	for _, path := range objectPaths {
+		checkExtreme(t, path, gone)
+	}
+}
+
+// checkExtreme loads a configuration with one changed field and checks the durations and bounds that come out.
+func checkExtreme(t *testing.T, path string, value any) {
+	t.Helper()
+	o := completeConfig()
+	if path == "settings.zones" {
+		set(o, "settings.extra.carriage", gone)
+	}
+	set(o, path, value)
+	c, err := read(t, o)
+	if err != nil {
+		t.Errorf("%s %v: %v", path, value, err)
+		return
+	}
+	s := &c.Settings
+	spans := []choice.Time{s.Turn, s.ConnIdle, s.DialTimeout, s.LongestReturn, s.Cold, s.Fall, s.KeyRest}
+	for _, class := range s.Classes {
+		spans = append(spans, class.ContractTime, class.Deadline, class.RepeatWindow)
+		if class.ContractTime == 0 {
+			t.Errorf("%s %v: a contract time of 0, from which time-outs are made", path, value)
+		}
+	}
+	for i, span := range spans {
+		if ns := Nanoseconds(2 * span); span < 0 || ns < 0 || ns/2 != Nanoseconds(span) || ns > highest-1<<61 {
+			t.Errorf("%s %v: span %d is %d, which cannot be added to", path, value, i, span)
+		}
+	}
+	if s.MaxOpen <= 0 || s.MaxAttempts <= 0 || s.Senders <= 0 {
+		t.Errorf("%s %v: %d open, %d attempts, %d senders", path, value, s.MaxOpen, s.MaxAttempts, s.Senders)
+	}
+}
+
+// unusualNames are names that any list of names may contain.
+var unusualNames = []any{"a b", "täglich", "x=y", `q"u\o`, "日本", strings.Repeat("n", 500), "-", "%s", "../up", "0", "\t"}
+
+func TestUnusualNameIsAccepted(t *testing.T) {
+	t.Parallel()
 	for _, path := range []string{"settings.zones", "settings.machineTypes"} {
 		o := completeConfig()
 		set(o, "settings.extra.carriage", gone)
-		set(o, path, odd)
-		if c, err := read(t, o); err != nil || max(len(c.Zones), len(c.Kinds)) != len(odd) {
+		set(o, path, unusualNames)
+		if c, err := read(t, o); err != nil || max(len(c.Zones), len(c.Kinds)) != len(unusualNames) {
 			t.Errorf("%s: %v", path, err)
 		}
 	}
+}
+
+// Any number and mix of classes is accepted, with any names.
+func TestAnyMixOfClassesIsAccepted(t *testing.T) {
+	t.Parallel()
 	for _, classes := range [][]string{{"pure"}, {"side_effect"}, {"token"}, {"pure", "token"}, {"side_effect", "side_effect"},
 		strings.Split(strings.TrimSpace(strings.Repeat("pure token side_effect pure ", 5)), " ")} {
 		o := completeConfig()
 		var list []any
 		for i, effect := range classes {
-			name := fmt.Sprint(odd[i%len(odd)])
-			if i >= len(odd) {
+			name := fmt.Sprint(unusualNames[i%len(unusualNames)])
+			if i >= len(unusualNames) {
 				name += "2"
 			}
 			list = append(list, object{"name": name, "idempotency": effect, "deadline": 6e9, "worth": 1})
@@ -200,15 +235,33 @@
 			continue
 		}
 		for i, effect := range classes {
-			if c.Settings.Classes[i].Repeat != repeats[effect] {
+			if c.Settings.Classes[i].Repeat != idempotencies[effect] {
 				t.Errorf("class %d is not %s", i, effect)
 			}
 		}
 	}
 }
 
-// A configuration read anew takes discovery from the file, says which fields wait for the next start, and brings nothing
-// where it is wrong.
+// Callers find out by the error's type which field and which setting is wrong.
+func TestErrorsAreTyped(t *testing.T) {
+	t.Parallel()
+	o := completeConfig()
+	set(o, "settings.classes.0.deadline", -6)
+	_, err := read(t, o)
+	var field *FieldError
+	var setting *SettingError
+	if !errors.As(err, &field) || field.Field != "settings" || !errors.As(err, &setting) || setting.Path != "classes[0].deadline" {
+		t.Errorf("%#v", err)
+	}
+	o = completeConfig()
+	set(o, "limits.sockets", 0)
+	if _, err = read(t, o); !errors.As(err, &field) || field.Field != "limits.sockets" || errors.As(err, &setting) {
+		t.Errorf("%#v", err)
+	}
+}
+
+// A configuration that is read again takes discovery from the file, says which fields wait for the next start, and changes
+// nothing where it is wrong.
 func TestReloadOfExtremes(t *testing.T) {
 	t.Parallel()
 	path := filepath.Join(t.TempDir(), "config.json")
--- a/internal/config/running.go
+++ b/internal/config/running.go
@@ -1,48 +1,50 @@
 package config
 
-// This file owns the settings object as a whole: the one of the file, the one in force, and what a running sender can
-// take in its place. It must never let one through that a start would refuse, nor one in which a name gets another number:
-// messages, endpoints and shares are held by number.
+// This file decides which settings object is in force: the configuration file's own or a shared one, and what a running
+// sender accepts in its place. An object that would fail at a start is rejected, and so is one that gives a name another
+// number, because messages, endpoints and quotas are stored by number.
 
 import (
 	"encoding/json"
-	"errors"
 	"fmt"
 
 	"flaxcove/choice"
 )
 
+// settingsField is the field of the configuration file that holds the settings object.
+const settingsField = "settings"
+
 // readSettings reads a settings object and makes all checks of it that Load makes.
 func readSettings(raw json.RawMessage) (*Boot, error) {
 	var b *Boot
 	if len(raw) > 0 {
 		if err := json.Unmarshal(raw, &b); err != nil {
-			return nil, misfit(err, "settings.")
+			return nil, jsonError(err, settingsField+".")
 		}
 	}
 	if b == nil {
-		return nil, errors.New("field settings: missing")
+		return nil, fieldError(settingsField, "missing")
 	}
 	if _, err := b.Settings(true); err != nil {
-		return nil, fmt.Errorf("field settings: %w", err)
+		return nil, &FieldError{settingsField, err}
 	}
 	if err := b.checkNames(); err != nil {
-		return nil, fmt.Errorf("field settings: %w", err)
+		return nil, &FieldError{settingsField, err}
 	}
-	if b.Extra.CallsOut == 0 {
-		return nil, errors.New("field settings: extra.callsOut: missing")
+	if b.Extra.InFlightLimit == 0 {
+		return nil, &FieldError{settingsField, settingError("extra.callsOut", "missing")}
 	}
 	return b, nil
 }
 
-// take puts a settings object in force, as read and as written.
-func (c *Config) take(b *Boot, raw json.RawMessage) (err error) {
+// useSettings puts a settings object in force, as read and as written.
+func (c *Config) useSettings(b *Boot, raw json.RawMessage) (err error) {
 	if c.Settings, err = b.Settings(true); err != nil {
-		return fmt.Errorf("field settings: %w", err)
+		return &FieldError{settingsField, err}
 	}
-	// What the settings allow is not yet wanted: notes are off until TurnOnNotes.
-	c.mayNote = c.Settings.Notes
-	c.Settings.Notes = c.mayNote && c.notes
+	// Gossip that the settings allow is off until TurnOnNotes asks for it.
+	c.gossipAllowed = c.Settings.Notes
+	c.Settings.Notes = c.gossipAllowed && c.gossipWanted
 	c.ClassNumbers, c.Accounts = map[string]choice.ClassNo{}, map[string]choice.AccountNo{}
 	for i, class := range b.Classes {
 		c.ClassNumbers[class.Name] = choice.ClassNo(i)
@@ -59,18 +61,18 @@
 	for i, kind := range b.MachineTypes {
 		c.Kinds[kind] = choice.KindNo(i)
 	}
-	c.Reports, c.inForce = b.Stats.Fields, raw
+	c.Reports, c.settingsInForce = b.Stats.Fields, raw
 	return nil
 }
 
 // OwnSettings is the settings object of the file, as it stands there.
-func (c *Config) OwnSettings() json.RawMessage { return c.own }
+func (c *Config) OwnSettings() json.RawMessage { return c.ownSettings }
 
-// SettingsInForce is the settings object that Settings are made of: the file's own, or the one of WithSettings.
-func (c *Config) SettingsInForce() json.RawMessage { return c.inForce }
+// SettingsInForce is the settings object that Settings are made from: the file's own, or the one given to WithSettings.
+func (c *Config) SettingsInForce() json.RawMessage { return c.settingsInForce }
 
-// WithSettings is the same configuration with a settings object that senders share in the place of the file's own. What
-// in it is a process's own stays what it is, slotNo and zone; discovery in there is read by nobody.
+// WithSettings is the same configuration with a settings object that all senders share in place of the file's own. The
+// values that belong to one process, slotNo and zone, stay as they are; the object's discovery is not read.
 func (c *Config) WithSettings(raw json.RawMessage) (*Config, error) {
 	b, err := readSettings(raw)
 	if err != nil {
@@ -78,14 +80,14 @@
 	}
 	b.SlotNo, b.Zone = int(c.Settings.Number), int(c.Settings.Zone)
 	with := *c
-	if err := with.take(b, raw); err != nil {
+	if err := with.useSettings(b, raw); err != nil {
 		return nil, err
 	}
 	return &with, nil
 }
 
-// CheckSettings tells what is wrong with settings that are proposed to take the place of those in force while senders
-// run; nil where nothing is. An empty inForce stands for none yet.
+// CheckSettings returns why the proposed settings cannot replace those in force while senders run, nil where they can. An
+// empty inForce stands for none yet.
 func CheckSettings(inForce, proposed json.RawMessage) error {
 	next, err := readSettings(proposed)
 	if err != nil || len(inForce) == 0 {
@@ -95,72 +97,74 @@
 	if err != nil {
 		return fmt.Errorf("in force: %w", err)
 	}
-	if err := now.mayBecome(next); err != nil {
-		return fmt.Errorf("field settings: %w", err)
+	if err := now.checkReplacement(next); err != nil {
+		return &FieldError{settingsField, err}
 	}
 	return nil
 }
 
-// mayBecome tells what a running sender cannot take in another object's place.
-func (b *Boot) mayBecome(next *Boot) error {
+// checkReplacement returns why a running sender cannot use next in place of b.
+func (b *Boot) checkReplacement(next *Boot) error {
 	for _, list := range []struct {
-		field    string
-		now, new []string
+		now  nameList
+		next []string
 	}{
-		{"classes[%d].name", b.classNames(), next.classNames()}, {"accounts[%d].name", b.accountNames(), next.accountNames()},
-		{"zones[%d]", b.Zones, next.Zones}, {"machineTypes[%d]", b.MachineTypes, next.MachineTypes},
+		{nameList{"classes[%d].name", b.classNames()}, next.classNames()},
+		{nameList{"accounts[%d].name", b.accountNames()}, next.accountNames()},
+		{nameList{"zones[%d]", b.Zones}, next.Zones},
+		{nameList{"machineTypes[%d]", b.MachineTypes}, next.MachineTypes},
 	} {
-		if err := keepNumbers(list.field, list.now, list.new); err != nil {
+		if err := list.now.checkNumbersKept(list.next); err != nil {
 			return err
 		}
 	}
+	if err := b.checkClassReplacement(next); err != nil {
+		return err
+	}
+	return b.checkKindReplacement(next)
+}
+
+// checkNumbersKept rejects a new list in which a name is missing or has moved; further names may follow at the end.
+func (l *nameList) checkNumbersKept(next []string) error {
+	for i, name := range l.names {
+		if i >= len(next) {
+			return settingError(l.path(i), "%q is gone; a name can't be taken out while senders run", name)
+		}
+		if next[i] != name {
+			return settingError(l.path(i), "%q stands where %q is in force; new names go to the end", next[i], name)
+		}
+	}
+	return nil
+}
+
+// checkClassReplacement rejects changes of a class that messages already accepted depend on: whether a message may run
+// twice and whether its order is kept is recorded with it when it is accepted.
+func (b *Boot) checkClassReplacement(next *Boot) error {
 	for i := range b.Classes {
-		// What may run twice, and what keeps its order, is on record with each message from when it was taken on.
 		now, new := &b.Classes[i], &next.Classes[i]
 		if now.Idempotency != new.Idempotency {
-			return fmt.Errorf("classes[%d].idempotency: %q cannot become %q while senders run; add a class", i, now.Idempotency, new.Idempotency)
+			return settingError(fmt.Sprintf("classes[%d].idempotency", i),
+				"%q cannot become %q while senders run; add a class", now.Idempotency, new.Idempotency)
 		}
 		if now.ByArrival != new.ByArrival {
-			return fmt.Errorf("classes[%d].byArrival: it cannot change while senders run; add a class", i)
+			return settingError(fmt.Sprintf("classes[%d].byArrival", i), "it cannot change while senders run; add a class")
 		}
 	}
+	return nil
+}
+
+// checkKindReplacement rejects changes of a kind that known endpoints depend on: each got its route, with all that has been
+// learned about it, when it was listed.
+func (b *Boot) checkKindReplacement(next *Boot) error {
 	now, new := b.kinds(), next.kinds()
 	if len(new) < len(now) {
-		return fmt.Errorf("machineTypes: %d kinds, and %d are in force (machineTypes, extra.bundleMax or extra.separateRoutes, the longest)",
-			len(new), len(now))
+		return settingError("machineTypes",
+			"%d kinds, and %d are in force (machineTypes, extra.bundleMax or extra.separateRoutes, the longest)", len(new), len(now))
 	}
 	for i := range now {
-		// Endpoints got their routes, with all that was learnt of them, as they were listed.
 		if now[i].Apart != new[i].Apart {
-			return fmt.Errorf("extra.separateRoutes[%d]: it cannot change while senders run; add a machine type", i)
-		}
-	}
-	return nil
-}
-
-// keepNumbers refuses names that are gone or have moved; further ones may stand at the end.
-func keepNumbers(field string, now, new []string) error {
-	for i, name := range now {
-		if i >= len(new) {
-			return fmt.Errorf(field+": %q is gone; a name can't be taken out while senders run", i, name)
-		}
-		if new[i] != name {
-			return fmt.Errorf(field+": %q stands where %q is in force; new names go to the end", i, new[i], name)
+			return settingError(fmt.Sprintf("extra.separateRoutes[%d]", i), "it cannot change while senders run; add a machine type")
 		}
 	}
 	return nil
 }
-
-func (b *Boot) classNames() (names []string) {
-	for _, c := range b.Classes {
-		names = append(names, c.Name)
-	}
-	return names
-}
-
-func (b *Boot) accountNames() (names []string) {
-	for _, a := range b.Accounts {
-		names = append(names, a.Name)
-	}
-	return names
-}
--- a/internal/config/running_test.go
+++ b/internal/config/running_test.go
@@ -20,18 +20,18 @@
 	return text
 }
 
-// Each field of the settings object has its row: a change that a running sender takes, or the field that the refusal names.
+// Each field of the settings object has its row: a change that a running sender accepts, or the field that the rejection names.
 var runningRows = []struct {
-	field   string // of Boot
-	path    string // below settings
-	value   any
-	refused string // "" for taken
+	field    string // of Boot
+	path     string // below settings
+	value    any
+	rejected string // field named by the rejection; "" if accepted
 }{
 	{"Accounts", "accounts.0.quotaRps", 7.5, ""},
 	{"Accounts", "accounts", []any{object{"quotaRps": 5}, object{"name": "new", "quotaRps": 2}}, ""},
 	{"Accounts", "accounts.0.name", "renamed", "accounts[0].name"},
 	{"Accounts", "accounts", []any{}, "accounts[0].name"},
-	{"Balancers", "balancers", 40, ""},
+	{"Senders", "balancers", 40, ""},
 	{"Bounds", "bounds", object{}, ""},
 	{"Bounds", "bounds.maxOpen", 5, ""},
 	{"Bounds", "bounds.maxOpen", -5, "bounds.maxOpen"},
@@ -61,7 +61,7 @@
 	{"MachineTypes", "machineTypes", []any{"n", "m"}, "machineTypes[0]"},
 	{"MachineTypes", "machineTypes", []any{}, "machineTypes[0]"},
 	{"OverQuotaPriorityWeight", "overShareWorth", 0.9, ""},
-	{"Quantum", "quantum", 1e7, ""},
+	{"TickInterval", "quantum", 1e7, ""},
 	{"Rules", "rules", object{"cold": 9e9, "coldFrom": 0.1, "fall": 5e9, "fallMultiple": 1.5, "keyRest": 1e9}, ""},
 	{"Rules", "rules.cold", -1, "rules.cold"},
 	{"SlotNo", "slotNo", 9, ""},
@@ -70,7 +70,7 @@
 	{"Weights", "weights", "heavy", "weights"},
 	{"Zone", "zone", 1, ""},
 	{"Zones", "zones", []any{"b", "a"}, "zones[0]"},
-	{"Zones", "zones", []any{"a"}, "extra.carriage"}, // as a start would; names come after
+	{"Zones", "zones", []any{"a"}, "extra.carriage"}, // as at a start; names are compared later
 }
 
 func TestCheckSettings(t *testing.T) {
@@ -82,10 +82,10 @@
 		proposed := settingsOf(t, func(o object) { set(o, "settings."+row.path, row.value) })
 		err := CheckSettings(inForce, proposed)
 		switch {
-		case row.refused == "" && err != nil:
+		case row.rejected == "" && err != nil:
 			t.Errorf("%s %v: %v", row.path, row.value, err)
-		case row.refused != "" && (err == nil || !strings.Contains(err.Error(), "field settings: "+row.refused+":") || strings.Contains(err.Error(), "\n")):
-			t.Errorf("%s %v: the field %s is to be named: %v", row.path, row.value, row.refused, err)
+		case row.rejected != "" && (err == nil || !strings.Contains(err.Error(), "field settings: "+row.rejected+":") || strings.Contains(err.Error(), "\n")):
+			t.Errorf("%s %v: the field %s is to be named: %v", row.path, row.value, row.rejected, err)
 		}
 	}
 	for i := range reflect.TypeFor[Boot]().NumField() {
@@ -95,8 +95,8 @@
 	}
 }
 
-// What no start would take is refused with the field, and so is what is no object. Fields that are not known are skipped.
-func TestCheckSettingsOfOdd(t *testing.T) {
+// What would fail at a start is rejected with the field, and so is what is no object. Unknown fields are ignored.
+func TestCheckSettingsOfMalformedObject(t *testing.T) {
 	t.Parallel()
 	inForce := settingsOf(t, func(object) {})
 	for text, field := range map[string]string{"": "field settings: missing", "null": "field settings: missing", "5": "field settings: number does not fit",
@@ -117,7 +117,7 @@
 	}
 }
 
-// A process keeps what is its own; all else is as if its file had said so.
+// A process keeps the values that belong to it; all else is as if its file had contained the shared settings.
 func TestWithSettings(t *testing.T) {
 	t.Parallel()
 	o := completeConfig()
@@ -150,18 +150,18 @@
 	}
 	if string(with.SettingsInForce()) != string(shared) || string(own.SettingsInForce()) != string(own.OwnSettings()) ||
 		string(with.OwnSettings()) != string(own.OwnSettings()) {
-		t.Error("what is told of the settings objects")
+		t.Error("the settings objects returned")
 	}
 	back, err := with.WithSettings(own.OwnSettings())
 	if err != nil || !reflect.DeepEqual(back.Settings, own.Settings) || !reflect.DeepEqual(back.Accounts, own.Accounts) {
 		t.Errorf("back to its own: %v %+v", err, back)
 	}
 	if c, err := own.WithSettings(json.RawMessage(`{"classes":[]}`)); err == nil || c != nil {
-		t.Error("what a start refuses is taken")
+		t.Error("what fails at a start is accepted")
 	}
 }
 
-// Notes go on with new settings where they are wanted, and stop where these forbid them.
+// Gossip continues with new settings where it is wanted, and stops where they forbid it.
 func TestWithSettingsNotes(t *testing.T) {
 	t.Parallel()
 	peers := func(allowed bool) json.RawMessage {
