--- a/internal/directory/capacity_test.go
+++ b/internal/directory/capacity_test.go
@@ -1,6 +1,6 @@
 package directory
 
-// Benchmarks behind docs/CAPACITY.md: a whole list and a change, as bytes and as time to read them.
+// Benchmarks behind docs/CAPACITY.md: a full list and a change, as bytes and as time to read them.
 
 import (
 	"encoding/json"
@@ -43,7 +43,7 @@
 	b.ReportMetric(float64(len(text)), "wire-B")
 }
 
-// BenchmarkCapacityWhole reads a whole list of destinations with two endpoints each.
+// BenchmarkCapacityWhole reads a full list of destinations with two endpoints each.
 func BenchmarkCapacityWhole(b *testing.B) {
 	bench.Sizes(b, "destinations", []int{610, 6_100, 61_000, 610_000}, func(b *testing.B, n int) { capacityRead(b, capacityList(n, true)) })
 }
--- a/internal/directory/fleet_test.go
+++ b/internal/directory/fleet_test.go
@@ -11,18 +11,18 @@
 	"time"
 )
 
-// fleet is one discovery that many senders ask at once.
+// fleet is one discovery that many senders call at once.
 type fleet struct {
-	mu      sync.Mutex
-	start   time.Time
-	second  map[int]int // calls in each
-	answers func(at time.Duration) (script, error)
+	mu            sync.Mutex
+	start         time.Time
+	callsInSecond map[int]int
+	answers       func(at time.Duration) (script, error)
 }
 
 func (f *fleet) dial(ctx context.Context, _ string) (net.Conn, error) {
 	f.mu.Lock()
 	at := time.Since(f.start)
-	f.second[int(at/time.Second)]++
+	f.callsInSecond[int(at/time.Second)]++
 	s, err := f.answers(at)
 	f.mu.Unlock()
 	if err != nil {
@@ -31,19 +31,19 @@
 	return (&standIn{scripts: []script{s}}).dial(ctx, "")
 }
 
-// run starts senders that all ask at once and tells how many have heard the list by the end of the span, when the last
-// one did, how many calls there were, and how many in the second with the most, the first two left out.
+// run starts senders that all call at once. It returns how many have received the list by the end of the span, when the
+// last one did, how many calls there were, and how many in the busiest second, the first two left out.
 func (f *fleet) run(t *testing.T, senders int, span time.Duration) (watches int, last time.Duration, calls, most int) {
-	oneAtATime(t)
+	singleThreaded(t)
 	synctest.Test(t, func(t *testing.T) {
-		f.start, f.second = time.Now(), map[int]int{}
+		f.start, f.callsInSecond = time.Now(), map[int]int{}
 		stop := make(chan struct{})
 		var mu sync.Mutex
 		var all sync.WaitGroup
 		for i := range senders {
-			chance, heard := rand.New(rand.NewPCG(7, uint64(i))), false
-			w := &watcher{addr: "discovery:1", waits: standing(senders), dial: f.dial, failed: func(error) {},
-				upTo: func(most time.Duration) time.Duration { return time.Duration(chance.Int64N(int64(most))) },
+			random, heard := rand.New(rand.NewPCG(7, uint64(i))), false
+			w := &watcher{addr: "discovery:1", timing: defaultTiming(senders), dial: f.dial, onFailure: func(error) {},
+				jitter: func(most time.Duration) time.Duration { return time.Duration(random.Int64N(int64(most))) },
 				onList: func(List) {
 					mu.Lock()
 					defer mu.Unlock()
@@ -59,7 +59,7 @@
 		all.Wait()
 		time.Sleep(time.Hour) // for the stand-ins
 	})
-	for second, n := range f.second {
+	for second, n := range f.callsInSecond {
 		calls += n
 		if second >= 2 {
 			most = max(most, n)
@@ -68,21 +68,22 @@
 	return watches, last, calls, most
 }
 
-// lively is a watch that is answered at once.
-func lively() script {
+// healthyAtOnce is a watch that is answered at once.
+func healthyAtOnce() script {
 	s := healthy(9)
 	s.up = 0
 	return s
 }
 
-// What three hundred senders ask of a discovery that is gone for eight seconds: bounded, and over six seconds after.
+// The calls of three hundred senders to a discovery that is away for eight seconds are bounded, and all have a watch six
+// seconds after its return.
 func TestFleetOutage(t *testing.T) {
 	for name, gone := range map[string]fault{"silent": {plays: dead}, "refuses": {fails: refusing(syscall.ECONNREFUSED)}} {
 		f := &fleet{answers: func(at time.Duration) (script, error) {
 			if at < 8*time.Second {
 				return gone.plays, gone.fails
 			}
-			return lively(), nil
+			return healthyAtOnce(), nil
 		}}
 		watches, last, calls, most := f.run(t, 300, 20*time.Second)
 		t.Logf("%s: %d watches by %v, %d calls, %d in a second at most", name, watches, last, calls, most)
@@ -92,9 +93,9 @@
 	}
 }
 
-// A discovery that answers an error to all while they ask more than ten times a second, at once or after two seconds,
-// gives each of eighty senders a watch within a minute. Of three hundred only the calls are bounded: Longest has them ask
-// twenty times a second, which such a discovery does not come out of.
+// A discovery that answers an error to all while they call more than ten times a second, at once or after two seconds,
+// gives each of eighty senders a watch within a minute. Of three hundred only the calls are bounded: with MaxBackoff they
+// call twenty times a second, from which such a discovery does not recover.
 func TestFleetOverbooked(t *testing.T) {
 	for _, c := range []struct {
 		senders int
@@ -106,7 +107,7 @@
 		f := &fleet{answers: func(at time.Duration) (script, error) {
 			tokens = max(-perSecond, min(perSecond, tokens+perSecond*(at-asked).Seconds())-1)
 			if asked = at; tokens >= 0 {
-				return lively(), nil
+				return healthyAtOnce(), nil
 			}
 			s := overbooked
 			s.pieces = []piece{{c.after, overbooked.pieces[0].text}}
--- a/internal/directory/list.go
+++ b/internal/directory/list.go
@@ -1,7 +1,7 @@
 package directory
 
-// This file owns the list's form and its translation into the module's words. It must never pass on an entry that it
-// could not read.
+// This file defines the form of the list and converts its entries for the deciding module choice. An entry that cannot be
+// read is left out.
 
 import (
 	"hash/crc32"
@@ -27,14 +27,14 @@
 	Weight float64 `json:"weight"`
 }
 
-// Names turn the list's words into the module's numbers.
+// Names convert the list's names of zones and kinds into the numbers that choice uses.
 type Names struct {
 	Zones map[string]choice.ZoneNo
 	Kinds map[string]choice.KindNo
 }
 
-// Zone is a zone's number. One that the settings do not name has a number of its own, so that it is taken for no
-// other: what is known in one zone alone must not be repeated in another.
+// Zone is a zone's number. A zone that the settings do not name gets a number of its own, so that it is not mistaken for
+// another: an idempotency key known in one zone only must not be sent again in another.
 func (n *Names) Zone(name string) choice.ZoneNo {
 	no, known := n.Zones[name]
 	if !known && name != "" && len(n.Zones) > 0 {
@@ -43,33 +43,41 @@
 	return no
 }
 
+// stages are the words of an entry's state.
 var stages = map[string]choice.Stage{"up": choice.Ready, "draining": choice.Draining, "removed": choice.Gone}
 
-// Filled is the list with what entries leave out that end an endpoint's service by its id alone: the rest stands as the
-// list has it before, or as known has it. Taken as they are they would name a destination that nobody told of. Ones of
-// endpoints that nobody knows change nothing and are left out.
+// Filled is the list with complete entries where one ends an endpoint's service by its id alone: the other fields are those
+// of an earlier entry of the list, or of the entry that known returns. Without them the entry would name a destination that
+// was never listed. An entry of an unknown endpoint changes nothing and is left out.
 func (l List) Filled(known func(id string) (Entry, bool)) List {
-	before, filled := map[string]Entry{}, make([]Entry, 0, len(l.Servers))
+	earlier := map[string]Entry{}
+	filled := make([]Entry, 0, len(l.Servers))
 	for _, e := range l.Servers {
-		if stage, read := stages[e.State]; read && stage != choice.Ready && e.Addr == "" && e.ID != "" {
-			was, found := before[e.ID]
+		if e.endsServiceByID() {
+			complete, found := earlier[e.ID]
 			if !found {
-				was, found = known(e.ID)
+				complete, found = known(e.ID)
 			}
 			if !found {
 				continue
 			}
-			was.State = e.State
-			e = was
+			complete.State = e.State
+			e = complete
 		}
-		before[e.ID] = e
+		earlier[e.ID] = e
 		filled = append(filled, e)
 	}
 	l.Servers = filled
 	return l
 }
 
-// Entries are those of a list as the module takes them. Ones that cannot be read are left out and counted.
+// endsServiceByID tells whether an entry drains or removes an endpoint and gives no more than its id.
+func (e *Entry) endsServiceByID() bool {
+	stage, known := stages[e.State]
+	return known && stage != choice.Ready && e.Addr == "" && e.ID != ""
+}
+
+// Entries are those of a list as choice reads them. Ones that cannot be read are left out and counted.
 func (n *Names) Entries(l List) (entries []choice.Entry, unread int) {
 	for _, e := range l.Servers {
 		stage, known := stages[e.State]
@@ -77,8 +85,14 @@
 			unread++
 			continue
 		}
-		entries = append(entries, choice.Entry{Endpoint: choice.EndpointID(e.ID), Stage: stage,
-			Destination: choice.DestinationID(e.Cell), Kind: n.Kinds[e.Kind], Zone: n.Zone(e.Zone), Rating: e.Weight})
+		entries = append(entries, choice.Entry{
+			Endpoint:    choice.EndpointID(e.ID),
+			Destination: choice.DestinationID(e.Cell),
+			Kind:        n.Kinds[e.Kind],
+			Zone:        n.Zone(e.Zone),
+			Rating:      e.Weight,
+			Stage:       stage,
+		})
 	}
 	return entries, unread
 }
--- a/internal/directory/odd_test.go
+++ b/internal/directory/malformed_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// A list may be cut at any byte, in two chunks or in two writes of one, and every way it is heard as it is.
+// A list may be cut at any byte, in two chunks or in two writes of one chunk, and is read as it is either way.
 func TestCutAnywhere(t *testing.T) {
 	for _, text := range []string{list(1) + "\n" + list(2), `{"version":1,"full":true,"servers":[{"id":"a"}]}` + "\n\n" + `{"version":2,"servers":[{"id":"b\"}{","addr":"ü"}]}` + "\n"} {
 		whole := answerHead + chunk(text)
@@ -33,8 +33,8 @@
 	}
 }
 
-// A whole list without servers, or with null for them, is none: it changes nothing, the version stays, and the list is
-// asked for again. An empty one is obeyed, a change without servers is heard, and so is a version that goes back.
+// A full list without servers, or with null for them, is rejected: it changes nothing, the version stays, and the list is
+// asked for again. An empty one is accepted, and so are a change without servers and a version that goes back.
 func TestListWithoutServers(t *testing.T) {
 	for text, heard := range map[string]bool{
 		`{"version":5,"full":true}`:                 false,
@@ -63,7 +63,7 @@
 	}
 }
 
-// The next call asks from the version heard last, though it went back: discovery may number its versions anew.
+// The next call asks from the version received last, even if it went back: discovery may restart its numbering.
 func TestVersionGoesBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := &standIn{scripts: []script{{pieces: []piece{{0, answerHead + chunk(list(41)+"\n"+list(3))}}, ends: true}, healthy(4)}}
@@ -78,7 +78,7 @@
 	})
 }
 
-// What ends an endpoint's service by its id alone stands for all that the list has of it.
+// An entry that ends an endpoint's service by its id alone gets the other fields of the entry known of it.
 func TestFilled(t *testing.T) {
 	known := Entry{ID: "a", Addr: "h:1", Cell: 3, State: "up"}
 	l := List{Servers: []Entry{{ID: "a", State: "draining"}, {ID: "x", State: "removed"}, {ID: "b", Addr: "h:2", Cell: 4, State: "up"},
--- a/internal/directory/outage_test.go
+++ b/internal/directory/outage_test.go
@@ -13,9 +13,9 @@
 	"time"
 )
 
-// These tests put discovery out of reach in every way that is known, one after another, and measure from the moment in
-// which it can be reached again to the one in which its list is heard. Calls that are out at that moment stay as they
-// are, and later ones come up late, after a second.
+// These tests make discovery unreachable in every known way, one after another, and measure from the moment at which it
+// can be reached again to the one at which its list is received. Calls that are open at that moment stay as they are, and
+// later ones connect late, after a second.
 
 // fault is what a call meets while discovery is out of reach.
 type fault struct {
@@ -79,11 +79,11 @@
 	return (&standIn{scripts: []script{f.plays}}).dial(ctx, "")
 }
 
-// lasts runs a watch into the outage and tells how long after the moment the list of then was heard. It is not heard
-// if that takes over two minutes.
-func (o *outage) lasts(senders int, upTo func(time.Duration) time.Duration) time.Duration {
+// recoveryTime runs a watch into the outage and returns how long after the moment of return the list of that time was
+// received. It gives up after five minutes.
+func (o *outage) recoveryTime(senders int, jitter func(time.Duration) time.Duration) time.Duration {
 	heard, stop, done := make(chan time.Time, 1), make(chan struct{}), make(chan struct{})
-	w := &watcher{addr: "discovery:1", waits: standing(senders), dial: o.dial, upTo: upTo, failed: func(error) {},
+	w := &watcher{addr: "discovery:1", timing: defaultTiming(senders), dial: o.dial, jitter: jitter, onFailure: func(error) {},
 		onList: func(l List) {
 			if l.Version == 9 {
 				heard <- time.Now()
@@ -119,11 +119,11 @@
 	return all
 }
 
-// outlast plays all sequences, in batches that share a clock, with moments that are drawn and ones that come just too
-// late for a call. It tells the longest time for each kind of last fault.
-func outlast(t *testing.T, senders, faults int) map[string]time.Duration {
+// longestRecoveries plays all sequences, in batches that share a clock, with moments of return that are drawn and ones that come
+// just too late for a call. It returns the longest recovery time for each kind of last fault.
+func longestRecoveries(t *testing.T, senders, faults int) map[string]time.Duration {
 	const batch = 1
-	chance := rand.New(rand.NewPCG(3, uint64(senders)))
+	random := rand.New(rand.NewPCG(3, uint64(senders)))
 	longest, all := map[string]time.Duration{}, sequences(faults)
 	for len(all) > 0 {
 		some := all[:min(batch, len(all))]
@@ -132,15 +132,15 @@
 			var mu sync.Mutex
 			var each sync.WaitGroup
 			for i, s := range some {
-				o, seed := &outage{faults: s, more: chance.IntN(3), within: time.Millisecond}, chance.Uint64()
-				upTo := func(most time.Duration) time.Duration { return most }
+				o, seed := &outage{faults: s, more: random.IntN(3), within: time.Millisecond}, random.Uint64()
+				jitter := func(most time.Duration) time.Duration { return most }
 				if i%2 > 0 {
 					draw := rand.New(rand.NewPCG(seed, 1))
-					upTo = func(most time.Duration) time.Duration { return time.Duration(draw.Int64N(int64(most))) }
-					o.within += time.Duration(chance.Int64N(int64(8 * time.Second)))
+					jitter = func(most time.Duration) time.Duration { return time.Duration(draw.Int64N(int64(most))) }
+					o.within += time.Duration(random.Int64N(int64(8 * time.Second)))
 				}
 				each.Go(func() {
-					took, last := o.lasts(senders, upTo), s[len(s)-1].name
+					took, last := o.recoveryTime(senders, jitter), s[len(s)-1].name
 					mu.Lock()
 					longest[last] = max(longest[last], took)
 					mu.Unlock()
@@ -153,26 +153,26 @@
 	return longest
 }
 
-// oneAtATime has the goroutines of a test run one at a time: with Go 1.26 the race detector ends a process in which
+// singleThreaded has the goroutines of a test run one at a time: with Go 1.26 the race detector ends a process in which
 // several threads fire many timers of one synctest clock (a crash in its own code, on any text).
-func oneAtATime(t *testing.T) {
+func singleThreaded(t *testing.T) {
 	before := runtime.GOMAXPROCS(1)
 	t.Cleanup(func() { runtime.GOMAXPROCS(before) })
 }
 
-// Whatever calls have met, four faults in a row, the list is heard within six seconds of the moment in which discovery
-// can be reached; but for an error status to a large fleet, which is spread so far as that fleet needs. -short takes
-// two faults in a row.
+// Whatever calls have met, up to four faults in a row, the list is received within six seconds of the moment at which
+// discovery can be reached; except after an error status to a large fleet, whose calls are spread as far as that fleet
+// needs. -short plays two faults in a row.
 func TestOutage(t *testing.T) {
 	for senders, faults := range map[int]int{1: 3, 24: 3, 80: 3, 300: 4} {
 		if testing.Short() {
 			faults = 2
 		}
-		w := standing(senders)
-		for last, took := range outlast(t, senders, faults) {
+		w := defaultTiming(senders)
+		for last, took := range longestRecoveries(t, senders, faults) {
 			bound := 6 * time.Second
 			if last == "503" && senders > 24 {
-				bound = w.ceiling(9) + time.Second
+				bound = w.maxWait(9) + time.Second
 			}
 			t.Logf("%3d senders, %-20s %v", senders, last, took)
 			if took > bound {
@@ -182,12 +182,12 @@
 	}
 }
 
-// A dial that fails for want of descriptors is one that failed: it is made again inside the bound.
+// A dial that fails for want of descriptors counts as a failed call: it is repeated inside the bound.
 func TestNoDescriptors(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, errno := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.EADDRNOTAVAIL} {
 			o := &outage{faults: []fault{{fails: refusing(errno)}}, more: 20, within: time.Millisecond}
-			took := o.lasts(300, func(most time.Duration) time.Duration { return most })
+			took := o.recoveryTime(300, func(most time.Duration) time.Duration { return most })
 			if o.calls != 22 || took > 6*time.Second {
 				t.Errorf("%v: %d calls, heard after %v", errno, o.calls, took)
 			}
--- a/internal/directory/silence_test.go
+++ b/internal/directory/silence_test.go
@@ -15,9 +15,9 @@
 	"time"
 )
 
-// These tests run on the test's own clock (testing/synctest) with the waits in service: the stand-in and the watch talk
-// through a pipe, and what is measured does not hang on the machine. TestLoopback is the same on sockets, in small
-// time.
+// These tests run on the test's own clock (testing/synctest) with the timing in service: the stand-in and the watch talk
+// through a pipe, and what is measured does not depend on the machine. TestLoopback is the same on sockets, with shorter
+// timeouts.
 
 const answerHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
@@ -60,7 +60,7 @@
 	calls   []time.Duration // when each came
 	asked   []string        // the version since which each asked, as its request came
 	start   time.Time
-	stands  time.Duration // the watch's process stands still for so long with each message
+	pause   time.Duration // for so long the watch's process stands still with each message
 }
 
 func (d *standIn) dial(ctx context.Context, _ string) (net.Conn, error) {
@@ -106,17 +106,17 @@
 	at      time.Duration
 }
 
-// watched runs a watch over the scripts for a span, every spread wait lasting as long as it may.
+// watched runs a watch over the scripts for a span, every random wait lasting as long as it may.
 func watched(senders int, span time.Duration, d *standIn) (all []heard, ends []error) {
 	stop := make(chan struct{})
 	d.start = time.Now()
-	w := &watcher{addr: "discovery:1", waits: standing(senders), dial: d.dial,
-		upTo: func(most time.Duration) time.Duration { return most },
+	w := &watcher{addr: "discovery:1", timing: defaultTiming(senders), dial: d.dial,
+		jitter: func(most time.Duration) time.Duration { return most },
 		onList: func(l List) {
 			all = append(all, heard{l.Version, time.Since(d.start)})
-			time.Sleep(d.stands)
+			time.Sleep(d.pause)
 		},
-		failed: func(err error) { ends = append(ends, err) }}
+		onFailure: func(err error) { ends = append(ends, err) }}
 	done := make(chan struct{})
 	go func() {
 		w.run(stop)
@@ -129,7 +129,7 @@
 	return all, ends
 }
 
-// Whatever way a watch falls silent, what it misses is heard within six seconds of its last sign of life.
+// Whatever way a watch falls silent, what it misses is received within six seconds of its last sign of life.
 func TestSilence(t *testing.T) {
 	trickle := func(after time.Duration) (all []piece) {
 		for _, letter := range strings.Split(list(2), "") {
@@ -144,7 +144,7 @@
 	for name, c := range map[string]struct {
 		scripts []script
 		life    time.Duration // when the last sign of life came
-		calls   int           // up to the news
+		calls   int           // up to the list
 	}{
 		"silence":                    {[]script{{pieces: stood}}, 2 * time.Second, 2},
 		"silence from the first":     {[]script{{pieces: opened}}, 0, 2},
@@ -166,7 +166,7 @@
 				d := &standIn{scripts: append(c.scripts, healthy(9))}
 				all, _ := watched(300, 30*time.Second, d)
 				last := all[len(all)-1]
-				if within := last.at - c.life; last.version != 9 || within > standing(300).NotifyWithin {
+				if within := last.at - c.life; last.version != 9 || within > defaultTiming(300).NotifyWithin {
 					t.Errorf("heard %v, calls at %v", all, d.calls)
 				}
 				if len(d.calls) != c.calls {
@@ -177,8 +177,8 @@
 	}
 }
 
-// A watch that shows life stays, with news that is indented, comes in pieces, or two lists in one; so does one whose
-// process stood still, which finds what came meanwhile.
+// A watch that shows life stays open, with messages that are indented, come in pieces, or two in one piece; so does one
+// whose process stood still, which reads what came meanwhile.
 func TestLife(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := script{pieces: []piece{{0, answerHead + chunk("\n")}}}
@@ -189,8 +189,8 @@
 		for range 20 {
 			s.pieces = append(s.pieces, piece{2700 * time.Millisecond, chunk("\n")})
 		}
-		for _, stands := range []time.Duration{0, 3500 * time.Millisecond} {
-			d := &standIn{scripts: []script{s}, stands: stands}
+		for _, pause := range []time.Duration{0, 3500 * time.Millisecond} {
+			d := &standIn{scripts: []script{s}, pause: pause}
 			all, _ := watched(300, time.Minute, d)
 			if len(all) != 4 || all[3].version != 4 || len(d.calls) != 1 {
 				t.Errorf("heard %v, calls at %v", all, d.calls)
@@ -199,8 +199,8 @@
 	})
 }
 
-// What fails at once or is refused keeps its spread, and so does a discovery that stays silent: two calls come at once,
-// and then not more than the spread allows. A list that is slow to come is let come then.
+// Calls that fail at once or are refused keep their spread, and so do calls to a discovery that stays silent: two come at
+// once, and then not more than the spread allows. A list that is slow to come is then waited for.
 func TestSpread(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := &standIn{scripts: []script{{pieces: []piece{{0, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"}}, ends: true}}}
@@ -217,8 +217,8 @@
 	})
 }
 
-// The price over a fleet of 300. Watches that all fall silent once cost a call each; a discovery that stays down four
-// each in 14 s, two at once and two within the bound.
+// The number of calls of a fleet of 300. Watches that all fall silent once cause a call each; a discovery that stays down
+// causes four each in 14 s, two at once and two within the bound.
 func TestPrice(t *testing.T) {
 	count := func(scripts ...script) (calls int) {
 		for range 300 {
@@ -239,7 +239,7 @@
 	})
 }
 
-// On sockets, in a tenth of the time: an indented list is heard, a silent watch is asked for anew, and a stop ends all.
+// On sockets, in a tenth of the time: an indented list is heard, a silent watch is called for again, and a stop ends all.
 func TestLoopback(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -257,10 +257,10 @@
 	}()
 	var d net.Dialer
 	versions, stop, done := make(chan int64, 100), make(chan struct{}), make(chan struct{})
-	w := &watcher{addr: listener.Addr().String(), waits: standing(1), onList: func(l List) { versions <- l.Version }, failed: func(error) {},
-		dial: func(ctx context.Context, addr string) (net.Conn, error) { return d.DialContext(ctx, "tcp", addr) },
-		upTo: func(most time.Duration) time.Duration { return most }}
-	w.waits.Quiet /= 10
+	w := &watcher{addr: listener.Addr().String(), timing: defaultTiming(1), onList: func(l List) { versions <- l.Version }, onFailure: func(error) {},
+		dial:   func(ctx context.Context, addr string) (net.Conn, error) { return d.DialContext(ctx, "tcp", addr) },
+		jitter: func(most time.Duration) time.Duration { return most }}
+	w.timing.MaxSilence /= 10
 	go func() {
 		w.run(stop)
 		close(done)
--- a/internal/directory/watch.go
+++ b/internal/directory/watch.go
@@ -1,16 +1,16 @@
 // Package directory follows the list of endpoints at discovery.
 //
-// It owns the connections there, two at most, and the list's form. It asks for the whole list by a watch, which stays
-// open, and asks anew when that ends or falls silent. It must never give up before it is stopped, end the process over
-// what discovery says, or pass on an entry that it could not read.
+// It owns the connections there, two at most, and the form of the list. It asks for the full list by a watch, which stays
+// open, and calls again when that ends or falls silent. It does not give up before it is stopped, does not end the process
+// whatever discovery sends, and does not pass on an entry that it could not read.
 //
-// Calls are begun one after another. One that stalls before it has shown life is read on for a while beside the next:
-// a list that is always slow would never be heard else, and to wait for it would hold up the next call beyond NotifyWithin.
-// Whichever shows life first is the watch, and the other is ended. It costs one more connection while discovery says
-// nothing. It harms where a call begun long ago speaks at last, tells an old list and falls silent: the clock of
-// silence starts anew from there.
+// Calls are begun one after another. One that stalls before its first sign of life is read on for a while beside the
+// next: otherwise a list that is always slow would never be received, and waiting for it would delay the next call beyond
+// NotifyWithin. Whichever call shows life first is the watch, and the other is ended. The price is one more connection
+// while discovery sends nothing. The drawback: where a call begun long ago sends at last, brings an old list and falls
+// silent, the time allowed for silence starts again from there.
 //
-// watch.go goes from call to call, waits.go says when the next one comes, follow.go is one call, and list.go what it
+// watch.go goes from call to call, timing.go says when the next one begins, call.go is one call, and list.go what it
 // brings.
 package directory
 
@@ -21,129 +21,138 @@
 	"time"
 )
 
-// watcher follows discovery from call to call. It belongs to the goroutine that runs it; calls hand it events.
+// watcher follows discovery from call to call. It belongs to the goroutine that runs it; calls send it events.
 type watcher struct {
-	addr   string
-	since  int64
-	waits  Waits
-	ladder ladder
-	heard  time.Time // the last sign of life, or when it began
-	events chan event
-	next   *time.Timer // begins the next call; runs only while newest is nil
-	newest *call       // the call that the ladder counts, or the open watch
-	slow   *call       // one that stalled, read on until either shows life or its patience is over
-	dial   func(ctx context.Context, addr string) (net.Conn, error)
-	upTo   func(time.Duration) time.Duration // a wait drawn evenly
-	onList func(List)
-	failed func(error)
+	addr      string
+	version   int64 // received last; the next call asks for what came since
+	timing    timing
+	backoff   backoff
+	lastSign  time.Time // the last sign of life, or when the watcher began
+	events    chan event
+	nextCall  *time.Timer // begins the next call; runs only while newest is nil
+	newest    *call       // the call that the backoff counts, or the open watch
+	stalled   *call       // one that stalled, read on until either shows life or its time is over
+	dial      func(ctx context.Context, addr string) (net.Conn, error)
+	jitter    func(time.Duration) time.Duration // a wait drawn evenly from 0 to the given one
+	onList    func(List)
+	onFailure func(error)
 }
 
-// event is what a call has to tell: life, with a message or none, that it stalled, or that it is over.
+// event is what a call reports to the watcher.
 type event struct {
 	call *call
-	what happening
-	list *List  // of life; nil for blanks
-	how  ending // of over
-	err  error  // of stalled and over
+	kind eventKind
+	list *List  // of signOfLife; nil for blanks
+	how  ending // of ended
+	err  error  // of stalled and ended
 }
 
-type happening int
+type eventKind int
 
 const (
-	life happening = iota
+	signOfLife eventKind = iota
 	stalled
-	over
+	ended
 )
 
 // Watch follows discovery at addr, which so many senders share, from a version on until stop is closed. It hands each
-// message to onList, and why a call was given up to failed, both from its own goroutine.
-func Watch(addr string, senders int, since int64, stop <-chan struct{}, onList func(List), failed func(error)) {
+// message to onList, and why a call was given up to onFailure, both from its own goroutine.
+func Watch(addr string, senders int, since int64, stop <-chan struct{}, onList func(List), onFailure func(error)) {
 	var d net.Dialer
-	w := &watcher{addr: addr, since: since, waits: standing(senders), onList: onList, failed: failed,
-		dial: func(ctx context.Context, addr string) (net.Conn, error) { return d.DialContext(ctx, "tcp", addr) },
-		upTo: func(most time.Duration) time.Duration { return rand.N(most) }}
+	w := &watcher{
+		addr:      addr,
+		version:   since,
+		timing:    defaultTiming(senders),
+		dial:      func(ctx context.Context, addr string) (net.Conn, error) { return d.DialContext(ctx, "tcp", addr) },
+		jitter:    func(most time.Duration) time.Duration { return rand.N(most) },
+		onList:    onList,
+		onFailure: onFailure,
+	}
 	w.run(stop)
 }
 
 func (w *watcher) run(stop <-chan struct{}) {
 	ctx, cancel := context.WithCancel(context.Background())
-	defer cancel() // ends the calls that are out
-	w.heard, w.ladder = time.Now(), ladder{silences: 1}
-	w.events, w.next = make(chan event), time.NewTimer(0)
-	defer w.next.Stop()
+	defer cancel() // ends the calls that are open
+	w.lastSign = time.Now()
+	w.backoff = backoff{silences: 1} // the first call may be followed by one immediate retry
+	w.events = make(chan event)
+	w.nextCall = time.NewTimer(0)
+	defer w.nextCall.Stop()
 	for {
 		select {
 		case <-stop:
 			if w.newest != nil {
-				w.failed(errStopped)
+				w.onFailure(errStopped)
 			}
 			return
-		case <-w.next.C:
+		case <-w.nextCall.C:
 			w.newest = w.begin(ctx)
 		case e := <-w.events:
-			// What a call still had to tell when it was ended is not taken.
-			if e.call == w.newest || e.call == w.slow {
-				w.take(e)
+			// Events that a call still had to send when it was ended are ignored.
+			if e.call == w.newest || e.call == w.stalled {
+				w.handle(e)
 			}
 		}
 	}
 }
 
-func (w *watcher) take(e event) {
+func (w *watcher) handle(e event) {
 	c := e.call
 	switch {
-	case e.what == life:
-		w.heard, w.ladder, c.spoke = time.Now(), ladder{}, true
-		w.settle(c)
+	case e.kind == signOfLife:
+		w.lastSign, w.backoff = time.Now(), backoff{}
+		c.established = true
+		w.establish(c)
 		if e.list != nil {
-			w.since = e.list.Version
+			w.version = e.list.Version
 			w.onList(*e.list)
 		}
-	case e.what == stalled && c == w.newest && !c.spoke:
-		w.failed(e.err)
+	case e.kind == stalled && c == w.newest && !c.established:
+		w.onFailure(e.err)
 		w.newest = nil
-		if w.slow == nil {
-			w.slow = c
+		if w.stalled == nil {
+			w.stalled = c
 		} else {
 			c.stop()
 		}
-		w.wait(silent, c)
-	case e.what == over && c == w.newest:
+		w.scheduleNext(silent, c)
+	case e.kind == ended && c == w.newest:
 		c.stop()
-		w.failed(e.err)
+		w.onFailure(e.err)
 		w.newest = nil
-		w.wait(e.how, c)
-	case e.what == over:
+		w.scheduleNext(e.how, c)
+	case e.kind == ended:
 		c.stop()
-		w.slow = nil
-		if e.how == busy { // that counts, however late it is said
-			w.failed(e.err)
-			w.wait(busy, c)
+		w.stalled = nil
+		if e.how == errorStatus { // counts however late it comes
+			w.onFailure(e.err)
+			w.scheduleNext(errorStatus, c)
 		}
 	}
 }
 
-// settle has a call be the watch, and ends the other one.
-func (w *watcher) settle(c *call) {
+// establish makes a call the watch, and ends the other one.
+func (w *watcher) establish(c *call) {
 	if w.newest != nil && w.newest != c {
 		w.newest.stop()
-		w.failed(errBeside)
+		w.onFailure(errSuperseded)
 	}
-	if w.slow != nil && w.slow != c {
-		w.slow.stop() // why it was given up has been told
+	if w.stalled != nil && w.stalled != c {
+		w.stalled.stop() // why it was given up has been reported
 	}
-	w.newest, w.slow = c, nil
-	w.next.Stop()
+	w.newest, w.stalled = c, nil
+	w.nextCall.Stop()
 }
 
-// wait has the next call begin when the ladder says, unless one is out.
-func (w *watcher) wait(how ending, c *call) {
-	most := w.ladder.next(&w.waits, how, time.Since(w.heard), time.Since(c.began))
+// scheduleNext has the next call begin when the backoff says, unless one is open.
+func (w *watcher) scheduleNext(how ending, c *call) {
+	most := w.backoff.next(&w.timing, how, time.Since(w.lastSign), time.Since(c.began))
 	if w.newest != nil {
 		return
 	}
 	if most > 0 {
-		most = w.upTo(most)
+		most = w.jitter(most)
 	}
-	w.next.Reset(most)
+	w.nextCall.Reset(most)
 }
--- a/internal/directory/watch_test.go
+++ b/internal/directory/watch_test.go
@@ -10,8 +10,8 @@
 	"strings"
 )
 
-// A watch goes on from the version it has heard, whatever ended the one before: its end, an error, or nonsense. What it
-// hears may stand on one line or on several.
+// A watch goes on from the version received last, whatever ended the one before: its end, an error, or malformed text. A
+// message may take one line or several.
 func ExampleWatch() {
 	answers := []string{`{"version":5,"full":true,"servers":[]}` + "\n\n" + `{"version":6}` + "\n", "", "{nonsense\n", "{\n  \"version\": 7\n}\n"}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -60,8 +60,8 @@
 	// version 7
 }
 
-// Half a list is no news: what a discovery that breaks off in the middle has said is not passed on, the version stays.
-// Nor does a list without endpoints, or with ones nobody knows, end anything.
+// Half a list is not passed on when discovery breaks off in the middle, and the version stays. A list without endpoints, or
+// with unknown zones and kinds, does not end the watch.
 func ExampleWatch_half() {
 	answers := []string{`{"version":8,"full":true,"servers":[{"id":"a","addr":"h:1","sta`, `{"version":8,"full":true,"servers":[]}` + "\n" +
 		`{"version":9,"full":true,"servers":[{"id":"a","addr":"h:1","zone":"nowhere","kind":"unheard","state":"up"}]}` + "\n"}
