--- a/internal/routes/expect.go
+++ b/internal/routes/expect.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"maps"
 	"math"
 	"slices"
 	"strings"
@@ -9,32 +10,39 @@
 	"flaxcove/choice"
 )
 
-// Expect is what operators expect of routing, beside their rules. What is left empty or 0 is not expected.
-type Expect struct {
+// Expectation is what operators expect of routing, beside their rules. What is left empty or 0 is not expected.
+type Expectation struct {
 	Name        string
 	Destination *choice.DestinationID // nil for each destination of the list
 	Class       string
 	Tenant      string
 	Key         string
 
-	Only    []choice.EndpointID           // it reaches these and no others
-	Never   []choice.EndpointID           // it never reaches these
-	AtLeast int                           // so many endpoints remain
-	Shares  map[choice.EndpointID]float64 // each gets this share of it,
-	Within  float64                       // give or take so much, 0.05 for five points in a hundred
-	Losses  int                           // and all of that after the loss of any so many endpoints, two at most
+	Only    []choice.EndpointID           // the message reaches these and no others
+	Never   []choice.EndpointID           // the message never reaches these
+	AtLeast int                           // at least so many endpoints remain
+	Shares  map[choice.EndpointID]float64 // each endpoint gets this fraction of the messages,
+	Within  float64                       // give or take so much: 0.05 for five percentage points
+	Losses  int                           // all of that holds after the loss of any so many endpoints, two at most
 }
 
+// maxLosses bounds Losses, with which the cost of a test grows exponentially.
+const maxLosses = 2
+
+// sumTolerance is what shares may add up to above 1, for rounding.
+const sumTolerance = 1e-9
+
 // Failure is an expectation that does not hold, with the smallest case in which it fails.
 type Failure struct {
-	Expect      string
+	Expect      string // its name
 	Destination choice.DestinationID
-	Lost        []choice.EndpointID // drained beside what the list says; none where it fails as things stand
-	Overrides   []OverrideID        // that must stand for it to fail
+	Lost        []choice.EndpointID // drained beside what the list says; none where it fails without a loss
+	Overrides   []OverrideID        // without which it would not fail
 	Route       Route               // as it is then
 	What        string
 }
 
+// String says on one line what fails and in which case.
 func (f *Failure) String() string {
 	text := fmt.Sprintf("%s: at destination %d, %s", f.Expect, f.Destination, f.What)
 	if len(f.Lost) > 0 {
@@ -57,62 +65,62 @@
 	return strings.Join(parts, ", ")
 }
 
-// CheckExpect tells all that is wrong with an expectation itself.
-func CheckExpect(at string, x *Expect) (problems []Problem) {
-	wrong := func(field, format string, args ...any) {
-		problems = append(problems, Problem{at + field, fmt.Sprintf(format, args...)})
-	}
+// CheckExpectation returns all that is wrong with an expectation itself; its fields' paths begin with path.
+func CheckExpectation(path string, x *Expectation) []Problem {
+	var found problems
 	if x.Name == "" {
-		wrong("name", "missing")
+		found.add(path+"name", "missing")
 	}
 	if len(x.Only) == 0 && len(x.Never) == 0 && x.AtLeast == 0 && len(x.Shares) == 0 {
-		wrong("name", "%q expects nothing: it takes only, never, at_least or shares", x.Name)
+		found.add(path+"name", "%q expects nothing: it takes only, never, at_least or shares", x.Name)
 	}
-	if x.Losses < 0 || x.Losses > 2 {
-		wrong("losses", "%d is not within 0 and 2", x.Losses)
+	if x.Losses < 0 || x.Losses > maxLosses {
+		found.add(path+"losses", "%d is not within 0 and %d", x.Losses, maxLosses)
 	}
 	if len(x.Shares) > 0 && !(x.Within > 0 && x.Within < 1) {
-		wrong("within", "%g is not above 0 and under 1", x.Within)
+		found.add(path+"within", "%g is not above 0 and under 1", x.Within)
 	}
 	sum := 0.0
 	for _, share := range x.Shares {
 		sum += share
 		if !(share >= 0 && share <= 1) {
-			wrong("shares", "%g is not within 0 and 1", share)
+			found.add(path+"shares", "%g is not within 0 and 1", share)
 		}
 	}
-	if sum > 1+1e-9 {
-		wrong("shares", "they add up to %g, above 1", sum)
+	if sum > 1+sumTolerance {
+		found.add(path+"shares", "they add up to %g, above 1", sum)
 	}
 	for _, id := range x.Only {
 		if slices.Contains(x.Never, id) {
-			wrong("never", "%s is among only, too", id)
+			found.add(path+"never", "%s is among only, too", id)
 		}
 	}
-	return problems
+	return found
 }
 
-// Test checks expectations against rules, overrides and a list, without traffic, and tells each that fails once, with the
-// smallest case: fewest endpoints lost, then fewest overrides. Its cost grows with the endpoints of one destination to the
-// power of the losses, and with the number of destinations no more than evenly.
-func Test(t *Table, o *Overrides, list []Endpoint, expects []Expect) (failures []Failure) {
-	by := map[choice.DestinationID][]Endpoint{}
-	var order []choice.DestinationID
+// Test checks expectations against rules, overrides and a list, without traffic. It returns each expectation that fails
+// once, with the smallest case: fewest endpoints lost, then fewest overrides. Its cost grows with the endpoints of one
+// destination to the power of the losses, and linearly with the number of destinations.
+func Test(t *Table, o *Overrides, list []Endpoint, expectations []Expectation) (failures []Failure) {
+	byDestination := map[choice.DestinationID][]Endpoint{}
+	var all []choice.DestinationID
 	for _, e := range list {
-		if by[e.Destination] == nil {
-			order = append(order, e.Destination)
+		if byDestination[e.Destination] == nil {
+			all = append(all, e.Destination)
 		}
-		by[e.Destination] = append(by[e.Destination], e)
+		byDestination[e.Destination] = append(byDestination[e.Destination], e)
 	}
-	slices.Sort(order)
-	for i := range expects {
-		x := &expects[i]
-		destinations := order
+	slices.Sort(all)
+	for i := range expectations {
+		x := &expectations[i]
+		destinations := all
 		if x.Destination != nil {
 			destinations = []choice.DestinationID{*x.Destination}
 		}
 		for _, d := range destinations {
-			if f, fails := smallest(t, o, x, d, by[d]); fails {
+			message := Message{Destination: d, Class: x.Class, Tenant: x.Tenant, Key: x.Key}
+			search := failureSearch{table: t, expectation: x, message: message, endpoints: byDestination[d]}
+			if f, fails := search.smallest(o); fails {
 				failures = append(failures, f)
 				break
 			}
@@ -121,46 +129,60 @@
 	return failures
 }
 
-// smallest looks for a case in which an expectation fails at one destination, fewest losses first.
-func smallest(t *Table, o *Overrides, x *Expect, d choice.DestinationID, list []Endpoint) (f Failure, fails bool) {
-	n := &Message{Destination: d, Class: x.Class, Tenant: x.Tenant, Key: x.Key}
-	try := func(o *Overrides, lost []int) (Route, string) {
-		ends := slices.Clone(list)
-		for _, i := range lost {
-			ends[i].Ready = false
-		}
-		r := Resolve(t, o, n, ends)
-		return r, x.judge(&r)
-	}
-	for _, lost := range losses(list, x.Losses) {
-		r, what := try(o, lost)
+// failureSearch looks for the smallest case in which an expectation fails at one destination.
+type failureSearch struct {
+	table       *Table
+	expectation *Expectation
+	message     Message
+	endpoints   []Endpoint // of the destination
+}
+
+// try resolves the message with some endpoints lost and returns what the expectation misses, "" for nothing.
+func (s *failureSearch) try(o *Overrides, lost []int) (Route, string) {
+	endpoints := slices.Clone(s.endpoints)
+	for _, i := range lost {
+		endpoints[i].Ready = false
+	}
+	r := Resolve(s.table, o, &s.message, endpoints)
+	return r, s.expectation.unmet(&r)
+}
+
+// smallest is the failure with the fewest losses, and among these one without overrides that have no part in it.
+func (s *failureSearch) smallest(o *Overrides) (f Failure, fails bool) {
+	for _, lost := range lossSets(s.endpoints, s.expectation.Losses) {
+		r, what := s.try(o, lost)
 		if what == "" {
 			continue
 		}
-		f = Failure{Expect: x.Name, Destination: d, Route: r, What: what}
+		f = Failure{Expect: s.expectation.Name, Destination: s.message.Destination, Route: r, What: what}
 		for _, i := range lost {
-			f.Lost = append(f.Lost, list[i].ID)
-		}
-		// Overrides without which it fails as well have no part in it.
-		part := &Overrides{standing: slices.Clone(o.standing)}
-		for i := len(part.standing) - 1; i >= 0; i-- {
-			less := &Overrides{standing: slices.Delete(slices.Clone(part.standing), i, i+1)}
-			if r, what := try(less, lost); what != "" {
-				part, f.Route, f.What = less, r, what
-			}
-		}
-		for _, s := range part.standing {
-			f.Overrides = append(f.Overrides, s.ID)
+			f.Lost = append(f.Lost, s.endpoints[i].ID)
 		}
+		s.reduceOverrides(&f, o, lost)
 		return f, true
 	}
 	return f, false
 }
 
-// losses are all sets of so many endpoints and fewer that are ready, smaller ones first.
-func losses(list []Endpoint, most int) (all [][]int) {
+// reduceOverrides leaves out, one after another, overrides without which the failure occurs as well, and sets the failure to
+// what remains.
+func (s *failureSearch) reduceOverrides(f *Failure, o *Overrides, lost []int) {
+	needed := &Overrides{active: slices.Clone(o.active)}
+	for i := len(needed.active) - 1; i >= 0; i-- {
+		fewer := &Overrides{active: slices.Delete(slices.Clone(needed.active), i, i+1)}
+		if r, what := s.try(fewer, lost); what != "" {
+			needed, f.Route, f.What = fewer, r, what
+		}
+	}
+	for _, v := range needed.active {
+		f.Overrides = append(f.Overrides, v.ID)
+	}
+}
+
+// lossSets are all sets of at most so many ready endpoints, by position, smaller sets first.
+func lossSets(endpoints []Endpoint, most int) (all [][]int) {
 	all = append(all, nil)
-	from := 0
+	from := 0 // of the sets of the size before
 	for range most {
 		end := len(all)
 		for _, set := range all[from:end] {
@@ -168,8 +190,8 @@
 			if len(set) > 0 {
 				next = set[len(set)-1] + 1
 			}
-			for i := next; i < len(list); i++ {
-				if list[i].Ready {
+			for i := next; i < len(endpoints); i++ {
+				if endpoints[i].Ready {
 					all = append(all, append(slices.Clone(set), i))
 				}
 			}
@@ -179,8 +201,8 @@
 	return all
 }
 
-// judge tells what of an expectation a route does not meet, "" for nothing.
-func (x *Expect) judge(r *Route) string {
+// unmet says what of an expectation a route does not meet, "" for nothing.
+func (x *Expectation) unmet(r *Route) string {
 	total := 0.0
 	for _, a := range r.Allowed {
 		total += a.Weight
@@ -194,12 +216,7 @@
 	if len(r.Allowed) < x.AtLeast {
 		return fmt.Sprintf("%d endpoints remain of %d expected", len(r.Allowed), x.AtLeast)
 	}
-	var names []choice.EndpointID
-	for id := range x.Shares {
-		names = append(names, id)
-	}
-	slices.Sort(names)
-	for _, id := range names {
+	for _, id := range slices.Sorted(maps.Keys(x.Shares)) {
 		share := 0.0
 		for _, a := range r.Allowed {
 			if a.Endpoint == id {
--- a/internal/routes/expect_test.go
+++ b/internal/routes/expect_test.go
@@ -18,20 +18,20 @@
 // Each failure tells the smallest case: what is drained, which override stands, which rule decided.
 func ExampleTest() {
 	o := &Overrides{}
-	for _, v := range []Override{{ID: "pin-d", Kind: Pin, Destination: 1, Class: "status", Endpoints: []choice.EndpointID{"d"}},
-		{ID: "a-heavy", Kind: Weight, Destination: 1, Endpoints: []choice.EndpointID{"a"}, Weight: 9}} {
-		v.Lasts = time.Hour
+	for _, v := range []Override{{ID: "pin-d", Kind: Sticky, Destination: 1, Class: "status", Endpoints: []choice.EndpointID{"d"}},
+		{ID: "a-heavy", Kind: FixedWeight, Destination: 1, Endpoints: []choice.EndpointID{"a"}, Weight: 9}} {
+		v.Lifetime = time.Hour
 		o.Add(v, time.Time{}, 0)
 	}
-	order := Expect{Destination: to(1), Class: "order"}
-	with := func(change func(*Expect)) Expect { x := order; change(&x); return x }
-	failures := Test(Compile(orders()), o, list("abcd"), []Expect{
-		with(func(x *Expect) { x.Name, x.Only = "only the east", []choice.EndpointID{"a", "b"} }),
-		with(func(x *Expect) {
+	order := Expectation{Destination: to(1), Class: "order"}
+	with := func(change func(*Expectation)) Expectation { x := order; change(&x); return x }
+	failures := Test(Compile(orders()), o, list("abcd"), []Expectation{
+		with(func(x *Expectation) { x.Name, x.Only = "only the east", []choice.EndpointID{"a", "b"} }),
+		with(func(x *Expectation) {
 			x.Name, x.Only, x.Losses = "only the east, whatever is lost", []choice.EndpointID{"a", "b"}, 1
 		}),
-		with(func(x *Expect) { x.Name, x.AtLeast, x.Losses = "two remain after two losses", 2, 2 }),
-		with(func(x *Expect) {
+		with(func(x *Expectation) { x.Name, x.AtLeast, x.Losses = "two remain after two losses", 2, 2 }),
+		with(func(x *Expectation) {
 			x.Name, x.Shares, x.Within = "even shares", map[choice.EndpointID]float64{"a": 0.5, "b": 0.5}, 0.05
 		}),
 		{Name: "status never to d", Destination: to(1), Class: "status", Never: []choice.EndpointID{"d"}},
@@ -48,12 +48,12 @@
 	// somebody at 7: at destination 7, 0 endpoints remain of 1 expected; no route matches it
 }
 
-func ExampleCheckExpect() {
-	for _, p := range CheckExpect("expect[0].", &Expect{Name: "all at once", Only: []choice.EndpointID{"a"}, Never: []choice.EndpointID{"a"},
+func ExampleCheckExpectation() {
+	for _, p := range CheckExpectation("expect[0].", &Expectation{Name: "all at once", Only: []choice.EndpointID{"a"}, Never: []choice.EndpointID{"a"},
 		Losses: 3, Shares: map[choice.EndpointID]float64{"a": 0.7, "b": 0.7}}) {
 		fmt.Println(p)
 	}
-	fmt.Println(CheckExpect("expect[1].", &Expect{Name: "nothing"}))
+	fmt.Println(CheckExpectation("expect[1].", &Expectation{Name: "nothing"}))
 	// Output:
 	// expect[0].losses: 3 is not within 0 and 2
 	// expect[0].within: 0 is not above 0 and under 1
@@ -73,9 +73,9 @@
 		}
 		table, o, ends := Compile(rules), &Overrides{}, list("abcd")
 		if rapid.Bool().Draw(t, "an override") {
-			o.Add(Override{ID: "o", Kind: Out, Destination: 1, Endpoints: []choice.EndpointID{"a"}, Lasts: time.Hour}, time.Time{}, 0)
+			o.Add(Override{ID: "o", Kind: OutOfService, Destination: 1, Endpoints: []choice.EndpointID{"a"}, Lifetime: time.Hour}, time.Time{}, 0)
 		}
-		x := Expect{Name: "x", Destination: to(1), Class: rapid.SampledFrom([]string{"order", "status"}).Draw(t, "w"),
+		x := Expectation{Name: "x", Destination: to(1), Class: rapid.SampledFrom([]string{"order", "status"}).Draw(t, "w"),
 			Losses: rapid.IntRange(0, 2).Draw(t, "losses"), AtLeast: rapid.IntRange(0, 3).Draw(t, "at least"),
 			Never: []choice.EndpointID{choice.EndpointID(rapid.SampledFrom([]string{"a", "c"}).Draw(t, "never"))}}
 		fails := func(lost ...choice.EndpointID) bool {
@@ -86,9 +86,9 @@
 				}
 			}
 			r := Resolve(table, o, &Message{Destination: 1, Class: x.Class}, drained)
-			return x.judge(&r) != ""
+			return x.unmet(&r) != ""
 		}
-		failures := Test(table, o, ends, []Expect{x})
+		failures := Test(table, o, ends, []Expectation{x})
 		least := -1
 		for i := range ends {
 			for j := range ends {
@@ -117,7 +117,7 @@
 		}
 	}
 	rules := []Rule{{Name: "one is narrow", Match: Match{Destination: to(777)}, Sets: []Set{{Targets: []Target{{Zone: "west", Weight: 1}}}}}}
-	f := Test(Compile(rules), &Overrides{}, ends, []Expect{{Name: "any one may go", AtLeast: 1, Losses: 1}})
+	f := Test(Compile(rules), &Overrides{}, ends, []Expectation{{Name: "any one may go", AtLeast: 1, Losses: 1}})
 	if len(f) != 1 || f[0].Destination != 777 || len(f[0].Lost) != 1 || f[0].Lost[0] != "777-1" {
 		t.Fatalf("%+v", f)
 	}
@@ -132,7 +132,7 @@
 		for losses := range 3 {
 			b.Run(fmt.Sprintf("%d endpoints, %d lost", size, losses), func(b *testing.B) {
 				for range b.N {
-					Test(Compile(nil), &Overrides{}, ends, []Expect{{Name: "one", AtLeast: 1, Losses: losses}})
+					Test(Compile(nil), &Overrides{}, ends, []Expectation{{Name: "one", AtLeast: 1, Losses: losses}})
 				}
 			})
 		}
--- a/internal/routes/resolve.go
+++ b/internal/routes/resolve.go
@@ -15,83 +15,69 @@
 
 // Route is where a message may go, and why.
 type Route struct {
-	Rule    string // "" where none matched
-	Sets    int    // how many of the rule's sets are open
-	Pin     OverrideID
-	Allowed []Allowed // sorted by endpoint; empty where it may go nowhere now
-	Nowhere Nowhere   // what becomes of it then
+	Rule    string     // "" where none matched
+	Sets    int        // how many of the rule's sets are open
+	Pin     OverrideID // of the override that makes the message sticky; "" for none
+	Allowed []Allowed  // sorted by endpoint; empty where it may go nowhere now
+	Nowhere NoEndpointPolicy
 }
 
-// Resolve tells where a message may go: the first rule that matches names the endpoints, overrides narrow them, and what is
-// drained, gone or out of service is left out. It is never widened: where nothing is left the message waits or is handed
+// Resolve returns where a message may go: the first rule that matches names the endpoints, overrides narrow them, and what
+// is draining, gone or out of service is left out. It is never widened: where nothing is left the message waits or is handed
 // back, as its rule says. Endpoints are those of the message's destination, in any order.
-func Resolve(t *Table, o *Overrides, n *Message, endpoints []Endpoint) Route {
+func Resolve(t *Table, o *Overrides, m *Message, endpoints []Endpoint) Route {
 	r := Route{}
-	all := []Set{{Targets: []Target{{Weight: 1}}}}
-	if rule := t.Rule(n); rule != nil {
-		r.Rule, r.Nowhere, all = rule.Name, rule.Nowhere, rule.Sets
+	sets := []Set{{Targets: []Target{{Weight: 1}}}} // without a rule all endpoints are allowed alike
+	if rule := t.Rule(m); rule != nil {
+		r.Rule, r.Nowhere, sets = rule.Name, rule.NoEndpoint, rule.Sets
 	}
-	var out, sticky []choice.EndpointID
-	weights := map[choice.EndpointID]float64{}
-	for i := range o.standing {
-		v := &o.standing[i].Override
-		if v.Destination != n.Destination || v.Class != "" && v.Class != n.Class {
-			continue
+	effect := o.effectOn(m)
+	r.Pin = effect.stickyBy
+	var weights map[choice.EndpointID]float64
+	weights, r.Sets = openSets(sets, &effect, m, endpoints)
+	for i := range endpoints {
+		e := &endpoints[i]
+		weight, named := weights[e.ID]
+		if r.Pin != "" {
+			// A sticky override goes before the rule: it is what an operator wants now.
+			named, weight = slices.Contains(effect.stickyTo, e.ID) && e.Destination == m.Destination, 1
 		}
-		switch v.Kind {
-		case Out:
-			out = append(out, v.Endpoints...)
-		case Pin:
-			if r.Pin == "" && !allIn(v.Endpoints, out) {
-				r.Pin, sticky = v.ID, v.Endpoints
-			}
-		case Weight:
-			if _, set := weights[v.Endpoints[0]]; !set {
-				weights[v.Endpoints[0]] = v.Weight
-			}
+		if named && weight > 0 && effect.inService(e) {
+			r.Allowed = append(r.Allowed, Allowed{e.ID, weight})
 		}
 	}
-	weighs := map[choice.EndpointID]float64{} // what the sets that are open name
-	ready, named := 0, 0
-	for i := range all {
-		if i > 0 && named > 0 && float64(ready) >= all[i].Under*float64(named) {
+	slices.SortFunc(r.Allowed, func(a, b Allowed) int { return cmp.Compare(a.Endpoint, b.Endpoint) })
+	return r
+}
+
+// openSets opens sets in order, each while too few endpoints of those before it are ready. It returns the weights of the
+// endpoints that the open sets name and how many sets are open.
+func openSets(sets []Set, effect *overrideEffect, m *Message, endpoints []Endpoint) (weights map[choice.EndpointID]float64, open int) {
+	weights = map[choice.EndpointID]float64{}
+	ready := 0
+	for i := range sets {
+		if i > 0 && len(weights) > 0 && float64(ready) >= sets[i].Under*float64(len(weights)) {
 			continue
 		}
-		r.Sets++
+		open++
 		for j := range endpoints {
 			e := &endpoints[j]
-			if _, is := weighs[e.ID]; is || e.Destination != n.Destination {
+			if _, named := weights[e.ID]; named || e.Destination != m.Destination {
 				continue
 			}
-			k := slices.IndexFunc(all[i].Targets, func(t Target) bool { return t.names(e) })
-			if k < 0 {
+			target := slices.IndexFunc(sets[i].Targets, func(t Target) bool { return t.names(e) })
+			if target < 0 {
 				continue
 			}
-			weighs[e.ID] = all[i].Targets[k].Weight
-			if set, has := weights[e.ID]; has {
-				weighs[e.ID] = set
+			weight, overridden := effect.weights[e.ID]
+			if !overridden {
+				weight = sets[i].Targets[target].Weight
 			}
-			named++
-			if e.Ready && !slices.Contains(out, e.ID) && weighs[e.ID] > 0 {
+			weights[e.ID] = weight
+			if weight > 0 && effect.inService(e) {
 				ready++
 			}
 		}
 	}
-	for j := range endpoints {
-		e := &endpoints[j]
-		w, is := weighs[e.ID]
-		if r.Pin != "" {
-			// A pin goes before the rule: it is what an operator wants now.
-			is, w = slices.Contains(sticky, e.ID) && e.Destination == n.Destination, 1
-		}
-		if is && w > 0 && e.Ready && !slices.Contains(out, e.ID) {
-			r.Allowed = append(r.Allowed, Allowed{e.ID, w})
-		}
-	}
-	slices.SortFunc(r.Allowed, func(a, b Allowed) int { return cmp.Compare(a.Endpoint, b.Endpoint) })
-	return r
-}
-
-func allIn(some, all []choice.EndpointID) bool {
-	return !slices.ContainsFunc(some, func(id choice.EndpointID) bool { return !slices.Contains(all, id) })
+	return weights, open
 }
--- a/internal/routes/routes_test.go
+++ b/internal/routes/routes_test.go
@@ -33,7 +33,7 @@
 
 // Orders go to the east, to the west only while under half of the east is ready, and nowhere else ever.
 func ExampleResolve() {
-	rules := []Rule{{Name: "orders", Match: Match{Destination: to(1), Class: "order"}, Nowhere: HandBack,
+	rules := []Rule{{Name: "orders", Match: Match{Destination: to(1), Class: "order"}, NoEndpoint: HandBack,
 		Sets: []Set{{Targets: []Target{{Zone: "east", Weight: 2}}}, {Under: 0.5, Targets: []Target{{Endpoints: []choice.EndpointID{"c"}, Weight: 1}}}}}}
 	t, o, n := Compile(rules), &Overrides{}, &Message{Destination: 1, Class: "order"}
 	for _, ready := range []string{"abcd", "bcd", "cd", "d", ""} {
@@ -54,19 +54,19 @@
 	t, o, n := Compile(nil), &Overrides{}, &Message{Destination: 1, Class: "order"}
 	day := time.Date(2026, 5, 9, 8, 0, 0, 0, time.UTC)
 	set := func(id OverrideID, kind OverrideKind, class string, weight float64, minutes int, at ...choice.EndpointID) {
-		o.Add(Override{ID: id, Kind: kind, Destination: 1, Class: class, Endpoints: at, Weight: weight, By: "an operator",
-			Why: "courier fails", SetAt: day.Add(time.Duration(len(o.standing)) * time.Second), Lasts: time.Duration(minutes) * time.Minute}, day, 0)
+		o.Add(Override{ID: id, Kind: kind, Destination: 1, Class: class, Endpoints: at, Weight: weight, SetBy: "an operator",
+			Reason: "courier fails", SetAt: day.Add(time.Duration(len(o.active)) * time.Second), Lifetime: time.Duration(minutes) * time.Minute}, day, 0)
 	}
-	set("heavy", Weight, "", 5, 60, "a")
-	set("light", Weight, "", 0.5, 40, "a")
-	set("all-to-b", Pin, "", 0, 30, "b")
-	set("orders-to-a", Pin, "order", 0, 20, "a")
-	set("a-is-out", Out, "", 0, 10, "a")
+	set("heavy", FixedWeight, "", 5, 60, "a")
+	set("light", FixedWeight, "", 0.5, 40, "a")
+	set("all-to-b", Sticky, "", 0, 30, "b")
+	set("orders-to-a", Sticky, "order", 0, 20, "a")
+	set("a-is-out", OutOfService, "", 0, 10, "a")
 	for _, minute := range []int{0, 10, 20, 30, 40, 60} {
 		now := time.Duration(minute) * time.Minute
-		over, _, _ := o.Lapse(now)
+		over, _, _ := o.Expire(now)
 		fmt.Printf("minute %d, lapsed %d: %s\n", minute, len(over), show(Resolve(t, o, n, list("abc"))))
-		for _, s := range o.Show(now) {
+		for _, s := range o.Status(now) {
 			if s.YieldsTo != "" {
 				fmt.Printf("   %s yields to %s\n", s.ID, s.YieldsTo)
 			}
@@ -92,11 +92,11 @@
 // Wall clocks that step neither end an override early in the process that set it nor lengthen it in the next.
 func ExampleOverrides_clockSteps() {
 	day := time.Date(2026, 5, 9, 8, 0, 0, 0, time.UTC)
-	v := Override{ID: "x", Kind: Out, Destination: 1, Endpoints: []choice.EndpointID{"a"}, SetAt: day, Lasts: time.Hour}
+	v := Override{ID: "x", Kind: OutOfService, Destination: 1, Endpoints: []choice.EndpointID{"a"}, SetAt: day, Lifetime: time.Hour}
 	left := func(wall time.Time) {
 		o := &Overrides{}
 		holds := o.Add(v, wall, 5*time.Second)
-		_, next, _ := o.Lapse(5 * time.Second)
+		_, next, _ := o.Expire(5 * time.Second)
 		fmt.Println(holds, next)
 	}
 	left(day)
@@ -181,7 +181,7 @@
 		for i := range rapid.IntRange(0, 6).Draw(t, "overrides") {
 			o.Add(Override{ID: OverrideID(fmt.Sprint(i)), Kind: OverrideKind(rapid.IntRange(0, 2).Draw(t, "kind")), Destination: 1,
 				Endpoints: []choice.EndpointID{choice.EndpointID(rapid.SampledFrom([]string{"a", "b", "c", "gone"}).Draw(t, "at"))},
-				Weight:    rapid.SampledFrom([]float64{0, 2}).Draw(t, "w"), Lasts: time.Hour}, time.Time{}, 0)
+				Weight:    rapid.SampledFrom([]float64{0, 2}).Draw(t, "w"), Lifetime: time.Hour}, time.Time{}, 0)
 		}
 		ends := append(list(rapid.SampledFrom([]string{"abcd", "ab", "c", ""}).Draw(t, "ready")), Endpoint{ID: "z", Destination: 2, Ready: true})
 		r := Resolve(Compile(rules), o, &Message{Destination: 1, Class: "order"}, ends)
@@ -191,8 +191,8 @@
 					t.Fatalf("%s is allowed", a.Endpoint)
 				}
 			}
-			for _, s := range o.standing {
-				if s.Kind == Out && s.Endpoints[0] == a.Endpoint || s.ID == r.Pin && s.Endpoints[0] != a.Endpoint {
+			for _, s := range o.active {
+				if s.Kind == OutOfService && s.Endpoints[0] == a.Endpoint || s.ID == r.Pin && s.Endpoints[0] != a.Endpoint {
 					t.Fatalf("%s is allowed beside %s %s", a.Endpoint, s.Kind, s.Endpoints[0])
 				}
 			}
--- a/internal/routes/table.go
+++ b/internal/routes/table.go
@@ -1,16 +1,14 @@
 // Package routes decides which endpoints a message may use at all, and with what weight: by rules in the order of their
-// file, and by overrides that operators set for a time. choice decides which of the allowed ones, whether again, and what
-// is turned away.
+// file, and by overrides that operators set for a time. Package choice decides which of the allowed ones is used, whether
+// there is a retry, and what is rejected.
 //
-// It owns the compiled table of rules, the order in which overrides win, and the account of why a message may go where. It
-// must never look at a clock, a file or a socket, hang on the order of a map, or send a message elsewhere because what is
-// allowed is away.
+// It owns the compiled table of rules, the order in which overrides win, and the explanation why a message may go where. It
+// does not look at a clock, a file or a socket, does not depend on the order of a map, and does not send a message
+// elsewhere because the allowed endpoints are away.
 package routes
 
 import (
-	"fmt"
 	"slices"
-	"strings"
 
 	"flaxcove/choice"
 )
@@ -49,41 +47,43 @@
 	Weight    float64 // of each endpoint it names; the first target that names one counts
 }
 
-// Set is a set of endpoints that opens while fewer than Under of the share of the sets before it are ready; the first of a
-// rule is always open.
+// Set is a set of endpoints that opens while the fraction of ready endpoints in the sets before it is less than Under. The
+// first of a rule is always open.
 type Set struct {
 	Under   float64
 	Targets []Target
 }
 
-// Nowhere is what becomes of a message whose rule leads to no endpoint that is there.
-type Nowhere int
+// NoEndpointPolicy is what becomes of a message whose rule leads to no endpoint that is ready.
+type NoEndpointPolicy int
 
-// Hold keeps it until one is there or its deadline nears; HandBack answers it at once with a time to return.
 const (
-	Hold Nowhere = iota
+	// Hold stores the message until an endpoint is ready or its deadline nears.
+	Hold NoEndpointPolicy = iota
+	// HandBack answers the client at once with a time to return.
 	HandBack
 )
 
 // Rule leads what it matches to its sets.
 type Rule struct {
-	Name    string
-	Match   Match
-	Sets    []Set
-	Nowhere Nowhere
+	Name       string
+	Match      Match
+	Sets       []Set
+	NoEndpoint NoEndpointPolicy
 }
 
-// exact is which fields of a message a rule names, and their values.
-type exact struct {
+// fieldValues are the values of the fields that a rule matches exactly; the others are empty.
+type fieldValues struct {
 	destination   choice.DestinationID
 	class, tenant string
 }
 
+// Bits of a mask that says which fields a rule matches exactly.
 const (
 	byDestination = 1 << iota
 	byClass
 	byTenant
-	masks
+	maskCount
 )
 
 func (m *Match) mask() (mask int) {
@@ -99,144 +99,105 @@
 	return mask
 }
 
-// prefixes are the rules that name the same fields alike: the first for each key prefix, and the lengths in use.
-type prefixes struct {
-	lengths []int
-	first   map[string]int
+// prefixIndex holds the rules that match the same fields by the same values.
+type prefixIndex struct {
+	lengths []int          // of key prefixes in use, in ascending order
+	first   map[string]int // by key prefix, the number of the first rule
+}
+
+func (p *prefixIndex) add(prefix string, rule int) {
+	if _, taken := p.first[prefix]; !taken {
+		p.first[prefix] = rule
+	}
+	if n := len(prefix); !slices.Contains(p.lengths, n) {
+		p.lengths = append(p.lengths, n)
+		slices.Sort(p.lengths)
+	}
+}
+
+// find returns the number of the first rule whose prefix the key has, none if there is no such rule.
+func (p *prefixIndex) find(key string, none int) int {
+	first := none
+	for _, length := range p.lengths {
+		if length > len(key) {
+			break
+		}
+		if rule, found := p.first[key[:length]]; found {
+			first = min(first, rule)
+		}
+	}
+	return first
 }
 
 // Table finds the first rule that matches, at a cost that does not grow with the rules that cannot: at most eight
-// look-ups for each length of key prefix in use beside the fields named.
+// look-ups for each length of key prefix in use beside the matched fields.
 type Table struct {
-	rules []Rule
-	by    [masks]map[exact]*prefixes
+	rules   []Rule
+	indexes [maskCount]map[fieldValues]*prefixIndex
 }
 
-// Compile makes a table of rules, which must have been checked. Whatever matches none may use all endpoints of its
+// Compile makes a table of rules, which must have been checked. A message that matches none may use all endpoints of its
 // destination alike.
 func Compile(rules []Rule) *Table {
 	t := &Table{rules: rules}
 	for i := range rules {
 		m := &rules[i].Match
-		key := exact{class: m.Class, tenant: m.Tenant}
+		values := fieldValues{class: m.Class, tenant: m.Tenant}
 		if m.Destination != nil {
-			key.destination = *m.Destination
+			values.destination = *m.Destination
 		}
 		mask := m.mask()
-		if t.by[mask] == nil {
-			t.by[mask] = map[exact]*prefixes{}
-		}
-		p := t.by[mask][key]
-		if p == nil {
-			p = &prefixes{first: map[string]int{}}
-			t.by[mask][key] = p
+		if t.indexes[mask] == nil {
+			t.indexes[mask] = map[fieldValues]*prefixIndex{}
 		}
-		if _, taken := p.first[m.KeyPrefix]; !taken {
-			p.first[m.KeyPrefix] = i
-		}
-		if n := len(m.KeyPrefix); !slices.Contains(p.lengths, n) {
-			p.lengths = append(p.lengths, n)
-			slices.Sort(p.lengths)
+		index := t.indexes[mask][values]
+		if index == nil {
+			index = &prefixIndex{first: map[string]int{}}
+			t.indexes[mask][values] = index
 		}
+		index.add(m.KeyPrefix, i)
 	}
 	return t
 }
 
 // Rule is the first that matches, nil for none.
-func (t *Table) Rule(n *Message) *Rule {
-	first := len(t.rules)
-	for mask, of := range t.by {
-		if of == nil {
-			continue
-		}
-		key := exact{}
-		if mask&byDestination != 0 {
-			key.destination = n.Destination
-		}
-		if mask&byClass != 0 {
-			key.class = n.Class
-		}
-		if mask&byTenant != 0 {
-			key.tenant = n.Tenant
-		}
-		p := of[key]
-		if p == nil {
+func (t *Table) Rule(m *Message) *Rule {
+	none := len(t.rules)
+	first := none
+	for mask, byValues := range t.indexes {
+		if byValues == nil {
 			continue
 		}
-		for _, length := range p.lengths {
-			if length > len(n.Key) {
-				break
-			}
-			if i, is := p.first[n.Key[:length]]; is {
-				first = min(first, i)
-			}
+		if index := byValues[m.values(mask)]; index != nil {
+			first = min(first, index.find(m.Key, none))
 		}
 	}
-	if first == len(t.rules) {
+	if first == none {
 		return nil
 	}
 	return &t.rules[first]
 }
 
-// Problem is one thing wrong with a rule: the path of the field, as in route[2].set[0].under.
-type Problem struct{ Path, What string }
-
-func (p Problem) Error() string { return p.Path + ": " + p.What }
-
-// Check tells all that is wrong with rules: what can never be reached or leads to nothing by its own words.
-func Check(rules []Rule) (problems []Problem) {
-	wrong := func(path, format string, args ...any) {
-		problems = append(problems, Problem{path, fmt.Sprintf(format, args...)})
+// values are the message's values of the fields in the mask.
+func (m *Message) values(mask int) (values fieldValues) {
+	if mask&byDestination != 0 {
+		values.destination = m.Destination
 	}
-	names := map[string]int{}
-	for i := range rules {
-		r, at := &rules[i], fmt.Sprintf("route[%d].", i)
-		if r.Name == "" {
-			wrong(at+"name", "missing")
-		} else if j, taken := names[r.Name]; taken {
-			wrong(at+"name", "%q is taken by route[%d]", r.Name, j)
-		}
-		names[r.Name] = i
-		if len(r.Sets) == 0 {
-			wrong(at+"set", "missing; a rule leads to at least one set")
-		}
-		for j := range r.Sets {
-			set, here := &r.Sets[j], fmt.Sprintf("%sset[%d].", at, j)
-			switch {
-			case j == 0 && set.Under != 0:
-				wrong(here+"under", "the first set of a rule is always open")
-			case j > 0 && !(set.Under > 0 && set.Under <= 1):
-				wrong(here+"under", "%g is not above 0 and at most 1", set.Under)
-			}
-			if len(set.Targets) == 0 {
-				wrong(here+"to", "missing; a set names endpoints")
-			}
-			for k := range set.Targets {
-				if w := set.Targets[k].Weight; !(w >= 0 && w <= 1e6) {
-					wrong(fmt.Sprintf("%sto[%d].weight", here, k), "%g is not within 0 and 1e+06", w)
-				}
-			}
-		}
-		for j := range i {
-			if covers(&rules[j].Match, &r.Match) {
-				wrong(at+"match", "never reached: all that it matches is matched by route[%d] %q", j, rules[j].Name)
-				break
-			}
-		}
+	if mask&byClass != 0 {
+		values.class = m.Class
 	}
-	return problems
-}
-
-// covers tells whether all that b matches is matched by a.
-func covers(a, b *Match) bool {
-	return (a.Destination == nil || b.Destination != nil && *a.Destination == *b.Destination) &&
-		(a.Class == "" || a.Class == b.Class) && (a.Tenant == "" || a.Tenant == b.Tenant) &&
-		strings.HasPrefix(b.KeyPrefix, a.KeyPrefix)
+	if mask&byTenant != 0 {
+		values.tenant = m.Tenant
+	}
+	return values
 }
 
 // names tells whether a target names an endpoint.
 func (t *Target) names(e *Endpoint) bool {
-	if len(t.Endpoints) > 0 && !slices.Contains(t.Endpoints, e.ID) || t.Zone != "" && t.Zone != e.Zone || t.Kind != "" && t.Kind != e.Kind {
+	switch {
+	case len(t.Endpoints) > 0 && !slices.Contains(t.Endpoints, e.ID),
+		t.Zone != "" && t.Zone != e.Zone,
+		t.Kind != "" && t.Kind != e.Kind:
 		return false
 	}
 	for name, value := range t.Labels {
