--- a/internal/drill/drill.go
+++ b/internal/drill/drill.go
@@ -1,10 +1,13 @@
-// Package drill puts the bench's wire before the decisions of package choice: it turns lines
-// straight into calls on one module per sender and the module's calls straight into lines.
+// Package drill connects the simulator's wire to the decisions of package choice: it turns lines into calls of one decider
+// for each sender, and the deciders' calls into lines.
+//
+// Events come in batches, from a frame line to a go line; a batch is answered by the lines of the senders that it touched
+// and a line "done". drill.go reads batches, events.go handles the events of senders, host.go writes what senders do, and
+// fields.go reads the fields of a line.
 package drill
 
 import (
 	"bufio"
-	"bytes"
 	"errors"
 	"fmt"
 	"io"
@@ -12,142 +15,173 @@
 	"flaxcove/choice"
 )
 
-// Run serves batches until the input ends.
+const (
+	catalogCount   = 16 // endpoint lists that are stored at a time
+	readBufferSize = 1 << 20
+	sendBufferSize = 1 << 16
+)
+
+// LineError says which line of the input is wrong.
+type LineError struct {
+	Line int // from 1
+	Err  error
+}
+
+func (e *LineError) Error() string { return fmt.Sprintf("line %d: %v", e.Line, e.Err) }
+
+// Unwrap returns what is wrong with the line.
+func (e *LineError) Unwrap() error { return e.Err }
+
+var errInputEnds = errors.New("input ends inside a batch")
+
+// Run serves batches until the input ends. An error in the input is a *LineError.
 func Run(in io.Reader, out io.Writer) error {
-	d := &drill{
-		in:      bufio.NewReaderSize(in, 1<<20),
-		out:     bufio.NewWriterSize(out, 1<<16),
-		senders: map[choice.SenderID]*seat{},
+	s := &server{
+		in:      bufio.NewReaderSize(in, readBufferSize),
+		out:     bufio.NewWriterSize(out, sendBufferSize),
+		senders: map[choice.SenderID]*hostedSender{},
 	}
 	for {
-		text, err := d.in.ReadString('\n')
+		text, err := s.in.ReadString('\n')
 		if text == "" && errors.Is(err, io.EOF) {
-			if d.open {
-				return fmt.Errorf("line %d: input ends inside a batch", d.line+1)
+			if s.inBatch {
+				return &LineError{s.line + 1, errInputEnds}
 			}
 			return nil
 		}
 		if err != nil && !errors.Is(err, io.EOF) {
 			return err
 		}
-		d.line++
+		s.line++
 		if n := len(text); text[n-1] == '\n' {
 			text = text[:n-1]
 		}
-		if err := d.take(text); err != nil {
-			return fmt.Errorf("line %d: %w", d.line, err)
+		if err := s.handleLine(text); err != nil {
+			return &LineError{s.line, err}
 		}
 	}
 }
 
-type drill struct {
-	in       *bufio.Reader
-	out      *bufio.Writer
-	line     int
-	open     bool // inside a batch
-	clock    int64
-	catalogs [16][]choice.Entry
-	filling  int // items still owed to the catalog being read
-	catalog  int
-	senders  map[choice.SenderID]*seat
-	touched  []choice.SenderID // in order of first event; emptied with each reply
-}
+// server serves one input.
+type server struct {
+	in      *bufio.Reader
+	out     *bufio.Writer
+	line    int // number of the line at hand
+	inBatch bool
+	clock   int64 // nanoseconds; of the batch at hand
+
+	catalogs     [catalogCount][]choice.Entry
+	catalog      int // the one being read
+	missingItems int // of it
 
-// seat is one sender of the process: its module and what that has said in this batch.
-type seat struct {
-	id      choice.SenderID
-	d       *drill
-	module  *choice.Sender // nil while the sender is down
-	fields  []string       // of load reports
-	classes int
-	said    bytes.Buffer
-	touched bool
+	senders map[choice.SenderID]*hostedSender
+	touched []choice.SenderID // in order of their first event in the batch
 }
 
-func (d *drill) take(text string) error {
-	p := &parts{rest: text}
-	word := p.text("event")
-	if !d.open {
-		if word != "frame" {
-			return fmt.Errorf("field event: %q outside a batch", word)
-		}
-		d.clock = p.whole("clock")
-		d.open = true
-		return p.end()
+// handleLine handles one line without its line end.
+func (s *server) handleLine(text string) error {
+	f := &fields{rest: text}
+	event := f.text("event")
+	if !s.inBatch {
+		return s.beginBatch(event, f)
 	}
-	if d.filling > 0 && word != "item" {
-		return fmt.Errorf("field event: %q where %d more items were due", word, d.filling)
+	if s.missingItems > 0 && event != "item" {
+		return fieldError("event", "%q where %d more items were due", event, s.missingItems)
 	}
-	switch word {
+	switch event {
 	case "go":
-		if err := p.end(); err != nil {
+		if err := f.end(); err != nil {
 			return err
 		}
-		return d.reply()
+		return s.endBatch()
 	case "catalog":
-		no, rows := p.whole("rosterId"), p.whole("rows")
-		if err := p.end(); err != nil {
-			return err
-		}
-		if no < 0 || no >= int64(len(d.catalogs)) {
-			return fmt.Errorf("field rosterId: %d is not 0 to %d", no, len(d.catalogs)-1)
-		}
-		if rows < 0 {
-			return fmt.Errorf("field rows: %d is below 0", rows)
-		}
-		d.catalog, d.filling, d.catalogs[no] = int(no), int(rows), nil
-		return nil
+		return s.beginCatalog(f)
 	case "item":
-		if d.filling == 0 {
-			return errors.New("field event: an item outside a catalog")
-		}
-		e, err := readItem(p)
-		if err != nil {
-			return err
-		}
-		d.filling--
-		d.catalogs[d.catalog] = append(d.catalogs[d.catalog], e)
-		return nil
+		return s.addItem(f)
 	}
-	read, known := events[word]
+	return s.handleSenderEvent(event, f)
+}
+
+func (s *server) beginBatch(event string, f *fields) error {
+	if event != "frame" {
+		return fieldError("event", "%q outside a batch", event)
+	}
+	s.clock = f.integer("clock")
+	s.inBatch = true
+	return f.end()
+}
+
+// beginCatalog empties one of the stored lists; its items follow.
+func (s *server) beginCatalog(f *fields) error {
+	number, rows := f.integer("rosterId"), f.integer("rows")
+	if err := f.end(); err != nil {
+		return err
+	}
+	if number < 0 || number >= catalogCount {
+		return fieldError("rosterId", "%d is not 0 to %d", number, catalogCount-1)
+	}
+	if rows < 0 {
+		return fieldError("rows", "%d is below 0", rows)
+	}
+	s.catalog, s.missingItems = int(number), int(rows)
+	s.catalogs[number] = nil
+	return nil
+}
+
+func (s *server) addItem(f *fields) error {
+	if s.missingItems == 0 {
+		return fieldError("event", "an item outside a catalog")
+	}
+	entry, err := readItem(f)
+	if err != nil {
+		return err
+	}
+	s.missingItems--
+	s.catalogs[s.catalog] = append(s.catalogs[s.catalog], entry)
+	return nil
+}
+
+func (s *server) handleSenderEvent(event string, f *fields) error {
+	handle, known := handlers[event]
 	if !known {
-		return fmt.Errorf("field event: unknown event %q", word)
+		return fieldError("event", "unknown event %q", event)
 	}
-	id := choice.SenderID(p.text("sender"))
-	if p.err != nil {
-		return p.err
+	id := choice.SenderID(f.text("sender"))
+	if f.err != nil {
+		return f.err
 	}
-	s := d.senders[id]
-	if s == nil {
-		if word != "start" {
-			return fmt.Errorf("field sender: %q has not started", id)
+	sender := s.senders[id]
+	if sender == nil {
+		if event != "start" {
+			return fieldError("sender", "%q has not started", id)
 		}
-		s = &seat{id: id, d: d}
-		d.senders[id] = s
+		sender = &hostedSender{id: id, server: s}
+		s.senders[id] = sender
 	}
-	if !s.touched {
-		s.touched = true
-		d.touched = append(d.touched, id)
+	if !sender.touched {
+		sender.touched = true
+		s.touched = append(s.touched, id)
 	}
-	return read(s, p)
+	return handle(sender, f)
 }
 
-func (d *drill) reply() error {
-	for _, id := range d.touched {
-		s := d.senders[id]
-		s.touched = false
-		if s.module != nil {
-			s.module.TurnEnd()
+// endBatch ends the turn of the senders that the batch touched and writes their lines.
+func (s *server) endBatch() error {
+	for _, id := range s.touched {
+		sender := s.senders[id]
+		sender.touched = false
+		if sender.decider != nil {
+			sender.decider.TurnEnd()
 		}
-		if _, err := d.out.Write(s.said.Bytes()); err != nil {
+		if _, err := s.out.Write(sender.output.Bytes()); err != nil {
 			return err
 		}
-		s.said.Reset()
+		sender.output.Reset()
 	}
-	d.touched = d.touched[:0]
-	d.open = false
-	if _, err := d.out.WriteString("done\n"); err != nil {
+	s.touched = s.touched[:0]
+	s.inBatch = false
+	if _, err := s.out.WriteString("done\n"); err != nil {
 		return err
 	}
-	return d.out.Flush()
+	return s.out.Flush()
 }
--- a/internal/drill/drill_test.go
+++ b/internal/drill/drill_test.go
@@ -2,7 +2,9 @@
 
 import (
 	"bytes"
+	"errors"
 	"fmt"
+	"io"
 	"os"
 	"strings"
 	"testing"
@@ -35,7 +37,7 @@
 	// done
 }
 
-// Notes go both ways: a connection that failed is told to all peers, and what a peer tells of a limit rests the route.
+// Gossip goes both ways: a connection that failed is reported to all peers, and what a peer reports of a limit rests the route.
 func Example_notes() {
 	fleet := strings.NewReplacer(`"balancers":2`, `"balancers":20`, `"probing":true`, `"probing":true,"peers":true`).Replace(boot)
 	play("frame 1000000000", "start sender-0 7 "+fleet, "catalog 3 1", "item - 0 1 endpoint_a 0 57 ready", "targets sender-0 C 1 3",
@@ -55,7 +57,7 @@
 	// done
 }
 
-// A sender that dies in a batch takes what it said there with it, and may start again at once.
+// The lines of a sender that crashes in a batch are dropped, and it may start again at once.
 func Example_crash() {
 	play(opening("knock sender-0 t/a 0 0 - 1000000001 - 57 0", "crash_now sender-0",
 		"start sender-0 8 "+boot, "targets sender-0 C 1 3", "go")...)
@@ -94,6 +96,16 @@
 	// line 2: input ends inside a batch
 }
 
+// Callers find out by the error's type which line and which field is wrong.
+func TestErrorsAreTyped(t *testing.T) {
+	err := Run(strings.NewReader("frame\t5\nstart\tsender-0\tseven\n"), io.Discard)
+	var line *LineError
+	var field *FieldError
+	if !errors.As(err, &line) || line.Line != 2 || !errors.As(err, &field) || field.Field != "rngSeed" {
+		t.Errorf("%#v", err)
+	}
+}
+
 // FuzzRun: no input may crash the adapter, and a reply comes only for a whole batch.
 func FuzzRun(f *testing.F) {
 	f.Add(strings.ReplaceAll(strings.Join(opening("knock sender-0 t/a 0 0 - 7000000000 - 57 0", "go"), "\n"), " ", "\t"))
--- a/internal/drill/events.go
+++ b/internal/drill/events.go
@@ -1,204 +1,219 @@
 package drill
 
 import (
+	"bytes"
 	"encoding/json"
-	"fmt"
 
 	"flaxcove/choice"
 	"flaxcove/internal/config"
 )
 
-var events = map[string]func(*seat, *parts) error{
-	"start":         (*seat).start,
-	"targets":       (*seat).targets,
-	"knock":         (*seat).knock,
-	"left":          (*seat).left,
-	"inbox":         (*seat).inbox,
-	"crash_now":     (*seat).crash,
-	"finished":      (*seat).finished,
-	"timeout_fired": (*seat).timerFired,
-	"health_result": (*seat).healthResult,
-	"started":       (*seat).started,
-}
-
+// handlers handle the events of one sender by their word on the wire.
+var handlers = map[string]func(*hostedSender, *fields) error{
+	"start":         (*hostedSender).start,
+	"targets":       (*hostedSender).updateEndpoints,
+	"knock":         (*hostedSender).acceptMessage,
+	"left":          (*hostedSender).withdrawMessage,
+	"inbox":         (*hostedSender).receiveGossip,
+	"crash_now":     (*hostedSender).crash,
+	"finished":      (*hostedSender).endAttempt,
+	"timeout_fired": (*hostedSender).fireTimer,
+	"health_result": (*hostedSender).endHealthCheck,
+	"started":       (*hostedSender).startStream,
+}
+
+// stages are the words of an endpoint's stage.
 var stages = map[string]choice.Stage{
 	"ready": choice.Ready, "draining": choice.Draining, "gone": choice.Gone,
 }
 
+// results are the words of an outcome.
 var results = map[string]choice.Result{
 	"OK": choice.Done, "INTERNAL": choice.Errored, "RESOURCE_EXHAUSTED": choice.Full,
 	"DEADLINE_EXCEEDED": choice.TimedOut, "UNAVAILABLE": choice.ConnectFailed,
 	"ABORTED": choice.Reset, "CANCELLED": choice.Cancelled, "TOO_LATE": choice.Moot,
 }
 
-func lookUp[V any](p *parts, field string, words map[string]V) V {
-	word := p.text(field)
+// hostedSender is one sender: its decider and the lines that this has written in the batch.
+type hostedSender struct {
+	id           choice.SenderID
+	server       *server
+	decider      *choice.Sender // nil while the sender is down
+	reportFields []string       // of load reports
+	classCount   int
+	output       bytes.Buffer
+	touched      bool // by an event of the batch
+}
+
+func lookUp[V any](f *fields, field string, words map[string]V) V {
+	word := f.text(field)
 	v, known := words[word]
 	if !known {
-		p.fail(field, "unknown word %q", word)
+		f.fail(field, "unknown word %q", word)
 	}
 	return v
 }
 
-func readItem(p *parts) (choice.Entry, error) {
+// readItem reads one endpoint of a list.
+func readItem(f *fields) (choice.Entry, error) {
 	var e choice.Entry
-	p.next("readyAt")
-	e.Kind = choice.KindNo(p.wholeOr("generationHw", 0))
-	e.Rating = p.realOr("rating", 1)
-	e.Endpoint = choice.EndpointID(p.text("endpoint"))
-	e.Zone = choice.ZoneNo(p.wholeOr("failureDomain", 0))
-	e.Destination = choice.DestinationID(p.realOr("ownerNo", 0))
-	e.Stage = lookUp(p, "stageState", stages)
-	return e, p.end()
-}
-
-func (s *seat) start(p *parts) error {
-	seed := p.whole("rngSeed")
-	text := p.remainder("bootInfo")
-	if p.err != nil {
-		return p.err
-	}
-	var b config.Boot
+	f.next("readyAt")
+	e.Kind = choice.KindNo(f.integerOr("generationHw", 0))
+	e.Rating = f.numberOr("rating", 1)
+	e.Endpoint = choice.EndpointID(f.text("endpoint"))
+	e.Zone = choice.ZoneNo(f.integerOr("failureDomain", 0))
+	e.Destination = choice.DestinationID(f.numberOr("ownerNo", 0))
+	e.Stage = lookUp(f, "stageState", stages)
+	return e, f.end()
+}
+
+func (s *hostedSender) start(f *fields) error {
+	seed := f.integer("rngSeed")
+	text := f.remainder("bootInfo")
+	if f.err != nil {
+		return f.err
+	}
+	var b config.Boot // the JSON decoder prints this name in its errors
 	if err := json.Unmarshal([]byte(text), &b); err != nil {
-		return fmt.Errorf("field bootInfo: %s", err)
+		return &FieldError{"bootInfo", err}
 	}
-	set, err := b.Settings(false)
+	settings, err := b.Settings(false)
 	if err != nil {
-		return fmt.Errorf("field bootInfo: %w", err)
+		return &FieldError{"bootInfo", err}
 	}
-	s.said.Reset()
-	s.fields, s.classes = b.Stats.Fields, len(b.Classes)
-	s.module = choice.Start(s, s.id, seed, set)
+	s.output.Reset()
+	s.reportFields, s.classCount = b.Stats.Fields, len(b.Classes)
+	s.decider = choice.Start(s, s.id, seed, settings)
 	return nil
 }
 
-func (s *seat) targets(p *parts) error {
-	scope := p.text("scope")
-	p.wholeOr("index", 0)
-	no := p.wholeOr("rosterId", 0)
-	if err := p.end(); err != nil || s.module == nil {
+func (s *hostedSender) updateEndpoints(f *fields) error {
+	scope := f.text("scope")
+	f.integerOr("index", 0)
+	catalog := f.integerOr("rosterId", 0)
+	if err := f.end(); err != nil || s.decider == nil {
 		return err
 	}
 	if scope == "X" {
-		return nil // nothing is asked for, as the list is pushed; the old one stays in force
+		return nil // nothing to ask for, as the simulator sends the list by itself; the old one stays in force
 	}
 	if scope != "D" && scope != "F" && scope != "C" {
-		return fmt.Errorf("field scope: unknown word %q", scope)
+		return fieldError("scope", "unknown word %q", scope)
 	}
-	if no < 0 || no >= int64(len(s.d.catalogs)) {
-		return fmt.Errorf("field rosterId: no list %d", no)
+	if catalog < 0 || catalog >= catalogCount {
+		return fieldError("rosterId", "no list %d", catalog)
 	}
-	s.module.ListNews(s.d.catalogs[no], scope != "D")
+	s.decider.ListNews(s.server.catalogs[catalog], scope != "D")
 	return nil
 }
 
-func (s *seat) knock(p *parts) error {
-	n := choice.Message{ID: choice.MessageID(p.text("rid"))}
-	n.Class = choice.ClassNo(p.whole("cls"))
-	n.Account = choice.AccountNo(p.wholeOr("project", 0))
-	n.Key = choice.OrderKey(p.wholeOr("pathKey", int64(choice.NoKey)))
-	n.Deadline = config.Down(p.whole("dropDead"))
-	p.wholeOr("effort", 0)
-	n.Destination = choice.DestinationID(p.realOr("destination", 0))
-	p.wholeOr("options", 0)
-	if err := p.end(); err != nil || s.module == nil {
+func (s *hostedSender) acceptMessage(f *fields) error {
+	m := choice.Message{ID: choice.MessageID(f.text("rid"))}
+	m.Class = choice.ClassNo(f.integer("cls"))
+	m.Account = choice.AccountNo(f.integerOr("project", 0))
+	m.Key = choice.OrderKey(f.integerOr("pathKey", int64(choice.NoKey)))
+	m.Deadline = config.Down(f.integer("dropDead"))
+	f.integerOr("effort", 0)
+	m.Destination = choice.DestinationID(f.numberOr("destination", 0))
+	f.integerOr("options", 0)
+	if err := f.end(); err != nil || s.decider == nil {
 		return err
 	}
-	if n.Class < 0 || int(n.Class) >= s.classes {
-		return fmt.Errorf("field cls: no class %d", n.Class)
+	if m.Class < 0 || int(m.Class) >= s.classCount {
+		return fieldError("cls", "no class %d", m.Class)
 	}
-	s.module.Taken(n)
+	s.decider.Taken(m)
 	return nil
 }
 
-func (s *seat) left(p *parts) error {
-	id := p.text("rid")
-	if err := p.end(); err != nil || s.module == nil {
+func (s *hostedSender) withdrawMessage(f *fields) error {
+	id := f.text("rid")
+	if err := f.end(); err != nil || s.decider == nil {
 		return err
 	}
-	s.module.Withdrawn(choice.MessageID(id))
+	s.decider.Withdrawn(choice.MessageID(id))
 	return nil
 }
 
-func (s *seat) inbox(p *parts) error {
-	p.whole("neighbour")
-	note := p.bytes("contents")
-	if err := p.end(); err != nil || s.module == nil {
+func (s *hostedSender) receiveGossip(f *fields) error {
+	f.integer("neighbour")
+	note := f.bytes("contents")
+	if err := f.end(); err != nil || s.decider == nil {
 		return err
 	}
-	s.module.Heard(note)
+	s.decider.Heard(note)
 	return nil
 }
 
-func (s *seat) crash(p *parts) error {
-	s.module = nil
-	s.said.Reset()
-	return p.end()
+func (s *hostedSender) crash(f *fields) error {
+	s.decider = nil
+	s.output.Reset()
+	return f.end()
 }
 
-func (s *seat) finished(p *parts) error {
-	o := choice.Outcome{Message: choice.MessageID(p.text("rid"))}
-	o.Took = config.Up(p.wholeOr("duration", 0))
-	o.Attempt = int(p.whole("shot"))
-	o.Endpoint = choice.EndpointID(p.text("endpoint"))
-	o.Final = p.truth("terminal")
-	o.Result = lookUp(p, "outcome", results)
-	detail := p.wholeOr("detail", 0)
+func (s *hostedSender) endAttempt(f *fields) error {
+	o := choice.Outcome{Message: choice.MessageID(f.text("rid"))}
+	o.Took = config.Up(f.integerOr("duration", 0))
+	o.Attempt = int(f.integer("shot"))
+	o.Endpoint = choice.EndpointID(f.text("endpoint"))
+	o.Final = f.boolean("terminal")
+	o.Result = lookUp(f, "outcome", results)
+	detail := f.integerOr("detail", 0)
 	if o.Result == choice.Full && detail > 0 {
-		// A told wait is counted from a clock that may lie inside a tenth.
+		// A Retry-After is counted from a clock that may lie inside a unit of choice.Time.
 		o.Wait = choice.Time(detail)*choice.Millisecond + 1
 	}
 	o.NoSlot = o.Result == choice.Moot && detail == 1
-	o.Report = s.report(p.row("healthInfo"))
-	if err := p.end(); err != nil || s.module == nil {
+	o.Report = s.report(f.numbers("healthInfo"))
+	if err := f.end(); err != nil || s.decider == nil {
 		return err
 	}
-	s.module.Ended(o)
+	s.decider.Ended(o)
 	return nil
 }
 
-func (s *seat) report(row []float64) choice.Report {
+func (s *hostedSender) report(values []float64) choice.Report {
 	var r choice.Report
-	for i, field := range s.fields {
-		if i >= len(row) {
+	for i, field := range s.reportFields {
+		if i >= len(values) {
 			break
 		}
 		switch field {
 		case "x0":
-			r.Known, r.Left = true, row[i]
+			r.Known, r.Left = true, values[i]
 		case "x1":
-			r.Known, r.Limit = true, row[i]
+			r.Known, r.Limit = true, values[i]
 		}
 	}
 	return r
 }
 
-func (s *seat) timerFired(p *parts) error {
-	id := p.whole("nonce")
-	if err := p.end(); err != nil || s.module == nil {
+func (s *hostedSender) fireTimer(f *fields) error {
+	id := f.integer("nonce")
+	if err := f.end(); err != nil || s.decider == nil {
 		return err
 	}
-	s.module.TimerDue(choice.TimerID(id))
+	s.decider.TimerDue(choice.TimerID(id))
 	return nil
 }
 
-func (s *seat) healthResult(p *parts) error {
-	id := choice.EndpointID(p.text("endpoint"))
-	result := lookUp(p, "outcome", results)
-	p.wholeOr("duration", 0)
-	p.row("healthInfo")
-	if err := p.end(); err != nil || s.module == nil {
+func (s *hostedSender) endHealthCheck(f *fields) error {
+	id := choice.EndpointID(f.text("endpoint"))
+	result := lookUp(f, "outcome", results)
+	f.integerOr("duration", 0)
+	f.numbers("healthInfo")
+	if err := f.end(); err != nil || s.decider == nil {
 		return err
 	}
-	s.module.Probed(id, result)
+	s.decider.Probed(id, result)
 	return nil
 }
 
-// started is legal on the wire, but no class of this family streams its answers.
-func (s *seat) started(p *parts) error {
-	p.text("rid")
-	p.whole("shot")
-	p.text("endpoint")
-	p.wholeOr("duration", 0)
-	return p.end()
+// startStream is legal on the wire, but no class of this family streams its answers.
+func (s *hostedSender) startStream(f *fields) error {
+	f.text("rid")
+	f.integer("shot")
+	f.text("endpoint")
+	f.integerOr("duration", 0)
+	return f.end()
 }
--- /dev/null
+++ b/internal/drill/fields.go
@@ -0,0 +1,156 @@
+package drill
+
+import (
+	"encoding/base64"
+	"fmt"
+	"math"
+	"strconv"
+	"strings"
+)
+
+// absent stands for a field that is left out.
+const absent = "-"
+
+// FieldError says which field of a line is wrong.
+type FieldError struct {
+	Field string
+	Err   error
+}
+
+func (e *FieldError) Error() string { return "field " + e.Field + ": " + e.Err.Error() }
+
+// Unwrap returns what is wrong with the field.
+func (e *FieldError) Unwrap() error { return e.Err }
+
+// fieldError is a FieldError with a formatted reason.
+func fieldError(field, format string, args ...any) error {
+	return &FieldError{Field: field, Err: fmt.Errorf(format, args...)}
+}
+
+// fields reads the tab-separated fields of one line in order and stores the first error.
+type fields struct {
+	rest string
+	done bool // the last field has been read
+	err  error
+}
+
+func (f *fields) fail(field, format string, args ...any) {
+	if f.err == nil {
+		f.err = fieldError(field, format, args...)
+	}
+}
+
+// next is the next field as it stands.
+func (f *fields) next(field string) string {
+	if f.done {
+		f.fail(field, "missing")
+		return ""
+	}
+	text, rest, more := strings.Cut(f.rest, "\t")
+	f.rest, f.done = rest, !more
+	return text
+}
+
+// text is a field that must be there.
+func (f *fields) text(field string) string {
+	text := f.next(field)
+	if text == "" || text == absent {
+		f.fail(field, "missing")
+	}
+	return text
+}
+
+// remainder is a field that runs to the end of the line.
+func (f *fields) remainder(field string) string {
+	if f.done {
+		f.fail(field, "missing")
+	}
+	text := f.rest
+	f.rest, f.done = "", true
+	return text
+}
+
+// integer is a whole number that must be there.
+func (f *fields) integer(field string) int64 { return f.parseInteger(field, f.text(field)) }
+
+// integerOr is a whole number, or the given one where the field is absent.
+func (f *fields) integerOr(field string, otherwise int64) int64 {
+	if text := f.next(field); text != absent {
+		return f.parseInteger(field, text)
+	}
+	return otherwise
+}
+
+func (f *fields) parseInteger(field, text string) int64 {
+	n, err := strconv.ParseInt(text, 10, 64)
+	if err != nil {
+		f.fail(field, "%q is not a whole number", text)
+	}
+	return n
+}
+
+// numberOr is a finite number, or the given one where the field is absent.
+func (f *fields) numberOr(field string, otherwise float64) float64 {
+	if text := f.next(field); text != absent {
+		return f.parseNumber(field, text)
+	}
+	return otherwise
+}
+
+func (f *fields) parseNumber(field, text string) float64 {
+	n, err := strconv.ParseFloat(text, 64)
+	if err != nil || math.IsNaN(n) || math.IsInf(n, 0) {
+		f.fail(field, "%q is not a number", text)
+		return 0
+	}
+	return n
+}
+
+// boolean is a 1 or a 0 that must be there.
+func (f *fields) boolean(field string) bool {
+	switch text := f.text(field); text {
+	case "1":
+		return true
+	case "0":
+	default:
+		f.fail(field, "%q is neither 1 nor 0", text)
+	}
+	return false
+}
+
+// bytes are written in base64; nil where the field is absent.
+func (f *fields) bytes(field string) []byte {
+	text := f.next(field)
+	if text == absent {
+		return nil
+	}
+	b, err := base64.StdEncoding.DecodeString(text)
+	if err != nil {
+		f.fail(field, "not base64")
+	}
+	return b
+}
+
+// numbers are separated by commas, an absent one counts as 0; nil where the field is absent.
+func (f *fields) numbers(field string) []float64 {
+	text := f.next(field)
+	if text == absent || text == "" {
+		return nil
+	}
+	var all []float64
+	for _, one := range strings.Split(text, ",") {
+		if one == absent {
+			one = "0"
+		}
+		all = append(all, f.parseNumber(field, one))
+	}
+	return all
+}
+
+// end returns the first error of the line, and one where the line has further fields.
+func (f *fields) end() error {
+	if !f.done {
+		f.fail("end", "the line goes on after its last field")
+	}
+	return f.err
+}
--- a/internal/drill/host.go
+++ b/internal/drill/host.go
@@ -8,34 +8,46 @@
 	"flaxcove/internal/config"
 )
 
-func (s *seat) say(format string, args ...any) { fmt.Fprintf(&s.said, format+"\n", args...) }
+// This file is a sender's choice.Host: each call writes one line of the wire.
 
-func (s *seat) Now() choice.Time { return config.Down(s.d.clock) }
+func (s *hostedSender) writeLine(format string, args ...any) {
+	fmt.Fprintf(&s.output, format+"\n", args...)
+}
+
+// Now is the clock of the batch.
+func (s *hostedSender) Now() choice.Time { return config.Down(s.server.clock) }
 
-// Allowed bars nothing: the wire knows no rules.
-func (s *seat) Allowed(choice.MessageID, choice.EndpointID) bool { return true }
+// Allowed allows everything: the wire has no routing rules.
+func (s *hostedSender) Allowed(choice.MessageID, choice.EndpointID) bool { return true }
 
-func (s *seat) Attempt(n choice.MessageID, to choice.EndpointID, timeOut choice.Time) {
-	s.say("submit_to\t%s\t%s\t%d\t%s", s.id, n, config.Nanoseconds(timeOut), to)
+// Attempt sends a message to an endpoint.
+func (s *hostedSender) Attempt(id choice.MessageID, to choice.EndpointID, timeout choice.Time) {
+	s.writeLine("submit_to\t%s\t%s\t%d\t%s", s.id, id, config.Nanoseconds(timeout), to)
 }
 
-func (s *seat) Shed(n choice.MessageID, comeBackIn choice.Time) {
-	s.say("refuse\t%s\t%s\t%d", s.id, n, config.Nanoseconds(comeBackIn))
+// Shed hands a message back with a time to return.
+func (s *hostedSender) Shed(id choice.MessageID, returnIn choice.Time) {
+	s.writeLine("refuse\t%s\t%s\t%d", s.id, id, config.Nanoseconds(returnIn))
 }
 
-func (s *seat) Fail(n choice.MessageID) { s.say("surrender\t%s\t%s", s.id, n) }
+// Fail ends a message that was not delivered.
+func (s *hostedSender) Fail(id choice.MessageID) { s.writeLine("surrender\t%s\t%s", s.id, id) }
 
-func (s *seat) Probe(e choice.EndpointID) { s.say("poll\t%s\t%s", s.id, e) }
+// Probe starts a health check of an endpoint.
+func (s *hostedSender) Probe(e choice.EndpointID) { s.writeLine("poll\t%s\t%s", s.id, e) }
 
-func (s *seat) Tell(note []byte) {
-	s.say("publish\t%s\t*\t%s", s.id, base64.StdEncoding.EncodeToString(note))
+// Tell sends gossip to all other senders.
+func (s *hostedSender) Tell(note []byte) {
+	s.writeLine("publish\t%s\t*\t%s", s.id, base64.StdEncoding.EncodeToString(note))
 }
 
-func (s *seat) CloseIdle(e choice.EndpointID) { s.say("free_links\t%s\t%s", s.id, e) }
+// CloseIdle closes the idle connections to an endpoint.
+func (s *hostedSender) CloseIdle(e choice.EndpointID) { s.writeLine("free_links\t%s\t%s", s.id, e) }
 
-func (s *seat) Timer(in choice.Time, id choice.TimerID) {
-	s.say("timer\t%s\t%d\t%d", s.id, config.Nanoseconds(in), int64(id))
+// Timer sets a timer.
+func (s *hostedSender) Timer(in choice.Time, id choice.TimerID) {
+	s.writeLine("timer\t%s\t%d\t%d", s.id, config.Nanoseconds(in), int64(id))
 }
 
-// Forget says nothing: the wire cannot take a timer back, and the module passes over one that it has forgotten.
-func (s *seat) Forget(choice.TimerID) {}
+// Forget writes nothing: the wire cannot cancel a timer, and the decider ignores one that it has forgotten.
+func (s *hostedSender) Forget(choice.TimerID) {}
