--- a/internal/directory/call.go
+++ b/internal/directory/call.go
@@ -114,7 +114,7 @@
 		return err
 	}
 	target := path + "?follow=1&since=" + strconv.FormatInt(c.since, 10)
-	if _, err := c.conn.Write(http1.AppendRequest(nil, "GET", target, c.watcher.addr, -1)); err != nil {
+	if _, err := c.conn.Write(http1.AppendRequest(nil, "GET", target, c.watcher.addr, http1.NoBody)); err != nil {
 		return err
 	}
 	answer, err := http.ReadResponse(bufio.NewReader(wire{c}), nil)
