--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -1,7 +1,7 @@
-// Package tomlfile reads TOML strictly and tells where in the file a field stands.
+// Package tomlfile reads TOML strictly and finds on which line of a file a field stands.
 //
-// It owns the form of the messages: file, line, field, and what is wrong. What a field means and which values it may have
-// belongs to whoever reads. It must never guess at a value that is there but wrong, nor read a file by itself.
+// It owns the form of the messages: file, line, field, and what is wrong. What a field means and which values it may have is
+// up to its callers. It does not guess at a value that is there but wrong, and does not open files. lines.go finds the lines.
 package tomlfile
 
 import (
@@ -13,7 +13,6 @@
 	"strings"
 
 	"github.com/pelletier/go-toml/v2"
-	"github.com/pelletier/go-toml/v2/unstable"
 )
 
 // Error is what is wrong with a file.
@@ -35,7 +34,7 @@
 	return at + ": " + e.What
 }
 
-// Errors are all that is wrong with a file, a line each.
+// Errors are all that is wrong with a file, printed one a line.
 type Errors []*Error
 
 func (all Errors) Error() string {
@@ -46,6 +45,7 @@
 	return strings.Join(lines, "\n")
 }
 
+// Unwrap returns each of the errors.
 func (all Errors) Unwrap() (each []error) {
 	for _, e := range all {
 		each = append(each, e)
@@ -53,8 +53,8 @@
 	return each
 }
 
-// whole is the only one, or all.
-func (all Errors) whole() error {
+// asError is the only error, or all.
+func (all Errors) asError() error {
 	if len(all) == 1 {
 		return all[0]
 	}
@@ -64,112 +64,41 @@
 // Problem is one thing wrong with a value: the path of its field, as in route[2].name, and what is wrong.
 type Problem struct{ Path, What string }
 
-// At tells where in a file's text the problems stand, sorted by line; nil for none.
+// At turns problems with a file's text into errors with their lines, sorted by line; nil for none.
 func At(name string, text []byte, problems []Problem) error {
 	if len(problems) == 0 {
 		return nil
 	}
 	lines, all := Lines(text), Errors{}
 	for _, p := range problems {
-		all = append(all, &Error{name, LineOf(lines, p.Path), p.Path, p.What})
+		all = append(all, &Error{File: name, Line: LineOf(lines, p.Path), Field: p.Path, What: p.What})
 	}
 	slices.SortStableFunc(all, func(a, b *Error) int { return cmp.Compare(a.Line, b.Line) })
-	return all.whole()
+	return all.asError()
 }
 
 // Decode reads TOML strictly into a value: a field that is not known is an error, with its line.
 func Decode(name string, text []byte, to any) error {
-	d := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields()
-	err := d.Decode(to)
-	var strict *toml.StrictMissingError
+	err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(to)
+	var unknown *toml.StrictMissingError
 	var wrong *toml.DecodeError
 	switch {
 	case err == nil:
 		return nil
-	case errors.As(err, &strict) && len(strict.Errors) > 0:
+	case errors.As(err, &unknown) && len(unknown.Errors) > 0:
 		var all Errors
-		for _, e := range strict.Errors {
-			row, _ := e.Position()
-			all = append(all, &Error{name, row, strings.Join(e.Key(), "."), "there is no such field"})
+		for i := range unknown.Errors {
+			all = append(all, decodeError(name, &unknown.Errors[i], "there is no such field"))
 		}
-		return all.whole()
+		return all.asError()
 	case errors.As(err, &wrong):
-		row, _ := wrong.Position()
-		return &Error{name, row, strings.Join(wrong.Key(), "."), strings.TrimPrefix(wrong.Error(), "toml: ")}
+		return decodeError(name, wrong, strings.TrimPrefix(wrong.Error(), "toml: "))
 	}
 	return &Error{File: name, What: err.Error()}
 }
 
-// Lines tells for each field on which line it stands, with tables of a list counted: trouble[2].part.kind.
-func Lines(text []byte) map[string]int {
-	lines := map[string]int{}
-	p := unstable.Parser{}
-	p.Reset(text)
-	prefix, counts := "", map[string]int{}
-	for p.NextExpression() {
-		e := p.Expression()
-		key, line := "", 0
-		for it := e.Key(); it.Next(); {
-			node := it.Node()
-			if key != "" {
-				key += "."
-			}
-			key += string(node.Data)
-			if line == 0 && len(node.Data) > 0 {
-				line = p.Shape(p.Range(node.Data)).Start.Line
-			}
-		}
-		switch e.Kind {
-		case unstable.Table:
-			prefix = indexed(key, counts) + "."
-			lines[strings.TrimSuffix(prefix, ".")] = line
-		case unstable.ArrayTable:
-			parent := ""
-			if i := strings.LastIndex(key, "."); i >= 0 {
-				parent = indexed(key[:i], counts) + "."
-				key = parent + key[i+1:]
-			}
-			prefix = fmt.Sprintf("%s[%d].", key, counts[key])
-			counts[key]++
-			lines[strings.TrimSuffix(prefix, ".")] = line
-		case unstable.KeyValue:
-			lines[prefix+key] = line
-			if v := e.Value(); v.Kind == unstable.InlineTable {
-				for it := v.Children(); it.Next(); {
-					inner := it.Node().Key()
-					for inner.Next() {
-						lines[prefix+key+"."+string(inner.Node().Data)] = line
-					}
-				}
-			}
-		}
-	}
-	return lines
-}
-
-// indexed puts the number of the newest table of a list behind the first word of a key.
-func indexed(key string, counts map[string]int) string {
-	first, rest, more := strings.Cut(key, ".")
-	if n := counts[first]; n > 0 {
-		first = fmt.Sprintf("%s[%d]", first, n-1)
-	}
-	if more {
-		return first + "." + rest
-	}
-	return first
-}
-
-// LineOf is the line of a field, or of the nearest table that holds it.
-func LineOf(lines map[string]int, path string) int {
-	for path != "" {
-		if line, known := lines[path]; known {
-			return line
-		}
-		i := strings.LastIndexAny(path, ".")
-		if i < 0 {
-			break
-		}
-		path = path[:i]
-	}
-	return 0
+// decodeError is the decoder's error with its line and field.
+func decodeError(name string, err *toml.DecodeError, what string) *Error {
+	line, _ := err.Position()
+	return &Error{File: name, Line: line, Field: strings.Join(err.Key(), "."), What: what}
 }
