--- a/internal/loopback/pair_test.go
+++ b/internal/loopback/pair_test.go
@@ -50,10 +50,10 @@
 	}
 }
 
-func TestGivesUpAfterMostDraws(t *testing.T) {
-	draw, drawn := draws(t, mostDraws)
-	if _, _, err := listenPair(true, draw); !errors.Is(err, syscall.EADDRINUSE) || *drawn != mostDraws {
-		t.Errorf("%v after %d draws, want %v after %d", err, *drawn, syscall.EADDRINUSE, mostDraws)
+func TestGivesUpAfterMaxDraws(t *testing.T) {
+	draw, drawn := draws(t, maxDraws)
+	if _, _, err := listenPair(true, draw); !errors.Is(err, syscall.EADDRINUSE) || *drawn != maxDraws {
+		t.Errorf("%v after %d draws, want %v after %d", err, *drawn, syscall.EADDRINUSE, maxDraws)
 	}
 }
 
--- a/internal/peers/frame.go
+++ b/internal/peers/frame.go
@@ -1,7 +1,7 @@
 package peers
 
-// This file owns the form of a datagram: a byte for the form, the note, and a sum over both, so that a note spoilt on
-// its way halts no endpoint that nobody spoke of. What is in the note is its reader's affair.
+// This file defines the form of a datagram: a byte for the form's version, the note, and a checksum of both, so that a note
+// that was damaged on its way has no effect on an endpoint that it does not mean. What the note says is up to its reader.
 
 import (
 	"encoding/binary"
@@ -10,20 +10,25 @@
 )
 
 const (
-	form    = 'n' // changes with the form, so that senders of two versions pass over one another's notes
-	sumSize = 4
+	formVersion     = 'n' // changes with the form, so that senders of two versions ignore each other's notes
+	formVersionSize = 1
+	checksumSize    = 4
 )
 
+// frame is the datagram of a note.
 func frame(note []byte) []byte {
-	text := append([]byte{form}, note...)
-	return binary.LittleEndian.AppendUint32(text, crc32.ChecksumIEEE(text))
+	datagram := append([]byte{formVersion}, note...)
+	return binary.LittleEndian.AppendUint32(datagram, crc32.ChecksumIEEE(datagram))
 }
 
-// unframe gives the note, a copy, and nil for what is not a datagram of this form with something in it.
-func unframe(text []byte) []byte {
-	end := len(text) - sumSize
-	if end < 2 || text[0] != form || binary.LittleEndian.Uint32(text[end:]) != crc32.ChecksumIEEE(text[:end]) {
+// unframe returns a copy of a datagram's note, nil if the datagram has another form, is damaged or has no note.
+func unframe(datagram []byte) []byte {
+	end := len(datagram) - checksumSize
+	switch {
+	case end <= formVersionSize,
+		datagram[0] != formVersion,
+		binary.LittleEndian.Uint32(datagram[end:]) != crc32.ChecksumIEEE(datagram[:end]):
 		return nil
 	}
-	return slices.Clone(text[1:end])
+	return slices.Clone(datagram[formVersionSize:end])
 }
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -1,6 +1,7 @@
 package peers
 
 import (
+	"errors"
 	"fmt"
 	"net"
 	"net/netip"
@@ -24,7 +25,7 @@
 	return conn
 }
 
-// started is a sender's peers with the given ones, and the notes that it hears.
+// started is a sender's socket with the given peers, and the notes that it receives.
 func started(t *testing.T, o Options) (*Peers, chan []byte) {
 	t.Helper()
 	o.Listen = "127.0.0.1:0"
@@ -45,8 +46,8 @@
 	}
 }
 
-// What comes from a peer is heard, each time that it comes and however late; what is forged, spoilt, too long or our own
-// is dropped and counted.
+// What comes from a peer is received, each time that it comes; what comes from a stranger, is damaged, too long or the
+// sender's own is dropped and counted.
 func TestHeard(t *testing.T) {
 	peer, own, stranger := socket(t), socket(t), socket(t)
 	p, notes := started(t, Options{Peers: []string{own.LocalAddr().String(), peer.LocalAddr().String()}, Own: 0})
@@ -56,34 +57,34 @@
 	}
 	send(t, stranger, p.Addr(), good)
 	send(t, own, p.Addr(), good)
-	spoilt := 0
+	damaged := 0
 	for i := range good {
 		bad := append([]byte(nil), good...)
 		bad[i] ^= 4
 		send(t, peer, p.Addr(), bad)
 		send(t, peer, p.Addr(), good[:i])
-		spoilt += 2
+		damaged += 2
 	}
 	send(t, peer, p.Addr(), frame(nil))
 	send(t, peer, p.Addr(), append(good, 0))
 	for _, size := range []int{MostBytes + 1, 9000} {
-		send(t, peer, p.Addr(), frame(make([]byte, size-1-sumSize)))
+		send(t, peer, p.Addr(), frame(make([]byte, size-1-checksumSize)))
 	}
-	longest := make([]byte, MostBytes-1-sumSize)
+	longest := make([]byte, MostBytes-1-checksumSize)
 	send(t, peer, p.Addr(), frame(longest))
 	for _, want := range []string{"abc", "abc", string(longest)} {
 		if got := string(<-notes); got != want {
 			t.Errorf("heard %q", got)
 		}
 	}
-	want := Counts{Heard: 3, Strange: 1, Own: 1, Spoilt: int64(spoilt) + 2, TooLong: 2}
+	want := Counts{Heard: 3, Strange: 1, Own: 1, Spoilt: int64(damaged) + 2, TooLong: 2}
 	if got := p.Counts(); got != want {
 		t.Errorf("%+v, want %+v", got, want)
 	}
 }
 
-// A note leaves from the socket that the others know, once to the address of all, or to each but ourselves; a peer that
-// is gone costs the others nothing.
+// A note leaves from the socket that the others know, once to the address of all, or to each but the sender itself; a peer
+// that is gone does not affect the others.
 func TestTell(t *testing.T) {
 	a, b, all, gone := socket(t), socket(t), socket(t), socket(t)
 	gone.Close()
@@ -122,7 +123,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for range mostWaiting + 7 {
+	for range queueLength + 7 {
 		p.Tell([]byte("abc"))
 	}
 	if got := p.Counts(); got.Unsent != 7 {
@@ -134,11 +135,13 @@
 }
 
 // What is wrong is named by its field.
-func TestOpen(t *testing.T) {
+func TestOpenNamesTheField(t *testing.T) {
 	for _, o := range []Options{{}, {Listen: "127.0.0.1:0"}, {Listen: "host:1", Peers: []string{"127.0.0.1:1"}},
 		{Listen: "127.0.0.1:0", Peers: []string{"127.0.0.1:1", "[::1]:1"}},
 		{Listen: "127.0.0.1:0", Peers: []string{"127.0.0.1:1"}, All: "all"}} {
-		if _, err := Open(o); err == nil || !strings.HasPrefix(err.Error(), "field peer") {
+		_, err := Open(o)
+		var field *FieldError
+		if !errors.As(err, &field) || !strings.HasPrefix(err.Error(), "field peer") {
 			t.Errorf("%+v: %v", o, err)
 		}
 	}
