--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -18,6 +18,7 @@
 
 	"flaxcove/choice"
 	"flaxcove/internal/directory"
+	"flaxcove/internal/fielderror"
 )
 
 // Config is the configuration of one sender.
@@ -127,11 +128,11 @@
 func (c *Config) TurnOnNotes() error {
 	switch {
 	case !c.gossipAllowed:
-		return &FieldError{settingsField, settingError("bounds.peers", "notes are not allowed")}
+		return &fielderror.Error{Field: settingsField, Err: settingError("bounds.peers", "notes are not allowed")}
 	case c.PeerListen == "":
-		return fieldError("peer_listen", "missing")
+		return fielderror.New("peer_listen", "missing")
 	case len(c.Peers) == 0:
-		return fieldError("peers", "missing")
+		return fielderror.New("peers", "missing")
 	}
 	c.gossipWanted, c.Settings.Notes = true, true
 	return nil
@@ -166,7 +167,7 @@
 	}
 	seed, err := strconv.ParseUint(f.Seed, 16, 64)
 	if err != nil && f.Seed != "" {
-		return nil, fieldError("seed", "%q is not a hexadecimal number of 64 bits", f.Seed)
+		return nil, fielderror.New("seed", "%q is not a hexadecimal number of 64 bits", f.Seed)
 	}
 	c.Seed = int64(seed)
 	if err := f.Limits.check(); err != nil {
@@ -196,13 +197,13 @@
 	} {
 		*v.to = cmp.Or(getenv(v.variable), v.fromFile)
 		if *v.to == "" {
-			return fieldError(v.field, "missing, and %s is not set", v.variable)
+			return fielderror.New(v.field, "missing, and %s is not set", v.variable)
 		}
 		if !v.address {
 			continue
 		}
 		if _, _, err := net.SplitHostPort(*v.to); err != nil {
-			return &FieldError{v.field, err}
+			return &fielderror.Error{Field: v.field, Err: err}
 		}
 	}
 	return nil
@@ -212,15 +213,15 @@
 func (l *Limits) check() error {
 	switch {
 	case l.MemoryMB > maxMB:
-		return fieldError("limits.memory_mb", "%d is above %d", l.MemoryMB, int64(maxMB))
+		return fielderror.New("limits.memory_mb", "%d is above %d", l.MemoryMB, int64(maxMB))
 	case l.DiskMB > maxMB:
-		return fieldError("limits.disk_mb", "%g is above %d", l.DiskMB, int64(maxMB))
+		return fielderror.New("limits.disk_mb", "%g is above %d", l.DiskMB, int64(maxMB))
 	case l.MemoryMB < minMemoryMB:
-		return fieldError("limits.memory_mb", "%d is under %d", l.MemoryMB, minMemoryMB)
+		return fielderror.New("limits.memory_mb", "%d is under %d", l.MemoryMB, minMemoryMB)
 	case l.Sockets < minSockets:
-		return fieldError("limits.sockets", "%d is under %d", l.Sockets, minSockets)
+		return fielderror.New("limits.sockets", "%d is under %d", l.Sockets, minSockets)
 	case l.DiskMB <= 0:
-		return fieldError("limits.disk_mb", "%g is not above 0", l.DiskMB)
+		return fielderror.New("limits.disk_mb", "%g is not above 0", l.DiskMB)
 	}
 	return nil
 }
--- a/internal/config/extremes_test.go
+++ b/internal/config/extremes_test.go
@@ -10,6 +10,7 @@
 	"testing"
 
 	"flaxcove/choice"
+	"flaxcove/internal/fielderror"
 )
 
 // object is a JSON object whose fields a case sets or takes away.
@@ -141,7 +142,7 @@
 var objectPaths = []string{"settings.bounds", "settings.rules", "settings.accounts", "settings.zones", "settings.machineTypes",
 	"settings.extra.carriage", "limits"}
 
-// accepts tells whether a number field may have an extreme value: a class must have a deadline, and the number of senders
+// accepts reports whether a number field may have an extreme value: a class must have a deadline, and the number of senders
 // is bounded.
 func accepts(path string, value any) bool {
 	switch path {
@@ -248,7 +249,7 @@
 	o := completeConfig()
 	set(o, "settings.classes.0.deadline", -6)
 	_, err := read(t, o)
-	var field *FieldError
+	var field *fielderror.Error
 	var setting *SettingError
 	if !errors.As(err, &field) || field.Field != "settings" || !errors.As(err, &setting) || setting.Path != "classes[0].deadline" {
 		t.Errorf("%#v", err)
--- a/internal/config/running.go
+++ b/internal/config/running.go
@@ -9,6 +9,7 @@
 	"fmt"
 
 	"flaxcove/choice"
+	"flaxcove/internal/fielderror"
 )
 
 // settingsField is the field of the configuration file that holds the settings object.
@@ -23,16 +24,16 @@
 		}
 	}
 	if b == nil {
-		return nil, fieldError(settingsField, "missing")
+		return nil, fielderror.New(settingsField, "missing")
 	}
 	if _, err := b.Settings(true); err != nil {
-		return nil, &FieldError{settingsField, err}
+		return nil, &fielderror.Error{Field: settingsField, Err: err}
 	}
 	if err := b.checkNames(); err != nil {
-		return nil, &FieldError{settingsField, err}
+		return nil, &fielderror.Error{Field: settingsField, Err: err}
 	}
 	if b.Extra.InFlightLimit == 0 {
-		return nil, &FieldError{settingsField, settingError("extra.callsOut", "missing")}
+		return nil, &fielderror.Error{Field: settingsField, Err: settingError("extra.callsOut", "missing")}
 	}
 	return b, nil
 }
@@ -40,7 +41,7 @@
 // useSettings puts a settings object in force, as read and as written.
 func (c *Config) useSettings(b *Boot, raw json.RawMessage) (err error) {
 	if c.Settings, err = b.Settings(true); err != nil {
-		return &FieldError{settingsField, err}
+		return &fielderror.Error{Field: settingsField, Err: err}
 	}
 	// Gossip that the settings allow is off until TurnOnNotes asks for it.
 	c.gossipAllowed = c.Settings.Notes
@@ -98,7 +99,7 @@
 		return fmt.Errorf("in force: %w", err)
 	}
 	if err := now.checkReplacement(next); err != nil {
-		return &FieldError{settingsField, err}
+		return &fielderror.Error{Field: settingsField, Err: err}
 	}
 	return nil
 }
--- a/internal/directory/list.go
+++ b/internal/directory/list.go
@@ -71,7 +71,7 @@
 	return l
 }
 
-// endsServiceByID tells whether an entry drains or removes an endpoint and gives no more than its id.
+// endsServiceByID reports whether an entry drains or removes an endpoint and gives no more than its id.
 func (e *Entry) endsServiceByID() bool {
 	stage, known := stages[e.State]
 	return known && stage != choice.Ready && e.Addr == "" && e.ID != ""
--- a/internal/directory/outage_test.go
+++ b/internal/directory/outage_test.go
@@ -196,8 +196,8 @@
 	})
 }
 
-// A call that took its time up to its first list is a watch like others from there on: half a message is broken as on
-// any, and what is missed is heard within six seconds of the last sign of life.
+// A call that was slow up to its first list is a watch like any other from then on: half a message ends it, and what is
+// missed is received within six seconds of the last sign of life.
 func TestSlowThenHalf(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		slow := script{pieces: []piece{{0, answerHead}, {3 * time.Second, chunk(list(1))}, {2 * time.Second, chunk(list(2)[:30])}}}
--- a/internal/directory/timing.go
+++ b/internal/directory/timing.go
@@ -81,7 +81,7 @@
 // fleetSpread is the duration over which the calls of all senders are CallSpacing apart.
 func (t *timing) fleetSpread() time.Duration { return time.Duration(t.Senders) * t.CallSpacing }
 
-// overloads tells whether the calls of all senders, spread evenly over what the bound allows, come closer together than
+// overloads reports whether the calls of all senders, spread evenly over what the bound allows, come closer together than
 // CallSpacing.
 func (t *timing) overloads() bool { return 2*t.fleetSpread() > t.maxInterval() }
 
--- a/internal/drill/drill.go
+++ b/internal/drill/drill.go
@@ -13,6 +13,7 @@
 	"io"
 
 	"flaxcove/choice"
+	"flaxcove/internal/fielderror"
 )
 
 const (
@@ -86,7 +87,7 @@
 		return s.beginBatch(event, f)
 	}
 	if s.missingItems > 0 && event != "item" {
-		return fieldError("event", "%q where %d more items were due", event, s.missingItems)
+		return fielderror.New("event", "%q where %d more items were due", event, s.missingItems)
 	}
 	switch event {
 	case "go":
@@ -104,7 +105,7 @@
 
 func (s *server) beginBatch(event string, f *fields) error {
 	if event != "frame" {
-		return fieldError("event", "%q outside a batch", event)
+		return fielderror.New("event", "%q outside a batch", event)
 	}
 	s.clock = f.integer("clock")
 	s.inBatch = true
@@ -118,10 +119,10 @@
 		return err
 	}
 	if number < 0 || number >= catalogCount {
-		return fieldError("rosterId", "%d is not 0 to %d", number, catalogCount-1)
+		return fielderror.New("rosterId", "%d is not 0 to %d", number, catalogCount-1)
 	}
 	if rows < 0 {
-		return fieldError("rows", "%d is below 0", rows)
+		return fielderror.New("rows", "%d is below 0", rows)
 	}
 	s.catalog, s.missingItems = int(number), int(rows)
 	s.catalogs[number] = nil
@@ -130,7 +131,7 @@
 
 func (s *server) addItem(f *fields) error {
 	if s.missingItems == 0 {
-		return fieldError("event", "an item outside a catalog")
+		return fielderror.New("event", "an item outside a catalog")
 	}
 	entry, err := readItem(f)
 	if err != nil {
@@ -144,7 +145,7 @@
 func (s *server) handleSenderEvent(event string, f *fields) error {
 	handle, known := handlers[event]
 	if !known {
-		return fieldError("event", "unknown event %q", event)
+		return fielderror.New("event", "unknown event %q", event)
 	}
 	id := choice.SenderID(f.text("sender"))
 	if f.err != nil {
@@ -153,7 +154,7 @@
 	sender := s.senders[id]
 	if sender == nil {
 		if event != "start" {
-			return fieldError("sender", "%q has not started", id)
+			return fielderror.New("sender", "%q has not started", id)
 		}
 		sender = &hostedSender{id: id, server: s}
 		s.senders[id] = sender
--- a/internal/drill/drill_test.go
+++ b/internal/drill/drill_test.go
@@ -8,6 +8,8 @@
 	"os"
 	"strings"
 	"testing"
+
+	"flaxcove/internal/fielderror"
 )
 
 const boot = `{"balancers":2,"bounds":{"maxAttempts":4,"maxOpen":50,"probing":true,"novel":1},` +
@@ -100,13 +102,13 @@
 func TestErrorsAreTyped(t *testing.T) {
 	err := Run(strings.NewReader("frame\t5\nstart\tsender-0\tseven\n"), io.Discard)
 	var line *LineError
-	var field *FieldError
+	var field *fielderror.Error
 	if !errors.As(err, &line) || line.Line != 2 || !errors.As(err, &field) || field.Field != "rngSeed" {
 		t.Errorf("%#v", err)
 	}
 }
 
-// FuzzRun: no input may crash the adapter, and a reply comes only for a whole batch.
+// FuzzRun: no input may crash the adapter, and an answer comes only for a complete batch.
 func FuzzRun(f *testing.F) {
 	f.Add(strings.ReplaceAll(strings.Join(opening("knock sender-0 t/a 0 0 - 7000000000 - 57 0", "go"), "\n"), " ", "\t"))
 	f.Fuzz(func(t *testing.T, text string) {
--- a/internal/drill/events.go
+++ b/internal/drill/events.go
@@ -6,6 +6,7 @@
 
 	"flaxcove/choice"
 	"flaxcove/internal/config"
+	"flaxcove/internal/fielderror"
 )
 
 // handlers handle the events of one sender by their word on the wire.
@@ -75,11 +76,11 @@
 	}
 	var b config.Boot // the JSON decoder prints this name in its errors
 	if err := json.Unmarshal([]byte(text), &b); err != nil {
-		return &FieldError{"bootInfo", err}
+		return &fielderror.Error{Field: "bootInfo", Err: err}
 	}
 	settings, err := b.Settings(false)
 	if err != nil {
-		return &FieldError{"bootInfo", err}
+		return &fielderror.Error{Field: "bootInfo", Err: err}
 	}
 	s.output.Reset()
 	s.reportFields, s.classCount = b.Stats.Fields, len(b.Classes)
@@ -98,10 +99,10 @@
 		return nil // nothing to ask for, as the simulator sends the list by itself; the old one stays in force
 	}
 	if scope != "D" && scope != "F" && scope != "C" {
-		return fieldError("scope", "unknown word %q", scope)
+		return fielderror.New("scope", "unknown word %q", scope)
 	}
 	if catalog < 0 || catalog >= catalogCount {
-		return fieldError("rosterId", "no list %d", catalog)
+		return fielderror.New("rosterId", "no list %d", catalog)
 	}
 	s.decider.ListNews(s.server.catalogs[catalog], scope != "D")
 	return nil
@@ -120,7 +121,7 @@
 		return err
 	}
 	if m.Class < 0 || int(m.Class) >= s.classCount {
-		return fieldError("cls", "no class %d", m.Class)
+		return fielderror.New("cls", "no class %d", m.Class)
 	}
 	s.decider.Taken(m)
 	return nil
--- a/internal/drill/fields.go
+++ b/internal/drill/fields.go
@@ -2,31 +2,16 @@
 
 import (
 	"encoding/base64"
-	"fmt"
 	"math"
 	"strconv"
 	"strings"
+
+	"flaxcove/internal/fielderror"
 )
 
 // absent stands for a field that is left out.
 const absent = "-"
 
-// FieldError says which field of a line is wrong.
-type FieldError struct {
-	Field string
-	Err   error
-}
-
-func (e *FieldError) Error() string { return "field " + e.Field + ": " + e.Err.Error() }
-
-// Unwrap returns what is wrong with the field.
-func (e *FieldError) Unwrap() error { return e.Err }
-
-// fieldError is a FieldError with a formatted reason.
-func fieldError(field, format string, args ...any) error {
-	return &FieldError{Field: field, Err: fmt.Errorf(format, args...)}
-}
-
 // fields reads the tab-separated fields of one line in order and stores the first error.
 type fields struct {
 	rest string
@@ -36,7 +21,7 @@
 
 func (f *fields) fail(field, format string, args ...any) {
 	if f.err == nil {
-		f.err = fieldError(field, format, args...)
+		f.err = fielderror.New(field, format, args...)
 	}
 }
 
--- /dev/null
+++ b/internal/fielderror/fielderror_test.go
@@ -0,0 +1,19 @@
+package fielderror
+
+import (
+	"errors"
+	"fmt"
+	"io/fs"
+	"testing"
+)
+
+func TestError(t *testing.T) {
+	err := fmt.Errorf("config.json: %w", New("listen", "%w", fs.ErrNotExist))
+	var field *Error
+	if !errors.As(err, &field) || field.Field != "listen" || !errors.Is(err, fs.ErrNotExist) {
+		t.Errorf("%#v", err)
+	}
+	if got, want := err.Error(), "config.json: field listen: file does not exist"; got != want {
+		t.Errorf("%q, want %q", got, want)
+	}
+}
--- a/internal/http1/answer.go
+++ b/internal/http1/answer.go
@@ -17,7 +17,7 @@
 // Status is that of the status line, 0 while it is not complete.
 func (a *Answer) Status() int { return a.status }
 
-// Began tells whether anything has come.
+// Began reports whether anything has come.
 func (a *Answer) Began() bool { return len(a.buf) > 0 }
 
 // Feed adds a piece and reads as far as possible. Interim answers are skipped.
@@ -26,10 +26,10 @@
 	return a.read(false)
 }
 
-// End tells that the connection has ended, which ends some bodies.
+// End says that the connection has ended, which ends some bodies.
 func (a *Answer) End() error { return a.read(true) }
 
-// read reads on; ended tells that nothing more will come.
+// read reads on; ended says that nothing more will come.
 func (a *Answer) read(ended bool) error {
 	if a.Done {
 		return nil
--- a/internal/http1/head.go
+++ b/internal/http1/head.go
@@ -10,13 +10,13 @@
 type Head struct {
 	Status     int
 	Close      bool  // the connection ends after this answer
-	Length     int64 // of the body; lengthUnknown where only chunks or the connection's end tell
+	Length     int64 // of the body; lengthUnknown where it follows from chunks or from the connection's end
 	Chunked    bool
 	fields     [maxFields]field
 	fieldCount int
 }
 
-// lengthUnknown is the Length of a head that does not tell it.
+// lengthUnknown is the Length of a head that does not say it.
 const lengthUnknown = -1
 
 const (
@@ -113,7 +113,7 @@
 	return nil
 }
 
-// setFraming sets, from the fields, what tells where the answer ends.
+// setFraming sets, from the fields, how the end of the answer is found.
 func (h *Head) setFraming() error {
 	if v := h.Get("Connection"); v != nil {
 		h.Close = bytes.EqualFold(v, []byte("close")) || h.Close && !bytes.EqualFold(v, []byte("keep-alive"))
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -13,6 +13,8 @@
 	"net/netip"
 	"sync"
 	"sync/atomic"
+
+	"flaxcove/internal/fielderror"
 )
 
 const (
@@ -54,23 +56,12 @@
 	sent, unsent, received, unknownSender, fromSelf, tooLong, malformed atomic.Int64
 }
 
-// FieldError says which field of the configuration has a wrong address, or one that cannot be bound.
-type FieldError struct {
-	Field string
-	Err   error
-}
-
-func (e *FieldError) Error() string { return "field " + e.Field + ": " + e.Err.Error() }
-
-// Unwrap returns what is wrong with the field.
-func (e *FieldError) Unwrap() error { return e.Err }
-
 var (
 	errMissing = errors.New("missing")
 	errNotIPv4 = errors.New("not an IPv4 address")
 )
 
-// Open binds the socket. An error is a *FieldError. Datagrams that arrive wait in the socket until Start.
+// Open binds the socket. An error is a *fielderror.Error with the field of the configuration. Datagrams that arrive wait in the socket until Start.
 func Open(o Options) (*Peers, error) {
 	p := &Peers{known: map[netip.AddrPort]struct{}{}, queue: make(chan []byte, queueLength), stop: make(chan struct{})}
 	listen, err := parseAddress("peer_listen", o.Listen)
@@ -78,7 +69,7 @@
 		return nil, err
 	}
 	if len(o.Peers) == 0 {
-		return nil, &FieldError{"peers", errMissing}
+		return nil, &fielderror.Error{Field: "peers", Err: errMissing}
 	}
 	for i, text := range o.Peers {
 		peer, err := parseAddress(fmt.Sprintf("peers[%d]", i), text)
@@ -101,7 +92,7 @@
 	}
 	p.conn, err = net.ListenUDP("udp4", net.UDPAddrFromAddrPort(listen))
 	if err != nil {
-		return nil, &FieldError{"peer_listen", err}
+		return nil, &fielderror.Error{Field: "peer_listen", Err: err}
 	}
 	return p, nil
 }
@@ -113,7 +104,7 @@
 		err = errNotIPv4
 	}
 	if err != nil {
-		return a, &FieldError{field, err}
+		return a, &fielderror.Error{Field: field, Err: err}
 	}
 	return unmapped(a), nil
 }
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -10,6 +10,8 @@
 	"time"
 
 	"go.uber.org/goleak"
+
+	"flaxcove/internal/fielderror"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -140,7 +142,7 @@
 		{Listen: "127.0.0.1:0", Peers: []string{"127.0.0.1:1", "[::1]:1"}},
 		{Listen: "127.0.0.1:0", Peers: []string{"127.0.0.1:1"}, All: "all"}} {
 		_, err := Open(o)
-		var field *FieldError
+		var field *fielderror.Error
 		if !errors.As(err, &field) || !strings.HasPrefix(err.Error(), "field peer") {
 			t.Errorf("%+v: %v", o, err)
 		}
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -30,7 +30,7 @@
 
 const lineEnd = "\r\n"
 
-// What is wrong with a command; each ends its connection, since nothing tells where the next one begins.
+// What is wrong with a command; each ends its connection, since it is unknown where the next one begins.
 var (
 	ErrNoArray = errors.New("a command is an array of bulk strings")
 	ErrNoBulk  = errors.New("an argument is a bulk string")
--- a/internal/routes/check.go
+++ b/internal/routes/check.go
@@ -70,7 +70,7 @@
 	}
 }
 
-// covers tells whether all that b matches is matched by a.
+// covers reports whether all that b matches is matched by a.
 func covers(a, b *Match) bool {
 	return (a.Destination == nil || b.Destination != nil && *a.Destination == *b.Destination) &&
 		(a.Class == "" || a.Class == b.Class) &&
--- a/internal/routes/expect_test.go
+++ b/internal/routes/expect_test.go
@@ -15,7 +15,7 @@
 		Sets: []Set{{Targets: []Target{{Zone: "east", Weight: 3}}}, {Under: 0.6, Targets: []Target{{Zone: "west", Weight: 1}}}}}}
 }
 
-// Each failure tells the smallest case: what is drained, which override stands, which rule decided.
+// Each failure names the smallest case: what is drained, which override is active, which rule decided.
 func ExampleTest() {
 	o := &Overrides{}
 	for _, v := range []Override{{ID: "pin-d", Kind: Sticky, Destination: 1, Class: "status", Endpoints: []choice.EndpointID{"d"}},
--- a/internal/routes/file/file.go
+++ b/internal/routes/file/file.go
@@ -71,12 +71,12 @@
 	return tomlfile.At(name, text, c.problems)
 }
 
-// hasRule tells whether an earlier file has a rule of that name.
+// hasRule reports whether an earlier file has a rule of that name.
 func (r *Routing) hasRule(name string) bool {
 	return slices.ContainsFunc(r.Rules, func(rule routes.Rule) bool { return rule.Name == name })
 }
 
-// hasEndpoint tells whether the list has an endpoint with that id.
+// hasEndpoint reports whether the list has an endpoint with that id.
 func (r *Routing) hasEndpoint(id string) bool {
 	return slices.ContainsFunc(r.List, func(e routes.Endpoint) bool { return string(e.ID) == id })
 }
--- a/internal/routes/file/file_test.go
+++ b/internal/routes/file/file_test.go
@@ -10,7 +10,7 @@
 	"flaxcove/internal/routes"
 )
 
-// All that is wrong is told at once, with its line, and nothing of the file is taken.
+// All that is wrong is reported at once, each problem with its line.
 func ExampleParse() {
 	r, err := Parse("bad.toml", []byte(`[[route]]
 name = "x"
@@ -77,7 +77,7 @@
 	}
 }
 
-// Every file's problems are told, those of the second too.
+// Every file's problems are reported, those of the second too.
 func TestProblemsOfAllFiles(t *testing.T) {
 	dir := t.TempDir()
 	var paths []string
--- a/internal/routes/override.go
+++ b/internal/routes/override.go
@@ -81,7 +81,7 @@
 	)
 }
 
-// Clear removes an override before its time and tells whether it was there.
+// Clear removes an override before its time and reports whether it was there.
 func (o *Overrides) Clear(id OverrideID) bool {
 	before := len(o.active)
 	o.active = slices.DeleteFunc(o.active, func(v activeOverride) bool { return v.ID == id })
@@ -127,7 +127,7 @@
 	return all
 }
 
-// yields tells whether an override has no effect while another one, which wins over it, is active.
+// yields reports whether an override has no effect while another one, which wins over it, is active.
 func yields(loser, winner *Override) bool {
 	if loser.Destination != winner.Destination {
 		return false
@@ -175,7 +175,7 @@
 	return effect
 }
 
-// inService tells whether an endpoint is ready and no override has taken it out of service.
+// inService reports whether an endpoint is ready and no override has taken it out of service.
 func (effect *overrideEffect) inService(e *Endpoint) bool {
 	return e.Ready && !slices.Contains(effect.outOfService, e.ID)
 }
--- a/internal/routes/table.go
+++ b/internal/routes/table.go
@@ -192,7 +192,7 @@
 	return values
 }
 
-// names tells whether a target names an endpoint.
+// names reports whether a target names an endpoint.
 func (t *Target) names(e *Endpoint) bool {
 	switch {
 	case len(t.Endpoints) > 0 && !slices.Contains(t.Endpoints, e.ID),
