--- a/internal/http1/answer.go
+++ b/internal/http1/answer.go
@@ -58,7 +58,7 @@
 func (a *Answer) readHead() error {
 	for a.headSize == 0 {
 		var err error
-		if a.status, err = Status(a.buf); err != nil {
+		if a.status, err = parseStatus(a.buf); err != nil {
 			return err
 		}
 		if a.headSize, err = a.Parse(a.buf); err != nil || a.headSize == 0 {
--- a/internal/http1/head.go
+++ b/internal/http1/head.go
@@ -39,8 +39,8 @@
 	return nil
 }
 
-// Status reads the status line alone from the start of buf; 0 while it is not complete.
-func Status(buf []byte) (int, error) {
+// parseStatus reads the status line alone from the start of buf; 0 while it is not complete.
+func parseStatus(buf []byte) (int, error) {
 	end := bytes.IndexByte(buf, '\n')
 	if end < 0 {
 		return 0, checkStatusStart(buf)
@@ -75,7 +75,7 @@
 
 // Parse reads a head from the start of buf and returns the bytes it took, 0 while it is not complete.
 func (h *Head) Parse(buf []byte) (int, error) {
-	status, err := Status(buf)
+	status, err := parseStatus(buf)
 	if status == 0 || err != nil {
 		return 0, err
 	}
--- a/internal/routes/routes_test.go
+++ b/internal/routes/routes_test.go
@@ -35,9 +35,9 @@
 func ExampleResolve() {
 	rules := []Rule{{Name: "orders", Match: Match{Destination: to(1), Class: "order"}, NoEndpoint: HandBack,
 		Sets: []Set{{Targets: []Target{{Zone: "east", Weight: 2}}}, {Under: 0.5, Targets: []Target{{Endpoints: []choice.EndpointID{"c"}, Weight: 1}}}}}}
-	t, o, n := Compile(rules), &Overrides{}, &Message{Destination: 1, Class: "order"}
+	t, o, m := Compile(rules), &Overrides{}, &Message{Destination: 1, Class: "order"}
 	for _, ready := range []string{"abcd", "bcd", "cd", "d", ""} {
-		fmt.Println(show(Resolve(t, o, n, list(ready))))
+		fmt.Println(show(Resolve(t, o, m, list(ready))))
 	}
 	fmt.Println(show(Resolve(t, o, &Message{Destination: 1, Class: "status"}, list("abcd"))))
 	// Output:
@@ -51,7 +51,7 @@
 
 // Conflicts have one order; who loses is shown as such, and takes effect again when the winner lapses.
 func ExampleOverrides() {
-	t, o, n := Compile(nil), &Overrides{}, &Message{Destination: 1, Class: "order"}
+	t, o, m := Compile(nil), &Overrides{}, &Message{Destination: 1, Class: "order"}
 	day := time.Date(2026, 5, 9, 8, 0, 0, 0, time.UTC)
 	set := func(id OverrideID, kind OverrideKind, class string, weight float64, minutes int, at ...choice.EndpointID) {
 		o.Add(Override{ID: id, Kind: kind, Destination: 1, Class: class, Endpoints: at, Weight: weight, SetBy: "an operator",
@@ -65,7 +65,7 @@
 	for _, minute := range []int{0, 10, 20, 30, 40, 60} {
 		now := time.Duration(minute) * time.Minute
 		over, _, _ := o.Expire(now)
-		fmt.Printf("minute %d, lapsed %d: %s\n", minute, len(over), show(Resolve(t, o, n, list("abc"))))
+		fmt.Printf("minute %d, lapsed %d: %s\n", minute, len(over), show(Resolve(t, o, m, list("abc"))))
 		for _, s := range o.Status(now) {
 			if s.YieldsTo != "" {
 				fmt.Printf("   %s yields to %s\n", s.ID, s.YieldsTo)
@@ -146,20 +146,20 @@
 	rapid.Check(t, func(t *rapid.T) {
 		rules := someRules(t)
 		table := Compile(rules)
-		n := &Message{Destination: choice.DestinationID(rapid.IntRange(1, 4).Draw(t, "to")),
+		message := &Message{Destination: choice.DestinationID(rapid.IntRange(1, 4).Draw(t, "to")),
 			Class:  rapid.SampledFrom([]string{"order", "status", "other"}).Draw(t, "w"),
 			Tenant: rapid.SampledFrom([]string{"", "x", "y"}).Draw(t, "t"), Key: rapid.SampledFrom([]string{"", "a", "abcd", "b", "c"}).Draw(t, "k")}
 		want := ""
 		for i := range rules {
-			m := rules[i].Match
-			if (m.Destination == nil || *m.Destination == n.Destination) && (m.Class == "" || m.Class == n.Class) &&
-				(m.Tenant == "" || m.Tenant == n.Tenant) && strings.HasPrefix(n.Key, m.KeyPrefix) {
+			match := rules[i].Match
+			if (match.Destination == nil || *match.Destination == message.Destination) && (match.Class == "" || match.Class == message.Class) &&
+				(match.Tenant == "" || match.Tenant == message.Tenant) && strings.HasPrefix(message.Key, match.KeyPrefix) {
 				want = rules[i].Name
 				break
 			}
 		}
 		got := ""
-		if r := table.Rule(n); r != nil {
+		if r := table.Rule(message); r != nil {
 			got = r.Name
 		}
 		if got != want {
@@ -208,10 +208,10 @@
 		}
 		t := Compile(rules)
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			n := &Message{Class: "order", Key: "k3-17"}
+			m := &Message{Class: "order", Key: "k3-17"}
 			for i := range b.N {
-				n.Destination = choice.DestinationID(i % (2 * size))
-				t.Rule(n)
+				m.Destination = choice.DestinationID(i % (2 * size))
+				t.Rule(m)
 			}
 		})
 	}
