--- /dev/null
+++ b/internal/config/reload_test.go
@@ -0,0 +1,49 @@
+package config
+
+import (
+	"encoding/json"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+)
+
+// A configuration that is read again takes discovery from the file, says which fields wait for the next start, and changes
+// nothing where it is wrong.
+func TestReloadOfExtremes(t *testing.T) {
+	t.Parallel()
+	path := filepath.Join(t.TempDir(), "config.json")
+	env := func(name string) string {
+		return map[string]string{"EDGE_CONFIG": path, "EDGE_DISCOVERY": "127.0.0.1:9", "EDGE_NAME": "other"}[name]
+	}
+	write := func(o object) {
+		text, err := json.Marshal(o)
+		if err == nil {
+			err = os.WriteFile(path, text, 0o600)
+		}
+		if err != nil {
+			t.Fatal(err)
+		}
+	}
+	write(completeConfig())
+	first, err := Load(env)
+	if err != nil || first.Discovery != "127.0.0.1:9" {
+		t.Fatalf("%v %+v", err, first)
+	}
+	o := completeConfig()
+	set(o, "settings.classes.0.worth", -1)
+	set(o, "discovery", "127.0.0.1:3")
+	write(o)
+	if c, err := Reload(env); err == nil || c != nil || !strings.Contains(err.Error(), "classes[0].worth") {
+		t.Errorf("what is wrong brings %v, %v", c, err)
+	}
+	o = completeConfig()
+	set(o, "settings.bounds.maxOpen", 7)
+	set(o, "discovery", "127.0.0.1:3")
+	write(o)
+	c, err := Reload(env)
+	if err != nil || c.Discovery != "127.0.0.1:3" || c.Name != "other" || fmt.Sprint(first.Fixed(c)) != "[settings]" {
+		t.Errorf("%v %+v", err, c)
+	}
+}
--- a/internal/config/running.go
+++ b/internal/config/running.go
@@ -115,7 +115,7 @@
 		{nameList{"zones[%d]", b.Zones}, next.Zones},
 		{nameList{"machineTypes[%d]", b.MachineTypes}, next.MachineTypes},
 	} {
-		if err := list.now.checkNumbersKept(list.next); err != nil {
+		if err := list.now.checkNumbersUnchanged(list.next); err != nil {
 			return err
 		}
 	}
@@ -125,8 +125,8 @@
 	return b.checkKindReplacement(next)
 }
 
-// checkNumbersKept rejects a new list in which a name is missing or has moved; further names may follow at the end.
-func (l *nameList) checkNumbersKept(next []string) error {
+// checkNumbersUnchanged rejects a new list in which a name is missing or has moved; further names may follow at the end.
+func (l *nameList) checkNumbersUnchanged(next []string) error {
 	for i, name := range l.names {
 		if i >= len(next) {
 			return settingError(l.path(i), "%q is gone; a name can't be taken out while senders run", name)
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -13,7 +13,8 @@
 
 // Boot is the settings object, the same for the simulator and for a sender on sockets. It lists the keys that are read;
 // other keys are ignored. The tags keep the published keys where a field has a standard name. Durations are in
-// nanoseconds.
+// nanoseconds. Where a value has the wrong type, the JSON decoder's error, which drill prints, names Boot and the Go type of
+// the field; it lists the fields of a nested struct.
 type Boot struct {
 	Accounts []struct {
 		Name     string
@@ -27,7 +28,7 @@
 		MaxAttempts   int
 		MaxOpen       int
 		MaxRetryAfter int64
-		Gossip        bool `json:"Peers"`
+		Peers         bool // senders may exchange gossip
 		Probing       bool
 		RetryAfter    bool
 	}
@@ -116,7 +117,7 @@
 		OverShareValue: b.OverQuotaPriorityWeight,
 		Halving:        b.Extra.ValueDecay == "halving",
 		Probing:        b.Bounds.Probing,
-		Notes:          b.Bounds.Gossip,
+		Notes:          b.Bounds.Peers,
 		Cancelling:     b.Bounds.Cancel,
 		DialTimeout:    atLeast(b.Bounds.DialTimeout),
 		ConnIdle:       atMost(b.Bounds.ConnIdle),
