--- a/internal/config/extremes_test.go
+++ b/internal/config/extremes_test.go
@@ -183,10 +183,10 @@
 		return
 	}
 	s := &c.Settings
-	spans := []choice.Time{s.Turn, s.ConnIdle, s.DialTimeout, s.LongestReturn, s.Cold, s.Fall, s.KeyRest}
+	spans := []choice.Time{s.Turn, s.ConnIdle, s.DialTimeout, s.LongestReturn, s.SlowStart, s.Fall, s.KeyRest}
 	for _, class := range s.Classes {
-		spans = append(spans, class.ContractTime, class.Deadline, class.RepeatWindow)
-		if class.ContractTime == 0 {
+		spans = append(spans, class.LatencyObjective, class.Deadline, class.RepeatWindow)
+		if class.LatencyObjective == 0 {
 			t.Errorf("%s %v: a contract time of 0, from which time-outs are made", path, value)
 		}
 	}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -72,7 +72,7 @@
 
 // idempotencies are the words of a class's idempotency field.
 var idempotencies = map[string]choice.Repeat{
-	"pure": choice.Idempotent, "token": choice.Keyed, "side_effect": choice.SingleUse,
+	"pure": choice.Idempotent, "token": choice.Keyed, "side_effect": choice.NonIdempotent,
 }
 
 // ratings are the words of the weights field.
@@ -125,8 +125,8 @@
 		Turn:           atLeast(b.TickInterval),
 		FallMultiple:   b.Rules.FallMultiple,
 		Fall:           atLeast(b.Rules.Fall),
-		ColdFrom:       b.Rules.SlowStartFrom,
-		Cold:           atLeast(b.Rules.SlowStart),
+		SlowStartFrom:  b.Rules.SlowStartFrom,
+		SlowStart:      atLeast(b.Rules.SlowStart),
 		KeyRest:        atLeast(b.Rules.KeyRest),
 		RefusedPrice:   b.Extra.RejectedPrice,
 		HandshakePrice: b.Deductions.Handshake,
@@ -148,14 +148,14 @@
 			objective = c.Deadline // none is set: with 0 each call would be given up within a millisecond
 		}
 		all = append(all, choice.Class{
-			Repeat:       repeat,
-			ZoneGroup:    c.Group == "zone" || c.Group == "cell",
-			RepeatWindow: atMost(c.RepeatWindow),
-			ContractTime: atMost(objective),
-			Deadline:     atMost(c.Deadline),
-			Value:        c.PriorityWeight,
-			LateValue:    c.LatePriorityWeight,
-			ByArrival:    c.ByArrival,
+			Repeat:           repeat,
+			ZoneGroup:        c.Group == "zone" || c.Group == "cell",
+			RepeatWindow:     atMost(c.RepeatWindow),
+			LatencyObjective: atMost(objective),
+			Deadline:         atMost(c.Deadline),
+			Value:            c.PriorityWeight,
+			LateValue:        c.LatePriorityWeight,
+			ByArrival:        c.ByArrival,
 		})
 	}
 	if len(all) == 0 {
--- a/internal/drill/events.go
+++ b/internal/drill/events.go
@@ -104,7 +104,7 @@
 	if catalog < 0 || catalog >= catalogCount {
 		return fielderror.New("rosterId", "no list %d", catalog)
 	}
-	s.decider.ListNews(s.server.catalogs[catalog], scope != "D")
+	s.decider.UpdateEndpoints(s.server.catalogs[catalog], scope != "D")
 	return nil
 }
 
