--- a/cmd/flaxcove/routes_explain.go
+++ b/cmd/flaxcove/routes_explain.go
@@ -21,7 +21,7 @@
 }
 
 // whenNowhere says what becomes of a message while no endpoint may get it, as its route chooses.
-var whenNowhere = map[routes.Nowhere]string{routes.Hold: "held until one is there", routes.HandBack: "handed back with a time"}
+var whenNowhere = map[routes.NoEndpointPolicy]string{routes.Hold: "held until one is there", routes.HandBack: "handed back with a time"}
 
 // runRoutesExplain resolves the message that the flags describe and prints its route and the endpoints that may get it.
 func runRoutesExplain(_ context.Context, c *cli.Command) error {
--- a/internal/routes/file/storeddata_test.go
+++ b/internal/routes/file/storeddata_test.go
@@ -13,25 +13,25 @@
 
 // storedRouting is what testdata/stored/routes.toml says: each field that commit 485f0e4 read. The file is never written
 // anew.
-func storedRouting() (rules []routes.Rule, expects []routes.Expect, overrides []routes.Override, list []routes.Endpoint) {
+func storedRouting() (rules []routes.Rule, expects []routes.Expectation, overrides []routes.Override, list []routes.Endpoint) {
 	destination := new(choice.DestinationID(-7))
 	rules = []routes.Rule{
-		{Name: "first", Match: routes.Match{Destination: destination, Class: "order", Tenant: "acme", KeyPrefix: "k-"}, Nowhere: routes.HandBack,
+		{Name: "first", Match: routes.Match{Destination: destination, Class: "order", Tenant: "acme", KeyPrefix: "k-"}, NoEndpoint: routes.HandBack,
 			Sets: []routes.Set{
 				{Targets: []routes.Target{{Endpoints: []choice.EndpointID{"a", "b"}, Weight: 2.5}, {Zone: "z1", Kind: "many", Weight: 1}}},
 				{Under: 0.5, Targets: []routes.Target{{Labels: map[string]string{"use": "trial"}, Weight: 0.25}}},
 			}},
 		{Name: "second", Sets: []routes.Set{{Targets: []routes.Target{{Zone: "z2", Weight: 1}}}}},
 	}
-	expects = []routes.Expect{{Name: "shares", Destination: destination, Class: "order", Tenant: "acme", Key: "k-1",
+	expects = []routes.Expectation{{Name: "shares", Destination: destination, Class: "order", Tenant: "acme", Key: "k-1",
 		Only: []choice.EndpointID{"a", "b"}, Never: []choice.EndpointID{"c"}, AtLeast: 1,
 		Shares: map[choice.EndpointID]float64{"a": 0.75, "b": 0.25}, Within: 0.05, Losses: 1}}
 	overrides = []routes.Override{
-		{ID: "o1", Kind: routes.Out, Destination: -7, Endpoints: []choice.EndpointID{"a"}, By: "ops", Why: "repair", Lasts: 90 * time.Second},
-		{ID: "o2", Kind: routes.Pin, Destination: -7, Class: "order", Endpoints: []choice.EndpointID{"a", "b"}, By: "ops", Why: "trial",
-			Lasts: 2 * time.Minute},
-		{ID: "o3", Kind: routes.Weight, Destination: -7, Endpoints: []choice.EndpointID{"b"}, Weight: 0.125, By: "ops", Why: "slow",
-			Lasts: 3 * time.Minute},
+		{ID: "o1", Kind: routes.OutOfService, Destination: -7, Endpoints: []choice.EndpointID{"a"}, SetBy: "ops", Reason: "repair", Lifetime: 90 * time.Second},
+		{ID: "o2", Kind: routes.Sticky, Destination: -7, Class: "order", Endpoints: []choice.EndpointID{"a", "b"}, SetBy: "ops", Reason: "trial",
+			Lifetime: 2 * time.Minute},
+		{ID: "o3", Kind: routes.FixedWeight, Destination: -7, Endpoints: []choice.EndpointID{"b"}, Weight: 0.125, SetBy: "ops", Reason: "slow",
+			Lifetime: 3 * time.Minute},
 	}
 	list = []routes.Endpoint{
 		{ID: "a", Destination: -7, Zone: "z1", Kind: "many", Labels: map[string]string{"use": "trial"}, Ready: true},
@@ -47,7 +47,7 @@
 		t.Fatal(err)
 	}
 	var overrides []routes.Override
-	for _, shown := range r.Overrides.Show(0) {
+	for _, shown := range r.Overrides.Status(0) {
 		overrides = append(overrides, shown.Override)
 	}
 	wantRules, wantExpects, wantOverrides, wantList := storedRouting()
