--- a/choice/answers.go
+++ b/choice/answers.go
@@ -38,7 +38,7 @@
 // connections of their kind fail, the oftener one must be used to stay.
 func (s *Sender) spare(e *endpoint) {
 	use := e.used.read(s.now, loadSpan*Time(s.senders)) * seconds(s.set.ConnIdle)
-	idle := e.calls == 0 && (e.d.waiting == 0 || !e.route.ready(s.now) || !s.coldReady(e))
+	idle := e.calls == 0 && (e.d.waiting == 0 || !e.route.ready(s.now) || !s.slowStartReady(e))
 	if idle && use < closeMore*e.d.kind.short {
 		s.h.CloseIdle(e.id)
 		e.linkUntil = s.now
@@ -72,7 +72,7 @@
 		r.peak, r.fails, r.run, r.guess, e.fails, e.doubt = max(r.peak, r.good.rate), 0, 0, 0, 0, max(0, e.doubt-1)
 		r.pace.rate = max(r.pace.rate, r.limit/s.senders*one(o.Report.Left > usedUp)) // it has filled up again
 		if e.ejected {
-			s.comeBack(e, c.sentAt)
+			s.readmit(e, c.sentAt)
 		} else if e.mean < 2*e.past {
 			e.limit = min(float64(s.set.InFlightLimit), e.limit+1/e.limit)
 		}
@@ -86,7 +86,7 @@
 	case Errored, Reset, Spoilt:
 		// A kept link that breaks or a spoilt answer shows no outage: a crash refuses new connections too.
 		if o.Result == Errored || o.Result == Reset && !o.Kept || s.now-e.goodAt > quietFor {
-			s.failed(e, 0)
+			s.recordFailure(e, 0)
 		}
 	case TimedOut, ConnectFailed:
 		if o.Result == ConnectFailed && !s.set.TellsFull {
@@ -94,7 +94,7 @@
 			s.tell(e, 0)
 		}
 		if float64(s.now-c.sentAt) >= 2*s.prior || s.now < s.held[o.Message].Deadline-2*s.turn { // else cut short
-			s.lost(c)
+			s.noteUnanswered(c)
 		}
 	}
 }
--- a/choice/backlog_test.go
+++ b/choice/backlog_test.go
@@ -89,9 +89,9 @@
 		d.s.byID[1].kind.short = 0.5
 		d.links = true
 		if cold {
-			d.s.chill(d.s.endpoints["a"], d.clock)
+			d.s.beginSlowStart(d.s.endpoints["a"], d.clock)
 		}
-		d.s.endpoints["a"].cold.level = 1
+		d.s.endpoints["a"].slowStart.level = 1
 		d.take(0, 1, "p").take(0, 1, "q", "r").run(100*Millisecond).ended(Done, 0, "a", "p")
 	}
 	// Output:
--- a/choice/configure_test.go
+++ b/choice/configure_test.go
@@ -187,7 +187,7 @@
 	w.run(7 * Second)
 	type known struct {
 		times
-		standing
+		healthState
 		limit, wrong, bad, asked, full float64
 		cold                           bucket
 		route                          route
@@ -195,7 +195,7 @@
 	state := func() (all []known) {
 		for _, id := range inOrder(w.s.endpoints) {
 			e := w.s.endpoints[id]
-			all = append(all, known{e.times, e.standing, e.limit, e.wrong, e.bad, e.asked, e.full, e.cold, *e.route})
+			all = append(all, known{e.times, e.healthState, e.limit, e.wrong, e.bad, e.asked, e.full, e.slowStart, *e.route})
 		}
 		return all
 	}
--- a/choice/endpoints_test.go
+++ b/choice/endpoints_test.go
@@ -151,8 +151,8 @@
 		d.take(0, 1, "p").ended(Done, 0, "a", "p").take(2, 1, "q", "r").ended(Reset, 0, "a", "q", "r")
 		aside := a.ejected
 		d.run(pause)
-		d.s.comeBack(a, d.clock)
-		fmt.Println(aside, a.ejected, "cold:", d.clock < a.coldFrom+d.s.set.Cold)
+		d.s.readmit(a, d.clock)
+		fmt.Println(aside, a.ejected, "cold:", d.clock < a.slowStartAt+d.s.set.Cold)
 	}
 	// Output:
 	// true false cold: false
@@ -188,7 +188,7 @@
 	d := open(set).run(3*Second).take(1, 1, "p").ended(Errored, 0, "a", "p")
 	fmt.Println("aside:", d.s.endpoints["a"].ejected)
 	d.take(1, 2, "q").ended(Full, 5*Second, "c", "q").run(5 * Second)
-	fmt.Printf("budget once open: %.2f, from %d\n", d.s.endpoints["c"].cold.level, d.s.endpoints["c"].cold.at)
+	fmt.Printf("budget once open: %.2f, from %d\n", d.s.endpoints["c"].slowStart.level, d.s.endpoints["c"].slowStart.at)
 	// Output:
 	// 3000.0  dispatch p to a
 	// aside: true
--- a/choice/filter_test.go
+++ b/choice/filter_test.go
@@ -43,7 +43,7 @@
 	d.s.eject(d.s.endpoints["near"])
 	d.take(0, 3, "far1", "near2", "near3").ended(Done, 0, "far", "far1").run(2 * Second)
 	d.ended(ConnectFailed, 0, "near", "near3").run(3 * Second)
-	fmt.Println("room left for a trial:", d.s.coldReady(d.s.endpoints["near"]))
+	fmt.Println("room left for a trial:", d.s.slowStartReady(d.s.endpoints["near"]))
 	// Output:
 	// 0.0     dispatch near1 to near
 	// 100.0   dispatch far1 to far
--- a/choice/fleet_test.go
+++ b/choice/fleet_test.go
@@ -165,7 +165,7 @@
 
 func (h *seat) Attempt(n MessageID, to EndpointID, timeOut Time) {
 	h.tries[n]++
-	knows := h.s.outage(h.s.endpoints[to])
+	knows := h.s.impaired(h.s.endpoints[to])
 	o := Outcome{Message: n, Attempt: h.tries[n] - 1, Endpoint: to, Result: ConnectFailed}
 	h.f.after(10*Millisecond+Time(h.f.rng.IntN(200)), func() {
 		if h.f.arrive(h.f.sites[to], knows) {
@@ -195,7 +195,7 @@
 // outage plays one and gives the endpoints that came back.
 func (p play) outage() (back []*site, f *fleet) {
 	f = &fleet{play: p, sites: map[EndpointID]*site{}, rng: rand.New(rand.NewPCG(p.seed, 1))}
-	f.set.Senders, f.set.Probing = p.senders, p.senders <= smallFleet
+	f.set.Senders, f.set.Probing = p.senders, p.senders <= smallFleetSize
 	down, end := 4*Second, Time(0)
 	for d := range p.dests {
 		for e := range p.ends {
--- a/choice/held_test.go
+++ b/choice/held_test.go
@@ -13,9 +13,9 @@
 		set.Cold = 0
 		d := open(set).run(3*Second).take(0, 1, "p")
 		d.ended(Errored, 0, "a", "p").run(Second)
-		was := d.s.endpoints["a"].step
+		was := d.s.endpoints["a"].trialPause
 		d.s.Probed("a", result)
-		fmt.Println("aside", d.s.endpoints["a"].ejected, "pause", was, "then", d.s.endpoints["a"].step)
+		fmt.Println("aside", d.s.endpoints["a"].ejected, "pause", was, "then", d.s.endpoints["a"].trialPause)
 		d.run(Second)
 	}
 	// Output:
--- a/choice/known.go
+++ b/choice/known.go
@@ -19,7 +19,7 @@
 	pinned = d.held > 0 || s.now < d.restUntil
 	for _, e := range d.ranked {
 		calls += e.seen
-		pinned = pinned || e.calls > 0 || e.probing || !e.listed || s.outage(e) || s.now < e.route.haltUntil
+		pinned = pinned || e.calls > 0 || e.probing || !e.listed || s.impaired(e) || s.now < e.route.haltUntil
 	}
 	return calls, pinned
 }
--- a/choice/lanes.go
+++ b/choice/lanes.go
@@ -54,7 +54,7 @@
 		s.h.Timer(tick, tickTimer)
 		for _, c := range s.calls {
 			if float64(s.now-c.sentAt) > max(2*s.prior, overdueAfter*c.e.past) {
-				s.lost(c)
+				s.noteUnanswered(c)
 			}
 		}
 		s.stirred = slices.DeleteFunc(s.stirred, s.settled)
--- a/choice/notes_test.go
+++ b/choice/notes_test.go
@@ -88,10 +88,10 @@
 	d := open(set).run(3*Second).take(0, 1, "p").ended(ConnectFailed, 0, "a", "p")
 	a := d.s.endpoints["a"]
 	d.run(2 * Second)
-	d.s.comeBack(a, d.clock)
+	d.s.readmit(a, d.clock)
 	d.s.ListNews([]Entry{{Endpoint: "new", Destination: 1, Rating: 10}, {Endpoint: "a", Destination: 1, Stage: Draining}}, false)
 	e := d.s.endpoints["new"]
-	fmt.Println("aside:", e.ejected, "as cold:", e.coldFrom == a.coldFrom, "budget:", math.Round(100*e.cold.level)/100)
+	fmt.Println("aside:", e.ejected, "as cold:", e.slowStartAt == a.slowStartAt, "budget:", math.Round(100*e.slowStart.level)/100)
 	d.take(0, 1, "q", "r", "s")
 	// Output:
 	// 3000.0  dispatch p to a
--- a/choice/paces.go
+++ b/choice/paces.go
@@ -17,14 +17,14 @@
 		s.halt(e, o.Wait, o.Wait > longWait || e.d.kind.reports && !limited && s.now-r.lastGood > crowdedFor)
 	}
 	if limited && o.Wait <= longWait {
-		s.comeBack(e, c.sentAt)
+		s.readmit(e, c.sentAt)
 	} else if o.Wait == 0 && e.d.kind.reports && r.limit == 0 && !e.ejected && s.now-r.lastGood < crowdedFor {
 		e.limit = max(1, min(e.limit, float64(e.calls)-1)) // a pace cut for it would starve what has no limit
 		return
 	} else if e.ejected || e.d.kind.reports {
-		s.failed(e, o.Report.Limit)
+		s.recordFailure(e, o.Report.Limit)
 	} else if o.Wait == 0 && r.run >= refusedRun && s.now-r.lastGood > quietFor && s.now >= r.haltUntil {
-		r.guess = min(lastGuess, max(firstTrial, 2*r.guess))
+		r.guess = min(lastGuess, max(firstTrialPause, 2*r.guess))
 		s.halt(e, r.guess/2+s.chance.upTo(string(e.id), r.guess/2), false)
 	}
 	if o.Wait == 0 || s.now-halted <= quietFor { // a wait that comes anew is heeded, and that is enough
@@ -57,7 +57,7 @@
 	}
 	r.noise += meanWeight * min(0, share-r.noise)
 	over := share - max(toleratedShare, r.noise+2*math.Sqrt(r.noise*(1-r.noise)/seen))
-	over = max(over, one(s.senders > smallFleet && r.seen < callsToJudge))
+	over = max(over, one(s.senders > smallFleetSize && r.seen < callsToJudge))
 	r.lastCut, r.seen, r.full = s.now, 0, 0
 	if over > 0 {
 		r.pace.level = min(0, r.pace.level)
@@ -90,9 +90,9 @@
 	end := s.now + wait + s.chance.upTo(string(e.id), min(wait/8, tick*4))
 	e.route.haltUntil = max(e.route.haltUntil, end)
 	for other := range e.d.sharing(e.route) {
-		other.cold.at = max(other.cold.at, end) // what all may send after it must not pile up in it
+		other.slowStart.at = max(other.slowStart.at, end) // what all may send after it must not pile up in it
 		if shut {
-			s.chill(other, end)
+			s.beginSlowStart(other, end)
 		}
 	}
 }
--- a/choice/purge_test.go
+++ b/choice/purge_test.go
@@ -175,7 +175,7 @@
 	show("the wait is over:", d.run(2*Second), 2)
 	d.s.eject(d.s.endpoints["c"])
 	show("set aside:", d, 2)
-	d.s.comeBack(d.s.endpoints["c"], d.clock)
+	d.s.readmit(d.s.endpoints["c"], d.clock)
 	show("cold:", d, 2)
 	show("warm:", d.run(11*Second), 2)
 	d.s.ListNews([]Entry{{Endpoint: "c", Destination: 2, Kind: 1, Stage: Draining}}, false)
--- a/choice/ranks.go
+++ b/choice/ranks.go
@@ -21,7 +21,7 @@
 // settled renews a destination; it tells whether nothing is left to come back for.
 func (s *Sender) settled(d *destination) bool {
 	d.ranked = slices.DeleteFunc(d.ranked, func(e *endpoint) bool {
-		if e.listed || e.calls > 0 || e.probing || s.now < max(e.coldFrom+s.set.Cold, e.route.haltUntil) {
+		if e.listed || e.calls > 0 || e.probing || s.now < max(e.slowStartAt+s.set.Cold, e.route.haltUntil) {
 			return false
 		}
 		if s.endpoints[e.id] == e {
@@ -33,9 +33,9 @@
 	slices.SortStableFunc(d.ranked, func(a, b *endpoint) int { return cmp.Compare(s.busy(a), s.busy(b)) })
 	d.stirred = false
 	for _, e := range d.ranked {
-		due := s.now >= max(e.tryAt, e.route.haltUntil)
-		if e.ejected && s.probes && !e.passed && e.listed && !e.probing && due && s.coldReady(e) {
-			e.probing, e.cold.level = true, e.cold.level-1
+		due := s.now >= max(e.nextTrial, e.route.haltUntil)
+		if e.ejected && s.probes && !e.probePassed && e.listed && !e.probing && due && s.slowStartReady(e) {
+			e.probing, e.slowStart.level = true, e.slowStart.level-1
 			s.h.Probe(e.id)
 		}
 		d.stirred = d.stirred || e.ejected || !e.listed
@@ -60,7 +60,7 @@
 	for _, e := range n.d.ranked {
 		switch {
 		case !e.listed || s.now < e.route.haltUntil || n.MayRun && w.ZoneGroup && e.zone != n.RanIn ||
-			single && e.doubt > 0 && s.now-e.badAt < 2*lastTrial && s.now < s.lastSend(n)-quietFor:
+			single && e.doubt > 0 && s.now-e.badAt < 2*longestTrialPause && s.now < s.lastSend(n)-quietFor:
 		case !(n.MayRun && w.ZoneGroup) && !s.h.Allowed(n.ID, e.id): // such a repeat is known in one zone alone
 			barred = true
 		case e.open != nil && e.open.turn == s.turns && !e.ejected && e.open.n < n.d.kind.BundleMax:
@@ -68,12 +68,12 @@
 		case rideOnly || len(s.calls) >= s.set.InFlightLimit ||
 			n.tries > 0 && s.budget(n.d).fillAt(s.now, 1/seconds(s.cap), float64(s.set.InFlightLimit)) < 1:
 		case e.ejected:
-			due := (e.passed || !s.probes) && trial == nil && s.now >= e.tryAt+Time(one(single))*2*lastTrial
-			if due && (s.coldReady(e) || s.probes && e.cold.rate*s.senders*s.fall > handful) {
+			due := (e.probePassed || !s.probes) && trial == nil && s.now >= e.nextTrial+Time(one(single))*2*longestTrialPause
+			if due && (s.slowStartReady(e) || s.probes && e.slowStart.rate*s.senders*s.fall > handful) {
 				trial = e
 			}
 		case float64(e.calls) >= e.limit || e.calls >= firstLimit && s.now-e.goodAt >= quietFor: // silent: as new
-		case !e.route.ready(s.now) || !s.coldReady(e):
+		case !e.route.ready(s.now) || !s.slowStartReady(e):
 		case n.by == nil || e.bad < n.by.bad: // what refused a message may do so again
 			return e, barred
 		default:
@@ -87,7 +87,7 @@
 	if s.unqueue(n); s.class(n).Repeat == SingleUse && s.kept > keptMost {
 		s.h.CloseIdle(e.id)
 	}
-	if k := &e.d.kind.times; s.senders > smallFleet && e.seen == 0 && k.seen > 0 {
+	if k := &e.d.kind.times; s.senders > smallFleetSize && e.seen == 0 && k.seen > 0 {
 		e.times = times{k.mean, k.dev, k.past, 0}
 	}
 	c := e.open
@@ -95,13 +95,13 @@
 		c = &call{e: e, sentAt: s.now, turn: s.turns, lane: n.refused, fresh: e.calls == 0 && s.now >= e.linkUntil}
 		s.budget(n.d).level -= one(n.tries > 0)
 		n.d.laneOut += int(one(c.lane))
-		e.open, e.calls, e.cold.level, e.route.pace.level = c, e.calls+1, e.cold.level-1, e.route.pace.level-1
+		e.open, e.calls, e.slowStart.level, e.route.pace.level = c, e.calls+1, e.slowStart.level-1, e.route.pace.level-1
 		e.route.load.count(s.now, s.loadSpan)
-		e.passed, e.tryAt = false, s.now+2*e.step // read while it is ejected
+		e.probePassed, e.nextTrial = false, s.now+2*e.trialPause // read while it is ejected
 		e.used.count(s.now, loadSpan*Time(s.senders))
 		s.calls = append(s.calls, c)
 	} else {
-		e.cold.level -= rideWeight
+		e.slowStart.level -= bulkMemberCost
 	}
 	c.n, c.left, n.out, n.tries = c.n+1, c.left+1, c, n.tries+1
 	s.h.Attempt(n.ID, e.id, s.timeOut(n, e))
--- a/choice/returns_test.go
+++ b/choice/returns_test.go
@@ -101,7 +101,7 @@
 				for _, at := range back {
 					calls, rush = calls+at.calls, max(rush, at.rush)
 				}
-				if extreme := strings.HasPrefix(name, "extreme"); senders > smallFleet && rush > senders/2 && !extreme {
+				if extreme := strings.HasPrefix(name, "extreme"); senders > smallFleetSize && rush > senders/2 && !extreme {
 					t.Errorf("%d of %d senders call in the first second", rush, senders)
 				}
 				if calls == 0 {
@@ -112,7 +112,7 @@
 				}
 				for _, h := range f.seats {
 					for _, id := range inOrder(h.s.endpoints) {
-						if b := h.s.endpoints[id].cold; math.IsNaN(b.rate) || math.IsNaN(b.level) || b.rate < 0 || b.level > 1 {
+						if b := h.s.endpoints[id].slowStart; math.IsNaN(b.rate) || math.IsNaN(b.level) || b.rate < 0 || b.level > 1 {
 							t.Errorf("budget %v", b)
 						}
 					}
@@ -129,12 +129,12 @@
 		s := &Sender{senders: senders, fall: 1.5}
 		last := 0.0
 		for _, n := range []float64{math.Inf(-1), -1, 0, 0.01, 0.3, 1, 4, 10, 30, 100, 1e4, 1e9, math.Inf(1)} {
-			mean, in := s.coldMean(n), min(max(0, n), unpaced*1.5)
+			mean, in := s.slowStartMean(n), min(max(0, n), unpaced*1.5)
 			most := in + 2*math.Sqrt(in) + 2
-			if !(mean > 0 && mean >= last && mean <= coldPart*max(in, 1/handful)) {
+			if !(mean > 0 && mean >= last && mean <= slowStartShare*max(in, 1/handful)) {
 				t.Errorf("%v senders, %v allowed: %v on average", senders, n, mean)
 			}
-			if mean+senders > most+1e-9 && mean+coldLuck*math.Sqrt(mean) > most*(1+1e-9) {
+			if mean+senders > most+1e-9 && mean+slowStartDeviations*math.Sqrt(mean) > most*(1+1e-9) {
 				t.Errorf("%v senders, %v allowed: %v on average may go beyond %v", senders, n, mean, most)
 			}
 			last = mean
@@ -157,8 +157,8 @@
 			e := d.s.endpoints[id]
 			d.s.now = d.clock
 			d.s.eject(e)
-			d.s.comeBack(e, d.clock)
-			e.cold.level = 1 // it had nothing to send for long
+			d.s.readmit(e, d.clock)
+			e.slowStart.level = 1 // it had nothing to send for long
 		}
 		d.take(0, 1, "first").ended(Full, 4*Second, "a", "first").take(0, 1, "p", "q", "r").run(5 * Second)
 		for id, e := range d.s.endpoints {
--- a/choice/start.go
+++ b/choice/start.go
@@ -17,7 +17,7 @@
 
 // adopt works out what hangs on settings; what is known of kinds and accounts that were there stays.
 func (s *Sender) adopt(set Settings) {
-	fleet, shortest := set.Senders > smallFleet, float64(shortestContract(set.Classes))
+	fleet, shortest := set.Senders > smallFleetSize, float64(shortestContract(set.Classes))
 	s.set, s.senders, s.turn, s.topValue = set, float64(set.Senders), max(1, set.Turn), topValue(set.Classes)
 	s.probes, s.notes, s.laneMax = set.Probing && !fleet, set.Notes && fleet, max(1, set.InFlightLimit/laneShare)
 	s.loadSpan, s.fall = either(fleet, fleetLoadSpan, loadSpan), seconds(max(Second, set.Fall))
@@ -70,14 +70,14 @@
 }
 
 func (s *Sender) join(d *destination, entry Entry) *endpoint {
-	e := &endpoint{id: entry.Endpoint, d: d, toldAt: -quietFor, standing: standing{coldFrom: -forever / 2},
+	e := &endpoint{id: entry.Endpoint, d: d, toldAt: -quietFor, healthState: healthState{slowStartAt: -forever / 2},
 		route: either(d.kind.Apart, newRoute(s.now), d.route)}
 	s.recall(e, entry.Learnt)
 	for _, other := range d.ranked {
-		if other.route == e.route && (other.ejected && !e.ejected || other.coldFrom > e.coldFrom) {
+		if other.route == e.route && (other.ejected && !e.ejected || other.slowStartAt > e.slowStartAt) {
 			// Most of a destination may be replaced while it is out: what is new is no warmer than the rest.
-			s.chill(e, other.coldFrom) // all senders hear of it at one moment, and must not begin then
-			e.times, e.standing, e.cold.at = other.times, other.standing, max(s.now, other.cold.at)
+			s.beginSlowStart(e, other.slowStartAt) // all senders hear of it at one moment, and must not begin then
+			e.times, e.healthState, e.slowStart.at = other.times, other.healthState, max(s.now, other.slowStart.at)
 		}
 	}
 	s.endpoints[e.id], s.signs[signOf(e.id)] = e, e
@@ -123,7 +123,7 @@
 		*e.route = *newRoute(s.now)
 		s.recall(e, l)
 		e.fails, e.wrong, e.bad, e.asked, e.full, e.goodAt, e.route.rating = 0, 0, 0, 0, 0, 0, was.rating
-		if s.stir(e.d); s.outage(e) || e.route == e.d.route && slices.ContainsFunc(e.d.ranked, s.outage) {
+		if s.stir(e.d); s.impaired(e) || e.route == e.d.route && slices.ContainsFunc(e.d.ranked, s.impaired) {
 			e.route.limit, e.route.fails, e.route.haltUntil = 0, was.fails, max(e.route.haltUntil, was.haltUntil)
 		}
 	}
--- a/choice/tables.go
+++ b/choice/tables.go
@@ -5,32 +5,32 @@
 // What a Sender knows, as types, and every tuned value.
 
 const (
-	firstTrial, lastTrial   = 300 * Millisecond, 2 * Second    // pauses before trials: first, longest
-	loadSpan, fleetLoadSpan = 2 * Second, 5 * Second           // of means of sends
-	quietFor, crowdedFor    = 2 * Second, Second / 2           // done lately; so lately that the queue is full
-	longWait, lastGuess     = 2500 * Millisecond, 8 * Second   // told by the shut, above; longest one guessed
-	tick, blinkFor          = 50 * Millisecond, 3 * Second / 2 // between answers, too short for a cold start
-	usedUpFor               = 500 * Millisecond                // rest of a used-up route, until waits are told
+	firstTrialPause, longestTrialPause = 300 * Millisecond, 2 * Second    // pauses before trials: first, longest
+	loadSpan, fleetLoadSpan            = 2 * Second, 5 * Second           // of means of sends
+	quietFor, crowdedFor               = 2 * Second, Second / 2           // done lately; so lately that the queue is full
+	longWait, lastGuess                = 2500 * Millisecond, 8 * Second   // told by the shut, above; longest one guessed
+	tick, blinkSpan                    = 50 * Millisecond, 3 * Second / 2 // between answers, too short for a cold start
+	usedUpFor                          = 500 * Millisecond                // rest of a used-up route, until waits are told
 
-	baseShare, capShare     = 0.25, 2.0   // retry ceilings, in shortest contract times
-	meanWeight, pastWeight  = 0.125, 0.02 // weights of a new time in the mean, in the past
-	patience, finalPatience = 10.0, 4.0   // spreads above the mean; times longer where a time-out is final
-	priorShare, firstLimit  = 0.5, 2.0    // before any call: its time in contract times; calls out at once
-	ejectAfter, byChance    = 2, 60       // failures in a row, at least; seconds between ejections by chance
-	refusedRun, doubtRun    = 2, 6        // refusals in a row; calls done before single-use messages go again
-	usedUp, toleratedShare  = 0.3, 0.02   // of an allowance left, explains a refusal; refused, the price of room
-	mostNoise, noiseTold    = 0.25, 3.0   // share refused whatever the load; deviations that tell it
-	nearLoad, topFor        = 0.95, 10.0  // share that still counts as the same; seconds a load is kept
-	leastPace, unpaced      = 0.6, 1e6    // calls a second: of all senders together; while no limit was met
-	paceCut, paceGrow       = 0.5, 0.05   // to which part at least, half beyond a handful; growth a second
-	callsToJudge, handful   = 16, 4.0     // under so many, a refusal is a limit's; calls that fell nothing
-	coldFloor, coldPart     = 1.0, 1.2    // calls a cold time where nothing is known; times the part that is
-	lookPast, coldLuck      = 16, 2.5     // messages looked at where places are barred; deviations to chance
-	smallFleet, laneShare   = 8, 4        // senders up to which each probes at all; slots to one of a lane
-	rideWeight, notedPay    = 0.15, 0.3   // of one more in a call to the cold; retries one done pays, with notes
-	feeWeight, overdueAfter = 20.0, 4.0   // times longer: for a message's worth of fee; than past, till overdue
-	keptMost, closeMore     = 0.05, 30.0  // resets on kept links; own calls due to keep one, a share of failures
-	shareSpan, crowdFrom    = 30.0, 0.85  // seconds of a share at once; of MaxOpen, some are turned away
+	baseShare, capShare                 = 0.25, 2.0   // retry ceilings, in shortest contract times
+	meanWeight, pastWeight              = 0.125, 0.02 // weights of a new time in the mean, in the past
+	patience, finalPatience             = 10.0, 4.0   // spreads above the mean; times longer where a time-out is final
+	priorShare, firstLimit              = 0.5, 2.0    // before any call: its time in contract times; calls out at once
+	failuresToEject, chanceEjectionSpan = 2, 60       // failures in a row, at least; seconds between ejections by chance
+	refusedRun, doubtRun                = 2, 6        // refusals in a row; calls done before single-use messages go again
+	usedUp, toleratedShare              = 0.3, 0.02   // of an allowance left, explains a refusal; refused, the price of room
+	mostNoise, noiseTold                = 0.25, 3.0   // share refused whatever the load; deviations that tell it
+	nearLoad, topFor                    = 0.95, 10.0  // share that still counts as the same; seconds a load is kept
+	leastPace, unpaced                  = 0.6, 1e6    // calls a second: of all senders together; while no limit was met
+	paceCut, paceGrow                   = 0.5, 0.05   // to which part at least, half beyond a handful; growth a second
+	callsToJudge, handful               = 16, 4.0     // under so many, a refusal is a limit's; calls that fell nothing
+	slowStartFloor, slowStartShare      = 1.0, 1.2    // calls a cold time where nothing is known; times the part that is
+	lookPast, slowStartDeviations       = 16, 2.5     // messages looked at where places are barred; deviations to chance
+	smallFleetSize, laneShare           = 8, 4        // senders up to which each probes at all; slots to one of a lane
+	bulkMemberCost, notedPay            = 0.15, 0.3   // of one more in a call to the cold; retries one done pays, with notes
+	feeWeight, overdueAfter             = 20.0, 4.0   // times longer: for a message's worth of fee; than past, till overdue
+	keptMost, closeMore                 = 0.05, 30.0  // resets on kept links; own calls due to keep one, a share of failures
+	shareSpan, crowdFrom                = 30.0, 0.85  // seconds of a share at once; of MaxOpen, some are turned away
 )
 
 const tickTimer TimerID = 0 // the others stand for messages
@@ -91,7 +91,7 @@
 
 type endpoint struct {
 	times
-	standing
+	healthState
 	id                               EndpointID
 	d                                *destination
 	route                            *route
@@ -101,22 +101,22 @@
 	used                             meter
 	toldAt, goodAt, badAt, linkUntil Time
 	listed, probing                  bool
-	cold                             bucket
+	slowStart                        bucket
 	open                             *call
 }
 
-// standing is whether and since when an endpoint is ejected or cold; coldWas is the coldness before.
-type standing struct {
-	ejected, passed                                   bool
-	failAt, ejectedAt, step, tryAt, coldFrom, coldWas Time
+// healthState is whether and since when an endpoint is ejected or cold; coldWas is the coldness before.
+type healthState struct {
+	ejected, probePassed                                                          bool
+	lastFailure, ejectedAt, trialPause, nextTrial, slowStartAt, previousSlowStart Time
 }
 
 // call is one slot: the messages sent to one endpoint in one turn, until all have their outcomes.
 type call struct {
-	e                         *endpoint
-	sentAt                    Time
-	n, left, turn             int
-	lane, judged, lost, fresh bool // fresh: on a new connection
+	e                               *endpoint
+	sentAt                          Time
+	n, left, turn                   int
+	lane, judged, unanswered, fresh bool // fresh: on a new connection
 }
 
 // Sender is one sender's decisions: a method for each thing that happens, then TurnEnd; it acts by its Host.
