--- a/choice/backlog_test.go
+++ b/choice/backlog_test.go
@@ -38,9 +38,9 @@
 func ExampleSender_fullQueue() {
 	d := open(plain())
 	a := d.s.endpoints["a"]
-	a.d.kind.reports, a.limit = true, 4
+	a.d.kind.reportsLimits, a.limit = true, 4
 	d.take(0, 1, "p", "q", "r", "s").run(200*Millisecond).ended(Done, 0, "a", "s").ended(Full, 0, "a", "p", "q")
-	fmt.Println("limit:", a.limit, "pace:", a.route.pace.rate > 1000, "aside:", a.ejected)
+	fmt.Println("limit:", a.limit, "pace:", a.route.limiter.rate > 1000, "aside:", a.ejected)
 	d.ended(Done, 0, "a", "r").take(0, 1, "t", "u").run(100 * Millisecond)
 	// Output:
 	// 0.0     dispatch s to a
@@ -86,7 +86,7 @@
 		set := plain()
 		set.Senders, set.ConnIdle, set.InFlightLimit = 300, 10*Second, 1
 		d := open(set)
-		d.s.byID[1].kind.short = 0.5
+		d.s.byID[1].kind.connectFailShare = 0.5
 		d.links = true
 		if cold {
 			d.s.beginSlowStart(d.s.endpoints["a"], d.clock)
--- a/choice/connections_test.go
+++ b/choice/connections_test.go
@@ -31,7 +31,7 @@
 	d := open(set)
 	d.links = true
 	d.take(0, 1, "p").ended(Done, 0, "a", "p")
-	d.s.kinds[0].short = 0.5
+	d.s.kinds[0].connectFailShare = 0.5
 	d.run(Second).take(0, 1, "r").ended(Done, 0, "a", "r")
 	d.s.endpoints["a"].zone = 1
 	d.take(0, 1, "s").ended(Done, 0, "a", "s")
@@ -78,7 +78,7 @@
 			d.s.Withdrawn(id)
 			d.run(2 * Second)
 		}
-		fmt.Println("pace cut:", d.s.byID[1].route.pace.rate < 100)
+		fmt.Println("pace cut:", d.s.byID[1].route.limiter.rate < 100)
 	}
 	// Output:
 	// 0.0     dispatch first to a
--- a/choice/endpoints_test.go
+++ b/choice/endpoints_test.go
@@ -108,12 +108,12 @@
 			if !r.ready(now) {
 				continue
 			}
-			r.pace.level--
-			r.load.count(now, loadSpan)
-			r.seen++
+			r.limiter.level--
+			r.sent.count(now, loadSpan)
+			r.answered++
 			refused := s.chance.share("x") < noise || limit > 0 && room < 1
 			if refused {
-				s.slowDown(s.byID[1], r)
+				s.adjustRate(s.byID[1], r)
 			} else {
 				room--
 			}
@@ -166,7 +166,7 @@
 		d.take(2, 1, id).ended(Spoilt, 0, "a", id)
 	}
 	fmt.Println("aside:", d.s.endpoints["a"].ejected)
-	d.run(quietFor+tick).take(2, 1, "s").ended(Spoilt, 0, "a", "s")
+	d.run(recentSuccessSpan+tick).take(2, 1, "s").ended(Spoilt, 0, "a", "s")
 	fmt.Println("aside:", d.s.endpoints["a"].ejected)
 	// Output:
 	// 0.0     dispatch p to a
--- a/choice/filter_test.go
+++ b/choice/filter_test.go
@@ -62,7 +62,7 @@
 		set.InFlightLimit = 40
 		d := two(set)
 		d.mute = true
-		d.s.halt(d.s.endpoints["near"], Second, false)
+		d.s.pauseRoute(d.s.endpoints["near"], Second, false)
 		d.s.endpoints["far"].route = newRoute(0) // a route of its own
 		d.s.Taken(Message{ID: "far", Key: NoKey, Destination: 3, Deadline: 6 * Second})
 		for i := range newer {
--- a/choice/intake.go
+++ b/choice/intake.go
@@ -41,7 +41,7 @@
 // earns is worth by how long a message takes up room: behind its key's, waits, an outage as long as so far.
 func (s *Sender) earns(n *message) float64 {
 	waits := func(e *endpoint) Time {
-		return either(e.listed, max(0, e.route.haltUntil-s.now, Time(one(e.ejected))*(s.now-e.ejectedAt)), forever)
+		return either(e.listed, max(0, e.route.pausedUntil-s.now, Time(one(e.ejected))*(s.now-e.ejectedAt)), forever)
 	}
 	out := lowest(n.d.ranked, forever, waits)
 	calls := Time(s.usual(n.d)) * Time(1+n.line.behind(n))
@@ -90,7 +90,7 @@
 	if n.MayRun || n.out != nil {
 		s.h.Fail(n.ID)
 	} else {
-		s.h.Shed(n.ID, min(s.set.LongestReturn, max(s.base, s.haltEnd(n.d)-s.now)))
+		s.h.Shed(n.ID, min(s.set.LongestReturn, max(s.base, s.pauseEnd(n.d)-s.now)))
 	}
 	s.release(n)
 }
@@ -114,7 +114,7 @@
 	}
 }
 
-// haltEnd is when the first endpoint of a destination may be sent something, as far as told waits go.
-func (s *Sender) haltEnd(d *destination) Time {
-	return lowest(d.ranked, max(d.route.haltUntil, s.now), func(e *endpoint) Time { return e.route.haltUntil })
+// pauseEnd is when the first endpoint of a destination may be sent something, as far as told waits go.
+func (s *Sender) pauseEnd(d *destination) Time {
+	return lowest(d.ranked, max(d.route.pausedUntil, s.now), func(e *endpoint) Time { return e.route.pausedUntil })
 }
--- a/choice/known.go
+++ b/choice/known.go
@@ -5,7 +5,7 @@
 // Learnt is what means the same in another life or fleet: what calls take, a limit told, a wait not over.
 func (s *Sender) Learnt(id EndpointID) (l Learnt) {
 	if e := s.endpoints[id]; e != nil {
-		l = Learnt{e.mean, e.dev, e.past, e.seen, e.route.limit, max(0, e.route.haltUntil-s.h.Now())}
+		l = Learnt{e.mean, e.dev, e.past, e.seen, e.route.limit, max(0, e.route.pausedUntil-s.h.Now())}
 	}
 	return l
 }
@@ -19,7 +19,7 @@
 	pinned = d.held > 0 || s.now < d.restUntil
 	for _, e := range d.ranked {
 		calls += e.seen
-		pinned = pinned || e.calls > 0 || e.probing || !e.listed || s.impaired(e) || s.now < e.route.haltUntil
+		pinned = pinned || e.calls > 0 || e.probing || !e.listed || s.impaired(e) || s.now < e.route.pausedUntil
 	}
 	return calls, pinned
 }
--- a/choice/lanes.go
+++ b/choice/lanes.go
@@ -40,7 +40,7 @@
 // again keeps the ordinary path of a retry: capped doubling ceilings, full jitter.
 func (s *Sender) again(n *message) {
 	last := s.lastSend(n)
-	if s.spent(n) || max(s.now+1, s.haltEnd(n.d)) > last {
+	if s.spent(n) || max(s.now+1, s.pauseEnd(n.d)) > last {
 		s.finish(n)
 		return
 	}
--- a/choice/limits_test.go
+++ b/choice/limits_test.go
@@ -37,7 +37,7 @@
 	r := d.s.byID[1].route
 	told := func(id MessageID) {
 		d.take(0, 1, id).ended(Full, 200*Millisecond, "a", id)
-		fmt.Println("halted for", (r.haltUntil-d.clock)/Millisecond, "ms, unpaced", r.pace.rate >= unpaced)
+		fmt.Println("halted for", (r.pausedUntil-d.clock)/Millisecond, "ms, unpaced", r.limiter.rate >= unlimitedRate)
 		d.run(500 * Millisecond)
 	}
 	d.s.endpoints["a"].limit = 8
@@ -78,7 +78,7 @@
 	d.mute = true
 	d.s.ListNews([]Entry{{Endpoint: "b", Destination: 1, Rating: 10}}, false)
 	a, b := d.s.endpoints["a"], d.s.endpoints["b"]
-	r, low := a.route, unpaced
+	r, low := a.route, unlimitedRate
 	to := map[EndpointID]int{}
 	for i := range 2000 {
 		d.run(10 * Millisecond)
@@ -94,7 +94,7 @@
 				}
 			}
 		}
-		low = min(low, r.pace.rate)
+		low = min(low, r.limiter.rate)
 	}
 	d.s.settled(d.s.byID[1])
 	fmt.Println("well:", to["a"] > 10*to["b"], "ranked first:", d.s.byID[1].ranked[0].id, "pace kept:", low >= 90)
@@ -174,13 +174,13 @@
 	for _, rate := range []int{1, 100, 5000} {
 		d := open(plain())
 		r := d.s.byID[1].route
-		r.pace.rate, r.pace.level, r.lastCut = float64(rate)/2, 0, 0
+		r.limiter.rate, r.limiter.level, r.judgedAt = float64(rate)/2, 0, 0
 		now := Time(0)
-		for r.pace.rate < float64(rate) {
+		for r.limiter.rate < float64(rate) {
 			now += Second / Time(2*rate)
 			if r.ready(now) {
-				r.pace.level--
-				r.seen++
+				r.limiter.level--
+				r.answered++
 			}
 		}
 		fmt.Printf("%d a second: back after %.0f s\n", rate, seconds(now))
--- a/choice/purge_test.go
+++ b/choice/purge_test.go
@@ -93,11 +93,11 @@
 		d := open(plain()).take(0, 1, "p").ended(Done, 0, "a", "p")
 		d.s.endpoints["a"].limit = 8
 		d.take(0, 1, "q").s.Ended(Outcome{Message: "q", Endpoint: "a", Result: Full, Wait: 2 * Second, Report: Report{Known: true, Limit: 50}})
-		d.take(0, 1, "r").s.byID[1].route.pace.rate = 1
+		d.take(0, 1, "r").s.byID[1].route.limiter.rate = 1
 		d.s.Void("a", l)
 		d.s.Void("unknown", l)
 		e, r := d.s.endpoints["a"], d.s.byID[1].route
-		fmt.Println(d.s.Learnt("a"), "calls at once:", e.limit, "paced:", r.pace.rate < unpaced, "rated:", r.rating*d.s.ratingPart)
+		fmt.Println(d.s.Learnt("a"), "calls at once:", e.limit, "paced:", r.limiter.rate < unlimitedRate, "rated:", r.rating*d.s.ratingPart)
 		d.run(1500 * Millisecond)
 	}
 	// Output:
--- a/choice/ranks.go
+++ b/choice/ranks.go
@@ -21,7 +21,7 @@
 // settled renews a destination; it tells whether nothing is left to come back for.
 func (s *Sender) settled(d *destination) bool {
 	d.ranked = slices.DeleteFunc(d.ranked, func(e *endpoint) bool {
-		if e.listed || e.calls > 0 || e.probing || s.now < max(e.slowStartAt+s.set.Cold, e.route.haltUntil) {
+		if e.listed || e.calls > 0 || e.probing || s.now < max(e.slowStartAt+s.set.Cold, e.route.pausedUntil) {
 			return false
 		}
 		if s.endpoints[e.id] == e {
@@ -33,7 +33,7 @@
 	slices.SortStableFunc(d.ranked, func(a, b *endpoint) int { return cmp.Compare(s.busy(a), s.busy(b)) })
 	d.stirred = false
 	for _, e := range d.ranked {
-		due := s.now >= max(e.nextTrial, e.route.haltUntil)
+		due := s.now >= max(e.nextTrial, e.route.pausedUntil)
 		if e.ejected && s.probes && !e.probePassed && e.listed && !e.probing && due && s.slowStartReady(e) {
 			e.probing, e.slowStart.level = true, e.slowStart.level-1
 			s.h.Probe(e.id)
@@ -50,7 +50,7 @@
 func (s *Sender) Open(id EndpointID, messages ...MessageID) bool {
 	e, now := s.endpoints[id], s.h.Now()
 	late := func(id MessageID) bool { return now > s.RepeatEnd(id) }
-	return e != nil && e.listed && now >= e.route.haltUntil && !slices.ContainsFunc(messages, late)
+	return e != nil && e.listed && now >= e.route.pausedUntil && !slices.ContainsFunc(messages, late)
 }
 
 // place is where a message may go now, and whether any of its places was barred to it.
@@ -59,8 +59,8 @@
 	w, single := s.class(n), s.class(n).Repeat == SingleUse
 	for _, e := range n.d.ranked {
 		switch {
-		case !e.listed || s.now < e.route.haltUntil || n.MayRun && w.ZoneGroup && e.zone != n.RanIn ||
-			single && e.doubt > 0 && s.now-e.badAt < 2*longestTrialPause && s.now < s.lastSend(n)-quietFor:
+		case !e.listed || s.now < e.route.pausedUntil || n.MayRun && w.ZoneGroup && e.zone != n.RanIn ||
+			single && e.doubt > 0 && s.now-e.badAt < 2*longestTrialPause && s.now < s.lastSend(n)-recentSuccessSpan:
 		case !(n.MayRun && w.ZoneGroup) && !s.h.Allowed(n.ID, e.id): // such a repeat is known in one zone alone
 			barred = true
 		case e.open != nil && e.open.turn == s.turns && !e.ejected && e.open.n < n.d.kind.BundleMax:
@@ -69,10 +69,10 @@
 			n.tries > 0 && s.budget(n.d).fillAt(s.now, 1/seconds(s.cap), float64(s.set.InFlightLimit)) < 1:
 		case e.ejected:
 			due := (e.probePassed || !s.probes) && trial == nil && s.now >= e.nextTrial+Time(one(single))*2*longestTrialPause
-			if due && (s.slowStartReady(e) || s.probes && e.slowStart.rate*s.senders*s.fall > handful) {
+			if due && (s.slowStartReady(e) || s.probes && e.slowStart.rate*s.senders*s.fall > fewCalls) {
 				trial = e
 			}
-		case float64(e.calls) >= e.limit || e.calls >= firstLimit && s.now-e.goodAt >= quietFor: // silent: as new
+		case float64(e.calls) >= e.limit || e.calls >= firstLimit && s.now-e.goodAt >= recentSuccessSpan: // silent: as new
 		case !e.route.ready(s.now) || !s.slowStartReady(e):
 		case n.by == nil || e.bad < n.by.bad: // what refused a message may do so again
 			return e, barred
@@ -95,8 +95,8 @@
 		c = &call{e: e, sentAt: s.now, turn: s.turns, lane: n.refused, fresh: e.calls == 0 && s.now >= e.linkUntil}
 		s.budget(n.d).level -= one(n.tries > 0)
 		n.d.laneOut += int(one(c.lane))
-		e.open, e.calls, e.slowStart.level, e.route.pace.level = c, e.calls+1, e.slowStart.level-1, e.route.pace.level-1
-		e.route.load.count(s.now, s.loadSpan)
+		e.open, e.calls, e.slowStart.level, e.route.limiter.level = c, e.calls+1, e.slowStart.level-1, e.route.limiter.level-1
+		e.route.sent.count(s.now, s.loadSpan)
 		e.probePassed, e.nextTrial = false, s.now+2*e.trialPause // read while it is ejected
 		e.used.count(s.now, loadSpan*Time(s.senders))
 		s.calls = append(s.calls, c)
--- a/choice/retries_test.go
+++ b/choice/retries_test.go
@@ -91,7 +91,7 @@
 	d.take(0, 2, "q")
 	for range 2 {
 		d.ended(Full, 0, "c", "q").run(4 * Second)
-		fmt.Printf("pace: %.3f\n", d.s.byID[2].route.pace.rate)
+		fmt.Printf("pace: %.3f\n", d.s.byID[2].route.limiter.rate)
 	}
 	// Output:
 	// 3050.0  dispatch p to a
--- a/choice/returns.go
+++ b/choice/returns.go
@@ -15,13 +15,13 @@
 }
 
 func (s *Sender) recordFailure(e *endpoint, limit float64) {
-	e.fails, e.route.fails = e.fails+1, e.route.fails+1
+	e.fails, e.route.consecutiveFailures = e.fails+1, e.route.consecutiveFailures+1
 	// One is enough where nothing was answered lately, as a large fleet seldom sees two, and two of a route are
 	// all of it, or each sender would push at every endpoint in turn. Of many calls some fail by chance.
 	used := e.used.read(s.now, loadSpan*Time(s.senders))
-	run := math.Log(chanceEjectionSpan*used) / -math.Log(max(toleratedShare, e.wrong))
-	if e.ejected || e.fails >= max(failuresToEject, int(math.Ceil(run))) || limit == 0 && s.now-e.goodAt > quietFor {
-		all := s.senders > smallFleetSize && e.route.fails >= failuresToEject && s.now-e.route.lastGood > quietFor
+	run := math.Log(chanceEjectionSpan*used) / -math.Log(max(toleratedRejections, e.wrong))
+	if e.ejected || e.fails >= max(failuresToEject, int(math.Ceil(run))) || limit == 0 && s.now-e.goodAt > recentSuccessSpan {
+		all := s.senders > smallFleetSize && e.route.consecutiveFailures >= failuresToEject && s.now-e.route.lastSuccess > recentSuccessSpan
 		for _, other := range e.d.ranked {
 			if other == e || other.route == e.route && !other.ejected && all {
 				s.eject(other)
@@ -37,7 +37,7 @@
 		e.trialPause, e.lastFailure = min(longestTrialPause, 2*e.trialPause), s.now
 	} else {
 		e.ejectedAt, e.lastFailure, e.trialPause, e.previousSlowStart = s.now, s.now, firstTrialPause, e.slowStartAt
-		s.beginSlowStart(e, max(s.now, e.route.haltUntil))
+		s.beginSlowStart(e, max(s.now, e.route.pausedUntil))
 	}
 	e.ejected, e.probePassed, e.nextTrial = true, false, s.now+e.trialPause/2+s.chance.upTo(string(e.id), e.trialPause/2)
 }
@@ -55,7 +55,7 @@
 // on, or each would send twice at its own return; but for few senders, whose parts fill often in a fall span.
 func (s *Sender) beginSlowStart(e *endpoint, from Time) {
 	level := 1 - s.chance.share(string(e.id))*max(0, 1-2/s.senders)
-	if s.impaired(e) && (s.senders > smallFleetSize || e.slowStart.rate*s.fall <= handful) {
+	if s.impaired(e) && (s.senders > smallFleetSize || e.slowStart.rate*s.fall <= fewCalls) {
 		level = min(level, e.slowStart.level) // nor may what piled up leave in one moment, as a told wait ends
 	}
 	e.limit, e.mean, e.slowStartAt, e.slowStart = firstLimit, e.past, from, bucket{e.slowStart.rate, level, max(from, s.now)}
@@ -71,10 +71,10 @@
 	ends := 1 + one(e.route == e.d.route)*float64(len(e.d.ranked)-1)
 	cold := max(1, s.set.Cold)
 	warm := s.set.ColdFrom + one(!e.ejected)*(1-s.set.ColdFrom)*float64(s.now-e.slowStartAt)/float64(cold)
-	told := min(unpaced, max(e.route.limit, e.route.rating*s.ratingPart*s.senders))
+	told := min(unlimitedRate, max(e.route.limit, e.route.rating*s.ratingPart*s.senders))
 	// Where it is not known what it takes, less would keep a large fleet away.
 	floor := either(told*s.set.FallMultiple == 0, slowStartFloor/seconds(cold)/ends, 0)
-	share := s.slowStartMean(s.set.FallMultiple*warm*max(leastPace, told)/ends*s.fall) / s.fall / s.senders
+	share := s.slowStartMean(s.set.FallMultiple*warm*max(minFleetRate, told)/ends*s.fall) / s.fall / s.senders
 	e.slowStart.rate = max(floor, share)
 	return e.slowStart.fill(s.now, 1) >= 1
 }
@@ -83,10 +83,10 @@
 // allowed. It falls beyond n + 2 root n + 2. Few senders stay below with all buckets full; a fleet, coldLuck
 // deviations below, if it acts by chance, not in step. Harm: if few of it have calls, returns are seen late.
 func (s *Sender) slowStartMean(n float64) float64 {
-	n = min(max(0, n), unpaced*s.fall)
+	n = min(max(0, n), unlimitedRate*s.fall)
 	most, many := n+2*math.Sqrt(n)+2, one(s.senders > smallFleetSize)
-	sure := min(most, max(handful+s.senders, slowStartShare*n)) - s.senders
-	return min(slowStartShare*max(n, 1/handful), max(sure, min(handful+many*n, meanBelow(most, slowStartDeviations))))
+	sure := min(most, max(fewCalls+s.senders, slowStartShare*n)) - s.senders
+	return min(slowStartShare*max(n, 1/fewCalls), max(sure, min(fewCalls+many*n, meanBelow(most, slowStartDeviations))))
 }
 
 func (s *Sender) Probed(id EndpointID, result Result) {
--- a/choice/returns_test.go
+++ b/choice/returns_test.go
@@ -129,9 +129,9 @@
 		s := &Sender{senders: senders, fall: 1.5}
 		last := 0.0
 		for _, n := range []float64{math.Inf(-1), -1, 0, 0.01, 0.3, 1, 4, 10, 30, 100, 1e4, 1e9, math.Inf(1)} {
-			mean, in := s.slowStartMean(n), min(max(0, n), unpaced*1.5)
+			mean, in := s.slowStartMean(n), min(max(0, n), unlimitedRate*1.5)
 			most := in + 2*math.Sqrt(in) + 2
-			if !(mean > 0 && mean >= last && mean <= slowStartShare*max(in, 1/handful)) {
+			if !(mean > 0 && mean >= last && mean <= slowStartShare*max(in, 1/fewCalls)) {
 				t.Errorf("%v senders, %v allowed: %v on average", senders, n, mean)
 			}
 			if mean+senders > most+1e-9 && mean+slowStartDeviations*math.Sqrt(mean) > most*(1+1e-9) {
--- a/choice/start.go
+++ b/choice/start.go
@@ -26,7 +26,7 @@
 	s.prior = max(1, priorShare*shortest)
 	for i, k := range set.Kinds {
 		if i == len(s.kinds) {
-			s.kinds = append(s.kinds, &kind{wait: usedUpFor, again: bucket{level: float64(s.laneMax), at: s.now}})
+			s.kinds = append(s.kinds, &kind{usualWait: defaultLimitWait, again: bucket{level: float64(s.laneMax), at: s.now}})
 		}
 		s.kinds[i].Kind = k
 	}
@@ -70,7 +70,7 @@
 }
 
 func (s *Sender) join(d *destination, entry Entry) *endpoint {
-	e := &endpoint{id: entry.Endpoint, d: d, toldAt: -quietFor, healthState: healthState{slowStartAt: -forever / 2},
+	e := &endpoint{id: entry.Endpoint, d: d, toldAt: -recentSuccessSpan, healthState: healthState{slowStartAt: -forever / 2},
 		route: either(d.kind.Apart, newRoute(s.now), d.route)}
 	s.recall(e, entry.Learnt)
 	for _, other := range d.ranked {
@@ -103,14 +103,16 @@
 	}
 }
 
-func newRoute(now Time) *route { return &route{pace: bucket{unpaced, unpaced, now}, lastCut: now} }
+func newRoute(now Time) *route {
+	return &route{limiter: bucket{unlimitedRate, unlimitedRate, now}, judgedAt: now}
+}
 
 // recall has an endpoint stand as one of which nothing is known but what another life tells.
 func (s *Sender) recall(e *endpoint, l *Learnt) {
 	e.times, e.limit = even(s.prior), firstLimit
 	if l != nil {
 		e.times = either(l.Seen > 0, times{l.Mean, l.Dev, l.Past, l.Seen}, e.times)
-		e.route.limit, e.route.haltUntil = l.Limit, max(e.route.haltUntil, s.now+l.Wait)
+		e.route.limit, e.route.pausedUntil = l.Limit, max(e.route.pausedUntil, s.now+l.Wait)
 	}
 }
 
@@ -124,7 +126,7 @@
 		s.recall(e, l)
 		e.fails, e.wrong, e.bad, e.asked, e.full, e.goodAt, e.route.rating = 0, 0, 0, 0, 0, 0, was.rating
 		if s.stir(e.d); s.impaired(e) || e.route == e.d.route && slices.ContainsFunc(e.d.ranked, s.impaired) {
-			e.route.limit, e.route.fails, e.route.haltUntil = 0, was.fails, max(e.route.haltUntil, was.haltUntil)
+			e.route.limit, e.route.consecutiveFailures, e.route.pausedUntil = 0, was.consecutiveFailures, max(e.route.pausedUntil, was.pausedUntil)
 		}
 	}
 }
--- a/choice/tables.go
+++ b/choice/tables.go
@@ -7,23 +7,23 @@
 const (
 	firstTrialPause, longestTrialPause = 300 * Millisecond, 2 * Second    // pauses before trials: first, longest
 	loadSpan, fleetLoadSpan            = 2 * Second, 5 * Second           // of means of sends
-	quietFor, crowdedFor               = 2 * Second, Second / 2           // done lately; so lately that the queue is full
-	longWait, lastGuess                = 2500 * Millisecond, 8 * Second   // told by the shut, above; longest one guessed
+	recentSuccessSpan, fullQueueSpan   = 2 * Second, Second / 2           // done lately; so lately that the queue is full
+	longRetryAfter, longestGuessedWait = 2500 * Millisecond, 8 * Second   // told by the shut, above; longest one guessed
 	tick, blinkSpan                    = 50 * Millisecond, 3 * Second / 2 // between answers, too short for a cold start
-	usedUpFor                          = 500 * Millisecond                // rest of a used-up route, until waits are told
+	defaultLimitWait                   = 500 * Millisecond                // rest of a used-up route, until waits are told
 
 	baseShare, capShare                 = 0.25, 2.0   // retry ceilings, in shortest contract times
 	meanWeight, pastWeight              = 0.125, 0.02 // weights of a new time in the mean, in the past
 	patience, finalPatience             = 10.0, 4.0   // spreads above the mean; times longer where a time-out is final
 	priorShare, firstLimit              = 0.5, 2.0    // before any call: its time in contract times; calls out at once
 	failuresToEject, chanceEjectionSpan = 2, 60       // failures in a row, at least; seconds between ejections by chance
-	refusedRun, doubtRun                = 2, 6        // refusals in a row; calls done before single-use messages go again
-	usedUp, toleratedShare              = 0.3, 0.02   // of an allowance left, explains a refusal; refused, the price of room
-	mostNoise, noiseTold                = 0.25, 3.0   // share refused whatever the load; deviations that tell it
-	nearLoad, topFor                    = 0.95, 10.0  // share that still counts as the same; seconds a load is kept
-	leastPace, unpaced                  = 0.6, 1e6    // calls a second: of all senders together; while no limit was met
-	paceCut, paceGrow                   = 0.5, 0.05   // to which part at least, half beyond a handful; growth a second
-	callsToJudge, handful               = 16, 4.0     // under so many, a refusal is a limit's; calls that fell nothing
+	rejectionRun, doubtRun              = 2, 6        // refusals in a row; calls done before single-use messages go again
+	exhaustedShare, toleratedRejections = 0.3, 0.02   // of an allowance left, explains a refusal; refused, the price of room
+	maxNoiseShare, noiseDeviations      = 0.25, 3.0   // share refused whatever the load; deviations that tell it
+	sameLoadShare, peakLoadFade         = 0.95, 10.0  // share that still counts as the same; seconds a load is kept
+	minFleetRate, unlimitedRate         = 0.6, 1e6    // calls a second: of all senders together; while no limit was met
+	rateCutShare, rateGrowth            = 0.5, 0.05   // to which part at least, half beyond a handful; growth a second
+	answersToJudge, fewCalls            = 16, 4.0     // under so many, a refusal is a limit's; calls that fell nothing
 	slowStartFloor, slowStartShare      = 1.0, 1.2    // calls a cold time where nothing is known; times the part that is
 	lookPast, slowStartDeviations       = 16, 2.5     // messages looked at where places are barred; deviations to chance
 	smallFleetSize, laneShare           = 8, 4        // senders up to which each probes at all; slots to one of a lane
@@ -71,22 +71,22 @@
 // kind is what is known of all destinations that the list calls alike.
 type kind struct {
 	Kind
-	times           // of all calls there, for endpoints where none was done yet
-	reports bool    // its answers tell of limits, so that a refusal without one is no limit's
-	again   bucket  // likewise
-	wait    Time    // what used-up routes usually tell to wait
-	short   float64 // share of late connections that failed
+	times                    // of all calls there, for endpoints where none was done yet
+	reportsLimits    bool    // its answers tell of limits, so that a refusal without one is no limit's
+	again            bucket  // likewise
+	usualWait        Time    // what used-up routes usually tell to wait
+	connectFailShare float64 // share of late connections that failed
 }
 
 // route is what limits, waits and returns count for: a destination, or an endpoint that is a route apart.
 type route struct {
-	pace                                             bucket
-	load, good                                       meter // own calls sent, and done
-	rating, limit, peak                              float64
-	seen, full, top                                  float64 // since slowDown judged; highest load
-	wasShare, wasLoad, wasSeen, noise                float64 // of the last other load; what stays
-	haltUntil, lastGood, lastCut, guess, metAt, rest Time
-	fails, run                                       int // failures and refusals since something was done
+	limiter                                                                 bucket
+	sent, succeeded                                                         meter // own calls sent, and done
+	rating, limit, peakSuccessRate                                          float64
+	answered, rejected, peakLoad                                            float64 // since slowDown judged; highest load
+	previousShare, previousLoad, previousAnswered, noiseShare               float64 // of the last other load; what stays
+	pausedUntil, lastSuccess, judgedAt, guessedWait, limitMetAt, limitPause Time
+	consecutiveFailures, consecutiveRejections                              int // failures and refusals since something was done
 }
 
 type endpoint struct {
