--- a/choice/answers.go
+++ b/choice/answers.go
@@ -3,34 +3,34 @@
 // How calls end and what is learnt of it.
 
 func (s *Sender) Ended(o Outcome) {
-	n := s.held[o.Message]
-	if s.now = s.h.Now(); n == nil || n.out == nil || o.Attempt != n.tries-1 {
+	n := s.messages[o.Message]
+	if s.now = s.h.Now(); n == nil || n.inFlight == nil || o.Attempt != n.attempts-1 {
 		return
 	}
-	c := n.out
-	n.refused, n.by, n.out = o.Result == Full, c.e, nil
+	c := n.inFlight
+	n.rejected, n.lastEndpoint, n.inFlight = o.Result == Full, c.endpoint, nil
 	if !c.judged && o.Result != Moot && o.Result != Cancelled { // these tell nothing of the endpoint
 		c.judged = true
 		s.learn(c, o)
 	} else if o.Wait > 0 {
-		s.pauseRoute(c.e, o.Wait, false) // those of one call may be told one by one, and it counts from the last
+		s.pauseRoute(c.endpoint, o.Wait, false) // those of one call may be told one by one, and it counts from the last
 	}
-	if c.left--; c.left == 0 {
-		c.e.calls, c.e.linkUntil, n.d.laneOut = c.e.calls-1, s.now+s.set.ConnIdle, n.d.laneOut-int(one(c.lane))
-		s.spare(c.e)
+	if c.pending--; c.pending == 0 {
+		c.endpoint.calls, c.endpoint.linkUntil, n.destination.rejectedRetriesOut = c.endpoint.calls-1, s.now+s.set.ConnIdle, n.destination.rejectedRetriesOut-int(one(c.rejectedRetry))
+		s.spare(c.endpoint)
 		s.calls = without(s.calls, c)
 	}
 	runs := o.Result == TimedOut || o.Result == Reset || o.Result == Cancelled // it may, still
 	if !n.MayRun && (runs || o.Result == Errored || o.Result == Spoilt) {
-		n.MayRun, n.RanAt, n.RanIn = true, c.sentAt, c.e.zone
+		n.MayRun, n.RanAt, n.RanIn = true, c.sentAt, c.endpoint.zone
 	}
-	if runs && n.line != nil {
-		n.line.restUntil = s.now + s.set.KeyRest
+	if runs && n.keyQueue != nil {
+		n.keyQueue.pausedUntil = s.now + s.set.KeyRest
 	}
-	if n.over = n.over || o.Final; n.over {
+	if n.ended = n.ended || o.Final; n.ended {
 		s.release(n)
 	} else {
-		s.again(n)
+		s.scheduleRetry(n)
 	}
 }
 
@@ -38,7 +38,7 @@
 // connections of their kind fail, the oftener one must be used to stay.
 func (s *Sender) spare(e *endpoint) {
 	use := e.used.read(s.now, loadSpan*Time(s.senders)) * seconds(s.set.ConnIdle)
-	idle := e.calls == 0 && (e.d.waiting == 0 || !e.route.ready(s.now) || !s.slowStartReady(e))
+	idle := e.calls == 0 && (e.d.queued == 0 || !e.route.ready(s.now) || !s.slowStartReady(e))
 	if idle && use < closeMore*e.d.kind.connectFailShare {
 		s.h.CloseIdle(e.id)
 		e.linkUntil = s.now
@@ -55,8 +55,8 @@
 }
 
 func (s *Sender) learn(c *call, o Outcome) {
-	e, r, full := c.e, c.e.route, one(o.Result == Full)
-	if s.stir(e.d); o.Report.Known {
+	e, r, full := c.endpoint, c.endpoint.route, one(o.Result == Full)
+	if s.markDirty(e.d); o.Report.Known {
 		r.limit, e.d.kind.reportsLimits = o.Report.Limit, true
 	}
 	r.answered, e.asked, e.full, e.bad = r.answered+1, e.asked+1, e.full+full, e.bad+meanWeight*(full-e.bad)
@@ -66,8 +66,8 @@
 	case Done:
 		e.measure(float64(o.Took), meanWeight, pastWeight)
 		e.d.kind.measure(float64(o.Took), meanWeight, pastWeight)
-		e.d.kind.connectFailShare *= 1 - meanWeight*one(c.fresh)
-		s.budget(e.d).level += either(s.notes, notedPay, 1)
+		e.d.kind.connectFailShare *= 1 - meanWeight*one(c.newConnection)
+		s.retryBudget(e.d).level += either(s.notes, kindRetryCredit, 1)
 		r.succeeded.count(s.now, loadSpan*Time(s.senders))
 		r.peakSuccessRate, r.consecutiveFailures, r.consecutiveRejections, r.guessedWait, e.fails, e.doubt = max(r.peakSuccessRate, r.succeeded.rate), 0, 0, 0, 0, max(0, e.doubt-1)
 		r.limiter.rate = max(r.limiter.rate, r.limit/s.senders*one(o.Report.Left > exhaustedShare)) // it has filled up again
@@ -93,7 +93,7 @@
 			e.d.kind.connectFailShare += meanWeight * (1 - e.d.kind.connectFailShare)
 			s.sendNote(e, 0)
 		}
-		if float64(s.now-c.sentAt) >= 2*s.prior || s.now < s.held[o.Message].Deadline-2*s.turn { // else cut short
+		if float64(s.now-c.sentAt) >= 2*s.prior || s.now < s.messages[o.Message].Deadline-2*s.turn { // else cut short
 			s.noteUnanswered(c)
 		}
 	}
--- a/choice/backlog_test.go
+++ b/choice/backlog_test.go
@@ -9,7 +9,7 @@
 	d := open(plain()).take(3, 2, "first", "second", "third").ended(Done, 0, "c", "first")
 	d.run(100*Millisecond).ended(TimedOut, 0, "c", "second").run(400*Millisecond).ended(Done, 0, "c", "second")
 	d.run(2*Second).ended(Done, 0, "c", "third")
-	fmt.Println(len(d.s.lines), "keys")
+	fmt.Println(len(d.s.keyQueues), "keys")
 	// Output:
 	// 0.0     dispatch first to c
 	// 0.0     dispatch second to c
@@ -27,7 +27,7 @@
 	d.s.Probed("unknown", Done)
 	d.s.TimerDue(999)
 	d.run(7 * Second)
-	fmt.Println(len(d.s.held), "held", len(d.s.alarms.of), "timers", len(d.s.calls), "calls")
+	fmt.Println(len(d.s.messages), "held", len(d.s.timers.pending), "timers", len(d.s.calls), "calls")
 	// Output:
 	// 0.0     dispatch p to a
 	// 0 held 0 timers 0 calls
@@ -68,12 +68,12 @@
 	d.clock = 3 * Second
 	take("new", 5, 1)
 	queued := 0
-	for _, l := range d.s.byID[1].queues {
+	for _, l := range d.s.destinations[1].queues {
 		for elem := l.Front(); elem != nil; elem = elem.Next() {
 			queued += int(one(elem.Value.(*message).ID == "new"))
 		}
 	}
-	fmt.Println("in queues", queued, "waiting", d.s.byID[1].waiting)
+	fmt.Println("in queues", queued, "waiting", d.s.destinations[1].queued)
 	// Output:
 	// 3000.0  shed old
 	// in queues 1 waiting 9
@@ -86,7 +86,7 @@
 		set := plain()
 		set.Senders, set.ConnIdle, set.InFlightLimit = 300, 10*Second, 1
 		d := open(set)
-		d.s.byID[1].kind.connectFailShare = 0.5
+		d.s.destinations[1].kind.connectFailShare = 0.5
 		d.links = true
 		if cold {
 			d.s.beginSlowStart(d.s.endpoints["a"], d.clock)
--- a/choice/bookkeeping.go
+++ b/choice/bookkeeping.go
@@ -13,11 +13,11 @@
 // what was refused.
 const retryQueues = 2
 
-// queueOf is the queue of its destination that a message belongs to; a row of them grows as they are used.
-func (d *destination) queueOf(n *message) *list.List {
+// queueFor is the queue of its destination that a message belongs to; a row of them grows as they are used.
+func (d *destination) queueFor(n *message) *list.List {
 	i := retryQueues + int(n.Class)
-	if n.tries > 0 {
-		i = int(one(n.refused))
+	if n.attempts > 0 {
+		i = int(one(n.rejected))
 	}
 	for len(d.queues) <= i {
 		d.queues = append(d.queues, list.New())
@@ -25,8 +25,8 @@
 	return d.queues[i]
 }
 
-// sharing are the endpoints of a destination that are one route.
-func (d *destination) sharing(r *route) iter.Seq[*endpoint] {
+// endpointsOf are the endpoints of a destination that are one route.
+func (d *destination) endpointsOf(r *route) iter.Seq[*endpoint] {
 	return func(yield func(*endpoint) bool) {
 		for _, e := range d.ranked {
 			if e.route == r && !yield(e) {
@@ -36,42 +36,42 @@
 	}
 }
 
-// behind is how many of its key are ahead of a message; none without a key.
-func (l *keyLine) behind(n *message) int {
+// position is how many of its key are ahead of a message; none without a key.
+func (l *keyQueue) position(n *message) int {
 	if l == nil {
 		return 0
 	}
 	return slices.Index(l.messages, n)
 }
 
-// alarms are the timers that stand for messages.
-type alarms struct {
-	last TimerID
-	of   map[TimerID]*message // each leaves as it fires, or its message is released
+// messageTimers are the timers that stand for messages.
+type messageTimers struct {
+	last    TimerID
+	pending map[TimerID]*message // each leaves as it fires, or its message is released
 }
 
-func (a *alarms) add(n *message) TimerID {
+func (a *messageTimers) add(n *message) TimerID {
 	a.last++
-	a.of[a.last] = n
-	n.wakes = append(n.wakes, a.last)
+	a.pending[a.last] = n
+	n.timers = append(n.timers, a.last)
 	return a.last
 }
 
-// fired is whose timer it was; nil where that is over.
-func (a *alarms) fired(id TimerID) *message {
-	n := a.of[id]
+// takeFired is whose timer it was; nil where that is over.
+func (a *messageTimers) takeFired(id TimerID) *message {
+	n := a.pending[id]
 	if n != nil {
-		n.wakes = without(n.wakes, id)
+		n.timers = without(n.timers, id)
 	}
-	delete(a.of, id)
+	delete(a.pending, id)
 	return n
 }
 
 // clear forgets what a message still waits for.
-func (a *alarms) clear(n *message, forget func(TimerID)) {
-	for _, id := range n.wakes {
-		delete(a.of, id)
+func (a *messageTimers) clear(n *message, forget func(TimerID)) {
+	for _, id := range n.timers {
+		delete(a.pending, id)
 		forget(id)
 	}
-	n.wakes = nil
+	n.timers = nil
 }
--- a/choice/capacity_test.go
+++ b/choice/capacity_test.go
@@ -96,8 +96,8 @@
 		s := Start(&silentHost{}, "s", 7, capacitySettings(1000))
 		s.ListNews(capacityList(n, Ready), true)
 		for b.Loop() {
-			for _, d := range s.byID {
-				s.stir(d)
+			for _, d := range s.destinations {
+				s.markDirty(d)
 			}
 			s.TimerDue(tickTimer)
 		}
@@ -169,8 +169,8 @@
 			s.TurnEnd()
 			s.Ended(Outcome{Message: one.ID, Endpoint: "well", Took: 20 * Millisecond, Result: Done, Final: true})
 		}
-		if len(s.held) != 4*n {
-			b.Fatalf("%d held, not %d: the one was not delivered", len(s.held), 4*n)
+		if len(s.messages) != 4*n {
+			b.Fatalf("%d held, not %d: the one was not delivered", len(s.messages), 4*n)
 		}
 	})
 }
--- a/choice/configure_test.go
+++ b/choice/configure_test.go
@@ -167,7 +167,7 @@
 				if coming := int(townOpen / townGap); len(w.ends) < coming {
 					t.Errorf("%d answers for %d notices", len(w.ends), coming)
 				}
-				if left := len(w.s.held) + len(w.s.calls) + len(w.s.alarms.of) + len(w.s.lines) + len(w.s.waiting); left > 0 {
+				if left := len(w.s.messages) + len(w.s.calls) + len(w.s.timers.pending) + len(w.s.keyQueues) + len(w.s.withQueued); left > 0 {
 					t.Errorf("%d left behind", left)
 				}
 				if dispatched := strings.Count(strings.Join(w.trace, "\n"), "dispatch"); dispatched < 100 {
--- a/choice/connections_test.go
+++ b/choice/connections_test.go
@@ -78,7 +78,7 @@
 			d.s.Withdrawn(id)
 			d.run(2 * Second)
 		}
-		fmt.Println("pace cut:", d.s.byID[1].route.limiter.rate < 100)
+		fmt.Println("pace cut:", d.s.destinations[1].route.limiter.rate < 100)
 	}
 	// Output:
 	// 0.0     dispatch first to a
--- a/choice/earlier_test.go
+++ b/choice/earlier_test.go
@@ -12,13 +12,13 @@
 		d.s.Taken(Message{ID: MessageID(fmt.Sprint("old", i)), Key: NoKey, Destination: 2, Deadline: d.clock + 3*Second, Span: 6 * Second})
 	}
 	d.take(2, 1, "new")
-	fmt.Println("held:", len(d.s.held))
-	for _, n := range d.s.held {
-		n.tries = 1
+	fmt.Println("held:", len(d.s.messages))
+	for _, n := range d.s.messages {
+		n.attempts = 1
 	}
 	d.mute = true
 	d.take(2, 1, "new")
-	fmt.Println("held:", len(d.s.held))
+	fmt.Println("held:", len(d.s.messages))
 	// Output:
 	// 0.0     shed new
 	// held: 25
--- a/choice/endpoints_test.go
+++ b/choice/endpoints_test.go
@@ -99,7 +99,7 @@
 func ExampleSender_slowDown() {
 	play := func(what string, offered int, noise, limit float64) {
 		d := open(plain())
-		s, r := d.s, d.s.byID[1].route
+		s, r := d.s, d.s.destinations[1].route
 		room, sent, full, late := 0.0, 0, 0, 60*Second
 		for i := range offered * 60 {
 			now := Time(i) * Second / Time(offered)
@@ -113,7 +113,7 @@
 			r.answered++
 			refused := s.chance.share("x") < noise || limit > 0 && room < 1
 			if refused {
-				s.adjustRate(s.byID[1], r)
+				s.adjustRate(s.destinations[1], r)
 			} else {
 				room--
 			}
@@ -202,7 +202,7 @@
 	set := plain()
 	set.MaxOpen = 6
 	d := open(set).take(0, 9, "p", "q", "r", "s", "t").take(0, 2, "healthy", "too")
-	fmt.Println(len(d.s.held), "held")
+	fmt.Println(len(d.s.messages), "held")
 	// Output:
 	// 0.0     shed p
 	// 0.0     shed q
--- a/choice/filter_test.go
+++ b/choice/filter_test.go
@@ -57,7 +57,7 @@
 // However many newer ones wait that may only go where no room is, one behind them goes where it may; past a bound it
 // waits until some of them are over.
 func ExampleSender_allowedBehind() {
-	for _, newer := range []int{lookPast - 1, lookPast} {
+	for _, newer := range []int{barredScanLimit - 1, barredScanLimit} {
 		set := plain()
 		set.InFlightLimit = 40
 		d := two(set)
--- a/choice/intake.go
+++ b/choice/intake.go
@@ -6,72 +6,72 @@
 
 func (s *Sender) Taken(in Message) {
 	s.now = s.h.Now()
-	n := &message{Message: in, d: s.destination(in.Destination)}
-	n.born = in.Deadline - s.class(n).Deadline
+	n := &message{Message: in, destination: s.ensureDestination(in.Destination)}
+	n.acceptedAt = in.Deadline - s.class(n).Deadline
 	if a := int(in.Account); a >= 0 && a < len(s.shares) {
-		n.past = !s.shares[a].take(s.now, s.set.Quotas[a]/s.senders, shareSpan)
+		n.overQuota = !s.shares[a].take(s.now, s.set.Quotas[a]/s.senders, quotaBurst)
 	}
-	s.held[n.ID], n.d.held = n, n.d.held+1
+	s.messages[n.ID], n.destination.openMessages = n, n.destination.openMessages+1
 	if s.class(n).ByArrival && n.Key != NoKey {
-		n.line = ensure(s.lines, n.Key)
-		n.line.messages = append(n.line.messages, n)
+		n.keyQueue = ensure(s.keyQueues, n.Key)
+		n.keyQueue.messages = append(n.keyQueue.messages, n)
 		if n.MayRun {
-			n.line.restUntil = s.now + s.set.KeyRest // a call of an earlier life may still run
-			s.wake(n, n.line.restUntil)
+			n.keyQueue.pausedUntil = s.now + s.set.KeyRest // a call of an earlier life may still run
+			s.setTimer(n, n.keyQueue.pausedUntil)
 		}
 	}
-	if s.spent(n) {
-		s.finish(n)
-	} else if s.keepRoom(n); !n.over {
-		s.wake(n, s.lastSend(n)+1)
-		s.queue(n)
+	if s.exhausted(n) {
+		s.endUndelivered(n)
+	} else if s.limitBacklog(n); !n.ended {
+		s.setTimer(n, s.lastAttemptAt(n)+1)
+		s.enqueue(n)
 	}
 }
 
-// keepRoom turns away by chance, below MaxOpen, what earns least for room and time; nothing owed and untried.
-func (s *Sender) keepRoom(n *message) {
-	p := (float64(len(s.held))/float64(s.set.MaxOpen) - crowdFrom) / (1 - crowdFrom)
-	if p <= 0 || n.Span > 0 || s.chance.share(string(n.ID)) >= p*(2-s.value(n)/s.topValue) {
+// limitBacklog turns away by chance, below MaxOpen, what earns least for room and time; nothing owed and untried.
+func (s *Sender) limitBacklog(n *message) {
+	p := (float64(len(s.messages))/float64(s.set.MaxOpen) - shedFromShare) / (1 - shedFromShare)
+	if p <= 0 || n.Span > 0 || s.chance.share(string(n.ID)) >= p*(2-s.fullValue(n)/s.topValue) {
 		return
 	}
-	mayGo := func(v *message) bool { return v.out == nil && (v.Span == 0 || v.tries > 0) }
-	s.finish(least(s.held, mayGo, s.earns))
+	mayGo := func(v *message) bool { return v.inFlight == nil && (v.Span == 0 || v.attempts > 0) }
+	s.endUndelivered(least(s.messages, mayGo, s.valuePerTime))
 }
 
-// earns is worth by how long a message takes up room: behind its key's, waits, an outage as long as so far.
-func (s *Sender) earns(n *message) float64 {
+// valuePerTime is worth by how long a message takes up room: behind its key's, waits, an outage as long as so far.
+func (s *Sender) valuePerTime(n *message) float64 {
 	waits := func(e *endpoint) Time {
 		return either(e.listed, max(0, e.route.pausedUntil-s.now, Time(one(e.ejected))*(s.now-e.ejectedAt)), forever)
 	}
-	out := lowest(n.d.ranked, forever, waits)
-	calls := Time(s.usual(n.d)) * Time(1+n.line.behind(n))
-	needs := calls + max(n.dueAt-s.now, min(out, n.Deadline-s.now), 1)
-	return s.worth(n, needs) / float64(needs)
+	out := lowest(n.destination.ranked, forever, waits)
+	calls := Time(s.usualCallTime(n.destination)) * Time(1+n.keyQueue.position(n))
+	needs := calls + max(n.retryAt-s.now, min(out, n.Deadline-s.now), 1)
+	return s.valueAfter(n, needs) / float64(needs)
 }
 
-// spent tells whether a message may not be sent any more.
-func (s *Sender) spent(n *message) bool {
-	tried := n.tries > 0 && n.tries >= s.set.MaxAttempts || n.MayRun && s.class(n).Repeat == SingleUse
-	return tried || s.now > s.lastSend(n)
+// exhausted tells whether a message may not be sent any more.
+func (s *Sender) exhausted(n *message) bool {
+	tried := n.attempts > 0 && n.attempts >= s.set.MaxAttempts || n.MayRun && s.class(n).Repeat == SingleUse
+	return tried || s.now > s.lastAttemptAt(n)
 }
 
-func (s *Sender) wake(n *message, at Time) { s.h.Timer(max(1, at-s.now), s.alarms.add(n)) }
+func (s *Sender) setTimer(n *message, at Time) { s.h.Timer(max(1, at-s.now), s.timers.add(n)) }
 
 // RepeatEnd is until when a message may leave as a repeat: where it ran it must still be known. Else forever.
 func (s *Sender) RepeatEnd(id MessageID) Time {
-	n := s.held[id]
+	n := s.messages[id]
 	if n == nil || !n.MayRun || s.class(n).Repeat != Keyed {
 		return forever
 	}
 	return n.RanAt + s.class(n).RepeatWindow - s.turn
 }
 
-// lastSend is the last time at which an attempt has room for one usual call.
-func (s *Sender) lastSend(n *message) Time {
-	return min(n.Deadline-ceil(min(s.usual(n.d), float64(n.life())/4))-2*s.turn, s.RepeatEnd(n.ID))
+// lastAttemptAt is the last time at which an attempt has room for one usual call.
+func (s *Sender) lastAttemptAt(n *message) Time {
+	return min(n.Deadline-ceil(min(s.usualCallTime(n.destination), float64(n.lifetime())/4))-2*s.turn, s.RepeatEnd(n.ID))
 }
 
-func (s *Sender) usual(d *destination) float64 {
+func (s *Sender) usualCallTime(d *destination) float64 {
 	if i := slices.IndexFunc(d.ranked, func(e *endpoint) bool { return e.listed && !e.ejected }); i >= 0 {
 		return d.ranked[i].mean
 	}
@@ -80,37 +80,37 @@
 
 // Withdrawn ends a message without an answer. It is not sent again; where it is out its outcome counts.
 func (s *Sender) Withdrawn(id MessageID) {
-	if s.now = s.h.Now(); s.held[id] != nil {
-		s.release(s.held[id])
+	if s.now = s.h.Now(); s.messages[id] != nil {
+		s.release(s.messages[id])
 	}
 }
 
-// finish answers a message: shed where every attempt is proven never to have run, else given up.
-func (s *Sender) finish(n *message) {
-	if n.MayRun || n.out != nil {
+// endUndelivered answers a message: shed where every attempt is proven never to have run, else given up.
+func (s *Sender) endUndelivered(n *message) {
+	if n.MayRun || n.inFlight != nil {
 		s.h.Fail(n.ID)
 	} else {
-		s.h.Shed(n.ID, min(s.set.LongestReturn, max(s.base, s.pauseEnd(n.d)-s.now)))
+		s.h.Shed(n.ID, min(s.set.LongestReturn, max(s.base, s.pauseEnd(n.destination)-s.now)))
 	}
 	s.release(n)
 }
 
 func (s *Sender) release(n *message) {
-	n.over = true
-	if s.unqueue(n); n.out != nil {
+	n.ended = true
+	if s.dequeue(n); n.inFlight != nil {
 		return
 	}
-	delete(s.held, n.ID)
-	s.alarms.clear(n, s.h.Forget)
-	n.d.held--
-	s.stir(n.d)
-	if line := n.line; line != nil {
+	delete(s.messages, n.ID)
+	s.timers.clear(n, s.h.Forget)
+	n.destination.openMessages--
+	s.markDirty(n.destination)
+	if line := n.keyQueue; line != nil {
 		line.messages = without(line.messages, n)
-		if s.now < line.restUntil {
-			s.wake(n, line.restUntil)
-			n.d.restUntil = max(n.d.restUntil, line.restUntil)
+		if s.now < line.pausedUntil {
+			s.setTimer(n, line.pausedUntil)
+			n.destination.keysPausedUntil = max(n.destination.keysPausedUntil, line.pausedUntil)
 		}
-		s.advance(n)
+		s.advanceKey(n)
 	}
 }
 
--- a/choice/known.go
+++ b/choice/known.go
@@ -12,11 +12,11 @@
 
 // Holds tells how many answers rest on a destination, and whether anything there is open, out, cold or waits.
 func (s *Sender) Holds(id DestinationID) (calls float64, pinned bool) {
-	d := s.byID[id]
+	d := s.destinations[id]
 	if s.now = s.h.Now(); d == nil {
 		return 0, false
 	}
-	pinned = d.held > 0 || s.now < d.restUntil
+	pinned = d.openMessages > 0 || s.now < d.keysPausedUntil
 	for _, e := range d.ranked {
 		calls += e.seen
 		pinned = pinned || e.calls > 0 || e.probing || !e.listed || s.impaired(e) || s.now < e.route.pausedUntil
--- a/choice/limits_test.go
+++ b/choice/limits_test.go
@@ -34,7 +34,7 @@
 	d := open(plain())
 	d.mute = true
 	d.take(0, 1, "p").ended(Done, 0, "a", "p").run(3 * Second)
-	r := d.s.byID[1].route
+	r := d.s.destinations[1].route
 	told := func(id MessageID) {
 		d.take(0, 1, id).ended(Full, 200*Millisecond, "a", id)
 		fmt.Println("halted for", (r.pausedUntil-d.clock)/Millisecond, "ms, unpaced", r.limiter.rate >= unlimitedRate)
@@ -85,7 +85,7 @@
 		id := MessageID(fmt.Sprint(i))
 		d.take(0, 1, id)
 		for _, e := range []*endpoint{a, b} {
-			if n := d.s.held[id]; n != nil && n.out != nil && n.out.e == e {
+			if n := d.s.messages[id]; n != nil && n.inFlight != nil && n.inFlight.endpoint == e {
 				to[e.id]++
 				if e == b && i%2 == 0 {
 					d.ended(Full, 0, "b", id)
@@ -96,8 +96,8 @@
 		}
 		low = min(low, r.limiter.rate)
 	}
-	d.s.settled(d.s.byID[1])
-	fmt.Println("well:", to["a"] > 10*to["b"], "ranked first:", d.s.byID[1].ranked[0].id, "pace kept:", low >= 90)
+	d.s.settled(d.s.destinations[1])
+	fmt.Println("well:", to["a"] > 10*to["b"], "ranked first:", d.s.destinations[1].ranked[0].id, "pace kept:", low >= 90)
 	// Output:
 	// well: true ranked first: a pace kept: true
 }
@@ -108,15 +108,15 @@
 	set.InFlightLimit = 4
 	d := open(set)
 	d.mute = true
-	dest := d.s.byID[1]
+	dest := d.s.destinations[1]
 	firsts, retries, last := 0, 0, map[MessageID]int{}
 	for i := range 600 {
 		d.run(20 * Millisecond)
 		d.take(0, 1, MessageID(fmt.Sprint(i)))
 		d.s.endpoints["a"].ejected, d.s.endpoints["a"].fails = false, 0 // what would end it all sooner is left out
 		var ids []string
-		for id, n := range d.s.held {
-			if n.out != nil {
+		for id, n := range d.s.messages {
+			if n.inFlight != nil {
 				ids = append(ids, string(id))
 			}
 		}
@@ -132,7 +132,7 @@
 		}
 	}
 	most := float64(set.InFlightLimit) + 12/seconds(d.s.cap) + 1
-	fmt.Println("retries within the budget:", float64(retries) <= most, "left", math.Floor(dest.again.level) <= float64(set.InFlightLimit), firsts > 0)
+	fmt.Println("retries within the budget:", float64(retries) <= most, "left", math.Floor(dest.retryBudget.level) <= float64(set.InFlightLimit), firsts > 0)
 	// Output:
 	// retries within the budget: true left true true
 }
@@ -146,11 +146,11 @@
 	for i := range 400 {
 		d.take(0, 9, MessageID(fmt.Sprint("stuck", i)))
 	}
-	stuck := len(d.s.held)
+	stuck := len(d.s.messages)
 	for i := range 10 {
 		d.take(0, 1, MessageID(fmt.Sprint("other", i)))
 	}
-	fmt.Println("stuck ones held:", stuck, "of", set.MaxOpen, "others held:", d.s.byID[1].held)
+	fmt.Println("stuck ones held:", stuck, "of", set.MaxOpen, "others held:", d.s.destinations[1].openMessages)
 	// Output:
 	// stuck ones held: 93 of 100 others held: 10
 }
@@ -173,7 +173,7 @@
 func ExampleSender_halvedWrongly() {
 	for _, rate := range []int{1, 100, 5000} {
 		d := open(plain())
-		r := d.s.byID[1].route
+		r := d.s.destinations[1].route
 		r.limiter.rate, r.limiter.level, r.judgedAt = float64(rate)/2, 0, 0
 		now := Time(0)
 		for r.limiter.rate < float64(rate) {
--- a/choice/measure.go
+++ b/choice/measure.go
@@ -119,14 +119,14 @@
 
 func (s *Sender) class(n *message) *Class { return &s.set.Classes[n.Class] }
 
-// value is less for what was past its account's share when it came.
-func (s *Sender) value(n *message) float64 {
-	return s.class(n).Value * either(n.past, s.set.OverShareValue, 1)
+// fullValue is less for what was past its account's share when it came.
+func (s *Sender) fullValue(n *message) float64 {
+	return s.class(n).Value * either(n.overQuota, s.set.OverShareValue, 1)
 }
 
-// worth is what is left of the value of a message that is answered so long from now.
-func (s *Sender) worth(n *message, in Time) float64 {
-	return s.value(n) * s.class(n).Fade(s.now+in-n.born, s.set.Halving)
+// valueAfter is what is left of the value of a message that is answered so long from now.
+func (s *Sender) valueAfter(n *message, in Time) float64 {
+	return s.fullValue(n) * s.class(n).Fade(s.now+in-n.acceptedAt, s.set.Halving)
 }
 
 // fee is what a route apart in a zone costs, 0 where nothing is told.
@@ -137,11 +137,11 @@
 	return 0
 }
 
-// tried is whether it was sent, in this life or an earlier one.
-func (n *message) tried() bool { return n.tries > 0 || n.MayRun }
+// attempted is whether it was sent, in this life or an earlier one.
+func (n *message) attempted() bool { return n.attempts > 0 || n.MayRun }
 
-// life is the time that a message was taken on with, as far as that is known.
-func (n *message) life() Time { return cmp.Or(n.Span, n.Deadline-n.born) }
+// lifetime is the time that a message was taken on with, as far as that is known.
+func (n *message) lifetime() Time { return cmp.Or(n.Span, n.Deadline-n.acceptedAt) }
 
 // sign stands for an endpoint in notes, which are three bytes long: a sign, and a wait in noteUnits; the shortest one
 // stands for none told.
--- a/choice/paces.go
+++ b/choice/paces.go
@@ -7,7 +7,7 @@
 // onRejected tells a limit, which a report shows used up, from a shut destination. With neither report nor wait
 // told, a run with nothing done has one guessed, doubling. Harm: a very low limit not reported.
 func (s *Sender) onRejected(c *call, o Outcome) {
-	e, r, halted := c.e, c.e.route, c.e.route.pausedUntil
+	e, r, halted := c.endpoint, c.endpoint.route, c.endpoint.route.pausedUntil
 	limited := o.Report.Limit > 0 && (o.Report.Left-exhaustedShare)*o.Report.Limit < 1
 	if r.consecutiveRejections++; s.notes && s.now >= halted && (limited || o.Wait > 0 || !e.d.kind.reportsLimits) {
 		s.sendNote(e, max(o.Wait, noteUnit))
@@ -72,7 +72,7 @@
 // routeRejections counts what tells of a route. What one endpoint refuses of late beyond luck is its own affair.
 func (s *Sender) routeRejections(d *destination, r *route) (float64, float64) {
 	worst, full, seen := &endpoint{}, 0.0, 0.0
-	for e := range d.sharing(r) {
+	for e := range d.endpointsOf(r) {
 		full, seen, e.full, e.asked = full+e.full, seen+e.asked, e.full*sameLoadShare, e.asked*sameLoadShare
 		if e.full >= worst.full {
 			worst = e
@@ -89,7 +89,7 @@
 func (s *Sender) pauseRoute(e *endpoint, wait Time, shut bool) {
 	end := s.now + wait + s.chance.upTo(string(e.id), min(wait/8, tick*4))
 	e.route.pausedUntil = max(e.route.pausedUntil, end)
-	for other := range e.d.sharing(e.route) {
+	for other := range e.d.endpointsOf(e.route) {
 		other.slowStart.at = max(other.slowStart.at, end) // what all may send after it must not pile up in it
 		if shut {
 			s.beginSlowStart(other, end)
--- a/choice/purge_test.go
+++ b/choice/purge_test.go
@@ -10,8 +10,8 @@
 		d := open(set)
 		do(d)
 		d.run(7 * Second)
-		if len(d.s.held)+len(d.s.calls)+len(d.s.alarms.of)+len(d.s.lines)+len(d.s.waiting) > 0 {
-			fmt.Println("left over:", d.s.held, d.s.calls, d.s.alarms.of, d.s.lines, d.s.waiting)
+		if len(d.s.messages)+len(d.s.calls)+len(d.s.timers.pending)+len(d.s.keyQueues)+len(d.s.withQueued) > 0 {
+			fmt.Println("left over:", d.s.messages, d.s.calls, d.s.timers.pending, d.s.keyQueues, d.s.withQueued)
 		}
 	}
 	drop := func(d *desk, id MessageID) *desk {
@@ -25,7 +25,7 @@
 	})
 	play("in a lane", plain(), func(d *desk) {
 		d.take(0, 1, "p", "q").ended(Full, 500*Millisecond, "a", "p", "q").run(300 * Millisecond)
-		fmt.Println("there:", d.s.byID[1].queues[1].Len())
+		fmt.Println("there:", d.s.destinations[1].queues[1].Len())
 		drop(drop(d, "p"), "q")
 	})
 	play("waiting for a retry", plain(), func(d *desk) { drop(d.take(1, 1, "p").ended(Errored, 0, "a", "p"), "p") })
@@ -93,10 +93,10 @@
 		d := open(plain()).take(0, 1, "p").ended(Done, 0, "a", "p")
 		d.s.endpoints["a"].limit = 8
 		d.take(0, 1, "q").s.Ended(Outcome{Message: "q", Endpoint: "a", Result: Full, Wait: 2 * Second, Report: Report{Known: true, Limit: 50}})
-		d.take(0, 1, "r").s.byID[1].route.limiter.rate = 1
+		d.take(0, 1, "r").s.destinations[1].route.limiter.rate = 1
 		d.s.Void("a", l)
 		d.s.Void("unknown", l)
-		e, r := d.s.endpoints["a"], d.s.byID[1].route
+		e, r := d.s.endpoints["a"], d.s.destinations[1].route
 		fmt.Println(d.s.Learnt("a"), "calls at once:", e.limit, "paced:", r.limiter.rate < unlimitedRate, "rated:", r.rating*d.s.ratingPart)
 		d.run(1500 * Millisecond)
 	}
@@ -121,7 +121,7 @@
 	sent := func(void bool) int {
 		d := open(set)
 		d.mute = true
-		d.s.byID[1].route.rating, d.s.byID[1].route.limit = 0, 50
+		d.s.destinations[1].route.rating, d.s.destinations[1].route.limit = 0, 50
 		d.s.eject(d.s.endpoints["a"])
 		d.run(2 * Second)
 		for i := range 200 {
@@ -131,7 +131,7 @@
 			id := MessageID(fmt.Sprint(i))
 			d.take(0, 1, id).run(40 * Millisecond)
 			for id, tries := range d.tries {
-				if n := d.s.held[id]; n != nil && n.out != nil && tries > 0 {
+				if n := d.s.messages[id]; n != nil && n.inFlight != nil && tries > 0 {
 					d.ended(Done, 0, "a", id)
 				}
 			}
--- a/choice/ranks.go
+++ b/choice/ranks.go
@@ -15,8 +15,10 @@
 	return (e.mean*float64(1+e.calls) + e.bad*float64(s.base)) / (1 - e.bad) * dear
 }
 
-// budget is what pays for retries there: calls done, where notes are told all of the kind, and a trickle.
-func (s *Sender) budget(d *destination) *bucket { return either(s.notes, &d.kind.again, &d.again) }
+// retryBudget is what pays for retries there: calls done, where notes are told all of the kind, and a trickle.
+func (s *Sender) retryBudget(d *destination) *bucket {
+	return either(s.notes, &d.kind.retryBudget, &d.retryBudget)
+}
 
 // settled renews a destination; it tells whether nothing is left to come back for.
 func (s *Sender) settled(d *destination) bool {
@@ -31,19 +33,19 @@
 		return true
 	})
 	slices.SortStableFunc(d.ranked, func(a, b *endpoint) int { return cmp.Compare(s.busy(a), s.busy(b)) })
-	d.stirred = false
+	d.dirty = false
 	for _, e := range d.ranked {
 		due := s.now >= max(e.nextTrial, e.route.pausedUntil)
 		if e.ejected && s.probes && !e.probePassed && e.listed && !e.probing && due && s.slowStartReady(e) {
 			e.probing, e.slowStart.level = true, e.slowStart.level-1
 			s.h.Probe(e.id)
 		}
-		d.stirred = d.stirred || e.ejected || !e.listed
+		d.dirty = d.dirty || e.ejected || !e.listed
 	}
-	if len(d.ranked) == 0 && d.held == 0 {
-		delete(s.byID, d.id)
+	if len(d.ranked) == 0 && d.openMessages == 0 {
+		delete(s.destinations, d.id)
 	}
-	return !d.stirred
+	return !d.dirty
 }
 
 // Open tells whether an attempt may still leave as its connection is up: no wait, drain or window's end came.
@@ -57,16 +59,16 @@
 func (s *Sender) place(n *message, rideOnly bool) (to *endpoint, barred bool) {
 	var trial, same *endpoint
 	w, single := s.class(n), s.class(n).Repeat == SingleUse
-	for _, e := range n.d.ranked {
+	for _, e := range n.destination.ranked {
 		switch {
 		case !e.listed || s.now < e.route.pausedUntil || n.MayRun && w.ZoneGroup && e.zone != n.RanIn ||
-			single && e.doubt > 0 && s.now-e.badAt < 2*longestTrialPause && s.now < s.lastSend(n)-recentSuccessSpan:
+			single && e.doubt > 0 && s.now-e.badAt < 2*longestTrialPause && s.now < s.lastAttemptAt(n)-recentSuccessSpan:
 		case !(n.MayRun && w.ZoneGroup) && !s.h.Allowed(n.ID, e.id): // such a repeat is known in one zone alone
 			barred = true
-		case e.open != nil && e.open.turn == s.turns && !e.ejected && e.open.n < n.d.kind.BundleMax:
+		case e.open != nil && e.open.turn == s.turns && !e.ejected && e.open.messages < n.destination.kind.BundleMax:
 			return e, barred
 		case rideOnly || len(s.calls) >= s.set.InFlightLimit ||
-			n.tries > 0 && s.budget(n.d).fillAt(s.now, 1/seconds(s.cap), float64(s.set.InFlightLimit)) < 1:
+			n.attempts > 0 && s.retryBudget(n.destination).fillAt(s.now, 1/seconds(s.cap), float64(s.set.InFlightLimit)) < 1:
 		case e.ejected:
 			due := (e.probePassed || !s.probes) && trial == nil && s.now >= e.nextTrial+Time(one(single))*2*longestTrialPause
 			if due && (s.slowStartReady(e) || s.probes && e.slowStart.rate*s.senders*s.fall > fewCalls) {
@@ -74,7 +76,7 @@
 			}
 		case float64(e.calls) >= e.limit || e.calls >= firstLimit && s.now-e.goodAt >= recentSuccessSpan: // silent: as new
 		case !e.route.ready(s.now) || !s.slowStartReady(e):
-		case n.by == nil || e.bad < n.by.bad: // what refused a message may do so again
+		case n.lastEndpoint == nil || e.bad < n.lastEndpoint.bad: // what refused a message may do so again
 			return e, barred
 		default:
 			same = cmp.Or(same, e)
@@ -84,17 +86,17 @@
 }
 
 func (s *Sender) attempt(n *message, e *endpoint) {
-	if s.unqueue(n); s.class(n).Repeat == SingleUse && s.kept > keptMost {
+	if s.dequeue(n); s.class(n).Repeat == SingleUse && s.kept > keptMost {
 		s.h.CloseIdle(e.id)
 	}
 	if k := &e.d.kind.times; s.senders > smallFleetSize && e.seen == 0 && k.seen > 0 {
 		e.times = times{k.mean, k.dev, k.past, 0}
 	}
 	c := e.open
-	if c == nil || c.turn != s.turns || c.n >= n.d.kind.BundleMax {
-		c = &call{e: e, sentAt: s.now, turn: s.turns, lane: n.refused, fresh: e.calls == 0 && s.now >= e.linkUntil}
-		s.budget(n.d).level -= one(n.tries > 0)
-		n.d.laneOut += int(one(c.lane))
+	if c == nil || c.turn != s.turns || c.messages >= n.destination.kind.BundleMax {
+		c = &call{endpoint: e, sentAt: s.now, turn: s.turns, rejectedRetry: n.rejected, newConnection: e.calls == 0 && s.now >= e.linkUntil}
+		s.retryBudget(n.destination).level -= one(n.attempts > 0)
+		n.destination.rejectedRetriesOut += int(one(c.rejectedRetry))
 		e.open, e.calls, e.slowStart.level, e.route.limiter.level = c, e.calls+1, e.slowStart.level-1, e.route.limiter.level-1
 		e.route.sent.count(s.now, s.loadSpan)
 		e.probePassed, e.nextTrial = false, s.now+2*e.trialPause // read while it is ejected
@@ -103,13 +105,13 @@
 	} else {
 		e.slowStart.level -= bulkMemberCost
 	}
-	c.n, c.left, n.out, n.tries = c.n+1, c.left+1, c, n.tries+1
+	c.messages, c.pending, n.inFlight, n.attempts = c.messages+1, c.pending+1, c, n.attempts+1
 	s.h.Attempt(n.ID, e.id, s.timeOut(n, e))
 }
 
 func (s *Sender) timeOut(n *message, e *endpoint) Time {
 	usual := max(2*s.prior, e.mean+patience*e.dev)
 	free := (finalPatience - 1) * float64(s.set.InFlightLimit-len(s.calls)) / float64(s.set.InFlightLimit)
-	longer := either(s.class(n).Repeat == SingleUse, 1+free, float64(n.tries))
+	longer := either(s.class(n).Repeat == SingleUse, 1+free, float64(n.attempts))
 	return max(1, min(ceil(usual*longer), n.Deadline-s.now-s.turn))
 }
--- a/choice/retries_test.go
+++ b/choice/retries_test.go
@@ -26,11 +26,11 @@
 	for try := 1; try <= 4; try++ {
 		longest, shortest := Time(0), Time(1<<60)
 		for i := range 40 {
-			n := &message{Message: Message{ID: MessageID(fmt.Sprint(i))}, tries: try,
-				d: d.s.byID[1]}
+			n := &message{Message: Message{ID: MessageID(fmt.Sprint(i))}, attempts: try,
+				destination: d.s.destinations[1]}
 			n.Deadline = 60 * Second
-			d.s.again(n)
-			longest, shortest = max(longest, n.dueAt), min(shortest, n.dueAt)
+			d.s.scheduleRetry(n)
+			longest, shortest = max(longest, n.retryAt), min(shortest, n.retryAt)
 		}
 		fmt.Println("try", try, "from", shortest, "to", longest)
 	}
@@ -91,7 +91,7 @@
 	d.take(0, 2, "q")
 	for range 2 {
 		d.ended(Full, 0, "c", "q").run(4 * Second)
-		fmt.Printf("pace: %.3f\n", d.s.byID[2].route.limiter.rate)
+		fmt.Printf("pace: %.3f\n", d.s.destinations[2].route.limiter.rate)
 	}
 	// Output:
 	// 3050.0  dispatch p to a
--- a/choice/returns.go
+++ b/choice/returns.go
@@ -6,10 +6,10 @@
 
 // noteUnanswered tells of a call without an answer, once. Others answered meanwhile: less at once is enough.
 func (s *Sender) noteUnanswered(c *call) {
-	if !c.unanswered && c.e.goodAt > c.sentAt {
-		c.e.limit, c.e.doubt, c.e.badAt = max(1, c.e.limit/2), doubtRun, s.now
+	if !c.unanswered && c.endpoint.goodAt > c.sentAt {
+		c.endpoint.limit, c.endpoint.doubt, c.endpoint.badAt = max(1, c.endpoint.limit/2), doubtRun, s.now
 	} else if !c.unanswered {
-		s.recordFailure(c.e, 0)
+		s.recordFailure(c.endpoint, 0)
 	}
 	c.unanswered = true
 }
@@ -33,7 +33,7 @@
 // eject stops sends to an endpoint whose calls fail, whatever the cause. It comes back by a probe, where
 // the fleet is small, and then a trial call. Harm: a healthy endpoint with two chance failures.
 func (s *Sender) eject(e *endpoint) {
-	if s.stir(e.d); e.ejected {
+	if s.markDirty(e.d); e.ejected {
 		e.trialPause, e.lastFailure = min(longestTrialPause, 2*e.trialPause), s.now
 	} else {
 		e.ejectedAt, e.lastFailure, e.trialPause, e.previousSlowStart = s.now, s.now, firstTrialPause, e.slowStartAt
--- a/choice/start.go
+++ b/choice/start.go
@@ -7,8 +7,8 @@
 func Start(h Host, id SenderID, seed int64, set Settings) *Sender {
 	s := &Sender{
 		h: h, chance: newChance(id, seed), now: h.Now(),
-		held: map[MessageID]*message{}, alarms: alarms{of: map[TimerID]*message{}}, lines: map[OrderKey]*keyLine{},
-		byID: map[DestinationID]*destination{}, endpoints: map[EndpointID]*endpoint{}, signs: map[sign]*endpoint{},
+		messages: map[MessageID]*message{}, timers: messageTimers{pending: map[TimerID]*message{}}, keyQueues: map[OrderKey]*keyQueue{},
+		destinations: map[DestinationID]*destination{}, endpoints: map[EndpointID]*endpoint{}, signs: map[sign]*endpoint{},
 	}
 	s.adopt(set)
 	h.Timer(tick, tickTimer)
@@ -19,19 +19,19 @@
 func (s *Sender) adopt(set Settings) {
 	fleet, shortest := set.Senders > smallFleetSize, float64(shortestContract(set.Classes))
 	s.set, s.senders, s.turn, s.topValue = set, float64(set.Senders), max(1, set.Turn), topValue(set.Classes)
-	s.probes, s.notes, s.laneMax = set.Probing && !fleet, set.Notes && fleet, max(1, set.InFlightLimit/laneShare)
+	s.probes, s.notes, s.maxRejectedRetries = set.Probing && !fleet, set.Notes && fleet, max(1, set.InFlightLimit/rejectedRetryDivisor)
 	s.loadSpan, s.fall = either(fleet, fleetLoadSpan, loadSpan), seconds(max(Second, set.Fall))
 	s.ratingPart = [...]float64{0, 1 / 1.5, 1}[set.Rating] / s.senders // a rough one may be half too high
-	s.base, s.cap = max(1, Time(baseShare*shortest)), max(1, Time(capShare*shortest))
+	s.base, s.cap = max(1, Time(retryBaseShare*shortest)), max(1, Time(retryCapShare*shortest))
 	s.prior = max(1, priorShare*shortest)
 	for i, k := range set.Kinds {
 		if i == len(s.kinds) {
-			s.kinds = append(s.kinds, &kind{usualWait: defaultLimitWait, again: bucket{level: float64(s.laneMax), at: s.now}})
+			s.kinds = append(s.kinds, &kind{usualWait: defaultLimitWait, retryBudget: bucket{level: float64(s.maxRejectedRetries), at: s.now}})
 		}
 		s.kinds[i].Kind = k
 	}
 	for _, q := range set.Quotas[len(s.shares):] {
-		s.shares = append(s.shares, bucket{level: shareSpan * q / s.senders, at: s.now})
+		s.shares = append(s.shares, bucket{level: quotaBurst * q / s.senders, at: s.now})
 	}
 }
 
@@ -42,12 +42,12 @@
 	s.adopt(set)
 	ranksElse := prior != s.prior || !slices.Equal(fees, set.RouteFees)
 	for _, e := range pick(s.endpoints, func(*endpoint) bool { return ranksElse }) {
-		if s.stir(e.d); e.seen == 0 && e.past == prior {
+		if s.markDirty(e.d); e.seen == 0 && e.past == prior {
 			e.times = even(s.prior)
 		}
 	}
-	for _, n := range pick(s.held, func(n *message) bool { return n.out == nil && n.tried() && s.spent(n) }) {
-		s.finish(n)
+	for _, n := range pick(s.messages, func(n *message) bool { return n.inFlight == nil && n.attempted() && s.exhausted(n) }) {
+		s.endUndelivered(n)
 	}
 }
 
@@ -57,7 +57,7 @@
 		e.listed = e.listed && !whole
 	}
 	for _, entry := range entries {
-		d, e := s.destination(entry.Destination), s.endpoints[entry.Endpoint]
+		d, e := s.ensureDestination(entry.Destination), s.endpoints[entry.Endpoint]
 		d.kind = s.kinds[max(0, min(int(entry.Kind), len(s.kinds)-1))]
 		if e != nil && e.d != d {
 			e.listed, e = false, nil
@@ -85,21 +85,21 @@
 	return e
 }
 
-func (s *Sender) destination(id DestinationID) *destination {
-	d := s.byID[id]
+func (s *Sender) ensureDestination(id DestinationID) *destination {
+	d := s.destinations[id]
 	if d == nil {
-		d = &destination{id: id, route: newRoute(s.now), again: bucket{level: float64(s.laneMax), at: s.now}}
-		s.byID[id] = d
+		d = &destination{id: id, route: newRoute(s.now), retryBudget: bucket{level: float64(s.maxRejectedRetries), at: s.now}}
+		s.destinations[id] = d
 	}
-	s.stir(d)
+	s.markDirty(d)
 	return d
 }
 
-// stir has the next tick look at a destination: work follows what changed, not the size of the list.
-func (s *Sender) stir(d *destination) {
-	if !d.stirred {
-		d.stirred = true
-		s.stirred = append(s.stirred, d)
+// markDirty has the next tick look at a destination: work follows what changed, not the size of the list.
+func (s *Sender) markDirty(d *destination) {
+	if !d.dirty {
+		d.dirty = true
+		s.dirty = append(s.dirty, d)
 	}
 }
 
@@ -117,7 +117,7 @@
 }
 
 // Void drops what was learnt of an endpoint and its route, or has l stand in its place. An outage and what is
-// left of a cold budget stay; until that is over waits stay too, and no limit that l tells counts.
+// pending of a cold budget stay; until that is over waits stay too, and no limit that l tells counts.
 func (s *Sender) Void(id EndpointID, l *Learnt) {
 	s.now = s.h.Now()
 	if e := s.endpoints[id]; e != nil {
@@ -125,7 +125,7 @@
 		*e.route = *newRoute(s.now)
 		s.recall(e, l)
 		e.fails, e.wrong, e.bad, e.asked, e.full, e.goodAt, e.route.rating = 0, 0, 0, 0, 0, 0, was.rating
-		if s.stir(e.d); s.impaired(e) || e.route == e.d.route && slices.ContainsFunc(e.d.ranked, s.impaired) {
+		if s.markDirty(e.d); s.impaired(e) || e.route == e.d.route && slices.ContainsFunc(e.d.ranked, s.impaired) {
 			e.route.limit, e.route.consecutiveFailures, e.route.pausedUntil = 0, was.consecutiveFailures, max(e.route.pausedUntil, was.pausedUntil)
 		}
 	}
--- a/choice/tables.go
+++ b/choice/tables.go
@@ -12,25 +12,25 @@
 	tick, blinkSpan                    = 50 * Millisecond, 3 * Second / 2 // between answers, too short for a cold start
 	defaultLimitWait                   = 500 * Millisecond                // rest of a used-up route, until waits are told
 
-	baseShare, capShare                 = 0.25, 2.0   // retry ceilings, in shortest contract times
-	meanWeight, pastWeight              = 0.125, 0.02 // weights of a new time in the mean, in the past
-	patience, finalPatience             = 10.0, 4.0   // spreads above the mean; times longer where a time-out is final
-	priorShare, firstLimit              = 0.5, 2.0    // before any call: its time in contract times; calls out at once
-	failuresToEject, chanceEjectionSpan = 2, 60       // failures in a row, at least; seconds between ejections by chance
-	rejectionRun, doubtRun              = 2, 6        // refusals in a row; calls done before single-use messages go again
-	exhaustedShare, toleratedRejections = 0.3, 0.02   // of an allowance left, explains a refusal; refused, the price of room
-	maxNoiseShare, noiseDeviations      = 0.25, 3.0   // share refused whatever the load; deviations that tell it
-	sameLoadShare, peakLoadFade         = 0.95, 10.0  // share that still counts as the same; seconds a load is kept
-	minFleetRate, unlimitedRate         = 0.6, 1e6    // calls a second: of all senders together; while no limit was met
-	rateCutShare, rateGrowth            = 0.5, 0.05   // to which part at least, half beyond a handful; growth a second
-	answersToJudge, fewCalls            = 16, 4.0     // under so many, a refusal is a limit's; calls that fell nothing
-	slowStartFloor, slowStartShare      = 1.0, 1.2    // calls a cold time where nothing is known; times the part that is
-	lookPast, slowStartDeviations       = 16, 2.5     // messages looked at where places are barred; deviations to chance
-	smallFleetSize, laneShare           = 8, 4        // senders up to which each probes at all; slots to one of a lane
-	bulkMemberCost, notedPay            = 0.15, 0.3   // of one more in a call to the cold; retries one done pays, with notes
-	feeWeight, overdueAfter             = 20.0, 4.0   // times longer: for a message's worth of fee; than past, till overdue
-	keptMost, closeMore                 = 0.05, 30.0  // resets on kept links; own calls due to keep one, a share of failures
-	shareSpan, crowdFrom                = 30.0, 0.85  // seconds of a share at once; of MaxOpen, some are turned away
+	retryBaseShare, retryCapShare        = 0.25, 2.0   // retry ceilings, in shortest contract times
+	meanWeight, pastWeight               = 0.125, 0.02 // weights of a new time in the mean, in the past
+	patience, finalPatience              = 10.0, 4.0   // spreads above the mean; times longer where a time-out is final
+	priorShare, firstLimit               = 0.5, 2.0    // before any call: its time in contract times; calls out at once
+	failuresToEject, chanceEjectionSpan  = 2, 60       // failures in a row, at least; seconds between ejections by chance
+	rejectionRun, doubtRun               = 2, 6        // refusals in a row; calls done before single-use messages go again
+	exhaustedShare, toleratedRejections  = 0.3, 0.02   // of an allowance left, explains a refusal; refused, the price of room
+	maxNoiseShare, noiseDeviations       = 0.25, 3.0   // share refused whatever the load; deviations that tell it
+	sameLoadShare, peakLoadFade          = 0.95, 10.0  // share that still counts as the same; seconds a load is kept
+	minFleetRate, unlimitedRate          = 0.6, 1e6    // calls a second: of all senders together; while no limit was met
+	rateCutShare, rateGrowth             = 0.5, 0.05   // to which part at least, half beyond a handful; growth a second
+	answersToJudge, fewCalls             = 16, 4.0     // under so many, a refusal is a limit's; calls that fell nothing
+	slowStartFloor, slowStartShare       = 1.0, 1.2    // calls a cold time where nothing is known; times the part that is
+	barredScanLimit, slowStartDeviations = 16, 2.5     // messages looked at where places are barred; deviations to chance
+	smallFleetSize, rejectedRetryDivisor = 8, 4        // senders up to which each probes at all; slots to one of a lane
+	bulkMemberCost, kindRetryCredit      = 0.15, 0.3   // of one more in a call to the cold; retries one done pays, with notes
+	feeWeight, overdueAfter              = 20.0, 4.0   // times longer: for a message's worth of fee; than past, till overdue
+	keptMost, closeMore                  = 0.05, 30.0  // resets on kept links; own calls due to keep one, a share of failures
+	quotaBurst, shedFromShare            = 30.0, 0.85  // seconds of a share at once; of MaxOpen, some are turned away
 )
 
 const tickTimer TimerID = 0 // the others stand for messages
@@ -38,34 +38,34 @@
 // message is one held message; it leaves Sender.held once it is over and nothing of it is out.
 type message struct {
 	Message
-	d                   *destination
-	out                 *call
-	by                  *endpoint
-	queue               *list.List
-	elem                *list.Element
-	line                *keyLine
-	tries               int
-	born, dueAt         Time
-	refused, over, past bool // past its account's share
-	wakes               []TimerID
+	destination                *destination
+	inFlight                   *call
+	lastEndpoint               *endpoint
+	queue                      *list.List
+	queueElement               *list.Element
+	keyQueue                   *keyQueue
+	attempts                   int
+	acceptedAt, retryAt        Time
+	rejected, ended, overQuota bool // past its account's share
+	timers                     []TimerID
 }
 
-// keyLine holds the messages of one order key in the order taken; dropped when empty and rested.
-type keyLine struct {
-	messages  []*message
-	restUntil Time
+// keyQueue holds the messages of one order key in the order taken; dropped when empty and rested.
+type keyQueue struct {
+	messages    []*message
+	pausedUntil Time
 }
 
 type destination struct {
-	id                     DestinationID
-	kind                   *kind
-	route                  *route
-	ranked                 []*endpoint
-	queues                 []*list.List // due, lane, then fresh ones, one for each class
-	laneOut, waiting, held int
-	restUntil              Time   // of keys whose messages are over
-	again                  bucket // what pays for retries, see budget
-	stirred                bool   // in Sender.stirred
+	id                                       DestinationID
+	kind                                     *kind
+	route                                    *route
+	ranked                                   []*endpoint
+	queues                                   []*list.List // due, lane, then fresh ones, one for each class
+	rejectedRetriesOut, queued, openMessages int
+	keysPausedUntil                          Time   // of keys whose messages are over
+	retryBudget                              bucket // what pays for retries, see budget
+	dirty                                    bool   // in Sender.stirred
 }
 
 // kind is what is known of all destinations that the list calls alike.
@@ -73,7 +73,7 @@
 	Kind
 	times                    // of all calls there, for endpoints where none was done yet
 	reportsLimits    bool    // its answers tell of limits, so that a refusal without one is no limit's
-	again            bucket  // likewise
+	retryBudget      bucket  // likewise
 	usualWait        Time    // what used-up routes usually tell to wait
 	connectFailShare float64 // share of late connections that failed
 }
@@ -113,10 +113,10 @@
 
 // call is one slot: the messages sent to one endpoint in one turn, until all have their outcomes.
 type call struct {
-	e                               *endpoint
-	sentAt                          Time
-	n, left, turn                   int
-	lane, judged, unanswered, fresh bool // fresh: on a new connection
+	endpoint                                         *endpoint
+	sentAt                                           Time
+	messages, pending, turn                          int
+	rejectedRetry, judged, unanswered, newConnection bool // fresh: on a new connection
 }
 
 // Sender is one sender's decisions: a method for each thing that happens, then TurnEnd; it acts by its Host.
@@ -126,18 +126,18 @@
 	chance                                           chance
 	kinds                                            []*kind
 	shares                                           []bucket // by account
-	laneMax, turns                                   int
+	maxRejectedRetries, turns                        int
 	senders, prior, topValue, ratingPart, fall, kept float64 // kept: see learn
 	now, base, cap, loadSpan, turn                   Time
 	probes, notes                                    bool
-	alarms                                           alarms
+	timers                                           messageTimers
 
-	held      map[MessageID]*message         // emptied as messages end
-	lines     map[OrderKey]*keyLine          // emptied when a key has no message and its rest is over
-	byID      map[DestinationID]*destination // emptied by the tick once without endpoints and messages
-	endpoints map[EndpointID]*endpoint       // likewise, once gone and without calls
-	signs     map[sign]*endpoint             // the same, by what stands for them in notes
-	waiting   []*destination                 // those with a queued message, longest waiting first
-	stirred   []*destination                 // those the next tick looks at; emptied as they settle
-	calls     []*call                        // at most one for each slot
+	messages     map[MessageID]*message         // emptied as messages end
+	keyQueues    map[OrderKey]*keyQueue         // emptied when a key has no message and its rest is over
+	destinations map[DestinationID]*destination // emptied by the tick once without endpoints and messages
+	endpoints    map[EndpointID]*endpoint       // likewise, once gone and without calls
+	signs        map[sign]*endpoint             // the same, by what stands for them in notes
+	withQueued   []*destination                 // those with a queued message, longest waiting first
+	dirty        []*destination                 // those the next tick looks at; emptied as they settle
+	calls        []*call                        // at most one for each slot
 }
--- a/choice/town_test.go
+++ b/choice/town_test.go
@@ -70,7 +70,7 @@
 func (w *town) Attempt(id MessageID, to EndpointID, timeOut Time) {
 	w.tries[id]++
 	w.log("dispatch %s to %s within %d", id, to, timeOut)
-	w.within(w.s.held[id], w.s.endpoints[to])
+	w.within(w.s.messages[id], w.s.endpoints[to])
 	took := 50*Millisecond + Time(drawn(id, w.tries[id], "took")*float64(300*Millisecond))
 	o := Outcome{Message: id, Attempt: w.tries[id] - 1, Endpoint: to, Took: took, Final: true}
 	if d := w.s.endpoints[to].d.id; d == 1 { // the one that tells its limit
@@ -107,13 +107,13 @@
 		}
 	}
 	check(w.ends[n.ID] == 0, "it has had its answer")
-	check(e.open.n > 1 || len(w.s.calls) <= set.InFlightLimit, fmt.Sprint(len(w.s.calls), " calls out of ", set.InFlightLimit))
-	check(e.open.n <= max(1, e.d.kind.BundleMax) && e.d.kind.BundleMax == set.Kinds[e.d.id%2].BundleMax, "a bundle too large")
+	check(e.open.messages > 1 || len(w.s.calls) <= set.InFlightLimit, fmt.Sprint(len(w.s.calls), " calls out of ", set.InFlightLimit))
+	check(e.open.messages <= max(1, e.d.kind.BundleMax) && e.d.kind.BundleMax == set.Kinds[e.d.id%2].BundleMax, "a bundle too large")
 	check(w.tries[n.ID] <= set.MaxAttempts, "one dispatch too many")
 	check(!n.MayRun || class.Repeat != SingleUse, "a second run")
 	check(!n.MayRun || class.Repeat != Keyed || w.clock <= n.RanAt+class.RepeatWindow-set.Turn, "out of its window")
 	check(!n.MayRun || !class.ZoneGroup || e.zone == n.RanIn, "known in another zone alone")
-	check(n.line == nil || n.line.messages[0] == n, "before its turn")
+	check(n.keyQueue == nil || n.keyQueue.messages[0] == n, "before its turn")
 }
 
 func (w *town) answered(id MessageID, how string) {
@@ -204,10 +204,10 @@
 			n := Message{ID: id, Class: ClassNo(class % len(set.Classes)), Account: AccountNo(account % len(set.Quotas)),
 				Key: OrderKey(class % 7), Destination: DestinationID(class / 2 % 2)}
 			n.Deadline = w.clock + set.Classes[n.Class].Deadline
-			held := len(w.s.held)
+			held := len(w.s.messages)
 			w.s.Taken(n)
-			if most := max(held, set.MaxOpen); len(w.s.held) > most {
-				w.t.Errorf("%d: %d held, at most %d", w.clock, len(w.s.held), most)
+			if most := max(held, set.MaxOpen); len(w.s.messages) > most {
+				w.t.Errorf("%d: %d held, at most %d", w.clock, len(w.s.messages), most)
 			}
 		})
 	}
--- a/choice/waits_test.go
+++ b/choice/waits_test.go
@@ -50,7 +50,7 @@
 func ExampleSender_untoldWait() {
 	d := open(plain()).run(2100*Millisecond).take(0, 1, "p", "q").ended(Full, 0, "a", "p", "q")
 	d.run(900*Millisecond).ended(Full, 0, "a", "p", "q").run(2 * Second)
-	fmt.Println("guess:", d.s.byID[1].route.guessedWait)
+	fmt.Println("guess:", d.s.destinations[1].route.guessedWait)
 	// Output:
 	// 2100.0  dispatch q to a
 	// 2100.0  dispatch p to a
@@ -87,10 +87,10 @@
 	tell := func(id MessageID, result Result, left float64) {
 		d.run(1100*Millisecond).take(0, 1, id).s.Ended(Outcome{Message: id, Attempt: d.tries[id] - 1, Endpoint: "a", Result: result,
 			Final: result == Done, Report: Report{Known: true, Left: left, Limit: 80}})
-		fmt.Printf("%v, %.1f left: pace %.2f\n", [...]string{"done", "", "refused"}[result], left, d.s.byID[1].route.limiter.rate)
+		fmt.Printf("%v, %.1f left: pace %.2f\n", [...]string{"done", "", "refused"}[result], left, d.s.destinations[1].route.limiter.rate)
 	}
 	for i, id := range []MessageID{"p", "q", "r", "s", "t"} {
-		d.s.byID[1].route.limiter.level = 1 // else it waits for its turn at that pace
+		d.s.destinations[1].route.limiter.level = 1 // else it waits for its turn at that pace
 		tell(id, [...]Result{Full, Full, Full, Done, Done}[i], [...]float64{0, 0, 0, 0.1, 0.5}[i])
 		d.s.Withdrawn(id)
 	}
