--- a/choice/backlog_test.go
+++ b/choice/backlog_test.go
@@ -38,9 +38,9 @@
 func ExampleSender_fullQueue() {
 	d := open(plain())
 	a := d.s.endpoints["a"]
-	a.d.kind.reportsLimits, a.limit = true, 4
+	a.destination.kind.reportsLimits, a.concurrencyLimit = true, 4
 	d.take(0, 1, "p", "q", "r", "s").run(200*Millisecond).ended(Done, 0, "a", "s").ended(Full, 0, "a", "p", "q")
-	fmt.Println("limit:", a.limit, "pace:", a.route.limiter.rate > 1000, "aside:", a.ejected)
+	fmt.Println("limit:", a.concurrencyLimit, "pace:", a.route.limiter.rate > 1000, "aside:", a.ejected)
 	d.ended(Done, 0, "a", "r").take(0, 1, "t", "u").run(100 * Millisecond)
 	// Output:
 	// 0.0     dispatch s to a
--- a/choice/configure_test.go
+++ b/choice/configure_test.go
@@ -186,7 +186,7 @@
 	w.load(0, townOpen)
 	w.run(7 * Second)
 	type known struct {
-		times
+		callTimes
 		healthState
 		limit, wrong, bad, asked, full float64
 		cold                           bucket
@@ -195,7 +195,7 @@
 	state := func() (all []known) {
 		for _, id := range inOrder(w.s.endpoints) {
 			e := w.s.endpoints[id]
-			all = append(all, known{e.times, e.healthState, e.limit, e.wrong, e.bad, e.asked, e.full, e.slowStart, *e.route})
+			all = append(all, known{e.callTimes, e.healthState, e.concurrencyLimit, e.errorShare, e.rejectedShare, e.recentAnswered, e.recentRejected, e.slowStart, *e.route})
 		}
 		return all
 	}
@@ -220,8 +220,8 @@
 	d.take(0, 1, "p").ended(Done, 0, "a", "p")
 	d.s.Configure(changed(plain(), class(func(w *Class) { w.ContractTime = 4 * Second })))
 	called, new := d.s.endpoints["a"], d.s.endpoints["c"]
-	if called.mean != float64(200*Millisecond) || new.times != even(float64(2*Second)) {
-		t.Error(called.times, new.times)
+	if called.mean != float64(200*Millisecond) || new.callTimes != guessedTimes(float64(2*Second)) {
+		t.Error(called.callTimes, new.callTimes)
 	}
 }
 
@@ -264,7 +264,7 @@
 	d := open(set)
 	d.s.ListNews([]Entry{{Endpoint: "near", Destination: 3, Kind: 1}, {Endpoint: "far", Destination: 3, Kind: 1, Zone: 1}}, false)
 	for _, id := range []EndpointID{"near", "far"} {
-		d.s.endpoints[id].measure(float64(200*Millisecond), 1, 1)
+		d.s.endpoints[id].observe(float64(200*Millisecond), 1, 1)
 	}
 	d.run(Second).take(0, 3, "p").ended(Done, 0, "near", "p").run(Second)
 	d.s.Configure(changed(set, func(s *Settings) { s.RouteFees = []float64{0.05, 0} }))
--- a/choice/endpoints_test.go
+++ b/choice/endpoints_test.go
@@ -40,7 +40,7 @@
 func ExampleSender_silence() {
 	d := open(plain()).take(2, 1, "p", "q", "r").take(2, 2, "other").ended(Done, 0, "c", "other")
 	d.run(2500*Millisecond).take(2, 2, "more")
-	fmt.Println("aside:", d.s.endpoints["a"].ejected, "calls out:", d.s.endpoints["a"].calls)
+	fmt.Println("aside:", d.s.endpoints["a"].ejected, "calls out:", d.s.endpoints["a"].inFlight)
 	// Output:
 	// 0.0     dispatch r to a
 	// 0.0     dispatch q to a
--- a/choice/known.go
+++ b/choice/known.go
@@ -5,7 +5,7 @@
 // Learnt is what means the same in another life or fleet: what calls take, a limit told, a wait not over.
 func (s *Sender) Learnt(id EndpointID) (l Learnt) {
 	if e := s.endpoints[id]; e != nil {
-		l = Learnt{e.mean, e.dev, e.past, e.seen, e.route.limit, max(0, e.route.pausedUntil-s.h.Now())}
+		l = Learnt{e.mean, e.deviation, e.longMean, e.samples, e.route.limit, max(0, e.route.pausedUntil-s.h.Now())}
 	}
 	return l
 }
@@ -18,8 +18,8 @@
 	}
 	pinned = d.openMessages > 0 || s.now < d.keysPausedUntil
 	for _, e := range d.ranked {
-		calls += e.seen
-		pinned = pinned || e.calls > 0 || e.probing || !e.listed || s.impaired(e) || s.now < e.route.pausedUntil
+		calls += e.samples
+		pinned = pinned || e.inFlight > 0 || e.probing || !e.listed || s.impaired(e) || s.now < e.route.pausedUntil
 	}
 	return calls, pinned
 }
--- a/choice/lanes.go
+++ b/choice/lanes.go
@@ -53,11 +53,11 @@
 	if s.now = s.h.Now(); id == tickTimer {
 		s.h.Timer(tick, tickTimer)
 		for _, c := range s.calls {
-			if float64(s.now-c.sentAt) > max(2*s.prior, overdueAfter*c.endpoint.past) {
+			if float64(s.now-c.sentAt) > max(2*s.prior, overdueFactor*c.endpoint.longMean) {
 				s.noteUnanswered(c)
 			}
 		}
-		s.dirty = slices.DeleteFunc(s.dirty, s.settled)
+		s.dirty = slices.DeleteFunc(s.dirty, s.refreshDestination)
 		return
 	}
 	switch n := s.timers.takeFired(id); {
@@ -91,7 +91,7 @@
 				at, goOn := l.Back(), (i >= retryQueues) == (tier == 0)
 				for looked := 0; at != nil && goOn && looked < barredScanLimit; at, looked = at.Prev(), looked+1 {
 					n := at.Value.(*message)
-					e, barred := s.place(n, n.rejected && d.rejectedRetriesOut >= s.maxRejectedRetries)
+					e, barred := s.selectEndpoint(n, n.rejected && d.rejectedRetriesOut >= s.maxRejectedRetries)
 					if goOn = e == nil && barred; e != nil {
 						if v := (s.valueAfter(n, Time(s.usualCallTime(d))) + 1e-6) / max(1, e.mean); v > top {
 							best, to, top = n, e, v
--- a/choice/limits_test.go
+++ b/choice/limits_test.go
@@ -40,7 +40,7 @@
 		fmt.Println("halted for", (r.pausedUntil-d.clock)/Millisecond, "ms, unpaced", r.limiter.rate >= unlimitedRate)
 		d.run(500 * Millisecond)
 	}
-	d.s.endpoints["a"].limit = 8
+	d.s.endpoints["a"].concurrencyLimit = 8
 	told("q")
 	told("r")
 	// Output:
@@ -96,7 +96,7 @@
 		}
 		low = min(low, r.limiter.rate)
 	}
-	d.s.settled(d.s.destinations[1])
+	d.s.refreshDestination(d.s.destinations[1])
 	fmt.Println("well:", to["a"] > 10*to["b"], "ranked first:", d.s.destinations[1].ranked[0].id, "pace kept:", low >= 90)
 	// Output:
 	// well: true ranked first: a pace kept: true
@@ -113,7 +113,7 @@
 	for i := range 600 {
 		d.run(20 * Millisecond)
 		d.take(0, 1, MessageID(fmt.Sprint(i)))
-		d.s.endpoints["a"].ejected, d.s.endpoints["a"].fails = false, 0 // what would end it all sooner is left out
+		d.s.endpoints["a"].ejected, d.s.endpoints["a"].consecutiveFailures = false, 0 // what would end it all sooner is left out
 		var ids []string
 		for id, n := range d.s.messages {
 			if n.inFlight != nil {
@@ -158,7 +158,7 @@
 // An endpoint that answered nothing lately holds no more calls than an unknown one, until it answers.
 func ExampleSender_idleRoom() {
 	d := open(plain())
-	d.s.endpoints["a"].limit = 8
+	d.s.endpoints["a"].concurrencyLimit = 8
 	d.take(0, 1, "p").ended(Done, 0, "a", "p").run(3*Second).take(0, 1, "q", "r", "s", "t")
 	d.run(100*Millisecond).ended(Done, 0, "a", "t")
 	// Output:
--- a/choice/measure.go
+++ b/choice/measure.go
@@ -177,16 +177,18 @@
 	return root * root
 }
 
-// times are what calls took: mean and spread of late, and the mean over a long past.
-type times struct{ mean, dev, past, seen float64 }
-
-// even are times of which nothing is known but a guess.
-func even(guess float64) times { return times{mean: guess, dev: guess, past: guess} }
-
-// measure weighs a new time by the weights of late and past, the first ones evenly.
-func (m *times) measure(took, late, past float64) {
-	m.seen++
-	m.dev += max(late, 1/m.seen) * (max(math.Abs(took-m.mean), m.mean/2/m.seen) - m.dev)
-	m.mean += max(late, 1/m.seen) * (took - m.mean)
-	m.past += max(past, 1/m.seen) * (took - m.past)
+// callTimes are what calls took: mean and spread of late, and the mean over a long past.
+type callTimes struct{ mean, deviation, longMean, samples float64 }
+
+// guessedTimes are times of which nothing is known but a guess.
+func guessedTimes(guess float64) callTimes {
+	return callTimes{mean: guess, deviation: guess, longMean: guess}
+}
+
+// observe weighs a new time by the weights of late and past, the first ones evenly.
+func (m *callTimes) observe(took, late, past float64) {
+	m.samples++
+	m.deviation += max(late, 1/m.samples) * (max(math.Abs(took-m.mean), m.mean/2/m.samples) - m.deviation)
+	m.mean += max(late, 1/m.samples) * (took - m.mean)
+	m.longMean += max(past, 1/m.samples) * (took - m.longMean)
 }
--- a/choice/notes_test.go
+++ b/choice/notes_test.go
@@ -112,7 +112,7 @@
 			d.take(0, 1, id).ended(Done, 0, "a", id)
 		}
 		d.take(0, 3, "first")
-		fmt.Println(senders, "senders:", seconds(d.s.timeOut(d.s.messages["first"], d.s.endpoints["e"])), "s")
+		fmt.Println(senders, "senders:", seconds(d.s.attemptTimeout(d.s.messages["first"], d.s.endpoints["e"])), "s")
 	}
 	// Output:
 	// 80 senders: 1 s
--- a/choice/paces.go
+++ b/choice/paces.go
@@ -9,26 +9,26 @@
 func (s *Sender) onRejected(c *call, o Outcome) {
 	e, r, halted := c.endpoint, c.endpoint.route, c.endpoint.route.pausedUntil
 	limited := o.Report.Limit > 0 && (o.Report.Left-exhaustedShare)*o.Report.Limit < 1
-	if r.consecutiveRejections++; s.notes && s.now >= halted && (limited || o.Wait > 0 || !e.d.kind.reportsLimits) {
+	if r.consecutiveRejections++; s.notes && s.now >= halted && (limited || o.Wait > 0 || !e.destination.kind.reportsLimits) {
 		s.sendNote(e, max(o.Wait, noteUnit))
 		s.applyPeerLimit(e, o.Wait)
 	}
 	if o.Wait > 0 {
-		s.pauseRoute(e, o.Wait, o.Wait > longRetryAfter || e.d.kind.reportsLimits && !limited && s.now-r.lastSuccess > fullQueueSpan)
+		s.pauseRoute(e, o.Wait, o.Wait > longRetryAfter || e.destination.kind.reportsLimits && !limited && s.now-r.lastSuccess > fullQueueSpan)
 	}
 	if limited && o.Wait <= longRetryAfter {
 		s.readmit(e, c.sentAt)
-	} else if o.Wait == 0 && e.d.kind.reportsLimits && r.limit == 0 && !e.ejected && s.now-r.lastSuccess < fullQueueSpan {
-		e.limit = max(1, min(e.limit, float64(e.calls)-1)) // a pace cut for it would starve what has no limit
+	} else if o.Wait == 0 && e.destination.kind.reportsLimits && r.limit == 0 && !e.ejected && s.now-r.lastSuccess < fullQueueSpan {
+		e.concurrencyLimit = max(1, min(e.concurrencyLimit, float64(e.inFlight)-1)) // a pace cut for it would starve what has no limit
 		return
-	} else if e.ejected || e.d.kind.reportsLimits {
+	} else if e.ejected || e.destination.kind.reportsLimits {
 		s.recordFailure(e, o.Report.Limit)
 	} else if o.Wait == 0 && r.consecutiveRejections >= rejectionRun && s.now-r.lastSuccess > recentSuccessSpan && s.now >= r.pausedUntil {
 		r.guessedWait = min(longestGuessedWait, max(firstTrialPause, 2*r.guessedWait))
 		s.pauseRoute(e, r.guessedWait/2+s.chance.upTo(string(e.id), r.guessedWait/2), false)
 	}
 	if o.Wait == 0 || s.now-halted <= recentSuccessSpan { // a wait that comes anew is heeded, and that is enough
-		s.adjustRate(e.d, r)
+		s.adjustRate(e.destination, r)
 	}
 }
 
@@ -55,7 +55,7 @@
 	} else if load > sameLoadShare*r.previousLoad {
 		r.previousShare, r.previousAnswered = both, seen+r.previousAnswered
 	}
-	r.noiseShare += meanWeight * min(0, share-r.noiseShare)
+	r.noiseShare += recentWeight * min(0, share-r.noiseShare)
 	over := share - max(toleratedRejections, r.noiseShare+2*math.Sqrt(r.noiseShare*(1-r.noiseShare)/seen))
 	over = max(over, one(s.senders > smallFleetSize && r.answered < answersToJudge))
 	r.judgedAt, r.answered, r.rejected = s.now, 0, 0
@@ -73,12 +73,12 @@
 func (s *Sender) routeRejections(d *destination, r *route) (float64, float64) {
 	worst, full, seen := &endpoint{}, 0.0, 0.0
 	for e := range d.endpointsOf(r) {
-		full, seen, e.full, e.asked = full+e.full, seen+e.asked, e.full*sameLoadShare, e.asked*sameLoadShare
-		if e.full >= worst.full {
+		full, seen, e.recentRejected, e.recentAnswered = full+e.recentRejected, seen+e.recentAnswered, e.recentRejected*sameLoadShare, e.recentAnswered*sameLoadShare
+		if e.recentRejected >= worst.recentRejected {
 			worst = e
 		}
 	}
-	own, most, rest := worst.asked/sameLoadShare, worst.full/sameLoadShare, seen-worst.asked/sameLoadShare
+	own, most, rest := worst.recentAnswered/sameLoadShare, worst.recentRejected/sameLoadShare, seen-worst.recentAnswered/sameLoadShare
 	if rest >= answersToJudge/2 && most/own-(full-most)/rest > noiseDeviations*luck(full/seen, own, rest) {
 		return full - most, rest
 	}
@@ -89,7 +89,7 @@
 func (s *Sender) pauseRoute(e *endpoint, wait Time, shut bool) {
 	end := s.now + wait + s.chance.upTo(string(e.id), min(wait/8, tick*4))
 	e.route.pausedUntil = max(e.route.pausedUntil, end)
-	for other := range e.d.endpointsOf(e.route) {
+	for other := range e.destination.endpointsOf(e.route) {
 		other.slowStart.at = max(other.slowStart.at, end) // what all may send after it must not pile up in it
 		if shut {
 			s.beginSlowStart(other, end)
@@ -111,16 +111,16 @@
 	if e := s.signs[g]; e != nil && wait > 0 {
 		s.applyPeerLimit(e, wait)
 	} else if e != nil && wait == 0 {
-		if e.toldAt = s.now; e.calls == 0 && e.linkUntil > s.now {
-			e.linkUntil = s.now
+		if e.connectionNoteAt = s.now; e.inFlight == 0 && e.idleConnUntil > s.now {
+			e.idleConnUntil = s.now
 			s.h.CloseIdle(e.id)
 		}
 	}
 }
 
 func (s *Sender) sendNote(e *endpoint, wait Time) {
-	if s.notes && (wait > 0 || s.now >= e.toldAt+recentSuccessSpan) {
-		e.toldAt = s.now
+	if s.notes && (wait > 0 || s.now >= e.connectionNoteAt+recentSuccessSpan) {
+		e.connectionNoteAt = s.now
 		s.h.Tell(write(e.id, wait))
 	}
 }
@@ -128,8 +128,8 @@
 // applyPeerLimit rests a route whose limit a sender of the fleet met, jittered, as what all hold back must not come at
 // once: as long as its kind usually tells to wait, longer the sooner it is met again. Harm: room lies idle.
 func (s *Sender) applyPeerLimit(e *endpoint, wait Time) {
-	r, k := e.route, e.d.kind
-	k.usualWait += Time(one(wait > noteUnit && wait < longestGuessedWait/2) * meanWeight * float64(wait-k.usualWait))
+	r, k := e.route, e.destination.kind
+	k.usualWait += Time(one(wait > noteUnit && wait < longestGuessedWait/2) * recentWeight * float64(wait-k.usualWait))
 	if s.now < r.limitMetAt+r.limitPause/2 {
 		return
 	}
--- a/choice/purge_test.go
+++ b/choice/purge_test.go
@@ -91,13 +91,13 @@
 func ExampleSender_Void() {
 	for _, l := range []*Learnt{nil, {Mean: 700, Dev: 100, Past: 600, Seen: 9, Limit: 4, Wait: Second}} {
 		d := open(plain()).take(0, 1, "p").ended(Done, 0, "a", "p")
-		d.s.endpoints["a"].limit = 8
+		d.s.endpoints["a"].concurrencyLimit = 8
 		d.take(0, 1, "q").s.Ended(Outcome{Message: "q", Endpoint: "a", Result: Full, Wait: 2 * Second, Report: Report{Known: true, Limit: 50}})
 		d.take(0, 1, "r").s.destinations[1].route.limiter.rate = 1
 		d.s.Void("a", l)
 		d.s.Void("unknown", l)
 		e, r := d.s.endpoints["a"], d.s.destinations[1].route
-		fmt.Println(d.s.Learnt("a"), "calls at once:", e.limit, "paced:", r.limiter.rate < unlimitedRate, "rated:", r.rating*d.s.ratingPart)
+		fmt.Println(d.s.Learnt("a"), "calls at once:", e.concurrencyLimit, "paced:", r.limiter.rate < unlimitedRate, "rated:", r.rating*d.s.ratingPart)
 		d.run(1500 * Millisecond)
 	}
 	// Output:
--- a/choice/ranks.go
+++ b/choice/ranks.go
@@ -5,14 +5,14 @@
 
 // Where a message goes and for how long its call may take.
 
-// busy is when one more call would be done, one by one; a refusal costs a wait. An unseen far one ranks
+// rankCost is when one more call would be done, one by one; a refusal costs a wait. An unseen far one ranks
 // behind, which spreads a fleet over a destination; a route's fee counts as time.
-func (s *Sender) busy(e *endpoint) float64 {
-	dear := 1 + feeWeight*one(e.d.kind.Apart)*s.set.fee(e.zone)
-	if e.seen == 0 && e.zone != s.set.Zone {
+func (s *Sender) rankCost(e *endpoint) float64 {
+	dear := 1 + feeTimeFactor*one(e.destination.kind.Apart)*s.set.fee(e.zone)
+	if e.samples == 0 && e.zone != s.set.Zone {
 		return 2 * e.mean * dear
 	}
-	return (e.mean*float64(1+e.calls) + e.bad*float64(s.base)) / (1 - e.bad) * dear
+	return (e.mean*float64(1+e.inFlight) + e.rejectedShare*float64(s.base)) / (1 - e.rejectedShare) * dear
 }
 
 // retryBudget is what pays for retries there: calls done, where notes are told all of the kind, and a trickle.
@@ -20,10 +20,10 @@
 	return either(s.notes, &d.kind.retryBudget, &d.retryBudget)
 }
 
-// settled renews a destination; it tells whether nothing is left to come back for.
-func (s *Sender) settled(d *destination) bool {
+// refreshDestination renews a destination; it tells whether nothing is left to come back for.
+func (s *Sender) refreshDestination(d *destination) bool {
 	d.ranked = slices.DeleteFunc(d.ranked, func(e *endpoint) bool {
-		if e.listed || e.calls > 0 || e.probing || s.now < max(e.slowStartAt+s.set.Cold, e.route.pausedUntil) {
+		if e.listed || e.inFlight > 0 || e.probing || s.now < max(e.slowStartAt+s.set.Cold, e.route.pausedUntil) {
 			return false
 		}
 		if s.endpoints[e.id] == e {
@@ -32,7 +32,7 @@
 		}
 		return true
 	})
-	slices.SortStableFunc(d.ranked, func(a, b *endpoint) int { return cmp.Compare(s.busy(a), s.busy(b)) })
+	slices.SortStableFunc(d.ranked, func(a, b *endpoint) int { return cmp.Compare(s.rankCost(a), s.rankCost(b)) })
 	d.dirty = false
 	for _, e := range d.ranked {
 		due := s.now >= max(e.nextTrial, e.route.pausedUntil)
@@ -55,17 +55,17 @@
 	return e != nil && e.listed && now >= e.route.pausedUntil && !slices.ContainsFunc(messages, late)
 }
 
-// place is where a message may go now, and whether any of its places was barred to it.
-func (s *Sender) place(n *message, rideOnly bool) (to *endpoint, barred bool) {
+// selectEndpoint is where a message may go now, and whether any of its places was barred to it.
+func (s *Sender) selectEndpoint(n *message, rideOnly bool) (to *endpoint, barred bool) {
 	var trial, same *endpoint
 	w, single := s.class(n), s.class(n).Repeat == SingleUse
 	for _, e := range n.destination.ranked {
 		switch {
 		case !e.listed || s.now < e.route.pausedUntil || n.MayRun && w.ZoneGroup && e.zone != n.RanIn ||
-			single && e.doubt > 0 && s.now-e.badAt < 2*longestTrialPause && s.now < s.lastAttemptAt(n)-recentSuccessSpan:
+			single && e.successesNeeded > 0 && s.now-e.unansweredAt < 2*longestTrialPause && s.now < s.lastAttemptAt(n)-recentSuccessSpan:
 		case !(n.MayRun && w.ZoneGroup) && !s.h.Allowed(n.ID, e.id): // such a repeat is known in one zone alone
 			barred = true
-		case e.open != nil && e.open.turn == s.turns && !e.ejected && e.open.messages < n.destination.kind.BundleMax:
+		case e.bulkCall != nil && e.bulkCall.turn == s.turns && !e.ejected && e.bulkCall.messages < n.destination.kind.BundleMax:
 			return e, barred
 		case rideOnly || len(s.calls) >= s.set.InFlightLimit ||
 			n.attempts > 0 && s.retryBudget(n.destination).fillAt(s.now, 1/seconds(s.cap), float64(s.set.InFlightLimit)) < 1:
@@ -74,9 +74,9 @@
 			if due && (s.slowStartReady(e) || s.probes && e.slowStart.rate*s.senders*s.fall > fewCalls) {
 				trial = e
 			}
-		case float64(e.calls) >= e.limit || e.calls >= firstLimit && s.now-e.goodAt >= recentSuccessSpan: // silent: as new
+		case float64(e.inFlight) >= e.concurrencyLimit || e.inFlight >= initialConcurrency && s.now-e.lastSuccess >= recentSuccessSpan: // silent: as new
 		case !e.route.ready(s.now) || !s.slowStartReady(e):
-		case n.lastEndpoint == nil || e.bad < n.lastEndpoint.bad: // what refused a message may do so again
+		case n.lastEndpoint == nil || e.rejectedShare < n.lastEndpoint.rejectedShare: // what refused a message may do so again
 			return e, barred
 		default:
 			same = cmp.Or(same, e)
@@ -86,32 +86,32 @@
 }
 
 func (s *Sender) attempt(n *message, e *endpoint) {
-	if s.dequeue(n); s.class(n).Repeat == SingleUse && s.kept > keptMost {
+	if s.dequeue(n); s.class(n).Repeat == SingleUse && s.kept > reusedResetLimit {
 		s.h.CloseIdle(e.id)
 	}
-	if k := &e.d.kind.times; s.senders > smallFleetSize && e.seen == 0 && k.seen > 0 {
-		e.times = times{k.mean, k.dev, k.past, 0}
+	if k := &e.destination.kind.callTimes; s.senders > smallFleetSize && e.samples == 0 && k.samples > 0 {
+		e.callTimes = callTimes{k.mean, k.deviation, k.longMean, 0}
 	}
-	c := e.open
+	c := e.bulkCall
 	if c == nil || c.turn != s.turns || c.messages >= n.destination.kind.BundleMax {
-		c = &call{endpoint: e, sentAt: s.now, turn: s.turns, rejectedRetry: n.rejected, newConnection: e.calls == 0 && s.now >= e.linkUntil}
+		c = &call{endpoint: e, sentAt: s.now, turn: s.turns, rejectedRetry: n.rejected, newConnection: e.inFlight == 0 && s.now >= e.idleConnUntil}
 		s.retryBudget(n.destination).level -= one(n.attempts > 0)
 		n.destination.rejectedRetriesOut += int(one(c.rejectedRetry))
-		e.open, e.calls, e.slowStart.level, e.route.limiter.level = c, e.calls+1, e.slowStart.level-1, e.route.limiter.level-1
+		e.bulkCall, e.inFlight, e.slowStart.level, e.route.limiter.level = c, e.inFlight+1, e.slowStart.level-1, e.route.limiter.level-1
 		e.route.sent.count(s.now, s.loadSpan)
 		e.probePassed, e.nextTrial = false, s.now+2*e.trialPause // read while it is ejected
-		e.used.count(s.now, loadSpan*Time(s.senders))
+		e.sent.count(s.now, loadSpan*Time(s.senders))
 		s.calls = append(s.calls, c)
 	} else {
 		e.slowStart.level -= bulkMemberCost
 	}
 	c.messages, c.pending, n.inFlight, n.attempts = c.messages+1, c.pending+1, c, n.attempts+1
-	s.h.Attempt(n.ID, e.id, s.timeOut(n, e))
+	s.h.Attempt(n.ID, e.id, s.attemptTimeout(n, e))
 }
 
-func (s *Sender) timeOut(n *message, e *endpoint) Time {
-	usual := max(2*s.prior, e.mean+patience*e.dev)
-	free := (finalPatience - 1) * float64(s.set.InFlightLimit-len(s.calls)) / float64(s.set.InFlightLimit)
+func (s *Sender) attemptTimeout(n *message, e *endpoint) Time {
+	usual := max(2*s.prior, e.mean+timeoutDeviations*e.deviation)
+	free := (finalTimeoutFactor - 1) * float64(s.set.InFlightLimit-len(s.calls)) / float64(s.set.InFlightLimit)
 	longer := either(s.class(n).Repeat == SingleUse, 1+free, float64(n.attempts))
 	return max(1, min(ceil(usual*longer), n.Deadline-s.now-s.turn))
 }
--- a/choice/retries_test.go
+++ b/choice/retries_test.go
@@ -44,7 +44,7 @@
 // What was refused drains through a quarter of the slots: two here, the third when one is free.
 func ExampleSender_lane() {
 	d := open(plain())
-	d.s.endpoints["a"].limit = 8
+	d.s.endpoints["a"].concurrencyLimit = 8
 	d.take(0, 1, "p", "q", "r").ended(Full, 0, "a", "p", "q", "r")
 	d.run(2*Second).ended(Done, 0, "a", "p").run(2 * Second)
 	// Output:
--- a/choice/returns.go
+++ b/choice/returns.go
@@ -6,8 +6,8 @@
 
 // noteUnanswered tells of a call without an answer, once. Others answered meanwhile: less at once is enough.
 func (s *Sender) noteUnanswered(c *call) {
-	if !c.unanswered && c.endpoint.goodAt > c.sentAt {
-		c.endpoint.limit, c.endpoint.doubt, c.endpoint.badAt = max(1, c.endpoint.limit/2), doubtRun, s.now
+	if !c.unanswered && c.endpoint.lastSuccess > c.sentAt {
+		c.endpoint.concurrencyLimit, c.endpoint.successesNeeded, c.endpoint.unansweredAt = max(1, c.endpoint.concurrencyLimit/2), successesAfterUnanswered, s.now
 	} else if !c.unanswered {
 		s.recordFailure(c.endpoint, 0)
 	}
@@ -15,14 +15,14 @@
 }
 
 func (s *Sender) recordFailure(e *endpoint, limit float64) {
-	e.fails, e.route.consecutiveFailures = e.fails+1, e.route.consecutiveFailures+1
+	e.consecutiveFailures, e.route.consecutiveFailures = e.consecutiveFailures+1, e.route.consecutiveFailures+1
 	// One is enough where nothing was answered lately, as a large fleet seldom sees two, and two of a route are
 	// all of it, or each sender would push at every endpoint in turn. Of many calls some fail by chance.
-	used := e.used.read(s.now, loadSpan*Time(s.senders))
-	run := math.Log(chanceEjectionSpan*used) / -math.Log(max(toleratedRejections, e.wrong))
-	if e.ejected || e.fails >= max(failuresToEject, int(math.Ceil(run))) || limit == 0 && s.now-e.goodAt > recentSuccessSpan {
+	used := e.sent.read(s.now, loadSpan*Time(s.senders))
+	run := math.Log(chanceEjectionSpan*used) / -math.Log(max(toleratedRejections, e.errorShare))
+	if e.ejected || e.consecutiveFailures >= max(failuresToEject, int(math.Ceil(run))) || limit == 0 && s.now-e.lastSuccess > recentSuccessSpan {
 		all := s.senders > smallFleetSize && e.route.consecutiveFailures >= failuresToEject && s.now-e.route.lastSuccess > recentSuccessSpan
-		for _, other := range e.d.ranked {
+		for _, other := range e.destination.ranked {
 			if other == e || other.route == e.route && !other.ejected && all {
 				s.eject(other)
 			}
@@ -33,7 +33,7 @@
 // eject stops sends to an endpoint whose calls fail, whatever the cause. It comes back by a probe, where
 // the fleet is small, and then a trial call. Harm: a healthy endpoint with two chance failures.
 func (s *Sender) eject(e *endpoint) {
-	if s.markDirty(e.d); e.ejected {
+	if s.markDirty(e.destination); e.ejected {
 		e.trialPause, e.lastFailure = min(longestTrialPause, 2*e.trialPause), s.now
 	} else {
 		e.ejectedAt, e.lastFailure, e.trialPause, e.previousSlowStart = s.now, s.now, firstTrialPause, e.slowStartAt
@@ -43,12 +43,12 @@
 }
 
 func (s *Sender) readmit(e *endpoint, sentAt Time) {
-	if e.ejected && s.now-e.goodAt < blinkSpan {
+	if e.ejected && s.now-e.lastSuccess < blinkSpan {
 		e.slowStartAt = e.previousSlowStart
 	} else if e.ejected && sentAt >= e.ejectedAt { // a call from before shows no return
 		s.beginSlowStart(e, (e.lastFailure+s.now)/2)
 	}
-	e.fails, e.ejected = 0, false
+	e.consecutiveFailures, e.ejected = 0, false
 }
 
 // beginSlowStart starts a cold budget: two senders begin at once, those of a fleet each by chance. One under way goes
@@ -58,7 +58,7 @@
 	if s.impaired(e) && (s.senders > smallFleetSize || e.slowStart.rate*s.fall <= fewCalls) {
 		level = min(level, e.slowStart.level) // nor may what piled up leave in one moment, as a told wait ends
 	}
-	e.limit, e.mean, e.slowStartAt, e.slowStart = firstLimit, e.past, from, bucket{e.slowStart.rate, level, max(from, s.now)}
+	e.concurrencyLimit, e.mean, e.slowStartAt, e.slowStart = initialConcurrency, e.longMean, from, bucket{e.slowStart.rate, level, max(from, s.now)}
 }
 
 func (s *Sender) impaired(e *endpoint) bool { return e.ejected || s.now < e.slowStartAt+s.set.Cold }
@@ -68,7 +68,7 @@
 	if !s.impaired(e) {
 		return true
 	}
-	ends := 1 + one(e.route == e.d.route)*float64(len(e.d.ranked)-1)
+	ends := 1 + one(e.route == e.destination.route)*float64(len(e.destination.ranked)-1)
 	cold := max(1, s.set.Cold)
 	warm := s.set.ColdFrom + one(!e.ejected)*(1-s.set.ColdFrom)*float64(s.now-e.slowStartAt)/float64(cold)
 	told := min(unlimitedRate, max(e.route.limit, e.route.rating*s.ratingPart*s.senders))
--- a/choice/returns_test.go
+++ b/choice/returns_test.go
@@ -162,7 +162,7 @@
 		}
 		d.take(0, 1, "first").ended(Full, 4*Second, "a", "first").take(0, 1, "p", "q", "r").run(5 * Second)
 		for id, e := range d.s.endpoints {
-			at[id] += e.calls
+			at[id] += e.inFlight
 		}
 	}
 	n := 2.5 * 10 * (0.2 + 0.8*0.5) * 1.5 // allowed at the end of the span, were it cold from before the wait
--- a/choice/start.go
+++ b/choice/start.go
@@ -10,20 +10,20 @@
 		messages: map[MessageID]*message{}, timers: messageTimers{pending: map[TimerID]*message{}}, keyQueues: map[OrderKey]*keyQueue{},
 		destinations: map[DestinationID]*destination{}, endpoints: map[EndpointID]*endpoint{}, signs: map[sign]*endpoint{},
 	}
-	s.adopt(set)
+	s.applySettings(set)
 	h.Timer(tick, tickTimer)
 	return s
 }
 
-// adopt works out what hangs on settings; what is known of kinds and accounts that were there stays.
-func (s *Sender) adopt(set Settings) {
+// applySettings works out what hangs on settings; what is known of kinds and accounts that were there stays.
+func (s *Sender) applySettings(set Settings) {
 	fleet, shortest := set.Senders > smallFleetSize, float64(shortestContract(set.Classes))
 	s.set, s.senders, s.turn, s.topValue = set, float64(set.Senders), max(1, set.Turn), topValue(set.Classes)
 	s.probes, s.notes, s.maxRejectedRetries = set.Probing && !fleet, set.Notes && fleet, max(1, set.InFlightLimit/rejectedRetryDivisor)
 	s.loadSpan, s.fall = either(fleet, fleetLoadSpan, loadSpan), seconds(max(Second, set.Fall))
 	s.ratingPart = [...]float64{0, 1 / 1.5, 1}[set.Rating] / s.senders // a rough one may be half too high
 	s.base, s.cap = max(1, Time(retryBaseShare*shortest)), max(1, Time(retryCapShare*shortest))
-	s.prior = max(1, priorShare*shortest)
+	s.prior = max(1, assumedCallShare*shortest)
 	for i, k := range set.Kinds {
 		if i == len(s.kinds) {
 			s.kinds = append(s.kinds, &kind{usualWait: defaultLimitWait, retryBudget: bucket{level: float64(s.maxRejectedRetries), at: s.now}})
@@ -39,11 +39,11 @@
 func (s *Sender) Configure(set Settings) {
 	s.now = s.h.Now()
 	fees, prior := s.set.RouteFees, s.prior
-	s.adopt(set)
+	s.applySettings(set)
 	ranksElse := prior != s.prior || !slices.Equal(fees, set.RouteFees)
 	for _, e := range pick(s.endpoints, func(*endpoint) bool { return ranksElse }) {
-		if s.markDirty(e.d); e.seen == 0 && e.past == prior {
-			e.times = even(s.prior)
+		if s.markDirty(e.destination); e.samples == 0 && e.longMean == prior {
+			e.callTimes = guessedTimes(s.prior)
 		}
 	}
 	for _, n := range pick(s.messages, func(n *message) bool { return n.inFlight == nil && n.attempted() && s.exhausted(n) }) {
@@ -59,25 +59,25 @@
 	for _, entry := range entries {
 		d, e := s.ensureDestination(entry.Destination), s.endpoints[entry.Endpoint]
 		d.kind = s.kinds[max(0, min(int(entry.Kind), len(s.kinds)-1))]
-		if e != nil && e.d != d {
+		if e != nil && e.destination != d {
 			e.listed, e = false, nil
 		}
 		if e == nil {
-			e = s.join(d, entry)
+			e = s.addEndpoint(d, entry)
 		}
 		e.zone, e.listed, e.route.rating = entry.Zone, entry.Stage == Ready, entry.Rating
 	}
 }
 
-func (s *Sender) join(d *destination, entry Entry) *endpoint {
-	e := &endpoint{id: entry.Endpoint, d: d, toldAt: -recentSuccessSpan, healthState: healthState{slowStartAt: -forever / 2},
+func (s *Sender) addEndpoint(d *destination, entry Entry) *endpoint {
+	e := &endpoint{id: entry.Endpoint, destination: d, connectionNoteAt: -recentSuccessSpan, healthState: healthState{slowStartAt: -forever / 2},
 		route: either(d.kind.Apart, newRoute(s.now), d.route)}
-	s.recall(e, entry.Learnt)
+	s.restoreLearned(e, entry.Learnt)
 	for _, other := range d.ranked {
 		if other.route == e.route && (other.ejected && !e.ejected || other.slowStartAt > e.slowStartAt) {
 			// Most of a destination may be replaced while it is out: what is new is no warmer than the rest.
 			s.beginSlowStart(e, other.slowStartAt) // all senders hear of it at one moment, and must not begin then
-			e.times, e.healthState, e.slowStart.at = other.times, other.healthState, max(s.now, other.slowStart.at)
+			e.callTimes, e.healthState, e.slowStart.at = other.callTimes, other.healthState, max(s.now, other.slowStart.at)
 		}
 	}
 	s.endpoints[e.id], s.signs[signOf(e.id)] = e, e
@@ -107,11 +107,11 @@
 	return &route{limiter: bucket{unlimitedRate, unlimitedRate, now}, judgedAt: now}
 }
 
-// recall has an endpoint stand as one of which nothing is known but what another life tells.
-func (s *Sender) recall(e *endpoint, l *Learnt) {
-	e.times, e.limit = even(s.prior), firstLimit
+// restoreLearned has an endpoint stand as one of which nothing is known but what another life tells.
+func (s *Sender) restoreLearned(e *endpoint, l *Learnt) {
+	e.callTimes, e.concurrencyLimit = guessedTimes(s.prior), initialConcurrency
 	if l != nil {
-		e.times = either(l.Seen > 0, times{l.Mean, l.Dev, l.Past, l.Seen}, e.times)
+		e.callTimes = either(l.Seen > 0, callTimes{l.Mean, l.Dev, l.Past, l.Seen}, e.callTimes)
 		e.route.limit, e.route.pausedUntil = l.Limit, max(e.route.pausedUntil, s.now+l.Wait)
 	}
 }
@@ -123,9 +123,9 @@
 	if e := s.endpoints[id]; e != nil {
 		was := *e.route
 		*e.route = *newRoute(s.now)
-		s.recall(e, l)
-		e.fails, e.wrong, e.bad, e.asked, e.full, e.goodAt, e.route.rating = 0, 0, 0, 0, 0, 0, was.rating
-		if s.markDirty(e.d); s.impaired(e) || e.route == e.d.route && slices.ContainsFunc(e.d.ranked, s.impaired) {
+		s.restoreLearned(e, l)
+		e.consecutiveFailures, e.errorShare, e.rejectedShare, e.recentAnswered, e.recentRejected, e.lastSuccess, e.route.rating = 0, 0, 0, 0, 0, 0, was.rating
+		if s.markDirty(e.destination); s.impaired(e) || e.route == e.destination.route && slices.ContainsFunc(e.destination.ranked, s.impaired) {
 			e.route.limit, e.route.consecutiveFailures, e.route.pausedUntil = 0, was.consecutiveFailures, max(e.route.pausedUntil, was.pausedUntil)
 		}
 	}
--- a/choice/tables.go
+++ b/choice/tables.go
@@ -12,25 +12,25 @@
 	tick, blinkSpan                    = 50 * Millisecond, 3 * Second / 2 // between answers, too short for a cold start
 	defaultLimitWait                   = 500 * Millisecond                // rest of a used-up route, until waits are told
 
-	retryBaseShare, retryCapShare        = 0.25, 2.0   // retry ceilings, in shortest contract times
-	meanWeight, pastWeight               = 0.125, 0.02 // weights of a new time in the mean, in the past
-	patience, finalPatience              = 10.0, 4.0   // spreads above the mean; times longer where a time-out is final
-	priorShare, firstLimit               = 0.5, 2.0    // before any call: its time in contract times; calls out at once
-	failuresToEject, chanceEjectionSpan  = 2, 60       // failures in a row, at least; seconds between ejections by chance
-	rejectionRun, doubtRun               = 2, 6        // refusals in a row; calls done before single-use messages go again
-	exhaustedShare, toleratedRejections  = 0.3, 0.02   // of an allowance left, explains a refusal; refused, the price of room
-	maxNoiseShare, noiseDeviations       = 0.25, 3.0   // share refused whatever the load; deviations that tell it
-	sameLoadShare, peakLoadFade          = 0.95, 10.0  // share that still counts as the same; seconds a load is kept
-	minFleetRate, unlimitedRate          = 0.6, 1e6    // calls a second: of all senders together; while no limit was met
-	rateCutShare, rateGrowth             = 0.5, 0.05   // to which part at least, half beyond a handful; growth a second
-	answersToJudge, fewCalls             = 16, 4.0     // under so many, a refusal is a limit's; calls that fell nothing
-	slowStartFloor, slowStartShare       = 1.0, 1.2    // calls a cold time where nothing is known; times the part that is
-	barredScanLimit, slowStartDeviations = 16, 2.5     // messages looked at where places are barred; deviations to chance
-	smallFleetSize, rejectedRetryDivisor = 8, 4        // senders up to which each probes at all; slots to one of a lane
-	bulkMemberCost, kindRetryCredit      = 0.15, 0.3   // of one more in a call to the cold; retries one done pays, with notes
-	feeWeight, overdueAfter              = 20.0, 4.0   // times longer: for a message's worth of fee; than past, till overdue
-	keptMost, closeMore                  = 0.05, 30.0  // resets on kept links; own calls due to keep one, a share of failures
-	quotaBurst, shedFromShare            = 30.0, 0.85  // seconds of a share at once; of MaxOpen, some are turned away
+	retryBaseShare, retryCapShare          = 0.25, 2.0   // retry ceilings, in shortest contract times
+	recentWeight, longTermWeight           = 0.125, 0.02 // weights of a new time in the mean, in the past
+	timeoutDeviations, finalTimeoutFactor  = 10.0, 4.0   // spreads above the mean; times longer where a time-out is final
+	assumedCallShare, initialConcurrency   = 0.5, 2.0    // before any call: its time in contract times; calls out at once
+	failuresToEject, chanceEjectionSpan    = 2, 60       // failures in a row, at least; seconds between ejections by chance
+	rejectionRun, successesAfterUnanswered = 2, 6        // refusals in a row; calls done before single-use messages go again
+	exhaustedShare, toleratedRejections    = 0.3, 0.02   // of an allowance left, explains a refusal; refused, the price of room
+	maxNoiseShare, noiseDeviations         = 0.25, 3.0   // share refused whatever the load; deviations that tell it
+	sameLoadShare, peakLoadFade            = 0.95, 10.0  // share that still counts as the same; seconds a load is kept
+	minFleetRate, unlimitedRate            = 0.6, 1e6    // calls a second: of all senders together; while no limit was met
+	rateCutShare, rateGrowth               = 0.5, 0.05   // to which part at least, half beyond a handful; growth a second
+	answersToJudge, fewCalls               = 16, 4.0     // under so many, a refusal is a limit's; calls that fell nothing
+	slowStartFloor, slowStartShare         = 1.0, 1.2    // calls a cold time where nothing is known; times the part that is
+	barredScanLimit, slowStartDeviations   = 16, 2.5     // messages looked at where places are barred; deviations to chance
+	smallFleetSize, rejectedRetryDivisor   = 8, 4        // senders up to which each probes at all; slots to one of a lane
+	bulkMemberCost, kindRetryCredit        = 0.15, 0.3   // of one more in a call to the cold; retries one done pays, with notes
+	feeTimeFactor, overdueFactor           = 20.0, 4.0   // times longer: for a message's worth of fee; than past, till overdue
+	reusedResetLimit, keepUseFactor        = 0.05, 30.0  // resets on kept links; own calls due to keep one, a share of failures
+	quotaBurst, shedFromShare              = 30.0, 0.85  // seconds of a share at once; of MaxOpen, some are turned away
 )
 
 const tickTimer TimerID = 0 // the others stand for messages
@@ -71,7 +71,7 @@
 // kind is what is known of all destinations that the list calls alike.
 type kind struct {
 	Kind
-	times                    // of all calls there, for endpoints where none was done yet
+	callTimes                // of all calls there, for endpoints where none was done yet
 	reportsLimits    bool    // its answers tell of limits, so that a refusal without one is no limit's
 	retryBudget      bucket  // likewise
 	usualWait        Time    // what used-up routes usually tell to wait
@@ -90,19 +90,19 @@
 }
 
 type endpoint struct {
-	times
+	callTimes
 	healthState
-	id                               EndpointID
-	d                                *destination
-	route                            *route
-	zone                             ZoneNo
-	calls, fails, doubt              int
-	limit, wrong, bad, asked, full   float64 // wrong, bad: shares
-	used                             meter
-	toldAt, goodAt, badAt, linkUntil Time
-	listed, probing                  bool
-	slowStart                        bucket
-	open                             *call
+	id                                                                          EndpointID
+	destination                                                                 *destination
+	route                                                                       *route
+	zone                                                                        ZoneNo
+	inFlight, consecutiveFailures, successesNeeded                              int
+	concurrencyLimit, errorShare, rejectedShare, recentAnswered, recentRejected float64 // wrong, bad: shares
+	sent                                                                        meter
+	connectionNoteAt, lastSuccess, unansweredAt, idleConnUntil                  Time
+	listed, probing                                                             bool
+	slowStart                                                                   bucket
+	bulkCall                                                                    *call
 }
 
 // healthState is whether and since when an endpoint is ejected or cold; coldWas is the coldness before.
--- a/choice/town_test.go
+++ b/choice/town_test.go
@@ -73,7 +73,7 @@
 	w.within(w.s.messages[id], w.s.endpoints[to])
 	took := 50*Millisecond + Time(drawn(id, w.tries[id], "took")*float64(300*Millisecond))
 	o := Outcome{Message: id, Attempt: w.tries[id] - 1, Endpoint: to, Took: took, Final: true}
-	if d := w.s.endpoints[to].d.id; d == 1 { // the one that tells its limit
+	if d := w.s.endpoints[to].destination.id; d == 1 { // the one that tells its limit
 		o.Report = Report{Known: true, Left: 0.5, Limit: 20}
 	}
 	switch luck := drawn(id, w.tries[id], "luck"); {
@@ -107,8 +107,8 @@
 		}
 	}
 	check(w.ends[n.ID] == 0, "it has had its answer")
-	check(e.open.messages > 1 || len(w.s.calls) <= set.InFlightLimit, fmt.Sprint(len(w.s.calls), " calls out of ", set.InFlightLimit))
-	check(e.open.messages <= max(1, e.d.kind.BundleMax) && e.d.kind.BundleMax == set.Kinds[e.d.id%2].BundleMax, "a bundle too large")
+	check(e.bulkCall.messages > 1 || len(w.s.calls) <= set.InFlightLimit, fmt.Sprint(len(w.s.calls), " calls out of ", set.InFlightLimit))
+	check(e.bulkCall.messages <= max(1, e.destination.kind.BundleMax) && e.destination.kind.BundleMax == set.Kinds[e.destination.id%2].BundleMax, "a bundle too large")
 	check(w.tries[n.ID] <= set.MaxAttempts, "one dispatch too many")
 	check(!n.MayRun || class.Repeat != SingleUse, "a second run")
 	check(!n.MayRun || class.Repeat != Keyed || w.clock <= n.RanAt+class.RepeatWindow-set.Turn, "out of its window")
