--- a/choice/answers.go
+++ b/choice/answers.go
@@ -4,7 +4,7 @@
 
 func (s *Sender) Ended(o Outcome) {
 	n := s.messages[o.Message]
-	if s.now = s.h.Now(); n == nil || n.inFlight == nil || o.Attempt != n.attempts-1 {
+	if s.now = s.host.Now(); n == nil || n.inFlight == nil || o.Attempt != n.attempts-1 {
 		return
 	}
 	c := n.inFlight
@@ -16,16 +16,16 @@
 		s.pauseRoute(c.endpoint, o.Wait, false) // those of one call may be told one by one, and it counts from the last
 	}
 	if c.pending--; c.pending == 0 {
-		c.endpoint.inFlight, c.endpoint.idleConnUntil, n.destination.rejectedRetriesOut = c.endpoint.inFlight-1, s.now+s.set.ConnIdle, n.destination.rejectedRetriesOut-int(one(c.rejectedRetry))
+		c.endpoint.inFlight, c.endpoint.idleConnUntil, n.destination.rejectedRetriesOut = c.endpoint.inFlight-1, s.now+s.settings.ConnIdle, n.destination.rejectedRetriesOut-int(one(c.rejectedRetry))
 		s.closeIfUnused(c.endpoint)
-		s.calls = without(s.calls, c)
+		s.calls = removeValue(s.calls, c)
 	}
 	runs := o.Result == TimedOut || o.Result == Reset || o.Result == Cancelled // it may, still
 	if !n.MayRun && (runs || o.Result == Errored || o.Result == Spoilt) {
 		n.MayRun, n.RanAt, n.RanIn = true, c.sentAt, c.endpoint.zone
 	}
 	if runs && n.keyQueue != nil {
-		n.keyQueue.pausedUntil = s.now + s.set.KeyRest
+		n.keyQueue.pausedUntil = s.now + s.settings.KeyRest
 	}
 	if n.ended = n.ended || o.Final; n.ended {
 		s.release(n)
@@ -37,10 +37,10 @@
 // closeIfUnused closes idle links, also where what waits may not go yet. Those of a fleet fill tables: the more
 // connections of their kind fail, the oftener one must be used to stay.
 func (s *Sender) closeIfUnused(e *endpoint) {
-	use := e.sent.read(s.now, loadSpan*Time(s.senders)) * seconds(s.set.ConnIdle)
+	use := e.sent.read(s.now, rateWindow*Time(s.fleetSize)) * seconds(s.settings.ConnIdle)
 	idle := e.inFlight == 0 && (e.destination.queued == 0 || !e.route.ready(s.now) || !s.slowStartReady(e))
 	if idle && use < keepUseFactor*e.destination.kind.connectFailShare {
-		s.h.CloseIdle(e.id)
+		s.host.CloseIdle(e.id)
 		e.idleConnUntil = s.now
 	}
 }
@@ -49,7 +49,7 @@
 // links that idle at its kind may go, and one call at a time tries there. Harm: some shut ones look alike.
 func (s *Sender) onConnectionTableFull(e *endpoint) {
 	e.concurrencyLimit, e.destination.kind.connectFailShare = 1, e.destination.kind.connectFailShare+recentWeight*(1-e.destination.kind.connectFailShare)
-	for _, other := range pick(s.endpoints, func(other *endpoint) bool { return other.destination.kind == e.destination.kind }) {
+	for _, other := range selectSorted(s.endpoints, func(other *endpoint) bool { return other.destination.kind == e.destination.kind }) {
 		s.closeIfUnused(other)
 	}
 }
@@ -61,20 +61,20 @@
 	}
 	r.answered, e.recentAnswered, e.recentRejected, e.rejectedShare = r.answered+1, e.recentAnswered+1, e.recentRejected+full, e.rejectedShare+recentWeight*(full-e.rejectedShare)
 	e.errorShare += one(!e.ejected) * longTermWeight * (1 - full) * (one(o.Result != Done) - e.errorShare)
-	s.kept += one(o.Kept) * recentWeight * (one(o.Result == Reset) - s.kept)
+	s.reusedResetShare += one(o.Kept) * recentWeight * (one(o.Result == Reset) - s.reusedResetShare)
 	switch o.Result {
 	case Done:
 		e.observe(float64(o.Took), recentWeight, longTermWeight)
 		e.destination.kind.observe(float64(o.Took), recentWeight, longTermWeight)
 		e.destination.kind.connectFailShare *= 1 - recentWeight*one(c.newConnection)
-		s.retryBudget(e.destination).level += either(s.notes, kindRetryCredit, 1)
-		r.succeeded.count(s.now, loadSpan*Time(s.senders))
+		s.retryBudget(e.destination).tokens += either(s.exchangesNotes, kindRetryCredit, 1)
+		r.succeeded.count(s.now, rateWindow*Time(s.fleetSize))
 		r.peakSuccessRate, r.consecutiveFailures, r.consecutiveRejections, r.guessedWait, e.consecutiveFailures, e.successesNeeded = max(r.peakSuccessRate, r.succeeded.rate), 0, 0, 0, 0, max(0, e.successesNeeded-1)
-		r.limiter.rate = max(r.limiter.rate, r.limit/s.senders*one(o.Report.Left > exhaustedShare)) // it has filled up again
+		r.limiter.rate = max(r.limiter.rate, r.limit/s.fleetSize*one(o.Report.Left > exhaustedShare)) // it has filled up again
 		if e.ejected {
 			s.readmit(e, c.sentAt)
 		} else if e.mean < 2*e.longMean {
-			e.concurrencyLimit = min(float64(s.set.InFlightLimit), e.concurrencyLimit+1/e.concurrencyLimit)
+			e.concurrencyLimit = min(float64(s.settings.InFlightLimit), e.concurrencyLimit+1/e.concurrencyLimit)
 		}
 		e.lastSuccess, r.lastSuccess = s.now, s.now
 	case Full:
@@ -89,11 +89,11 @@
 			s.recordFailure(e, 0)
 		}
 	case TimedOut, ConnectFailed:
-		if o.Result == ConnectFailed && !s.set.TellsFull {
+		if o.Result == ConnectFailed && !s.settings.TellsFull {
 			e.destination.kind.connectFailShare += recentWeight * (1 - e.destination.kind.connectFailShare)
 			s.sendNote(e, 0)
 		}
-		if float64(s.now-c.sentAt) >= 2*s.prior || s.now < s.messages[o.Message].Deadline-2*s.turn { // else cut short
+		if float64(s.now-c.sentAt) >= 2*s.assumedCallTime || s.now < s.messages[o.Message].Deadline-2*s.turnInterval { // else cut short
 			s.noteUnanswered(c)
 		}
 	}
--- a/choice/backlog_test.go
+++ b/choice/backlog_test.go
@@ -91,7 +91,7 @@
 		if cold {
 			d.s.beginSlowStart(d.s.endpoints["a"], d.clock)
 		}
-		d.s.endpoints["a"].slowStart.level = 1
+		d.s.endpoints["a"].slowStart.tokens = 1
 		d.take(0, 1, "p").take(0, 1, "q", "r").run(100*Millisecond).ended(Done, 0, "a", "p")
 	}
 	// Output:
--- a/choice/bookkeeping.go
+++ b/choice/bookkeeping.go
@@ -61,7 +61,7 @@
 func (a *messageTimers) takeFired(id TimerID) *message {
 	n := a.pending[id]
 	if n != nil {
-		n.timers = without(n.timers, id)
+		n.timers = removeValue(n.timers, id)
 	}
 	delete(a.pending, id)
 	return n
--- a/choice/capacity_test.go
+++ b/choice/capacity_test.go
@@ -141,7 +141,7 @@
 	bench.Sizes(b, "open", []int{1_000, 10_000, 100_000}, func(b *testing.B, n int) {
 		s, _ := withOpen(n, capacityDown, 10*n)
 		// Only now: filled up to here at its own bound, each of the last would have looked through all before it.
-		s.set.MaxOpen = int(float64(n) / capacityFull)
+		s.settings.MaxOpen = int(float64(n) / capacityFull)
 		i := n
 		for b.Loop() {
 			i++
--- a/choice/collect.go
+++ b/choice/collect.go
@@ -16,29 +16,29 @@
 	return otherwise
 }
 
-// ensure is what a table holds for a key, made where there is nothing yet.
-func ensure[K comparable, V any](table map[K]*V, key K) *V {
+// getOrCreate is what a table holds for a key, made where there is nothing yet.
+func getOrCreate[K comparable, V any](table map[K]*V, key K) *V {
 	if table[key] == nil {
 		table[key] = new(V)
 	}
 	return table[key]
 }
 
-// without is a list less one of its own.
-func without[T comparable](all []T, less T) []T {
+// removeValue is a list less one of its own.
+func removeValue[T comparable](all []T, less T) []T {
 	return slices.DeleteFunc(all, func(other T) bool { return other == less })
 }
 
-// drop takes all that stands for one value out of a table.
-func drop[K, V comparable](table map[K]V, value V) {
+// deleteValue takes all that stands for one value out of a table.
+func deleteValue[K, V comparable](table map[K]V, value V) {
 	maps.DeleteFunc(table, func(_ K, other V) bool { return other == value })
 }
 
-// inOrder is a table's keys in an order that is always the same.
-func inOrder[K cmp.Ordered, V any](table map[K]V) []K { return slices.Sorted(maps.Keys(table)) }
+// sortedKeys is a table's keys in an order that is always the same.
+func sortedKeys[K cmp.Ordered, V any](table map[K]V) []K { return slices.Sorted(maps.Keys(table)) }
 
-// least is the entry of a table of which a figure is the lowest, among some; of equals the one whose key is.
-func least[K cmp.Ordered, V any](table map[K]V, among func(V) bool, figure func(V) float64) (lowest V) {
+// minBy is the entry of a table of which a figure is the lowest, among some; of equals the one whose key is.
+func minBy[K cmp.Ordered, V any](table map[K]V, among func(V) bool, figure func(V) float64) (lowest V) {
 	var key K
 	var at float64
 	found := false
@@ -53,8 +53,8 @@
 	return lowest
 }
 
-// pick is all of a table that a question is answered yes for, in the order of its keys.
-func pick[K cmp.Ordered, V any](table map[K]V, is func(V) bool) (all []V) {
+// selectSorted is all of a table that a question is answered yes for, in the order of its keys.
+func selectSorted[K cmp.Ordered, V any](table map[K]V, is func(V) bool) (all []V) {
 	var keys []K
 	for k, v := range table {
 		if is(v) {
@@ -68,8 +68,8 @@
 	return all
 }
 
-// lowest is the least of a figure over all, or limit where none is below that.
-func lowest[T any](all []T, limit Time, figure func(T) Time) Time {
+// earliest is the least of a figure over all, or limit where none is below that.
+func earliest[T any](all []T, limit Time, figure func(T) Time) Time {
 	for _, each := range all {
 		limit = min(limit, figure(each))
 	}
--- a/choice/configure_test.go
+++ b/choice/configure_test.go
@@ -189,11 +189,11 @@
 		callTimes
 		healthState
 		limit, wrong, bad, asked, full float64
-		cold                           bucket
+		cold                           tokenBucket
 		route                          route
 	}
 	state := func() (all []known) {
-		for _, id := range inOrder(w.s.endpoints) {
+		for _, id := range sortedKeys(w.s.endpoints) {
 			e := w.s.endpoints[id]
 			all = append(all, known{e.callTimes, e.healthState, e.concurrencyLimit, e.errorShare, e.rejectedShare, e.recentAnswered, e.recentRejected, e.slowStart, *e.route})
 		}
@@ -203,7 +203,7 @@
 	if !slices.ContainsFunc(before, func(k known) bool { return k.ejected }) {
 		t.Fatal("nothing is set aside")
 	}
-	w.s.Configure(changed(w.s.set, func(s *Settings) {
+	w.s.Configure(changed(w.s.settings, func(s *Settings) {
 		for _, row := range settingsRows {
 			row.change(s)
 		}
@@ -268,7 +268,7 @@
 	}
 	d.run(Second).take(0, 3, "p").ended(Done, 0, "near", "p").run(Second)
 	d.s.Configure(changed(set, func(s *Settings) { s.RouteFees = []float64{0.05, 0} }))
-	d.run(tick).take(0, 3, "q")
+	d.run(tickInterval).take(0, 3, "q")
 	// Output:
 	// 1000.0  dispatch p to near
 	// 2050.0  dispatch q to far
--- a/choice/desk_test.go
+++ b/choice/desk_test.go
@@ -47,7 +47,7 @@
 func (d *desk) take(class ClassNo, to DestinationID, ids ...MessageID) *desk {
 	for _, id := range ids {
 		d.s.Taken(Message{ID: id, Class: class, Key: 5, Destination: to,
-			Deadline: d.clock + d.s.set.Classes[class].Deadline})
+			Deadline: d.clock + d.s.settings.Classes[class].Deadline})
 	}
 	d.s.TurnEnd()
 	return d
--- a/choice/endpoints_test.go
+++ b/choice/endpoints_test.go
@@ -108,10 +108,10 @@
 			if !r.ready(now) {
 				continue
 			}
-			r.limiter.level--
-			r.sent.count(now, loadSpan)
+			r.limiter.tokens--
+			r.sent.count(now, rateWindow)
 			r.answered++
-			refused := s.chance.share("x") < noise || limit > 0 && room < 1
+			refused := s.random.fraction("x") < noise || limit > 0 && room < 1
 			if refused {
 				s.adjustRate(s.destinations[1], r)
 			} else {
@@ -152,7 +152,7 @@
 		aside := a.ejected
 		d.run(pause)
 		d.s.readmit(a, d.clock)
-		fmt.Println(aside, a.ejected, "cold:", d.clock < a.slowStartAt+d.s.set.Cold)
+		fmt.Println(aside, a.ejected, "cold:", d.clock < a.slowStartAt+d.s.settings.Cold)
 	}
 	// Output:
 	// true false cold: false
@@ -166,7 +166,7 @@
 		d.take(2, 1, id).ended(Spoilt, 0, "a", id)
 	}
 	fmt.Println("aside:", d.s.endpoints["a"].ejected)
-	d.run(recentSuccessSpan+tick).take(2, 1, "s").ended(Spoilt, 0, "a", "s")
+	d.run(recentSuccessSpan+tickInterval).take(2, 1, "s").ended(Spoilt, 0, "a", "s")
 	fmt.Println("aside:", d.s.endpoints["a"].ejected)
 	// Output:
 	// 0.0     dispatch p to a
@@ -188,7 +188,7 @@
 	d := open(set).run(3*Second).take(1, 1, "p").ended(Errored, 0, "a", "p")
 	fmt.Println("aside:", d.s.endpoints["a"].ejected)
 	d.take(1, 2, "q").ended(Full, 5*Second, "c", "q").run(5 * Second)
-	fmt.Printf("budget once open: %.2f, from %d\n", d.s.endpoints["c"].slowStart.level, d.s.endpoints["c"].slowStart.at)
+	fmt.Printf("budget once open: %.2f, from %d\n", d.s.endpoints["c"].slowStart.tokens, d.s.endpoints["c"].slowStart.updatedAt)
 	// Output:
 	// 3000.0  dispatch p to a
 	// aside: true
--- a/choice/fleet_test.go
+++ b/choice/fleet_test.go
@@ -121,7 +121,7 @@
 	h.tries, h.forgot = map[MessageID]int{}, map[TimerID]bool{}
 	h.s = Start(h, SenderID(fmt.Sprint("s", h.no, ".", h.life)), int64(h.f.seed), h.f.set)
 	var entries []Entry
-	for _, id := range inOrder(h.f.sites) {
+	for _, id := range sortedKeys(h.f.sites) {
 		if h.f.sites[id].back < forever {
 			entries = append(entries, h.f.entry(id))
 		}
--- a/choice/intake.go
+++ b/choice/intake.go
@@ -5,18 +5,18 @@
 // Messages as they come and as they end: room, what one is worth, one final answer each.
 
 func (s *Sender) Taken(in Message) {
-	s.now = s.h.Now()
+	s.now = s.host.Now()
 	n := &message{Message: in, destination: s.ensureDestination(in.Destination)}
 	n.acceptedAt = in.Deadline - s.class(n).Deadline
-	if a := int(in.Account); a >= 0 && a < len(s.shares) {
-		n.overQuota = !s.shares[a].take(s.now, s.set.Quotas[a]/s.senders, quotaBurst)
+	if a := int(in.Account); a >= 0 && a < len(s.accountQuotas) {
+		n.overQuota = !s.accountQuotas[a].take(s.now, s.settings.Quotas[a]/s.fleetSize, quotaBurst)
 	}
 	s.messages[n.ID], n.destination.openMessages = n, n.destination.openMessages+1
 	if s.class(n).ByArrival && n.Key != NoKey {
-		n.keyQueue = ensure(s.keyQueues, n.Key)
+		n.keyQueue = getOrCreate(s.keyQueues, n.Key)
 		n.keyQueue.messages = append(n.keyQueue.messages, n)
 		if n.MayRun {
-			n.keyQueue.pausedUntil = s.now + s.set.KeyRest // a call of an earlier life may still run
+			n.keyQueue.pausedUntil = s.now + s.settings.KeyRest // a call of an earlier life may still run
 			s.setTimer(n, n.keyQueue.pausedUntil)
 		}
 	}
@@ -30,12 +30,12 @@
 
 // limitBacklog turns away by chance, below MaxOpen, what earns least for room and time; nothing owed and untried.
 func (s *Sender) limitBacklog(n *message) {
-	p := (float64(len(s.messages))/float64(s.set.MaxOpen) - shedFromShare) / (1 - shedFromShare)
-	if p <= 0 || n.Span > 0 || s.chance.share(string(n.ID)) >= p*(2-s.fullValue(n)/s.topValue) {
+	p := (float64(len(s.messages))/float64(s.settings.MaxOpen) - shedFromShare) / (1 - shedFromShare)
+	if p <= 0 || n.Span > 0 || s.random.fraction(string(n.ID)) >= p*(2-s.fullValue(n)/s.maxValue) {
 		return
 	}
 	mayGo := func(v *message) bool { return v.inFlight == nil && (v.Span == 0 || v.attempts > 0) }
-	s.endUndelivered(least(s.messages, mayGo, s.valuePerTime))
+	s.endUndelivered(minBy(s.messages, mayGo, s.valuePerTime))
 }
 
 // valuePerTime is worth by how long a message takes up room: behind its key's, waits, an outage as long as so far.
@@ -43,7 +43,7 @@
 	waits := func(e *endpoint) Time {
 		return either(e.listed, max(0, e.route.pausedUntil-s.now, Time(one(e.ejected))*(s.now-e.ejectedAt)), forever)
 	}
-	out := lowest(n.destination.ranked, forever, waits)
+	out := earliest(n.destination.ranked, forever, waits)
 	calls := Time(s.usualCallTime(n.destination)) * Time(1+n.keyQueue.position(n))
 	needs := calls + max(n.retryAt-s.now, min(out, n.Deadline-s.now), 1)
 	return s.valueAfter(n, needs) / float64(needs)
@@ -51,11 +51,11 @@
 
 // exhausted tells whether a message may not be sent any more.
 func (s *Sender) exhausted(n *message) bool {
-	tried := n.attempts > 0 && n.attempts >= s.set.MaxAttempts || n.MayRun && s.class(n).Repeat == SingleUse
+	tried := n.attempts > 0 && n.attempts >= s.settings.MaxAttempts || n.MayRun && s.class(n).Repeat == SingleUse
 	return tried || s.now > s.lastAttemptAt(n)
 }
 
-func (s *Sender) setTimer(n *message, at Time) { s.h.Timer(max(1, at-s.now), s.timers.add(n)) }
+func (s *Sender) setTimer(n *message, at Time) { s.host.Timer(max(1, at-s.now), s.timers.add(n)) }
 
 // RepeatEnd is until when a message may leave as a repeat: where it ran it must still be known. Else forever.
 func (s *Sender) RepeatEnd(id MessageID) Time {
@@ -63,24 +63,24 @@
 	if n == nil || !n.MayRun || s.class(n).Repeat != Keyed {
 		return forever
 	}
-	return n.RanAt + s.class(n).RepeatWindow - s.turn
+	return n.RanAt + s.class(n).RepeatWindow - s.turnInterval
 }
 
 // lastAttemptAt is the last time at which an attempt has room for one usual call.
 func (s *Sender) lastAttemptAt(n *message) Time {
-	return min(n.Deadline-ceil(min(s.usualCallTime(n.destination), float64(n.lifetime())/4))-2*s.turn, s.RepeatEnd(n.ID))
+	return min(n.Deadline-roundUp(min(s.usualCallTime(n.destination), float64(n.lifetime())/4))-2*s.turnInterval, s.RepeatEnd(n.ID))
 }
 
 func (s *Sender) usualCallTime(d *destination) float64 {
 	if i := slices.IndexFunc(d.ranked, func(e *endpoint) bool { return e.listed && !e.ejected }); i >= 0 {
 		return d.ranked[i].mean
 	}
-	return s.prior
+	return s.assumedCallTime
 }
 
 // Withdrawn ends a message without an answer. It is not sent again; where it is out its outcome counts.
 func (s *Sender) Withdrawn(id MessageID) {
-	if s.now = s.h.Now(); s.messages[id] != nil {
+	if s.now = s.host.Now(); s.messages[id] != nil {
 		s.release(s.messages[id])
 	}
 }
@@ -88,9 +88,9 @@
 // endUndelivered answers a message: shed where every attempt is proven never to have run, else given up.
 func (s *Sender) endUndelivered(n *message) {
 	if n.MayRun || n.inFlight != nil {
-		s.h.Fail(n.ID)
+		s.host.Fail(n.ID)
 	} else {
-		s.h.Shed(n.ID, min(s.set.LongestReturn, max(s.base, s.pauseEnd(n.destination)-s.now)))
+		s.host.Shed(n.ID, min(s.settings.LongestReturn, max(s.retryBase, s.pauseEnd(n.destination)-s.now)))
 	}
 	s.release(n)
 }
@@ -101,11 +101,11 @@
 		return
 	}
 	delete(s.messages, n.ID)
-	s.timers.clear(n, s.h.Forget)
+	s.timers.clear(n, s.host.Forget)
 	n.destination.openMessages--
 	s.markDirty(n.destination)
 	if line := n.keyQueue; line != nil {
-		line.messages = without(line.messages, n)
+		line.messages = removeValue(line.messages, n)
 		if s.now < line.pausedUntil {
 			s.setTimer(n, line.pausedUntil)
 			n.destination.keysPausedUntil = max(n.destination.keysPausedUntil, line.pausedUntil)
@@ -116,5 +116,5 @@
 
 // pauseEnd is when the first endpoint of a destination may be sent something, as far as told waits go.
 func (s *Sender) pauseEnd(d *destination) Time {
-	return lowest(d.ranked, max(d.route.pausedUntil, s.now), func(e *endpoint) Time { return e.route.pausedUntil })
+	return earliest(d.ranked, max(d.route.pausedUntil, s.now), func(e *endpoint) Time { return e.route.pausedUntil })
 }
--- a/choice/lanes.go
+++ b/choice/lanes.go
@@ -21,7 +21,7 @@
 		n.queue.Remove(n.queueElement)
 		n.queue, n.queueElement = nil, nil
 		if n.destination.queued--; n.destination.queued == 0 {
-			s.withQueued = without(s.withQueued, n.destination)
+			s.withQueued = removeValue(s.withQueued, n.destination)
 		}
 	}
 }
@@ -44,16 +44,16 @@
 		s.endUndelivered(n)
 		return
 	}
-	n.retryAt = min(s.now+s.chance.upTo(string(n.ID), min(s.cap, s.base<<min(n.attempts-1, 20))), last)
+	n.retryAt = min(s.now+s.random.jitter(string(n.ID), min(s.retryCap, s.retryBase<<min(n.attempts-1, 20))), last)
 	s.setTimer(n, n.retryAt)
 	s.setTimer(n, last+1)
 }
 
 func (s *Sender) TimerDue(id TimerID) {
-	if s.now = s.h.Now(); id == tickTimer {
-		s.h.Timer(tick, tickTimer)
+	if s.now = s.host.Now(); id == tickTimer {
+		s.host.Timer(tickInterval, tickTimer)
 		for _, c := range s.calls {
-			if float64(s.now-c.sentAt) > max(2*s.prior, overdueFactor*c.endpoint.longMean) {
+			if float64(s.now-c.sentAt) > max(2*s.assumedCallTime, overdueFactor*c.endpoint.longMean) {
 				s.noteUnanswered(c)
 			}
 		}
@@ -75,11 +75,11 @@
 }
 
 func (s *Sender) TurnEnd() {
-	s.now = s.h.Now()
+	s.now = s.host.Now()
 	for n, e := s.selectNext(); n != nil; n, e = s.selectNext() {
 		s.attempt(n, e)
 	}
-	s.turns++
+	s.turnNumber++
 }
 
 // selectNext takes the fresh tier before any retry; in a tier each queue's newest, by value for its slot time.
--- a/choice/limits_test.go
+++ b/choice/limits_test.go
@@ -54,9 +54,9 @@
 	for _, rate := range []int{2, 100, 1000} {
 		d := open(plain())
 		d.mute = true
-		luck := newChance("luck", 1)
+		luck := newRandomSource("luck", 1)
 		well := calls(d, second{"n", rate, 1, "a"}, 20, func(int) (Result, Time) {
-			if luck.share("fails") < 0.06 {
+			if luck.fraction("fails") < 0.06 {
 				return Errored, 0
 			}
 			return Done, 0
@@ -131,8 +131,8 @@
 			last[n] = d.tries[n]
 		}
 	}
-	most := float64(set.InFlightLimit) + 12/seconds(d.s.cap) + 1
-	fmt.Println("retries within the budget:", float64(retries) <= most, "left", math.Floor(dest.retryBudget.level) <= float64(set.InFlightLimit), firsts > 0)
+	most := float64(set.InFlightLimit) + 12/seconds(d.s.retryCap) + 1
+	fmt.Println("retries within the budget:", float64(retries) <= most, "left", math.Floor(dest.retryBudget.tokens) <= float64(set.InFlightLimit), firsts > 0)
 	// Output:
 	// retries within the budget: true left true true
 }
@@ -174,12 +174,12 @@
 	for _, rate := range []int{1, 100, 5000} {
 		d := open(plain())
 		r := d.s.destinations[1].route
-		r.limiter.rate, r.limiter.level, r.judgedAt = float64(rate)/2, 0, 0
+		r.limiter.rate, r.limiter.tokens, r.judgedAt = float64(rate)/2, 0, 0
 		now := Time(0)
 		for r.limiter.rate < float64(rate) {
 			now += Second / Time(2*rate)
 			if r.ready(now) {
-				r.limiter.level--
+				r.limiter.tokens--
 				r.answered++
 			}
 		}
--- a/choice/measure.go
+++ b/choice/measure.go
@@ -27,8 +27,8 @@
 	return shortest
 }
 
-// topValue is the highest value of all.
-func topValue(classes []Class) (top float64) {
+// maxValue is the highest value of all.
+func highestValue(classes []Class) (top float64) {
 	for _, w := range classes {
 		top = max(top, w.Value)
 	}
@@ -37,72 +37,72 @@
 
 const forever = Time(math.MaxInt64)
 
-func ceil(t float64) Time { return Time(math.Ceil(t)) }
+func roundUp(t float64) Time { return Time(math.Ceil(t)) }
 
-// chance draws from the seed, an id and a counter.
-type chance struct {
+// random draws from the seed, an id and a counter.
+type randomSource struct {
 	seed  []byte
-	drawn uint64
+	draws uint64
 }
 
-func newChance(id SenderID, seed int64) chance {
-	return chance{seed: binary.LittleEndian.AppendUint64([]byte(id), uint64(seed))}
+func newRandomSource(id SenderID, seed int64) randomSource {
+	return randomSource{seed: binary.LittleEndian.AppendUint64([]byte(id), uint64(seed))}
 }
 
-// share is uniform in [0, 1).
-func (c *chance) share(id string) float64 {
-	c.drawn++
+// fraction is uniform in [0, 1).
+func (c *randomSource) fraction(id string) float64 {
+	c.draws++
 	sum := crc32.ChecksumIEEE(c.seed)
 	sum = crc32.Update(sum, crc32.IEEETable, []byte(id))
-	sum = crc32.Update(sum, crc32.IEEETable, binary.LittleEndian.AppendUint64(nil, c.drawn))
+	sum = crc32.Update(sum, crc32.IEEETable, binary.LittleEndian.AppendUint64(nil, c.draws))
 	return float64(sum) / (1 << 32)
 }
 
-// upTo is uniform in (0, ceiling].
-func (c *chance) upTo(id string, ceiling Time) Time {
-	return max(1, ceil(c.share(id)*float64(ceiling)))
+// jitter is uniform in (0, ceiling].
+func (c *randomSource) jitter(id string, ceiling Time) Time {
+	return max(1, roundUp(c.fraction(id)*float64(ceiling)))
 }
 
-// bucket fills at rate a second up to a size given at each look.
-type bucket struct {
-	rate, level float64
-	at          Time
+// tokenBucket fills at rate a second up to a size given at each look.
+type tokenBucket struct {
+	rate, tokens float64
+	updatedAt    Time
 }
 
-// fillAt goes on filling at another rate.
-func (b *bucket) fillAt(now Time, rate, size float64) float64 {
+// refillAt goes on filling at another rate.
+func (b *tokenBucket) refillAt(now Time, rate, size float64) float64 {
 	b.rate = rate
-	return b.fill(now, size)
+	return b.refill(now, size)
 }
 
-func (b *bucket) fill(now Time, size float64) float64 {
-	if now > b.at {
-		b.level += b.rate * seconds(now-b.at)
-		b.at = now
+func (b *tokenBucket) refill(now Time, size float64) float64 {
+	if now > b.updatedAt {
+		b.tokens += b.rate * seconds(now-b.updatedAt)
+		b.updatedAt = now
 	}
-	b.level = min(b.level, size)
-	return b.level
+	b.tokens = min(b.tokens, size)
+	return b.tokens
 }
 
 // take draws one where there is one, at a rate from now on; the fill of a span of seconds is kept.
-func (b *bucket) take(now Time, rate, span float64) bool {
-	is := b.fillAt(now, rate, max(1, span*rate)) >= 1
-	b.level -= one(is)
+func (b *tokenBucket) take(now Time, rate, span float64) bool {
+	is := b.refillAt(now, rate, max(1, span*rate)) >= 1
+	b.tokens -= one(is)
 	return is
 }
 
-// meter counts events a second, older ones fading over a span given at each use.
-type meter struct {
-	rate float64
-	at   Time
+// rateMeter counts events a second, older ones fading over a span given at each use.
+type rateMeter struct {
+	rate      float64
+	updatedAt Time
 }
 
-func (m *meter) read(now, span Time) float64 {
-	return m.rate * math.Exp(-seconds(now-m.at)/seconds(span))
+func (m *rateMeter) read(now, span Time) float64 {
+	return m.rate * math.Exp(-seconds(now-m.updatedAt)/seconds(span))
 }
 
-func (m *meter) count(now, span Time) {
-	m.rate, m.at = m.read(now, span)+1/seconds(span), now
+func (m *rateMeter) count(now, span Time) {
+	m.rate, m.updatedAt = m.read(now, span)+1/seconds(span), now
 }
 
 // Fade is the share of a class's value left when an answer comes so long after the message was handed in.
@@ -117,16 +117,16 @@
 	return max(0, 1-(1-w.LateValue)*late/float64(max(1, w.Deadline-w.ContractTime)))
 }
 
-func (s *Sender) class(n *message) *Class { return &s.set.Classes[n.Class] }
+func (s *Sender) class(n *message) *Class { return &s.settings.Classes[n.Class] }
 
 // fullValue is less for what was past its account's share when it came.
 func (s *Sender) fullValue(n *message) float64 {
-	return s.class(n).Value * either(n.overQuota, s.set.OverShareValue, 1)
+	return s.class(n).Value * either(n.overQuota, s.settings.OverShareValue, 1)
 }
 
 // valueAfter is what is left of the value of a message that is answered so long from now.
 func (s *Sender) valueAfter(n *message, in Time) float64 {
-	return s.fullValue(n) * s.class(n).Fade(s.now+in-n.acceptedAt, s.set.Halving)
+	return s.fullValue(n) * s.class(n).Fade(s.now+in-n.acceptedAt, s.settings.Halving)
 }
 
 // fee is what a route apart in a zone costs, 0 where nothing is told.
@@ -143,36 +143,36 @@
 // lifetime is the time that a message was taken on with, as far as that is known.
 func (n *message) lifetime() Time { return cmp.Or(n.Span, n.Deadline-n.acceptedAt) }
 
-// sign stands for an endpoint in notes, which are three bytes long: a sign, and a wait in noteUnits; the shortest one
+// endpointHash stands for an endpoint in notes, which are three bytes long: a sign, and a wait in noteUnits; the shortest one
 // stands for none told.
-type sign [2]byte
+type endpointHash [2]byte
 
 const noteUnit = 20 * Millisecond
 
-func signOf(id EndpointID) sign {
-	return sign(binary.LittleEndian.AppendUint32(nil, crc32.ChecksumIEEE([]byte(id)))[:len(sign{})])
+func hashOf(id EndpointID) endpointHash {
+	return endpointHash(binary.LittleEndian.AppendUint32(nil, crc32.ChecksumIEEE([]byte(id)))[:len(endpointHash{})])
 }
 
-func write(id EndpointID, wait Time) []byte {
-	g := signOf(id)
+func encodeNote(id EndpointID, wait Time) []byte {
+	g := hashOf(id)
 	return append(g[:], byte(min(255, (wait+noteUnit-1)/noteUnit)))
 }
 
-// read gives a wait below 0 for what is no note.
-func read(note []byte) (sign, Time) {
-	if len(note) != len(sign{})+1 {
-		return sign{}, -1
+// decodeNote gives a wait below 0 for what is no note.
+func decodeNote(note []byte) (endpointHash, Time) {
+	if len(note) != len(endpointHash{})+1 {
+		return endpointHash{}, -1
 	}
-	return sign(note), Time(note[len(sign{})]) * noteUnit
+	return endpointHash(note), Time(note[len(endpointHash{})]) * noteUnit
 }
 
-// luck is by how much two shares of so many draws, alike but for chance, lie apart: one deviation.
-func luck(share, a, b float64) float64 {
+// shareDeviation is by how much two shares of so many draws, alike but for chance, lie apart: one deviation.
+func shareDeviation(share, a, b float64) float64 {
 	return math.Sqrt(share * (1 - share) * (1/max(1, a) + 1/max(1, b)))
 }
 
-// meanBelow is the mean of a count by chance that lies so many deviations below a bound.
-func meanBelow(bound, deviations float64) float64 {
+// poissonMeanBelow is the mean of a count by chance that lies so many deviations below a bound.
+func poissonMeanBelow(bound, deviations float64) float64 {
 	root := (math.Sqrt(deviations*deviations+4*bound) - deviations) / 2
 	return root * root
 }
--- a/choice/notes_test.go
+++ b/choice/notes_test.go
@@ -19,7 +19,7 @@
 	d.take(0, 1, "q").run(1600 * Millisecond)
 	fmt.Println("another")
 	d = open(noted())
-	for _, note := range [][]byte{{}, {1}, {1, 2}, {1, 2, 3}, {1, 2, 3, 4}, write("c", noteUnit)} {
+	for _, note := range [][]byte{{}, {1}, {1, 2}, {1, 2, 3}, {1, 2, 3, 4}, encodeNote("c", noteUnit)} {
 		d.s.Heard(note)
 	}
 	d.take(0, 2, "r").take(0, 1, "s").run(1600 * Millisecond)
@@ -38,8 +38,8 @@
 	d := open(noted()).take(0, 1, "p", "q").ended(ConnectFailed, 0, "a", "p", "q")
 	d = open(noted()).take(0, 1, "r").ended(Done, 0, "a", "r")
 	d.links = true
-	d.s.Heard(write("a", 0))
-	d.s.Heard(write("a", 0))
+	d.s.Heard(encodeNote("a", 0))
+	d.s.Heard(encodeNote("a", 0))
 	// Output:
 	// 0.0     dispatch q to a
 	// 0.0     dispatch p to a
@@ -91,7 +91,7 @@
 	d.s.readmit(a, d.clock)
 	d.s.ListNews([]Entry{{Endpoint: "new", Destination: 1, Rating: 10}, {Endpoint: "a", Destination: 1, Stage: Draining}}, false)
 	e := d.s.endpoints["new"]
-	fmt.Println("aside:", e.ejected, "as cold:", e.slowStartAt == a.slowStartAt, "budget:", math.Round(100*e.slowStart.level)/100)
+	fmt.Println("aside:", e.ejected, "as cold:", e.slowStartAt == a.slowStartAt, "budget:", math.Round(100*e.slowStart.tokens)/100)
 	d.take(0, 1, "q", "r", "s")
 	// Output:
 	// 3000.0  dispatch p to a
--- a/choice/order_test.go
+++ b/choice/order_test.go
@@ -12,7 +12,7 @@
 
 // keyed hands in one message with a key of its own choice, and leaves the turn open.
 func (d *desk) keyed(id MessageID, class ClassNo, key OrderKey, to DestinationID) *desk {
-	d.s.Taken(Message{ID: id, Class: class, Key: key, Destination: to, Deadline: d.clock + d.s.set.Classes[class].Deadline})
+	d.s.Taken(Message{ID: id, Class: class, Key: key, Destination: to, Deadline: d.clock + d.s.settings.Classes[class].Deadline})
 	return d
 }
 
--- a/choice/paces.go
+++ b/choice/paces.go
@@ -9,7 +9,7 @@
 func (s *Sender) onRejected(c *call, o Outcome) {
 	e, r, halted := c.endpoint, c.endpoint.route, c.endpoint.route.pausedUntil
 	limited := o.Report.Limit > 0 && (o.Report.Left-exhaustedShare)*o.Report.Limit < 1
-	if r.consecutiveRejections++; s.notes && s.now >= halted && (limited || o.Wait > 0 || !e.destination.kind.reportsLimits) {
+	if r.consecutiveRejections++; s.exchangesNotes && s.now >= halted && (limited || o.Wait > 0 || !e.destination.kind.reportsLimits) {
 		s.sendNote(e, max(o.Wait, noteUnit))
 		s.applyPeerLimit(e, o.Wait)
 	}
@@ -25,7 +25,7 @@
 		s.recordFailure(e, o.Report.Limit)
 	} else if o.Wait == 0 && r.consecutiveRejections >= rejectionRun && s.now-r.lastSuccess > recentSuccessSpan && s.now >= r.pausedUntil {
 		r.guessedWait = min(longestGuessedWait, max(firstTrialPause, 2*r.guessedWait))
-		s.pauseRoute(e, r.guessedWait/2+s.chance.upTo(string(e.id), r.guessedWait/2), false)
+		s.pauseRoute(e, r.guessedWait/2+s.random.jitter(string(e.id), r.guessedWait/2), false)
 	}
 	if o.Wait == 0 || s.now-halted <= recentSuccessSpan { // a wait that comes anew is heeded, and that is enough
 		s.adjustRate(e.destination, r)
@@ -41,11 +41,11 @@
 	}
 	full, seen := s.routeRejections(d, r)
 	since, share := max(1, seconds(s.now-r.judgedAt)), full/seen
-	r.peakLoad = max(r.sent.read(s.now, s.loadSpan), r.answered/since, r.peakLoad*math.Exp(-since/peakLoadFade))
+	r.peakLoad = max(r.sent.read(s.now, s.loadWindow), r.answered/since, r.peakLoad*math.Exp(-since/peakLoadFade))
 	load := min(r.peakLoad, r.limiter.rate)
 	limited := max(0, 1-(1-r.previousShare)*r.previousLoad/load) // what a limit would refuse of so much less
 	both := (share*seen + r.previousShare*r.previousAnswered) / (seen + r.previousAnswered)
-	told := r.previousShare-limited > noiseDeviations*luck(both, seen, r.previousAnswered)
+	told := r.previousShare-limited > noiseDeviations*shareDeviation(both, seen, r.previousAnswered)
 	if told && share > (limited+r.previousShare)/2 {
 		r.noiseShare, load = max(r.noiseShare, min(maxNoiseShare, r.previousShare, share)), r.previousLoad
 		r.limiter.rate = max(r.limiter.rate, load)
@@ -57,15 +57,15 @@
 	}
 	r.noiseShare += recentWeight * min(0, share-r.noiseShare)
 	over := share - max(toleratedRejections, r.noiseShare+2*math.Sqrt(r.noiseShare*(1-r.noiseShare)/seen))
-	over = max(over, one(s.senders > smallFleetSize && r.answered < answersToJudge))
+	over = max(over, one(s.fleetSize > smallFleetSize && r.answered < answersToJudge))
 	r.judgedAt, r.answered, r.rejected = s.now, 0, 0
 	if over > 0 {
-		r.limiter.level = min(0, r.limiter.level)
+		r.limiter.tokens = min(0, r.limiter.tokens)
 		to := max(rateCutShare-rateCutShare/2*one(full > fewCalls), 1-over) * load
-		if part := r.limit / s.senders; r.limit > 0 { // where refused calls count, parts would keep it used up
+		if part := r.limit / s.fleetSize; r.limit > 0 { // where refused calls count, parts would keep it used up
 			to = either(r.consecutiveRejections >= rejectionRun, rateCutShare*min(r.limiter.rate, part), part)
 		}
-		r.limiter.rate = max(minFleetRate/s.senders, one(s.notes)/seconds(s.base), to)
+		r.limiter.rate = max(minFleetRate/s.fleetSize, one(s.exchangesNotes)/seconds(s.retryBase), to)
 	}
 }
 
@@ -79,7 +79,7 @@
 		}
 	}
 	own, most, rest := worst.recentAnswered/sameLoadShare, worst.recentRejected/sameLoadShare, seen-worst.recentAnswered/sameLoadShare
-	if rest >= answersToJudge/2 && most/own-(full-most)/rest > noiseDeviations*luck(full/seen, own, rest) {
+	if rest >= answersToJudge/2 && most/own-(full-most)/rest > noiseDeviations*shareDeviation(full/seen, own, rest) {
 		return full - most, rest
 	}
 	return r.rejected, r.answered + 1
@@ -87,10 +87,10 @@
 
 // pauseRoute heeds a told wait, jittered so that senders told alike do not return in step.
 func (s *Sender) pauseRoute(e *endpoint, wait Time, shut bool) {
-	end := s.now + wait + s.chance.upTo(string(e.id), min(wait/8, tick*4))
+	end := s.now + wait + s.random.jitter(string(e.id), min(wait/8, tickInterval*4))
 	e.route.pausedUntil = max(e.route.pausedUntil, end)
 	for other := range e.destination.endpointsOf(e.route) {
-		other.slowStart.at = max(other.slowStart.at, end) // what all may send after it must not pile up in it
+		other.slowStart.updatedAt = max(other.slowStart.updatedAt, end) // what all may send after it must not pile up in it
 		if shut {
 			s.beginSlowStart(other, end)
 		}
@@ -100,28 +100,28 @@
 func (r *route) ready(now Time) bool {
 	// Room is tried again little by little, and faster the longer and the more calls show that there is some.
 	faster := max(0, min(seconds(now-r.judgedAt-3*Second), r.answered/answersToJudge))/2 + one(r.limiter.rate < r.peakSuccessRate/2)
-	r.limiter.rate = min(unlimitedRate, r.limiter.rate*math.Exp(rateGrowth*(1+faster)*seconds(now-r.limiter.at)))
-	return now >= r.pausedUntil && r.limiter.fill(now, max(1, r.limiter.rate/2)) >= 1
+	r.limiter.rate = min(unlimitedRate, r.limiter.rate*math.Exp(rateGrowth*(1+faster)*seconds(now-r.limiter.updatedAt)))
+	return now >= r.pausedUntil && r.limiter.refill(now, max(1, r.limiter.rate/2)) >= 1
 }
 
 // Heard takes a note of another sender: that a limit was met, or, with no wait, that no place was found.
 func (s *Sender) Heard(note []byte) {
-	s.now = s.h.Now()
-	g, wait := read(note)
-	if e := s.signs[g]; e != nil && wait > 0 {
+	s.now = s.host.Now()
+	g, wait := decodeNote(note)
+	if e := s.endpointsByHash[g]; e != nil && wait > 0 {
 		s.applyPeerLimit(e, wait)
 	} else if e != nil && wait == 0 {
 		if e.connectionNoteAt = s.now; e.inFlight == 0 && e.idleConnUntil > s.now {
 			e.idleConnUntil = s.now
-			s.h.CloseIdle(e.id)
+			s.host.CloseIdle(e.id)
 		}
 	}
 }
 
 func (s *Sender) sendNote(e *endpoint, wait Time) {
-	if s.notes && (wait > 0 || s.now >= e.connectionNoteAt+recentSuccessSpan) {
+	if s.exchangesNotes && (wait > 0 || s.now >= e.connectionNoteAt+recentSuccessSpan) {
 		e.connectionNoteAt = s.now
-		s.h.Tell(write(e.id, wait))
+		s.host.Tell(encodeNote(e.id, wait))
 	}
 }
 
@@ -135,5 +135,5 @@
 	}
 	longer := min(max(Second, 2*k.usualWait), r.limitPause+r.limitPause/2)
 	r.limitPause, r.limitMetAt = either(s.now >= r.limitMetAt+2*longer, k.usualWait, longer), s.now
-	r.pausedUntil = max(r.pausedUntil, s.now+max(wait, r.limitPause/2)+s.chance.upTo(string(e.id), r.limitPause))
+	r.pausedUntil = max(r.pausedUntil, s.now+max(wait, r.limitPause/2)+s.random.jitter(string(e.id), r.limitPause))
 }
--- a/choice/purge_test.go
+++ b/choice/purge_test.go
@@ -97,7 +97,7 @@
 		d.s.Void("a", l)
 		d.s.Void("unknown", l)
 		e, r := d.s.endpoints["a"], d.s.destinations[1].route
-		fmt.Println(d.s.Learnt("a"), "calls at once:", e.concurrencyLimit, "paced:", r.limiter.rate < unlimitedRate, "rated:", r.rating*d.s.ratingPart)
+		fmt.Println(d.s.Learnt("a"), "calls at once:", e.concurrencyLimit, "paced:", r.limiter.rate < unlimitedRate, "rated:", r.rating*d.s.ratingShare)
 		d.run(1500 * Millisecond)
 	}
 	// Output:
--- a/choice/ranks.go
+++ b/choice/ranks.go
@@ -8,27 +8,27 @@
 // rankCost is when one more call would be done, one by one; a refusal costs a wait. An unseen far one ranks
 // behind, which spreads a fleet over a destination; a route's fee counts as time.
 func (s *Sender) rankCost(e *endpoint) float64 {
-	dear := 1 + feeTimeFactor*one(e.destination.kind.Apart)*s.set.fee(e.zone)
-	if e.samples == 0 && e.zone != s.set.Zone {
+	dear := 1 + feeTimeFactor*one(e.destination.kind.Apart)*s.settings.fee(e.zone)
+	if e.samples == 0 && e.zone != s.settings.Zone {
 		return 2 * e.mean * dear
 	}
-	return (e.mean*float64(1+e.inFlight) + e.rejectedShare*float64(s.base)) / (1 - e.rejectedShare) * dear
+	return (e.mean*float64(1+e.inFlight) + e.rejectedShare*float64(s.retryBase)) / (1 - e.rejectedShare) * dear
 }
 
 // retryBudget is what pays for retries there: calls done, where notes are told all of the kind, and a trickle.
-func (s *Sender) retryBudget(d *destination) *bucket {
-	return either(s.notes, &d.kind.retryBudget, &d.retryBudget)
+func (s *Sender) retryBudget(d *destination) *tokenBucket {
+	return either(s.exchangesNotes, &d.kind.retryBudget, &d.retryBudget)
 }
 
 // refreshDestination renews a destination; it tells whether nothing is left to come back for.
 func (s *Sender) refreshDestination(d *destination) bool {
 	d.ranked = slices.DeleteFunc(d.ranked, func(e *endpoint) bool {
-		if e.listed || e.inFlight > 0 || e.probing || s.now < max(e.slowStartAt+s.set.Cold, e.route.pausedUntil) {
+		if e.listed || e.inFlight > 0 || e.probing || s.now < max(e.slowStartAt+s.settings.Cold, e.route.pausedUntil) {
 			return false
 		}
 		if s.endpoints[e.id] == e {
 			delete(s.endpoints, e.id)
-			drop(s.signs, e) // two may share one
+			deleteValue(s.endpointsByHash, e) // two may share one
 		}
 		return true
 	})
@@ -36,9 +36,9 @@
 	d.dirty = false
 	for _, e := range d.ranked {
 		due := s.now >= max(e.nextTrial, e.route.pausedUntil)
-		if e.ejected && s.probes && !e.probePassed && e.listed && !e.probing && due && s.slowStartReady(e) {
-			e.probing, e.slowStart.level = true, e.slowStart.level-1
-			s.h.Probe(e.id)
+		if e.ejected && s.probing && !e.probePassed && e.listed && !e.probing && due && s.slowStartReady(e) {
+			e.probing, e.slowStart.tokens = true, e.slowStart.tokens-1
+			s.host.Probe(e.id)
 		}
 		d.dirty = d.dirty || e.ejected || !e.listed
 	}
@@ -50,7 +50,7 @@
 
 // Open tells whether an attempt may still leave as its connection is up: no wait, drain or window's end came.
 func (s *Sender) Open(id EndpointID, messages ...MessageID) bool {
-	e, now := s.endpoints[id], s.h.Now()
+	e, now := s.endpoints[id], s.host.Now()
 	late := func(id MessageID) bool { return now > s.RepeatEnd(id) }
 	return e != nil && e.listed && now >= e.route.pausedUntil && !slices.ContainsFunc(messages, late)
 }
@@ -63,15 +63,15 @@
 		switch {
 		case !e.listed || s.now < e.route.pausedUntil || n.MayRun && w.ZoneGroup && e.zone != n.RanIn ||
 			single && e.successesNeeded > 0 && s.now-e.unansweredAt < 2*longestTrialPause && s.now < s.lastAttemptAt(n)-recentSuccessSpan:
-		case !(n.MayRun && w.ZoneGroup) && !s.h.Allowed(n.ID, e.id): // such a repeat is known in one zone alone
+		case !(n.MayRun && w.ZoneGroup) && !s.host.Allowed(n.ID, e.id): // such a repeat is known in one zone alone
 			barred = true
-		case e.bulkCall != nil && e.bulkCall.turn == s.turns && !e.ejected && e.bulkCall.messages < n.destination.kind.BundleMax:
+		case e.bulkCall != nil && e.bulkCall.turn == s.turnNumber && !e.ejected && e.bulkCall.messages < n.destination.kind.BundleMax:
 			return e, barred
-		case rideOnly || len(s.calls) >= s.set.InFlightLimit ||
-			n.attempts > 0 && s.retryBudget(n.destination).fillAt(s.now, 1/seconds(s.cap), float64(s.set.InFlightLimit)) < 1:
+		case rideOnly || len(s.calls) >= s.settings.InFlightLimit ||
+			n.attempts > 0 && s.retryBudget(n.destination).refillAt(s.now, 1/seconds(s.retryCap), float64(s.settings.InFlightLimit)) < 1:
 		case e.ejected:
-			due := (e.probePassed || !s.probes) && trial == nil && s.now >= e.nextTrial+Time(one(single))*2*longestTrialPause
-			if due && (s.slowStartReady(e) || s.probes && e.slowStart.rate*s.senders*s.fall > fewCalls) {
+			due := (e.probePassed || !s.probing) && trial == nil && s.now >= e.nextTrial+Time(one(single))*2*longestTrialPause
+			if due && (s.slowStartReady(e) || s.probing && e.slowStart.rate*s.fleetSize*s.overloadWindow > fewCalls) {
 				trial = e
 			}
 		case float64(e.inFlight) >= e.concurrencyLimit || e.inFlight >= initialConcurrency && s.now-e.lastSuccess >= recentSuccessSpan: // silent: as new
@@ -86,32 +86,32 @@
 }
 
 func (s *Sender) attempt(n *message, e *endpoint) {
-	if s.dequeue(n); s.class(n).Repeat == SingleUse && s.kept > reusedResetLimit {
-		s.h.CloseIdle(e.id)
+	if s.dequeue(n); s.class(n).Repeat == SingleUse && s.reusedResetShare > reusedResetLimit {
+		s.host.CloseIdle(e.id)
 	}
-	if k := &e.destination.kind.callTimes; s.senders > smallFleetSize && e.samples == 0 && k.samples > 0 {
+	if k := &e.destination.kind.callTimes; s.fleetSize > smallFleetSize && e.samples == 0 && k.samples > 0 {
 		e.callTimes = callTimes{k.mean, k.deviation, k.longMean, 0}
 	}
 	c := e.bulkCall
-	if c == nil || c.turn != s.turns || c.messages >= n.destination.kind.BundleMax {
-		c = &call{endpoint: e, sentAt: s.now, turn: s.turns, rejectedRetry: n.rejected, newConnection: e.inFlight == 0 && s.now >= e.idleConnUntil}
-		s.retryBudget(n.destination).level -= one(n.attempts > 0)
+	if c == nil || c.turn != s.turnNumber || c.messages >= n.destination.kind.BundleMax {
+		c = &call{endpoint: e, sentAt: s.now, turn: s.turnNumber, rejectedRetry: n.rejected, newConnection: e.inFlight == 0 && s.now >= e.idleConnUntil}
+		s.retryBudget(n.destination).tokens -= one(n.attempts > 0)
 		n.destination.rejectedRetriesOut += int(one(c.rejectedRetry))
-		e.bulkCall, e.inFlight, e.slowStart.level, e.route.limiter.level = c, e.inFlight+1, e.slowStart.level-1, e.route.limiter.level-1
-		e.route.sent.count(s.now, s.loadSpan)
+		e.bulkCall, e.inFlight, e.slowStart.tokens, e.route.limiter.tokens = c, e.inFlight+1, e.slowStart.tokens-1, e.route.limiter.tokens-1
+		e.route.sent.count(s.now, s.loadWindow)
 		e.probePassed, e.nextTrial = false, s.now+2*e.trialPause // read while it is ejected
-		e.sent.count(s.now, loadSpan*Time(s.senders))
+		e.sent.count(s.now, rateWindow*Time(s.fleetSize))
 		s.calls = append(s.calls, c)
 	} else {
-		e.slowStart.level -= bulkMemberCost
+		e.slowStart.tokens -= bulkMemberCost
 	}
 	c.messages, c.pending, n.inFlight, n.attempts = c.messages+1, c.pending+1, c, n.attempts+1
-	s.h.Attempt(n.ID, e.id, s.attemptTimeout(n, e))
+	s.host.Attempt(n.ID, e.id, s.attemptTimeout(n, e))
 }
 
 func (s *Sender) attemptTimeout(n *message, e *endpoint) Time {
-	usual := max(2*s.prior, e.mean+timeoutDeviations*e.deviation)
-	free := (finalTimeoutFactor - 1) * float64(s.set.InFlightLimit-len(s.calls)) / float64(s.set.InFlightLimit)
+	usual := max(2*s.assumedCallTime, e.mean+timeoutDeviations*e.deviation)
+	free := (finalTimeoutFactor - 1) * float64(s.settings.InFlightLimit-len(s.calls)) / float64(s.settings.InFlightLimit)
 	longer := either(s.class(n).Repeat == SingleUse, 1+free, float64(n.attempts))
-	return max(1, min(ceil(usual*longer), n.Deadline-s.now-s.turn))
+	return max(1, min(roundUp(usual*longer), n.Deadline-s.now-s.turnInterval))
 }
--- a/choice/retries_test.go
+++ b/choice/retries_test.go
@@ -110,7 +110,7 @@
 	set := plain()
 	set.Senders = 50
 	d := open(set).run(3*Second).take(1, 1, "p").ended(Errored, 0, "a", "p").run(Second)
-	d.s.endpoints["a"].slowStart.level = 1
+	d.s.endpoints["a"].slowStart.tokens = 1
 	d.take(0, 1, "q").ended(Done, 0, "a", "q")
 	fmt.Println("cold from:", d.s.endpoints["a"].slowStartAt)
 	// Output:
--- a/choice/returns_test.go
+++ b/choice/returns_test.go
@@ -87,7 +87,7 @@
 		"single-use alone":         func(p *play) { classes(p, 3, SingleUse) },
 		"nothing single-use":       func(p *play) { classes(p, 3, Idempotent) },
 	}
-	for _, name := range inOrder(odds) {
+	for _, name := range sortedKeys(odds) {
 		for _, senders := range []int{3, 80} {
 			t.Run(fmt.Sprint(name, " ", senders), func(t *testing.T) {
 				p := cold(senders, 8)
@@ -111,8 +111,8 @@
 					t.Errorf("%d events, at most %d expected", f.happened, most)
 				}
 				for _, h := range f.seats {
-					for _, id := range inOrder(h.s.endpoints) {
-						if b := h.s.endpoints[id].slowStart; math.IsNaN(b.rate) || math.IsNaN(b.level) || b.rate < 0 || b.level > 1 {
+					for _, id := range sortedKeys(h.s.endpoints) {
+						if b := h.s.endpoints[id].slowStart; math.IsNaN(b.rate) || math.IsNaN(b.tokens) || b.rate < 0 || b.tokens > 1 {
 							t.Errorf("budget %v", b)
 						}
 					}
@@ -126,7 +126,7 @@
 // asked for, and where few senders cannot get there with all buckets full, by as much.
 func TestColdMean(t *testing.T) {
 	for _, senders := range []float64{1, 2, 8, 9, 30, 300, 1e5} {
-		s := &Sender{senders: senders, fall: 1.5}
+		s := &Sender{fleetSize: senders, overloadWindow: 1.5}
 		last := 0.0
 		for _, n := range []float64{math.Inf(-1), -1, 0, 0.01, 0.3, 1, 4, 10, 30, 100, 1e4, 1e9, math.Inf(1)} {
 			mean, in := s.slowStartMean(n), min(max(0, n), unlimitedRate*1.5)
@@ -158,7 +158,7 @@
 			d.s.now = d.clock
 			d.s.eject(e)
 			d.s.readmit(e, d.clock)
-			e.slowStart.level = 1 // it had nothing to send for long
+			e.slowStart.tokens = 1 // it had nothing to send for long
 		}
 		d.take(0, 1, "first").ended(Full, 4*Second, "a", "first").take(0, 1, "p", "q", "r").run(5 * Second)
 		for id, e := range d.s.endpoints {
--- a/choice/start.go
+++ b/choice/start.go
@@ -6,53 +6,53 @@
 
 func Start(h Host, id SenderID, seed int64, set Settings) *Sender {
 	s := &Sender{
-		h: h, chance: newChance(id, seed), now: h.Now(),
+		host: h, random: newRandomSource(id, seed), now: h.Now(),
 		messages: map[MessageID]*message{}, timers: messageTimers{pending: map[TimerID]*message{}}, keyQueues: map[OrderKey]*keyQueue{},
-		destinations: map[DestinationID]*destination{}, endpoints: map[EndpointID]*endpoint{}, signs: map[sign]*endpoint{},
+		destinations: map[DestinationID]*destination{}, endpoints: map[EndpointID]*endpoint{}, endpointsByHash: map[endpointHash]*endpoint{},
 	}
 	s.applySettings(set)
-	h.Timer(tick, tickTimer)
+	h.Timer(tickInterval, tickTimer)
 	return s
 }
 
 // applySettings works out what hangs on settings; what is known of kinds and accounts that were there stays.
 func (s *Sender) applySettings(set Settings) {
 	fleet, shortest := set.Senders > smallFleetSize, float64(shortestContract(set.Classes))
-	s.set, s.senders, s.turn, s.topValue = set, float64(set.Senders), max(1, set.Turn), topValue(set.Classes)
-	s.probes, s.notes, s.maxRejectedRetries = set.Probing && !fleet, set.Notes && fleet, max(1, set.InFlightLimit/rejectedRetryDivisor)
-	s.loadSpan, s.fall = either(fleet, fleetLoadSpan, loadSpan), seconds(max(Second, set.Fall))
-	s.ratingPart = [...]float64{0, 1 / 1.5, 1}[set.Rating] / s.senders // a rough one may be half too high
-	s.base, s.cap = max(1, Time(retryBaseShare*shortest)), max(1, Time(retryCapShare*shortest))
-	s.prior = max(1, assumedCallShare*shortest)
+	s.settings, s.fleetSize, s.turnInterval, s.maxValue = set, float64(set.Senders), max(1, set.Turn), highestValue(set.Classes)
+	s.probing, s.exchangesNotes, s.maxRejectedRetries = set.Probing && !fleet, set.Notes && fleet, max(1, set.InFlightLimit/rejectedRetryDivisor)
+	s.loadWindow, s.overloadWindow = either(fleet, fleetLoadWindow, rateWindow), seconds(max(Second, set.Fall))
+	s.ratingShare = [...]float64{0, 1 / 1.5, 1}[set.Rating] / s.fleetSize // a rough one may be half too high
+	s.retryBase, s.retryCap = max(1, Time(retryBaseShare*shortest)), max(1, Time(retryCapShare*shortest))
+	s.assumedCallTime = max(1, assumedCallShare*shortest)
 	for i, k := range set.Kinds {
 		if i == len(s.kinds) {
-			s.kinds = append(s.kinds, &kind{usualWait: defaultLimitWait, retryBudget: bucket{level: float64(s.maxRejectedRetries), at: s.now}})
+			s.kinds = append(s.kinds, &kind{usualWait: defaultLimitWait, retryBudget: tokenBucket{tokens: float64(s.maxRejectedRetries), updatedAt: s.now}})
 		}
 		s.kinds[i].Kind = k
 	}
-	for _, q := range set.Quotas[len(s.shares):] {
-		s.shares = append(s.shares, bucket{level: quotaBurst * q / s.senders, at: s.now})
+	for _, q := range set.Quotas[len(s.accountQuotas):] {
+		s.accountQuotas = append(s.accountQuotas, tokenBucket{tokens: quotaBurst * q / s.fleetSize, updatedAt: s.now})
 	}
 }
 
 // Configure takes new settings whole, between two turns. What is open or learnt stays; lists may only grow.
 func (s *Sender) Configure(set Settings) {
-	s.now = s.h.Now()
-	fees, prior := s.set.RouteFees, s.prior
+	s.now = s.host.Now()
+	fees, prior := s.settings.RouteFees, s.assumedCallTime
 	s.applySettings(set)
-	ranksElse := prior != s.prior || !slices.Equal(fees, set.RouteFees)
-	for _, e := range pick(s.endpoints, func(*endpoint) bool { return ranksElse }) {
+	ranksElse := prior != s.assumedCallTime || !slices.Equal(fees, set.RouteFees)
+	for _, e := range selectSorted(s.endpoints, func(*endpoint) bool { return ranksElse }) {
 		if s.markDirty(e.destination); e.samples == 0 && e.longMean == prior {
-			e.callTimes = guessedTimes(s.prior)
+			e.callTimes = guessedTimes(s.assumedCallTime)
 		}
 	}
-	for _, n := range pick(s.messages, func(n *message) bool { return n.inFlight == nil && n.attempted() && s.exhausted(n) }) {
+	for _, n := range selectSorted(s.messages, func(n *message) bool { return n.inFlight == nil && n.attempted() && s.exhausted(n) }) {
 		s.endUndelivered(n)
 	}
 }
 
 func (s *Sender) ListNews(entries []Entry, whole bool) {
-	s.now = s.h.Now()
+	s.now = s.host.Now()
 	for _, e := range s.endpoints {
 		e.listed = e.listed && !whole
 	}
@@ -77,10 +77,10 @@
 		if other.route == e.route && (other.ejected && !e.ejected || other.slowStartAt > e.slowStartAt) {
 			// Most of a destination may be replaced while it is out: what is new is no warmer than the rest.
 			s.beginSlowStart(e, other.slowStartAt) // all senders hear of it at one moment, and must not begin then
-			e.callTimes, e.healthState, e.slowStart.at = other.callTimes, other.healthState, max(s.now, other.slowStart.at)
+			e.callTimes, e.healthState, e.slowStart.updatedAt = other.callTimes, other.healthState, max(s.now, other.slowStart.updatedAt)
 		}
 	}
-	s.endpoints[e.id], s.signs[signOf(e.id)] = e, e
+	s.endpoints[e.id], s.endpointsByHash[hashOf(e.id)] = e, e
 	d.ranked = append(d.ranked, e)
 	return e
 }
@@ -88,7 +88,7 @@
 func (s *Sender) ensureDestination(id DestinationID) *destination {
 	d := s.destinations[id]
 	if d == nil {
-		d = &destination{id: id, route: newRoute(s.now), retryBudget: bucket{level: float64(s.maxRejectedRetries), at: s.now}}
+		d = &destination{id: id, route: newRoute(s.now), retryBudget: tokenBucket{tokens: float64(s.maxRejectedRetries), updatedAt: s.now}}
 		s.destinations[id] = d
 	}
 	s.markDirty(d)
@@ -104,12 +104,12 @@
 }
 
 func newRoute(now Time) *route {
-	return &route{limiter: bucket{unlimitedRate, unlimitedRate, now}, judgedAt: now}
+	return &route{limiter: tokenBucket{unlimitedRate, unlimitedRate, now}, judgedAt: now}
 }
 
 // restoreLearned has an endpoint stand as one of which nothing is known but what another life tells.
 func (s *Sender) restoreLearned(e *endpoint, l *Learnt) {
-	e.callTimes, e.concurrencyLimit = guessedTimes(s.prior), initialConcurrency
+	e.callTimes, e.concurrencyLimit = guessedTimes(s.assumedCallTime), initialConcurrency
 	if l != nil {
 		e.callTimes = either(l.Seen > 0, callTimes{l.Mean, l.Dev, l.Past, l.Seen}, e.callTimes)
 		e.route.limit, e.route.pausedUntil = l.Limit, max(e.route.pausedUntil, s.now+l.Wait)
@@ -119,7 +119,7 @@
 // Void drops what was learnt of an endpoint and its route, or has l stand in its place. An outage and what is
 // pending of a cold budget stay; until that is over waits stay too, and no limit that l tells counts.
 func (s *Sender) Void(id EndpointID, l *Learnt) {
-	s.now = s.h.Now()
+	s.now = s.host.Now()
 	if e := s.endpoints[id]; e != nil {
 		was := *e.route
 		*e.route = *newRoute(s.now)
--- a/choice/tables.go
+++ b/choice/tables.go
@@ -6,10 +6,10 @@
 
 const (
 	firstTrialPause, longestTrialPause = 300 * Millisecond, 2 * Second    // pauses before trials: first, longest
-	loadSpan, fleetLoadSpan            = 2 * Second, 5 * Second           // of means of sends
+	rateWindow, fleetLoadWindow        = 2 * Second, 5 * Second           // of means of sends
 	recentSuccessSpan, fullQueueSpan   = 2 * Second, Second / 2           // done lately; so lately that the queue is full
 	longRetryAfter, longestGuessedWait = 2500 * Millisecond, 8 * Second   // told by the shut, above; longest one guessed
-	tick, blinkSpan                    = 50 * Millisecond, 3 * Second / 2 // between answers, too short for a cold start
+	tickInterval, blinkSpan            = 50 * Millisecond, 3 * Second / 2 // between answers, too short for a cold start
 	defaultLimitWait                   = 500 * Millisecond                // rest of a used-up route, until waits are told
 
 	retryBaseShare, retryCapShare          = 0.25, 2.0   // retry ceilings, in shortest contract times
@@ -63,25 +63,25 @@
 	ranked                                   []*endpoint
 	queues                                   []*list.List // due, lane, then fresh ones, one for each class
 	rejectedRetriesOut, queued, openMessages int
-	keysPausedUntil                          Time   // of keys whose messages are over
-	retryBudget                              bucket // what pays for retries, see budget
-	dirty                                    bool   // in Sender.stirred
+	keysPausedUntil                          Time        // of keys whose messages are over
+	retryBudget                              tokenBucket // what pays for retries, see budget
+	dirty                                    bool        // in Sender.stirred
 }
 
 // kind is what is known of all destinations that the list calls alike.
 type kind struct {
 	Kind
-	callTimes                // of all calls there, for endpoints where none was done yet
-	reportsLimits    bool    // its answers tell of limits, so that a refusal without one is no limit's
-	retryBudget      bucket  // likewise
-	usualWait        Time    // what used-up routes usually tell to wait
-	connectFailShare float64 // share of late connections that failed
+	callTimes                    // of all calls there, for endpoints where none was done yet
+	reportsLimits    bool        // its answers tell of limits, so that a refusal without one is no limit's
+	retryBudget      tokenBucket // likewise
+	usualWait        Time        // what used-up routes usually tell to wait
+	connectFailShare float64     // share of late connections that failed
 }
 
 // route is what limits, waits and returns count for: a destination, or an endpoint that is a route apart.
 type route struct {
-	limiter                                                                 bucket
-	sent, succeeded                                                         meter // own calls sent, and done
+	limiter                                                                 tokenBucket
+	sent, succeeded                                                         rateMeter // own calls sent, and done
 	rating, limit, peakSuccessRate                                          float64
 	answered, rejected, peakLoad                                            float64 // since slowDown judged; highest load
 	previousShare, previousLoad, previousAnswered, noiseShare               float64 // of the last other load; what stays
@@ -98,10 +98,10 @@
 	zone                                                                        ZoneNo
 	inFlight, consecutiveFailures, successesNeeded                              int
 	concurrencyLimit, errorShare, rejectedShare, recentAnswered, recentRejected float64 // wrong, bad: shares
-	sent                                                                        meter
+	sent                                                                        rateMeter
 	connectionNoteAt, lastSuccess, unansweredAt, idleConnUntil                  Time
 	listed, probing                                                             bool
-	slowStart                                                                   bucket
+	slowStart                                                                   tokenBucket
 	bulkCall                                                                    *call
 }
 
@@ -121,23 +121,23 @@
 
 // Sender is one sender's decisions: a method for each thing that happens, then TurnEnd; it acts by its Host.
 type Sender struct {
-	h                                                Host
-	set                                              Settings
-	chance                                           chance
-	kinds                                            []*kind
-	shares                                           []bucket // by account
-	maxRejectedRetries, turns                        int
-	senders, prior, topValue, ratingPart, fall, kept float64 // kept: see learn
-	now, base, cap, loadSpan, turn                   Time
-	probes, notes                                    bool
-	timers                                           messageTimers
+	host                                                                                Host
+	settings                                                                            Settings
+	random                                                                              randomSource
+	kinds                                                                               []*kind
+	accountQuotas                                                                       []tokenBucket // by account
+	maxRejectedRetries, turnNumber                                                      int
+	fleetSize, assumedCallTime, maxValue, ratingShare, overloadWindow, reusedResetShare float64 // kept: see learn
+	now, retryBase, retryCap, loadWindow, turnInterval                                  Time
+	probing, exchangesNotes                                                             bool
+	timers                                                                              messageTimers
 
-	messages     map[MessageID]*message         // emptied as messages end
-	keyQueues    map[OrderKey]*keyQueue         // emptied when a key has no message and its rest is over
-	destinations map[DestinationID]*destination // emptied by the tick once without endpoints and messages
-	endpoints    map[EndpointID]*endpoint       // likewise, once gone and without calls
-	signs        map[sign]*endpoint             // the same, by what stands for them in notes
-	withQueued   []*destination                 // those with a queued message, longest waiting first
-	dirty        []*destination                 // those the next tick looks at; emptied as they settle
-	calls        []*call                        // at most one for each slot
+	messages        map[MessageID]*message         // emptied as messages end
+	keyQueues       map[OrderKey]*keyQueue         // emptied when a key has no message and its rest is over
+	destinations    map[DestinationID]*destination // emptied by the tick once without endpoints and messages
+	endpoints       map[EndpointID]*endpoint       // likewise, once gone and without calls
+	endpointsByHash map[endpointHash]*endpoint     // the same, by what stands for them in notes
+	withQueued      []*destination                 // those with a queued message, longest waiting first
+	dirty           []*destination                 // those the next tick looks at; emptied as they settle
+	calls           []*call                        // at most one for each slot
 }
--- a/choice/town_test.go
+++ b/choice/town_test.go
@@ -100,7 +100,7 @@
 
 // within checks an attempt by the settings that hold now.
 func (w *town) within(n *message, e *endpoint) {
-	set, class := w.s.set, w.s.class(n)
+	set, class := w.s.settings, w.s.class(n)
 	check := func(is bool, what string) {
 		if !is {
 			w.t.Errorf("%d: %s to %s: %s", w.clock, n.ID, e.id, what)
@@ -124,8 +124,8 @@
 }
 
 func (w *town) Shed(id MessageID, in Time) {
-	if in > w.s.set.LongestReturn {
-		w.t.Errorf("%s may come again in %d, above %d", id, in, w.s.set.LongestReturn)
+	if in > w.s.settings.LongestReturn {
+		w.t.Errorf("%s may come again in %d, above %d", id, in, w.s.settings.LongestReturn)
 	}
 	w.answered(id, fmt.Sprint("shed, again in ", in))
 }
@@ -134,7 +134,7 @@
 
 func (w *town) Probe(e EndpointID) {
 	w.log("probe %s", e)
-	if !w.s.set.Probing {
+	if !w.s.settings.Probing {
 		w.t.Errorf("%d: a probe", w.clock)
 	}
 	result := Done
@@ -148,7 +148,7 @@
 
 func (w *town) Tell(note []byte) {
 	w.log("tell %x", note)
-	if !w.s.set.Notes {
+	if !w.s.settings.Notes {
 		w.t.Errorf("%d: a note", w.clock)
 	}
 }
@@ -200,7 +200,7 @@
 		no++
 		class, account := no, no/3
 		w.at(at, -1, func() {
-			set := w.s.set
+			set := w.s.settings
 			n := Message{ID: id, Class: ClassNo(class % len(set.Classes)), Account: AccountNo(account % len(set.Quotas)),
 				Key: OrderKey(class % 7), Destination: DestinationID(class / 2 % 2)}
 			n.Deadline = w.clock + set.Classes[n.Class].Deadline
--- a/choice/waits_test.go
+++ b/choice/waits_test.go
@@ -90,7 +90,7 @@
 		fmt.Printf("%v, %.1f left: pace %.2f\n", [...]string{"done", "", "refused"}[result], left, d.s.destinations[1].route.limiter.rate)
 	}
 	for i, id := range []MessageID{"p", "q", "r", "s", "t"} {
-		d.s.destinations[1].route.limiter.level = 1 // else it waits for its turn at that pace
+		d.s.destinations[1].route.limiter.tokens = 1 // else it waits for its turn at that pace
 		tell(id, [...]Result{Full, Full, Full, Done, Done}[i], [...]float64{0, 0, 0, 0.1, 0.5}[i])
 		d.s.Withdrawn(id)
 	}
