--- a/choice/answers.go
+++ b/choice/answers.go
@@ -3,98 +3,98 @@
 // How calls end and what is learnt of it.
 
 func (s *Sender) Ended(o Outcome) {
-	n := s.messages[o.Message]
-	if s.now = s.host.Now(); n == nil || n.inFlight == nil || o.Attempt != n.attempts-1 {
+	msg := s.messages[o.Message]
+	if s.now = s.host.Now(); msg == nil || msg.inFlight == nil || o.Attempt != msg.attempts-1 {
 		return
 	}
-	c := n.inFlight
-	n.rejected, n.lastEndpoint, n.inFlight = o.Result == Full, c.endpoint, nil
-	if !c.judged && o.Result != Moot && o.Result != Cancelled { // these tell nothing of the endpoint
-		c.judged = true
-		s.recordOutcome(c, o)
+	call := msg.inFlight
+	msg.rejected, msg.lastEndpoint, msg.inFlight = o.Result == Full, call.endpoint, nil
+	if !call.judged && o.Result != Moot && o.Result != Cancelled { // these tell nothing of the endpoint
+		call.judged = true
+		s.recordOutcome(call, o)
 	} else if o.Wait > 0 {
-		s.pauseRoute(c.endpoint, o.Wait, false) // those of one call may be told one by one, and it counts from the last
+		s.pauseRoute(call.endpoint, o.Wait, false) // those of one call may be told one by one, and it counts from the last
 	}
-	if c.pending--; c.pending == 0 {
-		c.endpoint.inFlight, c.endpoint.idleConnUntil, n.destination.rejectedRetriesOut = c.endpoint.inFlight-1, s.now+s.settings.ConnIdle, n.destination.rejectedRetriesOut-int(one(c.rejectedRetry))
-		s.closeIfUnused(c.endpoint)
-		s.calls = removeValue(s.calls, c)
+	if call.pending--; call.pending == 0 {
+		call.endpoint.inFlight, call.endpoint.idleConnUntil, msg.destination.rejectedRetriesOut = call.endpoint.inFlight-1, s.now+s.settings.ConnIdle, msg.destination.rejectedRetriesOut-int(one(call.rejectedRetry))
+		s.closeIfUnused(call.endpoint)
+		s.calls = removeValue(s.calls, call)
 	}
 	runs := o.Result == TimedOut || o.Result == Reset || o.Result == Cancelled // it may, still
-	if !n.MayRun && (runs || o.Result == Errored || o.Result == Spoilt) {
-		n.MayRun, n.RanAt, n.RanIn = true, c.sentAt, c.endpoint.zone
+	if !msg.MayRun && (runs || o.Result == Errored || o.Result == Spoilt) {
+		msg.MayRun, msg.RanAt, msg.RanIn = true, call.sentAt, call.endpoint.zone
 	}
-	if runs && n.keyQueue != nil {
-		n.keyQueue.pausedUntil = s.now + s.settings.KeyRest
+	if runs && msg.keyQueue != nil {
+		msg.keyQueue.pausedUntil = s.now + s.settings.KeyRest
 	}
-	if n.ended = n.ended || o.Final; n.ended {
-		s.release(n)
+	if msg.ended = msg.ended || o.Final; msg.ended {
+		s.release(msg)
 	} else {
-		s.scheduleRetry(n)
+		s.scheduleRetry(msg)
 	}
 }
 
 // closeIfUnused closes idle links, also where what waits may not go yet. Those of a fleet fill tables: the more
 // connections of their kind fail, the oftener one must be used to stay.
-func (s *Sender) closeIfUnused(e *endpoint) {
-	use := e.sent.read(s.now, rateWindow*Time(s.fleetSize)) * seconds(s.settings.ConnIdle)
-	idle := e.inFlight == 0 && (e.destination.queued == 0 || !e.route.ready(s.now) || !s.slowStartReady(e))
-	if idle && use < keepUseFactor*e.destination.kind.connectFailShare {
-		s.host.CloseIdle(e.id)
-		e.idleConnUntil = s.now
+func (s *Sender) closeIfUnused(ep *endpoint) {
+	use := ep.sent.read(s.now, rateWindow*Time(s.fleetSize)) * seconds(s.settings.ConnIdle)
+	idle := ep.inFlight == 0 && (ep.destination.queued == 0 || !ep.route.ready(s.now) || !s.slowStartReady(ep))
+	if idle && use < keepUseFactor*ep.destination.kind.connectFailShare {
+		s.host.CloseIdle(ep.id)
+		ep.idleConnUntil = s.now
 	}
 }
 
 // onConnectionTableFull answers that an endpoint has no place for one more connection, which tells nothing of its limits:
 // links that idle at its kind may go, and one call at a time tries there. Harm: some shut ones look alike.
-func (s *Sender) onConnectionTableFull(e *endpoint) {
-	e.concurrencyLimit, e.destination.kind.connectFailShare = 1, e.destination.kind.connectFailShare+recentWeight*(1-e.destination.kind.connectFailShare)
-	for _, other := range selectSorted(s.endpoints, func(other *endpoint) bool { return other.destination.kind == e.destination.kind }) {
+func (s *Sender) onConnectionTableFull(ep *endpoint) {
+	ep.concurrencyLimit, ep.destination.kind.connectFailShare = 1, ep.destination.kind.connectFailShare+recentWeight*(1-ep.destination.kind.connectFailShare)
+	for _, other := range selectSorted(s.endpoints, func(other *endpoint) bool { return other.destination.kind == ep.destination.kind }) {
 		s.closeIfUnused(other)
 	}
 }
 
-func (s *Sender) recordOutcome(c *call, o Outcome) {
-	e, r, full := c.endpoint, c.endpoint.route, one(o.Result == Full)
-	if s.markDirty(e.destination); o.Report.Known {
-		r.limit, e.destination.kind.reportsLimits = o.Report.Limit, true
+func (s *Sender) recordOutcome(call *call, o Outcome) {
+	ep, route, full := call.endpoint, call.endpoint.route, one(o.Result == Full)
+	if s.markDirty(ep.destination); o.Report.Known {
+		route.limit, ep.destination.kind.reportsLimits = o.Report.Limit, true
 	}
-	r.answered, e.recentAnswered, e.recentRejected, e.rejectedShare = r.answered+1, e.recentAnswered+1, e.recentRejected+full, e.rejectedShare+recentWeight*(full-e.rejectedShare)
-	e.errorShare += one(!e.ejected) * longTermWeight * (1 - full) * (one(o.Result != Done) - e.errorShare)
+	route.answered, ep.recentAnswered, ep.recentRejected, ep.rejectedShare = route.answered+1, ep.recentAnswered+1, ep.recentRejected+full, ep.rejectedShare+recentWeight*(full-ep.rejectedShare)
+	ep.errorShare += one(!ep.ejected) * longTermWeight * (1 - full) * (one(o.Result != Done) - ep.errorShare)
 	s.reusedResetShare += one(o.Kept) * recentWeight * (one(o.Result == Reset) - s.reusedResetShare)
 	switch o.Result {
 	case Done:
-		e.observe(float64(o.Took), recentWeight, longTermWeight)
-		e.destination.kind.observe(float64(o.Took), recentWeight, longTermWeight)
-		e.destination.kind.connectFailShare *= 1 - recentWeight*one(c.newConnection)
-		s.retryBudget(e.destination).tokens += either(s.exchangesNotes, kindRetryCredit, 1)
-		r.succeeded.count(s.now, rateWindow*Time(s.fleetSize))
-		r.peakSuccessRate, r.consecutiveFailures, r.consecutiveRejections, r.guessedWait, e.consecutiveFailures, e.successesNeeded = max(r.peakSuccessRate, r.succeeded.rate), 0, 0, 0, 0, max(0, e.successesNeeded-1)
-		r.limiter.rate = max(r.limiter.rate, r.limit/s.fleetSize*one(o.Report.Left > exhaustedShare)) // it has filled up again
-		if e.ejected {
-			s.readmit(e, c.sentAt)
-		} else if e.mean < 2*e.longMean {
-			e.concurrencyLimit = min(float64(s.settings.InFlightLimit), e.concurrencyLimit+1/e.concurrencyLimit)
+		ep.observe(float64(o.Took), recentWeight, longTermWeight)
+		ep.destination.kind.observe(float64(o.Took), recentWeight, longTermWeight)
+		ep.destination.kind.connectFailShare *= 1 - recentWeight*one(call.newConnection)
+		s.retryBudget(ep.destination).tokens += either(s.exchangesNotes, kindRetryCredit, 1)
+		route.succeeded.count(s.now, rateWindow*Time(s.fleetSize))
+		route.peakSuccessRate, route.consecutiveFailures, route.consecutiveRejections, route.guessedWait, ep.consecutiveFailures, ep.successesNeeded = max(route.peakSuccessRate, route.succeeded.rate), 0, 0, 0, 0, max(0, ep.successesNeeded-1)
+		route.limiter.rate = max(route.limiter.rate, route.limit/s.fleetSize*one(o.Report.Left > exhaustedShare)) // it has filled up again
+		if ep.ejected {
+			s.readmit(ep, call.sentAt)
+		} else if ep.mean < 2*ep.longMean {
+			ep.concurrencyLimit = min(float64(s.settings.InFlightLimit), ep.concurrencyLimit+1/ep.concurrencyLimit)
 		}
-		e.lastSuccess, r.lastSuccess = s.now, s.now
+		ep.lastSuccess, route.lastSuccess = s.now, s.now
 	case Full:
 		if o.Closed && !o.Kept && o.Wait == 0 { // no place for one more connection, no word of limits
-			s.onConnectionTableFull(e)
+			s.onConnectionTableFull(ep)
 		} else {
-			s.onRejected(c, o)
+			s.onRejected(call, o)
 		}
 	case Errored, Reset, Spoilt:
 		// A kept link that breaks or a spoilt answer shows no outage: a crash refuses new connections too.
-		if o.Result == Errored || o.Result == Reset && !o.Kept || s.now-e.lastSuccess > recentSuccessSpan {
-			s.recordFailure(e, 0)
+		if o.Result == Errored || o.Result == Reset && !o.Kept || s.now-ep.lastSuccess > recentSuccessSpan {
+			s.recordFailure(ep, 0)
 		}
 	case TimedOut, ConnectFailed:
 		if o.Result == ConnectFailed && !s.settings.TellsFull {
-			e.destination.kind.connectFailShare += recentWeight * (1 - e.destination.kind.connectFailShare)
-			s.sendNote(e, 0)
+			ep.destination.kind.connectFailShare += recentWeight * (1 - ep.destination.kind.connectFailShare)
+			s.sendNote(ep, 0)
 		}
-		if float64(s.now-c.sentAt) >= 2*s.assumedCallTime || s.now < s.messages[o.Message].Deadline-2*s.turnInterval { // else cut short
-			s.noteUnanswered(c)
+		if float64(s.now-call.sentAt) >= 2*s.assumedCallTime || s.now < s.messages[o.Message].Deadline-2*s.turnInterval { // else cut short
+			s.noteUnanswered(call)
 		}
 	}
 }
--- a/choice/bookkeeping.go
+++ b/choice/bookkeeping.go
@@ -14,10 +14,10 @@
 const retryQueues = 2
 
 // queueFor is the queue of its destination that a message belongs to; a row of them grows as they are used.
-func (d *destination) queueFor(n *message) *list.List {
-	i := retryQueues + int(n.Class)
-	if n.attempts > 0 {
-		i = int(one(n.rejected))
+func (d *destination) queueFor(msg *message) *list.List {
+	i := retryQueues + int(msg.Class)
+	if msg.attempts > 0 {
+		i = int(one(msg.rejected))
 	}
 	for len(d.queues) <= i {
 		d.queues = append(d.queues, list.New())
@@ -26,10 +26,10 @@
 }
 
 // endpointsOf are the endpoints of a destination that are one route.
-func (d *destination) endpointsOf(r *route) iter.Seq[*endpoint] {
+func (d *destination) endpointsOf(route *route) iter.Seq[*endpoint] {
 	return func(yield func(*endpoint) bool) {
-		for _, e := range d.ranked {
-			if e.route == r && !yield(e) {
+		for _, ep := range d.ranked {
+			if ep.route == route && !yield(ep) {
 				return
 			}
 		}
@@ -37,11 +37,11 @@
 }
 
 // position is how many of its key are ahead of a message; none without a key.
-func (l *keyQueue) position(n *message) int {
-	if l == nil {
+func (q *keyQueue) position(msg *message) int {
+	if q == nil {
 		return 0
 	}
-	return slices.Index(l.messages, n)
+	return slices.Index(q.messages, msg)
 }
 
 // messageTimers are the timers that stand for messages.
@@ -50,28 +50,28 @@
 	pending map[TimerID]*message // each leaves as it fires, or its message is released
 }
 
-func (a *messageTimers) add(n *message) TimerID {
+func (a *messageTimers) add(msg *message) TimerID {
 	a.last++
-	a.pending[a.last] = n
-	n.timers = append(n.timers, a.last)
+	a.pending[a.last] = msg
+	msg.timers = append(msg.timers, a.last)
 	return a.last
 }
 
 // takeFired is whose timer it was; nil where that is over.
 func (a *messageTimers) takeFired(id TimerID) *message {
-	n := a.pending[id]
-	if n != nil {
-		n.timers = removeValue(n.timers, id)
+	msg := a.pending[id]
+	if msg != nil {
+		msg.timers = removeValue(msg.timers, id)
 	}
 	delete(a.pending, id)
-	return n
+	return msg
 }
 
 // clear forgets what a message still waits for.
-func (a *messageTimers) clear(n *message, forget func(TimerID)) {
-	for _, id := range n.timers {
+func (a *messageTimers) clear(msg *message, forget func(TimerID)) {
+	for _, id := range msg.timers {
 		delete(a.pending, id)
 		forget(id)
 	}
-	n.timers = nil
+	msg.timers = nil
 }
--- a/choice/capacity_test.go
+++ b/choice/capacity_test.go
@@ -96,8 +96,8 @@
 		s := Start(&silentHost{}, "s", 7, capacitySettings(1000))
 		s.ListNews(capacityList(n, Ready), true)
 		for b.Loop() {
-			for _, d := range s.destinations {
-				s.markDirty(d)
+			for _, dest := range s.destinations {
+				s.markDirty(dest)
 			}
 			s.TimerDue(tickTimer)
 		}
--- a/choice/configure_test.go
+++ b/choice/configure_test.go
@@ -194,8 +194,8 @@
 	}
 	state := func() (all []known) {
 		for _, id := range sortedKeys(w.s.endpoints) {
-			e := w.s.endpoints[id]
-			all = append(all, known{e.callTimes, e.healthState, e.concurrencyLimit, e.errorShare, e.rejectedShare, e.recentAnswered, e.recentRejected, e.slowStart, *e.route})
+			ep := w.s.endpoints[id]
+			all = append(all, known{ep.callTimes, ep.healthState, ep.concurrencyLimit, ep.errorShare, ep.rejectedShare, ep.recentAnswered, ep.recentRejected, ep.slowStart, *ep.route})
 		}
 		return all
 	}
--- a/choice/earlier_test.go
+++ b/choice/earlier_test.go
@@ -13,8 +13,8 @@
 	}
 	d.take(2, 1, "new")
 	fmt.Println("held:", len(d.s.messages))
-	for _, n := range d.s.messages {
-		n.attempts = 1
+	for _, msg := range d.s.messages {
+		msg.attempts = 1
 	}
 	d.mute = true
 	d.take(2, 1, "new")
--- a/choice/endpoints_test.go
+++ b/choice/endpoints_test.go
@@ -99,21 +99,21 @@
 func ExampleSender_slowDown() {
 	play := func(what string, offered int, noise, limit float64) {
 		d := open(plain())
-		s, r := d.s, d.s.destinations[1].route
+		s, route := d.s, d.s.destinations[1].route
 		room, sent, full, late := 0.0, 0, 0, 60*Second
 		for i := range offered * 60 {
 			now := Time(i) * Second / Time(offered)
 			s.now, d.clock = now, now
 			room = min(max(1, limit/5), room+limit/float64(offered))
-			if !r.ready(now) {
+			if !route.ready(now) {
 				continue
 			}
-			r.limiter.tokens--
-			r.sent.count(now, rateWindow)
-			r.answered++
+			route.limiter.tokens--
+			route.sent.count(now, rateWindow)
+			route.answered++
 			refused := s.random.fraction("x") < noise || limit > 0 && room < 1
 			if refused {
-				s.adjustRate(s.destinations[1], r)
+				s.adjustRate(s.destinations[1], route)
 			} else {
 				room--
 			}
--- a/choice/lanes.go
+++ b/choice/lanes.go
@@ -5,23 +5,23 @@
 // Queues and their order: the fresh tier, what is due again, the lane of the refused, and keys.
 
 // enqueue lays a message up, but once: its key's turn may have come to it already, as another was turned away.
-func (s *Sender) enqueue(n *message) {
-	if n.queueElement != nil || n.keyQueue != nil && (n.keyQueue.messages[0] != n || s.now < n.keyQueue.pausedUntil && n.attempts == 0) {
+func (s *Sender) enqueue(msg *message) {
+	if msg.queueElement != nil || msg.keyQueue != nil && (msg.keyQueue.messages[0] != msg || s.now < msg.keyQueue.pausedUntil && msg.attempts == 0) {
 		return
 	}
-	n.queue = n.destination.queueFor(n)
-	n.queueElement = n.queue.PushBack(n)
-	if n.destination.queued++; n.destination.queued == 1 {
-		s.withQueued = append(s.withQueued, n.destination)
+	msg.queue = msg.destination.queueFor(msg)
+	msg.queueElement = msg.queue.PushBack(msg)
+	if msg.destination.queued++; msg.destination.queued == 1 {
+		s.withQueued = append(s.withQueued, msg.destination)
 	}
 }
 
-func (s *Sender) dequeue(n *message) {
-	if n.queueElement != nil {
-		n.queue.Remove(n.queueElement)
-		n.queue, n.queueElement = nil, nil
-		if n.destination.queued--; n.destination.queued == 0 {
-			s.withQueued = removeValue(s.withQueued, n.destination)
+func (s *Sender) dequeue(msg *message) {
+	if msg.queueElement != nil {
+		msg.queue.Remove(msg.queueElement)
+		msg.queue, msg.queueElement = nil, nil
+		if msg.destination.queued--; msg.destination.queued == 0 {
+			s.withQueued = removeValue(s.withQueued, msg.destination)
 		}
 	}
 }
@@ -32,52 +32,52 @@
 		return
 	} else if len(line.messages) == 0 {
 		delete(s.keyQueues, from.Key)
-	} else if n := line.messages[0]; n.attempts == 0 {
-		s.enqueue(n)
+	} else if msg := line.messages[0]; msg.attempts == 0 {
+		s.enqueue(msg)
 	}
 }
 
 // retryBudget keeps the ordinary path of a retry: capped doubling ceilings, full jitter.
-func (s *Sender) scheduleRetry(n *message) {
-	last := s.lastAttemptAt(n)
-	if s.exhausted(n) || max(s.now+1, s.pauseEnd(n.destination)) > last {
-		s.endUndelivered(n)
+func (s *Sender) scheduleRetry(msg *message) {
+	last := s.lastAttemptAt(msg)
+	if s.exhausted(msg) || max(s.now+1, s.pauseEnd(msg.destination)) > last {
+		s.endUndelivered(msg)
 		return
 	}
-	n.retryAt = min(s.now+s.random.jitter(string(n.ID), min(s.retryCap, s.retryBase<<min(n.attempts-1, 20))), last)
-	s.setTimer(n, n.retryAt)
-	s.setTimer(n, last+1)
+	msg.retryAt = min(s.now+s.random.jitter(string(msg.ID), min(s.retryCap, s.retryBase<<min(msg.attempts-1, 20))), last)
+	s.setTimer(msg, msg.retryAt)
+	s.setTimer(msg, last+1)
 }
 
 func (s *Sender) TimerDue(id TimerID) {
 	if s.now = s.host.Now(); id == tickTimer {
 		s.host.Timer(tickInterval, tickTimer)
-		for _, c := range s.calls {
-			if float64(s.now-c.sentAt) > max(2*s.assumedCallTime, overdueFactor*c.endpoint.longMean) {
-				s.noteUnanswered(c)
+		for _, call := range s.calls {
+			if float64(s.now-call.sentAt) > max(2*s.assumedCallTime, overdueFactor*call.endpoint.longMean) {
+				s.noteUnanswered(call)
 			}
 		}
 		s.dirty = slices.DeleteFunc(s.dirty, s.refreshDestination)
 		return
 	}
-	switch n := s.timers.takeFired(id); {
-	case n == nil || n.inFlight != nil:
-	case n.ended:
-		s.advanceKey(n)
-	case s.exhausted(n):
-		s.endUndelivered(n)
+	switch msg := s.timers.takeFired(id); {
+	case msg == nil || msg.inFlight != nil:
+	case msg.ended:
+		s.advanceKey(msg)
+	case s.exhausted(msg):
+		s.endUndelivered(msg)
 	default:
-		if n.attempts == 0 || s.now >= n.retryAt {
-			s.enqueue(n)
+		if msg.attempts == 0 || s.now >= msg.retryAt {
+			s.enqueue(msg)
 		}
-		s.setTimer(n, s.lastAttemptAt(n)+1) // else it is lost when nothing else happens to its destination
+		s.setTimer(msg, s.lastAttemptAt(msg)+1) // else it is lost when nothing else happens to its destination
 	}
 }
 
 func (s *Sender) TurnEnd() {
 	s.now = s.host.Now()
-	for n, e := s.selectNext(); n != nil; n, e = s.selectNext() {
-		s.attempt(n, e)
+	for msg, ep := s.selectNext(); msg != nil; msg, ep = s.selectNext() {
+		s.attempt(msg, ep)
 	}
 	s.turnNumber++
 }
@@ -86,15 +86,15 @@
 // Behind one that only what is barred to it could serve, it looks at a few more, which may go elsewhere.
 func (s *Sender) selectNext() (best *message, to *endpoint) {
 	for tier, top := 0, 0.0; tier < 2 && best == nil; tier++ {
-		for _, d := range s.withQueued {
-			for i, l := range d.queues {
+		for _, dest := range s.withQueued {
+			for i, l := range dest.queues {
 				at, goOn := l.Back(), (i >= retryQueues) == (tier == 0)
 				for looked := 0; at != nil && goOn && looked < barredScanLimit; at, looked = at.Prev(), looked+1 {
-					n := at.Value.(*message)
-					e, barred := s.selectEndpoint(n, n.rejected && d.rejectedRetriesOut >= s.maxRejectedRetries)
-					if goOn = e == nil && barred; e != nil {
-						if v := (s.valueAfter(n, Time(s.usualCallTime(d))) + 1e-6) / max(1, e.mean); v > top {
-							best, to, top = n, e, v
+					msg := at.Value.(*message)
+					ep, barred := s.selectEndpoint(msg, msg.rejected && dest.rejectedRetriesOut >= s.maxRejectedRetries)
+					if goOn = ep == nil && barred; ep != nil {
+						if v := (s.valueAfter(msg, Time(s.usualCallTime(dest))) + 1e-6) / max(1, ep.mean); v > top {
+							best, to, top = msg, ep, v
 						}
 					}
 				}
--- a/choice/limits_test.go
+++ b/choice/limits_test.go
@@ -34,10 +34,10 @@
 	d := open(plain())
 	d.mute = true
 	d.take(0, 1, "p").ended(Done, 0, "a", "p").run(3 * Second)
-	r := d.s.destinations[1].route
+	route := d.s.destinations[1].route
 	told := func(id MessageID) {
 		d.take(0, 1, id).ended(Full, 200*Millisecond, "a", id)
-		fmt.Println("halted for", (r.pausedUntil-d.clock)/Millisecond, "ms, unpaced", r.limiter.rate >= unlimitedRate)
+		fmt.Println("halted for", (route.pausedUntil-d.clock)/Millisecond, "ms, unpaced", route.limiter.rate >= unlimitedRate)
 		d.run(500 * Millisecond)
 	}
 	d.s.endpoints["a"].concurrencyLimit = 8
@@ -78,23 +78,23 @@
 	d.mute = true
 	d.s.ListNews([]Entry{{Endpoint: "b", Destination: 1, Rating: 10}}, false)
 	a, b := d.s.endpoints["a"], d.s.endpoints["b"]
-	r, low := a.route, unlimitedRate
+	route, low := a.route, unlimitedRate
 	to := map[EndpointID]int{}
 	for i := range 2000 {
 		d.run(10 * Millisecond)
 		id := MessageID(fmt.Sprint(i))
 		d.take(0, 1, id)
-		for _, e := range []*endpoint{a, b} {
-			if n := d.s.messages[id]; n != nil && n.inFlight != nil && n.inFlight.endpoint == e {
-				to[e.id]++
-				if e == b && i%2 == 0 {
+		for _, ep := range []*endpoint{a, b} {
+			if msg := d.s.messages[id]; msg != nil && msg.inFlight != nil && msg.inFlight.endpoint == ep {
+				to[ep.id]++
+				if ep == b && i%2 == 0 {
 					d.ended(Full, 0, "b", id)
 				} else {
-					d.ended(Done, 0, e.id, id)
+					d.ended(Done, 0, ep.id, id)
 				}
 			}
 		}
-		low = min(low, r.limiter.rate)
+		low = min(low, route.limiter.rate)
 	}
 	d.s.refreshDestination(d.s.destinations[1])
 	fmt.Println("well:", to["a"] > 10*to["b"], "ranked first:", d.s.destinations[1].ranked[0].id, "pace kept:", low >= 90)
@@ -115,8 +115,8 @@
 		d.take(0, 1, MessageID(fmt.Sprint(i)))
 		d.s.endpoints["a"].ejected, d.s.endpoints["a"].consecutiveFailures = false, 0 // what would end it all sooner is left out
 		var ids []string
-		for id, n := range d.s.messages {
-			if n.inFlight != nil {
+		for id, msg := range d.s.messages {
+			if msg.inFlight != nil {
 				ids = append(ids, string(id))
 			}
 		}
@@ -173,14 +173,14 @@
 func ExampleSender_halvedWrongly() {
 	for _, rate := range []int{1, 100, 5000} {
 		d := open(plain())
-		r := d.s.destinations[1].route
-		r.limiter.rate, r.limiter.tokens, r.judgedAt = float64(rate)/2, 0, 0
+		route := d.s.destinations[1].route
+		route.limiter.rate, route.limiter.tokens, route.judgedAt = float64(rate)/2, 0, 0
 		now := Time(0)
-		for r.limiter.rate < float64(rate) {
+		for route.limiter.rate < float64(rate) {
 			now += Second / Time(2*rate)
-			if r.ready(now) {
-				r.limiter.tokens--
-				r.answered++
+			if route.ready(now) {
+				route.limiter.tokens--
+				route.answered++
 			}
 		}
 		fmt.Printf("%d a second: back after %.0f s\n", rate, seconds(now))
--- a/choice/measure.go
+++ b/choice/measure.go
@@ -117,16 +117,16 @@
 	return max(0, 1-(1-w.LateValue)*late/float64(max(1, w.Deadline-w.ContractTime)))
 }
 
-func (s *Sender) class(n *message) *Class { return &s.settings.Classes[n.Class] }
+func (s *Sender) class(msg *message) *Class { return &s.settings.Classes[msg.Class] }
 
 // fullValue is less for what was past its account's share when it came.
-func (s *Sender) fullValue(n *message) float64 {
-	return s.class(n).Value * either(n.overQuota, s.settings.OverShareValue, 1)
+func (s *Sender) fullValue(msg *message) float64 {
+	return s.class(msg).Value * either(msg.overQuota, s.settings.OverShareValue, 1)
 }
 
 // valueAfter is what is left of the value of a message that is answered so long from now.
-func (s *Sender) valueAfter(n *message, in Time) float64 {
-	return s.fullValue(n) * s.class(n).Fade(s.now+in-n.acceptedAt, s.settings.Halving)
+func (s *Sender) valueAfter(msg *message, in Time) float64 {
+	return s.fullValue(msg) * s.class(msg).Fade(s.now+in-msg.acceptedAt, s.settings.Halving)
 }
 
 // fee is what a route apart in a zone costs, 0 where nothing is told.
@@ -186,9 +186,9 @@
 }
 
 // observe weighs a new time by the weights of late and past, the first ones evenly.
-func (m *callTimes) observe(took, late, past float64) {
-	m.samples++
-	m.deviation += max(late, 1/m.samples) * (max(math.Abs(took-m.mean), m.mean/2/m.samples) - m.deviation)
-	m.mean += max(late, 1/m.samples) * (took - m.mean)
-	m.longMean += max(past, 1/m.samples) * (took - m.longMean)
+func (t *callTimes) observe(took, late, past float64) {
+	t.samples++
+	t.deviation += max(late, 1/t.samples) * (max(math.Abs(took-t.mean), t.mean/2/t.samples) - t.deviation)
+	t.mean += max(late, 1/t.samples) * (took - t.mean)
+	t.longMean += max(past, 1/t.samples) * (took - t.longMean)
 }
--- a/choice/notes_test.go
+++ b/choice/notes_test.go
@@ -90,8 +90,8 @@
 	d.run(2 * Second)
 	d.s.readmit(a, d.clock)
 	d.s.ListNews([]Entry{{Endpoint: "new", Destination: 1, Rating: 10}, {Endpoint: "a", Destination: 1, Stage: Draining}}, false)
-	e := d.s.endpoints["new"]
-	fmt.Println("aside:", e.ejected, "as cold:", e.slowStartAt == a.slowStartAt, "budget:", math.Round(100*e.slowStart.tokens)/100)
+	ep := d.s.endpoints["new"]
+	fmt.Println("aside:", ep.ejected, "as cold:", ep.slowStartAt == a.slowStartAt, "budget:", math.Round(100*ep.slowStart.tokens)/100)
 	d.take(0, 1, "q", "r", "s")
 	// Output:
 	// 3000.0  dispatch p to a
--- a/choice/purge_test.go
+++ b/choice/purge_test.go
@@ -96,8 +96,8 @@
 		d.take(0, 1, "r").s.destinations[1].route.limiter.rate = 1
 		d.s.Void("a", l)
 		d.s.Void("unknown", l)
-		e, r := d.s.endpoints["a"], d.s.destinations[1].route
-		fmt.Println(d.s.Learnt("a"), "calls at once:", e.concurrencyLimit, "paced:", r.limiter.rate < unlimitedRate, "rated:", r.rating*d.s.ratingShare)
+		ep, route := d.s.endpoints["a"], d.s.destinations[1].route
+		fmt.Println(d.s.Learnt("a"), "calls at once:", ep.concurrencyLimit, "paced:", route.limiter.rate < unlimitedRate, "rated:", route.rating*d.s.ratingShare)
 		d.run(1500 * Millisecond)
 	}
 	// Output:
@@ -131,7 +131,7 @@
 			id := MessageID(fmt.Sprint(i))
 			d.take(0, 1, id).run(40 * Millisecond)
 			for id, tries := range d.tries {
-				if n := d.s.messages[id]; n != nil && n.inFlight != nil && tries > 0 {
+				if msg := d.s.messages[id]; msg != nil && msg.inFlight != nil && tries > 0 {
 					d.ended(Done, 0, "a", id)
 				}
 			}
--- a/choice/ranks.go
+++ b/choice/ranks.go
@@ -7,111 +7,111 @@
 
 // rankCost is when one more call would be done, one by one; a refusal costs a wait. An unseen far one ranks
 // behind, which spreads a fleet over a destination; a route's fee counts as time.
-func (s *Sender) rankCost(e *endpoint) float64 {
-	dear := 1 + feeTimeFactor*one(e.destination.kind.Apart)*s.settings.fee(e.zone)
-	if e.samples == 0 && e.zone != s.settings.Zone {
-		return 2 * e.mean * dear
+func (s *Sender) rankCost(ep *endpoint) float64 {
+	dear := 1 + feeTimeFactor*one(ep.destination.kind.Apart)*s.settings.fee(ep.zone)
+	if ep.samples == 0 && ep.zone != s.settings.Zone {
+		return 2 * ep.mean * dear
 	}
-	return (e.mean*float64(1+e.inFlight) + e.rejectedShare*float64(s.retryBase)) / (1 - e.rejectedShare) * dear
+	return (ep.mean*float64(1+ep.inFlight) + ep.rejectedShare*float64(s.retryBase)) / (1 - ep.rejectedShare) * dear
 }
 
 // retryBudget is what pays for retries there: calls done, where notes are told all of the kind, and a trickle.
-func (s *Sender) retryBudget(d *destination) *tokenBucket {
-	return either(s.exchangesNotes, &d.kind.retryBudget, &d.retryBudget)
+func (s *Sender) retryBudget(dest *destination) *tokenBucket {
+	return either(s.exchangesNotes, &dest.kind.retryBudget, &dest.retryBudget)
 }
 
 // refreshDestination renews a destination; it tells whether nothing is left to come back for.
-func (s *Sender) refreshDestination(d *destination) bool {
-	d.ranked = slices.DeleteFunc(d.ranked, func(e *endpoint) bool {
-		if e.listed || e.inFlight > 0 || e.probing || s.now < max(e.slowStartAt+s.settings.Cold, e.route.pausedUntil) {
+func (s *Sender) refreshDestination(dest *destination) bool {
+	dest.ranked = slices.DeleteFunc(dest.ranked, func(ep *endpoint) bool {
+		if ep.listed || ep.inFlight > 0 || ep.probing || s.now < max(ep.slowStartAt+s.settings.Cold, ep.route.pausedUntil) {
 			return false
 		}
-		if s.endpoints[e.id] == e {
-			delete(s.endpoints, e.id)
-			deleteValue(s.endpointsByHash, e) // two may share one
+		if s.endpoints[ep.id] == ep {
+			delete(s.endpoints, ep.id)
+			deleteValue(s.endpointsByHash, ep) // two may share one
 		}
 		return true
 	})
-	slices.SortStableFunc(d.ranked, func(a, b *endpoint) int { return cmp.Compare(s.rankCost(a), s.rankCost(b)) })
-	d.dirty = false
-	for _, e := range d.ranked {
-		due := s.now >= max(e.nextTrial, e.route.pausedUntil)
-		if e.ejected && s.probing && !e.probePassed && e.listed && !e.probing && due && s.slowStartReady(e) {
-			e.probing, e.slowStart.tokens = true, e.slowStart.tokens-1
-			s.host.Probe(e.id)
+	slices.SortStableFunc(dest.ranked, func(a, b *endpoint) int { return cmp.Compare(s.rankCost(a), s.rankCost(b)) })
+	dest.dirty = false
+	for _, ep := range dest.ranked {
+		due := s.now >= max(ep.nextTrial, ep.route.pausedUntil)
+		if ep.ejected && s.probing && !ep.probePassed && ep.listed && !ep.probing && due && s.slowStartReady(ep) {
+			ep.probing, ep.slowStart.tokens = true, ep.slowStart.tokens-1
+			s.host.Probe(ep.id)
 		}
-		d.dirty = d.dirty || e.ejected || !e.listed
+		dest.dirty = dest.dirty || ep.ejected || !ep.listed
 	}
-	if len(d.ranked) == 0 && d.openMessages == 0 {
-		delete(s.destinations, d.id)
+	if len(dest.ranked) == 0 && dest.openMessages == 0 {
+		delete(s.destinations, dest.id)
 	}
-	return !d.dirty
+	return !dest.dirty
 }
 
 // Open tells whether an attempt may still leave as its connection is up: no wait, drain or window's end came.
 func (s *Sender) Open(id EndpointID, messages ...MessageID) bool {
-	e, now := s.endpoints[id], s.host.Now()
+	ep, now := s.endpoints[id], s.host.Now()
 	late := func(id MessageID) bool { return now > s.RepeatEnd(id) }
-	return e != nil && e.listed && now >= e.route.pausedUntil && !slices.ContainsFunc(messages, late)
+	return ep != nil && ep.listed && now >= ep.route.pausedUntil && !slices.ContainsFunc(messages, late)
 }
 
 // selectEndpoint is where a message may go now, and whether any of its places was barred to it.
-func (s *Sender) selectEndpoint(n *message, rideOnly bool) (to *endpoint, barred bool) {
+func (s *Sender) selectEndpoint(msg *message, rideOnly bool) (to *endpoint, barred bool) {
 	var trial, same *endpoint
-	w, single := s.class(n), s.class(n).Repeat == SingleUse
-	for _, e := range n.destination.ranked {
+	w, single := s.class(msg), s.class(msg).Repeat == SingleUse
+	for _, ep := range msg.destination.ranked {
 		switch {
-		case !e.listed || s.now < e.route.pausedUntil || n.MayRun && w.ZoneGroup && e.zone != n.RanIn ||
-			single && e.successesNeeded > 0 && s.now-e.unansweredAt < 2*longestTrialPause && s.now < s.lastAttemptAt(n)-recentSuccessSpan:
-		case !(n.MayRun && w.ZoneGroup) && !s.host.Allowed(n.ID, e.id): // such a repeat is known in one zone alone
+		case !ep.listed || s.now < ep.route.pausedUntil || msg.MayRun && w.ZoneGroup && ep.zone != msg.RanIn ||
+			single && ep.successesNeeded > 0 && s.now-ep.unansweredAt < 2*longestTrialPause && s.now < s.lastAttemptAt(msg)-recentSuccessSpan:
+		case !(msg.MayRun && w.ZoneGroup) && !s.host.Allowed(msg.ID, ep.id): // such a repeat is known in one zone alone
 			barred = true
-		case e.bulkCall != nil && e.bulkCall.turn == s.turnNumber && !e.ejected && e.bulkCall.messages < n.destination.kind.BundleMax:
-			return e, barred
+		case ep.bulkCall != nil && ep.bulkCall.turn == s.turnNumber && !ep.ejected && ep.bulkCall.messages < msg.destination.kind.BundleMax:
+			return ep, barred
 		case rideOnly || len(s.calls) >= s.settings.InFlightLimit ||
-			n.attempts > 0 && s.retryBudget(n.destination).refillAt(s.now, 1/seconds(s.retryCap), float64(s.settings.InFlightLimit)) < 1:
-		case e.ejected:
-			due := (e.probePassed || !s.probing) && trial == nil && s.now >= e.nextTrial+Time(one(single))*2*longestTrialPause
-			if due && (s.slowStartReady(e) || s.probing && e.slowStart.rate*s.fleetSize*s.overloadWindow > fewCalls) {
-				trial = e
+			msg.attempts > 0 && s.retryBudget(msg.destination).refillAt(s.now, 1/seconds(s.retryCap), float64(s.settings.InFlightLimit)) < 1:
+		case ep.ejected:
+			due := (ep.probePassed || !s.probing) && trial == nil && s.now >= ep.nextTrial+Time(one(single))*2*longestTrialPause
+			if due && (s.slowStartReady(ep) || s.probing && ep.slowStart.rate*s.fleetSize*s.overloadWindow > fewCalls) {
+				trial = ep
 			}
-		case float64(e.inFlight) >= e.concurrencyLimit || e.inFlight >= initialConcurrency && s.now-e.lastSuccess >= recentSuccessSpan: // silent: as new
-		case !e.route.ready(s.now) || !s.slowStartReady(e):
-		case n.lastEndpoint == nil || e.rejectedShare < n.lastEndpoint.rejectedShare: // what refused a message may do so again
-			return e, barred
+		case float64(ep.inFlight) >= ep.concurrencyLimit || ep.inFlight >= initialConcurrency && s.now-ep.lastSuccess >= recentSuccessSpan: // silent: as new
+		case !ep.route.ready(s.now) || !s.slowStartReady(ep):
+		case msg.lastEndpoint == nil || ep.rejectedShare < msg.lastEndpoint.rejectedShare: // what refused a message may do so again
+			return ep, barred
 		default:
-			same = cmp.Or(same, e)
+			same = cmp.Or(same, ep)
 		}
 	}
 	return cmp.Or(same, trial), barred
 }
 
-func (s *Sender) attempt(n *message, e *endpoint) {
-	if s.dequeue(n); s.class(n).Repeat == SingleUse && s.reusedResetShare > reusedResetLimit {
-		s.host.CloseIdle(e.id)
+func (s *Sender) attempt(msg *message, ep *endpoint) {
+	if s.dequeue(msg); s.class(msg).Repeat == SingleUse && s.reusedResetShare > reusedResetLimit {
+		s.host.CloseIdle(ep.id)
 	}
-	if k := &e.destination.kind.callTimes; s.fleetSize > smallFleetSize && e.samples == 0 && k.samples > 0 {
-		e.callTimes = callTimes{k.mean, k.deviation, k.longMean, 0}
+	if k := &ep.destination.kind.callTimes; s.fleetSize > smallFleetSize && ep.samples == 0 && k.samples > 0 {
+		ep.callTimes = callTimes{k.mean, k.deviation, k.longMean, 0}
 	}
-	c := e.bulkCall
-	if c == nil || c.turn != s.turnNumber || c.messages >= n.destination.kind.BundleMax {
-		c = &call{endpoint: e, sentAt: s.now, turn: s.turnNumber, rejectedRetry: n.rejected, newConnection: e.inFlight == 0 && s.now >= e.idleConnUntil}
-		s.retryBudget(n.destination).tokens -= one(n.attempts > 0)
-		n.destination.rejectedRetriesOut += int(one(c.rejectedRetry))
-		e.bulkCall, e.inFlight, e.slowStart.tokens, e.route.limiter.tokens = c, e.inFlight+1, e.slowStart.tokens-1, e.route.limiter.tokens-1
-		e.route.sent.count(s.now, s.loadWindow)
-		e.probePassed, e.nextTrial = false, s.now+2*e.trialPause // read while it is ejected
-		e.sent.count(s.now, rateWindow*Time(s.fleetSize))
-		s.calls = append(s.calls, c)
+	bulk := ep.bulkCall
+	if bulk == nil || bulk.turn != s.turnNumber || bulk.messages >= msg.destination.kind.BundleMax {
+		bulk = &call{endpoint: ep, sentAt: s.now, turn: s.turnNumber, rejectedRetry: msg.rejected, newConnection: ep.inFlight == 0 && s.now >= ep.idleConnUntil}
+		s.retryBudget(msg.destination).tokens -= one(msg.attempts > 0)
+		msg.destination.rejectedRetriesOut += int(one(bulk.rejectedRetry))
+		ep.bulkCall, ep.inFlight, ep.slowStart.tokens, ep.route.limiter.tokens = bulk, ep.inFlight+1, ep.slowStart.tokens-1, ep.route.limiter.tokens-1
+		ep.route.sent.count(s.now, s.loadWindow)
+		ep.probePassed, ep.nextTrial = false, s.now+2*ep.trialPause // read while it is ejected
+		ep.sent.count(s.now, rateWindow*Time(s.fleetSize))
+		s.calls = append(s.calls, bulk)
 	} else {
-		e.slowStart.tokens -= bulkMemberCost
+		ep.slowStart.tokens -= bulkMemberCost
 	}
-	c.messages, c.pending, n.inFlight, n.attempts = c.messages+1, c.pending+1, c, n.attempts+1
-	s.host.Attempt(n.ID, e.id, s.attemptTimeout(n, e))
+	bulk.messages, bulk.pending, msg.inFlight, msg.attempts = bulk.messages+1, bulk.pending+1, bulk, msg.attempts+1
+	s.host.Attempt(msg.ID, ep.id, s.attemptTimeout(msg, ep))
 }
 
-func (s *Sender) attemptTimeout(n *message, e *endpoint) Time {
-	usual := max(2*s.assumedCallTime, e.mean+timeoutDeviations*e.deviation)
+func (s *Sender) attemptTimeout(msg *message, ep *endpoint) Time {
+	usual := max(2*s.assumedCallTime, ep.mean+timeoutDeviations*ep.deviation)
 	free := (finalTimeoutFactor - 1) * float64(s.settings.InFlightLimit-len(s.calls)) / float64(s.settings.InFlightLimit)
-	longer := either(s.class(n).Repeat == SingleUse, 1+free, float64(n.attempts))
-	return max(1, min(roundUp(usual*longer), n.Deadline-s.now-s.turnInterval))
+	longer := either(s.class(msg).Repeat == SingleUse, 1+free, float64(msg.attempts))
+	return max(1, min(roundUp(usual*longer), msg.Deadline-s.now-s.turnInterval))
 }
--- a/choice/retries_test.go
+++ b/choice/retries_test.go
@@ -26,11 +26,11 @@
 	for try := 1; try <= 4; try++ {
 		longest, shortest := Time(0), Time(1<<60)
 		for i := range 40 {
-			n := &message{Message: Message{ID: MessageID(fmt.Sprint(i))}, attempts: try,
+			msg := &message{Message: Message{ID: MessageID(fmt.Sprint(i))}, attempts: try,
 				destination: d.s.destinations[1]}
-			n.Deadline = 60 * Second
-			d.s.scheduleRetry(n)
-			longest, shortest = max(longest, n.retryAt), min(shortest, n.retryAt)
+			msg.Deadline = 60 * Second
+			d.s.scheduleRetry(msg)
+			longest, shortest = max(longest, msg.retryAt), min(shortest, msg.retryAt)
 		}
 		fmt.Println("try", try, "from", shortest, "to", longest)
 	}
--- a/choice/returns_test.go
+++ b/choice/returns_test.go
@@ -154,15 +154,15 @@
 		d.s.ListNews([]Entry{{Endpoint: "a", Destination: 1, Rating: 20}, {Endpoint: "b", Destination: 1, Rating: 20}}, true)
 		d.clock = 20 * Second
 		for _, id := range []EndpointID{"a", "b"} {
-			e := d.s.endpoints[id]
+			ep := d.s.endpoints[id]
 			d.s.now = d.clock
-			d.s.eject(e)
-			d.s.readmit(e, d.clock)
-			e.slowStart.tokens = 1 // it had nothing to send for long
+			d.s.eject(ep)
+			d.s.readmit(ep, d.clock)
+			ep.slowStart.tokens = 1 // it had nothing to send for long
 		}
 		d.take(0, 1, "first").ended(Full, 4*Second, "a", "first").take(0, 1, "p", "q", "r").run(5 * Second)
-		for id, e := range d.s.endpoints {
-			at[id] += e.inFlight
+		for id, ep := range d.s.endpoints {
+			at[id] += ep.inFlight
 		}
 	}
 	n := 2.5 * 10 * (0.2 + 0.8*0.5) * 1.5 // allowed at the end of the span, were it cold from before the wait
--- a/choice/start.go
+++ b/choice/start.go
@@ -41,65 +41,65 @@
 	fees, prior := s.settings.RouteFees, s.assumedCallTime
 	s.applySettings(set)
 	ranksElse := prior != s.assumedCallTime || !slices.Equal(fees, set.RouteFees)
-	for _, e := range selectSorted(s.endpoints, func(*endpoint) bool { return ranksElse }) {
-		if s.markDirty(e.destination); e.samples == 0 && e.longMean == prior {
-			e.callTimes = guessedTimes(s.assumedCallTime)
+	for _, ep := range selectSorted(s.endpoints, func(*endpoint) bool { return ranksElse }) {
+		if s.markDirty(ep.destination); ep.samples == 0 && ep.longMean == prior {
+			ep.callTimes = guessedTimes(s.assumedCallTime)
 		}
 	}
-	for _, n := range selectSorted(s.messages, func(n *message) bool { return n.inFlight == nil && n.attempted() && s.exhausted(n) }) {
-		s.endUndelivered(n)
+	for _, msg := range selectSorted(s.messages, func(msg *message) bool { return msg.inFlight == nil && msg.attempted() && s.exhausted(msg) }) {
+		s.endUndelivered(msg)
 	}
 }
 
 func (s *Sender) ListNews(entries []Entry, whole bool) {
 	s.now = s.host.Now()
-	for _, e := range s.endpoints {
-		e.listed = e.listed && !whole
+	for _, ep := range s.endpoints {
+		ep.listed = ep.listed && !whole
 	}
 	for _, entry := range entries {
-		d, e := s.ensureDestination(entry.Destination), s.endpoints[entry.Endpoint]
-		d.kind = s.kinds[max(0, min(int(entry.Kind), len(s.kinds)-1))]
-		if e != nil && e.destination != d {
-			e.listed, e = false, nil
+		dest, ep := s.ensureDestination(entry.Destination), s.endpoints[entry.Endpoint]
+		dest.kind = s.kinds[max(0, min(int(entry.Kind), len(s.kinds)-1))]
+		if ep != nil && ep.destination != dest {
+			ep.listed, ep = false, nil
 		}
-		if e == nil {
-			e = s.addEndpoint(d, entry)
+		if ep == nil {
+			ep = s.addEndpoint(dest, entry)
 		}
-		e.zone, e.listed, e.route.rating = entry.Zone, entry.Stage == Ready, entry.Rating
+		ep.zone, ep.listed, ep.route.rating = entry.Zone, entry.Stage == Ready, entry.Rating
 	}
 }
 
-func (s *Sender) addEndpoint(d *destination, entry Entry) *endpoint {
-	e := &endpoint{id: entry.Endpoint, destination: d, connectionNoteAt: -recentSuccessSpan, healthState: healthState{slowStartAt: -forever / 2},
-		route: either(d.kind.Apart, newRoute(s.now), d.route)}
-	s.restoreLearned(e, entry.Learnt)
-	for _, other := range d.ranked {
-		if other.route == e.route && (other.ejected && !e.ejected || other.slowStartAt > e.slowStartAt) {
+func (s *Sender) addEndpoint(dest *destination, entry Entry) *endpoint {
+	ep := &endpoint{id: entry.Endpoint, destination: dest, connectionNoteAt: -recentSuccessSpan, healthState: healthState{slowStartAt: -forever / 2},
+		route: either(dest.kind.Apart, newRoute(s.now), dest.route)}
+	s.restoreLearned(ep, entry.Learnt)
+	for _, other := range dest.ranked {
+		if other.route == ep.route && (other.ejected && !ep.ejected || other.slowStartAt > ep.slowStartAt) {
 			// Most of a destination may be replaced while it is out: what is new is no warmer than the rest.
-			s.beginSlowStart(e, other.slowStartAt) // all senders hear of it at one moment, and must not begin then
-			e.callTimes, e.healthState, e.slowStart.updatedAt = other.callTimes, other.healthState, max(s.now, other.slowStart.updatedAt)
+			s.beginSlowStart(ep, other.slowStartAt) // all senders hear of it at one moment, and must not begin then
+			ep.callTimes, ep.healthState, ep.slowStart.updatedAt = other.callTimes, other.healthState, max(s.now, other.slowStart.updatedAt)
 		}
 	}
-	s.endpoints[e.id], s.endpointsByHash[hashOf(e.id)] = e, e
-	d.ranked = append(d.ranked, e)
-	return e
+	s.endpoints[ep.id], s.endpointsByHash[hashOf(ep.id)] = ep, ep
+	dest.ranked = append(dest.ranked, ep)
+	return ep
 }
 
 func (s *Sender) ensureDestination(id DestinationID) *destination {
-	d := s.destinations[id]
-	if d == nil {
-		d = &destination{id: id, route: newRoute(s.now), retryBudget: tokenBucket{tokens: float64(s.maxRejectedRetries), updatedAt: s.now}}
-		s.destinations[id] = d
+	dest := s.destinations[id]
+	if dest == nil {
+		dest = &destination{id: id, route: newRoute(s.now), retryBudget: tokenBucket{tokens: float64(s.maxRejectedRetries), updatedAt: s.now}}
+		s.destinations[id] = dest
 	}
-	s.markDirty(d)
-	return d
+	s.markDirty(dest)
+	return dest
 }
 
 // markDirty has the next tick look at a destination: work follows what changed, not the size of the list.
-func (s *Sender) markDirty(d *destination) {
-	if !d.dirty {
-		d.dirty = true
-		s.dirty = append(s.dirty, d)
+func (s *Sender) markDirty(dest *destination) {
+	if !dest.dirty {
+		dest.dirty = true
+		s.dirty = append(s.dirty, dest)
 	}
 }
 
@@ -108,11 +108,11 @@
 }
 
 // restoreLearned has an endpoint stand as one of which nothing is known but what another life tells.
-func (s *Sender) restoreLearned(e *endpoint, l *Learnt) {
-	e.callTimes, e.concurrencyLimit = guessedTimes(s.assumedCallTime), initialConcurrency
+func (s *Sender) restoreLearned(ep *endpoint, l *Learnt) {
+	ep.callTimes, ep.concurrencyLimit = guessedTimes(s.assumedCallTime), initialConcurrency
 	if l != nil {
-		e.callTimes = either(l.Seen > 0, callTimes{l.Mean, l.Dev, l.Past, l.Seen}, e.callTimes)
-		e.route.limit, e.route.pausedUntil = l.Limit, max(e.route.pausedUntil, s.now+l.Wait)
+		ep.callTimes = either(l.Seen > 0, callTimes{l.Mean, l.Dev, l.Past, l.Seen}, ep.callTimes)
+		ep.route.limit, ep.route.pausedUntil = l.Limit, max(ep.route.pausedUntil, s.now+l.Wait)
 	}
 }
 
@@ -120,13 +120,13 @@
 // pending of a cold budget stay; until that is over waits stay too, and no limit that l tells counts.
 func (s *Sender) Void(id EndpointID, l *Learnt) {
 	s.now = s.host.Now()
-	if e := s.endpoints[id]; e != nil {
-		was := *e.route
-		*e.route = *newRoute(s.now)
-		s.restoreLearned(e, l)
-		e.consecutiveFailures, e.errorShare, e.rejectedShare, e.recentAnswered, e.recentRejected, e.lastSuccess, e.route.rating = 0, 0, 0, 0, 0, 0, was.rating
-		if s.markDirty(e.destination); s.impaired(e) || e.route == e.destination.route && slices.ContainsFunc(e.destination.ranked, s.impaired) {
-			e.route.limit, e.route.consecutiveFailures, e.route.pausedUntil = 0, was.consecutiveFailures, max(e.route.pausedUntil, was.pausedUntil)
+	if ep := s.endpoints[id]; ep != nil {
+		was := *ep.route
+		*ep.route = *newRoute(s.now)
+		s.restoreLearned(ep, l)
+		ep.consecutiveFailures, ep.errorShare, ep.rejectedShare, ep.recentAnswered, ep.recentRejected, ep.lastSuccess, ep.route.rating = 0, 0, 0, 0, 0, 0, was.rating
+		if s.markDirty(ep.destination); s.impaired(ep) || ep.route == ep.destination.route && slices.ContainsFunc(ep.destination.ranked, s.impaired) {
+			ep.route.limit, ep.route.consecutiveFailures, ep.route.pausedUntil = 0, was.consecutiveFailures, max(ep.route.pausedUntil, was.pausedUntil)
 		}
 	}
 }
--- a/choice/town_test.go
+++ b/choice/town_test.go
@@ -99,21 +99,21 @@
 }
 
 // within checks an attempt by the settings that hold now.
-func (w *town) within(n *message, e *endpoint) {
-	set, class := w.s.settings, w.s.class(n)
+func (w *town) within(msg *message, ep *endpoint) {
+	set, class := w.s.settings, w.s.class(msg)
 	check := func(is bool, what string) {
 		if !is {
-			w.t.Errorf("%d: %s to %s: %s", w.clock, n.ID, e.id, what)
+			w.t.Errorf("%d: %s to %s: %s", w.clock, msg.ID, ep.id, what)
 		}
 	}
-	check(w.ends[n.ID] == 0, "it has had its answer")
-	check(e.bulkCall.messages > 1 || len(w.s.calls) <= set.InFlightLimit, fmt.Sprint(len(w.s.calls), " calls out of ", set.InFlightLimit))
-	check(e.bulkCall.messages <= max(1, e.destination.kind.BundleMax) && e.destination.kind.BundleMax == set.Kinds[e.destination.id%2].BundleMax, "a bundle too large")
-	check(w.tries[n.ID] <= set.MaxAttempts, "one dispatch too many")
-	check(!n.MayRun || class.Repeat != SingleUse, "a second run")
-	check(!n.MayRun || class.Repeat != Keyed || w.clock <= n.RanAt+class.RepeatWindow-set.Turn, "out of its window")
-	check(!n.MayRun || !class.ZoneGroup || e.zone == n.RanIn, "known in another zone alone")
-	check(n.keyQueue == nil || n.keyQueue.messages[0] == n, "before its turn")
+	check(w.ends[msg.ID] == 0, "it has had its answer")
+	check(ep.bulkCall.messages > 1 || len(w.s.calls) <= set.InFlightLimit, fmt.Sprint(len(w.s.calls), " calls out of ", set.InFlightLimit))
+	check(ep.bulkCall.messages <= max(1, ep.destination.kind.BundleMax) && ep.destination.kind.BundleMax == set.Kinds[ep.destination.id%2].BundleMax, "a bundle too large")
+	check(w.tries[msg.ID] <= set.MaxAttempts, "one dispatch too many")
+	check(!msg.MayRun || class.Repeat != SingleUse, "a second run")
+	check(!msg.MayRun || class.Repeat != Keyed || w.clock <= msg.RanAt+class.RepeatWindow-set.Turn, "out of its window")
+	check(!msg.MayRun || !class.ZoneGroup || ep.zone == msg.RanIn, "known in another zone alone")
+	check(msg.keyQueue == nil || msg.keyQueue.messages[0] == msg, "before its turn")
 }
 
 func (w *town) answered(id MessageID, how string) {
