--- a/choice/answers.go
+++ b/choice/answers.go
@@ -46,7 +46,7 @@
 }
 
 // onConnectionTableFull answers that an endpoint has no place for one more connection, which tells nothing of its limits:
-// links that idle at its kind may go, and one call at a time tries there. Harm: some shut ones look alike.
+// printClosings that idle at its kind may go, and one call at a time tries there. Harm: some shut ones look alike.
 func (s *Sender) onConnectionTableFull(ep *endpoint) {
 	ep.concurrencyLimit, ep.destination.kind.connectFailShare = 1, ep.destination.kind.connectFailShare+recentWeight*(1-ep.destination.kind.connectFailShare)
 	for _, other := range selectSorted(s.endpoints, func(other *endpoint) bool { return other.destination.kind == ep.destination.kind }) {
--- a/choice/bookkeeping.go
+++ b/choice/bookkeeping.go
@@ -10,7 +10,7 @@
 // decide nothing and hold no tuned value.
 
 // retryQueues is how many of a destination's queues stand before those of fresh messages: due retries, and the lane of
-// what was refused.
+// do was refused.
 const retryQueues = 2
 
 // queueFor is the queue of its destination that a message belongs to; a row of them grows as they are used.
--- a/choice/capacity_test.go
+++ b/choice/capacity_test.go
@@ -35,7 +35,7 @@
 
 // capacitySettings are those of a fleet of 660 with one kind and the three repeats.
 func capacitySettings(maxOpen int) Settings {
-	set := plain()
+	set := testSettings()
 	set.Senders, set.InFlightLimit, set.MaxOpen = 660, 1024, maxOpen
 	set.Probing = false
 	for i := range set.Classes {
--- a/choice/configure_bench_test.go
+++ b/choice/configure_bench_test.go
@@ -20,28 +20,28 @@
 		{"contract", contract, 610, 1_000}, {"contract", contract, 6_100, 10_000}, {"contract", contract, 61_000, 100_000},
 	} {
 		b.Run(fmt.Sprintf("%s/%dDestinations%dOpen", size.name, size.destinations, size.open), func(b *testing.B) {
-			set := plain()
+			set := testSettings()
 			set.MaxOpen, set.InFlightLimit = 2*size.open, 0 // nothing leaves
-			d := &desk{tries: map[MessageID]int{}, mute: true}
-			d.s = Start(d, "s", 7, set)
+			d := &fakeHost{attempts: map[MessageID]int{}, mute: true}
+			d.sender = Start(d, "s", 7, set)
 			var list []Entry
 			for i := range 2 * size.destinations {
 				list = append(list, Entry{Endpoint: EndpointID(fmt.Sprint("endpoint", i)), Destination: DestinationID(i / 2), Rating: 10})
 			}
-			d.s.ListNews(list, true)
+			d.sender.ListNews(list, true)
 			for i := range size.open {
-				d.s.Taken(Message{ID: MessageID(fmt.Sprint("notice", i)), Key: NoKey, Destination: DestinationID(i % size.destinations),
+				d.sender.Taken(Message{ID: MessageID(fmt.Sprint("notice", i)), Key: NoKey, Destination: DestinationID(i % size.destinations),
 					Deadline: d.clock + 6*Second})
 			}
-			d.s.TimerDue(tickTimer)
+			d.sender.TimerDue(tickTimer)
 			var turn, next time.Duration
 			for i := range b.N {
 				size.change(&set, i)
 				began := time.Now()
-				d.s.Configure(set)
+				d.sender.Configure(set)
 				turn += time.Since(began)
 				began = time.Now()
-				d.s.TimerDue(tickTimer)
+				d.sender.TimerDue(tickTimer)
 				next += time.Since(began)
 			}
 			b.ReportMetric(float64(turn.Microseconds())/1e3/float64(b.N), "ms/turn")
--- a/choice/configure_test.go
+++ b/choice/configure_test.go
@@ -13,7 +13,7 @@
 
 // settingsRows are a change of each field; fleet where many senders are needed for it to show, silent where the module
 // reads it not at all.
-var settingsRows = map[string]struct {
+var settingsChanges = map[string]struct {
 	change        func(*Settings)
 	fleet, silent bool
 }{
@@ -45,20 +45,20 @@
 	"RouteFees":            {change: func(s *Settings) { s.RouteFees = []float64{0.3, 0} }},
 	"RefusedPrice":         {change: func(s *Settings) { s.RefusedPrice = 0.5 }, silent: true},
 	"HandshakePrice":       {change: func(s *Settings) { s.HandshakePrice = 0.5 }, silent: true},
-	"Classes.Repeat":       {change: class(func(w *Class) { w.Repeat = SingleUse })},
-	"Classes.ZoneGroup":    {change: class(func(w *Class) { w.ZoneGroup = !w.ZoneGroup })},
-	"Classes.RepeatWindow": {change: class(func(w *Class) { w.RepeatWindow = 300 * Millisecond })},
-	"Classes.ContractTime": {change: class(func(w *Class) { w.ContractTime = 400 * Millisecond })},
-	"Classes.Deadline":     {change: class(func(w *Class) { w.Deadline = 2 * Second })},
+	"Classes.Repeat":       {change: eachClass(func(w *Class) { w.Repeat = SingleUse })},
+	"Classes.ZoneGroup":    {change: eachClass(func(w *Class) { w.ZoneGroup = !w.ZoneGroup })},
+	"Classes.RepeatWindow": {change: eachClass(func(w *Class) { w.RepeatWindow = 300 * Millisecond })},
+	"Classes.ContractTime": {change: eachClass(func(w *Class) { w.ContractTime = 400 * Millisecond })},
+	"Classes.Deadline":     {change: eachClass(func(w *Class) { w.Deadline = 2 * Second })},
 	"Classes.Value":        {change: func(s *Settings) { s.Classes[0].Value = 50 }},
-	"Classes.LateValue":    {change: class(func(w *Class) { w.LateValue = 0.9 })},
-	"Classes.ByArrival":    {change: class(func(w *Class) { w.ByArrival = !w.ByArrival })},
+	"Classes.LateValue":    {change: eachClass(func(w *Class) { w.LateValue = 0.9 })},
+	"Classes.ByArrival":    {change: eachClass(func(w *Class) { w.ByArrival = !w.ByArrival })},
 	"Kinds.BundleMax":      {change: func(s *Settings) { s.Kinds[0].BundleMax, s.Kinds[1].BundleMax = 4, 1 }},
 	"Kinds.Apart":          {change: func(s *Settings) { s.Kinds[0].Apart = true }},
 }
 
 // class changes every class.
-func class(change func(*Class)) func(*Settings) {
+func eachClass(change func(*Class)) func(*Settings) {
 	return func(s *Settings) {
 		for i := range s.Classes {
 			change(&s.Classes[i])
@@ -67,7 +67,7 @@
 }
 
 // changed is a copy of settings with one change, which shares nothing with it.
-func changed(set Settings, change func(*Settings)) Settings {
+func withChange(set Settings, change func(*Settings)) Settings {
 	set.Classes, set.Kinds = slices.Clone(set.Classes), slices.Clone(set.Kinds)
 	set.Quotas, set.RouteFees = slices.Clone(set.Quotas), slices.Clone(set.RouteFees)
 	change(&set)
@@ -77,7 +77,7 @@
 // A field that comes new must come with a row.
 func TestEveryFieldOfSettingsHasARow(t *testing.T) {
 	rows := map[string]bool{}
-	for name := range settingsRows {
+	for name := range settingsChanges {
 		rows[name] = true
 	}
 	take := func(prefix string, of reflect.Type) {
@@ -100,39 +100,39 @@
 // A sender that is configured before anything happened acts as one that was started so: whatever hangs on a field is
 // worked out anew. And each field that the module reads shows in what it does, or the row would prove nothing.
 func TestConfigureIsAsStart(t *testing.T) {
-	for name, row := range settingsRows {
+	for name, row := range settingsChanges {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			before := townSettings(row.fleet)
-			after := changed(before, row.change)
+			before := loadSettings(row.fleet)
+			after := withChange(before, row.change)
 			play := func(start Settings, then *Settings) []string {
-				w := &town{t: t}
-				w.open(start)
+				w := &loadHost{t: t}
+				w.start(start)
 				if then == nil || name != "Kinds.Apart" { // of which endpoints are told when they are listed
-					w.list()
+					w.listEndpoints()
 				}
 				if then != nil {
-					w.s.Configure(changed(*then, func(*Settings) {}))
-					w.list()
+					w.sender.Configure(withChange(*then, func(*Settings) {}))
+					w.listEndpoints()
 				}
-				w.run(townQuiet)
+				w.playUntil(loadWarmUp)
 				w.trace = nil
-				w.load(townQuiet, townQuiet+townOpen)
-				w.run(townQuiet + townOpen + 30*Second)
+				w.offerLoad(loadWarmUp, loadWarmUp+loadSpan)
+				w.playUntil(loadWarmUp + loadSpan + 30*Second)
 				return w.trace
 			}
 			started, configured, other := play(after, nil), play(before, &after), play(before, nil)
-			if i := firstElse(started, configured); i >= 0 {
+			if i := firstDifference(started, configured); i >= 0 {
 				t.Errorf("line %d of %d: started %q, configured %q", i, len(started), started[i:min(len(started), i+1)], configured[i:min(len(configured), i+1)])
 			}
-			if same := firstElse(started, other) < 0; same != row.silent {
+			if same := firstDifference(started, other) < 0; same != row.silent {
 				t.Errorf("it changes nothing: %v; the row says %v", same, row.silent)
 			}
 		})
 	}
 }
 
-func firstElse(a, b []string) int {
+func firstDifference(a, b []string) int {
 	for i := range max(len(a), len(b)) {
 		if i >= len(a) || i >= len(b) || a[i] != b[i] {
 			return i
@@ -144,10 +144,10 @@
 // Each field changes under load, there and back again: every message gets one answer, nothing goes beyond what is allowed
 // from then on, and nothing is left behind.
 func TestConfigureUnderLoad(t *testing.T) {
-	for name, row := range settingsRows {
+	for name, row := range settingsChanges {
 		for _, back := range []bool{false, true} {
-			before := townSettings(row.fleet)
-			after := changed(before, row.change)
+			before := loadSettings(row.fleet)
+			after := withChange(before, row.change)
 			if back {
 				before, after = after, before
 			}
@@ -156,18 +156,18 @@
 			}
 			t.Run(fmt.Sprint(name, back), func(t *testing.T) {
 				t.Parallel()
-				w := &town{t: t}
-				w.open(before)
-				w.list()
-				w.load(0, townOpen)
+				w := &loadHost{t: t}
+				w.start(before)
+				w.listEndpoints()
+				w.offerLoad(0, loadSpan)
 				for _, at := range []Time{3*Second + 1, 6*Second + 1} { // before and in an outage
-					w.at(at, -1, func() { w.s.Configure(changed(after, func(*Settings) {})) })
+					w.schedule(at, -1, func() { w.sender.Configure(withChange(after, func(*Settings) {})) })
 				}
-				w.run(townOpen + 60*Second)
-				if coming := int(townOpen / townGap); len(w.ends) < coming {
-					t.Errorf("%d answers for %d notices", len(w.ends), coming)
+				w.playUntil(loadSpan + 60*Second)
+				if coming := int(loadSpan / loadInterval); len(w.answers) < coming {
+					t.Errorf("%d answers for %d notices", len(w.answers), coming)
 				}
-				if left := len(w.s.messages) + len(w.s.calls) + len(w.s.timers.pending) + len(w.s.keyQueues) + len(w.s.withQueued); left > 0 {
+				if left := len(w.sender.messages) + len(w.sender.calls) + len(w.sender.timers.pending) + len(w.sender.keyQueues) + len(w.sender.withQueued); left > 0 {
 					t.Errorf("%d left behind", left)
 				}
 				if dispatched := strings.Count(strings.Join(w.trace, "\n"), "dispatch"); dispatched < 100 {
@@ -180,11 +180,11 @@
 
 // What was learnt stays: limits, paces, waits, cold states, and times of what was called.
 func TestConfigureKeepsWhatWasLearnt(t *testing.T) {
-	w := &town{t: t}
-	w.open(townSettings(false))
-	w.list()
-	w.load(0, townOpen)
-	w.run(7 * Second)
+	w := &loadHost{t: t}
+	w.start(loadSettings(false))
+	w.listEndpoints()
+	w.offerLoad(0, loadSpan)
+	w.playUntil(7 * Second)
 	type known struct {
 		callTimes
 		healthState
@@ -193,8 +193,8 @@
 		route                          route
 	}
 	state := func() (all []known) {
-		for _, id := range sortedKeys(w.s.endpoints) {
-			ep := w.s.endpoints[id]
+		for _, id := range sortedKeys(w.sender.endpoints) {
+			ep := w.sender.endpoints[id]
 			all = append(all, known{ep.callTimes, ep.healthState, ep.concurrencyLimit, ep.errorShare, ep.rejectedShare, ep.recentAnswered, ep.recentRejected, ep.slowStart, *ep.route})
 		}
 		return all
@@ -203,8 +203,8 @@
 	if !slices.ContainsFunc(before, func(k known) bool { return k.ejected }) {
 		t.Fatal("nothing is set aside")
 	}
-	w.s.Configure(changed(w.s.settings, func(s *Settings) {
-		for _, row := range settingsRows {
+	w.sender.Configure(withChange(w.sender.settings, func(s *Settings) {
+		for _, row := range settingsChanges {
 			row.change(s)
 		}
 	}))
@@ -215,11 +215,11 @@
 
 // One that nobody called yet stands with the guess of the new settings; one that was called with its own times.
 func TestConfigureGuessesAnew(t *testing.T) {
-	d := open(plain())
+	d := startSender(testSettings())
 	d.mute = true
-	d.take(0, 1, "p").ended(Done, 0, "a", "p")
-	d.s.Configure(changed(plain(), class(func(w *Class) { w.ContractTime = 4 * Second })))
-	called, new := d.s.endpoints["a"], d.s.endpoints["c"]
+	d.accept(0, 1, "p").end(Done, 0, "a", "p")
+	d.sender.Configure(withChange(testSettings(), eachClass(func(w *Class) { w.ContractTime = 4 * Second })))
+	called, new := d.sender.endpoints["a"], d.sender.endpoints["c"]
 	if called.mean != float64(200*Millisecond) || new.callTimes != guessedTimes(float64(2*Second)) {
 		t.Error(called.callTimes, new.callTimes)
 	}
@@ -230,17 +230,17 @@
 func ExampleSender_Configure() {
 	for _, change := range []func(*Settings){
 		func(s *Settings) { s.MaxAttempts = 1 },
-		class(func(w *Class) { w.Repeat = SingleUse }),
-		class(func(w *Class) { w.RepeatWindow = 100 * Millisecond }),
-		class(func(w *Class) { w.LateValue = 0 }), // and where nothing forbids it, it goes on
+		eachClass(func(w *Class) { w.Repeat = SingleUse }),
+		eachClass(func(w *Class) { w.RepeatWindow = 100 * Millisecond }),
+		eachClass(func(w *Class) { w.LateValue = 0 }), // and where nothing forbids it, it goes on
 	} {
-		set := plain()
+		set := testSettings()
 		set.InFlightLimit = 1
-		d := open(set)
-		d.take(1, 1, "p").ended(Errored, 0, "a", "p").take(1, 2, "q").run(2 * Second)
-		d.s.Configure(changed(set, change))
-		d.s.TurnEnd()
-		d.ended(Done, 0, "c", "q")
+		d := startSender(set)
+		d.accept(1, 1, "p").end(Errored, 0, "a", "p").accept(1, 2, "q").advance(2 * Second)
+		d.sender.Configure(withChange(set, change))
+		d.sender.TurnEnd()
+		d.end(Done, 0, "c", "q")
 	}
 	// Output:
 	// 0.0     dispatch p to a
@@ -259,16 +259,16 @@
 
 // New fees rank endpoints anew within a tick, also where nothing else happens.
 func ExampleSender_Configure_fees() {
-	set := plain()
+	set := testSettings()
 	set.Kinds[1].Apart, set.RouteFees = true, []float64{0, 0.05}
-	d := open(set)
-	d.s.ListNews([]Entry{{Endpoint: "near", Destination: 3, Kind: 1}, {Endpoint: "far", Destination: 3, Kind: 1, Zone: 1}}, false)
+	d := startSender(set)
+	d.sender.ListNews([]Entry{{Endpoint: "near", Destination: 3, Kind: 1}, {Endpoint: "far", Destination: 3, Kind: 1, Zone: 1}}, false)
 	for _, id := range []EndpointID{"near", "far"} {
-		d.s.endpoints[id].observe(float64(200*Millisecond), 1, 1)
+		d.sender.endpoints[id].observe(float64(200*Millisecond), 1, 1)
 	}
-	d.run(Second).take(0, 3, "p").ended(Done, 0, "near", "p").run(Second)
-	d.s.Configure(changed(set, func(s *Settings) { s.RouteFees = []float64{0.05, 0} }))
-	d.run(tickInterval).take(0, 3, "q")
+	d.advance(Second).accept(0, 3, "p").end(Done, 0, "near", "p").advance(Second)
+	d.sender.Configure(withChange(set, func(s *Settings) { s.RouteFees = []float64{0.05, 0} }))
+	d.advance(tickInterval).accept(0, 3, "q")
 	// Output:
 	// 1000.0  dispatch p to near
 	// 2050.0  dispatch q to far
--- a/choice/connections_test.go
+++ b/choice/connections_test.go
@@ -6,12 +6,12 @@
 
 // Sends of one turn to one endpoint share a call: five messages of a kind that bundles three.
 func ExampleSender_bundle() {
-	d := open(plain()).take(2, 2, "p", "q", "r", "s", "t")
-	fmt.Println(len(d.s.calls), "slots")
-	d.ended(Done, 0, "c", "p", "q")
-	fmt.Println(len(d.s.calls), "slots")
-	d.ended(Done, 0, "c", "r")
-	fmt.Println(len(d.s.calls), "slot")
+	d := startSender(testSettings()).accept(2, 2, "p", "q", "r", "s", "t")
+	fmt.Println(len(d.sender.calls), "slots")
+	d.end(Done, 0, "c", "p", "q")
+	fmt.Println(len(d.sender.calls), "slots")
+	d.end(Done, 0, "c", "r")
+	fmt.Println(len(d.sender.calls), "slot")
 	// Output:
 	// 0.0     dispatch t to c
 	// 0.0     dispatch s to c
@@ -26,15 +26,15 @@
 // Idle links stay until connections of their kind fail: a fleet's links fill a table. Then those little used
 // are closed, to any zone.
 func ExampleSender_links() {
-	set := plain()
+	set := testSettings()
 	set.ConnIdle = Second
-	d := open(set)
-	d.links = true
-	d.take(0, 1, "p").ended(Done, 0, "a", "p")
-	d.s.kinds[0].connectFailShare = 0.5
-	d.run(Second).take(0, 1, "r").ended(Done, 0, "a", "r")
-	d.s.endpoints["a"].zone = 1
-	d.take(0, 1, "s").ended(Done, 0, "a", "s")
+	d := startSender(set)
+	d.printClosings = true
+	d.accept(0, 1, "p").end(Done, 0, "a", "p")
+	d.sender.kinds[0].connectFailShare = 0.5
+	d.advance(Second).accept(0, 1, "r").end(Done, 0, "a", "r")
+	d.sender.endpoints["a"].zone = 1
+	d.accept(0, 1, "s").end(Done, 0, "a", "s")
 	// Output:
 	// 0.0     dispatch p to a
 	// 1000.0  dispatch r to a
@@ -45,14 +45,14 @@
 
 // Calls reset on kept links show no outage, and while they are many, a single-use message gets a new link.
 func ExampleSender_keptLinks() {
-	d := open(plain())
-	d.links = true
-	d.take(0, 1, "o").ended(Done, 0, "a", "o")
+	d := startSender(testSettings())
+	d.printClosings = true
+	d.accept(0, 1, "o").end(Done, 0, "a", "o")
 	for _, id := range []MessageID{"p", "q"} {
-		d.take(2, 1, id)
-		d.s.Ended(Outcome{Message: id, Endpoint: "a", Result: Reset, Kept: true})
+		d.accept(2, 1, id)
+		d.sender.Ended(Outcome{Message: id, Endpoint: "a", Result: Reset, Kept: true})
 	}
-	fmt.Println("aside:", d.s.endpoints["a"].ejected)
+	fmt.Println("aside:", d.sender.endpoints["a"].ejected)
 	// Output:
 	// 0.0     dispatch o to a
 	// 0.0     dispatch p to a
@@ -67,18 +67,18 @@
 // knows nothing of it, however often. Refusals on links that stay are a limit's.
 func ExampleSender_fullTable() {
 	for _, closed := range []bool{true, false} {
-		set := plain()
+		set := testSettings()
 		set.Senders, set.ConnIdle = 300, 10*Second
-		d := open(set)
-		d.s.ListNews([]Entry{{Endpoint: "d", Destination: 3}}, false)
-		d.take(0, 1, "first").take(0, 3, "other").ended(Done, 0, "a", "first").ended(Done, 0, "d", "other")
-		d.run(2 * Second).links = true
+		d := startSender(set)
+		d.sender.ListNews([]Entry{{Endpoint: "d", Destination: 3}}, false)
+		d.accept(0, 1, "first").accept(0, 3, "other").end(Done, 0, "a", "first").end(Done, 0, "d", "other")
+		d.advance(2 * Second).printClosings = true
 		for _, id := range []MessageID{"p", "q", "r"} {
-			d.take(0, 1, id).s.Ended(Outcome{Message: id, Endpoint: "a", Result: Full, Closed: closed})
-			d.s.Withdrawn(id)
-			d.run(2 * Second)
+			d.accept(0, 1, id).sender.Ended(Outcome{Message: id, Endpoint: "a", Result: Full, Closed: closed})
+			d.sender.Withdrawn(id)
+			d.advance(2 * Second)
 		}
-		fmt.Println("pace cut:", d.s.destinations[1].route.limiter.rate < 100)
+		fmt.Println("pace cut:", d.sender.destinations[1].route.limiter.rate < 100)
 	}
 	// Output:
 	// 0.0     dispatch first to a
@@ -102,12 +102,12 @@
 
 // A wait is heeded whatever came with it: a shut destination may tell one as it ends a connection beyond its table.
 func ExampleSender_fullTableWait() {
-	set := plain()
+	set := testSettings()
 	set.Senders, set.Probing = 300, false
-	d := open(set)
-	d.take(0, 1, "first").ended(Done, 0, "a", "first")
-	d.take(0, 1, "p").s.Ended(Outcome{Message: "p", Endpoint: "a", Result: Full, Closed: true, Wait: 2 * Second})
-	d.run(Second).take(0, 1, "q").run(2 * Second)
+	d := startSender(set)
+	d.accept(0, 1, "first").end(Done, 0, "a", "first")
+	d.accept(0, 1, "p").sender.Ended(Outcome{Message: "p", Endpoint: "a", Result: Full, Closed: true, Wait: 2 * Second})
+	d.advance(Second).accept(0, 1, "q").advance(2 * Second)
 	// Output:
 	// 0.0     dispatch first to a
 	// 0.0     dispatch p to a
@@ -117,11 +117,11 @@
 
 // A connection may take longer to come up than a destination knows a token: the repeat must not leave then.
 func ExampleSender_Open() {
-	d := open(plain())
+	d := startSender(testSettings())
 	d.mute = true
-	d.take(1, 1, "t").ended(Errored, 0, "a", "t").run(2 * Second)
+	d.accept(1, 1, "t").end(Errored, 0, "a", "t").advance(2 * Second)
 	for d.clock < 4*Second {
-		fmt.Println(d.clock/Millisecond, d.s.Open("a", "t"), d.s.Open("a"))
+		fmt.Println(d.clock/Millisecond, d.sender.Open("a", "t"), d.sender.Open("a"))
 		d.clock += 900 * Millisecond
 	}
 	// Output:
@@ -132,15 +132,15 @@
 
 // A connection may take so long that a wait or a drain is told before the attempt can leave on it.
 func Example_open() {
-	d := open(plain()).take(0, 1, "one")
-	fmt.Println(d.s.Open("a"), d.s.Open("b"), d.s.Open("nobody"))
-	d.ended(Full, 300*Millisecond, "a", "one")
-	fmt.Println(d.s.Open("a"))
+	d := startSender(testSettings()).accept(0, 1, "one")
+	fmt.Println(d.sender.Open("a"), d.sender.Open("b"), d.sender.Open("nobody"))
+	d.end(Full, 300*Millisecond, "a", "one")
+	fmt.Println(d.sender.Open("a"))
 	d.mute = true
-	d.run(400 * Millisecond)
-	fmt.Println(d.s.Open("a"))
-	d.s.ListNews([]Entry{{Endpoint: "a", Destination: 1, Stage: Draining}}, false)
-	fmt.Println(d.s.Open("a"))
+	d.advance(400 * Millisecond)
+	fmt.Println(d.sender.Open("a"))
+	d.sender.ListNews([]Entry{{Endpoint: "a", Destination: 1, Stage: Draining}}, false)
+	fmt.Println(d.sender.Open("a"))
 	// Output:
 	// 0.0     dispatch one to a
 	// true false false
--- a/choice/desk_test.go
+++ b/choice/desk_test.go
@@ -7,23 +7,23 @@
 )
 
 // desk is a host that prints what the module asks for, with the clock in milliseconds.
-type desk struct {
-	s      *Sender
-	clock  Time
-	timers []deskTimer // emptied as they fire
-	mute   bool
-	links  bool // print closings too
-	tries  map[MessageID]int
-	barred func(MessageID, EndpointID) bool // nil for nothing
+type fakeHost struct {
+	sender        *Sender
+	clock         Time
+	timers        []fakeTimer // emptied as they fire
+	mute          bool
+	printClosings bool // print closings too
+	attempts      map[MessageID]int
+	barred        func(MessageID, EndpointID) bool // nil for nothing
 }
 
-type deskTimer struct {
+type fakeTimer struct {
 	at Time
 	id TimerID
 }
 
 // plain settings: class 0 is idempotent, 1 keyed, 2 single-use, 3 idempotent in order.
-func plain() Settings {
+func testSettings() Settings {
 	w := func(r Repeat, order bool) Class {
 		return Class{Repeat: r, RepeatWindow: 3 * Second, ContractTime: Second, Deadline: 6 * Second,
 			Value: 1 + float64(r), LateValue: 0.1, ByArrival: order}
@@ -35,36 +35,36 @@
 }
 
 // open starts a sender whose list holds a and b at destination 1 and c at destination 2.
-func open(set Settings) *desk {
-	d := &desk{tries: map[MessageID]int{}}
-	d.s = Start(d, "s", 7, set)
-	d.s.ListNews([]Entry{{Endpoint: "a", Destination: 1, Rating: 10}, {Endpoint: "b", Destination: 1, Stage: Gone, Rating: 10},
+func startSender(set Settings) *fakeHost {
+	d := &fakeHost{attempts: map[MessageID]int{}}
+	d.sender = Start(d, "s", 7, set)
+	d.sender.ListNews([]Entry{{Endpoint: "a", Destination: 1, Rating: 10}, {Endpoint: "b", Destination: 1, Stage: Gone, Rating: 10},
 		{Endpoint: "c", Destination: 2, Kind: 1, Rating: 10}}, true)
-	d.s.TurnEnd()
+	d.sender.TurnEnd()
 	return d
 }
 
-func (d *desk) take(class ClassNo, to DestinationID, ids ...MessageID) *desk {
+func (d *fakeHost) accept(class ClassNo, to DestinationID, ids ...MessageID) *fakeHost {
 	for _, id := range ids {
-		d.s.Taken(Message{ID: id, Class: class, Key: 5, Destination: to,
-			Deadline: d.clock + d.s.settings.Classes[class].Deadline})
+		d.sender.Taken(Message{ID: id, Class: class, Key: 5, Destination: to,
+			Deadline: d.clock + d.sender.settings.Classes[class].Deadline})
 	}
-	d.s.TurnEnd()
+	d.sender.TurnEnd()
 	return d
 }
 
 // ended tells an outcome of each message's latest attempt, told 200 ms after its send.
-func (d *desk) ended(result Result, wait Time, at EndpointID, ids ...MessageID) *desk {
+func (d *fakeHost) end(result Result, wait Time, at EndpointID, ids ...MessageID) *fakeHost {
 	for _, id := range ids {
-		d.s.Ended(Outcome{Message: id, Attempt: d.tries[id] - 1, Endpoint: at, Took: 200 * Millisecond,
+		d.sender.Ended(Outcome{Message: id, Attempt: d.attempts[id] - 1, Endpoint: at, Took: 200 * Millisecond,
 			Result: result, Final: result == Done, Wait: wait})
 	}
-	d.s.TurnEnd()
+	d.sender.TurnEnd()
 	return d
 }
 
 // run lets the clock go on for a span, firing timers in order.
-func (d *desk) run(span Time) *desk {
+func (d *fakeHost) advance(span Time) *fakeHost {
 	end := d.clock + span
 	for {
 		sort.SliceStable(d.timers, func(i, j int) bool { return d.timers[i].at < d.timers[j].at })
@@ -75,36 +75,38 @@
 		next := d.timers[0]
 		d.timers = d.timers[1:]
 		d.clock = max(d.clock, next.at)
-		d.s.TimerDue(next.id)
-		d.s.TurnEnd()
+		d.sender.TimerDue(next.id)
+		d.sender.TurnEnd()
 	}
 }
 
-func (d *desk) print(format string, args ...any) {
+func (d *fakeHost) printf(format string, args ...any) {
 	if !d.mute {
 		fmt.Printf("%-7.1f "+format+"\n", append([]any{float64(d.clock) / float64(Millisecond)}, args...)...)
 	}
 }
 
-func (d *desk) Now() Time { return d.clock }
-func (d *desk) Allowed(n MessageID, e EndpointID) bool {
+func (d *fakeHost) Now() Time { return d.clock }
+func (d *fakeHost) Allowed(n MessageID, e EndpointID) bool {
 	return d.barred == nil || !d.barred(n, e)
 }
-func (d *desk) Attempt(n MessageID, to EndpointID, timeOut Time) {
-	d.tries[n]++
-	d.print("dispatch %s to %s", n, to)
+func (d *fakeHost) Attempt(n MessageID, to EndpointID, timeOut Time) {
+	d.attempts[n]++
+	d.printf("dispatch %s to %s", n, to)
 }
-func (d *desk) Shed(n MessageID, in Time) { d.print("shed %s", n) }
-func (d *desk) Fail(n MessageID)          { d.print("give up %s", n) }
-func (d *desk) Probe(e EndpointID)        { d.print("probe %s", e) }
-func (d *desk) Tell(note []byte)          { d.print("tell %x", note) }
-func (d *desk) CloseIdle(e EndpointID) {
-	if d.links {
-		d.print("close %s", e)
+func (d *fakeHost) Shed(n MessageID, in Time) { d.printf("shed %s", n) }
+func (d *fakeHost) Fail(n MessageID)          { d.printf("give up %s", n) }
+func (d *fakeHost) Probe(e EndpointID)        { d.printf("probe %s", e) }
+func (d *fakeHost) Tell(note []byte)          { d.printf("tell %x", note) }
+func (d *fakeHost) CloseIdle(e EndpointID) {
+	if d.printClosings {
+		d.printf("close %s", e)
 	}
 }
-func (d *desk) Timer(in Time, id TimerID) { d.timers = append(d.timers, deskTimer{d.clock + in, id}) }
+func (d *fakeHost) Timer(in Time, id TimerID) {
+	d.timers = append(d.timers, fakeTimer{d.clock + in, id})
+}
 
-func (d *desk) Forget(id TimerID) {
-	d.timers = slices.DeleteFunc(d.timers, func(t deskTimer) bool { return t.id == id })
+func (d *fakeHost) Forget(id TimerID) {
+	d.timers = slices.DeleteFunc(d.timers, func(t fakeTimer) bool { return t.id == id })
 }
--- a/choice/earlier_test.go
+++ b/choice/earlier_test.go
@@ -5,20 +5,20 @@
 // What an earlier life took on and nobody has tried stays where the backlog is full, whoever comes: the new one goes
 // itself. Once it has been tried it is like any other.
 func ExampleSender_earlierLife() {
-	set := plain()
+	set := testSettings()
 	set.MaxOpen, set.InFlightLimit = 20, 0 // nothing leaves
-	d := open(set)
+	d := startSender(set)
 	for i := range 25 {
-		d.s.Taken(Message{ID: MessageID(fmt.Sprint("old", i)), Key: NoKey, Destination: 2, Deadline: d.clock + 3*Second, Span: 6 * Second})
+		d.sender.Taken(Message{ID: MessageID(fmt.Sprint("old", i)), Key: NoKey, Destination: 2, Deadline: d.clock + 3*Second, Span: 6 * Second})
 	}
-	d.take(2, 1, "new")
-	fmt.Println("held:", len(d.s.messages))
-	for _, msg := range d.s.messages {
+	d.accept(2, 1, "new")
+	fmt.Println("held:", len(d.sender.messages))
+	for _, msg := range d.sender.messages {
 		msg.attempts = 1
 	}
 	d.mute = true
-	d.take(2, 1, "new")
-	fmt.Println("held:", len(d.s.messages))
+	d.accept(2, 1, "new")
+	fmt.Println("held:", len(d.sender.messages))
 	// Output:
 	// 0.0     shed new
 	// held: 25
@@ -28,10 +28,10 @@
 // A quarter of the time that it was taken on with is the most that is kept back for a call, also where that was less
 // than its class has: else a start, which knows no times, hands it back untried with half of its time left.
 func ExampleSender_shortSpan() {
-	d := open(plain())
+	d := startSender(testSettings())
 	for _, span := range []Time{0, 600 * Millisecond} {
-		d.s.Taken(Message{ID: "old", Class: 2, Key: NoKey, Destination: 1, Deadline: d.clock + 300*Millisecond, Span: span})
-		d.s.TurnEnd()
+		d.sender.Taken(Message{ID: "old", Class: 2, Key: NoKey, Destination: 1, Deadline: d.clock + 300*Millisecond, Span: span})
+		d.sender.TurnEnd()
 	}
 	// Output:
 	// 0.0     shed old
--- a/choice/endpoints_test.go
+++ b/choice/endpoints_test.go
@@ -6,9 +6,9 @@
 
 // Nothing new goes to a draining endpoint from the turn it is told; what is held goes elsewhere.
 func ExampleSender_drain() {
-	d := open(plain()).take(0, 1, "p").ended(Errored, 0, "a", "p")
-	d.s.ListNews([]Entry{{Endpoint: "a", Destination: 1, Stage: Draining}, {Endpoint: "b", Destination: 1}}, false)
-	d.run(Second)
+	d := startSender(testSettings()).accept(0, 1, "p").end(Errored, 0, "a", "p")
+	d.sender.ListNews([]Entry{{Endpoint: "a", Destination: 1, Stage: Draining}, {Endpoint: "b", Destination: 1}}, false)
+	d.advance(Second)
 	// Output:
 	// 0.0     dispatch p to a
 	// 86.4    dispatch p to b
@@ -17,11 +17,11 @@
 // Two failures set an endpoint aside. A probe shows that the process runs, one trial call that calls are
 // answered: a shut destination answers probes. Then a budget that grows bounds all sends while it warms.
 func ExampleSender_return() {
-	d := open(plain()).take(0, 1, "p", "q").ended(Errored, 0, "a", "p", "q").run(600 * Millisecond)
-	d.s.Probed("a", Done)
-	d.run(3*Second).take(0, 1, "r", "s", "t", "u").ended(Full, 0, "a", "p", "q").run(5 * Second)
-	d.s.Probed("a", Done)
-	d.run(4 * Second)
+	d := startSender(testSettings()).accept(0, 1, "p", "q").end(Errored, 0, "a", "p", "q").advance(600 * Millisecond)
+	d.sender.Probed("a", Done)
+	d.advance(3*Second).accept(0, 1, "r", "s", "t", "u").end(Full, 0, "a", "p", "q").advance(5 * Second)
+	d.sender.Probed("a", Done)
+	d.advance(4 * Second)
 	// Output:
 	// 0.0     dispatch q to a
 	// 0.0     dispatch p to a
@@ -38,9 +38,9 @@
 
 // Calls gone unanswered shrink what an endpoint may hold, then set it aside; others go on.
 func ExampleSender_silence() {
-	d := open(plain()).take(2, 1, "p", "q", "r").take(2, 2, "other").ended(Done, 0, "c", "other")
-	d.run(2500*Millisecond).take(2, 2, "more")
-	fmt.Println("aside:", d.s.endpoints["a"].ejected, "calls out:", d.s.endpoints["a"].inFlight)
+	d := startSender(testSettings()).accept(2, 1, "p", "q", "r").accept(2, 2, "other").end(Done, 0, "c", "other")
+	d.advance(2500*Millisecond).accept(2, 2, "more")
+	fmt.Println("aside:", d.sender.endpoints["a"].ejected, "calls out:", d.sender.endpoints["a"].inFlight)
 	// Output:
 	// 0.0     dispatch r to a
 	// 0.0     dispatch q to a
@@ -51,10 +51,10 @@
 
 // Where probes are forbidden a single attempt tries the endpoint.
 func ExampleSender_trial() {
-	set := plain()
+	set := testSettings()
 	set.Probing = false
-	d := open(set).take(2, 1, "p", "q").ended(Errored, 0, "a", "p", "q").take(2, 1, "once").run(300 * Millisecond)
-	d.take(0, 1, "again").run(4 * Second)
+	d := startSender(set).accept(2, 1, "p", "q").end(Errored, 0, "a", "p", "q").accept(2, 1, "once").advance(300 * Millisecond)
+	d.accept(0, 1, "again").advance(4 * Second)
 	// Output:
 	// 0.0     dispatch q to a
 	// 0.0     dispatch p to a
@@ -65,9 +65,9 @@
 
 // An endpoint of another zone not seen yet ranks behind one of the own zone.
 func ExampleSender_zones() {
-	d := open(plain())
-	d.s.ListNews([]Entry{{Endpoint: "far", Destination: 1, Zone: 1}, {Endpoint: "near", Destination: 1}}, true)
-	d.run(50*Millisecond).take(0, 1, "p")
+	d := startSender(testSettings())
+	d.sender.ListNews([]Entry{{Endpoint: "far", Destination: 1, Zone: 1}, {Endpoint: "near", Destination: 1}}, true)
+	d.advance(50*Millisecond).accept(0, 1, "p")
 	// Output:
 	// 50.0    dispatch p to near
 }
@@ -76,18 +76,18 @@
 // link stays. On a wire where a full table fails connections too, links of that kind go.
 func ExampleSender_outageOfAKind() {
 	for _, told := range []bool{true, false} {
-		set := plain()
+		set := testSettings()
 		set.Senders, set.ConnIdle, set.TellsFull = 80, 10*Second, told
-		d := open(set)
-		d.s.ListNews([]Entry{{Endpoint: "d", Destination: 3}}, false)
-		d.links, d.mute = true, true
+		d := startSender(set)
+		d.sender.ListNews([]Entry{{Endpoint: "d", Destination: 3}}, false)
+		d.printClosings, d.mute = true, true
 		for i := range 4 {
 			id := MessageID(fmt.Sprint("down", i))
-			d.run(2*Second).take(0, 1, id).ended(ConnectFailed, 0, "a", id)
-			d.s.Withdrawn(id)
+			d.advance(2*Second).accept(0, 1, id).end(ConnectFailed, 0, "a", id)
+			d.sender.Withdrawn(id)
 		}
 		d.mute = false
-		d.take(0, 3, "well").ended(Done, 0, "d", "well")
+		d.accept(0, 3, "well").end(Done, 0, "d", "well")
 	}
 	// Output:
 	// 8000.0  dispatch well to d
@@ -98,8 +98,8 @@
 // A share that is refused whatever the load costs little; a limit is found and kept, also with noise on top.
 func ExampleSender_slowDown() {
 	play := func(what string, offered int, noise, limit float64) {
-		d := open(plain())
-		s, route := d.s, d.s.destinations[1].route
+		d := startSender(testSettings())
+		s, route := d.sender, d.sender.destinations[1].route
 		room, sent, full, late := 0.0, 0, 0, 60*Second
 		for i := range offered * 60 {
 			now := Time(i) * Second / Time(offered)
@@ -145,14 +145,14 @@
 // budget. One that was quiet for longer may have restarted.
 func ExampleSender_blink() {
 	for _, pause := range []Time{200 * Millisecond, 1600 * Millisecond} {
-		d := open(plain())
+		d := startSender(testSettings())
 		d.mute = true
-		a := d.s.endpoints["a"]
-		d.take(0, 1, "p").ended(Done, 0, "a", "p").take(2, 1, "q", "r").ended(Reset, 0, "a", "q", "r")
+		a := d.sender.endpoints["a"]
+		d.accept(0, 1, "p").end(Done, 0, "a", "p").accept(2, 1, "q", "r").end(Reset, 0, "a", "q", "r")
 		aside := a.ejected
-		d.run(pause)
-		d.s.readmit(a, d.clock)
-		fmt.Println(aside, a.ejected, "cold:", d.clock < a.slowStartAt+d.s.settings.Cold)
+		d.advance(pause)
+		d.sender.readmit(a, d.clock)
+		fmt.Println(aside, a.ejected, "cold:", d.clock < a.slowStartAt+d.sender.settings.Cold)
 	}
 	// Output:
 	// true false cold: false
@@ -161,13 +161,13 @@
 
 // Spoilt answers do not set an endpoint aside that has just answered others: it has run them.
 func ExampleSender_spoilt() {
-	d := open(plain()).take(0, 1, "p").ended(Done, 0, "a", "p")
+	d := startSender(testSettings()).accept(0, 1, "p").end(Done, 0, "a", "p")
 	for _, id := range []MessageID{"q", "r"} {
-		d.take(2, 1, id).ended(Spoilt, 0, "a", id)
+		d.accept(2, 1, id).end(Spoilt, 0, "a", id)
 	}
-	fmt.Println("aside:", d.s.endpoints["a"].ejected)
-	d.run(recentSuccessSpan+tickInterval).take(2, 1, "s").ended(Spoilt, 0, "a", "s")
-	fmt.Println("aside:", d.s.endpoints["a"].ejected)
+	fmt.Println("aside:", d.sender.endpoints["a"].ejected)
+	d.advance(recentSuccessSpan+tickInterval).accept(2, 1, "s").end(Spoilt, 0, "a", "s")
+	fmt.Println("aside:", d.sender.endpoints["a"].ejected)
 	// Output:
 	// 0.0     dispatch p to a
 	// 0.0     dispatch q to a
@@ -183,12 +183,12 @@
 // One failure is enough where nothing was answered lately, and what may be sent once a told wait is over
 // does not pile up during it: a large fleet is told alike, and would push over what opens.
 func ExampleSender_fleet() {
-	set := plain()
+	set := testSettings()
 	set.Senders = 50
-	d := open(set).run(3*Second).take(1, 1, "p").ended(Errored, 0, "a", "p")
-	fmt.Println("aside:", d.s.endpoints["a"].ejected)
-	d.take(1, 2, "q").ended(Full, 5*Second, "c", "q").run(5 * Second)
-	fmt.Printf("budget once open: %.2f, from %d\n", d.s.endpoints["c"].slowStart.tokens, d.s.endpoints["c"].slowStart.updatedAt)
+	d := startSender(set).advance(3*Second).accept(1, 1, "p").end(Errored, 0, "a", "p")
+	fmt.Println("aside:", d.sender.endpoints["a"].ejected)
+	d.accept(1, 2, "q").end(Full, 5*Second, "c", "q").advance(5 * Second)
+	fmt.Printf("budget once open: %.2f, from %d\n", d.sender.endpoints["c"].slowStart.tokens, d.sender.endpoints["c"].slowStart.updatedAt)
 	// Output:
 	// 3000.0  dispatch p to a
 	// aside: true
@@ -199,10 +199,10 @@
 
 // A crowded sender sheds what would take up room for longest, so a healthy destination keeps its service.
 func ExampleSender_crowded() {
-	set := plain()
+	set := testSettings()
 	set.MaxOpen = 6
-	d := open(set).take(0, 9, "p", "q", "r", "s", "t").take(0, 2, "healthy", "too")
-	fmt.Println(len(d.s.messages), "held")
+	d := startSender(set).accept(0, 9, "p", "q", "r", "s", "t").accept(0, 2, "healthy", "too")
+	fmt.Println(len(d.sender.messages), "held")
 	// Output:
 	// 0.0     shed p
 	// 0.0     shed q
@@ -214,15 +214,15 @@
 // What an earlier life of the sender may have run: a single-use message is given up, a keyed one goes out again
 // within its window and zone, an idempotent one at once. A key rests first, since its call may still be running.
 func Example_earlierLife() {
-	d := open(plain())
+	d := startSender(testSettings())
 	for i, id := range []MessageID{"replayable", "tokened", "single-use"} {
-		d.s.Taken(Message{ID: id, Class: ClassNo(i), Destination: 1, Deadline: 6 * Second, MayRun: true})
+		d.sender.Taken(Message{ID: id, Class: ClassNo(i), Destination: 1, Deadline: 6 * Second, MayRun: true})
 	}
-	d.s.Taken(Message{ID: "out of its window", Class: 1, Destination: 1, Deadline: 6 * Second, MayRun: true, RanAt: -3 * Second})
-	d.s.Taken(Message{ID: "in order", Class: 3, Key: 5, Destination: 1, Deadline: 6 * Second, MayRun: true})
-	d.s.Taken(Message{ID: "next of its key", Class: 3, Key: 5, Destination: 1, Deadline: 6 * Second})
-	d.s.TurnEnd()
-	d.ended(Done, 0, "a", "replayable", "tokened").run(Second).ended(Done, 0, "a", "in order")
+	d.sender.Taken(Message{ID: "out of its window", Class: 1, Destination: 1, Deadline: 6 * Second, MayRun: true, RanAt: -3 * Second})
+	d.sender.Taken(Message{ID: "in order", Class: 3, Key: 5, Destination: 1, Deadline: 6 * Second, MayRun: true})
+	d.sender.Taken(Message{ID: "next of its key", Class: 3, Key: 5, Destination: 1, Deadline: 6 * Second})
+	d.sender.TurnEnd()
+	d.end(Done, 0, "a", "replayable", "tokened").advance(Second).end(Done, 0, "a", "in order")
 	// Output:
 	// 0.0     give up single-use
 	// 0.0     give up out of its window
--- a/choice/filter_test.go
+++ b/choice/filter_test.go
@@ -7,9 +7,9 @@
 
 // two opens a sender with a near and a far endpoint of one destination, the near one ranked first; what is named near
 // may only go there, and what is named far only to the far one.
-func two(set Settings) *desk {
-	d := open(set)
-	d.s.ListNews([]Entry{{Endpoint: "near", Destination: 3, Kind: 1, Rating: 10}, {Endpoint: "far", Destination: 3, Kind: 1, Zone: 1, Rating: 10}}, false)
+func startTwoZones(set Settings) *fakeHost {
+	d := startSender(set)
+	d.sender.ListNews([]Entry{{Endpoint: "near", Destination: 3, Kind: 1, Rating: 10}, {Endpoint: "far", Destination: 3, Kind: 1, Zone: 1, Rating: 10}}, false)
 	d.barred = func(n MessageID, e EndpointID) bool {
 		return strings.HasPrefix(string(n), "near") && e == "far" || strings.HasPrefix(string(n), "far") && e == "near"
 	}
@@ -19,12 +19,12 @@
 // A message goes where it may and nowhere else, also where another rides by; what is barred nowhere goes as ever. The
 // answer that stands when it is sent is what counts.
 func ExampleSender_allowed() {
-	d := two(plain())
-	d.take(0, 3, "far1", "near1", "any", "far2")
+	d := startTwoZones(testSettings())
+	d.accept(0, 3, "far1", "near1", "any", "far2")
 	d.barred = func(MessageID, EndpointID) bool { return true }
-	d.take(0, 3, "later").run(100 * Millisecond)
+	d.accept(0, 3, "later").advance(100 * Millisecond)
 	d.barred = nil
-	d.run(50 * Millisecond)
+	d.advance(50 * Millisecond)
 	// Output:
 	// 0.0     dispatch far2 to far
 	// 0.0     dispatch any to near
@@ -36,14 +36,14 @@
 // Near is down: what may only go there waits, and tries it as any trial does, held to the cold budget; what waits behind
 // it and may go far does so at once.
 func ExampleSender_allowedOutage() {
-	set := plain()
+	set := testSettings()
 	set.Probing = false
-	d := two(set)
-	d.take(0, 3, "near1").ended(ConnectFailed, 0, "near", "near1").run(100 * Millisecond)
-	d.s.eject(d.s.endpoints["near"])
-	d.take(0, 3, "far1", "near2", "near3").ended(Done, 0, "far", "far1").run(2 * Second)
-	d.ended(ConnectFailed, 0, "near", "near3").run(3 * Second)
-	fmt.Println("room left for a trial:", d.s.slowStartReady(d.s.endpoints["near"]))
+	d := startTwoZones(set)
+	d.accept(0, 3, "near1").end(ConnectFailed, 0, "near", "near1").advance(100 * Millisecond)
+	d.sender.eject(d.sender.endpoints["near"])
+	d.accept(0, 3, "far1", "near2", "near3").end(Done, 0, "far", "far1").advance(2 * Second)
+	d.end(ConnectFailed, 0, "near", "near3").advance(3 * Second)
+	fmt.Println("room left for a trial:", d.sender.slowStartReady(d.sender.endpoints["near"]))
 	// Output:
 	// 0.0     dispatch near1 to near
 	// 100.0   dispatch far1 to far
@@ -58,18 +58,18 @@
 // waits until some of them are over.
 func ExampleSender_allowedBehind() {
 	for _, newer := range []int{barredScanLimit - 1, barredScanLimit} {
-		set := plain()
+		set := testSettings()
 		set.InFlightLimit = 40
-		d := two(set)
+		d := startTwoZones(set)
 		d.mute = true
-		d.s.pauseRoute(d.s.endpoints["near"], Second, false)
-		d.s.endpoints["far"].route = newRoute(0) // a route of its own
-		d.s.Taken(Message{ID: "far", Key: NoKey, Destination: 3, Deadline: 6 * Second})
+		d.sender.pauseRoute(d.sender.endpoints["near"], Second, false)
+		d.sender.endpoints["far"].route = newRoute(0) // a route of its own
+		d.sender.Taken(Message{ID: "far", Key: NoKey, Destination: 3, Deadline: 6 * Second})
 		for i := range newer {
-			d.s.Taken(Message{ID: MessageID(fmt.Sprint("near", i)), Key: NoKey, Destination: 3, Deadline: 6 * Second})
+			d.sender.Taken(Message{ID: MessageID(fmt.Sprint("near", i)), Key: NoKey, Destination: 3, Deadline: 6 * Second})
 		}
-		d.s.TurnEnd()
-		fmt.Println(newer, "newer, sent:", d.tries["far"] == 1)
+		d.sender.TurnEnd()
+		fmt.Println(newer, "newer, sent:", d.attempts["far"] == 1)
 	}
 	// Output:
 	// 15 newer, sent: true
@@ -79,12 +79,12 @@
 // What may have run in one zone and is known there alone may not be repeated elsewhere: a plan that sends it away would
 // leave it nowhere to go.
 func ExampleSender_allowedKnownInOneZone() {
-	set := plain()
+	set := testSettings()
 	set.Classes[1].ZoneGroup = true
-	d := two(set)
-	d.s.Taken(Message{ID: "far1", Class: 1, Key: NoKey, Destination: 3, Deadline: 6 * Second, MayRun: true})
-	d.s.TurnEnd()
-	d.take(1, 3, "far2")
+	d := startTwoZones(set)
+	d.sender.Taken(Message{ID: "far1", Class: 1, Key: NoKey, Destination: 3, Deadline: 6 * Second, MayRun: true})
+	d.sender.TurnEnd()
+	d.accept(1, 3, "far2")
 	// Output:
 	// 0.0     dispatch far1 to near
 	// 0.0     dispatch far2 to far
--- a/choice/fleet_test.go
+++ b/choice/fleet_test.go
@@ -9,265 +9,265 @@
 
 // fleet plays many senders against the endpoints of a few destinations, on a clock of its own that goes from one event
 // to the next. It counts what reaches each endpoint that is back from an outage and cold, from whichever sender.
-type fleet struct {
-	play
-	now              Time
-	events           happenings // emptied as they happen
-	serial, happened int
-	seats            []*seat
-	sites            map[EndpointID]*site
-	rng              *rand.Rand
+type fleetModel struct {
+	outagePlan
+	now                     Time
+	events                  eventHeap // emptied as they happen
+	eventSerial, eventCount int
+	hosts                   []*senderHost
+	endpoints               map[EndpointID]*endpointModel
+	random                  *rand.Rand
 }
 
 // play is one outage as it is drawn: how much is sent there, by whom, and what else happens meanwhile.
-type play struct {
-	set      Settings
-	senders  int
-	dests    int
-	ends     int     // endpoints of each destination
-	capacity float64 // calls a second of each endpoint when warm
-	rating   float64 // what the list tells of that
-	demand   float64 // messages a second, as a part of the capacity
-	skew     float64 // exponent by which senders differ; 0 is even
-	replaced bool    // half of the endpoints are replaced in the outage
-	restarts float64 // share of senders that start anew in the outage, or up to two seconds after it
-	seed     uint64
+type outagePlan struct {
+	set           Settings
+	senders       int
+	destinations  int
+	endpointsEach int     // endpoints of each destination
+	capacity      float64 // calls a second of each endpoint when warm
+	rating        float64 // what the list tells of that
+	demand        float64 // messages a second, as a part of the capacity
+	skew          float64 // exponent by which senders differ; 0 is even
+	replaced      bool    // half of the endpoints are replaced in the outage
+	restarts      float64 // share of senders that start anew in the outage, or up to two seconds after it
+	seed          uint64
 }
 
-type happening struct {
+type fleetEvent struct {
 	at     Time
 	serial int
 	do     func()
 }
 
-type happenings []happening
+type eventHeap []fleetEvent
 
-func (h happenings) Len() int      { return len(h) }
-func (h happenings) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h happenings) Less(i, j int) bool {
+func (h eventHeap) Len() int      { return len(h) }
+func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h eventHeap) Less(i, j int) bool {
 	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].serial < h[j].serial
 }
-func (h *happenings) Push(x any) { *h = append(*h, x.(happening)) }
-func (h *happenings) Pop() any {
+func (h *eventHeap) Push(x any) { *h = append(*h, x.(fleetEvent)) }
+func (h *eventHeap) Pop() any {
 	last := (*h)[len(*h)-1]
 	*h = (*h)[:len(*h)-1]
 	return last
 }
 
-func (f *fleet) after(in Time, do func()) {
-	f.serial++
-	heap.Push(&f.events, happening{f.now + in, f.serial, do})
+func (f *fleetModel) after(in Time, do func()) {
+	f.eventSerial++
+	heap.Push(&f.events, fleetEvent{f.now + in, f.eventSerial, do})
 }
 
 // site is one endpoint as it is: down from and until, and what reached it of late while cold.
-type site struct {
-	id         EndpointID
-	down, back Time
-	recent     []Time // within the fall span
-	known      []bool // of each of these, whether its sender had met the outage
-	calls      int    // since it is back
-	rush       int    // of these, in the first second and from senders that had met the outage
-	excess     float64
-	blamed     float64 // of windows of which over two thirds came from senders that had met the outage
+type endpointModel struct {
+	id           EndpointID
+	downAt, upAt Time
+	recentCalls  []Time // within the fall span
+	fromAware    []bool // of each of these, whether its sender had met the outage
+	calls        int    // since it is back
+	firstSecond  int    // of these, in the first second and from senders that had met the outage
+	excess       float64
+	awareExcess  float64 // of windows of which over two thirds came from senders that had met the outage
 }
 
 // room is N: what the settings let a cold endpoint be sent in a fall span that ends now.
-func (f *fleet) room(at *site) float64 {
-	warm := f.set.ColdFrom + (1-f.set.ColdFrom)*seconds(f.now-at.back)/seconds(f.set.Cold)
+func (f *fleetModel) allowedCalls(at *endpointModel) float64 {
+	warm := f.set.ColdFrom + (1-f.set.ColdFrom)*seconds(f.now-at.upAt)/seconds(f.set.Cold)
 	return f.set.FallMultiple * f.capacity * warm * seconds(f.set.Fall)
 }
 
-func (f *fleet) arrive(at *site, knows bool) bool {
-	if f.now >= at.down && f.now < at.back {
+func (f *fleetModel) arrive(at *endpointModel, knows bool) bool {
+	if f.now >= at.downAt && f.now < at.upAt {
 		return false
 	}
-	if f.now >= at.back {
+	if f.now >= at.upAt {
 		at.calls++
-		at.rush += int(one(knows && f.now < at.back+Second))
+		at.firstSecond += int(one(knows && f.now < at.upAt+Second))
 	}
-	if f.now >= at.back && f.now < at.back+f.set.Cold {
-		at.recent, at.known = append(at.recent, f.now), append(at.known, knows)
-		for at.recent[0] < f.now-f.set.Fall {
-			at.recent, at.known = at.recent[1:], at.known[1:]
+	if f.now >= at.upAt && f.now < at.upAt+f.set.Cold {
+		at.recentCalls, at.fromAware = append(at.recentCalls, f.now), append(at.fromAware, knows)
+		for at.recentCalls[0] < f.now-f.set.Fall {
+			at.recentCalls, at.fromAware = at.recentCalls[1:], at.fromAware[1:]
 		}
-		n := f.room(at)
+		n := f.allowedCalls(at)
 		bound := n + 2*math.Sqrt(n) + 2
-		over := float64(len(at.recent)) - bound
+		over := float64(len(at.recentCalls)) - bound
 		at.excess = max(at.excess, over)
 		told := 0
-		for _, knew := range at.known {
+		for _, knew := range at.fromAware {
 			told += int(one(knew))
 		}
-		if 3*told > 2*len(at.recent) {
-			at.blamed = max(at.blamed, over)
+		if 3*told > 2*len(at.recentCalls) {
+			at.awareExcess = max(at.awareExcess, over)
 		}
 	}
 	return true
 }
 
 // seat is one sender's host. A process that ends takes its timers and answers with it.
-type seat struct {
-	f      *fleet
-	no     int
-	skew   Time
-	s      *Sender
-	life   int
-	tries  map[MessageID]int
-	forgot map[TimerID]bool
+type senderHost struct {
+	fleet       *fleetModel
+	number      int
+	clockSkew   Time
+	sender      *Sender
+	incarnation int
+	attempts    map[MessageID]int
+	forgotten   map[TimerID]bool
 }
 
-func (h *seat) start() {
-	h.life++
-	h.tries, h.forgot = map[MessageID]int{}, map[TimerID]bool{}
-	h.s = Start(h, SenderID(fmt.Sprint("s", h.no, ".", h.life)), int64(h.f.seed), h.f.set)
+func (h *senderHost) start() {
+	h.incarnation++
+	h.attempts, h.forgotten = map[MessageID]int{}, map[TimerID]bool{}
+	h.sender = Start(h, SenderID(fmt.Sprint("s", h.number, ".", h.incarnation)), int64(h.fleet.seed), h.fleet.set)
 	var entries []Entry
-	for _, id := range sortedKeys(h.f.sites) {
-		if h.f.sites[id].back < forever {
-			entries = append(entries, h.f.entry(id))
+	for _, id := range sortedKeys(h.fleet.endpoints) {
+		if h.fleet.endpoints[id].upAt < forever {
+			entries = append(entries, h.fleet.entry(id))
 		}
 	}
-	h.s.ListNews(entries, true)
-	h.s.TurnEnd()
+	h.sender.ListNews(entries, true)
+	h.sender.TurnEnd()
 }
 
-func (f *fleet) entry(id EndpointID) Entry {
+func (f *fleetModel) entry(id EndpointID) Entry {
 	dest := 0
 	fmt.Sscanf(string(id), "d%d", &dest)
-	return Entry{Endpoint: id, Destination: DestinationID(dest), Rating: f.rating * float64(f.ends)}
+	return Entry{Endpoint: id, Destination: DestinationID(dest), Rating: f.rating * float64(f.endpointsEach)}
 }
 
 // later does something to this life of the sender, and then ends its turn.
-func (h *seat) later(in Time, do func()) {
-	life := h.life
-	h.f.after(in, func() {
-		if h.life == life {
+func (h *senderHost) later(in Time, do func()) {
+	life := h.incarnation
+	h.fleet.after(in, func() {
+		if h.incarnation == life {
 			do()
-			h.s.TurnEnd()
+			h.sender.TurnEnd()
 		}
 	})
 }
 
-func (h *seat) Now() Time                              { return h.f.now + h.skew }
-func (h *seat) Allowed(n MessageID, e EndpointID) bool { return true }
-func (h *seat) Fail(n MessageID)                       {}
-func (h *seat) Shed(n MessageID, in Time)              {}
-func (h *seat) CloseIdle(e EndpointID)                 {}
-func (h *seat) Tell(note []byte)                       {}
-func (h *seat) Forget(id TimerID)                      { h.forgot[id] = true }
-func (h *seat) Timer(in Time, id TimerID) {
+func (h *senderHost) Now() Time                              { return h.fleet.now + h.clockSkew }
+func (h *senderHost) Allowed(n MessageID, e EndpointID) bool { return true }
+func (h *senderHost) Fail(n MessageID)                       {}
+func (h *senderHost) Shed(n MessageID, in Time)              {}
+func (h *senderHost) CloseIdle(e EndpointID)                 {}
+func (h *senderHost) Tell(note []byte)                       {}
+func (h *senderHost) Forget(id TimerID)                      { h.forgotten[id] = true }
+func (h *senderHost) Timer(in Time, id TimerID) {
 	h.later(in, func() {
-		if !h.forgot[id] {
-			h.s.TimerDue(id)
+		if !h.forgotten[id] {
+			h.sender.TimerDue(id)
 		}
-		delete(h.forgot, id)
+		delete(h.forgotten, id)
 	})
 }
 
-func (h *seat) Attempt(n MessageID, to EndpointID, timeOut Time) {
-	h.tries[n]++
-	knows := h.s.impaired(h.s.endpoints[to])
-	o := Outcome{Message: n, Attempt: h.tries[n] - 1, Endpoint: to, Result: ConnectFailed}
-	h.f.after(10*Millisecond+Time(h.f.rng.IntN(200)), func() {
-		if h.f.arrive(h.f.sites[to], knows) {
+func (h *senderHost) Attempt(n MessageID, to EndpointID, timeOut Time) {
+	h.attempts[n]++
+	knows := h.sender.impaired(h.sender.endpoints[to])
+	o := Outcome{Message: n, Attempt: h.attempts[n] - 1, Endpoint: to, Result: ConnectFailed}
+	h.fleet.after(10*Millisecond+Time(h.fleet.random.IntN(200)), func() {
+		if h.fleet.arrive(h.fleet.endpoints[to], knows) {
 			o.Result, o.Took, o.Final = Done, 60*Millisecond, true
 		}
 	})
-	h.later(60*Millisecond, func() { h.s.Ended(o) })
+	h.later(60*Millisecond, func() { h.sender.Ended(o) })
 }
 
-func (h *seat) Probe(e EndpointID) {
+func (h *senderHost) Probe(e EndpointID) {
 	up := Errored
-	h.f.after(10*Millisecond, func() {
-		if h.f.arrive(h.f.sites[e], true) {
+	h.fleet.after(10*Millisecond, func() {
+		if h.fleet.arrive(h.fleet.endpoints[e], true) {
 			up = Done
 		}
 	})
-	h.later(30*Millisecond, func() { h.s.Probed(e, up) })
+	h.later(30*Millisecond, func() { h.sender.Probed(e, up) })
 }
 
-func (h *seat) take(dest, serial int) {
-	w := ClassNo(serial % len(h.f.set.Classes))
-	h.s.Taken(Message{ID: MessageID(fmt.Sprint("n", serial)), Class: w, Account: -1, Key: NoKey, Destination: DestinationID(dest),
-		Deadline: h.Now() + h.f.set.Classes[w].Deadline})
-	h.s.TurnEnd()
+func (h *senderHost) accept(dest, serial int) {
+	w := ClassNo(serial % len(h.fleet.set.Classes))
+	h.sender.Taken(Message{ID: MessageID(fmt.Sprint("n", serial)), Class: w, Account: -1, Key: NoKey, Destination: DestinationID(dest),
+		Deadline: h.Now() + h.fleet.set.Classes[w].Deadline})
+	h.sender.TurnEnd()
 }
 
 // outage plays one and gives the endpoints that came back.
-func (p play) outage() (back []*site, f *fleet) {
-	f = &fleet{play: p, sites: map[EndpointID]*site{}, rng: rand.New(rand.NewPCG(p.seed, 1))}
+func (p outagePlan) run() (back []*endpointModel, f *fleetModel) {
+	f = &fleetModel{outagePlan: p, endpoints: map[EndpointID]*endpointModel{}, random: rand.New(rand.NewPCG(p.seed, 1))}
 	f.set.Senders, f.set.Probing = p.senders, p.senders <= smallFleetSize
 	down, end := 4*Second, Time(0)
-	for d := range p.dests {
-		for e := range p.ends {
-			lasts := 5*Second + Time(f.rng.IntN(int(10*Second)))
+	for d := range p.destinations {
+		for e := range p.endpointsEach {
+			lasts := 5*Second + Time(f.random.IntN(int(10*Second)))
 			if e > 0 {
-				lasts = f.sites[EndpointID(fmt.Sprintf("d%d-0", d))].back - down
+				lasts = f.endpoints[EndpointID(fmt.Sprintf("d%d-0", d))].upAt - down
 			}
 			id := EndpointID(fmt.Sprintf("d%d-%d", d, e))
-			f.sites[id] = &site{id: id, down: down + Time(f.rng.IntN(int(Second))), back: down + lasts}
-			back, end = append(back, f.sites[id]), max(end, down+lasts+max(f.set.Cold, 10*Second))
+			f.endpoints[id] = &endpointModel{id: id, downAt: down + Time(f.random.IntN(int(Second))), upAt: down + lasts}
+			back, end = append(back, f.endpoints[id]), max(end, down+lasts+max(f.set.Cold, 10*Second))
 		}
 	}
 	for no := range p.senders {
-		h := &seat{f: f, no: no, skew: Time(f.rng.IntN(1000) - 500)}
-		f.seats = append(f.seats, h)
+		h := &senderHost{fleet: f, number: no, clockSkew: Time(f.random.IntN(1000) - 500)}
+		f.hosts = append(f.hosts, h)
 		h.start()
 	}
 	f.replace(&back)
 	f.restart()
 	f.traffic(end)
 	for len(f.events) > 0 && f.now < end {
-		f.happened++
-		next := heap.Pop(&f.events).(happening)
+		f.eventCount++
+		next := heap.Pop(&f.events).(fleetEvent)
 		f.now = next.at
 		next.do()
 	}
 	return back, f
 }
 
-func (f *fleet) replace(back *[]*site) {
+func (f *fleetModel) replace(back *[]*endpointModel) {
 	for i, at := range *back {
 		if !f.replaced || i%2 > 0 {
 			continue
 		}
-		fresh := &site{id: at.id + "'", down: at.down, back: at.back}
+		fresh := &endpointModel{id: at.id + "'", downAt: at.downAt, upAt: at.upAt}
 		(*back)[i] = fresh
-		f.after(at.down+(at.back-at.down)/2, func() {
-			f.sites[fresh.id] = fresh
+		f.after(at.downAt+(at.upAt-at.downAt)/2, func() {
+			f.endpoints[fresh.id] = fresh
 			gone := f.entry(at.id)
 			gone.Stage = Gone
-			for _, h := range f.seats {
-				h.later(Time(f.rng.IntN(1000)), func() { h.s.ListNews([]Entry{gone, f.entry(fresh.id)}, false) })
+			for _, h := range f.hosts {
+				h.later(Time(f.random.IntN(1000)), func() { h.sender.ListNews([]Entry{gone, f.entry(fresh.id)}, false) })
 			}
-			at.back = forever // what is replaced stays away
+			at.upAt = forever // what is replaced stays away
 		})
 	}
 }
 
-func (f *fleet) restart() {
-	for _, h := range f.seats {
-		if f.rng.Float64() < f.restarts {
-			f.after(5*Second+Time(f.rng.IntN(int(12*Second))), h.start)
+func (f *fleetModel) restart() {
+	for _, h := range f.hosts {
+		if f.random.Float64() < f.restarts {
+			f.after(5*Second+Time(f.random.IntN(int(12*Second))), h.start)
 		}
 	}
 }
 
 // traffic lays out what is handed in: by chance, over all destinations evenly, and to each sender by its weight.
-func (f *fleet) traffic(end Time) {
+func (f *fleetModel) traffic(end Time) {
 	weights, sum := make([]float64, f.senders), 0.0
 	for i := range weights {
 		sum += math.Pow(float64(i+1), -f.skew)
 		weights[i] = sum
 	}
-	rate, serial := f.demand*f.capacity*float64(f.ends*f.dests), 0
-	for at := Time(0); at < end; at += max(1, Time(f.rng.ExpFloat64()/rate*float64(Second))) {
-		dest, pick := f.rng.IntN(f.dests), f.rng.Float64()*sum
+	rate, serial := f.demand*f.capacity*float64(f.endpointsEach*f.destinations), 0
+	for at := Time(0); at < end; at += max(1, Time(f.random.ExpFloat64()/rate*float64(Second))) {
+		dest, pick := f.random.IntN(f.destinations), f.random.Float64()*sum
 		who := 0
 		for weights[who] < pick {
 			who++
 		}
 		serial++
 		no := serial
-		f.after(at, func() { f.seats[who].take(dest, no) })
+		f.after(at, func() { f.hosts[who].accept(dest, no) })
 	}
 }
--- a/choice/held_test.go
+++ b/choice/held_test.go
@@ -9,14 +9,14 @@
 // doubles it, and none goes at once.
 func ExampleSender_Probed_held() {
 	for _, result := range []Result{Cancelled, ConnectFailed} {
-		set := plain()
+		set := testSettings()
 		set.Cold = 0
-		d := open(set).run(3*Second).take(0, 1, "p")
-		d.ended(Errored, 0, "a", "p").run(Second)
-		was := d.s.endpoints["a"].trialPause
-		d.s.Probed("a", result)
-		fmt.Println("aside", d.s.endpoints["a"].ejected, "pause", was, "then", d.s.endpoints["a"].trialPause)
-		d.run(Second)
+		d := startSender(set).advance(3*Second).accept(0, 1, "p")
+		d.end(Errored, 0, "a", "p").advance(Second)
+		was := d.sender.endpoints["a"].trialPause
+		d.sender.Probed("a", result)
+		fmt.Println("aside", d.sender.endpoints["a"].ejected, "pause", was, "then", d.sender.endpoints["a"].trialPause)
+		d.advance(Second)
 	}
 	// Output:
 	// 3000.0  dispatch p to a
@@ -31,25 +31,25 @@
 
 // What the host asks as it writes is what the module asks as it chooses: the last moment for a repeat.
 func TestRepeatEnd(t *testing.T) {
-	d := open(plain())
+	d := startSender(testSettings())
 	d.mute = true
-	d.take(0, 1, "repeatable").take(1, 1, "keyed")
+	d.accept(0, 1, "repeatable").accept(1, 1, "keyed")
 	for _, id := range []MessageID{"repeatable", "keyed", "unknown"} {
-		if end := d.s.RepeatEnd(id); end != forever {
+		if end := d.sender.RepeatEnd(id); end != forever {
 			t.Errorf("%s, not sent or still out: %d", id, end)
 		}
 	}
-	d.run(100*Millisecond).ended(Errored, 0, "a", "repeatable", "keyed")
-	if end := d.s.RepeatEnd("repeatable"); end != forever {
+	d.advance(100*Millisecond).end(Errored, 0, "a", "repeatable", "keyed")
+	if end := d.sender.RepeatEnd("repeatable"); end != forever {
 		t.Errorf("one that may simply be repeated: %d", end)
 	}
-	end := d.s.RepeatEnd("keyed")
+	end := d.sender.RepeatEnd("keyed")
 	if want := 3*Second - 5*Millisecond; end != want { // its call began at 0
 		t.Fatalf("it ends at %d, want %d", end, want)
 	}
 	for at, open := range map[Time]bool{end: true, end + 1: false} {
 		d.clock = at
-		if d.s.Open("a", "keyed") != open {
+		if d.sender.Open("a", "keyed") != open {
 			t.Errorf("open at %d: %v", at, !open)
 		}
 	}
--- a/choice/limits_test.go
+++ b/choice/limits_test.go
@@ -7,40 +7,40 @@
 )
 
 // calls plays seconds of steady calls at one endpoint of a sender; result says how each ends. It tells how many left.
-func calls(d *desk, a second, seconds int, result func(i int) (Result, Time)) (sent int) {
+func steadyCalls(d *fakeHost, a callLoad, seconds int, result func(i int) (Result, Time)) (sent int) {
 	for i := range a.rate * seconds {
-		d.run(Second / Time(a.rate))
+		d.advance(Second / Time(a.rate))
 		id := MessageID(fmt.Sprint(a.name, i))
-		before := d.tries[id]
-		d.take(2, a.to, id) // single-use, so that nothing but what is played here is sent
-		if d.tries[id] > before {
+		before := d.attempts[id]
+		d.accept(2, a.to, id) // single-use, so that nothing but what is played here is sent
+		if d.attempts[id] > before {
 			sent++
 			r, wait := result(i)
-			d.ended(r, wait, a.at, id)
+			d.end(r, wait, a.endpoint, id)
 		}
 	}
 	return sent
 }
 
-type second struct {
-	name string
-	rate int
-	to   DestinationID
-	at   EndpointID
+type callLoad struct {
+	name     string
+	rate     int
+	to       DestinationID
+	endpoint EndpointID
 }
 
 // A told wait that comes anew halts the route and is enough: the pace stays what it was. Told again at once it counts.
 func ExampleSender_toldWait() {
-	d := open(plain())
+	d := startSender(testSettings())
 	d.mute = true
-	d.take(0, 1, "p").ended(Done, 0, "a", "p").run(3 * Second)
-	route := d.s.destinations[1].route
+	d.accept(0, 1, "p").end(Done, 0, "a", "p").advance(3 * Second)
+	route := d.sender.destinations[1].route
 	told := func(id MessageID) {
-		d.take(0, 1, id).ended(Full, 200*Millisecond, "a", id)
+		d.accept(0, 1, id).end(Full, 200*Millisecond, "a", id)
 		fmt.Println("halted for", (route.pausedUntil-d.clock)/Millisecond, "ms, unpaced", route.limiter.rate >= unlimitedRate)
-		d.run(500 * Millisecond)
+		d.advance(500 * Millisecond)
 	}
-	d.s.endpoints["a"].concurrencyLimit = 8
+	d.sender.endpoints["a"].concurrencyLimit = 8
 	told("q")
 	told("r")
 	// Output:
@@ -52,16 +52,16 @@
 // told within a few calls.
 func ExampleSender_failsByChance() {
 	for _, rate := range []int{2, 100, 1000} {
-		d := open(plain())
+		d := startSender(testSettings())
 		d.mute = true
 		luck := newRandomSource("luck", 1)
-		well := calls(d, second{"n", rate, 1, "a"}, 20, func(int) (Result, Time) {
+		well := steadyCalls(d, callLoad{"n", rate, 1, "a"}, 20, func(int) (Result, Time) {
 			if luck.fraction("fails") < 0.06 {
 				return Errored, 0
 			}
 			return Done, 0
 		})
-		crash := calls(d, second{"c", rate, 1, "a"}, 2, func(int) (Result, Time) { return ConnectFailed, 0 })
+		crash := steadyCalls(d, callLoad{"c", rate, 1, "a"}, 2, func(int) (Result, Time) { return ConnectFailed, 0 })
 		fmt.Printf("%d a second: %.0f%% sent, then %d calls into a crash\n", rate, 5*float64(well)/float64(rate), crash)
 	}
 	// Output:
@@ -72,50 +72,50 @@
 
 // One bad machine of two: what it refuses is its own. The route keeps its pace, and the machine ranks last.
 func ExampleSender_badMachine() {
-	set := plain()
+	set := testSettings()
 	set.Kinds[0].BundleMax = 1
-	d := open(set)
+	d := startSender(set)
 	d.mute = true
-	d.s.ListNews([]Entry{{Endpoint: "b", Destination: 1, Rating: 10}}, false)
-	a, b := d.s.endpoints["a"], d.s.endpoints["b"]
+	d.sender.ListNews([]Entry{{Endpoint: "b", Destination: 1, Rating: 10}}, false)
+	a, b := d.sender.endpoints["a"], d.sender.endpoints["b"]
 	route, low := a.route, unlimitedRate
 	to := map[EndpointID]int{}
 	for i := range 2000 {
-		d.run(10 * Millisecond)
+		d.advance(10 * Millisecond)
 		id := MessageID(fmt.Sprint(i))
-		d.take(0, 1, id)
+		d.accept(0, 1, id)
 		for _, ep := range []*endpoint{a, b} {
-			if msg := d.s.messages[id]; msg != nil && msg.inFlight != nil && msg.inFlight.endpoint == ep {
+			if msg := d.sender.messages[id]; msg != nil && msg.inFlight != nil && msg.inFlight.endpoint == ep {
 				to[ep.id]++
 				if ep == b && i%2 == 0 {
-					d.ended(Full, 0, "b", id)
+					d.end(Full, 0, "b", id)
 				} else {
-					d.ended(Done, 0, ep.id, id)
+					d.end(Done, 0, ep.id, id)
 				}
 			}
 		}
 		low = min(low, route.limiter.rate)
 	}
-	d.s.refreshDestination(d.s.destinations[1])
-	fmt.Println("well:", to["a"] > 10*to["b"], "ranked first:", d.s.destinations[1].ranked[0].id, "pace kept:", low >= 90)
+	d.sender.refreshDestination(d.sender.destinations[1])
+	fmt.Println("well:", to["a"] > 10*to["b"], "ranked first:", d.sender.destinations[1].ranked[0].id, "pace kept:", low >= 90)
 	// Output:
 	// well: true ranked first: a pace kept: true
 }
 
 // A destination whose calls all fail gets first sends and few retries on top: slots' worth, and a trickle.
 func ExampleSender_retryBudget() {
-	set := plain()
+	set := testSettings()
 	set.InFlightLimit = 4
-	d := open(set)
+	d := startSender(set)
 	d.mute = true
-	dest := d.s.destinations[1]
+	dest := d.sender.destinations[1]
 	firsts, retries, last := 0, 0, map[MessageID]int{}
 	for i := range 600 {
-		d.run(20 * Millisecond)
-		d.take(0, 1, MessageID(fmt.Sprint(i)))
-		d.s.endpoints["a"].ejected, d.s.endpoints["a"].consecutiveFailures = false, 0 // what would end it all sooner is left out
+		d.advance(20 * Millisecond)
+		d.accept(0, 1, MessageID(fmt.Sprint(i)))
+		d.sender.endpoints["a"].ejected, d.sender.endpoints["a"].consecutiveFailures = false, 0 // what would end it all sooner is left out
 		var ids []string
-		for id, msg := range d.s.messages {
+		for id, msg := range d.sender.messages {
 			if msg.inFlight != nil {
 				ids = append(ids, string(id))
 			}
@@ -123,15 +123,15 @@
 		slices.Sort(ids)
 		for _, id := range ids {
 			n := MessageID(id)
-			if last[n] != d.tries[n] {
-				firsts, retries = firsts+int(one(d.tries[n] == 1)), retries+int(one(d.tries[n] > 1))
+			if last[n] != d.attempts[n] {
+				firsts, retries = firsts+int(one(d.attempts[n] == 1)), retries+int(one(d.attempts[n] > 1))
 			}
-			last[n] = d.tries[n]
-			d.ended(Errored, 0, "a", n)
-			last[n] = d.tries[n]
+			last[n] = d.attempts[n]
+			d.end(Errored, 0, "a", n)
+			last[n] = d.attempts[n]
 		}
 	}
-	most := float64(set.InFlightLimit) + 12/seconds(d.s.retryCap) + 1
+	most := float64(set.InFlightLimit) + 12/seconds(d.sender.retryCap) + 1
 	fmt.Println("retries within the budget:", float64(retries) <= most, "left", math.Floor(dest.retryBudget.tokens) <= float64(set.InFlightLimit), firsts > 0)
 	// Output:
 	// retries within the budget: true left true true
@@ -139,28 +139,28 @@
 
 // A destination that takes nothing may hold most of the room, never all: others are still taken on.
 func ExampleSender_heldMost() {
-	set := plain()
+	set := testSettings()
 	set.InFlightLimit = 0 // nothing leaves
-	d := open(set)
+	d := startSender(set)
 	d.mute = true
 	for i := range 400 {
-		d.take(0, 9, MessageID(fmt.Sprint("stuck", i)))
+		d.accept(0, 9, MessageID(fmt.Sprint("stuck", i)))
 	}
-	stuck := len(d.s.messages)
+	stuck := len(d.sender.messages)
 	for i := range 10 {
-		d.take(0, 1, MessageID(fmt.Sprint("other", i)))
+		d.accept(0, 1, MessageID(fmt.Sprint("other", i)))
 	}
-	fmt.Println("stuck ones held:", stuck, "of", set.MaxOpen, "others held:", d.s.destinations[1].openMessages)
+	fmt.Println("stuck ones held:", stuck, "of", set.MaxOpen, "others held:", d.sender.destinations[1].openMessages)
 	// Output:
 	// stuck ones held: 93 of 100 others held: 10
 }
 
 // An endpoint that answered nothing lately holds no more calls than an unknown one, until it answers.
 func ExampleSender_idleRoom() {
-	d := open(plain())
-	d.s.endpoints["a"].concurrencyLimit = 8
-	d.take(0, 1, "p").ended(Done, 0, "a", "p").run(3*Second).take(0, 1, "q", "r", "s", "t")
-	d.run(100*Millisecond).ended(Done, 0, "a", "t")
+	d := startSender(testSettings())
+	d.sender.endpoints["a"].concurrencyLimit = 8
+	d.accept(0, 1, "p").end(Done, 0, "a", "p").advance(3*Second).accept(0, 1, "q", "r", "s", "t")
+	d.advance(100*Millisecond).end(Done, 0, "a", "t")
 	// Output:
 	// 0.0     dispatch p to a
 	// 3000.0  dispatch t to a
@@ -172,8 +172,8 @@
 // A pace that was halved wrongly is back in seconds at any rate; few calls show little room, and take longest.
 func ExampleSender_halvedWrongly() {
 	for _, rate := range []int{1, 100, 5000} {
-		d := open(plain())
-		route := d.s.destinations[1].route
+		d := startSender(testSettings())
+		route := d.sender.destinations[1].route
 		route.limiter.rate, route.limiter.tokens, route.judgedAt = float64(rate)/2, 0, 0
 		now := Time(0)
 		for route.limiter.rate < float64(rate) {
--- a/choice/measure.go
+++ b/choice/measure.go
@@ -84,7 +84,7 @@
 	return b.tokens
 }
 
-// take draws one where there is one, at a rate from now on; the fill of a span of seconds is kept.
+// accept draws one where there is one, at a rate from now on; the fill of a span of seconds is kept.
 func (b *tokenBucket) take(now Time, rate, span float64) bool {
 	is := b.refillAt(now, rate, max(1, span*rate)) >= 1
 	b.tokens -= one(is)
--- a/choice/notes_test.go
+++ b/choice/notes_test.go
@@ -5,8 +5,8 @@
 	"math"
 )
 
-func noted() Settings {
-	set := plain()
+func gossipSettings() Settings {
+	set := testSettings()
 	set.Senders, set.Probing, set.Notes, set.ConnIdle = 80, false, true, 10*Second
 	return set
 }
@@ -14,15 +14,15 @@
 // Who meets a used-up limit rests the route and tells all; who hears of it rests the route as well, and goes on
 // elsewhere. A note that names nothing known, or is cut short, does nothing.
 func ExampleSender_Heard() {
-	d := open(noted()).take(0, 1, "p")
-	d.s.Ended(Outcome{Message: "p", Endpoint: "a", Result: Full, Report: Report{Known: true, Limit: 8}})
-	d.take(0, 1, "q").run(1600 * Millisecond)
+	d := startSender(gossipSettings()).accept(0, 1, "p")
+	d.sender.Ended(Outcome{Message: "p", Endpoint: "a", Result: Full, Report: Report{Known: true, Limit: 8}})
+	d.accept(0, 1, "q").advance(1600 * Millisecond)
 	fmt.Println("another")
-	d = open(noted())
+	d = startSender(gossipSettings())
 	for _, note := range [][]byte{{}, {1}, {1, 2}, {1, 2, 3}, {1, 2, 3, 4}, encodeNote("c", noteUnit)} {
-		d.s.Heard(note)
+		d.sender.Heard(note)
 	}
-	d.take(0, 2, "r").take(0, 1, "s").run(1600 * Millisecond)
+	d.accept(0, 2, "r").accept(0, 1, "s").advance(1600 * Millisecond)
 	// Output:
 	// 0.0     dispatch p to a
 	// 0.0     tell 43be01
@@ -35,11 +35,11 @@
 
 // Who finds no place at an endpoint tells so, once in two seconds; who has a link idle there gives it up.
 func ExampleSender_Heard_place() {
-	d := open(noted()).take(0, 1, "p", "q").ended(ConnectFailed, 0, "a", "p", "q")
-	d = open(noted()).take(0, 1, "r").ended(Done, 0, "a", "r")
-	d.links = true
-	d.s.Heard(encodeNote("a", 0))
-	d.s.Heard(encodeNote("a", 0))
+	d := startSender(gossipSettings()).accept(0, 1, "p", "q").end(ConnectFailed, 0, "a", "p", "q")
+	d = startSender(gossipSettings()).accept(0, 1, "r").end(Done, 0, "a", "r")
+	d.printClosings = true
+	d.sender.Heard(encodeNote("a", 0))
+	d.sender.Heard(encodeNote("a", 0))
 	// Output:
 	// 0.0     dispatch q to a
 	// 0.0     dispatch p to a
@@ -51,15 +51,15 @@
 // In a fleet with notes the calls done at a kind pay for retries there: where nothing is done, the budget of one
 // kind ends, whatever the number of its destinations.
 func ExampleSender_kindPays() {
-	d := open(noted())
+	d := startSender(gossipSettings())
 	d.mute = true
-	d.s.ListNews([]Entry{{Endpoint: "e", Destination: 3}, {Endpoint: "f", Destination: 4}}, false)
-	d.take(0, 1, "p").take(0, 3, "q").take(0, 4, "r")
+	d.sender.ListNews([]Entry{{Endpoint: "e", Destination: 3}, {Endpoint: "f", Destination: 4}}, false)
+	d.accept(0, 1, "p").accept(0, 3, "q").accept(0, 4, "r")
 	for i, id := range []MessageID{"p", "q", "r"} {
-		d.ended(Errored, 0, EndpointID("aef"[i:i+1]), id)
+		d.end(Errored, 0, EndpointID("aef"[i:i+1]), id)
 	}
-	d.run(400 * Millisecond)
-	fmt.Println("dispatches:", d.tries["p"]+d.tries["q"]+d.tries["r"])
+	d.advance(400 * Millisecond)
+	fmt.Println("dispatches:", d.attempts["p"]+d.attempts["q"]+d.attempts["r"])
 	// Output:
 	// dispatches: 5
 }
@@ -67,14 +67,14 @@
 // What replaces the endpoints of a destination that is out joins it as out: it is tried as one that may be cold, where
 // it would take all that waits at once.
 func ExampleSender_replacedWhileOut() {
-	set := plain()
+	set := testSettings()
 	set.Senders, set.Probing = 80, false
-	d := open(set).run(3*Second).take(0, 1, "p").ended(ConnectFailed, 0, "a", "p").take(0, 1, "q", "r")
-	d.s.ListNews([]Entry{{Endpoint: "a", Destination: 1, Stage: Gone}, {Endpoint: "new", Destination: 1, Rating: 10}}, false)
-	d.run(100 * Millisecond)
-	d.s.ListNews([]Entry{{Endpoint: "newer", Destination: 1, Rating: 10}}, false)
-	d.run(100 * Millisecond)
-	fmt.Println(d.s.endpoints["new"].ejected, d.s.endpoints["newer"].ejected)
+	d := startSender(set).advance(3*Second).accept(0, 1, "p").end(ConnectFailed, 0, "a", "p").accept(0, 1, "q", "r")
+	d.sender.ListNews([]Entry{{Endpoint: "a", Destination: 1, Stage: Gone}, {Endpoint: "new", Destination: 1, Rating: 10}}, false)
+	d.advance(100 * Millisecond)
+	d.sender.ListNews([]Entry{{Endpoint: "newer", Destination: 1, Rating: 10}}, false)
+	d.advance(100 * Millisecond)
+	fmt.Println(d.sender.endpoints["new"].ejected, d.sender.endpoints["newer"].ejected)
 	// Output:
 	// 3000.0  dispatch p to a
 	// true true
@@ -83,16 +83,16 @@
 // What joins a destination that has come back and is still cold is as cold as the rest, with a budget begun by chance: all
 // senders hear of it at one moment, and empty ones would all be full at one moment, too.
 func ExampleSender_replacedWhileCold() {
-	set := plain()
+	set := testSettings()
 	set.Senders, set.Probing = 80, false
-	d := open(set).run(3*Second).take(0, 1, "p").ended(ConnectFailed, 0, "a", "p")
-	a := d.s.endpoints["a"]
-	d.run(2 * Second)
-	d.s.readmit(a, d.clock)
-	d.s.ListNews([]Entry{{Endpoint: "new", Destination: 1, Rating: 10}, {Endpoint: "a", Destination: 1, Stage: Draining}}, false)
-	ep := d.s.endpoints["new"]
+	d := startSender(set).advance(3*Second).accept(0, 1, "p").end(ConnectFailed, 0, "a", "p")
+	a := d.sender.endpoints["a"]
+	d.advance(2 * Second)
+	d.sender.readmit(a, d.clock)
+	d.sender.ListNews([]Entry{{Endpoint: "new", Destination: 1, Rating: 10}, {Endpoint: "a", Destination: 1, Stage: Draining}}, false)
+	ep := d.sender.endpoints["new"]
 	fmt.Println("aside:", ep.ejected, "as cold:", ep.slowStartAt == a.slowStartAt, "budget:", math.Round(100*ep.slowStart.tokens)/100)
-	d.take(0, 1, "q", "r", "s")
+	d.accept(0, 1, "q", "r", "s")
 	// Output:
 	// 3000.0  dispatch p to a
 	// aside: false as cold: true budget: 0.22
@@ -102,17 +102,17 @@
 // time: many such calls, unanswered, would hold the few slots for as long as a message lives.
 func ExampleSender_likeItsKind() {
 	for _, senders := range []int{80, 2} {
-		set := noted()
+		set := gossipSettings()
 		set.Senders = senders
-		d := open(set)
+		d := startSender(set)
 		d.mute = true
-		d.s.ListNews([]Entry{{Endpoint: "e", Destination: 3}}, false)
+		d.sender.ListNews([]Entry{{Endpoint: "e", Destination: 3}}, false)
 		for i := range 40 {
 			id := MessageID(fmt.Sprint(i))
-			d.take(0, 1, id).ended(Done, 0, "a", id)
+			d.accept(0, 1, id).end(Done, 0, "a", id)
 		}
-		d.take(0, 3, "first")
-		fmt.Println(senders, "senders:", seconds(d.s.attemptTimeout(d.s.messages["first"], d.s.endpoints["e"])), "s")
+		d.accept(0, 3, "first")
+		fmt.Println(senders, "senders:", seconds(d.sender.attemptTimeout(d.sender.messages["first"], d.sender.endpoints["e"])), "s")
 	}
 	// Output:
 	// 80 senders: 1 s
--- a/choice/order_test.go
+++ b/choice/order_test.go
@@ -3,16 +3,16 @@
 import "fmt"
 
 // ordered settings: class 0 is idempotent, 1 keyed in its zone, 2 single-use in order, 3 idempotent in order.
-func ordered() Settings {
-	set := plain()
+func orderedSettings() Settings {
+	set := testSettings()
 	set.KeyRest = 300 * Millisecond
 	set.Classes[1].ZoneGroup, set.Classes[2].ByArrival = true, true
 	return set
 }
 
 // keyed hands in one message with a key of its own choice, and leaves the turn open.
-func (d *desk) keyed(id MessageID, class ClassNo, key OrderKey, to DestinationID) *desk {
-	d.s.Taken(Message{ID: id, Class: class, Key: key, Destination: to, Deadline: d.clock + d.s.settings.Classes[class].Deadline})
+func (d *fakeHost) acceptKeyed(id MessageID, class ClassNo, key OrderKey, to DestinationID) *fakeHost {
+	d.sender.Taken(Message{ID: id, Class: class, Key: key, Destination: to, Deadline: d.clock + d.sender.settings.Classes[class].Deadline})
 	return d
 }
 
@@ -23,18 +23,18 @@
 		name   string
 		result Result
 	}{{"done", Done}, {"refused", Full}, {"error", Errored}, {"time-out", TimedOut}, {"reset", Reset}, {"cancelled", Cancelled}} {
-		d := open(ordered())
-		d.keyed("head", 2, 7, 2).keyed("next", 2, 7, 2).keyed("last", 2, 7, 2).s.TurnEnd()
+		d := startSender(orderedSettings())
+		d.acceptKeyed("head", 2, 7, 2).acceptKeyed("next", 2, 7, 2).acceptKeyed("last", 2, 7, 2).sender.TurnEnd()
 		fmt.Println(end.name)
 		d.clock += 10 * Millisecond
-		d.ended(end.result, 0, "c", "head").run(500 * Millisecond)
+		d.end(end.result, 0, "c", "head").advance(500 * Millisecond)
 	}
 	fmt.Println("withdrawn while it waits, then while it is out")
-	d := open(ordered())
-	d.keyed("head", 2, 7, 2).s.TurnEnd()
-	d.keyed("waits", 2, 7, 2).keyed("next", 2, 7, 2).s.Withdrawn("waits")
-	d.s.Withdrawn("head")
-	d.run(10*Millisecond).ended(Done, 0, "c", "head")
+	d := startSender(orderedSettings())
+	d.acceptKeyed("head", 2, 7, 2).sender.TurnEnd()
+	d.acceptKeyed("waits", 2, 7, 2).acceptKeyed("next", 2, 7, 2).sender.Withdrawn("waits")
+	d.sender.Withdrawn("head")
+	d.advance(10*Millisecond).end(Done, 0, "c", "head")
 	// Output:
 	// 0.0     dispatch head to c
 	// done
@@ -66,11 +66,11 @@
 // A head that no attempt serves in time is shed when its time is over, which frees the next at once; one handed in again
 // joins at the end of its key.
 func ExampleSender_headWithoutTime() {
-	d := open(ordered())
-	d.s.ListNews([]Entry{{Endpoint: "c", Destination: 2, Kind: 1, Stage: Draining}}, false)
-	d.keyed("head", 3, 7, 2).s.TurnEnd()
-	d.run(2*Second).keyed("next", 3, 7, 1).keyed("again", 3, 7, 1).s.TurnEnd()
-	d.run(4*Second).ended(Done, 0, "a", "next")
+	d := startSender(orderedSettings())
+	d.sender.ListNews([]Entry{{Endpoint: "c", Destination: 2, Kind: 1, Stage: Draining}}, false)
+	d.acceptKeyed("head", 3, 7, 2).sender.TurnEnd()
+	d.advance(2*Second).acceptKeyed("next", 3, 7, 1).acceptKeyed("again", 3, 7, 1).sender.TurnEnd()
+	d.advance(4*Second).end(Done, 0, "a", "next")
 	// Output:
 	// 5490.1  shed head
 	// 5490.1  dispatch next to a
@@ -79,10 +79,10 @@
 
 // Heads of several keys, of two ordered classes, share a call; two of one key never do, whatever their classes.
 func ExampleSender_keysInABundle() {
-	d := open(ordered())
-	d.keyed("a1", 2, 7, 2).keyed("b1", 3, 8, 2).keyed("a2", 3, 7, 2).keyed("b2", 2, 8, 2).s.TurnEnd()
-	fmt.Println(len(d.s.calls), "call")
-	d.ended(Done, 0, "c", "a1", "b1")
+	d := startSender(orderedSettings())
+	d.acceptKeyed("a1", 2, 7, 2).acceptKeyed("b1", 3, 8, 2).acceptKeyed("a2", 3, 7, 2).acceptKeyed("b2", 2, 8, 2).sender.TurnEnd()
+	fmt.Println(len(d.sender.calls), "call")
+	d.end(Done, 0, "c", "a1", "b1")
 	// Output:
 	// 0.0     dispatch a1 to c
 	// 0.0     dispatch b1 to c
@@ -93,9 +93,9 @@
 
 // A key's turn holds over destinations too.
 func ExampleSender_keyOverDestinations() {
-	d := open(ordered())
-	d.keyed("here", 2, 7, 1).keyed("there", 2, 7, 2).s.TurnEnd()
-	d.run(10*Millisecond).ended(Done, 0, "a", "here")
+	d := startSender(orderedSettings())
+	d.acceptKeyed("here", 2, 7, 1).acceptKeyed("there", 2, 7, 2).sender.TurnEnd()
+	d.advance(10*Millisecond).end(Done, 0, "a", "here")
 	// Output:
 	// 0.0     dispatch here to a
 	// 10.0    dispatch there to c
@@ -104,13 +104,13 @@
 // A keyed message that may have run in a zone whose endpoint drains goes to no other zone, though one is free there,
 // and is answered when its window ends.
 func ExampleSender_zoneDrained() {
-	set := ordered()
+	set := orderedSettings()
 	set.Probing = false
-	d := open(set)
-	d.s.ListNews([]Entry{{Endpoint: "far", Destination: 1, Zone: 1, Rating: 10}}, false)
-	d.take(1, 1, "token").run(10*Millisecond).ended(Errored, 0, "a", "token")
-	d.s.ListNews([]Entry{{Endpoint: "a", Destination: 1, Stage: Draining}}, false)
-	d.take(0, 1, "other").run(6 * Second)
+	d := startSender(set)
+	d.sender.ListNews([]Entry{{Endpoint: "far", Destination: 1, Zone: 1, Rating: 10}}, false)
+	d.accept(1, 1, "token").advance(10*Millisecond).end(Errored, 0, "a", "token")
+	d.sender.ListNews([]Entry{{Endpoint: "a", Destination: 1, Stage: Draining}}, false)
+	d.accept(0, 1, "other").advance(6 * Second)
 	// Output:
 	// 0.0     dispatch token to a
 	// 10.0    dispatch other to far
@@ -120,11 +120,11 @@
 // A told wait binds the route: one of those apart, or all endpoints of a destination that shares its limit.
 func ExampleSender_waitsOfRoutes() {
 	for _, apart := range []bool{true, false} {
-		set := ordered()
+		set := orderedSettings()
 		set.Kinds[0].Apart = apart
-		d := open(set)
-		d.s.ListNews([]Entry{{Endpoint: "b", Destination: 1, Rating: 10}}, false)
-		d.take(0, 1, "p").ended(Full, 900*Millisecond, "a", "p").take(0, 1, "q")
+		d := startSender(set)
+		d.sender.ListNews([]Entry{{Endpoint: "b", Destination: 1, Rating: 10}}, false)
+		d.accept(0, 1, "p").end(Full, 900*Millisecond, "a", "p").accept(0, 1, "q")
 		fmt.Println("apart:", apart)
 	}
 	// Output:
@@ -138,16 +138,16 @@
 // A sender that stood still for two seconds finds answers, timers and a drain at once: the endpoint that answered in
 // time is not blamed, and nothing goes to the one that drains.
 func ExampleSender_stalled() {
-	d := open(ordered())
-	d.s.ListNews([]Entry{{Endpoint: "b", Destination: 1, Rating: 10}}, false)
-	d.take(0, 1, "p", "q").take(0, 2, "r")
+	d := startSender(orderedSettings())
+	d.sender.ListNews([]Entry{{Endpoint: "b", Destination: 1, Rating: 10}}, false)
+	d.accept(0, 1, "p", "q").accept(0, 2, "r")
 	d.clock += 2 * Second
-	d.s.ListNews([]Entry{{Endpoint: "a", Destination: 1, Stage: Draining}}, false)
+	d.sender.ListNews([]Entry{{Endpoint: "a", Destination: 1, Stage: Draining}}, false)
 	for _, id := range []MessageID{"p", "q", "r"} {
-		d.s.Ended(Outcome{Message: id, Took: 100 * Millisecond, Result: Done, Final: true})
+		d.sender.Ended(Outcome{Message: id, Took: 100 * Millisecond, Result: Done, Final: true})
 	}
-	d.take(0, 1, "late").take(0, 2, "other").run(100 * Millisecond)
-	fmt.Println("known of the drained one:", d.s.endpoints["a"] != nil, "aside:", d.s.endpoints["b"].ejected, d.s.endpoints["c"].ejected)
+	d.accept(0, 1, "late").accept(0, 2, "other").advance(100 * Millisecond)
+	fmt.Println("known of the drained one:", d.sender.endpoints["a"] != nil, "aside:", d.sender.endpoints["b"].ejected, d.sender.endpoints["c"].ejected)
 	// Output:
 	// 0.0     dispatch q to a
 	// 0.0     dispatch p to a
--- a/choice/purge_test.go
+++ b/choice/purge_test.go
@@ -5,47 +5,47 @@
 // Withdrawn in whatever state, a message is neither sent again nor answered, its slot is free once its call has ended, and
 // those behind it in its key go on.
 func ExampleSender_Withdrawn() {
-	play := func(what string, set Settings, do func(d *desk)) {
+	play := func(what string, set Settings, do func(d *fakeHost)) {
 		fmt.Println(what)
-		d := open(set)
+		d := startSender(set)
 		do(d)
-		d.run(7 * Second)
-		if len(d.s.messages)+len(d.s.calls)+len(d.s.timers.pending)+len(d.s.keyQueues)+len(d.s.withQueued) > 0 {
-			fmt.Println("left over:", d.s.messages, d.s.calls, d.s.timers.pending, d.s.keyQueues, d.s.withQueued)
+		d.advance(7 * Second)
+		if len(d.sender.messages)+len(d.sender.calls)+len(d.sender.timers.pending)+len(d.sender.keyQueues)+len(d.sender.withQueued) > 0 {
+			fmt.Println("left over:", d.sender.messages, d.sender.calls, d.sender.timers.pending, d.sender.keyQueues, d.sender.withQueued)
 		}
 	}
-	drop := func(d *desk, id MessageID) *desk {
-		d.s.Withdrawn(id)
-		d.s.TurnEnd()
+	drop := func(d *fakeHost, id MessageID) *fakeHost {
+		d.sender.Withdrawn(id)
+		d.sender.TurnEnd()
 		return d
 	}
-	play("queued", plain(), func(d *desk) {
-		d.s.Taken(Message{ID: "p", Key: NoKey, Destination: 1, Deadline: 6 * Second})
+	play("queued", testSettings(), func(d *fakeHost) {
+		d.sender.Taken(Message{ID: "p", Key: NoKey, Destination: 1, Deadline: 6 * Second})
 		drop(d, "p")
 	})
-	play("in a lane", plain(), func(d *desk) {
-		d.take(0, 1, "p", "q").ended(Full, 500*Millisecond, "a", "p", "q").run(300 * Millisecond)
-		fmt.Println("there:", d.s.destinations[1].queues[1].Len())
+	play("in a lane", testSettings(), func(d *fakeHost) {
+		d.accept(0, 1, "p", "q").end(Full, 500*Millisecond, "a", "p", "q").advance(300 * Millisecond)
+		fmt.Println("there:", d.sender.destinations[1].queues[1].Len())
 		drop(drop(d, "p"), "q")
 	})
-	play("waiting for a retry", plain(), func(d *desk) { drop(d.take(1, 1, "p").ended(Errored, 0, "a", "p"), "p") })
-	play("behind its key's head, and the head while out", ordered(), func(d *desk) {
-		d.keyed("head", 2, 7, 2).s.TurnEnd()
-		drop(drop(d.keyed("next", 2, 7, 2).keyed("last", 2, 7, 2), "next"), "head")
-		d.run(50*Millisecond).ended(Done, 0, "c", "head").ended(Done, 0, "c", "last")
+	play("waiting for a retry", testSettings(), func(d *fakeHost) { drop(d.accept(1, 1, "p").end(Errored, 0, "a", "p"), "p") })
+	play("behind its key's head, and the head while out", orderedSettings(), func(d *fakeHost) {
+		d.acceptKeyed("head", 2, 7, 2).sender.TurnEnd()
+		drop(drop(d.acceptKeyed("next", 2, 7, 2).acceptKeyed("last", 2, 7, 2), "next"), "head")
+		d.advance(50*Millisecond).end(Done, 0, "c", "head").end(Done, 0, "c", "last")
 	})
-	play("the head, queued", ordered(), func(d *desk) {
-		drop(d.keyed("head", 2, 7, 2).keyed("next", 2, 7, 2), "head").ended(Done, 0, "c", "next")
+	play("the head, queued", orderedSettings(), func(d *fakeHost) {
+		drop(d.acceptKeyed("head", 2, 7, 2).acceptKeyed("next", 2, 7, 2), "head").end(Done, 0, "c", "next")
 	})
-	play("a head that may run", ordered(), func(d *desk) {
-		d.keyed("head", 3, 7, 2).s.TurnEnd()
-		drop(d.keyed("next", 3, 7, 2).ended(Reset, 0, "c", "head"), "head").run(400*Millisecond).ended(Done, 0, "c", "next")
+	play("a head that may run", orderedSettings(), func(d *fakeHost) {
+		d.acceptKeyed("head", 3, 7, 2).sender.TurnEnd()
+		drop(d.acceptKeyed("next", 3, 7, 2).end(Reset, 0, "c", "head"), "head").advance(400*Millisecond).end(Done, 0, "c", "next")
 	})
 	for _, end := range []Result{Done, Full, Errored, TimedOut, Moot} {
-		play(fmt.Sprint("out, in a call with another, ended ", end), plain(), func(d *desk) {
-			drop(d.take(0, 2, "p", "q"), "p").ended(end, 0, "c", "p")
-			fmt.Println("calls out:", len(d.s.calls))
-			d.ended(Done, 0, "c", "q")
+		play(fmt.Sprint("out, in a call with another, ended ", end), testSettings(), func(d *fakeHost) {
+			drop(d.accept(0, 2, "p", "q"), "p").end(end, 0, "c", "p")
+			fmt.Println("calls out:", len(d.sender.calls))
+			d.end(Done, 0, "c", "q")
 		})
 	}
 	// Output:
@@ -90,15 +90,15 @@
 // or as told.
 func ExampleSender_Void() {
 	for _, l := range []*Learnt{nil, {Mean: 700, Dev: 100, Past: 600, Seen: 9, Limit: 4, Wait: Second}} {
-		d := open(plain()).take(0, 1, "p").ended(Done, 0, "a", "p")
-		d.s.endpoints["a"].concurrencyLimit = 8
-		d.take(0, 1, "q").s.Ended(Outcome{Message: "q", Endpoint: "a", Result: Full, Wait: 2 * Second, Report: Report{Known: true, Limit: 50}})
-		d.take(0, 1, "r").s.destinations[1].route.limiter.rate = 1
-		d.s.Void("a", l)
-		d.s.Void("unknown", l)
-		ep, route := d.s.endpoints["a"], d.s.destinations[1].route
-		fmt.Println(d.s.Learnt("a"), "calls at once:", ep.concurrencyLimit, "paced:", route.limiter.rate < unlimitedRate, "rated:", route.rating*d.s.ratingShare)
-		d.run(1500 * Millisecond)
+		d := startSender(testSettings()).accept(0, 1, "p").end(Done, 0, "a", "p")
+		d.sender.endpoints["a"].concurrencyLimit = 8
+		d.accept(0, 1, "q").sender.Ended(Outcome{Message: "q", Endpoint: "a", Result: Full, Wait: 2 * Second, Report: Report{Known: true, Limit: 50}})
+		d.accept(0, 1, "r").sender.destinations[1].route.limiter.rate = 1
+		d.sender.Void("a", l)
+		d.sender.Void("unknown", l)
+		ep, route := d.sender.endpoints["a"], d.sender.destinations[1].route
+		fmt.Println(d.sender.Learnt("a"), "calls at once:", ep.concurrencyLimit, "paced:", route.limiter.rate < unlimitedRate, "rated:", route.rating*d.sender.ratingShare)
+		d.advance(1500 * Millisecond)
 	}
 	// Output:
 	// 0.0     dispatch p to a
@@ -116,38 +116,38 @@
 // An outage under way is not lifted: what is ejected stays so, a shut partner's wait stays, the cold budget is not
 // larger, and a limit that others tell counts only once it is over.
 func ExampleSender_Void_outage() {
-	set := plain()
+	set := testSettings()
 	set.Probing = false
 	sent := func(void bool) int {
-		d := open(set)
+		d := startSender(set)
 		d.mute = true
-		d.s.destinations[1].route.rating, d.s.destinations[1].route.limit = 0, 50
-		d.s.eject(d.s.endpoints["a"])
-		d.run(2 * Second)
+		d.sender.destinations[1].route.rating, d.sender.destinations[1].route.limit = 0, 50
+		d.sender.eject(d.sender.endpoints["a"])
+		d.advance(2 * Second)
 		for i := range 200 {
 			if void {
-				d.s.Void("a", &Learnt{Mean: 100, Dev: 10, Past: 100, Seen: 99, Limit: 1000})
+				d.sender.Void("a", &Learnt{Mean: 100, Dev: 10, Past: 100, Seen: 99, Limit: 1000})
 			}
 			id := MessageID(fmt.Sprint(i))
-			d.take(0, 1, id).run(40 * Millisecond)
-			for id, tries := range d.tries {
-				if msg := d.s.messages[id]; msg != nil && msg.inFlight != nil && tries > 0 {
-					d.ended(Done, 0, "a", id)
+			d.accept(0, 1, id).advance(40 * Millisecond)
+			for id, tries := range d.attempts {
+				if msg := d.sender.messages[id]; msg != nil && msg.inFlight != nil && tries > 0 {
+					d.end(Done, 0, "a", id)
 				}
 			}
 		}
 		all := 0
-		for _, tries := range d.tries {
+		for _, tries := range d.attempts {
 			all += tries
 		}
 		return all
 	}
 	before, after := sent(false), sent(true)
 	fmt.Println("sent in the return:", before > 10, "more where voided:", after > before)
-	d := open(set)
-	d.take(0, 1, "p").ended(Full, 4*Second, "a", "p")
-	d.s.Void("a", nil)
-	d.take(0, 1, "q").run(5 * Second)
+	d := startSender(set)
+	d.accept(0, 1, "p").end(Full, 4*Second, "a", "p")
+	d.sender.Void("a", nil)
+	d.accept(0, 1, "q").advance(5 * Second)
 	// Output:
 	// sent in the return: true more where voided: false
 	// 0.0     dispatch p to a
@@ -156,36 +156,36 @@
 
 // What is held for a destination may be forgotten unless something is under way there.
 func ExampleSender_Holds() {
-	show := func(what string, d *desk, id DestinationID) {
-		calls, pinned := d.s.Holds(id)
+	show := func(what string, d *fakeHost, id DestinationID) {
+		calls, pinned := d.sender.Holds(id)
 		fmt.Println(what, calls, pinned)
 	}
-	d := open(plain())
+	d := startSender(testSettings())
 	d.mute = true
 	show("unknown:", d, 9)
 	show("new:", d, 2)
-	show("open:", d.take(0, 2, "p"), 2)
-	show("known:", d.ended(Done, 0, "c", "p"), 2)
-	show("to be sent again:", d.take(0, 2, "q").ended(Errored, 0, "c", "q"), 2)
-	d.run(Second)
-	show("over:", d.ended(Done, 0, "c", "q"), 2)
-	show("told to wait:", d.take(0, 2, "r").ended(Full, Second, "c", "r"), 2)
-	d.s.Withdrawn("r")
+	show("open:", d.accept(0, 2, "p"), 2)
+	show("known:", d.end(Done, 0, "c", "p"), 2)
+	show("to be sent again:", d.accept(0, 2, "q").end(Errored, 0, "c", "q"), 2)
+	d.advance(Second)
+	show("over:", d.end(Done, 0, "c", "q"), 2)
+	show("told to wait:", d.accept(0, 2, "r").end(Full, Second, "c", "r"), 2)
+	d.sender.Withdrawn("r")
 	show("withdrawn, the wait goes on:", d, 2)
-	show("the wait is over:", d.run(2*Second), 2)
-	d.s.eject(d.s.endpoints["c"])
+	show("the wait is over:", d.advance(2*Second), 2)
+	d.sender.eject(d.sender.endpoints["c"])
 	show("set aside:", d, 2)
-	d.s.readmit(d.s.endpoints["c"], d.clock)
+	d.sender.readmit(d.sender.endpoints["c"], d.clock)
 	show("cold:", d, 2)
-	show("warm:", d.run(11*Second), 2)
-	d.s.ListNews([]Entry{{Endpoint: "c", Destination: 2, Kind: 1, Stage: Draining}}, false)
+	show("warm:", d.advance(11*Second), 2)
+	d.sender.ListNews([]Entry{{Endpoint: "c", Destination: 2, Kind: 1, Stage: Draining}}, false)
 	show("draining:", d, 2)
-	d = open(ordered())
+	d = startSender(orderedSettings())
 	d.mute = true
-	d.keyed("head", 3, 7, 2).s.TurnEnd()
-	d.ended(Reset, 0, "c", "head").s.Withdrawn("head")
+	d.acceptKeyed("head", 3, 7, 2).sender.TurnEnd()
+	d.end(Reset, 0, "c", "head").sender.Withdrawn("head")
 	show("the key rests:", d, 2)
-	show("rested:", d.run(Second), 2)
+	show("rested:", d.advance(Second), 2)
 	// Output:
 	// unknown: 0 false
 	// new: 0 false
--- a/choice/retries_test.go
+++ b/choice/retries_test.go
@@ -6,11 +6,11 @@
 
 // The one slot goes to the fresh tier, newest first, before the retry that was due earlier.
 func ExampleSender_tiers() {
-	set := plain()
+	set := testSettings()
 	set.InFlightLimit = 1
-	d := open(set).take(0, 1, "old").ended(Errored, 0, "a", "old").take(2, 2, "holds")
-	d.run(300*Millisecond).take(0, 1, "x", "y").ended(Done, 0, "c", "holds").ended(Done, 0, "a", "y")
-	d.ended(Done, 0, "a", "x")
+	d := startSender(set).accept(0, 1, "old").end(Errored, 0, "a", "old").accept(2, 2, "holds")
+	d.advance(300*Millisecond).accept(0, 1, "x", "y").end(Done, 0, "c", "holds").end(Done, 0, "a", "y")
+	d.end(Done, 0, "a", "x")
 	// Output:
 	// 0.0     dispatch old to a
 	// 0.0     dispatch holds to c
@@ -21,15 +21,15 @@
 
 // Retry waits differ by chance, under ceilings that double up to the cap; the first is a quarter second.
 func ExampleSender_jitter() {
-	d := open(plain())
+	d := startSender(testSettings())
 	d.mute = true
 	for try := 1; try <= 4; try++ {
 		longest, shortest := Time(0), Time(1<<60)
 		for i := range 40 {
 			msg := &message{Message: Message{ID: MessageID(fmt.Sprint(i))}, attempts: try,
-				destination: d.s.destinations[1]}
+				destination: d.sender.destinations[1]}
 			msg.Deadline = 60 * Second
-			d.s.scheduleRetry(msg)
+			d.sender.scheduleRetry(msg)
 			longest, shortest = max(longest, msg.retryAt), min(shortest, msg.retryAt)
 		}
 		fmt.Println("try", try, "from", shortest, "to", longest)
@@ -43,10 +43,10 @@
 
 // What was refused drains through a quarter of the slots: two here, the third when one is free.
 func ExampleSender_lane() {
-	d := open(plain())
-	d.s.endpoints["a"].concurrencyLimit = 8
-	d.take(0, 1, "p", "q", "r").ended(Full, 0, "a", "p", "q", "r")
-	d.run(2*Second).ended(Done, 0, "a", "p").run(2 * Second)
+	d := startSender(testSettings())
+	d.sender.endpoints["a"].concurrencyLimit = 8
+	d.accept(0, 1, "p", "q", "r").end(Full, 0, "a", "p", "q", "r")
+	d.advance(2*Second).end(Done, 0, "a", "p").advance(2 * Second)
 	// Output:
 	// 0.0     dispatch r to a
 	// 0.0     dispatch q to a
@@ -58,9 +58,9 @@
 
 // Single-use: a time-out is final, a refusal is not. Keyed: again only inside the repeat window.
 func ExampleSender_repeatability() {
-	d := open(plain()).take(2, 1, "once").ended(Full, 0, "a", "once").run(Second)
-	d.ended(TimedOut, 0, "a", "once").take(1, 2, "token").ended(TimedOut, 0, "c", "token").run(Second)
-	d.run(2500*Millisecond).ended(TimedOut, 0, "c", "token")
+	d := startSender(testSettings()).accept(2, 1, "once").end(Full, 0, "a", "once").advance(Second)
+	d.end(TimedOut, 0, "a", "once").accept(1, 2, "token").end(TimedOut, 0, "c", "token").advance(Second)
+	d.advance(2500*Millisecond).end(TimedOut, 0, "c", "token")
 	// Output:
 	// 0.0     dispatch once to a
 	// 73.8    dispatch once to a
@@ -73,7 +73,7 @@
 
 // A message that no attempt can serve in time is answered at once: shed, as none ever ran.
 func ExampleSender_deadline() {
-	open(plain()).take(0, 9, "nowhere").run(7 * Second)
+	startSender(testSettings()).accept(0, 9, "nowhere").advance(7 * Second)
 	// Output:
 	// 5490.1  shed nowhere
 }
@@ -81,17 +81,17 @@
 // In a large fleet two failures with nothing answered lately ejected all endpoints of the route, and each
 // refusal halves the pace before it: many senders that try in turn, or again and again, are a storm.
 func ExampleSender_storm() {
-	set := plain()
+	set := testSettings()
 	set.Senders = 50
-	d := open(set).run(3 * Second)
-	d.s.ListNews([]Entry{{Endpoint: "b", Destination: 1}, {Endpoint: "b2", Destination: 1}}, false)
-	d.run(50*Millisecond).take(0, 1, "p").ended(ConnectFailed, 0, "a", "p").run(300 * Millisecond)
-	d.ended(ConnectFailed, 0, "b", "p")
-	fmt.Println("aside:", d.s.endpoints["a"].ejected, d.s.endpoints["b"].ejected, d.s.endpoints["b2"].ejected)
-	d.take(0, 2, "q")
+	d := startSender(set).advance(3 * Second)
+	d.sender.ListNews([]Entry{{Endpoint: "b", Destination: 1}, {Endpoint: "b2", Destination: 1}}, false)
+	d.advance(50*Millisecond).accept(0, 1, "p").end(ConnectFailed, 0, "a", "p").advance(300 * Millisecond)
+	d.end(ConnectFailed, 0, "b", "p")
+	fmt.Println("aside:", d.sender.endpoints["a"].ejected, d.sender.endpoints["b"].ejected, d.sender.endpoints["b2"].ejected)
+	d.accept(0, 2, "q")
 	for range 2 {
-		d.ended(Full, 0, "c", "q").run(4 * Second)
-		fmt.Printf("pace: %.3f\n", d.s.destinations[2].route.limiter.rate)
+		d.end(Full, 0, "c", "q").advance(4 * Second)
+		fmt.Printf("pace: %.3f\n", d.sender.destinations[2].route.limiter.rate)
 	}
 	// Output:
 	// 3050.0  dispatch p to a
@@ -107,12 +107,12 @@
 // A return counts from midway between the last failure seen and the first answer: in a large fleet the two lie
 // far apart, and counting from the answer would starve what has long been back.
 func ExampleSender_midway() {
-	set := plain()
+	set := testSettings()
 	set.Senders = 50
-	d := open(set).run(3*Second).take(1, 1, "p").ended(Errored, 0, "a", "p").run(Second)
-	d.s.endpoints["a"].slowStart.tokens = 1
-	d.take(0, 1, "q").ended(Done, 0, "a", "q")
-	fmt.Println("cold from:", d.s.endpoints["a"].slowStartAt)
+	d := startSender(set).advance(3*Second).accept(1, 1, "p").end(Errored, 0, "a", "p").advance(Second)
+	d.sender.endpoints["a"].slowStart.tokens = 1
+	d.accept(0, 1, "q").end(Done, 0, "a", "q")
+	fmt.Println("cold from:", d.sender.endpoints["a"].slowStartAt)
 	// Output:
 	// 3000.0  dispatch p to a
 	// 4000.0  dispatch q to a
@@ -122,10 +122,10 @@
 // Where a call stays without an answer while others have theirs, single-use messages wait until some more are done;
 // those that may be repeated find that out.
 func ExampleSender_doubt() {
-	d := open(plain()).take(0, 1, "lost").run(Millisecond).take(0, 1, "p").ended(Done, 0, "a", "p").run(2 * Second)
-	d.take(2, 1, "single")
+	d := startSender(testSettings()).accept(0, 1, "lost").advance(Millisecond).accept(0, 1, "p").end(Done, 0, "a", "p").advance(2 * Second)
+	d.accept(2, 1, "single")
 	for _, id := range []MessageID{"1", "2", "3", "4", "5", "6"} {
-		d.run(10*Millisecond).take(0, 1, id).ended(Done, 0, "a", id)
+		d.advance(10*Millisecond).accept(0, 1, id).end(Done, 0, "a", id)
 	}
 	// Output:
 	// 0.0     dispatch lost to a
@@ -143,20 +143,20 @@
 // once. Nor does a message that the host ended alone, while the others of its call are still waited for.
 func ExampleSender_cutShort() {
 	for _, left := range []Time{100 * Millisecond, 5 * Second} {
-		d := open(plain())
-		d.take(0, 1, "first").ended(Done, 0, "a", "first")
-		d.s.endpoints["a"].mean = float64(20 * Millisecond)
-		d.s.Taken(Message{ID: "late", Key: NoKey, Destination: 1, Deadline: d.clock + left})
-		d.take(0, 1, "other").ended(Done, 0, "a", "other")
+		d := startSender(testSettings())
+		d.accept(0, 1, "first").end(Done, 0, "a", "first")
+		d.sender.endpoints["a"].mean = float64(20 * Millisecond)
+		d.sender.Taken(Message{ID: "late", Key: NoKey, Destination: 1, Deadline: d.clock + left})
+		d.accept(0, 1, "other").end(Done, 0, "a", "other")
 		d.clock += 1 // answered since
-		d.take(0, 1, "another").ended(Done, 0, "a", "another")
+		d.accept(0, 1, "another").end(Done, 0, "a", "another")
 		d.clock += min(left, 2*Second) - 6*Millisecond
-		d.ended(TimedOut, 0, "a", "late").take(2, 1, "order")
+		d.end(TimedOut, 0, "a", "late").accept(2, 1, "order")
 	}
-	d := open(plain())
-	d.take(0, 2, "p", "q")
-	d.s.Ended(Outcome{Message: "p", Endpoint: "c", Result: Cancelled})
-	fmt.Println("calls out:", len(d.s.calls), "judged:", d.s.calls[0].judged)
+	d := startSender(testSettings())
+	d.accept(0, 2, "p", "q")
+	d.sender.Ended(Outcome{Message: "p", Endpoint: "c", Result: Cancelled})
+	fmt.Println("calls out:", len(d.sender.calls), "judged:", d.sender.calls[0].judged)
 	// Output:
 	// 0.0     dispatch first to a
 	// 0.0     dispatch other to a
--- a/choice/returns_test.go
+++ b/choice/returns_test.go
@@ -8,8 +8,8 @@
 )
 
 // cold is a play with the settings of a large fleet's days.
-func cold(senders int, capacity float64) play {
-	p := play{set: plain(), senders: senders, dests: 16, ends: 1, capacity: capacity, rating: capacity, demand: 0.6, seed: 1}
+func largeFleetPlan(senders int, capacity float64) outagePlan {
+	p := outagePlan{set: testSettings(), senders: senders, destinations: 16, endpointsEach: 1, capacity: capacity, rating: capacity, demand: 0.6, seed: 1}
 	p.set.FallMultiple, p.set.Fall, p.set.InFlightLimit = 2.5, 1500*Millisecond, 16
 	return p
 }
@@ -21,14 +21,14 @@
 func TestReturnsOfFleets(t *testing.T) {
 	kinds := []struct {
 		name string
-		set  func(p *play)
+		set  func(p *outagePlan)
 	}{
-		{"thin", func(p *play) { p.demand = 0.25 }},
-		{"even", func(p *play) {}},
-		{"skewed", func(p *play) { p.skew = 0.9 }},
-		{"dense", func(p *play) { p.demand = 1.5 }},
-		{"replaced", func(p *play) { p.ends, p.demand, p.replaced = 2, 1, true }},
-		{"restarted", func(p *play) { p.demand, p.restarts = 1, 0.3 }},
+		{"thin", func(p *outagePlan) { p.demand = 0.25 }},
+		{"even", func(p *outagePlan) {}},
+		{"skewed", func(p *outagePlan) { p.skew = 0.9 }},
+		{"dense", func(p *outagePlan) { p.demand = 1.5 }},
+		{"replaced", func(p *outagePlan) { p.endpointsEach, p.demand, p.replaced = 2, 1, true }},
+		{"restarted", func(p *outagePlan) { p.demand, p.restarts = 1, 0.3 }},
 	}
 	for _, senders := range []int{2, 6, 20, 30, 80, 300} {
 		t.Run(fmt.Sprint(senders), func(t *testing.T) {
@@ -36,15 +36,15 @@
 			returns, over, blamed, most, worst := 0, 0, 0, 0.0, 0.0
 			for _, kind := range kinds {
 				for i, capacity := range []float64{3, 20} {
-					p := cold(senders, capacity)
+					p := largeFleetPlan(senders, capacity)
 					p.seed = uint64(i + 1)
 					kind.set(&p)
-					back, _ := p.outage()
+					back, _ := p.run()
 					for _, at := range back {
-						returns, most, worst = returns+1, max(most, at.excess), max(worst, at.blamed)
-						over, blamed = over+int(one(at.excess > 0)), blamed+int(one(at.blamed > 0))
-						if at.blamed > 0 {
-							t.Errorf("%s, %v a second, seed %d: %.1f calls too many at %s", kind.name, capacity, p.seed, at.blamed, at.id)
+						returns, most, worst = returns+1, max(most, at.excess), max(worst, at.awareExcess)
+						over, blamed = over+int(one(at.excess > 0)), blamed+int(one(at.awareExcess > 0))
+						if at.awareExcess > 0 {
+							t.Errorf("%s, %v a second, seed %d: %.1f calls too many at %s", kind.name, capacity, p.seed, at.awareExcess, at.id)
 						}
 					}
 				}
@@ -57,7 +57,7 @@
 // Settings of others, also absent or extreme: the budget stays a number, nothing spins, what came back is called again,
 // and a fleet is not let through at once, unless that is what it is told.
 func TestReturnsUnderOddSettings(t *testing.T) {
-	classes := func(p *play, n int, r Repeat) {
+	classes := func(p *outagePlan, n int, r Repeat) {
 		w := p.set.Classes[0]
 		w.Repeat = r
 		p.set.Classes = nil
@@ -65,41 +65,41 @@
 			p.set.Classes = append(p.set.Classes, w)
 		}
 	}
-	odds := map[string]func(p *play){
-		"no fall span":             func(p *play) { p.set.Fall = 0 },
-		"tiny fall span":           func(p *play) { p.set.Fall = 1 },
-		"endless fall span":        func(p *play) { p.set.Fall = forever },
-		"no multiple":              func(p *play) { p.set.FallMultiple = 0 },
-		"negative multiple":        func(p *play) { p.set.FallMultiple = -1 },
-		"extreme multiple":         func(p *play) { p.set.FallMultiple = math.MaxFloat64 },
-		"no cold time":             func(p *play) { p.set.Cold = 0 },
-		"long cold time":           func(p *play) { p.set.Cold = 100 * Second },
-		"nothing when cold":        func(p *play) { p.set.ColdFrom = 0 },
-		"all when cold":            func(p *play) { p.set.ColdFrom = 1 },
-		"none of the four":         func(p *play) { p.set.Fall, p.set.FallMultiple, p.set.Cold, p.set.ColdFrom = 0, 0, 0, 0 },
-		"no rating":                func(p *play) { p.set.Rating = RatingNone },
-		"a rating of zero":         func(p *play) { p.rating = 0 },
-		"a rating below one call":  func(p *play) { p.rating, p.capacity = 0.1, 0.1; p.demand = 30 },
-		"extreme rating":           func(p *play) { p.rating = math.MaxFloat64 },
-		"extreme, nothing if cold": func(p *play) { p.rating, p.set.FallMultiple, p.set.ColdFrom = math.MaxFloat64, 1e300, 0 },
-		"one class":                func(p *play) { classes(p, 1, Idempotent) },
-		"twenty classes":           func(p *play) { classes(p, 20, Keyed) },
-		"single-use alone":         func(p *play) { classes(p, 3, SingleUse) },
-		"nothing single-use":       func(p *play) { classes(p, 3, Idempotent) },
+	odds := map[string]func(p *outagePlan){
+		"no fall span":             func(p *outagePlan) { p.set.Fall = 0 },
+		"tiny fall span":           func(p *outagePlan) { p.set.Fall = 1 },
+		"endless fall span":        func(p *outagePlan) { p.set.Fall = forever },
+		"no multiple":              func(p *outagePlan) { p.set.FallMultiple = 0 },
+		"negative multiple":        func(p *outagePlan) { p.set.FallMultiple = -1 },
+		"extreme multiple":         func(p *outagePlan) { p.set.FallMultiple = math.MaxFloat64 },
+		"no cold time":             func(p *outagePlan) { p.set.Cold = 0 },
+		"long cold time":           func(p *outagePlan) { p.set.Cold = 100 * Second },
+		"nothing when cold":        func(p *outagePlan) { p.set.ColdFrom = 0 },
+		"all when cold":            func(p *outagePlan) { p.set.ColdFrom = 1 },
+		"none of the four":         func(p *outagePlan) { p.set.Fall, p.set.FallMultiple, p.set.Cold, p.set.ColdFrom = 0, 0, 0, 0 },
+		"no rating":                func(p *outagePlan) { p.set.Rating = RatingNone },
+		"a rating of zero":         func(p *outagePlan) { p.rating = 0 },
+		"a rating below one call":  func(p *outagePlan) { p.rating, p.capacity = 0.1, 0.1; p.demand = 30 },
+		"extreme rating":           func(p *outagePlan) { p.rating = math.MaxFloat64 },
+		"extreme, nothing if cold": func(p *outagePlan) { p.rating, p.set.FallMultiple, p.set.ColdFrom = math.MaxFloat64, 1e300, 0 },
+		"one class":                func(p *outagePlan) { classes(p, 1, Idempotent) },
+		"twenty classes":           func(p *outagePlan) { classes(p, 20, Keyed) },
+		"single-use alone":         func(p *outagePlan) { classes(p, 3, SingleUse) },
+		"nothing single-use":       func(p *outagePlan) { classes(p, 3, Idempotent) },
 	}
 	for _, name := range sortedKeys(odds) {
 		for _, senders := range []int{3, 80} {
 			t.Run(fmt.Sprint(name, " ", senders), func(t *testing.T) {
-				p := cold(senders, 8)
-				p.dests, p.demand = 4, 1.5
+				p := largeFleetPlan(senders, 8)
+				p.destinations, p.demand = 4, 1.5
 				odds[name](&p)
 				if p.set.Cold > 30*Second {
 					p.demand = 0.5
 				}
-				back, f := p.outage()
+				back, f := p.run()
 				calls, rush := 0, 0
 				for _, at := range back {
-					calls, rush = calls+at.calls, max(rush, at.rush)
+					calls, rush = calls+at.calls, max(rush, at.firstSecond)
 				}
 				if extreme := strings.HasPrefix(name, "extreme"); senders > smallFleetSize && rush > senders/2 && !extreme {
 					t.Errorf("%d of %d senders call in the first second", rush, senders)
@@ -107,12 +107,12 @@
 				if calls == 0 {
 					t.Error("nothing is called any more")
 				}
-				if most := 2000 * senders * int(1+seconds(f.now)/10); f.happened > most {
-					t.Errorf("%d events, at most %d expected", f.happened, most)
+				if most := 2000 * senders * int(1+seconds(f.now)/10); f.eventCount > most {
+					t.Errorf("%d events, at most %d expected", f.eventCount, most)
 				}
-				for _, h := range f.seats {
-					for _, id := range sortedKeys(h.s.endpoints) {
-						if b := h.s.endpoints[id].slowStart; math.IsNaN(b.rate) || math.IsNaN(b.tokens) || b.rate < 0 || b.tokens > 1 {
+				for _, h := range f.hosts {
+					for _, id := range sortedKeys(h.sender.endpoints) {
+						if b := h.sender.endpoints[id].slowStart; math.IsNaN(b.rate) || math.IsNaN(b.tokens) || b.rate < 0 || b.tokens > 1 {
 							t.Errorf("budget %v", b)
 						}
 					}
@@ -145,23 +145,23 @@
 // A destination that shuts while it is cold opens to a fleet at one moment. What each may send to those of its endpoints
 // that it did not ask has piled up until then, and must not leave at once.
 func TestOpensCold(t *testing.T) {
-	p := cold(80, 10)
+	p := largeFleetPlan(80, 10)
 	p.set.Senders, p.set.Probing = p.senders, false
 	at := map[EndpointID]int{}
 	for i := range p.senders {
-		d := &desk{tries: map[MessageID]int{}, mute: true}
-		d.s = Start(d, SenderID(fmt.Sprint(i)), 7, p.set)
-		d.s.ListNews([]Entry{{Endpoint: "a", Destination: 1, Rating: 20}, {Endpoint: "b", Destination: 1, Rating: 20}}, true)
+		d := &fakeHost{attempts: map[MessageID]int{}, mute: true}
+		d.sender = Start(d, SenderID(fmt.Sprint(i)), 7, p.set)
+		d.sender.ListNews([]Entry{{Endpoint: "a", Destination: 1, Rating: 20}, {Endpoint: "b", Destination: 1, Rating: 20}}, true)
 		d.clock = 20 * Second
 		for _, id := range []EndpointID{"a", "b"} {
-			ep := d.s.endpoints[id]
-			d.s.now = d.clock
-			d.s.eject(ep)
-			d.s.readmit(ep, d.clock)
+			ep := d.sender.endpoints[id]
+			d.sender.now = d.clock
+			d.sender.eject(ep)
+			d.sender.readmit(ep, d.clock)
 			ep.slowStart.tokens = 1 // it had nothing to send for long
 		}
-		d.take(0, 1, "first").ended(Full, 4*Second, "a", "first").take(0, 1, "p", "q", "r").run(5 * Second)
-		for id, ep := range d.s.endpoints {
+		d.accept(0, 1, "first").end(Full, 4*Second, "a", "first").accept(0, 1, "p", "q", "r").advance(5 * Second)
+		for id, ep := range d.sender.endpoints {
 			at[id] += ep.inFlight
 		}
 	}
--- a/choice/waits_test.go
+++ b/choice/waits_test.go
@@ -6,8 +6,8 @@
 
 // A told wait stops first sends too; another destination goes on.
 func ExampleSender_wait() {
-	d := open(plain()).take(0, 1, "p").ended(Full, 900*Millisecond, "a", "p")
-	d.take(0, 1, "q").take(0, 2, "other").run(1200 * Millisecond)
+	d := startSender(testSettings()).accept(0, 1, "p").end(Full, 900*Millisecond, "a", "p")
+	d.accept(0, 1, "q").accept(0, 2, "other").advance(1200 * Millisecond)
 	// Output:
 	// 0.0     dispatch p to a
 	// 0.0     dispatch other to c
@@ -17,8 +17,8 @@
 
 // The messages of one call may be told waits at different times; the last one counts.
 func ExampleSender_waitOfBundle() {
-	d := open(plain()).take(0, 2, "p", "q").ended(Full, 500*Millisecond, "c", "p")
-	d.run(100*Millisecond).ended(Full, 500*Millisecond, "c", "q").take(0, 2, "r").run(700 * Millisecond)
+	d := startSender(testSettings()).accept(0, 2, "p", "q").end(Full, 500*Millisecond, "c", "p")
+	d.advance(100*Millisecond).end(Full, 500*Millisecond, "c", "q").accept(0, 2, "r").advance(700 * Millisecond)
 	// Output:
 	// 0.0     dispatch q to c
 	// 0.0     dispatch p to c
@@ -30,10 +30,10 @@
 // A long told wait is that of a shut destination: once it opens, what was held goes out bit by bit, also
 // to endpoints that were not asked, and although a call from before was answered meanwhile.
 func ExampleSender_longWait() {
-	d := open(plain())
-	d.s.ListNews([]Entry{{Endpoint: "b", Destination: 1, Rating: 10}}, false)
-	d.take(0, 1, "p", "q", "r").ended(Full, 3*Second, "a", "p").ended(Done, 0, "a", "q").take(2, 1, "s", "t", "u", "v")
-	d.run(6 * Second)
+	d := startSender(testSettings())
+	d.sender.ListNews([]Entry{{Endpoint: "b", Destination: 1, Rating: 10}}, false)
+	d.accept(0, 1, "p", "q", "r").end(Full, 3*Second, "a", "p").end(Done, 0, "a", "q").accept(2, 1, "s", "t", "u", "v")
+	d.advance(6 * Second)
 	// Output:
 	// 0.0     dispatch r to a
 	// 0.0     dispatch q to a
@@ -48,9 +48,9 @@
 
 // Refusals that tell no wait, with nothing done for two seconds, halt the route for a guess that doubles.
 func ExampleSender_untoldWait() {
-	d := open(plain()).run(2100*Millisecond).take(0, 1, "p", "q").ended(Full, 0, "a", "p", "q")
-	d.run(900*Millisecond).ended(Full, 0, "a", "p", "q").run(2 * Second)
-	fmt.Println("guess:", d.s.destinations[1].route.guessedWait)
+	d := startSender(testSettings()).advance(2100*Millisecond).accept(0, 1, "p", "q").end(Full, 0, "a", "p", "q")
+	d.advance(900*Millisecond).end(Full, 0, "a", "p", "q").advance(2 * Second)
+	fmt.Println("guess:", d.sender.destinations[1].route.guessedWait)
 	// Output:
 	// 2100.0  dispatch q to a
 	// 2100.0  dispatch p to a
@@ -60,12 +60,12 @@
 
 // A refusal with the allowance used up is a limit: the endpoint stays in use, at a slower pace.
 func ExampleSender_limit() {
-	d := open(plain()).take(0, 1, "p", "q").run(3 * Second)
+	d := startSender(testSettings()).accept(0, 1, "p", "q").advance(3 * Second)
 	for _, id := range []MessageID{"p", "q"} {
-		d.s.Ended(Outcome{Message: id, Endpoint: "a", Result: Full, Report: Report{true, 0.1, 4}})
+		d.sender.Ended(Outcome{Message: id, Endpoint: "a", Result: Full, Report: Report{true, 0.1, 4}})
 	}
-	fmt.Println("aside:", d.s.endpoints["a"].ejected, "pace:", d.s.endpoints["a"].route.limiter.rate)
-	d.run(Second)
+	fmt.Println("aside:", d.sender.endpoints["a"].ejected, "pace:", d.sender.endpoints["a"].route.limiter.rate)
+	d.advance(Second)
 	// Output:
 	// 0.0     dispatch q to a
 	// 0.0     dispatch p to a
@@ -79,20 +79,20 @@
 // where refused calls use the limit up, all at their parts would have nothing done for as long as there is demand. A
 // report of room brings the part back at once.
 func ExampleSender_limitUsedUp() {
-	set := plain()
+	set := testSettings()
 	set.Senders, set.Probing = 80, false
-	d := open(set)
+	d := startSender(set)
 	d.mute = true
-	d.take(0, 1, "first").ended(Done, 0, "a", "first")
+	d.accept(0, 1, "first").end(Done, 0, "a", "first")
 	tell := func(id MessageID, result Result, left float64) {
-		d.run(1100*Millisecond).take(0, 1, id).s.Ended(Outcome{Message: id, Attempt: d.tries[id] - 1, Endpoint: "a", Result: result,
+		d.advance(1100*Millisecond).accept(0, 1, id).sender.Ended(Outcome{Message: id, Attempt: d.attempts[id] - 1, Endpoint: "a", Result: result,
 			Final: result == Done, Report: Report{Known: true, Left: left, Limit: 80}})
-		fmt.Printf("%v, %.1f left: pace %.2f\n", [...]string{"done", "", "refused"}[result], left, d.s.destinations[1].route.limiter.rate)
+		fmt.Printf("%v, %.1f left: pace %.2f\n", [...]string{"done", "", "refused"}[result], left, d.sender.destinations[1].route.limiter.rate)
 	}
 	for i, id := range []MessageID{"p", "q", "r", "s", "t"} {
-		d.s.destinations[1].route.limiter.tokens = 1 // else it waits for its turn at that pace
+		d.sender.destinations[1].route.limiter.tokens = 1 // else it waits for its turn at that pace
 		tell(id, [...]Result{Full, Full, Full, Done, Done}[i], [...]float64{0, 0, 0, 0.1, 0.5}[i])
-		d.s.Withdrawn(id)
+		d.sender.Withdrawn(id)
 	}
 	// Output:
 	// refused, 0.0 left: pace 1.00
