--- a/choice/backlog_test.go
+++ b/choice/backlog_test.go
@@ -70,7 +70,7 @@
 	queued := 0
 	for _, l := range d.sender.destinations[1].queues {
 		for elem := l.Front(); elem != nil; elem = elem.Next() {
-			queued += int(one(elem.Value.(*message).ID == "new"))
+			queued += countIf(elem.Value.(*message).ID == "new")
 		}
 	}
 	fmt.Println("in queues", queued, "waiting", d.sender.destinations[1].queued)
--- a/choice/bookkeeping.go
+++ b/choice/bookkeeping.go
@@ -6,18 +6,24 @@
 	"slices"
 )
 
-// This file keeps the module's lists: a destination's queues, those who share a route, and timers by message. It must
-// decide nothing and hold no tuned value.
+// This file keeps lists: the queues of a destination, the endpoints of a route, and the timers of messages. It decides
+// nothing and holds no tuned value.
 
-// retryQueues is how many of a destination's queues stand before those of fresh messages: due retries, and the lane of
-// do was refused.
-const retryQueues = 2
+// A destination's queues are numbered: those of retries first, then one for the first attempts of each class.
+const (
+	dueRetries      = iota // retries of messages that were not rejected
+	rejectedRetries        // retries of rejected messages
+	retryQueues            // number of these, and the queue of class 0
+)
 
-// queueFor is the queue of its destination that a message belongs to; a row of them grows as they are used.
+// queueFor returns the queue of its destination that a message belongs to, made where it is new.
 func (d *destination) queueFor(msg *message) *list.List {
 	i := retryQueues + int(msg.Class)
 	if msg.attempts > 0 {
-		i = int(one(msg.rejected))
+		i = dueRetries
+		if msg.rejected {
+			i = rejectedRetries
+		}
 	}
 	for len(d.queues) <= i {
 		d.queues = append(d.queues, list.New())
@@ -25,7 +31,7 @@
 	return d.queues[i]
 }
 
-// endpointsOf are the endpoints of a destination that are one route.
+// endpointsOf returns the endpoints of a destination that belong to a route.
 func (d *destination) endpointsOf(route *route) iter.Seq[*endpoint] {
 	return func(yield func(*endpoint) bool) {
 		for _, ep := range d.ranked {
@@ -36,7 +42,7 @@
 	}
 }
 
-// position is how many of its key are ahead of a message; none without a key.
+// position returns how many messages are ahead of one in its key queue; none where it has no key.
 func (q *keyQueue) position(msg *message) int {
 	if q == nil {
 		return 0
@@ -47,30 +53,31 @@
 // messageTimers are the timers that stand for messages.
 type messageTimers struct {
 	last    TimerID
-	pending map[TimerID]*message // each leaves as it fires, or its message is released
+	pending map[TimerID]*message // each leaves as it fires, or as its message is released
 }
 
-func (a *messageTimers) add(msg *message) TimerID {
-	a.last++
-	a.pending[a.last] = msg
-	msg.timers = append(msg.timers, a.last)
-	return a.last
+// add returns a new timer for a message.
+func (t *messageTimers) add(msg *message) TimerID {
+	t.last++
+	t.pending[t.last] = msg
+	msg.timers = append(msg.timers, t.last)
+	return t.last
 }
 
-// takeFired is whose timer it was; nil where that is over.
-func (a *messageTimers) takeFired(id TimerID) *message {
-	msg := a.pending[id]
+// takeFired returns the message of a timer that has fired, or nil where the timer no longer stands for one.
+func (t *messageTimers) takeFired(id TimerID) *message {
+	msg := t.pending[id]
 	if msg != nil {
 		msg.timers = removeValue(msg.timers, id)
 	}
-	delete(a.pending, id)
+	delete(t.pending, id)
 	return msg
 }
 
-// clear forgets what a message still waits for.
-func (a *messageTimers) clear(msg *message, forget func(TimerID)) {
+// clear drops all timers of a message.
+func (t *messageTimers) clear(msg *message, forget func(TimerID)) {
 	for _, id := range msg.timers {
-		delete(a.pending, id)
+		delete(t.pending, id)
 		forget(id)
 	}
 	msg.timers = nil
--- /dev/null
+++ b/choice/endpointlist.go
@@ -0,0 +1,135 @@
+package choice
+
+import (
+	"cmp"
+	"slices"
+)
+
+// This file follows the endpoint list: which endpoints and destinations there are, and when they are dropped.
+
+// initialConcurrency is how many calls may be in flight at an endpoint of which nothing is known, or nothing new.
+const initialConcurrency = 2.0
+
+// ListNews takes the endpoint list (whole), or the entries of it that changed.
+func (s *Sender) ListNews(entries []Entry, whole bool) {
+	s.now = s.host.Now()
+	if whole {
+		for _, ep := range s.endpoints {
+			ep.listed = false
+		}
+	}
+	for _, entry := range entries {
+		s.updateEndpoint(entry)
+	}
+}
+
+// updateEndpoint takes one entry of the endpoint list. An endpoint that has moved to another destination is a new one.
+func (s *Sender) updateEndpoint(entry Entry) {
+	dest, ep := s.ensureDestination(entry.Destination), s.endpoints[entry.Endpoint]
+	lastKind := len(s.kinds) - 1
+	dest.kind = s.kinds[max(0, min(int(entry.Kind), lastKind))]
+	if ep != nil && ep.destination != dest {
+		ep.listed = false
+		ep = nil
+	}
+	if ep == nil {
+		ep = s.addEndpoint(dest, entry)
+	}
+	ep.zone = entry.Zone
+	ep.listed = entry.Stage == Ready
+	ep.route.rating = entry.Rating
+}
+
+// addEndpoint adds an endpoint to its destination, which it joins in the state of the rest: most of a destination may be
+// replaced during an outage.
+func (s *Sender) addEndpoint(dest *destination, entry Entry) *endpoint {
+	ep := &endpoint{
+		id:               entry.Endpoint,
+		destination:      dest,
+		route:            dest.route,
+		connectionNoteAt: -recentSuccessSpan,
+		healthState:      healthState{slowStartAt: -forever / 2},
+	}
+	if dest.kind.Apart {
+		ep.route = newRoute(s.now)
+	}
+	s.restoreLearned(ep, entry.Learnt)
+	for _, other := range dest.ranked {
+		if other.route == ep.route && (other.ejected && !ep.ejected || other.slowStartAt > ep.slowStartAt) {
+			s.adoptHealth(ep, other)
+		}
+	}
+	s.endpoints[ep.id] = ep
+	s.endpointsByHash[hashOf(ep.id)] = ep
+	dest.ranked = append(dest.ranked, ep)
+	return ep
+}
+
+// adoptHealth gives an endpoint the health and call times of another one of its route. Its slow start budget begins by
+// chance: all senders hear of a new endpoint at the same moment, and must not all call it then.
+func (s *Sender) adoptHealth(ep, other *endpoint) {
+	s.beginSlowStart(ep, other.slowStartAt)
+	ep.callTimes = other.callTimes
+	ep.healthState = other.healthState
+	ep.slowStart.updatedAt = max(s.now, other.slowStart.updatedAt)
+}
+
+// ensureDestination returns a destination, added if it is new, and marks it dirty.
+func (s *Sender) ensureDestination(id DestinationID) *destination {
+	dest := s.destinations[id]
+	if dest == nil {
+		dest = &destination{id: id, route: newRoute(s.now), retryBudget: s.newRetryBudget()}
+		s.destinations[id] = dest
+	}
+	s.markDirty(dest)
+	return dest
+}
+
+// newRoute returns a route without a known limit.
+func newRoute(now Time) *route {
+	return &route{
+		limiter:  tokenBucket{rate: unlimitedRate, tokens: unlimitedRate, updatedAt: now},
+		judgedAt: now,
+	}
+}
+
+// markDirty has the next tick look at a destination, so that the tick's work follows what changed and not the size of
+// the list.
+func (s *Sender) markDirty(dest *destination) {
+	if !dest.dirty {
+		dest.dirty = true
+		s.dirty = append(s.dirty, dest)
+	}
+}
+
+// refreshDestination drops a destination's endpoints that are no longer needed, ranks the others and probes ejected
+// ones. It reports whether the next tick may leave the destination out.
+func (s *Sender) refreshDestination(dest *destination) bool {
+	dest.ranked = slices.DeleteFunc(dest.ranked, s.dropIfUnneeded)
+	slices.SortStableFunc(dest.ranked, func(a, b *endpoint) int { return cmp.Compare(s.rankCost(a), s.rankCost(b)) })
+	dest.dirty = false
+	for _, ep := range dest.ranked {
+		s.probeIfDue(ep)
+		if ep.ejected || !ep.listed {
+			dest.dirty = true
+		}
+	}
+	if len(dest.ranked) == 0 && dest.openMessages == 0 {
+		delete(s.destinations, dest.id)
+	}
+	return !dest.dirty
+}
+
+// dropIfUnneeded forgets an endpoint that has left the list, once nothing is in flight there and what is known of an
+// outage or a pause can't matter any more. It reports whether it did.
+func (s *Sender) dropIfUnneeded(ep *endpoint) bool {
+	knownUntil := max(ep.slowStartAt+s.settings.Cold, ep.route.pausedUntil)
+	if ep.listed || ep.inFlight > 0 || ep.probing || s.now < knownUntil {
+		return false
+	}
+	if s.endpoints[ep.id] == ep { // otherwise one of its id has joined another destination
+		delete(s.endpoints, ep.id)
+		deleteValue(s.endpointsByHash, ep) // by value: another endpoint may have the same hash
+	}
+	return true
+}
--- a/choice/endpoints_test.go
+++ b/choice/endpoints_test.go
@@ -119,7 +119,7 @@
 			}
 			if now >= late/2 {
 				sent++
-				full += int(one(refused))
+				full += countIf(refused)
 			}
 		}
 		fmt.Printf("%s: %d a second sent of %d, %d%% of them refused\n", what, sent/30, offered, 100*full/max(1, sent))
--- a/choice/fleet_test.go
+++ b/choice/fleetmodel_test.go
@@ -83,7 +83,7 @@
 	}
 	if f.now >= at.upAt {
 		at.calls++
-		at.firstSecond += int(one(knows && f.now < at.upAt+Second))
+		at.firstSecond += countIf(knows && f.now < at.upAt+Second)
 	}
 	if f.now >= at.upAt && f.now < at.upAt+f.set.Cold {
 		at.recentCalls, at.fromAware = append(at.recentCalls, f.now), append(at.fromAware, knows)
@@ -96,7 +96,7 @@
 		at.excess = max(at.excess, over)
 		told := 0
 		for _, knew := range at.fromAware {
-			told += int(one(knew))
+			told += countIf(knew)
 		}
 		if 3*told > 2*len(at.recentCalls) {
 			at.awareExcess = max(at.awareExcess, over)
--- /dev/null
+++ b/choice/helpers_test.go
@@ -0,0 +1,18 @@
+package choice
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+)
+
+// countIf is 1 if something happened and 0 otherwise, for sums.
+func countIf(happened bool) int {
+	if happened {
+		return 1
+	}
+	return 0
+}
+
+// sortedKeys returns the keys of a map in their order.
+func sortedKeys[K cmp.Ordered, V any](table map[K]V) []K { return slices.Sorted(maps.Keys(table)) }
--- a/choice/limits_test.go
+++ b/choice/limits_test.go
@@ -124,7 +124,7 @@
 		for _, id := range ids {
 			n := MessageID(id)
 			if last[n] != d.attempts[n] {
-				firsts, retries = firsts+int(one(d.attempts[n] == 1)), retries+int(one(d.attempts[n] > 1))
+				firsts, retries = firsts+countIf(d.attempts[n] == 1), retries+countIf(d.attempts[n] > 1)
 			}
 			last[n] = d.attempts[n]
 			d.end(Errored, 0, "a", n)
--- a/choice/returns_test.go
+++ b/choice/returns_test.go
@@ -42,7 +42,7 @@
 					back, _ := p.run()
 					for _, at := range back {
 						returns, most, worst = returns+1, max(most, at.excess), max(worst, at.awareExcess)
-						over, blamed = over+int(one(at.excess > 0)), blamed+int(one(at.awareExcess > 0))
+						over, blamed = over+countIf(at.excess > 0), blamed+countIf(at.awareExcess > 0)
 						if at.awareExcess > 0 {
 							t.Errorf("%s, %v a second, seed %d: %.1f calls too many at %s", kind.name, capacity, p.seed, at.awareExcess, at.id)
 						}
