--- a/choice/backlog_test.go
+++ b/choice/backlog_test.go
@@ -6,10 +6,10 @@
 
 // Messages of one key take turns in the order taken, and the key rests after a time-out.
 func ExampleSender_order() {
-	d := startSender(testSettings()).accept(3, 2, "first", "second", "third").end(Done, 0, "c", "first")
-	d.advance(100*Millisecond).end(TimedOut, 0, "c", "second").advance(400*Millisecond).end(Done, 0, "c", "second")
-	d.advance(2*Second).end(Done, 0, "c", "third")
-	fmt.Println(len(d.sender.keyQueues), "keys")
+	host := startSender(testSettings()).accept(3, 2, "first", "second", "third").end(Done, 0, "c", "first")
+	host.advance(100*Millisecond).end(TimedOut, 0, "c", "second").advance(400*Millisecond).end(Done, 0, "c", "second")
+	host.advance(2*Second).end(Done, 0, "c", "third")
+	fmt.Println(len(host.sender.keyQueues), "keys")
 	// Output:
 	// 0.0     dispatch first to c
 	// 0.0     dispatch second to c
@@ -19,15 +19,15 @@
 }
 
 // Odd but legal: outcomes, probes, withdrawals and timers for what is unknown or over change nothing.
-func ExampleSender_odd() {
-	d := startSender(testSettings()).accept(0, 1, "p")
-	d.sender.Withdrawn("p")
-	d.sender.Withdrawn("p")
-	d.end(TimedOut, 0, "a", "p").end(TimedOut, 0, "a", "p", "unknown")
-	d.sender.Probed("unknown", Done)
-	d.sender.TimerDue(999)
-	d.advance(7 * Second)
-	fmt.Println(len(d.sender.messages), "held", len(d.sender.timers.pending), "timers", len(d.sender.calls), "calls")
+func ExampleSender_unknownOrOver() {
+	host := startSender(testSettings()).accept(0, 1, "p")
+	host.sender.Withdrawn("p")
+	host.sender.Withdrawn("p")
+	host.end(TimedOut, 0, "a", "p").end(TimedOut, 0, "a", "p", "unknown")
+	host.sender.Probed("unknown", Done)
+	host.sender.TimerDue(999)
+	host.advance(7 * Second)
+	fmt.Println(len(host.sender.messages), "held", len(host.sender.timers.pending), "timers", len(host.sender.calls), "calls")
 	// Output:
 	// 0.0     dispatch p to a
 	// 0 held 0 timers 0 calls
@@ -36,12 +36,12 @@
 // Where answers tell limits, this destination has none, and others were just answered, refusals mean that too many
 // calls were out: fewer go out at once, but as many a second, and nobody is ejected.
 func ExampleSender_fullQueue() {
-	d := startSender(testSettings())
-	a := d.sender.endpoints["a"]
+	host := startSender(testSettings())
+	a := host.sender.endpoints["a"]
 	a.destination.kind.reportsLimits, a.concurrencyLimit = true, 4
-	d.accept(0, 1, "p", "q", "r", "s").advance(200*Millisecond).end(Done, 0, "a", "s").end(Full, 0, "a", "p", "q")
+	host.accept(0, 1, "p", "q", "r", "s").advance(200*Millisecond).end(Done, 0, "a", "s").end(Full, 0, "a", "p", "q")
 	fmt.Println("limit:", a.concurrencyLimit, "pace:", a.route.limiter.rate > 1000, "aside:", a.ejected)
-	d.end(Done, 0, "a", "r").accept(0, 1, "t", "u").advance(100 * Millisecond)
+	host.end(Done, 0, "a", "r").accept(0, 1, "t", "u").advance(100 * Millisecond)
 	// Output:
 	// 0.0     dispatch s to a
 	// 0.0     dispatch r to a
@@ -54,26 +54,26 @@
 
 // A message turned away gives its key's turn to the one just being taken, which must not stand in its queue twice: it
 // would be sent again after its end.
-func ExampleSender_turnsAwayWithinAKey() {
+func ExampleSender_shedWithinAKey() {
 	set := testSettings()
 	set.MaxOpen, set.InFlightLimit = 20, 0 // nothing leaves, so that the backlog stays
-	d := startSender(set)
+	host := startSender(set)
 	take := func(id MessageID, key OrderKey, to DestinationID) {
-		d.sender.Taken(Message{ID: id, Class: 3, Key: key, Destination: to, Deadline: d.clock + 6*Second})
+		host.sender.Taken(Message{ID: id, Class: 3, Key: key, Destination: to, Deadline: host.clock + 6*Second})
 	}
 	for i := range 16 {
 		take(MessageID(fmt.Sprint(i)), OrderKey(6+i), DestinationID(1+i%2))
 	}
 	take("old", 5, 9)
-	d.clock = 3 * Second
+	host.clock = 3 * Second
 	take("new", 5, 1)
 	queued := 0
-	for _, l := range d.sender.destinations[1].queues {
+	for _, l := range host.sender.destinations[1].queues {
 		for elem := l.Front(); elem != nil; elem = elem.Next() {
 			queued += countIf(elem.Value.(*message).ID == "new")
 		}
 	}
-	fmt.Println("in queues", queued, "waiting", d.sender.destinations[1].queued)
+	fmt.Println("in queues", queued, "waiting", host.sender.destinations[1].queued)
 	// Output:
 	// 3000.0  shed old
 	// in queues 1 waiting 9
@@ -81,18 +81,18 @@
 
 // At a kind whose tables run full a link is not kept for what may not go yet: the endpoint is cold, its budget
 // used up, and others who may call find no place. Where all is well what waits keeps the link.
-func ExampleSender_placeOfWhatWaits() {
-	for _, cold := range []bool{true, false} {
+func ExampleSender_idleConnectionWhileQueued() {
+	for _, warmingUp := range []bool{true, false} {
 		set := testSettings()
 		set.Senders, set.ConnIdle, set.InFlightLimit = 300, 10*Second, 1
-		d := startSender(set)
-		d.sender.destinations[1].kind.connectFailShare = 0.5
-		d.printClosings = true
-		if cold {
-			d.sender.beginSlowStart(d.sender.endpoints["a"], d.clock)
+		host := startSender(set)
+		host.sender.destinations[1].kind.connectFailShare = 0.5
+		host.printClosings = true
+		if warmingUp {
+			host.sender.beginSlowStart(host.sender.endpoints["a"], host.clock)
 		}
-		d.sender.endpoints["a"].slowStart.tokens = 1
-		d.accept(0, 1, "p").accept(0, 1, "q", "r").advance(100*Millisecond).end(Done, 0, "a", "p")
+		host.sender.endpoints["a"].slowStart.tokens = 1
+		host.accept(0, 1, "p").accept(0, 1, "q", "r").advance(100*Millisecond).end(Done, 0, "a", "p")
 	}
 	// Output:
 	// 0.0     dispatch p to a
--- a/choice/configure_bench_test.go
+++ b/choice/configure_bench_test.go
@@ -22,26 +22,26 @@
 		b.Run(fmt.Sprintf("%s/%dDestinations%dOpen", size.name, size.destinations, size.open), func(b *testing.B) {
 			set := testSettings()
 			set.MaxOpen, set.InFlightLimit = 2*size.open, 0 // nothing leaves
-			d := &fakeHost{attempts: map[MessageID]int{}, mute: true}
-			d.sender = Start(d, "s", 7, set)
+			host := &fakeHost{attempts: map[MessageID]int{}, mute: true}
+			host.sender = Start(host, "s", 7, set)
 			var list []Entry
 			for i := range 2 * size.destinations {
 				list = append(list, Entry{Endpoint: EndpointID(fmt.Sprint("endpoint", i)), Destination: DestinationID(i / 2), Rating: 10})
 			}
-			d.sender.ListNews(list, true)
+			host.sender.ListNews(list, true)
 			for i := range size.open {
-				d.sender.Taken(Message{ID: MessageID(fmt.Sprint("notice", i)), Key: NoKey, Destination: DestinationID(i % size.destinations),
-					Deadline: d.clock + 6*Second})
+				host.sender.Taken(Message{ID: MessageID(fmt.Sprint("notice", i)), Key: NoKey, Destination: DestinationID(i % size.destinations),
+					Deadline: host.clock + 6*Second})
 			}
-			d.sender.TimerDue(tickTimer)
+			host.sender.TimerDue(tickTimer)
 			var turn, next time.Duration
 			for i := range b.N {
 				size.change(&set, i)
 				began := time.Now()
-				d.sender.Configure(set)
+				host.sender.Configure(set)
 				turn += time.Since(began)
 				began = time.Now()
-				d.sender.TimerDue(tickTimer)
+				host.sender.TimerDue(tickTimer)
 				next += time.Since(began)
 			}
 			b.ReportMetric(float64(turn.Microseconds())/1e3/float64(b.N), "ms/turn")
--- a/choice/configure_test.go
+++ b/choice/configure_test.go
@@ -75,7 +75,7 @@
 }
 
 // A field that comes new must come with a row.
-func TestEveryFieldOfSettingsHasARow(t *testing.T) {
+func TestEverySettingHasAChange(t *testing.T) {
 	rows := map[string]bool{}
 	for name := range settingsChanges {
 		rows[name] = true
@@ -106,20 +106,20 @@
 			before := loadSettings(row.fleet)
 			after := withChange(before, row.change)
 			play := func(start Settings, then *Settings) []string {
-				w := &loadHost{t: t}
-				w.start(start)
+				host := &loadHost{t: t}
+				host.start(start)
 				if then == nil || name != "Kinds.Apart" { // of which endpoints are told when they are listed
-					w.listEndpoints()
+					host.listEndpoints()
 				}
 				if then != nil {
-					w.sender.Configure(withChange(*then, func(*Settings) {}))
-					w.listEndpoints()
+					host.sender.Configure(withChange(*then, func(*Settings) {}))
+					host.listEndpoints()
 				}
-				w.playUntil(loadWarmUp)
-				w.trace = nil
-				w.offerLoad(loadWarmUp, loadWarmUp+loadSpan)
-				w.playUntil(loadWarmUp + loadSpan + 30*Second)
-				return w.trace
+				host.playUntil(loadWarmUp)
+				host.trace = nil
+				host.offerLoad(loadWarmUp, loadWarmUp+loadSpan)
+				host.playUntil(loadWarmUp + loadSpan + 30*Second)
+				return host.trace
 			}
 			started, configured, other := play(after, nil), play(before, &after), play(before, nil)
 			if i := firstDifference(started, configured); i >= 0 {
@@ -156,21 +156,21 @@
 			}
 			t.Run(fmt.Sprint(name, back), func(t *testing.T) {
 				t.Parallel()
-				w := &loadHost{t: t}
-				w.start(before)
-				w.listEndpoints()
-				w.offerLoad(0, loadSpan)
+				host := &loadHost{t: t}
+				host.start(before)
+				host.listEndpoints()
+				host.offerLoad(0, loadSpan)
 				for _, at := range []Time{3*Second + 1, 6*Second + 1} { // before and in an outage
-					w.schedule(at, -1, func() { w.sender.Configure(withChange(after, func(*Settings) {})) })
+					host.schedule(at, -1, func() { host.sender.Configure(withChange(after, func(*Settings) {})) })
 				}
-				w.playUntil(loadSpan + 60*Second)
-				if coming := int(loadSpan / loadInterval); len(w.answers) < coming {
-					t.Errorf("%d answers for %d notices", len(w.answers), coming)
+				host.playUntil(loadSpan + 60*Second)
+				if coming := int(loadSpan / loadInterval); len(host.answers) < coming {
+					t.Errorf("%d answers for %d notices", len(host.answers), coming)
 				}
-				if left := len(w.sender.messages) + len(w.sender.calls) + len(w.sender.timers.pending) + len(w.sender.keyQueues) + len(w.sender.withQueued); left > 0 {
+				if left := len(host.sender.messages) + len(host.sender.calls) + len(host.sender.timers.pending) + len(host.sender.keyQueues) + len(host.sender.withQueued); left > 0 {
 					t.Errorf("%d left behind", left)
 				}
-				if dispatched := strings.Count(strings.Join(w.trace, "\n"), "dispatch"); dispatched < 100 {
+				if dispatched := strings.Count(strings.Join(host.trace, "\n"), "dispatch"); dispatched < 100 {
 					t.Errorf("%d dispatches", dispatched)
 				}
 			})
@@ -179,22 +179,22 @@
 }
 
 // What was learnt stays: limits, paces, waits, cold states, and times of what was called.
-func TestConfigureKeepsWhatWasLearnt(t *testing.T) {
-	w := &loadHost{t: t}
-	w.start(loadSettings(false))
-	w.listEndpoints()
-	w.offerLoad(0, loadSpan)
-	w.playUntil(7 * Second)
+func TestConfigureKeepsLearnedState(t *testing.T) {
+	host := &loadHost{t: t}
+	host.start(loadSettings(false))
+	host.listEndpoints()
+	host.offerLoad(0, loadSpan)
+	host.playUntil(7 * Second)
 	type known struct {
 		callTimes
 		healthState
 		limit, wrong, bad, asked, full float64
-		cold                           tokenBucket
+		slowStart                      tokenBucket
 		route                          route
 	}
 	state := func() (all []known) {
-		for _, id := range sortedKeys(w.sender.endpoints) {
-			ep := w.sender.endpoints[id]
+		for _, id := range sortedKeys(host.sender.endpoints) {
+			ep := host.sender.endpoints[id]
 			all = append(all, known{ep.callTimes, ep.healthState, ep.concurrencyLimit, ep.errorShare, ep.rejectedShare, ep.recentAnswered, ep.recentRejected, ep.slowStart, *ep.route})
 		}
 		return all
@@ -203,7 +203,7 @@
 	if !slices.ContainsFunc(before, func(k known) bool { return k.ejected }) {
 		t.Fatal("nothing is set aside")
 	}
-	w.sender.Configure(withChange(w.sender.settings, func(s *Settings) {
+	host.sender.Configure(withChange(host.sender.settings, func(s *Settings) {
 		for _, row := range settingsChanges {
 			row.change(s)
 		}
@@ -214,12 +214,12 @@
 }
 
 // One that nobody called yet stands with the guess of the new settings; one that was called with its own times.
-func TestConfigureGuessesAnew(t *testing.T) {
-	d := startSender(testSettings())
-	d.mute = true
-	d.accept(0, 1, "p").end(Done, 0, "a", "p")
-	d.sender.Configure(withChange(testSettings(), eachClass(func(w *Class) { w.ContractTime = 4 * Second })))
-	called, new := d.sender.endpoints["a"], d.sender.endpoints["c"]
+func TestConfigureRenewsAssumedCallTimes(t *testing.T) {
+	host := startSender(testSettings())
+	host.mute = true
+	host.accept(0, 1, "p").end(Done, 0, "a", "p")
+	host.sender.Configure(withChange(testSettings(), eachClass(func(w *Class) { w.ContractTime = 4 * Second })))
+	called, new := host.sender.endpoints["a"], host.sender.endpoints["c"]
 	if called.mean != float64(200*Millisecond) || new.callTimes != guessedTimes(float64(2*Second)) {
 		t.Error(called.callTimes, new.callTimes)
 	}
@@ -236,11 +236,11 @@
 	} {
 		set := testSettings()
 		set.InFlightLimit = 1
-		d := startSender(set)
-		d.accept(1, 1, "p").end(Errored, 0, "a", "p").accept(1, 2, "q").advance(2 * Second)
-		d.sender.Configure(withChange(set, change))
-		d.sender.TurnEnd()
-		d.end(Done, 0, "c", "q")
+		host := startSender(set)
+		host.accept(1, 1, "p").end(Errored, 0, "a", "p").accept(1, 2, "q").advance(2 * Second)
+		host.sender.Configure(withChange(set, change))
+		host.sender.TurnEnd()
+		host.end(Done, 0, "c", "q")
 	}
 	// Output:
 	// 0.0     dispatch p to a
@@ -261,14 +261,14 @@
 func ExampleSender_Configure_fees() {
 	set := testSettings()
 	set.Kinds[1].Apart, set.RouteFees = true, []float64{0, 0.05}
-	d := startSender(set)
-	d.sender.ListNews([]Entry{{Endpoint: "near", Destination: 3, Kind: 1}, {Endpoint: "far", Destination: 3, Kind: 1, Zone: 1}}, false)
+	host := startSender(set)
+	host.sender.ListNews([]Entry{{Endpoint: "near", Destination: 3, Kind: 1}, {Endpoint: "far", Destination: 3, Kind: 1, Zone: 1}}, false)
 	for _, id := range []EndpointID{"near", "far"} {
-		d.sender.endpoints[id].observe(float64(200*Millisecond), 1, 1)
+		host.sender.endpoints[id].observe(float64(200*Millisecond), 1, 1)
 	}
-	d.advance(Second).accept(0, 3, "p").end(Done, 0, "near", "p").advance(Second)
-	d.sender.Configure(withChange(set, func(s *Settings) { s.RouteFees = []float64{0.05, 0} }))
-	d.advance(tickInterval).accept(0, 3, "q")
+	host.advance(Second).accept(0, 3, "p").end(Done, 0, "near", "p").advance(Second)
+	host.sender.Configure(withChange(set, func(s *Settings) { s.RouteFees = []float64{0.05, 0} }))
+	host.advance(tickInterval).accept(0, 3, "q")
 	// Output:
 	// 1000.0  dispatch p to near
 	// 2050.0  dispatch q to far
--- a/choice/connections_test.go
+++ b/choice/connections_test.go
@@ -5,13 +5,13 @@
 import "fmt"
 
 // Sends of one turn to one endpoint share a call: five messages of a kind that bundles three.
-func ExampleSender_bundle() {
-	d := startSender(testSettings()).accept(2, 2, "p", "q", "r", "s", "t")
-	fmt.Println(len(d.sender.calls), "slots")
-	d.end(Done, 0, "c", "p", "q")
-	fmt.Println(len(d.sender.calls), "slots")
-	d.end(Done, 0, "c", "r")
-	fmt.Println(len(d.sender.calls), "slot")
+func ExampleSender_bulkCall() {
+	host := startSender(testSettings()).accept(2, 2, "p", "q", "r", "s", "t")
+	fmt.Println(len(host.sender.calls), "slots")
+	host.end(Done, 0, "c", "p", "q")
+	fmt.Println(len(host.sender.calls), "slots")
+	host.end(Done, 0, "c", "r")
+	fmt.Println(len(host.sender.calls), "slot")
 	// Output:
 	// 0.0     dispatch t to c
 	// 0.0     dispatch s to c
@@ -25,16 +25,16 @@
 
 // Idle links stay until connections of their kind fail: a fleet's links fill a table. Then those little used
 // are closed, to any zone.
-func ExampleSender_links() {
+func ExampleSender_idleConnections() {
 	set := testSettings()
 	set.ConnIdle = Second
-	d := startSender(set)
-	d.printClosings = true
-	d.accept(0, 1, "p").end(Done, 0, "a", "p")
-	d.sender.kinds[0].connectFailShare = 0.5
-	d.advance(Second).accept(0, 1, "r").end(Done, 0, "a", "r")
-	d.sender.endpoints["a"].zone = 1
-	d.accept(0, 1, "s").end(Done, 0, "a", "s")
+	host := startSender(set)
+	host.printClosings = true
+	host.accept(0, 1, "p").end(Done, 0, "a", "p")
+	host.sender.kinds[0].connectFailShare = 0.5
+	host.advance(Second).accept(0, 1, "r").end(Done, 0, "a", "r")
+	host.sender.endpoints["a"].zone = 1
+	host.accept(0, 1, "s").end(Done, 0, "a", "s")
 	// Output:
 	// 0.0     dispatch p to a
 	// 1000.0  dispatch r to a
@@ -44,15 +44,15 @@
 }
 
 // Calls reset on kept links show no outage, and while they are many, a single-use message gets a new link.
-func ExampleSender_keptLinks() {
-	d := startSender(testSettings())
-	d.printClosings = true
-	d.accept(0, 1, "o").end(Done, 0, "a", "o")
+func ExampleSender_reusedConnections() {
+	host := startSender(testSettings())
+	host.printClosings = true
+	host.accept(0, 1, "o").end(Done, 0, "a", "o")
 	for _, id := range []MessageID{"p", "q"} {
-		d.accept(2, 1, id)
-		d.sender.Ended(Outcome{Message: id, Endpoint: "a", Result: Reset, Kept: true})
+		host.accept(2, 1, id)
+		host.sender.Ended(Outcome{Message: id, Endpoint: "a", Result: Reset, Kept: true})
 	}
-	fmt.Println("aside:", d.sender.endpoints["a"].ejected)
+	fmt.Println("aside:", host.sender.endpoints["a"].ejected)
 	// Output:
 	// 0.0     dispatch o to a
 	// 0.0     dispatch p to a
@@ -65,20 +65,20 @@
 
 // A new link that is refused and ended found no place: what idles at others of the kind is closed, and the pace
 // knows nothing of it, however often. Refusals on links that stay are a limit's.
-func ExampleSender_fullTable() {
+func ExampleSender_connectionTableFull() {
 	for _, closed := range []bool{true, false} {
 		set := testSettings()
 		set.Senders, set.ConnIdle = 300, 10*Second
-		d := startSender(set)
-		d.sender.ListNews([]Entry{{Endpoint: "d", Destination: 3}}, false)
-		d.accept(0, 1, "first").accept(0, 3, "other").end(Done, 0, "a", "first").end(Done, 0, "d", "other")
-		d.advance(2 * Second).printClosings = true
+		host := startSender(set)
+		host.sender.ListNews([]Entry{{Endpoint: "d", Destination: 3}}, false)
+		host.accept(0, 1, "first").accept(0, 3, "other").end(Done, 0, "a", "first").end(Done, 0, "d", "other")
+		host.advance(2 * Second).printClosings = true
 		for _, id := range []MessageID{"p", "q", "r"} {
-			d.accept(0, 1, id).sender.Ended(Outcome{Message: id, Endpoint: "a", Result: Full, Closed: closed})
-			d.sender.Withdrawn(id)
-			d.advance(2 * Second)
+			host.accept(0, 1, id).sender.Ended(Outcome{Message: id, Endpoint: "a", Result: Full, Closed: closed})
+			host.sender.Withdrawn(id)
+			host.advance(2 * Second)
 		}
-		fmt.Println("pace cut:", d.sender.destinations[1].route.limiter.rate < 100)
+		fmt.Println("pace cut:", host.sender.destinations[1].route.limiter.rate < 100)
 	}
 	// Output:
 	// 0.0     dispatch first to a
@@ -101,13 +101,13 @@
 }
 
 // A wait is heeded whatever came with it: a shut destination may tell one as it ends a connection beyond its table.
-func ExampleSender_fullTableWait() {
+func ExampleSender_connectionTableFullRetryAfter() {
 	set := testSettings()
 	set.Senders, set.Probing = 300, false
-	d := startSender(set)
-	d.accept(0, 1, "first").end(Done, 0, "a", "first")
-	d.accept(0, 1, "p").sender.Ended(Outcome{Message: "p", Endpoint: "a", Result: Full, Closed: true, Wait: 2 * Second})
-	d.advance(Second).accept(0, 1, "q").advance(2 * Second)
+	host := startSender(set)
+	host.accept(0, 1, "first").end(Done, 0, "a", "first")
+	host.accept(0, 1, "p").sender.Ended(Outcome{Message: "p", Endpoint: "a", Result: Full, Closed: true, Wait: 2 * Second})
+	host.advance(Second).accept(0, 1, "q").advance(2 * Second)
 	// Output:
 	// 0.0     dispatch first to a
 	// 0.0     dispatch p to a
@@ -117,12 +117,12 @@
 
 // A connection may take longer to come up than a destination knows a token: the repeat must not leave then.
 func ExampleSender_Open() {
-	d := startSender(testSettings())
-	d.mute = true
-	d.accept(1, 1, "t").end(Errored, 0, "a", "t").advance(2 * Second)
-	for d.clock < 4*Second {
-		fmt.Println(d.clock/Millisecond, d.sender.Open("a", "t"), d.sender.Open("a"))
-		d.clock += 900 * Millisecond
+	host := startSender(testSettings())
+	host.mute = true
+	host.accept(1, 1, "t").end(Errored, 0, "a", "t").advance(2 * Second)
+	for host.clock < 4*Second {
+		fmt.Println(host.clock/Millisecond, host.sender.Open("a", "t"), host.sender.Open("a"))
+		host.clock += 900 * Millisecond
 	}
 	// Output:
 	// 2000 true true
@@ -132,15 +132,15 @@
 
 // A connection may take so long that a wait or a drain is told before the attempt can leave on it.
 func Example_open() {
-	d := startSender(testSettings()).accept(0, 1, "one")
-	fmt.Println(d.sender.Open("a"), d.sender.Open("b"), d.sender.Open("nobody"))
-	d.end(Full, 300*Millisecond, "a", "one")
-	fmt.Println(d.sender.Open("a"))
-	d.mute = true
-	d.advance(400 * Millisecond)
-	fmt.Println(d.sender.Open("a"))
-	d.sender.ListNews([]Entry{{Endpoint: "a", Destination: 1, Stage: Draining}}, false)
-	fmt.Println(d.sender.Open("a"))
+	host := startSender(testSettings()).accept(0, 1, "one")
+	fmt.Println(host.sender.Open("a"), host.sender.Open("b"), host.sender.Open("nobody"))
+	host.end(Full, 300*Millisecond, "a", "one")
+	fmt.Println(host.sender.Open("a"))
+	host.mute = true
+	host.advance(400 * Millisecond)
+	fmt.Println(host.sender.Open("a"))
+	host.sender.ListNews([]Entry{{Endpoint: "a", Destination: 1, Stage: Draining}}, false)
+	fmt.Println(host.sender.Open("a"))
 	// Output:
 	// 0.0     dispatch one to a
 	// true false false
--- a/choice/earlier_test.go
+++ b/choice/earlier_test.go
@@ -4,21 +4,21 @@
 
 // What an earlier life took on and nobody has tried stays where the backlog is full, whoever comes: the new one goes
 // itself. Once it has been tried it is like any other.
-func ExampleSender_earlierLife() {
+func ExampleSender_earlierIncarnation() {
 	set := testSettings()
 	set.MaxOpen, set.InFlightLimit = 20, 0 // nothing leaves
-	d := startSender(set)
+	host := startSender(set)
 	for i := range 25 {
-		d.sender.Taken(Message{ID: MessageID(fmt.Sprint("old", i)), Key: NoKey, Destination: 2, Deadline: d.clock + 3*Second, Span: 6 * Second})
+		host.sender.Taken(Message{ID: MessageID(fmt.Sprint("old", i)), Key: NoKey, Destination: 2, Deadline: host.clock + 3*Second, Span: 6 * Second})
 	}
-	d.accept(2, 1, "new")
-	fmt.Println("held:", len(d.sender.messages))
-	for _, msg := range d.sender.messages {
+	host.accept(2, 1, "new")
+	fmt.Println("held:", len(host.sender.messages))
+	for _, msg := range host.sender.messages {
 		msg.attempts = 1
 	}
-	d.mute = true
-	d.accept(2, 1, "new")
-	fmt.Println("held:", len(d.sender.messages))
+	host.mute = true
+	host.accept(2, 1, "new")
+	fmt.Println("held:", len(host.sender.messages))
 	// Output:
 	// 0.0     shed new
 	// held: 25
@@ -27,11 +27,11 @@
 
 // A quarter of the time that it was taken on with is the most that is kept back for a call, also where that was less
 // than its class has: else a start, which knows no times, hands it back untried with half of its time left.
-func ExampleSender_shortSpan() {
-	d := startSender(testSettings())
+func ExampleSender_shortDeadline() {
+	host := startSender(testSettings())
 	for _, span := range []Time{0, 600 * Millisecond} {
-		d.sender.Taken(Message{ID: "old", Class: 2, Key: NoKey, Destination: 1, Deadline: d.clock + 300*Millisecond, Span: span})
-		d.sender.TurnEnd()
+		host.sender.Taken(Message{ID: "old", Class: 2, Key: NoKey, Destination: 1, Deadline: host.clock + 300*Millisecond, Span: span})
+		host.sender.TurnEnd()
 	}
 	// Output:
 	// 0.0     shed old
--- a/choice/endpoints_test.go
+++ b/choice/endpoints_test.go
@@ -5,10 +5,10 @@
 import "fmt"
 
 // Nothing new goes to a draining endpoint from the turn it is told; what is held goes elsewhere.
-func ExampleSender_drain() {
-	d := startSender(testSettings()).accept(0, 1, "p").end(Errored, 0, "a", "p")
-	d.sender.ListNews([]Entry{{Endpoint: "a", Destination: 1, Stage: Draining}, {Endpoint: "b", Destination: 1}}, false)
-	d.advance(Second)
+func ExampleSender_draining() {
+	host := startSender(testSettings()).accept(0, 1, "p").end(Errored, 0, "a", "p")
+	host.sender.ListNews([]Entry{{Endpoint: "a", Destination: 1, Stage: Draining}, {Endpoint: "b", Destination: 1}}, false)
+	host.advance(Second)
 	// Output:
 	// 0.0     dispatch p to a
 	// 86.4    dispatch p to b
@@ -16,12 +16,12 @@
 
 // Two failures set an endpoint aside. A probe shows that the process runs, one trial call that calls are
 // answered: a shut destination answers probes. Then a budget that grows bounds all sends while it warms.
-func ExampleSender_return() {
-	d := startSender(testSettings()).accept(0, 1, "p", "q").end(Errored, 0, "a", "p", "q").advance(600 * Millisecond)
-	d.sender.Probed("a", Done)
-	d.advance(3*Second).accept(0, 1, "r", "s", "t", "u").end(Full, 0, "a", "p", "q").advance(5 * Second)
-	d.sender.Probed("a", Done)
-	d.advance(4 * Second)
+func ExampleSender_readmission() {
+	host := startSender(testSettings()).accept(0, 1, "p", "q").end(Errored, 0, "a", "p", "q").advance(600 * Millisecond)
+	host.sender.Probed("a", Done)
+	host.advance(3*Second).accept(0, 1, "r", "s", "t", "u").end(Full, 0, "a", "p", "q").advance(5 * Second)
+	host.sender.Probed("a", Done)
+	host.advance(4 * Second)
 	// Output:
 	// 0.0     dispatch q to a
 	// 0.0     dispatch p to a
@@ -37,10 +37,10 @@
 }
 
 // Calls gone unanswered shrink what an endpoint may hold, then set it aside; others go on.
-func ExampleSender_silence() {
-	d := startSender(testSettings()).accept(2, 1, "p", "q", "r").accept(2, 2, "other").end(Done, 0, "c", "other")
-	d.advance(2500*Millisecond).accept(2, 2, "more")
-	fmt.Println("aside:", d.sender.endpoints["a"].ejected, "calls out:", d.sender.endpoints["a"].inFlight)
+func ExampleSender_unanswered() {
+	host := startSender(testSettings()).accept(2, 1, "p", "q", "r").accept(2, 2, "other").end(Done, 0, "c", "other")
+	host.advance(2500*Millisecond).accept(2, 2, "more")
+	fmt.Println("aside:", host.sender.endpoints["a"].ejected, "calls out:", host.sender.endpoints["a"].inFlight)
 	// Output:
 	// 0.0     dispatch r to a
 	// 0.0     dispatch q to a
@@ -53,8 +53,8 @@
 func ExampleSender_trial() {
 	set := testSettings()
 	set.Probing = false
-	d := startSender(set).accept(2, 1, "p", "q").end(Errored, 0, "a", "p", "q").accept(2, 1, "once").advance(300 * Millisecond)
-	d.accept(0, 1, "again").advance(4 * Second)
+	host := startSender(set).accept(2, 1, "p", "q").end(Errored, 0, "a", "p", "q").accept(2, 1, "once").advance(300 * Millisecond)
+	host.accept(0, 1, "again").advance(4 * Second)
 	// Output:
 	// 0.0     dispatch q to a
 	// 0.0     dispatch p to a
@@ -65,29 +65,29 @@
 
 // An endpoint of another zone not seen yet ranks behind one of the own zone.
 func ExampleSender_zones() {
-	d := startSender(testSettings())
-	d.sender.ListNews([]Entry{{Endpoint: "far", Destination: 1, Zone: 1}, {Endpoint: "near", Destination: 1}}, true)
-	d.advance(50*Millisecond).accept(0, 1, "p")
+	host := startSender(testSettings())
+	host.sender.ListNews([]Entry{{Endpoint: "far", Destination: 1, Zone: 1}, {Endpoint: "near", Destination: 1}}, true)
+	host.advance(50*Millisecond).accept(0, 1, "p")
 	// Output:
 	// 50.0    dispatch p to near
 }
 
 // Where full tables are answered, connections that fail show an outage and nothing else: the healthy endpoint's
 // link stays. On a wire where a full table fails connections too, links of that kind go.
-func ExampleSender_outageOfAKind() {
-	for _, told := range []bool{true, false} {
+func ExampleSender_connectFailures() {
+	for _, tellsFull := range []bool{true, false} {
 		set := testSettings()
-		set.Senders, set.ConnIdle, set.TellsFull = 80, 10*Second, told
-		d := startSender(set)
-		d.sender.ListNews([]Entry{{Endpoint: "d", Destination: 3}}, false)
-		d.printClosings, d.mute = true, true
+		set.Senders, set.ConnIdle, set.TellsFull = 80, 10*Second, tellsFull
+		host := startSender(set)
+		host.sender.ListNews([]Entry{{Endpoint: "d", Destination: 3}}, false)
+		host.printClosings, host.mute = true, true
 		for i := range 4 {
 			id := MessageID(fmt.Sprint("down", i))
-			d.advance(2*Second).accept(0, 1, id).end(ConnectFailed, 0, "a", id)
-			d.sender.Withdrawn(id)
+			host.advance(2*Second).accept(0, 1, id).end(ConnectFailed, 0, "a", id)
+			host.sender.Withdrawn(id)
 		}
-		d.mute = false
-		d.accept(0, 3, "well").end(Done, 0, "d", "well")
+		host.mute = false
+		host.accept(0, 3, "well").end(Done, 0, "d", "well")
 	}
 	// Output:
 	// 8000.0  dispatch well to d
@@ -96,33 +96,33 @@
 }
 
 // A share that is refused whatever the load costs little; a limit is found and kept, also with noise on top.
-func ExampleSender_slowDown() {
+func ExampleSender_adjustRate() {
 	play := func(what string, offered int, noise, limit float64) {
-		d := startSender(testSettings())
-		s, route := d.sender, d.sender.destinations[1].route
-		room, sent, full, late := 0.0, 0, 0, 60*Second
+		host := startSender(testSettings())
+		s, route := host.sender, host.sender.destinations[1].route
+		allowance, sent, rejected, late := 0.0, 0, 0, 60*Second
 		for i := range offered * 60 {
 			now := Time(i) * Second / Time(offered)
-			s.now, d.clock = now, now
-			room = min(max(1, limit/5), room+limit/float64(offered))
+			s.now, host.clock = now, now
+			allowance = min(max(1, limit/5), allowance+limit/float64(offered))
 			if !route.ready(now) {
 				continue
 			}
 			route.limiter.tokens--
 			route.sent.count(now, rateWindow)
 			route.answered++
-			refused := s.random.fraction("x") < noise || limit > 0 && room < 1
-			if refused {
+			isRejected := s.random.fraction("x") < noise || limit > 0 && allowance < 1
+			if isRejected {
 				s.adjustRate(s.destinations[1], route)
 			} else {
-				room--
+				allowance--
 			}
 			if now >= late/2 {
 				sent++
-				full += countIf(refused)
+				rejected += countIf(isRejected)
 			}
 		}
-		fmt.Printf("%s: %d a second sent of %d, %d%% of them refused\n", what, sent/30, offered, 100*full/max(1, sent))
+		fmt.Printf("%s: %d a second sent of %d, %d%% of them refused\n", what, sent/30, offered, 100*rejected/max(1, sent))
 	}
 	play("noise of 1%", 200, 0.01, 0)
 	play("noise of 6%", 200, 0.06, 0)
@@ -143,16 +143,16 @@
 
 // An endpoint that was ejected but answers again within 1.5 s of its last answer was not down: it keeps no cold
 // budget. One that was quiet for longer may have restarted.
-func ExampleSender_blink() {
+func ExampleSender_shortEjection() {
 	for _, pause := range []Time{200 * Millisecond, 1600 * Millisecond} {
-		d := startSender(testSettings())
-		d.mute = true
-		a := d.sender.endpoints["a"]
-		d.accept(0, 1, "p").end(Done, 0, "a", "p").accept(2, 1, "q", "r").end(Reset, 0, "a", "q", "r")
+		host := startSender(testSettings())
+		host.mute = true
+		a := host.sender.endpoints["a"]
+		host.accept(0, 1, "p").end(Done, 0, "a", "p").accept(2, 1, "q", "r").end(Reset, 0, "a", "q", "r")
 		aside := a.ejected
-		d.advance(pause)
-		d.sender.readmit(a, d.clock)
-		fmt.Println(aside, a.ejected, "cold:", d.clock < a.slowStartAt+d.sender.settings.Cold)
+		host.advance(pause)
+		host.sender.readmit(a, host.clock)
+		fmt.Println(aside, a.ejected, "cold:", host.clock < a.slowStartAt+host.sender.settings.Cold)
 	}
 	// Output:
 	// true false cold: false
@@ -160,14 +160,14 @@
 }
 
 // Spoilt answers do not set an endpoint aside that has just answered others: it has run them.
-func ExampleSender_spoilt() {
-	d := startSender(testSettings()).accept(0, 1, "p").end(Done, 0, "a", "p")
+func ExampleSender_unreadableAnswers() {
+	host := startSender(testSettings()).accept(0, 1, "p").end(Done, 0, "a", "p")
 	for _, id := range []MessageID{"q", "r"} {
-		d.accept(2, 1, id).end(Spoilt, 0, "a", id)
+		host.accept(2, 1, id).end(Spoilt, 0, "a", id)
 	}
-	fmt.Println("aside:", d.sender.endpoints["a"].ejected)
-	d.advance(recentSuccessSpan+tickInterval).accept(2, 1, "s").end(Spoilt, 0, "a", "s")
-	fmt.Println("aside:", d.sender.endpoints["a"].ejected)
+	fmt.Println("aside:", host.sender.endpoints["a"].ejected)
+	host.advance(recentSuccessSpan+tickInterval).accept(2, 1, "s").end(Spoilt, 0, "a", "s")
+	fmt.Println("aside:", host.sender.endpoints["a"].ejected)
 	// Output:
 	// 0.0     dispatch p to a
 	// 0.0     dispatch q to a
@@ -182,13 +182,13 @@
 
 // One failure is enough where nothing was answered lately, and what may be sent once a told wait is over
 // does not pile up during it: a large fleet is told alike, and would push over what opens.
-func ExampleSender_fleet() {
+func ExampleSender_singleFailureInFleet() {
 	set := testSettings()
 	set.Senders = 50
-	d := startSender(set).advance(3*Second).accept(1, 1, "p").end(Errored, 0, "a", "p")
-	fmt.Println("aside:", d.sender.endpoints["a"].ejected)
-	d.accept(1, 2, "q").end(Full, 5*Second, "c", "q").advance(5 * Second)
-	fmt.Printf("budget once open: %.2f, from %d\n", d.sender.endpoints["c"].slowStart.tokens, d.sender.endpoints["c"].slowStart.updatedAt)
+	host := startSender(set).advance(3*Second).accept(1, 1, "p").end(Errored, 0, "a", "p")
+	fmt.Println("aside:", host.sender.endpoints["a"].ejected)
+	host.accept(1, 2, "q").end(Full, 5*Second, "c", "q").advance(5 * Second)
+	fmt.Printf("budget once open: %.2f, from %d\n", host.sender.endpoints["c"].slowStart.tokens, host.sender.endpoints["c"].slowStart.updatedAt)
 	// Output:
 	// 3000.0  dispatch p to a
 	// aside: true
@@ -198,11 +198,11 @@
 }
 
 // A crowded sender sheds what would take up room for longest, so a healthy destination keeps its service.
-func ExampleSender_crowded() {
+func ExampleSender_backlogFull() {
 	set := testSettings()
 	set.MaxOpen = 6
-	d := startSender(set).accept(0, 9, "p", "q", "r", "s", "t").accept(0, 2, "healthy", "too")
-	fmt.Println(len(d.sender.messages), "held")
+	host := startSender(set).accept(0, 9, "p", "q", "r", "s", "t").accept(0, 2, "healthy", "too")
+	fmt.Println(len(host.sender.messages), "held")
 	// Output:
 	// 0.0     shed p
 	// 0.0     shed q
@@ -213,16 +213,16 @@
 
 // What an earlier life of the sender may have run: a single-use message is given up, a keyed one goes out again
 // within its window and zone, an idempotent one at once. A key rests first, since its call may still be running.
-func Example_earlierLife() {
-	d := startSender(testSettings())
+func Example_earlierIncarnation() {
+	host := startSender(testSettings())
 	for i, id := range []MessageID{"replayable", "tokened", "single-use"} {
-		d.sender.Taken(Message{ID: id, Class: ClassNo(i), Destination: 1, Deadline: 6 * Second, MayRun: true})
+		host.sender.Taken(Message{ID: id, Class: ClassNo(i), Destination: 1, Deadline: 6 * Second, MayRun: true})
 	}
-	d.sender.Taken(Message{ID: "out of its window", Class: 1, Destination: 1, Deadline: 6 * Second, MayRun: true, RanAt: -3 * Second})
-	d.sender.Taken(Message{ID: "in order", Class: 3, Key: 5, Destination: 1, Deadline: 6 * Second, MayRun: true})
-	d.sender.Taken(Message{ID: "next of its key", Class: 3, Key: 5, Destination: 1, Deadline: 6 * Second})
-	d.sender.TurnEnd()
-	d.end(Done, 0, "a", "replayable", "tokened").advance(Second).end(Done, 0, "a", "in order")
+	host.sender.Taken(Message{ID: "out of its window", Class: 1, Destination: 1, Deadline: 6 * Second, MayRun: true, RanAt: -3 * Second})
+	host.sender.Taken(Message{ID: "in order", Class: 3, Key: 5, Destination: 1, Deadline: 6 * Second, MayRun: true})
+	host.sender.Taken(Message{ID: "next of its key", Class: 3, Key: 5, Destination: 1, Deadline: 6 * Second})
+	host.sender.TurnEnd()
+	host.end(Done, 0, "a", "replayable", "tokened").advance(Second).end(Done, 0, "a", "in order")
 	// Output:
 	// 0.0     give up single-use
 	// 0.0     give up out of its window
--- a/choice/fakehost_test.go
+++ b/choice/fakehost_test.go
@@ -36,77 +36,77 @@
 
 // open starts a sender whose list holds a and b at destination 1 and c at destination 2.
 func startSender(set Settings) *fakeHost {
-	d := &fakeHost{attempts: map[MessageID]int{}}
-	d.sender = Start(d, "s", 7, set)
-	d.sender.ListNews([]Entry{{Endpoint: "a", Destination: 1, Rating: 10}, {Endpoint: "b", Destination: 1, Stage: Gone, Rating: 10},
+	host := &fakeHost{attempts: map[MessageID]int{}}
+	host.sender = Start(host, "s", 7, set)
+	host.sender.ListNews([]Entry{{Endpoint: "a", Destination: 1, Rating: 10}, {Endpoint: "b", Destination: 1, Stage: Gone, Rating: 10},
 		{Endpoint: "c", Destination: 2, Kind: 1, Rating: 10}}, true)
-	d.sender.TurnEnd()
-	return d
+	host.sender.TurnEnd()
+	return host
 }
 
-func (d *fakeHost) accept(class ClassNo, to DestinationID, ids ...MessageID) *fakeHost {
+func (h *fakeHost) accept(class ClassNo, to DestinationID, ids ...MessageID) *fakeHost {
 	for _, id := range ids {
-		d.sender.Taken(Message{ID: id, Class: class, Key: 5, Destination: to,
-			Deadline: d.clock + d.sender.settings.Classes[class].Deadline})
+		h.sender.Taken(Message{ID: id, Class: class, Key: 5, Destination: to,
+			Deadline: h.clock + h.sender.settings.Classes[class].Deadline})
 	}
-	d.sender.TurnEnd()
-	return d
+	h.sender.TurnEnd()
+	return h
 }
 
 // ended tells an outcome of each message's latest attempt, told 200 ms after its send.
-func (d *fakeHost) end(result Result, wait Time, at EndpointID, ids ...MessageID) *fakeHost {
+func (h *fakeHost) end(result Result, wait Time, at EndpointID, ids ...MessageID) *fakeHost {
 	for _, id := range ids {
-		d.sender.Ended(Outcome{Message: id, Attempt: d.attempts[id] - 1, Endpoint: at, Took: 200 * Millisecond,
+		h.sender.Ended(Outcome{Message: id, Attempt: h.attempts[id] - 1, Endpoint: at, Took: 200 * Millisecond,
 			Result: result, Final: result == Done, Wait: wait})
 	}
-	d.sender.TurnEnd()
-	return d
+	h.sender.TurnEnd()
+	return h
 }
 
 // run lets the clock go on for a span, firing timers in order.
-func (d *fakeHost) advance(span Time) *fakeHost {
-	end := d.clock + span
+func (h *fakeHost) advance(span Time) *fakeHost {
+	end := h.clock + span
 	for {
-		sort.SliceStable(d.timers, func(i, j int) bool { return d.timers[i].at < d.timers[j].at })
-		if d.timers[0].at > end {
-			d.clock = end
-			return d
+		sort.SliceStable(h.timers, func(i, j int) bool { return h.timers[i].at < h.timers[j].at })
+		if h.timers[0].at > end {
+			h.clock = end
+			return h
 		}
-		next := d.timers[0]
-		d.timers = d.timers[1:]
-		d.clock = max(d.clock, next.at)
-		d.sender.TimerDue(next.id)
-		d.sender.TurnEnd()
+		next := h.timers[0]
+		h.timers = h.timers[1:]
+		h.clock = max(h.clock, next.at)
+		h.sender.TimerDue(next.id)
+		h.sender.TurnEnd()
 	}
 }
 
-func (d *fakeHost) printf(format string, args ...any) {
-	if !d.mute {
-		fmt.Printf("%-7.1f "+format+"\n", append([]any{float64(d.clock) / float64(Millisecond)}, args...)...)
+func (h *fakeHost) printf(format string, args ...any) {
+	if !h.mute {
+		fmt.Printf("%-7.1f "+format+"\n", append([]any{float64(h.clock) / float64(Millisecond)}, args...)...)
 	}
 }
 
-func (d *fakeHost) Now() Time { return d.clock }
-func (d *fakeHost) Allowed(n MessageID, e EndpointID) bool {
-	return d.barred == nil || !d.barred(n, e)
+func (h *fakeHost) Now() Time { return h.clock }
+func (h *fakeHost) Allowed(n MessageID, e EndpointID) bool {
+	return h.barred == nil || !h.barred(n, e)
 }
-func (d *fakeHost) Attempt(n MessageID, to EndpointID, timeOut Time) {
-	d.attempts[n]++
-	d.printf("dispatch %s to %s", n, to)
+func (h *fakeHost) Attempt(n MessageID, to EndpointID, timeOut Time) {
+	h.attempts[n]++
+	h.printf("dispatch %s to %s", n, to)
 }
-func (d *fakeHost) Shed(n MessageID, in Time) { d.printf("shed %s", n) }
-func (d *fakeHost) Fail(n MessageID)          { d.printf("give up %s", n) }
-func (d *fakeHost) Probe(e EndpointID)        { d.printf("probe %s", e) }
-func (d *fakeHost) Tell(note []byte)          { d.printf("tell %x", note) }
-func (d *fakeHost) CloseIdle(e EndpointID) {
-	if d.printClosings {
-		d.printf("close %s", e)
+func (h *fakeHost) Shed(n MessageID, in Time) { h.printf("shed %s", n) }
+func (h *fakeHost) Fail(n MessageID)          { h.printf("give up %s", n) }
+func (h *fakeHost) Probe(e EndpointID)        { h.printf("probe %s", e) }
+func (h *fakeHost) Tell(note []byte)          { h.printf("tell %x", note) }
+func (h *fakeHost) CloseIdle(e EndpointID) {
+	if h.printClosings {
+		h.printf("close %s", e)
 	}
 }
-func (d *fakeHost) Timer(in Time, id TimerID) {
-	d.timers = append(d.timers, fakeTimer{d.clock + in, id})
+func (h *fakeHost) Timer(in Time, id TimerID) {
+	h.timers = append(h.timers, fakeTimer{h.clock + in, id})
 }
 
-func (d *fakeHost) Forget(id TimerID) {
-	d.timers = slices.DeleteFunc(d.timers, func(t fakeTimer) bool { return t.id == id })
+func (h *fakeHost) Forget(id TimerID) {
+	h.timers = slices.DeleteFunc(h.timers, func(t fakeTimer) bool { return t.id == id })
 }
--- a/choice/filter_test.go
+++ b/choice/filter_test.go
@@ -8,23 +8,23 @@
 // two opens a sender with a near and a far endpoint of one destination, the near one ranked first; what is named near
 // may only go there, and what is named far only to the far one.
 func startTwoZones(set Settings) *fakeHost {
-	d := startSender(set)
-	d.sender.ListNews([]Entry{{Endpoint: "near", Destination: 3, Kind: 1, Rating: 10}, {Endpoint: "far", Destination: 3, Kind: 1, Zone: 1, Rating: 10}}, false)
-	d.barred = func(n MessageID, e EndpointID) bool {
+	host := startSender(set)
+	host.sender.ListNews([]Entry{{Endpoint: "near", Destination: 3, Kind: 1, Rating: 10}, {Endpoint: "far", Destination: 3, Kind: 1, Zone: 1, Rating: 10}}, false)
+	host.barred = func(n MessageID, e EndpointID) bool {
 		return strings.HasPrefix(string(n), "near") && e == "far" || strings.HasPrefix(string(n), "far") && e == "near"
 	}
-	return d
+	return host
 }
 
 // A message goes where it may and nowhere else, also where another rides by; what is barred nowhere goes as ever. The
 // answer that stands when it is sent is what counts.
 func ExampleSender_allowed() {
-	d := startTwoZones(testSettings())
-	d.accept(0, 3, "far1", "near1", "any", "far2")
-	d.barred = func(MessageID, EndpointID) bool { return true }
-	d.accept(0, 3, "later").advance(100 * Millisecond)
-	d.barred = nil
-	d.advance(50 * Millisecond)
+	host := startTwoZones(testSettings())
+	host.accept(0, 3, "far1", "near1", "any", "far2")
+	host.barred = func(MessageID, EndpointID) bool { return true }
+	host.accept(0, 3, "later").advance(100 * Millisecond)
+	host.barred = nil
+	host.advance(50 * Millisecond)
 	// Output:
 	// 0.0     dispatch far2 to far
 	// 0.0     dispatch any to near
@@ -38,12 +38,12 @@
 func ExampleSender_allowedOutage() {
 	set := testSettings()
 	set.Probing = false
-	d := startTwoZones(set)
-	d.accept(0, 3, "near1").end(ConnectFailed, 0, "near", "near1").advance(100 * Millisecond)
-	d.sender.eject(d.sender.endpoints["near"])
-	d.accept(0, 3, "far1", "near2", "near3").end(Done, 0, "far", "far1").advance(2 * Second)
-	d.end(ConnectFailed, 0, "near", "near3").advance(3 * Second)
-	fmt.Println("room left for a trial:", d.sender.slowStartReady(d.sender.endpoints["near"]))
+	host := startTwoZones(set)
+	host.accept(0, 3, "near1").end(ConnectFailed, 0, "near", "near1").advance(100 * Millisecond)
+	host.sender.eject(host.sender.endpoints["near"])
+	host.accept(0, 3, "far1", "near2", "near3").end(Done, 0, "far", "far1").advance(2 * Second)
+	host.end(ConnectFailed, 0, "near", "near3").advance(3 * Second)
+	fmt.Println("budget left for a trial:", host.sender.slowStartReady(host.sender.endpoints["near"]))
 	// Output:
 	// 0.0     dispatch near1 to near
 	// 100.0   dispatch far1 to far
@@ -51,7 +51,7 @@
 	// 1350.0  dispatch near2 to near
 	// 2550.0  dispatch near3 to near
 	// 4150.0  dispatch near1 to near
-	// room left for a trial: false
+	// budget left for a trial: false
 }
 
 // However many newer ones wait that may only go where no room is, one behind them goes where it may; past a bound it
@@ -60,16 +60,16 @@
 	for _, newer := range []int{barredScanLimit - 1, barredScanLimit} {
 		set := testSettings()
 		set.InFlightLimit = 40
-		d := startTwoZones(set)
-		d.mute = true
-		d.sender.pauseRoute(d.sender.endpoints["near"], Second, false)
-		d.sender.endpoints["far"].route = newRoute(0) // a route of its own
-		d.sender.Taken(Message{ID: "far", Key: NoKey, Destination: 3, Deadline: 6 * Second})
+		host := startTwoZones(set)
+		host.mute = true
+		host.sender.pauseRoute(host.sender.endpoints["near"], Second, false)
+		host.sender.endpoints["far"].route = newRoute(0) // a route of its own
+		host.sender.Taken(Message{ID: "far", Key: NoKey, Destination: 3, Deadline: 6 * Second})
 		for i := range newer {
-			d.sender.Taken(Message{ID: MessageID(fmt.Sprint("near", i)), Key: NoKey, Destination: 3, Deadline: 6 * Second})
+			host.sender.Taken(Message{ID: MessageID(fmt.Sprint("near", i)), Key: NoKey, Destination: 3, Deadline: 6 * Second})
 		}
-		d.sender.TurnEnd()
-		fmt.Println(newer, "newer, sent:", d.attempts["far"] == 1)
+		host.sender.TurnEnd()
+		fmt.Println(newer, "newer, sent:", host.attempts["far"] == 1)
 	}
 	// Output:
 	// 15 newer, sent: true
@@ -81,10 +81,10 @@
 func ExampleSender_allowedKnownInOneZone() {
 	set := testSettings()
 	set.Classes[1].ZoneGroup = true
-	d := startTwoZones(set)
-	d.sender.Taken(Message{ID: "far1", Class: 1, Key: NoKey, Destination: 3, Deadline: 6 * Second, MayRun: true})
-	d.sender.TurnEnd()
-	d.accept(1, 3, "far2")
+	host := startTwoZones(set)
+	host.sender.Taken(Message{ID: "far1", Class: 1, Key: NoKey, Destination: 3, Deadline: 6 * Second, MayRun: true})
+	host.sender.TurnEnd()
+	host.accept(1, 3, "far2")
 	// Output:
 	// 0.0     dispatch far1 to near
 	// 0.0     dispatch far2 to far
--- a/choice/fleetmodel_test.go
+++ b/choice/fleetmodel_test.go
@@ -72,34 +72,34 @@
 }
 
 // room is N: what the settings let a cold endpoint be sent in a fall span that ends now.
-func (f *fleetModel) allowedCalls(at *endpointModel) float64 {
-	warm := f.set.ColdFrom + (1-f.set.ColdFrom)*seconds(f.now-at.upAt)/seconds(f.set.Cold)
+func (f *fleetModel) allowedCalls(ep *endpointModel) float64 {
+	warm := f.set.ColdFrom + (1-f.set.ColdFrom)*seconds(f.now-ep.upAt)/seconds(f.set.Cold)
 	return f.set.FallMultiple * f.capacity * warm * seconds(f.set.Fall)
 }
 
-func (f *fleetModel) arrive(at *endpointModel, knows bool) bool {
-	if f.now >= at.downAt && f.now < at.upAt {
+func (f *fleetModel) arrive(ep *endpointModel, knows bool) bool {
+	if f.now >= ep.downAt && f.now < ep.upAt {
 		return false
 	}
-	if f.now >= at.upAt {
-		at.calls++
-		at.firstSecond += countIf(knows && f.now < at.upAt+Second)
+	if f.now >= ep.upAt {
+		ep.calls++
+		ep.firstSecond += countIf(knows && f.now < ep.upAt+Second)
 	}
-	if f.now >= at.upAt && f.now < at.upAt+f.set.Cold {
-		at.recentCalls, at.fromAware = append(at.recentCalls, f.now), append(at.fromAware, knows)
-		for at.recentCalls[0] < f.now-f.set.Fall {
-			at.recentCalls, at.fromAware = at.recentCalls[1:], at.fromAware[1:]
+	if f.now >= ep.upAt && f.now < ep.upAt+f.set.Cold {
+		ep.recentCalls, ep.fromAware = append(ep.recentCalls, f.now), append(ep.fromAware, knows)
+		for ep.recentCalls[0] < f.now-f.set.Fall {
+			ep.recentCalls, ep.fromAware = ep.recentCalls[1:], ep.fromAware[1:]
 		}
-		n := f.allowedCalls(at)
+		n := f.allowedCalls(ep)
 		bound := n + 2*math.Sqrt(n) + 2
-		over := float64(len(at.recentCalls)) - bound
-		at.excess = max(at.excess, over)
-		told := 0
-		for _, knew := range at.fromAware {
-			told += countIf(knew)
+		over := float64(len(ep.recentCalls)) - bound
+		ep.excess = max(ep.excess, over)
+		aware := 0
+		for _, knew := range ep.fromAware {
+			aware += countIf(knew)
 		}
-		if 3*told > 2*len(at.recentCalls) {
-			at.awareExcess = max(at.awareExcess, over)
+		if 3*aware > 2*len(ep.recentCalls) {
+			ep.awareExcess = max(ep.awareExcess, over)
 		}
 	}
 	return true
@@ -226,20 +226,20 @@
 }
 
 func (f *fleetModel) replace(back *[]*endpointModel) {
-	for i, at := range *back {
+	for i, ep := range *back {
 		if !f.replaced || i%2 > 0 {
 			continue
 		}
-		fresh := &endpointModel{id: at.id + "'", downAt: at.downAt, upAt: at.upAt}
+		fresh := &endpointModel{id: ep.id + "'", downAt: ep.downAt, upAt: ep.upAt}
 		(*back)[i] = fresh
-		f.after(at.downAt+(at.upAt-at.downAt)/2, func() {
+		f.after(ep.downAt+(ep.upAt-ep.downAt)/2, func() {
 			f.endpoints[fresh.id] = fresh
-			gone := f.entry(at.id)
+			gone := f.entry(ep.id)
 			gone.Stage = Gone
 			for _, h := range f.hosts {
 				h.later(Time(f.random.IntN(1000)), func() { h.sender.ListNews([]Entry{gone, f.entry(fresh.id)}, false) })
 			}
-			at.upAt = forever // what is replaced stays away
+			ep.upAt = forever // what is replaced stays away
 		})
 	}
 }
--- a/choice/held_test.go
+++ b/choice/held_test.go
@@ -7,16 +7,16 @@
 
 // A probe that the host held back tells nothing: the pause before the next one stays as it was, where one that failed
 // doubles it, and none goes at once.
-func ExampleSender_Probed_held() {
+func ExampleSender_Probed_cancelled() {
 	for _, result := range []Result{Cancelled, ConnectFailed} {
 		set := testSettings()
 		set.Cold = 0
-		d := startSender(set).advance(3*Second).accept(0, 1, "p")
-		d.end(Errored, 0, "a", "p").advance(Second)
-		was := d.sender.endpoints["a"].trialPause
-		d.sender.Probed("a", result)
-		fmt.Println("aside", d.sender.endpoints["a"].ejected, "pause", was, "then", d.sender.endpoints["a"].trialPause)
-		d.advance(Second)
+		host := startSender(set).advance(3*Second).accept(0, 1, "p")
+		host.end(Errored, 0, "a", "p").advance(Second)
+		was := host.sender.endpoints["a"].trialPause
+		host.sender.Probed("a", result)
+		fmt.Println("aside", host.sender.endpoints["a"].ejected, "pause", was, "then", host.sender.endpoints["a"].trialPause)
+		host.advance(Second)
 	}
 	// Output:
 	// 3000.0  dispatch p to a
@@ -31,25 +31,25 @@
 
 // What the host asks as it writes is what the module asks as it chooses: the last moment for a repeat.
 func TestRepeatEnd(t *testing.T) {
-	d := startSender(testSettings())
-	d.mute = true
-	d.accept(0, 1, "repeatable").accept(1, 1, "keyed")
+	host := startSender(testSettings())
+	host.mute = true
+	host.accept(0, 1, "repeatable").accept(1, 1, "keyed")
 	for _, id := range []MessageID{"repeatable", "keyed", "unknown"} {
-		if end := d.sender.RepeatEnd(id); end != forever {
+		if end := host.sender.RepeatEnd(id); end != forever {
 			t.Errorf("%s, not sent or still out: %d", id, end)
 		}
 	}
-	d.advance(100*Millisecond).end(Errored, 0, "a", "repeatable", "keyed")
-	if end := d.sender.RepeatEnd("repeatable"); end != forever {
+	host.advance(100*Millisecond).end(Errored, 0, "a", "repeatable", "keyed")
+	if end := host.sender.RepeatEnd("repeatable"); end != forever {
 		t.Errorf("one that may simply be repeated: %d", end)
 	}
-	end := d.sender.RepeatEnd("keyed")
+	end := host.sender.RepeatEnd("keyed")
 	if want := 3*Second - 5*Millisecond; end != want { // its call began at 0
 		t.Fatalf("it ends at %d, want %d", end, want)
 	}
 	for at, open := range map[Time]bool{end: true, end + 1: false} {
-		d.clock = at
-		if d.sender.Open("a", "keyed") != open {
+		host.clock = at
+		if host.sender.Open("a", "keyed") != open {
 			t.Errorf("open at %d: %v", at, !open)
 		}
 	}
--- a/choice/limits_test.go
+++ b/choice/limits_test.go
@@ -7,16 +7,16 @@
 )
 
 // calls plays seconds of steady calls at one endpoint of a sender; result says how each ends. It tells how many left.
-func steadyCalls(d *fakeHost, a callLoad, seconds int, result func(i int) (Result, Time)) (sent int) {
+func steadyCalls(host *fakeHost, a callLoad, seconds int, result func(i int) (Result, Time)) (sent int) {
 	for i := range a.rate * seconds {
-		d.advance(Second / Time(a.rate))
+		host.advance(Second / Time(a.rate))
 		id := MessageID(fmt.Sprint(a.name, i))
-		before := d.attempts[id]
-		d.accept(2, a.to, id) // single-use, so that nothing but what is played here is sent
-		if d.attempts[id] > before {
+		before := host.attempts[id]
+		host.accept(2, a.to, id) // single-use, so that nothing but what is played here is sent
+		if host.attempts[id] > before {
 			sent++
 			r, wait := result(i)
-			d.end(r, wait, a.endpoint, id)
+			host.end(r, wait, a.endpoint, id)
 		}
 	}
 	return sent
@@ -30,19 +30,19 @@
 }
 
 // A told wait that comes anew halts the route and is enough: the pace stays what it was. Told again at once it counts.
-func ExampleSender_toldWait() {
-	d := startSender(testSettings())
-	d.mute = true
-	d.accept(0, 1, "p").end(Done, 0, "a", "p").advance(3 * Second)
-	route := d.sender.destinations[1].route
-	told := func(id MessageID) {
-		d.accept(0, 1, id).end(Full, 200*Millisecond, "a", id)
-		fmt.Println("halted for", (route.pausedUntil-d.clock)/Millisecond, "ms, unpaced", route.limiter.rate >= unlimitedRate)
-		d.advance(500 * Millisecond)
+func ExampleSender_firstRetryAfter() {
+	host := startSender(testSettings())
+	host.mute = true
+	host.accept(0, 1, "p").end(Done, 0, "a", "p").advance(3 * Second)
+	route := host.sender.destinations[1].route
+	rejectAfter := func(id MessageID) {
+		host.accept(0, 1, id).end(Full, 200*Millisecond, "a", id)
+		fmt.Println("halted for", (route.pausedUntil-host.clock)/Millisecond, "ms, unpaced", route.limiter.rate >= unlimitedRate)
+		host.advance(500 * Millisecond)
 	}
-	d.sender.endpoints["a"].concurrencyLimit = 8
-	told("q")
-	told("r")
+	host.sender.endpoints["a"].concurrencyLimit = 8
+	rejectAfter("q")
+	rejectAfter("r")
 	// Output:
 	// halted for 222 ms, unpaced true
 	// halted for 215 ms, unpaced false
@@ -50,18 +50,18 @@
 
 // Of a thousand calls a second some fail in a row by chance, and no endpoint is ejected for that; a crash still is
 // told within a few calls.
-func ExampleSender_failsByChance() {
+func ExampleSender_failuresByChance() {
 	for _, rate := range []int{2, 100, 1000} {
-		d := startSender(testSettings())
-		d.mute = true
+		host := startSender(testSettings())
+		host.mute = true
 		luck := newRandomSource("luck", 1)
-		well := steadyCalls(d, callLoad{"n", rate, 1, "a"}, 20, func(int) (Result, Time) {
+		well := steadyCalls(host, callLoad{"n", rate, 1, "a"}, 20, func(int) (Result, Time) {
 			if luck.fraction("fails") < 0.06 {
 				return Errored, 0
 			}
 			return Done, 0
 		})
-		crash := steadyCalls(d, callLoad{"c", rate, 1, "a"}, 2, func(int) (Result, Time) { return ConnectFailed, 0 })
+		crash := steadyCalls(host, callLoad{"c", rate, 1, "a"}, 2, func(int) (Result, Time) { return ConnectFailed, 0 })
 		fmt.Printf("%d a second: %.0f%% sent, then %d calls into a crash\n", rate, 5*float64(well)/float64(rate), crash)
 	}
 	// Output:
@@ -71,33 +71,33 @@
 }
 
 // One bad machine of two: what it refuses is its own. The route keeps its pace, and the machine ranks last.
-func ExampleSender_badMachine() {
+func ExampleSender_rejectingEndpoint() {
 	set := testSettings()
 	set.Kinds[0].BundleMax = 1
-	d := startSender(set)
-	d.mute = true
-	d.sender.ListNews([]Entry{{Endpoint: "b", Destination: 1, Rating: 10}}, false)
-	a, b := d.sender.endpoints["a"], d.sender.endpoints["b"]
+	host := startSender(set)
+	host.mute = true
+	host.sender.ListNews([]Entry{{Endpoint: "b", Destination: 1, Rating: 10}}, false)
+	a, b := host.sender.endpoints["a"], host.sender.endpoints["b"]
 	route, low := a.route, unlimitedRate
 	to := map[EndpointID]int{}
 	for i := range 2000 {
-		d.advance(10 * Millisecond)
+		host.advance(10 * Millisecond)
 		id := MessageID(fmt.Sprint(i))
-		d.accept(0, 1, id)
+		host.accept(0, 1, id)
 		for _, ep := range []*endpoint{a, b} {
-			if msg := d.sender.messages[id]; msg != nil && msg.inFlight != nil && msg.inFlight.endpoint == ep {
+			if msg := host.sender.messages[id]; msg != nil && msg.inFlight != nil && msg.inFlight.endpoint == ep {
 				to[ep.id]++
 				if ep == b && i%2 == 0 {
-					d.end(Full, 0, "b", id)
+					host.end(Full, 0, "b", id)
 				} else {
-					d.end(Done, 0, ep.id, id)
+					host.end(Done, 0, ep.id, id)
 				}
 			}
 		}
 		low = min(low, route.limiter.rate)
 	}
-	d.sender.refreshDestination(d.sender.destinations[1])
-	fmt.Println("well:", to["a"] > 10*to["b"], "ranked first:", d.sender.destinations[1].ranked[0].id, "pace kept:", low >= 90)
+	host.sender.refreshDestination(host.sender.destinations[1])
+	fmt.Println("well:", to["a"] > 10*to["b"], "ranked first:", host.sender.destinations[1].ranked[0].id, "pace kept:", low >= 90)
 	// Output:
 	// well: true ranked first: a pace kept: true
 }
@@ -106,16 +106,16 @@
 func ExampleSender_retryBudget() {
 	set := testSettings()
 	set.InFlightLimit = 4
-	d := startSender(set)
-	d.mute = true
-	dest := d.sender.destinations[1]
+	host := startSender(set)
+	host.mute = true
+	dest := host.sender.destinations[1]
 	firsts, retries, last := 0, 0, map[MessageID]int{}
 	for i := range 600 {
-		d.advance(20 * Millisecond)
-		d.accept(0, 1, MessageID(fmt.Sprint(i)))
-		d.sender.endpoints["a"].ejected, d.sender.endpoints["a"].consecutiveFailures = false, 0 // what would end it all sooner is left out
+		host.advance(20 * Millisecond)
+		host.accept(0, 1, MessageID(fmt.Sprint(i)))
+		host.sender.endpoints["a"].ejected, host.sender.endpoints["a"].consecutiveFailures = false, 0 // what would end it all sooner is left out
 		var ids []string
-		for id, msg := range d.sender.messages {
+		for id, msg := range host.sender.messages {
 			if msg.inFlight != nil {
 				ids = append(ids, string(id))
 			}
@@ -123,44 +123,44 @@
 		slices.Sort(ids)
 		for _, id := range ids {
 			n := MessageID(id)
-			if last[n] != d.attempts[n] {
-				firsts, retries = firsts+countIf(d.attempts[n] == 1), retries+countIf(d.attempts[n] > 1)
+			if last[n] != host.attempts[n] {
+				firsts, retries = firsts+countIf(host.attempts[n] == 1), retries+countIf(host.attempts[n] > 1)
 			}
-			last[n] = d.attempts[n]
-			d.end(Errored, 0, "a", n)
-			last[n] = d.attempts[n]
+			last[n] = host.attempts[n]
+			host.end(Errored, 0, "a", n)
+			last[n] = host.attempts[n]
 		}
 	}
-	most := float64(set.InFlightLimit) + 12/seconds(d.sender.retryCap) + 1
+	most := float64(set.InFlightLimit) + 12/seconds(host.sender.retryCap) + 1
 	fmt.Println("retries within the budget:", float64(retries) <= most, "left", math.Floor(dest.retryBudget.tokens) <= float64(set.InFlightLimit), firsts > 0)
 	// Output:
 	// retries within the budget: true left true true
 }
 
 // A destination that takes nothing may hold most of the room, never all: others are still taken on.
-func ExampleSender_heldMost() {
+func ExampleSender_backlogOfOneDestination() {
 	set := testSettings()
 	set.InFlightLimit = 0 // nothing leaves
-	d := startSender(set)
-	d.mute = true
+	host := startSender(set)
+	host.mute = true
 	for i := range 400 {
-		d.accept(0, 9, MessageID(fmt.Sprint("stuck", i)))
+		host.accept(0, 9, MessageID(fmt.Sprint("stuck", i)))
 	}
-	stuck := len(d.sender.messages)
+	stuck := len(host.sender.messages)
 	for i := range 10 {
-		d.accept(0, 1, MessageID(fmt.Sprint("other", i)))
+		host.accept(0, 1, MessageID(fmt.Sprint("other", i)))
 	}
-	fmt.Println("stuck ones held:", stuck, "of", set.MaxOpen, "others held:", d.sender.destinations[1].openMessages)
+	fmt.Println("stuck ones held:", stuck, "of", set.MaxOpen, "others held:", host.sender.destinations[1].openMessages)
 	// Output:
 	// stuck ones held: 93 of 100 others held: 10
 }
 
 // An endpoint that answered nothing lately holds no more calls than an unknown one, until it answers.
-func ExampleSender_idleRoom() {
-	d := startSender(testSettings())
-	d.sender.endpoints["a"].concurrencyLimit = 8
-	d.accept(0, 1, "p").end(Done, 0, "a", "p").advance(3*Second).accept(0, 1, "q", "r", "s", "t")
-	d.advance(100*Millisecond).end(Done, 0, "a", "t")
+func ExampleSender_idleConcurrency() {
+	host := startSender(testSettings())
+	host.sender.endpoints["a"].concurrencyLimit = 8
+	host.accept(0, 1, "p").end(Done, 0, "a", "p").advance(3*Second).accept(0, 1, "q", "r", "s", "t")
+	host.advance(100*Millisecond).end(Done, 0, "a", "t")
 	// Output:
 	// 0.0     dispatch p to a
 	// 3000.0  dispatch t to a
@@ -170,10 +170,10 @@
 }
 
 // A pace that was halved wrongly is back in seconds at any rate; few calls show little room, and take longest.
-func ExampleSender_halvedWrongly() {
+func ExampleSender_rateRecovers() {
 	for _, rate := range []int{1, 100, 5000} {
-		d := startSender(testSettings())
-		route := d.sender.destinations[1].route
+		host := startSender(testSettings())
+		route := host.sender.destinations[1].route
 		route.limiter.rate, route.limiter.tokens, route.judgedAt = float64(rate)/2, 0, 0
 		now := Time(0)
 		for route.limiter.rate < float64(rate) {
--- a/choice/loadhost_test.go
+++ b/choice/loadhost_test.go
@@ -24,36 +24,36 @@
 	timer TimerID
 }
 
-func (w *loadHost) schedule(at Time, timer TimerID, what func()) {
-	e := loadEvent{max(at, w.clock), what, timer}
-	i, _ := slices.BinarySearchFunc(w.events, e, func(a, b loadEvent) int { return int(min(1, max(-1, a.at-b.at))) })
-	for i < len(w.events) && w.events[i].at == e.at {
+func (h *loadHost) schedule(at Time, timer TimerID, what func()) {
+	e := loadEvent{max(at, h.clock), what, timer}
+	i, _ := slices.BinarySearchFunc(h.events, e, func(a, b loadEvent) int { return int(min(1, max(-1, a.at-b.at))) })
+	for i < len(h.events) && h.events[i].at == e.at {
 		i++
 	}
-	w.events = slices.Insert(w.events, i, e)
+	h.events = slices.Insert(h.events, i, e)
 }
 
 // run plays until a time; all that happens at one moment is one turn.
-func (w *loadHost) playUntil(until Time) {
-	for len(w.events) > 0 && w.events[0].at <= until {
-		w.clock = w.events[0].at
-		for len(w.events) > 0 && w.events[0].at == w.clock {
-			e := w.events[0]
-			w.events = w.events[1:]
+func (h *loadHost) playUntil(until Time) {
+	for len(h.events) > 0 && h.events[0].at <= until {
+		h.clock = h.events[0].at
+		for len(h.events) > 0 && h.events[0].at == h.clock {
+			e := h.events[0]
+			h.events = h.events[1:]
 			e.do()
 		}
-		w.sender.TurnEnd()
+		h.sender.TurnEnd()
 	}
-	w.clock = until
+	h.clock = until
 }
 
-func (w *loadHost) log(format string, args ...any) {
-	w.trace = append(w.trace, fmt.Sprintf("%d ", w.clock)+fmt.Sprintf(format, args...))
+func (h *loadHost) log(format string, args ...any) {
+	h.trace = append(h.trace, fmt.Sprintf("%d ", h.clock)+fmt.Sprintf(format, args...))
 }
 
 // outage tells whether b is down; so it is in every minute.
-func (w *loadHost) bDown() bool {
-	since := w.clock % loadWarmUp
+func (h *loadHost) bDown() bool {
+	since := h.clock % loadWarmUp
 	return since > 4*Second && since < 9*Second
 }
 
@@ -64,20 +64,20 @@
 	return float64(h.Sum64()>>11) / (1 << 53)
 }
 
-func (w *loadHost) Now() Time                          { return w.clock }
-func (w *loadHost) Allowed(MessageID, EndpointID) bool { return true }
+func (h *loadHost) Now() Time                          { return h.clock }
+func (h *loadHost) Allowed(MessageID, EndpointID) bool { return true }
 
-func (w *loadHost) Attempt(id MessageID, to EndpointID, timeOut Time) {
-	w.attempts[id]++
-	w.log("dispatch %s to %s within %d", id, to, timeOut)
-	w.checkAttempt(w.sender.messages[id], w.sender.endpoints[to])
-	took := 50*Millisecond + Time(hashFraction(id, w.attempts[id], "took")*float64(300*Millisecond))
-	o := Outcome{Message: id, Attempt: w.attempts[id] - 1, Endpoint: to, Took: took, Final: true}
-	if d := w.sender.endpoints[to].destination.id; d == 1 { // the one that tells its limit
+func (h *loadHost) Attempt(id MessageID, to EndpointID, timeOut Time) {
+	h.attempts[id]++
+	h.log("dispatch %s to %s within %d", id, to, timeOut)
+	h.checkAttempt(h.sender.messages[id], h.sender.endpoints[to])
+	took := 50*Millisecond + Time(hashFraction(id, h.attempts[id], "took")*float64(300*Millisecond))
+	o := Outcome{Message: id, Attempt: h.attempts[id] - 1, Endpoint: to, Took: took, Final: true}
+	if d := h.sender.endpoints[to].destination.id; d == 1 { // the one that tells its limit
 		o.Report = Report{Known: true, Left: 0.5, Limit: 20}
 	}
-	switch luck := hashFraction(id, w.attempts[id], "luck"); {
-	case to == "b" && w.bDown():
+	switch luck := hashFraction(id, h.attempts[id], "luck"); {
+	case to == "b" && h.bDown():
 		o.Result, o.Final = ConnectFailed, false
 	case luck < 0.08:
 		o.Result, o.Final, o.Wait = Full, false, 300*Millisecond
@@ -90,75 +90,75 @@
 	case luck < 0.26 || took > timeOut:
 		o.Result, o.Final, o.Took = TimedOut, false, timeOut
 	}
-	w.schedule(w.clock+o.Took, -1, func() {
+	h.schedule(h.clock+o.Took, -1, func() {
 		if o.Final {
-			w.answered(id, "done")
+			h.answered(id, "done")
 		}
-		w.sender.Ended(o)
+		h.sender.Ended(o)
 	})
 }
 
 // within checks an attempt by the settings that hold now.
-func (w *loadHost) checkAttempt(msg *message, ep *endpoint) {
-	set, class := w.sender.settings, w.sender.class(msg)
+func (h *loadHost) checkAttempt(msg *message, ep *endpoint) {
+	set, class := h.sender.settings, h.sender.class(msg)
 	check := func(is bool, what string) {
 		if !is {
-			w.t.Errorf("%d: %s to %s: %s", w.clock, msg.ID, ep.id, what)
+			h.t.Errorf("%d: %s to %s: %s", h.clock, msg.ID, ep.id, what)
 		}
 	}
-	check(w.answers[msg.ID] == 0, "it has had its answer")
-	check(ep.bulkCall.messages > 1 || len(w.sender.calls) <= set.InFlightLimit, fmt.Sprint(len(w.sender.calls), " calls out of ", set.InFlightLimit))
+	check(h.answers[msg.ID] == 0, "it has had its answer")
+	check(ep.bulkCall.messages > 1 || len(h.sender.calls) <= set.InFlightLimit, fmt.Sprint(len(h.sender.calls), " calls out of ", set.InFlightLimit))
 	check(ep.bulkCall.messages <= max(1, ep.destination.kind.BundleMax) && ep.destination.kind.BundleMax == set.Kinds[ep.destination.id%2].BundleMax, "a bundle too large")
-	check(w.attempts[msg.ID] <= set.MaxAttempts, "one dispatch too many")
+	check(h.attempts[msg.ID] <= set.MaxAttempts, "one dispatch too many")
 	check(!msg.MayRun || class.Repeat != SingleUse, "a second run")
-	check(!msg.MayRun || class.Repeat != Keyed || w.clock <= msg.RanAt+class.RepeatWindow-set.Turn, "out of its window")
+	check(!msg.MayRun || class.Repeat != Keyed || h.clock <= msg.RanAt+class.RepeatWindow-set.Turn, "out of its window")
 	check(!msg.MayRun || !class.ZoneGroup || ep.zone == msg.RanIn, "known in another zone alone")
 	check(msg.keyQueue == nil || msg.keyQueue.messages[0] == msg, "before its turn")
 }
 
-func (w *loadHost) answered(id MessageID, how string) {
-	if w.answers[id]++; w.answers[id] > 1 {
-		w.t.Errorf("%d: %s: %s, and it had an answer", w.clock, id, how)
+func (h *loadHost) answered(id MessageID, how string) {
+	if h.answers[id]++; h.answers[id] > 1 {
+		h.t.Errorf("%d: %s: %s, and it had an answer", h.clock, id, how)
 	}
-	w.log("%s %s", how, id)
+	h.log("%s %s", how, id)
 }
 
-func (w *loadHost) Shed(id MessageID, in Time) {
-	if in > w.sender.settings.LongestReturn {
-		w.t.Errorf("%s may come again in %d, above %d", id, in, w.sender.settings.LongestReturn)
+func (h *loadHost) Shed(id MessageID, in Time) {
+	if in > h.sender.settings.LongestReturn {
+		h.t.Errorf("%s may come again in %d, above %d", id, in, h.sender.settings.LongestReturn)
 	}
-	w.answered(id, fmt.Sprint("shed, again in ", in))
+	h.answered(id, fmt.Sprint("shed, again in ", in))
 }
 
-func (w *loadHost) Fail(id MessageID) { w.answered(id, "given up") }
+func (h *loadHost) Fail(id MessageID) { h.answered(id, "given up") }
 
-func (w *loadHost) Probe(e EndpointID) {
-	w.log("probe %s", e)
-	if !w.sender.settings.Probing {
-		w.t.Errorf("%d: a probe", w.clock)
+func (h *loadHost) Probe(e EndpointID) {
+	h.log("probe %s", e)
+	if !h.sender.settings.Probing {
+		h.t.Errorf("%d: a probe", h.clock)
 	}
 	result := Done
-	if w.bDown() {
+	if h.bDown() {
 		result = ConnectFailed
 	}
-	w.schedule(w.clock+100*Millisecond, -1, func() { w.sender.Probed(e, result) })
+	h.schedule(h.clock+100*Millisecond, -1, func() { h.sender.Probed(e, result) })
 }
 
-func (w *loadHost) CloseIdle(e EndpointID) { w.log("close %s", e) }
+func (h *loadHost) CloseIdle(e EndpointID) { h.log("close %s", e) }
 
-func (w *loadHost) Tell(note []byte) {
-	w.log("tell %x", note)
-	if !w.sender.settings.Notes {
-		w.t.Errorf("%d: a note", w.clock)
+func (h *loadHost) Tell(note []byte) {
+	h.log("tell %x", note)
+	if !h.sender.settings.Notes {
+		h.t.Errorf("%d: a note", h.clock)
 	}
 }
 
-func (w *loadHost) Timer(in Time, id TimerID) {
-	w.schedule(w.clock+in, id, func() { w.sender.TimerDue(id) })
+func (h *loadHost) Timer(in Time, id TimerID) {
+	h.schedule(h.clock+in, id, func() { h.sender.TimerDue(id) })
 }
 
-func (w *loadHost) Forget(id TimerID) {
-	w.events = slices.DeleteFunc(w.events, func(e loadEvent) bool { return e.timer == id })
+func (h *loadHost) Forget(id TimerID) {
+	h.events = slices.DeleteFunc(h.events, func(e loadEvent) bool { return e.timer == id })
 }
 
 const (
@@ -181,35 +181,35 @@
 }
 
 // open starts a town: two destinations of two endpoints in two zones, one of each kind.
-func (w *loadHost) start(set Settings) {
-	w.attempts, w.answers = map[MessageID]int{}, map[MessageID]int{}
-	w.sender = Start(w, "s", 7, set)
+func (h *loadHost) start(set Settings) {
+	h.attempts, h.answers = map[MessageID]int{}, map[MessageID]int{}
+	h.sender = Start(h, "s", 7, set)
 }
 
-func (w *loadHost) listEndpoints() {
+func (h *loadHost) listEndpoints() {
 	var all []Entry
 	for i, id := range []EndpointID{"a", "b", "c", "d"} {
 		all = append(all, Entry{Endpoint: id, Destination: DestinationID(i / 2), Kind: KindNo(i / 2), Zone: ZoneNo(i % 2), Rating: 10})
 	}
-	w.sender.ListNews(all, true)
+	h.sender.ListNews(all, true)
 }
 
 // load has messages come steadily, of all that the settings name by then.
-func (w *loadHost) offerLoad(from, until Time) {
+func (h *loadHost) offerLoad(from, until Time) {
 	no := 0
 	for at := from; at < until; at += loadInterval {
 		id := MessageID(fmt.Sprint("n", at-from))
 		no++
 		class, account := no, no/3
-		w.schedule(at, -1, func() {
-			set := w.sender.settings
+		h.schedule(at, -1, func() {
+			set := h.sender.settings
 			n := Message{ID: id, Class: ClassNo(class % len(set.Classes)), Account: AccountNo(account % len(set.Quotas)),
 				Key: OrderKey(class % 7), Destination: DestinationID(class / 2 % 2)}
-			n.Deadline = w.clock + set.Classes[n.Class].Deadline
-			held := len(w.sender.messages)
-			w.sender.Taken(n)
-			if most := max(held, set.MaxOpen); len(w.sender.messages) > most {
-				w.t.Errorf("%d: %d held, at most %d", w.clock, len(w.sender.messages), most)
+			n.Deadline = h.clock + set.Classes[n.Class].Deadline
+			held := len(h.sender.messages)
+			h.sender.Taken(n)
+			if most := max(held, set.MaxOpen); len(h.sender.messages) > most {
+				h.t.Errorf("%d: %d held, at most %d", h.clock, len(h.sender.messages), most)
 			}
 		})
 	}
--- a/choice/notes_test.go
+++ b/choice/notes_test.go
@@ -14,15 +14,15 @@
 // Who meets a used-up limit rests the route and tells all; who hears of it rests the route as well, and goes on
 // elsewhere. A note that names nothing known, or is cut short, does nothing.
 func ExampleSender_Heard() {
-	d := startSender(gossipSettings()).accept(0, 1, "p")
-	d.sender.Ended(Outcome{Message: "p", Endpoint: "a", Result: Full, Report: Report{Known: true, Limit: 8}})
-	d.accept(0, 1, "q").advance(1600 * Millisecond)
+	host := startSender(gossipSettings()).accept(0, 1, "p")
+	host.sender.Ended(Outcome{Message: "p", Endpoint: "a", Result: Full, Report: Report{Known: true, Limit: 8}})
+	host.accept(0, 1, "q").advance(1600 * Millisecond)
 	fmt.Println("another")
-	d = startSender(gossipSettings())
+	host = startSender(gossipSettings())
 	for _, note := range [][]byte{{}, {1}, {1, 2}, {1, 2, 3}, {1, 2, 3, 4}, encodeNote("c", noteUnit)} {
-		d.sender.Heard(note)
+		host.sender.Heard(note)
 	}
-	d.accept(0, 2, "r").accept(0, 1, "s").advance(1600 * Millisecond)
+	host.accept(0, 2, "r").accept(0, 1, "s").advance(1600 * Millisecond)
 	// Output:
 	// 0.0     dispatch p to a
 	// 0.0     tell 43be01
@@ -34,12 +34,12 @@
 }
 
 // Who finds no place at an endpoint tells so, once in two seconds; who has a link idle there gives it up.
-func ExampleSender_Heard_place() {
-	d := startSender(gossipSettings()).accept(0, 1, "p", "q").end(ConnectFailed, 0, "a", "p", "q")
-	d = startSender(gossipSettings()).accept(0, 1, "r").end(Done, 0, "a", "r")
-	d.printClosings = true
-	d.sender.Heard(encodeNote("a", 0))
-	d.sender.Heard(encodeNote("a", 0))
+func ExampleSender_Heard_connectionTableFull() {
+	host := startSender(gossipSettings()).accept(0, 1, "p", "q").end(ConnectFailed, 0, "a", "p", "q")
+	host = startSender(gossipSettings()).accept(0, 1, "r").end(Done, 0, "a", "r")
+	host.printClosings = true
+	host.sender.Heard(encodeNote("a", 0))
+	host.sender.Heard(encodeNote("a", 0))
 	// Output:
 	// 0.0     dispatch q to a
 	// 0.0     dispatch p to a
@@ -50,31 +50,31 @@
 
 // In a fleet with notes the calls done at a kind pay for retries there: where nothing is done, the budget of one
 // kind ends, whatever the number of its destinations.
-func ExampleSender_kindPays() {
-	d := startSender(gossipSettings())
-	d.mute = true
-	d.sender.ListNews([]Entry{{Endpoint: "e", Destination: 3}, {Endpoint: "f", Destination: 4}}, false)
-	d.accept(0, 1, "p").accept(0, 3, "q").accept(0, 4, "r")
+func ExampleSender_retryBudgetOfKind() {
+	host := startSender(gossipSettings())
+	host.mute = true
+	host.sender.ListNews([]Entry{{Endpoint: "e", Destination: 3}, {Endpoint: "f", Destination: 4}}, false)
+	host.accept(0, 1, "p").accept(0, 3, "q").accept(0, 4, "r")
 	for i, id := range []MessageID{"p", "q", "r"} {
-		d.end(Errored, 0, EndpointID("aef"[i:i+1]), id)
+		host.end(Errored, 0, EndpointID("aef"[i:i+1]), id)
 	}
-	d.advance(400 * Millisecond)
-	fmt.Println("dispatches:", d.attempts["p"]+d.attempts["q"]+d.attempts["r"])
+	host.advance(400 * Millisecond)
+	fmt.Println("dispatches:", host.attempts["p"]+host.attempts["q"]+host.attempts["r"])
 	// Output:
 	// dispatches: 5
 }
 
 // What replaces the endpoints of a destination that is out joins it as out: it is tried as one that may be cold, where
 // it would take all that waits at once.
-func ExampleSender_replacedWhileOut() {
+func ExampleSender_replacedInOutage() {
 	set := testSettings()
 	set.Senders, set.Probing = 80, false
-	d := startSender(set).advance(3*Second).accept(0, 1, "p").end(ConnectFailed, 0, "a", "p").accept(0, 1, "q", "r")
-	d.sender.ListNews([]Entry{{Endpoint: "a", Destination: 1, Stage: Gone}, {Endpoint: "new", Destination: 1, Rating: 10}}, false)
-	d.advance(100 * Millisecond)
-	d.sender.ListNews([]Entry{{Endpoint: "newer", Destination: 1, Rating: 10}}, false)
-	d.advance(100 * Millisecond)
-	fmt.Println(d.sender.endpoints["new"].ejected, d.sender.endpoints["newer"].ejected)
+	host := startSender(set).advance(3*Second).accept(0, 1, "p").end(ConnectFailed, 0, "a", "p").accept(0, 1, "q", "r")
+	host.sender.ListNews([]Entry{{Endpoint: "a", Destination: 1, Stage: Gone}, {Endpoint: "new", Destination: 1, Rating: 10}}, false)
+	host.advance(100 * Millisecond)
+	host.sender.ListNews([]Entry{{Endpoint: "newer", Destination: 1, Rating: 10}}, false)
+	host.advance(100 * Millisecond)
+	fmt.Println(host.sender.endpoints["new"].ejected, host.sender.endpoints["newer"].ejected)
 	// Output:
 	// 3000.0  dispatch p to a
 	// true true
@@ -82,17 +82,17 @@
 
 // What joins a destination that has come back and is still cold is as cold as the rest, with a budget begun by chance: all
 // senders hear of it at one moment, and empty ones would all be full at one moment, too.
-func ExampleSender_replacedWhileCold() {
+func ExampleSender_replacedInSlowStart() {
 	set := testSettings()
 	set.Senders, set.Probing = 80, false
-	d := startSender(set).advance(3*Second).accept(0, 1, "p").end(ConnectFailed, 0, "a", "p")
-	a := d.sender.endpoints["a"]
-	d.advance(2 * Second)
-	d.sender.readmit(a, d.clock)
-	d.sender.ListNews([]Entry{{Endpoint: "new", Destination: 1, Rating: 10}, {Endpoint: "a", Destination: 1, Stage: Draining}}, false)
-	ep := d.sender.endpoints["new"]
+	host := startSender(set).advance(3*Second).accept(0, 1, "p").end(ConnectFailed, 0, "a", "p")
+	a := host.sender.endpoints["a"]
+	host.advance(2 * Second)
+	host.sender.readmit(a, host.clock)
+	host.sender.ListNews([]Entry{{Endpoint: "new", Destination: 1, Rating: 10}, {Endpoint: "a", Destination: 1, Stage: Draining}}, false)
+	ep := host.sender.endpoints["new"]
 	fmt.Println("aside:", ep.ejected, "as cold:", ep.slowStartAt == a.slowStartAt, "budget:", math.Round(100*ep.slowStart.tokens)/100)
-	d.accept(0, 1, "q", "r", "s")
+	host.accept(0, 1, "q", "r", "s")
 	// Output:
 	// 3000.0  dispatch p to a
 	// aside: false as cold: true budget: 0.22
@@ -100,19 +100,19 @@
 
 // In a fleet a call to an endpoint where none was done yet gets the time-out of its kind, not that of half a contract
 // time: many such calls, unanswered, would hold the few slots for as long as a message lives.
-func ExampleSender_likeItsKind() {
+func ExampleSender_callTimesOfKind() {
 	for _, senders := range []int{80, 2} {
 		set := gossipSettings()
 		set.Senders = senders
-		d := startSender(set)
-		d.mute = true
-		d.sender.ListNews([]Entry{{Endpoint: "e", Destination: 3}}, false)
+		host := startSender(set)
+		host.mute = true
+		host.sender.ListNews([]Entry{{Endpoint: "e", Destination: 3}}, false)
 		for i := range 40 {
 			id := MessageID(fmt.Sprint(i))
-			d.accept(0, 1, id).end(Done, 0, "a", id)
+			host.accept(0, 1, id).end(Done, 0, "a", id)
 		}
-		d.accept(0, 3, "first")
-		fmt.Println(senders, "senders:", seconds(d.sender.attemptTimeout(d.sender.messages["first"], d.sender.endpoints["e"])), "s")
+		host.accept(0, 3, "first")
+		fmt.Println(senders, "senders:", seconds(host.sender.attemptTimeout(host.sender.messages["first"], host.sender.endpoints["e"])), "s")
 	}
 	// Output:
 	// 80 senders: 1 s
--- a/choice/order_test.go
+++ b/choice/order_test.go
@@ -11,9 +11,9 @@
 }
 
 // keyed hands in one message with a key of its own choice, and leaves the turn open.
-func (d *fakeHost) acceptKeyed(id MessageID, class ClassNo, key OrderKey, to DestinationID) *fakeHost {
-	d.sender.Taken(Message{ID: id, Class: class, Key: key, Destination: to, Deadline: d.clock + d.sender.settings.Classes[class].Deadline})
-	return d
+func (h *fakeHost) acceptKeyed(id MessageID, class ClassNo, key OrderKey, to DestinationID) *fakeHost {
+	h.sender.Taken(Message{ID: id, Class: class, Key: key, Destination: to, Deadline: h.clock + h.sender.settings.Classes[class].Deadline})
+	return h
 }
 
 // Whatever becomes of a key's head, the next goes after it, one at a time: at once where no call can still run, after the
@@ -23,18 +23,18 @@
 		name   string
 		result Result
 	}{{"done", Done}, {"refused", Full}, {"error", Errored}, {"time-out", TimedOut}, {"reset", Reset}, {"cancelled", Cancelled}} {
-		d := startSender(orderedSettings())
-		d.acceptKeyed("head", 2, 7, 2).acceptKeyed("next", 2, 7, 2).acceptKeyed("last", 2, 7, 2).sender.TurnEnd()
+		host := startSender(orderedSettings())
+		host.acceptKeyed("head", 2, 7, 2).acceptKeyed("next", 2, 7, 2).acceptKeyed("last", 2, 7, 2).sender.TurnEnd()
 		fmt.Println(end.name)
-		d.clock += 10 * Millisecond
-		d.end(end.result, 0, "c", "head").advance(500 * Millisecond)
+		host.clock += 10 * Millisecond
+		host.end(end.result, 0, "c", "head").advance(500 * Millisecond)
 	}
 	fmt.Println("withdrawn while it waits, then while it is out")
-	d := startSender(orderedSettings())
-	d.acceptKeyed("head", 2, 7, 2).sender.TurnEnd()
-	d.acceptKeyed("waits", 2, 7, 2).acceptKeyed("next", 2, 7, 2).sender.Withdrawn("waits")
-	d.sender.Withdrawn("head")
-	d.advance(10*Millisecond).end(Done, 0, "c", "head")
+	host := startSender(orderedSettings())
+	host.acceptKeyed("head", 2, 7, 2).sender.TurnEnd()
+	host.acceptKeyed("waits", 2, 7, 2).acceptKeyed("next", 2, 7, 2).sender.Withdrawn("waits")
+	host.sender.Withdrawn("head")
+	host.advance(10*Millisecond).end(Done, 0, "c", "head")
 	// Output:
 	// 0.0     dispatch head to c
 	// done
@@ -65,12 +65,12 @@
 
 // A head that no attempt serves in time is shed when its time is over, which frees the next at once; one handed in again
 // joins at the end of its key.
-func ExampleSender_headWithoutTime() {
-	d := startSender(orderedSettings())
-	d.sender.ListNews([]Entry{{Endpoint: "c", Destination: 2, Kind: 1, Stage: Draining}}, false)
-	d.acceptKeyed("head", 3, 7, 2).sender.TurnEnd()
-	d.advance(2*Second).acceptKeyed("next", 3, 7, 1).acceptKeyed("again", 3, 7, 1).sender.TurnEnd()
-	d.advance(4*Second).end(Done, 0, "a", "next")
+func ExampleSender_headPastDeadline() {
+	host := startSender(orderedSettings())
+	host.sender.ListNews([]Entry{{Endpoint: "c", Destination: 2, Kind: 1, Stage: Draining}}, false)
+	host.acceptKeyed("head", 3, 7, 2).sender.TurnEnd()
+	host.advance(2*Second).acceptKeyed("next", 3, 7, 1).acceptKeyed("again", 3, 7, 1).sender.TurnEnd()
+	host.advance(4*Second).end(Done, 0, "a", "next")
 	// Output:
 	// 5490.1  shed head
 	// 5490.1  dispatch next to a
@@ -78,11 +78,11 @@
 }
 
 // Heads of several keys, of two ordered classes, share a call; two of one key never do, whatever their classes.
-func ExampleSender_keysInABundle() {
-	d := startSender(orderedSettings())
-	d.acceptKeyed("a1", 2, 7, 2).acceptKeyed("b1", 3, 8, 2).acceptKeyed("a2", 3, 7, 2).acceptKeyed("b2", 2, 8, 2).sender.TurnEnd()
-	fmt.Println(len(d.sender.calls), "call")
-	d.end(Done, 0, "c", "a1", "b1")
+func ExampleSender_keysInABulkCall() {
+	host := startSender(orderedSettings())
+	host.acceptKeyed("a1", 2, 7, 2).acceptKeyed("b1", 3, 8, 2).acceptKeyed("a2", 3, 7, 2).acceptKeyed("b2", 2, 8, 2).sender.TurnEnd()
+	fmt.Println(len(host.sender.calls), "call")
+	host.end(Done, 0, "c", "a1", "b1")
 	// Output:
 	// 0.0     dispatch a1 to c
 	// 0.0     dispatch b1 to c
@@ -93,9 +93,9 @@
 
 // A key's turn holds over destinations too.
 func ExampleSender_keyOverDestinations() {
-	d := startSender(orderedSettings())
-	d.acceptKeyed("here", 2, 7, 1).acceptKeyed("there", 2, 7, 2).sender.TurnEnd()
-	d.advance(10*Millisecond).end(Done, 0, "a", "here")
+	host := startSender(orderedSettings())
+	host.acceptKeyed("here", 2, 7, 1).acceptKeyed("there", 2, 7, 2).sender.TurnEnd()
+	host.advance(10*Millisecond).end(Done, 0, "a", "here")
 	// Output:
 	// 0.0     dispatch here to a
 	// 10.0    dispatch there to c
@@ -106,11 +106,11 @@
 func ExampleSender_zoneDrained() {
 	set := orderedSettings()
 	set.Probing = false
-	d := startSender(set)
-	d.sender.ListNews([]Entry{{Endpoint: "far", Destination: 1, Zone: 1, Rating: 10}}, false)
-	d.accept(1, 1, "token").advance(10*Millisecond).end(Errored, 0, "a", "token")
-	d.sender.ListNews([]Entry{{Endpoint: "a", Destination: 1, Stage: Draining}}, false)
-	d.accept(0, 1, "other").advance(6 * Second)
+	host := startSender(set)
+	host.sender.ListNews([]Entry{{Endpoint: "far", Destination: 1, Zone: 1, Rating: 10}}, false)
+	host.accept(1, 1, "token").advance(10*Millisecond).end(Errored, 0, "a", "token")
+	host.sender.ListNews([]Entry{{Endpoint: "a", Destination: 1, Stage: Draining}}, false)
+	host.accept(0, 1, "other").advance(6 * Second)
 	// Output:
 	// 0.0     dispatch token to a
 	// 10.0    dispatch other to far
@@ -118,13 +118,13 @@
 }
 
 // A told wait binds the route: one of those apart, or all endpoints of a destination that shares its limit.
-func ExampleSender_waitsOfRoutes() {
+func ExampleSender_pausesOfRoutes() {
 	for _, apart := range []bool{true, false} {
 		set := orderedSettings()
 		set.Kinds[0].Apart = apart
-		d := startSender(set)
-		d.sender.ListNews([]Entry{{Endpoint: "b", Destination: 1, Rating: 10}}, false)
-		d.accept(0, 1, "p").end(Full, 900*Millisecond, "a", "p").accept(0, 1, "q")
+		host := startSender(set)
+		host.sender.ListNews([]Entry{{Endpoint: "b", Destination: 1, Rating: 10}}, false)
+		host.accept(0, 1, "p").end(Full, 900*Millisecond, "a", "p").accept(0, 1, "q")
 		fmt.Println("apart:", apart)
 	}
 	// Output:
@@ -137,17 +137,17 @@
 
 // A sender that stood still for two seconds finds answers, timers and a drain at once: the endpoint that answered in
 // time is not blamed, and nothing goes to the one that drains.
-func ExampleSender_stalled() {
-	d := startSender(orderedSettings())
-	d.sender.ListNews([]Entry{{Endpoint: "b", Destination: 1, Rating: 10}}, false)
-	d.accept(0, 1, "p", "q").accept(0, 2, "r")
-	d.clock += 2 * Second
-	d.sender.ListNews([]Entry{{Endpoint: "a", Destination: 1, Stage: Draining}}, false)
+func ExampleSender_stalledSender() {
+	host := startSender(orderedSettings())
+	host.sender.ListNews([]Entry{{Endpoint: "b", Destination: 1, Rating: 10}}, false)
+	host.accept(0, 1, "p", "q").accept(0, 2, "r")
+	host.clock += 2 * Second
+	host.sender.ListNews([]Entry{{Endpoint: "a", Destination: 1, Stage: Draining}}, false)
 	for _, id := range []MessageID{"p", "q", "r"} {
-		d.sender.Ended(Outcome{Message: id, Took: 100 * Millisecond, Result: Done, Final: true})
+		host.sender.Ended(Outcome{Message: id, Took: 100 * Millisecond, Result: Done, Final: true})
 	}
-	d.accept(0, 1, "late").accept(0, 2, "other").advance(100 * Millisecond)
-	fmt.Println("known of the drained one:", d.sender.endpoints["a"] != nil, "aside:", d.sender.endpoints["b"].ejected, d.sender.endpoints["c"].ejected)
+	host.accept(0, 1, "late").accept(0, 2, "other").advance(100 * Millisecond)
+	fmt.Println("known of the drained one:", host.sender.endpoints["a"] != nil, "aside:", host.sender.endpoints["b"].ejected, host.sender.endpoints["c"].ejected)
 	// Output:
 	// 0.0     dispatch q to a
 	// 0.0     dispatch p to a
--- a/choice/purge_test.go
+++ b/choice/purge_test.go
@@ -5,47 +5,47 @@
 // Withdrawn in whatever state, a message is neither sent again nor answered, its slot is free once its call has ended, and
 // those behind it in its key go on.
 func ExampleSender_Withdrawn() {
-	play := func(what string, set Settings, do func(d *fakeHost)) {
+	play := func(what string, set Settings, do func(host *fakeHost)) {
 		fmt.Println(what)
-		d := startSender(set)
-		do(d)
-		d.advance(7 * Second)
-		if len(d.sender.messages)+len(d.sender.calls)+len(d.sender.timers.pending)+len(d.sender.keyQueues)+len(d.sender.withQueued) > 0 {
-			fmt.Println("left over:", d.sender.messages, d.sender.calls, d.sender.timers.pending, d.sender.keyQueues, d.sender.withQueued)
+		host := startSender(set)
+		do(host)
+		host.advance(7 * Second)
+		if len(host.sender.messages)+len(host.sender.calls)+len(host.sender.timers.pending)+len(host.sender.keyQueues)+len(host.sender.withQueued) > 0 {
+			fmt.Println("left over:", host.sender.messages, host.sender.calls, host.sender.timers.pending, host.sender.keyQueues, host.sender.withQueued)
 		}
 	}
-	drop := func(d *fakeHost, id MessageID) *fakeHost {
-		d.sender.Withdrawn(id)
-		d.sender.TurnEnd()
-		return d
+	drop := func(host *fakeHost, id MessageID) *fakeHost {
+		host.sender.Withdrawn(id)
+		host.sender.TurnEnd()
+		return host
 	}
-	play("queued", testSettings(), func(d *fakeHost) {
-		d.sender.Taken(Message{ID: "p", Key: NoKey, Destination: 1, Deadline: 6 * Second})
-		drop(d, "p")
+	play("queued", testSettings(), func(host *fakeHost) {
+		host.sender.Taken(Message{ID: "p", Key: NoKey, Destination: 1, Deadline: 6 * Second})
+		drop(host, "p")
 	})
-	play("in a lane", testSettings(), func(d *fakeHost) {
-		d.accept(0, 1, "p", "q").end(Full, 500*Millisecond, "a", "p", "q").advance(300 * Millisecond)
-		fmt.Println("there:", d.sender.destinations[1].queues[1].Len())
-		drop(drop(d, "p"), "q")
+	play("in a lane", testSettings(), func(host *fakeHost) {
+		host.accept(0, 1, "p", "q").end(Full, 500*Millisecond, "a", "p", "q").advance(300 * Millisecond)
+		fmt.Println("there:", host.sender.destinations[1].queues[1].Len())
+		drop(drop(host, "p"), "q")
 	})
-	play("waiting for a retry", testSettings(), func(d *fakeHost) { drop(d.accept(1, 1, "p").end(Errored, 0, "a", "p"), "p") })
-	play("behind its key's head, and the head while out", orderedSettings(), func(d *fakeHost) {
-		d.acceptKeyed("head", 2, 7, 2).sender.TurnEnd()
-		drop(drop(d.acceptKeyed("next", 2, 7, 2).acceptKeyed("last", 2, 7, 2), "next"), "head")
-		d.advance(50*Millisecond).end(Done, 0, "c", "head").end(Done, 0, "c", "last")
+	play("waiting for a retry", testSettings(), func(host *fakeHost) { drop(host.accept(1, 1, "p").end(Errored, 0, "a", "p"), "p") })
+	play("behind its key's head, and the head while out", orderedSettings(), func(host *fakeHost) {
+		host.acceptKeyed("head", 2, 7, 2).sender.TurnEnd()
+		drop(drop(host.acceptKeyed("next", 2, 7, 2).acceptKeyed("last", 2, 7, 2), "next"), "head")
+		host.advance(50*Millisecond).end(Done, 0, "c", "head").end(Done, 0, "c", "last")
 	})
-	play("the head, queued", orderedSettings(), func(d *fakeHost) {
-		drop(d.acceptKeyed("head", 2, 7, 2).acceptKeyed("next", 2, 7, 2), "head").end(Done, 0, "c", "next")
+	play("the head, queued", orderedSettings(), func(host *fakeHost) {
+		drop(host.acceptKeyed("head", 2, 7, 2).acceptKeyed("next", 2, 7, 2), "head").end(Done, 0, "c", "next")
 	})
-	play("a head that may run", orderedSettings(), func(d *fakeHost) {
-		d.acceptKeyed("head", 3, 7, 2).sender.TurnEnd()
-		drop(d.acceptKeyed("next", 3, 7, 2).end(Reset, 0, "c", "head"), "head").advance(400*Millisecond).end(Done, 0, "c", "next")
+	play("a head that may run", orderedSettings(), func(host *fakeHost) {
+		host.acceptKeyed("head", 3, 7, 2).sender.TurnEnd()
+		drop(host.acceptKeyed("next", 3, 7, 2).end(Reset, 0, "c", "head"), "head").advance(400*Millisecond).end(Done, 0, "c", "next")
 	})
 	for _, end := range []Result{Done, Full, Errored, TimedOut, Moot} {
-		play(fmt.Sprint("out, in a call with another, ended ", end), testSettings(), func(d *fakeHost) {
-			drop(d.accept(0, 2, "p", "q"), "p").end(end, 0, "c", "p")
-			fmt.Println("calls out:", len(d.sender.calls))
-			d.end(Done, 0, "c", "q")
+		play(fmt.Sprint("out, in a call with another, ended ", end), testSettings(), func(host *fakeHost) {
+			drop(host.accept(0, 2, "p", "q"), "p").end(end, 0, "c", "p")
+			fmt.Println("calls out:", len(host.sender.calls))
+			host.end(Done, 0, "c", "q")
 		})
 	}
 	// Output:
@@ -90,15 +90,15 @@
 // or as told.
 func ExampleSender_Void() {
 	for _, l := range []*Learnt{nil, {Mean: 700, Dev: 100, Past: 600, Seen: 9, Limit: 4, Wait: Second}} {
-		d := startSender(testSettings()).accept(0, 1, "p").end(Done, 0, "a", "p")
-		d.sender.endpoints["a"].concurrencyLimit = 8
-		d.accept(0, 1, "q").sender.Ended(Outcome{Message: "q", Endpoint: "a", Result: Full, Wait: 2 * Second, Report: Report{Known: true, Limit: 50}})
-		d.accept(0, 1, "r").sender.destinations[1].route.limiter.rate = 1
-		d.sender.Void("a", l)
-		d.sender.Void("unknown", l)
-		ep, route := d.sender.endpoints["a"], d.sender.destinations[1].route
-		fmt.Println(d.sender.Learnt("a"), "calls at once:", ep.concurrencyLimit, "paced:", route.limiter.rate < unlimitedRate, "rated:", route.rating*d.sender.ratingShare)
-		d.advance(1500 * Millisecond)
+		host := startSender(testSettings()).accept(0, 1, "p").end(Done, 0, "a", "p")
+		host.sender.endpoints["a"].concurrencyLimit = 8
+		host.accept(0, 1, "q").sender.Ended(Outcome{Message: "q", Endpoint: "a", Result: Full, Wait: 2 * Second, Report: Report{Known: true, Limit: 50}})
+		host.accept(0, 1, "r").sender.destinations[1].route.limiter.rate = 1
+		host.sender.Void("a", l)
+		host.sender.Void("unknown", l)
+		ep, route := host.sender.endpoints["a"], host.sender.destinations[1].route
+		fmt.Println(host.sender.Learnt("a"), "calls at once:", ep.concurrencyLimit, "paced:", route.limiter.rate < unlimitedRate, "rated:", route.rating*host.sender.ratingShare)
+		host.advance(1500 * Millisecond)
 	}
 	// Output:
 	// 0.0     dispatch p to a
@@ -119,35 +119,35 @@
 	set := testSettings()
 	set.Probing = false
 	sent := func(void bool) int {
-		d := startSender(set)
-		d.mute = true
-		d.sender.destinations[1].route.rating, d.sender.destinations[1].route.limit = 0, 50
-		d.sender.eject(d.sender.endpoints["a"])
-		d.advance(2 * Second)
+		host := startSender(set)
+		host.mute = true
+		host.sender.destinations[1].route.rating, host.sender.destinations[1].route.limit = 0, 50
+		host.sender.eject(host.sender.endpoints["a"])
+		host.advance(2 * Second)
 		for i := range 200 {
 			if void {
-				d.sender.Void("a", &Learnt{Mean: 100, Dev: 10, Past: 100, Seen: 99, Limit: 1000})
+				host.sender.Void("a", &Learnt{Mean: 100, Dev: 10, Past: 100, Seen: 99, Limit: 1000})
 			}
 			id := MessageID(fmt.Sprint(i))
-			d.accept(0, 1, id).advance(40 * Millisecond)
-			for id, tries := range d.attempts {
-				if msg := d.sender.messages[id]; msg != nil && msg.inFlight != nil && tries > 0 {
-					d.end(Done, 0, "a", id)
+			host.accept(0, 1, id).advance(40 * Millisecond)
+			for id, tries := range host.attempts {
+				if msg := host.sender.messages[id]; msg != nil && msg.inFlight != nil && tries > 0 {
+					host.end(Done, 0, "a", id)
 				}
 			}
 		}
 		all := 0
-		for _, tries := range d.attempts {
+		for _, tries := range host.attempts {
 			all += tries
 		}
 		return all
 	}
 	before, after := sent(false), sent(true)
 	fmt.Println("sent in the return:", before > 10, "more where voided:", after > before)
-	d := startSender(set)
-	d.accept(0, 1, "p").end(Full, 4*Second, "a", "p")
-	d.sender.Void("a", nil)
-	d.accept(0, 1, "q").advance(5 * Second)
+	host := startSender(set)
+	host.accept(0, 1, "p").end(Full, 4*Second, "a", "p")
+	host.sender.Void("a", nil)
+	host.accept(0, 1, "q").advance(5 * Second)
 	// Output:
 	// sent in the return: true more where voided: false
 	// 0.0     dispatch p to a
@@ -156,36 +156,36 @@
 
 // What is held for a destination may be forgotten unless something is under way there.
 func ExampleSender_Holds() {
-	show := func(what string, d *fakeHost, id DestinationID) {
-		calls, pinned := d.sender.Holds(id)
-		fmt.Println(what, calls, pinned)
+	show := func(what string, host *fakeHost, id DestinationID) {
+		calls, inUse := host.sender.Holds(id)
+		fmt.Println(what, calls, inUse)
 	}
-	d := startSender(testSettings())
-	d.mute = true
-	show("unknown:", d, 9)
-	show("new:", d, 2)
-	show("open:", d.accept(0, 2, "p"), 2)
-	show("known:", d.end(Done, 0, "c", "p"), 2)
-	show("to be sent again:", d.accept(0, 2, "q").end(Errored, 0, "c", "q"), 2)
-	d.advance(Second)
-	show("over:", d.end(Done, 0, "c", "q"), 2)
-	show("told to wait:", d.accept(0, 2, "r").end(Full, Second, "c", "r"), 2)
-	d.sender.Withdrawn("r")
-	show("withdrawn, the wait goes on:", d, 2)
-	show("the wait is over:", d.advance(2*Second), 2)
-	d.sender.eject(d.sender.endpoints["c"])
-	show("set aside:", d, 2)
-	d.sender.readmit(d.sender.endpoints["c"], d.clock)
-	show("cold:", d, 2)
-	show("warm:", d.advance(11*Second), 2)
-	d.sender.ListNews([]Entry{{Endpoint: "c", Destination: 2, Kind: 1, Stage: Draining}}, false)
-	show("draining:", d, 2)
-	d = startSender(orderedSettings())
-	d.mute = true
-	d.acceptKeyed("head", 3, 7, 2).sender.TurnEnd()
-	d.end(Reset, 0, "c", "head").sender.Withdrawn("head")
-	show("the key rests:", d, 2)
-	show("rested:", d.advance(Second), 2)
+	host := startSender(testSettings())
+	host.mute = true
+	show("unknown:", host, 9)
+	show("new:", host, 2)
+	show("open:", host.accept(0, 2, "p"), 2)
+	show("known:", host.end(Done, 0, "c", "p"), 2)
+	show("to be sent again:", host.accept(0, 2, "q").end(Errored, 0, "c", "q"), 2)
+	host.advance(Second)
+	show("over:", host.end(Done, 0, "c", "q"), 2)
+	show("told to wait:", host.accept(0, 2, "r").end(Full, Second, "c", "r"), 2)
+	host.sender.Withdrawn("r")
+	show("withdrawn, the wait goes on:", host, 2)
+	show("the wait is over:", host.advance(2*Second), 2)
+	host.sender.eject(host.sender.endpoints["c"])
+	show("set aside:", host, 2)
+	host.sender.readmit(host.sender.endpoints["c"], host.clock)
+	show("cold:", host, 2)
+	show("warm:", host.advance(11*Second), 2)
+	host.sender.ListNews([]Entry{{Endpoint: "c", Destination: 2, Kind: 1, Stage: Draining}}, false)
+	show("draining:", host, 2)
+	host = startSender(orderedSettings())
+	host.mute = true
+	host.acceptKeyed("head", 3, 7, 2).sender.TurnEnd()
+	host.end(Reset, 0, "c", "head").sender.Withdrawn("head")
+	show("the key rests:", host, 2)
+	show("rested:", host.advance(Second), 2)
 	// Output:
 	// unknown: 0 false
 	// new: 0 false
--- a/choice/retries_test.go
+++ b/choice/retries_test.go
@@ -5,12 +5,12 @@
 import "fmt"
 
 // The one slot goes to the fresh tier, newest first, before the retry that was due earlier.
-func ExampleSender_tiers() {
+func ExampleSender_firstAttemptsFirst() {
 	set := testSettings()
 	set.InFlightLimit = 1
-	d := startSender(set).accept(0, 1, "old").end(Errored, 0, "a", "old").accept(2, 2, "holds")
-	d.advance(300*Millisecond).accept(0, 1, "x", "y").end(Done, 0, "c", "holds").end(Done, 0, "a", "y")
-	d.end(Done, 0, "a", "x")
+	host := startSender(set).accept(0, 1, "old").end(Errored, 0, "a", "old").accept(2, 2, "holds")
+	host.advance(300*Millisecond).accept(0, 1, "x", "y").end(Done, 0, "c", "holds").end(Done, 0, "a", "y")
+	host.end(Done, 0, "a", "x")
 	// Output:
 	// 0.0     dispatch old to a
 	// 0.0     dispatch holds to c
@@ -21,15 +21,15 @@
 
 // Retry waits differ by chance, under ceilings that double up to the cap; the first is a quarter second.
 func ExampleSender_jitter() {
-	d := startSender(testSettings())
-	d.mute = true
+	host := startSender(testSettings())
+	host.mute = true
 	for try := 1; try <= 4; try++ {
 		longest, shortest := Time(0), Time(1<<60)
 		for i := range 40 {
 			msg := &message{Message: Message{ID: MessageID(fmt.Sprint(i))}, attempts: try,
-				destination: d.sender.destinations[1]}
+				destination: host.sender.destinations[1]}
 			msg.Deadline = 60 * Second
-			d.sender.scheduleRetry(msg)
+			host.sender.scheduleRetry(msg)
 			longest, shortest = max(longest, msg.retryAt), min(shortest, msg.retryAt)
 		}
 		fmt.Println("try", try, "from", shortest, "to", longest)
@@ -42,11 +42,11 @@
 }
 
 // What was refused drains through a quarter of the slots: two here, the third when one is free.
-func ExampleSender_lane() {
-	d := startSender(testSettings())
-	d.sender.endpoints["a"].concurrencyLimit = 8
-	d.accept(0, 1, "p", "q", "r").end(Full, 0, "a", "p", "q", "r")
-	d.advance(2*Second).end(Done, 0, "a", "p").advance(2 * Second)
+func ExampleSender_rejectedRetries() {
+	host := startSender(testSettings())
+	host.sender.endpoints["a"].concurrencyLimit = 8
+	host.accept(0, 1, "p", "q", "r").end(Full, 0, "a", "p", "q", "r")
+	host.advance(2*Second).end(Done, 0, "a", "p").advance(2 * Second)
 	// Output:
 	// 0.0     dispatch r to a
 	// 0.0     dispatch q to a
@@ -57,10 +57,10 @@
 }
 
 // Single-use: a time-out is final, a refusal is not. Keyed: again only inside the repeat window.
-func ExampleSender_repeatability() {
-	d := startSender(testSettings()).accept(2, 1, "once").end(Full, 0, "a", "once").advance(Second)
-	d.end(TimedOut, 0, "a", "once").accept(1, 2, "token").end(TimedOut, 0, "c", "token").advance(Second)
-	d.advance(2500*Millisecond).end(TimedOut, 0, "c", "token")
+func ExampleSender_repeats() {
+	host := startSender(testSettings()).accept(2, 1, "once").end(Full, 0, "a", "once").advance(Second)
+	host.end(TimedOut, 0, "a", "once").accept(1, 2, "token").end(TimedOut, 0, "c", "token").advance(Second)
+	host.advance(2500*Millisecond).end(TimedOut, 0, "c", "token")
 	// Output:
 	// 0.0     dispatch once to a
 	// 73.8    dispatch once to a
@@ -80,18 +80,18 @@
 
 // In a large fleet two failures with nothing answered lately ejected all endpoints of the route, and each
 // refusal halves the pace before it: many senders that try in turn, or again and again, are a storm.
-func ExampleSender_storm() {
+func ExampleSender_retryStorm() {
 	set := testSettings()
 	set.Senders = 50
-	d := startSender(set).advance(3 * Second)
-	d.sender.ListNews([]Entry{{Endpoint: "b", Destination: 1}, {Endpoint: "b2", Destination: 1}}, false)
-	d.advance(50*Millisecond).accept(0, 1, "p").end(ConnectFailed, 0, "a", "p").advance(300 * Millisecond)
-	d.end(ConnectFailed, 0, "b", "p")
-	fmt.Println("aside:", d.sender.endpoints["a"].ejected, d.sender.endpoints["b"].ejected, d.sender.endpoints["b2"].ejected)
-	d.accept(0, 2, "q")
+	host := startSender(set).advance(3 * Second)
+	host.sender.ListNews([]Entry{{Endpoint: "b", Destination: 1}, {Endpoint: "b2", Destination: 1}}, false)
+	host.advance(50*Millisecond).accept(0, 1, "p").end(ConnectFailed, 0, "a", "p").advance(300 * Millisecond)
+	host.end(ConnectFailed, 0, "b", "p")
+	fmt.Println("aside:", host.sender.endpoints["a"].ejected, host.sender.endpoints["b"].ejected, host.sender.endpoints["b2"].ejected)
+	host.accept(0, 2, "q")
 	for range 2 {
-		d.end(Full, 0, "c", "q").advance(4 * Second)
-		fmt.Printf("pace: %.3f\n", d.sender.destinations[2].route.limiter.rate)
+		host.end(Full, 0, "c", "q").advance(4 * Second)
+		fmt.Printf("pace: %.3f\n", host.sender.destinations[2].route.limiter.rate)
 	}
 	// Output:
 	// 3050.0  dispatch p to a
@@ -106,13 +106,13 @@
 
 // A return counts from midway between the last failure seen and the first answer: in a large fleet the two lie
 // far apart, and counting from the answer would starve what has long been back.
-func ExampleSender_midway() {
+func ExampleSender_slowStartFromMidway() {
 	set := testSettings()
 	set.Senders = 50
-	d := startSender(set).advance(3*Second).accept(1, 1, "p").end(Errored, 0, "a", "p").advance(Second)
-	d.sender.endpoints["a"].slowStart.tokens = 1
-	d.accept(0, 1, "q").end(Done, 0, "a", "q")
-	fmt.Println("cold from:", d.sender.endpoints["a"].slowStartAt)
+	host := startSender(set).advance(3*Second).accept(1, 1, "p").end(Errored, 0, "a", "p").advance(Second)
+	host.sender.endpoints["a"].slowStart.tokens = 1
+	host.accept(0, 1, "q").end(Done, 0, "a", "q")
+	fmt.Println("cold from:", host.sender.endpoints["a"].slowStartAt)
 	// Output:
 	// 3000.0  dispatch p to a
 	// 4000.0  dispatch q to a
@@ -121,11 +121,11 @@
 
 // Where a call stays without an answer while others have theirs, single-use messages wait until some more are done;
 // those that may be repeated find that out.
-func ExampleSender_doubt() {
-	d := startSender(testSettings()).accept(0, 1, "lost").advance(Millisecond).accept(0, 1, "p").end(Done, 0, "a", "p").advance(2 * Second)
-	d.accept(2, 1, "single")
+func ExampleSender_nonIdempotentAfterUnanswered() {
+	host := startSender(testSettings()).accept(0, 1, "lost").advance(Millisecond).accept(0, 1, "p").end(Done, 0, "a", "p").advance(2 * Second)
+	host.accept(2, 1, "single")
 	for _, id := range []MessageID{"1", "2", "3", "4", "5", "6"} {
-		d.advance(10*Millisecond).accept(0, 1, id).end(Done, 0, "a", id)
+		host.advance(10*Millisecond).accept(0, 1, id).end(Done, 0, "a", id)
 	}
 	// Output:
 	// 0.0     dispatch lost to a
@@ -141,22 +141,22 @@
 
 // A call that its message's deadline cut short tells nothing of the endpoint: a single-use message still goes there at
 // once. Nor does a message that the host ended alone, while the others of its call are still waited for.
-func ExampleSender_cutShort() {
+func ExampleSender_cutShortByDeadline() {
 	for _, left := range []Time{100 * Millisecond, 5 * Second} {
-		d := startSender(testSettings())
-		d.accept(0, 1, "first").end(Done, 0, "a", "first")
-		d.sender.endpoints["a"].mean = float64(20 * Millisecond)
-		d.sender.Taken(Message{ID: "late", Key: NoKey, Destination: 1, Deadline: d.clock + left})
-		d.accept(0, 1, "other").end(Done, 0, "a", "other")
-		d.clock += 1 // answered since
-		d.accept(0, 1, "another").end(Done, 0, "a", "another")
-		d.clock += min(left, 2*Second) - 6*Millisecond
-		d.end(TimedOut, 0, "a", "late").accept(2, 1, "order")
+		host := startSender(testSettings())
+		host.accept(0, 1, "first").end(Done, 0, "a", "first")
+		host.sender.endpoints["a"].mean = float64(20 * Millisecond)
+		host.sender.Taken(Message{ID: "late", Key: NoKey, Destination: 1, Deadline: host.clock + left})
+		host.accept(0, 1, "other").end(Done, 0, "a", "other")
+		host.clock += 1 // answered since
+		host.accept(0, 1, "another").end(Done, 0, "a", "another")
+		host.clock += min(left, 2*Second) - 6*Millisecond
+		host.end(TimedOut, 0, "a", "late").accept(2, 1, "order")
 	}
-	d := startSender(testSettings())
-	d.accept(0, 2, "p", "q")
-	d.sender.Ended(Outcome{Message: "p", Endpoint: "c", Result: Cancelled})
-	fmt.Println("calls out:", len(d.sender.calls), "judged:", d.sender.calls[0].judged)
+	host := startSender(testSettings())
+	host.accept(0, 2, "p", "q")
+	host.sender.Ended(Outcome{Message: "p", Endpoint: "c", Result: Cancelled})
+	fmt.Println("calls out:", len(host.sender.calls), "judged:", host.sender.calls[0].judged)
 	// Output:
 	// 0.0     dispatch first to a
 	// 0.0     dispatch other to a
--- a/choice/returns_test.go
+++ b/choice/returns_test.go
@@ -18,7 +18,7 @@
 // more than a thousand returns: however many they are, whoever has how much to send, and also where all hear of
 // replaced endpoints at one moment. Windows of which a third came from senders that had no way to know are counted,
 // and only told: restarted ones, and those that had nothing to send there in the outage.
-func TestReturnsOfFleets(t *testing.T) {
+func TestSlowStartOfFleets(t *testing.T) {
 	kinds := []struct {
 		name string
 		set  func(p *outagePlan)
@@ -40,11 +40,11 @@
 					p.seed = uint64(i + 1)
 					kind.set(&p)
 					back, _ := p.run()
-					for _, at := range back {
-						returns, most, worst = returns+1, max(most, at.excess), max(worst, at.awareExcess)
-						over, blamed = over+countIf(at.excess > 0), blamed+countIf(at.awareExcess > 0)
-						if at.awareExcess > 0 {
-							t.Errorf("%s, %v a second, seed %d: %.1f calls too many at %s", kind.name, capacity, p.seed, at.awareExcess, at.id)
+					for _, ep := range back {
+						returns, most, worst = returns+1, max(most, ep.excess), max(worst, ep.awareExcess)
+						over, blamed = over+countIf(ep.excess > 0), blamed+countIf(ep.awareExcess > 0)
+						if ep.awareExcess > 0 {
+							t.Errorf("%s, %v a second, seed %d: %.1f calls too many at %s", kind.name, capacity, p.seed, ep.awareExcess, ep.id)
 						}
 					}
 				}
@@ -56,7 +56,7 @@
 
 // Settings of others, also absent or extreme: the budget stays a number, nothing spins, what came back is called again,
 // and a fleet is not let through at once, unless that is what it is told.
-func TestReturnsUnderOddSettings(t *testing.T) {
+func TestSlowStartUnderExtremeSettings(t *testing.T) {
 	classes := func(p *outagePlan, n int, r Repeat) {
 		w := p.set.Classes[0]
 		w.Repeat = r
@@ -98,8 +98,8 @@
 				}
 				back, f := p.run()
 				calls, rush := 0, 0
-				for _, at := range back {
-					calls, rush = calls+at.calls, max(rush, at.firstSecond)
+				for _, ep := range back {
+					calls, rush = calls+ep.calls, max(rush, ep.firstSecond)
 				}
 				if extreme := strings.HasPrefix(name, "extreme"); senders > smallFleetSize && rush > senders/2 && !extreme {
 					t.Errorf("%d of %d senders call in the first second", rush, senders)
@@ -124,7 +124,7 @@
 
 // What n the settings allow bounds the mean of all: never beyond it by more than a fifth, never by a deviation less than
 // asked for, and where few senders cannot get there with all buckets full, by as much.
-func TestColdMean(t *testing.T) {
+func TestSlowStartMean(t *testing.T) {
 	for _, senders := range []float64{1, 2, 8, 9, 30, 300, 1e5} {
 		s := &Sender{fleetSize: senders, overloadWindow: 1.5}
 		last := 0.0
@@ -144,24 +144,24 @@
 
 // A destination that shuts while it is cold opens to a fleet at one moment. What each may send to those of its endpoints
 // that it did not ask has piled up until then, and must not leave at once.
-func TestOpensCold(t *testing.T) {
+func TestReopensInSlowStart(t *testing.T) {
 	p := largeFleetPlan(80, 10)
 	p.set.Senders, p.set.Probing = p.senders, false
 	at := map[EndpointID]int{}
 	for i := range p.senders {
-		d := &fakeHost{attempts: map[MessageID]int{}, mute: true}
-		d.sender = Start(d, SenderID(fmt.Sprint(i)), 7, p.set)
-		d.sender.ListNews([]Entry{{Endpoint: "a", Destination: 1, Rating: 20}, {Endpoint: "b", Destination: 1, Rating: 20}}, true)
-		d.clock = 20 * Second
+		host := &fakeHost{attempts: map[MessageID]int{}, mute: true}
+		host.sender = Start(host, SenderID(fmt.Sprint(i)), 7, p.set)
+		host.sender.ListNews([]Entry{{Endpoint: "a", Destination: 1, Rating: 20}, {Endpoint: "b", Destination: 1, Rating: 20}}, true)
+		host.clock = 20 * Second
 		for _, id := range []EndpointID{"a", "b"} {
-			ep := d.sender.endpoints[id]
-			d.sender.now = d.clock
-			d.sender.eject(ep)
-			d.sender.readmit(ep, d.clock)
+			ep := host.sender.endpoints[id]
+			host.sender.now = host.clock
+			host.sender.eject(ep)
+			host.sender.readmit(ep, host.clock)
 			ep.slowStart.tokens = 1 // it had nothing to send for long
 		}
-		d.accept(0, 1, "first").end(Full, 4*Second, "a", "first").accept(0, 1, "p", "q", "r").advance(5 * Second)
-		for id, ep := range d.sender.endpoints {
+		host.accept(0, 1, "first").end(Full, 4*Second, "a", "first").accept(0, 1, "p", "q", "r").advance(5 * Second)
+		for id, ep := range host.sender.endpoints {
 			at[id] += ep.inFlight
 		}
 	}
--- a/choice/waits_test.go
+++ b/choice/waits_test.go
@@ -5,9 +5,9 @@
 import "fmt"
 
 // A told wait stops first sends too; another destination goes on.
-func ExampleSender_wait() {
-	d := startSender(testSettings()).accept(0, 1, "p").end(Full, 900*Millisecond, "a", "p")
-	d.accept(0, 1, "q").accept(0, 2, "other").advance(1200 * Millisecond)
+func ExampleSender_retryAfter() {
+	host := startSender(testSettings()).accept(0, 1, "p").end(Full, 900*Millisecond, "a", "p")
+	host.accept(0, 1, "q").accept(0, 2, "other").advance(1200 * Millisecond)
 	// Output:
 	// 0.0     dispatch p to a
 	// 0.0     dispatch other to c
@@ -16,9 +16,9 @@
 }
 
 // The messages of one call may be told waits at different times; the last one counts.
-func ExampleSender_waitOfBundle() {
-	d := startSender(testSettings()).accept(0, 2, "p", "q").end(Full, 500*Millisecond, "c", "p")
-	d.advance(100*Millisecond).end(Full, 500*Millisecond, "c", "q").accept(0, 2, "r").advance(700 * Millisecond)
+func ExampleSender_retryAfterOfBulkCall() {
+	host := startSender(testSettings()).accept(0, 2, "p", "q").end(Full, 500*Millisecond, "c", "p")
+	host.advance(100*Millisecond).end(Full, 500*Millisecond, "c", "q").accept(0, 2, "r").advance(700 * Millisecond)
 	// Output:
 	// 0.0     dispatch q to c
 	// 0.0     dispatch p to c
@@ -29,11 +29,11 @@
 
 // A long told wait is that of a shut destination: once it opens, what was held goes out bit by bit, also
 // to endpoints that were not asked, and although a call from before was answered meanwhile.
-func ExampleSender_longWait() {
-	d := startSender(testSettings())
-	d.sender.ListNews([]Entry{{Endpoint: "b", Destination: 1, Rating: 10}}, false)
-	d.accept(0, 1, "p", "q", "r").end(Full, 3*Second, "a", "p").end(Done, 0, "a", "q").accept(2, 1, "s", "t", "u", "v")
-	d.advance(6 * Second)
+func ExampleSender_longRetryAfter() {
+	host := startSender(testSettings())
+	host.sender.ListNews([]Entry{{Endpoint: "b", Destination: 1, Rating: 10}}, false)
+	host.accept(0, 1, "p", "q", "r").end(Full, 3*Second, "a", "p").end(Done, 0, "a", "q").accept(2, 1, "s", "t", "u", "v")
+	host.advance(6 * Second)
 	// Output:
 	// 0.0     dispatch r to a
 	// 0.0     dispatch q to a
@@ -47,10 +47,10 @@
 }
 
 // Refusals that tell no wait, with nothing done for two seconds, halt the route for a guess that doubles.
-func ExampleSender_untoldWait() {
-	d := startSender(testSettings()).advance(2100*Millisecond).accept(0, 1, "p", "q").end(Full, 0, "a", "p", "q")
-	d.advance(900*Millisecond).end(Full, 0, "a", "p", "q").advance(2 * Second)
-	fmt.Println("guess:", d.sender.destinations[1].route.guessedWait)
+func ExampleSender_guessedWait() {
+	host := startSender(testSettings()).advance(2100*Millisecond).accept(0, 1, "p", "q").end(Full, 0, "a", "p", "q")
+	host.advance(900*Millisecond).end(Full, 0, "a", "p", "q").advance(2 * Second)
+	fmt.Println("guess:", host.sender.destinations[1].route.guessedWait)
 	// Output:
 	// 2100.0  dispatch q to a
 	// 2100.0  dispatch p to a
@@ -60,12 +60,12 @@
 
 // A refusal with the allowance used up is a limit: the endpoint stays in use, at a slower pace.
 func ExampleSender_limit() {
-	d := startSender(testSettings()).accept(0, 1, "p", "q").advance(3 * Second)
+	host := startSender(testSettings()).accept(0, 1, "p", "q").advance(3 * Second)
 	for _, id := range []MessageID{"p", "q"} {
-		d.sender.Ended(Outcome{Message: id, Endpoint: "a", Result: Full, Report: Report{true, 0.1, 4}})
+		host.sender.Ended(Outcome{Message: id, Endpoint: "a", Result: Full, Report: Report{true, 0.1, 4}})
 	}
-	fmt.Println("aside:", d.sender.endpoints["a"].ejected, "pace:", d.sender.endpoints["a"].route.limiter.rate)
-	d.advance(Second)
+	fmt.Println("aside:", host.sender.endpoints["a"].ejected, "pace:", host.sender.endpoints["a"].route.limiter.rate)
+	host.advance(Second)
 	// Output:
 	// 0.0     dispatch q to a
 	// 0.0     dispatch p to a
@@ -81,18 +81,18 @@
 func ExampleSender_limitUsedUp() {
 	set := testSettings()
 	set.Senders, set.Probing = 80, false
-	d := startSender(set)
-	d.mute = true
-	d.accept(0, 1, "first").end(Done, 0, "a", "first")
+	host := startSender(set)
+	host.mute = true
+	host.accept(0, 1, "first").end(Done, 0, "a", "first")
 	tell := func(id MessageID, result Result, left float64) {
-		d.advance(1100*Millisecond).accept(0, 1, id).sender.Ended(Outcome{Message: id, Attempt: d.attempts[id] - 1, Endpoint: "a", Result: result,
+		host.advance(1100*Millisecond).accept(0, 1, id).sender.Ended(Outcome{Message: id, Attempt: host.attempts[id] - 1, Endpoint: "a", Result: result,
 			Final: result == Done, Report: Report{Known: true, Left: left, Limit: 80}})
-		fmt.Printf("%v, %.1f left: pace %.2f\n", [...]string{"done", "", "refused"}[result], left, d.sender.destinations[1].route.limiter.rate)
+		fmt.Printf("%v, %.1f left: pace %.2f\n", [...]string{"done", "", "refused"}[result], left, host.sender.destinations[1].route.limiter.rate)
 	}
 	for i, id := range []MessageID{"p", "q", "r", "s", "t"} {
-		d.sender.destinations[1].route.limiter.tokens = 1 // else it waits for its turn at that pace
+		host.sender.destinations[1].route.limiter.tokens = 1 // else it waits for its turn at that pace
 		tell(id, [...]Result{Full, Full, Full, Done, Done}[i], [...]float64{0, 0, 0, 0.1, 0.5}[i])
-		d.sender.Withdrawn(id)
+		host.sender.Withdrawn(id)
 	}
 	// Output:
 	// refused, 0.0 left: pace 1.00
