--- a/choice/backlog_test.go
+++ b/choice/backlog_test.go
@@ -11,10 +11,10 @@
 	host.advance(2*Second).end(Done, 0, "c", "third")
 	fmt.Println(len(host.sender.keyQueues), "keys")
 	// Output:
-	// 0.0     dispatch first to c
-	// 0.0     dispatch second to c
-	// 222.1   dispatch second to c
-	// 1100.0  dispatch third to c
+	// 0.0     attempt first to c
+	// 0.0     attempt second to c
+	// 222.1   attempt second to c
+	// 1100.0  attempt third to c
 	// 0 keys
 }
 
@@ -29,7 +29,7 @@
 	host.advance(7 * Second)
 	fmt.Println(len(host.sender.messages), "held", len(host.sender.timers.pending), "timers", len(host.sender.calls), "calls")
 	// Output:
-	// 0.0     dispatch p to a
+	// 0.0     attempt p to a
 	// 0 held 0 timers 0 calls
 }
 
@@ -40,16 +40,16 @@
 	a := host.sender.endpoints["a"]
 	a.destination.kind.reportsLimits, a.concurrencyLimit = true, 4
 	host.accept(0, 1, "p", "q", "r", "s").advance(200*Millisecond).end(Done, 0, "a", "s").end(Full, 0, "a", "p", "q")
-	fmt.Println("limit:", a.concurrencyLimit, "pace:", a.route.limiter.rate > 1000, "aside:", a.ejected)
+	fmt.Println("limit:", a.concurrencyLimit, "pace:", a.route.limiter.rate > 1000, "ejected:", a.ejected)
 	host.end(Done, 0, "a", "r").accept(0, 1, "t", "u").advance(100 * Millisecond)
 	// Output:
-	// 0.0     dispatch s to a
-	// 0.0     dispatch r to a
-	// 0.0     dispatch q to a
-	// 0.0     dispatch p to a
-	// limit: 1 pace: true aside: false
-	// 200.0   dispatch u to a
-	// 200.0   dispatch t to a
+	// 0.0     attempt s to a
+	// 0.0     attempt r to a
+	// 0.0     attempt q to a
+	// 0.0     attempt p to a
+	// limit: 1 pace: true ejected: false
+	// 200.0   attempt u to a
+	// 200.0   attempt t to a
 }
 
 // A message turned away gives its key's turn to the one just being taken, which must not stand in its queue twice: it
@@ -95,8 +95,8 @@
 		host.accept(0, 1, "p").accept(0, 1, "q", "r").advance(100*Millisecond).end(Done, 0, "a", "p")
 	}
 	// Output:
-	// 0.0     dispatch p to a
+	// 0.0     attempt p to a
 	// 100.0   close a
-	// 0.0     dispatch p to a
-	// 100.0   dispatch r to a
+	// 0.0     attempt p to a
+	// 100.0   attempt r to a
 }
--- a/choice/configure_test.go
+++ b/choice/configure_test.go
@@ -170,8 +170,8 @@
 				if left := len(host.sender.messages) + len(host.sender.calls) + len(host.sender.timers.pending) + len(host.sender.keyQueues) + len(host.sender.withQueued); left > 0 {
 					t.Errorf("%d left behind", left)
 				}
-				if dispatched := strings.Count(strings.Join(host.trace, "\n"), "dispatch"); dispatched < 100 {
-					t.Errorf("%d dispatches", dispatched)
+				if dispatched := strings.Count(strings.Join(host.trace, "\n"), "attempt"); dispatched < 100 {
+					t.Errorf("%d attempts", dispatched)
 				}
 			})
 		}
@@ -201,7 +201,7 @@
 	}
 	before := state()
 	if !slices.ContainsFunc(before, func(k known) bool { return k.ejected }) {
-		t.Fatal("nothing is set aside")
+		t.Fatal("nothing is ejected")
 	}
 	host.sender.Configure(withChange(host.sender.settings, func(s *Settings) {
 		for _, row := range settingsChanges {
@@ -243,18 +243,18 @@
 		host.end(Done, 0, "c", "q")
 	}
 	// Output:
-	// 0.0     dispatch p to a
-	// 0.0     dispatch q to c
-	// 2000.0  give up p
-	// 0.0     dispatch p to a
-	// 0.0     dispatch q to c
-	// 2000.0  give up p
-	// 0.0     dispatch p to a
-	// 0.0     dispatch q to c
-	// 2000.0  give up p
-	// 0.0     dispatch p to a
-	// 0.0     dispatch q to c
-	// 2000.0  dispatch p to a
+	// 0.0     attempt p to a
+	// 0.0     attempt q to c
+	// 2000.0  fail p
+	// 0.0     attempt p to a
+	// 0.0     attempt q to c
+	// 2000.0  fail p
+	// 0.0     attempt p to a
+	// 0.0     attempt q to c
+	// 2000.0  fail p
+	// 0.0     attempt p to a
+	// 0.0     attempt q to c
+	// 2000.0  attempt p to a
 }
 
 // New fees rank endpoints anew within a tick, also where nothing else happens.
@@ -270,6 +270,6 @@
 	host.sender.Configure(withChange(set, func(s *Settings) { s.RouteFees = []float64{0.05, 0} }))
 	host.advance(tickInterval).accept(0, 3, "q")
 	// Output:
-	// 1000.0  dispatch p to near
-	// 2050.0  dispatch q to far
+	// 1000.0  attempt p to near
+	// 2050.0  attempt q to far
 }
--- a/choice/connections_test.go
+++ b/choice/connections_test.go
@@ -13,11 +13,11 @@
 	host.end(Done, 0, "c", "r")
 	fmt.Println(len(host.sender.calls), "slot")
 	// Output:
-	// 0.0     dispatch t to c
-	// 0.0     dispatch s to c
-	// 0.0     dispatch r to c
-	// 0.0     dispatch q to c
-	// 0.0     dispatch p to c
+	// 0.0     attempt t to c
+	// 0.0     attempt s to c
+	// 0.0     attempt r to c
+	// 0.0     attempt q to c
+	// 0.0     attempt p to c
 	// 2 slots
 	// 1 slots
 	// 1 slot
@@ -36,10 +36,10 @@
 	host.sender.endpoints["a"].zone = 1
 	host.accept(0, 1, "s").end(Done, 0, "a", "s")
 	// Output:
-	// 0.0     dispatch p to a
-	// 1000.0  dispatch r to a
+	// 0.0     attempt p to a
+	// 1000.0  attempt r to a
 	// 1000.0  close a
-	// 1000.0  dispatch s to a
+	// 1000.0  attempt s to a
 	// 1000.0  close a
 }
 
@@ -52,15 +52,15 @@
 		host.accept(2, 1, id)
 		host.sender.Ended(Outcome{Message: id, Endpoint: "a", Result: Reset, Kept: true})
 	}
-	fmt.Println("aside:", host.sender.endpoints["a"].ejected)
+	fmt.Println("ejected:", host.sender.endpoints["a"].ejected)
 	// Output:
-	// 0.0     dispatch o to a
-	// 0.0     dispatch p to a
-	// 0.0     give up p
+	// 0.0     attempt o to a
+	// 0.0     attempt p to a
+	// 0.0     fail p
 	// 0.0     close a
-	// 0.0     dispatch q to a
-	// 0.0     give up q
-	// aside: false
+	// 0.0     attempt q to a
+	// 0.0     fail q
+	// ejected: false
 }
 
 // A new link that is refused and ended found no place: what idles at others of the kind is closed, and the pace
@@ -81,22 +81,22 @@
 		fmt.Println("pace cut:", host.sender.destinations[1].route.limiter.rate < 100)
 	}
 	// Output:
-	// 0.0     dispatch first to a
-	// 0.0     dispatch other to d
-	// 2000.0  dispatch p to a
+	// 0.0     attempt first to a
+	// 0.0     attempt other to d
+	// 2000.0  attempt p to a
 	// 2000.0  close d
 	// 2000.0  close a
-	// 4000.0  dispatch q to a
+	// 4000.0  attempt q to a
 	// 4000.0  close d
 	// 4000.0  close a
-	// 6000.0  dispatch r to a
+	// 6000.0  attempt r to a
 	// 6000.0  close d
 	// 6000.0  close a
 	// pace cut: false
-	// 0.0     dispatch first to a
-	// 0.0     dispatch other to d
-	// 2000.0  dispatch p to a
-	// 4000.0  dispatch q to a
+	// 0.0     attempt first to a
+	// 0.0     attempt other to d
+	// 2000.0  attempt p to a
+	// 4000.0  attempt q to a
 	// pace cut: true
 }
 
@@ -109,10 +109,10 @@
 	host.accept(0, 1, "p").sender.Ended(Outcome{Message: "p", Endpoint: "a", Result: Full, Closed: true, Wait: 2 * Second})
 	host.advance(Second).accept(0, 1, "q").advance(2 * Second)
 	// Output:
-	// 0.0     dispatch first to a
-	// 0.0     dispatch p to a
-	// 2200.0  dispatch q to a
-	// 2200.0  dispatch p to a
+	// 0.0     attempt first to a
+	// 0.0     attempt p to a
+	// 2200.0  attempt q to a
+	// 2200.0  attempt p to a
 }
 
 // A connection may take longer to come up than a destination knows a token: the repeat must not leave then.
@@ -142,7 +142,7 @@
 	host.sender.ListNews([]Entry{{Endpoint: "a", Destination: 1, Stage: Draining}}, false)
 	fmt.Println(host.sender.Open("a"))
 	// Output:
-	// 0.0     dispatch one to a
+	// 0.0     attempt one to a
 	// true false false
 	// false
 	// true
--- a/choice/earlier_test.go
+++ b/choice/earlier_test.go
@@ -35,5 +35,5 @@
 	}
 	// Output:
 	// 0.0     shed old
-	// 0.0     dispatch old to a
+	// 0.0     attempt old to a
 }
--- a/choice/endpoints_test.go
+++ b/choice/endpoints_test.go
@@ -10,11 +10,11 @@
 	host.sender.ListNews([]Entry{{Endpoint: "a", Destination: 1, Stage: Draining}, {Endpoint: "b", Destination: 1}}, false)
 	host.advance(Second)
 	// Output:
-	// 0.0     dispatch p to a
-	// 86.4    dispatch p to b
+	// 0.0     attempt p to a
+	// 86.4    attempt p to b
 }
 
-// Two failures set an endpoint aside. A probe shows that the process runs, one trial call that calls are
+// Two failures set an endpoint wasEjected. A probe shows that the process runs, one trial call that calls are
 // answered: a shut destination answers probes. Then a budget that grows bounds all sends while it warms.
 func ExampleSender_readmission() {
 	host := startSender(testSettings()).accept(0, 1, "p", "q").end(Errored, 0, "a", "p", "q").advance(600 * Millisecond)
@@ -23,30 +23,30 @@
 	host.sender.Probed("a", Done)
 	host.advance(4 * Second)
 	// Output:
-	// 0.0     dispatch q to a
-	// 0.0     dispatch p to a
+	// 0.0     attempt q to a
+	// 0.0     attempt p to a
 	// 250.0   probe a
-	// 650.0   dispatch p to a
+	// 650.0   attempt p to a
 	// 1350.0  probe a
-	// 5490.1  give up p
-	// 5490.1  give up q
-	// 8650.0  dispatch u to a
+	// 5490.1  fail p
+	// 5490.1  fail q
+	// 8650.0  attempt u to a
 	// 9090.1  shed r
 	// 9090.1  shed s
 	// 9090.1  shed t
 }
 
-// Calls gone unanswered shrink what an endpoint may hold, then set it aside; others go on.
+// Calls gone unanswered shrink what an endpoint may hold, then set it wasEjected; others go on.
 func ExampleSender_unanswered() {
 	host := startSender(testSettings()).accept(2, 1, "p", "q", "r").accept(2, 2, "other").end(Done, 0, "c", "other")
 	host.advance(2500*Millisecond).accept(2, 2, "more")
-	fmt.Println("aside:", host.sender.endpoints["a"].ejected, "calls out:", host.sender.endpoints["a"].inFlight)
+	fmt.Println("ejected:", host.sender.endpoints["a"].ejected, "calls out:", host.sender.endpoints["a"].inFlight)
 	// Output:
-	// 0.0     dispatch r to a
-	// 0.0     dispatch q to a
-	// 0.0     dispatch other to c
-	// 2500.0  dispatch more to c
-	// aside: true calls out: 2
+	// 0.0     attempt r to a
+	// 0.0     attempt q to a
+	// 0.0     attempt other to c
+	// 2500.0  attempt more to c
+	// ejected: true calls out: 2
 }
 
 // Where probes are forbidden a single attempt tries the endpoint.
@@ -56,11 +56,11 @@
 	host := startSender(set).accept(2, 1, "p", "q").end(Errored, 0, "a", "p", "q").accept(2, 1, "once").advance(300 * Millisecond)
 	host.accept(0, 1, "again").advance(4 * Second)
 	// Output:
-	// 0.0     dispatch q to a
-	// 0.0     dispatch p to a
-	// 0.0     give up p
-	// 0.0     give up q
-	// 300.0   dispatch again to a
+	// 0.0     attempt q to a
+	// 0.0     attempt p to a
+	// 0.0     fail p
+	// 0.0     fail q
+	// 300.0   attempt again to a
 }
 
 // An endpoint of another zone not seen yet ranks behind one of the own zone.
@@ -69,7 +69,7 @@
 	host.sender.ListNews([]Entry{{Endpoint: "far", Destination: 1, Zone: 1}, {Endpoint: "near", Destination: 1}}, true)
 	host.advance(50*Millisecond).accept(0, 1, "p")
 	// Output:
-	// 50.0    dispatch p to near
+	// 50.0    attempt p to near
 }
 
 // Where full tables are answered, connections that fail show an outage and nothing else: the healthy endpoint's
@@ -90,8 +90,8 @@
 		host.accept(0, 3, "well").end(Done, 0, "d", "well")
 	}
 	// Output:
-	// 8000.0  dispatch well to d
-	// 8000.0  dispatch well to d
+	// 8000.0  attempt well to d
+	// 8000.0  attempt well to d
 	// 8000.0  close d
 }
 
@@ -149,35 +149,35 @@
 		host.mute = true
 		a := host.sender.endpoints["a"]
 		host.accept(0, 1, "p").end(Done, 0, "a", "p").accept(2, 1, "q", "r").end(Reset, 0, "a", "q", "r")
-		aside := a.ejected
+		wasEjected := a.ejected
 		host.advance(pause)
 		host.sender.readmit(a, host.clock)
-		fmt.Println(aside, a.ejected, "cold:", host.clock < a.slowStartAt+host.sender.settings.Cold)
+		fmt.Println(wasEjected, a.ejected, "slow start:", host.clock < a.slowStartAt+host.sender.settings.Cold)
 	}
 	// Output:
-	// true false cold: false
-	// true false cold: true
+	// true false slow start: false
+	// true false slow start: true
 }
 
-// Spoilt answers do not set an endpoint aside that has just answered others: it has run them.
+// Spoilt answers do not set an endpoint wasEjected that has just answered others: it has run them.
 func ExampleSender_unreadableAnswers() {
 	host := startSender(testSettings()).accept(0, 1, "p").end(Done, 0, "a", "p")
 	for _, id := range []MessageID{"q", "r"} {
 		host.accept(2, 1, id).end(Spoilt, 0, "a", id)
 	}
-	fmt.Println("aside:", host.sender.endpoints["a"].ejected)
+	fmt.Println("ejected:", host.sender.endpoints["a"].ejected)
 	host.advance(recentSuccessSpan+tickInterval).accept(2, 1, "s").end(Spoilt, 0, "a", "s")
-	fmt.Println("aside:", host.sender.endpoints["a"].ejected)
+	fmt.Println("ejected:", host.sender.endpoints["a"].ejected)
 	// Output:
-	// 0.0     dispatch p to a
-	// 0.0     dispatch q to a
-	// 0.0     give up q
-	// 0.0     dispatch r to a
-	// 0.0     give up r
-	// aside: false
-	// 2050.0  dispatch s to a
-	// 2050.0  give up s
-	// aside: true
+	// 0.0     attempt p to a
+	// 0.0     attempt q to a
+	// 0.0     fail q
+	// 0.0     attempt r to a
+	// 0.0     fail r
+	// ejected: false
+	// 2050.0  attempt s to a
+	// 2050.0  fail s
+	// ejected: true
 }
 
 // One failure is enough where nothing was answered lately, and what may be sent once a told wait is over
@@ -186,14 +186,14 @@
 	set := testSettings()
 	set.Senders = 50
 	host := startSender(set).advance(3*Second).accept(1, 1, "p").end(Errored, 0, "a", "p")
-	fmt.Println("aside:", host.sender.endpoints["a"].ejected)
+	fmt.Println("ejected:", host.sender.endpoints["a"].ejected)
 	host.accept(1, 2, "q").end(Full, 5*Second, "c", "q").advance(5 * Second)
 	fmt.Printf("budget once open: %.2f, from %d\n", host.sender.endpoints["c"].slowStart.tokens, host.sender.endpoints["c"].slowStart.updatedAt)
 	// Output:
-	// 3000.0  dispatch p to a
-	// aside: true
-	// 3000.0  dispatch q to c
-	// 5995.1  give up p
+	// 3000.0  attempt p to a
+	// ejected: true
+	// 3000.0  attempt q to c
+	// 5995.1  fail p
 	// budget once open: 0.72, from 81046
 }
 
@@ -206,8 +206,8 @@
 	// Output:
 	// 0.0     shed p
 	// 0.0     shed q
-	// 0.0     dispatch too to c
-	// 0.0     dispatch healthy to c
+	// 0.0     attempt too to c
+	// 0.0     attempt healthy to c
 	// 5 held
 }
 
@@ -224,10 +224,10 @@
 	host.sender.TurnEnd()
 	host.end(Done, 0, "a", "replayable", "tokened").advance(Second).end(Done, 0, "a", "in order")
 	// Output:
-	// 0.0     give up single-use
-	// 0.0     give up out of its window
-	// 0.0     dispatch tokened to a
-	// 0.0     dispatch replayable to a
-	// 1000.0  dispatch in order to a
-	// 1000.0  dispatch next of its key to a
+	// 0.0     fail single-use
+	// 0.0     fail out of its window
+	// 0.0     attempt tokened to a
+	// 0.0     attempt replayable to a
+	// 1000.0  attempt in order to a
+	// 1000.0  attempt next of its key to a
 }
--- a/choice/fakehost_test.go
+++ b/choice/fakehost_test.go
@@ -92,12 +92,12 @@
 }
 func (h *fakeHost) Attempt(n MessageID, to EndpointID, timeOut Time) {
 	h.attempts[n]++
-	h.printf("dispatch %s to %s", n, to)
+	h.printf("attempt %s to %s", n, to)
 }
 func (h *fakeHost) Shed(n MessageID, in Time) { h.printf("shed %s", n) }
-func (h *fakeHost) Fail(n MessageID)          { h.printf("give up %s", n) }
+func (h *fakeHost) Fail(n MessageID)          { h.printf("fail %s", n) }
 func (h *fakeHost) Probe(e EndpointID)        { h.printf("probe %s", e) }
-func (h *fakeHost) Tell(note []byte)          { h.printf("tell %x", note) }
+func (h *fakeHost) Tell(note []byte)          { h.printf("note %x", note) }
 func (h *fakeHost) CloseIdle(e EndpointID) {
 	if h.printClosings {
 		h.printf("close %s", e)
--- a/choice/filter_test.go
+++ b/choice/filter_test.go
@@ -26,11 +26,11 @@
 	host.barred = nil
 	host.advance(50 * Millisecond)
 	// Output:
-	// 0.0     dispatch far2 to far
-	// 0.0     dispatch any to near
-	// 0.0     dispatch near1 to near
-	// 0.0     dispatch far1 to far
-	// 150.0   dispatch later to near
+	// 0.0     attempt far2 to far
+	// 0.0     attempt any to near
+	// 0.0     attempt near1 to near
+	// 0.0     attempt far1 to far
+	// 150.0   attempt later to near
 }
 
 // Near is down: what may only go there waits, and tries it as any trial does, held to the cold budget; what waits behind
@@ -45,12 +45,12 @@
 	host.end(ConnectFailed, 0, "near", "near3").advance(3 * Second)
 	fmt.Println("budget left for a trial:", host.sender.slowStartReady(host.sender.endpoints["near"]))
 	// Output:
-	// 0.0     dispatch near1 to near
-	// 100.0   dispatch far1 to far
-	// 350.0   dispatch near3 to near
-	// 1350.0  dispatch near2 to near
-	// 2550.0  dispatch near3 to near
-	// 4150.0  dispatch near1 to near
+	// 0.0     attempt near1 to near
+	// 100.0   attempt far1 to far
+	// 350.0   attempt near3 to near
+	// 1350.0  attempt near2 to near
+	// 2550.0  attempt near3 to near
+	// 4150.0  attempt near1 to near
 	// budget left for a trial: false
 }
 
@@ -86,6 +86,6 @@
 	host.sender.TurnEnd()
 	host.accept(1, 3, "far2")
 	// Output:
-	// 0.0     dispatch far1 to near
-	// 0.0     dispatch far2 to far
+	// 0.0     attempt far1 to near
+	// 0.0     attempt far2 to far
 }
--- a/choice/held_test.go
+++ b/choice/held_test.go
@@ -15,17 +15,17 @@
 		host.end(Errored, 0, "a", "p").advance(Second)
 		was := host.sender.endpoints["a"].trialPause
 		host.sender.Probed("a", result)
-		fmt.Println("aside", host.sender.endpoints["a"].ejected, "pause", was, "then", host.sender.endpoints["a"].trialPause)
+		fmt.Println("ejected", host.sender.endpoints["a"].ejected, "pause", was, "then", host.sender.endpoints["a"].trialPause)
 		host.advance(Second)
 	}
 	// Output:
-	// 3000.0  dispatch p to a
+	// 3000.0  attempt p to a
 	// 3250.0  probe a
-	// aside true pause 3000 then 3000
+	// ejected true pause 3000 then 3000
 	// 4300.0  probe a
-	// 3000.0  dispatch p to a
+	// 3000.0  attempt p to a
 	// 3250.0  probe a
-	// aside true pause 3000 then 6000
+	// ejected true pause 3000 then 6000
 	// 4550.0  probe a
 }
 
--- a/choice/limits_test.go
+++ b/choice/limits_test.go
@@ -162,11 +162,11 @@
 	host.accept(0, 1, "p").end(Done, 0, "a", "p").advance(3*Second).accept(0, 1, "q", "r", "s", "t")
 	host.advance(100*Millisecond).end(Done, 0, "a", "t")
 	// Output:
-	// 0.0     dispatch p to a
-	// 3000.0  dispatch t to a
-	// 3000.0  dispatch s to a
-	// 3100.0  dispatch r to a
-	// 3100.0  dispatch q to a
+	// 0.0     attempt p to a
+	// 3000.0  attempt t to a
+	// 3000.0  attempt s to a
+	// 3100.0  attempt r to a
+	// 3100.0  attempt q to a
 }
 
 // A pace that was halved wrongly is back in seconds at any rate; few calls show little room, and take longest.
--- a/choice/loadhost_test.go
+++ b/choice/loadhost_test.go
@@ -69,7 +69,7 @@
 
 func (h *loadHost) Attempt(id MessageID, to EndpointID, timeOut Time) {
 	h.attempts[id]++
-	h.log("dispatch %s to %s within %d", id, to, timeOut)
+	h.log("attempt %s to %s within %d", id, to, timeOut)
 	h.checkAttempt(h.sender.messages[id], h.sender.endpoints[to])
 	took := 50*Millisecond + Time(hashFraction(id, h.attempts[id], "took")*float64(300*Millisecond))
 	o := Outcome{Message: id, Attempt: h.attempts[id] - 1, Endpoint: to, Took: took, Final: true}
@@ -109,7 +109,7 @@
 	check(h.answers[msg.ID] == 0, "it has had its answer")
 	check(ep.bulkCall.messages > 1 || len(h.sender.calls) <= set.InFlightLimit, fmt.Sprint(len(h.sender.calls), " calls out of ", set.InFlightLimit))
 	check(ep.bulkCall.messages <= max(1, ep.destination.kind.BundleMax) && ep.destination.kind.BundleMax == set.Kinds[ep.destination.id%2].BundleMax, "a bundle too large")
-	check(h.attempts[msg.ID] <= set.MaxAttempts, "one dispatch too many")
+	check(h.attempts[msg.ID] <= set.MaxAttempts, "one attempt too many")
 	check(!msg.MayRun || class.Repeat != SingleUse, "a second run")
 	check(!msg.MayRun || class.Repeat != Keyed || h.clock <= msg.RanAt+class.RepeatWindow-set.Turn, "out of its window")
 	check(!msg.MayRun || !class.ZoneGroup || ep.zone == msg.RanIn, "known in another zone alone")
@@ -130,7 +130,7 @@
 	h.answered(id, fmt.Sprint("shed, again in ", in))
 }
 
-func (h *loadHost) Fail(id MessageID) { h.answered(id, "given up") }
+func (h *loadHost) Fail(id MessageID) { h.answered(id, "failed") }
 
 func (h *loadHost) Probe(e EndpointID) {
 	h.log("probe %s", e)
@@ -147,7 +147,7 @@
 func (h *loadHost) CloseIdle(e EndpointID) { h.log("close %s", e) }
 
 func (h *loadHost) Tell(note []byte) {
-	h.log("tell %x", note)
+	h.log("note %x", note)
 	if !h.sender.settings.Notes {
 		h.t.Errorf("%d: a note", h.clock)
 	}
--- a/choice/notes_test.go
+++ b/choice/notes_test.go
@@ -24,13 +24,13 @@
 	}
 	host.accept(0, 2, "r").accept(0, 1, "s").advance(1600 * Millisecond)
 	// Output:
-	// 0.0     dispatch p to a
-	// 0.0     tell 43be01
-	// 700.0   dispatch q to a
-	// 700.0   dispatch p to a
+	// 0.0     attempt p to a
+	// 0.0     note 43be01
+	// 700.0   attempt q to a
+	// 700.0   attempt p to a
 	// another
-	// 0.0     dispatch s to a
-	// 700.0   dispatch r to c
+	// 0.0     attempt s to a
+	// 700.0   attempt r to c
 }
 
 // Who finds no place at an endpoint tells so, once in two seconds; who has a link idle there gives it up.
@@ -41,10 +41,10 @@
 	host.sender.Heard(encodeNote("a", 0))
 	host.sender.Heard(encodeNote("a", 0))
 	// Output:
-	// 0.0     dispatch q to a
-	// 0.0     dispatch p to a
-	// 0.0     tell 43be00
-	// 0.0     dispatch r to a
+	// 0.0     attempt q to a
+	// 0.0     attempt p to a
+	// 0.0     note 43be00
+	// 0.0     attempt r to a
 	// 0.0     close a
 }
 
@@ -59,9 +59,9 @@
 		host.end(Errored, 0, EndpointID("aef"[i:i+1]), id)
 	}
 	host.advance(400 * Millisecond)
-	fmt.Println("dispatches:", host.attempts["p"]+host.attempts["q"]+host.attempts["r"])
+	fmt.Println("attempts:", host.attempts["p"]+host.attempts["q"]+host.attempts["r"])
 	// Output:
-	// dispatches: 5
+	// attempts: 5
 }
 
 // What replaces the endpoints of a destination that is out joins it as out: it is tried as one that may be cold, where
@@ -76,7 +76,7 @@
 	host.advance(100 * Millisecond)
 	fmt.Println(host.sender.endpoints["new"].ejected, host.sender.endpoints["newer"].ejected)
 	// Output:
-	// 3000.0  dispatch p to a
+	// 3000.0  attempt p to a
 	// true true
 }
 
@@ -91,11 +91,11 @@
 	host.sender.readmit(a, host.clock)
 	host.sender.ListNews([]Entry{{Endpoint: "new", Destination: 1, Rating: 10}, {Endpoint: "a", Destination: 1, Stage: Draining}}, false)
 	ep := host.sender.endpoints["new"]
-	fmt.Println("aside:", ep.ejected, "as cold:", ep.slowStartAt == a.slowStartAt, "budget:", math.Round(100*ep.slowStart.tokens)/100)
+	fmt.Println("ejected:", ep.ejected, "in the same slow start:", ep.slowStartAt == a.slowStartAt, "budget:", math.Round(100*ep.slowStart.tokens)/100)
 	host.accept(0, 1, "q", "r", "s")
 	// Output:
-	// 3000.0  dispatch p to a
-	// aside: false as cold: true budget: 0.22
+	// 3000.0  attempt p to a
+	// ejected: false in the same slow start: true budget: 0.22
 }
 
 // In a fleet a call to an endpoint where none was done yet gets the time-out of its kind, not that of half a contract
--- a/choice/order_test.go
+++ b/choice/order_test.go
@@ -36,31 +36,31 @@
 	host.sender.Withdrawn("head")
 	host.advance(10*Millisecond).end(Done, 0, "c", "head")
 	// Output:
-	// 0.0     dispatch head to c
+	// 0.0     attempt head to c
 	// done
-	// 10.0    dispatch next to c
-	// 0.0     dispatch head to c
+	// 10.0    attempt next to c
+	// 0.0     attempt head to c
 	// refused
-	// 25.0    dispatch head to c
-	// 0.0     dispatch head to c
+	// 25.0    attempt head to c
+	// 0.0     attempt head to c
 	// error
-	// 10.0    give up head
-	// 10.0    dispatch next to c
-	// 0.0     dispatch head to c
+	// 10.0    fail head
+	// 10.0    attempt next to c
+	// 0.0     attempt head to c
 	// time-out
-	// 10.0    give up head
-	// 310.0   dispatch next to c
-	// 0.0     dispatch head to c
+	// 10.0    fail head
+	// 310.0   attempt next to c
+	// 0.0     attempt head to c
 	// reset
-	// 10.0    give up head
-	// 310.0   dispatch next to c
-	// 0.0     dispatch head to c
+	// 10.0    fail head
+	// 310.0   attempt next to c
+	// 0.0     attempt head to c
 	// cancelled
-	// 10.0    give up head
-	// 310.0   dispatch next to c
+	// 10.0    fail head
+	// 310.0   attempt next to c
 	// withdrawn while it waits, then while it is out
-	// 0.0     dispatch head to c
-	// 10.0    dispatch next to c
+	// 0.0     attempt head to c
+	// 10.0    attempt next to c
 }
 
 // A head that no attempt serves in time is shed when its time is over, which frees the next at once; one handed in again
@@ -73,8 +73,8 @@
 	host.advance(4*Second).end(Done, 0, "a", "next")
 	// Output:
 	// 5490.1  shed head
-	// 5490.1  dispatch next to a
-	// 6000.0  dispatch again to a
+	// 5490.1  attempt next to a
+	// 6000.0  attempt again to a
 }
 
 // Heads of several keys, of two ordered classes, share a call; two of one key never do, whatever their classes.
@@ -84,11 +84,11 @@
 	fmt.Println(len(host.sender.calls), "call")
 	host.end(Done, 0, "c", "a1", "b1")
 	// Output:
-	// 0.0     dispatch a1 to c
-	// 0.0     dispatch b1 to c
+	// 0.0     attempt a1 to c
+	// 0.0     attempt b1 to c
 	// 1 call
-	// 0.0     dispatch b2 to c
-	// 0.0     dispatch a2 to c
+	// 0.0     attempt b2 to c
+	// 0.0     attempt a2 to c
 }
 
 // A key's turn holds over destinations too.
@@ -97,8 +97,8 @@
 	host.acceptKeyed("here", 2, 7, 1).acceptKeyed("there", 2, 7, 2).sender.TurnEnd()
 	host.advance(10*Millisecond).end(Done, 0, "a", "here")
 	// Output:
-	// 0.0     dispatch here to a
-	// 10.0    dispatch there to c
+	// 0.0     attempt here to a
+	// 10.0    attempt there to c
 }
 
 // A keyed message that may have run in a zone whose endpoint drains goes to no other zone, though one is free there,
@@ -112,9 +112,9 @@
 	host.sender.ListNews([]Entry{{Endpoint: "a", Destination: 1, Stage: Draining}}, false)
 	host.accept(0, 1, "other").advance(6 * Second)
 	// Output:
-	// 0.0     dispatch token to a
-	// 10.0    dispatch other to far
-	// 2995.1  give up token
+	// 0.0     attempt token to a
+	// 10.0    attempt other to far
+	// 2995.1  fail token
 }
 
 // A told wait binds the route: one of those apart, or all endpoints of a destination that shares its limit.
@@ -128,10 +128,10 @@
 		fmt.Println("apart:", apart)
 	}
 	// Output:
-	// 0.0     dispatch p to a
-	// 0.0     dispatch q to b
+	// 0.0     attempt p to a
+	// 0.0     attempt q to b
 	// apart: true
-	// 0.0     dispatch p to a
+	// 0.0     attempt p to a
 	// apart: false
 }
 
@@ -147,12 +147,12 @@
 		host.sender.Ended(Outcome{Message: id, Took: 100 * Millisecond, Result: Done, Final: true})
 	}
 	host.accept(0, 1, "late").accept(0, 2, "other").advance(100 * Millisecond)
-	fmt.Println("known of the drained one:", host.sender.endpoints["a"] != nil, "aside:", host.sender.endpoints["b"].ejected, host.sender.endpoints["c"].ejected)
+	fmt.Println("known of the drained one:", host.sender.endpoints["a"] != nil, "ejected:", host.sender.endpoints["b"].ejected, host.sender.endpoints["c"].ejected)
 	// Output:
-	// 0.0     dispatch q to a
-	// 0.0     dispatch p to a
-	// 0.0     dispatch r to c
-	// 2000.0  dispatch late to b
-	// 2000.0  dispatch other to c
-	// known of the drained one: false aside: false false
+	// 0.0     attempt q to a
+	// 0.0     attempt p to a
+	// 0.0     attempt r to c
+	// 2000.0  attempt late to b
+	// 2000.0  attempt other to c
+	// known of the drained one: false ejected: false false
 }
--- a/choice/purge_test.go
+++ b/choice/purge_test.go
@@ -51,38 +51,38 @@
 	// Output:
 	// queued
 	// in a lane
-	// 0.0     dispatch q to a
-	// 0.0     dispatch p to a
+	// 0.0     attempt q to a
+	// 0.0     attempt p to a
 	// there: 2
 	// waiting for a retry
-	// 0.0     dispatch p to a
+	// 0.0     attempt p to a
 	// behind its key's head, and the head while out
-	// 0.0     dispatch head to c
-	// 50.0    dispatch last to c
+	// 0.0     attempt head to c
+	// 50.0    attempt last to c
 	// the head, queued
-	// 0.0     dispatch next to c
+	// 0.0     attempt next to c
 	// a head that may run
-	// 0.0     dispatch head to c
-	// 300.0   dispatch next to c
+	// 0.0     attempt head to c
+	// 300.0   attempt next to c
 	// out, in a call with another, ended 0
-	// 0.0     dispatch q to c
-	// 0.0     dispatch p to c
+	// 0.0     attempt q to c
+	// 0.0     attempt p to c
 	// calls out: 1
 	// out, in a call with another, ended 2
-	// 0.0     dispatch q to c
-	// 0.0     dispatch p to c
+	// 0.0     attempt q to c
+	// 0.0     attempt p to c
 	// calls out: 1
 	// out, in a call with another, ended 1
-	// 0.0     dispatch q to c
-	// 0.0     dispatch p to c
+	// 0.0     attempt q to c
+	// 0.0     attempt p to c
 	// calls out: 1
 	// out, in a call with another, ended 3
-	// 0.0     dispatch q to c
-	// 0.0     dispatch p to c
+	// 0.0     attempt q to c
+	// 0.0     attempt p to c
 	// calls out: 1
 	// out, in a call with another, ended 7
-	// 0.0     dispatch q to c
-	// 0.0     dispatch p to c
+	// 0.0     attempt q to c
+	// 0.0     attempt p to c
 	// calls out: 1
 }
 
@@ -101,16 +101,16 @@
 		host.advance(1500 * Millisecond)
 	}
 	// Output:
-	// 0.0     dispatch p to a
-	// 0.0     dispatch q to a
+	// 0.0     attempt p to a
+	// 0.0     attempt q to a
 	// {5000 5000 5000 0 0 0} calls at once: 2 paced: false rated: 5
-	// 50.0    dispatch r to a
-	// 189.1   dispatch q to a
-	// 0.0     dispatch p to a
-	// 0.0     dispatch q to a
+	// 50.0    attempt r to a
+	// 189.1   attempt q to a
+	// 0.0     attempt p to a
+	// 0.0     attempt q to a
 	// {700 100 600 9 4 10000} calls at once: 2 paced: false rated: 5
-	// 1000.0  dispatch r to a
-	// 1000.0  dispatch q to a
+	// 1000.0  attempt r to a
+	// 1000.0  attempt q to a
 }
 
 // An outage under way is not lifted: what is ejected stays so, a shut partner's wait stays, the cold budget is not
@@ -150,8 +150,8 @@
 	host.accept(0, 1, "q").advance(5 * Second)
 	// Output:
 	// sent in the return: true more where voided: false
-	// 0.0     dispatch p to a
-	// 4200.0  dispatch q to a
+	// 0.0     attempt p to a
+	// 4200.0  attempt q to a
 }
 
 // What is held for a destination may be forgotten unless something is under way there.
@@ -166,40 +166,40 @@
 	show("new:", host, 2)
 	show("open:", host.accept(0, 2, "p"), 2)
 	show("known:", host.end(Done, 0, "c", "p"), 2)
-	show("to be sent again:", host.accept(0, 2, "q").end(Errored, 0, "c", "q"), 2)
+	show("to be retried:", host.accept(0, 2, "q").end(Errored, 0, "c", "q"), 2)
 	host.advance(Second)
 	show("over:", host.end(Done, 0, "c", "q"), 2)
-	show("told to wait:", host.accept(0, 2, "r").end(Full, Second, "c", "r"), 2)
+	show("paused:", host.accept(0, 2, "r").end(Full, Second, "c", "r"), 2)
 	host.sender.Withdrawn("r")
-	show("withdrawn, the wait goes on:", host, 2)
-	show("the wait is over:", host.advance(2*Second), 2)
+	show("withdrawn, the pause goes on:", host, 2)
+	show("the pause is over:", host.advance(2*Second), 2)
 	host.sender.eject(host.sender.endpoints["c"])
-	show("set aside:", host, 2)
+	show("ejected:", host, 2)
 	host.sender.readmit(host.sender.endpoints["c"], host.clock)
-	show("cold:", host, 2)
-	show("warm:", host.advance(11*Second), 2)
+	show("in slow start:", host, 2)
+	show("after slow start:", host.advance(11*Second), 2)
 	host.sender.ListNews([]Entry{{Endpoint: "c", Destination: 2, Kind: 1, Stage: Draining}}, false)
 	show("draining:", host, 2)
 	host = startSender(orderedSettings())
 	host.mute = true
 	host.acceptKeyed("head", 3, 7, 2).sender.TurnEnd()
 	host.end(Reset, 0, "c", "head").sender.Withdrawn("head")
-	show("the key rests:", host, 2)
-	show("rested:", host.advance(Second), 2)
+	show("the key is paused:", host, 2)
+	show("the key is free:", host.advance(Second), 2)
 	// Output:
 	// unknown: 0 false
 	// new: 0 false
 	// open: 0 true
 	// known: 1 false
-	// to be sent again: 1 true
+	// to be retried: 1 true
 	// over: 2 false
-	// told to wait: 2 true
-	// withdrawn, the wait goes on: 2 true
-	// the wait is over: 2 false
-	// set aside: 2 true
-	// cold: 2 true
-	// warm: 2 false
+	// paused: 2 true
+	// withdrawn, the pause goes on: 2 true
+	// the pause is over: 2 false
+	// ejected: 2 true
+	// in slow start: 2 true
+	// after slow start: 2 false
 	// draining: 2 true
-	// the key rests: 0 true
-	// rested: 0 false
+	// the key is paused: 0 true
+	// the key is free: 0 false
 }
--- a/choice/retries_test.go
+++ b/choice/retries_test.go
@@ -12,11 +12,11 @@
 	host.advance(300*Millisecond).accept(0, 1, "x", "y").end(Done, 0, "c", "holds").end(Done, 0, "a", "y")
 	host.end(Done, 0, "a", "x")
 	// Output:
-	// 0.0     dispatch old to a
-	// 0.0     dispatch holds to c
-	// 300.0   dispatch y to a
-	// 300.0   dispatch x to a
-	// 300.0   dispatch old to a
+	// 0.0     attempt old to a
+	// 0.0     attempt holds to c
+	// 300.0   attempt y to a
+	// 300.0   attempt x to a
+	// 300.0   attempt old to a
 }
 
 // Retry waits differ by chance, under ceilings that double up to the cap; the first is a quarter second.
@@ -48,12 +48,12 @@
 	host.accept(0, 1, "p", "q", "r").end(Full, 0, "a", "p", "q", "r")
 	host.advance(2*Second).end(Done, 0, "a", "p").advance(2 * Second)
 	// Output:
-	// 0.0     dispatch r to a
-	// 0.0     dispatch q to a
-	// 0.0     dispatch p to a
-	// 51.6    dispatch r to a
-	// 86.4    dispatch p to a
-	// 2000.0  dispatch q to a
+	// 0.0     attempt r to a
+	// 0.0     attempt q to a
+	// 0.0     attempt p to a
+	// 51.6    attempt r to a
+	// 86.4    attempt p to a
+	// 2000.0  attempt q to a
 }
 
 // Single-use: a time-out is final, a refusal is not. Keyed: again only inside the repeat window.
@@ -62,13 +62,13 @@
 	host.end(TimedOut, 0, "a", "once").accept(1, 2, "token").end(TimedOut, 0, "c", "token").advance(Second)
 	host.advance(2500*Millisecond).end(TimedOut, 0, "c", "token")
 	// Output:
-	// 0.0     dispatch once to a
-	// 73.8    dispatch once to a
-	// 1000.0  give up once
-	// 1000.0  dispatch token to c
-	// 1157.9  dispatch token to c
+	// 0.0     attempt once to a
+	// 73.8    attempt once to a
+	// 1000.0  fail once
+	// 1000.0  attempt token to c
+	// 1157.9  attempt token to c
 	// 3450.0  probe c
-	// 4500.0  give up token
+	// 4500.0  fail token
 }
 
 // A message that no attempt can serve in time is answered at once: shed, as none ever ran.
@@ -87,17 +87,17 @@
 	host.sender.ListNews([]Entry{{Endpoint: "b", Destination: 1}, {Endpoint: "b2", Destination: 1}}, false)
 	host.advance(50*Millisecond).accept(0, 1, "p").end(ConnectFailed, 0, "a", "p").advance(300 * Millisecond)
 	host.end(ConnectFailed, 0, "b", "p")
-	fmt.Println("aside:", host.sender.endpoints["a"].ejected, host.sender.endpoints["b"].ejected, host.sender.endpoints["b2"].ejected)
+	fmt.Println("ejected:", host.sender.endpoints["a"].ejected, host.sender.endpoints["b"].ejected, host.sender.endpoints["b2"].ejected)
 	host.accept(0, 2, "q")
 	for range 2 {
 		host.end(Full, 0, "c", "q").advance(4 * Second)
 		fmt.Printf("pace: %.3f\n", host.sender.destinations[2].route.limiter.rate)
 	}
 	// Output:
-	// 3050.0  dispatch p to a
-	// 3075.7  dispatch p to b
-	// aside: true true true
-	// 3350.0  dispatch q to c
+	// 3050.0  attempt p to a
+	// 3075.7  attempt p to b
+	// ejected: true true true
+	// 3350.0  attempt q to c
 	// pace: 0.182
 	// 8540.1  shed p
 	// 8840.1  shed q
@@ -112,11 +112,11 @@
 	host := startSender(set).advance(3*Second).accept(1, 1, "p").end(Errored, 0, "a", "p").advance(Second)
 	host.sender.endpoints["a"].slowStart.tokens = 1
 	host.accept(0, 1, "q").end(Done, 0, "a", "q")
-	fmt.Println("cold from:", host.sender.endpoints["a"].slowStartAt)
+	fmt.Println("slow start from:", host.sender.endpoints["a"].slowStartAt)
 	// Output:
-	// 3000.0  dispatch p to a
-	// 4000.0  dispatch q to a
-	// cold from: 35000
+	// 3000.0  attempt p to a
+	// 4000.0  attempt q to a
+	// slow start from: 35000
 }
 
 // Where a call stays without an answer while others have theirs, single-use messages wait until some more are done;
@@ -128,15 +128,15 @@
 		host.advance(10*Millisecond).accept(0, 1, id).end(Done, 0, "a", id)
 	}
 	// Output:
-	// 0.0     dispatch lost to a
-	// 1.0     dispatch p to a
-	// 2011.0  dispatch 1 to a
-	// 2021.0  dispatch 2 to a
-	// 2031.0  dispatch 3 to a
-	// 2041.0  dispatch 4 to a
-	// 2051.0  dispatch 5 to a
-	// 2061.0  dispatch 6 to a
-	// 2061.0  dispatch single to a
+	// 0.0     attempt lost to a
+	// 1.0     attempt p to a
+	// 2011.0  attempt 1 to a
+	// 2021.0  attempt 2 to a
+	// 2031.0  attempt 3 to a
+	// 2041.0  attempt 4 to a
+	// 2051.0  attempt 5 to a
+	// 2061.0  attempt 6 to a
+	// 2061.0  attempt single to a
 }
 
 // A call that its message's deadline cut short tells nothing of the endpoint: a single-use message still goes there at
@@ -158,17 +158,17 @@
 	host.sender.Ended(Outcome{Message: "p", Endpoint: "c", Result: Cancelled})
 	fmt.Println("calls out:", len(host.sender.calls), "judged:", host.sender.calls[0].judged)
 	// Output:
-	// 0.0     dispatch first to a
-	// 0.0     dispatch other to a
-	// 0.0     dispatch late to a
-	// 0.1     dispatch another to a
-	// 94.1    give up late
-	// 94.1    dispatch order to a
-	// 0.0     dispatch first to a
-	// 0.0     dispatch other to a
-	// 0.0     dispatch late to a
-	// 0.1     dispatch another to a
-	// 0.0     dispatch q to c
-	// 0.0     dispatch p to c
+	// 0.0     attempt first to a
+	// 0.0     attempt other to a
+	// 0.0     attempt late to a
+	// 0.1     attempt another to a
+	// 94.1    fail late
+	// 94.1    attempt order to a
+	// 0.0     attempt first to a
+	// 0.0     attempt other to a
+	// 0.0     attempt late to a
+	// 0.1     attempt another to a
+	// 0.0     attempt q to c
+	// 0.0     attempt p to c
 	// calls out: 1 judged: false
 }
--- a/choice/waits_test.go
+++ b/choice/waits_test.go
@@ -9,10 +9,10 @@
 	host := startSender(testSettings()).accept(0, 1, "p").end(Full, 900*Millisecond, "a", "p")
 	host.accept(0, 1, "q").accept(0, 2, "other").advance(1200 * Millisecond)
 	// Output:
-	// 0.0     dispatch p to a
-	// 0.0     dispatch other to c
-	// 1050.0  dispatch q to a
-	// 1050.0  dispatch p to a
+	// 0.0     attempt p to a
+	// 0.0     attempt other to c
+	// 1050.0  attempt q to a
+	// 1050.0  attempt p to a
 }
 
 // The messages of one call may be told waits at different times; the last one counts.
@@ -20,11 +20,11 @@
 	host := startSender(testSettings()).accept(0, 2, "p", "q").end(Full, 500*Millisecond, "c", "p")
 	host.advance(100*Millisecond).end(Full, 500*Millisecond, "c", "q").accept(0, 2, "r").advance(700 * Millisecond)
 	// Output:
-	// 0.0     dispatch q to c
-	// 0.0     dispatch p to c
-	// 650.0   dispatch r to c
-	// 650.0   dispatch p to c
-	// 650.0   dispatch q to c
+	// 0.0     attempt q to c
+	// 0.0     attempt p to c
+	// 650.0   attempt r to c
+	// 650.0   attempt p to c
+	// 650.0   attempt q to c
 }
 
 // A long told wait is that of a shut destination: once it opens, what was held goes out bit by bit, also
@@ -35,12 +35,12 @@
 	host.accept(0, 1, "p", "q", "r").end(Full, 3*Second, "a", "p").end(Done, 0, "a", "q").accept(2, 1, "s", "t", "u", "v")
 	host.advance(6 * Second)
 	// Output:
-	// 0.0     dispatch r to a
-	// 0.0     dispatch q to a
-	// 0.0     dispatch p to b
-	// 3200.0  dispatch v to a
-	// 3200.0  dispatch u to b
-	// 4200.0  dispatch t to b
+	// 0.0     attempt r to a
+	// 0.0     attempt q to a
+	// 0.0     attempt p to b
+	// 3200.0  attempt v to a
+	// 3200.0  attempt u to b
+	// 4200.0  attempt t to b
 	// 5250.0  probe a
 	// 5490.1  shed p
 	// 5790.1  shed s
@@ -52,9 +52,9 @@
 	host.advance(900*Millisecond).end(Full, 0, "a", "p", "q").advance(2 * Second)
 	fmt.Println("guess:", host.sender.destinations[1].route.guessedWait)
 	// Output:
-	// 2100.0  dispatch q to a
-	// 2100.0  dispatch p to a
-	// 3950.0  dispatch p to a
+	// 2100.0  attempt q to a
+	// 2100.0  attempt p to a
+	// 3950.0  attempt p to a
 	// guess: 3000
 }
 
@@ -64,15 +64,15 @@
 	for _, id := range []MessageID{"p", "q"} {
 		host.sender.Ended(Outcome{Message: id, Endpoint: "a", Result: Full, Report: Report{true, 0.1, 4}})
 	}
-	fmt.Println("aside:", host.sender.endpoints["a"].ejected, "pace:", host.sender.endpoints["a"].route.limiter.rate)
+	fmt.Println("ejected:", host.sender.endpoints["a"].ejected, "pace:", host.sender.endpoints["a"].route.limiter.rate)
 	host.advance(Second)
 	// Output:
-	// 0.0     dispatch q to a
-	// 0.0     dispatch p to a
+	// 0.0     attempt q to a
+	// 0.0     attempt p to a
 	// 2550.0  probe a
-	// aside: false pace: 2
-	// 3016.2  dispatch p to a
-	// 3400.0  dispatch q to a
+	// ejected: false pace: 2
+	// 3016.2  attempt p to a
+	// 3400.0  attempt q to a
 }
 
 // Who keeps to its part of a reported limit and is refused again and again halves its pace, and halves it again:
