--- a/choice/backlog_test.go
+++ b/choice/backlog_test.go
@@ -4,7 +4,7 @@
 
 import "fmt"
 
-// Messages of one key take turns in the order taken, and the key rests after a time-out.
+// Messages of one order key go one after another in the order accepted, and the key pauses after a time-out.
 func ExampleSender_order() {
 	host := startSender(testSettings()).accept(3, 2, "first", "second", "third").end(Done, 0, "c", "first")
 	host.advance(100*Millisecond).end(TimedOut, 0, "c", "second").advance(400*Millisecond).end(Done, 0, "c", "second")
@@ -18,7 +18,7 @@
 	// 0 keys
 }
 
-// Odd but legal: outcomes, probes, withdrawals and timers for what is unknown or over change nothing.
+// Outcomes, probe results, withdrawals and timers for what is unknown or over change nothing.
 func ExampleSender_unknownOrOver() {
 	host := startSender(testSettings()).accept(0, 1, "p")
 	host.sender.Withdrawn("p")
@@ -33,8 +33,8 @@
 	// 0 held 0 timers 0 calls
 }
 
-// Where answers tell limits, this destination has none, and others were just answered, refusals mean that too many
-// calls were out: fewer go out at once, but as many a second, and nobody is ejected.
+// Where answers report limits, this destination has none, and others were just answered, rejections mean that too many
+// calls were in flight: fewer go out at once, the rate stays, and no endpoint is ejected.
 func ExampleSender_fullQueue() {
 	host := startSender(testSettings())
 	a := host.sender.endpoints["a"]
@@ -52,11 +52,11 @@
 	// 200.0   attempt t to a
 }
 
-// A message turned away gives its key's turn to the one just being taken, which must not stand in its queue twice: it
-// would be sent again after its end.
+// A message that is shed lets the next of its key go, which may be the one just being accepted. That one must not stand
+// in its queue twice: it would be sent again after its end.
 func ExampleSender_shedWithinAKey() {
 	set := testSettings()
-	set.MaxOpen, set.InFlightLimit = 20, 0 // nothing leaves, so that the backlog stays
+	set.MaxOpen, set.InFlightLimit = 20, 0 // nothing is sent, so that the backlog stays
 	host := startSender(set)
 	take := func(id MessageID, key OrderKey, to DestinationID) {
 		host.sender.Taken(Message{ID: id, Class: 3, Key: key, Destination: to, Deadline: host.clock + 6*Second})
@@ -79,8 +79,9 @@
 	// in queues 1 waiting 9
 }
 
-// At a kind whose tables run full a link is not kept for what may not go yet: the endpoint is cold, its budget
-// used up, and others who may call find no place. Where all is well what waits keeps the link.
+// At a kind whose connection tables run full, no idle connection is kept for queued messages that may not be sent yet:
+// the endpoint is in slow start, its budget is used up, and others who may call find no place. Where it is well, the
+// connection is kept for what is queued.
 func ExampleSender_idleConnectionWhileQueued() {
 	for _, warmingUp := range []bool{true, false} {
 		set := testSettings()
--- a/choice/capacity_test.go
+++ b/choice/capacity_test.go
@@ -9,7 +9,7 @@
 	"flaxcove/lab/capacity/bench"
 )
 
-// silentHost takes all that the module asks for and does nothing; its clock stands.
+// silentHost takes all that a sender asks of it and does nothing. Its clock stands.
 type silentHost struct {
 	clock Time
 	timer TimerID
@@ -33,7 +33,7 @@
 	capacityDown = 1647
 )
 
-// capacitySettings are those of a fleet of 660 with one kind and the three repeats.
+// capacitySettings are those of a fleet of 660 senders, with one kind and the three repeats.
 func capacitySettings(maxOpen int) Settings {
 	set := testSettings()
 	set.Senders, set.InFlightLimit, set.MaxOpen = 660, 1024, maxOpen
@@ -44,7 +44,7 @@
 	return set
 }
 
-// capacityList is a whole list; its endpoints lie in two of the zones.
+// capacityList is a complete endpoint list; the endpoints of a destination lie in two of the zones.
 func capacityList(destinations int, stage Stage) []Entry {
 	all := make([]Entry, 0, capacityEndpoints*destinations)
 	for d := range destinations {
@@ -56,12 +56,14 @@
 	return all
 }
 
+// capacityMessage is one message, for one of so many destinations in turn.
 func capacityMessage(i, destinations int) Message {
 	return Message{ID: MessageID(fmt.Sprintf("message-%012d", i)), Class: 0, Account: -1, Key: NoKey,
 		Destination: DestinationID(i % destinations), Deadline: 3600 * Second}
 }
 
-// BenchmarkCapacityList is a whole list told again to a sender that has it, and what the sender holds for it.
+// BenchmarkCapacityList measures a complete endpoint list given again to a sender that has it, and the memory the
+// sender holds for it.
 func BenchmarkCapacityList(b *testing.B) {
 	bench.Sizes(b, "destinations", []int{610, 6_100, 61_000, 610_000}, func(b *testing.B, n int) {
 		list := capacityList(n, Ready)
@@ -78,7 +80,7 @@
 	})
 }
 
-// BenchmarkCapacityChange is one destination's change told to a sender that holds so many.
+// BenchmarkCapacityChange measures one destination's change of the list at a sender that holds so many.
 func BenchmarkCapacityChange(b *testing.B) {
 	bench.Sizes(b, "destinations", []int{610, 6_100, 61_000}, func(b *testing.B, n int) {
 		s := Start(&silentHost{}, "s", 7, capacitySettings(1000))
@@ -90,7 +92,7 @@
 	})
 }
 
-// BenchmarkCapacityTick is the module's tick as all destinations are to be looked at, as after a whole list.
+// BenchmarkCapacityTick measures a tick that looks at all destinations, as after a complete list.
 func BenchmarkCapacityTick(b *testing.B) {
 	bench.Sizes(b, "destinations", []int{610, 6_100, 61_000}, func(b *testing.B, n int) {
 		s := Start(&silentHost{}, "s", 7, capacitySettings(1000))
@@ -104,7 +106,7 @@
 	})
 }
 
-// withOpen is a sender that holds so many messages of destinations none of whose endpoints may be used.
+// withOpen returns a sender that holds so many open messages, for destinations none of whose endpoints may be used.
 func withOpen(open, destinations, maxOpen int) (*Sender, *silentHost) {
 	h := &silentHost{}
 	s := Start(h, "s", 7, capacitySettings(maxOpen))
@@ -115,7 +117,8 @@
 	return s, h
 }
 
-// BenchmarkCapacityOpen is one more message taken and withdrawn beside so many open ones, and what those take.
+// BenchmarkCapacityOpen measures one more message accepted and withdrawn beside so many open ones, and the memory these
+// take.
 func BenchmarkCapacityOpen(b *testing.B) {
 	bench.Sizes(b, "open", []int{1_000, 10_000, 100_000, 1_000_000}, func(b *testing.B, n int) {
 		var s *Sender
@@ -135,12 +138,12 @@
 // capacityFull is of MaxOpen, past crowdFrom.
 const capacityFull = 0.9
 
-// BenchmarkCapacityFull is one more message taken as nine tenths of the room are taken, where each may have to find
-// what is turned away in its place.
+// BenchmarkCapacityFull measures one more message accepted at nine tenths of MaxOpen, where each may have to find one
+// to be shed.
 func BenchmarkCapacityFull(b *testing.B) {
 	bench.Sizes(b, "open", []int{1_000, 10_000, 100_000}, func(b *testing.B, n int) {
 		s, _ := withOpen(n, capacityDown, 10*n)
-		// Only now: filled up to here at its own bound, each of the last would have looked through all before it.
+		// Only now: filled up at this bound, each of the last messages would have looked through all before it.
 		s.settings.MaxOpen = int(float64(n) / capacityFull)
 		i := n
 		for b.Loop() {
@@ -152,8 +155,8 @@
 	})
 }
 
-// BenchmarkCapacityWaiting is one message taken, sent and done at a well destination, while messages wait for so many
-// that may not be sent to.
+// BenchmarkCapacityWaiting measures one message accepted, sent and done at a well destination, while messages wait for
+// so many others that may not be sent to.
 func BenchmarkCapacityWaiting(b *testing.B) {
 	bench.Sizes(b, "waiting", []int{16, 165, 1_647, 16_470}, func(b *testing.B, n int) {
 		s, _ := withOpen(4*n, n, 100*n+1000)
--- a/choice/configure_bench_test.go
+++ b/choice/configure_bench_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// BenchmarkConfigure is how long a sender stands still for a change of its settings: the turn in which it comes, and the
-// next tick, which looks at all destinations.
+// BenchmarkConfigure measures how long a change of settings holds up a sender: the turn in which it comes, and the next
+// tick, which looks at all destinations.
 func BenchmarkConfigure(b *testing.B) {
 	gain := func(set *Settings, i int) { set.Classes[0].Value = float64(2 + i%2) }
 	contract := func(set *Settings, i int) { set.Classes[0].ContractTime = Time(1+i%2) * Second / 2 }
@@ -21,7 +21,7 @@
 	} {
 		b.Run(fmt.Sprintf("%s/%dDestinations%dOpen", size.name, size.destinations, size.open), func(b *testing.B) {
 			set := testSettings()
-			set.MaxOpen, set.InFlightLimit = 2*size.open, 0 // nothing leaves
+			set.MaxOpen, set.InFlightLimit = 2*size.open, 0 // nothing is sent
 			host := &fakeHost{attempts: map[MessageID]int{}, mute: true}
 			host.sender = Start(host, "s", 7, set)
 			var list []Entry
--- a/choice/configure_test.go
+++ b/choice/configure_test.go
@@ -11,8 +11,8 @@
 // What holds of settings that change while a sender runs: Configure(new) leads to what Start(new) leads to, what is open
 // gets its one answer, and nothing goes beyond what the new ones allow.
 
-// settingsRows are a change of each field; fleet where many senders are needed for it to show, silent where the module
-// reads it not at all.
+// settingsChanges are a change of each field of the settings. With fleet many senders are needed for it to show; with
+// silent this package doesn't read the field.
 var settingsChanges = map[string]struct {
 	change        func(*Settings)
 	fleet, silent bool
@@ -24,7 +24,7 @@
 	"MaxOpen":              {change: func(s *Settings) { s.MaxOpen = 10 }},
 	"MaxAttempts":          {change: func(s *Settings) { s.MaxAttempts = 2 }},
 	"Classes":              {change: func(s *Settings) { s.Classes = append(s.Classes, s.Classes[1], s.Classes[3]) }},
-	"Kinds":                {change: func(s *Settings) { s.Kinds = append(s.Kinds, Kind{BundleMax: 9}) }, silent: true}, // until the list names it
+	"Kinds":                {change: func(s *Settings) { s.Kinds = append(s.Kinds, Kind{BundleMax: 9}) }, silent: true}, // until the endpoint list has an endpoint of it
 	"Quotas":               {change: func(s *Settings) { s.Quotas = []float64{3, 3, 3} }},
 	"OverShareValue":       {change: func(s *Settings) { s.OverShareValue = 0.01 }},
 	"Halving":              {change: func(s *Settings) { s.Halving = true }},
@@ -57,7 +57,7 @@
 	"Kinds.Apart":          {change: func(s *Settings) { s.Kinds[0].Apart = true }},
 }
 
-// class changes every class.
+// eachClass is a change of every class.
 func eachClass(change func(*Class)) func(*Settings) {
 	return func(s *Settings) {
 		for i := range s.Classes {
@@ -66,7 +66,7 @@
 	}
 }
 
-// changed is a copy of settings with one change, which shares nothing with it.
+// withChange returns a copy of settings with one change, which shares no memory with them.
 func withChange(set Settings, change func(*Settings)) Settings {
 	set.Classes, set.Kinds = slices.Clone(set.Classes), slices.Clone(set.Kinds)
 	set.Quotas, set.RouteFees = slices.Clone(set.Quotas), slices.Clone(set.RouteFees)
@@ -74,7 +74,7 @@
 	return set
 }
 
-// A field that comes new must come with a row.
+// Each field of the settings is in settingsChanges, also one that is new.
 func TestEverySettingHasAChange(t *testing.T) {
 	rows := map[string]bool{}
 	for name := range settingsChanges {
@@ -97,8 +97,9 @@
 	}
 }
 
-// A sender that is configured before anything happened acts as one that was started so: whatever hangs on a field is
-// worked out anew. And each field that the module reads shows in what it does, or the row would prove nothing.
+// A sender that is configured before anything happened acts as one that was started with these settings: whatever
+// depends on a field is worked out anew. And each field that the package reads shows in what the sender does, or else
+// its change would prove nothing.
 func TestConfigureIsAsStart(t *testing.T) {
 	for name, row := range settingsChanges {
 		t.Run(name, func(t *testing.T) {
@@ -108,7 +109,7 @@
 			play := func(start Settings, then *Settings) []string {
 				host := &loadHost{t: t}
 				host.start(start)
-				if then == nil || name != "Kinds.Apart" { // of which endpoints are told when they are listed
+				if then == nil || name != "Kinds.Apart" { // which counts from when an endpoint is listed
 					host.listEndpoints()
 				}
 				if then != nil {
@@ -132,6 +133,7 @@
 	}
 }
 
+// firstDifference returns the index of the first element that differs, or -1.
 func firstDifference(a, b []string) int {
 	for i := range max(len(a), len(b)) {
 		if i >= len(a) || i >= len(b) || a[i] != b[i] {
@@ -141,8 +143,8 @@
 	return -1
 }
 
-// Each field changes under load, there and back again: every message gets one answer, nothing goes beyond what is allowed
-// from then on, and nothing is left behind.
+// Each field changes under load, to the new value or back from it: every message gets one answer, nothing goes beyond
+// what is allowed from then on, and nothing is left behind.
 func TestConfigureUnderLoad(t *testing.T) {
 	for name, row := range settingsChanges {
 		for _, back := range []bool{false, true} {
@@ -152,7 +154,7 @@
 				before, after = after, before
 			}
 			if len(before.Classes) > len(after.Classes) || len(before.Kinds) > len(after.Kinds) || len(before.Quotas) > len(after.Quotas) {
-				continue // a list that gets shorter is refused where settings are checked
+				continue // a list that gets shorter is rejected where settings are checked
 			}
 			t.Run(fmt.Sprint(name, back), func(t *testing.T) {
 				t.Parallel()
@@ -165,7 +167,7 @@
 				}
 				host.playUntil(loadSpan + 60*Second)
 				if coming := int(loadSpan / loadInterval); len(host.answers) < coming {
-					t.Errorf("%d answers for %d notices", len(host.answers), coming)
+					t.Errorf("%d answers for %d messages", len(host.answers), coming)
 				}
 				if left := len(host.sender.messages) + len(host.sender.calls) + len(host.sender.timers.pending) + len(host.sender.keyQueues) + len(host.sender.withQueued); left > 0 {
 					t.Errorf("%d left behind", left)
@@ -178,7 +180,8 @@
 	}
 }
 
-// What was learnt stays: limits, paces, waits, cold states, and times of what was called.
+// Configure keeps learned state: limits, rates, pauses, health and slow start, and the call times of endpoints that
+// were called.
 func TestConfigureKeepsLearnedState(t *testing.T) {
 	host := &loadHost{t: t}
 	host.start(loadSettings(false))
@@ -225,14 +228,13 @@
 	}
 }
 
-// What was tried and waits for a slot as the change comes may not be sent any more by the new settings: it gets its answer
-// at once, and not an attempt too many.
+// A message that may not be sent again under new settings gets its answer at once, and no attempt too many.
 func ExampleSender_Configure() {
 	for _, change := range []func(*Settings){
 		func(s *Settings) { s.MaxAttempts = 1 },
 		eachClass(func(w *Class) { w.Repeat = SingleUse }),
 		eachClass(func(w *Class) { w.RepeatWindow = 100 * Millisecond }),
-		eachClass(func(w *Class) { w.LateValue = 0 }), // and where nothing forbids it, it goes on
+		eachClass(func(w *Class) { w.LateValue = 0 }), // and where nothing forbids it, it is retried
 	} {
 		set := testSettings()
 		set.InFlightLimit = 1
--- a/choice/connections_test.go
+++ b/choice/connections_test.go
@@ -4,7 +4,7 @@
 
 import "fmt"
 
-// Sends of one turn to one endpoint share a call: five messages of a kind that bundles three.
+// Messages sent in one turn to one endpoint share a call: here five, of a kind that takes three in one.
 func ExampleSender_bulkCall() {
 	host := startSender(testSettings()).accept(2, 2, "p", "q", "r", "s", "t")
 	fmt.Println(len(host.sender.calls), "slots")
@@ -23,8 +23,8 @@
 	// 1 slot
 }
 
-// Idle links stay until connections of their kind fail: a fleet's links fill a table. Then those little used
-// are closed, to any zone.
+// Idle connections are kept until new ones of their kind fail, as those of a fleet fill an endpoint's table. Then those
+// little used are closed, in any zone.
 func ExampleSender_idleConnections() {
 	set := testSettings()
 	set.ConnIdle = Second
@@ -43,7 +43,8 @@
 	// 1000.0  close a
 }
 
-// Calls reset on kept links show no outage, and while they are many, a single-use message gets a new link.
+// Calls that are reset on reused connections show no outage. While there are many, a non-idempotent message gets a new
+// connection.
 func ExampleSender_reusedConnections() {
 	host := startSender(testSettings())
 	host.printClosings = true
@@ -63,8 +64,8 @@
 	// ejected: false
 }
 
-// A new link that is refused and ended found no place: what idles at others of the kind is closed, and the pace
-// knows nothing of it, however often. Refusals on links that stay are a limit's.
+// A new connection that is rejected and ended found no place: idle connections to endpoints of the kind are closed, and
+// the rate is not cut, however often it happens. Rejections on connections that stay open are a limit's.
 func ExampleSender_connectionTableFull() {
 	for _, closed := range []bool{true, false} {
 		set := testSettings()
@@ -100,7 +101,7 @@
 	// pace cut: true
 }
 
-// A wait is heeded whatever came with it: a shut destination may tell one as it ends a connection beyond its table.
+// A Retry-After counts whatever came with it: a shut destination may send one as it ends a connection beyond its table.
 func ExampleSender_connectionTableFullRetryAfter() {
 	set := testSettings()
 	set.Senders, set.Probing = 300, false
@@ -115,7 +116,8 @@
 	// 2200.0  attempt p to a
 }
 
-// A connection may take longer to come up than a destination knows a token: the repeat must not leave then.
+// A connection may take longer to come up than a destination remembers an idempotency key: the repeat must not be sent
+// then.
 func ExampleSender_Open() {
 	host := startSender(testSettings())
 	host.mute = true
@@ -130,7 +132,7 @@
 	// 3800 false true
 }
 
-// A connection may take so long that a wait or a drain is told before the attempt can leave on it.
+// A connection may take so long to come up that a pause or a drain is reported before the attempt can be sent.
 func Example_open() {
 	host := startSender(testSettings()).accept(0, 1, "one")
 	fmt.Println(host.sender.Open("a"), host.sender.Open("b"), host.sender.Open("nobody"))
--- a/choice/earlier_test.go
+++ b/choice/earlier_test.go
@@ -2,11 +2,11 @@
 
 import "fmt"
 
-// What an earlier life took on and nobody has tried stays where the backlog is full, whoever comes: the new one goes
-// itself. Once it has been tried it is like any other.
+// Messages that an earlier incarnation accepted and nobody has attempted stay where the backlog is full: the new one is
+// shed itself. Once attempted they are like any other.
 func ExampleSender_earlierIncarnation() {
 	set := testSettings()
-	set.MaxOpen, set.InFlightLimit = 20, 0 // nothing leaves
+	set.MaxOpen, set.InFlightLimit = 20, 0 // nothing is sent
 	host := startSender(set)
 	for i := range 25 {
 		host.sender.Taken(Message{ID: MessageID(fmt.Sprint("old", i)), Key: NoKey, Destination: 2, Deadline: host.clock + 3*Second, Span: 6 * Second})
@@ -25,8 +25,9 @@
 	// held: 25
 }
 
-// A quarter of the time that it was taken on with is the most that is kept back for a call, also where that was less
-// than its class has: else a start, which knows no times, hands it back untried with half of its time left.
+// At most a quarter of the time with which a message was accepted is reserved for a call, also where that time was less
+// than its class has: a restarted sender, which knows no call times, would otherwise hand it back untried with half of
+// its time left.
 func ExampleSender_shortDeadline() {
 	host := startSender(testSettings())
 	for _, span := range []Time{0, 600 * Millisecond} {
--- a/choice/endpoints_test.go
+++ b/choice/endpoints_test.go
@@ -4,7 +4,7 @@
 
 import "fmt"
 
-// Nothing new goes to a draining endpoint from the turn it is told; what is held goes elsewhere.
+// Nothing new goes to a draining endpoint from the turn in which it is reported; what it would have got goes elsewhere.
 func ExampleSender_draining() {
 	host := startSender(testSettings()).accept(0, 1, "p").end(Errored, 0, "a", "p")
 	host.sender.ListNews([]Entry{{Endpoint: "a", Destination: 1, Stage: Draining}, {Endpoint: "b", Destination: 1}}, false)
@@ -14,8 +14,8 @@
 	// 86.4    attempt p to b
 }
 
-// Two failures set an endpoint wasEjected. A probe shows that the process runs, one trial call that calls are
-// answered: a shut destination answers probes. Then a budget that grows bounds all sends while it warms.
+// Two failures eject an endpoint. A probe shows that its process runs, and one trial call whether calls are answered: a
+// shut destination answers probes, too. Then a growing budget bounds all that is sent while it warms up.
 func ExampleSender_readmission() {
 	host := startSender(testSettings()).accept(0, 1, "p", "q").end(Errored, 0, "a", "p", "q").advance(600 * Millisecond)
 	host.sender.Probed("a", Done)
@@ -36,7 +36,7 @@
 	// 9090.1  shed t
 }
 
-// Calls gone unanswered shrink what an endpoint may hold, then set it wasEjected; others go on.
+// Calls that stay unanswered lower the concurrency limit of an endpoint, and then eject it; other endpoints go on.
 func ExampleSender_unanswered() {
 	host := startSender(testSettings()).accept(2, 1, "p", "q", "r").accept(2, 2, "other").end(Done, 0, "c", "other")
 	host.advance(2500*Millisecond).accept(2, 2, "more")
@@ -49,7 +49,7 @@
 	// ejected: true calls out: 2
 }
 
-// Where probes are forbidden a single attempt tries the endpoint.
+// Where probes are not allowed, a single attempt tries an ejected endpoint.
 func ExampleSender_trial() {
 	set := testSettings()
 	set.Probing = false
@@ -63,7 +63,7 @@
 	// 300.0   attempt again to a
 }
 
-// An endpoint of another zone not seen yet ranks behind one of the own zone.
+// An endpoint of another zone without calls ranks behind one of the sender's own zone.
 func ExampleSender_zones() {
 	host := startSender(testSettings())
 	host.sender.ListNews([]Entry{{Endpoint: "far", Destination: 1, Zone: 1}, {Endpoint: "near", Destination: 1}}, true)
@@ -72,8 +72,8 @@
 	// 50.0    attempt p to near
 }
 
-// Where full tables are answered, connections that fail show an outage and nothing else: the healthy endpoint's
-// link stays. On a wire where a full table fails connections too, links of that kind go.
+// Where a full connection table is answered, connections that fail show an outage and nothing else: the idle connection
+// to a well endpoint stays. Where a full table makes connecting fail, idle connections to that kind are closed.
 func ExampleSender_connectFailures() {
 	for _, tellsFull := range []bool{true, false} {
 		set := testSettings()
@@ -95,7 +95,7 @@
 	// 8000.0  close d
 }
 
-// A share that is refused whatever the load costs little; a limit is found and kept, also with noise on top.
+// A share that is rejected whatever the load costs little; a limit is found and kept, also with such a share on top.
 func ExampleSender_adjustRate() {
 	play := func(what string, offered int, noise, limit float64) {
 		host := startSender(testSettings())
@@ -141,8 +141,8 @@
 	// a limit of 2: 1 a second sent of 10, 17% of them refused
 }
 
-// An endpoint that was ejected but answers again within 1.5 s of its last answer was not down: it keeps no cold
-// budget. One that was quiet for longer may have restarted.
+// An endpoint that was ejected but answers again within 1.5 s of its last answer was not down: it needs no slow start.
+// One that was quiet for longer may have restarted.
 func ExampleSender_shortEjection() {
 	for _, pause := range []Time{200 * Millisecond, 1600 * Millisecond} {
 		host := startSender(testSettings())
@@ -159,7 +159,7 @@
 	// true false slow start: true
 }
 
-// Spoilt answers do not set an endpoint wasEjected that has just answered others: it has run them.
+// Answers that can't be understood do not eject an endpoint that has just answered others.
 func ExampleSender_unreadableAnswers() {
 	host := startSender(testSettings()).accept(0, 1, "p").end(Done, 0, "a", "p")
 	for _, id := range []MessageID{"q", "r"} {
@@ -180,8 +180,8 @@
 	// ejected: true
 }
 
-// One failure is enough where nothing was answered lately, and what may be sent once a told wait is over
-// does not pile up during it: a large fleet is told alike, and would push over what opens.
+// One failure is enough where nothing was done lately, and the slow start budget does not fill during a Retry-After:
+// the senders of a large fleet get the same one, and would overload the destination as it opens.
 func ExampleSender_singleFailureInFleet() {
 	set := testSettings()
 	set.Senders = 50
@@ -197,7 +197,7 @@
 	// budget once open: 0.72, from 81046
 }
 
-// A crowded sender sheds what would take up room for longest, so a healthy destination keeps its service.
+// A sender whose backlog fills up sheds what would stay for longest, so that a well destination keeps its service.
 func ExampleSender_backlogFull() {
 	set := testSettings()
 	set.MaxOpen = 6
@@ -211,8 +211,9 @@
 	// 5 held
 }
 
-// What an earlier life of the sender may have run: a single-use message is given up, a keyed one goes out again
-// within its window and zone, an idempotent one at once. A key rests first, since its call may still be running.
+// What an earlier incarnation of the sender may have sent: a non-idempotent message fails, a keyed one is sent again
+// within its window and zone, an idempotent one at once. An order key pauses first, since its call may still be
+// running.
 func Example_earlierIncarnation() {
 	host := startSender(testSettings())
 	for i, id := range []MessageID{"replayable", "tokened", "single-use"} {
--- a/choice/fakehost_test.go
+++ b/choice/fakehost_test.go
@@ -6,35 +6,37 @@
 	"sort"
 )
 
-// desk is a host that prints what the module asks for, with the clock in milliseconds.
+// fakeHost is a host that prints what the sender asks of it, with its clock in milliseconds.
 type fakeHost struct {
 	sender        *Sender
 	clock         Time
-	timers        []fakeTimer // emptied as they fire
-	mute          bool
-	printClosings bool // print closings too
-	attempts      map[MessageID]int
+	timers        []fakeTimer
+	mute          bool                             // print nothing
+	printClosings bool                             // print which idle connections are closed, too
+	attempts      map[MessageID]int                // sent, by message
 	barred        func(MessageID, EndpointID) bool // nil for nothing
 }
 
+// fakeTimer is a timer that has not fired yet.
 type fakeTimer struct {
 	at Time
 	id TimerID
 }
 
-// plain settings: class 0 is idempotent, 1 keyed, 2 single-use, 3 idempotent in order.
+// testSettings are settings of a small fleet whose class 0 is idempotent, 1 keyed, 2 non-idempotent, and 3 idempotent
+// and ordered by key.
 func testSettings() Settings {
-	w := func(r Repeat, order bool) Class {
+	class := func(r Repeat, order bool) Class {
 		return Class{Repeat: r, RepeatWindow: 3 * Second, ContractTime: Second, Deadline: 6 * Second,
 			Value: 1 + float64(r), LateValue: 0.1, ByArrival: order}
 	}
 	return Settings{Senders: 2, InFlightLimit: 8, MaxOpen: 100, MaxAttempts: 6,
-		Classes: []Class{w(Idempotent, false), w(Keyed, false), w(SingleUse, false), w(Idempotent, true)},
+		Classes: []Class{class(Idempotent, false), class(Keyed, false), class(SingleUse, false), class(Idempotent, true)},
 		Kinds:   []Kind{{BundleMax: 1}, {BundleMax: 3}}, Turn: 5 * Millisecond, Probing: true, Rating: RatingExact,
 		FallMultiple: 2, Fall: 2 * Second, ColdFrom: 0.2, Cold: 10 * Second, KeyRest: Second}
 }
 
-// open starts a sender whose list holds a and b at destination 1 and c at destination 2.
+// startSender starts a sender whose endpoint list holds a and b (gone) at destination 1, and c at destination 2.
 func startSender(set Settings) *fakeHost {
 	host := &fakeHost{attempts: map[MessageID]int{}}
 	host.sender = Start(host, "s", 7, set)
@@ -44,6 +46,7 @@
 	return host
 }
 
+// accept hands in messages of order key 5, and ends the turn.
 func (h *fakeHost) accept(class ClassNo, to DestinationID, ids ...MessageID) *fakeHost {
 	for _, id := range ids {
 		h.sender.Taken(Message{ID: id, Class: class, Key: 5, Destination: to,
@@ -53,7 +56,7 @@
 	return h
 }
 
-// ended tells an outcome of each message's latest attempt, told 200 ms after its send.
+// end gives each message's latest attempt an outcome, which took 200 ms, and ends the turn.
 func (h *fakeHost) end(result Result, wait Time, at EndpointID, ids ...MessageID) *fakeHost {
 	for _, id := range ids {
 		h.sender.Ended(Outcome{Message: id, Attempt: h.attempts[id] - 1, Endpoint: at, Took: 200 * Millisecond,
@@ -63,7 +66,7 @@
 	return h
 }
 
-// run lets the clock go on for a span, firing timers in order.
+// advance moves the clock on, firing timers in order, each in a turn of its own.
 func (h *fakeHost) advance(span Time) *fakeHost {
 	end := h.clock + span
 	for {
--- a/choice/filter_test.go
+++ b/choice/filter_test.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// two opens a sender with a near and a far endpoint of one destination, the near one ranked first; what is named near
-// may only go there, and what is named far only to the far one.
+// startTwoZones starts a sender with a near and a far endpoint of one destination, the near one ranked first. Messages
+// whose id begins with near may only go there, and those with far only to the far one.
 func startTwoZones(set Settings) *fakeHost {
 	host := startSender(set)
 	host.sender.ListNews([]Entry{{Endpoint: "near", Destination: 3, Kind: 1, Rating: 10}, {Endpoint: "far", Destination: 3, Kind: 1, Zone: 1, Rating: 10}}, false)
@@ -16,8 +16,8 @@
 	return host
 }
 
-// A message goes where it may and nowhere else, also where another rides by; what is barred nowhere goes as ever. The
-// answer that stands when it is sent is what counts.
+// A message goes only where it is allowed to, also where it could join another's call; one that is barred nowhere goes
+// as ever. What counts is what is allowed as it is sent.
 func ExampleSender_allowed() {
 	host := startTwoZones(testSettings())
 	host.accept(0, 3, "far1", "near1", "any", "far2")
@@ -33,8 +33,8 @@
 	// 150.0   attempt later to near
 }
 
-// Near is down: what may only go there waits, and tries it as any trial does, held to the cold budget; what waits behind
-// it and may go far does so at once.
+// The near endpoint is down: what may only go there waits, and tries it as any trial does, within the slow start
+// budget; what waits behind and may go far does so at once.
 func ExampleSender_allowedOutage() {
 	set := testSettings()
 	set.Probing = false
@@ -54,8 +54,8 @@
 	// budget left for a trial: false
 }
 
-// However many newer ones wait that may only go where no room is, one behind them goes where it may; past a bound it
-// waits until some of them are over.
+// A message may wait behind newer ones that may only go where there is no capacity, and goes where it may; behind more
+// than a bound of them it waits until some are over.
 func ExampleSender_allowedBehind() {
 	for _, newer := range []int{barredScanLimit - 1, barredScanLimit} {
 		set := testSettings()
@@ -76,8 +76,8 @@
 	// 16 newer, sent: false
 }
 
-// What may have run in one zone and is known there alone may not be repeated elsewhere: a plan that sends it away would
-// leave it nowhere to go.
+// What may have run in one zone, and whose key is known there alone, may not be repeated elsewhere: a routing plan that
+// moves it would leave it nowhere to go.
 func ExampleSender_allowedKnownInOneZone() {
 	set := testSettings()
 	set.Classes[1].ZoneGroup = true
--- a/choice/fleetmodel_test.go
+++ b/choice/fleetmodel_test.go
@@ -7,26 +7,27 @@
 	"math/rand/v2"
 )
 
-// fleet plays many senders against the endpoints of a few destinations, on a clock of its own that goes from one event
-// to the next. It counts what reaches each endpoint that is back from an outage and cold, from whichever sender.
+// fleetModel plays many senders against the endpoints of a few destinations, on a clock that goes from one event to the
+// next. It counts what reaches each endpoint that is back from an outage and warming up, from whichever sender.
 type fleetModel struct {
 	outagePlan
-	now                     Time
-	events                  eventHeap // emptied as they happen
-	eventSerial, eventCount int
-	hosts                   []*senderHost
-	endpoints               map[EndpointID]*endpointModel
-	random                  *rand.Rand
+	now         Time
+	events      eventHeap // to come
+	eventSerial int       // of the event scheduled last
+	eventCount  int       // of events that happened
+	hosts       []*senderHost
+	endpoints   map[EndpointID]*endpointModel
+	random      *rand.Rand
 }
 
-// play is one outage as it is drawn: how much is sent there, by whom, and what else happens meanwhile.
+// outagePlan is one outage as it is drawn: how much is sent there, by whom, and what else happens meanwhile.
 type outagePlan struct {
 	set           Settings
 	senders       int
 	destinations  int
 	endpointsEach int     // endpoints of each destination
-	capacity      float64 // calls a second of each endpoint when warm
-	rating        float64 // what the list tells of that
+	capacity      float64 // calls a second of each endpoint after slow start
+	rating        float64 // the same in the endpoint list
 	demand        float64 // messages a second, as a part of the capacity
 	skew          float64 // exponent by which senders differ; 0 is even
 	replaced      bool    // half of the endpoints are replaced in the outage
@@ -34,12 +35,14 @@
 	seed          uint64
 }
 
+// fleetEvent is something that happens at a time; those of one time in the order scheduled.
 type fleetEvent struct {
 	at     Time
 	serial int
 	do     func()
 }
 
+// eventHeap is a heap.Interface of events, the next one first.
 type eventHeap []fleetEvent
 
 func (h eventHeap) Len() int      { return len(h) }
@@ -54,58 +57,67 @@
 	return last
 }
 
+// after has something happen after a span.
 func (f *fleetModel) after(in Time, do func()) {
 	f.eventSerial++
 	heap.Push(&f.events, fleetEvent{f.now + in, f.eventSerial, do})
 }
 
-// site is one endpoint as it is: down from and until, and what reached it of late while cold.
+// endpointModel is one endpoint as it is: when it is down, and what reached it of late while warming up.
 type endpointModel struct {
 	id           EndpointID
 	downAt, upAt Time
-	recentCalls  []Time // within the fall span
-	fromAware    []bool // of each of these, whether its sender had met the outage
-	calls        int    // since it is back
-	firstSecond  int    // of these, in the first second and from senders that had met the outage
-	excess       float64
+	recentCalls  []Time  // in slow start, within the overload window
+	fromAware    []bool  // of each of these, whether its sender had met the outage
+	calls        int     // since it is back
+	firstSecond  int     // of these, in the first second and from senders that had met the outage
+	excess       float64 // most calls beyond what is allowed in a window
 	awareExcess  float64 // of windows of which over two thirds came from senders that had met the outage
 }
 
-// room is N: what the settings let a cold endpoint be sent in a fall span that ends now.
+// allowedCalls is N: what the settings let all senders together send in an overload window that ends now.
 func (f *fleetModel) allowedCalls(ep *endpointModel) float64 {
 	warm := f.set.ColdFrom + (1-f.set.ColdFrom)*seconds(f.now-ep.upAt)/seconds(f.set.Cold)
 	return f.set.FallMultiple * f.capacity * warm * seconds(f.set.Fall)
 }
 
-func (f *fleetModel) arrive(ep *endpointModel, knows bool) bool {
+// arrive counts a call that reaches an endpoint, and reports whether the endpoint is up. aware tells whether the sender
+// had met the outage.
+func (f *fleetModel) arrive(ep *endpointModel, aware bool) bool {
 	if f.now >= ep.downAt && f.now < ep.upAt {
 		return false
 	}
 	if f.now >= ep.upAt {
 		ep.calls++
-		ep.firstSecond += countIf(knows && f.now < ep.upAt+Second)
+		ep.firstSecond += countIf(aware && f.now < ep.upAt+Second)
 	}
 	if f.now >= ep.upAt && f.now < ep.upAt+f.set.Cold {
-		ep.recentCalls, ep.fromAware = append(ep.recentCalls, f.now), append(ep.fromAware, knows)
-		for ep.recentCalls[0] < f.now-f.set.Fall {
-			ep.recentCalls, ep.fromAware = ep.recentCalls[1:], ep.fromAware[1:]
-		}
-		n := f.allowedCalls(ep)
-		bound := n + 2*math.Sqrt(n) + 2
-		over := float64(len(ep.recentCalls)) - bound
-		ep.excess = max(ep.excess, over)
-		aware := 0
-		for _, knew := range ep.fromAware {
-			aware += countIf(knew)
-		}
-		if 3*aware > 2*len(ep.recentCalls) {
-			ep.awareExcess = max(ep.awareExcess, over)
-		}
+		f.countInWindow(ep, aware)
 	}
 	return true
 }
 
-// seat is one sender's host. A process that ends takes its timers and answers with it.
+// countInWindow counts a call to an endpoint in slow start, and by how many calls the window that ends with it is beyond
+// what is allowed.
+func (f *fleetModel) countInWindow(ep *endpointModel, aware bool) {
+	ep.recentCalls, ep.fromAware = append(ep.recentCalls, f.now), append(ep.fromAware, aware)
+	for ep.recentCalls[0] < f.now-f.set.Fall {
+		ep.recentCalls, ep.fromAware = ep.recentCalls[1:], ep.fromAware[1:]
+	}
+	allowed := f.allowedCalls(ep)
+	bound := allowed + 2*math.Sqrt(allowed) + 2
+	over := float64(len(ep.recentCalls)) - bound
+	ep.excess = max(ep.excess, over)
+	awareCalls := 0
+	for _, is := range ep.fromAware {
+		awareCalls += countIf(is)
+	}
+	if 3*awareCalls > 2*len(ep.recentCalls) {
+		ep.awareExcess = max(ep.awareExcess, over)
+	}
+}
+
+// senderHost is the host of one sender. A process that ends takes its timers and answers with it.
 type senderHost struct {
 	fleet       *fleetModel
 	number      int
@@ -116,6 +128,7 @@
 	forgotten   map[TimerID]bool
 }
 
+// start starts the next incarnation of the sender, with the endpoint list as it is.
 func (h *senderHost) start() {
 	h.incarnation++
 	h.attempts, h.forgotten = map[MessageID]int{}, map[TimerID]bool{}
@@ -130,17 +143,18 @@
 	h.sender.TurnEnd()
 }
 
+// entry is what the endpoint list says of an endpoint.
 func (f *fleetModel) entry(id EndpointID) Entry {
 	dest := 0
 	fmt.Sscanf(string(id), "d%d", &dest)
 	return Entry{Endpoint: id, Destination: DestinationID(dest), Rating: f.rating * float64(f.endpointsEach)}
 }
 
-// later does something to this life of the sender, and then ends its turn.
+// later does something to this incarnation of the sender after a span, and then ends its turn.
 func (h *senderHost) later(in Time, do func()) {
-	life := h.incarnation
+	incarnation := h.incarnation
 	h.fleet.after(in, func() {
-		if h.incarnation == life {
+		if h.incarnation == incarnation {
 			do()
 			h.sender.TurnEnd()
 		}
@@ -165,10 +179,10 @@
 
 func (h *senderHost) Attempt(n MessageID, to EndpointID, timeOut Time) {
 	h.attempts[n]++
-	knows := h.sender.impaired(h.sender.endpoints[to])
+	aware := h.sender.impaired(h.sender.endpoints[to])
 	o := Outcome{Message: n, Attempt: h.attempts[n] - 1, Endpoint: to, Result: ConnectFailed}
 	h.fleet.after(10*Millisecond+Time(h.fleet.random.IntN(200)), func() {
-		if h.fleet.arrive(h.fleet.endpoints[to], knows) {
+		if h.fleet.arrive(h.fleet.endpoints[to], aware) {
 			o.Result, o.Took, o.Final = Done, 60*Millisecond, true
 		}
 	})
@@ -176,23 +190,30 @@
 }
 
 func (h *senderHost) Probe(e EndpointID) {
-	up := Errored
+	result := Errored
 	h.fleet.after(10*Millisecond, func() {
 		if h.fleet.arrive(h.fleet.endpoints[e], true) {
-			up = Done
+			result = Done
 		}
 	})
-	h.later(30*Millisecond, func() { h.sender.Probed(e, up) })
+	h.later(30*Millisecond, func() { h.sender.Probed(e, result) })
 }
 
+// accept hands in one message, and ends the turn.
 func (h *senderHost) accept(dest, serial int) {
-	w := ClassNo(serial % len(h.fleet.set.Classes))
-	h.sender.Taken(Message{ID: MessageID(fmt.Sprint("n", serial)), Class: w, Account: -1, Key: NoKey, Destination: DestinationID(dest),
-		Deadline: h.Now() + h.fleet.set.Classes[w].Deadline})
+	class := ClassNo(serial % len(h.fleet.set.Classes))
+	h.sender.Taken(Message{
+		ID:          MessageID(fmt.Sprint("n", serial)),
+		Class:       class,
+		Account:     -1,
+		Key:         NoKey,
+		Destination: DestinationID(dest),
+		Deadline:    h.Now() + h.fleet.set.Classes[class].Deadline,
+	})
 	h.sender.TurnEnd()
 }
 
-// outage plays one and gives the endpoints that came back.
+// run plays the outage, and returns the endpoints that came back.
 func (p outagePlan) run() (back []*endpointModel, f *fleetModel) {
 	f = &fleetModel{outagePlan: p, endpoints: map[EndpointID]*endpointModel{}, random: rand.New(rand.NewPCG(p.seed, 1))}
 	f.set.Senders, f.set.Probing = p.senders, p.senders <= smallFleetSize
@@ -225,6 +246,7 @@
 	return back, f
 }
 
+// replace has every second endpoint replaced by a new one in the middle of the outage, where the plan says so.
 func (f *fleetModel) replace(back *[]*endpointModel) {
 	for i, ep := range *back {
 		if !f.replaced || i%2 > 0 {
@@ -244,6 +266,7 @@
 	}
 }
 
+// restart has some senders start anew in the outage, or soon after it.
 func (f *fleetModel) restart() {
 	for _, h := range f.hosts {
 		if f.random.Float64() < f.restarts {
@@ -252,7 +275,7 @@
 	}
 }
 
-// traffic lays out what is handed in: by chance, over all destinations evenly, and to each sender by its weight.
+// traffic schedules the messages handed in: by chance, over all destinations evenly, and to each sender by its weight.
 func (f *fleetModel) traffic(end Time) {
 	weights, sum := make([]float64, f.senders), 0.0
 	for i := range weights {
--- a/choice/held_test.go
+++ b/choice/held_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A probe that the host held back tells nothing: the pause before the next one stays as it was, where one that failed
-// doubles it, and none goes at once.
+// A probe that the host cancelled says nothing: the pause before the next one stays as it was, where one that failed
+// doubles it, and none is sent at once.
 func ExampleSender_Probed_cancelled() {
 	for _, result := range []Result{Cancelled, ConnectFailed} {
 		set := testSettings()
@@ -29,7 +29,7 @@
 	// 4550.0  probe a
 }
 
-// What the host asks as it writes is what the module asks as it chooses: the last moment for a repeat.
+// What the host asks as it writes is what the sender asks as it chooses: the last moment for a repeat.
 func TestRepeatEnd(t *testing.T) {
 	host := startSender(testSettings())
 	host.mute = true
--- a/choice/limits_test.go
+++ b/choice/limits_test.go
@@ -6,13 +6,14 @@
 	"slices"
 )
 
-// calls plays seconds of steady calls at one endpoint of a sender; result says how each ends. It tells how many left.
+// steadyCalls plays seconds of a steady load of calls on one endpoint, and returns how many were sent. result says how
+// each ends.
 func steadyCalls(host *fakeHost, a callLoad, seconds int, result func(i int) (Result, Time)) (sent int) {
 	for i := range a.rate * seconds {
 		host.advance(Second / Time(a.rate))
 		id := MessageID(fmt.Sprint(a.name, i))
 		before := host.attempts[id]
-		host.accept(2, a.to, id) // single-use, so that nothing but what is played here is sent
+		host.accept(2, a.to, id) // non-idempotent, so that there are no retries
 		if host.attempts[id] > before {
 			sent++
 			r, wait := result(i)
@@ -22,6 +23,7 @@
 	return sent
 }
 
+// callLoad is a load of calls: the prefix of their ids, how many a second, and where they go.
 type callLoad struct {
 	name     string
 	rate     int
@@ -29,7 +31,8 @@
 	endpoint EndpointID
 }
 
-// A told wait that comes anew halts the route and is enough: the pace stays what it was. Told again at once it counts.
+// A first Retry-After pauses the route and is enough: the rate stays what it was. Another one that follows at once cuts
+// it.
 func ExampleSender_firstRetryAfter() {
 	host := startSender(testSettings())
 	host.mute = true
@@ -37,19 +40,19 @@
 	route := host.sender.destinations[1].route
 	rejectAfter := func(id MessageID) {
 		host.accept(0, 1, id).end(Full, 200*Millisecond, "a", id)
-		fmt.Println("halted for", (route.pausedUntil-host.clock)/Millisecond, "ms, unpaced", route.limiter.rate >= unlimitedRate)
+		fmt.Println("paused for", (route.pausedUntil-host.clock)/Millisecond, "ms, unlimited", route.limiter.rate >= unlimitedRate)
 		host.advance(500 * Millisecond)
 	}
 	host.sender.endpoints["a"].concurrencyLimit = 8
 	rejectAfter("q")
 	rejectAfter("r")
 	// Output:
-	// halted for 222 ms, unpaced true
-	// halted for 215 ms, unpaced false
+	// paused for 222 ms, unlimited true
+	// paused for 215 ms, unlimited false
 }
 
-// Of a thousand calls a second some fail in a row by chance, and no endpoint is ejected for that; a crash still is
-// told within a few calls.
+// Of a thousand calls a second some fail in a row by chance, and no endpoint is ejected for that. A crash is still
+// noticed within a few calls.
 func ExampleSender_failuresByChance() {
 	for _, rate := range []int{2, 100, 1000} {
 		host := startSender(testSettings())
@@ -70,7 +73,7 @@
 	// 1000 a second: 100% sent, then 7 calls into a crash
 }
 
-// One bad machine of two: what it refuses is its own. The route keeps its pace, and the machine ranks last.
+// Of two endpoints one rejects much, which is its own affair: the route keeps its rate, and that endpoint ranks last.
 func ExampleSender_rejectingEndpoint() {
 	set := testSettings()
 	set.Kinds[0].BundleMax = 1
@@ -102,7 +105,8 @@
 	// well: true ranked first: a pace kept: true
 }
 
-// A destination whose calls all fail gets first sends and few retries on top: slots' worth, and a trickle.
+// A destination whose calls all fail gets first attempts and few retries on top: as many as the in-flight limit, and a
+// trickle.
 func ExampleSender_retryBudget() {
 	set := testSettings()
 	set.InFlightLimit = 4
@@ -113,7 +117,7 @@
 	for i := range 600 {
 		host.advance(20 * Millisecond)
 		host.accept(0, 1, MessageID(fmt.Sprint(i)))
-		host.sender.endpoints["a"].ejected, host.sender.endpoints["a"].consecutiveFailures = false, 0 // what would end it all sooner is left out
+		host.sender.endpoints["a"].ejected, host.sender.endpoints["a"].consecutiveFailures = false, 0 // otherwise an ejection would end it sooner
 		var ids []string
 		for id, msg := range host.sender.messages {
 			if msg.inFlight != nil {
@@ -137,10 +141,10 @@
 	// retries within the budget: true left true true
 }
 
-// A destination that takes nothing may hold most of the room, never all: others are still taken on.
+// A destination that takes nothing may fill most of the backlog and never all: messages for others are still accepted.
 func ExampleSender_backlogOfOneDestination() {
 	set := testSettings()
-	set.InFlightLimit = 0 // nothing leaves
+	set.InFlightLimit = 0 // nothing is sent
 	host := startSender(set)
 	host.mute = true
 	for i := range 400 {
@@ -155,7 +159,7 @@
 	// stuck ones held: 93 of 100 others held: 10
 }
 
-// An endpoint that answered nothing lately holds no more calls than an unknown one, until it answers.
+// An endpoint that has done no call lately gets no more calls at once than an unknown one, until it answers.
 func ExampleSender_idleConcurrency() {
 	host := startSender(testSettings())
 	host.sender.endpoints["a"].concurrencyLimit = 8
@@ -169,7 +173,7 @@
 	// 3100.0  attempt q to a
 }
 
-// A pace that was halved wrongly is back in seconds at any rate; few calls show little room, and take longest.
+// A rate that was halved wrongly recovers in seconds, whatever it is; few calls show little capacity, and take longest.
 func ExampleSender_rateRecovers() {
 	for _, rate := range []int{1, 100, 5000} {
 		host := startSender(testSettings())
--- a/choice/loadhost_test.go
+++ b/choice/loadhost_test.go
@@ -7,14 +7,15 @@
 	"testing"
 )
 
-// town is a host with a steady load, whose calls end by what is drawn from their ids; it checks what it is asked for.
+// loadHost is a host with a steady load of messages, whose calls end by what is drawn from their ids. It checks each
+// thing the sender asks of it.
 type loadHost struct {
 	t        *testing.T
 	sender   *Sender
 	clock    Time
-	events   []loadEvent // by time; emptied as they happen
+	events   []loadEvent // to come, by time
 	attempts map[MessageID]int
-	answers  map[MessageID]int // answers
+	answers  map[MessageID]int // given, by message
 	trace    []string
 }
 
@@ -24,6 +25,7 @@
 	timer TimerID
 }
 
+// schedule has something happen at a time; a timer has its id, anything else -1.
 func (h *loadHost) schedule(at Time, timer TimerID, what func()) {
 	e := loadEvent{max(at, h.clock), what, timer}
 	i, _ := slices.BinarySearchFunc(h.events, e, func(a, b loadEvent) int { return int(min(1, max(-1, a.at-b.at))) })
@@ -33,7 +35,7 @@
 	h.events = slices.Insert(h.events, i, e)
 }
 
-// run plays until a time; all that happens at one moment is one turn.
+// playUntil plays until a time. All that happens at one moment is one turn.
 func (h *loadHost) playUntil(until Time) {
 	for len(h.events) > 0 && h.events[0].at <= until {
 		h.clock = h.events[0].at
@@ -51,13 +53,13 @@
 	h.trace = append(h.trace, fmt.Sprintf("%d ", h.clock)+fmt.Sprintf(format, args...))
 }
 
-// outage tells whether b is down; so it is in every minute.
+// bDown reports whether endpoint b is down, as it is for five seconds in every minute.
 func (h *loadHost) bDown() bool {
 	since := h.clock % loadWarmUp
 	return since > 4*Second && since < 9*Second
 }
 
-// drawn is in [0, 1), by what a thing is called.
+// hashFraction is a number in [0, 1) that depends on its arguments alone.
 func hashFraction(of ...any) float64 {
 	h := fnv.New64a()
 	fmt.Fprint(h, of...)
@@ -73,7 +75,7 @@
 	h.checkAttempt(h.sender.messages[id], h.sender.endpoints[to])
 	took := 50*Millisecond + Time(hashFraction(id, h.attempts[id], "took")*float64(300*Millisecond))
 	o := Outcome{Message: id, Attempt: h.attempts[id] - 1, Endpoint: to, Took: took, Final: true}
-	if d := h.sender.endpoints[to].destination.id; d == 1 { // the one that tells its limit
+	if d := h.sender.endpoints[to].destination.id; d == 1 { // the one that reports its limit
 		o.Report = Report{Known: true, Left: 0.5, Limit: 20}
 	}
 	switch luck := hashFraction(id, h.attempts[id], "luck"); {
@@ -98,7 +100,7 @@
 	})
 }
 
-// within checks an attempt by the settings that hold now.
+// checkAttempt checks an attempt against the settings in force.
 func (h *loadHost) checkAttempt(msg *message, ep *endpoint) {
 	set, class := h.sender.settings, h.sender.class(msg)
 	check := func(is bool, what string) {
@@ -162,12 +164,13 @@
 }
 
 const (
-	loadWarmUp   = 60 * Second // all that fills up has done so
+	loadWarmUp   = 60 * Second // by then budgets and buckets are full
 	loadSpan     = 10 * Second // of messages coming
 	loadInterval = 10 * Millisecond
 )
 
-// townSettings have a second of each kind, account and zone; fleet those of many senders, with notes.
+// loadSettings are settings with two of each kind, account and zone; fleet gives those of many senders that exchange
+// notes.
 func loadSettings(fleet bool) Settings {
 	set := testSettings()
 	set.InFlightLimit, set.MaxOpen, set.LongestReturn, set.ConnIdle = 12, 60, 4*Second, Second
@@ -180,12 +183,13 @@
 	return set
 }
 
-// open starts a town: two destinations of two endpoints in two zones, one of each kind.
+// start starts the sender under test.
 func (h *loadHost) start(set Settings) {
 	h.attempts, h.answers = map[MessageID]int{}, map[MessageID]int{}
 	h.sender = Start(h, "s", 7, set)
 }
 
+// listEndpoints gives it two destinations of two endpoints each, in two zones, one destination of each kind.
 func (h *loadHost) listEndpoints() {
 	var all []Entry
 	for i, id := range []EndpointID{"a", "b", "c", "d"} {
@@ -194,7 +198,8 @@
 	h.sender.ListNews(all, true)
 }
 
-// load has messages come steadily, of all that the settings name by then.
+// offerLoad has messages come at a steady rate, of all classes, accounts and destinations that the settings have by
+// then.
 func (h *loadHost) offerLoad(from, until Time) {
 	no := 0
 	for at := from; at < until; at += loadInterval {
--- a/choice/notes_test.go
+++ b/choice/notes_test.go
@@ -5,14 +5,15 @@
 	"math"
 )
 
+// gossipSettings are settings of a fleet whose senders exchange notes.
 func gossipSettings() Settings {
 	set := testSettings()
 	set.Senders, set.Probing, set.Notes, set.ConnIdle = 80, false, true, 10*Second
 	return set
 }
 
-// Who meets a used-up limit rests the route and tells all; who hears of it rests the route as well, and goes on
-// elsewhere. A note that names nothing known, or is cut short, does nothing.
+// A sender that meets a used-up limit pauses the route and sends a note; one that hears of it pauses the route, too,
+// and goes on elsewhere. A note about an unknown endpoint, or a malformed one, does nothing.
 func ExampleSender_Heard() {
 	host := startSender(gossipSettings()).accept(0, 1, "p")
 	host.sender.Ended(Outcome{Message: "p", Endpoint: "a", Result: Full, Report: Report{Known: true, Limit: 8}})
@@ -33,7 +34,8 @@
 	// 700.0   attempt r to c
 }
 
-// Who finds no place at an endpoint tells so, once in two seconds; who has a link idle there gives it up.
+// A sender that finds no place for a connection sends a note, at most once in two seconds; one that hears of it closes
+// its idle connection there.
 func ExampleSender_Heard_connectionTableFull() {
 	host := startSender(gossipSettings()).accept(0, 1, "p", "q").end(ConnectFailed, 0, "a", "p", "q")
 	host = startSender(gossipSettings()).accept(0, 1, "r").end(Done, 0, "a", "r")
@@ -48,8 +50,8 @@
 	// 0.0     close a
 }
 
-// In a fleet with notes the calls done at a kind pay for retries there: where nothing is done, the budget of one
-// kind ends, whatever the number of its destinations.
+// In a fleet with notes the calls done at a kind pay for retries there: where nothing is done, one kind's budget is
+// used up whatever the number of its destinations.
 func ExampleSender_retryBudgetOfKind() {
 	host := startSender(gossipSettings())
 	host.mute = true
@@ -64,8 +66,8 @@
 	// attempts: 5
 }
 
-// What replaces the endpoints of a destination that is out joins it as out: it is tried as one that may be cold, where
-// it would take all that waits at once.
+// An endpoint that joins a destination in an outage joins it as ejected: it is tried as one that may be warming up, and
+// does not get all that waits at once.
 func ExampleSender_replacedInOutage() {
 	set := testSettings()
 	set.Senders, set.Probing = 80, false
@@ -80,8 +82,8 @@
 	// true true
 }
 
-// What joins a destination that has come back and is still cold is as cold as the rest, with a budget begun by chance: all
-// senders hear of it at one moment, and empty ones would all be full at one moment, too.
+// An endpoint that joins a destination in slow start is in the same slow start, with a budget that begins by chance:
+// all senders hear of it at one moment, and empty budgets would all be full at one moment, too.
 func ExampleSender_replacedInSlowStart() {
 	set := testSettings()
 	set.Senders, set.Probing = 80, false
@@ -98,8 +100,8 @@
 	// ejected: false in the same slow start: true budget: 0.22
 }
 
-// In a fleet a call to an endpoint where none was done yet gets the time-out of its kind, not that of half a contract
-// time: many such calls, unanswered, would hold the few slots for as long as a message lives.
+// In a fleet a call to an endpoint without calls gets the time-out of its kind, and not that of half a contract time:
+// many such calls that stay unanswered would hold the in-flight limit for as long as a message lives.
 func ExampleSender_callTimesOfKind() {
 	for _, senders := range []int{80, 2} {
 		set := gossipSettings()
--- a/choice/order_test.go
+++ b/choice/order_test.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// ordered settings: class 0 is idempotent, 1 keyed in its zone, 2 single-use in order, 3 idempotent in order.
+// orderedSettings are testSettings whose class 1 is keyed in its zone, and class 2 non-idempotent and ordered by key.
 func orderedSettings() Settings {
 	set := testSettings()
 	set.KeyRest = 300 * Millisecond
@@ -10,14 +10,15 @@
 	return set
 }
 
-// keyed hands in one message with a key of its own choice, and leaves the turn open.
+// acceptKeyed hands in a message with an order key of its own, and leaves the turn open.
 func (h *fakeHost) acceptKeyed(id MessageID, class ClassNo, key OrderKey, to DestinationID) *fakeHost {
 	h.sender.Taken(Message{ID: id, Class: class, Key: key, Destination: to, Deadline: h.clock + h.sender.settings.Classes[class].Deadline})
 	return h
 }
 
-// Whatever becomes of a key's head, the next goes after it, one at a time: at once where no call can still run, after the
-// rest where one may. A refused head keeps its turn; what is over is answered in the turn that decides it.
+// Whatever becomes of the first message of a key, the next goes after it, one at a time: at once where no call can
+// still be running, after a pause where one may. A rejected message keeps its turn, and what is over is answered in the
+// turn that decides it.
 func ExampleSender_headOfKey() {
 	for _, end := range []struct {
 		name   string
@@ -63,8 +64,8 @@
 	// 10.0    attempt next to c
 }
 
-// A head that no attempt serves in time is shed when its time is over, which frees the next at once; one handed in again
-// joins at the end of its key.
+// A first message that no attempt serves in time is shed when its time is over, which lets the next go at once. One
+// that is handed in again joins at the end of its key.
 func ExampleSender_headPastDeadline() {
 	host := startSender(orderedSettings())
 	host.sender.ListNews([]Entry{{Endpoint: "c", Destination: 2, Kind: 1, Stage: Draining}}, false)
@@ -77,7 +78,8 @@
 	// 6000.0  attempt again to a
 }
 
-// Heads of several keys, of two ordered classes, share a call; two of one key never do, whatever their classes.
+// First messages of several keys, of two ordered classes, share a call; two of one key never do, whatever their
+// classes.
 func ExampleSender_keysInABulkCall() {
 	host := startSender(orderedSettings())
 	host.acceptKeyed("a1", 2, 7, 2).acceptKeyed("b1", 3, 8, 2).acceptKeyed("a2", 3, 7, 2).acceptKeyed("b2", 2, 8, 2).sender.TurnEnd()
@@ -91,7 +93,7 @@
 	// 0.0     attempt a2 to c
 }
 
-// A key's turn holds over destinations too.
+// The order of a key holds over several destinations, too.
 func ExampleSender_keyOverDestinations() {
 	host := startSender(orderedSettings())
 	host.acceptKeyed("here", 2, 7, 1).acceptKeyed("there", 2, 7, 2).sender.TurnEnd()
@@ -117,7 +119,8 @@
 	// 2995.1  fail token
 }
 
-// A told wait binds the route: one of those apart, or all endpoints of a destination that shares its limit.
+// A Retry-After pauses the route: one endpoint that is a route of its own, or all endpoints of a destination that share
+// a limit.
 func ExampleSender_pausesOfRoutes() {
 	for _, apart := range []bool{true, false} {
 		set := orderedSettings()
@@ -135,7 +138,7 @@
 	// apart: false
 }
 
-// A sender that stood still for two seconds finds answers, timers and a drain at once: the endpoint that answered in
+// A sender that stood still for two seconds finds answers, timers and a drain at once: an endpoint that answered in
 // time is not blamed, and nothing goes to the one that drains.
 func ExampleSender_stalledSender() {
 	host := startSender(orderedSettings())
--- a/choice/purge_test.go
+++ b/choice/purge_test.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// Withdrawn in whatever state, a message is neither sent again nor answered, its slot is free once its call has ended, and
-// those behind it in its key go on.
+// A message withdrawn in whatever state is neither sent again nor answered, its place in the in-flight limit is free
+// once its call has ended, and those behind it in its key go on.
 func ExampleSender_Withdrawn() {
 	play := func(what string, set Settings, do func(host *fakeHost)) {
 		fmt.Println(what)
@@ -86,8 +86,8 @@
 	// calls out: 1
 }
 
-// What was learnt of a partner that has moved is void: its time, its room, its pace and its wait are those of a new one,
-// or as told.
+// The learned state of a destination that has moved is void: its call times, concurrency limit, rate and pause are
+// those of a new one, or those given.
 func ExampleSender_Void() {
 	for _, l := range []*Learnt{nil, {Mean: 700, Dev: 100, Past: 600, Seen: 9, Limit: 4, Wait: Second}} {
 		host := startSender(testSettings()).accept(0, 1, "p").end(Done, 0, "a", "p")
@@ -113,8 +113,8 @@
 	// 1000.0  attempt q to a
 }
 
-// An outage under way is not lifted: what is ejected stays so, a shut partner's wait stays, the cold budget is not
-// larger, and a limit that others tell counts only once it is over.
+// Void does not lift an outage: an ejected endpoint stays so, the pause of a shut destination stays, the slow start
+// budget is not larger, and a limit that others learned counts only once the outage is over.
 func ExampleSender_Void_outage() {
 	set := testSettings()
 	set.Probing = false
@@ -154,7 +154,7 @@
 	// 4200.0  attempt q to a
 }
 
-// What is held for a destination may be forgotten unless something is under way there.
+// What is held for a destination may be evicted unless something is under way there.
 func ExampleSender_Holds() {
 	show := func(what string, host *fakeHost, id DestinationID) {
 		calls, inUse := host.sender.Holds(id)
--- a/choice/retries_test.go
+++ b/choice/retries_test.go
@@ -4,7 +4,7 @@
 
 import "fmt"
 
-// The one slot goes to the fresh tier, newest first, before the retry that was due earlier.
+// The one call in flight goes to first attempts, newest first, before the retry that was due earlier.
 func ExampleSender_firstAttemptsFirst() {
 	set := testSettings()
 	set.InFlightLimit = 1
@@ -19,7 +19,7 @@
 	// 300.0   attempt old to a
 }
 
-// Retry waits differ by chance, under ceilings that double up to the cap; the first is a quarter second.
+// Backoffs differ by chance, under ceilings that double up to a cap; the first ceiling is a quarter second.
 func ExampleSender_jitter() {
 	host := startSender(testSettings())
 	host.mute = true
@@ -41,7 +41,7 @@
 	// try 4 from 16 to 19705
 }
 
-// What was refused drains through a quarter of the slots: two here, the third when one is free.
+// Rejected messages are retried in a quarter of the in-flight limit: two here, and the third when one is done.
 func ExampleSender_rejectedRetries() {
 	host := startSender(testSettings())
 	host.sender.endpoints["a"].concurrencyLimit = 8
@@ -56,7 +56,8 @@
 	// 2000.0  attempt q to a
 }
 
-// Single-use: a time-out is final, a refusal is not. Keyed: again only inside the repeat window.
+// A non-idempotent message fails at a time-out and is retried after a rejection. A keyed one is retried only within its
+// repeat window.
 func ExampleSender_repeats() {
 	host := startSender(testSettings()).accept(2, 1, "once").end(Full, 0, "a", "once").advance(Second)
 	host.end(TimedOut, 0, "a", "once").accept(1, 2, "token").end(TimedOut, 0, "c", "token").advance(Second)
@@ -71,15 +72,15 @@
 	// 4500.0  fail token
 }
 
-// A message that no attempt can serve in time is answered at once: shed, as none ever ran.
+// A message that no attempt can serve in time is answered at once: it is shed, as none ever ran.
 func ExampleSender_deadline() {
 	startSender(testSettings()).accept(0, 9, "nowhere").advance(7 * Second)
 	// Output:
 	// 5490.1  shed nowhere
 }
 
-// In a large fleet two failures with nothing answered lately ejected all endpoints of the route, and each
-// refusal halves the pace before it: many senders that try in turn, or again and again, are a storm.
+// In a large fleet two failures with nothing done lately eject all endpoints of the route, and each rejection halves
+// the rate: many senders that try one endpoint after another, or again and again, are a storm.
 func ExampleSender_retryStorm() {
 	set := testSettings()
 	set.Senders = 50
@@ -104,8 +105,8 @@
 	// pace: 0.196
 }
 
-// A return counts from midway between the last failure seen and the first answer: in a large fleet the two lie
-// far apart, and counting from the answer would starve what has long been back.
+// Slow start counts from midway between the last failure seen and the first answer: in a large fleet the two lie far
+// apart, and counting from the answer would starve an endpoint that has long been back.
 func ExampleSender_slowStartFromMidway() {
 	set := testSettings()
 	set.Senders = 50
@@ -119,8 +120,8 @@
 	// slow start from: 35000
 }
 
-// Where a call stays without an answer while others have theirs, single-use messages wait until some more are done;
-// those that may be repeated find that out.
+// Where a call stays unanswered while others are answered, non-idempotent messages wait until some more are done; those
+// that may be repeated find that out.
 func ExampleSender_nonIdempotentAfterUnanswered() {
 	host := startSender(testSettings()).accept(0, 1, "lost").advance(Millisecond).accept(0, 1, "p").end(Done, 0, "a", "p").advance(2 * Second)
 	host.accept(2, 1, "single")
@@ -139,8 +140,8 @@
 	// 2061.0  attempt single to a
 }
 
-// A call that its message's deadline cut short tells nothing of the endpoint: a single-use message still goes there at
-// once. Nor does a message that the host ended alone, while the others of its call are still waited for.
+// A call that its message's deadline cut short says nothing of the endpoint: a non-idempotent message still goes there
+// at once. Nor does a message that the host ended alone, while the others of its call are still in flight.
 func ExampleSender_cutShortByDeadline() {
 	for _, left := range []Time{100 * Millisecond, 5 * Second} {
 		host := startSender(testSettings())
--- a/choice/returns_test.go
+++ b/choice/returns_test.go
@@ -7,17 +7,17 @@
 	"testing"
 )
 
-// cold is a play with the settings of a large fleet's days.
+// largeFleetPlan is a plan with settings as they are in a large fleet.
 func largeFleetPlan(senders int, capacity float64) outagePlan {
 	p := outagePlan{set: testSettings(), senders: senders, destinations: 16, endpointsEach: 1, capacity: capacity, rating: capacity, demand: 0.6, seed: 1}
 	p.set.FallMultiple, p.set.Fall, p.set.InFlightLimit = 2.5, 1500*Millisecond, 16
 	return p
 }
 
-// What all senders that met an outage do together stays within N + 2 root N + 2 in every span of the fall's length, over
-// more than a thousand returns: however many they are, whoever has how much to send, and also where all hear of
-// replaced endpoints at one moment. Windows of which a third came from senders that had no way to know are counted,
-// and only told: restarted ones, and those that had nothing to send there in the outage.
+// What all senders that met an outage do together stays within N + 2 sqrt(N) + 2 in every overload window, over more
+// than a thousand outages: however many they are, whoever has how much to send, and also where all hear of replaced
+// endpoints at one moment. Windows of which a third came from senders that had no way to know are counted and only
+// logged: restarted ones, and those that had nothing to send there in the outage.
 func TestSlowStartOfFleets(t *testing.T) {
 	kinds := []struct {
 		name string
@@ -54,8 +54,8 @@
 	}
 }
 
-// Settings of others, also absent or extreme: the budget stays a number, nothing spins, what came back is called again,
-// and a fleet is not let through at once, unless that is what it is told.
+// Settings of other customers, also absent or extreme: the budget stays a number, nothing spins, endpoints that came
+// back are called again, and a fleet is not let through at once, unless the settings say so.
 func TestSlowStartUnderExtremeSettings(t *testing.T) {
 	classes := func(p *outagePlan, n int, r Repeat) {
 		w := p.set.Classes[0]
@@ -122,8 +122,9 @@
 	}
 }
 
-// What n the settings allow bounds the mean of all: never beyond it by more than a fifth, never by a deviation less than
-// asked for, and where few senders cannot get there with all buckets full, by as much.
+// The mean of all senders follows what the settings allow: never beyond it by more than a fifth, never by fewer
+// deviations below the overload than asked for, and where few senders cannot get there with all budgets full, below it
+// by as much.
 func TestSlowStartMean(t *testing.T) {
 	for _, senders := range []float64{1, 2, 8, 9, 30, 300, 1e5} {
 		s := &Sender{fleetSize: senders, overloadWindow: 1.5}
@@ -142,8 +143,8 @@
 	}
 }
 
-// A destination that shuts while it is cold opens to a fleet at one moment. What each may send to those of its endpoints
-// that it did not ask has piled up until then, and must not leave at once.
+// A destination that shuts during slow start opens to a fleet at one moment. What each sender may send to those of its
+// endpoints that it did not ask has piled up until then, and must not all be sent at once.
 func TestReopensInSlowStart(t *testing.T) {
 	p := largeFleetPlan(80, 10)
 	p.set.Senders, p.set.Probing = p.senders, false
--- a/choice/waits_test.go
+++ b/choice/waits_test.go
@@ -4,7 +4,7 @@
 
 import "fmt"
 
-// A told wait stops first sends too; another destination goes on.
+// A Retry-After holds back first attempts, too; another destination goes on.
 func ExampleSender_retryAfter() {
 	host := startSender(testSettings()).accept(0, 1, "p").end(Full, 900*Millisecond, "a", "p")
 	host.accept(0, 1, "q").accept(0, 2, "other").advance(1200 * Millisecond)
@@ -15,7 +15,7 @@
 	// 1050.0  attempt p to a
 }
 
-// The messages of one call may be told waits at different times; the last one counts.
+// The messages of one call may get their Retry-After at different times; the last one counts.
 func ExampleSender_retryAfterOfBulkCall() {
 	host := startSender(testSettings()).accept(0, 2, "p", "q").end(Full, 500*Millisecond, "c", "p")
 	host.advance(100*Millisecond).end(Full, 500*Millisecond, "c", "q").accept(0, 2, "r").advance(700 * Millisecond)
@@ -27,8 +27,8 @@
 	// 650.0   attempt q to c
 }
 
-// A long told wait is that of a shut destination: once it opens, what was held goes out bit by bit, also
-// to endpoints that were not asked, and although a call from before was answered meanwhile.
+// A long Retry-After is that of a shut destination: once it opens, what was waiting goes out bit by bit, also to
+// endpoints that were not asked, and although a call from before was done meanwhile.
 func ExampleSender_longRetryAfter() {
 	host := startSender(testSettings())
 	host.sender.ListNews([]Entry{{Endpoint: "b", Destination: 1, Rating: 10}}, false)
@@ -46,7 +46,7 @@
 	// 5790.1  shed s
 }
 
-// Refusals that tell no wait, with nothing done for two seconds, halt the route for a guess that doubles.
+// Rejections without a Retry-After, with nothing done for two seconds, pause the route for a guess that doubles.
 func ExampleSender_guessedWait() {
 	host := startSender(testSettings()).advance(2100*Millisecond).accept(0, 1, "p", "q").end(Full, 0, "a", "p", "q")
 	host.advance(900*Millisecond).end(Full, 0, "a", "p", "q").advance(2 * Second)
@@ -58,7 +58,7 @@
 	// guess: 3000
 }
 
-// A refusal with the allowance used up is a limit: the endpoint stays in use, at a slower pace.
+// A rejection with the allowance used up is a limit: the endpoint stays in use, at a lower rate.
 func ExampleSender_limit() {
 	host := startSender(testSettings()).accept(0, 1, "p", "q").advance(3 * Second)
 	for _, id := range []MessageID{"p", "q"} {
@@ -75,9 +75,9 @@
 	// 3400.0  attempt q to a
 }
 
-// Who keeps to its part of a reported limit and is refused again and again halves its pace, and halves it again:
-// where refused calls use the limit up, all at their parts would have nothing done for as long as there is demand. A
-// report of room brings the part back at once.
+// A sender that keeps to its part of a reported limit and is rejected again and again halves its rate, and halves it
+// again: where rejected calls use the limit up, all senders at their parts would have nothing done for as long as there
+// is demand. A report of free capacity brings the part back at once.
 func ExampleSender_limitUsedUp() {
 	set := testSettings()
 	set.Senders, set.Probing = 80, false
