--- a/choice/backlog_test.go
+++ b/choice/backlog_test.go
@@ -1,7 +1,5 @@
 package choice
 
-// What is held, in which order, and what is turned away where the backlog is full.
-
 import "fmt"
 
 // Messages of one order key go one after another in the order accepted, and the key pauses after a time-out.
@@ -79,25 +77,34 @@
 	// in queues 1 waiting 9
 }
 
-// At a kind whose connection tables run full, no idle connection is kept for queued messages that may not be sent yet:
-// the endpoint is in slow start, its budget is used up, and others who may call find no place. Where it is well, the
-// connection is kept for what is queued.
-func ExampleSender_idleConnectionWhileQueued() {
-	for _, warmingUp := range []bool{true, false} {
-		set := testSettings()
-		set.Senders, set.ConnIdle, set.InFlightLimit = 300, 10*Second, 1
-		host := startSender(set)
-		host.sender.destinations[1].kind.connectFailShare = 0.5
-		host.printClosings = true
-		if warmingUp {
-			host.sender.beginSlowStart(host.sender.endpoints["a"], host.clock)
-		}
-		host.sender.endpoints["a"].slowStart.tokens = 1
-		host.accept(0, 1, "p").accept(0, 1, "q", "r").advance(100*Millisecond).end(Done, 0, "a", "p")
+// A sender whose backlog fills up sheds what would stay for longest, so that a well destination keeps its service.
+func ExampleSender_backlogFull() {
+	set := testSettings()
+	set.MaxOpen = 6
+	host := startSender(set).accept(0, 9, "p", "q", "r", "s", "t").accept(0, 2, "healthy", "too")
+	fmt.Println(len(host.sender.messages), "held")
+	// Output:
+	// 0.0     shed p
+	// 0.0     shed q
+	// 0.0     attempt too to c
+	// 0.0     attempt healthy to c
+	// 5 held
+}
+
+// A destination that takes nothing may fill most of the backlog and never all: messages for others are still accepted.
+func ExampleSender_backlogOfOneDestination() {
+	set := testSettings()
+	set.InFlightLimit = 0 // nothing is sent
+	host := startSender(set)
+	host.mute = true
+	for i := range 400 {
+		host.accept(0, 9, MessageID(fmt.Sprint("stuck", i)))
+	}
+	stuck := len(host.sender.messages)
+	for i := range 10 {
+		host.accept(0, 1, MessageID(fmt.Sprint("other", i)))
 	}
+	fmt.Println("stuck ones held:", stuck, "of", set.MaxOpen, "others held:", host.sender.destinations[1].openMessages)
 	// Output:
-	// 0.0     attempt p to a
-	// 100.0   close a
-	// 0.0     attempt p to a
-	// 100.0   attempt r to a
+	// stuck ones held: 93 of 100 others held: 10
 }
--- a/choice/connections_test.go
+++ b/choice/connections_test.go
@@ -1,7 +1,5 @@
 package choice
 
-// What connections and bulk calls do to decisions.
-
 import "fmt"
 
 // Messages sent in one turn to one endpoint share a call: here five, of a kind that takes three in one.
@@ -150,3 +148,49 @@
 	// true
 	// false
 }
+
+// At a kind whose connection tables run full, no idle connection is kept for queued messages that may not be sent yet:
+// the endpoint is in slow start, its budget is used up, and others who may call find no place. Where it is well, the
+// connection is kept for what is queued.
+func ExampleSender_idleConnectionWhileQueued() {
+	for _, warmingUp := range []bool{true, false} {
+		set := testSettings()
+		set.Senders, set.ConnIdle, set.InFlightLimit = 300, 10*Second, 1
+		host := startSender(set)
+		host.sender.destinations[1].kind.connectFailShare = 0.5
+		host.printClosings = true
+		if warmingUp {
+			host.sender.beginSlowStart(host.sender.endpoints["a"], host.clock)
+		}
+		host.sender.endpoints["a"].slowStart.tokens = 1
+		host.accept(0, 1, "p").accept(0, 1, "q", "r").advance(100*Millisecond).end(Done, 0, "a", "p")
+	}
+	// Output:
+	// 0.0     attempt p to a
+	// 100.0   close a
+	// 0.0     attempt p to a
+	// 100.0   attempt r to a
+}
+
+// Where a full connection table is answered, connections that fail show an outage and nothing else: the idle connection
+// to a well endpoint stays. Where a full table makes connecting fail, idle connections to that kind are closed.
+func ExampleSender_connectFailures() {
+	for _, tellsFull := range []bool{true, false} {
+		set := testSettings()
+		set.Senders, set.ConnIdle, set.TellsFull = 80, 10*Second, tellsFull
+		host := startSender(set)
+		host.sender.ListNews([]Entry{{Endpoint: "d", Destination: 3}}, false)
+		host.printClosings, host.mute = true, true
+		for i := range 4 {
+			id := MessageID(fmt.Sprint("down", i))
+			host.advance(2*Second).accept(0, 1, id).end(ConnectFailed, 0, "a", id)
+			host.sender.Withdrawn(id)
+		}
+		host.mute = false
+		host.accept(0, 3, "well").end(Done, 0, "d", "well")
+	}
+	// Output:
+	// 8000.0  attempt well to d
+	// 8000.0  attempt well to d
+	// 8000.0  close d
+}
--- /dev/null
+++ b/choice/outlier_test.go
@@ -0,0 +1,223 @@
+package choice
+
+import "fmt"
+
+// A probe that the host cancelled says nothing: the pause before the next one stays as it was, where one that failed
+// doubles it, and none is sent at once.
+func ExampleSender_Probed_cancelled() {
+	for _, result := range []Result{Cancelled, ConnectFailed} {
+		set := testSettings()
+		set.Cold = 0
+		host := startSender(set).advance(3*Second).accept(0, 1, "p")
+		host.end(Errored, 0, "a", "p").advance(Second)
+		was := host.sender.endpoints["a"].trialPause
+		host.sender.Probed("a", result)
+		fmt.Println("ejected", host.sender.endpoints["a"].ejected, "pause", was, "then", host.sender.endpoints["a"].trialPause)
+		host.advance(Second)
+	}
+	// Output:
+	// 3000.0  attempt p to a
+	// 3250.0  probe a
+	// ejected true pause 3000 then 3000
+	// 4300.0  probe a
+	// 3000.0  attempt p to a
+	// 3250.0  probe a
+	// ejected true pause 3000 then 6000
+	// 4550.0  probe a
+}
+
+// Two failures eject an endpoint. A probe shows that its process runs, and one trial call whether calls are answered: a
+// shut destination answers probes, too. Then a growing budget bounds all that is sent while it warms up.
+func ExampleSender_readmission() {
+	host := startSender(testSettings()).accept(0, 1, "p", "q").end(Errored, 0, "a", "p", "q").advance(600 * Millisecond)
+	host.sender.Probed("a", Done)
+	host.advance(3*Second).accept(0, 1, "r", "s", "t", "u").end(Full, 0, "a", "p", "q").advance(5 * Second)
+	host.sender.Probed("a", Done)
+	host.advance(4 * Second)
+	// Output:
+	// 0.0     attempt q to a
+	// 0.0     attempt p to a
+	// 250.0   probe a
+	// 650.0   attempt p to a
+	// 1350.0  probe a
+	// 5490.1  fail p
+	// 5490.1  fail q
+	// 8650.0  attempt u to a
+	// 9090.1  shed r
+	// 9090.1  shed s
+	// 9090.1  shed t
+}
+
+// Calls that stay unanswered lower the concurrency limit of an endpoint, and then eject it; other endpoints go on.
+func ExampleSender_unanswered() {
+	host := startSender(testSettings()).accept(2, 1, "p", "q", "r").accept(2, 2, "other").end(Done, 0, "c", "other")
+	host.advance(2500*Millisecond).accept(2, 2, "more")
+	fmt.Println("ejected:", host.sender.endpoints["a"].ejected, "calls out:", host.sender.endpoints["a"].inFlight)
+	// Output:
+	// 0.0     attempt r to a
+	// 0.0     attempt q to a
+	// 0.0     attempt other to c
+	// 2500.0  attempt more to c
+	// ejected: true calls out: 2
+}
+
+// Where probes are not allowed, a single attempt tries an ejected endpoint.
+func ExampleSender_trial() {
+	set := testSettings()
+	set.Probing = false
+	host := startSender(set).accept(2, 1, "p", "q").end(Errored, 0, "a", "p", "q").accept(2, 1, "once").advance(300 * Millisecond)
+	host.accept(0, 1, "again").advance(4 * Second)
+	// Output:
+	// 0.0     attempt q to a
+	// 0.0     attempt p to a
+	// 0.0     fail p
+	// 0.0     fail q
+	// 300.0   attempt again to a
+}
+
+// An endpoint that was ejected but answers again within 1.5 s of its last answer was not down: it needs no slow start.
+// One that was quiet for longer may have restarted.
+func ExampleSender_shortEjection() {
+	for _, pause := range []Time{200 * Millisecond, 1600 * Millisecond} {
+		host := startSender(testSettings())
+		host.mute = true
+		a := host.sender.endpoints["a"]
+		host.accept(0, 1, "p").end(Done, 0, "a", "p").accept(2, 1, "q", "r").end(Reset, 0, "a", "q", "r")
+		wasEjected := a.ejected
+		host.advance(pause)
+		host.sender.readmit(a, host.clock)
+		fmt.Println(wasEjected, a.ejected, "slow start:", host.clock < a.slowStartAt+host.sender.settings.Cold)
+	}
+	// Output:
+	// true false slow start: false
+	// true false slow start: true
+}
+
+// Answers that can't be understood do not eject an endpoint that has just answered others.
+func ExampleSender_unreadableAnswers() {
+	host := startSender(testSettings()).accept(0, 1, "p").end(Done, 0, "a", "p")
+	for _, id := range []MessageID{"q", "r"} {
+		host.accept(2, 1, id).end(Spoilt, 0, "a", id)
+	}
+	fmt.Println("ejected:", host.sender.endpoints["a"].ejected)
+	host.advance(recentSuccessSpan+tickInterval).accept(2, 1, "s").end(Spoilt, 0, "a", "s")
+	fmt.Println("ejected:", host.sender.endpoints["a"].ejected)
+	// Output:
+	// 0.0     attempt p to a
+	// 0.0     attempt q to a
+	// 0.0     fail q
+	// 0.0     attempt r to a
+	// 0.0     fail r
+	// ejected: false
+	// 2050.0  attempt s to a
+	// 2050.0  fail s
+	// ejected: true
+}
+
+// One failure is enough where nothing was done lately, and the slow start budget does not fill during a Retry-After:
+// the senders of a large fleet get the same one, and would overload the destination as it opens.
+func ExampleSender_singleFailureInFleet() {
+	set := testSettings()
+	set.Senders = 50
+	host := startSender(set).advance(3*Second).accept(1, 1, "p").end(Errored, 0, "a", "p")
+	fmt.Println("ejected:", host.sender.endpoints["a"].ejected)
+	host.accept(1, 2, "q").end(Full, 5*Second, "c", "q").advance(5 * Second)
+	fmt.Printf("budget once open: %.2f, from %d\n", host.sender.endpoints["c"].slowStart.tokens, host.sender.endpoints["c"].slowStart.updatedAt)
+	// Output:
+	// 3000.0  attempt p to a
+	// ejected: true
+	// 3000.0  attempt q to c
+	// 5995.1  fail p
+	// budget once open: 0.72, from 81046
+}
+
+// Of a thousand calls a second some fail in a row by chance, and no endpoint is ejected for that. A crash is still
+// noticed within a few calls.
+func ExampleSender_failuresByChance() {
+	for _, rate := range []int{2, 100, 1000} {
+		host := startSender(testSettings())
+		host.mute = true
+		luck := newRandomSource("luck", 1)
+		well := steadyCalls(host, callLoad{"n", rate, 1, "a"}, 20, func(int) (Result, Time) {
+			if luck.fraction("fails") < 0.06 {
+				return Errored, 0
+			}
+			return Done, 0
+		})
+		crash := steadyCalls(host, callLoad{"c", rate, 1, "a"}, 2, func(int) (Result, Time) { return ConnectFailed, 0 })
+		fmt.Printf("%d a second: %.0f%% sent, then %d calls into a crash\n", rate, 5*float64(well)/float64(rate), crash)
+	}
+	// Output:
+	// 2 a second: 100% sent, then 2 calls into a crash
+	// 100 a second: 100% sent, then 5 calls into a crash
+	// 1000 a second: 100% sent, then 7 calls into a crash
+}
+
+// Slow start counts from midway between the last failure seen and the first answer: in a large fleet the two lie far
+// apart, and counting from the answer would starve an endpoint that has long been back.
+func ExampleSender_slowStartFromMidway() {
+	set := testSettings()
+	set.Senders = 50
+	host := startSender(set).advance(3*Second).accept(1, 1, "p").end(Errored, 0, "a", "p").advance(Second)
+	host.sender.endpoints["a"].slowStart.tokens = 1
+	host.accept(0, 1, "q").end(Done, 0, "a", "q")
+	fmt.Println("slow start from:", host.sender.endpoints["a"].slowStartAt)
+	// Output:
+	// 3000.0  attempt p to a
+	// 4000.0  attempt q to a
+	// slow start from: 35000
+}
+
+// Where a call stays unanswered while others are answered, non-idempotent messages wait until some more are done; those
+// that may be repeated find that out.
+func ExampleSender_nonIdempotentAfterUnanswered() {
+	host := startSender(testSettings()).accept(0, 1, "lost").advance(Millisecond).accept(0, 1, "p").end(Done, 0, "a", "p").advance(2 * Second)
+	host.accept(2, 1, "single")
+	for _, id := range []MessageID{"1", "2", "3", "4", "5", "6"} {
+		host.advance(10*Millisecond).accept(0, 1, id).end(Done, 0, "a", id)
+	}
+	// Output:
+	// 0.0     attempt lost to a
+	// 1.0     attempt p to a
+	// 2011.0  attempt 1 to a
+	// 2021.0  attempt 2 to a
+	// 2031.0  attempt 3 to a
+	// 2041.0  attempt 4 to a
+	// 2051.0  attempt 5 to a
+	// 2061.0  attempt 6 to a
+	// 2061.0  attempt single to a
+}
+
+// A call that its message's deadline cut short says nothing of the endpoint: a non-idempotent message still goes there
+// at once. Nor does a message that the host ended alone, while the others of its call are still in flight.
+func ExampleSender_cutShortByDeadline() {
+	for _, left := range []Time{100 * Millisecond, 5 * Second} {
+		host := startSender(testSettings())
+		host.accept(0, 1, "first").end(Done, 0, "a", "first")
+		host.sender.endpoints["a"].mean = float64(20 * Millisecond)
+		host.sender.Taken(Message{ID: "late", Key: NoKey, Destination: 1, Deadline: host.clock + left})
+		host.accept(0, 1, "other").end(Done, 0, "a", "other")
+		host.clock += 1 // answered since
+		host.accept(0, 1, "another").end(Done, 0, "a", "another")
+		host.clock += min(left, 2*Second) - 6*Millisecond
+		host.end(TimedOut, 0, "a", "late").accept(2, 1, "order")
+	}
+	host := startSender(testSettings())
+	host.accept(0, 2, "p", "q")
+	host.sender.Ended(Outcome{Message: "p", Endpoint: "c", Result: Cancelled})
+	fmt.Println("calls out:", len(host.sender.calls), "judged:", host.sender.calls[0].judged)
+	// Output:
+	// 0.0     attempt first to a
+	// 0.0     attempt other to a
+	// 0.0     attempt late to a
+	// 0.1     attempt another to a
+	// 94.1    fail late
+	// 94.1    attempt order to a
+	// 0.0     attempt first to a
+	// 0.0     attempt other to a
+	// 0.0     attempt late to a
+	// 0.1     attempt another to a
+	// 0.0     attempt q to c
+	// 0.0     attempt p to c
+	// calls out: 1 judged: false
+}
--- /dev/null
+++ b/choice/ratelimit_test.go
@@ -0,0 +1,172 @@
+package choice
+
+import "fmt"
+
+// A rejection with the allowance used up is a limit: the endpoint stays in use, at a lower rate.
+func ExampleSender_limit() {
+	host := startSender(testSettings()).accept(0, 1, "p", "q").advance(3 * Second)
+	for _, id := range []MessageID{"p", "q"} {
+		host.sender.Ended(Outcome{Message: id, Endpoint: "a", Result: Full, Report: Report{true, 0.1, 4}})
+	}
+	fmt.Println("ejected:", host.sender.endpoints["a"].ejected, "pace:", host.sender.endpoints["a"].route.limiter.rate)
+	host.advance(Second)
+	// Output:
+	// 0.0     attempt q to a
+	// 0.0     attempt p to a
+	// 2550.0  probe a
+	// ejected: false pace: 2
+	// 3016.2  attempt p to a
+	// 3400.0  attempt q to a
+}
+
+// A sender that keeps to its part of a reported limit and is rejected again and again halves its rate, and halves it
+// again: where rejected calls use the limit up, all senders at their parts would have nothing done for as long as there
+// is demand. A report of free capacity brings the part back at once.
+func ExampleSender_limitUsedUp() {
+	set := testSettings()
+	set.Senders, set.Probing = 80, false
+	host := startSender(set)
+	host.mute = true
+	host.accept(0, 1, "first").end(Done, 0, "a", "first")
+	tell := func(id MessageID, result Result, left float64) {
+		host.advance(1100*Millisecond).accept(0, 1, id).sender.Ended(Outcome{Message: id, Attempt: host.attempts[id] - 1, Endpoint: "a", Result: result,
+			Final: result == Done, Report: Report{Known: true, Left: left, Limit: 80}})
+		fmt.Printf("%v, %.1f left: pace %.2f\n", [...]string{"done", "", "refused"}[result], left, host.sender.destinations[1].route.limiter.rate)
+	}
+	for i, id := range []MessageID{"p", "q", "r", "s", "t"} {
+		host.sender.destinations[1].route.limiter.tokens = 1 // else it waits for its turn at that pace
+		tell(id, [...]Result{Full, Full, Full, Done, Done}[i], [...]float64{0, 0, 0, 0.1, 0.5}[i])
+		host.sender.Withdrawn(id)
+	}
+	// Output:
+	// refused, 0.0 left: pace 1.00
+	// refused, 0.0 left: pace 0.50
+	// refused, 0.0 left: pace 0.26
+	// done, 0.1 left: pace 0.28
+	// done, 0.5 left: pace 1.00
+}
+
+// A share that is rejected whatever the load costs little; a limit is found and kept, also with such a share on top.
+func ExampleSender_adjustRate() {
+	play := func(what string, offered int, noise, limit float64) {
+		host := startSender(testSettings())
+		s, route := host.sender, host.sender.destinations[1].route
+		allowance, sent, rejected, late := 0.0, 0, 0, 60*Second
+		for i := range offered * 60 {
+			now := Time(i) * Second / Time(offered)
+			s.now, host.clock = now, now
+			allowance = min(max(1, limit/5), allowance+limit/float64(offered))
+			if !route.ready(now) {
+				continue
+			}
+			route.limiter.tokens--
+			route.sent.count(now, rateWindow)
+			route.answered++
+			isRejected := s.random.fraction("x") < noise || limit > 0 && allowance < 1
+			if isRejected {
+				s.adjustRate(s.destinations[1], route)
+			} else {
+				allowance--
+			}
+			if now >= late/2 {
+				sent++
+				rejected += countIf(isRejected)
+			}
+		}
+		fmt.Printf("%s: %d a second sent of %d, %d%% of them refused\n", what, sent/30, offered, 100*rejected/max(1, sent))
+	}
+	play("noise of 1%", 200, 0.01, 0)
+	play("noise of 6%", 200, 0.06, 0)
+	play("noise of 6% at a low rate", 5, 0.06, 0)
+	play("noise of 20%", 200, 0.2, 0)
+	play("a limit of 100", 200, 0, 100)
+	play("a limit of 100 and noise of 6%", 200, 0.06, 100)
+	play("a limit of 2", 10, 0, 2)
+	// Output:
+	// noise of 1%: 200 a second sent of 200, 1% of them refused
+	// noise of 6%: 200 a second sent of 200, 6% of them refused
+	// noise of 6% at a low rate: 4 a second sent of 5, 6% of them refused
+	// noise of 20%: 200 a second sent of 200, 20% of them refused
+	// a limit of 100: 105 a second sent of 200, 5% of them refused
+	// a limit of 100 and noise of 6%: 94 a second sent of 200, 6% of them refused
+	// a limit of 2: 1 a second sent of 10, 17% of them refused
+}
+
+// steadyCalls plays seconds of a steady load of calls on one endpoint, and returns how many were sent. result says how
+// each ends.
+func steadyCalls(host *fakeHost, a callLoad, seconds int, result func(i int) (Result, Time)) (sent int) {
+	for i := range a.rate * seconds {
+		host.advance(Second / Time(a.rate))
+		id := MessageID(fmt.Sprint(a.name, i))
+		before := host.attempts[id]
+		host.accept(2, a.to, id) // non-idempotent, so that there are no retries
+		if host.attempts[id] > before {
+			sent++
+			r, wait := result(i)
+			host.end(r, wait, a.endpoint, id)
+		}
+	}
+	return sent
+}
+
+// callLoad is a load of calls: the prefix of their ids, how many a second, and where they go.
+type callLoad struct {
+	name     string
+	rate     int
+	to       DestinationID
+	endpoint EndpointID
+}
+
+// Of two endpoints one rejects much, which is its own affair: the route keeps its rate, and that endpoint ranks last.
+func ExampleSender_rejectingEndpoint() {
+	set := testSettings()
+	set.Kinds[0].BundleMax = 1
+	host := startSender(set)
+	host.mute = true
+	host.sender.ListNews([]Entry{{Endpoint: "b", Destination: 1, Rating: 10}}, false)
+	a, b := host.sender.endpoints["a"], host.sender.endpoints["b"]
+	route, low := a.route, unlimitedRate
+	to := map[EndpointID]int{}
+	for i := range 2000 {
+		host.advance(10 * Millisecond)
+		id := MessageID(fmt.Sprint(i))
+		host.accept(0, 1, id)
+		for _, ep := range []*endpoint{a, b} {
+			if msg := host.sender.messages[id]; msg != nil && msg.inFlight != nil && msg.inFlight.endpoint == ep {
+				to[ep.id]++
+				if ep == b && i%2 == 0 {
+					host.end(Full, 0, "b", id)
+				} else {
+					host.end(Done, 0, ep.id, id)
+				}
+			}
+		}
+		low = min(low, route.limiter.rate)
+	}
+	host.sender.refreshDestination(host.sender.destinations[1])
+	fmt.Println("well:", to["a"] > 10*to["b"], "ranked first:", host.sender.destinations[1].ranked[0].id, "pace kept:", low >= 90)
+	// Output:
+	// well: true ranked first: a pace kept: true
+}
+
+// A rate that was halved wrongly recovers in seconds, whatever it is; few calls show little capacity, and take longest.
+func ExampleSender_rateRecovers() {
+	for _, rate := range []int{1, 100, 5000} {
+		host := startSender(testSettings())
+		route := host.sender.destinations[1].route
+		route.limiter.rate, route.limiter.tokens, route.judgedAt = float64(rate)/2, 0, 0
+		now := Time(0)
+		for route.limiter.rate < float64(rate) {
+			now += Second / Time(2*rate)
+			if route.ready(now) {
+				route.limiter.tokens--
+				route.answered++
+			}
+		}
+		fmt.Printf("%d a second: back after %.0f s\n", rate, seconds(now))
+	}
+	// Output:
+	// 1 a second: back after 13 s
+	// 100 a second: back after 8 s
+	// 5000 a second: back after 8 s
+}
--- a/choice/earlier_test.go
+++ b/choice/restart_test.go
@@ -38,3 +38,25 @@
 	// 0.0     shed old
 	// 0.0     attempt old to a
 }
+
+// What an earlier incarnation of the sender may have sent: a non-idempotent message fails, a keyed one is sent again
+// within its window and zone, an idempotent one at once. An order key pauses first, since its call may still be
+// running.
+func Example_earlierIncarnation() {
+	host := startSender(testSettings())
+	for i, id := range []MessageID{"replayable", "tokened", "single-use"} {
+		host.sender.Taken(Message{ID: id, Class: ClassNo(i), Destination: 1, Deadline: 6 * Second, MayRun: true})
+	}
+	host.sender.Taken(Message{ID: "out of its window", Class: 1, Destination: 1, Deadline: 6 * Second, MayRun: true, RanAt: -3 * Second})
+	host.sender.Taken(Message{ID: "in order", Class: 3, Key: 5, Destination: 1, Deadline: 6 * Second, MayRun: true})
+	host.sender.Taken(Message{ID: "next of its key", Class: 3, Key: 5, Destination: 1, Deadline: 6 * Second})
+	host.sender.TurnEnd()
+	host.end(Done, 0, "a", "replayable", "tokened").advance(Second).end(Done, 0, "a", "in order")
+	// Output:
+	// 0.0     fail single-use
+	// 0.0     fail out of its window
+	// 0.0     attempt tokened to a
+	// 0.0     attempt replayable to a
+	// 1000.0  attempt in order to a
+	// 1000.0  attempt next of its key to a
+}
--- a/choice/retries_test.go
+++ b/choice/retries_test.go
@@ -1,8 +1,11 @@
 package choice
 
-// Which message goes when, how often it is tried again, and when it has its end.
-
-import "fmt"
+import (
+	"fmt"
+	"math"
+	"slices"
+	"testing"
+)
 
 // The one call in flight goes to first attempts, newest first, before the retry that was due earlier.
 func ExampleSender_firstAttemptsFirst() {
@@ -105,71 +108,64 @@
 	// pace: 0.196
 }
 
-// Slow start counts from midway between the last failure seen and the first answer: in a large fleet the two lie far
-// apart, and counting from the answer would starve an endpoint that has long been back.
-func ExampleSender_slowStartFromMidway() {
-	set := testSettings()
-	set.Senders = 50
-	host := startSender(set).advance(3*Second).accept(1, 1, "p").end(Errored, 0, "a", "p").advance(Second)
-	host.sender.endpoints["a"].slowStart.tokens = 1
-	host.accept(0, 1, "q").end(Done, 0, "a", "q")
-	fmt.Println("slow start from:", host.sender.endpoints["a"].slowStartAt)
-	// Output:
-	// 3000.0  attempt p to a
-	// 4000.0  attempt q to a
-	// slow start from: 35000
-}
-
-// Where a call stays unanswered while others are answered, non-idempotent messages wait until some more are done; those
-// that may be repeated find that out.
-func ExampleSender_nonIdempotentAfterUnanswered() {
-	host := startSender(testSettings()).accept(0, 1, "lost").advance(Millisecond).accept(0, 1, "p").end(Done, 0, "a", "p").advance(2 * Second)
-	host.accept(2, 1, "single")
-	for _, id := range []MessageID{"1", "2", "3", "4", "5", "6"} {
-		host.advance(10*Millisecond).accept(0, 1, id).end(Done, 0, "a", id)
+// What the host asks as it writes is what the sender asks as it chooses: the last moment for a repeat.
+func TestRepeatEnd(t *testing.T) {
+	host := startSender(testSettings())
+	host.mute = true
+	host.accept(0, 1, "repeatable").accept(1, 1, "keyed")
+	for _, id := range []MessageID{"repeatable", "keyed", "unknown"} {
+		if end := host.sender.RepeatEnd(id); end != forever {
+			t.Errorf("%s, not sent or still out: %d", id, end)
+		}
+	}
+	host.advance(100*Millisecond).end(Errored, 0, "a", "repeatable", "keyed")
+	if end := host.sender.RepeatEnd("repeatable"); end != forever {
+		t.Errorf("one that may simply be repeated: %d", end)
+	}
+	end := host.sender.RepeatEnd("keyed")
+	if want := 3*Second - 5*Millisecond; end != want { // its call began at 0
+		t.Fatalf("it ends at %d, want %d", end, want)
+	}
+	for at, open := range map[Time]bool{end: true, end + 1: false} {
+		host.clock = at
+		if host.sender.Open("a", "keyed") != open {
+			t.Errorf("open at %d: %v", at, !open)
+		}
 	}
-	// Output:
-	// 0.0     attempt lost to a
-	// 1.0     attempt p to a
-	// 2011.0  attempt 1 to a
-	// 2021.0  attempt 2 to a
-	// 2031.0  attempt 3 to a
-	// 2041.0  attempt 4 to a
-	// 2051.0  attempt 5 to a
-	// 2061.0  attempt 6 to a
-	// 2061.0  attempt single to a
 }
 
-// A call that its message's deadline cut short says nothing of the endpoint: a non-idempotent message still goes there
-// at once. Nor does a message that the host ended alone, while the others of its call are still in flight.
-func ExampleSender_cutShortByDeadline() {
-	for _, left := range []Time{100 * Millisecond, 5 * Second} {
-		host := startSender(testSettings())
-		host.accept(0, 1, "first").end(Done, 0, "a", "first")
-		host.sender.endpoints["a"].mean = float64(20 * Millisecond)
-		host.sender.Taken(Message{ID: "late", Key: NoKey, Destination: 1, Deadline: host.clock + left})
-		host.accept(0, 1, "other").end(Done, 0, "a", "other")
-		host.clock += 1 // answered since
-		host.accept(0, 1, "another").end(Done, 0, "a", "another")
-		host.clock += min(left, 2*Second) - 6*Millisecond
-		host.end(TimedOut, 0, "a", "late").accept(2, 1, "order")
+// A destination whose calls all fail gets first attempts and few retries on top: as many as the in-flight limit, and a
+// trickle.
+func ExampleSender_retryBudget() {
+	set := testSettings()
+	set.InFlightLimit = 4
+	host := startSender(set)
+	host.mute = true
+	dest := host.sender.destinations[1]
+	firsts, retries, last := 0, 0, map[MessageID]int{}
+	for i := range 600 {
+		host.advance(20 * Millisecond)
+		host.accept(0, 1, MessageID(fmt.Sprint(i)))
+		host.sender.endpoints["a"].ejected, host.sender.endpoints["a"].consecutiveFailures = false, 0 // otherwise an ejection would end it sooner
+		var ids []string
+		for id, msg := range host.sender.messages {
+			if msg.inFlight != nil {
+				ids = append(ids, string(id))
+			}
+		}
+		slices.Sort(ids)
+		for _, id := range ids {
+			n := MessageID(id)
+			if last[n] != host.attempts[n] {
+				firsts, retries = firsts+countIf(host.attempts[n] == 1), retries+countIf(host.attempts[n] > 1)
+			}
+			last[n] = host.attempts[n]
+			host.end(Errored, 0, "a", n)
+			last[n] = host.attempts[n]
+		}
 	}
-	host := startSender(testSettings())
-	host.accept(0, 2, "p", "q")
-	host.sender.Ended(Outcome{Message: "p", Endpoint: "c", Result: Cancelled})
-	fmt.Println("calls out:", len(host.sender.calls), "judged:", host.sender.calls[0].judged)
+	most := float64(set.InFlightLimit) + 12/seconds(host.sender.retryCap) + 1
+	fmt.Println("retries within the budget:", float64(retries) <= most, "left", math.Floor(dest.retryBudget.tokens) <= float64(set.InFlightLimit), firsts > 0)
 	// Output:
-	// 0.0     attempt first to a
-	// 0.0     attempt other to a
-	// 0.0     attempt late to a
-	// 0.1     attempt another to a
-	// 94.1    fail late
-	// 94.1    attempt order to a
-	// 0.0     attempt first to a
-	// 0.0     attempt other to a
-	// 0.0     attempt late to a
-	// 0.1     attempt another to a
-	// 0.0     attempt q to c
-	// 0.0     attempt p to c
-	// calls out: 1 judged: false
+	// retries within the budget: true left true true
 }
--- a/choice/waits_test.go
+++ b/choice/retryafter_test.go
@@ -1,7 +1,5 @@
 package choice
 
-// What is heeded of refusals: waits that are told, limits that are guessed.
-
 import "fmt"
 
 // A Retry-After holds back first attempts, too; another destination goes on.
@@ -58,46 +56,41 @@
 	// guess: 3000
 }
 
-// A rejection with the allowance used up is a limit: the endpoint stays in use, at a lower rate.
-func ExampleSender_limit() {
-	host := startSender(testSettings()).accept(0, 1, "p", "q").advance(3 * Second)
-	for _, id := range []MessageID{"p", "q"} {
-		host.sender.Ended(Outcome{Message: id, Endpoint: "a", Result: Full, Report: Report{true, 0.1, 4}})
+// A first Retry-After pauses the route and is enough: the rate stays what it was. Another one that follows at once cuts
+// it.
+func ExampleSender_firstRetryAfter() {
+	host := startSender(testSettings())
+	host.mute = true
+	host.accept(0, 1, "p").end(Done, 0, "a", "p").advance(3 * Second)
+	route := host.sender.destinations[1].route
+	rejectAfter := func(id MessageID) {
+		host.accept(0, 1, id).end(Full, 200*Millisecond, "a", id)
+		fmt.Println("paused for", (route.pausedUntil-host.clock)/Millisecond, "ms, unlimited", route.limiter.rate >= unlimitedRate)
+		host.advance(500 * Millisecond)
 	}
-	fmt.Println("ejected:", host.sender.endpoints["a"].ejected, "pace:", host.sender.endpoints["a"].route.limiter.rate)
-	host.advance(Second)
+	host.sender.endpoints["a"].concurrencyLimit = 8
+	rejectAfter("q")
+	rejectAfter("r")
 	// Output:
-	// 0.0     attempt q to a
-	// 0.0     attempt p to a
-	// 2550.0  probe a
-	// ejected: false pace: 2
-	// 3016.2  attempt p to a
-	// 3400.0  attempt q to a
+	// paused for 222 ms, unlimited true
+	// paused for 215 ms, unlimited false
 }
 
-// A sender that keeps to its part of a reported limit and is rejected again and again halves its rate, and halves it
-// again: where rejected calls use the limit up, all senders at their parts would have nothing done for as long as there
-// is demand. A report of free capacity brings the part back at once.
-func ExampleSender_limitUsedUp() {
-	set := testSettings()
-	set.Senders, set.Probing = 80, false
-	host := startSender(set)
-	host.mute = true
-	host.accept(0, 1, "first").end(Done, 0, "a", "first")
-	tell := func(id MessageID, result Result, left float64) {
-		host.advance(1100*Millisecond).accept(0, 1, id).sender.Ended(Outcome{Message: id, Attempt: host.attempts[id] - 1, Endpoint: "a", Result: result,
-			Final: result == Done, Report: Report{Known: true, Left: left, Limit: 80}})
-		fmt.Printf("%v, %.1f left: pace %.2f\n", [...]string{"done", "", "refused"}[result], left, host.sender.destinations[1].route.limiter.rate)
-	}
-	for i, id := range []MessageID{"p", "q", "r", "s", "t"} {
-		host.sender.destinations[1].route.limiter.tokens = 1 // else it waits for its turn at that pace
-		tell(id, [...]Result{Full, Full, Full, Done, Done}[i], [...]float64{0, 0, 0, 0.1, 0.5}[i])
-		host.sender.Withdrawn(id)
+// A Retry-After pauses the route: one endpoint that is a route of its own, or all endpoints of a destination that share
+// a limit.
+func ExampleSender_pausesOfRoutes() {
+	for _, apart := range []bool{true, false} {
+		set := orderedSettings()
+		set.Kinds[0].Apart = apart
+		host := startSender(set)
+		host.sender.ListNews([]Entry{{Endpoint: "b", Destination: 1, Rating: 10}}, false)
+		host.accept(0, 1, "p").end(Full, 900*Millisecond, "a", "p").accept(0, 1, "q")
+		fmt.Println("apart:", apart)
 	}
 	// Output:
-	// refused, 0.0 left: pace 1.00
-	// refused, 0.0 left: pace 0.50
-	// refused, 0.0 left: pace 0.26
-	// done, 0.1 left: pace 0.28
-	// done, 0.5 left: pace 1.00
+	// 0.0     attempt p to a
+	// 0.0     attempt q to b
+	// apart: true
+	// 0.0     attempt p to a
+	// apart: false
 }
--- /dev/null
+++ b/choice/selection_test.go
@@ -0,0 +1,58 @@
+package choice
+
+import "fmt"
+
+// Nothing new goes to a draining endpoint from the turn in which it is reported; what it would have got goes elsewhere.
+func ExampleSender_draining() {
+	host := startSender(testSettings()).accept(0, 1, "p").end(Errored, 0, "a", "p")
+	host.sender.ListNews([]Entry{{Endpoint: "a", Destination: 1, Stage: Draining}, {Endpoint: "b", Destination: 1}}, false)
+	host.advance(Second)
+	// Output:
+	// 0.0     attempt p to a
+	// 86.4    attempt p to b
+}
+
+// An endpoint of another zone without calls ranks behind one of the sender's own zone.
+func ExampleSender_zones() {
+	host := startSender(testSettings())
+	host.sender.ListNews([]Entry{{Endpoint: "far", Destination: 1, Zone: 1}, {Endpoint: "near", Destination: 1}}, true)
+	host.advance(50*Millisecond).accept(0, 1, "p")
+	// Output:
+	// 50.0    attempt p to near
+}
+
+// An endpoint that has done no call lately gets no more calls at once than an unknown one, until it answers.
+func ExampleSender_idleConcurrency() {
+	host := startSender(testSettings())
+	host.sender.endpoints["a"].concurrencyLimit = 8
+	host.accept(0, 1, "p").end(Done, 0, "a", "p").advance(3*Second).accept(0, 1, "q", "r", "s", "t")
+	host.advance(100*Millisecond).end(Done, 0, "a", "t")
+	// Output:
+	// 0.0     attempt p to a
+	// 3000.0  attempt t to a
+	// 3000.0  attempt s to a
+	// 3100.0  attempt r to a
+	// 3100.0  attempt q to a
+}
+
+// A sender that stood still for two seconds finds answers, timers and a drain at once: an endpoint that answered in
+// time is not blamed, and nothing goes to the one that drains.
+func ExampleSender_stalledSender() {
+	host := startSender(orderedSettings())
+	host.sender.ListNews([]Entry{{Endpoint: "b", Destination: 1, Rating: 10}}, false)
+	host.accept(0, 1, "p", "q").accept(0, 2, "r")
+	host.clock += 2 * Second
+	host.sender.ListNews([]Entry{{Endpoint: "a", Destination: 1, Stage: Draining}}, false)
+	for _, id := range []MessageID{"p", "q", "r"} {
+		host.sender.Ended(Outcome{Message: id, Took: 100 * Millisecond, Result: Done, Final: true})
+	}
+	host.accept(0, 1, "late").accept(0, 2, "other").advance(100 * Millisecond)
+	fmt.Println("known of the drained one:", host.sender.endpoints["a"] != nil, "ejected:", host.sender.endpoints["b"].ejected, host.sender.endpoints["c"].ejected)
+	// Output:
+	// 0.0     attempt q to a
+	// 0.0     attempt p to a
+	// 0.0     attempt r to c
+	// 2000.0  attempt late to b
+	// 2000.0  attempt other to c
+	// known of the drained one: false ejected: false false
+}
