--- a/choice/allowed_test.go
+++ b/choice/allowed_test.go
@@ -9,7 +9,7 @@
 // whose id begins with near may only go there, and those with far only to the far one.
 func startTwoZones(set Settings) *fakeHost {
 	host := startSender(set)
-	host.sender.ListNews([]Entry{{Endpoint: "near", Destination: 3, Kind: 1, Rating: 10}, {Endpoint: "far", Destination: 3, Kind: 1, Zone: 1, Rating: 10}}, false)
+	host.update(Entry{Endpoint: "near", Destination: 3, Kind: 1, Rating: 10}, Entry{Endpoint: "far", Destination: 3, Kind: 1, Zone: 1, Rating: 10})
 	host.barred = func(n MessageID, e EndpointID) bool {
 		return strings.HasPrefix(string(n), "near") && e == "far" || strings.HasPrefix(string(n), "far") && e == "near"
 	}
@@ -40,10 +40,10 @@
 	set.Probing = false
 	host := startTwoZones(set)
 	host.accept(0, 3, "near1").end(ConnectFailed, 0, "near", "near1").advance(100 * Millisecond)
-	host.sender.eject(host.sender.endpoints["near"])
+	host.sender.eject(host.endpoint("near"))
 	host.accept(0, 3, "far1", "near2", "near3").end(Done, 0, "far", "far1").advance(2 * Second)
 	host.end(ConnectFailed, 0, "near", "near3").advance(3 * Second)
-	fmt.Println("budget left for a trial:", host.sender.slowStartReady(host.sender.endpoints["near"]))
+	fmt.Println("budget left for a trial:", host.sender.slowStartReady(host.endpoint("near")))
 	// Output:
 	// 0.0     attempt near1 to near
 	// 100.0   attempt far1 to far
@@ -62,8 +62,8 @@
 		set.InFlightLimit = 40
 		host := startTwoZones(set)
 		host.mute = true
-		host.sender.pauseRoute(host.sender.endpoints["near"], Second, false)
-		host.sender.endpoints["far"].route = newRoute(0) // a route of its own
+		host.sender.pauseRoute(host.endpoint("near"), Second, false)
+		host.endpoint("far").route = newRoute(0) // a route of its own
 		host.sender.Taken(Message{ID: "far", Key: NoKey, Destination: 3, Deadline: 6 * Second})
 		for i := range newer {
 			host.sender.Taken(Message{ID: MessageID(fmt.Sprint("near", i)), Key: NoKey, Destination: 3, Deadline: 6 * Second})
--- a/choice/backlog.go
+++ b/choice/backlog.go
@@ -38,8 +38,8 @@
 }
 
 // limitBacklog sheds a message by chance where the backlog fills up, which may be the one just accepted or another: the
-// one with the least value for the time it will stay. The more valuable the one just accepted is, the less likely one is
-// shed for it. Messages that an earlier incarnation accepted make none be shed, and stay themselves until attempted.
+// one with the least value for the time it will stay. The more valuable the one just accepted is, the less likely one
+// is shed for it. Messages that an earlier incarnation accepted make none be shed, and stay themselves until attempted.
 func (s *Sender) limitBacklog(accepted *message) {
 	fullness := float64(len(s.messages)) / float64(s.settings.MaxOpen)
 	pressure := (fullness - shedFromShare) / (1 - shedFromShare)
@@ -55,9 +55,9 @@
 	s.endUndelivered(minBy(s.messages, maySheds, s.valuePerTime))
 }
 
-// valuePerTime is what a message will be worth by the time it stays open: for the calls of the messages ahead in its key
-// queue and its own, and until its retry, a pause or an outage is over. An outage is expected to last as long again as
-// it has so far.
+// valuePerTime is what a message will be worth by the time it stays open: for the calls of the messages ahead in its
+// key queue and its own, and until its retry, a pause or an outage is over. An outage is expected to last as long again
+// as it has so far.
 func (s *Sender) valuePerTime(msg *message) float64 {
 	unavailable := earliest(msg.destination.ranked, forever, s.unavailableFor)
 	calls := Time(s.usualCallTime(msg.destination)) * Time(1+msg.keyQueue.position(msg))
--- a/choice/backlog_test.go
+++ b/choice/backlog_test.go
@@ -35,7 +35,7 @@
 // calls were in flight: fewer go out at once, the rate stays, and no endpoint is ejected.
 func ExampleSender_fullQueue() {
 	host := startSender(testSettings())
-	a := host.sender.endpoints["a"]
+	a := host.endpoint("a")
 	a.destination.kind.reportsLimits, a.concurrencyLimit = true, 4
 	host.accept(0, 1, "p", "q", "r", "s").advance(200*Millisecond).end(Done, 0, "a", "s").end(Full, 0, "a", "p", "q")
 	fmt.Println("limit:", a.concurrencyLimit, "pace:", a.route.limiter.rate > 1000, "ejected:", a.ejected)
@@ -66,12 +66,12 @@
 	host.clock = 3 * Second
 	take("new", 5, 1)
 	queued := 0
-	for _, l := range host.sender.destinations[1].queues {
+	for _, l := range host.destination(1).queues {
 		for elem := l.Front(); elem != nil; elem = elem.Next() {
 			queued += countIf(elem.Value.(*message).ID == "new")
 		}
 	}
-	fmt.Println("in queues", queued, "waiting", host.sender.destinations[1].queued)
+	fmt.Println("in queues", queued, "waiting", host.destination(1).queued)
 	// Output:
 	// 3000.0  shed old
 	// in queues 1 waiting 9
@@ -104,7 +104,7 @@
 	for i := range 10 {
 		host.accept(0, 1, MessageID(fmt.Sprint("other", i)))
 	}
-	fmt.Println("stuck ones held:", stuck, "of", set.MaxOpen, "others held:", host.sender.destinations[1].openMessages)
+	fmt.Println("stuck ones held:", stuck, "of", set.MaxOpen, "others held:", host.destination(1).openMessages)
 	// Output:
 	// stuck ones held: 93 of 100 others held: 10
 }
--- a/choice/configure_test.go
+++ b/choice/configure_test.go
@@ -24,7 +24,7 @@
 	"MaxOpen":              {change: func(s *Settings) { s.MaxOpen = 10 }},
 	"MaxAttempts":          {change: func(s *Settings) { s.MaxAttempts = 2 }},
 	"Classes":              {change: func(s *Settings) { s.Classes = append(s.Classes, s.Classes[1], s.Classes[3]) }},
-	"Kinds":                {change: func(s *Settings) { s.Kinds = append(s.Kinds, Kind{BundleMax: 9}) }, silent: true}, // until the endpoint list has an endpoint of it
+	"Kinds":                {change: func(s *Settings) { s.Kinds = append(s.Kinds, Kind{BundleMax: 9}) }, silent: true}, // no endpoint is of it
 	"Quotas":               {change: func(s *Settings) { s.Quotas = []float64{3, 3, 3} }},
 	"OverShareValue":       {change: func(s *Settings) { s.OverShareValue = 0.01 }},
 	"Halving":              {change: func(s *Settings) { s.Halving = true }},
@@ -124,7 +124,8 @@
 			}
 			started, configured, other := play(after, nil), play(before, &after), play(before, nil)
 			if i := firstDifference(started, configured); i >= 0 {
-				t.Errorf("line %d of %d: started %q, configured %q", i, len(started), started[i:min(len(started), i+1)], configured[i:min(len(configured), i+1)])
+				startedLine, configuredLine := started[i:min(len(started), i+1)], configured[i:min(len(configured), i+1)]
+				t.Errorf("line %d of %d: started %q, configured %q", i, len(started), startedLine, configuredLine)
 			}
 			if same := firstDifference(started, other) < 0; same != row.silent {
 				t.Errorf("it changes nothing: %v; the row says %v", same, row.silent)
@@ -153,8 +154,10 @@
 			if back {
 				before, after = after, before
 			}
-			if len(before.Classes) > len(after.Classes) || len(before.Kinds) > len(after.Kinds) || len(before.Quotas) > len(after.Quotas) {
-				continue // a list that gets shorter is rejected where settings are checked
+			shorter := len(before.Classes) > len(after.Classes) || len(before.Kinds) > len(after.Kinds) ||
+				len(before.Quotas) > len(after.Quotas)
+			if shorter { // which is rejected where settings are checked
+				continue
 			}
 			t.Run(fmt.Sprint(name, back), func(t *testing.T) {
 				t.Parallel()
@@ -169,7 +172,7 @@
 				if coming := int(loadSpan / loadInterval); len(host.answers) < coming {
 					t.Errorf("%d answers for %d messages", len(host.answers), coming)
 				}
-				if left := len(host.sender.messages) + len(host.sender.calls) + len(host.sender.timers.pending) + len(host.sender.keyQueues) + len(host.sender.withQueued); left > 0 {
+				if left := openState(host.sender); left > 0 {
 					t.Errorf("%d left behind", left)
 				}
 				if dispatched := strings.Count(strings.Join(host.trace, "\n"), "attempt"); dispatched < 100 {
@@ -191,14 +194,18 @@
 	type known struct {
 		callTimes
 		healthState
-		limit, wrong, bad, asked, full float64
-		slowStart                      tokenBucket
-		route                          route
+		limit, errorShare, rejectedShare, answered, rejected float64
+		slowStart                                            tokenBucket
+		route                                                route
 	}
 	state := func() (all []known) {
 		for _, id := range sortedKeys(host.sender.endpoints) {
 			ep := host.sender.endpoints[id]
-			all = append(all, known{ep.callTimes, ep.healthState, ep.concurrencyLimit, ep.errorShare, ep.rejectedShare, ep.recentAnswered, ep.recentRejected, ep.slowStart, *ep.route})
+			all = append(all, known{
+				callTimes: ep.callTimes, healthState: ep.healthState, slowStart: ep.slowStart, route: *ep.route,
+				limit: ep.concurrencyLimit, errorShare: ep.errorShare, rejectedShare: ep.rejectedShare,
+				answered: ep.recentAnswered, rejected: ep.recentRejected,
+			})
 		}
 		return all
 	}
@@ -222,7 +229,7 @@
 	host.mute = true
 	host.accept(0, 1, "p").end(Done, 0, "a", "p")
 	host.sender.Configure(withChange(testSettings(), eachClass(func(w *Class) { w.ContractTime = 4 * Second })))
-	called, new := host.sender.endpoints["a"], host.sender.endpoints["c"]
+	called, new := host.endpoint("a"), host.endpoint("c")
 	if called.mean != float64(200*Millisecond) || new.callTimes != guessedTimes(float64(2*Second)) {
 		t.Error(called.callTimes, new.callTimes)
 	}
@@ -264,7 +271,7 @@
 	set := testSettings()
 	set.Kinds[1].Apart, set.RouteFees = true, []float64{0, 0.05}
 	host := startSender(set)
-	host.sender.ListNews([]Entry{{Endpoint: "near", Destination: 3, Kind: 1}, {Endpoint: "far", Destination: 3, Kind: 1, Zone: 1}}, false)
+	host.update(Entry{Endpoint: "near", Destination: 3, Kind: 1}, Entry{Endpoint: "far", Destination: 3, Kind: 1, Zone: 1})
 	for _, id := range []EndpointID{"near", "far"} {
 		host.sender.endpoints[id].observe(float64(200*Millisecond), 1, 1)
 	}
--- a/choice/connections.go
+++ b/choice/connections.go
@@ -24,8 +24,8 @@
 }
 
 // onConnectionTableFull takes that an endpoint had no place for a further connection, which says nothing of its limits.
-// Idle connections to its kind may be closed, and one call at a time tries there. A drawback: some destinations that are
-// shut look like this.
+// Idle connections to its kind may be closed, and one call at a time tries there. A drawback: some destinations that
+// are shut look like this.
 func (s *Sender) onConnectionTableFull(ep *endpoint) {
 	kind := ep.destination.kind
 	ep.concurrencyLimit = 1
--- a/choice/connections_test.go
+++ b/choice/connections_test.go
@@ -31,7 +31,7 @@
 	host.accept(0, 1, "p").end(Done, 0, "a", "p")
 	host.sender.kinds[0].connectFailShare = 0.5
 	host.advance(Second).accept(0, 1, "r").end(Done, 0, "a", "r")
-	host.sender.endpoints["a"].zone = 1
+	host.endpoint("a").zone = 1
 	host.accept(0, 1, "s").end(Done, 0, "a", "s")
 	// Output:
 	// 0.0     attempt p to a
@@ -51,7 +51,7 @@
 		host.accept(2, 1, id)
 		host.sender.Ended(Outcome{Message: id, Endpoint: "a", Result: Reset, Kept: true})
 	}
-	fmt.Println("ejected:", host.sender.endpoints["a"].ejected)
+	fmt.Println("ejected:", host.endpoint("a").ejected)
 	// Output:
 	// 0.0     attempt o to a
 	// 0.0     attempt p to a
@@ -69,7 +69,7 @@
 		set := testSettings()
 		set.Senders, set.ConnIdle = 300, 10*Second
 		host := startSender(set)
-		host.sender.ListNews([]Entry{{Endpoint: "d", Destination: 3}}, false)
+		host.update(Entry{Endpoint: "d", Destination: 3})
 		host.accept(0, 1, "first").accept(0, 3, "other").end(Done, 0, "a", "first").end(Done, 0, "d", "other")
 		host.advance(2 * Second).printClosings = true
 		for _, id := range []MessageID{"p", "q", "r"} {
@@ -77,7 +77,7 @@
 			host.sender.Withdrawn(id)
 			host.advance(2 * Second)
 		}
-		fmt.Println("pace cut:", host.sender.destinations[1].route.limiter.rate < 100)
+		fmt.Println("pace cut:", host.destination(1).route.limiter.rate < 100)
 	}
 	// Output:
 	// 0.0     attempt first to a
@@ -139,7 +139,7 @@
 	host.mute = true
 	host.advance(400 * Millisecond)
 	fmt.Println(host.sender.Open("a"))
-	host.sender.ListNews([]Entry{{Endpoint: "a", Destination: 1, Stage: Draining}}, false)
+	host.update(Entry{Endpoint: "a", Destination: 1, Stage: Draining})
 	fmt.Println(host.sender.Open("a"))
 	// Output:
 	// 0.0     attempt one to a
@@ -157,12 +157,12 @@
 		set := testSettings()
 		set.Senders, set.ConnIdle, set.InFlightLimit = 300, 10*Second, 1
 		host := startSender(set)
-		host.sender.destinations[1].kind.connectFailShare = 0.5
+		host.destination(1).kind.connectFailShare = 0.5
 		host.printClosings = true
 		if warmingUp {
-			host.sender.beginSlowStart(host.sender.endpoints["a"], host.clock)
+			host.sender.beginSlowStart(host.endpoint("a"), host.clock)
 		}
-		host.sender.endpoints["a"].slowStart.tokens = 1
+		host.endpoint("a").slowStart.tokens = 1
 		host.accept(0, 1, "p").accept(0, 1, "q", "r").advance(100*Millisecond).end(Done, 0, "a", "p")
 	}
 	// Output:
@@ -179,7 +179,7 @@
 		set := testSettings()
 		set.Senders, set.ConnIdle, set.TellsFull = 80, 10*Second, tellsFull
 		host := startSender(set)
-		host.sender.ListNews([]Entry{{Endpoint: "d", Destination: 3}}, false)
+		host.update(Entry{Endpoint: "d", Destination: 3})
 		host.printClosings, host.mute = true, true
 		for i := range 4 {
 			id := MessageID(fmt.Sprint("down", i))
--- a/choice/endpointlist.go
+++ b/choice/endpointlist.go
@@ -40,8 +40,8 @@
 	ep.route.rating = entry.Rating
 }
 
-// addEndpoint adds an endpoint to its destination, which it joins in the state of the rest: most of a destination may be
-// replaced during an outage.
+// addEndpoint adds an endpoint to its destination, which it joins in the state of the rest: most of a destination may
+// be replaced during an outage.
 func (s *Sender) addEndpoint(dest *destination, entry Entry) *endpoint {
 	ep := &endpoint{
 		id:               entry.Endpoint,
--- a/choice/fakehost_test.go
+++ b/choice/fakehost_test.go
@@ -40,12 +40,24 @@
 func startSender(set Settings) *fakeHost {
 	host := &fakeHost{attempts: map[MessageID]int{}}
 	host.sender = Start(host, "s", 7, set)
-	host.sender.ListNews([]Entry{{Endpoint: "a", Destination: 1, Rating: 10}, {Endpoint: "b", Destination: 1, Stage: Gone, Rating: 10},
-		{Endpoint: "c", Destination: 2, Kind: 1, Rating: 10}}, true)
+	host.sender.ListNews([]Entry{
+		{Endpoint: "a", Destination: 1, Rating: 10},
+		{Endpoint: "b", Destination: 1, Stage: Gone, Rating: 10},
+		{Endpoint: "c", Destination: 2, Kind: 1, Rating: 10},
+	}, true)
 	host.sender.TurnEnd()
 	return host
 }
 
+// update gives the sender entries of the endpoint list that changed.
+func (h *fakeHost) update(entries ...Entry) { h.sender.ListNews(entries, false) }
+
+// endpoint returns what the sender knows of an endpoint.
+func (h *fakeHost) endpoint(id EndpointID) *endpoint { return h.sender.endpoints[id] }
+
+// destination returns what the sender knows of a destination.
+func (h *fakeHost) destination(id DestinationID) *destination { return h.sender.destinations[id] }
+
 // accept hands in messages of order key 5, and ends the turn.
 func (h *fakeHost) accept(class ClassNo, to DestinationID, ids ...MessageID) *fakeHost {
 	for _, id := range ids {
--- a/choice/host.go
+++ b/choice/host.go
@@ -49,19 +49,19 @@
 	Now() Time
 	// Allowed reports whether a message may use an endpoint as things stand. It is asked for each endpoint looked at,
 	// and must take no more than nanoseconds.
-	Allowed(n MessageID, e EndpointID) bool
+	Allowed(msg MessageID, ep EndpointID) bool
 	// Attempt sends a message to an endpoint. Attempts of one turn to the same endpoint share a bulk call. The outcome
 	// comes back by Sender.Ended, at the latest when the time-out is over.
-	Attempt(n MessageID, to EndpointID, timeOut Time)
+	Attempt(msg MessageID, to EndpointID, timeOut Time)
 	// Shed ends a message of which it is certain that it never ran. comeBackIn is when the client may try again; 0
 	// names no time.
-	Shed(n MessageID, comeBackIn Time)
+	Shed(msg MessageID, comeBackIn Time)
 	// Fail ends a message that was not delivered and may have run.
-	Fail(n MessageID)
+	Fail(msg MessageID)
 	// Probe sends a health probe; its result comes back by Sender.Probed.
-	Probe(e EndpointID)
+	Probe(ep EndpointID)
 	// CloseIdle closes the idle connections to an endpoint.
-	CloseIdle(e EndpointID)
+	CloseIdle(ep EndpointID)
 	// Tell broadcasts a note to all other senders, which hand it to Sender.Heard. It may be lost. It is called only
 	// where Settings.Notes is set.
 	Tell(note []byte)
--- a/choice/keyorder_test.go
+++ b/choice/keyorder_test.go
@@ -12,7 +12,8 @@
 
 // acceptKeyed hands in a message with an order key of its own, and leaves the turn open.
 func (h *fakeHost) acceptKeyed(id MessageID, class ClassNo, key OrderKey, to DestinationID) *fakeHost {
-	h.sender.Taken(Message{ID: id, Class: class, Key: key, Destination: to, Deadline: h.clock + h.sender.settings.Classes[class].Deadline})
+	deadline := h.clock + h.sender.settings.Classes[class].Deadline
+	h.sender.Taken(Message{ID: id, Class: class, Key: key, Destination: to, Deadline: deadline})
 	return h
 }
 
@@ -68,7 +69,7 @@
 // that is handed in again joins at the end of its key.
 func ExampleSender_headPastDeadline() {
 	host := startSender(orderedSettings())
-	host.sender.ListNews([]Entry{{Endpoint: "c", Destination: 2, Kind: 1, Stage: Draining}}, false)
+	host.update(Entry{Endpoint: "c", Destination: 2, Kind: 1, Stage: Draining})
 	host.acceptKeyed("head", 3, 7, 2).sender.TurnEnd()
 	host.advance(2*Second).acceptKeyed("next", 3, 7, 1).acceptKeyed("again", 3, 7, 1).sender.TurnEnd()
 	host.advance(4*Second).end(Done, 0, "a", "next")
@@ -109,9 +110,9 @@
 	set := orderedSettings()
 	set.Probing = false
 	host := startSender(set)
-	host.sender.ListNews([]Entry{{Endpoint: "far", Destination: 1, Zone: 1, Rating: 10}}, false)
+	host.update(Entry{Endpoint: "far", Destination: 1, Zone: 1, Rating: 10})
 	host.accept(1, 1, "token").advance(10*Millisecond).end(Errored, 0, "a", "token")
-	host.sender.ListNews([]Entry{{Endpoint: "a", Destination: 1, Stage: Draining}}, false)
+	host.update(Entry{Endpoint: "a", Destination: 1, Stage: Draining})
 	host.accept(0, 1, "other").advance(6 * Second)
 	// Output:
 	// 0.0     attempt token to a
--- a/choice/learned_test.go
+++ b/choice/learned_test.go
@@ -7,24 +7,27 @@
 func ExampleSender_Void() {
 	for _, l := range []*Learnt{nil, {Mean: 700, Dev: 100, Past: 600, Seen: 9, Limit: 4, Wait: Second}} {
 		host := startSender(testSettings()).accept(0, 1, "p").end(Done, 0, "a", "p")
-		host.sender.endpoints["a"].concurrencyLimit = 8
-		host.accept(0, 1, "q").sender.Ended(Outcome{Message: "q", Endpoint: "a", Result: Full, Wait: 2 * Second, Report: Report{Known: true, Limit: 50}})
+		host.endpoint("a").concurrencyLimit = 8
+		host.accept(0, 1, "q").sender.Ended(Outcome{
+			Message: "q", Endpoint: "a", Result: Full, Wait: 2 * Second, Report: Report{Known: true, Limit: 50},
+		})
 		host.accept(0, 1, "r").sender.destinations[1].route.limiter.rate = 1
 		host.sender.Void("a", l)
 		host.sender.Void("unknown", l)
-		ep, route := host.sender.endpoints["a"], host.sender.destinations[1].route
-		fmt.Println(host.sender.Learnt("a"), "calls at once:", ep.concurrencyLimit, "paced:", route.limiter.rate < unlimitedRate, "rated:", route.rating*host.sender.ratingShare)
+		ep, route := host.endpoint("a"), host.destination(1).route
+		fmt.Println(host.sender.Learnt("a"), "calls at once:", ep.concurrencyLimit,
+			"limited:", route.limiter.rate < unlimitedRate, "rated:", route.rating*host.sender.ratingShare)
 		host.advance(1500 * Millisecond)
 	}
 	// Output:
 	// 0.0     attempt p to a
 	// 0.0     attempt q to a
-	// {5000 5000 5000 0 0 0} calls at once: 2 paced: false rated: 5
+	// {5000 5000 5000 0 0 0} calls at once: 2 limited: false rated: 5
 	// 50.0    attempt r to a
 	// 189.1   attempt q to a
 	// 0.0     attempt p to a
 	// 0.0     attempt q to a
-	// {700 100 600 9 4 10000} calls at once: 2 paced: false rated: 5
+	// {700 100 600 9 4 10000} calls at once: 2 limited: false rated: 5
 	// 1000.0  attempt r to a
 	// 1000.0  attempt q to a
 }
@@ -37,8 +40,8 @@
 	sent := func(void bool) int {
 		host := startSender(set)
 		host.mute = true
-		host.sender.destinations[1].route.rating, host.sender.destinations[1].route.limit = 0, 50
-		host.sender.eject(host.sender.endpoints["a"])
+		host.destination(1).route.rating, host.destination(1).route.limit = 0, 50
+		host.sender.eject(host.endpoint("a"))
 		host.advance(2 * Second)
 		for i := range 200 {
 			if void {
@@ -89,12 +92,12 @@
 	host.sender.Withdrawn("r")
 	show("withdrawn, the pause goes on:", host, 2)
 	show("the pause is over:", host.advance(2*Second), 2)
-	host.sender.eject(host.sender.endpoints["c"])
+	host.sender.eject(host.endpoint("c"))
 	show("ejected:", host, 2)
-	host.sender.readmit(host.sender.endpoints["c"], host.clock)
+	host.sender.readmit(host.endpoint("c"), host.clock)
 	show("in slow start:", host, 2)
 	show("after slow start:", host.advance(11*Second), 2)
-	host.sender.ListNews([]Entry{{Endpoint: "c", Destination: 2, Kind: 1, Stage: Draining}}, false)
+	host.update(Entry{Endpoint: "c", Destination: 2, Kind: 1, Stage: Draining})
 	show("draining:", host, 2)
 	host = startSender(orderedSettings())
 	host.mute = true
--- a/choice/loadhost_test.go
+++ b/choice/loadhost_test.go
@@ -104,13 +104,17 @@
 func (h *loadHost) checkAttempt(msg *message, ep *endpoint) {
 	set, class := h.sender.settings, h.sender.class(msg)
 	check := func(is bool, what string) {
+		h.t.Helper()
 		if !is {
 			h.t.Errorf("%d: %s to %s: %s", h.clock, msg.ID, ep.id, what)
 		}
 	}
 	check(h.answers[msg.ID] == 0, "it has had its answer")
-	check(ep.bulkCall.messages > 1 || len(h.sender.calls) <= set.InFlightLimit, fmt.Sprint(len(h.sender.calls), " calls out of ", set.InFlightLimit))
-	check(ep.bulkCall.messages <= max(1, ep.destination.kind.BundleMax) && ep.destination.kind.BundleMax == set.Kinds[ep.destination.id%2].BundleMax, "a bundle too large")
+	calls, carried := len(h.sender.calls), ep.bulkCall.messages
+	check(carried > 1 || calls <= set.InFlightLimit, fmt.Sprint(calls, " calls out of ", set.InFlightLimit))
+	bundleMax := ep.destination.kind.BundleMax
+	check(carried <= max(1, bundleMax), "a bulk call too large")
+	check(bundleMax == set.Kinds[ep.destination.id%2].BundleMax, "the bound of bulk calls is not the one set")
 	check(h.attempts[msg.ID] <= set.MaxAttempts, "one attempt too many")
 	check(!msg.MayRun || class.Repeat != SingleUse, "a second run")
 	check(!msg.MayRun || class.Repeat != Keyed || h.clock <= msg.RanAt+class.RepeatWindow-set.Turn, "out of its window")
@@ -193,7 +197,8 @@
 func (h *loadHost) listEndpoints() {
 	var all []Entry
 	for i, id := range []EndpointID{"a", "b", "c", "d"} {
-		all = append(all, Entry{Endpoint: id, Destination: DestinationID(i / 2), Kind: KindNo(i / 2), Zone: ZoneNo(i % 2), Rating: 10})
+		entry := Entry{Endpoint: id, Destination: DestinationID(i / 2), Kind: KindNo(i / 2), Zone: ZoneNo(i % 2), Rating: 10}
+		all = append(all, entry)
 	}
 	h.sender.ListNews(all, true)
 }
--- a/choice/notes.go
+++ b/choice/notes.go
@@ -9,8 +9,8 @@
 	minLimitPauseCap = Second
 )
 
-// Heard takes a note of another sender: that it met the limit of a route or, without a wait, that an endpoint had no place
-// for its connection. What is no note, or is about an unknown endpoint, changes nothing.
+// Heard takes a note of another sender: that it met the limit of a route or, without a wait, that an endpoint had no
+// place for its connection. What is no note, or is about an unknown endpoint, changes nothing.
 func (s *Sender) Heard(note []byte) {
 	s.now = s.host.Now()
 	hash, wait := decodeNote(note)
@@ -42,9 +42,9 @@
 	s.host.Tell(encodeNote(ep.id, wait))
 }
 
-// applyPeerLimit pauses a route whose limit was met by a sender of the fleet, for as long as its kind usually says to wait,
-// and longer the sooner it is met again. It is jittered, as what all senders hold back must not come at once. A drawback:
-// capacity lies idle.
+// applyPeerLimit pauses a route whose limit was met by a sender of the fleet, for as long as its kind usually says to
+// wait, and longer the sooner it is met again. It is jittered, as what all senders hold back must not come at once. A
+// drawback: capacity lies idle.
 func (s *Sender) applyPeerLimit(ep *endpoint, wait Time) {
 	route, kind := ep.route, ep.destination.kind
 	if wait > noteUnit && wait < longestGuessedWait/2 {
--- a/choice/notes_test.go
+++ b/choice/notes_test.go
@@ -55,7 +55,7 @@
 func ExampleSender_retryBudgetOfKind() {
 	host := startSender(gossipSettings())
 	host.mute = true
-	host.sender.ListNews([]Entry{{Endpoint: "e", Destination: 3}, {Endpoint: "f", Destination: 4}}, false)
+	host.update(Entry{Endpoint: "e", Destination: 3}, Entry{Endpoint: "f", Destination: 4})
 	host.accept(0, 1, "p").accept(0, 3, "q").accept(0, 4, "r")
 	for i, id := range []MessageID{"p", "q", "r"} {
 		host.end(Errored, 0, EndpointID("aef"[i:i+1]), id)
@@ -72,11 +72,11 @@
 	set := testSettings()
 	set.Senders, set.Probing = 80, false
 	host := startSender(set).advance(3*Second).accept(0, 1, "p").end(ConnectFailed, 0, "a", "p").accept(0, 1, "q", "r")
-	host.sender.ListNews([]Entry{{Endpoint: "a", Destination: 1, Stage: Gone}, {Endpoint: "new", Destination: 1, Rating: 10}}, false)
+	host.update(Entry{Endpoint: "a", Destination: 1, Stage: Gone}, Entry{Endpoint: "new", Destination: 1, Rating: 10})
 	host.advance(100 * Millisecond)
-	host.sender.ListNews([]Entry{{Endpoint: "newer", Destination: 1, Rating: 10}}, false)
+	host.update(Entry{Endpoint: "newer", Destination: 1, Rating: 10})
 	host.advance(100 * Millisecond)
-	fmt.Println(host.sender.endpoints["new"].ejected, host.sender.endpoints["newer"].ejected)
+	fmt.Println(host.endpoint("new").ejected, host.endpoint("newer").ejected)
 	// Output:
 	// 3000.0  attempt p to a
 	// true true
@@ -88,11 +88,11 @@
 	set := testSettings()
 	set.Senders, set.Probing = 80, false
 	host := startSender(set).advance(3*Second).accept(0, 1, "p").end(ConnectFailed, 0, "a", "p")
-	a := host.sender.endpoints["a"]
+	a := host.endpoint("a")
 	host.advance(2 * Second)
 	host.sender.readmit(a, host.clock)
-	host.sender.ListNews([]Entry{{Endpoint: "new", Destination: 1, Rating: 10}, {Endpoint: "a", Destination: 1, Stage: Draining}}, false)
-	ep := host.sender.endpoints["new"]
+	host.update(Entry{Endpoint: "new", Destination: 1, Rating: 10}, Entry{Endpoint: "a", Destination: 1, Stage: Draining})
+	ep := host.endpoint("new")
 	fmt.Println("ejected:", ep.ejected, "in the same slow start:", ep.slowStartAt == a.slowStartAt, "budget:", math.Round(100*ep.slowStart.tokens)/100)
 	host.accept(0, 1, "q", "r", "s")
 	// Output:
@@ -108,13 +108,13 @@
 		set.Senders = senders
 		host := startSender(set)
 		host.mute = true
-		host.sender.ListNews([]Entry{{Endpoint: "e", Destination: 3}}, false)
+		host.update(Entry{Endpoint: "e", Destination: 3})
 		for i := range 40 {
 			id := MessageID(fmt.Sprint(i))
 			host.accept(0, 1, id).end(Done, 0, "a", id)
 		}
 		host.accept(0, 3, "first")
-		fmt.Println(senders, "senders:", seconds(host.sender.attemptTimeout(host.sender.messages["first"], host.sender.endpoints["e"])), "s")
+		fmt.Println(senders, "senders:", seconds(host.sender.attemptTimeout(host.sender.messages["first"], host.endpoint("e"))), "s")
 	}
 	// Output:
 	// 80 senders: 1 s
--- a/choice/outcomes.go
+++ b/choice/outcomes.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// judgeCall learns from the first outcome of a call that says something of its endpoint. The messages of one call may be
-// given their Retry-After one by one; it counts from the last of them.
+// judgeCall learns from the first outcome of a call that says something of its endpoint. The messages of one call may
+// be given their Retry-After one by one; it counts from the last of them.
 func (s *Sender) judgeCall(msg *message, call *call, o Outcome) {
 	aboutEndpoint := o.Result != Moot && o.Result != Cancelled
 	if !call.judged && aboutEndpoint {
@@ -121,8 +121,8 @@
 	}
 }
 
-// onDone learns from a call that was done: how long it took, that its route works and, by its report, which rate is free
-// again. It lets more calls in flight at its endpoint, unless calls have become much slower.
+// onDone learns from a call that was done: how long it took, that its route works and, by its report, which rate is
+// free again. It lets more calls in flight at its endpoint, unless calls have become much slower.
 func (s *Sender) onDone(call *call, o Outcome) {
 	ep, route, kind := call.endpoint, call.endpoint.route, call.endpoint.destination.kind
 	ep.observe(float64(o.Took), recentWeight, longTermWeight)
--- a/choice/outlier.go
+++ b/choice/outlier.go
@@ -19,8 +19,8 @@
 	successesAfterUnanswered = 6
 )
 
-// noteUnanswered counts a call as unanswered, once. Where the endpoint has answered others since it was sent, fewer calls
-// at once are enough; otherwise it is a failure.
+// noteUnanswered counts a call as unanswered, once. Where the endpoint has answered others since it was sent, fewer
+// calls at once are enough; otherwise it is a failure.
 func (s *Sender) noteUnanswered(call *call) {
 	if call.unanswered {
 		return
@@ -36,9 +36,9 @@
 	ep.unansweredAt = s.now
 }
 
-// recordFailure counts a failed call, and ejects the endpoint after enough of them in a row: the more calls and errors it
-// usually has, the more are needed, as some fail by chance. One is enough where it has done nothing lately, since a sender
-// of a large fleet seldom sees two; unless its answer reported a limit, 0 standing for none.
+// recordFailure counts a failed call, and ejects the endpoint after enough of them in a row: the more calls and errors
+// it usually has, the more are needed, as some fail by chance. One is enough where it has done nothing lately, since a
+// sender of a large fleet seldom sees two; unless its answer reported a limit, 0 standing for none.
 //
 // In a large fleet, two failures on a route that has done nothing lately eject all of its endpoints: each sender would
 // otherwise try every endpoint in turn.
@@ -67,9 +67,9 @@
 	return max(failuresToEject, int(math.Ceil(run)))
 }
 
-// eject stops sending to an endpoint whose calls fail, whatever the cause. It comes back by a trial call, and in a small
-// fleet by a probe before that. Each ejection while ejected doubles the pause before the next trial. A drawback: a well
-// endpoint with two failures by chance is ejected, too.
+// eject stops sending to an endpoint whose calls fail, whatever the cause. It comes back by a trial call, and in a
+// small fleet by a probe before that. Each ejection while ejected doubles the pause before the next trial. A drawback:
+// a well endpoint with two failures by chance is ejected, too.
 func (s *Sender) eject(ep *endpoint) {
 	s.markDirty(ep.destination)
 	if ep.ejected {
@@ -87,8 +87,8 @@
 }
 
 // readmit ends an ejection as an endpoint has answered a call, sent at the given time. Slow start counts from midway
-// between the last failure and now: in a large fleet the two lie far apart. An endpoint that was not down keeps the slow
-// start it had before, if any.
+// between the last failure and now: in a large fleet the two lie far apart. An endpoint that was not down keeps the
+// slow start it had before, if any.
 func (s *Sender) readmit(ep *endpoint, sentAt Time) {
 	if ep.ejected && s.now-ep.lastSuccess < blinkSpan {
 		ep.slowStartAt = ep.previousSlowStartAt
--- a/choice/outlier_test.go
+++ b/choice/outlier_test.go
@@ -10,9 +10,9 @@
 		set.Cold = 0
 		host := startSender(set).advance(3*Second).accept(0, 1, "p")
 		host.end(Errored, 0, "a", "p").advance(Second)
-		was := host.sender.endpoints["a"].trialPause
+		was := host.endpoint("a").trialPause
 		host.sender.Probed("a", result)
-		fmt.Println("ejected", host.sender.endpoints["a"].ejected, "pause", was, "then", host.sender.endpoints["a"].trialPause)
+		fmt.Println("ejected", host.endpoint("a").ejected, "pause", was, "then", host.endpoint("a").trialPause)
 		host.advance(Second)
 	}
 	// Output:
@@ -52,7 +52,7 @@
 func ExampleSender_unanswered() {
 	host := startSender(testSettings()).accept(2, 1, "p", "q", "r").accept(2, 2, "other").end(Done, 0, "c", "other")
 	host.advance(2500*Millisecond).accept(2, 2, "more")
-	fmt.Println("ejected:", host.sender.endpoints["a"].ejected, "calls out:", host.sender.endpoints["a"].inFlight)
+	fmt.Println("ejected:", host.endpoint("a").ejected, "calls out:", host.endpoint("a").inFlight)
 	// Output:
 	// 0.0     attempt r to a
 	// 0.0     attempt q to a
@@ -81,7 +81,7 @@
 	for _, pause := range []Time{200 * Millisecond, 1600 * Millisecond} {
 		host := startSender(testSettings())
 		host.mute = true
-		a := host.sender.endpoints["a"]
+		a := host.endpoint("a")
 		host.accept(0, 1, "p").end(Done, 0, "a", "p").accept(2, 1, "q", "r").end(Reset, 0, "a", "q", "r")
 		wasEjected := a.ejected
 		host.advance(pause)
@@ -99,9 +99,9 @@
 	for _, id := range []MessageID{"q", "r"} {
 		host.accept(2, 1, id).end(Spoilt, 0, "a", id)
 	}
-	fmt.Println("ejected:", host.sender.endpoints["a"].ejected)
+	fmt.Println("ejected:", host.endpoint("a").ejected)
 	host.advance(recentSuccessSpan+tickInterval).accept(2, 1, "s").end(Spoilt, 0, "a", "s")
-	fmt.Println("ejected:", host.sender.endpoints["a"].ejected)
+	fmt.Println("ejected:", host.endpoint("a").ejected)
 	// Output:
 	// 0.0     attempt p to a
 	// 0.0     attempt q to a
@@ -120,9 +120,9 @@
 	set := testSettings()
 	set.Senders = 50
 	host := startSender(set).advance(3*Second).accept(1, 1, "p").end(Errored, 0, "a", "p")
-	fmt.Println("ejected:", host.sender.endpoints["a"].ejected)
+	fmt.Println("ejected:", host.endpoint("a").ejected)
 	host.accept(1, 2, "q").end(Full, 5*Second, "c", "q").advance(5 * Second)
-	fmt.Printf("budget once open: %.2f, from %d\n", host.sender.endpoints["c"].slowStart.tokens, host.sender.endpoints["c"].slowStart.updatedAt)
+	fmt.Printf("budget once open: %.2f, from %d\n", host.endpoint("c").slowStart.tokens, host.endpoint("c").slowStart.updatedAt)
 	// Output:
 	// 3000.0  attempt p to a
 	// ejected: true
@@ -159,9 +159,9 @@
 	set := testSettings()
 	set.Senders = 50
 	host := startSender(set).advance(3*Second).accept(1, 1, "p").end(Errored, 0, "a", "p").advance(Second)
-	host.sender.endpoints["a"].slowStart.tokens = 1
+	host.endpoint("a").slowStart.tokens = 1
 	host.accept(0, 1, "q").end(Done, 0, "a", "q")
-	fmt.Println("slow start from:", host.sender.endpoints["a"].slowStartAt)
+	fmt.Println("slow start from:", host.endpoint("a").slowStartAt)
 	// Output:
 	// 3000.0  attempt p to a
 	// 4000.0  attempt q to a
@@ -194,7 +194,7 @@
 	for _, left := range []Time{100 * Millisecond, 5 * Second} {
 		host := startSender(testSettings())
 		host.accept(0, 1, "first").end(Done, 0, "a", "first")
-		host.sender.endpoints["a"].mean = float64(20 * Millisecond)
+		host.endpoint("a").mean = float64(20 * Millisecond)
 		host.sender.Taken(Message{ID: "late", Key: NoKey, Destination: 1, Deadline: host.clock + left})
 		host.accept(0, 1, "other").end(Done, 0, "a", "other")
 		host.clock += 1 // answered since
--- a/choice/queues.go
+++ b/choice/queues.go
@@ -12,8 +12,8 @@
 	}
 }
 
-// leaveKeyQueue takes a message out of its order key's queue, and lets the next one go. Where the key is paused, a timer
-// does so when the pause is over.
+// leaveKeyQueue takes a message out of its order key's queue, and lets the next one go. Where the key is paused, a
+// timer does so when the pause is over.
 func (s *Sender) leaveKeyQueue(msg *message) {
 	queue := msg.keyQueue
 	queue.messages = removeValue(queue.messages, msg)
@@ -24,8 +24,8 @@
 	s.advanceKey(msg)
 }
 
-// advanceKey lets the first message of an order key go, where it has not been sent yet and the key is not paused. from is
-// any message of that key, also one that has left.
+// advanceKey lets the first message of an order key go, where it has not been sent yet and the key is not paused. from
+// is any message of that key, also one that has left.
 func (s *Sender) advanceKey(from *message) {
 	queue := from.keyQueue
 	if queue == nil || s.keyQueues[from.Key] != queue || s.now < queue.pausedUntil {
@@ -54,8 +54,8 @@
 	}
 }
 
-// keyAllows reports whether a message's order key lets it go: it is first, and the key is not paused. The pause does not
-// hold back a retry.
+// keyAllows reports whether a message's order key lets it go: it is first, and the key is not paused. The pause does
+// not hold back a retry.
 func (s *Sender) keyAllows(msg *message) bool {
 	queue := msg.keyQueue
 	if queue == nil {
--- a/choice/random.go
+++ b/choice/random.go
@@ -5,7 +5,8 @@
 	"hash/crc32"
 )
 
-// randomSource is a reproducible source of randomness: each draw is a hash of the sender, its seed, an id and a counter.
+// randomSource is a reproducible source of randomness: each draw is a hash of the sender, its seed, an id and a
+// counter.
 type randomSource struct {
 	seed  []byte
 	draws uint64
--- a/choice/ranking.go
+++ b/choice/ranking.go
@@ -3,9 +3,9 @@
 // feeTimeFactor is by which part a fee of one message of mean value makes an endpoint count as slower, times.
 const feeTimeFactor = 20.0
 
-// rankCost is what endpoints of a destination are ranked by, the lowest first: when one more call would be done if calls
-// went one by one, where each rejection costs a backoff and a fee counts as time. An endpoint of another zone without
-// calls ranks behind, which spreads a fleet over a destination's endpoints.
+// rankCost is what endpoints of a destination are ranked by, the lowest first: when one more call would be done if
+// calls went one by one, where each rejection costs a backoff and a fee counts as time. An endpoint of another zone
+// without calls ranks behind, which spreads a fleet over a destination's endpoints.
 func (s *Sender) rankCost(ep *endpoint) float64 {
 	feeFactor := 1.0
 	if ep.destination.kind.Apart {
--- a/choice/ratelimit.go
+++ b/choice/ratelimit.go
@@ -75,17 +75,17 @@
 	}
 }
 
-// queueFull reports whether a rejection means that an endpoint has too many calls at once: its kind reports limits, it has
-// none, and it has just done calls.
+// queueFull reports whether a rejection means that an endpoint has too many calls at once: its kind reports limits, it
+// has none, and it has just done calls.
 func (s *Sender) queueFull(ep *endpoint) bool {
 	unlimited := ep.destination.kind.reportsLimits && ep.route.limit == 0
 	return unlimited && !ep.ejected && s.now-ep.route.lastSuccess < fullQueueSpan
 }
 
-// adjustRate counts a rejection and, once a second at most, cuts the rate of a route in proportion to the share rejected
-// since it last did so, from the highest load of late. A share that stays the same at a lower load is noise and no
-// limit's, once chance does not explain it. Drawbacks: a limit that is not reported is met more often than need be, and
-// nothing can be said of few calls.
+// adjustRate counts a rejection and, once a second at most, cuts the rate of a route in proportion to the share
+// rejected since it last did so, from the highest load of late. A share that stays the same at a lower load is noise
+// and no limit's, once chance does not explain it. Drawbacks: a limit that is not reported is met more often than need
+// be, and nothing can be said of few calls.
 func (s *Sender) adjustRate(dest *destination, route *route) {
 	route.rejected++
 	if s.now-route.judgedAt <= judgeInterval {
@@ -111,9 +111,9 @@
 	}
 }
 
-// separateNoise compares the share rejected at a load with that at the last different load, and updates the share that is
-// rejected whatever the load. It returns the load that the share stands for: the earlier one, where the lower load has
-// changed nothing.
+// separateNoise compares the share rejected at a load with that at the last different load, and updates the share that
+// is rejected whatever the load. It returns the load that the share stands for: the earlier one, where the lower load
+// has changed nothing.
 func (r *route) separateNoise(load, share, answered float64) float64 {
 	// What a limit would reject of so much less load, had it rejected the earlier share.
 	byLimit := max(0, 1-(1-r.previousShare)*r.previousLoad/load)
@@ -136,9 +136,9 @@
 	return load
 }
 
-// cutRate cuts the rate of a route at which a load had an excess share of calls rejected. Where a limit is reported, the
-// rate becomes this sender's part of it; where rejections go on at that, less, since rejected calls count against some
-// limits, which all senders together would keep used up.
+// cutRate cuts the rate of a route at which a load had an excess share of calls rejected. Where a limit is reported,
+// the rate becomes this sender's part of it; where rejections go on at that, less, since rejected calls count against
+// some limits, which all senders together would keep used up.
 func (s *Sender) cutRate(route *route, load, excess, rejected float64) {
 	route.limiter.tokens = min(0, route.limiter.tokens)
 	leastPart := rateCutShare
@@ -161,8 +161,8 @@
 }
 
 // routeRejections returns how many calls of a route were rejected, and how many answered, since its rate was adjusted.
-// Where one endpoint rejects more than the others, and not by chance, that is no limit of the route, and only the others
-// count, by their recent counts.
+// Where one endpoint rejects more than the others, and not by chance, that is no limit of the route, and only the
+// others count, by their recent counts.
 func (s *Sender) routeRejections(dest *destination, route *route) (rejected, answered float64) {
 	worst := &endpoint{}
 	for ep := range dest.endpointsOf(route) {
@@ -187,8 +187,8 @@
 	return route.rejected, route.answered + 1
 }
 
-// ready lets the rate of a route grow, and reports whether it may be sent a call. The rate grows faster the longer, and the
-// more calls were answered, since it was adjusted, and while it is far below what was once done.
+// ready lets the rate of a route grow, and reports whether it may be sent a call. The rate grows faster the longer, and
+// the more calls were answered, since it was adjusted, and while it is far below what was once done.
 func (r *route) ready(now Time) bool {
 	sinceAdjusted := seconds(now - r.judgedAt - fastGrowthAfter)
 	speedUp := max(0, min(sinceAdjusted, r.answered/answersToJudge)) / 2
--- a/choice/ratelimit_test.go
+++ b/choice/ratelimit_test.go
@@ -8,7 +8,7 @@
 	for _, id := range []MessageID{"p", "q"} {
 		host.sender.Ended(Outcome{Message: id, Endpoint: "a", Result: Full, Report: Report{true, 0.1, 4}})
 	}
-	fmt.Println("ejected:", host.sender.endpoints["a"].ejected, "pace:", host.sender.endpoints["a"].route.limiter.rate)
+	fmt.Println("ejected:", host.endpoint("a").ejected, "pace:", host.endpoint("a").route.limiter.rate)
 	host.advance(Second)
 	// Output:
 	// 0.0     attempt q to a
@@ -31,26 +31,26 @@
 	tell := func(id MessageID, result Result, left float64) {
 		host.advance(1100*Millisecond).accept(0, 1, id).sender.Ended(Outcome{Message: id, Attempt: host.attempts[id] - 1, Endpoint: "a", Result: result,
 			Final: result == Done, Report: Report{Known: true, Left: left, Limit: 80}})
-		fmt.Printf("%v, %.1f left: pace %.2f\n", [...]string{"done", "", "refused"}[result], left, host.sender.destinations[1].route.limiter.rate)
+		fmt.Printf("%v, %.1f left: rate %.2f\n", [...]string{"done", "", "refused"}[result], left, host.destination(1).route.limiter.rate)
 	}
 	for i, id := range []MessageID{"p", "q", "r", "s", "t"} {
-		host.sender.destinations[1].route.limiter.tokens = 1 // else it waits for its turn at that pace
+		host.destination(1).route.limiter.tokens = 1 // else it waits for its turn at that pace
 		tell(id, [...]Result{Full, Full, Full, Done, Done}[i], [...]float64{0, 0, 0, 0.1, 0.5}[i])
 		host.sender.Withdrawn(id)
 	}
 	// Output:
-	// refused, 0.0 left: pace 1.00
-	// refused, 0.0 left: pace 0.50
-	// refused, 0.0 left: pace 0.26
-	// done, 0.1 left: pace 0.28
-	// done, 0.5 left: pace 1.00
+	// refused, 0.0 left: rate 1.00
+	// refused, 0.0 left: rate 0.50
+	// refused, 0.0 left: rate 0.26
+	// done, 0.1 left: rate 0.28
+	// done, 0.5 left: rate 1.00
 }
 
 // A share that is rejected whatever the load costs little; a limit is found and kept, also with such a share on top.
 func ExampleSender_adjustRate() {
 	play := func(what string, offered int, noise, limit float64) {
 		host := startSender(testSettings())
-		s, route := host.sender, host.sender.destinations[1].route
+		s, route := host.sender, host.destination(1).route
 		allowance, sent, rejected, late := 0.0, 0, 0, 60*Second
 		for i := range offered * 60 {
 			now := Time(i) * Second / Time(offered)
@@ -123,8 +123,8 @@
 	set.Kinds[0].BundleMax = 1
 	host := startSender(set)
 	host.mute = true
-	host.sender.ListNews([]Entry{{Endpoint: "b", Destination: 1, Rating: 10}}, false)
-	a, b := host.sender.endpoints["a"], host.sender.endpoints["b"]
+	host.update(Entry{Endpoint: "b", Destination: 1, Rating: 10})
+	a, b := host.endpoint("a"), host.endpoint("b")
 	route, low := a.route, unlimitedRate
 	to := map[EndpointID]int{}
 	for i := range 2000 {
@@ -143,17 +143,17 @@
 		}
 		low = min(low, route.limiter.rate)
 	}
-	host.sender.refreshDestination(host.sender.destinations[1])
-	fmt.Println("well:", to["a"] > 10*to["b"], "ranked first:", host.sender.destinations[1].ranked[0].id, "pace kept:", low >= 90)
+	host.sender.refreshDestination(host.destination(1))
+	fmt.Println("well:", to["a"] > 10*to["b"], "ranked first:", host.destination(1).ranked[0].id, "rate kept:", low >= 90)
 	// Output:
-	// well: true ranked first: a pace kept: true
+	// well: true ranked first: a rate kept: true
 }
 
 // A rate that was halved wrongly recovers in seconds, whatever it is; few calls show little capacity, and take longest.
 func ExampleSender_rateRecovers() {
 	for _, rate := range []int{1, 100, 5000} {
 		host := startSender(testSettings())
-		route := host.sender.destinations[1].route
+		route := host.destination(1).route
 		route.limiter.rate, route.limiter.tokens, route.judgedAt = float64(rate)/2, 0, 0
 		now := Time(0)
 		for route.limiter.rate < float64(rate) {
--- a/choice/restart_test.go
+++ b/choice/restart_test.go
@@ -9,7 +9,8 @@
 	set.MaxOpen, set.InFlightLimit = 20, 0 // nothing is sent
 	host := startSender(set)
 	for i := range 25 {
-		host.sender.Taken(Message{ID: MessageID(fmt.Sprint("old", i)), Key: NoKey, Destination: 2, Deadline: host.clock + 3*Second, Span: 6 * Second})
+		id := MessageID(fmt.Sprint("old", i))
+		host.sender.Taken(Message{ID: id, Key: NoKey, Destination: 2, Deadline: host.clock + 3*Second, Span: 6 * Second})
 	}
 	host.accept(2, 1, "new")
 	fmt.Println("held:", len(host.sender.messages))
--- a/choice/retries.go
+++ b/choice/retries.go
@@ -1,12 +1,14 @@
 package choice
 
 const (
-	// retryBaseShare and retryCapShare are the first and the highest ceiling of the backoff, in shortest contract times.
+	// retryBaseShare and retryCapShare are the first and the highest ceiling of the backoff, in shortest contract
+	// times.
 	retryBaseShare = 0.25
 	retryCapShare  = 2.0
 	// maxBackoffDoublings keeps the doubling of the ceiling from overflowing.
 	maxBackoffDoublings = 20
-	// rejectedRetryDivisor: rejected messages of one destination may take the in-flight limit by this for their retries.
+	// rejectedRetryDivisor: rejected messages of one destination may take the in-flight limit by this for their
+	// retries.
 	rejectedRetryDivisor = 4
 	// kindRetryCredit is how many retries a call done pays for where senders exchange notes: there the retry budget is
 	// that of a kind, into which all its destinations pay.
--- a/choice/retries_test.go
+++ b/choice/retries_test.go
@@ -30,7 +30,7 @@
 		longest, shortest := Time(0), Time(1<<60)
 		for i := range 40 {
 			msg := &message{Message: Message{ID: MessageID(fmt.Sprint(i))}, attempts: try,
-				destination: host.sender.destinations[1]}
+				destination: host.destination(1)}
 			msg.Deadline = 60 * Second
 			host.sender.scheduleRetry(msg)
 			longest, shortest = max(longest, msg.retryAt), min(shortest, msg.retryAt)
@@ -47,7 +47,7 @@
 // Rejected messages are retried in a quarter of the in-flight limit: two here, and the third when one is done.
 func ExampleSender_rejectedRetries() {
 	host := startSender(testSettings())
-	host.sender.endpoints["a"].concurrencyLimit = 8
+	host.endpoint("a").concurrencyLimit = 8
 	host.accept(0, 1, "p", "q", "r").end(Full, 0, "a", "p", "q", "r")
 	host.advance(2*Second).end(Done, 0, "a", "p").advance(2 * Second)
 	// Output:
@@ -88,14 +88,14 @@
 	set := testSettings()
 	set.Senders = 50
 	host := startSender(set).advance(3 * Second)
-	host.sender.ListNews([]Entry{{Endpoint: "b", Destination: 1}, {Endpoint: "b2", Destination: 1}}, false)
+	host.update(Entry{Endpoint: "b", Destination: 1}, Entry{Endpoint: "b2", Destination: 1})
 	host.advance(50*Millisecond).accept(0, 1, "p").end(ConnectFailed, 0, "a", "p").advance(300 * Millisecond)
 	host.end(ConnectFailed, 0, "b", "p")
-	fmt.Println("ejected:", host.sender.endpoints["a"].ejected, host.sender.endpoints["b"].ejected, host.sender.endpoints["b2"].ejected)
+	fmt.Println("ejected:", host.endpoint("a").ejected, host.endpoint("b").ejected, host.endpoint("b2").ejected)
 	host.accept(0, 2, "q")
 	for range 2 {
 		host.end(Full, 0, "c", "q").advance(4 * Second)
-		fmt.Printf("pace: %.3f\n", host.sender.destinations[2].route.limiter.rate)
+		fmt.Printf("pace: %.3f\n", host.destination(2).route.limiter.rate)
 	}
 	// Output:
 	// 3050.0  attempt p to a
@@ -141,12 +141,13 @@
 	set.InFlightLimit = 4
 	host := startSender(set)
 	host.mute = true
-	dest := host.sender.destinations[1]
+	dest := host.destination(1)
 	firsts, retries, last := 0, 0, map[MessageID]int{}
 	for i := range 600 {
 		host.advance(20 * Millisecond)
 		host.accept(0, 1, MessageID(fmt.Sprint(i)))
-		host.sender.endpoints["a"].ejected, host.sender.endpoints["a"].consecutiveFailures = false, 0 // otherwise an ejection would end it sooner
+		host.endpoint("a").ejected = false // otherwise an ejection would end it sooner
+		host.endpoint("a").consecutiveFailures = 0
 		var ids []string
 		for id, msg := range host.sender.messages {
 			if msg.inFlight != nil {
@@ -165,7 +166,8 @@
 		}
 	}
 	most := float64(set.InFlightLimit) + 12/seconds(host.sender.retryCap) + 1
-	fmt.Println("retries within the budget:", float64(retries) <= most, "left", math.Floor(dest.retryBudget.tokens) <= float64(set.InFlightLimit), firsts > 0)
+	left := math.Floor(dest.retryBudget.tokens)
+	fmt.Println("retries within the budget:", float64(retries) <= most, "left", left <= float64(set.InFlightLimit), firsts > 0)
 	// Output:
 	// retries within the budget: true left true true
 }
--- a/choice/retryafter.go
+++ b/choice/retryafter.go
@@ -31,8 +31,8 @@
 	return earliest(dest.ranked, latest, func(ep *endpoint) Time { return ep.route.pausedUntil })
 }
 
-// needsGuessedWait reports whether a route should pause though no Retry-After came: a run of rejections, with nothing done
-// lately, and no pause yet.
+// needsGuessedWait reports whether a route should pause though no Retry-After came: a run of rejections, with nothing
+// done lately, and no pause yet.
 func (s *Sender) needsGuessedWait(route *route) bool {
 	run := route.consecutiveRejections >= rejectionRun
 	return run && s.now-route.lastSuccess > recentSuccessSpan && s.now >= route.pausedUntil
--- a/choice/retryafter_test.go
+++ b/choice/retryafter_test.go
@@ -29,7 +29,7 @@
 // endpoints that were not asked, and although a call from before was done meanwhile.
 func ExampleSender_longRetryAfter() {
 	host := startSender(testSettings())
-	host.sender.ListNews([]Entry{{Endpoint: "b", Destination: 1, Rating: 10}}, false)
+	host.update(Entry{Endpoint: "b", Destination: 1, Rating: 10})
 	host.accept(0, 1, "p", "q", "r").end(Full, 3*Second, "a", "p").end(Done, 0, "a", "q").accept(2, 1, "s", "t", "u", "v")
 	host.advance(6 * Second)
 	// Output:
@@ -48,7 +48,7 @@
 func ExampleSender_guessedWait() {
 	host := startSender(testSettings()).advance(2100*Millisecond).accept(0, 1, "p", "q").end(Full, 0, "a", "p", "q")
 	host.advance(900*Millisecond).end(Full, 0, "a", "p", "q").advance(2 * Second)
-	fmt.Println("guess:", host.sender.destinations[1].route.guessedWait)
+	fmt.Println("guess:", host.destination(1).route.guessedWait)
 	// Output:
 	// 2100.0  attempt q to a
 	// 2100.0  attempt p to a
@@ -62,13 +62,13 @@
 	host := startSender(testSettings())
 	host.mute = true
 	host.accept(0, 1, "p").end(Done, 0, "a", "p").advance(3 * Second)
-	route := host.sender.destinations[1].route
+	route := host.destination(1).route
 	rejectAfter := func(id MessageID) {
 		host.accept(0, 1, id).end(Full, 200*Millisecond, "a", id)
 		fmt.Println("paused for", (route.pausedUntil-host.clock)/Millisecond, "ms, unlimited", route.limiter.rate >= unlimitedRate)
 		host.advance(500 * Millisecond)
 	}
-	host.sender.endpoints["a"].concurrencyLimit = 8
+	host.endpoint("a").concurrencyLimit = 8
 	rejectAfter("q")
 	rejectAfter("r")
 	// Output:
@@ -83,7 +83,7 @@
 		set := orderedSettings()
 		set.Kinds[0].Apart = apart
 		host := startSender(set)
-		host.sender.ListNews([]Entry{{Endpoint: "b", Destination: 1, Rating: 10}}, false)
+		host.update(Entry{Endpoint: "b", Destination: 1, Rating: 10})
 		host.accept(0, 1, "p").end(Full, 900*Millisecond, "a", "p").accept(0, 1, "q")
 		fmt.Println("apart:", apart)
 	}
--- a/choice/selection.go
+++ b/choice/selection.go
@@ -38,8 +38,8 @@
 	return s.selectAmong(false)
 }
 
-// selectAmong returns, among first attempts or among retries, the message with the most value for its call time. Of each
-// queue the newest message takes part.
+// selectAmong returns, among first attempts or among retries, the message with the most value for its call time. Of
+// each queue the newest message takes part.
 func (s *Sender) selectAmong(firstAttempts bool) (best *message, to *endpoint) {
 	highest := 0.0
 	for _, dest := range s.withQueued {
@@ -133,8 +133,8 @@
 	return !s.tooUncertain(msg, ep)
 }
 
-// boundToZone reports whether a message may be repeated only in the zone where it may have run, as its idempotency key is
-// known there alone. No routing plan moves it then: it would have nowhere to go.
+// boundToZone reports whether a message may be repeated only in the zone where it may have run, as its idempotency key
+// is known there alone. No routing plan moves it then: it would have nowhere to go.
 func (s *Sender) boundToZone(msg *message) bool { return msg.MayRun && s.class(msg).ZoneGroup }
 
 // tooUncertain reports whether a non-idempotent message should wait until calls to an endpoint, of which some stayed
@@ -158,8 +158,8 @@
 	return call != nil && call.turn == s.turnNumber && call.messages < ep.destination.kind.BundleMax
 }
 
-// trialDue reports whether a message may try an ejected endpoint. Non-idempotent messages do so later than others. Where
-// a probe has passed, the slow start budget may be exceeded by a trial, if it is more than a few calls.
+// trialDue reports whether a message may try an ejected endpoint. Non-idempotent messages do so later than others.
+// Where a probe has passed, the slow start budget may be exceeded by a trial, if it is more than a few calls.
 func (s *Sender) trialDue(msg *message, ep *endpoint) bool {
 	from := ep.nextTrial
 	if s.class(msg).Repeat == SingleUse {
--- a/choice/selection_test.go
+++ b/choice/selection_test.go
@@ -5,7 +5,7 @@
 // Nothing new goes to a draining endpoint from the turn in which it is reported; what it would have got goes elsewhere.
 func ExampleSender_draining() {
 	host := startSender(testSettings()).accept(0, 1, "p").end(Errored, 0, "a", "p")
-	host.sender.ListNews([]Entry{{Endpoint: "a", Destination: 1, Stage: Draining}, {Endpoint: "b", Destination: 1}}, false)
+	host.update(Entry{Endpoint: "a", Destination: 1, Stage: Draining}, Entry{Endpoint: "b", Destination: 1})
 	host.advance(Second)
 	// Output:
 	// 0.0     attempt p to a
@@ -24,7 +24,7 @@
 // An endpoint that has done no call lately gets no more calls at once than an unknown one, until it answers.
 func ExampleSender_idleConcurrency() {
 	host := startSender(testSettings())
-	host.sender.endpoints["a"].concurrencyLimit = 8
+	host.endpoint("a").concurrencyLimit = 8
 	host.accept(0, 1, "p").end(Done, 0, "a", "p").advance(3*Second).accept(0, 1, "q", "r", "s", "t")
 	host.advance(100*Millisecond).end(Done, 0, "a", "t")
 	// Output:
@@ -39,15 +39,15 @@
 // time is not blamed, and nothing goes to the one that drains.
 func ExampleSender_stalledSender() {
 	host := startSender(orderedSettings())
-	host.sender.ListNews([]Entry{{Endpoint: "b", Destination: 1, Rating: 10}}, false)
+	host.update(Entry{Endpoint: "b", Destination: 1, Rating: 10})
 	host.accept(0, 1, "p", "q").accept(0, 2, "r")
 	host.clock += 2 * Second
-	host.sender.ListNews([]Entry{{Endpoint: "a", Destination: 1, Stage: Draining}}, false)
+	host.update(Entry{Endpoint: "a", Destination: 1, Stage: Draining})
 	for _, id := range []MessageID{"p", "q", "r"} {
 		host.sender.Ended(Outcome{Message: id, Took: 100 * Millisecond, Result: Done, Final: true})
 	}
 	host.accept(0, 1, "late").accept(0, 2, "other").advance(100 * Millisecond)
-	fmt.Println("known of the drained one:", host.sender.endpoints["a"] != nil, "ejected:", host.sender.endpoints["b"].ejected, host.sender.endpoints["c"].ejected)
+	fmt.Println("known of the drained one:", host.sender.endpoints["a"] != nil, "ejected:", host.endpoint("b").ejected, host.endpoint("c").ejected)
 	// Output:
 	// 0.0     attempt q to a
 	// 0.0     attempt p to a
--- a/choice/sender.go
+++ b/choice/sender.go
@@ -8,8 +8,9 @@
 	smallFleetSize = 8
 	// tickInterval is the time between two ticks, in which changed destinations are looked at.
 	tickInterval = 50 * Millisecond
-	// rateWindow is the window of rate meters. A sender of a fleet has few events of its own, so where a meter of its own
-	// events must hold some, this is multiplied by the number of senders; the load meter of a fleet uses fleetLoadWindow.
+	// rateWindow is the window of rate meters. A sender of a fleet has few events of its own, so where a meter of its
+	// own events must hold some, this is multiplied by the number of senders; the load meter of a fleet uses
+	// fleetLoadWindow.
 	rateWindow      = 2 * Second
 	fleetLoadWindow = 5 * Second
 	// recentSuccessSpan is how long an endpoint or route counts as working after a call was done there.
--- a/choice/slowstart.go
+++ b/choice/slowstart.go
@@ -3,8 +3,8 @@
 import "math"
 
 // This file bounds what is sent to endpoints that are ejected, or back from an outage and warming up: too much at once
-// would overload them again. An endpoint's capacity grows linearly over Settings.Cold from a share of it to the whole, and
-// it is overloaded by more than a multiple of that within a window (Settings.FallMultiple, Settings.Fall).
+// would overload them again. An endpoint's capacity grows linearly over Settings.Cold from a share of it to the whole,
+// and it is overloaded by more than a multiple of that within a window (Settings.FallMultiple, Settings.Fall).
 
 const (
 	// slowStartFloor is how many calls in the length of a slow start all senders may have at a route whose capacity is
@@ -23,10 +23,10 @@
 
 // beginSlowStart has slow start begin at the given time, with what is not known of a warming endpoint forgotten.
 //
-// The budget begins full for two senders, and at a level by chance the more senders there are, so that they do not call at
-// the same moment. A budget in use is not refilled: each sender would otherwise call twice, at the return and as it sees
-// that itself; but few senders, whose budgets fill several times in a window, are not held to that. Nor may calls that
-// have piled up during a pause all leave at its end.
+// The budget begins full for two senders, and at a level by chance the more senders there are, so that they do not call
+// at the same moment. A budget in use is not refilled: each sender would otherwise call twice, at the return and as it
+// sees that itself; but few senders, whose budgets fill several times in a window, are not held to that. Nor may calls
+// that have piled up during a pause all leave at its end.
 func (s *Sender) beginSlowStart(ep *endpoint, from Time) {
 	tokens := 1 - s.random.fraction(string(ep.id))*max(0, 1-2/s.fleetSize)
 	if s.impaired(ep) && (s.fleetSize > smallFleetSize || ep.slowStart.rate*s.overloadWindow <= fewCalls) {
@@ -74,9 +74,9 @@
 // slowStartMean is how many calls all senders together may have in an overload window, on average, where the settings
 // allow n. Calls come by chance: an endpoint is overloaded beyond n + 2 sqrt(n) + 2 of them.
 //
-// Few senders stay below that even with all their budgets full at once. A fleet stays slowStartDeviations below it, if its
-// senders act by chance and not in step. A drawback: where few senders of a fleet have messages for an endpoint, its
-// return is seen late.
+// Few senders stay below that even with all their budgets full at once. A fleet stays slowStartDeviations below it, if
+// its senders act by chance and not in step. A drawback: where few senders of a fleet have messages for an endpoint,
+// its return is seen late.
 func (s *Sender) slowStartMean(n float64) float64 {
 	n = min(max(0, n), unlimitedRate*s.overloadWindow)
 	overload := n + 2*math.Sqrt(n) + 2
--- a/choice/slowstart_test.go
+++ b/choice/slowstart_test.go
@@ -9,7 +9,10 @@
 
 // largeFleetPlan is a plan with settings as they are in a large fleet.
 func largeFleetPlan(senders int, capacity float64) outagePlan {
-	p := outagePlan{set: testSettings(), senders: senders, destinations: 16, endpointsEach: 1, capacity: capacity, rating: capacity, demand: 0.6, seed: 1}
+	p := outagePlan{
+		set: testSettings(), senders: senders, destinations: 16, endpointsEach: 1,
+		capacity: capacity, rating: capacity, demand: 0.6, seed: 1,
+	}
 	p.set.FallMultiple, p.set.Fall, p.set.InFlightLimit = 2.5, 1500*Millisecond, 16
 	return p
 }
@@ -155,7 +158,7 @@
 		host.sender.ListNews([]Entry{{Endpoint: "a", Destination: 1, Rating: 20}, {Endpoint: "b", Destination: 1, Rating: 20}}, true)
 		host.clock = 20 * Second
 		for _, id := range []EndpointID{"a", "b"} {
-			ep := host.sender.endpoints[id]
+			ep := host.endpoint(id)
 			host.sender.now = host.clock
 			host.sender.eject(ep)
 			host.sender.readmit(ep, host.clock)
--- a/choice/state.go
+++ b/choice/state.go
@@ -138,8 +138,8 @@
 	previousSlowStartAt Time // that of the one before the ejection
 }
 
-// call is one call to an endpoint, with the messages sent to it in one turn, until all have their outcomes. It takes one
-// of the in-flight limit.
+// call is one call to an endpoint, with the messages sent to it in one turn, until all have their outcomes. It takes
+// one of the in-flight limit.
 type call struct {
 	endpoint *endpoint
 	sentAt   Time
--- a/choice/value.go
+++ b/choice/value.go
@@ -6,8 +6,8 @@
 
 func (s *Sender) class(msg *message) *Class { return &s.settings.Classes[msg.Class] }
 
-// fullValue is the value of a message that is answered within its contract time. It is lower for one that was beyond its
-// account's quota when it was accepted.
+// fullValue is the value of a message that is answered within its contract time. It is lower for one that was beyond
+// its account's quota when it was accepted.
 func (s *Sender) fullValue(msg *message) float64 {
 	value := s.class(msg).Value
 	if msg.overQuota {
--- a/choice/withdrawn_test.go
+++ b/choice/withdrawn_test.go
@@ -10,8 +10,8 @@
 		host := startSender(set)
 		do(host)
 		host.advance(7 * Second)
-		if len(host.sender.messages)+len(host.sender.calls)+len(host.sender.timers.pending)+len(host.sender.keyQueues)+len(host.sender.withQueued) > 0 {
-			fmt.Println("left over:", host.sender.messages, host.sender.calls, host.sender.timers.pending, host.sender.keyQueues, host.sender.withQueued)
+		if s := host.sender; openState(s) > 0 {
+			fmt.Println("left over:", s.messages, s.calls, s.timers.pending, s.keyQueues, s.withQueued)
 		}
 	}
 	drop := func(host *fakeHost, id MessageID) *fakeHost {
@@ -25,7 +25,7 @@
 	})
 	play("in a lane", testSettings(), func(host *fakeHost) {
 		host.accept(0, 1, "p", "q").end(Full, 500*Millisecond, "a", "p", "q").advance(300 * Millisecond)
-		fmt.Println("there:", host.sender.destinations[1].queues[1].Len())
+		fmt.Println("there:", host.destination(1).queues[1].Len())
 		drop(drop(host, "p"), "q")
 	})
 	play("waiting for a retry", testSettings(), func(host *fakeHost) { drop(host.accept(1, 1, "p").end(Errored, 0, "a", "p"), "p") })
