--- a/choice/backlog.go
+++ b/choice/backlog.go
@@ -3,7 +3,7 @@
 // This file accepts messages, sheds some where the backlog fills up, and gives each its one end.
 
 // shedFromShare is the share of Settings.MaxOpen from which on messages are shed. Up to MaxOpen it is done by chance,
-// the oftener the fuller the backlog is, so that what comes is not all turned down from one moment to the next.
+// with a probability that grows with the backlog, so that rejections do not set in all at once.
 const shedFromShare = 0.85
 
 // Taken accepts a message, or ends it at once where it may not be sent any more or the backlog is full.
@@ -39,7 +39,7 @@
 
 // limitBacklog sheds a message by chance where the backlog fills up, which may be the one just accepted or another: the
 // one with the least value for the time it will stay. The more valuable the one just accepted is, the less likely one
-// is shed for it. Messages that an earlier incarnation accepted make none be shed, and stay themselves until attempted.
+// is shed for it. Messages accepted by an earlier incarnation cause no shedding, and are shed only once attempted.
 func (s *Sender) limitBacklog(accepted *message) {
 	fullness := float64(len(s.messages)) / float64(s.settings.MaxOpen)
 	pressure := (fullness - shedFromShare) / (1 - shedFromShare)
@@ -49,15 +49,15 @@
 	if s.random.fraction(string(accepted.ID)) >= pressure*(2-s.fullValue(accepted)/s.maxValue) {
 		return
 	}
-	maySheds := func(msg *message) bool {
+	mayShed := func(msg *message) bool {
 		return msg.inFlight == nil && (msg.Span == 0 || msg.attempts > 0)
 	}
-	s.endUndelivered(minBy(s.messages, maySheds, s.valuePerTime))
+	s.endUndelivered(minBy(s.messages, mayShed, s.valuePerTime))
 }
 
-// valuePerTime is what a message will be worth by the time it stays open: for the calls of the messages ahead in its
-// key queue and its own, and until its retry, a pause or an outage is over. An outage is expected to last as long again
-// as it has so far.
+// valuePerTime is the value of a message divided by the time that it is expected to stay open: until its retry is due or
+// a pause or outage is over, and then for the calls of the messages ahead in its key queue and its own. An outage is
+// expected to last as long again as it has so far.
 func (s *Sender) valuePerTime(msg *message) float64 {
 	unavailable := earliest(msg.destination.ranked, forever, s.unavailableFor)
 	calls := Time(s.usualCallTime(msg.destination)) * Time(1+msg.keyQueue.position(msg))
--- a/choice/backlog_test.go
+++ b/choice/backlog_test.go
@@ -77,7 +77,7 @@
 	// in queues 1 waiting 9
 }
 
-// A sender whose backlog fills up sheds what would stay for longest, so that a well destination keeps its service.
+// A sender whose backlog fills up sheds what would stay for longest, so that a healthy destination keeps its service.
 func ExampleSender_backlogFull() {
 	set := testSettings()
 	set.MaxOpen = 6
--- a/choice/capacity_test.go
+++ b/choice/capacity_test.go
@@ -155,7 +155,7 @@
 	})
 }
 
-// BenchmarkCapacityWaiting measures one message accepted, sent and done at a well destination, while messages wait for
+// BenchmarkCapacityWaiting measures one message accepted, sent and done at a healthy destination, while messages wait for
 // so many others that may not be sent to.
 func BenchmarkCapacityWaiting(b *testing.B) {
 	bench.Sizes(b, "waiting", []int{16, 165, 1_647, 16_470}, func(b *testing.B, n int) {
--- a/choice/connections.go
+++ b/choice/connections.go
@@ -1,7 +1,7 @@
 package choice
 
-// keepUseFactor tells when an idle connection is kept: when this sender's calls there, in the time after which the host
-// closes idle connections, are at least this many times the share of new connections that fail.
+// keepUseFactor decides whether an idle connection is kept: this sender's calls there, counted over the time after which
+// the host closes idle connections, must be at least this many times the share of new connections that fail.
 const keepUseFactor = 30.0
 
 // closeIfUnused closes the idle connections to an endpoint that are used too little, also where messages wait that may
@@ -23,7 +23,7 @@
 	return ep.destination.queued == 0 || !ep.route.ready(s.now) || !s.slowStartReady(ep)
 }
 
-// onConnectionTableFull takes that an endpoint had no place for a further connection, which says nothing of its limits.
+// onConnectionTableFull handles that an endpoint had no place for a further connection, which says nothing of its limits.
 // Idle connections to its kind may be closed, and one call at a time tries there. A drawback: some destinations that
 // are shut look like this.
 func (s *Sender) onConnectionTableFull(ep *endpoint) {
@@ -36,8 +36,8 @@
 	}
 }
 
-// onConnectFailed takes that no connection came up. Unless a full connection table is answered, that may be the reason;
-// the other senders are told, which may have idle connections there.
+// onConnectFailed handles that no connection came up. Unless a full connection table is answered, that may be the reason;
+// the other senders are notified, as they may have idle connections there.
 func (s *Sender) onConnectFailed(ep *endpoint) {
 	if s.settings.TellsFull {
 		return
--- a/choice/connections_test.go
+++ b/choice/connections_test.go
@@ -173,7 +173,7 @@
 }
 
 // Where a full connection table is answered, connections that fail show an outage and nothing else: the idle connection
-// to a well endpoint stays. Where a full table makes connecting fail, idle connections to that kind are closed.
+// to a healthy endpoint stays. Where a full table makes connecting fail, idle connections to that kind are closed.
 func ExampleSender_connectFailures() {
 	for _, tellsFull := range []bool{true, false} {
 		set := testSettings()
--- a/choice/notes.go
+++ b/choice/notes.go
@@ -9,7 +9,7 @@
 	minLimitPauseCap = Second
 )
 
-// Heard takes a note of another sender: that it met the limit of a route or, without a wait, that an endpoint had no
+// Heard handles a note of another sender: that it met the limit of a route or, without a wait, that an endpoint had no
 // place for its connection. What is no note, or is about an unknown endpoint, changes nothing.
 func (s *Sender) Heard(note []byte) {
 	s.now = s.host.Now()
--- a/choice/outcomes.go
+++ b/choice/outcomes.go
@@ -1,6 +1,6 @@
 package choice
 
-// Ended takes the outcome of an attempt. One that does not belong to the message's attempt in flight changes nothing.
+// Ended handles the outcome of an attempt. One that does not belong to the message's attempt in flight changes nothing.
 func (s *Sender) Ended(o Outcome) {
 	s.now = s.host.Now()
 	msg := s.messages[o.Message]
@@ -99,7 +99,7 @@
 		// A call that was cut short by its message's deadline says nothing of the endpoint.
 		hadItsTime := float64(s.now-call.sentAt) >= 2*s.assumedCallTime
 		if hadItsTime || s.now < msg.Deadline-2*s.turnInterval {
-			s.noteUnanswered(call)
+			s.onUnanswered(call)
 		}
 	}
 }
--- a/choice/outlier.go
+++ b/choice/outlier.go
@@ -7,21 +7,21 @@
 const (
 	// failuresToEject is the least number of failures in a row that eject an endpoint which has done calls lately.
 	failuresToEject = 2
-	// chanceEjectionSpan is how many seconds pass, on average, between ejections of a well endpoint by chance.
+	// chanceEjectionSpan is how many seconds pass, on average, between ejections of a healthy endpoint by chance.
 	chanceEjectionSpan = 60
 	// firstTrialPause and longestTrialPause bound the backoff between trials of an ejected endpoint.
 	firstTrialPause   = 300 * Millisecond
 	longestTrialPause = 2 * Second
-	// blinkSpan: an endpoint that has done a call within this time before its readmission was not down.
-	blinkSpan = 3 * Second / 2
+	// briefOutageSpan: an endpoint that has done a call within this time before its readmission was not down.
+	briefOutageSpan = 3 * Second / 2
 	// successesAfterUnanswered is how many calls an endpoint must do, after one stayed unanswered, before it gets
 	// non-idempotent messages again.
 	successesAfterUnanswered = 6
 )
 
-// noteUnanswered counts a call as unanswered, once. Where the endpoint has answered others since it was sent, fewer
+// onUnanswered counts a call as unanswered, once. Where the endpoint has answered others since it was sent, fewer
 // calls at once are enough; otherwise it is a failure.
-func (s *Sender) noteUnanswered(call *call) {
+func (s *Sender) onUnanswered(call *call) {
 	if call.unanswered {
 		return
 	}
@@ -38,15 +38,15 @@
 
 // recordFailure counts a failed call, and ejects the endpoint after enough of them in a row: the more calls and errors
 // it usually has, the more are needed, as some fail by chance. One is enough where it has done nothing lately, since a
-// sender of a large fleet seldom sees two; unless its answer reported a limit, 0 standing for none.
+// sender of a large fleet seldom sees two, unless the answer reported a limit (0 for none).
 //
 // In a large fleet, two failures on a route that has done nothing lately eject all of its endpoints: each sender would
 // otherwise try every endpoint in turn.
-func (s *Sender) recordFailure(ep *endpoint, limit float64) {
+func (s *Sender) recordFailure(ep *endpoint, reportedLimit float64) {
 	route := ep.route
 	ep.consecutiveFailures++
 	route.consecutiveFailures++
-	quiet := limit == 0 && s.now-ep.lastSuccess > recentSuccessSpan
+	quiet := reportedLimit == 0 && s.now-ep.lastSuccess > recentSuccessSpan
 	if !ep.ejected && ep.consecutiveFailures < s.ejectionRun(ep) && !quiet {
 		return
 	}
@@ -69,7 +69,7 @@
 
 // eject stops sending to an endpoint whose calls fail, whatever the cause. It comes back by a trial call, and in a
 // small fleet by a probe before that. Each ejection while ejected doubles the pause before the next trial. A drawback:
-// a well endpoint with two failures by chance is ejected, too.
+// a healthy endpoint with two failures by chance is ejected, too.
 func (s *Sender) eject(ep *endpoint) {
 	s.markDirty(ep.destination)
 	if ep.ejected {
@@ -90,7 +90,7 @@
 // between the last failure and now: in a large fleet the two lie far apart. An endpoint that was not down keeps the
 // slow start it had before, if any.
 func (s *Sender) readmit(ep *endpoint, sentAt Time) {
-	if ep.ejected && s.now-ep.lastSuccess < blinkSpan {
+	if ep.ejected && s.now-ep.lastSuccess < briefOutageSpan {
 		ep.slowStartAt = ep.previousSlowStartAt
 	} else if ep.ejected && sentAt >= ep.ejectedAt { // a call from before the ejection shows no return
 		s.beginSlowStart(ep, (ep.lastFailure+s.now)/2)
@@ -110,7 +110,7 @@
 	}
 }
 
-// Probed takes the result of a health probe. One that passed lets a call try the endpoint; one that failed doubles the
+// Probed handles the result of a health probe. One that passed lets a call try the endpoint; one that failed doubles the
 // pause before the next trial. A probe that was cancelled was never sent and says nothing.
 func (s *Sender) Probed(id EndpointID, result Result) {
 	s.now = s.host.Now()
--- a/choice/ranking.go
+++ b/choice/ranking.go
@@ -1,6 +1,7 @@
 package choice
 
-// feeTimeFactor is by which part a fee of one message of mean value makes an endpoint count as slower, times.
+// feeTimeFactor converts fees to time: a fee of x messages of mean value makes an endpoint count as slower by the factor
+// 1 + feeTimeFactor*x.
 const feeTimeFactor = 20.0
 
 // rankCost is what endpoints of a destination are ranked by, the lowest first: when one more call would be done if
@@ -9,7 +10,7 @@
 func (s *Sender) rankCost(ep *endpoint) float64 {
 	feeFactor := 1.0
 	if ep.destination.kind.Apart {
-		feeFactor = 1 + feeTimeFactor*s.settings.fee(ep.zone)
+		feeFactor = 1 + feeTimeFactor*s.settings.routeFee(ep.zone)
 	}
 	if ep.samples == 0 && ep.zone != s.settings.Zone {
 		return 2 * ep.mean * feeFactor
--- a/choice/ratelimit.go
+++ b/choice/ratelimit.go
@@ -42,7 +42,7 @@
 	fastGrowthAfter = 3 * Second
 )
 
-// onRejected takes a rejected call, and tells a rate limit, which a report shows as used up, from a shut destination.
+// onRejected handles a rejected call. It tells a rate limit, which a report shows as used up, from a shut destination.
 // A drawback: a very low limit without reports is taken for one that is shut.
 func (s *Sender) onRejected(call *call, o Outcome) {
 	ep, route, kind := call.endpoint, call.endpoint.route, call.endpoint.destination.kind
--- a/choice/sender.go
+++ b/choice/sender.go
@@ -3,8 +3,8 @@
 import "slices"
 
 const (
-	// smallFleetSize is the number of senders up to which each finds out for itself: it sends its own probes, exchanges
-	// no notes and keeps its part of limits by its own means. Beyond it one sender sees too little.
+	// smallFleetSize is the number of senders up to which each judges by its own calls alone, and may probe. A sender of
+	// a larger fleet sees too few of an endpoint's calls for that, and what all of them do at one moment overloads it.
 	smallFleetSize = 8
 	// tickInterval is the time between two ticks, in which changed destinations are looked at.
 	tickInterval = 50 * Millisecond
--- a/choice/settings.go
+++ b/choice/settings.go
@@ -95,8 +95,8 @@
 	HandshakePrice float64   // what a new connection costs; for the host
 }
 
-// fee returns the fee of a separate route to a zone, or 0 where none is set.
-func (set *Settings) fee(zone ZoneNo) float64 {
+// routeFee returns the fee of a separate route to a zone, or 0 where none is set.
+func (set *Settings) routeFee(zone ZoneNo) float64 {
 	z := int(zone)
 	if z < 0 || z >= len(set.RouteFees) {
 		return 0
--- a/choice/slowstart.go
+++ b/choice/slowstart.go
@@ -21,7 +21,8 @@
 	return ep.ejected || s.now < ep.slowStartAt+s.settings.Cold
 }
 
-// beginSlowStart has slow start begin at the given time, with what is not known of a warming endpoint forgotten.
+// beginSlowStart has slow start begin at the given time. The endpoint's concurrency limit and recent call times start
+// over.
 //
 // The budget begins full for two senders, and at a level by chance the more senders there are, so that they do not call
 // at the same moment. A budget in use is not refilled: each sender would otherwise call twice, at the return and as it
--- a/choice/timers.go
+++ b/choice/timers.go
@@ -10,7 +10,7 @@
 	s.host.Timer(max(1, at-s.now), s.timers.add(msg))
 }
 
-// TimerDue takes that a timer has fired, which was set by Host.Timer.
+// TimerDue handles a timer that has fired, which was set by Host.Timer.
 func (s *Sender) TimerDue(id TimerID) {
 	s.now = s.host.Now()
 	if id == tickTimer {
@@ -29,7 +29,7 @@
 	for _, call := range s.calls {
 		overdue := max(2*s.assumedCallTime, overdueFactor*call.endpoint.longMean)
 		if float64(s.now-call.sentAt) > overdue {
-			s.noteUnanswered(call)
+			s.onUnanswered(call)
 		}
 	}
 	s.dirty = slices.DeleteFunc(s.dirty, s.refreshDestination)
--- a/choice/value.go
+++ b/choice/value.go
@@ -2,7 +2,7 @@
 
 import "cmp"
 
-// This file tells what a message is worth. It decides nothing.
+// This file holds the value of messages. It decides nothing.
 
 func (s *Sender) class(msg *message) *Class { return &s.settings.Classes[msg.Class] }
 
