--- a/choice/fleetmodel_test.go
+++ b/choice/fleetmodel_test.go
@@ -214,21 +214,15 @@
 }
 
 // run plays the outage, and returns the endpoints that came back.
-func (p outagePlan) run() (back []*endpointModel, f *fleetModel) {
-	f = &fleetModel{outagePlan: p, endpoints: map[EndpointID]*endpointModel{}, random: rand.New(rand.NewPCG(p.seed, 1))}
-	f.set.Senders, f.set.Probing = p.senders, p.senders <= smallFleetSize
-	down, end := 4*Second, Time(0)
-	for d := range p.destinations {
-		for e := range p.endpointsEach {
-			lasts := 5*Second + Time(f.random.IntN(int(10*Second)))
-			if e > 0 {
-				lasts = f.endpoints[EndpointID(fmt.Sprintf("d%d-0", d))].upAt - down
-			}
-			id := EndpointID(fmt.Sprintf("d%d-%d", d, e))
-			f.endpoints[id] = &endpointModel{id: id, downAt: down + Time(f.random.IntN(int(Second))), upAt: down + lasts}
-			back, end = append(back, f.endpoints[id]), max(end, down+lasts+max(f.set.Cold, 10*Second))
-		}
+func (p outagePlan) run() ([]*endpointModel, *fleetModel) {
+	f := &fleetModel{
+		outagePlan: p,
+		endpoints:  map[EndpointID]*endpointModel{},
+		random:     rand.New(rand.NewPCG(p.seed, 1)),
 	}
+	f.set.Senders = p.senders
+	f.set.Probing = p.senders <= smallFleetSize
+	back, end := f.drawOutages()
 	for no := range p.senders {
 		h := &senderHost{fleet: f, number: no, clockSkew: Time(f.random.IntN(1000) - 500)}
 		f.hosts = append(f.hosts, h)
@@ -246,6 +240,27 @@
 	return back, f
 }
 
+// drawOutages adds the endpoints with their outages, those of one destination coming back at the same time. It returns
+// them, and when the play ends.
+func (f *fleetModel) drawOutages() (all []*endpointModel, end Time) {
+	const down = 4 * Second
+	for d := range f.destinations {
+		for e := range f.endpointsEach {
+			lasts := 5*Second + Time(f.random.IntN(int(10*Second)))
+			if e > 0 {
+				first := EndpointID(fmt.Sprintf("d%d-0", d))
+				lasts = f.endpoints[first].upAt - down
+			}
+			id := EndpointID(fmt.Sprintf("d%d-%d", d, e))
+			ep := &endpointModel{id: id, downAt: down + Time(f.random.IntN(int(Second))), upAt: down + lasts}
+			f.endpoints[id] = ep
+			all = append(all, ep)
+			end = max(end, ep.upAt+max(f.set.Cold, 10*Second))
+		}
+	}
+	return all, end
+}
+
 // replace has every second endpoint replaced by a new one in the middle of the outage, where the plan says so.
 func (f *fleetModel) replace(back *[]*endpointModel) {
 	for i, ep := range *back {
@@ -259,7 +274,8 @@
 			gone := f.entry(ep.id)
 			gone.Stage = Gone
 			for _, h := range f.hosts {
-				h.later(Time(f.random.IntN(1000)), func() { h.sender.ListNews([]Entry{gone, f.entry(fresh.id)}, false) })
+				delay := Time(f.random.IntN(1000))
+				h.later(delay, func() { h.sender.ListNews([]Entry{gone, f.entry(fresh.id)}, false) })
 			}
 			ep.upAt = forever // what is replaced stays away
 		})
@@ -277,20 +293,21 @@
 
 // traffic schedules the messages handed in: by chance, over all destinations evenly, and to each sender by its weight.
 func (f *fleetModel) traffic(end Time) {
-	weights, sum := make([]float64, f.senders), 0.0
-	for i := range weights {
+	cumulative, sum := make([]float64, f.senders), 0.0
+	for i := range cumulative {
 		sum += math.Pow(float64(i+1), -f.skew)
-		weights[i] = sum
+		cumulative[i] = sum
 	}
-	rate, serial := f.demand*f.capacity*float64(f.endpointsEach*f.destinations), 0
+	rate := f.demand * f.capacity * float64(f.endpointsEach*f.destinations)
+	serial := 0
 	for at := Time(0); at < end; at += max(1, Time(f.random.ExpFloat64()/rate*float64(Second))) {
 		dest, pick := f.random.IntN(f.destinations), f.random.Float64()*sum
-		who := 0
-		for weights[who] < pick {
-			who++
+		sender := 0
+		for cumulative[sender] < pick {
+			sender++
 		}
 		serial++
-		no := serial
-		f.after(at, func() { f.hosts[who].accept(dest, no) })
+		message := serial
+		f.after(at, func() { f.hosts[sender].accept(dest, message) })
 	}
 }
--- a/choice/ratelimit_test.go
+++ b/choice/ratelimit_test.go
@@ -51,8 +51,10 @@
 	play := func(what string, offered int, noise, limit float64) {
 		host := startSender(testSettings())
 		s, route := host.sender, host.destination(1).route
-		allowance, sent, rejected, late := 0.0, 0, 0, 60*Second
-		for i := range offered * 60 {
+		allowance := 0.0 // left of the limit
+		sent, rejected := 0, 0
+		const playSeconds = 60
+		for i := range offered * playSeconds {
 			now := Time(i) * Second / Time(offered)
 			s.now, host.clock = now, now
 			allowance = min(max(1, limit/5), allowance+limit/float64(offered))
@@ -68,7 +70,7 @@
 			} else {
 				allowance--
 			}
-			if now >= late/2 {
+			if now >= playSeconds*Second/2 { // by then it has settled
 				sent++
 				rejected += countIf(isRejected)
 			}
@@ -94,25 +96,25 @@
 
 // steadyCalls plays seconds of a steady load of calls on one endpoint, and returns how many were sent. result says how
 // each ends.
-func steadyCalls(host *fakeHost, a callLoad, seconds int, result func(i int) (Result, Time)) (sent int) {
-	for i := range a.rate * seconds {
-		host.advance(Second / Time(a.rate))
-		id := MessageID(fmt.Sprint(a.name, i))
+func steadyCalls(host *fakeHost, load callLoad, seconds int, result func(i int) (Result, Time)) (sent int) {
+	for i := range load.rate * seconds {
+		host.advance(Second / Time(load.rate))
+		id := MessageID(fmt.Sprint(load.prefix, i))
 		before := host.attempts[id]
-		host.accept(2, a.to, id) // non-idempotent, so that there are no retries
+		host.accept(2, load.to, id) // non-idempotent, so that there are no retries
 		if host.attempts[id] > before {
 			sent++
-			r, wait := result(i)
-			host.end(r, wait, a.endpoint, id)
+			end, wait := result(i)
+			host.end(end, wait, load.endpoint, id)
 		}
 	}
 	return sent
 }
 
-// callLoad is a load of calls: the prefix of their ids, how many a second, and where they go.
+// callLoad is a load of calls, with the prefix of their messages' ids.
 type callLoad struct {
-	name     string
-	rate     int
+	prefix   string
+	rate     int // a second
 	to       DestinationID
 	endpoint EndpointID
 }
@@ -132,21 +134,23 @@
 		id := MessageID(fmt.Sprint(i))
 		host.accept(0, 1, id)
 		for _, ep := range []*endpoint{a, b} {
-			if msg := host.sender.messages[id]; msg != nil && msg.inFlight != nil && msg.inFlight.endpoint == ep {
-				to[ep.id]++
-				if ep == b && i%2 == 0 {
-					host.end(Full, 0, "b", id)
-				} else {
-					host.end(Done, 0, ep.id, id)
-				}
+			msg := host.sender.messages[id]
+			if msg == nil || msg.inFlight == nil || msg.inFlight.endpoint != ep {
+				continue
+			}
+			to[ep.id]++
+			result := Done
+			if ep == b && i%2 == 0 {
+				result = Full
 			}
+			host.end(result, 0, ep.id, id)
 		}
 		low = min(low, route.limiter.rate)
 	}
 	host.sender.refreshDestination(host.destination(1))
-	fmt.Println("well:", to["a"] > 10*to["b"], "ranked first:", host.destination(1).ranked[0].id, "rate kept:", low >= 90)
+	fmt.Println("healthy one preferred:", to["a"] > 10*to["b"], "ranked first:", host.destination(1).ranked[0].id, "rate kept:", low >= 90)
 	// Output:
-	// well: true ranked first: a rate kept: true
+	// healthy one preferred: true ranked first: a rate kept: true
 }
 
 // A rate that was halved wrongly recovers in seconds, whatever it is; few calls show little capacity, and take longest.
--- a/choice/slowstart_test.go
+++ b/choice/slowstart_test.go
@@ -36,7 +36,8 @@
 	for _, senders := range []int{2, 6, 20, 30, 80, 300} {
 		t.Run(fmt.Sprint(senders), func(t *testing.T) {
 			t.Parallel()
-			returns, over, blamed, most, worst := 0, 0, 0, 0.0, 0.0
+			returns, over, blamed := 0, 0, 0
+			mostExcess, mostBlamed := 0.0, 0.0
 			for _, kind := range kinds {
 				for i, capacity := range []float64{3, 20} {
 					p := largeFleetPlan(senders, capacity)
@@ -44,15 +45,20 @@
 					kind.set(&p)
 					back, _ := p.run()
 					for _, ep := range back {
-						returns, most, worst = returns+1, max(most, ep.excess), max(worst, ep.awareExcess)
-						over, blamed = over+countIf(ep.excess > 0), blamed+countIf(ep.awareExcess > 0)
+						returns++
+						over += countIf(ep.excess > 0)
+						blamed += countIf(ep.awareExcess > 0)
+						mostExcess = max(mostExcess, ep.excess)
+						mostBlamed = max(mostBlamed, ep.awareExcess)
 						if ep.awareExcess > 0 {
-							t.Errorf("%s, %v a second, seed %d: %.1f calls too many at %s", kind.name, capacity, p.seed, ep.awareExcess, ep.id)
+							t.Errorf("%s, %v a second, seed %d: %.1f calls too many at %s",
+								kind.name, capacity, p.seed, ep.awareExcess, ep.id)
 						}
 					}
 				}
 			}
-			t.Logf("%d returns: %d over, by %.1f at most; by those that knew %d, by %.1f", returns, over, most, blamed, worst)
+			t.Logf("%d returns: %d over, by %.1f at most; of these %d by aware senders, by %.1f at most",
+				returns, over, mostExcess, blamed, mostBlamed)
 		})
 	}
 }
