--- a/choice/attempts.go
+++ b/choice/attempts.go
@@ -16,7 +16,7 @@
 // attempt sends a message to an endpoint, in the bulk call of this turn or a new one.
 func (s *Sender) attempt(msg *message, ep *endpoint) {
 	s.dequeue(msg)
-	if s.class(msg).Repeat == SingleUse && s.reusedResetShare > reusedResetLimit {
+	if s.class(msg).Repeat == NonIdempotent && s.reusedResetShare > reusedResetLimit {
 		s.host.CloseIdle(ep.id)
 	}
 	s.assumeKindTimes(ep)
@@ -78,7 +78,7 @@
 func (s *Sender) attemptTimeout(msg *message, ep *endpoint) Time {
 	usual := max(2*s.assumedCallTime, ep.mean+timeoutDeviations*ep.deviation)
 	factor := float64(msg.attempts)
-	if s.class(msg).Repeat == SingleUse {
+	if s.class(msg).Repeat == NonIdempotent {
 		limit := s.settings.InFlightLimit
 		factor = 1 + (finalTimeoutFactor-1)*float64(limit-len(s.calls))/float64(limit)
 	}
--- a/choice/connections_test.go
+++ b/choice/connections_test.go
@@ -49,7 +49,7 @@
 	host.accept(0, 1, "o").end(Done, 0, "a", "o")
 	for _, id := range []MessageID{"p", "q"} {
 		host.accept(2, 1, id)
-		host.sender.Ended(Outcome{Message: id, Endpoint: "a", Result: Reset, Kept: true})
+		host.sender.Ended(Outcome{Message: id, Endpoint: "a", Result: Reset, Reused: true})
 	}
 	fmt.Println("ejected:", host.endpoint("a").ejected)
 	// Output:
--- a/choice/endpointlist.go
+++ b/choice/endpointlist.go
@@ -10,8 +10,8 @@
 // initialConcurrency is how many calls may be in flight at an endpoint of which nothing is known, or nothing new.
 const initialConcurrency = 2.0
 
-// ListNews takes the endpoint list (whole), or the entries of it that changed.
-func (s *Sender) ListNews(entries []Entry, whole bool) {
+// UpdateEndpoints takes the endpoint list (whole), or the entries of it that changed.
+func (s *Sender) UpdateEndpoints(entries []Entry, whole bool) {
 	s.now = s.host.Now()
 	if whole {
 		for _, ep := range s.endpoints {
@@ -53,7 +53,7 @@
 	if dest.kind.Apart {
 		ep.route = newRoute(s.now)
 	}
-	s.restoreLearned(ep, entry.Learnt)
+	s.restoreLearned(ep, entry.LearnedState)
 	for _, other := range dest.ranked {
 		if other.route == ep.route && (other.ejected && !ep.ejected || other.slowStartAt > ep.slowStartAt) {
 			s.adoptHealth(ep, other)
@@ -123,7 +123,7 @@
 // dropIfUnneeded forgets an endpoint that has left the list, once nothing is in flight there and what is known of an
 // outage or a pause can't matter any more. It reports whether it did.
 func (s *Sender) dropIfUnneeded(ep *endpoint) bool {
-	knownUntil := max(ep.slowStartAt+s.settings.Cold, ep.route.pausedUntil)
+	knownUntil := max(ep.slowStartAt+s.settings.SlowStart, ep.route.pausedUntil)
 	if ep.listed || ep.inFlight > 0 || ep.probing || s.now < knownUntil {
 		return false
 	}
--- a/choice/fakehost_test.go
+++ b/choice/fakehost_test.go
@@ -27,20 +27,20 @@
 // and ordered by key.
 func testSettings() Settings {
 	class := func(r Repeat, order bool) Class {
-		return Class{Repeat: r, RepeatWindow: 3 * Second, ContractTime: Second, Deadline: 6 * Second,
+		return Class{Repeat: r, RepeatWindow: 3 * Second, LatencyObjective: Second, Deadline: 6 * Second,
 			Value: 1 + float64(r), LateValue: 0.1, ByArrival: order}
 	}
 	return Settings{Senders: 2, InFlightLimit: 8, MaxOpen: 100, MaxAttempts: 6,
-		Classes: []Class{class(Idempotent, false), class(Keyed, false), class(SingleUse, false), class(Idempotent, true)},
+		Classes: []Class{class(Idempotent, false), class(Keyed, false), class(NonIdempotent, false), class(Idempotent, true)},
 		Kinds:   []Kind{{BundleMax: 1}, {BundleMax: 3}}, Turn: 5 * Millisecond, Probing: true, Rating: RatingExact,
-		FallMultiple: 2, Fall: 2 * Second, ColdFrom: 0.2, Cold: 10 * Second, KeyRest: Second}
+		FallMultiple: 2, Fall: 2 * Second, SlowStartFrom: 0.2, SlowStart: 10 * Second, KeyRest: Second}
 }
 
 // startSender starts a sender whose endpoint list holds a and b (gone) at destination 1, and c at destination 2.
 func startSender(set Settings) *fakeHost {
 	host := &fakeHost{attempts: map[MessageID]int{}}
 	host.sender = Start(host, "s", 7, set)
-	host.sender.ListNews([]Entry{
+	host.sender.UpdateEndpoints([]Entry{
 		{Endpoint: "a", Destination: 1, Rating: 10},
 		{Endpoint: "b", Destination: 1, Stage: Gone, Rating: 10},
 		{Endpoint: "c", Destination: 2, Kind: 1, Rating: 10},
@@ -50,7 +50,7 @@
 }
 
 // update gives the sender entries of the endpoint list that changed.
-func (h *fakeHost) update(entries ...Entry) { h.sender.ListNews(entries, false) }
+func (h *fakeHost) update(entries ...Entry) { h.sender.UpdateEndpoints(entries, false) }
 
 // endpoint returns what the sender knows of an endpoint.
 func (h *fakeHost) endpoint(id EndpointID) *endpoint { return h.sender.endpoints[id] }
--- a/choice/fleetmodel_test.go
+++ b/choice/fleetmodel_test.go
@@ -62,7 +62,7 @@
 
 // allowedCalls is N: what the settings let all senders together send in an overload window that ends now.
 func (f *fleetModel) allowedCalls(ep *endpointModel) float64 {
-	warm := f.set.ColdFrom + (1-f.set.ColdFrom)*seconds(f.now-ep.upAt)/seconds(f.set.Cold)
+	warm := f.set.SlowStartFrom + (1-f.set.SlowStartFrom)*seconds(f.now-ep.upAt)/seconds(f.set.SlowStart)
 	return f.set.FallMultiple * f.capacity * warm * seconds(f.set.Fall)
 }
 
@@ -76,7 +76,7 @@
 		ep.calls++
 		ep.firstSecond += countIf(aware && f.now < ep.upAt+Second)
 	}
-	if f.now >= ep.upAt && f.now < ep.upAt+f.set.Cold {
+	if f.now >= ep.upAt && f.now < ep.upAt+f.set.SlowStart {
 		f.countInWindow(ep, aware)
 	}
 	return true
@@ -124,7 +124,7 @@
 			entries = append(entries, h.fleet.entry(id))
 		}
 	}
-	h.sender.ListNews(entries, true)
+	h.sender.UpdateEndpoints(entries, true)
 	h.sender.TurnEnd()
 }
 
--- a/choice/inputs.go
+++ b/choice/inputs.go
@@ -14,17 +14,17 @@
 
 // Entry is one endpoint of the endpoint list, as service discovery reports it.
 type Entry struct {
-	Endpoint    EndpointID
-	Destination DestinationID
-	Kind        KindNo
-	Zone        ZoneNo
-	Rating      float64 // capacity of the route in calls a second; see Settings.Rating
-	Stage       Stage
-	Learnt      *Learnt // state of an earlier incarnation, nil for none; read only when the endpoint is new
+	Endpoint     EndpointID
+	Destination  DestinationID
+	Kind         KindNo
+	Zone         ZoneNo
+	Rating       float64 // capacity of the route in calls a second; see Settings.Rating
+	Stage        Stage
+	LearnedState *LearnedState // state of an earlier incarnation, nil for none; read only when the endpoint is new
 }
 
-// Learnt is the learned state of an endpoint that stays valid in another incarnation of a sender or another fleet.
-type Learnt struct {
+// LearnedState is the learned state of an endpoint that stays valid in another incarnation of a sender or another fleet.
+type LearnedState struct {
 	// Call times in tenths of a millisecond: recent mean, recent mean deviation, long-term mean, number of samples.
 	Mean, Dev, Past, Seen float64
 	// Limit is the last reported rate limit in calls a second, 0 for none.
@@ -94,6 +94,6 @@
 	Wait     Time   // Retry-After that came with Full; 0 for none
 	NoSlot   bool   // with Moot: the sender had no free slot
 	Report   Report // rate limit report of the answer
-	Kept     bool   // the connection had carried a call before, as far as the host can tell
+	Reused   bool   // the connection had carried a call before, as far as the host can tell
 	Closed   bool   // the answer ended the connection, as far as the host can tell
 }
--- a/choice/learned.go
+++ b/choice/learned.go
@@ -4,14 +4,14 @@
 
 // This file holds what passes between incarnations of a sender, and what others ask of a sender's state.
 
-// Learnt returns the learned state of an endpoint that stays valid in another incarnation or another fleet: its call
+// LearnedState returns the learned state of an endpoint that stays valid in another incarnation or another fleet: its call
 // times, a reported limit and the rest of a pause. It is empty for an unknown endpoint.
-func (s *Sender) Learnt(id EndpointID) Learnt {
+func (s *Sender) LearnedState(id EndpointID) LearnedState {
 	ep := s.endpoints[id]
 	if ep == nil {
-		return Learnt{}
+		return LearnedState{}
 	}
-	return Learnt{
+	return LearnedState{
 		Mean:  ep.mean,
 		Dev:   ep.deviation,
 		Past:  ep.longMean,
@@ -23,7 +23,7 @@
 
 // restoreLearned puts an endpoint into the state of one of which nothing is known, but for state learned earlier, if
 // there is any.
-func (s *Sender) restoreLearned(ep *endpoint, learned *Learnt) {
+func (s *Sender) restoreLearned(ep *endpoint, learned *LearnedState) {
 	ep.callTimes = guessedTimes(s.assumedCallTime)
 	ep.concurrencyLimit = initialConcurrency
 	if learned == nil {
@@ -39,7 +39,7 @@
 // Void drops the learned state of an endpoint and its route, or replaces it by the given one, as when the destination
 // has moved. It does not lift an outage: ejection, slow start and its budget stay, and while there is one on the route,
 // pauses stay too and a limit that was learned elsewhere does not count.
-func (s *Sender) Void(id EndpointID, l *Learnt) {
+func (s *Sender) Void(id EndpointID, l *LearnedState) {
 	s.now = s.host.Now()
 	ep := s.endpoints[id]
 	if ep == nil {
--- a/choice/learned_test.go
+++ b/choice/learned_test.go
@@ -5,7 +5,7 @@
 // The learned state of a destination that has moved is void: its call times, concurrency limit, rate and pause are
 // those of a new one, or those given.
 func ExampleSender_Void() {
-	for _, l := range []*Learnt{nil, {Mean: 700, Dev: 100, Past: 600, Seen: 9, Limit: 4, Wait: Second}} {
+	for _, l := range []*LearnedState{nil, {Mean: 700, Dev: 100, Past: 600, Seen: 9, Limit: 4, Wait: Second}} {
 		host := startSender(testSettings()).accept(0, 1, "p").end(Done, 0, "a", "p")
 		host.endpoint("a").concurrencyLimit = 8
 		host.accept(0, 1, "q").sender.Ended(Outcome{
@@ -15,7 +15,7 @@
 		host.sender.Void("a", l)
 		host.sender.Void("unknown", l)
 		ep, route := host.endpoint("a"), host.destination(1).route
-		fmt.Println(host.sender.Learnt("a"), "calls at once:", ep.concurrencyLimit,
+		fmt.Println(host.sender.LearnedState("a"), "calls at once:", ep.concurrencyLimit,
 			"limited:", route.limiter.rate < unlimitedRate, "rated:", route.rating*host.sender.ratingShare)
 		host.advance(1500 * Millisecond)
 	}
@@ -45,7 +45,7 @@
 		host.advance(2 * Second)
 		for i := range 200 {
 			if void {
-				host.sender.Void("a", &Learnt{Mean: 100, Dev: 10, Past: 100, Seen: 99, Limit: 1000})
+				host.sender.Void("a", &LearnedState{Mean: 100, Dev: 10, Past: 100, Seen: 99, Limit: 1000})
 			}
 			id := MessageID(fmt.Sprint(i))
 			host.accept(0, 1, id).advance(40 * Millisecond)
--- a/choice/loadhost_test.go
+++ b/choice/loadhost_test.go
@@ -88,7 +88,7 @@
 	case luck < 0.18:
 		o.Result, o.Final = Errored, false
 	case luck < 0.22:
-		o.Result, o.Final, o.Kept = Reset, false, true
+		o.Result, o.Final, o.Reused = Reset, false, true
 	case luck < 0.26 || took > timeOut:
 		o.Result, o.Final, o.Took = TimedOut, false, timeOut
 	}
@@ -116,7 +116,7 @@
 	check(carried <= max(1, bundleMax), "a bulk call too large")
 	check(bundleMax == set.Kinds[ep.destination.id%2].BundleMax, "the bound of bulk calls is not the one set")
 	check(h.attempts[msg.ID] <= set.MaxAttempts, "one attempt too many")
-	check(!msg.MayRun || class.Repeat != SingleUse, "a second run")
+	check(!msg.MayRun || class.Repeat != NonIdempotent, "a second run")
 	check(!msg.MayRun || class.Repeat != Keyed || h.clock <= msg.RanAt+class.RepeatWindow-set.Turn, "out of its window")
 	check(!msg.MayRun || !class.ZoneGroup || ep.zone == msg.RanIn, "known in another zone alone")
 	check(msg.keyQueue == nil || msg.keyQueue.messages[0] == msg, "before its turn")
@@ -200,7 +200,7 @@
 		entry := Entry{Endpoint: id, Destination: DestinationID(i / 2), Kind: KindNo(i / 2), Zone: ZoneNo(i % 2), Rating: 10}
 		all = append(all, entry)
 	}
-	h.sender.ListNews(all, true)
+	h.sender.UpdateEndpoints(all, true)
 }
 
 // offerLoad has messages come at a steady rate, of all classes, accounts and destinations that the settings have by
--- a/choice/outageplan_test.go
+++ b/choice/outageplan_test.go
@@ -64,7 +64,7 @@
 			ep := &endpointModel{id: id, downAt: down + Time(f.random.IntN(int(Second))), upAt: down + lasts}
 			f.endpoints[id] = ep
 			all = append(all, ep)
-			end = max(end, ep.upAt+max(f.set.Cold, 10*Second))
+			end = max(end, ep.upAt+max(f.set.SlowStart, 10*Second))
 		}
 	}
 	return all, end
@@ -84,7 +84,7 @@
 			gone.Stage = Gone
 			for _, h := range f.hosts {
 				delay := Time(f.random.IntN(1000))
-				h.later(delay, func() { h.sender.ListNews([]Entry{gone, f.entry(fresh.id)}, false) })
+				h.later(delay, func() { h.sender.UpdateEndpoints([]Entry{gone, f.entry(fresh.id)}, false) })
 			}
 			ep.upAt = forever // what is replaced stays away
 		})
--- a/choice/outcomes.go
+++ b/choice/outcomes.go
@@ -80,7 +80,7 @@
 		s.onDone(call, o)
 	case Full:
 		// Without a Retry-After, a new connection that is ended found no place, which says nothing of limits.
-		if o.Closed && !o.Kept && o.Wait == 0 {
+		if o.Closed && !o.Reused && o.Wait == 0 {
 			s.onConnectionTableFull(ep)
 		} else {
 			s.onRejected(call, o)
@@ -88,7 +88,7 @@
 	case Errored, Reset, Spoilt:
 		// A reused connection that breaks, or an answer that can't be understood, shows no outage by itself: where a
 		// process has crashed, new connections fail too.
-		showsOutage := o.Result == Errored || o.Result == Reset && !o.Kept
+		showsOutage := o.Result == Errored || o.Result == Reset && !o.Reused
 		if showsOutage || s.now-ep.lastSuccess > recentSuccessSpan {
 			s.recordFailure(ep, 0)
 		}
@@ -116,7 +116,7 @@
 	if !ep.ejected && !rejected {
 		ep.errorShare = updateShare(ep.errorShare, longTermWeight, o.Result != Done)
 	}
-	if o.Kept {
+	if o.Reused {
 		s.reusedResetShare = updateShare(s.reusedResetShare, recentWeight, o.Result == Reset)
 	}
 }
--- a/choice/outlier_test.go
+++ b/choice/outlier_test.go
@@ -7,7 +7,7 @@
 func ExampleSender_Probed_cancelled() {
 	for _, result := range []Result{Cancelled, ConnectFailed} {
 		set := testSettings()
-		set.Cold = 0
+		set.SlowStart = 0
 		host := startSender(set).advance(3*Second).accept(0, 1, "p")
 		host.end(Errored, 0, "a", "p").advance(Second)
 		was := host.endpoint("a").trialPause
@@ -86,7 +86,7 @@
 		wasEjected := a.ejected
 		host.advance(pause)
 		host.sender.readmit(a, host.clock)
-		fmt.Println(wasEjected, a.ejected, "slow start:", host.clock < a.slowStartAt+host.sender.settings.Cold)
+		fmt.Println(wasEjected, a.ejected, "slow start:", host.clock < a.slowStartAt+host.sender.settings.SlowStart)
 	}
 	// Output:
 	// true false slow start: false
--- a/choice/retries.go
+++ b/choice/retries.go
@@ -37,7 +37,7 @@
 	if msg.attempts > 0 && msg.attempts >= s.settings.MaxAttempts {
 		return true
 	}
-	if msg.MayRun && s.class(msg).Repeat == SingleUse {
+	if msg.MayRun && s.class(msg).Repeat == NonIdempotent {
 		return true
 	}
 	return s.now > s.lastAttemptAt(msg)
--- a/choice/selection.go
+++ b/choice/selection.go
@@ -140,7 +140,7 @@
 // tooUncertain reports whether a non-idempotent message should wait until calls to an endpoint, of which some stayed
 // unanswered, are answered again. It waits no longer than its deadline allows.
 func (s *Sender) tooUncertain(msg *message, ep *endpoint) bool {
-	if s.class(msg).Repeat != SingleUse || ep.successesNeeded == 0 {
+	if s.class(msg).Repeat != NonIdempotent || ep.successesNeeded == 0 {
 		return false
 	}
 	lately := s.now-ep.unansweredAt < cautiousTrialDelay
@@ -162,7 +162,7 @@
 // Where a probe has passed, the slow start budget may be exceeded by a trial, if it is more than a few calls.
 func (s *Sender) trialDue(msg *message, ep *endpoint) bool {
 	from := ep.nextTrial
-	if s.class(msg).Repeat == SingleUse {
+	if s.class(msg).Repeat == NonIdempotent {
 		from += cautiousTrialDelay
 	}
 	if s.now < from || s.probing && !ep.probePassed {
--- a/choice/selection_test.go
+++ b/choice/selection_test.go
@@ -15,7 +15,7 @@
 // An endpoint of another zone without calls ranks behind one of the sender's own zone.
 func ExampleSender_zones() {
 	host := startSender(testSettings())
-	host.sender.ListNews([]Entry{{Endpoint: "far", Destination: 1, Zone: 1}, {Endpoint: "near", Destination: 1}}, true)
+	host.sender.UpdateEndpoints([]Entry{{Endpoint: "far", Destination: 1, Zone: 1}, {Endpoint: "near", Destination: 1}}, true)
 	host.advance(50*Millisecond).accept(0, 1, "p")
 	// Output:
 	// 50.0    attempt p to near
--- a/choice/settings.go
+++ b/choice/settings.go
@@ -11,20 +11,20 @@
 	Idempotent Repeat = iota
 	// Keyed messages carry an idempotency key: a repeat has no effect while the destination remembers the key.
 	Keyed
-	// SingleUse messages must not be sent again once an attempt may have run.
-	SingleUse
+	// NonIdempotent messages must not be sent again once an attempt may have run.
+	NonIdempotent
 )
 
 // Class holds the settings of one class of messages.
 type Class struct {
-	Repeat       Repeat
-	ZoneGroup    bool    // an idempotency key is known only to the endpoints of the zone it was used in
-	RepeatWindow Time    // how long a destination remembers an idempotency key, from the send of the attempt
-	ContractTime Time    // latency objective: until then an answer has its full Value
-	Deadline     Time    // from acceptance until the message must have its end
-	Value        float64 // what a delivery within ContractTime is worth
-	LateValue    float64 // share of Value left at the deadline
-	ByArrival    bool    // messages with the same order key are delivered in the order accepted
+	Repeat           Repeat
+	ZoneGroup        bool    // an idempotency key is known only to the endpoints of the zone it was used in
+	RepeatWindow     Time    // how long a destination remembers an idempotency key, from the send of the attempt
+	LatencyObjective Time    // latency objective: until then an answer has its full Value
+	Deadline         Time    // from acceptance until the message must have its end
+	Value            float64 // what a delivery within LatencyObjective is worth
+	LateValue        float64 // share of Value left at the deadline
+	ByArrival        bool    // messages with the same order key are delivered in the order accepted
 }
 
 // Kind holds the settings of one kind of destination.
@@ -82,11 +82,11 @@
 
 	// Capacity of endpoints, and slow start after an outage.
 
-	Rating       Rating  // how far Entry.Rating can be relied on
-	FallMultiple float64 // load that overloads an endpoint, in multiples of its present capacity
-	Fall         Time    // window over which that load is counted
-	ColdFrom     float64 // share of its capacity that an endpoint has at the beginning of slow start
-	Cold         Time    // length of slow start, over which capacity grows linearly to the whole
+	Rating        Rating  // how far Entry.Rating can be relied on
+	FallMultiple  float64 // load that overloads an endpoint, in multiples of its present capacity
+	Fall          Time    // window over which that load is counted
+	SlowStartFrom float64 // share of its capacity that an endpoint has at the beginning of slow start
+	SlowStart     Time    // length of slow start, over which capacity grows linearly to the whole
 
 	// Prices, in messages of mean value.
 
@@ -108,7 +108,7 @@
 func shortestContract(classes []Class) Time {
 	shortest := forever
 	for _, class := range classes {
-		shortest = min(shortest, max(1, class.ContractTime))
+		shortest = min(shortest, max(1, class.LatencyObjective))
 	}
 	return shortest
 }
@@ -125,12 +125,12 @@
 // Fade returns the share of the class's value that is left when the answer comes the given time after acceptance.
 // With halving, value halves with each contract time past the first; otherwise it falls linearly up to the deadline.
 func (c *Class) Fade(after Time, halving bool) float64 {
-	late := float64(after - c.ContractTime)
+	late := float64(after - c.LatencyObjective)
 	if late <= 0 {
 		return 1
 	}
 	if halving {
-		return max(c.LateValue, math.Exp2(-late/float64(max(1, c.ContractTime))))
+		return max(c.LateValue, math.Exp2(-late/float64(max(1, c.LatencyObjective))))
 	}
-	return max(0, 1-(1-c.LateValue)*late/float64(max(1, c.Deadline-c.ContractTime)))
+	return max(0, 1-(1-c.LateValue)*late/float64(max(1, c.Deadline-c.LatencyObjective)))
 }
--- a/choice/slowstart.go
+++ b/choice/slowstart.go
@@ -3,7 +3,7 @@
 import "math"
 
 // This file bounds what is sent to endpoints that are ejected, or back from an outage and warming up: too much at once
-// would overload them again. An endpoint's capacity grows linearly over Settings.Cold from a share of it to the whole,
+// would overload them again. An endpoint's capacity grows linearly over Settings.SlowStart from a share of it to the whole,
 // and it is overloaded by more than a multiple of that within a window (Settings.FallMultiple, Settings.Fall).
 
 const (
@@ -18,7 +18,7 @@
 
 // impaired reports whether an endpoint is ejected or in slow start.
 func (s *Sender) impaired(ep *endpoint) bool {
-	return ep.ejected || s.now < ep.slowStartAt+s.settings.Cold
+	return ep.ejected || s.now < ep.slowStartAt+s.settings.SlowStart
 }
 
 // beginSlowStart has slow start begin at the given time. The endpoint's concurrency limit and recent call times start
@@ -57,10 +57,10 @@
 	if ep.route == ep.destination.route {
 		sharing = 1 + float64(len(ep.destination.ranked)-1)
 	}
-	length := max(1, s.settings.Cold)
-	warmth := s.settings.ColdFrom // present share of its capacity
+	length := max(1, s.settings.SlowStart)
+	warmth := s.settings.SlowStartFrom // present share of its capacity
 	if !ep.ejected {
-		warmth = s.settings.ColdFrom + (1-s.settings.ColdFrom)*float64(s.now-ep.slowStartAt)/float64(length)
+		warmth = s.settings.SlowStartFrom + (1-s.settings.SlowStartFrom)*float64(s.now-ep.slowStartAt)/float64(length)
 	}
 	capacity := min(unlimitedRate, max(ep.route.limit, ep.route.rating*s.ratingShare*s.fleetSize))
 	floor := 0.0
--- a/choice/slowstart_test.go
+++ b/choice/slowstart_test.go
@@ -81,19 +81,19 @@
 		"no multiple":              func(p *outagePlan) { p.set.FallMultiple = 0 },
 		"negative multiple":        func(p *outagePlan) { p.set.FallMultiple = -1 },
 		"extreme multiple":         func(p *outagePlan) { p.set.FallMultiple = math.MaxFloat64 },
-		"no cold time":             func(p *outagePlan) { p.set.Cold = 0 },
-		"long cold time":           func(p *outagePlan) { p.set.Cold = 100 * Second },
-		"nothing when cold":        func(p *outagePlan) { p.set.ColdFrom = 0 },
-		"all when cold":            func(p *outagePlan) { p.set.ColdFrom = 1 },
-		"none of the four":         func(p *outagePlan) { p.set.Fall, p.set.FallMultiple, p.set.Cold, p.set.ColdFrom = 0, 0, 0, 0 },
+		"no cold time":             func(p *outagePlan) { p.set.SlowStart = 0 },
+		"long cold time":           func(p *outagePlan) { p.set.SlowStart = 100 * Second },
+		"nothing when cold":        func(p *outagePlan) { p.set.SlowStartFrom = 0 },
+		"all when cold":            func(p *outagePlan) { p.set.SlowStartFrom = 1 },
+		"none of the four":         func(p *outagePlan) { p.set.Fall, p.set.FallMultiple, p.set.SlowStart, p.set.SlowStartFrom = 0, 0, 0, 0 },
 		"no rating":                func(p *outagePlan) { p.set.Rating = RatingNone },
 		"a rating of zero":         func(p *outagePlan) { p.rating = 0 },
 		"a rating below one call":  func(p *outagePlan) { p.rating, p.capacity = 0.1, 0.1; p.demand = 30 },
 		"extreme rating":           func(p *outagePlan) { p.rating = math.MaxFloat64 },
-		"extreme, nothing if cold": func(p *outagePlan) { p.rating, p.set.FallMultiple, p.set.ColdFrom = math.MaxFloat64, 1e300, 0 },
+		"extreme, nothing if cold": func(p *outagePlan) { p.rating, p.set.FallMultiple, p.set.SlowStartFrom = math.MaxFloat64, 1e300, 0 },
 		"one class":                func(p *outagePlan) { classes(p, 1, Idempotent) },
 		"twenty classes":           func(p *outagePlan) { classes(p, 20, Keyed) },
-		"single-use alone":         func(p *outagePlan) { classes(p, 3, SingleUse) },
+		"single-use alone":         func(p *outagePlan) { classes(p, 3, NonIdempotent) },
 		"nothing single-use":       func(p *outagePlan) { classes(p, 3, Idempotent) },
 	}
 	for _, name := range sortedKeys(odds) {
@@ -102,7 +102,7 @@
 				p := largeFleetPlan(senders, 8)
 				p.destinations, p.demand = 4, 1.5
 				odds[name](&p)
-				if p.set.Cold > 30*Second {
+				if p.set.SlowStart > 30*Second {
 					p.demand = 0.5
 				}
 				back, f := p.run()
@@ -161,7 +161,7 @@
 	for i := range p.senders {
 		host := &fakeHost{attempts: map[MessageID]int{}, mute: true}
 		host.sender = Start(host, SenderID(fmt.Sprint(i)), 7, p.set)
-		host.sender.ListNews([]Entry{{Endpoint: "a", Destination: 1, Rating: 20}, {Endpoint: "b", Destination: 1, Rating: 20}}, true)
+		host.sender.UpdateEndpoints([]Entry{{Endpoint: "a", Destination: 1, Rating: 20}, {Endpoint: "b", Destination: 1, Rating: 20}}, true)
 		host.clock = 20 * Second
 		for _, id := range []EndpointID{"a", "b"} {
 			ep := host.endpoint(id)
