--- /dev/null
+++ b/choice/allowed_test.go
@@ -0,0 +1,91 @@
+package choice
+
+import (
+	"fmt"
+	"strings"
+)
+
+// startTwoZones starts a sender with a near and a far endpoint of one destination, the near one ranked first. Messages
+// whose id begins with near may only go there, and those with far only to the far one.
+func startTwoZones(set Settings) *fakeHost {
+	host := startSender(set)
+	host.update(Entry{Endpoint: "near", Destination: 3, Kind: 1, Rating: 10}, Entry{Endpoint: "far", Destination: 3, Kind: 1, Zone: 1, Rating: 10})
+	host.barred = func(n MessageID, e EndpointID) bool {
+		return strings.HasPrefix(string(n), "near") && e == "far" || strings.HasPrefix(string(n), "far") && e == "near"
+	}
+	return host
+}
+
+// A message goes only where it is allowed to, also where it could join another's call; one that is barred nowhere goes
+// as ever. What counts is what is allowed as it is sent.
+func ExampleSender_allowed() {
+	host := startTwoZones(testSettings())
+	host.accept(0, 3, "far1", "near1", "any", "far2")
+	host.barred = func(MessageID, EndpointID) bool { return true }
+	host.accept(0, 3, "later").advance(100 * Millisecond)
+	host.barred = nil
+	host.advance(50 * Millisecond)
+	// Output:
+	// 0.0     attempt far2 to far
+	// 0.0     attempt any to near
+	// 0.0     attempt near1 to near
+	// 0.0     attempt far1 to far
+	// 150.0   attempt later to near
+}
+
+// The near endpoint is down: what may only go there waits, and tries it as any trial does, within the slow start
+// budget; what waits behind and may go far does so at once.
+func ExampleSender_allowedOutage() {
+	set := testSettings()
+	set.Probing = false
+	host := startTwoZones(set)
+	host.accept(0, 3, "near1").end(ConnectFailed, 0, "near", "near1").advance(100 * Millisecond)
+	host.sender.eject(host.endpoint("near"))
+	host.accept(0, 3, "far1", "near2", "near3").end(Done, 0, "far", "far1").advance(2 * Second)
+	host.end(ConnectFailed, 0, "near", "near3").advance(3 * Second)
+	fmt.Println("budget left for a trial:", host.sender.slowStartReady(host.endpoint("near")))
+	// Output:
+	// 0.0     attempt near1 to near
+	// 100.0   attempt far1 to far
+	// 350.0   attempt near3 to near
+	// 1350.0  attempt near2 to near
+	// 2550.0  attempt near3 to near
+	// 4150.0  attempt near1 to near
+	// budget left for a trial: false
+}
+
+// A message may wait behind newer ones that may only go where there is no capacity, and goes where it may; behind more
+// than a bound of them it waits until some are over.
+func ExampleSender_allowedBehind() {
+	for _, newer := range []int{barredScanLimit - 1, barredScanLimit} {
+		set := testSettings()
+		set.InFlightLimit = 40
+		host := startTwoZones(set)
+		host.mute = true
+		host.sender.pauseRoute(host.endpoint("near"), Second, false)
+		host.endpoint("far").route = newRoute(0) // a route of its own
+		host.sender.Taken(Message{ID: "far", Key: NoKey, Destination: 3, Deadline: 6 * Second})
+		for i := range newer {
+			host.sender.Taken(Message{ID: MessageID(fmt.Sprint("near", i)), Key: NoKey, Destination: 3, Deadline: 6 * Second})
+		}
+		host.sender.TurnEnd()
+		fmt.Println(newer, "newer, sent:", host.attempts["far"] == 1)
+	}
+	// Output:
+	// 15 newer, sent: true
+	// 16 newer, sent: false
+}
+
+// What may have run in one zone, and whose key is known there alone, may not be repeated elsewhere: a routing plan that
+// moves it would leave it nowhere to go.
+func ExampleSender_allowedKnownInOneZone() {
+	set := testSettings()
+	set.Classes[1].ZoneGroup = true
+	host := startTwoZones(set)
+	host.sender.Taken(Message{ID: "far1", Class: 1, Key: NoKey, Destination: 3, Deadline: 6 * Second, MayRun: true})
+	host.sender.TurnEnd()
+	host.accept(1, 3, "far2")
+	// Output:
+	// 0.0     attempt far1 to near
+	// 0.0     attempt far2 to far
+}
--- a/choice/backlog_test.go
+++ b/choice/backlog_test.go
@@ -1,102 +1,110 @@
 package choice
 
-// What is held, in which order, and what is turned away where the backlog is full.
-
 import "fmt"
 
-// Messages of one key take turns in the order taken, and the key rests after a time-out.
+// Messages of one order key go one after another in the order accepted, and the key pauses after a time-out.
 func ExampleSender_order() {
-	d := open(plain()).take(3, 2, "first", "second", "third").ended(Done, 0, "c", "first")
-	d.run(100*Millisecond).ended(TimedOut, 0, "c", "second").run(400*Millisecond).ended(Done, 0, "c", "second")
-	d.run(2*Second).ended(Done, 0, "c", "third")
-	fmt.Println(len(d.s.lines), "keys")
+	host := startSender(testSettings()).accept(3, 2, "first", "second", "third").end(Done, 0, "c", "first")
+	host.advance(100*Millisecond).end(TimedOut, 0, "c", "second").advance(400*Millisecond).end(Done, 0, "c", "second")
+	host.advance(2*Second).end(Done, 0, "c", "third")
+	fmt.Println(len(host.sender.keyQueues), "keys")
 	// Output:
-	// 0.0     dispatch first to c
-	// 0.0     dispatch second to c
-	// 222.1   dispatch second to c
-	// 1100.0  dispatch third to c
+	// 0.0     attempt first to c
+	// 0.0     attempt second to c
+	// 222.1   attempt second to c
+	// 1100.0  attempt third to c
 	// 0 keys
 }
 
-// Odd but legal: outcomes, probes, withdrawals and timers for what is unknown or over change nothing.
-func ExampleSender_odd() {
-	d := open(plain()).take(0, 1, "p")
-	d.s.Withdrawn("p")
-	d.s.Withdrawn("p")
-	d.ended(TimedOut, 0, "a", "p").ended(TimedOut, 0, "a", "p", "unknown")
-	d.s.Probed("unknown", Done)
-	d.s.TimerDue(999)
-	d.run(7 * Second)
-	fmt.Println(len(d.s.held), "held", len(d.s.alarms.of), "timers", len(d.s.calls), "calls")
+// Outcomes, probe results, withdrawals and timers for what is unknown or over change nothing.
+func ExampleSender_unknownOrOver() {
+	host := startSender(testSettings()).accept(0, 1, "p")
+	host.sender.Withdrawn("p")
+	host.sender.Withdrawn("p")
+	host.end(TimedOut, 0, "a", "p").end(TimedOut, 0, "a", "p", "unknown")
+	host.sender.Probed("unknown", Done)
+	host.sender.TimerDue(999)
+	host.advance(7 * Second)
+	fmt.Println(len(host.sender.messages), "held", len(host.sender.timers.pending), "timers", len(host.sender.calls), "calls")
 	// Output:
-	// 0.0     dispatch p to a
+	// 0.0     attempt p to a
 	// 0 held 0 timers 0 calls
 }
 
-// Where answers tell limits, this destination has none, and others were just answered, refusals mean that too many
-// calls were out: fewer go out at once, but as many a second, and nobody is ejected.
+// Where answers report limits, this destination has none, and others were just answered, rejections mean that too many
+// calls were in flight: fewer go out at once, the rate stays, and no endpoint is ejected.
 func ExampleSender_fullQueue() {
-	d := open(plain())
-	a := d.s.endpoints["a"]
-	a.d.kind.reports, a.limit = true, 4
-	d.take(0, 1, "p", "q", "r", "s").run(200*Millisecond).ended(Done, 0, "a", "s").ended(Full, 0, "a", "p", "q")
-	fmt.Println("limit:", a.limit, "pace:", a.route.pace.rate > 1000, "aside:", a.ejected)
-	d.ended(Done, 0, "a", "r").take(0, 1, "t", "u").run(100 * Millisecond)
+	host := startSender(testSettings())
+	a := host.endpoint("a")
+	a.destination.kind.reportsLimits, a.concurrencyLimit = true, 4
+	host.accept(0, 1, "p", "q", "r", "s").advance(200*Millisecond).end(Done, 0, "a", "s").end(Full, 0, "a", "p", "q")
+	fmt.Println("limit:", a.concurrencyLimit, "pace:", a.route.limiter.rate > 1000, "ejected:", a.ejected)
+	host.end(Done, 0, "a", "r").accept(0, 1, "t", "u").advance(100 * Millisecond)
 	// Output:
-	// 0.0     dispatch s to a
-	// 0.0     dispatch r to a
-	// 0.0     dispatch q to a
-	// 0.0     dispatch p to a
-	// limit: 1 pace: true aside: false
-	// 200.0   dispatch u to a
-	// 200.0   dispatch t to a
+	// 0.0     attempt s to a
+	// 0.0     attempt r to a
+	// 0.0     attempt q to a
+	// 0.0     attempt p to a
+	// limit: 1 pace: true ejected: false
+	// 200.0   attempt u to a
+	// 200.0   attempt t to a
 }
 
-// A message turned away gives its key's turn to the one just being taken, which must not stand in its queue twice: it
-// would be sent again after its end.
-func ExampleSender_turnsAwayWithinAKey() {
-	set := plain()
-	set.MaxOpen, set.InFlightLimit = 20, 0 // nothing leaves, so that the backlog stays
-	d := open(set)
+// A message that is shed lets the next of its key go, which may be the one just being accepted. That one must not stand
+// in its queue twice: it would be sent again after its end.
+func ExampleSender_shedWithinAKey() {
+	set := testSettings()
+	set.MaxOpen, set.InFlightLimit = 20, 0 // nothing is sent, so that the backlog stays
+	host := startSender(set)
 	take := func(id MessageID, key OrderKey, to DestinationID) {
-		d.s.Taken(Message{ID: id, Class: 3, Key: key, Destination: to, Deadline: d.clock + 6*Second})
+		host.sender.Taken(Message{ID: id, Class: 3, Key: key, Destination: to, Deadline: host.clock + 6*Second})
 	}
 	for i := range 16 {
 		take(MessageID(fmt.Sprint(i)), OrderKey(6+i), DestinationID(1+i%2))
 	}
 	take("old", 5, 9)
-	d.clock = 3 * Second
+	host.clock = 3 * Second
 	take("new", 5, 1)
 	queued := 0
-	for _, l := range d.s.byID[1].queues {
+	for _, l := range host.destination(1).queues {
 		for elem := l.Front(); elem != nil; elem = elem.Next() {
-			queued += int(one(elem.Value.(*message).ID == "new"))
+			queued += countIf(elem.Value.(*message).ID == "new")
 		}
 	}
-	fmt.Println("in queues", queued, "waiting", d.s.byID[1].waiting)
+	fmt.Println("in queues", queued, "waiting", host.destination(1).queued)
 	// Output:
 	// 3000.0  shed old
 	// in queues 1 waiting 9
 }
 
-// At a kind whose tables run full a link is not kept for what may not go yet: the endpoint is cold, its budget
-// used up, and others who may call find no place. Where all is well what waits keeps the link.
-func ExampleSender_placeOfWhatWaits() {
-	for _, cold := range []bool{true, false} {
-		set := plain()
-		set.Senders, set.ConnIdle, set.InFlightLimit = 300, 10*Second, 1
-		d := open(set)
-		d.s.byID[1].kind.short = 0.5
-		d.links = true
-		if cold {
-			d.s.chill(d.s.endpoints["a"], d.clock)
-		}
-		d.s.endpoints["a"].cold.level = 1
-		d.take(0, 1, "p").take(0, 1, "q", "r").run(100*Millisecond).ended(Done, 0, "a", "p")
+// A sender whose backlog fills up sheds what would stay for longest, so that a healthy destination keeps its service.
+func ExampleSender_backlogFull() {
+	set := testSettings()
+	set.MaxOpen = 6
+	host := startSender(set).accept(0, 9, "p", "q", "r", "s", "t").accept(0, 2, "healthy", "too")
+	fmt.Println(len(host.sender.messages), "held")
+	// Output:
+	// 0.0     shed p
+	// 0.0     shed q
+	// 0.0     attempt too to c
+	// 0.0     attempt healthy to c
+	// 5 held
+}
+
+// A destination that takes nothing may fill most of the backlog and never all: messages for others are still accepted.
+func ExampleSender_backlogOfOneDestination() {
+	set := testSettings()
+	set.InFlightLimit = 0 // nothing is sent
+	host := startSender(set)
+	host.mute = true
+	for i := range 400 {
+		host.accept(0, 9, MessageID(fmt.Sprint("stuck", i)))
+	}
+	stuck := len(host.sender.messages)
+	for i := range 10 {
+		host.accept(0, 1, MessageID(fmt.Sprint("other", i)))
 	}
+	fmt.Println("stuck ones held:", stuck, "of", set.MaxOpen, "others held:", host.destination(1).openMessages)
 	// Output:
-	// 0.0     dispatch p to a
-	// 100.0   close a
-	// 0.0     dispatch p to a
-	// 100.0   dispatch r to a
+	// stuck ones held: 93 of 100 others held: 10
 }
--- a/choice/bookkeeping.go
+++ b/choice/bookkeeping.go
@@ -6,18 +6,24 @@
 	"slices"
 )
 
-// This file keeps the module's lists: a destination's queues, those who share a route, and timers by message. It must
-// decide nothing and hold no tuned value.
+// This file keeps lists: the queues of a destination, the endpoints of a route, and the timers of messages. It decides
+// nothing and holds no tuned value.
 
-// retryQueues is how many of a destination's queues stand before those of fresh messages: due retries, and the lane of
-// what was refused.
-const retryQueues = 2
+// A destination's queues are numbered: those of retries first, then one for the first attempts of each class.
+const (
+	dueRetries      = iota // retries of messages that were not rejected
+	rejectedRetries        // retries of rejected messages
+	retryQueues            // number of these, and the queue of class 0
+)
 
-// queueOf is the queue of its destination that a message belongs to; a row of them grows as they are used.
-func (d *destination) queueOf(n *message) *list.List {
-	i := retryQueues + int(n.Class)
-	if n.tries > 0 {
-		i = int(one(n.refused))
+// queueFor returns the queue of its destination that a message belongs to, made where it is new.
+func (d *destination) queueFor(msg *message) *list.List {
+	i := retryQueues + int(msg.Class)
+	if msg.attempts > 0 {
+		i = dueRetries
+		if msg.rejected {
+			i = rejectedRetries
+		}
 	}
 	for len(d.queues) <= i {
 		d.queues = append(d.queues, list.New())
@@ -25,53 +31,54 @@
 	return d.queues[i]
 }
 
-// sharing are the endpoints of a destination that are one route.
-func (d *destination) sharing(r *route) iter.Seq[*endpoint] {
+// endpointsOf returns the endpoints of a destination that belong to a route.
+func (d *destination) endpointsOf(route *route) iter.Seq[*endpoint] {
 	return func(yield func(*endpoint) bool) {
-		for _, e := range d.ranked {
-			if e.route == r && !yield(e) {
+		for _, ep := range d.ranked {
+			if ep.route == route && !yield(ep) {
 				return
 			}
 		}
 	}
 }
 
-// behind is how many of its key are ahead of a message; none without a key.
-func (l *keyLine) behind(n *message) int {
-	if l == nil {
+// position returns how many messages are ahead of one in its key queue; none where it has no key.
+func (q *keyQueue) position(msg *message) int {
+	if q == nil {
 		return 0
 	}
-	return slices.Index(l.messages, n)
+	return slices.Index(q.messages, msg)
 }
 
-// alarms are the timers that stand for messages.
-type alarms struct {
-	last TimerID
-	of   map[TimerID]*message // each leaves as it fires, or its message is released
+// messageTimers are the timers that stand for messages.
+type messageTimers struct {
+	last    TimerID
+	pending map[TimerID]*message // each leaves as it fires, or as its message is released
 }
 
-func (a *alarms) add(n *message) TimerID {
-	a.last++
-	a.of[a.last] = n
-	n.wakes = append(n.wakes, a.last)
-	return a.last
+// add returns a new timer for a message.
+func (t *messageTimers) add(msg *message) TimerID {
+	t.last++
+	t.pending[t.last] = msg
+	msg.timers = append(msg.timers, t.last)
+	return t.last
 }
 
-// fired is whose timer it was; nil where that is over.
-func (a *alarms) fired(id TimerID) *message {
-	n := a.of[id]
-	if n != nil {
-		n.wakes = without(n.wakes, id)
+// takeFired returns the message of a timer that has fired, or nil where the timer no longer stands for one.
+func (t *messageTimers) takeFired(id TimerID) *message {
+	msg := t.pending[id]
+	if msg != nil {
+		msg.timers = removeValue(msg.timers, id)
 	}
-	delete(a.of, id)
-	return n
+	delete(t.pending, id)
+	return msg
 }
 
-// clear forgets what a message still waits for.
-func (a *alarms) clear(n *message, forget func(TimerID)) {
-	for _, id := range n.wakes {
-		delete(a.of, id)
+// clear drops all timers of a message.
+func (t *messageTimers) clear(msg *message, forget func(TimerID)) {
+	for _, id := range msg.timers {
+		delete(t.pending, id)
 		forget(id)
 	}
-	n.wakes = nil
+	msg.timers = nil
 }
--- a/choice/configure_test.go
+++ b/choice/configure_test.go
@@ -11,9 +11,9 @@
 // What holds of settings that change while a sender runs: Configure(new) leads to what Start(new) leads to, what is open
 // gets its one answer, and nothing goes beyond what the new ones allow.
 
-// settingsRows are a change of each field; fleet where many senders are needed for it to show, silent where the module
-// reads it not at all.
-var settingsRows = map[string]struct {
+// settingsChanges are a change of each field of the settings. With fleet many senders are needed for it to show; with
+// silent this package doesn't read the field.
+var settingsChanges = map[string]struct {
 	change        func(*Settings)
 	fleet, silent bool
 }{
@@ -24,7 +24,7 @@
 	"MaxOpen":                  {change: func(s *Settings) { s.MaxOpen = 10 }},
 	"MaxAttempts":              {change: func(s *Settings) { s.MaxAttempts = 2 }},
 	"Classes":                  {change: func(s *Settings) { s.Classes = append(s.Classes, s.Classes[1], s.Classes[3]) }},
-	"Kinds":                    {change: func(s *Settings) { s.Kinds = append(s.Kinds, Kind{BundleMax: 9}) }, silent: true}, // until the list names it
+	"Kinds":                    {change: func(s *Settings) { s.Kinds = append(s.Kinds, Kind{BundleMax: 9}) }, silent: true}, // no endpoint is of it
 	"Quotas":                   {change: func(s *Settings) { s.Quotas = []float64{3, 3, 3} }},
 	"OverShareValue":           {change: func(s *Settings) { s.OverShareValue = 0.01 }},
 	"Halving":                  {change: func(s *Settings) { s.Halving = true }},
@@ -45,20 +45,20 @@
 	"RouteFees":                {change: func(s *Settings) { s.RouteFees = []float64{0.3, 0} }},
 	"RefusedPrice":             {change: func(s *Settings) { s.RefusedPrice = 0.5 }, silent: true},
 	"HandshakePrice":           {change: func(s *Settings) { s.HandshakePrice = 0.5 }, silent: true},
-	"Classes.Repeat":           {change: class(func(w *Class) { w.Repeat = NonIdempotent })},
-	"Classes.ZoneGroup":        {change: class(func(w *Class) { w.ZoneGroup = !w.ZoneGroup })},
-	"Classes.RepeatWindow":     {change: class(func(w *Class) { w.RepeatWindow = 300 * Millisecond })},
-	"Classes.LatencyObjective": {change: class(func(w *Class) { w.LatencyObjective = 400 * Millisecond })},
-	"Classes.Deadline":         {change: class(func(w *Class) { w.Deadline = 2 * Second })},
+	"Classes.Repeat":           {change: eachClass(func(w *Class) { w.Repeat = NonIdempotent })},
+	"Classes.ZoneGroup":        {change: eachClass(func(w *Class) { w.ZoneGroup = !w.ZoneGroup })},
+	"Classes.RepeatWindow":     {change: eachClass(func(w *Class) { w.RepeatWindow = 300 * Millisecond })},
+	"Classes.LatencyObjective": {change: eachClass(func(w *Class) { w.LatencyObjective = 400 * Millisecond })},
+	"Classes.Deadline":         {change: eachClass(func(w *Class) { w.Deadline = 2 * Second })},
 	"Classes.Value":            {change: func(s *Settings) { s.Classes[0].Value = 50 }},
-	"Classes.LateValue":        {change: class(func(w *Class) { w.LateValue = 0.9 })},
-	"Classes.ByArrival":        {change: class(func(w *Class) { w.ByArrival = !w.ByArrival })},
+	"Classes.LateValue":        {change: eachClass(func(w *Class) { w.LateValue = 0.9 })},
+	"Classes.ByArrival":        {change: eachClass(func(w *Class) { w.ByArrival = !w.ByArrival })},
 	"Kinds.BundleMax":          {change: func(s *Settings) { s.Kinds[0].BundleMax, s.Kinds[1].BundleMax = 4, 1 }},
 	"Kinds.Apart":              {change: func(s *Settings) { s.Kinds[0].Apart = true }},
 }
 
-// class changes every class.
-func class(change func(*Class)) func(*Settings) {
+// eachClass is a change of every class.
+func eachClass(change func(*Class)) func(*Settings) {
 	return func(s *Settings) {
 		for i := range s.Classes {
 			change(&s.Classes[i])
@@ -66,18 +66,18 @@
 	}
 }
 
-// changed is a copy of settings with one change, which shares nothing with it.
-func changed(set Settings, change func(*Settings)) Settings {
+// withChange returns a copy of settings with one change, which shares no memory with them.
+func withChange(set Settings, change func(*Settings)) Settings {
 	set.Classes, set.Kinds = slices.Clone(set.Classes), slices.Clone(set.Kinds)
 	set.Quotas, set.RouteFees = slices.Clone(set.Quotas), slices.Clone(set.RouteFees)
 	change(&set)
 	return set
 }
 
-// A field that comes new must come with a row.
-func TestEveryFieldOfSettingsHasARow(t *testing.T) {
+// Each field of the settings is in settingsChanges, also one that is new.
+func TestEverySettingHasAChange(t *testing.T) {
 	rows := map[string]bool{}
-	for name := range settingsRows {
+	for name := range settingsChanges {
 		rows[name] = true
 	}
 	take := func(prefix string, of reflect.Type) {
@@ -97,42 +97,45 @@
 	}
 }
 
-// A sender that is configured before anything happened acts as one that was started so: whatever hangs on a field is
-// worked out anew. And each field that the module reads shows in what it does, or the row would prove nothing.
+// A sender that is configured before anything happened acts as one that was started with these settings: whatever
+// depends on a field is worked out anew. And each field that the package reads shows in what the sender does, or else
+// its change would prove nothing.
 func TestConfigureIsAsStart(t *testing.T) {
-	for name, row := range settingsRows {
+	for name, row := range settingsChanges {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			before := townSettings(row.fleet)
-			after := changed(before, row.change)
+			before := loadSettings(row.fleet)
+			after := withChange(before, row.change)
 			play := func(start Settings, then *Settings) []string {
-				w := &town{t: t}
-				w.open(start)
-				if then == nil || name != "Kinds.Apart" { // of which endpoints are told when they are listed
-					w.list()
+				host := &loadHost{t: t}
+				host.start(start)
+				if then == nil || name != "Kinds.Apart" { // which counts from when an endpoint is listed
+					host.listEndpoints()
 				}
 				if then != nil {
-					w.s.Configure(changed(*then, func(*Settings) {}))
-					w.list()
+					host.sender.Configure(withChange(*then, func(*Settings) {}))
+					host.listEndpoints()
 				}
-				w.run(townQuiet)
-				w.trace = nil
-				w.load(townQuiet, townQuiet+townOpen)
-				w.run(townQuiet + townOpen + 30*Second)
-				return w.trace
+				host.playUntil(loadWarmUp)
+				host.trace = nil
+				host.offerLoad(loadWarmUp, loadWarmUp+loadSpan)
+				host.playUntil(loadWarmUp + loadSpan + 30*Second)
+				return host.trace
 			}
 			started, configured, other := play(after, nil), play(before, &after), play(before, nil)
-			if i := firstElse(started, configured); i >= 0 {
-				t.Errorf("line %d of %d: started %q, configured %q", i, len(started), started[i:min(len(started), i+1)], configured[i:min(len(configured), i+1)])
+			if i := firstDifference(started, configured); i >= 0 {
+				startedLine, configuredLine := started[i:min(len(started), i+1)], configured[i:min(len(configured), i+1)]
+				t.Errorf("line %d of %d: started %q, configured %q", i, len(started), startedLine, configuredLine)
 			}
-			if same := firstElse(started, other) < 0; same != row.silent {
+			if same := firstDifference(started, other) < 0; same != row.silent {
 				t.Errorf("it changes nothing: %v; the row says %v", same, row.silent)
 			}
 		})
 	}
 }
 
-func firstElse(a, b []string) int {
+// firstDifference returns the index of the first element that differs, or -1.
+func firstDifference(a, b []string) int {
 	for i := range max(len(a), len(b)) {
 		if i >= len(a) || i >= len(b) || a[i] != b[i] {
 			return i
@@ -141,70 +144,77 @@
 	return -1
 }
 
-// Each field changes under load, there and back again: every message gets one answer, nothing goes beyond what is allowed
-// from then on, and nothing is left behind.
+// Each field changes under load, to the new value or back from it: every message gets one answer, nothing goes beyond
+// what is allowed from then on, and nothing is left behind.
 func TestConfigureUnderLoad(t *testing.T) {
-	for name, row := range settingsRows {
+	for name, row := range settingsChanges {
 		for _, back := range []bool{false, true} {
-			before := townSettings(row.fleet)
-			after := changed(before, row.change)
+			before := loadSettings(row.fleet)
+			after := withChange(before, row.change)
 			if back {
 				before, after = after, before
 			}
-			if len(before.Classes) > len(after.Classes) || len(before.Kinds) > len(after.Kinds) || len(before.Quotas) > len(after.Quotas) {
-				continue // a list that gets shorter is refused where settings are checked
+			shorter := len(before.Classes) > len(after.Classes) || len(before.Kinds) > len(after.Kinds) ||
+				len(before.Quotas) > len(after.Quotas)
+			if shorter { // which is rejected where settings are checked
+				continue
 			}
 			t.Run(fmt.Sprint(name, back), func(t *testing.T) {
 				t.Parallel()
-				w := &town{t: t}
-				w.open(before)
-				w.list()
-				w.load(0, townOpen)
+				host := &loadHost{t: t}
+				host.start(before)
+				host.listEndpoints()
+				host.offerLoad(0, loadSpan)
 				for _, at := range []Time{3*Second + 1, 6*Second + 1} { // before and in an outage
-					w.at(at, -1, func() { w.s.Configure(changed(after, func(*Settings) {})) })
+					host.schedule(at, -1, func() { host.sender.Configure(withChange(after, func(*Settings) {})) })
 				}
-				w.run(townOpen + 60*Second)
-				if coming := int(townOpen / townGap); len(w.ends) < coming {
-					t.Errorf("%d answers for %d notices", len(w.ends), coming)
+				host.playUntil(loadSpan + 60*Second)
+				if coming := int(loadSpan / loadInterval); len(host.answers) < coming {
+					t.Errorf("%d answers for %d messages", len(host.answers), coming)
 				}
-				if left := len(w.s.held) + len(w.s.calls) + len(w.s.alarms.of) + len(w.s.lines) + len(w.s.waiting); left > 0 {
+				if left := openState(host.sender); left > 0 {
 					t.Errorf("%d left behind", left)
 				}
-				if dispatched := strings.Count(strings.Join(w.trace, "\n"), "dispatch"); dispatched < 100 {
-					t.Errorf("%d dispatches", dispatched)
+				if dispatched := strings.Count(strings.Join(host.trace, "\n"), "attempt"); dispatched < 100 {
+					t.Errorf("%d attempts", dispatched)
 				}
 			})
 		}
 	}
 }
 
-// What was learnt stays: limits, paces, waits, cold states, and times of what was called.
-func TestConfigureKeepsWhatWasLearnt(t *testing.T) {
-	w := &town{t: t}
-	w.open(townSettings(false))
-	w.list()
-	w.load(0, townOpen)
-	w.run(7 * Second)
+// Configure keeps learned state: limits, rates, pauses, health and slow start, and the call times of endpoints that
+// were called.
+func TestConfigureKeepsLearnedState(t *testing.T) {
+	host := &loadHost{t: t}
+	host.start(loadSettings(false))
+	host.listEndpoints()
+	host.offerLoad(0, loadSpan)
+	host.playUntil(7 * Second)
 	type known struct {
-		times
-		standing
-		limit, wrong, bad, asked, full float64
-		cold                           bucket
-		route                          route
+		callTimes
+		healthState
+		limit, errorShare, rejectedShare, answered, rejected float64
+		slowStart                                            tokenBucket
+		route                                                route
 	}
 	state := func() (all []known) {
-		for _, id := range inOrder(w.s.endpoints) {
-			e := w.s.endpoints[id]
-			all = append(all, known{e.times, e.standing, e.limit, e.wrong, e.bad, e.asked, e.full, e.cold, *e.route})
+		for _, id := range sortedKeys(host.sender.endpoints) {
+			ep := host.sender.endpoints[id]
+			all = append(all, known{
+				callTimes: ep.callTimes, healthState: ep.healthState, slowStart: ep.slowStart, route: *ep.route,
+				limit: ep.concurrencyLimit, errorShare: ep.errorShare, rejectedShare: ep.rejectedShare,
+				answered: ep.recentAnswered, rejected: ep.recentRejected,
+			})
 		}
 		return all
 	}
 	before := state()
 	if !slices.ContainsFunc(before, func(k known) bool { return k.ejected }) {
-		t.Fatal("nothing is set aside")
+		t.Fatal("nothing is ejected")
 	}
-	w.s.Configure(changed(w.s.set, func(s *Settings) {
-		for _, row := range settingsRows {
+	host.sender.Configure(withChange(host.sender.settings, func(s *Settings) {
+		for _, row := range settingsChanges {
 			row.change(s)
 		}
 	}))
@@ -214,62 +224,61 @@
 }
 
 // One that nobody called yet stands with the guess of the new settings; one that was called with its own times.
-func TestConfigureGuessesAnew(t *testing.T) {
-	d := open(plain())
-	d.mute = true
-	d.take(0, 1, "p").ended(Done, 0, "a", "p")
-	d.s.Configure(changed(plain(), class(func(w *Class) { w.LatencyObjective = 4 * Second })))
-	called, new := d.s.endpoints["a"], d.s.endpoints["c"]
-	if called.mean != float64(200*Millisecond) || new.times != even(float64(2*Second)) {
-		t.Error(called.times, new.times)
+func TestConfigureRenewsAssumedCallTimes(t *testing.T) {
+	host := startSender(testSettings())
+	host.mute = true
+	host.accept(0, 1, "p").end(Done, 0, "a", "p")
+	host.sender.Configure(withChange(testSettings(), eachClass(func(w *Class) { w.LatencyObjective = 4 * Second })))
+	called, new := host.endpoint("a"), host.endpoint("c")
+	if called.mean != float64(200*Millisecond) || new.callTimes != guessedTimes(float64(2*Second)) {
+		t.Error(called.callTimes, new.callTimes)
 	}
 }
 
-// What was tried and waits for a slot as the change comes may not be sent any more by the new settings: it gets its answer
-// at once, and not an attempt too many.
+// A message that may not be sent again under new settings gets its answer at once, and no attempt too many.
 func ExampleSender_Configure() {
 	for _, change := range []func(*Settings){
 		func(s *Settings) { s.MaxAttempts = 1 },
-		class(func(w *Class) { w.Repeat = NonIdempotent }),
-		class(func(w *Class) { w.RepeatWindow = 100 * Millisecond }),
-		class(func(w *Class) { w.LateValue = 0 }), // and where nothing forbids it, it goes on
+		eachClass(func(w *Class) { w.Repeat = NonIdempotent }),
+		eachClass(func(w *Class) { w.RepeatWindow = 100 * Millisecond }),
+		eachClass(func(w *Class) { w.LateValue = 0 }), // and where nothing forbids it, it is retried
 	} {
-		set := plain()
+		set := testSettings()
 		set.InFlightLimit = 1
-		d := open(set)
-		d.take(1, 1, "p").ended(Errored, 0, "a", "p").take(1, 2, "q").run(2 * Second)
-		d.s.Configure(changed(set, change))
-		d.s.TurnEnd()
-		d.ended(Done, 0, "c", "q")
+		host := startSender(set)
+		host.accept(1, 1, "p").end(Errored, 0, "a", "p").accept(1, 2, "q").advance(2 * Second)
+		host.sender.Configure(withChange(set, change))
+		host.sender.TurnEnd()
+		host.end(Done, 0, "c", "q")
 	}
 	// Output:
-	// 0.0     dispatch p to a
-	// 0.0     dispatch q to c
-	// 2000.0  give up p
-	// 0.0     dispatch p to a
-	// 0.0     dispatch q to c
-	// 2000.0  give up p
-	// 0.0     dispatch p to a
-	// 0.0     dispatch q to c
-	// 2000.0  give up p
-	// 0.0     dispatch p to a
-	// 0.0     dispatch q to c
-	// 2000.0  dispatch p to a
+	// 0.0     attempt p to a
+	// 0.0     attempt q to c
+	// 2000.0  fail p
+	// 0.0     attempt p to a
+	// 0.0     attempt q to c
+	// 2000.0  fail p
+	// 0.0     attempt p to a
+	// 0.0     attempt q to c
+	// 2000.0  fail p
+	// 0.0     attempt p to a
+	// 0.0     attempt q to c
+	// 2000.0  attempt p to a
 }
 
 // New fees rank endpoints anew within a tick, also where nothing else happens.
 func ExampleSender_Configure_fees() {
-	set := plain()
+	set := testSettings()
 	set.Kinds[1].Apart, set.RouteFees = true, []float64{0, 0.05}
-	d := open(set)
-	d.s.UpdateEndpoints([]Entry{{Endpoint: "near", Destination: 3, Kind: 1}, {Endpoint: "far", Destination: 3, Kind: 1, Zone: 1}}, false)
+	host := startSender(set)
+	host.update(Entry{Endpoint: "near", Destination: 3, Kind: 1}, Entry{Endpoint: "far", Destination: 3, Kind: 1, Zone: 1})
 	for _, id := range []EndpointID{"near", "far"} {
-		d.s.endpoints[id].measure(float64(200*Millisecond), 1, 1)
+		host.sender.endpoints[id].observe(float64(200*Millisecond), 1, 1)
 	}
-	d.run(Second).take(0, 3, "p").ended(Done, 0, "near", "p").run(Second)
-	d.s.Configure(changed(set, func(s *Settings) { s.RouteFees = []float64{0.05, 0} }))
-	d.run(tick).take(0, 3, "q")
+	host.advance(Second).accept(0, 3, "p").end(Done, 0, "near", "p").advance(Second)
+	host.sender.Configure(withChange(set, func(s *Settings) { s.RouteFees = []float64{0.05, 0} }))
+	host.advance(tickInterval).accept(0, 3, "q")
 	// Output:
-	// 1000.0  dispatch p to near
-	// 2050.0  dispatch q to far
+	// 1000.0  attempt p to near
+	// 2050.0  attempt q to far
 }
--- a/choice/connections_test.go
+++ b/choice/connections_test.go
@@ -1,128 +1,128 @@
 package choice
 
-// What connections and bulk calls do to decisions.
-
 import "fmt"
 
-// Sends of one turn to one endpoint share a call: five messages of a kind that bundles three.
-func ExampleSender_bundle() {
-	d := open(plain()).take(2, 2, "p", "q", "r", "s", "t")
-	fmt.Println(len(d.s.calls), "slots")
-	d.ended(Done, 0, "c", "p", "q")
-	fmt.Println(len(d.s.calls), "slots")
-	d.ended(Done, 0, "c", "r")
-	fmt.Println(len(d.s.calls), "slot")
+// Messages sent in one turn to one endpoint share a call: here five, of a kind that takes three in one.
+func ExampleSender_bulkCall() {
+	host := startSender(testSettings()).accept(2, 2, "p", "q", "r", "s", "t")
+	fmt.Println(len(host.sender.calls), "slots")
+	host.end(Done, 0, "c", "p", "q")
+	fmt.Println(len(host.sender.calls), "slots")
+	host.end(Done, 0, "c", "r")
+	fmt.Println(len(host.sender.calls), "slot")
 	// Output:
-	// 0.0     dispatch t to c
-	// 0.0     dispatch s to c
-	// 0.0     dispatch r to c
-	// 0.0     dispatch q to c
-	// 0.0     dispatch p to c
+	// 0.0     attempt t to c
+	// 0.0     attempt s to c
+	// 0.0     attempt r to c
+	// 0.0     attempt q to c
+	// 0.0     attempt p to c
 	// 2 slots
 	// 1 slots
 	// 1 slot
 }
 
-// Idle links stay until connections of their kind fail: a fleet's links fill a table. Then those little used
-// are closed, to any zone.
-func ExampleSender_links() {
-	set := plain()
+// Idle connections are kept until new ones of their kind fail, as those of a fleet fill an endpoint's table. Then those
+// little used are closed, in any zone.
+func ExampleSender_idleConnections() {
+	set := testSettings()
 	set.ConnIdle = Second
-	d := open(set)
-	d.links = true
-	d.take(0, 1, "p").ended(Done, 0, "a", "p")
-	d.s.kinds[0].short = 0.5
-	d.run(Second).take(0, 1, "r").ended(Done, 0, "a", "r")
-	d.s.endpoints["a"].zone = 1
-	d.take(0, 1, "s").ended(Done, 0, "a", "s")
+	host := startSender(set)
+	host.printClosings = true
+	host.accept(0, 1, "p").end(Done, 0, "a", "p")
+	host.sender.kinds[0].connectFailShare = 0.5
+	host.advance(Second).accept(0, 1, "r").end(Done, 0, "a", "r")
+	host.endpoint("a").zone = 1
+	host.accept(0, 1, "s").end(Done, 0, "a", "s")
 	// Output:
-	// 0.0     dispatch p to a
-	// 1000.0  dispatch r to a
+	// 0.0     attempt p to a
+	// 1000.0  attempt r to a
 	// 1000.0  close a
-	// 1000.0  dispatch s to a
+	// 1000.0  attempt s to a
 	// 1000.0  close a
 }
 
-// Calls reset on kept links show no outage, and while they are many, a single-use message gets a new link.
-func ExampleSender_keptLinks() {
-	d := open(plain())
-	d.links = true
-	d.take(0, 1, "o").ended(Done, 0, "a", "o")
+// Calls that are reset on reused connections show no outage. While there are many, a non-idempotent message gets a new
+// connection.
+func ExampleSender_reusedConnections() {
+	host := startSender(testSettings())
+	host.printClosings = true
+	host.accept(0, 1, "o").end(Done, 0, "a", "o")
 	for _, id := range []MessageID{"p", "q"} {
-		d.take(2, 1, id)
-		d.s.Ended(Outcome{Message: id, Endpoint: "a", Result: Reset, Reused: true})
+		host.accept(2, 1, id)
+		host.sender.Ended(Outcome{Message: id, Endpoint: "a", Result: Reset, Reused: true})
 	}
-	fmt.Println("aside:", d.s.endpoints["a"].ejected)
+	fmt.Println("ejected:", host.endpoint("a").ejected)
 	// Output:
-	// 0.0     dispatch o to a
-	// 0.0     dispatch p to a
-	// 0.0     give up p
+	// 0.0     attempt o to a
+	// 0.0     attempt p to a
+	// 0.0     fail p
 	// 0.0     close a
-	// 0.0     dispatch q to a
-	// 0.0     give up q
-	// aside: false
+	// 0.0     attempt q to a
+	// 0.0     fail q
+	// ejected: false
 }
 
-// A new link that is refused and ended found no place: what idles at others of the kind is closed, and the pace
-// knows nothing of it, however often. Refusals on links that stay are a limit's.
-func ExampleSender_fullTable() {
+// A new connection that is rejected and ended found no place: idle connections to endpoints of the kind are closed, and
+// the rate is not cut, however often it happens. Rejections on connections that stay open are a limit's.
+func ExampleSender_connectionTableFull() {
 	for _, closed := range []bool{true, false} {
-		set := plain()
+		set := testSettings()
 		set.Senders, set.ConnIdle = 300, 10*Second
-		d := open(set)
-		d.s.UpdateEndpoints([]Entry{{Endpoint: "d", Destination: 3}}, false)
-		d.take(0, 1, "first").take(0, 3, "other").ended(Done, 0, "a", "first").ended(Done, 0, "d", "other")
-		d.run(2 * Second).links = true
+		host := startSender(set)
+		host.update(Entry{Endpoint: "d", Destination: 3})
+		host.accept(0, 1, "first").accept(0, 3, "other").end(Done, 0, "a", "first").end(Done, 0, "d", "other")
+		host.advance(2 * Second).printClosings = true
 		for _, id := range []MessageID{"p", "q", "r"} {
-			d.take(0, 1, id).s.Ended(Outcome{Message: id, Endpoint: "a", Result: Full, Closed: closed})
-			d.s.Withdrawn(id)
-			d.run(2 * Second)
+			host.accept(0, 1, id).sender.Ended(Outcome{Message: id, Endpoint: "a", Result: Full, Closed: closed})
+			host.sender.Withdrawn(id)
+			host.advance(2 * Second)
 		}
-		fmt.Println("pace cut:", d.s.byID[1].route.pace.rate < 100)
+		fmt.Println("pace cut:", host.destination(1).route.limiter.rate < 100)
 	}
 	// Output:
-	// 0.0     dispatch first to a
-	// 0.0     dispatch other to d
-	// 2000.0  dispatch p to a
+	// 0.0     attempt first to a
+	// 0.0     attempt other to d
+	// 2000.0  attempt p to a
 	// 2000.0  close d
 	// 2000.0  close a
-	// 4000.0  dispatch q to a
+	// 4000.0  attempt q to a
 	// 4000.0  close d
 	// 4000.0  close a
-	// 6000.0  dispatch r to a
+	// 6000.0  attempt r to a
 	// 6000.0  close d
 	// 6000.0  close a
 	// pace cut: false
-	// 0.0     dispatch first to a
-	// 0.0     dispatch other to d
-	// 2000.0  dispatch p to a
-	// 4000.0  dispatch q to a
+	// 0.0     attempt first to a
+	// 0.0     attempt other to d
+	// 2000.0  attempt p to a
+	// 4000.0  attempt q to a
 	// pace cut: true
 }
 
-// A wait is heeded whatever came with it: a shut destination may tell one as it ends a connection beyond its table.
-func ExampleSender_fullTableWait() {
-	set := plain()
+// A Retry-After counts whatever came with it: a shut destination may send one as it ends a connection beyond its table.
+func ExampleSender_connectionTableFullRetryAfter() {
+	set := testSettings()
 	set.Senders, set.Probing = 300, false
-	d := open(set)
-	d.take(0, 1, "first").ended(Done, 0, "a", "first")
-	d.take(0, 1, "p").s.Ended(Outcome{Message: "p", Endpoint: "a", Result: Full, Closed: true, Wait: 2 * Second})
-	d.run(Second).take(0, 1, "q").run(2 * Second)
+	host := startSender(set)
+	host.accept(0, 1, "first").end(Done, 0, "a", "first")
+	host.accept(0, 1, "p").sender.Ended(Outcome{Message: "p", Endpoint: "a", Result: Full, Closed: true, Wait: 2 * Second})
+	host.advance(Second).accept(0, 1, "q").advance(2 * Second)
 	// Output:
-	// 0.0     dispatch first to a
-	// 0.0     dispatch p to a
-	// 2200.0  dispatch q to a
-	// 2200.0  dispatch p to a
+	// 0.0     attempt first to a
+	// 0.0     attempt p to a
+	// 2200.0  attempt q to a
+	// 2200.0  attempt p to a
 }
 
-// A connection may take longer to come up than a destination knows a token: the repeat must not leave then.
+// A connection may take longer to come up than a destination remembers an idempotency key: the repeat must not be sent
+// then.
 func ExampleSender_Open() {
-	d := open(plain())
-	d.mute = true
-	d.take(1, 1, "t").ended(Errored, 0, "a", "t").run(2 * Second)
-	for d.clock < 4*Second {
-		fmt.Println(d.clock/Millisecond, d.s.Open("a", "t"), d.s.Open("a"))
-		d.clock += 900 * Millisecond
+	host := startSender(testSettings())
+	host.mute = true
+	host.accept(1, 1, "t").end(Errored, 0, "a", "t").advance(2 * Second)
+	for host.clock < 4*Second {
+		fmt.Println(host.clock/Millisecond, host.sender.Open("a", "t"), host.sender.Open("a"))
+		host.clock += 900 * Millisecond
 	}
 	// Output:
 	// 2000 true true
@@ -130,21 +130,67 @@
 	// 3800 false true
 }
 
-// A connection may take so long that a wait or a drain is told before the attempt can leave on it.
+// A connection may take so long to come up that a pause or a drain is reported before the attempt can be sent.
 func Example_open() {
-	d := open(plain()).take(0, 1, "one")
-	fmt.Println(d.s.Open("a"), d.s.Open("b"), d.s.Open("nobody"))
-	d.ended(Full, 300*Millisecond, "a", "one")
-	fmt.Println(d.s.Open("a"))
-	d.mute = true
-	d.run(400 * Millisecond)
-	fmt.Println(d.s.Open("a"))
-	d.s.UpdateEndpoints([]Entry{{Endpoint: "a", Destination: 1, Stage: Draining}}, false)
-	fmt.Println(d.s.Open("a"))
+	host := startSender(testSettings()).accept(0, 1, "one")
+	fmt.Println(host.sender.Open("a"), host.sender.Open("b"), host.sender.Open("nobody"))
+	host.end(Full, 300*Millisecond, "a", "one")
+	fmt.Println(host.sender.Open("a"))
+	host.mute = true
+	host.advance(400 * Millisecond)
+	fmt.Println(host.sender.Open("a"))
+	host.update(Entry{Endpoint: "a", Destination: 1, Stage: Draining})
+	fmt.Println(host.sender.Open("a"))
 	// Output:
-	// 0.0     dispatch one to a
+	// 0.0     attempt one to a
 	// true false false
 	// false
 	// true
 	// false
 }
+
+// At a kind whose connection tables run full, no idle connection is kept for queued messages that may not be sent yet:
+// the endpoint is in slow start, its budget is used up, and others who may call find no place. Where it is well, the
+// connection is kept for what is queued.
+func ExampleSender_idleConnectionWhileQueued() {
+	for _, warmingUp := range []bool{true, false} {
+		set := testSettings()
+		set.Senders, set.ConnIdle, set.InFlightLimit = 300, 10*Second, 1
+		host := startSender(set)
+		host.destination(1).kind.connectFailShare = 0.5
+		host.printClosings = true
+		if warmingUp {
+			host.sender.beginSlowStart(host.endpoint("a"), host.clock)
+		}
+		host.endpoint("a").slowStart.tokens = 1
+		host.accept(0, 1, "p").accept(0, 1, "q", "r").advance(100*Millisecond).end(Done, 0, "a", "p")
+	}
+	// Output:
+	// 0.0     attempt p to a
+	// 100.0   close a
+	// 0.0     attempt p to a
+	// 100.0   attempt r to a
+}
+
+// Where a full connection table is answered, connections that fail show an outage and nothing else: the idle connection
+// to a healthy endpoint stays. Where a full table makes connecting fail, idle connections to that kind are closed.
+func ExampleSender_connectFailures() {
+	for _, tellsFull := range []bool{true, false} {
+		set := testSettings()
+		set.Senders, set.ConnIdle, set.TellsFull = 80, 10*Second, tellsFull
+		host := startSender(set)
+		host.update(Entry{Endpoint: "d", Destination: 3})
+		host.printClosings, host.mute = true, true
+		for i := range 4 {
+			id := MessageID(fmt.Sprint("down", i))
+			host.advance(2*Second).accept(0, 1, id).end(ConnectFailed, 0, "a", id)
+			host.sender.Withdrawn(id)
+		}
+		host.mute = false
+		host.accept(0, 3, "well").end(Done, 0, "d", "well")
+	}
+	// Output:
+	// 8000.0  attempt well to d
+	// 8000.0  attempt well to d
+	// 8000.0  close d
+}
--- /dev/null
+++ b/choice/fakehost_test.go
@@ -0,0 +1,127 @@
+package choice
+
+import (
+	"fmt"
+	"slices"
+	"sort"
+)
+
+// fakeHost is a host that prints what the sender asks of it, with its clock in milliseconds.
+type fakeHost struct {
+	sender        *Sender
+	clock         Time
+	timers        []fakeTimer
+	mute          bool                             // print nothing
+	printClosings bool                             // print which idle connections are closed, too
+	attempts      map[MessageID]int                // sent, by message
+	barred        func(MessageID, EndpointID) bool // nil for nothing
+}
+
+// fakeTimer is a timer that has not fired yet.
+type fakeTimer struct {
+	at Time
+	id TimerID
+}
+
+// testSettings are settings of a small fleet whose class 0 is idempotent, 1 keyed, 2 non-idempotent, and 3 idempotent
+// and ordered by key.
+func testSettings() Settings {
+	class := func(r Repeat, order bool) Class {
+		return Class{Repeat: r, RepeatWindow: 3 * Second, LatencyObjective: Second, Deadline: 6 * Second,
+			Value: 1 + float64(r), LateValue: 0.1, ByArrival: order}
+	}
+	return Settings{Senders: 2, InFlightLimit: 8, MaxOpen: 100, MaxAttempts: 6,
+		Classes: []Class{class(Idempotent, false), class(Keyed, false), class(NonIdempotent, false), class(Idempotent, true)},
+		Kinds:   []Kind{{BundleMax: 1}, {BundleMax: 3}}, Turn: 5 * Millisecond, Probing: true, Rating: RatingExact,
+		FallMultiple: 2, Fall: 2 * Second, SlowStartFrom: 0.2, SlowStart: 10 * Second, KeyRest: Second}
+}
+
+// startSender starts a sender whose endpoint list holds a and b (gone) at destination 1, and c at destination 2.
+func startSender(set Settings) *fakeHost {
+	host := &fakeHost{attempts: map[MessageID]int{}}
+	host.sender = Start(host, "s", 7, set)
+	host.sender.UpdateEndpoints([]Entry{
+		{Endpoint: "a", Destination: 1, Rating: 10},
+		{Endpoint: "b", Destination: 1, Stage: Gone, Rating: 10},
+		{Endpoint: "c", Destination: 2, Kind: 1, Rating: 10},
+	}, true)
+	host.sender.TurnEnd()
+	return host
+}
+
+// update gives the sender entries of the endpoint list that changed.
+func (h *fakeHost) update(entries ...Entry) { h.sender.UpdateEndpoints(entries, false) }
+
+// endpoint returns what the sender knows of an endpoint.
+func (h *fakeHost) endpoint(id EndpointID) *endpoint { return h.sender.endpoints[id] }
+
+// destination returns what the sender knows of a destination.
+func (h *fakeHost) destination(id DestinationID) *destination { return h.sender.destinations[id] }
+
+// accept hands in messages of order key 5, and ends the turn.
+func (h *fakeHost) accept(class ClassNo, to DestinationID, ids ...MessageID) *fakeHost {
+	for _, id := range ids {
+		h.sender.Taken(Message{ID: id, Class: class, Key: 5, Destination: to,
+			Deadline: h.clock + h.sender.settings.Classes[class].Deadline})
+	}
+	h.sender.TurnEnd()
+	return h
+}
+
+// end gives each message's latest attempt an outcome, which took 200 ms, and ends the turn.
+func (h *fakeHost) end(result Result, wait Time, at EndpointID, ids ...MessageID) *fakeHost {
+	for _, id := range ids {
+		h.sender.Ended(Outcome{Message: id, Attempt: h.attempts[id] - 1, Endpoint: at, Took: 200 * Millisecond,
+			Result: result, Final: result == Done, Wait: wait})
+	}
+	h.sender.TurnEnd()
+	return h
+}
+
+// advance moves the clock on, firing timers in order, each in a turn of its own.
+func (h *fakeHost) advance(span Time) *fakeHost {
+	end := h.clock + span
+	for {
+		sort.SliceStable(h.timers, func(i, j int) bool { return h.timers[i].at < h.timers[j].at })
+		if h.timers[0].at > end {
+			h.clock = end
+			return h
+		}
+		next := h.timers[0]
+		h.timers = h.timers[1:]
+		h.clock = max(h.clock, next.at)
+		h.sender.TimerDue(next.id)
+		h.sender.TurnEnd()
+	}
+}
+
+func (h *fakeHost) printf(format string, args ...any) {
+	if !h.mute {
+		fmt.Printf("%-7.1f "+format+"\n", append([]any{float64(h.clock) / float64(Millisecond)}, args...)...)
+	}
+}
+
+func (h *fakeHost) Now() Time { return h.clock }
+func (h *fakeHost) Allowed(n MessageID, e EndpointID) bool {
+	return h.barred == nil || !h.barred(n, e)
+}
+func (h *fakeHost) Attempt(n MessageID, to EndpointID, timeOut Time) {
+	h.attempts[n]++
+	h.printf("attempt %s to %s", n, to)
+}
+func (h *fakeHost) Shed(n MessageID, in Time) { h.printf("shed %s", n) }
+func (h *fakeHost) Fail(n MessageID)          { h.printf("fail %s", n) }
+func (h *fakeHost) Probe(e EndpointID)        { h.printf("probe %s", e) }
+func (h *fakeHost) Tell(note []byte)          { h.printf("note %x", note) }
+func (h *fakeHost) CloseIdle(e EndpointID) {
+	if h.printClosings {
+		h.printf("close %s", e)
+	}
+}
+func (h *fakeHost) Timer(in Time, id TimerID) {
+	h.timers = append(h.timers, fakeTimer{h.clock + in, id})
+}
+
+func (h *fakeHost) Forget(id TimerID) {
+	h.timers = slices.DeleteFunc(h.timers, func(t fakeTimer) bool { return t.id == id })
+}
--- /dev/null
+++ b/choice/fleetmodel_test.go
@@ -0,0 +1,199 @@
+package choice
+
+import (
+	"container/heap"
+	"fmt"
+	"math"
+	"math/rand/v2"
+)
+
+// fleetModel plays many senders against the endpoints of a few destinations, on a clock that goes from one event to the
+// next. It counts what reaches each endpoint that is back from an outage and warming up, from whichever sender.
+type fleetModel struct {
+	outagePlan
+	now         Time
+	events      eventHeap // to come
+	eventSerial int       // of the event scheduled last
+	eventCount  int       // of events that happened
+	hosts       []*senderHost
+	endpoints   map[EndpointID]*endpointModel
+	random      *rand.Rand
+}
+
+// fleetEvent is something that happens at a time; those of one time in the order scheduled.
+type fleetEvent struct {
+	at     Time
+	serial int
+	do     func()
+}
+
+// eventHeap is a heap.Interface of events, the next one first.
+type eventHeap []fleetEvent
+
+func (h eventHeap) Len() int      { return len(h) }
+func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h eventHeap) Less(i, j int) bool {
+	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].serial < h[j].serial
+}
+func (h *eventHeap) Push(x any) { *h = append(*h, x.(fleetEvent)) }
+func (h *eventHeap) Pop() any {
+	last := (*h)[len(*h)-1]
+	*h = (*h)[:len(*h)-1]
+	return last
+}
+
+// after has something happen after a span.
+func (f *fleetModel) after(in Time, do func()) {
+	f.eventSerial++
+	heap.Push(&f.events, fleetEvent{f.now + in, f.eventSerial, do})
+}
+
+// endpointModel is one endpoint as it is: when it is down, and what reached it of late while warming up.
+type endpointModel struct {
+	id           EndpointID
+	downAt, upAt Time
+	recentCalls  []Time  // in slow start, within the overload window
+	fromAware    []bool  // of each of these, whether its sender had met the outage
+	calls        int     // since it is back
+	firstSecond  int     // of these, in the first second and from senders that had met the outage
+	excess       float64 // most calls beyond what is allowed in a window
+	awareExcess  float64 // of windows of which over two thirds came from senders that had met the outage
+}
+
+// allowedCalls is N: what the settings let all senders together send in an overload window that ends now.
+func (f *fleetModel) allowedCalls(ep *endpointModel) float64 {
+	warm := f.set.SlowStartFrom + (1-f.set.SlowStartFrom)*seconds(f.now-ep.upAt)/seconds(f.set.SlowStart)
+	return f.set.FallMultiple * f.capacity * warm * seconds(f.set.Fall)
+}
+
+// arrive counts a call that reaches an endpoint, and reports whether the endpoint is up. aware tells whether the sender
+// had met the outage.
+func (f *fleetModel) arrive(ep *endpointModel, aware bool) bool {
+	if f.now >= ep.downAt && f.now < ep.upAt {
+		return false
+	}
+	if f.now >= ep.upAt {
+		ep.calls++
+		ep.firstSecond += countIf(aware && f.now < ep.upAt+Second)
+	}
+	if f.now >= ep.upAt && f.now < ep.upAt+f.set.SlowStart {
+		f.countInWindow(ep, aware)
+	}
+	return true
+}
+
+// countInWindow counts a call to an endpoint in slow start, and by how many calls the window that ends with it is beyond
+// what is allowed.
+func (f *fleetModel) countInWindow(ep *endpointModel, aware bool) {
+	ep.recentCalls, ep.fromAware = append(ep.recentCalls, f.now), append(ep.fromAware, aware)
+	for ep.recentCalls[0] < f.now-f.set.Fall {
+		ep.recentCalls, ep.fromAware = ep.recentCalls[1:], ep.fromAware[1:]
+	}
+	allowed := f.allowedCalls(ep)
+	bound := allowed + 2*math.Sqrt(allowed) + 2
+	over := float64(len(ep.recentCalls)) - bound
+	ep.excess = max(ep.excess, over)
+	awareCalls := 0
+	for _, is := range ep.fromAware {
+		awareCalls += countIf(is)
+	}
+	if 3*awareCalls > 2*len(ep.recentCalls) {
+		ep.awareExcess = max(ep.awareExcess, over)
+	}
+}
+
+// senderHost is the host of one sender. A process that ends takes its timers and answers with it.
+type senderHost struct {
+	fleet       *fleetModel
+	number      int
+	clockSkew   Time
+	sender      *Sender
+	incarnation int
+	attempts    map[MessageID]int
+	forgotten   map[TimerID]bool
+}
+
+// start starts the next incarnation of the sender, with the endpoint list as it is.
+func (h *senderHost) start() {
+	h.incarnation++
+	h.attempts, h.forgotten = map[MessageID]int{}, map[TimerID]bool{}
+	h.sender = Start(h, SenderID(fmt.Sprint("s", h.number, ".", h.incarnation)), int64(h.fleet.seed), h.fleet.set)
+	var entries []Entry
+	for _, id := range sortedKeys(h.fleet.endpoints) {
+		if h.fleet.endpoints[id].upAt < forever {
+			entries = append(entries, h.fleet.entry(id))
+		}
+	}
+	h.sender.UpdateEndpoints(entries, true)
+	h.sender.TurnEnd()
+}
+
+// entry is what the endpoint list says of an endpoint.
+func (f *fleetModel) entry(id EndpointID) Entry {
+	dest := 0
+	fmt.Sscanf(string(id), "d%d", &dest)
+	return Entry{Endpoint: id, Destination: DestinationID(dest), Rating: f.rating * float64(f.endpointsEach)}
+}
+
+// later does something to this incarnation of the sender after a span, and then ends its turn.
+func (h *senderHost) later(in Time, do func()) {
+	incarnation := h.incarnation
+	h.fleet.after(in, func() {
+		if h.incarnation == incarnation {
+			do()
+			h.sender.TurnEnd()
+		}
+	})
+}
+
+func (h *senderHost) Now() Time                              { return h.fleet.now + h.clockSkew }
+func (h *senderHost) Allowed(n MessageID, e EndpointID) bool { return true }
+func (h *senderHost) Fail(n MessageID)                       {}
+func (h *senderHost) Shed(n MessageID, in Time)              {}
+func (h *senderHost) CloseIdle(e EndpointID)                 {}
+func (h *senderHost) Tell(note []byte)                       {}
+func (h *senderHost) Forget(id TimerID)                      { h.forgotten[id] = true }
+func (h *senderHost) Timer(in Time, id TimerID) {
+	h.later(in, func() {
+		if !h.forgotten[id] {
+			h.sender.TimerDue(id)
+		}
+		delete(h.forgotten, id)
+	})
+}
+
+func (h *senderHost) Attempt(n MessageID, to EndpointID, timeOut Time) {
+	h.attempts[n]++
+	aware := h.sender.impaired(h.sender.endpoints[to])
+	o := Outcome{Message: n, Attempt: h.attempts[n] - 1, Endpoint: to, Result: ConnectFailed}
+	h.fleet.after(10*Millisecond+Time(h.fleet.random.IntN(200)), func() {
+		if h.fleet.arrive(h.fleet.endpoints[to], aware) {
+			o.Result, o.Took, o.Final = Done, 60*Millisecond, true
+		}
+	})
+	h.later(60*Millisecond, func() { h.sender.Ended(o) })
+}
+
+func (h *senderHost) Probe(e EndpointID) {
+	result := Errored
+	h.fleet.after(10*Millisecond, func() {
+		if h.fleet.arrive(h.fleet.endpoints[e], true) {
+			result = Done
+		}
+	})
+	h.later(30*Millisecond, func() { h.sender.Probed(e, result) })
+}
+
+// accept hands in one message, and ends the turn.
+func (h *senderHost) accept(dest, serial int) {
+	class := ClassNo(serial % len(h.fleet.set.Classes))
+	h.sender.Taken(Message{
+		ID:          MessageID(fmt.Sprint("n", serial)),
+		Class:       class,
+		Account:     -1,
+		Key:         NoKey,
+		Destination: DestinationID(dest),
+		Deadline:    h.Now() + h.fleet.set.Classes[class].Deadline,
+	})
+	h.sender.TurnEnd()
+}
--- /dev/null
+++ b/choice/keyorder_test.go
@@ -0,0 +1,121 @@
+package choice
+
+import "fmt"
+
+// orderedSettings are testSettings whose class 1 is keyed in its zone, and class 2 non-idempotent and ordered by key.
+func orderedSettings() Settings {
+	set := testSettings()
+	set.KeyRest = 300 * Millisecond
+	set.Classes[1].ZoneGroup, set.Classes[2].ByArrival = true, true
+	return set
+}
+
+// acceptKeyed hands in a message with an order key of its own, and leaves the turn open.
+func (h *fakeHost) acceptKeyed(id MessageID, class ClassNo, key OrderKey, to DestinationID) *fakeHost {
+	deadline := h.clock + h.sender.settings.Classes[class].Deadline
+	h.sender.Taken(Message{ID: id, Class: class, Key: key, Destination: to, Deadline: deadline})
+	return h
+}
+
+// Whatever becomes of the first message of a key, the next goes after it, one at a time: at once where no call can
+// still be running, after a pause where one may. A rejected message keeps its turn, and what is over is answered in the
+// turn that decides it.
+func ExampleSender_headOfKey() {
+	for _, end := range []struct {
+		name   string
+		result Result
+	}{{"done", Done}, {"refused", Full}, {"error", Errored}, {"time-out", TimedOut}, {"reset", Reset}, {"cancelled", Cancelled}} {
+		host := startSender(orderedSettings())
+		host.acceptKeyed("head", 2, 7, 2).acceptKeyed("next", 2, 7, 2).acceptKeyed("last", 2, 7, 2).sender.TurnEnd()
+		fmt.Println(end.name)
+		host.clock += 10 * Millisecond
+		host.end(end.result, 0, "c", "head").advance(500 * Millisecond)
+	}
+	fmt.Println("withdrawn while it waits, then while it is out")
+	host := startSender(orderedSettings())
+	host.acceptKeyed("head", 2, 7, 2).sender.TurnEnd()
+	host.acceptKeyed("waits", 2, 7, 2).acceptKeyed("next", 2, 7, 2).sender.Withdrawn("waits")
+	host.sender.Withdrawn("head")
+	host.advance(10*Millisecond).end(Done, 0, "c", "head")
+	// Output:
+	// 0.0     attempt head to c
+	// done
+	// 10.0    attempt next to c
+	// 0.0     attempt head to c
+	// refused
+	// 25.0    attempt head to c
+	// 0.0     attempt head to c
+	// error
+	// 10.0    fail head
+	// 10.0    attempt next to c
+	// 0.0     attempt head to c
+	// time-out
+	// 10.0    fail head
+	// 310.0   attempt next to c
+	// 0.0     attempt head to c
+	// reset
+	// 10.0    fail head
+	// 310.0   attempt next to c
+	// 0.0     attempt head to c
+	// cancelled
+	// 10.0    fail head
+	// 310.0   attempt next to c
+	// withdrawn while it waits, then while it is out
+	// 0.0     attempt head to c
+	// 10.0    attempt next to c
+}
+
+// A first message that no attempt serves in time is shed when its time is over, which lets the next go at once. One
+// that is handed in again joins at the end of its key.
+func ExampleSender_headPastDeadline() {
+	host := startSender(orderedSettings())
+	host.update(Entry{Endpoint: "c", Destination: 2, Kind: 1, Stage: Draining})
+	host.acceptKeyed("head", 3, 7, 2).sender.TurnEnd()
+	host.advance(2*Second).acceptKeyed("next", 3, 7, 1).acceptKeyed("again", 3, 7, 1).sender.TurnEnd()
+	host.advance(4*Second).end(Done, 0, "a", "next")
+	// Output:
+	// 5490.1  shed head
+	// 5490.1  attempt next to a
+	// 6000.0  attempt again to a
+}
+
+// First messages of several keys, of two ordered classes, share a call; two of one key never do, whatever their
+// classes.
+func ExampleSender_keysInABulkCall() {
+	host := startSender(orderedSettings())
+	host.acceptKeyed("a1", 2, 7, 2).acceptKeyed("b1", 3, 8, 2).acceptKeyed("a2", 3, 7, 2).acceptKeyed("b2", 2, 8, 2).sender.TurnEnd()
+	fmt.Println(len(host.sender.calls), "call")
+	host.end(Done, 0, "c", "a1", "b1")
+	// Output:
+	// 0.0     attempt a1 to c
+	// 0.0     attempt b1 to c
+	// 1 call
+	// 0.0     attempt b2 to c
+	// 0.0     attempt a2 to c
+}
+
+// The order of a key holds over several destinations, too.
+func ExampleSender_keyOverDestinations() {
+	host := startSender(orderedSettings())
+	host.acceptKeyed("here", 2, 7, 1).acceptKeyed("there", 2, 7, 2).sender.TurnEnd()
+	host.advance(10*Millisecond).end(Done, 0, "a", "here")
+	// Output:
+	// 0.0     attempt here to a
+	// 10.0    attempt there to c
+}
+
+// A keyed message that may have run in a zone whose endpoint drains goes to no other zone, though one is free there,
+// and is answered when its window ends.
+func ExampleSender_zoneDrained() {
+	set := orderedSettings()
+	set.Probing = false
+	host := startSender(set)
+	host.update(Entry{Endpoint: "far", Destination: 1, Zone: 1, Rating: 10})
+	host.accept(1, 1, "token").advance(10*Millisecond).end(Errored, 0, "a", "token")
+	host.update(Entry{Endpoint: "a", Destination: 1, Stage: Draining})
+	host.accept(0, 1, "other").advance(6 * Second)
+	// Output:
+	// 0.0     attempt token to a
+	// 10.0    attempt other to far
+	// 2995.1  fail token
+}
--- /dev/null
+++ b/choice/learned_test.go
@@ -0,0 +1,124 @@
+package choice
+
+import "fmt"
+
+// The learned state of a destination that has moved is void: its call times, concurrency limit, rate and pause are
+// those of a new one, or those given.
+func ExampleSender_Void() {
+	for _, l := range []*LearnedState{nil, {Mean: 700, Dev: 100, Past: 600, Seen: 9, Limit: 4, Wait: Second}} {
+		host := startSender(testSettings()).accept(0, 1, "p").end(Done, 0, "a", "p")
+		host.endpoint("a").concurrencyLimit = 8
+		host.accept(0, 1, "q").sender.Ended(Outcome{
+			Message: "q", Endpoint: "a", Result: Full, Wait: 2 * Second, Report: Report{Known: true, Limit: 50},
+		})
+		host.accept(0, 1, "r").sender.destinations[1].route.limiter.rate = 1
+		host.sender.Void("a", l)
+		host.sender.Void("unknown", l)
+		ep, route := host.endpoint("a"), host.destination(1).route
+		fmt.Println(host.sender.LearnedState("a"), "calls at once:", ep.concurrencyLimit,
+			"limited:", route.limiter.rate < unlimitedRate, "rated:", route.rating*host.sender.ratingShare)
+		host.advance(1500 * Millisecond)
+	}
+	// Output:
+	// 0.0     attempt p to a
+	// 0.0     attempt q to a
+	// {5000 5000 5000 0 0 0} calls at once: 2 limited: false rated: 5
+	// 50.0    attempt r to a
+	// 189.1   attempt q to a
+	// 0.0     attempt p to a
+	// 0.0     attempt q to a
+	// {700 100 600 9 4 10000} calls at once: 2 limited: false rated: 5
+	// 1000.0  attempt r to a
+	// 1000.0  attempt q to a
+}
+
+// Void does not lift an outage: an ejected endpoint stays so, the pause of a shut destination stays, the slow start
+// budget is not larger, and a limit that others learned counts only once the outage is over.
+func ExampleSender_Void_outage() {
+	set := testSettings()
+	set.Probing = false
+	sent := func(void bool) int {
+		host := startSender(set)
+		host.mute = true
+		host.destination(1).route.rating, host.destination(1).route.limit = 0, 50
+		host.sender.eject(host.endpoint("a"))
+		host.advance(2 * Second)
+		for i := range 200 {
+			if void {
+				host.sender.Void("a", &LearnedState{Mean: 100, Dev: 10, Past: 100, Seen: 99, Limit: 1000})
+			}
+			id := MessageID(fmt.Sprint(i))
+			host.accept(0, 1, id).advance(40 * Millisecond)
+			for id, tries := range host.attempts {
+				if msg := host.sender.messages[id]; msg != nil && msg.inFlight != nil && tries > 0 {
+					host.end(Done, 0, "a", id)
+				}
+			}
+		}
+		all := 0
+		for _, tries := range host.attempts {
+			all += tries
+		}
+		return all
+	}
+	before, after := sent(false), sent(true)
+	fmt.Println("sent in the return:", before > 10, "more where voided:", after > before)
+	host := startSender(set)
+	host.accept(0, 1, "p").end(Full, 4*Second, "a", "p")
+	host.sender.Void("a", nil)
+	host.accept(0, 1, "q").advance(5 * Second)
+	// Output:
+	// sent in the return: true more where voided: false
+	// 0.0     attempt p to a
+	// 4200.0  attempt q to a
+}
+
+// What is held for a destination may be evicted unless something is under way there.
+func ExampleSender_Holds() {
+	show := func(what string, host *fakeHost, id DestinationID) {
+		calls, inUse := host.sender.Holds(id)
+		fmt.Println(what, calls, inUse)
+	}
+	host := startSender(testSettings())
+	host.mute = true
+	show("unknown:", host, 9)
+	show("new:", host, 2)
+	show("open:", host.accept(0, 2, "p"), 2)
+	show("known:", host.end(Done, 0, "c", "p"), 2)
+	show("to be retried:", host.accept(0, 2, "q").end(Errored, 0, "c", "q"), 2)
+	host.advance(Second)
+	show("over:", host.end(Done, 0, "c", "q"), 2)
+	show("paused:", host.accept(0, 2, "r").end(Full, Second, "c", "r"), 2)
+	host.sender.Withdrawn("r")
+	show("withdrawn, the pause goes on:", host, 2)
+	show("the pause is over:", host.advance(2*Second), 2)
+	host.sender.eject(host.endpoint("c"))
+	show("ejected:", host, 2)
+	host.sender.readmit(host.endpoint("c"), host.clock)
+	show("in slow start:", host, 2)
+	show("after slow start:", host.advance(11*Second), 2)
+	host.update(Entry{Endpoint: "c", Destination: 2, Kind: 1, Stage: Draining})
+	show("draining:", host, 2)
+	host = startSender(orderedSettings())
+	host.mute = true
+	host.acceptKeyed("head", 3, 7, 2).sender.TurnEnd()
+	host.end(Reset, 0, "c", "head").sender.Withdrawn("head")
+	show("the key is paused:", host, 2)
+	show("the key is free:", host.advance(Second), 2)
+	// Output:
+	// unknown: 0 false
+	// new: 0 false
+	// open: 0 true
+	// known: 1 false
+	// to be retried: 1 true
+	// over: 2 false
+	// paused: 2 true
+	// withdrawn, the pause goes on: 2 true
+	// the pause is over: 2 false
+	// ejected: 2 true
+	// in slow start: 2 true
+	// after slow start: 2 false
+	// draining: 2 true
+	// the key is paused: 0 true
+	// the key is free: 0 false
+}
--- /dev/null
+++ b/choice/loadhost_test.go
@@ -0,0 +1,226 @@
+package choice
+
+import (
+	"fmt"
+	"hash/fnv"
+	"slices"
+	"testing"
+)
+
+// loadHost is a host with a steady load of messages, whose calls end by what is drawn from their ids. It checks each
+// thing the sender asks of it.
+type loadHost struct {
+	t        *testing.T
+	sender   *Sender
+	clock    Time
+	events   []loadEvent // to come, by time
+	attempts map[MessageID]int
+	answers  map[MessageID]int // given, by message
+	trace    []string
+}
+
+type loadEvent struct {
+	at    Time
+	do    func()
+	timer TimerID
+}
+
+// schedule has something happen at a time; a timer has its id, anything else -1.
+func (h *loadHost) schedule(at Time, timer TimerID, what func()) {
+	e := loadEvent{max(at, h.clock), what, timer}
+	i, _ := slices.BinarySearchFunc(h.events, e, func(a, b loadEvent) int { return int(min(1, max(-1, a.at-b.at))) })
+	for i < len(h.events) && h.events[i].at == e.at {
+		i++
+	}
+	h.events = slices.Insert(h.events, i, e)
+}
+
+// playUntil plays until a time. All that happens at one moment is one turn.
+func (h *loadHost) playUntil(until Time) {
+	for len(h.events) > 0 && h.events[0].at <= until {
+		h.clock = h.events[0].at
+		for len(h.events) > 0 && h.events[0].at == h.clock {
+			e := h.events[0]
+			h.events = h.events[1:]
+			e.do()
+		}
+		h.sender.TurnEnd()
+	}
+	h.clock = until
+}
+
+func (h *loadHost) log(format string, args ...any) {
+	h.trace = append(h.trace, fmt.Sprintf("%d ", h.clock)+fmt.Sprintf(format, args...))
+}
+
+// bDown reports whether endpoint b is down, as it is for five seconds in every minute.
+func (h *loadHost) bDown() bool {
+	since := h.clock % loadWarmUp
+	return since > 4*Second && since < 9*Second
+}
+
+// hashFraction is a number in [0, 1) that depends on its arguments alone.
+func hashFraction(of ...any) float64 {
+	h := fnv.New64a()
+	fmt.Fprint(h, of...)
+	return float64(h.Sum64()>>11) / (1 << 53)
+}
+
+func (h *loadHost) Now() Time                          { return h.clock }
+func (h *loadHost) Allowed(MessageID, EndpointID) bool { return true }
+
+func (h *loadHost) Attempt(id MessageID, to EndpointID, timeOut Time) {
+	h.attempts[id]++
+	h.log("attempt %s to %s within %d", id, to, timeOut)
+	h.checkAttempt(h.sender.messages[id], h.sender.endpoints[to])
+	took := 50*Millisecond + Time(hashFraction(id, h.attempts[id], "took")*float64(300*Millisecond))
+	o := Outcome{Message: id, Attempt: h.attempts[id] - 1, Endpoint: to, Took: took, Final: true}
+	if d := h.sender.endpoints[to].destination.id; d == 1 { // the one that reports its limit
+		o.Report = Report{Known: true, Left: 0.5, Limit: 20}
+	}
+	switch luck := hashFraction(id, h.attempts[id], "luck"); {
+	case to == "b" && h.bDown():
+		o.Result, o.Final = ConnectFailed, false
+	case luck < 0.08:
+		o.Result, o.Final, o.Wait = Full, false, 300*Millisecond
+	case luck < 0.12:
+		o.Result, o.Final, o.Closed = Full, false, luck < 0.1
+	case luck < 0.18:
+		o.Result, o.Final = Errored, false
+	case luck < 0.22:
+		o.Result, o.Final, o.Reused = Reset, false, true
+	case luck < 0.26 || took > timeOut:
+		o.Result, o.Final, o.Took = TimedOut, false, timeOut
+	}
+	h.schedule(h.clock+o.Took, -1, func() {
+		if o.Final {
+			h.answered(id, "done")
+		}
+		h.sender.Ended(o)
+	})
+}
+
+// checkAttempt checks an attempt against the settings in force.
+func (h *loadHost) checkAttempt(msg *message, ep *endpoint) {
+	set, class := h.sender.settings, h.sender.class(msg)
+	check := func(is bool, what string) {
+		h.t.Helper()
+		if !is {
+			h.t.Errorf("%d: %s to %s: %s", h.clock, msg.ID, ep.id, what)
+		}
+	}
+	check(h.answers[msg.ID] == 0, "it has had its answer")
+	calls, carried := len(h.sender.calls), ep.bulkCall.messages
+	check(carried > 1 || calls <= set.InFlightLimit, fmt.Sprint(calls, " calls out of ", set.InFlightLimit))
+	bundleMax := ep.destination.kind.BundleMax
+	check(carried <= max(1, bundleMax), "a bulk call too large")
+	check(bundleMax == set.Kinds[ep.destination.id%2].BundleMax, "the bound of bulk calls is not the one set")
+	check(h.attempts[msg.ID] <= set.MaxAttempts, "one attempt too many")
+	check(!msg.MayRun || class.Repeat != NonIdempotent, "a second run")
+	check(!msg.MayRun || class.Repeat != Keyed || h.clock <= msg.RanAt+class.RepeatWindow-set.Turn, "out of its window")
+	check(!msg.MayRun || !class.ZoneGroup || ep.zone == msg.RanIn, "known in another zone alone")
+	check(msg.keyQueue == nil || msg.keyQueue.messages[0] == msg, "before its turn")
+}
+
+func (h *loadHost) answered(id MessageID, how string) {
+	if h.answers[id]++; h.answers[id] > 1 {
+		h.t.Errorf("%d: %s: %s, and it had an answer", h.clock, id, how)
+	}
+	h.log("%s %s", how, id)
+}
+
+func (h *loadHost) Shed(id MessageID, in Time) {
+	if in > h.sender.settings.LongestReturn {
+		h.t.Errorf("%s may come again in %d, above %d", id, in, h.sender.settings.LongestReturn)
+	}
+	h.answered(id, fmt.Sprint("shed, again in ", in))
+}
+
+func (h *loadHost) Fail(id MessageID) { h.answered(id, "failed") }
+
+func (h *loadHost) Probe(e EndpointID) {
+	h.log("probe %s", e)
+	if !h.sender.settings.Probing {
+		h.t.Errorf("%d: a probe", h.clock)
+	}
+	result := Done
+	if h.bDown() {
+		result = ConnectFailed
+	}
+	h.schedule(h.clock+100*Millisecond, -1, func() { h.sender.Probed(e, result) })
+}
+
+func (h *loadHost) CloseIdle(e EndpointID) { h.log("close %s", e) }
+
+func (h *loadHost) Tell(note []byte) {
+	h.log("note %x", note)
+	if !h.sender.settings.Notes {
+		h.t.Errorf("%d: a note", h.clock)
+	}
+}
+
+func (h *loadHost) Timer(in Time, id TimerID) {
+	h.schedule(h.clock+in, id, func() { h.sender.TimerDue(id) })
+}
+
+func (h *loadHost) Forget(id TimerID) {
+	h.events = slices.DeleteFunc(h.events, func(e loadEvent) bool { return e.timer == id })
+}
+
+const (
+	loadWarmUp   = 60 * Second // by then budgets and buckets are full
+	loadSpan     = 10 * Second // of messages coming
+	loadInterval = 10 * Millisecond
+)
+
+// loadSettings are settings with two of each kind, account and zone; fleet gives those of many senders that exchange
+// notes.
+func loadSettings(fleet bool) Settings {
+	set := testSettings()
+	set.InFlightLimit, set.MaxOpen, set.LongestReturn, set.ConnIdle = 12, 60, 4*Second, Second
+	set.Kinds = []Kind{{BundleMax: 1}, {BundleMax: 3, Apart: true}}
+	set.Quotas, set.OverShareValue = []float64{12, 30}, 0.5
+	set.RouteFees = []float64{0, 0.02}
+	if fleet {
+		set.Senders, set.Probing, set.Notes = 20, false, true
+	}
+	return set
+}
+
+// start starts the sender under test.
+func (h *loadHost) start(set Settings) {
+	h.attempts, h.answers = map[MessageID]int{}, map[MessageID]int{}
+	h.sender = Start(h, "s", 7, set)
+}
+
+// listEndpoints gives it two destinations of two endpoints each, in two zones, one destination of each kind.
+func (h *loadHost) listEndpoints() {
+	var all []Entry
+	for i, id := range []EndpointID{"a", "b", "c", "d"} {
+		entry := Entry{Endpoint: id, Destination: DestinationID(i / 2), Kind: KindNo(i / 2), Zone: ZoneNo(i % 2), Rating: 10}
+		all = append(all, entry)
+	}
+	h.sender.UpdateEndpoints(all, true)
+}
+
+// offerLoad has messages come at a steady rate, of all classes, accounts and destinations that the settings have by
+// then.
+func (h *loadHost) offerLoad(from, until Time) {
+	no := 0
+	for at := from; at < until; at += loadInterval {
+		id := MessageID(fmt.Sprint("n", at-from))
+		no++
+		class, account := no, no/3
+		h.schedule(at, -1, func() {
+			set := h.sender.settings
+			n := Message{ID: id, Class: ClassNo(class % len(set.Classes)), Account: AccountNo(account % len(set.Quotas)),
+				Key: OrderKey(class % 7), Destination: DestinationID(class / 2 % 2)}
+			n.Deadline = h.clock + set.Classes[n.Class].Deadline
+			held := len(h.sender.messages)
+			h.sender.Taken(n)
+			if most := max(held, set.MaxOpen); len(h.sender.messages) > most {
+				h.t.Errorf("%d: %d held, at most %d", h.clock, len(h.sender.messages), most)
+			}
+		})
+	}
+}
--- a/choice/retries_test.go
+++ b/choice/retries_test.go
@@ -1,36 +1,39 @@
 package choice
 
-// Which message goes when, how often it is tried again, and when it has its end.
+import (
+	"fmt"
+	"math"
+	"slices"
+	"testing"
+)
 
-import "fmt"
-
-// The one slot goes to the fresh tier, newest first, before the retry that was due earlier.
-func ExampleSender_tiers() {
-	set := plain()
+// The one call in flight goes to first attempts, newest first, before the retry that was due earlier.
+func ExampleSender_firstAttemptsFirst() {
+	set := testSettings()
 	set.InFlightLimit = 1
-	d := open(set).take(0, 1, "old").ended(Errored, 0, "a", "old").take(2, 2, "holds")
-	d.run(300*Millisecond).take(0, 1, "x", "y").ended(Done, 0, "c", "holds").ended(Done, 0, "a", "y")
-	d.ended(Done, 0, "a", "x")
+	host := startSender(set).accept(0, 1, "old").end(Errored, 0, "a", "old").accept(2, 2, "holds")
+	host.advance(300*Millisecond).accept(0, 1, "x", "y").end(Done, 0, "c", "holds").end(Done, 0, "a", "y")
+	host.end(Done, 0, "a", "x")
 	// Output:
-	// 0.0     dispatch old to a
-	// 0.0     dispatch holds to c
-	// 300.0   dispatch y to a
-	// 300.0   dispatch x to a
-	// 300.0   dispatch old to a
+	// 0.0     attempt old to a
+	// 0.0     attempt holds to c
+	// 300.0   attempt y to a
+	// 300.0   attempt x to a
+	// 300.0   attempt old to a
 }
 
-// Retry waits differ by chance, under ceilings that double up to the cap; the first is a quarter second.
+// Backoffs differ by chance, under ceilings that double up to a cap; the first ceiling is a quarter second.
 func ExampleSender_jitter() {
-	d := open(plain())
-	d.mute = true
+	host := startSender(testSettings())
+	host.mute = true
 	for try := 1; try <= 4; try++ {
 		longest, shortest := Time(0), Time(1<<60)
 		for i := range 40 {
-			n := &message{Message: Message{ID: MessageID(fmt.Sprint(i))}, tries: try,
-				d: d.s.byID[1]}
-			n.Deadline = 60 * Second
-			d.s.again(n)
-			longest, shortest = max(longest, n.dueAt), min(shortest, n.dueAt)
+			msg := &message{Message: Message{ID: MessageID(fmt.Sprint(i))}, attempts: try,
+				destination: host.destination(1)}
+			msg.Deadline = 60 * Second
+			host.sender.scheduleRetry(msg)
+			longest, shortest = max(longest, msg.retryAt), min(shortest, msg.retryAt)
 		}
 		fmt.Println("try", try, "from", shortest, "to", longest)
 	}
@@ -41,134 +44,130 @@
 	// try 4 from 16 to 19705
 }
 
-// What was refused drains through a quarter of the slots: two here, the third when one is free.
-func ExampleSender_lane() {
-	d := open(plain())
-	d.s.endpoints["a"].limit = 8
-	d.take(0, 1, "p", "q", "r").ended(Full, 0, "a", "p", "q", "r")
-	d.run(2*Second).ended(Done, 0, "a", "p").run(2 * Second)
+// Rejected messages are retried in a quarter of the in-flight limit: two here, and the third when one is done.
+func ExampleSender_rejectedRetries() {
+	host := startSender(testSettings())
+	host.endpoint("a").concurrencyLimit = 8
+	host.accept(0, 1, "p", "q", "r").end(Full, 0, "a", "p", "q", "r")
+	host.advance(2*Second).end(Done, 0, "a", "p").advance(2 * Second)
 	// Output:
-	// 0.0     dispatch r to a
-	// 0.0     dispatch q to a
-	// 0.0     dispatch p to a
-	// 51.6    dispatch r to a
-	// 86.4    dispatch p to a
-	// 2000.0  dispatch q to a
+	// 0.0     attempt r to a
+	// 0.0     attempt q to a
+	// 0.0     attempt p to a
+	// 51.6    attempt r to a
+	// 86.4    attempt p to a
+	// 2000.0  attempt q to a
 }
 
-// Single-use: a time-out is final, a refusal is not. Keyed: again only inside the repeat window.
-func ExampleSender_repeatability() {
-	d := open(plain()).take(2, 1, "once").ended(Full, 0, "a", "once").run(Second)
-	d.ended(TimedOut, 0, "a", "once").take(1, 2, "token").ended(TimedOut, 0, "c", "token").run(Second)
-	d.run(2500*Millisecond).ended(TimedOut, 0, "c", "token")
+// A non-idempotent message fails at a time-out and is retried after a rejection. A keyed one is retried only within its
+// repeat window.
+func ExampleSender_repeats() {
+	host := startSender(testSettings()).accept(2, 1, "once").end(Full, 0, "a", "once").advance(Second)
+	host.end(TimedOut, 0, "a", "once").accept(1, 2, "token").end(TimedOut, 0, "c", "token").advance(Second)
+	host.advance(2500*Millisecond).end(TimedOut, 0, "c", "token")
 	// Output:
-	// 0.0     dispatch once to a
-	// 73.8    dispatch once to a
-	// 1000.0  give up once
-	// 1000.0  dispatch token to c
-	// 1157.9  dispatch token to c
+	// 0.0     attempt once to a
+	// 73.8    attempt once to a
+	// 1000.0  fail once
+	// 1000.0  attempt token to c
+	// 1157.9  attempt token to c
 	// 3450.0  probe c
-	// 4500.0  give up token
+	// 4500.0  fail token
 }
 
-// A message that no attempt can serve in time is answered at once: shed, as none ever ran.
+// A message that no attempt can serve in time is answered at once: it is shed, as none ever ran.
 func ExampleSender_deadline() {
-	open(plain()).take(0, 9, "nowhere").run(7 * Second)
+	startSender(testSettings()).accept(0, 9, "nowhere").advance(7 * Second)
 	// Output:
 	// 5490.1  shed nowhere
 }
 
-// In a large fleet two failures with nothing answered lately ejected all endpoints of the route, and each
-// refusal halves the pace before it: many senders that try in turn, or again and again, are a storm.
-func ExampleSender_storm() {
-	set := plain()
+// In a large fleet two failures with nothing done lately eject all endpoints of the route, and each rejection halves
+// the rate: many senders that try one endpoint after another, or again and again, are a storm.
+func ExampleSender_retryStorm() {
+	set := testSettings()
 	set.Senders = 50
-	d := open(set).run(3 * Second)
-	d.s.UpdateEndpoints([]Entry{{Endpoint: "b", Destination: 1}, {Endpoint: "b2", Destination: 1}}, false)
-	d.run(50*Millisecond).take(0, 1, "p").ended(ConnectFailed, 0, "a", "p").run(300 * Millisecond)
-	d.ended(ConnectFailed, 0, "b", "p")
-	fmt.Println("aside:", d.s.endpoints["a"].ejected, d.s.endpoints["b"].ejected, d.s.endpoints["b2"].ejected)
-	d.take(0, 2, "q")
+	host := startSender(set).advance(3 * Second)
+	host.update(Entry{Endpoint: "b", Destination: 1}, Entry{Endpoint: "b2", Destination: 1})
+	host.advance(50*Millisecond).accept(0, 1, "p").end(ConnectFailed, 0, "a", "p").advance(300 * Millisecond)
+	host.end(ConnectFailed, 0, "b", "p")
+	fmt.Println("ejected:", host.endpoint("a").ejected, host.endpoint("b").ejected, host.endpoint("b2").ejected)
+	host.accept(0, 2, "q")
 	for range 2 {
-		d.ended(Full, 0, "c", "q").run(4 * Second)
-		fmt.Printf("pace: %.3f\n", d.s.byID[2].route.pace.rate)
+		host.end(Full, 0, "c", "q").advance(4 * Second)
+		fmt.Printf("pace: %.3f\n", host.destination(2).route.limiter.rate)
 	}
 	// Output:
-	// 3050.0  dispatch p to a
-	// 3075.7  dispatch p to b
-	// aside: true true true
-	// 3350.0  dispatch q to c
+	// 3050.0  attempt p to a
+	// 3075.7  attempt p to b
+	// ejected: true true true
+	// 3350.0  attempt q to c
 	// pace: 0.182
 	// 8540.1  shed p
 	// 8840.1  shed q
 	// pace: 0.196
 }
 
-// A return counts from midway between the last failure seen and the first answer: in a large fleet the two lie
-// far apart, and counting from the answer would starve what has long been back.
-func ExampleSender_midway() {
-	set := plain()
-	set.Senders = 50
-	d := open(set).run(3*Second).take(1, 1, "p").ended(Errored, 0, "a", "p").run(Second)
-	d.s.endpoints["a"].cold.level = 1
-	d.take(0, 1, "q").ended(Done, 0, "a", "q")
-	fmt.Println("cold from:", d.s.endpoints["a"].coldFrom)
-	// Output:
-	// 3000.0  dispatch p to a
-	// 4000.0  dispatch q to a
-	// cold from: 35000
-}
-
-// Where a call stays without an answer while others have theirs, single-use messages wait until some more are done;
-// those that may be repeated find that out.
-func ExampleSender_doubt() {
-	d := open(plain()).take(0, 1, "lost").run(Millisecond).take(0, 1, "p").ended(Done, 0, "a", "p").run(2 * Second)
-	d.take(2, 1, "single")
-	for _, id := range []MessageID{"1", "2", "3", "4", "5", "6"} {
-		d.run(10*Millisecond).take(0, 1, id).ended(Done, 0, "a", id)
+// What the host asks as it writes is what the sender asks as it chooses: the last moment for a repeat.
+func TestRepeatEnd(t *testing.T) {
+	host := startSender(testSettings())
+	host.mute = true
+	host.accept(0, 1, "repeatable").accept(1, 1, "keyed")
+	for _, id := range []MessageID{"repeatable", "keyed", "unknown"} {
+		if end := host.sender.RepeatEnd(id); end != forever {
+			t.Errorf("%s, not sent or still out: %d", id, end)
+		}
+	}
+	host.advance(100*Millisecond).end(Errored, 0, "a", "repeatable", "keyed")
+	if end := host.sender.RepeatEnd("repeatable"); end != forever {
+		t.Errorf("one that may simply be repeated: %d", end)
+	}
+	end := host.sender.RepeatEnd("keyed")
+	if want := 3*Second - 5*Millisecond; end != want { // its call began at 0
+		t.Fatalf("it ends at %d, want %d", end, want)
+	}
+	for at, open := range map[Time]bool{end: true, end + 1: false} {
+		host.clock = at
+		if host.sender.Open("a", "keyed") != open {
+			t.Errorf("open at %d: %v", at, !open)
+		}
 	}
-	// Output:
-	// 0.0     dispatch lost to a
-	// 1.0     dispatch p to a
-	// 2011.0  dispatch 1 to a
-	// 2021.0  dispatch 2 to a
-	// 2031.0  dispatch 3 to a
-	// 2041.0  dispatch 4 to a
-	// 2051.0  dispatch 5 to a
-	// 2061.0  dispatch 6 to a
-	// 2061.0  dispatch single to a
 }
 
-// A call that its message's deadline cut short tells nothing of the endpoint: a single-use message still goes there at
-// once. Nor does a message that the host ended alone, while the others of its call are still waited for.
-func ExampleSender_cutShort() {
-	for _, left := range []Time{100 * Millisecond, 5 * Second} {
-		d := open(plain())
-		d.take(0, 1, "first").ended(Done, 0, "a", "first")
-		d.s.endpoints["a"].mean = float64(20 * Millisecond)
-		d.s.Taken(Message{ID: "late", Key: NoKey, Destination: 1, Deadline: d.clock + left})
-		d.take(0, 1, "other").ended(Done, 0, "a", "other")
-		d.clock += 1 // answered since
-		d.take(0, 1, "another").ended(Done, 0, "a", "another")
-		d.clock += min(left, 2*Second) - 6*Millisecond
-		d.ended(TimedOut, 0, "a", "late").take(2, 1, "order")
+// A destination whose calls all fail gets first attempts and few retries on top: as many as the in-flight limit, and a
+// trickle.
+func ExampleSender_retryBudget() {
+	set := testSettings()
+	set.InFlightLimit = 4
+	host := startSender(set)
+	host.mute = true
+	dest := host.destination(1)
+	firsts, retries, last := 0, 0, map[MessageID]int{}
+	for i := range 600 {
+		host.advance(20 * Millisecond)
+		host.accept(0, 1, MessageID(fmt.Sprint(i)))
+		host.endpoint("a").ejected = false // otherwise an ejection would end it sooner
+		host.endpoint("a").consecutiveFailures = 0
+		var ids []string
+		for id, msg := range host.sender.messages {
+			if msg.inFlight != nil {
+				ids = append(ids, string(id))
+			}
+		}
+		slices.Sort(ids)
+		for _, id := range ids {
+			n := MessageID(id)
+			if last[n] != host.attempts[n] {
+				firsts, retries = firsts+countIf(host.attempts[n] == 1), retries+countIf(host.attempts[n] > 1)
+			}
+			last[n] = host.attempts[n]
+			host.end(Errored, 0, "a", n)
+			last[n] = host.attempts[n]
+		}
 	}
-	d := open(plain())
-	d.take(0, 2, "p", "q")
-	d.s.Ended(Outcome{Message: "p", Endpoint: "c", Result: Cancelled})
-	fmt.Println("calls out:", len(d.s.calls), "judged:", d.s.calls[0].judged)
+	most := float64(set.InFlightLimit) + 12/seconds(host.sender.retryCap) + 1
+	left := math.Floor(dest.retryBudget.tokens)
+	fmt.Println("retries within the budget:", float64(retries) <= most, "left", left <= float64(set.InFlightLimit), firsts > 0)
 	// Output:
-	// 0.0     dispatch first to a
-	// 0.0     dispatch other to a
-	// 0.0     dispatch late to a
-	// 0.1     dispatch another to a
-	// 94.1    give up late
-	// 94.1    dispatch order to a
-	// 0.0     dispatch first to a
-	// 0.0     dispatch other to a
-	// 0.0     dispatch late to a
-	// 0.1     dispatch another to a
-	// 0.0     dispatch q to c
-	// 0.0     dispatch p to c
-	// calls out: 1 judged: false
+	// retries within the budget: true left true true
 }
--- /dev/null
+++ b/choice/retryafter_test.go
@@ -0,0 +1,96 @@
+package choice
+
+import "fmt"
+
+// A Retry-After holds back first attempts, too; another destination goes on.
+func ExampleSender_retryAfter() {
+	host := startSender(testSettings()).accept(0, 1, "p").end(Full, 900*Millisecond, "a", "p")
+	host.accept(0, 1, "q").accept(0, 2, "other").advance(1200 * Millisecond)
+	// Output:
+	// 0.0     attempt p to a
+	// 0.0     attempt other to c
+	// 1050.0  attempt q to a
+	// 1050.0  attempt p to a
+}
+
+// The messages of one call may get their Retry-After at different times; the last one counts.
+func ExampleSender_retryAfterOfBulkCall() {
+	host := startSender(testSettings()).accept(0, 2, "p", "q").end(Full, 500*Millisecond, "c", "p")
+	host.advance(100*Millisecond).end(Full, 500*Millisecond, "c", "q").accept(0, 2, "r").advance(700 * Millisecond)
+	// Output:
+	// 0.0     attempt q to c
+	// 0.0     attempt p to c
+	// 650.0   attempt r to c
+	// 650.0   attempt p to c
+	// 650.0   attempt q to c
+}
+
+// A long Retry-After is that of a shut destination: once it opens, what was waiting goes out bit by bit, also to
+// endpoints that were not asked, and although a call from before was done meanwhile.
+func ExampleSender_longRetryAfter() {
+	host := startSender(testSettings())
+	host.update(Entry{Endpoint: "b", Destination: 1, Rating: 10})
+	host.accept(0, 1, "p", "q", "r").end(Full, 3*Second, "a", "p").end(Done, 0, "a", "q").accept(2, 1, "s", "t", "u", "v")
+	host.advance(6 * Second)
+	// Output:
+	// 0.0     attempt r to a
+	// 0.0     attempt q to a
+	// 0.0     attempt p to b
+	// 3200.0  attempt v to a
+	// 3200.0  attempt u to b
+	// 4200.0  attempt t to b
+	// 5250.0  probe a
+	// 5490.1  shed p
+	// 5790.1  shed s
+}
+
+// Rejections without a Retry-After, with nothing done for two seconds, pause the route for a guess that doubles.
+func ExampleSender_guessedWait() {
+	host := startSender(testSettings()).advance(2100*Millisecond).accept(0, 1, "p", "q").end(Full, 0, "a", "p", "q")
+	host.advance(900*Millisecond).end(Full, 0, "a", "p", "q").advance(2 * Second)
+	fmt.Println("guess:", host.destination(1).route.guessedWait)
+	// Output:
+	// 2100.0  attempt q to a
+	// 2100.0  attempt p to a
+	// 3950.0  attempt p to a
+	// guess: 3000
+}
+
+// A first Retry-After pauses the route and is enough: the rate stays what it was. Another one that follows at once cuts
+// it.
+func ExampleSender_firstRetryAfter() {
+	host := startSender(testSettings())
+	host.mute = true
+	host.accept(0, 1, "p").end(Done, 0, "a", "p").advance(3 * Second)
+	route := host.destination(1).route
+	rejectAfter := func(id MessageID) {
+		host.accept(0, 1, id).end(Full, 200*Millisecond, "a", id)
+		fmt.Println("paused for", (route.pausedUntil-host.clock)/Millisecond, "ms, unlimited", route.limiter.rate >= unlimitedRate)
+		host.advance(500 * Millisecond)
+	}
+	host.endpoint("a").concurrencyLimit = 8
+	rejectAfter("q")
+	rejectAfter("r")
+	// Output:
+	// paused for 222 ms, unlimited true
+	// paused for 215 ms, unlimited false
+}
+
+// A Retry-After pauses the route: one endpoint that is a route of its own, or all endpoints of a destination that share
+// a limit.
+func ExampleSender_pausesOfRoutes() {
+	for _, apart := range []bool{true, false} {
+		set := orderedSettings()
+		set.Kinds[0].Apart = apart
+		host := startSender(set)
+		host.update(Entry{Endpoint: "b", Destination: 1, Rating: 10})
+		host.accept(0, 1, "p").end(Full, 900*Millisecond, "a", "p").accept(0, 1, "q")
+		fmt.Println("apart:", apart)
+	}
+	// Output:
+	// 0.0     attempt p to a
+	// 0.0     attempt q to b
+	// apart: true
+	// 0.0     attempt p to a
+	// apart: false
+}
