--- a/internal/cluster/configuration/run/lead.go
+++ b/internal/cluster/configuration/run/lead.go
@@ -185,11 +185,11 @@
 	if request.Restore == nil || g.last == 0 {
 		command.Settings, command.Restore = proposed, request.Restore
 	}
-	if g.last == 0 && len(g.newest.Settings)+len(proposed)+envelope < machine.MaxBody {
+	if g.last == 0 && len(g.newest.Settings)+len(proposed)+envelope < machine.MaxBodyBytes {
 		command.Own = g.newest.Settings
 	}
 	text, err := r.o.Council.Propose(ctx, ledger.Part, ledger.KindDecide, command)
-	var never *machine.Refused
+	var never *machine.RejectedError
 	switch {
 	case errors.As(err, &never): // by the council itself, as what is too long once it is escaped
 		return ledger.Decided{Refused: err.Error(), Field: fieldOf(request), Current: g.last}, nil
--- a/internal/cluster/consensus/fsm.go
+++ b/internal/cluster/consensus/fsm.go
@@ -8,100 +8,103 @@
 	"github.com/hashicorp/raft"
 )
 
-// fsm is the council as the library sees it: what applies commands, and tells its state.
+// fsm is the Group's side of the library's interfaces raft.FSM and raft.ConfigurationStore.
 type fsm Group
 
-// outcome is what applying a command answered.
-type outcome struct {
+// applyResult is what the machine answered to a command.
+type applyResult struct {
 	answer json.RawMessage
 	err    error
 }
 
-// Apply answers one command.
-func (f *fsm) Apply(l *raft.Log) any {
-	c := (*Group)(f)
-	c.mu.Lock()
-	answer, err := c.machine.Apply(l.Index, l.Data)
-	c.weight += len(l.Data)
-	c.setClock()
-	heavy := c.weight > c.o.logMost
-	c.mu.Unlock()
-	if heavy {
-		c.wakeUp()
+// Apply applies one committed command.
+func (f *fsm) Apply(entry *raft.Log) any {
+	g := (*Group)(f)
+	g.mu.Lock()
+	answer, err := g.machine.Apply(entry.Index, entry.Data)
+	g.logBytes += len(entry.Data)
+	g.advanceClock()
+	logTooLarge := g.logBytes > g.options.maxLogBytes
+	g.mu.Unlock()
+	if logTooLarge {
+		g.wake()
 	}
-	c.news()
-	return outcome{answer, err}
+	g.signalApplied()
+	return applyResult{answer, err}
 }
 
-// setClock puts the clock forward to the machine's where it is behind; between commands it runs on by itself.
-func (c *Group) setClock() {
+// advanceClock sets the clock forward to the machine's where it is behind; between commands it runs by local time.
+func (g *Group) advanceClock() {
 	now := time.Now()
-	if at := c.machine.At(); at > c.clockAt+now.Sub(c.clockFrom) {
-		c.clockAt, c.clockFrom = at, now
+	if at := g.machine.Clock(); at > g.clockBase+now.Sub(g.clockBaseTime) {
+		g.clockBase, g.clockBaseTime = at, now
 	}
 }
 
-func (c *Group) news() {
+// signalApplied wakes reportApplied.
+func (g *Group) signalApplied() {
 	select {
-	case c.applied <- struct{}{}:
+	case g.appliedSignal <- struct{}{}:
 	default:
 	}
 }
 
-// StoreConfiguration hears which servers were decided.
+// StoreConfiguration is called by the library with each committed configuration.
 func (f *fsm) StoreConfiguration(index uint64, configuration raft.Configuration) {
-	(*Group)(f).setPlaced(index, configuration)
+	(*Group)(f).setConfiguration(index, configuration)
 }
 
-func (c *Group) setPlaced(index uint64, configuration raft.Configuration) {
-	in := map[raft.ServerID]bool{}
+// setConfiguration records the servers of a configuration, unless a newer one is known.
+func (g *Group) setConfiguration(index uint64, configuration raft.Configuration) {
+	members := map[raft.ServerID]bool{}
 	for _, s := range configuration.Servers {
-		in[s.ID] = true
+		members[s.ID] = true
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if index >= c.decided.index {
-		c.decided = placed{index, in}
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if index >= g.configuration.index {
+		g.configuration = serverSet{index, members}
 	}
 }
 
-// Snapshot takes the state while nothing is applied.
+// Snapshot encodes the state of all parts. The library applies nothing meanwhile.
 func (f *fsm) Snapshot() (raft.FSMSnapshot, error) {
-	c := (*Group)(f)
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	state, err := c.machine.Snapshot()
+	g := (*Group)(f)
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	state, err := g.machine.Snapshot()
 	if err != nil {
 		return nil, err
 	}
-	c.weight = 0
-	return frozen(state), nil
+	g.logBytes = 0
+	return encodedSnapshot(state), nil
 }
 
-// Restore takes a snapshot's state, of which the parts bound the size.
+// Restore replaces the state by a snapshot's, whose size the parts bound.
 func (f *fsm) Restore(from io.ReadCloser) error {
-	c := (*Group)(f)
+	g := (*Group)(f)
 	data, err := io.ReadAll(from)
 	_ = from.Close()
 	if err != nil {
 		return err
 	}
-	c.mu.Lock()
-	defer c.news()
-	defer c.mu.Unlock()
-	if err := c.machine.Restore(data); err != nil {
-		c.log.Error("council: a snapshot was not taken", zapError(err))
+	g.mu.Lock()
+	defer g.signalApplied()
+	defer g.mu.Unlock()
+	if err := g.machine.Restore(data); err != nil {
+		g.log.Error("consensus: snapshot not restored", zapError(err))
 		return err
 	}
-	c.weight = 0
-	c.setClock()
+	g.logBytes = 0
+	g.advanceClock()
 	return nil
 }
 
-// frozen is a snapshot on its way to the disk.
-type frozen []byte
+// encodedSnapshot is a snapshot that the library writes to disk.
+type encodedSnapshot []byte
 
-func (s frozen) Persist(to raft.SnapshotSink) error {
+// Persist writes the snapshot.
+func (s encodedSnapshot) Persist(to raft.SnapshotSink) error {
 	if _, err := to.Write(s); err != nil {
 		_ = to.Cancel()
 		return err
@@ -109,4 +112,5 @@
 	return to.Close()
 }
 
-func (frozen) Release() {}
+// Release has nothing to release.
+func (encodedSnapshot) Release() {}
--- a/internal/cluster/consensus/history_test.go
+++ b/internal/cluster/consensus/history_test.go
@@ -15,9 +15,9 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// lines is a book as its writers see it: each that is written is one line further. An answer of 0 is Unsure: it may
-// have been written at any time since, or never, which as the last of all makes no difference.
-var lines = porcupine.Model{
+// recorderModel is a recorder as its writers see it: each write returns the next line number. An answer of 0 stands for
+// an UncertainError: the write may have happened at any later time, or never, which as the last of all is the same.
+var recorderModel = porcupine.Model{
 	Init: func() any { return 0 },
 	Step: func(state, _, output any) (bool, any) {
 		at := state.(int) + 1
@@ -25,34 +25,34 @@
 	},
 }
 
-// history is what writers were answered and what every process applied.
+// history is what writers were answered and what all processes applied.
 type history struct {
-	mu   sync.Mutex
-	at   map[uint64]line // by index
-	fork []string
-	ops  []porcupine.Operation
-	sure []string
+	mu         sync.Mutex
+	byIndex    map[uint64]line // by index
+	forks      []string
+	operations []porcupine.Operation
+	confirmed  []string
 }
 
 func (h *history) applied(l line) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if other, found := h.at[l.Index]; found && other != l {
-		h.fork = append(h.fork, fmt.Sprint(other, " and ", l))
+	if other, found := h.byIndex[l.Index]; found && other != l {
+		h.forks = append(h.forks, fmt.Sprint(other, " and ", l))
 	}
-	h.at[l.Index] = l
+	h.byIndex[l.Index] = l
 }
 
-// Writers go on while leaders are cut off and die: what was answered fits one order, what processes applied, before
-// and after each start, is the same at each index, what was answered is in force, and nothing is there twice.
+// Writers go on while leaders are partitioned and killed: the answers are linearizable, all processes apply the same at
+// each index, before and after restarts, each confirmed write is there, and none is there twice.
 func TestHistory(t *testing.T) {
 	f := newFleet(t)
-	h := &history{at: map[uint64]line{}}
-	f.also = h.applied
+	h := &history{byIndex: map[uint64]line{}}
+	f.onApply = h.applied
 	for i, name := range founders {
-		f.start(name, view.Zone(fmt.Sprint("z", i)), t.TempDir(), f.draw())
+		f.start(name, view.Zone(fmt.Sprint("z", i)), t.TempDir(), f.newFolderName())
 	}
-	f.show()
+	f.publishView()
 	f.leader(founders...)
 	begun := time.Now()
 	ctx, stop := context.WithCancel(t.Context())
@@ -66,32 +66,32 @@
 		})
 	}
 	cutOff := f.leader(founders...)
-	few := []view.Name{cutOff.member.Name, f.others(cutOff)[3]}
-	many := f.others(cutOff)[:3]
-	f.sever(few, many, true)
-	second := f.leader(many...)
+	minority := []view.Name{cutOff.member.Name, f.others(cutOff)[3]}
+	majority := f.others(cutOff)[:3]
+	f.setPartition(minority, majority, true)
+	second := f.leader(majority...)
 	time.Sleep(200 * time.Millisecond)
-	f.sever(few, many, false)
+	f.setPartition(minority, majority, false)
 	dead := f.kill(second.member.Name)
 	f.leader(f.names()...)
 	time.Sleep(200 * time.Millisecond)
 	f.start(dead.member.Name, dead.member.Zone, dead.folder, dead.member.Folder)
-	f.show()
+	f.publishView()
 	time.Sleep(200 * time.Millisecond)
 	stop()
 	writers.Wait()
 
-	f.until("all alike", func() bool {
+	f.waitFor("all alike", func() bool {
 		last := len(f.leader(founders...).lines())
-		for _, p := range f.all {
+		for _, p := range f.processes {
 			if len(p.lines()) != last {
 				return false
 			}
 		}
 		return true
 	})
-	if len(h.fork) > 0 || len(h.sure) < 20 {
-		t.Errorf("%d answered; forks: %v", len(h.sure), h.fork)
+	if len(h.forks) > 0 || len(h.confirmed) < 20 {
+		t.Errorf("%d answered; forks: %v", len(h.confirmed), h.forks)
 	}
 	count := map[string]int{}
 	for _, l := range f.leader(founders...).lines() {
@@ -99,21 +99,21 @@
 			t.Errorf("%s is there %d times", l.Word, count[l.Word])
 		}
 	}
-	for _, word := range h.sure {
+	for _, word := range h.confirmed {
 		if count[word] == 0 {
 			t.Errorf("%s was answered and is not there", word)
 		}
 	}
-	if verdict := porcupine.CheckOperationsTimeout(lines, h.ops, long); verdict != porcupine.Ok {
+	if verdict := porcupine.CheckOperationsTimeout(recorderModel, h.operations, testTimeout); verdict != porcupine.Ok {
 		t.Errorf("no one order fits what was answered: %v", verdict)
 	}
 }
 
-// write proposes a word once, to any that leads.
+// write proposes a word once, to any process that leads.
 func (h *history) write(f *fleet, begun time.Time, client int, word string) {
 	var leading *process
 	f.mu.Lock()
-	for _, p := range f.all {
+	for _, p := range f.processes {
 		if p.Leading() && (leading == nil || client%2 == 0) { // half of them ask the one, half the other of two
 			leading = p
 		}
@@ -127,18 +127,18 @@
 	op := porcupine.Operation{ClientId: client, Input: word, Call: int64(time.Since(begun)), Output: 0}
 	answer, err := leading.Propose(ctx, "book", "write", word)
 	op.Return = int64(time.Since(begun))
-	var unsure *Unsure
+	var uncertain *UncertainError
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	switch {
-	case errors.As(err, &unsure):
+	case errors.As(err, &uncertain):
 		op.Return = math.MaxInt64
 	case err != nil:
 		return
 	default:
 		var at int
 		_ = json.Unmarshal(answer, &at)
-		op.Output, h.sure = at, append(h.sure, word)
+		op.Output, h.confirmed = at, append(h.confirmed, word)
 	}
-	h.ops = append(h.ops, op)
+	h.operations = append(h.operations, op)
 }
--- a/internal/cluster/consensus/machine/machine.go
+++ b/internal/cluster/consensus/machine/machine.go
@@ -1,12 +1,13 @@
-// Package machine is what the council decides: commands in their order, answered by parts that are known by name.
+// Package machine is the replicated state machine of the consensus group: it passes each committed command to the part
+// that the command names.
 //
-// It is pure: the same commands at the same places give the same state and the same answers at every process. It owns
-// the order, the council's clock and the form of commands and snapshots; what a command means is its part's. It must
-// never read a clock, depend on a map's order, or end the process over a command: one that cannot be read, or is for
-// no part that is here, is answered with a Refused and changes nothing.
+// It is pure: the same commands at the same indexes give the same state and the same answers on every process. It owns
+// the group's clock and the encoding of commands and snapshots; what a command means is up to its part. It must never
+// read a clock, depend on a map's order, or end the process over a command: one that cannot be read, or that is for an
+// unknown part, is answered with a RejectedError and changes nothing.
 //
-// All processes must be given the same parts. A part that one of them lacks would be refused there and answered
-// elsewhere; its snapshot is therefore refused by name (see Restore), which shows, instead of being left out.
+// All processes must have the same parts. A process that lacked one would reject commands that the others apply; a
+// snapshot with an unknown part is therefore an error (see Restore), and not skipped.
 package machine
 
 import (
@@ -19,127 +20,135 @@
 	"time"
 )
 
-// MaxBody bounds a command's body, in bytes: a plan for some thousand destinations fits, and the council's log stays
-// small (package council says how small). Commands over it are refused before they are proposed, and here.
-const MaxBody = 256 << 10
+// MaxBodyBytes bounds a command's body: a plan for some thousand destinations fits, and the log stays small (package
+// consensus says how small). Longer commands are rejected before they are proposed, and in Apply.
+const MaxBodyBytes = 256 << 10
 
-// Part is one of the things decided in common. Implementations are pure and deterministic, and keep to their own
-// bounds. Whoever refuses a command returns an error and has changed nothing.
+// Part is one of the replicated states. Implementations are pure and deterministic, and bound their own size. One that
+// rejects a command returns an error and has changed nothing.
 type Part interface {
-	// Apply answers one command. at is the council's clock, which never goes back; index grows with each command, and
-	// has gaps.
+	// Apply applies one command and returns the answer to it. at is the group's clock, which never goes back; index
+	// grows with each command, with gaps.
 	Apply(index uint64, at time.Duration, kind string, body json.RawMessage) (json.RawMessage, error)
-	// Snapshot is the whole state; the same state gives the same bytes.
+	// Snapshot encodes the complete state; the same state gives the same bytes.
 	Snapshot() (json.RawMessage, error)
-	// Restore takes the state of a snapshot in place of its own; "null" stands for that of a new part. After an error
-	// its own state is still there.
+	// Restore replaces the state by that of a snapshot; "null" stands for the state of a new part. After an error the
+	// state is unchanged.
 	Restore(json.RawMessage) error
 }
 
-// Command is one proposal, as it travels and lies in the log.
+// Command is one proposal, as it is encoded in the log.
 type Command struct {
 	Part string          `json:"part"`
 	Kind string          `json:"kind"`
-	At   time.Duration   `json:"at"` // what the leader held the council's clock to be
+	At   time.Duration   `json:"at"` // the group's clock on the leader
 	Body json.RawMessage `json:"body,omitempty"`
 }
 
-// Refused is the answer to a command that its part, or the machine, does not take. It was decided, and changed
-// nothing: the same proposal again is refused again, as long as nothing else changes.
-type Refused struct {
+// RejectedError is the answer to a command that its part, or the machine, rejects. The command was committed and
+// changed nothing: proposed again, it is rejected again unless something else changes.
+type RejectedError struct {
 	Part, Kind string
-	Why        error
+	Cause      error
 }
 
-func (r *Refused) Error() string { return fmt.Sprintf("%s refuses %s: %v", r.Part, r.Kind, r.Why) }
-func (r *Refused) Unwrap() error { return r.Why }
+// Error names the part, the kind of command and the cause.
+func (r *RejectedError) Error() string {
+	return fmt.Sprintf("%s refuses %s: %v", r.Part, r.Kind, r.Cause)
+}
+
+// Unwrap returns the cause.
+func (r *RejectedError) Unwrap() error { return r.Cause }
 
-// Reasons of the machine's own.
+// Causes for which the machine itself rejects a command.
 var (
-	ErrUnread  = errors.New("the command cannot be read")
-	ErrUnknown = errors.New("no such part")
-	ErrLong    = fmt.Errorf("over %d bytes", MaxBody)
-	ErrBroken  = errors.New("the part failed at it")
+	ErrMalformed   = errors.New("the command cannot be read")
+	ErrUnknownPart = errors.New("no such part")
+	ErrTooLong     = fmt.Errorf("over %d bytes", MaxBodyBytes)
+	ErrPanicked    = errors.New("the part failed at it")
 )
 
-// Machine is the state. It is not safe for use by several at once.
+// Machine is the state of all parts. It is not safe for concurrent use.
 type Machine struct {
 	parts map[string]Part
-	names []string // sorted: everything that visits all parts goes by it
-	at    time.Duration
+	names []string // sorted; all parts are visited in this order
+	clock time.Duration
 	index uint64
 }
 
-// New is a machine of these parts, which are its own from here on.
+// New returns a machine of these parts, which nobody else may change from then on.
 func New(parts map[string]Part) *Machine {
 	return &Machine{parts: maps.Clone(parts), names: slices.Sorted(maps.Keys(parts))}
 }
 
-// At is the council's clock: the time since it was founded while it had a leader that proposed something, by the
-// latest command. Time while no process ran is not in it.
-func (m *Machine) At() time.Duration { return m.at }
+// Clock is the group's clock as of the latest command: the time since the bootstrap during which there was a leader.
+// Time while no process ran is not counted.
+func (m *Machine) Clock() time.Duration { return m.clock }
 
-// Index is that of the latest command.
+// Index is the log index of the latest command.
 func (m *Machine) Index() uint64 { return m.index }
 
-// Encode is a command's form in the log.
+// Encode returns a command's encoding in the log.
 func Encode(c Command) ([]byte, error) {
-	if len(c.Body) > MaxBody {
-		return nil, &Refused{c.Part, c.Kind, ErrLong}
+	if len(c.Body) > MaxBodyBytes {
+		return nil, &RejectedError{c.Part, c.Kind, ErrTooLong}
 	}
 	return json.Marshal(c)
 }
 
-// Apply answers the command at an index. The error is always a *Refused.
+// Apply applies the command at an index and returns its part's answer. The error is always a *RejectedError.
 func (m *Machine) Apply(index uint64, command []byte) (json.RawMessage, error) {
 	m.index = index
 	var c Command
 	decoder := json.NewDecoder(bytes.NewReader(command))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&c); err != nil {
-		return nil, &Refused{Why: ErrUnread}
+		return nil, &RejectedError{Cause: ErrMalformed}
 	}
-	m.at = max(m.at, c.At)
+	m.clock = max(m.clock, c.At)
 	part, known := m.parts[c.Part]
 	switch {
 	case !known:
-		return nil, &Refused{c.Part, c.Kind, ErrUnknown}
-	case len(c.Body) > MaxBody:
-		return nil, &Refused{c.Part, c.Kind, ErrLong}
+		return nil, &RejectedError{c.Part, c.Kind, ErrUnknownPart}
+	case len(c.Body) > MaxBodyBytes:
+		return nil, &RejectedError{c.Part, c.Kind, ErrTooLong}
 	}
-	answer, err := m.guarded(part, index, c)
+	answer, err := m.applyRecovered(part, index, c)
 	if err != nil {
-		return nil, &Refused{c.Part, c.Kind, err}
+		return nil, &RejectedError{c.Part, c.Kind, err}
 	}
 	return answer, nil
 }
 
-// guarded answers for a part that panics: every process would meet the same command again after each start, and none
-// would ever come up. What the part had changed by then stays, the same at each; parts check before they change.
-func (m *Machine) guarded(part Part, index uint64, c Command) (answer json.RawMessage, err error) {
+// applyRecovered has a part apply a command and recovers from its panic: otherwise every process would panic at the same
+// command after each restart, and none would ever come up. What the part had changed before the panic stays, the same on
+// all processes; parts validate before they change anything.
+func (m *Machine) applyRecovered(part Part, index uint64, c Command) (answer json.RawMessage, err error) {
 	defer func() {
 		if recover() != nil {
-			answer, err = nil, ErrBroken
+			answer, err = nil, ErrPanicked
 		}
 	}()
-	return part.Apply(index, m.at, c.Kind, c.Body)
+	return part.Apply(index, m.clock, c.Kind, c.Body)
 }
 
+// snapshot is the encoding of a Machine's state.
 type snapshot struct {
-	At    time.Duration   `json:"at"`
-	Index uint64          `json:"index"`
-	Parts []partsSnapshot `json:"parts"` // by name
+	At    time.Duration  `json:"at"`
+	Index uint64         `json:"index"`
+	Parts []partSnapshot `json:"parts"` // by name
 }
 
-type partsSnapshot struct {
+// partSnapshot is the state of one part in a snapshot.
+type partSnapshot struct {
 	Name  string          `json:"name"`
 	State json.RawMessage `json:"state"`
 }
 
-// Snapshot is the state of all parts; the same state gives the same bytes. A part that is as new ("null") is left out: a
-// process of an older program that lacks the part can read it until the part is used.
+// Snapshot encodes the state of all parts; the same state gives the same bytes. A part whose state is that of a new one
+// ("null") is omitted, so that an older program that lacks the part can read the snapshot until the part is used.
 func (m *Machine) Snapshot() ([]byte, error) {
-	all := snapshot{At: m.at, Index: m.index}
+	all := snapshot{At: m.clock, Index: m.index}
 	for _, name := range m.names {
 		state, err := m.parts[name].Snapshot()
 		if err != nil {
@@ -148,13 +157,13 @@
 		if string(state) == "null" {
 			continue
 		}
-		all.Parts = append(all.Parts, partsSnapshot{name, state})
+		all.Parts = append(all.Parts, partSnapshot{name, state})
 	}
 	return json.Marshal(all)
 }
 
-// Restore takes the state of a snapshot, of all parts or of none. A part that the snapshot lacks begins anew; one that
-// is not here is an error.
+// Restore replaces the state of all parts, or after an error of none. A part that the snapshot lacks is reset; a part
+// that only the snapshot has is an error.
 func (m *Machine) Restore(data []byte) error {
 	var all snapshot
 	if err := json.Unmarshal(data, &all); err != nil {
@@ -163,10 +172,19 @@
 	states := map[string]json.RawMessage{}
 	for _, p := range all.Parts {
 		if m.parts[p.Name] == nil {
-			return fmt.Errorf("snapshot: %s: %w", p.Name, ErrUnknown)
+			return fmt.Errorf("snapshot: %s: %w", p.Name, ErrUnknownPart)
 		}
 		states[p.Name] = p.State
 	}
+	if err := m.restoreParts(states); err != nil {
+		return err
+	}
+	m.clock, m.index = all.At, all.Index
+	return nil
+}
+
+// restoreParts restores each part to its state. If one fails, those before it get back the state that they had.
+func (m *Machine) restoreParts(states map[string]json.RawMessage) error {
 	before := make([]json.RawMessage, len(m.names))
 	for i, name := range m.names {
 		var err error
@@ -186,6 +204,5 @@
 			return fmt.Errorf("restore of %s: %w", name, err)
 		}
 	}
-	m.at, m.index = all.At, all.Index
 	return nil
 }
--- a/internal/cluster/consensus/machine/machine_test.go
+++ b/internal/cluster/consensus/machine/machine_test.go
@@ -13,12 +13,12 @@
 )
 
 // sum adds numbers up; it refuses those below zero, and panics at 13.
-type sum struct {
+type adder struct {
 	Total int           `json:"total"`
 	Last  time.Duration `json:"last"`
 }
 
-func (s *sum) Apply(_ uint64, at time.Duration, kind string, body json.RawMessage) (json.RawMessage, error) {
+func (s *adder) Apply(_ uint64, at time.Duration, kind string, body json.RawMessage) (json.RawMessage, error) {
 	n, err := strconv.Atoi(string(body))
 	switch {
 	case err != nil || kind != "add" || n < 0:
@@ -30,10 +30,10 @@
 	return json.Marshal(s.Total)
 }
 
-func (s *sum) Snapshot() (json.RawMessage, error) { return json.Marshal(s) }
+func (s *adder) Snapshot() (json.RawMessage, error) { return json.Marshal(s) }
 
-func (s *sum) Restore(state json.RawMessage) error {
-	var next sum
+func (s *adder) Restore(state json.RawMessage) error {
+	var next adder
 	if err := json.Unmarshal(state, &next); err != nil || next.Total < 0 {
 		return fmt.Errorf("state %s", state)
 	}
@@ -41,7 +41,7 @@
 	return nil
 }
 
-func two() *Machine { return New(map[string]Part{"b": &sum{}, "a": &sum{}}) }
+func newTestMachine() *Machine { return New(map[string]Part{"b": &adder{}, "a": &adder{}}) }
 
 func snapshotOf(t rapid.TB, m *Machine) string {
 	t.Helper()
@@ -54,9 +54,9 @@
 
 // The same commands, good and bad, leave two machines alike, of which one is restored from its snapshot on the way;
 // the clock never goes back, and what is refused changes no part.
-func TestAlike(t *testing.T) {
+func TestReplicasStayIdentical(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		one, other := two(), two()
+		one, other := newTestMachine(), newTestMachine()
 		total := map[string]int{}
 		for i := range rapid.IntRange(1, 30).Draw(t, "commands") {
 			part := rapid.SampledFrom([]string{"a", "b", "none"}).Draw(t, "part")
@@ -69,23 +69,23 @@
 			if rapid.IntRange(0, 9).Draw(t, "spoilt") == 0 {
 				data, n = data[:len(data)/2], -1
 			}
-			before := one.At()
+			before := one.Clock()
 			first, refused := one.Apply(uint64(i+1), data)
 			second, refusedToo := other.Apply(uint64(i+1), data)
-			if one.At() < before {
-				t.Fatalf("the clock went from %v to %v", before, one.At())
+			if one.Clock() < before {
+				t.Fatalf("the clock went from %v to %v", before, one.Clock())
 			}
 			if diff := cmp.Diff(fmt.Sprint(string(first), refused), fmt.Sprint(string(second), refusedToo)); diff != "" {
 				t.Fatal(diff)
 			}
-			var typed *Refused
+			var typed *RejectedError
 			if bad := n < 0 || n == 13 || part == "none"; bad != errors.As(refused, &typed) {
 				t.Fatalf("%s add %d: %v", part, n, refused)
 			} else if !bad {
 				total[part] += n
 			}
 			if rapid.IntRange(0, 4).Draw(t, "restored") == 0 {
-				fresh := two()
+				fresh := newTestMachine()
 				if err := fresh.Restore([]byte(snapshotOf(t, other))); err != nil {
 					t.Fatal(err)
 				}
@@ -96,7 +96,7 @@
 			}
 		}
 		for name, want := range total {
-			if got := one.parts[name].(*sum).Total; got != want {
+			if got := one.parts[name].(*adder).Total; got != want {
 				t.Fatalf("%s holds %d of %d", name, got, want)
 			}
 		}
@@ -104,8 +104,8 @@
 }
 
 // A snapshot is taken whole or not at all.
-func TestRestoreWhole(t *testing.T) {
-	m := two()
+func TestRestoreAllOrNothing(t *testing.T) {
+	m := newTestMachine()
 	if _, err := m.Apply(4, []byte(`{"part":"a","kind":"add","at":7,"body":5}`)); err != nil {
 		t.Fatal(err)
 	}
@@ -122,23 +122,23 @@
 			t.Errorf("%s: %s", name, diff)
 		}
 	}
-	if err := m.Restore([]byte(`{"at":9,"index":9}`)); err != nil || m.At() != 9 || m.parts["a"].(*sum).Total != 0 {
+	if err := m.Restore([]byte(`{"at":9,"index":9}`)); err != nil || m.Clock() != 9 || m.parts["a"].(*adder).Total != 0 {
 		t.Errorf("a part that a snapshot lacks begins anew: %v, %v", m.parts["a"], err)
 	}
-	if _, err := Encode(Command{Body: make([]byte, MaxBody+1)}); !errors.Is(err, ErrLong) {
+	if _, err := Encode(Command{Body: make([]byte, MaxBodyBytes+1)}); !errors.Is(err, ErrTooLong) {
 		t.Error(err)
 	}
 }
 
 // fresh is a part that nothing was decided of.
-type fresh struct{ sum }
+type unusedPart struct{ adder }
 
-func (*fresh) Snapshot() (json.RawMessage, error) { return json.RawMessage("null"), nil }
+func (*unusedPart) Snapshot() (json.RawMessage, error) { return json.RawMessage("null"), nil }
 
 // A process of a program without a part can read the snapshot of one that has it, as long as the part is not used.
-func TestNewPartIsLeftOut(t *testing.T) {
-	later := New(map[string]Part{"a": &sum{Total: 3}, "later": &fresh{}})
-	earlier := New(map[string]Part{"a": &sum{}})
+func TestUnusedPartIsOmittedFromSnapshot(t *testing.T) {
+	later := New(map[string]Part{"a": &adder{Total: 3}, "later": &unusedPart{}})
+	earlier := New(map[string]Part{"a": &adder{}})
 	if err := earlier.Restore([]byte(snapshotOf(t, later))); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/cluster/consensus/propose.go
+++ b/internal/cluster/consensus/propose.go
@@ -15,137 +15,160 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// NotLeader says that nothing was proposed, and who may be asked: "" where that is not known (see Ask).
-type NotLeader struct{ Leader view.Name }
+// NotLeaderError says that nothing was proposed, and who leads; "" where that is not known (see Ask).
+type NotLeaderError struct{ Leader view.Name }
 
-func (e *NotLeader) Error() string {
+// Error names the leader.
+func (e *NotLeaderError) Error() string {
 	return fmt.Sprintf("not the council's leader, which is %q", e.Leader)
 }
 
-// Unsure says that a proposal may have been decided or may yet be: there was no quorum in time, or the leader changed.
-// Whoever asks again must give its command an id of its own, by which the part knows it again.
-type Unsure struct{ Why error }
+// UncertainError says that a proposal may have been committed or may yet be: there was no quorum in time, or the leader
+// changed. A command that is to be retried must carry an id by which its part recognises it.
+type UncertainError struct{ Cause error }
 
-func (e *Unsure) Error() string { return fmt.Sprintf("may have been decided: %v", e.Why) }
-func (e *Unsure) Unwrap() error { return e.Why }
+// Error tells the cause.
+func (e *UncertainError) Error() string { return fmt.Sprintf("may have been decided: %v", e.Cause) }
 
-// ErrBusy says that nothing was proposed: too much is on its way, or the log has to be cut first.
+// Unwrap returns the cause.
+func (e *UncertainError) Unwrap() error { return e.Cause }
+
+// ErrBusy says that nothing was proposed: too many proposals are in flight, or the log has to be truncated first.
 var ErrBusy = errors.New("the council is busy; nothing was proposed")
 
-// Propose has a command decided, at the leader, and answers what its part answered. Errors are told apart: *NotLeader
-// and ErrBusy, nothing was proposed; *Unsure, it may have been decided; *machine.Refused, the part does not take it.
-func (c *Group) Propose(ctx context.Context, part, kind string, body any) (json.RawMessage, error) {
-	if !c.Leading() {
-		return nil, c.notLeader()
+// Propose has a command committed, on the leader only, and returns its part's answer. Callers distinguish the errors:
+// with *NotLeaderError and ErrBusy nothing was proposed; with *UncertainError the command may have been committed; with
+// *machine.RejectedError its part rejected it.
+func (g *Group) Propose(ctx context.Context, part, kind string, body any) (json.RawMessage, error) {
+	if !g.Leading() {
+		return nil, g.notLeaderError()
 	}
 	raw, err := json.Marshal(body)
 	if err != nil {
 		return nil, fmt.Errorf("%s %s: %w", part, kind, err)
 	}
-	command, err := machine.Encode(machine.Command{Part: part, Kind: kind, At: c.Clock(), Body: raw})
+	command, err := machine.Encode(machine.Command{Part: part, Kind: kind, At: g.Clock(), Body: raw})
 	if err != nil {
 		return nil, err
 	}
+	if err := g.reserveProposal(ctx); err != nil {
+		return nil, err
+	}
+	return g.applyCommand(ctx, command)
+}
+
+// reserveProposal takes one of the proposal slots, which applyCommand releases. It returns ErrBusy where there is none
+// before ctx ends, or the log has to be truncated first.
+func (g *Group) reserveProposal(ctx context.Context) error {
 	select {
-	case c.slots <- struct{}{}:
+	case g.proposalSlots <- struct{}{}:
 	case <-ctx.Done():
-		return nil, errors.Join(ErrBusy, ctx.Err())
+		return errors.Join(ErrBusy, ctx.Err())
 	}
-	c.mu.RLock()
-	full := c.weight > 2*c.o.logMost
-	c.mu.RUnlock()
+	g.mu.RLock()
+	full := g.logBytes > 2*g.options.maxLogBytes
+	g.mu.RUnlock()
 	if full || ctx.Err() != nil {
-		<-c.slots
-		return nil, errors.Join(ErrBusy, ctx.Err())
+		<-g.proposalSlots
+		return errors.Join(ErrBusy, ctx.Err())
 	}
-	future := c.raft.Apply(command, c.o.Heartbeat)
-	c.carry.wake()
-	answered := make(chan error, 1)
-	go func() { // ends with the decision, or when leadership is lost: the leader's lease is Heartbeat
-		defer func() { <-c.slots }()
-		answered <- future.Error()
+	return nil
+}
+
+// applyCommand appends a command to the log and waits until it was applied here, or ctx ends.
+func (g *Group) applyCommand(ctx context.Context, command []byte) (json.RawMessage, error) {
+	future := g.raft.Apply(command, g.options.HeartbeatTimeout)
+	g.transport.notifyProposed()
+	applied := make(chan error, 1)
+	go func() { // ends once the command is applied or leadership is lost, as the lease is HeartbeatTimeout
+		defer func() { <-g.proposalSlots }()
+		applied <- future.Error()
 	}()
+	var err error
 	select {
-	case err = <-answered:
+	case err = <-applied:
 	case <-ctx.Done():
-		return nil, &Unsure{ctx.Err()}
+		return nil, &UncertainError{ctx.Err()}
 	}
 	switch {
 	case err == nil:
-		o := future.Response().(outcome)
-		return o.answer, o.err
+		result := future.Response().(applyResult)
+		return result.answer, result.err
 	case errors.Is(err, raft.ErrNotLeader), errors.Is(err, raft.ErrLeadershipTransferInProgress):
-		return nil, c.notLeader()
+		return nil, g.notLeaderError()
 	case errors.Is(err, raft.ErrEnqueueTimeout):
 		return nil, ErrBusy
 	}
-	return nil, &Unsure{err}
+	return nil, &UncertainError{err}
 }
 
-func (c *Group) notLeader() error {
-	leader, _ := c.Leader()
-	if leader == c.self.Name {
-		leader = "" // elected, but not yet at the end of what was decided before
+// notLeaderError names the leader, as far as it is another server.
+func (g *Group) notLeaderError() error {
+	leader, _ := g.Leader()
+	if leader == g.self.Name {
+		leader = "" // elected, but it has not yet applied all earlier entries
 	}
-	return &NotLeader{leader}
+	return &NotLeaderError{leader}
 }
 
-// Clock is the council's clock here and now: what a command proposed now would carry. Two processes may differ by how
-// long a command was under way.
-func (c *Group) Clock() time.Duration {
-	c.mu.RLock()
-	defer c.mu.RUnlock()
-	return c.clockAt + time.Since(c.clockFrom)
+// Clock is the group's clock as this process has it, which a command proposed now would carry. Two processes may differ
+// by the time that a command took to reach one of them.
+func (g *Group) Clock() time.Duration {
+	g.mu.RLock()
+	defer g.mu.RUnlock()
+	return g.clockBase + time.Since(g.clockBaseTime)
 }
 
-// Leader is whom this process holds to lead. One that has no place in the council doesn't know: see Ask.
-func (c *Group) Leader() (view.Name, bool) {
-	_, id := c.raft.LeaderWithID()
+// Leader is the leader as far as this process knows, and whether it knows of one. A process that is no server of the
+// group does not: see Ask.
+func (g *Group) Leader() (view.Name, bool) {
+	_, id := g.raft.LeaderWithID()
 	return nameOf(id), id != ""
 }
 
-// Leading tells whether this one leads, and has applied all that was decided before it did. Where it is cut off it
-// holds so for Heartbeat at most.
-func (c *Group) Leading() bool {
-	return c.raft.State() == raft.Leader && c.ledTerm.Load() == c.raft.CurrentTerm()
+// Leading tells whether this server leads and has applied all earlier entries. One that is partitioned from the others
+// may believe so for HeartbeatTimeout at most.
+func (g *Group) Leading() bool {
+	return g.raft.State() == raft.Leader && g.leadingTerm.Load() == g.raft.CurrentTerm()
 }
 
-// Ask is whom to ask for a decision, the likeliest first: the leader; the voters; those here that hold records.
-func (c *Group) Ask() []view.Name {
+// Ask lists the processes that may lead, the likeliest first: the leader; the voters; members with records.
+func (g *Group) Ask() []view.Name {
 	var names []view.Name
-	if leader, known := c.Leader(); known {
+	if leader, known := g.Leader(); known {
 		names = append(names, leader)
 	}
-	names = append(names, c.Voters()...)
-	c.mu.RLock()
-	if c.view != nil {
-		for _, m := range c.view.Members {
+	names = append(names, g.Voters()...)
+	g.mu.RLock()
+	if g.view != nil {
+		for _, m := range g.view.Members {
 			if m.Here() && m.Voted {
 				names = append(names, m.Name)
 			}
 		}
 	}
-	c.mu.RUnlock()
+	g.mu.RUnlock()
 	var once []view.Name
 	for _, n := range names {
-		if n != c.self.Name && !slices.Contains(once, n) {
+		if n != g.self.Name && !slices.Contains(once, n) {
 			once = append(once, n)
 		}
 	}
 	return once
 }
 
-// Read lets the parts be read inside f, with the index of the latest command. f must be short and call nothing here.
-func (c *Group) Read(f func(index uint64)) {
-	c.mu.RLock()
-	defer c.mu.RUnlock()
-	f(c.machine.Index())
+// Read calls f with the index of the latest command. Parts may be read inside f, which must be short and must not call
+// methods of the Group.
+func (g *Group) Read(f func(index uint64)) {
+	g.mu.RLock()
+	defer g.mu.RUnlock()
+	f(g.machine.Index())
 }
 
-// Voters are those with a vote by the configuration known here, sorted; none where it has no place in it.
-func (c *Group) Voters() []view.Name {
+// Voters are the names of the voters in the configuration known here, sorted; none on a server outside it.
+func (g *Group) Voters() []view.Name {
 	var names []view.Name
-	configuration := c.raft.GetConfiguration()
+	configuration := g.raft.GetConfiguration()
 	if configuration.Error() != nil {
 		return nil
 	}
@@ -158,16 +181,16 @@
 	return names
 }
 
-// Voted tells whether the folder holds a council's records, as this member's view says of it (view.Member.Voted).
-func (c *Group) Voted() bool { return c.raft.LastIndex() > 0 }
+// Voted tells whether the folder holds records of a group, which is published as view.Member.Voted.
+func (g *Group) Voted() bool { return g.raft.LastIndex() > 0 }
 
-// Addr is where the council listens.
-func (c *Group) Addr() string { return c.stream.listener.Addr().String() }
+// Addr is the address on which the group listens.
+func (g *Group) Addr() string { return g.stream.listener.Addr().String() }
 
-// Traffic is how many bytes the council's connections carried here, in and out.
-func (c *Group) Traffic() (in, out uint64) { return c.stream.in.Load(), c.stream.out.Load() }
+// Traffic is the number of bytes received and sent on raft connections.
+func (g *Group) Traffic() (in, out uint64) { return g.stream.bytesIn.Load(), g.stream.bytesOut.Load() }
 
 func zapError(err error) zap.Field { return zap.NamedError("why", err) }
 
-// Term is the council's term in which this one leads, or led last; it grows with each leader.
-func (c *Group) Term() uint64 { return c.ledTerm.Load() }
+// Term is the latest term in which this server led; it grows with each leader.
+func (g *Group) Term() uint64 { return g.leadingTerm.Load() }
--- a/internal/cluster/consensus/stream.go
+++ b/internal/cluster/consensus/stream.go
@@ -17,89 +17,102 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// Words of the first exchange on a connection, which is an upgrade of HTTP/1.1. The one that is called must be the very
-// server meant, its folder included: the library's requests do not say whom they are for, and one that lost its disk
-// would otherwise answer, and vote, as what it was before.
+// The handshake of a connection is an upgrade of HTTP/1.1. The server that answers must be the very one that was
+// called, its folder included: the library's requests do not name their addressee, and a process that lost its disk
+// would otherwise answer, and vote, as the server it was before.
 const (
-	upgradeTo     = "flaxcove-council"
-	headerCluster = "Flaxcove-Cluster"
-	headerTo      = "Flaxcove-To"
-	headFor       = time.Second // for the first exchange
-	maxGreeting   = 64          // connections in their first exchange at once; more are closed
-	maxOpen       = 256         // connections past it: two to and from each of far more than ever call
+	upgradeProtocol  = "flaxcove-council"
+	headerCluster    = "Flaxcove-Cluster"
+	headerTo         = "Flaxcove-To"
+	handshakeTimeout = time.Second
+	maxHandshakes    = 64  // handshakes in progress at once; further connections are closed
+	maxConnections   = 256 // established ones: two to and two from each of more servers than there ever are
+
+	acceptRetryDelay = 50 * time.Millisecond // after the listener failed, as when file descriptors ran out
 )
 
 var (
-	errElsewhere = errors.New("not the server that was called")
-	errCut       = errors.New("cut off")
-	errMany      = errors.New("too many connections")
+	errWrongServer        = errors.New("not the server that was called")
+	errPartitioned        = errors.New("cut off")
+	errTooManyConnections = errors.New("too many connections")
 )
 
-// stream carries the library's calls over connections whose first exchange told both ends apart. It is the library's
-// StreamLayer.
+// stream carries the library's calls over connections whose handshake identified both ends. It implements
+// raft.StreamLayer.
 type stream struct {
-	listener net.Listener
-	cluster  string
-	self     raft.ServerAddress
-	reach    func(view.Name) (string, bool)
-	cut      func(view.Name) bool // Options.Cut; may be nil
-	greeted  chan net.Conn
-	greeting chan struct{}
-	ended    chan struct{}
-	end      sync.Once
-	running  sync.WaitGroup
-	in, out  atomic.Uint64 // bytes carried
-
-	mu   sync.Mutex // of its own; nothing is called under it
-	open map[*counted]bool
+	listener          net.Listener
+	cluster           string
+	self              raft.ServerAddress
+	addressOf         func(view.Name) (string, bool)
+	partitioned       func(view.Name) bool // Options.Cut; may be nil
+	handshaken        chan net.Conn        // incoming connections for Accept
+	handshakeSlots    chan struct{}
+	closed            chan struct{}
+	closeOnce         sync.Once
+	goroutines        sync.WaitGroup
+	bytesIn, bytesOut atomic.Uint64
+
+	mu          sync.Mutex // nothing is called with it held
+	connections map[*countedConn]bool
 }
 
+// listen opens the port and starts to accept connections, until Close.
 func listen(o Options, self raft.ServerAddress) (*stream, error) {
 	l, err := net.Listen("tcp", o.Listen)
 	if err != nil {
 		return nil, err
 	}
-	s := &stream{listener: l, cluster: o.Cluster, self: self, reach: o.Reach, cut: o.Cut, greeted: make(chan net.Conn),
-		greeting: make(chan struct{}, maxGreeting), ended: make(chan struct{}), open: map[*counted]bool{}}
-	s.running.Add(1)
-	go s.accept()
+	s := &stream{
+		listener:       l,
+		cluster:        o.Cluster,
+		self:           self,
+		addressOf:      o.Reach,
+		partitioned:    o.Cut,
+		handshaken:     make(chan net.Conn),
+		handshakeSlots: make(chan struct{}, maxHandshakes),
+		closed:         make(chan struct{}),
+		connections:    map[*countedConn]bool{},
+	}
+	s.goroutines.Add(1)
+	go s.acceptLoop()
 	return s, nil
 }
 
-func (s *stream) accept() {
-	defer s.running.Done()
+// acceptLoop starts a handshake for each incoming connection, in a goroutine that ends within handshakeTimeout.
+func (s *stream) acceptLoop() {
+	defer s.goroutines.Done()
 	for {
 		conn, err := s.listener.Accept()
 		if err != nil {
 			select {
-			case <-s.ended:
+			case <-s.closed:
 				return
-			case <-time.After(50 * time.Millisecond): // out of descriptors, or the like
+			case <-time.After(acceptRetryDelay):
 			}
 			continue
 		}
 		select {
-		case s.greeting <- struct{}{}:
-			s.running.Add(1)
-			go s.greet(conn)
+		case s.handshakeSlots <- struct{}{}:
+			s.goroutines.Add(1)
+			go s.handshake(conn)
 		default:
 			_ = conn.Close()
 		}
 	}
 }
 
-// greet answers the first exchange and hands the connection on.
-func (s *stream) greet(conn net.Conn) {
-	defer s.running.Done()
-	_ = conn.SetDeadline(time.Now().Add(headFor))
+// handshake answers the caller's upgrade request and passes the connection on to Accept.
+func (s *stream) handshake(conn net.Conn) {
+	defer s.goroutines.Done()
+	_ = conn.SetDeadline(time.Now().Add(handshakeTimeout))
 	request, err := http.ReadRequest(bufio.NewReader(conn))
-	<-s.greeting
-	if err != nil || request.Header.Get("Upgrade") != upgradeTo {
+	<-s.handshakeSlots
+	if err != nil || request.Header.Get("Upgrade") != upgradeProtocol {
 		_ = conn.Close()
 		return
 	}
 	answer := http.Response{ProtoMajor: 1, ProtoMinor: 1, StatusCode: http.StatusSwitchingProtocols,
-		Header: http.Header{"Upgrade": {upgradeTo}, "Connection": {"Upgrade"}}}
+		Header: http.Header{"Upgrade": {upgradeProtocol}, "Connection": {"Upgrade"}}}
 	if request.Header.Get(headerCluster) != s.cluster || request.Header.Get(headerTo) != string(s.self) {
 		answer.StatusCode = http.StatusMisdirectedRequest
 	}
@@ -108,143 +121,160 @@
 		return
 	}
 	_ = conn.SetDeadline(time.Time{})
-	kept, err := s.keep(conn, "")
+	tracked, err := s.track(conn, "")
 	if err != nil {
 		return
 	}
 	select {
-	case s.greeted <- kept:
-	case <-s.ended:
-		_ = kept.Close()
+	case s.handshaken <- tracked:
+	case <-s.closed:
+		_ = tracked.Close()
 	}
 }
 
-// keep counts a connection in, which ends with the stream at the latest.
-func (s *stream) keep(conn net.Conn, peer view.Name) (*counted, error) {
+// track registers a connection, which Close ends at the latest. It closes one that is not taken.
+func (s *stream) track(conn net.Conn, peer view.Name) (*countedConn, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	select {
-	case <-s.ended:
+	case <-s.closed:
 		_ = conn.Close()
 		return nil, net.ErrClosed
 	default:
 	}
-	if len(s.open) >= maxOpen {
+	if len(s.connections) >= maxConnections {
 		_ = conn.Close()
-		return nil, errMany
+		return nil, errTooManyConnections
 	}
-	c := &counted{conn, s, peer}
-	s.open[c] = true
+	c := &countedConn{conn, s, peer}
+	s.connections[c] = true
 	return c, nil
 }
 
-// drop closes all connections; calls on them fail, and are made anew.
-func (s *stream) drop() {
+// closeConnections closes all connections; calls on them fail, and the library makes new ones.
+func (s *stream) closeConnections() {
 	s.mu.Lock()
-	open := slices.Collect(maps.Keys(s.open))
+	connections := slices.Collect(maps.Keys(s.connections))
 	s.mu.Unlock()
-	for _, c := range open {
+	for _, c := range connections {
 		_ = c.Close()
 	}
 }
 
-// Dial calls the server at an address, which is its ID: a name and the folder that it must still have.
+// Dial connects to the server at an address, which is its ID: its name and the folder that it must still have.
 func (s *stream) Dial(address raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
 	peer := nameOf(raft.ServerID(address))
-	to, found := s.reach(peer)
-	if !found || s.lost(peer) {
+	hostPort, found := s.addressOf(peer)
+	if !found || s.isPartitioned(peer) {
 		return nil, fmt.Errorf("%s: no way there", address)
 	}
-	conn, err := net.DialTimeout("tcp", to, timeout)
+	conn, err := net.DialTimeout("tcp", hostPort, timeout)
 	if err != nil {
 		return nil, err
 	}
-	_ = conn.SetDeadline(time.Now().Add(min(timeout, headFor)))
-	request, err := http.NewRequest(http.MethodGet, "http://"+to+"/", nil)
-	if err != nil {
+	_ = conn.SetDeadline(time.Now().Add(min(timeout, handshakeTimeout)))
+	if err := s.requestUpgrade(conn, hostPort, address); err != nil {
 		_ = conn.Close()
 		return nil, err
 	}
-	request.Header.Set("Upgrade", upgradeTo)
+	_ = conn.SetDeadline(time.Time{})
+	tracked, err := s.track(conn, peer)
+	if err != nil {
+		return nil, err
+	}
+	return tracked, nil
+}
+
+// requestUpgrade makes the caller's side of the handshake.
+func (s *stream) requestUpgrade(conn net.Conn, hostPort string, address raft.ServerAddress) error {
+	request, err := http.NewRequest(http.MethodGet, "http://"+hostPort+"/", nil)
+	if err != nil {
+		return err
+	}
+	request.Header.Set("Upgrade", upgradeProtocol)
 	request.Header.Set("Connection", "Upgrade")
 	request.Header.Set(headerCluster, s.cluster)
 	request.Header.Set(headerTo, string(address))
-	if err = request.Write(conn); err == nil {
-		// The other end says nothing past its answer before it is called: the reader holds back nothing of what follows.
-		var answer *http.Response
-		if answer, err = http.ReadResponse(bufio.NewReader(conn), request); err == nil &&
-			answer.StatusCode != http.StatusSwitchingProtocols {
-			err = fmt.Errorf("%s: %w", address, errElsewhere)
-		}
+	if err := request.Write(conn); err != nil {
+		return err
 	}
+	// The other end sends nothing after its answer until it is called, so the reader buffers nothing that follows.
+	answer, err := http.ReadResponse(bufio.NewReader(conn), request)
 	if err != nil {
-		_ = conn.Close()
-		return nil, err
+		return err
 	}
-	_ = conn.SetDeadline(time.Time{})
-	kept, err := s.keep(conn, peer)
-	if err != nil {
-		return nil, err
+	if answer.StatusCode != http.StatusSwitchingProtocols {
+		return fmt.Errorf("%s: %w", address, errWrongServer)
 	}
-	return kept, nil
+	return nil
 }
 
-// Accept is the next connection whose first exchange is done.
+// Accept returns the next incoming connection whose handshake is done.
 func (s *stream) Accept() (net.Conn, error) {
 	select {
-	case conn := <-s.greeted:
+	case conn := <-s.handshaken:
 		return conn, nil
-	case <-s.ended:
+	case <-s.closed:
 		return nil, net.ErrClosed
 	}
 }
 
+// Close closes the listener and all connections.
 func (s *stream) Close() error {
 	var err error
-	s.end.Do(func() {
-		close(s.ended)
+	s.closeOnce.Do(func() {
+		close(s.closed)
 		err = s.listener.Close()
-		s.drop()
+		s.closeConnections()
 	})
 	return err
 }
 
-func (s *stream) Addr() net.Addr { return address(s.self) }
+// Addr is this server's address: its ID.
+func (s *stream) Addr() net.Addr { return streamAddr(s.self) }
 
-// address is a server's, which is its ID.
-type address string
+// streamAddr is the address of a server: its ID.
+type streamAddr string
 
-func (address) Network() string  { return "council" }
-func (a address) String() string { return string(a) }
+// Network names the kind of address.
+func (streamAddr) Network() string { return "council" }
 
-// counted counts what a connection carries.
-type counted struct {
+// String is the server's ID.
+func (a streamAddr) String() string { return string(a) }
+
+// countedConn counts the bytes that a connection carries.
+type countedConn struct {
 	net.Conn
-	of   *stream
-	peer view.Name // whom it was dialled to; "" where the other end dialled
+	stream *stream
+	peer   view.Name // who was dialled; "" for an incoming connection
 }
 
-// lost tells whether a laboratory has cut a process off.
-func (s *stream) lost(peer view.Name) bool { return s.cut != nil && peer != "" && s.cut(peer) }
+// isPartitioned tells whether a test has cut the link to a process (Options.Cut).
+func (s *stream) isPartitioned(peer view.Name) bool {
+	return s.partitioned != nil && peer != "" && s.partitioned(peer)
+}
 
-func (c *counted) Read(p []byte) (int, error) {
+// Read reads and counts.
+func (c *countedConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	c.of.in.Add(uint64(max(n, 0)))
+	c.stream.bytesIn.Add(uint64(max(n, 0)))
 	return n, err
 }
 
-func (c *counted) Write(p []byte) (int, error) {
-	if c.of.lost(c.peer) {
-		return 0, errCut
+// Write writes and counts. It fails where the link is cut.
+func (c *countedConn) Write(p []byte) (int, error) {
+	if c.stream.isPartitioned(c.peer) {
+		return 0, errPartitioned
 	}
 	n, err := c.Conn.Write(p)
-	c.of.out.Add(uint64(max(n, 0)))
+	c.stream.bytesOut.Add(uint64(max(n, 0)))
 	return n, err
 }
 
-func (c *counted) Close() error {
-	c.of.mu.Lock()
-	delete(c.of.open, c)
-	c.of.mu.Unlock()
+// Close closes the connection and unregisters it.
+func (c *countedConn) Close() error {
+	c.stream.mu.Lock()
+	delete(c.stream.connections, c)
+	c.stream.mu.Unlock()
 	return c.Conn.Close()
 }
--- a/internal/cluster/consensus/voters/voters.go
+++ b/internal/cluster/consensus/voters/voters.go
@@ -1,15 +1,16 @@
-// Package voters says which single change of the council's voters comes next, if any.
+// Package voters works out the next single change of the consensus group's voters, if one is due.
 //
-// It is pure: it knows the configuration in force, how long each of its servers has been out of the leader's reach, and
-// the view. Its promises:
+// It is pure: its input is the current configuration, how long each server has not answered the leader, and the view.
+// What it guarantees:
 //
-//   - Never a change after which those that are reached are no majority of the voters; nothing at all without one now.
+//   - After a change the reachable voters are a majority; without a majority now there is no change at all.
 //   - One change at a time, each worked out anew from the configuration that the last one left.
-//   - At most Rule.Most voters. Only who is here and is reached gets a vote, and only once it has caught up.
-//   - Nobody that is reached loses its vote, but to one that spreads the votes better while every voter is reached.
-//   - A process that lost its disk is another server: the old one is replaced, and is never reached under its name.
+//   - At most Rule.MaxVoters voters. A server gets a vote only if it is alive by the view, reachable and caught up.
+//   - A reachable voter loses its vote only to a server that spreads the votes better, and only while all voters are
+//     reachable.
+//   - A process that lost its disk is a different server: the old one is replaced, and never counts as reachable.
 //
-// It must never count a server as reached because the view says so: only the leader's own calls tell.
+// It must never count a server as reachable because the view says so: only the leader's own calls tell.
 package voters
 
 import (
@@ -20,37 +21,38 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// Rule is what the owner may set.
+// Rule is the limits that a change must keep.
 type Rule struct {
-	Most    int           // voters at most
-	DeadFor time.Duration // out of reach, and not here by the view, for so long: dead for good
-	Silent  time.Duration // out of reach for so long: not counted as reached
+	MaxVoters        int
+	DeadAfter        time.Duration // a server silent for so long, and not in the view, counts as dead
+	UnreachableAfter time.Duration // a server silent for so long counts as unreachable
 }
 
-// ID is one server: a name with the folder that holds its records. The same name with another folder is another.
+// ID identifies a server: a name and the folder that holds its records. The same name with another folder is another
+// server.
 type ID struct {
 	Name   view.Name
 	Folder string
 }
 
-// Server is one of the configuration, as the leader knows it.
+// Server is one server of the configuration, as the leader knows it.
 type Server struct {
 	ID
-	Vote     bool
-	Silence  time.Duration // since the leader last had an answer of it; 0 for the leader itself
-	CaughtUp bool          // it holds all that was decided when last it answered
+	Voter     bool
+	SilentFor time.Duration // since it last answered the leader; 0 for the leader itself
+	CaughtUp  bool          // its latest answer had all committed entries
 }
 
 // Kind is what a change does.
 type Kind uint8
 
 const (
-	Stage   Kind = iota + 1 // add it without a vote, so that it catches up
-	Promote                 // give a staged one its vote
-	Remove                  // take it out
+	Stage   Kind = iota + 1 // add a server as nonvoter, so that it catches up
+	Promote                 // make a staged server a voter
+	Remove                  // remove a server
 )
 
-// Change is one step.
+// Change is one change of the configuration.
 type Change struct {
 	Kind
 	ID
@@ -61,168 +63,170 @@
 	Leader  ID
 	Servers []Server
 	View    *view.View
-	Passed  map[ID]bool // not to be staged now: it did not catch up lately
+	Skipped map[ID]bool // servers not to be staged now, as they recently did not catch up
 }
 
-type input struct {
+// planner works out one change.
+type planner struct {
 	State
-	rule    Rule
-	voters  []Server
-	staged  []Server
-	reached int // voters
+	rule            Rule
+	voters          []Server
+	staged          []Server // nonvoters
+	reachableVoters int
 }
 
-// Next is the change that comes next.
+// Next returns the change that is due, and whether there is one.
 func Next(s State, rule Rule) (Change, bool) {
-	in := input{State: s, rule: rule}
+	p := planner{State: s, rule: rule}
 	for _, server := range slices.SortedFunc(slices.Values(s.Servers), func(a, b Server) int {
 		return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Folder, b.Folder))
 	}) {
 		switch {
-		case !server.Vote:
-			in.staged = append(in.staged, server)
+		case !server.Voter:
+			p.staged = append(p.staged, server)
 			continue
-		case in.reaches(server):
-			in.reached++
+		case p.reachable(server):
+			p.reachableVoters++
 		}
-		in.voters = append(in.voters, server)
+		p.voters = append(p.voters, server)
 	}
-	if !majority(in.reached, len(in.voters)) {
+	if !majority(p.reachableVoters, len(p.voters)) {
 		return Change{}, false
 	}
-	leaves, goes := in.outgoing()
-	comes, found := in.incoming(leaves, goes)
-	for _, server := range in.staged {
-		if !found || server.ID != comes.ID {
+	outgoing, hasOutgoing := p.voterToReplace()
+	incoming, hasIncoming := p.bestCandidate(outgoing, hasOutgoing)
+	for _, server := range p.staged {
+		if !hasIncoming || server.ID != incoming.ID {
 			return Change{Remove, server.ID}, true
 		}
 	}
 	switch {
-	case found && len(in.staged) == 0:
-		return Change{Stage, comes.ID}, true
-	case found && !in.staged[0].CaughtUp:
+	case hasIncoming && len(p.staged) == 0:
+		return Change{Stage, incoming.ID}, true
+	case hasIncoming && !p.staged[0].CaughtUp:
 		return Change{}, false
-	case goes && (found || in.betterWithout()) && in.safeWithout(leaves):
-		return Change{Remove, leaves}, true
-	case found && !goes && len(in.voters) < rule.Most:
-		return Change{Promote, comes.ID}, true
+	case hasOutgoing && (hasIncoming || p.betterWithout()) && p.safeWithout(outgoing):
+		return Change{Remove, outgoing}, true
+	case hasIncoming && !hasOutgoing && len(p.voters) < rule.MaxVoters:
+		return Change{Promote, incoming.ID}, true
 	}
 	return Change{}, false
 }
 
 func majority(reached, of int) bool { return reached > of/2 }
 
-func (in *input) reaches(s Server) bool {
-	return s.ID == in.Leader || s.Silence < in.rule.Silent && !in.replaced(s.ID)
+// reachable tells whether a server answers the leader.
+func (p *planner) reachable(s Server) bool {
+	return s.ID == p.Leader || s.SilentFor < p.rule.UnreachableAfter && !p.replaced(s.ID)
 }
 
-// replaced tells whether a name is here with another folder, so that this server will never be again.
-func (in *input) replaced(id ID) bool {
-	m, found := in.View.Find(id.Name)
+// replaced tells whether a server's name is in the view with another folder, so that the server will never come back.
+func (p *planner) replaced(id ID) bool {
+	m, found := p.View.Find(id.Name)
 	return found && m.Here() && m.Folder != id.Folder
 }
 
-// dead tells whether a server is dead for good. One that is here by the view but out of reach is not: the link may be.
-func (in *input) dead(s Server) bool {
-	if s.ID == in.Leader {
+// isDead tells whether a server counts as dead. One that is silent but in the view does not: it may be the link's fault.
+func (p *planner) isDead(s Server) bool {
+	if s.ID == p.Leader {
 		return false
 	}
-	if in.replaced(s.ID) {
+	if p.replaced(s.ID) {
 		return true
 	}
-	m, found := in.View.Find(s.Name)
-	return s.Silence >= in.rule.DeadFor && (!found || !m.Here())
+	m, found := p.View.Find(s.Name)
+	return s.SilentFor >= p.rule.DeadAfter && (!found || !m.Here())
 }
 
-// safeWithout tells whether those reached are a majority of the voters without this one.
-func (in *input) safeWithout(id ID) bool {
-	reached := in.reached
-	for _, v := range in.voters {
-		if v.ID == id && in.reaches(v) {
+// safeWithout tells whether the reachable voters are a majority once this one is removed.
+func (p *planner) safeWithout(id ID) bool {
+	reached := p.reachableVoters
+	for _, v := range p.voters {
+		if v.ID == id && p.reachable(v) {
 			reached--
 		}
 	}
-	return majority(reached, len(in.voters)-1)
+	return majority(reached, len(p.voters)-1)
 }
 
-// betterWithout tells whether a dead voter is worth removing though none stands in: an odd number bears as many losses
-// as the even one above it, and two dead ones less bear one more.
-func (in *input) betterWithout() bool {
+// betterWithout tells whether a dead voter should be removed even though there is no replacement: an odd number of
+// voters tolerates as many failures as the even number above it, and without two dead voters it tolerates one more.
+func (p *planner) betterWithout() bool {
 	dead := 0
-	for _, v := range in.voters {
-		if in.dead(v) {
+	for _, v := range p.voters {
+		if p.isDead(v) {
 			dead++
 		}
 	}
-	return dead > 1 || len(in.voters)%2 == 0
+	return dead > 1 || len(p.voters)%2 == 0
 }
 
-// outgoing is the voter to be replaced: one dead for good; one too many; or one whose place spreads the votes worse
-// than another would.
-func (in *input) outgoing() (ID, bool) {
-	for _, v := range in.voters {
-		if in.dead(v) {
+// voterToReplace is a dead voter; else the worst placed of too many voters; else one whose replacement by the best
+// candidate spreads the votes better.
+func (p *planner) voterToReplace() (ID, bool) {
+	for _, v := range p.voters {
+		if p.isDead(v) {
 			return v.ID, true
 		}
 	}
-	if in.reached < len(in.voters) || len(in.voters) < in.target() {
+	if p.reachableVoters < len(p.voters) || len(p.voters) < p.targetVoters() {
 		return ID{}, false
 	}
 	var worst ID
-	var least spread
-	for _, v := range in.voters {
-		if v.ID == in.Leader { // its removal costs an election
+	var least cost
+	for _, v := range p.voters {
+		if v.ID == p.Leader { // removing the leader would cost an election
 			continue
 		}
-		if s := in.spreadOf(in.without(v.ID)); worst == (ID{}) || s.less(least) {
+		if s := p.placementCost(p.votersWithout(v.ID)); worst == (ID{}) || s.less(least) {
 			worst, least = v.ID, s
 		}
 	}
 	if worst == (ID{}) {
 		return ID{}, false
 	}
-	if len(in.voters) > in.rule.Most {
+	if len(p.voters) > p.rule.MaxVoters {
 		return worst, true
 	}
-	comes, found := in.incoming(worst, true)
+	candidate, found := p.bestCandidate(worst, true)
 	if !found {
 		return ID{}, false
 	}
-	if !in.spreadOf(append(in.without(worst), comes)).less(in.spreadOf(in.without(ID{}))) {
+	if !p.placementCost(append(p.votersWithout(worst), candidate)).less(p.placementCost(p.votersWithout(ID{}))) {
 		return ID{}, false
 	}
 	return worst, true
 }
 
-// target is how many voters there should be: the largest odd number that those who may vote make up.
-func (in *input) target() int {
+// targetVoters is how many voters there should be: the largest odd number of servers that can vote, up to MaxVoters.
+func (p *planner) targetVoters() int {
 	able := 0
-	for _, v := range in.voters {
-		if !in.dead(v) {
+	for _, v := range p.voters {
+		if !p.isDead(v) {
 			able++
 		}
 	}
-	able += len(in.candidates())
-	n := min(able, in.rule.Most)
+	able += len(p.candidates())
+	n := min(able, p.rule.MaxVoters)
 	if n%2 == 0 {
 		n--
 	}
 	return n
 }
 
-// candidates are those that are here, have a council's transport and no vote.
-func (in *input) candidates() []view.Member {
+// candidates are the members that are alive, take part in raft and have no vote.
+func (p *planner) candidates() []view.Member {
 	var able []view.Member
-	for _, m := range in.View.Members {
+	for _, m := range p.View.Members {
 		id := ID{m.Name, m.Folder}
-		if m.State != view.Alive || m.Raft == "" || m.Folder == "" || in.Passed[id] {
+		if m.State != view.Alive || m.Raft == "" || m.Folder == "" || p.Skipped[id] {
 			continue
 		}
-		holds := func(s Server) bool { return s.ID == id }
-		if slices.ContainsFunc(in.voters, holds) {
+		sameID := func(s Server) bool { return s.ID == id }
+		if slices.ContainsFunc(p.voters, sameID) {
 			continue
 		}
-		if i := slices.IndexFunc(in.staged, holds); i >= 0 && !in.reaches(in.staged[i]) {
+		if i := slices.IndexFunc(p.staged, sameID); i >= 0 && !p.reachable(p.staged[i]) {
 			continue
 		}
 		able = append(able, m)
@@ -230,63 +234,66 @@
 	return able
 }
 
-// incoming is who gets a vote next: the one that spreads them best, the large before the small, then by name.
-func (in *input) incoming(leaves ID, goes bool) (member, bool) {
-	kept := in.without(leaves)
-	if len(in.voters) > in.rule.Most || !goes && len(in.voters) >= in.target() {
-		return member{}, false
+// bestCandidate is the server to get a vote next: the one that spreads the votes best, then the larger, then by name.
+func (p *planner) bestCandidate(outgoing ID, hasOutgoing bool) (placedServer, bool) {
+	remaining := p.votersWithout(outgoing)
+	if len(p.voters) > p.rule.MaxVoters || !hasOutgoing && len(p.voters) >= p.targetVoters() {
+		return placedServer{}, false
 	}
-	var best member
-	var least spread
+	var best placedServer
+	var least cost
 	found := false
-	for _, m := range in.candidates() {
-		c := member{ID{m.Name, m.Folder}, m.Zone, m.Region, m.Size}
-		if s := in.spreadOf(append(slices.Clone(kept), c)); !found || s.less(least) {
+	for _, m := range p.candidates() {
+		c := placedServer{ID{m.Name, m.Folder}, m.Zone, m.Region, m.Size}
+		if s := p.placementCost(append(slices.Clone(remaining), c)); !found || s.less(least) {
 			best, least, found = c, s, true
 		}
 	}
 	return best, found
 }
 
-type member struct {
+// placedServer is a server with what decides how well it is placed.
+type placedServer struct {
 	ID
 	zone   view.Zone
 	region view.Region
 	size   view.Size
 }
 
-// without are the voters but one. What the view does not know is in a place of its own.
-func (in *input) without(id ID) []member {
-	var rest []member
-	for _, v := range in.voters {
+// votersWithout are all voters but one. A voter that is not in the view has an empty zone and region.
+func (p *planner) votersWithout(id ID) []placedServer {
+	var rest []placedServer
+	for _, v := range p.voters {
 		if v.ID == id {
 			continue
 		}
-		m, _ := in.View.Find(v.Name)
-		rest = append(rest, member{v.ID, m.Zone, m.Region, m.Size})
+		m, _ := p.View.Find(v.Name)
+		rest = append(rest, placedServer{v.ID, m.Zone, m.Region, m.Size})
 	}
 	return rest
 }
 
-// spread is how badly votes are spread: pairs in one region, pairs in one zone, votes of small ones. Less is better.
-type spread struct{ regions, zones, small int }
+// cost is how badly votes are spread: pairs in the same region, pairs in the same zone, and votes of small processes,
+// compared in this order. Less is better.
+type cost struct{ sameRegion, sameZone, small int }
 
-func (s spread) less(o spread) bool {
-	return cmp.Or(cmp.Compare(s.regions, o.regions), cmp.Compare(s.zones, o.zones), cmp.Compare(s.small, o.small)) < 0
+func (s cost) less(o cost) bool {
+	return cmp.Or(cmp.Compare(s.sameRegion, o.sameRegion), cmp.Compare(s.sameZone, o.sameZone), cmp.Compare(s.small, o.small)) < 0
 }
 
-func (in *input) spreadOf(all []member) spread {
-	var s spread
+// placementCost is the cost of a set of voters.
+func (p *planner) placementCost(all []placedServer) cost {
+	var s cost
 	for i, a := range all {
 		if a.size == view.Small {
 			s.small++
 		}
 		for _, b := range all[:i] {
 			if a.region == b.region {
-				s.regions++
+				s.sameRegion++
 			}
 			if a.zone == b.zone {
-				s.zones++
+				s.sameZone++
 			}
 		}
 	}
--- a/internal/cluster/consensus/voters/voters_test.go
+++ b/internal/cluster/consensus/voters/voters_test.go
@@ -11,18 +11,18 @@
 	"flaxcove/internal/cluster/view"
 )
 
-var rule = Rule{Most: 5, DeadFor: time.Minute, Silent: time.Second}
+var rule = Rule{MaxVoters: 5, DeadAfter: time.Minute, UnreachableAfter: time.Second}
 
-// world is a fleet in which processes die, return and lose their disks, and a council that does what Next says.
-type world struct {
+// simulation is a fleet in which processes die, return and lose their disks, and a group that makes Next's changes.
+type simulation struct {
 	members map[view.Name]*view.Member
 	silence map[ID]time.Duration
 	servers []Server
 	leader  ID
 }
 
-func newWorld(t *rapid.T) *world {
-	w := &world{members: map[view.Name]*view.Member{}, silence: map[ID]time.Duration{}}
+func newSimulation(t *rapid.T) *simulation {
+	w := &simulation{members: map[view.Name]*view.Member{}, silence: map[ID]time.Duration{}}
 	zones := rapid.IntRange(1, 6).Draw(t, "zones")
 	for i := range rapid.IntRange(1, 12).Draw(t, "processes") {
 		zone := rapid.IntRange(0, zones-1).Draw(t, "zone")
@@ -32,13 +32,13 @@
 			Size: rapid.SampledFrom([]view.Size{view.Large, view.Small}).Draw(t, "size")}
 	}
 	for _, name := range w.names()[:min(len(w.members), rapid.SampledFrom([]int{1, 3, 5}).Draw(t, "founders"))] {
-		w.servers = append(w.servers, Server{ID: ID{name, "1"}, Vote: true, CaughtUp: true})
+		w.servers = append(w.servers, Server{ID: ID{name, "1"}, Voter: true, CaughtUp: true})
 	}
 	w.leader = w.servers[0].ID
 	return w
 }
 
-func (w *world) names() (names []view.Name) {
+func (w *simulation) names() (names []view.Name) {
 	for name := range w.members {
 		names = append(names, name)
 	}
@@ -46,7 +46,7 @@
 	return names
 }
 
-func (w *world) view() *view.View {
+func (w *simulation) view() *view.View {
 	var all []view.Member
 	for _, m := range w.members {
 		all = append(all, *m)
@@ -54,15 +54,15 @@
 	return view.Make(w.leader.Name, 1, all)
 }
 
-func (w *world) up(id ID) bool {
+func (w *simulation) up(id ID) bool {
 	m := w.members[id.Name]
 	return m.State == view.Alive && m.Folder == id.Folder
 }
 
-// counts are the voters and those of them that are up.
-func (w *world) counts() (up, of int) {
+// counts returns how many voters are up, and how many there are.
+func (w *simulation) counts() (up, of int) {
 	for _, s := range w.servers {
-		if s.Vote {
+		if s.Voter {
 			of++
 			if w.up(s.ID) {
 				up++
@@ -72,25 +72,25 @@
 	return up, of
 }
 
-// elect has some voter that is up lead, if there is one; it tells whether the library would have it lead.
-func (w *world) elect() bool {
+// elect makes a voter that is up the leader, if there is one, and returns whether there is a majority for it.
+func (w *simulation) elect() bool {
 	for _, s := range w.servers {
-		if s.Vote && w.up(s.ID) && !w.up(w.leader) {
+		if s.Voter && w.up(s.ID) && !w.up(w.leader) {
 			w.leader = s.ID
 		}
 	}
 	for i := range w.servers {
-		w.servers[i].Silence = 0
+		w.servers[i].SilentFor = 0
 		if !w.up(w.servers[i].ID) {
-			w.servers[i].Silence = w.silence[w.servers[i].ID]
+			w.servers[i].SilentFor = w.silence[w.servers[i].ID]
 		}
 	}
 	up, of := w.counts()
 	return up > of/2
 }
 
-// step does what Next says, and checks all that is promised of one change.
-func (w *world) step(t *rapid.T) bool {
+// step makes the change that Next returns, and checks everything guaranteed of a change.
+func (w *simulation) step(t *rapid.T) bool {
 	leads := w.elect()
 	if !w.up(w.leader) {
 		return false
@@ -111,27 +111,27 @@
 		}
 		w.servers = append(w.servers, Server{ID: change.ID})
 	case change.Kind == Promote:
-		if i < 0 || w.servers[i].Vote || !w.servers[i].CaughtUp || !w.up(change.ID) {
+		if i < 0 || w.servers[i].Voter || !w.servers[i].CaughtUp || !w.up(change.ID) {
 			t.Fatalf("%v is given a vote", change.ID)
 		}
-		w.servers[i].Vote = true
+		w.servers[i].Voter = true
 	case i < 0 || change.ID == w.leader:
 		t.Fatalf("%v is taken out", change.ID)
 	default:
 		up, of := w.counts()
-		if w.servers[i].Vote && w.up(change.ID) && up < of {
+		if w.servers[i].Voter && w.up(change.ID) && up < of {
 			t.Fatalf("%v loses its vote while another is away", change.ID)
 		}
 		w.servers = slices.Delete(w.servers, i, i+1)
 	}
-	if up, of := w.counts(); up <= of/2 || of > rule.Most {
+	if up, of := w.counts(); up <= of/2 || of > rule.MaxVoters {
 		t.Fatalf("%d of %d voters are up after %v", up, of, change)
 	}
 	return true
 }
 
-// settle lets all staged catch up until nothing more is due, which must come.
-func (w *world) settle(t *rapid.T) {
+// settle lets all staged servers catch up until no more change is due, which must come.
+func (w *simulation) settle(t *rapid.T) {
 	for n := 0; ; n++ {
 		if n > 100 {
 			t.Fatalf("no end of changes: %v", w.servers)
@@ -147,7 +147,7 @@
 
 func TestVoters(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
+		w := newSimulation(t)
 		pick := func(t *rapid.T) *view.Member { return w.members[rapid.SampledFrom(w.names()).Draw(t, "who")] }
 		t.Repeat(map[string]func(*rapid.T){
 			"step": func(t *rapid.T) { w.step(t) },
@@ -159,17 +159,17 @@
 			"die": func(t *rapid.T) {
 				m := pick(t)
 				m.State = rapid.SampledFrom([]view.State{view.Dead, view.Left}).Draw(t, "how")
-				w.silence[ID{m.Name, m.Folder}] = 2 * rule.Silent
+				w.silence[ID{m.Name, m.Folder}] = 2 * rule.UnreachableAfter
 				for id, silence := range w.silence { // what the name was before as well
 					if id.Name == m.Name {
-						w.silence[id] = max(silence, 2*rule.Silent)
+						w.silence[id] = max(silence, 2*rule.UnreachableAfter)
 					}
 				}
 			},
 			"for good": func(t *rapid.T) {
 				for id := range w.silence {
 					if !w.up(id) {
-						w.silence[id] = rule.DeadFor
+						w.silence[id] = rule.DeadAfter
 					}
 				}
 			},
@@ -182,7 +182,7 @@
 			},
 			"settle": func(t *rapid.T) { w.settle(t) },
 			"": func(t *rapid.T) {
-				if _, of := w.counts(); of > rule.Most {
+				if _, of := w.counts(); of > rule.MaxVoters {
 					t.Fatal(of)
 				}
 			},
@@ -197,7 +197,7 @@
 		}
 		w.settle(t)
 		up, of := w.counts()
-		want := min(len(w.members), rule.Most)
+		want := min(len(w.members), rule.MaxVoters)
 		if up != of || of != want && (want%2 != 0 || of != want-1) {
 			t.Fatalf("%d of %d voters are up, of %d processes: %v", up, of, len(w.members), w.servers)
 		}
@@ -207,7 +207,7 @@
 // Five of twelve in six zones of three regions: two, two and one by region, and no zone twice.
 func TestSpread(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
+		w := newSimulation(t)
 		w.members = map[view.Name]*view.Member{}
 		order := rapid.Permutation([]int{0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11}).Draw(t, "order")
 		for i, n := range order {
@@ -228,16 +228,16 @@
 	})
 }
 
-// A dead voter for whom none stands in stays while its removal gains nothing: at five with one dead, not with two.
+// A dead voter without a replacement stays while its removal gains nothing: of five voters with one dead, not with two.
 func TestNoneStandsIn(t *testing.T) {
 	for dead, want := range []bool{false, false, true} {
 		s := State{Leader: ID{"a", "1"}}
 		var members []view.Member
 		for i, name := range []view.Name{"a", "b", "c", "d", "e"} {
 			m := view.Member{Life: view.Life{Name: name}, Folder: "1", Raft: "here", Zone: view.Zone(name)}
-			server := Server{ID: ID{name, "1"}, Vote: true, CaughtUp: true}
+			server := Server{ID: ID{name, "1"}, Voter: true, CaughtUp: true}
 			if i >= 5-dead {
-				m.State, server.Silence = view.Dead, rule.DeadFor
+				m.State, server.SilentFor = view.Dead, rule.DeadAfter
 			}
 			s.Servers, members = append(s.Servers, server), append(members, m)
 		}
