--- a/internal/cluster/configuration/run/apply.go
+++ b/internal/cluster/configuration/run/apply.go
@@ -59,7 +59,7 @@
 		r.o.Log.Info("configuration: in force", zap.Uint64("version", d.Version), zap.String("sum", string(d.Sum)))
 	}
 	r.state.Applied(d.Version, err, r.o.Now())
-	r.signals.Turn()
+	r.signals.NotifyChange()
 }
 
 // handOver checks a version, puts it on disk and gives it to the sender.
--- a/internal/cluster/configuration/run/ask.go
+++ b/internal/cluster/configuration/run/ask.go
@@ -54,7 +54,7 @@
 		return answer, err
 	}
 	of.Fetched(answer, r.o.Now())
-	r.signals.Turn()
+	r.signals.NotifyChange()
 	return answer, nil
 }
 
@@ -65,7 +65,7 @@
 		decided, err = r.decide(ctx, request)
 		return err
 	}
-	err = r.caller.Decide(ctx, here, pathPropose, request, &decided)
+	err = r.caller.Propose(ctx, here, pathPropose, request, &decided)
 	return decided, err
 }
 
@@ -80,5 +80,5 @@
 
 // known are the likely ones and others who are here, at most mostAsked. The lock is held.
 func (r *Runner) known(likely []view.Name) []view.Name {
-	return ordering.Whom(likely, r.leader.Name, r.view, r.o.Self.Name, mostAsked)
+	return ordering.Candidates(likely, r.leader.Name, r.view, r.o.Self.Name, mostAsked)
 }
--- a/internal/cluster/configuration/run/calls.go
+++ b/internal/cluster/configuration/run/calls.go
@@ -70,7 +70,7 @@
 	if of == r.lead.top {
 		r.lead.told = true
 	}
-	r.signals.Turn()
+	r.signals.NotifyChange()
 }
 
 func (r *Runner) upward(parent spread.Above, report spread.Report) {
@@ -84,7 +84,7 @@
 	} else {
 		r.state.UpDone(parent, answer, r.o.Now())
 	}
-	r.signals.Turn()
+	r.signals.NotifyChange()
 }
 
 // takeDown takes a version in and answers how all below stand, once they have it in force or HoldFor is over.
@@ -106,9 +106,9 @@
 	}
 	r.state.FromParent(d, r.o.Now())
 	r.state.Hold()
-	r.signals.Turn()
+	r.signals.NotifyChange()
 	if d.Content != nil {
-		r.signals.Await(ctx, r.ctx.Done(), spread.HoldFor, r.state.Settled)
+		r.signals.WaitUntil(ctx, r.ctx.Done(), spread.HoldFor, r.state.Settled)
 	}
 	report, first := r.state.Answer(d, r.o.Now())
 	r.signals.Wake()
@@ -139,7 +139,7 @@
 	r.figures.UpsIn++
 	answer := of.FromChild(report, r.o.Now())
 	r.counted(answer.Content)
-	r.signals.Turn()
+	r.signals.NotifyChange()
 	return answer, nil
 }
 
--- a/internal/cluster/configuration/run/fleet_test.go
+++ b/internal/cluster/configuration/run/fleet_test.go
@@ -113,7 +113,7 @@
 	s.mu.Lock()
 	s.ran = append(s.ran, running.Version)
 	s.mu.Unlock()
-	r, err := Start(Options{Self: m, Link: l, Council: f.net.Council(m.Name), Ledger: f.ledger, Orders: s, Folder: s.folder, Running: running,
+	r, err := Start(Options{Self: m, Link: l, Council: f.net.Consensus(m.Name), Ledger: f.ledger, Orders: s, Folder: s.folder, Running: running,
 		Own: json.RawMessage(own), Check: s.check, CatchUp: long, AnswerWithin: f.answerWithin})
 	if err != nil {
 		f.t.Fatal(err)
@@ -167,7 +167,7 @@
 // ask calls the public part of a process.
 func (f *fleet) ask(at view.Name, method, url, body string, out any) int {
 	f.t.Helper()
-	return orderingtest.Ask(f.t, f.net.Mux(at), method, url, body, out)
+	return orderingtest.Request(f.t, f.net.Mux(at), method, url, body, out)
 }
 
 // change orders a patch upon a base and waits until it is in force.
--- a/internal/cluster/configuration/run/http.go
+++ b/internal/cluster/configuration/run/http.go
@@ -31,19 +31,19 @@
 }
 
 func (r *Runner) public(mux *http.ServeMux) {
-	mux.HandleFunc("POST /v1/configuration", r.posts.Bounded(r.post))
-	mux.HandleFunc("POST /v1/configuration/{version}/restore", r.posts.Bounded(r.postRestore))
-	mux.HandleFunc("GET /v1/configuration", r.posts.Bounded(r.get))
-	mux.HandleFunc("GET /v1/configuration/{version}", r.posts.Bounded(r.getVersion))
+	mux.HandleFunc("POST /v1/configuration", r.posts.Limit(r.post))
+	mux.HandleFunc("POST /v1/configuration/{version}/restore", r.posts.Limit(r.postRestore))
+	mux.HandleFunc("GET /v1/configuration", r.posts.Limit(r.get))
+	mux.HandleFunc("GET /v1/configuration/{version}", r.posts.Limit(r.getVersion))
 }
 
 func (r *Runner) post(w http.ResponseWriter, q *http.Request) {
 	var request ledger.Request
-	if !ordering.Read(w, q, mostBody, &request) {
+	if !ordering.ReadOrder(w, q, mostBody, &request) {
 		return
 	}
 	if request.Restore != nil {
-		ordering.Tell(w, http.StatusBadRequest, ordering.Refusal{Field: "restore", Error: "restore: POST /v1/configuration/VERSION/restore does that"})
+		ordering.WriteJSON(w, http.StatusBadRequest, ordering.ErrorResponse{Field: "restore", Error: "restore: POST /v1/configuration/VERSION/restore does that"})
 		return
 	}
 	r.order(w, q, request)
@@ -55,11 +55,11 @@
 		return
 	}
 	var request ledger.Request
-	if !ordering.Read(w, q, mostBody, &request) {
+	if !ordering.ReadOrder(w, q, mostBody, &request) {
 		return
 	}
 	if request.Settings != nil || request.Patch != nil || request.Restore != nil {
-		ordering.Tell(w, http.StatusBadRequest, ordering.Refusal{Field: "settings", Error: "settings: a restore has none, and no patch"})
+		ordering.WriteJSON(w, http.StatusBadRequest, ordering.ErrorResponse{Field: "settings", Error: "settings: a restore has none, and no patch"})
 		return
 	}
 	request.Restore = &version
@@ -69,19 +69,19 @@
 func versionOf(w http.ResponseWriter, q *http.Request) (uint64, bool) {
 	version, err := strconv.ParseUint(q.PathValue("version"), 10, 64)
 	if err != nil {
-		ordering.Tell(w, http.StatusBadRequest, ordering.Refusal{Field: "version", Error: "version: takes a number"})
+		ordering.WriteJSON(w, http.StatusBadRequest, ordering.ErrorResponse{Field: "version", Error: "version: takes a number"})
 	}
 	return version, err == nil
 }
 
 // order answers 202 once the change is decided in common, or 200 once it is in force where that was waited for.
 func (r *Runner) order(w http.ResponseWriter, q *http.Request, request ledger.Request) {
-	wait, ok := ordering.WaitOf(w, q, "in_force", decideFor)
+	wait, ok := ordering.ParseWait(w, q, "in_force", decideFor)
 	if !ok {
 		return
 	}
 	if field, why := request.Check(); field != "" {
-		ordering.Tell(w, http.StatusBadRequest, ordering.Refusal{Error: field + " " + why, Field: field})
+		ordering.WriteJSON(w, http.StatusBadRequest, ordering.ErrorResponse{Error: field + " " + why, Field: field})
 		return
 	}
 	ctx, cancel := context.WithTimeout(q.Context(), decideFor)
@@ -89,13 +89,13 @@
 	decided, err := r.propose(ctx, request)
 	switch {
 	case err != nil:
-		ordering.Later(w, "1", ordering.Refusal{Error: err.Error() + "; order it again under the same id"})
+		ordering.WriteRetryLater(w, "1", ordering.ErrorResponse{Error: err.Error() + "; order it again under the same id"})
 		return
 	case decided.Conflict:
-		ordering.Tell(w, http.StatusConflict, ordering.Refusal{Error: decided.Refused, Field: decided.Field, Current: &decided.Current})
+		ordering.WriteJSON(w, http.StatusConflict, ordering.ErrorResponse{Error: decided.Refused, Field: decided.Field, Current: &decided.Current})
 		return
 	case decided.Refused != "":
-		ordering.Tell(w, http.StatusBadRequest, ordering.Refusal{Error: decided.Refused, Field: decided.Field})
+		ordering.WriteJSON(w, http.StatusBadRequest, ordering.ErrorResponse{Error: decided.Refused, Field: decided.Field})
 		return
 	}
 	t := taken{ID: request.ID, Version: decided.Version, Sum: decided.Sum, Known: decided.Known}
@@ -105,7 +105,7 @@
 			status = http.StatusOK
 		}
 	}
-	ordering.Tell(w, status, t)
+	ordering.WriteJSON(w, status, t)
 }
 
 // await looks until a version, or a newer one, is in force wherever it is taken, or the time is over.
@@ -140,10 +140,10 @@
 	s, err := r.show(ctx, version)
 	switch {
 	case err != nil:
-		ordering.Later(w, "1", ordering.Refusal{Error: err.Error()})
+		ordering.WriteRetryLater(w, "1", ordering.ErrorResponse{Error: err.Error()})
 	case version != nil && s.Settings == nil:
-		ordering.Tell(w, http.StatusNotFound, ordering.Refusal{Field: "version", Error: "this version is not held, or not held any more"})
+		ordering.WriteJSON(w, http.StatusNotFound, ordering.ErrorResponse{Field: "version", Error: "this version is not held, or not held any more"})
 	default:
-		ordering.Tell(w, http.StatusOK, s)
+		ordering.WriteJSON(w, http.StatusOK, s)
 	}
 }
--- a/internal/cluster/configuration/run/join.go
+++ b/internal/cluster/configuration/run/join.go
@@ -15,7 +15,7 @@
 	bound := time.AfterFunc(r.o.CatchUp, func() {
 		r.o.Log.Warn("configuration: nobody reached in time; serving on", zap.Duration("after", r.o.CatchUp),
 			zap.Uint64("version", r.Status().Version))
-		r.signals.Open()
+		r.signals.MarkReady()
 	})
 	defer bound.Stop()
 	for wait := firstWait; !r.askNewest(); wait = min(2*wait, lastWait) {
@@ -26,7 +26,7 @@
 		}
 	}
 	if bound.Stop() {
-		r.signals.Open()
+		r.signals.MarkReady()
 	}
 }
 
@@ -65,7 +65,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for !r.state.SettledHere() {
-		turned := r.signals.Turned()
+		turned := r.signals.Changed()
 		r.mu.Unlock()
 		select {
 		case <-turned:
--- a/internal/cluster/configuration/run/run.go
+++ b/internal/cluster/configuration/run/run.go
@@ -53,7 +53,7 @@
 	stop    context.CancelFunc
 	going   sync.WaitGroup
 	signals *ordering.Signals
-	posts   ordering.Gate // callers' orders under way
+	posts   ordering.Limiter // callers' orders under way
 	caller  ordering.Caller
 	handed  *handing // apply's alone, of which one runs at a time
 
@@ -78,10 +78,10 @@
 		return nil, errors.New("configuration: a link, a folder and a sender's orders must be given, and a ledger with a council")
 	}
 	if o.Council == nil {
-		o.Council = ordering.Outsider{NotLeading: errNotLeading}
+		o.Council = ordering.NoConsensus{NotLeading: errNotLeading}
 	}
 	if o.Now == nil {
-		o.Now = ordering.Clock()
+		o.Now = ordering.NewClock()
 	}
 	o.CatchUp = cmp.Or(o.CatchUp, catchUpFor)
 	o.AnswerWithin = cmp.Or(o.AnswerWithin, answerFor)
@@ -91,12 +91,12 @@
 	if o.Check == nil {
 		o.Check = func(json.RawMessage, json.RawMessage) error { return nil }
 	}
-	r := &Runner{o: o, posts: make(ordering.Gate, mostPosts), running: o.Running}
+	r := &Runner{o: o, posts: make(ordering.Limiter, mostPosts), running: o.Running}
 	r.state = spread.New(o.Self.Life, r.loadCached(), o.Running.Version)
 	r.signals = ordering.NewSignals(&r.mu)
 	r.ctx, r.stop = context.WithCancel(context.Background())
-	r.caller = ordering.Caller{Part: "configuration", Link: o.Link, Council: o.Council, Self: o.Self.Name, Life: r.life, Whom: r.whomToAsk,
-		Ended: r.ctx.Done(), CallFor: callFor, First: firstWait, Most: lastWait, Nobody: errNobody, Undone: errNobody}
+	r.caller = ordering.Caller{Part: "configuration", Link: o.Link, Consensus: o.Council, Self: o.Self.Name, Life: r.life, Candidates: r.whomToAsk,
+		Done: r.ctx.Done(), CallTimeout: callFor, MinBackoff: firstWait, MaxBackoff: lastWait, ErrNoCandidate: errNobody, ErrUndecided: errNobody}
 	r.handle()
 	r.public(o.Link.Public())
 	r.going.Go(r.loop)
@@ -168,7 +168,7 @@
 		case <-r.ctx.Done():
 			return
 		case <-next.C:
-		case <-r.signals.Woken():
+		case <-r.signals.Wakeups():
 		}
 		r.step()
 		next.Reset(r.rest())
@@ -218,7 +218,7 @@
 	if r.view == nil || r.tree == nil {
 		return
 	}
-	life, top, below := ordering.Place(r.view, r.tree, r.o.Self.Name, leader, known, r.leader)
+	life, top, below := ordering.TreePosition(r.view, r.tree, r.o.Self.Name, leader, known, r.leader)
 	above := spread.Above{Life: life, Top: top}
 	if above.Name == "" {
 		above = spread.Above{}
--- a/internal/cluster/configuration/run/run_test.go
+++ b/internal/cluster/configuration/run/run_test.go
@@ -24,11 +24,11 @@
 	defer goleak.VerifyNone(t)
 	f := newFleet(t, 13)
 	defer f.close()
-	f.net.LoseNext(ledger.KindDecide) // decided, and the answer lost: ordered again under the same id
+	f.net.LoseNextAnswer(ledger.KindDecide) // decided, and the answer lost: ordered again under the same id
 	first := f.change("a", 0, `{"pace":1}`)
-	before := f.net.Begun(pathDown)
+	before := f.net.CallsStarted(pathDown)
 	second := f.change("b", 1, `{"pace":2}`)
-	t.Logf("%d messages down for a change, 13 processes", f.net.Begun(pathDown)-before)
+	t.Logf("%d messages down for a change, 13 processes", f.net.CallsStarted(pathDown)-before)
 	for i, r := range f.runners {
 		status := r.Status()
 		if status.Version != 2 || status.Sum != second.Sum || !status.CaughtUp {
@@ -87,13 +87,13 @@
 		"restore of what": {"/1/restore", `{"id":"b","patch":{},"who":"w","why":"y"}`, 400, "settings", 0},
 		"restore in body": {"", `{"id":"b","restore":1,"who":"w","why":"y"}`, 400, "restore", 0},
 	} {
-		var no ordering.Refusal
+		var no ordering.ErrorResponse
 		if code := f.ask("p03", "POST", "/v1/configuration"+c.url, c.body, &no); code != c.code || no.Field != c.field || no.Error == "" ||
 			(c.current > 0) != (no.Current != nil) || c.current > 0 && *no.Current != c.current {
 			t.Errorf("%s: %d %+v", name, code, no)
 		}
 	}
-	var no ordering.Refusal
+	var no ordering.ErrorResponse
 	if code := f.ask("p03", "GET", "/v1/configuration/9", "", &no); code != 404 {
 		t.Errorf("%d %+v", code, no)
 	}
@@ -221,7 +221,7 @@
 func TestBesideTheTree(t *testing.T) {
 	f := newFleet(t, 13)
 	f.change("a", 0, `{"pace":1}`)
-	f.net.Cut("p12", "p03", true) // its parent
+	f.net.SetCut("p12", "p03", true) // its parent
 	f.net.SetDown(true, "p11")
 	f.members[11].State = view.Dead
 	f.see()
@@ -236,7 +236,7 @@
 		s := f.shown()
 		return len(s.Away) == 1 && s.Away[0].Name == "p11" && s.Away[0].Version == 2
 	})
-	f.net.Cut("p12", "p03", false)
+	f.net.SetCut("p12", "p03", false)
 	f.members[11].State = view.Alive
 	f.see()
 	f.until("all is in force", func() bool { return f.shown().State == InForce })
@@ -248,7 +248,7 @@
 	f.change("a", 0, `{"pace":1}`)
 	f.net.SetDown(true, "p02", "p03")
 	body, _ := json.Marshal(ledger.Decide{ID: "b", Base: 1, Settings: json.RawMessage(`{"pace":2}`), Who: "w", Why: "y"})
-	f.net.LeadUpon("p09", func() {
+	f.net.SetLeaderAfter("p09", func() {
 		if _, err := f.ledger.Apply(0, 0, ledger.KindDecide, body); err != nil {
 			t.Fatal(err)
 		}
@@ -267,7 +267,7 @@
 	f := newFleet(t, 4)
 	f.change3("a", 0)
 	f.change3("b", 1)
-	f.net.LeadUpon("p03", func() {
+	f.net.SetLeaderAfter("p03", func() {
 		if err := f.ledger.Restore(json.RawMessage("null")); err != nil {
 			t.Fatal(err)
 		}
@@ -304,7 +304,7 @@
 	f := &fleet{t: t, net: orderingtest.New(l, ""), ledger: l}
 	s := &sender{folder: t.TempDir()}
 	member := view.Member{Life: view.Life{Name: "p", Incarnation: 1}}
-	r, err := Start(Options{Self: member, Link: f.net.Link(member.Life), Council: f.net.Council("p"), Ledger: f.ledger, Orders: s,
+	r, err := Start(Options{Self: member, Link: f.net.Link(member.Life), Council: f.net.Consensus("p"), Ledger: f.ledger, Orders: s,
 		Folder: s.folder, CatchUp: 50 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/cluster/configuration/run/show.go
+++ b/internal/cluster/configuration/run/show.go
@@ -65,7 +65,7 @@
 		s, err = r.shown(version)
 		return err
 	}
-	err = r.caller.Show(ctx, lookEach, here, pathShow, showing{version}, &s)
+	err = r.caller.Query(ctx, lookEach, here, pathShow, showing{version}, &s)
 	return s, err
 }
 
--- a/internal/cluster/configuration/run/words.go
+++ b/internal/cluster/configuration/run/words.go
@@ -24,8 +24,8 @@
 type Options struct {
 	Self    view.Member // a view may tell a higher incarnation later
 	Link    ordering.Link
-	Council ordering.Council // nil at a process that has no place in it
-	Ledger  *ledger.Ledger   // the council's part of that name; nil where there is no council
+	Council ordering.Consensus // nil at a process that has no place in it
+	Ledger  *ledger.Ledger     // the council's part of that name; nil where there is no council
 	Orders  Orders
 	Folder  string                 // of the cluster; see configuration.LoadCached
 	Running together.Configuration // what the sender was started with; version 0 for its own file
--- a/internal/cluster/ordering/http.go
+++ b/internal/cluster/ordering/http.go
@@ -1,6 +1,6 @@
 package ordering
 
-// This file is the callers' side: how many orders are under way, how one is read, and how it is answered.
+// This file is the HTTP side: the limit of concurrent orders, and how one is decoded and answered.
 
 import (
 	"encoding/json"
@@ -9,80 +9,81 @@
 	"time"
 )
 
-const mostWait = 60 * time.Second // for=
+// maxWait bounds the query parameter for=.
+const maxWait = 60 * time.Second
 
-// Refusal answers what is not done.
-type Refusal struct {
+// ErrorResponse is the body of an answer to an order that is rejected or failed.
+type ErrorResponse struct {
 	Error   string  `json:"error"`
 	Field   string  `json:"field,omitempty"`
-	Current *uint64 `json:"current,omitempty"` // the newest version, where the order was upon an older one
+	Current *uint64 `json:"current,omitempty"` // the newest version, where the order was based on an older one
 }
 
-// Gate bounds the orders and questions under way; its capacity is how many. More are told to come back.
-type Gate chan struct{}
+// Limiter bounds concurrent requests to its capacity. More are answered with 503 and Retry-After.
+type Limiter chan struct{}
 
-// Bounded is h behind the gate.
-func (g Gate) Bounded(h http.HandlerFunc) http.HandlerFunc {
-	return func(w http.ResponseWriter, q *http.Request) {
+// Limit wraps a handler in the limiter.
+func (l Limiter) Limit(handler http.HandlerFunc) http.HandlerFunc {
+	return func(w http.ResponseWriter, request *http.Request) {
 		select {
-		case g <- struct{}{}:
-			defer func() { <-g }()
-			h(w, q)
+		case l <- struct{}{}:
+			defer func() { <-l }()
+			handler(w, request)
 		default:
-			Later(w, "1", Refusal{Error: "too many orders at once; come back"})
+			WriteRetryLater(w, "1", ErrorResponse{Error: "too many orders at once; come back"})
 		}
 	}
 }
 
-// Tell answers with a body in JSON.
-func Tell(w http.ResponseWriter, status int, body any) {
+// WriteJSON answers with a body in JSON.
+func WriteJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(body) // a caller that is gone hears nothing
+	_ = json.NewEncoder(w).Encode(body) // the caller may be gone
 }
 
-// Later answers that it may be tried again after so many seconds.
-func Later(w http.ResponseWriter, seconds string, why Refusal) {
+// WriteRetryLater answers with 503 and how many seconds to wait before a retry.
+func WriteRetryLater(w http.ResponseWriter, seconds string, response ErrorResponse) {
 	w.Header().Set("Retry-After", seconds)
-	Tell(w, http.StatusServiceUnavailable, why)
+	WriteJSON(w, http.StatusServiceUnavailable, response)
 }
 
-// Read reads an order of most bytes, and tells what is wrong with it, a field that is not known too. It returns whether
-// it was read.
-func Read(w http.ResponseWriter, q *http.Request, most int64, order any) bool {
-	read := json.NewDecoder(http.MaxBytesReader(w, q.Body, most))
-	read.DisallowUnknownFields()
-	err := read.Decode(order)
+// ReadOrder decodes an order of at most maxBytes and returns whether that succeeded. Otherwise it has answered with 400
+// and what is wrong, which may be an unknown field.
+func ReadOrder(w http.ResponseWriter, request *http.Request, maxBytes int64, order any) bool {
+	decoder := json.NewDecoder(http.MaxBytesReader(w, request.Body, maxBytes))
+	decoder.DisallowUnknownFields()
+	err := decoder.Decode(order)
 	if err == nil {
 		return true
 	}
-	why := Refusal{Error: "order: " + err.Error()}
-	var kind *json.UnmarshalTypeError
-	if errors.As(err, &kind) {
-		why.Field = kind.Field
+	response := ErrorResponse{Error: "order: " + err.Error()}
+	var typeError *json.UnmarshalTypeError
+	if errors.As(err, &typeError) {
+		response.Field = typeError.Field
 	}
-	Tell(w, http.StatusBadRequest, why)
+	WriteJSON(w, http.StatusBadRequest, response)
 	return false
 }
 
-// WaitOf reads how long the caller waits: wait=, which takes one word alone, and for=, which may be left out for usual.
-// It is 0 without wait=. What is wrong is told, and ok is false.
-func WaitOf(w http.ResponseWriter, q *http.Request, word string, usual time.Duration) (wait time.Duration, ok bool) {
-	values := q.URL.Query()
+// ParseWait reads how long the caller waits from the query parameters wait=, whose only value is word, and for=, which
+// may be omitted for defaultWait. It returns 0 without wait=. Where ok is false it has answered with 400.
+func ParseWait(w http.ResponseWriter, request *http.Request, word string, defaultWait time.Duration) (wait time.Duration, ok bool) {
+	values := request.URL.Query()
 	switch values.Get("wait") {
 	case "":
 		return 0, true
 	case word:
 	default:
-		Tell(w, http.StatusBadRequest, Refusal{Error: `wait must be "` + word + `"`, Field: "wait"})
+		WriteJSON(w, http.StatusBadRequest, ErrorResponse{Error: `wait must be "` + word + `"`, Field: "wait"})
 		return 0, false
 	}
 	if values.Get("for") == "" {
-		return usual, true
+		return defaultWait, true
 	}
 	wait, err := time.ParseDuration(values.Get("for"))
-	if err != nil || wait <= 0 || wait > mostWait {
-		Tell(w, http.StatusBadRequest, Refusal{Error: "for must be a span up to " + mostWait.String() + ", as 5s", Field: "for"})
+	if err != nil || wait <= 0 || wait > maxWait {
+		WriteJSON(w, http.StatusBadRequest, ErrorResponse{Error: "for must be a span up to " + maxWait.String() + ", as 5s", Field: "for"})
 		return 0, false
 	}
 	return wait, true
--- a/internal/cluster/ordering/ordering.go
+++ b/internal/cluster/ordering/ordering.go
@@ -1,13 +1,12 @@
-// Package ordering is what the parts share that have orders of callers decided in common and then spread over the tree
-// (purge/run, configuration/run): what such a part is given, whom it asks, how it calls and tries again, and how it
-// answers over HTTP.
+// Package ordering is what is common to the parts that have orders of HTTP callers committed by the consensus group and
+// then distributed over the tree (purge/run and configuration/run): the interfaces they use, how they find and call the
+// leader with retries, and how they answer over HTTP.
 //
-// It owns nothing that lasts but the paths a Caller takes, the places of a Gate and the channels of Signals. It must
-// never know what is ordered, decide anything about it, start a goroutine, or call another process or a caller with a
-// lock held. It has no lock of its own: Signals take the part's, and a Caller reads what the part guards by functions
-// that do.
+// It owns the handlers of a Caller, the slots of a Limiter and the channels of Signals, and no other state. It must
+// never know what is ordered, decide anything about it, start a goroutine, or call another process with a lock held. It
+// has no lock of its own: Signals use the part's, and a Caller reads the part's state through functions that lock.
 //
-// This file is what a part is given, and where it stands among the others.
+// This file is the interfaces, and the process's position among the others.
 package ordering
 
 import (
@@ -20,65 +19,65 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// Handler takes a message of another process and answers it.
+// Handler handles a message of another process and returns the answer.
 type Handler = func(ctx context.Context, from view.Life, body []byte) (any, error)
 
-// Link carries messages between processes, and the callers' HTTP.
+// Link carries messages between processes, and serves HTTP to callers.
 type Link interface {
 	Call(ctx context.Context, to view.Name, path string, in, out any) error
 	Handle(path string, h Handler)
 	Public() *http.ServeMux
 }
 
-// Council is where orders are decided in common. A part's ledger may be read inside Read alone.
-type Council interface {
+// Consensus is where orders are committed. A part's ledger may be read only inside Read.
+type Consensus interface {
 	Propose(ctx context.Context, part, kind string, body any) (json.RawMessage, error)
 	Leader() (view.Name, bool)
 	Leading() bool
-	Ask() []view.Name // whom to ask for a decision, the likeliest first
+	Ask() []view.Name // who may lead, the likeliest first
 	Clock() time.Duration
 	Read(f func(index uint64))
 }
 
-// Tree is who reports to whom.
+// Tree says who reports to whom.
 type Tree interface {
 	Parent(p view.Name) (view.Name, bool)
 	Children(p view.Name) []view.Name
 	Root() view.Name
 }
 
-// Outsider is the council of a process that has no place in it.
-type Outsider struct {
-	NotLeading error // the answer to a proposal
+// NoConsensus is the Consensus of a process that is not in the consensus group.
+type NoConsensus struct {
+	NotLeading error // returned by Propose
 }
 
-// Propose refuses.
-func (o Outsider) Propose(context.Context, string, string, any) (json.RawMessage, error) {
+// Propose returns NotLeading.
+func (o NoConsensus) Propose(context.Context, string, string, any) (json.RawMessage, error) {
 	return nil, o.NotLeading
 }
 
-// Leader knows of none.
-func (Outsider) Leader() (view.Name, bool) { return "", false }
+// Leader is unknown.
+func (NoConsensus) Leader() (view.Name, bool) { return "", false }
 
-// Leading is never so.
-func (Outsider) Leading() bool { return false }
+// Leading is false.
+func (NoConsensus) Leading() bool { return false }
 
-// Ask knows of none.
-func (Outsider) Ask() []view.Name { return nil }
+// Ask names nobody.
+func (NoConsensus) Ask() []view.Name { return nil }
 
-// Clock stands still.
-func (Outsider) Clock() time.Duration { return 0 }
+// Clock is always 0.
+func (NoConsensus) Clock() time.Duration { return 0 }
 
 // Read does not call f: there is no ledger.
-func (Outsider) Read(func(uint64)) {}
+func (NoConsensus) Read(func(uint64)) {}
 
-// Clock returns a clock that counts from now on.
-func Clock() func() view.Now {
-	began := time.Now()
-	return func() view.Now { return time.Since(began) }
+// NewClock returns a clock that starts at 0 now.
+func NewClock() func() view.Now {
+	start := time.Now()
+	return func() view.Now { return time.Since(start) }
 }
 
-// LifeOf is a process's life by the view; the zero value for one that is not in it.
+// LifeOf is the incarnation of a process in the view; the zero value for one that is not in it.
 func LifeOf(v *view.View, name view.Name) view.Life {
 	m, found := v.Find(name)
 	if !found {
@@ -87,39 +86,39 @@
 	return m.Life
 }
 
-// Place is who stands above and below self in the tree. At the root (top) that above is the council's leader where it
-// is known, and otherwise spoke, which last spoke to self as the leader. What the view does not have is left out below,
-// and is the zero value above.
-func Place(v *view.View, t Tree, self, leader view.Name, known bool, spoke view.Life) (above view.Life, top bool, below []view.Life) {
-	if parent, found := t.Parent(self); found {
-		above = LifeOf(v, parent)
-	} else if t.Root() == self {
-		top, above = true, spoke
+// TreePosition returns the parent and the children of self in the tree. At the root (top is true) the parent is the
+// leader where it is known, and otherwise lastLeader, which last called self as the leader. A parent that is not in the
+// view is the zero value; such children are omitted.
+func TreePosition(members *view.View, tree Tree, self, leader view.Name, known bool, lastLeader view.Life) (above view.Life, top bool, below []view.Life) {
+	if parent, found := tree.Parent(self); found {
+		above = LifeOf(members, parent)
+	} else if tree.Root() == self {
+		top, above = true, lastLeader
 		if known {
-			above = LifeOf(v, leader)
+			above = LifeOf(members, leader)
 		}
 	}
-	for _, name := range t.Children(self) {
-		if life := LifeOf(v, name); life.Name != "" {
+	for _, name := range tree.Children(self) {
+		if life := LifeOf(members, name); life.Name != "" {
 			below = append(below, life)
 		}
 	}
 	return above, top, below
 }
 
-// Whom is whom self asks for what the leader alone can answer: the likely ones, or without any the one that spoke last
-// as the leader; then others of the view (which may be nil) until there are most, those with a vote first.
-func Whom(likely []view.Name, spoke view.Name, v *view.View, self view.Name, most int) []view.Name {
+// Candidates lists whom self asks for what only the leader can answer: the likely ones, or without any the process that
+// last called as the leader; then others of the view (which may be nil) up to the limit, those with raft records first.
+func Candidates(likely []view.Name, lastLeader view.Name, members *view.View, self view.Name, limit int) []view.Name {
 	all := slices.Clone(likely)
-	if spoke != "" && len(all) == 0 {
-		all = append(all, spoke)
+	if lastLeader != "" && len(all) == 0 {
+		all = append(all, lastLeader)
 	}
-	if v == nil {
+	if members == nil {
 		return all
 	}
-	for _, voted := range []bool{true, false} {
-		for _, m := range v.Members {
-			if m.Here() && m.Voted == voted && len(all) < most && !slices.Contains(all, m.Name) {
+	for _, voter := range []bool{true, false} {
+		for _, m := range members.Members {
+			if m.Here() && m.Voted == voter && len(all) < limit && !slices.Contains(all, m.Name) {
 				all = append(all, m.Name)
 			}
 		}
--- a/internal/cluster/ordering/ordering_test.go
+++ b/internal/cluster/ordering/ordering_test.go
@@ -15,28 +15,28 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// unreached is a link over which nobody answers; it notes whom it called.
-type unreached struct{ called []view.Name }
+// unreachableLink is a link over which nobody answers; it records whom it called.
+type unreachableLink struct{ called []view.Name }
 
-var errUnreached = errors.New("not reached")
+var errUnreachable = errors.New("not reached")
 
-func (u *unreached) Call(_ context.Context, to view.Name, _ string, _, _ any) error {
+func (u *unreachableLink) Call(_ context.Context, to view.Name, _ string, _, _ any) error {
 	u.called = append(u.called, to)
-	return errUnreached
+	return errUnreachable
 }
-func (u *unreached) Handle(string, Handler) {}
-func (u *unreached) Public() *http.ServeMux { return nil }
+func (u *unreachableLink) Handle(string, Handler) {}
+func (u *unreachableLink) Public() *http.ServeMux { return nil }
 
-func newCaller(u *unreached, whom func() []view.Name) *Caller {
-	return &Caller{Part: "part", Link: u, Council: Outsider{}, Self: "self",
-		Life: func() view.Life { return view.Life{Name: "self", Incarnation: 3} }, Whom: whom, Ended: make(chan struct{}),
-		CallFor: time.Minute, First: time.Millisecond, Most: time.Millisecond,
-		Nobody: errors.New("nobody"), Undone: errors.New("undone")}
+func newCaller(u *unreachableLink, whom func() []view.Name) *Caller {
+	return &Caller{Part: "part", Link: u, Consensus: NoConsensus{}, Self: "self",
+		Life: func() view.Life { return view.Life{Name: "self", Incarnation: 3} }, Candidates: whom, Done: make(chan struct{}),
+		CallTimeout: time.Minute, MinBackoff: time.Millisecond, MaxBackoff: time.Millisecond,
+		ErrNoCandidate: errors.New("nobody"), ErrUndecided: errors.New("undone")}
 }
 
-// A message to this process itself is taken as one over the link would be, and from the life that it has now.
-func TestCallSelf(t *testing.T) {
-	u := &unreached{}
+// A message to this process itself goes to its own handler, from its current incarnation.
+func TestCallSelfUsesOwnHandler(t *testing.T) {
+	u := &unreachableLink{}
 	c := newCaller(u, nil)
 	c.Handle(map[string]Handler{"/p": func(_ context.Context, from view.Life, body []byte) (any, error) {
 		return []any{from.Incarnation, json.RawMessage(body)}, nil
@@ -47,37 +47,37 @@
 	}
 }
 
-// An error tells what somebody answered, also where nobody is known any more when time is over; and which bound ended it.
-func TestDecideTellsTheCause(t *testing.T) {
+// The error of a failed proposal is what a candidate answered, even if none is known any more at the deadline, and it
+// tells what ended the retries.
+func TestRetryReportsTheCause(t *testing.T) {
 	ctx, stop := context.WithCancel(t.Context())
-	tries := 0
-	c := newCaller(&unreached{}, func() []view.Name {
-		if tries++; tries == 1 {
+	attempts := 0
+	c := newCaller(&unreachableLink{}, func() []view.Name {
+		if attempts++; attempts == 1 {
 			return []view.Name{"a", "b"}
 		}
 		stop()
 		return nil
 	})
-	if err := c.Decide(ctx, nil, "/p", 1, nil); !errors.Is(err, errUnreached) || !strings.HasPrefix(err.Error(), "part: not known to be decided: ") {
+	if err := c.Propose(ctx, nil, "/p", 1, nil); !errors.Is(err, errUnreachable) || !strings.HasPrefix(err.Error(), "part: not known to be decided: ") {
 		t.Error(err)
 	}
-	if err := c.Decide(ctx, nil, "/p", 1, nil); !errors.Is(err, c.Undone) {
+	if err := c.Propose(ctx, nil, "/p", 1, nil); !errors.Is(err, c.ErrUndecided) {
 		t.Error(err)
 	}
-	if err := c.Show(ctx, time.Millisecond, nil, "/p", 1, nil); !errors.Is(err, c.Nobody) {
+	if err := c.Query(ctx, time.Millisecond, nil, "/p", 1, nil); !errors.Is(err, c.ErrNoCandidate) {
 		t.Error(err)
 	}
 	ended := make(chan struct{})
 	close(ended)
-	c.Ended = ended
-	if err := c.Show(t.Context(), time.Hour, nil, "/p", 1, nil); err == nil || !strings.HasPrefix(err.Error(), "part: this process ends: ") {
+	c.Done = ended
+	if err := c.Query(t.Context(), time.Hour, nil, "/p", 1, nil); err == nil || !strings.HasPrefix(err.Error(), "part: this process ends: ") {
 		t.Error(err)
 	}
 }
 
-// Who waits goes on when the state is settled, whatever it was before; when time is over; and when the process ends. The
-// lock is held again each time.
-func TestAwait(t *testing.T) {
+// A wait ends when the state is settled, at its timeout, and when the process ends. The lock is held again each time.
+func TestWaitUntil(t *testing.T) {
 	var mu sync.Mutex
 	s := NewSignals(&mu)
 	never := func() bool { return false }
@@ -85,52 +85,52 @@
 	defer mu.Unlock()
 
 	looks := 0
-	s.Await(t.Context(), nil, time.Hour, func() bool {
+	s.WaitUntil(t.Context(), nil, time.Hour, func() bool {
 		if looks++; looks < 3 {
 			go func() { // not before the one that waits has let go of the lock
 				mu.Lock()
 				defer mu.Unlock()
-				s.Turn()
+				s.NotifyChange()
 			}()
 		}
 		return looks == 3
 	})
-	s.Await(t.Context(), nil, time.Millisecond, never)
+	s.WaitUntil(t.Context(), nil, time.Millisecond, never)
 	ended, end := context.WithCancel(t.Context())
 	end()
-	s.Await(t.Context(), ended.Done(), time.Hour, never)
-	s.Await(ended, nil, time.Hour, never)
+	s.WaitUntil(t.Context(), ended.Done(), time.Hour, never)
+	s.WaitUntil(ended, nil, time.Hour, never)
 	if mu.TryLock() {
 		t.Error("the lock is not held after a wait")
 	}
-	if looks != 3 || len(s.Woken()) != 1 {
-		t.Errorf("%d looks, %d wakes kept", looks, len(s.Woken()))
+	if looks != 3 || len(s.Wakeups()) != 1 {
+		t.Errorf("%d looks, %d wakes kept", looks, len(s.Wakeups()))
 	}
 }
 
-// What is open stays so.
-func TestOpenTwice(t *testing.T) {
+// Ready stays closed.
+func TestMarkReadyTwice(t *testing.T) {
 	s := NewSignals(&sync.Mutex{})
 	select {
 	case <-s.Ready():
 		t.Error("ready before it was opened")
 	default:
 	}
-	s.Open()
-	s.Open()
+	s.MarkReady()
+	s.MarkReady()
 	<-s.Ready()
 }
 
-// An order beyond the bound is told to come back, and its place is free again once one is answered.
-func TestGate(t *testing.T) {
-	g := make(Gate, 1)
+// A request over the limit gets 503, and a slot is free again once its request was answered.
+func TestLimiter(t *testing.T) {
+	g := make(Limiter, 1)
 	var inner int
 	var h http.HandlerFunc
-	h = g.Bounded(func(w http.ResponseWriter, q *http.Request) {
+	h = g.Limit(func(w http.ResponseWriter, q *http.Request) {
 		second := httptest.NewRecorder()
 		h(second, q)
 		inner = second.Code
-		Tell(w, http.StatusOK, 1)
+		WriteJSON(w, http.StatusOK, 1)
 	})
 	for range 2 {
 		w := httptest.NewRecorder()
@@ -141,7 +141,7 @@
 	}
 }
 
-func TestWaitOf(t *testing.T) {
+func TestParseWait(t *testing.T) {
 	for query, want := range map[string]struct {
 		wait  time.Duration
 		field string
@@ -156,8 +156,8 @@
 		"wait=else":           {field: "wait"},
 	} {
 		w := httptest.NewRecorder()
-		wait, ok := WaitOf(w, httptest.NewRequest("GET", "/?"+query, nil), "done", 5*time.Second)
-		var why Refusal
+		wait, ok := ParseWait(w, httptest.NewRequest("GET", "/?"+query, nil), "done", 5*time.Second)
+		var why ErrorResponse
 		if !ok && (w.Code != http.StatusBadRequest || json.Unmarshal(w.Body.Bytes(), &why) != nil) {
 			t.Errorf("%s: %d %s", query, w.Code, w.Body)
 		}
@@ -167,22 +167,22 @@
 	}
 }
 
-func TestReadNamesTheField(t *testing.T) {
+func TestReadOrderNamesTheField(t *testing.T) {
 	for body, field := range map[string]string{`{"a":"text"}`: "a", `{"b":1}`: "", `{"a":1`: "", `{"a":12345678901}`: ""} {
 		var order struct {
 			A int64 `json:"a"`
 		}
 		w := httptest.NewRecorder()
-		ok := Read(w, httptest.NewRequest("POST", "/", strings.NewReader(body)), 15, &order)
-		var why Refusal
+		ok := ReadOrder(w, httptest.NewRequest("POST", "/", strings.NewReader(body)), 15, &order)
+		var why ErrorResponse
 		if ok || json.Unmarshal(w.Body.Bytes(), &why) != nil || w.Code != http.StatusBadRequest || why.Field != field || why.Error == "" {
 			t.Errorf("%s: %v %d %+v", body, ok, w.Code, why)
 		}
 	}
 }
 
-// Whom asks those with a vote before others, at most so many, and never itself.
-func TestWhom(t *testing.T) {
+// Candidates lists members with raft records before others, up to the limit, and never the process itself.
+func TestCandidates(t *testing.T) {
 	member := func(name view.Name, voted bool) view.Member {
 		return view.Member{Life: view.Life{Name: name, Incarnation: 1}, Voted: voted}
 	}
@@ -196,11 +196,11 @@
 		{nil, "c", []view.Name{"c", "b"}},
 		{[]view.Name{"a"}, "c", []view.Name{"a", "b"}},
 	} {
-		if got := Whom(one.likely, one.spoke, v, "self", 3); !slices.Equal(got, one.want) {
+		if got := Candidates(one.likely, one.spoke, v, "self", 3); !slices.Equal(got, one.want) {
 			t.Errorf("%v: %v", one, got)
 		}
 	}
-	if got := Whom(nil, "c", nil, "self", 3); !slices.Equal(got, []view.Name{"c"}) {
+	if got := Candidates(nil, "c", nil, "self", 3); !slices.Equal(got, []view.Name{"c"}) {
 		t.Error(got)
 	}
 }
--- a/internal/cluster/ordering/orderingtest/orderingtest.go
+++ b/internal/cluster/ordering/orderingtest/orderingtest.go
@@ -1,7 +1,8 @@
-// Package orderingtest is what tests of the parts that use package ordering run on: many processes in one, joined by a
-// link that is a map, with a council that never fails unless told and a tree of three children each.
+// Package orderingtest is the test environment of the parts that use package ordering: many processes in one, connected
+// by in-memory links, with a consensus that fails only on request, and a tree with three children a node.
 //
-// It owns who leads, who is cut off, and the lock around the ledger. It must never be imported but by tests, or judge.
+// It owns who leads, which links are cut, and the lock around the ledger. It must be imported by tests only, and must
+// never check results itself.
 package orderingtest
 
 import (
@@ -19,94 +20,94 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// Ledger is the council's part that is under test.
+// Ledger is the replicated part that is under test.
 type Ledger interface {
 	Apply(index uint64, at time.Duration, kind string, body json.RawMessage) (json.RawMessage, error)
 }
 
-type way struct{ from, to view.Name }
+type direction struct{ from, to view.Name }
 
-// Net is what all processes have in common.
+// Net is the network and the consensus of all processes.
 type Net struct {
 	ledger Ledger
-	began  time.Time
-
-	mu     sync.Mutex
-	leader view.Name
-	lose   string // of this kind the next command is decided and its answer lost
-	down   map[view.Name]bool
-	parted map[way]bool // nothing arrives on these
-	links  map[view.Name]*Link
-	calls  map[view.Name]map[string]int // begun or taken by a process, by path
-	begun  map[string]int               // by path
+	start  time.Time
+
+	mu           sync.Mutex
+	leader       view.Name
+	loseAnswerTo string // the kind of command whose next answer is lost
+	down         map[view.Name]bool
+	cut          map[direction]bool // nothing arrives in these
+	links        map[view.Name]*Link
+	calls        map[view.Name]map[string]int // made or received by a process, by path
+	started      map[string]int               // by path
 }
 
-// New is one where nobody is yet; leader may be "".
+// New returns a Net without processes; leader may be "".
 func New(ledger Ledger, leader view.Name) *Net {
-	return &Net{ledger: ledger, began: time.Now(), leader: leader, down: map[view.Name]bool{}, parted: map[way]bool{},
-		links: map[view.Name]*Link{}, calls: map[view.Name]map[string]int{}, begun: map[string]int{}}
+	return &Net{ledger: ledger, start: time.Now(), leader: leader, down: map[view.Name]bool{}, cut: map[direction]bool{},
+		links: map[view.Name]*Link{}, calls: map[view.Name]map[string]int{}, started: map[string]int{}}
 }
 
-// locked calls f while no command is applied and the ledger is not read.
-func (n *Net) locked(f func()) {
+// withLock calls f while no command is applied and the ledger is not read.
+func (n *Net) withLock(f func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	f()
 }
 
-// Lead has another lead.
-func (n *Net) Lead(name view.Name) { n.LeadUpon(name, func() {}) }
+// SetLeader makes another process the leader.
+func (n *Net) SetLeader(name view.Name) { n.SetLeaderAfter(name, func() {}) }
 
-// LeadUpon has another lead a ledger that change changes first: nobody reads or leads between the two.
-func (n *Net) LeadUpon(name view.Name, change func()) {
-	n.locked(func() {
+// SetLeaderAfter changes the ledger by calling change and makes another process the leader, in one step.
+func (n *Net) SetLeaderAfter(name view.Name, change func()) {
+	n.withLock(func() {
 		change()
 		n.leader = name
 	})
 }
 
-// LoseNext has the next command of a kind decided, and its answer lost.
-func (n *Net) LoseNext(kind string) { n.locked(func() { n.lose = kind }) }
+// LoseNextAnswer has the next command of a kind applied, and its answer lost.
+func (n *Net) LoseNextAnswer(kind string) { n.withLock(func() { n.loseAnswerTo = kind }) }
 
-// SetDown has nothing go to or from these, or has them be well again.
+// SetDown isolates processes from all others, or ends that.
 func (n *Net) SetDown(down bool, names ...view.Name) {
-	n.locked(func() {
+	n.withLock(func() {
 		for _, name := range names {
 			n.down[name] = down
 		}
 	})
 }
 
-// Cut has nothing arrive between two, or has it be well again.
-func (n *Net) Cut(one, other view.Name, off bool) {
-	n.locked(func() { n.parted[way{one, other}], n.parted[way{other, one}] = off, off })
+// SetCut cuts the link between two processes, or restores it.
+func (n *Net) SetCut(one, other view.Name, off bool) {
+	n.withLock(func() { n.cut[direction{one, other}], n.cut[direction{other, one}] = off, off })
 }
 
-// Begun is how many calls were begun on a path.
-func (n *Net) Begun(path string) int {
+// CallsStarted is the number of calls on a path.
+func (n *Net) CallsStarted(path string) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.begun[path]
+	return n.started[path]
 }
 
-// Calls is how many calls on a path one process began or took.
+// Calls is the number of calls on a path that one process made or received.
 func (n *Net) Calls(name view.Name, path string) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.calls[name][path]
 }
 
-// Join has the others reach a process over its link.
-func (n *Net) Join(l *Link) { n.locked(func() { n.links[l.self.Name] = l }) }
+// Join makes a process reachable over its link.
+func (n *Net) Join(l *Link) { n.withLock(func() { n.links[l.self.Name] = l }) }
 
-// Mux is the public part of a process.
+// Mux is the public HTTP interface of a process.
 func (n *Net) Mux(name view.Name) *http.ServeMux {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.links[name].mux
 }
 
-// Link is one process's.
+// Link is one process's link.
 type Link struct {
 	net    *Net
 	self   view.Life
@@ -114,18 +115,18 @@
 	routes map[string]ordering.Handler
 }
 
-// Link is one for a life, which the others reach once it has joined.
+// Link returns a link for a process, which is reachable once it has joined.
 func (n *Net) Link(self view.Life) *Link {
 	return &Link{net: n, self: self, mux: http.NewServeMux(), routes: map[string]ordering.Handler{}}
 }
 
-// Public is for callers.
+// Public is the HTTP interface for callers.
 func (l *Link) Public() *http.ServeMux { return l.mux }
 
-// Handle takes messages on a path.
+// Handle registers the handler of a path.
 func (l *Link) Handle(path string, h ordering.Handler) { l.routes[path] = h }
 
-// Call is answered by the other process's handler.
+// Call calls the other process's handler.
 func (l *Link) Call(ctx context.Context, to view.Name, path string, in, out any) error {
 	other := l.net.call(l.self.Name, to, path)
 	if other == nil {
@@ -145,34 +146,34 @@
 	return json.Unmarshal(body, out)
 }
 
-// call counts a call and finds whom it reaches; nil for nobody.
+// call counts a call and returns the link that it reaches, or nil.
 func (n *Net) call(from, to view.Name, path string) *Link {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.begun[path]++
+	n.started[path]++
 	for _, name := range []view.Name{from, to} {
 		if n.calls[name] == nil {
 			n.calls[name] = map[string]int{}
 		}
 		n.calls[name][path]++
 	}
-	if n.down[to] || n.down[from] || n.parted[way{from, to}] {
+	if n.down[to] || n.down[from] || n.cut[direction{from, to}] {
 		return nil
 	}
 	return n.links[to]
 }
 
-// Council is one process's.
-type Council struct {
+// Consensus is one process's access to the consensus.
+type Consensus struct {
 	net  *Net
 	self view.Name
 }
 
-// Council is that of a process.
-func (n *Net) Council(self view.Name) Council { return Council{n, self} }
+// Consensus returns that of a process.
+func (n *Net) Consensus(self view.Name) Consensus { return Consensus{n, self} }
 
-// Propose applies a command at once, at whoever leads.
-func (c Council) Propose(_ context.Context, _, kind string, body any) (json.RawMessage, error) {
+// Propose applies a command at once, on the leader only.
+func (c Consensus) Propose(_ context.Context, _, kind string, body any) (json.RawMessage, error) {
 	c.net.mu.Lock()
 	defer c.net.mu.Unlock()
 	if c.net.leader != c.self || c.net.down[c.self] {
@@ -183,28 +184,28 @@
 		return nil, err
 	}
 	answer, err := c.net.ledger.Apply(0, c.Clock(), kind, text)
-	if c.net.lose == kind {
-		c.net.lose = ""
+	if c.net.loseAnswerTo == kind {
+		c.net.loseAnswerTo = ""
 		return nil, errors.New("unsure")
 	}
 	return answer, err
 }
 
-// Leader is not known to one that is down.
-func (c Council) Leader() (view.Name, bool) {
+// Leader is unknown to a process that is down.
+func (c Consensus) Leader() (view.Name, bool) {
 	c.net.mu.Lock()
 	defer c.net.mu.Unlock()
 	return c.net.leader, c.net.leader != "" && !c.net.down[c.self]
 }
 
-// Leading tells whether this process does.
-func (c Council) Leading() bool {
+// Leading tells whether this process leads.
+func (c Consensus) Leading() bool {
 	name, known := c.Leader()
 	return known && name == c.self
 }
 
-// Ask is the leader alone.
-func (c Council) Ask() []view.Name {
+// Ask names the leader only.
+func (c Consensus) Ask() []view.Name {
 	name, known := c.Leader()
 	if !known {
 		return nil
@@ -212,19 +213,19 @@
 	return []view.Name{name}
 }
 
-// Clock is one for all.
-func (c Council) Clock() time.Duration { return time.Since(c.net.began) }
+// Clock is the same for all processes.
+func (c Consensus) Clock() time.Duration { return time.Since(c.net.start) }
 
 // Read calls f while nothing is applied.
-func (c Council) Read(f func(uint64)) { c.net.locked(func() { f(0) }) }
+func (c Consensus) Read(f func(uint64)) { c.net.withLock(func() { f(0) }) }
 
-// Tree is one of three children each.
+// Tree is a tree of members in which each has up to three children.
 type Tree []view.Member
 
-// Root is the first.
+// Root is the first member.
 func (t Tree) Root() view.Name { return t[0].Name }
 
-// Parent is none for the root, and for one that is not in it.
+// Parent returns false for the root, and for a process that is not in the tree.
 func (t Tree) Parent(p view.Name) (view.Name, bool) {
 	for i := range t {
 		if t[i].Name == p && i > 0 {
@@ -234,7 +235,7 @@
 	return "", false
 }
 
-// Children are three at most.
+// Children are at most three.
 func (t Tree) Children(p view.Name) (all []view.Name) {
 	for i := range t {
 		if i > 0 && t[(i-1)/3].Name == p {
@@ -244,8 +245,8 @@
 	return all
 }
 
-// Ask calls a public part, reads the answer into out and returns its status.
-func Ask(t *testing.T, h http.Handler, method, url, body string, out any) int {
+// Request makes an HTTP request to a process, decodes the answer into out and returns its status.
+func Request(t *testing.T, h http.Handler, method, url, body string, out any) int {
 	t.Helper()
 	w := httptest.NewRecorder()
 	h.ServeHTTP(w, httptest.NewRequest(method, url, strings.NewReader(body)))
--- a/internal/cluster/ordering/signals.go
+++ b/internal/cluster/ordering/signals.go
@@ -1,7 +1,7 @@
 package ordering
 
-// This file is how the goroutines of a part hear of each other: that there is something to do, that the part's state
-// has changed, and that this life may begin.
+// This file is how the goroutines of a part notify each other: that there is work, that the part's state has changed,
+// and that the process is ready.
 
 import (
 	"context"
@@ -9,42 +9,43 @@
 	"time"
 )
 
-// Signals are those of one part. NewSignals makes them.
+// Signals are the notifications of one part. NewSignals makes them.
 type Signals struct {
-	mu     sync.Locker
-	kick   chan struct{}
-	ready  chan struct{}
-	turned chan struct{} // closed at the next change of state; guarded by mu
+	mu      sync.Locker
+	wakeups chan struct{}
+	ready   chan struct{}
+	changed chan struct{} // closed at the next change of state, then replaced; guarded by mu
 }
 
-// NewSignals are those of the part that mu guards.
+// NewSignals returns signals for the part that mu guards.
 func NewSignals(mu sync.Locker) *Signals {
-	return &Signals{mu: mu, kick: make(chan struct{}, 1), ready: make(chan struct{}), turned: make(chan struct{})}
+	return &Signals{mu: mu, wakeups: make(chan struct{}, 1), ready: make(chan struct{}), changed: make(chan struct{})}
 }
 
-// Wake has the part's loop look at once. It never waits.
+// Wake makes the part's loop run at once. It never blocks.
 func (s *Signals) Wake() {
 	select {
-	case s.kick <- struct{}{}:
+	case s.wakeups <- struct{}{}:
 	default:
 	}
 }
 
-// Woken tells the loop that there is something to do.
-func (s *Signals) Woken() <-chan struct{} { return s.kick }
+// Wakeups is what the loop receives from.
+func (s *Signals) Wakeups() <-chan struct{} { return s.wakeups }
 
-// Turn tells all who wait on the state that it has changed, and wakes the loop. The lock is held.
-func (s *Signals) Turn() {
-	close(s.turned)
-	s.turned = make(chan struct{})
+// NotifyChange notifies all who wait for a change of state, and wakes the loop. The lock is held.
+func (s *Signals) NotifyChange() {
+	close(s.changed)
+	s.changed = make(chan struct{})
 	s.Wake()
 }
 
-// Turned is closed at the next change of state. The lock is held when it is called, not when it is waited on.
-func (s *Signals) Turned() <-chan struct{} { return s.turned }
+// Changed returns a channel that is closed at the next change of state. The lock is held when it is called, but not
+// while its result is waited on.
+func (s *Signals) Changed() <-chan struct{} { return s.changed }
 
-// Open has Ready closed; it may be called again.
-func (s *Signals) Open() {
+// MarkReady closes Ready. It may be called more than once.
+func (s *Signals) MarkReady() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	select {
@@ -54,24 +55,24 @@
 	}
 }
 
-// Ready is closed once this life may begin.
+// Ready is closed once the process may start work.
 func (s *Signals) Ready() <-chan struct{} { return s.ready }
 
-// Await waits until the state is settled, for so long at most, or until ctx or ended is over. The lock is held when it
-// is called, when it calls settled and when it returns, and is not held while it waits.
-func (s *Signals) Await(ctx context.Context, ended <-chan struct{}, most time.Duration, settled func() bool) {
-	limit := time.NewTimer(most)
-	defer limit.Stop()
+// WaitUntil waits until settled returns true, for timeout at most, or until ctx ends or done is closed. The lock is held
+// when it is called, when it calls settled and when it returns, but not while it waits.
+func (s *Signals) WaitUntil(ctx context.Context, done <-chan struct{}, timeout time.Duration, settled func() bool) {
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
 	for waiting := true; waiting && !settled(); {
-		turned := s.turned
+		changed := s.changed
 		s.mu.Unlock()
 		select {
-		case <-turned:
-		case <-limit.C:
+		case <-changed:
+		case <-timer.C:
 			waiting = false
 		case <-ctx.Done():
 			waiting = false
-		case <-ended:
+		case <-done:
 			waiting = false
 		}
 		s.mu.Lock()
--- a/internal/cluster/purge/run/calls.go
+++ b/internal/cluster/purge/run/calls.go
@@ -63,7 +63,7 @@
 		of.Failed(to.Child, r.o.Now())
 	default:
 		of.Answered(to.Child, up, r.o.Now())
-		r.signals.Turn()
+		r.signals.NotifyChange()
 	}
 }
 
@@ -98,8 +98,8 @@
 	r.calls.DownsIn++
 	r.state.FromParent(d, r.o.Now())
 	r.state.Hold()
-	r.signals.Turn()
-	r.signals.Await(ctx, r.ctx.Done(), spread.HoldFor, r.state.Settled)
+	r.signals.NotifyChange()
+	r.signals.WaitUntil(ctx, r.ctx.Done(), spread.HoldFor, r.state.Settled)
 	return r.state.Answer(d, r.o.Now()), nil
 }
 
@@ -132,7 +132,7 @@
 	defer r.mu.Unlock()
 	r.calls.UpsIn++
 	a := r.state.FromChild(up, r.o.Now())
-	r.signals.Turn()
+	r.signals.NotifyChange()
 	return a, nil
 }
 
@@ -148,7 +148,7 @@
 	}
 	r.calls.UpsIn++
 	a := r.gather.FromRoot(up, r.o.Now())
-	r.signals.Turn()
+	r.signals.NotifyChange()
 	return a, nil
 }
 
@@ -197,7 +197,7 @@
 		decidedHere = err == nil
 		return err
 	}
-	err = r.caller.Decide(ctx, here, pathPropose, proposal{kind, text}, out)
+	err = r.caller.Propose(ctx, here, pathPropose, proposal{kind, text}, out)
 	if err != nil || !decidedHere {
 		return err
 	}
@@ -211,5 +211,5 @@
 	likely := r.o.Council.Ask()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return ordering.Whom(likely, r.leader.Name, r.view, r.o.Self.Name, mostAsked)
+	return ordering.Candidates(likely, r.leader.Name, r.view, r.o.Self.Name, mostAsked)
 }
--- a/internal/cluster/purge/run/http.go
+++ b/internal/cluster/purge/run/http.go
@@ -27,37 +27,37 @@
 }
 
 func (r *Runner) public(mux *http.ServeMux) {
-	mux.HandleFunc("POST /v1/purges", r.posts.Bounded(r.post))
-	mux.HandleFunc("GET /v1/purges/{id}", r.posts.Bounded(r.get))
+	mux.HandleFunc("POST /v1/purges", r.posts.Limit(r.post))
+	mux.HandleFunc("GET /v1/purges/{id}", r.posts.Limit(r.get))
 }
 
 // post answers 202 once the purge is decided in common, or 200 once it is closed where that was waited for.
 func (r *Runner) post(w http.ResponseWriter, q *http.Request) {
-	wait, ok := ordering.WaitOf(w, q, "complete", decideFor)
+	wait, ok := ordering.ParseWait(w, q, "complete", decideFor)
 	if !ok {
 		return
 	}
 	var order ledger.Open
-	if !ordering.Read(w, q, mostBody, &order) {
+	if !ordering.ReadOrder(w, q, mostBody, &order) {
 		return
 	}
 	if field, why := order.Check(); field != "" {
-		ordering.Tell(w, http.StatusBadRequest, ordering.Refusal{Error: field + " " + why, Field: field})
+		ordering.WriteJSON(w, http.StatusBadRequest, ordering.ErrorResponse{Error: field + " " + why, Field: field})
 		return
 	}
 	ctx, cancel := context.WithTimeout(q.Context(), decideFor)
 	defer cancel()
 	var opened ledger.Opened
 	if err := r.propose(ctx, ledger.KindOpen, order, &opened); err != nil {
-		ordering.Later(w, "1", ordering.Refusal{Error: err.Error() + "; order it again under the same id"})
+		ordering.WriteRetryLater(w, "1", ordering.ErrorResponse{Error: err.Error() + "; order it again under the same id"})
 		return
 	}
 	switch {
 	case opened.Full:
-		ordering.Later(w, "5", ordering.Refusal{Error: opened.Refused})
+		ordering.WriteRetryLater(w, "5", ordering.ErrorResponse{Error: opened.Refused})
 		return
 	case opened.Refused != "":
-		ordering.Tell(w, http.StatusConflict, ordering.Refusal{Error: opened.Refused, Field: opened.Field})
+		ordering.WriteJSON(w, http.StatusConflict, ordering.ErrorResponse{Error: opened.Refused, Field: opened.Field})
 		return
 	}
 	t := taken{ID: order.ID, Seq: opened.Seq, Known: opened.Known, State: opened.State}
@@ -68,7 +68,7 @@
 	if wait > 0 && t.State != ledger.Spreading {
 		status = http.StatusOK
 	}
-	ordering.Tell(w, status, t)
+	ordering.WriteJSON(w, status, t)
 }
 
 // await looks until a purge is closed, or the time is over.
@@ -96,11 +96,11 @@
 	s, err := r.show(ctx, q.PathValue("id"))
 	switch {
 	case err != nil:
-		ordering.Later(w, "1", ordering.Refusal{Error: err.Error()})
+		ordering.WriteRetryLater(w, "1", ordering.ErrorResponse{Error: err.Error()})
 	case !s.Known:
-		ordering.Tell(w, http.StatusNotFound, ordering.Refusal{Field: "id",
+		ordering.WriteJSON(w, http.StatusNotFound, ordering.ErrorResponse{Field: "id",
 			Error: "no purge has this id, or it was forgotten as one of the oldest"})
 	default:
-		ordering.Tell(w, http.StatusOK, s.Shown)
+		ordering.WriteJSON(w, http.StatusOK, s.Shown)
 	}
 }
--- a/internal/cluster/purge/run/join.go
+++ b/internal/cluster/purge/run/join.go
@@ -27,7 +27,7 @@
 func (r *Runner) catchUp() {
 	bound := time.AfterFunc(r.o.CatchUp, func() {
 		r.o.Log.Warn("purge: nobody reached in time; serving on", zap.Duration("after", r.o.CatchUp))
-		r.signals.Open()
+		r.signals.MarkReady()
 	})
 	defer bound.Stop()
 	for r.ctx.Err() == nil {
@@ -36,7 +36,7 @@
 		}
 	}
 	if bound.Stop() {
-		r.signals.Open()
+		r.signals.MarkReady()
 	}
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
@@ -81,7 +81,7 @@
 		if p := r.state.Parent(); p.Name != "" {
 			ask = append(ask, p.Name)
 		}
-		turned := r.signals.Turned()
+		turned := r.signals.Changed()
 		if applied >= joined.Seq {
 			r.caught, r.told = true, max(r.told, seat.Longest)
 			r.mu.Unlock()
@@ -93,7 +93,7 @@
 			if r.caller.Call(ctx, ask[n%len(ask)], pathMissed, missed{since}, &d) == nil {
 				r.mu.Lock()
 				r.state.FromParent(d, r.o.Now())
-				r.signals.Turn()
+				r.signals.NotifyChange()
 				r.mu.Unlock()
 			}
 		}
--- a/internal/cluster/purge/run/run.go
+++ b/internal/cluster/purge/run/run.go
@@ -35,8 +35,8 @@
 type Options struct {
 	Self    view.Member // Life, Zone, Region and Folder are read; a view may tell a higher incarnation later
 	Link    ordering.Link
-	Council ordering.Council // nil at a process that has no place in it
-	Ledger  *ledger.Ledger   // the council's part of that name; nil where there is no council
+	Council ordering.Consensus // nil at a process that has no place in it
+	Ledger  *ledger.Ledger     // the council's part of that name; nil where there is no council
 	Orders  together.Orders
 	Longest time.Duration // the longest deadline of what the folder holds; 0 for not known
 	CatchUp time.Duration // how long a start waits for what it missed, at most
@@ -51,7 +51,7 @@
 	stop    context.CancelFunc
 	going   sync.WaitGroup
 	signals *ordering.Signals
-	posts   ordering.Gate // callers' orders under way
+	posts   ordering.Limiter // callers' orders under way
 	caller  ordering.Caller
 
 	mu      sync.Mutex // purge.mu
@@ -84,10 +84,10 @@
 		return nil, errors.New("purge: a link and a sender's orders must be given, and a ledger with a council")
 	}
 	if o.Council == nil {
-		o.Council = ordering.Outsider{NotLeading: errNotLeading}
+		o.Council = ordering.NoConsensus{NotLeading: errNotLeading}
 	}
 	if o.Now == nil {
-		o.Now = ordering.Clock()
+		o.Now = ordering.NewClock()
 	}
 	if o.CatchUp == 0 {
 		o.CatchUp = catchUpFor
@@ -95,12 +95,12 @@
 	if o.Log == nil {
 		o.Log = zap.NewNop()
 	}
-	r := &Runner{o: o, posts: make(ordering.Gate, mostPosts), longest: o.Longest,
+	r := &Runner{o: o, posts: make(ordering.Limiter, mostPosts), longest: o.Longest,
 		state: spread.New(o.Self.Life, o.Self.Folder, o.Orders.Applied())}
 	r.signals = ordering.NewSignals(&r.mu)
 	r.ctx, r.stop = context.WithCancel(context.Background())
-	r.caller = ordering.Caller{Part: "purge", Link: o.Link, Council: o.Council, Self: o.Self.Name, Life: r.life, Whom: r.whomToAsk,
-		Ended: r.ctx.Done(), CallFor: callFor, First: pace, Most: 16 * pace, Nobody: errNobody, Undone: errUndone}
+	r.caller = ordering.Caller{Part: "purge", Link: o.Link, Consensus: o.Council, Self: o.Self.Name, Life: r.life, Candidates: r.whomToAsk,
+		Done: r.ctx.Done(), CallTimeout: callFor, MinBackoff: pace, MaxBackoff: 16 * pace, ErrNoCandidate: errNobody, ErrUndecided: errUndone}
 	r.handle()
 	r.public(o.Link.Public())
 	r.going.Go(r.loop)
@@ -165,7 +165,7 @@
 		case <-r.ctx.Done():
 			return
 		case <-tick.C:
-		case <-r.signals.Woken():
+		case <-r.signals.Wakeups():
 		}
 		r.step()
 	}
@@ -201,7 +201,7 @@
 			r.mu.Lock()
 			defer r.mu.Unlock()
 			r.state.Applied(applied, found, r.o.Now())
-			r.signals.Turn()
+			r.signals.NotifyChange()
 		})
 	}
 }
@@ -211,7 +211,7 @@
 	if r.view == nil || r.tree == nil {
 		return
 	}
-	life, top, below := ordering.Place(r.view, r.tree, r.o.Self.Name, leader, known, r.leader)
+	life, top, below := ordering.TreePosition(r.view, r.tree, r.o.Self.Name, leader, known, r.leader)
 	r.state.Tree(spread.Above{Life: life, Top: top}, below, now)
 }
 
--- a/internal/cluster/purge/run/run_test.go
+++ b/internal/cluster/purge/run/run_test.go
@@ -63,7 +63,7 @@
 func (f *fleet) start(t *testing.T, m view.Member, o *orders, bound time.Duration) *Runner {
 	t.Helper()
 	l := f.net.Link(m.Life)
-	r, err := Start(Options{Self: m, Link: l, Council: f.net.Council(m.Name), Ledger: f.ledger, Orders: o,
+	r, err := Start(Options{Self: m, Link: l, Council: f.net.Consensus(m.Name), Ledger: f.ledger, Orders: o,
 		Longest: time.Minute, CatchUp: bound})
 	if err != nil {
 		t.Fatal(err)
@@ -107,29 +107,29 @@
 	}
 	var got taken
 	var code int
-	f.net.LoseNext(ledger.KindOpen) // killed between commit and answer: tried again under the same id
-	code = orderingtest.Ask(t, door, "POST", "/v1/purges?wait=complete&for=20s", order("a"), &got)
+	f.net.LoseNextAnswer(ledger.KindOpen) // killed between commit and answer: tried again under the same id
+	code = orderingtest.Request(t, door, "POST", "/v1/purges?wait=complete&for=20s", order("a"), &got)
 	if code != 200 || got.State != ledger.Complete || got.Seq != 1 {
 		t.Fatalf("%d %+v", code, got)
 	}
-	if code := orderingtest.Ask(t, door, "POST", "/v1/purges", order("a"), &got); code != 202 || !got.Known || got.Seq != 1 {
+	if code := orderingtest.Request(t, door, "POST", "/v1/purges", order("a"), &got); code != 202 || !got.Known || got.Seq != 1 {
 		t.Errorf("the same again: %d %+v", code, got)
 	}
-	var no ordering.Refusal
+	var no ordering.ErrorResponse
 	for field, bad := range map[string]string{
 		"why":     strings.Replace(order("a"), "cancelled", "moved", 1),
 		"subject": strings.Replace(order("b"), "notices", "all", 1),
 		"match":   strings.Replace(order("b"), `"key":"k"`, "", 1),
 	} {
-		if code := orderingtest.Ask(t, door, "POST", "/v1/purges", bad, &no); code/100 != 4 || no.Field != field {
+		if code := orderingtest.Request(t, door, "POST", "/v1/purges", bad, &no); code/100 != 4 || no.Field != field {
 			t.Errorf("%s: %d %+v", field, code, no)
 		}
 	}
-	code = orderingtest.Ask(t, door, "POST", "/v1/purges", `{"id":"b","whose":1}`, &no)
+	code = orderingtest.Request(t, door, "POST", "/v1/purges", `{"id":"b","whose":1}`, &no)
 	if code != 400 || !strings.Contains(no.Error, "whose") {
 		t.Errorf("%d %+v", code, no)
 	}
-	if code := orderingtest.Ask(t, door, "GET", "/v1/purges/nobody", "", &no); code != 404 {
+	if code := orderingtest.Request(t, door, "GET", "/v1/purges/nobody", "", &no); code != 404 {
 		t.Errorf("%d %+v", code, no)
 	}
 	atRoot := f.net.Calls("p0", pathDown) + f.net.Calls("p0", pathUp)
@@ -137,13 +137,13 @@
 
 	// One that nobody reaches is shown so, and nothing is complete without it; its next life applies, then answers.
 	f.net.SetDown(true, "p5")
-	code = orderingtest.Ask(t, door, "POST", "/v1/purges?wait=complete&for=700ms", order("c"), &got)
+	code = orderingtest.Request(t, door, "POST", "/v1/purges?wait=complete&for=700ms", order("c"), &got)
 	if code != 202 || got.State != ledger.Spreading {
 		t.Fatalf("%d %+v", code, got)
 	}
 	var s Shown
 	for end := time.Now().Add(20 * time.Second); s.Sums.Acknowledged < 12; time.Sleep(20 * time.Millisecond) {
-		if code = orderingtest.Ask(t, door, "GET", "/v1/purges/c", "", &s); code != 200 || time.Now().After(end) {
+		if code = orderingtest.Request(t, door, "GET", "/v1/purges/c", "", &s); code != 200 || time.Now().After(end) {
 			t.Fatalf("%d %+v", code, s)
 		}
 	}
@@ -166,17 +166,17 @@
 		t.Errorf("ready with %d applied, %d was decided", seq, got.Seq)
 	}
 	see()
-	code = orderingtest.Ask(t, door, "POST", "/v1/purges?wait=complete&for=20s", order("c"), &got)
+	code = orderingtest.Request(t, door, "POST", "/v1/purges?wait=complete&for=20s", order("c"), &got)
 	if code != 200 || got.State != ledger.Complete {
 		t.Fatalf("%d %+v", code, got)
 	}
-	code = orderingtest.Ask(t, door, "GET", "/v1/purges/c", "", &s)
+	code = orderingtest.Request(t, door, "GET", "/v1/purges/c", "", &s)
 	if code != 200 || s.Sums.Acknowledged != 13 || s.Sums.Found.NotBegun != 13 {
 		t.Errorf("%d %+v", code, s)
 	}
 	// The leader goes; the next asks anew.
-	f.net.Lead("p9")
-	code = orderingtest.Ask(t, door, "POST", "/v1/purges?wait=complete&for=20s", order("d"), &got)
+	f.net.SetLeader("p9")
+	code = orderingtest.Request(t, door, "POST", "/v1/purges?wait=complete&for=20s", order("d"), &got)
 	if code != 200 || got.Seq != 3 {
 		t.Fatalf("%d %+v", code, got)
 	}
--- a/internal/cluster/purge/run/show.go
+++ b/internal/cluster/purge/run/show.go
@@ -81,7 +81,7 @@
 // show asks the leader.
 func (r *Runner) show(ctx context.Context, id string) (s shown, err error) {
 	here := func() error { return r.caller.Call(ctx, r.o.Self.Name, pathShow, showing{id}, &s) }
-	err = r.caller.Show(ctx, 4*pace, here, pathShow, showing{id}, &s)
+	err = r.caller.Query(ctx, 4*pace, here, pathShow, showing{id}, &s)
 	return s, err
 }
 
