--- a/internal/cluster/purge/ledger/ledger.go
+++ b/internal/cluster/purge/ledger/ledger.go
@@ -15,240 +15,259 @@
 	"flaxcove/internal/sender/together"
 )
 
-// Bounds. Ten thousand purges at once must fit (the hard case), with room: a purge costs about 400 bytes.
+// Bounds of the ledger. Ten thousand purges at once must fit (the hard case), with a margin: a purge takes about
+// 400 bytes.
 const (
-	MostFull   = 16384 // purges open, or that a process from before could need; beyond, a new one is refused
-	MostShort  = 16384 // ids remembered after that; the oldest leave first, and may then stand for another purge
-	MostLearnt = 4096  // closed purges of what was learnt, kept in full: that has no deadline; the oldest leave first
-	MostSeats  = 4096
-	MostNames  = 64
-	mostDetail = 1024 // of the closed, those that keep contents and sums by zone to be shown
+	MaxFullRecords      = 16384 // purges that are open, or that a process may still need; beyond it a new one is rejected
+	MaxCompactedRecords = 16384 // retained after that, for their ids; an id that was dropped may be used for another purge
+	MaxLearnedState     = 4096  // closed purges of learned state, which has no deadline, that are retained in full
+	MaxParticipants     = 4096
+	MaxLapsedNames      = 64
+	maxDetailedRecords  = 1024 // closed purges that retain contents and sums by zone, to be shown
 )
 
-// Margin is added to the longest deadline before time may stand for an answer: a sender ends a message up to 300 ms
-// past its deadline (docs/design.md), clocks of two machines run apart by 1 in 10,000 at most, and the rest is slack.
-const Margin = 5 * time.Second
+// LapseMargin is added to the longest deadline before a missing acknowledgement may lapse: a sender ends a message up to
+// 300 ms past its deadline (docs/design.md), clocks of two machines drift by 1 in 10,000 at most, and the rest is slack.
+const LapseMargin = 5 * time.Second
 
-// Unknown stands for the longest deadline where no process has told one.
-const Unknown = time.Hour
+// DefaultLongestDeadline is assumed where no participant has reported its longest deadline.
+const DefaultLongestDeadline = time.Hour
 
-// KeepGone is for how long the seat of a process that is away is kept: what it does, cut off, cannot be known.
-const KeepGone = 24 * time.Hour
+// AbsenceLimit is how long a process may be absent and still remain a participant: what it does while partitioned from
+// the others cannot be known.
+const AbsenceLimit = 24 * time.Hour
 
-// Ledger is the state. It is not safe for use by several goroutines: the council guards it.
+// Ledger is the state. It is not safe for concurrent use: the consensus group guards it.
 type Ledger struct {
-	rows   map[uint64]*Row
-	ids    map[string]uint64
-	seats  []Seat // by name
-	last   uint64 // the newest Seq
-	floor  uint64 // the oldest that is open; last+1 for none. All from it on are open
-	roster uint64 // grows as a life comes or goes
-	at     time.Duration
-	no     uint64 // grows with each command; not kept
-
-	kept, learnt, short, detail []uint64 // closed ones, oldest first: in full, in full for good, short; and with zones
+	records       map[uint64]*Record
+	seqByID       map[string]uint64
+	participants  []Participant // sorted by name
+	lastSeq       uint64        // the newest purge
+	oldestOpen    uint64        // the oldest open purge; lastSeq+1 for none. All from it on are open
+	rosterVersion uint64        // grows when a participant joins, restarts or leaves
+	clock         time.Duration
+	revision      uint64 // grows with each command; not in snapshots
+
+	// The Seqs of closed purges, oldest first.
+	closedMessages []uint64 // of messages, in full until past the horizon
+	closedLearned  []uint64 // of learned state, in full
+	compacted      []uint64 // needed by no process
+	detailed       []uint64 // with contents and sums by zone, to be shown
 }
 
-// New is an empty ledger.
+// New returns an empty ledger.
 func New() *Ledger {
-	return &Ledger{rows: map[uint64]*Row{}, ids: map[string]uint64{}, floor: 1}
+	return &Ledger{records: map[uint64]*Record{}, seqByID: map[string]uint64{}, oldestOpen: 1}
 }
 
-// Apply takes one committed command. An error means that it could not be read, and nothing has changed; what is
-// refused by rule is told in the answer.
+// Apply applies one committed command. An error means that it could not be decoded, and nothing has changed; a command
+// that is rejected by a rule says so in its answer.
 func (l *Ledger) Apply(_ uint64, at time.Duration, kind string, body json.RawMessage) (json.RawMessage, error) {
 	var answer any
 	var err error
-	l.at = max(l.at, at)
+	l.clock = max(l.clock, at)
 	switch kind {
 	case KindOpen:
-		var c Open
-		if err = json.Unmarshal(body, &c); err == nil {
-			answer = l.open(c)
-		}
+		answer, err = decodeAndApply(body, l.open)
 	case KindJoin:
-		var c Join
-		if err = json.Unmarshal(body, &c); err == nil {
-			answer = l.join(c)
-		}
-	case KindGone:
-		var c Gone
-		if err = json.Unmarshal(body, &c); err == nil {
-			answer = l.gone(c)
-		}
+		answer, err = decodeAndApply(body, l.join)
+	case KindLeave:
+		answer, err = decodeAndApply(body, l.leave)
 	case KindClose:
-		var c Close
-		if err = json.Unmarshal(body, &c); err == nil {
-			answer = l.close(c)
-		}
+		answer, err = decodeAndApply(body, l.close)
 	default:
 		err = errors.New("unknown kind")
 	}
 	if err != nil {
 		return nil, fmt.Errorf("purge ledger: command %q: %w", kind, err)
 	}
-	l.no++
+	l.revision++
 	l.compact()
 	return json.Marshal(answer)
 }
 
-func (l *Ledger) open(c Open) Opened {
-	if field, why := c.Check(); field != "" {
-		return Opened{Refused: field + " " + why, Field: field}
-	}
-	prints := c.prints()
-	if seq, known := l.ids[c.ID]; known {
-		r := l.rows[seq]
-		for i, p := range prints {
-			if r.Prints[i] != p {
-				return Opened{Refused: fmt.Sprintf("id %q stands for another purge: %s differs", c.ID, printNames[i]),
-					Field: printNames[i]}
+// decodeAndApply decodes a command and applies it. Nothing is applied where it can't be decoded.
+func decodeAndApply[C, R any](body json.RawMessage, apply func(C) R) (any, error) {
+	var command C
+	if err := json.Unmarshal(body, &command); err != nil {
+		return nil, err
+	}
+	return apply(command), nil
+}
+
+// open opens a purge, or finds the one that was opened by the same command before.
+func (l *Ledger) open(c Open) OpenResult {
+	if field, why := c.Validate(); field != "" {
+		return OpenResult{Rejected: field + " " + why, Field: field}
+	}
+	checksums := c.checksums()
+	if seq, known := l.seqByID[c.ID]; known {
+		r := l.records[seq]
+		for i, sum := range checksums {
+			if r.Checksums[i] != sum {
+				return OpenResult{Rejected: fmt.Sprintf("id %q stands for another purge: %s differs", c.ID, checksumFields[i]),
+					Field: checksumFields[i]}
 			}
 		}
-		return Opened{Seq: seq, Known: true, State: r.State}
+		return OpenResult{Seq: seq, Duplicate: true, State: r.State}
 	}
 	l.compact()
-	if n := l.Full(); n >= MostFull {
-		return Opened{Full: true, Refused: fmt.Sprintf(
-			"the ledger is full: %d purges are open or younger than the longest hard stop (%v)", n, l.Longest())}
-	}
-	l.last++
-	l.rows[l.last] = &Row{Seq: l.last, ID: c.ID, Subject: c.Subject, Match: c.Match, Who: c.Who, Why: c.Why,
-		At: l.at, State: Spreading, Prints: prints}
-	l.ids[c.ID] = l.last
-	return Opened{Seq: l.last, State: Spreading}
+	if n := l.FullRecords(); n >= MaxFullRecords {
+		return OpenResult{Full: true, Rejected: fmt.Sprintf(
+			"the ledger is full: %d purges are open or younger than the longest hard stop (%v)", n, l.LongestDeadline())}
+	}
+	l.lastSeq++
+	l.records[l.lastSeq] = &Record{Seq: l.lastSeq, ID: c.ID, Subject: c.Subject, Match: c.Match, Who: c.Who, Why: c.Why,
+		At: l.clock, State: Spreading, Checksums: checksums}
+	l.seqByID[c.ID] = l.lastSeq
+	return OpenResult{Seq: l.lastSeq, State: Spreading}
 }
 
-func byName(s Seat, n view.Name) int { return cmp.Compare(s.Name, n) }
+func byName(s Participant, n view.Name) int { return cmp.Compare(s.Name, n) }
 
-func (l *Ledger) join(c Join) Joined {
-	refused := ""
-	for _, s := range c.Seats {
-		i, found := slices.BinarySearchFunc(l.seats, s.Name, byName)
+// join adds participants, or updates them to their later incarnations.
+func (l *Ledger) join(c Join) JoinResult {
+	rejected := ""
+	for _, s := range c.Participants {
+		i, found := slices.BinarySearchFunc(l.participants, s.Name, byName)
 		switch {
 		case s.Name == "":
-			refused = "a seat without a name"
-		case !found && len(l.seats) >= MostSeats:
-			refused = fmt.Sprintf("%q: all %d seats are taken", s.Name, MostSeats)
+			rejected = "a seat without a name"
+		case !found && len(l.participants) >= MaxParticipants:
+			rejected = fmt.Sprintf("%q: all %d seats are taken", s.Name, MaxParticipants)
 		case !found:
-			l.seats = slices.Insert(l.seats, i, s)
-			l.roster++
-		case s.Incarnation < l.seats[i].Incarnation:
-			refused = fmt.Sprintf("%q: incarnation %d has the seat, %d is older", s.Name, l.seats[i].Incarnation, s.Incarnation)
+			l.participants = slices.Insert(l.participants, i, s)
+			l.rosterVersion++
+		case s.Incarnation < l.participants[i].Incarnation:
+			rejected = fmt.Sprintf("%q: incarnation %d has the seat, %d is older", s.Name, l.participants[i].Incarnation, s.Incarnation)
 		default:
-			// What an earlier life could hold, this one can: the folder is the same, or the message is lost anyway.
-			s.Longest = max(s.Longest, l.seats[i].Longest)
+			// This incarnation can hold what the earlier one could: it has the same folder, or the message is lost anyway.
+			s.LongestDeadline = max(s.LongestDeadline, l.participants[i].LongestDeadline)
 			if s.Folder == "" {
-				s.Folder = l.seats[i].Folder
+				s.Folder = l.participants[i].Folder
 			}
-			if s.Incarnation > l.seats[i].Incarnation {
-				l.roster++
+			if s.Incarnation > l.participants[i].Incarnation {
+				l.rosterVersion++
 			}
-			l.seats[i] = s
+			l.participants[i] = s
 		}
 	}
-	return Joined{Seq: l.last, Floor: l.floor, Refused: refused}
+	return JoinResult{Seq: l.lastSeq, OldestOpen: l.oldestOpen, Rejected: rejected}
 }
 
-func (l *Ledger) gone(c Gone) Joined {
+// leave removes participants, unless a later incarnation has joined.
+func (l *Ledger) leave(c Leave) JoinResult {
 	for _, life := range c.Lives {
-		i, found := slices.BinarySearchFunc(l.seats, life.Name, byName)
-		if found && l.seats[i].Incarnation == life.Incarnation {
-			l.seats = slices.Delete(l.seats, i, i+1)
-			l.roster++
+		i, found := slices.BinarySearchFunc(l.participants, life.Name, byName)
+		if found && l.participants[i].Incarnation == life.Incarnation {
+			l.participants = slices.Delete(l.participants, i, i+1)
+			l.rosterVersion++
 		}
 	}
-	return Joined{Seq: l.last, Floor: l.floor}
+	return JoinResult{Seq: l.lastSeq, OldestOpen: l.oldestOpen}
 }
 
-func (l *Ledger) close(c Close) (answer Closed) {
-	if c.Roster != l.roster {
-		// A life that joined since has acknowledged nothing yet.
-		return Closed{Why: fmt.Sprintf("roster %d, not %d", l.roster, c.Roster)}
+// close closes purges in order until one can't be closed.
+func (l *Ledger) close(c Close) (answer CloseResult) {
+	if c.RosterVersion != l.rosterVersion {
+		// A participant that joined since has acknowledged nothing yet.
+		return CloseResult{Reason: fmt.Sprintf("roster %d, not %d", l.rosterVersion, c.RosterVersion)}
 	}
-	for _, closing := range c.Rows {
-		if closing.Seq < l.floor {
-			answer.Done++ // closed before: a command that was tried again
+	for _, closure := range c.Closures {
+		if closure.Seq < l.oldestOpen {
+			answer.Done++ // closed before: the command was retried
 			continue
 		}
-		if closing.Seq != l.floor || closing.Seq > l.last {
-			answer.Why = fmt.Sprintf("%d is not the oldest open purge", closing.Seq)
-			return answer
-		}
-		r := l.rows[closing.Seq]
-		reached, lapsed := 0, 0
-		for _, z := range closing.Zones {
-			reached += z.Reached
-			lapsed += z.Lapsed
-		}
-		switch {
-		case reached+lapsed != len(l.seats):
-			answer.Why = fmt.Sprintf("%d: %d of %d seats", r.Seq, reached+lapsed, len(l.seats))
+		if answer.Reason = l.closeOldest(closure); answer.Reason != "" {
 			return answer
-		case lapsed > 0 && l.at-r.At < l.Horizon():
-			answer.Why = fmt.Sprintf("%d: %v old, time may stand for an answer at %v", r.Seq, l.at-r.At, l.Horizon())
-			return answer
-		}
-		r.State = Complete
-		if lapsed > 0 {
-			r.State = Lapsed
 		}
-		r.Zones, r.Names, r.Reached, r.Lapsed = closing.Zones, closing.Names, reached, lapsed
-		r.Names = r.Names[:min(len(r.Names), MostNames)]
-		for _, z := range closing.Zones {
-			r.Found.NotBegun += z.Found.NotBegun
-			r.Found.MayRun += z.Found.MayRun
-			r.Found.Delivered += z.Found.Delivered
-			r.Found.Learnt += z.Found.Learnt
-		}
-		l.floor++
 		answer.Done++
-		l.detail = append(l.detail, r.Seq)
-		if r.Subject == Learnt {
-			l.learnt = append(l.learnt, r.Seq)
-		} else {
-			l.kept = append(l.kept, r.Seq)
-		}
 	}
 	return answer
 }
 
-// compact shortens what nobody can need any more, and forgets the oldest of that.
+// closeOldest closes the oldest open purge, or returns why it can't.
+func (l *Ledger) closeOldest(closure Closure) (reason string) {
+	if closure.Seq != l.oldestOpen || closure.Seq > l.lastSeq {
+		return fmt.Sprintf("%d is not the oldest open purge", closure.Seq)
+	}
+	r := l.records[closure.Seq]
+	reached, lapsed := 0, 0
+	for _, z := range closure.Zones {
+		reached += z.Reached
+		lapsed += z.Lapsed
+	}
+	switch {
+	case reached+lapsed != len(l.participants):
+		return fmt.Sprintf("%d: %d of %d seats", r.Seq, reached+lapsed, len(l.participants))
+	case lapsed > 0 && l.clock-r.At < l.Horizon():
+		return fmt.Sprintf("%d: %v old, time may stand for an answer at %v", r.Seq, l.clock-r.At, l.Horizon())
+	}
+	r.setClosed(closure, reached, lapsed)
+	l.oldestOpen++
+	l.detailed = append(l.detailed, r.Seq)
+	if r.Subject == LearnedState {
+		l.closedLearned = append(l.closedLearned, r.Seq)
+	} else {
+		l.closedMessages = append(l.closedMessages, r.Seq)
+	}
+	return ""
+}
+
+// setClosed records the end of a purge.
+func (r *Record) setClosed(closure Closure, reached, lapsed int) {
+	r.State = Complete
+	if lapsed > 0 {
+		r.State = Lapsed
+	}
+	r.Zones, r.Reached, r.Lapsed = closure.Zones, reached, lapsed
+	r.LapsedNames = closure.LapsedNames[:min(len(closure.LapsedNames), MaxLapsedNames)]
+	for _, z := range closure.Zones {
+		r.Found.NotBegun += z.Found.NotBegun
+		r.Found.MayRun += z.Found.MayRun
+		r.Found.Delivered += z.Found.Delivered
+		r.Found.Learnt += z.Found.Learnt
+	}
+}
+
+// compact compacts records that no process can need any more, and drops the oldest of these beyond the bounds.
 func (l *Ledger) compact() {
-	for len(l.detail) > mostDetail {
-		if r := l.rows[l.detail[0]]; r != nil {
-			r.Zones, r.Names = nil, nil
-			if r.Short {
-				r.strip()
+	for len(l.detailed) > maxDetailedRecords {
+		if r := l.records[l.detailed[0]]; r != nil {
+			r.Zones, r.LapsedNames = nil, nil
+			if r.Compacted {
+				r.dropContents()
 			}
 		}
-		l.detail = l.detail[1:]
+		l.detailed = l.detailed[1:]
 	}
-	for len(l.kept) > 0 && l.at-l.rows[l.kept[0]].At > l.Horizon() {
-		l.shorten(l.kept[0])
-		l.kept = l.kept[1:]
+	for len(l.closedMessages) > 0 && l.clock-l.records[l.closedMessages[0]].At > l.Horizon() {
+		l.compactRecord(l.closedMessages[0])
+		l.closedMessages = l.closedMessages[1:]
 	}
-	for len(l.learnt) > MostLearnt {
-		l.shorten(l.learnt[0])
-		l.learnt = l.learnt[1:]
+	for len(l.closedLearned) > MaxLearnedState {
+		l.compactRecord(l.closedLearned[0])
+		l.closedLearned = l.closedLearned[1:]
 	}
-	for len(l.short) > MostShort {
-		delete(l.ids, l.rows[l.short[0]].ID)
-		delete(l.rows, l.short[0])
-		l.short = l.short[1:]
+	for len(l.compacted) > MaxCompactedRecords {
+		delete(l.seqByID, l.records[l.compacted[0]].ID)
+		delete(l.records, l.compacted[0])
+		l.compacted = l.compacted[1:]
 	}
 }
 
-// shorten marks what nobody can need; its contents go once it is not among the newest of the closed either.
-func (l *Ledger) shorten(seq uint64) {
-	r := l.rows[seq]
-	r.Short = true
-	l.short = append(l.short, seq)
-	if len(l.detail) == 0 || seq < l.detail[0] {
-		r.strip()
+// compactRecord marks a purge that no process can need. Its contents are dropped once it is not among the newest closed
+// ones either.
+func (l *Ledger) compactRecord(seq uint64) {
+	r := l.records[seq]
+	r.Compacted = true
+	l.compacted = append(l.compacted, seq)
+	if len(l.detailed) == 0 || seq < l.detailed[0] {
+		r.dropContents()
 	}
 }
 
-func (r *Row) strip() {
-	r.Who, r.Why, r.Match, r.Zones, r.Names = "", "", together.Match{}, nil, nil
+// dropContents leaves the id, the checksums and the sums.
+func (r *Record) dropContents() {
+	r.Who, r.Why, r.Match, r.Zones, r.LapsedNames = "", "", together.Match{}, nil, nil
 }
--- a/internal/cluster/purge/ledger/ledger_test.go
+++ b/internal/cluster/purge/ledger/ledger_test.go
@@ -14,7 +14,7 @@
 	"flaxcove/internal/sender/together"
 )
 
-func do[A any](t interface{ Fatalf(string, ...any) }, l *Ledger, at time.Duration, kind string, c any) (a A) {
+func mustApply[A any](t interface{ Fatalf(string, ...any) }, l *Ledger, at time.Duration, kind string, c any) (a A) {
 	body, err := json.Marshal(c)
 	if err != nil {
 		t.Fatalf("%v", err)
@@ -29,18 +29,18 @@
 	return a
 }
 
-func order(id string) Open {
+func testOpen(id string) Open {
 	return Open{ID: id, Subject: Messages, Match: together.Match{Key: "k-" + id}, Who: "billing", Why: "cancelled"}
 }
 
-func seat(n string, inc view.Incarnation) Seat {
-	return Seat{Life: view.Life{Name: view.Name(n), Incarnation: inc}, Zone: "z1", Region: "r1", Longest: time.Minute}
+func participant(n string, inc view.Incarnation) Participant {
+	return Participant{Life: view.Life{Name: view.Name(n), Incarnation: inc}, Zone: "z1", Region: "r1", LongestDeadline: time.Minute}
 }
 
-func TestSameIDOtherContent(t *testing.T) {
+func TestReusedIDIsRejected(t *testing.T) {
 	l := New()
-	first := do[Opened](t, l, 0, KindOpen, order("a"))
-	if again := do[Opened](t, l, 1, KindOpen, order("a")); !again.Known || again.Seq != first.Seq {
+	first := mustApply[OpenResult](t, l, 0, KindOpen, testOpen("a"))
+	if again := mustApply[OpenResult](t, l, 1, KindOpen, testOpen("a")); !again.Duplicate || again.Seq != first.Seq {
 		t.Fatalf("the same id again: %+v", again)
 	}
 	for field, change := range map[string]func(*Open){
@@ -48,50 +48,50 @@
 		"who":   func(o *Open) { o.Who = "sales" },
 		"why":   func(o *Open) { o.Why = "moved" },
 	} {
-		o := order("a")
+		o := testOpen("a")
 		change(&o)
-		if got := do[Opened](t, l, 2, KindOpen, o); got.Field != field || !strings.Contains(got.Refused, field) {
+		if got := mustApply[OpenResult](t, l, 2, KindOpen, o); got.Field != field || !strings.Contains(got.Rejected, field) {
 			t.Errorf("%s: %+v", field, got)
 		}
 	}
 	for field, o := range map[string]Open{
 		"id":                {Subject: Messages, Match: together.Match{Key: "k"}, Who: "w", Why: "y"},
 		"match":             {ID: "b", Subject: Messages, Who: "w", Why: "y"},
-		"match.destination": {ID: "b", Subject: Learnt, Match: together.Match{Key: "k"}, Who: "w", Why: "y"},
+		"match.destination": {ID: "b", Subject: LearnedState, Match: together.Match{Key: "k"}, Who: "w", Why: "y"},
 		"subject":           {ID: "b", Subject: "all", Match: together.Match{Key: "k"}, Who: "w", Why: "y"},
 		"why":               {ID: "b", Subject: Messages, Match: together.Match{Key: "k"}, Who: "w"},
 	} {
-		if got := do[Opened](t, l, 3, KindOpen, o); got.Field != field {
+		if got := mustApply[OpenResult](t, l, 3, KindOpen, o); got.Field != field {
 			t.Errorf("%s: %+v", field, got)
 		}
 	}
-	if l.Last() != 1 {
-		t.Errorf("%d purges", l.Last())
+	if l.LastSeq() != 1 {
+		t.Errorf("%d purges", l.LastSeq())
 	}
 	if _, err := l.Apply(0, 4, KindOpen, json.RawMessage(`{"id":`)); err == nil {
 		t.Error("a torn command was taken")
 	}
 }
 
-// Time stands for an answer only past the longest deadline, and a life that joins is waited for.
-func TestCloseWaits(t *testing.T) {
+// A purge closes without an acknowledgement only past the longest deadline, and a participant that joins is waited for.
+func TestCloseWaitsForParticipants(t *testing.T) {
 	l := New()
-	do[Joined](t, l, 0, KindJoin, Join{Seats: []Seat{seat("p", 1), seat("q", 1)}})
-	do[Opened](t, l, time.Second, KindOpen, order("a"))
-	lapse := Close{Roster: l.Roster(), Rows: []Closing{{Seq: 1, Zones: []ZoneSum{{Zone: "z1", Reached: 1, Lapsed: 1}}}}}
-	if got := do[Closed](t, l, time.Minute, KindClose, lapse); got.Done != 0 || !strings.Contains(got.Why, "old") {
+	mustApply[JoinResult](t, l, 0, KindJoin, Join{Participants: []Participant{participant("p", 1), participant("q", 1)}})
+	mustApply[OpenResult](t, l, time.Second, KindOpen, testOpen("a"))
+	lapse := Close{RosterVersion: l.RosterVersion(), Closures: []Closure{{Seq: 1, Zones: []ZoneSum{{Zone: "z1", Reached: 1, Lapsed: 1}}}}}
+	if got := mustApply[CloseResult](t, l, time.Minute, KindClose, lapse); got.Done != 0 || !strings.Contains(got.Reason, "old") {
 		t.Fatalf("lapsed too early: %+v", got)
 	}
-	all := Close{Roster: l.Roster(), Rows: []Closing{{Seq: 1, Zones: []ZoneSum{{Zone: "z1", Reached: 2}}}}}
-	do[Joined](t, l, time.Minute, KindJoin, Join{Seats: []Seat{seat("q", 2)}})
-	if got := do[Closed](t, l, time.Minute, KindClose, all); got.Done != 0 {
+	all := Close{RosterVersion: l.RosterVersion(), Closures: []Closure{{Seq: 1, Zones: []ZoneSum{{Zone: "z1", Reached: 2}}}}}
+	mustApply[JoinResult](t, l, time.Minute, KindJoin, Join{Participants: []Participant{participant("q", 2)}})
+	if got := mustApply[CloseResult](t, l, time.Minute, KindClose, all); got.Done != 0 {
 		t.Fatalf("closed past a life that joined: %+v", got)
 	}
-	if got := do[Joined](t, l, time.Minute, KindJoin, Join{Seats: []Seat{seat("q", 1)}}); got.Refused == "" {
+	if got := mustApply[JoinResult](t, l, time.Minute, KindJoin, Join{Participants: []Participant{participant("q", 1)}}); got.Rejected == "" {
 		t.Fatal("an older incarnation took the seat")
 	}
-	lapse.Roster = l.Roster()
-	if got := do[Closed](t, l, time.Second+time.Minute+Margin, KindClose, lapse); got.Done != 1 {
+	lapse.RosterVersion = l.RosterVersion()
+	if got := mustApply[CloseResult](t, l, time.Second+time.Minute+LapseMargin, KindClose, lapse); got.Done != 1 {
 		t.Fatalf("not lapsed: %+v", got)
 	}
 	if r, _ := l.Find("a"); r.State != Lapsed || r.Reached != 1 || r.Lapsed != 1 {
@@ -99,46 +99,46 @@
 	}
 }
 
-// Ten thousand purges: taken, closed, compacted, bounded; what is open is never dropped.
+// Ten thousand purges are accepted, closed and compacted within the bounds; an open one is never dropped.
 func TestTenThousand(t *testing.T) {
 	l := New()
-	do[Joined](t, l, 0, KindJoin, Join{Seats: []Seat{seat("p", 1)}})
-	for i := range MostFull {
-		do[Opened](t, l, 0, KindOpen, order(fmt.Sprint(i)))
+	mustApply[JoinResult](t, l, 0, KindJoin, Join{Participants: []Participant{participant("p", 1)}})
+	for i := range MaxFullRecords {
+		mustApply[OpenResult](t, l, 0, KindOpen, testOpen(fmt.Sprint(i)))
 	}
-	if got := do[Opened](t, l, 0, KindOpen, order("one more")); !got.Full || got.Refused == "" {
+	if got := mustApply[OpenResult](t, l, 0, KindOpen, testOpen("one more")); !got.Full || got.Rejected == "" {
 		t.Fatalf("beyond the bound: %+v", got)
 	}
-	if got := do[Opened](t, l, 0, KindOpen, order("7")); !got.Known {
+	if got := mustApply[OpenResult](t, l, 0, KindOpen, testOpen("7")); !got.Duplicate {
 		t.Fatalf("a known id in a full ledger: %+v", got)
 	}
-	c := Close{Roster: l.Roster()}
+	c := Close{RosterVersion: l.RosterVersion()}
 	for i := range 10000 {
-		c.Rows = append(c.Rows, Closing{Seq: uint64(i + 1), Zones: []ZoneSum{{Zone: "z1", Reached: 1}}})
+		c.Closures = append(c.Closures, Closure{Seq: uint64(i + 1), Zones: []ZoneSum{{Zone: "z1", Reached: 1}}})
 	}
-	do[Closed](t, l, time.Second, KindClose, c)
-	if got := do[Opened](t, l, time.Second, KindOpen, order("one more")); !got.Full {
+	mustApply[CloseResult](t, l, time.Second, KindClose, c)
+	if got := mustApply[OpenResult](t, l, time.Second, KindOpen, testOpen("one more")); !got.Full {
 		t.Fatal("young closed ones may still be needed: they count")
 	}
-	if got := do[Opened](t, l, 2*time.Minute, KindOpen, order("one more")); got.Refused != "" {
+	if got := mustApply[OpenResult](t, l, 2*time.Minute, KindOpen, testOpen("one more")); got.Rejected != "" {
 		t.Fatalf("%+v", got)
 	}
-	if r, _ := l.Find("7"); !r.Short || r.State != Complete || r.Match.Key != "" {
+	if r, _ := l.Find("7"); !r.Compacted || r.State != Complete || r.Match.Key != "" {
 		t.Errorf("not compacted: %+v", r)
 	}
-	if got := do[Opened](t, l, 2*time.Minute, KindOpen, order("7")); !got.Known || got.State != Complete {
+	if got := mustApply[OpenResult](t, l, 2*time.Minute, KindOpen, testOpen("7")); !got.Duplicate || got.State != Complete {
 		t.Errorf("a short row still answers its id: %+v", got)
 	}
-	for s := l.Floor(); s <= l.Last(); s++ {
-		if l.rows[s] == nil || l.rows[s].Short {
+	for s := l.OldestOpen(); s <= l.LastSeq(); s++ {
+		if l.records[s] == nil || l.records[s].Compacted {
 			t.Fatalf("open purge %d was dropped", s)
 		}
 	}
 }
 
-// Any commands: a second ledger that restarts from a snapshot in the middle ends alike; seqs never fork or go back;
-// open ones are a run up to the newest; an id keeps its purge while it is known.
-func TestRapid(t *testing.T) {
+// Any commands: a second ledger that is restored from snapshots in between stays identical; Seqs never fork or go back;
+// the open purges are always the newest ones; an id stands for the same purge as long as it is retained.
+func TestReplicasStayIdentical(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l, twin := New(), New()
 		at := time.Duration(0)
@@ -149,38 +149,38 @@
 			var c any
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0, 1:
-				kind, c = KindOpen, order(fmt.Sprint(rapid.IntRange(0, 20).Draw(t, "id")))
+				kind, c = KindOpen, testOpen(fmt.Sprint(rapid.IntRange(0, 20).Draw(t, "id")))
 			case 2:
-				kind, c = KindJoin, Join{Seats: []Seat{seat(rapid.SampledFrom([]string{"p", "q", "r"}).Draw(t, "name"),
+				kind, c = KindJoin, Join{Participants: []Participant{participant(rapid.SampledFrom([]string{"p", "q", "r"}).Draw(t, "name"),
 					view.Incarnation(rapid.IntRange(1, 3).Draw(t, "incarnation")))}}
 			case 3:
-				n := rapid.IntRange(0, len(l.seats)).Draw(t, "lapsed")
-				kind, c = KindClose, Close{Roster: l.roster, Rows: []Closing{{Seq: l.floor,
-					Zones: []ZoneSum{{Zone: "z1", Reached: len(l.seats) - n, Lapsed: n}}}}}
+				n := rapid.IntRange(0, len(l.participants)).Draw(t, "lapsed")
+				kind, c = KindClose, Close{RosterVersion: l.rosterVersion, Closures: []Closure{{Seq: l.oldestOpen,
+					Zones: []ZoneSum{{Zone: "z1", Reached: len(l.participants) - n, Lapsed: n}}}}}
 			case 4:
-				if len(l.seats) == 0 {
+				if len(l.participants) == 0 {
 					continue
 				}
-				kind, c = KindGone, Gone{Lives: []view.Life{rapid.SampledFrom(l.seats).Draw(t, "life").Life}}
+				kind, c = KindLeave, Leave{Lives: []view.Life{rapid.SampledFrom(l.participants).Draw(t, "life").Life}}
 			}
-			last := l.last
-			one, two := do[map[string]any](t, l, at, kind, c), do[map[string]any](t, twin, at, kind, c)
+			last := l.lastSeq
+			one, two := mustApply[map[string]any](t, l, at, kind, c), mustApply[map[string]any](t, twin, at, kind, c)
 			if d := cmp.Diff(one, two); d != "" {
 				t.Fatal(d)
 			}
 			if o, ok := c.(Open); ok {
-				seq := l.ids[o.ID]
+				seq := l.seqByID[o.ID]
 				if was, known := seqs[o.ID]; known && was != seq {
 					t.Fatalf("%s was %d, is %d", o.ID, was, seq)
 				}
 				seqs[o.ID] = seq
 			}
-			if l.last < last || l.floor > l.last+1 {
-				t.Fatalf("floor %d last %d, was %d", l.floor, l.last, last)
+			if l.lastSeq < last || l.oldestOpen > l.lastSeq+1 {
+				t.Fatalf("floor %d last %d, was %d", l.oldestOpen, l.lastSeq, last)
 			}
-			for s, r := range l.rows {
-				if (s >= l.floor) != (r.State == Spreading) {
-					t.Fatalf("%d is %q, floor %d", s, r.State, l.floor)
+			for s, r := range l.records {
+				if (s >= l.oldestOpen) != (r.State == Spreading) {
+					t.Fatalf("%d is %q, floor %d", s, r.State, l.oldestOpen)
 				}
 			}
 			if rapid.Bool().Draw(t, "restart") {
--- a/internal/cluster/purge/ledger/read.go
+++ b/internal/cluster/purge/ledger/read.go
@@ -1,127 +1,145 @@
 package ledger
 
-// This file is what may be read of a ledger, and how it is kept. Readers get copies; none may keep a row's slices to
-// change them.
+// This file is the readers of a ledger, and its snapshots. Readers get copies of records, whose slices they must not
+// change.
 
 import (
+	"cmp"
 	"encoding/json"
 	"fmt"
 	"slices"
 	"time"
 )
 
-// No grows with each command applied here: unchanged, there is nothing new to read.
-func (l *Ledger) No() uint64 { return l.no }
+// Revision grows with each command applied here. While it is unchanged there is nothing new to read.
+func (l *Ledger) Revision() uint64 { return l.revision }
 
-// Last is the newest Seq, Floor the oldest that is open (Last+1 for none).
-func (l *Ledger) Last() uint64  { return l.last }
-func (l *Ledger) Floor() uint64 { return l.floor }
+// LastSeq is the newest purge.
+func (l *Ledger) LastSeq() uint64 { return l.lastSeq }
 
-// At is the council's time of the newest command here.
-func (l *Ledger) At() time.Duration { return l.at }
+// OldestOpen is the oldest open purge; LastSeq+1 for none.
+func (l *Ledger) OldestOpen() uint64 { return l.oldestOpen }
 
-// Roster numbers the seats as they are.
-func (l *Ledger) Roster() uint64 { return l.roster }
+// RosterVersion grows with each change of the participants.
+func (l *Ledger) RosterVersion() uint64 { return l.rosterVersion }
 
-// Seats are all who must acknowledge, by name.
-func (l *Ledger) Seats() []Seat { return slices.Clone(l.seats) }
+// Participants are the processes that must acknowledge, by name.
+func (l *Ledger) Participants() []Participant { return slices.Clone(l.participants) }
 
-// Full is how many purges count against MostFull.
-func (l *Ledger) Full() int { return int(l.last-l.floor) + 1 + len(l.kept) }
+// FullRecords is how many purges count against MaxFullRecords.
+func (l *Ledger) FullRecords() int { return int(l.lastSeq-l.oldestOpen) + 1 + len(l.closedMessages) }
 
-// Longest is the longest deadline that any process has told.
-func (l *Ledger) Longest() time.Duration {
+// LongestDeadline is the longest deadline that any participant has reported.
+func (l *Ledger) LongestDeadline() time.Duration {
 	longest := time.Duration(0)
-	for i := range l.seats {
-		longest = max(longest, l.seats[i].Longest)
+	for i := range l.participants {
+		longest = max(longest, l.participants[i].LongestDeadline)
 	}
 	if longest == 0 {
-		return Unknown
+		return DefaultLongestDeadline
 	}
 	return longest
 }
 
-// Horizon is the age from which nothing taken on before a purge can begin.
-func (l *Ledger) Horizon() time.Duration { return l.Longest() + Margin }
+// Horizon is the age of a purge from which no message accepted before it can still be sent.
+func (l *Ledger) Horizon() time.Duration { return l.LongestDeadline() + LapseMargin }
 
-// Find is a purge by its caller's id.
-func (l *Ledger) Find(id string) (Row, bool) {
-	seq, known := l.ids[id]
+// Find returns a purge by its caller's id.
+func (l *Ledger) Find(id string) (Record, bool) {
+	seq, known := l.seqByID[id]
 	if !known {
-		return Row{}, false
+		return Record{}, false
 	}
-	return *l.rows[seq], true
+	return *l.records[seq], true
 }
 
-// Since are the purges after seq that somebody may still need, in order, at most that many.
-func (l *Ledger) Since(seq uint64, most int) (rows []Row) {
-	for _, old := range [][]uint64{l.kept, l.learnt} {
+// Since returns the purges after seq that a process may still need, in order, up to the limit.
+func (l *Ledger) Since(seq uint64, limit int) (records []Record) {
+	for _, old := range [][]uint64{l.closedMessages, l.closedLearned} {
 		for _, s := range old {
 			if s > seq {
-				rows = append(rows, *l.rows[s])
+				records = append(records, *l.records[s])
 			}
 		}
 	}
-	slices.SortFunc(rows, func(a, b Row) int { return int(int64(a.Seq) - int64(b.Seq)) })
-	if len(rows) >= most {
-		return rows[:most]
+	slices.SortFunc(records, bySeq)
+	if len(records) >= limit {
+		return records[:limit]
 	}
-	for s := max(seq+1, l.floor); s <= l.last && len(rows) < most; s++ {
-		rows = append(rows, *l.rows[s])
+	for s := max(seq+1, l.oldestOpen); s <= l.lastSeq && len(records) < limit; s++ {
+		records = append(records, *l.records[s])
 	}
-	return rows
+	return records
 }
 
-// kept is the ledger on disk.
-type kept struct {
-	Rows   []Row         `json:"rows"`
-	Seats  []Seat        `json:"seats"`
-	Last   uint64        `json:"last"`
-	Floor  uint64        `json:"floor"`
-	Roster uint64        `json:"roster"`
-	At     time.Duration `json:"at"`
-	Kept   []uint64      `json:"kept"`
-	Learnt []uint64      `json:"learnt"`
-	Short  []uint64      `json:"short"`
-	Detail []uint64      `json:"detail"`
+func bySeq(a, b Record) int { return cmp.Compare(a.Seq, b.Seq) }
+
+// snapshotState is the encoding of a ledger. The names in the tags stand for good: older programs read them.
+type snapshotState struct {
+	Records        []Record      `json:"rows"`
+	Participants   []Participant `json:"seats"`
+	LastSeq        uint64        `json:"last"`
+	OldestOpen     uint64        `json:"floor"`
+	RosterVersion  uint64        `json:"roster"`
+	Clock          time.Duration `json:"at"`
+	ClosedMessages []uint64      `json:"kept"`
+	ClosedLearned  []uint64      `json:"learnt"`
+	Compacted      []uint64      `json:"short"`
+	Detailed       []uint64      `json:"detail"`
 }
 
-// Snapshot is all of it, the same for the same state.
+// Snapshot encodes the complete state; the same state gives the same bytes.
 func (l *Ledger) Snapshot() (json.RawMessage, error) {
-	k := kept{Seats: l.seats, Last: l.last, Floor: l.floor, Roster: l.roster, At: l.at,
-		Kept: l.kept, Learnt: l.learnt, Short: l.short, Detail: l.detail}
-	for _, r := range l.rows {
-		k.Rows = append(k.Rows, *r)
+	state := snapshotState{
+		Participants:   l.participants,
+		LastSeq:        l.lastSeq,
+		OldestOpen:     l.oldestOpen,
+		RosterVersion:  l.rosterVersion,
+		Clock:          l.clock,
+		ClosedMessages: l.closedMessages,
+		ClosedLearned:  l.closedLearned,
+		Compacted:      l.compacted,
+		Detailed:       l.detailed,
+	}
+	for _, r := range l.records {
+		state.Records = append(state.Records, *r)
 	}
-	slices.SortFunc(k.Rows, func(a, b Row) int { return int(int64(a.Seq) - int64(b.Seq)) })
-	return json.Marshal(k)
+	slices.SortFunc(state.Records, bySeq)
+	return json.Marshal(state)
 }
 
-// Restore puts a snapshot in place of all; one that does not hold together is refused and changes nothing.
+// Restore replaces the state by that of a snapshot. After an error, as for an inconsistent snapshot, nothing has changed.
 func (l *Ledger) Restore(text json.RawMessage) error {
-	var k kept
-	if err := json.Unmarshal(text, &k); err != nil {
+	var state snapshotState
+	if err := json.Unmarshal(text, &state); err != nil {
 		return fmt.Errorf("purge ledger: snapshot: %w", err)
 	}
 	fresh := New()
-	for i := range k.Rows {
-		fresh.rows[k.Rows[i].Seq], fresh.ids[k.Rows[i].ID] = &k.Rows[i], k.Rows[i].Seq
+	for i := range state.Records {
+		fresh.records[state.Records[i].Seq], fresh.seqByID[state.Records[i].ID] = &state.Records[i], state.Records[i].Seq
 	}
-	for s := k.Floor; s <= k.Last; s++ {
-		if fresh.rows[s] == nil {
+	for s := state.OldestOpen; s <= state.LastSeq; s++ {
+		if fresh.records[s] == nil {
 			return fmt.Errorf("purge ledger: snapshot: open purge %d is missing", s)
 		}
 	}
-	for name, list := range map[string][]uint64{"kept": k.Kept, "learnt": k.Learnt, "short": k.Short} {
+	for name, list := range map[string][]uint64{"kept": state.ClosedMessages, "learnt": state.ClosedLearned, "short": state.Compacted} {
 		for _, s := range list {
-			if fresh.rows[s] == nil {
+			if fresh.records[s] == nil {
 				return fmt.Errorf("purge ledger: snapshot: %s: purge %d is missing", name, s)
 			}
 		}
 	}
-	fresh.seats, fresh.last, fresh.floor, fresh.roster, fresh.at = k.Seats, k.Last, max(k.Floor, 1), k.Roster, k.At
-	fresh.kept, fresh.learnt, fresh.short, fresh.detail = k.Kept, k.Learnt, k.Short, k.Detail
-	fresh.no = l.no + 1
+	fresh.participants = state.Participants
+	fresh.lastSeq = state.LastSeq
+	fresh.oldestOpen = max(state.OldestOpen, 1)
+	fresh.rosterVersion = state.RosterVersion
+	fresh.clock = state.Clock
+	fresh.closedMessages = state.ClosedMessages
+	fresh.closedLearned = state.ClosedLearned
+	fresh.compacted = state.Compacted
+	fresh.detailed = state.Detailed
+	fresh.revision = l.revision + 1
 	*l = *fresh
 	return nil
 }
--- a/internal/cluster/purge/run/http.go
+++ b/internal/cluster/purge/run/http.go
@@ -1,7 +1,6 @@
 package run
 
-// This file is what callers order and ask, over the public part of the link. It decides nothing: what is wrong with
-// an order is the ledger's to say.
+// This file is the HTTP interface for callers. It decides nothing: the ledger validates orders.
 
 import (
 	"context"
@@ -13,87 +12,89 @@
 )
 
 const (
-	mostPosts = 64       // orders and questions under way here; more are told to come back
-	mostBody  = 16 << 10 // an order with all its bounds is under 4 KB
-	lookEach  = 100 * time.Millisecond
+	maxRequests  = 64       // concurrent requests; more get 503
+	maxBodyBytes = 16 << 10 // an order within all bounds is under 4 KB
+	pollInterval = 100 * time.Millisecond
 )
 
-// taken answers an order: what the ledger made of it.
-type taken struct {
-	ID    string       `json:"id"`
-	Seq   uint64       `json:"seq"`
-	Known bool         `json:"known"` // it was ordered before, alike
-	State ledger.State `json:"state"`
+// orderResponse is the answer to an order.
+type orderResponse struct {
+	ID        string       `json:"id"`
+	Seq       uint64       `json:"seq"`
+	Duplicate bool         `json:"known"` // the same order was committed before
+	State     ledger.State `json:"state"`
 }
 
-func (r *Runner) public(mux *http.ServeMux) {
-	mux.HandleFunc("POST /v1/purges", r.posts.Limit(r.post))
-	mux.HandleFunc("GET /v1/purges/{id}", r.posts.Limit(r.get))
+// registerPublic registers the HTTP interface.
+func (r *Runner) registerPublic(mux *http.ServeMux) {
+	mux.HandleFunc("POST /v1/purges", r.limiter.Limit(r.postPurge))
+	mux.HandleFunc("GET /v1/purges/{id}", r.limiter.Limit(r.getPurge))
 }
 
-// post answers 202 once the purge is decided in common, or 200 once it is closed where that was waited for.
-func (r *Runner) post(w http.ResponseWriter, q *http.Request) {
-	wait, ok := ordering.ParseWait(w, q, "complete", decideFor)
+// postPurge answers 202 once the purge is committed, or 200 once it is closed where the caller waits for that.
+func (r *Runner) postPurge(w http.ResponseWriter, request *http.Request) {
+	wait, ok := ordering.ParseWait(w, request, "complete", proposeTimeout)
 	if !ok {
 		return
 	}
 	var order ledger.Open
-	if !ordering.ReadOrder(w, q, mostBody, &order) {
+	if !ordering.ReadOrder(w, request, maxBodyBytes, &order) {
 		return
 	}
-	if field, why := order.Check(); field != "" {
+	if field, why := order.Validate(); field != "" {
 		ordering.WriteJSON(w, http.StatusBadRequest, ordering.ErrorResponse{Error: field + " " + why, Field: field})
 		return
 	}
-	ctx, cancel := context.WithTimeout(q.Context(), decideFor)
+	ctx, cancel := context.WithTimeout(request.Context(), proposeTimeout)
 	defer cancel()
-	var opened ledger.Opened
+	var opened ledger.OpenResult
 	if err := r.propose(ctx, ledger.KindOpen, order, &opened); err != nil {
 		ordering.WriteRetryLater(w, "1", ordering.ErrorResponse{Error: err.Error() + "; order it again under the same id"})
 		return
 	}
 	switch {
 	case opened.Full:
-		ordering.WriteRetryLater(w, "5", ordering.ErrorResponse{Error: opened.Refused})
+		ordering.WriteRetryLater(w, "5", ordering.ErrorResponse{Error: opened.Rejected})
 		return
-	case opened.Refused != "":
-		ordering.WriteJSON(w, http.StatusConflict, ordering.ErrorResponse{Error: opened.Refused, Field: opened.Field})
+	case opened.Rejected != "":
+		ordering.WriteJSON(w, http.StatusConflict, ordering.ErrorResponse{Error: opened.Rejected, Field: opened.Field})
 		return
 	}
-	t := taken{ID: order.ID, Seq: opened.Seq, Known: opened.Known, State: opened.State}
+	response := orderResponse{ID: order.ID, Seq: opened.Seq, Duplicate: opened.Duplicate, State: opened.State}
 	if wait > 0 {
-		t.State = r.await(q.Context(), order.ID, t.State, wait)
+		response.State = r.awaitClosed(request.Context(), order.ID, response.State, wait)
 	}
 	status := http.StatusAccepted
-	if wait > 0 && t.State != ledger.Spreading {
+	if wait > 0 && response.State != ledger.Spreading {
 		status = http.StatusOK
 	}
-	ordering.WriteJSON(w, status, t)
+	ordering.WriteJSON(w, status, response)
 }
 
-// await looks until a purge is closed, or the time is over.
-func (r *Runner) await(ctx context.Context, id string, state ledger.State, wait time.Duration) ledger.State {
+// awaitClosed polls until a purge is closed, or the wait is over, and returns its state.
+func (r *Runner) awaitClosed(ctx context.Context, id string, state ledger.State, wait time.Duration) ledger.State {
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
 	for state == ledger.Spreading {
 		select {
-		case <-time.After(lookEach):
+		case <-time.After(pollInterval):
 		case <-ctx.Done():
 			return state
 		case <-r.ctx.Done():
 			return state
 		}
-		if s, err := r.show(ctx, id); err == nil && s.Known {
-			state = s.Shown.State
+		if s, err := r.queryStatus(ctx, id); err == nil && s.Known {
+			state = s.Status.State
 		}
 	}
 	return state
 }
 
-func (r *Runner) get(w http.ResponseWriter, q *http.Request) {
-	ctx, cancel := context.WithTimeout(q.Context(), decideFor)
+// getPurge answers with the status of a purge.
+func (r *Runner) getPurge(w http.ResponseWriter, request *http.Request) {
+	ctx, cancel := context.WithTimeout(request.Context(), proposeTimeout)
 	defer cancel()
-	s, err := r.show(ctx, q.PathValue("id"))
+	s, err := r.queryStatus(ctx, request.PathValue("id"))
 	switch {
 	case err != nil:
 		ordering.WriteRetryLater(w, "1", ordering.ErrorResponse{Error: err.Error()})
@@ -101,6 +102,6 @@
 		ordering.WriteJSON(w, http.StatusNotFound, ordering.ErrorResponse{Field: "id",
 			Error: "no purge has this id, or it was forgotten as one of the oldest"})
 	default:
-		ordering.WriteJSON(w, http.StatusOK, s.Shown)
+		ordering.WriteJSON(w, http.StatusOK, s.Status)
 	}
 }
--- a/internal/cluster/purge/run/run.go
+++ b/internal/cluster/purge/run/run.go
@@ -1,9 +1,10 @@
-// Package run does what the purge's deciding parts say: it carries their messages, hands purges to the sender, and
-// takes callers' orders over HTTP.
+// Package run executes what the pure parts of purges decide: it carries their messages, hands purges to the sender, and
+// serves HTTP to callers.
 //
-// It owns the goroutines and the lock (purge.mu, see package cluster) around spread.State, and around spread.Gather
-// while this process leads the council. It must never decide who has acknowledged, acknowledge what the sender does
-// not have on disk, or hold its lock over a call. A process that reaches nobody serves on: Ready opens by itself.
+// It owns the goroutines and the lock (purge.mu, see package cluster) around spread.State, and around spread.LeaderState
+// while this process leads the consensus group. It must never decide who has acknowledged, acknowledge what the sender
+// does not have on disk, or hold its lock over a call. A process that reaches nobody goes on serving: Ready opens after
+// a bounded wait.
 package run
 
 import (
@@ -23,62 +24,52 @@
 
 // Tuned values.
 const (
-	pace        = 25 * time.Millisecond // how often the deciding parts are asked, besides at once on news
-	callFor     = 2 * time.Second       // one message, over the 250 ms that an answer may wait for those below
-	decideFor   = 5 * time.Second       // one order in common, over a change of leader (1 to 2 s)
-	catchUpFor  = 3 * time.Second       // a start waits so long for what it missed; a deadline is seconds at least
-	mostAsked   = 8                     // whom an order in common is tried at, in one round
-	mostClosing = 256                   // purges closed by one command: under 300 KB at 12 zones
+	stepInterval          = 25 * time.Millisecond // between steps, besides those at once after a change
+	callTimeout           = 2 * time.Second       // of one message; over the 250 ms that an answer may wait for the processes below
+	proposeTimeout        = 5 * time.Second       // of one proposal; over a change of leader (1 to 2 s)
+	catchUpTimeout        = 3 * time.Second       // how long a start waits for purges that it missed; deadlines are seconds at least
+	maxCandidates         = 8                     // processes asked for the leader's answer in one attempt
+	maxClosuresPerCommand = 256                   // under 300 KB with 12 zones
 )
 
 // Options is what a Runner is given; Now, CatchUp and Log may be left out.
 type Options struct {
 	Self    view.Member // Life, Zone, Region and Folder are read; a view may tell a higher incarnation later
 	Link    ordering.Link
-	Council ordering.Consensus // nil at a process that has no place in it
-	Ledger  *ledger.Ledger     // the council's part of that name; nil where there is no council
+	Council ordering.Consensus // nil for a process outside the consensus group
+	Ledger  *ledger.Ledger     // the part of that name in the consensus group; nil without one
 	Orders  together.Orders
-	Longest time.Duration // the longest deadline of what the folder holds; 0 for not known
-	CatchUp time.Duration // how long a start waits for what it missed, at most
+	Longest time.Duration // the longest deadline of the messages in the folder; 0 for not known
+	CatchUp time.Duration // how long a start waits for purges that it missed, at most
 	Now     func() view.Now
 	Log     *zap.Logger
 }
 
 // Runner is the purge part of one process.
 type Runner struct {
-	o       Options
-	ctx     context.Context
-	stop    context.CancelFunc
-	going   sync.WaitGroup
-	signals *ordering.Signals
-	posts   ordering.Limiter // callers' orders under way
-	caller  ordering.Caller
-
-	mu      sync.Mutex // purge.mu
-	state   *spread.State
-	gather  *spread.Gather // nil until this life first leads
-	leads   bool
-	lead    leading
-	view    *view.View
-	tree    ordering.Tree
-	leader  view.Life // who last spoke to this process as the one that leads
-	longest time.Duration
-	told    time.Duration // the longest that the seat tells
-	caught  bool
-	left    bool // gave its seat up
-	calls   Figures
+	options    Options
+	ctx        context.Context
+	stop       context.CancelFunc
+	goroutines sync.WaitGroup
+	signals    *ordering.Signals
+	limiter    ordering.Limiter // of HTTP requests
+	caller     ordering.Caller
+
+	mu               sync.Mutex // purge.mu
+	state            *spread.State
+	leaderState      *spread.LeaderState // nil until this process first leads
+	leading          bool
+	leaderWork       leaderWork
+	view             *view.View
+	tree             ordering.Tree
+	lastLeader       view.Life // the process that last called this one as the leader
+	longestDeadline  time.Duration
+	reportedDeadline time.Duration // the one that the ledger has of this participant
+	caughtUp         bool
 }
 
-// Figures are counters since the start.
-type Figures struct {
-	Has, Applied     uint64
-	Downs, Ups       uint64 // messages begun
-	DownsIn, UpsIn   uint64 // messages taken
-	Failed           uint64 // of those begun
-	CaughtUp, Leader bool
-}
-
-// Start takes the handlers' paths and begins. The state of the sender is asked once, before it returns.
+// Start registers the handlers and starts the goroutines, which Close ends. The sender is asked once which purges it has
+// applied, before Start returns.
 func Start(o Options) (*Runner, error) {
 	if o.Link == nil || o.Orders == nil || (o.Council == nil) != (o.Ledger == nil) {
 		return nil, errors.New("purge: a link and a sender's orders must be given, and a ledger with a council")
@@ -90,75 +81,67 @@
 		o.Now = ordering.NewClock()
 	}
 	if o.CatchUp == 0 {
-		o.CatchUp = catchUpFor
+		o.CatchUp = catchUpTimeout
 	}
 	if o.Log == nil {
 		o.Log = zap.NewNop()
 	}
-	r := &Runner{o: o, posts: make(ordering.Limiter, mostPosts), longest: o.Longest,
+	r := &Runner{options: o, limiter: make(ordering.Limiter, maxRequests), longestDeadline: o.Longest,
 		state: spread.New(o.Self.Life, o.Self.Folder, o.Orders.Applied())}
 	r.signals = ordering.NewSignals(&r.mu)
 	r.ctx, r.stop = context.WithCancel(context.Background())
-	r.caller = ordering.Caller{Part: "purge", Link: o.Link, Consensus: o.Council, Self: o.Self.Name, Life: r.life, Candidates: r.whomToAsk,
-		Done: r.ctx.Done(), CallTimeout: callFor, MinBackoff: pace, MaxBackoff: 16 * pace, ErrNoCandidate: errNobody, ErrUndecided: errUndone}
-	r.handle()
-	r.public(o.Link.Public())
-	r.going.Go(r.loop)
-	r.going.Go(r.catchUp)
+	r.caller = ordering.Caller{Part: "purge", Link: o.Link, Consensus: o.Council, Self: o.Self.Name, Life: r.life, Candidates: r.candidates,
+		Done: r.ctx.Done(), CallTimeout: callTimeout, MinBackoff: stepInterval, MaxBackoff: 16 * stepInterval, ErrNoCandidate: errNoCandidate, ErrUndecided: errUndecided}
+	r.registerHandlers()
+	r.registerPublic(o.Link.Public())
+	r.goroutines.Go(r.loop)
+	r.goroutines.Go(r.catchUp)
 	return r, nil
 }
 
-// Ready opens when all that was missed is applied, or when the bound for that is over (CaughtUp tells which). Until
-// then nothing may be sent that was taken on in an earlier life.
+// Ready is closed when all missed purges are applied, or Options.CatchUp is over (CaughtUp tells which). Until then no
+// message of an earlier incarnation may be sent.
 func (r *Runner) Ready() <-chan struct{} { return r.signals.Ready() }
 
-// CaughtUp tells whether this life has a seat and has applied all that was decided before it.
+// CaughtUp tells whether this process is a participant and has applied all purges that were opened before that.
 func (r *Runner) CaughtUp() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.caught
+	return r.caughtUp
 }
 
-// SetView tells who is here, and the tree derived from it.
+// SetView sets the view of members, and the tree derived from it.
 func (r *Runner) SetView(v *view.View, t ordering.Tree) {
 	r.mu.Lock()
 	r.view, r.tree = v, t
-	if m, found := v.Find(r.o.Self.Name); found && m.Incarnation > r.o.Self.Incarnation {
-		// An earlier life of the name had a higher number: this one has risen above it, and needs its seat anew.
-		r.o.Self.Incarnation = m.Incarnation
-		r.gather = nil
-		r.state.Rise(m.Life, r.o.Now())
-		r.told = -1
+	if m, found := v.Find(r.options.Self.Name); found && m.Incarnation > r.options.Self.Incarnation {
+		// An earlier incarnation had a higher number, and this one was raised above it. It has to join again.
+		r.options.Self.Incarnation = m.Incarnation
+		r.leaderState = nil
+		r.state.SetIncarnation(m.Life, r.options.Now())
+		r.reportedDeadline = -1
 	}
 	r.mu.Unlock()
 	r.signals.Wake()
 }
 
-// Longest tells the longest deadline of any class, as a sender's digest has it. It never shrinks for this life:
-// what was taken on under a longer one may still be held.
+// Longest reports the longest deadline of any class, as in a sender's digest. It never shrinks until a restart, as
+// messages that were accepted with a longer one may still be waiting.
 func (r *Runner) Longest(d time.Duration) {
 	r.mu.Lock()
-	r.longest = max(r.longest, d)
+	r.longestDeadline = max(r.longestDeadline, d)
 	r.mu.Unlock()
 }
 
-// Figures are counters for operators.
-func (r *Runner) Figures() Figures {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	f := r.calls
-	f.Has, f.Applied, f.CaughtUp, f.Leader = r.state.Has(), r.state.AppliedTo(), r.caught, r.leads
-	return f
-}
-
-// Close ends all of it; calls that are out are cut.
+// Close ends all goroutines and waits for them; calls in flight are cancelled.
 func (r *Runner) Close() {
 	r.stop()
-	r.going.Wait()
+	r.goroutines.Wait()
 }
 
+// loop makes a step each stepInterval, and at once after a change.
 func (r *Runner) loop() {
-	tick := time.NewTicker(pace)
+	tick := time.NewTicker(stepInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -171,53 +154,50 @@
 	}
 }
 
-// step asks each deciding part what it wants, and begins that.
+// step asks each pure part what is due, and starts that.
 func (r *Runner) step() {
-	news := r.readLedger()
-	leader, known := r.o.Council.Leader()
-	now := r.o.Now()
+	update := r.readLedger()
+	leader, known := r.options.Council.Leader()
+	now := r.options.Now()
 
 	r.mu.Lock()
-	r.placeInTree(leader, known, now)
-	r.leadOn(news, now)
-	downs := r.state.Downs(now)
-	r.calls.Downs += uint64(len(downs))
-	up, due := r.state.Up(now)
+	r.updateTreePosition(leader, known, now)
+	r.leaderStep(update, now)
+	updates := r.state.DueUpdates(now)
+	report, due := r.state.DueReport(now)
 	parent := r.state.Parent()
-	if due {
-		r.calls.Ups++
-	}
-	apply := r.state.ToApply(now)
+	apply := r.state.NextBatch(now)
 	r.mu.Unlock()
 
-	for _, to := range downs {
-		r.going.Go(func() { r.down(r.state, pathDown, to) })
+	for _, to := range updates {
+		r.goroutines.Go(func() { r.sendUpdate(r.state, pathUpdate, to) })
 	}
 	if due {
-		r.going.Go(func() { r.upward(parent, up) })
+		r.goroutines.Go(func() { r.sendReport(parent, report) })
 	}
 	if apply != nil {
-		r.o.Orders.Purge(apply, func(applied uint64, found []together.Found) {
+		r.options.Orders.Purge(apply, func(applied uint64, found []together.Found) {
 			r.mu.Lock()
 			defer r.mu.Unlock()
-			r.state.Applied(applied, found, r.o.Now())
+			r.state.BatchApplied(applied, found, r.options.Now())
 			r.signals.NotifyChange()
 		})
 	}
 }
 
-// placeInTree tells the state who is above and below. At the root that is whoever leads the council. The lock is held.
-func (r *Runner) placeInTree(leader view.Name, known bool, now view.Now) {
+// updateTreePosition sets the parent and the children of the state. The parent of the root is the leader of the consensus
+// group. The lock is held.
+func (r *Runner) updateTreePosition(leader view.Name, known bool, now view.Now) {
 	if r.view == nil || r.tree == nil {
 		return
 	}
-	life, top, below := ordering.TreePosition(r.view, r.tree, r.o.Self.Name, leader, known, r.leader)
-	r.state.Tree(spread.Above{Life: life, Top: top}, below, now)
+	life, top, below := ordering.TreePosition(r.view, r.tree, r.options.Self.Name, leader, known, r.lastLeader)
+	r.state.SetTree(spread.Parent{Life: life, IsLeader: top}, below, now)
 }
 
-// life is this process's own, which may rise.
+// life is this process's current incarnation, which SetView may raise.
 func (r *Runner) life() view.Life {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.o.Self.Life
+	return r.options.Self.Life
 }
--- a/internal/cluster/purge/run/run_test.go
+++ b/internal/cluster/purge/run/run_test.go
@@ -17,14 +17,14 @@
 	"flaxcove/internal/sender/together"
 )
 
-// orders is a sender's disk: it outlives a Runner.
-type orders struct {
+// fakeSender is a sender with a disk, which outlives a Runner.
+type fakeSender struct {
 	mu      sync.Mutex
 	applied uint64
 	found   map[uint64]together.Found
 }
 
-func (o *orders) Purge(all []together.Purge, done func(uint64, []together.Found)) {
+func (o *fakeSender) Purge(all []together.Purge, done func(uint64, []together.Found)) {
 	o.mu.Lock()
 	var found []together.Found
 	for _, p := range all {
@@ -38,18 +38,18 @@
 	go done(applied, found)
 }
 
-func (o *orders) Applied() uint64 {
+func (o *fakeSender) Applied() uint64 {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.applied
 }
-func (o *orders) Evict([]choice.DestinationID, func([]choice.DestinationID)) {}
-func (o *orders) Holding(func([]together.Held))                              {}
-func (o *orders) Teach([]together.Lesson)                                    {}
-func (o *orders) Know([]choice.DestinationID, func([]together.Lesson))       {}
-func (o *orders) Configure(together.Configuration, func(error))              {}
+func (o *fakeSender) Evict([]choice.DestinationID, func([]choice.DestinationID)) {}
+func (o *fakeSender) Holding(func([]together.Held))                              {}
+func (o *fakeSender) Teach([]together.Lesson)                                    {}
+func (o *fakeSender) Know([]choice.DestinationID, func([]together.Lesson))       {}
+func (o *fakeSender) Configure(together.Configuration, func(error))              {}
 
-// fleet is processes in one; their senders keep on a map.
+// fleet is several processes in one, with fake senders.
 type fleet struct {
 	net    *orderingtest.Net
 	ledger *ledger.Ledger
@@ -60,7 +60,7 @@
 	return &fleet{orderingtest.New(l, leader), l}
 }
 
-func (f *fleet) start(t *testing.T, m view.Member, o *orders, bound time.Duration) *Runner {
+func (f *fleet) start(t *testing.T, m view.Member, o *fakeSender, bound time.Duration) *Runner {
 	t.Helper()
 	l := f.net.Link(m.Life)
 	r, err := Start(Options{Self: m, Link: l, Council: f.net.Consensus(m.Name), Ledger: f.ledger, Orders: o,
@@ -72,16 +72,16 @@
 	return r
 }
 
-func TestFleet(t *testing.T) {
+func TestPurgesInFleet(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	f := newFleet("p2")
 	var members []view.Member
-	var disks []*orders
+	var disks []*fakeSender
 	var all []*Runner
 	for i := range 13 {
 		members = append(members, view.Member{Life: view.Life{Name: view.Name(fmt.Sprintf("p%d", i)), Incarnation: 1},
 			Zone: view.Zone(fmt.Sprintf("z%d", i%3)), Region: "r", Folder: fmt.Sprint("f", i)})
-		disks = append(disks, &orders{found: map[uint64]together.Found{}})
+		disks = append(disks, &fakeSender{found: map[uint64]together.Found{}})
 		all = append(all, f.start(t, members[i], disks[i], 20*time.Second))
 	}
 	defer func() {
@@ -91,28 +91,28 @@
 	}()
 	see := func() {
 		for _, r := range all {
-			r.SetView(view.Make(r.o.Self.Name, 1, members), orderingtest.Tree(members))
+			r.SetView(view.Make(r.options.Self.Name, 1, members), orderingtest.Tree(members))
 		}
 	}
 	see()
 	for _, r := range all {
 		<-r.Ready()
 		if !r.CaughtUp() {
-			t.Fatalf("%s has not caught up", r.o.Self.Name)
+			t.Fatalf("%s has not caught up", r.options.Self.Name)
 		}
 	}
 	door := f.net.Mux("p7") // any process takes the call
 	order := func(id string) string {
 		return fmt.Sprintf(`{"id":%q,"subject":"notices","match":{"key":"k"},"who":"billing","why":"cancelled"}`, id)
 	}
-	var got taken
+	var got orderResponse
 	var code int
 	f.net.LoseNextAnswer(ledger.KindOpen) // killed between commit and answer: tried again under the same id
 	code = orderingtest.Request(t, door, "POST", "/v1/purges?wait=complete&for=20s", order("a"), &got)
 	if code != 200 || got.State != ledger.Complete || got.Seq != 1 {
 		t.Fatalf("%d %+v", code, got)
 	}
-	if code := orderingtest.Request(t, door, "POST", "/v1/purges", order("a"), &got); code != 202 || !got.Known || got.Seq != 1 {
+	if code := orderingtest.Request(t, door, "POST", "/v1/purges", order("a"), &got); code != 202 || !got.Duplicate || got.Seq != 1 {
 		t.Errorf("the same again: %d %+v", code, got)
 	}
 	var no ordering.ErrorResponse
@@ -132,7 +132,7 @@
 	if code := orderingtest.Request(t, door, "GET", "/v1/purges/nobody", "", &no); code != 404 {
 		t.Errorf("%d %+v", code, no)
 	}
-	atRoot := f.net.Calls("p0", pathDown) + f.net.Calls("p0", pathUp)
+	atRoot := f.net.Calls("p0", pathUpdate) + f.net.Calls("p0", pathReport)
 	t.Logf("%d calls at the root, 3 children", atRoot)
 
 	// One that nobody reaches is shown so, and nothing is complete without it; its next life applies, then answers.
@@ -141,7 +141,7 @@
 	if code != 202 || got.State != ledger.Spreading {
 		t.Fatalf("%d %+v", code, got)
 	}
-	var s Shown
+	var s PurgeStatus
 	for end := time.Now().Add(20 * time.Second); s.Sums.Acknowledged < 12; time.Sleep(20 * time.Millisecond) {
 		if code = orderingtest.Request(t, door, "GET", "/v1/purges/c", "", &s); code != 200 || time.Now().After(end) {
 			t.Fatalf("%d %+v", code, s)
@@ -152,7 +152,7 @@
 	}
 	for _, z := range s.Regions[0].Zones {
 		for _, p := range z.Processes {
-			if p.Name == "p5" && p.Standing != notReached {
+			if p.Name == "p5" && p.AckState != ackPending {
 				t.Errorf("%+v", p)
 			}
 		}
@@ -183,10 +183,10 @@
 }
 
 // One that reaches nobody serves on, and says that it has not caught up.
-func TestAlone(t *testing.T) {
+func TestProcessWithoutPeersBecomesReady(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	f := newFleet("")
-	r := f.start(t, view.Member{Life: view.Life{Name: "p", Incarnation: 1}}, &orders{}, 50*time.Millisecond)
+	r := f.start(t, view.Member{Life: view.Life{Name: "p", Incarnation: 1}}, &fakeSender{}, 50*time.Millisecond)
 	defer r.Close()
 	select {
 	case <-r.Ready():
--- /dev/null
+++ b/internal/cluster/purge/run/status.go
@@ -0,0 +1,195 @@
+package run
+
+// This file is the status of a purge, by region, zone and process, as the leader of the consensus group knows it.
+
+import (
+	"cmp"
+	"context"
+	"encoding/json"
+	"fmt"
+	"slices"
+	"time"
+
+	"flaxcove/internal/cluster/purge/ledger"
+	"flaxcove/internal/cluster/purge/spread"
+	"flaxcove/internal/cluster/view"
+	"flaxcove/internal/sender/together"
+)
+
+// AckState is whether a process has acknowledged an open purge.
+type AckState string
+
+const (
+	ackReceived AckState = "acknowledged"
+	ackPending  AckState = "not reached yet"
+)
+
+// PurgeStatus is the answer to GET /v1/purges/ID.
+type PurgeStatus struct {
+	ID         string          `json:"id"`
+	Seq        uint64          `json:"seq"`
+	Subject    ledger.Subject  `json:"subject"`
+	Match      *together.Match `json:"match,omitempty"` // nil once no process can need it any more
+	Who        string          `json:"who,omitempty"`
+	Why        string          `json:"why,omitempty"`
+	AgeMS      int64           `json:"age_ms"`
+	State      ledger.State    `json:"state"`
+	Sums       Sums            `json:"sums"`
+	Regions    []RegionStatus  `json:"regions,omitempty"`
+	LapsedAt   []view.Name     `json:"lapsed_at,omitempty"` // at most 64 of them
+	LapseAgeMS int64           `json:"lapse_at_age_ms"`     // the age from which missing acknowledgements lapse
+	ReportedBy view.Name       `json:"told_by"`
+}
+
+// Sums are numbers of processes by acknowledgement, and what was found.
+type Sums struct {
+	Acknowledged int            `json:"acknowledged"`
+	NotReached   int            `json:"not_reached_yet"`
+	Lapsed       int            `json:"lapsed"`
+	Found        together.Found `json:"found"`
+}
+
+// RegionStatus is the status of a purge in one region.
+type RegionStatus struct {
+	Region view.Region  `json:"region"`
+	Sums   Sums         `json:"sums"`
+	Zones  []ZoneStatus `json:"zones"`
+}
+
+// ZoneStatus is the status of a purge in one zone. A closed purge has sums only.
+type ZoneStatus struct {
+	Zone      view.Zone       `json:"zone"`
+	Sums      Sums            `json:"sums"`
+	Processes []ProcessStatus `json:"processes,omitempty"`
+}
+
+// ProcessStatus is the status of a purge at one process.
+type ProcessStatus struct {
+	view.Life
+	AckState AckState       `json:"standing"`
+	Found    together.Found `json:"found"`
+}
+
+// statusRequest asks the leader for the status of a purge.
+type statusRequest struct {
+	ID string `json:"id"`
+}
+
+// statusAnswer answers it.
+type statusAnswer struct {
+	Known  bool        `json:"known"`
+	Status PurgeStatus `json:"shown"`
+}
+
+// queryStatus asks the leader for the status of a purge.
+func (r *Runner) queryStatus(ctx context.Context, id string) (s statusAnswer, err error) {
+	here := func() error { return r.caller.Call(ctx, r.options.Self.Name, pathStatus, statusRequest{id}, &s) }
+	err = r.caller.Query(ctx, 4*stepInterval, here, pathStatus, statusRequest{id}, &s)
+	return s, err
+}
+
+// handleStatusRequest answers another process's request, and this one's.
+func (r *Runner) handleStatusRequest(_ context.Context, _ view.Life, body []byte) (any, error) {
+	var request statusRequest
+	if err := json.Unmarshal(body, &request); err != nil {
+		return nil, fmt.Errorf("purge: asked to show: %w", err)
+	}
+	if !r.options.Council.Leading() {
+		return nil, errNotLeading
+	}
+	var row ledger.Record
+	var known bool
+	var horizon time.Duration
+	var participants []ledger.Participant
+	r.options.Council.Read(func(uint64) {
+		row, known = r.options.Ledger.Find(request.ID)
+		horizon, participants = r.options.Ledger.Horizon(), r.options.Ledger.Participants()
+	})
+	if !known {
+		return statusAnswer{}, nil
+	}
+	s := PurgeStatus{ID: row.ID, Seq: row.Seq, Subject: row.Subject, Who: row.Who, Why: row.Why, State: row.State,
+		LapseAgeMS: horizon.Milliseconds(), ReportedBy: r.options.Self.Name}
+	if row.Match != (together.Match{}) {
+		s.Match = &row.Match
+	}
+	s.AgeMS = max(r.options.Council.Clock()-row.At, 0).Milliseconds()
+	r.mu.Lock()
+	var all []spread.ParticipantStatus
+	if r.leading && r.leaderState != nil && row.State == ledger.Spreading {
+		all = r.leaderState.StatusOf(row.Seq)
+	}
+	r.mu.Unlock()
+	if row.State == ledger.Spreading {
+		s.addOpen(all, participants)
+	} else {
+		s.addClosed(row)
+	}
+	return statusAnswer{Known: true, Status: s}, nil
+}
+
+// addOpen adds the status of an open purge by process. A leader that has just begun knows of no acknowledgements.
+func (s *PurgeStatus) addOpen(all []spread.ParticipantStatus, participants []ledger.Participant) {
+	if all == nil {
+		for _, participant := range participants {
+			all = append(all, spread.ParticipantStatus{Participant: participant})
+		}
+	}
+	for _, p := range all {
+		z := s.zone(p.Participant.Region, p.Participant.Zone)
+		one := ProcessStatus{Life: p.Participant.Life, AckState: ackPending, Found: p.Found}
+		if p.Acknowledged {
+			one.AckState = ackReceived
+			z.Sums.Acknowledged++
+		} else {
+			z.Sums.NotReached++
+		}
+		z.Sums.Found = spread.AddFound(z.Sums.Found, p.Found)
+		z.Processes = append(z.Processes, one)
+	}
+	s.sum()
+}
+
+// addClosed adds the status of a closed purge by zone, as the ledger has it.
+func (s *PurgeStatus) addClosed(row ledger.Record) {
+	for _, sum := range row.Zones {
+		s.zone(sum.Region, sum.Zone).Sums = Sums{Acknowledged: sum.Reached, Lapsed: sum.Lapsed, Found: sum.Found}
+	}
+	s.LapsedAt = row.LapsedNames
+	s.sum()
+	s.Sums = Sums{Acknowledged: row.Reached, Lapsed: row.Lapsed, Found: row.Found}
+}
+
+// zone returns the status of a zone, which it adds where there is none.
+func (s *PurgeStatus) zone(region view.Region, zone view.Zone) *ZoneStatus {
+	i, found := slices.BinarySearchFunc(s.Regions, region, func(r RegionStatus, n view.Region) int {
+		return cmp.Compare(r.Region, n)
+	})
+	if !found {
+		s.Regions = slices.Insert(s.Regions, i, RegionStatus{Region: region})
+	}
+	zones := &s.Regions[i].Zones
+	j, found := slices.BinarySearchFunc(*zones, zone, func(z ZoneStatus, n view.Zone) int {
+		return cmp.Compare(z.Zone, n)
+	})
+	if !found {
+		*zones = slices.Insert(*zones, j, ZoneStatus{Zone: zone})
+	}
+	return &(*zones)[j]
+}
+
+// sum adds up the sums of the zones.
+func (s *PurgeStatus) sum() {
+	for i := range s.Regions {
+		for _, z := range s.Regions[i].Zones {
+			s.Regions[i].Sums = s.Regions[i].Sums.plus(z.Sums)
+		}
+		s.Sums = s.Sums.plus(s.Regions[i].Sums)
+	}
+}
+
+// plus adds up two sums.
+func (s Sums) plus(o Sums) Sums {
+	return Sums{Acknowledged: s.Acknowledged + o.Acknowledged, NotReached: s.NotReached + o.NotReached,
+		Lapsed: s.Lapsed + o.Lapsed, Found: spread.AddFound(s.Found, o.Found)}
+}
--- a/internal/cluster/purge/spread/spread_test.go
+++ b/internal/cluster/purge/spread/spread_test.go
@@ -16,39 +16,39 @@
 	"flaxcove/internal/sender/withdrawal"
 )
 
-func state(w *world, seq uint64) ledger.Row {
-	r, _ := w.led.Find(fmt.Sprintf("%s-%d", w.openKey[seq], seq-1))
+func record(w *simulation, seq uint64) ledger.Record {
+	r, _ := w.ledger.Find(fmt.Sprintf("%s-%d", w.openedKey[seq], seq-1))
 	return r
 }
 
-// One purge over a fleet that is well: under two calls a child at the root, and each found once.
-func TestMessagesAtTheRoot(t *testing.T) {
+// One purge in a fleet without faults takes under two calls a child at the root, and counts each message once.
+func TestRootCallsArePerChild(t *testing.T) {
 	for _, n := range []int{4, 13, 30, 300} {
-		w := newWorld(t, t.Fatalf, n, 3, time.Hour)
-		for _, p := range w.all {
-			p.disk.messages = append(p.disk.messages, &heldMessage{key: "a", taken: w.now})
+		w := newSimulation(t, t.Fatalf, n, 3, time.Hour)
+		for _, p := range w.processes {
+			p.disk.messages = append(p.disk.messages, &testMessage{key: "a", acceptedAt: w.now})
 		}
 		for round := 1; round <= 2; round++ {
-			w.atRoot = 0
+			w.rootCalls = 0
 			w.now += time.Second
 			seq := w.open("a")
 			began := w.now
-			w.calm(200)
-			if r := state(w, seq); r.State != ledger.Complete || r.Reached != n || r.Found.NotBegun != n*(2-round) {
+			w.settle(200)
+			if r := record(w, seq); r.State != ledger.Complete || r.Reached != n || r.Found.NotBegun != n*(2-round) {
 				t.Fatalf("%d processes: %+v", n, r)
 			}
 			for range 200 { // what trails behind counts as well
 				w.now += 10 * time.Millisecond
 				w.tick()
-				net := w.net
-				w.net = nil
+				net := w.network
+				w.network = nil
 				for _, m := range net {
 					m.deliver()
 				}
 			}
-			t.Logf("%d processes: complete after %v, %d calls at the root", n, w.now-began-2*time.Second, w.atRoot)
-			if round == 2 && w.atRoot >= 2*3 { // the first also makes acquaintance
-				t.Errorf("%d processes: %d calls at the root with 3 children", n, w.atRoot)
+			t.Logf("%d processes: complete after %v, %d calls at the root", n, w.now-began-2*time.Second, w.rootCalls)
+			if round == 2 && w.rootCalls >= 2*3 { // the first also makes acquaintance
+				t.Errorf("%d processes: %d calls at the root with 3 children", n, w.rootCalls)
 			}
 		}
 	}
@@ -56,194 +56,195 @@
 
 // Ten thousand purges at once.
 func TestTenThousand(t *testing.T) {
-	w := newWorld(t, t.Fatalf, 13, 3, time.Hour)
-	w.all[5].disk.messages = append(w.all[5].disk.messages, &heldMessage{key: "k77", taken: w.now})
+	w := newSimulation(t, t.Fatalf, 13, 3, time.Hour)
+	w.processes[5].disk.messages = append(w.processes[5].disk.messages, &testMessage{key: "k77", acceptedAt: w.now})
 	w.now += time.Second
 	for i := range 10000 {
 		w.open(fmt.Sprintf("k%d", i))
 	}
-	w.calm(3000)
-	if w.led.Floor() != 10001 {
-		t.Fatalf("%d closed", w.led.Floor()-1)
+	w.settle(3000)
+	if w.ledger.OldestOpen() != 10001 {
+		t.Fatalf("%d closed", w.ledger.OldestOpen()-1)
 	}
-	if r := state(w, 78); r.Found.NotBegun != 1 {
+	if r := record(w, 78); r.Found.NotBegun != 1 {
 		t.Errorf("%+v", r)
 	}
-	if w.atRoot > 2*3*10000/MostOrders+60 {
-		t.Errorf("%d calls at the root", w.atRoot)
+	if w.rootCalls > 2*3*10000/MaxPurgesPerMessage+60 {
+		t.Errorf("%d calls at the root", w.rootCalls)
 	}
 }
 
-// A region that is cut off for longer than the longest deadline lapses; nothing lapses before; what comes back
-// later is told what still matters.
-func TestCutRegion(t *testing.T) {
-	w := newWorld(t, t.Fatalf, 4, 2, time.Minute)
-	far := w.all[3]
+// A process that is partitioned for longer than the longest deadline lapses, and not before. Once it is back it gets the
+// purges that still matter.
+func TestPartitionedProcessLapses(t *testing.T) {
+	w := newSimulation(t, t.Fatalf, 4, 2, time.Minute)
+	far := w.processes[3]
 	far.alive = false // nobody reaches it
 	w.now += time.Second
 	seq := w.open("a")
-	w.calm(500)
-	if r := state(w, seq); r.State != ledger.Spreading {
+	w.settle(500)
+	if r := record(w, seq); r.State != ledger.Spreading {
 		t.Fatalf("time stood for an answer after %v: %+v", w.now, r)
 	}
-	for _, p := range w.g.Of(seq) {
-		if p.Acknowledged == (p.Seat.Name == far.name) {
+	for _, p := range w.leaderState.StatusOf(seq) {
+		if p.Acknowledged == (p.Participant.Name == far.name) {
 			t.Errorf("%+v", p)
 		}
 	}
-	w.now += w.hard + ledger.Margin
-	w.calm(50)
-	r := state(w, seq)
-	if r.State != ledger.Lapsed || r.Lapsed != 1 || len(r.Names) != 1 || r.Names[0] != far.name {
+	w.now += w.longestDeadline + ledger.LapseMargin
+	w.settle(50)
+	r := record(w, seq)
+	if r.State != ledger.Lapsed || r.Lapsed != 1 || len(r.LapsedNames) != 1 || r.LapsedNames[0] != far.name {
 		t.Fatalf("%+v", r)
 	}
 	late := w.open("a")
 	far.alive = true
-	w.calm(1500)
-	if r := state(w, late); r.State != ledger.Complete || far.disk.applied != late {
+	w.settle(1500)
+	if r := record(w, late); r.State != ledger.Complete || far.disk.applied != late {
 		t.Fatalf("%+v, applied %d", r, far.disk.applied)
 	}
 }
 
-// The root is lost with its disk in the middle, and the leader with it: the next of each ask anew.
-func TestRootLost(t *testing.T) {
-	w := newWorld(t, t.Fatalf, 13, 3, time.Hour)
-	for _, p := range w.all {
-		p.disk.messages = append(p.disk.messages, &heldMessage{key: "a", taken: w.now})
+// The root, which also leads, is lost with its disk halfway: the next root and the next leader ask again.
+func TestRootAndLeaderLost(t *testing.T) {
+	w := newSimulation(t, t.Fatalf, 13, 3, time.Hour)
+	for _, p := range w.processes {
+		p.disk.messages = append(p.disk.messages, &testMessage{key: "a", acceptedAt: w.now})
 	}
 	w.now += time.Second
 	seq := w.open("a")
-	w.calm(6) // under way
-	if r := state(w, seq); r.State != ledger.Spreading {
+	w.settle(6) // under way
+	if r := record(w, seq); r.State != ledger.Spreading {
 		t.Fatalf("too quick for this test: %+v", r)
 	}
-	w.all[0].alive = false
-	w.net = nil
+	w.processes[0].alive = false
+	w.network = nil
 	w.tree[1], w.tree[2], w.tree[3], w.tree[0] = -1, 1, 1, 1
 	w.lead(4)
-	for _, p := range w.all[1:] {
-		w.seeTree(p)
+	for _, p := range w.processes[1:] {
+		w.updateTree(p)
 	}
-	w.calm(300)
-	if r := state(w, seq); r.State != ledger.Spreading {
+	w.settle(300)
+	if r := record(w, seq); r.State != ledger.Spreading {
 		t.Fatalf("complete without the life that had a seat: %+v", r)
 	}
-	w.start(w.all[0], true)
-	for _, p := range w.all {
-		w.seeTree(p)
+	w.start(w.processes[0], true)
+	for _, p := range w.processes {
+		w.updateTree(p)
 	}
-	w.calm(600)
-	if r := state(w, seq); r.State != ledger.Complete || r.Found.NotBegun < 12 || r.Found.NotBegun > 13 {
+	w.settle(600)
+	if r := record(w, seq); r.State != ledger.Complete || r.Found.NotBegun < 12 || r.Found.NotBegun > 13 {
 		t.Fatalf("%+v", r)
 	}
 }
 
-// A kill between effect and acknowledgement: the next life answers as the first did, and is counted once.
+// A process is killed between effect and acknowledgement: its next incarnation answers the same, and is counted once.
 func TestKillBeforeAcknowledging(t *testing.T) {
 	disk := map[uint64]together.Found{1: {NotBegun: 3}}
 	p := view.Life{Name: "p", Incarnation: 1}
-	g := NewGather(view.Life{Name: "l", Incarnation: 1})
+	g := NewLeaderState(view.Life{Name: "l", Incarnation: 1})
 	order := []together.Purge{{Seq: 1, Match: together.Match{Key: "a"}}}
-	g.Opened(order, 1, 1, time.Hour, 0)
+	g.AddPurges(order, 1, 1, time.Hour, 0)
 	for inc := range 3 {
 		p.Incarnation = view.Incarnation(inc + 1)
-		g.Seats([]ledger.Seat{{Life: p}}, uint64(inc))
-		g.Root(p, 0)
-		if got := g.Of(1)[0]; got.Acknowledged {
+		g.SetParticipants([]ledger.Participant{{Life: p}}, uint64(inc))
+		g.SetRoot(p, 0)
+		if got := g.StatusOf(1)[0]; got.Acknowledged {
 			t.Fatalf("life %d has not acknowledged", p.Incarnation)
 		}
 		st := New(p, "folder", min(uint64(inc), 1))
-		st.FromParent(g.Missed(0, 0), 0)
-		if all := st.ToApply(0); len(all) != 1 {
+		st.HandleUpdate(g.PurgesSince(0, 0), 0)
+		if all := st.NextBatch(0); len(all) != 1 {
 			t.Fatalf("life %d is asked again: %v", p.Incarnation, all)
 		}
-		st.Applied(1, []together.Found{disk[1]}, 0)
-		up := st.Answer(Down{}, 0)
-		g.FromRoot(up, 0)
-		g.FromRoot(up, 0)
-		if got := g.Of(1)[0]; !got.Acknowledged || got.Found.NotBegun != 3 {
+		st.BatchApplied(1, []together.Found{disk[1]}, 0)
+		up := st.Answer(Update{}, 0)
+		g.HandleRootReport(up, 0)
+		g.HandleRootReport(up, 0)
+		if got := g.StatusOf(1)[0]; !got.Acknowledged || got.Found.NotBegun != 3 {
 			t.Fatalf("life %d: %+v", p.Incarnation, got)
 		}
 	}
 }
 
-// An answer is lost, and the next message up builds on it: it is not taken before what was found is known.
+// An answer is lost and the next report builds on it: that is not accepted before the lost findings are known.
 func TestLostAnswer(t *testing.T) {
 	up, low := view.Life{Name: "up", Incarnation: 1}, view.Life{Name: "low", Incarnation: 1}
 	parent, child := New(up, "u", 0), New(low, "l", 0)
-	parent.Tree(Above{}, []view.Life{low}, 0)
-	child.Tree(Above{Life: up}, nil, 0)
+	parent.SetTree(Parent{}, []view.Life{low}, 0)
+	child.SetTree(Parent{Life: up}, nil, 0)
 	order := func(seq uint64, found int) {
-		d := Down{From: up, Base: seq - 1, Upto: seq, Floor: 1,
-			Orders: []together.Purge{{Seq: seq, Match: together.Match{Key: "a"}}}}
-		parent.FromParent(d, 0)
-		child.FromParent(d, 0)
-		child.ToApply(0)
-		child.Applied(seq, []together.Found{{NotBegun: found}}, 0)
+		d := Update{From: up, Base: seq - 1, UpTo: seq, OldestOpen: 1,
+			Purges: []together.Purge{{Seq: seq, Match: together.Match{Key: "a"}}}}
+		parent.HandleUpdate(d, 0)
+		child.HandleUpdate(d, 0)
+		child.NextBatch(0)
+		child.BatchApplied(seq, []together.Found{{NotBegun: found}}, 0)
 	}
 	order(1, 0)
-	// The same process leads the council and asks as that: the parent in the tree has been told nothing by it.
-	if child.Answer(Down{From: up, Top: true}, 0); !child.up.changed {
+	// The parent also leads and asks as the leader: what it is answered does not count as reported to the parent.
+	if child.Answer(Update{From: up, FromLeader: true}, 0); !child.uplink.changed {
 		t.Fatal("what the leader was told counts as told to the parent")
 	}
-	parent.FromChild(child.Answer(Down{From: up}, 0), 0)
+	parent.HandleReport(child.Answer(Update{From: up}, 0), 0)
 	order(2, 5)
-	parent.Downs(0)
-	child.Answer(Down{From: up}, 0) // lost
+	parent.DueUpdates(0)
+	child.Answer(Update{From: up}, 0) // lost
 	order(3, 0)
 	for i := range 3 {
 		now := time.Duration(i+1) * time.Minute
-		if msg, due := child.Up(now); due {
-			child.UpDone(Above{Life: up}, parent.FromChild(msg, now), now)
+		if msg, due := child.DueReport(now); due {
+			child.ReportAnswered(Parent{Life: up}, parent.HandleReport(msg, now), now)
 		}
-		st := parent.children["low"].stands[0]
-		if r := parent.rows[rowKey{2, "low", "l"}]; st.Upto >= 2 && r == nil {
-			t.Fatalf("up to %d is told as applied, what was found is not known", st.Upto)
+		st := parent.children["low"].progress[0]
+		if r := parent.findings[findingKey{2, "low", "l"}]; st.AppliedSeq >= 2 && r == nil {
+			t.Fatalf("up to %d is told as applied, what was found is not known", st.AppliedSeq)
 		}
 	}
-	if st := parent.children["low"].stands[0]; st.Upto != 3 {
-		t.Errorf("told up to %d", st.Upto)
+	if st := parent.children["low"].progress[0]; st.AppliedSeq != 3 {
+		t.Errorf("told up to %d", st.AppliedSeq)
 	}
 }
 
-// A coordinator restarts after a purge was closed; one below comes from an old folder and lacks that purge. What the
-// coordinator has on disk itself it must still be able to hand on: it may not say "all up to here" without it.
+// A coordinator restarts after a purge was closed, and a process below it is restored from an old copy of its folder and
+// lacks that purge. The coordinator must be able to send it, although it has applied the purge itself long ago.
 func TestRestartedCoordinatorHandsOnAll(t *testing.T) {
-	w := newWorld(t, t.Fatalf, 4, 1, time.Hour)
-	low := w.all[3]
+	w := newSimulation(t, t.Fatalf, 4, 1, time.Hour)
+	low := w.processes[3]
 	w.tree[3] = 1
-	low.disk.messages = append(low.disk.messages, &heldMessage{key: "a", taken: w.now})
-	low.old = low.disk.copy()
-	for _, p := range w.all {
-		w.seeTree(p)
+	low.disk.messages = append(low.disk.messages, &testMessage{key: "a", acceptedAt: w.now})
+	low.oldDisk = low.disk.copy()
+	for _, p := range w.processes {
+		w.updateTree(p)
 	}
 	w.now += time.Second
 	w.open("a")
-	w.calm(300)
+	w.settle(300)
 	w.open("x") // with it the floor is told
-	w.calm(300)
-	w.start(w.all[1], false)
-	low.disk = low.old.copy()
+	w.settle(300)
+	w.start(w.processes[1], false)
+	low.disk = low.oldDisk.copy()
 	w.start(low, false)
-	for _, p := range w.all {
-		w.seeTree(p)
+	for _, p := range w.processes {
+		w.updateTree(p)
 	}
-	low.must, w.all[1].must = 0, 0 // neither asks the leader: the tree alone must do
-	low.st.FromParent(w.all[1].st.Missed(0, w.now), w.now)
+	low.requiredSeq, w.processes[1].requiredSeq = 0, 0 // neither asks the leader: the tree alone must do
+	low.state.HandleUpdate(w.processes[1].state.PurgesSince(0, w.now), w.now)
 	w.open("b")
-	w.calm(600)
-	if low.st.AppliedTo() != 3 || low.disk.messages[0].state != withdrawal.Withdrawn {
-		t.Fatalf("applied up to %d, notice %d", low.st.AppliedTo(), low.disk.messages[0].state)
+	w.settle(600)
+	if low.state.AppliedSeq() != 3 || low.disk.messages[0].state != withdrawal.Withdrawn {
+		t.Fatalf("applied up to %d, notice %d", low.state.AppliedSeq(), low.disk.messages[0].state)
 	}
-	w.begin(low)
+	w.startAttempts(low)
 }
 
-// Anything may happen; the promise holds throughout, and once links heal all is closed with each find counted once.
-func TestPromise(t *testing.T) {
+// Any faults: no matching message is sent after a purge is complete, and once the links work all purges are closed with
+// each finding counted once.
+func TestNoMatchingMessageSentAfterComplete(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 30).Draw(t, "processes")
-		w := newWorld(nil, t.Fatalf, n, min(n, 3), time.Hour)
-		some := func(what string) *process { return w.all[rapid.IntRange(0, n-1).Draw(t, what)] }
+		w := newSimulation(nil, t.Fatalf, n, min(n, 3), time.Hour)
+		some := func(what string) *process { return w.processes[rapid.IntRange(0, n-1).Draw(t, what)] }
 		key := rapid.SampledFrom([]string{"a", "b", "c"})
 		restored := false // then what was found first is forgotten on disk, and the truth with it
 		for range rapid.IntRange(10, 120).Draw(t, "steps") {
@@ -252,7 +253,7 @@
 			case 0, 1:
 				for range rapid.IntRange(1, 4).Draw(t, "notices") {
 					if p := some("at"); p.alive {
-						p.disk.messages = append(p.disk.messages, &heldMessage{key: key.Draw(t, "key"), taken: w.now, sawTo: p.st.Has()})
+						p.disk.messages = append(p.disk.messages, &testMessage{key: key.Draw(t, "key"), acceptedAt: w.now, purgesSeen: p.state.HasSeq()})
 					}
 				}
 			case 2, 3:
@@ -263,17 +264,17 @@
 				p := some("restarted")
 				p.alive = false
 				folder := rapid.IntRange(0, 3).Draw(t, "folder")
-				if folder == 1 && p.old != nil {
-					p.disk, restored = p.old.copy(), true
+				if folder == 1 && p.oldDisk != nil {
+					p.disk, restored = p.oldDisk.copy(), true
 				}
 				w.start(p, folder == 0)
-				if w.all[w.leader] == p {
+				if w.processes[w.leader] == p {
 					w.lead(w.leader)
 				}
-				w.seeTree(p)
+				w.updateTree(p)
 			case 6: // killed between effect and acknowledgement
 				if p := some("killed"); p.alive {
-					if all := p.st.ToApply(w.now); all != nil {
+					if all := p.state.NextBatch(w.now); all != nil {
 						w.apply(p, all)
 						p.alive = false
 					}
@@ -286,34 +287,34 @@
 				}
 				w.tree[root] = -1
 			case 8:
-				w.seeTree(some("sees"))
+				w.updateTree(some("sees"))
 			case 9:
 				w.lead(rapid.IntRange(0, n-1).Draw(t, "leader"))
 			case 10:
-				w.begin(some("begins"))
+				w.startAttempts(some("begins"))
 			case 11:
 				w.catchUp(some("asks"))
 			case 12:
 				p := some("copied")
-				p.old = p.disk.copy()
+				p.oldDisk = p.disk.copy()
 			case 13: // reached nobody so far, took messages on all the same, and joins
-				p := &process{name: view.Name(fmt.Sprintf("q%02d", len(w.all))), zone: "z0", alive: true, inc: 1,
+				p := &process{name: view.Name(fmt.Sprintf("q%02d", len(w.processes))), zone: "z0", alive: true, incarnation: 1,
 					disk: &disk{folder: "new", found: map[uint64]together.Found{}}}
-				p.disk.messages = append(p.disk.messages, &heldMessage{key: key.Draw(t, "key"), taken: w.now - time.Second})
-				p.st = New(p.life(), "new", 0)
-				w.all, w.tree, w.disks = append(w.all, p), append(w.tree, slices.Index(w.tree, -1)), append(w.disks, p.disk)
+				p.disk.messages = append(p.disk.messages, &testMessage{key: key.Draw(t, "key"), acceptedAt: w.now - time.Second})
+				p.state = New(p.life(), "new", 0)
+				w.processes, w.tree, w.disks = append(w.processes, p), append(w.tree, slices.Index(w.tree, -1)), append(w.disks, p.disk)
 				n++
 				w.join(p)
 			}
 			w.tick()
-			net := w.net
-			w.net = nil
+			net := w.network
+			w.network = nil
 			for _, m := range net {
 				switch rapid.IntRange(0, 7).Draw(t, "message") {
 				case 0:
 					m.fail()
 				case 1:
-					w.net = append([]message{m}, w.net...) // late, and before others
+					w.network = append([]envelope{m}, w.network...) // late, and before others
 				case 2:
 					m.deliver()
 					m.deliver()
@@ -325,58 +326,58 @@
 				}
 			}
 		}
-		for _, p := range w.all {
+		for _, p := range w.processes {
 			if !p.alive {
 				w.start(p, false)
 			}
 		}
 		w.lead(w.leader)
-		for _, p := range w.all {
-			w.seeTree(p)
+		for _, p := range w.processes {
+			w.updateTree(p)
 		}
-		w.calm(3000)
-		if w.led.Floor() != w.led.Last()+1 {
-			t.Fatalf("purge %d of %d is still open", w.led.Floor(), w.led.Last())
+		w.settle(3000)
+		if w.ledger.OldestOpen() != w.ledger.LastSeq()+1 {
+			t.Fatalf("purge %d of %d is still open", w.ledger.OldestOpen(), w.ledger.LastSeq())
 		}
-		for seq := uint64(1); seq <= w.led.Last(); seq++ {
+		for seq := uint64(1); seq <= w.ledger.LastSeq(); seq++ {
 			var truth, sure together.Found
 			for _, d := range w.disks {
-				truth = Plus(truth, d.found[seq])
+				truth = AddFound(truth, d.found[seq])
 			}
-			for _, p := range w.all {
-				sure = Plus(sure, p.disk.found[seq])
+			for _, p := range w.processes {
+				sure = AddFound(sure, p.disk.found[seq])
 			}
-			if r := state(w, seq); r.State != ledger.Complete || !restored && (r.Found.NotBegun > truth.NotBegun ||
+			if r := record(w, seq); r.State != ledger.Complete || !restored && (r.Found.NotBegun > truth.NotBegun ||
 				r.Found.Delivered > truth.Delivered) {
 				t.Fatalf("purge %d: %+v, in truth %+v", seq, r, truth)
 			} else if !restored && r.Reached == n && len(w.disks) == n && r.Found != sure {
 				t.Fatalf("purge %d: %+v, in truth %+v", seq, r.Found, sure)
 			}
 		}
-		for _, p := range w.all {
-			w.begin(p)
+		for _, p := range w.processes {
+			w.startAttempts(p)
 			for _, nt := range p.disk.messages {
 				if nt.state == withdrawal.Waiting {
-					t.Fatalf("%s never caught up: applied %d, must %d", p.name, p.st.AppliedTo(), p.must)
+					t.Fatalf("%s never caught up: applied %d, must %d", p.name, p.state.AppliedSeq(), p.requiredSeq)
 				}
 			}
 		}
 	})
 }
 
-// Purges of the longest keys in the worst letters still fit what the link carries, a few at a time.
-func TestLongKeysFit(t *testing.T) {
+// Purges with the longest keys of characters that JSON escapes still fit the link's message size, a few at a time.
+func TestLongKeysFitTheLink(t *testing.T) {
 	s := New(view.Life{Name: "p"}, "f", 0)
-	d := Down{Upto: 600, Floor: 1}
+	d := Update{UpTo: 600, OldestOpen: 1}
 	for i := range 600 {
-		d.Orders = append(d.Orders, together.Purge{Seq: uint64(i + 1), Match: together.Match{Key: strings.Repeat("\x01", 512)}})
+		d.Purges = append(d.Purges, together.Purge{Seq: uint64(i + 1), Match: together.Match{Key: strings.Repeat("\x01", 512)}})
 	}
-	s.FromParent(d, 0)
+	s.HandleUpdate(d, 0)
 	for since := uint64(0); since < 600; {
-		m := s.Missed(since, 0)
-		if text, err := json.Marshal(m); err != nil || len(text) > 1<<20 || m.Upto <= since {
-			t.Fatalf("after %d up to %d: %d bytes, %v", since, m.Upto, len(text), err)
+		m := s.PurgesSince(since, 0)
+		if text, err := json.Marshal(m); err != nil || len(text) > 1<<20 || m.UpTo <= since {
+			t.Fatalf("after %d up to %d: %d bytes, %v", since, m.UpTo, len(text), err)
 		}
-		since = m.Upto
+		since = m.UpTo
 	}
 }
--- a/internal/cluster/purge/spread/state.go
+++ b/internal/cluster/purge/spread/state.go
@@ -1,6 +1,6 @@
 package spread
 
-// This file is what a process holds of purges: taken in from above, handed to its sender, applied.
+// This file is the purges of a process: received from its parent, handed to its sender, applied.
 
 import (
 	"cmp"
@@ -11,251 +11,257 @@
 	"flaxcove/internal/sender/together"
 )
 
-// held is a purge and since when it is held here: its age grows by that.
-type held struct {
+// heldPurge is a purge and when it was received, from which time on its age grows.
+type heldPurge struct {
 	together.Purge
-	since view.Now
+	receivedAt view.Now
 }
 
-func (h held) age(now view.Now) time.Duration { return h.Age + max(now-h.since, 0) }
+// age is the age of the purge now, which is a lower bound as the time on the network is not known.
+func (h heldPurge) age(now view.Now) time.Duration { return h.Age + max(now-h.receivedAt, 0) }
 
-func bySeq(h held, seq uint64) int { return cmp.Compare(h.Seq, seq) }
+func bySeq(h heldPurge, seq uint64) int { return cmp.Compare(h.Seq, seq) }
 
-// State is one process's part. Guarded by whoever holds it.
+// State is one process's part. Its owner guards it.
 type State struct {
-	self   view.Life
-	folder string
-	top    bool // stands above the root: neither applies nor counts itself
+	self     view.Life
+	folder   string
+	isLeader bool // it is that of a LeaderState, which neither applies purges nor counts itself
 
-	orders  []held // by Seq
-	has     uint64 // all up to here that matter are in orders
-	floor   uint64
-	lasting uint64
-	horizon time.Duration
-	pruneAt int
+	purges          []heldPurge // by Seq
+	hasSeq          uint64      // purges has all up to here that matter
+	oldestOpen      uint64
+	priorAppliedSeq uint64
+	horizon         time.Duration
+	pruneThreshold  int
 
-	asked, applied uint64 // handed to the sender, and on disk with what was found: in order
-	applying       bool
-	batch          []uint64
-	batchEnd       uint64
-	applyAt        view.Now // not before
+	handedSeq, appliedSeq uint64 // handed to the sender; applied and on disk there
+	applying              bool
+	batchSeqs             []uint64
+	batchEndSeq           uint64
+	nextApplyAt           view.Now // not before
 
-	parent   Above
-	children map[view.Name]*child
-	names    []view.Name // of children, sorted
-	rows     map[rowKey]*row
-	up       upward
+	parent     Parent
+	children   map[view.Name]*child
+	childNames []view.Name // sorted
+	findings   map[findingKey]*finding
+	uplink     uplink
 }
 
-type rowKey struct {
+type findingKey struct {
 	seq    uint64
 	name   view.Name
 	folder string
 }
 
-type row struct {
+type finding struct {
 	incarnation view.Incarnation
 	found       together.Found
-	told        bool // the parent has it
+	reported    bool // the parent has it
 }
 
-// New is the state of a life that has applied up to lasting in earlier lives of its folder. It still takes in from
-// others all that matters, from the first on: it may have to hand it to one below that has applied none of it.
-func New(self view.Life, folder string, lasting uint64) *State {
-	return &State{self: self, folder: folder, lasting: lasting, floor: 1,
-		children: map[view.Name]*child{}, rows: map[rowKey]*row{}}
+// New returns the state of a process whose earlier incarnations with the same folder have applied all purges up to
+// priorAppliedSeq. It still receives all purges that matter, as it may have to send them to a process below it that has
+// applied none.
+func New(self view.Life, folder string, priorAppliedSeq uint64) *State {
+	return &State{self: self, folder: folder, priorAppliedSeq: priorAppliedSeq, oldestOpen: 1,
+		children: map[view.Name]*child{}, findings: map[findingKey]*finding{}}
 }
 
-// Tree tells who is above (the zero value for nobody) and below.
-func (s *State) Tree(parent Above, children []view.Life, now view.Now) {
+// SetTree sets the parent (the zero value for none) and the children.
+func (s *State) SetTree(parent Parent, children []view.Life, now view.Now) {
 	if parent != s.parent {
 		s.parent = parent
-		s.up.retryAt, s.up.fails, s.up.flying = 0, 0, false
-		s.forgetTold(now)
+		s.uplink.retryAt, s.uplink.failures, s.uplink.inFlight = 0, 0, false
+		s.resendAll(now)
 	}
 	gone := map[view.Name]bool{}
-	for _, n := range s.names {
+	for _, n := range s.childNames {
 		gone[n] = true
 	}
 	for _, life := range children {
 		delete(gone, life.Name)
 		if c := s.children[life.Name]; c == nil || c.life.Incarnation < life.Incarnation {
 			s.children[life.Name] = &child{life: life}
-			s.news(now)
+			s.markChanged(now)
 		}
 	}
 	for n := range gone {
 		delete(s.children, n)
-		s.news(now)
+		s.markChanged(now)
 	}
-	s.names = s.names[:0]
+	s.childNames = s.childNames[:0]
 	for n := range s.children {
-		s.names = append(s.names, n)
+		s.childNames = append(s.childNames, n)
 	}
-	slices.Sort(s.names)
+	slices.Sort(s.childNames)
 }
 
-// FromParent takes in purges, from the parent or whoever else was asked for what was missed.
-func (s *State) FromParent(d Down, now view.Now) {
-	if d.Again && d.above() == s.parent {
-		s.forgetTold(now)
+// HandleUpdate takes in purges, from the parent or from another process that was asked for them.
+func (s *State) HandleUpdate(d Update, now view.Now) {
+	if d.Resend && d.sender() == s.parent {
+		s.resendAll(now)
 	}
 	s.horizon = max(d.Horizon, s.horizon)
-	if d.Base > s.has {
-		return // something between is missing: Has in the answer tells from where
+	if d.Base > s.hasSeq {
+		return // some in between are missing: HasSeq in the answer tells from where
 	}
-	for _, p := range d.Orders {
-		i, found := slices.BinarySearchFunc(s.orders, p.Seq, bySeq)
-		h := held{p, now}
+	for _, p := range d.Purges {
+		i, found := slices.BinarySearchFunc(s.purges, p.Seq, bySeq)
+		h := heldPurge{p, now}
 		switch {
-		case !found && p.Seq > s.has:
-			s.orders = slices.Insert(s.orders, i, h)
-		case found && h.Age > s.orders[i].age(now):
-			s.orders[i] = h // both are lower bounds: the higher is nearer
+		case !found && p.Seq > s.hasSeq:
+			s.purges = slices.Insert(s.purges, i, h)
+		case found && h.Age > s.purges[i].age(now):
+			s.purges[i] = h // both ages are lower bounds, so the higher is more accurate
 		}
 	}
-	if d.Upto > s.has {
-		s.has = d.Upto
-		s.news(now)
+	if d.UpTo > s.hasSeq {
+		s.hasSeq = d.UpTo
+		s.markChanged(now)
 	}
-	s.lower(d.Floor)
+	s.advanceOldestOpen(d.OldestOpen)
 	s.prune(now)
 }
 
-// useless tells that nobody can need a purge any more: closed, and past the horizon. What was learnt has none.
-func (s *State) useless(h held, now view.Now) bool {
-	return h.Seq < s.floor && !h.Learnt && s.horizon > 0 && h.age(now) > s.horizon
+// obsolete tells that no process can need a purge any more: it is closed and past the horizon. Purges of learned state
+// have no horizon.
+func (s *State) obsolete(h heldPurge, now view.Now) bool {
+	return h.Seq < s.oldestOpen && !h.Learnt && s.horizon > 0 && h.age(now) > s.horizon
 }
 
-// prune lets go of what is useless, and beyond the bound of the oldest that are closed and applied here.
+// prune drops obsolete purges, and beyond the bound the oldest that are closed and applied here.
 func (s *State) prune(now view.Now) {
-	if len(s.orders) <= s.pruneAt {
+	if len(s.purges) <= s.pruneThreshold {
 		return
 	}
-	done := s.applied
-	if s.top {
-		done = s.has
+	done := s.appliedSeq
+	if s.isLeader {
+		done = s.hasSeq
 	}
-	s.orders = slices.DeleteFunc(s.orders, func(h held) bool { return h.Seq <= done && s.useless(h, now) })
-	if extra := len(s.orders) - mostHeld; extra > 0 && s.orders[extra].Seq <= min(done, s.floor-1) {
-		s.orders = slices.Delete(s.orders, 0, extra)
+	s.purges = slices.DeleteFunc(s.purges, func(h heldPurge) bool { return h.Seq <= done && s.obsolete(h, now) })
+	if extra := len(s.purges) - maxPurges; extra > 0 && s.purges[extra].Seq <= min(done, s.oldestOpen-1) {
+		s.purges = slices.Delete(s.purges, 0, extra)
 	}
-	s.pruneAt = len(s.orders) + pruneEach
+	s.pruneThreshold = len(s.purges) + pruneInterval
 }
 
-// lower moves the floor up: rows under it are in the ledger.
-func (s *State) lower(floor uint64) {
-	if floor > s.floor {
-		s.floor = floor
-		for k := range s.rows {
-			if k.seq < floor {
-				delete(s.rows, k)
+// advanceOldestOpen drops the findings of purges that were closed since: they are in the ledger.
+func (s *State) advanceOldestOpen(oldestOpen uint64) {
+	if oldestOpen > s.oldestOpen {
+		s.oldestOpen = oldestOpen
+		for k := range s.findings {
+			if k.seq < oldestOpen {
+				delete(s.findings, k)
 			}
 		}
 	}
 }
 
-// ToApply is what the sender must apply next, in order; nil while it is at it, or when there is nothing.
-func (s *State) ToApply(now view.Now) (all []together.Purge) {
-	if s.top || s.applying || s.asked >= s.has || now < s.applyAt {
+// NextBatch is the purges that the sender has to apply next, in order; nil while it applies some, or when there are none.
+func (s *State) NextBatch(now view.Now) (all []together.Purge) {
+	if s.isLeader || s.applying || s.handedSeq >= s.hasSeq || now < s.nextApplyAt {
 		return nil
 	}
-	first, _ := slices.BinarySearchFunc(s.orders, s.asked+1, bySeq)
-	s.batch, s.batchEnd = s.batch[:0], s.has
-	for _, h := range s.orders[first:] {
-		if len(all) == MostOrders {
-			s.batchEnd = all[len(all)-1].Seq
+	first, _ := slices.BinarySearchFunc(s.purges, s.handedSeq+1, bySeq)
+	s.batchSeqs, s.batchEndSeq = s.batchSeqs[:0], s.hasSeq
+	for _, h := range s.purges[first:] {
+		if len(all) == MaxPurgesPerMessage {
+			s.batchEndSeq = all[len(all)-1].Seq
 			break
 		}
-		if s.useless(h, now) || h.Seq <= s.lasting && h.Seq < s.floor {
-			continue // concerns nobody; or is on disk here, and closed
+		if s.obsolete(h, now) || h.Seq <= s.priorAppliedSeq && h.Seq < s.oldestOpen {
+			continue // concerns no process; or is closed and on disk here
 		}
 		p := h.Purge
 		p.Age = h.age(now)
 		all = append(all, p)
-		s.batch = append(s.batch, p.Seq)
+		s.batchSeqs = append(s.batchSeqs, p.Seq)
 	}
 	if all == nil {
-		s.asked, s.applied = s.batchEnd, s.batchEnd
-		s.news(now)
+		s.handedSeq, s.appliedSeq = s.batchEndSeq, s.batchEndSeq
+		s.markChanged(now)
 		return nil
 	}
 	s.applying = true
 	return all
 }
 
-// Applied tells that the sender has on disk what ToApply gave up to a Seq, and what each met. Less than all of it is
-// handed over again, after a while.
-func (s *State) Applied(upto uint64, found []together.Found, now view.Now) {
+// BatchApplied records up to which purge of the batch the sender has applied, on disk, and what each one found. The rest
+// is handed over again after a while.
+func (s *State) BatchApplied(upto uint64, found []together.Found, now view.Now) {
 	if !s.applying {
 		return
 	}
 	s.applying = false
-	for i, seq := range s.batch {
+	for i, seq := range s.batchSeqs {
 		if seq > upto {
-			s.applyAt = now + lastRetry
-			s.batchEnd = seq - 1
+			s.nextApplyAt = now + maxBackoff
+			s.batchEndSeq = seq - 1
 			break
 		}
 		if i < len(found) && found[i] != (together.Found{}) {
-			s.keep(rowKey{seq, s.self.Name, s.folder}, s.self.Incarnation, found[i])
+			s.addFinding(findingKey{seq, s.self.Name, s.folder}, s.self.Incarnation, found[i])
 		}
 	}
-	if s.batchEnd > s.asked {
-		s.asked, s.applied = s.batchEnd, s.batchEnd
-		s.news(now)
+	if s.batchEndSeq > s.handedSeq {
+		s.handedSeq, s.appliedSeq = s.batchEndSeq, s.batchEndSeq
+		s.markChanged(now)
 	}
 }
 
-// keep merges one row: of two lives of one folder the later stands. It tells whether that was new.
-func (s *State) keep(k rowKey, incarnation view.Incarnation, found together.Found) bool {
-	r := s.rows[k]
+// addFinding adds a finding, which replaces that of an earlier incarnation with the same folder. It returns whether it
+// was new.
+func (s *State) addFinding(k findingKey, incarnation view.Incarnation, found together.Found) bool {
+	r := s.findings[k]
 	switch {
-	case k.seq < s.floor, r == nil && len(s.rows) >= mostRows:
+	case k.seq < s.oldestOpen, r == nil && len(s.findings) >= maxFindings:
 		return false
 	case r != nil && r.incarnation >= incarnation:
 		return false
 	}
-	s.rows[k] = &row{incarnation: incarnation, found: found}
+	s.findings[k] = &finding{incarnation: incarnation, found: found}
 	return true
 }
 
-// Has is up to where purges are held, Applied up to where they are on disk.
-func (s *State) Has() uint64       { return s.has }
-func (s *State) AppliedTo() uint64 { return s.applied }
+// HasSeq is up to which Seq this process has all purges.
+func (s *State) HasSeq() uint64 { return s.hasSeq }
+
+// AppliedSeq is up to which Seq this process has applied all purges, on disk.
+func (s *State) AppliedSeq() uint64 { return s.appliedSeq }
 
-// Missed is what another needs that has purges up to since, at most MostOrders: the answer to one that comes back.
-// Its Upto is this process's own: whoever must have more asks on.
-func (s *State) Missed(since uint64, now view.Now) Down {
-	d := Down{From: s.self, Top: s.top, Base: since, Upto: max(s.has, since), Floor: s.floor, Horizon: s.horizon}
-	first, _ := slices.BinarySearchFunc(s.orders, since+1, bySeq)
-	for size, rest := 0, s.orders[first:]; len(rest) > 0; rest = rest[1:] {
-		if s.useless(rest[0], now) {
+// PurgesSince is what a process needs that has all purges up to since, at most MaxPurgesPerMessage. Its UpTo is as far
+// as this process can tell: one that needs more has to ask on.
+func (s *State) PurgesSince(since uint64, now view.Now) Update {
+	d := Update{From: s.self, FromLeader: s.isLeader, Base: since, UpTo: max(s.hasSeq, since), OldestOpen: s.oldestOpen, Horizon: s.horizon}
+	first, _ := slices.BinarySearchFunc(s.purges, since+1, bySeq)
+	for size, rest := 0, s.purges[first:]; len(rest) > 0; rest = rest[1:] {
+		if s.obsolete(rest[0], now) {
 			continue
 		}
 		p := rest[0].Purge
-		if size += sizeOf(p); len(d.Orders) == MostOrders || size > mostBytes && len(d.Orders) > 0 {
-			d.Upto = d.Orders[len(d.Orders)-1].Seq
+		if size += sizeOf(p); len(d.Purges) == MaxPurgesPerMessage || size > maxMessageBytes && len(d.Purges) > 0 {
+			d.UpTo = d.Purges[len(d.Purges)-1].Seq
 			break
 		}
 		p.Age = rest[0].age(now)
-		d.Orders = append(d.Orders, p)
+		d.Purges = append(d.Purges, p)
 	}
 	return d
 }
 
-// sizeOf is what a purge takes in a message at most: a byte of text may become six in JSON.
+// sizeOf is the size of a purge in a message at most: a byte of text may become six in JSON.
 func sizeOf(p together.Purge) int {
 	return 200 + 6*(len(p.ID)+len(p.Match.Class)+len(p.Match.Key)+len(p.Match.KeyPrefix))
 }
 
-// Rise gives this life a higher incarnation: another of its name was known to have this one or more.
-func (s *State) Rise(to view.Life, now view.Now) {
-	for k, r := range s.rows {
+// SetIncarnation raises this process's incarnation, as another process of its name was known with this one or a higher.
+func (s *State) SetIncarnation(to view.Life, now view.Now) {
+	for k, r := range s.findings {
 		if k.name == s.self.Name && r.incarnation == s.self.Incarnation {
 			r.incarnation = to.Incarnation
 		}
 	}
 	s.self = to
-	s.forgetTold(now)
+	s.resendAll(now)
 }
