--- a/internal/cluster/configuration/cached.go
+++ b/internal/cluster/configuration/cached.go
@@ -1,9 +1,10 @@
-// Package configuration holds what lasts of the settings that all senders of a cluster share: the newest version that
-// this process had in force, in its cluster folder.
+// Package configuration stores the settings that all senders of a cluster share: the newest version that this process
+// had in force, in its cluster folder. It also has the canonical form, checksums and patches of settings.
 //
-// It owns one file, written whole (a file aside, its bytes, its name, the folder), with a sum over its content. What is
-// torn or damaged is named by its path and not used. It must never write a version below one that was in force here:
-// a process runs no older version after a newer one. The packages below it decide (ledger, spread) and do (run).
+// It owns one file, replaced atomically (a temporary file is written, synced and renamed, and the folder synced), with a
+// checksum of its content. A truncated or damaged file is reported by its path and not used. It must never write a
+// version older than one that was in force here: a process runs no older version after a newer one. The packages below
+// it decide (ledger, spread) and execute (run).
 //
 // Load (docs/CAPACITY.md, row sender): one file of the settings' size, written once for each change.
 package configuration
@@ -26,26 +27,26 @@
 const (
 	cachedFile = "configuration.json"
 	tempFile   = "configuration.json.new"
-	// MostBytes bounds a settings object in its canonical form. A proposal with its envelope stays under the council's
-	// bound for one command (machine.MaxBody).
-	MostBytes = 240 << 10
-	// mostFile is what a kept file may take: the settings and the few fields around them.
-	mostFile = MostBytes + 4<<10
-	sumBytes = 16
+	// MaxBytes bounds a settings object in its canonical form. A command with its other fields stays under the bound
+	// of the consensus group (machine.MaxBodyBytes).
+	MaxBytes = 240 << 10
+	// maxFileBytes bounds the file: the settings and the few fields around them.
+	maxFileBytes = MaxBytes + 4<<10
+	sumLength    = 16
 )
 
-// Sum identifies a settings object by its canonical form: 32 hexadecimal digits.
+// Sum is a checksum that identifies a settings object by its canonical form: 32 hexadecimal digits.
 type Sum string
 
-// SumOf is the sum of settings in canonical form.
+// SumOf returns the checksum of settings in canonical form.
 func SumOf(canonical json.RawMessage) Sum {
 	digest := sha256.Sum256(canonical)
-	return Sum(hex.EncodeToString(digest[:sumBytes]))
+	return Sum(hex.EncodeToString(digest[:sumLength]))
 }
 
-// Canonical is the one form of a settings object that is decided, carried and summed: no blanks, names sorted, numbers
-// as written. It refuses what is no JSON object, and what is over MostBytes.
-func Canonical(settings json.RawMessage) (json.RawMessage, error) {
+// Canonicalize returns the form of a settings object that is committed, sent and summed: no blanks, names sorted, numbers
+// as written. Anything but a JSON object, and one over MaxBytes, is an error.
+func Canonicalize(settings json.RawMessage) (json.RawMessage, error) {
 	decoder := json.NewDecoder(bytes.NewReader(settings))
 	decoder.UseNumber()
 	var object map[string]any
@@ -65,24 +66,24 @@
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	text := bytes.TrimSuffix(out.Bytes(), []byte("\n"))
-	if len(text) > MostBytes {
-		return nil, fmt.Errorf("settings: %d bytes; at most %d", len(text), MostBytes)
+	if len(text) > MaxBytes {
+		return nil, fmt.Errorf("settings: %d bytes; at most %d", len(text), MaxBytes)
 	}
 	return text, nil
 }
 
-// cachedForm is the file. Unknown fields are skipped: a later version of the program may have written it.
-type cachedForm struct {
+// cachedVersion is the content of the file. Unknown fields are skipped: a newer program may have written it.
+type cachedVersion struct {
 	Version  uint64          `json:"version"`
 	Sum      Sum             `json:"sum"`
 	Settings json.RawMessage `json:"settings"`
 }
 
-// Path is where a cluster folder keeps the newest version.
+// Path is the file in a cluster folder that has the newest version.
 func Path(folder string) string { return filepath.Join(folder, cachedFile) }
 
-// LoadCached reads what an earlier life kept in a cluster folder (here.folder of the cluster file); version 0 where there is
-// nothing. An error names the file and what is wrong with it: its content must not be used then.
+// LoadCached reads the version that an earlier incarnation stored in a cluster folder (here.folder of the cluster file);
+// version 0 without one. An error names the file and what is wrong with it: its content must not be used then.
 func LoadCached(folder string) (together.Configuration, error) {
 	path := Path(folder)
 	text, err := os.ReadFile(path)
@@ -91,28 +92,28 @@
 		return together.Configuration{}, nil
 	case err != nil:
 		return together.Configuration{}, err
-	case len(text) > mostFile:
+	case len(text) > maxFileBytes:
 		return together.Configuration{}, fmt.Errorf("%s: %d bytes; it is not this file", path, len(text))
 	}
-	var k cachedForm
-	if err := json.Unmarshal(text, &k); err != nil {
+	var cached cachedVersion
+	if err := json.Unmarshal(text, &cached); err != nil {
 		return together.Configuration{}, fmt.Errorf("%s: torn or damaged: %w", path, err)
 	}
 	switch {
-	case k.Version == 0:
+	case cached.Version == 0:
 		return together.Configuration{}, fmt.Errorf("%s: field version: 0 is never kept", path)
-	case SumOf(k.Settings) != k.Sum:
+	case SumOf(cached.Settings) != cached.Sum:
 		return together.Configuration{}, fmt.Errorf("%s: field sum: it is not that of the settings: damaged", path)
 	}
-	return together.Configuration{Version: k.Version, Settings: k.Settings}, nil
+	return together.Configuration{Version: cached.Version, Settings: cached.Settings}, nil
 }
 
-// Keep replaces what is kept, on disk when it returns. Settings must be in canonical form.
+// Keep replaces the stored version, and returns once it is on disk. Settings must be in canonical form.
 func Keep(folder string, c together.Configuration) error {
 	var out bytes.Buffer
 	encoder := json.NewEncoder(&out)
 	encoder.SetEscapeHTML(false) // as the sum is over the bytes
-	if err := encoder.Encode(cachedForm{c.Version, SumOf(c.Settings), c.Settings}); err != nil {
+	if err := encoder.Encode(cachedVersion{c.Version, SumOf(c.Settings), c.Settings}); err != nil {
 		return err
 	}
 	aside := filepath.Join(folder, tempFile)
--- a/internal/cluster/configuration/cached_test.go
+++ b/internal/cluster/configuration/cached_test.go
@@ -10,13 +10,13 @@
 	"flaxcove/internal/sender/together"
 )
 
-func TestKeepAndLoadCached(t *testing.T) {
+func TestStoreAndLoadCached(t *testing.T) {
 	folder := t.TempDir()
 	if c, err := LoadCached(folder); err != nil || c.Version != 0 {
 		t.Fatal(c, err)
 	}
 	for version := range uint64(3) {
-		settings, err := Canonical(json.RawMessage(`{"b": "<&>", "a": [1.0, 12345678901234567890, null]}`))
+		settings, err := Canonicalize(json.RawMessage(`{"b": "<&>", "a": [1.0, 12345678901234567890, null]}`))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -31,8 +31,8 @@
 	}
 }
 
-// A file that a crash, a disk or a hand left damaged is named and not used, wherever it was cut.
-func TestCachedDamaged(t *testing.T) {
+// A file that was damaged or truncated anywhere is reported by its path and not used.
+func TestDamagedCacheIsRejected(t *testing.T) {
 	folder := t.TempDir()
 	path := filepath.Join(folder, cachedFile)
 	if err := Keep(folder, together.Configuration{Version: 7, Settings: json.RawMessage(`{"pace":41}`)}); err != nil {
@@ -42,7 +42,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	damaged := []string{strings.Replace(string(whole), "41", "42", 1), `{"version":0}`, `{"version":3}`, strings.Repeat(" ", mostFile+1)}
+	damaged := []string{strings.Replace(string(whole), "41", "42", 1), `{"version":0}`, `{"version":3}`, strings.Repeat(" ", maxFileBytes+1)}
 	for cut := range len(whole) - 1 { // the line's end alone is no loss
 		damaged = append(damaged, string(whole[:cut]))
 	}
@@ -56,13 +56,13 @@
 	}
 }
 
-func TestCanonical(t *testing.T) {
-	a, err := Canonical(json.RawMessage(` {"z": {"b":1e3,"a":"é<"}, "a": [ ]} `))
+func TestCanonicalize(t *testing.T) {
+	a, err := Canonicalize(json.RawMessage(` {"z": {"b":1e3,"a":"é<"}, "a": [ ]} `))
 	if err != nil || string(a) != `{"a":[],"z":{"a":"é<","b":1e3}}` {
 		t.Fatalf("%s %v", a, err)
 	}
-	for _, bad := range []string{``, `null`, `[]`, `3`, `{"a":1} x`, `{"a":1}{}`, `{"a":1}}`, `{"a":"` + strings.Repeat("x", MostBytes) + `"}`} {
-		if got, err := Canonical(json.RawMessage(bad)); err == nil {
+	for _, bad := range []string{``, `null`, `[]`, `3`, `{"a":1} x`, `{"a":1}{}`, `{"a":1}}`, `{"a":"` + strings.Repeat("x", MaxBytes) + `"}`} {
+		if got, err := Canonicalize(json.RawMessage(bad)); err == nil {
 			t.Errorf("%.40q: %.40s", bad, got)
 		}
 	}
--- a/internal/cluster/configuration/document.go
+++ b/internal/cluster/configuration/document.go
@@ -1,6 +1,6 @@
 package configuration
 
-// This file is how one version is made from another and how it is packed for the way. All of it is pure.
+// This file is how one version is made from another, and how it is compressed for sending. All of it is pure.
 
 import (
 	"bytes"
@@ -19,43 +19,43 @@
 	Settings json.RawMessage `json:"settings"`
 }
 
-// Make is a document of settings that are brought into canonical form.
-func Make(version uint64, settings json.RawMessage) (Document, error) {
-	canonical, err := Canonical(settings)
+// NewDocument returns a document with the settings in canonical form.
+func NewDocument(version uint64, settings json.RawMessage) (Document, error) {
+	canonical, err := Canonicalize(settings)
 	if err != nil {
 		return Document{}, err
 	}
 	return Document{version, SumOf(canonical), canonical}, nil
 }
 
-// Merge applies a JSON merge patch (RFC 7386) to settings and gives the result in canonical form.
-func Merge(settings, patch json.RawMessage) (json.RawMessage, error) {
-	if _, err := Canonical(patch); err != nil {
+// ApplyPatch applies a JSON merge patch (RFC 7386) to settings and returns the result in canonical form.
+func ApplyPatch(settings, patch json.RawMessage) (json.RawMessage, error) {
+	if _, err := Canonicalize(patch); err != nil {
 		return nil, fmt.Errorf("patch: %w", err)
 	}
 	merged, err := jsonpatch.MergePatch(settings, patch)
 	if err != nil {
 		return nil, fmt.Errorf("patch: %w", err)
 	}
-	return Canonical(merged)
+	return Canonicalize(merged)
 }
 
-// Difference is a merge patch that turns settings into others. False where there is none that gives exactly these:
-// a merge patch can set nothing to null, and the library reads numbers as floats.
-func Difference(from, to json.RawMessage) (json.RawMessage, bool) {
+// CreatePatch returns a merge patch that turns settings into others. It returns false where there is none that gives
+// exactly these: a merge patch can't set a field to null, and the library reads numbers as floats.
+func CreatePatch(from, to json.RawMessage) (json.RawMessage, bool) {
 	patch, err := jsonpatch.CreateMergePatch(from, to)
 	if err != nil {
 		return nil, false
 	}
-	merged, err := Merge(from, patch)
+	merged, err := ApplyPatch(from, patch)
 	if err != nil || !bytes.Equal(merged, to) {
 		return nil, false
 	}
 	return patch, true
 }
 
-// Pack compresses settings for the way.
-func Pack(settings json.RawMessage) ([]byte, error) {
+// Compress compresses settings for sending.
+func Compress(settings json.RawMessage) ([]byte, error) {
 	var out bytes.Buffer
 	w, err := gzip.NewWriterLevel(&out, gzip.BestCompression)
 	if err != nil {
@@ -70,18 +70,18 @@
 	return out.Bytes(), nil
 }
 
-// Unpack reads what Pack wrote; what unfolds to more than MostBytes is refused.
-func Unpack(packed []byte) (json.RawMessage, error) {
+// Decompress reads what Compress wrote; settings of more than MaxBytes are an error.
+func Decompress(packed []byte) (json.RawMessage, error) {
 	r, err := gzip.NewReader(bytes.NewReader(packed))
 	if err != nil {
 		return nil, fmt.Errorf("packed settings: %w", err)
 	}
-	settings, err := io.ReadAll(io.LimitReader(r, MostBytes+1))
+	settings, err := io.ReadAll(io.LimitReader(r, MaxBytes+1))
 	if err != nil {
 		return nil, fmt.Errorf("packed settings: %w", err)
 	}
-	if len(settings) > MostBytes {
-		return nil, fmt.Errorf("packed settings: over %d bytes", MostBytes)
+	if len(settings) > MaxBytes {
+		return nil, fmt.Errorf("packed settings: over %d bytes", MaxBytes)
 	}
 	return settings, nil
 }
--- a/internal/cluster/configuration/document_bench_test.go
+++ b/internal/cluster/configuration/document_bench_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// settingsOf are settings of about so many bytes, as classes of messages.
+// settingsOf returns settings of about so many bytes.
 func settingsOf(b *testing.B, bytes int) json.RawMessage {
 	b.Helper()
 	var classes []map[string]any
@@ -19,35 +19,35 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	canonical, err := Canonical(text)
+	canonical, err := Canonicalize(text)
 	if err != nil {
 		b.Fatal(err)
 	}
 	return canonical
 }
 
-// BenchmarkDocument is what a change of one field costs by the size of the settings: at whoever makes a change or packs a
-// whole (once a version, for all children), and at whoever takes it in; with the bytes that travel.
+// BenchmarkDocument is what a change of one field costs by the size of the settings: at the process that makes a patch or
+// compresses the full content (once a version, for all children), and at one that receives it; with the bytes sent.
 func BenchmarkDocument(b *testing.B) {
 	for _, size := range []int{2 << 10, 20 << 10, 200 << 10} {
 		from := settingsOf(b, size)
-		to, err := Merge(from, json.RawMessage(`{"quantum":2000000}`))
+		to, err := ApplyPatch(from, json.RawMessage(`{"quantum":2000000}`))
 		if err != nil {
 			b.Fatal(err)
 		}
-		patch, _ := Difference(from, to)
-		packed, err := Pack(to)
+		patch, _ := CreatePatch(from, to)
+		packed, err := Compress(to)
 		if err != nil {
 			b.Fatal(err)
 		}
 		for name, do := range map[string]func() error{
-			"make-change": func() error { Difference(from, to); return nil },
-			"take-change": func() error { _, err := Merge(from, patch); return err },
-			"pack-whole":  func() error { _, err := Pack(to); return err },
+			"make-change": func() error { CreatePatch(from, to); return nil },
+			"take-change": func() error { _, err := ApplyPatch(from, patch); return err },
+			"pack-whole":  func() error { _, err := Compress(to); return err },
 			"take-whole": func() error {
-				settings, err := Unpack(packed)
+				settings, err := Decompress(packed)
 				if err == nil {
-					_, err = Make(1, settings)
+					_, err = NewDocument(1, settings)
 				}
 				return err
 			},
--- a/internal/cluster/configuration/document_test.go
+++ b/internal/cluster/configuration/document_test.go
@@ -29,59 +29,59 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	canonical, err := Canonical(text)
+	canonical, err := Canonicalize(text)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return canonical
 }
 
-// A difference gives exactly the other version or says that there is none, and a pack unfolds to what it was.
-func TestDifferenceAndPack(t *testing.T) {
+// A patch gives exactly the other version or there is none, and compression preserves settings.
+func TestPatchAndCompression(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		from, to := drawSettings(t, "from"), drawSettings(t, "to")
-		if patch, is := Difference(from, to); is {
+		if patch, is := CreatePatch(from, to); is {
 			escaped, err := json.Marshal(patch) // as it travels
 			if err != nil {
 				t.Fatal(err)
 			}
-			if got, err := Merge(from, escaped); err != nil || string(got) != string(to) {
+			if got, err := ApplyPatch(from, escaped); err != nil || string(got) != string(to) {
 				t.Fatalf("%s with %s is %s, not %s: %v", from, patch, got, to, err)
 			}
 		}
-		packed, err := Pack(to)
+		packed, err := Compress(to)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got, err := Unpack(packed); err != nil || string(got) != string(to) {
+		if got, err := Decompress(packed); err != nil || string(got) != string(to) {
 			t.Fatalf("%s %v", got, err)
 		}
 	})
 }
 
-func TestDifferenceOfOneField(t *testing.T) {
+func TestPatchOfOneField(t *testing.T) {
 	from := json.RawMessage(`{"a":1,"b":{"c":2,"d":3}}`)
-	patch, is := Difference(from, json.RawMessage(`{"a":1,"b":{"c":2,"d":4}}`))
+	patch, is := CreatePatch(from, json.RawMessage(`{"a":1,"b":{"c":2,"d":4}}`))
 	if !is || string(patch) != `{"b":{"d":4}}` {
 		t.Fatalf("%s %v", patch, is)
 	}
-	if _, is := Difference(from, json.RawMessage(`{"a":null,"b":{"c":2,"d":3}}`)); is {
+	if _, is := CreatePatch(from, json.RawMessage(`{"a":null,"b":{"c":2,"d":3}}`)); is {
 		t.Fatal("a merge patch that sets null")
 	}
 	for _, bad := range []string{`[]`, `7`, ``, `{"a"`} {
-		if got, err := Merge(from, json.RawMessage(bad)); err == nil {
+		if got, err := ApplyPatch(from, json.RawMessage(bad)); err == nil {
 			t.Errorf("%q: %s", bad, got)
 		}
 	}
 }
 
-func TestUnpackRefuses(t *testing.T) {
-	large, err := Pack(json.RawMessage(`"` + strings.Repeat("x", MostBytes) + `"`))
+func TestDecompressRejects(t *testing.T) {
+	large, err := Compress(json.RawMessage(`"` + strings.Repeat("x", MaxBytes) + `"`))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, bad := range [][]byte{nil, []byte("{}"), large, large[:len(large)/2]} {
-		if _, err := Unpack(bad); err == nil {
+		if _, err := Decompress(bad); err == nil {
 			t.Errorf("%d bytes taken", len(bad))
 		}
 	}
--- a/internal/cluster/configuration/ledger/ledger.go
+++ b/internal/cluster/configuration/ledger/ledger.go
@@ -12,44 +12,44 @@
 	"flaxcove/internal/cluster/configuration"
 )
 
-// Bounds. 1,600 changes a day are planned for: ids are known again for a day and more, and the last documents suffice
-// for a return to what was in force before a bad change, or before a bad morning.
+// Bounds of the ledger. 1,600 changes a day are planned for: ids are recognised for over a day, and the retained documents
+// suffice to restore what was in force before a bad change, or some hours of them.
 const (
-	MostEntries       = 2048
-	MostDocuments     = 32
-	MostDocumentBytes = 2 << 20 // of all kept; the newest and the one before stay in any case
-	leastDocuments    = 2
+	MaxEntries       = 2048
+	MaxDocuments     = 32
+	MaxDocumentBytes = 2 << 20 // of all documents; the newest and the one before it are retained in any case
+	minDocuments     = 2
 )
 
-// Ledger is the state. It is not safe for use by several goroutines: the council guards it.
+// Ledger is the state. It is not safe for concurrent use: the consensus group guards it.
 type Ledger struct {
-	entries   []Entry // by version, gaps where something was adopted
-	ids       map[string]uint64
-	documents []configuration.Document // by version, oldest first; the newest is that of the newest entry
-	bytes     int                      // of documents
-	at        time.Duration
-	no        uint64 // grows with each command; not kept
+	entries       []Entry // by version, with gaps before adopted versions
+	versionByID   map[string]uint64
+	documents     []configuration.Document // by version, oldest first; the last is that of the last entry
+	documentBytes int                      // of documents
+	clock         time.Duration
+	revision      uint64 // grows with each command; not in snapshots
 }
 
-// New is an empty ledger.
-func New() *Ledger { return &Ledger{ids: map[string]uint64{}} }
+// New returns an empty ledger.
+func New() *Ledger { return &Ledger{versionByID: map[string]uint64{}} }
 
-// Apply takes one committed command. An error means that it could not be read, and nothing has changed; what is
-// refused by rule is told in the answer.
+// Apply applies one committed command. An error means that it could not be decoded, and nothing has changed; a command
+// that is rejected by a rule says so in its answer.
 func (l *Ledger) Apply(_ uint64, at time.Duration, kind string, body json.RawMessage) (json.RawMessage, error) {
-	var answer Decided
+	var answer DecideResult
 	var err error
 	switch kind {
 	case KindDecide:
 		var c Decide
 		if err = json.Unmarshal(body, &c); err == nil {
-			l.at = max(l.at, at)
+			l.clock = max(l.clock, at)
 			answer = l.decide(c)
 		}
 	case KindAdopt:
 		var c Adopt
 		if err = json.Unmarshal(body, &c); err == nil {
-			l.at = max(l.at, at)
+			l.clock = max(l.clock, at)
 			answer = l.adopt(c)
 		}
 	default:
@@ -58,87 +58,91 @@
 	if err != nil {
 		return nil, fmt.Errorf("configuration ledger: command %q: %w", kind, err)
 	}
-	answer.Current = l.Last()
-	l.no++
+	answer.Current = l.LastVersion()
+	l.revision++
 	return json.Marshal(answer)
 }
 
-func (l *Ledger) decide(c Decide) Decided {
-	if field, why := checkTexts(c.ID, c.Who, c.Why); field != "" {
-		return Decided{Refused: field + " " + why, Field: field}
+// decide commits a change, or finds the version of the same request that was committed before.
+func (l *Ledger) decide(c Decide) DecideResult {
+	if field, why := validateTexts(c.ID, c.Who, c.Why); field != "" {
+		return DecideResult{Rejected: field + " " + why, Field: field}
 	}
-	if known, is := l.Known(c.ID, c.Print); is {
-		return known
+	if previous, found := l.FindRequest(c.ID, c.Fingerprint); found {
+		return previous
 	}
-	if c.Base != l.Last() {
-		return Decided{Conflict: true, Field: "base",
-			Refused: fmt.Sprintf("base %d is not the newest version, which is %d", c.Base, l.Last())}
+	if c.Base != l.LastVersion() {
+		return DecideResult{Conflict: true, Field: "base",
+			Rejected: fmt.Sprintf("base %d is not the newest version, which is %d", c.Base, l.LastVersion())}
 	}
 	settings := c.Settings
 	if c.Restore != nil {
-		old, held := l.Document(*c.Restore)
-		if !held {
-			return Decided{Refused: fmt.Sprintf("version %d is not held any more", *c.Restore), Field: "restore"}
+		old, retained := l.Document(*c.Restore)
+		if !retained {
+			return DecideResult{Rejected: fmt.Sprintf("version %d is not held any more", *c.Restore), Field: "restore"}
 		}
 		settings = old.Settings
 	}
-	document, err := configuration.Make(l.Last()+1, settings)
+	document, err := configuration.NewDocument(l.LastVersion()+1, settings)
 	if err != nil {
-		return Decided{Refused: err.Error(), Field: "settings"}
+		return DecideResult{Rejected: err.Error(), Field: "settings"}
 	}
-	if len(l.documents) == 0 && c.Own != nil {
-		if own, err := configuration.Make(0, c.Own); err == nil {
-			l.hold(own)
+	if len(l.documents) == 0 && c.OwnSettings != nil {
+		if own, err := configuration.NewDocument(0, c.OwnSettings); err == nil {
+			l.retain(own)
 		}
 	}
-	l.append(Entry{Version: document.Version, Sum: document.Sum, ID: c.ID, Print: c.Print, Base: c.Base, Restored: c.Restore,
-		Who: c.Who, Why: c.Why, At: l.at, Bytes: len(document.Settings)}, document)
-	return Decided{Version: document.Version, Sum: document.Sum}
+	l.append(Entry{Version: document.Version, Sum: document.Sum, ID: c.ID, Fingerprint: c.Fingerprint, Base: c.Base, Restored: c.Restore,
+		Who: c.Who, Why: c.Why, At: l.clock, Bytes: len(document.Settings)}, document)
+	return DecideResult{Version: document.Version, Sum: document.Sum}
 }
 
-// Known is the answer to a request that has an id of before: the same version, or a refusal.
-func (l *Ledger) Known(id string, print configuration.Sum) (Decided, bool) {
-	version, known := l.ids[id]
+// FindRequest is the answer to a request whose id is known: its version, or a rejection where the request differs.
+func (l *Ledger) FindRequest(id string, fingerprint configuration.Sum) (DecideResult, bool) {
+	version, known := l.versionByID[id]
 	if !known {
-		return Decided{}, false
+		return DecideResult{}, false
 	}
 	entry, _ := l.Entry(version)
-	if entry.Print != print {
-		return Decided{Conflict: true, Field: "id", Current: l.Last(),
-			Refused: fmt.Sprintf("id %q stands for another request, which became version %d", id, version)}, true
+	if entry.Fingerprint != fingerprint {
+		return DecideResult{Conflict: true, Field: "id", Current: l.LastVersion(),
+			Rejected: fmt.Sprintf("id %q stands for another request, which became version %d", id, version)}, true
 	}
-	return Decided{Version: version, Sum: entry.Sum, Known: true, Current: l.Last()}, true
+	return DecideResult{Version: version, Sum: entry.Sum, Duplicate: true, Current: l.LastVersion()}, true
 }
 
-func (l *Ledger) adopt(c Adopt) Decided {
-	if c.Version <= l.Last() {
-		return Decided{Conflict: true, Field: "version", Refused: fmt.Sprintf("version %d is not above %d", c.Version, l.Last())}
+// adopt adds a version that members have.
+func (l *Ledger) adopt(c Adopt) DecideResult {
+	if c.Version <= l.LastVersion() {
+		return DecideResult{Conflict: true, Field: "version", Rejected: fmt.Sprintf("version %d is not above %d", c.Version, l.LastVersion())}
 	}
-	document, err := configuration.Make(c.Version, c.Settings)
+	document, err := configuration.NewDocument(c.Version, c.Settings)
 	if err != nil {
-		return Decided{Refused: err.Error(), Field: "settings"}
+		return DecideResult{Rejected: err.Error(), Field: "settings"}
 	}
-	l.append(Entry{Version: c.Version, Sum: document.Sum, Base: l.Last(), At: l.at, Bytes: len(document.Settings)}, document)
-	return Decided{Version: c.Version, Sum: document.Sum}
+	l.append(Entry{Version: c.Version, Sum: document.Sum, Base: l.LastVersion(), At: l.clock, Bytes: len(document.Settings)}, document)
+	return DecideResult{Version: c.Version, Sum: document.Sum}
 }
 
+// append adds an entry with its document, and drops the oldest beyond the bounds.
 func (l *Ledger) append(entry Entry, document configuration.Document) {
 	l.entries = append(l.entries, entry)
 	if entry.ID != "" {
-		l.ids[entry.ID] = entry.Version
+		l.versionByID[entry.ID] = entry.Version
 	}
-	l.hold(document)
-	for len(l.entries) > MostEntries {
-		delete(l.ids, l.entries[0].ID)
+	l.retain(document)
+	for len(l.entries) > MaxEntries {
+		delete(l.versionByID, l.entries[0].ID)
 		l.entries = l.entries[1:]
 	}
-	for len(l.documents) > MostDocuments || l.bytes > MostDocumentBytes && len(l.documents) > leastDocuments {
-		l.bytes -= len(l.documents[0].Settings)
+	for len(l.documents) > MaxDocuments || l.documentBytes > MaxDocumentBytes && len(l.documents) > minDocuments {
+		l.documentBytes -= len(l.documents[0].Settings)
 		l.documents = l.documents[1:]
 	}
 }
 
-func (l *Ledger) hold(document configuration.Document) {
+// retain adds a document to those that can be restored.
+func (l *Ledger) retain(document configuration.Document) {
 	l.documents = append(l.documents, document)
-	l.bytes += len(document.Settings)
+	l.documentBytes += len(document.Settings)
 }
--- a/internal/cluster/configuration/ledger/ledger_test.go
+++ b/internal/cluster/configuration/ledger/ledger_test.go
@@ -12,9 +12,9 @@
 	"flaxcove/internal/cluster/configuration"
 )
 
-type fataler interface{ Fatalf(string, ...any) }
+type fatalReporter interface{ Fatalf(string, ...any) }
 
-func apply(t fataler, l *Ledger, kind string, command any) (d Decided) {
+func apply(t fatalReporter, l *Ledger, kind string, command any) (d DecideResult) {
 	body, err := json.Marshal(command)
 	if err != nil {
 		t.Fatalf("%v", err)
@@ -30,8 +30,8 @@
 }
 
 func change(id string, base uint64, settings string) Decide {
-	return Decide{ID: id, Print: configuration.SumOf(json.RawMessage(settings)), Base: base, Settings: json.RawMessage(settings),
-		Who: "ops", Why: "try", Own: json.RawMessage(`{"own":true}`)}
+	return Decide{ID: id, Fingerprint: configuration.SumOf(json.RawMessage(settings)), Base: base, Settings: json.RawMessage(settings),
+		Who: "ops", Why: "try", OwnSettings: json.RawMessage(`{"own":true}`)}
 }
 
 func TestDecide(t *testing.T) {
@@ -40,10 +40,10 @@
 		t.Fatalf("a new ledger's snapshot: %s %v", text, err)
 	}
 	one := apply(t, l, KindDecide, change("a", 0, `{"x": 1}`))
-	if one.Version != 1 || one.Refused != "" || one.Current != 1 {
+	if one.Version != 1 || one.Rejected != "" || one.Current != 1 {
 		t.Fatalf("%+v", one)
 	}
-	if again := apply(t, l, KindDecide, change("a", 0, `{"x": 1}`)); !again.Known || again.Version != 1 || again.Sum != one.Sum {
+	if again := apply(t, l, KindDecide, change("a", 0, `{"x": 1}`)); !again.Duplicate || again.Version != 1 || again.Sum != one.Sum {
 		t.Fatalf("the same again: %+v", again)
 	}
 	if other := apply(t, l, KindDecide, change("a", 1, `{"x":2}`)); !other.Conflict || other.Field != "id" || other.Current != 1 {
@@ -58,7 +58,7 @@
 	for field, c := range map[string]Decide{
 		"id":       {Base: 2, Settings: json.RawMessage(`{}`), Who: "w", Why: "y"},
 		"who":      {ID: "c", Base: 2, Settings: json.RawMessage(`{}`), Why: "y"},
-		"why":      {ID: "c", Base: 2, Settings: json.RawMessage(`{}`), Who: "w", Why: strings.Repeat("y", mostWhy+1)},
+		"why":      {ID: "c", Base: 2, Settings: json.RawMessage(`{}`), Who: "w", Why: strings.Repeat("y", maxWhyBytes+1)},
 		"settings": {ID: "c", Base: 2, Settings: json.RawMessage(`[]`), Who: "w", Why: "y"},
 		"restore":  {ID: "c", Base: 2, Restore: new(uint64(9)), Who: "w", Why: "y"},
 	} {
@@ -66,8 +66,8 @@
 			t.Errorf("%s: %+v", field, got)
 		}
 	}
-	if l.Last() != 2 {
-		t.Fatal(l.Last())
+	if l.LastVersion() != 2 {
+		t.Fatal(l.LastVersion())
 	}
 	for kind, body := range map[string]string{KindDecide: `{"id":`, "other": `{}`} {
 		if _, err := l.Apply(0, 0, kind, json.RawMessage(body)); err == nil {
@@ -76,7 +76,7 @@
 	}
 }
 
-// A return is a new, higher version with the old content, also to the file that stood before the first change.
+// A restore makes a new, higher version with the old content; version 0 is the file before the first change.
 func TestRestoreAVersion(t *testing.T) {
 	l := New()
 	apply(t, l, KindDecide, change("a", 0, `{"x":1}`))
@@ -110,11 +110,11 @@
 	}
 }
 
-// The ledger stays within its bounds, and within the council's, at any number of changes.
+// The ledger stays within its bounds, and within those of the consensus group, at any number of changes.
 func TestBounds(t *testing.T) {
 	l := New()
 	large := strings.Repeat("x", 200<<10)
-	for i := range uint64(MostEntries + 50) {
+	for i := range uint64(MaxEntries + 50) {
 		settings := fmt.Sprintf(`{"n":%d}`, i)
 		if i%100 == 0 {
 			settings = fmt.Sprintf(`{"n":%d,"large":%q}`, i, large)
@@ -123,11 +123,11 @@
 			t.Fatalf("%+v", got)
 		}
 	}
-	for i := range uint64(2 * MostDocuments) {
-		apply(t, l, KindDecide, change("l"+fmt.Sprint(i), l.Last(), fmt.Sprintf(`{"n":%d,"large":%q}`, i, large)))
+	for i := range uint64(2 * MaxDocuments) {
+		apply(t, l, KindDecide, change("l"+fmt.Sprint(i), l.LastVersion(), fmt.Sprintf(`{"n":%d,"large":%q}`, i, large)))
 	}
-	if len(l.entries) != MostEntries || len(l.ids) != MostEntries || l.bytes > MostDocumentBytes || len(l.documents) > MostDocuments {
-		t.Fatal(len(l.entries), len(l.ids), l.bytes, len(l.documents))
+	if len(l.entries) != MaxEntries || len(l.versionByID) != MaxEntries || l.documentBytes > MaxDocumentBytes || len(l.documents) > MaxDocuments {
+		t.Fatal(len(l.entries), len(l.versionByID), l.documentBytes, len(l.documents))
 	}
 	text, err := l.Snapshot()
 	if err != nil || len(text) > 4<<20 {
@@ -136,9 +136,9 @@
 	t.Logf("snapshot of the largest ledger: %d bytes", len(text))
 }
 
-// Whatever commands come: versions only rise and never change their content, two ledgers that saw the same are the
-// same to the byte, and one that was restored from a snapshot goes on as the other does.
-func TestLedgersAgree(t *testing.T) {
+// Any commands: versions only rise and never change their content, two ledgers with the same commands are identical to
+// the byte, and one that was restored from a snapshot stays identical, too.
+func TestReplicasStayIdentical(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := New(), New()
 		sums := map[uint64]configuration.Sum{}
@@ -151,23 +151,23 @@
 			case 0:
 				kind, command = KindAdopt, Adopt{rapid.Uint64Range(0, 60).Draw(t, "version"), json.RawMessage(`{"adopted":"<&"}`)}
 			case 1:
-				restore := rapid.Uint64Range(0, a.Last()+1).Draw(t, "restore")
-				kind, command = KindDecide, Decide{ID: fmt.Sprint("r", i), Base: a.Last(), Restore: &restore, Who: "w", Why: "y"}
+				restore := rapid.Uint64Range(0, a.LastVersion()+1).Draw(t, "restore")
+				kind, command = KindDecide, Decide{ID: fmt.Sprint("r", i), Base: a.LastVersion(), Restore: &restore, Who: "w", Why: "y"}
 			default:
-				base := a.Last()
+				base := a.LastVersion()
 				if rapid.IntRange(0, 4).Draw(t, "stale") == 0 {
-					base = rapid.Uint64Range(0, a.Last()).Draw(t, "base")
+					base = rapid.Uint64Range(0, a.LastVersion()).Draw(t, "base")
 				}
 				id := fmt.Sprint(rapid.IntRange(0, steps).Draw(t, "id"))
 				kind, command = KindDecide, change(id, base, fmt.Sprintf(`{"x":"<%d>"}`, rapid.IntRange(0, 3).Draw(t, "content")))
 			}
-			last = a.Last()
+			last = a.LastVersion()
 			got, same := apply(t, a, kind, command), apply(t, b, kind, command)
 			if got != same {
 				t.Fatalf("%+v and %+v", got, same)
 			}
-			if a.Last() < last {
-				t.Fatalf("from version %d back to %d", last, a.Last())
+			if a.LastVersion() < last {
+				t.Fatalf("from version %d back to %d", last, a.LastVersion())
 			}
 			if got.Version > 0 {
 				if sum, known := sums[got.Version]; known && sum != got.Sum {
@@ -194,7 +194,7 @@
 	})
 }
 
-func TestRestoreRefuses(t *testing.T) {
+func TestRestoreRejectsInconsistentSnapshots(t *testing.T) {
 	l := New()
 	apply(t, l, KindDecide, change("a", 0, `{"x":1}`))
 	before, _ := l.Snapshot()
@@ -207,26 +207,26 @@
 	if after, _ := l.Snapshot(); string(after) != string(before) {
 		t.Fatal("a refused snapshot changed something")
 	}
-	if err := l.Restore(json.RawMessage("null")); err != nil || l.Last() != 0 {
+	if err := l.Restore(json.RawMessage("null")); err != nil || l.LastVersion() != 0 {
 		t.Fatal(err)
 	}
 }
 
-func TestRequest(t *testing.T) {
+func TestRequestValidate(t *testing.T) {
 	good := Request{ID: "a", Base: new(uint64(3)), Settings: json.RawMessage(`{"x": 1}`), Who: "w", Why: "y"}
-	if field, why := good.Check(); field != "" {
+	if field, why := good.Validate(); field != "" {
 		t.Fatal(field, why)
 	}
-	print, err := good.Print()
+	print, err := good.Fingerprint()
 	if err != nil {
 		t.Fatal(err)
 	}
 	good.Settings = json.RawMessage(`{ "x":1 }`)
-	if again, _ := good.Print(); again != print {
+	if again, _ := good.Fingerprint(); again != print {
 		t.Fatal("blanks make another request")
 	}
 	good.Why = "z"
-	if other, _ := good.Print(); other == print {
+	if other, _ := good.Fingerprint(); other == print {
 		t.Fatal("another why is the same request")
 	}
 	for field, r := range map[string]Request{
@@ -234,7 +234,7 @@
 		"settings": {ID: "a", Base: new(uint64(1)), Settings: json.RawMessage(`{}`), Patch: json.RawMessage(`{}`), Who: "w", Why: "y"},
 		"who":      {ID: "a", Base: new(uint64(1)), Settings: json.RawMessage(`{}`), Why: "y"},
 	} {
-		if got, _ := r.Check(); got != field {
+		if got, _ := r.Validate(); got != field {
 			t.Errorf("%s: %s", field, got)
 		}
 	}
--- a/internal/cluster/configuration/ledger/read.go
+++ b/internal/cluster/configuration/ledger/read.go
@@ -1,7 +1,7 @@
 package ledger
 
-// This file is what may be read of a ledger, and how it is kept. Readers get copies of entries; a document's settings
-// are shared and must not be changed.
+// This file is the readers of a ledger, and its snapshots. Readers get copies of entries; a document's settings are
+// shared and must not be changed.
 
 import (
 	"bytes"
@@ -14,21 +14,21 @@
 	"flaxcove/internal/cluster/configuration"
 )
 
-// No grows with each command applied here: unchanged, there is nothing new to read.
-func (l *Ledger) No() uint64 { return l.no }
+// Revision grows with each command applied here. While it is unchanged there is nothing new to read.
+func (l *Ledger) Revision() uint64 { return l.revision }
 
-// Last is the newest version; 0 for none.
-func (l *Ledger) Last() uint64 {
+// LastVersion is the newest version; 0 for none.
+func (l *Ledger) LastVersion() uint64 {
 	if len(l.entries) == 0 {
 		return 0
 	}
 	return l.entries[len(l.entries)-1].Version
 }
 
-// Newest is the newest version's document; false where nothing was decided.
-func (l *Ledger) Newest() (configuration.Document, bool) { return l.Document(l.Last()) }
+// Newest is the newest version's document; false before the first change.
+func (l *Ledger) Newest() (configuration.Document, bool) { return l.Document(l.LastVersion()) }
 
-// Document is a version's content, as far as it is still held. Version 0 is the file of whoever led at the first
+// Document is a version's content, as far as it is retained. Version 0 is the file of the process that led at the first
 // change.
 func (l *Ledger) Document(version uint64) (configuration.Document, bool) {
 	i, found := slices.BinarySearchFunc(l.documents, version, func(d configuration.Document, v uint64) int {
@@ -40,8 +40,8 @@
 	return l.documents[i], true
 }
 
-// Held are the versions to which a return is possible, oldest first.
-func (l *Ledger) Held() []uint64 {
+// RetainedVersions are the versions that can be restored, oldest first.
+func (l *Ledger) RetainedVersions() []uint64 {
 	all := make([]uint64, len(l.documents))
 	for i := range l.documents {
 		all[i] = l.documents[i].Version
@@ -49,7 +49,7 @@
 	return all
 }
 
-// Entry is one decided version, as far as it is remembered.
+// Entry is one committed version, as far as it is retained.
 func (l *Ledger) Entry(version uint64) (Entry, bool) {
 	i, found := slices.BinarySearchFunc(l.entries, version, func(e Entry, v uint64) int { return cmp.Compare(e.Version, v) })
 	if !found {
@@ -58,56 +58,73 @@
 	return l.entries[i], true
 }
 
-// onDisk is the ledger on disk.
-type onDisk struct {
+// snapshotState is the encoding of a ledger.
+type snapshotState struct {
 	Entries   []Entry                  `json:"entries"`
 	Documents []configuration.Document `json:"documents"`
-	At        time.Duration            `json:"at"`
+	Clock     time.Duration            `json:"at"`
 }
 
-// Snapshot is all of it, the same for the same state. Before the first change it is null, as that of a new part: a
-// process of a program without this part can then still read the council's snapshot.
+// Snapshot encodes the complete state; the same state gives the same bytes. Before the first change it is null, as for
+// a new part, so that an older program without this part can still read the group's snapshot.
 func (l *Ledger) Snapshot() (json.RawMessage, error) {
 	if len(l.entries) == 0 {
 		return json.RawMessage("null"), nil
 	}
-	return json.Marshal(onDisk{l.entries, l.documents, l.at})
+	return json.Marshal(snapshotState{l.entries, l.documents, l.clock})
 }
 
-// Restore puts a snapshot in place of all; one that does not hold together is refused and changes nothing.
+// Restore replaces the state by that of a snapshot. After an error, as for an inconsistent snapshot, nothing has changed.
 func (l *Ledger) Restore(text json.RawMessage) error {
 	fresh := New()
-	fresh.no = l.no + 1
+	fresh.revision = l.revision + 1
 	if bytes.Equal(bytes.TrimSpace(text), []byte("null")) {
 		*l = *fresh
 		return nil
 	}
-	var k onDisk
-	if err := json.Unmarshal(text, &k); err != nil {
+	var state snapshotState
+	if err := json.Unmarshal(text, &state); err != nil {
 		return fmt.Errorf("configuration ledger: snapshot: %w", err)
 	}
-	for i, entry := range k.Entries {
-		if entry.Version == 0 || i > 0 && entry.Version <= k.Entries[i-1].Version {
-			return fmt.Errorf("configuration ledger: snapshot: version %d out of order", entry.Version)
+	if err := fresh.restoreEntries(state.Entries); err != nil {
+		return fmt.Errorf("configuration ledger: snapshot: %w", err)
+	}
+	if err := fresh.restoreDocuments(state.Documents); err != nil {
+		return fmt.Errorf("configuration ledger: snapshot: %w", err)
+	}
+	fresh.clock = state.Clock
+	if newest, held := fresh.Newest(); len(fresh.entries) == 0 || !held || newest.Sum != fresh.entries[len(fresh.entries)-1].Sum {
+		return fmt.Errorf("configuration ledger: snapshot: the newest version %d lacks its settings", fresh.LastVersion())
+	}
+	*l = *fresh
+	return nil
+}
+
+// restoreEntries takes over the entries of a snapshot, which must be in order.
+func (l *Ledger) restoreEntries(entries []Entry) error {
+	for i, entry := range entries {
+		if entry.Version == 0 || i > 0 && entry.Version <= entries[i-1].Version {
+			return fmt.Errorf("version %d out of order", entry.Version)
 		}
 		if entry.ID != "" {
-			fresh.ids[entry.ID] = entry.Version
+			l.versionByID[entry.ID] = entry.Version
 		}
 	}
-	fresh.entries, fresh.at = k.Entries, k.At
-	for _, d := range k.Documents {
-		document, err := configuration.Make(d.Version, d.Settings) // what JSON escaped on its way is as it was
+	l.entries = entries
+	return nil
+}
+
+// restoreDocuments takes over the documents of a snapshot, whose checksums must match.
+func (l *Ledger) restoreDocuments(documents []configuration.Document) error {
+	for _, d := range documents {
+		document, err := configuration.NewDocument(d.Version, d.Settings) // undoes the escapes of the snapshot's JSON
 		if err != nil {
-			return fmt.Errorf("configuration ledger: snapshot: version %d: %w", d.Version, err)
+			return fmt.Errorf("version %d: %w", d.Version, err)
 		}
 		if document.Sum != d.Sum {
-			return fmt.Errorf("configuration ledger: snapshot: version %d: its sum is not that of its settings", d.Version)
+			return fmt.Errorf("version %d: its sum is not that of its settings", d.Version)
 		}
-		fresh.hold(document)
-	}
-	if newest, held := fresh.Newest(); len(fresh.entries) == 0 || !held || newest.Sum != fresh.entries[len(fresh.entries)-1].Sum {
-		return fmt.Errorf("configuration ledger: snapshot: the newest version %d lacks its settings", fresh.Last())
+		l.retain(document)
 	}
-	*l = *fresh
 	return nil
 }
--- a/internal/cluster/configuration/run/announce.go
+++ b/internal/cluster/configuration/run/announce.go
@@ -1,8 +1,8 @@
 package run
 
-// This file has whoever leads try those whom the tree does not reach: who is away by its view, as one that was cut off
-// is back seconds before the view says so, and who does not answer its parent. One that is reached asks for what it
-// lacks; if it coordinates others that were cut off with it, or reports to such a one, they have it from there.
+// This file is the leader's announcements to processes that the tree does not reach: those absent from its view, as a
+// partitioned process is back seconds before the view says so, and those that do not answer their parent. A process that
+// gets one fetches what it lacks; processes that were partitioned together with it get the version from there.
 
 import (
 	"context"
@@ -16,57 +16,57 @@
 
 const (
 	pathAnnounce = "/configuration/nudge"
-	// At most mostAnnounced calls in announceEvery: 3 KB/s where many are away and all of them answer.
-	announceEvery = time.Second
-	mostAnnounced = 8
+	// At most maxAnnouncements calls in announceInterval: 3 KB/s where many are absent and all of them answer.
+	announceInterval = time.Second
+	maxAnnouncements = 8
 )
 
-// announcement tells of the newest version.
+// announcement names the newest version.
 type announcement struct {
 	Held spread.Digest `json:"h"`
 }
 
-// announceAnswer answers it.
+// announceAnswer is the answer to an announcement.
 type announceAnswer struct {
 	Held    spread.Digest `json:"h"`
 	InForce uint64        `json:"i"`
 }
 
-// announceToLaggards begins what is due. The lock is held.
+// announceToLaggards starts the announcements that are due. The lock is held.
 func (r *Runner) announceToLaggards(now view.Now) {
-	l := &r.lead
-	if now < l.announceAt || l.top.Held().Version == 0 {
+	work := &r.leaderWork
+	if now < work.nextAnnounceAt || work.state.Newest().Version == 0 {
 		return
 	}
-	l.announceAt = now + announceEvery
-	held := l.top.Held()
-	of := announcement{spread.Digest{Version: held.Version, Sum: held.Sum}}
-	for _, name := range l.roster.Due(l.top.Summary(now).Laggards, mostAnnounced, now) {
-		r.figures.Announcements++
-		r.going.Go(func() {
+	work.nextAnnounceAt = now + announceInterval
+	newest := work.state.Newest()
+	message := announcement{spread.Digest{Version: newest.Version, Sum: newest.Sum}}
+	for _, name := range work.roster.DueAnnouncements(work.state.Summary(now).Laggards, maxAnnouncements, now) {
+		r.figures.AnnouncementsSent++
+		r.goroutines.Go(func() {
 			var answer announceAnswer
-			if r.caller.Call(r.ctx, name, pathAnnounce, of, &answer) != nil {
-				return // it is away: that is why it was tried
+			if r.caller.Call(r.ctx, name, pathAnnounce, message, &answer) != nil {
+				return // as expected of an absent process
 			}
 			r.mu.Lock()
 			defer r.mu.Unlock()
-			l.roster.Heard(name, answer.InForce)
+			work.roster.RecordVersion(name, answer.InForce)
 		})
 	}
 }
 
-// takeAnnouncement has the caller asked for what is lacking here.
-func (r *Runner) takeAnnouncement(_ context.Context, from view.Life, body []byte) (any, error) {
-	var n announcement
-	if err := json.Unmarshal(body, &n); err != nil {
+// handleAnnouncement has a newer version fetched from the caller.
+func (r *Runner) handleAnnouncement(_ context.Context, from view.Life, body []byte) (any, error) {
+	var message announcement
+	if err := json.Unmarshal(body, &message); err != nil {
 		return nil, fmt.Errorf("configuration: nudge: %w", err)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	held := r.state.Held()
-	if n.Held.Version > held.Version {
+	newest := r.state.Newest()
+	if message.Held.Version > newest.Version {
 		r.announcedBy = from.Name
 		r.signals.Wake()
 	}
-	return announceAnswer{spread.Digest{Version: held.Version, Sum: held.Sum}, r.running.Version}, nil
+	return announceAnswer{spread.Digest{Version: newest.Version, Sum: newest.Sum}, r.running.Version}, nil
 }
--- a/internal/cluster/configuration/run/apply.go
+++ b/internal/cluster/configuration/run/apply.go
@@ -1,6 +1,6 @@
 package run
 
-// This file puts a version in force here: checked, on disk, at the sender, and only then told.
+// This file puts a version in force here: it is checked, stored on disk, handed to the sender, and only then reported.
 
 import (
 	"fmt"
@@ -13,82 +13,82 @@
 	"flaxcove/internal/sender/together"
 )
 
-// handing is a version that the sender was given, until its answer is known.
-type handing struct {
+// handover is a version that was handed to the sender, until its answer is known.
+type handover struct {
 	document configuration.Document
-	before   together.Configuration // what the sender ran
-	answer   chan error             // of one place
+	before   together.Configuration // what the sender ran before
+	answer   chan error             // with a buffer of one
 }
 
-// apply has one version put in force; spread.State asks for one at a time. While the sender has not answered for the
-// one before, that one's answer is waited for and nothing newer is handed over: it is not known what the sender runs.
+// apply puts one version in force; spread.State asks for one at a time. While the sender has not answered for the version
+// before, its answer is waited for and nothing newer is handed over, as it is not known what the sender runs.
 func (r *Runner) apply(d configuration.Document) {
-	if r.handed == nil {
+	if r.pendingHandover == nil {
 		if err := r.handOver(d); err != nil {
-			r.settle(d, err)
+			r.recordOutcome(d, err)
 			return
 		}
 	}
-	given := r.handed
+	given := r.pendingHandover
 	err, answered := r.awaitAnswer(given)
 	switch {
 	case r.ctx.Err() != nil:
-		return // the sender may have taken it or not: the next life says
+		return // the sender may have put it in force or not: that is known after the restart
 	case !answered:
-		// The file stays: a sender that is slow may take the version yet, and its next life must not begin with an older one.
-		r.settle(given.document, fmt.Errorf("version %d: the sender has not answered within %v", given.document.Version, r.o.AnswerWithin))
+		// The file stays: a slow sender may still put the version in force, and must not start with an older one next time.
+		r.recordOutcome(given.document, fmt.Errorf("version %d: the sender has not answered within %v", given.document.Version, r.options.AnswerWithin))
 		return
 	case err != nil:
-		r.unkeep(given.before)
+		r.restoreCached(given.before)
 	}
-	r.handed = nil
-	r.settle(given.document, err)
+	r.pendingHandover = nil
+	r.recordOutcome(given.document, err)
 }
 
-// settle tells what came of a version.
-func (r *Runner) settle(d configuration.Document, err error) {
+// recordOutcome records and logs whether a version is in force.
+func (r *Runner) recordOutcome(d configuration.Document, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if err != nil {
 		r.figures.Refused++
-		r.o.Log.Warn("configuration: a version is not taken here; what was in force stays", zap.Uint64("version", d.Version),
+		r.options.Log.Warn("configuration: version rejected here; the previous one stays in force", zap.Uint64("version", d.Version),
 			zap.Uint64("in force", r.running.Version), zap.Error(err))
 	} else {
 		r.figures.Applied++
 		r.running = together.Configuration{Version: d.Version, Settings: d.Settings}
-		r.o.Log.Info("configuration: in force", zap.Uint64("version", d.Version), zap.String("sum", string(d.Sum)))
+		r.options.Log.Info("configuration: in force", zap.Uint64("version", d.Version), zap.String("sum", string(d.Sum)))
 	}
-	r.state.Applied(d.Version, err, r.o.Now())
+	r.state.RecordApplied(d.Version, err, r.options.Now())
 	r.signals.NotifyChange()
 }
 
-// handOver checks a version, puts it on disk and gives it to the sender.
+// handOver checks a version, stores it on disk and hands it to the sender.
 func (r *Runner) handOver(d configuration.Document) error {
 	r.mu.Lock()
 	before := r.running
 	r.mu.Unlock()
 	inForce := before.Settings
 	if before.Version == 0 {
-		inForce = r.o.Own
+		inForce = r.options.Own
 	}
-	if err := r.o.Check(inForce, d.Settings); err != nil {
+	if err := r.options.Check(inForce, d.Settings); err != nil {
 		return err
 	}
-	// On disk first: a life that ends right after the sender has taken it must not begin again with an older one.
+	// Stored first: a process that ends right after the sender has put it in force must not restart with an older one.
 	c := together.Configuration{Version: d.Version, Settings: d.Settings}
-	if err := configuration.Keep(r.o.Folder, c); err != nil {
+	if err := configuration.Keep(r.options.Folder, c); err != nil {
 		return fmt.Errorf("not kept: %w", err)
 	}
-	r.handed = &handing{document: d, before: before, answer: make(chan error, 1)}
-	answer := r.handed.answer
-	// A sender that takes no orders at present holds up this goroutine until it does or ends, and nothing else.
-	r.going.Go(func() { r.o.Orders.Configure(c, func(err error) { answer <- err }) })
+	r.pendingHandover = &handover{document: d, before: before, answer: make(chan error, 1)}
+	answer := r.pendingHandover.answer
+	// A sender that accepts no orders blocks this goroutine, and nothing else, until it does or ends.
+	r.goroutines.Go(func() { r.options.Orders.Configure(c, func(err error) { answer <- err }) })
 	return nil
 }
 
-// awaitAnswer waits for the sender's answer, AnswerWithin at most.
-func (r *Runner) awaitAnswer(given *handing) (err error, answered bool) {
-	late := time.NewTimer(r.o.AnswerWithin)
+// awaitAnswer waits for the sender's answer, for AnswerWithin at most.
+func (r *Runner) awaitAnswer(given *handover) (err error, answered bool) {
+	late := time.NewTimer(r.options.AnswerWithin)
 	defer late.Stop()
 	select {
 	case err = <-given.answer:
@@ -99,15 +99,15 @@
 	return nil, false
 }
 
-// unkeep has the next life begin with what is in force here, and not with what the sender refused.
-func (r *Runner) unkeep(before together.Configuration) {
+// restoreCached stores the version that is in force here again, so that a restart does not begin with the rejected one.
+func (r *Runner) restoreCached(before together.Configuration) {
 	var err error
 	if before.Version > 0 {
-		err = configuration.Keep(r.o.Folder, before)
+		err = configuration.Keep(r.options.Folder, before)
 	} else {
-		err = os.Remove(configuration.Path(r.o.Folder))
+		err = os.Remove(configuration.Path(r.options.Folder))
 	}
 	if err != nil {
-		r.o.Log.Error("configuration: a version that the sender refused is still kept", zap.Error(err))
+		r.options.Log.Error("configuration: rejected version is still stored", zap.Error(err))
 	}
 }
--- /dev/null
+++ b/internal/cluster/configuration/run/catchup.go
@@ -0,0 +1,82 @@
+package run
+
+// This file is how a process catches up at its start, before its sender sends anything: it gets the newest version from
+// the leader.
+
+import (
+	"context"
+	"time"
+
+	"go.uber.org/zap"
+)
+
+// catchUp gets the newest version and waits until it is in force. After Options.CatchUp the process becomes ready anyway,
+// and this goes on.
+func (r *Runner) catchUp() {
+	bound := time.AfterFunc(r.options.CatchUp, func() {
+		r.options.Log.Warn("configuration: not caught up in time; serving anyway", zap.Duration("after", r.options.CatchUp),
+			zap.Uint64("version", r.Status().Version))
+		r.signals.MarkReady()
+	})
+	defer bound.Stop()
+	for wait := minBackoff; !r.fetchNewest(); wait = min(2*wait, maxBackoff) {
+		select {
+		case <-time.After(wait):
+		case <-r.ctx.Done():
+			return
+		}
+	}
+	if bound.Stop() {
+		r.signals.MarkReady()
+	}
+}
+
+// fetchNewest makes one attempt to get the newest version from the leader and to have it in force, or rejected, here. The
+// other candidates are asked, too, as there may be no leader: what they have is taken in, but may not be the newest.
+func (r *Runner) fetchNewest() bool {
+	ctx, cancel := context.WithTimeout(r.ctx, r.options.CatchUp)
+	defer cancel()
+	if r.options.Council.Leading() {
+		r.mu.Lock()
+		state := r.leaderWork.state
+		if state != nil {
+			r.state.SetDecided(state.Newest(), r.options.Now())
+		}
+		r.mu.Unlock()
+		r.signals.Wake()
+		return state != nil && r.awaitInForce(ctx)
+	}
+	for _, name := range r.candidates() {
+		r.mu.Lock()
+		request := r.state.NewFetch()
+		r.mu.Unlock()
+		answer, err := r.fetchFrom(ctx, r.state, name, request)
+		if ctx.Err() != nil {
+			return false
+		}
+		if err == nil && answer.FromLeader {
+			return r.awaitInForce(ctx)
+		}
+	}
+	return false
+}
+
+// awaitInForce waits until the newest version here is in force, or rejected.
+func (r *Runner) awaitInForce(ctx context.Context) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for !r.state.SelfSettled() {
+		changed := r.signals.Changed()
+		r.mu.Unlock()
+		select {
+		case <-changed:
+		case <-ctx.Done():
+		}
+		r.mu.Lock()
+		if ctx.Err() != nil {
+			return false
+		}
+	}
+	r.caughtUp = true
+	return true
+}
--- a/internal/cluster/configuration/run/fleet_test.go
+++ b/internal/cluster/configuration/run/fleet_test.go
@@ -17,40 +17,41 @@
 	"flaxcove/internal/sender/together"
 )
 
-// This file is processes in one; their senders keep on a map.
+// This file is several processes in one, with fake senders.
 
-const long = 20 * time.Second // bounds what must come; nothing is judged by how soon
+// testTimeout bounds every wait; no test depends on how long one takes.
+const testTimeout = 20 * time.Second
 
 type fleet struct {
 	t       *testing.T
 	net     *orderingtest.Net
 	ledger  *ledger.Ledger
 	members []view.Member
-	senders []*sender
+	senders []*fakeSender
 	runners []*Runner
 	// answerWithin is how long each waits for its sender; 0 for the default.
 	answerWithin time.Duration
 }
 
-// sender outlives a Runner as its folder does.
-type sender struct {
+// fakeSender is a sender with a folder, which outlives a Runner.
+type fakeSender struct {
 	folder string
 
-	mu      sync.Mutex
-	ran     []uint64      // versions, in the order in which they came into force
-	refuses string        // a field that this program does not know
-	fails   string        // a field at which the loop refuses what the check let pass
-	stands  chan struct{} // until it is closed the loop takes nothing; nil where it does
-	given   []uint64      // versions, in the order in which they were handed over
+	mu           sync.Mutex
+	applied      []uint64      // versions in the order in which they came into force
+	rejectsField string        // settings with this field fail the check
+	failsAtField string        // settings with this field pass the check and are rejected by the loop
+	blocked      chan struct{} // until it is closed the loop takes no orders; nil where it does
+	handedOver   []uint64      // versions in the order in which they were handed over
 }
 
-func (s *sender) check(_, proposed json.RawMessage) error {
+func (s *fakeSender) check(_, proposed json.RawMessage) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.wrong(proposed, s.refuses)
+	return s.validate(proposed, s.rejectsField)
 }
 
-func (s *sender) wrong(settings json.RawMessage, field string) error {
+func (s *fakeSender) validate(settings json.RawMessage, field string) error {
 	if field != "" && strings.Contains(string(settings), field) {
 		return fmt.Errorf("field %s: not known here", field)
 	}
@@ -60,45 +61,45 @@
 	return nil
 }
 
-func (s *sender) Configure(c together.Configuration, done func(error)) {
+func (s *fakeSender) Configure(c together.Configuration, done func(error)) {
 	s.mu.Lock()
-	stands := s.stands
-	s.given = append(s.given, c.Version)
+	stands := s.blocked
+	s.handedOver = append(s.handedOver, c.Version)
 	s.mu.Unlock()
 	go func() {
 		if stands != nil {
 			<-stands
 		}
 		s.mu.Lock()
-		err := s.wrong(c.Settings, s.fails)
+		err := s.validate(c.Settings, s.failsAtField)
 		if err == nil {
-			s.ran = append(s.ran, c.Version)
+			s.applied = append(s.applied, c.Version)
 		}
 		s.mu.Unlock()
 		done(err)
 	}()
 }
 
-func (s *sender) history() []uint64 {
+func (s *fakeSender) history() []uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]uint64(nil), s.ran...)
+	return append([]uint64(nil), s.applied...)
 }
 
-const own = `{"pace":0,"workloads":{"a":1,"b":2,"c":"a longer text that makes a change cheaper than the whole of it"}}`
+const ownSettings = `{"pace":0,"workloads":{"a":1,"b":2,"c":"a longer text that makes a change cheaper than the whole of it"}}`
 
 func newFleet(t *testing.T, size int) *fleet {
 	l := ledger.New()
-	f := &fleet{t: t, net: orderingtest.New(l, "p02"), ledger: l, senders: make([]*sender, size), runners: make([]*Runner, size)}
+	f := &fleet{t: t, net: orderingtest.New(l, "p02"), ledger: l, senders: make([]*fakeSender, size), runners: make([]*Runner, size)}
 	for i := range size {
 		f.members = append(f.members, view.Member{Life: view.Life{Name: view.Name(fmt.Sprintf("p%02d", i)), Incarnation: 1}, Region: "r", Zone: "z"})
-		f.senders[i] = &sender{folder: t.TempDir()}
+		f.senders[i] = &fakeSender{folder: t.TempDir()}
 		f.start(i)
 	}
 	t.Cleanup(f.close)
-	f.see()
+	f.publishView()
 	for _, r := range f.runners {
-		f.ready(r)
+		f.waitReady(r)
 	}
 	return f
 }
@@ -111,10 +112,10 @@
 		f.t.Log(err)
 	}
 	s.mu.Lock()
-	s.ran = append(s.ran, running.Version)
+	s.applied = append(s.applied, running.Version)
 	s.mu.Unlock()
 	r, err := Start(Options{Self: m, Link: l, Council: f.net.Consensus(m.Name), Ledger: f.ledger, Orders: s, Folder: s.folder, Running: running,
-		Own: json.RawMessage(own), Check: s.check, CatchUp: long, AnswerWithin: f.answerWithin})
+		Own: json.RawMessage(ownSettings), Check: s.check, CatchUp: testTimeout, AnswerWithin: f.answerWithin})
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -122,33 +123,33 @@
 	f.runners[i] = r
 }
 
-// restart ends a life and begins the next.
+// restart ends a process and starts its next incarnation.
 func (f *fleet) restart(i int) {
 	f.runners[i].Close()
 	f.members[i].Incarnation++
 	f.start(i)
-	f.see()
+	f.publishView()
 }
 
-func (f *fleet) ready(r *Runner) {
+func (f *fleet) waitReady(r *Runner) {
 	f.t.Helper()
 	select {
 	case <-r.Ready():
-	case <-time.After(long):
-		f.t.Fatalf("%s is not ready", r.o.Self.Name)
+	case <-time.After(testTimeout):
+		f.t.Fatalf("%s is not ready", r.options.Self.Name)
 	}
 }
 
-func (f *fleet) see() {
+func (f *fleet) publishView() {
 	here := slices.DeleteFunc(slices.Clone(f.members), func(m view.Member) bool { return !m.Here() })
 	for _, r := range f.runners {
 		if r != nil {
-			r.SetView(view.Make(r.o.Self.Name, 1, f.members), orderingtest.Tree(here))
+			r.SetView(view.Make(r.options.Self.Name, 1, f.members), orderingtest.Tree(here))
 		}
 	}
 }
 
-// close ends all, and checks the first promise.
+// close ends all processes, and checks that none ran an older version after a newer one.
 func (f *fleet) close() {
 	for _, r := range f.runners {
 		r.Close()
@@ -164,36 +165,36 @@
 	}
 }
 
-// ask calls the public part of a process.
-func (f *fleet) ask(at view.Name, method, url, body string, out any) int {
+// request makes an HTTP request to a process.
+func (f *fleet) request(at view.Name, method, url, body string, out any) int {
 	f.t.Helper()
 	return orderingtest.Request(f.t, f.net.Mux(at), method, url, body, out)
 }
 
-// change orders a patch upon a base and waits until it is in force.
-func (f *fleet) change(id string, base uint64, patch string) taken {
+// mustChange orders a patch based on a version and waits until it is in force.
+func (f *fleet) mustChange(id string, base uint64, patch string) orderResponse {
 	f.t.Helper()
-	var got taken
+	var got orderResponse
 	body := fmt.Sprintf(`{"id":%q,"base":%d,"patch":%s,"who":"ops","why":"try"}`, id, base, patch)
-	if code := f.ask("p07", "POST", "/v1/configuration?wait=in_force&for=20s", body, &got); code != 200 || got.Version != base+1 {
+	if code := f.request("p07", "POST", "/v1/configuration?wait=in_force&for=20s", body, &got); code != 200 || got.Version != base+1 {
 		f.t.Fatalf("%d %+v", code, got)
 	}
 	return got
 }
 
-// until looks until something is so.
-func (f *fleet) until(what string, is func() bool) {
+// waitFor polls until a condition holds.
+func (f *fleet) waitFor(what string, is func() bool) {
 	f.t.Helper()
-	for end := time.Now().Add(long); !is(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !is(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			f.t.Fatal("never so: " + what)
 		}
 	}
 }
 
-func (f *fleet) shown() (s Shown) {
+func (f *fleet) mustStatus() (s Shown) {
 	f.t.Helper()
-	if code := f.ask("p01", "GET", "/v1/configuration", "", &s); code != 200 {
+	if code := f.request("p01", "GET", "/v1/configuration", "", &s); code != 200 {
 		f.t.Fatalf("%d %+v", code, s)
 	}
 	return s
--- a/internal/cluster/configuration/run/http.go
+++ b/internal/cluster/configuration/run/http.go
@@ -1,7 +1,6 @@
 package run
 
-// This file is what callers order and ask, over the public part of the link. It decides nothing: what is wrong with a
-// change is the check's and the ledger's to say.
+// This file is the HTTP interface for callers. It decides nothing: changes are validated by Options.Check and the ledger.
 
 import (
 	"context"
@@ -15,47 +14,50 @@
 )
 
 const (
-	mostPosts = 16 // orders and questions under way here; more are told to come back
-	// mostBody lets settings be written with blanks and line ends; what counts is their canonical form.
-	mostBody = 2 * configuration.MostBytes
-	lookEach = 50 * time.Millisecond
+	maxRequests = 16 // concurrent requests; more get 503
+	// maxBodyBytes allows for blanks and line ends in settings, whose bound applies to the canonical form.
+	maxBodyBytes = 2 * configuration.MaxBytes
+	pollInterval = 50 * time.Millisecond
 )
 
-// taken answers an order.
-type taken struct {
-	ID      string            `json:"id"`
-	Version uint64            `json:"version"`
-	Sum     configuration.Sum `json:"sum"`
-	Known   bool              `json:"known"` // it was ordered before, alike
-	State   State             `json:"state,omitempty"`
+// orderResponse is the answer to an order.
+type orderResponse struct {
+	ID        string            `json:"id"`
+	Version   uint64            `json:"version"`
+	Sum       configuration.Sum `json:"sum"`
+	Duplicate bool              `json:"known"` // the same order was committed before
+	State     State             `json:"state,omitempty"`
 }
 
-func (r *Runner) public(mux *http.ServeMux) {
-	mux.HandleFunc("POST /v1/configuration", r.posts.Limit(r.post))
-	mux.HandleFunc("POST /v1/configuration/{version}/restore", r.posts.Limit(r.postRestore))
-	mux.HandleFunc("GET /v1/configuration", r.posts.Limit(r.get))
-	mux.HandleFunc("GET /v1/configuration/{version}", r.posts.Limit(r.getVersion))
+// registerPublic registers the HTTP interface.
+func (r *Runner) registerPublic(mux *http.ServeMux) {
+	mux.HandleFunc("POST /v1/configuration", r.limiter.Limit(r.postChange))
+	mux.HandleFunc("POST /v1/configuration/{version}/restore", r.limiter.Limit(r.postRestore))
+	mux.HandleFunc("GET /v1/configuration", r.limiter.Limit(r.getNewest))
+	mux.HandleFunc("GET /v1/configuration/{version}", r.limiter.Limit(r.getVersion))
 }
 
-func (r *Runner) post(w http.ResponseWriter, q *http.Request) {
+// postChange takes a change by settings or patch.
+func (r *Runner) postChange(w http.ResponseWriter, httpRequest *http.Request) {
 	var request ledger.Request
-	if !ordering.ReadOrder(w, q, mostBody, &request) {
+	if !ordering.ReadOrder(w, httpRequest, maxBodyBytes, &request) {
 		return
 	}
 	if request.Restore != nil {
 		ordering.WriteJSON(w, http.StatusBadRequest, ordering.ErrorResponse{Field: "restore", Error: "restore: POST /v1/configuration/VERSION/restore does that"})
 		return
 	}
-	r.order(w, q, request)
+	r.handleOrder(w, httpRequest, request)
 }
 
-func (r *Runner) postRestore(w http.ResponseWriter, q *http.Request) {
-	version, ok := versionOf(w, q)
+// postRestore takes an order to restore a version.
+func (r *Runner) postRestore(w http.ResponseWriter, httpRequest *http.Request) {
+	version, ok := pathVersion(w, httpRequest)
 	if !ok {
 		return
 	}
 	var request ledger.Request
-	if !ordering.ReadOrder(w, q, mostBody, &request) {
+	if !ordering.ReadOrder(w, httpRequest, maxBodyBytes, &request) {
 		return
 	}
 	if request.Settings != nil || request.Patch != nil || request.Restore != nil {
@@ -63,28 +65,29 @@
 		return
 	}
 	request.Restore = &version
-	r.order(w, q, request)
+	r.handleOrder(w, httpRequest, request)
 }
 
-func versionOf(w http.ResponseWriter, q *http.Request) (uint64, bool) {
-	version, err := strconv.ParseUint(q.PathValue("version"), 10, 64)
+// pathVersion reads the version in the path. Where it is no number it has answered with 400.
+func pathVersion(w http.ResponseWriter, httpRequest *http.Request) (uint64, bool) {
+	version, err := strconv.ParseUint(httpRequest.PathValue("version"), 10, 64)
 	if err != nil {
 		ordering.WriteJSON(w, http.StatusBadRequest, ordering.ErrorResponse{Field: "version", Error: "version: takes a number"})
 	}
 	return version, err == nil
 }
 
-// order answers 202 once the change is decided in common, or 200 once it is in force where that was waited for.
-func (r *Runner) order(w http.ResponseWriter, q *http.Request, request ledger.Request) {
-	wait, ok := ordering.ParseWait(w, q, "in_force", decideFor)
+// handleOrder answers 202 once the change is committed, or 200 once it is in force where the caller waits for that.
+func (r *Runner) handleOrder(w http.ResponseWriter, httpRequest *http.Request, request ledger.Request) {
+	wait, ok := ordering.ParseWait(w, httpRequest, "in_force", proposeTimeout)
 	if !ok {
 		return
 	}
-	if field, why := request.Check(); field != "" {
+	if field, why := request.Validate(); field != "" {
 		ordering.WriteJSON(w, http.StatusBadRequest, ordering.ErrorResponse{Error: field + " " + why, Field: field})
 		return
 	}
-	ctx, cancel := context.WithTimeout(q.Context(), decideFor)
+	ctx, cancel := context.WithTimeout(httpRequest.Context(), proposeTimeout)
 	defer cancel()
 	decided, err := r.propose(ctx, request)
 	switch {
@@ -92,32 +95,32 @@
 		ordering.WriteRetryLater(w, "1", ordering.ErrorResponse{Error: err.Error() + "; order it again under the same id"})
 		return
 	case decided.Conflict:
-		ordering.WriteJSON(w, http.StatusConflict, ordering.ErrorResponse{Error: decided.Refused, Field: decided.Field, Current: &decided.Current})
+		ordering.WriteJSON(w, http.StatusConflict, ordering.ErrorResponse{Error: decided.Rejected, Field: decided.Field, Current: &decided.Current})
 		return
-	case decided.Refused != "":
-		ordering.WriteJSON(w, http.StatusBadRequest, ordering.ErrorResponse{Error: decided.Refused, Field: decided.Field})
+	case decided.Rejected != "":
+		ordering.WriteJSON(w, http.StatusBadRequest, ordering.ErrorResponse{Error: decided.Rejected, Field: decided.Field})
 		return
 	}
-	t := taken{ID: request.ID, Version: decided.Version, Sum: decided.Sum, Known: decided.Known}
+	response := orderResponse{ID: request.ID, Version: decided.Version, Sum: decided.Sum, Duplicate: decided.Duplicate}
 	status := http.StatusAccepted
 	if wait > 0 {
-		if t.State = r.await(q.Context(), t.Version, wait); t.State != Spreading {
+		if response.State = r.awaitVersion(httpRequest.Context(), response.Version, wait); response.State != Spreading {
 			status = http.StatusOK
 		}
 	}
-	ordering.WriteJSON(w, status, t)
+	ordering.WriteJSON(w, status, response)
 }
 
-// await looks until a version, or a newer one, is in force wherever it is taken, or the time is over.
-func (r *Runner) await(ctx context.Context, version uint64, wait time.Duration) State {
+// awaitVersion polls until a version, or a newer one, is in force wherever it is not rejected, or the wait is over.
+func (r *Runner) awaitVersion(ctx context.Context, version uint64, wait time.Duration) State {
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
 	for {
-		if s, err := r.show(ctx, nil); err == nil && s.Version >= version && s.State != Spreading {
+		if s, err := r.queryStatus(ctx, nil); err == nil && s.Version >= version && s.State != Spreading {
 			return s.State
 		}
 		select {
-		case <-time.After(lookEach):
+		case <-time.After(pollInterval):
 		case <-ctx.Done():
 			return Spreading
 		case <-r.ctx.Done():
@@ -126,18 +129,23 @@
 	}
 }
 
-func (r *Runner) get(w http.ResponseWriter, q *http.Request) { r.tellShown(w, q, nil) }
+// getNewest answers with the status of the newest version.
+func (r *Runner) getNewest(w http.ResponseWriter, httpRequest *http.Request) {
+	r.writeShown(w, httpRequest, nil)
+}
 
-func (r *Runner) getVersion(w http.ResponseWriter, q *http.Request) {
-	if version, ok := versionOf(w, q); ok {
-		r.tellShown(w, q, &version)
+// getVersion answers with the same and the settings of one version.
+func (r *Runner) getVersion(w http.ResponseWriter, httpRequest *http.Request) {
+	if version, ok := pathVersion(w, httpRequest); ok {
+		r.writeShown(w, httpRequest, &version)
 	}
 }
 
-func (r *Runner) tellShown(w http.ResponseWriter, q *http.Request, version *uint64) {
-	ctx, cancel := context.WithTimeout(q.Context(), decideFor)
+// writeShown answers with the status of the newest version, and the settings of one where that is given.
+func (r *Runner) writeShown(w http.ResponseWriter, httpRequest *http.Request, version *uint64) {
+	ctx, cancel := context.WithTimeout(httpRequest.Context(), proposeTimeout)
 	defer cancel()
-	s, err := r.show(ctx, version)
+	s, err := r.queryStatus(ctx, version)
 	switch {
 	case err != nil:
 		ordering.WriteRetryLater(w, "1", ordering.ErrorResponse{Error: err.Error()})
--- /dev/null
+++ b/internal/cluster/configuration/run/messages.go
@@ -0,0 +1,168 @@
+package run
+
+// This file is the messages between processes: sent and handled here.
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+
+	"flaxcove/internal/cluster/configuration/spread"
+	"flaxcove/internal/cluster/ordering"
+	"flaxcove/internal/cluster/view"
+)
+
+const (
+	pathUpdate  = "/configuration/down"
+	pathReport  = "/configuration/report"
+	pathFetch   = "/configuration/fetch"
+	pathPropose = "/configuration/propose"
+	pathStatus  = "/configuration/show"
+)
+
+var (
+	errNotLeading      = errors.New("configuration: this process does not lead the council")
+	errNoCandidate     = errors.New("configuration: nobody to ask is known")
+	errAlreadyAnswered = errors.New("configuration: this message was answered before")
+)
+
+// registerHandlers registers the handlers of messages.
+func (r *Runner) registerHandlers() {
+	r.caller.Handle(map[string]ordering.Handler{
+		pathUpdate: r.handleUpdate, pathReport: r.handleReport, pathFetch: r.handleFetch, pathPropose: r.handlePropose, pathStatus: r.handleStatusRequest,
+		pathAnnounce: r.handleAnnouncement,
+	})
+}
+
+// sendUpdates starts the updates that are due. The lock is held.
+func (r *Runner) sendUpdates(state *spread.State, now view.Now) {
+	for _, to := range state.DueUpdates(now) {
+		r.figures.UpdatesSent++
+		r.countContent(to.Update.Content)
+		r.goroutines.Go(func() { r.sendUpdate(state, to) })
+	}
+}
+
+// countContent counts content that is sent. The lock is held.
+func (r *Runner) countContent(c *spread.Content) {
+	switch {
+	case c == nil:
+		return
+	case c.Patch != nil:
+		r.figures.PatchesSent++
+	default:
+		r.figures.FullSent++
+	}
+	r.figures.ContentBytes += uint64(len(c.Patch) + len(c.Full))
+}
+
+// sendUpdate sends an update to a child, and takes in the report in its answer.
+func (r *Runner) sendUpdate(state *spread.State, to spread.Outgoing) {
+	var report spread.Report
+	err := r.caller.Call(r.ctx, to.Child.Name, pathUpdate, to.Update, &report)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if err != nil || report.From.Name != to.Child.Name {
+		r.figures.CallsFailed++
+		state.UpdateFailed(to.Child, r.options.Now())
+	} else {
+		state.HandleAnswer(to.Child, report, r.options.Now())
+	}
+	if state == r.leaderWork.state {
+		r.leaderWork.reportChanged = true
+	}
+	r.signals.NotifyChange()
+}
+
+// sendReport sends a report to the parent.
+func (r *Runner) sendReport(parent spread.Parent, report spread.Report) {
+	var answer spread.ReportAnswer
+	err := r.caller.Call(r.ctx, parent.Name, pathReport, report, &answer)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if err != nil {
+		r.figures.CallsFailed++
+		r.state.ReportFailed(parent, r.options.Now())
+	} else {
+		r.state.ReportAnswered(parent, answer, r.options.Now())
+	}
+	r.signals.NotifyChange()
+}
+
+// handleUpdate takes in a version and answers with a report, once this process and all below it have put it in force or
+// spread.MaxAnswerDelay is over.
+func (r *Runner) handleUpdate(ctx context.Context, from view.Life, body []byte) (any, error) {
+	var update spread.Update
+	if err := json.Unmarshal(body, &update); err != nil {
+		return nil, fmt.Errorf("configuration: message down: %w", err)
+	}
+	if update.From.Name != from.Name {
+		return nil, fmt.Errorf("configuration: message down: from %q, field from tells %q", from.Name, update.From.Name)
+	}
+	leader, known := r.options.Council.Leader()
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.figures.UpdatesReceived++
+	if update.FromLeader {
+		r.lastLeader = update.From // by which a root outside the consensus group learns to whom it reports
+		r.updateTreePosition(leader, known, r.options.Now())
+	}
+	r.state.HandleUpdate(update, r.options.Now())
+	r.state.BeginAnswer()
+	r.signals.NotifyChange()
+	if update.Content != nil {
+		r.signals.WaitUntil(ctx, r.ctx.Done(), spread.MaxAnswerDelay, r.state.Settled)
+	}
+	report, first := r.state.Answer(update, r.options.Now())
+	r.signals.Wake()
+	if !first {
+		return nil, errAlreadyAnswered
+	}
+	return report, nil
+}
+
+// handleReport takes in a child's report; on the leader, that of the root.
+func (r *Runner) handleReport(_ context.Context, from view.Life, body []byte) (any, error) {
+	var report spread.Report
+	if err := json.Unmarshal(body, &report); err != nil {
+		return nil, fmt.Errorf("configuration: report: %w", err)
+	}
+	if report.From.Name != from.Name {
+		return nil, fmt.Errorf("configuration: report: from %q, field from tells %q", from.Name, report.From.Name)
+	}
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	state := r.state
+	if report.ToLeader {
+		if r.leaderWork.state == nil {
+			return nil, errNotLeading
+		}
+		state, r.leaderWork.reportChanged = r.leaderWork.state, true
+	}
+	r.figures.ReportsReceived++
+	answer := state.HandleReport(report, r.options.Now())
+	r.countContent(answer.Content)
+	r.signals.NotifyChange()
+	return answer, nil
+}
+
+// handleFetch answers a process with the content that it lacks, as far as it is known here.
+func (r *Runner) handleFetch(_ context.Context, _ view.Life, body []byte) (any, error) {
+	var request spread.FetchRequest
+	if err := json.Unmarshal(body, &request); err != nil {
+		return nil, fmt.Errorf("configuration: question: %w", err)
+	}
+	update := r.readLedger() // the other may become ready upon the answer, so it must not be outdated
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.figures.FetchesReceived++
+	answer := r.state.AnswerFetch(request)
+	if update.leading {
+		r.leaderStep(update, r.options.Now())
+		answer = r.leaderWork.state.AnswerFetch(request)
+		answer.FromLeader = r.newerThanLedger().Version == 0
+	}
+	r.countContent(answer.Content)
+	return answer, nil
+}
--- a/internal/cluster/configuration/run/run.go
+++ b/internal/cluster/configuration/run/run.go
@@ -1,25 +1,23 @@
-// Package run does what the deciding parts of the common settings say: it carries their messages, keeps a version on
-// disk, has the sender put it in force, and takes callers' changes over HTTP.
+// Package run executes what the pure parts of the shared settings decide: it carries their messages, stores a version on
+// disk, has the sender put it in force, and serves HTTP to callers.
 //
 // It owns the goroutines and the lock (configuration.mu, see package cluster) around spread.State, and around one more
-// while this process leads the council; and the file in the cluster's folder. It must never put a version in force
-// that is not on disk, tell one as in force that the sender has not answered for, or hold its lock over a call, a
-// file or the sender. A process that reaches nobody serves on with what it has: Ready opens by itself.
+// while this process leads the consensus group; and the file in the cluster's folder. It must never put a version in
+// force that is not on disk, report one as in force that the sender has not confirmed, or hold its lock over a call, a
+// file or the sender. A process that reaches nobody goes on serving with the settings that it has: Ready opens after a
+// bounded wait.
 //
-// A partner that is silent is tried again with a bounded backoff and shown as unreachable; one that is slow is shown as
-// behind, and holds up no other; an old program skips fields that it doesn't know, or refuses the version and is shown
-// so with the field; content that does not give the sum named with it is not taken, and the whole is asked for.
+// A process that does not answer is called again with bounded backoff and shown as unreachable; a slow one is shown as
+// behind, and holds up no other; an old program skips unknown fields, or rejects the version and is shown so with the
+// field; content that does not match its checksum is not accepted, and the full content is asked for.
 //
 // Load: see package spread; and for each change one file written and synced at each process.
 //
-// This file starts and ends it, and asks the deciding parts what they want.
+// This file starts and ends the goroutines, and asks the pure parts what is due.
 package run
 
 import (
-	"cmp"
 	"context"
-	"encoding/json"
-	"errors"
 	"sync"
 	"time"
 
@@ -34,132 +32,132 @@
 
 // Tuned values.
 const (
-	soonest    = 5 * time.Millisecond    // between two looks at the deciding parts, unless there is news
-	idlePace   = 250 * time.Millisecond  // between them where nothing is due: who leads, and what it decided, may change
-	callFor    = 1500 * time.Millisecond // one message, over HoldFor
-	decideFor  = 5 * time.Second         // one change decided in common, over a change of leader (1 to 2 s)
-	catchUpFor = 3 * time.Second         // a start waits so long for what it missed
-	answerFor  = 10 * time.Second        // the sender's answer to a version, until it is told as silent
-	firstWait  = 25 * time.Millisecond   // between two tries of what the leader is asked, doubled up to lastWait
-	lastWait   = 400 * time.Millisecond
-	fetchEach  = time.Second // between questions to others than the parent
-	mostAsked  = 8           // whom the leader's answer is sought at, in one round
+	minStepInterval     = 5 * time.Millisecond    // between two steps, unless something has changed
+	idleInterval        = 250 * time.Millisecond  // between steps when nothing is due, as the leader and the ledger may change
+	callTimeout         = 1500 * time.Millisecond // of one message; over spread.MaxAnswerDelay
+	proposeTimeout      = 5 * time.Second         // of one proposal; over a change of leader (1 to 2 s)
+	catchUpTimeout      = 3 * time.Second         // how long a start waits for the newest version
+	senderAnswerTimeout = 10 * time.Second        // until a sender that has not answered is shown as silent
+	minBackoff          = 25 * time.Millisecond   // between attempts to reach the leader, doubled up to maxBackoff
+	maxBackoff          = 400 * time.Millisecond
+	fetchInterval       = time.Second // between fetches from other processes than the parent
+	maxCandidates       = 8           // processes asked for the leader's answer in one attempt
 )
 
-// Runner is the part of one process.
+// Runner is the configuration part of one process.
 type Runner struct {
-	o       Options
-	ctx     context.Context
-	stop    context.CancelFunc
-	going   sync.WaitGroup
-	signals *ordering.Signals
-	posts   ordering.Limiter // callers' orders under way
-	caller  ordering.Caller
-	handed  *handing // apply's alone, of which one runs at a time
-
-	mu          sync.Mutex // configuration.mu
-	state       *spread.State
-	lead        leading
-	view        *view.View
-	tree        ordering.Tree
-	leader      view.Life              // who last spoke to this process as the one that leads
-	running     together.Configuration // what the sender runs
-	fetching    bool                   // a question to others is under way
-	fetchAt     view.Now               // not before
-	announcedBy view.Name              // who has what is newer, by its own word; to be asked
-	asked       int                    // of those who may be asked, whose turn it is
-	caught      bool                   // this life has what was decided before it
-	figures     Figures
+	options         Options
+	ctx             context.Context
+	stop            context.CancelFunc
+	goroutines      sync.WaitGroup
+	signals         *ordering.Signals
+	limiter         ordering.Limiter // of HTTP requests
+	caller          ordering.Caller
+	pendingHandover *handover // used by apply only, of which one runs at a time
+
+	mu            sync.Mutex // configuration.mu
+	state         *spread.State
+	leaderWork    leaderWork
+	view          *view.View
+	tree          ordering.Tree
+	lastLeader    view.Life              // the process that last called this one as the leader
+	running       together.Configuration // what the sender runs
+	fetchInFlight bool
+	nextFetchAt   view.Now
+	announcedBy   view.Name // a leader that has announced a newer version, to be fetched from it
+	fetchTurn     int       // counts fetches from other candidates, which are asked in turn
+	caughtUp      bool      // this process has had the newest version since its start
+	figures       Figures
 }
 
-// Start takes the handlers' paths and begins. What an earlier life kept is read before it returns.
+// Start reads the stored version, registers the handlers and starts the goroutines, which Close ends.
 func Start(o Options) (*Runner, error) {
-	if o.Link == nil || o.Orders == nil || o.Folder == "" || (o.Council == nil) != (o.Ledger == nil) {
-		return nil, errors.New("configuration: a link, a folder and a sender's orders must be given, and a ledger with a council")
+	if err := o.complete(); err != nil {
+		return nil, err
 	}
-	if o.Council == nil {
-		o.Council = ordering.NoConsensus{NotLeading: errNotLeading}
-	}
-	if o.Now == nil {
-		o.Now = ordering.NewClock()
-	}
-	o.CatchUp = cmp.Or(o.CatchUp, catchUpFor)
-	o.AnswerWithin = cmp.Or(o.AnswerWithin, answerFor)
-	if o.Log == nil {
-		o.Log = zap.NewNop()
-	}
-	if o.Check == nil {
-		o.Check = func(json.RawMessage, json.RawMessage) error { return nil }
-	}
-	r := &Runner{o: o, posts: make(ordering.Limiter, mostPosts), running: o.Running}
+	r := &Runner{options: o, limiter: make(ordering.Limiter, maxRequests), running: o.Running}
 	r.state = spread.New(o.Self.Life, r.loadCached(), o.Running.Version)
 	r.signals = ordering.NewSignals(&r.mu)
 	r.ctx, r.stop = context.WithCancel(context.Background())
-	r.caller = ordering.Caller{Part: "configuration", Link: o.Link, Consensus: o.Council, Self: o.Self.Name, Life: r.life, Candidates: r.whomToAsk,
-		Done: r.ctx.Done(), CallTimeout: callFor, MinBackoff: firstWait, MaxBackoff: lastWait, ErrNoCandidate: errNobody, ErrUndecided: errNobody}
-	r.handle()
-	r.public(o.Link.Public())
-	r.going.Go(r.loop)
-	r.going.Go(r.catchUp)
+	r.caller = ordering.Caller{
+		Part:           "configuration",
+		Link:           o.Link,
+		Consensus:      o.Council,
+		Self:           o.Self.Name,
+		Life:           r.life,
+		Candidates:     r.candidates,
+		Done:           r.ctx.Done(),
+		CallTimeout:    callTimeout,
+		MinBackoff:     minBackoff,
+		MaxBackoff:     maxBackoff,
+		ErrNoCandidate: errNoCandidate,
+		ErrUndecided:   errNoCandidate,
+	}
+	r.registerHandlers()
+	r.registerPublic(o.Link.Public())
+	r.goroutines.Go(r.loop)
+	r.goroutines.Go(r.catchUp)
 	return r, nil
 }
 
-// loadCached is what an earlier incarnation left. What is damaged is named and not used: the others have it.
+// loadCached returns the version that an earlier incarnation stored. A damaged file is logged and not used, as the other
+// processes have the version.
 func (r *Runner) loadCached() configuration.Document {
-	c, err := configuration.LoadCached(r.o.Folder)
+	c, err := configuration.LoadCached(r.options.Folder)
 	if err != nil {
-		r.o.Log.Error("configuration: what was kept is not used; it is asked of the others", zap.Error(err))
+		r.options.Log.Error("configuration: stored version not used; fetching it from other processes", zap.Error(err))
 	}
-	if c.Version < r.o.Running.Version {
-		c = r.o.Running
+	if c.Version < r.options.Running.Version {
+		c = r.options.Running
 	}
 	if c.Version == 0 {
 		return configuration.Document{}
 	}
-	d, err := configuration.Make(c.Version, c.Settings)
+	d, err := configuration.NewDocument(c.Version, c.Settings)
 	if err != nil {
-		r.o.Log.Error("configuration: what was kept is not used; it is asked of the others", zap.Error(err))
+		r.options.Log.Error("configuration: stored version not used; fetching it from other processes", zap.Error(err))
 		return configuration.Document{}
 	}
 	return d
 }
 
-// Ready opens when all that was missed is in force, or refused here, or when the bound for that is over (Status tells
-// which). Until then the sender should begin nothing.
+// Ready is closed when the newest version is in force or rejected here, or Options.CatchUp is over (Status tells which).
+// Until then the sender should send nothing.
 func (r *Runner) Ready() <-chan struct{} { return r.signals.Ready() }
 
-// SetView tells who is here, and the tree derived from it.
+// SetView sets the view of members, and the tree derived from it.
 func (r *Runner) SetView(v *view.View, t ordering.Tree) {
 	r.mu.Lock()
 	r.view, r.tree = v, t
-	if m, found := v.Find(r.o.Self.Name); found && m.Incarnation > r.o.Self.Incarnation {
-		// An earlier life of the name had a higher number: this one has risen above it.
-		r.o.Self.Incarnation = m.Incarnation
-		r.state.Rise(m.Life)
-		r.lead = leading{}
+	if m, found := v.Find(r.options.Self.Name); found && m.Incarnation > r.options.Self.Incarnation {
+		// An earlier incarnation had a higher number, and this one was raised above it.
+		r.options.Self.Incarnation = m.Incarnation
+		r.state.SetIncarnation(m.Life)
+		r.leaderWork = leaderWork{}
 	}
 	r.mu.Unlock()
 	r.signals.Wake()
 }
 
-// Status tells how this process stands.
+// Status is the state of this process.
 func (r *Runner) Status() Status {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	s := Status{Version: r.running.Version, Held: r.state.Held().Version, CaughtUp: r.caught, Figures: r.figures}
+	s := Status{Version: r.running.Version, NewestHeard: r.state.Newest().Version, CaughtUp: r.caughtUp, Figures: r.figures}
 	if s.Version > 0 {
 		s.Sum = configuration.SumOf(r.running.Settings)
 	}
-	s.Refused, s.Why = r.state.Refusal()
+	s.Refused, s.Why = r.state.Rejection()
 	return s
 }
 
-// Close ends all of it; calls that are out are cut.
+// Close ends all goroutines and waits for them; calls in flight are cancelled.
 func (r *Runner) Close() {
 	r.stop()
-	r.going.Wait()
+	r.goroutines.Wait()
 }
 
+// loop makes a step when something is due, and at once after a change.
 func (r *Runner) loop() {
 	next := time.NewTimer(0)
 	defer next.Stop()
@@ -175,60 +173,61 @@
 	}
 }
 
-// rest is how long nothing is due.
+// rest is how long to wait until the next step.
 func (r *Runner) rest() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	now := r.o.Now()
-	at := min(r.state.Next(now), now+idlePace)
-	if r.lead.top != nil {
-		at = min(at, r.lead.top.Next(now))
+	now := r.options.Now()
+	at := min(r.state.NextDue(now), now+idleInterval)
+	if r.leaderWork.state != nil {
+		at = min(at, r.leaderWork.state.NextDue(now))
 	}
-	return max(at-now, soonest)
+	return max(at-now, minStepInterval)
 }
 
-// step asks each deciding part what it wants, and begins that.
+// step asks each pure part what is due, and starts that.
 func (r *Runner) step() {
-	news := r.readLedger()
-	leader, known := r.o.Council.Leader()
-	now := r.o.Now()
+	update := r.readLedger()
+	leader, known := r.options.Council.Leader()
+	now := r.options.Now()
 
 	r.mu.Lock()
-	r.placeInTree(leader, known, now)
-	r.leadOn(news, now)
-	r.send(r.state, now)
-	if r.lead.top != nil {
-		r.send(r.lead.top, now)
+	r.updateTreePosition(leader, known, now)
+	r.leaderStep(update, now)
+	r.sendUpdates(r.state, now)
+	if r.leaderWork.state != nil {
+		r.sendUpdates(r.leaderWork.state, now)
 	}
-	if up, due := r.state.Up(now); due {
+	if up, due := r.state.DueReport(now); due {
 		parent := r.state.Parent()
-		r.figures.Ups++
-		r.going.Go(func() { r.upward(parent, up) })
+		r.figures.ReportsSent++
+		r.goroutines.Go(func() { r.sendReport(parent, up) })
 	}
 	r.fetch(now)
-	document, due := r.state.ToApply(now)
+	document, due := r.state.NextToApply(now)
 	r.mu.Unlock()
 	if due {
-		r.going.Go(func() { r.apply(document) })
+		r.goroutines.Go(func() { r.apply(document) })
 	}
 }
 
-// placeInTree tells the state who is above and below. At the root that is whoever leads the council. The lock is held.
-func (r *Runner) placeInTree(leader view.Name, known bool, now view.Now) {
+// updateTreePosition sets the parent and the children of the state. The parent of the root is the leader of the consensus
+// group. The lock is held.
+func (r *Runner) updateTreePosition(leader view.Name, known bool, now view.Now) {
 	if r.view == nil || r.tree == nil {
 		return
 	}
-	life, top, below := ordering.TreePosition(r.view, r.tree, r.o.Self.Name, leader, known, r.leader)
-	above := spread.Above{Life: life, Top: top}
+	life, top, below := ordering.TreePosition(r.view, r.tree, r.options.Self.Name, leader, known, r.lastLeader)
+	above := spread.Parent{Life: life, IsLeader: top}
 	if above.Name == "" {
-		above = spread.Above{}
+		above = spread.Parent{}
 	}
-	r.state.Tree(above, below, now)
+	r.state.SetTree(above, below, now)
 }
 
-// life is this process's own, which may rise.
+// life is this process's current incarnation, which SetView may raise.
 func (r *Runner) life() view.Life {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.o.Self.Life
+	return r.options.Self.Life
 }
--- a/internal/cluster/configuration/spread/size_test.go
+++ b/internal/cluster/configuration/spread/size_test.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// BenchmarkChange tells what one change costs a fleet: calls for each member, bytes of messages at a member on average
-// and at the busiest, simulated time until it is known to be in force everywhere, and the same bytes a second where
+// BenchmarkChange reports what one change costs a fleet: calls for each member, bytes of messages at a member on average
+// and at the busiest, simulated time until it is known to be in force everywhere, and the same bytes a second while
 // nothing changes. One iteration is one change. A hop takes 10 to 30 ms, each of the three steps at a process 0 to 20 ms.
 func BenchmarkChange(b *testing.B) {
 	for _, size := range []int{66, 660, 6600} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			w := newWorld(b, 3, size)
+			w := newSimulation(b, 3, size)
 			w.fan = 32
-			w.turn()
+			w.updateTree()
 			w.decide()
 			w.run(8 * time.Second)
 			w.measure = true
@@ -25,7 +25,7 @@
 				began := w.now
 				w.decide()
 				newest := uint64(len(w.decided))
-				for w.top.Summary(w.now).AtLeast(newest) < size {
+				for w.leaderState.Summary(w.now).MembersAtLeast(newest) < size {
 					w.run(step)
 					if w.now-began > time.Minute {
 						b.Fatal("not in force everywhere")
@@ -34,13 +34,13 @@
 				known += w.now - began
 				w.run(time.Second)
 				calls += w.calls
-				meanOf, most := w.weights()
+				meanOf, most := w.bytesPerProcess()
 				mean, busiest = mean+meanOf, max(busiest, most)
 			}
 			clear(w.bytes)
-			w.run(2 * RefreshEach)
-			idleMean, idleMost := w.weights()
-			perSecond := (2 * RefreshEach).Seconds()
+			w.run(2 * RefreshInterval)
+			idleMean, idleMost := w.bytesPerProcess()
+			perSecond := (2 * RefreshInterval).Seconds()
 			b.ReportMetric(float64(calls)/float64(b.N*size), "calls/member")
 			b.ReportMetric(mean/float64(b.N), "B/member")
 			b.ReportMetric(busiest, "B/busiest")
@@ -51,8 +51,8 @@
 	}
 }
 
-// weights are the bytes at a process on average, and at the busiest.
-func (w *world) weights() (mean, most float64) {
+// bytesPerProcess are the bytes at a process on average, and at the busiest.
+func (w *simulation) bytesPerProcess() (mean, most float64) {
 	for _, n := range w.bytes {
 		mean += float64(n) / float64(len(w.processes))
 		most = max(most, float64(n))
--- a/internal/cluster/configuration/spread/spread_test.go
+++ b/internal/cluster/configuration/spread/spread_test.go
@@ -12,8 +12,8 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// healed has all faults over and gives the fleet time.
-func healed(w *world) {
+// heal ends all faults and gives the fleet time.
+func heal(w *simulation) {
 	w.loss = 0
 	for _, p := range w.processes {
 		p.group = 0
@@ -21,33 +21,33 @@
 			w.start(p)
 		}
 	}
-	w.turn()
+	w.updateTree()
 	w.run(8 * time.Second)
 }
 
-// agreed checks that all run the newest version, and that whoever leads knows it.
-func agreed(w *world) {
+// checkAgreement checks that all run the newest version, and that the leader knows it.
+func checkAgreement(w *simulation) {
 	newest := uint64(len(w.decided))
 	for _, p := range w.processes {
 		want := newest
-		if p.refuses == newest && newest > 0 {
+		if p.rejectedVersion == newest && newest > 0 {
 			want = p.inForce
 		}
-		if p.inForce != want || p.state.Held().Version != newest {
-			w.t.Fatalf("%s runs %d and holds %d; %d is the newest", p.name, p.inForce, p.state.Held().Version, newest)
+		if p.inForce != want || p.state.Newest().Version != newest {
+			w.t.Fatalf("%s runs %d and holds %d; %d is the newest", p.name, p.inForce, p.state.Newest().Version, newest)
 		}
 	}
 	if newest == 0 {
 		return
 	}
-	sum := w.top.Summary(w.now)
+	sum := w.leaderState.Summary(w.now)
 	refusing := 0
 	for _, p := range w.processes {
-		if p.refuses == newest {
+		if p.rejectedVersion == newest {
 			refusing++
 		}
 	}
-	if sum.Members != len(w.processes) || sum.Unknown > 0 || sum.AtLeast(newest) != len(w.processes)-refusing ||
+	if sum.Members != len(w.processes) || sum.Unknown > 0 || sum.MembersAtLeast(newest) != len(w.processes)-refusing ||
 		len(sum.Laggards)+sum.Unnamed != refusing {
 		w.t.Fatalf("of %d processes, %d refusing, the leader knows %+v", len(w.processes), refusing, sum)
 	}
@@ -56,17 +56,17 @@
 			w.t.Fatalf("%+v", l)
 		}
 	}
-	if !w.top.Settled() {
+	if !w.leaderState.Settled() {
 		w.t.Fatalf("not settled: %+v", sum)
 	}
 }
 
-// Messages are lost, doubled and overtaken; processes are killed between any two steps and come back on their disks;
-// parts are cut off; coordinators and leaders change in the middle. No process ever runs an older version after a newer
-// one or another content under a version, and once all is well everybody runs the newest, and the leader knows it.
+// Messages are lost, duplicated and reordered; processes are killed between any two steps and restart with their disks;
+// parts are partitioned; coordinators and leaders change meanwhile. No process ever runs an older version after a newer
+// one, or another content under a version number, and after the faults all run the newest, and the leader knows it.
 func TestFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t, rapid.Uint64().Draw(t, "seed"), rapid.IntRange(1, 16).Draw(t, "size"))
+		w := newSimulation(t, rapid.Uint64().Draw(t, "seed"), rapid.IntRange(1, 16).Draw(t, "size"))
 		w.loss = rapid.SampledFrom([]float64{0, 0.05, 0.3}).Draw(t, "loss")
 		w.run(time.Second)
 		for range rapid.IntRange(1, 25).Draw(t, "steps") {
@@ -76,48 +76,48 @@
 				w.decide()
 			case 3:
 				w.kill(p)
-				w.turn()
+				w.updateTree()
 			case 4:
 				if p.state == nil {
 					w.start(p)
-					w.turn()
+					w.updateTree()
 				}
 			case 5:
 				p.group = rapid.IntRange(0, 1).Draw(t, "group")
 			case 6:
 				w.leader = rapid.IntRange(0, len(w.processes)-1).Draw(t, "leader")
-				w.turn()
+				w.updateTree()
 			case 7: // coordinators change
-				w.r.Shuffle(len(w.order), func(i, j int) { w.order[i], w.order[j] = w.order[j], w.order[i] })
-				w.turn()
+				w.random.Shuffle(len(w.order), func(i, j int) { w.order[i], w.order[j] = w.order[j], w.order[i] })
+				w.updateTree()
 			}
 			w.run(time.Duration(rapid.IntRange(0, 80).Draw(t, "pause")) * step)
 		}
 		if rapid.IntRange(0, 2).Draw(t, "refusing") == 0 {
-			w.processes[len(w.processes)/2].refuses = uint64(len(w.decided) + 1)
+			w.processes[len(w.processes)/2].rejectedVersion = uint64(len(w.decided) + 1)
 			w.decide()
 		}
-		healed(w)
-		agreed(w)
+		heal(w)
+		checkAgreement(w)
 	})
 }
 
-// A change costs one call a child where all is well, tells the change and not the whole, and is known as in force
-// everywhere well within the bound; idle, next to nothing is sent.
-func TestCalm(t *testing.T) {
+// Without faults a change costs one call a child, is sent as a patch, and is known to be in force everywhere well within
+// the bound; while idle next to nothing is sent.
+func TestFaultlessChange(t *testing.T) {
 	for _, size := range []int{1, 13, 660} {
-		w := newWorld(t, 3, size)
+		w := newSimulation(t, 3, size)
 		w.fan = 32
-		w.turn()
+		w.updateTree()
 		w.decide()
 		w.run(8 * time.Second)
-		agreed(w)
+		checkAgreement(w)
 		calls, began := w.calls, w.now
 		w.decide()
-		for w.top.Summary(w.now).AtLeast(2) < size {
+		for w.leaderState.Summary(w.now).MembersAtLeast(2) < size {
 			w.run(step)
 			if w.now-began > 3*time.Second {
-				t.Fatalf("%d processes: %+v", size, w.top.Summary(w.now))
+				t.Fatalf("%d processes: %+v", size, w.leaderState.Summary(w.now))
 			}
 		}
 		t.Logf("%d processes: known to be in force everywhere after %v, %d calls", size, w.now-began, w.calls-calls)
@@ -126,19 +126,19 @@
 		}
 		w.run(time.Second)
 		calls = w.calls
-		w.run(RefreshEach)
+		w.run(RefreshInterval)
 		if got := w.calls - calls; got > size+1 {
-			t.Errorf("%d processes, idle: %d calls in %v", size, got, RefreshEach)
+			t.Errorf("%d processes, idle: %d calls in %v", size, got, RefreshInterval)
 		}
 	}
 }
 
-// Coordinators, the root among them, die just as a change is decided, messages are lost, and the view takes two seconds
-// to leave the dead out: all others have the change in force within the six seconds that are granted.
+// Coordinators, the root among them, die just as a change is committed, messages are lost, and the view takes two seconds
+// to drop the dead: all others have the change in force within the allowed six seconds.
 func TestCoordinatorsDie(t *testing.T) {
-	w := newWorld(t, 11, 660)
+	w := newSimulation(t, 11, 660)
 	w.fan, w.leader = 32, 400
-	w.turn()
+	w.updateTree()
 	w.decide()
 	w.run(8 * time.Second)
 	w.loss = 0.02
@@ -148,7 +148,7 @@
 		w.kill(w.processes[i])
 	}
 	w.run(2 * time.Second)
-	w.turn()
+	w.updateTree()
 	inForce := func() (n int) {
 		for _, p := range w.processes {
 			if p.state != nil && p.inForce == 2 {
@@ -166,10 +166,10 @@
 	t.Logf("in force at all who are left after %v", w.now-began)
 }
 
-// One that is cut off during three changes and comes back gets the newest and nothing between; meanwhile it is
-// named with its version.
-func TestCutOff(t *testing.T) {
-	w := newWorld(t, 5, 13)
+// A process that is partitioned during three changes gets only the newest when it is back; meanwhile it is shown as a
+// laggard with its version.
+func TestPartitionedProcessGetsNewestOnly(t *testing.T) {
+	w := newSimulation(t, 5, 13)
 	w.decide()
 	w.run(3 * time.Second)
 	cut := w.processes[12]
@@ -178,7 +178,7 @@
 		w.decide()
 		w.run(2 * time.Second)
 	}
-	sum := w.top.Summary(w.now)
+	sum := w.leaderState.Summary(w.now)
 	if len(sum.Laggards) != 1 || sum.Laggards[0].Name != cut.name || sum.Laggards[0].Version != 1 || sum.Laggards[0].Reason != Unreachable {
 		t.Fatalf("%+v", sum)
 	}
@@ -193,97 +193,97 @@
 			t.Fatal("not caught up")
 		}
 	}
-	healed(w)
-	agreed(w)
+	heal(w)
+	checkAgreement(w)
 }
 
-// A message down to a life that is over is answered by the next life of the name, which holds that to be told: the
-// parent must not drop it. (Found by TestFaults: what had changed since was known to the leader half a minute late.)
+// An update to an earlier incarnation is answered by the next one, which then counts its answer as reported: the parent
+// must not drop it. (Found by TestFaults: the leader knew of later changes only half a minute late.)
 func TestAnswerOfTheNextLife(t *testing.T) {
-	document, err := configuration.Make(3, json.RawMessage(`{}`))
+	document, err := configuration.NewDocument(3, json.RawMessage(`{}`))
 	if err != nil {
 		t.Fatal(err)
 	}
 	parent := New(view.Life{Name: "p", Incarnation: 1}, document, 3)
 	first, second := view.Life{Name: "c", Incarnation: 1}, view.Life{Name: "c", Incarnation: 2}
-	parent.Tree(Above{}, []view.Life{first}, 0)
-	downs := parent.Downs(time.Second)
-	parent.Tree(Above{}, []view.Life{second}, time.Second)
+	parent.SetTree(Parent{}, []view.Life{first}, 0)
+	downs := parent.DueUpdates(time.Second)
+	parent.SetTree(Parent{}, []view.Life{second}, time.Second)
 	child := New(second, document, 3)
-	child.Tree(Above{Life: view.Life{Name: "p", Incarnation: 1}}, nil, time.Second)
-	child.Hold()
-	r, answered := child.Answer(downs[0].Down, time.Second)
+	child.SetTree(Parent{Life: view.Life{Name: "p", Incarnation: 1}}, nil, time.Second)
+	child.BeginAnswer()
+	r, answered := child.Answer(downs[0].Update, time.Second)
 	if !answered {
 		t.Fatal("not answered")
 	}
-	parent.Answered(downs[0].Child, r, time.Second)
-	if sum := parent.Summary(time.Second); sum.AtLeast(3) != 2 || sum.Unknown > 0 {
+	parent.HandleAnswer(downs[0].Child, r, time.Second)
+	if sum := parent.Summary(time.Second); sum.MembersAtLeast(3) != 2 || sum.Unknown > 0 {
 		t.Fatalf("%+v", sum)
 	}
-	child.Hold()
-	if _, again := child.Answer(downs[0].Down, time.Second); again {
+	child.BeginAnswer()
+	if _, again := child.Answer(downs[0].Update, time.Second); again {
 		t.Fatal("one message answered twice")
 	}
 }
 
-// One that nothing gets to, but whose reports arrive, has what it lacks with their answers, and lags no more.
-func TestOneWay(t *testing.T) {
-	first, err := configuration.Make(1, json.RawMessage(`{"a":1}`))
+// A process that no call reaches, but whose reports arrive, gets what it lacks with their answers, and lags no more.
+func TestOneWayLink(t *testing.T) {
+	first, err := configuration.NewDocument(1, json.RawMessage(`{"a":1}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	second, err := configuration.Make(2, json.RawMessage(`{"a":2}`))
+	second, err := configuration.NewDocument(2, json.RawMessage(`{"a":2}`))
 	if err != nil {
 		t.Fatal(err)
 	}
 	life := view.Life{Name: "c", Incarnation: 1}
 	parent, child := New(view.Life{Name: "p", Incarnation: 1}, first, 1), New(life, first, 1)
-	parent.Tree(Above{}, []view.Life{life}, 0)
-	child.Tree(Above{Life: view.Life{Name: "p", Incarnation: 1}}, nil, 0)
+	parent.SetTree(Parent{}, []view.Life{life}, 0)
+	child.SetTree(Parent{Life: view.Life{Name: "p", Incarnation: 1}}, nil, 0)
 	report := func(now view.Now) {
 		t.Helper()
-		r, due := child.Up(now)
+		r, due := child.DueReport(now)
 		if !due {
 			t.Fatal("no report is due")
 		}
-		child.UpDone(child.Parent(), parent.FromChild(r, now), now)
+		child.ReportAnswered(child.Parent(), parent.HandleReport(r, now), now)
 	}
 	report(0)
-	parent.Decided(second, time.Second)
-	parent.Applied(2, nil, time.Second)
-	for _, to := range parent.Downs(time.Second) {
-		parent.Failed(to.Child, time.Second)
+	parent.SetDecided(second, time.Second)
+	parent.RecordApplied(2, nil, time.Second)
+	for _, to := range parent.DueUpdates(time.Second) {
+		parent.UpdateFailed(to.Child, time.Second)
 	}
 	if sum := parent.Summary(5 * time.Second); len(sum.Laggards) != 1 || sum.Laggards[0].Reason != Unreachable {
 		t.Fatalf("%+v", sum)
 	}
 	report(time.Minute) // none is due sooner
-	if d, due := child.ToApply(time.Minute); !due || d.Version != 2 {
+	if d, due := child.NextToApply(time.Minute); !due || d.Version != 2 {
 		t.Fatal(d, due)
 	}
-	child.Applied(2, nil, time.Minute)
+	child.RecordApplied(2, nil, time.Minute)
 	report(2 * time.Minute)
 	if sum := parent.Summary(2 * time.Minute); len(sum.Laggards) != 0 || !parent.Settled() {
 		t.Fatalf("%+v", sum)
 	}
 }
 
-// What a process tells is bounded, whatever the number of children, versions and laggards.
+// A summary is bounded, whatever the number of children, versions and laggards.
 func TestSummaryIsBounded(t *testing.T) {
 	s := New(view.Life{Name: "p", Incarnation: 1}, configuration.Document{Version: 2000, Sum: "x"}, 2000)
 	var children []view.Life
 	for i := range 1000 {
 		children = append(children, view.Life{Name: view.Name(fmt.Sprintf("a-rather-long-name-of-a-process-%05d", i)), Incarnation: 1 << 50})
 	}
-	s.Tree(Above{}, children, 0)
+	s.SetTree(Parent{}, children, 0)
 	for i, life := range children {
 		version := uint64(i + 1)
-		s.FromChild(Report{From: life, No: 1, Held: Digest{version, "y"}, InForce: version, Summary: Summary{Members: 1,
+		s.HandleReport(Report{From: life, ReportNo: 1, Held: Digest{version, "y"}, InForce: version, Summary: Summary{Members: 1,
 			InForce:  []Count{{version, 1}},
-			Laggards: []Laggard{{life.Name, version, Refused, shortened(string(make([]byte, 3*mostText))), 1}}}}, 0)
+			Laggards: []Laggard{{life.Name, version, Refused, truncated(string(make([]byte, 3*maxReasonBytes))), 1}}}}, 0)
 	}
 	sum := s.Summary(time.Minute)
-	if sum.Members != 1001 || len(sum.Laggards) != MostLaggards || sum.Unnamed != 1000-MostLaggards || len(sum.InForce) != MostCounts {
+	if sum.Members != 1001 || len(sum.Laggards) != MaxLaggards || sum.Unnamed != 1000-MaxLaggards || len(sum.InForce) != MaxCounts {
 		t.Fatalf("%+v", sum)
 	}
 	total := sum.Older
@@ -294,27 +294,27 @@
 		t.Fatal(total)
 	}
 	sum.Laggards[0].Text = ""
-	if text, err := json.Marshal(sum); err != nil || len(text) > MostLaggards*8*mostText {
+	if text, err := json.Marshal(sum); err != nil || len(text) > MaxLaggards*8*maxReasonBytes {
 		t.Fatal(len(text), err)
 	}
 }
 
-// A reader skips what it does not know, and bytes that no version ever sent end nothing.
+// A reader skips unknown fields, and arbitrary bytes cause no panic.
 func FuzzTake(f *testing.F) {
 	f.Add([]byte(`{"from":{"name":"p"},"h":{"v":2,"s":"x"},"c":{"v":2,"s":"x","b":{"v":1},"p":{"a":1},"later":[1]},"later":{}}`))
 	f.Add([]byte(`{"h":{"v":3},"c":{"v":3,"w":"H4sIAAAAAAAA"}}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		var d Down
+		var d Update
 		if json.Unmarshal(text, &d) != nil {
 			return
 		}
-		held, err := configuration.Make(1, json.RawMessage(`{"a":0}`))
+		held, err := configuration.NewDocument(1, json.RawMessage(`{"a":0}`))
 		if err != nil {
 			t.Fatal(err)
 		}
 		s := New(view.Life{Name: "p", Incarnation: 1}, held, 1)
-		s.FromParent(d, 0)
-		if got := s.Held(); got.Version < 1 || configuration.SumOf(got.Settings) != got.Sum {
+		s.HandleUpdate(d, 0)
+		if got := s.Newest(); got.Version < 1 || configuration.SumOf(got.Settings) != got.Sum {
 			t.Fatalf("%+v", got)
 		}
 	})
@@ -325,24 +325,24 @@
 		return view.Member{Life: view.Life{Name: name, Incarnation: 1}, State: state}
 	}
 	var r Roster
-	r.See(view.Make("a", 1, []view.Member{member("a", view.Alive), member("b", view.Alive), member("c", view.Alive)}), 0)
-	r.Saw(Summary{Members: 3, InForce: []Count{{7, 2}, {5, 1}}, Laggards: []Laggard{{Name: "c", Version: 5, Reason: Refused}}})
-	r.Saw(Summary{Members: 2, InForce: []Count{{9, 2}}}) // leaves one out
-	r.See(view.Make("a", 2, []view.Member{member("a", view.Alive), member("b", view.Dead), member("c", view.Dead)}), time.Second)
-	away, more := r.Away(3 * time.Second)
-	if len(away) != 2 || more != 0 || away[0].Version != 7 || !away[0].Known || away[1].Version != 5 || away[1].SinceMS != 2000 || r.Here() != 1 {
+	r.UpdateView(view.Make("a", 1, []view.Member{member("a", view.Alive), member("b", view.Alive), member("c", view.Alive)}), 0)
+	r.RecordSummary(Summary{Members: 3, InForce: []Count{{7, 2}, {5, 1}}, Laggards: []Laggard{{Name: "c", Version: 5, Reason: Refused}}})
+	r.RecordSummary(Summary{Members: 2, InForce: []Count{{9, 2}}}) // leaves one out
+	r.UpdateView(view.Make("a", 2, []view.Member{member("a", view.Alive), member("b", view.Dead), member("c", view.Dead)}), time.Second)
+	away, more := r.AbsentMembers(3 * time.Second)
+	if len(away) != 2 || more != 0 || away[0].Version != 7 || !away[0].VersionKnown || away[1].Version != 5 || away[1].SinceMS != 2000 || r.PresentCount() != 1 {
 		t.Fatalf("%+v", away)
 	}
-	r.See(view.Make("a", 3, []view.Member{member("a", view.Alive), member("b", view.Left), member("c", view.Alive)}), 4*time.Second)
-	if away, _ := r.Away(4 * time.Second); len(away) != 0 || r.Here() != 2 {
+	r.UpdateView(view.Make("a", 3, []view.Member{member("a", view.Alive), member("b", view.Left), member("c", view.Alive)}), 4*time.Second)
+	if away, _ := r.AbsentMembers(4 * time.Second); len(away) != 0 || r.PresentCount() != 2 {
 		t.Fatalf("%+v", away)
 	}
 
 	var p Progress
 	p.Begin(3, true, time.Second)
-	p.Saw(1, 4, 1100*time.Millisecond)
-	p.Saw(2, 4, 1200*time.Millisecond)
-	p.Saw(4, 4, 1500*time.Millisecond)
+	p.RecordInForce(1, 4, 1100*time.Millisecond)
+	p.RecordInForce(2, 4, 1200*time.Millisecond)
+	p.RecordInForce(4, 4, 1500*time.Millisecond)
 	if p.At50 != 200*time.Millisecond || p.At95 != 500*time.Millisecond || p.At100 != 500*time.Millisecond {
 		t.Fatalf("%+v", p)
 	}
@@ -351,7 +351,7 @@
 		t.Fatal("back to an older version")
 	}
 	p.Begin(4, false, 2*time.Second)
-	if p.Saw(4, 4, 3*time.Second); p.At100 != 0 {
+	if p.RecordInForce(4, 4, 3*time.Second); p.At100 != 0 {
 		t.Fatal("a time that was not seen from the start")
 	}
 }
--- a/internal/cluster/configuration/spread/state.go
+++ b/internal/cluster/configuration/spread/state.go
@@ -1,6 +1,6 @@
 package spread
 
-// This file is what a process holds of versions: taken in from others, put in force by its sender.
+// This file is the versions of a process: received from others, and put in force by its sender.
 
 import (
 	"slices"
@@ -9,182 +9,185 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// State is one process's part. Guarded by whoever holds it.
+// State is one process's part. Its owner guards it.
 type State struct {
-	self view.Life
-	top  bool // stands above the root: neither applies nor counts itself
+	self     view.Life
+	isLeader bool // it is the state of a leader, which neither applies versions nor counts itself
 
-	held      configuration.Document // the newest content here; version 0 for none
-	heldSince view.Now
-	history   []configuration.Document // those before it, newest first
-	packed    packed
+	newest      configuration.Document // the newest version here; version 0 for none
+	newestSince view.Now
+	history     []configuration.Document // earlier ones, newest first
+	encoded     encodedContent
 
-	inForce  uint64
-	applying bool
-	refused  refusal
-	forked   bool // another had other content under the version held here
-	whole    bool // a change did not give what its sum names
-	late     bool // its parent is to be told that what is held is not yet in force here
+	inForce     uint64
+	applying    bool
+	rejected    rejection
+	forked      bool // another process has other content under the number of the newest version
+	needsFull   bool // a patch did not give the content that its checksum names
+	lagReported bool // the lag of this process is reported, or due to be
 
-	parent   Above
-	children map[view.Name]*child
-	names    []view.Name // of children, sorted
-	downNo   uint64      // of the last message down
-	up       upward
+	parent     Parent
+	children   map[view.Name]*child
+	childNames []view.Name // sorted
+	updateNo   uint64      // of the last update
+	uplink     uplink
 }
 
-// refusal is a version that could not be put in force here.
-type refusal struct {
+// rejection is a version that could not be put in force here.
+type rejection struct {
 	version uint64
 	text    string
 	since   view.Now
 	retryAt view.Now
 }
 
-// packed are the messages made of the version held, by what they are upon; made once each, gone with the next version.
-type packed struct {
-	whole   []byte
-	changes map[uint64]*Content
+// encodedContent is the newest version as it is sent: in full, and as patches by the version that they are based on. Each
+// is made once.
+type encodedContent struct {
+	full    []byte
+	patches map[uint64]*Content
 }
 
-// New is the state of a life that has a version of an earlier life on disk (the zero value for none), and whose sender
-// runs inForce: that version, or 0 where it could not be used.
-func New(self view.Life, held configuration.Document, inForce uint64) *State {
-	return &State{self: self, held: held, inForce: inForce, children: map[view.Name]*child{}}
+// New returns the state of a process that has a version of an earlier incarnation on disk (the zero value for none), and
+// whose sender runs inForce: that version, or 0 where it could not be used.
+func New(self view.Life, stored configuration.Document, inForce uint64) *State {
+	return &State{self: self, newest: stored, inForce: inForce, children: map[view.Name]*child{}}
 }
 
-// NewTop is the state of whoever leads the council. Its only child is the root of the tree. before is that of the same
-// process when it led before, or nil: its messages are numbered on from there.
-func NewTop(self view.Life, before *State) *State {
+// NewLeaderState returns the state of the leader, whose only child is the root of the tree. previous is the one that this
+// process had when it led before, or nil: updates are numbered on from there.
+func NewLeaderState(self view.Life, previous *State) *State {
 	s := New(self, configuration.Document{}, 0)
-	s.top = true
-	if before != nil {
-		s.downNo = before.downNo
+	s.isLeader = true
+	if previous != nil {
+		s.updateNo = previous.updateNo
 	}
 	return s
 }
 
-// Tree tells who is above (the zero value for nobody) and below.
-func (s *State) Tree(parent Above, children []view.Life, now view.Now) {
+// SetTree sets the parent (the zero value for none) and the children.
+func (s *State) SetTree(parent Parent, children []view.Life, now view.Now) {
 	if parent != s.parent {
 		s.parent = parent
-		s.up = upward{no: s.up.no, changed: true}
+		s.uplink = uplink{reportNo: s.uplink.reportNo, changed: true}
 	}
 	gone := map[view.Name]bool{}
-	for _, name := range s.names {
+	for _, name := range s.childNames {
 		gone[name] = true
 	}
 	for _, life := range children {
 		delete(gone, life.Name)
 		if c := s.children[life.Name]; c == nil || c.life.Incarnation < life.Incarnation {
-			// It reports by itself to a new parent: it is called only if it does not.
-			s.children[life.Name] = &child{life: life, retryAt: now + firstRetry}
-			s.news()
+			// A child reports to a new parent by itself: it is called only if it does not.
+			s.children[life.Name] = &child{life: life, retryAt: now + minBackoff}
+			s.markChanged()
 		}
 	}
 	for name := range gone {
 		delete(s.children, name)
-		s.news()
+		s.markChanged()
 	}
-	s.names = s.names[:0]
+	s.childNames = s.childNames[:0]
 	for name := range s.children {
-		s.names = append(s.names, name)
+		s.childNames = append(s.childNames, name)
 	}
-	slices.Sort(s.names)
+	slices.Sort(s.childNames)
 }
 
-// Rise gives this life a higher incarnation: another of its name was known to have this one or more.
-func (s *State) Rise(to view.Life) {
+// SetIncarnation raises this process's incarnation, as another process of its name was known with this one or a higher.
+func (s *State) SetIncarnation(to view.Life) {
 	s.self = to
-	s.up.told = false
-	s.news()
+	s.uplink.reported = false
+	s.markChanged()
 }
 
-// Held is the newest version that this process has the content of.
-func (s *State) Held() configuration.Document { return s.held }
+// Newest is the newest version that this process has.
+func (s *State) Newest() configuration.Document { return s.newest }
 
 // InForce is the version that the sender here runs.
 func (s *State) InForce() uint64 { return s.inForce }
 
-// Refusal tells what version could not be put in force here, and why; 0 for none.
-func (s *State) Refusal() (version uint64, text string) { return s.refused.version, s.refused.text }
+// Rejection is the version that could not be put in force here, and why; 0 for none.
+func (s *State) Rejection() (version uint64, text string) { return s.rejected.version, s.rejected.text }
 
-func (s *State) digest() Digest { return Digest{s.held.Version, s.held.Sum} }
+func (s *State) digest() Digest { return Digest{s.newest.Version, s.newest.Sum} }
 
-// Decided takes in the newest version as the council has it. An older one changes nothing. Of one version that has two
-// contents (see take) whoever leads hands on the council's.
-func (s *State) Decided(d configuration.Document, now view.Now) {
-	otherContent := d.Version == s.held.Version && d.Version > 0 && d.Sum != s.held.Sum
-	if d.Version > s.held.Version || s.top && otherContent {
-		s.replace(d, now)
+// SetDecided takes in the newest version that was committed. An older one changes nothing. Where one version has two
+// contents (see takeContent) the leader distributes the committed one.
+func (s *State) SetDecided(d configuration.Document, now view.Now) {
+	otherContent := d.Version == s.newest.Version && d.Version > 0 && d.Sum != s.newest.Sum
+	if d.Version > s.newest.Version || s.isLeader && otherContent {
+		s.setNewest(d, now)
 	}
 }
 
-func (s *State) replace(d configuration.Document, now view.Now) {
-	if s.held.Version > 0 {
-		s.history = slices.Insert(s.history, 0, s.held)
-		s.history = s.history[:min(len(s.history), mostHistory)]
+// setNewest replaces the newest version.
+func (s *State) setNewest(d configuration.Document, now view.Now) {
+	if s.newest.Version > 0 {
+		s.history = slices.Insert(s.history, 0, s.newest)
+		s.history = s.history[:min(len(s.history), maxHistory)]
 	}
-	s.held, s.heldSince, s.packed = d, now, packed{}
-	s.forked, s.whole, s.late = false, false, false
-	s.news()
+	s.newest, s.newestSince, s.encoded = d, now, encodedContent{}
+	s.forked, s.needsFull, s.lagReported = false, false, false
+	s.markChanged()
 }
 
-// take takes in content that another sent, and what the other holds. Two contents of one version can't be decided; they
-// are met only where the council's records were lost and it began to count anew. Then neither is changed: it is shown,
-// until the next version is decided.
-func (s *State) take(held Digest, c *Content, now view.Now) {
-	if held.Version == s.held.Version && held.Version > 0 && held.Sum != s.held.Sum && !s.forked {
+// takeContent takes in content that another process sent, and what that one has. Two contents of one version can't be
+// committed; they occur only where the consensus group lost its records and numbers versions from 1 again. Then neither
+// is replaced: the fork is shown until the next version is committed.
+func (s *State) takeContent(held Digest, c *Content, now view.Now) {
+	if held.Version == s.newest.Version && held.Version > 0 && held.Sum != s.newest.Sum && !s.forked {
 		s.forked = true
-		s.news()
+		s.markChanged()
 	}
-	if c == nil || c.Version <= s.held.Version {
+	if c == nil || c.Version <= s.newest.Version {
 		return
 	}
-	if d, is := s.unpack(c); is {
-		s.replace(d, now)
+	if d, is := s.decode(c); is {
+		s.setNewest(d, now)
 		return
 	}
-	s.whole = true
-	s.news()
+	s.needsFull = true
+	s.markChanged()
 }
 
-// unpack makes a document of content; false where it does not give what its sum names.
-func (s *State) unpack(c *Content) (d configuration.Document, is bool) {
-	settings, err := configuration.Unpack(c.Whole)
+// decode makes a document of content; false where that does not match its checksum.
+func (s *State) decode(c *Content) (d configuration.Document, is bool) {
+	settings, err := configuration.Decompress(c.Full)
 	if c.Patch != nil {
 		if c.Base != s.digest() {
 			return d, false
 		}
-		settings, err = configuration.Merge(s.held.Settings, c.Patch)
+		settings, err = configuration.ApplyPatch(s.newest.Settings, c.Patch)
 	}
 	if err != nil {
 		return d, false
 	}
-	d, err = configuration.Make(c.Version, settings)
+	d, err = configuration.NewDocument(c.Version, settings)
 	return d, err == nil && d.Sum == c.Sum
 }
 
-// content is what one that holds base lacks: nil where it lacks nothing.
-func (s *State) content(base Digest, whole bool) *Content {
-	if base.Version >= s.held.Version {
+// contentSince is what a process with the version base lacks: nil where it lacks nothing. It is full where that is asked
+// for, or no patch is known or small enough.
+func (s *State) contentSince(base Digest, full bool) *Content {
+	if base.Version >= s.newest.Version {
 		return nil
 	}
-	if !whole {
-		if c := s.change(base); c != nil {
+	if !full {
+		if c := s.patchFrom(base); c != nil {
 			return c
 		}
 	}
-	if s.packed.whole == nil {
-		// Packing fails for want of memory alone; the zero Content is not taken, and asked for again.
-		s.packed.whole, _ = configuration.Pack(s.held.Settings)
+	if s.encoded.full == nil {
+		// Compression fails for want of memory only; an empty Content is not accepted, and asked for again.
+		s.encoded.full, _ = configuration.Compress(s.newest.Settings)
 	}
-	return &Content{Digest: s.digest(), Whole: s.packed.whole}
+	return &Content{Digest: s.digest(), Full: s.encoded.full}
 }
 
-// change is the change from a version that is still known here; nil where the whole serves better.
-func (s *State) change(base Digest) *Content {
-	if c, made := s.packed.changes[base.Version]; made && (c == nil || c.Base == base) {
+// patchFrom is the patch from a version in the history; nil where there is none, or the full content is better.
+func (s *State) patchFrom(base Digest) *Content {
+	if c, made := s.encoded.patches[base.Version]; made && (c == nil || c.Base == base) {
 		return c
 	}
 	i := slices.IndexFunc(s.history, func(d configuration.Document) bool {
@@ -193,58 +196,59 @@
 	if i < 0 {
 		return nil
 	}
-	if s.packed.changes == nil {
-		s.packed.changes = map[uint64]*Content{}
+	if s.encoded.patches == nil {
+		s.encoded.patches = map[uint64]*Content{}
 	}
 	var c *Content
-	if patch, is := configuration.Difference(s.history[i].Settings, s.held.Settings); is && len(patch) < len(s.held.Settings)/2 {
+	if patch, is := configuration.CreatePatch(s.history[i].Settings, s.newest.Settings); is && len(patch) < len(s.newest.Settings)/2 {
 		c = &Content{Digest: s.digest(), Base: base, Patch: patch}
 	}
-	s.packed.changes[base.Version] = c
+	s.encoded.patches[base.Version] = c
 	return c
 }
 
-// ToApply is the version to be put in force now; false while that is under way or there is none.
-func (s *State) ToApply(now view.Now) (configuration.Document, bool) {
-	if s.top || s.applying || s.held.Version <= s.inForce {
+// NextToApply is the version to be put in force now; false while that is in progress, or there is none.
+func (s *State) NextToApply(now view.Now) (configuration.Document, bool) {
+	if s.isLeader || s.applying || s.newest.Version <= s.inForce {
 		return configuration.Document{}, false
 	}
-	if s.refused.version == s.held.Version && now < s.refused.retryAt {
+	if s.rejected.version == s.newest.Version && now < s.rejected.retryAt {
 		return configuration.Document{}, false
 	}
 	s.applying = true
-	return s.held, true
+	return s.newest, true
 }
 
-// Applied tells what came of a version that ToApply gave: in force, or why not.
-func (s *State) Applied(version uint64, err error, now view.Now) {
+// RecordApplied records whether a version that NextToApply returned is in force, or why not.
+func (s *State) RecordApplied(version uint64, err error, now view.Now) {
 	s.applying = false
-	s.news()
+	s.markChanged()
 	if err == nil {
 		s.inForce = max(s.inForce, version)
-		s.refused = refusal{}
+		s.rejected = rejection{}
 		return
 	}
 	since := now
-	if s.refused.version == version {
-		since = s.refused.since
+	if s.rejected.version == version {
+		since = s.rejected.since
 	}
-	s.refused = refusal{version, shortened(err.Error()), since, now + applyAgain}
+	s.rejected = rejection{version, truncated(err.Error()), since, now + applyRetryDelay}
 }
 
-func shortened(text string) string { return text[:min(len(text), mostText)] }
+// truncated cuts a text to the bound of a reason.
+func truncated(text string) string { return text[:min(len(text), maxReasonBytes)] }
 
-// SettledHere tells that nothing more is to be done here about the version held.
-func (s *State) SettledHere() bool {
-	return s.top || s.inForce >= s.held.Version || s.refused.version == s.held.Version
+// SelfSettled tells that the newest version is in force at this process, or was rejected.
+func (s *State) SelfSettled() bool {
+	return s.isLeader || s.inForce >= s.newest.Version || s.rejected.version == s.newest.Version
 }
 
-// Settled tells that all below have what is held here in force, or have refused it.
+// Settled tells that this process and all below it have put the newest version in force, or rejected it.
 func (s *State) Settled() bool {
-	if !s.SettledHere() {
+	if !s.SelfSettled() {
 		return false
 	}
-	for _, name := range s.names {
+	for _, name := range s.childNames {
 		if !s.children[name].settled(s.digest()) {
 			return false
 		}
@@ -252,22 +256,22 @@
 	return true
 }
 
-// Next is when something is to be done, at the latest: sent, or put in force.
-func (s *State) Next(now view.Now) (at view.Now) {
-	at = now + RefreshEach
-	if !s.top && !s.applying && s.held.Version > s.inForce {
+// NextDue is when something has to be sent or put in force, at the latest.
+func (s *State) NextDue(now view.Now) (at view.Now) {
+	at = now + RefreshInterval
+	if !s.isLeader && !s.applying && s.newest.Version > s.inForce {
 		at = now
-		if s.refused.version == s.held.Version {
-			at = s.refused.retryAt
+		if s.rejected.version == s.newest.Version {
+			at = s.rejected.retryAt
 		}
 	}
-	for _, name := range s.names {
-		if c := s.children[name]; !c.flying && c.needs(s.held.Version) {
+	for _, name := range s.childNames {
+		if c := s.children[name]; !c.inFlight && c.needsUpdate(s.newest.Version) {
 			at = min(at, c.retryAt)
 		}
 	}
-	if u := &s.up; s.parent.Name != "" && !u.flying && u.holding == 0 {
-		at = min(at, max(u.retryAt, s.upDue()))
+	if u := &s.uplink; s.parent.Name != "" && !u.inFlight && u.pendingAnswers == 0 {
+		at = min(at, max(u.retryAt, s.reportDueAt()))
 	}
 	return at
 }
--- a/internal/cluster/configuration/spread/summary.go
+++ b/internal/cluster/configuration/spread/summary.go
@@ -1,6 +1,6 @@
 package spread
 
-// This file sums up how all below stand, within bounds.
+// This file is the bounded summary of a process and all below it.
 
 import (
 	"cmp"
@@ -9,49 +9,50 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// Summary is how this process and all below it stand now.
+// Summary is the state of this process and all below it now.
 func (s *State) Summary(now view.Now) (sum Summary) {
-	if !s.top {
+	if !s.isLeader {
 		sum.Members = 1
-		sum.add(s.inForce, 1)
+		sum.addInForce(s.inForce, 1)
 		if why, is := s.ownLag(now); is {
-			sum.name(why)
+			sum.addLaggard(why)
 		}
 	}
-	for _, name := range s.names {
+	for _, name := range s.childNames {
 		s.addChild(&sum, s.children[name], now)
 	}
-	sum.bound()
+	sum.limit()
 	return sum
 }
 
-// ownLag is this process as a laggard.
+// ownLag is this process as a laggard, and whether it is one.
 func (s *State) ownLag(now view.Now) (Laggard, bool) {
 	l := Laggard{Name: s.self.Name, Version: s.inForce}
 	switch {
-	case s.refused.version == s.held.Version && s.held.Version > 0:
-		l.Reason, l.Text, l.SinceMS = Refused, s.refused.text, (now - s.refused.since).Milliseconds()
+	case s.rejected.version == s.newest.Version && s.newest.Version > 0:
+		l.Reason, l.Text, l.SinceMS = Refused, s.rejected.text, (now - s.rejected.since).Milliseconds()
 	case s.forked:
 		l.Reason = Forked
-	case s.inForce < s.held.Version && now-s.heldSince > NameAfter:
-		l.Reason, l.SinceMS = Behind, (now - s.heldSince).Milliseconds()
+	case s.inForce < s.newest.Version && now-s.newestSince > LaggardAfter:
+		l.Reason, l.SinceMS = Behind, (now - s.newestSince).Milliseconds()
 	default:
 		return l, false
 	}
 	return l, true
 }
 
+// addChild adds what a child has reported.
 func (s *State) addChild(sum *Summary, c *child, now view.Now) {
-	if c.fails > 0 && now-c.failing > NameAfter {
-		sum.name(Laggard{Name: c.life.Name, Version: c.report.InForce, Reason: Unreachable, SinceMS: (now - c.failing).Milliseconds()})
+	if c.failures > 0 && now-c.failingSince > LaggardAfter {
+		sum.addLaggard(Laggard{Name: c.life.Name, Version: c.report.InForce, Reason: Unreachable, SinceMS: (now - c.failingSince).Milliseconds()})
 	}
-	if !c.met {
+	if !c.reported {
 		sum.Members++
 		sum.Unknown++
 		return
 	}
-	if held := c.report.Held; held.Version == s.held.Version && held != s.digest() {
-		sum.name(Laggard{Name: c.life.Name, Version: c.report.InForce, Reason: Forked})
+	if held := c.report.Held; held.Version == s.newest.Version && held != s.digest() {
+		sum.addLaggard(Laggard{Name: c.life.Name, Version: c.report.InForce, Reason: Forked})
 	}
 	of := c.report.Summary
 	sum.Members += of.Members
@@ -59,15 +60,16 @@
 	sum.Older += of.Older
 	sum.Unnamed += of.Unnamed
 	for _, count := range of.InForce {
-		sum.add(count.Version, count.Members)
+		sum.addInForce(count.Version, count.Members)
 	}
 	for _, l := range of.Laggards {
-		l.SinceMS += (now - c.heard).Milliseconds()
-		sum.name(l)
+		l.SinceMS += (now - c.reportedAt).Milliseconds()
+		sum.addLaggard(l)
 	}
 }
 
-func (sum *Summary) add(version uint64, members int) {
+// addInForce adds members that run a version.
+func (sum *Summary) addInForce(version uint64, members int) {
 	i := slices.IndexFunc(sum.InForce, func(c Count) bool { return c.Version == version })
 	if i < 0 {
 		sum.InForce = append(sum.InForce, Count{version, members})
@@ -76,30 +78,30 @@
 	sum.InForce[i].Members += members
 }
 
-// name adds a laggard. One that its parent does not reach is named once, and as that.
-func (sum *Summary) name(l Laggard) {
+// addLaggard adds a laggard, unless its name is there: one that its parent does not reach is listed once, as unreachable.
+func (sum *Summary) addLaggard(l Laggard) {
 	i := slices.IndexFunc(sum.Laggards, func(had Laggard) bool { return had.Name == l.Name })
 	if i < 0 {
 		sum.Laggards = append(sum.Laggards, l)
 	}
 }
 
-// bound brings what grew with children back to what one process may tell.
-func (sum *Summary) bound() {
+// limit reduces what has grown with the children to the bounds of a summary.
+func (sum *Summary) limit() {
 	slices.SortFunc(sum.InForce, func(a, b Count) int { return cmp.Compare(b.Version, a.Version) })
-	for _, c := range sum.InForce[min(len(sum.InForce), MostCounts):] {
+	for _, c := range sum.InForce[min(len(sum.InForce), MaxCounts):] {
 		sum.Older += c.Members
 	}
-	sum.InForce = sum.InForce[:min(len(sum.InForce), MostCounts)]
+	sum.InForce = sum.InForce[:min(len(sum.InForce), MaxCounts)]
 	slices.SortFunc(sum.Laggards, func(a, b Laggard) int {
 		return cmp.Or(cmp.Compare(a.Version, b.Version), cmp.Compare(a.Name, b.Name))
 	})
-	sum.Unnamed += max(len(sum.Laggards)-MostLaggards, 0)
-	sum.Laggards = sum.Laggards[:min(len(sum.Laggards), MostLaggards)]
+	sum.Unnamed += max(len(sum.Laggards)-MaxLaggards, 0)
+	sum.Laggards = sum.Laggards[:min(len(sum.Laggards), MaxLaggards)]
 }
 
-// AtLeast is how many processes run a version or a newer one.
-func (sum Summary) AtLeast(version uint64) (members int) {
+// MembersAtLeast is how many processes run a version or a newer one.
+func (sum Summary) MembersAtLeast(version uint64) (members int) {
 	for _, c := range sum.InForce {
 		if c.Version >= version {
 			members += c.Members
@@ -108,7 +110,7 @@
 	return members
 }
 
-// sameSummary tells whether two say the same, but for how long.
+// sameSummary tells whether two summaries are the same, except for durations.
 func sameSummary(a, b Summary) bool {
 	return a.Members == b.Members && a.Unknown == b.Unknown && a.Older == b.Older && a.Unnamed == b.Unnamed &&
 		slices.Equal(a.InForce, b.InForce) &&
--- a/internal/cluster/purge/run/run.go
+++ b/internal/cluster/purge/run/run.go
@@ -8,6 +8,7 @@
 package run
 
 import (
+	"cmp"
 	"context"
 	"errors"
 	"sync"
@@ -45,6 +46,24 @@
 	Log     *zap.Logger
 }
 
+// complete checks what must be given, and fills in defaults.
+func (o *Options) complete() error {
+	if o.Link == nil || o.Orders == nil || (o.Council == nil) != (o.Ledger == nil) {
+		return errors.New("purge: a link and a sender's orders must be given, and a ledger with a council")
+	}
+	if o.Council == nil {
+		o.Council = ordering.NoConsensus{NotLeading: errNotLeading}
+	}
+	if o.Now == nil {
+		o.Now = ordering.NewClock()
+	}
+	o.CatchUp = cmp.Or(o.CatchUp, catchUpTimeout)
+	if o.Log == nil {
+		o.Log = zap.NewNop()
+	}
+	return nil
+}
+
 // Runner is the purge part of one process.
 type Runner struct {
 	options    Options
@@ -71,27 +90,27 @@
 // Start registers the handlers and starts the goroutines, which Close ends. The sender is asked once which purges it has
 // applied, before Start returns.
 func Start(o Options) (*Runner, error) {
-	if o.Link == nil || o.Orders == nil || (o.Council == nil) != (o.Ledger == nil) {
-		return nil, errors.New("purge: a link and a sender's orders must be given, and a ledger with a council")
-	}
-	if o.Council == nil {
-		o.Council = ordering.NoConsensus{NotLeading: errNotLeading}
-	}
-	if o.Now == nil {
-		o.Now = ordering.NewClock()
-	}
-	if o.CatchUp == 0 {
-		o.CatchUp = catchUpTimeout
-	}
-	if o.Log == nil {
-		o.Log = zap.NewNop()
+	if err := o.complete(); err != nil {
+		return nil, err
 	}
 	r := &Runner{options: o, limiter: make(ordering.Limiter, maxRequests), longestDeadline: o.Longest,
 		state: spread.New(o.Self.Life, o.Self.Folder, o.Orders.Applied())}
 	r.signals = ordering.NewSignals(&r.mu)
 	r.ctx, r.stop = context.WithCancel(context.Background())
-	r.caller = ordering.Caller{Part: "purge", Link: o.Link, Consensus: o.Council, Self: o.Self.Name, Life: r.life, Candidates: r.candidates,
-		Done: r.ctx.Done(), CallTimeout: callTimeout, MinBackoff: stepInterval, MaxBackoff: 16 * stepInterval, ErrNoCandidate: errNoCandidate, ErrUndecided: errUndecided}
+	r.caller = ordering.Caller{
+		Part:           "purge",
+		Link:           o.Link,
+		Consensus:      o.Council,
+		Self:           o.Self.Name,
+		Life:           r.life,
+		Candidates:     r.candidates,
+		Done:           r.ctx.Done(),
+		CallTimeout:    callTimeout,
+		MinBackoff:     stepInterval,
+		MaxBackoff:     16 * stepInterval,
+		ErrNoCandidate: errNoCandidate,
+		ErrUndecided:   errUndecided,
+	}
 	r.registerHandlers()
 	r.registerPublic(o.Link.Public())
 	r.goroutines.Go(r.loop)
