--- a/internal/cluster/configuration/ledger/ledger_test.go
+++ b/internal/cluster/configuration/ledger/ledger_test.go
@@ -77,7 +77,7 @@
 }
 
 // A restore makes a new, higher version with the old content; version 0 is the file before the first change.
-func TestRestoreAVersion(t *testing.T) {
+func TestRestoreOldVersion(t *testing.T) {
 	l := New()
 	apply(t, l, KindDecide, change("a", 0, `{"x":1}`))
 	apply(t, l, KindDecide, change("b", 1, `{"x":2}`))
@@ -111,7 +111,7 @@
 }
 
 // The ledger stays within its bounds, and within those of the consensus group, at any number of changes.
-func TestBounds(t *testing.T) {
+func TestLedgerStaysWithinBounds(t *testing.T) {
 	l := New()
 	large := strings.Repeat("x", 200<<10)
 	for i := range uint64(MaxEntries + 50) {
--- a/internal/cluster/configuration/run/run.go
+++ b/internal/cluster/configuration/run/run.go
@@ -169,12 +169,12 @@
 		case <-r.signals.Wakeups():
 		}
 		r.step()
-		next.Reset(r.rest())
+		next.Reset(r.untilNextStep())
 	}
 }
 
-// rest is how long to wait until the next step.
-func (r *Runner) rest() time.Duration {
+// untilNextStep is how long to wait until the next step.
+func (r *Runner) untilNextStep() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.options.Now()
--- a/internal/cluster/configuration/run/silent_test.go
+++ b/internal/cluster/configuration/run/silent_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-func (s *fakeSender) handed() []uint64 {
+func (s *fakeSender) handedOverVersions() []uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.handedOver)
@@ -68,7 +68,7 @@
 	f, halted, goOn := newFleetWithBlockedSender(t)
 	f.postWithoutWait("c", 2, 3)
 	f.waitFor("the others have version 3", func() bool { return running(f.mustStatus(), 3, 3) })
-	if given := halted.handed(); !slices.Equal(given, []uint64{1, 2}) {
+	if given := halted.handedOverVersions(); !slices.Equal(given, []uint64{1, 2}) {
 		t.Errorf("it was given %v", given)
 	}
 	if cached, err := configuration.LoadCached(halted.folder); err != nil || cached.Version != 2 {
@@ -82,7 +82,7 @@
 }
 
 // When a sender rejects a version late, the version that was stored before it is stored again.
-func TestSilentSenderRefuses(t *testing.T) {
+func TestSilentSenderRejects(t *testing.T) {
 	f, halted, goOn := newFleetWithBlockedSender(t)
 	halted.mu.Lock()
 	halted.failsAtField = `"pace":2`
--- a/internal/cluster/configuration/spread/children.go
+++ b/internal/cluster/configuration/spread/children.go
@@ -21,12 +21,12 @@
 	retryAt      view.Now
 }
 
-// settled tells that a child and all below it have put a version in force, or rejected it.
+// settled reports whether a child and all below it have put a version in force, or rejected it.
 func (c *child) settled(held Digest) bool {
 	return c.reported && c.failures == 0 && c.report.Settled && c.report.Held == held
 }
 
-// needsUpdate tells that a child has to be called: it has not reported yet, lacks the newest version here, or the last
+// needsUpdate reports whether a child has to be called: it has not reported yet, lacks the newest version here, or the last
 // call failed.
 func (c *child) needsUpdate(held uint64) bool {
 	return !c.reported || c.failures > 0 || c.report.Held.Version < held
--- a/internal/cluster/configuration/spread/report.go
+++ b/internal/cluster/configuration/spread/report.go
@@ -81,7 +81,7 @@
 	}
 }
 
-// sameReport tells whether two reports have the same content.
+// sameReport reports whether two reports have the same content.
 func sameReport(a, b Report) bool {
 	return a.Held == b.Held && a.InForce == b.InForce && a.NeedsFull == b.NeedsFull && a.Settled == b.Settled && sameSummary(a.Summary, b.Summary)
 }
@@ -131,7 +131,7 @@
 	u.failures++
 }
 
-// ParentUnreachable tells that the parent has not been reached for a while, so that another process has to be asked for
+// ParentUnreachable reports whether the parent has not been reached for a while, so that another process has to be asked for
 // newer versions.
 func (s *State) ParentUnreachable() bool { return s.uplink.failures >= failuresUntilUnreachable }
 
--- a/internal/cluster/configuration/spread/spread_test.go
+++ b/internal/cluster/configuration/spread/spread_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"fmt"
 	"testing"
 	"time"
 
@@ -199,7 +198,7 @@
 
 // An update to an earlier incarnation is answered by the next one, which then counts its answer as reported: the parent
 // must not drop it. (Found by TestFaults: the leader knew of later changes only half a minute late.)
-func TestAnswerOfTheNextLife(t *testing.T) {
+func TestAnswerOfNextIncarnation(t *testing.T) {
 	document, err := configuration.NewDocument(3, json.RawMessage(`{}`))
 	if err != nil {
 		t.Fatal(err)
@@ -267,91 +266,3 @@
 		t.Fatalf("%+v", sum)
 	}
 }
-
-// A summary is bounded, whatever the number of children, versions and laggards.
-func TestSummaryIsBounded(t *testing.T) {
-	s := New(view.Life{Name: "p", Incarnation: 1}, configuration.Document{Version: 2000, Sum: "x"}, 2000)
-	var children []view.Life
-	for i := range 1000 {
-		children = append(children, view.Life{Name: view.Name(fmt.Sprintf("a-rather-long-name-of-a-process-%05d", i)), Incarnation: 1 << 50})
-	}
-	s.SetTree(Parent{}, children, 0)
-	for i, life := range children {
-		version := uint64(i + 1)
-		s.HandleReport(Report{From: life, ReportNo: 1, Held: Digest{version, "y"}, InForce: version, Summary: Summary{Members: 1,
-			InForce:  []Count{{version, 1}},
-			Laggards: []Laggard{{life.Name, version, Refused, truncated(string(make([]byte, 3*maxReasonBytes))), 1}}}}, 0)
-	}
-	sum := s.Summary(time.Minute)
-	if sum.Members != 1001 || len(sum.Laggards) != MaxLaggards || sum.Unnamed != 1000-MaxLaggards || len(sum.InForce) != MaxCounts {
-		t.Fatalf("%+v", sum)
-	}
-	total := sum.Older
-	for _, c := range sum.InForce {
-		total += c.Members
-	}
-	if total != 1001 {
-		t.Fatal(total)
-	}
-	sum.Laggards[0].Text = ""
-	if text, err := json.Marshal(sum); err != nil || len(text) > MaxLaggards*8*maxReasonBytes {
-		t.Fatal(len(text), err)
-	}
-}
-
-// A reader skips unknown fields, and arbitrary bytes cause no panic.
-func FuzzTake(f *testing.F) {
-	f.Add([]byte(`{"from":{"name":"p"},"h":{"v":2,"s":"x"},"c":{"v":2,"s":"x","b":{"v":1},"p":{"a":1},"later":[1]},"later":{}}`))
-	f.Add([]byte(`{"h":{"v":3},"c":{"v":3,"w":"H4sIAAAAAAAA"}}`))
-	f.Fuzz(func(t *testing.T, text []byte) {
-		var d Update
-		if json.Unmarshal(text, &d) != nil {
-			return
-		}
-		held, err := configuration.NewDocument(1, json.RawMessage(`{"a":0}`))
-		if err != nil {
-			t.Fatal(err)
-		}
-		s := New(view.Life{Name: "p", Incarnation: 1}, held, 1)
-		s.HandleUpdate(d, 0)
-		if got := s.Newest(); got.Version < 1 || configuration.SumOf(got.Settings) != got.Sum {
-			t.Fatalf("%+v", got)
-		}
-	})
-}
-
-func TestRosterAndProgress(t *testing.T) {
-	member := func(name view.Name, state view.State) view.Member {
-		return view.Member{Life: view.Life{Name: name, Incarnation: 1}, State: state}
-	}
-	var r Roster
-	r.UpdateView(view.Make("a", 1, []view.Member{member("a", view.Alive), member("b", view.Alive), member("c", view.Alive)}), 0)
-	r.RecordSummary(Summary{Members: 3, InForce: []Count{{7, 2}, {5, 1}}, Laggards: []Laggard{{Name: "c", Version: 5, Reason: Refused}}})
-	r.RecordSummary(Summary{Members: 2, InForce: []Count{{9, 2}}}) // leaves one out
-	r.UpdateView(view.Make("a", 2, []view.Member{member("a", view.Alive), member("b", view.Dead), member("c", view.Dead)}), time.Second)
-	away, more := r.AbsentMembers(3 * time.Second)
-	if len(away) != 2 || more != 0 || away[0].Version != 7 || !away[0].VersionKnown || away[1].Version != 5 || away[1].SinceMS != 2000 || r.PresentCount() != 1 {
-		t.Fatalf("%+v", away)
-	}
-	r.UpdateView(view.Make("a", 3, []view.Member{member("a", view.Alive), member("b", view.Left), member("c", view.Alive)}), 4*time.Second)
-	if away, _ := r.AbsentMembers(4 * time.Second); len(away) != 0 || r.PresentCount() != 2 {
-		t.Fatalf("%+v", away)
-	}
-
-	var p Progress
-	p.Begin(3, true, time.Second)
-	p.RecordInForce(1, 4, 1100*time.Millisecond)
-	p.RecordInForce(2, 4, 1200*time.Millisecond)
-	p.RecordInForce(4, 4, 1500*time.Millisecond)
-	if p.At50 != 200*time.Millisecond || p.At95 != 500*time.Millisecond || p.At100 != 500*time.Millisecond {
-		t.Fatalf("%+v", p)
-	}
-	p.Begin(2, true, 2*time.Second)
-	if p.Version != 3 {
-		t.Fatal("back to an older version")
-	}
-	p.Begin(4, false, 2*time.Second)
-	if p.RecordInForce(4, 4, 3*time.Second); p.At100 != 0 {
-		t.Fatal("a time that was not seen from the start")
-	}
-}
--- a/internal/cluster/configuration/spread/state.go
+++ b/internal/cluster/configuration/spread/state.go
@@ -238,12 +238,12 @@
 // truncated cuts a text to the bound of a reason.
 func truncated(text string) string { return text[:min(len(text), maxReasonBytes)] }
 
-// SelfSettled tells that the newest version is in force at this process, or was rejected.
+// SelfSettled reports whether the newest version is in force at this process, or was rejected.
 func (s *State) SelfSettled() bool {
 	return s.isLeader || s.inForce >= s.newest.Version || s.rejected.version == s.newest.Version
 }
 
-// Settled tells that this process and all below it have put the newest version in force, or rejected it.
+// Settled reports whether this process and all below it have put the newest version in force, or rejected it.
 func (s *State) Settled() bool {
 	if !s.SelfSettled() {
 		return false
--- a/internal/cluster/configuration/spread/summary.go
+++ b/internal/cluster/configuration/spread/summary.go
@@ -110,7 +110,7 @@
 	return members
 }
 
-// sameSummary tells whether two summaries are the same, except for durations.
+// sameSummary reports whether two summaries are the same, except for durations.
 func sameSummary(a, b Summary) bool {
 	return a.Members == b.Members && a.Unknown == b.Unknown && a.Older == b.Older && a.Unnamed == b.Unnamed &&
 		slices.Equal(a.InForce, b.InForce) &&
--- a/internal/cluster/consensus/consensus.go
+++ b/internal/cluster/consensus/consensus.go
@@ -39,7 +39,7 @@
 type Group struct {
 	options       Options
 	self          voters.ID
-	stream        *stream
+	stream        *streamLayer
 	transport     *transport
 	store         *raftboltdb.BoltStore
 	raft          *raft.Raft
--- a/internal/cluster/consensus/options.go
+++ b/internal/cluster/consensus/options.go
@@ -74,7 +74,7 @@
 	Founders []view.Name                    // the initial voters, the same at all processes; 1 to 5
 	Parts    map[string]machine.Part
 	Log      *zap.Logger
-	// Cut tells whether the link to a process is cut: connections to it break, and none can be made. It is for tests in
+	// Cut reports whether the link to a process is cut: connections to it break, and none can be made. It is for tests in
 	// the lab, and may be nil.
 	Cut func(view.Name) bool
 	// Applied is called with the index after commands were applied, once for several perhaps. One goroutine calls it,
--- a/internal/cluster/consensus/propose.go
+++ b/internal/cluster/consensus/propose.go
@@ -126,7 +126,7 @@
 	return nameOf(id), id != ""
 }
 
-// Leading tells whether this server leads and has applied all earlier entries. One that is partitioned from the others
+// Leading reports whether this server leads and has applied all earlier entries. One that is partitioned from the others
 // may believe so for HeartbeatTimeout at most.
 func (g *Group) Leading() bool {
 	return g.raft.State() == raft.Leader && g.leadingTerm.Load() == g.raft.CurrentTerm()
@@ -181,7 +181,7 @@
 	return names
 }
 
-// Voted tells whether the folder holds records of a group, which is published as view.Member.Voted.
+// Voted reports whether the folder holds records of a group, which is published as view.Member.Voted.
 func (g *Group) Voted() bool { return g.raft.LastIndex() > 0 }
 
 // Addr is the address on which the group listens.
--- a/internal/cluster/consensus/stream.go
+++ b/internal/cluster/consensus/stream.go
@@ -37,9 +37,9 @@
 	errTooManyConnections = errors.New("too many connections")
 )
 
-// stream carries the library's calls over connections whose handshake identified both ends. It implements
+// streamLayer carries the library's calls over connections whose handshake identified both ends. It implements
 // raft.StreamLayer.
-type stream struct {
+type streamLayer struct {
 	listener          net.Listener
 	cluster           string
 	self              raft.ServerAddress
@@ -57,12 +57,12 @@
 }
 
 // listen opens the port and starts to accept connections, until Close.
-func listen(o Options, self raft.ServerAddress) (*stream, error) {
+func listen(o Options, self raft.ServerAddress) (*streamLayer, error) {
 	l, err := net.Listen("tcp", o.Listen)
 	if err != nil {
 		return nil, err
 	}
-	s := &stream{
+	s := &streamLayer{
 		listener:       l,
 		cluster:        o.Cluster,
 		self:           self,
@@ -79,7 +79,7 @@
 }
 
 // acceptLoop starts a handshake for each incoming connection, in a goroutine that ends within handshakeTimeout.
-func (s *stream) acceptLoop() {
+func (s *streamLayer) acceptLoop() {
 	defer s.goroutines.Done()
 	for {
 		conn, err := s.listener.Accept()
@@ -102,7 +102,7 @@
 }
 
 // handshake answers the caller's upgrade request and passes the connection on to Accept.
-func (s *stream) handshake(conn net.Conn) {
+func (s *streamLayer) handshake(conn net.Conn) {
 	defer s.goroutines.Done()
 	_ = conn.SetDeadline(time.Now().Add(handshakeTimeout))
 	request, err := http.ReadRequest(bufio.NewReader(conn))
@@ -133,7 +133,7 @@
 }
 
 // track registers a connection, which Close ends at the latest. It closes one that is not taken.
-func (s *stream) track(conn net.Conn, peer view.Name) (*countedConn, error) {
+func (s *streamLayer) track(conn net.Conn, peer view.Name) (*countedConn, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	select {
@@ -152,7 +152,7 @@
 }
 
 // closeConnections closes all connections; calls on them fail, and the library makes new ones.
-func (s *stream) closeConnections() {
+func (s *streamLayer) closeConnections() {
 	s.mu.Lock()
 	connections := slices.Collect(maps.Keys(s.connections))
 	s.mu.Unlock()
@@ -162,7 +162,7 @@
 }
 
 // Dial connects to the server at an address, which is its ID: its name and the folder that it must still have.
-func (s *stream) Dial(address raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
+func (s *streamLayer) Dial(address raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
 	peer := nameOf(raft.ServerID(address))
 	hostPort, found := s.addressOf(peer)
 	if !found || s.isPartitioned(peer) {
@@ -186,7 +186,7 @@
 }
 
 // requestUpgrade makes the caller's side of the handshake.
-func (s *stream) requestUpgrade(conn net.Conn, hostPort string, address raft.ServerAddress) error {
+func (s *streamLayer) requestUpgrade(conn net.Conn, hostPort string, address raft.ServerAddress) error {
 	request, err := http.NewRequest(http.MethodGet, "http://"+hostPort+"/", nil)
 	if err != nil {
 		return err
@@ -210,7 +210,7 @@
 }
 
 // Accept returns the next incoming connection whose handshake is done.
-func (s *stream) Accept() (net.Conn, error) {
+func (s *streamLayer) Accept() (net.Conn, error) {
 	select {
 	case conn := <-s.handshaken:
 		return conn, nil
@@ -220,7 +220,7 @@
 }
 
 // Close closes the listener and all connections.
-func (s *stream) Close() error {
+func (s *streamLayer) Close() error {
 	var err error
 	s.closeOnce.Do(func() {
 		close(s.closed)
@@ -231,7 +231,7 @@
 }
 
 // Addr is this server's address: its ID.
-func (s *stream) Addr() net.Addr { return streamAddr(s.self) }
+func (s *streamLayer) Addr() net.Addr { return streamAddr(s.self) }
 
 // streamAddr is the address of a server: its ID.
 type streamAddr string
@@ -245,12 +245,12 @@
 // countedConn counts the bytes that a connection carries.
 type countedConn struct {
 	net.Conn
-	stream *stream
+	stream *streamLayer
 	peer   view.Name // who was dialled; "" for an incoming connection
 }
 
-// isPartitioned tells whether a test has cut the link to a process (Options.Cut).
-func (s *stream) isPartitioned(peer view.Name) bool {
+// isPartitioned reports whether a test has cut the link to a process (Options.Cut).
+func (s *streamLayer) isPartitioned(peer view.Name) bool {
 	return s.partitioned != nil && peer != "" && s.partitioned(peer)
 }
 
--- a/internal/cluster/consensus/voters/voters.go
+++ b/internal/cluster/consensus/voters/voters.go
@@ -115,18 +115,18 @@
 
 func majority(reached, of int) bool { return reached > of/2 }
 
-// reachable tells whether a server answers the leader.
+// reachable reports whether a server answers the leader.
 func (p *planner) reachable(s Server) bool {
 	return s.ID == p.Leader || s.SilentFor < p.rule.UnreachableAfter && !p.replaced(s.ID)
 }
 
-// replaced tells whether a server's name is in the view with another folder, so that the server will never come back.
+// replaced reports whether a server's name is in the view with another folder, so that the server will never come back.
 func (p *planner) replaced(id ID) bool {
 	m, found := p.View.Find(id.Name)
 	return found && m.Here() && m.Folder != id.Folder
 }
 
-// isDead tells whether a server counts as dead. One that is silent but in the view does not: it may be the link's fault.
+// isDead reports whether a server counts as dead. One that is silent but in the view does not: it may be the link's fault.
 func (p *planner) isDead(s Server) bool {
 	if s.ID == p.Leader {
 		return false
@@ -138,7 +138,7 @@
 	return s.SilentFor >= p.rule.DeadAfter && (!found || !m.Here())
 }
 
-// safeWithout tells whether the reachable voters are a majority once this one is removed.
+// safeWithout reports whether the reachable voters are a majority once this one is removed.
 func (p *planner) safeWithout(id ID) bool {
 	reached := p.reachableVoters
 	for _, v := range p.voters {
@@ -149,7 +149,7 @@
 	return majority(reached, len(p.voters)-1)
 }
 
-// betterWithout tells whether a dead voter should be removed even though there is no replacement: an odd number of
+// betterWithout reports whether a dead voter should be removed even though there is no replacement: an odd number of
 // voters tolerates as many failures as the even number above it, and without two dead voters it tolerates one more.
 func (p *planner) betterWithout() bool {
 	dead := 0
@@ -251,51 +251,3 @@
 	}
 	return best, found
 }
-
-// placedServer is a server with what decides how well it is placed.
-type placedServer struct {
-	ID
-	zone   view.Zone
-	region view.Region
-	size   view.Size
-}
-
-// votersWithout are all voters but one. A voter that is not in the view has an empty zone and region.
-func (p *planner) votersWithout(id ID) []placedServer {
-	var rest []placedServer
-	for _, v := range p.voters {
-		if v.ID == id {
-			continue
-		}
-		m, _ := p.View.Find(v.Name)
-		rest = append(rest, placedServer{v.ID, m.Zone, m.Region, m.Size})
-	}
-	return rest
-}
-
-// cost is how badly votes are spread: pairs in the same region, pairs in the same zone, and votes of small processes,
-// compared in this order. Less is better.
-type cost struct{ sameRegion, sameZone, small int }
-
-func (s cost) less(o cost) bool {
-	return cmp.Or(cmp.Compare(s.sameRegion, o.sameRegion), cmp.Compare(s.sameZone, o.sameZone), cmp.Compare(s.small, o.small)) < 0
-}
-
-// placementCost is the cost of a set of voters.
-func (p *planner) placementCost(all []placedServer) cost {
-	var s cost
-	for i, a := range all {
-		if a.size == view.Small {
-			s.small++
-		}
-		for _, b := range all[:i] {
-			if a.region == b.region {
-				s.sameRegion++
-			}
-			if a.zone == b.zone {
-				s.sameZone++
-			}
-		}
-	}
-	return s
-}
--- a/internal/cluster/consensus/voters/voters_test.go
+++ b/internal/cluster/consensus/voters/voters_test.go
@@ -15,14 +15,14 @@
 
 // simulation is a fleet in which processes die, return and lose their disks, and a group that makes Next's changes.
 type simulation struct {
-	members map[view.Name]*view.Member
-	silence map[ID]time.Duration
-	servers []Server
-	leader  ID
+	members   map[view.Name]*view.Member
+	silentFor map[ID]time.Duration
+	servers   []Server
+	leader    ID
 }
 
 func newSimulation(t *rapid.T) *simulation {
-	w := &simulation{members: map[view.Name]*view.Member{}, silence: map[ID]time.Duration{}}
+	w := &simulation{members: map[view.Name]*view.Member{}, silentFor: map[ID]time.Duration{}}
 	zones := rapid.IntRange(1, 6).Draw(t, "zones")
 	for i := range rapid.IntRange(1, 12).Draw(t, "processes") {
 		zone := rapid.IntRange(0, zones-1).Draw(t, "zone")
@@ -82,7 +82,7 @@
 	for i := range w.servers {
 		w.servers[i].SilentFor = 0
 		if !w.up(w.servers[i].ID) {
-			w.servers[i].SilentFor = w.silence[w.servers[i].ID]
+			w.servers[i].SilentFor = w.silentFor[w.servers[i].ID]
 		}
 	}
 	up, of := w.counts()
@@ -159,24 +159,24 @@
 			"die": func(t *rapid.T) {
 				m := pick(t)
 				m.State = rapid.SampledFrom([]view.State{view.Dead, view.Left}).Draw(t, "how")
-				w.silence[ID{m.Name, m.Folder}] = 2 * rule.UnreachableAfter
-				for id, silence := range w.silence { // what the name was before as well
+				w.silentFor[ID{m.Name, m.Folder}] = 2 * rule.UnreachableAfter
+				for id, silence := range w.silentFor { // what the name was before as well
 					if id.Name == m.Name {
-						w.silence[id] = max(silence, 2*rule.UnreachableAfter)
+						w.silentFor[id] = max(silence, 2*rule.UnreachableAfter)
 					}
 				}
 			},
 			"for good": func(t *rapid.T) {
-				for id := range w.silence {
+				for id := range w.silentFor {
 					if !w.up(id) {
-						w.silence[id] = rule.DeadAfter
+						w.silentFor[id] = rule.DeadAfter
 					}
 				}
 			},
 			"return": func(t *rapid.T) { pick(t).State = view.Alive },
 			"lose its disk": func(t *rapid.T) {
 				m := pick(t)
-				w.silence[ID{m.Name, m.Folder}] = 0 // the leader has not noticed yet
+				w.silentFor[ID{m.Name, m.Folder}] = 0 // the leader has not noticed yet
 				m.Folder += "1"
 				m.State = view.Alive
 			},
@@ -205,7 +205,7 @@
 }
 
 // Five of twelve in six zones of three regions: two, two and one by region, and no zone twice.
-func TestSpread(t *testing.T) {
+func TestVotesSpreadOverZones(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newSimulation(t)
 		w.members = map[view.Name]*view.Member{}
@@ -229,7 +229,7 @@
 }
 
 // A dead voter without a replacement stays while its removal gains nothing: of five voters with one dead, not with two.
-func TestNoneStandsIn(t *testing.T) {
+func TestDeadVoterWithoutReplacementStays(t *testing.T) {
 	for dead, want := range []bool{false, false, true} {
 		s := State{Leader: ID{"a", "1"}}
 		var members []view.Member
--- a/internal/cluster/ordering/caller.go
+++ b/internal/cluster/ordering/caller.go
@@ -5,6 +5,7 @@
 import (
 	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"time"
 
@@ -68,7 +69,7 @@
 	lastErr := c.ErrUndecided
 	return c.retry(ctx, c.MinBackoff, c.MaxBackoff, "not known to be decided", func() error {
 		err := c.askLeader(ctx, here, path, in, out)
-		if err != nil && err != c.ErrNoCandidate {
+		if err != nil && !errors.Is(err, c.ErrNoCandidate) {
 			lastErr = err // a candidate's error says more than that there is none now
 		}
 		if err != nil {
--- a/internal/cluster/ordering/orderingtest/orderingtest.go
+++ b/internal/cluster/ordering/orderingtest/orderingtest.go
@@ -198,7 +198,7 @@
 	return c.net.leader, c.net.leader != "" && !c.net.down[c.self]
 }
 
-// Leading tells whether this process leads.
+// Leading reports whether this process leads.
 func (c Consensus) Leading() bool {
 	name, known := c.Leader()
 	return known && name == c.self
--- a/internal/cluster/purge/ledger/ledger_test.go
+++ b/internal/cluster/purge/ledger/ledger_test.go
@@ -100,7 +100,7 @@
 }
 
 // Ten thousand purges are accepted, closed and compacted within the bounds; an open one is never dropped.
-func TestTenThousand(t *testing.T) {
+func TestTenThousandPurges(t *testing.T) {
 	l := New()
 	mustApply[JoinResult](t, l, 0, KindJoin, Join{Participants: []Participant{participant("p", 1)}})
 	for i := range MaxFullRecords {
--- a/internal/cluster/purge/run/run.go
+++ b/internal/cluster/purge/run/run.go
@@ -122,7 +122,7 @@
 // message of an earlier incarnation may be sent.
 func (r *Runner) Ready() <-chan struct{} { return r.signals.Ready() }
 
-// CaughtUp tells whether this process is a participant and has applied all purges that were opened before that.
+// CaughtUp reports whether this process is a participant and has applied all purges that were opened before that.
 func (r *Runner) CaughtUp() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- /dev/null
+++ b/internal/cluster/purge/spread/network_test.go
@@ -0,0 +1,136 @@
+package spread
+
+// This file is the simulated network, and what the processes send over it.
+
+import (
+	"slices"
+	"time"
+
+	"flaxcove/internal/cluster/purge/ledger"
+	"flaxcove/internal/cluster/view"
+	"flaxcove/internal/sender/together"
+)
+
+type envelope struct{ deliver, fail func() }
+
+// step has each state say what is due; messages go to the network.
+func (w *simulation) step() {
+	if w.ledger.LastSeq() > w.leaderState.HasSeq() || w.ledger.OldestOpen() > w.leaderState.oldestOpen {
+		var all []together.Purge
+		for _, r := range w.ledger.Since(w.leaderState.HasSeq(), 1<<20) {
+			all = append(all, r.ToPurge(w.now-r.At))
+		}
+		w.leaderState.AddPurges(all, w.ledger.LastSeq(), w.ledger.OldestOpen(), w.ledger.Horizon(), w.now)
+	}
+	w.leaderState.SetParticipants(w.ledger.Participants(), w.ledger.RosterVersion())
+	root := slices.Index(w.tree, -1)
+	w.leaderState.SetRoot(w.processes[root].life(), w.now)
+	g := w.leaderState
+	for _, to := range w.leaderState.DueUpdates(w.now) {
+		w.sendUpdate(to, func(up Report) { g.HandleRootAnswer(to.Child, up, w.now) }, func() { g.UpdateFailed(to.Child, w.now) })
+	}
+	if c, any := w.leaderState.NextClose(256, w.now); any {
+		close := func() {
+			was := w.ledger.OldestOpen()
+			var done ledger.CloseResult
+			w.propose(ledger.KindClose, c, &done)
+			for ; was < w.ledger.OldestOpen(); was++ {
+				w.closedAt[was] = w.ledger.Revision()
+			}
+		}
+		w.network = append(w.network, envelope{close, func() {}})
+	}
+	for _, p := range w.processes {
+		if !p.alive {
+			continue
+		}
+		st := p.state
+		for _, to := range st.DueUpdates(w.now) {
+			w.count(p.name, to.Child.Name)
+			w.sendUpdate(to, func(up Report) { st.HandleAnswer(to.Child, up, w.now) }, func() { st.UpdateFailed(to.Child, w.now) })
+		}
+		if up, due := st.DueReport(w.now); due {
+			to := st.parent
+			w.network = append(w.network, envelope{func() {
+				a, ok := w.handleReport(to, up)
+				if !ok {
+					st.ReportFailed(to, w.now)
+					return
+				}
+				w.network = append(w.network, envelope{func() { st.ReportAnswered(to, a, w.now) }, func() { st.ReportFailed(to, w.now) }})
+			}, func() { st.ReportFailed(to, w.now) }})
+		}
+		if all := st.NextBatch(w.now); all != nil {
+			found := w.apply(p, all)
+			st.BatchApplied(p.disk.applied, found, w.now)
+		}
+	}
+}
+
+func (w *simulation) count(names ...view.Name) {
+	if slices.Contains(names, w.processes[slices.Index(w.tree, -1)].name) {
+		w.rootCalls++
+	}
+}
+
+func (w *simulation) handleReport(to Parent, up Report) (ReportAnswer, bool) {
+	if to.IsLeader {
+		if to.Life != w.processes[w.leader].life() {
+			return ReportAnswer{}, false
+		}
+		return w.leaderState.HandleRootReport(up, w.now), true
+	}
+	for _, p := range w.processes {
+		if p.life() == to.Life && p.alive {
+			w.count(to.Name)
+			return p.state.HandleReport(up, w.now), true
+		}
+	}
+	return ReportAnswer{}, false
+}
+
+// sendUpdate carries one update; its answer waits for the processes below, as in package run.
+func (w *simulation) sendUpdate(to Outgoing, answered func(Report), failed func()) {
+	w.network = append(w.network, envelope{func() {
+		for _, p := range w.processes {
+			if p.life() != to.Child || !p.alive {
+				continue
+			}
+			st := p.state
+			st.HandleUpdate(to.Update, w.now)
+			st.BeginAnswer()
+			until := w.now + MaxAnswerDelay
+			var wait func()
+			wait = func() {
+				if !st.Settled() && w.now < until {
+					w.network = append(w.network, envelope{wait, wait})
+					return
+				}
+				up := st.Answer(to.Update, w.now)
+				w.network = append(w.network, envelope{func() { answered(up) }, failed})
+			}
+			wait()
+			return
+		}
+		failed()
+	}, failed})
+}
+
+// settle runs without lost messages until all purges are closed, for a number of ticks at most.
+func (w *simulation) settle(most int) {
+	for left := most; left > 0; left-- {
+		w.now += 10 * time.Millisecond
+		w.step()
+		net := w.network
+		w.network = nil
+		for _, m := range net {
+			m.deliver()
+		}
+		for _, p := range w.processes {
+			w.catchUp(p)
+		}
+		if w.ledger.OldestOpen() > w.ledger.LastSeq() {
+			left = min(left, 6) // and those that only catch up
+		}
+	}
+}
--- a/internal/cluster/purge/spread/report.go
+++ b/internal/cluster/purge/spread/report.go
@@ -56,7 +56,7 @@
 	return slices.CompactFunc(all, func(a, b Progress) bool { return a.Name == b.Name })
 }
 
-// Settled tells whether this process and all below it have applied all purges that this process has.
+// Settled reports whether this process and all below it have applied all purges that this process has.
 func (s *State) Settled() bool {
 	if !s.isLeader && s.appliedSeq < s.hasSeq {
 		return false
--- a/internal/cluster/purge/spread/state.go
+++ b/internal/cluster/purge/spread/state.go
@@ -124,7 +124,7 @@
 	s.prune(now)
 }
 
-// obsolete tells that no process can need a purge any more: it is closed and past the horizon. Purges of learned state
+// obsolete reports whether no process can need a purge any more: it is closed and past the horizon. Purges of learned state
 // have no horizon.
 func (s *State) obsolete(h heldPurge, now view.Now) bool {
 	return h.Seq < s.oldestOpen && !h.Learnt && s.horizon > 0 && h.age(now) > s.horizon
