--- a/internal/cluster/configuration/run/http.go
+++ b/internal/cluster/configuration/run/http.go
@@ -92,7 +92,7 @@
 	decided, err := r.propose(ctx, request)
 	switch {
 	case err != nil:
-		ordering.WriteRetryLater(w, "1", ordering.ErrorResponse{Error: err.Error() + "; order it again under the same id"})
+		ordering.WriteRetryLater(w, ordering.RetrySoon, ordering.ErrorResponse{Error: err.Error() + "; order it again under the same id"})
 		return
 	case decided.Conflict:
 		ordering.WriteJSON(w, http.StatusConflict, ordering.ErrorResponse{Error: decided.Rejected, Field: decided.Field, Current: &decided.Current})
@@ -148,7 +148,7 @@
 	s, err := r.queryStatus(ctx, version)
 	switch {
 	case err != nil:
-		ordering.WriteRetryLater(w, "1", ordering.ErrorResponse{Error: err.Error()})
+		ordering.WriteRetryLater(w, ordering.RetrySoon, ordering.ErrorResponse{Error: err.Error()})
 	case version != nil && s.Settings == nil:
 		ordering.WriteJSON(w, http.StatusNotFound, ordering.ErrorResponse{Field: "version", Error: "this version is not held, or not held any more"})
 	default:
--- a/internal/cluster/consensus/consensus.go
+++ b/internal/cluster/consensus/consensus.go
@@ -94,7 +94,7 @@
 	if g.stream, err = listen(o, raft.ServerAddress(raftID(g.self))); err != nil {
 		return nil, errors.Join(err, g.store.Close())
 	}
-	g.transport = newTransport(g, max(2*o.HeartbeatTimeout, time.Second), logger)
+	g.transport = newTransport(g, max(2*o.HeartbeatTimeout, minCallTimeout), logger)
 	cached, err := raft.NewLogCache(trailingLogs, g.store)
 	if err == nil {
 		g.raft, err = raft.NewRaft(g.raftConfig(logger), (*fsm)(g), cached, g.store, snaps, g.transport)
--- a/internal/cluster/consensus/membership.go
+++ b/internal/cluster/consensus/membership.go
@@ -14,9 +14,16 @@
 	"flaxcove/internal/cluster/view"
 )
 
+// unreachableHeartbeats is after how many heartbeat timeouts without an answer a server counts as unreachable.
+const unreachableHeartbeats = 2
+
 // adjustVoters makes the change of voters that is due, if there is one.
 func (g *Group) adjustVoters(m *maintenance, v *view.View) {
-	rule := voters.Rule{MaxVoters: maxVoters, DeadAfter: g.options.ReplaceDeadAfter, UnreachableAfter: 2 * g.options.HeartbeatTimeout}
+	rule := voters.Rule{
+		MaxVoters:        maxVoters,
+		DeadAfter:        g.options.ReplaceDeadAfter,
+		UnreachableAfter: unreachableHeartbeats * g.options.HeartbeatTimeout,
+	}
 	now := time.Now()
 	if now.Sub(m.leadingSince) < rule.UnreachableAfter {
 		return // which servers are reachable is not known yet
--- a/internal/cluster/consensus/options.go
+++ b/internal/cluster/consensus/options.go
@@ -47,6 +47,7 @@
 	catchUpRetryDelay         = time.Minute           // before a server that did not catch up is staged again
 	removedElectionTimeout    = 2 * time.Minute       // of a server that was removed and that no leader calls
 	leadershipRetryDelay      = 20 * time.Millisecond // after earlier entries could not be applied
+	minCallTimeout            = time.Second           // of one raft call, unless two heartbeat timeouts are longer
 	closeTimeout              = 3 * time.Second
 	leadershipTransferTimeout = time.Second
 )
--- a/internal/cluster/consensus/transport.go
+++ b/internal/cluster/consensus/transport.go
@@ -29,6 +29,9 @@
 	proposed chan struct{} // closed when something is proposed
 }
 
+// connectionsPerPeer bounds the idle connections to one peer.
+const connectionsPerPeer = 2
+
 // peer is what is known of one server that is called. Servers no longer in the configuration are dropped (retainPeers).
 type peer struct {
 	lastSent, lastAnswered time.Time
@@ -47,7 +50,7 @@
 		removedAt: group.removedAt, onRemoved: group.recordRemoval, onLeaderCall: group.recordLeaderCall,
 		peers: map[raft.ServerID]*peer{}, proposed: make(chan struct{})}
 	t.NetworkTransport = raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{
-		Stream: group.stream, MaxPool: 2, Timeout: timeout, Logger: logger.logger(),
+		Stream: group.stream, MaxPool: connectionsPerPeer, Timeout: timeout, Logger: logger.logger(),
 		MaxRPCsInFlight: 1, // no pipelines: each answer passes AppendEntries below
 	})
 	t.goroutines.Add(1)
--- a/internal/cluster/ordering/http.go
+++ b/internal/cluster/ordering/http.go
@@ -12,6 +12,9 @@
 // maxWait bounds the query parameter for=.
 const maxWait = 60 * time.Second
 
+// RetrySoon is the Retry-After, in seconds, of an order that may succeed at once.
+const RetrySoon = "1"
+
 // ErrorResponse is the body of an answer to an order that is rejected or failed.
 type ErrorResponse struct {
 	Error   string  `json:"error"`
@@ -30,7 +33,7 @@
 			defer func() { <-l }()
 			handler(w, request)
 		default:
-			WriteRetryLater(w, "1", ErrorResponse{Error: "too many orders at once; come back"})
+			WriteRetryLater(w, RetrySoon, ErrorResponse{Error: "too many orders at once; come back"})
 		}
 	}
 }
--- a/internal/cluster/purge/run/catchup.go
+++ b/internal/cluster/purge/run/catchup.go
@@ -108,7 +108,7 @@
 		}
 		select {
 		case <-changed:
-		case <-time.After(2 * stepInterval):
+		case <-time.After(catchUpInterval):
 		case <-ctx.Done():
 		}
 	}
--- a/internal/cluster/purge/run/http.go
+++ b/internal/cluster/purge/run/http.go
@@ -15,6 +15,8 @@
 	maxRequests  = 64       // concurrent requests; more get 503
 	maxBodyBytes = 16 << 10 // an order within all bounds is under 4 KB
 	pollInterval = 100 * time.Millisecond
+
+	retryWhenFull = "5" // seconds: Retry-After while the ledger is full
 )
 
 // orderResponse is the answer to an order.
@@ -49,12 +51,12 @@
 	defer cancel()
 	var opened ledger.OpenResult
 	if err := r.propose(ctx, ledger.KindOpen, order, &opened); err != nil {
-		ordering.WriteRetryLater(w, "1", ordering.ErrorResponse{Error: err.Error() + "; order it again under the same id"})
+		ordering.WriteRetryLater(w, ordering.RetrySoon, ordering.ErrorResponse{Error: err.Error() + "; order it again under the same id"})
 		return
 	}
 	switch {
 	case opened.Full:
-		ordering.WriteRetryLater(w, "5", ordering.ErrorResponse{Error: opened.Rejected})
+		ordering.WriteRetryLater(w, retryWhenFull, ordering.ErrorResponse{Error: opened.Rejected})
 		return
 	case opened.Rejected != "":
 		ordering.WriteJSON(w, http.StatusConflict, ordering.ErrorResponse{Error: opened.Rejected, Field: opened.Field})
@@ -97,7 +99,7 @@
 	s, err := r.queryStatus(ctx, request.PathValue("id"))
 	switch {
 	case err != nil:
-		ordering.WriteRetryLater(w, "1", ordering.ErrorResponse{Error: err.Error()})
+		ordering.WriteRetryLater(w, ordering.RetrySoon, ordering.ErrorResponse{Error: err.Error()})
 	case !s.Known:
 		ordering.WriteJSON(w, http.StatusNotFound, ordering.ErrorResponse{Field: "id",
 			Error: "no purge has this id, or it was forgotten as one of the oldest"})
--- a/internal/cluster/purge/run/run.go
+++ b/internal/cluster/purge/run/run.go
@@ -26,6 +26,9 @@
 // Tuned values.
 const (
 	stepInterval          = 25 * time.Millisecond // between steps, besides those at once after a change
+	maxBackoff            = 16 * stepInterval     // between attempts of a proposal, from stepInterval on
+	queryInterval         = 4 * stepInterval      // between attempts to reach the leader for a status
+	catchUpInterval       = 2 * stepInterval      // between requests for missed purges
 	callTimeout           = 2 * time.Second       // of one message; over the 250 ms that an answer may wait for the processes below
 	proposeTimeout        = 5 * time.Second       // of one proposal; over a change of leader (1 to 2 s)
 	catchUpTimeout        = 3 * time.Second       // how long a start waits for purges that it missed; deadlines are seconds at least
@@ -107,7 +110,7 @@
 		Done:           r.ctx.Done(),
 		CallTimeout:    callTimeout,
 		MinBackoff:     stepInterval,
-		MaxBackoff:     16 * stepInterval,
+		MaxBackoff:     maxBackoff,
 		ErrNoCandidate: errNoCandidate,
 		ErrUndecided:   errUndecided,
 	}
--- a/internal/cluster/purge/run/status.go
+++ b/internal/cluster/purge/run/status.go
@@ -84,7 +84,7 @@
 // queryStatus asks the leader for the status of a purge.
 func (r *Runner) queryStatus(ctx context.Context, id string) (s statusAnswer, err error) {
 	here := func() error { return r.caller.Call(ctx, r.options.Self.Name, pathStatus, statusRequest{id}, &s) }
-	err = r.caller.Query(ctx, 4*stepInterval, here, pathStatus, statusRequest{id}, &s)
+	err = r.caller.Query(ctx, queryInterval, here, pathStatus, statusRequest{id}, &s)
 	return s, err
 }
 
