--- a/internal/cluster/configuration/spread/state.go
+++ b/internal/cluster/configuration/spread/state.go
@@ -3,6 +3,7 @@
 // This file is the versions of a process: received from others, and put in force by its sender.
 
 import (
+	"maps"
 	"slices"
 
 	"flaxcove/internal/cluster/configuration"
@@ -87,11 +88,7 @@
 		delete(s.children, name)
 		s.markChanged()
 	}
-	s.childNames = s.childNames[:0]
-	for name := range s.children {
-		s.childNames = append(s.childNames, name)
-	}
-	slices.Sort(s.childNames)
+	s.childNames = slices.Sorted(maps.Keys(s.children))
 }
 
 // SetIncarnation raises this process's incarnation, as another process of its name was known with this one or a higher.
--- a/internal/cluster/purge/spread/state.go
+++ b/internal/cluster/purge/spread/state.go
@@ -4,6 +4,7 @@
 
 import (
 	"cmp"
+	"maps"
 	"slices"
 	"time"
 
@@ -90,11 +91,7 @@
 		delete(s.children, n)
 		s.markChanged(now)
 	}
-	s.childNames = s.childNames[:0]
-	for n := range s.children {
-		s.childNames = append(s.childNames, n)
-	}
-	slices.Sort(s.childNames)
+	s.childNames = slices.Sorted(maps.Keys(s.children))
 }
 
 // HandleUpdate takes in purges, from the parent or from another process that was asked for them.
