--- a/internal/cluster/configuration/spread/report.go
+++ b/internal/cluster/configuration/spread/report.go
@@ -75,7 +75,7 @@
 
 // markOwnLag makes a report due once the newest version has not been in force here for a while.
 func (s *State) markOwnLag(now view.Now) {
-	if lag, is := s.ownLag(now); is && lag.Reason == Behind && !s.lagReported {
+	if lag, lagging := s.ownLag(now); lagging && lag.Reason == Behind && !s.lagReported {
 		s.lagReported = true
 		s.markChanged()
 	}
--- a/internal/cluster/configuration/spread/roster.go
+++ b/internal/cluster/configuration/spread/roster.go
@@ -74,44 +74,44 @@
 }
 
 // UpdateView takes in a view. A process that left on purpose is forgotten.
-func (r *Roster) UpdateView(v *view.View, now view.Now) {
+func (r *Roster) UpdateView(members *view.View, now view.Now) {
 	if r.members == nil {
 		r.members = map[view.Name]*memberRecord{}
 	}
-	for _, m := range v.Members {
+	for _, m := range members.Members {
 		if m.State == view.Left {
 			delete(r.members, m.Name)
 			continue
 		}
-		k := r.members[m.Name]
+		record := r.members[m.Name]
 		switch {
-		case k == nil && len(r.members) < maxNames:
-			k = &memberRecord{life: m.Life}
-			r.members[m.Name] = k
-		case k == nil:
+		case record == nil && len(r.members) < maxNames:
+			record = &memberRecord{life: m.Life}
+			r.members[m.Name] = record
+		case record == nil:
 			continue
-		case m.Incarnation > k.life.Incarnation:
-			*k = memberRecord{life: m.Life, absent: k.absent, since: k.since} // a restart, perhaps with another folder
+		case m.Incarnation > record.life.Incarnation:
+			*record = memberRecord{life: m.Life, absent: record.absent, since: record.since} // a restart, perhaps with another folder
 		}
-		if away := !m.Here(); away != k.absent {
-			k.absent, k.since = away, now
+		if away := !m.Here(); away != record.absent {
+			record.absent, record.since = away, now
 		}
 	}
-	for name, k := range r.members {
-		if k.absent && now-k.since > AbsenceLimit {
+	for name, record := range r.members {
+		if record.absent && now-record.since > AbsenceLimit {
 			delete(r.members, name)
 		}
 	}
 }
 
 // PresentCount is how many processes are present.
-func (r *Roster) PresentCount() (here int) {
-	for _, k := range r.members {
-		if !k.absent {
-			here++
+func (r *Roster) PresentCount() (present int) {
+	for _, record := range r.members {
+		if !record.absent {
+			present++
 		}
 	}
-	return here
+	return present
 }
 
 // RecordSummary takes in a summary: laggards have the version named with them, all others at least the lowest of the
@@ -121,32 +121,32 @@
 		return
 	}
 	rest := map[uint64]int{}
-	for _, c := range sum.InForce {
-		rest[c.Version] += c.Members
+	for _, count := range sum.InForce {
+		rest[count.Version] += count.Members
 	}
 	lagging := map[view.Name]uint64{}
-	for _, l := range sum.Laggards {
-		rest[l.Version]--
-		lagging[l.Name] = l.Version
+	for _, laggard := range sum.Laggards {
+		rest[laggard.Version]--
+		lagging[laggard.Name] = laggard.Version
 	}
-	lowest, any := uint64(0), false
+	lowest, found := uint64(0), false
 	for version, members := range rest {
-		if members > 0 && (!any || version < lowest) {
-			lowest, any = version, true
+		if members > 0 && (!found || version < lowest) {
+			lowest, found = version, true
 		}
 	}
-	for name, k := range r.members {
-		if k.absent {
+	for name, record := range r.members {
+		if record.absent {
 			continue
 		}
 		version, lags := lagging[name]
 		if !lags {
-			if !any {
+			if !found {
 				continue
 			}
 			version = lowest
 		}
-		k.version, k.versionKnown = max(k.version, version), true
+		record.version, record.versionKnown = max(record.version, version), true
 	}
 }
 
@@ -155,30 +155,30 @@
 func (r *Roster) DueAnnouncements(laggards []Laggard, limit int, now view.Now) (names []view.Name) {
 	var due []*memberRecord
 	for _, l := range laggards {
-		if k := r.members[l.Name]; k != nil && !k.absent && l.Reason == Unreachable && now >= k.nextAttempt {
-			k.since = now
-			due = append(due, k)
+		if record := r.members[l.Name]; record != nil && !record.absent && l.Reason == Unreachable && now >= record.nextAttempt {
+			record.since = now
+			due = append(due, record)
 		}
 	}
-	for _, k := range r.members {
-		if k.absent && now >= k.nextAttempt {
-			due = append(due, k)
+	for _, record := range r.members {
+		if record.absent && now >= record.nextAttempt {
+			due = append(due, record)
 		}
 	}
 	slices.SortFunc(due, func(a, b *memberRecord) int {
 		return cmp.Or(cmp.Compare(a.nextAttempt, b.nextAttempt), cmp.Compare(a.life.Name, b.life.Name))
 	})
-	for _, k := range due[:min(len(due), limit)] {
-		k.nextAttempt = now + min(max((now-k.since)/attemptShare, minAttemptInterval), maxAttemptInterval)
-		names = append(names, k.life.Name)
+	for _, record := range due[:min(len(due), limit)] {
+		record.nextAttempt = now + min(max((now-record.since)/attemptShare, minAttemptInterval), maxAttemptInterval)
+		names = append(names, record.life.Name)
 	}
 	return names
 }
 
 // RecordVersion takes in which version a process that was called has in force.
 func (r *Roster) RecordVersion(name view.Name, version uint64) {
-	if k := r.members[name]; k != nil {
-		k.version, k.versionKnown = max(k.version, version), true
+	if record := r.members[name]; record != nil {
+		record.version, record.versionKnown = max(record.version, version), true
 	}
 }
 
@@ -192,9 +192,9 @@
 // AbsentMembers are the absent processes that did not leave on purpose, by name, at most maxAbsentShown, and how many
 // more there are.
 func (r *Roster) AbsentMembers(now view.Now) (all []AbsentMember, more int) {
-	for name, k := range r.members {
-		if k.absent {
-			all = append(all, AbsentMember{Laggard{Name: name, Version: k.version, Reason: Absent, SinceMS: (now - k.since).Milliseconds()}, k.versionKnown})
+	for name, record := range r.members {
+		if record.absent {
+			all = append(all, AbsentMember{Laggard{Name: name, Version: record.version, Reason: Absent, SinceMS: (now - record.since).Milliseconds()}, record.versionKnown})
 		}
 	}
 	slices.SortFunc(all, func(a, b AbsentMember) int { return cmp.Compare(a.Name, b.Name) })
--- a/internal/cluster/configuration/spread/state.go
+++ b/internal/cluster/configuration/spread/state.go
@@ -140,7 +140,7 @@
 	if c == nil || c.Version <= s.newest.Version {
 		return
 	}
-	if d, is := s.decode(c); is {
+	if d, ok := s.decode(c); ok {
 		s.setNewest(d, now)
 		return
 	}
@@ -149,7 +149,7 @@
 }
 
 // decode makes a document of content; false where that does not match its checksum.
-func (s *State) decode(c *Content) (d configuration.Document, is bool) {
+func (s *State) decode(c *Content) (d configuration.Document, ok bool) {
 	settings, err := configuration.Decompress(c.Full)
 	if c.Patch != nil {
 		if c.Base != s.digest() {
@@ -197,7 +197,7 @@
 		s.encoded.patches = map[uint64]*Content{}
 	}
 	var c *Content
-	if patch, is := configuration.CreatePatch(s.history[i].Settings, s.newest.Settings); is && len(patch) < len(s.newest.Settings)/2 {
+	if patch, ok := configuration.CreatePatch(s.history[i].Settings, s.newest.Settings); ok && len(patch) < len(s.newest.Settings)/2 {
 		c = &Content{Digest: s.digest(), Base: base, Patch: patch}
 	}
 	s.encoded.patches[base.Version] = c
--- a/internal/cluster/configuration/spread/summary.go
+++ b/internal/cluster/configuration/spread/summary.go
@@ -14,7 +14,7 @@
 	if !s.isLeader {
 		sum.Members = 1
 		sum.addInForce(s.inForce, 1)
-		if why, is := s.ownLag(now); is {
+		if why, lagging := s.ownLag(now); lagging {
 			sum.addLaggard(why)
 		}
 	}
--- a/internal/cluster/purge/run/leader.go
+++ b/internal/cluster/purge/run/leader.go
@@ -104,9 +104,9 @@
 	for _, to := range state.DueUpdates(now) {
 		r.goroutines.Go(func() { r.sendUpdate(rootState{state}, pathRootUpdate, to) })
 	}
-	if c, any := state.NextClose(maxClosuresPerCommand, now); any && !r.leaderWork.closeInFlight {
+	if command, due := state.NextClose(maxClosuresPerCommand, now); due && !r.leaderWork.closeInFlight {
 		r.leaderWork.closeInFlight = true
-		r.goroutines.Go(func() { r.proposeClose(c) })
+		r.goroutines.Go(func() { r.proposeClose(command) })
 	}
 }
 
@@ -119,15 +119,15 @@
 }
 
 // proposeClose has purges closed. What was not closed is due again in a later step.
-func (r *Runner) proposeClose(c ledger.Close) {
+func (r *Runner) proposeClose(command ledger.Close) {
 	ctx, cancel := context.WithTimeout(r.ctx, proposeTimeout)
 	defer cancel()
-	_, err := r.options.Council.Propose(ctx, ledger.Part, ledger.KindClose, c)
+	_, err := r.options.Council.Propose(ctx, ledger.Part, ledger.KindClose, command)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.leaderWork.closeInFlight = false
 	if err != nil {
-		r.options.Log.Warn("purge: not closed, will be retried", zap.Int("purges", len(c.Closures)), zap.Error(err))
+		r.options.Log.Warn("purge: not closed, will be retried", zap.Int("purges", len(command.Closures)), zap.Error(err))
 		return
 	}
 	r.signals.Wake()
--- a/internal/cluster/purge/run/status.go
+++ b/internal/cluster/purge/run/status.go
@@ -97,45 +97,45 @@
 	if !r.options.Council.Leading() {
 		return nil, errNotLeading
 	}
-	var row ledger.Record
+	var record ledger.Record
 	var known bool
 	var horizon time.Duration
 	var participants []ledger.Participant
 	r.options.Council.Read(func(uint64) {
-		row, known = r.options.Ledger.Find(request.ID)
+		record, known = r.options.Ledger.Find(request.ID)
 		horizon, participants = r.options.Ledger.Horizon(), r.options.Ledger.Participants()
 	})
 	if !known {
 		return statusAnswer{}, nil
 	}
-	s := PurgeStatus{ID: row.ID, Seq: row.Seq, Subject: row.Subject, Who: row.Who, Why: row.Why, State: row.State,
+	status := PurgeStatus{ID: record.ID, Seq: record.Seq, Subject: record.Subject, Who: record.Who, Why: record.Why, State: record.State,
 		LapseAgeMS: horizon.Milliseconds(), ReportedBy: r.options.Self.Name}
-	if row.Match != (together.Match{}) {
-		s.Match = &row.Match
+	if record.Match != (together.Match{}) {
+		status.Match = &record.Match
 	}
-	s.AgeMS = max(r.options.Council.Clock()-row.At, 0).Milliseconds()
+	status.AgeMS = max(r.options.Council.Clock()-record.At, 0).Milliseconds()
 	r.mu.Lock()
-	var all []spread.ParticipantStatus
-	if r.leading && r.leaderState != nil && row.State == ledger.Spreading {
-		all = r.leaderState.StatusOf(row.Seq)
+	var acknowledgements []spread.ParticipantStatus
+	if r.leading && r.leaderState != nil && record.State == ledger.Spreading {
+		acknowledgements = r.leaderState.StatusOf(record.Seq)
 	}
 	r.mu.Unlock()
-	if row.State == ledger.Spreading {
-		s.addOpen(all, participants)
+	if record.State == ledger.Spreading {
+		status.addOpen(acknowledgements, participants)
 	} else {
-		s.addClosed(row)
+		status.addClosed(record)
 	}
-	return statusAnswer{Known: true, Status: s}, nil
+	return statusAnswer{Known: true, Status: status}, nil
 }
 
 // addOpen adds the status of an open purge by process. A leader that has just begun knows of no acknowledgements.
-func (s *PurgeStatus) addOpen(all []spread.ParticipantStatus, participants []ledger.Participant) {
-	if all == nil {
+func (s *PurgeStatus) addOpen(acknowledgements []spread.ParticipantStatus, participants []ledger.Participant) {
+	if acknowledgements == nil {
 		for _, participant := range participants {
-			all = append(all, spread.ParticipantStatus{Participant: participant})
+			acknowledgements = append(acknowledgements, spread.ParticipantStatus{Participant: participant})
 		}
 	}
-	for _, p := range all {
+	for _, p := range acknowledgements {
 		z := s.zone(p.Participant.Region, p.Participant.Zone)
 		one := ProcessStatus{Life: p.Participant.Life, AckState: ackPending, Found: p.Found}
 		if p.Acknowledged {
@@ -151,13 +151,13 @@
 }
 
 // addClosed adds the status of a closed purge by zone, as the ledger has it.
-func (s *PurgeStatus) addClosed(row ledger.Record) {
-	for _, sum := range row.Zones {
+func (s *PurgeStatus) addClosed(record ledger.Record) {
+	for _, sum := range record.Zones {
 		s.zone(sum.Region, sum.Zone).Sums = Sums{Acknowledged: sum.Reached, Lapsed: sum.Lapsed, Found: sum.Found}
 	}
-	s.LapsedAt = row.LapsedNames
+	s.LapsedAt = record.LapsedNames
 	s.sum()
-	s.Sums = Sums{Acknowledged: row.Reached, Lapsed: row.Lapsed, Found: row.Found}
+	s.Sums = Sums{Acknowledged: record.Reached, Lapsed: record.Lapsed, Found: record.Found}
 }
 
 // zone returns the status of a zone, which it adds where there is none.
--- a/internal/cluster/purge/spread/children.go
+++ b/internal/cluster/purge/spread/children.go
@@ -30,8 +30,8 @@
 	if s.hasSeq == 0 {
 		return nil // there never was a purge
 	}
-	for _, n := range s.childNames {
-		c := s.children[n]
+	for _, name := range s.childNames {
+		c := s.children[name]
 		if c.inFlight || now < c.retryAt || c.reported && c.hasSeq >= s.hasSeq && !c.resend {
 			continue
 		}
@@ -39,10 +39,10 @@
 		if c.reported {
 			since = c.hasSeq
 		}
-		d := s.PurgesSince(since, now)
-		d.Resend = c.resend || !c.reported
+		update := s.PurgesSince(since, now)
+		update.Resend = c.resend || !c.reported
 		c.inFlight, c.resend = true, false
-		all = append(all, Outgoing{Child: c.life, Update: d})
+		all = append(all, Outgoing{Child: c.life, Update: update})
 	}
 	return all
 }
--- a/internal/cluster/purge/spread/leader.go
+++ b/internal/cluster/purge/spread/leader.go
@@ -31,15 +31,15 @@
 }
 
 // SetParticipants sets who must acknowledge.
-func (l *LeaderState) SetParticipants(participants []ledger.Participant, roster uint64) {
-	l.participants, l.rosterVersion = participants, roster
+func (l *LeaderState) SetParticipants(participants []ledger.Participant, rosterVersion uint64) {
+	l.participants, l.rosterVersion = participants, rosterVersion
 	if len(l.progress) <= ledger.MaxParticipants {
 		return
 	}
 	retained := make(map[view.Name]Progress, len(participants))
-	for _, s := range participants {
-		if st, known := l.progress[s.Name]; known {
-			retained[s.Name] = st
+	for _, participant := range participants {
+		if progress, known := l.progress[participant.Name]; known {
+			retained[participant.Name] = progress
 		}
 	}
 	l.progress = retained
@@ -58,9 +58,9 @@
 
 // HandleRootReport takes in a report of the root.
 func (l *LeaderState) HandleRootReport(report Report, now view.Now) ReportAnswer {
-	a := l.HandleReport(report, now)
+	answer := l.HandleReport(report, now)
 	l.recordProgress()
-	return a
+	return answer
 }
 
 // HandleRootAnswer takes in the root's answer to an update.
@@ -71,50 +71,50 @@
 
 // recordProgress retains what the root reported: the next root may not know it yet.
 func (l *LeaderState) recordProgress() {
-	for _, n := range l.childNames {
-		for _, st := range l.children[n].progress {
-			was := l.progress[st.Name]
-			if st.Incarnation > was.Incarnation || st.Incarnation == was.Incarnation && st.AppliedSeq > was.AppliedSeq {
-				l.progress[st.Name] = st
+	for _, name := range l.childNames {
+		for _, progress := range l.children[name].progress {
+			known := l.progress[progress.Name]
+			if progress.Incarnation > known.Incarnation || progress.Incarnation == known.Incarnation && progress.AppliedSeq > known.AppliedSeq {
+				l.progress[progress.Name] = progress
 			}
 		}
 	}
 }
 
 // appliedBy is up to which purge a participant has applied; 0 while only its earlier incarnation has reported.
-func (l *LeaderState) appliedBy(s ledger.Participant) uint64 {
-	if st := l.progress[s.Name]; st.Incarnation >= s.Incarnation {
-		return st.AppliedSeq
+func (l *LeaderState) appliedBy(participant ledger.Participant) uint64 {
+	if progress := l.progress[participant.Name]; progress.Incarnation >= participant.Incarnation {
+		return progress.AppliedSeq
 	}
 	return 0
 }
 
 // NextClose is the command that closes the oldest purges that can be closed now, up to the limit.
-func (l *LeaderState) NextClose(limit int, now view.Now) (c ledger.Close, any bool) {
+func (l *LeaderState) NextClose(limit int, now view.Now) (command ledger.Close, due bool) {
 	if len(l.participants) == 0 || l.oldestOpen > l.hasSeq {
-		return c, false
+		return command, false
 	}
-	all := ^uint64(0)
-	for _, s := range l.participants {
-		all = min(all, l.appliedBy(s))
+	appliedByAll := ^uint64(0)
+	for _, participant := range l.participants {
+		appliedByAll = min(appliedByAll, l.appliedBy(participant))
 	}
-	last := l.oldestOpen - 1
-	for last < l.hasSeq && last < l.oldestOpen-1+uint64(limit) {
-		i, found := slices.BinarySearchFunc(l.purges, last+1, bySeq)
-		if !found || last+1 > all && l.purges[i].age(now) < l.horizon {
+	lastClosable := l.oldestOpen - 1
+	for lastClosable < l.hasSeq && lastClosable < l.oldestOpen-1+uint64(limit) {
+		i, found := slices.BinarySearchFunc(l.purges, lastClosable+1, bySeq)
+		if !found || lastClosable+1 > appliedByAll && l.purges[i].age(now) < l.horizon {
 			break
 		}
-		last++
+		lastClosable++
 	}
-	if last < l.oldestOpen {
-		return c, false
+	if lastClosable < l.oldestOpen {
+		return command, false
 	}
-	found := l.sumFindings(l.oldestOpen, last)
-	c.RosterVersion = l.rosterVersion
-	for seq := l.oldestOpen; seq <= last; seq++ {
-		c.Closures = append(c.Closures, l.closure(seq, found[seq]))
+	found := l.sumFindings(l.oldestOpen, lastClosable)
+	command.RosterVersion = l.rosterVersion
+	for seq := l.oldestOpen; seq <= lastClosable; seq++ {
+		command.Closures = append(command.Closures, l.closure(seq, found[seq]))
 	}
-	return c, true
+	return command, true
 }
 
 // sumFindings sums findings by purge and process.
@@ -140,31 +140,31 @@
 
 // closure is the end of a purge, by zone.
 func (l *LeaderState) closure(seq uint64, found map[view.Name]together.Found) ledger.Closure {
-	c := ledger.Closure{Seq: seq}
+	closure := ledger.Closure{Seq: seq}
 	zones := map[view.Zone]*ledger.ZoneSum{}
-	for _, s := range l.participants {
-		z := zones[s.Zone]
-		if z == nil {
-			z = &ledger.ZoneSum{Region: s.Region, Zone: s.Zone}
-			zones[s.Zone] = z
+	for _, participant := range l.participants {
+		zone := zones[participant.Zone]
+		if zone == nil {
+			zone = &ledger.ZoneSum{Region: participant.Region, Zone: participant.Zone}
+			zones[participant.Zone] = zone
 		}
-		if l.appliedBy(s) >= seq {
-			z.Reached++
+		if l.appliedBy(participant) >= seq {
+			zone.Reached++
 		} else {
-			z.Lapsed++
-			if len(c.LapsedNames) < ledger.MaxLapsedNames {
-				c.LapsedNames = append(c.LapsedNames, s.Name)
+			zone.Lapsed++
+			if len(closure.LapsedNames) < ledger.MaxLapsedNames {
+				closure.LapsedNames = append(closure.LapsedNames, participant.Name)
 			}
 		}
-		z.Found = AddFound(z.Found, found[s.Name])
+		zone.Found = AddFound(zone.Found, found[participant.Name])
 	}
-	for _, z := range zones {
-		c.Zones = append(c.Zones, *z)
+	for _, zone := range zones {
+		closure.Zones = append(closure.Zones, *zone)
 	}
-	slices.SortFunc(c.Zones, func(a, b ledger.ZoneSum) int {
+	slices.SortFunc(closure.Zones, func(a, b ledger.ZoneSum) int {
 		return cmp.Or(cmp.Compare(a.Region, b.Region), cmp.Compare(a.Zone, b.Zone))
 	})
-	return c
+	return closure
 }
 
 // ParticipantStatus is the state of one purge at one participant.
@@ -175,10 +175,10 @@
 }
 
 // StatusOf is the state of one open purge at all participants, by name.
-func (l *LeaderState) StatusOf(seq uint64) (all []ParticipantStatus) {
+func (l *LeaderState) StatusOf(seq uint64) (status []ParticipantStatus) {
 	found := l.sumFindings(seq, seq)[seq]
-	for _, s := range l.participants {
-		all = append(all, ParticipantStatus{Participant: s, Acknowledged: l.appliedBy(s) >= seq, Found: found[s.Name]})
+	for _, participant := range l.participants {
+		status = append(status, ParticipantStatus{Participant: participant, Acknowledged: l.appliedBy(participant) >= seq, Found: found[participant.Name]})
 	}
-	return all
+	return status
 }
--- a/internal/cluster/purge/spread/report.go
+++ b/internal/cluster/purge/spread/report.go
@@ -47,8 +47,8 @@
 	if !s.isLeader {
 		all = append(all, Progress{s.self, s.appliedSeq})
 	}
-	for _, n := range s.childNames {
-		all = append(all, s.children[n].progress...)
+	for _, name := range s.childNames {
+		all = append(all, s.children[name].progress...)
 	}
 	slices.SortFunc(all, func(a, b Progress) int {
 		return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(b.Incarnation, a.Incarnation), cmp.Compare(b.AppliedSeq, a.AppliedSeq))
@@ -61,13 +61,13 @@
 	if !s.isLeader && s.appliedSeq < s.hasSeq {
 		return false
 	}
-	for _, n := range s.childNames {
-		c := s.children[n]
+	for _, name := range s.childNames {
+		c := s.children[name]
 		if !c.reported {
 			return false
 		}
-		for _, st := range c.progress {
-			if st.AppliedSeq < s.hasSeq {
+		for _, progress := range c.progress {
+			if progress.AppliedSeq < s.hasSeq {
 				return false
 			}
 		}
@@ -138,8 +138,8 @@
 	}
 	if report.PrevMessageNo == 0 || s.uplink.membersChecksum != report.MembersChecksum {
 		report.Members = make([]view.Life, len(progress))
-		for i, st := range progress {
-			report.Members[i] = st.Life
+		for i, one := range progress {
+			report.Members[i] = one.Life
 		}
 	}
 	keys := s.findingsToReport(record)
@@ -203,9 +203,9 @@
 // membersChecksum is the checksum of a list of members.
 func membersChecksum(progress []Progress) uint32 {
 	var text []byte
-	for _, st := range progress {
-		text = append(append(text, st.Name...), 0)
-		text = binary.LittleEndian.AppendUint64(text, uint64(st.Incarnation))
+	for _, one := range progress {
+		text = append(append(text, one.Name...), 0)
+		text = binary.LittleEndian.AppendUint64(text, uint64(one.Incarnation))
 	}
 	return crc32.ChecksumIEEE(text)
 }
--- a/internal/cluster/purge/spread/state.go
+++ b/internal/cluster/purge/spread/state.go
@@ -95,29 +95,29 @@
 }
 
 // HandleUpdate takes in purges, from the parent or from another process that was asked for them.
-func (s *State) HandleUpdate(d Update, now view.Now) {
-	if d.Resend && d.sender() == s.parent {
+func (s *State) HandleUpdate(update Update, now view.Now) {
+	if update.Resend && update.sender() == s.parent {
 		s.resendAll(now)
 	}
-	s.horizon = max(d.Horizon, s.horizon)
-	if d.Base > s.hasSeq {
+	s.horizon = max(update.Horizon, s.horizon)
+	if update.Base > s.hasSeq {
 		return // some in between are missing: HasSeq in the answer tells from where
 	}
-	for _, p := range d.Purges {
+	for _, p := range update.Purges {
 		i, found := slices.BinarySearchFunc(s.purges, p.Seq, bySeq)
-		h := heldPurge{p, now}
+		received := heldPurge{p, now}
 		switch {
 		case !found && p.Seq > s.hasSeq:
-			s.purges = slices.Insert(s.purges, i, h)
-		case found && h.Age > s.purges[i].age(now):
-			s.purges[i] = h // both ages are lower bounds, so the higher is more accurate
+			s.purges = slices.Insert(s.purges, i, received)
+		case found && received.Age > s.purges[i].age(now):
+			s.purges[i] = received // both ages are lower bounds, so the higher is more accurate
 		}
 	}
-	if d.UpTo > s.hasSeq {
-		s.hasSeq = d.UpTo
+	if update.UpTo > s.hasSeq {
+		s.hasSeq = update.UpTo
 		s.markChanged(now)
 	}
-	s.advanceOldestOpen(d.OldestOpen)
+	s.advanceOldestOpen(update.OldestOpen)
 	s.prune(now)
 }
 
@@ -230,21 +230,21 @@
 // PurgesSince is what a process needs that has all purges up to since, at most MaxPurgesPerMessage. Its UpTo is as far
 // as this process can tell: one that needs more has to ask on.
 func (s *State) PurgesSince(since uint64, now view.Now) Update {
-	d := Update{From: s.self, FromLeader: s.isLeader, Base: since, UpTo: max(s.hasSeq, since), OldestOpen: s.oldestOpen, Horizon: s.horizon}
+	update := Update{From: s.self, FromLeader: s.isLeader, Base: since, UpTo: max(s.hasSeq, since), OldestOpen: s.oldestOpen, Horizon: s.horizon}
 	first, _ := slices.BinarySearchFunc(s.purges, since+1, bySeq)
 	for size, rest := 0, s.purges[first:]; len(rest) > 0; rest = rest[1:] {
 		if s.obsolete(rest[0], now) {
 			continue
 		}
 		p := rest[0].Purge
-		if size += sizeOf(p); len(d.Purges) == MaxPurgesPerMessage || size > maxMessageBytes && len(d.Purges) > 0 {
-			d.UpTo = d.Purges[len(d.Purges)-1].Seq
+		if size += sizeOf(p); len(update.Purges) == MaxPurgesPerMessage || size > maxMessageBytes && len(update.Purges) > 0 {
+			update.UpTo = update.Purges[len(update.Purges)-1].Seq
 			break
 		}
 		p.Age = rest[0].age(now)
-		d.Purges = append(d.Purges, p)
+		update.Purges = append(update.Purges, p)
 	}
-	return d
+	return update
 }
 
 // sizeOf is the size of a purge in a message at most: a byte of text may become six in JSON.
