--- a/internal/cluster/configuration/run/catchup.go
+++ b/internal/cluster/configuration/run/catchup.go
@@ -36,7 +36,7 @@
 func (r *Runner) fetchNewest() bool {
 	ctx, cancel := context.WithTimeout(r.ctx, r.options.CatchUp)
 	defer cancel()
-	if r.options.Council.Leading() {
+	if r.options.Consensus.Leading() {
 		r.mu.Lock()
 		state := r.leaderWork.state
 		if state != nil {
--- a/internal/cluster/configuration/run/decide.go
+++ b/internal/cluster/configuration/run/decide.go
@@ -55,7 +55,7 @@
 		rejection.Current = input.lastVersion
 		return rejection, nil
 	}
-	text, err := r.options.Council.Propose(ctx, ledger.Part, ledger.KindDecide, command)
+	text, err := r.options.Consensus.Propose(ctx, ledger.Part, ledger.KindDecide, command)
 	var rejectedError *machine.RejectedError
 	switch {
 	case errors.As(err, &rejectedError): // by the machine, as when the command is too long once it is escaped
@@ -98,7 +98,7 @@
 	if err != nil {
 		own = configuration.Document{}
 	}
-	r.options.Council.Read(func(uint64) {
+	r.options.Consensus.Read(func(uint64) {
 		l := r.options.Ledger
 		input.answer, input.duplicate = l.FindRequest(request.ID, fingerprint)
 		input.lastVersion, input.newest = l.LastVersion(), own
@@ -155,7 +155,7 @@
 	if err := json.Unmarshal(body, &request); err != nil {
 		return nil, fmt.Errorf("configuration: request: %w", err)
 	}
-	if !r.options.Council.Leading() {
+	if !r.options.Consensus.Leading() {
 		return nil, errNotLeading
 	}
 	decided, err := r.decide(ctx, request)
--- a/internal/cluster/configuration/run/fetch.go
+++ b/internal/cluster/configuration/run/fetch.go
@@ -80,7 +80,7 @@
 // candidates are the processes to ask for what only the leader can answer: those that may lead, as far as they are known
 // here, and then others, up to maxCandidates.
 func (r *Runner) candidates() []view.Name {
-	likely := r.options.Council.Ask()
+	likely := r.options.Consensus.Ask()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.candidatesFrom(likely)
--- a/internal/cluster/configuration/run/fleet_test.go
+++ b/internal/cluster/configuration/run/fleet_test.go
@@ -114,7 +114,7 @@
 	s.mu.Lock()
 	s.applied = append(s.applied, running.Version)
 	s.mu.Unlock()
-	r, err := Start(Options{Self: m, Link: l, Council: f.net.Consensus(m.Name), Ledger: f.ledger, Orders: s, Folder: s.folder, Running: running,
+	r, err := Start(Options{Self: m, Link: l, Consensus: f.net.Consensus(m.Name), Ledger: f.ledger, Orders: s, Folder: s.folder, Running: running,
 		Own: json.RawMessage(ownSettings), Check: s.check, CatchUp: testTimeout, AnswerWithin: f.answerWithin})
 	if err != nil {
 		f.t.Fatal(err)
--- a/internal/cluster/configuration/run/leader.go
+++ b/internal/cluster/configuration/run/leader.go
@@ -43,7 +43,7 @@
 // readLedger reads what has changed, while this process leads. No lock of this package may be held, as the consensus
 // group's comes first in the lock order.
 func (r *Runner) readLedger() (update ledgerUpdate) {
-	if !r.options.Council.Leading() {
+	if !r.options.Consensus.Leading() {
 		return update
 	}
 	update.leading = true
@@ -51,7 +51,7 @@
 	newLeader := !r.leaderWork.leading
 	update.revision, update.lastVersion = r.leaderWork.ledgerRevision, r.leaderWork.lastVersion
 	r.mu.Unlock()
-	r.options.Council.Read(func(uint64) {
+	r.options.Consensus.Read(func(uint64) {
 		if l := r.options.Ledger; newLeader || l.Revision() != update.revision {
 			update.changed, update.revision, update.lastVersion = true, l.Revision(), l.LastVersion()
 			update.newest, _ = l.Newest()
@@ -127,7 +127,7 @@
 	r.goroutines.Go(func() {
 		ctx, cancel := context.WithTimeout(r.ctx, proposeTimeout)
 		defer cancel()
-		_, err := r.options.Council.Propose(ctx, ledger.Part, ledger.KindAdopt, ledger.Adopt{Version: known.Version, Settings: known.Settings})
+		_, err := r.options.Consensus.Propose(ctx, ledger.Part, ledger.KindAdopt, ledger.Adopt{Version: known.Version, Settings: known.Settings})
 		r.options.Log.Warn("configuration: adopted a version of members that the consensus group did not know", zap.Uint64("version", known.Version), zap.Error(err))
 		r.mu.Lock()
 		r.leaderWork.adoptInFlight = false
--- a/internal/cluster/configuration/run/messages.go
+++ b/internal/cluster/configuration/run/messages.go
@@ -100,7 +100,7 @@
 	if update.From.Name != from.Name {
 		return nil, fmt.Errorf("configuration: message down: from %q, field from tells %q", from.Name, update.From.Name)
 	}
-	leader, known := r.options.Council.Leader()
+	leader, known := r.options.Consensus.Leader()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.figures.UpdatesReceived++
--- a/internal/cluster/configuration/run/options.go
+++ b/internal/cluster/configuration/run/options.go
@@ -25,14 +25,14 @@
 
 // Options is what a Runner is given; Running, Own, Check, CatchUp, AnswerWithin, Now and Log may be omitted.
 type Options struct {
-	Self    view.Member // a view may tell a higher incarnation later
-	Link    ordering.Link
-	Council ordering.Consensus // nil for a process outside the consensus group
-	Ledger  *ledger.Ledger     // the part of that name in the consensus group; nil without one
-	Orders  Orders
-	Folder  string                 // of the cluster; see configuration.LoadCached
-	Running together.Configuration // what the sender was started with; version 0 for its own file
-	Own     json.RawMessage        // the settings of the sender's own file
+	Self      view.Member // a view may tell a higher incarnation later
+	Link      ordering.Link
+	Consensus ordering.Consensus // nil for a process outside the consensus group
+	Ledger    *ledger.Ledger     // the part of that name in the consensus group; nil without one
+	Orders    Orders
+	Folder    string                 // of the cluster; see configuration.LoadCached
+	Running   together.Configuration // what the sender was started with; version 0 for its own file
+	Own       json.RawMessage        // the settings of the sender's own file
 	// Check returns what is wrong with settings for a sender that runs inForce (nil: its own file). It is pure.
 	Check   func(inForce, proposed json.RawMessage) error
 	CatchUp time.Duration // how long a start waits for the newest version, at most
@@ -44,11 +44,11 @@
 
 // complete checks what must be given, and fills in defaults.
 func (o *Options) complete() error {
-	if o.Link == nil || o.Orders == nil || o.Folder == "" || (o.Council == nil) != (o.Ledger == nil) {
+	if o.Link == nil || o.Orders == nil || o.Folder == "" || (o.Consensus == nil) != (o.Ledger == nil) {
 		return errors.New("configuration: a link, a folder and a sender's orders must be given, and a ledger with a council")
 	}
-	if o.Council == nil {
-		o.Council = ordering.NoConsensus{NotLeading: errNotLeading}
+	if o.Consensus == nil {
+		o.Consensus = ordering.NoConsensus{NotLeading: errNotLeading}
 	}
 	if o.Now == nil {
 		o.Now = ordering.NewClock()
--- a/internal/cluster/configuration/run/run.go
+++ b/internal/cluster/configuration/run/run.go
@@ -82,7 +82,7 @@
 	r.caller = ordering.Caller{
 		Part:           "configuration",
 		Link:           o.Link,
-		Consensus:      o.Council,
+		Consensus:      o.Consensus,
 		Self:           o.Self.Name,
 		Life:           r.life,
 		Candidates:     r.candidates,
@@ -188,7 +188,7 @@
 // step asks each pure part what is due, and starts that.
 func (r *Runner) step() {
 	update := r.readLedger()
-	leader, known := r.options.Council.Leader()
+	leader, known := r.options.Consensus.Leader()
 	now := r.options.Now()
 
 	r.mu.Lock()
--- a/internal/cluster/configuration/run/status.go
+++ b/internal/cluster/configuration/run/status.go
@@ -86,11 +86,11 @@
 
 // leaderStatus is the status, on the leader.
 func (r *Runner) leaderStatus(version *uint64) (s Shown, err error) {
-	if !r.options.Council.Leading() {
+	if !r.options.Consensus.Leading() {
 		return s, errNotLeading
 	}
 	var entry ledger.Entry
-	r.options.Council.Read(func(uint64) {
+	r.options.Consensus.Read(func(uint64) {
 		l := r.options.Ledger
 		entry, _ = l.Entry(l.LastVersion())
 		s.Restorable = l.RetainedVersions()
@@ -105,7 +105,7 @@
 	s.Version, s.Sum, s.ID, s.Base, s.Restored = entry.Version, entry.Sum, entry.ID, entry.Base, entry.Restored
 	s.Who, s.Why, s.Bytes, s.ReportedBy = entry.Who, entry.Why, entry.Bytes, r.options.Self.Name
 	if s.Version > 0 {
-		s.AgeMS = max(r.options.Council.Clock()-entry.At, 0).Milliseconds()
+		s.AgeMS = max(r.options.Consensus.Clock()-entry.At, 0).Milliseconds()
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/cluster/purge/ledger/commands.go
+++ b/internal/cluster/purge/ledger/commands.go
@@ -221,5 +221,5 @@
 
 // ToPurge is the purge as it is sent to processes, with its age.
 func (r Record) ToPurge(age time.Duration) together.Purge {
-	return together.Purge{Seq: r.Seq, ID: r.ID, Learnt: r.Subject == LearnedState, Match: r.Match, Age: max(age, 0)}
+	return together.Purge{Seq: r.Seq, ID: r.ID, LearnedState: r.Subject == LearnedState, Match: r.Match, Age: max(age, 0)}
 }
--- a/internal/cluster/purge/ledger/ledger.go
+++ b/internal/cluster/purge/ledger/ledger.go
@@ -226,7 +226,7 @@
 		r.Found.NotBegun += z.Found.NotBegun
 		r.Found.MayRun += z.Found.MayRun
 		r.Found.Delivered += z.Found.Delivered
-		r.Found.Learnt += z.Found.Learnt
+		r.Found.LearnedState += z.Found.LearnedState
 	}
 }
 
--- a/internal/cluster/purge/run/leader.go
+++ b/internal/cluster/purge/run/leader.go
@@ -44,10 +44,10 @@
 // readLedger reads what has changed, while this process leads. No lock of this package may be held, as the consensus
 // group's comes first in the lock order.
 func (r *Runner) readLedger() (update ledgerUpdate) {
-	if !r.options.Council.Leading() {
+	if !r.options.Consensus.Leading() {
 		return update
 	}
-	update.leading, update.clock = true, r.options.Council.Clock()
+	update.leading, update.clock = true, r.options.Consensus.Clock()
 	r.mu.Lock()
 	var hasSeq uint64
 	newLeader := !r.leading || r.leaderState == nil
@@ -56,7 +56,7 @@
 	}
 	revision := r.leaderWork.ledgerRevision
 	r.mu.Unlock()
-	r.options.Council.Read(func(uint64) {
+	r.options.Consensus.Read(func(uint64) {
 		l := r.options.Ledger
 		if !newLeader && l.Revision() == revision {
 			return
@@ -122,7 +122,7 @@
 func (r *Runner) proposeClose(command ledger.Close) {
 	ctx, cancel := context.WithTimeout(r.ctx, proposeTimeout)
 	defer cancel()
-	_, err := r.options.Council.Propose(ctx, ledger.Part, ledger.KindClose, command)
+	_, err := r.options.Consensus.Propose(ctx, ledger.Part, ledger.KindClose, command)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.leaderWork.closeInFlight = false
@@ -192,10 +192,10 @@
 	defer cancel()
 	var err error
 	if join.Participants != nil {
-		_, err = r.options.Council.Propose(ctx, ledger.Part, ledger.KindJoin, join)
+		_, err = r.options.Consensus.Propose(ctx, ledger.Part, ledger.KindJoin, join)
 	}
 	if err == nil && leave.Lives != nil {
-		_, err = r.options.Council.Propose(ctx, ledger.Part, ledger.KindLeave, leave)
+		_, err = r.options.Consensus.Propose(ctx, ledger.Part, ledger.KindLeave, leave)
 	}
 	if err != nil {
 		r.options.Log.Warn("purge: participants not synchronized", zap.Error(err))
--- a/internal/cluster/purge/run/messages.go
+++ b/internal/cluster/purge/run/messages.go
@@ -109,7 +109,7 @@
 // handleRootUpdate handles an update of the leader, by which a root outside the consensus group learns to whom it
 // reports.
 func (r *Runner) handleRootUpdate(ctx context.Context, from view.Life, body []byte) (any, error) {
-	leader, known := r.options.Council.Leader()
+	leader, known := r.options.Consensus.Leader()
 	r.mu.Lock()
 	r.lastLeader = from
 	r.updateTreePosition(leader, known, r.options.Now())
@@ -180,10 +180,10 @@
 	if p.Kind != ledger.KindOpen && p.Kind != ledger.KindJoin && p.Kind != ledger.KindLeave {
 		return nil, fmt.Errorf("purge: proposal: kind %q is not taken from others", p.Kind)
 	}
-	if !r.options.Council.Leading() {
+	if !r.options.Consensus.Leading() {
 		return nil, errNotLeading
 	}
-	answer, err := r.options.Council.Propose(ctx, ledger.Part, p.Kind, p.Body)
+	answer, err := r.options.Consensus.Propose(ctx, ledger.Part, p.Kind, p.Body)
 	r.signals.Wake()
 	return answer, err
 }
@@ -198,7 +198,7 @@
 	var answer json.RawMessage
 	decidedHere := false
 	here := func() (err error) {
-		answer, err = r.options.Council.Propose(ctx, ledger.Part, kind, json.RawMessage(text))
+		answer, err = r.options.Consensus.Propose(ctx, ledger.Part, kind, json.RawMessage(text))
 		decidedHere = err == nil
 		return err
 	}
@@ -213,7 +213,7 @@
 // candidates are the processes to ask for what only the leader can answer: those that may lead, as far as they are known
 // here, and then others, up to maxCandidates.
 func (r *Runner) candidates() []view.Name {
-	likely := r.options.Council.Ask()
+	likely := r.options.Consensus.Ask()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return ordering.Candidates(likely, r.lastLeader.Name, r.view, r.options.Self.Name, maxCandidates)
--- a/internal/cluster/purge/run/run.go
+++ b/internal/cluster/purge/run/run.go
@@ -38,24 +38,24 @@
 
 // Options is what a Runner is given; Now, CatchUp and Log may be left out.
 type Options struct {
-	Self    view.Member // Life, Zone, Region and Folder are read; a view may tell a higher incarnation later
-	Link    ordering.Link
-	Council ordering.Consensus // nil for a process outside the consensus group
-	Ledger  *ledger.Ledger     // the part of that name in the consensus group; nil without one
-	Orders  together.Orders
-	Longest time.Duration // the longest deadline of the messages in the folder; 0 for not known
-	CatchUp time.Duration // how long a start waits for purges that it missed, at most
-	Now     func() view.Now
-	Log     *zap.Logger
+	Self      view.Member // Life, Zone, Region and Folder are read; a view may tell a higher incarnation later
+	Link      ordering.Link
+	Consensus ordering.Consensus // nil for a process outside the consensus group
+	Ledger    *ledger.Ledger     // the part of that name in the consensus group; nil without one
+	Orders    together.Orders
+	Longest   time.Duration // the longest deadline of the messages in the folder; 0 for not known
+	CatchUp   time.Duration // how long a start waits for purges that it missed, at most
+	Now       func() view.Now
+	Log       *zap.Logger
 }
 
 // complete checks what must be given, and fills in defaults.
 func (o *Options) complete() error {
-	if o.Link == nil || o.Orders == nil || (o.Council == nil) != (o.Ledger == nil) {
+	if o.Link == nil || o.Orders == nil || (o.Consensus == nil) != (o.Ledger == nil) {
 		return errors.New("purge: a link and a sender's orders must be given, and a ledger with a council")
 	}
-	if o.Council == nil {
-		o.Council = ordering.NoConsensus{NotLeading: errNotLeading}
+	if o.Consensus == nil {
+		o.Consensus = ordering.NoConsensus{NotLeading: errNotLeading}
 	}
 	if o.Now == nil {
 		o.Now = ordering.NewClock()
@@ -103,7 +103,7 @@
 	r.caller = ordering.Caller{
 		Part:           "purge",
 		Link:           o.Link,
-		Consensus:      o.Council,
+		Consensus:      o.Consensus,
 		Self:           o.Self.Name,
 		Life:           r.life,
 		Candidates:     r.candidates,
@@ -179,7 +179,7 @@
 // step asks each pure part what is due, and starts that.
 func (r *Runner) step() {
 	update := r.readLedger()
-	leader, known := r.options.Council.Leader()
+	leader, known := r.options.Consensus.Leader()
 	now := r.options.Now()
 
 	r.mu.Lock()
--- a/internal/cluster/purge/run/status.go
+++ b/internal/cluster/purge/run/status.go
@@ -94,14 +94,14 @@
 	if err := json.Unmarshal(body, &request); err != nil {
 		return nil, fmt.Errorf("purge: asked to show: %w", err)
 	}
-	if !r.options.Council.Leading() {
+	if !r.options.Consensus.Leading() {
 		return nil, errNotLeading
 	}
 	var record ledger.Record
 	var known bool
 	var horizon time.Duration
 	var participants []ledger.Participant
-	r.options.Council.Read(func(uint64) {
+	r.options.Consensus.Read(func(uint64) {
 		record, known = r.options.Ledger.Find(request.ID)
 		horizon, participants = r.options.Ledger.Horizon(), r.options.Ledger.Participants()
 	})
@@ -113,7 +113,7 @@
 	if record.Match != (together.Match{}) {
 		status.Match = &record.Match
 	}
-	status.AgeMS = max(r.options.Council.Clock()-record.At, 0).Milliseconds()
+	status.AgeMS = max(r.options.Consensus.Clock()-record.At, 0).Milliseconds()
 	r.mu.Lock()
 	var acknowledgements []spread.ParticipantStatus
 	if r.leading && r.leaderState != nil && record.State == ledger.Spreading {
--- a/internal/cluster/purge/spread/leader.go
+++ b/internal/cluster/purge/spread/leader.go
@@ -135,7 +135,7 @@
 // AddFound adds up two findings.
 func AddFound(a, b together.Found) together.Found {
 	return together.Found{NotBegun: a.NotBegun + b.NotBegun, MayRun: a.MayRun + b.MayRun,
-		Delivered: a.Delivered + b.Delivered, Learnt: a.Learnt + b.Learnt}
+		Delivered: a.Delivered + b.Delivered, LearnedState: a.LearnedState + b.LearnedState}
 }
 
 // closure is the end of a purge, by zone.
--- a/internal/cluster/purge/spread/state.go
+++ b/internal/cluster/purge/spread/state.go
@@ -124,7 +124,7 @@
 // obsolete reports whether no process can need a purge any more: it is closed and past the horizon. Purges of learned state
 // have no horizon.
 func (s *State) obsolete(h heldPurge, now view.Now) bool {
-	return h.Seq < s.oldestOpen && !h.Learnt && s.horizon > 0 && h.age(now) > s.horizon
+	return h.Seq < s.oldestOpen && !h.LearnedState && s.horizon > 0 && h.age(now) > s.horizon
 }
 
 // prune drops obsolete purges, and beyond the bound the oldest that are closed and applied here.
--- a/internal/sender/digest.go
+++ b/internal/sender/digest.go
@@ -61,8 +61,8 @@
 func (w *watching) mind(classes []choice.Class) {
 	for i, of := range classes {
 		w.longest = max(w.longest, of.Deadline)
-		if i == 0 || of.ContractTime < w.shortest {
-			w.shortest = of.ContractTime
+		if i == 0 || of.LatencyObjective < w.shortest {
+			w.shortest = of.LatencyObjective
 		}
 	}
 }
--- a/internal/sender/holding.go
+++ b/internal/sender/holding.go
@@ -55,22 +55,22 @@
 func (s *Sender) held() (all []together.Held) {
 	by := map[choice.DestinationID]*together.Held{}
 	for _, e := range s.endpoints {
-		k := s.module.Learnt(e.id)
+		k := s.module.LearnedState(e.id)
 		if e.links == 0 && k.Seen == 0 && k.Wait == 0 && k.Limit == 0 {
 			continue
 		}
 		h := by[e.dest]
 		if h == nil {
 			h = &together.Held{Destination: e.dest}
-			h.Calls, h.Pinned = s.memory.Holds(e.dest)
+			h.Calls, h.InUse = s.memory.Holds(e.dest)
 			by[e.dest] = h
 		}
 		h.Bytes += endpointBytes + e.links*linkBytes
-		h.Pinned = h.Pinned || e.links > len(e.idle)
+		h.InUse = h.InUse || e.links > len(e.idle)
 	}
 	for _, n := range s.owed {
 		if h := by[n.Destination]; h != nil {
-			h.Pinned = true
+			h.InUse = true
 		}
 	}
 	for _, d := range slices.Sorted(maps.Keys(by)) {
@@ -150,13 +150,13 @@
 		which = func(choice.DestinationID) bool { return true }
 	}
 	for _, e := range s.ends(which) {
-		if k := s.module.Learnt(e.id); k.Seen > 0 || k.Limit > 0 || k.Wait > 0 {
+		if k := s.module.LearnedState(e.id); k.Seen > 0 || k.Limit > 0 || k.Wait > 0 {
 			heard := e.heard
 			if heard == 0 { // before this sender was joined, at the earliest at its start
 				heard = now - config.Down(int64(s.sinceStart()))
 			}
 			age := max(0, config.Nanoseconds(now-heard))
-			all = append(all, together.Lesson{Endpoint: e.id, Learnt: k, Age: time.Duration(age)})
+			all = append(all, together.Lesson{Endpoint: e.id, LearnedState: k, Age: time.Duration(age)})
 		}
 	}
 	return all
@@ -166,15 +166,15 @@
 func (s *Sender) teach(lessons []together.Lesson) {
 	for _, l := range lessons {
 		e := s.endpoints[l.Endpoint]
-		if e == nil || e.gone || !sensible(l.Learnt) || l.Age < 0 {
+		if e == nil || e.gone || !sensible(l.LearnedState) || l.Age < 0 {
 			continue
 		}
-		if k := s.module.Learnt(e.id); k.Seen > 0 || k.Wait > 0 || k.Limit > 0 {
+		if k := s.module.LearnedState(e.id); k.Seen > 0 || k.Wait > 0 || k.Limit > 0 {
 			continue
 		}
 		age := config.Up(int64(l.Age))
-		l.Learnt.Wait = max(0, l.Learnt.Wait-age)
-		s.memory.Void(e.id, &l.Learnt)
+		l.LearnedState.Wait = max(0, l.LearnedState.Wait-age)
+		s.memory.Void(e.id, &l.LearnedState)
 		e.heard = s.Now() - age
 		s.counts.taught++
 	}
--- a/internal/sender/joined.go
+++ b/internal/sender/joined.go
@@ -42,7 +42,7 @@
 // memory is what the module does about all that it learnt of endpoints.
 type memory interface {
 	// Void drops what was learnt of an endpoint, or puts other in its place.
-	Void(choice.EndpointID, *choice.Learnt)
+	Void(choice.EndpointID, *choice.LearnedState)
 	// Holds tells how many answers rest on a destination, and whether it must not be let go.
 	Holds(choice.DestinationID) (calls float64, pinned bool)
 }
--- a/internal/sender/learnt.go
+++ b/internal/sender/learnt.go
@@ -1,7 +1,7 @@
 package sender
 
 // This file carries what was learnt of endpoints from one life of a sender to the next, through the folder that
-// lasts: a planned end writes it, a start reads it. What it holds is the module's to say (choice.Learnt). It must
+// lasts: a planned end writes it, a start reads it. What it holds is the module's to say (choice.LearnedState). It must
 // never keep a start from happening, nor pass on what was learnt of another machine under the same id.
 
 import (
@@ -27,7 +27,7 @@
 	Endpoint    choice.EndpointID    `json:"endpoint"`
 	Destination choice.DestinationID `json:"destination"`
 	Addr        string               `json:"addr"`
-	choice.Learnt
+	choice.LearnedState
 }
 
 // lesson is the whole file. Waits count from At, by the wall clock.
@@ -52,7 +52,7 @@
 	}
 	s.learnt, s.learntAt = map[choice.EndpointID]learnt{}, l.At
 	for _, k := range l.Endpoints {
-		if sensible(k.Learnt) {
+		if sensible(k.LearnedState) {
 			s.learnt[k.Endpoint] = k
 		}
 	}
@@ -67,7 +67,7 @@
 )
 
 // sensible tells whether what comes from elsewhere can be believed.
-func sensible(k choice.Learnt) bool {
+func sensible(k choice.LearnedState) bool {
 	is := func(least, v, most float64) bool { return v >= least && v <= most }
 	const most = float64(longestLearnt)
 	return k.Mean > 0 && is(0, k.Mean, most) && is(0, k.Dev, most) && k.Past > 0 && is(0, k.Past, most) && is(0, k.Seen, mostSeen) &&
@@ -105,14 +105,14 @@
 
 // remembered gives what was learnt of an endpoint to its first entry, and once: later it is out of date. The wait has
 // run on meanwhile.
-func (s *Sender) remembered(e choice.Entry, addr string) *choice.Learnt {
+func (s *Sender) remembered(e choice.Entry, addr string) *choice.LearnedState {
 	k, is := s.learnt[e.Endpoint]
 	delete(s.learnt, e.Endpoint)
 	if !is || k.Addr != addr || k.Destination != e.Destination {
 		return nil
 	}
 	k.Wait = max(0, k.Wait-max(0, s.Now()-s.learntAt))
-	return &k.Learnt
+	return &k.LearnedState
 }
 
 // remind writes what the next life may keep, of as many endpoints as there is room for.
@@ -120,7 +120,7 @@
 	l := lesson{At: s.Now()}
 	room := int(learntShare*float64(s.journal.Limit())) - 64 // for what stands around them
 	for _, id := range slices.Sorted(maps.Keys(s.endpoints)) {
-		e, k := s.endpoints[id], s.module.Learnt(id)
+		e, k := s.endpoints[id], s.module.LearnedState(id)
 		if e.gone || k.Seen == 0 && k.Wait == 0 {
 			continue
 		}
--- a/internal/sender/learnt_test.go
+++ b/internal/sender/learnt_test.go
@@ -45,7 +45,7 @@
 			t.Fatal(err)
 		}
 		l := follow(t, startAs(configureFour(dir, 100)))
-		if k := l.s.module.Learnt("a"); (k.Seen == 9 && k.Mean == 900) != c.taken {
+		if k := l.s.module.LearnedState("a"); (k.Seen == 9 && k.Mean == 900) != c.taken {
 			t.Errorf("%s: %+v", name, k)
 		}
 		room := &client{room: make(chan struct{}, 1), gone: true}
--- a/internal/sender/move_test.go
+++ b/internal/sender/move_test.go
@@ -105,7 +105,7 @@
 	r := startAs(configureAs(dir, before, listBefore)).hand("OUT.ADD k of c=offer,d=20000,dest=1 x")
 	r.answer("HTTP/1.1 429 Wait\nRetry-After: 9\nContent-Length: 0\n\n").s.close()
 	r = startAs(configureAs(dir, before, listBefore))
-	fmt.Println("waits on:", r.s.module.Learnt("a").Wait > 8*choice.Second, "kept for later:", len(r.s.learnt))
+	fmt.Println("waits on:", r.s.module.LearnedState("a").Wait > 8*choice.Second, "kept for later:", len(r.s.learnt))
 	os.RemoveAll(dir)
 	// Output:
 	// call a: POST /inbox
@@ -136,7 +136,7 @@
 	dir, _ := os.MkdirTemp("", "sender")
 	show := func(list string) {
 		r := startAs(configureAs(dir, after, list))
-		fmt.Printf("a: %+v\n", r.s.module.Learnt("a"))
+		fmt.Printf("a: %+v\n", r.s.module.LearnedState("a"))
 	}
 	r := startAs(configureAs(dir, before, listBefore)).hand("OUT.ADD k of c=offer,d=20000,dest=1 x")
 	r.clock += 90 * time.Millisecond
@@ -191,7 +191,7 @@
 	}
 	seen := func(s *Sender, id choice.EndpointID) float64 {
 		got := make(chan float64)
-		s.post(func() { got <- s.module.Learnt(id).Seen })
+		s.post(func() { got <- s.module.LearnedState(id).Seen })
 		return <-got
 	}
 	meets := func(id string, times int) bool {
--- a/internal/sender/notes_test.go
+++ b/internal/sender/notes_test.go
@@ -82,7 +82,7 @@
 		return false
 	}
 	client.Write(resp.AppendCommand(nil, []byte("OUT.ADD"), []byte("0"), []byte("id"), []byte("c=status,d=1500,dest=1"), nil))
-	if !look(hearer, func() bool { return hearer.module.Learnt("full").Wait > 0 }) {
+	if !look(hearer, func() bool { return hearer.module.LearnedState("full").Wait > 0 }) {
 		t.Error("a wait told to one sender does not reach the other")
 	}
 	note := make([]byte, 300)
--- a/internal/sender/purge.go
+++ b/internal/sender/purge.go
@@ -76,7 +76,7 @@
 			}
 			o.found = append(o.found, f)
 			work += 1 + len(s.order) + len(s.admitted)
-			if w.Learnt {
+			if w.LearnedState {
 				work += learntWork
 			}
 		}
@@ -102,8 +102,8 @@
 		}
 		return f, nil
 	}
-	if w.Learnt {
-		if f.Learnt, err = s.forgetLearnt(w); err != nil {
+	if w.LearnedState {
+		if f.LearnedState, err = s.forgetLearnt(w); err != nil {
 			return f, err
 		}
 	}
@@ -123,7 +123,7 @@
 	if f != (together.Found{}) {
 		level = zap.InfoLevel
 	}
-	s.log.Log(level, "purge", zap.Uint64("seq", w.Seq), zap.String("id", w.ID), zap.Bool("learnt", w.Learnt),
+	s.log.Log(level, "purge", zap.Uint64("seq", w.Seq), zap.String("id", w.ID), zap.Bool("learnt", w.LearnedState),
 		zap.Any("found", f))
 	return f, nil
 }
@@ -205,7 +205,7 @@
 
 func (p purged) record() []byte {
 	out := binary.AppendUvarint([]byte{recPurge}, p.seq)
-	for _, n := range []int{p.found.NotBegun, p.found.MayRun, p.found.Delivered, p.found.Learnt} {
+	for _, n := range []int{p.found.NotBegun, p.found.MayRun, p.found.Delivered, p.found.LearnedState} {
 		out = binary.AppendVarint(out, int64(n))
 	}
 	return out
@@ -218,7 +218,7 @@
 	}
 	f := fields{rest: record[1+used:]}
 	p.seq = seq
-	for _, n := range []*int{&p.found.NotBegun, &p.found.MayRun, &p.found.Delivered, &p.found.Learnt} {
+	for _, n := range []*int{&p.found.NotBegun, &p.found.MayRun, &p.found.Delivered, &p.found.LearnedState} {
 		*n = int(f.number())
 	}
 	return p, !f.broken
--- a/internal/sender/purge_test.go
+++ b/internal/sender/purge_test.go
@@ -44,15 +44,15 @@
 	//    o1
 	//    s1
 	// client: +OK
-	// applied 3: [{NotBegun:2 MayRun:0 Delivered:0 Learnt:0}]
+	// applied 3: [{NotBegun:2 MayRun:0 Delivered:0 LearnedState:0}]
 	// platform: {"message":"o1","outcome":"given_up"}
 	// {"message":"nobody","outcome":"given_up"}
 	// call b: POST /inbox
 	//    s1
-	// applied 4: [{NotBegun:1 MayRun:0 Delivered:0 Learnt:0}]
+	// applied 4: [{NotBegun:1 MayRun:0 Delivered:0 LearnedState:0}]
 	// platform: {"message":"s1","outcome":"given_up"}
 	// the call is over: true timers: 3
-	// applied 5: [{NotBegun:0 MayRun:0 Delivered:0 Learnt:0}]
+	// applied 5: [{NotBegun:0 MayRun:0 Delivered:0 LearnedState:0}]
 	// owed: 1 to the platform: 0
 }
 
@@ -142,8 +142,8 @@
 	// client: +OK
 	// client: +OK
 	// client: +OK
-	// applied 2: [{NotBegun:1 MayRun:1 Delivered:0 Learnt:0}]
-	// applied 2: [{NotBegun:0 MayRun:1 Delivered:0 Learnt:0}]
+	// applied 2: [{NotBegun:1 MayRun:1 Delivered:0 LearnedState:0}]
+	// applied 2: [{NotBegun:0 MayRun:1 Delivered:0 LearnedState:0}]
 	// platform: {"message":"next","outcome":"given_up"}
 	// call a: POST /inbox
 	//    o
@@ -172,7 +172,7 @@
 	start(r.dir, 100).owed()
 	os.RemoveAll(r.dir)
 	// Output:
-	// applied 1: [{NotBegun:1 MayRun:0 Delivered:0 Learnt:0}]
+	// applied 1: [{NotBegun:1 MayRun:0 Delivered:0 LearnedState:0}]
 	// owed: 0 to the platform: 0
 	// client: "-ERR given up\r\n", calls: 0
 	// owed: 0 to the platform: 0
@@ -213,20 +213,20 @@
 	os.RemoveAll(r.dir)
 	// Output:
 	// client: +OK
-	// applied 7: [{NotBegun:1 MayRun:0 Delivered:0 Learnt:0}]
+	// applied 7: [{NotBegun:1 MayRun:0 Delivered:0 LearnedState:0}]
 	// client: +OK
 	// killed
 	// applied: 7 taken on then: true
-	// applied 7: [{NotBegun:1 MayRun:0 Delivered:0 Learnt:0}]
+	// applied 7: [{NotBegun:1 MayRun:0 Delivered:0 LearnedState:0}]
 	// platform: {"message":"old","outcome":"given_up"}
 	// owed: 1 to the platform: 0
 	// killed
-	// applied 8: [{NotBegun:0 MayRun:0 Delivered:0 Learnt:0}]
+	// applied 8: [{NotBegun:0 MayRun:0 Delivered:0 LearnedState:0}]
 	// owed: 1 to the platform: 0
 	// killed
 	// the wall clock was put back: true
 	// killed
-	// applied 9: [{NotBegun:1 MayRun:0 Delivered:0 Learnt:0}]
+	// applied 9: [{NotBegun:1 MayRun:0 Delivered:0 LearnedState:0}]
 	// platform: {"message":"new","outcome":"given_up"}
 	// owed: 0 to the platform: 0
 }
@@ -293,10 +293,10 @@
 	r.s.memory = m
 	d := choice.DestinationID(1)
 	var found []together.Found
-	r.s.Orders().Purge([]together.Purge{{Seq: 1, Learnt: true, Match: together.Match{Destination: &d}},
-		{Seq: 2, Learnt: true, Match: together.Match{Class: "order"}}}, func(_ uint64, f []together.Found) { found = f })
+	r.s.Orders().Purge([]together.Purge{{Seq: 1, LearnedState: true, Match: together.Match{Destination: &d}},
+		{Seq: 2, LearnedState: true, Match: together.Match{Class: "order"}}}, func(_ uint64, f []together.Found) { found = f })
 	r.take().turn(5 * time.Millisecond)
-	if len(found) != 2 || found[0].Learnt != 2 || found[1].Learnt != 0 || len(m.void) != 1 {
+	if len(found) != 2 || found[0].LearnedState != 2 || found[1].LearnedState != 0 || len(m.void) != 1 {
 		t.Errorf("found %+v, void %v", found, m.void)
 	}
 	left, _ := os.ReadFile(file)
--- a/internal/sender/relay.go
+++ b/internal/sender/relay.go
@@ -180,7 +180,7 @@
 			continue // it has parted
 		}
 		o := choice.Outcome{Message: n.ID, Attempt: n.tries - 1, Endpoint: c.e.id, Took: took,
-			Result: a.result, Final: a.final, Wait: a.wait, NoSlot: a.noSlot, Report: a.told(), Kept: c.kept, Closed: a.close}
+			Result: a.result, Final: a.final, Wait: a.wait, NoSlot: a.noSlot, Report: a.told(), Reused: c.kept, Closed: a.close}
 		if len(c.messages) > 1 && a.result == choice.Done {
 			o.Result, o.Final = choice.Spoilt, false // unless the answer names it
 			if status, known := states[a.states[n.ID]]; known {
--- a/internal/sender/route.go
+++ b/internal/sender/route.go
@@ -82,7 +82,7 @@
 	}
 	for i, entry := range entries {
 		as := told[entry.Endpoint]
-		entries[i].Learnt = s.remembered(entry, as.Addr)
+		entries[i].LearnedState = s.remembered(entry, as.Addr)
 		e := s.endpoints[entry.Endpoint]
 		if e != nil && (as.Addr != e.addr || entry.Destination != e.dest) {
 			// It is another one by the same name. Connections to the one before, and calls that wait for one, would reach
@@ -95,7 +95,7 @@
 			e = &endpoint{id: entry.Endpoint}
 			s.endpoints[e.id] = e
 		}
-		if entries[i].Learnt != nil {
+		if entries[i].LearnedState != nil {
 			e.heard = s.learntAt
 		}
 		e.addr, e.zoneName, e.told = as.Addr, as.Zone, as
@@ -120,7 +120,7 @@
 	}
 	s.log.Debug("list", zap.Bool("full", l.Full), zap.Bool("stale", stale), zap.Any("entries", l.Servers))
 	s.listTold = s.listTold || !stale
-	s.module.ListNews(entries, l.Full)
+	s.module.UpdateEndpoints(entries, l.Full)
 }
 
 func (s *Sender) forget(e *endpoint) {
--- a/internal/sender/together/together.go
+++ b/internal/sender/together/together.go
@@ -69,27 +69,27 @@
 
 // Found is what a purge met at one process.
 type Found struct {
-	NotBegun  int `json:"not_begun"` // ended here and now, and answered so
-	MayRun    int `json:"may_run"`   // a call is or was out: reported so, and not sent again
-	Delivered int `json:"delivered"` // ended before the purge came, as far as is remembered
-	Learnt    int `json:"learnt"`    // endpoints of which what was learnt is void
+	NotBegun     int `json:"not_begun"` // ended here and now, and answered so
+	MayRun       int `json:"may_run"`   // a call is or was out: reported so, and not sent again
+	Delivered    int `json:"delivered"` // ended before the purge came, as far as is remembered
+	LearnedState int `json:"learnt"`    // endpoints of which what was learnt is void
 }
 
 // Purge is one order to withdraw.
 type Purge struct {
-	Seq    uint64 // of the ledger; a process applies them in this order, each once
-	ID     string
-	Learnt bool // the subject: what was learnt, not messages
-	Match  Match
+	Seq          uint64 // of the ledger; a process applies them in this order, each once
+	ID           string
+	LearnedState bool `json:"Learnt"` // the subject: learned state, not messages; the name in JSON is that of older versions
+	Match        Match
 	// Age is for how long the purge has been in force: what was taken on since is not touched.
 	Age time.Duration
 }
 
 // Lesson is what is known of an endpoint elsewhere, and how old it is.
 type Lesson struct {
-	Endpoint choice.EndpointID
-	Learnt   choice.Learnt
-	Age      time.Duration
+	Endpoint     choice.EndpointID
+	LearnedState choice.LearnedState
+	Age          time.Duration
 }
 
 // Orders is what a cluster asks of its sender. Each may be called from any goroutine; done is called on the loop.
@@ -116,5 +116,5 @@
 	Destination choice.DestinationID
 	Bytes       int
 	Calls       float64 // answers seen that what is learnt rests on: what it would cost to learn again
-	Pinned      bool    // a told wait, an outage, a cold budget, a drain, order in a key, or anything open
+	InUse       bool    // a told wait, an outage, a cold budget, a drain, order in a key, or anything open
 }
--- a/internal/sender/withdrawal/withdrawal.go
+++ b/internal/sender/withdrawal/withdrawal.go
@@ -32,7 +32,7 @@
 // Takes tells whether an order means a message of these that was taken on at a time, on the clock of the cut; 0 stands
 // for long ago. Keys are compared as the program writes them, not as the numbers that they stand for.
 func (o *Order) Takes(d choice.DestinationID, class, key string, takenAt choice.Time) bool {
-	return !o.Learnt && takenAt <= o.Cut && names(&o.Match, d, class, key)
+	return !o.LearnedState && takenAt <= o.Cut && names(&o.Match, d, class, key)
 }
 
 // names tells whether a match names a message of these. Fields that are set must all agree. An empty match names nothing:
@@ -51,7 +51,7 @@
 // that also names a class or a key forgets nothing.
 func (o *Order) Forgets(d choice.DestinationID) bool {
 	m := &o.Match
-	return o.Learnt && m.Destination != nil && *m.Destination == d && m.Class == "" && m.Key == "" && m.KeyPrefix == ""
+	return o.LearnedState && m.Destination != nil && *m.Destination == d && m.Class == "" && m.Key == "" && m.KeyPrefix == ""
 }
 
 // State is how a message stands at its sender.
