--- a/internal/cluster/configuration/spread/roster.go
+++ b/internal/cluster/configuration/spread/roster.go
@@ -1,7 +1,7 @@
 package spread
 
-// This file is what whoever leads the council knows beside its State: how fast the newest version came into force, and
-// which version those have who are away.
+// This file is what the leader knows besides its State: how fast the newest version came into force, and which version
+// absent processes have.
 
 import (
 	"cmp"
@@ -12,188 +12,192 @@
 )
 
 const (
-	mostNames = 4096           // remembered of those who were here; the largest fleet planned for has 660
-	KeepAway  = 24 * time.Hour // one that is away for longer is not shown any more
-	mostAway  = 256            // shown
+	maxNames       = 4096           // processes remembered; the largest planned fleet has 660
+	AbsenceLimit   = 24 * time.Hour // a process that is absent for longer is forgotten
+	maxAbsentShown = 256
 
-	// One that is away is tried by whoever leads, as it may be back before the view says so: each second at first, and
-	// the less often the longer it is away.
-	tryFirst, tryLast, tryShare = time.Second, 5 * time.Second, 10
+	// The leader calls an absent process, as it may be back before the view says so: each second at first, and then less
+	// often (each tenth of its absence), up to each 5 s.
+	minAttemptInterval, maxAttemptInterval, attemptShare = time.Second, 5 * time.Second, 10
 )
 
-// Shares of the fleet at which it is told how long a version took.
-const half, most = 0.5, 0.95
+// Shares of the fleet for which it is shown how long a version took.
+const shareHalf, shareMost = 0.5, 0.95
 
-// Progress is how the newest version came into force, by the leader's own clock. A span of 0 is not known: not there
-// yet, or reached under an earlier leader.
+// Progress is how fast the newest version came into force, by the leader's own clock. A duration of 0 is not known: the
+// share is not reached yet, or was reached under an earlier leader.
 type Progress struct {
-	Version      uint64
-	Since        view.Now // it is known here
-	At50, At95   time.Duration
-	At100        time.Duration
-	fromTheStart bool
+	Version    uint64
+	Since      view.Now // when it became known here
+	At50, At95 time.Duration
+	At100      time.Duration
+	fromStart  bool
 }
 
-// Begin tells of the newest version; decidedHere that it was decided while this process led.
+// Begin starts the progress of a newer version; decidedHere says that it was committed while this process led.
 func (p *Progress) Begin(version uint64, decidedHere bool, now view.Now) {
 	if version > p.Version {
-		*p = Progress{Version: version, Since: now, fromTheStart: decidedHere}
+		*p = Progress{Version: version, Since: now, fromStart: decidedHere}
 	}
 }
 
-// Saw tells how many of those who are here run the newest version.
-func (p *Progress) Saw(inForce, here int, now view.Now) {
-	if !p.fromTheStart || here == 0 {
+// RecordInForce records how many of the present processes run the newest version.
+func (p *Progress) RecordInForce(inForce, here int, now view.Now) {
+	if !p.fromStart || here == 0 {
 		return
 	}
 	took := max(now-p.Since, time.Millisecond)
 	for _, step := range []struct {
 		share float64
 		at    *time.Duration
-	}{{half, &p.At50}, {most, &p.At95}, {1, &p.At100}} {
+	}{{shareHalf, &p.At50}, {shareMost, &p.At95}, {1, &p.At100}} {
 		if *step.at == 0 && float64(inForce) >= step.share*float64(here) {
 			*step.at = took
 		}
 	}
 }
 
-// Roster is the version that each process had in force at least, for those who are cut off: nobody can be asked then.
+// Roster is the version that each process had in force at least, to be shown while the process is absent and can't be
+// asked.
 type Roster struct {
-	all map[view.Name]*known
+	members map[view.Name]*memberRecord
 }
 
-type known struct {
-	life    view.Life
-	version uint64
-	is      bool // something is known of it
-	away    bool
-	since   view.Now
-	tryAt   view.Now
+// memberRecord is what is known of one process.
+type memberRecord struct {
+	life         view.Life
+	version      uint64
+	versionKnown bool
+	absent       bool
+	since        view.Now
+	nextAttempt  view.Now
 }
 
-// See takes in who is here. One that said that it goes is forgotten.
-func (r *Roster) See(v *view.View, now view.Now) {
-	if r.all == nil {
-		r.all = map[view.Name]*known{}
+// UpdateView takes in a view. A process that left on purpose is forgotten.
+func (r *Roster) UpdateView(members *view.View, now view.Now) {
+	if r.members == nil {
+		r.members = map[view.Name]*memberRecord{}
 	}
-	for _, m := range v.Members {
+	for _, m := range members.Members {
 		if m.State == view.Left {
-			delete(r.all, m.Name)
+			delete(r.members, m.Name)
 			continue
 		}
-		k := r.all[m.Name]
+		record := r.members[m.Name]
 		switch {
-		case k == nil && len(r.all) < mostNames:
-			k = &known{life: m.Life}
-			r.all[m.Name] = k
-		case k == nil:
+		case record == nil && len(r.members) < maxNames:
+			record = &memberRecord{life: m.Life}
+			r.members[m.Name] = record
+		case record == nil:
 			continue
-		case m.Incarnation > k.life.Incarnation:
-			*k = known{life: m.Life, away: k.away, since: k.since} // another life, perhaps on another folder
+		case m.Incarnation > record.life.Incarnation:
+			*record = memberRecord{life: m.Life, absent: record.absent, since: record.since} // a restart, perhaps with another folder
 		}
-		if away := !m.Here(); away != k.away {
-			k.away, k.since = away, now
+		if away := !m.Here(); away != record.absent {
+			record.absent, record.since = away, now
 		}
 	}
-	for name, k := range r.all {
-		if k.away && now-k.since > KeepAway {
-			delete(r.all, name)
+	for name, record := range r.members {
+		if record.absent && now-record.since > AbsenceLimit {
+			delete(r.members, name)
 		}
 	}
 }
 
-// Here is how many are here.
-func (r *Roster) Here() (here int) {
-	for _, k := range r.all {
-		if !k.away {
-			here++
+// PresentCount is how many processes are present.
+func (r *Roster) PresentCount() (present int) {
+	for _, record := range r.members {
+		if !record.absent {
+			present++
 		}
 	}
-	return here
+	return present
 }
 
-// Saw takes in how all stand: laggards have the version named with them, all others at least the lowest of the rest.
-// A summary that leaves somebody out tells nothing of the others.
-func (r *Roster) Saw(sum Summary) {
-	if sum.Unknown > 0 || sum.Unnamed > 0 || sum.Older > 0 || sum.Members != r.Here() {
+// RecordSummary takes in a summary: laggards have the version named with them, all others at least the lowest of the
+// rest. A summary that does not cover all present processes says nothing of the others.
+func (r *Roster) RecordSummary(sum Summary) {
+	if sum.Unknown > 0 || sum.Unnamed > 0 || sum.Older > 0 || sum.Members != r.PresentCount() {
 		return
 	}
 	rest := map[uint64]int{}
-	for _, c := range sum.InForce {
-		rest[c.Version] += c.Members
+	for _, count := range sum.InForce {
+		rest[count.Version] += count.Members
 	}
 	lagging := map[view.Name]uint64{}
-	for _, l := range sum.Laggards {
-		rest[l.Version]--
-		lagging[l.Name] = l.Version
+	for _, laggard := range sum.Laggards {
+		rest[laggard.Version]--
+		lagging[laggard.Name] = laggard.Version
 	}
-	lowest, any := uint64(0), false
+	lowest, found := uint64(0), false
 	for version, members := range rest {
-		if members > 0 && (!any || version < lowest) {
-			lowest, any = version, true
+		if members > 0 && (!found || version < lowest) {
+			lowest, found = version, true
 		}
 	}
-	for name, k := range r.all {
-		if k.away {
+	for name, record := range r.members {
+		if record.absent {
 			continue
 		}
 		version, lags := lagging[name]
 		if !lags {
-			if !any {
+			if !found {
 				continue
 			}
 			version = lowest
 		}
-		k.version, k.is = max(k.version, version), true
+		record.version, record.versionKnown = max(record.version, version), true
 	}
 }
 
-// Due are those to be tried now: who is away, and of those who are here the laggards that their parent does not reach.
-// At most so many; the rest is due the next time.
-func (r *Roster) Due(laggards []Laggard, most int, now view.Now) (names []view.Name) {
-	var due []*known
+// DueAnnouncements are the processes to be called now: absent ones, and laggards that their parent does not reach, up to
+// the limit. The rest is due the next time.
+func (r *Roster) DueAnnouncements(laggards []Laggard, limit int, now view.Now) (names []view.Name) {
+	var due []*memberRecord
 	for _, l := range laggards {
-		if k := r.all[l.Name]; k != nil && !k.away && l.Reason == Unreachable && now >= k.tryAt {
-			k.since = now
-			due = append(due, k)
+		if record := r.members[l.Name]; record != nil && !record.absent && l.Reason == Unreachable && now >= record.nextAttempt {
+			record.since = now
+			due = append(due, record)
 		}
 	}
-	for _, k := range r.all {
-		if k.away && now >= k.tryAt {
-			due = append(due, k)
+	for _, record := range r.members {
+		if record.absent && now >= record.nextAttempt {
+			due = append(due, record)
 		}
 	}
-	slices.SortFunc(due, func(a, b *known) int {
-		return cmp.Or(cmp.Compare(a.tryAt, b.tryAt), cmp.Compare(a.life.Name, b.life.Name))
+	slices.SortFunc(due, func(a, b *memberRecord) int {
+		return cmp.Or(cmp.Compare(a.nextAttempt, b.nextAttempt), cmp.Compare(a.life.Name, b.life.Name))
 	})
-	for _, k := range due[:min(len(due), most)] {
-		k.tryAt = now + min(max((now-k.since)/tryShare, tryFirst), tryLast)
-		names = append(names, k.life.Name)
+	for _, record := range due[:min(len(due), limit)] {
+		record.nextAttempt = now + min(max((now-record.since)/attemptShare, minAttemptInterval), maxAttemptInterval)
+		names = append(names, record.life.Name)
 	}
 	return names
 }
 
-// Heard takes in what one that was tried has in force.
-func (r *Roster) Heard(name view.Name, version uint64) {
-	if k := r.all[name]; k != nil {
-		k.version, k.is = max(k.version, version), true
+// RecordVersion takes in which version a process that was called has in force.
+func (r *Roster) RecordVersion(name view.Name, version uint64) {
+	if record := r.members[name]; record != nil {
+		record.version, record.versionKnown = max(record.version, version), true
 	}
 }
 
-// AwayOne is one that is not here, with the version it had at least; Known is false where this leader never knew.
-type AwayOne struct {
+// AbsentMember is an absent process with the version that it had at least; VersionKnown is false where this leader never
+// knew one.
+type AbsentMember struct {
 	Laggard
-	Known bool `json:"version_known"`
+	VersionKnown bool `json:"version_known"`
 }
 
-// Away are those who are not here and were not asked to go, by name, at most mostAway, and how many more there are.
-func (r *Roster) Away(now view.Now) (all []AwayOne, more int) {
-	for name, k := range r.all {
-		if k.away {
-			all = append(all, AwayOne{Laggard{Name: name, Version: k.version, Reason: Away, SinceMS: (now - k.since).Milliseconds()}, k.is})
+// AbsentMembers are the absent processes that did not leave on purpose, by name, at most maxAbsentShown, and how many
+// more there are.
+func (r *Roster) AbsentMembers(now view.Now) (all []AbsentMember, more int) {
+	for name, record := range r.members {
+		if record.absent {
+			all = append(all, AbsentMember{Laggard{Name: name, Version: record.version, Reason: Absent, SinceMS: (now - record.since).Milliseconds()}, record.versionKnown})
 		}
 	}
-	slices.SortFunc(all, func(a, b AwayOne) int { return cmp.Compare(a.Name, b.Name) })
-	shown := min(len(all), mostAway)
+	slices.SortFunc(all, func(a, b AbsentMember) int { return cmp.Compare(a.Name, b.Name) })
+	shown := min(len(all), maxAbsentShown)
 	return all[:shown], len(all) - shown
 }
--- a/internal/cluster/consensus/storeddata_test.go
+++ b/internal/cluster/consensus/storeddata_test.go
@@ -51,7 +51,7 @@
 		Founders: []view.Name{"a"},
 		Parts:    parts,
 		Reach:    func(view.Name) (string, bool) { return "", false },
-		Timing:   consensus.Timing{Heartbeat: storedHeartbeat},
+		Timing:   consensus.Timing{HeartbeatTimeout: storedHeartbeat},
 		Applied: func(uint64) {
 			select {
 			case applied <- struct{}{}:
@@ -148,8 +148,8 @@
 		if err := m.Restore(text); err != nil {
 			t.Fatalf("%s: %v", c.path, err)
 		}
-		if stored := readState(t, text); m.Index() != c.index || m.At() != stored.At {
-			t.Errorf("%s: index %d, clock %v", c.path, m.Index(), m.At())
+		if stored := readState(t, text); m.Index() != c.index || m.Clock() != stored.At {
+			t.Errorf("%s: index %d, clock %v", c.path, m.Index(), m.Clock())
 		}
 		if again, err := m.Snapshot(); err != nil || !bytes.Equal(again, text) {
 			t.Errorf("%s: %v, the state is\n%s, stored is\n%s", c.path, err, again, text)
