--- a/internal/sender/admit.go
+++ b/internal/sender/admit.go
@@ -169,7 +169,7 @@
 			s.handIn(n)
 			r := n.reply
 			n.reply = nil
-			s.answer(r, resp.AppendSimple(nil, "OK"))
+			s.setReply(r, resp.AppendSimple(nil, "OK"))
 		}
 	}
 	clear(s.admitted)
--- a/internal/sender/answers_out.go
+++ b/internal/sender/answers_out.go
@@ -7,97 +7,97 @@
 )
 
 const (
-	maxUnread = 256 << 10 // answers that a client has not read
-	maxBad    = 8         // commands of one client that make no sense, before it is closed
+	maxUnreadOutput = 256 << 10 // answers that a client has not read
+	maxBadCommands    = 8         // commands of one client that make no sense, before it is closed
 )
 
-// expect makes the place of the next answer.
-func (s *Sender) expect(c *client) *reply {
+// expectReply makes the place of the next answer.
+func (s *Sender) expectReply(c *client) *reply {
 	c.served = true
-	r := &reply{c: c}
-	c.waiting = append(c.waiting, r)
+	r := &reply{client: c}
+	c.replies = append(c.replies, r)
 	return r
 }
 
-// answer fills a place and writes all that has its turn.
-func (s *Sender) answer(r *reply, text []byte) {
+// setReply fills a place and writes all that has its turn.
+func (s *Sender) setReply(r *reply, text []byte) {
 	r.text = text
-	c := r.c
-	for len(c.waiting) > 0 && c.waiting[0].text != nil {
-		c.out = append(c.out, c.waiting[0].text...)
-		c.waiting[0] = nil
-		c.waiting = c.waiting[1:]
-		c.outs++
+	c := r.client
+	for len(c.replies) > 0 && c.replies[0].text != nil {
+		c.output = append(c.output, c.replies[0].text...)
+		c.replies[0] = nil
+		c.replies = c.replies[1:]
+		c.outputReplies++
 	}
-	s.flush(c)
+	s.flushReplies(c)
 }
 
 // badCommand answers what makes no sense. Who goes on like that is closed, or it would take the loop's time.
 func (s *Sender) badCommand(r *reply, why string) {
 	s.counts.badCommands++
-	c := r.c
-	if c.bad++; c.bad >= maxBad && !c.closing {
-		c.deaf.Store(true)
-		c.closing, c.why = true, badCommand
+	c := r.client
+	if c.badCommands++; c.badCommands >= maxBadCommands && !c.closing {
+		c.ignoreInput.Store(true)
+		c.closing, c.closeReason = true, badCommand
 	}
-	s.answer(r, resp.AppendError(nil, "ERR "+why))
+	s.setReply(r, resp.AppendError(nil, "ERR "+why))
 }
 
-// quiet tells whether nothing that the client has sent is on its way through us. Ending its connection otherwise
+// idle tells whether nothing that the client has sent is on its way through us. Ending its connection otherwise
 // would leave a command without an answer, which counts as lost.
-func (c *client) quiet() bool {
-	return len(c.room) == 0 && (c.deaf.Load() || !c.busy.Load() && c.half.Load() == 0)
+func (c *client) idle() bool {
+	return len(c.window) == 0 && (c.ignoreInput.Load() || !c.readerBusy.Load() && c.partialSince.Load() == 0)
 }
 
-// release gives back the places of answers that are written, or can't be any more.
-func (c *client) release(count int) {
+// releaseWindow gives back the places of answers that are written, or can't be any more.
+func (c *client) releaseWindow(count int) {
 	for range count {
-		<-c.room
+		<-c.window
 	}
 }
 
-// flush has a goroutine of its own write, since netpoll waits for a reader that is slow.
-func (s *Sender) flush(c *client) {
+// flushReplies has a goroutine of its own write, since netpoll waits for a reader that is slow.
+func (s *Sender) flushReplies(c *client) {
 	switch {
-	case c.gone:
-		c.release(c.outs)
-		c.out, c.outs = nil, 0
-	case c.writing > 0:
-	case len(c.out) > 0:
-		text := c.out
-		c.out, c.writing, c.outs = nil, c.outs, 0
+	case c.disconnected:
+		c.releaseWindow(c.outputReplies)
+		c.output, c.outputReplies = nil, 0
+	case c.writingReplies > 0:
+	case len(c.output) > 0:
+		text := c.output
+		c.output, c.writingReplies, c.outputReplies = nil, c.outputReplies, 0
 		go func() {
 			_, err := c.conn.Write(text)
-			s.post(func() { s.flushed(c, err) })
+			s.post(func() { s.onFlushed(c, err) })
 		}()
-	case c.closing && s.partFrom(c):
-	case c.closing && !c.looking:
-		c.looking = true
+	case c.closing && s.halfCloseClient(c):
+	case c.closing && !c.recheckScheduled:
+		c.recheckScheduled = true
 		s.after(settleFor, func() {
-			c.looking = false
-			s.flush(c)
+			c.recheckScheduled = false
+			s.flushReplies(c)
 		})
 	}
-	if len(c.out) > maxUnread && !c.gone {
-		c.why, c.gone = slowReader, true
+	if len(c.output) > maxUnreadOutput && !c.disconnected {
+		c.closeReason, c.disconnected = slowReader, true
 		c.conn.Close()
 	}
 }
 
-func (s *Sender) flushed(c *client, err error) {
-	c.rest.Store(max(1, int64(s.sinceStart())))
-	c.release(c.writing)
-	c.writing = 0
+func (s *Sender) onFlushed(c *client, err error) {
+	c.idleSince.Store(max(1, int64(s.sinceStart())))
+	c.releaseWindow(c.writingReplies)
+	c.writingReplies = 0
 	if err != nil {
-		c.gone = true
+		c.disconnected = true
 		c.conn.Close()
 	}
-	s.flush(c)
+	s.flushReplies(c)
 }
 
-// broken answers what cannot be read, and ends the connection.
-func (s *Sender) broken(c *client, err error) {
+// protocolError answers what cannot be read, and ends the connection.
+func (s *Sender) protocolError(c *client, err error) {
 	s.counts.badCommands++
-	s.answer(s.expect(c), brokenText(err))
+	s.setReply(s.expectReply(c), brokenText(err))
 	s.closeClient(c, badCommand)
 }
--- a/internal/sender/book.go
+++ b/internal/sender/book.go
@@ -144,7 +144,7 @@
 		if how.what == endHandedBack {
 			s.refuse(r, how.retryMS)
 		} else {
-			s.answer(r, []byte("-ERR given up\r\n"))
+			s.setReply(r, []byte("-ERR given up\r\n"))
 		}
 		s.over(n)
 		return
--- a/internal/sender/capacity_test.go
+++ b/internal/sender/capacity_test.go
@@ -54,20 +54,20 @@
 }
 
 func (r *rig) handIn(c *client, i, destinations int, body []byte) {
-	c.room <- struct{}{}
+	c.window <- struct{}{}
 	r.s.command(c, [][]byte{[]byte("OUT.ADD"), []byte("0"), fmt.Appendf(nil, "message-%012d", i),
 		fmt.Appendf(nil, "c=status,d=3600000,dest=%d", i%destinations), body})
 }
 
 func capacityClient() *client {
-	return &client{room: make(chan struct{}, 2*capacityTurn), writing: 1}
+	return &client{window: make(chan struct{}, 2*capacityTurn), writingReplies: 1}
 }
 
 // answered empties a client that nobody reads.
 func (c *client) answered() {
-	c.out = c.out[:0]
-	for len(c.room) > 0 {
-		<-c.room
+	c.output = c.output[:0]
+	for len(c.window) > 0 {
+		<-c.window
 	}
 }
 
--- a/internal/sender/clock_test.go
+++ b/internal/sender/clock_test.go
@@ -61,8 +61,8 @@
 	cfg := configureFour(dir, 100)
 	r := startAt(cfg, time.Second)
 	follow(t, r)
-	c := &client{room: make(chan struct{}, 1), gone: true}
-	c.room <- struct{}{}
+	c := &client{window: make(chan struct{}, 1), disconnected: true}
+	c.window <- struct{}{}
 	r.list(`{"version":2,"servers":[{"id":"g","addr":"127.0.0.1:7","zone":"z","kind":"one","cell":7,"state":"draining"}]}`)
 	r.s.command(c, words("OUT.ADD 0 new c=pure,d=8000,dest=7 x"))
 	r.s.turn()
--- a/internal/sender/command.go
+++ b/internal/sender/command.go
@@ -23,7 +23,7 @@
 )
 
 func (s *Sender) command(c *client, args [][]byte) {
-	r := s.expect(c)
+	r := s.expectReply(c)
 	name := ""
 	if len(args) > 0 {
 		name = string(args[0])
@@ -32,15 +32,15 @@
 	case strings.EqualFold(name, "OUT.ADD"):
 		s.add(r, args)
 	case strings.EqualFold(name, "PING") && len(args) == 2:
-		s.answer(r, resp.AppendBulk(nil, args[1]))
+		s.setReply(r, resp.AppendBulk(nil, args[1]))
 	case strings.EqualFold(name, "PING"):
-		s.answer(r, resp.AppendSimple(nil, "PONG"))
+		s.setReply(r, resp.AppendSimple(nil, "PONG"))
 	case strings.EqualFold(name, "INFO"):
 		var text []byte
 		for _, line := range s.Counters() {
 			text = append(append(text, line...), "\r\n"...)
 		}
-		s.answer(r, resp.AppendBulk(nil, text))
+		s.setReply(r, resp.AppendBulk(nil, text))
 	default:
 		s.badCommand(r, "unknown command")
 	}
@@ -56,14 +56,14 @@
 	if old := s.owed[n.ID]; old != nil {
 		// A client that saw its connection end sends the same once more: it is taken on already.
 		if old.reply == nil {
-			s.answer(r, resp.AppendSimple(nil, "OK"))
+			s.setReply(r, resp.AppendSimple(nil, "OK"))
 		} else {
-			s.answer(r, resp.AppendError(nil, "ERR handed in twice at once"))
+			s.setReply(r, resp.AppendError(nil, "ERR handed in twice at once"))
 		}
 		return
 	}
 	if _, over := s.admission.ended[n.ID]; over {
-		s.answer(r, resp.AppendSimple(nil, "OK"))
+		s.setReply(r, resp.AppendSimple(nil, "OK"))
 		return
 	}
 	if _, known := s.cells[n.Destination]; !known && s.listTold {
@@ -94,7 +94,7 @@
 // refuse tells a client that it may come again, and when, if that is known.
 func (s *Sender) refuse(r *reply, ms int64) {
 	s.counts.refused++
-	s.answer(r, busyText(ms))
+	s.setReply(r, busyText(ms))
 }
 
 func busyText(ms int64) []byte {
--- a/internal/sender/command_test.go
+++ b/internal/sender/command_test.go
@@ -73,10 +73,10 @@
 		return r.client(conn)
 	}
 	idle, half, asked, queued := connect(), connect(), connect(), connect()
-	queued.room <- struct{}{} // its command waits in the inbox
-	half.half.Store(int64(r.clock))
-	asked.room <- struct{}{}
-	r.s.add(r.s.expect(asked), [][]byte{nil, []byte("0"), []byte("id"), []byte("c=status,d=6000,dest=1"), nil})
+	queued.window <- struct{}{} // its command waits in the inbox
+	half.partialSince.Store(int64(r.clock))
+	asked.window <- struct{}{}
+	r.s.add(r.s.expectReply(asked), [][]byte{nil, []byte("0"), []byte("id"), []byte("c=status,d=6000,dest=1"), nil})
 	r.clock += time.Second
 	r.s.drain(r.clock)
 	late, silent := connect(), connect()
@@ -91,9 +91,9 @@
 	show()
 	r.turn(lingerFor)
 	show()
-	r.clock += halfFor
-	r.s.sweep()
-	fmt.Println("half a command:", half.closing, half.shut)
+	r.clock += partialCommandTimeout
+	r.s.sweepClients()
+	fmt.Println("half a command:", half.closing, half.writeClosed)
 	os.RemoveAll(r.dir)
 	// Output:
 	// true false false false false false
--- a/internal/sender/commands_in.go
+++ b/internal/sender/commands_in.go
@@ -14,50 +14,50 @@
 
 const (
 	maxInput = resp.MaxBulk + 8<<10
-	maxAhead = window * maxInput // what netpoll has read for us while a client's window was full
+	maxBufferedInput = windowSize * maxInput // what netpoll has read for us while a client's window was full
 )
 
-// onBytes takes all that has come; netpoll calls it again only for more.
-func (s *Sender) onBytes(ctx context.Context, conn netpoll.Connection) error {
+// onClientInput takes all that has come; netpoll calls it again only for more.
+func (s *Sender) onClientInput(ctx context.Context, conn netpoll.Connection) error {
 	c, known := ctx.Value(clientKey{}).(*client)
 	r := conn.Reader()
 	if !known {
 		return conn.Close()
 	}
-	c.busy.Store(true)
-	defer c.busy.Store(false)
+	c.readerBusy.Store(true)
+	defer c.readerBusy.Store(false)
 	piece, err := r.Next(r.Len())
 	if err != nil {
 		return err
 	}
-	if s.passOver(c, len(piece)) {
-		s.turnDeaf(c)
-	} else if c.deaf.Load() {
-		c.in = nil
+	if s.discardIfLingering(c, len(piece)) {
+		s.stopReading(c)
+	} else if c.ignoreInput.Load() {
+		c.input = nil
 	} else {
-		c.in = append(c.in, piece...)
+		c.input = append(c.input, piece...)
 	}
 	r.Release()
-	defer s.countUnread(c)
-	if len(c.in) > maxAhead {
-		s.turnDeaf(c)
+	defer s.countUnparsed(c)
+	if len(c.input) > maxBufferedInput {
+		s.stopReading(c)
 		s.post(func() { s.closeClient(c, tooFarAhead) })
 		return nil
 	}
 	at := 0
 	for {
-		args, took, err := resp.Command(c.in[at:], c.args)
-		if err == nil && took == 0 && len(c.in)-at > maxInput {
+		args, took, err := resp.Command(c.input[at:], c.args)
+		if err == nil && took == 0 && len(c.input)-at > maxInput {
 			err = resp.ErrLength
 		}
-		if err == nil && took == 0 && c.unread == 0 && s.unread.Load()+int64(len(c.in)-at) > s.maxHalf {
-			err = errTooMuch
+		if err == nil && took == 0 && c.unparsed == 0 && s.unparsedBytes.Load()+int64(len(c.input)-at) > s.maxUnparsedBytes {
+			err = errTooMuchUnparsed
 		}
 		if err != nil {
-			s.turnDeaf(c)
+			s.stopReading(c)
 			// The loop ends it, behind all answers; what comes until then is passed over.
-			if s.take(c) {
-				s.post(func() { s.broken(c, err) })
+			if s.acquireWindow(c) {
+				s.post(func() { s.protocolError(c, err) })
 			}
 			return nil
 		}
@@ -66,47 +66,47 @@
 		}
 		c.args = args
 		at += took
-		kept, _, _ := resp.Command(append([]byte(nil), c.in[at-took:at]...), nil)
-		if !s.take(c) {
-			s.turnDeaf(c)
+		kept, _, _ := resp.Command(append([]byte(nil), c.input[at-took:at]...), nil)
+		if !s.acquireWindow(c) {
+			s.stopReading(c)
 			return nil
 		}
 		s.post(func() { s.command(c, kept) })
-		if c.deaf.Load() {
-			s.turnDeaf(c)
+		if c.ignoreInput.Load() {
+			s.stopReading(c)
 			return nil
 		}
 	}
-	rest := c.in[at:]
+	rest := c.input[at:]
 	if len(rest) == 0 {
-		c.half.Store(0)
-		if cap(c.in) > maxInput/8 {
-			c.in = nil
+		c.partialSince.Store(0)
+		if cap(c.input) > maxInput/8 {
+			c.input = nil
 		}
-		c.in = c.in[:0]
+		c.input = c.input[:0]
 		return nil
 	}
-	if at > 0 || c.half.Load() == 0 {
-		c.half.Store(max(1, int64(s.clock())))
+	if at > 0 || c.partialSince.Load() == 0 {
+		c.partialSince.Store(max(1, int64(s.clock())))
 	}
-	c.in = append(c.in[:0], rest...)
+	c.input = append(c.input[:0], rest...)
 	return nil
 }
 
-var errTooMuch = errors.New("too many commands are unfinished")
+var errTooMuchUnparsed = errors.New("too many commands are unfinished")
 
-// turnDeaf belongs to the reader.
-func (s *Sender) turnDeaf(c *client) {
-	c.in = nil
-	c.deaf.Store(true)
-	c.half.Store(0)
+// stopReading belongs to the reader.
+func (s *Sender) stopReading(c *client) {
+	c.input = nil
+	c.ignoreInput.Store(true)
+	c.partialSince.Store(0)
 }
 
-// countUnread belongs to the reader.
-func (s *Sender) countUnread(c *client) {
-	now := int64(len(c.in))
-	s.unread.Add(now - c.unread)
-	c.unread = now
+// countUnparsed belongs to the reader.
+func (s *Sender) countUnparsed(c *client) {
+	now := int64(len(c.input))
+	s.unparsedBytes.Add(now - c.unparsed)
+	c.unparsed = now
 }
 
 func brokenText(err error) []byte { return resp.AppendError(nil, "ERR protocol: "+err.Error()) }
--- a/internal/sender/configure.go
+++ b/internal/sender/configure.go
@@ -73,8 +73,8 @@
 	was := s.cfg
 	s.cfg = next
 	s.names = directory.Names{Zones: next.Zones, Kinds: next.Kinds}
-	s.clients.tellBusy(&next.Settings)
-	s.links.init(s.bounded(next), s.clients.most)
+	s.clients.setBusyReply(&next.Settings)
+	s.links.init(s.bounded(next), s.clients.maxConns)
 	if s.cluster != nil {
 		s.watching.mind(next.Settings.Classes)
 	}
@@ -98,7 +98,7 @@
 // bounded is a configuration whose sockets are no more than the system gives.
 func (s *Sender) bounded(cfg *config.Config) *config.Config {
 	given := *cfg
-	given.Limits.Sockets = min(given.Limits.Sockets, descriptors())
+	given.Limits.Sockets = min(given.Limits.Sockets, descriptorLimit())
 	return &given
 }
 
--- a/internal/sender/configure_test.go
+++ b/internal/sender/configure_test.go
@@ -129,15 +129,15 @@
 	if a.zone != 1 || a.kind != 2 || a.bundle != 7 || b.bundle != 5 || r.s.mostOpen != 301 {
 		t.Errorf("a %+v, bundles to b %d, links %d", a, b.bundle, r.s.mostOpen)
 	}
-	if busy := string(*r.s.clients.busy.Load()); busy != "-BUSY 700\r\n" {
+	if busy := string(*r.s.clients.busyReply.Load()); busy != "-BUSY 700\r\n" {
 		t.Errorf("who finds no place is told %q", busy)
 	}
 	answer := func(command string) string {
-		c := &client{room: make(chan struct{}, window), writing: 1}
-		c.room <- struct{}{}
+		c := &client{window: make(chan struct{}, windowSize), writingReplies: 1}
+		c.window <- struct{}{}
 		r.s.command(c, words(command))
 		r.s.turn()
-		return strings.TrimSpace(string(c.out))
+		return strings.TrimSpace(string(c.output))
 	}
 	if text := answer("OUT.ADD 0 full c=status,d=6000,dest=9 x"); text != "-BUSY 700" {
 		t.Errorf("beyond the new limit: %s", text)
--- a/internal/sender/connecting_test.go
+++ b/internal/sender/connecting_test.go
@@ -32,9 +32,9 @@
 				l.s.commit()
 			}
 		}
-		c := &client{room: make(chan struct{}, window), gone: true}
+		c := &client{window: make(chan struct{}, windowSize), disconnected: true}
 		for i, class := range []string{"single", "line", "token", "pure"} {
-			c.room <- struct{}{}
+			c.window <- struct{}{}
 			l.s.command(c, words(fmt.Sprintf("OUT.ADD %d %s c=%s,d=8000,dest=1 x", i, class, class)))
 		}
 		l.goOn(5*time.Millisecond, time.Hour)
--- a/internal/sender/crowd_test.go
+++ b/internal/sender/crowd_test.go
@@ -19,13 +19,13 @@
 func TestNoPlaceIsAnswered(t *testing.T) {
 	s, dial, done := serving(t, 64)
 	s.clients.Lock()
-	most := s.clients.most
+	most := s.clients.maxConns
 	s.clients.Unlock()
 	for range most { // some of which may be for those who leave
 		conn := dial("*2\r\n$4\r\nPI")
 		until(t, "half a command is read, or refused", func() bool {
 			c := clientOf(t, s, conn)
-			return c.half.Load() != 0 || c.busy.Load() || state(t, conn) != stateOpen
+			return c.partialSince.Load() != 0 || c.readerBusy.Load() || state(t, conn) != stateOpen
 		})
 	}
 	asks, says := dial(addText("new")), dial("")
@@ -47,7 +47,7 @@
 	s, dial, done := serving(t, 64)
 	first := dial("")
 	clientOf(t, s, first)
-	for range s.clients.places - 1 {
+	for range s.clients.maxServed - 1 {
 		clientOf(t, s, dial(""))
 	}
 	mustRead(t, dial(pingText), pongText)
@@ -72,24 +72,24 @@
 		conn, _ := netpoll.NewFDConnection(pair[0])
 		syscall.Write(pair[1], []byte(says))
 		r.clock += time.Second
-		return &client{conn: conn, came: r.clock, room: make(chan struct{}, window)}
+		return &client{conn: conn, connectedAt: r.clock, window: make(chan struct{}, windowSize)}
 	}
 	table := &r.s.clients
-	table.places = 2
+	table.maxServed = 2
 	spoke, silent, third, fourth := connect("*"), connect(""), connect("*"), connect("*")
 	for _, c := range []*client{spoke, silent} {
-		if leaves, cut := table.enter(c); leaves != nil || cut != nil {
+		if leaves, cut := table.add(c); leaves != nil || cut != nil {
 			t.Fatal("a client had to leave while there were places")
 		}
 	}
-	if leaves, _ := table.enter(third); leaves != silent || silent.shut {
-		t.Errorf("silent: leaving %v, shut %v; spoke: leaving %v", silent.leaving, silent.shut, spoke.leaving)
+	if leaves, _ := table.add(third); leaves != silent || silent.writeClosed {
+		t.Errorf("silent: leaving %v, shut %v; spoke: leaving %v", silent.lingering, silent.writeClosed, spoke.lingering)
 	}
-	if leaves, _ := table.enter(fourth); leaves != fourth || fourth.shut {
-		t.Errorf("fourth: leaving %v, shut %v; spoke: leaving %v", fourth.leaving, fourth.shut, spoke.leaving)
+	if leaves, _ := table.add(fourth); leaves != fourth || fourth.writeClosed {
+		t.Errorf("fourth: leaving %v, shut %v; spoke: leaving %v", fourth.lingering, fourth.writeClosed, spoke.lingering)
 	}
-	spoke.busy.Store(true)
-	if table.turnAway(spoke, r.clock, drained) || spoke.leaving {
+	spoke.readerBusy.Store(true)
+	if table.reject(spoke, r.clock, drained) || spoke.lingering {
 		t.Error("one whose commands the reader has in hand was turned away")
 	}
 	if table.served != 2 {
@@ -111,7 +111,7 @@
 		}
 		held = append(held, conn)
 		s.clients.Lock()
-		if len(s.clients.all) > s.clients.most || s.clients.served > s.clients.places {
+		if len(s.clients.all) > s.clients.maxConns || s.clients.served > s.clients.maxServed {
 			t.Errorf("%d clients, %d of them served", len(s.clients.all), s.clients.served)
 		}
 		s.clients.Unlock()
@@ -125,7 +125,7 @@
 		s.clients.Lock()
 		defer s.clients.Unlock()
 		for c := range s.clients.all {
-			if !c.leaving && !c.quiet() {
+			if !c.lingering && !c.idle() {
 				return false
 			}
 		}
--- a/internal/sender/cut_test.go
+++ b/internal/sender/cut_test.go
@@ -87,9 +87,9 @@
 		class := []string{"pure", "token", "single", "line"}[i%4]
 		id := choice.MessageID(fmt.Sprint("n", i))
 		did[id] = &history{class: class, ok: never, over: never}
-		c := &client{room: make(chan struct{}, window), writing: 1}
+		c := &client{window: make(chan struct{}, windowSize), writingReplies: 1}
 		came = append(came, c)
-		c.room <- struct{}{}
+		c.window <- struct{}{}
 		r.s.command(c, words(fmt.Sprintf("OUT.ADD %d %s c=%s,d=8000,dest=%d x", i%5, id, class, i%12)))
 		r.clock += 5 * time.Millisecond
 		r.s.turn()
@@ -98,7 +98,7 @@
 		}
 		ends()
 		for j, c := range came {
-			if h := did[choice.MessageID(fmt.Sprint("n", j))]; h.ok == never && strings.Contains(string(c.out), "+OK") {
+			if h := did[choice.MessageID(fmt.Sprint("n", j))]; h.ok == never && strings.Contains(string(c.output), "+OK") {
 				h.ok = size()
 			}
 		}
--- a/internal/sender/digest.go
+++ b/internal/sender/digest.go
@@ -128,7 +128,7 @@
 		return
 	}
 	s.tookOn(n, n.takenAt)
-	host := n.reply.c.peer
+	host := n.reply.client.peer
 	if i := strings.LastIndexByte(host, ':'); i >= 0 {
 		host = host[:i]
 	}
--- a/internal/sender/drain.go
+++ b/internal/sender/drain.go
@@ -50,14 +50,14 @@
 	}
 	since := s.sinceDrain()
 	if since >= endAfter {
-		s.clients.deafen()
+		s.clients.ignoreAllInput()
 	}
 	s.closeIdleClients()
 	// The process's end resets each connection on which something has come that nobody has read. So clients part before.
 	if since >= endAnyway {
-		s.clients.partAll(s.clock())
+		s.clients.halfCloseAll(s.clock())
 		s.ended = true
-	} else if (since >= endAfter || since >= lingerFor && len(s.owed) == 0) && s.clients.close() {
+	} else if (since >= endAfter || since >= lingerFor && len(s.owed) == 0) && s.clients.stopIfEmpty() {
 		s.ended = true
 	}
 }
--- a/internal/sender/drain_test.go
+++ b/internal/sender/drain_test.go
@@ -40,7 +40,7 @@
 	mustRead(t, unread, pongText)
 	mustRead(t, rests, pongText)
 	c := clientOf(t, s, half)
-	until(t, "half a command is read", func() bool { return c.half.Load() != 0 })
+	until(t, "half a command is read", func() bool { return c.partialSince.Load() != 0 })
 	clientOf(t, s, fresh)
 	stallPollers(t) // until the test ends
 	io.WriteString(unread, addText("unread"))
@@ -63,10 +63,10 @@
 	s, dial, done := serving(t, 64)
 	conn := dial("")
 	c := clientOf(t, s, conn)
-	const commands = 3 * window
+	const commands = 3 * windowSize
 	inLoop(t, s, func() {
 		io.WriteString(conn, strings.Repeat(pingText, commands))
-		until(t, "a window of commands is taken, and the rest read", func() bool { return heard(t, conn) && len(c.room) == window })
+		until(t, "a window of commands is taken, and the rest read", func() bool { return heard(t, conn) && len(c.window) == windowSize })
 		s.drain(s.clock() - takeFor)
 	})
 	if text, err := io.ReadAll(conn); string(text) != strings.Repeat(pongText, commands) || err != nil {
@@ -99,7 +99,7 @@
 	io.WriteString(slow, strings.Repeat(string(resp.AppendCommand(nil, []byte("PING"), make([]byte, resp.MaxBulk))), commands))
 	until(t, "the answers wait for their reader", func() (wait bool) {
 		inLoop(t, s, func() {
-			wait = c.writing > 0 && len(c.room) > 0 && c.half.Load() == 0 && c.writing+c.outs == len(c.room)
+			wait = c.writingReplies > 0 && len(c.window) > 0 && c.partialSince.Load() == 0 && c.writingReplies+c.outputReplies == len(c.window)
 		})
 		return wait && heard(t, slow)
 	})
@@ -152,7 +152,7 @@
 	fresh, half := dial(""), dial(pingText[:7])
 	clientOf(t, s, fresh)
 	c := clientOf(t, s, half)
-	until(t, "half a command is read", func() bool { return c.half.Load() != 0 })
+	until(t, "half a command is read", func() bool { return c.partialSince.Load() != 0 })
 	drainedSince(t, s, 0)
 	io.WriteString(fresh, pingText)
 	io.WriteString(half, pingText[7:])
@@ -172,8 +172,8 @@
 	c := clientOf(t, s, conn)
 	drainedSince(t, s, takeFor)
 	inLoop(t, s, func() {
-		if !c.leaving || c.isShut() {
-			t.Errorf("leaving %v, its connection closed with no answer %v", c.leaving, c.isShut())
+		if !c.lingering || c.isWriteClosed() {
+			t.Errorf("leaving %v, its connection closed with no answer %v", c.lingering, c.isWriteClosed())
 		}
 		io.WriteString(conn, addText("late"))
 	})
@@ -191,8 +191,8 @@
 	c := clientOf(t, s, conn)
 	inLoop(t, s, func() {
 		s.drain(s.clock() - takeFor)
-		if !c.leaving || c.isShut() {
-			t.Errorf("leaving %v, shut %v", c.leaving, c.isShut())
+		if !c.lingering || c.isWriteClosed() {
+			t.Errorf("leaving %v, shut %v", c.lingering, c.isWriteClosed())
 		}
 		s.drainAt -= endAnyway - takeFor
 		s.checkDrain()
--- a/internal/sender/learnt_test.go
+++ b/internal/sender/learnt_test.go
@@ -48,8 +48,8 @@
 		if k := l.s.module.Learnt("a"); (k.Seen == 9 && k.Mean == 900) != c.taken {
 			t.Errorf("%s: %+v", name, k)
 		}
-		room := &client{room: make(chan struct{}, 1), gone: true}
-		room.room <- struct{}{}
+		room := &client{window: make(chan struct{}, 1), disconnected: true}
+		room.window <- struct{}{}
 		l.s.command(room, words("OUT.ADD 0 n c=pure,d=8000,dest=1 x"))
 		l.goOn(5*time.Millisecond, time.Hour)
 		if len(l.begun) != 1 {
--- a/internal/sender/leave.go
+++ b/internal/sender/leave.go
@@ -106,7 +106,7 @@
 	defer l.reading.Unlock()
 	l.bufferLock.Lock()
 	defer l.bufferLock.Unlock()
-	quiet := !l.noBuffer && !l.bad.Load() && nothingCame(l.conn)
+	quiet := !l.noBuffer && !l.bad.Load() && noInputPending(l.conn)
 	l.asked.Store(quiet)
 	return quiet
 }
--- a/internal/sender/links.go
+++ b/internal/sender/links.go
@@ -90,7 +90,7 @@
 }
 
 func (l *links) init(cfg *config.Config, clients int) {
-	l.mostOpen = max(cfg.Settings.InFlightLimit+1, cfg.Limits.Sockets-clients-spareFDs)
+	l.mostOpen = max(cfg.Settings.InFlightLimit+1, cfg.Limits.Sockets-clients-reservedDescriptors)
 }
 
 func (s *Sender) connect(c *call) {
@@ -110,7 +110,7 @@
 	for len(e.idle) > 0 {
 		l := e.idle[len(e.idle)-1]
 		s.notIdle(l)
-		if nothingCame(l.conn) {
+		if noInputPending(l.conn) {
 			return l
 		}
 		s.closeLink(l, peerClosed)
--- a/internal/sender/listnews_test.go
+++ b/internal/sender/listnews_test.go
@@ -211,8 +211,8 @@
 func TestTurnedBeforeLeaving(t *testing.T) {
 	r := start("", 100)
 	defer os.RemoveAll(r.dir)
-	c := &client{room: make(chan struct{}, window), writing: 1}
-	c.room <- struct{}{}
+	c := &client{window: make(chan struct{}, windowSize), writingReplies: 1}
+	c.window <- struct{}{}
 	r.s.command(c, words("OUT.ADD k one c=order,d=20000,dest=1 x"))
 	if len(r.s.starting) != 0 {
 		t.Errorf("%d calls laid up before the turn", len(r.s.starting))
--- a/internal/sender/odd_test.go
+++ b/internal/sender/odd_test.go
@@ -22,19 +22,19 @@
 	settings := fmt.Sprintf(`{"quantum":5000000,"machineTypes":["one"],"zones":["z"],"classes":[%s],"extra":{"callsOut":40}}`, strings.Join(classes, ","))
 	dir := t.TempDir()
 	l := follow(t, startAs(configureAs(dir, settings, listFour)))
-	c := &client{room: make(chan struct{}, window), writing: 1}
+	c := &client{window: make(chan struct{}, windowSize), writingReplies: 1}
 	for i, name := range names {
-		c.room <- struct{}{}
+		c.window <- struct{}{}
 		l.s.command(c, words(fmt.Sprintf("OUT.ADD 0 n%d c=%s,d=8000,dest=7 x", i, name)))
 	}
 	l.list(`{"version":2,"servers":[{"id":"g","addr":"127.0.0.1:7","zone":"z","kind":"one","cell":7,"state":"draining"}]}`)
 	for i, name := range names {
-		c.room <- struct{}{}
+		c.window <- struct{}{}
 		l.s.command(c, words(fmt.Sprintf("OUT.ADD 0 n%d c=%s,d=8000,dest=7 x", i, name)))
 	}
 	l.goOn(5*time.Millisecond, time.Hour)
-	if got := strings.Count(string(c.out), "+OK"); got != len(names) {
-		t.Fatalf("%d of %d taken on: %.300s", got, len(names), c.out)
+	if got := strings.Count(string(c.output), "+OK"); got != len(names) {
+		t.Fatalf("%d of %d taken on: %.300s", got, len(names), c.output)
 	}
 	l = follow(t, startAt(configureAs(dir, settings, strings.ReplaceAll(listFour, `"cell":1`, `"cell":7`)), l.clock))
 	for i, name := range names {
--- a/internal/sender/outcomes_test.go
+++ b/internal/sender/outcomes_test.go
@@ -68,8 +68,8 @@
 	for _, text := range []string{ok, lost, full, "HTTP/1.1 503 Full\nContent-Length: 0\n\n", "HTTP/1.1 503 Full\nX-No-Slot: 1\nContent-Length: 0\n\n",
 		"HTTP/1.1 410 Gone\nContent-Length: 0\n\n", "HTTP/1.1 504 Out\nContent-Length: 0\n\n", "HTTP/1.1 200 OK\nContent-", "HTTP/1.1 429 Wait\nCont", "HTTP/1.", "", unsent, "nonsense\n"} {
 		r := start("", 100)
-		c := &client{room: make(chan struct{}, 1), gone: true}
-		c.room <- struct{}{}
+		c := &client{window: make(chan struct{}, 1), disconnected: true}
+		c.window <- struct{}{}
 		r.s.command(c, [][]byte{[]byte("OUT.ADD"), []byte("0"), []byte("id"), []byte("c=order,d=20000,dest=1"), nil})
 		r.s.turn()
 		n := r.s.owed["id"]
@@ -114,9 +114,9 @@
 	f.Add("HTTP/1.1 200 OK\nRetry-After: 1e9\nX-Load: x0=NaN,x1=-1,=,\nContent-Length: 29\n\n" + `[{"id":"s1","state":"later"}]`)
 	f.Fuzz(func(t *testing.T, text string) {
 		r := start(t.TempDir(), 100)
-		c := &client{room: make(chan struct{}, window), gone: true}
+		c := &client{window: make(chan struct{}, windowSize), disconnected: true}
 		for _, id := range []string{"s1", "s2"} {
-			c.room <- struct{}{}
+			c.window <- struct{}{}
 			r.s.command(c, [][]byte{[]byte("OUT.ADD"), []byte("0"), []byte(id), []byte("c=status,d=6000,dest=2"), nil})
 		}
 		r.s.turn()
--- a/internal/sender/parting.go
+++ b/internal/sender/parting.go
@@ -16,88 +16,88 @@
 
 const (
 	// Who has not ended its side by then is cut off. Silent ones are owed an end within 3 s, this included.
-	partFor = 300 * time.Millisecond // after dumbFor
+	lingerTimeout = 300 * time.Millisecond // after firstInputTimeout
 	// What a client may still send: some full windows of usual commands. Who sends on without end would cost a core.
-	mostPassed = 4 * maxInput
+	maxDiscarded = 4 * maxInput
 )
 
-// partFrom ends our sending, if it can be now. It tells whether the end has begun.
-func (s *Sender) partFrom(c *client) bool {
+// halfCloseClient ends our sending, if it can be now. It tells whether the end has begun.
+func (s *Sender) halfCloseClient(c *client) bool {
 	hurry := s.draining && s.sinceDrain() >= takeFor
 	s.clients.Lock()
 	defer s.clients.Unlock()
-	if c.leaving {
+	if c.lingering {
 		return true
 	}
-	if hurry && !c.deaf.Load() && (!c.served || c.half.Load() != 0) && s.clients.turnAway(c, s.clock(), c.why) ||
-		s.clients.part(c, s.clock(), c.why, hurry) {
-		s.boundLeaving(c)
+	if hurry && !c.ignoreInput.Load() && (!c.served || c.partialSince.Load() != 0) && s.clients.reject(c, s.clock(), c.closeReason) ||
+		s.clients.halfClose(c, s.clock(), c.closeReason, hurry) {
+		s.boundLingering(c)
 		return true
 	}
 	return false
 }
 
-// boundLeaving cuts off a client that does not end its side. One that was turned away may first say what it came for.
-func (s *Sender) boundLeaving(c *client) {
-	s.after(dumbFor, func() {
+// boundLingering cuts off a client that does not end its side. One that was turned away may first say what it came for.
+func (s *Sender) boundLingering(c *client) {
+	s.after(firstInputTimeout, func() {
 		s.clients.Lock()
 		defer s.clients.Unlock()
-		s.clients.part(c, s.clock(), c.shutOf, false) // where something has come, the reader does
+		s.clients.halfClose(c, s.clock(), c.lingerReason, false) // where something has come, the reader does
 	})
-	s.after(dumbFor+partFor, func() { c.conn.Close() })
+	s.after(firstInputTimeout+lingerTimeout, func() { c.conn.Close() })
 }
 
-// part is the one step that decides: a command that the reader has counted before it is answered, and one that it
+// halfClose is the one step that decides: a command that the reader has counted before it is answered, and one that it
 // counts later is passed over. In a hurry, what is still in the socket or not whole is not waited for. The table is
 // locked.
-func (t *clientTable) part(c *client, now time.Duration, why reason, hurry bool) bool {
-	c.gate.Lock()
-	defer c.gate.Unlock()
+func (t *clientTable) halfClose(c *client, now time.Duration, why reason, hurry bool) bool {
+	c.stateLock.Lock()
+	defer c.stateLock.Unlock()
 	switch {
-	case c.shut:
+	case c.writeClosed:
 		return true
-	case c.ended || len(c.room) > 0:
+	case c.descriptorClosed || len(c.window) > 0:
 		return false
-	case c.deaf.Load(): // what comes behind it is nothing to wait for
+	case c.ignoreInput.Load(): // what comes behind it is nothing to wait for
 	// What has left the socket is in netpoll's buffer or with the reader, who is busy until it has counted a command
 	// or knows of half a one. So they are asked in this order.
-	case !hurry && !nothingCame(c.conn) || c.conn.Reader().Len() > 0 || c.busy.Load():
+	case !hurry && !noInputPending(c.conn) || c.conn.Reader().Len() > 0 || c.readerBusy.Load():
 		return false
-	case !hurry && c.half.Load() != 0 || len(c.room) > 0:
+	case !hurry && c.partialSince.Load() != 0 || len(c.window) > 0:
 		return false
 	}
-	t.leave(c, now, why)
-	c.shutDown(nil)
+	t.releasePlace(c, now, why)
+	c.closeWrite(nil)
 	return true
 }
 
-// turnAway takes a client's place, but not its connection yet: a command that finds its new connection closed without
+// reject takes a client's place, but not its connection yet: a command that finds its new connection closed without
 // an answer has failed, so its first bytes are answered. It tells whether it could, which is not so while the reader
 // has something in hand: of several commands only the first would be answered. The table is locked.
-func (t *clientTable) turnAway(c *client, now time.Duration, why reason) bool {
-	c.gate.Lock()
-	defer c.gate.Unlock()
-	if c.leaving || c.ended || c.conn.Reader().Len() > 0 || c.busy.Load() || len(c.room) > 0 {
+func (t *clientTable) reject(c *client, now time.Duration, why reason) bool {
+	c.stateLock.Lock()
+	defer c.stateLock.Unlock()
+	if c.lingering || c.descriptorClosed || c.conn.Reader().Len() > 0 || c.readerBusy.Load() || len(c.window) > 0 {
 		return false
 	}
-	c.turned = true
-	t.leave(c, now, why)
+	c.rejected = true
+	t.releasePlace(c, now, why)
 	return true
 }
 
-// leave gives back a client's place. The table is locked, and so is the gate.
-func (t *clientTable) leave(c *client, now time.Duration, why reason) {
-	if !c.leaving && !c.ended {
-		c.leaving, c.leftAt, c.shutOf = true, now, why
+// releasePlace gives back a client's place. The table is locked, and so is the gate.
+func (t *clientTable) releasePlace(c *client, now time.Duration, why reason) {
+	if !c.lingering && !c.descriptorClosed {
+		c.lingering, c.lingeringSince, c.lingerReason = true, now, why
 		t.served--
 	}
 }
 
-// shutDown ends our sending behind the last words. The gate is locked.
-func (c *client) shutDown(last []byte) {
-	c.shut = true
+// closeWrite ends our sending behind the last words. The gate is locked.
+func (c *client) closeWrite(last []byte) {
+	c.writeClosed = true
 	conn, known := c.conn.(netpoll.Conn)
-	if !known || c.ended {
+	if !known || c.descriptorClosed {
 		return
 	}
 	if len(last) > 0 {
@@ -106,103 +106,103 @@
 	_ = syscall.Shutdown(conn.Fd(), syscall.SHUT_WR)
 }
 
-// ended comes before netpoll gives the descriptor back.
-func (t *clientTable) ended(c *client) {
+// connEnded comes before netpoll gives the descriptor back.
+func (t *clientTable) connEnded(c *client) {
 	t.Lock()
 	defer t.Unlock()
-	c.gate.Lock()
-	defer c.gate.Unlock()
-	if !c.leaving && !c.ended {
+	c.stateLock.Lock()
+	defer c.stateLock.Unlock()
+	if !c.lingering && !c.descriptorClosed {
 		t.served--
 	}
-	c.ended = true
+	c.descriptorClosed = true
 }
 
-// close turns away all who come from now on, if nobody is left.
-func (t *clientTable) close() bool {
+// stopIfEmpty turns away all who come from now on, if nobody is left.
+func (t *clientTable) stopIfEmpty() bool {
 	t.Lock()
 	defer t.Unlock()
-	t.over = t.over || len(t.all) == 0
+	t.stopped = t.stopped || len(t.all) == 0
 	return len(t.all) == 0
 }
 
-// deafen has nothing more taken on, from those who are here and those who come.
-func (t *clientTable) deafen() {
+// ignoreAllInput has nothing more taken on, from those who are here and those who come.
+func (t *clientTable) ignoreAllInput() {
 	t.Lock()
 	defer t.Unlock()
-	t.over = true
+	t.stopped = true
 	for c := range t.all {
-		c.deaf.Store(true)
+		c.ignoreInput.Store(true)
 	}
 }
 
-// partAll is for the last moment: who was turned away late may still have had time to speak.
-func (t *clientTable) partAll(now time.Duration) {
+// halfCloseAll is for the last moment: who was turned away late may still have had time to speak.
+func (t *clientTable) halfCloseAll(now time.Duration) {
 	t.Lock()
 	defer t.Unlock()
 	for c := range t.all {
-		t.part(c, now, drained, true)
+		t.halfClose(c, now, drained, true)
 	}
 }
 
-// take counts a command, and waits for room among those without an answer. It tells whether the command is taken:
+// acquireWindow counts a command, and waits for room among those without an answer. It tells whether the command is taken:
 // once our sending has ended, its client hands it in elsewhere.
-func (s *Sender) take(c *client) bool {
-	c.room <- struct{}{}
-	if s.leaving(c) {
-		<-c.room
+func (s *Sender) acquireWindow(c *client) bool {
+	c.window <- struct{}{}
+	if s.discardsInput(c) {
+		<-c.window
 		return false
 	}
 	return true
 }
 
-// leaving tells the reader whether what has come is for nobody any more. The first bytes of one that was turned away
+// discardsInput tells the reader whether what has come is for nobody any more. The first bytes of one that was turned away
 // are answered, once.
-func (s *Sender) leaving(c *client) bool {
-	c.gate.Lock()
-	defer c.gate.Unlock()
-	if c.turned && !c.shut {
-		c.shutDown(*s.clients.busy.Load())
+func (s *Sender) discardsInput(c *client) bool {
+	c.stateLock.Lock()
+	defer c.stateLock.Unlock()
+	if c.rejected && !c.writeClosed {
+		c.closeWrite(*s.clients.busyReply.Load())
 	}
-	return c.shut
+	return c.writeClosed
 }
 
-// passOver tells whether what comes is for nobody any more.
-func (s *Sender) passOver(c *client, more int) bool {
-	if !s.leaving(c) {
+// discardIfLingering tells whether what comes is for nobody any more.
+func (s *Sender) discardIfLingering(c *client, more int) bool {
+	if !s.discardsInput(c) {
 		return false
 	}
-	if c.passed += more; c.passed > mostPassed {
+	if c.discarded += more; c.discarded > maxDiscarded {
 		c.conn.Close()
 	}
 	return true
 }
 
-// longestLeaving is who has been leaving longest; who was turned away and may still speak comes last. The table is
+// longestLingering is who has been leaving longest; who was turned away and may still speak comes last. The table is
 // locked.
-func (t *clientTable) longestLeaving() *client {
-	var shut, turned *client
+func (t *clientTable) longestLingering() *client {
+	var writeClosed, rejected *client
 	for c := range t.all {
-		oldest := &turned
-		if c.isShut() {
-			oldest = &shut
+		oldest := &rejected
+		if c.isWriteClosed() {
+			oldest = &writeClosed
 		}
-		if c.leaving && !c.ended && (*oldest == nil || c.leftAt < (*oldest).leftAt) {
+		if c.lingering && !c.descriptorClosed && (*oldest == nil || c.lingeringSince < (*oldest).lingeringSince) {
 			*oldest = c
 		}
 	}
-	return cmp.Or(shut, turned)
+	return cmp.Or(writeClosed, rejected)
 }
 
-func (c *client) isShut() bool {
-	c.gate.Lock()
-	defer c.gate.Unlock()
-	return c.shut
+func (c *client) isWriteClosed() bool {
+	c.stateLock.Lock()
+	defer c.stateLock.Unlock()
+	return c.writeClosed
 }
 
-// nothingCame asks the socket itself, since what has come may not have been handled yet, and netpoll's buffer after it:
+// noInputPending asks the socket itself, since what has come may not have been handled yet, and netpoll's buffer after it:
 // the other way round, what moves from one to the other in between would be missed.
-func nothingCame(conn netpoll.Connection) bool {
+func noInputPending(conn netpoll.Connection) bool {
 	fd, known := conn.(netpoll.Conn)
 	if !known || !conn.IsActive() {
 		return false
--- a/internal/sender/parting_test.go
+++ b/internal/sender/parting_test.go
@@ -25,14 +25,14 @@
 		{"silent", unserved, "", func(t *testing.T, s *Sender, c *client, conn net.Conn, dial func(string) net.Conn) {
 			s.clients.Lock()
 			defer s.clients.Unlock()
-			c.came -= silentFor
+			c.connectedAt -= silentTimeout
 		}},
 		{"half a command", "*2\r\n$4\r\nPI", "", func(t *testing.T, s *Sender, c *client, conn net.Conn, dial func(string) net.Conn) {
-			until(t, "half a command is read", func() bool { return c.half.Load() != 0 })
-			c.half.Store(min(-1, c.half.Load()-int64(halfFor)))
+			until(t, "half a command is read", func() bool { return c.partialSince.Load() != 0 })
+			c.partialSince.Store(min(-1, c.partialSince.Load()-int64(partialCommandTimeout)))
 		}},
 		{"broken", "nonsense\r\n", "-ERR protocol: a command is an array of bulk strings\r\n", nil},
-		{"bad", strings.Repeat("*1\r\n$4\r\nNONE\r\n", maxBad), strings.Repeat("-ERR unknown command\r\n", maxBad), nil},
+		{"bad", strings.Repeat("*1\r\n$4\r\nNONE\r\n", maxBadCommands), strings.Repeat("-ERR unknown command\r\n", maxBadCommands), nil},
 		{"drained", served, pongText, func(t *testing.T, s *Sender, c *client, conn net.Conn, dial func(string) net.Conn) {
 			s.Drain()
 		}},
@@ -50,7 +50,7 @@
 			conn := dial(way.first)
 			if way.end != nil {
 				c := clientOf(t, s, conn)
-				until(t, "the answer is out", func() bool { return way.first != served || c.rest.Load() != 0 })
+				until(t, "the answer is out", func() bool { return way.first != served || c.idleSince.Load() != 0 })
 				way.end(t, s, c, conn, dial)
 			}
 			until(t, "the sender ends the connection", func() bool { return state(t, conn) != stateOpen })
@@ -111,11 +111,11 @@
 	s, dial, done := serving(t, 64)
 	conn := dial(pingText)
 	c := clientOf(t, s, conn)
-	until(t, "the answer is out", func() bool { return c.rest.Load() != 0 })
+	until(t, "the answer is out", func() bool { return c.idleSince.Load() != 0 })
 	inLoop(t, s, func() {
 		c.conn = &crossing{Connection: c.conn, last: func() {
 			io.WriteString(conn, addText("crossing"))
-			until(t, "the reader has the command in hand", func() bool { return c.busy.Load() || len(c.room) > 0 })
+			until(t, "the reader has the command in hand", func() bool { return c.readerBusy.Load() || len(c.window) > 0 })
 		}}
 		s.closeClient(c, linkIdle)
 	})
@@ -139,7 +139,7 @@
 	letGo := func() {}
 	inLoop(t, s, func() {
 		io.WriteString(conn, pingText)
-		until(t, "the command is counted", func() bool { return len(c.room) == 1 && !c.busy.Load() })
+		until(t, "the command is counted", func() bool { return len(c.window) == 1 && !c.readerBusy.Load() })
 		s.closeClient(c, linkIdle)
 		letGo = stallPollers(t)
 		io.WriteString(conn, pingText)
@@ -147,7 +147,7 @@
 	})
 	mustRead(t, conn, pongText)
 	until(t, "the end was looked at again", func() (over bool) {
-		inLoop(t, s, func() { over = len(c.room) == 0 })
+		inLoop(t, s, func() { over = len(c.window) == 0 })
 		return over
 	})
 	letGo()
@@ -173,7 +173,7 @@
 		t.Errorf("told %q, %v", text, err)
 	}
 	until(t, "both are cut off", func() bool { return s.clients.count() == 0 })
-	if took := time.Since(start); took < partFor || took > 10*partFor {
+	if took := time.Since(start); took < lingerTimeout || took > 10*lingerTimeout {
 		t.Errorf("cut off after %v", took)
 	}
 	s.clients.Lock()
@@ -183,7 +183,7 @@
 	s.clients.Unlock()
 	s.Drain()
 	<-done
-	if limit := mostPassed + 16<<20; c.passed > limit {
-		t.Errorf("%d bytes were passed over", c.passed)
+	if limit := maxDiscarded + 16<<20; c.discarded > limit {
+		t.Errorf("%d bytes were passed over", c.discarded)
 	}
 }
--- a/internal/sender/purge_test.go
+++ b/internal/sender/purge_test.go
@@ -164,11 +164,11 @@
 func Example_purgeCrossesHandIn() {
 	r := start("", 100)
 	r.join(Joining{})
-	c := &client{room: make(chan struct{}, window), writing: 1}
-	c.room <- struct{}{}
+	c := &client{window: make(chan struct{}, windowSize), writingReplies: 1}
+	c.window <- struct{}{}
 	r.s.command(c, words("OUT.ADD 0 id c=order,d=20000,dest=1 x"))
 	r.purge(0, 1, together.Match{Key: "0"}).turn(5 * time.Millisecond).owed()
-	fmt.Printf("client: %q, calls: %d\n", c.out, len(r.calls))
+	fmt.Printf("client: %q, calls: %d\n", c.output, len(r.calls))
 	start(r.dir, 100).owed()
 	os.RemoveAll(r.dir)
 	// Output:
--- a/internal/sender/reading.go
+++ b/internal/sender/reading.go
@@ -19,7 +19,7 @@
 
 var errUnasked = errors.New("bytes that nobody asked for")
 
-// onBytes reads what an endpoint says and hands on each whole answer.
+// onClientInput reads what an endpoint says and hands on each whole answer.
 func (l *link) onBytes(_ context.Context, conn netpoll.Connection) error {
 	tell, err := l.read(conn)
 	if tell != nil {
--- a/internal/sender/rig_test.go
+++ b/internal/sender/rig_test.go
@@ -112,13 +112,13 @@
 
 // hand gives commands in, each in words, and prints what is answered by the end of the turn.
 func (r *rig) hand(commands ...string) *rig {
-	c := &client{room: make(chan struct{}, window), writing: 1} // so that answers stay in out
+	c := &client{window: make(chan struct{}, windowSize), writingReplies: 1} // so that answers stay in out
 	for _, text := range commands {
-		c.room <- struct{}{}
+		c.window <- struct{}{}
 		r.s.command(c, words(text))
 	}
 	r.turn(5 * time.Millisecond)
-	for _, line := range strings.Split(strings.TrimSpace(string(c.out)), "\r\n") {
+	for _, line := range strings.Split(strings.TrimSpace(string(c.output)), "\r\n") {
 		fmt.Printf("client: %s\n", line)
 	}
 	return r
@@ -140,7 +140,7 @@
 }
 
 func (r *rig) client(conn netpoll.Connection) *client {
-	c := &client{conn: conn, came: r.clock, room: make(chan struct{}, window)}
+	c := &client{conn: conn, connectedAt: r.clock, window: make(chan struct{}, windowSize)}
 	r.s.clients.all[c] = struct{}{}
 	r.s.clients.served++
 	return c
--- a/internal/sender/room_test.go
+++ b/internal/sender/room_test.go
@@ -16,9 +16,9 @@
 	t.Parallel()
 	l := follow(t, startAs(configureFour(t.TempDir(), 1000)))
 	body := strings.Repeat("x", 20000)
-	c := &client{room: make(chan struct{}, window), writing: 1}
+	c := &client{window: make(chan struct{}, windowSize), writingReplies: 1}
 	for i := range 40 {
-		c.room <- struct{}{}
+		c.window <- struct{}{}
 		l.s.command(c, words(fmt.Sprintf("OUT.ADD 0 n%d c=pure,d=8000,dest=1 %s", i, body)))
 	}
 	l.goOn(5*time.Millisecond, time.Hour)
@@ -41,7 +41,7 @@
 		l.s.over(l.s.owed[choice.MessageID(id)])
 	}
 	before := l.s.counts.takenOn
-	c.room <- struct{}{}
+	c.window <- struct{}{}
 	l.s.command(c, words("OUT.ADD 0 last c=pure,d=8000,dest=1 "+body))
 	l.goOn(5*time.Millisecond, time.Hour)
 	if l.s.counts.takenOn != before+1 {
--- a/internal/sender/sender.go
+++ b/internal/sender/sender.go
@@ -59,7 +59,7 @@
 	discovery string          // where list and platform are asked now; cfg.Discovery is where they were at the start
 	watches   []chan struct{} // each ends a watch; the newest is last, and those before it end when it has spoken
 
-	takeIn
+	clientFrontend
 	admission
 	routing
 	notes
@@ -102,9 +102,9 @@
 	s := &Sender{cfg: cfg, log: log, start: start, clock: clock, inbox: make(chan func(), inboxSize), stop: make(chan struct{})}
 	s.names = directory.Names{Zones: cfg.Zones, Kinds: cfg.Kinds}
 	given := s.bounded(cfg)
-	s.takeIn.init(given)
+	s.clientFrontend.init(given)
 	s.routing.init()
-	s.links.init(given, s.clients.most)
+	s.links.init(given, s.clients.maxConns)
 	s.book.init()
 	s.dial = s.connect
 	s.discovery = cfg.Discovery
--- a/internal/sender/sockets_test.go
+++ b/internal/sender/sockets_test.go
@@ -351,11 +351,11 @@
 		t.Error("60 MB were read to the end")
 	}
 	rude := dial(strings.Repeat("*1\r\n$4\r\nNONE\r\n", 300))
-	if text, _ := io.ReadAll(rude); strings.Count(string(text), "-ERR") > window+maxBad {
+	if text, _ := io.ReadAll(rude); strings.Count(string(text), "-ERR") > windowSize+maxBadCommands {
 		t.Errorf("%d errors for one client", strings.Count(string(text), "-ERR"))
 	}
 	// Those served that hold on make room for new ones, each of which asks on a connection of its own.
-	time.Sleep(idleFor)
+	time.Sleep(minIdleTime)
 	var held []net.Conn
 	for i := range 100 {
 		conn := dial(ping)
@@ -364,7 +364,7 @@
 		}
 		held = append(held, conn)
 	}
-	time.Sleep(idleFor + 2*sweepEvery)
+	time.Sleep(minIdleTime + 2*sweepInterval)
 	if conn := dial(ping); !served(conn) {
 		t.Error("idle clients keep a usual one out")
 	}
@@ -373,7 +373,7 @@
 	}
 	s.Drain()
 	<-done
-	if n := s.unread.Load(); n != 0 {
+	if n := s.unparsedBytes.Load(); n != 0 {
 		t.Errorf("%d bytes are counted that nobody holds", n)
 	}
 }
--- a/internal/sender/standing_test.go
+++ b/internal/sender/standing_test.go
@@ -70,8 +70,8 @@
 	begin := l.clock
 	for i := 0; l.clock < begin+span; i++ {
 		for _, dest := range []int{7, 7, 7, 1} {
-			c := &client{room: make(chan struct{}, window), gone: true}
-			c.room <- struct{}{}
+			c := &client{window: make(chan struct{}, windowSize), disconnected: true}
+			c.window <- struct{}{}
 			l.s.command(c, words(fmt.Sprintf("OUT.ADD 0 n%d-%d-%d c=pure,d=8000,dest=%d x", i, dest, len(l.s.owed), dest)))
 		}
 		l.goOn(every, 20*time.Millisecond)
--- a/internal/sender/sweep.go
+++ b/internal/sender/sweep.go
@@ -12,44 +12,44 @@
 const (
 	// Who says nothing, or half a command, is owed an end within 3 s; who has been served may stay until places
 	// run short, and is not to be closed within 2 s of its last answer.
-	silentFor  = 2200 * time.Millisecond
-	halfFor    = 2200 * time.Millisecond
-	sweepEvery = 200 * time.Millisecond
+	silentTimeout  = 2200 * time.Millisecond
+	partialCommandTimeout    = 2200 * time.Millisecond
+	sweepInterval = 200 * time.Millisecond
 )
 
-// sweep ends those who say nothing or leave a command unfinished, and, where there are many, those idle longest.
-func (s *Sender) sweep() {
-	s.after(sweepEvery, s.sweep)
+// sweepClients ends those who say nothing or leave a command unfinished, and, where there are many, those idle longest.
+func (s *Sender) sweepClients() {
+	s.after(sweepInterval, s.sweepClients)
 	now := s.sinceStart()
 	var idle, late []*client
 	s.clients.Lock()
-	over := len(s.clients.all) - s.clients.easy
+	over := len(s.clients.all) - s.clients.idleCloseThreshold
 	for c := range s.clients.all {
-		rest := time.Duration(c.rest.Load())
-		switch half := time.Duration(c.half.Load()); {
-		case c.closing || c.gone || c.leaving:
+		rest := time.Duration(c.idleSince.Load())
+		switch half := time.Duration(c.partialSince.Load()); {
+		case c.closing || c.disconnected || c.lingering:
 			over--
 		case half != 0:
-			if now-half >= halfFor {
+			if now-half >= partialCommandTimeout {
 				late = append(late, c)
 			}
-		case rest == 0 && now-c.came >= silentFor && c.quiet() && nothingCame(c.conn):
+		case rest == 0 && now-c.connectedAt >= silentTimeout && c.idle() && noInputPending(c.conn):
 			late = append(late, c)
-		case over > 0 && rest != 0 && now-rest >= idleFor && c.quiet() && nothingCame(c.conn):
+		case over > 0 && rest != 0 && now-rest >= minIdleTime && c.idle() && noInputPending(c.conn):
 			idle = append(idle, c)
 		}
 	}
 	s.clients.Unlock()
 	for _, c := range late {
-		if c.half.Load() == 0 {
-			s.closeClient(c, silent)
+		if c.partialSince.Load() == 0 {
+			s.closeClient(c, silentClient)
 			continue
 		}
-		c.deaf.Store(true)
-		c.half.Store(0)
-		s.closeClient(c, halfCommand)
+		c.ignoreInput.Store(true)
+		c.partialSince.Store(0)
+		s.closeClient(c, partialCommand)
 	}
-	slices.SortFunc(idle, func(a, b *client) int { return cmp.Compare(a.rest.Load(), b.rest.Load()) })
+	slices.SortFunc(idle, func(a, b *client) int { return cmp.Compare(a.idleSince.Load(), b.idleSince.Load()) })
 	for _, c := range idle[:max(0, min(len(idle), over-len(late)))] {
 		s.closeClient(c, linkIdle)
 	}
@@ -57,23 +57,23 @@
 
 // closeClient ends a connection once all it waits for is written.
 func (s *Sender) closeClient(c *client, why reason) {
-	if c.closing || c.gone {
+	if c.closing || c.disconnected {
 		return
 	}
-	c.closing, c.why = true, why
-	s.flush(c)
+	c.closing, c.closeReason = true, why
+	s.flushReplies(c)
 }
 
-func (s *Sender) clientEnded(c *client) {
+func (s *Sender) onClientEnded(c *client) {
 	s.clients.Lock()
 	delete(s.clients.all, c)
-	c.why = cmp.Or(c.shutOf, c.why, peerClosed)
+	c.closeReason = cmp.Or(c.lingerReason, c.closeReason, peerClosed)
 	s.clients.Unlock()
-	c.gone = true
-	s.flush(c)
-	s.unread.Add(-c.unread) // the reader has ended before
+	c.disconnected = true
+	s.flushReplies(c)
+	s.unparsedBytes.Add(-c.unparsed) // the reader has ended before
 	s.counts.clientsEnded++
-	s.logEnd("client", c.peer, c.why, nil)
+	s.logEnd("client", c.peer, c.closeReason, nil)
 }
 
 // closeIdleClients ends those that nothing is owed, so that they go elsewhere. One that has just come is let hand in
@@ -83,11 +83,11 @@
 	s.clients.Lock()
 	var idle []*client
 	for c := range s.clients.all {
-		if c.closing || c.leaving {
+		if c.closing || c.lingering {
 			continue // each look asks the system
 		}
-		fresh := !c.served && s.clock()-c.came < lingerFor
-		if hurry || c.quiet() && !fresh && nothingCame(c.conn) {
+		fresh := !c.served && s.clock()-c.connectedAt < lingerFor
+		if hurry || c.idle() && !fresh && noInputPending(c.conn) {
 			idle = append(idle, c)
 		}
 	}
--- a/internal/sender/timers_test.go
+++ b/internal/sender/timers_test.go
@@ -70,8 +70,8 @@
 
 // hand0 hands a command in and ends the turn, and prints nothing.
 func (r *rig) hand0(text string) {
-	c := &client{room: make(chan struct{}, window), writing: 1}
-	c.room <- struct{}{}
+	c := &client{window: make(chan struct{}, windowSize), writingReplies: 1}
+	c.window <- struct{}{}
 	r.s.command(c, words(text))
 	r.clock += 5 * time.Millisecond
 	r.s.turn()
--- a/internal/sender/untried_test.go
+++ b/internal/sender/untried_test.go
@@ -72,8 +72,8 @@
 	leave(t, dir, records...)
 	l := follow(t, startAs(configureFour(dir, 20)))
 	for i := range 200 {
-		c := &client{room: make(chan struct{}, window), gone: true}
-		c.room <- struct{}{}
+		c := &client{window: make(chan struct{}, windowSize), disconnected: true}
+		c.window <- struct{}{}
 		l.s.command(c, words(fmt.Sprintf("OUT.ADD 0 n%d c=single,d=8000,dest=1 x", i)))
 		l.goOn(10*time.Millisecond, 0)
 	}
