--- a/internal/sender/admit.go
+++ b/internal/sender/admit.go
@@ -166,7 +166,7 @@
 	for _, n := range s.admitted {
 		if n.reply != nil {
 			s.counts.accepted++
-			s.handIn(n)
+			s.countSubmission(n)
 			r := n.reply
 			n.reply = nil
 			s.setReply(r, resp.AppendSimple(nil, "OK"))
--- a/internal/sender/book.go
+++ b/internal/sender/book.go
@@ -90,7 +90,7 @@
 	add("journal_rewritings", n.rewritings)
 	add("owed", int64(len(s.pending)))
 	add("endings_owed", int64(len(s.endings)))
-	s.countNotes(add)
+	s.addGossipCounters(add)
 	if s.cluster != nil {
 		add("configuration_version", int64(s.cfg.Version))
 		add("purges", n.purges)
--- a/internal/sender/call.go
+++ b/internal/sender/call.go
@@ -190,7 +190,7 @@
 		return
 	}
 	if c.link == nil {
-		c.localFailure = s.Now()-c.beganAt < s.shortest // the message's time was short, not the endpoint's answer late
+		c.localFailure = s.Now()-c.beganAt < s.shortestContract // the message's time was short, not the endpoint's answer late
 		s.connectFailed(c)
 		return
 	}
--- a/internal/sender/capacity_test.go
+++ b/internal/sender/capacity_test.go
@@ -162,7 +162,7 @@
 		r := filled(b, n)
 		r.s.Join(&silentCluster{}, Joining{})
 		for b.Loop() {
-			r.s.digest()
+			r.s.sendDigest()
 		}
 		r.s.journal.Close()
 	})
@@ -174,9 +174,9 @@
 		r := capacityRig(capacityConfig(b, n, 1))
 		c := &silentCluster{}
 		r.s.Join(c, Joining{})
-		r.s.digest()
+		r.s.sendDigest()
 		for b.Loop() {
-			r.s.digest()
+			r.s.sendDigest()
 		}
 		b.ReportMetric(float64(c.rows), "rows")
 		r.s.journal.Close()
--- a/internal/sender/command.go
+++ b/internal/sender/command.go
@@ -83,7 +83,7 @@
 		zap.Int64("dest", int64(n.Destination)), zap.Int64("hard_stop_ms", int64((n.Deadline-s.Now())/choice.Millisecond)))
 	s.admit(n)
 	s.module.Taken(n.told())
-	s.wakeUp(n.Destination)
+	s.wakeDestination(n.Destination)
 }
 
 // longestReturnMS, in milliseconds, is what a client is told where no more can be taken on whatever it is.
--- a/internal/sender/configure.go
+++ b/internal/sender/configure.go
@@ -21,7 +21,7 @@
 )
 
 func (o orders) Configure(c together.Configuration, done func(error)) {
-	o.s.ask(func() {
+	o.s.enqueueOrder(func() {
 		err := o.s.configure(c)
 		o.s.afterAppend(func() { done(err) })
 	})
@@ -76,7 +76,7 @@
 	s.clients.setBusyReply(&next.Settings)
 	s.linkPool.init(s.bounded(next), s.clients.maxConns)
 	if s.cluster != nil {
-		s.watching.mind(next.Settings.Classes)
+		s.digestState.includeClasses(next.Settings.Classes)
 	}
 	s.module.Configure(next.Settings)
 	// Work follows what changed: with a large list each round over it holds up the loop for tens of milliseconds.
--- a/internal/sender/digest.go
+++ b/internal/sender/digest.go
@@ -17,59 +17,59 @@
 )
 
 const (
-	digestEvery = 500 * time.Millisecond
+	digestInterval = 500 * time.Millisecond
 	// A row is told where calls ended, messages wait, or the list says something else of the place than before; in so
 	// many digests each is told once anyhow, a part of the destinations at a time.
-	wholeEvery = 10
+	fullDigestEvery = 10
 	// Further ones are left out until the next digest, and counted (digest_left_out).
-	mostPlaces = 8192
-	mostCounts = 4096
+	maxDigestRows   = 8192
+	maxDigestCounts = 4096
 )
 
-// place is the endpoints of a destination in a zone.
-type place struct {
-	dest choice.DestinationID
-	zone string
+// destinationZone is the endpoints of a destination in a zone.
+type destinationZone struct {
+	destination choice.DestinationID
+	zone        string
 }
 
-type program struct {
-	dest choice.DestinationID
-	host string
+type clientCount struct {
+	destination choice.DestinationID
+	host        string
 }
 
-type watching struct {
-	seen     map[place]*together.Row // since the last digest
-	handed   map[program]uint64      // likewise
-	listed   map[place]*listing
-	first    map[choice.DestinationID]string // the zone in whose row is told what waits
-	digests  uint64
-	changed  bool        // the list, since it was read for rows
-	longest  choice.Time // deadline, from the moment of taking on
-	shortest choice.Time // contract time of all classes
-	leftOut  int64
+type digestState struct {
+	rows             map[destinationZone]*together.Row // since the last digest
+	submissions      map[clientCount]uint64            // likewise
+	listings         map[destinationZone]*listing
+	firstZone        map[choice.DestinationID]string // the zone in whose row is told what waits
+	digests          uint64
+	listChanged      bool        // the list, since it was read for rows
+	longestDeadline  choice.Time // deadline, from the moment of taking on
+	shortestContract choice.Time // contract time of all classes
+	leftOut          int64
 }
 
-func (w *watching) init(s *Sender) {
-	w.seen, w.handed, w.changed = map[place]*together.Row{}, map[program]uint64{}, true
-	w.mind(s.cfg.Settings.Classes)
+func (w *digestState) init(s *Sender) {
+	w.rows, w.submissions, w.listChanged = map[destinationZone]*together.Row{}, map[clientCount]uint64{}, true
+	w.includeClasses(s.cfg.Settings.Classes)
 	for _, n := range s.pending {
-		w.tookOn(n, s.Now())
+		w.includeMessage(n, s.Now())
 	}
 }
 
-// mind takes the spans of classes. What was taken on with a longer time is still there.
-func (w *watching) mind(classes []choice.Class) {
+// includeClasses takes the spans of classes. What was taken on with a longer time is still there.
+func (w *digestState) includeClasses(classes []choice.Class) {
 	for i, of := range classes {
-		w.longest = max(w.longest, of.Deadline)
-		if i == 0 || of.ContractTime < w.shortest {
-			w.shortest = of.ContractTime
+		w.longestDeadline = max(w.longestDeadline, of.Deadline)
+		if i == 0 || of.ContractTime < w.shortestContract {
+			w.shortestContract = of.ContractTime
 		}
 	}
 }
 
-// tookOn minds the longest time that any message was given: clients may ask for more than their class's deadline.
-func (w *watching) tookOn(n *message, now choice.Time) {
-	w.longest = max(w.longest, n.Deadline-cmp.Or(n.acceptedAt, now))
+// includeMessage minds the longest time that any message was given: clients may ask for more than their class's deadline.
+func (w *digestState) includeMessage(n *message, now choice.Time) {
+	w.longestDeadline = max(w.longestDeadline, n.Deadline-cmp.Or(n.acceptedAt, now))
 }
 
 // countCall counts how a call ended, once however many messages it carried. What never left for reasons of our own (no room
@@ -85,7 +85,7 @@
 	if report := a.loadReport(); report.Known {
 		c.endpoint.reportedLimit, c.endpoint.reportedLimitAt = report.Limit, now
 	}
-	r := s.row(place{c.endpoint.destination, c.endpoint.zoneName})
+	r := s.row(destinationZone{c.endpoint.destination, c.endpoint.zoneName})
 	if r == nil {
 		return
 	}
@@ -100,66 +100,66 @@
 	case choice.ConnectFailed:
 		r.Failed, r.Silent = r.Failed+1, r.Silent+1
 	case choice.TimedOut:
-		if now-c.beganAt >= s.shortest { // else it was cut short by the message's own deadline
+		if now-c.beganAt >= s.shortestContract { // else it was cut short by the message's own deadline
 			r.Failed, r.Silent = r.Failed+1, r.Silent+1
 		}
 	}
 }
 
 // row is what is counted of a place; nil where the table is full.
-func (w *watching) row(at place) *together.Row {
-	r := w.seen[at]
+func (w *digestState) row(at destinationZone) *together.Row {
+	r := w.rows[at]
 	if r == nil {
-		if len(w.seen) >= mostPlaces {
+		if len(w.rows) >= maxDigestRows {
 			w.leftOut++
 			return nil
 		}
-		r = &together.Row{Destination: at.dest, Zone: at.zone}
-		w.seen[at] = r
+		r = &together.Row{Destination: at.destination, Zone: at.zone}
+		w.rows[at] = r
 	}
 	return r
 }
 
-// handIn counts a message as its client is told +OK, and so once: what was refused before and came again was not counted
+// countSubmission counts a message as its client is told +OK, and so once: what was refused before and came again was not counted
 // then, and an id that is owed or has ended is not taken on again. A program is the address that its connection came
 // from, without the port: all programs of one machine, or behind one relay, are one.
-func (s *Sender) handIn(n *message) {
+func (s *Sender) countSubmission(n *message) {
 	if s.cluster == nil {
 		return
 	}
-	s.tookOn(n, n.acceptedAt)
+	s.includeMessage(n, n.acceptedAt)
 	host := n.reply.client.peer
 	if i := strings.LastIndexByte(host, ':'); i >= 0 {
 		host = host[:i]
 	}
-	p := program{n.Destination, host}
-	if _, known := s.handed[p]; !known && len(s.handed) >= mostCounts {
+	p := clientCount{n.Destination, host}
+	if _, known := s.submissions[p]; !known && len(s.submissions) >= maxDigestCounts {
 		s.leftOut++
 		return
 	}
-	s.handed[p]++
+	s.submissions[p]++
 }
 
-// digest hands over what was counted, and begins anew.
-func (s *Sender) digest() {
-	s.after(digestEvery, s.digest)
-	if s.changed {
-		s.readList()
+// sendDigest hands over what was counted, and begins anew.
+func (s *Sender) sendDigest() {
+	s.after(digestInterval, s.sendDigest)
+	if s.listChanged {
+		s.readEndpointList()
 	}
 	s.digests++
-	for at := range s.listed {
-		if (uint64(at.dest)+s.digests)%wholeEvery == 0 {
+	for at := range s.listings {
+		if (uint64(at.destination)+s.digests)%fullDigestEvery == 0 {
 			s.row(at)
 		}
 	}
-	for d, n := range s.waitFor() {
-		if r := s.row(place{d, s.first[d]}); r != nil {
+	for d, n := range s.waitingByDestination() {
+		if r := s.row(destinationZone{d, s.firstZone[d]}); r != nil {
 			r.Held = n
 		}
 	}
-	d := together.Digest{Longest: time.Duration(config.Nanoseconds(s.longest))}
-	for at, r := range s.seen {
-		if l := s.listed[at]; l != nil {
+	d := together.Digest{Longest: time.Duration(config.Nanoseconds(s.longestDeadline))}
+	for at, r := range s.rows {
+		if l := s.listings[at]; l != nil {
 			r.Kind, r.Endpoints, r.Rating = l.kind, len(l.ends), l.rating
 			r.Limit = l.limit(s.cfg.Settings.Kinds)
 		}
@@ -168,14 +168,14 @@
 	slices.SortFunc(d.Rows, func(a, b together.Row) int {
 		return cmp.Or(cmp.Compare(a.Destination, b.Destination), strings.Compare(a.Zone, b.Zone))
 	})
-	for p, n := range s.handed {
-		d.Counts = append(d.Counts, together.Count{Destination: p.dest, Program: p.host, Messages: n})
+	for p, n := range s.submissions {
+		d.Counts = append(d.Counts, together.Count{Destination: p.destination, Program: p.host, Messages: n})
 	}
 	slices.SortFunc(d.Counts, func(a, b together.Count) int {
 		return cmp.Or(cmp.Compare(a.Destination, b.Destination), strings.Compare(a.Program, b.Program))
 	})
-	clear(s.seen)
-	clear(s.handed)
+	clear(s.rows)
+	clear(s.submissions)
 	s.cluster.Digest(d)
 }
 
@@ -186,35 +186,35 @@
 	rating float64
 }
 
-// readList works out anew what the list says, once it has changed, and has those rows told of which it says something
+// readEndpointList works out anew what the list says, once it has changed, and has those rows told of which it says something
 // else now, or nothing any more.
-func (s *Sender) readList() {
-	s.changed = false
-	old := s.listed
-	s.listed, s.first = map[place]*listing{}, map[choice.DestinationID]string{}
+func (s *Sender) readEndpointList() {
+	s.listChanged = false
+	old := s.listings
+	s.listings, s.firstZone = map[destinationZone]*listing{}, map[choice.DestinationID]string{}
 	for _, id := range slices.Sorted(maps.Keys(s.endpoints)) {
 		e := s.endpoints[id]
-		at := place{e.destination, e.zoneName}
-		if !e.ready || len(s.listed) >= mostPlaces && s.listed[at] == nil {
+		at := destinationZone{e.destination, e.zoneName}
+		if !e.ready || len(s.listings) >= maxDigestRows && s.listings[at] == nil {
 			continue
 		}
-		l := s.listed[at]
+		l := s.listings[at]
 		if l == nil {
 			l = &listing{}
-			s.listed[at] = l
+			s.listings[at] = l
 		}
 		l.kind, l.ends, l.rating = e.kind, append(l.ends, e), l.rating+e.rating
-		if zone, known := s.first[e.destination]; !known || e.zoneName < zone {
-			s.first[e.destination] = e.zoneName
+		if zone, known := s.firstZone[e.destination]; !known || e.zoneName < zone {
+			s.firstZone[e.destination] = e.zoneName
 		}
 	}
-	for at, l := range s.listed {
+	for at, l := range s.listings {
 		if was := old[at]; was == nil || was.kind != l.kind || len(was.ends) != len(l.ends) || was.rating != l.rating {
 			s.row(at)
 		}
 	}
 	for at := range old {
-		if s.listed[at] == nil {
+		if s.listings[at] == nil {
 			s.row(at)
 		}
 	}
@@ -233,8 +233,8 @@
 	return limit
 }
 
-// waitFor counts the messages that wait by destination: held, and no call of theirs is out.
-func (s *Sender) waitFor() map[choice.DestinationID]int {
+// waitingByDestination counts the messages that wait by destination: held, and no call of theirs is out.
+func (s *Sender) waitingByDestination() map[choice.DestinationID]int {
 	held := map[choice.DestinationID]int{}
 	for _, n := range s.pending {
 		if n.ending.kind == endNone && n.inFlight == nil {
--- a/internal/sender/drain.go
+++ b/internal/sender/drain.go
@@ -66,8 +66,8 @@
 func (s *Sender) close() {
 	close(s.stop)
 	s.endWatches(len(s.watches))
-	s.endNotes()
-	s.remind()
+	s.stopGossip()
+	s.saveLearned()
 	if err := s.journal.Close(); err != nil {
 		s.log.Error("journal", zap.Error(err))
 	}
--- a/internal/sender/joined.go
+++ b/internal/sender/joined.go
@@ -13,9 +13,9 @@
 	"flaxcove/internal/sender/together"
 )
 
-// gateFor bounds how long a gate that never opens holds attempts back, unless the starter says otherwise: far under
+// gateTimeout bounds how long a gate that never opens holds attempts back, unless the starter says otherwise: far under
 // the contract time of any class seen (0.8 s upwards), longer than a catching-up over loopback takes.
-const gateFor = 2 * time.Second
+const gateTimeout = 2 * time.Second
 
 // Joining is what Join takes besides the cluster.
 type Joining struct {
@@ -23,24 +23,24 @@
 	// is applied first (Orders.Purge). Messages are taken on and answered meanwhile, and end by their own time. nil holds
 	// nothing back. Harm: messages wait so long at a start; and where For is over first, what was withdrawn may go.
 	Gate <-chan struct{}
-	For  time.Duration // 0 for gateFor
+	For  time.Duration // 0 for gateTimeout
 }
 
-// joined is what a sender holds for the processes around it.
-type joined struct {
-	cluster together.Cluster // nil for none
-	guide   together.Guide   // as of the start of this turn
-	memory  memory
-	gated   bool
-	mail    mailbox
-	answers []func() // to orders, given once the turn's append is on disk
-	purging
-	watching
-	holding
+// clusterMember is what a sender holds for the processes around it.
+type clusterMember struct {
+	cluster      together.Cluster // nil for none
+	routingPlan  together.Guide   // as of the start of this turn
+	learnedStore learnedStore
+	gated        bool
+	orderQueue   orderQueue
+	orderAnswers []func() // to orders, given once the turn's append is on disk
+	purgeState
+	digestState
+	evictionState
 }
 
-// memory is what the module does about all that it learnt of endpoints.
-type memory interface {
+// learnedStore is what the module does about all that it learnt of endpoints.
+type learnedStore interface {
 	// Void drops what was learnt of an endpoint, or puts other in its place.
 	Void(choice.EndpointID, *choice.Learnt)
 	// Holds tells how many answers rest on a destination, and whether it must not be let go.
@@ -50,14 +50,14 @@
 // Join ties the sender to a cluster. It is called at most once, before Run.
 func (s *Sender) Join(c together.Cluster, j Joining) {
 	s.cluster = c
-	s.watching.init(s)
-	s.after(digestEvery, s.digest)
+	s.digestState.init(s)
+	s.after(digestInterval, s.sendDigest)
 	if j.Gate == nil {
 		return
 	}
 	s.gated = true
 	over := make(chan struct{})
-	s.after(cmp.Or(j.For, gateFor), func() {
+	s.after(cmp.Or(j.For, gateTimeout), func() {
 		close(over)
 		s.openGate()
 	})
@@ -73,12 +73,12 @@
 
 func (s *Sender) openGate() { s.gated = false }
 
-// consult reads what is decided in common, once a turn, and applies what is to be withdrawn.
-func (s *Sender) consult() {
+// readCluster reads what is decided in common, once a turn, and applies what is to be withdrawn.
+func (s *Sender) readCluster() {
 	if s.cluster == nil {
 		return
 	}
-	s.guide = s.cluster.Guide()
+	s.routingPlan = s.cluster.Guide()
 	if !s.journalFailing {
 		s.applyPurges()
 	}
@@ -87,11 +87,11 @@
 // Allowed is the module's question whether a message may go to an endpoint. An endpoint that is not listed any more has
 // no zone that could be closed.
 func (s *Sender) Allowed(id choice.MessageID, to choice.EndpointID) bool {
-	if s.guide == nil {
+	if s.routingPlan == nil {
 		return true
 	}
 	e := s.endpoints[to]
-	return e == nil || s.guide.Allowed(id, e.destination, e.zone)
+	return e == nil || s.routingPlan.Allowed(id, e.destination, e.zone)
 }
 
 // Orders are what a cluster may ask of this sender. Purges are applied once it has been joined.
@@ -106,58 +106,60 @@
 
 func (o orders) Purge(all []together.Purge, done func(uint64, []together.Found)) {
 	at := o.s.Now() // ages run on while it waits for the loop
-	o.s.ask(func() { o.s.purge(all, at, done) })
+	o.s.enqueueOrder(func() { o.s.purge(all, at, done) })
 }
 
 func (o orders) Evict(all []choice.DestinationID, done func([]choice.DestinationID)) {
-	o.s.ask(func() {
-		kept := o.s.evict(all)
-		o.s.afterAppend(func() { done(kept) })
+	o.s.enqueueOrder(func() {
+		retained := o.s.evictDestinations(all)
+		o.s.afterAppend(func() { done(retained) })
 	})
 }
 
 func (o orders) Holding(done func([]together.Held)) {
-	o.s.ask(func() {
-		all := o.s.held()
+	o.s.enqueueOrder(func() {
+		all := o.s.holdings()
 		o.s.afterAppend(func() { done(all) })
 	})
 }
 
-func (o orders) Teach(lessons []together.Lesson) { o.s.ask(func() { o.s.teach(lessons) }) }
+func (o orders) Teach(lessons []together.Lesson) {
+	o.s.enqueueOrder(func() { o.s.adoptLessons(lessons) })
+}
 
 func (o orders) Know(of []choice.DestinationID, done func([]together.Lesson)) {
-	o.s.ask(func() {
-		all := o.s.know(of)
+	o.s.enqueueOrder(func() {
+		all := o.s.learnedLessons(of)
 		o.s.afterAppend(func() { done(all) })
 	})
 }
 
-// mailbox holds orders on their way to the loop. Its lock is held for an append or a swap.
-type mailbox struct {
+// orderQueue holds orders on their way to the loop. Its lock is held for an append or a swap.
+type orderQueue struct {
 	sync.Mutex
 	waiting []func()
 }
 
-// ask hands the loop something to do without ever waiting for it.
-func (s *Sender) ask(f func()) {
-	s.mail.Lock()
-	defer s.mail.Unlock()
+// enqueueOrder hands the loop something to do without ever waiting for it.
+func (s *Sender) enqueueOrder(f func()) {
+	s.orderQueue.Lock()
+	defer s.orderQueue.Unlock()
 	select {
 	case <-s.stop:
 		return // nobody takes them any more
 	default:
 	}
-	s.mail.waiting = append(s.mail.waiting, f)
-	if len(s.mail.waiting) == 1 {
+	s.orderQueue.waiting = append(s.orderQueue.waiting, f)
+	if len(s.orderQueue.waiting) == 1 {
 		go s.post(s.takeOrders)
 	}
 }
 
 func (s *Sender) takeOrders() {
-	s.mail.Lock()
-	all := s.mail.waiting
-	s.mail.waiting = nil
-	s.mail.Unlock()
+	s.orderQueue.Lock()
+	all := s.orderQueue.waiting
+	s.orderQueue.waiting = nil
+	s.orderQueue.Unlock()
 	for _, f := range all {
 		f()
 	}
@@ -165,11 +167,11 @@
 }
 
 // afterAppend keeps an answer until what it tells is on disk.
-func (s *Sender) afterAppend(f func()) { s.answers = append(s.answers, f) }
+func (s *Sender) afterAppend(f func()) { s.orderAnswers = append(s.orderAnswers, f) }
 
 func (s *Sender) answerOrders() {
-	all := s.answers
-	s.answers = nil
+	all := s.orderAnswers
+	s.orderAnswers = nil
 	for _, f := range all {
 		f()
 	}
--- a/internal/sender/learnt.go
+++ b/internal/sender/learnt.go
@@ -18,28 +18,28 @@
 )
 
 const (
-	learntFile  = "learnt.json"
-	learntShare = 0.02 // of the disk, beside what the journal may fill
+	learnedFileName  = "learnt.json"
+	learnedFileShare = 0.02 // of the disk, beside what the journal may fill
 )
 
-// learnt is what stands in the file for one endpoint: it still means the same where all three of the first are.
-type learnt struct {
+// learnedEntry is what stands in the file for one endpoint: it still means the same where all three of the first are.
+type learnedEntry struct {
 	Endpoint    choice.EndpointID    `json:"endpoint"`
 	Destination choice.DestinationID `json:"destination"`
 	Addr        string               `json:"addr"`
 	choice.Learnt
 }
 
-// lesson is the whole file. Waits count from At, by the wall clock.
-type lesson struct {
-	At        choice.Time `json:"at"`
-	Endpoints []learnt    `json:"endpoints"`
+// learnedFile is the whole file. Waits count from At, by the wall clock.
+type learnedFile struct {
+	At        choice.Time    `json:"at"`
+	Endpoints []learnedEntry `json:"endpoints"`
 }
 
-// recall reads what an earlier life wrote. What cannot be read, or makes no sense, starts afresh and is logged.
-func (s *Sender) recall() {
-	var l lesson
-	text, err := journal.Get(s.cfg.State, learntFile)
+// loadLearned reads what an earlier life wrote. What cannot be read, or makes no sense, starts afresh and is logged.
+func (s *Sender) loadLearned() {
+	var l learnedFile
+	text, err := journal.Get(s.cfg.State, learnedFileName)
 	if errors.Is(err, fs.ErrNotExist) {
 		return
 	}
@@ -47,93 +47,93 @@
 		err = json.Unmarshal(text, &l)
 	}
 	if err != nil {
-		s.log.Warn("learnt: not read, every endpoint starts afresh", zap.String("file", learntFile), zap.Error(err))
+		s.log.Warn("learnt: not read, every endpoint starts afresh", zap.String("file", learnedFileName), zap.Error(err))
 		return
 	}
-	s.learnt, s.learntAt = map[choice.EndpointID]learnt{}, l.At
+	s.learned, s.learnedAt = map[choice.EndpointID]learnedEntry{}, l.At
 	for _, k := range l.Endpoints {
-		if sensible(k.Learnt) {
-			s.learnt[k.Endpoint] = k
+		if isPlausible(k.Learnt) {
+			s.learned[k.Endpoint] = k
 		}
 	}
-	s.log.Info("learnt", zap.Int("endpoints", len(s.learnt)), zap.Int("left_out", len(l.Endpoints)-len(s.learnt)))
+	s.log.Info("learnt", zap.Int("endpoints", len(s.learned)), zap.Int("left_out", len(l.Endpoints)-len(s.learned)))
 }
 
 // What is learnt stays below these; more would pass the highest number where a time-out is made of it, and calls
 // would be given up as they begin.
 const (
-	longestLearnt = 24 * 3600 * choice.Second // of a call, and of a wait, which a restart ends at any rate
-	mostSeen      = 1e15
+	maxLearnedTime  = 24 * 3600 * choice.Second // of a call, and of a wait, which a restart ends at any rate
+	maxLearnedCalls = 1e15
 )
 
-// sensible tells whether what comes from elsewhere can be believed.
-func sensible(k choice.Learnt) bool {
+// isPlausible tells whether what comes from elsewhere can be believed.
+func isPlausible(k choice.Learnt) bool {
 	is := func(least, v, most float64) bool { return v >= least && v <= most }
-	const most = float64(longestLearnt)
-	return k.Mean > 0 && is(0, k.Mean, most) && is(0, k.Dev, most) && k.Past > 0 && is(0, k.Past, most) && is(0, k.Seen, mostSeen) &&
-		is(0, k.Limit, maxReportedLimit) && k.Wait >= 0 && k.Wait <= longestLearnt
+	const most = float64(maxLearnedTime)
+	return k.Mean > 0 && is(0, k.Mean, most) && is(0, k.Dev, most) && k.Past > 0 && is(0, k.Past, most) && is(0, k.Seen, maxLearnedCalls) &&
+		is(0, k.Limit, maxReportedLimit) && k.Wait >= 0 && k.Wait <= maxLearnedTime
 }
 
-// unlearn takes what an earlier life learnt out of the file, where it would come back with a start after a kill, and
+// deleteLearned takes what an earlier life learnt out of the file, where it would come back with a start after a kill, and
 // tells of how many endpoints that was. It leaves the file as it is where it can't be read: then it teaches nobody.
-func (s *Sender) unlearn(of func(choice.DestinationID) bool) (ends []choice.EndpointID, err error) {
-	text, err := journal.Get(s.cfg.State, learntFile)
-	var l lesson
+func (s *Sender) deleteLearned(of func(choice.DestinationID) bool) (ends []choice.EndpointID, err error) {
+	text, err := journal.Get(s.cfg.State, learnedFileName)
+	var l learnedFile
 	if err != nil || json.Unmarshal(text, &l) != nil {
 		if errors.Is(err, fs.ErrNotExist) {
 			err = nil
 		}
 		return nil, err
 	}
-	kept := l
-	kept.Endpoints = nil
+	remaining := l
+	remaining.Endpoints = nil
 	for _, k := range l.Endpoints {
 		if of(k.Destination) {
 			ends = append(ends, k.Endpoint)
 		} else {
-			kept.Endpoints = append(kept.Endpoints, k)
+			remaining.Endpoints = append(remaining.Endpoints, k)
 		}
 	}
 	if len(ends) == 0 {
 		return nil, nil
 	}
-	if text, err = json.Marshal(kept); err == nil {
-		err = s.journal.Put(learntFile, text)
+	if text, err = json.Marshal(remaining); err == nil {
+		err = s.journal.Put(learnedFileName, text)
 	}
 	return ends, err
 }
 
-// remembered gives what was learnt of an endpoint to its first entry, and once: later it is out of date. The wait has
+// takeLearned gives what was learnt of an endpoint to its first entry, and once: later it is out of date. The wait has
 // run on meanwhile.
-func (s *Sender) remembered(e choice.Entry, addr string) *choice.Learnt {
-	k, is := s.learnt[e.Endpoint]
-	delete(s.learnt, e.Endpoint)
+func (s *Sender) takeLearned(e choice.Entry, addr string) *choice.Learnt {
+	k, is := s.learned[e.Endpoint]
+	delete(s.learned, e.Endpoint)
 	if !is || k.Addr != addr || k.Destination != e.Destination {
 		return nil
 	}
-	k.Wait = max(0, k.Wait-max(0, s.Now()-s.learntAt))
+	k.Wait = max(0, k.Wait-max(0, s.Now()-s.learnedAt))
 	return &k.Learnt
 }
 
-// remind writes what the next life may keep, of as many endpoints as there is room for.
-func (s *Sender) remind() {
-	l := lesson{At: s.Now()}
-	room := int(learntShare*float64(s.journal.Limit())) - 64 // for what stands around them
+// saveLearned writes what the next life may keep, of as many endpoints as there is room for.
+func (s *Sender) saveLearned() {
+	l := learnedFile{At: s.Now()}
+	capacity := int(learnedFileShare*float64(s.journal.Limit())) - 64 // for what stands around them
 	for _, id := range slices.Sorted(maps.Keys(s.endpoints)) {
 		e, k := s.endpoints[id], s.module.Learnt(id)
 		if e.gone || k.Seen == 0 && k.Wait == 0 {
 			continue
 		}
-		entry := learnt{id, e.destination, e.addr, k}
+		entry := learnedEntry{id, e.destination, e.addr, k}
 		text, err := json.Marshal(entry)
-		if room -= len(text) + 1; err != nil || room < 0 {
+		if capacity -= len(text) + 1; err != nil || capacity < 0 {
 			break
 		}
 		l.Endpoints = append(l.Endpoints, entry)
 	}
 	text, err := json.Marshal(l)
 	if err == nil {
-		err = s.journal.Put(learntFile, text)
+		err = s.journal.Put(learnedFileName, text)
 	}
 	if err != nil {
 		s.log.Error("learnt: not written", zap.Error(err))
--- a/internal/sender/learnt_test.go
+++ b/internal/sender/learnt_test.go
@@ -41,7 +41,7 @@
 		"a wait of days":      {change(`"Wait":0`, `"Wait":2000000000`), false},
 	} {
 		dir := t.TempDir()
-		if err := os.WriteFile(filepath.Join(dir, learntFile), []byte(c.text), 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(dir, learnedFileName), []byte(c.text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		l := follow(t, startAs(configureFour(dir, 100)))
--- a/internal/sender/move_test.go
+++ b/internal/sender/move_test.go
@@ -105,7 +105,7 @@
 	r := startAs(configureAs(dir, before, listBefore)).hand("OUT.ADD k of c=offer,d=20000,dest=1 x")
 	r.answer("HTTP/1.1 429 Wait\nRetry-After: 9\nContent-Length: 0\n\n").s.close()
 	r = startAs(configureAs(dir, before, listBefore))
-	fmt.Println("waits on:", r.s.module.Learnt("a").Wait > 8*choice.Second, "kept for later:", len(r.s.learnt))
+	fmt.Println("waits on:", r.s.module.Learnt("a").Wait > 8*choice.Second, "kept for later:", len(r.s.learned))
 	os.RemoveAll(dir)
 	// Output:
 	// call a: POST /inbox
@@ -145,7 +145,7 @@
 	show(strings.Replace(listAfter, "127.0.0.1:1", "127.0.0.1:5", 1))
 	show(strings.Replace(listAfter, `"zone":"z","kind":"one","cell":1`, `"zone":"z","kind":"one","cell":2`, 1))
 	for _, text := range []string{`{"endpoints":[{"endpoint":"a","destination":1,"addr":"127.0.0.1:1","Mean":-1,"Seen":1}]}`, `{"endp`} {
-		os.WriteFile(filepath.Join(dir, learntFile), []byte(text), 0o600)
+		os.WriteFile(filepath.Join(dir, learnedFileName), []byte(text), 0o600)
 		show(listAfter)
 	}
 	os.RemoveAll(dir)
--- a/internal/sender/notes.go
+++ b/internal/sender/notes.go
@@ -10,13 +10,13 @@
 	"flaxcove/internal/peers"
 )
 
-type notes struct {
+type gossip struct {
 	peers *peers.Peers // nil where no notes go
 }
 
-// openPeers binds the socket for notes where the settings have them go. Where that fails it returns a configuration
+// openGossip binds the socket for notes where the settings have them go. Where that fails it returns a configuration
 // without.
-func openPeers(cfg *config.Config, log *zap.Logger) (*config.Config, *peers.Peers) {
+func openGossip(cfg *config.Config, log *zap.Logger) (*config.Config, *peers.Peers) {
 	if !cfg.Settings.Notes {
 		return cfg, nil
 	}
@@ -30,23 +30,23 @@
 	return cfg, p
 }
 
-func closePeers(p *peers.Peers) error {
+func closeGossip(p *peers.Peers) error {
 	if p == nil {
 		return nil
 	}
 	return p.Close()
 }
 
-// startNotes lets notes come in.
-func (s *Sender) startNotes(p *peers.Peers) {
+// startGossip lets notes come in.
+func (s *Sender) startGossip(p *peers.Peers) {
 	if s.peers = p; p != nil {
 		p.Start(func(note []byte) { s.post(func() { s.module.Heard(note) }) })
 	}
 }
 
-// endNotes waits for the receiver, which post lets go once stop is closed.
-func (s *Sender) endNotes() {
-	if err := closePeers(s.peers); err != nil {
+// stopGossip waits for the receiver, which post lets go once stop is closed.
+func (s *Sender) stopGossip() {
+	if err := closeGossip(s.peers); err != nil {
 		s.log.Error("notes", zap.Error(err))
 	}
 }
@@ -58,7 +58,7 @@
 	}
 }
 
-func (s *Sender) countNotes(add func(name string, v int64)) {
+func (s *Sender) addGossipCounters(add func(name string, v int64)) {
 	if s.peers == nil {
 		return
 	}
--- a/internal/sender/notes_test.go
+++ b/internal/sender/notes_test.go
@@ -136,7 +136,7 @@
 func TestNotesNotToBeHad(t *testing.T) {
 	cfg := configure(t.TempDir(), 100)
 	cfg.Settings.Notes, cfg.Peers, cfg.PeerListen = true, []string{"127.0.0.1:1"}, fmt.Sprint(udp(t).LocalAddr())
-	without, p := openPeers(cfg, zap.NewNop())
+	without, p := openGossip(cfg, zap.NewNop())
 	if p != nil || without.Settings.Notes || !cfg.Settings.Notes {
 		t.Errorf("%v, notes %v", p, without.Settings.Notes)
 	}
--- a/internal/sender/purge.go
+++ b/internal/sender/purge.go
@@ -25,19 +25,19 @@
 const (
 	// Work of a turn is bounded, or ten thousand purges over a full table would hold up the loop for a second:
 	// comparisons, of some 10 ns each, and records.
-	purgeWork  = 50_000
-	purgesTurn = 256
-	learntWork = 5_000 // one that has a file read
+	purgeWorkPerTurn = 50_000
+	purgesPerTurn    = 256
+	learnedPurgeWork = 5_000 // one that has a file read
 	// So many are answered again as they were, through a restart too; older ones with nothing found. A record is 40
 	// bytes at most.
-	mostPurges = 256
+	maxRememberedPurges = 256
 )
 
-type purging struct {
+type purgeState struct {
 	waiting []purgeOrder
-	applied atomic.Uint64 // the highest Seq on disk; the loop alone writes it
-	seq     uint64        // the highest one applied
-	past    []purged      // the last ones, by Seq
+	applied atomic.Uint64  // the highest Seq on disk; the loop alone writes it
+	seq     uint64         // the highest one applied
+	past    []appliedPurge // the last ones, by Seq
 }
 
 // purgeOrder is one call of Orders.Purge, of which some are applied.
@@ -47,7 +47,7 @@
 	done  func(uint64, []together.Found)
 }
 
-type purged struct {
+type appliedPurge struct {
 	seq   uint64
 	found together.Found
 }
@@ -58,15 +58,15 @@
 	for _, p := range all {
 		o.all = append(o.all, withdrawal.Since(p, at))
 	}
-	s.purging.waiting = append(s.purging.waiting, o)
+	s.purgeState.waiting = append(s.purgeState.waiting, o)
 }
 
 // applyPurges goes on with what waits, as far as this turn's work allows.
 func (s *Sender) applyPurges() {
 	work := 0
-	for len(s.purging.waiting) > 0 && work < purgeWork {
-		o := &s.purging.waiting[0]
-		for records := 0; len(o.found) < len(o.all) && work < purgeWork && records < purgesTurn; records++ {
+	for len(s.purgeState.waiting) > 0 && work < purgeWorkPerTurn {
+		o := &s.purgeState.waiting[0]
+		for records := 0; len(o.found) < len(o.all) && work < purgeWorkPerTurn && records < purgesPerTurn; records++ {
 			w := &o.all[len(o.found)]
 			f, err := s.applyOnce(w)
 			if err != nil {
@@ -77,7 +77,7 @@
 			o.found = append(o.found, f)
 			work += 1 + len(s.accepted) + len(s.admitted)
 			if w.Learnt {
-				work += learntWork
+				work += learnedPurgeWork
 			}
 		}
 		if len(o.found) < len(o.all) {
@@ -85,25 +85,25 @@
 			return
 		}
 		done, found := o.done, o.found
-		s.purging.waiting = slices.Delete(s.purging.waiting, 0, 1)
+		s.purgeState.waiting = slices.Delete(s.purgeState.waiting, 0, 1)
 		s.afterAppend(func() {
 			s.applied.Store(s.seq)
 			done(s.seq, found)
 		})
 	}
-	s.stirred = s.stirred || len(s.purging.waiting) > 0
+	s.stirred = s.stirred || len(s.purgeState.waiting) > 0
 }
 
 // applyOnce applies a purge, unless that was done: then it is answered as it was.
 func (s *Sender) applyOnce(w *withdrawal.Order) (f together.Found, err error) {
 	if w.Seq <= s.seq {
-		if i := slices.IndexFunc(s.past, func(p purged) bool { return p.seq == w.Seq }); i >= 0 {
+		if i := slices.IndexFunc(s.past, func(p appliedPurge) bool { return p.seq == w.Seq }); i >= 0 {
 			f = s.past[i].found
 		}
 		return f, nil
 	}
 	if w.Learnt {
-		if f.Learnt, err = s.forgetLearnt(w); err != nil {
+		if f.Learnt, err = s.purgeLearned(w); err != nil {
 			return f, err
 		}
 	}
@@ -116,7 +116,7 @@
 			}
 		}
 	}
-	s.rememberPurge(purged{w.Seq, f})
+	s.rememberPurge(appliedPurge{w.Seq, f})
 	s.journal.Add(s.past[len(s.past)-1].record())
 	s.counts.purges++
 	level := zap.DebugLevel // a process that was away for long applies thousands
@@ -187,13 +187,13 @@
 	}
 }
 
-// rememberPurge keeps the newest mostPurges. What a rewriting keeps of them counts against the disk.
-func (p *purging) remember(done purged) (bytes int64) {
+// rememberPurge keeps the newest maxRememberedPurges. What a rewriting keeps of them counts against the disk.
+func (p *purgeState) remember(done appliedPurge) (bytes int64) {
 	if done.seq <= p.seq {
 		return 0
 	}
 	p.seq = done.seq
-	if len(p.past) == mostPurges {
+	if len(p.past) == maxRememberedPurges {
 		bytes -= journal.Framed(len(p.past[0].record()))
 		p.past = slices.Delete(p.past, 0, 1)
 	}
@@ -201,9 +201,9 @@
 	return bytes + journal.Framed(len(done.record()))
 }
 
-func (s *Sender) rememberPurge(done purged) { s.liveBytes += s.purging.remember(done) }
+func (s *Sender) rememberPurge(done appliedPurge) { s.liveBytes += s.purgeState.remember(done) }
 
-func (p purged) record() []byte {
+func (p appliedPurge) record() []byte {
 	out := binary.AppendUvarint([]byte{recPurge}, p.seq)
 	for _, n := range []int{p.found.NotBegun, p.found.MayRun, p.found.Delivered, p.found.Learnt} {
 		out = binary.AppendVarint(out, int64(n))
@@ -211,7 +211,7 @@
 	return out
 }
 
-func readPurged(record []byte) (p purged, whole bool) {
+func readPurged(record []byte) (p appliedPurge, whole bool) {
 	seq, used := binary.Uvarint(record[1:])
 	if used <= 0 {
 		return p, false
--- a/internal/sender/purge_sockets_test.go
+++ b/internal/sender/purge_sockets_test.go
@@ -147,7 +147,7 @@
 	if f := purge(5); f.NotBegun != 1 {
 		t.Errorf("answered again otherwise: %+v", f)
 	}
-	time.Sleep(2 * digestEvery)
+	time.Sleep(2 * digestInterval)
 	for id, want := range map[string]string{"slow": ", given_up", "after": done, "first": done} {
 		if got := w.told(id); got != want {
 			t.Errorf("%s: %q", id, got)
--- a/internal/sender/purge_test.go
+++ b/internal/sender/purge_test.go
@@ -262,7 +262,7 @@
 			t.Fatalf("purge %d found %+v", i, f)
 		}
 	}
-	if turns < many/purgesTurn || len(r.s.past) > mostPurges {
+	if turns < many/purgesPerTurn || len(r.s.past) > maxRememberedPurges {
 		t.Errorf("%d turns, %d kept", turns, len(r.s.past))
 	}
 	if size, limit := r.s.journal.Size(), r.s.journal.Limit(); size > limit {
@@ -273,7 +273,7 @@
 	if got := r.s.Orders().Applied(); got != many {
 		t.Fatalf("applied %d after a restart", got)
 	}
-	if again, _ := ask(all[many-mostPurges:]); again[many-100-(many-mostPurges)].NotBegun != 1 {
+	if again, _ := ask(all[many-maxRememberedPurges:]); again[many-100-(many-maxRememberedPurges)].NotBegun != 1 {
 		t.Errorf("answered again otherwise: %+v", again)
 	}
 }
@@ -281,7 +281,7 @@
 // What was learnt of a destination is void on order, on disk too: a kill must not bring it back.
 func TestPurgeOfWhatWasLearnt(t *testing.T) {
 	dir := t.TempDir()
-	file := dir + "/" + learntFile
+	file := dir + "/" + learnedFileName
 	text := `{"at":1,"endpoints":[{"endpoint":"gone","destination":1,"addr":"x","Mean":5,"Past":5,"Seen":1},
 {"endpoint":"b","destination":2,"addr":"127.0.0.1:2","Mean":5,"Past":5,"Seen":1}]}`
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
@@ -290,7 +290,7 @@
 	r := start(dir, 100)
 	r.join(Joining{})
 	m := &recollection{}
-	r.s.memory = m
+	r.s.learnedStore = m
 	d := choice.DestinationID(1)
 	var found []together.Found
 	r.s.Orders().Purge([]together.Purge{{Seq: 1, Learnt: true, Match: together.Match{Destination: &d}},
--- a/internal/sender/route.go
+++ b/internal/sender/route.go
@@ -82,7 +82,7 @@
 	}
 	for i, entry := range entries {
 		as := told[entry.Endpoint]
-		entries[i].Learnt = s.remembered(entry, as.Addr)
+		entries[i].Learnt = s.takeLearned(entry, as.Addr)
 		e := s.endpoints[entry.Endpoint]
 		if e != nil && (as.Addr != e.addr || entry.Destination != e.destination) {
 			// It is another one by the same name. Connections to the one before, and calls that wait for one, would reach
@@ -96,14 +96,14 @@
 			s.endpoints[e.id] = e
 		}
 		if entries[i].Learnt != nil {
-			e.lastAnswerAt = s.learntAt
+			e.lastAnswerAt = s.learnedAt
 		}
 		e.addr, e.zoneName, e.listed = as.Addr, as.Zone, as
 		e.zone, e.bulkMax = entry.Zone, s.bulkMaxOf(entry.Kind)
 		e.destination, e.gone = entry.Destination, entry.Stage == choice.Gone
 		e.kind, e.rating, e.ready = entry.Kind, entry.Rating, entry.Stage == choice.Ready
 	}
-	s.changed = true
+	s.listChanged = true
 	now := s.sinceStart()
 	for _, e := range s.endpoints {
 		if e.gone {
--- a/internal/sender/sender.go
+++ b/internal/sender/sender.go
@@ -33,16 +33,16 @@
 
 // Sender is one running sender. All fields belong to the loop unless said otherwise.
 type Sender struct {
-	cfg      *config.Config
-	log      *zap.Logger
-	module   *choice.Sender
-	learnt   map[choice.EndpointID]learnt // by an earlier life, at learntAt; each leaves as the list names it
-	learntAt choice.Time
-	names    directory.Names
-	start    time.Time            // Now counts from here by the monotonic clock, so that it never steps back
-	clock    func() time.Duration // since start
-	inbox    chan func()
-	stop     chan struct{} // closed at the end
+	cfg       *config.Config
+	log       *zap.Logger
+	module    *choice.Sender
+	learned   map[choice.EndpointID]learnedEntry // by an earlier life, at learnedAt; each leaves as the list names it
+	learnedAt choice.Time
+	names     directory.Names
+	start     time.Time            // Now counts from here by the monotonic clock, so that it never steps back
+	clock     func() time.Duration // since start
+	inbox     chan func()
+	stop      chan struct{} // closed at the end
 
 	timers         timers
 	timerNo        uint64
@@ -62,24 +62,24 @@
 	clientFrontend
 	admission
 	routing
-	notes
+	gossip
 	linkPool
 	book
-	joined
+	clusterMember
 }
 
 // Start replays the journal, tells the module what it finds, and returns once clients may come.
 func Start(cfg *config.Config, log *zap.Logger) (*Sender, error) {
 	start := time.Now()
-	cfg, p := openPeers(cfg, log)
+	cfg, p := openGossip(cfg, log)
 	s, err := open(cfg, log, start, func() time.Duration { return time.Since(start) })
 	if err != nil {
-		return nil, errors.Join(err, closePeers(p))
+		return nil, errors.Join(err, closeGossip(p))
 	}
 	if err := s.listen(); err != nil {
-		return nil, errors.Join(err, s.journal.Close(), closePeers(p))
+		return nil, errors.Join(err, s.journal.Close(), closeGossip(p))
 	}
-	s.startNotes(p)
+	s.startGossip(p)
 	s.watch(cfg.Known.Version)
 	s.awaitNews(time.After(firstNewsFor))
 	return s, nil
@@ -114,9 +114,9 @@
 	if err != nil {
 		return nil, err
 	}
-	s.recall()
+	s.loadLearned()
 	s.module = choice.Start(s, choice.SenderID(cfg.Name), cfg.Seed, cfg.Settings)
-	s.memory = s.module
+	s.learnedStore = s.module
 	s.listNews(cfg.Known, true)
 	for _, n := range unfinished {
 		s.module.Taken(n.told())
@@ -239,7 +239,7 @@
 		t := heap.Pop(&s.timers).(*timer)
 		t.fire()
 	}
-	s.consult()
+	s.readCluster()
 	if !s.pastSendTime() && !s.journalFailing && !s.gated {
 		s.module.TurnEnd()
 	}
--- a/internal/sender/together_test.go
+++ b/internal/sender/together_test.go
@@ -134,7 +134,7 @@
 func Example_evict() {
 	r := start("", 100)
 	c, m := r.join(Joining{}), &recollection{pinned: 2}
-	r.s.memory = m
+	r.s.learnedStore = m
 	r.hand("OUT.ADD 0 id c=status,d=6000,dest=1 x")
 	r.clock += 50 * time.Millisecond
 	o := r.s.Orders()
