--- a/internal/sender/book.go
+++ b/internal/sender/book.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	mostPosted = 256 // endings in one post
-	firstRetry = 20 * time.Millisecond
-	lastRetry  = 250 * time.Millisecond
+	maxEndingsPerPost = 256 // endings in one post
+	minPostRetryPause = 20 * time.Millisecond
+	maxPostRetryPause = 250 * time.Millisecond
 )
 
 type endKind byte
@@ -34,17 +34,17 @@
 	retryMS int64
 }
 
-type book struct {
-	endings []*message // owed to the platform; each leaves with its 204
-	posting bool
-	retryIn time.Duration
-	alone   bool // the last post was not understood: one at a time until one is
-	poster  poster
-	tell    func(addr string, body []byte) (status int, err error) // a test puts its own in place
-	counts  counts
+type outcomeReporter struct {
+	endings        []*message // owed to the platform; each leaves with its 204
+	posting        bool
+	retryPause     time.Duration
+	oneAtATime     bool // the last post was not understood: one at a time until one is
+	platform       platformConn
+	postToPlatform func(addr string, body []byte) (status int, err error) // a test puts its own in place
+	counts         counts
 }
 
-func (b *book) init() { b.retryIn = firstRetry }
+func (b *outcomeReporter) init() { b.retryPause = minPostRetryPause }
 
 type counts struct {
 	submitted, accepted, rejected, badCommands, replayed      int64
@@ -159,8 +159,8 @@
 	if s.posting || len(s.endings) == 0 {
 		return
 	}
-	batch := s.endings[:min(len(s.endings), mostPosted)]
-	if s.alone {
+	batch := s.endings[:min(len(s.endings), maxEndingsPerPost)]
+	if s.oneAtATime {
 		batch = batch[:1]
 	}
 	var body []byte
@@ -170,7 +170,7 @@
 	s.posting = true
 	count, addr := len(batch), s.discovery
 	go func() {
-		status, err := s.tell(addr, body)
+		status, err := s.postToPlatform(addr, body)
 		s.post(func() { s.postEnded(count, status, err) })
 	}()
 }
@@ -199,16 +199,16 @@
 		}
 		s.counts.endingsPosted += int64(count)
 		s.endings = append([]*message(nil), s.endings[count:]...)
-		s.posting, s.alone, s.retryIn = false, false, firstRetry
+		s.posting, s.oneAtATime, s.retryPause = false, false, minPostRetryPause
 		return
 	}
 	s.counts.postsFailed++
 	s.log.Warn("platform not told", zap.Int("status", status), zap.Int("endings", count), zap.Error(err))
 	if err == nil {
 		// One line that is not understood must not hold up the others.
-		s.alone = true
+		s.oneAtATime = true
 		s.endings = append(append([]*message(nil), s.endings[count:]...), batch...)
 	}
-	s.after(s.retryIn, func() { s.posting = false })
-	s.retryIn = min(2*s.retryIn, lastRetry)
+	s.after(s.retryPause, func() { s.posting = false })
+	s.retryPause = min(2*s.retryPause, maxPostRetryPause)
 }
--- a/internal/sender/call.go
+++ b/internal/sender/call.go
@@ -78,7 +78,7 @@
 		}
 	}
 	if c.endpoint.addr == "" || c.endpoint.gone {
-		s.logEnd("endpoint", string(c.endpoint.id), displaced, nil)
+		s.logConnEnded("endpoint", string(c.endpoint.id), displaced, nil)
 		s.connectFailed(c)
 		return
 	}
@@ -97,7 +97,7 @@
 // awaitCapacity looks for room again after a pause; expire bounds how often.
 func (s *Sender) awaitCapacity(c *call) {
 	if !c.awaitingCapacity {
-		s.logEnd("endpoint", string(c.endpoint.id), displaced, nil)
+		s.logConnEnded("endpoint", string(c.endpoint.id), displaced, nil)
 	}
 	c.awaitingCapacity = true
 	s.after(capacityRecheck, func() { s.findLink(c) })
@@ -129,7 +129,7 @@
 	if c.done || n.inFlight != c {
 		return
 	}
-	s.stirred = true
+	s.eventsPending = true
 	o := choice.Outcome{Message: n.ID, Attempt: n.attempts - 1, Endpoint: c.endpoint.id, Took: s.Now() - c.beganAt, Result: choice.Cancelled}
 	if c.link == nil {
 		o.Result = choice.Moot
--- a/internal/sender/capacity_test.go
+++ b/internal/sender/capacity_test.go
@@ -49,7 +49,7 @@
 func capacityRig(c *config.Config) *rig {
 	r := startAs(c)
 	r.s.dial = func(*call) {}
-	r.s.listTold = true
+	r.s.listReceived = true
 	return r
 }
 
@@ -193,7 +193,7 @@
 			return r
 		})
 		for b.Loop() {
-			r.s.listNews(cfg.Known, false)
+			r.s.updateEndpoints(cfg.Known, false)
 		}
 		b.ReportMetric(heap, "heap-B")
 		r.s.journal.Close()
@@ -206,7 +206,7 @@
 		r := capacityRig(capacityConfig(b, n, 1))
 		change := directory.List{Version: 2, Servers: capacityList(1).Servers}
 		for b.Loop() {
-			r.s.listNews(change, false)
+			r.s.updateEndpoints(change, false)
 		}
 		r.s.journal.Close()
 	})
--- a/internal/sender/command.go
+++ b/internal/sender/command.go
@@ -66,7 +66,7 @@
 		s.setReply(r, resp.AppendSimple(nil, "OK"))
 		return
 	}
-	if _, known := s.cells[n.Destination]; !known && s.listTold {
+	if _, known := s.destinationSeen[n.Destination]; !known && s.listReceived {
 		s.badCommand(r, "dest: no such destination")
 		return
 	} else if !known {
--- a/internal/sender/command_test.go
+++ b/internal/sender/command_test.go
@@ -46,7 +46,7 @@
 // A planned end: no new call leaves late, what is owed stays in the journal, and what comes late is refused.
 func Example_drain() {
 	r := start("", 100)
-	r.s.drain(r.clock)
+	r.s.startDrain(r.clock)
 	r.hand("OUT.ADD 00 early c=status,d=6000,dest=1 x").answer(strings.Replace(full, "0.4", "4", 1))
 	r.turn(3 * time.Second)
 	r.hand("OUT.ADD 00 late c=status,d=6000,dest=1 x").owed()
@@ -78,7 +78,7 @@
 	asked.window <- struct{}{}
 	r.s.addMessage(r.s.expectReply(asked), [][]byte{nil, []byte("0"), []byte("id"), []byte("c=status,d=6000,dest=1"), nil})
 	r.clock += time.Second
-	r.s.drain(r.clock)
+	r.s.startDrain(r.clock)
 	late, silent := connect(), connect()
 	show := func() {
 		fmt.Println(idle.closing, half.closing, asked.closing, queued.closing, late.closing, silent.closing)
@@ -89,7 +89,7 @@
 	(<-r.s.inbox)() // the answer is written
 	r.turn(5 * time.Millisecond)
 	show()
-	r.turn(lingerFor)
+	r.turn(drainAcceptTime)
 	show()
 	r.clock += partialCommandTimeout
 	r.s.sweepClients()
--- a/internal/sender/configure.go
+++ b/internal/sender/configure.go
@@ -31,13 +31,13 @@
 	if s.inForce(c) {
 		return nil
 	}
-	next, err := s.checked(c)
+	next, err := s.checkConfiguration(c)
 	if err != nil {
 		s.log.Warn("configuration not taken", zap.Uint64("version", c.Version), zap.Uint64("in_force", s.cfg.Version), zap.Error(err))
 		return err
 	}
 	before := s.cfg.Version
-	s.putInForce(next)
+	s.apply(next)
 	s.log.Info("configuration in force", zap.Uint64("version", c.Version), zap.Uint64("before", before))
 	s.log.Debug("configuration", zap.Any("settings", next.Settings))
 	return nil
@@ -47,8 +47,8 @@
 	return c.Version == s.cfg.Version && bytes.Equal(c.Settings, s.cfg.SettingsInForce())
 }
 
-// checked is the configuration that an order leads to, or what is wrong with it.
-func (s *Sender) checked(c together.Configuration) (*config.Config, error) {
+// checkConfiguration is the configuration that an order leads to, or what is wrong with it.
+func (s *Sender) checkConfiguration(c together.Configuration) (*config.Config, error) {
 	switch {
 	case c.Version < s.cfg.Version:
 		return nil, fmt.Errorf("version %d is older than version %d, which is in force", c.Version, s.cfg.Version)
@@ -67,14 +67,14 @@
 	return next, nil
 }
 
-// putInForce has all that reads settings, or keeps something made of them, go by the new ones. The watch of the list goes
+// apply has all that reads settings, or keeps something made of them, go by the new ones. The watch of the list goes
 // on with the number of senders that it began with, which only spaces its calls after an error.
-func (s *Sender) putInForce(next *config.Config) {
+func (s *Sender) apply(next *config.Config) {
 	was := s.cfg
 	s.cfg = next
-	s.names = directory.Names{Zones: next.Zones, Kinds: next.Kinds}
+	s.numbering = directory.Names{Zones: next.Zones, Kinds: next.Kinds}
 	s.clients.setBusyReply(&next.Settings)
-	s.linkPool.init(s.bounded(next), s.clients.maxConns)
+	s.linkPool.init(s.withSystemLimits(next), s.clients.maxConns)
 	if s.cluster != nil {
 		s.digestState.includeClasses(next.Settings.Classes)
 	}
@@ -91,12 +91,12 @@
 		}
 	}
 	if len(was.Zones) != len(next.Zones) || len(was.Kinds) != len(next.Kinds) {
-		s.readNamesAnew()
+		s.renumberEndpoints()
 	}
 }
 
-// bounded is a configuration whose sockets are no more than the system gives.
-func (s *Sender) bounded(cfg *config.Config) *config.Config {
+// withSystemLimits is a configuration whose sockets are no more than the system gives.
+func (s *Sender) withSystemLimits(cfg *config.Config) *config.Config {
 	given := *cfg
 	given.Limits.Sockets = min(given.Limits.Sockets, descriptorLimit())
 	return &given
@@ -111,7 +111,7 @@
 // restartIdleTimers has idle links end by the new time, counted from when each became idle: their endpoints close them by it.
 func (s *Sender) restartIdleTimers(e *endpoint) {
 	for _, l := range e.idle {
-		s.takeBack(l.idleTimer)
+		s.cancelTimer(l.idleTimer)
 		s.startIdleTimer(l)
 	}
 }
@@ -125,16 +125,16 @@
 	}
 }
 
-// readNamesAnew reads again what the list said of endpoints whose zone or kind has got a number only now.
-func (s *Sender) readNamesAnew() {
+// renumberEndpoints reads again what the list said of endpoints whose zone or kind has got a number only now.
+func (s *Sender) renumberEndpoints() {
 	var named []directory.Entry
 	for _, e := range s.endpoints {
-		if !e.gone && (s.names.Zone(e.listed.Zone) != e.zone || s.names.Kinds[e.listed.Kind] != e.kind) {
+		if !e.gone && (s.numbering.Zone(e.listed.Zone) != e.zone || s.numbering.Kinds[e.listed.Kind] != e.kind) {
 			named = append(named, e.listed)
 		}
 	}
 	slices.SortFunc(named, func(a, b directory.Entry) int { return strings.Compare(a.ID, b.ID) })
 	if len(named) > 0 {
-		s.listNews(directory.List{Servers: named}, true)
+		s.updateEndpoints(directory.List{Servers: named}, true)
 	}
 }
--- a/internal/sender/configure_test.go
+++ b/internal/sender/configure_test.go
@@ -169,7 +169,7 @@
 		t.Fatal(err)
 	}
 	r.hand("OUT.ADD 0 owed c=offer,d=60000,dest=9 x")
-	if _, err := open(own, zap.NewNop(), time.Unix(1e9, 0), func() time.Duration { return time.Minute }); err == nil ||
+	if _, err := openSender(own, zap.NewNop(), time.Unix(1e9, 0), func() time.Duration { return time.Minute }); err == nil ||
 		!strings.Contains(err.Error(), `workload "offer", which field settings.classes does not name`) {
 		t.Errorf("a start with the file's own settings: %v", err)
 	}
--- a/internal/sender/cut_test.go
+++ b/internal/sender/cut_test.go
@@ -71,7 +71,7 @@
 			did[n.ID].left = append(did[n.ID].left, size())
 		}
 	}
-	r.s.tell = func(string, []byte) (int, error) { return 204, nil }
+	r.s.postToPlatform = func(string, []byte) (int, error) { return 204, nil }
 	ends := func() {
 		r.s.journal.Flush() // the records of ends, which a turn would write
 		for id, h := range did {
--- a/internal/sender/drain.go
+++ b/internal/sender/drain.go
@@ -13,11 +13,11 @@
 const (
 	// A planned restart leaves 3.7 s from the signal to the kill. New calls stop early, so that those out, of
 	// which a single-use one that is cut off is lost, can end before the process does.
-	lingerFor = 500 * time.Millisecond // clients still come by new connections
-	sendFor   = 2500 * time.Millisecond
-	takeFor   = 3100 * time.Millisecond // what has been read is still answered, but nobody is waited for who may send more
-	endAfter  = 3300 * time.Millisecond // nothing more is taken on, and the process ends as its last client has
-	endAnyway = 3500 * time.Millisecond
+	drainAcceptTime = 500 * time.Millisecond // clients still come by new connections
+	drainSendTime   = 2500 * time.Millisecond
+	drainReadTime   = 3100 * time.Millisecond // what has been read is still answered, but nobody is waited for who may send more
+	drainEndTime    = 3300 * time.Millisecond // nothing more is taken on, and the process ends as its last client has
+	drainKillMargin = 3500 * time.Millisecond
 )
 
 // Drain begins a planned end; Run returns when it is over.
@@ -27,19 +27,19 @@
 // the loop, which may be writing the journal, had to do meanwhile.
 func (s *Sender) DrainSince(signal time.Time) {
 	at := signal.Sub(s.start)
-	s.post(func() { s.drain(at) })
+	s.post(func() { s.startDrain(at) })
 }
 
-func (s *Sender) sinceDrain() time.Duration { return s.clock() - s.drainAt }
+func (s *Sender) sinceDrain() time.Duration { return s.clock() - s.drainSince }
 
-func (s *Sender) drain(at time.Duration) {
+func (s *Sender) startDrain(at time.Duration) {
 	if s.draining {
 		return
 	}
-	s.draining, s.drainAt = true, at
+	s.draining, s.drainSince = true, at
 	s.log.Info("draining", zap.Int("owed", len(s.pending)))
 	s.closeIdleClients()
-	for _, step := range []time.Duration{lingerFor, takeFor, endAfter, endAnyway} {
+	for _, step := range []time.Duration{drainAcceptTime, drainReadTime, drainEndTime, drainKillMargin} {
 		s.after(step-s.sinceDrain(), func() {})
 	}
 }
@@ -49,21 +49,21 @@
 		return
 	}
 	since := s.sinceDrain()
-	if since >= endAfter {
+	if since >= drainEndTime {
 		s.clients.ignoreAllInput()
 	}
 	s.closeIdleClients()
 	// The process's end resets each connection on which something has come that nobody has read. So clients part before.
-	if since >= endAnyway {
+	if since >= drainKillMargin {
 		s.clients.halfCloseAll(s.clock())
 		s.ended = true
-	} else if (since >= endAfter || since >= lingerFor && len(s.pending) == 0) && s.clients.stopIfEmpty() {
+	} else if (since >= drainEndTime || since >= drainAcceptTime && len(s.pending) == 0) && s.clients.stopIfEmpty() {
 		s.ended = true
 	}
 }
 
-// close ends the process's part; what is owed stays in the journal.
-func (s *Sender) close() {
+// shutDown ends the process's part; what is owed stays in the journal.
+func (s *Sender) shutDown() {
 	close(s.stop)
 	s.endWatches(len(s.watches))
 	s.stopGossip()
@@ -75,4 +75,4 @@
 }
 
 // pastSendTime tells whether a planned end is too near to begin anything.
-func (s *Sender) pastSendTime() bool { return s.draining && s.sinceDrain() >= sendFor }
+func (s *Sender) pastSendTime() bool { return s.draining && s.sinceDrain() >= drainSendTime }
--- a/internal/sender/drain_test.go
+++ b/internal/sender/drain_test.go
@@ -27,7 +27,7 @@
 func drainedSince(t *testing.T, s *Sender, before time.Duration) {
 	t.Helper()
 	inLoop(t, s, func() {
-		s.drain(s.clock() - before)
+		s.startDrain(s.clock() - before)
 		s.checkDrain()
 	})
 }
@@ -45,7 +45,7 @@
 	stallPollers(t) // until the test ends
 	io.WriteString(unread, addText("unread"))
 	until(t, "the command has come", func() bool { return heard(t, unread) })
-	drainedSince(t, s, endAfter)
+	drainedSince(t, s, drainEndTime)
 	ended(t, done)
 	for name, conn := range map[string]net.Conn{"unread": unread, "half": half, "rests": rests, "fresh": fresh} {
 		if got := state(t, conn); got != stateCloseWait {
@@ -67,14 +67,14 @@
 	inLoop(t, s, func() {
 		io.WriteString(conn, strings.Repeat(pingText, commands))
 		until(t, "a window of commands is taken, and the rest read", func() bool { return heard(t, conn) && len(c.window) == windowSize })
-		s.drain(s.clock() - takeFor)
+		s.startDrain(s.clock() - drainReadTime)
 	})
 	if text, err := io.ReadAll(conn); string(text) != strings.Repeat(pongText, commands) || err != nil {
 		t.Errorf("%d of %d answers, %v", strings.Count(string(text), pongText), commands, err)
 	}
 	conn.Close()
 	ended(t, done)
-	if s.sinceDrain() >= endAnyway {
+	if s.sinceDrain() >= drainKillMargin {
 		t.Error("the process waited for nobody")
 	}
 }
@@ -103,7 +103,7 @@
 		})
 		return wait && heard(t, slow)
 	})
-	drainedSince(t, s, sendFor)
+	drainedSince(t, s, drainSendTime)
 	want := strings.Repeat(string(resp.AppendBulk(nil, make([]byte, resp.MaxBulk))), commands)
 	if text, err := io.ReadAll(slow); string(text) != want || err != nil {
 		t.Errorf("%d of %d bytes of answers, %v", len(text), len(want), err)
@@ -126,12 +126,12 @@
 		heardAt = s.clock()
 	})
 	inLoop(t, s, func() {
-		first := s.drainAt
+		first := s.drainSince
 		if !s.draining || first >= heardAt {
 			t.Errorf("counts from %v, which is after %v", first, heardAt)
 		}
-		s.drain(s.clock())
-		if s.drainAt != first {
+		s.startDrain(s.clock())
+		if s.drainSince != first {
 			t.Error("a second signal begins anew")
 		}
 		s.reload(s.cfg, nil) // a SIGHUP in between changes nothing either
@@ -170,7 +170,7 @@
 	s, dial, done := serving(t, 64)
 	conn := dial("")
 	c := clientOf(t, s, conn)
-	drainedSince(t, s, takeFor)
+	drainedSince(t, s, drainReadTime)
 	inLoop(t, s, func() {
 		if !c.lingering || c.isWriteClosed() {
 			t.Errorf("leaving %v, its connection closed with no answer %v", c.lingering, c.isWriteClosed())
@@ -190,11 +190,11 @@
 	conn := dial("")
 	c := clientOf(t, s, conn)
 	inLoop(t, s, func() {
-		s.drain(s.clock() - takeFor)
+		s.startDrain(s.clock() - drainReadTime)
 		if !c.lingering || c.isWriteClosed() {
 			t.Errorf("leaving %v, shut %v", c.lingering, c.isWriteClosed())
 		}
-		s.drainAt -= endAnyway - takeFor
+		s.drainSince -= drainKillMargin - drainReadTime
 		s.checkDrain()
 	})
 	ended(t, done)
@@ -206,7 +206,7 @@
 // One who comes as the process is about to end, when nobody is left, is answered.
 func TestLastToCome(t *testing.T) {
 	s, dial, done := serving(t, 64)
-	drainedSince(t, s, lingerFor)
+	drainedSince(t, s, drainAcceptTime)
 	ended(t, done)
 	conn := dial(addText("last"))
 	if text, err := io.ReadAll(conn); string(text) != busyAnswer || err != nil {
--- a/internal/sender/earlier_test.go
+++ b/internal/sender/earlier_test.go
@@ -82,7 +82,7 @@
 			l.calls[n.ID]++
 		}
 	}
-	r.s.tell = func(_ string, body []byte) (int, error) {
+	r.s.postToPlatform = func(_ string, body []byte) (int, error) {
 		l.Lock()
 		defer l.Unlock()
 		for _, e := range endingsIn(body) {
--- a/internal/sender/joined.go
+++ b/internal/sender/joined.go
@@ -163,7 +163,7 @@
 	for _, f := range all {
 		f()
 	}
-	s.stirred = true
+	s.eventsPending = true
 }
 
 // afterAppend keeps an answer until what it tells is on disk.
--- a/internal/sender/links.go
+++ b/internal/sender/links.go
@@ -133,8 +133,8 @@
 		s.openLinks--
 		c.endpoint.linkCount--
 		s.counts.connectsFailed++
-		s.logEnd("endpoint", string(c.endpoint.id), connectFailure, err)
-		s.forget(c.endpoint)
+		s.logConnEnded("endpoint", string(c.endpoint.id), connectFailure, err)
+		s.dropIfUnused(c.endpoint)
 		if isResourceShortage(err) {
 			s.closeOldestIdle()
 			s.awaitCapacity(c)
@@ -158,7 +158,7 @@
 		// It ended before netpoll knew whom to tell.
 		conn.Close()
 	}
-	s.stirred = true
+	s.eventsPending = true
 	s.connected = append(s.connected, connectedCall{c, l})
 }
 
@@ -192,7 +192,7 @@
 		s.idleOrder.Remove(l.idleElement)
 		l.idleElement = nil
 	}
-	s.takeBack(l.idleTimer)
+	s.cancelTimer(l.idleTimer)
 }
 
 func (s *Sender) closeIdleLink(l *link, why reason) {
@@ -235,8 +235,8 @@
 	s.openLinks--
 	l.endpoint.linkCount--
 	s.counts.linksEnded++
-	s.logEnd("endpoint", string(l.endpoint.id), l.closeReason, nil)
-	s.forget(l.endpoint)
+	s.logConnEnded("endpoint", string(l.endpoint.id), l.closeReason, nil)
+	s.dropIfUnused(l.endpoint)
 	// Whether the last byte left decides what the end means, so the write is waited for.
 	if l.partialAnswer = end; !l.writing {
 		s.onLinkCutOff(l)
--- a/internal/sender/listnews_test.go
+++ b/internal/sender/listnews_test.go
@@ -65,7 +65,7 @@
 			if fmt.Sprint(got) != fmt.Sprint(c.want) {
 				t.Errorf("%v\nwant %v", got, c.want)
 			}
-			if _, taken := r.s.cells[0]; taken {
+			if _, taken := r.s.destinationSeen[0]; taken {
 				t.Error("a destination that no list names is known")
 			}
 		})
@@ -108,7 +108,7 @@
 		}, func(entry directory.Entry) {
 			heard := make(chan struct{})
 			s.post(func() {
-				s.listNews(directory.List{Version: 2, Servers: []directory.Entry{entry}}, false)
+				s.updateEndpoints(directory.List{Version: 2, Servers: []directory.Entry{entry}}, false)
 				close(heard)
 			})
 			<-heard
--- a/internal/sender/longday_test.go
+++ b/internal/sender/longday_test.go
@@ -62,10 +62,10 @@
 		if size, limit := r.s.journal.Size(), r.s.journal.Limit(); size > limit {
 			t.Errorf("hour %d: the journal holds %d of %d bytes", no, size, limit)
 		}
-		if len(r.s.pending) > 0 || len(r.s.endings) > 0 || len(r.s.wakes) > 4 || len(r.s.timers) > 16 ||
+		if len(r.s.pending) > 0 || len(r.s.endings) > 0 || len(r.s.moduleTimers) > 4 || len(r.s.timers) > 16 ||
 			len(r.s.admission.recentlyEnded) > maxRememberedEnded || len(r.s.accepted) > 2*len(r.s.pending)+maxEndedInOrder+1 {
 			t.Errorf("hour %d: owed %d, endings %d, the module's timers %d, timers %d, ended %d, in order %d", no, len(r.s.pending),
-				len(r.s.endings), len(r.s.wakes), len(r.s.timers), len(r.s.admission.recentlyEnded), len(r.s.accepted))
+				len(r.s.endings), len(r.s.moduleTimers), len(r.s.timers), len(r.s.admission.recentlyEnded), len(r.s.accepted))
 		}
 	}
 	if last > first+first/4 {
--- a/internal/sender/move_test.go
+++ b/internal/sender/move_test.go
@@ -103,7 +103,7 @@
 func Example_learntOnce() {
 	dir, _ := os.MkdirTemp("", "sender")
 	r := startAs(configureAs(dir, before, listBefore)).hand("OUT.ADD k of c=offer,d=20000,dest=1 x")
-	r.answer("HTTP/1.1 429 Wait\nRetry-After: 9\nContent-Length: 0\n\n").s.close()
+	r.answer("HTTP/1.1 429 Wait\nRetry-After: 9\nContent-Length: 0\n\n").s.shutDown()
 	r = startAs(configureAs(dir, before, listBefore))
 	fmt.Println("waits on:", r.s.module.Learnt("a").Wait > 8*choice.Second, "kept for later:", len(r.s.learned))
 	os.RemoveAll(dir)
@@ -140,7 +140,7 @@
 	}
 	r := startAs(configureAs(dir, before, listBefore)).hand("OUT.ADD k of c=offer,d=20000,dest=1 x")
 	r.clock += 90 * time.Millisecond
-	r.answer("HTTP/1.1 200 OK\nX-Load: x0=0.5,x1=7\nContent-Length: 0\n\n").s.close()
+	r.answer("HTTP/1.1 200 OK\nX-Load: x0=0.5,x1=7\nContent-Length: 0\n\n").s.shutDown()
 	show(listAfter)
 	show(strings.Replace(listAfter, "127.0.0.1:1", "127.0.0.1:5", 1))
 	show(strings.Replace(listAfter, `"zone":"z","kind":"one","cell":1`, `"zone":"z","kind":"one","cell":2`, 1))
--- a/internal/sender/notes_test.go
+++ b/internal/sender/notes_test.go
@@ -146,16 +146,16 @@
 func TestAwaitNews(t *testing.T) {
 	s := start(t.TempDir(), 100).s
 	s.inbox <- func() {}
-	s.inbox <- func() { s.listNews(directory.List{Version: 2}, false) }
+	s.inbox <- func() { s.updateEndpoints(directory.List{Version: 2}, false) }
 	s.inbox <- func() { t.Error("done before its turn") }
-	s.awaitNews(nil)
-	if !s.listTold {
+	s.awaitFirstList(nil)
+	if !s.listReceived {
 		t.Error("no list")
 	}
 	s = start(t.TempDir(), 100).s
 	late := make(chan time.Time)
 	close(late)
-	if s.awaitNews(late); s.listTold {
+	if s.awaitFirstList(late); s.listReceived {
 		t.Error("a list from nowhere")
 	}
 }
--- a/internal/sender/parting.go
+++ b/internal/sender/parting.go
@@ -23,7 +23,7 @@
 
 // halfCloseClient ends our sending, if it can be now. It tells whether the end has begun.
 func (s *Sender) halfCloseClient(c *client) bool {
-	hurry := s.draining && s.sinceDrain() >= takeFor
+	hurry := s.draining && s.sinceDrain() >= drainReadTime
 	s.clients.Lock()
 	defer s.clients.Unlock()
 	if c.lingering {
--- a/internal/sender/poster.go
+++ b/internal/sender/poster.go
@@ -15,45 +15,45 @@
 	outcomesPath = "/v1/outcomes"
 	// The platform's agent answers at once; while one post waits, all later endings do, and a message without its
 	// ending 300 ms past its deadline is lost.
-	postFor = 250 * time.Millisecond
+	postTimeout = 250 * time.Millisecond
 )
 
 const postFailed reason = "post_failed"
 
-// poster holds the connection to the platform. It belongs to the one goroutine that posts.
-type poster struct {
+// platformConn holds the connection to the platform. It belongs to the one goroutine that posts.
+type platformConn struct {
 	conn netpoll.Connection
 	addr string // of conn
 	log  func(addr string, why reason, err error)
 }
 
-func (p *poster) post(addr string, body []byte) (status int, err error) {
+func (p *platformConn) post(addr string, body []byte) (status int, err error) {
 	if addr != p.addr {
-		p.drop(notNeeded, nil)
+		p.disconnect(notNeeded, nil)
 		p.addr = addr
 	}
 	fresh := p.conn == nil || !p.conn.IsActive()
-	if status, err = p.try(addr, body); err != nil && !fresh {
+	if status, err = p.postOnce(addr, body); err != nil && !fresh {
 		// The kept connection had ended; a message told twice does no harm.
-		status, err = p.try(addr, body)
+		status, err = p.postOnce(addr, body)
 	}
 	return status, err
 }
 
-func (p *poster) try(addr string, body []byte) (status int, err error) {
+func (p *platformConn) postOnce(addr string, body []byte) (status int, err error) {
 	if p.conn == nil || !p.conn.IsActive() {
-		p.drop(peerClosed, nil)
-		if p.conn, err = netpoll.DialConnection("tcp", addr, postFor); err != nil {
+		p.disconnect(peerClosed, nil)
+		if p.conn, err = netpoll.DialConnection("tcp", addr, postTimeout); err != nil {
 			p.conn = nil
 			p.log(addr, connectFailure, err)
 			return 0, err
 		}
-		p.conn.SetReadTimeout(postFor)
-		p.conn.SetWriteTimeout(postFor)
+		p.conn.SetReadTimeout(postTimeout)
+		p.conn.SetWriteTimeout(postTimeout)
 	}
 	defer func() {
 		if err != nil {
-			p.drop(postFailed, err)
+			p.disconnect(postFailed, err)
 		}
 	}()
 	request := append(http1.AppendRequest(nil, "POST", outcomesPath, addr, len(body)), body...)
@@ -76,12 +76,12 @@
 		}
 	}
 	if a.Close || a.Left() > 0 {
-		p.drop(endpointCloses, nil)
+		p.disconnect(endpointCloses, nil)
 	}
 	return a.Status(), nil
 }
 
-func (p *poster) drop(why reason, err error) {
+func (p *platformConn) disconnect(why reason, err error) {
 	if p.conn != nil {
 		p.log(p.addr, why, err)
 		p.conn.Close()
--- a/internal/sender/purge.go
+++ b/internal/sender/purge.go
@@ -71,7 +71,7 @@
 			f, err := s.applyOnce(w)
 			if err != nil {
 				s.log.Error("purge not applied yet", zap.Uint64("seq", w.Seq), zap.Error(err))
-				s.after(retryTurn, func() {})
+				s.after(journalRetryPause, func() {})
 				return
 			}
 			o.found = append(o.found, f)
@@ -81,7 +81,7 @@
 			}
 		}
 		if len(o.found) < len(o.all) {
-			s.stirred = true
+			s.eventsPending = true
 			return
 		}
 		done, found := o.done, o.found
@@ -91,7 +91,7 @@
 			done(s.seq, found)
 		})
 	}
-	s.stirred = s.stirred || len(s.purgeState.waiting) > 0
+	s.eventsPending = s.eventsPending || len(s.purgeState.waiting) > 0
 }
 
 // applyOnce applies a purge, unless that was done: then it is answered as it was.
@@ -183,7 +183,7 @@
 	}
 	c.done = true
 	for _, t := range c.timers {
-		s.takeBack(t)
+		s.cancelTimer(t)
 	}
 }
 
--- a/internal/sender/purge_test.go
+++ b/internal/sender/purge_test.go
@@ -81,7 +81,7 @@
 		told := ""
 		watch := func(r *rig) *rig {
 			r.join(Joining{})
-			r.s.tell = func(_ string, body []byte) (int, error) {
+			r.s.postToPlatform = func(_ string, body []byte) (int, error) {
 				told += string(body)
 				return 204, nil
 			}
--- a/internal/sender/relay.go
+++ b/internal/sender/relay.go
@@ -165,9 +165,9 @@
 
 // finishCall tells the module how a call ended, message by message.
 func (s *Sender) finishCall(c *call, a answer) {
-	s.stirred = true // what the module makes of it is for the next turn, if not for this one
+	s.eventsPending = true // what the module makes of it is for the next turn, if not for this one
 	for _, t := range c.timers {
-		s.takeBack(t)
+		s.cancelTimer(t)
 	}
 	if c.probe {
 		s.module.Probed(c.endpoint.id, a.result)
--- a/internal/sender/replay.go
+++ b/internal/sender/replay.go
@@ -112,7 +112,7 @@
 		s.latestRecorded = max(s.latestRecorded, n.RanAt)
 		if len(p.rest) > 0 {
 			n.ranInZoneName = p.string()
-			n.RanIn = s.names.Zone(n.ranInZoneName)
+			n.RanIn = s.numbering.Zone(n.ranInZoneName)
 		} else {
 			// Of before names were written, and so of these settings.
 			for name, no := range s.cfg.Zones {
--- a/internal/sender/restart_test.go
+++ b/internal/sender/restart_test.go
@@ -84,8 +84,8 @@
 	r.hand("OUT.ADD 00 or c=order,d=20000,dest=9 x") // nobody serves 9 yet
 	r.s.dial = func(c *call) { r.s.endMessage(c.messages[0], ending{kind: endShed}) }
 	r.list(`{"version":2,"servers":[{"id":"new","addr":"127.0.0.1:3","zone":"z","kind":"one","cell":9,"state":"up"}]}`)
-	told, tell := make(chan struct{}), r.s.tell // the post has a goroutine of its own: what it prints comes last
-	r.s.tell = func(addr string, body []byte) (int, error) { <-told; return tell(addr, body) }
+	told, tell := make(chan struct{}), r.s.postToPlatform // the post has a goroutine of its own: what it prints comes last
+	r.s.postToPlatform = func(addr string, body []byte) (int, error) { <-told; return tell(addr, body) }
 	for range 2 {
 		r.clock += 5 * time.Millisecond
 		r.s.turn()
--- a/internal/sender/rig_test.go
+++ b/internal/sender/rig_test.go
@@ -89,7 +89,7 @@
 func startAt(cfg *config.Config, at time.Duration) *rig {
 	dir := cfg.State
 	r := &rig{dir: dir, clock: at, up: true}
-	s, err := open(cfg, zap.NewNop(), time.Unix(1e9, 0), func() time.Duration { return r.clock })
+	s, err := openSender(cfg, zap.NewNop(), time.Unix(1e9, 0), func() time.Duration { return r.clock })
 	if err != nil {
 		fmt.Println(strings.ReplaceAll(err.Error(), dir, "DIR"))
 		return r
@@ -99,7 +99,7 @@
 		s.commit()
 		r.calls = append(r.calls, c)
 	}
-	s.tell = func(_ string, body []byte) (int, error) {
+	s.postToPlatform = func(_ string, body []byte) (int, error) {
 		if !r.up {
 			return 0, os.ErrDeadlineExceeded
 		}
@@ -149,7 +149,7 @@
 // turn lets time go on, ends a turn, and prints which calls left.
 func (r *rig) turn(after time.Duration) *rig {
 	for end := r.clock + after; r.clock < end; {
-		r.clock = max(r.clock+5*time.Millisecond, min(end, r.s.timers.due()))
+		r.clock = max(r.clock+5*time.Millisecond, min(end, r.s.timers.next()))
 		r.s.turn()
 		for r.s.posting && r.s.endings != nil && r.up {
 			(<-r.s.inbox)()
@@ -188,7 +188,7 @@
 func (r *rig) list(text string) *rig {
 	var l directory.List
 	json.Unmarshal([]byte(text), &l)
-	r.s.listNews(l, false)
+	r.s.updateEndpoints(l, false)
 	return r
 }
 
--- a/internal/sender/route.go
+++ b/internal/sender/route.go
@@ -39,24 +39,24 @@
 }
 
 type routing struct {
-	endpoints map[choice.EndpointID]*endpoint
-	starting  []*call                   // of this turn
-	connected []connectedCall           // likewise; they leave with its end
-	wakes     map[choice.TimerID]*timer // the module's; each leaves as it fires or is forgotten
-	// When a destination last had an endpoint, as of the last news; it leaves once that is keepCell ago.
-	cells    map[choice.DestinationID]time.Duration
-	listTold bool // discovery has spoken to this process
+	endpoints    map[choice.EndpointID]*endpoint
+	starting     []*call                   // of this turn
+	connected    []connectedCall           // likewise; they leave with its end
+	moduleTimers map[choice.TimerID]*timer // the module's; each leaves as it fires or is forgotten
+	// When a destination last had an endpoint, as of the last news; it leaves once that is emptyDestinationGrace ago.
+	destinationSeen map[choice.DestinationID]time.Duration
+	listReceived    bool // discovery has spoken to this process
 }
 
-// keepCell is how long messages for a destination without endpoints are still taken on.
-const keepCell = time.Minute
+// emptyDestinationGrace is how long messages for a destination without endpoints are still taken on.
+const emptyDestinationGrace = time.Minute
 
 func (r *routing) init() {
-	r.endpoints, r.cells = map[choice.EndpointID]*endpoint{}, map[choice.DestinationID]time.Duration{}
-	r.wakes = map[choice.TimerID]*timer{}
+	r.endpoints, r.destinationSeen = map[choice.EndpointID]*endpoint{}, map[choice.DestinationID]time.Duration{}
+	r.moduleTimers = map[choice.TimerID]*timer{}
 }
 
-func (s *Sender) listNews(l directory.List, stale bool) {
+func (s *Sender) updateEndpoints(l directory.List, stale bool) {
 	l = l.Filled(func(id string) (directory.Entry, bool) {
 		e := s.endpoints[choice.EndpointID(id)]
 		if e == nil {
@@ -64,7 +64,7 @@
 		}
 		return e.listed, true
 	})
-	entries, unread := s.names.Entries(l)
+	entries, unread := s.numbering.Entries(l)
 	if unread > 0 {
 		s.log.Warn("list: entries left out", zap.Int("unread", unread), zap.Int64("version", l.Version))
 	}
@@ -76,15 +76,15 @@
 			e.gone, e.ready = true, false
 		}
 	}
-	told := map[choice.EndpointID]directory.Entry{} // the last of each counts
+	latest := map[choice.EndpointID]directory.Entry{} // the last of each counts
 	for _, entry := range l.Servers {
-		told[choice.EndpointID(entry.ID)] = entry
+		latest[choice.EndpointID(entry.ID)] = entry
 	}
 	for i, entry := range entries {
-		as := told[entry.Endpoint]
-		entries[i].Learnt = s.takeLearned(entry, as.Addr)
+		listed := latest[entry.Endpoint]
+		entries[i].Learnt = s.takeLearned(entry, listed.Addr)
 		e := s.endpoints[entry.Endpoint]
-		if e != nil && (as.Addr != e.addr || entry.Destination != e.destination) {
+		if e != nil && (listed.Addr != e.addr || entry.Destination != e.destination) {
 			// It is another one by the same name. Connections to the one before, and calls that wait for one, would reach
 			// the place that was left, or for the destination that was left: they stay with it and end with what is out.
 			e.gone = true
@@ -98,7 +98,7 @@
 		if entries[i].Learnt != nil {
 			e.lastAnswerAt = s.learnedAt
 		}
-		e.addr, e.zoneName, e.listed = as.Addr, as.Zone, as
+		e.addr, e.zoneName, e.listed = listed.Addr, listed.Zone, listed
 		e.zone, e.bulkMax = entry.Zone, s.bulkMaxOf(entry.Kind)
 		e.destination, e.gone = entry.Destination, entry.Stage == choice.Gone
 		e.kind, e.rating, e.ready = entry.Kind, entry.Rating, entry.Stage == choice.Ready
@@ -108,22 +108,22 @@
 	for _, e := range s.endpoints {
 		if e.gone {
 			s.closeIdleLinks(e, endpointUnlisted)
-			s.forget(e)
+			s.dropIfUnused(e)
 		} else {
-			s.cells[e.destination] = now
+			s.destinationSeen[e.destination] = now
 		}
 	}
-	for id, at := range s.cells {
-		if now-at > keepCell {
-			delete(s.cells, id)
+	for id, at := range s.destinationSeen {
+		if now-at > emptyDestinationGrace {
+			delete(s.destinationSeen, id)
 		}
 	}
 	s.log.Debug("list", zap.Bool("full", l.Full), zap.Bool("stale", stale), zap.Any("entries", l.Servers))
-	s.listTold = s.listTold || !stale
+	s.listReceived = s.listReceived || !stale
 	s.module.ListNews(entries, l.Full)
 }
 
-func (s *Sender) forget(e *endpoint) {
+func (s *Sender) dropIfUnused(e *endpoint) {
 	if e.gone && e.linkCount == 0 && s.endpoints[e.id] == e {
 		delete(s.endpoints, e.id)
 	}
@@ -177,13 +177,13 @@
 }
 
 func (s *Sender) Timer(in choice.Time, id choice.TimerID) {
-	s.wakes[id] = s.after(time.Duration(config.Nanoseconds(in)), func() {
-		delete(s.wakes, id)
+	s.moduleTimers[id] = s.after(time.Duration(config.Nanoseconds(in)), func() {
+		delete(s.moduleTimers, id)
 		s.module.TimerDue(id)
 	})
 }
 
 func (s *Sender) Forget(id choice.TimerID) {
-	s.takeBack(s.wakes[id])
-	delete(s.wakes, id)
+	s.cancelTimer(s.moduleTimers[id])
+	delete(s.moduleTimers, id)
 }
--- a/internal/sender/sender.go
+++ b/internal/sender/sender.go
@@ -24,11 +24,11 @@
 )
 
 const (
-	inboxSize = 1024
-	retryTurn = 20 * time.Millisecond // a turn whose journal could not be written
+	inboxSize         = 1024
+	journalRetryPause = 20 * time.Millisecond // a turn whose journal could not be written
 	// What discovery's agent holds counts as told from the process's first moment, and the agent answers at once: so
 	// long nothing is sent by the list of the configuration, which may be out of date. Clients wait 400 ms for an answer.
-	firstNewsFor = 150 * time.Millisecond
+	firstListTimeout = 150 * time.Millisecond
 )
 
 // Sender is one running sender. All fields belong to the loop unless said otherwise.
@@ -38,23 +38,23 @@
 	module    *choice.Sender
 	learned   map[choice.EndpointID]learnedEntry // by an earlier life, at learnedAt; each leaves as the list names it
 	learnedAt choice.Time
-	names     directory.Names
+	numbering directory.Names
 	start     time.Time            // Now counts from here by the monotonic clock, so that it never steps back
 	clock     func() time.Duration // since start
 	inbox     chan func()
 	stop      chan struct{} // closed at the end
 
 	timers         timers
-	timerNo        uint64
+	timerSeq       uint64
 	lastTurn       time.Duration
-	stirred        bool // something came in since the last turn
+	eventsPending  bool // something came in since the last turn
 	turns          int64
 	wakeups        int64 // by the clock, each of which is to lead to a turn
 	journalFailing bool  // the journal could not be written
 	ended          bool
 
-	draining bool
-	drainAt  time.Duration // when the signal to end came
+	draining   bool
+	drainSince time.Duration // when the signal to end came
 
 	discovery string          // where list and platform are asked now; cfg.Discovery is where they were at the start
 	watches   []chan struct{} // each ends a watch; the newest is last, and those before it end when it has spoken
@@ -64,7 +64,7 @@
 	routing
 	gossip
 	linkPool
-	book
+	outcomeReporter
 	clusterMember
 }
 
@@ -72,7 +72,7 @@
 func Start(cfg *config.Config, log *zap.Logger) (*Sender, error) {
 	start := time.Now()
 	cfg, p := openGossip(cfg, log)
-	s, err := open(cfg, log, start, func() time.Duration { return time.Since(start) })
+	s, err := openSender(cfg, log, start, func() time.Duration { return time.Since(start) })
 	if err != nil {
 		return nil, errors.Join(err, closeGossip(p))
 	}
@@ -81,13 +81,13 @@
 	}
 	s.startGossip(p)
 	s.watch(cfg.Known.Version)
-	s.awaitNews(time.After(firstNewsFor))
+	s.awaitFirstList(time.After(firstListTimeout))
 	return s, nil
 }
 
-// awaitNews does what comes in until the list has come, or it is too late. The loop does not run yet.
-func (s *Sender) awaitNews(late <-chan time.Time) {
-	for s.stirred = true; !s.listTold; {
+// awaitFirstList does what comes in until the list has come, or it is too late. The loop does not run yet.
+func (s *Sender) awaitFirstList(late <-chan time.Time) {
+	for s.eventsPending = true; !s.listReceived; {
 		select {
 		case f := <-s.inbox:
 			f()
@@ -97,19 +97,19 @@
 	}
 }
 
-// open makes a sender that knows what it owes and touches no socket yet.
-func open(cfg *config.Config, log *zap.Logger, start time.Time, clock func() time.Duration) (*Sender, error) {
+// openSender makes a sender that knows what it owes and touches no socket yet.
+func openSender(cfg *config.Config, log *zap.Logger, start time.Time, clock func() time.Duration) (*Sender, error) {
 	s := &Sender{cfg: cfg, log: log, start: start, clock: clock, inbox: make(chan func(), inboxSize), stop: make(chan struct{})}
-	s.names = directory.Names{Zones: cfg.Zones, Kinds: cfg.Kinds}
-	given := s.bounded(cfg)
+	s.numbering = directory.Names{Zones: cfg.Zones, Kinds: cfg.Kinds}
+	given := s.withSystemLimits(cfg)
 	s.clientFrontend.init(given)
 	s.routing.init()
 	s.linkPool.init(given, s.clients.maxConns)
-	s.book.init()
+	s.outcomeReporter.init()
 	s.dial = s.dialEndpoint
 	s.discovery = cfg.Discovery
-	s.poster.log = func(addr string, why reason, err error) { s.logEnd("platform", addr, why, err) }
-	s.tell = s.poster.post
+	s.platform.log = func(addr string, why reason, err error) { s.logConnEnded("platform", addr, why, err) }
+	s.postToPlatform = s.platform.post
 	unfinished, err := s.openJournal()
 	if err != nil {
 		return nil, err
@@ -117,7 +117,7 @@
 	s.loadLearned()
 	s.module = choice.Start(s, choice.SenderID(cfg.Name), cfg.Seed, cfg.Settings)
 	s.learnedStore = s.module
-	s.listNews(cfg.Known, true)
+	s.updateEndpoints(cfg.Known, true)
 	for _, n := range unfinished {
 		s.module.Taken(n.told())
 	}
@@ -134,14 +134,14 @@
 			s.post(func() {
 				if i := slices.Index(s.watches, stop); i >= 0 {
 					s.endWatches(i)
-					s.listNews(l, false)
+					s.updateEndpoints(l, false)
 				}
 			})
 		},
 		func(err error) {
 			s.post(func() {
 				s.counts.watchesEnded++
-				s.logEnd("discovery", addr, watchOver, err)
+				s.logConnEnded("discovery", addr, watchEnded, err)
 			})
 		})
 }
@@ -170,7 +170,7 @@
 	if cfg.Discovery == s.discovery {
 		return
 	}
-	s.discovery, s.retryIn = cfg.Discovery, firstRetry
+	s.discovery, s.retryPause = cfg.Discovery, minPostRetryPause
 	// Another place may number its versions otherwise, so it is asked for all.
 	s.watch(0)
 }
@@ -191,30 +191,30 @@
 		select {
 		case f := <-s.inbox:
 			f()
-			s.stirred = true
-			s.takeWaiting()
+			s.eventsPending = true
+			s.runQueued()
 		case <-wake.C:
 			s.wakeups++
 		}
 		now := s.sinceStart()
-		if now >= s.nextTurn() && (s.stirred || now >= s.timers.due()) {
+		if now >= s.nextTurn() && (s.eventsPending || now >= s.timers.next()) {
 			s.turn()
 		}
 	}
-	s.close()
+	s.shutDown()
 }
 
 // sleepUntil is when the loop has something to do unless more comes in. Never before the next turn may come: a timer
 // that is due by then would wake the loop again and again with nothing to be done, which burns the sender's core.
 func (s *Sender) sleepUntil() time.Duration {
-	if s.stirred {
+	if s.eventsPending {
 		return s.nextTurn()
 	}
-	return max(s.timers.due(), s.nextTurn())
+	return max(s.timers.next(), s.nextTurn())
 }
 
-// takeWaiting takes what else has come, but no more than was there at the start, or timers would starve.
-func (s *Sender) takeWaiting() {
+// runQueued takes what else has come, but no more than was there at the start, or timers would starve.
+func (s *Sender) runQueued() {
 	for range len(s.inbox) {
 		(<-s.inbox)()
 	}
@@ -226,16 +226,16 @@
 func (s *Sender) nextTurn() time.Duration {
 	gap := time.Duration(config.Nanoseconds(s.cfg.Settings.Turn))
 	if s.journalFailing {
-		gap = retryTurn
+		gap = journalRetryPause
 	}
 	return s.lastTurn + gap
 }
 
 // turn ends what came in together: the module acts, one append makes it lasting, and only then does anything leave.
 func (s *Sender) turn() {
-	s.lastTurn, s.stirred = s.sinceStart(), false
+	s.lastTurn, s.eventsPending = s.sinceStart(), false
 	s.turns++
-	for s.timers.due() <= s.sinceStart() {
+	for s.timers.next() <= s.sinceStart() {
 		t := heap.Pop(&s.timers).(*timer)
 		t.fire()
 	}
@@ -245,7 +245,7 @@
 	}
 	s.journalFailing = !s.commit()
 	if s.journalFailing {
-		s.stirred = true
+		s.eventsPending = true
 	} else {
 		s.answerAdmitted()
 		s.answerOrders()
@@ -261,9 +261,9 @@
 // reason is why a connection ended, as the log tells it.
 type reason string
 
-const watchOver reason = "watch_over"
+const watchEnded reason = "watch_over"
 
-func (s *Sender) logEnd(side, peer string, why reason, err error) {
+func (s *Sender) logConnEnded(side, peer string, why reason, err error) {
 	fields := []zap.Field{zap.String("side", side), zap.String("peer", peer), zap.String("reason", string(why))}
 	if err != nil {
 		fields = append(fields, zap.String("error", fmt.Sprint(err)))
--- a/internal/sender/sweep.go
+++ b/internal/sender/sweep.go
@@ -73,20 +73,20 @@
 	s.flushReplies(c)
 	s.unparsedBytes.Add(-c.unparsed) // the reader has ended before
 	s.counts.clientsEnded++
-	s.logEnd("client", c.peer, c.closeReason, nil)
+	s.logConnEnded("client", c.peer, c.closeReason, nil)
 }
 
 // closeIdleClients ends those that nothing is owed, so that they go elsewhere. One that has just come is let hand in
 // what it came with, or its client would find a closed connection twice in a row.
 func (s *Sender) closeIdleClients() {
-	hurry := s.sinceDrain() >= takeFor
+	hurry := s.sinceDrain() >= drainReadTime
 	s.clients.Lock()
 	var idle []*client
 	for c := range s.clients.all {
 		if c.closing || c.lingering {
 			continue // each look asks the system
 		}
-		fresh := !c.served && s.clock()-c.connectedAt < lingerFor
+		fresh := !c.served && s.clock()-c.connectedAt < drainAcceptTime
 		if hurry || c.idle() && !fresh && noInputPending(c.conn) {
 			idle = append(idle, c)
 		}
--- a/internal/sender/timers.go
+++ b/internal/sender/timers.go
@@ -9,25 +9,25 @@
 
 // after has the loop call fire once so much time is over, unless the timer is taken back.
 func (s *Sender) after(d time.Duration, fire func()) *timer {
-	s.timerNo++
-	t := &timer{at: s.sinceStart() + d, no: s.timerNo, fire: fire}
+	s.timerSeq++
+	t := &timer{at: s.sinceStart() + d, seq: s.timerSeq, fire: fire}
 	heap.Push(&s.timers, t)
 	return t
 }
 
-// takeBack ends a timer that nobody waits for any more. What its function holds on to would otherwise stay until it
+// cancelTimer ends a timer that nobody waits for any more. What its function holds on to would otherwise stay until it
 // is due: a call's messages for a whole deadline, though the call was answered in a millisecond.
-func (s *Sender) takeBack(t *timer) {
-	if t != nil && t.place >= 0 {
-		heap.Remove(&s.timers, t.place)
+func (s *Sender) cancelTimer(t *timer) {
+	if t != nil && t.index >= 0 {
+		heap.Remove(&s.timers, t.index)
 	}
 }
 
 type timer struct {
 	at    time.Duration
-	no    uint64 // timers of one time fire in the order set
+	seq   uint64 // timers of one time fire in the order set
 	fire  func()
-	place int // in the heap; -1 once it has left
+	index int // in the heap; -1 once it has left
 }
 
 // timers are a heap by time. Each leaves when it fires or is taken back.
@@ -36,16 +36,16 @@
 func (t timers) Len() int { return len(t) }
 
 func (t timers) Less(i, j int) bool {
-	return t[i].at < t[j].at || t[i].at == t[j].at && t[i].no < t[j].no
+	return t[i].at < t[j].at || t[i].at == t[j].at && t[i].seq < t[j].seq
 }
 
 func (t timers) Swap(i, j int) {
 	t[i], t[j] = t[j], t[i]
-	t[i].place, t[j].place = i, j
+	t[i].index, t[j].index = i, j
 }
 
 func (t *timers) Push(x any) {
-	x.(*timer).place = len(*t)
+	x.(*timer).index = len(*t)
 	*t = append(*t, x.(*timer))
 }
 
@@ -54,12 +54,12 @@
 	x := (*t)[last]
 	(*t)[last] = nil
 	*t = (*t)[:last]
-	x.place = -1
+	x.index = -1
 	return x
 }
 
-// due is when the first fires.
-func (t timers) due() time.Duration {
+// next is when the first fires.
+func (t timers) next() time.Duration {
 	if len(t) == 0 {
 		return time.Hour
 	}
--- a/internal/sender/timers_test.go
+++ b/internal/sender/timers_test.go
@@ -20,7 +20,7 @@
 	start := time.Now()
 	asked := 0
 	var s *Sender
-	s, err := open(configure(t.TempDir(), 10), zap.NewNop(), start, func() time.Duration {
+	s, err := openSender(configure(t.TempDir(), 10), zap.NewNop(), start, func() time.Duration {
 		if asked++; asked > 10_000 { // a loop that wakes for nothing stands in one moment of this clock
 			s.ended = true
 		}
@@ -60,7 +60,7 @@
 		}
 	}
 	r.s.turn()
-	fmt.Println("owed", len(r.s.pending), "timers more than before", len(r.s.timers)-before, "module's", len(r.s.wakes))
+	fmt.Println("owed", len(r.s.pending), "timers more than before", len(r.s.timers)-before, "module's", len(r.s.moduleTimers))
 	r.hand0("OUT.ADD 0000000000000000 last c=order,d=20000,dest=1 x")
 	fmt.Println("owed", len(r.s.pending), "timers more than before", len(r.s.timers)-before)
 	// Output:
