--- a/internal/sender/bundle_test.go
+++ b/internal/sender/bundle_test.go
@@ -11,12 +11,12 @@
 // Messages of one turn to one endpoint share a call, up to what its kind takes, and each fares as its own state
 // says; one that the answer leaves out may have run.
 func Example_bundle() {
-	r := start("", 100).hand("OUT.ADD 0a o1 c=order,d=20000,dest=2 x", "OUT.ADD 0b o2 c=order,d=20000,dest=2 x",
+	r := start("", 100).submit("OUT.ADD 0a o1 c=order,d=20000,dest=2 x", "OUT.ADD 0b o2 c=order,d=20000,dest=2 x",
 		"OUT.ADD 0c o3 c=order,d=20000,dest=2 x")
 	_, body := r.s.request(r.calls[0])
 	fmt.Println(string(body))
-	r.answer("HTTP/1.1 200 OK\nContent-Length: 58\n\n" + `[{"id":"o1","state":"ok"},  {"id":"o2","state":"later"}]   `)
-	r.turn(5 * time.Millisecond).owed()
+	r.endpointAnswers("HTTP/1.1 200 OK\nContent-Length: 58\n\n" + `[{"id":"o1","state":"ok"},  {"id":"o2","state":"later"}]   `)
+	r.advance(5 * time.Millisecond).printPending()
 	os.RemoveAll(r.dir)
 	// Output:
 	// call b: POST /inbox/bulk
@@ -35,14 +35,14 @@
 // more, one that was may have run. The call goes on for the order, and ends nothing a second time.
 func Example_bundleOutlivesOne() {
 	for _, written := range []bool{false, true} {
-		r := start("", 100).hand("OUT.ADD 0 order c=order,d=20000,dest=2 x", "OUT.ADD 0 late c=status,d=500,dest=2 x")
+		r := start("", 100).submit("OUT.ADD 0 order c=order,d=20000,dest=2 x", "OUT.ADD 0 late c=status,d=500,dest=2 x")
 		c := r.calls[0]
-		text := ok
+		text := answerOK
 		if written {
 			c.link = &link{sender: r.s, endpoint: c.endpoint}
 			text = "HTTP/1.1 200 OK\nContent-Length: 61\n\n" + `[{"id":"order","state":"ok"},{"id":"late","state":"ok"}]     `
 		}
-		r.turn(600 * time.Millisecond).answer(text).turn(5 * time.Millisecond).owed()
+		r.advance(600 * time.Millisecond).endpointAnswers(text).advance(5 * time.Millisecond).printPending()
 		fmt.Println("delivered:", r.s.counts.delivered)
 		os.RemoveAll(r.dir)
 	}
@@ -72,11 +72,11 @@
 
 // A wait in the answer to a bundle binds whatever became of its messages.
 func Example_bundleWait() {
-	r := start("", 100).hand("OUT.ADD 0 s1 c=status,d=6000,dest=2 x", "OUT.ADD 0 s2 c=status,d=6000,dest=2 x")
-	r.answer("HTTP/1.1 200 OK\nRetry-After: 0.7\nContent-Length: 54\n\n" + `[{"id":"s1","state":"ok"},{"id":"s2","state":"error"}]`)
-	r.turn(690 * time.Millisecond)
+	r := start("", 100).submit("OUT.ADD 0 s1 c=status,d=6000,dest=2 x", "OUT.ADD 0 s2 c=status,d=6000,dest=2 x")
+	r.endpointAnswers("HTTP/1.1 200 OK\nRetry-After: 0.7\nContent-Length: 54\n\n" + `[{"id":"s1","state":"ok"},{"id":"s2","state":"error"}]`)
+	r.advance(690 * time.Millisecond)
 	fmt.Println("the wait is over")
-	r.turn(300 * time.Millisecond)
+	r.advance(300 * time.Millisecond)
 	os.RemoveAll(r.dir)
 	// Output:
 	// call b: POST /inbox/bulk
@@ -91,14 +91,14 @@
 // A bundle whose answer cannot be made out may have run, and its link is of no further use.
 func Example_spoiltBundle() {
 	for _, body := range []string{`[{"id":"o1","state":"ok"},{"id":"o2","sta`, "nothing", `[{"id":"o1","state":"ok"}]`} {
-		r := start("", 100).hand("OUT.ADD 0 o1 c=order,d=20000,dest=2 x", "OUT.ADD 0 o2 c=order,d=20000,dest=2 x")
+		r := start("", 100).submit("OUT.ADD 0 o1 c=order,d=20000,dest=2 x", "OUT.ADD 0 o2 c=order,d=20000,dest=2 x")
 		var a http1.Answer
 		a.Feed(fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body))
-		told := readAnswer(&a)
-		fmt.Println("spoilt:", told.isSpoilt(r.calls[0]))
+		answer := readAnswer(&a)
+		fmt.Println("spoilt:", answer.isSpoilt(r.calls[0]))
 		r.calls[0].done = true
-		r.s.finishCall(r.calls[0], told)
-		r.turn(5 * time.Millisecond)
+		r.s.finishCall(r.calls[0], answer)
+		r.advance(5 * time.Millisecond)
 		os.RemoveAll(r.dir)
 	}
 	// Output:
--- a/internal/sender/capacity_sockets_test.go
+++ b/internal/sender/capacity_sockets_test.go
@@ -53,18 +53,18 @@
 	if text == "" {
 		return
 	}
-	var told capacityChild
-	if err := json.Unmarshal([]byte(text), &told); err != nil {
+	var child capacityChild
+	if err := json.Unmarshal([]byte(text), &child); err != nil {
 		t.Fatal(err)
 	}
-	settings := strings.Replace(fmt.Sprintf(boot, 100_000), `"callsOut":8`, `"callsOut":256`, 1)
-	cfg := configureAs(told.Dir, settings, `{"version":1,"full":true}`)
-	cfg.Known = capacityList(told.Destinations)
+	settings := strings.Replace(fmt.Sprintf(twoClassSettings, 100_000), `"callsOut":8`, `"callsOut":256`, 1)
+	cfg := testConfigWith(child.Dir, settings, `{"version":1,"full":true}`)
+	cfg.Known = capacityList(child.Destinations)
 	for i := range cfg.Known.Servers {
-		cfg.Known.Servers[i].Addr = told.Endpoints[i%len(told.Endpoints)]
+		cfg.Known.Servers[i].Addr = child.Endpoints[i%len(child.Endpoints)]
 	}
-	cfg.Listen, cfg.Discovery = "127.0.0.1:0", told.Discovery
-	cfg.Limits = config.Limits{MemoryMB: 1 << 20, Sockets: told.Sockets, DiskMB: 1 << 20}
+	cfg.Listen, cfg.Discovery = "127.0.0.1:0", child.Discovery
+	cfg.Limits = config.Limits{MemoryMB: 1 << 20, Sockets: child.Sockets, DiskMB: 1 << 20}
 	s, err := Start(cfg, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
@@ -80,22 +80,24 @@
 	<-done
 }
 
-// capacityWorld is discovery that tells nothing, all endpoints, and the platform.
-type capacityWorld struct{ delivered, refused, ended atomic.Int64 }
+// capacityServer is discovery that tells nothing, all endpoints, and the platform.
+type capacityServer struct{ delivered, rejected, ended atomic.Int64 }
 
-// over is how many messages are under way no more.
-func (w *capacityWorld) over() int64 { return w.delivered.Load() + w.refused.Load() + w.ended.Load() }
+// finished is how many messages are under way no more.
+func (w *capacityServer) finished() int64 {
+	return w.delivered.Load() + w.rejected.Load() + w.ended.Load()
+}
 
-// answers counts the refusals that a client reads.
-func (w *capacityWorld) answers(from io.Reader) {
+// countRejections counts the refusals that a client reads.
+func (w *capacityServer) countRejections(from io.Reader) {
 	for lines := bufio.NewScanner(from); lines.Scan(); {
 		if strings.HasPrefix(lines.Text(), "-") {
-			w.refused.Add(1)
+			w.rejected.Add(1)
 		}
 	}
 }
 
-func (w *capacityWorld) ServeHTTP(out http.ResponseWriter, r *http.Request) {
+func (w *capacityServer) ServeHTTP(out http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	switch r.URL.Path {
 	case "/api/targets":
@@ -126,8 +128,8 @@
 	return addrs
 }
 
-func capacityStart(b *testing.B, told capacityChild) (addr string, pid int) {
-	text, err := json.Marshal(told)
+func capacityStart(b *testing.B, child capacityChild) (addr string, pid int) {
+	text, err := json.Marshal(child)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -193,7 +195,7 @@
 }
 
 func deliver(b *testing.B, destinations, sockets int) {
-	w := &capacityWorld{}
+	w := &capacityServer{}
 	addrs := capacityServers(b, w)
 	addr, pid := capacityStart(b, capacityChild{Discovery: addrs[0], Dir: b.TempDir(), Endpoints: addrs, Destinations: destinations, Sockets: sockets})
 	conn, err := net.Dial("tcp", addr)
@@ -201,14 +203,14 @@
 		b.Fatal(err)
 	}
 	defer conn.Close()
-	go w.answers(conn)
+	go w.countRejections(conn)
 	body := []byte(strings.Repeat("x", capacityBody))
 	began, sent := time.Now(), int64(0)
 	before, _ := capacityUsed(b, pid)
 	late := func() bool { return time.Since(began) > capacityWithin }
 	for b.Loop() {
 		for end := sent + capacityMessages; sent < end && !late(); sent++ {
-			for sent-w.over() >= capacityAhead && !late() {
+			for sent-w.finished() >= capacityAhead && !late() {
 				time.Sleep(time.Millisecond)
 			}
 			command := resp.AppendCommand(nil, []byte("OUT.ADD"), []byte("0"), fmt.Appendf(nil, "message-%012d", sent),
@@ -221,7 +223,7 @@
 	after, most := capacityUsed(b, pid)
 	b.ReportMetric(float64(after-before)/float64(w.delivered.Load()), "ns/message")
 	b.ReportMetric(float64(w.delivered.Load())/time.Since(began).Seconds(), "messages/s")
-	b.ReportMetric(float64(w.refused.Load())/float64(sent), "refused/sent")
+	b.ReportMetric(float64(w.rejected.Load())/float64(sent), "refused/sent")
 	b.ReportMetric(float64(w.ended.Load())/float64(sent), "ended/sent")
 	b.ReportMetric(most, "rss-B")
 }
--- a/internal/sender/capacity_test.go
+++ b/internal/sender/capacity_test.go
@@ -38,22 +38,22 @@
 
 // capacityConfig has room for all that is handed in.
 func capacityConfig(b *testing.B, destinations, open int) *config.Config {
-	settings := strings.Replace(fmt.Sprintf(boot, 10*open+1000), `"balancers":2`, `"balancers":660`, 1)
-	c := configureAs(b.TempDir(), settings, `{"version":1,"full":true}`)
+	settings := strings.Replace(fmt.Sprintf(twoClassSettings, 10*open+1000), `"balancers":2`, `"balancers":660`, 1)
+	c := testConfigWith(b.TempDir(), settings, `{"version":1,"full":true}`)
 	c.Known = capacityList(destinations)
 	c.Limits = config.Limits{MemoryMB: 1 << 20, Sockets: 1 << 20, DiskMB: 1 << 20}
 	return c
 }
 
-// capacityRig starts a sender whose calls hang.
-func capacityRig(c *config.Config) *rig {
-	r := startAs(c)
+// capacityHarness starts a sender whose calls hang.
+func capacityHarness(c *config.Config) *harness {
+	r := startWith(c)
 	r.s.dial = func(*call) {}
 	r.s.listReceived = true
 	return r
 }
 
-func (r *rig) handIn(c *client, i, destinations int, body []byte) {
+func (r *harness) submitNumbered(c *client, i, destinations int, body []byte) {
 	c.window <- struct{}{}
 	r.s.handleCommand(c, [][]byte{[]byte("OUT.ADD"), []byte("0"), fmt.Appendf(nil, "message-%012d", i),
 		fmt.Appendf(nil, "c=status,d=3600000,dest=%d", i%destinations), body})
@@ -63,30 +63,30 @@
 	return &client{window: make(chan struct{}, 2*capacityTurn), writingReplies: 1}
 }
 
-// answered empties a client that nobody reads.
-func (c *client) answered() {
+// discardReplies empties a client that nobody reads.
+func (c *client) discardReplies() {
 	c.output = c.output[:0]
 	for len(c.window) > 0 {
 		<-c.window
 	}
 }
 
-// fill hands in so many messages.
-func (r *rig) fill(open, destinations int) {
+// submitMany hands in so many messages.
+func (r *harness) submitMany(open, destinations int) {
 	c, body := capacityClient(), []byte(strings.Repeat("x", capacityBody))
 	for i := range open {
-		r.handIn(c, i, destinations, body)
+		r.submitNumbered(c, i, destinations, body)
 		if (i+1)%capacityTurn == 0 || i+1 == open {
 			r.clock += 5 * time.Millisecond
 			r.s.turn()
-			c.answered()
+			c.discardReplies()
 		}
 	}
 }
 
-func filled(b *testing.B, open int) *rig {
-	r := capacityRig(capacityConfig(b, capacityDown, open))
-	r.fill(open, capacityDown)
+func filledHarness(b *testing.B, open int) *harness {
+	r := capacityHarness(capacityConfig(b, capacityDown, open))
+	r.submitMany(open, capacityDown)
 	if len(r.s.pending) != open {
 		b.Fatalf("%d are owed, not %d", len(r.s.pending), open)
 	}
@@ -99,13 +99,13 @@
 // memory (sender and module) and on disk.
 func BenchmarkCapacityOwed(b *testing.B) {
 	bench.Sizes(b, "open", capacityOpen, func(b *testing.B, n int) {
-		var r *rig
+		var r *harness
 		var took time.Duration
 		cfg := capacityConfig(b, capacityDown, n)
 		heap := bench.Heap(func() any {
-			r = capacityRig(cfg)
+			r = capacityHarness(cfg)
 			began := time.Now()
-			r.fill(n, capacityDown)
+			r.submitMany(n, capacityDown)
 			took = time.Since(began)
 			return r
 		})
@@ -122,12 +122,12 @@
 // BenchmarkCapacityReplay is a start on the folder of a sender that owes so many messages.
 func BenchmarkCapacityReplay(b *testing.B) {
 	bench.Sizes(b, "open", capacityOpen, func(b *testing.B, n int) {
-		r := filled(b, n)
+		r := filledHarness(b, n)
 		r.s.journal.Close()
 		cfg := r.s.cfg
 		r = nil
 		for b.Loop() {
-			again := startAs(cfg)
+			again := startWith(cfg)
 			if len(again.s.pending) != n {
 				b.Fatalf("%d are owed, not %d", len(again.s.pending), n)
 			}
@@ -139,7 +139,7 @@
 // BenchmarkCapacityRewrite writes the journal anew with all that is owed, on the loop.
 func BenchmarkCapacityRewrite(b *testing.B) {
 	bench.Sizes(b, "open", capacityOpen, func(b *testing.B, n int) {
-		r := filled(b, n)
+		r := filledHarness(b, n)
 		for b.Loop() {
 			if err := r.s.journal.Rewrite(r.s.records); err != nil {
 				b.Fatal(err)
@@ -159,7 +159,7 @@
 // BenchmarkCapacityDigest is a digest, of which there are two a second, beside so many messages that wait.
 func BenchmarkCapacityDigest(b *testing.B) {
 	bench.Sizes(b, "open", capacityOpen, func(b *testing.B, n int) {
-		r := filled(b, n)
+		r := filledHarness(b, n)
 		r.s.Join(&silentCluster{}, Joining{})
 		for b.Loop() {
 			r.s.sendDigest()
@@ -171,7 +171,7 @@
 // BenchmarkCapacityDigestList is a digest of a sender at rest, by destinations; metric rows is what the last one told.
 func BenchmarkCapacityDigestList(b *testing.B) {
 	bench.Sizes(b, "destinations", []int{610, 6_100, 61_000}, func(b *testing.B, n int) {
-		r := capacityRig(capacityConfig(b, n, 1))
+		r := capacityHarness(capacityConfig(b, n, 1))
 		c := &silentCluster{}
 		r.s.Join(c, Joining{})
 		r.s.sendDigest()
@@ -183,13 +183,13 @@
 	})
 }
 
-// BenchmarkCapacityListNews is a whole list told again, and what a sender holds for it.
-func BenchmarkCapacityListNews(b *testing.B) {
+// BenchmarkCapacityListFull is a whole list told again, and what a sender holds for it.
+func BenchmarkCapacityListFull(b *testing.B) {
 	bench.Sizes(b, "destinations", []int{610, 6_100, 61_000, 610_000}, func(b *testing.B, n int) {
 		cfg := capacityConfig(b, n, 1)
-		var r *rig
+		var r *harness
 		heap := bench.Heap(func() any {
-			r = capacityRig(cfg)
+			r = capacityHarness(cfg)
 			return r
 		})
 		for b.Loop() {
@@ -203,7 +203,7 @@
 // BenchmarkCapacityListChange is one destination's change told to a sender that holds so many.
 func BenchmarkCapacityListChange(b *testing.B) {
 	bench.Sizes(b, "destinations", []int{610, 6_100, 61_000}, func(b *testing.B, n int) {
-		r := capacityRig(capacityConfig(b, n, 1))
+		r := capacityHarness(capacityConfig(b, n, 1))
 		change := directory.List{Version: 2, Servers: capacityList(1).Servers}
 		for b.Loop() {
 			r.s.updateEndpoints(change, false)
@@ -217,26 +217,26 @@
 func BenchmarkCapacityMessage(b *testing.B) {
 	bench.Sizes(b, "destinations", []int{610, 6_100, 61_000}, func(b *testing.B, n int) {
 		const aTurn = 4
-		r := capacityRig(capacityConfig(b, n, 1000))
+		r := capacityHarness(capacityConfig(b, n, 1000))
 		r.s.dial = func(c *call) {
 			r.s.recordAttempt(c)
 			r.s.commit()
 			r.calls = append(r.calls, c)
 		}
 		var ok200 http1.Answer
-		if err := ok200.Feed([]byte(strings.ReplaceAll(ok, "\n", "\r\n"))); err != nil || !ok200.Done {
+		if err := ok200.Feed([]byte(strings.ReplaceAll(answerOK, "\n", "\r\n"))); err != nil || !ok200.Done {
 			b.Fatal(err, "the answer is not whole")
 		}
 		c, body := capacityClient(), []byte(strings.Repeat("x", capacityBody))
 		i := 0
 		for b.Loop() {
 			for range aTurn {
-				r.handIn(c, i, n, body)
+				r.submitNumbered(c, i, n, body)
 				i++
 			}
 			r.clock += 5 * time.Millisecond
 			r.s.turn()
-			c.answered()
+			c.discardReplies()
 			for _, out := range r.calls {
 				out.done = true
 				r.s.finishCall(out, readAnswer(&ok200))
--- a/internal/sender/clients_test.go
+++ b/internal/sender/clients_test.go
@@ -54,8 +54,8 @@
 	return state
 }
 
-// heard tells whether all that was written has come to the other end's system.
-func heard(t *testing.T, conn net.Conn) bool {
+// allAcknowledged tells whether all that was written has come to the other end's system.
+func allAcknowledged(t *testing.T, conn net.Conn) bool {
 	t.Helper()
 	left := int32(0)
 	onSocket(t, conn, func(fd int) {
@@ -64,8 +64,8 @@
 	return left == 0
 }
 
-// until waits for what must come within a bound that no working machine reaches.
-func until(t *testing.T, what string, f func() bool) {
+// waitUntil waits for what must come within a bound that no working machine reaches.
+func waitUntil(t *testing.T, what string, f func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !f(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
@@ -74,8 +74,8 @@
 	}
 }
 
-// inLoop has the loop do something.
-func inLoop(t *testing.T, s *Sender, f func()) {
+// onLoop has the loop do something.
+func onLoop(t *testing.T, s *Sender, f func()) {
 	t.Helper()
 	done := make(chan struct{})
 	s.post(func() { f(); close(done) })
@@ -89,7 +89,7 @@
 // clientOf is the sender's side of a connection.
 func clientOf(t *testing.T, s *Sender, conn net.Conn) (c *client) {
 	t.Helper()
-	until(t, "the client is in the table", func() bool {
+	waitUntil(t, "the client is in the table", func() bool {
 		s.clients.Lock()
 		defer s.clients.Unlock()
 		for other := range s.clients.all {
@@ -105,11 +105,11 @@
 // serving is a sender without discovery, and how to connect to it.
 func serving(t *testing.T, sockets int) (s *Sender, dial func(string) net.Conn, done <-chan struct{}) {
 	t.Helper()
-	cfg := configure(t.TempDir(), 100)
+	cfg := testConfig(t.TempDir(), 100)
 	cfg.Listen, cfg.Discovery, cfg.Limits.Sockets = "127.0.0.1:0", "127.0.0.1:1", sockets
-	s, first, done := running(t, cfg)
+	s, first, done := startServing(t, cfg)
 	first.Close()
-	until(t, "the first client is gone", func() bool { return s.clients.count() == 0 })
+	waitUntil(t, "the first client is gone", func() bool { return s.clients.count() == 0 })
 	return s, func(text string) net.Conn {
 		t.Helper()
 		conn, err := net.Dial("tcp", s.Addr())
--- a/internal/sender/clock_test.go
+++ b/internal/sender/clock_test.go
@@ -28,20 +28,20 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			dir := t.TempDir()
-			n := taken("of", "0", "token", 1, at(began), 8*second)
-			leave(t, dir, n.acceptedRecord(), attemptRecord("of", at(began), 0, "z"))
-			cfg := configureFour(dir, 100)
+			n := acceptedMessage("of", "0", "token", 1, clockAt(began), 8*second)
+			writeJournal(t, dir, n.acceptedRecord(), attemptRecord("of", clockAt(began), 0, "z"))
+			cfg := fourClassConfig(dir, 100)
 			if c.silent > 0 {
 				cfg.Known.Servers = nil
 			}
-			l := follow(t, startAt(cfg, began+c.starts))
+			l := recordCalls(t, startAt(cfg, began+c.starts))
 			if c.silent > 0 {
-				l.goOn(c.silent, 0)
-				l.list(listFour)
+				l.advanceAnswering(c.silent, 0)
+				l.updateList(oneEndpointList)
 			}
-			l.goOn(9*time.Second, 20*time.Millisecond)
-			if got := l.calls["of"] > 0; got != c.repeats || len(l.s.pending) > 0 || c.repeats == (l.ends["of"] != "") {
-				t.Errorf("called %d times, ended %q, owed %d", l.calls["of"], l.ends["of"], len(l.s.pending))
+			l.advanceAnswering(9*time.Second, 20*time.Millisecond)
+			if got := l.calls["of"] > 0; got != c.repeats || len(l.s.pending) > 0 || c.repeats == (l.endings["of"] != "") {
+				t.Errorf("called %d times, ended %q, owed %d", l.calls["of"], l.endings["of"], len(l.s.pending))
 			}
 		})
 	}
@@ -51,32 +51,32 @@
 // third process finds that the second took on by the new clock.
 func TestClockPutBack(t *testing.T) {
 	t.Parallel()
-	now, dir := at(time.Minute), t.TempDir()
+	now, dir := clockAt(time.Minute), t.TempDir()
 	var records [][]byte
 	for i := range 3 {
-		records = append(records, taken(fmt.Sprint("old", i), "0", "pure", 7, now-choice.Time(i)*second, 8*second).acceptedRecord())
+		records = append(records, acceptedMessage(fmt.Sprint("old", i), "0", "pure", 7, now-choice.Time(i)*second, 8*second).acceptedRecord())
 	}
-	leave(t, dir, records...)
+	writeJournal(t, dir, records...)
 	// A minute back, and another process by that clock.
-	cfg := configureFour(dir, 100)
+	cfg := fourClassConfig(dir, 100)
 	r := startAt(cfg, time.Second)
-	follow(t, r)
+	recordCalls(t, r)
 	c := &client{window: make(chan struct{}, 1), disconnected: true}
 	c.window <- struct{}{}
-	r.list(`{"version":2,"servers":[{"id":"g","addr":"127.0.0.1:7","zone":"z","kind":"one","cell":7,"state":"draining"}]}`)
-	r.s.handleCommand(c, words("OUT.ADD 0 new c=pure,d=8000,dest=7 x"))
+	r.updateList(`{"version":2,"servers":[{"id":"g","addr":"127.0.0.1:7","zone":"z","kind":"one","cell":7,"state":"draining"}]}`)
+	r.s.handleCommand(c, splitArgs("OUT.ADD 0 new c=pure,d=8000,dest=7 x"))
 	r.s.turn()
 	r.s.journal.Flush()
 
-	l := follow(t, startAt(configureFour(dir, 100), 2*time.Second))
+	l := recordCalls(t, startAt(fourClassConfig(dir, 100), 2*time.Second))
 	if len(l.s.pending) != 4 {
 		t.Fatalf("owed: %d", len(l.s.pending))
 	}
-	l.goOn(12*time.Second, 0)
+	l.advanceAnswering(12*time.Second, 0)
 	// They had 8, 7 and 6 s left, and the new one 8, at the start of the second process.
 	for id, due := range map[string]choice.Time{"old0": 8 * second, "old1": 7 * second, "old2": 6 * second, "new": 8 * second} {
-		due += at(time.Second)
-		if end := l.endAt[id]; end == 0 || end > due+second/2 {
+		due += clockAt(time.Second)
+		if end := l.endedAt[id]; end == 0 || end > due+second/2 {
 			t.Errorf("%s: ended %.1f s after its time", id, float64(end-due)/float64(second))
 		} else if end < due-3*second {
 			t.Errorf("%s: ended %.1f s before its time", id, float64(due-end)/float64(second))
--- a/internal/sender/command_test.go
+++ b/internal/sender/command_test.go
@@ -12,13 +12,13 @@
 
 // What is wrong with a command is said and takes nothing on; an id handed in once more is taken on already.
 func Example_commands() {
-	r := start("", 3).hand("PING", "ping hello", "FLUSHALL", "OUT.ADD 00 a", "OUT.ADD 00 a c=nil,d=1,dest=1 x",
+	r := start("", 3).submit("PING", "ping hello", "FLUSHALL", "OUT.ADD 00 a", "OUT.ADD 00 a c=nil,d=1,dest=1 x",
 		"OUT.ADD 00 a c=status,d=-1,dest=1 x", "OUT.ADD 00 a c=status,d=1e99,dest=1 x", "OUT.ADD 00 a c=status,d=0x10,dest=1 x",
 		"OUT.ADD 00 a c=status,d=900,dest=1.5 x", "OUT.ADD 00 \"a c=status,d=900,dest=1 x", "OUT.ADD 00 new c=status,d=900,dest=9,x=y,r=1 x")
-	r.hand("OUT.ADD 00 new c=status,d=900,dest=9 x", "OUT.ADD 00 soon c=status,d=1,dest=9 x")
-	r.hand("OUT.ADD 00 two c=status,d=6000,dest=9 x", "OUT.ADD 00 three c=status,d=6000,dest=9 x", "OUT.ADD 00 four c=status,d=6000,dest=9 x")
+	r.submit("OUT.ADD 00 new c=status,d=900,dest=9 x", "OUT.ADD 00 soon c=status,d=1,dest=9 x")
+	r.submit("OUT.ADD 00 two c=status,d=6000,dest=9 x", "OUT.ADD 00 three c=status,d=6000,dest=9 x", "OUT.ADD 00 four c=status,d=6000,dest=9 x")
 	// Where the list is from before the start, an unknown destination may be a new one.
-	r.hand("OUT.ADD 00 five c=status,d=6000,dest=77 x").list(`{"version":2}`).hand("OUT.ADD 00 five c=status,d=6000,dest=77 x")
+	r.submit("OUT.ADD 00 five c=status,d=6000,dest=77 x").updateList(`{"version":2}`).submit("OUT.ADD 00 five c=status,d=6000,dest=77 x")
 	os.RemoveAll(r.dir)
 	// Output:
 	// client: +PONG
@@ -47,12 +47,12 @@
 func Example_drain() {
 	r := start("", 100)
 	r.s.startDrain(r.clock)
-	r.hand("OUT.ADD 00 early c=status,d=6000,dest=1 x").answer(strings.Replace(full, "0.4", "4", 1))
-	r.turn(3 * time.Second)
-	r.hand("OUT.ADD 00 late c=status,d=6000,dest=1 x").owed()
-	r.turn(400 * time.Millisecond)
+	r.submit("OUT.ADD 00 early c=status,d=6000,dest=1 x").endpointAnswers(strings.Replace(answerFull, "0.4", "4", 1))
+	r.advance(3 * time.Second)
+	r.submit("OUT.ADD 00 late c=status,d=6000,dest=1 x").printPending()
+	r.advance(400 * time.Millisecond)
 	fmt.Println("ended:", r.s.ended)
-	start(r.dir, 100).owed()
+	start(r.dir, 100).printPending()
 	os.RemoveAll(r.dir)
 	// Output:
 	// call a: POST /inbox
@@ -85,11 +85,11 @@
 	}
 	show()
 	late.served = true
-	r.turn(5 * time.Millisecond)
+	r.advance(5 * time.Millisecond)
 	(<-r.s.inbox)() // the answer is written
-	r.turn(5 * time.Millisecond)
+	r.advance(5 * time.Millisecond)
 	show()
-	r.turn(drainAcceptTime)
+	r.advance(drainAcceptTime)
 	show()
 	r.clock += partialCommandTimeout
 	r.s.sweepClients()
--- a/internal/sender/commands_in.go
+++ b/internal/sender/commands_in.go
@@ -66,12 +66,12 @@
 		}
 		c.args = args
 		at += took
-		kept, _, _ := resp.Command(append([]byte(nil), c.input[at-took:at]...), nil)
+		command, _, _ := resp.Command(append([]byte(nil), c.input[at-took:at]...), nil)
 		if !s.acquireWindow(c) {
 			s.stopReading(c)
 			return nil
 		}
-		s.post(func() { s.handleCommand(c, kept) })
+		s.post(func() { s.handleCommand(c, command) })
 		if c.ignoreInput.Load() {
 			s.stopReading(c)
 			return nil
--- a/internal/sender/configure_bench_test.go
+++ b/internal/sender/configure_bench_test.go
@@ -28,10 +28,10 @@
 				settings := func(change []string) json.RawMessage {
 					return settingsWith(b, append([]string{`"maxOpen":100`, `"maxOpen":1000000`}, change...)...)
 				}
-				r := startAs(loaded(b, b.TempDir(), settings(nil), list))
+				r := startWith(loadedConfig(b, b.TempDir(), settings(nil), list))
 				r.s.maxLinks = 0 // no call leaves
 				for i := range open {
-					n, err := r.s.parseMessage(words(fmt.Sprintf("OUT.ADD 0 id%d c=status,d=6000,dest=%d x", i, i%destinations)))
+					n, err := r.s.parseMessage(splitArgs(fmt.Sprintf("OUT.ADD 0 id%d c=status,d=6000,dest=%d x", i, i%destinations)))
 					if err != nil {
 						b.Fatal(err)
 					}
--- a/internal/sender/configure_sockets_test.go
+++ b/internal/sender/configure_sockets_test.go
@@ -20,7 +20,7 @@
 // Over sockets, with clients that hand in without a pause while settings change many times: each message that was taken
 // on is delivered once, or handed back once where room became scarce, and a new class is served from its version on.
 func TestConfigureUnderTraffic(t *testing.T) {
-	w := &world{met: map[string][]string{}}
+	w := &fakeServer{received: map[string][]string{}}
 	server := httptest.NewServer(w)
 	defer server.Close()
 	addr := server.Listener.Addr().String()
@@ -28,9 +28,9 @@
 	for i := range 4 {
 		list.Servers = append(list.Servers, directory.Entry{ID: fmt.Sprint("e", i), Addr: addr, Zone: "z", Kind: "one", Cell: float64(i), State: "up", Weight: 1000})
 	}
-	cfg := loaded(t, t.TempDir(), settingsWith(t, `"connIdle":10000000000`, `"connIdle":9000000000`), list)
+	cfg := loadedConfig(t, t.TempDir(), settingsWith(t, `"connIdle":10000000000`, `"connIdle":9000000000`), list)
 	cfg.Discovery = addr
-	s, first, done := running(t, cfg)
+	s, first, done := startServing(t, cfg)
 	first.Close()
 	order := func(c together.Configuration) error {
 		answer := make(chan error, 1)
@@ -112,8 +112,8 @@
 	}
 	close(over)
 	clients.Wait()
-	until(t, "all has ended", func() (none bool) {
-		inLoop(t, s, func() { none = len(s.pending) == 0 })
+	waitUntil(t, "all has ended", func() (none bool) {
+		onLoop(t, s, func() { none = len(s.pending) == 0 })
 		return none
 	})
 	delivered, ofNew := 0, 0
@@ -121,7 +121,7 @@
 		if strings.HasPrefix(id.(string), "new") {
 			ofNew++
 		}
-		switch met := w.told(id.(string)); met {
+		switch met := w.receivedFor(id.(string)); met {
 		case body:
 			delivered++
 		case "handed_back": // where room became scarce
@@ -137,7 +137,7 @@
 		t.Errorf("version %d", s.cfg.Version)
 	}
 	s.Drain()
-	ended(t, done)
+	waitEnded(t, done)
 }
 
 // Links that idle as the time for that becomes shorter end by the new one, counted from when they became idle.
@@ -146,23 +146,23 @@
 	defer endpoint.Close()
 	list := directory.List{Version: 1, Full: true, Servers: []directory.Entry{{ID: "e", Addr: endpoint.Listener.Addr().String(), Zone: "z",
 		Kind: "one", Cell: 1, State: "up", Weight: 1000}}}
-	s, conn, done := running(t, loaded(t, t.TempDir(), settingsWith(t, `"connIdle":10000000000`, `"connIdle":600000000000`), list))
+	s, conn, done := startServing(t, loadedConfig(t, t.TempDir(), settingsWith(t, `"connIdle":10000000000`, `"connIdle":600000000000`), list))
 	defer conn.Close()
 	conn.Write(resp.AppendCommand(nil, []byte("OUT.ADD"), []byte("0"), []byte("id"), []byte("c=status,d=6000,dest=1"), nil))
 	idle := func(want int) func() bool {
 		return func() (is bool) {
-			inLoop(t, s, func() { is = s.openLinks == want && len(s.endpoints["e"].idle) == want && len(s.pending) == 0 })
+			onLoop(t, s, func() { is = s.openLinks == want && len(s.endpoints["e"].idle) == want && len(s.pending) == 0 })
 			return is
 		}
 	}
-	until(t, "a link idles", idle(1))
+	waitUntil(t, "a link idles", idle(1))
 	answer := make(chan error, 1)
 	s.Orders().Configure(together.Configuration{Version: 1, Settings: settingsWith(t, `"connIdle":10000000000`, `"connIdle":20000000`)},
 		func(err error) { answer <- err })
 	if err := <-answer; err != nil {
 		t.Fatal(err)
 	}
-	until(t, "the link has ended", idle(0))
+	waitUntil(t, "the link has ended", idle(0))
 	s.Drain()
-	ended(t, done)
+	waitEnded(t, done)
 }
--- a/internal/sender/configure_test.go
+++ b/internal/sender/configure_test.go
@@ -22,7 +22,7 @@
 // settingsWith is the settings object of the rig with changes, each of a text that stands in it.
 func settingsWith(t testing.TB, changes ...string) json.RawMessage {
 	t.Helper()
-	text := fmt.Sprintf(boot, 100)
+	text := fmt.Sprintf(twoClassSettings, 100)
 	for i := 0; i < len(changes); i += 2 {
 		if !strings.Contains(text, changes[i]) {
 			t.Fatalf("%s is not in the settings", changes[i])
@@ -32,8 +32,8 @@
 	return json.RawMessage(text)
 }
 
-// loaded is a configuration from a file, with settings, in a folder that lasts.
-func loaded(t testing.TB, dir string, settings json.RawMessage, list directory.List) *config.Config {
+// loadedConfig is a configuration from a file, with settings, in a folder that lasts.
+func loadedConfig(t testing.TB, dir string, settings json.RawMessage, list directory.List) *config.Config {
 	t.Helper()
 	text, err := json.Marshal(map[string]any{"name": "s", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "state": dir,
 		"limits": map[string]any{"memory_mb": 192, "sockets": 256, "disk_mb": 64}, "known": list, "settings": settings})
@@ -53,17 +53,17 @@
 
 func knownList(t testing.TB) (l directory.List) {
 	t.Helper()
-	if err := json.Unmarshal([]byte(known), &l); err != nil {
+	if err := json.Unmarshal([]byte(twoEndpointList), &l); err != nil {
 		t.Fatal(err)
 	}
 	return l
 }
 
-// ordered gives an order to a rig and is the answer, which comes with the end of the turn.
-func (r *rig) ordered(c together.Configuration) (answer error) {
+// configure gives an order to a rig and is the answer, which comes with the end of the turn.
+func (r *harness) configure(c together.Configuration) (answer error) {
 	answer = errors.New("no answer")
 	r.s.Orders().Configure(c, func(err error) { answer = err })
-	r.take()
+	r.runNext()
 	r.s.turn()
 	return answer
 }
@@ -77,9 +77,9 @@
 // What cannot be is refused by one line that names it, and all stays as it was; so is an older version. One that is in
 // force is no news.
 func TestConfigureRefuses(t *testing.T) {
-	r := startAs(loaded(t, t.TempDir(), settingsWith(t), knownList(t)))
+	r := startWith(loadedConfig(t, t.TempDir(), settingsWith(t), knownList(t)))
 	two := together.Configuration{Version: 2, Settings: settingsWith(t, `"maxOpen":100`, `"maxOpen":50`)}
-	if err := r.ordered(two); err != nil {
+	if err := r.configure(two); err != nil {
 		t.Fatal(err)
 	}
 	for want, c := range map[string]together.Configuration{
@@ -93,7 +93,7 @@
 		"unexpected end of JSON input":                      {Version: 3, Settings: json.RawMessage(`{"classes":`)},
 	} {
 		before := r.s.cfg
-		err := r.ordered(c)
+		err := r.configure(c)
 		if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%q is wanted: %v", want, err)
 		}
@@ -101,10 +101,10 @@
 			t.Errorf("%s: the settings have changed", want)
 		}
 	}
-	if err := r.ordered(two); err != nil {
+	if err := r.configure(two); err != nil {
 		t.Errorf("what is in force: %v", err)
 	}
-	if err := r.ordered(together.Configuration{Version: 7, Settings: settingsWith(t)}); err != nil || r.s.cfg.Version != 7 {
+	if err := r.configure(together.Configuration{Version: 7, Settings: settingsWith(t)}); err != nil || r.s.cfg.Version != 7 {
 		t.Errorf("a later one: %v", err)
 	}
 }
@@ -114,15 +114,15 @@
 func TestConfigureHolds(t *testing.T) {
 	list := knownList(t)
 	list.Servers[0].Zone, list.Servers[0].Kind = "new", "newer" // of settings to come
-	r := startAs(loaded(t, t.TempDir(), settingsWith(t), list))
-	r.hand("OUT.ADD 0 first c=status,d=6000,dest=9 x")
+	r := startWith(loadedConfig(t, t.TempDir(), settingsWith(t), list))
+	r.submit("OUT.ADD 0 first c=status,d=6000,dest=9 x")
 	if e := r.s.endpoints["a"]; e.zone >= 0 || e.kind != 0 {
 		t.Fatalf("what the settings don't name has numbers: %+v", e)
 	}
 	changed := together.Configuration{Version: 1, Settings: settingsWith(t, `"maxOpen":100`, `"maxOpen":1`, `"zones":["z"]`, `"zones":["z","new"]`,
 		`"maxRetryAfter":2000000000`, `"maxRetryAfter":700000000`, `"machineTypes":["one","many"]`, `"machineTypes":["one","many","newer"]`,
 		`"bundleMax":[1,3]`, `"bundleMax":[1,5,7]`, classEnd, withNew, `"callsOut":8`, `"callsOut":300`)}
-	if err := r.ordered(changed); err != nil {
+	if err := r.configure(changed); err != nil {
 		t.Fatal(err)
 	}
 	a, b := r.s.endpoints["a"], r.s.endpoints["b"]
@@ -135,7 +135,7 @@
 	answer := func(command string) string {
 		c := &client{window: make(chan struct{}, windowSize), writingReplies: 1}
 		c.window <- struct{}{}
-		r.s.handleCommand(c, words(command))
+		r.s.handleCommand(c, splitArgs(command))
 		r.s.turn()
 		return strings.TrimSpace(string(c.output))
 	}
@@ -145,14 +145,14 @@
 	if len(r.s.pending) != 1 {
 		t.Error("what was taken on is gone")
 	}
-	if err := r.ordered(together.Configuration{Version: 2, Settings: settingsWith(t, classEnd, withNew,
+	if err := r.configure(together.Configuration{Version: 2, Settings: settingsWith(t, classEnd, withNew,
 		`"zones":["z"]`, `"zones":["z","new"]`, `"machineTypes":["one","many"]`, `"machineTypes":["one","many","newer"]`)}); err != nil {
 		t.Fatal(err)
 	}
 	if text := answer("OUT.ADD 0 again c=offer,d=6000,dest=9 x"); text != "+OK" {
 		t.Errorf("back under the old limit, and of the new class: %s", text)
 	}
-	r.join(Joining{})
+	r.joinCluster(Joining{})
 	if counters := strings.Join(r.s.Counters(), " "); !strings.Contains(counters, "configuration_version:2") {
 		t.Error(counters)
 	}
@@ -160,36 +160,36 @@
 
 // A start with the version that an earlier life kept goes on with what is owed under it, and takes no older one. The
 // file's own settings, which lack a class that is owed, are refused by the start itself.
-func TestRestartWithKeptVersion(t *testing.T) {
+func TestRestartWithStoredVersion(t *testing.T) {
 	dir := t.TempDir()
-	own := loaded(t, dir, settingsWith(t), knownList(t))
-	kept := together.Configuration{Version: 5, Settings: settingsWith(t, classEnd, withNew)}
-	r := startAs(own)
-	if err := r.ordered(kept); err != nil {
+	own := loadedConfig(t, dir, settingsWith(t), knownList(t))
+	stored := together.Configuration{Version: 5, Settings: settingsWith(t, classEnd, withNew)}
+	r := startWith(own)
+	if err := r.configure(stored); err != nil {
 		t.Fatal(err)
 	}
-	r.hand("OUT.ADD 0 owed c=offer,d=60000,dest=9 x")
+	r.submit("OUT.ADD 0 owed c=offer,d=60000,dest=9 x")
 	if _, err := openSender(own, zap.NewNop(), time.Unix(1e9, 0), func() time.Duration { return time.Minute }); err == nil ||
 		!strings.Contains(err.Error(), `workload "offer", which field settings.classes does not name`) {
 		t.Errorf("a start with the file's own settings: %v", err)
 	}
-	with, err := own.WithSettings(kept.Settings)
+	with, err := own.WithSettings(stored.Settings)
 	if err != nil {
 		t.Fatal(err)
 	}
-	with.Version = kept.Version
-	again := startAs(with)
+	with.Version = stored.Version
+	again := startWith(with)
 	if again.s == nil || again.s.pending["owed"] == nil || again.s.pending["owed"].Class != 2 {
 		t.Fatal("what was owed is not")
 	}
-	if err := again.ordered(together.Configuration{Version: 4, Settings: settingsWith(t, classEnd, withNew)}); err == nil {
+	if err := again.configure(together.Configuration{Version: 4, Settings: settingsWith(t, classEnd, withNew)}); err == nil {
 		t.Error("an older version is taken")
 	}
-	if err := again.ordered(kept); err != nil {
+	if err := again.configure(stored); err != nil {
 		t.Errorf("the version that it runs: %v", err)
 	}
 	// A file that says otherwise by now is of no account while shared settings are in force.
-	other := loaded(t, dir, settingsWith(t, `"maxOpen":100`, `"maxOpen":7`), knownList(t))
+	other := loadedConfig(t, dir, settingsWith(t, `"maxOpen":100`, `"maxOpen":7`), knownList(t))
 	if fixed := again.s.cfg.Fixed(other); len(fixed) > 0 {
 		t.Errorf("at the next start: %v", fixed)
 	}
--- a/internal/sender/connecting_test.go
+++ b/internal/sender/connecting_test.go
@@ -25,7 +25,7 @@
 	t.Parallel()
 	for _, up := range []bool{false, true} {
 		dir := t.TempDir()
-		l := follow(t, startAs(configureFour(dir, 100)))
+		l := recordCalls(t, startWith(fourClassConfig(dir, 100)))
 		l.s.dial = func(c *call) {
 			if up {
 				l.s.recordAttempt(c)
@@ -35,9 +35,9 @@
 		c := &client{window: make(chan struct{}, windowSize), disconnected: true}
 		for i, class := range []string{"single", "line", "token", "pure"} {
 			c.window <- struct{}{}
-			l.s.handleCommand(c, words(fmt.Sprintf("OUT.ADD %d %s c=%s,d=8000,dest=1 x", i, class, class)))
+			l.s.handleCommand(c, splitArgs(fmt.Sprintf("OUT.ADD %d %s c=%s,d=8000,dest=1 x", i, class, class)))
 		}
-		l.goOn(5*time.Millisecond, time.Hour)
+		l.advanceAnswering(5*time.Millisecond, time.Hour)
 		if l.s.counts.accepted != 4 || l.s.counts.attempts == 0 {
 			t.Fatalf("taken on %d, dispatches %d", l.s.counts.accepted, l.s.counts.attempts)
 		}
@@ -45,8 +45,8 @@
 		for id, n := range l.s.pending {
 			sent[id] = n.inFlight != nil
 		}
-		again := follow(t, startAt(configureFour(dir, 100), l.clock+600*time.Millisecond))
-		again.goOn(9*time.Second, 20*time.Millisecond)
+		again := recordCalls(t, startAt(fourClassConfig(dir, 100), l.clock+600*time.Millisecond))
+		again.advanceAnswering(9*time.Second, 20*time.Millisecond)
 		for id := range sent {
 			single := id == "single" || id == "line"
 			if called := again.calls[id] == 1; called == (single && sent[id] && up) {
@@ -90,7 +90,7 @@
 					id := r.Header.Get("X-Request-Id")
 					lock.Lock()
 					seen = append(seen, id)
-					if !outIn(text, id) {
+					if !hasAttempt(text, id) {
 						wrong = append(wrong, id)
 					}
 					lock.Unlock()
@@ -99,10 +99,10 @@
 			}()
 		}
 	}()
-	cfg := configureFour(dir, 100)
+	cfg := fourClassConfig(dir, 100)
 	cfg.Listen, cfg.Discovery = "127.0.0.1:0", "127.0.0.1:1"
 	cfg.Known.Servers = []directory.Entry{{ID: "a", Addr: endpoint.Addr().String(), Zone: "z", Kind: "one", Cell: 1, State: "up", Weight: 9}}
-	s, conn, done := running(t, cfg)
+	s, conn, done := startServing(t, cfg)
 	in := bufio.NewReader(conn)
 	const all = 12
 	for i := range all {
@@ -132,8 +132,8 @@
 	}
 }
 
-// outIn tells whether a journal's text holds a record of a call out for an id.
-func outIn(text []byte, id string) (is bool) {
+// hasAttempt tells whether a journal's text holds a record of a call out for an id.
+func hasAttempt(text []byte, id string) (is bool) {
 	dir, err := os.MkdirTemp("", "copy")
 	if err != nil {
 		return false
--- a/internal/sender/crowd_test.go
+++ b/internal/sender/crowd_test.go
@@ -16,14 +16,14 @@
 
 // At full places that nobody can leave, one who comes is answered that there is no room. One that says nothing is told
 // nothing, and has its end.
-func TestNoPlaceIsAnswered(t *testing.T) {
+func TestRejectedIsAnswered(t *testing.T) {
 	s, dial, done := serving(t, 64)
 	s.clients.Lock()
 	most := s.clients.maxConns
 	s.clients.Unlock()
 	for range most { // some of which may be for those who leave
 		conn := dial("*2\r\n$4\r\nPI")
-		until(t, "half a command is read, or refused", func() bool {
+		waitUntil(t, "half a command is read, or refused", func() bool {
 			c := clientOf(t, s, conn)
 			return c.partialSince.Load() != 0 || c.readerBusy.Load() || state(t, conn) != stateOpen
 		})
@@ -121,7 +121,7 @@
 			t.Errorf("of those who ask the %dth was told %q, %v", i, line, err)
 		}
 	}
-	until(t, "what came is read and answered", func() bool {
+	waitUntil(t, "what came is read and answered", func() bool {
 		s.clients.Lock()
 		defer s.clients.Unlock()
 		for c := range s.clients.all {
--- a/internal/sender/descriptors_test.go
+++ b/internal/sender/descriptors_test.go
@@ -21,32 +21,32 @@
 	"flaxcove/internal/resp"
 )
 
-// narrow is what a process of its own is told: where discovery is, and how many descriptors the settings and the
+// descriptorLimits is what a process of its own is told: where discovery is, and how many descriptors the settings and the
 // system give it.
-type narrow struct {
+type descriptorLimits struct {
 	Discovery, Dir   string
 	Settings, System uint64
 }
 
-const narrowEnv = "FLAXCOVE_TEST_NARROW"
+const descriptorLimitsEnv = "FLAXCOVE_TEST_NARROW"
 
 // TestNarrowProcess is no test: it is the sender in a process of its own, until its standard input ends. Each line of
 // that is what the system gives from then on.
 func TestNarrowProcess(t *testing.T) {
-	text := os.Getenv(narrowEnv)
+	text := os.Getenv(descriptorLimitsEnv)
 	if text == "" {
 		return
 	}
-	var n narrow
+	var n descriptorLimits
 	if err := json.Unmarshal([]byte(text), &n); err != nil {
 		t.Fatal(err)
 	}
 	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: n.System, Max: n.System}); err != nil {
 		t.Fatal(err)
 	}
-	cfg := configure(n.Dir, 1000)
+	cfg := testConfig(n.Dir, 1000)
 	cfg.Listen, cfg.Discovery, cfg.Limits.Sockets = "127.0.0.1:0", n.Discovery, int(n.Settings)
-	s, conn, done := running(t, cfg)
+	s, conn, done := startServing(t, cfg)
 	conn.Close()
 	fmt.Println("serves at", s.Addr())
 	for lines := bufio.NewScanner(os.Stdin); lines.Scan(); {
@@ -62,19 +62,19 @@
 	fmt.Println("was handed", s.counts.submitted)
 }
 
-// narrowed is such a process.
-type narrowed struct {
+// limitedProcess is such a process.
+type limitedProcess struct {
 	*exec.Cmd
 	addr  string
 	input io.WriteCloser
 	lines *bufio.Scanner
 }
 
-func startNarrow(t *testing.T, n narrow) *narrowed {
+func startLimited(t *testing.T, n descriptorLimits) *limitedProcess {
 	t.Helper()
 	text, _ := json.Marshal(n)
-	p := &narrowed{Cmd: exec.Command(os.Args[0], "-test.run=^TestNarrowProcess$")}
-	p.Env = append(os.Environ(), narrowEnv+"="+string(text))
+	p := &limitedProcess{Cmd: exec.Command(os.Args[0], "-test.run=^TestNarrowProcess$")}
+	p.Env = append(os.Environ(), descriptorLimitsEnv+"="+string(text))
 	p.input, _ = p.StdinPipe()
 	output, _ := p.StdoutPipe()
 	p.lines = bufio.NewScanner(output)
@@ -82,11 +82,11 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { p.Process.Kill() })
-	p.addr = p.says(t, "serves at ")
+	p.addr = p.waitForLine(t, "serves at ")
 	return p
 }
 
-func (p *narrowed) says(t *testing.T, what string) string {
+func (p *limitedProcess) waitForLine(t *testing.T, what string) string {
 	t.Helper()
 	for p.lines.Scan() {
 		if rest, does := strings.CutPrefix(p.lines.Text(), what); does {
@@ -97,13 +97,13 @@
 	return ""
 }
 
-func (p *narrowed) limit(t *testing.T, descriptors int) {
+func (p *limitedProcess) limit(t *testing.T, descriptors int) {
 	t.Helper()
 	fmt.Fprintln(p.input, descriptors)
-	p.says(t, "has ")
+	p.waitForLine(t, "has ")
 }
 
-func (p *narrowed) dial(t *testing.T) net.Conn {
+func (p *limitedProcess) dial(t *testing.T) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", p.addr)
 	if err != nil {
@@ -113,7 +113,7 @@
 	return conn
 }
 
-func (p *narrowed) end(t *testing.T) {
+func (p *limitedProcess) end(t *testing.T) {
 	t.Helper()
 	p.input.Close()
 	for p.lines.Scan() { // to the end of what it says
@@ -123,15 +123,15 @@
 	}
 }
 
-// partner is discovery, silent until it is up, and endpoint and platform in one.
-type partner struct {
+// fakePartner is discovery, silent until it is up, and endpoint and platform in one.
+type fakePartner struct {
 	*httptest.Server
 	up             atomic.Bool
 	asked          atomic.Int64
 	inbox, outcome atomic.Int64
 }
 
-func (p *partner) ServeHTTP(out http.ResponseWriter, r *http.Request) {
+func (p *fakePartner) ServeHTTP(out http.ResponseWriter, r *http.Request) {
 	io.Copy(io.Discard, r.Body)
 	switch r.URL.Path {
 	case "/api/targets":
@@ -171,14 +171,14 @@
 // and the journal's rewriting still get theirs, and so do new clients. Where the system gives less than the settings
 // say, the process neither ends nor spins.
 func TestFewDescriptors(t *testing.T) {
-	for _, n := range []narrow{{Settings: 128, System: 128}, {Settings: 512, System: 96}} {
+	for _, n := range []descriptorLimits{{Settings: 128, System: 128}, {Settings: 512, System: 96}} {
 		t.Run(fmt.Sprintf("%d of %d", n.System, n.Settings), func(t *testing.T) {
-			p := &partner{}
+			p := &fakePartner{}
 			p.Server = httptest.NewServer(p)
 			defer p.Server.Close()
 			defer p.CloseClientConnections()
 			n.Discovery, n.Dir = p.Listener.Addr().String(), t.TempDir()
-			program := startNarrow(t, n)
+			program := startLimited(t, n)
 			dial, pid := program.dial, program.Process.Pid
 			var idle []net.Conn
 			for range 300 {
@@ -189,7 +189,7 @@
 			mustRead(t, idle[len(idle)-1], pongText)
 			used := cpuTime(t, pid)
 			asked, since := p.asked.Load(), time.Now()
-			until(t, "discovery is asked while clients hold all", func() bool { return p.asked.Load() >= asked+2 })
+			waitUntil(t, "discovery is asked while clients hold all", func() bool { return p.asked.Load() >= asked+2 })
 			if used, took := cpuTime(t, pid)-used, time.Since(since); used > took/2 {
 				t.Errorf("%v used of %v with nothing to do", used, took)
 			}
@@ -199,7 +199,7 @@
 			send := func(id, list string, size int) {
 				t.Helper()
 				text := resp.AppendCommand(nil, []byte("OUT.ADD"), []byte("0"), []byte(id), []byte(list), make([]byte, size))
-				until(t, "it is taken on", func() bool { // there is room for some at a time
+				waitUntil(t, "it is taken on", func() bool { // there is room for some at a time
 					conn.Write(text)
 					line, err := answers.ReadString('\n')
 					if err != nil {
@@ -212,8 +212,8 @@
 				send(fmt.Sprint("many", i), "c=status,d=6000,dest=1", 4<<10)
 			}
 			send("nowhere", "c=status,d=1200,dest=9", 4<<10)
-			until(t, "all is delivered, and the end told", func() bool { return p.inbox.Load() >= 60 && p.outcome.Load() >= 1 })
-			until(t, "the journal is rewritten", func() bool {
+			waitUntil(t, "all is delivered, and the end told", func() bool { return p.inbox.Load() >= 60 && p.outcome.Load() >= 1 })
+			waitUntil(t, "the journal is rewritten", func() bool {
 				io.WriteString(conn, "*1\r\n$4\r\nINFO\r\n")
 				line, _ := answers.ReadString('\n')
 				size, _ := strconv.Atoi(strings.Trim(line, "$\r\n"))
@@ -236,7 +236,7 @@
 // An accept that finds no descriptor is tried again, at a rest: the process neither ends nor spins, and the client that
 // waits meanwhile is served once there is one.
 func TestAcceptWithoutDescriptors(t *testing.T) {
-	program := startNarrow(t, narrow{Discovery: "127.0.0.1:1", Dir: t.TempDir(), Settings: 128, System: 128})
+	program := startLimited(t, descriptorLimits{Discovery: "127.0.0.1:1", Dir: t.TempDir(), Settings: 128, System: 128})
 	program.limit(t, 3)
 	waits := program.dial(t)
 	io.WriteString(waits, pingText)
--- a/internal/sender/drain_test.go
+++ b/internal/sender/drain_test.go
@@ -13,8 +13,8 @@
 	"flaxcove/internal/resp"
 )
 
-// ended waits for the process's part to be over.
-func ended(t *testing.T, done <-chan struct{}) {
+// waitEnded waits for the process's part to be over.
+func waitEnded(t *testing.T, done <-chan struct{}) {
 	t.Helper()
 	select {
 	case <-done:
@@ -23,10 +23,10 @@
 	}
 }
 
-// drainedSince begins a planned end as if its signal had come before, and has the loop look at once.
-func drainedSince(t *testing.T, s *Sender, before time.Duration) {
+// drainFrom begins a planned end as if its signal had come before, and has the loop look at once.
+func drainFrom(t *testing.T, s *Sender, before time.Duration) {
 	t.Helper()
-	inLoop(t, s, func() {
+	onLoop(t, s, func() {
 		s.startDrain(s.clock() - before)
 		s.checkDrain()
 	})
@@ -34,19 +34,19 @@
 
 // The process's end resets what it still holds, so by then our sending to each client has ended: also to one whose
 // bytes nobody has read, one whose command is not whole, and one that has just come and said nothing.
-func TestEndPartsFromAll(t *testing.T) {
+func TestDrainHalfClosesAll(t *testing.T) {
 	s, dial, done := serving(t, 64)
 	unread, half, rests, fresh := dial(pingText), dial("*2\r\n$4\r\nPI"), dial(pingText), dial("")
 	mustRead(t, unread, pongText)
 	mustRead(t, rests, pongText)
 	c := clientOf(t, s, half)
-	until(t, "half a command is read", func() bool { return c.partialSince.Load() != 0 })
+	waitUntil(t, "half a command is read", func() bool { return c.partialSince.Load() != 0 })
 	clientOf(t, s, fresh)
 	stallPollers(t) // until the test ends
 	io.WriteString(unread, addText("unread"))
-	until(t, "the command has come", func() bool { return heard(t, unread) })
-	drainedSince(t, s, drainEndTime)
-	ended(t, done)
+	waitUntil(t, "the command has come", func() bool { return allAcknowledged(t, unread) })
+	drainFrom(t, s, drainEndTime)
+	waitEnded(t, done)
 	for name, conn := range map[string]net.Conn{"unread": unread, "half": half, "rests": rests, "fresh": fresh} {
 		if got := state(t, conn); got != stateCloseWait {
 			t.Errorf("%s: state %d as the process ends, which resets it", name, got)
@@ -59,28 +59,28 @@
 
 // All that was read is answered before the process ends, more than a window of commands too, and then the process does
 // not wait for its last moment.
-func TestEndAnswersWhatWasRead(t *testing.T) {
+func TestDrainAnswersWhatWasRead(t *testing.T) {
 	s, dial, done := serving(t, 64)
 	conn := dial("")
 	c := clientOf(t, s, conn)
 	const commands = 3 * windowSize
-	inLoop(t, s, func() {
+	onLoop(t, s, func() {
 		io.WriteString(conn, strings.Repeat(pingText, commands))
-		until(t, "a window of commands is taken, and the rest read", func() bool { return heard(t, conn) && len(c.window) == windowSize })
+		waitUntil(t, "a window of commands is taken, and the rest read", func() bool { return allAcknowledged(t, conn) && len(c.window) == windowSize })
 		s.startDrain(s.clock() - drainReadTime)
 	})
 	if text, err := io.ReadAll(conn); string(text) != strings.Repeat(pongText, commands) || err != nil {
 		t.Errorf("%d of %d answers, %v", strings.Count(string(text), pongText), commands, err)
 	}
 	conn.Close()
-	ended(t, done)
+	waitEnded(t, done)
 	if s.sinceDrain() >= drainKillMargin {
 		t.Error("the process waited for nobody")
 	}
 }
 
 // One who sends without end, and so is never quiet, is parted from too, and answers to a slow reader arrive whole.
-func TestEndOfBusyClients(t *testing.T) {
+func TestDrainWithBusyClients(t *testing.T) {
 	s, dial, done := serving(t, 64)
 	pump, slow := dial(""), dial("")
 	stop := make(chan struct{})
@@ -97,20 +97,20 @@
 	syscall.SetsockoptInt(c.conn.(netpoll.Conn).Fd(), syscall.SOL_SOCKET, syscall.SO_SNDBUF, 4<<10)
 	const commands = 3 // more than the system holds for who does not read, and less than what has the sender cut it off
 	io.WriteString(slow, strings.Repeat(string(resp.AppendCommand(nil, []byte("PING"), make([]byte, resp.MaxBulk))), commands))
-	until(t, "the answers wait for their reader", func() (wait bool) {
-		inLoop(t, s, func() {
+	waitUntil(t, "the answers wait for their reader", func() (wait bool) {
+		onLoop(t, s, func() {
 			wait = c.writingReplies > 0 && len(c.window) > 0 && c.partialSince.Load() == 0 && c.writingReplies+c.outputReplies == len(c.window)
 		})
-		return wait && heard(t, slow)
+		return wait && allAcknowledged(t, slow)
 	})
-	drainedSince(t, s, drainSendTime)
+	drainFrom(t, s, drainSendTime)
 	want := strings.Repeat(string(resp.AppendBulk(nil, make([]byte, resp.MaxBulk))), commands)
 	if text, err := io.ReadAll(slow); string(text) != want || err != nil {
 		t.Errorf("%d of %d bytes of answers, %v", len(text), len(want), err)
 	}
 	slow.Close()
-	until(t, "the pump is parted from", func() bool { return state(t, pump) != stateOpen })
-	ended(t, done)
+	waitUntil(t, "the pump is parted from", func() bool { return state(t, pump) != stateOpen })
+	waitEnded(t, done)
 	pump.Close()
 	<-stop
 }
@@ -120,12 +120,12 @@
 func TestDrainCountsFromTheSignal(t *testing.T) {
 	s, dial, done := serving(t, 64)
 	var heardAt time.Duration
-	inLoop(t, s, func() {
+	onLoop(t, s, func() {
 		go s.Drain()
-		until(t, "the signal waits for the loop", func() bool { return len(s.inbox) > 0 })
+		waitUntil(t, "the signal waits for the loop", func() bool { return len(s.inbox) > 0 })
 		heardAt = s.clock()
 	})
-	inLoop(t, s, func() {
+	onLoop(t, s, func() {
 		first := s.drainSince
 		if !s.draining || first >= heardAt {
 			t.Errorf("counts from %v, which is after %v", first, heardAt)
@@ -142,7 +142,7 @@
 		t.Errorf("a client that came after the signal: %q, %v", text, err)
 	}
 	conn.Close()
-	ended(t, done)
+	waitEnded(t, done)
 }
 
 // A client that came just before the signal has its first command on its way; a command that is half read is waited
@@ -152,8 +152,8 @@
 	fresh, half := dial(""), dial(pingText[:7])
 	clientOf(t, s, fresh)
 	c := clientOf(t, s, half)
-	until(t, "half a command is read", func() bool { return c.partialSince.Load() != 0 })
-	drainedSince(t, s, 0)
+	waitUntil(t, "half a command is read", func() bool { return c.partialSince.Load() != 0 })
+	drainFrom(t, s, 0)
 	io.WriteString(fresh, pingText)
 	io.WriteString(half, pingText[7:])
 	for name, conn := range map[string]net.Conn{"fresh": fresh, "half": half} {
@@ -162,16 +162,16 @@
 		}
 		conn.Close()
 	}
-	ended(t, done)
+	waitEnded(t, done)
 }
 
 // One who has come and said nothing by the end is not closed without an answer to what it then says.
-func TestFreshAtTheEnd(t *testing.T) {
+func TestNewClientAtTheEnd(t *testing.T) {
 	s, dial, done := serving(t, 64)
 	conn := dial("")
 	c := clientOf(t, s, conn)
-	drainedSince(t, s, drainReadTime)
-	inLoop(t, s, func() {
+	drainFrom(t, s, drainReadTime)
+	onLoop(t, s, func() {
 		if !c.lingering || c.isWriteClosed() {
 			t.Errorf("leaving %v, its connection closed with no answer %v", c.lingering, c.isWriteClosed())
 		}
@@ -181,15 +181,15 @@
 		t.Errorf("told %q, %v", text, err)
 	}
 	conn.Close()
-	ended(t, done)
+	waitEnded(t, done)
 }
 
 // Who was turned away a moment before the process ends anyway is parted from, whichever timer fires first.
-func TestTurnedAwayAtTheVeryEnd(t *testing.T) {
+func TestRejectedAtTheVeryEnd(t *testing.T) {
 	s, dial, done := serving(t, 64)
 	conn := dial("")
 	c := clientOf(t, s, conn)
-	inLoop(t, s, func() {
+	onLoop(t, s, func() {
 		s.startDrain(s.clock() - drainReadTime)
 		if !c.lingering || c.isWriteClosed() {
 			t.Errorf("leaving %v, shut %v", c.lingering, c.isWriteClosed())
@@ -197,17 +197,17 @@
 		s.drainSince -= drainKillMargin - drainReadTime
 		s.checkDrain()
 	})
-	ended(t, done)
+	waitEnded(t, done)
 	if got := state(t, conn); got != stateCloseWait {
 		t.Errorf("state %d as the process ends", got)
 	}
 }
 
 // One who comes as the process is about to end, when nobody is left, is answered.
-func TestLastToCome(t *testing.T) {
+func TestLastClient(t *testing.T) {
 	s, dial, done := serving(t, 64)
-	drainedSince(t, s, drainAcceptTime)
-	ended(t, done)
+	drainFrom(t, s, drainAcceptTime)
+	waitEnded(t, done)
 	conn := dial(addText("last"))
 	if text, err := io.ReadAll(conn); string(text) != busyAnswer || err != nil {
 		t.Errorf("told %q, %v", text, err)
--- a/internal/sender/earlier_test.go
+++ b/internal/sender/earlier_test.go
@@ -14,9 +14,9 @@
 	"flaxcove/internal/journal"
 )
 
-// four has a class of each effect and one in order of arrival. Half a shortest aim, 1.5 s, is what an endpoint is
+// fourClassSettings has a class of each effect and one in order of arrival. Half a shortest aim, 1.5 s, is what an endpoint is
 // thought to take of which nothing is known.
-const four = `{"balancers":2,"quantum":5000000,"machineTypes":["one"],"zones":["z"],
+const fourClassSettings = `{"balancers":2,"quantum":5000000,"machineTypes":["one"],"zones":["z"],
 "accounts":[{"quotaRps":0.001}],"overShareWorth":0.1,
 "bounds":{"maxAttempts":9,"maxOpen":%d,"connIdle":10000000000,"dialTimeout":1000000000,"retryAfter":true,"maxRetryAfter":2000000000},
 "classes":[{"name":"pure","idempotency":"pure","aim":3000000000,"deadline":8000000000,"worth":1},
@@ -25,27 +25,29 @@
 {"name":"line","idempotency":"side_effect","byArrival":true,"aim":3000000000,"deadline":8000000000,"worth":3}],
 "extra":{"callsOut":8},"rules":{"cold":1000000000,"coldFrom":0.5,"fallMultiple":2,"keyRest":300000000},"stats":{"fields":["x0","x1"]}}`
 
-const listFour = `{"version":1,"full":true,"servers":[{"id":"a","addr":"127.0.0.1:1","zone":"z","kind":"one","cell":1,"state":"up","weight":100}]}`
+const oneEndpointList = `{"version":1,"full":true,"servers":[{"id":"a","addr":"127.0.0.1:1","zone":"z","kind":"one","cell":1,"state":"up","weight":100}]}`
 
-func configureFour(dir string, maxOpen int) *config.Config {
-	return configureAs(dir, fmt.Sprintf(four, maxOpen), listFour)
+func fourClassConfig(dir string, maxOpen int) *config.Config {
+	return testConfigWith(dir, fmt.Sprintf(fourClassSettings, maxOpen), oneEndpointList)
 }
 
 // second is in choice.Time.
 const second = choice.Second
 
-// at is the clock of a sender that a rig starts so long after its day began.
-func at(d time.Duration) choice.Time { return config.Down(time.Unix(1e9, 0).UnixNano() + int64(d)) }
+// clockAt is the clock of a sender that a rig starts so long after its day began.
+func clockAt(d time.Duration) choice.Time {
+	return config.Down(time.Unix(1e9, 0).UnixNano() + int64(d))
+}
 
-// taken is what a process takes on at a time, for so long.
-func taken(id, key, className string, dest choice.DestinationID, when, hold choice.Time) *message {
+// acceptedMessage is what a process takes on at a time, for so long.
+func acceptedMessage(id, key, className string, dest choice.DestinationID, when, hold choice.Time) *message {
 	n := &message{key: key, className: className, acceptedAt: when, body: []byte("x")}
 	n.ID, n.Deadline, n.Destination = choice.MessageID(id), when+hold, dest
 	return n
 }
 
-// leave writes what an earlier process leaves behind.
-func leave(t *testing.T, dir string, records ...[]byte) {
+// writeJournal writes what an earlier process leaves behind.
+func writeJournal(t *testing.T, dir string, records ...[]byte) {
 	t.Helper()
 	j, _, err := journal.Open(dir, 1<<20, func([]byte) {})
 	if err != nil {
@@ -59,25 +61,25 @@
 	}
 }
 
-// later is what became of messages after a start.
-type later struct {
-	*rig
+// callRecorder is what became of messages after a start.
+type callRecorder struct {
+	*harness
 	sync.Mutex
-	calls map[choice.MessageID]int
-	ends  map[string]string      // what the platform was told
-	endAt map[string]choice.Time // and when
-	begun []*call
+	calls     map[choice.MessageID]int
+	endings   map[string]string      // what the platform was told
+	endedAt   map[string]choice.Time // and when
+	openCalls []*call
 }
 
-// follow has an endpoint take each call and answer ok, and a platform that understands all.
-func follow(t *testing.T, r *rig) *later {
+// recordCalls has an endpoint take each call and answer ok, and a platform that understands all.
+func recordCalls(t *testing.T, r *harness) *callRecorder {
 	t.Helper()
 	if r.s == nil {
 		t.Fatal("the start was refused")
 	}
-	l := &later{rig: r, calls: map[choice.MessageID]int{}, ends: map[string]string{}, endAt: map[string]choice.Time{}}
+	l := &callRecorder{harness: r, calls: map[choice.MessageID]int{}, endings: map[string]string{}, endedAt: map[string]choice.Time{}}
 	r.s.dial = func(c *call) {
-		l.begun = append(l.begun, c)
+		l.openCalls = append(l.openCalls, c)
 		for _, n := range c.messages {
 			l.calls[n.ID]++
 		}
@@ -85,21 +87,21 @@
 	r.s.postToPlatform = func(_ string, body []byte) (int, error) {
 		l.Lock()
 		defer l.Unlock()
-		for _, e := range endingsIn(body) {
-			l.ends[e.Message], l.endAt[e.Message] = e.Outcome, l.s.Now()
+		for _, e := range parseEndings(body) {
+			l.endings[e.Message], l.endedAt[e.Message] = e.Outcome, l.s.Now()
 		}
 		return 204, nil
 	}
 	return l
 }
 
-// goOn lets time go on by turns of 5 ms; each call is answered ok so long after it began.
-func (l *later) goOn(span, answer time.Duration) {
+// advanceAnswering lets time go on by turns of 5 ms; each call is answered ok so long after it began.
+func (l *callRecorder) advanceAnswering(span, answer time.Duration) {
 	for end := l.clock + span; l.clock < end; {
 		l.clock += 5 * time.Millisecond
-		for len(l.begun) > 0 && l.begun[0].beganAt+config.Down(int64(answer)) <= l.s.Now() {
-			c := l.begun[0]
-			l.begun = l.begun[1:]
+		for len(l.openCalls) > 0 && l.openCalls[0].beganAt+config.Down(int64(answer)) <= l.s.Now() {
+			c := l.openCalls[0]
+			l.openCalls = l.openCalls[1:]
 			l.s.openLinks--
 			c.endpoint.linkCount--
 			if !c.done {
@@ -121,7 +123,7 @@
 // platformLine is one ending as the platform reads it.
 type platformLine struct{ Message, Outcome string }
 
-func endingsIn(body []byte) (all []platformLine) {
+func parseEndings(body []byte) (all []platformLine) {
 	var line platformLine
 	for d := json.NewDecoder(bytes.NewReader(body)); d.Decode(&line) == nil; {
 		all = append(all, line)
--- a/internal/sender/ends_test.go
+++ b/internal/sender/ends_test.go
@@ -12,42 +12,45 @@
 // The rows of the table at the head of relay.go, over loopback sockets: what each end of a call tells of its message.
 func TestEnds(t *testing.T) {
 	const no, may, over = "has not run", "may have run", "is over"
-	says := func(text string) func(*testing.T, *rig, *call, *net.TCPConn) {
-		return func(t *testing.T, r *rig, c *call, peer *net.TCPConn) {
-			heardBy(t, peer, "xyz")
+	says := func(text string) func(*testing.T, *harness, *call, *net.TCPConn) {
+		return func(t *testing.T, r *harness, c *call, peer *net.TCPConn) {
+			readUntilSuffix(t, peer, "xyz")
 			peer.Write([]byte(strings.ReplaceAll(text, "\n", "\r\n")))
 			peer.Close()
 		}
 	}
-	begins := func(text string, then func(*rig, *call, *net.TCPConn)) func(*testing.T, *rig, *call, *net.TCPConn) {
-		return func(t *testing.T, r *rig, c *call, peer *net.TCPConn) {
+	begins := func(text string, then func(*harness, *call, *net.TCPConn)) func(*testing.T, *harness, *call, *net.TCPConn) {
+		return func(t *testing.T, r *harness, c *call, peer *net.TCPConn) {
 			if n := c.messages[0]; len(n.body) == 3 {
-				heardBy(t, peer, string(n.body))
+				readUntilSuffix(t, peer, string(n.body))
 			}
 			peer.Write([]byte(strings.ReplaceAll(text, "\n", "\r\n")))
-			r.pump(t, "the answer begins", func() bool { return c.link.answeringCall == c })
+			r.runUntil(t, "the answer begins", func() bool { return c.link.answeringCall == c })
 			then(r, c, peer)
 		}
 	}
-	resets := func(_ *rig, _ *call, peer *net.TCPConn) { reset(peer) }
-	ends := func(r *rig, c *call, _ *net.TCPConn) { r.s.expireCall(c) }
+	resets := func(_ *harness, _ *call, peer *net.TCPConn) { resetConn(peer) }
+	ends := func(r *harness, c *call, _ *net.TCPConn) { r.s.expireCall(c) }
 	for _, row := range []struct {
 		name   string
 		narrow bool // its last byte does not leave
-		does   func(*testing.T, *rig, *call, *net.TCPConn)
+		does   func(*testing.T, *harness, *call, *net.TCPConn)
 		result choice.Result
 		tells  string
 	}{
-		{"reset before the last byte", true, func(_ *testing.T, r *rig, c *call, peer *net.TCPConn) { reset(peer) }, choice.ConnectFailed, no},
+		{"reset before the last byte", true, func(_ *testing.T, r *harness, c *call, peer *net.TCPConn) { resetConn(peer) }, choice.ConnectFailed, no},
 		{"reset before it, behind half an answer", true, begins("HTTP/1.1 503 Full\nCont", resets), choice.ConnectFailed, no},
-		{"given up before it", true, func(_ *testing.T, r *rig, c *call, _ *net.TCPConn) { r.s.expireCall(c) }, choice.ConnectFailed, no},
+		{"given up before it", true, func(_ *testing.T, r *harness, c *call, _ *net.TCPConn) { r.s.expireCall(c) }, choice.ConnectFailed, no},
 		{"given up before it, behind half an answer", true, begins("HTTP/1.1 503 Full\nCont", ends), choice.ConnectFailed, no},
 		{"200 before it, then reset", true, begins("HTTP/1.1 200 OK\nCont", resets), choice.Done, over},
-		{"reset after it", false, func(t *testing.T, _ *rig, _ *call, peer *net.TCPConn) { heardBy(t, peer, "xyz"); reset(peer) }, choice.Reset, may},
+		{"reset after it", false, func(t *testing.T, _ *harness, _ *call, peer *net.TCPConn) {
+			readUntilSuffix(t, peer, "xyz")
+			resetConn(peer)
+		}, choice.Reset, may},
 		{"closed after it", false, says(""), choice.Reset, may},
-		{"time over", false, func(t *testing.T, r *rig, c *call, peer *net.TCPConn) {
-			heardBy(t, peer, "xyz")
-			r.pump(t, "it is written", func() bool { return !c.link.writing })
+		{"time over", false, func(t *testing.T, r *harness, c *call, peer *net.TCPConn) {
+			readUntilSuffix(t, peer, "xyz")
+			r.runUntil(t, "it is written", func() bool { return !c.link.writing })
 			r.s.expireCall(c)
 		}, choice.TimedOut, may},
 		{"time over behind a first line with 200", false, begins("HTTP/1.1 200 OK\nContent-Length: 9\n\nok", ends), choice.Done, over},
@@ -61,43 +64,43 @@
 		{"noise", false, says("\x00\xff\x01"), choice.Spoilt, may},
 		{"an interim answer alone", false, says("HTTP/1.1 102 On\n\n"), choice.Reset, may},
 		{"an interim answer, then half a first line", false, says("HTTP/1.1 102 On\n\nHTTP/1.1 20"), choice.Spoilt, may},
-		{"an interim answer, then 200", false, says("HTTP/1.1 100 On\n\n" + ok), choice.Done, over},
-		{"two answers at once", false, says(ok + lost), choice.Done, over},
-		{"two answers at once, the other way", false, says(lost + ok), choice.Errored, may},
-		{"200", false, says(ok), choice.Done, over},
+		{"an interim answer, then 200", false, says("HTTP/1.1 100 On\n\n" + answerOK), choice.Done, over},
+		{"two answers at once", false, says(answerOK + answerError), choice.Done, over},
+		{"two answers at once, the other way", false, says(answerError + answerOK), choice.Errored, may},
+		{"200", false, says(answerOK), choice.Done, over},
 		{"410", false, says("HTTP/1.1 410 Gone\nContent-Length: 0\n\n"), choice.Moot, over},
-		{"429", false, says(full), choice.Full, no},
+		{"429", false, says(answerFull), choice.Full, no},
 		{"503", false, says("HTTP/1.1 503 Full\nContent-Length: 0\n\n"), choice.Full, no},
 		{"503, no slot", false, says("HTTP/1.1 503 Full\nX-No-Slot: 1\nContent-Length: 0\n\n"), choice.Moot, no},
 		{"504", false, says("HTTP/1.1 504 Out\nContent-Length: 0\n\n"), choice.Moot, no},
 		{"413", false, says("HTTP/1.1 413 Large\nContent-Length: 0\n\n"), choice.Moot, no},
-		{"500", false, says(lost), choice.Errored, may},
+		{"500", false, says(answerError), choice.Errored, may},
 		{"204", false, says("HTTP/1.1 204 None\n\n"), choice.Errored, may},
 		{"202", false, says("HTTP/1.1 202 Later\nContent-Length: 0\n\n"), choice.Errored, may},
 	} {
 		t.Run(row.name, func(t *testing.T) {
-			conn, peer := met(t, row.narrow)
+			conn, peer := connPair(t, row.narrow)
 			r := start(t.TempDir(), 100)
 			body := "xyz"
 			if row.narrow {
 				body = strings.Repeat("x", 60000)
 			}
-			r.hand("OUT.ADD 00 id c=order,d=20000,dest=1 " + body)
+			r.submit("OUT.ADD 00 id c=order,d=20000,dest=1 " + body)
 			c, n := r.calls[0], r.s.pending["id"]
-			r.comesUp(c, conn)
+			r.connectionUp(c, conn)
 			if row.narrow {
 				if _, err := peer.Read(make([]byte, 1)); err != nil {
 					t.Fatal(err)
 				}
 			}
 			row.does(t, r, c, peer)
-			r.pump(t, "the write ends", func() bool { return !c.link.writing })
+			r.runUntil(t, "the write ends", func() bool { return !c.link.writing })
 			if n.inFlight != nil && c.done {
-				r.turn(3 * abandonSettleTime) // it was given up
+				r.advance(3 * abandonSettleTime) // it was given up
 			}
-			r.pump(t, "the call ends", func() bool { return n.inFlight == nil })
+			r.runUntil(t, "the call ends", func() bool { return n.inFlight == nil })
 			if row.narrow {
-				if s := allHeard(peer); strings.Count(s, "x") >= len(body) {
+				if s := readToEnd(peer); strings.Count(s, "x") >= len(body) {
 					t.Fatal("the row's last byte has left")
 				}
 			}
@@ -117,7 +120,7 @@
 	}
 }
 
-// The rows without a connection: refused, never up, no address. TestNoRoomForAConnection has the one without room.
+// The rows without a connection: refused, never up, no address. TestNoCapacityForAConnection has the one without room.
 func TestEndsUnconnected(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -125,22 +128,22 @@
 	}
 	closed := ln.Addr().String()
 	ln.Close()
-	for name, sets := range map[string]func(*rig){
-		"refused":    func(r *rig) { r.s.endpoints["a"].addr = closed },
-		"no address": func(r *rig) { r.s.endpoints["a"].addr = "" },
+	for name, sets := range map[string]func(*harness){
+		"refused":    func(r *harness) { r.s.endpoints["a"].addr = closed },
+		"no address": func(r *harness) { r.s.endpoints["a"].addr = "" },
 	} {
 		r := start(t.TempDir(), 100)
 		r.s.dial = r.s.dialEndpoint
 		sets(r)
-		r.hand("OUT.ADD 00 id c=order,d=20000,dest=1 x")
+		r.submit("OUT.ADD 00 id c=order,d=20000,dest=1 x")
 		n := r.s.pending["id"]
-		r.pump(t, name, func() bool { return n.inFlight == nil })
+		r.runUntil(t, name, func() bool { return n.inFlight == nil })
 		if n.MayRun || r.s.counts.outcomes[choice.ConnectFailed] != 1 || r.s.openLinks != 0 {
 			t.Errorf("%s: may run %v, outcomes %v, open %d", name, n.MayRun, r.s.counts.outcomes, r.s.openLinks)
 		}
 	}
 	r := start(t.TempDir(), 100)
-	r.hand("OUT.ADD 00 id c=order,d=20000,dest=1 x")
+	r.submit("OUT.ADD 00 id c=order,d=20000,dest=1 x")
 	r.s.expireCall(r.calls[0])
 	if n := r.s.pending["id"]; n.MayRun || n.inFlight != nil || r.s.counts.outcomes[choice.ConnectFailed] != 1 {
 		t.Errorf("never up: may run %v, out %v", n.MayRun, n.inFlight != nil)
@@ -161,15 +164,15 @@
 		{"full", "HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n", choice.Full, choice.Full},
 		{"nothing", "", choice.Reset, choice.Reset},
 	} {
-		conn, peer := met(t, false)
+		conn, peer := connPair(t, false)
 		r := start(t.TempDir(), 100)
-		r.hand("OUT.ADD 0 o1 c=order,d=20000,dest=2 xyz", "OUT.ADD 0 o2 c=order,d=20000,dest=2 xyz")
+		r.submit("OUT.ADD 0 o1 c=order,d=20000,dest=2 xyz", "OUT.ADD 0 o2 c=order,d=20000,dest=2 xyz")
 		c, n1, n2 := r.calls[0], r.s.pending["o1"], r.s.pending["o2"]
-		r.comesUp(c, conn)
-		heardBy(t, peer, "]")
+		r.connectionUp(c, conn)
+		readUntilSuffix(t, peer, "]")
 		peer.Write([]byte(row.text))
 		peer.Close()
-		r.pump(t, row.name, func() bool { return n1.inFlight == nil && n2.inFlight == nil })
+		r.runUntil(t, row.name, func() bool { return n1.inFlight == nil && n2.inFlight == nil })
 		var want [choice.Spoilt + 1]int64
 		want[row.o1]++
 		want[row.o2]++
@@ -183,32 +186,32 @@
 // mix, and is given up if the endpoint does not read the rest soon.
 func TestAnswerBeforeRequestEnds(t *testing.T) {
 	for _, reads := range []bool{true, false} {
-		conn, peer := met(t, true)
+		conn, peer := connPair(t, true)
 		r := start(t.TempDir(), 100)
 		body := strings.Repeat("x", 60000)
-		r.hand("OUT.ADD 00 first c=order,d=20000,dest=1 " + body)
+		r.submit("OUT.ADD 00 first c=order,d=20000,dest=1 " + body)
 		c, e := r.calls[0], r.s.endpoints["a"]
-		r.comesUp(c, conn)
+		r.connectionUp(c, conn)
 		l := c.link
 		if _, err := peer.Read(make([]byte, 1)); err != nil {
 			t.Fatal(err)
 		}
 		peer.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
-		r.pump(t, "the call ends", func() bool { return c.done })
+		r.runUntil(t, "the call ends", func() bool { return c.done })
 		if len(e.idle) != 0 || r.s.pending["first"] != nil {
 			t.Errorf("idle %d while a request is written, delivered %v", len(e.idle), r.s.pending["first"] == nil)
 		}
 		if reads {
-			if text := heardBy(t, peer, body); !strings.HasPrefix(text, "OST /inbox") {
+			if text := readUntilSuffix(t, peer, body); !strings.HasPrefix(text, "OST /inbox") {
 				t.Errorf("heard %.20q", text)
 			}
-			r.pump(t, "the write ends", func() bool { return !l.writing })
+			r.runUntil(t, "the write ends", func() bool { return !l.writing })
 		} else {
 			l.bufferLock.Lock()
 			r.clock += 2 * answerRestTimeout
 			l.bufferLock.Unlock()
 			r.s.turn()
-			r.pump(t, "the link ends", func() bool { return r.s.openLinks == 0 && !l.writing })
+			r.runUntil(t, "the link ends", func() bool { return r.s.openLinks == 0 && !l.writing })
 		}
 		if idle := len(e.idle) == 1; idle != reads || l.closing == reads {
 			t.Errorf("rest read %v: idle %v, closing %v", reads, idle, l.closing)
@@ -218,10 +221,10 @@
 
 // Interim answers tell nothing: they must not start the time in which the rest of an answer is due.
 func TestInterimAnswer(t *testing.T) {
-	conn, peer := met(t, false) // read by the test alone
+	conn, peer := connPair(t, false) // read by the test alone
 	l := &link{conn: conn}
 	l.awaitingAnswer.Store(true)
-	conn.SetReadTimeout(meetFor)
+	conn.SetReadTimeout(connTestTimeout)
 	for _, piece := range []struct {
 		text string
 		told bool
--- a/internal/sender/held_test.go
+++ b/internal/sender/held_test.go
@@ -15,35 +15,35 @@
 
 // A call that is held back once its connection is up, for what has become known meanwhile, tells nothing of its
 // endpoint. Told as a failed connection, one such call had an endpoint ejected that nobody had heard of for 2 s.
-func TestHeldBackTellsNothingOfItsEndpoint(t *testing.T) {
-	hasFresh := func(_ *testing.T, r *rig) bool {
-		r.hand("OUT.ADD 00 fresh c=order,d=20000,dest=1 x")
+func TestUnsentCallReportsNothingOfItsEndpoint(t *testing.T) {
+	hasFresh := func(_ *testing.T, r *harness) bool {
+		r.submit("OUT.ADD 00 fresh c=order,d=20000,dest=1 x")
 		n := r.s.pending["fresh"]
 		return n != nil && n.attempts == 1
 	}
 	for _, of := range []struct {
 		name  string
-		comes func(*rig)
+		comes func(*harness)
 		// takes tells whether its endpoint takes calls again, as many as before.
-		takes func(*testing.T, *rig) bool
+		takes func(*testing.T, *harness) bool
 	}{
-		{"told to wait", func(r *rig) {
-			r.hand("OUT.ADD 00 refused c=order,d=20000,dest=1 x").answer(full)
-		}, func(t *testing.T, r *rig) bool {
-			r.turnWritten(t, 600*time.Millisecond)
+		{"told to wait", func(r *harness) {
+			r.submit("OUT.ADD 00 refused c=order,d=20000,dest=1 x").endpointAnswers(answerFull)
+		}, func(t *testing.T, r *harness) bool {
+			r.advanceWritten(t, 600*time.Millisecond)
 			return r.s.pending["refused"].attempts == 2 && r.s.pending["id"].attempts == 2
 		}},
-		{"drained", func(r *rig) { r.list(drainedA) }, func(t *testing.T, r *rig) bool { r.list(backA); return hasFresh(t, r) }},
-		{"moved", func(r *rig) { r.list(movedA) }, hasFresh},
-		{"its time over while the process stood still", func(r *rig) { r.clock += 30 * time.Second }, hasFresh},
+		{"drained", func(r *harness) { r.updateList(drainedA) }, func(t *testing.T, r *harness) bool { r.updateList(backA); return hasFresh(t, r) }},
+		{"moved", func(r *harness) { r.updateList(movedA) }, hasFresh},
+		{"its time over while the process stood still", func(r *harness) { r.clock += 30 * time.Second }, hasFresh},
 	} {
 		t.Run(of.name, func(t *testing.T) {
-			conn, _ := met(t, false)
+			conn, _ := connPair(t, false)
 			r := start(t.TempDir(), 100)
-			r.hand("OUT.ADD 00 id c=order,d=20000,dest=1 x")
+			r.submit("OUT.ADD 00 id c=order,d=20000,dest=1 x")
 			c, n := r.calls[0], r.s.pending["id"]
 			of.comes(r)
-			r.comesUp(c, conn)
+			r.connectionUp(c, conn)
 			if !c.done || c.link != nil || n.MayRun || n.inFlight != nil {
 				t.Fatalf("over %v, left %v, may have run %v, out %v", c.done, c.link != nil, n.MayRun, n.inFlight != nil)
 			}
@@ -57,12 +57,12 @@
 	}
 }
 
-// turnWritten lets time go on in steps, each once all that left before it is written: whoever writes reads the rig's clock.
-func (r *rig) turnWritten(t *testing.T, after time.Duration) {
+// advanceWritten lets time go on in steps, each once all that left before it is written: whoever writes reads the rig's clock.
+func (r *harness) advanceWritten(t *testing.T, after time.Duration) {
 	t.Helper()
 	for end := r.clock + after; r.clock < end; {
-		r.turn(5 * time.Millisecond)
-		r.pump(t, "what left is written", func() bool {
+		r.advance(5 * time.Millisecond)
+		r.runUntil(t, "what left is written", func() bool {
 			for _, n := range r.s.pending {
 				if n.inFlight != nil && n.inFlight.link != nil && n.inFlight.link.writing {
 					return false
@@ -75,14 +75,14 @@
 
 // Where the process has no room for one more connection its calls wait for some, each as the one try that it is: none
 // counts against its endpoint, and the tries of a message are not spent in the fraction of a second that it lasts.
-func TestNoRoomForAConnection(t *testing.T) {
-	short := func(err error) func(*rig) { // the dial fails for want of something of this process
-		return func(r *rig) {
+func TestNoCapacityForAConnection(t *testing.T) {
+	short := func(err error) func(*harness) { // the dial fails for want of something of this process
+		return func(r *harness) {
 			r.s.dial = func(c *call) { r.s.onDialed(c, nil, fmt.Errorf("dial: %w", os.NewSyscallError("socket", err))) }
 		}
 	}
-	for name, sets := range map[string]func(*rig){
-		"links":       func(r *rig) { r.s.maxLinks = 0 },
+	for name, sets := range map[string]func(*harness){
+		"links":       func(r *harness) { r.s.maxLinks = 0 },
 		"descriptors": short(syscall.EMFILE),
 		"ports":       short(syscall.EADDRNOTAVAIL),
 	} {
@@ -93,20 +93,20 @@
 				sets(r)
 				failing := r.s.dial
 				r.s.dial = func(c *call) { dials++; failing(c) }
-				r.hand("OUT.ADD 00 id c=order,d=20000,dest=1 x")
+				r.submit("OUT.ADD 00 id c=order,d=20000,dest=1 x")
 				n := r.s.pending["id"]
-				r.turn(time.Second)
+				r.advance(time.Second)
 				if n.attempts != 1 || n.inFlight == nil || r.s.openLinks != 0 || dials > int(time.Second/capacityRecheck)+2 {
 					t.Fatalf("tries %d, out %v, open %d, dials %d", n.attempts, n.inFlight != nil, r.s.openLinks, dials)
 				}
 				if ends {
 					r.s.dial, r.s.maxLinks = dial, most
-					r.turn(capacityRecheck + 10*time.Millisecond)
+					r.advance(capacityRecheck + 10*time.Millisecond)
 					if len(r.calls) != 1 || n.attempts != 1 || r.s.openLinks != 1 {
 						t.Errorf("calls %d, tries %d, open %d", len(r.calls), n.attempts, r.s.openLinks)
 					}
 				} else {
-					r.turn(20 * time.Second)
+					r.advance(20 * time.Second)
 					// It is handed back, as one that has surely not run, with fewer calls than it may have.
 					if n.ending.kind == endNone || n.MayRun || n.attempts > r.s.cfg.Settings.MaxAttempts {
 						t.Errorf("ends %v, may have run %v, tries %d", n.ending.kind, n.MayRun, n.attempts)
--- a/internal/sender/keys_test.go
+++ b/internal/sender/keys_test.go
@@ -10,12 +10,12 @@
 	"flaxcove/choice"
 )
 
-// shared has tenants with shares, and a class whose repeats are known by an idempotency key.
-func shared(dir string) *rig {
-	text := strings.Replace(fmt.Sprintf(boot, 100), `{"balancers":2`,
+// tenantHarness has tenants with shares, and a class whose repeats are known by an idempotency key.
+func tenantHarness(dir string) *harness {
+	text := strings.Replace(fmt.Sprintf(twoClassSettings, 100), `{"balancers":2`,
 		`{"accounts":[{"name":"left","quotaRps":5},{"name":"right/2","quotaRps":5}],"balancers":2`, 1)
 	text = strings.Replace(text, `"name":"status","idempotency":"pure"`, `"name":"status","idempotency":"token","repeatWindow":4000000000`, 1)
-	return startAs(configureAs(dir, text, known))
+	return startWith(testConfigWith(dir, text, twoEndpointList))
 }
 
 // An idempotency key goes to endpoints as it came, alone and in a bundle, also after a restart: without it they know no
@@ -23,9 +23,9 @@
 // one that the settings do not name to none: all used to count to the first one's.
 func TestKeysAndTenants(t *testing.T) {
 	dir := t.TempDir()
-	r := shared(dir).hand("OUT.ADD 0a one c=status,t=right/2,d=6000,k=b8f3df7e144ea1f2,dest=1 x")
-	r.hand("OUT.ADD 0b two c=status,t=left,d=6000,k=k-2,dest=2 x", "OUT.ADD 0c three c=order,t=stranger,d=20000,dest=2 x")
-	check := func(r *rig) {
+	r := tenantHarness(dir).submit("OUT.ADD 0a one c=status,t=right/2,d=6000,k=b8f3df7e144ea1f2,dest=1 x")
+	r.submit("OUT.ADD 0b two c=status,t=left,d=6000,k=k-2,dest=2 x", "OUT.ADD 0c three c=order,t=stranger,d=20000,dest=2 x")
+	check := func(r *harness) {
 		t.Helper()
 		for id, want := range map[string][3]any{"one": {"b8f3df7e144ea1f2", "right/2", 1}, "two": {"k-2", "left", 0}, "three": {"", "stranger", -1}} {
 			n := r.s.pending[choice.MessageID(id)]
@@ -54,7 +54,7 @@
 		}
 	}
 	check(startAt(r.s.cfg, r.clock))
-	r.hand("OUT.ADD 0a bad c=status,d=6000,k=a\"b,dest=1 x")
+	r.submit("OUT.ADD 0a bad c=status,d=6000,k=a\"b,dest=1 x")
 	if r.s.pending["bad"] != nil {
 		t.Error("a key that cannot stand in a head was taken on")
 	}
@@ -64,25 +64,25 @@
 func TestFirstOfABundleLastsLongest(t *testing.T) {
 	r := start("", 100)
 	defer os.RemoveAll(r.dir)
-	r.hand("OUT.ADD 0 long c=order,d=20000,dest=2 x", "OUT.ADD 0 middle c=order,d=9000,dest=2 x", "OUT.ADD 0 short c=order,d=5000,dest=2 x")
+	r.submit("OUT.ADD 0 long c=order,d=20000,dest=2 x", "OUT.ADD 0 middle c=order,d=9000,dest=2 x", "OUT.ADD 0 short c=order,d=5000,dest=2 x")
 	_, body := r.s.request(r.calls[0])
 	at := func(id string) int { return strings.Index(string(body), `"id":"`+id) }
 	if len(r.calls[0].messages) != 3 || at("long") < 0 || at("long") > at("middle") || at("middle") > at("short") {
 		t.Errorf("order in %s", body)
 	}
-	r.turn(5 * time.Millisecond)
+	r.advance(5 * time.Millisecond)
 }
 
 // A message that parted while its call's write waited, as in a process that stood still, has been told its end: the
 // call leaves without it.
-func TestPartedStaysBehind(t *testing.T) {
+func TestCancelledStaysBehind(t *testing.T) {
 	r := start("", 100)
 	defer os.RemoveAll(r.dir)
-	r.hand("OUT.ADD 0 stays c=order,d=20000,dest=2 x", "OUT.ADD 0 parts c=status,d=500,dest=2 x")
+	r.submit("OUT.ADD 0 stays c=order,d=20000,dest=2 x", "OUT.ADD 0 parts c=status,d=500,dest=2 x")
 	c := r.calls[0]
 	l := &link{sender: r.s, endpoint: c.endpoint, addr: c.endpoint.addr}
 	c.link = l
-	r.turn(600 * time.Millisecond)
+	r.advance(600 * time.Millisecond)
 	if len(c.messages) != 2 || c.messages[0].inFlight != c && c.messages[1].inFlight != c {
 		t.Fatalf("%d notices", len(c.messages))
 	}
--- a/internal/sender/learnt_test.go
+++ b/internal/sender/learnt_test.go
@@ -13,17 +13,17 @@
 
 // A file of what was learnt that is broken, or tells what cannot be, keeps no start from happening, and no call from
 // having its time: its endpoints start afresh.
-func TestBrokenLearnt(t *testing.T) {
+func TestBrokenLearnedState(t *testing.T) {
 	t.Parallel()
 	const one = `{"at":%d,"endpoints":[{"endpoint":"a","destination":1,"addr":"127.0.0.1:1","Mean":900,"Dev":300,"Past":900,"Seen":9,"Limit":7,"Wait":0}]}`
-	good := fmt.Sprintf(one, at(time.Minute))
+	good := fmt.Sprintf(one, clockAt(time.Minute))
 	change := func(old, new string) string { return strings.Replace(good, old, new, 1) }
 	for name, c := range map[string]struct {
 		text  string
 		taken bool
 	}{
 		"good":                {good, true},
-		"of a later time":     {fmt.Sprintf(one, at(time.Hour)), true},
+		"of a later time":     {fmt.Sprintf(one, clockAt(time.Hour)), true},
 		"empty":               {"", false},
 		"cut":                 {good[:len(good)/2], false},
 		"null":                {"null", false},
@@ -44,17 +44,17 @@
 		if err := os.WriteFile(filepath.Join(dir, learnedFileName), []byte(c.text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		l := follow(t, startAs(configureFour(dir, 100)))
+		l := recordCalls(t, startWith(fourClassConfig(dir, 100)))
 		if k := l.s.module.Learnt("a"); (k.Seen == 9 && k.Mean == 900) != c.taken {
 			t.Errorf("%s: %+v", name, k)
 		}
-		room := &client{window: make(chan struct{}, 1), disconnected: true}
-		room.window <- struct{}{}
-		l.s.handleCommand(room, words("OUT.ADD 0 n c=pure,d=8000,dest=1 x"))
-		l.goOn(5*time.Millisecond, time.Hour)
-		if len(l.begun) != 1 {
-			t.Errorf("%s: %d calls", name, len(l.begun))
-		} else if lasts := l.begun[0].timeout; lasts < choice.Second || lasts > 8*choice.Second {
+		client := &client{window: make(chan struct{}, 1), disconnected: true}
+		client.window <- struct{}{}
+		l.s.handleCommand(client, splitArgs("OUT.ADD 0 n c=pure,d=8000,dest=1 x"))
+		l.advanceAnswering(5*time.Millisecond, time.Hour)
+		if len(l.openCalls) != 1 {
+			t.Errorf("%s: %d calls", name, len(l.openCalls))
+		} else if lasts := l.openCalls[0].timeout; lasts < choice.Second || lasts > 8*choice.Second {
 			t.Errorf("%s: a call may take %.1f ms", name, float64(lasts)/float64(choice.Millisecond))
 		}
 	}
--- a/internal/sender/links_test.go
+++ b/internal/sender/links_test.go
@@ -14,17 +14,17 @@
 // whoever is there now.
 func TestLateConnectionToOldAddress(t *testing.T) {
 	for _, over := range []bool{false, true} {
-		conn, peer := met(t, false)
+		conn, peer := connPair(t, false)
 		r := start(t.TempDir(), 100)
-		r.hand("OUT.ADD 00 id c=order,d=20000,dest=1 x")
+		r.submit("OUT.ADD 00 id c=order,d=20000,dest=1 x")
 		c := r.calls[0]
-		r.list(movedA)
+		r.updateList(movedA)
 		c.done = over
-		r.comesUp(c, conn)
+		r.connectionUp(c, conn)
 		if n := len(r.s.endpoints["a"].idle); n != 0 || c.link != nil {
 			t.Errorf("over %v: idle %d, left %v", over, n, c.link != nil)
 		}
-		if text := allHeard(peer); text != "" {
+		if text := readToEnd(peer); text != "" {
 			t.Errorf("over %v: the old address heard %q", over, text)
 		}
 		if n := r.s.pending["id"]; n == nil || n.MayRun {
@@ -35,15 +35,15 @@
 
 // A link that was busy as its endpoint moved must not idle for the next call.
 func TestBusyLinkToOldAddress(t *testing.T) {
-	conn, peer := met(t, false)
+	conn, peer := connPair(t, false)
 	r := start(t.TempDir(), 100)
-	r.hand("OUT.ADD 00 id c=order,d=20000,dest=1 xyz")
+	r.submit("OUT.ADD 00 id c=order,d=20000,dest=1 xyz")
 	c := r.calls[0]
-	r.comesUp(c, conn)
-	heardBy(t, peer, "xyz")
-	r.list(movedA)
+	r.connectionUp(c, conn)
+	readUntilSuffix(t, peer, "xyz")
+	r.updateList(movedA)
 	peer.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
-	r.pump(t, "the call ends", func() bool { return c.done && !c.link.writing })
+	r.runUntil(t, "the call ends", func() bool { return c.done && !c.link.writing })
 	if n := len(r.s.endpoints["a"].idle); n != 0 {
 		t.Errorf("%d idle links to an address of before", n)
 	}
@@ -59,21 +59,21 @@
 	const gone = `{"version":2,"full":false,"servers":[{"id":"a","addr":"","cell":1,"state":"removed"}]}`
 	for _, of := range []struct {
 		name  string
-		comes func(*rig, *call)
+		comes func(*harness, *call)
 		idle  int
 	}{
-		{"call over", func(r *rig, c *call) { r.s.expireCall(c) }, 1},
-		{"message withdrawn and call over", func(r *rig, c *call) { r.s.pending["id"].withdrawn = true; r.s.expireCall(c) }, 1},
-		{"drained", func(r *rig, _ *call) { r.list(drained) }, 1},
-		{"unlisted", func(r *rig, _ *call) { r.list(gone) }, 0},
-		{"parted", func(r *rig, c *call) { r.s.cancelMessage(c, r.s.pending["id"]) }, 1},
+		{"call over", func(r *harness, c *call) { r.s.expireCall(c) }, 1},
+		{"message withdrawn and call over", func(r *harness, c *call) { r.s.pending["id"].withdrawn = true; r.s.expireCall(c) }, 1},
+		{"drained", func(r *harness, _ *call) { r.updateList(drained) }, 1},
+		{"unlisted", func(r *harness, _ *call) { r.updateList(gone) }, 0},
+		{"parted", func(r *harness, c *call) { r.s.cancelMessage(c, r.s.pending["id"]) }, 1},
 	} {
-		conn, peer := met(t, false)
+		conn, peer := connPair(t, false)
 		r := start(t.TempDir(), 100)
-		r.hand("OUT.ADD 00 id c=order,d=20000,dest=1 x")
+		r.submit("OUT.ADD 00 id c=order,d=20000,dest=1 x")
 		c, e := r.calls[0], r.s.endpoints["a"]
 		of.comes(r, c)
-		r.comesUp(c, conn)
+		r.connectionUp(c, conn)
 		if !c.done || c.link != nil || len(e.idle) != of.idle {
 			t.Errorf("%s: over %v, left %v, idle %d", of.name, c.done, c.link != nil, len(e.idle))
 		}
@@ -83,18 +83,18 @@
 		for _, l := range e.idle {
 			r.s.closeIdleLink(l, notNeeded)
 		}
-		if text := allHeard(peer); text != "" {
+		if text := readToEnd(peer); text != "" {
 			t.Errorf("%s: the endpoint heard %q", of.name, text)
 		}
-		r.pump(t, "the connection is forgotten", func() bool { return r.s.openLinks == 0 && e.linkCount == 0 })
+		r.runUntil(t, "the connection is forgotten", func() bool { return r.s.openLinks == 0 && e.linkCount == 0 })
 	}
 }
 
 // Small writes must not be held back: a close over unread bytes would take them along.
 func TestNoDelayOnCalls(t *testing.T) {
-	conn, _ := met(t, false)
+	conn, _ := connPair(t, false)
 	r := start(t.TempDir(), 100)
-	l := r.rest(t, "a", conn)
+	l := r.idleLink(t, "a", conn)
 	if on, err := syscall.GetsockoptInt(l.conn.(netpoll.Conn).Fd(), syscall.IPPROTO_TCP, syscall.TCP_NODELAY); on != 1 || err != nil {
 		t.Errorf("TCP_NODELAY: %d, %v", on, err)
 	}
@@ -106,7 +106,7 @@
 	r := start(t.TempDir(), 100)
 	var links []*link
 	for range 4 {
-		conn, _ := met(t, false)
+		conn, _ := connPair(t, false)
 		l := &link{sender: r.s, endpoint: r.s.endpoints["a"], addr: r.s.endpoints["a"].addr, conn: conn}
 		r.s.makeIdle(l)
 		r.clock += time.Millisecond
--- a/internal/sender/listnews_test.go
+++ b/internal/sender/listnews_test.go
@@ -17,12 +17,12 @@
 	"flaxcove/internal/resp"
 )
 
-// listed has a sender of the rig hear lists and tells what it then takes the endpoints for.
-func listed(t *testing.T, lists ...string) (*rig, map[choice.EndpointID]string) {
+// endpointsAfterLists has a sender of the rig hear lists and tells what it then takes the endpoints for.
+func endpointsAfterLists(t *testing.T, lists ...string) (*harness, map[choice.EndpointID]string) {
 	r := start("", 100)
 	t.Cleanup(func() { os.RemoveAll(r.dir) })
 	for _, text := range lists {
-		r.list(text)
+		r.updateList(text)
 	}
 	all := map[choice.EndpointID]string{}
 	for id, e := range r.s.endpoints {
@@ -32,7 +32,7 @@
 }
 
 // What lists may say that is odd. One that lacks an endpoint is obeyed; one that cannot be read changes nothing.
-func TestOddLists(t *testing.T) {
+func TestUnusualLists(t *testing.T) {
 	const (
 		a     = "127.0.0.1:1 dest 1 kind 0 ready true gone false"
 		b     = "127.0.0.1:2 dest 2 kind 1 ready true gone false"
@@ -61,7 +61,7 @@
 		"twice, removed and up": {[]string{delta(2, `{"id":"a","state":"removed"},`+fmt.Sprintf(entry, "a", "127.0.0.1:1", 1, "up"))}, map[choice.EndpointID]string{"a": a, "b": b, "z": z}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r, got := listed(t, c.lists...)
+			r, got := endpointsAfterLists(t, c.lists...)
 			if fmt.Sprint(got) != fmt.Sprint(c.want) {
 				t.Errorf("%v\nwant %v", got, c.want)
 			}
@@ -72,8 +72,8 @@
 	}
 }
 
-// standPlace is an endpoint that tells what came and answers when it is let.
-func standPlace(t *testing.T) (addr string, came chan string, let chan struct{}) {
+// blockingEndpoint is an endpoint that tells what came and answers when it is let.
+func blockingEndpoint(t *testing.T) (addr string, came chan string, let chan struct{}) {
 	came, let = make(chan string, 10), make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/inbox" {
@@ -90,14 +90,14 @@
 	return server.Listener.Addr().String(), came, let
 }
 
-// moving is a sender with one endpoint, e, for destination 1 at a place. tell hands it a change and returns when it is heard.
-func moving(t *testing.T, addr string) (s *Sender, hand func(id string), tell func(entry directory.Entry)) {
-	discovery := httptest.NewServer(http.HandlerFunc(turnsAway))
+// startMovable is a sender with one endpoint, e, for destination 1 at a place. tell hands it a change and returns when it is heard.
+func startMovable(t *testing.T, addr string) (s *Sender, hand func(id string), tell func(entry directory.Entry)) {
+	discovery := httptest.NewServer(http.HandlerFunc(rejectAll))
 	t.Cleanup(discovery.CloseClientConnections)
-	cfg := configure(t.TempDir(), 100)
+	cfg := testConfig(t.TempDir(), 100)
 	cfg.Listen, cfg.Discovery = "127.0.0.1:0", discovery.Listener.Addr().String()
 	cfg.Known.Servers = []directory.Entry{{ID: "e", Addr: addr, Zone: "z", Kind: "one", Cell: 1, State: "up", Weight: 100}}
-	s, conn, done := running(t, cfg)
+	s, conn, done := startServing(t, cfg)
 	t.Cleanup(func() {
 		conn.Close()
 		s.Drain()
@@ -115,7 +115,7 @@
 		}
 }
 
-func mustCome(t *testing.T, came <-chan string, where, want string) {
+func mustReceive(t *testing.T, came <-chan string, where, want string) {
 	t.Helper()
 	select {
 	case got := <-came:
@@ -129,12 +129,12 @@
 
 // An endpoint that moves while a call to it is out: its old connection carries no other call, though it ends well.
 func TestMovedUnderCall(t *testing.T) {
-	first, atFirst, letFirst := standPlace(t)
-	second, atSecond, letSecond := standPlace(t)
+	first, atFirst, letFirst := blockingEndpoint(t)
+	second, atSecond, letSecond := blockingEndpoint(t)
 	close(letSecond)
-	s, hand, tell := moving(t, first)
+	s, hand, tell := startMovable(t, first)
 	hand("one")
-	mustCome(t, atFirst, "the first place", "one")
+	mustReceive(t, atFirst, "the first place", "one")
 	tell(directory.Entry{ID: "e", Addr: second, Zone: "z", Kind: "one", Cell: 1, State: "up", Weight: 100})
 	close(letFirst)
 	for over, end := false, time.Now().Add(20*time.Second); !over; {
@@ -163,11 +163,11 @@
 func TestMovedUnderDial(t *testing.T) {
 	for _, cell := range []float64{1, 2} {
 		t.Run(fmt.Sprint("cell ", cell), func(t *testing.T) {
-			first, atFirst, letFirst := standPlace(t)
-			second, atSecond, letSecond := standPlace(t)
+			first, atFirst, letFirst := blockingEndpoint(t)
+			second, atSecond, letSecond := blockingEndpoint(t)
 			close(letFirst)
 			close(letSecond)
-			s, hand, tell := moving(t, first)
+			s, hand, tell := startMovable(t, first)
 			up, dialed := make(chan net.Addr, 10), make(chan struct{})
 			s.post(func() {
 				dial := s.dial
@@ -191,11 +191,11 @@
 			tell(directory.Entry{ID: "e", Addr: second, Zone: "z", Kind: "one", Cell: cell, State: "up", Weight: 100})
 			close(dialed)
 			if cell == 1 {
-				mustCome(t, atSecond, "the second place", "one")
+				mustReceive(t, atSecond, "the second place", "one")
 			} else {
 				// Nobody serves its destination any more; the next to come to the second place is for the new one.
 				tell(directory.Entry{ID: "f", Addr: second, Zone: "z", Kind: "one", Cell: 1, State: "up", Weight: 100})
-				mustCome(t, atSecond, "the second place", "one")
+				mustReceive(t, atSecond, "the second place", "one")
 			}
 			select {
 			case id := <-atFirst:
@@ -208,12 +208,12 @@
 
 // Nothing is laid up between turns, where lists come; and a call that were does not leave for an endpoint that has since
 // turned to another destination.
-func TestTurnedBeforeLeaving(t *testing.T) {
+func TestDrainedBeforeSending(t *testing.T) {
 	r := start("", 100)
 	defer os.RemoveAll(r.dir)
 	c := &client{window: make(chan struct{}, windowSize), writingReplies: 1}
 	c.window <- struct{}{}
-	r.s.handleCommand(c, words("OUT.ADD k one c=order,d=20000,dest=1 x"))
+	r.s.handleCommand(c, splitArgs("OUT.ADD k one c=order,d=20000,dest=1 x"))
 	if len(r.s.starting) != 0 {
 		t.Errorf("%d calls laid up before the turn", len(r.s.starting))
 	}
@@ -223,7 +223,7 @@
 	}
 	first := r.calls[0]
 	r.calls, r.s.starting = nil, []*call{first}
-	r.list(`{"version":2,"servers":[{"id":"a","addr":"127.0.0.1:3","zone":"z","kind":"one","cell":2,"state":"up","weight":100}]}`)
+	r.updateList(`{"version":2,"servers":[{"id":"a","addr":"127.0.0.1:3","zone":"z","kind":"one","cell":2,"state":"up","weight":100}]}`)
 	r.s.startCalls()
 	if len(r.calls) != 0 {
 		t.Errorf("a call for destination 1 leaves for %d at %s", r.calls[0].endpoint.destination, r.calls[0].endpoint.addr)
--- a/internal/sender/longday_test.go
+++ b/internal/sender/longday_test.go
@@ -23,13 +23,13 @@
 	defer func() { os.Stdout = quiet; null.Close() }()
 
 	r := start(t.TempDir(), 100)
-	bad := map[int]string{7: full, 13: lost, 21: "HTTP/1.1 503 Full\nConnection: close\nContent-Length: 0\n\n", 33: "HTTP/1.1 2"}
+	bad := map[int]string{7: answerFull, 13: answerError, 21: "HTTP/1.1 503 Full\nConnection: close\nContent-Length: 0\n\n", 33: "HTTP/1.1 2"}
 	answer := func(text string) {
 		c := r.calls[len(r.calls)-1]
 		if c.done { // its time ran out
 			r.calls = r.calls[:len(r.calls)-1]
 		} else {
-			r.answer(text)
+			r.endpointAnswers(text)
 		}
 		r.s.openLinks-- // the rig has no links that could end
 		c.endpoint.linkCount--
@@ -37,17 +37,17 @@
 	hour := func(no int) (heap uint64) {
 		for i := range 4000 {
 			class := []string{"status", "order"}[i%2]
-			r.hand(fmt.Sprintf("OUT.ADD %x n%d-%d c=%s,d=6000,dest=%d body", i, no, i, class, 1+i%2))
-			r.turn(40 * time.Millisecond)
+			r.submit(fmt.Sprintf("OUT.ADD %x n%d-%d c=%s,d=6000,dest=%d body", i, no, i, class, 1+i%2))
+			r.advance(40 * time.Millisecond)
 			for len(r.calls) > 0 {
-				answer(cmp.Or(bad[(i+len(r.calls))%40], ok))
+				answer(cmp.Or(bad[(i+len(r.calls))%40], answerOK))
 			}
 		}
-		r.turn(20 * time.Second)
+		r.advance(20 * time.Second)
 		for len(r.calls) > 0 {
-			answer(ok)
+			answer(answerOK)
 		}
-		r.turn(20 * time.Second)
+		r.advance(20 * time.Second)
 		runtime.GC()
 		var m runtime.MemStats
 		runtime.ReadMemStats(&m)
@@ -77,7 +77,7 @@
 		t.Errorf("only %d rewritings: the day was too short for the journal", r.s.counts.rewritings)
 	}
 
-	r.hand("OUT.ADD 0 kept c=status,d=6000,dest=1 body").turn(5 * time.Millisecond)
+	r.submit("OUT.ADD 0 kept c=status,d=6000,dest=1 body").advance(5 * time.Millisecond)
 	again := start(r.dir, 100)
 	if len(again.s.pending) != 1 || again.s.pending[choice.MessageID("kept")] == nil {
 		t.Errorf("owed after a kill: %d", len(again.s.pending))
--- a/internal/sender/meet_test.go
+++ b/internal/sender/meet_test.go
@@ -16,16 +16,16 @@
 
 // What the tests of single connections share: an endpoint that a test speaks for, byte by byte.
 
-const meetFor = 5 * time.Second // more than any step of these tests takes
+const connTestTimeout = 5 * time.Second // more than any step of these tests takes
 
 // keyed is a settings object whose first class may be repeated for a second after its first call.
-func tokened() string {
-	text := strings.Replace(boot, `"idempotency":"pure"`, `"idempotency":"token","repeatWindow":1000000000`, 1)
+func idempotencyKeySettings() string {
+	text := strings.Replace(twoClassSettings, `"idempotency":"pure"`, `"idempotency":"token","repeatWindow":1000000000`, 1)
 	return strings.Replace(text, "%d", "100", 1)
 }
 
-// met is a connection as the sender dials it, and its endpoint's side. A narrow one holds a few kilobytes on its way.
-func met(t *testing.T, narrow bool) (netpoll.Connection, *net.TCPConn) {
+// connPair is a connection as the sender dials it, and its endpoint's side. A narrow one holds a few kilobytes on its way.
+func connPair(t *testing.T, narrow bool) (netpoll.Connection, *net.TCPConn) {
 	t.Helper()
 	lc := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) (err error) {
 		if narrow {
@@ -38,7 +38,7 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	conn, err := netpoll.DialConnection("tcp", ln.Addr().String(), meetFor)
+	conn, err := netpoll.DialConnection("tcp", ln.Addr().String(), connTestTimeout)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -51,29 +51,29 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	peer.SetDeadline(time.Now().Add(meetFor))
+	peer.SetDeadline(time.Now().Add(connTestTimeout))
 	t.Cleanup(func() { peer.Close(); conn.Close() })
 	return conn, peer.(*net.TCPConn)
 }
 
-// rest brings up a link that idles at an endpoint.
-func (r *rig) rest(t *testing.T, to choice.EndpointID, conn netpoll.Connection) *link {
+// idleLink brings up a link that idles at an endpoint.
+func (r *harness) idleLink(t *testing.T, to choice.EndpointID, conn netpoll.Connection) *link {
 	t.Helper()
 	c := &call{s: r.s, endpoint: r.s.endpoints[to], beganAt: r.s.Now(), timeout: choice.Second, probe: true}
 	r.s.beginCall(c)
 	r.calls = r.calls[:len(r.calls)-1]
 	c.done = true
-	r.comesUp(c, conn)
+	r.connectionUp(c, conn)
 	if len(c.endpoint.idle) != 1 {
 		t.Fatalf("%d idle links", len(c.endpoint.idle))
 	}
 	return c.endpoint.idle[0]
 }
 
-// pump does what is posted until something holds.
-func (r *rig) pump(t *testing.T, what string, holds func() bool) {
+// runUntil does what is posted until something holds.
+func (r *harness) runUntil(t *testing.T, what string, holds func() bool) {
 	t.Helper()
-	for late := time.After(meetFor); !holds(); {
+	for late := time.After(connTestTimeout); !holds(); {
 		select {
 		case f := <-r.s.inbox:
 			f()
@@ -83,8 +83,8 @@
 	}
 }
 
-// heardBy reads a whole request head and body, which ends as the last byte of body has come.
-func heardBy(t *testing.T, peer net.Conn, last string) string {
+// readUntilSuffix reads a whole request head and body, which ends as the last byte of body has come.
+func readUntilSuffix(t *testing.T, peer net.Conn, last string) string {
 	t.Helper()
 	var all []byte
 	for piece := make([]byte, 65536); !strings.HasSuffix(string(all), last); {
@@ -96,14 +96,14 @@
 	return string(all)
 }
 
-// allHeard reads to the end of a connection, however it ends.
-func allHeard(peer net.Conn) string {
+// readToEnd reads to the end of a connection, however it ends.
+func readToEnd(peer net.Conn) string {
 	text, _ := io.ReadAll(peer)
 	return string(text)
 }
 
-// reset ends a connection without a word.
-func reset(peer *net.TCPConn) {
+// resetConn ends a connection without a word.
+func resetConn(peer *net.TCPConn) {
 	peer.SetLinger(0)
 	peer.Close()
 }
--- a/internal/sender/move_test.go
+++ b/internal/sender/move_test.go
@@ -19,39 +19,39 @@
 // before and after are the settings of a deployment that is left and of one that is moved to: the classes stand in
 // another order there, the zones have other numbers, and routes apart cost something.
 const (
-	before = `{"balancers":2,"quantum":5000000,"machineTypes":["one"],"zones":["z"],
+	oldSettings = `{"balancers":2,"quantum":5000000,"machineTypes":["one"],"zones":["z"],
 "bounds":{"maxAttempts":9,"maxOpen":50,"connIdle":10000000000,"dialTimeout":1000000000,"retryAfter":true,"maxRetryAfter":2000000000},
 "classes":[{"name":"offer","idempotency":"token","group":"zone","repeatWindow":10000000000,"aim":3000000000,"deadline":20000000000,"worth":2},
 {"name":"change","idempotency":"side_effect","byArrival":true,"aim":2500000000,"deadline":20000000000,"worth":1}],
 "extra":{"callsOut":8},"rules":{"cold":1000000000,"coldFrom":0.5,"fallMultiple":2,"keyRest":300000000},"stats":{"fields":["x0","x1"]}}`
-	listBefore = `{"version":9,"full":true,"servers":[{"id":"a","addr":"127.0.0.1:1","zone":"z","kind":"one","cell":1,"state":"up","weight":9}]}`
-	listAfter  = `{"version":1,"full":true,"servers":[{"id":"n","addr":"127.0.0.1:7","zone":"y","kind":"one","cell":1,"state":"up","weight":9},
+	oldList = `{"version":9,"full":true,"servers":[{"id":"a","addr":"127.0.0.1:1","zone":"z","kind":"one","cell":1,"state":"up","weight":9}]}`
+	newList = `{"version":1,"full":true,"servers":[{"id":"n","addr":"127.0.0.1:7","zone":"y","kind":"one","cell":1,"state":"up","weight":9},
 {"id":"a","addr":"127.0.0.1:1","zone":"z","kind":"one","cell":1,"state":"up","weight":9}]}`
 )
 
-var after = strings.NewReplacer(`"zones":["z"]`, `"zones":["y","z"]`, `"extra":{`, `"extra":{"carriage":[0.01,0.04],"separateRoutes":[true],`,
+var newSettings = strings.NewReplacer(`"zones":["z"]`, `"zones":["y","z"]`, `"extra":{`, `"extra":{"carriage":[0.01,0.04],"separateRoutes":[true],`,
 	`"classes":[{"name":"offer","idempotency":"token","group":"zone","repeatWindow":10000000000,"aim":3000000000,"deadline":20000000000,"worth":2},
 {"name":"change","idempotency":"side_effect","byArrival":true,"aim":2500000000,"deadline":20000000000,"worth":1}]`,
 	`"classes":[{"name":"change","idempotency":"side_effect","byArrival":true,"aim":2500000000,"deadline":20000000000,"worth":1},
-{"name":"offer","idempotency":"token","group":"zone","repeatWindow":10000000000,"aim":3000000000,"deadline":20000000000,"worth":2}]`).Replace(before)
+{"name":"offer","idempotency":"token","group":"zone","repeatWindow":10000000000,"aim":3000000000,"deadline":20000000000,"worth":2}]`).Replace(oldSettings)
 
 // An old folder under new settings: a keyed message that may have run in zone z goes again to zone z, whatever its
 // number is now; where z is not known any more it goes nowhere; a single-use one that was out is given up. What an
 // ordered key still owes goes on in the order taken. A switch back finds the same.
 func Example_moveOfFolder() {
 	dir, _ := os.MkdirTemp("", "sender")
-	r := startAs(configureAs(dir, before, listBefore)).hand("OUT.ADD k of c=offer,d=20000,dest=1 x").answer(lost)
-	r.hand("OUT.ADD k out c=change,d=20000,dest=1 x", "OUT.ADD k next c=change,d=20000,dest=1 x", "OUT.ADD k last c=change,d=20000,dest=1 x")
+	r := startWith(testConfigWith(dir, oldSettings, oldList)).submit("OUT.ADD k of c=offer,d=20000,dest=1 x").endpointAnswers(answerError)
+	r.submit("OUT.ADD k out c=change,d=20000,dest=1 x", "OUT.ADD k next c=change,d=20000,dest=1 x", "OUT.ADD k last c=change,d=20000,dest=1 x")
 	fmt.Println("killed, moved")
-	r = startAt(configureAs(dir, after, listAfter), r.clock).turn(400 * time.Millisecond)
+	r = startAt(testConfigWith(dir, newSettings, newList), r.clock).advance(400 * time.Millisecond)
 	for _, c := range r.calls {
 		fmt.Println("out:", c.endpoint.id, c.messages[0].ID)
 	}
 	fmt.Println("killed, moved to where z is not known")
-	r = startAt(configureAs(dir, strings.Replace(after, `["y","z"]`, `["y","x"]`, 1), strings.Replace(listAfter, `"zone":"z"`, `"zone":"x"`, 1)), r.clock)
-	r.turn(400 * time.Millisecond)
+	r = startAt(testConfigWith(dir, strings.Replace(newSettings, `["y","z"]`, `["y","x"]`, 1), strings.Replace(newList, `"zone":"z"`, `"zone":"x"`, 1)), r.clock)
+	r.advance(400 * time.Millisecond)
 	fmt.Println("killed, moved back")
-	startAt(configureAs(dir, before, listBefore), r.clock).turn(400 * time.Millisecond)
+	startAt(testConfigWith(dir, oldSettings, oldList), r.clock).advance(400 * time.Millisecond)
 	os.RemoveAll(dir)
 	// Output:
 	// call a: POST /inbox
@@ -83,13 +83,13 @@
 // update reads it under these and writes the name, so that the move after it finds the zone, whatever becomes of the process.
 func Example_zoneOfOldRecord() {
 	dir, _ := os.MkdirTemp("", "sender")
-	two := strings.Replace(before, `["z"]`, `["q","r","z"]`, 1)
-	r := startAs(configureAs(dir, two, listBefore)).hand("OUT.ADD k of c=offer,d=20000,dest=1 x")
+	two := strings.Replace(oldSettings, `["z"]`, `["q","r","z"]`, 1)
+	r := startWith(testConfigWith(dir, two, oldList)).submit("OUT.ADD k of c=offer,d=20000,dest=1 x")
 	old := attemptRecord("of", r.s.Now(), 2, "")
 	r.s.journal.Add(old[:len(old)-1])
 	r.s.journal.Flush()
-	startAs(configureAs(dir, two, listBefore))
-	n := startAs(configureAs(dir, after, listAfter)).s.pending["of"]
+	startWith(testConfigWith(dir, two, oldList))
+	n := startWith(testConfigWith(dir, newSettings, newList)).s.pending["of"]
 	fmt.Println("may have run:", n.MayRun, "in", n.ranInZoneName, "which is", n.RanIn)
 	os.RemoveAll(dir)
 	// Output:
@@ -100,11 +100,11 @@
 }
 
 // What an earlier life learnt is for the first entry of an endpoint: one that comes back to the list later is new.
-func Example_learntOnce() {
+func Example_learnedStateUsedOnce() {
 	dir, _ := os.MkdirTemp("", "sender")
-	r := startAs(configureAs(dir, before, listBefore)).hand("OUT.ADD k of c=offer,d=20000,dest=1 x")
-	r.answer("HTTP/1.1 429 Wait\nRetry-After: 9\nContent-Length: 0\n\n").s.shutDown()
-	r = startAs(configureAs(dir, before, listBefore))
+	r := startWith(testConfigWith(dir, oldSettings, oldList)).submit("OUT.ADD k of c=offer,d=20000,dest=1 x")
+	r.endpointAnswers("HTTP/1.1 429 Wait\nRetry-After: 9\nContent-Length: 0\n\n").s.shutDown()
+	r = startWith(testConfigWith(dir, oldSettings, oldList))
 	fmt.Println("waits on:", r.s.module.Learnt("a").Wait > 8*choice.Second, "kept for later:", len(r.s.learned))
 	os.RemoveAll(dir)
 	// Output:
@@ -118,9 +118,9 @@
 // folder stays as it is, and the old settings still serve it.
 func Example_moveWithoutClass() {
 	dir, _ := os.MkdirTemp("", "sender")
-	r := startAs(configureAs(dir, before, listBefore)).hand("OUT.ADD k of c=offer,d=20000,dest=1 x")
-	startAt(configureAs(dir, strings.Replace(after, `"name":"offer"`, `"name":"other"`, 1), listAfter), r.clock)
-	startAt(configureAs(dir, before, listBefore), r.clock).owed()
+	r := startWith(testConfigWith(dir, oldSettings, oldList)).submit("OUT.ADD k of c=offer,d=20000,dest=1 x")
+	startAt(testConfigWith(dir, strings.Replace(newSettings, `"name":"offer"`, `"name":"other"`, 1), newList), r.clock)
+	startAt(testConfigWith(dir, oldSettings, oldList), r.clock).printPending()
 	os.RemoveAll(dir)
 	// Output:
 	// call a: POST /inbox
@@ -132,21 +132,21 @@
 
 // What a planned end wrote is read for the endpoint that is the same machine of the same destination, and for no other;
 // a file that cannot be read, or makes no sense, is passed over.
-func Example_learnt() {
+func Example_learnedState() {
 	dir, _ := os.MkdirTemp("", "sender")
 	show := func(list string) {
-		r := startAs(configureAs(dir, after, list))
+		r := startWith(testConfigWith(dir, newSettings, list))
 		fmt.Printf("a: %+v\n", r.s.module.Learnt("a"))
 	}
-	r := startAs(configureAs(dir, before, listBefore)).hand("OUT.ADD k of c=offer,d=20000,dest=1 x")
+	r := startWith(testConfigWith(dir, oldSettings, oldList)).submit("OUT.ADD k of c=offer,d=20000,dest=1 x")
 	r.clock += 90 * time.Millisecond
-	r.answer("HTTP/1.1 200 OK\nX-Load: x0=0.5,x1=7\nContent-Length: 0\n\n").s.shutDown()
-	show(listAfter)
-	show(strings.Replace(listAfter, "127.0.0.1:1", "127.0.0.1:5", 1))
-	show(strings.Replace(listAfter, `"zone":"z","kind":"one","cell":1`, `"zone":"z","kind":"one","cell":2`, 1))
+	r.endpointAnswers("HTTP/1.1 200 OK\nX-Load: x0=0.5,x1=7\nContent-Length: 0\n\n").s.shutDown()
+	show(newList)
+	show(strings.Replace(newList, "127.0.0.1:1", "127.0.0.1:5", 1))
+	show(strings.Replace(newList, `"zone":"z","kind":"one","cell":1`, `"zone":"z","kind":"one","cell":2`, 1))
 	for _, text := range []string{`{"endpoints":[{"endpoint":"a","destination":1,"addr":"127.0.0.1:1","Mean":-1,"Seen":1}]}`, `{"endp`} {
 		os.WriteFile(filepath.Join(dir, learnedFileName), []byte(text), 0o600)
-		show(listAfter)
+		show(newList)
 	}
 	os.RemoveAll(dir)
 	// Output:
@@ -165,7 +165,7 @@
 // switch back finds what was owed.
 func TestMove(t *testing.T) {
 	t.Parallel()
-	w := &world{met: map[string][]string{}}
+	w := &fakeServer{received: map[string][]string{}}
 	server := httptest.NewServer(w)
 	defer server.Close()
 	addr := server.Listener.Addr().String()
@@ -174,9 +174,9 @@
 		return directory.Entry{ID: id, Addr: addr, Zone: zone, Kind: "one", Cell: cell, State: "up", Weight: 9}
 	}
 	run := func(settings string, entries ...directory.Entry) (s *Sender, hand func(id, dest, body string), end func()) {
-		cfg := configureAs(dir, settings, `{"version":1,"full":true}`)
+		cfg := testConfigWith(dir, settings, `{"version":1,"full":true}`)
 		cfg.Listen, cfg.Discovery, cfg.Known.Servers = "127.0.0.1:0", addr, entries
-		s, conn, done := running(t, cfg)
+		s, conn, done := startServing(t, cfg)
 		in := bufio.NewReader(conn)
 		return s, func(id, dest, body string) {
 				conn.Write(resp.AppendCommand(nil, []byte("OUT.ADD"), []byte("k"), []byte(id), []byte("c=offer,d=20000,dest="+dest), []byte(body)))
@@ -204,16 +204,16 @@
 	}
 	const done = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 
-	_, hand, end := run(before, entry("stays", "z", 1), entry("shut", "z", 2), entry("old", "z", 3))
+	_, hand, end := run(oldSettings, entry("stays", "z", 1), entry("shut", "z", 2), entry("old", "z", 3))
 	hand("one", "1", done)
 	hand("waits", "2", "HTTP/1.1 429 Wait\r\nRetry-After: 6\r\nContent-Length: 0\r\n\r\n")
 	if !meets("one", 1) || !meets("waits", 1) {
 		t.Fatal("nothing left before the move")
 	}
-	told := time.Now()
+	refusedAt := time.Now()
 	end()
 
-	s, hand, end := run(after, entry("stays", "z", 1), entry("shut", "z", 2), entry("new", "y", 3))
+	s, hand, end := run(newSettings, entry("stays", "z", 1), entry("shut", "z", 2), entry("new", "y", 3))
 	if old, fresh := seen(s, "stays"), seen(s, "new"); old != 1 || fresh != 0 {
 		t.Errorf("known of the endpoint that stays: %v calls, of the new one: %v", old, fresh)
 	}
@@ -223,12 +223,12 @@
 	}
 	if !meets("waits", 2) {
 		t.Error("what was owed is not tried again")
-	} else if early := time.Since(told); early < 5900*time.Millisecond {
+	} else if early := time.Since(refusedAt); early < 5900*time.Millisecond {
 		t.Errorf("the wait told before the move was over after %v", early)
 	}
 	end()
 
-	s, _, end = run(before, entry("stays", "z", 1), entry("shut", "z", 2), entry("old", "z", 3))
+	s, _, end = run(oldSettings, entry("stays", "z", 1), entry("shut", "z", 2), entry("old", "z", 3))
 	if old := seen(s, "stays"); old != 1 {
 		t.Errorf("after the switch back %v calls are known of the endpoint that stays", old)
 	}
@@ -245,7 +245,7 @@
 	for _, change := range [][2]string{{`"carriage":[0.01,0.04]`, `"carriage":[0.01]`}, {`"carriage":[0.01,0.04]`, `"carriage":[0.01,-1]`},
 		{`"keyRest":300000000`, `"keyRest":-1`}, {`"cold":1000000000`, `"cold":-5`}} {
 		file := fmt.Sprintf(`{"name":"s","listen":"127.0.0.1:0","discovery":"127.0.0.1:2","state":"state","settings":%s}`,
-			strings.Replace(after, change[0], change[1], 1))
+			strings.Replace(newSettings, change[0], change[1], 1))
 		path := filepath.Join(os.TempDir(), fmt.Sprint("move", os.Getpid(), ".json"))
 		os.WriteFile(path, []byte(file), 0o600)
 		_, err := config.Load(func(name string) string { return map[string]string{"EDGE_CONFIG": path}[name] })
--- a/internal/sender/nodelay_test.go
+++ b/internal/sender/nodelay_test.go
@@ -25,21 +25,21 @@
 // No socket holds small writes back: not one that was accepted, nor those to discovery, endpoints and the platform. What
 // the system holds back goes with a connection that is reset.
 func TestNoDelay(t *testing.T) {
-	p := &partner{}
+	p := &fakePartner{}
 	p.up.Store(true)
 	p.Server = httptest.NewServer(p)
 	defer p.Server.Close()
 	defer p.CloseClientConnections()
-	cfg := configure(t.TempDir(), 100)
+	cfg := testConfig(t.TempDir(), 100)
 	cfg.Listen, cfg.Discovery = "127.0.0.1:0", p.Listener.Addr().String()
 	cfg.Known.Servers = []directory.Entry{{ID: "new", Addr: cfg.Discovery, Zone: "z", Kind: "one", Cell: 1, State: "up", Weight: 100},
 		{ID: "leaves", Addr: "127.0.0.1:9", Zone: "z", Kind: "one", Cell: 9, State: "draining", Weight: 100}}
-	s, conn, done := running(t, cfg)
+	s, conn, done := startServing(t, cfg)
 	for id, list := range map[string]string{"sent": "c=status,d=6000,dest=1", "ends": "c=status,d=1200,dest=9"} {
 		conn.Write(resp.AppendCommand(nil, []byte("OUT.ADD"), []byte("0"), []byte(id), []byte(list), nil))
 		mustRead(t, conn, "+OK\r\n")
 	}
-	until(t, "one is delivered, and the other's end told", func() bool { return p.inbox.Load() > 0 && p.outcome.Load() > 0 })
+	waitUntil(t, "one is delivered, and the other's end told", func() bool { return p.inbox.Load() > 0 && p.outcome.Load() > 0 })
 	off := func(fd int) bool {
 		on, err := syscall.GetsockoptInt(fd, syscall.IPPROTO_TCP, syscall.TCP_NODELAY)
 		return err != nil || on == 0
--- a/internal/sender/notes_test.go
+++ b/internal/sender/notes_test.go
@@ -29,8 +29,8 @@
 	return conn
 }
 
-// turnsAway turns every message away for a while, and has no news.
-func turnsAway(out http.ResponseWriter, r *http.Request) {
+// rejectAll turns every message away for a while, and has no news.
+func rejectAll(out http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/inbox" {
 		io.Copy(io.Discard, r.Body)
 		out.Header().Set("Retry-After", "2")
@@ -46,8 +46,8 @@
 
 // What one sender is told to wait, the other heeds, though it sent nothing there; what comes from a stranger, or is spoilt
 // or no note of the module's, changes nothing. Where notes are off, nothing is bound and nothing told.
-func TestNotes(t *testing.T) {
-	server := httptest.NewServer(http.HandlerFunc(turnsAway))
+func TestGossip(t *testing.T) {
+	server := httptest.NewServer(http.HandlerFunc(rejectAll))
 	defer server.CloseClientConnections()
 	var at [3]string
 	for i := range at {
@@ -56,12 +56,12 @@
 		conn.Close()
 	}
 	begin := func(number int, on bool) (*Sender, net.Conn, <-chan struct{}) {
-		cfg := configure(t.TempDir(), 100)
+		cfg := testConfig(t.TempDir(), 100)
 		cfg.Listen, cfg.Discovery = "127.0.0.1:0", server.Listener.Addr().String()
 		cfg.PeerListen, cfg.Peers = at[number], append(at[:], "127.0.0.1:7", "127.0.0.1:7", "127.0.0.1:7")
 		cfg.Settings.Senders, cfg.Settings.Number, cfg.Settings.Notes = 20, choice.PeerNo(number), on
 		cfg.Known.Servers = []directory.Entry{{ID: "full", Addr: server.Listener.Addr().String(), Zone: "z", Kind: "one", Cell: 1, State: "up", Weight: 100}}
-		return running(t, cfg)
+		return startServing(t, cfg)
 	}
 	teller, client, ended := begin(0, true)
 	hearer, client2, ended2 := begin(1, true)
@@ -133,8 +133,8 @@
 }
 
 // A socket that cannot be had keeps nobody from serving: the sender goes without notes, and its module knows.
-func TestNotesNotToBeHad(t *testing.T) {
-	cfg := configure(t.TempDir(), 100)
+func TestGossipUnavailable(t *testing.T) {
+	cfg := testConfig(t.TempDir(), 100)
 	cfg.Settings.Notes, cfg.Peers, cfg.PeerListen = true, []string{"127.0.0.1:1"}, fmt.Sprint(udp(t).LocalAddr())
 	without, p := openGossip(cfg, zap.NewNop())
 	if p != nil || without.Settings.Notes || !cfg.Settings.Notes {
@@ -143,7 +143,7 @@
 }
 
 // Before the loop runs, what comes in is done until discovery has spoken, or for as long as it may take.
-func TestAwaitNews(t *testing.T) {
+func TestAwaitFirstList(t *testing.T) {
 	s := start(t.TempDir(), 100).s
 	s.inbox <- func() {}
 	s.inbox <- func() { s.updateEndpoints(directory.List{Version: 2}, false) }
--- a/internal/sender/odd_test.go
+++ b/internal/sender/odd_test.go
@@ -11,7 +11,7 @@
 
 // Twenty classes of odd names are told apart, through a kill too, and one that tells no aim has calls that last long
 // enough for an answer.
-func TestOddClasses(t *testing.T) {
+func TestUnusualClasses(t *testing.T) {
 	t.Parallel()
 	var names, classes []string
 	for i := range 20 {
@@ -21,33 +21,33 @@
 	}
 	settings := fmt.Sprintf(`{"quantum":5000000,"machineTypes":["one"],"zones":["z"],"classes":[%s],"extra":{"callsOut":40}}`, strings.Join(classes, ","))
 	dir := t.TempDir()
-	l := follow(t, startAs(configureAs(dir, settings, listFour)))
+	l := recordCalls(t, startWith(testConfigWith(dir, settings, oneEndpointList)))
 	c := &client{window: make(chan struct{}, windowSize), writingReplies: 1}
 	for i, name := range names {
 		c.window <- struct{}{}
-		l.s.handleCommand(c, words(fmt.Sprintf("OUT.ADD 0 n%d c=%s,d=8000,dest=7 x", i, name)))
+		l.s.handleCommand(c, splitArgs(fmt.Sprintf("OUT.ADD 0 n%d c=%s,d=8000,dest=7 x", i, name)))
 	}
-	l.list(`{"version":2,"servers":[{"id":"g","addr":"127.0.0.1:7","zone":"z","kind":"one","cell":7,"state":"draining"}]}`)
+	l.updateList(`{"version":2,"servers":[{"id":"g","addr":"127.0.0.1:7","zone":"z","kind":"one","cell":7,"state":"draining"}]}`)
 	for i, name := range names {
 		c.window <- struct{}{}
-		l.s.handleCommand(c, words(fmt.Sprintf("OUT.ADD 0 n%d c=%s,d=8000,dest=7 x", i, name)))
+		l.s.handleCommand(c, splitArgs(fmt.Sprintf("OUT.ADD 0 n%d c=%s,d=8000,dest=7 x", i, name)))
 	}
-	l.goOn(5*time.Millisecond, time.Hour)
+	l.advanceAnswering(5*time.Millisecond, time.Hour)
 	if got := strings.Count(string(c.output), "+OK"); got != len(names) {
 		t.Fatalf("%d of %d taken on: %.300s", got, len(names), c.output)
 	}
-	l = follow(t, startAt(configureAs(dir, settings, strings.ReplaceAll(listFour, `"cell":1`, `"cell":7`)), l.clock))
+	l = recordCalls(t, startAt(testConfigWith(dir, settings, strings.ReplaceAll(oneEndpointList, `"cell":1`, `"cell":7`)), l.clock))
 	for i, name := range names {
 		n := l.s.pending[choice.MessageID(fmt.Sprint("n", i))]
 		if n == nil || n.className != name || n.Class != choice.ClassNo(i) {
 			t.Errorf("class %q: %v", name, n)
 		}
 	}
-	l.goOn(5*time.Millisecond, time.Hour)
-	if len(l.begun) == 0 {
+	l.advanceAnswering(5*time.Millisecond, time.Hour)
+	if len(l.openCalls) == 0 {
 		t.Fatal("nothing is called")
 	}
-	for _, c := range l.begun {
+	for _, c := range l.openCalls {
 		if c.timeout < second {
 			t.Errorf("a call to what nothing is known of may take %.1f ms", float64(c.timeout)/float64(choice.Millisecond))
 		}
--- a/internal/sender/outcomes_test.go
+++ b/internal/sender/outcomes_test.go
@@ -33,10 +33,10 @@
 	for _, head := range []string{"Connection: close\n", ""} {
 		r := start("", 100)
 		for _, id := range []string{"s1", "s2"} {
-			r.hand("OUT.ADD 0 " + id + " c=status,d=6000,dest=1 x").turn(10 * time.Millisecond)
-			r.answer("HTTP/1.1 503 Full\n" + head + "Content-Length: 0\n\n")
+			r.submit("OUT.ADD 0 " + id + " c=status,d=6000,dest=1 x").advance(10 * time.Millisecond)
+			r.endpointAnswers("HTTP/1.1 503 Full\n" + head + "Content-Length: 0\n\n")
 		}
-		r.turn(140 * time.Millisecond)
+		r.advance(140 * time.Millisecond)
 	}
 	// Output:
 	// call a: POST /inbox
@@ -65,15 +65,15 @@
 
 // How a call of a single-use message ended decides whether it may be sent again.
 func Example_outcomes() {
-	for _, text := range []string{ok, lost, full, "HTTP/1.1 503 Full\nContent-Length: 0\n\n", "HTTP/1.1 503 Full\nX-No-Slot: 1\nContent-Length: 0\n\n",
-		"HTTP/1.1 410 Gone\nContent-Length: 0\n\n", "HTTP/1.1 504 Out\nContent-Length: 0\n\n", "HTTP/1.1 200 OK\nContent-", "HTTP/1.1 429 Wait\nCont", "HTTP/1.", "", unsent, "nonsense\n"} {
+	for _, text := range []string{answerOK, answerError, answerFull, "HTTP/1.1 503 Full\nContent-Length: 0\n\n", "HTTP/1.1 503 Full\nX-No-Slot: 1\nContent-Length: 0\n\n",
+		"HTTP/1.1 410 Gone\nContent-Length: 0\n\n", "HTTP/1.1 504 Out\nContent-Length: 0\n\n", "HTTP/1.1 200 OK\nContent-", "HTTP/1.1 429 Wait\nCont", "HTTP/1.", "", lastByteUnsent, "nonsense\n"} {
 		r := start("", 100)
 		c := &client{window: make(chan struct{}, 1), disconnected: true}
 		c.window <- struct{}{}
 		r.s.handleCommand(c, [][]byte{[]byte("OUT.ADD"), []byte("0"), []byte("id"), []byte("c=order,d=20000,dest=1"), nil})
 		r.s.turn()
 		n := r.s.pending["id"]
-		r.answer(text)
+		r.endpointAnswers(text)
 		fmt.Printf("%-20.20q may have run: %-5v owed: %v\n", text, n.MayRun, r.s.pending["id"] != nil && n.ending.kind == endNone)
 		os.RemoveAll(r.dir)
 	}
@@ -96,9 +96,9 @@
 // A list that drops an endpoint, or moves it, takes its connections along; unreadable entries are left out.
 func Example_list() {
 	r := start("", 100)
-	r.list(`{"version":2,"full":false,"servers":[{"id":"a","addr":"","cell":1,"state":"removed"},{"id":"b","cell":2,"state":"odd"},
+	r.updateList(`{"version":2,"full":false,"servers":[{"id":"a","addr":"","cell":1,"state":"removed"},{"id":"b","cell":2,"state":"odd"},
 		{"id":"c","addr":"127.0.0.1:3","zone":"z","kind":"one","cell":1,"state":"up","weight":1}]}`)
-	r.hand("OUT.ADD 00 x c=status,d=6000,dest=1 x")
+	r.submit("OUT.ADD 00 x c=status,d=6000,dest=1 x")
 	fmt.Println(len(r.s.endpoints), r.s.endpoints["a"] == nil)
 	os.RemoveAll(r.dir)
 	// Output:
@@ -110,7 +110,7 @@
 
 // FuzzEndpoint: whatever an endpoint says to a bundle, each message has one outcome and none is lost.
 func FuzzEndpoint(f *testing.F) {
-	f.Add(ok)
+	f.Add(answerOK)
 	f.Add("HTTP/1.1 200 OK\nRetry-After: 1e9\nX-Load: x0=NaN,x1=-1,=,\nContent-Length: 29\n\n" + `[{"id":"s1","state":"later"}]`)
 	f.Fuzz(func(t *testing.T, text string) {
 		r := start(t.TempDir(), 100)
@@ -120,7 +120,7 @@
 			r.s.handleCommand(c, [][]byte{[]byte("OUT.ADD"), []byte("0"), []byte(id), []byte("c=status,d=6000,dest=2"), nil})
 		}
 		r.s.turn()
-		r.answer(text)
+		r.endpointAnswers(text)
 		for _, n := range []choice.MessageID{"s1", "s2"} {
 			if n := r.s.pending[n]; n != nil && n.inFlight != nil {
 				t.Fatalf("%s: still out", n.ID)
--- a/internal/sender/owed_endings_test.go
+++ b/internal/sender/owed_endings_test.go
@@ -21,16 +21,16 @@
 	var records [][]byte
 	const each = 700
 	for i := range each {
-		n := taken(fmt.Sprint("ended", i), "0", "single", 1, now-second, 8*second)
+		n := acceptedMessage(fmt.Sprint("ended", i), "0", "single", 1, now-second, 8*second)
 		n.ending = ending{kind: []endKind{endFailed, endShed}[i%2], retryMS: 50}
 		records = append(records, n.acceptedRecord(), endingRecord(n))
-		records = append(records, taken(fmt.Sprint("late", i), "0", "pure", 1, now-9*second, 8*second).acceptedRecord())
-		out := taken(fmt.Sprint("out", i), "0", "single", 1, now-second, 8*second)
+		records = append(records, acceptedMessage(fmt.Sprint("late", i), "0", "pure", 1, now-9*second, 8*second).acceptedRecord())
+		out := acceptedMessage(fmt.Sprint("out", i), "0", "single", 1, now-second, 8*second)
 		records = append(records, out.acceptedRecord(), attemptRecord(out.ID, now-second, 0, "z"))
 	}
-	leave(t, dir, records...)
+	writeJournal(t, dir, records...)
 	var lock sync.Mutex
-	told, first := map[string]string{}, ""
+	outcomes, first := map[string]string{}, ""
 	all := make(chan struct{})
 	platform := httptest.NewServer(http.HandlerFunc(func(out http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != outcomesPath {
@@ -49,8 +49,8 @@
 			return
 		}
 		lock.Lock()
-		for _, e := range endingsIn(body) {
-			if told[e.Message] = e.Outcome; len(told) == 3*each {
+		for _, e := range parseEndings(body) {
+			if outcomes[e.Message] = e.Outcome; len(outcomes) == 3*each {
 				close(all)
 			}
 		}
@@ -59,10 +59,10 @@
 	}))
 	defer platform.Close()
 	defer platform.CloseClientConnections()
-	cfg := configureFour(dir, 100)
+	cfg := fourClassConfig(dir, 100)
 	cfg.Listen, cfg.Discovery, cfg.Limits.DiskMB = "127.0.0.1:0", platform.Listener.Addr().String(), 8
 	began := time.Now()
-	s, conn, done := running(t, cfg)
+	s, conn, done := startServing(t, cfg)
 	ready := time.Now()
 	select {
 	case <-all:
@@ -72,7 +72,7 @@
 	t.Logf("ready after %v, all told %v later", ready.Sub(began).Round(time.Millisecond), time.Since(ready).Round(time.Millisecond))
 	for i := range each {
 		lock.Lock()
-		ended, late, out := told[fmt.Sprint("ended", i)], told[fmt.Sprint("late", i)], told[fmt.Sprint("out", i)]
+		ended, late, out := outcomes[fmt.Sprint("ended", i)], outcomes[fmt.Sprint("late", i)], outcomes[fmt.Sprint("out", i)]
 		lock.Unlock()
 		if ended != []string{"given_up", "handed_back"}[i%2] || late != "handed_back" || out != "given_up" {
 			t.Fatalf("%d: ended %q, late %q, out %q", i, ended, late, out)
--- a/internal/sender/parting_test.go
+++ b/internal/sender/parting_test.go
@@ -20,7 +20,7 @@
 		end               func(t *testing.T, s *Sender, c *client, conn net.Conn, dial func(string) net.Conn)
 	}{
 		{"idle", served, pongText, func(t *testing.T, s *Sender, c *client, _ net.Conn, _ func(string) net.Conn) {
-			inLoop(t, s, func() { s.closeClient(c, idleTimeout) })
+			onLoop(t, s, func() { s.closeClient(c, idleTimeout) })
 		}},
 		{"silent", unserved, "", func(t *testing.T, s *Sender, c *client, conn net.Conn, dial func(string) net.Conn) {
 			s.clients.Lock()
@@ -28,7 +28,7 @@
 			c.connectedAt -= silentTimeout
 		}},
 		{"half a command", "*2\r\n$4\r\nPI", "", func(t *testing.T, s *Sender, c *client, conn net.Conn, dial func(string) net.Conn) {
-			until(t, "half a command is read", func() bool { return c.partialSince.Load() != 0 })
+			waitUntil(t, "half a command is read", func() bool { return c.partialSince.Load() != 0 })
 			c.partialSince.Store(min(-1, c.partialSince.Load()-int64(partialCommandTimeout)))
 		}},
 		{"broken", "nonsense\r\n", "-ERR protocol: a command is an array of bulk strings\r\n", nil},
@@ -50,12 +50,12 @@
 			conn := dial(way.first)
 			if way.end != nil {
 				c := clientOf(t, s, conn)
-				until(t, "the answer is out", func() bool { return way.first != served || c.idleSince.Load() != 0 })
+				waitUntil(t, "the answer is out", func() bool { return way.first != served || c.idleSince.Load() != 0 })
 				way.end(t, s, c, conn, dial)
 			}
-			until(t, "the sender ends the connection", func() bool { return state(t, conn) != stateOpen })
+			waitUntil(t, "the sender ends the connection", func() bool { return state(t, conn) != stateOpen })
 			io.WriteString(conn, addText("crossing"))
-			until(t, "what crosses has come", func() bool { return heard(t, conn) || state(t, conn) == stateClosed })
+			waitUntil(t, "what crosses has come", func() bool { return allAcknowledged(t, conn) || state(t, conn) == stateClosed })
 			if got := state(t, conn); got != stateCloseWait {
 				t.Errorf("the connection is in state %d, and so was reset", got)
 			}
@@ -63,7 +63,7 @@
 				t.Errorf("told %q, %v, want %q", text, err, way.told)
 			}
 			conn.Close()
-			until(t, "its place is free", func() bool {
+			waitUntil(t, "its place is free", func() bool {
 				s.clients.Lock()
 				defer s.clients.Unlock()
 				for c := range s.clients.all {
@@ -82,25 +82,25 @@
 	}
 }
 
-// crossing is a connection on which something is made to come in the last moment before its end: at the call of Fd
+// lateInputConn is a connection on which something is made to come in the last moment before its end: at the call of Fd
 // that the shutdown makes, which is the one after the look, or at the close.
-type crossing struct {
+type lateInputConn struct {
 	netpoll.Connection
-	looks int
-	last  func()
+	looks      int
+	onLastLook func()
 }
 
-func (c *crossing) Fd() int {
+func (c *lateInputConn) Fd() int {
 	if c.looks++; c.looks == 2 {
-		c.last()
+		c.onLastLook()
 	}
 	return c.Connection.(netpoll.Conn).Fd()
 }
 
-func (c *crossing) Close() error {
+func (c *lateInputConn) Close() error {
 	if c.looks < 2 {
 		c.looks = 2
-		c.last()
+		c.onLastLook()
 	}
 	return c.Connection.Close()
 }
@@ -111,11 +111,11 @@
 	s, dial, done := serving(t, 64)
 	conn := dial(pingText)
 	c := clientOf(t, s, conn)
-	until(t, "the answer is out", func() bool { return c.idleSince.Load() != 0 })
-	inLoop(t, s, func() {
-		c.conn = &crossing{Connection: c.conn, last: func() {
+	waitUntil(t, "the answer is out", func() bool { return c.idleSince.Load() != 0 })
+	onLoop(t, s, func() {
+		c.conn = &lateInputConn{Connection: c.conn, onLastLook: func() {
 			io.WriteString(conn, addText("crossing"))
-			until(t, "the reader has the command in hand", func() bool { return c.readerBusy.Load() || len(c.window) > 0 })
+			waitUntil(t, "the reader has the command in hand", func() bool { return c.readerBusy.Load() || len(c.window) > 0 })
 		}}
 		s.closeClient(c, idleTimeout)
 	})
@@ -137,17 +137,17 @@
 	conn := dial("")
 	c := clientOf(t, s, conn)
 	letGo := func() {}
-	inLoop(t, s, func() {
+	onLoop(t, s, func() {
 		io.WriteString(conn, pingText)
-		until(t, "the command is counted", func() bool { return len(c.window) == 1 && !c.readerBusy.Load() })
+		waitUntil(t, "the command is counted", func() bool { return len(c.window) == 1 && !c.readerBusy.Load() })
 		s.closeClient(c, idleTimeout)
 		letGo = stallPollers(t)
 		io.WriteString(conn, pingText)
-		until(t, "the second has come", func() bool { return heard(t, conn) })
+		waitUntil(t, "the second has come", func() bool { return allAcknowledged(t, conn) })
 	})
 	mustRead(t, conn, pongText)
-	until(t, "the end was looked at again", func() (over bool) {
-		inLoop(t, s, func() { over = len(c.window) == 0 })
+	waitUntil(t, "the end was looked at again", func() (over bool) {
+		onLoop(t, s, func() { over = len(c.window) == 0 })
 		return over
 	})
 	letGo()
@@ -161,7 +161,7 @@
 
 // A client that never ends its side is cut off at the bound, and one that sends on and on behind a broken command is
 // so after a bounded number of bytes.
-func TestPartingIsBounded(t *testing.T) {
+func TestLingeringIsBounded(t *testing.T) {
 	s, dial, done := serving(t, 64)
 	start := time.Now()
 	still, flood := dial("nonsense\r\n"), dial("nonsense\r\n")
@@ -172,7 +172,7 @@
 	if text, err := io.ReadAll(still); !strings.HasPrefix(string(text), "-ERR protocol") || err != nil {
 		t.Errorf("told %q, %v", text, err)
 	}
-	until(t, "both are cut off", func() bool { return s.clients.count() == 0 })
+	waitUntil(t, "both are cut off", func() bool { return s.clients.count() == 0 })
 	if took := time.Since(start); took < lingerTimeout || took > 10*lingerTimeout {
 		t.Errorf("cut off after %v", took)
 	}
--- a/internal/sender/process_end_test.go
+++ b/internal/sender/process_end_test.go
@@ -18,7 +18,7 @@
 // No connection is reset, each command that was taken has its answer, and all is over before the kill may come.
 func TestProcessEndsInOrder(t *testing.T) {
 	const clients, beforeKill = 24, 3700 * time.Millisecond
-	program := startNarrow(t, narrow{Discovery: "127.0.0.1:1", Dir: t.TempDir(), Settings: 256, System: 256})
+	program := startLimited(t, descriptorLimits{Discovery: "127.0.0.1:1", Dir: t.TempDir(), Settings: 256, System: 256})
 	var wait sync.WaitGroup
 	var answers, crossed atomic.Int64
 	signal := make(chan struct{})
@@ -52,11 +52,11 @@
 			}
 		})
 	}
-	until(t, "all are at work", func() bool { return answers.Load() > 10*clients })
+	waitUntil(t, "all are at work", func() bool { return answers.Load() > 10*clients })
 	start := time.Now()
 	program.input.Close()
 	close(signal)
-	handed, _ := strconv.ParseInt(program.says(t, "was handed "), 10, 64)
+	handed, _ := strconv.ParseInt(program.waitForLine(t, "was handed "), 10, 64)
 	if took := time.Since(start); took >= beforeKill {
 		t.Errorf("the end took %v", took)
 	}
--- a/internal/sender/purge_sockets_test.go
+++ b/internal/sender/purge_sockets_test.go
@@ -20,19 +20,19 @@
 	"flaxcove/internal/sender/together"
 )
 
-// listener keeps what a sender hands over, under a lock, as the loop calls it while the test looks.
-type listener struct {
+// recordingCluster keeps what a sender hands over, under a lock, as the loop calls it while the test looks.
+type recordingCluster struct {
 	sync.Mutex
 	messages map[string]uint64
 	sent     uint64
 	done     uint64
-	digested int
+	digests  int
 }
 
-func (l *listener) Digest(d together.Digest) {
+func (l *recordingCluster) Digest(d together.Digest) {
 	l.Lock()
 	defer l.Unlock()
-	l.digested++
+	l.digests++
 	for _, c := range d.Counts {
 		l.messages[c.Program] += c.Messages
 	}
@@ -40,18 +40,18 @@
 		l.sent, l.done = l.sent+r.Sent, l.done+r.Done
 	}
 }
-func (l *listener) Guide() together.Guide       { return nil }
-func (l *listener) Woke(_ choice.DestinationID) {}
+func (l *recordingCluster) Guide() together.Guide       { return nil }
+func (l *recordingCluster) Woke(_ choice.DestinationID) {}
 
 // Over real sockets: what is withdrawn while its call is out is delivered or given up as the call ends and never met
 // again; what waits ends at once; what comes after is delivered. Orders come from several goroutines meanwhile.
 func TestPurgeOnSockets(t *testing.T) {
 	t.Parallel()
-	w := &world{met: map[string][]string{}}
+	w := &fakeServer{received: map[string][]string{}}
 	release := make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(out http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("X-Request-Id") == "slow" {
-			w.meets("slow", "")
+			w.record("slow", "")
 			<-release
 			panic(http.ErrAbortHandler) // ends the link without an answer: what may be repeated would go again
 		}
@@ -59,7 +59,7 @@
 	}))
 	defer server.Close()
 	addr := server.Listener.Addr().String()
-	cfg := configureAs(t.TempDir(), fmt.Sprintf(boot, 100), `{"version":1,"full":true}`)
+	cfg := testConfigWith(t.TempDir(), fmt.Sprintf(twoClassSettings, 100), `{"version":1,"full":true}`)
 	cfg.Listen, cfg.Discovery = "127.0.0.1:0", addr
 	for i := range 4 {
 		cfg.Known.Servers = append(cfg.Known.Servers, directory.Entry{ID: fmt.Sprint("e", i), Addr: addr,
@@ -69,7 +69,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	heard := &listener{messages: map[string]uint64{}}
+	heard := &recordingCluster{messages: map[string]uint64{}}
 	gate := make(chan struct{})
 	s.Join(heard, Joining{Gate: gate, For: 20 * time.Second})
 	over := make(chan struct{})
@@ -94,7 +94,7 @@
 		for end := time.Now().Add(15 * time.Second); !f(); time.Sleep(5 * time.Millisecond) {
 			if time.Now().After(end) {
 				w.Lock()
-				met := maps.Clone(w.met)
+				met := maps.Clone(w.received)
 				w.Unlock()
 				t.Fatalf("%s; met so far: %q", what, met)
 			}
@@ -149,12 +149,12 @@
 	}
 	time.Sleep(2 * digestInterval)
 	for id, want := range map[string]string{"slow": ", given_up", "after": done, "first": done} {
-		if got := w.told(id); got != want {
+		if got := w.receivedFor(id); got != want {
 			t.Errorf("%s: %q", id, got)
 		}
 	}
-	if got := w.told("waits"); !strings.HasSuffix(got, ", given_up") || w.count("open") != 1 {
-		t.Errorf("waits: %q, open met %q", got, w.told("open"))
+	if got := w.receivedFor("waits"); !strings.HasSuffix(got, ", given_up") || w.count("open") != 1 {
+		t.Errorf("waits: %q, open met %q", got, w.receivedFor("open"))
 	}
 	conn.Close()
 	s.Drain()
@@ -163,6 +163,6 @@
 		t.Errorf("owed %d, applied %d", len(s.pending), s.Orders().Applied())
 	}
 	if heard.messages["127.0.0.1"] != 5 || heard.sent < 5 || heard.done < 3 {
-		t.Errorf("digests %d: notices %v, sent %d, done %d", heard.digested, heard.messages, heard.sent, heard.done)
+		t.Errorf("digests %d: notices %v, sent %d, done %d", heard.digests, heard.messages, heard.sent, heard.done)
 	}
 }
--- a/internal/sender/purge_test.go
+++ b/internal/sender/purge_test.go
@@ -12,26 +12,26 @@
 )
 
 // purge has messages withdrawn and prints what was found, once it is answered.
-func (r *rig) purge(age time.Duration, seq uint64, m together.Match) *rig {
+func (r *harness) purge(age time.Duration, seq uint64, m together.Match) *harness {
 	r.s.Orders().Purge([]together.Purge{{Seq: seq, Match: m, Age: age}}, func(applied uint64, found []together.Found) {
 		fmt.Printf("applied %d: %+v\n", applied, found)
 	})
-	return r.take()
+	return r.runNext()
 }
 
 // A message that waits for its call's connection, for a place or for an endpoint ends at once, and its call goes on for
 // the others of the bundle. What the purge does not mean, or was taken on after it, is not touched.
 func Example_purgeNotBegun() {
 	r := start("", 100)
-	r.join(Joining{})
-	r.hand("OUT.ADD 0 o1 c=order,d=20000,dest=2 x", "OUT.ADD 0 s1 c=status,d=6000,dest=2 x",
+	r.joinCluster(Joining{})
+	r.submit("OUT.ADD 0 o1 c=order,d=20000,dest=2 x", "OUT.ADD 0 s1 c=status,d=6000,dest=2 x",
 		"OUT.ADD 0 nobody c=order,d=20000,dest=9 x")
-	r.hand("OUT.ADD 0 later c=order,d=20000,dest=9 x")
-	r.purge(7*time.Millisecond, 3, together.Match{Class: "order"}).turn(5 * time.Millisecond)
+	r.submit("OUT.ADD 0 later c=order,d=20000,dest=9 x")
+	r.purge(7*time.Millisecond, 3, together.Match{Class: "order"}).advance(5 * time.Millisecond)
 	c := r.calls[0]
-	r.purge(0, 4, together.Match{Class: "status"}).turn(5 * time.Millisecond)
+	r.purge(0, 4, together.Match{Class: "status"}).advance(5 * time.Millisecond)
 	fmt.Println("the call is over:", c.done, "timers:", len(r.s.timers))
-	r.purge(time.Hour, 5, together.Match{}).turn(5 * time.Millisecond).owed()
+	r.purge(time.Hour, 5, together.Match{}).advance(5 * time.Millisecond).printPending()
 	os.RemoveAll(r.dir)
 	// Output:
 	// call b: POST /inbox/bulk
@@ -70,48 +70,48 @@
 	}{
 		{stands: "waits for an endpoint", dest: 9, found: together.Found{NotBegun: 1}, told: "given_up"},
 		{stands: "waits for its connection", found: together.Found{NotBegun: 1}, told: "given_up"},
-		{stands: "waits after a refusal", before: full, found: together.Found{NotBegun: 1}, told: "given_up"},
-		{stands: "waits after an error", before: lost, found: together.Found{MayRun: 1}, told: "given_up"},
-		{stands: "out, then done", after: ok, found: together.Found{MayRun: 1}},
-		{stands: "out, then refused", after: full, found: together.Found{MayRun: 1}, told: "given_up"},
-		{stands: "out, then an error", after: lost, found: together.Found{MayRun: 1}, told: "given_up"},
+		{stands: "waits after a refusal", before: answerFull, found: together.Found{NotBegun: 1}, told: "given_up"},
+		{stands: "waits after an error", before: answerError, found: together.Found{MayRun: 1}, told: "given_up"},
+		{stands: "out, then done", after: answerOK, found: together.Found{MayRun: 1}},
+		{stands: "out, then refused", after: answerFull, found: together.Found{MayRun: 1}, told: "given_up"},
+		{stands: "out, then an error", after: answerError, found: together.Found{MayRun: 1}, told: "given_up"},
 		{stands: "out, then killed", after: "kill", found: together.Found{MayRun: 1}, told: "given_up"},
-		{stands: "done", before: ok, found: together.Found{Delivered: 1}},
+		{stands: "done", before: answerOK, found: together.Found{Delivered: 1}},
 	} {
-		told := ""
-		watch := func(r *rig) *rig {
-			r.join(Joining{})
+		posted := ""
+		watch := func(r *harness) *harness {
+			r.joinCluster(Joining{})
 			r.s.postToPlatform = func(_ string, body []byte) (int, error) {
-				told += string(body)
+				posted += string(body)
 				return 204, nil
 			}
 			return r
 		}
 		r := watch(start(t.TempDir(), 100))
-		r.hand(fmt.Sprintf("OUT.ADD 0 id c=status,d=6000,dest=%d x", max(1, c.dest)))
+		r.submit(fmt.Sprintf("OUT.ADD 0 id c=status,d=6000,dest=%d x", max(1, c.dest)))
 		if c.before != "" {
-			r.answer(c.before)
+			r.endpointAnswers(c.before)
 		} else if c.after != "" {
 			r.calls[0].link = &link{sender: r.s, endpoint: r.calls[0].endpoint}
 		}
 		var found []together.Found
 		r.s.Orders().Purge([]together.Purge{{Seq: 1, Match: together.Match{KeyPrefix: "0"}}},
 			func(_ uint64, f []together.Found) { found = f })
-		r.take().turn(5 * time.Millisecond)
+		r.runNext().advance(5 * time.Millisecond)
 		if c.after == "kill" {
 			r = watch(start(r.dir, 100))
 		} else if c.after != "" {
-			r.answer(c.after)
+			r.endpointAnswers(c.after)
 		}
-		r.turn(7 * time.Second)
+		r.advance(7 * time.Second)
 		for _, out := range r.calls {
 			if !out.done && !out.probe {
 				t.Errorf("%s: sent again", c.stands)
 			}
 		}
-		if len(found) != 1 || found[0] != c.found || strings.Count(told, "message") > 1 || !strings.Contains(told, c.told) ||
-			(told == "") != (c.told == "") || len(r.s.pending)+len(start(r.dir, 100).s.pending) > 0 {
-			t.Errorf("%s: found %+v, told %q, owed %d", c.stands, found, told, len(r.s.pending))
+		if len(found) != 1 || found[0] != c.found || strings.Count(posted, "message") > 1 || !strings.Contains(posted, c.told) ||
+			(posted == "") != (c.told == "") || len(r.s.pending)+len(start(r.dir, 100).s.pending) > 0 {
+			t.Errorf("%s: found %+v, told %q, owed %d", c.stands, found, posted, len(r.s.pending))
 		}
 	}
 }
@@ -120,19 +120,19 @@
 // purge that overlaps counts no message a second time.
 func Example_purgeOrderedKey() {
 	dir, _ := os.MkdirTemp("", "sender")
-	r := startAs(configureAs(dir, before, listBefore))
-	r.join(Joining{})
-	r.hand("OUT.ADD k head c=change,d=20000,dest=1 x", "OUT.ADD k next c=change,d=20000,dest=1 x",
+	r := startWith(testConfigWith(dir, oldSettings, oldList))
+	r.joinCluster(Joining{})
+	r.submit("OUT.ADD k head c=change,d=20000,dest=1 x", "OUT.ADD k next c=change,d=20000,dest=1 x",
 		"OUT.ADD other o c=change,d=20000,dest=1 x")
 	for _, c := range r.calls {
 		c.link = &link{sender: r.s, endpoint: c.endpoint}
 	}
-	r.purge(0, 1, together.Match{Key: "k"}).purge(0, 2, together.Match{Class: "change"}).turn(5 * time.Millisecond)
-	r.hand("OUT.ADD k new c=change,d=20000,dest=1 x")
+	r.purge(0, 1, together.Match{Key: "k"}).purge(0, 2, together.Match{Class: "change"}).advance(5 * time.Millisecond)
+	r.submit("OUT.ADD k new c=change,d=20000,dest=1 x")
 	for len(r.calls) > 0 {
-		r.answer(ok)
+		r.endpointAnswers(answerOK)
 	}
-	r.turn(5 * time.Millisecond).owed()
+	r.advance(5 * time.Millisecond).printPending()
 	os.RemoveAll(dir)
 	// Output:
 	// call a: POST /inbox
@@ -163,13 +163,13 @@
 // nothing is on record.
 func Example_purgeCrossesHandIn() {
 	r := start("", 100)
-	r.join(Joining{})
+	r.joinCluster(Joining{})
 	c := &client{window: make(chan struct{}, windowSize), writingReplies: 1}
 	c.window <- struct{}{}
-	r.s.handleCommand(c, words("OUT.ADD 0 id c=order,d=20000,dest=1 x"))
-	r.purge(0, 1, together.Match{Key: "0"}).turn(5 * time.Millisecond).owed()
+	r.s.handleCommand(c, splitArgs("OUT.ADD 0 id c=order,d=20000,dest=1 x"))
+	r.purge(0, 1, together.Match{Key: "0"}).advance(5 * time.Millisecond).printPending()
 	fmt.Printf("client: %q, calls: %d\n", c.output, len(r.calls))
-	start(r.dir, 100).owed()
+	start(r.dir, 100).printPending()
 	os.RemoveAll(r.dir)
 	// Output:
 	// applied 1: [{NotBegun:1 MayRun:0 Delivered:0 Learnt:0}]
@@ -183,16 +183,16 @@
 // of an older record it is not known, and so counts as long ago.
 func Example_purgeRestart() {
 	r := start("", 100)
-	r.join(Joining{})
-	r.up = false
-	r.hand("OUT.ADD 0 old c=order,d=20000,dest=9 x")
-	r.purge(0, 7, together.Match{Class: "order"}).turn(100 * time.Millisecond)
-	r.hand("OUT.ADD 0 new c=order,d=900000,dest=9 x")
+	r.joinCluster(Joining{})
+	r.platformUp = false
+	r.submit("OUT.ADD 0 old c=order,d=20000,dest=9 x")
+	r.purge(0, 7, together.Match{Class: "order"}).advance(100 * time.Millisecond)
+	r.submit("OUT.ADD 0 new c=order,d=900000,dest=9 x")
 	takenAt := r.s.pending["new"].acceptedAt
 	again := func(at time.Duration) {
 		fmt.Println("killed")
-		r = startAt(configure(r.dir, 100), at)
-		r.join(Joining{})
+		r = startAt(testConfig(r.dir, 100), at)
+		r.joinCluster(Joining{})
 	}
 	rewrite := func() {
 		r.s.accepted = withoutEnded(r.s.accepted)
@@ -200,16 +200,16 @@
 	}
 	again(2 * time.Minute)
 	fmt.Println("applied:", r.s.Orders().Applied(), "taken on then:", r.s.pending["new"].acceptedAt == takenAt)
-	r.purge(0, 7, together.Match{Class: "order"}).turn(5 * time.Millisecond).owed()
+	r.purge(0, 7, together.Match{Class: "order"}).advance(5 * time.Millisecond).printPending()
 	rewrite()
 	again(2 * time.Minute)
-	r.purge(time.Minute, 8, together.Match{Class: "order"}).turn(5 * time.Millisecond).owed()
+	r.purge(time.Minute, 8, together.Match{Class: "order"}).advance(5 * time.Millisecond).printPending()
 	again(time.Minute)
 	fmt.Println("the wall clock was put back:", r.s.pending["new"].acceptedAt == r.s.Now())
 	r.s.pending["new"].acceptedAt = 0
 	rewrite()
 	again(2 * time.Minute)
-	r.purge(time.Hour, 9, together.Match{Class: "order"}).turn(5 * time.Millisecond).owed()
+	r.purge(time.Hour, 9, together.Match{Class: "order"}).advance(5 * time.Millisecond).printPending()
 	os.RemoveAll(r.dir)
 	// Output:
 	// client: +OK
@@ -239,9 +239,9 @@
 	defer func() { os.Stdout = stdout }()
 	const many = 10_000
 	r := start(t.TempDir(), 1000)
-	r.join(Joining{})
+	r.joinCluster(Joining{})
 	for i := range 100 {
-		r.hand(fmt.Sprintf("OUT.ADD key-%d n%d c=order,d=20000,dest=9 x", i*100, i))
+		r.submit(fmt.Sprintf("OUT.ADD key-%d n%d c=order,d=20000,dest=9 x", i*100, i))
 	}
 	var all []together.Purge
 	for i := range many {
@@ -249,8 +249,8 @@
 	}
 	ask := func(all []together.Purge) (found []together.Found, turns int) {
 		r.s.Orders().Purge(all, func(_ uint64, f []together.Found) { found = f })
-		for r.take(); found == nil; turns++ {
-			if r.turn(5 * time.Millisecond); turns > many {
+		for r.runNext(); found == nil; turns++ {
+			if r.advance(5 * time.Millisecond); turns > many {
 				t.Fatal("never answered")
 			}
 		}
@@ -269,7 +269,7 @@
 		t.Errorf("the journal holds %d of %d bytes", size, limit)
 	}
 	r = start(r.dir, 1000)
-	r.join(Joining{})
+	r.joinCluster(Joining{})
 	if got := r.s.Orders().Applied(); got != many {
 		t.Fatalf("applied %d after a restart", got)
 	}
@@ -279,7 +279,7 @@
 }
 
 // What was learnt of a destination is void on order, on disk too: a kill must not bring it back.
-func TestPurgeOfWhatWasLearnt(t *testing.T) {
+func TestPurgeOfLearnedState(t *testing.T) {
 	dir := t.TempDir()
 	file := dir + "/" + learnedFileName
 	text := `{"at":1,"endpoints":[{"endpoint":"gone","destination":1,"addr":"x","Mean":5,"Past":5,"Seen":1},
@@ -288,16 +288,16 @@
 		t.Fatal(err)
 	}
 	r := start(dir, 100)
-	r.join(Joining{})
-	m := &recollection{}
+	r.joinCluster(Joining{})
+	m := &fakeLearnedStore{}
 	r.s.learnedStore = m
 	d := choice.DestinationID(1)
 	var found []together.Found
 	r.s.Orders().Purge([]together.Purge{{Seq: 1, Learnt: true, Match: together.Match{Destination: &d}},
 		{Seq: 2, Learnt: true, Match: together.Match{Class: "order"}}}, func(_ uint64, f []together.Found) { found = f })
-	r.take().turn(5 * time.Millisecond)
-	if len(found) != 2 || found[0].Learnt != 2 || found[1].Learnt != 0 || len(m.void) != 1 {
-		t.Errorf("found %+v, void %v", found, m.void)
+	r.runNext().advance(5 * time.Millisecond)
+	if len(found) != 2 || found[0].Learnt != 2 || found[1].Learnt != 0 || len(m.voided) != 1 {
+		t.Errorf("found %+v, void %v", found, m.voided)
 	}
 	left, _ := os.ReadFile(file)
 	if strings.Contains(string(left), "gone") || !strings.Contains(string(left), `"b"`) {
--- a/internal/sender/ready_test.go
+++ b/internal/sender/ready_test.go
@@ -20,9 +20,9 @@
 // readyWithin is the bound of the test: nine in ten have 10 s, and the machine may be a busy one.
 const readyWithin = 10 * time.Second
 
-// fill writes a journal as full as a process lets it get: what it owes, each with its call out if so, and what has
+// writeFullJournal writes a journal as full as a process lets it get: what it owes, each with its call out if so, and what has
 // ended before that. It returns how many are owed.
-func fill(t *testing.T, dir string, limit int64, body int, make func(i int) *message, out bool) (owed int) {
+func writeFullJournal(t *testing.T, dir string, limit int64, body int, make func(i int) *message, out bool) (owed int) {
 	t.Helper()
 	j, _, err := journal.Open(dir, limit, func([]byte) {})
 	if err != nil {
@@ -58,7 +58,7 @@
 	wall := func() choice.Time { return config.Down(time.Now().UnixNano()) }
 	usual := func(class, key string, dest choice.DestinationID, past choice.Time) func(i int) *message {
 		return func(i int) *message {
-			return taken(fmt.Sprintf("%016x", uint64(i)), fmt.Sprintf(key, i), class, dest, wall()-past, 3600*second)
+			return acceptedMessage(fmt.Sprintf("%016x", uint64(i)), fmt.Sprintf(key, i), class, dest, wall()-past, 3600*second)
 		}
 	}
 	list := func(apart bool) directory.List {
@@ -97,11 +97,11 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			dir := t.TempDir()
-			cfg := configureFour(dir, 0)
+			cfg := fourClassConfig(dir, 0)
 			cfg.Limits.DiskMB, cfg.Listen, cfg.Discovery = max(1, c.disk), "127.0.0.1:0", "127.0.0.1:1" // refused
 			owed := 0
 			if c.make != nil {
-				owed = fill(t, dir, int64(c.disk*1e6), c.body, c.make, c.out)
+				owed = writeFullJournal(t, dir, int64(c.disk*1e6), c.body, c.make, c.out)
 			}
 			if c.torn {
 				file, err := os.OpenFile(filepath.Join(dir, "notices.log"), os.O_APPEND|os.O_WRONLY, 0)
@@ -121,7 +121,7 @@
 				cfg.Known = c.list
 			}
 			began := time.Now()
-			s, conn, done := running(t, cfg)
+			s, conn, done := startServing(t, cfg)
 			conn.SetDeadline(began.Add(readyWithin))
 			io.WriteString(conn, "*1\r\n$4\r\nPING\r\n")
 			var answer [7]byte
--- a/internal/sender/restart_test.go
+++ b/internal/sender/restart_test.go
@@ -14,12 +14,12 @@
 // A killed sender owes what it had taken on: what may be repeated goes out again, and a single-use message with a
 // attempt out, which may have run, is given up and never sent. Once ended, nothing comes back at a third start.
 func Example_restart() {
-	r := start("", 100).hand("OUT.ADD 00 st c=status,d=6000,dest=1 x", "OUT.ADD 00 or c=order,d=20000,dest=1 x")
+	r := start("", 100).submit("OUT.ADD 00 st c=status,d=6000,dest=1 x", "OUT.ADD 00 or c=order,d=20000,dest=1 x")
 	fmt.Println("killed")
-	r = start(r.dir, 100).owed().turn(5 * time.Millisecond).answer(ok).owed()
-	r.turn(5 * time.Millisecond)
+	r = start(r.dir, 100).printPending().advance(5 * time.Millisecond).endpointAnswers(answerOK).printPending()
+	r.advance(5 * time.Millisecond)
 	fmt.Println("killed")
-	start(r.dir, 100).owed().turn(time.Second)
+	start(r.dir, 100).printPending().advance(time.Second)
 	os.RemoveAll(r.dir)
 	// Output:
 	// call a: POST /inbox
@@ -40,9 +40,9 @@
 
 // A refusal proves that a single-use message has not run, so after a kill it is sent again. A wait ends with a restart.
 func Example_restartAfterRefusal() {
-	r := start("", 100).hand("OUT.ADD 00 or c=order,d=20000,dest=1 x").answer(full).turn(5 * time.Millisecond)
+	r := start("", 100).submit("OUT.ADD 00 or c=order,d=20000,dest=1 x").endpointAnswers(answerFull).advance(5 * time.Millisecond)
 	fmt.Println("killed")
-	start(r.dir, 100).owed().turn(5 * time.Millisecond)
+	start(r.dir, 100).printPending().advance(5 * time.Millisecond)
 	os.RemoveAll(r.dir)
 	// Output:
 	// call a: POST /inbox
@@ -57,11 +57,11 @@
 // An ending is owed until the platform has answered, through a kill too, and so is one whose time ran out meanwhile.
 func Example_platformSilent() {
 	r := start("", 100)
-	r.up = false
-	r.hand("OUT.ADD 00 or c=order,d=20000,dest=1 x", "OUT.ADD 00 late c=status,d=6000,dest=9 x").answer("HTTP/1.1 200")
-	r.turn(7 * time.Second).owed()
+	r.platformUp = false
+	r.submit("OUT.ADD 00 or c=order,d=20000,dest=1 x", "OUT.ADD 00 late c=status,d=6000,dest=9 x").endpointAnswers("HTTP/1.1 200")
+	r.advance(7 * time.Second).printPending()
 	fmt.Println("killed")
-	start(r.dir, 100).owed().turn(5 * time.Millisecond).owed()
+	start(r.dir, 100).printPending().advance(5 * time.Millisecond).printPending()
 	os.RemoveAll(r.dir)
 	// Output:
 	// call a: POST /inbox
@@ -81,17 +81,17 @@
 // between would have it sent again, though its client was told to come back.
 func Example_endedAsItsCallBegins() {
 	r := start("", 100)
-	r.hand("OUT.ADD 00 or c=order,d=20000,dest=9 x") // nobody serves 9 yet
+	r.submit("OUT.ADD 00 or c=order,d=20000,dest=9 x") // nobody serves 9 yet
 	r.s.dial = func(c *call) { r.s.endMessage(c.messages[0], ending{kind: endShed}) }
-	r.list(`{"version":2,"servers":[{"id":"new","addr":"127.0.0.1:3","zone":"z","kind":"one","cell":9,"state":"up"}]}`)
-	told, tell := make(chan struct{}), r.s.postToPlatform // the post has a goroutine of its own: what it prints comes last
-	r.s.postToPlatform = func(addr string, body []byte) (int, error) { <-told; return tell(addr, body) }
+	r.updateList(`{"version":2,"servers":[{"id":"new","addr":"127.0.0.1:3","zone":"z","kind":"one","cell":9,"state":"up"}]}`)
+	release, tell := make(chan struct{}), r.s.postToPlatform // the post has a goroutine of its own: what it prints comes last
+	r.s.postToPlatform = func(addr string, body []byte) (int, error) { <-release; return tell(addr, body) }
 	for range 2 {
 		r.clock += 5 * time.Millisecond
 		r.s.turn()
 		fmt.Println("to the platform:", len(r.s.endings), "posting:", r.s.posting)
 	}
-	close(told)
+	close(release)
 	(<-r.s.inbox)()
 	os.RemoveAll(r.dir)
 	// Output:
@@ -107,7 +107,7 @@
 	body := strings.Repeat("x", 20000)
 	for i := range 4 {
 		for j := range 3 {
-			r.hand(fmt.Sprintf("OUT.ADD 00 n%d-%d c=order,d=900000,dest=9 %s", i, j, body))
+			r.submit(fmt.Sprintf("OUT.ADD 00 n%d-%d c=order,d=900000,dest=9 %s", i, j, body))
 		}
 		for id, n := range r.s.pending {
 			if i < 3 && id != "n0-0" {
@@ -117,7 +117,7 @@
 	}
 	info, _ := os.Stat(r.dir + "/notices.log")
 	fmt.Println("under the limit:", info.Size() < 250000, "rewritten:", r.s.counts.rewritings > 0)
-	start(r.dir, 1000).owed()
+	start(r.dir, 1000).printPending()
 	os.RemoveAll(r.dir)
 	// Output:
 	// client: +OK
@@ -139,9 +139,9 @@
 // An id that comes again after its end is taken on already, through a kill too: a single-use one never runs again.
 func Example_endedID() {
 	const text = "OUT.ADD 00 or c=order,d=20000,dest=1 x"
-	r := start("", 100).hand(text).answer(ok).hand(text).owed()
+	r := start("", 100).submit(text).endpointAnswers(answerOK).submit(text).printPending()
 	fmt.Println("killed")
-	start(r.dir, 100).hand(text).owed()
+	start(r.dir, 100).submit(text).printPending()
 	os.RemoveAll(r.dir)
 	for i := range 3 * maxRememberedEnded {
 		r.s.rememberEnded(choice.MessageID(fmt.Sprint(i)))
--- a/internal/sender/rig_test.go
+++ b/internal/sender/rig_test.go
@@ -17,39 +17,39 @@
 )
 
 const (
-	ok   = "HTTP/1.1 200 OK\nContent-Length: 0\n\n"
-	full = "HTTP/1.1 429 Wait\nRetry-After: 0.4\nContent-Length: 0\n\n"
-	lost = "HTTP/1.1 500 Error\nContent-Length: 0\n\n"
+	answerOK    = "HTTP/1.1 200 OK\nContent-Length: 0\n\n"
+	answerFull  = "HTTP/1.1 429 Wait\nRetry-After: 0.4\nContent-Length: 0\n\n"
+	answerError = "HTTP/1.1 500 Error\nContent-Length: 0\n\n"
 
-	unsent = "its last byte was not written"
+	lastByteUnsent = "its last byte was not written"
 )
 
-// rig is a sender without sockets: a clock that stands, calls that go nowhere and a platform that a test speaks for.
-type rig struct {
-	s     *Sender
-	dir   string
-	clock time.Duration
-	calls []*call
-	up    bool // the platform answers
+// harness is a sender without sockets: a clock that stands, calls that go nowhere and a platform that a test speaks for.
+type harness struct {
+	s          *Sender
+	dir        string
+	clock      time.Duration
+	calls      []*call
+	platformUp bool // the platform answers
 }
 
-// boot is a settings object: status is idempotent, order single-use; kind one takes bundles.
-const boot = `{"balancers":2,"quantum":5000000,"machineTypes":["one","many"],"zones":["z"],
+// twoClassSettings is a settings object: status is idempotent, order single-use; kind one takes bundles.
+const twoClassSettings = `{"balancers":2,"quantum":5000000,"machineTypes":["one","many"],"zones":["z"],
 "bounds":{"maxAttempts":9,"maxOpen":%d,"connIdle":10000000000,"dialTimeout":1000000000,"probing":true,"retryAfter":true,"maxRetryAfter":2000000000},
 "classes":[{"name":"status","idempotency":"pure","aim":800000000,"deadline":6000000000,"worth":1},
 {"name":"order","idempotency":"side_effect","aim":4000000000,"deadline":20000000000,"worth":3}],
 "extra":{"bundleMax":[1,3],"callsOut":8},"rules":{"cold":1000000000,"coldFrom":0.5,"fallMultiple":2},"stats":{"fields":["x0","x1"]}}`
 
-const known = `{"version":1,"full":true,"servers":[{"id":"a","addr":"127.0.0.1:1","zone":"z","kind":"one","cell":1,"state":"up","weight":100},
+const twoEndpointList = `{"version":1,"full":true,"servers":[{"id":"a","addr":"127.0.0.1:1","zone":"z","kind":"one","cell":1,"state":"up","weight":100},
 {"id":"b","addr":"127.0.0.1:2","zone":"z","kind":"many","cell":2,"state":"up","weight":100},
 {"id":"z","addr":"127.0.0.1:9","zone":"z","kind":"one","cell":9,"state":"draining","weight":100}]}`
 
-func configure(dir string, maxOpen int) *config.Config {
-	return configureAs(dir, fmt.Sprintf(boot, maxOpen), known)
+func testConfig(dir string, maxOpen int) *config.Config {
+	return testConfigWith(dir, fmt.Sprintf(twoClassSettings, maxOpen), twoEndpointList)
 }
 
-// configureAs takes a settings object and a list.
-func configureAs(dir, settings, list string) *config.Config {
+// testConfigWith takes a settings object and a list.
+func testConfigWith(dir, settings, list string) *config.Config {
 	var b config.Boot
 	c := &config.Config{Name: "s", State: dir, Limits: config.Limits{MemoryMB: 192, Sockets: 256, DiskMB: 0.25},
 		ClassNumbers: map[string]choice.ClassNo{}, Zones: map[string]choice.ZoneNo{}, Kinds: map[string]choice.KindNo{}}
@@ -76,19 +76,19 @@
 }
 
 // start opens a sender on a folder; "" makes one. Starting again on the same folder is what a kill leaves.
-func start(dir string, maxOpen int) *rig {
+func start(dir string, maxOpen int) *harness {
 	if dir == "" {
 		dir, _ = os.MkdirTemp("", "sender")
 	}
-	return startAs(configure(dir, maxOpen))
+	return startWith(testConfig(dir, maxOpen))
 }
 
-func startAs(cfg *config.Config) *rig { return startAt(cfg, time.Minute) }
+func startWith(cfg *config.Config) *harness { return startAt(cfg, time.Minute) }
 
 // startAt is a start at another time.
-func startAt(cfg *config.Config, at time.Duration) *rig {
+func startAt(cfg *config.Config, at time.Duration) *harness {
 	dir := cfg.State
-	r := &rig{dir: dir, clock: at, up: true}
+	r := &harness{dir: dir, clock: at, platformUp: true}
 	s, err := openSender(cfg, zap.NewNop(), time.Unix(1e9, 0), func() time.Duration { return r.clock })
 	if err != nil {
 		fmt.Println(strings.ReplaceAll(err.Error(), dir, "DIR"))
@@ -100,7 +100,7 @@
 		r.calls = append(r.calls, c)
 	}
 	s.postToPlatform = func(_ string, body []byte) (int, error) {
-		if !r.up {
+		if !r.platformUp {
 			return 0, os.ErrDeadlineExceeded
 		}
 		fmt.Print("platform: ", string(body))
@@ -110,21 +110,21 @@
 	return r
 }
 
-// hand gives commands in, each in words, and prints what is answered by the end of the turn.
-func (r *rig) hand(commands ...string) *rig {
+// submit gives commands in, each in words, and prints what is answered by the end of the turn.
+func (r *harness) submit(commands ...string) *harness {
 	c := &client{window: make(chan struct{}, windowSize), writingReplies: 1} // so that answers stay in out
 	for _, text := range commands {
 		c.window <- struct{}{}
-		r.s.handleCommand(c, words(text))
+		r.s.handleCommand(c, splitArgs(text))
 	}
-	r.turn(5 * time.Millisecond)
+	r.advance(5 * time.Millisecond)
 	for _, line := range strings.Split(strings.TrimSpace(string(c.output)), "\r\n") {
 		fmt.Printf("client: %s\n", line)
 	}
 	return r
 }
 
-func words(text string) (args [][]byte) {
+func splitArgs(text string) (args [][]byte) {
 	for _, word := range strings.Split(text, " ") {
 		args = append(args, []byte(word))
 	}
@@ -132,26 +132,26 @@
 }
 
 // client is one that has just come by a connection.
-// comesUp has a connection that a call waits for come up, and the turn end.
-func (r *rig) comesUp(c *call, conn netpoll.Connection) {
+// connectionUp has a connection that a call waits for come up, and the turn end.
+func (r *harness) connectionUp(c *call, conn netpoll.Connection) {
 	r.s.onDialed(c, conn, nil)
 	r.s.commit()
 	r.s.sendConnected()
 }
 
-func (r *rig) client(conn netpoll.Connection) *client {
+func (r *harness) client(conn netpoll.Connection) *client {
 	c := &client{conn: conn, connectedAt: r.clock, window: make(chan struct{}, windowSize)}
 	r.s.clients.all[c] = struct{}{}
 	r.s.clients.served++
 	return c
 }
 
-// turn lets time go on, ends a turn, and prints which calls left.
-func (r *rig) turn(after time.Duration) *rig {
+// advance lets time go on, ends a turn, and prints which calls left.
+func (r *harness) advance(after time.Duration) *harness {
 	for end := r.clock + after; r.clock < end; {
 		r.clock = max(r.clock+5*time.Millisecond, min(end, r.s.timers.next()))
 		r.s.turn()
-		for r.s.posting && r.s.endings != nil && r.up {
+		for r.s.posting && r.s.endings != nil && r.platformUp {
 			(<-r.s.inbox)()
 		}
 	}
@@ -167,32 +167,32 @@
 	return r
 }
 
-// answer ends the last call that is out with what an endpoint might say.
-func (r *rig) answer(text string) *rig {
+// endpointAnswers ends the last call that is out with what an endpoint might say.
+func (r *harness) endpointAnswers(text string) *harness {
 	c := r.calls[len(r.calls)-1]
 	r.calls = r.calls[:len(r.calls)-1]
 	var a http1.Answer
 	var err error
-	if text != unsent {
+	if text != lastByteUnsent {
 		err = a.Feed([]byte(strings.ReplaceAll(text, "\n", "\r\n")))
 	}
 	c.done = true
 	if err != nil || !a.Done {
-		r.s.finishCall(c, cutOffAnswer(c, text == unsent, &partialAnswer{a.Status(), a.Began()}))
+		r.s.finishCall(c, cutOffAnswer(c, text == lastByteUnsent, &partialAnswer{a.Status(), a.Began()}))
 	} else {
 		r.s.finishCall(c, readAnswer(&a))
 	}
 	return r
 }
 
-func (r *rig) list(text string) *rig {
+func (r *harness) updateList(text string) *harness {
 	var l directory.List
 	json.Unmarshal([]byte(text), &l)
 	r.s.updateEndpoints(l, false)
 	return r
 }
 
-func (r *rig) owed() *rig {
+func (r *harness) printPending() *harness {
 	fmt.Println("owed:", len(r.s.pending), "to the platform:", len(r.s.endings))
 	return r
 }
--- a/internal/sender/room_test.go
+++ b/internal/sender/room_test.go
@@ -12,16 +12,16 @@
 
 // What comes within one turn counts against the disk like what came before it: of a burst as much is taken on as has
 // room, the rest is refused, and the journal goes on being written.
-func TestRoomWithinOneTurn(t *testing.T) {
+func TestJournalCapacityWithinOneTurn(t *testing.T) {
 	t.Parallel()
-	l := follow(t, startAs(configureFour(t.TempDir(), 1000)))
+	l := recordCalls(t, startWith(fourClassConfig(t.TempDir(), 1000)))
 	body := strings.Repeat("x", 20000)
 	c := &client{window: make(chan struct{}, windowSize), writingReplies: 1}
 	for i := range 40 {
 		c.window <- struct{}{}
-		l.s.handleCommand(c, words(fmt.Sprintf("OUT.ADD 0 n%d c=pure,d=8000,dest=1 %s", i, body)))
+		l.s.handleCommand(c, splitArgs(fmt.Sprintf("OUT.ADD 0 n%d c=pure,d=8000,dest=1 %s", i, body)))
 	}
-	l.goOn(5*time.Millisecond, time.Hour)
+	l.advanceAnswering(5*time.Millisecond, time.Hour)
 	info, err := os.Stat(l.dir + "/notices.log")
 	if err != nil {
 		t.Fatal(err)
@@ -33,7 +33,7 @@
 		t.Errorf("of 40, %d taken on and %d refused", l.s.counts.accepted, l.s.counts.rejected)
 	}
 	// All that was taken on is owed by the next process.
-	if again := startAs(configureFour(l.dir, 1000)); int64(len(again.s.pending)) != l.s.counts.accepted {
+	if again := startWith(fourClassConfig(l.dir, 1000)); int64(len(again.s.pending)) != l.s.counts.accepted {
 		t.Errorf("taken on %d, owed after a kill %d", l.s.counts.accepted, len(again.s.pending))
 	}
 	// What was refused needs no room any more.
@@ -42,8 +42,8 @@
 	}
 	before := l.s.counts.accepted
 	c.window <- struct{}{}
-	l.s.handleCommand(c, words("OUT.ADD 0 last c=pure,d=8000,dest=1 "+body))
-	l.goOn(5*time.Millisecond, time.Hour)
+	l.s.handleCommand(c, splitArgs("OUT.ADD 0 last c=pure,d=8000,dest=1 "+body))
+	l.advanceAnswering(5*time.Millisecond, time.Hour)
 	if l.s.counts.accepted != before+1 {
 		t.Error("nothing is taken on once the room is free again")
 	}
--- a/internal/sender/sockets_test.go
+++ b/internal/sender/sockets_test.go
@@ -22,31 +22,31 @@
 	"flaxcove/internal/resp"
 )
 
-// world stands in for discovery, endpoints and platform, and keeps what each message met.
-type world struct {
+// fakeServer stands in for discovery, endpoints and platform, and keeps what each message met.
+type fakeServer struct {
 	sync.Mutex
-	met map[string][]string
+	received map[string][]string
 }
 
-func (w *world) meets(id, what string) {
+func (w *fakeServer) record(id, what string) {
 	w.Lock()
 	defer w.Unlock()
-	w.met[id] = append(w.met[id], what)
+	w.received[id] = append(w.received[id], what)
 }
 
-func (w *world) told(id string) string {
+func (w *fakeServer) receivedFor(id string) string {
 	w.Lock()
 	defer w.Unlock()
-	return strings.Join(w.met[id], ", ")
+	return strings.Join(w.received[id], ", ")
 }
 
-func (w *world) count(id string) int {
+func (w *fakeServer) count(id string) int {
 	w.Lock()
 	defer w.Unlock()
-	return len(w.met[id])
+	return len(w.received[id])
 }
 
-func (w *world) ServeHTTP(out http.ResponseWriter, r *http.Request) {
+func (w *fakeServer) ServeHTTP(out http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	switch r.URL.Path {
 	case "/api/targets":
@@ -54,12 +54,12 @@
 	case "/v1/outcomes":
 		var line struct{ Message, Outcome string }
 		for d := json.NewDecoder(strings.NewReader(string(body))); d.Decode(&line) == nil; {
-			w.meets(line.Message, line.Outcome)
+			w.record(line.Message, line.Outcome)
 		}
 		out.WriteHeader(http.StatusNoContent)
 	case "/inbox":
 		id := r.Header.Get("X-Request-Id")
-		w.meets(id, string(body))
+		w.record(id, string(body))
 		conn, _, err := out.(http.Hijacker).Hijack()
 		if err != nil {
 			return
@@ -72,8 +72,8 @@
 	}
 }
 
-// running is a sender that serves on sockets, a client's connection to it, and its end.
-func running(t *testing.T, cfg *config.Config) (*Sender, net.Conn, <-chan struct{}) {
+// startServing is a sender that serves on sockets, a client's connection to it, and its end.
+func startServing(t *testing.T, cfg *config.Config) (*Sender, net.Conn, <-chan struct{}) {
 	s, err := Start(cfg, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
@@ -93,7 +93,7 @@
 // Over real sockets, each message ends as its endpoint's answer says, wherever the connection then breaks; a broken
 // command is answered once and closed; and a planned end leaves nothing behind.
 func TestSockets(t *testing.T) {
-	w := &world{met: map[string][]string{}}
+	w := &fakeServer{received: map[string][]string{}}
 	server := httptest.NewServer(w)
 	defer server.Close()
 	addr := server.Listener.Addr().String()
@@ -116,13 +116,13 @@
 		{"open-1xx", "HTTP/1.1 102 Wait\r\n\r\nHTTP/1.1 100 On\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", ""},
 		{"open-report", "HTTP/1.1 200 OK\r\nX-Load: x0=\xff\x00,x1\r\nContent-Length: 0\r\n\r\n", ""},
 	}
-	cfg := configure(t.TempDir(), 100)
+	cfg := testConfig(t.TempDir(), 100)
 	cfg.Listen, cfg.Discovery = "127.0.0.1:0", addr
 	cfg.Known.Servers = nil
 	for i := range answers {
 		cfg.Known.Servers = append(cfg.Known.Servers, directory.Entry{ID: answers[i].id, Addr: addr, Zone: "z", Kind: "one", Cell: float64(i), State: "up", Weight: 100})
 	}
-	s, conn, done := running(t, cfg)
+	s, conn, done := startServing(t, cfg)
 	in := bufio.NewReader(conn)
 	for i, a := range answers {
 		hold := "20000"
@@ -142,10 +142,10 @@
 		if a.ends != "" {
 			want += ", " + a.ends
 		}
-		for end := time.Now().Add(30 * time.Second); w.told(a.id) != want && time.Now().Before(end); {
+		for end := time.Now().Add(30 * time.Second); w.receivedFor(a.id) != want && time.Now().Before(end); {
 			time.Sleep(10 * time.Millisecond)
 		}
-		if got := w.told(a.id); got != want {
+		if got := w.receivedFor(a.id); got != want {
 			t.Errorf("%s: %q, want %q", a.id, got, want)
 		}
 	}
@@ -157,7 +157,7 @@
 	s.Drain()
 	<-done
 	for _, a := range answers {
-		if got := w.told(a.id); a.ends == "" && got != a.body {
+		if got := w.receivedFor(a.id); a.ends == "" && got != a.body {
 			t.Errorf("%s: %q in the end", a.id, got)
 		}
 	}
@@ -169,8 +169,8 @@
 	}
 }
 
-// connected is a connection to somebody who says nothing.
-func connected(t *testing.T) netpoll.Connection {
+// silentConn is a connection to somebody who says nothing.
+func silentConn(t *testing.T) netpoll.Connection {
 	t.Helper()
 	server := httptest.NewServer(http.NotFoundHandler())
 	t.Cleanup(server.Close)
@@ -184,12 +184,12 @@
 // A link that ends between the loop's word and the write must cost a call, not the process: netpoll has dropped its
 // buffers by then.
 func TestWriteAfterEnd(t *testing.T) {
-	conn := connected(t)
+	conn := silentConn(t)
 	r := start(t.TempDir(), 100)
-	r.hand("OUT.ADD 00 id c=order,d=20000,dest=1 x")
+	r.submit("OUT.ADD 00 id c=order,d=20000,dest=1 x")
 	c := r.calls[0]
 	c.done = true // so that the link comes up idle
-	r.comesUp(c, conn)
+	r.connectionUp(c, conn)
 	l := c.endpoint.idle[0]
 	l.conn.Close()
 	c.done = false
@@ -205,12 +205,12 @@
 // A process that stood still hears that a connection is up before its timers fire: a call whose time is over by then
 // must not leave on it.
 func TestLateConnectionCarriesNothing(t *testing.T) {
-	conn := connected(t)
+	conn := silentConn(t)
 	r := start(t.TempDir(), 100)
-	r.hand("OUT.ADD 00 id c=status,d=6000,dest=1 x")
+	r.submit("OUT.ADD 00 id c=status,d=6000,dest=1 x")
 	c := r.calls[0]
 	r.clock += 7 * time.Second
-	r.comesUp(c, conn)
+	r.connectionUp(c, conn)
 	if !c.done || c.link != nil {
 		t.Errorf("the call left after its time: over %v", c.done)
 	}
@@ -219,14 +219,14 @@
 // A configuration read anew moves the watch and the platform's endings, an unanswered one too, to the new address.
 // The old watch and the list stay until the new one has spoken, and what is broken changes nothing.
 func TestReload(t *testing.T) {
-	var places []*directoryStandIn
+	var places []*fakeDiscovery
 	for i := range 3 {
-		p := &directoryStandIn{told: make(chan string, 100), asked: make(chan struct{}, 100), answers: i == 2, tells: i != 1}
+		p := &fakeDiscovery{outcomes: make(chan string, 100), asked: make(chan struct{}, 100), answers: i == 2, updates: i != 1}
 		p.Server = httptest.NewServer(p)
 		defer p.Server.CloseClientConnections()
 		places = append(places, p)
 	}
-	cfg := configure(t.TempDir(), 100)
+	cfg := testConfig(t.TempDir(), 100)
 	cfg.Listen, cfg.Discovery = "127.0.0.1:0", places[0].addr()
 	s, err := Start(cfg, zap.NewNop())
 	if err != nil {
@@ -250,7 +250,7 @@
 		t.Fatal(err)
 	}
 	conn.Write(resp.AppendCommand(nil, []byte("OUT.ADD"), []byte("0"), []byte("late"), []byte("c=status,d=1200,dest=1"), nil))
-	if line := <-places[0].told; !strings.Contains(line, `"late"`) {
+	if line := <-places[0].outcomes; !strings.Contains(line, `"late"`) {
 		t.Errorf("the first platform heard %q", line)
 	}
 	s.Reload(nil, io.ErrUnexpectedEOF)
@@ -260,7 +260,7 @@
 		s.Reload(&fresh, nil)
 		<-p.asked
 	}
-	if line := <-places[2].told; !strings.Contains(line, `"late"`) {
+	if line := <-places[2].outcomes; !strings.Contains(line, `"late"`) {
 		t.Errorf("the last platform heard %q", line)
 	}
 	if !look(func() bool { return len(s.endings) == 0 && len(s.watches) == 1 && s.endpoints["new"] != nil }) {
@@ -271,27 +271,27 @@
 	<-done
 }
 
-// directoryStandIn is one address of discovery: its watch may tell of an endpoint, its platform may answer.
-type directoryStandIn struct {
+// fakeDiscovery is one address of discovery: its watch may tell of an endpoint, its platform may answer.
+type fakeDiscovery struct {
 	*httptest.Server
-	told           chan string
-	asked          chan struct{}
-	tells, answers bool
+	outcomes         chan string
+	asked            chan struct{}
+	updates, answers bool
 }
 
-func (p *directoryStandIn) addr() string { return p.Listener.Addr().String() }
+func (p *fakeDiscovery) addr() string { return p.Listener.Addr().String() }
 
-func (p *directoryStandIn) ServeHTTP(out http.ResponseWriter, r *http.Request) {
+func (p *fakeDiscovery) ServeHTTP(out http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/v1/outcomes" {
 		body, _ := io.ReadAll(r.Body)
-		p.told <- string(body)
+		p.outcomes <- string(body)
 		if p.answers {
 			out.WriteHeader(http.StatusNoContent)
 			return
 		}
 	} else {
 		p.asked <- struct{}{}
-		if p.tells {
+		if p.updates {
 			io.WriteString(out, `{"version":3,"full":false,"servers":[{"id":"new","addr":"127.0.0.1:3","zone":"z","kind":"one","cell":3,"state":"up"}]}`+"\n")
 			out.(http.Flusher).Flush()
 		}
@@ -301,8 +301,8 @@
 
 // Clients that say nothing, leave a command unfinished, hold their places or send what can't be read must not keep
 // the others out, and each gets an error or an end within 3 s.
-func TestRudeClients(t *testing.T) {
-	cfg := configure(t.TempDir(), 100)
+func TestMisbehavingClients(t *testing.T) {
+	cfg := testConfig(t.TempDir(), 100)
 	cfg.Listen, cfg.Discovery, cfg.Limits.Sockets = "127.0.0.1:0", "127.0.0.1:1", 64
 	s, err := Start(cfg, zap.NewNop())
 	if err != nil {
--- a/internal/sender/standing_test.go
+++ b/internal/sender/standing_test.go
@@ -18,9 +18,9 @@
 // A kill may come right behind the answer that takes a message on: the file holds its record by then.
 func TestOnRecordBeforeOK(t *testing.T) {
 	t.Parallel()
-	cfg := configure(t.TempDir(), 1000)
+	cfg := testConfig(t.TempDir(), 1000)
 	cfg.Listen, cfg.Discovery = "127.0.0.1:0", "127.0.0.1:1"
-	s, conn, done := running(t, cfg)
+	s, conn, done := startServing(t, cfg)
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(20 * time.Second))
 	in := bufio.NewReader(conn)
@@ -31,7 +31,7 @@
 			t.Fatalf("%q, %v", line, err)
 		}
 		text, err := os.ReadFile(filepath.Join(cfg.State, "notices.log")) // what a kill would leave now
-		if err != nil || !takenIn(t, text, choice.MessageID(id)) {
+		if err != nil || !isAccepted(t, text, choice.MessageID(id)) {
 			t.Fatalf("%s was taken on and is not on record, %v", id, err)
 		}
 	}
@@ -39,8 +39,8 @@
 	<-done
 }
 
-// takenIn tells whether a journal's text holds that an id was taken on.
-func takenIn(t *testing.T, text []byte, id choice.MessageID) (is bool) {
+// isAccepted tells whether a journal's text holds that an id was taken on.
+func isAccepted(t *testing.T, text []byte, id choice.MessageID) (is bool) {
 	t.Helper()
 	dir := t.TempDir()
 	if err := os.WriteFile(filepath.Join(dir, "notices.log"), text, 0o600); err != nil {
@@ -62,9 +62,9 @@
 func TestFullSenderGoesOn(t *testing.T) {
 	t.Parallel()
 	const span, every = 16 * time.Second, 40 * time.Millisecond
-	l := follow(t, startAs(configureFour(t.TempDir(), 40)))
+	l := recordCalls(t, startWith(fourClassConfig(t.TempDir(), 40)))
 	// Destination 7 has an endpoint in the list that takes no call.
-	l.list(`{"version":2,"servers":[{"id":"g","addr":"127.0.0.1:7","zone":"z","kind":"one","cell":7,"state":"draining"}]}`)
+	l.updateList(`{"version":2,"servers":[{"id":"g","addr":"127.0.0.1:7","zone":"z","kind":"one","cell":7,"state":"draining"}]}`)
 	var lastTaken, lastCalled time.Duration
 	taken, called := int64(0), 0
 	begin := l.clock
@@ -72,9 +72,9 @@
 		for _, dest := range []int{7, 7, 7, 1} {
 			c := &client{window: make(chan struct{}, windowSize), disconnected: true}
 			c.window <- struct{}{}
-			l.s.handleCommand(c, words(fmt.Sprintf("OUT.ADD 0 n%d-%d-%d c=pure,d=8000,dest=%d x", i, dest, len(l.s.pending), dest)))
+			l.s.handleCommand(c, splitArgs(fmt.Sprintf("OUT.ADD 0 n%d-%d-%d c=pure,d=8000,dest=%d x", i, dest, len(l.s.pending), dest)))
 		}
-		l.goOn(every, 20*time.Millisecond)
+		l.advanceAnswering(every, 20*time.Millisecond)
 		if l.s.counts.accepted > taken {
 			taken, lastTaken = l.s.counts.accepted, l.clock
 		}
@@ -94,9 +94,9 @@
 // A command may come in pieces of any size, as slowly as a client writes, and beside others in one piece.
 func TestCommandsInPieces(t *testing.T) {
 	t.Parallel()
-	cfg := configure(t.TempDir(), 1000)
+	cfg := testConfig(t.TempDir(), 1000)
 	cfg.Listen, cfg.Discovery, cfg.Known = "127.0.0.1:0", "127.0.0.1:1", directory.List{}
-	s, conn, done := running(t, cfg)
+	s, conn, done := startServing(t, cfg)
 	defer conn.Close()
 	var lone, both net.Conn
 	for _, to := range []*net.Conn{&lone, &both} {
--- a/internal/sender/timers_test.go
+++ b/internal/sender/timers_test.go
@@ -20,7 +20,7 @@
 	start := time.Now()
 	asked := 0
 	var s *Sender
-	s, err := openSender(configure(t.TempDir(), 10), zap.NewNop(), start, func() time.Duration {
+	s, err := openSender(testConfig(t.TempDir(), 10), zap.NewNop(), start, func() time.Duration {
 		if asked++; asked > 10_000 { // a loop that wakes for nothing stands in one moment of this clock
 			s.ended = true
 		}
@@ -50,29 +50,29 @@
 
 // What a call or a link waits for is taken back with its end: memory follows what is open, not the rate times the
 // deadline.
-func ExampleSender_takeBack() {
+func Example_cancelTimer() {
 	r := start("", 100)
 	before := len(r.s.timers)
 	for i := range 50 {
-		r.hand0(fmt.Sprintf("OUT.ADD %016x n%d c=order,d=20000,dest=1 x", i+1, i))
+		r.submitQuietly(fmt.Sprintf("OUT.ADD %016x n%d c=order,d=20000,dest=1 x", i+1, i))
 		for len(r.calls) > 0 {
-			r.answer("HTTP/1.1 200 OK\nContent-Length: 0\n\n")
+			r.endpointAnswers("HTTP/1.1 200 OK\nContent-Length: 0\n\n")
 		}
 	}
 	r.s.turn()
 	fmt.Println("owed", len(r.s.pending), "timers more than before", len(r.s.timers)-before, "module's", len(r.s.moduleTimers))
-	r.hand0("OUT.ADD 0000000000000000 last c=order,d=20000,dest=1 x")
+	r.submitQuietly("OUT.ADD 0000000000000000 last c=order,d=20000,dest=1 x")
 	fmt.Println("owed", len(r.s.pending), "timers more than before", len(r.s.timers)-before)
 	// Output:
 	// owed 0 timers more than before 0 module's 1
 	// owed 1 timers more than before 2
 }
 
-// hand0 hands a command in and ends the turn, and prints nothing.
-func (r *rig) hand0(text string) {
+// submitQuietly hands a command in and ends the turn, and prints nothing.
+func (r *harness) submitQuietly(text string) {
 	c := &client{window: make(chan struct{}, windowSize), writingReplies: 1}
 	c.window <- struct{}{}
-	r.s.handleCommand(c, words(text))
+	r.s.handleCommand(c, splitArgs(text))
 	r.clock += 5 * time.Millisecond
 	r.s.turn()
 }
--- a/internal/sender/together_test.go
+++ b/internal/sender/together_test.go
@@ -9,40 +9,40 @@
 	"flaxcove/internal/sender/together"
 )
 
-// crowd stands in for the processes around a sender.
-type crowd struct {
-	last together.Digest
-	shut choice.ZoneNo // a zone to which nothing may go; -1 for none
-	woke []choice.DestinationID
+// fakeCluster stands in for the processes around a sender.
+type fakeCluster struct {
+	last       together.Digest
+	closedZone choice.ZoneNo // a zone to which nothing may go; -1 for none
+	woke       []choice.DestinationID
 }
 
-func (c *crowd) Digest(d together.Digest)    { c.last = d }
-func (c *crowd) Woke(d choice.DestinationID) { c.woke = append(c.woke, d) }
-func (c *crowd) Guide() together.Guide       { return c }
-func (c *crowd) Allowed(_ choice.MessageID, _ choice.DestinationID, zone choice.ZoneNo) bool {
-	return zone != c.shut
+func (c *fakeCluster) Digest(d together.Digest)    { c.last = d }
+func (c *fakeCluster) Woke(d choice.DestinationID) { c.woke = append(c.woke, d) }
+func (c *fakeCluster) Guide() together.Guide       { return c }
+func (c *fakeCluster) Allowed(_ choice.MessageID, _ choice.DestinationID, zone choice.ZoneNo) bool {
+	return zone != c.closedZone
 }
 
 // recall stands in for the module's memory.
-type recollection struct {
-	pinned choice.DestinationID
-	void   []string
+type fakeLearnedStore struct {
+	mustStay choice.DestinationID
+	voided   []string
 }
 
-func (m *recollection) Void(id choice.EndpointID, l *choice.Learnt) {
-	m.void = append(m.void, fmt.Sprint(id, " ", l))
+func (m *fakeLearnedStore) Void(id choice.EndpointID, l *choice.Learnt) {
+	m.voided = append(m.voided, fmt.Sprint(id, " ", l))
 }
-func (m *recollection) Holds(d choice.DestinationID) (float64, bool) { return 7, d == m.pinned }
+func (m *fakeLearnedStore) Holds(d choice.DestinationID) (float64, bool) { return 7, d == m.mustStay }
 
-// join ties the rig to a crowd.
-func (r *rig) join(j Joining) *crowd {
-	c := &crowd{shut: -1}
+// joinCluster ties the rig to a crowd.
+func (r *harness) joinCluster(j Joining) *fakeCluster {
+	c := &fakeCluster{closedZone: -1}
 	r.s.Join(c, j)
 	return c
 }
 
-// take has the loop take the orders that were given.
-func (r *rig) take() *rig {
+// runNext has the loop take the orders that were given.
+func (r *harness) runNext() *harness {
 	(<-r.s.inbox)()
 	return r
 }
@@ -53,14 +53,14 @@
 	for _, opens := range []bool{true, false} {
 		gate := make(chan struct{})
 		r := start("", 100)
-		r.join(Joining{Gate: gate, For: time.Second})
-		r.hand("OUT.ADD 0 id c=status,d=6000,dest=1 x").turn(900 * time.Millisecond)
+		r.joinCluster(Joining{Gate: gate, For: time.Second})
+		r.submit("OUT.ADD 0 id c=status,d=6000,dest=1 x").advance(900 * time.Millisecond)
 		if opens {
 			close(gate)
-			r.take()
+			r.runNext()
 		}
 		fmt.Println("out:", len(r.calls))
-		r.turn(110 * time.Millisecond)
+		r.advance(110 * time.Millisecond)
 		os.RemoveAll(r.dir)
 	}
 	// Output:
@@ -75,12 +75,12 @@
 }
 
 // A guide that stands has nothing go to a zone that is shut, at once as it changes; none allows all.
-func Example_guide() {
+func Example_routingPlan() {
 	r := start("", 100)
-	c := r.join(Joining{})
+	c := r.joinCluster(Joining{})
 	fmt.Println(r.s.Allowed("id", "a"))
-	c.shut = r.s.endpoints["a"].zone
-	r.turn(5 * time.Millisecond)
+	c.closedZone = r.s.endpoints["a"].zone
+	r.advance(5 * time.Millisecond)
 	fmt.Println(r.s.Allowed("id", "a"), r.s.Allowed("id", "unknown"))
 	os.RemoveAll(r.dir)
 	// Output:
@@ -92,8 +92,8 @@
 // what was refused, nor the same id again. What waits stands in one row of its destination.
 func Example_digest() {
 	r := start("", 4)
-	c := r.join(Joining{})
-	r.turn(500 * time.Millisecond)
+	c := r.joinCluster(Joining{})
+	r.advance(500 * time.Millisecond)
 	show := func() {
 		for _, row := range c.last.Rows {
 			fmt.Printf("row %+v\n", row)
@@ -101,12 +101,12 @@
 		fmt.Println("counts", c.last.Counts, "longest", c.last.Longest)
 	}
 	show()
-	r.hand("OUT.ADD 0 s1 c=status,d=6000,dest=2 x", "OUT.ADD 0 s2 c=status,d=6000,dest=2 x",
+	r.submit("OUT.ADD 0 s1 c=status,d=6000,dest=2 x", "OUT.ADD 0 s2 c=status,d=6000,dest=2 x",
 		"OUT.ADD 0 w c=order,d=90000,dest=9 x",
 		"OUT.ADD 0 w2 c=order,d=20000,dest=9 x", "OUT.ADD 0 over c=order,d=20000,dest=9 x")
-	r.answer("HTTP/1.1 429 Wait\nRetry-After: 9\nX-Load: x0=0,x1=25\nContent-Length: 0\n\n")
-	r.hand("OUT.ADD 0 w c=order,d=90000,dest=9 x")
-	r.turn(500 * time.Millisecond)
+	r.endpointAnswers("HTTP/1.1 429 Wait\nRetry-After: 9\nX-Load: x0=0,x1=25\nContent-Length: 0\n\n")
+	r.submit("OUT.ADD 0 w c=order,d=90000,dest=9 x")
+	r.advance(500 * time.Millisecond)
 	show()
 	os.RemoveAll(r.dir)
 	// Output:
@@ -133,37 +133,37 @@
 // asked once, and what the region knows is taken where nothing is known here, its wait shorter by its age.
 func Example_evict() {
 	r := start("", 100)
-	c, m := r.join(Joining{}), &recollection{pinned: 2}
+	c, m := r.joinCluster(Joining{}), &fakeLearnedStore{mustStay: 2}
 	r.s.learnedStore = m
-	r.hand("OUT.ADD 0 id c=status,d=6000,dest=1 x")
+	r.submit("OUT.ADD 0 id c=status,d=6000,dest=1 x")
 	r.clock += 50 * time.Millisecond
 	o := r.s.Orders()
 	list := func() {
 		o.Holding(func(all []together.Held) { fmt.Printf("held %+v\n", all) })
-		r.take().turn(5 * time.Millisecond)
+		r.runNext().advance(5 * time.Millisecond)
 	}
 	evict := func() {
-		o.Evict([]choice.DestinationID{1, 2, 9}, func(kept []choice.DestinationID) {
-			fmt.Println("kept", kept, "void", m.void)
+		o.Evict([]choice.DestinationID{1, 2, 9}, func(retained []choice.DestinationID) {
+			fmt.Println("kept", retained, "void", m.voided)
 		})
-		r.take().turn(5 * time.Millisecond)
+		r.runNext().advance(5 * time.Millisecond)
 	}
 	evict()
 	r.calls[0].endpoint.linkCount-- // the rig has none
-	r.answer(ok).turn(5 * time.Millisecond)
+	r.endpointAnswers(answerOK).advance(5 * time.Millisecond)
 	o.Know([]choice.DestinationID{1}, func(all []together.Lesson) { fmt.Printf("known %+v\n", all) })
-	r.take().turn(20 * time.Millisecond)
+	r.runNext().advance(20 * time.Millisecond)
 	list()
 	evict()
-	m.void = nil
-	r.hand("OUT.ADD 0 again c=status,d=6000,dest=9 x", "OUT.ADD 0 more c=status,d=6000,dest=9 x")
+	m.voided = nil
+	r.submit("OUT.ADD 0 again c=status,d=6000,dest=9 x", "OUT.ADD 0 more c=status,d=6000,dest=9 x")
 	fmt.Println("woke", c.woke)
 	k := choice.Learnt{Mean: 10, Dev: 1, Past: 10, Seen: 3, Wait: 5 * choice.Second}
 	o.Teach([]together.Lesson{{Endpoint: "z", Learnt: k, Age: 2 * time.Second}, {Endpoint: "a", Learnt: k},
 		{Endpoint: "none", Learnt: k},
 		{Endpoint: "b", Learnt: choice.Learnt{Mean: -1}}})
-	r.take()
-	fmt.Println("taught", m.void)
+	r.runNext()
+	fmt.Println("taught", m.voided)
 	os.RemoveAll(r.dir)
 	// Output:
 	// call a: POST /inbox
--- a/internal/sender/untried_test.go
+++ b/internal/sender/untried_test.go
@@ -11,7 +11,7 @@
 // all of MaxOpen, and a message that was handed in with less time than its class allows.
 func TestUntriedIsTried(t *testing.T) {
 	t.Parallel()
-	now := at(time.Minute)
+	now := clockAt(time.Minute)
 	many := func(n int, make func(i int) *message) (all []*message) {
 		for i := range n {
 			all = append(all, make(i))
@@ -25,14 +25,24 @@
 		left    []*message
 		news    string // a list that comes 300 ms later
 	}{
-		{"usual", 100, many(9, func(i int) *message { return taken(fmt.Sprint(i), "0", class[i%3], 1, now-4*second, 8*second) }), ""},
-		{"unknown destination", 100, many(9, func(i int) *message { return taken(fmt.Sprint(i), "0", class[i%3], 7, now-4*second, 8*second) }),
+		{"usual", 100, many(9, func(i int) *message {
+			return acceptedMessage(fmt.Sprint(i), "0", class[i%3], 1, now-4*second, 8*second)
+		}), ""},
+		{"unknown destination", 100, many(9, func(i int) *message {
+			return acceptedMessage(fmt.Sprint(i), "0", class[i%3], 7, now-4*second, 8*second)
+		}),
 			`{"version":2,"servers":[{"id":"n","addr":"127.0.0.1:7","zone":"z","kind":"one","cell":7,"state":"up"}]}`},
-		{"key", 100, many(9, func(i int) *message { return taken(fmt.Sprint(i), "5", "line", 1, now-4*second, 8*second) }), ""},
-		{"full", 60, many(60, func(i int) *message { return taken(fmt.Sprint(i), "0", class[i%3], 1, now-4*second, 8*second) }), ""},
-		{"fuller than now allowed", 30, many(60, func(i int) *message { return taken(fmt.Sprint(i), "0", class[i%3], 1, now-4*second, 8*second) }), ""},
-		{"half of a short time left", 100, many(6, func(i int) *message { return taken(fmt.Sprint(i), "0", class[i%3], 1, now-second, 2*second) }), ""},
-		{"half of 400 ms left", 100, many(6, func(i int) *message { return taken(fmt.Sprint(i), "0", class[i%3], 1, now-second/5, 2*second/5) }), ""},
+		{"key", 100, many(9, func(i int) *message { return acceptedMessage(fmt.Sprint(i), "5", "line", 1, now-4*second, 8*second) }), ""},
+		{"full", 60, many(60, func(i int) *message {
+			return acceptedMessage(fmt.Sprint(i), "0", class[i%3], 1, now-4*second, 8*second)
+		}), ""},
+		{"fuller than now allowed", 30, many(60, func(i int) *message {
+			return acceptedMessage(fmt.Sprint(i), "0", class[i%3], 1, now-4*second, 8*second)
+		}), ""},
+		{"half of a short time left", 100, many(6, func(i int) *message { return acceptedMessage(fmt.Sprint(i), "0", class[i%3], 1, now-second, 2*second) }), ""},
+		{"half of 400 ms left", 100, many(6, func(i int) *message {
+			return acceptedMessage(fmt.Sprint(i), "0", class[i%3], 1, now-second/5, 2*second/5)
+		}), ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			dir := t.TempDir()
@@ -40,21 +50,21 @@
 			for _, n := range c.left {
 				records = append(records, n.acceptedRecord())
 			}
-			leave(t, dir, records...)
-			l := follow(t, startAs(configureFour(dir, c.maxOpen)))
-			l.goOn(300*time.Millisecond, 20*time.Millisecond)
+			writeJournal(t, dir, records...)
+			l := recordCalls(t, startWith(fourClassConfig(dir, c.maxOpen)))
+			l.advanceAnswering(300*time.Millisecond, 20*time.Millisecond)
 			if c.news != "" {
-				l.list(c.news)
+				l.updateList(c.news)
 			}
-			l.goOn(9*time.Second, 20*time.Millisecond)
+			l.advanceAnswering(9*time.Second, 20*time.Millisecond)
 			untried := 0
 			for _, n := range c.left {
 				if l.calls[n.ID] != 1 {
 					untried++
 				}
 			}
-			if untried > 0 || len(l.ends) > 0 || len(l.s.pending) > 0 {
-				t.Errorf("of %d, %d not called once; the platform was told of %d, %d are owed still", len(c.left), untried, len(l.ends), len(l.s.pending))
+			if untried > 0 || len(l.endings) > 0 || len(l.s.pending) > 0 {
+				t.Errorf("of %d, %d not called once; the platform was told of %d, %d are owed still", len(c.left), untried, len(l.endings), len(l.s.pending))
 			}
 		})
 	}
@@ -62,23 +72,23 @@
 
 // A new message makes no room for itself by one that an earlier process took on and nobody has tried yet: it is refused
 // itself, which costs its client a wait and nobody a message.
-func TestNewMakesNoRoomByUntried(t *testing.T) {
+func TestNewDoesNotDisplaceUntried(t *testing.T) {
 	t.Parallel()
-	now, dir := at(time.Minute), t.TempDir()
+	now, dir := clockAt(time.Minute), t.TempDir()
 	var records [][]byte
 	for i := range 17 {
-		records = append(records, taken(fmt.Sprint(i), "0", "pure", 7, now-second, 8*second).acceptedRecord())
+		records = append(records, acceptedMessage(fmt.Sprint(i), "0", "pure", 7, now-second, 8*second).acceptedRecord())
 	}
-	leave(t, dir, records...)
-	l := follow(t, startAs(configureFour(dir, 20)))
+	writeJournal(t, dir, records...)
+	l := recordCalls(t, startWith(fourClassConfig(dir, 20)))
 	for i := range 200 {
 		c := &client{window: make(chan struct{}, windowSize), disconnected: true}
 		c.window <- struct{}{}
-		l.s.handleCommand(c, words(fmt.Sprintf("OUT.ADD 0 n%d c=single,d=8000,dest=1 x", i)))
-		l.goOn(10*time.Millisecond, 0)
+		l.s.handleCommand(c, splitArgs(fmt.Sprintf("OUT.ADD 0 n%d c=single,d=8000,dest=1 x", i)))
+		l.advanceAnswering(10*time.Millisecond, 0)
 	}
-	if len(l.ends) > 0 {
-		t.Errorf("of 17 untried ones %d were handed back for new ones", len(l.ends))
+	if len(l.endings) > 0 {
+		t.Errorf("of 17 untried ones %d were handed back for new ones", len(l.endings))
 	}
 	if l.s.counts.rejected == 0 || l.s.counts.accepted == 0 {
 		t.Errorf("refused %d, taken on %d: no room was asked for", l.s.counts.rejected, l.s.counts.accepted)
