--- a/internal/sender/client_timeouts.go
+++ b/internal/sender/client_timeouts.go
@@ -1,7 +1,7 @@
 package sender
 
-// This file ends client connections: those that say nothing, leave a command unfinished, idle where places run short,
-// or are not needed at a planned end. It must never end one on which a command waits for its answer.
+// This file closes client connections by time: those that say nothing, leave a command incomplete, idle where places run
+// short, or are idle at a graceful shutdown. None is closed while a command waits for its answer.
 
 import (
 	"cmp"
@@ -10,36 +10,18 @@
 )
 
 const (
-	// Who says nothing, or half a command, is owed an end within 3 s; who has been served may stay until places
-	// run short, and is not to be closed within 2 s of its last answer.
+	// A client that sends nothing, or an incomplete command, is to be closed within 3 s. One that has been served may
+	// stay until places run short, and is not closed within minIdleTime of its last answer.
 	silentTimeout         = 2200 * time.Millisecond
 	partialCommandTimeout = 2200 * time.Millisecond
 	sweepInterval         = 200 * time.Millisecond
 )
 
-// sweepClients ends those who say nothing or leave a command unfinished, and, where there are many, those idle longest.
+// sweepClients closes clients that send nothing or leave a command incomplete, and, where there are many clients, those
+// that have been idle longest.
 func (s *Sender) sweepClients() {
 	s.after(sweepInterval, s.sweepClients)
-	now := s.sinceStart()
-	var idle, late []*client
-	s.clients.Lock()
-	over := len(s.clients.all) - s.clients.idleCloseThreshold
-	for c := range s.clients.all {
-		rest := time.Duration(c.idleSince.Load())
-		switch half := time.Duration(c.partialSince.Load()); {
-		case c.closing || c.disconnected || c.lingering:
-			over--
-		case half != 0:
-			if now-half >= partialCommandTimeout {
-				late = append(late, c)
-			}
-		case rest == 0 && now-c.connectedAt >= silentTimeout && c.idle() && noInputPending(c.conn):
-			late = append(late, c)
-		case over > 0 && rest != 0 && now-rest >= minIdleTime && c.idle() && noInputPending(c.conn):
-			idle = append(idle, c)
-		}
-	}
-	s.clients.Unlock()
+	late, idle, surplus := s.clients.dueForClosing(s.sinceStart())
 	for _, c := range late {
 		if c.partialSince.Load() == 0 {
 			s.closeClient(c, silentClient)
@@ -50,12 +32,36 @@
 		s.closeClient(c, partialCommand)
 	}
 	slices.SortFunc(idle, func(a, b *client) int { return cmp.Compare(a.idleSince.Load(), b.idleSince.Load()) })
-	for _, c := range idle[:max(0, min(len(idle), over-len(late)))] {
+	for _, c := range idle[:max(0, min(len(idle), surplus-len(late)))] {
 		s.closeClient(c, idleTimeout)
 	}
 }
 
-// closeClient ends a connection once all it waits for is written.
+// dueForClosing lists the clients whose time for a command is over, those idle long enough to be closed, and how many
+// clients there are beyond idleCloseThreshold, not counting those that are closing already.
+func (t *clientTable) dueForClosing(now time.Duration) (late, idle []*client, surplus int) {
+	t.Lock()
+	defer t.Unlock()
+	surplus = len(t.all) - t.idleCloseThreshold
+	for c := range t.all {
+		idleSince := time.Duration(c.idleSince.Load())
+		switch partialSince := time.Duration(c.partialSince.Load()); {
+		case c.closing || c.disconnected || c.lingering:
+			surplus--
+		case partialSince != 0:
+			if now-partialSince >= partialCommandTimeout {
+				late = append(late, c)
+			}
+		case idleSince == 0 && now-c.connectedAt >= silentTimeout && c.idle() && noInputPending(c.conn):
+			late = append(late, c)
+		case surplus > 0 && idleSince != 0 && now-idleSince >= minIdleTime && c.idle() && noInputPending(c.conn):
+			idle = append(idle, c)
+		}
+	}
+	return late, idle, surplus
+}
+
+// closeClient closes a connection as soon as all its answers are written.
 func (s *Sender) closeClient(c *client, why reason) {
 	if c.closing || c.disconnected {
 		return
@@ -64,6 +70,7 @@
 	s.flushReplies(c)
 }
 
+// onClientEnded removes a client whose connection has ended.
 func (s *Sender) onClientEnded(c *client) {
 	s.clients.Lock()
 	delete(s.clients.all, c)
@@ -71,28 +78,31 @@
 	s.clients.Unlock()
 	c.disconnected = true
 	s.flushReplies(c)
-	s.unparsedBytes.Add(-c.unparsed) // the reader has ended before
+	s.unparsedBytes.Add(-c.unparsed) // its reader has ended before
 	s.counts.clientsEnded++
 	s.logConnEnded("client", c.peer, c.closeReason, nil)
 }
 
-// closeIdleClients ends those that nothing is owed, so that they go elsewhere. One that has just come is let hand in
-// what it came with, or its client would find a closed connection twice in a row.
+// closeIdleClients closes idle clients at a graceful shutdown, so that they go elsewhere. A new one may first send the
+// command that it connected for, or its client would find a closed connection twice in a row.
 func (s *Sender) closeIdleClients() {
-	hurry := s.sinceDrain() >= drainReadTime
+	for _, c := range s.idleClients(s.sinceDrain() >= drainReadTime) {
+		s.closeClient(c, drained)
+	}
+}
+
+// idleClients lists the clients that may be closed at a graceful shutdown; in a hurry, all that are not closing yet.
+func (s *Sender) idleClients(hurry bool) (idle []*client) {
 	s.clients.Lock()
-	var idle []*client
+	defer s.clients.Unlock()
 	for c := range s.clients.all {
 		if c.closing || c.lingering {
-			continue // each look asks the system
+			continue // noInputPending is a system call
 		}
-		fresh := !c.served && s.clock()-c.connectedAt < drainAcceptTime
-		if hurry || c.idle() && !fresh && noInputPending(c.conn) {
+		isNew := !c.served && s.clock()-c.connectedAt < drainAcceptTime
+		if hurry || c.idle() && !isNew && noInputPending(c.conn) {
 			idle = append(idle, c)
 		}
 	}
-	s.clients.Unlock()
-	for _, c := range idle {
-		s.closeClient(c, drained)
-	}
+	return idle
 }
--- a/internal/sender/clients.go
+++ b/internal/sender/clients.go
@@ -1,17 +1,11 @@
 package sender
 
-// This file takes in: it owns the listener and the table of client connections. It must never let clients that say
-// nothing, or nothing that can be read, keep places from the others.
+// This file holds the table of client connections and what is kept of each of them. accept.go fills the table,
+// lingering_close.go and client_timeouts.go empty it.
 
 import (
-	"cmp"
-	"context"
-	"errors"
-	"math"
-	"slices"
 	"sync"
 	"sync/atomic"
-	"syscall"
 	"time"
 
 	"github.com/cloudwego/netpoll"
@@ -21,13 +15,16 @@
 )
 
 const (
-	windowSize          = 64 // commands of one client without an answer
-	clientWriteTimeout  = 5 * time.Second
-	reservedDescriptors = 48                     // for the process itself, discovery, the platform and the journal
-	firstInputTimeout   = 200 * time.Millisecond // usual ones have sent something by then
-	minIdleTime         = 2 * time.Second        // who has been served may stay so long after its last answer
+	windowSize          = 64              // commands of one client without an answer
+	clientWriteTimeout  = 5 * time.Second // for one write of answers
+	reservedDescriptors = 48              // for the process itself, discovery, the platform and the journal
+	// firstInputTimeout is by when an ordinary client has sent its first bytes.
+	firstInputTimeout = 200 * time.Millisecond
+	// minIdleTime is how long a client that has been served may stay after its last answer.
+	minIdleTime = 2 * time.Second
 )
 
+// Why a client connection ended, as the log reports it.
 const (
 	peerClosed     reason = "peer_closed"
 	badCommand     reason = "bad_command"
@@ -37,80 +34,71 @@
 	tooFarAhead    reason = "too_far_ahead"
 	drained        reason = "drained"
 	silentClient   reason = "said_nothing"
-	tooMuchHalf    reason = "too_much_unfinished"
 )
 
+// clientFrontend is the part of a Sender that serves clients.
 type clientFrontend struct {
 	clients          clientTable
 	listener         netpoll.Listener
-	unparsedBytes    atomic.Int64 // bytes of commands that are not whole yet, of all clients
-	maxUnparsedBytes int64        // of them
+	unparsedBytes    atomic.Int64 // bytes of incomplete commands, of all clients
+	maxUnparsedBytes int64        // bound of unparsedBytes
 }
 
-// clientTable holds the open clients; each leaves when its connection has ended. Its lock is shared by the loop and the
-// pollers, since a connection must be counted before it is read; a client's gate may be taken while it is held, never
-// the other way round, and no connection is closed under either.
+// clientTable holds the open clients; each is removed when its connection has ended. The loop and netpoll's pollers share
+// its lock, since a connection must be counted before it is read. A client's stateLock may be taken while the table is
+// locked, never the other way round, and no connection is closed under either lock.
 type clientTable struct {
 	sync.Mutex
 	all                map[*client]struct{}
-	maxConns           int                    // descriptors of all of them
-	maxServed          int                    // for those who are served; the rest is for those who leave
-	served             int                    // neither leaving nor ended
-	idleCloseThreshold int                    // up to here nobody is closed for being idle
-	stopped            bool                   // nobody is served any more
-	busyReply          atomic.Pointer[[]byte] // what one who finds no place is told; read off the loop too
+	maxConns           int                    // bound of connections, lingering ones included
+	maxServed          int                    // bound of served clients; the rest is for those that linger
+	served             int                    // clients that neither linger nor have ended
+	idleCloseThreshold int                    // up to this many connections none is closed for being idle
+	stopped            bool                   // no new client is served any more
+	busyReply          atomic.Pointer[[]byte] // the answer for clients that find no place; pollers read it too
 }
 
-// setBusyReply has those who find no place told the time to come back that settings name.
-func (t *clientTable) setBusyReply(set *choice.Settings) {
-	text := busyText(int64(set.LongestReturn / choice.Millisecond))
-	t.busyReply.Store(&text)
-}
-
-func (t *clientTable) count() int {
-	t.Lock()
-	defer t.Unlock()
-	return len(t.all)
-}
-
-// client is one connection. The reader's fields belong to netpoll's one running callback, the loop's to the loop.
+// client is one connection from a client. A group of its fields belongs to the reader (netpoll's one running callback), a
+// group to the loop; stateLock guards what both use.
 type client struct {
 	conn         netpoll.Connection
 	peer         string
-	window       chan struct{} // one for each command without an answer, from before the loop hears of it
+	window       chan struct{} // one element for each command without an answer, from before the loop gets it
 	readerBusy   atomic.Bool   // the reader is at work
-	partialSince atomic.Int64  // since when a command is not whole yet, by the sender's clock; 0 for none
-	idleSince    atomic.Int64  // since when it has had all its answers, likewise; 0 before its first
-	ignoreInput  atomic.Bool   // nothing more is read: after a broken command nothing tells where the next begins
-
-	stateLock   sync.Mutex // taken last; who sets one of these has the table locked too, but for shut
-	writeClosed bool       // our sending has ended: nothing that is read from here on is taken on
-	// Our sending has not ended, but the client has lost its place: what it sends is answered with a refusal.
-	rejected         bool
-	lingering        bool // shut, or turned away
+	partialSince atomic.Int64  // since when a command is incomplete, by the sender's clock; 0 for none
+	idleSince    atomic.Int64  // since when all its commands are answered, by the same clock; 0 before the first
+	ignoreInput  atomic.Bool   // nothing more is parsed: after a broken command nothing says where the next begins
+
+	// stateLock is taken last. Who changes a field of this group also holds the table's lock, except for writeClosed.
+	stateLock        sync.Mutex
+	writeClosed      bool // our side has ended its sending: nothing that is read from here on is accepted
+	rejected         bool // it has lost its place, but our side still sends: its first input is answered with -BUSY
+	lingering        bool // writeClosed or rejected
 	descriptorClosed bool // the descriptor is given back, and may be another connection's by now
 	lingeringSince   time.Duration
-	lingerReason     reason // why it is leaving
+	lingerReason     reason
 
-	input     []byte // reader
+	// Of the reader.
+	input     []byte
 	args      [][]byte
-	unparsed  int64 // its part of takeIn.unparsedBytes
-	discarded int   // bytes that came once it was leaving
+	unparsed  int64 // its part of clientFrontend.unparsedBytes
+	discarded int   // bytes that came once it was lingering
 
-	connectedAt      time.Duration // since the start
-	replies          []*reply      // loop: answers owed, in the order of the commands
-	served           bool
+	// Of the loop.
+	connectedAt      time.Duration // since the sender's start
+	replies          []*reply      // answers to come, in the order of the commands
+	served           bool          // it has sent a command
 	badCommands      int
 	output           []byte
-	outputReplies    int    // answers in out
-	writingReplies   int    // answers being written
-	closeReason      reason // why we close it
-	closing          bool
+	outputReplies    int // answers in output
+	writingReplies   int // answers that are being written
+	closeReason      reason
+	closing          bool // to be closed as soon as all answers are written
 	recheckScheduled bool // a timer looks again whether it can be closed
 	disconnected     bool
 }
 
-// reply is the place of one answer.
+// reply is the place of one answer among those of its client.
 type reply struct {
 	client *client
 	text   []byte // nil until it is known
@@ -125,108 +113,26 @@
 	f.maxUnparsedBytes = max(4*maxInput, cfg.Limits.MemoryMB<<20/16)
 }
 
-// descriptorLimit are all that the system gives this process. Settings that say more would have clients take those of the
-// journal, the platform and discovery: none could be opened any more, and nothing would ever be given back.
-func descriptorLimit() int {
-	var limit syscall.Rlimit
-	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil || limit.Cur > math.MaxInt32 {
-		return math.MaxInt32
-	}
-	return int(limit.Cur)
-}
-
-func (s *Sender) listen() error {
-	ln, err := netpoll.CreateListener("tcp", s.cfg.Listen)
-	if err != nil {
-		return err
-	}
-	loop, err := netpoll.NewEventLoop(s.onClientInput, netpoll.WithOnPrepare(s.onAccept))
-	if err != nil {
-		return errors.Join(err, ln.Close())
-	}
-	s.listener = ln
-	s.after(sweepInterval, s.sweepClients)
-	// The listener lives as long as the process: netpoll closes its descriptor twice.
-	go loop.Serve(ln)
-	return nil
-}
-
-// Addr is where clients are served.
-func (s *Sender) Addr() string { return s.listener.Addr().String() }
-
-type clientKey struct{}
-
-func (s *Sender) onAccept(conn netpoll.Connection) context.Context {
-	c := &client{conn: conn, connectedAt: s.clock(), peer: conn.RemoteAddr().String(), window: make(chan struct{}, windowSize)}
-	conn.SetWriteTimeout(clientWriteTimeout)
-	conn.AddCloseCallback(func(netpoll.Connection) error {
-		s.clients.connEnded(c)
-		go s.post(func() { s.onClientEnded(c) })
-		return nil
-	})
-	lingers, dropped := s.clients.add(c)
-	if dropped != nil {
-		dropped.conn.Close()
-	}
-	if lingers != nil {
-		s.post(func() { s.boundLingering(lingers) })
-	}
-	return context.WithValue(context.Background(), clientKey{}, c)
+// setBusyReply makes the answer for clients that find no place from the settings' longest time to come back.
+func (t *clientTable) setBusyReply(set *choice.Settings) {
+	text := busyText(int64(set.LongestReturn / choice.Millisecond))
+	t.busyReply.Store(&text)
 }
 
-// add lets one who has come in. Another may have to leave for it, or it is turned away itself. Beyond what all
-// together may hold, who has been leaving longest is cut off.
-func (t *clientTable) add(c *client) (lingers, dropped *client) {
+func (t *clientTable) count() int {
 	t.Lock()
 	defer t.Unlock()
-	if len(t.all) >= t.maxConns {
-		if dropped = t.longestLingering(); dropped != nil {
-			delete(t.all, dropped)
-		}
-	}
-	t.all[c] = struct{}{}
-	if !t.stopped && t.served >= t.maxServed {
-		lingers = t.displaceOne(c.connectedAt)
-	}
-	t.served++
-	if t.stopped || t.served > t.maxServed {
-		c.stateLock.Lock()
-		c.rejected = true // nothing has been read yet
-		t.releasePlace(c, c.connectedAt, tooManyClients)
-		c.stateLock.Unlock()
-		lingers = c
-	}
-	return lingers, dropped
+	return len(t.all)
+}
+
+// idle reports whether nothing that the client has sent is being read, handled or answered. A connection that is closed
+// while it is not idle leaves a command without an answer, which counts as lost.
+func (c *client) idle() bool {
+	return len(c.window) == 0 && (c.ignoreInput.Load() || !c.readerBusy.Load() && c.partialSince.Load() == 0)
 }
 
-// displaceOne has one client part for another: the one idle longest, if for long enough, else the one that has been
-// silent longest since it came. Where neither has lasted, the one idle longest goes all the same: it has its answers
-// and comes again. One that has said nothing yet is turned away, as its first command may be on its way. The table is
-// locked.
-func (t *clientTable) displaceOne(now time.Duration) *client {
-	var idle, silent []*client
-	for c := range t.all {
-		switch {
-		case c.lingering || !c.idle():
-		case c.idleSince.Load() == 0:
-			silent = append(silent, c)
-		default:
-			idle = append(idle, c)
-		}
-	}
-	slices.SortFunc(silent, func(a, b *client) int { return cmp.Compare(a.connectedAt, b.connectedAt) })
-	slices.SortFunc(idle, func(a, b *client) int { return cmp.Compare(a.idleSince.Load(), b.idleSince.Load()) })
-	order := append(slices.Clone(idle), silent...)
-	if len(silent) > 0 && now-silent[0].connectedAt >= firstInputTimeout && len(idle) > 0 && now-time.Duration(idle[0].idleSince.Load()) < minIdleTime {
-		order = append(silent, idle...)
-	}
-	for _, c := range order {
-		if c.idleSince.Load() != 0 && t.halfClose(c, now, displaced, false) {
-			return c
-		}
-		if c.idleSince.Load() == 0 && noInputPending(c.conn) && t.reject(c, now, displaced) {
-			return c
-		}
-	}
-	return nil
+func (c *client) isWriteClosed() bool {
+	c.stateLock.Lock()
+	defer c.stateLock.Unlock()
+	return c.writeClosed
 }
--- a/internal/sender/lingering_close.go
+++ b/internal/sender/lingering_close.go
@@ -1,12 +1,11 @@
 package sender
 
-// This file parts from clients: the end of a connection, in order. Our sending ends first; what still comes is read and
-// passed over until the client has ended its own, or a bound. A close over bytes that nobody has read would reset the
-// connection, and an answer on its way would go with it. It must never end our sending while a command that was read
-// waits for its answer, nor let one that is read later be taken on: its client hands that in elsewhere.
+// This file closes client connections in order (a lingering close): our side ends its sending first; what still comes is
+// read and discarded until the client has ended its side, or until a bound. Closing a socket with unread bytes would reset
+// the connection, and an answer on its way would be lost with it. Our sending must never end while a command that was read
+// waits for its answer, and no command that is read later may be accepted: its client submits that elsewhere.
 
 import (
-	"cmp"
 	"errors"
 	"syscall"
 	"time"
@@ -15,13 +14,15 @@
 )
 
 const (
-	// Who has not ended its side by then is cut off. Silent ones are owed an end within 3 s, this included.
-	lingerTimeout = 300 * time.Millisecond // after firstInputTimeout
-	// What a client may still send: some full windows of usual commands. Who sends on without end would cost a core.
+	// lingerTimeout is by when, after firstInputTimeout, a client that has not ended its side is cut off. Silent clients
+	// are to be closed within 3 s, this included.
+	lingerTimeout = 300 * time.Millisecond
+	// maxDiscarded is what a lingering client may still send: some full windows of usual commands. Reading one that sends
+	// without end would cost a core.
 	maxDiscarded = 4 * maxInput
 )
 
-// halfCloseClient ends our sending, if it can be now. It tells whether the end has begun.
+// halfCloseClient ends our sending to a client if nothing is pending, and reports whether the client lingers now.
 func (s *Sender) halfCloseClient(c *client) bool {
 	hurry := s.draining && s.sinceDrain() >= drainReadTime
 	s.clients.Lock()
@@ -29,27 +30,28 @@
 	if c.lingering {
 		return true
 	}
-	if hurry && !c.ignoreInput.Load() && (!c.served || c.partialSince.Load() != 0) && s.clients.reject(c, s.clock(), c.closeReason) ||
-		s.clients.halfClose(c, s.clock(), c.closeReason, hurry) {
-		s.boundLingering(c)
-		return true
+	unanswered := !c.ignoreInput.Load() && (!c.served || c.partialSince.Load() != 0)
+	rejected := hurry && unanswered && s.clients.reject(c, s.clock(), c.closeReason)
+	if !rejected && !s.clients.halfClose(c, s.clock(), c.closeReason, hurry) {
+		return false
 	}
-	return false
+	s.boundLingering(c)
+	return true
 }
 
-// boundLingering cuts off a client that does not end its side. One that was turned away may first say what it came for.
+// boundLingering closes a client that does not end its side in time. A rejected one may send its first command before.
 func (s *Sender) boundLingering(c *client) {
 	s.after(firstInputTimeout, func() {
 		s.clients.Lock()
 		defer s.clients.Unlock()
-		s.clients.halfClose(c, s.clock(), c.lingerReason, false) // where something has come, the reader does
+		s.clients.halfClose(c, s.clock(), c.lingerReason, false) // where input has come, the reader does it
 	})
 	s.after(firstInputTimeout+lingerTimeout, func() { c.conn.Close() })
 }
 
-// halfClose is the one step that decides: a command that the reader has counted before it is answered, and one that it
-// counts later is passed over. In a hurry, what is still in the socket or not whole is not waited for. The table is
-// locked.
+// halfClose ends our sending unless something is pending, and reports whether it has ended. It is the step that decides:
+// a command that the reader has counted before is answered, and one that it counts later is discarded. In a hurry, input
+// that is still in the socket and incomplete commands are not waited for. The table is locked.
 func (t *clientTable) halfClose(c *client, now time.Duration, why reason, hurry bool) bool {
 	c.stateLock.Lock()
 	defer c.stateLock.Unlock()
@@ -58,9 +60,9 @@
 		return true
 	case c.descriptorClosed || len(c.window) > 0:
 		return false
-	case c.ignoreInput.Load(): // what comes behind it is nothing to wait for
-	// What has left the socket is in netpoll's buffer or with the reader, who is busy until it has counted a command
-	// or knows of half a one. So they are asked in this order.
+	case c.ignoreInput.Load(): // what follows is not answered, so nothing is waited for
+	// What has left the socket is in netpoll's buffer or with the reader, which is busy until it has counted a command
+	// or has noted an incomplete one. So they are checked in this order.
 	case !hurry && !noInputPending(c.conn) || c.conn.Reader().Len() > 0 || c.readerBusy.Load():
 		return false
 	case !hurry && c.partialSince.Load() != 0 || len(c.window) > 0:
@@ -71,9 +73,9 @@
 	return true
 }
 
-// reject takes a client's place, but not its connection yet: a command that finds its new connection closed without
-// an answer has failed, so its first bytes are answered. It tells whether it could, which is not so while the reader
-// has something in hand: of several commands only the first would be answered. The table is locked.
+// reject takes a client's place, but does not close its connection yet: a command whose new connection is closed without
+// an answer has failed, so the first input is answered with -BUSY. It reports whether that was possible, which it is not
+// while the reader has input in hand: of several commands only the first would be answered. The table is locked.
 func (t *clientTable) reject(c *client, now time.Duration, why reason) bool {
 	c.stateLock.Lock()
 	defer c.stateLock.Unlock()
@@ -85,7 +87,7 @@
 	return true
 }
 
-// releasePlace gives back a client's place. The table is locked, and so is the gate.
+// releasePlace gives back a client's place. The table and the client's stateLock are locked.
 func (t *clientTable) releasePlace(c *client, now time.Duration, why reason) {
 	if !c.lingering && !c.descriptorClosed {
 		c.lingering, c.lingeringSince, c.lingerReason = true, now, why
@@ -93,7 +95,7 @@
 	}
 }
 
-// closeWrite ends our sending behind the last words. The gate is locked.
+// closeWrite writes a last answer, if there is one, and ends our sending. The client's stateLock is locked.
 func (c *client) closeWrite(last []byte) {
 	c.writeClosed = true
 	conn, known := c.conn.(netpoll.Conn)
@@ -101,12 +103,12 @@
 		return
 	}
 	if len(last) > 0 {
-		_, _ = syscall.Write(conn.Fd(), last) // the first thing that is written here, and who has gone misses nothing
+		_, _ = syscall.Write(conn.Fd(), last) // nothing else was written before, and one that has gone misses nothing
 	}
 	_ = syscall.Shutdown(conn.Fd(), syscall.SHUT_WR)
 }
 
-// connEnded comes before netpoll gives the descriptor back.
+// connEnded is called before netpoll gives the descriptor back.
 func (t *clientTable) connEnded(c *client) {
 	t.Lock()
 	defer t.Unlock()
@@ -118,7 +120,7 @@
 	c.descriptorClosed = true
 }
 
-// stopIfEmpty turns away all who come from now on, if nobody is left.
+// stopIfEmpty rejects all new clients from now on if there are none left, and reports whether that is so.
 func (t *clientTable) stopIfEmpty() bool {
 	t.Lock()
 	defer t.Unlock()
@@ -126,7 +128,7 @@
 	return len(t.all) == 0
 }
 
-// ignoreAllInput has nothing more taken on, from those who are here and those who come.
+// ignoreAllInput makes sure that nothing more is accepted, from present clients and from new ones.
 func (t *clientTable) ignoreAllInput() {
 	t.Lock()
 	defer t.Unlock()
@@ -136,7 +138,7 @@
 	}
 }
 
-// halfCloseAll is for the last moment: who was turned away late may still have had time to speak.
+// halfCloseAll ends our sending to all clients at the last moment; rejected ones may have had time to send until then.
 func (t *clientTable) halfCloseAll(now time.Duration) {
 	t.Lock()
 	defer t.Unlock()
@@ -145,8 +147,8 @@
 	}
 }
 
-// acquireWindow counts a command, and waits for room among those without an answer. It tells whether the command is taken:
-// once our sending has ended, its client hands it in elsewhere.
+// acquireWindow counts a command, and waits while the window of commands without an answer is full. It reports whether the
+// command is to be handled: once our sending has ended, its client submits it elsewhere.
 func (s *Sender) acquireWindow(c *client) bool {
 	c.window <- struct{}{}
 	if s.discardsInput(c) {
@@ -156,8 +158,8 @@
 	return true
 }
 
-// discardsInput tells the reader whether what has come is for nobody any more. The first bytes of one that was turned away
-// are answered, once.
+// discardsInput reports to the reader whether input is to be discarded, as our sending has ended. The first input of a
+// rejected client is answered here.
 func (s *Sender) discardsInput(c *client) bool {
 	c.stateLock.Lock()
 	defer c.stateLock.Unlock()
@@ -167,7 +169,7 @@
 	return c.writeClosed
 }
 
-// discardIfLingering tells whether what comes is for nobody any more.
+// discardIfLingering counts input that is to be discarded, and reports whether it is. It closes a client that sends on.
 func (s *Sender) discardIfLingering(c *client, more int) bool {
 	if !s.discardsInput(c) {
 		return false
@@ -178,30 +180,8 @@
 	return true
 }
 
-// longestLingering is who has been leaving longest; who was turned away and may still speak comes last. The table is
-// locked.
-func (t *clientTable) longestLingering() *client {
-	var writeClosed, rejected *client
-	for c := range t.all {
-		oldest := &rejected
-		if c.isWriteClosed() {
-			oldest = &writeClosed
-		}
-		if c.lingering && !c.descriptorClosed && (*oldest == nil || c.lingeringSince < (*oldest).lingeringSince) {
-			*oldest = c
-		}
-	}
-	return cmp.Or(writeClosed, rejected)
-}
-
-func (c *client) isWriteClosed() bool {
-	c.stateLock.Lock()
-	defer c.stateLock.Unlock()
-	return c.writeClosed
-}
-
-// noInputPending asks the socket itself, since what has come may not have been handled yet, and netpoll's buffer after it:
-// the other way round, what moves from one to the other in between would be missed.
+// noInputPending reports whether a connection is open and nothing has come on it that is not read yet. It asks the socket
+// itself first and netpoll's buffer after it: the other way round, bytes that move from one to the other would be missed.
 func noInputPending(conn netpoll.Connection) bool {
 	fd, known := conn.(netpoll.Conn)
 	if !known || !conn.IsActive() {
--- a/internal/sender/replies.go
+++ b/internal/sender/replies.go
@@ -1,17 +1,22 @@
 package sender
 
-// This file writes answers back to clients, in the order of the commands. It must never wait for a slow reader.
+// This file writes answers to clients, in the order of their commands, without ever waiting for a slow reader.
 
 import (
+	"strconv"
+	"time"
+
 	"flaxcove/internal/resp"
 )
 
 const (
-	maxUnreadOutput = 256 << 10 // answers that a client has not read
-	maxBadCommands  = 8         // commands of one client that make no sense, before it is closed
+	maxUnreadOutput = 256 << 10 // bytes of answers that a client has not read, before it is closed
+	maxBadCommands  = 8         // invalid commands of one client, before it is closed
+	// closeRecheck is how often it is looked again whether a client that is closing has anything pending.
+	closeRecheck = 10 * time.Millisecond
 )
 
-// expectReply makes the place of the next answer.
+// expectReply adds the place of the next answer.
 func (s *Sender) expectReply(c *client) *reply {
 	c.served = true
 	r := &reply{client: c}
@@ -19,7 +24,7 @@
 	return r
 }
 
-// setReply fills a place and writes all that has its turn.
+// setReply sets an answer and writes all answers that no earlier one is waited for.
 func (s *Sender) setReply(r *reply, text []byte) {
 	r.text = text
 	c := r.client
@@ -32,7 +37,7 @@
 	s.flushReplies(c)
 }
 
-// badCommand answers what makes no sense. Who goes on like that is closed, or it would take the loop's time.
+// badCommand answers an invalid command. A client that sends many is closed, or it would take up the loop's time.
 func (s *Sender) badCommand(r *reply, why string) {
 	s.counts.badCommands++
 	c := r.client
@@ -43,26 +48,42 @@
 	s.setReply(r, resp.AppendError(nil, "ERR "+why))
 }
 
-// idle tells whether nothing that the client has sent is on its way through us. Ending its connection otherwise
-// would leave a command without an answer, which counts as lost.
-func (c *client) idle() bool {
-	return len(c.window) == 0 && (c.ignoreInput.Load() || !c.readerBusy.Load() && c.partialSince.Load() == 0)
+// protocolError answers input that cannot be parsed, and closes the client.
+func (s *Sender) protocolError(c *client, err error) {
+	s.counts.badCommands++
+	s.setReply(s.expectReply(c), resp.AppendError(nil, "ERR protocol: "+err.Error()))
+	s.closeClient(c, badCommand)
+}
+
+// answerBusy rejects a message: its client may submit it again, in ms milliseconds if that is not 0.
+func (s *Sender) answerBusy(r *reply, ms int64) {
+	s.counts.rejected++
+	s.setReply(r, busyText(ms))
+}
+
+func busyText(ms int64) []byte {
+	text := "BUSY"
+	if ms > 0 {
+		text += " " + strconv.FormatInt(ms, 10)
+	}
+	return resp.AppendError(nil, text)
 }
 
-// releaseWindow gives back the places of answers that are written, or can't be any more.
+// releaseWindow removes answers from the window that are written, or can't be written any more.
 func (c *client) releaseWindow(count int) {
 	for range count {
 		<-c.window
 	}
 }
 
-// flushReplies has a goroutine of its own write, since netpoll waits for a reader that is slow.
+// flushReplies starts to write what is to be written, or goes on with closing the client. A goroutine of its own writes,
+// since netpoll's Write waits for a slow reader.
 func (s *Sender) flushReplies(c *client) {
 	switch {
 	case c.disconnected:
 		c.releaseWindow(c.outputReplies)
 		c.output, c.outputReplies = nil, 0
-	case c.writingReplies > 0:
+	case c.writingReplies > 0: // onFlushed calls again
 	case len(c.output) > 0:
 		text := c.output
 		c.output, c.writingReplies, c.outputReplies = nil, c.outputReplies, 0
@@ -73,7 +94,7 @@
 	case c.closing && s.halfCloseClient(c):
 	case c.closing && !c.recheckScheduled:
 		c.recheckScheduled = true
-		s.after(abandonSettleTime, func() {
+		s.after(closeRecheck, func() {
 			c.recheckScheduled = false
 			s.flushReplies(c)
 		})
@@ -84,6 +105,7 @@
 	}
 }
 
+// onFlushed is called when a write of answers has ended.
 func (s *Sender) onFlushed(c *client, err error) {
 	c.idleSince.Store(max(1, int64(s.sinceStart())))
 	c.releaseWindow(c.writingReplies)
@@ -94,10 +116,3 @@
 	}
 	s.flushReplies(c)
 }
-
-// protocolError answers what cannot be read, and ends the connection.
-func (s *Sender) protocolError(c *client, err error) {
-	s.counts.badCommands++
-	s.setReply(s.expectReply(c), brokenText(err))
-	s.closeClient(c, badCommand)
-}
