--- a/internal/sender/admission.go
+++ b/internal/sender/admission.go
@@ -1,8 +1,8 @@
 package sender
 
-// This file admits: it owns the table of what is owed, what a turn writes of it, and the answers that wait for that.
-// It must never answer +OK before the record is written, never write two records for one id, never take on again
-// what has ended: once taken on, only book.go may end a message.
+// This file admits messages: it owns the table of pending messages, what a turn writes to the journal, and the answers
+// that wait for that. No +OK is answered before the message's record is written, no id gets two records, and no message
+// that has ended is accepted again.
 
 import (
 	"go.uber.org/zap"
@@ -13,51 +13,33 @@
 )
 
 const (
-	// The file is rewritten before it fills rewriteThreshold of the disk, into one that holds what is owed, which may
-	// take maxLiveShare; while both exist both count. The gap between the two keeps rewritings rare.
+	// The journal is rewritten before it fills rewriteThreshold of the disk, into a file of the pending messages, which
+	// may take maxLiveShare; while both files exist both count. The gap between the two shares keeps rewritings rare.
 	rewriteThreshold = 0.58
 	maxLiveShare     = 0.38
-	laterRecordBytes = 3 * (maxID + 64) // bytes of the later records of one message, at most
-	// An id handed in once more after its message has ended must not make a single-use one run again. So many are
-	// remembered; at three times the usual rate that is longer than a message may be held.
+	// laterRecordBytes bounds the later records of one message.
+	laterRecordBytes = 3 * (maxID + 64)
+	// maxRememberedEnded bounds the ids of ended messages that are remembered, so that one that is submitted once more
+	// does not run again. At three times the usual rate that is longer than a message may be pending.
 	maxRememberedEnded = 8192
-	maxEndedInOrder    = 1024 // ended ones left among those in order, but for as many as are owed
+	// maxEndedInOrder bounds the ended messages in admission.accepted, beside as many as are pending.
+	maxEndedInOrder = 1024
 )
 
-// message is one that was handed in and has not ended. It leaves Sender.owed when nothing more is owed for it.
-type message struct {
-	choice.Message
-	key string // by which order is kept; in a bulk call it stands where no idempotency key was told
-	// Both as the client told them. Endpoints know a repeat by the first, whatever id it came under.
-	idempotencyKey, tenant string
-	className              string
-	body                   []byte
-	reply                  *reply // nil once the client has its answer
-	journaled              bool   // its record is written, or waits in the batch
-	attempts               int    // attempts of this process
-	inFlight               *call
-	acceptedAt             choice.Time // by the wall clock of its process; 0 where an older record does not tell
-	attemptOnRecord        bool        // an attempt that may have run is on record
-	ranInZoneName          string      // the zone's name, where an attempt may have run: numbers are the settings', and may change
-	ending                 ending
-	// withdrawn tells that a purge meant it. Where its call is out, its ending is on record, but waits for the answer.
-	withdrawn bool
-	size      int64
-}
-
+// admission is the part of a Sender that holds its messages and its journal.
 type admission struct {
 	journal        *journal.Journal
 	pending        map[choice.MessageID]*message
-	accepted       []*message  // those owed in the order taken on, with ended ones among them until a rewriting
+	accepted       []*message  // pending ones in the order accepted, with ended ones among them until a rewriting
 	admitted       []*message  // of this turn
-	liveBytes      int64       // bytes that a rewriting would keep, at most
+	liveBytes      int64       // what a rewriting would keep, at most
 	reservedBytes  int64       // what this turn's messages will add to that
-	latestRecorded choice.Time // that a record tells, while the start reads them
-	zoneUnnamed    []*message  // whose record tells a zone by number alone, until the start has written their names
+	latestRecorded choice.Time // latest time of the records read so far, while the journal is replayed
+	zoneUnnamed    []*message  // replayed with a record that has a zone's number alone, until its name is written
 
-	recentlyEnded map[choice.MessageID]struct{} // taken on and over; the oldest leaves for the newest
-	endedRing     []choice.MessageID            // in a ring
-	endedNext     int
+	recentlyEnded map[choice.MessageID]struct{} // accepted and ended
+	endedRing     []choice.MessageID            // the same ids; the oldest gives way to the newest
+	endedNext     int                           // the oldest of a full ring
 }
 
 func (a *admission) rememberEnded(id choice.MessageID) {
@@ -74,61 +56,56 @@
 	a.recentlyEnded[id] = struct{}{}
 }
 
-// told is a message as the module takes it.
-func (n *message) told() choice.Message { return n.Message }
-
-// hasJournalCapacity tells whether the journal can hold one more message together with its later records. What came in the same turn
-// counts: a burst that passes the limit all at once could not be written at all, and nobody would have an answer.
+// hasJournalCapacity reports whether the journal can hold one more message together with its later records. What was
+// admitted in the same turn counts: a burst beyond the limit could not be written at all, and no client would be answered.
 func (s *Sender) hasJournalCapacity(n *message) bool {
 	return s.liveBytes+s.reservedBytes+n.size+laterRecordBytes <= int64(maxLiveShare*float64(s.journal.Limit()))
 }
 
-// admit lays a message up for the turn's end. Its client waits until then.
+// admit makes a message pending. Its client is answered at the end of the turn.
 func (s *Sender) admit(n *message) {
 	s.pending[n.ID] = n
 	s.admitted = append(s.admitted, n)
 	s.reservedBytes += n.size + laterRecordBytes
 }
 
-// commit writes what the turn must not forget. It tells whether anything may leave.
+// commit writes the records of the turn, and reports whether answers, reports and calls may be sent.
 func (s *Sender) commit() bool {
+	s.recordAdmitted()
+	s.recordCalls()
+	if err := s.writeJournal(); err != nil {
+		s.log.Error("journal", zap.Error(err))
+		return false
+	}
+	return true
+}
+
+// recordAdmitted adds the records of the turn's messages, but for those that have ended already.
+func (s *Sender) recordAdmitted() {
 	for _, n := range s.admitted {
 		if n.reply != nil && !n.journaled {
 			n.journaled = true
 			s.journal.Add(n.acceptedRecord())
-			s.trackAccepted(n)
+			s.accepted = append(s.accepted, n)
+			s.liveBytes += n.size + laterRecordBytes
 		}
 	}
 	s.reservedBytes = 0
+}
+
+// recordCalls adds the records of calls that may be sent after this commit: on idle links, or on new ones.
+func (s *Sender) recordCalls() {
 	for _, c := range s.starting {
 		if len(c.endpoint.idle) > 0 {
 			s.recordAttempt(c)
 		}
 	}
-	for _, a := range s.connected {
-		s.recordAttempt(a.call)
-	}
-	if len(s.accepted) > 2*len(s.pending)+maxEndedInOrder {
-		// On a large disk a rewriting may be long in coming.
-		s.accepted = withoutEnded(s.accepted)
+	for _, connected := range s.connected {
+		s.recordAttempt(connected.call)
 	}
-	var err error
-	if s.journal.Size() > int64(rewriteThreshold*float64(s.journal.Limit())) {
-		s.accepted = withoutEnded(s.accepted)
-		s.counts.rewritings++
-		err = s.journal.Rewrite(func(add func([]byte)) {
-			s.records(add)
-		})
-	} else {
-		err = s.journal.Flush()
-	}
-	if err != nil {
-		s.log.Error("journal", zap.Error(err))
-	}
-	return err == nil
 }
 
-// recordAttempt lays up that a call may have run.
+// recordAttempt adds a record that a call may have run, for each message where that matters.
 func (s *Sender) recordAttempt(c *call) {
 	c.recorded = true
 	for _, n := range c.messages {
@@ -139,11 +116,26 @@
 	}
 }
 
-func (s *Sender) trackAccepted(n *message) {
-	s.accepted = append(s.accepted, n)
-	s.liveBytes += n.size + laterRecordBytes
+// limitsRepeat reports whether an attempt forbids or limits another one, or holds up the next message of its key.
+func (s *Sender) limitsRepeat(n *message) bool {
+	class := &s.cfg.Settings.Classes[n.Class]
+	return class.Repeat != choice.Idempotent || class.ByArrival && n.Key != choice.NoKey
+}
+
+// writeJournal writes the added records, or the whole file anew where it has grown too large.
+func (s *Sender) writeJournal() error {
+	if len(s.accepted) > 2*len(s.pending)+maxEndedInOrder { // on a large disk a rewriting may be long in coming
+		s.accepted = withoutEnded(s.accepted)
+	}
+	if s.journal.Size() <= int64(rewriteThreshold*float64(s.journal.Limit())) {
+		return s.journal.Flush()
+	}
+	s.accepted = withoutEnded(s.accepted)
+	s.counts.rewritings++
+	return s.journal.Rewrite(s.records)
 }
 
+// withoutEnded removes closed messages from a list, in place.
 func withoutEnded(order []*message) []*message {
 	open := order[:0]
 	for _, n := range order {
@@ -155,13 +147,7 @@
 	return open
 }
 
-// limitsRepeat tells whether an attempt forbids or limits another one, or holds up the next of its key.
-func (s *Sender) limitsRepeat(n *message) bool {
-	w := &s.cfg.Settings.Classes[n.Class]
-	return w.Repeat != choice.Idempotent || w.ByArrival && n.Key != choice.NoKey
-}
-
-// answerAdmitted tells the clients whose messages are lasting now.
+// answerAdmitted answers the clients whose messages are on record now.
 func (s *Sender) answerAdmitted() {
 	for _, n := range s.admitted {
 		if n.reply != nil {
--- a/internal/sender/configure_bench_test.go
+++ b/internal/sender/configure_bench_test.go
@@ -36,7 +36,7 @@
 						b.Fatal(err)
 					}
 					r.s.admit(n)
-					r.s.module.Taken(n.told())
+					r.s.module.Taken(n.Message)
 				}
 				b.ResetTimer()
 				for i := range b.N {
--- /dev/null
+++ b/internal/sender/counters.go
@@ -0,0 +1,118 @@
+package sender
+
+// This file holds the counters that INFO answers with.
+
+import (
+	"fmt"
+	"slices"
+
+	"flaxcove/choice"
+)
+
+// counts are the counters of a Sender.
+type counts struct {
+	submitted, accepted, rejected, badCommands, replayed      int64
+	attempts, probes, connects, connectsFailed, callsTimedOut int64
+	delivered, shed, failed, endingsPosted, postsFailed       int64
+	clientsEnded, linksEnded, watchesEnded, rewritings        int64
+	reloads                                                   int64
+	purges, withdrawn, withdrawnInFlight, evicted, taught     int64
+	outcomes                                                  [choice.Spoilt + 1]int64
+}
+
+// counter is one line of INFO. Names are part of the protocol, and so is their order.
+type counter struct {
+	name  string
+	value int64
+}
+
+// resultNames name the outcomes of calls in counters and in the log.
+var resultNames = [choice.Spoilt + 1]string{"done", "errored", "full", "timed_out", "connect_failed", "reset", "cancelled", "moot", "spoilt"}
+
+// Counters are the lines of INFO, name:value.
+func (s *Sender) Counters() (lines []string) {
+	for _, c := range slices.Concat(s.messageCounters(), s.callCounters(), s.stateCounters(), s.gossipCounters(), s.clusterCounters()) {
+		lines = append(lines, fmt.Sprintf("%s:%d", c.name, c.value))
+	}
+	return lines
+}
+
+func (s *Sender) messageCounters() []counter {
+	n := &s.counts
+	return []counter{
+		{"handed_in", n.submitted},
+		{"taken_on", n.accepted},
+		{"refused", n.rejected},
+		{"bad_commands", n.badCommands},
+		{"replayed", n.replayed},
+	}
+}
+
+func (s *Sender) callCounters() []counter {
+	n := &s.counts
+	all := []counter{{"dispatches", n.attempts}}
+	for result, count := range n.outcomes {
+		all = append(all, counter{"outcome_" + resultNames[result], count})
+	}
+	return append(all, []counter{
+		{"probes", n.probes},
+		{"connects", n.connects},
+		{"connects_failed", n.connectsFailed},
+		{"calls_timed_out", n.callsTimedOut},
+		{"delivered", n.delivered},
+		{"handed_back", n.shed},
+		{"given_up", n.failed},
+		{"endings_posted", n.endingsPosted},
+		{"posts_failed", n.postsFailed},
+	}...)
+}
+
+func (s *Sender) stateCounters() []counter {
+	n := &s.counts
+	return []counter{
+		{"clients", int64(s.clients.count())},
+		{"clients_ended", n.clientsEnded},
+		{"links", int64(s.openLinks)},
+		{"links_ended", n.linksEnded},
+		{"watches_ended", n.watchesEnded},
+		{"reloads", n.reloads},
+		{"journal_bytes", s.journal.Size()},
+		{"journal_rewritings", n.rewritings},
+		{"owed", int64(len(s.pending))},
+		{"endings_owed", int64(len(s.endings))},
+	}
+}
+
+// gossipCounters are there only where gossip is sent.
+func (s *Sender) gossipCounters() []counter {
+	if s.peers == nil {
+		return nil
+	}
+	c := s.peers.Counts()
+	return []counter{
+		{"notes_told", c.Sent},
+		{"notes_unsent", c.Unsent},
+		{"notes_heard", c.Heard},
+		{"notes_from_strangers", c.Strange},
+		{"notes_own", c.Own},
+		{"notes_too_long", c.TooLong},
+		{"notes_spoilt", c.Spoilt},
+	}
+}
+
+// clusterCounters are there only in a sender that has joined a cluster.
+func (s *Sender) clusterCounters() []counter {
+	if s.cluster == nil {
+		return nil
+	}
+	n := &s.counts
+	return []counter{
+		{"configuration_version", int64(s.cfg.Version)},
+		{"purges", n.purges},
+		{"withdrawn", n.withdrawn}, // apart from given_up, though the platform gets the same report
+		{"withdrawn_while_out", n.withdrawnInFlight},
+		{"evicted", n.evicted},
+		{"taught", n.taught},
+		{"digest_left_out", s.leftOut},
+	}
+}
--- a/internal/sender/gossip.go
+++ b/internal/sender/gossip.go
@@ -57,17 +57,3 @@
 		s.peers.Tell(note)
 	}
 }
-
-func (s *Sender) addGossipCounters(add func(name string, v int64)) {
-	if s.peers == nil {
-		return
-	}
-	c := s.peers.Counts()
-	add("notes_told", c.Sent)
-	add("notes_unsent", c.Unsent)
-	add("notes_heard", c.Heard)
-	add("notes_from_strangers", c.Strange)
-	add("notes_own", c.Own)
-	add("notes_too_long", c.TooLong)
-	add("notes_spoilt", c.Spoilt)
-}
--- a/internal/sender/outcome_reporter.go
+++ b/internal/sender/outcome_reporter.go
@@ -1,11 +1,11 @@
 package sender
 
-// This file keeps the books: it owns the ends of messages, what the platform is still to be told of them, and the
-// counters. It must never forget an ending before the platform has answered 204, and never post two at once.
+// This file reports to the platform how messages ended that were not delivered. No ending is dropped before the platform
+// has answered 204, and no two posts are under way at once.
 
 import (
 	"encoding/json"
-	"fmt"
+	"net/http"
 	"time"
 
 	"go.uber.org/zap"
@@ -14,147 +14,25 @@
 )
 
 const (
-	maxEndingsPerPost = 256 // endings in one post
+	maxEndingsPerPost = 256
 	minPostRetryPause = 20 * time.Millisecond
 	maxPostRetryPause = 250 * time.Millisecond
 )
 
-type endKind byte
-
-const (
-	endNone endKind = iota
-	endShed
-	endFailed
-	endClosed
-)
-
-// ending is how a message that was not delivered ends.
-type ending struct {
-	kind    endKind
-	retryMS int64
-}
-
+// outcomeReporter is the part of a Sender that posts endings.
 type outcomeReporter struct {
-	endings        []*message // owed to the platform; each leaves with its 204
+	endings        []*message // to be reported; each is removed with its 204
 	posting        bool
 	retryPause     time.Duration
-	oneAtATime     bool // the last post was not understood: one at a time until one is
+	oneAtATime     bool // the last post was rejected: one ending a post until one is accepted
 	platform       platformConn
-	postToPlatform func(addr string, body []byte) (status int, err error) // a test puts its own in place
-	counts         counts
-}
-
-func (b *outcomeReporter) init() { b.retryPause = minPostRetryPause }
-
-type counts struct {
-	submitted, accepted, rejected, badCommands, replayed      int64
-	attempts, probes, connects, connectsFailed, callsTimedOut int64
-	delivered, shed, failed, endingsPosted, postsFailed       int64
-	clientsEnded, linksEnded, watchesEnded, rewritings        int64
-	reloads                                                   int64
-	purges, withdrawn, withdrawnInFlight, evicted, taught     int64
-	outcomes                                                  [choice.Spoilt + 1]int64
-}
-
-var resultNames = [choice.Spoilt + 1]string{"done", "errored", "full", "timed_out", "connect_failed", "reset", "cancelled", "moot", "spoilt"}
-
-// Counters are a line each, name:value.
-func (s *Sender) Counters() (lines []string) {
-	add := func(name string, v int64) { lines = append(lines, fmt.Sprintf("%s:%d", name, v)) }
-	n := &s.counts
-	add("handed_in", n.submitted)
-	add("taken_on", n.accepted)
-	add("refused", n.rejected)
-	add("bad_commands", n.badCommands)
-	add("replayed", n.replayed)
-	add("dispatches", n.attempts)
-	for i, v := range n.outcomes {
-		add("outcome_"+resultNames[i], v)
-	}
-	add("probes", n.probes)
-	add("connects", n.connects)
-	add("connects_failed", n.connectsFailed)
-	add("calls_timed_out", n.callsTimedOut)
-	add("delivered", n.delivered)
-	add("handed_back", n.shed)
-	add("given_up", n.failed)
-	add("endings_posted", n.endingsPosted)
-	add("posts_failed", n.postsFailed)
-	add("clients", int64(s.clients.count()))
-	add("clients_ended", n.clientsEnded)
-	add("links", int64(s.openLinks))
-	add("links_ended", n.linksEnded)
-	add("watches_ended", n.watchesEnded)
-	add("reloads", n.reloads)
-	add("journal_bytes", s.journal.Size())
-	add("journal_rewritings", n.rewritings)
-	add("owed", int64(len(s.pending)))
-	add("endings_owed", int64(len(s.endings)))
-	s.addGossipCounters(add)
-	if s.cluster != nil {
-		add("configuration_version", int64(s.cfg.Version))
-		add("purges", n.purges)
-		add("withdrawn", n.withdrawn) // beside given_up, though the platform is told the same
-		add("withdrawn_while_out", n.withdrawnInFlight)
-		add("evicted", n.evicted)
-		add("taught", n.taught)
-		add("digest_left_out", s.leftOut)
-	}
-	return lines
+	postToPlatform func(addr string, body []byte) (status int, err error) // tests replace it
 }
 
-// closeMessage ends a message for which nothing more is owed.
-func (s *Sender) closeMessage(n *message) {
-	if n.ending.kind == endClosed {
-		return
-	}
-	if n.ending.kind == endNone {
-		s.counts.delivered++
-	}
-	n.ending.kind = endClosed
-	delete(s.pending, n.ID)
-	if n.journaled {
-		s.rememberEnded(n.ID)
-		s.journal.Add(idRecord(recClosed, n.ID))
-		s.liveBytes -= n.size + laterRecordBytes
-	}
-	n.body = nil
-}
-
-// endMessage is the module's word that a message ends undelivered. A client that still waits is told itself.
-func (s *Sender) endMessage(n *message, how ending) {
-	if n == nil || n.ending.kind != endNone {
-		return
-	}
-	s.log.Debug("ends undelivered", zap.String("id", string(n.ID)), zap.Bool("handed_back", how.kind == endShed),
-		zap.Int64("retry_ms", how.retryMS), zap.Int("tries", n.attempts), zap.Bool("may_have_run", n.MayRun),
-		zap.Bool("client_waits", n.reply != nil))
-	switch {
-	case how.kind == endShed:
-		s.counts.shed++
-	case n.withdrawn:
-		s.counts.withdrawn++
-	default:
-		s.counts.failed++
-	}
-	n.ending = how
-	if n.reply != nil {
-		r := n.reply
-		n.reply = nil
-		if how.kind == endShed {
-			s.answerBusy(r, how.retryMS)
-		} else {
-			s.setReply(r, []byte("-ERR given up\r\n"))
-		}
-		s.closeMessage(n)
-		return
-	}
-	s.journal.Add(endingRecord(n))
-	s.endings = append(s.endings, n)
-}
+func (r *outcomeReporter) init() { r.retryPause = minPostRetryPause }
 
-// postEndings tells the platform, one post at a time. It runs behind the turn's append, so that what is told is
-// on record.
+// postEndings starts a post of endings unless one is under way. It is called after the turn's append, so that what is
+// reported is on record.
 func (s *Sender) postEndings() {
 	if s.posting || len(s.endings) == 0 {
 		return
@@ -171,10 +49,11 @@
 	count, addr := len(batch), s.discovery
 	go func() {
 		status, err := s.postToPlatform(addr, body)
-		s.post(func() { s.postEnded(count, status, err) })
+		s.post(func() { s.onPosted(count, status, err) })
 	}()
 }
 
+// line is the ending of one message in the body of a post.
 func (e ending) line(id choice.MessageID) []byte {
 	line := struct {
 		Message string `json:"message"`
@@ -186,14 +65,15 @@
 	}
 	text, err := json.Marshal(line)
 	if err != nil {
-		return nil // two strings and a number always marshal
+		return nil // can't be: two strings and a number always marshal
 	}
 	return append(text, '\n')
 }
 
-func (s *Sender) postEnded(count, status int, err error) {
+// onPosted is called when the post of the first endings has ended. A failed one is repeated after a backoff.
+func (s *Sender) onPosted(count, status int, err error) {
 	batch := s.endings[:count]
-	if err == nil && status == 204 {
+	if err == nil && status == http.StatusNoContent {
 		for _, n := range batch {
 			s.closeMessage(n)
 		}
@@ -205,7 +85,7 @@
 	s.counts.postsFailed++
 	s.log.Warn("platform not told", zap.Int("status", status), zap.Int("endings", count), zap.Error(err))
 	if err == nil {
-		// One line that is not understood must not hold up the others.
+		// One ending that the platform rejects must not hold up the others.
 		s.oneAtATime = true
 		s.endings = append(append([]*message(nil), s.endings[count:]...), batch...)
 	}
--- a/internal/sender/platform_conn.go
+++ b/internal/sender/platform_conn.go
@@ -1,7 +1,6 @@
 package sender
 
-// This file owns the connection to the platform, on which endings are posted. It belongs to the one goroutine that
-// posts, and must never post two at once.
+// This file owns the connection to the platform, on which endings are posted.
 
 import (
 	"time"
@@ -13,72 +12,92 @@
 
 const (
 	outcomesPath = "/v1/outcomes"
-	// The platform's agent answers at once; while one post waits, all later endings do, and a message without its
-	// ending 300 ms past its deadline is lost.
+	// postTimeout bounds each step of a post. The platform's agent answers at once; while one post waits all later
+	// endings do, and a message whose end is not reported 300 ms past its deadline counts as lost.
 	postTimeout = 250 * time.Millisecond
 )
 
 const postFailed reason = "post_failed"
 
-// platformConn holds the connection to the platform. It belongs to the one goroutine that posts.
+// platformConn is the connection to the platform. Only the goroutine of the one post that is under way uses it.
 type platformConn struct {
-	conn netpoll.Connection
-	addr string // of conn
+	conn netpoll.Connection // nil for none
+	addr string             // of conn
 	log  func(addr string, why reason, err error)
 }
 
+// post sends one request and returns the status of its answer. It is repeated on a new connection where a reused one
+// fails, as that may have ended before; an ending that is reported twice does no harm.
 func (p *platformConn) post(addr string, body []byte) (status int, err error) {
 	if addr != p.addr {
 		p.disconnect(notNeeded, nil)
 		p.addr = addr
 	}
-	fresh := p.conn == nil || !p.conn.IsActive()
-	if status, err = p.postOnce(addr, body); err != nil && !fresh {
-		// The kept connection had ended; a message told twice does no harm.
+	reused := p.conn != nil && p.conn.IsActive()
+	status, err = p.postOnce(addr, body)
+	if err != nil && reused {
 		status, err = p.postOnce(addr, body)
 	}
 	return status, err
 }
 
 func (p *platformConn) postOnce(addr string, body []byte) (status int, err error) {
-	if p.conn == nil || !p.conn.IsActive() {
-		p.disconnect(peerClosed, nil)
-		if p.conn, err = netpoll.DialConnection("tcp", addr, postTimeout); err != nil {
-			p.conn = nil
-			p.log(addr, connectFailure, err)
-			return 0, err
-		}
-		p.conn.SetReadTimeout(postTimeout)
-		p.conn.SetWriteTimeout(postTimeout)
+	if err := p.connect(addr); err != nil {
+		return 0, err
 	}
-	defer func() {
-		if err != nil {
-			p.disconnect(postFailed, err)
-		}
-	}()
-	request := append(http1.AppendRequest(nil, "POST", outcomesPath, addr, len(body)), body...)
-	if _, err = p.conn.Write(request); err != nil {
+	status, err = p.exchange(addr, body)
+	if err != nil {
+		p.disconnect(postFailed, err)
+	}
+	return status, err
+}
+
+// connect opens a connection unless there is one.
+func (p *platformConn) connect(addr string) error {
+	if p.conn != nil && p.conn.IsActive() {
+		return nil
+	}
+	p.disconnect(peerClosed, nil)
+	conn, err := netpoll.DialConnection("tcp", addr, postTimeout)
+	if err != nil {
+		p.log(addr, connectFailure, err)
+		return err
+	}
+	conn.SetReadTimeout(postTimeout)
+	conn.SetWriteTimeout(postTimeout)
+	p.conn = conn
+	return nil
+}
+
+// exchange writes a request and reads its answer.
+func (p *platformConn) exchange(addr string, body []byte) (status int, err error) {
+	request := http1.AppendRequest(nil, "POST", outcomesPath, addr, len(body))
+	if _, err := p.conn.Write(append(request, body...)); err != nil {
 		return 0, err
 	}
-	var a http1.Answer
-	for !a.Done {
-		r := p.conn.Reader()
-		if _, err = r.Peek(1); err != nil {
-			return 0, err
-		}
-		piece, err := r.Next(r.Len())
-		if err == nil {
-			err = a.Feed(piece)
-		}
-		r.Release()
-		if err != nil {
+	var answer http1.Answer
+	for !answer.Done {
+		if err := readPiece(p.conn.Reader(), &answer); err != nil {
 			return 0, err
 		}
 	}
-	if a.Close || a.Left() > 0 {
+	if answer.Close || answer.Left() > 0 {
 		p.disconnect(endpointCloses, nil)
 	}
-	return a.Status(), nil
+	return answer.Status(), nil
+}
+
+// readPiece waits for bytes and hands all that have come to the parser of an answer.
+func readPiece(r netpoll.Reader, answer *http1.Answer) error {
+	if _, err := r.Peek(1); err != nil {
+		return err
+	}
+	piece, err := r.Next(r.Len())
+	if err == nil {
+		err = answer.Feed(piece)
+	}
+	r.Release()
+	return err
 }
 
 func (p *platformConn) disconnect(why reason, err error) {
--- a/internal/sender/purge.go
+++ b/internal/sender/purge.go
@@ -219,7 +219,7 @@
 	f := recordReader{rest: record[1+used:]}
 	p.seq = seq
 	for _, n := range []*int{&p.found.NotBegun, &p.found.MayRun, &p.found.Delivered, &p.found.Learnt} {
-		*n = int(f.number())
+		*n = int(f.readNumber())
 	}
 	return p, !f.invalid
 }
--- a/internal/sender/restart_test.go
+++ b/internal/sender/restart_test.go
@@ -165,7 +165,7 @@
 	n := &message{key: "0", className: "order"}
 	n.ID, n.Deadline = "id", 9e13
 	f.Add(n.acceptedRecord(), attemptRecord("id", 5, 0, "z"))
-	f.Add(n.acceptedRecord(), endingRecord(&message{Message: n.Message, ending: ending{kind: endFailed}}))
+	f.Add(n.acceptedRecord(), endRecord(n.ID, ending{kind: endFailed}))
 	f.Fuzz(func(t *testing.T, first, second []byte) {
 		dir := t.TempDir()
 		j, _, err := journal.Open(dir, 1<<20, func([]byte) {})
--- a/internal/sender/sender.go
+++ b/internal/sender/sender.go
@@ -66,6 +66,7 @@
 	linkPool
 	outcomeReporter
 	clusterMember
+	counts counts
 }
 
 // Start replays the journal, tells the module what it finds, and returns once clients may come.
@@ -119,7 +120,7 @@
 	s.learnedStore = s.module
 	s.updateEndpoints(cfg.Known, true)
 	for _, n := range unfinished {
-		s.module.Taken(n.told())
+		s.module.Taken(n.Message)
 	}
 	return s, nil
 }
