--- a/internal/sender/bundle_test.go
+++ b/internal/sender/bundle_test.go
@@ -95,7 +95,7 @@
 		var a http1.Answer
 		a.Feed(fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body))
 		answer := readAnswer(&a)
-		fmt.Println("spoilt:", answer.isSpoilt(r.calls[0]))
+		fmt.Println("spoilt:", answer.lacksStates(r.calls[0]))
 		r.calls[0].done = true
 		r.s.finishCall(r.calls[0], answer)
 		r.advance(5 * time.Millisecond)
--- a/internal/sender/cluster.go
+++ b/internal/sender/cluster.go
@@ -84,16 +84,6 @@
 	}
 }
 
-// Allowed is the module's question whether a message may go to an endpoint. An endpoint that is not listed any more has
-// no zone that could be closed.
-func (s *Sender) Allowed(id choice.MessageID, to choice.EndpointID) bool {
-	if s.routingPlan == nil {
-		return true
-	}
-	e := s.endpoints[to]
-	return e == nil || s.routingPlan.Allowed(id, e.destination, e.zone)
-}
-
 // Orders are what a cluster may ask of this sender. Purges are applied once it has been joined.
 func (s *Sender) Orders() together.Orders { return orders{s} }
 
--- a/internal/sender/configure.go
+++ b/internal/sender/configure.go
@@ -1,9 +1,8 @@
 package sender
 
-// This file owns the change of settings under a running sender: a configuration decided in common comes as an order and is
-// put in force between two turns. It must never put an older version in force after a newer one, nor part of one: all
-// that can be wrong is found before anything changes. What was taken on stays: each message keeps its deadline, its
-// class by number and what is on record of it.
+// This file changes the settings of a running sender: a configuration that the cluster has decided comes as an order and is
+// put in force between two turns. An older version is never put in force after a newer one, nor part of one: all checks
+// are made before anything changes. Accepted messages keep their deadline, the number of their class and their records.
 
 import (
 	"bytes"
@@ -14,12 +13,12 @@
 
 	"go.uber.org/zap"
 
-	"flaxcove/choice"
 	"flaxcove/internal/config"
 	"flaxcove/internal/directory"
 	"flaxcove/internal/sender/together"
 )
 
+// Configure puts a configuration in force, or says why not.
 func (o orders) Configure(c together.Configuration, done func(error)) {
 	o.s.enqueueOrder(func() {
 		err := o.s.configure(c)
@@ -43,11 +42,12 @@
 	return nil
 }
 
+// inForce reports whether an order has been carried out already.
 func (s *Sender) inForce(c together.Configuration) bool {
 	return c.Version == s.cfg.Version && bytes.Equal(c.Settings, s.cfg.SettingsInForce())
 }
 
-// checkConfiguration is the configuration that an order leads to, or what is wrong with it.
+// checkConfiguration returns the configuration that an order leads to, or what is wrong with it.
 func (s *Sender) checkConfiguration(c together.Configuration) (*config.Config, error) {
 	switch {
 	case c.Version < s.cfg.Version:
@@ -63,14 +63,14 @@
 		return nil, err
 	}
 	next.Version = c.Version
-	next.Settings.Notes = next.Settings.Notes && s.peers != nil // where they could not be turned on they stay off
+	next.Settings.Notes = next.Settings.Notes && s.peers != nil // gossip stays off where it could not be started
 	return next, nil
 }
 
-// apply has all that reads settings, or keeps something made of them, go by the new ones. The watch of the list goes
-// on with the number of senders that it began with, which only spaces its calls after an error.
+// apply makes all that reads settings, or holds something derived of them, go by the new ones. The watch of the endpoint
+// list goes on with the number of senders that it began with, which only spaces its calls after an error.
 func (s *Sender) apply(next *config.Config) {
-	was := s.cfg
+	previous := s.cfg
 	s.cfg = next
 	s.numbering = directory.Names{Zones: next.Zones, Kinds: next.Kinds}
 	s.clients.setBusyReply(&next.Settings)
@@ -79,18 +79,18 @@
 		s.digestState.includeClasses(next.Settings.Classes)
 	}
 	s.module.Configure(next.Settings)
-	// Work follows what changed: with a large list each round over it holds up the loop for tens of milliseconds.
-	if !slices.Equal(was.Settings.Kinds, next.Settings.Kinds) {
+	// Only what changed is worked through: with a large list each pass over it blocks the loop for tens of milliseconds.
+	if !slices.Equal(previous.Settings.Kinds, next.Settings.Kinds) {
 		for _, e := range s.endpoints {
 			e.bulkMax = s.bulkMaxOf(e.kind)
 		}
 	}
-	if was.Settings.ConnIdle != next.Settings.ConnIdle {
+	if previous.Settings.ConnIdle != next.Settings.ConnIdle {
 		for _, e := range s.endpoints {
 			s.restartIdleTimers(e)
 		}
 	}
-	if len(was.Zones) != len(next.Zones) || len(was.Kinds) != len(next.Kinds) {
+	if len(previous.Zones) != len(next.Zones) || len(previous.Kinds) != len(next.Kinds) {
 		s.renumberEndpoints()
 	}
 }
@@ -102,13 +102,7 @@
 	return &given
 }
 
-// bulkMaxOf is how many messages one call to a kind of endpoint may carry.
-func (s *Sender) bulkMaxOf(kind choice.KindNo) int {
-	kinds := s.cfg.Settings.Kinds
-	return kinds[max(0, min(int(kind), len(kinds)-1))].BundleMax
-}
-
-// restartIdleTimers has idle links end by the new time, counted from when each became idle: their endpoints close them by it.
+// restartIdleTimers closes idle links by the new ConnIdle, counted from when each became idle, as their endpoints do.
 func (s *Sender) restartIdleTimers(e *endpoint) {
 	for _, l := range e.idle {
 		s.cancelTimer(l.idleTimer)
@@ -116,7 +110,7 @@
 	}
 }
 
-// startIdleTimer has an idle link end before its endpoint would end it.
+// startIdleTimer closes an idle link before its endpoint would.
 func (s *Sender) startIdleTimer(l *link) {
 	l.idleTimer = nil
 	if keep := time.Duration(config.Nanoseconds(s.cfg.Settings.ConnIdle)); keep > 0 {
@@ -125,7 +119,7 @@
 	}
 }
 
-// renumberEndpoints reads again what the list said of endpoints whose zone or kind has got a number only now.
+// renumberEndpoints applies the list's entries again of endpoints whose zone or kind has got another number.
 func (s *Sender) renumberEndpoints() {
 	var named []directory.Entry
 	for _, e := range s.endpoints {
--- a/internal/sender/endpoint_input.go
+++ b/internal/sender/endpoint_input.go
@@ -1,7 +1,7 @@
 package sender
 
-// This file reads what endpoints say: it owns the way of bytes from a link into an answer. It must never take bytes
-// that nobody asked for as an answer, nor wait for the loop while the loop waits for it.
+// This file reads the input of links into answers. Bytes that nobody asked for are never taken for an answer, and the
+// reader does not wait for the loop while the loop may wait for it.
 
 import (
 	"context"
@@ -13,61 +13,66 @@
 	"flaxcove/internal/http1"
 )
 
-// answerRestTimeout is how long the rest of an answer may take: endpoints write one in one go, and what stops in the
-// middle would hold a slot until the call's time-out.
+// answerRestTimeout is how long the rest of an answer may take. Endpoints write an answer at once; one that stops in the
+// middle would take up the in-flight limit until the call's time-out.
 const answerRestTimeout = 250 * time.Millisecond
 
 var errUnsolicited = errors.New("bytes that nobody asked for")
 
-// onClientInput reads what an endpoint says and hands on each whole answer.
+// onEndpointInput reads what has come and hands a complete answer to the loop.
 func (l *link) onEndpointInput(_ context.Context, conn netpoll.Connection) error {
-	tell, err := l.read(conn)
-	if tell != nil {
-		l.sender.post(tell)
+	event, err := l.read(conn)
+	if event != nil {
+		l.sender.post(event)
 	}
 	if err != nil {
-		// At once: it may go on for gigabytes.
-		err = errors.Join(err, conn.Close())
+		err = errors.Join(err, conn.Close()) // at once: bad input may go on for gigabytes
 	}
 	return err
 }
 
-// read takes in what has come and returns what the loop is to be told. It tells nothing itself, since the loop may
-// wait for the lock.
-func (l *link) read(conn netpoll.Connection) (tell func(), err error) {
+// read parses what has come and returns what the loop is to do about it, nil for nothing. It does not post that itself,
+// since the loop may be waiting for the lock.
+func (l *link) read(conn netpoll.Connection) (event func(), err error) {
 	l.inputLock.Lock()
 	defer l.inputLock.Unlock()
-	// Under the lock: between here and the connection's end no call may leave on it.
+	// Under the lock, so that no call is sent on the link between here and its end.
 	defer func() { l.badInput.Store(l.badInput.Load() || err != nil) }()
-	r := conn.Reader()
-	piece, err := r.Next(r.Len())
-	if err != nil {
+	if err := l.feedAnswer(conn.Reader()); err != nil {
 		return nil, err
 	}
-	if l.awaitingAnswer.Load() {
-		err = l.answer.Feed(piece)
-	} else {
-		err = errUnsolicited
-	}
-	r.Release()
-	if err == nil && l.answer.Done {
+	switch {
+	case l.answer.Done:
 		a := readAnswer(&l.answer)
-		// Bytes behind an answer would be read as the start of the next.
-		a.close = a.close || l.answer.Left() > 0
+		a.close = a.close || l.answer.Left() > 0 // bytes behind an answer would be read as the start of the next one
 		l.answer = http1.Answer{}
 		l.awaitingAnswer.Store(false)
 		l.answerBegun = false
 		return func() { l.sender.onAnswer(l, a) }, nil
-	}
-	// Interim answers begin nothing: they come because the endpoint will take long.
-	if err == nil && !l.answerBegun && l.answer.Began() {
+	case !l.answerBegun && l.answer.Began(): // not by interim answers, which come because the call will take long
 		l.answerBegun = true
 		return func() { l.sender.onAnswerBegun(l) }, nil
 	}
-	return nil, err
+	return nil, nil
+}
+
+// feedAnswer hands all that has come to the parser of the answer.
+func (l *link) feedAnswer(r netpoll.Reader) error {
+	piece, err := r.Next(r.Len())
+	if err != nil {
+		return err
+	}
+	if l.awaitingAnswer.Load() {
+		err = l.answer.Feed(piece)
+	} else {
+		err = errUnsolicited
+	}
+	r.Release()
+	return err
 }
 
-// onAnswerBegun sees to it that the rest of the answer comes soon. What had come by then decides how the call ended.
+// onAnswerBegun bounds the time for the rest of an answer. Where it does not come, the part that has come decides the
+// outcome.
 func (s *Sender) onAnswerBegun(l *link) {
 	c := l.call
 	l.answeringCall = c
--- a/internal/sender/gossip.go
+++ b/internal/sender/gossip.go
@@ -50,10 +50,3 @@
 		s.log.Error("notes", zap.Error(err))
 	}
 }
-
-// Tell has a note go to all other senders.
-func (s *Sender) Tell(note []byte) {
-	if s.peers != nil {
-		s.peers.Tell(note)
-	}
-}
--- a/internal/sender/link_harness_test.go
+++ b/internal/sender/link_harness_test.go
@@ -59,7 +59,7 @@
 // idleLink brings up a link that idles at an endpoint.
 func (r *harness) idleLink(t *testing.T, to choice.EndpointID, conn netpoll.Connection) *link {
 	t.Helper()
-	c := &call{s: r.s, endpoint: r.s.endpoints[to], beganAt: r.s.Now(), timeout: choice.Second, probe: true}
+	c := &call{endpoint: r.s.endpoints[to], beganAt: r.s.Now(), timeout: choice.Second, probe: true}
 	r.s.beginCall(c)
 	r.calls = r.calls[:len(r.calls)-1]
 	c.done = true
--- a/internal/sender/links.go
+++ b/internal/sender/links.go
@@ -1,7 +1,7 @@
 package sender
 
-// This file owns the connections to endpoints: how they come up, idle and end. Each carries one call at a time. It must
-// never hand out one whose end has come, nor let a call leave on one that came up too late for it.
+// This file owns the connections to endpoints (links): how they come up, idle and end. Each carries one call at a time,
+// and a link whose end has come is never handed out.
 
 import (
 	"container/list"
@@ -18,8 +18,10 @@
 	"flaxcove/internal/http1"
 )
 
-const idleMargin = 500 * time.Millisecond // we close an idle link so long before its endpoint would
+// idleMargin is how long before its endpoint would this sender closes an idle link.
+const idleMargin = 500 * time.Millisecond
 
+// Why a connection to an endpoint or to the platform ended, as the log reports it.
 const (
 	idleTimeout      reason = "idle"
 	endpointUnlisted reason = "endpoint_unlisted"
@@ -34,43 +36,45 @@
 	writeFailed      reason = "write_failed"
 )
 
-// link is one connection to an endpoint. The answer belongs to netpoll's one running callback.
+// link is one connection to an endpoint. The parser of its answer belongs to netpoll's one running callback.
 type link struct {
 	sender   *Sender
 	endpoint *endpoint
-	addr     string // that was dialled
+	addr     string // that was dialled; its endpoint may have moved since
 	conn     netpoll.Connection
 	answer   http1.Answer
 
-	awaitingAnswer atomic.Bool // a call was written and its answer has not come whole; shared with the loop
+	awaitingAnswer atomic.Bool // a call was written and its answer is not complete; shared with the loop
 	badInput       atomic.Bool // what came cannot be an answer
-	// inputLock holds from taking bytes in until it is clear whether they were asked for, so that bytes nobody asked
-	// for are never taken for the start of the answer to a call that is written in that moment.
+	// inputLock is held from reading bytes until it is clear whether they were asked for, so that unsolicited bytes are
+	// never taken for the begin of the answer to a call that is written at that moment.
 	inputLock   sync.Mutex
-	answerBegun bool // netpoll's callback: the loop knows that the answer has begun
+	answerBegun bool // of netpoll's callback: the loop knows that the answer has begun
 
-	// netpoll closes the descriptor and drops the buffers of a connection that has ended; the number may be another's
-	// by the next moment. Who writes to it or looks at it off the loop holds this lock, behind that of reading.
+	// bufferLock is held by who writes to the connection or looks at its socket off the loop. It is taken after inputLock.
+	// netpoll closes the descriptor and drops the buffers of a connection that has ended, and the descriptor's number may
+	// be another connection's at once.
 	bufferLock      sync.Mutex
 	buffersReleased bool
 
-	call           *call // loop, as all below
-	answeringCall  *call // whose answer has begun
+	// Of the loop.
+	call           *call // that it carries
+	answeringCall  *call // the one whose answer has begun
 	writing        bool
-	answeredEarly  *call // that was answered before its write had ended
-	used           bool  // it has carried a call
-	lastByteUnsent bool  // the last write did not bring its last byte away
-	partialAnswer  *partialAnswer
+	answeredEarly  *call          // the one that was answered before its write had ended
+	used           bool           // it has carried a call
+	lastByteUnsent bool           // the last write ended before its last byte
+	partialAnswer  *partialAnswer // set once the link has ended
 	idleSince      time.Duration
 	idleTimer      *timer        // set while it is idle
-	idleElement    *list.Element // of links.idleOrder, likewise
+	idleElement    *list.Element // of linkPool.idleOrder, set while it is idle
 	closeReason    reason
 	closing        bool
 }
 
-// partialAnswer is what had come of an answer when its connection ended.
+// partialAnswer is the part of an answer that had come when its connection ended.
 type partialAnswer struct {
-	status int
+	status int // 0 before a complete first line
 	begun  bool
 }
 
@@ -80,23 +84,25 @@
 	link *link
 }
 
+// linkPool is the part of a Sender that holds its links.
 type linkPool struct {
 	openLinks int // idle, busy and coming up
 	maxLinks  int
-	dial      func(*call) // a test puts its own in place
+	dial      func(*call) // tests replace it
 	// idleOrder holds all idle links, the one idle longest first. With more endpoints than sockets each call closes that
-	// one, and looking for it at all endpoints took most of the loop's time. A link leaves as it is used or ends.
+	// one; a search among all endpoints would take most of the loop's time.
 	idleOrder list.List
 }
 
-func (l *linkPool) init(cfg *config.Config, clients int) {
-	l.maxLinks = max(cfg.Settings.InFlightLimit+1, cfg.Limits.Sockets-clients-reservedDescriptors)
+func (p *linkPool) init(cfg *config.Config, clients int) {
+	p.maxLinks = max(cfg.Settings.InFlightLimit+1, cfg.Limits.Sockets-clients-reservedDescriptors)
 }
 
+// dialEndpoint opens a connection for a call, within DialTimeout if that is set, and within the call's time.
 func (s *Sender) dialEndpoint(c *call) {
-	addr, within := c.endpoint.addr, min(s.cfg.Settings.DialTimeout, c.timeout)
-	if s.cfg.Settings.DialTimeout == 0 {
-		within = c.timeout
+	addr, within := c.endpoint.addr, c.timeout
+	if s.cfg.Settings.DialTimeout != 0 {
+		within = min(s.cfg.Settings.DialTimeout, c.timeout)
 	}
 	go func() {
 		conn, err := netpoll.DialConnection("tcp", addr, time.Duration(config.Nanoseconds(max(1, within))))
@@ -104,8 +110,8 @@
 	}()
 }
 
-// takeIdle is the link used last, so that the others can idle out. One whose end has come but was not handled
-// yet would cost a call that may have run, so the socket itself is asked.
+// takeIdle takes the idle link that was used last, so that the others can time out; nil for none. A call that is sent on a
+// link whose end has come, but is not handled yet, may count as one that has run, so the socket itself is asked.
 func (s *Sender) takeIdle(e *endpoint) *link {
 	for len(e.idle) > 0 {
 		l := e.idle[len(e.idle)-1]
@@ -118,34 +124,21 @@
 	return nil
 }
 
-// isResourceShortage tells whether a dial failed for want of something that this process or machine has no more of.
+// isResourceShortage reports whether a dial failed for want of a resource of this process or machine.
 func isResourceShortage(err error) bool {
-	for _, want := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL} {
-		if errors.Is(err, want) {
-			return true
-		}
-	}
-	return false
+	shortages := []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL}
+	return slices.ContainsFunc(shortages, func(want error) bool { return errors.Is(err, want) })
 }
 
+// onDialed is called when a dial has ended. The call is sent at the end of the turn, once it is on record.
 func (s *Sender) onDialed(c *call, conn netpoll.Connection, err error) {
 	if err != nil {
-		s.openLinks--
-		c.endpoint.linkCount--
-		s.counts.connectsFailed++
-		s.logConnEnded("endpoint", string(c.endpoint.id), connectFailure, err)
-		s.dropIfUnused(c.endpoint)
-		if isResourceShortage(err) {
-			s.closeOldestIdle()
-			s.awaitCapacity(c)
-			return
-		}
-		s.connectFailed(c)
+		s.onDialFailed(c, err)
 		return
 	}
 	l := &link{sender: s, endpoint: c.endpoint, addr: c.addr, conn: conn}
 	conn.AddCloseCallback(func(netpoll.Connection) error {
-		// The loop may be the one that closes, so this must not wait for it.
+		// No waiting for the loop here: it may be the loop that closes.
 		l.bufferLock.Lock()
 		l.buffersReleased = true
 		l.bufferLock.Unlock()
@@ -155,23 +148,36 @@
 	})
 	conn.SetOnRequest(l.onEndpointInput)
 	if !conn.IsActive() {
-		// It ended before netpoll knew whom to tell.
-		conn.Close()
+		conn.Close() // it ended before the callbacks were set
 	}
 	s.eventsPending = true
 	s.connected = append(s.connected, connectedCall{c, l})
 }
 
-// leadsElsewhere tells whether a link leads to where its endpoint is not, or not any more: at its old address there may be
-// another one, of another destination.
+func (s *Sender) onDialFailed(c *call, err error) {
+	s.openLinks--
+	c.endpoint.linkCount--
+	s.counts.connectsFailed++
+	s.logConnEnded("endpoint", string(c.endpoint.id), connectFailure, err)
+	s.dropIfUnused(c.endpoint)
+	if isResourceShortage(err) {
+		s.closeOldestIdle()
+		s.awaitCapacity(c)
+		return
+	}
+	s.connectFailed(c)
+}
+
+// leadsElsewhere reports whether a link's endpoint is gone or has moved: at its old address there may be another one, of
+// another destination.
 func (l *link) leadsElsewhere() bool { return l.endpoint.gone || l.addr != l.endpoint.addr }
 
+// makeIdle keeps a link for later calls, or closes it where its endpoint is gone or has moved.
 func (s *Sender) makeIdle(l *link) {
 	l.call = nil
-	if l.closing {
-		return
-	}
 	switch {
+	case l.closing:
+		return
 	case l.endpoint.gone:
 		s.closeLink(l, endpointUnlisted)
 		return
@@ -185,7 +191,7 @@
 	s.startIdleTimer(l)
 }
 
-// removeIdle takes a link from those that idle, if it is one.
+// removeIdle takes a link out of the idle ones, if it is one.
 func (s *Sender) removeIdle(l *link) {
 	l.endpoint.idle = slices.DeleteFunc(l.endpoint.idle, func(other *link) bool { return other == l })
 	if l.idleElement != nil {
@@ -206,6 +212,7 @@
 	}
 }
 
+// closeOldestIdle closes the link that has been idle longest, and reports whether there was one.
 func (s *Sender) closeOldestIdle() bool {
 	oldest := s.idleOrder.Front()
 	if oldest == nil {
@@ -223,7 +230,7 @@
 	l.conn.Close()
 }
 
-// onLinkEnded hears of every link's end, ours or theirs.
+// onLinkEnded is called once for each link, whoever has closed it.
 func (s *Sender) onLinkEnded(l *link, end *partialAnswer) {
 	if !l.closing {
 		l.closing, l.closeReason = true, peerClosed
@@ -237,8 +244,8 @@
 	s.counts.linksEnded++
 	s.logConnEnded("endpoint", string(l.endpoint.id), l.closeReason, nil)
 	s.dropIfUnused(l.endpoint)
-	// Whether the last byte left decides what the end means, so the write is waited for.
-	if l.partialAnswer = end; !l.writing {
+	l.partialAnswer = end
+	if !l.writing { // else onWritten does, as the outcome depends on whether the last byte was sent
 		s.onLinkCutOff(l)
 	}
 }
--- a/internal/sender/outcomes_test.go
+++ b/internal/sender/outcomes_test.go
@@ -13,7 +13,7 @@
 func Example_reports() {
 	for _, text := range []string{"x0=0.4,x1=25", "x1=0, x0=1", "x0=0.4", "x0=0.4,x1=", "x0=7,x1=25", "x0=0.4,x1=-1", "x0=NaN,x1=1", ";;\xff"} {
 		a := answer{}
-		a.fields, a.report = parseReport([]byte(text))
+		a.reportFields, a.report = parseReport([]byte(text))
 		fmt.Printf("%q %+v\n", text, a.loadReport())
 	}
 	// Output:
--- a/internal/sender/purge.go
+++ b/internal/sender/purge.go
@@ -165,8 +165,8 @@
 	s.endMessage(n, ending{kind: endFailed})
 }
 
-// endHeld ends a withdrawn message whose call is over.
-func (s *Sender) endHeld(n *message, how withdrawal.Back) {
+// endWithdrawn ends a withdrawn message whose call is over.
+func (s *Sender) endWithdrawn(n *message, how withdrawal.Back) {
 	if how == withdrawal.AsAnswered {
 		s.closeMessage(n)
 		return
--- /dev/null
+++ b/internal/sender/request.go
@@ -0,0 +1,72 @@
+package sender
+
+// This file builds the HTTP requests of calls.
+
+import (
+	"cmp"
+	"encoding/base64"
+	"slices"
+	"strconv"
+
+	"flaxcove/choice"
+	"flaxcove/internal/http1"
+)
+
+const (
+	probePath  = "/-/healthy"
+	singlePath = "/inbox"
+	bulkPath   = "/inbox/bulk"
+)
+
+// request is the request of a call: for one message alone, for several as a bulk call, or for none as a probe.
+func (s *Sender) request(c *call) (head, body []byte) {
+	switch {
+	case c.probe:
+		return http1.AppendRequest(nil, "GET", probePath, c.endpoint.addr, -1), nil
+	case len(c.messages) == 1:
+		return c.singleRequest(s.deadlineMS(c))
+	}
+	return c.bulkRequest(s.deadlineMS(c))
+}
+
+// deadlineMS is the time that a call has left, in milliseconds, rounded up.
+func (s *Sender) deadlineMS(c *call) string {
+	left := c.beganAt + c.timeout - s.Now()
+	return strconv.FormatInt(int64(max(1, (left+choice.Millisecond-1)/choice.Millisecond)), 10)
+}
+
+func (c *call) singleRequest(deadlineMS string) (head, body []byte) {
+	n := c.messages[0]
+	fields := []string{"X-Request-Id", string(n.ID), "X-Deadline-Ms", deadlineMS}
+	if n.idempotencyKey != "" {
+		fields = append(fields, "Idempotency-Key", n.idempotencyKey)
+	}
+	return http1.AppendRequest(nil, "POST", singlePath, c.endpoint.addr, len(n.body), fields...), n.body
+}
+
+// bulkRequest puts the message with the latest deadline first: an endpoint may measure the whole call by the time of its
+// first message, and an answer that came after that counted for none of the others, though it named each as done.
+func (c *call) bulkRequest(deadlineMS string) (head, body []byte) {
+	slices.SortStableFunc(c.messages, func(a, b *message) int { return cmp.Compare(b.Deadline, a.Deadline) })
+	body = append(body, '[')
+	for i, n := range c.messages {
+		if i > 0 {
+			body = append(body, ',')
+		}
+		body = n.appendBulkItem(body)
+	}
+	body = append(body, ']')
+	return http1.AppendRequest(nil, "POST", bulkPath, c.endpoint.addr, len(body),
+		"Content-Type", "application/json", "X-Deadline-Ms", deadlineMS), body
+}
+
+// appendBulkItem appends a message as JSON. Ids and keys are visible characters without quotes, so they need no escapes.
+func (n *message) appendBulkItem(out []byte) []byte {
+	out = append(out, `{"id":"`...)
+	out = append(out, n.ID...)
+	out = append(out, `","key":"`...)
+	out = append(out, cmp.Or(n.idempotencyKey, n.key)...)
+	out = append(out, `","body":"`...)
+	out = base64.StdEncoding.AppendEncode(out, n.body)
+	return append(out, `"}`...)
+}
--- a/internal/sender/send.go
+++ b/internal/sender/send.go
@@ -1,8 +1,8 @@
 package sender
 
-// This file lets calls leave: it owns the last look at a call on a link that is up, and the write itself. It must never
-// let a byte leave once a call's time or a window for repeats is over, let a call leave behind bytes that nobody asked
-// for, nor tell that a call may have run of which a byte never left.
+// This file sends calls on links that are up: the last check of a call, and its write. No byte is sent once a call's time
+// or a window for repeats is over, no call is sent behind input that nobody asked for, and a call of which no byte was
+// sent is never said to have run.
 
 import (
 	"errors"
@@ -15,31 +15,31 @@
 	"flaxcove/choice"
 )
 
-// Between two tries to write to an endpoint that reads slowly. netpoll would write the rest by itself, whenever the
-// endpoint reads on: also after the window of a repeat, where the process stood still.
+// Between two writes to an endpoint that reads slowly, with a backoff. netpoll's own write would go on whenever the
+// endpoint reads: also after a window for repeats, where the process was stopped meanwhile.
 const (
 	minWritePause = time.Millisecond
 	maxWritePause = 8 * time.Millisecond
 )
 
-// How a write ends early. In each case the call's last byte has not left.
+// How a write ends early. In each case the call's last byte was not sent.
 var (
 	errBeforeFirstByte = errors.New("its time was over before its first byte")
 	errBeforeLastByte  = errors.New("its time was over before its last byte")
 	errLinkEnded       = errors.New("the connection had ended, or something had come on it")
 )
 
-// sendConnected lets the calls leave whose connection came up in this turn; they are on record by now.
+// sendConnected sends the calls whose connection came up in this turn; they are on record by now.
 func (s *Sender) sendConnected() {
-	for _, a := range s.connected {
-		s.sendCall(a.call, a.link)
+	for _, connected := range s.connected {
+		s.sendCall(connected.call, connected.link)
 	}
 	clear(s.connected)
 	s.connected = s.connected[:0]
 }
 
-// sendCall sends a call on a link that is up, without the messages that may not leave any more. Where none may, the call
-// is over and the link idles.
+// sendCall sends a call on a link that is up, without the messages that may not be sent any more. Where none may, the call
+// ends and the link is idle.
 func (s *Sender) sendCall(c *call, l *link) {
 	if s.maySend(c, l) {
 		s.startWrite(c, l)
@@ -49,14 +49,14 @@
 	s.endUnsent(c)
 }
 
-// maySend asks again what was asked as the call was laid up: since then its endpoint may have told to wait, drained
-// or moved, its time may be over, or a repeat's window. Connections come up late, a journal may be slow, and a process
-// that stood still hears of its connections before its timers.
+// maySend checks again what was checked when the call began: since then its endpoint may have sent Retry-After, drained or
+// moved, its time may be over, or a window for repeats. Connections come up late, the journal may be slow, and a process
+// that was stopped hears of its connections before its timers fire.
 func (s *Sender) maySend(c *call, l *link) bool {
 	if c.done || s.Now() >= c.beganAt+c.timeout || l.leadsElsewhere() || !s.module.Open(c.endpoint.id) {
 		return false
 	}
-	// One may have parted while the write waited: its end is told already.
+	// Messages that were cancelled meanwhile are reported already.
 	c.messages = slices.DeleteFunc(c.messages, func(n *message) bool { return n.inFlight != c })
 	for _, n := range slices.Clone(c.messages) {
 		if !s.module.Open(c.endpoint.id, n.ID) {
@@ -66,7 +66,8 @@
 	return c.probe || len(c.messages) > 0
 }
 
-// startWrite sends a call on a link. A goroutine does, since an endpoint may read slowly.
+// startWrite writes a call on a link, in a goroutine of its own, since an endpoint may read slowly. The write ends with the
+// call's time at the latest.
 func (s *Sender) startWrite(c *call, l *link) {
 	c.link, c.reused, l.call, l.writing = l, l.used, c, true
 	until := c.beganAt + c.timeout - 1
@@ -80,7 +81,7 @@
 	}()
 }
 
-// writeAll writes all of a request, or tells that its last byte has not left. It ends when its time is over at the latest.
+// writeAll writes a request, until its time is over at the latest. An error says that the last byte was not sent.
 func (l *link) writeAll(text []byte, until choice.Time) error {
 	if !l.expectAnswer() {
 		return errLinkEnded
@@ -88,7 +89,8 @@
 	all := len(text)
 	for pause := minWritePause; ; pause = min(2*pause, maxWritePause) {
 		n, err := l.writeSome(text, until)
-		if text = text[n:]; errors.Is(err, errBeforeLastByte) && len(text) == all {
+		text = text[n:]
+		if errors.Is(err, errBeforeLastByte) && len(text) == all {
 			return errBeforeFirstByte
 		}
 		if err != nil || len(text) == 0 {
@@ -98,9 +100,10 @@
 	}
 }
 
-// expectAnswer takes what comes from now on for the answer, unless something has come, or the end: then nothing may leave. It
-// stands right before the first byte, as bytes of an idle link may come in any moment until then. What netpoll has
-// taken from the socket and not laid up yet is not seen: a gap as short as that between here and the first byte.
+// expectAnswer makes input from now on count as the answer, and reports whether the request may be written: not after
+// other input or the link's end. It is called right before the first byte, as an idle link may get input at any moment
+// until then. Input that netpoll is just moving from the socket to its buffer is not seen: a gap as short as that between
+// here and the first byte.
 func (l *link) expectAnswer() bool {
 	l.inputLock.Lock()
 	defer l.inputLock.Unlock()
@@ -111,8 +114,8 @@
 	return quiet
 }
 
-// writeSome writes what the socket takes. The clock is asked right before, so that nothing but a stop of the process
-// between these two lines lets a byte leave late.
+// writeSome writes what the socket takes. The clock is read right before the write, so that nothing but a stop of the
+// process between the two lets a byte be sent late.
 func (l *link) writeSome(text []byte, until choice.Time) (int, error) {
 	l.bufferLock.Lock()
 	defer l.bufferLock.Unlock()
@@ -130,14 +133,14 @@
 	return max(0, n), err
 }
 
-// onWritten is told how a write ended.
+// onWritten is called when a write has ended.
 func (s *Sender) onWritten(l *link, err error) {
 	l.writing = false
 	early := l.answeredEarly
 	l.answeredEarly = nil
 	switch {
 	case errors.Is(err, errBeforeFirstByte) && l.call != nil && !l.closing:
-		// The process stood still, or a window ended just now. Who is still in time goes on.
+		// The process was stopped, or a window for repeats ended just now. Messages that are in time are sent.
 		c := l.call
 		l.call, c.link = nil, nil
 		l.awaitingAnswer.Store(false)
@@ -156,8 +159,8 @@
 	}
 }
 
-// boundEarlyWrite bounds the rest of a write whose call has been answered: until then the link carries no other call, or
-// the bytes of two would mix.
+// boundEarlyWrite bounds the rest of a write whose call is answered already. Until its end the link carries no other call,
+// or the bytes of two would mix.
 func (s *Sender) boundEarlyWrite(l *link, c *call) {
 	l.call, l.answeredEarly = nil, c
 	s.after(answerRestTimeout, func() {
--- a/internal/sender/sender.go
+++ b/internal/sender/sender.go
@@ -271,8 +271,3 @@
 	}
 	s.log.Info("connection ended", fields...)
 }
-
-// Now is the wall clock at the start and the monotonic one from there.
-func (s *Sender) Now() choice.Time {
-	return config.Down(s.start.UnixNano() + int64(s.sinceStart()))
-}
