--- a/internal/sender/call_ends_test.go
+++ b/internal/sender/call_ends_test.go
@@ -226,15 +226,15 @@
 	l.awaitingAnswer.Store(true)
 	conn.SetReadTimeout(connTestTimeout)
 	for _, piece := range []struct {
-		text string
-		told bool
+		text  string
+		event bool
 	}{{"HTTP/1.1 102 On\r\n\r\n", false}, {"HTTP/1.1 100 On\r\n\r\nHTTP/1.1 103 On\r\nLink: x\r\n\r\n", false}, {"HTTP/1.1 2", true}, {"00 OK\r\n", false}} {
 		peer.Write([]byte(piece.text))
 		if _, err := conn.Reader().Peek(len(piece.text)); err != nil {
 			t.Fatal(err)
 		}
-		if tell, err := l.read(conn); (tell != nil) != piece.told || err != nil {
-			t.Errorf("%q: told %v, %v", piece.text, tell != nil, err)
+		if tell, err := l.read(conn); (tell != nil) != piece.event || err != nil {
+			t.Errorf("%q: event %v, %v", piece.text, tell != nil, err)
 		}
 	}
 	if l.answer.Status() != 200 {
--- a/internal/sender/cluster.go
+++ b/internal/sender/cluster.go
@@ -1,8 +1,8 @@
 package sender
 
-// This file ties a sender to the processes around it (package together): how it is joined to them, the orders that
-// they post, and the gate that holds attempts back while withdrawals are caught up with. A sender that is never
-// joined counts nothing, sets no timer and starts no goroutine for any of it. The loop must never wait for a cluster.
+// This file ties a sender to the processes around it (package together): how it joins them, the orders that they post, and
+// the gate that holds attempts back until missed purges are applied. A sender that never joins counts nothing, sets no
+// timer and starts no goroutine for any of it. The loop never waits for the cluster.
 
 import (
 	"cmp"
@@ -13,38 +13,38 @@
 	"flaxcove/internal/sender/together"
 )
 
-// gateTimeout bounds how long a gate that never opens holds attempts back, unless the starter says otherwise: far under
-// the contract time of any class seen (0.8 s upwards), longer than a catching-up over loopback takes.
+// gateTimeout bounds how long a gate that is never closed holds attempts back, unless Joining.For is set: far less than
+// the contract time of any class seen (0.8 s upwards), longer than missed purges take over loopback.
 const gateTimeout = 2 * time.Second
 
 // Joining is what Join takes besides the cluster.
 type Joining struct {
-	// Gate holds all attempts back until it is closed, or For is over: what was withdrawn while this process was away
-	// is applied first (Orders.Purge). Messages are taken on and answered meanwhile, and end by their own time. nil holds
-	// nothing back. Harm: messages wait so long at a start; and where For is over first, what was withdrawn may go.
+	// Gate holds all attempts back until it is closed, or For is over, so that purges that this process missed are
+	// applied first (Orders.Purge). Messages are accepted and answered meanwhile, and end by their own time. nil holds
+	// nothing back. Harm: messages wait so long at a start; where For is over first, purged messages may be sent.
 	Gate <-chan struct{}
 	For  time.Duration // 0 for gateTimeout
 }
 
-// clusterMember is what a sender holds for the processes around it.
+// clusterMember is the part of a Sender that belongs to its cluster.
 type clusterMember struct {
 	cluster      together.Cluster // nil for none
 	routingPlan  together.Guide   // as of the start of this turn
 	learnedStore learnedStore
 	gated        bool
 	orderQueue   orderQueue
-	orderAnswers []func() // to orders, given once the turn's append is on disk
+	orderAnswers []func() // answers to orders, given once the turn's append is on disk
 	purgeState
 	digestState
 	evictionState
 }
 
-// learnedStore is what the module does about all that it learnt of endpoints.
+// learnedStore is how package choice hands out and takes back learned state. Tests replace it.
 type learnedStore interface {
-	// Void drops what was learnt of an endpoint, or puts other in its place.
+	// Void drops what was learned of an endpoint, or replaces it.
 	Void(choice.EndpointID, *choice.Learnt)
-	// Holds tells how many answers rest on a destination, and whether it must not be let go.
-	Holds(choice.DestinationID) (calls float64, pinned bool)
+	// Holds returns how many answers rest on a destination, and whether it must not be evicted.
+	Holds(choice.DestinationID) (calls float64, mustStay bool)
 }
 
 // Join ties the sender to a cluster. It is called at most once, before Run.
@@ -56,16 +56,16 @@
 		return
 	}
 	s.gated = true
-	over := make(chan struct{})
+	timedOut := make(chan struct{})
 	s.after(cmp.Or(j.For, gateTimeout), func() {
-		close(over)
+		close(timedOut)
 		s.openGate()
 	})
 	go func() {
 		select {
 		case <-j.Gate:
 			s.post(s.openGate)
-		case <-over:
+		case <-timedOut:
 		case <-s.stop:
 		}
 	}()
@@ -73,7 +73,7 @@
 
 func (s *Sender) openGate() { s.gated = false }
 
-// readCluster reads what is decided in common, once a turn, and applies what is to be withdrawn.
+// readCluster reads the routing plan, once a turn, and applies purges.
 func (s *Sender) readCluster() {
 	if s.cluster == nil {
 		return
@@ -84,21 +84,23 @@
 	}
 }
 
-// Orders are what a cluster may ask of this sender. Purges are applied once it has been joined.
+// Orders are what a cluster may ask of this sender. Purges are applied once it has joined.
 func (s *Sender) Orders() together.Orders { return orders{s} }
 
 // orders hands each order to the loop, in the order given. None of them waits, so that they may be called on the loop
-// too. Nothing is dropped: who gives orders waits for an answer before it gives many more. After the sender's end
-// nothing is answered.
+// too. None is dropped: the caller waits for an answer before it gives many more. After the sender's end none is answered.
 type orders struct{ s *Sender }
 
+// Applied implements together.Orders.
 func (o orders) Applied() uint64 { return o.s.applied.Load() }
 
+// Purge implements together.Orders.
 func (o orders) Purge(all []together.Purge, done func(uint64, []together.Found)) {
-	at := o.s.Now() // ages run on while it waits for the loop
+	at := o.s.Now() // the purges grow older while they wait for the loop
 	o.s.enqueueOrder(func() { o.s.purge(all, at, done) })
 }
 
+// Evict implements together.Orders.
 func (o orders) Evict(all []choice.DestinationID, done func([]choice.DestinationID)) {
 	o.s.enqueueOrder(func() {
 		retained := o.s.evictDestinations(all)
@@ -106,6 +108,7 @@
 	})
 }
 
+// Holding implements together.Orders.
 func (o orders) Holding(done func([]together.Held)) {
 	o.s.enqueueOrder(func() {
 		all := o.s.holdings()
@@ -113,10 +116,12 @@
 	})
 }
 
+// Teach implements together.Orders.
 func (o orders) Teach(lessons []together.Lesson) {
 	o.s.enqueueOrder(func() { o.s.adoptLessons(lessons) })
 }
 
+// Know implements together.Orders.
 func (o orders) Know(of []choice.DestinationID, done func([]together.Lesson)) {
 	o.s.enqueueOrder(func() {
 		all := o.s.learnedLessons(of)
@@ -124,19 +129,19 @@
 	})
 }
 
-// orderQueue holds orders on their way to the loop. Its lock is held for an append or a swap.
+// orderQueue holds orders until the loop takes them. Its lock is held for an append or a swap.
 type orderQueue struct {
 	sync.Mutex
 	waiting []func()
 }
 
-// enqueueOrder hands the loop something to do without ever waiting for it.
+// enqueueOrder hands a function to the loop without ever waiting for it.
 func (s *Sender) enqueueOrder(f func()) {
 	s.orderQueue.Lock()
 	defer s.orderQueue.Unlock()
 	select {
 	case <-s.stop:
-		return // nobody takes them any more
+		return // the loop has ended
 	default:
 	}
 	s.orderQueue.waiting = append(s.orderQueue.waiting, f)
@@ -156,7 +161,7 @@
 	s.eventsPending = true
 }
 
-// afterAppend keeps an answer until what it tells is on disk.
+// afterAppend delays an answer to an order until the turn's records are on disk.
 func (s *Sender) afterAppend(f func()) { s.orderAnswers = append(s.orderAnswers, f) }
 
 func (s *Sender) answerOrders() {
--- a/internal/sender/command.go
+++ b/internal/sender/command.go
@@ -54,7 +54,7 @@
 		return
 	}
 	n.reply = r
-	s.log.Debug("taken", zap.String("id", string(n.ID)), zap.String("workload", n.className),
+	s.log.Debug("accepted", zap.String("id", string(n.ID)), zap.String("workload", n.className),
 		zap.Int64("dest", int64(n.Destination)), zap.Int64("hard_stop_ms", int64((n.Deadline-s.Now())/choice.Millisecond)))
 	s.admit(n)
 	s.module.Taken(n.Message)
--- a/internal/sender/configure.go
+++ b/internal/sender/configure.go
@@ -32,7 +32,7 @@
 	}
 	next, err := s.checkConfiguration(c)
 	if err != nil {
-		s.log.Warn("configuration not taken", zap.Uint64("version", c.Version), zap.Uint64("in_force", s.cfg.Version), zap.Error(err))
+		s.log.Warn("configuration rejected", zap.Uint64("version", c.Version), zap.Uint64("in_force", s.cfg.Version), zap.Error(err))
 		return err
 	}
 	before := s.cfg.Version
--- a/internal/sender/drain_test.go
+++ b/internal/sender/drain_test.go
@@ -74,7 +74,7 @@
 	}
 	conn.Close()
 	waitEnded(t, done)
-	if s.sinceDrain() >= drainKillMargin {
+	if s.sinceDrain() >= drainHardEnd {
 		t.Error("the process waited for nobody")
 	}
 }
@@ -194,7 +194,7 @@
 		if !c.lingering || c.isWriteClosed() {
 			t.Errorf("leaving %v, shut %v", c.lingering, c.isWriteClosed())
 		}
-		s.drainSince -= drainKillMargin - drainReadTime
+		s.drainSince -= drainHardEnd - drainReadTime
 		s.checkDrain()
 	})
 	waitEnded(t, done)
--- a/internal/sender/endpoints.go
+++ b/internal/sender/endpoints.go
@@ -142,6 +142,10 @@
 
 // bulkMaxOf is how many messages one call to a kind of endpoint may carry.
 func (s *Sender) bulkMaxOf(kind choice.KindNo) int {
-	kinds := s.cfg.Settings.Kinds
-	return kinds[max(0, min(int(kind), len(kinds)-1))].BundleMax
+	return kindOf(s.cfg.Settings.Kinds, kind).BundleMax
+}
+
+// kindOf is a kind of endpoint by number; the nearest one for a number that the settings do not have.
+func kindOf(kinds []choice.Kind, no choice.KindNo) choice.Kind {
+	return kinds[max(0, min(int(no), len(kinds)-1))]
 }
--- a/internal/sender/eviction.go
+++ b/internal/sender/eviction.go
@@ -1,8 +1,8 @@
 package sender
 
-// This file lets go: it owns what a sender holds of destinations (what was learnt, idle links) as it is handed over,
-// dropped and taught again, on order. Which destination goes is decided elsewhere; this file must never let go of one
-// with anything open, nor of what the module says must stay, and never put what others know above what was seen here.
+// This file owns what a sender holds of destinations, learned state and idle links, as the cluster has it handed over,
+// evicted and taught again. Which destination is evicted is decided elsewhere. None is evicted while anything of it is
+// open or package choice says that it must stay, and what others know never replaces what was learned here.
 
 import (
 	"maps"
@@ -16,21 +16,22 @@
 )
 
 const (
-	// What one endpoint and one idle link take, about: the endpoint here and in the module with their places in tables;
-	// a link's buffers (netpoll's first blocks for reading and writing) and the link itself. Estimates for weighing
-	// destinations against each other, not an account of the heap.
+	// What one endpoint and one idle link take, about: the endpoint here and in package choice with its places in tables;
+	// a link with its buffers (netpoll's first blocks for reading and writing). Estimates to weigh destinations against
+	// each other by, not an account of the heap.
 	endpointBytesEstimate = 1 << 10
 	linkBytesEstimate     = 8 << 10
-	// So many destinations are known to have been let go. Beyond, all are forgotten at once: one of them that wakes then
-	// learns anew, as without a cluster.
+	// maxRememberedEvicted bounds the destinations that are known to have been evicted. Beyond it all are forgotten at
+	// once: one of them that is used again then learns anew, as without a cluster.
 	maxRememberedEvicted = 8192
 )
 
+// evictionState is the part of a Sender that remembers what was evicted.
 type evictionState struct {
 	evicted map[choice.DestinationID]struct{}
 }
 
-// endpointsOf are the endpoints of a destination, by id.
+// endpointsOf are the endpoints of some destinations, by id.
 func (s *Sender) endpointsOf(of func(choice.DestinationID) bool) (all []*endpoint) {
 	for _, id := range slices.Sorted(maps.Keys(s.endpoints)) {
 		if e := s.endpoints[id]; of(e.destination) {
@@ -40,6 +41,7 @@
 	return all
 }
 
+// inSet is whether a destination is one of these.
 func inSet(all []choice.DestinationID) func(choice.DestinationID) bool {
 	set := map[choice.DestinationID]struct{}{}
 	for _, d := range all {
@@ -55,8 +57,7 @@
 func (s *Sender) holdings() (all []together.Held) {
 	by := map[choice.DestinationID]*together.Held{}
 	for _, e := range s.endpoints {
-		k := s.module.Learnt(e.id)
-		if e.linkCount == 0 && k.Seen == 0 && k.Wait == 0 && k.Limit == 0 {
+		if e.linkCount == 0 && !isKnown(s.module.Learnt(e.id)) {
 			continue
 		}
 		h := by[e.destination]
@@ -66,7 +67,7 @@
 			by[e.destination] = h
 		}
 		h.Bytes += endpointBytesEstimate + e.linkCount*linkBytesEstimate
-		h.Pinned = h.Pinned || e.linkCount > len(e.idle)
+		h.Pinned = h.Pinned || e.hasBusyLinks()
 	}
 	for _, n := range s.pending {
 		if h := by[n.Destination]; h != nil {
@@ -79,62 +80,68 @@
 	return all
 }
 
-// evictDestinations lets destinations go, and names those that stay.
+// hasBusyLinks reports whether a link carries a call or is coming up.
+func (e *endpoint) hasBusyLinks() bool { return e.linkCount > len(e.idle) }
+
+// evictDestinations evicts destinations, and returns those that stay.
 func (s *Sender) evictDestinations(all []choice.DestinationID) (retained []choice.DestinationID) {
-	open := map[choice.DestinationID]bool{}
+	open := map[choice.DestinationID]bool{} // with pending messages or busy links
 	for _, n := range s.pending {
 		open[n.Destination] = true
 	}
-	ends := map[choice.DestinationID][]*endpoint{}
+	endpoints := map[choice.DestinationID][]*endpoint{}
 	for _, e := range s.endpointsOf(inSet(all)) {
-		ends[e.destination] = append(ends[e.destination], e)
-		open[e.destination] = open[e.destination] || e.linkCount > len(e.idle)
+		endpoints[e.destination] = append(endpoints[e.destination], e)
+		open[e.destination] = open[e.destination] || e.hasBusyLinks()
 	}
 	for _, d := range all {
-		if _, pinnedByModule := s.learnedStore.Holds(d); pinnedByModule || open[d] {
+		if _, mustStay := s.learnedStore.Holds(d); mustStay || open[d] {
 			retained = append(retained, d)
 			continue
 		}
-		for _, e := range ends[d] {
-			s.dropLearned(e)
-		}
-		maps.DeleteFunc(s.learned, func(_ choice.EndpointID, k learnedEntry) bool { return k.Destination == d })
-		if s.evicted == nil || len(s.evicted) >= maxRememberedEvicted {
-			s.evicted = map[choice.DestinationID]struct{}{}
-		}
-		s.evicted[d] = struct{}{}
-		s.counts.evicted++
+		s.evictDestination(d, endpoints[d])
 	}
 	return retained
 }
 
-// dropLearned drops what was learnt of an endpoint, and its idle links.
+func (s *Sender) evictDestination(d choice.DestinationID, endpoints []*endpoint) {
+	for _, e := range endpoints {
+		s.dropLearned(e)
+	}
+	maps.DeleteFunc(s.learned, func(_ choice.EndpointID, entry learnedEntry) bool { return entry.Destination == d })
+	if s.evicted == nil || len(s.evicted) >= maxRememberedEvicted {
+		s.evicted = map[choice.DestinationID]struct{}{}
+	}
+	s.evicted[d] = struct{}{}
+	s.counts.evicted++
+}
+
+// dropLearned drops what was learned of an endpoint, and closes its idle links.
 func (s *Sender) dropLearned(e *endpoint) {
 	s.learnedStore.Void(e.id, nil)
 	s.closeIdleLinks(e, endpointEvicted)
 	e.lastAnswerAt, e.reportedLimit, e.reportedLimitAt = 0, 0, 0
 }
 
-// purgeLearned applies a purge of what was learnt, here, in what an earlier life left, and on disk, and counts the
-// endpoints.
-func (s *Sender) purgeLearned(w *withdrawal.Order) (int, error) {
-	gone := map[choice.EndpointID]struct{}{}
-	onDisk, err := s.deleteLearned(w.Forgets)
+// purgeLearned applies a purge of learned state, in memory and on disk, and counts the endpoints.
+func (s *Sender) purgeLearned(o *withdrawal.Order) (int, error) {
+	purged := map[choice.EndpointID]struct{}{}
+	onDisk, err := s.deleteLearned(o.Forgets)
 	if err != nil {
 		return 0, err
 	}
 	for _, id := range onDisk {
-		gone[id] = struct{}{}
+		purged[id] = struct{}{}
 	}
-	maps.DeleteFunc(s.learned, func(_ choice.EndpointID, k learnedEntry) bool { return w.Forgets(k.Destination) })
-	for _, e := range s.endpointsOf(w.Forgets) {
+	maps.DeleteFunc(s.learned, func(_ choice.EndpointID, entry learnedEntry) bool { return o.Forgets(entry.Destination) })
+	for _, e := range s.endpointsOf(o.Forgets) {
 		s.dropLearned(e)
-		gone[e.id] = struct{}{}
+		purged[e.id] = struct{}{}
 	}
-	return len(gone), nil
+	return len(purged), nil
 }
 
-// wakeDestination asks the region about a destination that was let go, as the first message for it comes.
+// wakeDestination asks the region about an evicted destination when the first message for it comes.
 func (s *Sender) wakeDestination(d choice.DestinationID) {
 	if _, was := s.evicted[d]; was {
 		delete(s.evicted, d)
@@ -142,7 +149,8 @@
 	}
 }
 
-// learnedLessons hands over what was learnt, with the age of the last answer that it rests on.
+// learnedLessons are what was learned of some destinations, or of all if none is named, each with the age of the last
+// answer that it rests on.
 func (s *Sender) learnedLessons(of []choice.DestinationID) (all []together.Lesson) {
 	now := s.Now()
 	which := inSet(of)
@@ -150,26 +158,26 @@
 		which = func(choice.DestinationID) bool { return true }
 	}
 	for _, e := range s.endpointsOf(which) {
-		if k := s.module.Learnt(e.id); k.Seen > 0 || k.Limit > 0 || k.Wait > 0 {
-			heard := e.lastAnswerAt
-			if heard == 0 { // before this sender was joined, at the earliest at its start
-				heard = now - config.Down(int64(s.sinceStart()))
-			}
-			age := max(0, config.Nanoseconds(now-heard))
-			all = append(all, together.Lesson{Endpoint: e.id, Learnt: k, Age: time.Duration(age)})
+		l := s.module.Learnt(e.id)
+		if !isKnown(l) {
+			continue
 		}
+		answeredAt := e.lastAnswerAt
+		if answeredAt == 0 { // before this sender joined; at its start at the earliest
+			answeredAt = now - config.Down(int64(s.sinceStart()))
+		}
+		age := max(0, config.Nanoseconds(now-answeredAt))
+		all = append(all, together.Lesson{Endpoint: e.id, Learnt: l, Age: time.Duration(age)})
 	}
 	return all
 }
 
-// adoptLessons tells the module what others learnt of endpoints of which nothing is known here. A wait has run on meanwhile.
+// adoptLessons takes over what others learned of endpoints of which nothing is known here. A wait is shorter by the
+// lesson's age.
 func (s *Sender) adoptLessons(lessons []together.Lesson) {
 	for _, l := range lessons {
 		e := s.endpoints[l.Endpoint]
-		if e == nil || e.gone || !isPlausible(l.Learnt) || l.Age < 0 {
-			continue
-		}
-		if k := s.module.Learnt(e.id); k.Seen > 0 || k.Wait > 0 || k.Limit > 0 {
+		if e == nil || e.gone || !isPlausible(l.Learnt) || l.Age < 0 || isKnown(s.module.Learnt(e.id)) {
 			continue
 		}
 		age := config.Up(int64(l.Age))
--- a/internal/sender/gossip.go
+++ b/internal/sender/gossip.go
@@ -1,7 +1,7 @@
 package sender
 
-// This file carries the module's notes to and from other senders (package peers). It must never have the loop wait for
-// a socket, nor keep a sender from serving because notes cannot go: it then serves as one without.
+// This file carries the gossip of package choice to and from other senders (package peers). The loop does not wait for a
+// socket, and a sender serves without gossip where it cannot be sent.
 
 import (
 	"go.uber.org/zap"
@@ -10,12 +10,13 @@
 	"flaxcove/internal/peers"
 )
 
+// gossip is the part of a Sender that talks to its peers.
 type gossip struct {
-	peers *peers.Peers // nil where no notes go
+	peers *peers.Peers // nil where no gossip is sent
 }
 
-// openGossip binds the socket for notes where the settings have them go. Where that fails it returns a configuration
-// without.
+// openGossip binds the socket for gossip where the settings ask for it. Where that fails it returns a configuration
+// without gossip.
 func openGossip(cfg *config.Config, log *zap.Logger) (*config.Config, *peers.Peers) {
 	if !cfg.Settings.Notes {
 		return cfg, nil
@@ -37,14 +38,15 @@
 	return p.Close()
 }
 
-// startGossip lets notes come in.
+// startGossip begins to receive.
 func (s *Sender) startGossip(p *peers.Peers) {
-	if s.peers = p; p != nil {
+	s.peers = p
+	if p != nil {
 		p.Start(func(note []byte) { s.post(func() { s.module.Heard(note) }) })
 	}
 }
 
-// stopGossip waits for the receiver, which post lets go once stop is closed.
+// stopGossip waits for the receiver, whose post returns once s.stop is closed.
 func (s *Sender) stopGossip() {
 	if err := closeGossip(s.peers); err != nil {
 		s.log.Error("notes", zap.Error(err))
--- a/internal/sender/host.go
+++ b/internal/sender/host.go
@@ -48,7 +48,7 @@
 	n.inFlight = c
 	n.attempts++
 	s.counts.attempts++
-	s.log.Debug("dispatch", zap.String("id", string(id)), zap.String("to", string(to)), zap.Int("try", n.attempts),
+	s.log.Debug("attempt", zap.String("id", string(id)), zap.String("to", string(to)), zap.Int("try", n.attempts),
 		zap.Float64("within_ms", float64(timeOut)/float64(choice.Millisecond)))
 }
 
--- a/internal/sender/learned_state.go
+++ b/internal/sender/learned_state.go
@@ -1,8 +1,8 @@
 package sender
 
-// This file carries what was learnt of endpoints from one life of a sender to the next, through the folder that
-// lasts: a planned end writes it, a start reads it. What it holds is the module's to say (choice.Learnt). It must
-// never keep a start from happening, nor pass on what was learnt of another machine under the same id.
+// This file carries what was learned of endpoints from one process to the next, in a file of the state folder: a graceful
+// shutdown writes it, a start reads it. What it holds is decided by package choice (choice.Learnt). It never keeps a start
+// from happening, and what was learned of one machine is never used for another one with the same id.
 
 import (
 	"encoding/json"
@@ -20,9 +20,18 @@
 const (
 	learnedFileName  = "learnt.json"
 	learnedFileShare = 0.02 // of the disk, beside what the journal may fill
+	// learnedFileFrame is what stands around the entries.
+	learnedFileFrame = 64
 )
 
-// learnedEntry is what stands in the file for one endpoint: it still means the same where all three of the first are.
+// What is learned is believed up to these bounds. Beyond them a time-out computed of it would overflow, and calls would be
+// abandoned as they begin.
+const (
+	maxLearnedTime  = 24 * 3600 * choice.Second // of a call, and of a Retry-After
+	maxLearnedCalls = 1e15
+)
+
+// learnedEntry is what the file holds of one endpoint. It applies to an endpoint of the same id, destination and address.
 type learnedEntry struct {
 	Endpoint    choice.EndpointID    `json:"endpoint"`
 	Destination choice.DestinationID `json:"destination"`
@@ -36,106 +45,111 @@
 	Endpoints []learnedEntry `json:"endpoints"`
 }
 
-// loadLearned reads what an earlier life wrote. What cannot be read, or makes no sense, starts afresh and is logged.
+// loadLearned reads what an earlier process wrote. A file that cannot be read, and entries that are not plausible, are
+// logged and left out.
 func (s *Sender) loadLearned() {
-	var l learnedFile
+	var file learnedFile
 	text, err := journal.Get(s.cfg.State, learnedFileName)
 	if errors.Is(err, fs.ErrNotExist) {
 		return
 	}
 	if err == nil {
-		err = json.Unmarshal(text, &l)
+		err = json.Unmarshal(text, &file)
 	}
 	if err != nil {
-		s.log.Warn("learnt: not read, every endpoint starts afresh", zap.String("file", learnedFileName), zap.Error(err))
+		s.log.Warn("learned state: not read, every endpoint starts afresh", zap.String("file", learnedFileName), zap.Error(err))
 		return
 	}
-	s.learned, s.learnedAt = map[choice.EndpointID]learnedEntry{}, l.At
-	for _, k := range l.Endpoints {
-		if isPlausible(k.Learnt) {
-			s.learned[k.Endpoint] = k
+	s.learned, s.learnedAt = map[choice.EndpointID]learnedEntry{}, file.At
+	for _, entry := range file.Endpoints {
+		if isPlausible(entry.Learnt) {
+			s.learned[entry.Endpoint] = entry
 		}
 	}
-	s.log.Info("learnt", zap.Int("endpoints", len(s.learned)), zap.Int("left_out", len(l.Endpoints)-len(s.learned)))
+	s.log.Info("learned state", zap.Int("endpoints", len(s.learned)), zap.Int("left_out", len(file.Endpoints)-len(s.learned)))
 }
 
-// What is learnt stays below these; more would pass the highest number where a time-out is made of it, and calls
-// would be given up as they begin.
-const (
-	maxLearnedTime  = 24 * 3600 * choice.Second // of a call, and of a wait, which a restart ends at any rate
-	maxLearnedCalls = 1e15
-)
-
-// isPlausible tells whether what comes from elsewhere can be believed.
-func isPlausible(k choice.Learnt) bool {
-	is := func(least, v, most float64) bool { return v >= least && v <= most }
+// isPlausible reports whether learned state from elsewhere can be believed.
+func isPlausible(l choice.Learnt) bool {
+	within := func(v, least, most float64) bool { return v >= least && v <= most }
 	const most = float64(maxLearnedTime)
-	return k.Mean > 0 && is(0, k.Mean, most) && is(0, k.Dev, most) && k.Past > 0 && is(0, k.Past, most) && is(0, k.Seen, maxLearnedCalls) &&
-		is(0, k.Limit, maxReportedLimit) && k.Wait >= 0 && k.Wait <= maxLearnedTime
+	return l.Mean > 0 && within(l.Mean, 0, most) &&
+		within(l.Dev, 0, most) &&
+		l.Past > 0 && within(l.Past, 0, most) &&
+		within(l.Seen, 0, maxLearnedCalls) &&
+		within(l.Limit, 0, maxReportedLimit) &&
+		l.Wait >= 0 && l.Wait <= maxLearnedTime
+}
+
+// isKnown reports whether anything has been learned of an endpoint.
+func isKnown(l choice.Learnt) bool { return l.Seen > 0 || l.Wait > 0 || l.Limit > 0 }
+
+// takeLearned gives what was learned of an endpoint to its first entry in the list, and once: later it is out of date. A
+// wait is shorter by the time since.
+func (s *Sender) takeLearned(e choice.Entry, addr string) *choice.Learnt {
+	entry, known := s.learned[e.Endpoint]
+	delete(s.learned, e.Endpoint)
+	if !known || entry.Addr != addr || entry.Destination != e.Destination {
+		return nil
+	}
+	entry.Wait = max(0, entry.Wait-max(0, s.Now()-s.learnedAt))
+	return &entry.Learnt
 }
 
-// deleteLearned takes what an earlier life learnt out of the file, where it would come back with a start after a kill, and
-// tells of how many endpoints that was. It leaves the file as it is where it can't be read: then it teaches nobody.
-func (s *Sender) deleteLearned(of func(choice.DestinationID) bool) (ends []choice.EndpointID, err error) {
+// deleteLearned takes destinations out of the file, from where they would come back with a start after a kill, and returns
+// the endpoints that were in it. A file that is no JSON is left as it is, as no start reads it.
+func (s *Sender) deleteLearned(of func(choice.DestinationID) bool) (deleted []choice.EndpointID, err error) {
+	var file learnedFile
 	text, err := journal.Get(s.cfg.State, learnedFileName)
-	var l learnedFile
-	if err != nil || json.Unmarshal(text, &l) != nil {
-		if errors.Is(err, fs.ErrNotExist) {
-			err = nil
-		}
+	if errors.Is(err, fs.ErrNotExist) {
+		return nil, nil
+	}
+	if err != nil {
 		return nil, err
 	}
-	remaining := l
-	remaining.Endpoints = nil
-	for _, k := range l.Endpoints {
-		if of(k.Destination) {
-			ends = append(ends, k.Endpoint)
+	if json.Unmarshal(text, &file) != nil {
+		return nil, nil
+	}
+	remaining := learnedFile{At: file.At}
+	for _, entry := range file.Endpoints {
+		if of(entry.Destination) {
+			deleted = append(deleted, entry.Endpoint)
 		} else {
-			remaining.Endpoints = append(remaining.Endpoints, k)
+			remaining.Endpoints = append(remaining.Endpoints, entry)
 		}
 	}
-	if len(ends) == 0 {
+	if len(deleted) == 0 {
 		return nil, nil
 	}
-	if text, err = json.Marshal(remaining); err == nil {
-		err = s.journal.Put(learnedFileName, text)
-	}
-	return ends, err
+	return deleted, s.writeLearned(remaining)
 }
 
-// takeLearned gives what was learnt of an endpoint to its first entry, and once: later it is out of date. The wait has
-// run on meanwhile.
-func (s *Sender) takeLearned(e choice.Entry, addr string) *choice.Learnt {
-	k, is := s.learned[e.Endpoint]
-	delete(s.learned, e.Endpoint)
-	if !is || k.Addr != addr || k.Destination != e.Destination {
-		return nil
+func (s *Sender) writeLearned(file learnedFile) error {
+	text, err := json.Marshal(file)
+	if err != nil {
+		return err
 	}
-	k.Wait = max(0, k.Wait-max(0, s.Now()-s.learnedAt))
-	return &k.Learnt
+	return s.journal.Put(learnedFileName, text)
 }
 
-// saveLearned writes what the next life may keep, of as many endpoints as there is room for.
+// saveLearned writes what the next process may use, of as many endpoints as fit.
 func (s *Sender) saveLearned() {
-	l := learnedFile{At: s.Now()}
-	capacity := int(learnedFileShare*float64(s.journal.Limit())) - 64 // for what stands around them
+	file := learnedFile{At: s.Now()}
+	capacity := int(learnedFileShare*float64(s.journal.Limit())) - learnedFileFrame
 	for _, id := range slices.Sorted(maps.Keys(s.endpoints)) {
-		e, k := s.endpoints[id], s.module.Learnt(id)
-		if e.gone || k.Seen == 0 && k.Wait == 0 {
+		e, l := s.endpoints[id], s.module.Learnt(id)
+		if e.gone || l.Seen == 0 && l.Wait == 0 {
 			continue
 		}
-		entry := learnedEntry{id, e.destination, e.addr, k}
+		entry := learnedEntry{id, e.destination, e.addr, l}
 		text, err := json.Marshal(entry)
-		if capacity -= len(text) + 1; err != nil || capacity < 0 {
+		capacity -= len(text) + 1
+		if err != nil || capacity < 0 {
 			break
 		}
-		l.Endpoints = append(l.Endpoints, entry)
+		file.Endpoints = append(file.Endpoints, entry)
 	}
-	text, err := json.Marshal(l)
-	if err == nil {
-		err = s.journal.Put(learnedFileName, text)
-	}
-	if err != nil {
-		s.log.Error("learnt: not written", zap.Error(err))
+	if err := s.writeLearned(file); err != nil {
+		s.log.Error("learned state: not written", zap.Error(err))
 	}
 }
--- a/internal/sender/lingering_close_test.go
+++ b/internal/sender/lingering_close_test.go
@@ -16,8 +16,8 @@
 	const sockets = 64
 	const served, unserved = pingText, ""
 	for _, way := range []struct {
-		name, first, told string
-		end               func(t *testing.T, s *Sender, c *client, conn net.Conn, dial func(string) net.Conn)
+		name, first, answer string
+		end                 func(t *testing.T, s *Sender, c *client, conn net.Conn, dial func(string) net.Conn)
 	}{
 		{"idle", served, pongText, func(t *testing.T, s *Sender, c *client, _ net.Conn, _ func(string) net.Conn) {
 			onLoop(t, s, func() { s.closeClient(c, idleTimeout) })
@@ -59,8 +59,8 @@
 			if got := state(t, conn); got != stateCloseWait {
 				t.Errorf("the connection is in state %d, and so was reset", got)
 			}
-			if text, err := io.ReadAll(conn); string(text) != way.told || err != nil {
-				t.Errorf("told %q, %v, want %q", text, err, way.told)
+			if text, err := io.ReadAll(conn); string(text) != way.answer || err != nil {
+				t.Errorf("told %q, %v, want %q", text, err, way.answer)
 			}
 			conn.Close()
 			waitUntil(t, "its place is free", func() bool {
--- a/internal/sender/outcome_reporter.go
+++ b/internal/sender/outcome_reporter.go
@@ -83,7 +83,7 @@
 		return
 	}
 	s.counts.postsFailed++
-	s.log.Warn("platform not told", zap.Int("status", status), zap.Int("endings", count), zap.Error(err))
+	s.log.Warn("platform not notified", zap.Int("status", status), zap.Int("endings", count), zap.Error(err))
 	if err == nil {
 		// One ending that the platform rejects must not hold up the others.
 		s.oneAtATime = true
--- a/internal/sender/purge.go
+++ b/internal/sender/purge.go
@@ -1,13 +1,13 @@
 package sender
 
-// This file withdraws: it owns the purges that wait for the loop, those applied last, and what becomes of each message
-// that one means. It must never answer a purge before its effect is on disk, apply one twice or out of order, touch
-// what was taken on after it, or report as not begun what may have run.
+// This file applies purges, which withdraw messages: it owns those that wait for the loop, the last ones applied, and what
+// becomes of each message that one matches. No purge is answered before its effect is on disk, applied twice or out of
+// order, touches what was accepted after it, or reports a message as not begun that may have run.
 //
 // The journal holds one record a purge, beside the usual ones of each message's end, in the append of one turn. A message
-// whose call is out has its end (given up) written at once, and told when the call is over: delivered where the answer
-// says so, else given up. A process that is killed in between gives it up at its next start and never sends it again.
-// Where no time is left for the call's answer, its time-out or the message's deadline ends the wait.
+// whose call is in flight has its end (failed) recorded at once and reported when the call is over: delivered where the
+// answer says so, else failed. A process that is killed in between reports it failed at its next start and never sends it
+// again. Where no time is left for the call's answer, its time-out or the message's deadline ends the wait.
 
 import (
 	"encoding/binary"
@@ -23,36 +23,40 @@
 )
 
 const (
-	// Work of a turn is bounded, or ten thousand purges over a full table would hold up the loop for a second:
+	// The work of a turn is bounded, or ten thousand purges over a full table would block the loop for a second:
 	// comparisons, of some 10 ns each, and records.
 	purgeWorkPerTurn = 50_000
 	purgesPerTurn    = 256
-	learnedPurgeWork = 5_000 // one that has a file read
-	// So many are answered again as they were, through a restart too; older ones with nothing found. A record is 40
-	// bytes at most.
+	learnedPurgeWork = 5_000 // of a purge of learned state, which reads a file
+	// maxRememberedPurges bounds the purges that are answered again as they were, after a restart too; older ones are
+	// answered with nothing found. A record has 40 bytes at most.
 	maxRememberedPurges = 256
 )
 
+// purgeState is the part of a Sender that holds purges.
 type purgeState struct {
 	waiting []purgeOrder
-	applied atomic.Uint64  // the highest Seq on disk; the loop alone writes it
-	seq     uint64         // the highest one applied
+	applied atomic.Uint64  // the highest Seq on disk; only the loop writes it
+	seq     uint64         // the highest Seq applied
 	past    []appliedPurge // the last ones, by Seq
 }
 
-// purgeOrder is one call of Orders.Purge, of which some are applied.
+// purgeOrder is one call of Orders.Purge.
 type purgeOrder struct {
 	all   []withdrawal.Order
-	found []together.Found
+	found []together.Found // of those that are applied
 	done  func(uint64, []together.Found)
 }
 
+func (o *purgeOrder) complete() bool { return len(o.found) == len(o.all) }
+
+// appliedPurge is what is remembered of a purge.
 type appliedPurge struct {
 	seq   uint64
 	found together.Found
 }
 
-// purge puts purges in the loop's way.
+// purge queues purges for the next turns.
 func (s *Sender) purge(all []together.Purge, at choice.Time, done func(uint64, []together.Found)) {
 	o := purgeOrder{done: done}
 	for _, p := range all {
@@ -61,26 +65,17 @@
 	s.purgeState.waiting = append(s.purgeState.waiting, o)
 }
 
-// applyPurges goes on with what waits, as far as this turn's work allows.
+// applyPurges goes on with the waiting purges, as far as this turn's work allows.
 func (s *Sender) applyPurges() {
 	work := 0
 	for len(s.purgeState.waiting) > 0 && work < purgeWorkPerTurn {
 		o := &s.purgeState.waiting[0]
-		for records := 0; len(o.found) < len(o.all) && work < purgeWorkPerTurn && records < purgesPerTurn; records++ {
-			w := &o.all[len(o.found)]
-			f, err := s.applyOnce(w)
-			if err != nil {
-				s.log.Error("purge not applied yet", zap.Uint64("seq", w.Seq), zap.Error(err))
-				s.after(journalRetryPause, func() {})
-				return
-			}
-			o.found = append(o.found, f)
-			work += 1 + len(s.accepted) + len(s.admitted)
-			if w.Learnt {
-				work += learnedPurgeWork
-			}
+		var err error
+		if work, err = s.applySome(o, work); err != nil {
+			s.after(journalRetryPause, func() {}) // readCluster runs in its turn
+			return
 		}
-		if len(o.found) < len(o.all) {
+		if !o.complete() {
 			s.eventsPending = true
 			return
 		}
@@ -94,6 +89,25 @@
 	s.eventsPending = s.eventsPending || len(s.purgeState.waiting) > 0
 }
 
+// applySome applies purges of an order until it is complete, or the work or the records of the turn are at their bound. It
+// returns the work so far, including what was done before.
+func (s *Sender) applySome(o *purgeOrder, work int) (int, error) {
+	for records := 0; !o.complete() && work < purgeWorkPerTurn && records < purgesPerTurn; records++ {
+		w := &o.all[len(o.found)]
+		f, err := s.applyOnce(w)
+		if err != nil {
+			s.log.Error("purge not applied yet", zap.Uint64("seq", w.Seq), zap.Error(err))
+			return work, err
+		}
+		o.found = append(o.found, f)
+		work += 1 + len(s.accepted) + len(s.admitted)
+		if w.Learnt {
+			work += learnedPurgeWork
+		}
+	}
+	return work, nil
+}
+
 // applyOnce applies a purge, unless that was done: then it is answered as it was.
 func (s *Sender) applyOnce(w *withdrawal.Order) (f together.Found, err error) {
 	if w.Seq <= s.seq {
@@ -107,17 +121,10 @@
 			return f, err
 		}
 	}
-	for _, list := range [][]*message{s.accepted, s.admitted} { // lists, as a map has no order
-		for _, n := range list {
-			if w.Takes(n.Destination, n.className, n.key, n.acceptedAt) {
-				fate := n.purgeState().Fate()
-				fate.Add(&f)
-				s.withdraw(n, fate)
-			}
-		}
-	}
-	s.rememberPurge(appliedPurge{w.Seq, f})
-	s.journal.Add(s.past[len(s.past)-1].record())
+	s.withdrawMatching(w, &f)
+	done := appliedPurge{w.Seq, f}
+	s.rememberPurge(done)
+	s.journal.Add(done.record())
 	s.counts.purges++
 	level := zap.DebugLevel // a process that was away for long applies thousands
 	if f != (together.Found{}) {
@@ -128,9 +135,22 @@
 	return f, nil
 }
 
-// purgeState is how a message stands. One that is over stays in order until the file is written anew, and is told as Ended
-// however it ended.
-func (n *message) purgeState() withdrawal.State {
+// withdrawMatching withdraws the messages that a purge matches, in the order they were accepted.
+func (s *Sender) withdrawMatching(w *withdrawal.Order, found *together.Found) {
+	for _, list := range [][]*message{s.accepted, s.admitted} {
+		for _, n := range list {
+			if w.Takes(n.Destination, n.className, n.key, n.acceptedAt) {
+				fate := n.withdrawalState().Fate()
+				fate.Add(found)
+				s.withdraw(n, fate)
+			}
+		}
+	}
+}
+
+// withdrawalState is the state of a message as a purge meets it. A closed one stays in admission.accepted for a while, and
+// counts as Ended however it ended.
+func (n *message) withdrawalState() withdrawal.State {
 	switch {
 	case n.withdrawn:
 		return withdrawal.Withdrawn
@@ -146,7 +166,7 @@
 	return withdrawal.Waiting
 }
 
-// withdraw ends a message, or sees to it that it ends with the call that is out.
+// withdraw ends a message, or makes sure that it ends with the call that is in flight.
 func (s *Sender) withdraw(n *message, fate withdrawal.Fate) {
 	if fate == withdrawal.Untouched || fate == withdrawal.Report {
 		return
@@ -158,25 +178,25 @@
 		s.journal.Add(endRecord(n.ID, ending{kind: endFailed}))
 		return
 	}
-	if c := n.inFlight; c != nil { // it waits for its connection: nothing of it has left
+	if c := n.inFlight; c != nil { // it waits for its connection: nothing was sent
 		s.cancelMessage(c, n)
 		s.endIfEmpty(c)
 	}
 	s.endMessage(n, ending{kind: endFailed})
 }
 
-// endWithdrawn ends a withdrawn message whose call is over.
+// endWithdrawn ends a withdrawn message whose call has ended.
 func (s *Sender) endWithdrawn(n *message, how withdrawal.Back) {
 	if how == withdrawal.AsAnswered {
 		s.closeMessage(n)
 		return
 	}
-	s.log.Debug("withdrawn while out", zap.String("id", string(n.ID)), zap.Bool("may_have_run", how == withdrawal.AsMayRun))
+	s.log.Debug("withdrawn while in flight", zap.String("id", string(n.ID)), zap.Bool("may_have_run", how == withdrawal.AsMayRun))
 	s.endMessage(n, ending{kind: endFailed})
 }
 
-// endIfEmpty ends a call that waits for its connection once it carries nothing any more. One that has not begun yet ends
-// as it would begin.
+// endIfEmpty ends a call that waits for its connection when it carries no message any more. One that has no timers has not
+// begun yet, and ends as it would begin.
 func (s *Sender) endIfEmpty(c *call) {
 	if len(c.messages) > 0 || len(c.timers) == 0 || c.done {
 		return
@@ -187,7 +207,7 @@
 	}
 }
 
-// rememberPurge keeps the newest maxRememberedPurges. What a rewriting keeps of them counts against the disk.
+// remember keeps the newest purges, and returns by how many bytes the records that a rewriting keeps have grown.
 func (p *purgeState) remember(done appliedPurge) (bytes int64) {
 	if done.seq <= p.seq {
 		return 0
@@ -211,7 +231,8 @@
 	return out
 }
 
-func readPurged(record []byte) (p appliedPurge, whole bool) {
+// readPurged reads a record of a purge, and reports whether it is complete.
+func readPurged(record []byte) (p appliedPurge, complete bool) {
 	seq, used := binary.Uvarint(record[1:])
 	if used <= 0 {
 		return p, false
--- a/internal/sender/purge_test.go
+++ b/internal/sender/purge_test.go
@@ -66,16 +66,16 @@
 		stands, before, after string
 		dest                  int
 		found                 together.Found
-		told                  string
+		reported              string
 	}{
-		{stands: "waits for an endpoint", dest: 9, found: together.Found{NotBegun: 1}, told: "given_up"},
-		{stands: "waits for its connection", found: together.Found{NotBegun: 1}, told: "given_up"},
-		{stands: "waits after a refusal", before: answerFull, found: together.Found{NotBegun: 1}, told: "given_up"},
-		{stands: "waits after an error", before: answerError, found: together.Found{MayRun: 1}, told: "given_up"},
+		{stands: "waits for an endpoint", dest: 9, found: together.Found{NotBegun: 1}, reported: "given_up"},
+		{stands: "waits for its connection", found: together.Found{NotBegun: 1}, reported: "given_up"},
+		{stands: "waits after a refusal", before: answerFull, found: together.Found{NotBegun: 1}, reported: "given_up"},
+		{stands: "waits after an error", before: answerError, found: together.Found{MayRun: 1}, reported: "given_up"},
 		{stands: "out, then done", after: answerOK, found: together.Found{MayRun: 1}},
-		{stands: "out, then refused", after: answerFull, found: together.Found{MayRun: 1}, told: "given_up"},
-		{stands: "out, then an error", after: answerError, found: together.Found{MayRun: 1}, told: "given_up"},
-		{stands: "out, then killed", after: "kill", found: together.Found{MayRun: 1}, told: "given_up"},
+		{stands: "out, then refused", after: answerFull, found: together.Found{MayRun: 1}, reported: "given_up"},
+		{stands: "out, then an error", after: answerError, found: together.Found{MayRun: 1}, reported: "given_up"},
+		{stands: "out, then killed", after: "kill", found: together.Found{MayRun: 1}, reported: "given_up"},
 		{stands: "done", before: answerOK, found: together.Found{Delivered: 1}},
 	} {
 		posted := ""
@@ -109,9 +109,9 @@
 				t.Errorf("%s: sent again", c.stands)
 			}
 		}
-		if len(found) != 1 || found[0] != c.found || strings.Count(posted, "message") > 1 || !strings.Contains(posted, c.told) ||
-			(posted == "") != (c.told == "") || len(r.s.pending)+len(start(r.dir, 100).s.pending) > 0 {
-			t.Errorf("%s: found %+v, told %q, owed %d", c.stands, found, posted, len(r.s.pending))
+		if len(found) != 1 || found[0] != c.found || strings.Count(posted, "message") > 1 || !strings.Contains(posted, c.reported) ||
+			(posted == "") != (c.reported == "") || len(r.s.pending)+len(start(r.dir, 100).s.pending) > 0 {
+			t.Errorf("%s: found %+v, reported %q, owed %d", c.stands, found, posted, len(r.s.pending))
 		}
 	}
 }
--- a/internal/sender/replay.go
+++ b/internal/sender/replay.go
@@ -122,7 +122,7 @@
 		}
 	}
 	if r.invalid {
-		s.log.Warn("journal: a notice cannot be read", zap.String("id", string(id)), zap.String("workload", n.className))
+		s.log.Warn("journal: a message cannot be read", zap.String("id", string(id)), zap.String("workload", n.className))
 		return
 	}
 	n.Class = s.cfg.ClassNumbers[n.className] // sortReplayed looks for unknown ones
--- a/internal/sender/untried_test.go
+++ b/internal/sender/untried_test.go
@@ -23,7 +23,7 @@
 		name    string
 		maxOpen int
 		left    []*message
-		news    string // a list that comes 300 ms later
+		update  string // a list that comes 300 ms later
 	}{
 		{"usual", 100, many(9, func(i int) *message {
 			return acceptedMessage(fmt.Sprint(i), "0", class[i%3], 1, now-4*second, 8*second)
@@ -53,8 +53,8 @@
 			writeJournal(t, dir, records...)
 			l := recordCalls(t, startWith(fourClassConfig(dir, c.maxOpen)))
 			l.advanceAnswering(300*time.Millisecond, 20*time.Millisecond)
-			if c.news != "" {
-				l.updateList(c.news)
+			if c.update != "" {
+				l.updateList(c.update)
 			}
 			l.advanceAnswering(9*time.Second, 20*time.Millisecond)
 			untried := 0
--- a/internal/sender/withdrawal/withdrawal.go
+++ b/internal/sender/withdrawal/withdrawal.go
@@ -1,9 +1,9 @@
-// Package withdrawal decides what becomes of one message, or of one endpoint's learnt figures, when a purge comes by.
+// Package withdrawal decides what becomes of one message, or of the learned state of one endpoint, under a purge.
 //
 // It owns which messages a purge names, whether a message was there before the purge, and how each state of a message
 // ends under it. The sender asks it message by message and does what it says; the model of a fleet that spreads purges
-// (internal/cluster/purge/spread) asks the same code, so that its drawn runs are about what a sender really does. It
-// must never know how messages are kept, sent or answered, and knows no clock.
+// (internal/cluster/purge/spread) asks the same code, so that its random runs are about what a sender really does. It
+// knows no clock, and nothing of how messages are stored, sent or answered.
 package withdrawal
 
 import (
@@ -14,30 +14,30 @@
 	"flaxcove/internal/sender/together"
 )
 
-// Order is a purge as one process applies it: what was taken on after Cut is not touched.
+// Order is a purge as one process applies it: what was accepted after Cut is not touched.
 type Order struct {
 	together.Purge
 	Cut choice.Time
 }
 
-// Since works out the cut from the time at which a purge came and its age.
+// Since computes the cut from the time at which a purge came and its age.
 //
-// An age is a lower bound of the true one (time on the way is not in it), and spans are rounded towards a later cut. So
-// all that was there at the commit is hit; what came while the purge was on its way may be hit too.
+// An age is a lower bound of the true one (the time on the way is not in it), and it is rounded towards a later cut. So all
+// that was there at the commit is matched; what came while the purge was on its way may be matched too.
 func Since(p together.Purge, at choice.Time) Order {
 	age := max(0, p.Age)
 	return Order{Purge: p, Cut: at - config.Down(age.Nanoseconds())}
 }
 
-// Takes tells whether an order means a message of these that was taken on at a time, on the clock of the cut; 0 stands
-// for long ago. Keys are compared as the program writes them, not as the numbers that they stand for.
-func (o *Order) Takes(d choice.DestinationID, class, key string, takenAt choice.Time) bool {
-	return !o.Learnt && takenAt <= o.Cut && names(&o.Match, d, class, key)
+// Takes reports whether an order matches a message with these properties that was accepted at a time, on the clock of the
+// cut; 0 stands for long ago. Keys are compared as the client writes them, not as the numbers that they stand for.
+func (o *Order) Takes(d choice.DestinationID, class, key string, acceptedAt choice.Time) bool {
+	return !o.Learnt && acceptedAt <= o.Cut && matches(&o.Match, d, class, key)
 }
 
-// names tells whether a match names a message of these. Fields that are set must all agree. An empty match names nothing:
-// withdrawing everything by an empty form would be a slip, and no ledger takes one.
-func names(m *together.Match, d choice.DestinationID, class, key string) bool {
+// matches reports whether a match names a message with these properties. Fields that are set must all agree. An empty
+// match names nothing: withdrawing everything by an empty form would be a mistake, and no ledger takes one.
+func matches(m *together.Match, d choice.DestinationID, class, key string) bool {
 	if *m == (together.Match{}) {
 		return false
 	}
@@ -47,38 +47,38 @@
 		strings.HasPrefix(key, m.KeyPrefix)
 }
 
-// Forgets tells whether what was learnt of a destination is void. What is learnt hangs on endpoints alone, so an order
-// that also names a class or a key forgets nothing.
+// Forgets reports whether the learned state of a destination is to be dropped. Learned state depends on endpoints alone, so
+// an order that also names a class or a key drops nothing.
 func (o *Order) Forgets(d choice.DestinationID) bool {
 	m := &o.Match
 	return o.Learnt && m.Destination != nil && *m.Destination == d && m.Class == "" && m.Key == "" && m.KeyPrefix == ""
 }
 
-// State is how a message stands at its sender.
+// State is the state of a message at its sender.
 type State uint8
 
 const (
-	Waiting   State = iota // no call of it can have run: never sent, or every call was surely refused
-	Out                    // a call is out
-	MayRun                 // no call is out, but one of this life or an earlier one may have run
+	Waiting   State = iota // no call of it can have run: never sent, or every call was certainly rejected
+	Out                    // a call is in flight
+	MayRun                 // no call is in flight, but one of this process or an earlier one may have run
 	Delivered              // ended with its delivery
 	Ended                  // ended otherwise, before the purge came
 	Withdrawn              // ended by an earlier purge: counted there
-	Refused                // told so at once: it was never taken on, and nothing is known of it
+	Refused                // answered so at once: it was never accepted, and nothing is known of it
 )
 
-// Fate is what becomes of it.
+// Fate is what becomes of a message under a purge.
 type Fate uint8
 
 const (
 	Untouched Fate = iota
 	End            // now, with its one final answer: withdrawn, never begun
-	Hold           // its call stays out and is the last (see Ends); reported as may-have-run
+	Hold           // its call stays in flight and is the last (see Ends); reported as may-have-run
 	Close          // now, with its one final answer: may have run; not sent again
-	Report         // nothing to do: it was over
+	Report         // nothing to do: it had ended
 )
 
-// Fate is what becomes of a message that an order takes.
+// Fate returns what becomes of a message that an order matches.
 func (s State) Fate() Fate {
 	switch s {
 	case Waiting:
@@ -93,7 +93,7 @@
 	return Untouched
 }
 
-// Add counts a fate where it belongs. A message is withdrawn once: a purge that overlaps finds it Withdrawn.
+// Add counts a fate in what a purge found. A message is withdrawn once: a second purge that matches it finds it Withdrawn.
 func (f Fate) Add(found *together.Found) {
 	switch f {
 	case End:
@@ -105,24 +105,24 @@
 	}
 }
 
-// Back is how a message that was put on Hold ends once its last call is back.
+// Back is how a message with the fate Hold ends once its last call has ended.
 type Back uint8
 
 const (
 	AsAnswered  Back = iota // delivered, or its endpoint wants it no more
-	AsWithdrawn             // the call surely did not run
-	AsMayRun
+	AsWithdrawn             // the call has certainly not run
+	AsMayRun                // it may have run
 )
 
-// Ends tells how a held message ends. earlier tells that a call before this one may have run too: then a refusal of
-// the last proves nothing.
-func Ends(last choice.Outcome, earlier bool) Back {
+// Ends returns how a message with the fate Hold ends. earlierMayRun says that a call before the last one may have run too:
+// then a rejection of the last one proves nothing.
+func Ends(last choice.Outcome, earlierMayRun bool) Back {
 	if last.Final {
 		return AsAnswered
 	}
 	switch last.Result {
 	case choice.Full, choice.ConnectFailed, choice.Moot:
-		if !earlier {
+		if !earlierMayRun {
 			return AsWithdrawn
 		}
 	}
