--- a/internal/sender/acceptance_test.go
+++ b/internal/sender/acceptance_test.go
@@ -15,7 +15,7 @@
 	"flaxcove/internal/journal"
 )
 
-// A kill may come right behind the answer that takes a message on: the file holds its record by then.
+// A kill may come right behind the answer that accepts a message: the file holds its record by then.
 func TestOnRecordBeforeOK(t *testing.T) {
 	t.Parallel()
 	cfg := testConfig(t.TempDir(), 1000)
@@ -39,7 +39,7 @@
 	<-done
 }
 
-// isAccepted tells whether a journal's text holds that an id was taken on.
+// isAccepted tells whether a journal's text holds that an id was accepted.
 func isAccepted(t *testing.T, text []byte, id choice.MessageID) (is bool) {
 	t.Helper()
 	dir := t.TempDir()
@@ -57,8 +57,8 @@
 	return is
 }
 
-// A sender whose room is full of what waits for a destination that is out goes on to take what another destination can
-// serve: it does not turn away all for 4 s on end, and calls are made meanwhile.
+// A sender whose capacity is used up by messages for a destination that is down still accepts what another destination can
+// serve: it does not reject everything for 4 s on end, and calls are made meanwhile.
 func TestFullSenderGoesOn(t *testing.T) {
 	t.Parallel()
 	const span, every = 16 * time.Second, 40 * time.Millisecond
@@ -70,9 +70,8 @@
 	begin := l.clock
 	for i := 0; l.clock < begin+span; i++ {
 		for _, dest := range []int{7, 7, 7, 1} {
-			c := &client{window: make(chan struct{}, windowSize), disconnected: true}
-			c.window <- struct{}{}
-			l.s.handleCommand(c, splitArgs(fmt.Sprintf("OUT.ADD 0 n%d-%d-%d c=pure,d=8000,dest=%d x", i, dest, len(l.s.pending), dest)))
+			c := newUnreadClient()
+			l.handle(c, fmt.Sprintf("OUT.ADD 0 n%d-%d-%d c=pure,d=8000,dest=%d x", i, dest, len(l.s.pending), dest))
 		}
 		l.advanceAnswering(every, 20*time.Millisecond)
 		if l.s.counts.accepted > taken {
--- a/internal/sender/bundle_test.go
+++ b/internal/sender/bundle_test.go
@@ -31,7 +31,7 @@
 	// owed: 1 to the platform: 0
 }
 
-// A message of a bundle whose time is over ends alone: one that was not sent yet is handed back and does not leave any
+// A message of a bulk call whose time is over ends alone: one that was not sent yet is shed and does not leave any
 // more, one that was may have run. The call goes on for the order, and ends nothing a second time.
 func Example_bundleOutlivesOne() {
 	for _, written := range []bool{false, true} {
@@ -70,7 +70,7 @@
 	// delivered: 1
 }
 
-// A wait in the answer to a bundle binds whatever became of its messages.
+// A wait in the answer to a bulk call binds whatever became of its messages.
 func Example_bundleWait() {
 	r := start("", 100).submit("OUT.ADD 0 s1 c=status,d=6000,dest=2 x", "OUT.ADD 0 s2 c=status,d=6000,dest=2 x")
 	r.endpointAnswers("HTTP/1.1 200 OK\nRetry-After: 0.7\nContent-Length: 54\n\n" + `[{"id":"s1","state":"ok"},{"id":"s2","state":"error"}]`)
@@ -88,7 +88,7 @@
 	// call b: GET /-/healthy
 }
 
-// A bundle whose answer cannot be made out may have run, and its link is of no further use.
+// A bulk call whose answer cannot be parsed may have run, and its link is not reused.
 func Example_spoiltBundle() {
 	for _, body := range []string{`[{"id":"o1","state":"ok"},{"id":"o2","sta`, "nothing", `[{"id":"o1","state":"ok"}]`} {
 		r := start("", 100).submit("OUT.ADD 0 o1 c=order,d=20000,dest=2 x", "OUT.ADD 0 o2 c=order,d=20000,dest=2 x")
--- a/internal/sender/call_ends_test.go
+++ b/internal/sender/call_ends_test.go
@@ -9,7 +9,7 @@
 	"flaxcove/choice"
 )
 
-// The rows of the table at the head of relay.go, over loopback sockets: what each end of a call tells of its message.
+// The rows of the table at the head of outcomes.go, over loopback sockets: what each end of a call tells of its message.
 func TestEnds(t *testing.T) {
 	const no, may, over = "has not run", "may have run", "is over"
 	says := func(text string) func(*testing.T, *harness, *call, *net.TCPConn) {
@@ -120,7 +120,7 @@
 	}
 }
 
-// The rows without a connection: refused, never up, no address. TestNoCapacityForAConnection has the one without room.
+// The rows without a connection: refused, never up, no address. TestNoCapacityForAConnection has the one without capacity.
 func TestEndsUnconnected(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -150,7 +150,7 @@
 	}
 }
 
-// The rows of a bundle: only its whole answer tells.
+// The rows of a bulk call: only its complete answer counts.
 func TestEndsBundle(t *testing.T) {
 	const states = `[{"id":"o1","state":"ok"},{"id":"o2","state":"later"}]`
 	for _, row := range []struct {
--- a/internal/sender/capacity_sockets_test.go
+++ b/internal/sender/capacity_sockets_test.go
@@ -19,8 +19,6 @@
 	"testing"
 	"time"
 
-	"go.uber.org/zap"
-
 	"flaxcove/internal/config"
 	"flaxcove/internal/resp"
 	"flaxcove/lab/capacity/bench"
@@ -39,7 +37,7 @@
 	usualSockets = 1024
 )
 
-// capacityChild is what the sender's process is told.
+// capacityChild configures the sender's process.
 type capacityChild struct {
 	Discovery, Dir string
 	Endpoints      []string // addresses
@@ -65,30 +63,22 @@
 	}
 	cfg.Listen, cfg.Discovery = "127.0.0.1:0", child.Discovery
 	cfg.Limits = config.Limits{MemoryMB: 1 << 20, Sockets: child.Sockets, DiskMB: 1 << 20}
-	s, err := Start(cfg, zap.NewNop())
-	if err != nil {
-		t.Fatal(err)
-	}
-	done := make(chan struct{})
-	go func() {
-		s.Run()
-		close(done)
-	}()
+	s, done := startRunning(t, cfg)
 	fmt.Println("serves at", s.Addr())
 	io.Copy(io.Discard, os.Stdin)
 	s.Drain()
 	<-done
 }
 
-// capacityServer is discovery that tells nothing, all endpoints, and the platform.
+// capacityServer is discovery that lists nothing, all endpoints, and the platform.
 type capacityServer struct{ delivered, rejected, ended atomic.Int64 }
 
-// finished is how many messages are under way no more.
+// finished is how many messages have ended.
 func (w *capacityServer) finished() int64 {
 	return w.delivered.Load() + w.rejected.Load() + w.ended.Load()
 }
 
-// countRejections counts the refusals that a client reads.
+// countRejections counts the errors that a client reads.
 func (w *capacityServer) countRejections(from io.Reader) {
 	for lines := bufio.NewScanner(from); lines.Scan(); {
 		if strings.HasPrefix(lines.Text(), "-") {
@@ -183,13 +173,13 @@
 }
 
 // BenchmarkCapacitySockets delivers messages spread evenly over so many destinations, as fast as the sender takes them
-// with 500 under way. With many destinations hardly any message finds a connection kept from the one before.
+// with 500 under way. With many destinations hardly any message finds a connection to reuse.
 func BenchmarkCapacitySockets(b *testing.B) {
 	bench.Sizes(b, "destinations", []int{610, 6_100, 61_000}, func(b *testing.B, n int) { deliver(b, n, capacitySockets) })
 }
 
 // BenchmarkCapacityNarrow is the same with the sockets that a configuration gives that says nothing: links are closed
-// to make room for the next. A slow one is ended after half a minute.
+// to open the next. A slow one is ended after half a minute.
 func BenchmarkCapacityNarrow(b *testing.B) {
 	bench.Sizes(b, "destinations", []int{610, 6_100, 61_000}, func(b *testing.B, n int) { deliver(b, n, usualSockets) })
 }
--- a/internal/sender/capacity_test.go
+++ b/internal/sender/capacity_test.go
@@ -1,7 +1,7 @@
 package sender
 
 // Benchmarks behind docs/CAPACITY.md: what one sender holds and how long its loop takes, by destinations and by messages
-// that are owed. Sockets are left out; calls end as a test says.
+// that are pending. Sockets are left out; calls end as a test says.
 
 import (
 	"fmt"
@@ -24,7 +24,7 @@
 	capacityTurn  = 1000 // messages handed in between two turns of a fill
 )
 
-// capacityList is a whole list with two endpoints a destination, in two of the zones.
+// capacityList is a full list with two endpoints a destination, in two of the zones.
 func capacityList(destinations int) directory.List {
 	l := directory.List{Version: 1, Full: true}
 	for d := range destinations {
@@ -36,7 +36,7 @@
 	return l
 }
 
-// capacityConfig has room for all that is handed in.
+// capacityConfig has capacity for all that is submitted.
 func capacityConfig(b *testing.B, destinations, open int) *config.Config {
 	settings := strings.Replace(fmt.Sprintf(twoClassSettings, 10*open+1000), `"balancers":2`, `"balancers":660`, 1)
 	c := testConfigWith(b.TempDir(), settings, `{"version":1,"full":true}`)
@@ -71,7 +71,7 @@
 	}
 }
 
-// submitMany hands in so many messages.
+// submitMany submits so many messages.
 func (r *harness) submitMany(open, destinations int) {
 	c, body := capacityClient(), []byte(strings.Repeat("x", capacityBody))
 	for i := range open {
@@ -95,7 +95,7 @@
 
 var capacityOpen = []int{1_000, 10_000, 100_000, 1_000_000}
 
-// BenchmarkCapacityOwed is a message taken on while its destination takes none, and what those that wait take in
+// BenchmarkCapacityOwed is a message accepted while its destination takes none, and what those that wait take in
 // memory (sender and module) and on disk.
 func BenchmarkCapacityOwed(b *testing.B) {
 	bench.Sizes(b, "open", capacityOpen, func(b *testing.B, n int) {
@@ -136,7 +136,7 @@
 	})
 }
 
-// BenchmarkCapacityRewrite writes the journal anew with all that is owed, on the loop.
+// BenchmarkCapacityRewrite writes the journal anew with all that is pending, on the loop.
 func BenchmarkCapacityRewrite(b *testing.B) {
 	bench.Sizes(b, "open", capacityOpen, func(b *testing.B, n int) {
 		r := filledHarness(b, n)
@@ -183,7 +183,7 @@
 	})
 }
 
-// BenchmarkCapacityListFull is a whole list told again, and what a sender holds for it.
+// BenchmarkCapacityListFull applies a full list again, and measures what a sender holds for it.
 func BenchmarkCapacityListFull(b *testing.B) {
 	bench.Sizes(b, "destinations", []int{610, 6_100, 61_000, 610_000}, func(b *testing.B, n int) {
 		cfg := capacityConfig(b, n, 1)
--- a/internal/sender/classes_test.go
+++ b/internal/sender/classes_test.go
@@ -9,7 +9,7 @@
 	"flaxcove/choice"
 )
 
-// Twenty classes of odd names are told apart, through a kill too, and one that tells no aim has calls that last long
+// Twenty classes of unusual names are told apart, through a kill too, and one that tells no aim has calls that last long
 // enough for an answer.
 func TestUnusualClasses(t *testing.T) {
 	t.Parallel()
@@ -22,15 +22,13 @@
 	settings := fmt.Sprintf(`{"quantum":5000000,"machineTypes":["one"],"zones":["z"],"classes":[%s],"extra":{"callsOut":40}}`, strings.Join(classes, ","))
 	dir := t.TempDir()
 	l := recordCalls(t, startWith(testConfigWith(dir, settings, oneEndpointList)))
-	c := &client{window: make(chan struct{}, windowSize), writingReplies: 1}
+	c := newClient()
 	for i, name := range names {
-		c.window <- struct{}{}
-		l.s.handleCommand(c, splitArgs(fmt.Sprintf("OUT.ADD 0 n%d c=%s,d=8000,dest=7 x", i, name)))
+		l.handle(c, fmt.Sprintf("OUT.ADD 0 n%d c=%s,d=8000,dest=7 x", i, name))
 	}
 	l.updateList(`{"version":2,"servers":[{"id":"g","addr":"127.0.0.1:7","zone":"z","kind":"one","cell":7,"state":"draining"}]}`)
 	for i, name := range names {
-		c.window <- struct{}{}
-		l.s.handleCommand(c, splitArgs(fmt.Sprintf("OUT.ADD 0 n%d c=%s,d=8000,dest=7 x", i, name)))
+		l.handle(c, fmt.Sprintf("OUT.ADD 0 n%d c=%s,d=8000,dest=7 x", i, name))
 	}
 	l.advanceAnswering(5*time.Millisecond, time.Hour)
 	if got := strings.Count(string(c.output), "+OK"); got != len(names) {
--- a/internal/sender/client_harness_test.go
+++ b/internal/sender/client_harness_test.go
@@ -1,10 +1,12 @@
 package sender
 
 import (
+	"bufio"
 	"context"
 	"io"
 	"net"
 	"runtime"
+	"strings"
 	"sync"
 	"syscall"
 	"testing"
@@ -16,7 +18,7 @@
 	"flaxcove/internal/resp"
 )
 
-// What a client's own socket tells of its connection, as the kernel names it.
+// States of a connection, as the kernel reports them of a client's socket.
 const (
 	stateOpen      = 1
 	stateClosed    = 7
@@ -28,9 +30,46 @@
 	pongText = "+PONG\r\n"
 )
 
-func addText(id string) string {
-	const list = "c=status,d=6000,dest=1"
-	return string(resp.AppendCommand(nil, []byte("OUT.ADD"), []byte("0"), []byte(id), []byte(list), []byte("x")))
+// outAdd is an OUT.ADD command.
+func outAdd(key, id, list, body string) []byte {
+	return resp.AppendCommand(nil, []byte("OUT.ADD"), []byte(key), []byte(id), []byte(list), []byte(body))
+}
+
+// addText is an OUT.ADD command that any sender of these tests accepts.
+func addText(id string) string { return string(outAdd("0", id, "c=status,d=6000,dest=1", "x")) }
+
+// testClient is a client's connection to a sender.
+type testClient struct {
+	net.Conn
+	answers *bufio.Reader
+}
+
+// connectClient connects a client.
+func connectClient(t *testing.T, s *Sender) *testClient {
+	t.Helper()
+	conn, err := net.Dial("tcp", s.Addr())
+	if err != nil {
+		t.Fatal(err)
+	}
+	conn.SetDeadline(time.Now().Add(60 * time.Second))
+	return &testClient{conn, bufio.NewReader(conn)}
+}
+
+// submit sends a message and returns the line that answers it.
+func (c *testClient) submit(key, id, list, body string) (answer string, err error) {
+	if _, err := c.Write(outAdd(key, id, list, body)); err != nil {
+		return "", err
+	}
+	line, err := c.answers.ReadString('\n')
+	return strings.TrimSpace(line), err
+}
+
+// mustSubmit sends a message that is to be accepted.
+func (c *testClient) mustSubmit(t *testing.T, key, id, list, body string) {
+	t.Helper()
+	if answer, err := c.submit(key, id, list, body); answer != "+OK" || err != nil {
+		t.Fatalf("%s: %q %v", id, answer, err)
+	}
 }
 
 // onSocket calls f with a connection's descriptor.
@@ -54,7 +93,7 @@
 	return state
 }
 
-// allAcknowledged tells whether all that was written has come to the other end's system.
+// allAcknowledged reports whether all that was written has come to the other end's system.
 func allAcknowledged(t *testing.T, conn net.Conn) bool {
 	t.Helper()
 	left := int32(0)
@@ -64,7 +103,7 @@
 	return left == 0
 }
 
-// waitUntil waits for what must come within a bound that no working machine reaches.
+// waitUntil waits for a condition, within a bound that no working machine reaches.
 func waitUntil(t *testing.T, what string, f func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !f(); time.Sleep(time.Millisecond) {
@@ -74,7 +113,7 @@
 	}
 }
 
-// onLoop has the loop do something.
+// onLoop calls f on the loop and waits for it.
 func onLoop(t *testing.T, s *Sender, f func()) {
 	t.Helper()
 	done := make(chan struct{})
@@ -102,7 +141,7 @@
 	return c
 }
 
-// serving is a sender without discovery, and how to connect to it.
+// serving starts a sender without discovery. dial connects a client that sends a text.
 func serving(t *testing.T, sockets int) (s *Sender, dial func(string) net.Conn, done <-chan struct{}) {
 	t.Helper()
 	cfg := testConfig(t.TempDir(), 100)
@@ -123,6 +162,15 @@
 	}, done
 }
 
+// expectToEnd reads a connection to its end, which is not to be a reset, and compares what was read.
+func expectToEnd(t *testing.T, who string, conn net.Conn, want string) {
+	t.Helper()
+	if text, err := io.ReadAll(conn); string(text) != want || err != nil {
+		t.Errorf("%s: read %q, %v, want %q", who, text, err, want)
+	}
+}
+
+// mustRead reads as many bytes as it wants, and ends the test where they are others.
 func mustRead(t *testing.T, conn net.Conn, want string) {
 	t.Helper()
 	text := make([]byte, len(want))
@@ -131,7 +179,7 @@
 	}
 }
 
-// stallPollers keeps netpoll from reading anything, so that what comes stays in the sockets, until it is let go.
+// stallPollers keeps netpoll from reading anything, so that input stays in the sockets, until letGo is called.
 func stallPollers(t *testing.T) (letGo func()) {
 	t.Helper()
 	held := make(chan struct{})
--- a/internal/sender/clock_test.go
+++ b/internal/sender/clock_test.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// A wall clock that is put back between two processes gives nobody more time than it was taken on with, nor to what a
-// third process finds that the second took on by the new clock.
+// A wall clock that is put back between two processes gives nobody more time than it was accepted with, nor to what a
+// third process finds that the second accepted by the new clock.
 func TestClockPutBack(t *testing.T) {
 	t.Parallel()
 	now, dir := clockAt(time.Minute), t.TempDir()
@@ -61,10 +61,8 @@
 	cfg := fourClassConfig(dir, 100)
 	r := startAt(cfg, time.Second)
 	recordCalls(t, r)
-	c := &client{window: make(chan struct{}, 1), disconnected: true}
-	c.window <- struct{}{}
 	r.updateList(`{"version":2,"servers":[{"id":"g","addr":"127.0.0.1:7","zone":"z","kind":"one","cell":7,"state":"draining"}]}`)
-	r.s.handleCommand(c, splitArgs("OUT.ADD 0 new c=pure,d=8000,dest=7 x"))
+	r.handle(newUnreadClient(), "OUT.ADD 0 new c=pure,d=8000,dest=7 x")
 	r.s.turn()
 	r.s.journal.Flush()
 
--- a/internal/sender/cluster_test.go
+++ b/internal/sender/cluster_test.go
@@ -23,7 +23,7 @@
 	return zone != c.closedZone
 }
 
-// recall stands in for the module's memory.
+// fakeLearnedStore stands in for the learned state of package choice.
 type fakeLearnedStore struct {
 	mustStay choice.DestinationID
 	voided   []string
@@ -34,21 +34,21 @@
 }
 func (m *fakeLearnedStore) Holds(d choice.DestinationID) (float64, bool) { return 7, d == m.mustStay }
 
-// joinCluster ties the rig to a crowd.
+// joinCluster joins the sender to a fakeCluster.
 func (r *harness) joinCluster(j Joining) *fakeCluster {
 	c := &fakeCluster{closedZone: -1}
 	r.s.Join(c, j)
 	return c
 }
 
-// runNext has the loop take the orders that were given.
+// runNext handles the next event, which takes the orders that were given.
 func (r *harness) runNext() *harness {
 	(<-r.s.inbox)()
 	return r
 }
 
-// While the gate is shut messages are taken on and answered, and none leaves; it opens when it is closed, or by itself
-// once its bound is over.
+// While the gate holds attempts back, messages are accepted and answered and none is sent. Attempts begin when the channel
+// is closed, or once the gate's time is over.
 func Example_gate() {
 	for _, opens := range []bool{true, false} {
 		gate := make(chan struct{})
@@ -74,7 +74,7 @@
 	//    id
 }
 
-// A guide that stands has nothing go to a zone that is shut, at once as it changes; none allows all.
+// A routing plan lets nothing go to a closed zone, as soon as it changes; without a plan all is allowed.
 func Example_routingPlan() {
 	r := start("", 100)
 	c := r.joinCluster(Joining{})
@@ -88,8 +88,8 @@
 	// false true
 }
 
-// A digest counts each call once however many messages it carries, and each message once, when its client has +OK: not
-// what was refused, nor the same id again. What waits stands in one row of its destination.
+// A digest counts each call once however many messages it carries, and each message once, when its client gets +OK: not
+// a rejected one, nor the same id again. Waiting messages are counted in one row of their destination.
 func Example_digest() {
 	r := start("", 4)
 	c := r.joinCluster(Joining{})
@@ -129,8 +129,9 @@
 	// counts [{2  2} {9  2}] longest 1m30s
 }
 
-// What is let go is dropped with its idle links, unless it is pinned or anything is open; a message for it has the region
-// asked once, and what the region knows is taken where nothing is known here, its wait shorter by its age.
+// Eviction drops learned state and idle links, unless the destination must stay or anything is open. A message for an
+// evicted destination asks the region once, and what the region knows is adopted where nothing is known here, its wait
+// shorter by its age.
 func Example_evict() {
 	r := start("", 100)
 	c, m := r.joinCluster(Joining{}), &fakeLearnedStore{mustStay: 2}
--- a/internal/sender/command_test.go
+++ b/internal/sender/command_test.go
@@ -10,7 +10,7 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// What is wrong with a command is said and takes nothing on; an id handed in once more is taken on already.
+// An invalid command is answered with what is wrong, and accepts nothing; a repeated id is answered +OK once more.
 func Example_commands() {
 	r := start("", 3).submit("PING", "ping hello", "FLUSHALL", "OUT.ADD 00 a", "OUT.ADD 00 a c=nil,d=1,dest=1 x",
 		"OUT.ADD 00 a c=status,d=-1,dest=1 x", "OUT.ADD 00 a c=status,d=1e99,dest=1 x", "OUT.ADD 00 a c=status,d=0x10,dest=1 x",
@@ -43,7 +43,7 @@
 	// client: -ERR dest: no such destination
 }
 
-// A planned end: no new call leaves late, what is owed stays in the journal, and what comes late is refused.
+// A graceful shutdown: no new call leaves late, what is pending stays in the journal, and what comes late is refused.
 func Example_drain() {
 	r := start("", 100)
 	r.s.startDrain(r.clock)
@@ -64,7 +64,7 @@
 	// owed: 1 to the platform: 0
 }
 
-// At a planned end, clients with nothing on its way go; one that comes after the signal may hand in one command.
+// At a graceful shutdown, clients with nothing on its way go; one that comes after the signal may submit one command.
 func Example_drainClients() {
 	r := start("", 100)
 	connect := func() *client {
--- a/internal/sender/configure_test.go
+++ b/internal/sender/configure_test.go
@@ -19,7 +19,7 @@
 
 // What holds of settings that change under a running sender.
 
-// settingsWith is the settings object of the rig with changes, each of a text that stands in it.
+// settingsWith is the settings object of the harness with changes, each of a text that stands in it.
 func settingsWith(t testing.TB, changes ...string) json.RawMessage {
 	t.Helper()
 	text := fmt.Sprintf(twoClassSettings, 100)
@@ -59,7 +59,7 @@
 	return l
 }
 
-// configure gives an order to a rig and is the answer, which comes with the end of the turn.
+// configure gives an order to change the settings, and returns the answer, which comes at the end of the turn.
 func (r *harness) configure(c together.Configuration) (answer error) {
 	answer = errors.New("no answer")
 	r.s.Orders().Configure(c, func(err error) { answer = err })
@@ -74,8 +74,8 @@
 	withNew  = `"worth":3},` + offer + `],`
 )
 
-// What cannot be is refused by one line that names it, and all stays as it was; so is an older version. One that is in
-// force is no news.
+// Invalid settings are rejected by one line that names the field, and all stays as it was; so is an older version. The one
+// that is in force is accepted and changes nothing.
 func TestConfigureRefuses(t *testing.T) {
 	r := startWith(loadedConfig(t, t.TempDir(), settingsWith(t), knownList(t)))
 	two := together.Configuration{Version: 2, Settings: settingsWith(t, `"maxOpen":100`, `"maxOpen":50`)}
@@ -109,8 +109,8 @@
 	}
 }
 
-// Limits, the time to come back, bundles and the list's names are the new ones from the next command on, and the way back
-// is the same; what was taken on stays.
+// Limits, the time to come back, bulk calls and the list's names are the new ones from the next command on, and the way back
+// is the same; what was accepted stays.
 func TestConfigureHolds(t *testing.T) {
 	list := knownList(t)
 	list.Servers[0].Zone, list.Servers[0].Kind = "new", "newer" // of settings to come
@@ -133,9 +133,8 @@
 		t.Errorf("who finds no place is told %q", busy)
 	}
 	answer := func(command string) string {
-		c := &client{window: make(chan struct{}, windowSize), writingReplies: 1}
-		c.window <- struct{}{}
-		r.s.handleCommand(c, splitArgs(command))
+		c := newClient()
+		r.handle(c, command)
 		r.s.turn()
 		return strings.TrimSpace(string(c.output))
 	}
@@ -158,8 +157,8 @@
 	}
 }
 
-// A start with the version that an earlier life kept goes on with what is owed under it, and takes no older one. The
-// file's own settings, which lack a class that is owed, are refused by the start itself.
+// A start with the version that an earlier process stored goes on with its pending messages, and accepts no older one. The
+// file's own settings, which lack the class of a pending message, are rejected by the start itself.
 func TestRestartWithStoredVersion(t *testing.T) {
 	dir := t.TempDir()
 	own := loadedConfig(t, dir, settingsWith(t), knownList(t))
--- a/internal/sender/connecting_test.go
+++ b/internal/sender/connecting_test.go
@@ -16,10 +16,9 @@
 	"flaxcove/choice"
 	"flaxcove/internal/directory"
 	"flaxcove/internal/journal"
-	"flaxcove/internal/resp"
 )
 
-// A process that ends while a call waits for its connection has sent nothing: the next one still tries a single-use
+// A process that ends while a call waits for its connection has sent nothing: the next one still tries a non-idempotent
 // message. Once the connection is up the call may have left, and the message is given up.
 func TestKilledWhileConnecting(t *testing.T) {
 	t.Parallel()
@@ -32,10 +31,9 @@
 				l.s.commit()
 			}
 		}
-		c := &client{window: make(chan struct{}, windowSize), disconnected: true}
+		c := newUnreadClient()
 		for i, class := range []string{"single", "line", "token", "pure"} {
-			c.window <- struct{}{}
-			l.s.handleCommand(c, splitArgs(fmt.Sprintf("OUT.ADD %d %s c=%s,d=8000,dest=1 x", i, class, class)))
+			l.handle(c, fmt.Sprintf("OUT.ADD %d %s c=%s,d=8000,dest=1 x", i, class, class))
 		}
 		l.advanceAnswering(5*time.Millisecond, time.Hour)
 		if l.s.counts.accepted != 4 || l.s.counts.attempts == 0 {
@@ -56,7 +54,7 @@
 	}
 }
 
-// Whatever an endpoint sees of a call, it is on record by then: on a new connection and on a kept one.
+// Whatever an endpoint sees of a call, it is on record by then: on a new connection and on a reused one.
 func TestOnRecordBeforeFirstByte(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
@@ -102,16 +100,13 @@
 	cfg := fourClassConfig(dir, 100)
 	cfg.Listen, cfg.Discovery = "127.0.0.1:0", "127.0.0.1:1"
 	cfg.Known.Servers = []directory.Entry{{ID: "a", Addr: endpoint.Addr().String(), Zone: "z", Kind: "one", Cell: 1, State: "up", Weight: 9}}
-	s, conn, done := startServing(t, cfg)
-	in := bufio.NewReader(conn)
+	s, done := startRunning(t, cfg)
+	client := connectClient(t, s)
 	const all = 12
 	for i := range all {
 		class := []string{"single", "token"}[i%2]
-		conn.Write(resp.AppendCommand(nil, []byte("OUT.ADD"), []byte("0"), fmt.Append(nil, "n", i), fmt.Appendf(nil, "c=%s,d=8000,dest=1", class), []byte("x")))
-		if line, err := in.ReadString('\n'); line != "+OK\r\n" {
-			t.Fatalf("%q %v", line, err)
-		}
-		if i%4 == 3 { // some one by one on kept connections, some at once on new ones
+		client.mustSubmit(t, "0", fmt.Sprint("n", i), fmt.Sprintf("c=%s,d=8000,dest=1", class), "x")
+		if i%4 == 3 { // some one by one on reused connections, some at once on new ones
 			for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
 				lock.Lock()
 				n := len(seen)
@@ -122,7 +117,7 @@
 			}
 		}
 	}
-	conn.Close()
+	client.Close()
 	s.Drain()
 	<-done
 	lock.Lock()
--- a/internal/sender/descriptors_test.go
+++ b/internal/sender/descriptors_test.go
@@ -18,10 +18,9 @@
 	"time"
 
 	"flaxcove/internal/directory"
-	"flaxcove/internal/resp"
 )
 
-// descriptorLimits is what a process of its own is told: where discovery is, and how many descriptors the settings and the
+// descriptorLimits configures a sender in a process of its own: where discovery is, and how many descriptors the settings and the
 // system give it.
 type descriptorLimits struct {
 	Discovery, Dir   string
@@ -62,7 +61,7 @@
 	fmt.Println("was handed", s.counts.submitted)
 }
 
-// limitedProcess is such a process.
+// limitedProcess is a sender in a process of its own.
 type limitedProcess struct {
 	*exec.Cmd
 	addr  string
@@ -123,7 +122,7 @@
 	}
 }
 
-// fakePartner is discovery, silent until it is up, and endpoint and platform in one.
+// fakePartner is discovery, which does not answer before it is up, an endpoint and the platform in one.
 type fakePartner struct {
 	*httptest.Server
 	up             atomic.Bool
@@ -142,7 +141,7 @@
 			return
 		}
 		json.NewEncoder(out).Encode(directory.List{Version: 9, Full: true, Servers: []directory.Entry{
-			{ID: "new", Addr: p.Listener.Addr().String(), Zone: "z", Kind: "one", Cell: 1, State: "up", Weight: 100},
+			readyEntry("new", p.Listener.Addr().String(), 1),
 			{ID: "leaves", Addr: "127.0.0.1:9", Zone: "z", Kind: "one", Cell: 9, State: "draining", Weight: 100}}})
 		out.(http.Flusher).Flush()
 		<-r.Context().Done()
@@ -198,8 +197,8 @@
 			answers := bufio.NewReader(conn)
 			send := func(id, list string, size int) {
 				t.Helper()
-				text := resp.AppendCommand(nil, []byte("OUT.ADD"), []byte("0"), []byte(id), []byte(list), make([]byte, size))
-				waitUntil(t, "it is taken on", func() bool { // there is room for some at a time
+				text := outAdd("0", id, list, strings.Repeat("\x00", size))
+				waitUntil(t, "it is taken on", func() bool { // there is capacity for some at a time
 					conn.Write(text)
 					line, err := answers.ReadString('\n')
 					if err != nil {
--- a/internal/sender/drain_test.go
+++ b/internal/sender/drain_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// drainFrom begins a planned end as if its signal had come before, and has the loop look at once.
+// drainFrom begins a graceful shutdown as if its signal had come a time before, and makes the loop check it at once.
 func drainFrom(t *testing.T, s *Sender, before time.Duration) {
 	t.Helper()
 	onLoop(t, s, func() {
@@ -32,8 +32,8 @@
 	})
 }
 
-// The process's end resets what it still holds, so by then our sending to each client has ended: also to one whose
-// bytes nobody has read, one whose command is not whole, and one that has just come and said nothing.
+// The process's end resets its open connections, so by then our sending to each client has ended: also to one whose input
+// was not read, one whose command is incomplete, and one that has just connected and sent nothing.
 func TestDrainHalfClosesAll(t *testing.T) {
 	s, dial, done := serving(t, 64)
 	unread, half, rests, fresh := dial(pingText), dial("*2\r\n$4\r\nPI"), dial(pingText), dial("")
@@ -79,7 +79,7 @@
 	}
 }
 
-// One who sends without end, and so is never quiet, is parted from too, and answers to a slow reader arrive whole.
+// A client that sends without end, and so is never idle, is closed too, and answers to a slow reader arrive completely.
 func TestDrainWithBusyClients(t *testing.T) {
 	s, dial, done := serving(t, 64)
 	pump, slow := dial(""), dial("")
@@ -138,9 +138,7 @@
 	})
 	s.Drain()
 	conn := dial(pingText)
-	if text, err := io.ReadAll(conn); string(text) != pongText || err != nil {
-		t.Errorf("a client that came after the signal: %q, %v", text, err)
-	}
+	expectToEnd(t, "a client that came after the signal", conn, pongText)
 	conn.Close()
 	waitEnded(t, done)
 }
@@ -157,15 +155,13 @@
 	io.WriteString(fresh, pingText)
 	io.WriteString(half, pingText[7:])
 	for name, conn := range map[string]net.Conn{"fresh": fresh, "half": half} {
-		if text, err := io.ReadAll(conn); string(text) != pongText || err != nil {
-			t.Errorf("%s: %q, %v", name, text, err)
-		}
+		expectToEnd(t, name, conn, pongText)
 		conn.Close()
 	}
 	waitEnded(t, done)
 }
 
-// One who has come and said nothing by the end is not closed without an answer to what it then says.
+// A client that has connected and sent nothing by the end is not closed before its first command is answered.
 func TestNewClientAtTheEnd(t *testing.T) {
 	s, dial, done := serving(t, 64)
 	conn := dial("")
@@ -177,14 +173,12 @@
 		}
 		io.WriteString(conn, addText("late"))
 	})
-	if text, err := io.ReadAll(conn); string(text) != busyAnswer || err != nil {
-		t.Errorf("told %q, %v", text, err)
-	}
+	expectToEnd(t, "the client", conn, busyAnswer)
 	conn.Close()
 	waitEnded(t, done)
 }
 
-// Who was turned away a moment before the process ends anyway is parted from, whichever timer fires first.
+// Our sending to a client that was rejected a moment before the hard end has ended by then, whichever timer fires first.
 func TestRejectedAtTheVeryEnd(t *testing.T) {
 	s, dial, done := serving(t, 64)
 	conn := dial("")
@@ -203,13 +197,11 @@
 	}
 }
 
-// One who comes as the process is about to end, when nobody is left, is answered.
+// A client that connects as the process is about to end, when no other is left, is answered.
 func TestLastClient(t *testing.T) {
 	s, dial, done := serving(t, 64)
 	drainFrom(t, s, drainAcceptTime)
 	waitEnded(t, done)
 	conn := dial(addText("last"))
-	if text, err := io.ReadAll(conn); string(text) != busyAnswer || err != nil {
-		t.Errorf("told %q, %v", text, err)
-	}
+	expectToEnd(t, "the client", conn, busyAnswer)
 }
--- a/internal/sender/earlier_process_test.go
+++ b/internal/sender/earlier_process_test.go
@@ -34,12 +34,12 @@
 // second is in choice.Time.
 const second = choice.Second
 
-// clockAt is the clock of a sender that a rig starts so long after its day began.
+// clockAt is the clock of a sender that a harness starts so long after its day began.
 func clockAt(d time.Duration) choice.Time {
 	return config.Down(time.Unix(1e9, 0).UnixNano() + int64(d))
 }
 
-// acceptedMessage is what a process takes on at a time, for so long.
+// acceptedMessage is what a process accepts at a time, for so long.
 func acceptedMessage(id, key, className string, dest choice.DestinationID, when, hold choice.Time) *message {
 	n := &message{key: key, className: className, acceptedAt: when, body: []byte("x")}
 	n.ID, n.Deadline, n.Destination = choice.MessageID(id), when+hold, dest
@@ -71,7 +71,7 @@
 	openCalls []*call
 }
 
-// recordCalls has an endpoint take each call and answer ok, and a platform that understands all.
+// recordCalls makes endpoints take each call, and the platform accept all.
 func recordCalls(t *testing.T, r *harness) *callRecorder {
 	t.Helper()
 	if r.s == nil {
@@ -95,7 +95,7 @@
 	return l
 }
 
-// advanceAnswering lets time go on by turns of 5 ms; each call is answered ok so long after it began.
+// advanceAnswering lets time pass in turns of 5 ms; each call is answered ok a time after it began.
 func (l *callRecorder) advanceAnswering(span, answer time.Duration) {
 	for end := l.clock + span; l.clock < end; {
 		l.clock += 5 * time.Millisecond
--- a/internal/sender/endpoints_test.go
+++ b/internal/sender/endpoints_test.go
@@ -14,10 +14,9 @@
 
 	"flaxcove/choice"
 	"flaxcove/internal/directory"
-	"flaxcove/internal/resp"
 )
 
-// endpointsAfterLists has a sender of the rig hear lists and tells what it then takes the endpoints for.
+// endpointsAfterLists applies lists and describes the endpoints that the sender then has.
 func endpointsAfterLists(t *testing.T, lists ...string) (*harness, map[choice.EndpointID]string) {
 	r := start("", 100)
 	t.Cleanup(func() { os.RemoveAll(r.dir) })
@@ -31,7 +30,7 @@
 	return r, all
 }
 
-// What lists may say that is odd. One that lacks an endpoint is obeyed; one that cannot be read changes nothing.
+// Unusual lists: one that lacks an endpoint is applied, and one that cannot be read changes nothing.
 func TestUnusualLists(t *testing.T) {
 	const (
 		a     = "127.0.0.1:1 dest 1 kind 0 ready true gone false"
@@ -72,7 +71,7 @@
 	}
 }
 
-// blockingEndpoint is an endpoint that tells what came and answers when it is let.
+// blockingEndpoint is an endpoint that reports each message and answers once let is closed.
 func blockingEndpoint(t *testing.T) (addr string, came chan string, let chan struct{}) {
 	came, let = make(chan string, 10), make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
@@ -90,13 +89,13 @@
 	return server.Listener.Addr().String(), came, let
 }
 
-// startMovable is a sender with one endpoint, e, for destination 1 at a place. tell hands it a change and returns when it is heard.
+// startMovable starts a sender with one endpoint, e, for destination 1. tell applies a change of the list.
 func startMovable(t *testing.T, addr string) (s *Sender, hand func(id string), tell func(entry directory.Entry)) {
 	discovery := httptest.NewServer(http.HandlerFunc(rejectAll))
 	t.Cleanup(discovery.CloseClientConnections)
 	cfg := testConfig(t.TempDir(), 100)
 	cfg.Listen, cfg.Discovery = "127.0.0.1:0", discovery.Listener.Addr().String()
-	cfg.Known.Servers = []directory.Entry{{ID: "e", Addr: addr, Zone: "z", Kind: "one", Cell: 1, State: "up", Weight: 100}}
+	cfg.Known.Servers = []directory.Entry{readyEntry("e", addr, 1)}
 	s, conn, done := startServing(t, cfg)
 	t.Cleanup(func() {
 		conn.Close()
@@ -104,7 +103,7 @@
 		<-done
 	})
 	return s, func(id string) {
-			conn.Write(resp.AppendCommand(nil, []byte("OUT.ADD"), []byte("0"), []byte(id), []byte("c=order,d=20000,dest=1"), []byte("x")))
+			conn.Write(outAdd("0", id, "c=order,d=20000,dest=1", "x"))
 		}, func(entry directory.Entry) {
 			heard := make(chan struct{})
 			s.post(func() {
@@ -135,7 +134,7 @@
 	s, hand, tell := startMovable(t, first)
 	hand("one")
 	mustReceive(t, atFirst, "the first place", "one")
-	tell(directory.Entry{ID: "e", Addr: second, Zone: "z", Kind: "one", Cell: 1, State: "up", Weight: 100})
+	tell(readyEntry("e", second, 1))
 	close(letFirst)
 	for over, end := false, time.Now().Add(20*time.Second); !over; {
 		if time.Now().After(end) {
@@ -194,7 +193,7 @@
 				mustReceive(t, atSecond, "the second place", "one")
 			} else {
 				// Nobody serves its destination any more; the next to come to the second place is for the new one.
-				tell(directory.Entry{ID: "f", Addr: second, Zone: "z", Kind: "one", Cell: 1, State: "up", Weight: 100})
+				tell(readyEntry("f", second, 1))
 				mustReceive(t, atSecond, "the second place", "one")
 			}
 			select {
@@ -211,9 +210,8 @@
 func TestDrainedBeforeSending(t *testing.T) {
 	r := start("", 100)
 	defer os.RemoveAll(r.dir)
-	c := &client{window: make(chan struct{}, windowSize), writingReplies: 1}
-	c.window <- struct{}{}
-	r.s.handleCommand(c, splitArgs("OUT.ADD k one c=order,d=20000,dest=1 x"))
+	c := newClient()
+	r.handle(c, "OUT.ADD k one c=order,d=20000,dest=1 x")
 	if len(r.s.starting) != 0 {
 		t.Errorf("%d calls laid up before the turn", len(r.s.starting))
 	}
--- a/internal/sender/gossip_test.go
+++ b/internal/sender/gossip_test.go
@@ -15,7 +15,6 @@
 
 	"flaxcove/choice"
 	"flaxcove/internal/directory"
-	"flaxcove/internal/resp"
 )
 
 // udp is a socket of the test's own.
@@ -29,7 +28,7 @@
 	return conn
 }
 
-// rejectAll turns every message away for a while, and has no news.
+// rejectAll rejects every message with a Retry-After, and its list never changes.
 func rejectAll(out http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/inbox" {
 		io.Copy(io.Discard, r.Body)
@@ -44,8 +43,8 @@
 	<-r.Context().Done()
 }
 
-// What one sender is told to wait, the other heeds, though it sent nothing there; what comes from a stranger, or is spoilt
-// or no note of the module's, changes nothing. Where notes are off, nothing is bound and nothing told.
+// A Retry-After that one sender gets holds back the other one too, though it sent nothing there. Packets of strangers, and
+// those that are broken or no gossip of package choice, change nothing. Where gossip is off no socket is bound.
 func TestGossip(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(rejectAll))
 	defer server.CloseClientConnections()
@@ -60,7 +59,7 @@
 		cfg.Listen, cfg.Discovery = "127.0.0.1:0", server.Listener.Addr().String()
 		cfg.PeerListen, cfg.Peers = at[number], append(at[:], "127.0.0.1:7", "127.0.0.1:7", "127.0.0.1:7")
 		cfg.Settings.Senders, cfg.Settings.Number, cfg.Settings.Notes = 20, choice.PeerNo(number), on
-		cfg.Known.Servers = []directory.Entry{{ID: "full", Addr: server.Listener.Addr().String(), Zone: "z", Kind: "one", Cell: 1, State: "up", Weight: 100}}
+		cfg.Known.Servers = []directory.Entry{readyEntry("full", server.Listener.Addr().String(), 1)}
 		return startServing(t, cfg)
 	}
 	teller, client, ended := begin(0, true)
@@ -81,7 +80,7 @@
 		}
 		return false
 	}
-	client.Write(resp.AppendCommand(nil, []byte("OUT.ADD"), []byte("0"), []byte("id"), []byte("c=status,d=1500,dest=1"), nil))
+	client.Write(outAdd("0", "id", "c=status,d=1500,dest=1", ""))
 	if !look(hearer, func() bool { return hearer.module.Learnt("full").Wait > 0 }) {
 		t.Error("a wait told to one sender does not reach the other")
 	}
@@ -132,7 +131,7 @@
 	}
 }
 
-// A socket that cannot be had keeps nobody from serving: the sender goes without notes, and its module knows.
+// A socket that cannot be bound keeps no sender from serving: it runs without gossip, and package choice knows.
 func TestGossipUnavailable(t *testing.T) {
 	cfg := testConfig(t.TempDir(), 100)
 	cfg.Settings.Notes, cfg.Peers, cfg.PeerListen = true, []string{"127.0.0.1:1"}, fmt.Sprint(udp(t).LocalAddr())
--- a/internal/sender/harness_test.go
+++ b/internal/sender/harness_test.go
@@ -24,16 +24,17 @@
 	lastByteUnsent = "its last byte was not written"
 )
 
-// harness is a sender without sockets: a clock that stands, calls that go nowhere and a platform that a test speaks for.
+// harness is a sender without sockets: its clock moves as a test says, its calls go nowhere, and its platform accepts all
+// while platformUp is set.
 type harness struct {
 	s          *Sender
 	dir        string
 	clock      time.Duration
 	calls      []*call
-	platformUp bool // the platform answers
+	platformUp bool
 }
 
-// twoClassSettings is a settings object: status is idempotent, order single-use; kind one takes bundles.
+// twoClassSettings is a settings object: class status is idempotent, order is not; kind many takes bulk calls.
 const twoClassSettings = `{"balancers":2,"quantum":5000000,"machineTypes":["one","many"],"zones":["z"],
 "bounds":{"maxAttempts":9,"maxOpen":%d,"connIdle":10000000000,"dialTimeout":1000000000,"probing":true,"retryAfter":true,"maxRetryAfter":2000000000},
 "classes":[{"name":"status","idempotency":"pure","aim":800000000,"deadline":6000000000,"worth":1},
@@ -48,7 +49,7 @@
 	return testConfigWith(dir, fmt.Sprintf(twoClassSettings, maxOpen), twoEndpointList)
 }
 
-// testConfigWith takes a settings object and a list.
+// testConfigWith is a configuration of a settings object and an endpoint list.
 func testConfigWith(dir, settings, list string) *config.Config {
 	var b config.Boot
 	c := &config.Config{Name: "s", State: dir, Limits: config.Limits{MemoryMB: 192, Sockets: 256, DiskMB: 0.25},
@@ -75,7 +76,12 @@
 	return c
 }
 
-// start opens a sender on a folder; "" makes one. Starting again on the same folder is what a kill leaves.
+// readyEntry is an endpoint of a list that takes calls.
+func readyEntry(id, addr string, destination int) directory.Entry {
+	return directory.Entry{ID: id, Addr: addr, Zone: "z", Kind: "one", Cell: float64(destination), State: "up", Weight: 100}
+}
+
+// start opens a sender on a folder; "" makes one. Another start on the same folder is a start after a kill.
 func start(dir string, maxOpen int) *harness {
 	if dir == "" {
 		dir, _ = os.MkdirTemp("", "sender")
@@ -85,7 +91,7 @@
 
 func startWith(cfg *config.Config) *harness { return startAt(cfg, time.Minute) }
 
-// startAt is a start at another time.
+// startAt is a start with the clock at another time.
 func startAt(cfg *config.Config, at time.Duration) *harness {
 	dir := cfg.State
 	r := &harness{dir: dir, clock: at, platformUp: true}
@@ -94,7 +100,7 @@
 		fmt.Println(strings.ReplaceAll(err.Error(), dir, "DIR"))
 		return r
 	}
-	s.dial = func(c *call) { // its connection is up at once, and it leaves
+	s.dial = func(c *call) { // its connection is up at once, and it is sent
 		s.recordAttempt(c)
 		s.commit()
 		r.calls = append(r.calls, c)
@@ -110,12 +116,27 @@
 	return r
 }
 
-// submit gives commands in, each in words, and prints what is answered by the end of the turn.
+// newClient is a client whose answers stay in output.
+func newClient() *client {
+	return &client{window: make(chan struct{}, windowSize), writingReplies: 1}
+}
+
+// newUnreadClient is a client that is gone: its answers are dropped.
+func newUnreadClient() *client {
+	return &client{window: make(chan struct{}, windowSize), disconnected: true}
+}
+
+// handle has the loop handle a command, whose arguments are separated by spaces.
+func (r *harness) handle(c *client, command string) {
+	c.window <- struct{}{}
+	r.s.handleCommand(c, splitArgs(command))
+}
+
+// submit handles commands and prints what is answered by the end of the turn.
 func (r *harness) submit(commands ...string) *harness {
-	c := &client{window: make(chan struct{}, windowSize), writingReplies: 1} // so that answers stay in out
+	c := newClient()
 	for _, text := range commands {
-		c.window <- struct{}{}
-		r.s.handleCommand(c, splitArgs(text))
+		r.handle(c, text)
 	}
 	r.advance(5 * time.Millisecond)
 	for _, line := range strings.Split(strings.TrimSpace(string(c.output)), "\r\n") {
@@ -131,14 +152,14 @@
 	return args
 }
 
-// client is one that has just come by a connection.
-// connectionUp has a connection that a call waits for come up, and the turn end.
+// connectionUp lets a connection come up that a call waits for, and ends the turn.
 func (r *harness) connectionUp(c *call, conn netpoll.Connection) {
 	r.s.onDialed(c, conn, nil)
 	r.s.commit()
 	r.s.sendConnected()
 }
 
+// client is a client that has just connected.
 func (r *harness) client(conn netpoll.Connection) *client {
 	c := &client{conn: conn, connectedAt: r.clock, window: make(chan struct{}, windowSize)}
 	r.s.clients.all[c] = struct{}{}
@@ -146,7 +167,7 @@
 	return c
 }
 
-// advance lets time go on, ends a turn, and prints which calls left.
+// advance lets time pass in turns, and prints the calls that are in flight then.
 func (r *harness) advance(after time.Duration) *harness {
 	for end := r.clock + after; r.clock < end; {
 		r.clock = max(r.clock+5*time.Millisecond, min(end, r.s.timers.next()))
@@ -167,7 +188,7 @@
 	return r
 }
 
-// endpointAnswers ends the last call that is out with what an endpoint might say.
+// endpointAnswers ends the last call in flight with an answer, which may be cut off, or with lastByteUnsent.
 func (r *harness) endpointAnswers(text string) *harness {
 	c := r.calls[len(r.calls)-1]
 	r.calls = r.calls[:len(r.calls)-1]
@@ -185,6 +206,7 @@
 	return r
 }
 
+// updateList applies a list as from discovery.
 func (r *harness) updateList(text string) *harness {
 	var l directory.List
 	json.Unmarshal([]byte(text), &l)
@@ -192,6 +214,7 @@
 	return r
 }
 
+// printPending prints how many messages are pending, and how many endings are to be reported.
 func (r *harness) printPending() *harness {
 	fmt.Println("owed:", len(r.s.pending), "to the platform:", len(r.s.endings))
 	return r
--- a/internal/sender/keys_test.go
+++ b/internal/sender/keys_test.go
@@ -18,8 +18,8 @@
 	return startWith(testConfigWith(dir, text, twoEndpointList))
 }
 
-// An idempotency key goes to endpoints as it came, alone and in a bundle, also after a restart: without it they know no
-// repeat, and refuse the message as one that nobody handed in. A tenant's messages count to its own share, and those of
+// An idempotency key goes to endpoints as it came, alone and in a bulk call, also after a restart: without it they know no
+// repeat, and refuse the message as one that nobody submitted. A tenant's messages count to its own share, and those of
 // one that the settings do not name to none: all used to count to the first one's.
 func TestKeysAndTenants(t *testing.T) {
 	dir := t.TempDir()
@@ -60,7 +60,7 @@
 	}
 }
 
-// Whose time is over first does not stand first in a bundle: an endpoint may measure the whole call by its first message.
+// The message with the latest deadline is first in a bulk call: an endpoint may measure the whole call by its first one.
 func TestFirstOfABundleLastsLongest(t *testing.T) {
 	r := start("", 100)
 	defer os.RemoveAll(r.dir)
@@ -73,7 +73,7 @@
 	r.advance(5 * time.Millisecond)
 }
 
-// A message that parted while its call's write waited, as in a process that stood still, has been told its end: the
+// A message that parted while its call's write waited, as in a process that was stopped, has been told its end: the
 // call leaves without it.
 func TestCancelledStaysBehind(t *testing.T) {
 	r := start("", 100)
--- a/internal/sender/learned_state_test.go
+++ b/internal/sender/learned_state_test.go
@@ -11,8 +11,8 @@
 	"flaxcove/choice"
 )
 
-// A file of what was learnt that is broken, or tells what cannot be, keeps no start from happening, and no call from
-// having its time: its endpoints start afresh.
+// A file of learned state that is broken, or not plausible, keeps no start from happening and no call from having its time:
+// its endpoints start afresh.
 func TestBrokenLearnedState(t *testing.T) {
 	t.Parallel()
 	const one = `{"at":%d,"endpoints":[{"endpoint":"a","destination":1,"addr":"127.0.0.1:1","Mean":900,"Dev":300,"Past":900,"Seen":9,"Limit":7,"Wait":0}]}`
@@ -48,9 +48,8 @@
 		if k := l.s.module.Learnt("a"); (k.Seen == 9 && k.Mean == 900) != c.taken {
 			t.Errorf("%s: %+v", name, k)
 		}
-		client := &client{window: make(chan struct{}, 1), disconnected: true}
-		client.window <- struct{}{}
-		l.s.handleCommand(client, splitArgs("OUT.ADD 0 n c=pure,d=8000,dest=1 x"))
+		client := newUnreadClient()
+		l.handle(client, "OUT.ADD 0 n c=pure,d=8000,dest=1 x")
 		l.advanceAnswering(5*time.Millisecond, time.Hour)
 		if len(l.openCalls) != 1 {
 			t.Errorf("%s: %d calls", name, len(l.openCalls))
--- a/internal/sender/lingering_close_test.go
+++ b/internal/sender/lingering_close_test.go
@@ -11,7 +11,7 @@
 )
 
 // Each way in which a sender ends a client's connection is in order: what crosses the end does not reset the
-// connection, which could take an answer with it, and is not taken on.
+// connection, which could take an answer with it, and is not accepted.
 func TestEndsInOrder(t *testing.T) {
 	const sockets = 64
 	const served, unserved = pingText, ""
@@ -59,9 +59,7 @@
 			if got := state(t, conn); got != stateCloseWait {
 				t.Errorf("the connection is in state %d, and so was reset", got)
 			}
-			if text, err := io.ReadAll(conn); string(text) != way.answer || err != nil {
-				t.Errorf("told %q, %v, want %q", text, err, way.answer)
-			}
+			expectToEnd(t, way.name, conn, way.answer)
 			conn.Close()
 			waitUntil(t, "its place is free", func() bool {
 				s.clients.Lock()
@@ -105,7 +103,7 @@
 	return c.Connection.Close()
 }
 
-// A command that the reader has in hand between the last look at the socket and the shutdown is not taken on: the end
+// A command that the reader has in hand between the last look at the socket and the shutdown is not accepted: the end
 // is decided by then, and its answer could not be written.
 func TestCommandBetweenLookAndShutdown(t *testing.T) {
 	s, dial, done := serving(t, 64)
@@ -119,9 +117,7 @@
 		}}
 		s.closeClient(c, idleTimeout)
 	})
-	if text, err := io.ReadAll(conn); string(text) != pongText || err != nil {
-		t.Errorf("told %q, %v", text, err)
-	}
+	expectToEnd(t, "the client", conn, pongText)
 	conn.Close()
 	s.Drain()
 	<-done
@@ -151,9 +147,7 @@
 		return over
 	})
 	letGo()
-	if text, err := io.ReadAll(conn); string(text) != pongText || err != nil {
-		t.Errorf("told %q, %v", text, err)
-	}
+	expectToEnd(t, "the client", conn, pongText)
 	conn.Close()
 	s.Drain()
 	<-done
--- a/internal/sender/long_day_test.go
+++ b/internal/sender/long_day_test.go
@@ -11,8 +11,8 @@
 	"flaxcove/choice"
 )
 
-// Over a long day nothing grows: all tables, the journal's file and the heap stay where an hour left them, whatever
-// became of the messages, and after a kill late in the day only what is owed comes back.
+// Over a long run nothing grows: all tables, the journal's file and the heap stay where an hour left them, whatever
+// became of the messages, and after a kill late in the day only what is pending comes back.
 func TestLongDay(t *testing.T) {
 	quiet := os.Stdout // the rig prints for examples
 	null, err := os.OpenFile(os.DevNull, os.O_WRONLY, 0)
--- a/internal/sender/many_clients_test.go
+++ b/internal/sender/many_clients_test.go
@@ -14,8 +14,8 @@
 
 const busyAnswer = "-BUSY 2000\r\n"
 
-// At full places that nobody can leave, one who comes is answered that there is no room. One that says nothing is told
-// nothing, and has its end.
+// Where all places are taken and none can be given up, a new client is answered -BUSY. One that sends nothing gets no
+// answer, and is closed.
 func TestRejectedIsAnswered(t *testing.T) {
 	s, dial, done := serving(t, 64)
 	s.clients.Lock()
@@ -29,12 +29,8 @@
 		})
 	}
 	asks, says := dial(addText("new")), dial("")
-	if text, err := io.ReadAll(asks); string(text) != busyAnswer || err != nil {
-		t.Errorf("a new client was told %q, %v", text, err)
-	}
-	if text, err := io.ReadAll(says); len(text) > 0 || err != nil {
-		t.Errorf("a silent client was told %q, %v", text, err)
-	}
+	expectToEnd(t, "a new client", asks, busyAnswer)
+	expectToEnd(t, "a silent client", says, "")
 	s.Drain()
 	<-done
 	if s.counts.submitted != 0 {
@@ -42,7 +38,7 @@
 	}
 }
 
-// One that has said nothing yet may lose its place to another; what it then says is answered.
+// A client that has sent nothing yet may lose its place to another one; its first command is then answered.
 func TestDisplacedIsAnswered(t *testing.T) {
 	s, dial, done := serving(t, 64)
 	first := dial("")
@@ -55,14 +51,12 @@
 		t.Errorf("the one silent longest is in state %d, closed with no answer", got)
 	}
 	io.WriteString(first, addText("new"))
-	if text, err := io.ReadAll(first); string(text) != busyAnswer || err != nil {
-		t.Errorf("told %q, %v", text, err)
-	}
+	expectToEnd(t, "the displaced client", first, busyAnswer)
 	s.Drain()
 	<-done
 }
 
-// Who has sent its first bytes keeps its place, also while nobody has read them; where all have, the new one goes.
+// A client that has sent its first bytes keeps its place, also before they are read; where all have, the new one is rejected.
 func TestFirstBytesKeepThePlace(t *testing.T) {
 	stallPollers(t) // what comes stays in the sockets
 	r := start("", 100)
--- a/internal/sender/move_test.go
+++ b/internal/sender/move_test.go
@@ -1,9 +1,7 @@
 package sender
 
 import (
-	"bufio"
 	"fmt"
-	"net/http/httptest"
 	"os"
 	"path/filepath"
 	"strings"
@@ -13,7 +11,6 @@
 	"flaxcove/choice"
 	"flaxcove/internal/config"
 	"flaxcove/internal/directory"
-	"flaxcove/internal/resp"
 )
 
 // before and after are the settings of a deployment that is left and of one that is moved to: the classes stand in
@@ -36,7 +33,7 @@
 {"name":"offer","idempotency":"token","group":"zone","repeatWindow":10000000000,"aim":3000000000,"deadline":20000000000,"worth":2}]`).Replace(oldSettings)
 
 // An old folder under new settings: a keyed message that may have run in zone z goes again to zone z, whatever its
-// number is now; where z is not known any more it goes nowhere; a single-use one that was out is given up. What an
+// number is now; where z is not known any more it goes nowhere; a non-idempotent one that was out is given up. What an
 // ordered key still owes goes on in the order taken. A switch back finds the same.
 func Example_moveOfFolder() {
 	dir, _ := os.MkdirTemp("", "sender")
@@ -99,7 +96,7 @@
 	// may have run: true in z which is 1
 }
 
-// What an earlier life learnt is for the first entry of an endpoint: one that comes back to the list later is new.
+// What an earlier process learned is for the first entry of an endpoint: one that comes back to the list later is new.
 func Example_learnedStateUsedOnce() {
 	dir, _ := os.MkdirTemp("", "sender")
 	r := startWith(testConfigWith(dir, oldSettings, oldList)).submit("OUT.ADD k of c=offer,d=20000,dest=1 x")
@@ -130,7 +127,7 @@
 	// owed: 1 to the platform: 0
 }
 
-// What a planned end wrote is read for the endpoint that is the same machine of the same destination, and for no other;
+// What a graceful shutdown wrote is read for the endpoint that is the same machine of the same destination, and for no other;
 // a file that cannot be read, or makes no sense, is passed over.
 func Example_learnedState() {
 	dir, _ := os.MkdirTemp("", "sender")
@@ -161,14 +158,11 @@
 }
 
 // TestMove plays the move over loopback sockets against stand-ins: in the first seconds after the switch a wait told to the
-// old process is still heeded, what it learnt of an endpoint that stays is known, what is new starts afresh, and a
-// switch back finds what was owed.
+// old process is still heeded, what it learned of an endpoint that stays is known, what is new starts afresh, and a
+// switch back finds what was pending.
 func TestMove(t *testing.T) {
 	t.Parallel()
-	w := &fakeServer{received: map[string][]string{}}
-	server := httptest.NewServer(w)
-	defer server.Close()
-	addr := server.Listener.Addr().String()
+	w, addr := startFakeServer(t)
 	dir := t.TempDir()
 	entry := func(id, zone string, cell float64) directory.Entry {
 		return directory.Entry{ID: id, Addr: addr, Zone: zone, Kind: "one", Cell: cell, State: "up", Weight: 9}
@@ -176,23 +170,21 @@
 	run := func(settings string, entries ...directory.Entry) (s *Sender, hand func(id, dest, body string), end func()) {
 		cfg := testConfigWith(dir, settings, `{"version":1,"full":true}`)
 		cfg.Listen, cfg.Discovery, cfg.Known.Servers = "127.0.0.1:0", addr, entries
-		s, conn, done := startServing(t, cfg)
-		in := bufio.NewReader(conn)
-		return s, func(id, dest, body string) {
-				conn.Write(resp.AppendCommand(nil, []byte("OUT.ADD"), []byte("k"), []byte(id), []byte("c=offer,d=20000,dest="+dest), []byte(body)))
-				if line, err := in.ReadString('\n'); line != "+OK\r\n" {
-					t.Fatalf("%s: %q %v", id, line, err)
-				}
-			}, func() {
-				conn.Close()
-				s.Drain()
-				<-done
-			}
+		s, done := startRunning(t, cfg)
+		client := connectClient(t, s)
+		hand = func(id, dest, body string) {
+			t.Helper()
+			client.mustSubmit(t, "k", id, "c=offer,d=20000,dest="+dest, body)
+		}
+		return s, hand, func() {
+			client.Close()
+			s.Drain()
+			<-done
+		}
 	}
-	seen := func(s *Sender, id choice.EndpointID) float64 {
-		got := make(chan float64)
-		s.post(func() { got <- s.module.Learnt(id).Seen })
-		return <-got
+	seen := func(s *Sender, id choice.EndpointID) (calls float64) {
+		onLoop(t, s, func() { calls = s.module.Learnt(id).Seen })
+		return calls
 	}
 	meets := func(id string, times int) bool {
 		for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
@@ -232,11 +224,11 @@
 	if old := seen(s, "stays"); old != 1 {
 		t.Errorf("after the switch back %v calls are known of the endpoint that stays", old)
 	}
-	owed := make(chan bool)
-	s.post(func() { owed <- s.pending["waits"] != nil })
-	if !<-owed {
-		t.Error("after the switch back what waits is not owed")
-	}
+	onLoop(t, s, func() {
+		if s.pending["waits"] == nil {
+			t.Error("after the switch back what waits is not pending")
+		}
+	})
 	end()
 }
 
--- a/internal/sender/no_delay_test.go
+++ b/internal/sender/no_delay_test.go
@@ -11,7 +11,6 @@
 	"github.com/cloudwego/netpoll"
 
 	"flaxcove/internal/directory"
-	"flaxcove/internal/resp"
 )
 
 // inetPort is the port of an IPv4 socket's address, 0 for any other.
@@ -32,11 +31,11 @@
 	defer p.CloseClientConnections()
 	cfg := testConfig(t.TempDir(), 100)
 	cfg.Listen, cfg.Discovery = "127.0.0.1:0", p.Listener.Addr().String()
-	cfg.Known.Servers = []directory.Entry{{ID: "new", Addr: cfg.Discovery, Zone: "z", Kind: "one", Cell: 1, State: "up", Weight: 100},
+	cfg.Known.Servers = []directory.Entry{readyEntry("new", cfg.Discovery, 1),
 		{ID: "leaves", Addr: "127.0.0.1:9", Zone: "z", Kind: "one", Cell: 9, State: "draining", Weight: 100}}
 	s, conn, done := startServing(t, cfg)
 	for id, list := range map[string]string{"sent": "c=status,d=6000,dest=1", "ends": "c=status,d=1200,dest=9"} {
-		conn.Write(resp.AppendCommand(nil, []byte("OUT.ADD"), []byte("0"), []byte(id), []byte(list), nil))
+		conn.Write(outAdd("0", id, list, ""))
 		mustRead(t, conn, "+OK\r\n")
 	}
 	waitUntil(t, "one is delivered, and the other's end told", func() bool { return p.inbox.Load() > 0 && p.outcome.Load() > 0 })
--- a/internal/sender/outcomes_test.go
+++ b/internal/sender/outcomes_test.go
@@ -63,12 +63,12 @@
 	//    s2
 }
 
-// How a call of a single-use message ended decides whether it may be sent again.
+// How the call of a non-idempotent message ended decides whether it may be sent again.
 func Example_outcomes() {
 	for _, text := range []string{answerOK, answerError, answerFull, "HTTP/1.1 503 Full\nContent-Length: 0\n\n", "HTTP/1.1 503 Full\nX-No-Slot: 1\nContent-Length: 0\n\n",
 		"HTTP/1.1 410 Gone\nContent-Length: 0\n\n", "HTTP/1.1 504 Out\nContent-Length: 0\n\n", "HTTP/1.1 200 OK\nContent-", "HTTP/1.1 429 Wait\nCont", "HTTP/1.", "", lastByteUnsent, "nonsense\n"} {
 		r := start("", 100)
-		c := &client{window: make(chan struct{}, 1), disconnected: true}
+		c := newUnreadClient()
 		c.window <- struct{}{}
 		r.s.handleCommand(c, [][]byte{[]byte("OUT.ADD"), []byte("0"), []byte("id"), []byte("c=order,d=20000,dest=1"), nil})
 		r.s.turn()
@@ -108,13 +108,13 @@
 	// 3 true
 }
 
-// FuzzEndpoint: whatever an endpoint says to a bundle, each message has one outcome and none is lost.
+// FuzzEndpoint: whatever an endpoint says to a bulk call, each message has one outcome and none is lost.
 func FuzzEndpoint(f *testing.F) {
 	f.Add(answerOK)
 	f.Add("HTTP/1.1 200 OK\nRetry-After: 1e9\nX-Load: x0=NaN,x1=-1,=,\nContent-Length: 29\n\n" + `[{"id":"s1","state":"later"}]`)
 	f.Fuzz(func(t *testing.T, text string) {
 		r := start(t.TempDir(), 100)
-		c := &client{window: make(chan struct{}, windowSize), disconnected: true}
+		c := newUnreadClient()
 		for _, id := range []string{"s1", "s2"} {
 			c.window <- struct{}{}
 			r.s.handleCommand(c, [][]byte{[]byte("OUT.ADD"), []byte("0"), []byte(id), []byte("c=status,d=6000,dest=2"), nil})
--- a/internal/sender/purge_sockets_test.go
+++ b/internal/sender/purge_sockets_test.go
@@ -1,10 +1,8 @@
 package sender
 
 import (
-	"bufio"
 	"fmt"
 	"maps"
-	"net"
 	"net/http"
 	"net/http/httptest"
 	"strings"
@@ -15,8 +13,6 @@
 	"go.uber.org/zap"
 
 	"flaxcove/choice"
-	"flaxcove/internal/directory"
-	"flaxcove/internal/resp"
 	"flaxcove/internal/sender/together"
 )
 
@@ -43,111 +39,129 @@
 func (l *recordingCluster) Guide() together.Guide       { return nil }
 func (l *recordingCluster) Woke(_ choice.DestinationID) {}
 
-// Over real sockets: what is withdrawn while its call is out is delivered or given up as the call ends and never met
-// again; what waits ends at once; what comes after is delivered. Orders come from several goroutines meanwhile.
-func TestPurgeOnSockets(t *testing.T) {
-	t.Parallel()
-	w := &fakeServer{received: map[string][]string{}}
-	release := make(chan struct{})
-	server := httptest.NewServer(http.HandlerFunc(func(out http.ResponseWriter, r *http.Request) {
-		if r.Header.Get("X-Request-Id") == "slow" {
-			w.record("slow", "")
-			<-release
-			panic(http.ErrAbortHandler) // ends the link without an answer: what may be repeated would go again
+// purgeRun is a sender on sockets whose messages are purged, with the fakeServer that receives them.
+type purgeRun struct {
+	*testing.T
+	w       *fakeServer
+	s       *Sender
+	client  *testClient
+	cluster *recordingCluster
+	gate    chan struct{}
+	release chan struct{} // closed to end the call of the message "slow" without an answer
+	done    <-chan struct{}
+}
+
+func startPurgeRun(t *testing.T) *purgeRun {
+	t.Helper()
+	r := &purgeRun{T: t, w: &fakeServer{received: map[string][]string{}}, gate: make(chan struct{}), release: make(chan struct{}),
+		cluster: &recordingCluster{messages: map[string]uint64{}}}
+	server := httptest.NewServer(http.HandlerFunc(func(out http.ResponseWriter, req *http.Request) {
+		if req.Header.Get("X-Request-Id") == "slow" {
+			r.w.record("slow", "")
+			<-r.release
+			panic(http.ErrAbortHandler) // ends the link without an answer: what may be repeated would be sent again
 		}
-		w.ServeHTTP(out, r)
+		r.w.ServeHTTP(out, req)
 	}))
-	defer server.Close()
+	t.Cleanup(server.Close)
 	addr := server.Listener.Addr().String()
 	cfg := testConfigWith(t.TempDir(), fmt.Sprintf(twoClassSettings, 100), `{"version":1,"full":true}`)
 	cfg.Listen, cfg.Discovery = "127.0.0.1:0", addr
 	for i := range 4 {
-		cfg.Known.Servers = append(cfg.Known.Servers, directory.Entry{ID: fmt.Sprint("e", i), Addr: addr,
-			Zone: "z", Kind: "one", Cell: float64(i), State: "up", Weight: 100})
+		cfg.Known.Servers = append(cfg.Known.Servers, readyEntry(fmt.Sprint("e", i), addr, i))
 	}
 	s, err := Start(cfg, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	heard := &recordingCluster{messages: map[string]uint64{}}
-	gate := make(chan struct{})
-	s.Join(heard, Joining{Gate: gate, For: 20 * time.Second})
-	over := make(chan struct{})
-	go func() {
-		s.Run()
-		close(over)
-	}()
-	conn, err := net.Dial("tcp", s.Addr())
-	if err != nil {
-		t.Fatal(err)
-	}
-	in := bufio.NewReader(conn)
-	hand := func(id, class string, dest int, body string) {
-		list := fmt.Appendf(nil, "c=%s,d=20000,dest=%d", class, dest)
-		conn.Write(resp.AppendCommand(nil, []byte("OUT.ADD"), []byte("key"), []byte(id), list, []byte(body)))
-		if line, err := in.ReadString('\n'); line != "+OK\r\n" {
-			t.Fatalf("%s: %q %v", id, line, err)
-		}
-	}
-	is := func(what string, f func() bool) {
-		t.Helper()
-		for end := time.Now().Add(15 * time.Second); !f(); time.Sleep(5 * time.Millisecond) {
-			if time.Now().After(end) {
-				w.Lock()
-				met := maps.Clone(w.received)
-				w.Unlock()
-				t.Fatalf("%s; met so far: %q", what, met)
-			}
+	r.s = s
+	s.Join(r.cluster, Joining{Gate: r.gate, For: 20 * time.Second})
+	r.done = run(s)
+	r.client = connectClient(t, s)
+	return r
+}
+
+func (r *purgeRun) submit(id, class string, dest int, body string) {
+	r.Helper()
+	r.client.mustSubmit(r.T, "key", id, fmt.Sprintf("c=%s,d=20000,dest=%d", class, dest), body)
+}
+
+// await waits for a condition; what says that it does not hold.
+func (r *purgeRun) await(what string, holds func() bool) {
+	r.Helper()
+	for end := time.Now().Add(15 * time.Second); !holds(); time.Sleep(5 * time.Millisecond) {
+		if time.Now().After(end) {
+			r.w.Lock()
+			received := maps.Clone(r.w.received)
+			r.w.Unlock()
+			r.Fatalf("%s; met so far: %q", what, received)
 		}
 	}
-	purge := func(seq uint64) together.Found {
-		answer := make(chan together.Found, 1)
-		all := []together.Purge{{Seq: seq, Match: together.Match{Key: "key"}}}
-		s.Orders().Purge(all, func(_ uint64, f []together.Found) { answer <- f[0] })
-		return <-answer
-	}
-	const done = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
-	hand("first", "status", 0, done)
-	if n := w.count("first"); n != 0 {
-		t.Errorf("met %d times behind the gate", n)
-	}
-	close(gate)
-	is("not delivered", func() bool { return w.count("first") == 1 })
-	hand("slow", "status", 1, "")
-	hand("open", "status", 2, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n")
-	hand("waits", "order", 3, "HTTP/1.1 429 Wait\r\nRetry-After: 9\r\nContent-Length: 0\r\n\r\n")
-	is("not out", func() bool { return w.count("slow") == 1 && w.count("open") == 1 && w.count("waits") == 1 })
-	refused := func() (n int64) {
-		got := make(chan int64)
-		s.post(func() { got <- s.counts.outcomes[choice.Full] })
-		return <-got
-	}
-	is("not refused", func() bool { return refused() == 1 })
+}
+
+func (r *purgeRun) purge(seq uint64) together.Found {
+	answer := make(chan together.Found, 1)
+	all := []together.Purge{{Seq: seq, Match: together.Match{Key: "key"}}}
+	r.s.Orders().Purge(all, func(_ uint64, f []together.Found) { answer <- f[0] })
+	return <-answer
+}
+
+// rejections is how many calls endpoints have rejected.
+func (r *purgeRun) rejections() (n int64) {
+	onLoop(r.T, r.s, func() { n = r.s.counts.outcomes[choice.Full] })
+	return n
+}
+
+// giveOrders gives orders from several goroutines and waits for all answers.
+func (r *purgeRun) giveOrders() (wait func()) {
 	var others sync.WaitGroup
 	for range 4 {
 		others.Go(func() {
 			for range 20 {
 				answer := make(chan int, 2)
-				s.Orders().Holding(func(all []together.Held) { answer <- len(all) })
-				s.Orders().Know(nil, func(all []together.Lesson) { answer <- len(all) })
+				r.s.Orders().Holding(func(all []together.Held) { answer <- len(all) })
+				r.s.Orders().Know(nil, func(all []together.Lesson) { answer <- len(all) })
 				<-answer
 				<-answer
 			}
 		})
 	}
-	if f := purge(5); f.NotBegun != 1 || f.MayRun < 1 || f.MayRun > 2 {
+	return others.Wait
+}
+
+// Over real sockets: a message that is withdrawn while its call is in flight is delivered or given up as the call ends, and
+// never sent again; one that waits ends at once; one that comes after is delivered. Orders come from several goroutines
+// meanwhile.
+func TestPurgeOnSockets(t *testing.T) {
+	t.Parallel()
+	r := startPurgeRun(t)
+	w := r.w
+	const done = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
+	r.submit("first", "status", 0, done)
+	if n := w.count("first"); n != 0 {
+		t.Errorf("met %d times behind the gate", n)
+	}
+	close(r.gate)
+	r.await("not delivered", func() bool { return w.count("first") == 1 })
+	r.submit("slow", "status", 1, "")
+	r.submit("open", "status", 2, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n")
+	r.submit("waits", "order", 3, "HTTP/1.1 429 Wait\r\nRetry-After: 9\r\nContent-Length: 0\r\n\r\n")
+	r.await("not out", func() bool { return w.count("slow") == 1 && w.count("open") == 1 && w.count("waits") == 1 })
+	r.await("not rejected", func() bool { return r.rejections() == 1 })
+	wait := r.giveOrders()
+	if f := r.purge(5); f.NotBegun != 1 || f.MayRun < 1 || f.MayRun > 2 {
 		t.Errorf("found %+v", f)
 	}
-	close(release)
-	hand("after", "status", 0, done)
-	is("something is owed yet", func() bool {
+	close(r.release)
+	r.submit("after", "status", 0, done)
+	r.await("something is owed yet", func() bool {
 		return w.count("after") == 1 && w.count("slow") == 2 && w.count("waits") == 2
 	})
-	others.Wait()
-	if f := purge(5); f.NotBegun != 1 {
+	wait()
+	if f := r.purge(5); f.NotBegun != 1 {
 		t.Errorf("answered again otherwise: %+v", f)
 	}
-	time.Sleep(2 * digestInterval)
+	time.Sleep(2 * digestInterval) // for the digests, and for what must not be sent again
 	for id, want := range map[string]string{"slow": ", given_up", "after": done, "first": done} {
 		if got := w.receivedFor(id); got != want {
 			t.Errorf("%s: %q", id, got)
@@ -156,13 +170,13 @@
 	if got := w.receivedFor("waits"); !strings.HasSuffix(got, ", given_up") || w.count("open") != 1 {
 		t.Errorf("waits: %q, open met %q", got, w.receivedFor("open"))
 	}
-	conn.Close()
-	s.Drain()
-	<-over
-	if len(s.pending) > 0 || s.Orders().Applied() != 5 {
-		t.Errorf("owed %d, applied %d", len(s.pending), s.Orders().Applied())
+	r.client.Close()
+	r.s.Drain()
+	<-r.done
+	if len(r.s.pending) > 0 || r.s.Orders().Applied() != 5 {
+		t.Errorf("owed %d, applied %d", len(r.s.pending), r.s.Orders().Applied())
 	}
-	if heard.messages["127.0.0.1"] != 5 || heard.sent < 5 || heard.done < 3 {
-		t.Errorf("digests %d: notices %v, sent %d, done %d", heard.digests, heard.messages, heard.sent, heard.done)
+	if c := r.cluster; c.messages["127.0.0.1"] != 5 || c.sent < 5 || c.done < 3 {
+		t.Errorf("digests %d: notices %v, sent %d, done %d", c.digests, c.messages, c.sent, c.done)
 	}
 }
--- a/internal/sender/purge_test.go
+++ b/internal/sender/purge_test.go
@@ -20,7 +20,7 @@
 }
 
 // A message that waits for its call's connection, for a place or for an endpoint ends at once, and its call goes on for
-// the others of the bundle. What the purge does not mean, or was taken on after it, is not touched.
+// the others of the bulk call. What the purge does not mean, or was accepted after it, is not touched.
 func Example_purgeNotBegun() {
 	r := start("", 100)
 	r.joinCluster(Joining{})
@@ -159,14 +159,13 @@
 	// owed: 1 to the platform: 0
 }
 
-// A purge that comes between a hand-in and the end of its turn: the client is told itself, the platform is not, and
+// A purge that comes between a submission and the end of its turn: the client is told itself, the platform is not, and
 // nothing is on record.
 func Example_purgeCrossesHandIn() {
 	r := start("", 100)
 	r.joinCluster(Joining{})
-	c := &client{window: make(chan struct{}, windowSize), writingReplies: 1}
-	c.window <- struct{}{}
-	r.s.handleCommand(c, splitArgs("OUT.ADD 0 id c=order,d=20000,dest=1 x"))
+	c := newClient()
+	r.handle(c, "OUT.ADD 0 id c=order,d=20000,dest=1 x")
 	r.purge(0, 1, together.Match{Key: "0"}).advance(5 * time.Millisecond).printPending()
 	fmt.Printf("client: %q, calls: %d\n", c.output, len(r.calls))
 	start(r.dir, 100).printPending()
@@ -179,7 +178,7 @@
 }
 
 // A process killed between the effect of a purge and its acknowledgement answers it again as it was, applies it to
-// nothing that came later, and tells the platform what it still owes it. When a message was taken on outlasts the kill;
+// nothing that came later, and tells the platform what it still owes it. When a message was accepted outlasts the kill;
 // of an older record it is not known, and so counts as long ago.
 func Example_purgeRestart() {
 	r := start("", 100)
@@ -278,7 +277,7 @@
 	}
 }
 
-// What was learnt of a destination is void on order, on disk too: a kill must not bring it back.
+// What was learned of a destination is void on order, on disk too: a kill must not bring it back.
 func TestPurgeOfLearnedState(t *testing.T) {
 	dir := t.TempDir()
 	file := dir + "/" + learnedFileName
--- a/internal/sender/ready_test.go
+++ b/internal/sender/ready_test.go
@@ -21,7 +21,7 @@
 const readyWithin = 10 * time.Second
 
 // writeFullJournal writes a journal as full as a process lets it get: what it owes, each with its call out if so, and what has
-// ended before that. It returns how many are owed.
+// ended before that. It returns how many are pending.
 func writeFullJournal(t *testing.T, dir string, limit int64, body int, make func(i int) *message, out bool) (owed int) {
 	t.Helper()
 	j, _, err := journal.Open(dir, limit, func([]byte) {})
--- /dev/null
+++ b/internal/sender/reload_test.go
@@ -0,0 +1,86 @@
+package sender
+
+import (
+	"io"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"testing"
+	"time"
+)
+
+// A reload moves the watch and the reports to the platform, an unanswered one too, to the new address. The old watch and
+// the list stay until the new one has answered, and a configuration that cannot be read changes nothing.
+func TestReload(t *testing.T) {
+	var places []*fakeDiscovery
+	for i := range 3 {
+		p := &fakeDiscovery{outcomes: make(chan string, 100), asked: make(chan struct{}, 100), answers: i == 2, updates: i != 1}
+		p.Server = httptest.NewServer(p)
+		defer p.Server.CloseClientConnections()
+		places = append(places, p)
+	}
+	cfg := testConfig(t.TempDir(), 100)
+	cfg.Listen, cfg.Discovery = "127.0.0.1:0", places[0].addr()
+	s, done := startRunning(t, cfg)
+	look := func(f func() bool) (seen bool) {
+		answer := make(chan bool)
+		for end := time.Now().Add(20 * time.Second); !seen && time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+			s.post(func() { answer <- f() })
+			seen = <-answer
+		}
+		return seen
+	}
+	conn, err := net.Dial("tcp", s.Addr())
+	if err != nil {
+		t.Fatal(err)
+	}
+	conn.Write(outAdd("0", "late", "c=status,d=1200,dest=1", ""))
+	if line := <-places[0].outcomes; !strings.Contains(line, `"late"`) {
+		t.Errorf("the first platform heard %q", line)
+	}
+	s.Reload(nil, io.ErrUnexpectedEOF)
+	for _, p := range places[1:] {
+		fresh := *cfg
+		fresh.Discovery = p.addr()
+		s.Reload(&fresh, nil)
+		<-p.asked
+	}
+	if line := <-places[2].outcomes; !strings.Contains(line, `"late"`) {
+		t.Errorf("the last platform heard %q", line)
+	}
+	if !look(func() bool { return len(s.endings) == 0 && len(s.watches) == 1 && s.endpoints["new"] != nil }) {
+		t.Errorf("endings %d, watches %d, endpoints %v", len(s.endings), len(s.watches), s.endpoints)
+	}
+	conn.Close()
+	s.Drain()
+	<-done
+}
+
+// fakeDiscovery is one address of discovery: its watch may list an endpoint, and its platform may answer.
+type fakeDiscovery struct {
+	*httptest.Server
+	outcomes         chan string
+	asked            chan struct{}
+	updates, answers bool
+}
+
+func (p *fakeDiscovery) addr() string { return p.Listener.Addr().String() }
+
+func (p *fakeDiscovery) ServeHTTP(out http.ResponseWriter, r *http.Request) {
+	if r.URL.Path == "/v1/outcomes" {
+		body, _ := io.ReadAll(r.Body)
+		p.outcomes <- string(body)
+		if p.answers {
+			out.WriteHeader(http.StatusNoContent)
+			return
+		}
+	} else {
+		p.asked <- struct{}{}
+		if p.updates {
+			io.WriteString(out, `{"version":3,"full":false,"servers":[{"id":"new","addr":"127.0.0.1:3","zone":"z","kind":"one","cell":3,"state":"up"}]}`+"\n")
+			out.(http.Flusher).Flush()
+		}
+	}
+	<-r.Context().Done()
+}
--- a/internal/sender/restart_test.go
+++ b/internal/sender/restart_test.go
@@ -11,7 +11,7 @@
 	"flaxcove/internal/journal"
 )
 
-// A killed sender owes what it had taken on: what may be repeated goes out again, and a single-use message with a
+// A killed sender owes what it had accepted: what may be repeated goes out again, and a non-idempotent message with a
 // attempt out, which may have run, is given up and never sent. Once ended, nothing comes back at a third start.
 func Example_restart() {
 	r := start("", 100).submit("OUT.ADD 00 st c=status,d=6000,dest=1 x", "OUT.ADD 00 or c=order,d=20000,dest=1 x")
@@ -38,7 +38,7 @@
 	// owed: 0 to the platform: 0
 }
 
-// A refusal proves that a single-use message has not run, so after a kill it is sent again. A wait ends with a restart.
+// A refusal proves that a non-idempotent message has not run, so after a kill it is sent again. A wait ends with a restart.
 func Example_restartAfterRefusal() {
 	r := start("", 100).submit("OUT.ADD 00 or c=order,d=20000,dest=1 x").endpointAnswers(answerFull).advance(5 * time.Millisecond)
 	fmt.Println("killed")
@@ -54,7 +54,7 @@
 	//    or
 }
 
-// An ending is owed until the platform has answered, through a kill too, and so is one whose time ran out meanwhile.
+// An ending is pending until the platform has answered, through a kill too, and so is one whose time ran out meanwhile.
 func Example_platformSilent() {
 	r := start("", 100)
 	r.platformUp = false
@@ -136,7 +136,7 @@
 	// owed: 4 to the platform: 0
 }
 
-// An id that comes again after its end is taken on already, through a kill too: a single-use one never runs again.
+// An id that comes again after its end is accepted already, through a kill too: a non-idempotent one never runs again.
 func Example_endedID() {
 	const text = "OUT.ADD 00 or c=order,d=20000,dest=1 x"
 	r := start("", 100).submit(text).endpointAnswers(answerOK).submit(text).printPending()
@@ -160,7 +160,7 @@
 	// true true
 }
 
-// FuzzReplay: no record crashes a start, and what is owed after it can be written and read again.
+// FuzzReplay: no record crashes a start, and what is pending after it can be written and read again.
 func FuzzReplay(f *testing.F) {
 	n := &message{key: "0", className: "order"}
 	n.ID, n.Deadline = "id", 9e13
--- a/internal/sender/send_test.go
+++ b/internal/sender/send_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// holdWrites keeps what is written on a link from leaving until it is released, or the test ends.
+// holdWrites blocks writes on a link until it is released, or the test ends.
 func holdWrites(t *testing.T, l *link) (release func()) {
 	l.bufferLock.Lock()
 	release = sync.OnceFunc(l.bufferLock.Unlock)
@@ -78,7 +78,8 @@
 	}
 }
 
-// submitWithOneReset hands a message in whose first call is reset, and lets the time of its next come while nothing may leave.
+// submitWithOneReset submits messages whose first call is reset, and lets the time of the next attempt come while the gate
+// holds all attempts back.
 func submitWithOneReset(t *testing.T, r *harness, commands ...string) {
 	t.Helper()
 	for _, dest := range []string{"1", "2"} { // so that its endpoint does not count as out for one spoilt answer
@@ -96,7 +97,7 @@
 	}
 }
 
-// The window for repeats may end between the last look at the link and the write, as where the process stood still.
+// The window for repeats may end between the last look at the link and the write, as where the process was stopped.
 // No byte of the repeat may leave then.
 func TestWindowEndsBeforeWrite(t *testing.T) {
 	conn, peer := connPair(t, false)
@@ -118,7 +119,7 @@
 	}
 }
 
-// In a bundle that comes up late, only what is out of its window stays behind.
+// In a bulk call that comes up late, only what is out of its window stays behind.
 func TestWindowInBundle(t *testing.T) {
 	conn, peer := connPair(t, false)
 	settings := strings.Replace(idempotencyKeySettings(), `"side_effect"`, `"pure"`, 1)
--- a/internal/sender/sockets_test.go
+++ b/internal/sender/sockets_test.go
@@ -14,20 +14,26 @@
 	"testing"
 	"time"
 
-	"github.com/cloudwego/netpoll"
 	"go.uber.org/zap"
 
 	"flaxcove/internal/config"
-	"flaxcove/internal/directory"
-	"flaxcove/internal/resp"
 )
 
-// fakeServer stands in for discovery, endpoints and platform, and keeps what each message met.
+// fakeServer stands in for discovery, endpoints and the platform, and keeps what it received for each message.
 type fakeServer struct {
 	sync.Mutex
 	received map[string][]string
 }
 
+func startFakeServer(t *testing.T) (w *fakeServer, addr string) {
+	t.Helper()
+	w = &fakeServer{received: map[string][]string{}}
+	server := httptest.NewServer(w)
+	t.Cleanup(server.Close)
+	return w, server.Listener.Addr().String()
+}
+
+// record adds what was received for a message, or what became of it.
 func (w *fakeServer) record(id, what string) {
 	w.Lock()
 	defer w.Unlock()
@@ -72,17 +78,30 @@
 	}
 }
 
-// startServing is a sender that serves on sockets, a client's connection to it, and its end.
-func startServing(t *testing.T, cfg *config.Config) (*Sender, net.Conn, <-chan struct{}) {
+// startRunning starts a sender on sockets. done is closed when it has ended.
+func startRunning(t testing.TB, cfg *config.Config) (s *Sender, done <-chan struct{}) {
+	t.Helper()
 	s, err := Start(cfg, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	done := make(chan struct{})
+	return s, run(s)
+}
+
+// run runs the loop of a sender in a goroutine.
+func run(s *Sender) (done <-chan struct{}) {
+	over := make(chan struct{})
 	go func() {
 		s.Run()
-		close(done)
+		close(over)
 	}()
+	return over
+}
+
+// startServing starts a sender on sockets and connects a client.
+func startServing(t *testing.T, cfg *config.Config) (s *Sender, conn net.Conn, done <-chan struct{}) {
+	t.Helper()
+	s, done = startRunning(t, cfg)
 	conn, err := net.Dial("tcp", s.Addr())
 	if err != nil {
 		t.Fatal(err)
@@ -91,12 +110,9 @@
 }
 
 // Over real sockets, each message ends as its endpoint's answer says, wherever the connection then breaks; a broken
-// command is answered once and closed; and a planned end leaves nothing behind.
+// command is answered once and its client closed; and a graceful shutdown leaves nothing pending.
 func TestSockets(t *testing.T) {
-	w := &fakeServer{received: map[string][]string{}}
-	server := httptest.NewServer(w)
-	defer server.Close()
-	addr := server.Listener.Addr().String()
+	w, addr := startFakeServer(t)
 	answers := []struct{ id, body, ends string }{
 		{"whole", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", ""},
 		{"closes", "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n", ""},
@@ -120,7 +136,7 @@
 	cfg.Listen, cfg.Discovery = "127.0.0.1:0", addr
 	cfg.Known.Servers = nil
 	for i := range answers {
-		cfg.Known.Servers = append(cfg.Known.Servers, directory.Entry{ID: answers[i].id, Addr: addr, Zone: "z", Kind: "one", Cell: float64(i), State: "up", Weight: 100})
+		cfg.Known.Servers = append(cfg.Known.Servers, readyEntry(answers[i].id, addr, i))
 	}
 	s, conn, done := startServing(t, cfg)
 	in := bufio.NewReader(conn)
@@ -129,7 +145,7 @@
 		if a.id == "slow" {
 			hold = "1500"
 		}
-		text := resp.AppendCommand(nil, []byte("OUT.ADD"), []byte("0"), []byte(a.id), fmt.Appendf(nil, "c=order,d=%s,dest=%d", hold, i), []byte(a.body))
+		text := outAdd("0", a.id, fmt.Sprintf("c=order,d=%s,dest=%d", hold, i), a.body)
 		conn.Write(text[:20])
 		time.Sleep(time.Millisecond)
 		conn.Write(text[20:])
@@ -164,220 +180,7 @@
 	if len(s.pending) != 0 {
 		t.Errorf("%d notices owed at the end", len(s.pending))
 	}
-	if files, _ := os.ReadDir(cfg.State); len(files) != 2 { // records, and what was learnt
+	if files, _ := os.ReadDir(cfg.State); len(files) != 2 { // the journal, and the learned state
 		t.Errorf("%d files in the state folder", len(files))
 	}
 }
-
-// silentConn is a connection to somebody who says nothing.
-func silentConn(t *testing.T) netpoll.Connection {
-	t.Helper()
-	server := httptest.NewServer(http.NotFoundHandler())
-	t.Cleanup(server.Close)
-	conn, err := netpoll.DialConnection("tcp", server.Listener.Addr().String(), time.Second)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return conn
-}
-
-// A link that ends between the loop's word and the write must cost a call, not the process: netpoll has dropped its
-// buffers by then.
-func TestWriteAfterEnd(t *testing.T) {
-	conn := silentConn(t)
-	r := start(t.TempDir(), 100)
-	r.submit("OUT.ADD 00 id c=order,d=20000,dest=1 x")
-	c := r.calls[0]
-	c.done = true // so that the link comes up idle
-	r.connectionUp(c, conn)
-	l := c.endpoint.idle[0]
-	l.conn.Close()
-	c.done = false
-	r.s.startWrite(c, l)
-	for !c.done {
-		(<-r.s.inbox)()
-	}
-	if n := r.s.pending["id"]; n == nil || n.MayRun {
-		t.Error("what never left is taken for one that may have run")
-	}
-}
-
-// A process that stood still hears that a connection is up before its timers fire: a call whose time is over by then
-// must not leave on it.
-func TestLateConnectionCarriesNothing(t *testing.T) {
-	conn := silentConn(t)
-	r := start(t.TempDir(), 100)
-	r.submit("OUT.ADD 00 id c=status,d=6000,dest=1 x")
-	c := r.calls[0]
-	r.clock += 7 * time.Second
-	r.connectionUp(c, conn)
-	if !c.done || c.link != nil {
-		t.Errorf("the call left after its time: over %v", c.done)
-	}
-}
-
-// A configuration read anew moves the watch and the platform's endings, an unanswered one too, to the new address.
-// The old watch and the list stay until the new one has spoken, and what is broken changes nothing.
-func TestReload(t *testing.T) {
-	var places []*fakeDiscovery
-	for i := range 3 {
-		p := &fakeDiscovery{outcomes: make(chan string, 100), asked: make(chan struct{}, 100), answers: i == 2, updates: i != 1}
-		p.Server = httptest.NewServer(p)
-		defer p.Server.CloseClientConnections()
-		places = append(places, p)
-	}
-	cfg := testConfig(t.TempDir(), 100)
-	cfg.Listen, cfg.Discovery = "127.0.0.1:0", places[0].addr()
-	s, err := Start(cfg, zap.NewNop())
-	if err != nil {
-		t.Fatal(err)
-	}
-	done := make(chan struct{})
-	go func() {
-		s.Run()
-		close(done)
-	}()
-	look := func(f func() bool) (seen bool) {
-		answer := make(chan bool)
-		for end := time.Now().Add(20 * time.Second); !seen && time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-			s.post(func() { answer <- f() })
-			seen = <-answer
-		}
-		return seen
-	}
-	conn, err := net.Dial("tcp", s.Addr())
-	if err != nil {
-		t.Fatal(err)
-	}
-	conn.Write(resp.AppendCommand(nil, []byte("OUT.ADD"), []byte("0"), []byte("late"), []byte("c=status,d=1200,dest=1"), nil))
-	if line := <-places[0].outcomes; !strings.Contains(line, `"late"`) {
-		t.Errorf("the first platform heard %q", line)
-	}
-	s.Reload(nil, io.ErrUnexpectedEOF)
-	for _, p := range places[1:] {
-		fresh := *cfg
-		fresh.Discovery = p.addr()
-		s.Reload(&fresh, nil)
-		<-p.asked
-	}
-	if line := <-places[2].outcomes; !strings.Contains(line, `"late"`) {
-		t.Errorf("the last platform heard %q", line)
-	}
-	if !look(func() bool { return len(s.endings) == 0 && len(s.watches) == 1 && s.endpoints["new"] != nil }) {
-		t.Errorf("endings %d, watches %d, endpoints %v", len(s.endings), len(s.watches), s.endpoints)
-	}
-	conn.Close()
-	s.Drain()
-	<-done
-}
-
-// fakeDiscovery is one address of discovery: its watch may tell of an endpoint, its platform may answer.
-type fakeDiscovery struct {
-	*httptest.Server
-	outcomes         chan string
-	asked            chan struct{}
-	updates, answers bool
-}
-
-func (p *fakeDiscovery) addr() string { return p.Listener.Addr().String() }
-
-func (p *fakeDiscovery) ServeHTTP(out http.ResponseWriter, r *http.Request) {
-	if r.URL.Path == "/v1/outcomes" {
-		body, _ := io.ReadAll(r.Body)
-		p.outcomes <- string(body)
-		if p.answers {
-			out.WriteHeader(http.StatusNoContent)
-			return
-		}
-	} else {
-		p.asked <- struct{}{}
-		if p.updates {
-			io.WriteString(out, `{"version":3,"full":false,"servers":[{"id":"new","addr":"127.0.0.1:3","zone":"z","kind":"one","cell":3,"state":"up"}]}`+"\n")
-			out.(http.Flusher).Flush()
-		}
-	}
-	<-r.Context().Done()
-}
-
-// Clients that say nothing, leave a command unfinished, hold their places or send what can't be read must not keep
-// the others out, and each gets an error or an end within 3 s.
-func TestMisbehavingClients(t *testing.T) {
-	cfg := testConfig(t.TempDir(), 100)
-	cfg.Listen, cfg.Discovery, cfg.Limits.Sockets = "127.0.0.1:0", "127.0.0.1:1", 64
-	s, err := Start(cfg, zap.NewNop())
-	if err != nil {
-		t.Fatal(err)
-	}
-	done := make(chan struct{})
-	go func() {
-		s.Run()
-		close(done)
-	}()
-	dial := func(text string) net.Conn {
-		conn, err := net.Dial("tcp", s.Addr())
-		if err != nil {
-			t.Fatal(err)
-		}
-		conn.SetDeadline(time.Now().Add(20 * time.Second))
-		io.WriteString(conn, text)
-		return conn
-	}
-	const ping, pong = "*1\r\n$4\r\nPING\r\n", "+PONG\r\n"
-	served := func(conn net.Conn) bool {
-		text := make([]byte, len(pong))
-		_, err := io.ReadFull(conn, text)
-		return err == nil && string(text) == pong
-	}
-	start := time.Now()
-	var quiet []net.Conn
-	for range 100 {
-		quiet = append(quiet, dial(""))
-	}
-	usual := dial(ping)
-	if !served(usual) {
-		t.Error("silent clients keep a usual one out")
-	}
-	half := dial("*2\r\n$4\r\nPI")
-	for _, conn := range append(quiet, half) {
-		if text, err := io.ReadAll(conn); len(text) > 0 || os.IsTimeout(err) {
-			t.Errorf("a silent client was told %q, %v", text, err)
-		}
-	}
-	if took := time.Since(start); took > 3*time.Second && testing.CoverMode() == "" {
-		t.Errorf("the last silent client was closed after %v", took)
-	}
-	huge := dial("*5\r\n$7\r\nOUT.ADD\r\n$60000000\r\n")
-	if _, err := io.Copy(huge, io.LimitReader(zeros{}, 60e6)); err == nil {
-		t.Error("60 MB were read to the end")
-	}
-	rude := dial(strings.Repeat("*1\r\n$4\r\nNONE\r\n", 300))
-	if text, _ := io.ReadAll(rude); strings.Count(string(text), "-ERR") > windowSize+maxBadCommands {
-		t.Errorf("%d errors for one client", strings.Count(string(text), "-ERR"))
-	}
-	// Those served that hold on make room for new ones, each of which asks on a connection of its own.
-	time.Sleep(minIdleTime)
-	var held []net.Conn
-	for i := range 100 {
-		conn := dial(ping)
-		if !served(conn) {
-			t.Fatalf("client %d was not served", i)
-		}
-		held = append(held, conn)
-	}
-	time.Sleep(minIdleTime + 2*sweepInterval)
-	if conn := dial(ping); !served(conn) {
-		t.Error("idle clients keep a usual one out")
-	}
-	for _, conn := range held {
-		conn.Close()
-	}
-	s.Drain()
-	<-done
-	if n := s.unparsedBytes.Load(); n != 0 {
-		t.Errorf("%d bytes are counted that nobody holds", n)
-	}
-}
-
-type zeros struct{}
-
-func (zeros) Read(p []byte) (int, error) { return len(p), nil }
--- a/internal/sender/timers_test.go
+++ b/internal/sender/timers_test.go
@@ -48,8 +48,7 @@
 	}
 }
 
-// What a call or a link waits for is taken back with its end: memory follows what is open, not the rate times the
-// deadline.
+// Timers of a call or link are cancelled with its end: memory depends on what is open, not on the rate times the deadline.
 func Example_cancelTimer() {
 	r := start("", 100)
 	before := len(r.s.timers)
@@ -68,11 +67,10 @@
 	// owed 1 timers more than before 2
 }
 
-// submitQuietly hands a command in and ends the turn, and prints nothing.
+// submitQuietly handles a command and ends the turn, and prints nothing.
 func (r *harness) submitQuietly(text string) {
-	c := &client{window: make(chan struct{}, windowSize), writingReplies: 1}
-	c.window <- struct{}{}
-	r.s.handleCommand(c, splitArgs(text))
+	c := newClient()
+	r.handle(c, text)
 	r.clock += 5 * time.Millisecond
 	r.s.turn()
 }
--- a/internal/sender/torn_journal_test.go
+++ b/internal/sender/torn_journal_test.go
@@ -15,7 +15,7 @@
 	"flaxcove/internal/directory"
 )
 
-// messageHistory is what an earlier process did with a message, each step with the bytes of the journal's file by then.
+// messageHistory is what an earlier process did with a message, each step with the size of the journal's file by then.
 type messageHistory struct {
 	class      string
 	acceptedAt int64   // its client was told
@@ -36,7 +36,7 @@
 
 const never = int64(1) << 60
 
-// stateAt tells what of it stands where the file was cut.
+// stateAt is the state of the message where the file is cut.
 func (h *messageHistory) stateAt(cut int64) (owed, out, over bool) {
 	count := func(all []int64) (n int) {
 		for _, at := range all {
@@ -49,8 +49,8 @@
 	return h.acceptedAt <= cut && h.endedAt > cut, count(h.calls) > count(h.notRun), h.endedAt <= cut
 }
 
-// recordedDay has a process take messages of all classes on and meets their calls with all that can be. It returns the
-// journal's file, what was done, and the clock at the end.
+// recordedDay runs a process that accepts messages of all classes and whose calls end in all ways. It returns the journal's
+// file, what was done, and the clock at the end.
 func recordedDay(t *testing.T) (file []byte, did map[choice.MessageID]*messageHistory, end time.Duration) {
 	dir := t.TempDir()
 	r := startWith(twelveEndpointConfig(dir))
@@ -87,10 +87,9 @@
 		class := []string{"pure", "token", "single", "line"}[i%4]
 		id := choice.MessageID(fmt.Sprint("n", i))
 		did[id] = &messageHistory{class: class, acceptedAt: never, endedAt: never}
-		c := &client{window: make(chan struct{}, windowSize), writingReplies: 1}
+		c := newClient()
 		came = append(came, c)
-		c.window <- struct{}{}
-		r.s.handleCommand(c, splitArgs(fmt.Sprintf("OUT.ADD %d %s c=%s,d=8000,dest=%d x", i%5, id, class, i%12)))
+		r.handle(c, fmt.Sprintf("OUT.ADD %d %s c=%s,d=8000,dest=%d x", i%5, id, class, i%12))
 		r.clock += 5 * time.Millisecond
 		r.s.turn()
 		for r.s.posting {
@@ -122,7 +121,7 @@
 }
 
 // A process may be killed at any byte of its journal. Wherever that is, the next one starts, owes all that clients were
-// told of and that had no end, calls each at most once, and none that is single-use and may have run; and the process
+// told of and that had no end, calls each at most once, and none that is non-idempotent and may have run; and the process
 // after that owes nothing.
 func TestCutAtEveryByte(t *testing.T) {
 	t.Parallel()
@@ -176,7 +175,7 @@
 	}
 }
 
-// What a rewriting keeps is what was owed, with all that forbids or limits another call.
+// What a rewriting keeps is what was pending, with all that forbids or limits another call.
 func TestRewriteKeepsTheSame(t *testing.T) {
 	t.Parallel()
 	file, _, end := recordedDay(t)
--- a/internal/sender/unsent_test.go
+++ b/internal/sender/unsent_test.go
@@ -57,7 +57,7 @@
 	}
 }
 
-// advanceWritten lets time go on in steps, each once all that left before it is written: whoever writes reads the rig's clock.
+// advanceWritten lets time pass in steps, each once all calls before it are written: writers read the harness's clock.
 func (r *harness) advanceWritten(t *testing.T, after time.Duration) {
 	t.Helper()
 	for end := r.clock + after; r.clock < end; {
@@ -73,7 +73,7 @@
 	}
 }
 
-// Where the process has no room for one more connection its calls wait for some, each as the one try that it is: none
+// Where the process has no capacity for one more connection its calls wait for some, each as the one try that it is: none
 // counts against its endpoint, and the tries of a message are not spent in the fraction of a second that it lasts.
 func TestNoCapacityForAConnection(t *testing.T) {
 	short := func(err error) func(*harness) { // the dial fails for want of something of this process
@@ -107,7 +107,7 @@
 					}
 				} else {
 					r.advance(20 * time.Second)
-					// It is handed back, as one that has surely not run, with fewer calls than it may have.
+					// It is shed, as one that has surely not run, with fewer calls than it may have.
 					if n.ending.kind == endNone || n.MayRun || n.attempts > r.s.cfg.Settings.MaxAttempts {
 						t.Errorf("ends %v, may have run %v, tries %d", n.ending.kind, n.MayRun, n.attempts)
 					}
--- a/internal/sender/untried_test.go
+++ b/internal/sender/untried_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// What an earlier process took on and never tried is tried, whatever the start makes of it: no destination yet, paces
+// What an earlier process accepted and never tried is tried, whatever the start makes of it: no destination yet, paces
 // and times that nothing is known of, a share that is used up, keys that wait for one another, a backlog that fills
-// all of MaxOpen, and a message that was handed in with less time than its class allows.
+// all of MaxOpen, and a message that was submitted with less time than its class allows.
 func TestUntriedIsTried(t *testing.T) {
 	t.Parallel()
 	now := clockAt(time.Minute)
@@ -70,8 +70,8 @@
 	}
 }
 
-// A new message makes no room for itself by one that an earlier process took on and nobody has tried yet: it is refused
-// itself, which costs its client a wait and nobody a message.
+// A new message never displaces one that an earlier process accepted and that is not attempted yet: it is rejected itself,
+// which costs its client a wait and no one a message.
 func TestNewDoesNotDisplaceUntried(t *testing.T) {
 	t.Parallel()
 	now, dir := clockAt(time.Minute), t.TempDir()
@@ -82,9 +82,8 @@
 	writeJournal(t, dir, records...)
 	l := recordCalls(t, startWith(fourClassConfig(dir, 20)))
 	for i := range 200 {
-		c := &client{window: make(chan struct{}, windowSize), disconnected: true}
-		c.window <- struct{}{}
-		l.s.handleCommand(c, splitArgs(fmt.Sprintf("OUT.ADD 0 n%d c=single,d=8000,dest=1 x", i)))
+		c := newUnreadClient()
+		l.handle(c, fmt.Sprintf("OUT.ADD 0 n%d c=single,d=8000,dest=1 x", i))
 		l.advanceAnswering(10*time.Millisecond, 0)
 	}
 	if len(l.endings) > 0 {
