--- a/internal/sender/client_harness_test.go
+++ b/internal/sender/client_harness_test.go
@@ -125,6 +125,15 @@
 	}
 }
 
+// waitOnLoop waits for a condition that is read on the loop.
+func waitOnLoop(t *testing.T, s *Sender, what string, f func() bool) {
+	t.Helper()
+	waitUntil(t, what, func() (holds bool) {
+		onLoop(t, s, func() { holds = f() })
+		return holds
+	})
+}
+
 // clientOf is the sender's side of a connection.
 func clientOf(t *testing.T, s *Sender, conn net.Conn) (c *client) {
 	t.Helper()
--- a/internal/sender/configure_sockets_test.go
+++ b/internal/sender/configure_sockets_test.go
@@ -42,10 +42,7 @@
 	versions := traffic.changeSettings(t, client)
 	close(over)
 	clients.Wait()
-	waitUntil(t, "all has ended", func() (none bool) {
-		onLoop(t, s, func() { none = len(s.pending) == 0 })
-		return none
-	})
+	waitOnLoop(t, s, "all has ended", func() bool { return len(s.pending) == 0 })
 	traffic.check(t, w)
 	if s.cfg.Version != uint64(versions) {
 		t.Errorf("version %d", s.cfg.Version)
--- a/internal/sender/connecting_test.go
+++ b/internal/sender/connecting_test.go
@@ -54,50 +54,68 @@
 	}
 }
 
+// recordChecker is an endpoint that looks, with the first byte of each call, whether the call is on record.
+type recordChecker struct {
+	dir string // of the sender's journal
+	sync.Mutex
+	seen, missing []string // ids
+}
+
+// serve answers all calls until the listener is closed.
+func (r *recordChecker) serve(endpoint net.Listener) {
+	for {
+		conn, err := endpoint.Accept()
+		if err != nil {
+			return
+		}
+		go r.answerCalls(conn)
+	}
+}
+
+func (r *recordChecker) answerCalls(conn net.Conn) {
+	defer conn.Close()
+	for in := bufio.NewReader(conn); ; {
+		if _, err := in.Peek(1); err != nil {
+			return
+		}
+		// The file as it is with the first byte; hasAttempt reads a copy, as opening a journal writes to it.
+		text, _ := os.ReadFile(filepath.Join(r.dir, "notices.log"))
+		request, err := http.ReadRequest(in)
+		if err != nil {
+			return
+		}
+		io.Copy(io.Discard, request.Body)
+		r.note(request.Header.Get("X-Request-Id"), text)
+		io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+	}
+}
+
+func (r *recordChecker) note(id string, text []byte) {
+	r.Lock()
+	defer r.Unlock()
+	r.seen = append(r.seen, id)
+	if !hasAttempt(text, id) {
+		r.missing = append(r.missing, id)
+	}
+}
+
+func (r *recordChecker) count() int {
+	r.Lock()
+	defer r.Unlock()
+	return len(r.seen)
+}
+
 // Whatever an endpoint sees of a call, it is on record by then: on a new connection and on a reused one.
 func TestOnRecordBeforeFirstByte(t *testing.T) {
 	t.Parallel()
-	dir := t.TempDir()
-	var lock sync.Mutex
-	var wrong, seen []string
 	endpoint, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer endpoint.Close()
-	go func() {
-		for {
-			conn, err := endpoint.Accept()
-			if err != nil {
-				return
-			}
-			go func() {
-				defer conn.Close()
-				in := bufio.NewReader(conn)
-				for {
-					if _, err := in.Peek(1); err != nil {
-						return
-					}
-					// The file as it is with the first byte, which a copy is read from: opening it writes.
-					text, _ := os.ReadFile(filepath.Join(dir, "notices.log"))
-					r, err := http.ReadRequest(in)
-					if err != nil {
-						return
-					}
-					io.Copy(io.Discard, r.Body)
-					id := r.Header.Get("X-Request-Id")
-					lock.Lock()
-					seen = append(seen, id)
-					if !hasAttempt(text, id) {
-						wrong = append(wrong, id)
-					}
-					lock.Unlock()
-					io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-				}
-			}()
-		}
-	}()
-	cfg := fourClassConfig(dir, 100)
+	checker := &recordChecker{dir: t.TempDir()}
+	go checker.serve(endpoint)
+	cfg := fourClassConfig(checker.dir, 100)
 	cfg.Listen, cfg.Discovery = "127.0.0.1:0", "127.0.0.1:1"
 	cfg.Known.Servers = []directory.Entry{{ID: "a", Addr: endpoint.Addr().String(), Zone: "z", Kind: "one", Cell: 1, State: "up", Weight: 9}}
 	s, done := startRunning(t, cfg)
@@ -107,27 +125,20 @@
 		class := []string{"single", "token"}[i%2]
 		client.mustSubmit(t, "0", fmt.Sprint("n", i), fmt.Sprintf("c=%s,d=8000,dest=1", class), "x")
 		if i%4 == 3 { // some one by one on reused connections, some at once on new ones
-			for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
-				lock.Lock()
-				n := len(seen)
-				lock.Unlock()
-				if n == i+1 {
-					break
-				}
-			}
+			waitUntil(t, "all calls so far have come", func() bool { return checker.count() == i+1 })
 		}
 	}
 	client.Close()
 	s.Drain()
 	<-done
-	lock.Lock()
-	defer lock.Unlock()
-	if len(seen) != all || len(wrong) > 0 {
-		t.Errorf("seen %d of %d, not on record by then: %v", len(seen), all, wrong)
+	checker.Lock()
+	defer checker.Unlock()
+	if len(checker.seen) != all || len(checker.missing) > 0 {
+		t.Errorf("seen %d of %d, not on record by then: %v", len(checker.seen), all, checker.missing)
 	}
 }
 
-// hasAttempt tells whether a journal's text holds a record of a call out for an id.
+// hasAttempt reports whether a journal's text holds a record of an attempt of a message.
 func hasAttempt(text []byte, id string) (is bool) {
 	dir, err := os.MkdirTemp("", "copy")
 	if err != nil {
--- a/internal/sender/gossip_test.go
+++ b/internal/sender/gossip_test.go
@@ -7,7 +7,7 @@
 	"net"
 	"net/http"
 	"net/http/httptest"
-	"strings"
+	"slices"
 	"testing"
 	"time"
 
@@ -43,88 +43,101 @@
 	<-r.Context().Done()
 }
 
-// A Retry-After that one sender gets holds back the other one too, though it sent nothing there. Packets of strangers, and
-// those that are broken or no gossip of package choice, change nothing. Where gossip is off no socket is bound.
-func TestGossip(t *testing.T) {
-	server := httptest.NewServer(http.HandlerFunc(rejectAll))
-	defer server.CloseClientConnections()
-	var at [3]string
-	for i := range at {
+// gossipRun is two senders of a fleet whose third peer is the test.
+type gossipRun struct {
+	platform *httptest.Server
+	peers    [3]string // addresses, by number
+}
+
+func startGossipRun(t *testing.T) *gossipRun {
+	t.Helper()
+	r := &gossipRun{platform: httptest.NewServer(http.HandlerFunc(rejectAll))}
+	t.Cleanup(r.platform.CloseClientConnections)
+	for i := range r.peers {
 		conn := udp(t)
-		at[i] = conn.LocalAddr().String()
+		r.peers[i] = conn.LocalAddr().String()
 		conn.Close()
 	}
-	begin := func(number int, on bool) (*Sender, net.Conn, <-chan struct{}) {
-		cfg := testConfig(t.TempDir(), 100)
-		cfg.Listen, cfg.Discovery = "127.0.0.1:0", server.Listener.Addr().String()
-		cfg.PeerListen, cfg.Peers = at[number], append(at[:], "127.0.0.1:7", "127.0.0.1:7", "127.0.0.1:7")
-		cfg.Settings.Senders, cfg.Settings.Number, cfg.Settings.Notes = 20, choice.PeerNo(number), on
-		cfg.Known.Servers = []directory.Entry{readyEntry("full", server.Listener.Addr().String(), 1)}
-		return startServing(t, cfg)
-	}
-	teller, client, ended := begin(0, true)
-	hearer, client2, ended2 := begin(1, true)
-	// The third peer is the test's: what it sends is heard as a peer's.
-	peer, err := net.ListenPacket("udp4", at[2])
+	return r
+}
+
+// start starts the sender of a number.
+func (r *gossipRun) start(t *testing.T, number int, on bool) (*Sender, net.Conn, <-chan struct{}) {
+	t.Helper()
+	addr := r.platform.Listener.Addr().String()
+	cfg := testConfig(t.TempDir(), 100)
+	cfg.Listen, cfg.Discovery = "127.0.0.1:0", addr
+	cfg.PeerListen, cfg.Peers = r.peers[number], append(r.peers[:], "127.0.0.1:7", "127.0.0.1:7", "127.0.0.1:7")
+	cfg.Settings.Senders, cfg.Settings.Number, cfg.Settings.Notes = 20, choice.PeerNo(number), on
+	cfg.Known.Servers = []directory.Entry{readyEntry("full", addr, 1)}
+	return startServing(t, cfg)
+}
+
+// sendBroken sends a packet of gossip as a stranger would, and broken ones, and then as it is.
+func (r *gossipRun) sendBroken(t *testing.T, peer net.PacketConn, packet []byte) {
+	t.Helper()
+	to, err := net.ResolveUDPAddr("udp4", r.peers[1])
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer peer.Close()
-	look := func(s *Sender, until func() bool) bool {
-		answer := make(chan bool)
-		for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-			s.post(func() { answer <- until() })
-			if <-answer {
-				return true
-			}
+	stranger := udp(t)
+	for range 3 {
+		stranger.WriteTo(packet, to)
+	}
+	peer.WriteTo(packet[:len(packet)-1], to)          // cut short
+	peer.WriteTo(bytes.Repeat([]byte("n"), 4000), to) // too long
+	peer.WriteTo(packet, to)                          // once more, and late
+}
+
+// hasCounters reports whether INFO has all of these lines.
+func hasCounters(s *Sender, want ...string) bool {
+	lines := s.Counters()
+	for _, counter := range want {
+		if !slices.Contains(lines, counter) {
+			return false
 		}
-		return false
 	}
-	client.Write(outAdd("0", "id", "c=status,d=1500,dest=1", ""))
-	if !look(hearer, func() bool { return hearer.module.Learnt("full").Wait > 0 }) {
-		t.Error("a wait told to one sender does not reach the other")
+	return true
+}
+
+// A Retry-After that one sender gets holds back the other one too, though it sent nothing there. Packets of strangers, and
+// those that are broken or no gossip of package choice, change nothing. Where gossip is off no socket is bound.
+func TestGossip(t *testing.T) {
+	r := startGossipRun(t)
+	sending, client, ended := r.start(t, 0, true)
+	hearing, client2, ended2 := r.start(t, 1, true)
+	peer, err := net.ListenPacket("udp4", r.peers[2])
+	if err != nil {
+		t.Fatal(err)
 	}
-	note := make([]byte, 300)
+	defer peer.Close()
+	client.Write(outAdd("0", "id", "c=status,d=1500,dest=1", ""))
+	waitOnLoop(t, hearing, "a Retry-After to one sender reaches the other", func() bool { return hearing.module.Learnt("full").Wait > 0 })
+	packet := make([]byte, 300)
 	peer.SetReadDeadline(time.Now().Add(10 * time.Second))
-	n, _, err := peer.ReadFrom(note)
+	n, _, err := peer.ReadFrom(packet)
 	if err != nil {
 		t.Fatal(err)
 	}
-	to, _ := net.ResolveUDPAddr("udp4", at[1])
-	stranger := udp(t)
-	for range 3 {
-		stranger.WriteTo(note[:n], to)
-	}
-	peer.WriteTo(note[:n-1], to)                      // cut short
-	peer.WriteTo(bytes.Repeat([]byte("n"), 4000), to) // too long
-	peer.WriteTo(note[:n], to)                        // once more, and late
-	want := []string{"notes_from_strangers:3", "notes_spoilt:1", "notes_too_long:1"}
-	if !look(hearer, func() bool {
-		text := strings.Join(hearer.Counters(), " ")
-		for _, counter := range want {
-			if !strings.Contains(text, counter+" ") && !strings.HasSuffix(text, counter) {
-				return false
-			}
-		}
-		return hearer.peers.Counts().Heard >= 2
-	}) {
-		t.Errorf("%v", hearer.Counters())
-	}
-	for _, odd := range [][]byte{{}, {1}, {1, 2}, {1, 2, 3}, {1, 2, 3, 4}} {
-		hearer.post(func() { hearer.module.Heard(odd) })
+	r.sendBroken(t, peer, packet[:n])
+	waitOnLoop(t, hearing, "all packets are counted", func() bool {
+		return hasCounters(hearing, "notes_from_strangers:3", "notes_spoilt:1", "notes_too_long:1") && hearing.peers.Counts().Heard >= 2
+	})
+	for _, invalid := range [][]byte{{}, {1}, {1, 2}, {1, 2, 3}, {1, 2, 3, 4}} {
+		hearing.post(func() { hearing.module.Heard(invalid) })
 	}
-	off, client3, ended3 := begin(2, false)
+	off, client3, ended3 := r.start(t, 2, false)
 	if off.peers != nil {
-		t.Error("a socket is bound though notes are off")
+		t.Error("a socket is bound though gossip is off")
 	}
 	for _, conn := range []net.Conn{client, client2, client3} {
 		conn.Close()
 	}
-	for s, done := range map[*Sender]<-chan struct{}{teller: ended, hearer: ended2, off: ended3} {
+	for s, done := range map[*Sender]<-chan struct{}{sending: ended, hearing: ended2, off: ended3} {
 		s.Drain()
 		<-done // the socket's goroutines have ended with it
 	}
-	if conn, err := net.ListenPacket("udp4", at[0]); err != nil {
+	if conn, err := net.ListenPacket("udp4", r.peers[0]); err != nil {
 		t.Error("the socket is still bound: ", err)
 	} else {
 		conn.Close()
--- a/internal/sender/lingering_close_test.go
+++ b/internal/sender/lingering_close_test.go
@@ -142,10 +142,7 @@
 		waitUntil(t, "the second has come", func() bool { return allAcknowledged(t, conn) })
 	})
 	mustRead(t, conn, pongText)
-	waitUntil(t, "the end was looked at again", func() (over bool) {
-		onLoop(t, s, func() { over = len(c.window) == 0 })
-		return over
-	})
+	waitOnLoop(t, s, "the end was looked at again", func() bool { return len(c.window) == 0 })
 	letGo()
 	expectToEnd(t, "the client", conn, pongText)
 	conn.Close()
--- a/internal/sender/misbehaving_clients_test.go
+++ b/internal/sender/misbehaving_clients_test.go
@@ -12,74 +12,76 @@
 // Clients that send nothing, leave a command incomplete, hold their places or send what can't be parsed must not keep the
 // others out, and each gets an error or is closed within 3 s.
 func TestMisbehavingClients(t *testing.T) {
-	cfg := testConfig(t.TempDir(), 100)
-	cfg.Listen, cfg.Discovery, cfg.Limits.Sockets = "127.0.0.1:0", "127.0.0.1:1", 64
-	s, done := startRunning(t, cfg)
-	dial := func(text string) net.Conn {
-		conn, err := net.Dial("tcp", s.Addr())
-		if err != nil {
-			t.Fatal(err)
-		}
-		conn.SetDeadline(time.Now().Add(20 * time.Second))
-		io.WriteString(conn, text)
-		return conn
-	}
-	const ping, pong = "*1\r\n$4\r\nPING\r\n", "+PONG\r\n"
-	served := func(conn net.Conn) bool {
-		text := make([]byte, len(pong))
-		_, err := io.ReadFull(conn, text)
-		return err == nil && string(text) == pong
+	s, dial, done := serving(t, 64)
+	t.Run("silent", func(t *testing.T) { silentClients(t, dial) })
+	t.Run("too much", func(t *testing.T) { excessiveClients(t, dial) })
+	t.Run("idle", func(t *testing.T) { idleClients(t, dial) })
+	s.Drain()
+	<-done
+	if n := s.unparsedBytes.Load(); n != 0 {
+		t.Errorf("%d bytes are counted that nobody holds", n)
 	}
+}
+
+// isServed reports whether a client that has sent a PING gets its answer.
+func isServed(conn net.Conn) bool {
+	text := make([]byte, len(pongText))
+	_, err := io.ReadFull(conn, text)
+	return err == nil && string(text) == pongText
+}
+
+func silentClients(t *testing.T, dial func(string) net.Conn) {
 	start := time.Now()
-	var quiet []net.Conn
+	var silent []net.Conn
 	for range 100 {
-		quiet = append(quiet, dial(""))
+		silent = append(silent, dial(""))
 	}
-	usual := dial(ping)
-	if !served(usual) {
+	if !isServed(dial(pingText)) {
 		t.Error("silent clients keep a usual one out")
 	}
-	half := dial("*2\r\n$4\r\nPI")
-	for _, conn := range append(quiet, half) {
+	partial := dial("*2\r\n$4\r\nPI")
+	for _, conn := range append(silent, partial) {
 		if text, err := io.ReadAll(conn); len(text) > 0 || os.IsTimeout(err) {
-			t.Errorf("a silent client was told %q, %v", text, err)
+			t.Errorf("a silent client got %q, %v", text, err)
 		}
 	}
 	if took := time.Since(start); took > 3*time.Second && testing.CoverMode() == "" {
 		t.Errorf("the last silent client was closed after %v", took)
 	}
+}
+
+func excessiveClients(t *testing.T, dial func(string) net.Conn) {
 	huge := dial("*5\r\n$7\r\nOUT.ADD\r\n$60000000\r\n")
 	if _, err := io.Copy(huge, io.LimitReader(zeros{}, 60e6)); err == nil {
 		t.Error("60 MB were read to the end")
 	}
-	rude := dial(strings.Repeat("*1\r\n$4\r\nNONE\r\n", 300))
-	if text, _ := io.ReadAll(rude); strings.Count(string(text), "-ERR") > windowSize+maxBadCommands {
+	invalid := dial(strings.Repeat("*1\r\n$4\r\nNONE\r\n", 300))
+	if text, _ := io.ReadAll(invalid); strings.Count(string(text), "-ERR") > windowSize+maxBadCommands {
 		t.Errorf("%d errors for one client", strings.Count(string(text), "-ERR"))
 	}
-	// Those served that hold on make capacity for new ones, each of which asks on a connection of its own.
+}
+
+// idleClients has served clients that stay connected give their places up to new ones.
+func idleClients(t *testing.T, dial func(string) net.Conn) {
 	time.Sleep(minIdleTime)
-	var held []net.Conn
+	var idle []net.Conn
 	for i := range 100 {
-		conn := dial(ping)
-		if !served(conn) {
+		conn := dial(pingText)
+		if !isServed(conn) {
 			t.Fatalf("client %d was not served", i)
 		}
-		held = append(held, conn)
+		idle = append(idle, conn)
 	}
 	time.Sleep(minIdleTime + 2*sweepInterval)
-	if conn := dial(ping); !served(conn) {
+	if !isServed(dial(pingText)) {
 		t.Error("idle clients keep a usual one out")
 	}
-	for _, conn := range held {
+	for _, conn := range idle {
 		conn.Close()
 	}
-	s.Drain()
-	<-done
-	if n := s.unparsedBytes.Load(); n != 0 {
-		t.Errorf("%d bytes are counted that nobody holds", n)
-	}
 }
 
+// zeros is an endless reader.
 type zeros struct{}
 
 func (zeros) Read(p []byte) (int, error) { return len(p), nil }
--- a/internal/sender/reload_test.go
+++ b/internal/sender/reload_test.go
@@ -2,12 +2,10 @@
 
 import (
 	"io"
-	"net"
 	"net/http"
 	"net/http/httptest"
 	"strings"
 	"testing"
-	"time"
 )
 
 // A reload moves the watch and the reports to the platform, an unanswered one too, to the new address. The old watch and
@@ -23,19 +21,8 @@
 	cfg := testConfig(t.TempDir(), 100)
 	cfg.Listen, cfg.Discovery = "127.0.0.1:0", places[0].addr()
 	s, done := startRunning(t, cfg)
-	look := func(f func() bool) (seen bool) {
-		answer := make(chan bool)
-		for end := time.Now().Add(20 * time.Second); !seen && time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-			s.post(func() { answer <- f() })
-			seen = <-answer
-		}
-		return seen
-	}
-	conn, err := net.Dial("tcp", s.Addr())
-	if err != nil {
-		t.Fatal(err)
-	}
-	conn.Write(outAdd("0", "late", "c=status,d=1200,dest=1", ""))
+	client := connectClient(t, s)
+	client.Write(outAdd("0", "late", "c=status,d=1200,dest=1", ""))
 	if line := <-places[0].outcomes; !strings.Contains(line, `"late"`) {
 		t.Errorf("the first platform heard %q", line)
 	}
@@ -49,10 +36,10 @@
 	if line := <-places[2].outcomes; !strings.Contains(line, `"late"`) {
 		t.Errorf("the last platform heard %q", line)
 	}
-	if !look(func() bool { return len(s.endings) == 0 && len(s.watches) == 1 && s.endpoints["new"] != nil }) {
-		t.Errorf("endings %d, watches %d, endpoints %v", len(s.endings), len(s.watches), s.endpoints)
-	}
-	conn.Close()
+	waitOnLoop(t, s, "no ending is left, one watch runs, and its endpoint is listed", func() bool {
+		return len(s.endings) == 0 && len(s.watches) == 1 && s.endpoints["new"] != nil
+	})
+	client.Close()
 	s.Drain()
 	<-done
 }
--- a/internal/sender/torn_journal_test.go
+++ b/internal/sender/torn_journal_test.go
@@ -49,75 +49,107 @@
 	return h.acceptedAt <= cut && h.endedAt > cut, count(h.calls) > count(h.notRun), h.endedAt <= cut
 }
 
-// recordedDay runs a process that accepts messages of all classes and whose calls end in all ways. It returns the journal's
-// file, what was done, and the clock at the end.
-func recordedDay(t *testing.T) (file []byte, did map[choice.MessageID]*messageHistory, end time.Duration) {
+// dayRecorder is a process that notes what it does with each message.
+type dayRecorder struct {
+	*harness
+	t       *testing.T
+	path    string // of the journal's file
+	did     map[choice.MessageID]*messageHistory
+	clients []*client // one for each message, by number
+}
+
+func messageNo(no int) choice.MessageID { return choice.MessageID(fmt.Sprint("n", no)) }
+
+func startRecorder(t *testing.T) *dayRecorder {
+	t.Helper()
 	dir := t.TempDir()
-	r := startWith(twelveEndpointConfig(dir))
-	path := filepath.Join(dir, "notices.log")
-	size := func() int64 {
-		info, err := os.Stat(path)
-		if err != nil {
-			t.Fatal(err)
+	d := &dayRecorder{harness: startWith(twelveEndpointConfig(dir)), t: t, path: filepath.Join(dir, "notices.log"),
+		did: map[choice.MessageID]*messageHistory{}}
+	d.s.dial = func(c *call) {
+		d.s.recordAttempt(c) // its connection is up at once
+		d.s.commit()
+		d.calls = append(d.calls, c)
+		for _, n := range c.messages {
+			d.did[n.ID].calls = append(d.did[n.ID].calls, d.size())
 		}
-		return info.Size()
 	}
-	did = map[choice.MessageID]*messageHistory{}
-	r.s.dial = func(c *call) {
-		r.s.recordAttempt(c) // its connection is up at once
-		r.s.commit()
-		r.calls = append(r.calls, c)
-		for _, n := range c.messages {
-			did[n.ID].calls = append(did[n.ID].calls, size())
+	d.s.postToPlatform = func(string, []byte) (int, error) { return 204, nil }
+	return d
+}
+
+// size is the size of the journal's file.
+func (d *dayRecorder) size() int64 {
+	info, err := os.Stat(d.path)
+	if err != nil {
+		d.t.Fatal(err)
+	}
+	return info.Size()
+}
+
+// submitNo submits a message and ends the turn.
+func (d *dayRecorder) submitNo(no int) {
+	class, id := []string{"pure", "token", "single", "line"}[no%4], messageNo(no)
+	d.did[id] = &messageHistory{class: class, acceptedAt: never, endedAt: never}
+	c := newClient()
+	d.clients = append(d.clients, c)
+	d.handle(c, fmt.Sprintf("OUT.ADD %d %s c=%s,d=8000,dest=%d x", no%5, id, class, no%12))
+	d.clock += 5 * time.Millisecond
+	d.s.turn()
+	for d.s.posting {
+		(<-d.s.inbox)()
+	}
+	d.noteEnds()
+	for j, c := range d.clients {
+		if h := d.did[messageNo(j)]; h.acceptedAt == never && strings.Contains(string(c.output), "+OK") {
+			h.acceptedAt = d.size()
 		}
 	}
-	r.s.postToPlatform = func(string, []byte) (int, error) { return 204, nil }
-	ends := func() {
-		r.s.journal.Flush() // the records of ends, which a turn would write
-		for id, h := range did {
-			if r.s.pending[id] == nil && len(h.calls) > 0 && h.endedAt == never {
-				h.endedAt = size()
-			}
+}
+
+// noteEnds notes which messages have ended.
+func (d *dayRecorder) noteEnds() {
+	d.s.journal.Flush() // the records of ends, which a turn would write
+	for id, h := range d.did {
+		if d.s.pending[id] == nil && len(h.calls) > 0 && h.endedAt == never {
+			h.endedAt = d.size()
 		}
 	}
+}
+
+// answerLast ends the last call, if there is one in flight.
+func (d *dayRecorder) answerLast(text string) {
+	last := len(d.calls) - 1
+	if last < 0 || d.calls[last].done {
+		return
+	}
+	ids := d.calls[last].ids()
+	d.endpointAnswers(text)
+	d.noteEnds()
+	for _, id := range ids {
+		if text == answerFull || text == lastByteUnsent {
+			d.did[id].notRun = append(d.did[id].notRun, d.size())
+		}
+	}
+}
+
+// recordedDay runs a process that accepts messages of all classes and whose calls end in all ways. It returns the journal's
+// file, what was done, and the clock at the end.
+func recordedDay(t *testing.T) (file []byte, did map[choice.MessageID]*messageHistory, end time.Duration) {
+	t.Helper()
+	d := startRecorder(t)
 	const staysOut = "stays out"
 	answers := []string{answerOK, answerFull, answerError, "", lastByteUnsent, staysOut, answerOK}
-	var came []*client
-	for i := range 24 {
-		class := []string{"pure", "token", "single", "line"}[i%4]
-		id := choice.MessageID(fmt.Sprint("n", i))
-		did[id] = &messageHistory{class: class, acceptedAt: never, endedAt: never}
-		c := newClient()
-		came = append(came, c)
-		r.handle(c, fmt.Sprintf("OUT.ADD %d %s c=%s,d=8000,dest=%d x", i%5, id, class, i%12))
-		r.clock += 5 * time.Millisecond
-		r.s.turn()
-		for r.s.posting {
-			(<-r.s.inbox)()
-		}
-		ends()
-		for j, c := range came {
-			if h := did[choice.MessageID(fmt.Sprint("n", j))]; h.acceptedAt == never && strings.Contains(string(c.output), "+OK") {
-				h.acceptedAt = size()
-			}
-		}
-		text := answers[i%len(answers)]
-		if last := len(r.calls) - 1; last >= 0 && text != staysOut && !r.calls[last].done {
-			ids := r.calls[last].ids()
-			r.endpointAnswers(text)
-			ends()
-			for _, id := range ids {
-				if text == answerFull || text == lastByteUnsent {
-					did[id].notRun = append(did[id].notRun, size())
-				}
-			}
+	for no := range 24 {
+		d.submitNo(no)
+		if text := answers[no%len(answers)]; text != staysOut {
+			d.answerLast(text)
 		}
 	}
-	file, err := os.ReadFile(path)
+	file, err := os.ReadFile(d.path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return file, did, r.clock
+	return file, d.did, d.clock
 }
 
 // A process may be killed at any byte of its journal. Wherever that is, the next one starts, owes all that clients were
