--- a/internal/sender/admission.go
+++ b/internal/sender/admission.go
@@ -58,15 +58,15 @@
 
 // hasJournalCapacity reports whether the journal can hold one more message together with its later records. What was
 // admitted in the same turn counts: a burst beyond the limit could not be written at all, and no client would be answered.
-func (s *Sender) hasJournalCapacity(n *message) bool {
-	return s.liveBytes+s.reservedBytes+n.size+laterRecordBytes <= int64(maxLiveShare*float64(s.journal.Limit()))
+func (s *Sender) hasJournalCapacity(m *message) bool {
+	return s.liveBytes+s.reservedBytes+m.size+laterRecordBytes <= int64(maxLiveShare*float64(s.journal.Limit()))
 }
 
 // admit makes a message pending. Its client is answered at the end of the turn.
-func (s *Sender) admit(n *message) {
-	s.pending[n.ID] = n
-	s.admitted = append(s.admitted, n)
-	s.reservedBytes += n.size + laterRecordBytes
+func (s *Sender) admit(m *message) {
+	s.pending[m.ID] = m
+	s.admitted = append(s.admitted, m)
+	s.reservedBytes += m.size + laterRecordBytes
 }
 
 // commit writes the records of the turn, and reports whether answers, reports and calls may be sent.
@@ -82,12 +82,12 @@
 
 // recordAdmitted adds the records of the turn's messages, but for those that have ended already.
 func (s *Sender) recordAdmitted() {
-	for _, n := range s.admitted {
-		if n.reply != nil && !n.journaled {
-			n.journaled = true
-			s.journal.Add(n.acceptedRecord())
-			s.accepted = append(s.accepted, n)
-			s.liveBytes += n.size + laterRecordBytes
+	for _, m := range s.admitted {
+		if m.reply != nil && !m.journaled {
+			m.journaled = true
+			s.journal.Add(m.acceptedRecord())
+			s.accepted = append(s.accepted, m)
+			s.liveBytes += m.size + laterRecordBytes
 		}
 	}
 	s.reservedBytes = 0
@@ -108,18 +108,18 @@
 // recordAttempt adds a record that a call may have run, for each message where that matters.
 func (s *Sender) recordAttempt(c *call) {
 	c.recorded = true
-	for _, n := range c.messages {
-		if s.limitsRepeat(n) && !n.attemptOnRecord && n.inFlight == c {
-			n.attemptOnRecord = true
-			s.journal.Add(attemptRecord(n.ID, c.beganAt, c.endpoint.zone, c.endpoint.zoneName))
+	for _, m := range c.messages {
+		if s.limitsRepeat(m) && !m.attemptOnRecord && m.inFlight == c {
+			m.attemptOnRecord = true
+			s.journal.Add(attemptRecord(m.ID, c.beganAt, c.endpoint.zone, c.endpoint.zoneName))
 		}
 	}
 }
 
 // limitsRepeat reports whether an attempt forbids or limits another one, or holds up the next message of its key.
-func (s *Sender) limitsRepeat(n *message) bool {
-	class := &s.cfg.Settings.Classes[n.Class]
-	return class.Repeat != choice.Idempotent || class.ByArrival && n.Key != choice.NoKey
+func (s *Sender) limitsRepeat(m *message) bool {
+	class := &s.cfg.Settings.Classes[m.Class]
+	return class.Repeat != choice.Idempotent || class.ByArrival && m.Key != choice.NoKey
 }
 
 // writeJournal writes the added records, or the whole file anew where it has grown too large.
@@ -138,9 +138,9 @@
 // withoutEnded removes closed messages from a list, in place.
 func withoutEnded(order []*message) []*message {
 	open := order[:0]
-	for _, n := range order {
-		if n.ending.kind != endClosed {
-			open = append(open, n)
+	for _, m := range order {
+		if m.ending.kind != endClosed {
+			open = append(open, m)
 		}
 	}
 	clear(order[len(open):])
@@ -149,12 +149,12 @@
 
 // answerAdmitted answers the clients whose messages are on record now.
 func (s *Sender) answerAdmitted() {
-	for _, n := range s.admitted {
-		if n.reply != nil {
+	for _, m := range s.admitted {
+		if m.reply != nil {
 			s.counts.accepted++
-			s.countSubmission(n)
-			r := n.reply
-			n.reply = nil
+			s.countSubmission(m)
+			r := m.reply
+			m.reply = nil
 			s.setReply(r, resp.AppendSimple(nil, "OK"))
 		}
 	}
--- a/internal/sender/call.go
+++ b/internal/sender/call.go
@@ -64,25 +64,25 @@
 // reports whether any message is left to send.
 func (s *Sender) boundCall(c *call) bool {
 	longest := choice.Time(0)
-	for _, n := range slices.Clone(c.messages) {
-		left := s.timeLeft(n)
+	for _, m := range slices.Clone(c.messages) {
+		left := s.timeLeft(m)
 		longest = max(longest, left)
 		if left <= 0 {
-			s.cancelMessage(c, n)
+			s.cancelMessage(c, m)
 		}
 	}
 	c.timeout = min(c.timeout, longest)
-	for _, n := range c.messages {
-		if left := s.timeLeft(n); left < c.timeout {
-			c.timers = append(c.timers, s.after(time.Duration(config.Nanoseconds(left)), func() { s.cancelMessage(c, n) }))
+	for _, m := range c.messages {
+		if left := s.timeLeft(m); left < c.timeout {
+			c.timers = append(c.timers, s.after(time.Duration(config.Nanoseconds(left)), func() { s.cancelMessage(c, m) }))
 		}
 	}
 	return len(c.messages) > 0
 }
 
 // timeLeft is the time until a message's deadline, less the turn in which its end is handled.
-func (s *Sender) timeLeft(n *message) choice.Time {
-	return n.Deadline - s.Now() - s.cfg.Settings.Turn
+func (s *Sender) timeLeft(m *message) choice.Time {
+	return m.Deadline - s.Now() - s.cfg.Settings.Turn
 }
 
 // findLink sends a call on an idle link, or dials. Where this process can't open one more connection the call stays in
@@ -126,23 +126,23 @@
 
 // cancelMessage ends one message of a call whose time is over before that of the call. It is not sent any more where it
 // has not been; else it may have run, and what the answer still says of it comes too late.
-func (s *Sender) cancelMessage(c *call, n *message) {
-	if c.done || n.inFlight != c {
+func (s *Sender) cancelMessage(c *call, m *message) {
+	if c.done || m.inFlight != c {
 		return
 	}
 	s.eventsPending = true
-	o := choice.Outcome{Message: n.ID, Attempt: n.attempts - 1, Endpoint: c.endpoint.id, Took: s.Now() - c.beganAt, Result: choice.Cancelled}
+	o := choice.Outcome{Message: m.ID, Attempt: m.attempts - 1, Endpoint: c.endpoint.id, Took: s.Now() - c.beganAt, Result: choice.Cancelled}
 	if c.link == nil {
 		o.Result = choice.Moot
-		c.messages = slices.DeleteFunc(c.messages, func(other *message) bool { return other == n })
+		c.messages = slices.DeleteFunc(c.messages, func(other *message) bool { return other == m })
 	}
-	s.reportOutcome(c, n, o, nil)
+	s.reportOutcome(c, m, o, nil)
 }
 
 // ids are the messages that a call carries.
 func (c *call) ids() (all []choice.MessageID) {
-	for _, n := range c.messages {
-		all = append(all, n.ID)
+	for _, m := range c.messages {
+		all = append(all, m.ID)
 	}
 	return all
 }
--- a/internal/sender/call_ends_test.go
+++ b/internal/sender/call_ends_test.go
@@ -21,8 +21,8 @@
 	}
 	begins := func(text string, then func(*harness, *call, *net.TCPConn)) func(*testing.T, *harness, *call, *net.TCPConn) {
 		return func(t *testing.T, r *harness, c *call, peer *net.TCPConn) {
-			if n := c.messages[0]; len(n.body) == 3 {
-				readUntilSuffix(t, peer, string(n.body))
+			if m := c.messages[0]; len(m.body) == 3 {
+				readUntilSuffix(t, peer, string(m.body))
 			}
 			peer.Write([]byte(strings.ReplaceAll(text, "\n", "\r\n")))
 			r.runUntil(t, "the answer begins", func() bool { return c.link.answeringCall == c })
@@ -86,7 +86,7 @@
 				body = strings.Repeat("x", 60000)
 			}
 			r.submit("OUT.ADD 00 id c=order,d=20000,dest=1 " + body)
-			c, n := r.calls[0], r.s.pending["id"]
+			c, m := r.calls[0], r.s.pending["id"]
 			r.connectionUp(c, conn)
 			if row.narrow {
 				if _, err := peer.Read(make([]byte, 1)); err != nil {
@@ -95,10 +95,10 @@
 			}
 			row.does(t, r, c, peer)
 			r.runUntil(t, "the write ends", func() bool { return !c.link.writing })
-			if n.inFlight != nil && c.done {
+			if m.inFlight != nil && c.done {
 				r.advance(3 * abandonSettleTime) // it was given up
 			}
-			r.runUntil(t, "the call ends", func() bool { return n.inFlight == nil })
+			r.runUntil(t, "the call ends", func() bool { return m.inFlight == nil })
 			if row.narrow {
 				if s := readToEnd(peer); strings.Count(s, "x") >= len(body) {
 					t.Fatal("the row's last byte has left")
@@ -108,7 +108,7 @@
 				t.Errorf("outcomes %v, want one %s", r.s.counts.outcomes, resultNames[row.result])
 			}
 			tells := no
-			if n.MayRun {
+			if m.MayRun {
 				tells = may
 			} else if r.s.pending["id"] == nil {
 				tells = over
@@ -136,17 +136,17 @@
 		r.s.dial = r.s.dialEndpoint
 		sets(r)
 		r.submit("OUT.ADD 00 id c=order,d=20000,dest=1 x")
-		n := r.s.pending["id"]
-		r.runUntil(t, name, func() bool { return n.inFlight == nil })
-		if n.MayRun || r.s.counts.outcomes[choice.ConnectFailed] != 1 || r.s.openLinks != 0 {
-			t.Errorf("%s: may run %v, outcomes %v, open %d", name, n.MayRun, r.s.counts.outcomes, r.s.openLinks)
+		m := r.s.pending["id"]
+		r.runUntil(t, name, func() bool { return m.inFlight == nil })
+		if m.MayRun || r.s.counts.outcomes[choice.ConnectFailed] != 1 || r.s.openLinks != 0 {
+			t.Errorf("%s: may run %v, outcomes %v, open %d", name, m.MayRun, r.s.counts.outcomes, r.s.openLinks)
 		}
 	}
 	r := start(t.TempDir(), 100)
 	r.submit("OUT.ADD 00 id c=order,d=20000,dest=1 x")
 	r.s.expireCall(r.calls[0])
-	if n := r.s.pending["id"]; n.MayRun || n.inFlight != nil || r.s.counts.outcomes[choice.ConnectFailed] != 1 {
-		t.Errorf("never up: may run %v, out %v", n.MayRun, n.inFlight != nil)
+	if m := r.s.pending["id"]; m.MayRun || m.inFlight != nil || r.s.counts.outcomes[choice.ConnectFailed] != 1 {
+		t.Errorf("never up: may run %v, out %v", m.MayRun, m.inFlight != nil)
 	}
 }
 
--- a/internal/sender/classes_test.go
+++ b/internal/sender/classes_test.go
@@ -36,9 +36,9 @@
 	}
 	l = recordCalls(t, startAt(testConfigWith(dir, settings, strings.ReplaceAll(oneEndpointList, `"cell":1`, `"cell":7`)), l.clock))
 	for i, name := range names {
-		n := l.s.pending[choice.MessageID(fmt.Sprint("n", i))]
-		if n == nil || n.className != name || n.Class != choice.ClassNo(i) {
-			t.Errorf("class %q: %v", name, n)
+		m := l.s.pending[choice.MessageID(fmt.Sprint("n", i))]
+		if m == nil || m.className != name || m.Class != choice.ClassNo(i) {
+			t.Errorf("class %q: %v", name, m)
 		}
 	}
 	l.advanceAnswering(5*time.Millisecond, time.Hour)
--- a/internal/sender/clock_test.go
+++ b/internal/sender/clock_test.go
@@ -28,8 +28,8 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			dir := t.TempDir()
-			n := acceptedMessage("of", "0", "token", 1, clockAt(began), 8*second)
-			writeJournal(t, dir, n.acceptedRecord(), attemptRecord("of", clockAt(began), 0, "z"))
+			m := acceptedMessage("of", "0", "token", 1, clockAt(began), 8*second)
+			writeJournal(t, dir, m.acceptedRecord(), attemptRecord("of", clockAt(began), 0, "z"))
 			cfg := fourClassConfig(dir, 100)
 			if c.silent > 0 {
 				cfg.Known.Servers = nil
--- a/internal/sender/command.go
+++ b/internal/sender/command.go
@@ -41,24 +41,24 @@
 // addMessage admits a message, or answers why not. An admitted one is answered once its record is written.
 func (s *Sender) addMessage(r *reply, args [][]byte) {
 	s.counts.submitted++
-	n, err := s.parseMessage(args)
+	m, err := s.parseMessage(args)
 	if err != nil {
 		s.badCommand(r, err.Error())
 		return
 	}
-	if s.answerResubmission(r, n.ID) || !s.checkDestination(r, n.Destination) {
+	if s.answerResubmission(r, m.ID) || !s.checkDestination(r, m.Destination) {
 		return
 	}
-	if len(s.pending) >= s.cfg.Settings.MaxOpen || !s.hasJournalCapacity(n) || s.journalFailing || s.pastSendTime() {
+	if len(s.pending) >= s.cfg.Settings.MaxOpen || !s.hasJournalCapacity(m) || s.journalFailing || s.pastSendTime() {
 		s.answerBusy(r, s.longestReturnMS())
 		return
 	}
-	n.reply = r
-	s.log.Debug("accepted", zap.String("id", string(n.ID)), zap.String("workload", n.className),
-		zap.Int64("dest", int64(n.Destination)), zap.Int64("hard_stop_ms", int64((n.Deadline-s.Now())/choice.Millisecond)))
-	s.admit(n)
-	s.module.Taken(n.Message)
-	s.wakeDestination(n.Destination)
+	m.reply = r
+	s.log.Debug("accepted", zap.String("id", string(m.ID)), zap.String("workload", m.className),
+		zap.Int64("dest", int64(m.Destination)), zap.Int64("hard_stop_ms", int64((m.Deadline-s.Now())/choice.Millisecond)))
+	s.admit(m)
+	s.module.Taken(m.Message)
+	s.wakeDestination(m.Destination)
 }
 
 // answerResubmission answers a message that is pending or has ended, and reports whether it is one: a client that saw its
--- a/internal/sender/configure_bench_test.go
+++ b/internal/sender/configure_bench_test.go
@@ -31,12 +31,12 @@
 				r := startWith(loadedConfig(b, b.TempDir(), settings(nil), list))
 				r.s.maxLinks = 0 // no call leaves
 				for i := range open {
-					n, err := r.s.parseMessage(splitArgs(fmt.Sprintf("OUT.ADD 0 id%d c=status,d=6000,dest=%d x", i, i%destinations)))
+					m, err := r.s.parseMessage(splitArgs(fmt.Sprintf("OUT.ADD 0 id%d c=status,d=6000,dest=%d x", i, i%destinations)))
 					if err != nil {
 						b.Fatal(err)
 					}
-					r.s.admit(n)
-					r.s.module.Taken(n.Message)
+					r.s.admit(m)
+					r.s.module.Taken(m.Message)
 				}
 				b.ResetTimer()
 				for i := range b.N {
--- a/internal/sender/connecting_test.go
+++ b/internal/sender/connecting_test.go
@@ -40,8 +40,8 @@
 			t.Fatalf("taken on %d, dispatches %d", l.s.counts.accepted, l.s.counts.attempts)
 		}
 		sent := map[choice.MessageID]bool{}
-		for id, n := range l.s.pending {
-			sent[id] = n.inFlight != nil
+		for id, m := range l.s.pending {
+			sent[id] = m.inFlight != nil
 		}
 		again := recordCalls(t, startAt(fourClassConfig(dir, 100), l.clock+600*time.Millisecond))
 		again.advanceAnswering(9*time.Second, 20*time.Millisecond)
--- a/internal/sender/digest.go
+++ b/internal/sender/digest.go
@@ -53,8 +53,8 @@
 func (d *digestState) init(s *Sender) {
 	d.rows, d.submissions, d.listChanged = map[destinationZone]*together.Row{}, map[submitter]uint64{}, true
 	d.includeClasses(s.cfg.Settings.Classes)
-	for _, n := range s.pending {
-		d.includeMessage(n, s.Now())
+	for _, m := range s.pending {
+		d.includeMessage(m, s.Now())
 	}
 }
 
@@ -70,8 +70,8 @@
 }
 
 // includeMessage takes a message's deadline into account: clients may ask for more than their class's.
-func (d *digestState) includeMessage(n *message, now choice.Time) {
-	d.longestDeadline = max(d.longestDeadline, n.Deadline-cmp.Or(n.acceptedAt, now))
+func (d *digestState) includeMessage(m *message, now choice.Time) {
+	d.longestDeadline = max(d.longestDeadline, m.Deadline-cmp.Or(m.acceptedAt, now))
 }
 
 // countCall counts how a call ended, once however many messages it carried. A call that was not sent for a reason of this
@@ -125,16 +125,16 @@
 // countSubmission counts a message as its client is answered +OK, and so once: a rejected one was not counted before, and
 // one that is pending or has ended is not accepted again. Clients are told apart by their address without the port: all of
 // one machine, or behind one proxy, are one.
-func (s *Sender) countSubmission(n *message) {
+func (s *Sender) countSubmission(m *message) {
 	if s.cluster == nil {
 		return
 	}
-	s.includeMessage(n, n.acceptedAt)
-	host := n.reply.client.peer
+	s.includeMessage(m, m.acceptedAt)
+	host := m.reply.client.peer
 	if i := strings.LastIndexByte(host, ':'); i >= 0 {
 		host = host[:i]
 	}
-	from := submitter{n.Destination, host}
+	from := submitter{m.Destination, host}
 	if _, known := s.submissions[from]; !known && len(s.submissions) >= maxDigestCounts {
 		s.leftOut++
 		return
@@ -173,9 +173,9 @@
 // addWaiting counts the messages that wait: pending, with no call in flight.
 func (s *Sender) addWaiting() {
 	waiting := map[choice.DestinationID]int{}
-	for _, n := range s.pending {
-		if n.ending.kind == endNone && n.inFlight == nil {
-			waiting[n.Destination]++
+	for _, m := range s.pending {
+		if m.ending.kind == endNone && m.inFlight == nil {
+			waiting[m.Destination]++
 		}
 	}
 	for d, n := range waiting {
--- a/internal/sender/earlier_process_test.go
+++ b/internal/sender/earlier_process_test.go
@@ -41,9 +41,9 @@
 
 // acceptedMessage is what a process accepts at a time, for so long.
 func acceptedMessage(id, key, className string, dest choice.DestinationID, when, hold choice.Time) *message {
-	n := &message{key: key, className: className, acceptedAt: when, body: []byte("x")}
-	n.ID, n.Deadline, n.Destination = choice.MessageID(id), when+hold, dest
-	return n
+	m := &message{key: key, className: className, acceptedAt: when, body: []byte("x")}
+	m.ID, m.Deadline, m.Destination = choice.MessageID(id), when+hold, dest
+	return m
 }
 
 // writeJournal writes what an earlier process leaves behind.
@@ -80,8 +80,8 @@
 	l := &callRecorder{harness: r, calls: map[choice.MessageID]int{}, endings: map[string]string{}, endedAt: map[string]choice.Time{}}
 	r.s.dial = func(c *call) {
 		l.openCalls = append(l.openCalls, c)
-		for _, n := range c.messages {
-			l.calls[n.ID]++
+		for _, m := range c.messages {
+			l.calls[m.ID]++
 		}
 	}
 	r.s.postToPlatform = func(_ string, body []byte) (int, error) {
--- a/internal/sender/eviction.go
+++ b/internal/sender/eviction.go
@@ -69,8 +69,8 @@
 		h.Bytes += endpointBytesEstimate + e.linkCount*linkBytesEstimate
 		h.Pinned = h.Pinned || e.hasBusyLinks()
 	}
-	for _, n := range s.pending {
-		if h := by[n.Destination]; h != nil {
+	for _, m := range s.pending {
+		if h := by[m.Destination]; h != nil {
 			h.Pinned = true
 		}
 	}
@@ -86,8 +86,8 @@
 // evictDestinations evicts destinations, and returns those that stay.
 func (s *Sender) evictDestinations(all []choice.DestinationID) (retained []choice.DestinationID) {
 	open := map[choice.DestinationID]bool{} // with pending messages or busy links
-	for _, n := range s.pending {
-		open[n.Destination] = true
+	for _, m := range s.pending {
+		open[m.Destination] = true
 	}
 	endpoints := map[choice.DestinationID][]*endpoint{}
 	for _, e := range s.endpointsOf(inSet(all)) {
--- a/internal/sender/harness_test.go
+++ b/internal/sender/harness_test.go
@@ -180,8 +180,8 @@
 		if !c.done {
 			head, _ := r.s.request(c)
 			fmt.Printf("call %s: %s\n", c.endpoint.id, strings.Split(string(head), " HTTP")[0])
-			for _, n := range c.messages {
-				fmt.Println("  ", n.ID)
+			for _, m := range c.messages {
+				fmt.Println("  ", m.ID)
 			}
 		}
 	}
--- a/internal/sender/host.go
+++ b/internal/sender/host.go
@@ -31,7 +31,7 @@
 // Attempt adds a message to a call that begins at the end of this turn. Messages to one endpoint share a call, up to what
 // its kind takes.
 func (s *Sender) Attempt(id choice.MessageID, to choice.EndpointID, timeOut choice.Time) {
-	n, e := s.pending[id], s.endpoints[to]
+	m, e := s.pending[id], s.endpoints[to]
 	if e == nil { // dropped with its last link while choice still knew it; the call fails to connect
 		e = &endpoint{id: to, gone: true, bulkMax: 1}
 	}
@@ -43,12 +43,12 @@
 		}
 		s.starting = append(s.starting, c)
 	}
-	c.messages = append(c.messages, n)
+	c.messages = append(c.messages, m)
 	c.timeout = max(c.timeout, timeOut)
-	n.inFlight = c
-	n.attempts++
+	m.inFlight = c
+	m.attempts++
 	s.counts.attempts++
-	s.log.Debug("attempt", zap.String("id", string(id)), zap.String("to", string(to)), zap.Int("try", n.attempts),
+	s.log.Debug("attempt", zap.String("id", string(id)), zap.String("to", string(to)), zap.Int("try", m.attempts),
 		zap.Float64("within_ms", float64(timeOut)/float64(choice.Millisecond)))
 }
 
--- a/internal/sender/keys_test.go
+++ b/internal/sender/keys_test.go
@@ -28,9 +28,9 @@
 	check := func(r *harness) {
 		t.Helper()
 		for id, want := range map[string][3]any{"one": {"b8f3df7e144ea1f2", "right/2", 1}, "two": {"k-2", "left", 0}, "three": {"", "stranger", -1}} {
-			n := r.s.pending[choice.MessageID(id)]
-			if n == nil || n.idempotencyKey != want[0] || n.tenant != want[1] || int(n.Account) != want[2] {
-				t.Errorf("%s: %+v, want %v", id, n, want)
+			m := r.s.pending[choice.MessageID(id)]
+			if m == nil || m.idempotencyKey != want[0] || m.tenant != want[1] || int(m.Account) != want[2] {
+				t.Errorf("%s: %+v, want %v", id, m, want)
 			}
 		}
 	}
--- a/internal/sender/late_connection_test.go
+++ b/internal/sender/late_connection_test.go
@@ -37,7 +37,7 @@
 	for !c.done {
 		(<-r.s.inbox)()
 	}
-	if n := r.s.pending["id"]; n == nil || n.MayRun {
+	if m := r.s.pending["id"]; m == nil || m.MayRun {
 		t.Error("what never left is taken for one that may have run")
 	}
 }
--- a/internal/sender/links_test.go
+++ b/internal/sender/links_test.go
@@ -27,7 +27,7 @@
 		if text := readToEnd(peer); text != "" {
 			t.Errorf("over %v: the old address heard %q", over, text)
 		}
-		if n := r.s.pending["id"]; n == nil || n.MayRun {
+		if m := r.s.pending["id"]; m == nil || m.MayRun {
 			t.Error("what never left is taken for one that may have run")
 		}
 	}
@@ -77,8 +77,8 @@
 		if !c.done || c.link != nil || len(e.idle) != of.idle {
 			t.Errorf("%s: over %v, left %v, idle %d", of.name, c.done, c.link != nil, len(e.idle))
 		}
-		if n := r.s.pending["id"]; n != nil && (n.MayRun || n.inFlight != nil) {
-			t.Errorf("%s: may have run %v, out %v", of.name, n.MayRun, n.inFlight != nil)
+		if m := r.s.pending["id"]; m != nil && (m.MayRun || m.inFlight != nil) {
+			t.Errorf("%s: may have run %v, out %v", of.name, m.MayRun, m.inFlight != nil)
 		}
 		for _, l := range e.idle {
 			r.s.closeIdleLink(l, notNeeded)
--- a/internal/sender/message.go
+++ b/internal/sender/message.go
@@ -48,54 +48,54 @@
 }
 
 // closeMessage ends a message for which nothing more is to be done.
-func (s *Sender) closeMessage(n *message) {
-	if n.ending.kind == endClosed {
+func (s *Sender) closeMessage(m *message) {
+	if m.ending.kind == endClosed {
 		return
 	}
-	if n.ending.kind == endNone {
+	if m.ending.kind == endNone {
 		s.counts.delivered++
 	}
-	n.ending.kind = endClosed
-	delete(s.pending, n.ID)
-	if n.journaled {
-		s.rememberEnded(n.ID)
-		s.journal.Add(idRecord(recClosed, n.ID))
-		s.liveBytes -= n.size + laterRecordBytes
+	m.ending.kind = endClosed
+	delete(s.pending, m.ID)
+	if m.journaled {
+		s.rememberEnded(m.ID)
+		s.journal.Add(idRecord(recClosed, m.ID))
+		s.liveBytes -= m.size + laterRecordBytes
 	}
-	n.body = nil
+	m.body = nil
 }
 
 // endMessage ends a message undelivered. A client that still waits for its answer gets it now; else the end is recorded
 // and reported to the platform.
-func (s *Sender) endMessage(n *message, how ending) {
-	if n == nil || n.ending.kind != endNone {
+func (s *Sender) endMessage(m *message, how ending) {
+	if m == nil || m.ending.kind != endNone {
 		return
 	}
-	s.log.Debug("ends undelivered", zap.String("id", string(n.ID)), zap.Bool("handed_back", how.kind == endShed),
-		zap.Int64("retry_ms", how.retryMS), zap.Int("tries", n.attempts), zap.Bool("may_have_run", n.MayRun),
-		zap.Bool("client_waits", n.reply != nil))
-	s.countEnding(n, how)
-	n.ending = how
-	if n.reply == nil {
-		s.journal.Add(endRecord(n.ID, how))
-		s.endings = append(s.endings, n)
+	s.log.Debug("ends undelivered", zap.String("id", string(m.ID)), zap.Bool("handed_back", how.kind == endShed),
+		zap.Int64("retry_ms", how.retryMS), zap.Int("tries", m.attempts), zap.Bool("may_have_run", m.MayRun),
+		zap.Bool("client_waits", m.reply != nil))
+	s.countEnding(m, how)
+	m.ending = how
+	if m.reply == nil {
+		s.journal.Add(endRecord(m.ID, how))
+		s.endings = append(s.endings, m)
 		return
 	}
-	r := n.reply
-	n.reply = nil
+	r := m.reply
+	m.reply = nil
 	if how.kind == endShed {
 		s.answerBusy(r, how.retryMS)
 	} else {
 		s.setReply(r, []byte("-ERR given up\r\n"))
 	}
-	s.closeMessage(n)
+	s.closeMessage(m)
 }
 
-func (s *Sender) countEnding(n *message, how ending) {
+func (s *Sender) countEnding(m *message, how ending) {
 	switch {
 	case how.kind == endShed:
 		s.counts.shed++
-	case n.withdrawn:
+	case m.withdrawn:
 		s.counts.withdrawn++
 	default:
 		s.counts.failed++
--- a/internal/sender/message_parse.go
+++ b/internal/sender/message_parse.go
@@ -30,42 +30,42 @@
 	if len(args) != 5 {
 		return nil, fmt.Errorf("OUT.ADD takes a key, an id, a list and a body, not %d arguments", len(args)-1)
 	}
-	n := &message{key: string(args[1]), body: args[4]}
-	n.ID, n.Key = choice.MessageID(args[2]), orderKey(n.key)
+	m := &message{key: string(args[1]), body: args[4]}
+	m.ID, m.Key = choice.MessageID(args[2]), orderKey(m.key)
 	if !isVisible(args[1]) || !isVisible(args[2]) {
 		return nil, errors.New("key and id: up to 128 visible characters each")
 	}
-	f := n.parseFields(string(args[3]))
-	class, known := s.cfg.ClassNumbers[n.className]
+	f := m.parseFields(string(args[3]))
+	class, known := s.cfg.ClassNumbers[m.className]
 	switch {
 	case !known:
-		return nil, fmt.Errorf("c: no class %q", n.className)
+		return nil, fmt.Errorf("c: no class %q", m.className)
 	case f.holdMS <= 0 || f.holdMS > maxHoldMS:
 		return nil, errors.New("d: milliseconds, above 0 and within a day")
-	case n.idempotencyKey != "" && !isVisible([]byte(n.idempotencyKey)):
+	case m.idempotencyKey != "" && !isVisible([]byte(m.idempotencyKey)):
 		return nil, errors.New("k: up to 128 visible characters")
 	case f.destination < 0 || f.destination > maxDestination || f.destination != float64(int64(f.destination)):
 		return nil, errors.New("dest: a whole number")
 	}
-	n.Class, n.Destination, n.Account = class, choice.DestinationID(f.destination), s.account(n.tenant)
-	n.acceptedAt = s.Now()
-	n.Deadline = n.acceptedAt + choice.Time(f.holdMS*float64(choice.Millisecond))
-	n.size = journal.Framed(len(n.acceptedRecord()))
-	return n, nil
+	m.Class, m.Destination, m.Account = class, choice.DestinationID(f.destination), s.account(m.tenant)
+	m.acceptedAt = s.Now()
+	m.Deadline = m.acceptedAt + choice.Time(f.holdMS*float64(choice.Millisecond))
+	m.size = journal.Framed(len(m.acceptedRecord()))
+	return m, nil
 }
 
 // parseFields reads name=value pairs, separated by commas. Names that are not known are passed over, and numbers that
 // are missing are -1.
-func (n *message) parseFields(list string) messageFields {
+func (m *message) parseFields(list string) messageFields {
 	f := messageFields{holdMS: -1, destination: -1}
 	for pair := range strings.SplitSeq(list, ",") {
 		switch name, value, _ := strings.Cut(pair, "="); name {
 		case "c":
-			n.className = value
+			m.className = value
 		case "k":
-			n.idempotencyKey = value
+			m.idempotencyKey = value
 		case "t":
-			n.tenant = value
+			m.tenant = value
 		case "d":
 			f.holdMS = parseDecimal(value)
 		case "dest":
--- a/internal/sender/move_test.go
+++ b/internal/sender/move_test.go
@@ -86,8 +86,8 @@
 	r.s.journal.Add(old[:len(old)-1])
 	r.s.journal.Flush()
 	startWith(testConfigWith(dir, two, oldList))
-	n := startWith(testConfigWith(dir, newSettings, newList)).s.pending["of"]
-	fmt.Println("may have run:", n.MayRun, "in", n.ranInZoneName, "which is", n.RanIn)
+	m := startWith(testConfigWith(dir, newSettings, newList)).s.pending["of"]
+	fmt.Println("may have run:", m.MayRun, "in", m.ranInZoneName, "which is", m.RanIn)
 	os.RemoveAll(dir)
 	// Output:
 	// call a: POST /inbox
--- a/internal/sender/outcome_reporter.go
+++ b/internal/sender/outcome_reporter.go
@@ -42,8 +42,8 @@
 		batch = batch[:1]
 	}
 	var body []byte
-	for _, n := range batch {
-		body = append(body, n.ending.line(n.ID)...)
+	for _, m := range batch {
+		body = append(body, m.ending.line(m.ID)...)
 	}
 	s.posting = true
 	count, addr := len(batch), s.discovery
@@ -74,8 +74,8 @@
 func (s *Sender) onPosted(count, status int, err error) {
 	batch := s.endings[:count]
 	if err == nil && status == http.StatusNoContent {
-		for _, n := range batch {
-			s.closeMessage(n)
+		for _, m := range batch {
+			s.closeMessage(m)
 		}
 		s.counts.endingsPosted += int64(count)
 		s.endings = append([]*message(nil), s.endings[count:]...)
--- a/internal/sender/outcome_reporter_test.go
+++ b/internal/sender/outcome_reporter_test.go
@@ -63,9 +63,9 @@
 	now := config.Down(time.Now().UnixNano())
 	var records [][]byte
 	for i := range each {
-		n := acceptedMessage(fmt.Sprint("ended", i), "0", "single", 1, now-second, 8*second)
-		n.ending = ending{kind: []endKind{endFailed, endShed}[i%2], retryMS: 50}
-		records = append(records, n.acceptedRecord(), endRecord(n.ID, n.ending))
+		m := acceptedMessage(fmt.Sprint("ended", i), "0", "single", 1, now-second, 8*second)
+		m.ending = ending{kind: []endKind{endFailed, endShed}[i%2], retryMS: 50}
+		records = append(records, m.acceptedRecord(), endRecord(m.ID, m.ending))
 		records = append(records, acceptedMessage(fmt.Sprint("late", i), "0", "pure", 1, now-9*second, 8*second).acceptedRecord())
 		out := acceptedMessage(fmt.Sprint("out", i), "0", "single", 1, now-second, 8*second)
 		records = append(records, out.acceptedRecord(), attemptRecord(out.ID, now-second, 0, "z"))
--- a/internal/sender/outcomes.go
+++ b/internal/sender/outcomes.go
@@ -62,20 +62,20 @@
 	}
 	s.countCall(c, a)
 	took := s.Now() - c.beganAt
-	for _, n := range c.messages {
-		if n.inFlight == c { // else it was cancelled before
-			s.reportOutcome(c, n, c.outcome(n, a, took), a.report)
+	for _, m := range c.messages {
+		if m.inFlight == c { // else it was cancelled before
+			s.reportOutcome(c, m, c.outcome(m, a, took), a.report)
 		}
 	}
 }
 
 // outcome is what the answer to a call says of one of its messages.
-func (c *call) outcome(n *message, a answer, took choice.Time) choice.Outcome {
-	o := choice.Outcome{Message: n.ID, Attempt: n.attempts - 1, Endpoint: c.endpoint.id, Took: took, Result: a.result,
+func (c *call) outcome(m *message, a answer, took choice.Time) choice.Outcome {
+	o := choice.Outcome{Message: m.ID, Attempt: m.attempts - 1, Endpoint: c.endpoint.id, Took: took, Result: a.result,
 		Final: a.final, Wait: a.wait, NoSlot: a.noSlot, Report: a.loadReport(), Kept: c.reused, Closed: a.close}
 	if len(c.messages) > 1 && a.result == choice.Done {
 		o.Result, o.Final = choice.Spoilt, false // unless the answer has its state
-		if status, known := bulkStates[a.states[n.ID]]; known {
+		if status, known := bulkStates[a.states[m.ID]]; known {
 			o.Result, o.Final = resultOf(status)
 		}
 	}
@@ -86,34 +86,34 @@
 }
 
 // reportOutcome reports the outcome of an attempt to package choice, and ends the message where nothing more is to be done.
-func (s *Sender) reportOutcome(c *call, n *message, o choice.Outcome, report []float64) {
-	n.inFlight = nil
-	s.log.Debug("outcome", zap.String("id", string(n.ID)), zap.String("to", string(c.endpoint.id)),
+func (s *Sender) reportOutcome(c *call, m *message, o choice.Outcome, report []float64) {
+	m.inFlight = nil
+	s.log.Debug("outcome", zap.String("id", string(m.ID)), zap.String("to", string(c.endpoint.id)),
 		zap.String("result", resultNames[o.Result]), zap.Float64("took_ms", float64(o.Took)/float64(choice.Millisecond)),
 		zap.Float64("wait_ms", float64(o.Wait)/float64(choice.Millisecond)), zap.Float64s("report", report))
-	mayRunBefore := n.MayRun
-	s.recordOutcome(n, c, o)
+	mayRunBefore := m.MayRun
+	s.recordOutcome(m, c, o)
 	s.module.Ended(o)
-	if n.withdrawn {
-		s.endWithdrawn(n, withdrawal.Ends(o, mayRunBefore))
+	if m.withdrawn {
+		s.endWithdrawn(m, withdrawal.Ends(o, mayRunBefore))
 	} else if o.Final {
-		s.closeMessage(n)
+		s.closeMessage(m)
 	}
 }
 
 // recordOutcome notes whether an attempt may have run, and records it where an earlier record says that it may have and
 // it has not.
-func (s *Sender) recordOutcome(n *message, c *call, o choice.Outcome) {
+func (s *Sender) recordOutcome(m *message, c *call, o choice.Outcome) {
 	s.counts.outcomes[o.Result]++
 	switch o.Result {
 	case choice.Errored, choice.TimedOut, choice.Reset, choice.Cancelled, choice.Spoilt:
-		if !n.MayRun {
-			n.MayRun, n.RanAt, n.RanIn, n.ranInZoneName = true, c.beganAt, c.endpoint.zone, c.endpoint.zoneName
+		if !m.MayRun {
+			m.MayRun, m.RanAt, m.RanIn, m.ranInZoneName = true, c.beganAt, c.endpoint.zone, c.endpoint.zoneName
 		}
 	default:
-		if n.attemptOnRecord && !n.MayRun && !o.Final {
-			n.attemptOnRecord = false
-			s.journal.Add(idRecord(recNotRun, n.ID))
+		if m.attemptOnRecord && !m.MayRun && !o.Final {
+			m.attemptOnRecord = false
+			s.journal.Add(idRecord(recNotRun, m.ID))
 		}
 	}
 }
--- a/internal/sender/outcomes_test.go
+++ b/internal/sender/outcomes_test.go
@@ -72,9 +72,9 @@
 		c.window <- struct{}{}
 		r.s.handleCommand(c, [][]byte{[]byte("OUT.ADD"), []byte("0"), []byte("id"), []byte("c=order,d=20000,dest=1"), nil})
 		r.s.turn()
-		n := r.s.pending["id"]
+		m := r.s.pending["id"]
 		r.endpointAnswers(text)
-		fmt.Printf("%-20.20q may have run: %-5v owed: %v\n", text, n.MayRun, r.s.pending["id"] != nil && n.ending.kind == endNone)
+		fmt.Printf("%-20.20q may have run: %-5v owed: %v\n", text, m.MayRun, r.s.pending["id"] != nil && m.ending.kind == endNone)
 		os.RemoveAll(r.dir)
 	}
 	// Output:
@@ -122,8 +122,8 @@
 		r.s.turn()
 		r.endpointAnswers(text)
 		for _, n := range []choice.MessageID{"s1", "s2"} {
-			if n := r.s.pending[n]; n != nil && n.inFlight != nil {
-				t.Fatalf("%s: still out", n.ID)
+			if m := r.s.pending[n]; m != nil && m.inFlight != nil {
+				t.Fatalf("%s: still out", m.ID)
 			}
 		}
 	})
--- a/internal/sender/purge.go
+++ b/internal/sender/purge.go
@@ -93,15 +93,15 @@
 // returns the work so far, including what was done before.
 func (s *Sender) applySome(o *purgeOrder, work int) (int, error) {
 	for records := 0; !o.complete() && work < purgeWorkPerTurn && records < purgesPerTurn; records++ {
-		w := &o.all[len(o.found)]
-		f, err := s.applyOnce(w)
+		order := &o.all[len(o.found)]
+		f, err := s.applyOnce(order)
 		if err != nil {
-			s.log.Error("purge not applied yet", zap.Uint64("seq", w.Seq), zap.Error(err))
+			s.log.Error("purge not applied yet", zap.Uint64("seq", order.Seq), zap.Error(err))
 			return work, err
 		}
 		o.found = append(o.found, f)
 		work += 1 + len(s.accepted) + len(s.admitted)
-		if w.Learnt {
+		if order.Learnt {
 			work += learnedPurgeWork
 		}
 	}
@@ -109,20 +109,20 @@
 }
 
 // applyOnce applies a purge, unless that was done: then it is answered as it was.
-func (s *Sender) applyOnce(w *withdrawal.Order) (f together.Found, err error) {
-	if w.Seq <= s.seq {
-		if i := slices.IndexFunc(s.past, func(p appliedPurge) bool { return p.seq == w.Seq }); i >= 0 {
+func (s *Sender) applyOnce(order *withdrawal.Order) (f together.Found, err error) {
+	if order.Seq <= s.seq {
+		if i := slices.IndexFunc(s.past, func(p appliedPurge) bool { return p.seq == order.Seq }); i >= 0 {
 			f = s.past[i].found
 		}
 		return f, nil
 	}
-	if w.Learnt {
-		if f.Learnt, err = s.purgeLearned(w); err != nil {
+	if order.Learnt {
+		if f.Learnt, err = s.purgeLearned(order); err != nil {
 			return f, err
 		}
 	}
-	s.withdrawMatching(w, &f)
-	done := appliedPurge{w.Seq, f}
+	s.withdrawMatching(order, &f)
+	done := appliedPurge{order.Seq, f}
 	s.rememberPurge(done)
 	s.journal.Add(done.record())
 	s.counts.purges++
@@ -130,19 +130,19 @@
 	if f != (together.Found{}) {
 		level = zap.InfoLevel
 	}
-	s.log.Log(level, "purge", zap.Uint64("seq", w.Seq), zap.String("id", w.ID), zap.Bool("learnt", w.Learnt),
+	s.log.Log(level, "purge", zap.Uint64("seq", order.Seq), zap.String("id", order.ID), zap.Bool("learnt", order.Learnt),
 		zap.Any("found", f))
 	return f, nil
 }
 
 // withdrawMatching withdraws the messages that a purge matches, in the order they were accepted.
-func (s *Sender) withdrawMatching(w *withdrawal.Order, found *together.Found) {
+func (s *Sender) withdrawMatching(order *withdrawal.Order, found *together.Found) {
 	for _, list := range [][]*message{s.accepted, s.admitted} {
-		for _, n := range list {
-			if w.Takes(n.Destination, n.className, n.key, n.acceptedAt) {
-				fate := n.withdrawalState().Fate()
+		for _, m := range list {
+			if order.Takes(m.Destination, m.className, m.key, m.acceptedAt) {
+				fate := m.withdrawalState().Fate()
 				fate.Add(found)
-				s.withdraw(n, fate)
+				s.withdraw(m, fate)
 			}
 		}
 	}
@@ -150,49 +150,49 @@
 
 // withdrawalState is the state of a message as a purge meets it. A closed one stays in admission.accepted for a while, and
 // counts as Ended however it ended.
-func (n *message) withdrawalState() withdrawal.State {
+func (m *message) withdrawalState() withdrawal.State {
 	switch {
-	case n.withdrawn:
+	case m.withdrawn:
 		return withdrawal.Withdrawn
-	case n.ending.kind != endNone && !n.journaled:
+	case m.ending.kind != endNone && !m.journaled:
 		return withdrawal.Refused
-	case n.ending.kind != endNone:
+	case m.ending.kind != endNone:
 		return withdrawal.Ended
-	case n.inFlight != nil && n.inFlight.link != nil:
+	case m.inFlight != nil && m.inFlight.link != nil:
 		return withdrawal.Out
-	case n.MayRun:
+	case m.MayRun:
 		return withdrawal.MayRun
 	}
 	return withdrawal.Waiting
 }
 
 // withdraw ends a message, or makes sure that it ends with the call that is in flight.
-func (s *Sender) withdraw(n *message, fate withdrawal.Fate) {
+func (s *Sender) withdraw(m *message, fate withdrawal.Fate) {
 	if fate == withdrawal.Untouched || fate == withdrawal.Report {
 		return
 	}
-	n.withdrawn = true
-	s.module.Withdrawn(n.ID)
+	m.withdrawn = true
+	s.module.Withdrawn(m.ID)
 	if fate == withdrawal.Hold {
 		s.counts.withdrawnInFlight++
-		s.journal.Add(endRecord(n.ID, ending{kind: endFailed}))
+		s.journal.Add(endRecord(m.ID, ending{kind: endFailed}))
 		return
 	}
-	if c := n.inFlight; c != nil { // it waits for its connection: nothing was sent
-		s.cancelMessage(c, n)
+	if c := m.inFlight; c != nil { // it waits for its connection: nothing was sent
+		s.cancelMessage(c, m)
 		s.endIfEmpty(c)
 	}
-	s.endMessage(n, ending{kind: endFailed})
+	s.endMessage(m, ending{kind: endFailed})
 }
 
 // endWithdrawn ends a withdrawn message whose call has ended.
-func (s *Sender) endWithdrawn(n *message, how withdrawal.Back) {
+func (s *Sender) endWithdrawn(m *message, how withdrawal.Back) {
 	if how == withdrawal.AsAnswered {
-		s.closeMessage(n)
+		s.closeMessage(m)
 		return
 	}
-	s.log.Debug("withdrawn while in flight", zap.String("id", string(n.ID)), zap.Bool("may_have_run", how == withdrawal.AsMayRun))
-	s.endMessage(n, ending{kind: endFailed})
+	s.log.Debug("withdrawn while in flight", zap.String("id", string(m.ID)), zap.Bool("may_have_run", how == withdrawal.AsMayRun))
+	s.endMessage(m, ending{kind: endFailed})
 }
 
 // endIfEmpty ends a call that waits for its connection when it carries no message any more. One that has no timers has not
--- a/internal/sender/ready_test.go
+++ b/internal/sender/ready_test.go
@@ -31,17 +31,17 @@
 	text := []byte(strings.Repeat("x", body))
 	share := func(part float64) int64 { return int64(part * float64(limit)) }
 	for i := 0; j.Size() < share(rewriteThreshold-maxLiveShare); i++ {
-		n := make(-1 - i)
-		n.body = text
-		j.Add(n.acceptedRecord())
-		j.Add(idRecord(recClosed, n.ID))
+		m := make(-1 - i)
+		m.body = text
+		j.Add(m.acceptedRecord())
+		j.Add(idRecord(recClosed, m.ID))
 	}
 	for live := int64(0); live < share(maxLiveShare) && j.Size() < share(rewriteThreshold); owed++ {
-		n := make(owed)
-		n.body = text
-		j.Add(n.acceptedRecord())
-		if live += journal.Framed(len(n.acceptedRecord())) + laterRecordBytes; out {
-			j.Add(attemptRecord(n.ID, n.acceptedAt, 0, "z"))
+		m := make(owed)
+		m.body = text
+		j.Add(m.acceptedRecord())
+		if live += journal.Framed(len(m.acceptedRecord())) + laterRecordBytes; out {
+			j.Add(attemptRecord(m.ID, m.acceptedAt, 0, "z"))
 		}
 	}
 	if err := j.Close(); err != nil {
--- a/internal/sender/records.go
+++ b/internal/sender/records.go
@@ -26,22 +26,22 @@
 // idRecord is a record of nothing but an id, or the begin of a longer one.
 func idRecord(kind byte, id choice.MessageID) []byte { return appendString([]byte{kind}, string(id)) }
 
-func (n *message) acceptedRecord() []byte {
-	out := idRecord(recAccepted, n.ID)
-	out = appendString(out, n.key)
-	out = appendString(out, n.className)
-	out = binary.AppendVarint(out, int64(n.Deadline))
-	out = binary.AppendVarint(out, int64(n.Destination))
-	out = appendString(out, string(n.body))
-	if n.acceptedAt == 0 {
+func (m *message) acceptedRecord() []byte {
+	out := idRecord(recAccepted, m.ID)
+	out = appendString(out, m.key)
+	out = appendString(out, m.className)
+	out = binary.AppendVarint(out, int64(m.Deadline))
+	out = binary.AppendVarint(out, int64(m.Destination))
+	out = appendString(out, string(m.body))
+	if m.acceptedAt == 0 {
 		return out // as records of the oldest versions
 	}
-	out = binary.AppendVarint(out, int64(n.Deadline-n.acceptedAt))
-	if n.idempotencyKey == "" && n.tenant == "" {
+	out = binary.AppendVarint(out, int64(m.Deadline-m.acceptedAt))
+	if m.idempotencyKey == "" && m.tenant == "" {
 		return out
 	}
-	out = appendString(out, n.idempotencyKey) // older versions ignore what follows
-	return appendString(out, n.tenant)
+	out = appendString(out, m.idempotencyKey) // older versions ignore what follows
+	return appendString(out, m.tenant)
 }
 
 func attemptRecord(id choice.MessageID, at choice.Time, zone choice.ZoneNo, name string) []byte {
@@ -59,8 +59,8 @@
 
 // records are all that a rewriting keeps.
 func (s *Sender) records(add func([]byte)) {
-	for _, n := range s.accepted {
-		n.records(add)
+	for _, m := range s.accepted {
+		m.records(add)
 	}
 	for _, p := range s.past {
 		add(p.record())
@@ -68,17 +68,17 @@
 }
 
 // records are all that a rewriting keeps of a message.
-func (n *message) records(add func([]byte)) {
-	add(n.acceptedRecord())
-	if n.attemptOnRecord && n.MayRun {
-		add(attemptRecord(n.ID, n.RanAt, n.RanIn, n.ranInZoneName))
-	} else if n.attemptOnRecord && n.inFlight != nil {
-		add(attemptRecord(n.ID, n.inFlight.beganAt, n.inFlight.endpoint.zone, n.inFlight.endpoint.zoneName))
+func (m *message) records(add func([]byte)) {
+	add(m.acceptedRecord())
+	if m.attemptOnRecord && m.MayRun {
+		add(attemptRecord(m.ID, m.RanAt, m.RanIn, m.ranInZoneName))
+	} else if m.attemptOnRecord && m.inFlight != nil {
+		add(attemptRecord(m.ID, m.inFlight.beganAt, m.inFlight.endpoint.zone, m.inFlight.endpoint.zoneName))
 	}
-	if n.ending.kind != endNone {
-		add(endRecord(n.ID, n.ending))
-	} else if n.withdrawn {
-		add(endRecord(n.ID, ending{kind: endFailed}))
+	if m.ending.kind != endNone {
+		add(endRecord(m.ID, m.ending))
+	} else if m.withdrawn {
+		add(endRecord(m.ID, ending{kind: endFailed}))
 	}
 }
 
--- a/internal/sender/replay.go
+++ b/internal/sender/replay.go
@@ -48,21 +48,21 @@
 // does, so that going on would lose it.
 func (s *Sender) sortReplayed() (unfinished []*message, err error) {
 	unknownClasses := map[string]int{}
-	for _, n := range s.accepted {
-		s.liveBytes += n.size + laterRecordBytes
-		if n.ending.kind != endNone {
-			s.endings = append(s.endings, n)
+	for _, m := range s.accepted {
+		s.liveBytes += m.size + laterRecordBytes
+		if m.ending.kind != endNone {
+			s.endings = append(s.endings, m)
 			continue
 		}
-		if _, known := s.cfg.ClassNumbers[n.className]; !known {
-			unknownClasses[n.className]++
+		if _, known := s.cfg.ClassNumbers[m.className]; !known {
+			unknownClasses[m.className]++
 			continue
 		}
-		n.Span = s.cfg.Settings.Classes[n.Class].Deadline
-		if n.acceptedAt != 0 {
-			n.Span = max(1, n.Deadline-n.acceptedAt)
+		m.Span = s.cfg.Settings.Classes[m.Class].Deadline
+		if m.acceptedAt != 0 {
+			m.Span = max(1, m.Deadline-m.acceptedAt)
 		}
-		unfinished = append(unfinished, n)
+		unfinished = append(unfinished, m)
 	}
 	for _, className := range slices.Sorted(maps.Keys(unknownClasses)) {
 		return nil, fmt.Errorf("field state: %s owes %d notices of workload %q, which field settings.classes does not name; "+
@@ -73,9 +73,9 @@
 
 // recordZoneNames writes the names of zones to the journal that older records have by number alone.
 func (s *Sender) recordZoneNames() {
-	for _, n := range s.zoneUnnamed {
-		if n.MayRun && s.pending[n.ID] == n {
-			s.journal.Add(attemptRecord(n.ID, n.RanAt, n.RanIn, n.ranInZoneName))
+	for _, m := range s.zoneUnnamed {
+		if m.MayRun && s.pending[m.ID] == m {
+			s.journal.Add(attemptRecord(m.ID, m.RanAt, m.RanIn, m.ranInZoneName))
 		}
 	}
 	s.zoneUnnamed = nil
@@ -93,11 +93,11 @@
 		}
 	default:
 		id := choice.MessageID(r.readString())
-		n := s.pending[id]
-		if kind == recAccepted && n == nil {
+		m := s.pending[id]
+		if kind == recAccepted && m == nil {
 			s.replayAccepted(id, &r, len(record))
-		} else if n != nil && !r.invalid {
-			s.replayLater(kind, n, &r)
+		} else if m != nil && !r.invalid {
+			s.replayLater(kind, m, &r)
 		}
 	}
 }
@@ -111,75 +111,75 @@
 
 // replayAccepted makes a message pending again.
 func (s *Sender) replayAccepted(id choice.MessageID, r *recordReader, bytes int) {
-	n := &message{journaled: true, size: journal.Framed(bytes)}
-	n.ID, n.key, n.className = id, r.readString(), r.readString()
-	n.Deadline, n.Destination = choice.Time(r.readNumber()), choice.DestinationID(r.readNumber())
-	n.body = []byte(r.readString())
+	m := &message{journaled: true, size: journal.Framed(bytes)}
+	m.ID, m.key, m.className = id, r.readString(), r.readString()
+	m.Deadline, m.Destination = choice.Time(r.readNumber()), choice.DestinationID(r.readNumber())
+	m.body = []byte(r.readString())
 	if !r.invalid && len(r.rest) > 0 { // the oldest records end here
-		n.acceptedAt = n.Deadline - choice.Time(r.readNumber())
+		m.acceptedAt = m.Deadline - choice.Time(r.readNumber())
 		if len(r.rest) > 0 { // those of messages without key and tenant here
-			n.idempotencyKey, n.tenant = r.readString(), r.readString()
+			m.idempotencyKey, m.tenant = r.readString(), r.readString()
 		}
 	}
 	if r.invalid {
-		s.log.Warn("journal: a message cannot be read", zap.String("id", string(id)), zap.String("workload", n.className))
+		s.log.Warn("journal: a message cannot be read", zap.String("id", string(id)), zap.String("workload", m.className))
 		return
 	}
-	n.Class = s.cfg.ClassNumbers[n.className] // sortReplayed looks for unknown ones
-	n.Key, n.Account = orderKey(n.key), s.account(n.tenant)
-	s.latestRecorded = max(s.latestRecorded, n.acceptedAt)
-	s.pending[id] = n
-	s.accepted = append(s.accepted, n)
+	m.Class = s.cfg.ClassNumbers[m.className] // sortReplayed looks for unknown ones
+	m.Key, m.Account = orderKey(m.key), s.account(m.tenant)
+	s.latestRecorded = max(s.latestRecorded, m.acceptedAt)
+	s.pending[id] = m
+	s.accepted = append(s.accepted, m)
 }
 
 // replayLater applies a later record of a message.
-func (s *Sender) replayLater(kind byte, n *message, r *recordReader) {
+func (s *Sender) replayLater(kind byte, m *message, r *recordReader) {
 	switch kind {
 	case recAttempt:
-		s.replayAttempt(n, r)
+		s.replayAttempt(m, r)
 	case recNotRun:
-		n.attemptOnRecord, n.MayRun = false, false
+		m.attemptOnRecord, m.MayRun = false, false
 	case recEnding:
 		if len(r.rest) > 0 {
 			kind := endKind(r.rest[0])
 			r.rest = r.rest[1:]
-			n.ending = ending{kind: kind, retryMS: r.readNumber()}
+			m.ending = ending{kind: kind, retryMS: r.readNumber()}
 		}
 	case recClosed:
-		n.ending.kind = endClosed
-		delete(s.pending, n.ID)
-		s.rememberEnded(n.ID)
+		m.ending.kind = endClosed
+		delete(s.pending, m.ID)
+		s.rememberEnded(m.ID)
 	}
 }
 
-func (s *Sender) replayAttempt(n *message, r *recordReader) {
-	n.attemptOnRecord, n.MayRun = true, true
-	n.RanAt, n.RanIn = choice.Time(r.readNumber()), choice.ZoneNo(r.readNumber())
-	s.latestRecorded = max(s.latestRecorded, n.RanAt)
+func (s *Sender) replayAttempt(m *message, r *recordReader) {
+	m.attemptOnRecord, m.MayRun = true, true
+	m.RanAt, m.RanIn = choice.Time(r.readNumber()), choice.ZoneNo(r.readNumber())
+	s.latestRecorded = max(s.latestRecorded, m.RanAt)
 	if len(r.rest) > 0 {
-		n.ranInZoneName = r.readString()
-		n.RanIn = s.numbering.Zone(n.ranInZoneName)
+		m.ranInZoneName = r.readString()
+		m.RanIn = s.numbering.Zone(m.ranInZoneName)
 		return
 	}
 	// The record is older than names in records, so that its number is that of the present settings.
 	for name, no := range s.cfg.Zones {
-		if no == n.RanIn {
-			n.ranInZoneName = name
+		if no == m.RanIn {
+			m.ranInZoneName = name
 		}
 	}
-	s.zoneUnnamed = append(s.zoneUnnamed, n)
+	s.zoneUnnamed = append(s.zoneUnnamed, m)
 }
 
 // shiftBack makes all that was read so far count by a wall clock that was put back by so much, at least: a record has a
 // later time than now. No message gets more time than it was accepted with, and none counts as accepted later than now.
 // How long ago an attempt began is not known any more, so the window for its repeats counts as over.
 func (s *Sender) shiftBack(back choice.Time) {
-	for _, n := range s.accepted {
-		n.Deadline -= back
-		if n.acceptedAt != 0 {
-			n.acceptedAt -= back
+	for _, m := range s.accepted {
+		m.Deadline -= back
+		if m.acceptedAt != 0 {
+			m.acceptedAt -= back
 		}
-		n.RanAt = 0
+		m.RanAt = 0
 	}
 	s.latestRecorded = 0
 }
--- a/internal/sender/request.go
+++ b/internal/sender/request.go
@@ -36,12 +36,12 @@
 }
 
 func (c *call) singleRequest(deadlineMS string) (head, body []byte) {
-	n := c.messages[0]
-	fields := []string{"X-Request-Id", string(n.ID), "X-Deadline-Ms", deadlineMS}
-	if n.idempotencyKey != "" {
-		fields = append(fields, "Idempotency-Key", n.idempotencyKey)
+	m := c.messages[0]
+	fields := []string{"X-Request-Id", string(m.ID), "X-Deadline-Ms", deadlineMS}
+	if m.idempotencyKey != "" {
+		fields = append(fields, "Idempotency-Key", m.idempotencyKey)
 	}
-	return http1.AppendRequest(nil, "POST", singlePath, c.endpoint.addr, len(n.body), fields...), n.body
+	return http1.AppendRequest(nil, "POST", singlePath, c.endpoint.addr, len(m.body), fields...), m.body
 }
 
 // bulkRequest puts the message with the latest deadline first: an endpoint may measure the whole call by the time of its
@@ -49,11 +49,11 @@
 func (c *call) bulkRequest(deadlineMS string) (head, body []byte) {
 	slices.SortStableFunc(c.messages, func(a, b *message) int { return cmp.Compare(b.Deadline, a.Deadline) })
 	body = append(body, '[')
-	for i, n := range c.messages {
+	for i, m := range c.messages {
 		if i > 0 {
 			body = append(body, ',')
 		}
-		body = n.appendBulkItem(body)
+		body = m.appendBulkItem(body)
 	}
 	body = append(body, ']')
 	return http1.AppendRequest(nil, "POST", bulkPath, c.endpoint.addr, len(body),
@@ -61,12 +61,12 @@
 }
 
 // appendBulkItem appends a message as JSON. Ids and keys are visible characters without quotes, so they need no escapes.
-func (n *message) appendBulkItem(out []byte) []byte {
+func (m *message) appendBulkItem(out []byte) []byte {
 	out = append(out, `{"id":"`...)
-	out = append(out, n.ID...)
+	out = append(out, m.ID...)
 	out = append(out, `","key":"`...)
-	out = append(out, cmp.Or(n.idempotencyKey, n.key)...)
+	out = append(out, cmp.Or(m.idempotencyKey, m.key)...)
 	out = append(out, `","body":"`...)
-	out = base64.StdEncoding.AppendEncode(out, n.body)
+	out = base64.StdEncoding.AppendEncode(out, m.body)
 	return append(out, `"}`...)
 }
--- a/internal/sender/restart_test.go
+++ b/internal/sender/restart_test.go
@@ -109,9 +109,9 @@
 		for j := range 3 {
 			r.submit(fmt.Sprintf("OUT.ADD 00 n%d-%d c=order,d=900000,dest=9 %s", i, j, body))
 		}
-		for id, n := range r.s.pending {
+		for id, m := range r.s.pending {
 			if i < 3 && id != "n0-0" {
-				r.s.closeMessage(n)
+				r.s.closeMessage(m)
 			}
 		}
 	}
@@ -162,10 +162,10 @@
 
 // FuzzReplay: no record crashes a start, and what is pending after it can be written and read again.
 func FuzzReplay(f *testing.F) {
-	n := &message{key: "0", className: "order"}
-	n.ID, n.Deadline = "id", 9e13
-	f.Add(n.acceptedRecord(), attemptRecord("id", 5, 0, "z"))
-	f.Add(n.acceptedRecord(), endRecord(n.ID, ending{kind: endFailed}))
+	m := &message{key: "0", className: "order"}
+	m.ID, m.Deadline = "id", 9e13
+	f.Add(m.acceptedRecord(), attemptRecord("id", 5, 0, "z"))
+	f.Add(m.acceptedRecord(), endRecord(m.ID, ending{kind: endFailed}))
 	f.Fuzz(func(t *testing.T, first, second []byte) {
 		dir := t.TempDir()
 		j, _, err := journal.Open(dir, 1<<20, func([]byte) {})
@@ -181,8 +181,8 @@
 		}
 		owed := len(a.s.pending)
 		a.s.journal.Rewrite(func(add func([]byte)) {
-			for _, n := range a.s.accepted {
-				n.records(add)
+			for _, m := range a.s.accepted {
+				m.records(add)
 			}
 		})
 		if b := start(dir, 100); len(b.s.pending) != owed {
--- a/internal/sender/send.go
+++ b/internal/sender/send.go
@@ -57,10 +57,10 @@
 		return false
 	}
 	// Messages that were cancelled meanwhile are reported already.
-	c.messages = slices.DeleteFunc(c.messages, func(n *message) bool { return n.inFlight != c })
-	for _, n := range slices.Clone(c.messages) {
-		if !s.module.Open(c.endpoint.id, n.ID) {
-			s.cancelMessage(c, n)
+	c.messages = slices.DeleteFunc(c.messages, func(m *message) bool { return m.inFlight != c })
+	for _, m := range slices.Clone(c.messages) {
+		if !s.module.Open(c.endpoint.id, m.ID) {
+			s.cancelMessage(c, m)
 		}
 	}
 	return c.probe || len(c.messages) > 0
@@ -71,8 +71,8 @@
 func (s *Sender) startWrite(c *call, l *link) {
 	c.link, c.reused, l.call, l.writing = l, l.used, c, true
 	until := c.beganAt + c.timeout - 1
-	for _, n := range c.messages {
-		until = min(until, s.module.RepeatEnd(n.ID))
+	for _, m := range c.messages {
+		until = min(until, s.module.RepeatEnd(m.ID))
 	}
 	head, body := s.request(c)
 	go func() {
--- a/internal/sender/send_test.go
+++ b/internal/sender/send_test.go
@@ -43,8 +43,8 @@
 		}
 		release()
 		r.runUntil(t, of.name+": the call ends", func() bool { return c.done && !l.writing })
-		if n := r.s.pending["id"]; n == nil || n.MayRun {
-			t.Errorf("%s: delivered %v, though no byte has left", of.name, n == nil)
+		if m := r.s.pending["id"]; m == nil || m.MayRun {
+			t.Errorf("%s: delivered %v, though no byte has left", of.name, m == nil)
 		}
 		peer.CloseWrite()
 		if text := readToEnd(peer); text != "" {
@@ -90,9 +90,9 @@
 	r.s.gated = true
 	r.advance(300 * time.Millisecond)
 	r.s.gated = false
-	for id, n := range r.s.pending {
-		if !n.MayRun || n.ending.kind != endNone {
-			t.Fatalf("%s: may run %v, ends %v", id, n.MayRun, n.ending.kind)
+	for id, m := range r.s.pending {
+		if !m.MayRun || m.ending.kind != endNone {
+			t.Fatalf("%s: may run %v, ends %v", id, m.MayRun, m.ending.kind)
 		}
 	}
 }
--- a/internal/sender/sender.go
+++ b/internal/sender/sender.go
@@ -112,8 +112,8 @@
 	s.module = choice.Start(s, choice.SenderID(cfg.Name), cfg.Seed, cfg.Settings)
 	s.learnedStore = s.module
 	s.updateEndpoints(cfg.Known, true)
-	for _, n := range unfinished {
-		s.module.Taken(n.Message)
+	for _, m := range unfinished {
+		s.module.Taken(m.Message)
 	}
 	return s, nil
 }
--- a/internal/sender/torn_journal_test.go
+++ b/internal/sender/torn_journal_test.go
@@ -69,8 +69,8 @@
 		d.s.recordAttempt(c) // its connection is up at once
 		d.s.commit()
 		d.calls = append(d.calls, c)
-		for _, n := range c.messages {
-			d.did[n.ID].calls = append(d.did[n.ID].calls, d.size())
+		for _, m := range c.messages {
+			d.did[m.ID].calls = append(d.did[m.ID].calls, d.size())
 		}
 	}
 	d.s.postToPlatform = func(string, []byte) (int, error) { return 204, nil }
@@ -216,15 +216,15 @@
 		t.Fatal(err)
 	}
 	tell := func(r *harness) (lines []string) {
-		for _, n := range r.s.accepted {
-			if n.ending.kind != endClosed {
-				entry, ran := n.Message, ""
-				if n.MayRun {
-					ran = n.ranInZoneName
+		for _, m := range r.s.accepted {
+			if m.ending.kind != endClosed {
+				entry, ran := m.Message, ""
+				if m.MayRun {
+					ran = m.ranInZoneName
 				} else { // nobody asks when and where else
 					entry.RanAt, entry.RanIn = 0, 0
 				}
-				lines = append(lines, fmt.Sprint(entry, n.key, n.className, string(n.body), n.acceptedAt, n.attemptOnRecord, ran, n.ending))
+				lines = append(lines, fmt.Sprint(entry, m.key, m.className, string(m.body), m.acceptedAt, m.attemptOnRecord, ran, m.ending))
 			}
 		}
 		return lines
--- a/internal/sender/unsent_test.go
+++ b/internal/sender/unsent_test.go
@@ -18,8 +18,8 @@
 func TestUnsentCallReportsNothingOfItsEndpoint(t *testing.T) {
 	hasFresh := func(_ *testing.T, r *harness) bool {
 		r.submit("OUT.ADD 00 fresh c=order,d=20000,dest=1 x")
-		n := r.s.pending["fresh"]
-		return n != nil && n.attempts == 1
+		m := r.s.pending["fresh"]
+		return m != nil && m.attempts == 1
 	}
 	for _, of := range []struct {
 		name  string
@@ -41,11 +41,11 @@
 			conn, _ := connPair(t, false)
 			r := start(t.TempDir(), 100)
 			r.submit("OUT.ADD 00 id c=order,d=20000,dest=1 x")
-			c, n := r.calls[0], r.s.pending["id"]
+			c, m := r.calls[0], r.s.pending["id"]
 			of.comes(r)
 			r.connectionUp(c, conn)
-			if !c.done || c.link != nil || n.MayRun || n.inFlight != nil {
-				t.Fatalf("over %v, left %v, may have run %v, out %v", c.done, c.link != nil, n.MayRun, n.inFlight != nil)
+			if !c.done || c.link != nil || m.MayRun || m.inFlight != nil {
+				t.Fatalf("over %v, left %v, may have run %v, out %v", c.done, c.link != nil, m.MayRun, m.inFlight != nil)
 			}
 			if all := r.s.counts.outcomes; all[choice.ConnectFailed] != 0 || all[choice.Moot] != 1 {
 				t.Errorf("outcomes %v", all)
@@ -63,8 +63,8 @@
 	for end := r.clock + after; r.clock < end; {
 		r.advance(5 * time.Millisecond)
 		r.runUntil(t, "what left is written", func() bool {
-			for _, n := range r.s.pending {
-				if n.inFlight != nil && n.inFlight.link != nil && n.inFlight.link.writing {
+			for _, m := range r.s.pending {
+				if m.inFlight != nil && m.inFlight.link != nil && m.inFlight.link.writing {
 					return false
 				}
 			}
@@ -94,22 +94,22 @@
 				failing := r.s.dial
 				r.s.dial = func(c *call) { dials++; failing(c) }
 				r.submit("OUT.ADD 00 id c=order,d=20000,dest=1 x")
-				n := r.s.pending["id"]
+				m := r.s.pending["id"]
 				r.advance(time.Second)
-				if n.attempts != 1 || n.inFlight == nil || r.s.openLinks != 0 || dials > int(time.Second/capacityRecheck)+2 {
-					t.Fatalf("tries %d, out %v, open %d, dials %d", n.attempts, n.inFlight != nil, r.s.openLinks, dials)
+				if m.attempts != 1 || m.inFlight == nil || r.s.openLinks != 0 || dials > int(time.Second/capacityRecheck)+2 {
+					t.Fatalf("tries %d, out %v, open %d, dials %d", m.attempts, m.inFlight != nil, r.s.openLinks, dials)
 				}
 				if ends {
 					r.s.dial, r.s.maxLinks = dial, most
 					r.advance(capacityRecheck + 10*time.Millisecond)
-					if len(r.calls) != 1 || n.attempts != 1 || r.s.openLinks != 1 {
-						t.Errorf("calls %d, tries %d, open %d", len(r.calls), n.attempts, r.s.openLinks)
+					if len(r.calls) != 1 || m.attempts != 1 || r.s.openLinks != 1 {
+						t.Errorf("calls %d, tries %d, open %d", len(r.calls), m.attempts, r.s.openLinks)
 					}
 				} else {
 					r.advance(20 * time.Second)
 					// It is shed, as one that has surely not run, with fewer calls than it may have.
-					if n.ending.kind == endNone || n.MayRun || n.attempts > r.s.cfg.Settings.MaxAttempts {
-						t.Errorf("ends %v, may have run %v, tries %d", n.ending.kind, n.MayRun, n.attempts)
+					if m.ending.kind == endNone || m.MayRun || m.attempts > r.s.cfg.Settings.MaxAttempts {
+						t.Errorf("ends %v, may have run %v, tries %d", m.ending.kind, m.MayRun, m.attempts)
 					}
 				}
 				if all := r.s.counts.outcomes; all[choice.ConnectFailed] != 0 {
--- a/internal/sender/untried_test.go
+++ b/internal/sender/untried_test.go
@@ -47,8 +47,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			dir := t.TempDir()
 			var records [][]byte
-			for _, n := range c.left {
-				records = append(records, n.acceptedRecord())
+			for _, m := range c.left {
+				records = append(records, m.acceptedRecord())
 			}
 			writeJournal(t, dir, records...)
 			l := recordCalls(t, startWith(fourClassConfig(dir, c.maxOpen)))
@@ -58,8 +58,8 @@
 			}
 			l.advanceAnswering(9*time.Second, 20*time.Millisecond)
 			untried := 0
-			for _, n := range c.left {
-				if l.calls[n.ID] != 1 {
+			for _, m := range c.left {
+				if l.calls[m.ID] != 1 {
 					untried++
 				}
 			}
