--- a/internal/sender/acceptance_test.go
+++ b/internal/sender/acceptance_test.go
@@ -15,7 +15,7 @@
 	"flaxcove/internal/journal"
 )
 
-// A kill may come right behind the answer that accepts a message: the file holds its record by then.
+// A kill may come right after the answer +OK: the journal's file has the message's record by then.
 func TestOnRecordBeforeOK(t *testing.T) {
 	t.Parallel()
 	cfg := testConfig(t.TempDir(), 1000)
--- a/internal/sender/bundle_test.go
+++ b/internal/sender/bundle_test.go
@@ -8,7 +8,7 @@
 	"flaxcove/internal/http1"
 )
 
-// Messages of one turn to one endpoint share a call, up to what its kind takes, and each fares as its own state
+// Messages of one turn to one endpoint share a call, up to what its kind takes, and each ends as its own state in the answer
 // says; one that the answer leaves out may have run.
 func Example_bundle() {
 	r := start("", 100).submit("OUT.ADD 0a o1 c=order,d=20000,dest=2 x", "OUT.ADD 0b o2 c=order,d=20000,dest=2 x",
@@ -31,8 +31,8 @@
 	// owed: 1 to the platform: 0
 }
 
-// A message of a bulk call whose time is over ends alone: one that was not sent yet is shed and does not leave any
-// more, one that was may have run. The call goes on for the order, and ends nothing a second time.
+// A message of a bulk call whose time is over ends alone: one that was not sent yet is shed and not sent any more, one that
+// was may have run. The call goes on for the other message, and ends none a second time.
 func Example_bundleOutlivesOne() {
 	for _, written := range []bool{false, true} {
 		r := start("", 100).submit("OUT.ADD 0 order c=order,d=20000,dest=2 x", "OUT.ADD 0 late c=status,d=500,dest=2 x")
@@ -70,7 +70,7 @@
 	// delivered: 1
 }
 
-// A wait in the answer to a bulk call binds whatever became of its messages.
+// A Retry-After in the answer to a bulk call counts whatever became of its messages.
 func Example_bundleWait() {
 	r := start("", 100).submit("OUT.ADD 0 s1 c=status,d=6000,dest=2 x", "OUT.ADD 0 s2 c=status,d=6000,dest=2 x")
 	r.endpointAnswers("HTTP/1.1 200 OK\nRetry-After: 0.7\nContent-Length: 54\n\n" + `[{"id":"s1","state":"ok"},{"id":"s2","state":"error"}]`)
--- a/internal/sender/call_ends_test.go
+++ b/internal/sender/call_ends_test.go
@@ -33,7 +33,7 @@
 	ends := func(r *harness, c *call, _ *net.TCPConn) { r.s.expireCall(c) }
 	for _, row := range []struct {
 		name   string
-		narrow bool // its last byte does not leave
+		narrow bool // its last byte is not sent
 		does   func(*testing.T, *harness, *call, *net.TCPConn)
 		result choice.Result
 		tells  string
@@ -96,7 +96,7 @@
 			row.does(t, r, c, peer)
 			r.runUntil(t, "the write ends", func() bool { return !c.link.writing })
 			if m.inFlight != nil && c.done {
-				r.advance(3 * abandonSettleTime) // it was given up
+				r.advance(3 * abandonSettleTime) // it was abandoned
 			}
 			r.runUntil(t, "the call ends", func() bool { return m.inFlight == nil })
 			if row.narrow {
@@ -182,8 +182,8 @@
 	}
 }
 
-// An answer may come before the request's end. Its link must carry no other call until then, or the bytes of both
-// mix, and is given up if the endpoint does not read the rest soon.
+// An answer may come before the request's end. Its link carries no other call until then, or the bytes of both would mix, and
+// is closed if the endpoint does not read the rest soon.
 func TestAnswerBeforeRequestEnds(t *testing.T) {
 	for _, reads := range []bool{true, false} {
 		conn, peer := connPair(t, true)
@@ -219,7 +219,7 @@
 	}
 }
 
-// Interim answers tell nothing: they must not start the time in which the rest of an answer is due.
+// Interim answers do not start the time within which the rest of an answer is due.
 func TestInterimAnswer(t *testing.T) {
 	conn, peer := connPair(t, false) // read by the test alone
 	l := &link{conn: conn}
--- a/internal/sender/classes_test.go
+++ b/internal/sender/classes_test.go
@@ -9,7 +9,7 @@
 	"flaxcove/choice"
 )
 
-// Twenty classes of unusual names are told apart, through a kill too, and one that tells no aim has calls that last long
+// Twenty classes of unusual names are distinct, also after a kill, and one without a contract time has calls that last long
 // enough for an answer.
 func TestUnusualClasses(t *testing.T) {
 	t.Parallel()
--- a/internal/sender/clock_test.go
+++ b/internal/sender/clock_test.go
@@ -8,8 +8,8 @@
 	"flaxcove/choice"
 )
 
-// The window for repeats, 1 s here, runs from the first call's begin, through a restart: a message whose call may have run
-// goes again only within it, and is given up where it is over, or may be over for all that the clock tells.
+// The window for repeats, 1 s here, runs from the first call's begin, through a restart: a message whose call may have run is
+// sent again only within it, and given up where it is over, or may be over as far as the clock can tell.
 func TestWindowThroughRestart(t *testing.T) {
 	t.Parallel()
 	const began = time.Minute
--- a/internal/sender/cluster_test.go
+++ b/internal/sender/cluster_test.go
@@ -150,7 +150,7 @@
 		r.runNext().advance(5 * time.Millisecond)
 	}
 	evict()
-	r.calls[0].endpoint.linkCount-- // the rig has none
+	r.calls[0].endpoint.linkCount-- // the harness has none
 	r.endpointAnswers(answerOK).advance(5 * time.Millisecond)
 	o.Know([]choice.DestinationID{1}, func(all []together.Lesson) { fmt.Printf("known %+v\n", all) })
 	r.runNext().advance(20 * time.Millisecond)
--- a/internal/sender/command_test.go
+++ b/internal/sender/command_test.go
@@ -43,7 +43,7 @@
 	// client: -ERR dest: no such destination
 }
 
-// A graceful shutdown: no new call leaves late, what is pending stays in the journal, and what comes late is refused.
+// At a graceful shutdown no call begins late, pending messages stay in the journal, and late ones are rejected.
 func Example_drain() {
 	r := start("", 100)
 	r.s.startDrain(r.clock)
@@ -64,7 +64,7 @@
 	// owed: 1 to the platform: 0
 }
 
-// At a graceful shutdown, clients with nothing on its way go; one that comes after the signal may submit one command.
+// At a graceful shutdown idle clients are closed; one that connects after the signal may send one command.
 func Example_drainClients() {
 	r := start("", 100)
 	connect := func() *client {
--- a/internal/sender/configure_test.go
+++ b/internal/sender/configure_test.go
@@ -17,9 +17,9 @@
 	"flaxcove/internal/sender/together"
 )
 
-// What holds of settings that change under a running sender.
+// Tests of settings that change under a running sender.
 
-// settingsWith is the settings object of the harness with changes, each of a text that stands in it.
+// settingsWith is twoClassSettings with changes, each of a text that stands in it to another one.
 func settingsWith(t testing.TB, changes ...string) json.RawMessage {
 	t.Helper()
 	text := fmt.Sprintf(twoClassSettings, 100)
@@ -32,7 +32,7 @@
 	return json.RawMessage(text)
 }
 
-// loadedConfig is a configuration from a file, with settings, in a folder that lasts.
+// loadedConfig is a configuration that is loaded from a file.
 func loadedConfig(t testing.TB, dir string, settings json.RawMessage, list directory.List) *config.Config {
 	t.Helper()
 	text, err := json.Marshal(map[string]any{"name": "s", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "state": dir,
@@ -109,8 +109,8 @@
 	}
 }
 
-// Limits, the time to come back, bulk calls and the list's names are the new ones from the next command on, and the way back
-// is the same; what was accepted stays.
+// Limits, the time to come back, bulk calls and the list's names are the new ones from the next command on, and after a change
+// back the old ones; accepted messages stay.
 func TestConfigureHolds(t *testing.T) {
 	list := knownList(t)
 	list.Servers[0].Zone, list.Servers[0].Kind = "new", "newer" // of settings to come
--- a/internal/sender/connecting_test.go
+++ b/internal/sender/connecting_test.go
@@ -18,8 +18,8 @@
 	"flaxcove/internal/journal"
 )
 
-// A process that ends while a call waits for its connection has sent nothing: the next one still tries a non-idempotent
-// message. Once the connection is up the call may have left, and the message is given up.
+// A process that is killed while a call waits for its connection has sent nothing: the next one still attempts a
+// non-idempotent message. Once the connection is up the call may have been sent, and the message is given up.
 func TestKilledWhileConnecting(t *testing.T) {
 	t.Parallel()
 	for _, up := range []bool{false, true} {
--- a/internal/sender/descriptors_test.go
+++ b/internal/sender/descriptors_test.go
@@ -29,8 +29,8 @@
 
 const descriptorLimitsEnv = "FLAXCOVE_TEST_NARROW"
 
-// TestNarrowProcess is no test: it is the sender in a process of its own, until its standard input ends. Each line of
-// that is what the system gives from then on.
+// TestNarrowProcess is no test: it is the sender in a process of its own, until its standard input ends. Each line of input
+// is the number of descriptors that the system gives from then on.
 func TestNarrowProcess(t *testing.T) {
 	text := os.Getenv(descriptorLimitsEnv)
 	if text == "" {
@@ -166,9 +166,9 @@
 	return time.Duration(user+system) * 10 * time.Millisecond
 }
 
-// Idle clients fill all that they may have while discovery is down; the dial to discovery, calls, the platform's post
-// and the journal's rewriting still get theirs, and so do new clients. Where the system gives less than the settings
-// say, the process neither ends nor spins.
+// While discovery is down idle clients take all descriptors that clients may have; discovery, calls, reports to the platform
+// and the journal still get theirs, and so do new clients. Where the system gives fewer than the settings allow, the process
+// neither ends nor spins.
 func TestFewDescriptors(t *testing.T) {
 	for _, n := range []descriptorLimits{{Settings: 128, System: 128}, {Settings: 512, System: 96}} {
 		t.Run(fmt.Sprintf("%d of %d", n.System, n.Settings), func(t *testing.T) {
@@ -232,8 +232,8 @@
 	}
 }
 
-// An accept that finds no descriptor is tried again, at a rest: the process neither ends nor spins, and the client that
-// waits meanwhile is served once there is one.
+// An accept that finds no descriptor is repeated after a pause: the process neither ends nor spins, and the client that waits
+// is served once there is one.
 func TestAcceptWithoutDescriptors(t *testing.T) {
 	program := startLimited(t, descriptorLimits{Discovery: "127.0.0.1:1", Dir: t.TempDir(), Settings: 128, System: 128})
 	program.limit(t, 3)
--- a/internal/sender/drain_test.go
+++ b/internal/sender/drain_test.go
@@ -13,13 +13,13 @@
 	"flaxcove/internal/resp"
 )
 
-// waitEnded waits for the process's part to be over.
+// waitEnded waits until the loop has ended.
 func waitEnded(t *testing.T, done <-chan struct{}) {
 	t.Helper()
 	select {
 	case <-done:
 	case <-time.After(20 * time.Second):
-		t.Fatal("the planned end has no end")
+		t.Fatal("the graceful shutdown does not end")
 	}
 }
 
@@ -57,8 +57,8 @@
 	}
 }
 
-// All that was read is answered before the process ends, more than a window of commands too, and then the process does
-// not wait for its last moment.
+// All that was read is answered before the process ends, also more than a window of commands, and then the process does not
+// wait for its hard end.
 func TestDrainAnswersWhatWasRead(t *testing.T) {
 	s, dial, done := serving(t, 64)
 	conn := dial("")
@@ -95,7 +95,7 @@
 	go io.Copy(io.Discard, pump)
 	c := clientOf(t, s, slow)
 	syscall.SetsockoptInt(c.conn.(netpoll.Conn).Fd(), syscall.SOL_SOCKET, syscall.SO_SNDBUF, 4<<10)
-	const commands = 3 // more than the system holds for who does not read, and less than what has the sender cut it off
+	const commands = 3 // more than the system buffers for a client that does not read, and less than the sender's own bound
 	io.WriteString(slow, strings.Repeat(string(resp.AppendCommand(nil, []byte("PING"), make([]byte, resp.MaxBulk))), commands))
 	waitUntil(t, "the answers wait for their reader", func() (wait bool) {
 		onLoop(t, s, func() {
@@ -115,7 +115,7 @@
 	<-stop
 }
 
-// The time until the kill counts from the signal, not from when the loop has time to hear of it, and a second signal
+// The steps of a graceful shutdown count from the signal, not from when the loop has time to handle it, and a second signal
 // changes nothing.
 func TestDrainCountsFromTheSignal(t *testing.T) {
 	s, dial, done := serving(t, 64)
@@ -143,8 +143,8 @@
 	waitEnded(t, done)
 }
 
-// A client that came just before the signal has its first command on its way; a command that is half read is waited
-// for, and answered.
+// A client that connected just before the signal has its first command answered; a command that is half read is waited for,
+// and answered.
 func TestCommandsAroundTheSignal(t *testing.T) {
 	s, dial, done := serving(t, 64)
 	fresh, half := dial(""), dial(pingText[:7])
--- a/internal/sender/earlier_process_test.go
+++ b/internal/sender/earlier_process_test.go
@@ -14,8 +14,8 @@
 	"flaxcove/internal/journal"
 )
 
-// fourClassSettings has a class of each effect and one in order of arrival. Half a shortest aim, 1.5 s, is what an endpoint is
-// thought to take of which nothing is known.
+// fourClassSettings has a class of each kind of repeat, and one in order of arrival. An endpoint of which nothing is known is
+// taken to need half the shortest contract time, 1.5 s.
 const fourClassSettings = `{"balancers":2,"quantum":5000000,"machineTypes":["one"],"zones":["z"],
 "accounts":[{"quotaRps":0.001}],"overShareWorth":0.1,
 "bounds":{"maxAttempts":9,"maxOpen":%d,"connIdle":10000000000,"dialTimeout":1000000000,"retryAfter":true,"maxRetryAfter":2000000000},
@@ -31,22 +31,22 @@
 	return testConfigWith(dir, fmt.Sprintf(fourClassSettings, maxOpen), oneEndpointList)
 }
 
-// second is in choice.Time.
+// second is a second in choice.Time.
 const second = choice.Second
 
-// clockAt is the clock of a sender that a harness starts so long after its day began.
+// clockAt is the time of a sender whose harness clock is at d.
 func clockAt(d time.Duration) choice.Time {
 	return config.Down(time.Unix(1e9, 0).UnixNano() + int64(d))
 }
 
-// acceptedMessage is what a process accepts at a time, for so long.
+// acceptedMessage is a message that was accepted at a time, with a deadline that much later.
 func acceptedMessage(id, key, className string, dest choice.DestinationID, when, hold choice.Time) *message {
 	m := &message{key: key, className: className, acceptedAt: when, body: []byte("x")}
 	m.ID, m.Deadline, m.Destination = choice.MessageID(id), when+hold, dest
 	return m
 }
 
-// writeJournal writes what an earlier process leaves behind.
+// writeJournal writes the journal of an earlier process.
 func writeJournal(t *testing.T, dir string, records ...[]byte) {
 	t.Helper()
 	j, _, err := journal.Open(dir, 1<<20, func([]byte) {})
@@ -66,7 +66,7 @@
 	*harness
 	sync.Mutex
 	calls     map[choice.MessageID]int
-	endings   map[string]string      // what the platform was told
+	endings   map[string]string      // what the platform received
 	endedAt   map[string]choice.Time // and when
 	openCalls []*call
 }
--- a/internal/sender/learned_state_test.go
+++ b/internal/sender/learned_state_test.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"flaxcove/choice"
+	"flaxcove/internal/sender/together"
 )
 
 // A file of learned state that is broken, or not plausible, keeps no start from happening and no call from having its time:
@@ -58,3 +59,30 @@
 		}
 	}
 }
+
+// A purge of learned state drops it on disk too: a kill must not bring it back.
+func TestPurgeOfLearnedState(t *testing.T) {
+	dir := t.TempDir()
+	file := dir + "/" + learnedFileName
+	text := `{"at":1,"endpoints":[{"endpoint":"gone","destination":1,"addr":"x","Mean":5,"Past":5,"Seen":1},
+{"endpoint":"b","destination":2,"addr":"127.0.0.1:2","Mean":5,"Past":5,"Seen":1}]}`
+	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	r := start(dir, 100)
+	r.joinCluster(Joining{})
+	m := &fakeLearnedStore{}
+	r.s.learnedStore = m
+	d := choice.DestinationID(1)
+	var found []together.Found
+	r.s.Orders().Purge([]together.Purge{{Seq: 1, Learnt: true, Match: together.Match{Destination: &d}},
+		{Seq: 2, Learnt: true, Match: together.Match{Class: "order"}}}, func(_ uint64, f []together.Found) { found = f })
+	r.runNext().advance(5 * time.Millisecond)
+	if len(found) != 2 || found[0].Learnt != 2 || found[1].Learnt != 0 || len(m.voided) != 1 {
+		t.Errorf("found %+v, void %v", found, m.voided)
+	}
+	left, _ := os.ReadFile(file)
+	if strings.Contains(string(left), "gone") || !strings.Contains(string(left), `"b"`) {
+		t.Errorf("on disk: %s", left)
+	}
+}
--- a/internal/sender/lingering_close_test.go
+++ b/internal/sender/lingering_close_test.go
@@ -10,8 +10,8 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// Each way in which a sender ends a client's connection is in order: what crosses the end does not reset the
-// connection, which could take an answer with it, and is not accepted.
+// However a sender closes a client's connection, a command that crosses the end does not reset the connection, which could
+// lose an answer, and is not accepted.
 func TestEndsInOrder(t *testing.T) {
 	const sockets = 64
 	const served, unserved = pingText, ""
@@ -80,8 +80,8 @@
 	}
 }
 
-// lateInputConn is a connection on which something is made to come in the last moment before its end: at the call of Fd
-// that the shutdown makes, which is the one after the look, or at the close.
+// lateInputConn is a connection on which input is made to come at the last moment before its end: at the call of Fd that the
+// shutdown makes, which is the one after the check for input, or at the close.
 type lateInputConn struct {
 	netpoll.Connection
 	looks      int
@@ -103,8 +103,8 @@
 	return c.Connection.Close()
 }
 
-// A command that the reader has in hand between the last look at the socket and the shutdown is not accepted: the end
-// is decided by then, and its answer could not be written.
+// A command that the reader has in hand between the last check of the socket and the shutdown is not accepted: the end is
+// decided by then, and its answer could not be written.
 func TestCommandBetweenLookAndShutdown(t *testing.T) {
 	s, dial, done := serving(t, 64)
 	conn := dial(pingText)
@@ -126,8 +126,8 @@
 	}
 }
 
-// A command that is counted before the end is answered, although the end was meant by then; and so is one that lies in
-// the socket unread as the answer before it leaves.
+// A command that is counted before the end is answered, although the client was to be closed by then; and so is one that is
+// in the socket, unread, when the answer before it is written.
 func TestCommandsBeforeTheEnd(t *testing.T) {
 	s, dial, done := serving(t, 64)
 	conn := dial("")
@@ -150,8 +150,8 @@
 	<-done
 }
 
-// A client that never ends its side is cut off at the bound, and one that sends on and on behind a broken command is
-// so after a bounded number of bytes.
+// A client that never ends its side is closed after lingerTimeout, and one that sends on behind a broken command is closed
+// after a bounded number of bytes.
 func TestLingeringIsBounded(t *testing.T) {
 	s, dial, done := serving(t, 64)
 	start := time.Now()
--- a/internal/sender/links_test.go
+++ b/internal/sender/links_test.go
@@ -10,8 +10,8 @@
 
 const movedA = `{"version":2,"full":false,"servers":[{"id":"a","addr":"127.0.0.1:7","zone":"z","kind":"one","cell":1,"state":"up","weight":100}]}`
 
-// A connection that was on its way to the address at which an endpoint was before it moved must carry no call to
-// whoever is there now.
+// A connection that was being dialled to the address at which an endpoint was before it moved carries no call to whatever
+// is there now.
 func TestLateConnectionToOldAddress(t *testing.T) {
 	for _, over := range []bool{false, true} {
 		conn, peer := connPair(t, false)
@@ -33,7 +33,7 @@
 	}
 }
 
-// A link that was busy as its endpoint moved must not idle for the next call.
+// A link that was busy when its endpoint moved is not kept idle for the next call.
 func TestBusyLinkToOldAddress(t *testing.T) {
 	conn, peer := connPair(t, false)
 	r := start(t.TempDir(), 100)
@@ -52,8 +52,8 @@
 	}
 }
 
-// A connection that comes up once its call is over, its endpoint drained or not listed any more, carries nothing. It
-// may idle for the next call, but not where the endpoint is gone.
+// A connection that comes up when its call has ended, or its endpoint drained or is not listed any more, carries nothing. It
+// may be kept idle for the next call, but not where the endpoint is gone.
 func TestLateConnection(t *testing.T) {
 	const drained = `{"version":2,"full":false,"servers":[{"id":"a","addr":"127.0.0.1:1","zone":"z","kind":"one","cell":1,"state":"draining","weight":100}]}`
 	const gone = `{"version":2,"full":false,"servers":[{"id":"a","addr":"","cell":1,"state":"removed"}]}`
@@ -90,7 +90,7 @@
 	}
 }
 
-// Small writes must not be held back: a close over unread bytes would take them along.
+// Small writes are not delayed (Nagle): a close with unread bytes would lose them.
 func TestNoDelayOnCalls(t *testing.T) {
 	conn, _ := connPair(t, false)
 	r := start(t.TempDir(), 100)
@@ -100,8 +100,8 @@
 	}
 }
 
-// The link that has idled longest is known without a look at the endpoints: with 61,000 of them that look was most of what
-// a call cost. A link that is used, or has ended, is no longer among those that idle.
+// The link that has been idle longest is found without a search among the endpoints: with 61,000 of them the search was most
+// of a call's cost. A link that is used, or has ended, is not among the idle ones.
 func TestOldestIdleIsKnown(t *testing.T) {
 	r := start(t.TempDir(), 100)
 	var links []*link
--- a/internal/sender/long_day_test.go
+++ b/internal/sender/long_day_test.go
@@ -14,7 +14,7 @@
 // Over a long run nothing grows: all tables, the journal's file and the heap stay where an hour left them, whatever
 // became of the messages, and after a kill late in the day only what is pending comes back.
 func TestLongDay(t *testing.T) {
-	quiet := os.Stdout // the rig prints for examples
+	quiet := os.Stdout // the harness prints for examples
 	null, err := os.OpenFile(os.DevNull, os.O_WRONLY, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -31,7 +31,7 @@
 		} else {
 			r.endpointAnswers(text)
 		}
-		r.s.openLinks-- // the rig has no links that could end
+		r.s.openLinks-- // the harness has no links that could end
 		c.endpoint.linkCount--
 	}
 	hour := func(no int) (heap uint64) {
--- a/internal/sender/many_clients_test.go
+++ b/internal/sender/many_clients_test.go
@@ -21,7 +21,7 @@
 	s.clients.Lock()
 	most := s.clients.maxConns
 	s.clients.Unlock()
-	for range most { // some of which may be for those who leave
+	for range most { // some of which may be for lingering clients
 		conn := dial("*2\r\n$4\r\nPI")
 		waitUntil(t, "half a command is read, or refused", func() bool {
 			c := clientOf(t, s, conn)
@@ -91,9 +91,9 @@
 	}
 }
 
-// However many come, and never go, the descriptors of all stay within their share, and so do those who are served; one
-// who comes once all that was asked is answered finds a place. Before, it may be told that there is none,
-// as who has sent its first bytes keeps its place until they are read: on a busy machine the last one once was.
+// However many clients connect and stay, all connections stay within maxConns, and the served ones within maxServed; a client
+// that connects once all commands are answered finds a place. Before that it may be answered -BUSY, as clients that have sent
+// their first bytes keep their places until these are read: on a busy machine the last one once was.
 func TestFloodOfClients(t *testing.T) {
 	s, dial, done := serving(t, 64)
 	var held, asking []net.Conn
@@ -110,7 +110,7 @@
 		}
 		s.clients.Unlock()
 	}
-	for i, conn := range asking { // one who had to leave may be cut off for others before its bytes are read
+	for i, conn := range asking { // a lingering one may be closed for others before its bytes are read
 		if line, err := bufio.NewReader(conn).ReadString('\n'); line != pongText && line != busyAnswer && line != "" {
 			t.Errorf("of those who ask the %dth was told %q, %v", i, line, err)
 		}
--- a/internal/sender/move_test.go
+++ b/internal/sender/move_test.go
@@ -13,8 +13,8 @@
 	"flaxcove/internal/directory"
 )
 
-// before and after are the settings of a deployment that is left and of one that is moved to: the classes stand in
-// another order there, the zones have other numbers, and routes apart cost something.
+// oldSettings and newSettings are those of a deployment before and after a move: the new ones have the classes in another
+// order, other numbers for the zones, and fees for separate routes.
 const (
 	oldSettings = `{"balancers":2,"quantum":5000000,"machineTypes":["one"],"zones":["z"],
 "bounds":{"maxAttempts":9,"maxOpen":50,"connIdle":10000000000,"dialTimeout":1000000000,"retryAfter":true,"maxRetryAfter":2000000000},
@@ -32,9 +32,9 @@
 	`"classes":[{"name":"change","idempotency":"side_effect","byArrival":true,"aim":2500000000,"deadline":20000000000,"worth":1},
 {"name":"offer","idempotency":"token","group":"zone","repeatWindow":10000000000,"aim":3000000000,"deadline":20000000000,"worth":2}]`).Replace(oldSettings)
 
-// An old folder under new settings: a keyed message that may have run in zone z goes again to zone z, whatever its
-// number is now; where z is not known any more it goes nowhere; a non-idempotent one that was out is given up. What an
-// ordered key still owes goes on in the order taken. A switch back finds the same.
+// An old state folder under new settings: a keyed message that may have run in zone z is sent again to zone z, whatever its
+// number is now; where z is not known any more it is not sent; a non-idempotent one that was in flight is given up. The
+// pending messages of an ordering key go on in the order they were accepted. A switch back finds the same.
 func Example_moveOfFolder() {
 	dir, _ := os.MkdirTemp("", "sender")
 	r := startWith(testConfigWith(dir, oldSettings, oldList)).submit("OUT.ADD k of c=offer,d=20000,dest=1 x").endpointAnswers(answerError)
@@ -76,8 +76,8 @@
 	//    last
 }
 
-// A record of before zones had names tells a number of the settings it was written under. The first start after the
-// update reads it under these and writes the name, so that the move after it finds the zone, whatever becomes of the process.
+// A record that is older than names of zones has a number of the settings it was written under. The first start after the
+// update reads it under these and writes the name, so that a later move finds the zone, also after a kill.
 func Example_zoneOfOldRecord() {
 	dir, _ := os.MkdirTemp("", "sender")
 	two := strings.Replace(oldSettings, `["z"]`, `["q","r","z"]`, 1)
@@ -96,7 +96,7 @@
 	// may have run: true in z which is 1
 }
 
-// What an earlier process learned is for the first entry of an endpoint: one that comes back to the list later is new.
+// What an earlier process learned is used for the first entry of an endpoint: one that comes back to the list later is new.
 func Example_learnedStateUsedOnce() {
 	dir, _ := os.MkdirTemp("", "sender")
 	r := startWith(testConfigWith(dir, oldSettings, oldList)).submit("OUT.ADD k of c=offer,d=20000,dest=1 x")
@@ -111,8 +111,8 @@
 	// waits on: true kept for later: 0
 }
 
-// A class that the new settings do not name would be lost with its messages: the start is refused and names it, the
-// folder stays as it is, and the old settings still serve it.
+// Messages of a class that the new settings do not name would be lost: the start fails and names the class, the folder stays
+// as it is, and a start under the old settings still works.
 func Example_moveWithoutClass() {
 	dir, _ := os.MkdirTemp("", "sender")
 	r := startWith(testConfigWith(dir, oldSettings, oldList)).submit("OUT.ADD k of c=offer,d=20000,dest=1 x")
@@ -127,8 +127,8 @@
 	// owed: 1 to the platform: 0
 }
 
-// What a graceful shutdown wrote is read for the endpoint that is the same machine of the same destination, and for no other;
-// a file that cannot be read, or makes no sense, is passed over.
+// Learned state that a graceful shutdown wrote is used for an endpoint of the same id, address and destination, and for no
+// other; a file that cannot be read, or is not plausible, is ignored.
 func Example_learnedState() {
 	dir, _ := os.MkdirTemp("", "sender")
 	show := func(list string) {
@@ -157,9 +157,9 @@
 	// a: {Mean:12500 Dev:12500 Past:12500 Seen:0 Limit:0 Wait:0}
 }
 
-// TestMove plays the move over loopback sockets against stand-ins: in the first seconds after the switch a wait told to the
-// old process is still heeded, what it learned of an endpoint that stays is known, what is new starts afresh, and a
-// switch back finds what was pending.
+// TestMove makes the move over loopback sockets: in the first seconds after it a Retry-After to the old process still holds,
+// what that learned of an endpoint that stays is known, a new endpoint starts afresh, and a switch back finds the pending
+// messages.
 func TestMove(t *testing.T) {
 	t.Parallel()
 	w, addr := startFakeServer(t)
@@ -232,7 +232,7 @@
 	end()
 }
 
-// Settings that cannot be are refused by one message that names the field, at a start as at a reload.
+// Invalid settings are rejected by one message that names the field, at a start as at a reload.
 func Example_moveSettings() {
 	for _, change := range [][2]string{{`"carriage":[0.01,0.04]`, `"carriage":[0.01]`}, {`"carriage":[0.01,0.04]`, `"carriage":[0.01,-1]`},
 		{`"keyRest":300000000`, `"keyRest":-1`}, {`"cold":1000000000`, `"cold":-5`}} {
--- a/internal/sender/no_delay_test.go
+++ b/internal/sender/no_delay_test.go
@@ -21,8 +21,8 @@
 	return 0
 }
 
-// No socket holds small writes back: not one that was accepted, nor those to discovery, endpoints and the platform. What
-// the system holds back goes with a connection that is reset.
+// No socket delays small writes (Nagle): neither accepted ones, nor those to discovery, endpoints and the platform. What the
+// system delays is lost with a connection that is reset.
 func TestNoDelay(t *testing.T) {
 	p := &fakePartner{}
 	p.up.Store(true)
--- a/internal/sender/outcomes_test.go
+++ b/internal/sender/outcomes_test.go
@@ -9,7 +9,7 @@
 	"flaxcove/choice"
 )
 
-// A report counts where it is whole and makes sense; half a one would say that there is no limit.
+// A load report counts where it is complete and plausible; half of one would say that there is no limit.
 func Example_reports() {
 	for _, text := range []string{"x0=0.4,x1=25", "x1=0, x0=1", "x0=0.4", "x0=0.4,x1=", "x0=7,x1=25", "x0=0.4,x1=-1", "x0=NaN,x1=1", ";;\xff"} {
 		a := answer{}
@@ -27,8 +27,8 @@
 	// ";;\xff" {Known:false Left:0 Limit:0}
 }
 
-// A new link that an endpoint refuses and ends found no place there: the messages go on trying, where refusals of a
-// limit on links that stay have the route pause.
+// A 503 after which the endpoint closes a new link means that it had no capacity for the link, and its messages are attempted
+// again; a rejection by a limit, on a link that stays open, pauses the route.
 func Example_fullTable() {
 	for _, head := range []string{"Connection: close\n", ""} {
 		r := start("", 100)
@@ -93,7 +93,7 @@
 	// "nonsense\n"         may have run: true  owed: false
 }
 
-// A list that drops an endpoint, or moves it, takes its connections along; unreadable entries are left out.
+// When a list drops or moves an endpoint, its connections are closed; entries that cannot be read are left out.
 func Example_list() {
 	r := start("", 100)
 	r.updateList(`{"version":2,"full":false,"servers":[{"id":"a","addr":"","cell":1,"state":"removed"},{"id":"b","cell":2,"state":"odd"},
--- a/internal/sender/process_end_test.go
+++ b/internal/sender/process_end_test.go
@@ -14,8 +14,8 @@
 	"time"
 )
 
-// A whole process ends while clients send on every connection that stays open, some of them several commands at once.
-// No connection is reset, each command that was taken has its answer, and all is over before the kill may come.
+// A process ends while clients send on every connection that stays open, some of them several commands at once. No
+// connection is reset, each command that was handled has its answer, and all is over before the kill may come.
 func TestProcessEndsInOrder(t *testing.T) {
 	const clients, beforeKill = 24, 3700 * time.Millisecond
 	program := startLimited(t, descriptorLimits{Discovery: "127.0.0.1:1", Dir: t.TempDir(), Settings: 256, System: 256})
@@ -27,7 +27,7 @@
 		wait.Go(func() {
 			defer conn.Close()
 			in := bufio.NewReader(conn)
-			if i%6 == 5 { // this one rests, and sends as it is told to end
+			if i%6 == 5 { // this one is idle, and sends when its connection ends
 				<-signal
 			}
 			for round := 0; ; round++ {
--- a/internal/sender/purge_test.go
+++ b/internal/sender/purge_test.go
@@ -7,11 +7,10 @@
 	"testing"
 	"time"
 
-	"flaxcove/choice"
 	"flaxcove/internal/sender/together"
 )
 
-// purge has messages withdrawn and prints what was found, once it is answered.
+// purge orders a purge and prints what was found, once it is answered.
 func (r *harness) purge(age time.Duration, seq uint64, m together.Match) *harness {
 	r.s.Orders().Purge([]together.Purge{{Seq: seq, Match: m, Age: age}}, func(applied uint64, found []together.Found) {
 		fmt.Printf("applied %d: %+v\n", applied, found)
@@ -19,8 +18,8 @@
 	return r.runNext()
 }
 
-// A message that waits for its call's connection, for a place or for an endpoint ends at once, and its call goes on for
-// the others of the bulk call. What the purge does not mean, or was accepted after it, is not touched.
+// A message that waits for its call's connection, for the in-flight limit or for an endpoint ends at once, and a bulk call
+// goes on for its other messages. What the purge does not match, or was accepted after it, is not touched.
 func Example_purgeNotBegun() {
 	r := start("", 100)
 	r.joinCluster(Joining{})
@@ -56,8 +55,8 @@
 	// owed: 1 to the platform: 0
 }
 
-// Wherever a message stands, it ends once: at once where no call of it is out, else with the call, as its answer says; it
-// is never sent again, after a kill neither, and what was found is told.
+// In each state a message ends once: at once where no call of it is in flight, else with the call, as its answer says. It is
+// never sent again, not after a kill either, and what was found is reported.
 func TestPurgeFindsMessage(t *testing.T) {
 	stdout := os.Stdout
 	os.Stdout, _ = os.OpenFile(os.DevNull, os.O_WRONLY, 0)
@@ -116,8 +115,8 @@
 	}
 }
 
-// The messages of an ordered key end behind its head, whose call is out; what comes after the purge has its turn. A
-// purge that overlaps counts no message a second time.
+// The messages of an ordering key end behind the first one, whose call is in flight; one that comes after the purge is sent.
+// A second purge that matches the same messages counts none a second time.
 func Example_purgeOrderedKey() {
 	dir, _ := os.MkdirTemp("", "sender")
 	r := startWith(testConfigWith(dir, oldSettings, oldList))
@@ -159,8 +158,8 @@
 	// owed: 1 to the platform: 0
 }
 
-// A purge that comes between a submission and the end of its turn: the client is told itself, the platform is not, and
-// nothing is on record.
+// A purge that comes between a submission and the end of its turn: the client gets the answer itself, nothing is reported to
+// the platform, and nothing is on record.
 func Example_purgeCrossesHandIn() {
 	r := start("", 100)
 	r.joinCluster(Joining{})
@@ -177,9 +176,9 @@
 	// owed: 0 to the platform: 0
 }
 
-// A process killed between the effect of a purge and its acknowledgement answers it again as it was, applies it to
-// nothing that came later, and tells the platform what it still owes it. When a message was accepted outlasts the kill;
-// of an older record it is not known, and so counts as long ago.
+// A process that is killed between the effect of a purge and its acknowledgement answers it again as it was, applies it to
+// nothing that came later, and reports to the platform what it has not reported. When a message was accepted is known after
+// the kill; of an older record it is not, and counts as long ago.
 func Example_purgeRestart() {
 	r := start("", 100)
 	r.joinCluster(Joining{})
@@ -276,30 +275,3 @@
 		t.Errorf("answered again otherwise: %+v", again)
 	}
 }
-
-// What was learned of a destination is void on order, on disk too: a kill must not bring it back.
-func TestPurgeOfLearnedState(t *testing.T) {
-	dir := t.TempDir()
-	file := dir + "/" + learnedFileName
-	text := `{"at":1,"endpoints":[{"endpoint":"gone","destination":1,"addr":"x","Mean":5,"Past":5,"Seen":1},
-{"endpoint":"b","destination":2,"addr":"127.0.0.1:2","Mean":5,"Past":5,"Seen":1}]}`
-	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
-		t.Fatal(err)
-	}
-	r := start(dir, 100)
-	r.joinCluster(Joining{})
-	m := &fakeLearnedStore{}
-	r.s.learnedStore = m
-	d := choice.DestinationID(1)
-	var found []together.Found
-	r.s.Orders().Purge([]together.Purge{{Seq: 1, Learnt: true, Match: together.Match{Destination: &d}},
-		{Seq: 2, Learnt: true, Match: together.Match{Class: "order"}}}, func(_ uint64, f []together.Found) { found = f })
-	r.runNext().advance(5 * time.Millisecond)
-	if len(found) != 2 || found[0].Learnt != 2 || found[1].Learnt != 0 || len(m.voided) != 1 {
-		t.Errorf("found %+v, void %v", found, m.voided)
-	}
-	left, _ := os.ReadFile(file)
-	if strings.Contains(string(left), "gone") || !strings.Contains(string(left), `"b"`) {
-		t.Errorf("on disk: %s", left)
-	}
-}
--- a/internal/sender/restart_test.go
+++ b/internal/sender/restart_test.go
@@ -11,8 +11,8 @@
 	"flaxcove/internal/journal"
 )
 
-// A killed sender owes what it had accepted: what may be repeated goes out again, and a non-idempotent message with a
-// attempt out, which may have run, is given up and never sent. Once ended, nothing comes back at a third start.
+// After a kill all accepted messages are pending: an idempotent one is sent again, and a non-idempotent one with an attempt in
+// flight, which may have run, is given up and never sent. Once ended, none comes back at a third start.
 func Example_restart() {
 	r := start("", 100).submit("OUT.ADD 00 st c=status,d=6000,dest=1 x", "OUT.ADD 00 or c=order,d=20000,dest=1 x")
 	fmt.Println("killed")
@@ -38,7 +38,8 @@
 	// owed: 0 to the platform: 0
 }
 
-// A refusal proves that a non-idempotent message has not run, so after a kill it is sent again. A wait ends with a restart.
+// A rejection proves that a non-idempotent message has not run, so after a kill it is sent again. A Retry-After ends with a
+// restart.
 func Example_restartAfterRefusal() {
 	r := start("", 100).submit("OUT.ADD 00 or c=order,d=20000,dest=1 x").endpointAnswers(answerFull).advance(5 * time.Millisecond)
 	fmt.Println("killed")
@@ -54,7 +55,8 @@
 	//    or
 }
 
-// An ending is pending until the platform has answered, through a kill too, and so is one whose time ran out meanwhile.
+// An ending is to be reported until the platform has answered, through a kill too, and so is that of a message whose time ran
+// out meanwhile.
 func Example_platformSilent() {
 	r := start("", 100)
 	r.platformUp = false
@@ -77,8 +79,8 @@
 	// owed: 0 to the platform: 0
 }
 
-// What ends while the turn's calls begin is not told to the platform before the next turn has written it down: a kill in
-// between would have it sent again, though its client was told to come back.
+// A message that ends while the turn's calls begin is not reported to the platform before the next turn has recorded its end:
+// after a kill in between it would be sent again, though its client was told to submit it again.
 func Example_endedAsItsCallBegins() {
 	r := start("", 100)
 	r.submit("OUT.ADD 00 or c=order,d=20000,dest=9 x") // nobody serves 9 yet
@@ -101,7 +103,7 @@
 	// platform: {"message":"or","outcome":"handed_back"}
 }
 
-// The journal keeps within its part of the disk, refuses what does not fit, and comes back whole.
+// The journal stays within its share of the disk, messages that do not fit are rejected, and it is read back completely.
 func Example_journalFull() {
 	r := start("", 1000)
 	body := strings.Repeat("x", 20000)
@@ -136,7 +138,8 @@
 	// owed: 4 to the platform: 0
 }
 
-// An id that comes again after its end is accepted already, through a kill too: a non-idempotent one never runs again.
+// An id that is submitted again after its end is answered +OK, through a kill too, and a non-idempotent message never runs
+// again.
 func Example_endedID() {
 	const text = "OUT.ADD 00 or c=order,d=20000,dest=1 x"
 	r := start("", 100).submit(text).endpointAnswers(answerOK).submit(text).printPending()
--- a/internal/sender/send_test.go
+++ b/internal/sender/send_test.go
@@ -15,8 +15,8 @@
 	return release
 }
 
-// Bytes that come on an idle link while a call is about to leave on it must not be taken for the call's answer, and
-// a link whose end comes then must not cost a call that may have run: no byte of it has left.
+// Bytes that come on an idle link while a call is about to be sent on it are not taken for the call's answer, and a call whose
+// link ends then does not count as one that may have run, as no byte of it was sent.
 func TestInputOnIdleLink(t *testing.T) {
 	for _, of := range []struct {
 		name  string
@@ -53,8 +53,8 @@
 	}
 }
 
-// No call may leave on a link on which something has come, whether it lies in the socket's buffers or has been read and
-// found to be unasked for, with the connection's end yet to come.
+// No call is sent on a link on which something has come, whether it is in the socket's buffers, or was read and found to be
+// unsolicited and the link's end is yet to come.
 func TestExpectAnswerSeesWhatCame(t *testing.T) {
 	conn, peer := connPair(t, false) // read by the test alone
 	conn.SetReadTimeout(connTestTimeout)
@@ -97,8 +97,8 @@
 	}
 }
 
-// The window for repeats may end between the last look at the link and the write, as where the process was stopped.
-// No byte of the repeat may leave then.
+// The window for repeats may end between the last check of the link and the write, as where the process was stopped. No byte
+// of the repeat is sent then.
 func TestWindowEndsBeforeWrite(t *testing.T) {
 	conn, peer := connPair(t, false)
 	r := startWith(testConfigWith(t.TempDir(), idempotencyKeySettings(), twoEndpointList))
@@ -119,7 +119,7 @@
 	}
 }
 
-// In a bulk call that comes up late, only what is out of its window stays behind.
+// Of a bulk call whose connection comes up late, only messages that are out of their window are not sent.
 func TestWindowInBundle(t *testing.T) {
 	conn, peer := connPair(t, false)
 	settings := strings.Replace(idempotencyKeySettings(), `"side_effect"`, `"pure"`, 1)
@@ -141,7 +141,7 @@
 	}
 }
 
-// The window may end while a call is half written, to an endpoint that reads slowly: its last byte must not leave.
+// The window may end while a call is half written, to an endpoint that reads slowly: its last byte is not sent.
 func TestWindowEndsInWrite(t *testing.T) {
 	conn, peer := connPair(t, true)
 	r := startWith(testConfigWith(t.TempDir(), idempotencyKeySettings(), twoEndpointList))
--- a/internal/sender/unsent_test.go
+++ b/internal/sender/unsent_test.go
@@ -13,8 +13,8 @@
 const drainedA = `{"version":2,"full":false,"servers":[{"id":"a","addr":"127.0.0.1:1","zone":"z","kind":"one","cell":1,"state":"draining","weight":100}]}`
 const backA = `{"version":3,"full":false,"servers":[{"id":"a","addr":"127.0.0.1:1","zone":"z","kind":"one","cell":1,"state":"up","weight":100}]}`
 
-// A call that is held back once its connection is up, for what has become known meanwhile, tells nothing of its
-// endpoint. Told as a failed connection, one such call had an endpoint ejected that nobody had heard of for 2 s.
+// A call that is not sent once its connection is up, for what has become known meanwhile, says nothing of its endpoint.
+// Reported as a failed connection, one such call had an endpoint ejected that had sent nothing for 2 s.
 func TestUnsentCallReportsNothingOfItsEndpoint(t *testing.T) {
 	hasFresh := func(_ *testing.T, r *harness) bool {
 		r.submit("OUT.ADD 00 fresh c=order,d=20000,dest=1 x")
@@ -73,8 +73,8 @@
 	}
 }
 
-// Where the process has no capacity for one more connection its calls wait for some, each as the one try that it is: none
-// counts against its endpoint, and the tries of a message are not spent in the fraction of a second that it lasts.
+// Where the process can't open one more connection its calls wait, each as one attempt: none counts against its endpoint, and
+// the attempts of a message are not used up in the fraction of a second that the shortage lasts.
 func TestNoCapacityForAConnection(t *testing.T) {
 	short := func(err error) func(*harness) { // the dial fails for want of something of this process
 		return func(r *harness) {
@@ -107,7 +107,7 @@
 					}
 				} else {
 					r.advance(20 * time.Second)
-					// It is shed, as one that has surely not run, with fewer calls than it may have.
+					// It is shed, as one that has certainly not run, with fewer attempts than it may have.
 					if m.ending.kind == endNone || m.MayRun || m.attempts > r.s.cfg.Settings.MaxAttempts {
 						t.Errorf("ends %v, may have run %v, tries %d", m.ending.kind, m.MayRun, m.attempts)
 					}
--- a/internal/sender/untried_test.go
+++ b/internal/sender/untried_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// What an earlier process accepted and never tried is tried, whatever the start makes of it: no destination yet, paces
-// and times that nothing is known of, a share that is used up, keys that wait for one another, a backlog that fills
-// all of MaxOpen, and a message that was submitted with less time than its class allows.
+// A message that an earlier process accepted and never attempted is attempted, whatever the start finds: no destination yet,
+// unknown rates and times, a share that is used up, ordering keys, a backlog that fills all of MaxOpen, and a message that was
+// submitted with less time than its class allows.
 func TestUntriedIsTried(t *testing.T) {
 	t.Parallel()
 	now := clockAt(time.Minute)
