--- a/internal/sender/bundle_test.go
+++ b/internal/sender/bundle_test.go
@@ -11,13 +11,13 @@
 // Messages of one turn to one endpoint share a call, up to what its kind takes, and each ends as its own state in the answer
 // says; one that the answer leaves out may have run.
 func Example_bundle() {
-	r := start("", 100).submit("OUT.ADD 0a o1 c=order,d=20000,dest=2 x", "OUT.ADD 0b o2 c=order,d=20000,dest=2 x",
+	h := start("", 100).submit("OUT.ADD 0a o1 c=order,d=20000,dest=2 x", "OUT.ADD 0b o2 c=order,d=20000,dest=2 x",
 		"OUT.ADD 0c o3 c=order,d=20000,dest=2 x")
-	_, body := r.s.request(r.calls[0])
+	_, body := h.s.request(h.calls[0])
 	fmt.Println(string(body))
-	r.endpointAnswers("HTTP/1.1 200 OK\nContent-Length: 58\n\n" + `[{"id":"o1","state":"ok"},  {"id":"o2","state":"later"}]   `)
-	r.advance(5 * time.Millisecond).printPending()
-	os.RemoveAll(r.dir)
+	h.endpointAnswers("HTTP/1.1 200 OK\nContent-Length: 58\n\n" + `[{"id":"o1","state":"ok"},  {"id":"o2","state":"later"}]   `)
+	h.advance(5 * time.Millisecond).printPending()
+	os.RemoveAll(h.dir)
 	// Output:
 	// call b: POST /inbox/bulk
 	//    o3
@@ -35,16 +35,16 @@
 // was may have run. The call goes on for the other message, and ends none a second time.
 func Example_bundleOutlivesOne() {
 	for _, written := range []bool{false, true} {
-		r := start("", 100).submit("OUT.ADD 0 order c=order,d=20000,dest=2 x", "OUT.ADD 0 late c=status,d=500,dest=2 x")
-		c := r.calls[0]
+		h := start("", 100).submit("OUT.ADD 0 order c=order,d=20000,dest=2 x", "OUT.ADD 0 late c=status,d=500,dest=2 x")
+		c := h.calls[0]
 		text := answerOK
 		if written {
-			c.link = &link{sender: r.s, endpoint: c.endpoint}
+			c.link = &link{sender: h.s, endpoint: c.endpoint}
 			text = "HTTP/1.1 200 OK\nContent-Length: 61\n\n" + `[{"id":"order","state":"ok"},{"id":"late","state":"ok"}]     `
 		}
-		r.advance(600 * time.Millisecond).endpointAnswers(text).advance(5 * time.Millisecond).printPending()
-		fmt.Println("delivered:", r.s.counts.delivered)
-		os.RemoveAll(r.dir)
+		h.advance(600 * time.Millisecond).endpointAnswers(text).advance(5 * time.Millisecond).printPending()
+		fmt.Println("delivered:", h.s.counts.delivered)
+		os.RemoveAll(h.dir)
 	}
 	// Output:
 	// call b: POST /inbox/bulk
@@ -72,12 +72,12 @@
 
 // A Retry-After in the answer to a bulk call counts whatever became of its messages.
 func Example_bundleWait() {
-	r := start("", 100).submit("OUT.ADD 0 s1 c=status,d=6000,dest=2 x", "OUT.ADD 0 s2 c=status,d=6000,dest=2 x")
-	r.endpointAnswers("HTTP/1.1 200 OK\nRetry-After: 0.7\nContent-Length: 54\n\n" + `[{"id":"s1","state":"ok"},{"id":"s2","state":"error"}]`)
-	r.advance(690 * time.Millisecond)
+	h := start("", 100).submit("OUT.ADD 0 s1 c=status,d=6000,dest=2 x", "OUT.ADD 0 s2 c=status,d=6000,dest=2 x")
+	h.endpointAnswers("HTTP/1.1 200 OK\nRetry-After: 0.7\nContent-Length: 54\n\n" + `[{"id":"s1","state":"ok"},{"id":"s2","state":"error"}]`)
+	h.advance(690 * time.Millisecond)
 	fmt.Println("the wait is over")
-	r.advance(300 * time.Millisecond)
-	os.RemoveAll(r.dir)
+	h.advance(300 * time.Millisecond)
+	os.RemoveAll(h.dir)
 	// Output:
 	// call b: POST /inbox/bulk
 	//    s2
@@ -91,15 +91,15 @@
 // A bulk call whose answer cannot be parsed may have run, and its link is not reused.
 func Example_spoiltBundle() {
 	for _, body := range []string{`[{"id":"o1","state":"ok"},{"id":"o2","sta`, "nothing", `[{"id":"o1","state":"ok"}]`} {
-		r := start("", 100).submit("OUT.ADD 0 o1 c=order,d=20000,dest=2 x", "OUT.ADD 0 o2 c=order,d=20000,dest=2 x")
+		h := start("", 100).submit("OUT.ADD 0 o1 c=order,d=20000,dest=2 x", "OUT.ADD 0 o2 c=order,d=20000,dest=2 x")
 		var a http1.Answer
 		a.Feed(fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body))
 		answer := readAnswer(&a)
-		fmt.Println("spoilt:", answer.lacksStates(r.calls[0]))
-		r.calls[0].done = true
-		r.s.finishCall(r.calls[0], answer)
-		r.advance(5 * time.Millisecond)
-		os.RemoveAll(r.dir)
+		fmt.Println("spoilt:", answer.lacksStates(h.calls[0]))
+		h.calls[0].done = true
+		h.s.finishCall(h.calls[0], answer)
+		h.advance(5 * time.Millisecond)
+		os.RemoveAll(h.dir)
 	}
 	// Output:
 	// call b: POST /inbox/bulk
--- a/internal/sender/call_ends_test.go
+++ b/internal/sender/call_ends_test.go
@@ -13,24 +13,24 @@
 func TestEnds(t *testing.T) {
 	const no, may, over = "has not run", "may have run", "is over"
 	says := func(text string) func(*testing.T, *harness, *call, *net.TCPConn) {
-		return func(t *testing.T, r *harness, c *call, peer *net.TCPConn) {
+		return func(t *testing.T, h *harness, c *call, peer *net.TCPConn) {
 			readUntilSuffix(t, peer, "xyz")
 			peer.Write([]byte(strings.ReplaceAll(text, "\n", "\r\n")))
 			peer.Close()
 		}
 	}
 	begins := func(text string, then func(*harness, *call, *net.TCPConn)) func(*testing.T, *harness, *call, *net.TCPConn) {
-		return func(t *testing.T, r *harness, c *call, peer *net.TCPConn) {
+		return func(t *testing.T, h *harness, c *call, peer *net.TCPConn) {
 			if m := c.messages[0]; len(m.body) == 3 {
 				readUntilSuffix(t, peer, string(m.body))
 			}
 			peer.Write([]byte(strings.ReplaceAll(text, "\n", "\r\n")))
-			r.runUntil(t, "the answer begins", func() bool { return c.link.answeringCall == c })
-			then(r, c, peer)
+			h.runUntil(t, "the answer begins", func() bool { return c.link.answeringCall == c })
+			then(h, c, peer)
 		}
 	}
 	resets := func(_ *harness, _ *call, peer *net.TCPConn) { resetConn(peer) }
-	ends := func(r *harness, c *call, _ *net.TCPConn) { r.s.expireCall(c) }
+	ends := func(h *harness, c *call, _ *net.TCPConn) { h.s.expireCall(c) }
 	for _, row := range []struct {
 		name   string
 		narrow bool // its last byte is not sent
@@ -38,9 +38,9 @@
 		result choice.Result
 		tells  string
 	}{
-		{"reset before the last byte", true, func(_ *testing.T, r *harness, c *call, peer *net.TCPConn) { resetConn(peer) }, choice.ConnectFailed, no},
+		{"reset before the last byte", true, func(_ *testing.T, h *harness, c *call, peer *net.TCPConn) { resetConn(peer) }, choice.ConnectFailed, no},
 		{"reset before it, behind half an answer", true, begins("HTTP/1.1 503 Full\nCont", resets), choice.ConnectFailed, no},
-		{"given up before it", true, func(_ *testing.T, r *harness, c *call, _ *net.TCPConn) { r.s.expireCall(c) }, choice.ConnectFailed, no},
+		{"given up before it", true, func(_ *testing.T, h *harness, c *call, _ *net.TCPConn) { h.s.expireCall(c) }, choice.ConnectFailed, no},
 		{"given up before it, behind half an answer", true, begins("HTTP/1.1 503 Full\nCont", ends), choice.ConnectFailed, no},
 		{"200 before it, then reset", true, begins("HTTP/1.1 200 OK\nCont", resets), choice.Done, over},
 		{"reset after it", false, func(t *testing.T, _ *harness, _ *call, peer *net.TCPConn) {
@@ -48,10 +48,10 @@
 			resetConn(peer)
 		}, choice.Reset, may},
 		{"closed after it", false, says(""), choice.Reset, may},
-		{"time over", false, func(t *testing.T, r *harness, c *call, peer *net.TCPConn) {
+		{"time over", false, func(t *testing.T, h *harness, c *call, peer *net.TCPConn) {
 			readUntilSuffix(t, peer, "xyz")
-			r.runUntil(t, "it is written", func() bool { return !c.link.writing })
-			r.s.expireCall(c)
+			h.runUntil(t, "it is written", func() bool { return !c.link.writing })
+			h.s.expireCall(c)
 		}, choice.TimedOut, may},
 		{"time over behind a first line with 200", false, begins("HTTP/1.1 200 OK\nContent-Length: 9\n\nok", ends), choice.Done, over},
 		{"time over behind half a first line", false, begins("HTTP/1.1 2", ends), choice.Spoilt, may},
@@ -80,37 +80,37 @@
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			conn, peer := connPair(t, row.narrow)
-			r := start(t.TempDir(), 100)
+			h := start(t.TempDir(), 100)
 			body := "xyz"
 			if row.narrow {
 				body = strings.Repeat("x", 60000)
 			}
-			r.submit("OUT.ADD 00 id c=order,d=20000,dest=1 " + body)
-			c, m := r.calls[0], r.s.pending["id"]
-			r.connectionUp(c, conn)
+			h.submit("OUT.ADD 00 id c=order,d=20000,dest=1 " + body)
+			c, m := h.calls[0], h.s.pending["id"]
+			h.connectionUp(c, conn)
 			if row.narrow {
 				if _, err := peer.Read(make([]byte, 1)); err != nil {
 					t.Fatal(err)
 				}
 			}
-			row.does(t, r, c, peer)
-			r.runUntil(t, "the write ends", func() bool { return !c.link.writing })
+			row.does(t, h, c, peer)
+			h.runUntil(t, "the write ends", func() bool { return !c.link.writing })
 			if m.inFlight != nil && c.done {
-				r.advance(3 * abandonSettleTime) // it was abandoned
+				h.advance(3 * abandonSettleTime) // it was abandoned
 			}
-			r.runUntil(t, "the call ends", func() bool { return m.inFlight == nil })
+			h.runUntil(t, "the call ends", func() bool { return m.inFlight == nil })
 			if row.narrow {
 				if s := readToEnd(peer); strings.Count(s, "x") >= len(body) {
 					t.Fatal("the row's last byte has left")
 				}
 			}
-			if r.s.counts.outcomes[row.result] != 1 {
-				t.Errorf("outcomes %v, want one %s", r.s.counts.outcomes, resultNames[row.result])
+			if h.s.counts.outcomes[row.result] != 1 {
+				t.Errorf("outcomes %v, want one %s", h.s.counts.outcomes, resultNames[row.result])
 			}
 			tells := no
 			if m.MayRun {
 				tells = may
-			} else if r.s.pending["id"] == nil {
+			} else if h.s.pending["id"] == nil {
 				tells = over
 			}
 			if tells != row.tells {
@@ -129,23 +129,23 @@
 	closed := ln.Addr().String()
 	ln.Close()
 	for name, sets := range map[string]func(*harness){
-		"refused":    func(r *harness) { r.s.endpoints["a"].addr = closed },
-		"no address": func(r *harness) { r.s.endpoints["a"].addr = "" },
+		"refused":    func(h *harness) { h.s.endpoints["a"].addr = closed },
+		"no address": func(h *harness) { h.s.endpoints["a"].addr = "" },
 	} {
-		r := start(t.TempDir(), 100)
-		r.s.dial = r.s.dialEndpoint
-		sets(r)
-		r.submit("OUT.ADD 00 id c=order,d=20000,dest=1 x")
-		m := r.s.pending["id"]
-		r.runUntil(t, name, func() bool { return m.inFlight == nil })
-		if m.MayRun || r.s.counts.outcomes[choice.ConnectFailed] != 1 || r.s.openLinks != 0 {
-			t.Errorf("%s: may run %v, outcomes %v, open %d", name, m.MayRun, r.s.counts.outcomes, r.s.openLinks)
+		h := start(t.TempDir(), 100)
+		h.s.dial = h.s.dialEndpoint
+		sets(h)
+		h.submit("OUT.ADD 00 id c=order,d=20000,dest=1 x")
+		m := h.s.pending["id"]
+		h.runUntil(t, name, func() bool { return m.inFlight == nil })
+		if m.MayRun || h.s.counts.outcomes[choice.ConnectFailed] != 1 || h.s.openLinks != 0 {
+			t.Errorf("%s: may run %v, outcomes %v, open %d", name, m.MayRun, h.s.counts.outcomes, h.s.openLinks)
 		}
 	}
-	r := start(t.TempDir(), 100)
-	r.submit("OUT.ADD 00 id c=order,d=20000,dest=1 x")
-	r.s.expireCall(r.calls[0])
-	if m := r.s.pending["id"]; m.MayRun || m.inFlight != nil || r.s.counts.outcomes[choice.ConnectFailed] != 1 {
+	h := start(t.TempDir(), 100)
+	h.submit("OUT.ADD 00 id c=order,d=20000,dest=1 x")
+	h.s.expireCall(h.calls[0])
+	if m := h.s.pending["id"]; m.MayRun || m.inFlight != nil || h.s.counts.outcomes[choice.ConnectFailed] != 1 {
 		t.Errorf("never up: may run %v, out %v", m.MayRun, m.inFlight != nil)
 	}
 }
@@ -165,19 +165,19 @@
 		{"nothing", "", choice.Reset, choice.Reset},
 	} {
 		conn, peer := connPair(t, false)
-		r := start(t.TempDir(), 100)
-		r.submit("OUT.ADD 0 o1 c=order,d=20000,dest=2 xyz", "OUT.ADD 0 o2 c=order,d=20000,dest=2 xyz")
-		c, n1, n2 := r.calls[0], r.s.pending["o1"], r.s.pending["o2"]
-		r.connectionUp(c, conn)
+		h := start(t.TempDir(), 100)
+		h.submit("OUT.ADD 0 o1 c=order,d=20000,dest=2 xyz", "OUT.ADD 0 o2 c=order,d=20000,dest=2 xyz")
+		c, n1, n2 := h.calls[0], h.s.pending["o1"], h.s.pending["o2"]
+		h.connectionUp(c, conn)
 		readUntilSuffix(t, peer, "]")
 		peer.Write([]byte(row.text))
 		peer.Close()
-		r.runUntil(t, row.name, func() bool { return n1.inFlight == nil && n2.inFlight == nil })
+		h.runUntil(t, row.name, func() bool { return n1.inFlight == nil && n2.inFlight == nil })
 		var want [choice.Spoilt + 1]int64
 		want[row.o1]++
 		want[row.o2]++
-		if r.s.counts.outcomes != want {
-			t.Errorf("%s: outcomes %v, want %v", row.name, r.s.counts.outcomes, want)
+		if h.s.counts.outcomes != want {
+			t.Errorf("%s: outcomes %v, want %v", row.name, h.s.counts.outcomes, want)
 		}
 	}
 }
@@ -187,31 +187,31 @@
 func TestAnswerBeforeRequestEnds(t *testing.T) {
 	for _, reads := range []bool{true, false} {
 		conn, peer := connPair(t, true)
-		r := start(t.TempDir(), 100)
+		h := start(t.TempDir(), 100)
 		body := strings.Repeat("x", 60000)
-		r.submit("OUT.ADD 00 first c=order,d=20000,dest=1 " + body)
-		c, e := r.calls[0], r.s.endpoints["a"]
-		r.connectionUp(c, conn)
+		h.submit("OUT.ADD 00 first c=order,d=20000,dest=1 " + body)
+		c, e := h.calls[0], h.s.endpoints["a"]
+		h.connectionUp(c, conn)
 		l := c.link
 		if _, err := peer.Read(make([]byte, 1)); err != nil {
 			t.Fatal(err)
 		}
 		peer.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
-		r.runUntil(t, "the call ends", func() bool { return c.done })
-		if len(e.idle) != 0 || r.s.pending["first"] != nil {
-			t.Errorf("idle %d while a request is written, delivered %v", len(e.idle), r.s.pending["first"] == nil)
+		h.runUntil(t, "the call ends", func() bool { return c.done })
+		if len(e.idle) != 0 || h.s.pending["first"] != nil {
+			t.Errorf("idle %d while a request is written, delivered %v", len(e.idle), h.s.pending["first"] == nil)
 		}
 		if reads {
 			if text := readUntilSuffix(t, peer, body); !strings.HasPrefix(text, "OST /inbox") {
 				t.Errorf("heard %.20q", text)
 			}
-			r.runUntil(t, "the write ends", func() bool { return !l.writing })
+			h.runUntil(t, "the write ends", func() bool { return !l.writing })
 		} else {
 			l.bufferLock.Lock()
-			r.clock += 2 * answerRestTimeout
+			h.clock += 2 * answerRestTimeout
 			l.bufferLock.Unlock()
-			r.s.turn()
-			r.runUntil(t, "the link ends", func() bool { return r.s.openLinks == 0 && !l.writing })
+			h.s.turn()
+			h.runUntil(t, "the link ends", func() bool { return h.s.openLinks == 0 && !l.writing })
 		}
 		if idle := len(e.idle) == 1; idle != reads || l.closing == reads {
 			t.Errorf("rest read %v: idle %v, closing %v", reads, idle, l.closing)
--- a/internal/sender/capacity_test.go
+++ b/internal/sender/capacity_test.go
@@ -47,15 +47,15 @@
 
 // capacityHarness starts a sender whose calls hang.
 func capacityHarness(c *config.Config) *harness {
-	r := startWith(c)
-	r.s.dial = func(*call) {}
-	r.s.listReceived = true
-	return r
+	h := startWith(c)
+	h.s.dial = func(*call) {}
+	h.s.listReceived = true
+	return h
 }
 
-func (r *harness) submitNumbered(c *client, i, destinations int, body []byte) {
+func (h *harness) submitNumbered(c *client, i, destinations int, body []byte) {
 	c.window <- struct{}{}
-	r.s.handleCommand(c, [][]byte{[]byte("OUT.ADD"), []byte("0"), fmt.Appendf(nil, "message-%012d", i),
+	h.s.handleCommand(c, [][]byte{[]byte("OUT.ADD"), []byte("0"), fmt.Appendf(nil, "message-%012d", i),
 		fmt.Appendf(nil, "c=status,d=3600000,dest=%d", i%destinations), body})
 }
 
@@ -72,25 +72,25 @@
 }
 
 // submitMany submits so many messages.
-func (r *harness) submitMany(open, destinations int) {
+func (h *harness) submitMany(open, destinations int) {
 	c, body := capacityClient(), []byte(strings.Repeat("x", capacityBody))
 	for i := range open {
-		r.submitNumbered(c, i, destinations, body)
+		h.submitNumbered(c, i, destinations, body)
 		if (i+1)%capacityTurn == 0 || i+1 == open {
-			r.clock += 5 * time.Millisecond
-			r.s.turn()
+			h.clock += 5 * time.Millisecond
+			h.s.turn()
 			c.discardReplies()
 		}
 	}
 }
 
 func filledHarness(b *testing.B, open int) *harness {
-	r := capacityHarness(capacityConfig(b, capacityDown, open))
-	r.submitMany(open, capacityDown)
-	if len(r.s.pending) != open {
-		b.Fatalf("%d are owed, not %d", len(r.s.pending), open)
+	h := capacityHarness(capacityConfig(b, capacityDown, open))
+	h.submitMany(open, capacityDown)
+	if len(h.s.pending) != open {
+		b.Fatalf("%d are owed, not %d", len(h.s.pending), open)
 	}
-	return r
+	return h
 }
 
 var capacityOpen = []int{1_000, 10_000, 100_000, 1_000_000}
@@ -99,33 +99,33 @@
 // memory (sender and module) and on disk.
 func BenchmarkCapacityOwed(b *testing.B) {
 	bench.Sizes(b, "open", capacityOpen, func(b *testing.B, n int) {
-		var r *harness
+		var h *harness
 		var took time.Duration
 		cfg := capacityConfig(b, capacityDown, n)
 		heap := bench.Heap(func() any {
-			r = capacityHarness(cfg)
+			h = capacityHarness(cfg)
 			began := time.Now()
-			r.submitMany(n, capacityDown)
+			h.submitMany(n, capacityDown)
 			took = time.Since(began)
-			return r
+			return h
 		})
 		for b.Loop() {
 		}
 		b.ReportMetric(0, "ns/op") // the work is done once, in the fill
 		b.ReportMetric(float64(took), "fill-ns")
 		b.ReportMetric(heap, "heap-B")
-		b.ReportMetric(float64(r.s.journal.Size()), "disk-B")
-		r.s.journal.Close()
+		b.ReportMetric(float64(h.s.journal.Size()), "disk-B")
+		h.s.journal.Close()
 	})
 }
 
 // BenchmarkCapacityReplay is a start on the folder of a sender that owes so many messages.
 func BenchmarkCapacityReplay(b *testing.B) {
 	bench.Sizes(b, "open", capacityOpen, func(b *testing.B, n int) {
-		r := filledHarness(b, n)
-		r.s.journal.Close()
-		cfg := r.s.cfg
-		r = nil
+		h := filledHarness(b, n)
+		h.s.journal.Close()
+		cfg := h.s.cfg
+		h = nil
 		for b.Loop() {
 			again := startWith(cfg)
 			if len(again.s.pending) != n {
@@ -139,13 +139,13 @@
 // BenchmarkCapacityRewrite writes the journal anew with all that is pending, on the loop.
 func BenchmarkCapacityRewrite(b *testing.B) {
 	bench.Sizes(b, "open", capacityOpen, func(b *testing.B, n int) {
-		r := filledHarness(b, n)
+		h := filledHarness(b, n)
 		for b.Loop() {
-			if err := r.s.journal.Rewrite(r.s.records); err != nil {
+			if err := h.s.journal.Rewrite(h.s.records); err != nil {
 				b.Fatal(err)
 			}
 		}
-		r.s.journal.Close()
+		h.s.journal.Close()
 	})
 }
 
@@ -159,27 +159,27 @@
 // BenchmarkCapacityDigest is a digest, of which there are two a second, beside so many messages that wait.
 func BenchmarkCapacityDigest(b *testing.B) {
 	bench.Sizes(b, "open", capacityOpen, func(b *testing.B, n int) {
-		r := filledHarness(b, n)
-		r.s.Join(&silentCluster{}, Joining{})
+		h := filledHarness(b, n)
+		h.s.Join(&silentCluster{}, Joining{})
 		for b.Loop() {
-			r.s.sendDigest()
+			h.s.sendDigest()
 		}
-		r.s.journal.Close()
+		h.s.journal.Close()
 	})
 }
 
 // BenchmarkCapacityDigestList is a digest of a sender at rest, by destinations; metric rows is what the last one told.
 func BenchmarkCapacityDigestList(b *testing.B) {
 	bench.Sizes(b, "destinations", []int{610, 6_100, 61_000}, func(b *testing.B, n int) {
-		r := capacityHarness(capacityConfig(b, n, 1))
+		h := capacityHarness(capacityConfig(b, n, 1))
 		c := &silentCluster{}
-		r.s.Join(c, Joining{})
-		r.s.sendDigest()
+		h.s.Join(c, Joining{})
+		h.s.sendDigest()
 		for b.Loop() {
-			r.s.sendDigest()
+			h.s.sendDigest()
 		}
 		b.ReportMetric(float64(c.rows), "rows")
-		r.s.journal.Close()
+		h.s.journal.Close()
 	})
 }
 
@@ -187,28 +187,28 @@
 func BenchmarkCapacityListFull(b *testing.B) {
 	bench.Sizes(b, "destinations", []int{610, 6_100, 61_000, 610_000}, func(b *testing.B, n int) {
 		cfg := capacityConfig(b, n, 1)
-		var r *harness
+		var h *harness
 		heap := bench.Heap(func() any {
-			r = capacityHarness(cfg)
-			return r
+			h = capacityHarness(cfg)
+			return h
 		})
 		for b.Loop() {
-			r.s.updateEndpoints(cfg.Known, false)
+			h.s.updateEndpoints(cfg.Known, false)
 		}
 		b.ReportMetric(heap, "heap-B")
-		r.s.journal.Close()
+		h.s.journal.Close()
 	})
 }
 
 // BenchmarkCapacityListChange is one destination's change told to a sender that holds so many.
 func BenchmarkCapacityListChange(b *testing.B) {
 	bench.Sizes(b, "destinations", []int{610, 6_100, 61_000}, func(b *testing.B, n int) {
-		r := capacityHarness(capacityConfig(b, n, 1))
+		h := capacityHarness(capacityConfig(b, n, 1))
 		change := directory.List{Version: 2, Servers: capacityList(1).Servers}
 		for b.Loop() {
-			r.s.updateEndpoints(change, false)
+			h.s.updateEndpoints(change, false)
 		}
-		r.s.journal.Close()
+		h.s.journal.Close()
 	})
 }
 
@@ -217,11 +217,11 @@
 func BenchmarkCapacityMessage(b *testing.B) {
 	bench.Sizes(b, "destinations", []int{610, 6_100, 61_000}, func(b *testing.B, n int) {
 		const aTurn = 4
-		r := capacityHarness(capacityConfig(b, n, 1000))
-		r.s.dial = func(c *call) {
-			r.s.recordAttempt(c)
-			r.s.commit()
-			r.calls = append(r.calls, c)
+		h := capacityHarness(capacityConfig(b, n, 1000))
+		h.s.dial = func(c *call) {
+			h.s.recordAttempt(c)
+			h.s.commit()
+			h.calls = append(h.calls, c)
 		}
 		var ok200 http1.Answer
 		if err := ok200.Feed([]byte(strings.ReplaceAll(answerOK, "\n", "\r\n"))); err != nil || !ok200.Done {
@@ -231,26 +231,26 @@
 		i := 0
 		for b.Loop() {
 			for range aTurn {
-				r.submitNumbered(c, i, n, body)
+				h.submitNumbered(c, i, n, body)
 				i++
 			}
-			r.clock += 5 * time.Millisecond
-			r.s.turn()
+			h.clock += 5 * time.Millisecond
+			h.s.turn()
 			c.discardReplies()
-			for _, out := range r.calls {
+			for _, out := range h.calls {
 				out.done = true
-				r.s.finishCall(out, readAnswer(&ok200))
-				r.s.openLinks-- // its link, which no socket ends
+				h.s.finishCall(out, readAnswer(&ok200))
+				h.s.openLinks-- // its link, which no socket ends
 				out.endpoint.linkCount--
 			}
-			clear(r.calls)
-			r.calls = r.calls[:0]
+			clear(h.calls)
+			h.calls = h.calls[:0]
 		}
 		b.ReportMetric(float64(b.Elapsed())/float64(i), "ns/message")
-		b.ReportMetric(float64(r.s.journal.Size())/float64(i), "disk-B/message")
-		if late := len(r.s.pending); late > 2*aTurn*8 {
+		b.ReportMetric(float64(h.s.journal.Size())/float64(i), "disk-B/message")
+		if late := len(h.s.pending); late > 2*aTurn*8 {
 			b.Fatalf("%d are owed still", late)
 		}
-		r.s.journal.Close()
+		h.s.journal.Close()
 	})
 }
--- a/internal/sender/clock_test.go
+++ b/internal/sender/clock_test.go
@@ -59,12 +59,12 @@
 	writeJournal(t, dir, records...)
 	// A minute back, and another process by that clock.
 	cfg := fourClassConfig(dir, 100)
-	r := startAt(cfg, time.Second)
-	recordCalls(t, r)
-	r.updateList(`{"version":2,"servers":[{"id":"g","addr":"127.0.0.1:7","zone":"z","kind":"one","cell":7,"state":"draining"}]}`)
-	r.handle(newUnreadClient(), "OUT.ADD 0 new c=pure,d=8000,dest=7 x")
-	r.s.turn()
-	r.s.journal.Flush()
+	h := startAt(cfg, time.Second)
+	recordCalls(t, h)
+	h.updateList(`{"version":2,"servers":[{"id":"g","addr":"127.0.0.1:7","zone":"z","kind":"one","cell":7,"state":"draining"}]}`)
+	h.handle(newUnreadClient(), "OUT.ADD 0 new c=pure,d=8000,dest=7 x")
+	h.s.turn()
+	h.s.journal.Flush()
 
 	l := recordCalls(t, startAt(fourClassConfig(dir, 100), 2*time.Second))
 	if len(l.s.pending) != 4 {
--- a/internal/sender/cluster_test.go
+++ b/internal/sender/cluster_test.go
@@ -35,16 +35,16 @@
 func (m *fakeLearnedStore) Holds(d choice.DestinationID) (float64, bool) { return 7, d == m.mustStay }
 
 // joinCluster joins the sender to a fakeCluster.
-func (r *harness) joinCluster(j Joining) *fakeCluster {
+func (h *harness) joinCluster(j Joining) *fakeCluster {
 	c := &fakeCluster{closedZone: -1}
-	r.s.Join(c, j)
+	h.s.Join(c, j)
 	return c
 }
 
 // runNext handles the next event, which takes the orders that were given.
-func (r *harness) runNext() *harness {
-	(<-r.s.inbox)()
-	return r
+func (h *harness) runNext() *harness {
+	(<-h.s.inbox)()
+	return h
 }
 
 // While the gate holds attempts back, messages are accepted and answered and none is sent. Attempts begin when the channel
@@ -52,16 +52,16 @@
 func Example_gate() {
 	for _, opens := range []bool{true, false} {
 		gate := make(chan struct{})
-		r := start("", 100)
-		r.joinCluster(Joining{Gate: gate, For: time.Second})
-		r.submit("OUT.ADD 0 id c=status,d=6000,dest=1 x").advance(900 * time.Millisecond)
+		h := start("", 100)
+		h.joinCluster(Joining{Gate: gate, For: time.Second})
+		h.submit("OUT.ADD 0 id c=status,d=6000,dest=1 x").advance(900 * time.Millisecond)
 		if opens {
 			close(gate)
-			r.runNext()
+			h.runNext()
 		}
-		fmt.Println("out:", len(r.calls))
-		r.advance(110 * time.Millisecond)
-		os.RemoveAll(r.dir)
+		fmt.Println("out:", len(h.calls))
+		h.advance(110 * time.Millisecond)
+		os.RemoveAll(h.dir)
 	}
 	// Output:
 	// client: +OK
@@ -76,13 +76,13 @@
 
 // A routing plan lets nothing go to a closed zone, as soon as it changes; without a plan all is allowed.
 func Example_routingPlan() {
-	r := start("", 100)
-	c := r.joinCluster(Joining{})
-	fmt.Println(r.s.Allowed("id", "a"))
-	c.closedZone = r.s.endpoints["a"].zone
-	r.advance(5 * time.Millisecond)
-	fmt.Println(r.s.Allowed("id", "a"), r.s.Allowed("id", "unknown"))
-	os.RemoveAll(r.dir)
+	h := start("", 100)
+	c := h.joinCluster(Joining{})
+	fmt.Println(h.s.Allowed("id", "a"))
+	c.closedZone = h.s.endpoints["a"].zone
+	h.advance(5 * time.Millisecond)
+	fmt.Println(h.s.Allowed("id", "a"), h.s.Allowed("id", "unknown"))
+	os.RemoveAll(h.dir)
 	// Output:
 	// true
 	// false true
@@ -91,9 +91,9 @@
 // A digest counts each call once however many messages it carries, and each message once, when its client gets +OK: not
 // a rejected one, nor the same id again. Waiting messages are counted in one row of their destination.
 func Example_digest() {
-	r := start("", 4)
-	c := r.joinCluster(Joining{})
-	r.advance(500 * time.Millisecond)
+	h := start("", 4)
+	c := h.joinCluster(Joining{})
+	h.advance(500 * time.Millisecond)
 	show := func() {
 		for _, row := range c.last.Rows {
 			fmt.Printf("row %+v\n", row)
@@ -101,14 +101,14 @@
 		fmt.Println("counts", c.last.Counts, "longest", c.last.Longest)
 	}
 	show()
-	r.submit("OUT.ADD 0 s1 c=status,d=6000,dest=2 x", "OUT.ADD 0 s2 c=status,d=6000,dest=2 x",
+	h.submit("OUT.ADD 0 s1 c=status,d=6000,dest=2 x", "OUT.ADD 0 s2 c=status,d=6000,dest=2 x",
 		"OUT.ADD 0 w c=order,d=90000,dest=9 x",
 		"OUT.ADD 0 w2 c=order,d=20000,dest=9 x", "OUT.ADD 0 over c=order,d=20000,dest=9 x")
-	r.endpointAnswers("HTTP/1.1 429 Wait\nRetry-After: 9\nX-Load: x0=0,x1=25\nContent-Length: 0\n\n")
-	r.submit("OUT.ADD 0 w c=order,d=90000,dest=9 x")
-	r.advance(500 * time.Millisecond)
+	h.endpointAnswers("HTTP/1.1 429 Wait\nRetry-After: 9\nX-Load: x0=0,x1=25\nContent-Length: 0\n\n")
+	h.submit("OUT.ADD 0 w c=order,d=90000,dest=9 x")
+	h.advance(500 * time.Millisecond)
 	show()
-	os.RemoveAll(r.dir)
+	os.RemoveAll(h.dir)
 	// Output:
 	// row {Destination:1 Kind:0 Zone:z Sent:0 Done:0 Failed:0 Silent:0 Refused:0 Endpoints:1 Limit:0 Rating:100 Held:0}
 	// row {Destination:2 Kind:1 Zone:z Sent:0 Done:0 Failed:0 Silent:0 Refused:0 Endpoints:1 Limit:0 Rating:100 Held:0}
@@ -133,39 +133,39 @@
 // evicted destination asks the region once, and what the region knows is adopted where nothing is known here, its wait
 // shorter by its age.
 func Example_evict() {
-	r := start("", 100)
-	c, m := r.joinCluster(Joining{}), &fakeLearnedStore{mustStay: 2}
-	r.s.learnedStore = m
-	r.submit("OUT.ADD 0 id c=status,d=6000,dest=1 x")
-	r.clock += 50 * time.Millisecond
-	o := r.s.Orders()
+	h := start("", 100)
+	c, m := h.joinCluster(Joining{}), &fakeLearnedStore{mustStay: 2}
+	h.s.learnedStore = m
+	h.submit("OUT.ADD 0 id c=status,d=6000,dest=1 x")
+	h.clock += 50 * time.Millisecond
+	o := h.s.Orders()
 	list := func() {
 		o.Holding(func(all []together.Held) { fmt.Printf("held %+v\n", all) })
-		r.runNext().advance(5 * time.Millisecond)
+		h.runNext().advance(5 * time.Millisecond)
 	}
 	evict := func() {
 		o.Evict([]choice.DestinationID{1, 2, 9}, func(retained []choice.DestinationID) {
 			fmt.Println("kept", retained, "void", m.voided)
 		})
-		r.runNext().advance(5 * time.Millisecond)
+		h.runNext().advance(5 * time.Millisecond)
 	}
 	evict()
-	r.calls[0].endpoint.linkCount-- // the harness has none
-	r.endpointAnswers(answerOK).advance(5 * time.Millisecond)
+	h.calls[0].endpoint.linkCount-- // the harness has none
+	h.endpointAnswers(answerOK).advance(5 * time.Millisecond)
 	o.Know([]choice.DestinationID{1}, func(all []together.Lesson) { fmt.Printf("known %+v\n", all) })
-	r.runNext().advance(20 * time.Millisecond)
+	h.runNext().advance(20 * time.Millisecond)
 	list()
 	evict()
 	m.voided = nil
-	r.submit("OUT.ADD 0 again c=status,d=6000,dest=9 x", "OUT.ADD 0 more c=status,d=6000,dest=9 x")
+	h.submit("OUT.ADD 0 again c=status,d=6000,dest=9 x", "OUT.ADD 0 more c=status,d=6000,dest=9 x")
 	fmt.Println("woke", c.woke)
 	k := choice.Learnt{Mean: 10, Dev: 1, Past: 10, Seen: 3, Wait: 5 * choice.Second}
 	o.Teach([]together.Lesson{{Endpoint: "z", Learnt: k, Age: 2 * time.Second}, {Endpoint: "a", Learnt: k},
 		{Endpoint: "none", Learnt: k},
 		{Endpoint: "b", Learnt: choice.Learnt{Mean: -1}}})
-	r.runNext()
+	h.runNext()
 	fmt.Println("taught", m.voided)
-	os.RemoveAll(r.dir)
+	os.RemoveAll(h.dir)
 	// Output:
 	// call a: POST /inbox
 	//    id
--- a/internal/sender/command.go
+++ b/internal/sender/command.go
@@ -57,7 +57,7 @@
 	s.log.Debug("accepted", zap.String("id", string(m.ID)), zap.String("workload", m.className),
 		zap.Int64("dest", int64(m.Destination)), zap.Int64("hard_stop_ms", int64((m.Deadline-s.Now())/choice.Millisecond)))
 	s.admit(m)
-	s.module.Taken(m.Message)
+	s.choice.Taken(m.Message)
 	s.wakeDestination(m.Destination)
 }
 
--- a/internal/sender/command_test.go
+++ b/internal/sender/command_test.go
@@ -12,14 +12,14 @@
 
 // An invalid command is answered with what is wrong, and accepts nothing; a repeated id is answered +OK once more.
 func Example_commands() {
-	r := start("", 3).submit("PING", "ping hello", "FLUSHALL", "OUT.ADD 00 a", "OUT.ADD 00 a c=nil,d=1,dest=1 x",
+	h := start("", 3).submit("PING", "ping hello", "FLUSHALL", "OUT.ADD 00 a", "OUT.ADD 00 a c=nil,d=1,dest=1 x",
 		"OUT.ADD 00 a c=status,d=-1,dest=1 x", "OUT.ADD 00 a c=status,d=1e99,dest=1 x", "OUT.ADD 00 a c=status,d=0x10,dest=1 x",
 		"OUT.ADD 00 a c=status,d=900,dest=1.5 x", "OUT.ADD 00 \"a c=status,d=900,dest=1 x", "OUT.ADD 00 new c=status,d=900,dest=9,x=y,r=1 x")
-	r.submit("OUT.ADD 00 new c=status,d=900,dest=9 x", "OUT.ADD 00 soon c=status,d=1,dest=9 x")
-	r.submit("OUT.ADD 00 two c=status,d=6000,dest=9 x", "OUT.ADD 00 three c=status,d=6000,dest=9 x", "OUT.ADD 00 four c=status,d=6000,dest=9 x")
+	h.submit("OUT.ADD 00 new c=status,d=900,dest=9 x", "OUT.ADD 00 soon c=status,d=1,dest=9 x")
+	h.submit("OUT.ADD 00 two c=status,d=6000,dest=9 x", "OUT.ADD 00 three c=status,d=6000,dest=9 x", "OUT.ADD 00 four c=status,d=6000,dest=9 x")
 	// Where the list is from before the start, an unknown destination may be a new one.
-	r.submit("OUT.ADD 00 five c=status,d=6000,dest=77 x").updateList(`{"version":2}`).submit("OUT.ADD 00 five c=status,d=6000,dest=77 x")
-	os.RemoveAll(r.dir)
+	h.submit("OUT.ADD 00 five c=status,d=6000,dest=77 x").updateList(`{"version":2}`).submit("OUT.ADD 00 five c=status,d=6000,dest=77 x")
+	os.RemoveAll(h.dir)
 	// Output:
 	// client: +PONG
 	// client: $5
@@ -45,15 +45,15 @@
 
 // At a graceful shutdown no call begins late, pending messages stay in the journal, and late ones are rejected.
 func Example_drain() {
-	r := start("", 100)
-	r.s.startDrain(r.clock)
-	r.submit("OUT.ADD 00 early c=status,d=6000,dest=1 x").endpointAnswers(strings.Replace(answerFull, "0.4", "4", 1))
-	r.advance(3 * time.Second)
-	r.submit("OUT.ADD 00 late c=status,d=6000,dest=1 x").printPending()
-	r.advance(400 * time.Millisecond)
-	fmt.Println("ended:", r.s.ended)
-	start(r.dir, 100).printPending()
-	os.RemoveAll(r.dir)
+	h := start("", 100)
+	h.s.startDrain(h.clock)
+	h.submit("OUT.ADD 00 early c=status,d=6000,dest=1 x").endpointAnswers(strings.Replace(answerFull, "0.4", "4", 1))
+	h.advance(3 * time.Second)
+	h.submit("OUT.ADD 00 late c=status,d=6000,dest=1 x").printPending()
+	h.advance(400 * time.Millisecond)
+	fmt.Println("ended:", h.s.ended)
+	start(h.dir, 100).printPending()
+	os.RemoveAll(h.dir)
 	// Output:
 	// call a: POST /inbox
 	//    early
@@ -66,35 +66,35 @@
 
 // At a graceful shutdown idle clients are closed; one that connects after the signal may send one command.
 func Example_drainClients() {
-	r := start("", 100)
+	h := start("", 100)
 	connect := func() *client {
 		pair, _ := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM, 0)
 		conn, _ := netpoll.NewFDConnection(pair[0])
-		return r.client(conn)
+		return h.client(conn)
 	}
 	idle, half, asked, queued := connect(), connect(), connect(), connect()
 	queued.window <- struct{}{} // its command waits in the inbox
-	half.partialSince.Store(int64(r.clock))
+	half.partialSince.Store(int64(h.clock))
 	asked.window <- struct{}{}
-	r.s.addMessage(r.s.expectReply(asked), [][]byte{nil, []byte("0"), []byte("id"), []byte("c=status,d=6000,dest=1"), nil})
-	r.clock += time.Second
-	r.s.startDrain(r.clock)
+	h.s.addMessage(h.s.expectReply(asked), [][]byte{nil, []byte("0"), []byte("id"), []byte("c=status,d=6000,dest=1"), nil})
+	h.clock += time.Second
+	h.s.startDrain(h.clock)
 	late, silent := connect(), connect()
 	show := func() {
 		fmt.Println(idle.closing, half.closing, asked.closing, queued.closing, late.closing, silent.closing)
 	}
 	show()
 	late.served = true
-	r.advance(5 * time.Millisecond)
-	(<-r.s.inbox)() // the answer is written
-	r.advance(5 * time.Millisecond)
+	h.advance(5 * time.Millisecond)
+	(<-h.s.inbox)() // the answer is written
+	h.advance(5 * time.Millisecond)
 	show()
-	r.advance(drainAcceptTime)
+	h.advance(drainAcceptTime)
 	show()
-	r.clock += partialCommandTimeout
-	r.s.sweepClients()
+	h.clock += partialCommandTimeout
+	h.s.sweepClients()
 	fmt.Println("half a command:", half.closing, half.writeClosed)
-	os.RemoveAll(r.dir)
+	os.RemoveAll(h.dir)
 	// Output:
 	// true false false false false false
 	// call a: POST /inbox
--- a/internal/sender/configure.go
+++ b/internal/sender/configure.go
@@ -78,7 +78,7 @@
 	if s.cluster != nil {
 		s.digestState.includeClasses(next.Settings.Classes)
 	}
-	s.module.Configure(next.Settings)
+	s.choice.Configure(next.Settings)
 	// Only what changed is worked through: with a large list each pass over it blocks the loop for tens of milliseconds.
 	if !slices.Equal(previous.Settings.Kinds, next.Settings.Kinds) {
 		for _, e := range s.endpoints {
--- a/internal/sender/configure_bench_test.go
+++ b/internal/sender/configure_bench_test.go
@@ -28,19 +28,19 @@
 				settings := func(change []string) json.RawMessage {
 					return settingsWith(b, append([]string{`"maxOpen":100`, `"maxOpen":1000000`}, change...)...)
 				}
-				r := startWith(loadedConfig(b, b.TempDir(), settings(nil), list))
-				r.s.maxLinks = 0 // no call leaves
+				h := startWith(loadedConfig(b, b.TempDir(), settings(nil), list))
+				h.s.maxLinks = 0 // no call leaves
 				for i := range open {
-					m, err := r.s.parseMessage(splitArgs(fmt.Sprintf("OUT.ADD 0 id%d c=status,d=6000,dest=%d x", i, i%destinations)))
+					m, err := h.s.parseMessage(splitArgs(fmt.Sprintf("OUT.ADD 0 id%d c=status,d=6000,dest=%d x", i, i%destinations)))
 					if err != nil {
 						b.Fatal(err)
 					}
-					r.s.admit(m)
-					r.s.module.Taken(m.Message)
+					h.s.admit(m)
+					h.s.choice.Taken(m.Message)
 				}
 				b.ResetTimer()
 				for i := range b.N {
-					if err := r.s.configure(together.Configuration{Version: uint64(i + 1), Settings: settings(changes[name][i%2])}); err != nil {
+					if err := h.s.configure(together.Configuration{Version: uint64(i + 1), Settings: settings(changes[name][i%2])}); err != nil {
 						b.Fatal(err)
 					}
 				}
--- a/internal/sender/configure_test.go
+++ b/internal/sender/configure_test.go
@@ -60,11 +60,11 @@
 }
 
 // configure gives an order to change the settings, and returns the answer, which comes at the end of the turn.
-func (r *harness) configure(c together.Configuration) (answer error) {
+func (h *harness) configure(c together.Configuration) (answer error) {
 	answer = errors.New("no answer")
-	r.s.Orders().Configure(c, func(err error) { answer = err })
-	r.runNext()
-	r.s.turn()
+	h.s.Orders().Configure(c, func(err error) { answer = err })
+	h.runNext()
+	h.s.turn()
 	return answer
 }
 
@@ -77,9 +77,9 @@
 // Invalid settings are rejected by one line that names the field, and all stays as it was; so is an older version. The one
 // that is in force is accepted and changes nothing.
 func TestConfigureRefuses(t *testing.T) {
-	r := startWith(loadedConfig(t, t.TempDir(), settingsWith(t), knownList(t)))
+	h := startWith(loadedConfig(t, t.TempDir(), settingsWith(t), knownList(t)))
 	two := together.Configuration{Version: 2, Settings: settingsWith(t, `"maxOpen":100`, `"maxOpen":50`)}
-	if err := r.configure(two); err != nil {
+	if err := h.configure(two); err != nil {
 		t.Fatal(err)
 	}
 	for want, c := range map[string]together.Configuration{
@@ -92,19 +92,19 @@
 		"field settings: missing":                           {Version: 3},
 		"unexpected end of JSON input":                      {Version: 3, Settings: json.RawMessage(`{"classes":`)},
 	} {
-		before := r.s.cfg
-		err := r.configure(c)
+		before := h.s.cfg
+		err := h.configure(c)
 		if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%q is wanted: %v", want, err)
 		}
-		if r.s.cfg != before || r.s.cfg.Settings.MaxOpen != 50 {
+		if h.s.cfg != before || h.s.cfg.Settings.MaxOpen != 50 {
 			t.Errorf("%s: the settings have changed", want)
 		}
 	}
-	if err := r.configure(two); err != nil {
+	if err := h.configure(two); err != nil {
 		t.Errorf("what is in force: %v", err)
 	}
-	if err := r.configure(together.Configuration{Version: 7, Settings: settingsWith(t)}); err != nil || r.s.cfg.Version != 7 {
+	if err := h.configure(together.Configuration{Version: 7, Settings: settingsWith(t)}); err != nil || h.s.cfg.Version != 7 {
 		t.Errorf("a later one: %v", err)
 	}
 }
@@ -114,45 +114,45 @@
 func TestConfigureHolds(t *testing.T) {
 	list := knownList(t)
 	list.Servers[0].Zone, list.Servers[0].Kind = "new", "newer" // of settings to come
-	r := startWith(loadedConfig(t, t.TempDir(), settingsWith(t), list))
-	r.submit("OUT.ADD 0 first c=status,d=6000,dest=9 x")
-	if e := r.s.endpoints["a"]; e.zone >= 0 || e.kind != 0 {
+	h := startWith(loadedConfig(t, t.TempDir(), settingsWith(t), list))
+	h.submit("OUT.ADD 0 first c=status,d=6000,dest=9 x")
+	if e := h.s.endpoints["a"]; e.zone >= 0 || e.kind != 0 {
 		t.Fatalf("what the settings don't name has numbers: %+v", e)
 	}
 	changed := together.Configuration{Version: 1, Settings: settingsWith(t, `"maxOpen":100`, `"maxOpen":1`, `"zones":["z"]`, `"zones":["z","new"]`,
 		`"maxRetryAfter":2000000000`, `"maxRetryAfter":700000000`, `"machineTypes":["one","many"]`, `"machineTypes":["one","many","newer"]`,
 		`"bundleMax":[1,3]`, `"bundleMax":[1,5,7]`, classEnd, withNew, `"callsOut":8`, `"callsOut":300`)}
-	if err := r.configure(changed); err != nil {
+	if err := h.configure(changed); err != nil {
 		t.Fatal(err)
 	}
-	a, b := r.s.endpoints["a"], r.s.endpoints["b"]
-	if a.zone != 1 || a.kind != 2 || a.bulkMax != 7 || b.bulkMax != 5 || r.s.maxLinks != 301 {
-		t.Errorf("a %+v, bundles to b %d, links %d", a, b.bulkMax, r.s.maxLinks)
+	a, b := h.s.endpoints["a"], h.s.endpoints["b"]
+	if a.zone != 1 || a.kind != 2 || a.bulkMax != 7 || b.bulkMax != 5 || h.s.maxLinks != 301 {
+		t.Errorf("a %+v, bundles to b %d, links %d", a, b.bulkMax, h.s.maxLinks)
 	}
-	if busy := string(*r.s.clients.busyReply.Load()); busy != "-BUSY 700\r\n" {
+	if busy := string(*h.s.clients.busyReply.Load()); busy != "-BUSY 700\r\n" {
 		t.Errorf("who finds no place is told %q", busy)
 	}
 	answer := func(command string) string {
 		c := newClient()
-		r.handle(c, command)
-		r.s.turn()
+		h.handle(c, command)
+		h.s.turn()
 		return strings.TrimSpace(string(c.output))
 	}
 	if text := answer("OUT.ADD 0 full c=status,d=6000,dest=9 x"); text != "-BUSY 700" {
 		t.Errorf("beyond the new limit: %s", text)
 	}
-	if len(r.s.pending) != 1 {
+	if len(h.s.pending) != 1 {
 		t.Error("what was taken on is gone")
 	}
-	if err := r.configure(together.Configuration{Version: 2, Settings: settingsWith(t, classEnd, withNew,
+	if err := h.configure(together.Configuration{Version: 2, Settings: settingsWith(t, classEnd, withNew,
 		`"zones":["z"]`, `"zones":["z","new"]`, `"machineTypes":["one","many"]`, `"machineTypes":["one","many","newer"]`)}); err != nil {
 		t.Fatal(err)
 	}
 	if text := answer("OUT.ADD 0 again c=offer,d=6000,dest=9 x"); text != "+OK" {
 		t.Errorf("back under the old limit, and of the new class: %s", text)
 	}
-	r.joinCluster(Joining{})
-	if counters := strings.Join(r.s.Counters(), " "); !strings.Contains(counters, "configuration_version:2") {
+	h.joinCluster(Joining{})
+	if counters := strings.Join(h.s.Counters(), " "); !strings.Contains(counters, "configuration_version:2") {
 		t.Error(counters)
 	}
 }
@@ -163,11 +163,11 @@
 	dir := t.TempDir()
 	own := loadedConfig(t, dir, settingsWith(t), knownList(t))
 	stored := together.Configuration{Version: 5, Settings: settingsWith(t, classEnd, withNew)}
-	r := startWith(own)
-	if err := r.configure(stored); err != nil {
+	h := startWith(own)
+	if err := h.configure(stored); err != nil {
 		t.Fatal(err)
 	}
-	r.submit("OUT.ADD 0 owed c=offer,d=60000,dest=9 x")
+	h.submit("OUT.ADD 0 owed c=offer,d=60000,dest=9 x")
 	if _, err := openSender(own, zap.NewNop(), time.Unix(1e9, 0), func() time.Duration { return time.Minute }); err == nil ||
 		!strings.Contains(err.Error(), `workload "offer", which field settings.classes does not name`) {
 		t.Errorf("a start with the file's own settings: %v", err)
--- a/internal/sender/earlier_process_test.go
+++ b/internal/sender/earlier_process_test.go
@@ -72,19 +72,19 @@
 }
 
 // recordCalls makes endpoints take each call, and the platform accept all.
-func recordCalls(t *testing.T, r *harness) *callRecorder {
+func recordCalls(t *testing.T, h *harness) *callRecorder {
 	t.Helper()
-	if r.s == nil {
+	if h.s == nil {
 		t.Fatal("the start was refused")
 	}
-	l := &callRecorder{harness: r, calls: map[choice.MessageID]int{}, endings: map[string]string{}, endedAt: map[string]choice.Time{}}
-	r.s.dial = func(c *call) {
+	l := &callRecorder{harness: h, calls: map[choice.MessageID]int{}, endings: map[string]string{}, endedAt: map[string]choice.Time{}}
+	h.s.dial = func(c *call) {
 		l.openCalls = append(l.openCalls, c)
 		for _, m := range c.messages {
 			l.calls[m.ID]++
 		}
 	}
-	r.s.postToPlatform = func(_ string, body []byte) (int, error) {
+	h.s.postToPlatform = func(_ string, body []byte) (int, error) {
 		l.Lock()
 		defer l.Unlock()
 		for _, e := range parseEndings(body) {
--- a/internal/sender/endpoints.go
+++ b/internal/sender/endpoints.go
@@ -44,7 +44,7 @@
 	endpoints    map[choice.EndpointID]*endpoint
 	starting     []*call                   // calls that begin at the end of this turn
 	connected    []connectedCall           // calls that are sent at the end of this turn
-	moduleTimers map[choice.TimerID]*timer // of package choice; each is removed as it fires or is forgotten
+	choiceTimers map[choice.TimerID]*timer // of package choice; each is removed as it fires or is forgotten
 	// destinationSeen is when a destination last had an endpoint, as of the last update. It is removed after
 	// emptyDestinationGrace.
 	destinationSeen map[choice.DestinationID]time.Duration
@@ -54,7 +54,7 @@
 func (r *routing) init() {
 	r.endpoints = map[choice.EndpointID]*endpoint{}
 	r.destinationSeen = map[choice.DestinationID]time.Duration{}
-	r.moduleTimers = map[choice.TimerID]*timer{}
+	r.choiceTimers = map[choice.TimerID]*timer{}
 }
 
 // updateEndpoints applies a list, or a change of the list. A stale one is from the configuration, not from discovery.
@@ -89,7 +89,7 @@
 	s.dropGone()
 	s.log.Debug("list", zap.Bool("full", l.Full), zap.Bool("stale", stale), zap.Any("entries", l.Servers))
 	s.listReceived = s.listReceived || !stale
-	s.module.ListNews(entries, l.Full)
+	s.choice.ListNews(entries, l.Full)
 }
 
 // updateEndpoint applies one entry, and adds to it what an earlier process learned of the endpoint.
--- a/internal/sender/endpoints_test.go
+++ b/internal/sender/endpoints_test.go
@@ -18,16 +18,16 @@
 
 // endpointsAfterLists applies lists and describes the endpoints that the sender then has.
 func endpointsAfterLists(t *testing.T, lists ...string) (*harness, map[choice.EndpointID]string) {
-	r := start("", 100)
-	t.Cleanup(func() { os.RemoveAll(r.dir) })
+	h := start("", 100)
+	t.Cleanup(func() { os.RemoveAll(h.dir) })
 	for _, text := range lists {
-		r.updateList(text)
+		h.updateList(text)
 	}
 	all := map[choice.EndpointID]string{}
-	for id, e := range r.s.endpoints {
+	for id, e := range h.s.endpoints {
 		all[id] = fmt.Sprintf("%s dest %d kind %d ready %v gone %v", e.addr, e.destination, e.kind, e.ready, e.gone)
 	}
-	return r, all
+	return h, all
 }
 
 // Unusual lists: one that lacks an endpoint is applied, and one that cannot be read changes nothing.
@@ -60,11 +60,11 @@
 		"twice, removed and up": {[]string{delta(2, `{"id":"a","state":"removed"},`+fmt.Sprintf(entry, "a", "127.0.0.1:1", 1, "up"))}, map[choice.EndpointID]string{"a": a, "b": b, "z": z}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r, got := endpointsAfterLists(t, c.lists...)
+			h, got := endpointsAfterLists(t, c.lists...)
 			if fmt.Sprint(got) != fmt.Sprint(c.want) {
 				t.Errorf("%v\nwant %v", got, c.want)
 			}
-			if _, taken := r.s.destinationSeen[0]; taken {
+			if _, taken := h.s.destinationSeen[0]; taken {
 				t.Error("a destination that no list names is known")
 			}
 		})
@@ -208,22 +208,22 @@
 // Nothing is laid up between turns, where lists come; and a call that were does not leave for an endpoint that has since
 // turned to another destination.
 func TestDrainedBeforeSending(t *testing.T) {
-	r := start("", 100)
-	defer os.RemoveAll(r.dir)
+	h := start("", 100)
+	defer os.RemoveAll(h.dir)
 	c := newClient()
-	r.handle(c, "OUT.ADD k one c=order,d=20000,dest=1 x")
-	if len(r.s.starting) != 0 {
-		t.Errorf("%d calls laid up before the turn", len(r.s.starting))
+	h.handle(c, "OUT.ADD k one c=order,d=20000,dest=1 x")
+	if len(h.s.starting) != 0 {
+		t.Errorf("%d calls laid up before the turn", len(h.s.starting))
 	}
-	r.s.turn()
-	if len(r.calls) != 1 {
-		t.Fatalf("%d calls, want the one", len(r.calls))
+	h.s.turn()
+	if len(h.calls) != 1 {
+		t.Fatalf("%d calls, want the one", len(h.calls))
 	}
-	first := r.calls[0]
-	r.calls, r.s.starting = nil, []*call{first}
-	r.updateList(`{"version":2,"servers":[{"id":"a","addr":"127.0.0.1:3","zone":"z","kind":"one","cell":2,"state":"up","weight":100}]}`)
-	r.s.startCalls()
-	if len(r.calls) != 0 {
-		t.Errorf("a call for destination 1 leaves for %d at %s", r.calls[0].endpoint.destination, r.calls[0].endpoint.addr)
+	first := h.calls[0]
+	h.calls, h.s.starting = nil, []*call{first}
+	h.updateList(`{"version":2,"servers":[{"id":"a","addr":"127.0.0.1:3","zone":"z","kind":"one","cell":2,"state":"up","weight":100}]}`)
+	h.s.startCalls()
+	if len(h.calls) != 0 {
+		t.Errorf("a call for destination 1 leaves for %d at %s", h.calls[0].endpoint.destination, h.calls[0].endpoint.addr)
 	}
 }
--- a/internal/sender/eviction.go
+++ b/internal/sender/eviction.go
@@ -57,7 +57,7 @@
 func (s *Sender) holdings() (all []together.Held) {
 	by := map[choice.DestinationID]*together.Held{}
 	for _, e := range s.endpoints {
-		if e.linkCount == 0 && !isKnown(s.module.Learnt(e.id)) {
+		if e.linkCount == 0 && !isKnown(s.choice.Learnt(e.id)) {
 			continue
 		}
 		h := by[e.destination]
@@ -158,7 +158,7 @@
 		which = func(choice.DestinationID) bool { return true }
 	}
 	for _, e := range s.endpointsOf(which) {
-		l := s.module.Learnt(e.id)
+		l := s.choice.Learnt(e.id)
 		if !isKnown(l) {
 			continue
 		}
@@ -177,7 +177,7 @@
 func (s *Sender) adoptLessons(lessons []together.Lesson) {
 	for _, l := range lessons {
 		e := s.endpoints[l.Endpoint]
-		if e == nil || e.gone || !isPlausible(l.Learnt) || l.Age < 0 || isKnown(s.module.Learnt(e.id)) {
+		if e == nil || e.gone || !isPlausible(l.Learnt) || l.Age < 0 || isKnown(s.choice.Learnt(e.id)) {
 			continue
 		}
 		age := config.Up(int64(l.Age))
--- a/internal/sender/gossip.go
+++ b/internal/sender/gossip.go
@@ -42,7 +42,7 @@
 func (s *Sender) startGossip(p *peers.Peers) {
 	s.peers = p
 	if p != nil {
-		p.Start(func(note []byte) { s.post(func() { s.module.Heard(note) }) })
+		p.Start(func(note []byte) { s.post(func() { s.choice.Heard(note) }) })
 	}
 }
 
--- a/internal/sender/gossip_test.go
+++ b/internal/sender/gossip_test.go
@@ -112,7 +112,7 @@
 	}
 	defer peer.Close()
 	client.Write(outAdd("0", "id", "c=status,d=1500,dest=1", ""))
-	waitOnLoop(t, hearing, "a Retry-After to one sender reaches the other", func() bool { return hearing.module.Learnt("full").Wait > 0 })
+	waitOnLoop(t, hearing, "a Retry-After to one sender reaches the other", func() bool { return hearing.choice.Learnt("full").Wait > 0 })
 	packet := make([]byte, 300)
 	peer.SetReadDeadline(time.Now().Add(10 * time.Second))
 	n, _, err := peer.ReadFrom(packet)
@@ -124,7 +124,7 @@
 		return hasCounters(hearing, "notes_from_strangers:3", "notes_spoilt:1", "notes_too_long:1") && hearing.peers.Counts().Heard >= 2
 	})
 	for _, invalid := range [][]byte{{}, {1}, {1, 2}, {1, 2, 3}, {1, 2, 3, 4}} {
-		hearing.post(func() { hearing.module.Heard(invalid) })
+		hearing.post(func() { hearing.choice.Heard(invalid) })
 	}
 	off, client3, ended3 := r.start(t, 2, false)
 	if off.peers != nil {
--- a/internal/sender/harness_test.go
+++ b/internal/sender/harness_test.go
@@ -94,26 +94,26 @@
 // startAt is a start with the clock at another time.
 func startAt(cfg *config.Config, at time.Duration) *harness {
 	dir := cfg.State
-	r := &harness{dir: dir, clock: at, platformUp: true}
-	s, err := openSender(cfg, zap.NewNop(), time.Unix(1e9, 0), func() time.Duration { return r.clock })
+	h := &harness{dir: dir, clock: at, platformUp: true}
+	s, err := openSender(cfg, zap.NewNop(), time.Unix(1e9, 0), func() time.Duration { return h.clock })
 	if err != nil {
 		fmt.Println(strings.ReplaceAll(err.Error(), dir, "DIR"))
-		return r
+		return h
 	}
 	s.dial = func(c *call) { // its connection is up at once, and it is sent
 		s.recordAttempt(c)
 		s.commit()
-		r.calls = append(r.calls, c)
+		h.calls = append(h.calls, c)
 	}
 	s.postToPlatform = func(_ string, body []byte) (int, error) {
-		if !r.platformUp {
+		if !h.platformUp {
 			return 0, os.ErrDeadlineExceeded
 		}
 		fmt.Print("platform: ", string(body))
 		return 204, nil
 	}
-	r.s = s
-	return r
+	h.s = s
+	return h
 }
 
 // newClient is a client whose answers stay in output.
@@ -127,22 +127,22 @@
 }
 
 // handle has the loop handle a command, whose arguments are separated by spaces.
-func (r *harness) handle(c *client, command string) {
+func (h *harness) handle(c *client, command string) {
 	c.window <- struct{}{}
-	r.s.handleCommand(c, splitArgs(command))
+	h.s.handleCommand(c, splitArgs(command))
 }
 
 // submit handles commands and prints what is answered by the end of the turn.
-func (r *harness) submit(commands ...string) *harness {
+func (h *harness) submit(commands ...string) *harness {
 	c := newClient()
 	for _, text := range commands {
-		r.handle(c, text)
+		h.handle(c, text)
 	}
-	r.advance(5 * time.Millisecond)
+	h.advance(5 * time.Millisecond)
 	for _, line := range strings.Split(strings.TrimSpace(string(c.output)), "\r\n") {
 		fmt.Printf("client: %s\n", line)
 	}
-	return r
+	return h
 }
 
 func splitArgs(text string) (args [][]byte) {
@@ -153,45 +153,45 @@
 }
 
 // connectionUp lets a connection come up that a call waits for, and ends the turn.
-func (r *harness) connectionUp(c *call, conn netpoll.Connection) {
-	r.s.onDialed(c, conn, nil)
-	r.s.commit()
-	r.s.sendConnected()
+func (h *harness) connectionUp(c *call, conn netpoll.Connection) {
+	h.s.onDialed(c, conn, nil)
+	h.s.commit()
+	h.s.sendConnected()
 }
 
 // client is a client that has just connected.
-func (r *harness) client(conn netpoll.Connection) *client {
-	c := &client{conn: conn, connectedAt: r.clock, window: make(chan struct{}, windowSize)}
-	r.s.clients.all[c] = struct{}{}
-	r.s.clients.served++
+func (h *harness) client(conn netpoll.Connection) *client {
+	c := &client{conn: conn, connectedAt: h.clock, window: make(chan struct{}, windowSize)}
+	h.s.clients.all[c] = struct{}{}
+	h.s.clients.served++
 	return c
 }
 
 // advance lets time pass in turns, and prints the calls that are in flight then.
-func (r *harness) advance(after time.Duration) *harness {
-	for end := r.clock + after; r.clock < end; {
-		r.clock = max(r.clock+5*time.Millisecond, min(end, r.s.timers.next()))
-		r.s.turn()
-		for r.s.posting && r.s.endings != nil && r.platformUp {
-			(<-r.s.inbox)()
+func (h *harness) advance(after time.Duration) *harness {
+	for end := h.clock + after; h.clock < end; {
+		h.clock = max(h.clock+5*time.Millisecond, min(end, h.s.timers.next()))
+		h.s.turn()
+		for h.s.posting && h.s.endings != nil && h.platformUp {
+			(<-h.s.inbox)()
 		}
 	}
-	for _, c := range r.calls {
+	for _, c := range h.calls {
 		if !c.done {
-			head, _ := r.s.request(c)
+			head, _ := h.s.request(c)
 			fmt.Printf("call %s: %s\n", c.endpoint.id, strings.Split(string(head), " HTTP")[0])
 			for _, m := range c.messages {
 				fmt.Println("  ", m.ID)
 			}
 		}
 	}
-	return r
+	return h
 }
 
 // endpointAnswers ends the last call in flight with an answer, which may be cut off, or with lastByteUnsent.
-func (r *harness) endpointAnswers(text string) *harness {
-	c := r.calls[len(r.calls)-1]
-	r.calls = r.calls[:len(r.calls)-1]
+func (h *harness) endpointAnswers(text string) *harness {
+	c := h.calls[len(h.calls)-1]
+	h.calls = h.calls[:len(h.calls)-1]
 	var a http1.Answer
 	var err error
 	if text != lastByteUnsent {
@@ -199,23 +199,23 @@
 	}
 	c.done = true
 	if err != nil || !a.Done {
-		r.s.finishCall(c, cutOffAnswer(c, text == lastByteUnsent, &partialAnswer{a.Status(), a.Began()}))
+		h.s.finishCall(c, cutOffAnswer(c, text == lastByteUnsent, &partialAnswer{a.Status(), a.Began()}))
 	} else {
-		r.s.finishCall(c, readAnswer(&a))
+		h.s.finishCall(c, readAnswer(&a))
 	}
-	return r
+	return h
 }
 
 // updateList applies a list as from discovery.
-func (r *harness) updateList(text string) *harness {
+func (h *harness) updateList(text string) *harness {
 	var l directory.List
 	json.Unmarshal([]byte(text), &l)
-	r.s.updateEndpoints(l, false)
-	return r
+	h.s.updateEndpoints(l, false)
+	return h
 }
 
 // printPending prints how many messages are pending, and how many endings are to be reported.
-func (r *harness) printPending() *harness {
-	fmt.Println("owed:", len(r.s.pending), "to the platform:", len(r.s.endings))
-	return r
+func (h *harness) printPending() *harness {
+	fmt.Println("owed:", len(h.s.pending), "to the platform:", len(h.s.endings))
+	return h
 }
--- a/internal/sender/host.go
+++ b/internal/sender/host.go
@@ -87,14 +87,14 @@
 
 // Timer sets a timer of package choice.
 func (s *Sender) Timer(in choice.Time, id choice.TimerID) {
-	s.moduleTimers[id] = s.after(time.Duration(config.Nanoseconds(in)), func() {
-		delete(s.moduleTimers, id)
-		s.module.TimerDue(id)
+	s.choiceTimers[id] = s.after(time.Duration(config.Nanoseconds(in)), func() {
+		delete(s.choiceTimers, id)
+		s.choice.TimerDue(id)
 	})
 }
 
 // Forget cancels a timer of package choice.
 func (s *Sender) Forget(id choice.TimerID) {
-	s.cancelTimer(s.moduleTimers[id])
-	delete(s.moduleTimers, id)
+	s.cancelTimer(s.choiceTimers[id])
+	delete(s.choiceTimers, id)
 }
--- a/internal/sender/keys_test.go
+++ b/internal/sender/keys_test.go
@@ -23,20 +23,20 @@
 // one that the settings do not name to none: all used to count to the first one's.
 func TestKeysAndTenants(t *testing.T) {
 	dir := t.TempDir()
-	r := tenantHarness(dir).submit("OUT.ADD 0a one c=status,t=right/2,d=6000,k=b8f3df7e144ea1f2,dest=1 x")
-	r.submit("OUT.ADD 0b two c=status,t=left,d=6000,k=k-2,dest=2 x", "OUT.ADD 0c three c=order,t=stranger,d=20000,dest=2 x")
-	check := func(r *harness) {
+	h := tenantHarness(dir).submit("OUT.ADD 0a one c=status,t=right/2,d=6000,k=b8f3df7e144ea1f2,dest=1 x")
+	h.submit("OUT.ADD 0b two c=status,t=left,d=6000,k=k-2,dest=2 x", "OUT.ADD 0c three c=order,t=stranger,d=20000,dest=2 x")
+	check := func(h *harness) {
 		t.Helper()
 		for id, want := range map[string][3]any{"one": {"b8f3df7e144ea1f2", "right/2", 1}, "two": {"k-2", "left", 0}, "three": {"", "stranger", -1}} {
-			m := r.s.pending[choice.MessageID(id)]
+			m := h.s.pending[choice.MessageID(id)]
 			if m == nil || m.idempotencyKey != want[0] || m.tenant != want[1] || int(m.Account) != want[2] {
 				t.Errorf("%s: %+v, want %v", id, m, want)
 			}
 		}
 	}
-	check(r)
-	for _, c := range r.calls {
-		head, body := r.s.request(c)
+	check(h)
+	for _, c := range h.calls {
+		head, body := h.s.request(c)
 		has := func(text, part string) {
 			t.Helper()
 			if !strings.Contains(text, part) {
@@ -53,41 +53,41 @@
 			t.Errorf("a call of %d", len(c.messages))
 		}
 	}
-	check(startAt(r.s.cfg, r.clock))
-	r.submit("OUT.ADD 0a bad c=status,d=6000,k=a\"b,dest=1 x")
-	if r.s.pending["bad"] != nil {
+	check(startAt(h.s.cfg, h.clock))
+	h.submit("OUT.ADD 0a bad c=status,d=6000,k=a\"b,dest=1 x")
+	if h.s.pending["bad"] != nil {
 		t.Error("a key that cannot stand in a head was taken on")
 	}
 }
 
 // The message with the latest deadline is first in a bulk call: an endpoint may measure the whole call by its first one.
 func TestFirstOfABundleLastsLongest(t *testing.T) {
-	r := start("", 100)
-	defer os.RemoveAll(r.dir)
-	r.submit("OUT.ADD 0 long c=order,d=20000,dest=2 x", "OUT.ADD 0 middle c=order,d=9000,dest=2 x", "OUT.ADD 0 short c=order,d=5000,dest=2 x")
-	_, body := r.s.request(r.calls[0])
+	h := start("", 100)
+	defer os.RemoveAll(h.dir)
+	h.submit("OUT.ADD 0 long c=order,d=20000,dest=2 x", "OUT.ADD 0 middle c=order,d=9000,dest=2 x", "OUT.ADD 0 short c=order,d=5000,dest=2 x")
+	_, body := h.s.request(h.calls[0])
 	at := func(id string) int { return strings.Index(string(body), `"id":"`+id) }
-	if len(r.calls[0].messages) != 3 || at("long") < 0 || at("long") > at("middle") || at("middle") > at("short") {
+	if len(h.calls[0].messages) != 3 || at("long") < 0 || at("long") > at("middle") || at("middle") > at("short") {
 		t.Errorf("order in %s", body)
 	}
-	r.advance(5 * time.Millisecond)
+	h.advance(5 * time.Millisecond)
 }
 
 // A message that parted while its call's write waited, as in a process that was stopped, has been told its end: the
 // call leaves without it.
 func TestCancelledStaysBehind(t *testing.T) {
-	r := start("", 100)
-	defer os.RemoveAll(r.dir)
-	r.submit("OUT.ADD 0 stays c=order,d=20000,dest=2 x", "OUT.ADD 0 parts c=status,d=500,dest=2 x")
-	c := r.calls[0]
-	l := &link{sender: r.s, endpoint: c.endpoint, addr: c.endpoint.addr}
+	h := start("", 100)
+	defer os.RemoveAll(h.dir)
+	h.submit("OUT.ADD 0 stays c=order,d=20000,dest=2 x", "OUT.ADD 0 parts c=status,d=500,dest=2 x")
+	c := h.calls[0]
+	l := &link{sender: h.s, endpoint: c.endpoint, addr: c.endpoint.addr}
 	c.link = l
-	r.advance(600 * time.Millisecond)
+	h.advance(600 * time.Millisecond)
 	if len(c.messages) != 2 || c.messages[0].inFlight != c && c.messages[1].inFlight != c {
 		t.Fatalf("%d notices", len(c.messages))
 	}
 	c.link = nil
-	if !r.s.maySend(c, l) || len(c.messages) != 1 || c.messages[0].ID != "stays" {
+	if !h.s.maySend(c, l) || len(c.messages) != 1 || c.messages[0].ID != "stays" {
 		t.Errorf("leaves with %v", c.ids())
 	}
 }
--- a/internal/sender/late_connection_test.go
+++ b/internal/sender/late_connection_test.go
@@ -25,19 +25,19 @@
 // dropped its buffers by then.
 func TestWriteAfterEnd(t *testing.T) {
 	conn := silentConn(t)
-	r := start(t.TempDir(), 100)
-	r.submit("OUT.ADD 00 id c=order,d=20000,dest=1 x")
-	c := r.calls[0]
+	h := start(t.TempDir(), 100)
+	h.submit("OUT.ADD 00 id c=order,d=20000,dest=1 x")
+	c := h.calls[0]
 	c.done = true // so that the link comes up idle
-	r.connectionUp(c, conn)
+	h.connectionUp(c, conn)
 	l := c.endpoint.idle[0]
 	l.conn.Close()
 	c.done = false
-	r.s.startWrite(c, l)
+	h.s.startWrite(c, l)
 	for !c.done {
-		(<-r.s.inbox)()
+		(<-h.s.inbox)()
 	}
-	if m := r.s.pending["id"]; m == nil || m.MayRun {
+	if m := h.s.pending["id"]; m == nil || m.MayRun {
 		t.Error("what never left is taken for one that may have run")
 	}
 }
@@ -46,11 +46,11 @@
 // not be sent on it.
 func TestLateConnectionCarriesNothing(t *testing.T) {
 	conn := silentConn(t)
-	r := start(t.TempDir(), 100)
-	r.submit("OUT.ADD 00 id c=status,d=6000,dest=1 x")
-	c := r.calls[0]
-	r.clock += 7 * time.Second
-	r.connectionUp(c, conn)
+	h := start(t.TempDir(), 100)
+	h.submit("OUT.ADD 00 id c=status,d=6000,dest=1 x")
+	c := h.calls[0]
+	h.clock += 7 * time.Second
+	h.connectionUp(c, conn)
 	if !c.done || c.link != nil {
 		t.Errorf("the call left after its time: over %v", c.done)
 	}
--- a/internal/sender/learned_state.go
+++ b/internal/sender/learned_state.go
@@ -137,7 +137,7 @@
 	file := learnedFile{At: s.Now()}
 	capacity := int(learnedFileShare*float64(s.journal.Limit())) - learnedFileFrame
 	for _, id := range slices.Sorted(maps.Keys(s.endpoints)) {
-		e, l := s.endpoints[id], s.module.Learnt(id)
+		e, l := s.endpoints[id], s.choice.Learnt(id)
 		if e.gone || l.Seen == 0 && l.Wait == 0 {
 			continue
 		}
--- a/internal/sender/learned_state_test.go
+++ b/internal/sender/learned_state_test.go
@@ -46,7 +46,7 @@
 			t.Fatal(err)
 		}
 		l := recordCalls(t, startWith(fourClassConfig(dir, 100)))
-		if k := l.s.module.Learnt("a"); (k.Seen == 9 && k.Mean == 900) != c.taken {
+		if k := l.s.choice.Learnt("a"); (k.Seen == 9 && k.Mean == 900) != c.taken {
 			t.Errorf("%s: %+v", name, k)
 		}
 		client := newUnreadClient()
@@ -69,15 +69,15 @@
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	r := start(dir, 100)
-	r.joinCluster(Joining{})
+	h := start(dir, 100)
+	h.joinCluster(Joining{})
 	m := &fakeLearnedStore{}
-	r.s.learnedStore = m
+	h.s.learnedStore = m
 	d := choice.DestinationID(1)
 	var found []together.Found
-	r.s.Orders().Purge([]together.Purge{{Seq: 1, Learnt: true, Match: together.Match{Destination: &d}},
+	h.s.Orders().Purge([]together.Purge{{Seq: 1, Learnt: true, Match: together.Match{Destination: &d}},
 		{Seq: 2, Learnt: true, Match: together.Match{Class: "order"}}}, func(_ uint64, f []together.Found) { found = f })
-	r.runNext().advance(5 * time.Millisecond)
+	h.runNext().advance(5 * time.Millisecond)
 	if len(found) != 2 || found[0].Learnt != 2 || found[1].Learnt != 0 || len(m.voided) != 1 {
 		t.Errorf("found %+v, void %v", found, m.voided)
 	}
--- a/internal/sender/link_harness_test.go
+++ b/internal/sender/link_harness_test.go
@@ -57,13 +57,13 @@
 }
 
 // idleLink brings up a link that idles at an endpoint.
-func (r *harness) idleLink(t *testing.T, to choice.EndpointID, conn netpoll.Connection) *link {
+func (h *harness) idleLink(t *testing.T, to choice.EndpointID, conn netpoll.Connection) *link {
 	t.Helper()
-	c := &call{endpoint: r.s.endpoints[to], beganAt: r.s.Now(), timeout: choice.Second, probe: true}
-	r.s.beginCall(c)
-	r.calls = r.calls[:len(r.calls)-1]
+	c := &call{endpoint: h.s.endpoints[to], beganAt: h.s.Now(), timeout: choice.Second, probe: true}
+	h.s.beginCall(c)
+	h.calls = h.calls[:len(h.calls)-1]
 	c.done = true
-	r.connectionUp(c, conn)
+	h.connectionUp(c, conn)
 	if len(c.endpoint.idle) != 1 {
 		t.Fatalf("%d idle links", len(c.endpoint.idle))
 	}
@@ -71,11 +71,11 @@
 }
 
 // runUntil does what is posted until something holds.
-func (r *harness) runUntil(t *testing.T, what string, holds func() bool) {
+func (h *harness) runUntil(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for late := time.After(connTestTimeout); !holds(); {
 		select {
-		case f := <-r.s.inbox:
+		case f := <-h.s.inbox:
 			f()
 		case <-late:
 			t.Fatalf("it did not come to pass: %s", what)
--- a/internal/sender/links_test.go
+++ b/internal/sender/links_test.go
@@ -15,19 +15,19 @@
 func TestLateConnectionToOldAddress(t *testing.T) {
 	for _, over := range []bool{false, true} {
 		conn, peer := connPair(t, false)
-		r := start(t.TempDir(), 100)
-		r.submit("OUT.ADD 00 id c=order,d=20000,dest=1 x")
-		c := r.calls[0]
-		r.updateList(movedA)
+		h := start(t.TempDir(), 100)
+		h.submit("OUT.ADD 00 id c=order,d=20000,dest=1 x")
+		c := h.calls[0]
+		h.updateList(movedA)
 		c.done = over
-		r.connectionUp(c, conn)
-		if n := len(r.s.endpoints["a"].idle); n != 0 || c.link != nil {
+		h.connectionUp(c, conn)
+		if n := len(h.s.endpoints["a"].idle); n != 0 || c.link != nil {
 			t.Errorf("over %v: idle %d, left %v", over, n, c.link != nil)
 		}
 		if text := readToEnd(peer); text != "" {
 			t.Errorf("over %v: the old address heard %q", over, text)
 		}
-		if m := r.s.pending["id"]; m == nil || m.MayRun {
+		if m := h.s.pending["id"]; m == nil || m.MayRun {
 			t.Error("what never left is taken for one that may have run")
 		}
 	}
@@ -36,18 +36,18 @@
 // A link that was busy when its endpoint moved is not kept idle for the next call.
 func TestBusyLinkToOldAddress(t *testing.T) {
 	conn, peer := connPair(t, false)
-	r := start(t.TempDir(), 100)
-	r.submit("OUT.ADD 00 id c=order,d=20000,dest=1 xyz")
-	c := r.calls[0]
-	r.connectionUp(c, conn)
+	h := start(t.TempDir(), 100)
+	h.submit("OUT.ADD 00 id c=order,d=20000,dest=1 xyz")
+	c := h.calls[0]
+	h.connectionUp(c, conn)
 	readUntilSuffix(t, peer, "xyz")
-	r.updateList(movedA)
+	h.updateList(movedA)
 	peer.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
-	r.runUntil(t, "the call ends", func() bool { return c.done && !c.link.writing })
-	if n := len(r.s.endpoints["a"].idle); n != 0 {
+	h.runUntil(t, "the call ends", func() bool { return c.done && !c.link.writing })
+	if n := len(h.s.endpoints["a"].idle); n != 0 {
 		t.Errorf("%d idle links to an address of before", n)
 	}
-	if r.s.pending["id"] != nil {
+	if h.s.pending["id"] != nil {
 		t.Error("the answer on the link does not count any more")
 	}
 }
@@ -62,39 +62,39 @@
 		comes func(*harness, *call)
 		idle  int
 	}{
-		{"call over", func(r *harness, c *call) { r.s.expireCall(c) }, 1},
-		{"message withdrawn and call over", func(r *harness, c *call) { r.s.pending["id"].withdrawn = true; r.s.expireCall(c) }, 1},
-		{"drained", func(r *harness, _ *call) { r.updateList(drained) }, 1},
-		{"unlisted", func(r *harness, _ *call) { r.updateList(gone) }, 0},
-		{"parted", func(r *harness, c *call) { r.s.cancelMessage(c, r.s.pending["id"]) }, 1},
+		{"call over", func(h *harness, c *call) { h.s.expireCall(c) }, 1},
+		{"message withdrawn and call over", func(h *harness, c *call) { h.s.pending["id"].withdrawn = true; h.s.expireCall(c) }, 1},
+		{"drained", func(h *harness, _ *call) { h.updateList(drained) }, 1},
+		{"unlisted", func(h *harness, _ *call) { h.updateList(gone) }, 0},
+		{"parted", func(h *harness, c *call) { h.s.cancelMessage(c, h.s.pending["id"]) }, 1},
 	} {
 		conn, peer := connPair(t, false)
-		r := start(t.TempDir(), 100)
-		r.submit("OUT.ADD 00 id c=order,d=20000,dest=1 x")
-		c, e := r.calls[0], r.s.endpoints["a"]
-		of.comes(r, c)
-		r.connectionUp(c, conn)
+		h := start(t.TempDir(), 100)
+		h.submit("OUT.ADD 00 id c=order,d=20000,dest=1 x")
+		c, e := h.calls[0], h.s.endpoints["a"]
+		of.comes(h, c)
+		h.connectionUp(c, conn)
 		if !c.done || c.link != nil || len(e.idle) != of.idle {
 			t.Errorf("%s: over %v, left %v, idle %d", of.name, c.done, c.link != nil, len(e.idle))
 		}
-		if m := r.s.pending["id"]; m != nil && (m.MayRun || m.inFlight != nil) {
+		if m := h.s.pending["id"]; m != nil && (m.MayRun || m.inFlight != nil) {
 			t.Errorf("%s: may have run %v, out %v", of.name, m.MayRun, m.inFlight != nil)
 		}
 		for _, l := range e.idle {
-			r.s.closeIdleLink(l, notNeeded)
+			h.s.closeIdleLink(l, notNeeded)
 		}
 		if text := readToEnd(peer); text != "" {
 			t.Errorf("%s: the endpoint heard %q", of.name, text)
 		}
-		r.runUntil(t, "the connection is forgotten", func() bool { return r.s.openLinks == 0 && e.linkCount == 0 })
+		h.runUntil(t, "the connection is forgotten", func() bool { return h.s.openLinks == 0 && e.linkCount == 0 })
 	}
 }
 
 // Small writes are not delayed (Nagle): a close with unread bytes would lose them.
 func TestNoDelayOnCalls(t *testing.T) {
 	conn, _ := connPair(t, false)
-	r := start(t.TempDir(), 100)
-	l := r.idleLink(t, "a", conn)
+	h := start(t.TempDir(), 100)
+	l := h.idleLink(t, "a", conn)
 	if on, err := syscall.GetsockoptInt(l.conn.(netpoll.Conn).Fd(), syscall.IPPROTO_TCP, syscall.TCP_NODELAY); on != 1 || err != nil {
 		t.Errorf("TCP_NODELAY: %d, %v", on, err)
 	}
@@ -103,26 +103,26 @@
 // The link that has been idle longest is found without a search among the endpoints: with 61,000 of them the search was most
 // of a call's cost. A link that is used, or has ended, is not among the idle ones.
 func TestOldestIdleIsKnown(t *testing.T) {
-	r := start(t.TempDir(), 100)
+	h := start(t.TempDir(), 100)
 	var links []*link
 	for range 4 {
 		conn, _ := connPair(t, false)
-		l := &link{sender: r.s, endpoint: r.s.endpoints["a"], addr: r.s.endpoints["a"].addr, conn: conn}
-		r.s.makeIdle(l)
-		r.clock += time.Millisecond
+		l := &link{sender: h.s, endpoint: h.s.endpoints["a"], addr: h.s.endpoints["a"].addr, conn: conn}
+		h.s.makeIdle(l)
+		h.clock += time.Millisecond
 		links = append(links, l)
 	}
-	if used := r.s.takeIdle(links[0].endpoint); used != links[3] {
+	if used := h.s.takeIdle(links[0].endpoint); used != links[3] {
 		t.Fatal("the link used last is not the one to be used next")
 	}
-	r.s.onLinkEnded(links[1], nil)
-	r.s.endpoints = nil
+	h.s.onLinkEnded(links[1], nil)
+	h.s.endpoints = nil
 	for _, oldest := range []*link{links[0], links[2]} {
-		if !r.s.closeOldestIdle() || !oldest.closing || oldest.closeReason != displaced {
+		if !h.s.closeOldestIdle() || !oldest.closing || oldest.closeReason != displaced {
 			t.Errorf("a link that idles was not closed, or not in its turn: %+v", oldest.closeReason)
 		}
 	}
-	if r.s.closeOldestIdle() || links[3].closing {
+	if h.s.closeOldestIdle() || links[3].closing {
 		t.Error("none idles, and one was closed")
 	}
 }
--- a/internal/sender/long_day_test.go
+++ b/internal/sender/long_day_test.go
@@ -22,32 +22,32 @@
 	os.Stdout = null
 	defer func() { os.Stdout = quiet; null.Close() }()
 
-	r := start(t.TempDir(), 100)
+	h := start(t.TempDir(), 100)
 	bad := map[int]string{7: answerFull, 13: answerError, 21: "HTTP/1.1 503 Full\nConnection: close\nContent-Length: 0\n\n", 33: "HTTP/1.1 2"}
 	answer := func(text string) {
-		c := r.calls[len(r.calls)-1]
+		c := h.calls[len(h.calls)-1]
 		if c.done { // its time ran out
-			r.calls = r.calls[:len(r.calls)-1]
+			h.calls = h.calls[:len(h.calls)-1]
 		} else {
-			r.endpointAnswers(text)
+			h.endpointAnswers(text)
 		}
-		r.s.openLinks-- // the harness has no links that could end
+		h.s.openLinks-- // the harness has no links that could end
 		c.endpoint.linkCount--
 	}
 	hour := func(no int) (heap uint64) {
 		for i := range 4000 {
 			class := []string{"status", "order"}[i%2]
-			r.submit(fmt.Sprintf("OUT.ADD %x n%d-%d c=%s,d=6000,dest=%d body", i, no, i, class, 1+i%2))
-			r.advance(40 * time.Millisecond)
-			for len(r.calls) > 0 {
-				answer(cmp.Or(bad[(i+len(r.calls))%40], answerOK))
+			h.submit(fmt.Sprintf("OUT.ADD %x n%d-%d c=%s,d=6000,dest=%d body", i, no, i, class, 1+i%2))
+			h.advance(40 * time.Millisecond)
+			for len(h.calls) > 0 {
+				answer(cmp.Or(bad[(i+len(h.calls))%40], answerOK))
 			}
 		}
-		r.advance(20 * time.Second)
-		for len(r.calls) > 0 {
+		h.advance(20 * time.Second)
+		for len(h.calls) > 0 {
 			answer(answerOK)
 		}
-		r.advance(20 * time.Second)
+		h.advance(20 * time.Second)
 		runtime.GC()
 		var m runtime.MemStats
 		runtime.ReadMemStats(&m)
@@ -59,26 +59,26 @@
 	var last uint64
 	for no := range 6 {
 		last = hour(3 + no)
-		if size, limit := r.s.journal.Size(), r.s.journal.Limit(); size > limit {
+		if size, limit := h.s.journal.Size(), h.s.journal.Limit(); size > limit {
 			t.Errorf("hour %d: the journal holds %d of %d bytes", no, size, limit)
 		}
-		if len(r.s.pending) > 0 || len(r.s.endings) > 0 || len(r.s.moduleTimers) > 4 || len(r.s.timers) > 16 ||
-			len(r.s.admission.recentlyEnded) > maxRememberedEnded || len(r.s.accepted) > 2*len(r.s.pending)+maxEndedInOrder+1 {
-			t.Errorf("hour %d: owed %d, endings %d, the module's timers %d, timers %d, ended %d, in order %d", no, len(r.s.pending),
-				len(r.s.endings), len(r.s.moduleTimers), len(r.s.timers), len(r.s.admission.recentlyEnded), len(r.s.accepted))
+		if len(h.s.pending) > 0 || len(h.s.endings) > 0 || len(h.s.choiceTimers) > 4 || len(h.s.timers) > 16 ||
+			len(h.s.admission.recentlyEnded) > maxRememberedEnded || len(h.s.accepted) > 2*len(h.s.pending)+maxEndedInOrder+1 {
+			t.Errorf("hour %d: owed %d, endings %d, the module's timers %d, timers %d, ended %d, in order %d", no, len(h.s.pending),
+				len(h.s.endings), len(h.s.choiceTimers), len(h.s.timers), len(h.s.admission.recentlyEnded), len(h.s.accepted))
 		}
 	}
 	if last > first+first/4 {
 		t.Errorf("heap: %d bytes after three hours, %d after nine", first, last)
 	}
-	t.Logf("heap %d, then %d; rewritings %d, delivered %d, handed back %d, given up %d", first, last, r.s.counts.rewritings,
-		r.s.counts.delivered, r.s.counts.shed, r.s.counts.failed)
-	if r.s.counts.rewritings < 3 {
-		t.Errorf("only %d rewritings: the day was too short for the journal", r.s.counts.rewritings)
+	t.Logf("heap %d, then %d; rewritings %d, delivered %d, handed back %d, given up %d", first, last, h.s.counts.rewritings,
+		h.s.counts.delivered, h.s.counts.shed, h.s.counts.failed)
+	if h.s.counts.rewritings < 3 {
+		t.Errorf("only %d rewritings: the day was too short for the journal", h.s.counts.rewritings)
 	}
 
-	r.submit("OUT.ADD 0 kept c=status,d=6000,dest=1 body").advance(5 * time.Millisecond)
-	again := start(r.dir, 100)
+	h.submit("OUT.ADD 0 kept c=status,d=6000,dest=1 body").advance(5 * time.Millisecond)
+	again := start(h.dir, 100)
 	if len(again.s.pending) != 1 || again.s.pending[choice.MessageID("kept")] == nil {
 		t.Errorf("owed after a kill: %d", len(again.s.pending))
 	}
--- a/internal/sender/loop.go
+++ b/internal/sender/loop.go
@@ -78,7 +78,7 @@
 	}
 	s.readCluster()
 	if !s.pastSendTime() && !s.journalFailing && !s.gated {
-		s.module.TurnEnd()
+		s.choice.TurnEnd()
 	}
 	s.journalFailing = !s.commit()
 	if s.journalFailing {
--- a/internal/sender/many_clients_test.go
+++ b/internal/sender/many_clients_test.go
@@ -59,16 +59,16 @@
 // A client that has sent its first bytes keeps its place, also before they are read; where all have, the new one is rejected.
 func TestFirstBytesKeepThePlace(t *testing.T) {
 	stallPollers(t) // what comes stays in the sockets
-	r := start("", 100)
-	defer os.RemoveAll(r.dir)
+	h := start("", 100)
+	defer os.RemoveAll(h.dir)
 	connect := func(says string) *client {
 		pair, _ := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM, 0)
 		conn, _ := netpoll.NewFDConnection(pair[0])
 		syscall.Write(pair[1], []byte(says))
-		r.clock += time.Second
-		return &client{conn: conn, connectedAt: r.clock, window: make(chan struct{}, windowSize)}
+		h.clock += time.Second
+		return &client{conn: conn, connectedAt: h.clock, window: make(chan struct{}, windowSize)}
 	}
-	table := &r.s.clients
+	table := &h.s.clients
 	table.maxServed = 2
 	spoke, silent, third, fourth := connect("*"), connect(""), connect("*"), connect("*")
 	for _, c := range []*client{spoke, silent} {
@@ -83,7 +83,7 @@
 		t.Errorf("fourth: leaving %v, shut %v; spoke: leaving %v", fourth.lingering, fourth.writeClosed, spoke.lingering)
 	}
 	spoke.readerBusy.Store(true)
-	if table.reject(spoke, r.clock, drained) || spoke.lingering {
+	if table.reject(spoke, h.clock, drained) || spoke.lingering {
 		t.Error("one whose commands the reader has in hand was turned away")
 	}
 	if table.served != 2 {
--- a/internal/sender/move_test.go
+++ b/internal/sender/move_test.go
@@ -37,18 +37,18 @@
 // pending messages of an ordering key go on in the order they were accepted. A switch back finds the same.
 func Example_moveOfFolder() {
 	dir, _ := os.MkdirTemp("", "sender")
-	r := startWith(testConfigWith(dir, oldSettings, oldList)).submit("OUT.ADD k of c=offer,d=20000,dest=1 x").endpointAnswers(answerError)
-	r.submit("OUT.ADD k out c=change,d=20000,dest=1 x", "OUT.ADD k next c=change,d=20000,dest=1 x", "OUT.ADD k last c=change,d=20000,dest=1 x")
+	h := startWith(testConfigWith(dir, oldSettings, oldList)).submit("OUT.ADD k of c=offer,d=20000,dest=1 x").endpointAnswers(answerError)
+	h.submit("OUT.ADD k out c=change,d=20000,dest=1 x", "OUT.ADD k next c=change,d=20000,dest=1 x", "OUT.ADD k last c=change,d=20000,dest=1 x")
 	fmt.Println("killed, moved")
-	r = startAt(testConfigWith(dir, newSettings, newList), r.clock).advance(400 * time.Millisecond)
-	for _, c := range r.calls {
+	h = startAt(testConfigWith(dir, newSettings, newList), h.clock).advance(400 * time.Millisecond)
+	for _, c := range h.calls {
 		fmt.Println("out:", c.endpoint.id, c.messages[0].ID)
 	}
 	fmt.Println("killed, moved to where z is not known")
-	r = startAt(testConfigWith(dir, strings.Replace(newSettings, `["y","z"]`, `["y","x"]`, 1), strings.Replace(newList, `"zone":"z"`, `"zone":"x"`, 1)), r.clock)
-	r.advance(400 * time.Millisecond)
+	h = startAt(testConfigWith(dir, strings.Replace(newSettings, `["y","z"]`, `["y","x"]`, 1), strings.Replace(newList, `"zone":"z"`, `"zone":"x"`, 1)), h.clock)
+	h.advance(400 * time.Millisecond)
 	fmt.Println("killed, moved back")
-	startAt(testConfigWith(dir, oldSettings, oldList), r.clock).advance(400 * time.Millisecond)
+	startAt(testConfigWith(dir, oldSettings, oldList), h.clock).advance(400 * time.Millisecond)
 	os.RemoveAll(dir)
 	// Output:
 	// call a: POST /inbox
@@ -81,10 +81,10 @@
 func Example_zoneOfOldRecord() {
 	dir, _ := os.MkdirTemp("", "sender")
 	two := strings.Replace(oldSettings, `["z"]`, `["q","r","z"]`, 1)
-	r := startWith(testConfigWith(dir, two, oldList)).submit("OUT.ADD k of c=offer,d=20000,dest=1 x")
-	old := attemptRecord("of", r.s.Now(), 2, "")
-	r.s.journal.Add(old[:len(old)-1])
-	r.s.journal.Flush()
+	h := startWith(testConfigWith(dir, two, oldList)).submit("OUT.ADD k of c=offer,d=20000,dest=1 x")
+	old := attemptRecord("of", h.s.Now(), 2, "")
+	h.s.journal.Add(old[:len(old)-1])
+	h.s.journal.Flush()
 	startWith(testConfigWith(dir, two, oldList))
 	m := startWith(testConfigWith(dir, newSettings, newList)).s.pending["of"]
 	fmt.Println("may have run:", m.MayRun, "in", m.ranInZoneName, "which is", m.RanIn)
@@ -99,10 +99,10 @@
 // What an earlier process learned is used for the first entry of an endpoint: one that comes back to the list later is new.
 func Example_learnedStateUsedOnce() {
 	dir, _ := os.MkdirTemp("", "sender")
-	r := startWith(testConfigWith(dir, oldSettings, oldList)).submit("OUT.ADD k of c=offer,d=20000,dest=1 x")
-	r.endpointAnswers("HTTP/1.1 429 Wait\nRetry-After: 9\nContent-Length: 0\n\n").s.shutDown()
-	r = startWith(testConfigWith(dir, oldSettings, oldList))
-	fmt.Println("waits on:", r.s.module.Learnt("a").Wait > 8*choice.Second, "kept for later:", len(r.s.learned))
+	h := startWith(testConfigWith(dir, oldSettings, oldList)).submit("OUT.ADD k of c=offer,d=20000,dest=1 x")
+	h.endpointAnswers("HTTP/1.1 429 Wait\nRetry-After: 9\nContent-Length: 0\n\n").s.shutDown()
+	h = startWith(testConfigWith(dir, oldSettings, oldList))
+	fmt.Println("waits on:", h.s.choice.Learnt("a").Wait > 8*choice.Second, "kept for later:", len(h.s.learned))
 	os.RemoveAll(dir)
 	// Output:
 	// call a: POST /inbox
@@ -115,9 +115,9 @@
 // as it is, and a start under the old settings still works.
 func Example_moveWithoutClass() {
 	dir, _ := os.MkdirTemp("", "sender")
-	r := startWith(testConfigWith(dir, oldSettings, oldList)).submit("OUT.ADD k of c=offer,d=20000,dest=1 x")
-	startAt(testConfigWith(dir, strings.Replace(newSettings, `"name":"offer"`, `"name":"other"`, 1), newList), r.clock)
-	startAt(testConfigWith(dir, oldSettings, oldList), r.clock).printPending()
+	h := startWith(testConfigWith(dir, oldSettings, oldList)).submit("OUT.ADD k of c=offer,d=20000,dest=1 x")
+	startAt(testConfigWith(dir, strings.Replace(newSettings, `"name":"offer"`, `"name":"other"`, 1), newList), h.clock)
+	startAt(testConfigWith(dir, oldSettings, oldList), h.clock).printPending()
 	os.RemoveAll(dir)
 	// Output:
 	// call a: POST /inbox
@@ -132,12 +132,12 @@
 func Example_learnedState() {
 	dir, _ := os.MkdirTemp("", "sender")
 	show := func(list string) {
-		r := startWith(testConfigWith(dir, newSettings, list))
-		fmt.Printf("a: %+v\n", r.s.module.Learnt("a"))
+		h := startWith(testConfigWith(dir, newSettings, list))
+		fmt.Printf("a: %+v\n", h.s.choice.Learnt("a"))
 	}
-	r := startWith(testConfigWith(dir, oldSettings, oldList)).submit("OUT.ADD k of c=offer,d=20000,dest=1 x")
-	r.clock += 90 * time.Millisecond
-	r.endpointAnswers("HTTP/1.1 200 OK\nX-Load: x0=0.5,x1=7\nContent-Length: 0\n\n").s.shutDown()
+	h := startWith(testConfigWith(dir, oldSettings, oldList)).submit("OUT.ADD k of c=offer,d=20000,dest=1 x")
+	h.clock += 90 * time.Millisecond
+	h.endpointAnswers("HTTP/1.1 200 OK\nX-Load: x0=0.5,x1=7\nContent-Length: 0\n\n").s.shutDown()
 	show(newList)
 	show(strings.Replace(newList, "127.0.0.1:1", "127.0.0.1:5", 1))
 	show(strings.Replace(newList, `"zone":"z","kind":"one","cell":1`, `"zone":"z","kind":"one","cell":2`, 1))
@@ -183,7 +183,7 @@
 		}
 	}
 	seen := func(s *Sender, id choice.EndpointID) (calls float64) {
-		onLoop(t, s, func() { calls = s.module.Learnt(id).Seen })
+		onLoop(t, s, func() { calls = s.choice.Learnt(id).Seen })
 		return calls
 	}
 	meets := func(id string, times int) bool {
--- a/internal/sender/outcomes.go
+++ b/internal/sender/outcomes.go
@@ -57,7 +57,7 @@
 		s.cancelTimer(t)
 	}
 	if c.probe {
-		s.module.Probed(c.endpoint.id, a.result)
+		s.choice.Probed(c.endpoint.id, a.result)
 		return
 	}
 	s.countCall(c, a)
@@ -93,7 +93,7 @@
 		zap.Float64("wait_ms", float64(o.Wait)/float64(choice.Millisecond)), zap.Float64s("report", report))
 	mayRunBefore := m.MayRun
 	s.recordOutcome(m, c, o)
-	s.module.Ended(o)
+	s.choice.Ended(o)
 	if m.withdrawn {
 		s.endWithdrawn(m, withdrawal.Ends(o, mayRunBefore))
 	} else if o.Final {
--- a/internal/sender/outcomes_test.go
+++ b/internal/sender/outcomes_test.go
@@ -31,12 +31,12 @@
 // again; a rejection by a limit, on a link that stays open, pauses the route.
 func Example_fullTable() {
 	for _, head := range []string{"Connection: close\n", ""} {
-		r := start("", 100)
+		h := start("", 100)
 		for _, id := range []string{"s1", "s2"} {
-			r.submit("OUT.ADD 0 " + id + " c=status,d=6000,dest=1 x").advance(10 * time.Millisecond)
-			r.endpointAnswers("HTTP/1.1 503 Full\n" + head + "Content-Length: 0\n\n")
+			h.submit("OUT.ADD 0 " + id + " c=status,d=6000,dest=1 x").advance(10 * time.Millisecond)
+			h.endpointAnswers("HTTP/1.1 503 Full\n" + head + "Content-Length: 0\n\n")
 		}
-		r.advance(140 * time.Millisecond)
+		h.advance(140 * time.Millisecond)
 	}
 	// Output:
 	// call a: POST /inbox
@@ -67,15 +67,15 @@
 func Example_outcomes() {
 	for _, text := range []string{answerOK, answerError, answerFull, "HTTP/1.1 503 Full\nContent-Length: 0\n\n", "HTTP/1.1 503 Full\nX-No-Slot: 1\nContent-Length: 0\n\n",
 		"HTTP/1.1 410 Gone\nContent-Length: 0\n\n", "HTTP/1.1 504 Out\nContent-Length: 0\n\n", "HTTP/1.1 200 OK\nContent-", "HTTP/1.1 429 Wait\nCont", "HTTP/1.", "", lastByteUnsent, "nonsense\n"} {
-		r := start("", 100)
+		h := start("", 100)
 		c := newUnreadClient()
 		c.window <- struct{}{}
-		r.s.handleCommand(c, [][]byte{[]byte("OUT.ADD"), []byte("0"), []byte("id"), []byte("c=order,d=20000,dest=1"), nil})
-		r.s.turn()
-		m := r.s.pending["id"]
-		r.endpointAnswers(text)
-		fmt.Printf("%-20.20q may have run: %-5v owed: %v\n", text, m.MayRun, r.s.pending["id"] != nil && m.ending.kind == endNone)
-		os.RemoveAll(r.dir)
+		h.s.handleCommand(c, [][]byte{[]byte("OUT.ADD"), []byte("0"), []byte("id"), []byte("c=order,d=20000,dest=1"), nil})
+		h.s.turn()
+		m := h.s.pending["id"]
+		h.endpointAnswers(text)
+		fmt.Printf("%-20.20q may have run: %-5v owed: %v\n", text, m.MayRun, h.s.pending["id"] != nil && m.ending.kind == endNone)
+		os.RemoveAll(h.dir)
 	}
 	// Output:
 	// "HTTP/1.1 200 OK\nCont" may have run: false owed: false
@@ -95,12 +95,12 @@
 
 // When a list drops or moves an endpoint, its connections are closed; entries that cannot be read are left out.
 func Example_list() {
-	r := start("", 100)
-	r.updateList(`{"version":2,"full":false,"servers":[{"id":"a","addr":"","cell":1,"state":"removed"},{"id":"b","cell":2,"state":"odd"},
+	h := start("", 100)
+	h.updateList(`{"version":2,"full":false,"servers":[{"id":"a","addr":"","cell":1,"state":"removed"},{"id":"b","cell":2,"state":"odd"},
 		{"id":"c","addr":"127.0.0.1:3","zone":"z","kind":"one","cell":1,"state":"up","weight":1}]}`)
-	r.submit("OUT.ADD 00 x c=status,d=6000,dest=1 x")
-	fmt.Println(len(r.s.endpoints), r.s.endpoints["a"] == nil)
-	os.RemoveAll(r.dir)
+	h.submit("OUT.ADD 00 x c=status,d=6000,dest=1 x")
+	fmt.Println(len(h.s.endpoints), h.s.endpoints["a"] == nil)
+	os.RemoveAll(h.dir)
 	// Output:
 	// call c: POST /inbox
 	//    x
@@ -113,16 +113,16 @@
 	f.Add(answerOK)
 	f.Add("HTTP/1.1 200 OK\nRetry-After: 1e9\nX-Load: x0=NaN,x1=-1,=,\nContent-Length: 29\n\n" + `[{"id":"s1","state":"later"}]`)
 	f.Fuzz(func(t *testing.T, text string) {
-		r := start(t.TempDir(), 100)
+		h := start(t.TempDir(), 100)
 		c := newUnreadClient()
 		for _, id := range []string{"s1", "s2"} {
 			c.window <- struct{}{}
-			r.s.handleCommand(c, [][]byte{[]byte("OUT.ADD"), []byte("0"), []byte(id), []byte("c=status,d=6000,dest=2"), nil})
+			h.s.handleCommand(c, [][]byte{[]byte("OUT.ADD"), []byte("0"), []byte(id), []byte("c=status,d=6000,dest=2"), nil})
 		}
-		r.s.turn()
-		r.endpointAnswers(text)
+		h.s.turn()
+		h.endpointAnswers(text)
 		for _, n := range []choice.MessageID{"s1", "s2"} {
-			if m := r.s.pending[n]; m != nil && m.inFlight != nil {
+			if m := h.s.pending[n]; m != nil && m.inFlight != nil {
 				t.Fatalf("%s: still out", m.ID)
 			}
 		}
--- a/internal/sender/purge.go
+++ b/internal/sender/purge.go
@@ -172,7 +172,7 @@
 		return
 	}
 	m.withdrawn = true
-	s.module.Withdrawn(m.ID)
+	s.choice.Withdrawn(m.ID)
 	if fate == withdrawal.Hold {
 		s.counts.withdrawnInFlight++
 		s.journal.Add(endRecord(m.ID, ending{kind: endFailed}))
--- a/internal/sender/purge_test.go
+++ b/internal/sender/purge_test.go
@@ -11,27 +11,27 @@
 )
 
 // purge orders a purge and prints what was found, once it is answered.
-func (r *harness) purge(age time.Duration, seq uint64, m together.Match) *harness {
-	r.s.Orders().Purge([]together.Purge{{Seq: seq, Match: m, Age: age}}, func(applied uint64, found []together.Found) {
+func (h *harness) purge(age time.Duration, seq uint64, m together.Match) *harness {
+	h.s.Orders().Purge([]together.Purge{{Seq: seq, Match: m, Age: age}}, func(applied uint64, found []together.Found) {
 		fmt.Printf("applied %d: %+v\n", applied, found)
 	})
-	return r.runNext()
+	return h.runNext()
 }
 
 // A message that waits for its call's connection, for the in-flight limit or for an endpoint ends at once, and a bulk call
 // goes on for its other messages. What the purge does not match, or was accepted after it, is not touched.
 func Example_purgeNotBegun() {
-	r := start("", 100)
-	r.joinCluster(Joining{})
-	r.submit("OUT.ADD 0 o1 c=order,d=20000,dest=2 x", "OUT.ADD 0 s1 c=status,d=6000,dest=2 x",
+	h := start("", 100)
+	h.joinCluster(Joining{})
+	h.submit("OUT.ADD 0 o1 c=order,d=20000,dest=2 x", "OUT.ADD 0 s1 c=status,d=6000,dest=2 x",
 		"OUT.ADD 0 nobody c=order,d=20000,dest=9 x")
-	r.submit("OUT.ADD 0 later c=order,d=20000,dest=9 x")
-	r.purge(7*time.Millisecond, 3, together.Match{Class: "order"}).advance(5 * time.Millisecond)
-	c := r.calls[0]
-	r.purge(0, 4, together.Match{Class: "status"}).advance(5 * time.Millisecond)
-	fmt.Println("the call is over:", c.done, "timers:", len(r.s.timers))
-	r.purge(time.Hour, 5, together.Match{}).advance(5 * time.Millisecond).printPending()
-	os.RemoveAll(r.dir)
+	h.submit("OUT.ADD 0 later c=order,d=20000,dest=9 x")
+	h.purge(7*time.Millisecond, 3, together.Match{Class: "order"}).advance(5 * time.Millisecond)
+	c := h.calls[0]
+	h.purge(0, 4, together.Match{Class: "status"}).advance(5 * time.Millisecond)
+	fmt.Println("the call is over:", c.done, "timers:", len(h.s.timers))
+	h.purge(time.Hour, 5, together.Match{}).advance(5 * time.Millisecond).printPending()
+	os.RemoveAll(h.dir)
 	// Output:
 	// call b: POST /inbox/bulk
 	//    o1
@@ -78,39 +78,39 @@
 		{stands: "done", before: answerOK, found: together.Found{Delivered: 1}},
 	} {
 		posted := ""
-		watch := func(r *harness) *harness {
-			r.joinCluster(Joining{})
-			r.s.postToPlatform = func(_ string, body []byte) (int, error) {
+		watch := func(h *harness) *harness {
+			h.joinCluster(Joining{})
+			h.s.postToPlatform = func(_ string, body []byte) (int, error) {
 				posted += string(body)
 				return 204, nil
 			}
-			return r
+			return h
 		}
-		r := watch(start(t.TempDir(), 100))
-		r.submit(fmt.Sprintf("OUT.ADD 0 id c=status,d=6000,dest=%d x", max(1, c.dest)))
+		h := watch(start(t.TempDir(), 100))
+		h.submit(fmt.Sprintf("OUT.ADD 0 id c=status,d=6000,dest=%d x", max(1, c.dest)))
 		if c.before != "" {
-			r.endpointAnswers(c.before)
+			h.endpointAnswers(c.before)
 		} else if c.after != "" {
-			r.calls[0].link = &link{sender: r.s, endpoint: r.calls[0].endpoint}
+			h.calls[0].link = &link{sender: h.s, endpoint: h.calls[0].endpoint}
 		}
 		var found []together.Found
-		r.s.Orders().Purge([]together.Purge{{Seq: 1, Match: together.Match{KeyPrefix: "0"}}},
+		h.s.Orders().Purge([]together.Purge{{Seq: 1, Match: together.Match{KeyPrefix: "0"}}},
 			func(_ uint64, f []together.Found) { found = f })
-		r.runNext().advance(5 * time.Millisecond)
+		h.runNext().advance(5 * time.Millisecond)
 		if c.after == "kill" {
-			r = watch(start(r.dir, 100))
+			h = watch(start(h.dir, 100))
 		} else if c.after != "" {
-			r.endpointAnswers(c.after)
+			h.endpointAnswers(c.after)
 		}
-		r.advance(7 * time.Second)
-		for _, out := range r.calls {
+		h.advance(7 * time.Second)
+		for _, out := range h.calls {
 			if !out.done && !out.probe {
 				t.Errorf("%s: sent again", c.stands)
 			}
 		}
 		if len(found) != 1 || found[0] != c.found || strings.Count(posted, "message") > 1 || !strings.Contains(posted, c.reported) ||
-			(posted == "") != (c.reported == "") || len(r.s.pending)+len(start(r.dir, 100).s.pending) > 0 {
-			t.Errorf("%s: found %+v, reported %q, owed %d", c.stands, found, posted, len(r.s.pending))
+			(posted == "") != (c.reported == "") || len(h.s.pending)+len(start(h.dir, 100).s.pending) > 0 {
+			t.Errorf("%s: found %+v, reported %q, owed %d", c.stands, found, posted, len(h.s.pending))
 		}
 	}
 }
@@ -119,19 +119,19 @@
 // A second purge that matches the same messages counts none a second time.
 func Example_purgeOrderedKey() {
 	dir, _ := os.MkdirTemp("", "sender")
-	r := startWith(testConfigWith(dir, oldSettings, oldList))
-	r.joinCluster(Joining{})
-	r.submit("OUT.ADD k head c=change,d=20000,dest=1 x", "OUT.ADD k next c=change,d=20000,dest=1 x",
+	h := startWith(testConfigWith(dir, oldSettings, oldList))
+	h.joinCluster(Joining{})
+	h.submit("OUT.ADD k head c=change,d=20000,dest=1 x", "OUT.ADD k next c=change,d=20000,dest=1 x",
 		"OUT.ADD other o c=change,d=20000,dest=1 x")
-	for _, c := range r.calls {
-		c.link = &link{sender: r.s, endpoint: c.endpoint}
+	for _, c := range h.calls {
+		c.link = &link{sender: h.s, endpoint: c.endpoint}
 	}
-	r.purge(0, 1, together.Match{Key: "k"}).purge(0, 2, together.Match{Class: "change"}).advance(5 * time.Millisecond)
-	r.submit("OUT.ADD k new c=change,d=20000,dest=1 x")
-	for len(r.calls) > 0 {
-		r.endpointAnswers(answerOK)
+	h.purge(0, 1, together.Match{Key: "k"}).purge(0, 2, together.Match{Class: "change"}).advance(5 * time.Millisecond)
+	h.submit("OUT.ADD k new c=change,d=20000,dest=1 x")
+	for len(h.calls) > 0 {
+		h.endpointAnswers(answerOK)
 	}
-	r.advance(5 * time.Millisecond).printPending()
+	h.advance(5 * time.Millisecond).printPending()
 	os.RemoveAll(dir)
 	// Output:
 	// call a: POST /inbox
@@ -161,14 +161,14 @@
 // A purge that comes between a submission and the end of its turn: the client gets the answer itself, nothing is reported to
 // the platform, and nothing is on record.
 func Example_purgeCrossesHandIn() {
-	r := start("", 100)
-	r.joinCluster(Joining{})
+	h := start("", 100)
+	h.joinCluster(Joining{})
 	c := newClient()
-	r.handle(c, "OUT.ADD 0 id c=order,d=20000,dest=1 x")
-	r.purge(0, 1, together.Match{Key: "0"}).advance(5 * time.Millisecond).printPending()
-	fmt.Printf("client: %q, calls: %d\n", c.output, len(r.calls))
-	start(r.dir, 100).printPending()
-	os.RemoveAll(r.dir)
+	h.handle(c, "OUT.ADD 0 id c=order,d=20000,dest=1 x")
+	h.purge(0, 1, together.Match{Key: "0"}).advance(5 * time.Millisecond).printPending()
+	fmt.Printf("client: %q, calls: %d\n", c.output, len(h.calls))
+	start(h.dir, 100).printPending()
+	os.RemoveAll(h.dir)
 	// Output:
 	// applied 1: [{NotBegun:1 MayRun:0 Delivered:0 Learnt:0}]
 	// owed: 0 to the platform: 0
@@ -180,35 +180,35 @@
 // nothing that came later, and reports to the platform what it has not reported. When a message was accepted is known after
 // the kill; of an older record it is not, and counts as long ago.
 func Example_purgeRestart() {
-	r := start("", 100)
-	r.joinCluster(Joining{})
-	r.platformUp = false
-	r.submit("OUT.ADD 0 old c=order,d=20000,dest=9 x")
-	r.purge(0, 7, together.Match{Class: "order"}).advance(100 * time.Millisecond)
-	r.submit("OUT.ADD 0 new c=order,d=900000,dest=9 x")
-	takenAt := r.s.pending["new"].acceptedAt
+	h := start("", 100)
+	h.joinCluster(Joining{})
+	h.platformUp = false
+	h.submit("OUT.ADD 0 old c=order,d=20000,dest=9 x")
+	h.purge(0, 7, together.Match{Class: "order"}).advance(100 * time.Millisecond)
+	h.submit("OUT.ADD 0 new c=order,d=900000,dest=9 x")
+	takenAt := h.s.pending["new"].acceptedAt
 	again := func(at time.Duration) {
 		fmt.Println("killed")
-		r = startAt(testConfig(r.dir, 100), at)
-		r.joinCluster(Joining{})
+		h = startAt(testConfig(h.dir, 100), at)
+		h.joinCluster(Joining{})
 	}
 	rewrite := func() {
-		r.s.accepted = withoutEnded(r.s.accepted)
-		r.s.journal.Rewrite(r.s.records)
+		h.s.accepted = withoutEnded(h.s.accepted)
+		h.s.journal.Rewrite(h.s.records)
 	}
 	again(2 * time.Minute)
-	fmt.Println("applied:", r.s.Orders().Applied(), "taken on then:", r.s.pending["new"].acceptedAt == takenAt)
-	r.purge(0, 7, together.Match{Class: "order"}).advance(5 * time.Millisecond).printPending()
+	fmt.Println("applied:", h.s.Orders().Applied(), "taken on then:", h.s.pending["new"].acceptedAt == takenAt)
+	h.purge(0, 7, together.Match{Class: "order"}).advance(5 * time.Millisecond).printPending()
 	rewrite()
 	again(2 * time.Minute)
-	r.purge(time.Minute, 8, together.Match{Class: "order"}).advance(5 * time.Millisecond).printPending()
+	h.purge(time.Minute, 8, together.Match{Class: "order"}).advance(5 * time.Millisecond).printPending()
 	again(time.Minute)
-	fmt.Println("the wall clock was put back:", r.s.pending["new"].acceptedAt == r.s.Now())
-	r.s.pending["new"].acceptedAt = 0
+	fmt.Println("the wall clock was put back:", h.s.pending["new"].acceptedAt == h.s.Now())
+	h.s.pending["new"].acceptedAt = 0
 	rewrite()
 	again(2 * time.Minute)
-	r.purge(time.Hour, 9, together.Match{Class: "order"}).advance(5 * time.Millisecond).printPending()
-	os.RemoveAll(r.dir)
+	h.purge(time.Hour, 9, together.Match{Class: "order"}).advance(5 * time.Millisecond).printPending()
+	os.RemoveAll(h.dir)
 	// Output:
 	// client: +OK
 	// applied 7: [{NotBegun:1 MayRun:0 Delivered:0 Learnt:0}]
@@ -236,19 +236,19 @@
 	os.Stdout, _ = os.OpenFile(os.DevNull, os.O_WRONLY, 0)
 	defer func() { os.Stdout = stdout }()
 	const many = 10_000
-	r := start(t.TempDir(), 1000)
-	r.joinCluster(Joining{})
+	h := start(t.TempDir(), 1000)
+	h.joinCluster(Joining{})
 	for i := range 100 {
-		r.submit(fmt.Sprintf("OUT.ADD key-%d n%d c=order,d=20000,dest=9 x", i*100, i))
+		h.submit(fmt.Sprintf("OUT.ADD key-%d n%d c=order,d=20000,dest=9 x", i*100, i))
 	}
 	var all []together.Purge
 	for i := range many {
 		all = append(all, together.Purge{Seq: uint64(i + 1), Match: together.Match{Key: fmt.Sprintf("key-%d", i)}})
 	}
 	ask := func(all []together.Purge) (found []together.Found, turns int) {
-		r.s.Orders().Purge(all, func(_ uint64, f []together.Found) { found = f })
-		for r.runNext(); found == nil; turns++ {
-			if r.advance(5 * time.Millisecond); turns > many {
+		h.s.Orders().Purge(all, func(_ uint64, f []together.Found) { found = f })
+		for h.runNext(); found == nil; turns++ {
+			if h.advance(5 * time.Millisecond); turns > many {
 				t.Fatal("never answered")
 			}
 		}
@@ -260,15 +260,15 @@
 			t.Fatalf("purge %d found %+v", i, f)
 		}
 	}
-	if turns < many/purgesPerTurn || len(r.s.past) > maxRememberedPurges {
-		t.Errorf("%d turns, %d kept", turns, len(r.s.past))
+	if turns < many/purgesPerTurn || len(h.s.past) > maxRememberedPurges {
+		t.Errorf("%d turns, %d kept", turns, len(h.s.past))
 	}
-	if size, limit := r.s.journal.Size(), r.s.journal.Limit(); size > limit {
+	if size, limit := h.s.journal.Size(), h.s.journal.Limit(); size > limit {
 		t.Errorf("the journal holds %d of %d bytes", size, limit)
 	}
-	r = start(r.dir, 1000)
-	r.joinCluster(Joining{})
-	if got := r.s.Orders().Applied(); got != many {
+	h = start(h.dir, 1000)
+	h.joinCluster(Joining{})
+	if got := h.s.Orders().Applied(); got != many {
 		t.Fatalf("applied %d after a restart", got)
 	}
 	if again, _ := ask(all[many-maxRememberedPurges:]); again[many-100-(many-maxRememberedPurges)].NotBegun != 1 {
--- a/internal/sender/restart_test.go
+++ b/internal/sender/restart_test.go
@@ -14,13 +14,13 @@
 // After a kill all accepted messages are pending: an idempotent one is sent again, and a non-idempotent one with an attempt in
 // flight, which may have run, is given up and never sent. Once ended, none comes back at a third start.
 func Example_restart() {
-	r := start("", 100).submit("OUT.ADD 00 st c=status,d=6000,dest=1 x", "OUT.ADD 00 or c=order,d=20000,dest=1 x")
+	h := start("", 100).submit("OUT.ADD 00 st c=status,d=6000,dest=1 x", "OUT.ADD 00 or c=order,d=20000,dest=1 x")
 	fmt.Println("killed")
-	r = start(r.dir, 100).printPending().advance(5 * time.Millisecond).endpointAnswers(answerOK).printPending()
-	r.advance(5 * time.Millisecond)
+	h = start(h.dir, 100).printPending().advance(5 * time.Millisecond).endpointAnswers(answerOK).printPending()
+	h.advance(5 * time.Millisecond)
 	fmt.Println("killed")
-	start(r.dir, 100).printPending().advance(time.Second)
-	os.RemoveAll(r.dir)
+	start(h.dir, 100).printPending().advance(time.Second)
+	os.RemoveAll(h.dir)
 	// Output:
 	// call a: POST /inbox
 	//    or
@@ -41,10 +41,10 @@
 // A rejection proves that a non-idempotent message has not run, so after a kill it is sent again. A Retry-After ends with a
 // restart.
 func Example_restartAfterRefusal() {
-	r := start("", 100).submit("OUT.ADD 00 or c=order,d=20000,dest=1 x").endpointAnswers(answerFull).advance(5 * time.Millisecond)
+	h := start("", 100).submit("OUT.ADD 00 or c=order,d=20000,dest=1 x").endpointAnswers(answerFull).advance(5 * time.Millisecond)
 	fmt.Println("killed")
-	start(r.dir, 100).printPending().advance(5 * time.Millisecond)
-	os.RemoveAll(r.dir)
+	start(h.dir, 100).printPending().advance(5 * time.Millisecond)
+	os.RemoveAll(h.dir)
 	// Output:
 	// call a: POST /inbox
 	//    or
@@ -58,13 +58,13 @@
 // An ending is to be reported until the platform has answered, through a kill too, and so is that of a message whose time ran
 // out meanwhile.
 func Example_platformSilent() {
-	r := start("", 100)
-	r.platformUp = false
-	r.submit("OUT.ADD 00 or c=order,d=20000,dest=1 x", "OUT.ADD 00 late c=status,d=6000,dest=9 x").endpointAnswers("HTTP/1.1 200")
-	r.advance(7 * time.Second).printPending()
+	h := start("", 100)
+	h.platformUp = false
+	h.submit("OUT.ADD 00 or c=order,d=20000,dest=1 x", "OUT.ADD 00 late c=status,d=6000,dest=9 x").endpointAnswers("HTTP/1.1 200")
+	h.advance(7 * time.Second).printPending()
 	fmt.Println("killed")
-	start(r.dir, 100).printPending().advance(5 * time.Millisecond).printPending()
-	os.RemoveAll(r.dir)
+	start(h.dir, 100).printPending().advance(5 * time.Millisecond).printPending()
+	os.RemoveAll(h.dir)
 	// Output:
 	// call a: POST /inbox
 	//    or
@@ -82,20 +82,20 @@
 // A message that ends while the turn's calls begin is not reported to the platform before the next turn has recorded its end:
 // after a kill in between it would be sent again, though its client was told to submit it again.
 func Example_endedAsItsCallBegins() {
-	r := start("", 100)
-	r.submit("OUT.ADD 00 or c=order,d=20000,dest=9 x") // nobody serves 9 yet
-	r.s.dial = func(c *call) { r.s.endMessage(c.messages[0], ending{kind: endShed}) }
-	r.updateList(`{"version":2,"servers":[{"id":"new","addr":"127.0.0.1:3","zone":"z","kind":"one","cell":9,"state":"up"}]}`)
-	release, tell := make(chan struct{}), r.s.postToPlatform // the post has a goroutine of its own: what it prints comes last
-	r.s.postToPlatform = func(addr string, body []byte) (int, error) { <-release; return tell(addr, body) }
+	h := start("", 100)
+	h.submit("OUT.ADD 00 or c=order,d=20000,dest=9 x") // nobody serves 9 yet
+	h.s.dial = func(c *call) { h.s.endMessage(c.messages[0], ending{kind: endShed}) }
+	h.updateList(`{"version":2,"servers":[{"id":"new","addr":"127.0.0.1:3","zone":"z","kind":"one","cell":9,"state":"up"}]}`)
+	release, tell := make(chan struct{}), h.s.postToPlatform // the post has a goroutine of its own: what it prints comes last
+	h.s.postToPlatform = func(addr string, body []byte) (int, error) { <-release; return tell(addr, body) }
 	for range 2 {
-		r.clock += 5 * time.Millisecond
-		r.s.turn()
-		fmt.Println("to the platform:", len(r.s.endings), "posting:", r.s.posting)
+		h.clock += 5 * time.Millisecond
+		h.s.turn()
+		fmt.Println("to the platform:", len(h.s.endings), "posting:", h.s.posting)
 	}
 	close(release)
-	(<-r.s.inbox)()
-	os.RemoveAll(r.dir)
+	(<-h.s.inbox)()
+	os.RemoveAll(h.dir)
 	// Output:
 	// client: +OK
 	// to the platform: 1 posting: false
@@ -105,22 +105,22 @@
 
 // The journal stays within its share of the disk, messages that do not fit are rejected, and it is read back completely.
 func Example_journalFull() {
-	r := start("", 1000)
+	h := start("", 1000)
 	body := strings.Repeat("x", 20000)
 	for i := range 4 {
 		for j := range 3 {
-			r.submit(fmt.Sprintf("OUT.ADD 00 n%d-%d c=order,d=900000,dest=9 %s", i, j, body))
+			h.submit(fmt.Sprintf("OUT.ADD 00 n%d-%d c=order,d=900000,dest=9 %s", i, j, body))
 		}
-		for id, m := range r.s.pending {
+		for id, m := range h.s.pending {
 			if i < 3 && id != "n0-0" {
-				r.s.closeMessage(m)
+				h.s.closeMessage(m)
 			}
 		}
 	}
-	info, _ := os.Stat(r.dir + "/notices.log")
-	fmt.Println("under the limit:", info.Size() < 250000, "rewritten:", r.s.counts.rewritings > 0)
-	start(r.dir, 1000).printPending()
-	os.RemoveAll(r.dir)
+	info, _ := os.Stat(h.dir + "/notices.log")
+	fmt.Println("under the limit:", info.Size() < 250000, "rewritten:", h.s.counts.rewritings > 0)
+	start(h.dir, 1000).printPending()
+	os.RemoveAll(h.dir)
 	// Output:
 	// client: +OK
 	// client: +OK
@@ -142,15 +142,15 @@
 // again.
 func Example_endedID() {
 	const text = "OUT.ADD 00 or c=order,d=20000,dest=1 x"
-	r := start("", 100).submit(text).endpointAnswers(answerOK).submit(text).printPending()
+	h := start("", 100).submit(text).endpointAnswers(answerOK).submit(text).printPending()
 	fmt.Println("killed")
-	start(r.dir, 100).submit(text).printPending()
-	os.RemoveAll(r.dir)
+	start(h.dir, 100).submit(text).printPending()
+	os.RemoveAll(h.dir)
 	for i := range 3 * maxRememberedEnded {
-		r.s.rememberEnded(choice.MessageID(fmt.Sprint(i)))
+		h.s.rememberEnded(choice.MessageID(fmt.Sprint(i)))
 	}
-	_, oldest := r.s.admission.recentlyEnded[choice.MessageID(fmt.Sprint(2*maxRememberedEnded))]
-	fmt.Println(len(r.s.admission.recentlyEnded) == maxRememberedEnded, oldest)
+	_, oldest := h.s.admission.recentlyEnded[choice.MessageID(fmt.Sprint(2*maxRememberedEnded))]
+	fmt.Println(len(h.s.admission.recentlyEnded) == maxRememberedEnded, oldest)
 	// Output:
 	// call a: POST /inbox
 	//    or
--- a/internal/sender/send.go
+++ b/internal/sender/send.go
@@ -53,13 +53,13 @@
 // moved, its time may be over, or a window for repeats. Connections come up late, the journal may be slow, and a process
 // that was stopped hears of its connections before its timers fire.
 func (s *Sender) maySend(c *call, l *link) bool {
-	if c.done || s.Now() >= c.beganAt+c.timeout || l.leadsElsewhere() || !s.module.Open(c.endpoint.id) {
+	if c.done || s.Now() >= c.beganAt+c.timeout || l.leadsElsewhere() || !s.choice.Open(c.endpoint.id) {
 		return false
 	}
 	// Messages that were cancelled meanwhile are reported already.
 	c.messages = slices.DeleteFunc(c.messages, func(m *message) bool { return m.inFlight != c })
 	for _, m := range slices.Clone(c.messages) {
-		if !s.module.Open(c.endpoint.id, m.ID) {
+		if !s.choice.Open(c.endpoint.id, m.ID) {
 			s.cancelMessage(c, m)
 		}
 	}
@@ -72,7 +72,7 @@
 	c.link, c.reused, l.call, l.writing = l, l.used, c, true
 	until := c.beganAt + c.timeout - 1
 	for _, m := range c.messages {
-		until = min(until, s.module.RepeatEnd(m.ID))
+		until = min(until, s.choice.RepeatEnd(m.ID))
 	}
 	head, body := s.request(c)
 	go func() {
--- a/internal/sender/send_test.go
+++ b/internal/sender/send_test.go
@@ -29,10 +29,10 @@
 		{"end", func(_ interface{ Write([]byte) (int, error) }, end func()) { end() }},
 	} {
 		conn, peer := connPair(t, false)
-		r := start(t.TempDir(), 100)
-		l := r.idleLink(t, "a", conn)
+		h := start(t.TempDir(), 100)
+		l := h.idleLink(t, "a", conn)
 		release := holdWrites(t, l) // the call waits here, after the link was found to be idle
-		r.submit("OUT.ADD 00 id c=order,d=20000,dest=1 xyz")
+		h.submit("OUT.ADD 00 id c=order,d=20000,dest=1 xyz")
 		c := l.call
 		if c == nil {
 			t.Fatal("no call on the link")
@@ -42,8 +42,8 @@
 			time.Sleep(time.Millisecond)
 		}
 		release()
-		r.runUntil(t, of.name+": the call ends", func() bool { return c.done && !l.writing })
-		if m := r.s.pending["id"]; m == nil || m.MayRun {
+		h.runUntil(t, of.name+": the call ends", func() bool { return c.done && !l.writing })
+		if m := h.s.pending["id"]; m == nil || m.MayRun {
 			t.Errorf("%s: delivered %v, though no byte has left", of.name, m == nil)
 		}
 		peer.CloseWrite()
@@ -80,17 +80,17 @@
 
 // submitWithOneReset submits messages whose first call is reset, and lets the time of the next attempt come while the gate
 // holds all attempts back.
-func submitWithOneReset(t *testing.T, r *harness, commands ...string) {
+func submitWithOneReset(t *testing.T, h *harness, commands ...string) {
 	t.Helper()
 	for _, dest := range []string{"1", "2"} { // so that its endpoint does not count as out for one spoilt answer
-		r.submit("OUT.ADD 00 before" + dest + " c=order,d=20000,dest=" + dest + " x").endpointAnswers(answerOK)
+		h.submit("OUT.ADD 00 before" + dest + " c=order,d=20000,dest=" + dest + " x").endpointAnswers(answerOK)
 	}
-	r.submit(commands...)
-	r.endpointAnswers("HTTP/1.")
-	r.s.gated = true
-	r.advance(300 * time.Millisecond)
-	r.s.gated = false
-	for id, m := range r.s.pending {
+	h.submit(commands...)
+	h.endpointAnswers("HTTP/1.")
+	h.s.gated = true
+	h.advance(300 * time.Millisecond)
+	h.s.gated = false
+	for id, m := range h.s.pending {
 		if !m.MayRun || m.ending.kind != endNone {
 			t.Fatalf("%s: may run %v, ends %v", id, m.MayRun, m.ending.kind)
 		}
@@ -101,18 +101,18 @@
 // of the repeat is sent then.
 func TestWindowEndsBeforeWrite(t *testing.T) {
 	conn, peer := connPair(t, false)
-	r := startWith(testConfigWith(t.TempDir(), idempotencyKeySettings(), twoEndpointList))
-	submitWithOneReset(t, r, "OUT.ADD 00 id c=status,d=6000,dest=1 xyz")
-	l := r.idleLink(t, "a", conn)
+	h := startWith(testConfigWith(t.TempDir(), idempotencyKeySettings(), twoEndpointList))
+	submitWithOneReset(t, h, "OUT.ADD 00 id c=status,d=6000,dest=1 xyz")
+	l := h.idleLink(t, "a", conn)
 	release := holdWrites(t, l)
-	r.advance(5 * time.Millisecond)
+	h.advance(5 * time.Millisecond)
 	c := l.call
 	if c == nil {
 		t.Fatal("no repeat")
 	}
-	r.clock += time.Second
+	h.clock += time.Second
 	release()
-	r.runUntil(t, "the repeat is held back", func() bool { return c.done && !l.writing })
+	h.runUntil(t, "the repeat is held back", func() bool { return c.done && !l.writing })
 	peer.CloseWrite()
 	if text := readToEnd(peer); text != "" {
 		t.Errorf("left outside of its window: %q", text)
@@ -123,15 +123,15 @@
 func TestWindowInBundle(t *testing.T) {
 	conn, peer := connPair(t, false)
 	settings := strings.Replace(idempotencyKeySettings(), `"side_effect"`, `"pure"`, 1)
-	r := startWith(testConfigWith(t.TempDir(), settings, twoEndpointList))
-	submitWithOneReset(t, r, "OUT.ADD 00 short c=status,d=6000,dest=2 x", "OUT.ADD 00 order c=order,d=20000,dest=2 x")
-	r.advance(5 * time.Millisecond)
-	c := r.calls[0]
+	h := startWith(testConfigWith(t.TempDir(), settings, twoEndpointList))
+	submitWithOneReset(t, h, "OUT.ADD 00 short c=status,d=6000,dest=2 x", "OUT.ADD 00 order c=order,d=20000,dest=2 x")
+	h.advance(5 * time.Millisecond)
+	c := h.calls[0]
 	if len(c.messages) != 2 {
 		t.Fatalf("%d messages in the bundle", len(c.messages))
 	}
-	r.clock += time.Second
-	r.connectionUp(c, conn)
+	h.clock += time.Second
+	h.connectionUp(c, conn)
 	if c.done {
 		t.Fatal("none of the bundle left")
 	}
@@ -144,11 +144,11 @@
 // The window may end while a call is half written, to an endpoint that reads slowly: its last byte is not sent.
 func TestWindowEndsInWrite(t *testing.T) {
 	conn, peer := connPair(t, true)
-	r := startWith(testConfigWith(t.TempDir(), idempotencyKeySettings(), twoEndpointList))
+	h := startWith(testConfigWith(t.TempDir(), idempotencyKeySettings(), twoEndpointList))
 	body := strings.Repeat("x", 60000)
-	submitWithOneReset(t, r, "OUT.ADD 00 id c=status,d=6000,dest=1 "+body)
-	l := r.idleLink(t, "a", conn)
-	r.advance(5 * time.Millisecond)
+	submitWithOneReset(t, h, "OUT.ADD 00 id c=status,d=6000,dest=1 "+body)
+	l := h.idleLink(t, "a", conn)
+	h.advance(5 * time.Millisecond)
 	c := l.call
 	if c == nil {
 		t.Fatal("no repeat")
@@ -156,9 +156,9 @@
 	heardSome := make([]byte, 1)
 	peer.Read(heardSome) // some of it has left
 	l.bufferLock.Lock()
-	r.clock += time.Second
+	h.clock += time.Second
 	l.bufferLock.Unlock()
-	r.runUntil(t, "the repeat ends", func() bool { return c.done && !l.writing })
+	h.runUntil(t, "the repeat ends", func() bool { return c.done && !l.writing })
 	if strings.Count(readToEnd(peer), "x") >= len(body) {
 		t.Error("the last byte left outside of the window")
 	}
--- a/internal/sender/sender.go
+++ b/internal/sender/sender.go
@@ -40,7 +40,7 @@
 type Sender struct {
 	cfg       *config.Config
 	log       *zap.Logger
-	module    *choice.Sender                     // decides about deliveries
+	choice    *choice.Sender                     // decides about deliveries
 	learned   map[choice.EndpointID]learnedEntry // by an earlier process; each is removed as the list names it
 	learnedAt choice.Time                        // when that process wrote them
 	numbering directory.Names
@@ -109,11 +109,11 @@
 		return nil, err
 	}
 	s.loadLearned()
-	s.module = choice.Start(s, choice.SenderID(cfg.Name), cfg.Seed, cfg.Settings)
-	s.learnedStore = s.module
+	s.choice = choice.Start(s, choice.SenderID(cfg.Name), cfg.Seed, cfg.Settings)
+	s.learnedStore = s.choice
 	s.updateEndpoints(cfg.Known, true)
 	for _, m := range unfinished {
-		s.module.Taken(m.Message)
+		s.choice.Taken(m.Message)
 	}
 	return s, nil
 }
--- a/internal/sender/timers_test.go
+++ b/internal/sender/timers_test.go
@@ -50,27 +50,27 @@
 
 // Timers of a call or link are cancelled with its end: memory depends on what is open, not on the rate times the deadline.
 func Example_cancelTimer() {
-	r := start("", 100)
-	before := len(r.s.timers)
+	h := start("", 100)
+	before := len(h.s.timers)
 	for i := range 50 {
-		r.submitQuietly(fmt.Sprintf("OUT.ADD %016x n%d c=order,d=20000,dest=1 x", i+1, i))
-		for len(r.calls) > 0 {
-			r.endpointAnswers("HTTP/1.1 200 OK\nContent-Length: 0\n\n")
+		h.submitQuietly(fmt.Sprintf("OUT.ADD %016x n%d c=order,d=20000,dest=1 x", i+1, i))
+		for len(h.calls) > 0 {
+			h.endpointAnswers("HTTP/1.1 200 OK\nContent-Length: 0\n\n")
 		}
 	}
-	r.s.turn()
-	fmt.Println("owed", len(r.s.pending), "timers more than before", len(r.s.timers)-before, "module's", len(r.s.moduleTimers))
-	r.submitQuietly("OUT.ADD 0000000000000000 last c=order,d=20000,dest=1 x")
-	fmt.Println("owed", len(r.s.pending), "timers more than before", len(r.s.timers)-before)
+	h.s.turn()
+	fmt.Println("owed", len(h.s.pending), "timers more than before", len(h.s.timers)-before, "module's", len(h.s.choiceTimers))
+	h.submitQuietly("OUT.ADD 0000000000000000 last c=order,d=20000,dest=1 x")
+	fmt.Println("owed", len(h.s.pending), "timers more than before", len(h.s.timers)-before)
 	// Output:
 	// owed 0 timers more than before 0 module's 1
 	// owed 1 timers more than before 2
 }
 
 // submitQuietly handles a command and ends the turn, and prints nothing.
-func (r *harness) submitQuietly(text string) {
+func (h *harness) submitQuietly(text string) {
 	c := newClient()
-	r.handle(c, text)
-	r.clock += 5 * time.Millisecond
-	r.s.turn()
+	h.handle(c, text)
+	h.clock += 5 * time.Millisecond
+	h.s.turn()
 }
--- a/internal/sender/torn_journal_test.go
+++ b/internal/sender/torn_journal_test.go
@@ -215,8 +215,8 @@
 	if err := os.WriteFile(filepath.Join(dir, "notices.log"), file, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	tell := func(r *harness) (lines []string) {
-		for _, m := range r.s.accepted {
+	tell := func(h *harness) (lines []string) {
+		for _, m := range h.s.accepted {
 			if m.ending.kind != endClosed {
 				entry, ran := m.Message, ""
 				if m.MayRun {
