--- a/choice/answers.go
+++ b/choice/answers.go
@@ -61,7 +61,7 @@
 	}
 	r.seen, e.asked, e.full, e.bad = r.seen+1, e.asked+1, e.full+full, e.bad+meanWeight*(full-e.bad)
 	e.wrong += one(!e.ejected) * pastWeight * (1 - full) * (one(o.Result != Done) - e.wrong)
-	s.kept += one(o.Kept) * meanWeight * (one(o.Result == Reset) - s.kept)
+	s.kept += one(o.Reused) * meanWeight * (one(o.Result == Reset) - s.kept)
 	switch o.Result {
 	case Done:
 		e.measure(float64(o.Took), meanWeight, pastWeight)
@@ -78,14 +78,14 @@
 		}
 		e.goodAt, r.lastGood = s.now, s.now
 	case Full:
-		if o.Closed && !o.Kept && o.Wait == 0 { // no place for one more connection, no word of limits
+		if o.Closed && !o.Reused && o.Wait == 0 { // no place for one more connection, no word of limits
 			s.crowded(e)
 		} else {
 			s.refused(c, o)
 		}
 	case Errored, Reset, Spoilt:
 		// A kept link that breaks or a spoilt answer shows no outage: a crash refuses new connections too.
-		if o.Result == Errored || o.Result == Reset && !o.Kept || s.now-e.goodAt > quietFor {
+		if o.Result == Errored || o.Result == Reset && !o.Reused || s.now-e.goodAt > quietFor {
 			s.failed(e, 0)
 		}
 	case TimedOut, ConnectFailed:
--- a/choice/capacity_test.go
+++ b/choice/capacity_test.go
@@ -68,11 +68,11 @@
 		var s *Sender
 		heap := bench.Heap(func() any {
 			s = Start(&silentHost{}, "s", 7, capacitySettings(1000))
-			s.ListNews(list, true)
+			s.UpdateEndpoints(list, true)
 			return s
 		})
 		for b.Loop() {
-			s.ListNews(list, true)
+			s.UpdateEndpoints(list, true)
 		}
 		b.ReportMetric(heap, "heap-B")
 	})
@@ -83,9 +83,9 @@
 	bench.Sizes(b, "destinations", []int{610, 6_100, 61_000}, func(b *testing.B, n int) {
 		s := Start(&silentHost{}, "s", 7, capacitySettings(1000))
 		list := capacityList(n, Ready)
-		s.ListNews(list, true)
+		s.UpdateEndpoints(list, true)
 		for b.Loop() {
-			s.ListNews(list[:capacityEndpoints], false)
+			s.UpdateEndpoints(list[:capacityEndpoints], false)
 		}
 	})
 }
@@ -94,7 +94,7 @@
 func BenchmarkCapacityTick(b *testing.B) {
 	bench.Sizes(b, "destinations", []int{610, 6_100, 61_000}, func(b *testing.B, n int) {
 		s := Start(&silentHost{}, "s", 7, capacitySettings(1000))
-		s.ListNews(capacityList(n, Ready), true)
+		s.UpdateEndpoints(capacityList(n, Ready), true)
 		for b.Loop() {
 			for _, d := range s.byID {
 				s.stir(d)
@@ -108,7 +108,7 @@
 func withOpen(open, destinations, maxOpen int) (*Sender, *silentHost) {
 	h := &silentHost{}
 	s := Start(h, "s", 7, capacitySettings(maxOpen))
-	s.ListNews(capacityList(destinations, Draining), true)
+	s.UpdateEndpoints(capacityList(destinations, Draining), true)
 	for i := range open {
 		s.Taken(capacityMessage(i, destinations))
 	}
@@ -158,7 +158,7 @@
 	bench.Sizes(b, "waiting", []int{16, 165, 1_647, 16_470}, func(b *testing.B, n int) {
 		s, _ := withOpen(4*n, n, 100*n+1000)
 		well := DestinationID(n)
-		s.ListNews([]Entry{{Endpoint: "well", Destination: well, Rating: 1e6}}, false)
+		s.UpdateEndpoints([]Entry{{Endpoint: "well", Destination: well, Rating: 1e6}}, false)
 		one := capacityMessage(0, 1)
 		one.Destination = well
 		i := 0
--- a/choice/configure_bench_test.go
+++ b/choice/configure_bench_test.go
@@ -10,7 +10,7 @@
 // next tick, which looks at all destinations.
 func BenchmarkConfigure(b *testing.B) {
 	gain := func(set *Settings, i int) { set.Classes[0].Value = float64(2 + i%2) }
-	contract := func(set *Settings, i int) { set.Classes[0].ContractTime = Time(1+i%2) * Second / 2 }
+	contract := func(set *Settings, i int) { set.Classes[0].LatencyObjective = Time(1+i%2) * Second / 2 }
 	for _, size := range []struct {
 		name               string
 		change             func(*Settings, int)
@@ -28,7 +28,7 @@
 			for i := range 2 * size.destinations {
 				list = append(list, Entry{Endpoint: EndpointID(fmt.Sprint("endpoint", i)), Destination: DestinationID(i / 2), Rating: 10})
 			}
-			d.s.ListNews(list, true)
+			d.s.UpdateEndpoints(list, true)
 			for i := range size.open {
 				d.s.Taken(Message{ID: MessageID(fmt.Sprint("notice", i)), Key: NoKey, Destination: DestinationID(i % size.destinations),
 					Deadline: d.clock + 6*Second})
--- a/choice/configure_test.go
+++ b/choice/configure_test.go
@@ -17,44 +17,44 @@
 	change        func(*Settings)
 	fleet, silent bool
 }{
-	"Senders":              {change: func(s *Settings) { s.Senders = 30 }, fleet: true},
-	"Number":               {change: func(s *Settings) { s.Number = 3 }, silent: true},
-	"Zone":                 {change: func(s *Settings) { s.Zone = 1 }},
-	"InFlightLimit":        {change: func(s *Settings) { s.InFlightLimit = 3 }},
-	"MaxOpen":              {change: func(s *Settings) { s.MaxOpen = 10 }},
-	"MaxAttempts":          {change: func(s *Settings) { s.MaxAttempts = 2 }},
-	"Classes":              {change: func(s *Settings) { s.Classes = append(s.Classes, s.Classes[1], s.Classes[3]) }},
-	"Kinds":                {change: func(s *Settings) { s.Kinds = append(s.Kinds, Kind{BundleMax: 9}) }, silent: true}, // until the list names it
-	"Quotas":               {change: func(s *Settings) { s.Quotas = []float64{3, 3, 3} }},
-	"OverShareValue":       {change: func(s *Settings) { s.OverShareValue = 0.01 }},
-	"Halving":              {change: func(s *Settings) { s.Halving = true }},
-	"Probing":              {change: func(s *Settings) { s.Probing = false }},
-	"Notes":                {change: func(s *Settings) { s.Notes = false }, fleet: true},
-	"Cancelling":           {change: func(s *Settings) { s.Cancelling = true }, silent: true},
-	"LongestReturn":        {change: func(s *Settings) { s.LongestReturn = 10 * Millisecond }},
-	"DialTimeout":          {change: func(s *Settings) { s.DialTimeout = Second }, silent: true},
-	"ConnIdle":             {change: func(s *Settings) { s.ConnIdle = 20 * Second }},
-	"TellsFull":            {change: func(s *Settings) { s.TellsFull = true }, fleet: true},
-	"Turn":                 {change: func(s *Settings) { s.Turn = 40 * Millisecond }},
-	"Rating":               {change: func(s *Settings) { s.Rating = RatingNone }},
-	"FallMultiple":         {change: func(s *Settings) { s.FallMultiple = 0.5 }},
-	"Fall":                 {change: func(s *Settings) { s.Fall = 9 * Second }},
-	"ColdFrom":             {change: func(s *Settings) { s.ColdFrom = 0.9 }},
-	"Cold":                 {change: func(s *Settings) { s.Cold = 3 * Second }},
-	"KeyRest":              {change: func(s *Settings) { s.KeyRest = 3 * Second }},
-	"RouteFees":            {change: func(s *Settings) { s.RouteFees = []float64{0.3, 0} }},
-	"RefusedPrice":         {change: func(s *Settings) { s.RefusedPrice = 0.5 }, silent: true},
-	"HandshakePrice":       {change: func(s *Settings) { s.HandshakePrice = 0.5 }, silent: true},
-	"Classes.Repeat":       {change: class(func(w *Class) { w.Repeat = SingleUse })},
-	"Classes.ZoneGroup":    {change: class(func(w *Class) { w.ZoneGroup = !w.ZoneGroup })},
-	"Classes.RepeatWindow": {change: class(func(w *Class) { w.RepeatWindow = 300 * Millisecond })},
-	"Classes.ContractTime": {change: class(func(w *Class) { w.ContractTime = 400 * Millisecond })},
-	"Classes.Deadline":     {change: class(func(w *Class) { w.Deadline = 2 * Second })},
-	"Classes.Value":        {change: func(s *Settings) { s.Classes[0].Value = 50 }},
-	"Classes.LateValue":    {change: class(func(w *Class) { w.LateValue = 0.9 })},
-	"Classes.ByArrival":    {change: class(func(w *Class) { w.ByArrival = !w.ByArrival })},
-	"Kinds.BundleMax":      {change: func(s *Settings) { s.Kinds[0].BundleMax, s.Kinds[1].BundleMax = 4, 1 }},
-	"Kinds.Apart":          {change: func(s *Settings) { s.Kinds[0].Apart = true }},
+	"Senders":                  {change: func(s *Settings) { s.Senders = 30 }, fleet: true},
+	"Number":                   {change: func(s *Settings) { s.Number = 3 }, silent: true},
+	"Zone":                     {change: func(s *Settings) { s.Zone = 1 }},
+	"InFlightLimit":            {change: func(s *Settings) { s.InFlightLimit = 3 }},
+	"MaxOpen":                  {change: func(s *Settings) { s.MaxOpen = 10 }},
+	"MaxAttempts":              {change: func(s *Settings) { s.MaxAttempts = 2 }},
+	"Classes":                  {change: func(s *Settings) { s.Classes = append(s.Classes, s.Classes[1], s.Classes[3]) }},
+	"Kinds":                    {change: func(s *Settings) { s.Kinds = append(s.Kinds, Kind{BundleMax: 9}) }, silent: true}, // until the list names it
+	"Quotas":                   {change: func(s *Settings) { s.Quotas = []float64{3, 3, 3} }},
+	"OverShareValue":           {change: func(s *Settings) { s.OverShareValue = 0.01 }},
+	"Halving":                  {change: func(s *Settings) { s.Halving = true }},
+	"Probing":                  {change: func(s *Settings) { s.Probing = false }},
+	"Notes":                    {change: func(s *Settings) { s.Notes = false }, fleet: true},
+	"Cancelling":               {change: func(s *Settings) { s.Cancelling = true }, silent: true},
+	"LongestReturn":            {change: func(s *Settings) { s.LongestReturn = 10 * Millisecond }},
+	"DialTimeout":              {change: func(s *Settings) { s.DialTimeout = Second }, silent: true},
+	"ConnIdle":                 {change: func(s *Settings) { s.ConnIdle = 20 * Second }},
+	"TellsFull":                {change: func(s *Settings) { s.TellsFull = true }, fleet: true},
+	"Turn":                     {change: func(s *Settings) { s.Turn = 40 * Millisecond }},
+	"Rating":                   {change: func(s *Settings) { s.Rating = RatingNone }},
+	"FallMultiple":             {change: func(s *Settings) { s.FallMultiple = 0.5 }},
+	"Fall":                     {change: func(s *Settings) { s.Fall = 9 * Second }},
+	"SlowStartFrom":            {change: func(s *Settings) { s.SlowStartFrom = 0.9 }},
+	"SlowStart":                {change: func(s *Settings) { s.SlowStart = 3 * Second }},
+	"KeyRest":                  {change: func(s *Settings) { s.KeyRest = 3 * Second }},
+	"RouteFees":                {change: func(s *Settings) { s.RouteFees = []float64{0.3, 0} }},
+	"RefusedPrice":             {change: func(s *Settings) { s.RefusedPrice = 0.5 }, silent: true},
+	"HandshakePrice":           {change: func(s *Settings) { s.HandshakePrice = 0.5 }, silent: true},
+	"Classes.Repeat":           {change: class(func(w *Class) { w.Repeat = NonIdempotent })},
+	"Classes.ZoneGroup":        {change: class(func(w *Class) { w.ZoneGroup = !w.ZoneGroup })},
+	"Classes.RepeatWindow":     {change: class(func(w *Class) { w.RepeatWindow = 300 * Millisecond })},
+	"Classes.LatencyObjective": {change: class(func(w *Class) { w.LatencyObjective = 400 * Millisecond })},
+	"Classes.Deadline":         {change: class(func(w *Class) { w.Deadline = 2 * Second })},
+	"Classes.Value":            {change: func(s *Settings) { s.Classes[0].Value = 50 }},
+	"Classes.LateValue":        {change: class(func(w *Class) { w.LateValue = 0.9 })},
+	"Classes.ByArrival":        {change: class(func(w *Class) { w.ByArrival = !w.ByArrival })},
+	"Kinds.BundleMax":          {change: func(s *Settings) { s.Kinds[0].BundleMax, s.Kinds[1].BundleMax = 4, 1 }},
+	"Kinds.Apart":              {change: func(s *Settings) { s.Kinds[0].Apart = true }},
 }
 
 // class changes every class.
@@ -218,7 +218,7 @@
 	d := open(plain())
 	d.mute = true
 	d.take(0, 1, "p").ended(Done, 0, "a", "p")
-	d.s.Configure(changed(plain(), class(func(w *Class) { w.ContractTime = 4 * Second })))
+	d.s.Configure(changed(plain(), class(func(w *Class) { w.LatencyObjective = 4 * Second })))
 	called, new := d.s.endpoints["a"], d.s.endpoints["c"]
 	if called.mean != float64(200*Millisecond) || new.times != even(float64(2*Second)) {
 		t.Error(called.times, new.times)
@@ -230,7 +230,7 @@
 func ExampleSender_Configure() {
 	for _, change := range []func(*Settings){
 		func(s *Settings) { s.MaxAttempts = 1 },
-		class(func(w *Class) { w.Repeat = SingleUse }),
+		class(func(w *Class) { w.Repeat = NonIdempotent }),
 		class(func(w *Class) { w.RepeatWindow = 100 * Millisecond }),
 		class(func(w *Class) { w.LateValue = 0 }), // and where nothing forbids it, it goes on
 	} {
@@ -262,7 +262,7 @@
 	set := plain()
 	set.Kinds[1].Apart, set.RouteFees = true, []float64{0, 0.05}
 	d := open(set)
-	d.s.ListNews([]Entry{{Endpoint: "near", Destination: 3, Kind: 1}, {Endpoint: "far", Destination: 3, Kind: 1, Zone: 1}}, false)
+	d.s.UpdateEndpoints([]Entry{{Endpoint: "near", Destination: 3, Kind: 1}, {Endpoint: "far", Destination: 3, Kind: 1, Zone: 1}}, false)
 	for _, id := range []EndpointID{"near", "far"} {
 		d.s.endpoints[id].measure(float64(200*Millisecond), 1, 1)
 	}
--- a/choice/connections_test.go
+++ b/choice/connections_test.go
@@ -50,7 +50,7 @@
 	d.take(0, 1, "o").ended(Done, 0, "a", "o")
 	for _, id := range []MessageID{"p", "q"} {
 		d.take(2, 1, id)
-		d.s.Ended(Outcome{Message: id, Endpoint: "a", Result: Reset, Kept: true})
+		d.s.Ended(Outcome{Message: id, Endpoint: "a", Result: Reset, Reused: true})
 	}
 	fmt.Println("aside:", d.s.endpoints["a"].ejected)
 	// Output:
@@ -70,7 +70,7 @@
 		set := plain()
 		set.Senders, set.ConnIdle = 300, 10*Second
 		d := open(set)
-		d.s.ListNews([]Entry{{Endpoint: "d", Destination: 3}}, false)
+		d.s.UpdateEndpoints([]Entry{{Endpoint: "d", Destination: 3}}, false)
 		d.take(0, 1, "first").take(0, 3, "other").ended(Done, 0, "a", "first").ended(Done, 0, "d", "other")
 		d.run(2 * Second).links = true
 		for _, id := range []MessageID{"p", "q", "r"} {
@@ -139,7 +139,7 @@
 	d.mute = true
 	d.run(400 * Millisecond)
 	fmt.Println(d.s.Open("a"))
-	d.s.ListNews([]Entry{{Endpoint: "a", Destination: 1, Stage: Draining}}, false)
+	d.s.UpdateEndpoints([]Entry{{Endpoint: "a", Destination: 1, Stage: Draining}}, false)
 	fmt.Println(d.s.Open("a"))
 	// Output:
 	// 0.0     dispatch one to a
--- a/choice/desk_test.go
+++ b/choice/desk_test.go
@@ -25,20 +25,20 @@
 // plain settings: class 0 is idempotent, 1 keyed, 2 single-use, 3 idempotent in order.
 func plain() Settings {
 	w := func(r Repeat, order bool) Class {
-		return Class{Repeat: r, RepeatWindow: 3 * Second, ContractTime: Second, Deadline: 6 * Second,
+		return Class{Repeat: r, RepeatWindow: 3 * Second, LatencyObjective: Second, Deadline: 6 * Second,
 			Value: 1 + float64(r), LateValue: 0.1, ByArrival: order}
 	}
 	return Settings{Senders: 2, InFlightLimit: 8, MaxOpen: 100, MaxAttempts: 6,
-		Classes: []Class{w(Idempotent, false), w(Keyed, false), w(SingleUse, false), w(Idempotent, true)},
+		Classes: []Class{w(Idempotent, false), w(Keyed, false), w(NonIdempotent, false), w(Idempotent, true)},
 		Kinds:   []Kind{{BundleMax: 1}, {BundleMax: 3}}, Turn: 5 * Millisecond, Probing: true, Rating: RatingExact,
-		FallMultiple: 2, Fall: 2 * Second, ColdFrom: 0.2, Cold: 10 * Second, KeyRest: Second}
+		FallMultiple: 2, Fall: 2 * Second, SlowStartFrom: 0.2, SlowStart: 10 * Second, KeyRest: Second}
 }
 
 // open starts a sender whose list holds a and b at destination 1 and c at destination 2.
 func open(set Settings) *desk {
 	d := &desk{tries: map[MessageID]int{}}
 	d.s = Start(d, "s", 7, set)
-	d.s.ListNews([]Entry{{Endpoint: "a", Destination: 1, Rating: 10}, {Endpoint: "b", Destination: 1, Stage: Gone, Rating: 10},
+	d.s.UpdateEndpoints([]Entry{{Endpoint: "a", Destination: 1, Rating: 10}, {Endpoint: "b", Destination: 1, Stage: Gone, Rating: 10},
 		{Endpoint: "c", Destination: 2, Kind: 1, Rating: 10}}, true)
 	d.s.TurnEnd()
 	return d
--- a/choice/endpoints_test.go
+++ b/choice/endpoints_test.go
@@ -7,7 +7,7 @@
 // Nothing new goes to a draining endpoint from the turn it is told; what is held goes elsewhere.
 func ExampleSender_drain() {
 	d := open(plain()).take(0, 1, "p").ended(Errored, 0, "a", "p")
-	d.s.ListNews([]Entry{{Endpoint: "a", Destination: 1, Stage: Draining}, {Endpoint: "b", Destination: 1}}, false)
+	d.s.UpdateEndpoints([]Entry{{Endpoint: "a", Destination: 1, Stage: Draining}, {Endpoint: "b", Destination: 1}}, false)
 	d.run(Second)
 	// Output:
 	// 0.0     dispatch p to a
@@ -66,7 +66,7 @@
 // An endpoint of another zone not seen yet ranks behind one of the own zone.
 func ExampleSender_zones() {
 	d := open(plain())
-	d.s.ListNews([]Entry{{Endpoint: "far", Destination: 1, Zone: 1}, {Endpoint: "near", Destination: 1}}, true)
+	d.s.UpdateEndpoints([]Entry{{Endpoint: "far", Destination: 1, Zone: 1}, {Endpoint: "near", Destination: 1}}, true)
 	d.run(50*Millisecond).take(0, 1, "p")
 	// Output:
 	// 50.0    dispatch p to near
@@ -79,7 +79,7 @@
 		set := plain()
 		set.Senders, set.ConnIdle, set.TellsFull = 80, 10*Second, told
 		d := open(set)
-		d.s.ListNews([]Entry{{Endpoint: "d", Destination: 3}}, false)
+		d.s.UpdateEndpoints([]Entry{{Endpoint: "d", Destination: 3}}, false)
 		d.links, d.mute = true, true
 		for i := range 4 {
 			id := MessageID(fmt.Sprint("down", i))
@@ -152,7 +152,7 @@
 		aside := a.ejected
 		d.run(pause)
 		d.s.comeBack(a, d.clock)
-		fmt.Println(aside, a.ejected, "cold:", d.clock < a.coldFrom+d.s.set.Cold)
+		fmt.Println(aside, a.ejected, "cold:", d.clock < a.coldFrom+d.s.set.SlowStart)
 	}
 	// Output:
 	// true false cold: false
--- a/choice/filter_test.go
+++ b/choice/filter_test.go
@@ -9,7 +9,7 @@
 // may only go there, and what is named far only to the far one.
 func two(set Settings) *desk {
 	d := open(set)
-	d.s.ListNews([]Entry{{Endpoint: "near", Destination: 3, Kind: 1, Rating: 10}, {Endpoint: "far", Destination: 3, Kind: 1, Zone: 1, Rating: 10}}, false)
+	d.s.UpdateEndpoints([]Entry{{Endpoint: "near", Destination: 3, Kind: 1, Rating: 10}, {Endpoint: "far", Destination: 3, Kind: 1, Zone: 1, Rating: 10}}, false)
 	d.barred = func(n MessageID, e EndpointID) bool {
 		return strings.HasPrefix(string(n), "near") && e == "far" || strings.HasPrefix(string(n), "far") && e == "near"
 	}
--- a/choice/fleet_test.go
+++ b/choice/fleet_test.go
@@ -73,7 +73,7 @@
 
 // room is N: what the settings let a cold endpoint be sent in a fall span that ends now.
 func (f *fleet) room(at *site) float64 {
-	warm := f.set.ColdFrom + (1-f.set.ColdFrom)*seconds(f.now-at.back)/seconds(f.set.Cold)
+	warm := f.set.SlowStartFrom + (1-f.set.SlowStartFrom)*seconds(f.now-at.back)/seconds(f.set.SlowStart)
 	return f.set.FallMultiple * f.capacity * warm * seconds(f.set.Fall)
 }
 
@@ -85,7 +85,7 @@
 		at.calls++
 		at.rush += int(one(knows && f.now < at.back+Second))
 	}
-	if f.now >= at.back && f.now < at.back+f.set.Cold {
+	if f.now >= at.back && f.now < at.back+f.set.SlowStart {
 		at.recent, at.known = append(at.recent, f.now), append(at.known, knows)
 		for at.recent[0] < f.now-f.set.Fall {
 			at.recent, at.known = at.recent[1:], at.known[1:]
@@ -126,7 +126,7 @@
 			entries = append(entries, h.f.entry(id))
 		}
 	}
-	h.s.ListNews(entries, true)
+	h.s.UpdateEndpoints(entries, true)
 	h.s.TurnEnd()
 }
 
@@ -205,7 +205,7 @@
 			}
 			id := EndpointID(fmt.Sprintf("d%d-%d", d, e))
 			f.sites[id] = &site{id: id, down: down + Time(f.rng.IntN(int(Second))), back: down + lasts}
-			back, end = append(back, f.sites[id]), max(end, down+lasts+max(f.set.Cold, 10*Second))
+			back, end = append(back, f.sites[id]), max(end, down+lasts+max(f.set.SlowStart, 10*Second))
 		}
 	}
 	for no := range p.senders {
@@ -237,7 +237,7 @@
 			gone := f.entry(at.id)
 			gone.Stage = Gone
 			for _, h := range f.seats {
-				h.later(Time(f.rng.IntN(1000)), func() { h.s.ListNews([]Entry{gone, f.entry(fresh.id)}, false) })
+				h.later(Time(f.rng.IntN(1000)), func() { h.s.UpdateEndpoints([]Entry{gone, f.entry(fresh.id)}, false) })
 			}
 			at.back = forever // what is replaced stays away
 		})
--- a/choice/held_test.go
+++ b/choice/held_test.go
@@ -10,7 +10,7 @@
 func ExampleSender_Probed_held() {
 	for _, result := range []Result{Cancelled, ConnectFailed} {
 		set := plain()
-		set.Cold = 0
+		set.SlowStart = 0
 		d := open(set).run(3*Second).take(0, 1, "p")
 		d.ended(Errored, 0, "a", "p").run(Second)
 		was := d.s.endpoints["a"].step
--- a/choice/host.go
+++ b/choice/host.go
@@ -35,19 +35,19 @@
 const (
 	Idempotent Repeat = iota
 	Keyed
-	SingleUse
+	NonIdempotent
 )
 
 // Class is one class's settings.
 type Class struct {
-	Repeat       Repeat
-	ZoneGroup    bool // a keyed repeat is known only to endpoints of one zone
-	RepeatWindow Time
-	ContractTime Time
-	Deadline     Time
-	Value        float64
-	LateValue    float64 // share of Value left at the deadline
-	ByArrival    bool    // messages of one key keep their order
+	Repeat           Repeat
+	ZoneGroup        bool // a keyed repeat is known only to endpoints of one zone
+	RepeatWindow     Time
+	LatencyObjective Time
+	Deadline         Time
+	Value            float64
+	LateValue        float64 // share of Value left at the deadline
+	ByArrival        bool    // messages of one key keep their order
 }
 
 // Kind is what the settings tell of one kind of destination.
@@ -89,8 +89,8 @@
 	Rating         Rating
 	FallMultiple   float64
 	Fall           Time
-	ColdFrom       float64
-	Cold           Time
+	SlowStartFrom  float64
+	SlowStart      Time
 	KeyRest        Time
 	RouteFees      []float64 // by zone: what a message taken on by a route apart there costs, in messages of mean value
 	RefusedPrice   float64
@@ -108,18 +108,18 @@
 
 // Entry is one endpoint of the list.
 type Entry struct {
-	Endpoint    EndpointID
-	Destination DestinationID
-	Kind        KindNo
-	Zone        ZoneNo
-	Rating      float64
-	Stage       Stage
-	Learnt      *Learnt // of an earlier life, where there is any; read when the endpoint is new
+	Endpoint     EndpointID
+	Destination  DestinationID
+	Kind         KindNo
+	Zone         ZoneNo
+	Rating       float64
+	Stage        Stage
+	LearnedState *LearnedState // of an earlier life, where there is any; read when the endpoint is new
 }
 
-// Learnt is what an earlier life knew of an endpoint and still holds: the times of calls there in tenths of a
+// LearnedState is what an earlier life knew of an endpoint and still holds: the times of calls there in tenths of a
 // millisecond (mean and spread of late, long mean, how many), the limit last told, and what is left of a wait.
-type Learnt struct {
+type LearnedState struct {
 	Mean, Dev, Past, Seen float64
 	Limit                 float64
 	Wait                  Time
@@ -175,7 +175,7 @@
 	Wait     Time // told with Full; 0 when none was
 	NoSlot   bool // told with Moot
 	Report   Report
-	Kept     bool // its connection had carried a call before, where the host can tell
+	Reused   bool // its connection had carried a call before, where the host can tell
 	Closed   bool // its answer ended the connection, likewise
 }
 
--- a/choice/intake.go
+++ b/choice/intake.go
@@ -51,7 +51,7 @@
 
 // spent tells whether a message may not be sent any more.
 func (s *Sender) spent(n *message) bool {
-	tried := n.tries > 0 && n.tries >= s.set.MaxAttempts || n.MayRun && s.class(n).Repeat == SingleUse
+	tried := n.tries > 0 && n.tries >= s.set.MaxAttempts || n.MayRun && s.class(n).Repeat == NonIdempotent
 	return tried || s.now > s.lastSend(n)
 }
 
--- a/choice/known.go
+++ b/choice/known.go
@@ -2,10 +2,10 @@
 
 // This file tells what a Sender knows to those who ask; it reads only, and decides nothing.
 
-// Learnt is what means the same in another life or fleet: what calls take, a limit told, a wait not over.
-func (s *Sender) Learnt(id EndpointID) (l Learnt) {
+// LearnedState is what means the same in another life or fleet: what calls take, a limit told, a wait not over.
+func (s *Sender) LearnedState(id EndpointID) (l LearnedState) {
 	if e := s.endpoints[id]; e != nil {
-		l = Learnt{e.mean, e.dev, e.past, e.seen, e.route.limit, max(0, e.route.haltUntil-s.h.Now())}
+		l = LearnedState{e.mean, e.dev, e.past, e.seen, e.route.limit, max(0, e.route.haltUntil-s.h.Now())}
 	}
 	return l
 }
--- a/choice/limits_test.go
+++ b/choice/limits_test.go
@@ -76,7 +76,7 @@
 	set.Kinds[0].BundleMax = 1
 	d := open(set)
 	d.mute = true
-	d.s.ListNews([]Entry{{Endpoint: "b", Destination: 1, Rating: 10}}, false)
+	d.s.UpdateEndpoints([]Entry{{Endpoint: "b", Destination: 1, Rating: 10}}, false)
 	a, b := d.s.endpoints["a"], d.s.endpoints["b"]
 	r, low := a.route, unpaced
 	to := map[EndpointID]int{}
--- a/choice/measure.go
+++ b/choice/measure.go
@@ -22,7 +22,7 @@
 func shortestContract(classes []Class) Time {
 	shortest := forever
 	for _, w := range classes {
-		shortest = min(shortest, max(1, w.ContractTime))
+		shortest = min(shortest, max(1, w.LatencyObjective))
 	}
 	return shortest
 }
@@ -107,14 +107,14 @@
 
 // Fade is the share of a class's value left when an answer comes so long after the message was handed in.
 func (w *Class) Fade(after Time, halving bool) float64 {
-	late := float64(after - w.ContractTime)
+	late := float64(after - w.LatencyObjective)
 	if late <= 0 {
 		return 1
 	}
 	if halving {
-		return max(w.LateValue, math.Exp2(-late/float64(max(1, w.ContractTime))))
+		return max(w.LateValue, math.Exp2(-late/float64(max(1, w.LatencyObjective))))
 	}
-	return max(0, 1-(1-w.LateValue)*late/float64(max(1, w.Deadline-w.ContractTime)))
+	return max(0, 1-(1-w.LateValue)*late/float64(max(1, w.Deadline-w.LatencyObjective)))
 }
 
 func (s *Sender) class(n *message) *Class { return &s.set.Classes[n.Class] }
--- a/choice/notes_test.go
+++ b/choice/notes_test.go
@@ -53,7 +53,7 @@
 func ExampleSender_kindPays() {
 	d := open(noted())
 	d.mute = true
-	d.s.ListNews([]Entry{{Endpoint: "e", Destination: 3}, {Endpoint: "f", Destination: 4}}, false)
+	d.s.UpdateEndpoints([]Entry{{Endpoint: "e", Destination: 3}, {Endpoint: "f", Destination: 4}}, false)
 	d.take(0, 1, "p").take(0, 3, "q").take(0, 4, "r")
 	for i, id := range []MessageID{"p", "q", "r"} {
 		d.ended(Errored, 0, EndpointID("aef"[i:i+1]), id)
@@ -70,9 +70,9 @@
 	set := plain()
 	set.Senders, set.Probing = 80, false
 	d := open(set).run(3*Second).take(0, 1, "p").ended(ConnectFailed, 0, "a", "p").take(0, 1, "q", "r")
-	d.s.ListNews([]Entry{{Endpoint: "a", Destination: 1, Stage: Gone}, {Endpoint: "new", Destination: 1, Rating: 10}}, false)
+	d.s.UpdateEndpoints([]Entry{{Endpoint: "a", Destination: 1, Stage: Gone}, {Endpoint: "new", Destination: 1, Rating: 10}}, false)
 	d.run(100 * Millisecond)
-	d.s.ListNews([]Entry{{Endpoint: "newer", Destination: 1, Rating: 10}}, false)
+	d.s.UpdateEndpoints([]Entry{{Endpoint: "newer", Destination: 1, Rating: 10}}, false)
 	d.run(100 * Millisecond)
 	fmt.Println(d.s.endpoints["new"].ejected, d.s.endpoints["newer"].ejected)
 	// Output:
@@ -89,7 +89,7 @@
 	a := d.s.endpoints["a"]
 	d.run(2 * Second)
 	d.s.comeBack(a, d.clock)
-	d.s.ListNews([]Entry{{Endpoint: "new", Destination: 1, Rating: 10}, {Endpoint: "a", Destination: 1, Stage: Draining}}, false)
+	d.s.UpdateEndpoints([]Entry{{Endpoint: "new", Destination: 1, Rating: 10}, {Endpoint: "a", Destination: 1, Stage: Draining}}, false)
 	e := d.s.endpoints["new"]
 	fmt.Println("aside:", e.ejected, "as cold:", e.coldFrom == a.coldFrom, "budget:", math.Round(100*e.cold.level)/100)
 	d.take(0, 1, "q", "r", "s")
@@ -106,7 +106,7 @@
 		set.Senders = senders
 		d := open(set)
 		d.mute = true
-		d.s.ListNews([]Entry{{Endpoint: "e", Destination: 3}}, false)
+		d.s.UpdateEndpoints([]Entry{{Endpoint: "e", Destination: 3}}, false)
 		for i := range 40 {
 			id := MessageID(fmt.Sprint(i))
 			d.take(0, 1, id).ended(Done, 0, "a", id)
--- a/choice/order_test.go
+++ b/choice/order_test.go
@@ -67,7 +67,7 @@
 // joins at the end of its key.
 func ExampleSender_headWithoutTime() {
 	d := open(ordered())
-	d.s.ListNews([]Entry{{Endpoint: "c", Destination: 2, Kind: 1, Stage: Draining}}, false)
+	d.s.UpdateEndpoints([]Entry{{Endpoint: "c", Destination: 2, Kind: 1, Stage: Draining}}, false)
 	d.keyed("head", 3, 7, 2).s.TurnEnd()
 	d.run(2*Second).keyed("next", 3, 7, 1).keyed("again", 3, 7, 1).s.TurnEnd()
 	d.run(4*Second).ended(Done, 0, "a", "next")
@@ -107,9 +107,9 @@
 	set := ordered()
 	set.Probing = false
 	d := open(set)
-	d.s.ListNews([]Entry{{Endpoint: "far", Destination: 1, Zone: 1, Rating: 10}}, false)
+	d.s.UpdateEndpoints([]Entry{{Endpoint: "far", Destination: 1, Zone: 1, Rating: 10}}, false)
 	d.take(1, 1, "token").run(10*Millisecond).ended(Errored, 0, "a", "token")
-	d.s.ListNews([]Entry{{Endpoint: "a", Destination: 1, Stage: Draining}}, false)
+	d.s.UpdateEndpoints([]Entry{{Endpoint: "a", Destination: 1, Stage: Draining}}, false)
 	d.take(0, 1, "other").run(6 * Second)
 	// Output:
 	// 0.0     dispatch token to a
@@ -123,7 +123,7 @@
 		set := ordered()
 		set.Kinds[0].Apart = apart
 		d := open(set)
-		d.s.ListNews([]Entry{{Endpoint: "b", Destination: 1, Rating: 10}}, false)
+		d.s.UpdateEndpoints([]Entry{{Endpoint: "b", Destination: 1, Rating: 10}}, false)
 		d.take(0, 1, "p").ended(Full, 900*Millisecond, "a", "p").take(0, 1, "q")
 		fmt.Println("apart:", apart)
 	}
@@ -139,10 +139,10 @@
 // time is not blamed, and nothing goes to the one that drains.
 func ExampleSender_stalled() {
 	d := open(ordered())
-	d.s.ListNews([]Entry{{Endpoint: "b", Destination: 1, Rating: 10}}, false)
+	d.s.UpdateEndpoints([]Entry{{Endpoint: "b", Destination: 1, Rating: 10}}, false)
 	d.take(0, 1, "p", "q").take(0, 2, "r")
 	d.clock += 2 * Second
-	d.s.ListNews([]Entry{{Endpoint: "a", Destination: 1, Stage: Draining}}, false)
+	d.s.UpdateEndpoints([]Entry{{Endpoint: "a", Destination: 1, Stage: Draining}}, false)
 	for _, id := range []MessageID{"p", "q", "r"} {
 		d.s.Ended(Outcome{Message: id, Took: 100 * Millisecond, Result: Done, Final: true})
 	}
--- a/choice/purge_test.go
+++ b/choice/purge_test.go
@@ -89,7 +89,7 @@
 // What was learnt of a partner that has moved is void: its time, its room, its pace and its wait are those of a new one,
 // or as told.
 func ExampleSender_Void() {
-	for _, l := range []*Learnt{nil, {Mean: 700, Dev: 100, Past: 600, Seen: 9, Limit: 4, Wait: Second}} {
+	for _, l := range []*LearnedState{nil, {Mean: 700, Dev: 100, Past: 600, Seen: 9, Limit: 4, Wait: Second}} {
 		d := open(plain()).take(0, 1, "p").ended(Done, 0, "a", "p")
 		d.s.endpoints["a"].limit = 8
 		d.take(0, 1, "q").s.Ended(Outcome{Message: "q", Endpoint: "a", Result: Full, Wait: 2 * Second, Report: Report{Known: true, Limit: 50}})
@@ -97,7 +97,7 @@
 		d.s.Void("a", l)
 		d.s.Void("unknown", l)
 		e, r := d.s.endpoints["a"], d.s.byID[1].route
-		fmt.Println(d.s.Learnt("a"), "calls at once:", e.limit, "paced:", r.pace.rate < unpaced, "rated:", r.rating*d.s.ratingPart)
+		fmt.Println(d.s.LearnedState("a"), "calls at once:", e.limit, "paced:", r.pace.rate < unpaced, "rated:", r.rating*d.s.ratingPart)
 		d.run(1500 * Millisecond)
 	}
 	// Output:
@@ -126,7 +126,7 @@
 		d.run(2 * Second)
 		for i := range 200 {
 			if void {
-				d.s.Void("a", &Learnt{Mean: 100, Dev: 10, Past: 100, Seen: 99, Limit: 1000})
+				d.s.Void("a", &LearnedState{Mean: 100, Dev: 10, Past: 100, Seen: 99, Limit: 1000})
 			}
 			id := MessageID(fmt.Sprint(i))
 			d.take(0, 1, id).run(40 * Millisecond)
@@ -178,7 +178,7 @@
 	d.s.comeBack(d.s.endpoints["c"], d.clock)
 	show("cold:", d, 2)
 	show("warm:", d.run(11*Second), 2)
-	d.s.ListNews([]Entry{{Endpoint: "c", Destination: 2, Kind: 1, Stage: Draining}}, false)
+	d.s.UpdateEndpoints([]Entry{{Endpoint: "c", Destination: 2, Kind: 1, Stage: Draining}}, false)
 	show("draining:", d, 2)
 	d = open(ordered())
 	d.mute = true
--- a/choice/ranks.go
+++ b/choice/ranks.go
@@ -21,7 +21,7 @@
 // settled renews a destination; it tells whether nothing is left to come back for.
 func (s *Sender) settled(d *destination) bool {
 	d.ranked = slices.DeleteFunc(d.ranked, func(e *endpoint) bool {
-		if e.listed || e.calls > 0 || e.probing || s.now < max(e.coldFrom+s.set.Cold, e.route.haltUntil) {
+		if e.listed || e.calls > 0 || e.probing || s.now < max(e.coldFrom+s.set.SlowStart, e.route.haltUntil) {
 			return false
 		}
 		if s.endpoints[e.id] == e {
@@ -56,7 +56,7 @@
 // place is where a message may go now, and whether any of its places was barred to it.
 func (s *Sender) place(n *message, rideOnly bool) (to *endpoint, barred bool) {
 	var trial, same *endpoint
-	w, single := s.class(n), s.class(n).Repeat == SingleUse
+	w, single := s.class(n), s.class(n).Repeat == NonIdempotent
 	for _, e := range n.d.ranked {
 		switch {
 		case !e.listed || s.now < e.route.haltUntil || n.MayRun && w.ZoneGroup && e.zone != n.RanIn ||
@@ -84,7 +84,7 @@
 }
 
 func (s *Sender) attempt(n *message, e *endpoint) {
-	if s.unqueue(n); s.class(n).Repeat == SingleUse && s.kept > keptMost {
+	if s.unqueue(n); s.class(n).Repeat == NonIdempotent && s.kept > keptMost {
 		s.h.CloseIdle(e.id)
 	}
 	if k := &e.d.kind.times; s.senders > smallFleet && e.seen == 0 && k.seen > 0 {
@@ -110,6 +110,6 @@
 func (s *Sender) timeOut(n *message, e *endpoint) Time {
 	usual := max(2*s.prior, e.mean+patience*e.dev)
 	free := (finalPatience - 1) * float64(s.set.InFlightLimit-len(s.calls)) / float64(s.set.InFlightLimit)
-	longer := either(s.class(n).Repeat == SingleUse, 1+free, float64(n.tries))
+	longer := either(s.class(n).Repeat == NonIdempotent, 1+free, float64(n.tries))
 	return max(1, min(ceil(usual*longer), n.Deadline-s.now-s.turn))
 }
--- a/choice/retries_test.go
+++ b/choice/retries_test.go
@@ -84,7 +84,7 @@
 	set := plain()
 	set.Senders = 50
 	d := open(set).run(3 * Second)
-	d.s.ListNews([]Entry{{Endpoint: "b", Destination: 1}, {Endpoint: "b2", Destination: 1}}, false)
+	d.s.UpdateEndpoints([]Entry{{Endpoint: "b", Destination: 1}, {Endpoint: "b2", Destination: 1}}, false)
 	d.run(50*Millisecond).take(0, 1, "p").ended(ConnectFailed, 0, "a", "p").run(300 * Millisecond)
 	d.ended(ConnectFailed, 0, "b", "p")
 	fmt.Println("aside:", d.s.endpoints["a"].ejected, d.s.endpoints["b"].ejected, d.s.endpoints["b2"].ejected)
--- a/choice/returns.go
+++ b/choice/returns.go
@@ -61,7 +61,7 @@
 	e.limit, e.mean, e.coldFrom, e.cold = firstLimit, e.past, from, bucket{e.cold.rate, level, max(from, s.now)}
 }
 
-func (s *Sender) outage(e *endpoint) bool { return e.ejected || s.now < e.coldFrom+s.set.Cold }
+func (s *Sender) outage(e *endpoint) bool { return e.ejected || s.now < e.coldFrom+s.set.SlowStart }
 
 // coldReady bounds all that goes to what is ejected or may be cold, against pushing it over.
 func (s *Sender) coldReady(e *endpoint) bool {
@@ -69,8 +69,8 @@
 		return true
 	}
 	ends := 1 + one(e.route == e.d.route)*float64(len(e.d.ranked)-1)
-	cold := max(1, s.set.Cold)
-	warm := s.set.ColdFrom + one(!e.ejected)*(1-s.set.ColdFrom)*float64(s.now-e.coldFrom)/float64(cold)
+	cold := max(1, s.set.SlowStart)
+	warm := s.set.SlowStartFrom + one(!e.ejected)*(1-s.set.SlowStartFrom)*float64(s.now-e.coldFrom)/float64(cold)
 	told := min(unpaced, max(e.route.limit, e.route.rating*s.ratingPart*s.senders))
 	// Where it is not known what it takes, less would keep a large fleet away.
 	floor := either(told*s.set.FallMultiple == 0, coldFloor/seconds(cold)/ends, 0)
--- a/choice/returns_test.go
+++ b/choice/returns_test.go
@@ -72,19 +72,19 @@
 		"no multiple":              func(p *play) { p.set.FallMultiple = 0 },
 		"negative multiple":        func(p *play) { p.set.FallMultiple = -1 },
 		"extreme multiple":         func(p *play) { p.set.FallMultiple = math.MaxFloat64 },
-		"no cold time":             func(p *play) { p.set.Cold = 0 },
-		"long cold time":           func(p *play) { p.set.Cold = 100 * Second },
-		"nothing when cold":        func(p *play) { p.set.ColdFrom = 0 },
-		"all when cold":            func(p *play) { p.set.ColdFrom = 1 },
-		"none of the four":         func(p *play) { p.set.Fall, p.set.FallMultiple, p.set.Cold, p.set.ColdFrom = 0, 0, 0, 0 },
+		"no cold time":             func(p *play) { p.set.SlowStart = 0 },
+		"long cold time":           func(p *play) { p.set.SlowStart = 100 * Second },
+		"nothing when cold":        func(p *play) { p.set.SlowStartFrom = 0 },
+		"all when cold":            func(p *play) { p.set.SlowStartFrom = 1 },
+		"none of the four":         func(p *play) { p.set.Fall, p.set.FallMultiple, p.set.SlowStart, p.set.SlowStartFrom = 0, 0, 0, 0 },
 		"no rating":                func(p *play) { p.set.Rating = RatingNone },
 		"a rating of zero":         func(p *play) { p.rating = 0 },
 		"a rating below one call":  func(p *play) { p.rating, p.capacity = 0.1, 0.1; p.demand = 30 },
 		"extreme rating":           func(p *play) { p.rating = math.MaxFloat64 },
-		"extreme, nothing if cold": func(p *play) { p.rating, p.set.FallMultiple, p.set.ColdFrom = math.MaxFloat64, 1e300, 0 },
+		"extreme, nothing if cold": func(p *play) { p.rating, p.set.FallMultiple, p.set.SlowStartFrom = math.MaxFloat64, 1e300, 0 },
 		"one class":                func(p *play) { classes(p, 1, Idempotent) },
 		"twenty classes":           func(p *play) { classes(p, 20, Keyed) },
-		"single-use alone":         func(p *play) { classes(p, 3, SingleUse) },
+		"single-use alone":         func(p *play) { classes(p, 3, NonIdempotent) },
 		"nothing single-use":       func(p *play) { classes(p, 3, Idempotent) },
 	}
 	for _, name := range inOrder(odds) {
@@ -93,7 +93,7 @@
 				p := cold(senders, 8)
 				p.dests, p.demand = 4, 1.5
 				odds[name](&p)
-				if p.set.Cold > 30*Second {
+				if p.set.SlowStart > 30*Second {
 					p.demand = 0.5
 				}
 				back, f := p.outage()
@@ -151,7 +151,7 @@
 	for i := range p.senders {
 		d := &desk{tries: map[MessageID]int{}, mute: true}
 		d.s = Start(d, SenderID(fmt.Sprint(i)), 7, p.set)
-		d.s.ListNews([]Entry{{Endpoint: "a", Destination: 1, Rating: 20}, {Endpoint: "b", Destination: 1, Rating: 20}}, true)
+		d.s.UpdateEndpoints([]Entry{{Endpoint: "a", Destination: 1, Rating: 20}, {Endpoint: "b", Destination: 1, Rating: 20}}, true)
 		d.clock = 20 * Second
 		for _, id := range []EndpointID{"a", "b"} {
 			e := d.s.endpoints[id]
--- a/choice/start.go
+++ b/choice/start.go
@@ -51,7 +51,7 @@
 	}
 }
 
-func (s *Sender) ListNews(entries []Entry, whole bool) {
+func (s *Sender) UpdateEndpoints(entries []Entry, whole bool) {
 	s.now = s.h.Now()
 	for _, e := range s.endpoints {
 		e.listed = e.listed && !whole
@@ -72,7 +72,7 @@
 func (s *Sender) join(d *destination, entry Entry) *endpoint {
 	e := &endpoint{id: entry.Endpoint, d: d, toldAt: -quietFor, standing: standing{coldFrom: -forever / 2},
 		route: either(d.kind.Apart, newRoute(s.now), d.route)}
-	s.recall(e, entry.Learnt)
+	s.recall(e, entry.LearnedState)
 	for _, other := range d.ranked {
 		if other.route == e.route && (other.ejected && !e.ejected || other.coldFrom > e.coldFrom) {
 			// Most of a destination may be replaced while it is out: what is new is no warmer than the rest.
@@ -106,7 +106,7 @@
 func newRoute(now Time) *route { return &route{pace: bucket{unpaced, unpaced, now}, lastCut: now} }
 
 // recall has an endpoint stand as one of which nothing is known but what another life tells.
-func (s *Sender) recall(e *endpoint, l *Learnt) {
+func (s *Sender) recall(e *endpoint, l *LearnedState) {
 	e.times, e.limit = even(s.prior), firstLimit
 	if l != nil {
 		e.times = either(l.Seen > 0, times{l.Mean, l.Dev, l.Past, l.Seen}, e.times)
@@ -116,7 +116,7 @@
 
 // Void drops what was learnt of an endpoint and its route, or has l stand in its place. An outage and what is
 // left of a cold budget stay; until that is over waits stay too, and no limit that l tells counts.
-func (s *Sender) Void(id EndpointID, l *Learnt) {
+func (s *Sender) Void(id EndpointID, l *LearnedState) {
 	s.now = s.h.Now()
 	if e := s.endpoints[id]; e != nil {
 		was := *e.route
--- a/choice/town_test.go
+++ b/choice/town_test.go
@@ -86,7 +86,7 @@
 	case luck < 0.18:
 		o.Result, o.Final = Errored, false
 	case luck < 0.22:
-		o.Result, o.Final, o.Kept = Reset, false, true
+		o.Result, o.Final, o.Reused = Reset, false, true
 	case luck < 0.26 || took > timeOut:
 		o.Result, o.Final, o.Took = TimedOut, false, timeOut
 	}
@@ -110,7 +110,7 @@
 	check(e.open.n > 1 || len(w.s.calls) <= set.InFlightLimit, fmt.Sprint(len(w.s.calls), " calls out of ", set.InFlightLimit))
 	check(e.open.n <= max(1, e.d.kind.BundleMax) && e.d.kind.BundleMax == set.Kinds[e.d.id%2].BundleMax, "a bundle too large")
 	check(w.tries[n.ID] <= set.MaxAttempts, "one dispatch too many")
-	check(!n.MayRun || class.Repeat != SingleUse, "a second run")
+	check(!n.MayRun || class.Repeat != NonIdempotent, "a second run")
 	check(!n.MayRun || class.Repeat != Keyed || w.clock <= n.RanAt+class.RepeatWindow-set.Turn, "out of its window")
 	check(!n.MayRun || !class.ZoneGroup || e.zone == n.RanIn, "known in another zone alone")
 	check(n.line == nil || n.line.messages[0] == n, "before its turn")
@@ -189,7 +189,7 @@
 	for i, id := range []EndpointID{"a", "b", "c", "d"} {
 		all = append(all, Entry{Endpoint: id, Destination: DestinationID(i / 2), Kind: KindNo(i / 2), Zone: ZoneNo(i % 2), Rating: 10})
 	}
-	w.s.ListNews(all, true)
+	w.s.UpdateEndpoints(all, true)
 }
 
 // load has messages come steadily, of all that the settings name by then.
--- a/choice/waits_test.go
+++ b/choice/waits_test.go
@@ -31,7 +31,7 @@
 // to endpoints that were not asked, and although a call from before was answered meanwhile.
 func ExampleSender_longWait() {
 	d := open(plain())
-	d.s.ListNews([]Entry{{Endpoint: "b", Destination: 1, Rating: 10}}, false)
+	d.s.UpdateEndpoints([]Entry{{Endpoint: "b", Destination: 1, Rating: 10}}, false)
 	d.take(0, 1, "p", "q", "r").ended(Full, 3*Second, "a", "p").ended(Done, 0, "a", "q").take(2, 1, "s", "t", "u", "v")
 	d.run(6 * Second)
 	// Output:
--- a/cmd/flaxcove/lab_hunt.go
+++ b/cmd/flaxcove/lab_hunt.go
@@ -173,7 +173,7 @@
 	}
 	small.Name = fmt.Sprintf("%s-%d", what, seed)
 	small.About = "found by hunt:"
-	for _, t := range small.Troubles {
+	for _, t := range small.Faults {
 		small.About += " " + t.Kind
 	}
 	return true, &hunt.Kept{Spec: *small, Found: hunt.Find{Rule: rule, Seed: seed, Gap: float64(int(played.Gap*1000)) / 1000, Open: true}}, nil
--- a/cmd/flaxcove/lab_load.go
+++ b/cmd/flaxcove/lab_load.go
@@ -236,8 +236,8 @@
 	step.PeakMB, step.JournalB, step.Fds = r.Figures.PeakMB, float64(r.Figures.JournalBytes), r.Figures.Descriptors
 	step.LateShare, step.WorstLate = r.Figures.LateShare, r.Figures.WorstLateMS
 	switch {
-	case r.Trouble != "":
-		step.Why = r.Trouble
+	case r.Fault != "":
+		step.Why = r.Fault
 	case r.Void != "":
 		step.Why = "the lab was the bottleneck: " + r.Void
 	case r.Broken():
--- a/cmd/flaxcove/lab_scenarios.go
+++ b/cmd/flaxcove/lab_scenarios.go
@@ -25,15 +25,15 @@
 			t := tabwriter.NewWriter(os.Stdout, 2, 0, 2, ' ', 0)
 			if c.Bool("troubles") {
 				var kinds []string
-				for kind := range world.TroubleKinds {
+				for kind := range world.FaultKinds {
 					kinds = append(kinds, kind)
 				}
 				slices.Sort(kinds)
 				if c.Bool("json") {
-					return json.NewEncoder(os.Stdout).Encode(world.TroubleKinds)
+					return json.NewEncoder(os.Stdout).Encode(world.FaultKinds)
 				}
 				for _, kind := range kinds {
-					k := world.TroubleKinds[kind]
+					k := world.FaultKinds[kind]
 					fmt.Fprintf(t, "%s\tstrikes %s\t%s\n", kind, k.Strikes, k.Amount)
 				}
 				return t.Flush()
--- a/cmd/flaxcove/serve_cluster.go
+++ b/cmd/flaxcove/serve_cluster.go
@@ -72,7 +72,7 @@
 		longest = max(longest, w.Deadline)
 	}
 	n, err := cluster.Start(cluster.Options{Settings: joining, Log: log.Named("cluster"), Orders: s.Orders(), Zones: cfg.Zones,
-		Longest: span(longest), Cold: span(cfg.Settings.Cold), ColdFrom: cfg.Settings.ColdFrom, FallMultiple: cfg.Settings.FallMultiple,
+		Longest: span(longest), SlowStart: span(cfg.Settings.SlowStart), SlowStartFrom: cfg.Settings.SlowStartFrom, FallMultiple: cfg.Settings.FallMultiple,
 		RatingIsRate:  cfg.Settings.Rating != choice.RatingNone,
 		CheckSettings: checkOf(cfg), OwnSettings: cfg.OwnSettings(), Running: running(cfg)})
 	if err != nil {
--- a/internal/cluster/capacity_test.go
+++ b/internal/cluster/capacity_test.go
@@ -11,7 +11,7 @@
 
 	"flaxcove/choice"
 	"flaxcove/internal/cluster/evidence/digest"
-	"flaxcove/internal/cluster/sight"
+	"flaxcove/internal/cluster/healthreport"
 	"flaxcove/internal/cluster/view"
 	"flaxcove/internal/sender/together"
 	"flaxcove/lab/capacity/bench"
@@ -65,7 +65,7 @@
 		for b.Loop() {
 			rows, bytes, messages = 0, 0, 0
 			chance := rand.New(rand.NewPCG(1, 2))
-			c := &counted{zones: map[view.Zone]choice.ZoneNo{}, listed: map[sight.Place]view.Now{}, told: map[sight.Place]telling{},
+			c := &counted{zones: map[view.Zone]choice.ZoneNo{}, listed: map[healthreport.Locality]view.Now{}, told: map[healthreport.Locality]telling{},
 				window: digest.Make("sender-0123", "zone-3", spanOf, 40_000, 0)}
 			for now, no := capacityEach, 0; now <= capacitySpan; now, no = now+capacityEach, no+1 {
 				d := capacityDigest(chance, n, no)
--- a/internal/cluster/configuration/run/ask.go
+++ b/internal/cluster/configuration/run/ask.go
@@ -72,7 +72,7 @@
 // whomToAsk is for what the leader alone can answer: by the council, or without a place in it those who hold its
 // records and then any, at most mostAsked.
 func (r *Runner) whomToAsk() []view.Name {
-	likely := r.o.Council.Ask()
+	likely := r.o.Consensus.Ask()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.known(likely)
--- a/internal/cluster/configuration/run/calls.go
+++ b/internal/cluster/configuration/run/calls.go
@@ -96,7 +96,7 @@
 	if d.From.Name != from.Name {
 		return nil, fmt.Errorf("configuration: message down: from %q, field from tells %q", from.Name, d.From.Name)
 	}
-	leader, known := r.o.Council.Leader()
+	leader, known := r.o.Consensus.Leader()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.figures.DownsIn++
--- a/internal/cluster/configuration/run/fleet_test.go
+++ b/internal/cluster/configuration/run/fleet_test.go
@@ -113,7 +113,7 @@
 	s.mu.Lock()
 	s.ran = append(s.ran, running.Version)
 	s.mu.Unlock()
-	r, err := Start(Options{Self: m, Link: l, Council: f.net.Council(m.Name), Ledger: f.ledger, Orders: s, Folder: s.folder, Running: running,
+	r, err := Start(Options{Self: m, Link: l, Consensus: f.net.Consensus(m.Name), Ledger: f.ledger, Orders: s, Folder: s.folder, Running: running,
 		Own: json.RawMessage(own), Check: s.check, CatchUp: long, AnswerWithin: f.answerWithin})
 	if err != nil {
 		f.t.Fatal(err)
--- a/internal/cluster/configuration/run/join.go
+++ b/internal/cluster/configuration/run/join.go
@@ -35,7 +35,7 @@
 func (r *Runner) askNewest() bool {
 	ctx, cancel := context.WithTimeout(r.ctx, r.o.CatchUp)
 	defer cancel()
-	if r.o.Council.Leading() {
+	if r.o.Consensus.Leading() {
 		r.mu.Lock()
 		top := r.lead.top
 		if top != nil {
--- a/internal/cluster/configuration/run/lead.go
+++ b/internal/cluster/configuration/run/lead.go
@@ -51,7 +51,7 @@
 
 // readLedger reads what is new while this process leads. No lock of this package is held: the council's comes first.
 func (r *Runner) readLedger() (n news) {
-	if !r.o.Council.Leading() {
+	if !r.o.Consensus.Leading() {
 		return n
 	}
 	n.leading = true
@@ -59,7 +59,7 @@
 	fresh := !r.lead.leads
 	n.no, n.last = r.lead.no, r.lead.last
 	r.mu.Unlock()
-	r.o.Council.Read(func(uint64) {
+	r.o.Consensus.Read(func(uint64) {
 		if l := r.o.Ledger; fresh || l.No() != n.no {
 			n.changed, n.no, n.last = true, l.No(), l.Last()
 			n.newest, _ = l.Newest()
@@ -120,7 +120,7 @@
 	r.going.Go(func() {
 		ctx, cancel := context.WithTimeout(r.ctx, decideFor)
 		defer cancel()
-		_, err := r.o.Council.Propose(ctx, ledger.Part, ledger.KindAdopt, ledger.Adopt{Version: known.Version, Settings: known.Settings})
+		_, err := r.o.Consensus.Propose(ctx, ledger.Part, ledger.KindAdopt, ledger.Adopt{Version: known.Version, Settings: known.Settings})
 		r.o.Log.Warn("configuration: members have a version that the council did not know", zap.Uint64("version", known.Version), zap.Error(err))
 		r.mu.Lock()
 		r.lead.adopting = false
@@ -188,7 +188,7 @@
 	if g.last == 0 && len(g.newest.Settings)+len(proposed)+envelope < machine.MaxBody {
 		command.Own = g.newest.Settings
 	}
-	text, err := r.o.Council.Propose(ctx, ledger.Part, ledger.KindDecide, command)
+	text, err := r.o.Consensus.Propose(ctx, ledger.Part, ledger.KindDecide, command)
 	var never *machine.Refused
 	switch {
 	case errors.As(err, &never): // by the council itself, as what is too long once it is escaped
@@ -206,7 +206,7 @@
 	if err != nil {
 		own = configuration.Document{}
 	}
-	r.o.Council.Read(func(uint64) {
+	r.o.Consensus.Read(func(uint64) {
 		l := r.o.Ledger
 		g.answer, g.known = l.Known(request.ID, print)
 		g.last, g.newest = l.Last(), own
@@ -263,7 +263,7 @@
 	if err := json.Unmarshal(body, &request); err != nil {
 		return nil, fmt.Errorf("configuration: request: %w", err)
 	}
-	if !r.o.Council.Leading() {
+	if !r.o.Consensus.Leading() {
 		return nil, errNotLeading
 	}
 	decided, err := r.decide(ctx, request)
--- a/internal/cluster/configuration/run/run.go
+++ b/internal/cluster/configuration/run/run.go
@@ -74,11 +74,11 @@
 
 // Start takes the handlers' paths and begins. What an earlier life kept is read before it returns.
 func Start(o Options) (*Runner, error) {
-	if o.Link == nil || o.Orders == nil || o.Folder == "" || (o.Council == nil) != (o.Ledger == nil) {
+	if o.Link == nil || o.Orders == nil || o.Folder == "" || (o.Consensus == nil) != (o.Ledger == nil) {
 		return nil, errors.New("configuration: a link, a folder and a sender's orders must be given, and a ledger with a council")
 	}
-	if o.Council == nil {
-		o.Council = ordering.Outsider{NotLeading: errNotLeading}
+	if o.Consensus == nil {
+		o.Consensus = ordering.Outsider{NotLeading: errNotLeading}
 	}
 	if o.Now == nil {
 		o.Now = ordering.Clock()
@@ -95,7 +95,7 @@
 	r.state = spread.New(o.Self.Life, r.loadCached(), o.Running.Version)
 	r.signals = ordering.NewSignals(&r.mu)
 	r.ctx, r.stop = context.WithCancel(context.Background())
-	r.caller = ordering.Caller{Part: "configuration", Link: o.Link, Council: o.Council, Self: o.Self.Name, Life: r.life, Whom: r.whomToAsk,
+	r.caller = ordering.Caller{Part: "configuration", Link: o.Link, Consensus: o.Consensus, Self: o.Self.Name, Life: r.life, Whom: r.whomToAsk,
 		Ended: r.ctx.Done(), CallFor: callFor, First: firstWait, Most: lastWait, Nobody: errNobody, Undone: errNobody}
 	r.handle()
 	r.public(o.Link.Public())
@@ -190,7 +190,7 @@
 // step asks each deciding part what it wants, and begins that.
 func (r *Runner) step() {
 	news := r.readLedger()
-	leader, known := r.o.Council.Leader()
+	leader, known := r.o.Consensus.Leader()
 	now := r.o.Now()
 
 	r.mu.Lock()
--- a/internal/cluster/configuration/run/run_test.go
+++ b/internal/cluster/configuration/run/run_test.go
@@ -304,7 +304,7 @@
 	f := &fleet{t: t, net: orderingtest.New(l, ""), ledger: l}
 	s := &sender{folder: t.TempDir()}
 	member := view.Member{Life: view.Life{Name: "p", Incarnation: 1}}
-	r, err := Start(Options{Self: member, Link: f.net.Link(member.Life), Council: f.net.Council("p"), Ledger: f.ledger, Orders: s,
+	r, err := Start(Options{Self: member, Link: f.net.Link(member.Life), Consensus: f.net.Consensus("p"), Ledger: f.ledger, Orders: s,
 		Folder: s.folder, CatchUp: 50 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/cluster/configuration/run/show.go
+++ b/internal/cluster/configuration/run/show.go
@@ -83,11 +83,11 @@
 
 // shown is the answer of whoever leads.
 func (r *Runner) shown(version *uint64) (s Shown, err error) {
-	if !r.o.Council.Leading() {
+	if !r.o.Consensus.Leading() {
 		return s, errNotLeading
 	}
 	var entry ledger.Entry
-	r.o.Council.Read(func(uint64) {
+	r.o.Consensus.Read(func(uint64) {
 		l := r.o.Ledger
 		entry, _ = l.Entry(l.Last())
 		s.Held = l.Held()
@@ -102,7 +102,7 @@
 	s.Version, s.Sum, s.ID, s.Base, s.Restored = entry.Version, entry.Sum, entry.ID, entry.Base, entry.Restored
 	s.Who, s.Why, s.Bytes, s.ToldBy = entry.Who, entry.Why, entry.Bytes, r.o.Self.Name
 	if s.Version > 0 {
-		s.AgeMS = max(r.o.Council.Clock()-entry.At, 0).Milliseconds()
+		s.AgeMS = max(r.o.Consensus.Clock()-entry.At, 0).Milliseconds()
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/cluster/configuration/run/words.go
+++ b/internal/cluster/configuration/run/words.go
@@ -22,14 +22,14 @@
 
 // Options is what a Runner is given; Running, Own, Check, CatchUp, Now and Log may be left out.
 type Options struct {
-	Self    view.Member // a view may tell a higher incarnation later
-	Link    ordering.Link
-	Council ordering.Council // nil at a process that has no place in it
-	Ledger  *ledger.Ledger   // the council's part of that name; nil where there is no council
-	Orders  Orders
-	Folder  string                 // of the cluster; see configuration.LoadCached
-	Running together.Configuration // what the sender was started with; version 0 for its own file
-	Own     json.RawMessage        // the settings of the sender's own file
+	Self      view.Member // a view may tell a higher incarnation later
+	Link      ordering.Link
+	Consensus ordering.Consensus // nil at a process that has no place in it
+	Ledger    *ledger.Ledger     // the council's part of that name; nil where there is no council
+	Orders    Orders
+	Folder    string                 // of the cluster; see configuration.LoadCached
+	Running   together.Configuration // what the sender was started with; version 0 for its own file
+	Own       json.RawMessage        // the settings of the sender's own file
 	// Check tells what is wrong with settings for a sender that runs inForce (nil: its own file). Pure.
 	Check   func(inForce, proposed json.RawMessage) error
 	CatchUp time.Duration // how long a start waits for what it missed, at most
--- a/internal/cluster/evidence/capacity_test.go
+++ b/internal/cluster/evidence/capacity_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"flaxcove/internal/cluster/sight"
+	"flaxcove/internal/cluster/healthreport"
 	"flaxcove/internal/cluster/view"
 	"flaxcove/lab/capacity/bench"
 )
@@ -35,7 +35,7 @@
 			return e
 		})
 		defer e.Close()
-		batch := make([]sight.Sighting, n)
+		batch := make([]healthreport.Sample, n)
 		for d := range batch {
 			batch[d] = saw(d, view.Zone(fmt.Sprintf("zone-%d", d%8)), "sender-0000", 0, 1)
 		}
--- a/internal/cluster/evidence/digest/digest.go
+++ b/internal/cluster/evidence/digest/digest.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"flaxcove/internal/cluster/evidence/table"
-	"flaxcove/internal/cluster/sight"
+	"flaxcove/internal/cluster/healthreport"
 	"flaxcove/internal/cluster/view"
 	"flaxcove/internal/sender/together"
 )
@@ -32,14 +32,14 @@
 	places  int
 	told    view.Now // when counting for the next digest began
 	parts   []part   // oldest first
-	sums    map[sight.Place]*sum
+	sums    map[healthreport.Locality]*sum
 	left    uint64
 }
 
 // part is a digest, or several that came close together.
 type part struct {
 	from view.Now
-	rows map[sight.Place]together.Row
+	rows map[healthreport.Locality]together.Row
 }
 
 // sum is over all parts: counts are added as a row comes and taken away as its part leaves; the rest is as last told,
@@ -56,11 +56,11 @@
 		span = Span
 	}
 	return &Window{witness: witness, from: from, span: span, places: max(places, 1), told: now,
-		sums: map[sight.Place]*sum{}}
+		sums: map[healthreport.Locality]*sum{}}
 }
 
 // Take adds a digest and tells all that was seen over the span up to now, by place.
-func (w *Window) Take(now view.Now, d together.Digest) []sight.Sighting {
+func (w *Window) Take(now view.Now, d together.Digest) []healthreport.Sample {
 	w.add(now, d.Rows)
 	// The newest stays, however long it was counted.
 	for len(w.parts) > 1 && w.parts[0].from < now-w.span {
@@ -68,24 +68,24 @@
 		w.parts = slices.Delete(w.parts, 0, 1)
 	}
 	over := now - w.parts[0].from
-	all := make([]sight.Sighting, 0, len(w.sums))
+	all := make([]healthreport.Sample, 0, len(w.sums))
 	for place, s := range w.sums {
 		r, over := &s.row, over
 		if row, from, all := w.silentSince(place); all {
 			r, over = &row, now-from
 		}
-		all = append(all, sight.Sighting{Place: place, Witness: w.witness, From: w.from, Kind: r.Kind, Span: max(over, 1),
+		all = append(all, healthreport.Sample{Locality: place, Witness: w.witness, From: w.from, Kind: r.Kind, Span: max(over, 1),
 			Sent: float64(r.Sent), Done: float64(r.Done), Failed: float64(r.Failed),
 			Silent: float64(r.Silent), Refused: float64(r.Refused), Limit: r.Limit, Rating: r.Rating,
 			Endpoints: r.Endpoints, Held: r.Held})
 	}
-	slices.SortFunc(all, func(a, b sight.Sighting) int { return table.Order(&a, &b) })
+	slices.SortFunc(all, func(a, b healthreport.Sample) int { return table.Order(&a, &b) })
 	return all
 }
 
 // silentSince sums the newest parts in which a place answered nothing, where something failed in them: a place that has
 // fallen is not well for what it did a moment before.
-func (w *Window) silentSince(at sight.Place) (row together.Row, from view.Now, all bool) {
+func (w *Window) silentSince(at healthreport.Locality) (row together.Row, from view.Now, all bool) {
 	some := false
 	for i := len(w.parts) - 1; i >= 0; i-- {
 		r, held := w.parts[i].rows[at]
@@ -108,12 +108,12 @@
 func (w *Window) add(now view.Now, rows []together.Row) {
 	now = max(now, w.told)
 	if n := len(w.parts); n == 0 || now-w.parts[n-1].from >= w.span/most {
-		w.parts = append(w.parts, part{w.told, make(map[sight.Place]together.Row, len(rows))})
+		w.parts = append(w.parts, part{w.told, make(map[healthreport.Locality]together.Row, len(rows))})
 	}
 	w.told = now
 	into := w.parts[len(w.parts)-1].rows
 	for _, r := range rows {
-		place := sight.Place{Destination: r.Destination, Zone: view.Zone(r.Zone)}
+		place := healthreport.Locality{Destination: r.Destination, Zone: view.Zone(r.Zone)}
 		s := w.sums[place]
 		if s == nil {
 			if len(w.sums) >= w.places {
@@ -142,7 +142,7 @@
 	return r
 }
 
-func (w *Window) drop(rows map[sight.Place]together.Row) {
+func (w *Window) drop(rows map[healthreport.Locality]together.Row) {
 	for place, r := range rows {
 		s := w.sums[place]
 		if s.parts--; s.parts == 0 {
--- a/internal/cluster/evidence/digest/digest_test.go
+++ b/internal/cluster/evidence/digest/digest_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 
 	"flaxcove/choice"
-	"flaxcove/internal/cluster/sight"
+	"flaxcove/internal/cluster/healthreport"
 	"flaxcove/internal/sender/together"
 )
 
@@ -66,8 +66,8 @@
 					want += float64(c.sent)
 				}
 			}
-			place := sight.Place{Destination: choice.DestinationID(1), Zone: "e"}
-			if len(got) != 1 || got[0].Sent != want || got[0].Done != want || got[0].Place != place {
+			place := healthreport.Locality{Destination: choice.DestinationID(1), Zone: "e"}
+			if len(got) != 1 || got[0].Sent != want || got[0].Done != want || got[0].Locality != place {
 				t.Fatal(got, want)
 			}
 			if got[0].Span > span && len(w.parts) > 1 || len(w.parts) > 2*most+2 {
--- a/internal/cluster/evidence/evidence.go
+++ b/internal/cluster/evidence/evidence.go
@@ -21,7 +21,7 @@
 
 	"flaxcove/choice"
 	"flaxcove/internal/cluster/evidence/table"
-	"flaxcove/internal/cluster/sight"
+	"flaxcove/internal/cluster/healthreport"
 	"flaxcove/internal/cluster/view"
 )
 
@@ -74,7 +74,7 @@
 
 type batch struct {
 	now view.Now
-	all []sight.Sighting
+	all []healthreport.Sample
 }
 
 // Start starts the workers.
@@ -105,7 +105,7 @@
 
 // Add hands sightings to the pool, whose they are from then on; their ages are of now. It never waits. False if they
 // were left out: the queue is full, there are too many at once, or the pool is closed.
-func (e *Evidence) Add(now view.Now, all []sight.Sighting) bool {
+func (e *Evidence) Add(now view.Now, all []healthreport.Sample) bool {
 	select {
 	case <-e.stop:
 		return false
@@ -139,23 +139,23 @@
 }
 
 // take is one sighting under its shard's lock.
-func (e *Evidence) take(now view.Now, s *sight.Sighting) table.Taken {
-	h := e.of(s.Place)
+func (e *Evidence) take(now view.Now, s *healthreport.Sample) table.Taken {
+	h := e.of(s.Locality)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.table.Take(now, *s)
 }
 
 // of is a place's shard, the same on each run.
-func (e *Evidence) of(p sight.Place) *shard {
+func (e *Evidence) of(p healthreport.Locality) *shard {
 	sum := crc32.ChecksumIEEE(binary.LittleEndian.AppendUint64(make([]byte, 0, 8), uint64(p.Destination)))
 	sum = crc32.Update(sum, crc32.IEEETable, []byte(p.Zone))
 	return &e.shards[sum%uint32(len(e.shards))]
 }
 
 // Read is all that is kept, ages as of now, by destination, zone and witness. The caller owns it.
-func (e *Evidence) Read(now view.Now) []sight.Sighting {
-	var order []*sight.Sighting
+func (e *Evidence) Read(now view.Now) []healthreport.Sample {
+	var order []*healthreport.Sample
 	for i := range e.shards {
 		part := e.shards[i].read(now)
 		for j := range part {
@@ -163,14 +163,14 @@
 		}
 	}
 	slices.SortFunc(order, table.Order)
-	all := make([]sight.Sighting, len(order))
+	all := make([]healthreport.Sample, len(order))
 	for i, s := range order {
 		all[i] = *s
 	}
 	return all
 }
 
-func (h *shard) read(now view.Now) []sight.Sighting {
+func (h *shard) read(now view.Now) []healthreport.Sample {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.table.Read(now)
--- a/internal/cluster/evidence/evidence_test.go
+++ b/internal/cluster/evidence/evidence_test.go
@@ -10,14 +10,14 @@
 	"go.uber.org/goleak"
 
 	"flaxcove/choice"
-	"flaxcove/internal/cluster/sight"
+	"flaxcove/internal/cluster/healthreport"
 	"flaxcove/internal/cluster/view"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func saw(d int, zone view.Zone, who view.Name, age time.Duration, sent float64) sight.Sighting {
-	return sight.Sighting{Place: sight.Place{Destination: choice.DestinationID(d), Zone: zone}, Witness: who,
+func saw(d int, zone view.Zone, who view.Name, age time.Duration, sent float64) healthreport.Sample {
+	return healthreport.Sample{Locality: healthreport.Locality{Destination: choice.DestinationID(d), Zone: zone}, Witness: who,
 		Age: age, Span: time.Second, Sent: sent}
 }
 
@@ -44,7 +44,7 @@
 		all.Go(func() {
 			for round := 1; round <= rounds; round++ {
 				now := view.Now(round) * time.Second
-				batch := make([]sight.Sighting, 0, 2*ds)
+				batch := make([]healthreport.Sample, 0, 2*ds)
 				for d := range ds {
 					name := view.Name(fmt.Sprint(who))
 					batch = append(batch, saw(d, "e", name, 0, float64(round)), saw(d, "w", name, 0, 1))
@@ -93,22 +93,22 @@
 func TestForgetAndAges(t *testing.T) {
 	e := Start(Options{Keep: 10 * time.Second})
 	now := 100 * time.Second
-	e.Add(now, []sight.Sighting{saw(2, "e", "b", time.Second, 1), saw(1, "e", "a", 9*time.Second, 2),
+	e.Add(now, []healthreport.Sample{saw(2, "e", "b", time.Second, 1), saw(1, "e", "a", 9*time.Second, 2),
 		saw(3, "e", "a", 11*time.Second, 2)})
 	settle(t, e)
-	want := []sight.Sighting{saw(1, "e", "a", 10*time.Second, 2), saw(2, "e", "b", 2*time.Second, 1)}
+	want := []healthreport.Sample{saw(1, "e", "a", 10*time.Second, 2), saw(2, "e", "b", 2*time.Second, 1)}
 	if d := cmp.Diff(want, e.Read(now+time.Second)); d != "" {
 		t.Fatal(d)
 	}
 	e.Forget(now, 2)
-	e.Add(now+time.Second, []sight.Sighting{saw(2, "e", "c", time.Second/2, 1), saw(2, "w", "c", 0, 1)})
+	e.Add(now+time.Second, []healthreport.Sample{saw(2, "e", "c", time.Second/2, 1), saw(2, "w", "c", 0, 1)})
 	settle(t, e)
-	if d := cmp.Diff([]sight.Sighting{saw(2, "w", "c", time.Second, 1)}, e.Read(now+2*time.Second)); d != "" {
+	if d := cmp.Diff([]healthreport.Sample{saw(2, "w", "c", time.Second, 1)}, e.Read(now+2*time.Second)); d != "" {
 		t.Fatal(d)
 	}
 	e.Close()
 	e.Close()
-	if e.Add(now, []sight.Sighting{saw(1, "e", "a", 0, 1)}) || len(e.Read(now)) != 1 {
+	if e.Add(now, []healthreport.Sample{saw(1, "e", "a", 0, 1)}) || len(e.Read(now)) != 1 {
 		t.Fatal("a closed pool takes, or has lost what it held")
 	}
 }
@@ -120,11 +120,11 @@
 	e.shards[0].mu.Lock() // the worker stands at its first sighting
 	taken := 0
 	for range 10 {
-		if e.Add(0, []sight.Sighting{saw(1, "e", "a", 0, 1)}) {
+		if e.Add(0, []healthreport.Sample{saw(1, "e", "a", 0, 1)}) {
 			taken++
 		}
 	}
-	long := e.Add(0, make([]sight.Sighting, mostBatch+1))
+	long := e.Add(0, make([]healthreport.Sample, mostBatch+1))
 	e.shards[0].mu.Unlock()
 	s := settle(t, e)
 	if taken < 2 || taken > 3 || long || s.Left != uint64(10-taken+mostBatch+1) || s.Taken != 1 {
@@ -136,7 +136,7 @@
 func BenchmarkTables(b *testing.B) {
 	e := Start(Options{})
 	defer e.Close()
-	var batch []sight.Sighting
+	var batch []healthreport.Sample
 	for d := range 3000 {
 		batch = append(batch, saw(d, "e", "a", 0, 1))
 	}
--- a/internal/cluster/evidence/table/table.go
+++ b/internal/cluster/evidence/table/table.go
@@ -16,7 +16,7 @@
 	"time"
 
 	"flaxcove/choice"
-	"flaxcove/internal/cluster/sight"
+	"flaxcove/internal/cluster/healthreport"
 	"flaxcove/internal/cluster/view"
 )
 
@@ -42,7 +42,7 @@
 // Table is for one goroutine at a time.
 type Table struct {
 	b      Bounds
-	rows   map[sight.Place]*row
+	rows   map[healthreport.Locality]*row
 	oldest ages // the same rows
 	// void are destinations forgotten, and when: what was seen before and comes later is not taken. Each leaves after
 	// twice Keep, as what is so old, or over a span that reaches back so far, is dropped anyway.
@@ -50,7 +50,7 @@
 }
 
 type row struct {
-	place sight.Place
+	place healthreport.Locality
 	seen  []seen   // by witness
 	last  view.Now // of the newest of seen
 	no    int      // in ages
@@ -59,7 +59,7 @@
 // seen is a sighting and when that was; its Age is not kept.
 type seen struct {
 	at view.Now
-	s  sight.Sighting
+	s  healthreport.Sample
 }
 
 // newer orders sightings of one place: by time, then by witness, so that of two that are as old always the same
@@ -71,11 +71,11 @@
 // Make takes bounds of at least one row, witness and nanosecond.
 func Make(b Bounds) *Table {
 	b = Bounds{max(b.Rows, 1), max(b.Witnesses, 1), max(b.Keep, 1)}
-	return &Table{b: b, rows: map[sight.Place]*row{}, void: map[choice.DestinationID]view.Now{}}
+	return &Table{b: b, rows: map[healthreport.Locality]*row{}, void: map[choice.DestinationID]view.Now{}}
 }
 
 // Take adds a sighting whose age is of now.
-func (t *Table) Take(now view.Now, s sight.Sighting) Taken {
+func (t *Table) Take(now view.Now, s healthreport.Sample) Taken {
 	if !sound(&s) {
 		return Unsound
 	}
@@ -88,16 +88,16 @@
 	if when, forgotten := t.void[s.Destination]; forgotten && n.at-s.Span < when {
 		return Void
 	}
-	r := t.rows[s.Place]
+	r := t.rows[s.Locality]
 	if r == nil {
-		r = &row{place: s.Place, last: n.at}
+		r = &row{place: s.Locality, last: n.at}
 		if len(t.rows) >= t.b.Rows {
 			if r.before(t.oldest[0]) {
 				return Older
 			}
 			t.leave(t.oldest[0])
 		}
-		t.rows[s.Place] = r
+		t.rows[s.Locality] = r
 		heap.Push(&t.oldest, r)
 	}
 	taken := r.take(n, t.b.Witnesses)
@@ -146,7 +146,7 @@
 }
 
 // Read is all sightings, with their ages as of now, by Order; those older than Keep leave the table.
-func (t *Table) Read(now view.Now) (to []sight.Sighting) {
+func (t *Table) Read(now view.Now) (to []healthreport.Sample) {
 	for len(t.oldest) > 0 && now-t.oldest[0].last > t.b.Keep {
 		t.leave(t.oldest[0])
 	}
@@ -200,7 +200,7 @@
 
 // sound tells whether a sighting's counts can be: others' programs write them, and one of a span of nothing would be
 // read as an endless rate.
-func sound(s *sight.Sighting) bool {
+func sound(s *healthreport.Sample) bool {
 	for _, v := range [...]float64{s.Sent, s.Done, s.Failed, s.Silent, s.Refused, s.Limit, s.Rating} {
 		if !(v >= 0) || math.IsInf(v, 1) {
 			return false
@@ -210,14 +210,14 @@
 }
 
 // Order is that of Read's users: by destination, zone, witness.
-func Order(a, b *sight.Sighting) int {
-	if c := comparePlace(&a.Place, &b.Place); c != 0 {
+func Order(a, b *healthreport.Sample) int {
+	if c := comparePlace(&a.Locality, &b.Locality); c != 0 {
 		return c
 	}
 	return cmp.Compare(a.Witness, b.Witness)
 }
 
-func comparePlace(a, b *sight.Place) int {
+func comparePlace(a, b *healthreport.Locality) int {
 	if c := cmp.Compare(a.Destination, b.Destination); c != 0 {
 		return c
 	}
@@ -226,7 +226,7 @@
 
 // compare settles which of two sightings stays that one witness told of one place and time: any rule will do that
 // does not hang on which came first. The later count of one moment is the larger.
-func compare(a, b *sight.Sighting) int {
+func compare(a, b *healthreport.Sample) int {
 	return cmp.Or(cmp.Compare(a.Span, b.Span), cmp.Compare(a.Sent, b.Sent), cmp.Compare(a.Done, b.Done),
 		cmp.Compare(a.Failed, b.Failed), cmp.Compare(a.Silent, b.Silent), cmp.Compare(a.Refused, b.Refused),
 		cmp.Compare(a.Limit, b.Limit), cmp.Compare(a.Rating, b.Rating), cmp.Compare(a.Endpoints, b.Endpoints),
--- a/internal/cluster/evidence/table/table_test.go
+++ b/internal/cluster/evidence/table/table_test.go
@@ -10,20 +10,20 @@
 	"pgregory.net/rapid"
 
 	"flaxcove/choice"
-	"flaxcove/internal/cluster/sight"
+	"flaxcove/internal/cluster/healthreport"
 	"flaxcove/internal/cluster/view"
 )
 
 // drawn is a sighting and when it was; few of each, so that they meet.
 func drawn(t *rapid.T) seen {
-	return seen{time.Duration(rapid.IntRange(0, 8).Draw(t, "at")) * time.Second, sight.Sighting{
-		Place: sight.Place{Destination: choice.DestinationID(rapid.IntRange(1, 3).Draw(t, "d")),
+	return seen{time.Duration(rapid.IntRange(0, 8).Draw(t, "at")) * time.Second, healthreport.Sample{
+		Locality: healthreport.Locality{Destination: choice.DestinationID(rapid.IntRange(1, 3).Draw(t, "d")),
 			Zone: rapid.SampledFrom([]view.Zone{"e", "w"}).Draw(t, "z")},
 		Witness: rapid.SampledFrom([]view.Name{"a", "b", "c"}).Draw(t, "w"), Span: time.Second,
 		Sent: float64(rapid.IntRange(0, 2).Draw(t, "n"))}}
 }
 
-func (n seen) aged(now view.Now) sight.Sighting {
+func (n seen) aged(now view.Now) healthreport.Sample {
 	s := n.s
 	s.Age = now - n.at
 	return s
@@ -65,10 +65,10 @@
 	})
 }
 
-func places(all []sight.Sighting) (only []sight.Sighting) {
+func places(all []healthreport.Sample) (only []healthreport.Sample) {
 	for _, s := range all {
-		if len(only) == 0 || only[len(only)-1].Place != s.Place {
-			only = append(only, sight.Sighting{Place: s.Place})
+		if len(only) == 0 || only[len(only)-1].Locality != s.Locality {
+			only = append(only, healthreport.Sample{Locality: s.Locality})
 		}
 	}
 	return only
@@ -119,7 +119,7 @@
 	})
 }
 
-func newest(told []seen, now view.Now, keep time.Duration, most int) (all []sight.Sighting) {
+func newest(told []seen, now view.Now, keep time.Duration, most int) (all []healthreport.Sample) {
 	by := slices.Clone(told)
 	slices.SortFunc(by, func(a, b seen) int {
 		if c := newer(&b, &a); c != 0 {
@@ -127,27 +127,27 @@
 		}
 		return compare(&b.s, &a.s)
 	})
-	count, has := map[sight.Place]int{}, map[sight.Sighting]bool{}
+	count, has := map[healthreport.Locality]int{}, map[healthreport.Sample]bool{}
 	for _, n := range by {
-		who := sight.Sighting{Place: n.s.Place, Witness: n.s.Witness}
-		if count[n.s.Place] < most && !has[who] && now-n.at <= keep {
-			count[n.s.Place]++
+		who := healthreport.Sample{Locality: n.s.Locality, Witness: n.s.Witness}
+		if count[n.s.Locality] < most && !has[who] && now-n.at <= keep {
+			count[n.s.Locality]++
 			has[who] = true
 			all = append(all, n.aged(now))
 		}
 	}
-	slices.SortFunc(all, func(a, b sight.Sighting) int { return Order(&a, &b) })
+	slices.SortFunc(all, func(a, b healthreport.Sample) int { return Order(&a, &b) })
 	return all
 }
 
 func TestUnsoundAndForgottenAreBounded(t *testing.T) {
 	table := Make(Bounds{4, 1, time.Minute})
-	good := sight.Sighting{Place: sight.Place{Destination: 1}, Witness: "a", Span: time.Second}
-	for i, spoil := range []func(s *sight.Sighting){
-		func(s *sight.Sighting) { s.Failed = math.NaN() }, func(s *sight.Sighting) { s.Limit = math.Inf(1) },
-		func(s *sight.Sighting) { s.Sent = -1 }, func(s *sight.Sighting) { s.Span = 0 },
-		func(s *sight.Sighting) { s.Age = -1 },
-		func(s *sight.Sighting) { s.Held = -1 }, func(s *sight.Sighting) { s.Witness = "" }} {
+	good := healthreport.Sample{Locality: healthreport.Locality{Destination: 1}, Witness: "a", Span: time.Second}
+	for i, spoil := range []func(s *healthreport.Sample){
+		func(s *healthreport.Sample) { s.Failed = math.NaN() }, func(s *healthreport.Sample) { s.Limit = math.Inf(1) },
+		func(s *healthreport.Sample) { s.Sent = -1 }, func(s *healthreport.Sample) { s.Span = 0 },
+		func(s *healthreport.Sample) { s.Age = -1 },
+		func(s *healthreport.Sample) { s.Held = -1 }, func(s *healthreport.Sample) { s.Witness = "" }} {
 		s := good
 		if spoil(&s); table.Take(end, s) != Unsound {
 			t.Error(i)
--- a/internal/cluster/failover/plan/capacity_test.go
+++ b/internal/cluster/failover/plan/capacity_test.go
@@ -11,7 +11,7 @@
 	"flaxcove/choice"
 	"flaxcove/internal/cluster/failover/plan"
 	"flaxcove/internal/cluster/failover/weigh"
-	"flaxcove/internal/cluster/sight"
+	"flaxcove/internal/cluster/healthreport"
 	"flaxcove/internal/cluster/view"
 	"flaxcove/lab/capacity/bench"
 )
@@ -26,7 +26,7 @@
 		z := view.Zone(fmt.Sprintf("zone-%d", i))
 		regions[z] = view.Region(fmt.Sprint("region-", i%3))
 		for d := range destinations {
-			r := weigh.Report{Place: sight.Place{Destination: choice.DestinationID(d), Zone: z}, From: z, Processes: 27,
+			r := weigh.Report{Locality: healthreport.Locality{Destination: choice.DestinationID(d), Zone: z}, From: z, Processes: 27,
 				Well: 9, Successes: 20, Sent: 20, Done: 20, Limit: 40, Endpoints: 1}
 			if z == dead {
 				r.Well, r.Bad, r.Successes, r.Failures, r.Done = 0, 9, 0, 20, 0
--- a/internal/cluster/failover/plan/fleet_test.go
+++ b/internal/cluster/failover/plan/fleet_test.go
@@ -8,7 +8,7 @@
 	"flaxcove/choice"
 	"flaxcove/internal/cluster/failover/plan"
 	"flaxcove/internal/cluster/failover/weigh"
-	"flaxcove/internal/cluster/sight"
+	"flaxcove/internal/cluster/healthreport"
 	"flaxcove/internal/cluster/view"
 )
 
@@ -25,14 +25,14 @@
 	cut       map[[2]view.Zone]bool // from, to
 	mute      map[view.Zone]bool    // its reports do not arrive
 	told      bool                  // limits are told
-	seen      map[view.Zone][]sight.Sighting
+	seen      map[view.Zone][]healthreport.Sample
 	board     *weigh.Board
 	planner   *plan.Planner
 	inForce   plan.InForce
 	changes   []view.Now
-	over      map[sight.Place]time.Duration // for how long over 1.1 of what it can do, by what was moved
-	far, all  float64                       // calls of the last half second
-	deadPlan  bool                          // nothing is decided
+	over      map[healthreport.Locality]time.Duration // for how long over 1.1 of what it can do, by what was moved
+	far, all  float64                                 // calls of the last half second
+	deadPlan  bool                                    // nothing is decided
 }
 
 const tick = 500 * time.Millisecond
@@ -41,8 +41,8 @@
 	f := &fleet{t: t, regions: map[view.Zone]view.Region{"a1": "A", "a2": "A", "b1": "B", "b2": "B"},
 		zones: []view.Zone{"a1", "a2", "b1", "b2"}, dests: []choice.DestinationID{1, 2, 3}, told: true,
 		rate: map[view.Zone]float64{}, can: map[view.Zone]float64{}, part: map[view.Zone]float64{},
-		cut: map[[2]view.Zone]bool{}, mute: map[view.Zone]bool{}, seen: map[view.Zone][]sight.Sighting{},
-		over: map[sight.Place]time.Duration{}, board: weigh.NewBoard(weigh.Usual()), planner: plan.New(plan.Usual())}
+		cut: map[[2]view.Zone]bool{}, mute: map[view.Zone]bool{}, seen: map[view.Zone][]healthreport.Sample{},
+		over: map[healthreport.Locality]time.Duration{}, board: weigh.NewBoard(weigh.Usual()), planner: plan.New(plan.Usual())}
 	for _, z := range f.zones {
 		f.rate[z], f.can[z] = 60, 100
 	}
@@ -76,11 +76,11 @@
 func (f *fleet) step() {
 	f.now += tick
 	f.far, f.all = 0, 0
-	load, moved := map[sight.Place]float64{}, map[sight.Place]float64{}
+	load, moved := map[healthreport.Locality]float64{}, map[healthreport.Locality]float64{}
 	for _, d := range f.dests {
 		for _, from := range f.zones {
 			for to, part := range f.goes(d, from) {
-				at := sight.Place{Destination: d, Zone: to}
+				at := healthreport.Locality{Destination: d, Zone: to}
 				load[at] += f.rate[from] * part
 				f.all += f.rate[from] * part
 				if to != from {
@@ -123,8 +123,8 @@
 }
 
 // sights makes the sightings of the last second, of two processes a zone.
-func (f *fleet) sights(from view.Zone, load map[sight.Place]float64) {
-	var all []sight.Sighting
+func (f *fleet) sights(from view.Zone, load map[healthreport.Locality]float64) {
+	var all []healthreport.Sample
 	for _, s := range f.seen[from] {
 		if s.Age += tick; s.Age <= tick {
 			all = append(all, s)
@@ -133,9 +133,9 @@
 	for _, d := range f.dests {
 		to := f.goes(d, from)
 		for _, z := range f.zones {
-			at := sight.Place{Destination: d, Zone: z}
+			at := healthreport.Locality{Destination: d, Zone: z}
 			for w := range 2 {
-				s := sight.Sighting{Place: at, Witness: view.Name(fmt.Sprint(from, "-", w)), From: from, Span: tick, Endpoints: 2}
+				s := healthreport.Sample{Locality: at, Witness: view.Name(fmt.Sprint(from, "-", w)), From: from, Span: tick, Endpoints: 2}
 				if f.told {
 					s.Limit = f.can[z]
 				}
--- a/internal/cluster/failover/plan/noise_test.go
+++ b/internal/cluster/failover/plan/noise_test.go
@@ -10,7 +10,7 @@
 	"flaxcove/choice"
 	"flaxcove/internal/cluster/failover/plan"
 	"flaxcove/internal/cluster/failover/weigh"
-	"flaxcove/internal/cluster/sight"
+	"flaxcove/internal/cluster/healthreport"
 	"flaxcove/internal/cluster/view"
 )
 
@@ -21,8 +21,8 @@
 	rng     *rand.Rand
 	now     view.Now
 	dead    map[view.Zone]bool
-	last    map[sight.Place]map[view.Name]sight.Sighting
-	aside   map[sight.Place]map[view.Name]bool
+	last    map[healthreport.Locality]map[view.Name]healthreport.Sample
+	aside   map[healthreport.Locality]map[view.Name]bool
 	board   *weigh.Board
 	planner *plan.Planner
 	plan    plan.Plan
@@ -44,7 +44,7 @@
 	s.now += tick
 	near, all := 0.0, 0.0
 	for _, from := range []view.Zone{"a1", "a2", "b1", "b2"} {
-		var rows []sight.Sighting
+		var rows []healthreport.Sample
 		for d := range choice.DestinationID(12) {
 			rate := 0.5 * math.Exp2(float64(d)/2.75)
 			part, others := 1.0, map[view.Zone]float64{}
@@ -58,7 +58,7 @@
 			for w := range 6 {
 				name := view.Name(fmt.Sprint(from, w))
 				for _, to := range []view.Zone{"a1", "a2", "b1", "b2"} {
-					at := sight.Place{Destination: d, Zone: to}
+					at := healthreport.Locality{Destination: d, Zone: to}
 					mean := rate / 6 * tick.Seconds() * others[to]
 					if to == from {
 						mean = rate / 6 * tick.Seconds() * part
@@ -95,11 +95,11 @@
 }
 
 // draw is half a second of one sender at one place.
-func (s *sparse) draw(at sight.Place, name view.Name, from view.Zone, mean float64) sight.Sighting {
+func (s *sparse) draw(at healthreport.Locality, name view.Name, from view.Zone, mean float64) healthreport.Sample {
 	if s.last[at] == nil {
-		s.last[at], s.aside[at] = map[view.Name]sight.Sighting{}, map[view.Name]bool{}
+		s.last[at], s.aside[at] = map[view.Name]healthreport.Sample{}, map[view.Name]bool{}
 	}
-	row := sight.Sighting{Place: at, Witness: name, From: from, Span: tick, Endpoints: 2, Sent: s.poisson(mean)}
+	row := healthreport.Sample{Locality: at, Witness: name, From: from, Span: tick, Endpoints: 2, Sent: s.poisson(mean)}
 	for range int(row.Sent) {
 		if s.dead[at.Zone] || s.rng.Float64() < 0.01 {
 			row.Failed++
@@ -116,14 +116,14 @@
 	return row
 }
 
-func joined(a, b sight.Sighting) sight.Sighting {
+func joined(a, b healthreport.Sample) healthreport.Sample {
 	a.Sent, a.Done, a.Failed, a.Span = a.Sent+b.Sent, a.Done+b.Done, a.Failed+b.Failed, a.Span+b.Span
 	return a
 }
 
 func TestFewCallsAndChance(t *testing.T) {
 	s := &sparse{rng: rand.New(rand.NewPCG(1, 2)), dead: map[view.Zone]bool{}, board: weigh.NewBoard(weigh.Usual()),
-		last: map[sight.Place]map[view.Name]sight.Sighting{}, aside: map[sight.Place]map[view.Name]bool{},
+		last: map[healthreport.Locality]map[view.Name]healthreport.Sample{}, aside: map[healthreport.Locality]map[view.Name]bool{},
 		planner: plan.New(plan.Usual())}
 	s.planner.Members(map[view.Zone]view.Region{"a1": "A", "a2": "A", "b1": "B", "b2": "B"})
 	run := func(span time.Duration) {
--- a/internal/cluster/failover/plan/planner.go
+++ b/internal/cluster/failover/plan/planner.go
@@ -7,7 +7,7 @@
 
 	"flaxcove/choice"
 	"flaxcove/internal/cluster/failover/weigh"
-	"flaxcove/internal/cluster/sight"
+	"flaxcove/internal/cluster/healthreport"
 	"flaxcove/internal/cluster/view"
 )
 
@@ -22,13 +22,13 @@
 type Planner struct {
 	set       Settings
 	regions   map[view.Zone]view.Region
-	places    map[sight.Place]*place
+	places    map[healthreport.Locality]*place
 	listed    map[choice.DestinationID][]view.Zone
 	tiers     map[key]tiers
 	stale     bool // places or zones changed since listed and tiers were made
 	listedAt  view.Now
 	loads     map[key]*load
-	homed     map[sight.Place]float64 // calls a second that are handed in by those whose home it is
+	homed     map[healthreport.Locality]float64 // calls a second that are handed in by those whose home it is
 	routes    map[key]*route
 	lastBad   map[key]view.Now
 	judgedAt  view.Now
@@ -43,10 +43,10 @@
 
 // New makes a planner that knows nothing.
 func New(s Settings) *Planner {
-	return &Planner{set: s, regions: map[view.Zone]view.Region{}, places: map[sight.Place]*place{},
+	return &Planner{set: s, regions: map[view.Zone]view.Region{}, places: map[healthreport.Locality]*place{},
 		listed: map[choice.DestinationID][]view.Zone{}, tiers: map[key]tiers{}, loads: map[key]*load{},
 		routes:  map[key]*route{},
-		lastBad: map[key]view.Now{}, homed: map[sight.Place]float64{}, judgedAt: never, madeAt: never, beatAt: never}
+		lastBad: map[key]view.Now{}, homed: map[healthreport.Locality]float64{}, judgedAt: never, madeAt: never, beatAt: never}
 }
 
 // Epoch is of the plan in force, as far as it was told.
@@ -65,13 +65,13 @@
 func (p *Planner) Judged(now view.Now, all []weigh.Standing) {
 	p.judgedAt = now
 	for _, s := range all {
-		pl := p.places[s.Place]
+		pl := p.places[s.Locality]
 		if pl == nil {
 			if len(p.places) >= mostPlaces {
 				continue
 			}
 			pl = &place{seen: now}
-			p.places[s.Place] = pl
+			p.places[s.Locality] = pl
 		}
 		was := pl.listed()
 		pl.take(now, s)
@@ -84,7 +84,7 @@
 	for k, l := range p.loads {
 		home, _ := p.home(k.d, k.from)
 		for _, z := range home {
-			p.homed[sight.Place{Destination: k.d, Zone: z}] += l.rate / float64(len(home))
+			p.homed[healthreport.Locality{Destination: k.d, Zone: z}] += l.rate / float64(len(home))
 		}
 	}
 }
@@ -150,9 +150,9 @@
 		home = []view.Zone{o.From}
 	}
 	for _, z := range home { // whoever tells of it may be gone: what is near must not be taken for another zone by that
-		at := sight.Place{Destination: o.Destination, Zone: z}
+		at := healthreport.Locality{Destination: o.Destination, Zone: z}
 		if p.places[at] == nil && len(p.places) < mostPlaces {
-			s := weigh.Standing{Place: at, Part: 1, Endpoints: 1}
+			s := weigh.Standing{Locality: at, Part: 1, Endpoints: 1}
 			p.places[at], p.stale = &place{Standing: s, seen: now}, true
 		}
 	}
--- a/internal/cluster/failover/plan/room.go
+++ b/internal/cluster/failover/plan/room.go
@@ -7,7 +7,7 @@
 
 	"flaxcove/choice"
 	"flaxcove/internal/cluster/failover/weigh"
-	"flaxcove/internal/cluster/sight"
+	"flaxcove/internal/cluster/healthreport"
 	"flaxcove/internal/cluster/view"
 )
 
@@ -186,7 +186,7 @@
 
 // state is how a zone sees a place now; what nobody judged lately is unknown.
 func (p *Planner) state(d choice.DestinationID, z, from view.Zone) (weigh.State, float64) {
-	pl := p.places[sight.Place{Destination: d, Zone: z}]
+	pl := p.places[healthreport.Locality{Destination: d, Zone: z}]
 	if pl == nil || pl.seen != p.judgedAt {
 		return weigh.Unknown, 1
 	}
--- a/internal/cluster/failover/plan/room_test.go
+++ b/internal/cluster/failover/plan/room_test.go
@@ -9,7 +9,7 @@
 	"flaxcove/choice"
 	"flaxcove/internal/cluster/failover/plan"
 	"flaxcove/internal/cluster/failover/weigh"
-	"flaxcove/internal/cluster/sight"
+	"flaxcove/internal/cluster/healthreport"
 	"flaxcove/internal/cluster/view"
 )
 
@@ -82,7 +82,7 @@
 		}
 	}
 	for _, z := range zones {
-		s := weigh.Standing{Place: sight.Place{Destination: choice.DestinationID(1), Zone: z}, State: weigh.Well, Part: 1,
+		s := weigh.Standing{Locality: healthreport.Locality{Destination: choice.DestinationID(1), Zone: z}, State: weigh.Well, Part: 1,
 			Limit: limit[z], Endpoints: 1}
 		if bad[z] {
 			s.State = weigh.Bad
--- a/internal/cluster/failover/plan/route.go
+++ b/internal/cluster/failover/plan/route.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"flaxcove/internal/cluster/failover/weigh"
-	"flaxcove/internal/cluster/sight"
+	"flaxcove/internal/cluster/healthreport"
 	"flaxcove/internal/cluster/view"
 )
 
@@ -144,7 +144,7 @@
 	share := p.set.Steps[r.step]
 	can, handed := 0.0, 0.0
 	for _, z := range home {
-		pl := p.places[sight.Place{Destination: k.d, Zone: z}]
+		pl := p.places[healthreport.Locality{Destination: k.d, Zone: z}]
 		if pl == nil {
 			return share
 		}
@@ -152,14 +152,14 @@
 		if !known {
 			return share
 		}
-		can, handed = can+some, max(handed, p.homed[pl.Place])
+		can, handed = can+some, max(handed, p.homed[pl.Locality])
 	}
 	if handed <= 0 {
 		return share
 	}
 	warm := 1.0
-	if p.set.Cold > 0 && r.coldAt != never {
-		warm = min(1, p.set.ColdFrom+(1-p.set.ColdFrom)*float64(now-r.coldAt)/float64(p.set.Cold))
+	if p.set.SlowStart > 0 && r.coldAt != never {
+		warm = min(1, p.set.SlowStartFrom+(1-p.set.SlowStartFrom)*float64(now-r.coldAt)/float64(p.set.SlowStart))
 	}
 	return min(share, can*warm*min(1, p.set.FallMultiple/2)/handed)
 }
@@ -227,7 +227,7 @@
 func (p *Planner) fits(now view.Now, k key, home []view.Zone) float64 {
 	can, handed, short := 0.0, 0.0, false
 	for _, z := range home {
-		pl := p.places[sight.Place{Destination: k.d, Zone: z}]
+		pl := p.places[healthreport.Locality{Destination: k.d, Zone: z}]
 		if pl == nil {
 			return 1
 		}
@@ -240,7 +240,7 @@
 		if state == weigh.Weak {
 			some *= part
 		}
-		can, handed = can+some, handed+p.homed[pl.Place]
+		can, handed = can+some, handed+p.homed[pl.Locality]
 	}
 	if !short || handed <= 0 {
 		return 1
--- a/internal/cluster/failover/plan/share.go
+++ b/internal/cluster/failover/plan/share.go
@@ -7,7 +7,7 @@
 	"slices"
 
 	"flaxcove/internal/cluster/failover/weigh"
-	"flaxcove/internal/cluster/sight"
+	"flaxcove/internal/cluster/healthreport"
 	"flaxcove/internal/cluster/view"
 )
 
@@ -19,7 +19,7 @@
 )
 
 // rooms is what each place can take beyond what it carries for those whose home it is.
-type rooms map[sight.Place]float64
+type rooms map[healthreport.Locality]float64
 
 func (p *Planner) rooms(now view.Now) rooms {
 	left := rooms{}
@@ -41,7 +41,7 @@
 	for k, l := range p.loads {
 		home, _ := p.home(k.d, k.from)
 		for _, z := range home {
-			at := sight.Place{Destination: k.d, Zone: z}
+			at := healthreport.Locality{Destination: k.d, Zone: z}
 			if room, some := left[at]; some {
 				left[at] = max(0, room-p.carried(k, at)*l.rate/float64(len(home)))
 			}
@@ -52,7 +52,7 @@
 
 // carried is how much of what a zone hands in its home must be able to take: all, but for what it has not room for.
 // One that comes back is cold and takes nothing else, and whatever may stay or return must find its room.
-func (p *Planner) carried(k key, at sight.Place) float64 {
+func (p *Planner) carried(k key, at healthreport.Locality) float64 {
 	r := p.routes[k]
 	switch {
 	case r == nil || r.phase == "":
@@ -133,7 +133,7 @@
 // keep tells which routes in force stand, and which are to be shared out (anew).
 func (p *Planner) keep(now view.Now, keys []key, left rooms) (kept map[key]bool, anew []key) {
 	kept = map[key]bool{}
-	used := map[sight.Place]float64{}
+	used := map[healthreport.Locality]float64{}
 	for _, k := range keys {
 		r := p.routes[k]
 		if r.phase == "" {
@@ -142,7 +142,7 @@
 		if r.out.Phase != "" && r.rev == r.outRev && p.stands(now, k, r, left) {
 			kept[k] = true
 			for _, s := range r.out.Shares {
-				used[sight.Place{Destination: k.d, Zone: s.Zone}] += s.Part * p.rate(k)
+				used[healthreport.Locality{Destination: k.d, Zone: s.Zone}] += s.Part * p.rate(k)
 			}
 		}
 	}
@@ -152,7 +152,7 @@
 			continue
 		}
 		for _, s := range r.out.Shares {
-			at := sight.Place{Destination: k.d, Zone: s.Zone}
+			at := healthreport.Locality{Destination: k.d, Zone: s.Zone}
 			room, known := left[at] // of what nobody tells, as to a new leader, what is in force stays
 			if kept[k] && known && s.Part > 0 && used[at] > room*overFilled+littleRoom {
 				kept[k] = false
@@ -181,7 +181,7 @@
 	_, tiers := p.home(k.d, k.from)
 	for _, z := range slices.Concat(tiers[0], tiers[1]) {
 		if p.usable(k, z) {
-			room += left[sight.Place{Destination: k.d, Zone: z}]
+			room += left[healthreport.Locality{Destination: k.d, Zone: z}]
 		}
 	}
 	return room < (1-r.out.Near+p.set.Coarse)*rate || r.out.Phase == Free && room == 0
@@ -195,7 +195,7 @@
 // take takes what a route sends off the rooms.
 func (p *Planner) take(k key, o Route, left rooms) {
 	for _, s := range o.Shares {
-		at := sight.Place{Destination: k.d, Zone: s.Zone}
+		at := healthreport.Locality{Destination: k.d, Zone: s.Zone}
 		left[at] = max(0, left[at]-s.Part*p.rate(k))
 	}
 }
@@ -208,7 +208,7 @@
 	}
 	zones = slices.DeleteFunc(slices.Clone(zones), func(z view.Zone) bool { return !p.usable(k, z) })
 	for _, z := range zones {
-		room += left[sight.Place{Destination: k.d, Zone: z}]
+		room += left[healthreport.Locality{Destination: k.d, Zone: z}]
 	}
 	if rest <= 1e-9 || room <= 0 {
 		return
@@ -216,7 +216,7 @@
 	rate := max(nearNothing, p.rate(k))
 	part := min(1, room/(rest*rate)) // of the rest, that there is room for
 	for _, z := range zones {
-		at := sight.Place{Destination: k.d, Zone: z}
+		at := healthreport.Locality{Destination: k.d, Zone: z}
 		if s := floor(rest * part * left[at] / room); s > 0 && len(o.Shares) < mostShares {
 			o.Shares = append(o.Shares, Share{z, s})
 			left[at] = max(0, left[at]-s*rate)
--- a/internal/cluster/failover/plan/size_test.go
+++ b/internal/cluster/failover/plan/size_test.go
@@ -7,7 +7,7 @@
 	"flaxcove/choice"
 	"flaxcove/internal/cluster/failover/plan"
 	"flaxcove/internal/cluster/failover/weigh"
-	"flaxcove/internal/cluster/sight"
+	"flaxcove/internal/cluster/healthreport"
 	"flaxcove/internal/cluster/view"
 )
 
@@ -19,7 +19,7 @@
 		z := view.Zone(fmt.Sprintf("z%02d", i))
 		regions[z] = view.Region(fmt.Sprint("r", i/3))
 		for d := range destinations {
-			r := weigh.Report{Place: sight.Place{Destination: choice.DestinationID(d), Zone: z}, From: z, Processes: 80,
+			r := weigh.Report{Locality: healthreport.Locality{Destination: choice.DestinationID(d), Zone: z}, From: z, Processes: 80,
 				Well: 9, Successes: 20, Sent: 20, Done: 20, Limit: 40, Endpoints: 3}
 			if z == dead {
 				r.Well, r.Bad, r.Successes, r.Failures, r.Done = 0, 9, 0, 20, 0
--- a/internal/cluster/failover/run/down.go
+++ b/internal/cluster/failover/run/down.go
@@ -30,7 +30,7 @@
 // are told from here until it does: a coordinator that died holds nobody's plan back until the tree has changed.
 func (r *Runner) tellDown(now view.Now, t *tree.Tree) {
 	targets := t.Children(r.o.Self)
-	if r.o.Council.Leading() && t.Root() != r.o.Self && t.Root() != "" {
+	if r.o.Consensus.Leading() && t.Root() != r.o.Self && t.Root() != "" {
 		targets = append(targets, t.Root())
 	}
 	r.mu.Lock()
--- a/internal/cluster/failover/run/lead.go
+++ b/internal/cluster/failover/run/lead.go
@@ -18,14 +18,14 @@
 // lead is the leader's turn: it renews what is in force, and makes plans of what came up to it. One that leads no more
 // does neither, so that what it had in force lapses where nobody else is heard.
 func (r *Runner) lead(now view.Now, t *tree.Tree, weighs bool) {
-	if !r.o.Council.Leading() {
+	if !r.o.Consensus.Leading() {
 		r.mu.Lock()
 		r.planner = nil
 		r.mu.Unlock()
 		return
 	}
 	var inForce plan.Plan
-	r.o.Council.Read(func(uint64) { inForce = r.o.InForce.Plan() })
+	r.o.Consensus.Read(func(uint64) { inForce = r.o.InForce.Plan() })
 	term := r.o.Term()
 	regions := map[view.Zone]view.Region{}
 	for _, region := range t.Regions() {
@@ -73,9 +73,9 @@
 func (r *Runner) decide(next plan.Plan) {
 	ctx, cancel := context.WithTimeout(r.ctx, decideFor)
 	defer cancel()
-	_, err := r.o.Council.Propose(ctx, plan.PartName, plan.Kind, next)
+	_, err := r.o.Consensus.Propose(ctx, plan.PartName, plan.Kind, next)
 	var inForce plan.Plan
-	r.o.Council.Read(func(uint64) { inForce = r.o.InForce.Plan() })
+	r.o.Consensus.Read(func(uint64) { inForce = r.o.InForce.Plan() })
 	now := r.o.Now()
 	r.mu.Lock()
 	r.asking = false
--- a/internal/cluster/failover/run/run.go
+++ b/internal/cluster/failover/run/run.go
@@ -19,7 +19,7 @@
 	"flaxcove/internal/cluster/failover/apply"
 	"flaxcove/internal/cluster/failover/plan"
 	"flaxcove/internal/cluster/failover/weigh"
-	"flaxcove/internal/cluster/sight"
+	"flaxcove/internal/cluster/healthreport"
 	"flaxcove/internal/cluster/tree"
 	"flaxcove/internal/cluster/view"
 	"flaxcove/internal/sender/together"
@@ -42,8 +42,8 @@
 	Handle(path string, h func(ctx context.Context, from view.Life, body []byte) (any, error))
 }
 
-// Council decides. A leader without a quorum must not say that it leads for longer than its lease.
-type Council interface {
+// Consensus decides. A leader without a quorum must not say that it leads for longer than its lease.
+type Consensus interface {
 	Propose(ctx context.Context, part, kind string, body any) (json.RawMessage, error)
 	Leader() (view.Name, bool)
 	Leading() bool
@@ -56,12 +56,12 @@
 	Zone      view.Zone
 	Now       func() view.Now // since the process began; monotonic
 	Link      Link
-	Council   Council
-	InForce   *plan.InForce                   // the council's part; read inside Council.Read alone
-	Term      func() uint64                   // the council's, at its leader; nil for 0
-	Tree      func() *tree.Tree               // as of now
-	Sightings func(view.Now) []sight.Sighting // of this process, and at a zone's head of its zone
-	Local     func() apply.Local              // Ill is filled in here
+	Consensus Consensus
+	InForce   *plan.InForce                        // the council's part; read inside Consensus.Read alone
+	Term      func() uint64                        // the council's, at its leader; nil for 0
+	Tree      func() *tree.Tree                    // as of now
+	Samples   func(view.Now) []healthreport.Sample // of this process, and at a zone's head of its zone
+	Local     func() apply.Local                   // Ill is filled in here
 	Bounds    weigh.Bounds
 	Settings  plan.Settings
 	Turn      time.Duration // turnEach if 0
@@ -150,7 +150,7 @@
 
 // Stats are counts for operators.
 func (r *Runner) Stats() Stats {
-	leading, now := r.o.Council.Leading(), r.o.Now()
+	leading, now := r.o.Consensus.Leading(), r.o.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := r.stats
@@ -204,7 +204,7 @@
 	if t == nil {
 		return
 	}
-	seen, local := r.o.Sightings(now), r.o.Local()
+	seen, local := r.o.Samples(now), r.o.Local()
 	local.Ill = r.ill(seen, local)
 	weighs := now-r.weighed >= min(weighEach, r.o.Turn)
 	if weighs {
@@ -227,11 +227,11 @@
 }
 
 // ill is what this process sees fail by itself.
-func (r *Runner) ill(seen []sight.Sighting, local apply.Local) map[apply.At]bool {
-	own := map[sight.Place][]sight.Sighting{}
+func (r *Runner) ill(seen []healthreport.Sample, local apply.Local) map[apply.At]bool {
+	own := map[healthreport.Locality][]healthreport.Sample{}
 	for _, s := range seen {
 		if s.Witness == r.o.Self {
-			own[s.Place] = append(own[s.Place], s)
+			own[s.Locality] = append(own[s.Locality], s)
 		}
 	}
 	ill := map[apply.At]bool{}
--- a/internal/cluster/failover/run/run_test.go
+++ b/internal/cluster/failover/run/run_test.go
@@ -15,7 +15,7 @@
 	"flaxcove/internal/cluster/failover/apply"
 	"flaxcove/internal/cluster/failover/plan"
 	"flaxcove/internal/cluster/failover/weigh"
-	"flaxcove/internal/cluster/sight"
+	"flaxcove/internal/cluster/healthreport"
 	"flaxcove/internal/cluster/tree"
 	"flaxcove/internal/cluster/view"
 )
@@ -128,9 +128,9 @@
 	w.mu.Lock()
 	delete(w.handlers, m.Name)
 	w.mu.Unlock()
-	r := Start(Options{Self: m.Name, Zone: m.Zone, Now: func() view.Now { return time.Since(begun) }, Link: e, Council: e,
+	r := Start(Options{Self: m.Name, Zone: m.Zone, Now: func() view.Now { return time.Since(begun) }, Link: e, Consensus: e,
 		InForce: &w.inForce, Tree: func() *tree.Tree { w.mu.Lock(); defer w.mu.Unlock(); return w.tree },
-		Sightings: func(view.Now) []sight.Sighting { return w.sightings(m.Zone) },
+		Samples: func(view.Now) []healthreport.Sample { return w.sightings(m.Zone) },
 		Local: func() apply.Local {
 			return apply.Local{Zone: m.Zone, Numbers: map[view.Zone]choice.ZoneNo{"a1": 0, "a2": 1, "b1": 2, "b2": 3},
 				Listed: map[choice.DestinationID][]choice.ZoneNo{1: {0, 1, 2, 3}}}
@@ -139,11 +139,11 @@
 }
 
 // sightings are those of two processes a zone that send near alone.
-func (w *world) sightings(z view.Zone) (all []sight.Sighting) {
+func (w *world) sightings(z view.Zone) (all []healthreport.Sample) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for i := range 2 {
-		s := sight.Sighting{Place: sight.Place{Destination: 1, Zone: z}, From: z, Span: time.Second, Sent: 20, Done: 20,
+		s := healthreport.Sample{Locality: healthreport.Locality{Destination: 1, Zone: z}, From: z, Span: time.Second, Sent: 20, Done: 20,
 			Endpoints: 2, Limit: 100, Witness: view.Name(fmt.Sprint("witness", i))}
 		if w.failing[z] {
 			s.Done, s.Failed = 0, 20
--- a/internal/cluster/failover/run/up.go
+++ b/internal/cluster/failover/run/up.go
@@ -29,7 +29,7 @@
 			to = append(to, above)
 		}
 	}
-	leader, known := r.o.Council.Leader()
+	leader, known := r.o.Consensus.Leader()
 	if known && leader != r.o.Self {
 		to = append(to, leader)
 	} else {
--- a/internal/cluster/failover/weigh/board.go
+++ b/internal/cluster/failover/weigh/board.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"flaxcove/internal/cluster/sight"
+	"flaxcove/internal/cluster/healthreport"
 	"flaxcove/internal/cluster/view"
 )
 
@@ -13,7 +13,7 @@
 const mostReports = 24000
 
 type pairKey struct {
-	place sight.Place
+	place healthreport.Locality
 	from  view.Zone
 }
 
@@ -38,7 +38,7 @@
 // than one way while the tree changes. It tells whether any of them says that something fails that did not before.
 func (b *Board) Put(now view.Now, reports []Report) (news bool) {
 	for _, r := range reports {
-		key := pairKey{r.Place, r.From}
+		key := pairKey{r.Locality, r.From}
 		old := b.rows[key]
 		if old == nil {
 			if len(b.rows) >= mostReports {
@@ -70,7 +70,7 @@
 		all = append(all, r)
 	}
 	slices.SortFunc(all, func(x, y Report) int {
-		return cmp.Or(Order(x.Place, y.Place), cmp.Compare(x.From, y.From))
+		return cmp.Or(Order(x.Locality, y.Locality), cmp.Compare(x.From, y.From))
 	})
 	return all
 }
@@ -88,7 +88,7 @@
 	n := 0
 	all := b.Fresh(now)
 	return slices.DeleteFunc(all, func(r Report) bool {
-		row := b.rows[pairKey{r.Place, r.From}]
+		row := b.rows[pairKey{r.Locality, r.From}]
 		each := wellEach
 		switch {
 		case row.news && r.Bad > 0:
@@ -123,7 +123,7 @@
 
 // Ill tells whether one process by itself sees a place fail, from its own rows of the last second: its own traffic may
 // then go where package choice likes until the plan has heard.
-func Ill(rows []sight.Sighting, b Bounds) bool {
+func Ill(rows []healthreport.Sample, b Bounds) bool {
 	var t tally
 	for _, s := range rows {
 		if s.Age <= b.Window {
--- a/internal/cluster/failover/weigh/capacity_test.go
+++ b/internal/cluster/failover/weigh/capacity_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"flaxcove/choice"
-	"flaxcove/internal/cluster/sight"
+	"flaxcove/internal/cluster/healthreport"
 	"flaxcove/internal/cluster/view"
 	"flaxcove/lab/capacity/bench"
 )
@@ -17,10 +17,10 @@
 func BenchmarkCapacityZonal(b *testing.B) {
 	bench.Sizes(b, "sightings", []int{1_000, 10_000, 100_000, 1_000_000}, func(b *testing.B, n int) {
 		const witnesses = 27
-		var all []sight.Sighting
+		var all []healthreport.Sample
 		for i := range n {
 			d := i / witnesses
-			all = append(all, sight.Sighting{Place: sight.Place{Destination: choice.DestinationID(d), Zone: view.Zone(fmt.Sprintf("zone-%d", d%8))},
+			all = append(all, healthreport.Sample{Locality: healthreport.Locality{Destination: choice.DestinationID(d), Zone: view.Zone(fmt.Sprintf("zone-%d", d%8))},
 				Witness: view.Name(fmt.Sprintf("sender-%04d", i%witnesses)), From: "zone-0", Span: time.Second, Sent: 1, Done: 1, Endpoints: 1})
 		}
 		for b.Loop() {
--- a/internal/cluster/failover/weigh/judge.go
+++ b/internal/cluster/failover/weigh/judge.go
@@ -4,7 +4,7 @@
 	"cmp"
 	"slices"
 
-	"flaxcove/internal/cluster/sight"
+	"flaxcove/internal/cluster/healthreport"
 	"flaxcove/internal/cluster/view"
 )
 
@@ -18,7 +18,7 @@
 
 // Standing is what is known of a place in common.
 type Standing struct {
-	sight.Place
+	healthreport.Locality
 	State     State // for a zone that has seen nothing of it
 	Part      float64
 	Limit     float64 // calls a second of all senders; 0 where none was told
@@ -52,13 +52,13 @@
 func Judge(reports []Report, b Bounds) []Standing {
 	reports = slices.Clone(reports)
 	slices.SortStableFunc(reports, func(x, y Report) int {
-		return cmp.Or(Order(x.Place, y.Place), cmp.Compare(x.From, y.From))
+		return cmp.Or(Order(x.Locality, y.Locality), cmp.Compare(x.From, y.From))
 	})
 	pools := pooled(reports, b)
 	var all []Standing
 	for i := 0; i < len(reports); {
 		j := i
-		for j < len(reports) && reports[j].Place == reports[i].Place {
+		for j < len(reports) && reports[j].Locality == reports[i].Locality {
 			j++
 		}
 		if s, ok := stand(reports[i:j], pools, b); ok {
@@ -85,7 +85,7 @@
 }
 
 func stand(reports []Report, pools map[[2]view.Zone]pool, b Bounds) (Standing, bool) {
-	s := Standing{Place: reports[0].Place, Part: 1}
+	s := Standing{Locality: reports[0].Locality, Part: 1}
 	known := false
 	for _, r := range reports {
 		if r.Age < 0 || r.Age > b.IdleAge {
@@ -141,7 +141,7 @@
 		}
 		switch {
 		case well == 0 && weak == 0 && (bad >= 2 || own):
-			s.State, s.Part, s.Witnesses = Bad, 0, named(reports, s.Place, b)
+			s.State, s.Part, s.Witnesses = Bad, 0, named(reports, s.Locality, b)
 		case weak > 0 && well == 0 || own:
 			s.State, s.Part = Weak, min(part, half)
 			if weak > 0 {
@@ -178,10 +178,10 @@
 }
 
 // named tells who saw it; reports are sorted by place.
-func named(reports []Report, place sight.Place, b Bounds) []view.Name {
+func named(reports []Report, place healthreport.Locality, b Bounds) []view.Name {
 	var names []view.Name
-	i, _ := slices.BinarySearchFunc(reports, place, func(r Report, p sight.Place) int { return Order(r.Place, p) })
-	for ; i < len(reports) && reports[i].Place == place; i++ {
+	i, _ := slices.BinarySearchFunc(reports, place, func(r Report, p healthreport.Locality) int { return Order(r.Locality, p) })
+	for ; i < len(reports) && reports[i].Locality == place; i++ {
 		if r := reports[i]; r.Bad > 0 && r.Age <= b.MaxAge && len(names) < 2*b.Named {
 			names = append(names, r.By...)
 		}
--- a/internal/cluster/failover/weigh/weigh_test.go
+++ b/internal/cluster/failover/weigh/weigh_test.go
@@ -7,21 +7,21 @@
 
 	"flaxcove/choice"
 	"flaxcove/internal/cluster/failover/weigh"
-	"flaxcove/internal/cluster/sight"
+	"flaxcove/internal/cluster/healthreport"
 	"flaxcove/internal/cluster/view"
 )
 
 var usual = weigh.Usual()
 
 // saw is what a witness of a zone saw of a destination's place in the last second.
-func saw(from view.Zone, w int, d choice.DestinationID, z view.Zone, done, failed float64) sight.Sighting {
-	return sight.Sighting{Place: sight.Place{Destination: d, Zone: z}, From: from,
+func saw(from view.Zone, w int, d choice.DestinationID, z view.Zone, done, failed float64) healthreport.Sample {
+	return healthreport.Sample{Locality: healthreport.Locality{Destination: d, Zone: z}, From: from,
 		Witness: view.Name(fmt.Sprint(from, w)), Span: time.Second, Sent: done + failed, Done: done, Failed: failed,
 		Endpoints: 2}
 }
 
 // judge weighs sightings of all zones named in them.
-func judge(all ...sight.Sighting) map[string]weigh.State {
+func judge(all ...healthreport.Sample) map[string]weigh.State {
 	var reports []weigh.Report
 	for _, from := range []view.Zone{"a", "b", "c"} {
 		reports = append(reports, weigh.Zonal(from, all, usual)...)
@@ -96,7 +96,7 @@
 	old.Age = 6 * time.Second
 	expect(t, judge(old), map[string]weigh.State{"1a": weigh.Unknown})
 	b := weigh.NewBoard(usual)
-	b.Put(0, weigh.Zonal("a", []sight.Sighting{saw("a", 1, 1, "a", 0, 9)}, usual))
+	b.Put(0, weigh.Zonal("a", []healthreport.Sample{saw("a", 1, 1, "a", 0, 9)}, usual))
 	for at, want := range map[view.Now]weigh.State{time.Second: weigh.Bad, 6 * time.Second: weigh.Unknown} {
 		if got := weigh.Judge(b.Fresh(at), usual)[0].State; got != want {
 			t.Errorf("at %v: %v, not %v", at, got, want)
@@ -109,7 +109,7 @@
 
 func TestBoardPassesOnWhatMatters(t *testing.T) {
 	b := weigh.NewBoard(usual)
-	well := weigh.Zonal("a", []sight.Sighting{saw("a", 1, 1, "a", 9, 0), saw("a", 1, 2, "b", 0, 0)}, usual)
+	well := weigh.Zonal("a", []healthreport.Sample{saw("a", 1, 1, "a", 9, 0), saw("a", 1, 2, "b", 0, 0)}, usual)
 	sent := 0
 	for i := range 20 { // ten seconds
 		b.Put(view.Now(i)*500*time.Millisecond, well)
@@ -118,7 +118,7 @@
 	if sent > 7 {
 		t.Errorf("%d reports in ten seconds in which nothing changed", sent)
 	}
-	b.Put(10*time.Second, weigh.Zonal("a", []sight.Sighting{saw("a", 1, 1, "a", 0, 9)}, usual))
+	b.Put(10*time.Second, weigh.Zonal("a", []healthreport.Sample{saw("a", 1, 1, "a", 0, 9)}, usual))
 	if up := b.Up(10*time.Second, 9); len(up) != 1 || up[0].Bad != 1 {
 		t.Errorf("a place failed, and what goes up is %v", up)
 	}
--- a/internal/cluster/failover/weigh/words.go
+++ b/internal/cluster/failover/weigh/words.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"flaxcove/choice"
-	"flaxcove/internal/cluster/sight"
+	"flaxcove/internal/cluster/healthreport"
 	"flaxcove/internal/cluster/view"
 )
 
@@ -49,7 +49,7 @@
 // Report is what one zone's processes see of a place. Rates are calls a second over all of them, counts are those of
 // the window.
 type Report struct {
-	sight.Place
+	healthreport.Locality
 	From      view.Zone     `json:"from"`
 	Kind      choice.KindNo `json:"k,omitempty"`
 	Age       time.Duration `json:"age"`
--- a/internal/cluster/failover/weigh/zonal.go
+++ b/internal/cluster/failover/weigh/zonal.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"flaxcove/internal/cluster/sight"
+	"flaxcove/internal/cluster/healthreport"
 	"flaxcove/internal/cluster/view"
 )
 
@@ -30,15 +30,15 @@
 func (t *tally) well() bool { return !t.bad() && t.done+t.refused > 0 }
 
 type table struct {
-	order  []sight.Place
-	places map[sight.Place][]*tally
-	facts  map[sight.Place]*Report
+	order  []healthreport.Locality
+	places map[healthreport.Locality][]*tally
+	facts  map[healthreport.Locality]*Report
 }
 
 // Zonal sums what the processes of one zone saw to a report a place, sorted. Several sightings of one witness and
 // place are spans that follow each other; the same one twice must not be handed in. A witness that sees all fail that
 // it tries, where others of its zone are answered, is ill itself and does not count.
-func Zonal(from view.Zone, all []sight.Sighting, b Bounds) []Report {
+func Zonal(from view.Zone, all []healthreport.Sample, b Bounds) []Report {
 	t := gather(from, all, b)
 	sick := t.sick()
 	reports := make([]Report, 0, len(t.order))
@@ -85,20 +85,20 @@
 }
 
 // gather sorts first, so that neither the order of rows nor of a map shows in what is told.
-func gather(from view.Zone, all []sight.Sighting, b Bounds) *table {
-	all = slices.DeleteFunc(slices.Clone(all), func(s sight.Sighting) bool {
+func gather(from view.Zone, all []healthreport.Sample, b Bounds) *table {
+	all = slices.DeleteFunc(slices.Clone(all), func(s healthreport.Sample) bool {
 		return s.From != from || s.Age < 0 || s.Age > b.IdleAge || !sound(s)
 	})
-	slices.SortStableFunc(all, func(x, y sight.Sighting) int {
-		return cmp.Or(Order(x.Place, y.Place), cmp.Compare(x.Witness, y.Witness), cmp.Compare(x.Age, y.Age))
+	slices.SortStableFunc(all, func(x, y healthreport.Sample) int {
+		return cmp.Or(Order(x.Locality, y.Locality), cmp.Compare(x.Witness, y.Witness), cmp.Compare(x.Age, y.Age))
 	})
-	t := &table{places: map[sight.Place][]*tally{}, facts: map[sight.Place]*Report{}}
+	t := &table{places: map[healthreport.Locality][]*tally{}, facts: map[healthreport.Locality]*Report{}}
 	here := map[view.Name]bool{}
 	for _, s := range all {
-		r := t.facts[s.Place]
+		r := t.facts[s.Locality]
 		if r == nil {
-			r = &Report{Place: s.Place, From: from, Kind: s.Kind, Age: s.Age}
-			t.facts[s.Place], t.order = r, append(t.order, s.Place)
+			r = &Report{Locality: s.Locality, From: from, Kind: s.Kind, Age: s.Age}
+			t.facts[s.Locality], t.order = r, append(t.order, s.Locality)
 		}
 		r.Limit, r.Rating, r.Endpoints = max(r.Limit, s.Limit), max(r.Rating, s.Rating), max(r.Endpoints, s.Endpoints)
 		if s.Age > b.MaxAge {
@@ -119,11 +119,11 @@
 }
 
 // count adds a row to its witness's tally: rows of the window, or the youngest where all are older.
-func (t *table) count(s sight.Sighting, b Bounds) {
-	of := t.places[s.Place]
+func (t *table) count(s healthreport.Sample, b Bounds) {
+	of := t.places[s.Locality]
 	if len(of) == 0 || of[len(of)-1].witness != s.Witness {
 		of = append(of, &tally{witness: s.Witness, age: s.Age})
-		t.places[s.Place] = of
+		t.places[s.Locality] = of
 	} else if s.Age > b.Window {
 		return
 	}
@@ -157,7 +157,7 @@
 	return sick
 }
 
-func sound(s sight.Sighting) bool {
+func sound(s healthreport.Sample) bool {
 	for _, v := range [...]float64{s.Sent, s.Done, s.Failed, s.Refused, s.Limit, s.Rating} {
 		if math.IsNaN(v) || math.IsInf(v, 0) || v < 0 {
 			return false
@@ -167,7 +167,7 @@
 }
 
 // Order sorts places.
-func Order(a, b sight.Place) int {
+func Order(a, b healthreport.Locality) int {
 	return cmp.Or(cmp.Compare(a.Destination, b.Destination), cmp.Compare(a.Zone, b.Zone))
 }
 
--- a/internal/cluster/feed.go
+++ b/internal/cluster/feed.go
@@ -12,7 +12,7 @@
 	"flaxcove/choice"
 	"flaxcove/internal/cluster/evidence/digest"
 	"flaxcove/internal/cluster/failover/apply"
-	"flaxcove/internal/cluster/sight"
+	"flaxcove/internal/cluster/healthreport"
 	"flaxcove/internal/cluster/view"
 	"flaxcove/internal/sender/together"
 )
@@ -40,8 +40,8 @@
 	lost   atomic.Uint64
 	zones  map[view.Zone]choice.ZoneNo
 	window *digest.Window
-	listed map[sight.Place]view.Now
-	told   map[sight.Place]telling
+	listed map[healthreport.Locality]view.Now
+	told   map[healthreport.Locality]telling
 }
 
 // telling is what the zone's head was told of a place last.
@@ -55,7 +55,7 @@
 	for zone, no := range n.o.Zones {
 		c.zones[view.Zone(zone)] = no
 	}
-	c.listed, c.told = map[sight.Place]view.Now{}, map[sight.Place]telling{}
+	c.listed, c.told = map[healthreport.Locality]view.Now{}, map[healthreport.Locality]telling{}
 	c.window = digest.Make(n.self.Name, n.self.Zone, spanOf, n.o.Settings.Bounds.Destinations, n.Now())
 	c.known.Store(&apply.Local{Zone: n.self.Zone, Numbers: c.zones})
 }
@@ -130,7 +130,7 @@
 func (c *counted) list(now view.Now, rows []together.Row, zone view.Zone) {
 	changed := false
 	for _, r := range rows {
-		place := sight.Place{Destination: r.Destination, Zone: view.Zone(r.Zone)}
+		place := healthreport.Locality{Destination: r.Destination, Zone: view.Zone(r.Zone)}
 		if _, is := c.listed[place]; r.Endpoints > 0 {
 			c.listed[place], changed = now, changed || !is
 		} else if is {
@@ -160,22 +160,22 @@
 }
 
 // due are the rows to be told now: those that tell of failures at once, and what has just got well; the rest at times.
-func (c *counted) due(now view.Now, all []sight.Sighting) (tell []sight.Sighting) {
+func (c *counted) due(now view.Now, all []healthreport.Sample) (tell []healthreport.Sample) {
 	for _, s := range all {
-		last, ill := c.told[s.Place], s.Failed > 0
+		last, ill := c.told[s.Locality], s.Failed > 0
 		if (ill || ill != last.ill || last.at == 0 || now-last.at >= calmEach) && len(tell) < mostSeen {
 			tell = append(tell, s)
-			c.told[s.Place] = telling{now, ill}
+			c.told[s.Locality] = telling{now, ill}
 		}
 	}
-	maps.DeleteFunc(c.told, func(_ sight.Place, t telling) bool { return now-t.at > listedFor })
+	maps.DeleteFunc(c.told, func(_ healthreport.Locality, t telling) bool { return now-t.at > listedFor })
 	return tell
 }
 
 // serveSeen takes what another process of the zone saw.
 func (n *Node) serveSeen() {
 	n.link.Handle(seenPath, func(_ context.Context, from view.Life, body []byte) (any, error) {
-		var all []sight.Sighting
+		var all []healthreport.Sample
 		if err := json.Unmarshal(body, &all); err != nil {
 			return nil, fmt.Errorf("evidence of %s: %w", from.Name, err)
 		}
--- a/internal/cluster/sight/capacity_test.go
+++ b/internal/cluster/healthreport/capacity_test.go
@@ -1,4 +1,4 @@
-package sight
+package healthreport
 
 // Benchmark behind docs/CAPACITY.md: what a message of sightings takes on the wire.
 
@@ -14,9 +14,9 @@
 )
 
 // capacitySightings are of so many places, as a sender of the planned fleet tells them.
-func capacitySightings(n int) (all []Sighting) {
+func capacitySightings(n int) (all []Sample) {
 	for d := range n {
-		all = append(all, Sighting{Place: Place{choice.DestinationID(d), view.Zone(fmt.Sprintf("zone-%d", d%8))},
+		all = append(all, Sample{Locality: Locality{choice.DestinationID(d), view.Zone(fmt.Sprintf("zone-%d", d%8))},
 			Witness: "sender-0123", From: "zone-3", Kind: 1, Age: 131 * time.Millisecond, Span: 1003 * time.Millisecond,
 			Sent: 1, Done: 1, Limit: 40, Rating: 200, Endpoints: 1})
 	}
@@ -46,7 +46,7 @@
 			b.Fatal(err)
 		}
 		for b.Loop() {
-			var all []Sighting
+			var all []Sample
 			if err := json.Unmarshal(body, &all); err != nil || len(all) != n {
 				b.Fatal(len(all), err)
 			}
--- a/internal/cluster/sight/sight.go
+++ b/internal/cluster/healthreport/healthreport.go
@@ -1,7 +1,7 @@
-// Package sight holds what was seen of destinations, as it travels between processes: counts, their age, who saw them.
+// Package healthreport holds what was seen of destinations, as it travels between processes: counts, their age, who saw them.
 //
 // Plain data, no decision. Ages are spans, added to by each that passes a row on; no wall clock crosses.
-package sight
+package healthreport
 
 import (
 	"time"
@@ -10,15 +10,15 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// Place is the endpoints of one destination in one zone.
-type Place struct {
+// Locality is the endpoints of one destination in one zone.
+type Locality struct {
 	Destination choice.DestinationID `json:"d"`
 	Zone        view.Zone            `json:"z"`
 }
 
-// Sighting is what one process saw of a place over Span, up to Age ago.
-type Sighting struct {
-	Place
+// Sample is what one process saw of a place over Span, up to Age ago.
+type Sample struct {
+	Locality
 	Witness   view.Name     `json:"w"`
 	From      view.Zone     `json:"from"` // where the witness is
 	Kind      choice.KindNo `json:"k,omitempty"`
--- a/internal/cluster/member/card.go
+++ b/internal/cluster/member/card.go
@@ -22,7 +22,7 @@
 	Small       bool             `json:"s,omitempty"`
 	Gossip      string           `json:"g,omitempty"`
 	HTTP        string           `json:"h,omitempty"`
-	Council     string           `json:"c,omitempty"`
+	Consensus   string           `json:"c,omitempty"`
 	Empty       bool             `json:"e,omitempty"`
 	Folder      string           `json:"d,omitempty"`
 	Voted       bool             `json:"v,omitempty"`
@@ -63,7 +63,7 @@
 	}
 	return roster.Seen{Gossip: c.Gossip, Member: view.Member{
 		Life: view.Life{Name: view.Name(n.Name), Incarnation: c.Incarnation},
-		Zone: c.Zone, Region: c.Region, Size: size, State: states[n.State], HTTP: c.HTTP, Raft: c.Council,
+		Zone: c.Zone, Region: c.Region, Size: size, State: states[n.State], HTTP: c.HTTP, Raft: c.Consensus,
 		Empty: c.Empty, Folder: c.Folder, Voted: c.Voted,
 	}}, nil
 }
--- a/internal/cluster/node.go
+++ b/internal/cluster/node.go
@@ -43,10 +43,10 @@
 	// Longest is the longest deadline of any class.
 	Longest time.Duration
 	// What the service's settings say of cold endpoints, and whether the list's ratings are calls a second.
-	Cold         time.Duration
-	ColdFrom     float64
-	FallMultiple float64
-	RatingIsRate bool
+	SlowStart     time.Duration
+	SlowStartFrom float64
+	FallMultiple  float64
+	RatingIsRate  bool
 	// Cut tells whom this process neither reaches nor hears, for a laboratory that hosts many; nil for nobody.
 	Cut func(view.Name) bool
 	// CheckSettings tells what is wrong with proposed settings for a sender that runs inForce (nil: its own file). Pure.
@@ -121,8 +121,8 @@
 	n.uses.parts(parts)
 	if n.self.Size != view.Small {
 		if n.council, err = consensus.Start(consensus.Options{Cut: o.Cut, Self: n.self, Cluster: set.Cluster, Folder: filepath.Join(set.Here.Folder, "council"),
-			Listen: set.Here.Listen.Council, Founders: set.Founders, Parts: parts, Log: o.Log.Named("council"),
-			Reach: n.reach(func(a settings.Addresses, m view.Member) (string, string) { return a.Council, m.Raft })}); err != nil {
+			Listen: set.Here.Listen.Consensus, Founders: set.Founders, Parts: parts, Log: o.Log.Named("council"),
+			Reach: n.reach(func(a settings.Addresses, m view.Member) (string, string) { return a.Consensus, m.Raft })}); err != nil {
 			return n, err
 		}
 		n.self.Raft, n.self.Voted = n.council.Addr(), n.council.Voted()
--- a/internal/cluster/ordering/call.go
+++ b/internal/cluster/ordering/call.go
@@ -13,18 +13,18 @@
 
 // Caller calls other processes, and this one, for one part. All fields are given once, before the first call.
 type Caller struct {
-	Part    string // begins the text of errors
-	Link    Link
-	Council Council
-	Self    view.Name
-	Life    func() view.Life   // this process's, at the moment; takes the part's lock
-	Whom    func() []view.Name // to be asked for what the leader alone can answer; takes the part's lock
-	Ended   <-chan struct{}    // closed when this process ends
-	CallFor time.Duration      // one message
-	First   time.Duration      // between two tries of a proposal, doubled up to Most
-	Most    time.Duration
-	Nobody  error // nobody to ask is known
-	Undone  error // the cause told for a proposal that nobody could be asked to decide
+	Part      string // begins the text of errors
+	Link      Link
+	Consensus Consensus
+	Self      view.Name
+	Life      func() view.Life   // this process's, at the moment; takes the part's lock
+	Whom      func() []view.Name // to be asked for what the leader alone can answer; takes the part's lock
+	Ended     <-chan struct{}    // closed when this process ends
+	CallFor   time.Duration      // one message
+	First     time.Duration      // between two tries of a proposal, doubled up to Most
+	Most      time.Duration
+	Nobody    error // nobody to ask is known
+	Undone    error // the cause told for a proposal that nobody could be asked to decide
 
 	take map[string]Handler
 }
@@ -87,7 +87,7 @@
 
 // leaders is one try.
 func (c *Caller) leaders(ctx context.Context, here func() error, path string, in, out any) error {
-	if c.Council.Leading() {
+	if c.Consensus.Leading() {
 		return here()
 	}
 	return c.askAll(ctx, path, in, out)
--- a/internal/cluster/ordering/ordering.go
+++ b/internal/cluster/ordering/ordering.go
@@ -30,8 +30,8 @@
 	Public() *http.ServeMux
 }
 
-// Council is where orders are decided in common. A part's ledger may be read inside Read alone.
-type Council interface {
+// Consensus is where orders are decided in common. A part's ledger may be read inside Read alone.
+type Consensus interface {
 	Propose(ctx context.Context, part, kind string, body any) (json.RawMessage, error)
 	Leader() (view.Name, bool)
 	Leading() bool
--- a/internal/cluster/ordering/ordering_test.go
+++ b/internal/cluster/ordering/ordering_test.go
@@ -28,7 +28,7 @@
 func (u *unreached) Public() *http.ServeMux { return nil }
 
 func newCaller(u *unreached, whom func() []view.Name) *Caller {
-	return &Caller{Part: "part", Link: u, Council: Outsider{}, Self: "self",
+	return &Caller{Part: "part", Link: u, Consensus: Outsider{}, Self: "self",
 		Life: func() view.Life { return view.Life{Name: "self", Incarnation: 3} }, Whom: whom, Ended: make(chan struct{}),
 		CallFor: time.Minute, First: time.Millisecond, Most: time.Millisecond,
 		Nobody: errors.New("nobody"), Undone: errors.New("undone")}
--- a/internal/cluster/ordering/orderingtest/orderingtest.go
+++ b/internal/cluster/ordering/orderingtest/orderingtest.go
@@ -162,17 +162,17 @@
 	return n.links[to]
 }
 
-// Council is one process's.
-type Council struct {
+// Consensus is one process's.
+type Consensus struct {
 	net  *Net
 	self view.Name
 }
 
-// Council is that of a process.
-func (n *Net) Council(self view.Name) Council { return Council{n, self} }
+// Consensus is that of a process.
+func (n *Net) Consensus(self view.Name) Consensus { return Consensus{n, self} }
 
 // Propose applies a command at once, at whoever leads.
-func (c Council) Propose(_ context.Context, _, kind string, body any) (json.RawMessage, error) {
+func (c Consensus) Propose(_ context.Context, _, kind string, body any) (json.RawMessage, error) {
 	c.net.mu.Lock()
 	defer c.net.mu.Unlock()
 	if c.net.leader != c.self || c.net.down[c.self] {
@@ -191,20 +191,20 @@
 }
 
 // Leader is not known to one that is down.
-func (c Council) Leader() (view.Name, bool) {
+func (c Consensus) Leader() (view.Name, bool) {
 	c.net.mu.Lock()
 	defer c.net.mu.Unlock()
 	return c.net.leader, c.net.leader != "" && !c.net.down[c.self]
 }
 
 // Leading tells whether this process does.
-func (c Council) Leading() bool {
+func (c Consensus) Leading() bool {
 	name, known := c.Leader()
 	return known && name == c.self
 }
 
 // Ask is the leader alone.
-func (c Council) Ask() []view.Name {
+func (c Consensus) Ask() []view.Name {
 	name, known := c.Leader()
 	if !known {
 		return nil
@@ -213,10 +213,10 @@
 }
 
 // Clock is one for all.
-func (c Council) Clock() time.Duration { return time.Since(c.net.began) }
+func (c Consensus) Clock() time.Duration { return time.Since(c.net.began) }
 
 // Read calls f while nothing is applied.
-func (c Council) Read(f func(uint64)) { c.net.locked(func() { f(0) }) }
+func (c Consensus) Read(f func(uint64)) { c.net.locked(func() { f(0) }) }
 
 // Tree is one of three children each.
 type Tree []view.Member
--- a/internal/cluster/popularity/evict/evict.go
+++ b/internal/cluster/popularity/evict/evict.go
@@ -108,7 +108,7 @@
 	}
 	all := make([]worth, 0, len(held))
 	for _, h := range held {
-		if !h.Pinned {
+		if !h.InUse {
 			all = append(all, worth{h, e.worth(now, h, score(h.Destination))})
 		}
 	}
--- a/internal/cluster/popularity/evict/evict_test.go
+++ b/internal/cluster/popularity/evict/evict_test.go
@@ -21,7 +21,7 @@
 
 func TestLeastWorthGoesAndPinnedNever(t *testing.T) {
 	e, held := Make(), hold(6)
-	held[0].Pinned = true  // 1, the least popular
+	held[0].InUse = true   // 1, the least popular
 	held[2].Calls = 0      // 3: as dear as 1.5 of those learnt
 	held[4].Bytes = 10_000 // 5: for its bytes worth less than 1
 	for _, c := range []struct {
--- a/internal/cluster/popularity/recall/recall.go
+++ b/internal/cluster/popularity/recall/recall.go
@@ -24,7 +24,7 @@
 // Lesson is one on its way; a destination's lessons travel together.
 type Lesson struct {
 	Endpoint choice.EndpointID `json:"e"`
-	Mean     float64           `json:"m"` // all as in choice.Learnt
+	Mean     float64           `json:"m"` // all as in choice.LearnedState
 	Dev      float64           `json:"v,omitempty"`
 	Past     float64           `json:"p,omitempty"`
 	Seen     float64           `json:"s,omitempty"`
--- a/internal/cluster/popularity/recall/recall_test.go
+++ b/internal/cluster/popularity/recall/recall_test.go
@@ -83,7 +83,7 @@
 	} {
 		l.Age = c.age
 		got, some := Trust(l, c.zone)
-		k := got.Learnt
+		k := got.LearnedState
 		if some != c.some || k.Limit != c.limit || k.Wait != c.wait || k.Seen < c.seen-0.05 || k.Seen > c.seen+0.05 {
 			t.Error(c, got, some)
 		}
--- a/internal/cluster/popularity/recall/trust.go
+++ b/internal/cluster/popularity/recall/trust.go
@@ -30,7 +30,7 @@
 	if !sound(l) || l.Age > MostAge {
 		return together.Lesson{}, false
 	}
-	k := choice.Learnt{Wait: max(0, l.Wait-choice.Time(l.Age/(100*time.Microsecond)))}
+	k := choice.LearnedState{Wait: max(0, l.Wait-choice.Time(l.Age/(100*time.Microsecond)))}
 	if l.Seen > 0 && l.Mean > 0 && l.Past > 0 {
 		k.Mean, k.Dev, k.Past = l.Mean, l.Dev, l.Past
 		k.Seen = min(l.Seen, mostSeen) * count.Decay(l.Age, trustHalf)
@@ -41,12 +41,12 @@
 	if l.Age <= limitFor {
 		k.Limit = l.Limit
 	}
-	return together.Lesson{Endpoint: l.Endpoint, Learnt: k, Age: l.Age}, k != choice.Learnt{}
+	return together.Lesson{Endpoint: l.Endpoint, LearnedState: k, Age: l.Age}, k != choice.LearnedState{}
 }
 
 // Of is a lesson as a sender handed it over, on its way to the summary.
 func Of(l together.Lesson, zone view.Zone) Lesson {
-	k := l.Learnt
+	k := l.LearnedState
 	return Lesson{Endpoint: l.Endpoint, Mean: k.Mean, Dev: k.Dev, Past: k.Past, Seen: k.Seen, Limit: k.Limit, Wait: k.Wait,
 		Age: l.Age, Zone: zone}
 }
--- a/internal/cluster/popularity/run/run_test.go
+++ b/internal/cluster/popularity/run/run_test.go
@@ -27,7 +27,7 @@
 	for d := range choice.DestinationID(30) {
 		w.senders["p6"].holds(together.Held{Destination: 100 + d, Bytes: 500, Calls: 20})
 	}
-	w.senders["p6"].holds(together.Held{Destination: 99, Bytes: 500, Pinned: true})
+	w.senders["p6"].holds(together.Held{Destination: 99, Bytes: 500, InUse: true})
 	for _, p := range []view.Name{"p0", "p2", "p4"} {
 		w.runners[p].Digest(hand(107, 40))
 	}
@@ -75,7 +75,7 @@
 	w.senders["p6"].mu.Lock()
 	l := w.senders["p6"].taught[endpoint(5)]
 	w.senders["p6"].mu.Unlock()
-	if l.Learnt.Seen > 4 || l.Learnt.Mean != 50 || l.Age < 0 || math.IsNaN(l.Learnt.Seen) {
+	if l.LearnedState.Seen > 4 || l.LearnedState.Mean != 50 || l.Age < 0 || math.IsNaN(l.LearnedState.Seen) {
 		t.Error(l)
 	}
 	w.fall(w.branches().RegionHead("r0"))
--- a/internal/cluster/popularity/run/world_test.go
+++ b/internal/cluster/popularity/run/world_test.go
@@ -87,7 +87,7 @@
 	s.mu.Lock()
 	var kept []choice.DestinationID
 	for _, d := range all {
-		if s.held[d].Pinned {
+		if s.held[d].InUse {
 			kept = append(kept, d)
 		} else {
 			delete(s.held, d)
@@ -118,8 +118,8 @@
 func endpoint(d choice.DestinationID) choice.EndpointID { return choice.EndpointID(fmt.Sprint("e", d)) }
 
 func (s *sender) Know(of []choice.DestinationID, done func([]together.Lesson)) {
-	k := choice.Learnt{Mean: 50, Dev: 5, Past: 50, Seen: 30, Limit: 9}
-	done([]together.Lesson{{Endpoint: endpoint(of[0]), Learnt: k}})
+	k := choice.LearnedState{Mean: 50, Dev: 5, Past: 50, Seen: 30, Limit: 9}
+	done([]together.Lesson{{Endpoint: endpoint(of[0]), LearnedState: k}})
 }
 
 func (s *sender) holds(all ...together.Held) {
--- a/internal/cluster/purge/ledger/ledger.go
+++ b/internal/cluster/purge/ledger/ledger.go
@@ -199,12 +199,12 @@
 			r.Found.NotBegun += z.Found.NotBegun
 			r.Found.MayRun += z.Found.MayRun
 			r.Found.Delivered += z.Found.Delivered
-			r.Found.Learnt += z.Found.Learnt
+			r.Found.LearnedState += z.Found.LearnedState
 		}
 		l.floor++
 		answer.Done++
 		l.detail = append(l.detail, r.Seq)
-		if r.Subject == Learnt {
+		if r.Subject == LearnedState {
 			l.learnt = append(l.learnt, r.Seq)
 		} else {
 			l.kept = append(l.kept, r.Seq)
--- a/internal/cluster/purge/ledger/ledger_test.go
+++ b/internal/cluster/purge/ledger/ledger_test.go
@@ -57,7 +57,7 @@
 	for field, o := range map[string]Open{
 		"id":                {Subject: Messages, Match: together.Match{Key: "k"}, Who: "w", Why: "y"},
 		"match":             {ID: "b", Subject: Messages, Who: "w", Why: "y"},
-		"match.destination": {ID: "b", Subject: Learnt, Match: together.Match{Key: "k"}, Who: "w", Why: "y"},
+		"match.destination": {ID: "b", Subject: LearnedState, Match: together.Match{Key: "k"}, Who: "w", Why: "y"},
 		"subject":           {ID: "b", Subject: "all", Match: together.Match{Key: "k"}, Who: "w", Why: "y"},
 		"why":               {ID: "b", Subject: Messages, Match: together.Match{Key: "k"}, Who: "w"},
 	} {
--- a/internal/cluster/purge/ledger/read.go
+++ b/internal/cluster/purge/ledger/read.go
@@ -74,22 +74,22 @@
 
 // kept is the ledger on disk.
 type kept struct {
-	Rows   []Row         `json:"rows"`
-	Seats  []Seat        `json:"seats"`
-	Last   uint64        `json:"last"`
-	Floor  uint64        `json:"floor"`
-	Roster uint64        `json:"roster"`
-	At     time.Duration `json:"at"`
-	Kept   []uint64      `json:"kept"`
-	Learnt []uint64      `json:"learnt"`
-	Short  []uint64      `json:"short"`
-	Detail []uint64      `json:"detail"`
+	Rows         []Row         `json:"rows"`
+	Seats        []Seat        `json:"seats"`
+	Last         uint64        `json:"last"`
+	Floor        uint64        `json:"floor"`
+	Roster       uint64        `json:"roster"`
+	At           time.Duration `json:"at"`
+	Kept         []uint64      `json:"kept"`
+	LearnedState []uint64      `json:"learnt"`
+	Short        []uint64      `json:"short"`
+	Detail       []uint64      `json:"detail"`
 }
 
 // Snapshot is all of it, the same for the same state.
 func (l *Ledger) Snapshot() (json.RawMessage, error) {
 	k := kept{Seats: l.seats, Last: l.last, Floor: l.floor, Roster: l.roster, At: l.at,
-		Kept: l.kept, Learnt: l.learnt, Short: l.short, Detail: l.detail}
+		Kept: l.kept, LearnedState: l.learnt, Short: l.short, Detail: l.detail}
 	for _, r := range l.rows {
 		k.Rows = append(k.Rows, *r)
 	}
@@ -112,7 +112,7 @@
 			return fmt.Errorf("purge ledger: snapshot: open purge %d is missing", s)
 		}
 	}
-	for name, list := range map[string][]uint64{"kept": k.Kept, "learnt": k.Learnt, "short": k.Short} {
+	for name, list := range map[string][]uint64{"kept": k.Kept, "learnt": k.LearnedState, "short": k.Short} {
 		for _, s := range list {
 			if fresh.rows[s] == nil {
 				return fmt.Errorf("purge ledger: snapshot: %s: purge %d is missing", name, s)
@@ -120,7 +120,7 @@
 		}
 	}
 	fresh.seats, fresh.last, fresh.floor, fresh.roster, fresh.at = k.Seats, k.Last, max(k.Floor, 1), k.Roster, k.At
-	fresh.kept, fresh.learnt, fresh.short, fresh.detail = k.Kept, k.Learnt, k.Short, k.Detail
+	fresh.kept, fresh.learnt, fresh.short, fresh.detail = k.Kept, k.LearnedState, k.Short, k.Detail
 	fresh.no = l.no + 1
 	*l = *fresh
 	return nil
--- a/internal/cluster/purge/ledger/words.go
+++ b/internal/cluster/purge/ledger/words.go
@@ -35,8 +35,8 @@
 type Subject string
 
 const (
-	Messages Subject = "notices"
-	Learnt   Subject = "learnt"
+	Messages     Subject = "notices"
+	LearnedState Subject = "learnt"
 )
 
 // State is how far a purge has come.
@@ -180,7 +180,7 @@
 		if m.Destination == nil && m.Class == "" && m.Key == "" && m.KeyPrefix == "" {
 			return "match", "must name a destination, workload, key or key_prefix"
 		}
-	case Learnt:
+	case LearnedState:
 		if m.Destination == nil {
 			return "match.destination", "must be set where the subject is learnt"
 		}
@@ -209,5 +209,5 @@
 
 // Purge is a row as it travels, of this age.
 func (r Row) Purge(age time.Duration) together.Purge {
-	return together.Purge{Seq: r.Seq, ID: r.ID, Learnt: r.Subject == Learnt, Match: r.Match, Age: max(age, 0)}
+	return together.Purge{Seq: r.Seq, ID: r.ID, LearnedState: r.Subject == LearnedState, Match: r.Match, Age: max(age, 0)}
 }
--- a/internal/cluster/purge/run/calls.go
+++ b/internal/cluster/purge/run/calls.go
@@ -105,7 +105,7 @@
 
 // takeRoot is the same from whoever leads: a root without a place in the council learns by it to whom it reports.
 func (r *Runner) takeRoot(ctx context.Context, from view.Life, body []byte) (any, error) {
-	leader, known := r.o.Council.Leader()
+	leader, known := r.o.Consensus.Leader()
 	r.mu.Lock()
 	r.leader = from
 	r.placeInTree(leader, known, r.o.Now())
@@ -175,10 +175,10 @@
 	if p.Kind != ledger.KindOpen && p.Kind != ledger.KindJoin && p.Kind != ledger.KindGone {
 		return nil, fmt.Errorf("purge: proposal: kind %q is not taken from others", p.Kind)
 	}
-	if !r.o.Council.Leading() {
+	if !r.o.Consensus.Leading() {
 		return nil, errNotLeading
 	}
-	answer, err := r.o.Council.Propose(ctx, ledger.Part, p.Kind, p.Body)
+	answer, err := r.o.Consensus.Propose(ctx, ledger.Part, p.Kind, p.Body)
 	r.signals.Wake()
 	return answer, err
 }
@@ -193,7 +193,7 @@
 	var answer json.RawMessage
 	decidedHere := false
 	here := func() (err error) {
-		answer, err = r.o.Council.Propose(ctx, ledger.Part, kind, json.RawMessage(text))
+		answer, err = r.o.Consensus.Propose(ctx, ledger.Part, kind, json.RawMessage(text))
 		decidedHere = err == nil
 		return err
 	}
@@ -208,7 +208,7 @@
 // whomToAsk is for what the leader alone can answer: by the council, or without a place in it those who hold its
 // records and then any, at most mostAsked.
 func (r *Runner) whomToAsk() []view.Name {
-	likely := r.o.Council.Ask()
+	likely := r.o.Consensus.Ask()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return ordering.Whom(likely, r.leader.Name, r.view, r.o.Self.Name, mostAsked)
--- a/internal/cluster/purge/run/lead.go
+++ b/internal/cluster/purge/run/lead.go
@@ -42,10 +42,10 @@
 
 // readLedger reads what is new while this process leads. No lock of this package is held: the council's comes first.
 func (r *Runner) readLedger() (n news) {
-	if !r.o.Council.Leading() {
+	if !r.o.Consensus.Leading() {
 		return n
 	}
-	n.leading, n.clock = true, r.o.Council.Clock()
+	n.leading, n.clock = true, r.o.Consensus.Clock()
 	r.mu.Lock()
 	var has uint64
 	fresh := !r.leads || r.gather == nil
@@ -54,7 +54,7 @@
 	}
 	no := r.lead.ledgerNo
 	r.mu.Unlock()
-	r.o.Council.Read(func(uint64) {
+	r.o.Consensus.Read(func(uint64) {
 		l := r.o.Ledger
 		if !fresh && l.No() == no {
 			return
@@ -113,7 +113,7 @@
 func (r *Runner) close(c ledger.Close) {
 	ctx, cancel := context.WithTimeout(r.ctx, decideFor)
 	defer cancel()
-	_, err := r.o.Council.Propose(ctx, ledger.Part, ledger.KindClose, c)
+	_, err := r.o.Consensus.Propose(ctx, ledger.Part, ledger.KindClose, c)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.lead.closing = false
@@ -165,10 +165,10 @@
 		defer cancel()
 		var err error
 		if join.Seats != nil {
-			_, err = r.o.Council.Propose(ctx, ledger.Part, ledger.KindJoin, join)
+			_, err = r.o.Consensus.Propose(ctx, ledger.Part, ledger.KindJoin, join)
 		}
 		if err == nil && gone.Lives != nil {
-			_, err = r.o.Council.Propose(ctx, ledger.Part, ledger.KindGone, gone)
+			_, err = r.o.Consensus.Propose(ctx, ledger.Part, ledger.KindGone, gone)
 		}
 		if err != nil {
 			r.o.Log.Warn("purge: seats not put in step", zap.Error(err))
--- a/internal/cluster/purge/run/run.go
+++ b/internal/cluster/purge/run/run.go
@@ -33,15 +33,15 @@
 
 // Options is what a Runner is given; Now, CatchUp and Log may be left out.
 type Options struct {
-	Self    view.Member // Life, Zone, Region and Folder are read; a view may tell a higher incarnation later
-	Link    ordering.Link
-	Council ordering.Council // nil at a process that has no place in it
-	Ledger  *ledger.Ledger   // the council's part of that name; nil where there is no council
-	Orders  together.Orders
-	Longest time.Duration // the longest deadline of what the folder holds; 0 for not known
-	CatchUp time.Duration // how long a start waits for what it missed, at most
-	Now     func() view.Now
-	Log     *zap.Logger
+	Self      view.Member // Life, Zone, Region and Folder are read; a view may tell a higher incarnation later
+	Link      ordering.Link
+	Consensus ordering.Consensus // nil at a process that has no place in it
+	Ledger    *ledger.Ledger     // the council's part of that name; nil where there is no council
+	Orders    together.Orders
+	Longest   time.Duration // the longest deadline of what the folder holds; 0 for not known
+	CatchUp   time.Duration // how long a start waits for what it missed, at most
+	Now       func() view.Now
+	Log       *zap.Logger
 }
 
 // Runner is the purge part of one process.
@@ -80,11 +80,11 @@
 
 // Start takes the handlers' paths and begins. The state of the sender is asked once, before it returns.
 func Start(o Options) (*Runner, error) {
-	if o.Link == nil || o.Orders == nil || (o.Council == nil) != (o.Ledger == nil) {
+	if o.Link == nil || o.Orders == nil || (o.Consensus == nil) != (o.Ledger == nil) {
 		return nil, errors.New("purge: a link and a sender's orders must be given, and a ledger with a council")
 	}
-	if o.Council == nil {
-		o.Council = ordering.Outsider{NotLeading: errNotLeading}
+	if o.Consensus == nil {
+		o.Consensus = ordering.Outsider{NotLeading: errNotLeading}
 	}
 	if o.Now == nil {
 		o.Now = ordering.Clock()
@@ -99,7 +99,7 @@
 		state: spread.New(o.Self.Life, o.Self.Folder, o.Orders.Applied())}
 	r.signals = ordering.NewSignals(&r.mu)
 	r.ctx, r.stop = context.WithCancel(context.Background())
-	r.caller = ordering.Caller{Part: "purge", Link: o.Link, Council: o.Council, Self: o.Self.Name, Life: r.life, Whom: r.whomToAsk,
+	r.caller = ordering.Caller{Part: "purge", Link: o.Link, Consensus: o.Consensus, Self: o.Self.Name, Life: r.life, Whom: r.whomToAsk,
 		Ended: r.ctx.Done(), CallFor: callFor, First: pace, Most: 16 * pace, Nobody: errNobody, Undone: errUndone}
 	r.handle()
 	r.public(o.Link.Public())
@@ -174,7 +174,7 @@
 // step asks each deciding part what it wants, and begins that.
 func (r *Runner) step() {
 	news := r.readLedger()
-	leader, known := r.o.Council.Leader()
+	leader, known := r.o.Consensus.Leader()
 	now := r.o.Now()
 
 	r.mu.Lock()
--- a/internal/cluster/purge/run/run_test.go
+++ b/internal/cluster/purge/run/run_test.go
@@ -63,7 +63,7 @@
 func (f *fleet) start(t *testing.T, m view.Member, o *orders, bound time.Duration) *Runner {
 	t.Helper()
 	l := f.net.Link(m.Life)
-	r, err := Start(Options{Self: m, Link: l, Council: f.net.Council(m.Name), Ledger: f.ledger, Orders: o,
+	r, err := Start(Options{Self: m, Link: l, Consensus: f.net.Consensus(m.Name), Ledger: f.ledger, Orders: o,
 		Longest: time.Minute, CatchUp: bound})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/cluster/purge/run/show.go
+++ b/internal/cluster/purge/run/show.go
@@ -90,14 +90,14 @@
 	if err := json.Unmarshal(body, &q); err != nil {
 		return nil, fmt.Errorf("purge: asked to show: %w", err)
 	}
-	if !r.o.Council.Leading() {
+	if !r.o.Consensus.Leading() {
 		return nil, errNotLeading
 	}
 	var row ledger.Row
 	var known bool
 	var horizon time.Duration
 	var seats []ledger.Seat
-	r.o.Council.Read(func(uint64) {
+	r.o.Consensus.Read(func(uint64) {
 		row, known = r.o.Ledger.Find(q.ID)
 		horizon, seats = r.o.Ledger.Horizon(), r.o.Ledger.Seats()
 	})
@@ -109,7 +109,7 @@
 	if row.Match != (together.Match{}) {
 		s.Match = &row.Match
 	}
-	s.AgeMS = max(r.o.Council.Clock()-row.At, 0).Milliseconds()
+	s.AgeMS = max(r.o.Consensus.Clock()-row.At, 0).Milliseconds()
 	r.mu.Lock()
 	var all []spread.Process
 	if r.leads && r.gather != nil && row.State == ledger.Spreading {
--- a/internal/cluster/purge/spread/gather.go
+++ b/internal/cluster/purge/spread/gather.go
@@ -133,7 +133,7 @@
 // Plus adds up what was found.
 func Plus(a, b together.Found) together.Found {
 	return together.Found{NotBegun: a.NotBegun + b.NotBegun, MayRun: a.MayRun + b.MayRun,
-		Delivered: a.Delivered + b.Delivered, Learnt: a.Learnt + b.Learnt}
+		Delivered: a.Delivered + b.Delivered, LearnedState: a.LearnedState + b.LearnedState}
 }
 
 func (g *Gather) closing(seq uint64, found map[view.Name]together.Found) ledger.Closing {
--- a/internal/cluster/purge/spread/state.go
+++ b/internal/cluster/purge/spread/state.go
@@ -124,7 +124,7 @@
 
 // useless tells that nobody can need a purge any more: closed, and past the horizon. What was learnt has none.
 func (s *State) useless(h held, now view.Now) bool {
-	return h.Seq < s.floor && !h.Learnt && s.horizon > 0 && h.age(now) > s.horizon
+	return h.Seq < s.floor && !h.LearnedState && s.horizon > 0 && h.age(now) > s.horizon
 }
 
 // prune lets go of what is useless, and beyond the bound of the oldest that are closed and applied here.
--- a/internal/cluster/serve.go
+++ b/internal/cluster/serve.go
@@ -73,7 +73,7 @@
 	}
 	in, out := n.link.Traffic()
 	sent, packets := n.members.Sent()
-	s.Traffic.Council, s.Traffic.Gossip, s.Traffic.Packets = s.Traffic.Out, uint64(sent), uint64(packets)
+	s.Traffic.Consensus, s.Traffic.Gossip, s.Traffic.Packets = s.Traffic.Out, uint64(sent), uint64(packets)
 	s.Traffic.Kinds = n.link.Volumes()
 	s.Traffic.In, s.Traffic.Out = s.Traffic.In+in, s.Traffic.Out+out+uint64(sent)
 	var used syscall.Rusage
--- a/internal/cluster/settings/check.go
+++ b/internal/cluster/settings/check.go
@@ -47,10 +47,10 @@
 	}
 	h.Folder, _ = c.text("here.folder", f.Folder)
 	beyond := c.yes("here.beyond_loopback", f.BeyondLoopback)
-	h.Listen = Addresses{c.heard("here.gossip", f.Gossip, beyond), c.heard("here.council", f.Council, beyond),
+	h.Listen = Addresses{c.heard("here.gossip", f.Gossip, beyond), c.heard("here.council", f.Consensus, beyond),
 		c.heard("here.http", f.HTTP, beyond)}
 	taken.take(c, "here.gossip", h.Listen.Gossip)
-	taken.take(c, "here.council", h.Listen.Council)
+	taken.take(c, "here.council", h.Listen.Consensus)
 	taken.take(c, "here.http", h.Listen.HTTP)
 	return h
 }
@@ -84,7 +84,7 @@
 			c.wrong(at+"zone", "%q is this process, and here.zone is %q", m.Zone, s.Here.Zone)
 		}
 		m.Reach = Addresses{c.reach(at+"gossip", f.Gossip, self, s.Here.Listen.Gossip, taken),
-			c.reach(at+"council", f.Council, self, s.Here.Listen.Council, taken),
+			c.reach(at+"council", f.Consensus, self, s.Here.Listen.Consensus, taken),
 			c.reach(at+"http", f.HTTP, self, s.Here.Listen.HTTP, taken)}
 		all = append(all, m)
 	}
--- a/internal/cluster/settings/form.go
+++ b/internal/cluster/settings/form.go
@@ -29,17 +29,17 @@
 	Size           any `toml:"size"` // large (the default) or small
 	Folder         any `toml:"folder"`
 	Gossip         any `toml:"gossip"`
-	Council        any `toml:"council"`
+	Consensus      any `toml:"council"`
 	HTTP           any `toml:"http"`
 	BeyondLoopback any `toml:"beyond_loopback"`
 }
 
 type member struct {
-	Name    any `toml:"name"`
-	Zone    any `toml:"zone"`
-	Gossip  any `toml:"gossip"`
-	Council any `toml:"council"`
-	HTTP    any `toml:"http"`
+	Name      any `toml:"name"`
+	Zone      any `toml:"zone"`
+	Gossip    any `toml:"gossip"`
+	Consensus any `toml:"council"`
+	HTTP      any `toml:"http"`
 }
 
 type uses struct {
--- a/internal/cluster/settings/settings.go
+++ b/internal/cluster/settings/settings.go
@@ -45,7 +45,7 @@
 }
 
 // Addresses are those of one process: gossip is UDP and TCP, the others TCP.
-type Addresses struct{ Gossip, Council, HTTP string }
+type Addresses struct{ Gossip, Consensus, HTTP string }
 
 // Uses are what the cluster is used for, each off unless switched on.
 type Uses struct{ Failover, Purges, Popularity, Configuration bool }
--- a/internal/cluster/status/status.go
+++ b/internal/cluster/status/status.go
@@ -48,9 +48,9 @@
 	In  uint64        `json:"in"`
 	Out uint64        `json:"out"`
 	CPU time.Duration `json:"cpu_ns"`
-	// Gossip and Council are parts of Out; Kinds are calls between members by path, bytes without heads.
-	Gossip  uint64                 `json:"gossip"`
-	Packets uint64                 `json:"gossip_packets"`
-	Council uint64                 `json:"council"`
-	Kinds   map[string]link.Volume `json:"kinds,omitempty"`
+	// Gossip and Consensus are parts of Out; Kinds are calls between members by path, bytes without heads.
+	Gossip    uint64                 `json:"gossip"`
+	Packets   uint64                 `json:"gossip_packets"`
+	Consensus uint64                 `json:"council"`
+	Kinds     map[string]link.Volume `json:"kinds,omitempty"`
 }
--- a/internal/cluster/uses.go
+++ b/internal/cluster/uses.go
@@ -42,10 +42,10 @@
 		set := plan.Usual()
 		set.RatingIsRate = n.o.RatingIsRate
 		if n.o.FallMultiple > 0 {
-			set.Cold, set.ColdFrom, set.FallMultiple = n.o.Cold, n.o.ColdFrom, n.o.FallMultiple
+			set.SlowStart, set.SlowStartFrom, set.FallMultiple = n.o.SlowStart, n.o.SlowStartFrom, n.o.FallMultiple
 		}
-		u.failover = failover.Start(failover.Options{Self: n.self.Name, Zone: n.self.Zone, Now: n.Now, Link: n.link, Council: council,
-			InForce: u.inForce, Term: council.Term, Tree: n.Soon, Sightings: n.saw.Read, Local: n.counted.local, Bounds: weigh.Usual(),
+		u.failover = failover.Start(failover.Options{Self: n.self.Name, Zone: n.self.Zone, Now: n.Now, Link: n.link, Consensus: council,
+			InForce: u.inForce, Term: council.Term, Tree: n.Soon, Samples: n.saw.Read, Local: n.counted.local, Bounds: weigh.Usual(),
 			Settings: set, Log: n.log.Named("failover")})
 	}
 	if on.Popularity {
@@ -57,7 +57,7 @@
 	if on.Purges {
 		o := purge.Options{Self: n.self, Link: n.link, Orders: forgetting{n.o.Orders, u}, Longest: n.o.Longest, Now: n.Now, Log: n.log.Named("purge")}
 		if n.council != nil {
-			o.Council, o.Ledger = council, u.ledger
+			o.Consensus, o.Ledger = council, u.ledger
 		}
 		if u.purge, err = purge.Start(o); err != nil {
 			return err
@@ -73,7 +73,7 @@
 	o := configuration.Options{Self: n.self, Link: n.link, Orders: n.o.Orders, Folder: n.folder.Path, Running: n.o.Running,
 		Own: n.o.OwnSettings, Check: n.o.CheckSettings, Now: n.Now, Log: n.log.Named("configuration")}
 	if n.council != nil {
-		o.Council, o.Ledger = asked{n}, u.versions
+		o.Consensus, o.Ledger = asked{n}, u.versions
 	}
 	u.configuration, err = configuration.Start(o)
 	return err
@@ -88,7 +88,7 @@
 
 func (f forgetting) Purge(all []together.Purge, done func(uint64, []together.Found)) {
 	for _, p := range all {
-		if p.Learnt && p.Match.Destination != nil && f.u.popularity != nil {
+		if p.LearnedState && p.Match.Destination != nil && f.u.popularity != nil {
 			f.u.popularity.Forget(*p.Match.Destination)
 		}
 	}
--- a/internal/config/extremes_test.go
+++ b/internal/config/extremes_test.go
@@ -156,10 +156,10 @@
 				continue
 			}
 			s := &c.Settings
-			spans := []choice.Time{s.Turn, s.ConnIdle, s.DialTimeout, s.LongestReturn, s.Cold, s.Fall, s.KeyRest}
+			spans := []choice.Time{s.Turn, s.ConnIdle, s.DialTimeout, s.LongestReturn, s.SlowStart, s.Fall, s.KeyRest}
 			for _, w := range s.Classes {
-				spans = append(spans, w.ContractTime, w.Deadline, w.RepeatWindow)
-				if w.ContractTime == 0 {
+				spans = append(spans, w.LatencyObjective, w.Deadline, w.RepeatWindow)
+				if w.LatencyObjective == 0 {
 					t.Errorf("%s %v: a contract time of 0, from which time-outs are made", path, value)
 				}
 			}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -89,7 +89,7 @@
 func Nanoseconds(t choice.Time) int64 { return int64(t) * perTenth }
 
 var repeats = map[string]choice.Repeat{
-	"pure": choice.Idempotent, "token": choice.Keyed, "side_effect": choice.SingleUse,
+	"pure": choice.Idempotent, "token": choice.Keyed, "side_effect": choice.NonIdempotent,
 }
 
 var ratings = map[string]choice.Rating{
@@ -122,8 +122,8 @@
 		Turn:           Up(min(longest, b.Quantum)),
 		FallMultiple:   b.Rules.FallMultiple,
 		Fall:           Up(min(longest, b.Rules.Fall)),
-		ColdFrom:       b.Rules.SlowStartFrom,
-		Cold:           Up(min(longest, b.Rules.SlowStart)),
+		SlowStartFrom:  b.Rules.SlowStartFrom,
+		SlowStart:      Up(min(longest, b.Rules.SlowStart)),
 		KeyRest:        Up(min(longest, b.Rules.KeyRest)),
 		RefusedPrice:   b.Extra.RejectedPrice,
 		HandshakePrice: b.Deductions.Handshake,
@@ -163,14 +163,14 @@
 			objective = c.Deadline // none is set: with 0 each call would be given up within a millisecond
 		}
 		all = append(all, choice.Class{
-			Repeat:       repeat,
-			ZoneGroup:    c.Group == "zone" || c.Group == "cell",
-			RepeatWindow: Down(min(longest, c.RepeatWindow)),
-			ContractTime: Down(min(longest, objective)),
-			Deadline:     Down(min(longest, c.Deadline)),
-			Value:        c.PriorityWeight,
-			LateValue:    c.LatePriorityWeight,
-			ByArrival:    c.ByArrival,
+			Repeat:           repeat,
+			ZoneGroup:        c.Group == "zone" || c.Group == "cell",
+			RepeatWindow:     Down(min(longest, c.RepeatWindow)),
+			LatencyObjective: Down(min(longest, objective)),
+			Deadline:         Down(min(longest, c.Deadline)),
+			Value:            c.PriorityWeight,
+			LateValue:        c.LatePriorityWeight,
+			ByArrival:        c.ByArrival,
 		})
 	}
 	if len(all) == 0 {
--- a/internal/directory/list_test.go
+++ b/internal/directory/list_test.go
@@ -16,6 +16,6 @@
 	entries, unread := n.Entries(l)
 	fmt.Printf("%+v\n%d unread\n", entries, unread)
 	// Output:
-	// [{Endpoint:a Destination:3 Kind:2 Zone:1 Rating:2.5 Stage:0 Learnt:<nil>} {Endpoint:b Destination:0 Kind:0 Zone:0 Rating:0 Stage:1 Learnt:<nil>} {Endpoint:c Destination:0 Kind:0 Zone:0 Rating:0 Stage:2 Learnt:<nil>}]
+	// [{Endpoint:a Destination:3 Kind:2 Zone:1 Rating:2.5 Stage:0 LearnedState:<nil>} {Endpoint:b Destination:0 Kind:0 Zone:0 Rating:0 Stage:1 LearnedState:<nil>} {Endpoint:c Destination:0 Kind:0 Zone:0 Rating:0 Stage:2 LearnedState:<nil>}]
 	// 3 unread
 }
--- a/internal/drill/events.go
+++ b/internal/drill/events.go
@@ -88,7 +88,7 @@
 	if no < 0 || no >= int64(len(s.d.catalogs)) {
 		return fmt.Errorf("field rosterId: no list %d", no)
 	}
-	s.module.ListNews(s.d.catalogs[no], scope != "D")
+	s.module.UpdateEndpoints(s.d.catalogs[no], scope != "D")
 	return nil
 }
 
--- a/internal/sender/cluster.go
+++ b/internal/sender/cluster.go
@@ -42,7 +42,7 @@
 // learnedStore is how package choice hands out and takes back learned state. Tests replace it.
 type learnedStore interface {
 	// Void drops what was learned of an endpoint, or replaces it.
-	Void(choice.EndpointID, *choice.Learnt)
+	Void(choice.EndpointID, *choice.LearnedState)
 	// Holds returns how many answers rest on a destination, and whether it must not be evicted.
 	Holds(choice.DestinationID) (calls float64, mustStay bool)
 }
--- a/internal/sender/cluster_test.go
+++ b/internal/sender/cluster_test.go
@@ -29,7 +29,7 @@
 	voided   []string
 }
 
-func (m *fakeLearnedStore) Void(id choice.EndpointID, l *choice.Learnt) {
+func (m *fakeLearnedStore) Void(id choice.EndpointID, l *choice.LearnedState) {
 	m.voided = append(m.voided, fmt.Sprint(id, " ", l))
 }
 func (m *fakeLearnedStore) Holds(d choice.DestinationID) (float64, bool) { return 7, d == m.mustStay }
@@ -159,10 +159,10 @@
 	m.voided = nil
 	h.submit("OUT.ADD 0 again c=status,d=6000,dest=9 x", "OUT.ADD 0 more c=status,d=6000,dest=9 x")
 	fmt.Println("woke", c.woke)
-	k := choice.Learnt{Mean: 10, Dev: 1, Past: 10, Seen: 3, Wait: 5 * choice.Second}
-	o.Teach([]together.Lesson{{Endpoint: "z", Learnt: k, Age: 2 * time.Second}, {Endpoint: "a", Learnt: k},
-		{Endpoint: "none", Learnt: k},
-		{Endpoint: "b", Learnt: choice.Learnt{Mean: -1}}})
+	k := choice.LearnedState{Mean: 10, Dev: 1, Past: 10, Seen: 3, Wait: 5 * choice.Second}
+	o.Teach([]together.Lesson{{Endpoint: "z", LearnedState: k, Age: 2 * time.Second}, {Endpoint: "a", LearnedState: k},
+		{Endpoint: "none", LearnedState: k},
+		{Endpoint: "b", LearnedState: choice.LearnedState{Mean: -1}}})
 	h.runNext()
 	fmt.Println("taught", m.voided)
 	os.RemoveAll(h.dir)
@@ -173,8 +173,8 @@
 	// kept [1 2] void [z <nil>]
 	// call a: POST /inbox
 	//    id
-	// known [{Endpoint:a Learnt:{Mean:550 Dev:3450 Past:550 Seen:1 Limit:0 Wait:0} Age:5ms}]
-	// held [{Destination:1 Bytes:1024 Calls:7 Pinned:false}]
+	// known [{Endpoint:a LearnedState:{Mean:550 Dev:3450 Past:550 Seen:1 Limit:0 Wait:0} Age:5ms}]
+	// held [{Destination:1 Bytes:1024 Calls:7 InUse:false}]
 	// kept [2] void [z <nil> a <nil> z <nil>]
 	// client: +OK
 	// client: +OK
--- a/internal/sender/digest.go
+++ b/internal/sender/digest.go
@@ -63,8 +63,8 @@
 func (d *digestState) includeClasses(classes []choice.Class) {
 	for i, class := range classes {
 		d.longestDeadline = max(d.longestDeadline, class.Deadline)
-		if i == 0 || class.ContractTime < d.shortestContract {
-			d.shortestContract = class.ContractTime
+		if i == 0 || class.LatencyObjective < d.shortestContract {
+			d.shortestContract = class.LatencyObjective
 		}
 	}
 }
--- a/internal/sender/endpoints.go
+++ b/internal/sender/endpoints.go
@@ -89,12 +89,12 @@
 	s.dropGone()
 	s.log.Debug("list", zap.Bool("full", l.Full), zap.Bool("stale", stale), zap.Any("entries", l.Servers))
 	s.listReceived = s.listReceived || !stale
-	s.choice.ListNews(entries, l.Full)
+	s.choice.UpdateEndpoints(entries, l.Full)
 }
 
 // updateEndpoint applies one entry, and adds to it what an earlier process learned of the endpoint.
 func (s *Sender) updateEndpoint(entry *choice.Entry, listed directory.Entry) {
-	entry.Learnt = s.takeLearned(*entry, listed.Addr)
+	entry.LearnedState = s.takeLearned(*entry, listed.Addr)
 	e := s.endpoints[entry.Endpoint]
 	if e != nil && (listed.Addr != e.addr || entry.Destination != e.destination) {
 		// It is another endpoint of the same id. Connections to the one before, and calls that wait for one, would reach
@@ -107,7 +107,7 @@
 		e = &endpoint{id: entry.Endpoint}
 		s.endpoints[e.id] = e
 	}
-	if entry.Learnt != nil {
+	if entry.LearnedState != nil {
 		e.lastAnswerAt = s.learnedAt
 	}
 	e.addr, e.zoneName, e.listed = listed.Addr, listed.Zone, listed
--- a/internal/sender/eviction.go
+++ b/internal/sender/eviction.go
@@ -57,21 +57,21 @@
 func (s *Sender) holdings() (all []together.Held) {
 	by := map[choice.DestinationID]*together.Held{}
 	for _, e := range s.endpoints {
-		if e.linkCount == 0 && !isKnown(s.choice.Learnt(e.id)) {
+		if e.linkCount == 0 && !isKnown(s.choice.LearnedState(e.id)) {
 			continue
 		}
 		h := by[e.destination]
 		if h == nil {
 			h = &together.Held{Destination: e.destination}
-			h.Calls, h.Pinned = s.learnedStore.Holds(e.destination)
+			h.Calls, h.InUse = s.learnedStore.Holds(e.destination)
 			by[e.destination] = h
 		}
 		h.Bytes += endpointBytesEstimate + e.linkCount*linkBytesEstimate
-		h.Pinned = h.Pinned || e.hasBusyLinks()
+		h.InUse = h.InUse || e.hasBusyLinks()
 	}
 	for _, m := range s.pending {
 		if h := by[m.Destination]; h != nil {
-			h.Pinned = true
+			h.InUse = true
 		}
 	}
 	for _, d := range slices.Sorted(maps.Keys(by)) {
@@ -158,7 +158,7 @@
 		which = func(choice.DestinationID) bool { return true }
 	}
 	for _, e := range s.endpointsOf(which) {
-		l := s.choice.Learnt(e.id)
+		l := s.choice.LearnedState(e.id)
 		if !isKnown(l) {
 			continue
 		}
@@ -167,7 +167,7 @@
 			answeredAt = now - config.Down(int64(s.sinceStart()))
 		}
 		age := max(0, config.Nanoseconds(now-answeredAt))
-		all = append(all, together.Lesson{Endpoint: e.id, Learnt: l, Age: time.Duration(age)})
+		all = append(all, together.Lesson{Endpoint: e.id, LearnedState: l, Age: time.Duration(age)})
 	}
 	return all
 }
@@ -177,12 +177,12 @@
 func (s *Sender) adoptLessons(lessons []together.Lesson) {
 	for _, l := range lessons {
 		e := s.endpoints[l.Endpoint]
-		if e == nil || e.gone || !isPlausible(l.Learnt) || l.Age < 0 || isKnown(s.choice.Learnt(e.id)) {
+		if e == nil || e.gone || !isPlausible(l.LearnedState) || l.Age < 0 || isKnown(s.choice.LearnedState(e.id)) {
 			continue
 		}
 		age := config.Up(int64(l.Age))
-		l.Learnt.Wait = max(0, l.Learnt.Wait-age)
-		s.learnedStore.Void(e.id, &l.Learnt)
+		l.LearnedState.Wait = max(0, l.LearnedState.Wait-age)
+		s.learnedStore.Void(e.id, &l.LearnedState)
 		e.lastAnswerAt = s.Now() - age
 		s.counts.taught++
 	}
--- a/internal/sender/gossip_test.go
+++ b/internal/sender/gossip_test.go
@@ -112,7 +112,7 @@
 	}
 	defer peer.Close()
 	client.Write(outAdd("0", "id", "c=status,d=1500,dest=1", ""))
-	waitOnLoop(t, hearing, "a Retry-After to one sender reaches the other", func() bool { return hearing.choice.Learnt("full").Wait > 0 })
+	waitOnLoop(t, hearing, "a Retry-After to one sender reaches the other", func() bool { return hearing.choice.LearnedState("full").Wait > 0 })
 	packet := make([]byte, 300)
 	peer.SetReadDeadline(time.Now().Add(10 * time.Second))
 	n, _, err := peer.ReadFrom(packet)
--- a/internal/sender/learned_state.go
+++ b/internal/sender/learned_state.go
@@ -1,7 +1,7 @@
 package sender
 
 // This file carries what was learned of endpoints from one process to the next, in a file of the state folder: a graceful
-// shutdown writes it, a start reads it. What it holds is decided by package choice (choice.Learnt). It never keeps a start
+// shutdown writes it, a start reads it. What it holds is decided by package choice (choice.LearnedState). It never keeps a start
 // from happening, and what was learned of one machine is never used for another one with the same id.
 
 import (
@@ -36,7 +36,7 @@
 	Endpoint    choice.EndpointID    `json:"endpoint"`
 	Destination choice.DestinationID `json:"destination"`
 	Addr        string               `json:"addr"`
-	choice.Learnt
+	choice.LearnedState
 }
 
 // learnedFile is the whole file. Waits count from At, by the wall clock.
@@ -62,7 +62,7 @@
 	}
 	s.learned, s.learnedAt = map[choice.EndpointID]learnedEntry{}, file.At
 	for _, entry := range file.Endpoints {
-		if isPlausible(entry.Learnt) {
+		if isPlausible(entry.LearnedState) {
 			s.learned[entry.Endpoint] = entry
 		}
 	}
@@ -70,7 +70,7 @@
 }
 
 // isPlausible reports whether learned state from elsewhere can be believed.
-func isPlausible(l choice.Learnt) bool {
+func isPlausible(l choice.LearnedState) bool {
 	within := func(v, least, most float64) bool { return v >= least && v <= most }
 	const most = float64(maxLearnedTime)
 	return l.Mean > 0 && within(l.Mean, 0, most) &&
@@ -82,18 +82,18 @@
 }
 
 // isKnown reports whether anything has been learned of an endpoint.
-func isKnown(l choice.Learnt) bool { return l.Seen > 0 || l.Wait > 0 || l.Limit > 0 }
+func isKnown(l choice.LearnedState) bool { return l.Seen > 0 || l.Wait > 0 || l.Limit > 0 }
 
 // takeLearned gives what was learned of an endpoint to its first entry in the list, and once: later it is out of date. A
 // wait is shorter by the time since.
-func (s *Sender) takeLearned(e choice.Entry, addr string) *choice.Learnt {
+func (s *Sender) takeLearned(e choice.Entry, addr string) *choice.LearnedState {
 	entry, known := s.learned[e.Endpoint]
 	delete(s.learned, e.Endpoint)
 	if !known || entry.Addr != addr || entry.Destination != e.Destination {
 		return nil
 	}
 	entry.Wait = max(0, entry.Wait-max(0, s.Now()-s.learnedAt))
-	return &entry.Learnt
+	return &entry.LearnedState
 }
 
 // deleteLearned takes destinations out of the file, from where they would come back with a start after a kill, and returns
@@ -137,7 +137,7 @@
 	file := learnedFile{At: s.Now()}
 	capacity := int(learnedFileShare*float64(s.journal.Limit())) - learnedFileFrame
 	for _, id := range slices.Sorted(maps.Keys(s.endpoints)) {
-		e, l := s.endpoints[id], s.choice.Learnt(id)
+		e, l := s.endpoints[id], s.choice.LearnedState(id)
 		if e.gone || l.Seen == 0 && l.Wait == 0 {
 			continue
 		}
--- a/internal/sender/learned_state_test.go
+++ b/internal/sender/learned_state_test.go
@@ -46,7 +46,7 @@
 			t.Fatal(err)
 		}
 		l := recordCalls(t, startWith(fourClassConfig(dir, 100)))
-		if k := l.s.choice.Learnt("a"); (k.Seen == 9 && k.Mean == 900) != c.taken {
+		if k := l.s.choice.LearnedState("a"); (k.Seen == 9 && k.Mean == 900) != c.taken {
 			t.Errorf("%s: %+v", name, k)
 		}
 		client := newUnreadClient()
@@ -75,10 +75,10 @@
 	h.s.learnedStore = m
 	d := choice.DestinationID(1)
 	var found []together.Found
-	h.s.Orders().Purge([]together.Purge{{Seq: 1, Learnt: true, Match: together.Match{Destination: &d}},
-		{Seq: 2, Learnt: true, Match: together.Match{Class: "order"}}}, func(_ uint64, f []together.Found) { found = f })
+	h.s.Orders().Purge([]together.Purge{{Seq: 1, LearnedState: true, Match: together.Match{Destination: &d}},
+		{Seq: 2, LearnedState: true, Match: together.Match{Class: "order"}}}, func(_ uint64, f []together.Found) { found = f })
 	h.runNext().advance(5 * time.Millisecond)
-	if len(found) != 2 || found[0].Learnt != 2 || found[1].Learnt != 0 || len(m.voided) != 1 {
+	if len(found) != 2 || found[0].LearnedState != 2 || found[1].LearnedState != 0 || len(m.voided) != 1 {
 		t.Errorf("found %+v, void %v", found, m.voided)
 	}
 	left, _ := os.ReadFile(file)
--- a/internal/sender/move_test.go
+++ b/internal/sender/move_test.go
@@ -102,7 +102,7 @@
 	h := startWith(testConfigWith(dir, oldSettings, oldList)).submit("OUT.ADD k of c=offer,d=20000,dest=1 x")
 	h.endpointAnswers("HTTP/1.1 429 Wait\nRetry-After: 9\nContent-Length: 0\n\n").s.shutDown()
 	h = startWith(testConfigWith(dir, oldSettings, oldList))
-	fmt.Println("waits on:", h.s.choice.Learnt("a").Wait > 8*choice.Second, "kept for later:", len(h.s.learned))
+	fmt.Println("waits on:", h.s.choice.LearnedState("a").Wait > 8*choice.Second, "kept for later:", len(h.s.learned))
 	os.RemoveAll(dir)
 	// Output:
 	// call a: POST /inbox
@@ -133,7 +133,7 @@
 	dir, _ := os.MkdirTemp("", "sender")
 	show := func(list string) {
 		h := startWith(testConfigWith(dir, newSettings, list))
-		fmt.Printf("a: %+v\n", h.s.choice.Learnt("a"))
+		fmt.Printf("a: %+v\n", h.s.choice.LearnedState("a"))
 	}
 	h := startWith(testConfigWith(dir, oldSettings, oldList)).submit("OUT.ADD k of c=offer,d=20000,dest=1 x")
 	h.clock += 90 * time.Millisecond
@@ -183,7 +183,7 @@
 		}
 	}
 	seen := func(s *Sender, id choice.EndpointID) (calls float64) {
-		onLoop(t, s, func() { calls = s.choice.Learnt(id).Seen })
+		onLoop(t, s, func() { calls = s.choice.LearnedState(id).Seen })
 		return calls
 	}
 	meets := func(id string, times int) bool {
--- a/internal/sender/outcomes.go
+++ b/internal/sender/outcomes.go
@@ -72,7 +72,7 @@
 // outcome is what the answer to a call says of one of its messages.
 func (c *call) outcome(m *message, a answer, took choice.Time) choice.Outcome {
 	o := choice.Outcome{Message: m.ID, Attempt: m.attempts - 1, Endpoint: c.endpoint.id, Took: took, Result: a.result,
-		Final: a.final, Wait: a.wait, NoSlot: a.noSlot, Report: a.loadReport(), Kept: c.reused, Closed: a.close}
+		Final: a.final, Wait: a.wait, NoSlot: a.noSlot, Report: a.loadReport(), Reused: c.reused, Closed: a.close}
 	if len(c.messages) > 1 && a.result == choice.Done {
 		o.Result, o.Final = choice.Spoilt, false // unless the answer has its state
 		if status, known := bulkStates[a.states[m.ID]]; known {
--- a/internal/sender/purge.go
+++ b/internal/sender/purge.go
@@ -101,7 +101,7 @@
 		}
 		o.found = append(o.found, f)
 		work += 1 + len(s.accepted) + len(s.admitted)
-		if order.Learnt {
+		if order.LearnedState {
 			work += learnedPurgeWork
 		}
 	}
@@ -116,8 +116,8 @@
 		}
 		return f, nil
 	}
-	if order.Learnt {
-		if f.Learnt, err = s.purgeLearned(order); err != nil {
+	if order.LearnedState {
+		if f.LearnedState, err = s.purgeLearned(order); err != nil {
 			return f, err
 		}
 	}
@@ -130,7 +130,7 @@
 	if f != (together.Found{}) {
 		level = zap.InfoLevel
 	}
-	s.log.Log(level, "purge", zap.Uint64("seq", order.Seq), zap.String("id", order.ID), zap.Bool("learnt", order.Learnt),
+	s.log.Log(level, "purge", zap.Uint64("seq", order.Seq), zap.String("id", order.ID), zap.Bool("learnt", order.LearnedState),
 		zap.Any("found", f))
 	return f, nil
 }
@@ -225,7 +225,7 @@
 
 func (p appliedPurge) record() []byte {
 	out := binary.AppendUvarint([]byte{recPurge}, p.seq)
-	for _, n := range []int{p.found.NotBegun, p.found.MayRun, p.found.Delivered, p.found.Learnt} {
+	for _, n := range []int{p.found.NotBegun, p.found.MayRun, p.found.Delivered, p.found.LearnedState} {
 		out = binary.AppendVarint(out, int64(n))
 	}
 	return out
@@ -239,7 +239,7 @@
 	}
 	f := recordReader{rest: record[1+used:]}
 	p.seq = seq
-	for _, n := range []*int{&p.found.NotBegun, &p.found.MayRun, &p.found.Delivered, &p.found.Learnt} {
+	for _, n := range []*int{&p.found.NotBegun, &p.found.MayRun, &p.found.Delivered, &p.found.LearnedState} {
 		*n = int(f.readNumber())
 	}
 	return p, !f.invalid
--- a/internal/sender/purge_test.go
+++ b/internal/sender/purge_test.go
@@ -43,15 +43,15 @@
 	//    o1
 	//    s1
 	// client: +OK
-	// applied 3: [{NotBegun:2 MayRun:0 Delivered:0 Learnt:0}]
+	// applied 3: [{NotBegun:2 MayRun:0 Delivered:0 LearnedState:0}]
 	// platform: {"message":"o1","outcome":"given_up"}
 	// {"message":"nobody","outcome":"given_up"}
 	// call b: POST /inbox
 	//    s1
-	// applied 4: [{NotBegun:1 MayRun:0 Delivered:0 Learnt:0}]
+	// applied 4: [{NotBegun:1 MayRun:0 Delivered:0 LearnedState:0}]
 	// platform: {"message":"s1","outcome":"given_up"}
 	// the call is over: true timers: 3
-	// applied 5: [{NotBegun:0 MayRun:0 Delivered:0 Learnt:0}]
+	// applied 5: [{NotBegun:0 MayRun:0 Delivered:0 LearnedState:0}]
 	// owed: 1 to the platform: 0
 }
 
@@ -141,8 +141,8 @@
 	// client: +OK
 	// client: +OK
 	// client: +OK
-	// applied 2: [{NotBegun:1 MayRun:1 Delivered:0 Learnt:0}]
-	// applied 2: [{NotBegun:0 MayRun:1 Delivered:0 Learnt:0}]
+	// applied 2: [{NotBegun:1 MayRun:1 Delivered:0 LearnedState:0}]
+	// applied 2: [{NotBegun:0 MayRun:1 Delivered:0 LearnedState:0}]
 	// platform: {"message":"next","outcome":"given_up"}
 	// call a: POST /inbox
 	//    o
@@ -170,7 +170,7 @@
 	start(h.dir, 100).printPending()
 	os.RemoveAll(h.dir)
 	// Output:
-	// applied 1: [{NotBegun:1 MayRun:0 Delivered:0 Learnt:0}]
+	// applied 1: [{NotBegun:1 MayRun:0 Delivered:0 LearnedState:0}]
 	// owed: 0 to the platform: 0
 	// client: "-ERR given up\r\n", calls: 0
 	// owed: 0 to the platform: 0
@@ -211,20 +211,20 @@
 	os.RemoveAll(h.dir)
 	// Output:
 	// client: +OK
-	// applied 7: [{NotBegun:1 MayRun:0 Delivered:0 Learnt:0}]
+	// applied 7: [{NotBegun:1 MayRun:0 Delivered:0 LearnedState:0}]
 	// client: +OK
 	// killed
 	// applied: 7 taken on then: true
-	// applied 7: [{NotBegun:1 MayRun:0 Delivered:0 Learnt:0}]
+	// applied 7: [{NotBegun:1 MayRun:0 Delivered:0 LearnedState:0}]
 	// platform: {"message":"old","outcome":"given_up"}
 	// owed: 1 to the platform: 0
 	// killed
-	// applied 8: [{NotBegun:0 MayRun:0 Delivered:0 Learnt:0}]
+	// applied 8: [{NotBegun:0 MayRun:0 Delivered:0 LearnedState:0}]
 	// owed: 1 to the platform: 0
 	// killed
 	// the wall clock was put back: true
 	// killed
-	// applied 9: [{NotBegun:1 MayRun:0 Delivered:0 Learnt:0}]
+	// applied 9: [{NotBegun:1 MayRun:0 Delivered:0 LearnedState:0}]
 	// platform: {"message":"new","outcome":"given_up"}
 	// owed: 0 to the platform: 0
 }
--- a/internal/sender/together/together.go
+++ b/internal/sender/together/together.go
@@ -72,27 +72,27 @@
 
 // Found is what a purge met at one process.
 type Found struct {
-	NotBegun  int `json:"not_begun"` // ended here and now, and answered so
-	MayRun    int `json:"may_run"`   // a call is or was in flight: reported so, and not sent again
-	Delivered int `json:"delivered"` // ended before the purge came, as far as is remembered
-	Learnt    int `json:"learnt"`    // endpoints whose learned state was dropped
+	NotBegun     int `json:"not_begun"` // ended here and now, and answered so
+	MayRun       int `json:"may_run"`   // a call is or was in flight: reported so, and not sent again
+	Delivered    int `json:"delivered"` // ended before the purge came, as far as is remembered
+	LearnedState int `json:"learnt"`    // endpoints whose learned state was dropped
 }
 
 // Purge is one order to withdraw messages, or to drop learned state.
 type Purge struct {
-	Seq    uint64 // of the ledger; a process applies purges in this order, each once
-	ID     string
-	Learnt bool // it is about learned state, not messages
-	Match  Match
+	Seq          uint64 // of the ledger; a process applies purges in this order, each once
+	ID           string
+	LearnedState bool // it is about learned state, not messages
+	Match        Match
 	// Age is for how long the purge has been in force: what was accepted since is not touched.
 	Age time.Duration
 }
 
 // Lesson is learned state of an endpoint from elsewhere, and how old it is.
 type Lesson struct {
-	Endpoint choice.EndpointID
-	Learnt   choice.Learnt
-	Age      time.Duration
+	Endpoint     choice.EndpointID
+	LearnedState choice.LearnedState
+	Age          time.Duration
 }
 
 // Orders is what a cluster asks of its sender. Each may be called from any goroutine; done is called on the loop.
@@ -121,5 +121,5 @@
 	Destination choice.DestinationID
 	Bytes       int
 	Calls       float64 // answers that the learned state rests on: what it would cost to learn it again
-	Pinned      bool    // it must stay: a Retry-After, an outage, a slow start, a drain, an ordered key, or anything open
+	InUse       bool    // it must stay: a Retry-After, an outage, a slow start, a drain, an ordered key, or anything open
 }
--- a/internal/sender/withdrawal/withdrawal.go
+++ b/internal/sender/withdrawal/withdrawal.go
@@ -32,7 +32,7 @@
 // Takes reports whether an order matches a message with these properties that was accepted at a time, on the clock of the
 // cut; 0 stands for long ago. Keys are compared as the client writes them, not as the numbers that they stand for.
 func (o *Order) Takes(d choice.DestinationID, class, key string, acceptedAt choice.Time) bool {
-	return !o.Learnt && acceptedAt <= o.Cut && matches(&o.Match, d, class, key)
+	return !o.LearnedState && acceptedAt <= o.Cut && matches(&o.Match, d, class, key)
 }
 
 // matches reports whether a match names a message with these properties. Fields that are set must all agree. An empty
@@ -51,7 +51,7 @@
 // an order that also names a class or a key drops nothing.
 func (o *Order) Forgets(d choice.DestinationID) bool {
 	m := &o.Match
-	return o.Learnt && m.Destination != nil && *m.Destination == d && m.Class == "" && m.Key == "" && m.KeyPrefix == ""
+	return o.LearnedState && m.Destination != nil && *m.Destination == d && m.Class == "" && m.Key == "" && m.KeyPrefix == ""
 }
 
 // State is the state of a message at its sender.
--- a/internal/sender/withdrawal/withdrawal_test.go
+++ b/internal/sender/withdrawal/withdrawal_test.go
@@ -29,12 +29,12 @@
 		if got := order.Takes(5, "orders", "order-17", 0); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
 		}
-		if order.Learnt = true; order.Takes(5, "orders", "order-17", 0) {
+		if order.LearnedState = true; order.Takes(5, "orders", "order-17", 0) {
 			t.Errorf("%s: a purge of what was learnt takes no message", c.name)
 		}
 	}
 	forgets := func(m together.Match, d choice.DestinationID) bool {
-		return (&Order{Purge: together.Purge{Match: m, Learnt: true}}).Forgets(d)
+		return (&Order{Purge: together.Purge{Match: m, LearnedState: true}}).Forgets(d)
 	}
 	if !forgets(together.Match{Destination: &five}, 5) || forgets(together.Match{Destination: &five}, 6) ||
 		forgets(together.Match{Destination: &five, Key: "k"}, 5) || forgets(together.Match{Class: "orders"}, 5) {
--- a/lab/baseline/baseline.go
+++ b/lab/baseline/baseline.go
@@ -60,7 +60,7 @@
 		lines:    map[choice.OrderKey]*line{},
 	}
 	for _, l := range set.Classes {
-		p.shortest = min(p.shortest, l.ContractTime)
+		p.shortest = min(p.shortest, l.LatencyObjective)
 	}
 	return p
 }
--- a/lab/baseline/messages.go
+++ b/lab/baseline/messages.go
@@ -8,8 +8,8 @@
 	"flaxcove/choice"
 )
 
-// ListNews takes the list on.
-func (p *plain) ListNews(entries []choice.Entry, whole bool) {
+// UpdateEndpoints takes the list on.
+func (p *plain) UpdateEndpoints(entries []choice.Entry, whole bool) {
 	if whole {
 		for _, e := range p.ends {
 			e.Stage = choice.Gone
@@ -45,7 +45,7 @@
 		n.line = p.lineOf(n.Key)
 		n.line.messages = append(n.line.messages, n)
 	}
-	if n.MayRun && w.Repeat == choice.SingleUse {
+	if n.MayRun && w.Repeat == choice.NonIdempotent {
 		p.finish(n)
 		return
 	}
--- a/lab/baseline/outcome.go
+++ b/lab/baseline/outcome.go
@@ -96,7 +96,7 @@
 	switch {
 	case !n.MayRun:
 		return false
-	case w.Repeat == choice.SingleUse:
+	case w.Repeat == choice.NonIdempotent:
 		return true
 	case w.Repeat == choice.Keyed:
 		return w.ZoneGroup || at > n.RanAt+w.RepeatWindow-2*p.set.Turn-windowMargin
--- a/lab/cluster/play/play.go
+++ b/lab/cluster/play/play.go
@@ -150,19 +150,19 @@
 	spec.Name, spec.Seconds, spec.Senders, spec.Zones = s.Name, s.Seconds, s.Processes, s.Zones
 	spec.Load.Rate = s.Rate
 	spec.Classes = []world.Class{
-		{Name: "status", Share: 3, ContractMS: 800, DeadlineMS: 4000},
-		{Name: "order", Repeat: "single-use", Share: 1, ContractMS: 1500, DeadlineMS: 5000, Value: 3}}
+		{Name: "status", Share: 3, LatencyObjectiveMS: 800, DeadlineMS: 4000},
+		{Name: "order", Repeat: "single-use", Share: 1, LatencyObjectiveMS: 1500, DeadlineMS: 5000, Value: 3}}
 	ends := float64(min(4, s.Zones))
 	spec.Partners = []world.Kind{{Name: "shop", Count: 4, Endpoints: world.Pair{ends, ends}, Headroom: world.Pair{3, 4}, LeastRate: 40, Reports: true}}
 	for _, f := range s.Faults {
-		t := world.Trouble{At: f.At, Seconds: f.Seconds, Part: world.Part{Senders: f.From}}
+		t := world.Fault{At: f.At, Seconds: f.Seconds, Part: world.Part{Senders: f.From}}
 		switch f.Kind {
 		case "zone":
 			t.Kind, t.Part = "silent", world.Part{Zone: f.Zone}
 			if f.Every > 0 {
 				for at := f.At; at < f.At+f.Seconds; at += 2 * f.Every {
 					t.At, t.Seconds = at, min(f.Every, f.At+f.Seconds-at)
-					spec.Troubles = append(spec.Troubles, t)
+					spec.Faults = append(spec.Faults, t)
 				}
 				continue
 			}
@@ -173,7 +173,7 @@
 		default:
 			continue
 		}
-		spec.Troubles = append(spec.Troubles, t)
+		spec.Faults = append(spec.Faults, t)
 	}
 	spec.Defaults()
 	return &spec
--- a/lab/cluster/play/play_test.go
+++ b/lab/cluster/play/play_test.go
@@ -84,8 +84,8 @@
 	for _, b := range r.Breaks {
 		wrong = append(wrong, fmt.Sprintf("%s: %s", b.Promise, b.What))
 	}
-	if r.Trouble != "" {
-		wrong = append(wrong, r.Trouble)
+	if r.Fault != "" {
+		wrong = append(wrong, r.Fault)
 	}
 	// The referee's rules hang on the machine keeping time; on one that was too busy they say nothing.
 	if r.Void == "" && r.Broken() {
--- a/lab/cluster/size/cases.go
+++ b/lab/cluster/size/cases.go
@@ -24,8 +24,8 @@
 	s.Network.SameMS, s.Network.CrossMS = world.Pair{1, 3}, world.Pair{30, 40}
 	s.Load = load.Spec{Rate: rate, Zipf: 0.7, SenderSkew: 0}
 	s.Classes = []world.Class{
-		{Name: "status", Repeat: world.Idempotent, Share: 3, ContractMS: 800, DeadlineMS: 5000, Value: 1, LateValue: 0.1},
-		{Name: "order", Repeat: world.SingleUse, Share: 1, ContractMS: 3000, DeadlineMS: 9000, Value: 3, LateValue: 0.5},
+		{Name: "status", Repeat: world.Idempotent, Share: 3, LatencyObjectiveMS: 800, DeadlineMS: 5000, Value: 1, LateValue: 0.1},
+		{Name: "order", Repeat: world.NonIdempotent, Share: 1, LatencyObjectiveMS: 3000, DeadlineMS: 9000, Value: 3, LateValue: 0.5},
 	}
 	s.Partners = []world.Kind{
 		{Name: "told", Count: partners / 2, Endpoints: world.Pair{4, 4}, MeanMS: world.Pair{40, 100}, Reports: true,
@@ -37,12 +37,12 @@
 	return &s
 }
 
-func silent(zone int, at, seconds float64) world.Trouble {
-	return world.Trouble{Kind: "silent", At: at, Seconds: seconds, Part: world.Part{Zone: zone + 1}}
+func silent(zone int, at, seconds float64) world.Fault {
+	return world.Fault{Kind: "silent", At: at, Seconds: seconds, Part: world.Part{Zone: zone + 1}}
 }
 
-func made(name string, s *world.Spec, region func(int) int, from, to float64, all ...world.Trouble) Case {
-	s.Troubles = all
+func made(name string, s *world.Spec, region func(int) int, from, to float64, all ...world.Fault) Case {
+	s.Faults = all
 	s.Defaults()
 	return Case{Name: name, Spec: s, Region: region, From: from, To: to}
 }
@@ -62,17 +62,17 @@
 
 // Cases are all others with sixty senders.
 func Cases() []Case {
-	failing := func(zone int, at, seconds float64) world.Trouble {
-		return world.Trouble{Kind: "failing", At: at, Seconds: seconds, Amount: 0.95, Part: world.Part{Zone: zone + 1}}
+	failing := func(zone int, at, seconds float64) world.Fault {
+		return world.Fault{Kind: "failing", At: at, Seconds: seconds, Amount: 0.95, Part: world.Part{Zone: zone + 1}}
 	}
-	weak := func(zone int) world.Trouble {
-		return world.Trouble{Kind: "throttled", At: 8, Seconds: 20, Amount: 0.6, Part: world.Part{Zone: zone + 1}}
+	weak := func(zone int) world.Fault {
+		return world.Fault{Kind: "throttled", At: 8, Seconds: 20, Amount: 0.6, Part: world.Part{Zone: zone + 1}}
 	}
 	half := silent(0, 10, 12)
 	for i := 0; i < 24; i += 2 {
 		half.Part.Partners = append(half.Part.Partners, i)
 	}
-	var flaps []world.Trouble
+	var flaps []world.Fault
 	for at := 10.0; at < 70; at += 4 {
 		flaps = append(flaps, silent(0, at, 2))
 	}
--- a/lab/cluster/size/play.go
+++ b/lab/cluster/size/play.go
@@ -83,6 +83,6 @@
 	set := plan.Usual()
 	set.RatingIsRate = o.Spec.Sender.Rating == "nominal"
 	k := &o.Spec.Partners[0]
-	set.Cold, set.ColdFrom, set.FallMultiple = time.Duration(k.ColdS*float64(time.Second)), k.ColdFrom, o.Spec.Rules.FallMultiple
+	set.SlowStart, set.SlowStartFrom, set.FallMultiple = time.Duration(k.SlowStartS*float64(time.Second)), k.SlowStartFrom, o.Spec.Rules.FallMultiple
 	return set
 }
--- a/lab/cluster/size/process.go
+++ b/lab/cluster/size/process.go
@@ -14,7 +14,7 @@
 	"flaxcove/internal/cluster/failover/apply"
 	"flaxcove/internal/cluster/failover/plan"
 	"flaxcove/internal/cluster/failover/weigh"
-	"flaxcove/internal/cluster/sight"
+	"flaxcove/internal/cluster/healthreport"
 	"flaxcove/internal/cluster/view"
 )
 
@@ -43,9 +43,9 @@
 	began  time.Duration // what its clock shows at the start of the run
 	c      *counted
 	window *digest.Window
-	own    []sight.Sighting
+	own    []healthreport.Sample
 	ownAt  view.Now
-	told   map[sight.Place]telling
+	told   map[healthreport.Locality]telling
 	table  *table.Table
 
 	passing *weigh.Board
@@ -83,7 +83,7 @@
 
 func (p *process) start() {
 	p.window = digest.Make(p.name, p.zone, p.f.span, mostPlaces, p.now())
-	p.told, p.below = map[sight.Place]telling{}, map[view.Name]*child{}
+	p.told, p.below = map[healthreport.Locality]telling{}, map[view.Name]*child{}
 	p.table = table.Make(table.Bounds{Rows: mostPlaces, Witnesses: mostWitnesses, Keep: keepFor})
 	p.passing, p.weighed = weigh.NewBoard(weigh.Usual()), p.now()-weighEach
 	first := p.f.spread(string(p.name))
@@ -106,20 +106,20 @@
 	}
 }
 
-func (p *process) due(now view.Now) (tell []sight.Sighting) {
+func (p *process) due(now view.Now) (tell []healthreport.Sample) {
 	for _, s := range p.own {
-		last, ill := p.told[s.Place], s.Failed > 0
+		last, ill := p.told[s.Locality], s.Failed > 0
 		if ill || ill != last.ill || last.at == 0 || now-last.at >= calmEach {
 			tell = append(tell, s)
-			p.told[s.Place] = telling{now, ill}
+			p.told[s.Locality] = telling{now, ill}
 		}
 	}
-	maps.DeleteFunc(p.told, func(_ sight.Place, t telling) bool { return now-t.at > toldFor })
+	maps.DeleteFunc(p.told, func(_ healthreport.Locality, t telling) bool { return now-t.at > toldFor })
 	return tell
 }
 
-func (p *process) takeIn(now view.Now, all []sight.Sighting) {
-	if p.f.prompt && slices.ContainsFunc(all, func(s sight.Sighting) bool { return s.Failed > s.Done+s.Refused }) {
+func (p *process) takeIn(now view.Now, all []healthreport.Sample) {
+	if p.f.prompt && slices.ContainsFunc(all, func(s healthreport.Sample) bool { return s.Failed > s.Done+s.Refused }) {
 		p.news()
 	}
 	for _, s := range all {
@@ -151,7 +151,7 @@
 	}
 	if weighs && t.ZoneHead(p.zone) == p.name {
 		seen := p.table.Read(now)
-		slices.SortFunc(seen, func(a, b sight.Sighting) int { return table.Order(&a, &b) })
+		slices.SortFunc(seen, func(a, b healthreport.Sample) int { return table.Order(&a, &b) })
 		p.passing.Put(now, slices.DeleteFunc(weigh.Zonal(p.zone, seen, weigh.Usual()), func(w weigh.Report) bool {
 			return w.Idle() && w.Zone != p.zone && t.ZoneHead(w.Zone) != ""
 		}))
@@ -170,7 +170,7 @@
 	ill := map[apply.At]bool{}
 	for _, s := range p.own {
 		s.Age += now - p.ownAt
-		if weigh.Ill([]sight.Sighting{s}, weigh.Usual()) {
+		if weigh.Ill([]healthreport.Sample{s}, weigh.Usual()) {
 			ill[apply.At{Destination: s.Destination, Zone: p.f.numbers[s.Zone]}] = true
 		}
 	}
--- a/lab/cluster/size/sender.go
+++ b/lab/cluster/size/sender.go
@@ -8,7 +8,7 @@
 
 	"flaxcove/choice"
 	"flaxcove/internal/cluster/failover/apply"
-	"flaxcove/internal/cluster/sight"
+	"flaxcove/internal/cluster/healthreport"
 	"flaxcove/internal/cluster/view"
 	"flaxcove/internal/sender/together"
 	"flaxcove/lab/sim"
@@ -31,9 +31,9 @@
 	open    map[choice.MessageID]choice.Message
 	entries map[choice.EndpointID]*entry
 	byDest  map[choice.DestinationID][]*entry
-	escape  bool                          // where no plan says otherwise, past a home that this sender sees fail
-	seen    map[sight.Place]*together.Row // since the last digest
-	listed  map[sight.Place]*listing
+	escape  bool                                    // where no plan says otherwise, past a home that this sender sees fail
+	seen    map[healthreport.Locality]*together.Row // since the last digest
+	listed  map[healthreport.Locality]*listing
 	changed bool
 	digests uint64
 }
@@ -53,10 +53,10 @@
 
 func newCounted(h choice.Host, set choice.Settings, g *values) *counted {
 	c := &counted{Host: h, zone: set.Zone, set: set, values: g, open: map[choice.MessageID]choice.Message{},
-		entries: map[choice.EndpointID]*entry{}, byDest: map[choice.DestinationID][]*entry{}, seen: map[sight.Place]*together.Row{}, listed: map[sight.Place]*listing{}}
+		entries: map[choice.EndpointID]*entry{}, byDest: map[choice.DestinationID][]*entry{}, seen: map[healthreport.Locality]*together.Row{}, listed: map[healthreport.Locality]*listing{}}
 	for i, w := range set.Classes {
-		if i == 0 || w.ContractTime < c.shortest {
-			c.shortest = w.ContractTime
+		if i == 0 || w.LatencyObjective < c.shortest {
+			c.shortest = w.LatencyObjective
 		}
 	}
 	return c
@@ -98,7 +98,7 @@
 
 // And what follows is sim.Policy.
 
-func (c *counted) ListNews(entries []choice.Entry, whole bool) {
+func (c *counted) UpdateEndpoints(entries []choice.Entry, whole bool) {
 	if whole {
 		for _, e := range c.entries {
 			e.Stage = choice.Gone
@@ -112,7 +112,7 @@
 		c.entries[e.Endpoint].Entry = e
 	}
 	c.changed = true
-	c.policy.ListNews(entries, whole)
+	c.policy.UpdateEndpoints(entries, whole)
 }
 
 func (c *counted) Taken(n choice.Message) {
@@ -177,11 +177,11 @@
 	}
 }
 
-func placeOf(e *entry) sight.Place {
-	return sight.Place{Destination: e.Destination, Zone: zoneName(int(e.Zone))}
+func placeOf(e *entry) healthreport.Locality {
+	return healthreport.Locality{Destination: e.Destination, Zone: zoneName(int(e.Zone))}
 }
 
-func (c *counted) row(at sight.Place) *together.Row {
+func (c *counted) row(at healthreport.Locality) *together.Row {
 	r := c.seen[at]
 	if r == nil {
 		r = &together.Row{Destination: at.Destination, Zone: string(at.Zone)}
@@ -218,7 +218,7 @@
 func (c *counted) readList() {
 	c.changed = false
 	old := c.listed
-	c.listed = map[sight.Place]*listing{}
+	c.listed = map[healthreport.Locality]*listing{}
 	for _, e := range c.entries {
 		if e.Stage != choice.Ready {
 			continue
--- a/lab/experiment/single.go
+++ b/lab/experiment/single.go
@@ -62,8 +62,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if r.Trouble != "" {
-		return nil, errors.New(r.Trouble)
+	if r.Fault != "" {
+		return nil, errors.New(r.Fault)
 	}
 	return r.Verdict, nil
 }
--- a/lab/hunt/draw.go
+++ b/lab/hunt/draw.go
@@ -15,7 +15,7 @@
 var endpointTroubles, otherTroubles = troubleKinds()
 
 func troubleKinds() (endpoints, others []string) {
-	for name, kind := range world.TroubleKinds {
+	for name, kind := range world.FaultKinds {
 		switch {
 		case kind.Strikes == "endpoints":
 			endpoints = append(endpoints, name)
@@ -47,7 +47,7 @@
 		d.spec.Partners = append(d.spec.Partners, d.partner(i))
 	}
 	for range 1 + rng.IntN(4) {
-		d.spec.Troubles = append(d.spec.Troubles, d.trouble())
+		d.spec.Faults = append(d.spec.Faults, d.trouble())
 	}
 	for range rng.IntN(3) {
 		d.spec.Changes = append(d.spec.Changes, d.change())
@@ -97,35 +97,35 @@
 func (d *drawer) class(no int) world.Class {
 	contract := float64(300 + d.rng.IntN(3000))
 	return world.Class{
-		Name:       fmt.Sprintf("w%d", no),
-		Repeat:     pick(d, world.Idempotent, world.Keyed, world.SingleUse),
-		Share:      d.figure(0.3, 3),
-		ContractMS: contract,
-		DeadlineMS: contract * (2 + float64(d.rng.IntN(6))),
-		Value:      d.figure(0.5, 4),
-		LateValue:  d.figure(0, 0.6),
-		Ordered:    d.chance(0.25),
-		ZoneGroup:  d.chance(0.3),
-		WindowS:    d.figure(0.5, 6),
+		Name:               fmt.Sprintf("w%d", no),
+		Repeat:             pick(d, world.Idempotent, world.Keyed, world.NonIdempotent),
+		Share:              d.figure(0.3, 3),
+		LatencyObjectiveMS: contract,
+		DeadlineMS:         contract * (2 + float64(d.rng.IntN(6))),
+		Value:              d.figure(0.5, 4),
+		LateValue:          d.figure(0, 0.6),
+		Ordered:            d.chance(0.25),
+		ZoneGroup:          d.chance(0.3),
+		WindowS:            d.figure(0.5, 6),
 	}
 }
 
 func (d *drawer) partner(no int) world.Kind {
 	k := world.Kind{
-		Name:       fmt.Sprintf("k%d", no),
-		Count:      max(1, int(d.between(1, 7)*d.scale+0.5)),
-		Endpoints:  world.Pair{1, float64(1 + d.rng.IntN(4))},
-		MeanMS:     d.pair(world.Pair{15, 100}, world.Pair{100, 350}),
-		Sigma:      d.figure(0.2, 1.2),
-		Headroom:   d.pair(world.Pair{1.05, 1.8}, world.Pair{1.8, 4}),
-		Queue:      d.figure(0.5, 6),
-		Told:       d.figure(0, 1),
-		Reports:    d.chance(0.6),
-		ColdS:      d.figure(3, 15),
-		ColdFrom:   d.figure(0.1, 0.5),
-		IdleS:      d.figure(2, 15),
-		ShakeMS:    float64(d.rng.IntN(60)),
-		ErrorShare: d.figure(0, 0.02),
+		Name:          fmt.Sprintf("k%d", no),
+		Count:         max(1, int(d.between(1, 7)*d.scale+0.5)),
+		Endpoints:     world.Pair{1, float64(1 + d.rng.IntN(4))},
+		MeanMS:        d.pair(world.Pair{15, 100}, world.Pair{100, 350}),
+		Sigma:         d.figure(0.2, 1.2),
+		Headroom:      d.pair(world.Pair{1.05, 1.8}, world.Pair{1.8, 4}),
+		Queue:         d.figure(0.5, 6),
+		Told:          d.figure(0, 1),
+		Reports:       d.chance(0.6),
+		SlowStartS:    d.figure(3, 15),
+		SlowStartFrom: d.figure(0.1, 0.5),
+		IdleS:         d.figure(2, 15),
+		ShakeMS:       float64(d.rng.IntN(60)),
+		ErrorShare:    d.figure(0, 0.02),
 	}
 	d.drawLimit(&k)
 	if d.chance(0.3) {
@@ -154,8 +154,8 @@
 	}
 }
 
-func (d *drawer) trouble() world.Trouble {
-	t := world.Trouble{
+func (d *drawer) trouble() world.Fault {
+	t := world.Fault{
 		At:      d.figure(1, d.spec.Seconds*0.6),
 		Seconds: d.figure(2, d.spec.Seconds*0.35),
 	}
@@ -163,18 +163,18 @@
 		d.drawEndpoints(&t)
 	} else {
 		t.Kind = pick(d, otherTroubles...)
-		if world.TroubleKinds[t.Kind].Strikes == "senders" {
+		if world.FaultKinds[t.Kind].Strikes == "senders" {
 			t.Part.Share = d.figure(0.2, 1)
 		}
 	}
-	if kind := world.TroubleKinds[t.Kind]; kind.Amount != "" && d.chance(0.7) {
+	if kind := world.FaultKinds[t.Kind]; kind.Amount != "" && d.chance(0.7) {
 		t.Amount = round(min(kind.Most, max(kind.Least, kind.Default*d.between(0.4, 1.6))))
 	}
 	return t
 }
 
 // drawEndpoints draws a trouble of endpoints and which ones it strikes.
-func (d *drawer) drawEndpoints(t *world.Trouble) {
+func (d *drawer) drawEndpoints(t *world.Fault) {
 	t.Kind = pick(d, endpointTroubles...)
 	t.Part.Share = d.figure(0.1, 0.7)
 	if d.chance(0.3) {
--- a/lab/hunt/hunt_test.go
+++ b/lab/hunt/hunt_test.go
@@ -47,12 +47,12 @@
 func TestShrinkKeepsTheFind(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 6))
 	spec := Draw(rng, 4)
-	spec.Troubles = append(spec.Troubles, world.Trouble{Kind: "crash", At: 3, Seconds: 4, Part: world.Part{Share: 0.5}})
+	spec.Faults = append(spec.Faults, world.Fault{Kind: "crash", At: 3, Seconds: 4, Part: world.Part{Share: 0.5}})
 	spec.Defaults()
 	runs := 0
 	play := func(s *world.Spec, _ uint64, _ bool) (Played, error) {
 		runs++
-		for _, tr := range s.Troubles {
+		for _, tr := range s.Faults {
 			if tr.Kind == "crash" && s.Senders >= 2 {
 				return Played{Rules: map[referee.Rule]int{referee.Returns: 1}}, nil
 			}
@@ -63,7 +63,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if p.Rules[referee.Returns] != 1 || small.Senders != 2 || len(small.Troubles) != 1 || len(small.Partners) != 1 || runs > 401 {
-		t.Errorf("after %d runs: %d senders, %d troubles, %d kinds", runs, small.Senders, len(small.Troubles), len(small.Partners))
+	if p.Rules[referee.Returns] != 1 || small.Senders != 2 || len(small.Faults) != 1 || len(small.Partners) != 1 || runs > 401 {
+		t.Errorf("after %d runs: %d senders, %d troubles, %d kinds", runs, small.Senders, len(small.Faults), len(small.Partners))
 	}
 }
--- a/lab/hunt/shrink.go
+++ b/lab/hunt/shrink.go
@@ -76,7 +76,7 @@
 	c := *s.of
 	c.Classes = slices.Clone(c.Classes)
 	c.Partners = slices.Clone(c.Partners)
-	c.Troubles = slices.Clone(c.Troubles)
+	c.Faults = slices.Clone(c.Faults)
 	c.Changes = slices.Clone(c.Changes)
 	change(&c)
 	s.all = append(s.all, &c)
@@ -102,8 +102,8 @@
 }
 
 func (s *smaller) withoutTroubles() {
-	for i := range s.of.Troubles {
-		s.try(func(c *world.Spec) { c.Troubles = slices.Delete(c.Troubles, i, i+1) })
+	for i := range s.of.Faults {
+		s.try(func(c *world.Spec) { c.Faults = slices.Delete(c.Faults, i, i+1) })
 	}
 	if len(s.of.Changes) > 0 {
 		s.try(func(c *world.Spec) { c.Changes = nil })
@@ -161,7 +161,7 @@
 // shorter ends the run soon after the last thing that happens in it.
 func (s *smaller) shorter() {
 	latest := 0.0
-	for _, t := range s.of.Troubles {
+	for _, t := range s.of.Faults {
 		latest = max(latest, t.At+t.Seconds)
 	}
 	for _, c := range s.of.Changes {
--- a/lab/limits/limits.go
+++ b/lab/limits/limits.go
@@ -64,8 +64,8 @@
 	s.Name, s.Seconds = name, seconds
 	s.Prices = world.Prices{}
 	s.Classes = []world.Class{
-		{Name: "status", Repeat: world.Idempotent, Share: 1, ContractMS: 1000, DeadlineMS: 6000, Value: 1, LateValue: 0.1},
-		{Name: "order", Repeat: world.SingleUse, Share: 1, ContractMS: 2000, DeadlineMS: 8000, Value: 2, LateValue: 0.5}}
+		{Name: "status", Repeat: world.Idempotent, Share: 1, LatencyObjectiveMS: 1000, DeadlineMS: 6000, Value: 1, LateValue: 0.1},
+		{Name: "order", Repeat: world.NonIdempotent, Share: 1, LatencyObjectiveMS: 2000, DeadlineMS: 8000, Value: 2, LateValue: 0.5}}
 	s.Clients.Retries = 0 // a message that is turned away counts as that
 	return s
 }
@@ -78,8 +78,8 @@
 	s.Sender.InFlightLimit = max(8, int(rate/10))
 	s.Sender.MaxOpen = max(64, int(8*rate))
 	s.Partners = []world.Kind{{Name: "noisy", Count: 1, Endpoints: world.Pair{1, 1}, MeanMS: world.Pair{20, 20}, Sigma: 0.5,
-		Headroom: world.Pair{4, 4}, LeastRate: 100, Queue: 4, ColdS: 8, ColdFrom: 0.2, IdleS: 10}}
-	t := world.Trouble{Seconds: seconds, Amount: share}
+		Headroom: world.Pair{4, 4}, LeastRate: 100, Queue: 4, SlowStartS: 8, SlowStartFrom: 0.2, IdleS: 10}}
+	t := world.Fault{Seconds: seconds, Amount: share}
 	switch mode {
 	case Chance:
 		t.Kind = "refusing"
@@ -98,7 +98,7 @@
 		return nil, fmt.Errorf("no noise is called %q", mode)
 	}
 	if share > 0 {
-		s.Troubles = []world.Trouble{t}
+		s.Faults = []world.Fault{t}
 	}
 	s.Defaults()
 	if p := s.Check(); len(p) > 0 {
@@ -173,14 +173,14 @@
 	s.Sender.InFlightLimit = max(8, int(perSender))
 	s.Clients.Own = true
 	kind := world.Kind{Name: "shared", Count: 1, Endpoints: world.Pair{2, 2}, MeanMS: world.Pair{20, 20}, Sigma: 0.5, Limit: "rate",
-		LimitTimes: world.Pair{0.75, 0.75}, LeastRate: 1, Headroom: world.Pair{4, 4}, Queue: 4, ColdS: 8, ColdFrom: 0.2, IdleS: 10,
+		LimitTimes: world.Pair{0.75, 0.75}, LeastRate: 1, Headroom: world.Pair{4, 4}, Queue: 4, SlowStartS: 8, SlowStartFrom: 0.2, IdleS: 10,
 		CountAll: countAll}
 	if span > 0 {
 		kind.Limit, kind.SpanS = "span", span
 	}
 	s.Partners = []world.Kind{kind}
 	third := seconds / 3
-	s.Troubles = []world.Trouble{{Kind: "throttled", At: third, Seconds: third, Amount: 1. / 3},
+	s.Faults = []world.Fault{{Kind: "throttled", At: third, Seconds: third, Amount: 1. / 3},
 		{Kind: "sender_kill", At: 0.01, Seconds: third / 2, Part: world.Part{Senders: []int{senders - 1}}}}
 	s.Defaults()
 	if p := s.Check(); len(p) > 0 {
--- a/lab/live/live.go
+++ b/lab/live/live.go
@@ -79,8 +79,8 @@
 type Result struct {
 	*referee.Verdict
 	Figures Figures `json:"figures"`
-	Trouble string  `json:"trouble,omitempty"` // a sender that died, hung, would not start, or was slow to end
-	// SlowEnd says that Trouble tells of no more than a sender that took longer to end after SIGTERM than it may.
+	Fault   string  `json:"trouble,omitempty"` // a sender that died, hung, would not start, or was slow to end
+	// SlowEnd says that Fault tells of no more than a sender that took longer to end after SIGTERM than it may.
 	SlowEnd bool `json:"slow_end,omitempty"`
 }
 
--- a/lab/live/live_test.go
+++ b/lab/live/live_test.go
@@ -28,10 +28,10 @@
 	s := world.Base()
 	s.Name, s.Seconds, s.Senders = "short", 5, 2
 	s.Load.Rate = 40
-	s.Classes = []world.Class{{Name: "status", Share: 3, ContractMS: 500, DeadlineMS: 2500},
-		{Name: "order", Repeat: "single-use", Share: 1, ContractMS: 800, DeadlineMS: 3000, Value: 3}}
+	s.Classes = []world.Class{{Name: "status", Share: 3, LatencyObjectiveMS: 500, DeadlineMS: 2500},
+		{Name: "order", Repeat: "single-use", Share: 1, LatencyObjectiveMS: 800, DeadlineMS: 3000, Value: 3}}
 	s.Partners = []world.Kind{{Name: "small", Count: 3, Reports: true}, {Name: "bulk", Count: 2, Bundle: 4, Endpoints: world.Pair{2, 2}}}
-	s.Troubles = []world.Trouble{{Kind: "crash", At: 1, Seconds: 1, Part: world.Part{Partners: []int{0}}},
+	s.Faults = []world.Fault{{Kind: "crash", At: 1, Seconds: 1, Part: world.Part{Partners: []int{0}}},
 		{Kind: "sender_kill", At: 2, Seconds: 0.6, Part: world.Part{Senders: []int{1}}},
 		{Kind: "hung", At: 2.5, Seconds: 1, Part: world.Part{Partners: []int{1}}},
 		{Kind: "spoilt", At: 3, Seconds: 1, Amount: 0.5, Part: world.Part{Partners: []int{3}}},
@@ -72,8 +72,8 @@
 		if r.Void != "" {
 			t.Skip(r.Void)
 		}
-		if r.Trouble != "" || r.Broken() || r.Asked < 100 || float64(r.Delivered) < 0.7*float64(r.Asked) {
-			t.Errorf("%s; %d of %d delivered; %v", r.Trouble, r.Delivered, r.Asked, r.Breaks)
+		if r.Fault != "" || r.Broken() || r.Asked < 100 || float64(r.Delivered) < 0.7*float64(r.Asked) {
+			t.Errorf("%s; %d of %d delivered; %v", r.Fault, r.Delivered, r.Asked, r.Breaks)
 		}
 		if r.Figures.Counters[0]["reloads"] != 1 || r.Figures.Counters[0]["endings_owed"] != 0 {
 			t.Errorf("reloads %d, endings owed %d", r.Figures.Counters[0]["reloads"], r.Figures.Counters[0]["endings_owed"])
@@ -91,31 +91,31 @@
 	})
 	t.Run("a sender that dies", func(t *testing.T) {
 		spec := short()
-		spec.Troubles = nil
+		spec.Faults = nil
 		r, err := Run(context.Background(), Options{Spec: spec, Seed: 1,
 			Command: []string{"/bin/sh", "-c", binary + " serve & pid=$!; sleep 1.5; kill -9 $pid; exit 7"}})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if !strings.Contains(r.Trouble, "ended by itself") || r.Figure != 0 {
-			t.Errorf("%q, figure %g", r.Trouble, r.Figure)
+		if !strings.Contains(r.Fault, "ended by itself") || r.Figure != 0 {
+			t.Errorf("%q, figure %g", r.Fault, r.Figure)
 		}
 	})
 	t.Run("a sender that hangs", func(t *testing.T) {
 		spec := short()
-		spec.Seconds, spec.Troubles, spec.Changes = 2, nil, nil
+		spec.Seconds, spec.Faults, spec.Changes = 2, nil, nil
 		r, err := Run(context.Background(), Options{Spec: spec, Seed: 1,
 			Command: []string{"/bin/sh", "-c", binary + " serve & pid=$!; sleep 1.2; while kill -STOP $pid 2>/dev/null; do sleep 0.02; done"}})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if !strings.Contains(r.Trouble, "hangs") {
-			t.Errorf("%q", r.Trouble)
+		if !strings.Contains(r.Fault, "hangs") {
+			t.Errorf("%q", r.Fault)
 		}
 	})
 	t.Run("a machine that is too busy", func(t *testing.T) {
 		spec := short()
-		spec.Seconds, spec.Troubles, spec.Changes = 3, nil, nil
+		spec.Seconds, spec.Faults, spec.Changes = 3, nil, nil
 		stopped := false
 		r, err := Run(context.Background(), Options{Spec: spec, Seed: 1, Command: []string{binary, "serve"}, Watch: func(choice.Time) {
 			if !stopped {
@@ -126,8 +126,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if r.Trouble != "" || !strings.Contains(r.Void, "too busy") {
-			t.Errorf("%q, void %q", r.Trouble, r.Void)
+		if r.Fault != "" || !strings.Contains(r.Void, "too busy") {
+			t.Errorf("%q, void %q", r.Fault, r.Void)
 		}
 	})
 	t.Run("an end from outside", func(t *testing.T) {
--- a/lab/live/wire.go
+++ b/lab/live/wire.go
@@ -41,12 +41,12 @@
 }
 
 func (e *engine) amount(kind string) float64 {
-	for i := range e.o.Spec.Troubles {
-		if t := &e.o.Spec.Troubles[i]; t.Kind == kind {
+	for i := range e.o.Spec.Faults {
+		if t := &e.o.Spec.Faults[i]; t.Kind == kind {
 			return t.Amount
 		}
 	}
-	return world.TroubleKinds[kind].Default
+	return world.FaultKinds[kind].Default
 }
 
 func (e *engine) HandIn(h *world.HandIn) { e.pools[h.Sender].handIn(h) }
--- a/lab/referee/calls.go
+++ b/lab/referee/calls.go
@@ -37,7 +37,7 @@
 	return int(e.Partner.No)
 }
 
-func singleUse(h *world.HandIn) bool { return h.Ask.Class.Repeat == world.SingleUse }
+func singleUse(h *world.HandIn) bool { return h.Ask.Class.Repeat == world.NonIdempotent }
 
 // Began hears that a call left its sender.
 func (r *Referee) Began(c *world.Call) {
@@ -133,7 +133,7 @@
 	now, e, s, h := r.clock(), c.Conn.Endpoint, c.Conn.Sender, n.handIn
 	w := h.Ask.Class
 	switch w.Repeat {
-	case world.SingleUse:
+	case world.NonIdempotent:
 		r.broken(Twice, s, "%s is single-use, may have run, and was sent again", h.ID)
 	case world.Keyed:
 		if window := Time(w.WindowS * float64(choice.Second)); now > n.mayRunAt+window+r.slack {
--- a/lab/referee/clients.go
+++ b/lab/referee/clients.go
@@ -141,7 +141,7 @@
 	r.v.Delivered++
 	r.second(r.clock()).Delivered++
 	r.recordDelivery(ask, took)
-	if took <= milliseconds(ask.Class.ContractMS) {
+	if took <= milliseconds(ask.Class.LatencyObjectiveMS) {
 		r.v.InTime++
 	}
 	if counts(ask) {
@@ -165,6 +165,6 @@
 
 // Fade is the share of a class's value that is left when it is delivered so long after it was first handed in.
 func Fade(spec *world.Spec, w *world.Class, took Time) float64 {
-	c := choice.Class{ContractTime: milliseconds(w.ContractMS), Deadline: milliseconds(w.DeadlineMS), LateValue: w.LateValue}
+	c := choice.Class{LatencyObjective: milliseconds(w.LatencyObjectiveMS), Deadline: milliseconds(w.DeadlineMS), LateValue: w.LateValue}
 	return c.Fade(took, spec.Halving)
 }
--- a/lab/referee/endpoints.go
+++ b/lab/referee/endpoints.go
@@ -80,16 +80,16 @@
 	}
 }
 
-// Trouble hears that a trouble begins or ends.
-func (r *Referee) Trouble(t *world.Trouble, on bool, parts int) {
+// Fault hears that a trouble begins or ends.
+func (r *Referee) Fault(t *world.Fault, on bool, parts int) {
 	now := sec(r.clock())
 	if on {
-		r.v.Troubles = append(r.v.Troubles, Span{Kind: t.Kind, From: now, To: r.spec.Seconds, Parts: parts, no: t})
+		r.v.Faults = append(r.v.Faults, Span{Kind: t.Kind, From: now, To: r.spec.Seconds, Parts: parts, no: t})
 		return
 	}
-	for i := range r.v.Troubles {
-		if r.v.Troubles[i].no == t {
-			r.v.Troubles[i].To = now
+	for i := range r.v.Faults {
+		if r.v.Faults[i].no == t {
+			r.v.Faults[i].To = now
 		}
 	}
 }
