--- a/lab/referee/referee_test.go
+++ b/lab/referee/referee_test.go
@@ -18,13 +18,13 @@
 	s.Load.Rate, s.Load.Zipf = 60, 0.6
 	s.Load.Keys = 2
 	s.Classes = []world.Class{
-		{Name: "status", Repeat: "replayable", Share: 2, ContractMS: 800, DeadlineMS: 5000, Value: 1, LateValue: 0.1},
-		{Name: "order", Repeat: "single-use", Share: 1, ContractMS: 2000, DeadlineMS: 8000, Value: 3, LateValue: 0.5},
-		{Name: "ledger", Repeat: "replayable", Share: 1, ContractMS: 2000, DeadlineMS: 8000, Value: 2, LateValue: 0.5, Ordered: true},
+		{Name: "status", Repeat: "replayable", Share: 2, LatencyObjectiveMS: 800, DeadlineMS: 5000, Value: 1, LateValue: 0.1},
+		{Name: "order", Repeat: "single-use", Share: 1, LatencyObjectiveMS: 2000, DeadlineMS: 8000, Value: 3, LateValue: 0.5},
+		{Name: "ledger", Repeat: "replayable", Share: 1, LatencyObjectiveMS: 2000, DeadlineMS: 8000, Value: 2, LateValue: 0.5, Ordered: true},
 	}
-	s.Partners = []world.Kind{{Name: "plain", Count: 5, Endpoints: world.Pair{1, 3}, ColdS: 10, ColdFrom: 0.1, Headroom: world.Pair{1.2, 1.6}},
+	s.Partners = []world.Kind{{Name: "plain", Count: 5, Endpoints: world.Pair{1, 3}, SlowStartS: 10, SlowStartFrom: 0.1, Headroom: world.Pair{1.2, 1.6}},
 		{Name: "strict", Count: 3, Limit: "span", SpanS: 2, Told: 1, LimitTimes: world.Pair{0.8, 1.1}}}
-	s.Troubles = []world.Trouble{
+	s.Faults = []world.Fault{
 		{Kind: "crash", At: 4, Seconds: 3, Part: world.Part{Kind: "plain", Share: 0.4}},
 		{Kind: "failing", At: 10, Seconds: 4, Amount: 0.4, Part: world.Part{Kind: "plain"}},
 		{Kind: "sender_kill", At: 14, Seconds: 1, Part: world.Part{Share: 0.3}},
@@ -110,14 +110,14 @@
 	p.Policy.Taken(n)
 }
 
-func (p *wrong) ListNews(entries []choice.Entry, whole bool) {
+func (p *wrong) UpdateEndpoints(entries []choice.Entry, whole bool) {
 	if p.how == "passes over drains" {
 		entries = append([]choice.Entry(nil), entries...)
 		for i := range entries {
 			entries[i].Stage = choice.Ready
 		}
 	}
-	p.Policy.ListNews(entries, whole)
+	p.Policy.UpdateEndpoints(entries, whole)
 }
 
 func (p *wrong) TurnEnd() {
@@ -168,7 +168,7 @@
 			if how == "pushes over" {
 				spec.Load.Rate = 200
 				spec.Partners[0].Headroom = world.Pair{1, 1}
-				spec.Troubles = spec.Troubles[:1]
+				spec.Faults = spec.Faults[:1]
 				spec.Defaults()
 			}
 			v := play(t, spec, how)
--- a/lab/referee/verdict.go
+++ b/lab/referee/verdict.go
@@ -49,7 +49,7 @@
 	Classes   []Class  `json:"workloads"`
 	TakenOnMS Latency  `json:"taken_on_ms"`
 	Seconds   []Second `json:"seconds,omitempty"`
-	Troubles  []Span   `json:"troubles,omitempty"`
+	Faults    []Span   `json:"troubles,omitempty"`
 	Returns   []Return `json:"returns,omitempty"`
 	Engines   *Engines `json:"engine_figures,omitempty"`
 }
@@ -102,7 +102,7 @@
 	To    float64 `json:"to_s"`
 	Parts int     `json:"parts"`
 
-	no *world.Trouble
+	no *world.Fault
 }
 
 // Return is what came to an endpoint after its outages, in times of what would push it over.
--- a/lab/report/html.go
+++ b/lab/report/html.go
@@ -76,7 +76,7 @@
 Asked {{.V.Asked}}, delivered {{.V.Delivered}}, of these in contract time {{.V.InTime}}; shed {{.V.Shed}}, handed back {{.V.HandedBack}}, given up {{.V.Failed}}; {{.V.Calls}} calls, {{.V.Refusals}} refused, {{.V.FailedCalls}} failed.</p>
 <h3>What became of what was asked</h3><div class="plot">{{.Rates}}</div><h3>Time from first wanted to delivered</h3><div class="plot">{{.Latency}}</div>
 {{if .Returns}}<h3>Load on endpoints that came back</h3><div class="plot">{{.Returns}}</div>{{end}}
-{{if .V.Troubles}}<p class="dim">Shaded: {{range $i, $t := .V.Troubles}}{{if $i}}, {{end}}{{$t.Kind}} from {{f1 $t.From}} to {{f1 $t.To}} s ({{$t.Parts}} struck){{end}}.</p>{{end}}
+{{if .V.Faults}}<p class="dim">Shaded: {{range $i, $t := .V.Faults}}{{if $i}}, {{end}}{{$t.Kind}} from {{f1 $t.From}} to {{f1 $t.To}} s ({{$t.Parts}} struck){{end}}.</p>{{end}}
 <div class="wide"><table><tr><th>workload</th><th>asked</th><th>delivered</th><th>gain kept</th><th>p50 ms</th><th>p99 ms</th><th>p99.9 ms</th></tr>
 {{range .Rows}}<tr><td>{{.Name}}</td><td>{{.Asked}}</td><td>{{.Delivered}}</td><td>{{f3 .Share}}</td><td>{{f1 .Delivery.P50}}</td><td>{{f1 .Delivery.P99}}</td><td>{{f1 .Delivery.P999}}</td></tr>{{end}}</table></div>
 {{if .V.Breaks}}<h3>Broken rules</h3><ul>{{range .V.Breaks}}<li>{{.Rule}} at {{f3 .At}} s: {{.What}}</li>{{end}}</ul>{{end}}
--- a/lab/report/plots.go
+++ b/lab/report/plots.go
@@ -111,7 +111,7 @@
 		}
 	}
 	p := newPlot("seconds", "a second")
-	if err := shadeTroubles(p, v.Troubles, top); err != nil {
+	if err := shadeTroubles(p, v.Faults, top); err != nil {
 		return "", "", err
 	}
 	for i, l := range []struct {
@@ -127,7 +127,7 @@
 		return "", "", err
 	}
 	q := newPlot("seconds", "ms to delivery")
-	if err := shadeTroubles(q, v.Troubles, topMS*1.2); err != nil {
+	if err := shadeTroubles(q, v.Faults, topMS*1.2); err != nil {
 		return "", "", err
 	}
 	if err := line(q, "half of them", blue, p50); err != nil {
--- a/lab/scale/fleet/file.go
+++ b/lab/scale/fleet/file.go
@@ -19,7 +19,7 @@
 	self, own := f.Members[i], f.Addresses(i)
 	say("name = %q\nfounders = [\"%s\"]", cluster, strings.Join(stringsOf(f.Founders), `", "`))
 	say("\n[here]\nprocess = %q\nzone = %q\nfolder = %q", self.Name, self.Zone, folder)
-	say("gossip = %q\ncouncil = %q\nhttp = %q", own.Gossip, own.Council, own.HTTP)
+	say("gossip = %q\ncouncil = %q\nhttp = %q", own.Gossip, own.Consensus, own.HTTP)
 	if !self.Large {
 		say("size = \"small\"")
 	}
@@ -41,7 +41,7 @@
 		if through {
 			to = f.RelayAddresses(j)
 		}
-		say("\n[[member]]\nname = %q\nzone = %q\ngossip = %q\ncouncil = %q\nhttp = %q", m.Name, m.Zone, to.Gossip, to.Council, to.HTTP)
+		say("\n[[member]]\nname = %q\nzone = %q\ngossip = %q\ncouncil = %q\nhttp = %q", m.Name, m.Zone, to.Gossip, to.Consensus, to.HTTP)
 	}
 	return []byte(out.String())
 }
--- a/lab/scale/fleet/fleet.go
+++ b/lab/scale/fleet/fleet.go
@@ -220,5 +220,5 @@
 func (f *Fleet) at(network, i int) settings.Addresses {
 	host := fmt.Sprintf("127.%d.%d.%d", network, i/perNet, 1+i%perNet)
 	port := func(n int) string { return fmt.Sprintf("%s:%d", host, f.Port+n) }
-	return settings.Addresses{Gossip: port(0), Council: port(1), HTTP: port(2)}
+	return settings.Addresses{Gossip: port(0), Consensus: port(1), HTTP: port(2)}
 }
--- a/lab/scale/host/member.go
+++ b/lab/scale/host/member.go
@@ -182,5 +182,5 @@
 // SaidOf is what a member has carried by what it tells of itself.
 func SaidOf(s *status.Status) MemberSaid {
 	t := s.Traffic
-	return MemberSaid{In: t.In, Out: t.Out, Gossip: t.Gossip, Packets: t.Packets, Council: t.Council, Kinds: t.Kinds, Lost: s.Counts["digests_lost"]}
+	return MemberSaid{In: t.In, Out: t.Out, Gossip: t.Gossip, Packets: t.Packets, Consensus: t.Consensus, Kinds: t.Kinds, Lost: s.Counts["digests_lost"]}
 }
--- a/lab/scale/host/words.go
+++ b/lab/scale/host/words.go
@@ -78,13 +78,13 @@
 
 // MemberSaid is what a member has carried since its start.
 type MemberSaid struct {
-	In      uint64                 `json:"in"`  // bytes over link and council
-	Out     uint64                 `json:"out"` // bytes over link, council and gossip
-	Gossip  uint64                 `json:"gossip"`
-	Packets uint64                 `json:"packets"`
-	Council uint64                 `json:"council"`
-	Kinds   map[string]link.Volume `json:"kinds"`
-	Lost    int                    `json:"lost"` // digests that found the queue full
+	In        uint64                 `json:"in"`  // bytes over link and council
+	Out       uint64                 `json:"out"` // bytes over link, council and gossip
+	Gossip    uint64                 `json:"gossip"`
+	Packets   uint64                 `json:"packets"`
+	Consensus uint64                 `json:"council"`
+	Kinds     map[string]link.Volume `json:"kinds"`
+	Lost      int                    `json:"lost"` // digests that found the queue full
 }
 
 // Used is what a host's process has used since its start.
--- a/lab/scale/measure.go
+++ b/lab/scale/measure.go
@@ -25,7 +25,7 @@
 	Falls        []Fall        `json:"falls,omitempty"`
 	RollingS     float64       `json:"rolling_s,omitempty"`
 	Disturbances []Disturbance `json:"disturbances,omitempty"`
-	Trouble      string        `json:"trouble,omitempty"` // with real members' processes
+	Fault        string        `json:"trouble,omitempty"` // with real members' processes
 }
 
 // RoleUse is what members of one role carried, on average, while all was calm.
@@ -38,7 +38,7 @@
 	MostOut   float64            `json:"most_bytes_out"`
 	Gossip    float64            `json:"gossip_bytes"`
 	Packets   float64            `json:"gossip_packets"`
-	Council   float64            `json:"council_bytes"`
+	Consensus float64            `json:"council_bytes"`
 	Calls     float64            `json:"calls"`   // made
 	Answers   float64            `json:"answers"` // given
 	Kinds     map[string]KindUse `json:"kinds"`
@@ -224,7 +224,7 @@
 	u.BytesIn += rate(after.In, before.In)
 	u.Gossip += rate(after.Gossip, before.Gossip)
 	u.Packets += rate(after.Packets, before.Packets)
-	u.Council += rate(after.Council, before.Council)
+	u.Consensus += rate(after.Consensus, before.Consensus)
 	u.Lost += after.Lost - before.Lost
 	for path, is := range after.Kinds {
 		was, sum := before.Kinds[path], u.Kinds[path]
@@ -241,7 +241,7 @@
 
 func (u *RoleUse) average() {
 	n := float64(max(1, u.Members))
-	for _, sum := range []*float64{&u.BytesOut, &u.BytesIn, &u.Gossip, &u.Packets, &u.Council, &u.Calls, &u.Answers, &u.CPU, &u.HeapMB, &u.RSSMB} {
+	for _, sum := range []*float64{&u.BytesOut, &u.BytesIn, &u.Gossip, &u.Packets, &u.Consensus, &u.Calls, &u.Answers, &u.CPU, &u.HeapMB, &u.RSSMB} {
 		*sum /= n
 	}
 	for path, k := range u.Kinds {
--- a/lab/scale/real.go
+++ b/lab/scale/real.go
@@ -72,9 +72,9 @@
 		switch {
 		case err != nil:
 		case result.SlowEnd:
-			r.real.trouble = result.Trouble
-		case result.Trouble != "":
-			err = fmt.Errorf("real members: %s", result.Trouble)
+			r.real.trouble = result.Fault
+		case result.Fault != "":
+			err = fmt.Errorf("real members: %s", result.Fault)
 		}
 		r.real.ended <- err
 	}()
@@ -101,7 +101,7 @@
 			continue
 		}
 		from, to := r.fleet.RelayAddresses(m.No), r.fleet.Addresses(m.No)
-		for _, way := range [][2]string{{from.Gossip, to.Gossip}, {from.Council, to.Council}, {from.HTTP, to.HTTP}} {
+		for _, way := range [][2]string{{from.Gossip, to.Gossip}, {from.Consensus, to.Consensus}, {from.HTTP, to.HTTP}} {
 			one, err := relay.Open(way[0], way[1])
 			if err != nil {
 				return nil, err
@@ -119,7 +119,7 @@
 	n := len(r.realMembers)
 	spec.Name, spec.Seconds, spec.Senders, spec.Zones = "scale", realLoadFor, n, r.fleet.RealZones()
 	spec.Load.Rate = max(1, r.o.RealRate*float64(n))
-	spec.Classes = []world.Class{{Name: "status", ContractMS: 1500, DeadlineMS: 4000}}
+	spec.Classes = []world.Class{{Name: "status", LatencyObjectiveMS: 1500, DeadlineMS: 4000}}
 	ends := min(2, spec.Zones)
 	count := max(1, min(r.o.RealDestinations, mostListeners/n/ends))
 	spec.Partners = []world.Kind{{Name: "shop", Count: count, Endpoints: world.Pair{float64(ends), float64(ends)}, Headroom: world.Pair{3, 4}, LeastRate: 40}}
@@ -201,7 +201,7 @@
 	}
 	r.real.stop()
 	err := <-r.real.ended
-	r.result.Trouble = r.real.trouble
+	r.result.Fault = r.real.trouble
 	return err
 }
 
--- a/lab/scale/report.go
+++ b/lab/scale/report.go
@@ -35,7 +35,7 @@
 			kind = ", real"
 		}
 		say("| %s%s | %d | %.0f (%.0f) | %.0f | %.0f, %.1f | %.0f | %.1f, %.1f | %.4f | %.1f | %.1f |", u.Role, kind, u.Members, u.BytesOut, u.MostOut,
-			u.BytesIn, u.Gossip, u.Packets, u.Council, u.Calls, u.Answers, u.CPU, u.HeapMB, u.RSSMB)
+			u.BytesIn, u.Gossip, u.Packets, u.Consensus, u.Calls, u.Answers, u.CPU, u.HeapMB, u.RSSMB)
 	}
 	say("\n| role | path | calls/s | answers/s | out B/s | in B/s |\n| --- | --- | --- | --- | --- | --- |")
 	for _, u := range r.Roles {
@@ -75,8 +75,8 @@
 	if r.RollingS > 0 {
 		say("\nAll members restarted in steps: %.1f s.", r.RollingS)
 	}
-	if r.Trouble != "" {
-		say("\nReal members: %s.", r.Trouble)
+	if r.Fault != "" {
+		say("\nReal members: %s.", r.Fault)
 	}
 	for _, d := range r.Disturbances {
 		say("\n%s: %.1f s in all; all agreed %.1f s after the last fault; %.1f s of processor time, %.0f bytes sent a member.", d.Name, d.Seconds, d.AgreedS,
--- a/lab/scale/run.go
+++ b/lab/scale/run.go
@@ -147,7 +147,7 @@
 func free(f *fleet.Fleet) bool {
 	for i := range f.Members {
 		at, relayed := f.Addresses(i), f.RelayAddresses(i)
-		for _, address := range []string{at.Gossip, at.Council, at.HTTP, relayed.Gossip} {
+		for _, address := range []string{at.Gossip, at.Consensus, at.HTTP, relayed.Gossip} {
 			ln, err := net.Listen("tcp", address)
 			if err != nil {
 				return false
--- a/lab/sim/answers.go
+++ b/lab/sim/answers.go
@@ -113,7 +113,7 @@
 			continue // it has parted
 		}
 		out := choice.Outcome{Message: o.ID, Attempt: o.tries - 1, Endpoint: c.e.id, Took: n.Now() - c.began, Result: result,
-			Final: result == choice.Done, Wait: wait, Report: a.Report, Kept: c.kept, Closed: a.Close}
+			Final: result == choice.Done, Wait: wait, Report: a.Report, Reused: c.kept, Closed: a.Close}
 		if a.Fates != nil && result == choice.Done && a.Fates[i] != 200 {
 			out.Result, out.Final = choice.Errored, false
 		}
--- a/lab/sim/node.go
+++ b/lab/sim/node.go
@@ -247,7 +247,7 @@
 		for _, e := range gone {
 			n.closeIdle(e)
 		}
-		n.policy.ListNews(entries, l.Full)
+		n.policy.UpdateEndpoints(entries, l.Full)
 		n.stir()
 	})
 }
--- a/lab/sim/replay_test.go
+++ b/lab/sim/replay_test.go
@@ -31,7 +31,7 @@
 	{name: "limits with notes", scenario: "fleet-limits", adjust: func(s *choice.Settings) { s.Notes = true }},
 	{name: "tables with notes", scenario: "fleet-tables", adjust: func(s *choice.Settings) { s.Notes, s.TellsFull = true, false },
 		spec: func(s *world.Spec) {
-			s.Troubles = append(s.Troubles, world.Trouble{Kind: "crash", At: 8, Seconds: 5, Part: world.Part{Share: 0.3}})
+			s.Faults = append(s.Faults, world.Fault{Kind: "crash", At: 8, Seconds: 5, Part: world.Part{Share: 0.3}})
 		}},
 	{name: "odd ones", scenario: "kills", adjust: func(s *choice.Settings) {
 		s.Quotas, s.OverShareValue, s.RouteFees, s.Probing = []float64{40}, 0.3, []float64{0, 0.02}, true
@@ -42,11 +42,11 @@
 		w := &s.Classes[0]
 		w.Repeat, w.WindowS, w.ZoneGroup, s.Partners[0].Apart, s.Sender.MaxOpen = "tokened", 2, true, true, 60
 		for i, kind := range []string{"shut", "resets", "crash", "surge", "no_connections"} {
-			trouble := world.Trouble{Kind: kind, At: 4 + 3*float64(i), Seconds: 5, Amount: 0.3, Part: world.Part{Share: 0.3}}
+			trouble := world.Fault{Kind: kind, At: 4 + 3*float64(i), Seconds: 5, Amount: 0.3, Part: world.Part{Share: 0.3}}
 			if kind == "surge" {
 				trouble.Amount, trouble.Part = 3, world.Part{}
 			}
-			s.Troubles = append(s.Troubles, trouble)
+			s.Faults = append(s.Faults, trouble)
 		}
 	}},
 }
@@ -193,13 +193,13 @@
 	return r.r.odd && crc32.ChecksumIEEE([]byte(id))%n == 0
 }
 
-func (r *recorder) ListNews(entries []choice.Entry, whole bool) {
+func (r *recorder) UpdateEndpoints(entries []choice.Entry, whole bool) {
 	for i, e := range entries {
 		if r.oneIn(3, string(e.Endpoint)) {
-			entries[i].Learnt = &choice.Learnt{Mean: 900, Dev: 300, Past: 800, Seen: 12, Limit: 6, Wait: choice.Second}
+			entries[i].LearnedState = &choice.LearnedState{Mean: 900, Dev: 300, Past: 800, Seen: 12, Limit: 6, Wait: choice.Second}
 		}
 	}
-	r.Sender.ListNews(entries, whole)
+	r.Sender.UpdateEndpoints(entries, whole)
 }
 
 func (r *recorder) Taken(n choice.Message) {
--- a/lab/sim/settings.go
+++ b/lab/sim/settings.go
@@ -17,7 +17,7 @@
 func Boot(w *world.World) json.RawMessage {
 	spec := w.Spec
 	ns := func(ms float64) int64 { return int64(math.Round(ms * 1e6)) }
-	words := map[string]string{world.Idempotent: "pure", world.Keyed: "token", world.SingleUse: "side_effect"}
+	words := map[string]string{world.Idempotent: "pure", world.Keyed: "token", world.NonIdempotent: "side_effect"}
 	classes := []map[string]any{}
 	for i := range spec.Classes {
 		l := &spec.Classes[i]
@@ -25,7 +25,7 @@
 		if l.ZoneGroup {
 			group = "zone"
 		}
-		classes = append(classes, map[string]any{"name": l.Name, "idempotency": words[l.Repeat], "aim": ns(l.ContractMS),
+		classes = append(classes, map[string]any{"name": l.Name, "idempotency": words[l.Repeat], "aim": ns(l.LatencyObjectiveMS),
 			"deadline": ns(l.DeadlineMS), "worth": l.Value, "lateWorth": l.LateValue, "byArrival": l.Ordered,
 			"repeatWindow": ns(l.WindowS * 1e3), "group": group})
 	}
@@ -34,7 +34,7 @@
 	for i := range spec.Partners {
 		k := &spec.Partners[i]
 		bundles, apart, kinds = append(bundles, k.Bundle), append(apart, k.Apart), append(kinds, k.Name)
-		coldFrom, cold, idle = min(coldFrom, k.ColdFrom), max(cold, k.ColdS), min(idle, k.IdleS)
+		coldFrom, cold, idle = min(coldFrom, k.SlowStartFrom), max(cold, k.SlowStartS), min(idle, k.IdleS)
 	}
 	zones := []string{}
 	for i := range spec.Zones {
--- a/lab/sim/sim.go
+++ b/lab/sim/sim.go
@@ -20,7 +20,7 @@
 
 // Policy is what decides in a sender: the methods of choice.Sender.
 type Policy interface {
-	ListNews(entries []choice.Entry, whole bool)
+	UpdateEndpoints(entries []choice.Entry, whole bool)
 	Taken(choice.Message)
 	Withdrawn(choice.MessageID)
 	Ended(choice.Outcome)
--- a/lab/sim/sim_test.go
+++ b/lab/sim/sim_test.go
@@ -18,9 +18,9 @@
 	s.Name, s.Seconds, s.Senders, s.Zones = "small", 20, 3, 2
 	s.Load.Rate, s.Load.Zipf, s.Load.ClumpShare = 50, 0.8, 0.1
 	s.Classes = []world.Class{
-		{Name: "status", Repeat: "replayable", Share: 3, ContractMS: 800, DeadlineMS: 5000, Value: 1, LateValue: 0.1},
-		{Name: "order", Repeat: "single-use", Share: 1, ContractMS: 3000, DeadlineMS: 9000, Value: 3, LateValue: 0.5},
-		{Name: "booking", Repeat: "tokened", ZoneGroup: true, WindowS: 3, Share: 1, ContractMS: 2000, DeadlineMS: 8000, Value: 2, LateValue: 0.2},
+		{Name: "status", Repeat: "replayable", Share: 3, LatencyObjectiveMS: 800, DeadlineMS: 5000, Value: 1, LateValue: 0.1},
+		{Name: "order", Repeat: "single-use", Share: 1, LatencyObjectiveMS: 3000, DeadlineMS: 9000, Value: 3, LateValue: 0.5},
+		{Name: "booking", Repeat: "tokened", ZoneGroup: true, WindowS: 3, Share: 1, LatencyObjectiveMS: 2000, DeadlineMS: 8000, Value: 2, LateValue: 0.2},
 	}
 	s.Partners = []world.Kind{{Name: "small", Count: 8, Told: 0.4, Reports: true, Table: 20, ShakeMS: 10},
 		{Name: "bulk", Count: 4, Bundle: 5, Endpoints: world.Pair{2, 3}, Apart: true, Reports: true}}
@@ -60,13 +60,13 @@
 	spec.Seconds = 40
 	at := 1.0
 	var kinds []string
-	for kind := range world.TroubleKinds {
+	for kind := range world.FaultKinds {
 		kinds = append(kinds, kind)
 	}
 	slices.Sort(kinds)
 	for _, kind := range kinds {
 		part := world.Part{Share: 0.3}
-		spec.Troubles = append(spec.Troubles, world.Trouble{Kind: kind, At: at, Seconds: 3, Part: part})
+		spec.Faults = append(spec.Faults, world.Fault{Kind: kind, At: at, Seconds: 3, Part: part})
 		at++
 	}
 	spec.Changes = []world.ListEvent{{What: "remove", At: 5, Part: world.Part{Partners: []int{1}}},
@@ -112,8 +112,8 @@
 	} {
 		t.Run(kind, func(t *testing.T) {
 			spec := small()
-			trouble := world.Trouble{Kind: kind, At: 5, Seconds: 8}
-			switch world.TroubleKinds[kind].Strikes {
+			trouble := world.Fault{Kind: kind, At: 5, Seconds: 8}
+			switch world.FaultKinds[kind].Strikes {
 			case "senders":
 				trouble.Part.Share = 0.4
 			}
@@ -123,7 +123,7 @@
 			case "refusing_first":
 				trouble.Every = 0.1
 			}
-			spec.Troubles = []world.Trouble{trouble}
+			spec.Faults = []world.Fault{trouble}
 			spec.Defaults()
 			v := run(t, sim.Options{Spec: spec, Seed: 2})
 			if !felt(v) {
@@ -144,7 +144,7 @@
 	}
 	spec := small()
 	spec.Partners[0].Endpoints = world.Pair{2, 2}
-	spec.Troubles = []world.Trouble{{Kind: "crash", At: 5, Seconds: 5, Part: world.Part{Share: 0.2}}}
+	spec.Faults = []world.Fault{{Kind: "crash", At: 5, Seconds: 5, Part: world.Part{Share: 0.2}}}
 	spec.Defaults()
 	used, bars := 0, true
 	o := sim.Options{Spec: spec, Seed: 3, Allowed: func(_ choice.Time, _ world.SenderNo, n choice.MessageID, e choice.EndpointID) bool {
@@ -172,7 +172,7 @@
 	spec := small()
 	spec.Seconds = 40
 	spec.Partners[0].ErrorShare, spec.Partners[1].ErrorShare = 0.05, 0.05
-	spec.Troubles = []world.Trouble{{Kind: "crash", At: 5, Seconds: 10, Part: world.Part{Share: 0.3, Endpoint: 1}},
+	spec.Faults = []world.Fault{{Kind: "crash", At: 5, Seconds: 10, Part: world.Part{Share: 0.3, Endpoint: 1}},
 		{Kind: "slow", At: 20, Seconds: 8, Part: world.Part{Share: 0.3}}}
 	spec.Defaults()
 	service := map[string]float64{}
--- a/lab/world/check.go
+++ b/lab/world/check.go
@@ -116,10 +116,10 @@
 		if w.Name == "" {
 			c.wrong(at+"name", "missing")
 		}
-		c.word(at+"repeat", w.Repeat, Idempotent, Keyed, SingleUse)
+		c.word(at+"repeat", w.Repeat, Idempotent, Keyed, NonIdempotent)
 		c.within(at+"share", w.Share, 0, 1e6)
-		c.within(at+"contract_ms", w.ContractMS, 1, 1e7)
-		c.within(at+"hard_stop_ms", w.DeadlineMS, w.ContractMS, 86.4e6)
+		c.within(at+"contract_ms", w.LatencyObjectiveMS, 1, 1e7)
+		c.within(at+"hard_stop_ms", w.DeadlineMS, w.LatencyObjectiveMS, 86.4e6)
 		c.within(at+"gain", w.Value, 0, 1e6)
 		c.within(at+"late_gain", w.LateValue, 0, 1)
 		c.within(at+"window_s", w.WindowS, 0, 1e5)
@@ -158,16 +158,16 @@
 	c.within(at+"connections", float64(k.Table), 0, 1e6)
 	c.within(at+"handshake_ms", k.ShakeMS, 0, 1e5)
 	c.within(at+"idle_s", k.IdleS, 0.5, 1e5)
-	c.within(at+"cold_s", k.ColdS, 0.1, 1e4)
-	c.within(at+"cold_from", k.ColdFrom, 0.01, 1)
+	c.within(at+"cold_s", k.SlowStartS, 0.1, 1e4)
+	c.within(at+"cold_from", k.SlowStartFrom, 0.01, 1)
 	c.within(at+"down_s", k.DownS, 0.1, 1e4)
 	c.within(at+"errors", k.ErrorShare, 0, 1)
 }
 
 func (c *checker) troubles(s *Spec) {
-	for i := range s.Troubles {
-		t, at := &s.Troubles[i], fmt.Sprintf("trouble[%d].", i)
-		kind, known := TroubleKinds[t.Kind]
+	for i := range s.Faults {
+		t, at := &s.Faults[i], fmt.Sprintf("trouble[%d].", i)
+		kind, known := FaultKinds[t.Kind]
 		if !known {
 			c.wrong(at+"kind", "no trouble is called %q", t.Kind)
 			continue
--- a/lab/world/clients.go
+++ b/lab/world/clients.go
@@ -72,8 +72,8 @@
 		return err
 	}
 	var bends []load.Bend
-	for i := range w.Spec.Troubles {
-		t := &w.Spec.Troubles[i]
+	for i := range w.Spec.Faults {
+		t := &w.Spec.Faults[i]
 		bend := load.Bend{From: seconds(t.At), To: seconds(t.At + t.Seconds), Factor: 1, Sender: -1, Partner: -1}
 		switch t.Kind {
 		case "surge":
--- a/lab/world/cold.go
+++ b/lab/world/cold.go
@@ -22,14 +22,14 @@
 // warmth is the share of its capacity that an endpoint has by now.
 func (w *World) warmth(e *Endpoint) float64 {
 	k := e.Partner.Kind
-	since := float64(w.now-e.warmFrom) / float64(seconds(k.ColdS))
+	since := float64(w.now-e.warmFrom) / float64(seconds(k.SlowStartS))
 	if since >= 1 {
 		return 1
 	}
-	return k.ColdFrom + (1-k.ColdFrom)*max(0, since)
+	return k.SlowStartFrom + (1-k.SlowStartFrom)*max(0, since)
 }
 
-func (e *Endpoint) isCold(now Time) bool { return now < e.warmFrom+seconds(e.Partner.Kind.ColdS) }
+func (e *Endpoint) isCold(now Time) bool { return now < e.warmFrom+seconds(e.Partner.Kind.SlowStartS) }
 
 // saw notes that a sender knows of an outage by what happened to it.
 func (w *World) saw(e *Endpoint, s SenderNo) {
--- a/lab/world/defaults.go
+++ b/lab/world/defaults.go
@@ -30,9 +30,9 @@
 	for i := range s.Partners {
 		s.Partners[i].defaults(i)
 	}
-	for i := range s.Troubles {
-		s.Troubles[i].Amount = cmp.Or(s.Troubles[i].Amount, TroubleKinds[s.Troubles[i].Kind].Default)
-		s.Troubles[i].Every = cmp.Or(s.Troubles[i].Every, 3)
+	for i := range s.Faults {
+		s.Faults[i].Amount = cmp.Or(s.Faults[i].Amount, FaultKinds[s.Faults[i].Kind].Default)
+		s.Faults[i].Every = cmp.Or(s.Faults[i].Every, 3)
 	}
 }
 
@@ -56,8 +56,8 @@
 	k.SpanS = cmp.Or(k.SpanS, 1)
 	k.ReportMS = cmp.Or(k.ReportMS, 300)
 	k.IdleS = cmp.Or(k.IdleS, 10)
-	k.ColdS = cmp.Or(k.ColdS, 8)
-	k.ColdFrom = cmp.Or(k.ColdFrom, 0.2)
+	k.SlowStartS = cmp.Or(k.SlowStartS, 8)
+	k.SlowStartFrom = cmp.Or(k.SlowStartFrom, 0.2)
 	k.DownS = cmp.Or(k.DownS, 4)
 	k.Limit = cmp.Or(k.Limit, "none")
 	k.Bundle = cmp.Or(k.Bundle, 1)
--- a/lab/world/effects.go
+++ b/lab/world/effects.go
@@ -72,7 +72,7 @@
 }
 
 // add adds what a trouble does to what others do.
-func (f *effects) add(t *Trouble) {
+func (f *effects) add(t *Fault) {
 	amount := t.Amount
 	switch t.Kind {
 	case "crash":
--- a/lab/world/kinds.go
+++ b/lab/world/kinds.go
@@ -3,12 +3,12 @@
 // This file owns what may go wrong in a scenario: troubles, what they strike and what their amounts mean, and changes of
 // the list. It must never tell how one is played; trouble.go does.
 
-// Trouble is something that goes wrong for a time. Part says what of; a field left out does not narrow it.
-type Trouble struct {
+// Fault is something that goes wrong for a time. Part says what of; a field left out does not narrow it.
+type Fault struct {
 	Kind    string  `toml:"kind"`
 	At      float64 `toml:"at"` // seconds
 	Seconds float64 `toml:"seconds"`
-	Amount  float64 `toml:"amount"` // what it means stands beside the kind, see TroubleKinds
+	Amount  float64 `toml:"amount"` // what it means stands beside the kind, see FaultKinds
 	Every   float64 `toml:"every_s"`
 	Part    Part    `toml:"part"`
 }
@@ -31,8 +31,8 @@
 	Restart bool    `toml:"restart"` // what comes back is cold
 }
 
-// TroubleKind tells what a kind of trouble strikes and what its amount means.
-type TroubleKind struct {
+// FaultKind tells what a kind of trouble strikes and what its amount means.
+type FaultKind struct {
 	Strikes string // endpoints, senders, discovery or clients
 	Amount  string
 	Default float64
@@ -40,8 +40,8 @@
 	Most    float64
 }
 
-// TroubleKinds are all that a scenario may name.
-var TroubleKinds = map[string]TroubleKind{
+// FaultKinds are all that a scenario may name.
+var FaultKinds = map[string]FaultKind{
 	"crash":            {"endpoints", "", 0, 0, 0},
 	"shut":             {"endpoints", "", 0, 0, 0},
 	"silent":           {"endpoints", "", 0, 0, 0},
--- a/lab/world/partners.go
+++ b/lab/world/partners.go
@@ -98,7 +98,7 @@
 		sameMS:   w.within(w.Spec.Network.SameMS, "same", int64(no)),
 		crossMS:  w.within(w.Spec.Network.CrossMS, "cross", int64(no)),
 		mean:     w.within(kind.MeanMS, "mean", int64(no)) * float64(Millisecond),
-		warmFrom: -seconds(kind.ColdS),
+		warmFrom: -seconds(kind.SlowStartS),
 		conns:    map[*Conn]struct{}{},
 		sawFail:  map[SenderNo]struct{}{},
 	}
--- a/lab/world/sendertrouble.go
+++ b/lab/world/sendertrouble.go
@@ -13,7 +13,7 @@
 )
 
 // planSenders puts a trouble of senders among the events.
-func (w *World) planSenders(t *Trouble, struck []SenderNo, from, to Time) {
+func (w *World) planSenders(t *Fault, struck []SenderNo, from, to Time) {
 	w.tellTrouble(t, len(struck), from, to)
 	for i, s := range struck {
 		switch t.Kind {
@@ -42,9 +42,9 @@
 }
 
 // tellTrouble tells the ledger of a trouble of so many senders.
-func (w *World) tellTrouble(t *Trouble, struck int, from, to Time) {
-	w.At(from, func() { w.ledger.Trouble(t, true, struck) })
-	w.At(to, func() { w.ledger.Trouble(t, false, struck) })
+func (w *World) tellTrouble(t *Fault, struck int, from, to Time) {
+	w.At(from, func() { w.ledger.Fault(t, true, struck) })
+	w.At(to, func() { w.ledger.Fault(t, false, struck) })
 }
 
 // act has something befall a sender's process at a time.
@@ -120,7 +120,7 @@
 }
 
 // planClients puts a trouble of clients among the events. Surges and fixed programs bend the load itself.
-func (w *World) planClients(t *Trouble, struck []SenderNo, from, to Time) {
+func (w *World) planClients(t *Fault, struck []SenderNo, from, to Time) {
 	w.tellTrouble(t, len(struck), from, to)
 	for _, s := range struck {
 		switch t.Kind {
--- a/lab/world/spec.go
+++ b/lab/world/spec.go
@@ -26,7 +26,7 @@
 	Prices    Prices      `toml:"prices"`
 	Classes   []Class     `toml:"workload"`
 	Partners  []Kind      `toml:"partner"`
-	Troubles  []Trouble   `toml:"trouble"`
+	Faults    []Fault     `toml:"trouble"`
 	Changes   []ListEvent `toml:"change"`
 }
 
@@ -88,50 +88,50 @@
 
 // What may be done with a message that may have had its effect, in the words of scenario files.
 const (
-	Idempotent = "replayable" // send it again: its effect is the same
-	Keyed      = "tokened"    // send it again within a window: its endpoint knows its idempotency key
-	SingleUse  = "single-use" // nothing: its effect would come twice
+	Idempotent    = "replayable" // send it again: its effect is the same
+	Keyed         = "tokened"    // send it again within a window: its endpoint knows its idempotency key
+	NonIdempotent = "single-use" // nothing: its effect would come twice
 )
 
 // Class is one class of messages.
 type Class struct {
-	Name       string  `toml:"name"`
-	Repeat     string  `toml:"repeat"` // Idempotent, Keyed or SingleUse
-	ZoneGroup  bool    `toml:"zone_group"`
-	WindowS    float64 `toml:"window_s"` // for which a partner knows an idempotency key
-	Share      float64 `toml:"share"`
-	ContractMS float64 `toml:"contract_ms"`
-	DeadlineMS float64 `toml:"hard_stop_ms"`
-	Value      float64 `toml:"gain"`
-	LateValue  float64 `toml:"late_gain"`
-	Ordered    bool    `toml:"ordered"`
+	Name               string  `toml:"name"`
+	Repeat             string  `toml:"repeat"` // Idempotent, Keyed or NonIdempotent
+	ZoneGroup          bool    `toml:"zone_group"`
+	WindowS            float64 `toml:"window_s"` // for which a partner knows an idempotency key
+	Share              float64 `toml:"share"`
+	LatencyObjectiveMS float64 `toml:"contract_ms"`
+	DeadlineMS         float64 `toml:"hard_stop_ms"`
+	Value              float64 `toml:"gain"`
+	LateValue          float64 `toml:"late_gain"`
+	Ordered            bool    `toml:"ordered"`
 }
 
 // Kind is one kind of partner.
 type Kind struct {
-	Name       string  `toml:"name"`
-	Count      int     `toml:"count"`
-	Endpoints  Pair    `toml:"endpoints"`   // of each, one to four
-	MeanMS     Pair    `toml:"mean_ms"`     // that a call takes, by endpoint
-	Sigma      float64 `toml:"sigma"`       // of its logarithm; each call draws its own
-	Headroom   Pair    `toml:"headroom"`    // capacity in times of the partner's part of the load
-	LeastRate  float64 `toml:"least_rate"`  // capacity at least, in calls a second
-	Queue      float64 `toml:"queue"`       // calls that may wait, in times of the slots
-	Limit      string  `toml:"limit"`       // none, rate or span
-	LimitTimes Pair    `toml:"limit_times"` // the limit in times of the partner's part of the load
-	LimitAbove bool    `toml:"limit_above"` // the limit may lie above what it can do; else it can do a quarter more
-	SpanS      float64 `toml:"span_s"`
-	CountAll   bool    `toml:"count_refused"` // refused calls use the limit up too
-	Told       float64 `toml:"told_waits"`    // share of refusals that tell a wait
-	Reports    bool    `toml:"reports"`
-	ReportMS   float64 `toml:"report_ms"` // age that a report may have
-	Bundle     int     `toml:"bundle"`
-	Apart      bool    `toml:"apart"`       // its endpoints are separate routes
-	Table      int     `toml:"connections"` // an endpoint holds at most so many; 0 for any number
-	ShakeMS    float64 `toml:"handshake_ms"`
-	IdleS      float64 `toml:"idle_s"`
-	ColdS      float64 `toml:"cold_s"`
-	ColdFrom   float64 `toml:"cold_from"`
-	DownS      float64 `toml:"down_s"` // for which one that was pushed over stays down
-	ErrorShare float64 `toml:"errors"`
+	Name          string  `toml:"name"`
+	Count         int     `toml:"count"`
+	Endpoints     Pair    `toml:"endpoints"`   // of each, one to four
+	MeanMS        Pair    `toml:"mean_ms"`     // that a call takes, by endpoint
+	Sigma         float64 `toml:"sigma"`       // of its logarithm; each call draws its own
+	Headroom      Pair    `toml:"headroom"`    // capacity in times of the partner's part of the load
+	LeastRate     float64 `toml:"least_rate"`  // capacity at least, in calls a second
+	Queue         float64 `toml:"queue"`       // calls that may wait, in times of the slots
+	Limit         string  `toml:"limit"`       // none, rate or span
+	LimitTimes    Pair    `toml:"limit_times"` // the limit in times of the partner's part of the load
+	LimitAbove    bool    `toml:"limit_above"` // the limit may lie above what it can do; else it can do a quarter more
+	SpanS         float64 `toml:"span_s"`
+	CountAll      bool    `toml:"count_refused"` // refused calls use the limit up too
+	Told          float64 `toml:"told_waits"`    // share of refusals that tell a wait
+	Reports       bool    `toml:"reports"`
+	ReportMS      float64 `toml:"report_ms"` // age that a report may have
+	Bundle        int     `toml:"bundle"`
+	Apart         bool    `toml:"apart"`       // its endpoints are separate routes
+	Table         int     `toml:"connections"` // an endpoint holds at most so many; 0 for any number
+	ShakeMS       float64 `toml:"handshake_ms"`
+	IdleS         float64 `toml:"idle_s"`
+	SlowStartS    float64 `toml:"cold_s"`
+	SlowStartFrom float64 `toml:"cold_from"`
+	DownS         float64 `toml:"down_s"` // for which one that was pushed over stays down
+	ErrorShare    float64 `toml:"errors"`
 }
--- a/lab/world/trouble.go
+++ b/lab/world/trouble.go
@@ -9,12 +9,12 @@
 
 // planTroubles puts all troubles of a spec among the events.
 func (w *World) planTroubles() {
-	w.struck = make([]map[*Endpoint]bool, len(w.Spec.Troubles))
-	for i := range w.Spec.Troubles {
-		t := &w.Spec.Troubles[i]
+	w.struck = make([]map[*Endpoint]bool, len(w.Spec.Faults))
+	for i := range w.Spec.Faults {
+		t := &w.Spec.Faults[i]
 		no := int64(i)
 		from, to := seconds(t.At), seconds(t.At+t.Seconds)
-		switch TroubleKinds[t.Kind].Strikes {
+		switch FaultKinds[t.Kind].Strikes {
 		case "endpoints":
 			struck := w.endpointsOf(&t.Part, no)
 			set := map[*Endpoint]bool{}
@@ -35,15 +35,15 @@
 	}
 }
 
-// strike begins or ends a trouble of endpoints. Troubles overlap freely: what holds for an endpoint is made anew from
+// strike begins or ends a trouble of endpoints. Faults overlap freely: what holds for an endpoint is made anew from
 // all that are on, so that the end of one does not lift another.
-func (w *World) strike(t *Trouble, struck []*Endpoint, on bool) {
+func (w *World) strike(t *Fault, struck []*Endpoint, on bool) {
 	if on {
 		w.active = append(w.active, t)
 	} else {
-		w.active = slices.DeleteFunc(w.active, func(other *Trouble) bool { return other == t })
+		w.active = slices.DeleteFunc(w.active, func(other *Fault) bool { return other == t })
 	}
-	w.ledger.Trouble(t, on, len(struck))
+	w.ledger.Fault(t, on, len(struck))
 	for _, e := range struck {
 		was := e.fx
 		e.fx = w.effectsOn(e)
@@ -60,8 +60,8 @@
 
 // effectsOn is what all troubles that are on do to an endpoint.
 func (w *World) effectsOn(e *Endpoint) (all effects) {
-	for i := range w.Spec.Troubles {
-		t := &w.Spec.Troubles[i]
+	for i := range w.Spec.Faults {
+		t := &w.Spec.Faults[i]
 		if slices.Contains(w.active, t) && w.struck[i][e] {
 			all.add(t)
 		}
@@ -70,8 +70,8 @@
 }
 
 // strikeList begins or ends a trouble of discovery.
-func (w *World) strikeList(t *Trouble, on bool) {
-	w.ledger.Trouble(t, on, len(w.senders))
+func (w *World) strikeList(t *Fault, on bool) {
+	w.ledger.Fault(t, on, len(w.senders))
 	more := 1
 	if !on {
 		more = -1
--- a/lab/world/world.go
+++ b/lab/world/world.go
@@ -102,7 +102,7 @@
 	Outage(e *Endpoint, down bool)
 	Returning(e *Endpoint, load, bound float64)
 	PushedOver(e *Endpoint, knowing float64) // knowing: share of the load from senders that saw it fail
-	Trouble(t *Trouble, on bool, parts int)
+	Fault(t *Fault, on bool, parts int)
 	Sender(s SenderNo, up bool)
 	Away(s SenderNo, away bool) // its process stands still, or it is cut off; these may overlap
 }
@@ -126,7 +126,7 @@
 	senders   []*senderState
 	byMessage map[choice.MessageID]*HandIn // emptied as asks are over and their time is up
 	arrivals  load.Source
-	active    []*Trouble
+	active    []*Fault
 	struck    []map[*Endpoint]bool // by trouble
 	list      listState
 	notesLost float64
--- a/lab/world/world_test.go
+++ b/lab/world/world_test.go
@@ -69,7 +69,7 @@
 func (d *desk) PushedOver(e *Endpoint, knowing float64) {
 	d.print("%s pushed over, %.0f%% knew", e.ID, 100*knowing)
 }
-func (d *desk) Trouble(t *Trouble, on bool, parts int) {
+func (d *desk) Fault(t *Fault, on bool, parts int) {
 	d.print("%s on: %v, strikes %d", t.Kind, on, parts)
 }
 func (d *desk) Sender(SenderNo, bool) {}
@@ -81,7 +81,7 @@
 	s.Seconds, s.Senders, s.Load.Rate = 60, 2, 0.001
 	s.Network = Network{SameMS: Pair{10, 10}, CrossMS: Pair{10, 10}}
 	s.Discovery.DelayMS = Pair{100, 100}
-	s.Classes = []Class{{Name: "w", ContractMS: 1000, DeadlineMS: 9000}}
+	s.Classes = []Class{{Name: "w", LatencyObjectiveMS: 1000, DeadlineMS: 9000}}
 	s.Partners = []Kind{{Name: "k", Endpoints: Pair{1, 1}, MeanMS: Pair{50, 50}, Sigma: 1e-9, LeastRate: 20}}
 	change(&s)
 	s.Defaults()
@@ -141,7 +141,7 @@
 // A crash resets what is open and refuses what is new; what comes back is cold, and falls over when it is pushed.
 func ExampleWorld_crash() {
 	d := plain(func(s *Spec) {
-		s.Troubles = []Trouble{{Kind: "crash", At: 1, Seconds: 2}}
+		s.Faults = []Fault{{Kind: "crash", At: 1, Seconds: 2}}
 		s.Partners[0].Queue = 100
 	})
 	c := d.call(nil, "a")
@@ -177,7 +177,7 @@
 	d := plain(func(s *Spec) {
 		s.Partners[0].Count = 2
 		s.Changes = []ListEvent{{What: "drain", At: 1, Part: Part{Partners: []int{0}}}, {What: "remove", At: 5, Part: Part{Partners: []int{0}}}}
-		s.Troubles = []Trouble{{Kind: "discovery_silent", At: 4, Seconds: 3}}
+		s.Faults = []Fault{{Kind: "discovery_silent", At: 4, Seconds: 3}}
 	})
 	d.w.Watch(0, 0)
 	d.until(10000)
@@ -191,10 +191,10 @@
 	// 7000.0  news for 0, version 3, whole false: p0-0 gone
 }
 
-// Troubles overlap freely: the end of one does not lift another, and notes are lost while that lasts.
+// Faults overlap freely: the end of one does not lift another, and notes are lost while that lasts.
 func ExampleWorld_troubles() {
 	d := plain(func(s *Spec) {
-		s.Troubles = []Trouble{{Kind: "shut", At: 1, Seconds: 4}, {Kind: "shut", At: 2, Seconds: 1}, {Kind: "notes_lost", At: 1, Seconds: 2}}
+		s.Faults = []Fault{{Kind: "shut", At: 1, Seconds: 4}, {Kind: "shut", At: 2, Seconds: 1}, {Kind: "notes_lost", At: 1, Seconds: 2}}
 	})
 	d.until(1500)
 	d.w.Note(0, 1, []byte("lost"))
@@ -221,7 +221,7 @@
 	for _, crosses := range []bool{false, true} {
 		d := plain(func(s *Spec) {
 			s.Partners[0].Told = 1
-			s.Troubles = []Trouble{{Kind: "refusing", Seconds: 50, Amount: 1}}
+			s.Faults = []Fault{{Kind: "refusing", Seconds: 50, Amount: 1}}
 		})
 		c := d.call(nil, "a")
 		d.until(35)
@@ -241,11 +241,11 @@
 
 // Refusals that come in bursts, that end once calls keep coming, that lie, and limits that swing.
 func ExampleWorld_refusals() {
-	for _, t := range []Trouble{{Kind: "refusing_bursts", Amount: 0.5, Every: 1}, {Kind: "refusing_first", Amount: 2, Every: 1},
+	for _, t := range []Fault{{Kind: "refusing_bursts", Amount: 0.5, Every: 1}, {Kind: "refusing_first", Amount: 2, Every: 1},
 		{Kind: "lying", Amount: 1}, {Kind: "limit_swings", Amount: 0.01, Every: 2}} {
 		t.Seconds = 50
 		d := plain(func(s *Spec) {
-			s.Troubles = []Trouble{t}
+			s.Faults = []Fault{t}
 			s.Partners[0].Limit, s.Partners[0].LimitTimes, s.Partners[0].LeastRate, s.Partners[0].IdleS = "span", Pair{1, 1}, 20, 20
 		})
 		d.mute = true
