--- /dev/null
+++ b/internal/sender/cluster_test.go
@@ -0,0 +1,183 @@
+package sender
+
+import (
+	"fmt"
+	"os"
+	"time"
+
+	"flaxcove/choice"
+	"flaxcove/internal/sender/together"
+)
+
+// fakeCluster stands in for the processes around a sender.
+type fakeCluster struct {
+	last       together.Digest
+	closedZone choice.ZoneNo // a zone to which nothing may go; -1 for none
+	woke       []choice.DestinationID
+}
+
+func (c *fakeCluster) Digest(d together.Digest)    { c.last = d }
+func (c *fakeCluster) Woke(d choice.DestinationID) { c.woke = append(c.woke, d) }
+func (c *fakeCluster) Guide() together.Guide       { return c }
+func (c *fakeCluster) Allowed(_ choice.MessageID, _ choice.DestinationID, zone choice.ZoneNo) bool {
+	return zone != c.closedZone
+}
+
+// fakeLearnedStore stands in for the learned state of package choice.
+type fakeLearnedStore struct {
+	mustStay choice.DestinationID
+	voided   []string
+}
+
+func (m *fakeLearnedStore) Void(id choice.EndpointID, l *choice.LearnedState) {
+	m.voided = append(m.voided, fmt.Sprint(id, " ", l))
+}
+func (m *fakeLearnedStore) Holds(d choice.DestinationID) (float64, bool) { return 7, d == m.mustStay }
+
+// joinCluster joins the sender to a fakeCluster.
+func (h *harness) joinCluster(j Joining) *fakeCluster {
+	c := &fakeCluster{closedZone: -1}
+	h.s.Join(c, j)
+	return c
+}
+
+// runNext handles the next event, which takes the orders that were given.
+func (h *harness) runNext() *harness {
+	(<-h.s.inbox)()
+	return h
+}
+
+// While the gate holds attempts back, messages are accepted and answered and none is sent. Attempts begin when the channel
+// is closed, or once the gate's time is over.
+func Example_gate() {
+	for _, opens := range []bool{true, false} {
+		gate := make(chan struct{})
+		h := start("", 100)
+		h.joinCluster(Joining{Gate: gate, For: time.Second})
+		h.submit("OUT.ADD 0 id c=status,d=6000,dest=1 x").advance(900 * time.Millisecond)
+		if opens {
+			close(gate)
+			h.runNext()
+		}
+		fmt.Println("out:", len(h.calls))
+		h.advance(110 * time.Millisecond)
+		os.RemoveAll(h.dir)
+	}
+	// Output:
+	// client: +OK
+	// out: 0
+	// call a: POST /inbox
+	//    id
+	// client: +OK
+	// out: 0
+	// call a: POST /inbox
+	//    id
+}
+
+// A routing plan lets nothing go to a closed zone, as soon as it changes; without a plan all is allowed.
+func Example_routingPlan() {
+	h := start("", 100)
+	c := h.joinCluster(Joining{})
+	fmt.Println(h.s.Allowed("id", "a"))
+	c.closedZone = h.s.endpoints["a"].zone
+	h.advance(5 * time.Millisecond)
+	fmt.Println(h.s.Allowed("id", "a"), h.s.Allowed("id", "unknown"))
+	os.RemoveAll(h.dir)
+	// Output:
+	// true
+	// false true
+}
+
+// A digest counts each call once however many messages it carries, and each message once, when its client gets +OK: not
+// a rejected one, nor the same id again. Waiting messages are counted in one row of their destination.
+func Example_digest() {
+	h := start("", 4)
+	c := h.joinCluster(Joining{})
+	h.advance(500 * time.Millisecond)
+	show := func() {
+		for _, row := range c.last.Rows {
+			fmt.Printf("row %+v\n", row)
+		}
+		fmt.Println("counts", c.last.Counts, "longest", c.last.Longest)
+	}
+	show()
+	h.submit("OUT.ADD 0 s1 c=status,d=6000,dest=2 x", "OUT.ADD 0 s2 c=status,d=6000,dest=2 x",
+		"OUT.ADD 0 w c=order,d=90000,dest=9 x",
+		"OUT.ADD 0 w2 c=order,d=20000,dest=9 x", "OUT.ADD 0 over c=order,d=20000,dest=9 x")
+	h.endpointAnswers("HTTP/1.1 429 Wait\nRetry-After: 9\nX-Load: x0=0,x1=25\nContent-Length: 0\n\n")
+	h.submit("OUT.ADD 0 w c=order,d=90000,dest=9 x")
+	h.advance(500 * time.Millisecond)
+	show()
+	os.RemoveAll(h.dir)
+	// Output:
+	// row {Destination:1 Kind:0 Zone:z Sent:0 Done:0 Failed:0 Silent:0 Refused:0 Endpoints:1 Limit:0 Rating:100 Held:0}
+	// row {Destination:2 Kind:1 Zone:z Sent:0 Done:0 Failed:0 Silent:0 Refused:0 Endpoints:1 Limit:0 Rating:100 Held:0}
+	// counts [] longest 20s
+	// call b: POST /inbox/bulk
+	//    s2
+	//    s1
+	// client: +OK
+	// client: +OK
+	// client: -BUSY 200
+	// client: +OK
+	// client: -BUSY 200
+	// platform: {"message":"s2","outcome":"handed_back","retry_in_ms":2000}
+	// {"message":"s1","outcome":"handed_back","retry_in_ms":2000}
+	// client: +OK
+	// row {Destination:2 Kind:1 Zone:z Sent:1 Done:0 Failed:0 Silent:0 Refused:1 Endpoints:1 Limit:25 Rating:100 Held:0}
+	// row {Destination:9 Kind:0 Zone: Sent:0 Done:0 Failed:0 Silent:0 Refused:0 Endpoints:0 Limit:0 Rating:0 Held:2}
+	// counts [{2  2} {9  2}] longest 1m30s
+}
+
+// Eviction drops learned state and idle links, unless the destination must stay or anything is open. A message for an
+// evicted destination asks the region once, and what the region knows is adopted where nothing is known here, its wait
+// shorter by its age.
+func Example_evict() {
+	h := start("", 100)
+	c, m := h.joinCluster(Joining{}), &fakeLearnedStore{mustStay: 2}
+	h.s.learnedStore = m
+	h.submit("OUT.ADD 0 id c=status,d=6000,dest=1 x")
+	h.clock += 50 * time.Millisecond
+	o := h.s.Orders()
+	list := func() {
+		o.Holding(func(all []together.Held) { fmt.Printf("held %+v\n", all) })
+		h.runNext().advance(5 * time.Millisecond)
+	}
+	evict := func() {
+		o.Evict([]choice.DestinationID{1, 2, 9}, func(retained []choice.DestinationID) {
+			fmt.Println("kept", retained, "void", m.voided)
+		})
+		h.runNext().advance(5 * time.Millisecond)
+	}
+	evict()
+	h.calls[0].endpoint.linkCount-- // the harness has none
+	h.endpointAnswers(answerOK).advance(5 * time.Millisecond)
+	o.Know([]choice.DestinationID{1}, func(all []together.Lesson) { fmt.Printf("known %+v\n", all) })
+	h.runNext().advance(20 * time.Millisecond)
+	list()
+	evict()
+	m.voided = nil
+	h.submit("OUT.ADD 0 again c=status,d=6000,dest=9 x", "OUT.ADD 0 more c=status,d=6000,dest=9 x")
+	fmt.Println("woke", c.woke)
+	k := choice.LearnedState{Mean: 10, Dev: 1, Past: 10, Seen: 3, Wait: 5 * choice.Second}
+	o.Teach([]together.Lesson{{Endpoint: "z", LearnedState: k, Age: 2 * time.Second}, {Endpoint: "a", LearnedState: k},
+		{Endpoint: "none", LearnedState: k},
+		{Endpoint: "b", LearnedState: choice.LearnedState{Mean: -1}}})
+	h.runNext()
+	fmt.Println("taught", m.voided)
+	os.RemoveAll(h.dir)
+	// Output:
+	// call a: POST /inbox
+	//    id
+	// client: +OK
+	// kept [1 2] void [z <nil>]
+	// call a: POST /inbox
+	//    id
+	// known [{Endpoint:a LearnedState:{Mean:550 Dev:3450 Past:550 Seen:1 Limit:0 Wait:0} Age:5ms}]
+	// held [{Destination:1 Bytes:1024 Calls:7 InUse:false}]
+	// kept [2] void [z <nil> a <nil> z <nil>]
+	// client: +OK
+	// client: +OK
+	// woke [9]
+	// taught [z &{10 1 10 3 0 30000}]
+}
--- a/internal/sender/links.go
+++ b/internal/sender/links.go
@@ -1,7 +1,7 @@
 package sender
 
-// This file owns the connections to endpoints: how they come up, idle and end. Each carries one call at a time. It must
-// never hand out one whose end has come, nor let a call leave on one that came up too late for it.
+// This file owns the connections to endpoints (links): how they come up, idle and end. Each carries one call at a time,
+// and a link whose end has come is never handed out.
 
 import (
 	"container/list"
@@ -18,99 +18,105 @@
 	"flaxcove/internal/http1"
 )
 
-const idleMargin = 500 * time.Millisecond // we close an idle link so long before its endpoint would
+// idleMargin is how long before its endpoint would this sender closes an idle link.
+const idleMargin = 500 * time.Millisecond
 
+// Why a connection to an endpoint or to the platform ended, as the log reports it.
 const (
-	linkIdle   reason = "idle"
-	unlisted   reason = "endpoint_unlisted"
-	moved      reason = "endpoint_moved"
-	unneeded   reason = "not_needed"
-	gaveUp     reason = "call_given_up"
-	badAnswer  reason = "bad_answer"
-	askedClose reason = "endpoint_closes"
-	notUp      reason = "connect_failed"
-	crowded    reason = "made_room"
-	forgotten  reason = "forgotten"
-	unwritten  reason = "write_failed"
+	idleTimeout      reason = "idle"
+	endpointUnlisted reason = "endpoint_unlisted"
+	endpointMoved    reason = "endpoint_moved"
+	notNeeded        reason = "not_needed"
+	callAbandoned    reason = "call_given_up"
+	badAnswer        reason = "bad_answer"
+	endpointCloses   reason = "endpoint_closes"
+	connectFailure   reason = "connect_failed"
+	displaced        reason = "made_room"
+	endpointEvicted  reason = "forgotten"
+	writeFailed      reason = "write_failed"
 )
 
-// link is one connection to an endpoint. The answer belongs to netpoll's one running callback.
+// link is one connection to an endpoint. The parser of its answer belongs to netpoll's one running callback.
 type link struct {
-	s      *Sender
-	e      *endpoint
-	addr   string // that was dialled
-	conn   netpoll.Connection
-	answer http1.Answer
-
-	asked atomic.Bool // a call was written and its answer has not come whole; shared with the loop
-	bad   atomic.Bool // what came cannot be an answer
-	// reading holds from taking bytes in until it is clear whether they were asked for, so that bytes nobody asked
-	// for are never taken for the start of the answer to a call that is written in that moment.
-	reading sync.Mutex
-	halfway bool // netpoll's callback: the loop knows that the answer has begun
-
-	// netpoll closes the descriptor and drops the buffers of a connection that has ended; the number may be another's
-	// by the next moment. Who writes to it or looks at it off the loop holds this lock, behind that of reading.
-	bufferLock sync.Mutex
-	noBuffer   bool
-
-	call    *call // loop, as all below
-	began   *call // whose answer has begun
-	writing bool
-	early   *call // that was answered before its write had ended
-	used    bool  // it has carried a call
-	unsent  bool  // the last write did not bring its last byte away
-	ended   *partial
-	idleAt  time.Duration
-	idleEnd *timer        // set while it is idle
-	idleAs  *list.Element // of links.idleOrder, likewise
-	why     reason
-	closing bool
-}
-
-// partial is what had come of an answer when its connection ended.
-type partial struct {
-	status int
-	began  bool
-}
-
-// arrival is a call whose connection came up in this turn.
-type arrival struct {
-	c *call
-	l *link
-}
-
-type links struct {
-	open     int // idle, busy and coming up
-	mostOpen int
-	dial     func(*call) // a test puts its own in place
+	sender   *Sender
+	endpoint *endpoint
+	addr     string // that was dialled; its endpoint may have moved since
+	conn     netpoll.Connection
+	answer   http1.Answer
+
+	awaitingAnswer atomic.Bool // a call was written and its answer is not complete; shared with the loop
+	badInput       atomic.Bool // what came cannot be an answer
+	// inputLock is held from reading bytes until it is clear whether they were asked for, so that unsolicited bytes are
+	// never taken for the begin of the answer to a call that is written at that moment.
+	inputLock   sync.Mutex
+	answerBegun bool // of netpoll's callback: the loop knows that the answer has begun
+
+	// bufferLock is held by who writes to the connection or looks at its socket off the loop. It is taken after inputLock.
+	// netpoll closes the descriptor and drops the buffers of a connection that has ended, and the descriptor's number may
+	// be another connection's at once.
+	bufferLock      sync.Mutex
+	buffersReleased bool
+
+	// Of the loop.
+	call           *call // that it carries
+	answeringCall  *call // the one whose answer has begun
+	writing        bool
+	answeredEarly  *call          // the one that was answered before its write had ended
+	used           bool           // it has carried a call
+	lastByteUnsent bool           // the last write ended before its last byte
+	partialAnswer  *partialAnswer // set once the link has ended
+	idleSince      time.Duration
+	idleTimer      *timer        // set while it is idle
+	idleElement    *list.Element // of linkPool.idleOrder, set while it is idle
+	closeReason    reason
+	closing        bool
+}
+
+// partialAnswer is the part of an answer that had come when its connection ended.
+type partialAnswer struct {
+	status int // 0 before a complete first line
+	begun  bool
+}
+
+// connectedCall is a call whose connection came up in this turn.
+type connectedCall struct {
+	call *call
+	link *link
+}
+
+// linkPool is the part of a Sender that holds its links.
+type linkPool struct {
+	openLinks int // idle, busy and coming up
+	maxLinks  int
+	dial      func(*call) // tests replace it
 	// idleOrder holds all idle links, the one idle longest first. With more endpoints than sockets each call closes that
-	// one, and looking for it at all endpoints took most of the loop's time. A link leaves as it is used or ends.
+	// one; a search among all endpoints would take most of the loop's time.
 	idleOrder list.List
 }
 
-func (l *links) init(cfg *config.Config, clients int) {
-	l.mostOpen = max(cfg.Settings.InFlightLimit+1, cfg.Limits.Sockets-clients-spareFDs)
+func (p *linkPool) init(cfg *config.Config, clients int) {
+	p.maxLinks = max(cfg.Settings.InFlightLimit+1, cfg.Limits.Sockets-clients-reservedDescriptors)
 }
 
-func (s *Sender) connect(c *call) {
-	addr, within := c.e.addr, min(s.cfg.Settings.DialTimeout, c.lasts)
-	if s.cfg.Settings.DialTimeout == 0 {
-		within = c.lasts
+// dialEndpoint opens a connection for a call, within DialTimeout if that is set, and within the call's time.
+func (s *Sender) dialEndpoint(c *call) {
+	addr, within := c.endpoint.addr, c.timeout
+	if s.cfg.Settings.DialTimeout != 0 {
+		within = min(s.cfg.Settings.DialTimeout, c.timeout)
 	}
 	go func() {
 		conn, err := netpoll.DialConnection("tcp", addr, time.Duration(config.Nanoseconds(max(1, within))))
-		s.post(func() { s.dialed(c, conn, err) })
+		s.post(func() { s.onDialed(c, conn, err) })
 	}()
 }
 
-// takeIdle is the link used last, so that the others can idle out. One whose end has come but was not handled
-// yet would cost a call that may have run, so the socket itself is asked.
+// takeIdle takes the idle link that was used last, so that the others can time out; nil for none. A call that is sent on a
+// link whose end has come, but is not handled yet, may count as one that has run, so the socket itself is asked.
 func (s *Sender) takeIdle(e *endpoint) *link {
 	for len(e.idle) > 0 {
 		l := e.idle[len(e.idle)-1]
-		s.notIdle(l)
-		if nothingCame(l.conn) {
+		s.removeIdle(l)
+		if noInputPending(l.conn) {
 			return l
 		}
 		s.closeLink(l, peerClosed)
@@ -118,100 +124,101 @@
 	return nil
 }
 
-// noRoomFor tells whether a dial failed for want of something that this process or machine has no more of.
-func noRoomFor(err error) bool {
-	for _, want := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL} {
-		if errors.Is(err, want) {
-			return true
-		}
-	}
-	return false
+// isResourceShortage reports whether a dial failed for want of a resource of this process or machine.
+func isResourceShortage(err error) bool {
+	shortages := []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL}
+	return slices.ContainsFunc(shortages, func(want error) bool { return errors.Is(err, want) })
 }
 
-func (s *Sender) dialed(c *call, conn netpoll.Connection, err error) {
+// onDialed is called when a dial has ended. The call is sent at the end of the turn, once it is on record.
+func (s *Sender) onDialed(c *call, conn netpoll.Connection, err error) {
 	if err != nil {
-		s.open--
-		c.e.links--
-		s.counts.connectsFailed++
-		s.logEnd("endpoint", string(c.e.id), notUp, err)
-		s.forget(c.e)
-		if noRoomFor(err) {
-			s.closeOldestIdle()
-			s.awaitRoom(c)
-			return
-		}
-		s.connectFailed(c)
+		s.onDialFailed(c, err)
 		return
 	}
-	l := &link{s: s, e: c.e, addr: c.addr, conn: conn}
+	l := &link{sender: s, endpoint: c.endpoint, addr: c.addr, conn: conn}
 	conn.AddCloseCallback(func(netpoll.Connection) error {
-		// The loop may be the one that closes, so this must not wait for it.
+		// No waiting for the loop here: it may be the loop that closes.
 		l.bufferLock.Lock()
-		l.noBuffer = true
+		l.buffersReleased = true
 		l.bufferLock.Unlock()
-		end := &partial{l.answer.Status(), l.answer.Began()}
-		go s.post(func() { s.linkEnded(l, end) })
+		end := &partialAnswer{l.answer.Status(), l.answer.Began()}
+		go s.post(func() { s.onLinkEnded(l, end) })
 		return nil
 	})
-	conn.SetOnRequest(l.onBytes)
+	conn.SetOnRequest(l.onEndpointInput)
 	if !conn.IsActive() {
-		// It ended before netpoll knew whom to tell.
-		conn.Close()
+		conn.Close() // it ended before the callbacks were set
+	}
+	s.eventsPending = true
+	s.connected = append(s.connected, connectedCall{c, l})
+}
+
+func (s *Sender) onDialFailed(c *call, err error) {
+	s.openLinks--
+	c.endpoint.linkCount--
+	s.counts.connectsFailed++
+	s.logConnEnded("endpoint", string(c.endpoint.id), connectFailure, err)
+	s.dropIfUnused(c.endpoint)
+	if isResourceShortage(err) {
+		s.closeOldestIdle()
+		s.awaitCapacity(c)
+		return
 	}
-	s.stirred = true
-	s.connected = append(s.connected, arrival{c, l})
+	s.connectFailed(c)
 }
 
-// astray tells whether a link leads to where its endpoint is not, or not any more: at its old address there may be
-// another one, of another destination.
-func (l *link) astray() bool { return l.e.gone || l.addr != l.e.addr }
+// leadsElsewhere reports whether a link's endpoint is gone or has moved: at its old address there may be another one, of
+// another destination.
+func (l *link) leadsElsewhere() bool { return l.endpoint.gone || l.addr != l.endpoint.addr }
 
+// makeIdle keeps a link for later calls, or closes it where its endpoint is gone or has moved.
 func (s *Sender) makeIdle(l *link) {
 	l.call = nil
-	if l.closing {
-		return
-	}
 	switch {
-	case l.e.gone:
-		s.closeLink(l, unlisted)
+	case l.closing:
+		return
+	case l.endpoint.gone:
+		s.closeLink(l, endpointUnlisted)
 		return
-	case l.astray():
-		s.closeLink(l, moved)
+	case l.leadsElsewhere():
+		s.closeLink(l, endpointMoved)
 		return
 	}
-	l.e.idle = append(l.e.idle, l)
-	l.idleAt = s.sinceStart()
-	l.idleAs = s.idleOrder.PushBack(l)
-	s.endIdle(l)
-}
-
-// notIdle takes a link from those that idle, if it is one.
-func (s *Sender) notIdle(l *link) {
-	l.e.idle = slices.DeleteFunc(l.e.idle, func(other *link) bool { return other == l })
-	if l.idleAs != nil {
-		s.idleOrder.Remove(l.idleAs)
-		l.idleAs = nil
+	l.endpoint.idle = append(l.endpoint.idle, l)
+	l.idleSince = s.sinceStart()
+	l.idleElement = s.idleOrder.PushBack(l)
+	s.startIdleTimer(l)
+}
+
+// removeIdle takes a link out of the idle ones, if it is one.
+func (s *Sender) removeIdle(l *link) {
+	l.endpoint.idle = slices.DeleteFunc(l.endpoint.idle, func(other *link) bool { return other == l })
+	if l.idleElement != nil {
+		s.idleOrder.Remove(l.idleElement)
+		l.idleElement = nil
 	}
-	s.takeBack(l.idleEnd)
+	s.cancelTimer(l.idleTimer)
 }
 
-func (s *Sender) dropIdle(l *link, why reason) {
-	s.notIdle(l)
+func (s *Sender) closeIdleLink(l *link, why reason) {
+	s.removeIdle(l)
 	s.closeLink(l, why)
 }
 
-func (s *Sender) closeIdle(e *endpoint, why reason) {
+func (s *Sender) closeIdleLinks(e *endpoint, why reason) {
 	for len(e.idle) > 0 {
-		s.dropIdle(e.idle[len(e.idle)-1], why)
+		s.closeIdleLink(e.idle[len(e.idle)-1], why)
 	}
 }
 
+// closeOldestIdle closes the link that has been idle longest, and reports whether there was one.
 func (s *Sender) closeOldestIdle() bool {
 	oldest := s.idleOrder.Front()
 	if oldest == nil {
 		return false
 	}
-	s.dropIdle(oldest.Value.(*link), crowded)
+	s.closeIdleLink(oldest.Value.(*link), displaced)
 	return true
 }
 
@@ -219,26 +226,26 @@
 	if l.closing {
 		return
 	}
-	l.closing, l.why = true, why
+	l.closing, l.closeReason = true, why
 	l.conn.Close()
 }
 
-// linkEnded hears of every link's end, ours or theirs.
-func (s *Sender) linkEnded(l *link, end *partial) {
+// onLinkEnded is called once for each link, whoever has closed it.
+func (s *Sender) onLinkEnded(l *link, end *partialAnswer) {
 	if !l.closing {
-		l.closing, l.why = true, peerClosed
-		if l.bad.Load() {
-			l.why = badAnswer
+		l.closing, l.closeReason = true, peerClosed
+		if l.badInput.Load() {
+			l.closeReason = badAnswer
 		}
 	}
-	s.notIdle(l)
-	s.open--
-	l.e.links--
+	s.removeIdle(l)
+	s.openLinks--
+	l.endpoint.linkCount--
 	s.counts.linksEnded++
-	s.logEnd("endpoint", string(l.e.id), l.why, nil)
-	s.forget(l.e)
-	// Whether the last byte left decides what the end means, so the write is waited for.
-	if l.ended = end; !l.writing {
-		s.cutOff(l)
+	s.logConnEnded("endpoint", string(l.endpoint.id), l.closeReason, nil)
+	s.dropIfUnused(l.endpoint)
+	l.partialAnswer = end
+	if !l.writing { // else onWritten does, as the outcome depends on whether the last byte was sent
+		s.onLinkCutOff(l)
 	}
 }
