--- a/internal/cluster/leader.go
+++ b/internal/cluster/leader.go
@@ -133,7 +133,7 @@
 		cancel()
 		if err == nil && answer.Leader != "" {
 			if current := n.leaderHint.Load(); current == nil || current.leader != answer.Leader {
-				n.log.Info("consensus leader learnt from another process", zap.String("leader", string(answer.Leader)))
+				n.log.Info("consensus leader learned from another process", zap.String("leader", string(answer.Leader)))
 			}
 			n.leaderHint.Store(&leaderHint{answer.Leader, n.Now() + leaderHintTTL})
 			return
