--- a/internal/sender/client_harness_test.go
+++ b/internal/sender/client_harness_test.go
@@ -3,8 +3,10 @@
 import (
 	"bufio"
 	"context"
+	"errors"
 	"io"
 	"net"
+	"os"
 	"runtime"
 	"strings"
 	"sync"
@@ -188,6 +190,34 @@
 	}
 }
 
+// waitUntilAnswered waits until all commands are answered that were read from clients that keep their places. Who must know
+// that no command is still unread reads the answers first.
+func waitUntilAnswered(t *testing.T, s *Sender) {
+	t.Helper()
+	waitUntil(t, "what was read is answered", func() bool {
+		s.clients.Lock()
+		defer s.clients.Unlock()
+		for c := range s.clients.all {
+			if !c.lingering && !c.idle() {
+				return false
+			}
+		}
+		return true
+	})
+}
+
+// expectFloodAnswers reads what clients are told that sent a PING without waiting for each other: they are served, or
+// rejected while no other client could be displaced. A lingering one may be closed for others before its bytes are read.
+func expectFloodAnswers(t *testing.T, asking []net.Conn) {
+	t.Helper()
+	for i, conn := range asking {
+		line, err := bufio.NewReader(conn).ReadString('\n')
+		if line != pongText && line != busyAnswer && line != "" || errors.Is(err, os.ErrDeadlineExceeded) {
+			t.Errorf("of those who ask the %dth was told %q, %v", i, line, err)
+		}
+	}
+}
+
 // stallPollers keeps netpoll from reading anything, so that input stays in the sockets, until letGo is called.
 func stallPollers(t *testing.T) (letGo func()) {
 	t.Helper()
--- a/internal/sender/descriptors_test.go
+++ b/internal/sender/descriptors_test.go
@@ -27,10 +27,14 @@
 	Settings, System uint64
 }
 
-const descriptorLimitsEnv = "FLAXCOVE_TEST_NARROW"
+const (
+	descriptorLimitsEnv = "FLAXCOVE_TEST_NARROW"
+	// answeredLine asks the process to say the same once all commands that it has read are answered.
+	answeredLine = "answered"
+)
 
 // TestNarrowProcess is no test: it is the sender in a process of its own, until its standard input ends. Each line of input
-// is the number of descriptors that the system gives from then on.
+// is answeredLine, or the number of descriptors that the system gives from then on.
 func TestNarrowProcess(t *testing.T) {
 	text := os.Getenv(descriptorLimitsEnv)
 	if text == "" {
@@ -49,6 +53,11 @@
 	conn.Close()
 	fmt.Println("serves at", s.Addr())
 	for lines := bufio.NewScanner(os.Stdin); lines.Scan(); {
+		if lines.Text() == answeredLine {
+			waitUntilAnswered(t, s)
+			fmt.Println(answeredLine)
+			continue
+		}
 		limit := syscall.Rlimit{Max: n.System}
 		limit.Cur, _ = strconv.ParseUint(lines.Text(), 10, 64)
 		if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
@@ -102,6 +111,21 @@
 	p.waitForLine(t, "has ")
 }
 
+// waitUntilAnswered waits until the process has answered all commands that it has read.
+func (p *limitedProcess) waitUntilAnswered(t *testing.T) {
+	t.Helper()
+	fmt.Fprintln(p.input, answeredLine)
+	p.waitForLine(t, answeredLine)
+}
+
+// dialPing connects a client and sends a PING.
+func (p *limitedProcess) dialPing(t *testing.T) net.Conn {
+	t.Helper()
+	conn := p.dial(t)
+	io.WriteString(conn, pingText)
+	return conn
+}
+
 func (p *limitedProcess) dial(t *testing.T) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", p.addr)
@@ -166,6 +190,25 @@
 	return time.Duration(user+system) * 10 * time.Millisecond
 }
 
+// floodWithIdle connects clients that send a PING and stay: first many that wait for nothing, some of which may be rejected,
+// then more than there are places, one after the other. Each of these comes when all commands are answered, and so must be
+// served at once.
+func floodWithIdle(t *testing.T, program *limitedProcess) (idle []net.Conn) {
+	t.Helper()
+	const flood, oneByOne = 240, 60
+	for range flood {
+		idle = append(idle, program.dialPing(t))
+	}
+	expectFloodAnswers(t, idle)
+	for range oneByOne {
+		program.waitUntilAnswered(t)
+		conn := program.dialPing(t)
+		mustRead(t, conn, pongText)
+		idle = append(idle, conn)
+	}
+	return idle
+}
+
 // While discovery is down idle clients take all descriptors that clients may have; discovery, calls, reports to the platform
 // and the journal still get theirs, and so do new clients. Where the system gives fewer than the settings allow, the process
 // neither ends nor spins.
@@ -179,13 +222,7 @@
 			n.Discovery, n.Dir = p.Listener.Addr().String(), t.TempDir()
 			program := startLimited(t, n)
 			dial, pid := program.dial, program.Process.Pid
-			var idle []net.Conn
-			for range 300 {
-				conn := dial(t)
-				io.WriteString(conn, pingText)
-				idle = append(idle, conn)
-			}
-			mustRead(t, idle[len(idle)-1], pongText)
+			idle := floodWithIdle(t, program)
 			used := cpuTime(t, pid)
 			asked, since := p.asked.Load(), time.Now()
 			waitUntil(t, "discovery is asked while clients hold all", func() bool { return p.asked.Load() >= asked+2 })
--- a/internal/sender/many_clients_test.go
+++ b/internal/sender/many_clients_test.go
@@ -1,10 +1,10 @@
 package sender
 
 import (
-	"bufio"
 	"io"
 	"net"
 	"os"
+	"sync"
 	"syscall"
 	"testing"
 	"time"
@@ -91,9 +91,35 @@
 	}
 }
 
+// A client whose command is read but not answered keeps its place, as its command would be lost otherwise. Where that holds
+// for all, a new client is rejected; once they are answered, a new one finds a place again.
+func TestUnansweredKeepTheirPlaces(t *testing.T) {
+	s, dial, done := serving(t, 64)
+	goOn := make(chan struct{})
+	letGo := sync.OnceFunc(func() { close(goOn) })
+	defer letGo()
+	s.post(func() { <-goOn }) // nothing is answered
+	var asking []net.Conn
+	for range s.clients.maxServed {
+		conn := dial(pingText)
+		c := clientOf(t, s, conn)
+		waitUntil(t, "the command is counted", func() bool { return len(c.window) == 1 && !c.readerBusy.Load() })
+		asking = append(asking, conn)
+	}
+	expectToEnd(t, "a new client", dial(pingText), busyAnswer)
+	letGo()
+	for _, conn := range asking {
+		mustRead(t, conn, pongText)
+	}
+	waitUntilAnswered(t, s)
+	mustRead(t, dial(pingText), pongText)
+	s.Drain()
+	<-done
+}
+
 // However many clients connect and stay, all connections stay within maxConns, and the served ones within maxServed; a client
-// that connects once all commands are answered finds a place. Before that it may be answered -BUSY, as clients that have sent
-// their first bytes keep their places until these are read: on a busy machine the last one once was.
+// that connects once all commands are answered finds a place. Before that it may be answered -BUSY, as clients whose command
+// is unread or unanswered keep their places: on a busy machine the last one once was.
 func TestFloodOfClients(t *testing.T) {
 	s, dial, done := serving(t, 64)
 	var held, asking []net.Conn
@@ -110,21 +136,8 @@
 		}
 		s.clients.Unlock()
 	}
-	for i, conn := range asking { // a lingering one may be closed for others before its bytes are read
-		if line, err := bufio.NewReader(conn).ReadString('\n'); line != pongText && line != busyAnswer && line != "" {
-			t.Errorf("of those who ask the %dth was told %q, %v", i, line, err)
-		}
-	}
-	waitUntil(t, "what came is read and answered", func() bool {
-		s.clients.Lock()
-		defer s.clients.Unlock()
-		for c := range s.clients.all {
-			if !c.lingering && !c.idle() {
-				return false
-			}
-		}
-		return true
-	})
+	expectFloodAnswers(t, asking)
+	waitUntilAnswered(t, s)
 	mustRead(t, dial(pingText), pongText)
 	for _, conn := range held {
 		conn.Close()
