--- a/cmd/flaxcove/lab_hunt.go
+++ b/cmd/flaxcove/lab_hunt.go
@@ -122,7 +122,7 @@
 }
 
 // record counts a played scenario, saves what was found in it, nil for nothing, and shows the progress.
-func (h *hunter) record(ctx context.Context, seed uint64, found *hunt.Kept, err error) {
+func (h *hunter) record(ctx context.Context, seed uint64, found *hunt.SavedFind, err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.played++
@@ -156,7 +156,7 @@
 }
 
 // playAndShrink plays a scenario and, where it shows something, returns a small scenario that shows the same; else nil.
-func playAndShrink(ctx context.Context, spec *world.Spec, seed uint64, goal hunt.Goal) (*hunt.Kept, error) {
+func playAndShrink(ctx context.Context, spec *world.Spec, seed uint64, goal hunt.Goal) (*hunt.SavedFind, error) {
 	played, err := hunt.Simulated(spec, seed, !goal.Rules)
 	if err != nil {
 		return nil, err
@@ -178,7 +178,7 @@
 	for _, t := range small.Faults {
 		small.About += " " + t.Kind
 	}
-	return &hunt.Kept{Spec: *small, Found: hunt.Find{Rule: rule, Seed: seed, Gap: cutToThousandths(played.Gap), Open: true}}, nil
+	return &hunt.SavedFind{Spec: *small, Found: hunt.Find{Rule: rule, Seed: seed, Gap: cutToThousandths(played.Gap), Open: true}}, nil
 }
 
 // cutToThousandths drops the digits that would only make the saved file harder to read.
--- a/cmd/flaxcove/lab_limits.go
+++ b/cmd/flaxcove/lab_limits.go
@@ -133,7 +133,7 @@
 // broken says whether a point of the noise grid did not hold or a point of the sharing grid broke a rule.
 func (g *limitsGrids) broken() bool {
 	for _, p := range g.noise {
-		if !p.Held() {
+		if !p.Passed() {
 			return true
 		}
 	}
@@ -176,7 +176,7 @@
 	}
 	for _, p := range points {
 		mark := ""
-		if !p.Held() {
+		if !p.Passed() {
 			mark = "!"
 		}
 		fmt.Fprintf(table, "%s\t%g\t%g\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%d\t%s\n", p.Mode, p.Rate, p.Share, p.Delivered, p.InTime, p.OfIdeal,
--- a/cmd/flaxcove/lab_load.go
+++ b/cmd/flaxcove/lab_load.go
@@ -153,7 +153,7 @@
 		if err != nil {
 			return err
 		}
-		search.Told(rate, step.Sustained)
+		search.Record(rate, step.Sustained)
 	}
 	good, bad := search.Best()
 	if !r.json {
--- a/cmd/flaxcove/lab_run.go
+++ b/cmd/flaxcove/lab_run.go
@@ -40,7 +40,7 @@
 	if run.Engine == engineSockets {
 		fmt.Fprintf(os.Stderr, "%s: %d senders, %.0f s and what is left after that\n", s.Spec.Name, s.Spec.Senders, s.Spec.Seconds)
 	}
-	verdict, err := experiment.Once(ctx, run)
+	verdict, err := experiment.RunOnce(ctx, run)
 	if err != nil {
 		return err
 	}
@@ -72,11 +72,11 @@
 }
 
 // findPolicy is the policy that --policy names; nil, for the program's own, where it names none.
-func findPolicy(name string) (sim.Make, error) {
+func findPolicy(name string) (sim.NewPolicy, error) {
 	if name == "" {
 		return nil, nil
 	}
-	policy := baseline.Make(name)
+	policy := baseline.Named(name)
 	if policy == nil {
 		return nil, wrongInput(fmt.Errorf("--policy: no policy is called %q", name))
 	}
--- a/cmd/flaxcove/lab_scenario_argument.go
+++ b/cmd/flaxcove/lab_scenario_argument.go
@@ -60,7 +60,7 @@
 }
 
 // readSavedFind reads a file that a hunt has saved; nil where it is not one.
-func readSavedFind(path string) *hunt.Kept {
+func readSavedFind(path string) *hunt.SavedFind {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil
--- a/lab/baseline/baseline.go
+++ b/lab/baseline/baseline.go
@@ -32,8 +32,8 @@
 	allSeen = "all_seen"
 )
 
-// Make is the policy of that name, nil if there is none.
-func Make(name string) sim.Make {
+// Named is the policy of that name, nil if there is none.
+func Named(name string) sim.NewPolicy {
 	switch name {
 	case "choice":
 		return sim.Choice
--- a/lab/baseline/send.go
+++ b/lab/baseline/send.go
@@ -25,7 +25,7 @@
 // TurnEnd sends what waits, in order of arrival, past those whose partner may not be called now.
 func (p *plain) TurnEnd() {
 	if p.kind == allSeen {
-		p.sortByWorth()
+		p.sortByPriority()
 	}
 	rest := p.queue[:0]
 	for i, n := range p.queue {
@@ -42,12 +42,12 @@
 	p.queue = rest
 }
 
-// sortByWorth puts those first that bring most for the time in which they are in flight.
-func (p *plain) sortByWorth() {
+// sortByPriority puts those first that bring most for the time in which they are in flight.
+func (p *plain) sortByPriority() {
 	for _, n := range p.queue {
 		n.rank = 0
 		if e := p.place(n); e != nil {
-			n.rank = p.worth(n) / max(1, e.waiting)
+			n.rank = p.priority(n) / max(1, e.waiting)
 		}
 	}
 	slices.SortStableFunc(p.queue, func(a, b *message) int { return cmp.Compare(b.rank, a.rank) })
@@ -73,8 +73,8 @@
 	p.h.Attempt(n.ID, e.Endpoint, max(1, min(timeOut, n.Deadline-p.h.Now()-2*p.set.Turn)))
 }
 
-// worth is the value that a message would bring now.
-func (p *plain) worth(n *message) float64 {
+// priority is the value that a message would bring now.
+func (p *plain) priority(n *message) float64 {
 	w := &p.set.Classes[n.Class]
 	return w.Value * w.Fade(p.h.Now()-(n.Deadline-w.Deadline), p.set.Halving)
 }
@@ -115,7 +115,7 @@
 func (p *plain) bestSeen(open []*end) (best *end) {
 	for _, e := range open {
 		well, waiting := p.w.Well(e.Endpoint, e.calls)
-		if well && p.w.ColdRoom(e.Endpoint) && (best == nil || waiting < best.waiting) {
+		if well && p.w.HasSlowStartCapacity(e.Endpoint) && (best == nil || waiting < best.waiting) {
 			best = e
 			e.waiting = waiting
 		}
--- a/lab/capacity/bench/bench.go
+++ b/lab/capacity/bench/bench.go
@@ -40,9 +40,9 @@
 // Heap is how many bytes of live heap build leaves behind in what it returns. Other goroutines should be at rest.
 func Heap(build func() any) float64 {
 	before := live()
-	kept := build()
+	built := build()
 	after := live()
-	runtime.KeepAlive(kept)
+	runtime.KeepAlive(built)
 	return float64(after) - float64(before)
 }
 
--- a/lab/capacity/report.go
+++ b/lab/capacity/report.go
@@ -48,9 +48,9 @@
 	var b strings.Builder
 	b.WriteString("| package, benchmark | metric | sizes: value | fixed + slope x size | residual | power | planned size | figure there | beyond measured |\n")
 	b.WriteString("|" + strings.Repeat(" --- |", 9) + "\n")
-	told := map[Key]bool{}
+	reported := map[Key]bool{}
 	for _, f := range Figures(s) {
-		told[f.Key] = true
+		reported[f.Key] = true
 		beyond := "-"
 		if f.Beyond > 1 {
 			beyond = fmt.Sprintf("%.3g times", f.Beyond)
@@ -62,7 +62,7 @@
 	b.WriteString("\nNo line (a bound cuts them off, there are too few sizes, or the axis is not the plan's):\n\n")
 	b.WriteString("| package, benchmark | axis | metric | sizes: value |\n| --- | --- | --- | --- |\n")
 	for _, k := range s.Keys() {
-		if points := s.Points(k); !told[k] && len(points) > 0 && points[len(points)-1].Value != 0 {
+		if points := s.Points(k); !reported[k] && len(points) > 0 && points[len(points)-1].Value != 0 {
 			fmt.Fprintf(&b, "| `%s` %s | %s | %s | %s |\n", k.Package, k.Benchmark, k.Axis, k.Metric, list(points))
 		}
 	}
--- a/lab/cluster/judge/judge.go
+++ b/lab/cluster/judge/judge.go
@@ -98,11 +98,11 @@
 	if c == nil {
 		return
 	}
-	kept := folder{s.Self.Name, s.Self.Folder}
-	if c.Version < j.ran[kept] {
-		j.broke(Older, "%s runs version %d after %d", s.Self.Name, c.Version, j.ran[kept])
+	ranIn := folder{s.Self.Name, s.Self.Folder}
+	if c.Version < j.ran[ranIn] {
+		j.broke(Older, "%s runs version %d after %d", s.Self.Name, c.Version, j.ran[ranIn])
 	}
-	j.ran[kept] = max(j.ran[kept], c.Version)
+	j.ran[ranIn] = max(j.ran[ranIn], c.Version)
 	j.version(c.Version, c.Sum, string(s.Self.Name))
 }
 
--- a/lab/cluster/judge/judge_test.go
+++ b/lab/cluster/judge/judge_test.go
@@ -11,7 +11,7 @@
 	"flaxcove/internal/cluster/view"
 )
 
-func told(name view.Name, epoch view.Epoch, sum uint32) *status.Status {
+func statusOf(name view.Name, epoch view.Epoch, sum uint32) *status.Status {
 	m := view.Member{Life: view.Life{Name: name, Incarnation: 1}}
 	return &status.Status{Self: m, Members: []view.Member{m}, Root: "a", Leader: "a", Epoch: epoch, PlanSum: sum}
 }
@@ -22,9 +22,9 @@
 		saw  []*status.Status
 		want int
 	}{
-		{"two at one epoch with one plan, one that lapsed, one behind", []*status.Status{told("a", 2, 7), told("b", 2, 7), told("b", 0, 0), told("c", 1, 5)}, 0},
-		{"two plans of one epoch", []*status.Status{told("a", 2, 7), told("b", 2, 8)}, 1},
-		{"one that goes back", []*status.Status{told("a", 2, 7), told("a", 1, 5)}, 1},
+		{"two at one epoch with one plan, one that lapsed, one behind", []*status.Status{statusOf("a", 2, 7), statusOf("b", 2, 7), statusOf("b", 0, 0), statusOf("c", 1, 5)}, 0},
+		{"two plans of one epoch", []*status.Status{statusOf("a", 2, 7), statusOf("b", 2, 8)}, 1},
+		{"one that goes back", []*status.Status{statusOf("a", 2, 7), statusOf("a", 1, 5)}, 1},
 	} {
 		j := New()
 		for _, s := range c.saw {
@@ -63,7 +63,7 @@
 }
 
 func runs(name view.Name, folder string, version uint64, sum configuration.Sum) *status.Status {
-	s := told(name, 0, 0)
+	s := statusOf(name, 0, 0)
 	s.Self.Folder, s.Configuration = folder, &run.Status{Version: version, Sum: sum}
 	return s
 }
@@ -105,7 +105,7 @@
 }
 
 func TestSettled(t *testing.T) {
-	a, b := told("a", 2, 7), told("b", 2, 7)
+	a, b := statusOf("a", 2, 7), statusOf("b", 2, 7)
 	a.Members = []view.Member{a.Self, b.Self}
 	b.Members = a.Members
 	if why := Settled([]*status.Status{a, b}, 2, true); len(why) != 0 {
--- a/lab/cluster/mesh/mesh.go
+++ b/lab/cluster/mesh/mesh.go
@@ -136,10 +136,10 @@
 		say("%s = %q", name, m.own(i, p))
 	}
 	say("\n[zones]")
-	told := map[string]string{}
+	regions := map[string]string{}
 	for _, p := range m.o.Processes {
-		if before, is := told[p.Zone]; !is {
-			told[p.Zone] = p.Region
+		if before, is := regions[p.Zone]; !is {
+			regions[p.Zone] = p.Region
 			say("%s = %q", p.Zone, p.Region)
 		} else if before != p.Region {
 			return nil, errors.New("zone " + p.Zone + " lies in two regions")
--- a/lab/cluster/play/change.go
+++ b/lab/cluster/play/change.go
@@ -18,8 +18,8 @@
 
 const changeFor = 40 * time.Second
 
-// ChangeTold is what the one who ordered a change was told, by the run's clock in tenths of a millisecond.
-type ChangeTold struct {
+// ChangeReport is what the one who ordered a change was told, by the run's clock in tenths of a millisecond.
+type ChangeReport struct {
 	ID             string
 	Given, Decided choice.Time
 	InForce        choice.Time // when all were first seen to run it or a newer one; 0 for never
@@ -30,9 +30,9 @@
 // order hands a change to a process, and to the next where that does not answer, until it is known to be decided.
 func (p *player) order(ctx context.Context, h *live.Hold, no int) {
 	change := &p.s.Changes[no]
-	told := &ChangeTold{ID: fmt.Sprintf("%s-change-%d", p.s.Name, no), Given: h.Now()}
-	p.judge.Ordered(told.ID)
-	p.changes = append(p.changes, told)
+	report := &ChangeReport{ID: fmt.Sprintf("%s-change-%d", p.s.Name, no), Given: h.Now()}
+	p.judge.Ordered(report.ID)
+	p.changes = append(p.changes, report)
 	p.wg.Add(1)
 	go func() {
 		defer p.wg.Done()
@@ -47,7 +47,7 @@
 			}
 			code := 0
 			if known {
-				version, sum, code = p.post(ctx, by, told.ID, base, change.Back, no)
+				version, sum, code = p.post(ctx, by, report.ID, base, change.Back, no)
 			}
 			if version > 0 {
 				break
@@ -63,10 +63,10 @@
 		}
 		took := time.Since(began)
 		h.Post(func() {
-			told.Tries, told.Version = tries, version
+			report.Tries, report.Version = tries, version
 			if version > 0 {
-				told.Decided = told.Given + tenths(took)
-				p.judge.Decided(told.ID, version, sum)
+				report.Decided = report.Given + tenths(took)
+				p.judge.Decided(report.ID, version, sum)
 			}
 			p.open--
 		})
--- a/lab/cluster/play/measure_test.go
+++ b/lab/cluster/play/measure_test.go
@@ -26,10 +26,10 @@
 
 // rates keeps the first and the last that each process told within the span.
 type rates struct {
-	first, last map[view.Life]told
+	first, last map[view.Life]report
 }
 
-type told struct {
+type report struct {
 	at      choice.Time
 	traffic status.Traffic
 	// Bytes of answers to our own questions, and of the last of them: a process counts one once it is told.
@@ -40,11 +40,11 @@
 	for _, s := range all {
 		if now >= measureFrom && now <= measureTo {
 			if _, is := r.first[s.Self.Life]; !is {
-				r.first[s.Self.Life] = told{at: now, traffic: s.Traffic}
+				r.first[s.Self.Life] = report{at: now, traffic: s.Traffic}
 			}
 			text, _ := json.Marshal(s)
 			before := r.last[s.Self.Life].answers
-			r.last[s.Self.Life] = told{now, s.Traffic, before + len(text), len(text)}
+			r.last[s.Self.Life] = report{now, s.Traffic, before + len(text), len(text)}
 		}
 	}
 }
@@ -83,7 +83,7 @@
 		Faults: []schedule.Fault{{Kind: "zone", At: 3, Seconds: 8, Zone: 1}}}
 	for range *measure {
 		for _, s := range []schedule.Schedule{calm, fall} {
-			r := &rates{map[view.Life]told{}, map[view.Life]told{}}
+			r := &rates{map[view.Life]report{}, map[view.Life]report{}}
 			every := time.Duration(0)
 			if len(s.Faults) == 0 {
 				every = 9 * time.Second // an answer is some ten thousand bytes at this size
--- a/lab/cluster/play/play.go
+++ b/lab/cluster/play/play.go
@@ -59,9 +59,9 @@
 	Excused int           // breaks of the referee's that the schedule itself asked for: an emptied folder
 	Epochs  int
 	Last    []*status.Status
-	Purges  []PurgeTold
+	Purges  []PurgeReport
 	Falls   []Fall
-	Changes []*ChangeTold
+	Changes []*ChangeReport
 	// SettledMS is how long after the last fault all saw the same again.
 	SettledMS int64
 }
@@ -112,7 +112,7 @@
 	if err != nil {
 		return nil, err
 	}
-	out := &Result{Result: r, Last: p.last, Epochs: p.judge.Epochs(), Purges: p.told, SettledMS: p.settledMS}
+	out := &Result{Result: r, Last: p.last, Epochs: p.judge.Epochs(), Purges: p.report, SettledMS: p.settledMS}
 	out.Falls, out.Changes = p.falls, p.changes
 	out.Excused = p.excuse(r.Verdict)
 	if len(o.Uses) > 0 {
--- a/lab/cluster/play/purge.go
+++ b/lab/cluster/play/purge.go
@@ -17,8 +17,8 @@
 	purgeAgain = 300 * time.Millisecond
 )
 
-// PurgeTold is what a purge's caller was told, by the run's clock in tenths of a millisecond.
-type PurgeTold struct {
+// PurgeReport is what a purge's caller was told, by the run's clock in tenths of a millisecond.
+type PurgeReport struct {
 	ID                       string
 	Given, Decided, Complete choice.Time
 	Tries                    int
@@ -34,7 +34,7 @@
 		k, known := p.kinds[n]
 		return order.Subject == "notices" && known && k.destination == order.Destination && (order.Class == "" || k.class == order.Class)
 	})
-	told := PurgeTold{ID: id, Given: h.Now()}
+	report := PurgeReport{ID: id, Given: h.Now()}
 	body := map[string]any{"id": id, "subject": order.Subject, "who": "laboratory", "why": "schedule " + p.s.Name,
 		"match": map[string]any{"destination": order.Destination, "workload": order.Class}}
 	p.wg.Add(1)
@@ -59,9 +59,9 @@
 			}
 			if answer.State == "complete" || answer.State == "complete with lapsed" {
 				h.Post(func() {
-					told.Decided, told.Complete = told.Given+tenths(decidedIn), h.Now()
-					told.Tries, told.Whole = tries, answer.State
-					p.told = append(p.told, told)
+					report.Decided, report.Complete = report.Given+tenths(decidedIn), h.Now()
+					report.Tries, report.Whole = tries, answer.State
+					p.report = append(p.report, report)
 					p.judge.Complete(id, h.Now(), answer.State != "complete")
 					p.open--
 				})
@@ -80,8 +80,8 @@
 			}
 		}
 		h.Post(func() {
-			told.Tries = tries
-			p.told = append(p.told, told)
+			report.Tries = tries
+			p.report = append(p.report, report)
 			p.open--
 		})
 	}()
--- a/lab/cluster/play/watch.go
+++ b/lab/cluster/play/watch.go
@@ -51,14 +51,14 @@
 	judge     *judge.Judge
 	kinds     map[choice.MessageID]kind
 	emptied   map[world.SenderNo]choice.Time
-	told      []PurgeTold
+	report    []PurgeReport
 	last      []*status.Status
 	apart     []string
 	settled   bool
 	settledMS int64
 	open      int // purges that are not complete
 	falls     []Fall
-	changes   []*ChangeTold
+	changes   []*ChangeReport
 	shown     versions.Shown
 	now       choice.Time // when last was heard
 
--- a/lab/cluster/rate/change.go
+++ b/lab/cluster/rate/change.go
@@ -17,9 +17,9 @@
 
 const (
 	orderWithin = 16 * time.Second
-	// linksKept is the setting that is changed, a little each time: how long a link without calls is kept.
-	linksKept     = 10 * time.Second
-	linksKeptStep = time.Millisecond
+	// connIdle is the setting that is changed, a little each time: how long a link without calls is kept.
+	connIdle     = 10 * time.Second
+	connIdleStep = time.Millisecond
 )
 
 // orders hands in one change after the other until its end.
@@ -65,9 +65,9 @@
 func change(ctx context.Context, address string, base uint64) (version uint64, err error) {
 	ctx, stop := context.WithTimeout(ctx, orderWithin)
 	defer stop()
-	kept := linksKept + time.Duration(base+1)*linksKeptStep
+	idle := connIdle + time.Duration(base+1)*connIdleStep
 	body, err := json.Marshal(map[string]any{"id": fmt.Sprintf("rate-%d", base), "base": base, "who": "laboratory", "why": "rate",
-		"patch": map[string]any{"bounds": map[string]any{"connIdle": kept}}})
+		"patch": map[string]any{"bounds": map[string]any{"connIdle": idle}}})
 	if err != nil {
 		return 0, err
 	}
@@ -81,16 +81,16 @@
 		return 0, err
 	}
 	defer answer.Body.Close()
-	var told struct {
+	var changed struct {
 		Version uint64         `json:"version"`
 		State   versions.State `json:"state"`
 		Error   string         `json:"error"`
 	}
-	if err := json.NewDecoder(answer.Body).Decode(&told); err != nil {
+	if err := json.NewDecoder(answer.Body).Decode(&changed); err != nil {
 		return 0, err
 	}
-	if answer.StatusCode != http.StatusOK || told.State != versions.InForce {
-		return 0, fmt.Errorf("a change upon version %d: status %d, state %q, %s", base, answer.StatusCode, told.State, told.Error)
+	if answer.StatusCode != http.StatusOK || changed.State != versions.InForce {
+		return 0, fmt.Errorf("a change upon version %d: status %d, state %q, %s", base, answer.StatusCode, changed.State, changed.Error)
 	}
-	return told.Version, nil
+	return changed.Version, nil
 }
--- a/lab/cluster/rate/client.go
+++ b/lab/cluster/rate/client.go
@@ -59,8 +59,8 @@
 	body := []byte(strings.Repeat("x", bodyBytes))
 	for sent := int64(0); ; {
 		// A message that is delivered twice counts as two that are over; no more than a window goes at once for that.
-		room := min(window, window-(sent-c.out.counts().over()))
-		if room <= 0 {
+		available := min(window, window-(sent-c.out.counts().over()))
+		if available <= 0 {
 			select {
 			case <-time.After(windowWait):
 				continue
@@ -69,7 +69,7 @@
 			}
 		}
 		var commands []byte
-		for range room {
+		for range available {
 			commands = resp.AppendCommand(commands, []byte("OUT.ADD"), []byte("0"), fmt.Appendf(nil, "message-%012d", sent),
 				fmt.Appendf(nil, "c=%s,d=60000,dest=%d", class, sent%destinations), body)
 			sent++
--- a/lab/cluster/rate/process.go
+++ b/lab/cluster/rate/process.go
@@ -184,8 +184,8 @@
 		return false
 	}
 	defer answer.Body.Close()
-	var told status.Status
-	return json.NewDecoder(answer.Body).Decode(&told) == nil && told.Leader != ""
+	var answered status.Status
+	return json.NewDecoder(answer.Body).Decode(&answered) == nil && answered.Leader != ""
 }
 
 // ready looks for the address in the sender's log, then asks there.
--- a/lab/cluster/size/cases.go
+++ b/lab/cluster/size/cases.go
@@ -29,9 +29,9 @@
 	}
 	s.Partners = []world.Kind{
 		{Name: "told", Count: partners / 2, Endpoints: world.Pair{4, 4}, MeanMS: world.Pair{40, 100}, Reports: true,
-			Told: 0.5, Limit: "rate", LimitTimes: world.Pair{1.6, 2.6}, Apart: true, LeastRate: 16},
+			RetryAfterShare: 0.5, Limit: "rate", LimitTimes: world.Pair{1.6, 2.6}, Apart: true, LeastRate: 16},
 		{Name: "untold", Count: partners - partners/2, Endpoints: world.Pair{4, 4}, MeanMS: world.Pair{40, 100},
-			Reports: true, Told: 0.5, Headroom: world.Pair{1.6, 3}, LeastRate: 16},
+			Reports: true, RetryAfterShare: 0.5, Headroom: world.Pair{1.6, 3}, LeastRate: 16},
 	}
 	s.Defaults()
 	return &s
--- a/lab/cluster/size/fleet.go
+++ b/lab/cluster/size/fleet.go
@@ -106,7 +106,7 @@
 			f.lead = &leader{f: f}
 			f.after(o.LeaderGone, func() {
 				f.lead = newLeader(f, next)
-				next.news()
+				next.scheduleTurn()
 			})
 		})
 	}
@@ -136,7 +136,7 @@
 func (l *leader) turn(now view.Now, weighs bool) {
 	l.renew(now)
 	if !weighs {
-		l.at.news()
+		l.at.scheduleTurn()
 		return
 	}
 	l.all.Put(now, l.at.passing.Fresh(now))
@@ -184,7 +184,7 @@
 		fmt.Fprintf(h, "%d %v %s", l.f.hash, l.f.now(), body)
 		l.f.hash = h.Sum64()
 	}
-	l.at.news()
+	l.at.scheduleTurn()
 }
 
 func seconds(s float64) choice.Time { return choice.Time(s * float64(choice.Second)) }
--- a/lab/cluster/size/play.go
+++ b/lab/cluster/size/play.go
@@ -49,7 +49,7 @@
 	}
 	decide := sim.Choice
 	if o.Mode == Oracle {
-		decide = baseline.Make("all_seen")
+		decide = baseline.Named("all_seen")
 	}
 	started := 0
 	policy := func(h choice.Host, id choice.SenderID, seed int64, set choice.Settings, w *world.World) sim.Policy {
--- a/lab/cluster/size/process.go
+++ b/lab/cluster/size/process.go
@@ -20,16 +20,16 @@
 
 // Spans as internal/cluster and its failover/run have them.
 const (
-	digestEach = 500 * time.Millisecond
-	turnEach   = 500 * time.Millisecond
-	leastTurn  = 50 * time.Millisecond
-	weighEach  = 150 * time.Millisecond
-	calmEach   = 2 * time.Second
-	toldFor    = 15 * time.Second
-	renewals   = 5
-	mostUp     = 3000
-	mostPlaces = 40_000
-	keepFor    = time.Minute
+	digestEach  = 500 * time.Millisecond
+	turnEach    = 500 * time.Millisecond
+	leastTurn   = 50 * time.Millisecond
+	weighEach   = 150 * time.Millisecond
+	calmEach    = 2 * time.Second
+	reportedFor = 15 * time.Second
+	renewals    = 5
+	mostUp      = 3000
+	mostPlaces  = 40_000
+	keepFor     = time.Minute
 	// mostWitnesses is what internal/cluster/evidence keeps of a place.
 	mostWitnesses = 32
 )
@@ -37,16 +37,16 @@
 // process is what stands beside one sender: it does in simulated time what cluster/feed.go and failover/run do with
 // goroutines and links. Its clock began at a time of its own, hours apart from others'.
 type process struct {
-	f      *fleet
-	name   view.Name
-	zone   view.Zone
-	began  time.Duration // what its clock shows at the start of the run
-	c      *counted
-	window *digest.Window
-	own    []healthreport.Sample
-	ownAt  view.Now
-	told   map[healthreport.Locality]telling
-	table  *table.Table
+	f        *fleet
+	name     view.Name
+	zone     view.Zone
+	began    time.Duration // what its clock shows at the start of the run
+	c        *counted
+	window   *digest.Window
+	own      []healthreport.Sample
+	ownAt    view.Now
+	reported map[healthreport.Locality]telling
+	table    *table.Table
 
 	passing *weigh.Board
 	weighed view.Now
@@ -83,7 +83,7 @@
 
 func (p *process) start() {
 	p.window = digest.Make(p.name, p.zone, p.f.span, mostPlaces, p.now())
-	p.told, p.below = map[healthreport.Locality]telling{}, map[view.Name]*child{}
+	p.reported, p.below = map[healthreport.Locality]telling{}, map[view.Name]*child{}
 	p.table = table.Make(table.Bounds{Rows: mostPlaces, Witnesses: mostWitnesses, Keep: keepFor})
 	p.passing, p.weighed = weigh.NewBoard(weigh.Usual()), p.now()-weighEach
 	first := p.f.spread(string(p.name))
@@ -108,19 +108,19 @@
 
 func (p *process) due(now view.Now) (tell []healthreport.Sample) {
 	for _, s := range p.own {
-		last, ill := p.told[s.Locality], s.Failed > 0
+		last, ill := p.reported[s.Locality], s.Failed > 0
 		if ill || ill != last.ill || last.at == 0 || now-last.at >= calmEach {
 			tell = append(tell, s)
-			p.told[s.Locality] = telling{now, ill}
+			p.reported[s.Locality] = telling{now, ill}
 		}
 	}
-	maps.DeleteFunc(p.told, func(_ healthreport.Locality, t telling) bool { return now-t.at > toldFor })
+	maps.DeleteFunc(p.reported, func(_ healthreport.Locality, t telling) bool { return now-t.at > reportedFor })
 	return tell
 }
 
 func (p *process) takeIn(now view.Now, all []healthreport.Sample) {
 	if p.f.prompt && slices.ContainsFunc(all, func(s healthreport.Sample) bool { return s.Failed > s.Done+s.Refused }) {
-		p.news()
+		p.scheduleTurn()
 	}
 	for _, s := range all {
 		p.table.Take(now, s)
@@ -132,8 +132,8 @@
 	p.turn()
 }
 
-// news has a turn come soon; what comes together is told together.
-func (p *process) news() {
+// scheduleTurn has a turn come soon; what comes together is told together.
+func (p *process) scheduleTurn() {
 	if !p.turnDue {
 		p.turnDue = true
 		p.f.after(leastTurn, func() {
@@ -223,7 +223,7 @@
 			board = p.f.lead.all
 		}
 		if board.Put(above.now(), reports) {
-			above.news()
+			above.scheduleTurn()
 		}
 	})
 }
@@ -251,7 +251,7 @@
 			p.f.send(to, p, epoch, func() {
 				c.out, c.epoch, c.fresh = false, epoch, asOf
 				if p.holder.Epoch() > epoch {
-					p.news()
+					p.scheduleTurn()
 				}
 			})
 		})
@@ -269,7 +269,7 @@
 		local.Ill = p.local.Ill
 	}
 	p.compile(p.now(), local)
-	p.news()
+	p.scheduleTurn()
 }
 
 // bytesOf is how long a message's body is.
--- a/lab/experiment/plan.go
+++ b/lab/experiment/plan.go
@@ -96,7 +96,7 @@
 		return p.wrong(at+"name", "missing")
 	case slices.ContainsFunc(p.Variants[:i], func(o Variant) bool { return o.Name == v.Name }):
 		return p.wrong(at+"name", "%q is taken", v.Name)
-	case v.Policy != "" && baseline.Make(v.Policy) == nil:
+	case v.Policy != "" && baseline.Named(v.Policy) == nil:
 		return p.wrong(at+"policy", "no policy is called %q", v.Policy)
 	case baselinePolicy && (p.Engine != engineSimulated || v.Binary != ""):
 		return p.wrong(at+"policy", "baselines play in simulated time, in this program")
--- a/lab/experiment/single.go
+++ b/lab/experiment/single.go
@@ -33,8 +33,8 @@
 	Logs     string
 }
 
-// Once plays one run, whichever engine and build it takes.
-func Once(ctx context.Context, s Single) (*referee.Verdict, error) {
+// RunOnce plays one run, whichever engine and build it takes.
+func RunOnce(ctx context.Context, s Single) (*referee.Verdict, error) {
 	switch {
 	case s.Engine == engineSockets:
 		return onSockets(ctx, s)
@@ -72,7 +72,7 @@
 func simulated(ctx context.Context, s Single) (*referee.Verdict, error) {
 	o := sim.Options{Spec: s.Spec, Seed: s.Seed, Trace: s.trace(), Until: func() bool { return ctx.Err() != nil }}
 	if s.Policy != "" {
-		o.Policy = baseline.Make(s.Policy)
+		o.Policy = baseline.Named(s.Policy)
 	}
 	return sim.Run(o)
 }
--- a/lab/hunt/draw.go
+++ b/lab/hunt/draw.go
@@ -12,9 +12,9 @@
 )
 
 // Kinds of trouble that are drawn, in order of name.
-var endpointTroubles, otherTroubles = troubleKinds()
+var endpointFaults, otherFaults = faultKinds()
 
-func troubleKinds() (endpoints, others []string) {
+func faultKinds() (endpoints, others []string) {
 	for name, kind := range world.FaultKinds {
 		switch {
 		case kind.Strikes == "endpoints":
@@ -47,7 +47,7 @@
 		d.spec.Partners = append(d.spec.Partners, d.partner(i))
 	}
 	for range 1 + rng.IntN(4) {
-		d.spec.Faults = append(d.spec.Faults, d.trouble())
+		d.spec.Faults = append(d.spec.Faults, d.fault())
 	}
 	for range rng.IntN(3) {
 		d.spec.Changes = append(d.spec.Changes, d.change())
@@ -112,20 +112,20 @@
 
 func (d *drawer) partner(no int) world.Kind {
 	k := world.Kind{
-		Name:          fmt.Sprintf("k%d", no),
-		Count:         max(1, int(d.between(1, 7)*d.scale+0.5)),
-		Endpoints:     world.Pair{1, float64(1 + d.rng.IntN(4))},
-		MeanMS:        d.pair(world.Pair{15, 100}, world.Pair{100, 350}),
-		Sigma:         d.figure(0.2, 1.2),
-		Headroom:      d.pair(world.Pair{1.05, 1.8}, world.Pair{1.8, 4}),
-		Queue:         d.figure(0.5, 6),
-		Told:          d.figure(0, 1),
-		Reports:       d.chance(0.6),
-		SlowStartS:    d.figure(3, 15),
-		SlowStartFrom: d.figure(0.1, 0.5),
-		IdleS:         d.figure(2, 15),
-		ShakeMS:       float64(d.rng.IntN(60)),
-		ErrorShare:    d.figure(0, 0.02),
+		Name:            fmt.Sprintf("k%d", no),
+		Count:           max(1, int(d.between(1, 7)*d.scale+0.5)),
+		Endpoints:       world.Pair{1, float64(1 + d.rng.IntN(4))},
+		MeanMS:          d.pair(world.Pair{15, 100}, world.Pair{100, 350}),
+		Sigma:           d.figure(0.2, 1.2),
+		Headroom:        d.pair(world.Pair{1.05, 1.8}, world.Pair{1.8, 4}),
+		Queue:           d.figure(0.5, 6),
+		RetryAfterShare: d.figure(0, 1),
+		Reports:         d.chance(0.6),
+		SlowStartS:      d.figure(3, 15),
+		SlowStartFrom:   d.figure(0.1, 0.5),
+		IdleS:           d.figure(2, 15),
+		ShakeMS:         float64(d.rng.IntN(60)),
+		ErrorShare:      d.figure(0, 0.02),
 	}
 	d.drawLimit(&k)
 	if d.chance(0.3) {
@@ -154,7 +154,7 @@
 	}
 }
 
-func (d *drawer) trouble() world.Fault {
+func (d *drawer) fault() world.Fault {
 	t := world.Fault{
 		At:      d.figure(1, d.spec.Seconds*0.6),
 		Seconds: d.figure(2, d.spec.Seconds*0.35),
@@ -162,7 +162,7 @@
 	if d.chance(0.75) {
 		d.drawEndpoints(&t)
 	} else {
-		t.Kind = pick(d, otherTroubles...)
+		t.Kind = pick(d, otherFaults...)
 		if world.FaultKinds[t.Kind].Strikes == "senders" {
 			t.Part.Share = d.figure(0.2, 1)
 		}
@@ -175,7 +175,7 @@
 
 // drawEndpoints draws a trouble of endpoints and which ones it strikes.
 func (d *drawer) drawEndpoints(t *world.Fault) {
-	t.Kind = pick(d, endpointTroubles...)
+	t.Kind = pick(d, endpointFaults...)
 	t.Part.Share = d.figure(0.1, 0.7)
 	if d.chance(0.3) {
 		t.Part.Endpoint = 1
--- a/lab/hunt/play.go
+++ b/lab/hunt/play.go
@@ -16,7 +16,7 @@
 	}
 	p := Played{Rules: v.Rules}
 	if bound && !v.Broken() {
-		b, err := sim.Run(sim.Options{Spec: spec, Seed: seed, Policy: baseline.Make("all_seen")})
+		b, err := sim.Run(sim.Options{Spec: spec, Seed: seed, Policy: baseline.Named("all_seen")})
 		if err != nil {
 			return p, err
 		}
--- a/lab/hunt/kept.go
+++ b/lab/hunt/saved.go
@@ -16,15 +16,15 @@
 	"flaxcove/lab/world"
 )
 
-// Kept is a find as its file holds it: the scenario with a table found.
-type Kept struct {
+// SavedFind is a find as its file holds it: the scenario with a table found.
+type SavedFind struct {
 	Found Find `toml:"found"`
 	world.Spec
 }
 
 // Read reads a kept find.
-func Read(name string, text []byte) (*Kept, error) {
-	k := &Kept{Spec: world.Base()}
+func Read(name string, text []byte) (*SavedFind, error) {
+	k := &SavedFind{Spec: world.Base()}
 	if err := tomlfile.Decode(name, text, k); err != nil {
 		return nil, err
 	}
@@ -36,7 +36,7 @@
 }
 
 // Save writes a find to a folder under its name.
-func Save(folder string, k *Kept) (string, error) {
+func Save(folder string, k *SavedFind) (string, error) {
 	var out bytes.Buffer
 	if err := toml.NewEncoder(&out).Encode(k); err != nil {
 		return "", err
@@ -54,7 +54,7 @@
 var found embed.FS
 
 // Found are those finds, in order of name.
-func Found() (all []*Kept, err error) {
+func Found() (all []*SavedFind, err error) {
 	entries, err := found.ReadDir("found")
 	if err != nil {
 		return nil, err
--- a/lab/hunt/shrink.go
+++ b/lab/hunt/shrink.go
@@ -9,8 +9,8 @@
 	"flaxcove/lab/world"
 )
 
-// gapKept is the share of its gap that a find may not lose while the scenario gets smaller.
-const gapKept = 0.7
+// leastGapShare is the share of its gap that a find may not lose while the scenario gets smaller.
+const leastGapShare = 0.7
 
 // Shrink takes away from a find as long as it still shows the same, and returns the smallest met within so many runs.
 func Shrink(spec *world.Spec, seed uint64, goal Goal, play Play, runs int, say func(*world.Spec)) (*world.Spec, Played, error) {
@@ -26,7 +26,7 @@
 		if rule != "" {
 			return p.Rules[rule] > 0
 		}
-		return p.Gap >= max(goal.Least, gapKept*found.Gap)
+		return p.Gap >= max(goal.Least, leastGapShare*found.Gap)
 	}
 	best, bestPlayed := spec, found
 	for runs > 0 {
--- a/lab/limits/limits.go
+++ b/lab/limits/limits.go
@@ -46,9 +46,9 @@
 	BrokenRules int     `json:"broken_rules"` // of all
 }
 
-// Held tells whether a point is as it should be: nine tenths of the ideal with noise up to 6%, and never more calls than
+// Passed tells whether a point is as it should be: nine tenths of the ideal with noise up to 6%, and never more calls than
 // the noise explains.
-func (p *NoisePoint) Held() bool {
+func (p *NoisePoint) Passed() bool {
 	return p.BrokenRules == 0 && p.Calls <= p.CallsMost && (p.Share > 0.06 || p.OfIdeal >= 0.9)
 }
 
@@ -56,7 +56,7 @@
 type Options struct {
 	Seed    uint64
 	Seconds float64
-	Policy  sim.Make // nil for the project's own decisions
+	Policy  sim.NewPolicy // nil for the project's own decisions
 }
 
 func base(name string, seconds float64) world.Spec {
--- a/lab/limits/limits_test.go
+++ b/lab/limits/limits_test.go
@@ -17,7 +17,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				if !p.Held() || p.Asked < 200 {
+				if !p.Passed() || p.Asked < 200 {
 					t.Errorf("%+v", p)
 				}
 			})
@@ -28,14 +28,14 @@
 // The grid tells a policy that does not hold: one try for each message loses what noise takes, and a policy that tries
 // again at once and always calls more than the noise explains.
 func TestNoiseTellsAPolicyThatDoesNotHold(t *testing.T) {
-	p, err := Noise(Options{Seed: 3, Seconds: 30, Policy: baseline.Make("one_try")}, Chance, 100, 0.2)
+	p, err := Noise(Options{Seed: 3, Seconds: 30, Policy: baseline.Named("one_try")}, Chance, 100, 0.2)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if p.Delivered > 0.85 || p.Calls > 1.01 {
 		t.Errorf("%+v", p)
 	}
-	if held := (&NoisePoint{Share: 0.06, OfIdeal: 0.95, Calls: 1.3, CallsMost: 1.17}).Held(); held {
+	if held := (&NoisePoint{Share: 0.06, OfIdeal: 0.95, Calls: 1.3, CallsMost: 1.17}).Passed(); held {
 		t.Error("too many calls count as held")
 	}
 	if _, err := Noise(Options{Seed: 3, Seconds: 30}, "thunder", 1, 0.1); err == nil {
--- a/lab/live/directory.go
+++ b/lab/live/directory.go
@@ -79,7 +79,7 @@
 	return m
 }
 
-func (d *directory) news(l world.List) {
+func (d *directory) sendUpdate(l world.List) {
 	text, err := json.Marshal(d.message(l))
 	if err != nil {
 		return // strings and numbers always marshal
@@ -189,7 +189,7 @@
 			if l.Outcome == "handed_back" {
 				what = world.EndHandedBack
 			}
-			d.e.w.EndTold(choice.MessageID(l.Message), what, l.RetryInMS)
+			d.e.w.ReportEnd(choice.MessageID(l.Message), what, l.RetryInMS)
 		}
 		heard <- true
 	})
--- a/lab/live/live.go
+++ b/lab/live/live.go
@@ -43,10 +43,10 @@
 	Binding map[string]string // more of its environment
 	Trace   []load.Arrival
 	Logs    string // a folder for the senders' logs; "" keeps none
-	// Alone starts no senders: it writes a configuration for each to this folder and waits for somebody to start them.
-	Alone string
-	Say   func(format string, args ...any) // progress; nil for none
-	Watch func(now choice.Time)
+	// WorldOnlyFolder starts no senders: it writes a configuration for each to this folder and waits for somebody to start them.
+	WorldOnlyFolder string
+	Say             func(format string, args ...any) // progress; nil for none
+	Watch           func(now choice.Time)
 	// KeepVerdict judges what was played until ctx ended, in place of an error.
 	KeepVerdict bool
 	// Settings changes the settings object that senders are told, for a variant; nil for none.
@@ -188,7 +188,7 @@
 		e.senders = append(e.senders, p)
 	}
 	within := readyWithin
-	if e.o.Alone != "" {
+	if e.o.WorldOnlyFolder != "" {
 		within = 24 * time.Hour
 		e.o.Say("waiting for %d sender(s); start each with its configuration:", len(e.senders))
 		for _, p := range e.senders {
--- a/lab/live/process.go
+++ b/lab/live/process.go
@@ -39,7 +39,7 @@
 
 func (e *engine) newProcess(s world.SenderNo) (*process, error) {
 	p := &process{e: e, no: s}
-	under := e.o.Alone
+	under := e.o.WorldOnlyFolder
 	home, err := e.folder(under, fmt.Sprintf("s%d", s))
 	if err != nil {
 		return nil, err
@@ -101,7 +101,7 @@
 func (p *process) start() {
 	p.ready, p.expected = false, false
 	p.lives++
-	if p.e.o.Alone == "" {
+	if p.e.o.WorldOnlyFolder == "" {
 		if err := p.spawn(); err != nil {
 			p.e.fail = fmt.Sprintf("sender %d does not start: %v", p.no, err)
 			return
--- a/lab/live/wire.go
+++ b/lab/live/wire.go
@@ -51,6 +51,6 @@
 
 func (e *engine) HandIn(h *world.HandIn) { e.pools[h.Sender].handIn(h) }
 
-func (e *engine) News(to world.SenderNo, l world.List) { e.dirs[to].news(l) }
+func (e *engine) ListUpdate(to world.SenderNo, l world.List) { e.dirs[to].sendUpdate(l) }
 
 func (e *engine) ListFailed(to world.SenderNo) { e.dirs[to].silence() }
--- a/lab/load/load_test.go
+++ b/lab/load/load_test.go
@@ -90,7 +90,7 @@
 	try := func(holds float64) {
 		s := NewSearch(100, 10000, 20)
 		for rate, more := s.Next(); more; rate, more = s.Next() {
-			s.Told(rate, rate <= holds)
+			s.Record(rate, rate <= holds)
 			fmt.Printf("%.0f ", rate)
 		}
 		good, bad := s.Best()
--- a/lab/load/search.go
+++ b/lab/load/search.go
@@ -38,8 +38,8 @@
 	return math.Sqrt(s.good * s.bad), true
 }
 
-// Told takes the verdict on a rate.
-func (s *Search) Told(rate float64, held bool) {
+// Record takes the verdict on a rate.
+func (s *Search) Record(rate float64, held bool) {
 	if held {
 		s.good = max(s.good, rate)
 	} else if s.bad == 0 || rate < s.bad {
--- a/lab/referee/calls.go
+++ b/lab/referee/calls.go
@@ -23,8 +23,8 @@
 	no     int // of an endpoint, or of a route: partners count from 0, endpoints apart below it
 }
 
-// drainTold is what a sender was told of an endpoint, and when.
-type drainTold struct {
+// announcedStage is what a sender was told of an endpoint, and when.
+type announcedStage struct {
 	stage choice.Stage
 	at    Time
 }
@@ -37,7 +37,7 @@
 	return int(e.Partner.No)
 }
 
-func singleUse(h *world.HandIn) bool { return h.Ask.Class.Repeat == world.NonIdempotent }
+func nonIdempotent(h *world.HandIn) bool { return h.Ask.Class.Repeat == world.NonIdempotent }
 
 // Began hears that a call left its sender.
 func (r *Referee) Began(c *world.Call) {
@@ -61,7 +61,7 @@
 func (r *Referee) judgeDrain(c *world.Call) {
 	now, e, s := r.clock(), c.Conn.Endpoint, c.Conn.Sender
 	grace := milliseconds(r.spec.Rules.DrainGraceMS) + r.slack
-	if t, told := r.told[seat{s, int(e.No)}]; told && t.stage != choice.Ready && now > t.at+grace {
+	if t, stages := r.stages[seat{s, int(e.No)}]; stages && t.stage != choice.Ready && now > t.at+grace {
 		r.broken(Drains, s, "a call to %s left %.3f s after it was told that it drains or is gone", e.ID, sec(now-t.at))
 	}
 }
@@ -221,7 +221,7 @@
 	}
 	n.runs++
 	switch {
-	case n.runs == 1 || !singleUse(h):
+	case n.runs == 1 || !nonIdempotent(h):
 	case n.runs <= 1+h.Lied:
 		r.v.Lied++ // on its partner's own word the first had never run
 	default:
--- a/lab/referee/clients.go
+++ b/lab/referee/clients.go
@@ -125,7 +125,7 @@
 	r.v.HandedBack++
 	r.second(r.clock()).Shed++
 	h := n.handIn
-	if n.mayRun && singleUse(h) {
+	if n.mayRun && nonIdempotent(h) {
 		r.broken(Twice, h.Sender, "%s is single-use, may have run, and was handed back", h.ID)
 	}
 }
--- a/lab/referee/endpoints.go
+++ b/lab/referee/endpoints.go
@@ -20,18 +20,18 @@
 	away int  // reasons for which it is
 }
 
-// Told hears that the news of an endpoint's stage reached a sender.
-func (r *Referee) Told(s world.SenderNo, e *world.Endpoint, stage choice.Stage) {
+// StageAnnounced hears that the news of an endpoint's stage reached a sender.
+func (r *Referee) StageAnnounced(s world.SenderNo, e *world.Endpoint, stage choice.Stage) {
 	at := seat{s, int(e.No)}
 	if stage == choice.Ready {
-		delete(r.told, at)
-	} else if t, known := r.told[at]; !known || t.stage == choice.Ready {
-		r.told[at] = drainTold{stage, r.clock()}
+		delete(r.stages, at)
+	} else if t, known := r.stages[at]; !known || t.stage == choice.Ready {
+		r.stages[at] = announcedStage{stage, r.clock()}
 	}
 }
 
-// WaitTold hears that a refusal with a wait reached a sender.
-func (r *Referee) WaitTold(s world.SenderNo, e *world.Endpoint, until Time) {
+// RetryAfterReceived hears that a refusal with a wait reached a sender.
+func (r *Referee) RetryAfterReceived(s world.SenderNo, e *world.Endpoint, until Time) {
 	at := seat{s, route(e)}
 	if now := r.clock(); until > r.waits[at] {
 		if r.waits[at] <= now {
@@ -99,21 +99,21 @@
 	r.settle()
 	r.senders[s].up, r.senders[s].upAt = up, r.clock()
 	if !up {
-		r.forgetTold(s)
+		r.forgetAnnouncements(s)
 	}
 }
 
-// forgetTold: what a process knew of waits and drains went with it; the next one is told anew.
-func (r *Referee) forgetTold(s world.SenderNo) {
+// forgetAnnouncements: what a process knew of waits and drains went with it; the next one is told anew.
+func (r *Referee) forgetAnnouncements(s world.SenderNo) {
 	for at := range r.waits {
 		if at.sender == s {
 			delete(r.waits, at)
 			delete(r.heard, at)
 		}
 	}
-	for at := range r.told {
+	for at := range r.stages {
 		if at.sender == s {
-			delete(r.told, at)
+			delete(r.stages, at)
 		}
 	}
 }
--- a/lab/referee/referee.go
+++ b/lab/referee/referee.go
@@ -37,8 +37,8 @@
 // Rules are all, in the order of reports.
 var Rules = []Rule{Lost, Twice, Drains, Returns, Order, Waits, Elsewhere}
 
-// mostKept is how many breaks of each rule are told in full.
-const mostKept = 20
+// maxBreaksInFull is how many breaks of each rule are told in full.
+const maxBreaksInFull = 20
 
 // Break is one breach of a rule.
 type Break struct {
@@ -58,9 +58,9 @@
 	due      dues
 	lines    map[lineKey][]*message // emptied likewise
 	rests    map[lineKey]Time
-	told     map[seat]drainTold // one for each sender and endpoint that was told to drain
-	waits    map[seat]Time      // until, by sender and route; emptied as each ends
-	heard    map[seat]Time      // when it was told
+	stages   map[seat]announcedStage // one for each sender and endpoint that was told to drain
+	waits    map[seat]Time           // until, by sender and route; emptied as each ends
+	heard    map[seat]Time           // when it was told
 	asks     map[*world.Ask]*ask
 	asked    [][]*world.Ask // by class, in order of time; each leaves askedFor after its deadline
 	senders  []senderState
@@ -84,7 +84,7 @@
 		messages: map[*world.HandIn]*message{},
 		lines:    map[lineKey][]*message{},
 		rests:    map[lineKey]Time{},
-		told:     map[seat]drainTold{},
+		stages:   map[seat]announcedStage{},
 		waits:    map[seat]Time{},
 		heard:    map[seat]Time{},
 		asks:     map[*world.Ask]*ask{},
@@ -108,7 +108,7 @@
 // broken counts a breach, and tells the first ones in full.
 func (r *Referee) broken(rule Rule, s world.SenderNo, format string, args ...any) {
 	r.v.Rules[rule]++
-	if r.v.Rules[rule] <= mostKept {
+	if r.v.Rules[rule] <= maxBreaksInFull {
 		what := fmt.Sprintf(format, args...)
 		r.v.Breaks = append(r.v.Breaks, Break{Rule: rule, At: sec(r.clock()), Sender: int(s), What: what})
 	}
--- a/lab/referee/referee_test.go
+++ b/lab/referee/referee_test.go
@@ -23,7 +23,7 @@
 		{Name: "ledger", Repeat: "replayable", Share: 1, LatencyObjectiveMS: 2000, DeadlineMS: 8000, Value: 2, LateValue: 0.5, Ordered: true},
 	}
 	s.Partners = []world.Kind{{Name: "plain", Count: 5, Endpoints: world.Pair{1, 3}, SlowStartS: 10, SlowStartFrom: 0.1, Headroom: world.Pair{1.2, 1.6}},
-		{Name: "strict", Count: 3, Limit: "span", SpanS: 2, Told: 1, LimitTimes: world.Pair{0.8, 1.1}}}
+		{Name: "strict", Count: 3, Limit: "span", SpanS: 2, RetryAfterShare: 1, LimitTimes: world.Pair{0.8, 1.1}}}
 	s.Faults = []world.Fault{
 		{Kind: "crash", At: 4, Seconds: 3, Part: world.Part{Kind: "plain", Share: 0.4}},
 		{Kind: "failing", At: 10, Seconds: 4, Amount: 0.4, Part: world.Part{Kind: "plain"}},
@@ -136,7 +136,7 @@
 	t.Helper()
 	make := func(h choice.Host, id choice.SenderID, seed int64, set choice.Settings, w *world.World) sim.Policy {
 		if how == "pushes over" {
-			return baseline.Make("one_try")(h, id, seed, set, w)
+			return baseline.Named("one_try")(h, id, seed, set, w)
 		}
 		mine := &host{Host: h, how: how, w: w, out: map[choice.MessageID]sent{}, over: map[choice.MessageID]bool{}}
 		return &wrong{sim.Choice(mine, id, seed, set, w), mine, how}
@@ -251,7 +251,7 @@
 	l = newLedger("replayable")
 	h = l.handIn()
 	l.r.Heard(h, world.HeardOK)
-	l.r.Told(0, l.end, choice.Draining)
+	l.r.StageAnnounced(0, l.end, choice.Draining)
 	l.now += 5000 // the grace of 500 ms to the tenth
 	c = l.call(h)
 	l.r.Outcome(c, 200)
@@ -262,7 +262,7 @@
 	l = newLedger("replayable")
 	h = l.handIn()
 	l.r.Heard(h, world.HeardOK)
-	l.r.Told(0, l.end, choice.Draining)
+	l.r.StageAnnounced(0, l.end, choice.Draining)
 	l.now += 5001
 	c = l.call(h)
 	l.r.Outcome(c, 200)
--- a/lab/report/html.go
+++ b/lab/report/html.go
@@ -26,7 +26,7 @@
 	V              *referee.Verdict
 	Rates, Latency template.HTML
 	Returns        template.HTML
-	Kept           string
+	BrokenRules    string
 	Rows           []classRow
 }
 
@@ -72,7 +72,7 @@
 <td>{{if .Broken}}<span class="bad">{{.Broken}}</span>{{else}}0{{end}}</td><td>{{f1 .WallS}}</td><td>{{f1 .MemoryMB}}</td></tr>{{end}}</table></div>{{end}}
 {{if .Left}}<p class="bad">{{.Left}} run(s) are left out: void, or not played to their end.</p>{{end}}
 {{range .Runs}}<h2>{{.V.Scenario}} <span class="dim">{{.V.Engine}}, seed {{.V.Seed}}</span></h2>
-<p>Figure <b>{{f3 .V.Figure}}</b>; {{if .V.Void}}<span class="bad">void: {{.V.Void}}</span>{{else if .Kept}}<span class="bad">{{.Kept}}</span>{{else}}all rules kept{{end}}.
+<p>Figure <b>{{f3 .V.Figure}}</b>; {{if .V.Void}}<span class="bad">void: {{.V.Void}}</span>{{else if .BrokenRules}}<span class="bad">{{.BrokenRules}}</span>{{else}}all rules kept{{end}}.
 Asked {{.V.Asked}}, delivered {{.V.Delivered}}, of these in contract time {{.V.InTime}}; shed {{.V.Shed}}, handed back {{.V.HandedBack}}, given up {{.V.Failed}}; {{.V.Calls}} calls, {{.V.Refusals}} refused, {{.V.FailedCalls}} failed.</p>
 <h3>What became of what was asked</h3><div class="plot">{{.Rates}}</div><h3>Time from first wanted to delivered</h3><div class="plot">{{.Latency}}</div>
 {{if .Returns}}<h3>Load on endpoints that came back</h3><div class="plot">{{.Returns}}</div>{{end}}
@@ -159,11 +159,11 @@
 		return runPart{}, err
 	}
 	part := runPart{
-		V:       verdict,
-		Rates:   template.HTML(rates),
-		Latency: template.HTML(latency),
-		Returns: template.HTML(returns),
-		Kept:    brokenRules(verdict),
+		V:           verdict,
+		Rates:       template.HTML(rates),
+		Latency:     template.HTML(latency),
+		Returns:     template.HTML(returns),
+		BrokenRules: brokenRules(verdict),
 	}
 	for _, class := range verdict.Classes {
 		row := classRow{Class: class}
--- a/lab/report/plots.go
+++ b/lab/report/plots.go
@@ -221,8 +221,8 @@
 	for i, x := range points.XErrors {
 		low, high = min(low, points.XYs[i].X-x.Low), max(high, points.XYs[i].X+x.High)
 	}
-	room := max(0.001, (high-low)*0.05)
-	p.X.Min, p.X.Max = low-room, high+room
+	margin := max(0.001, (high-low)*0.05)
+	p.X.Min, p.X.Max = low-margin, high+margin
 	return svg(p, vg.Length(len(names)+3)*0.75*vg.Centimeter)
 }
 
--- a/lab/scale/agree.go
+++ b/lab/scale/agree.go
@@ -64,7 +64,7 @@
 // agree waits until all see the same, and tells how long that took.
 func (r *run) agree(ctx context.Context, after string) (time.Duration, error) {
 	began := time.Now()
-	told := time.Now()
+	answerBytes := time.Now()
 	for {
 		looked := time.Now()
 		states, err := r.states(ctx)
@@ -76,8 +76,8 @@
 			r.o.Say("%s: all agree after %.1f s", after, time.Since(began).Seconds())
 			return time.Since(began), nil
 		}
-		if time.Since(told) > 5*time.Second {
-			told = time.Now()
+		if time.Since(answerBytes) > 5*time.Second {
+			answerBytes = time.Now()
 			r.o.Say("%s: %.0f s, %d differ: %v", after, time.Since(began).Seconds(), len(why), why[:min(2, len(why))])
 		}
 		if time.Since(began) > r.o.AgreeWithin {
--- a/lab/scale/hollow/hollow_test.go
+++ b/lab/scale/hollow/hollow_test.go
@@ -71,9 +71,9 @@
 	load := &Load{Destinations: 4, Rate: 1, Zones: 1, Ends: 1}
 	clock := func() float64 { return 0 }
 	first := New(load, 0, 1, 0, clock, func(int) bool { return false })
-	told := make(chan uint64, 1)
-	first.Purge([]together.Purge{{Seq: 3}}, func(seq uint64, _ []together.Found) { told <- seq })
-	if seq := <-told; seq != 3 {
+	answerBytes := make(chan uint64, 1)
+	first.Purge([]together.Purge{{Seq: 3}}, func(seq uint64, _ []together.Found) { answerBytes <- seq })
+	if seq := <-answerBytes; seq != 3 {
 		t.Fatalf("applied up to %d", seq)
 	}
 	if next := New(load, 0, 1, first.Applied(), clock, func(int) bool { return false }); next.Applied() != 3 {
--- a/lab/scale/measure.go
+++ b/lab/scale/measure.go
@@ -96,15 +96,15 @@
 
 // reading is of one moment.
 type reading struct {
-	at    time.Time
-	used  []host.Used
-	said  map[int]host.MemberSaid
-	cpuOf map[int]time.Duration // of real members' processes
-	told  map[int]int           // bytes that a real member told for this reading, and counts after it
+	at          time.Time
+	used        []host.Used
+	said        map[int]host.MemberSaid
+	cpuOf       map[int]time.Duration // of real members' processes
+	answerBytes map[int]int           // bytes that a real member told for this reading, and counts after it
 }
 
 func (r *run) read(ctx context.Context) (*reading, error) {
-	now := &reading{at: time.Now(), said: map[int]host.MemberSaid{}, cpuOf: map[int]time.Duration{}, told: map[int]int{}}
+	now := &reading{at: time.Now(), said: map[int]host.MemberSaid{}, cpuOf: map[int]time.Duration{}, answerBytes: map[int]int{}}
 	answers, err := r.all(host.Order{Do: host.Measure})
 	if err != nil {
 		return nil, err
@@ -120,7 +120,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("real member %d: %w", m.No, err)
 		}
-		now.said[m.No], now.cpuOf[m.No], now.told[m.No] = host.SaidOf(s), s.Traffic.CPU, length
+		now.said[m.No], now.cpuOf[m.No], now.answerBytes[m.No] = host.SaidOf(s), s.Traffic.CPU, length
 	}
 	return now, nil
 }
@@ -192,7 +192,7 @@
 		}
 		use.Members++
 		last := after.said[m.No]
-		last.Out -= min(last.Out, uint64(before.told[m.No])) // to this run, not to members
+		last.Out -= min(last.Out, uint64(before.answerBytes[m.No])) // to this run, not to members
 		use.add(before.said[m.No], last, span)
 		if real {
 			use.CPU += (after.cpuOf[m.No] - before.cpuOf[m.No]).Seconds() / span
--- a/lab/scale/real.go
+++ b/lab/scale/real.go
@@ -37,9 +37,9 @@
 	client http.Client
 	stop   context.CancelFunc
 	ended  chan error
-	// trouble is that a real member was slow to end, read once the run has ended. It hangs on how busy the machine is, so it
+	// fault is that a real member was slow to end, read once the run has ended. It hangs on how busy the machine is, so it
 	// is told with the result; a member that died, hung or would not start fails the run.
-	trouble string
+	fault string
 }
 
 func (r *run) startReal(ctx context.Context) error {
@@ -72,7 +72,7 @@
 		switch {
 		case err != nil:
 		case result.SlowEnd:
-			r.real.trouble = result.Fault
+			r.real.fault = result.Fault
 		case result.Fault != "":
 			err = fmt.Errorf("real members: %s", result.Fault)
 		}
@@ -201,7 +201,7 @@
 	}
 	r.real.stop()
 	err := <-r.real.ended
-	r.result.Fault = r.real.trouble
+	r.result.Fault = r.real.fault
 	return err
 }
 
--- a/lab/sim/answers.go
+++ b/lab/sim/answers.go
@@ -99,7 +99,7 @@
 
 // tell has the module hear how a call ended, message by message.
 func (n *node) tell(c *call, result choice.Result, a world.Answer) {
-	n.stir()
+	n.scheduleTurn()
 	if c.probe {
 		n.policy.Probed(c.e.id, result)
 		return
@@ -113,19 +113,19 @@
 			continue // it has parted
 		}
 		out := choice.Outcome{Message: o.ID, Attempt: o.tries - 1, Endpoint: c.e.id, Took: n.Now() - c.began, Result: result,
-			Final: result == choice.Done, Wait: wait, Report: a.Report, Reused: c.kept, Closed: a.Close}
+			Final: result == choice.Done, Wait: wait, Report: a.Report, Reused: c.reused, Closed: a.Close}
 		if a.Fates != nil && result == choice.Done && a.Fates[i] != 200 {
 			out.Result, out.Final = choice.Errored, false
 		}
 		if len(c.messages) == 1 && out.Result != choice.Full {
 			out.Wait = 0
 		}
-		n.told(c, o, out)
+		n.attemptEnded(c, o, out)
 	}
 }
 
-// told has the module hear how an attempt ended.
-func (n *node) told(c *call, o *owed, out choice.Outcome) {
+// attemptEnded has the module hear how an attempt ended.
+func (n *node) attemptEnded(c *call, o *owed, out choice.Outcome) {
 	o.out = nil
 	switch out.Result {
 	case choice.Errored, choice.TimedOut, choice.Reset, choice.Cancelled, choice.Spoilt:
--- a/lab/sim/calls.go
+++ b/lab/sim/calls.go
@@ -74,13 +74,13 @@
 	if c.over || o.out != c {
 		return
 	}
-	n.stir()
+	n.scheduleTurn()
 	out := choice.Outcome{Message: o.ID, Attempt: o.tries - 1, Endpoint: c.e.id, Took: n.Now() - c.began, Result: choice.Cancelled}
 	if c.link == nil || !c.link.up {
 		out.Result = choice.Moot
 		c.messages = slices.DeleteFunc(c.messages, func(other *owed) bool { return other == o })
 	}
-	n.told(c, o, out)
+	n.attemptEnded(c, o, out)
 }
 
 // dialFailed ends a call whose connection did not come up in time.
@@ -122,7 +122,7 @@
 
 // send has a call leave on a link.
 func (n *node) send(c *call, l *link) {
-	c.link, c.kept, l.call, l.used = l, l.used, c, true
+	c.link, c.reused, l.call, l.used = l, l.used, c, true
 	l.idleNo++
 	n.out[c] = struct{}{}
 	n.e.w.Send(l.c, c.ids(), c.probe)
--- a/lab/sim/host.go
+++ b/lab/sim/host.go
@@ -32,7 +32,7 @@
 	c.lasts = max(c.lasts, timeOut)
 	o.out = c
 	o.tries++
-	n.stir()
+	n.scheduleTurn()
 }
 
 func (n *node) Shed(id choice.MessageID, comeBackIn choice.Time) {
@@ -45,7 +45,7 @@
 		if o.wait {
 			n.e.w.Answered(o.h, world.HeardBusy, ms)
 		} else {
-			n.e.w.EndTold(o.ID, world.EndHandedBack, ms)
+			n.e.w.ReportEnd(o.ID, world.EndHandedBack, ms)
 		}
 	})
 }
@@ -59,7 +59,7 @@
 		if o.wait {
 			n.e.w.Answered(o.h, world.HeardError, 0)
 		} else {
-			n.e.w.EndTold(o.ID, world.EndFailed, 0)
+			n.e.w.ReportEnd(o.ID, world.EndFailed, 0)
 		}
 	})
 }
@@ -75,7 +75,7 @@
 		e = &end{id: id, gone: true}
 	}
 	n.starting = append(n.starting, &call{n: n, e: e, began: n.Now(), probe: true, lasts: n.set.DialTimeout + probeFor})
-	n.stir()
+	n.scheduleTurn()
 }
 
 // Tell says nothing: Settings.Notes is unset, as on sockets.
@@ -98,7 +98,7 @@
 			if n.timers[id] {
 				delete(n.timers, id)
 				n.policy.TimerDue(id)
-				n.stir()
+				n.scheduleTurn()
 			}
 		})
 	})
--- a/lab/sim/life.go
+++ b/lab/sim/life.go
@@ -65,7 +65,7 @@
 		for _, do := range later {
 			do()
 		}
-		n.stir()
+		n.scheduleTurn()
 	}
 }
 
--- a/lab/sim/node.go
+++ b/lab/sim/node.go
@@ -88,7 +88,7 @@
 	began    choice.Time
 	lasts    choice.Time
 	link     *link
-	kept     bool
+	reused   bool
 	over     bool
 }
 
@@ -112,26 +112,26 @@
 	}
 	n.lastTurn = w.Now() - set.Turn + set.Turn*choice.Time(int64(n.no)%7)/7 // senders' turns do not fall together
 	n.policy = n.e.o.Policy(n, choice.SenderID(fmt.Sprintf("s%d", n.no)), int64(n.e.o.Seed)*1_000_003+n.life, set, w)
-	n.news(known)
+	n.updateEndpoints(known)
 	// What an earlier process had taken on outlasts it, in the order taken on.
-	var kept []choice.MessageID
+	var reused []choice.MessageID
 	for _, id := range n.order {
 		if o := n.owed[id]; o != nil {
-			kept = append(kept, id)
+			reused = append(reused, id)
 			o.tries, o.out, o.wait = 0, nil, false
 			o.MayRun = o.sure
 			n.policy.Taken(o.Message)
 		}
 	}
-	n.order = kept
-	n.stir()
+	n.order = reused
+	n.scheduleTurn()
 	w.Ready(n.no, true)
 	w.Watch(n.no, known.Version)
 	return nil
 }
 
-// stir sees to it that a turn comes.
-func (n *node) stir() {
+// scheduleTurn sees to it that a turn comes.
+func (n *node) scheduleTurn() {
 	n.stirred = true
 	if n.turnDue || !n.alive {
 		return
@@ -209,10 +209,10 @@
 	n.owed[h.ID] = o
 	n.admitted = append(n.admitted, o)
 	n.policy.Taken(o.Message)
-	n.stir()
+	n.scheduleTurn()
 }
 
-func (n *node) news(l world.List) {
+func (n *node) updateEndpoints(l world.List) {
 	n.awake(func() {
 		n.version = l.Version
 		if l.Full {
@@ -248,7 +248,7 @@
 			n.closeIdle(e)
 		}
 		n.policy.UpdateEndpoints(entries, l.Full)
-		n.stir()
+		n.scheduleTurn()
 	})
 }
 
--- a/lab/sim/replay_test.go
+++ b/lab/sim/replay_test.go
@@ -42,11 +42,11 @@
 		w := &s.Classes[0]
 		w.Repeat, w.WindowS, w.ZoneGroup, s.Partners[0].Apart, s.Sender.MaxOpen = "tokened", 2, true, true, 60
 		for i, kind := range []string{"shut", "resets", "crash", "surge", "no_connections"} {
-			trouble := world.Fault{Kind: kind, At: 4 + 3*float64(i), Seconds: 5, Amount: 0.3, Part: world.Part{Share: 0.3}}
+			fault := world.Fault{Kind: kind, At: 4 + 3*float64(i), Seconds: 5, Amount: 0.3, Part: world.Part{Share: 0.3}}
 			if kind == "surge" {
-				trouble.Amount, trouble.Part = 3, world.Part{}
+				fault.Amount, fault.Part = 3, world.Part{}
 			}
-			s.Faults = append(s.Faults, trouble)
+			s.Faults = append(s.Faults, fault)
 		}
 	}},
 }
--- a/lab/sim/settings.go
+++ b/lab/sim/settings.go
@@ -30,17 +30,17 @@
 			"repeatWindow": ns(l.WindowS * 1e3), "group": group})
 	}
 	bundles, apart, kinds := []int{}, []bool{}, []string{}
-	coldFrom, cold, idle := 1.0, 0.0, math.MaxFloat64
+	slowStartFrom, slowStartS, idle := 1.0, 0.0, math.MaxFloat64
 	for i := range spec.Partners {
 		k := &spec.Partners[i]
 		bundles, apart, kinds = append(bundles, k.Bundle), append(apart, k.Apart), append(kinds, k.Name)
-		coldFrom, cold, idle = min(coldFrom, k.SlowStartFrom), max(cold, k.SlowStartS), min(idle, k.IdleS)
+		slowStartFrom, slowStartS, idle = min(slowStartFrom, k.SlowStartFrom), max(slowStartS, k.SlowStartS), min(idle, k.IdleS)
 	}
 	zones := []string{}
 	for i := range spec.Zones {
 		zones = append(zones, fmt.Sprintf("z%d", i))
 	}
-	inFlightLimit, open := Room(w)
+	inFlightLimit, open := Capacity(w)
 	fades := "halving"
 	if !spec.Halving {
 		fades = "even"
@@ -53,7 +53,7 @@
 			"connIdle": ns(idle * 1e3), "dialTimeout": ns(spec.Sender.DialMS), "retryAfter": !spec.Sender.NoReturn,
 			"maxRetryAfter": ns(spec.Sender.LongestMS)},
 		"extra": map[string]any{"callsOut": inFlightLimit, "bundleMax": bundles, "separateRoutes": apart, "fades": fades},
-		"rules": map[string]any{"cold": ns(cold * 1e3), "coldFrom": coldFrom, "fallMultiple": spec.Rules.FallMultiple,
+		"rules": map[string]any{"cold": ns(slowStartS * 1e3), "coldFrom": slowStartFrom, "fallMultiple": spec.Rules.FallMultiple,
 			"fall": ns(spec.Rules.FallS * 1e3), "keyRest": ns(spec.Rules.KeyRestMS)},
 		"stats": map[string]any{"fields": []string{"x0", "x1"}},
 	})
@@ -63,9 +63,9 @@
 	return text
 }
 
-// Room is how many calls a sender may have out and how many messages it may hold: as the scenario says, or twice what
+// Capacity is how many calls a sender may have out and how many messages it may hold: as the scenario says, or twice what
 // its part of the load keeps busy and eight seconds of it.
-func Room(w *world.World) (inFlightLimit, open int) {
+func Capacity(w *world.World) (inFlightLimit, open int) {
 	part := w.Spec.Load.Rate / float64(w.Spec.Senders)
 	busy := 0.0
 	for _, p := range w.Partners {
--- a/lab/sim/sim.go
+++ b/lab/sim/sim.go
@@ -30,8 +30,8 @@
 	Open(choice.EndpointID, ...choice.MessageID) bool
 }
 
-// Make starts a policy for one life of one sender. The world is for those that may see the truth.
-type Make func(h choice.Host, id choice.SenderID, seed int64, set choice.Settings, w *world.World) Policy
+// NewPolicy starts a policy for one life of one sender. The world is for those that may see the truth.
+type NewPolicy func(h choice.Host, id choice.SenderID, seed int64, set choice.Settings, w *world.World) Policy
 
 // Choice makes the project's own decisions.
 func Choice(h choice.Host, id choice.SenderID, seed int64, set choice.Settings, _ *world.World) Policy {
@@ -42,7 +42,7 @@
 type Options struct {
 	Spec   *world.Spec
 	Seed   uint64
-	Policy Make
+	Policy NewPolicy
 	Adjust func(*choice.Settings) // a variant's change of settings; nil for none
 	Trace  []load.Arrival
 	Until  func() bool           // asked now and then; true ends the run early
@@ -155,9 +155,9 @@
 func (e *engine) Answered(c *world.Conn, _ *world.Call, a world.Answer) {
 	e.nodes[c.Sender].answered(c, a)
 }
-func (e *engine) News(to world.SenderNo, l world.List) { e.nodes[to].news(l) }
-func (e *engine) ListFailed(world.SenderNo)            {} // the old list stays in force
-func (e *engine) HandIn(h *world.HandIn)               { e.nodes[h.Sender].handIn(h) }
+func (e *engine) ListUpdate(to world.SenderNo, l world.List) { e.nodes[to].updateEndpoints(l) }
+func (e *engine) ListFailed(world.SenderNo)                  {} // the old list stays in force
+func (e *engine) HandIn(h *world.HandIn)                     { e.nodes[h.Sender].handIn(h) }
 
 // Accepting needs nothing here: Dial asks the world itself.
 func (e *engine) Accepting(*world.Endpoint, bool) {}
--- a/lab/sim/sim_test.go
+++ b/lab/sim/sim_test.go
@@ -22,7 +22,7 @@
 		{Name: "order", Repeat: "single-use", Share: 1, LatencyObjectiveMS: 3000, DeadlineMS: 9000, Value: 3, LateValue: 0.5},
 		{Name: "booking", Repeat: "tokened", ZoneGroup: true, WindowS: 3, Share: 1, LatencyObjectiveMS: 2000, DeadlineMS: 8000, Value: 2, LateValue: 0.2},
 	}
-	s.Partners = []world.Kind{{Name: "small", Count: 8, Told: 0.4, Reports: true, Table: 20, ShakeMS: 10},
+	s.Partners = []world.Kind{{Name: "small", Count: 8, RetryAfterShare: 0.4, Reports: true, Table: 20, ShakeMS: 10},
 		{Name: "bulk", Count: 4, Bundle: 5, Endpoints: world.Pair{2, 3}, Apart: true, Reports: true}}
 	s.Defaults()
 	return &s
@@ -85,7 +85,7 @@
 }
 
 // Every trouble is felt in the way it is meant: by what the world counts, not by what a sender says.
-func TestEachTroubleIsFelt(t *testing.T) {
+func TestEachFaultHasEffect(t *testing.T) {
 	calm := run(t, sim.Options{Spec: small(), Seed: 2})
 	for kind, felt := range map[string]func(v *referee.Verdict) bool{
 		"crash":           func(v *referee.Verdict) bool { return v.Outages > 0 && v.Delivered < calm.Delivered },
@@ -112,18 +112,18 @@
 	} {
 		t.Run(kind, func(t *testing.T) {
 			spec := small()
-			trouble := world.Fault{Kind: kind, At: 5, Seconds: 8}
+			fault := world.Fault{Kind: kind, At: 5, Seconds: 8}
 			switch world.FaultKinds[kind].Strikes {
 			case "senders":
-				trouble.Part.Share = 0.4
+				fault.Part.Share = 0.4
 			}
 			switch kind {
 			case "impatient":
-				trouble.Amount = 2
+				fault.Amount = 2
 			case "refusing_first":
-				trouble.Every = 0.1
+				fault.Every = 0.1
 			}
-			spec.Faults = []world.Fault{trouble}
+			spec.Faults = []world.Fault{fault}
 			spec.Defaults()
 			v := run(t, sim.Options{Spec: spec, Seed: 2})
 			if !felt(v) {
@@ -177,7 +177,7 @@
 	spec.Defaults()
 	service := map[string]float64{}
 	for name := range baseline.Kinds {
-		v := run(t, sim.Options{Spec: spec, Seed: 5, Policy: baseline.Make(name)})
+		v := run(t, sim.Options{Spec: spec, Seed: 5, Policy: baseline.Named(name)})
 		service[name] = v.Service
 		if v.Asked < 1500 {
 			t.Errorf("%s: %s", name, brief(v))
--- a/lab/world/check.go
+++ b/lab/world/check.go
@@ -26,7 +26,7 @@
 	if len(c.problems) > 0 {
 		return c.problems
 	}
-	c.troubles(s)
+	c.faults(s)
 	c.changes(s)
 	return c.problems
 }
@@ -152,7 +152,7 @@
 	c.word(at+"limit", k.Limit, "none", "rate", "span")
 	c.pair(at+"limit_times", k.LimitTimes, 0.01, 1000)
 	c.within(at+"span_s", k.SpanS, 0.05, 1000)
-	c.within(at+"told_waits", k.Told, 0, 1)
+	c.within(at+"told_waits", k.RetryAfterShare, 0, 1)
 	c.within(at+"report_ms", k.ReportMS, 0, 1e5)
 	c.within(at+"bundle", float64(k.Bundle), 1, 1000)
 	c.within(at+"connections", float64(k.Table), 0, 1e6)
@@ -164,7 +164,7 @@
 	c.within(at+"errors", k.ErrorShare, 0, 1)
 }
 
-func (c *checker) troubles(s *Spec) {
+func (c *checker) faults(s *Spec) {
 	for i := range s.Faults {
 		t, at := &s.Faults[i], fmt.Sprintf("trouble[%d].", i)
 		kind, known := FaultKinds[t.Kind]
--- a/lab/world/clients.go
+++ b/lab/world/clients.go
@@ -216,8 +216,8 @@
 	w.After(wait, func() { w.handIn(a, h.Sender) })
 }
 
-// EndTold is the platform hearing of an end. It tells whether the line makes sense.
-func (w *World) EndTold(id choice.MessageID, what End, comeBackMS int64) bool {
+// ReportEnd is the platform hearing of an end. It tells whether the line makes sense.
+func (w *World) ReportEnd(id choice.MessageID, what End, comeBackMS int64) bool {
 	h := w.byMessage[id]
 	if h == nil {
 		return true // long over; a message about it does no harm
--- a/lab/world/connections.go
+++ b/lab/world/connections.go
@@ -76,7 +76,7 @@
 		w.setOut(call, false)
 	}
 	if tell && !c.hung {
-		c.told = true
+		c.notified = true
 		w.After(w.way(c.Sender, c.Endpoint, int64(c.carried)), func() {
 			if !c.hung && !w.senders[c.Sender].cut {
 				w.wire.Down(c, SeenBroken)
--- a/lab/world/directory.go
+++ b/lab/world/directory.go
@@ -77,10 +77,10 @@
 		w.wire.ListFailed(s)
 		return
 	}
-	w.After(w.newsWay(s, 0), func() { w.pushNews(s) })
+	w.After(w.updateDelay(s, 0), func() { w.pushUpdate(s) })
 }
 
-func (w *World) newsWay(s SenderNo, version int64) Time {
+func (w *World) updateDelay(s SenderNo, version int64) Time {
 	late := ms(w.within(w.Spec.Discovery.DelayMS, "news", int64(s), version))
 	if version == 0 {
 		late = Millisecond // the agent beside the sender answers at once with what it has
@@ -88,8 +88,8 @@
 	return late + w.list.late
 }
 
-// pushNews brings a sender up to what discovery lets out.
-func (w *World) pushNews(s SenderNo) {
+// pushUpdate brings a sender up to what discovery lets out.
+func (w *World) pushUpdate(s SenderNo) {
 	st := w.senders[s]
 	if !st.hello || st.cut || st.held || w.list.stale > 0 || w.list.silent > 0 {
 		return
@@ -116,14 +116,14 @@
 		}
 		for _, e := range w.Endpoints {
 			if !listed[e] {
-				w.ledger.Told(s, e, choice.Gone)
+				w.ledger.StageAnnounced(s, e, choice.Gone)
 			}
 		}
 	}
 	for _, entry := range l.Entries {
-		w.ledger.Told(s, entry.Endpoint, entry.Stage)
+		w.ledger.StageAnnounced(s, entry.Endpoint, entry.Stage)
 	}
-	w.wire.News(s, l)
+	w.wire.ListUpdate(s, l)
 }
 
 // changed lets out one change of the list.
@@ -134,9 +134,9 @@
 	w.list.changes = append(w.list.changes, listChange{v, Listed{e, stage, e.Addr}})
 	for i := range w.senders {
 		st := w.senders[i]
-		at := max(w.now+w.newsWay(SenderNo(i), v), st.lastWay)
+		at := max(w.now+w.updateDelay(SenderNo(i), v), st.lastWay)
 		st.lastWay = at
-		w.At(at, func() { w.pushNews(SenderNo(i)) })
+		w.At(at, func() { w.pushUpdate(SenderNo(i)) })
 	}
 }
 
--- a/lab/world/endpoint.go
+++ b/lab/world/endpoint.go
@@ -67,7 +67,7 @@
 	up       bool
 	gone     bool // ended at the endpoint's side
 	hung     bool // ended at the sender's side
-	told     bool // the sender hears of the end by itself
+	notified bool // the sender hears of the end by itself
 	carried  int
 	idleAt   Time
 	call     *Call
--- a/lab/world/trouble.go
+++ b/lab/world/fault.go
@@ -7,8 +7,8 @@
 	"slices"
 )
 
-// planTroubles puts all troubles of a spec among the events.
-func (w *World) planTroubles() {
+// planFaults puts all troubles of a spec among the events.
+func (w *World) planFaults() {
 	w.struck = make([]map[*Endpoint]bool, len(w.Spec.Faults))
 	for i := range w.Spec.Faults {
 		t := &w.Spec.Faults[i]
@@ -92,7 +92,7 @@
 	}
 	if !on {
 		for i := range w.senders {
-			w.pushNews(SenderNo(i))
+			w.pushUpdate(SenderNo(i))
 		}
 	}
 }
--- a/lab/world/kinds.go
+++ b/lab/world/kinds.go
@@ -1,7 +1,7 @@
 package world
 
 // This file owns what may go wrong in a scenario: troubles, what they strike and what their amounts mean, and changes of
-// the list. It must never tell how one is played; trouble.go does.
+// the list. It must never tell how one is played; fault.go does.
 
 // Fault is something that goes wrong for a time. Part says what of; a field left out does not narrow it.
 type Fault struct {
--- a/lab/world/limit.go
+++ b/lab/world/limit.go
@@ -23,8 +23,8 @@
 		if no := now / l.span; no != l.spanNo {
 			l.spanNo, l.used = no, 0
 		}
-		room := max(1, math.Floor(rate*float64(l.span)/float64(Second)))
-		if l.used+1 <= room {
+		capacity := max(1, math.Floor(rate*float64(l.span)/float64(Second)))
+		if l.used+1 <= capacity {
 			l.used++
 			return true, 0
 		}
--- a/lab/world/partners.go
+++ b/lab/world/partners.go
@@ -52,8 +52,8 @@
 	return shares
 }
 
-// limitRoom is how much more than its limit a partner can do, unless its limit may lie above that.
-const limitRoom = 1.25
+// limitHeadroom is how much more than its limit a partner can do, unless its limit may lie above that.
+const limitHeadroom = 1.25
 
 // rate draws what a partner can take, and its limit.
 func (w *World) rate(p *Partner) {
@@ -67,7 +67,7 @@
 		p.limit = l
 	}
 	if !kind.LimitAbove {
-		p.Rate = max(p.Rate, limitRoom*l.perSecond)
+		p.Rate = max(p.Rate, limitHeadroom*l.perSecond)
 	}
 }
 
--- a/lab/world/parts.go
+++ b/lab/world/parts.go
@@ -30,16 +30,16 @@
 	slices.SortFunc(all, func(a, b *Partner) int {
 		return cmp.Compare(w.draw("part", no, int64(a.No)), w.draw("part", no, int64(b.No)))
 	})
-	sum, kept := 0.0, all[:0]
+	sum, chosen := 0.0, all[:0]
 	for _, partner := range all {
-		if len(kept) > 0 && sum+partner.Share/2 > share {
+		if len(chosen) > 0 && sum+partner.Share/2 > share {
 			continue
 		}
 		sum += partner.Share
-		kept = append(kept, partner)
+		chosen = append(chosen, partner)
 	}
-	slices.SortFunc(kept, func(a, b *Partner) int { return cmp.Compare(a.No, b.No) })
-	return kept
+	slices.SortFunc(chosen, func(a, b *Partner) int { return cmp.Compare(a.No, b.No) })
+	return chosen
 }
 
 // endpointsOf are the endpoints that a part names.
--- a/lab/world/reply.go
+++ b/lab/world/reply.go
@@ -49,7 +49,7 @@
 		if !c.hung && !w.senders[c.Sender].cut {
 			if a.Wait > 0 {
 				// An answer that crosses the end of its call is heard by nobody, and a wait in it binds nobody.
-				w.ledger.WaitTold(c.Sender, e, replied+a.Wait)
+				w.ledger.RetryAfterReceived(c.Sender, e, replied+a.Wait)
 			}
 			w.wire.Answered(c, call, a)
 		}
--- a/lab/world/sendertrouble.go
+++ b/lab/world/senderfault.go
@@ -14,7 +14,7 @@
 
 // planSenders puts a trouble of senders among the events.
 func (w *World) planSenders(t *Fault, struck []SenderNo, from, to Time) {
-	w.tellTrouble(t, len(struck), from, to)
+	w.announceFault(t, len(struck), from, to)
 	for i, s := range struck {
 		switch t.Kind {
 		case "sender_kill":
@@ -24,8 +24,8 @@
 			w.planOldList(s, from, to)
 		case "sender_roll":
 			// One after another, spread so that the last is back by the end.
-			room := max(0, to-from-termFor-restartFor)
-			w.planRestart(s, from+room*Time(i)/Time(len(struck)))
+			capacity := max(0, to-from-termFor-restartFor)
+			w.planRestart(s, from+capacity*Time(i)/Time(len(struck)))
 		case "sender_pause":
 			w.act(from, s, Pause)
 			w.act(to, s, Continue)
@@ -41,8 +41,8 @@
 	}
 }
 
-// tellTrouble tells the ledger of a trouble of so many senders.
-func (w *World) tellTrouble(t *Fault, struck int, from, to Time) {
+// announceFault tells the ledger of a trouble of so many senders.
+func (w *World) announceFault(t *Fault, struck int, from, to Time) {
 	w.At(from, func() { w.ledger.Fault(t, true, struck) })
 	w.At(to, func() { w.ledger.Fault(t, false, struck) })
 }
@@ -65,7 +65,7 @@
 	w.act(from+restartFor, s, Start)
 	w.At(to, func() {
 		state.held = false
-		w.pushNews(s)
+		w.pushUpdate(s)
 	})
 }
 
@@ -83,7 +83,7 @@
 	w.At(from, func() { state.cut = true })
 	w.At(to, func() {
 		state.cut = false
-		w.pushNews(s)
+		w.pushUpdate(s)
 		for _, e := range w.Endpoints {
 			w.dropAllOf(s, e)
 		}
@@ -121,7 +121,7 @@
 
 // planClients puts a trouble of clients among the events. Surges and fixed programs bend the load itself.
 func (w *World) planClients(t *Fault, struck []SenderNo, from, to Time) {
-	w.tellTrouble(t, len(struck), from, to)
+	w.announceFault(t, len(struck), from, to)
 	for _, s := range struck {
 		switch t.Kind {
 		case "impatient":
--- a/lab/world/cold.go
+++ b/lab/world/slowstart.go
@@ -9,14 +9,14 @@
 	"flaxcove/choice"
 )
 
-// ColdRoom tells, for such a policy, whether one more call leaves a returning endpoint standing.
-func (w *World) ColdRoom(id choice.EndpointID) bool {
+// HasSlowStartCapacity tells, for such a policy, whether one more call leaves a returning endpoint standing.
+func (w *World) HasSlowStartCapacity(id choice.EndpointID) bool {
 	e := w.byID[id]
-	if e == nil || !e.isCold(w.now) {
+	if e == nil || !e.inSlowStart(w.now) {
 		return true
 	}
 	sum, _ := w.recentLoad(e)
-	return sum+1 < 0.8*w.fallBound(e)
+	return sum+1 < 0.8*w.overloadBound(e)
 }
 
 // warmth is the share of its capacity that an endpoint has by now.
@@ -29,7 +29,9 @@
 	return k.SlowStartFrom + (1-k.SlowStartFrom)*max(0, since)
 }
 
-func (e *Endpoint) isCold(now Time) bool { return now < e.warmFrom+seconds(e.Partner.Kind.SlowStartS) }
+func (e *Endpoint) inSlowStart(now Time) bool {
+	return now < e.warmFrom+seconds(e.Partner.Kind.SlowStartS)
+}
 
 // saw notes that a sender knows of an outage by what happened to it.
 func (w *World) saw(e *Endpoint, s SenderNo) {
@@ -51,13 +53,13 @@
 	return sum, knowing
 }
 
-// fallBound is the load over the rule's span beyond which a cold endpoint falls over. A handful of calls fells none.
-func (w *World) fallBound(e *Endpoint) float64 {
+// overloadBound is the load over the rule's span beyond which a cold endpoint falls over. A handful of calls fells none.
+func (w *World) overloadBound(e *Endpoint) float64 {
 	return max(4, w.Spec.Rules.FallMultiple*e.Rate*w.warmth(e)*w.Spec.Rules.FallS)
 }
 
-// countCold adds a call to the load on a returning endpoint, which may push it over.
-func (w *World) countCold(call *Call) {
+// countSlowStartLoad adds a call to the load on a returning endpoint, which may push it over.
+func (w *World) countSlowStartLoad(call *Call) {
 	e := call.Conn.Endpoint
 	if e.out || e.warmFrom < 0 {
 		return
@@ -65,7 +67,7 @@
 	weight := 1 + rideWork*float64(max(1, len(call.Messages))-1)
 	e.recent = append(e.recent, arrival{w.now, call.Conn.Sender, weight})
 	sum, knowing := w.recentLoad(e)
-	bound := w.fallBound(e)
+	bound := w.overloadBound(e)
 	w.ledger.Returning(e, sum, bound)
 	if sum <= bound {
 		return
--- a/lab/world/spec.go
+++ b/lab/world/spec.go
@@ -109,29 +109,29 @@
 
 // Kind is one kind of partner.
 type Kind struct {
-	Name          string  `toml:"name"`
-	Count         int     `toml:"count"`
-	Endpoints     Pair    `toml:"endpoints"`   // of each, one to four
-	MeanMS        Pair    `toml:"mean_ms"`     // that a call takes, by endpoint
-	Sigma         float64 `toml:"sigma"`       // of its logarithm; each call draws its own
-	Headroom      Pair    `toml:"headroom"`    // capacity in times of the partner's part of the load
-	LeastRate     float64 `toml:"least_rate"`  // capacity at least, in calls a second
-	Queue         float64 `toml:"queue"`       // calls that may wait, in times of the slots
-	Limit         string  `toml:"limit"`       // none, rate or span
-	LimitTimes    Pair    `toml:"limit_times"` // the limit in times of the partner's part of the load
-	LimitAbove    bool    `toml:"limit_above"` // the limit may lie above what it can do; else it can do a quarter more
-	SpanS         float64 `toml:"span_s"`
-	CountAll      bool    `toml:"count_refused"` // refused calls use the limit up too
-	Told          float64 `toml:"told_waits"`    // share of refusals that tell a wait
-	Reports       bool    `toml:"reports"`
-	ReportMS      float64 `toml:"report_ms"` // age that a report may have
-	Bundle        int     `toml:"bundle"`
-	Apart         bool    `toml:"apart"`       // its endpoints are separate routes
-	Table         int     `toml:"connections"` // an endpoint holds at most so many; 0 for any number
-	ShakeMS       float64 `toml:"handshake_ms"`
-	IdleS         float64 `toml:"idle_s"`
-	SlowStartS    float64 `toml:"cold_s"`
-	SlowStartFrom float64 `toml:"cold_from"`
-	DownS         float64 `toml:"down_s"` // for which one that was pushed over stays down
-	ErrorShare    float64 `toml:"errors"`
+	Name            string  `toml:"name"`
+	Count           int     `toml:"count"`
+	Endpoints       Pair    `toml:"endpoints"`   // of each, one to four
+	MeanMS          Pair    `toml:"mean_ms"`     // that a call takes, by endpoint
+	Sigma           float64 `toml:"sigma"`       // of its logarithm; each call draws its own
+	Headroom        Pair    `toml:"headroom"`    // capacity in times of the partner's part of the load
+	LeastRate       float64 `toml:"least_rate"`  // capacity at least, in calls a second
+	Queue           float64 `toml:"queue"`       // calls that may wait, in times of the slots
+	Limit           string  `toml:"limit"`       // none, rate or span
+	LimitTimes      Pair    `toml:"limit_times"` // the limit in times of the partner's part of the load
+	LimitAbove      bool    `toml:"limit_above"` // the limit may lie above what it can do; else it can do a quarter more
+	SpanS           float64 `toml:"span_s"`
+	CountAll        bool    `toml:"count_refused"` // refused calls use the limit up too
+	RetryAfterShare float64 `toml:"told_waits"`    // share of refusals that name a Retry-After
+	Reports         bool    `toml:"reports"`
+	ReportMS        float64 `toml:"report_ms"` // age that a report may have
+	Bundle          int     `toml:"bundle"`
+	Apart           bool    `toml:"apart"`       // its endpoints are separate routes
+	Table           int     `toml:"connections"` // an endpoint holds at most so many; 0 for any number
+	ShakeMS         float64 `toml:"handshake_ms"`
+	IdleS           float64 `toml:"idle_s"`
+	SlowStartS      float64 `toml:"cold_s"`
+	SlowStartFrom   float64 `toml:"cold_from"`
+	DownS           float64 `toml:"down_s"` // for which one that was pushed over stays down
+	ErrorShare      float64 `toml:"errors"`
 }
--- a/lab/world/work.go
+++ b/lab/world/work.go
@@ -24,8 +24,8 @@
 		w.fate(call, 0) // nobody hears it, and nothing runs
 		return
 	}
-	if e.isCold(w.now) && !e.fx.shut {
-		w.countCold(call)
+	if e.inSlowStart(w.now) && !e.fx.shut {
+		w.countSlowStartLoad(call)
 		if c.gone {
 			return // it has just been pushed over
 		}
@@ -46,10 +46,10 @@
 	c := call.Conn
 	w.fate(call, 0)
 	w.setOut(call, false)
-	if c.hung || c.told {
+	if c.hung || c.notified {
 		return
 	}
-	c.told = true
+	c.notified = true
 	w.After(w.way(c.Sender, c.Endpoint, int64(call.No)), func() {
 		if !c.hung {
 			w.wire.Down(c, SeenBroken)
@@ -93,7 +93,7 @@
 
 // refuse answers a call that is refused; some endpoints tell how long to wait.
 func (w *World) refuse(call *Call, wait Time) {
-	if w.draw("told", int64(call.No)) >= call.Conn.Endpoint.Partner.Kind.Told {
+	if w.draw("told", int64(call.No)) >= call.Conn.Endpoint.Partner.Kind.RetryAfterShare {
 		wait = 0
 	}
 	w.reply(call, Answer{Status: 503, Wait: wait, Close: call.Conn.crowded})
--- a/lab/world/world.go
+++ b/lab/world/world.go
@@ -8,7 +8,7 @@
 // same world as far as they act alike. Times are tenths of a millisecond from the start of the run.
 //
 // spec.go and kinds.go hold what a scenario may say, endpoint.go the partners, clients.go the programs, directory.go the
-// list, trouble.go what goes wrong, events.go the order of events. This file owns the world's two sides, Wire and Ledger.
+// list, fault.go what goes wrong, events.go the order of events. This file owns the world's two sides, Wire and Ledger.
 package world
 
 import (
@@ -61,10 +61,10 @@
 	Up(c *Conn)             // the connection stands
 	Down(c *Conn, why Seen) // it was refused, or ended by the other side
 	Answered(c *Conn, call *Call, a Answer)
-	News(to SenderNo, list List)    // of the list
-	ListFailed(to SenderNo)         // the watch ended, or was silent for too long
-	HandIn(h *HandIn)               // a program hands a message in
-	Accepting(e *Endpoint, on bool) // whether connections come up there
+	ListUpdate(to SenderNo, list List) // of the list
+	ListFailed(to SenderNo)            // the watch ended, or was silent for too long
+	HandIn(h *HandIn)                  // a program hands a message in
+	Accepting(e *Endpoint, on bool)    // whether connections come up there
 	Note(from, to SenderNo, text []byte)
 	Act(on SenderNo, what Act) // to its process
 }
@@ -96,8 +96,8 @@
 	Ran(h *HandIn, e *Endpoint, at Time)
 	Delivered(h *HandIn, e *Endpoint)
 	Ended(h *HandIn, what End)
-	Told(s SenderNo, e *Endpoint, stage choice.Stage)
-	WaitTold(s SenderNo, e *Endpoint, until Time)
+	StageAnnounced(s SenderNo, e *Endpoint, stage choice.Stage)
+	RetryAfterReceived(s SenderNo, e *Endpoint, until Time)
 	Outcome(c *Call, status int) // as the endpoint saw it, 0 for none
 	Outage(e *Endpoint, down bool)
 	Returning(e *Endpoint, load, bound float64)
@@ -155,7 +155,7 @@
 	if err := w.planLoad(trace); err != nil {
 		return nil, err
 	}
-	w.planTroubles()
+	w.planFaults()
 	w.planChanges()
 	return w, nil
 }
--- a/lab/world/world_test.go
+++ b/lab/world/world_test.go
@@ -29,7 +29,7 @@
 func (d *desk) Down(c *Conn, why Seen) {
 	d.print("connection %d down, %s", c.No, [...]string{"", "refused", "broken"}[why])
 }
-func (d *desk) News(s SenderNo, l List) {
+func (d *desk) ListUpdate(s SenderNo, l List) {
 	var what []string
 	for _, e := range l.Entries {
 		what = append(what, fmt.Sprintf("%s %s", e.Endpoint.ID, [...]string{"ready", "draining", "gone"}[e.Stage]))
@@ -57,10 +57,10 @@
 	d.ran[h.ID]++
 	d.print("%s ran at %s", h.ID, e.ID)
 }
-func (d *desk) Delivered(h *HandIn, e *Endpoint)       { d.print("%s delivered", h.ID) }
-func (d *desk) Ended(*HandIn, End)                     {}
-func (d *desk) Told(SenderNo, *Endpoint, choice.Stage) {}
-func (d *desk) WaitTold(_ SenderNo, _ *Endpoint, until Time) {
+func (d *desk) Delivered(h *HandIn, e *Endpoint)                 { d.print("%s delivered", h.ID) }
+func (d *desk) Ended(*HandIn, End)                               {}
+func (d *desk) StageAnnounced(SenderNo, *Endpoint, choice.Stage) {}
+func (d *desk) RetryAfterReceived(_ SenderNo, _ *Endpoint, until Time) {
 	d.print("wait told until %d", until/Millisecond)
 }
 func (d *desk) Outcome(*Call, int)                    {}
@@ -192,7 +192,7 @@
 }
 
 // Faults overlap freely: the end of one does not lift another, and notes are lost while that lasts.
-func ExampleWorld_troubles() {
+func ExampleWorld_faults() {
 	d := plain(func(s *Spec) {
 		s.Faults = []Fault{{Kind: "shut", At: 1, Seconds: 4}, {Kind: "shut", At: 2, Seconds: 1}, {Kind: "notes_lost", At: 1, Seconds: 2}}
 	})
@@ -220,7 +220,7 @@
 func ExampleWorld_crossing() {
 	for _, crosses := range []bool{false, true} {
 		d := plain(func(s *Spec) {
-			s.Partners[0].Told = 1
+			s.Partners[0].RetryAfterShare = 1
 			s.Faults = []Fault{{Kind: "refusing", Seconds: 50, Amount: 1}}
 		})
 		c := d.call(nil, "a")
