--- a/cmd/flaxcove/lab_load.go
+++ b/cmd/flaxcove/lab_load.go
@@ -240,7 +240,7 @@
 		step.InTime = float64(r.InTime) / float64(r.Asked)
 		step.CPUUS = r.Figures.CPUS * 1e6 / float64(r.Asked)
 	}
-	step.OKP50, step.OKP99, step.OKP999 = r.TakenOnMS.P50, r.TakenOnMS.P99, r.TakenOnMS.P999
+	step.OKP50, step.OKP99, step.OKP999 = r.AcceptLatencyMS.P50, r.AcceptLatencyMS.P99, r.AcceptLatencyMS.P999
 	for _, w := range r.Classes {
 		step.P50, step.P99, step.P999 = max(step.P50, w.Delivery.P50), max(step.P99, w.Delivery.P99), max(step.P999, w.Delivery.P999)
 	}
--- a/cmd/flaxcove/lab_scenarios.go
+++ b/cmd/flaxcove/lab_scenarios.go
@@ -68,7 +68,7 @@
 	table := newTable()
 	for _, name := range slices.Sorted(maps.Keys(world.FaultKinds)) {
 		kind := world.FaultKinds[name]
-		fmt.Fprintf(table, "%s\tstrikes %s\t%s\n", name, kind.Strikes, kind.Amount)
+		fmt.Fprintf(table, "%s\tstrikes %s\t%s\n", name, kind.Affects, kind.Amount)
 	}
 	return table.Flush()
 }
--- a/lab/baseline/baseline.go
+++ b/lab/baseline/baseline.go
@@ -36,7 +36,7 @@
 func Named(name string) sim.NewPolicy {
 	switch name {
 	case "choice":
-		return sim.Choice
+		return sim.ChoicePolicy
 	case oneTry, fixed, backoff, least, allSeen:
 		return func(h choice.Host, id choice.SenderID, seed int64, set choice.Settings, w *world.World) sim.Policy {
 			return newPlain(name, h, seed, set, w)
--- a/lab/baseline/send.go
+++ b/lab/baseline/send.go
@@ -114,7 +114,7 @@
 // bestSeen is the endpoint that truly answers first. Slow ones may not take up the whole limit in flight.
 func (p *plain) bestSeen(open []*end) (best *end) {
 	for _, e := range open {
-		well, waiting := p.w.Well(e.Endpoint, e.calls)
+		well, waiting := p.w.WouldAnswer(e.Endpoint, e.calls)
 		if well && p.w.HasSlowStartCapacity(e.Endpoint) && (best == nil || waiting < best.waiting) {
 			best = e
 			e.waiting = waiting
--- a/lab/cluster/play/change.go
+++ b/lab/cluster/play/change.go
@@ -28,7 +28,7 @@
 }
 
 // order hands a change to a process, and to the next where that does not answer, until it is known to be decided.
-func (p *player) order(ctx context.Context, h *live.Hold, no int) {
+func (p *player) order(ctx context.Context, h *live.RunControl, no int) {
 	change := &p.s.Changes[no]
 	report := &ChangeReport{ID: fmt.Sprintf("%s-change-%d", p.s.Name, no), Given: h.Now()}
 	p.judge.Ordered(report.ID)
@@ -83,7 +83,7 @@
 }
 
 // askShown asks the first process how far the newest version is.
-func (p *player) askShown(ctx context.Context, h *live.Hold) {
+func (p *player) askShown(ctx context.Context, h *live.RunControl) {
 	var shown versions.Shown
 	if p.ask(ctx, 0, "GET", "/v1/configuration", nil, &shown) == http.StatusOK {
 		h.Post(func() {
--- a/lab/cluster/play/faults.go
+++ b/lab/cluster/play/faults.go
@@ -44,7 +44,7 @@
 func seconds(s float64) choice.Time { return choice.Time(s * float64(choice.Second)) }
 
 // plan lays up all faults of the schedule that are not the world's.
-func (p *player) plan(h *live.Hold) {
+func (p *player) plan(h *live.RunControl) {
 	l := &links{p.mesh, map[way]map[int]relay.Fault{}}
 	for no := range p.s.Faults {
 		f := &p.s.Faults[no]
@@ -116,14 +116,14 @@
 }
 
 // empty kills a process and has it come again with nothing of what it had.
-func (p *player) empty(h *live.Hold, s world.SenderNo, from, to choice.Time) {
+func (p *player) empty(h *live.RunControl, s world.SenderNo, from, to choice.Time) {
 	h.After(from, func() {
 		if !h.Alive(s) {
 			return
 		}
 		p.emptied[s] = h.Now() // what it took on before is lost
 		h.Act(s, world.Kill)
-		if err := h.Empty(s); err == nil {
+		if err := h.EraseState(s); err == nil {
 			os.RemoveAll(p.folders[s])
 		}
 		h.After(to-from, func() { h.Act(s, world.Start) })
@@ -131,7 +131,7 @@
 }
 
 // killLeader kills whom most processes named as the leader last.
-func (p *player) killLeader(h *live.Hold, gone choice.Time) {
+func (p *player) killLeader(h *live.RunControl, gone choice.Time) {
 	p.mu.Lock()
 	leader := p.leader
 	p.mu.Unlock()
--- a/lab/cluster/play/play.go
+++ b/lab/cluster/play/play.go
@@ -107,7 +107,7 @@
 		defer p.mesh.Close()
 	}
 	r, err := live.Run(ctx, live.Options{Spec: spec, Seed: p.s.Seed, Command: o.Command, Logs: o.Logs,
-		With: p.with, Ledger: func(referee world.Ledger) world.Ledger { return &ear{referee, p} }, Begun: p.begun, Busy: p.busy, Ready: p.ready})
+		SenderArgs: p.with, Ledger: func(referee world.Ledger) world.Ledger { return &ear{referee, p} }, OnBegin: p.begun, KeepRunning: p.busy, AwaitReady: p.ready})
 	p.wait()
 	if err != nil {
 		return nil, err
@@ -129,7 +129,7 @@
 
 // excuse takes out of a verdict what a process lost that the schedule itself took the folder of.
 func (p *player) excuse(v *referee.Verdict) (n int) {
-	v.Breaks = slices.DeleteFunc(v.Breaks, func(b referee.Break) bool {
+	v.Violations = slices.DeleteFunc(v.Violations, func(b referee.Violation) bool {
 		at, is := p.emptied[world.SenderNo(b.Sender)]
 		// A breach is told when it is judged, up to a deadline later; it names its message first.
 		id, _, _ := strings.Cut(b.What, " ")
@@ -155,10 +155,10 @@
 	ends := float64(min(4, s.Zones))
 	spec.Partners = []world.Kind{{Name: "shop", Count: 4, Endpoints: world.Pair{ends, ends}, Headroom: world.Pair{3, 4}, LeastRate: 40, Reports: true}}
 	for _, f := range s.Faults {
-		t := world.Fault{At: f.At, Seconds: f.Seconds, Part: world.Part{Senders: f.From}}
+		t := world.Fault{At: f.At, Seconds: f.Seconds, Selector: world.Selector{Senders: f.From}}
 		switch f.Kind {
 		case "zone":
-			t.Kind, t.Part = "silent", world.Part{Zone: f.Zone}
+			t.Kind, t.Selector = "silent", world.Selector{Zone: f.Zone}
 			if f.Every > 0 {
 				for at := f.At; at < f.At+f.Seconds; at += 2 * f.Every {
 					t.At, t.Seconds = at, min(f.Every, f.At+f.Seconds-at)
--- a/lab/cluster/play/play_test.go
+++ b/lab/cluster/play/play_test.go
@@ -89,7 +89,7 @@
 	}
 	// The referee's rules hang on the machine keeping time; on one that was too busy they say nothing.
 	if r.Void == "" && r.Broken() {
-		wrong = append(wrong, fmt.Sprintf("rules %v: %v", r.Rules, r.Result.Verdict.Breaks))
+		wrong = append(wrong, fmt.Sprintf("rules %v: %v", r.Rules, r.Result.Verdict.Violations))
 	}
 	if r.Delivered*2 < r.Asked {
 		wrong = append(wrong, fmt.Sprintf("%d of %d delivered", r.Delivered, r.Asked))
--- a/lab/cluster/play/purge.go
+++ b/lab/cluster/play/purge.go
@@ -27,7 +27,7 @@
 
 // give hands a purge to a process, and to the next where that does not answer, until it is known to be decided; then
 // it asks until it is complete.
-func (p *player) give(ctx context.Context, h *live.Hold, no int) {
+func (p *player) give(ctx context.Context, h *live.RunControl, no int) {
 	order := &p.s.Purges[no]
 	id := fmt.Sprintf("%s-%d", p.s.Name, no)
 	p.judge.Opened(id, h.Now(), func(n choice.MessageID) bool {
--- a/lab/cluster/play/watch.go
+++ b/lab/cluster/play/watch.go
@@ -73,19 +73,19 @@
 	p *player
 }
 
-func (e *ear) Heard(h *world.HandIn, what world.Heard) {
-	if what == world.HeardOK {
+func (e *ear) HandInAnswered(h *world.HandIn, what world.HandInAnswer) {
+	if what == world.HandInAccepted {
 		e.p.kinds[h.ID] = kind{int(h.Ask.Partner), h.Ask.Class.Name, h.Sender, h.At}
 		e.p.judge.Taken(h.ID, h.At)
 	}
-	e.Ledger.Heard(h, what)
+	e.Ledger.HandInAnswered(h, what)
 }
 
-func (e *ear) Began(c *world.Call) {
+func (e *ear) CallSent(c *world.Call) {
 	for _, h := range c.Messages {
 		e.p.judge.Began(h.ID, c.SentAt)
 	}
-	e.Ledger.Began(c)
+	e.Ledger.CallSent(c)
 }
 
 // ready waits until all know who leads the council.
@@ -102,7 +102,7 @@
 	}
 }
 
-func (p *player) begun(h *live.Hold) {
+func (p *player) begun(h *live.RunControl) {
 	p.spec, p.falls = h.World().Spec, fallsOf(p.s)
 	if p.mesh == nil {
 		return
@@ -135,7 +135,7 @@
 }
 
 // watch asks all processes again and again.
-func (p *player) watch(ctx context.Context, h *live.Hold) {
+func (p *player) watch(ctx context.Context, h *live.RunControl) {
 	defer p.wg.Done()
 	for ctx.Err() == nil {
 		all := p.askAll(ctx)
@@ -194,7 +194,7 @@
 }
 
 // saw judges what was told; on the world's goroutine.
-func (p *player) saw(h *live.Hold, all []*status.Status) {
+func (p *player) saw(h *live.RunControl, all []*status.Status) {
 	votes := map[string]int{}
 	for _, s := range all {
 		p.judge.Saw(s)
--- a/lab/cluster/size/cases.go
+++ b/lab/cluster/size/cases.go
@@ -29,7 +29,7 @@
 	}
 	s.Partners = []world.Kind{
 		{Name: "told", Count: partners / 2, Endpoints: world.Pair{4, 4}, MeanMS: world.Pair{40, 100}, Reports: true,
-			RetryAfterShare: 0.5, Limit: "rate", LimitTimes: world.Pair{1.6, 2.6}, Apart: true, LeastRate: 16},
+			RetryAfterShare: 0.5, Limit: "rate", LimitTimes: world.Pair{1.6, 2.6}, SeparateRoutes: true, LeastRate: 16},
 		{Name: "untold", Count: partners - partners/2, Endpoints: world.Pair{4, 4}, MeanMS: world.Pair{40, 100},
 			Reports: true, RetryAfterShare: 0.5, Headroom: world.Pair{1.6, 3}, LeastRate: 16},
 	}
@@ -38,7 +38,7 @@
 }
 
 func silent(zone int, at, seconds float64) world.Fault {
-	return world.Fault{Kind: "silent", At: at, Seconds: seconds, Part: world.Part{Zone: zone + 1}}
+	return world.Fault{Kind: "silent", At: at, Seconds: seconds, Selector: world.Selector{Zone: zone + 1}}
 }
 
 func made(name string, s *world.Spec, region func(int) int, from, to float64, all ...world.Fault) Case {
@@ -63,14 +63,14 @@
 // Cases are all others with sixty senders.
 func Cases() []Case {
 	failing := func(zone int, at, seconds float64) world.Fault {
-		return world.Fault{Kind: "failing", At: at, Seconds: seconds, Amount: 0.95, Part: world.Part{Zone: zone + 1}}
+		return world.Fault{Kind: "failing", At: at, Seconds: seconds, Amount: 0.95, Selector: world.Selector{Zone: zone + 1}}
 	}
 	weak := func(zone int) world.Fault {
-		return world.Fault{Kind: "throttled", At: 8, Seconds: 20, Amount: 0.6, Part: world.Part{Zone: zone + 1}}
+		return world.Fault{Kind: "throttled", At: 8, Seconds: 20, Amount: 0.6, Selector: world.Selector{Zone: zone + 1}}
 	}
 	half := silent(0, 10, 12)
 	for i := 0; i < 24; i += 2 {
-		half.Part.Partners = append(half.Part.Partners, i)
+		half.Selector.Partners = append(half.Selector.Partners, i)
 	}
 	var flaps []world.Fault
 	for at := 10.0; at < 70; at += 4 {
--- a/lab/cluster/size/play.go
+++ b/lab/cluster/size/play.go
@@ -47,7 +47,7 @@
 		f.numbers[zoneName(z)] = choice.ZoneNo(z)
 		f.regions[zoneName(z)] = view.Region(fmt.Sprintf("r%d", o.Region(z)))
 	}
-	decide := sim.Choice
+	decide := sim.ChoicePolicy
 	if o.Mode == Oracle {
 		decide = baseline.Named("all_seen")
 	}
--- a/lab/experiment/experiment.go
+++ b/lab/experiment/experiment.go
@@ -51,20 +51,20 @@
 // Result is one line of the file of results.
 type Result struct {
 	Job
-	Engine    string               `json:"engine"`
-	Figure    float64              `json:"figure"`
-	Service   float64              `json:"service"`
-	Rules     map[referee.Rule]int `json:"rules,omitempty"`
-	Void      string               `json:"void,omitempty"`
-	Error     string               `json:"error,omitempty"`
-	Asked     int                  `json:"asked"`
-	Delivered int                  `json:"delivered"`
-	InTime    int                  `json:"in_time"`
-	Calls     int                  `json:"calls"`
-	Refusals  int                  `json:"refusals"`
-	Classes   []referee.Class      `json:"workloads,omitempty"`
-	Engines   *referee.Engines     `json:"engine_figures,omitempty"`
-	Sizes     Sizes                `json:"sizes"`
+	Engine    string                 `json:"engine"`
+	Figure    float64                `json:"figure"`
+	Service   float64                `json:"service"`
+	Rules     map[referee.Rule]int   `json:"rules,omitempty"`
+	Void      string                 `json:"void,omitempty"`
+	Error     string                 `json:"error,omitempty"`
+	Asked     int                    `json:"asked"`
+	Delivered int                    `json:"delivered"`
+	InTime    int                    `json:"in_time"`
+	Calls     int                    `json:"calls"`
+	Refusals  int                    `json:"refusals"`
+	Classes   []referee.Class        `json:"workloads,omitempty"`
+	Engines   *referee.EngineFigures `json:"engine_figures,omitempty"`
+	Sizes     Sizes                  `json:"sizes"`
 }
 
 // Sizes are how large a run was.
--- a/lab/experiment/run.go
+++ b/lab/experiment/run.go
@@ -102,7 +102,7 @@
 	}
 	r.Figure, r.Service, r.Rules, r.Void = v.Figure, v.Service, v.Rules, v.Void
 	r.Asked, r.Delivered, r.InTime, r.Calls, r.Refusals = v.Asked, v.Delivered, v.InTime, v.Calls, v.Refusals
-	r.Classes, r.Engines = v.Classes, v.Engines
+	r.Classes, r.Engines = v.Classes, v.EngineFigures
 	r.Sizes = Sizes{Senders: j.spec.Senders, Rate: int(j.spec.Load.Rate)}
 	for i := range j.spec.Partners {
 		r.Sizes.Partners += j.spec.Partners[i].Count
--- a/lab/hunt/draw.go
+++ b/lab/hunt/draw.go
@@ -17,7 +17,7 @@
 func faultKinds() (endpoints, others []string) {
 	for name, kind := range world.FaultKinds {
 		switch {
-		case kind.Strikes == "endpoints":
+		case kind.Affects == "endpoints":
 			endpoints = append(endpoints, name)
 		case name != "hoard" && name != "rubbish" && name != "notes_lost": // they do nothing in simulated time
 			others = append(others, name)
@@ -88,7 +88,7 @@
 	s.Load.Swing = d.figure(0, 0.4)
 	s.Sender.Probing = d.chance(0.7)
 	s.Sender.Rating = pick(d, "off", "rough", "nominal")
-	s.Clients.Own = d.chance(0.4)
+	s.Clients.OwnSender = d.chance(0.4)
 	s.Rules.DrainGraceMS = pick(d, 500.0, 1000, 2000)
 	s.Rules.FallMultiple = d.figure(1.8, 3)
 	s.Rules.FallS = d.figure(1, 2)
@@ -124,16 +124,16 @@
 		SlowStartS:      d.figure(3, 15),
 		SlowStartFrom:   d.figure(0.1, 0.5),
 		IdleS:           d.figure(2, 15),
-		ShakeMS:         float64(d.rng.IntN(60)),
+		HandshakeMS:     float64(d.rng.IntN(60)),
 		ErrorShare:      d.figure(0, 0.02),
 	}
 	d.drawLimit(&k)
 	if d.chance(0.3) {
 		k.Bundle = 2 + d.rng.IntN(9)
 	}
-	k.Apart = d.chance(0.2)
+	k.SeparateRoutes = d.chance(0.2)
 	if d.chance(0.4) {
-		k.Table = max(6, int(d.between(6, 30)*max(1, d.scale)))
+		k.MaxConnections = max(6, int(d.between(6, 30)*max(1, d.scale)))
 	}
 	return k
 }
@@ -145,12 +145,12 @@
 	case 0:
 		k.Limit = "rate"
 		k.LimitTimes = times()
-		k.CountAll = d.chance(0.3)
+		k.CountRefused = d.chance(0.3)
 	case 1:
 		k.Limit = "span"
 		k.LimitTimes = times()
 		k.SpanS = float64(1 + d.rng.IntN(3))
-		k.CountAll = d.chance(0.3)
+		k.CountRefused = d.chance(0.3)
 	}
 }
 
@@ -163,8 +163,8 @@
 		d.drawEndpoints(&t)
 	} else {
 		t.Kind = pick(d, otherFaults...)
-		if world.FaultKinds[t.Kind].Strikes == "senders" {
-			t.Part.Share = d.figure(0.2, 1)
+		if world.FaultKinds[t.Kind].Affects == "senders" {
+			t.Selector.Share = d.figure(0.2, 1)
 		}
 	}
 	if kind := world.FaultKinds[t.Kind]; kind.Amount != "" && d.chance(0.7) {
@@ -176,21 +176,21 @@
 // drawEndpoints draws a trouble of endpoints and which ones it strikes.
 func (d *drawer) drawEndpoints(t *world.Fault) {
 	t.Kind = pick(d, endpointFaults...)
-	t.Part.Share = d.figure(0.1, 0.7)
+	t.Selector.Share = d.figure(0.1, 0.7)
 	if d.chance(0.3) {
-		t.Part.Endpoint = 1
+		t.Selector.Endpoint = 1
 	}
 	if d.chance(0.3) {
-		t.Part.Kind = pick(d, d.spec.Partners...).Name
+		t.Selector.Kind = pick(d, d.spec.Partners...).Name
 	}
 }
 
 func (d *drawer) change() world.ListEvent {
 	return world.ListEvent{
-		What:    pick(d, "drain", "remove", "move", "back"),
-		At:      d.figure(1, d.spec.Seconds),
-		Part:    world.Part{Share: d.figure(0.1, 0.6), Endpoint: d.rng.IntN(3)},
-		Restart: d.chance(0.5),
+		Change:   pick(d, "drain", "remove", "move", "back"),
+		At:       d.figure(1, d.spec.Seconds),
+		Selector: world.Selector{Share: d.figure(0.1, 0.6), Endpoint: d.rng.IntN(3)},
+		Restart:  d.chance(0.5),
 	}
 }
 
--- a/lab/hunt/hunt_test.go
+++ b/lab/hunt/hunt_test.go
@@ -47,7 +47,7 @@
 func TestShrinkKeepsTheFind(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 6))
 	spec := Draw(rng, 4)
-	spec.Faults = append(spec.Faults, world.Fault{Kind: "crash", At: 3, Seconds: 4, Part: world.Part{Share: 0.5}})
+	spec.Faults = append(spec.Faults, world.Fault{Kind: "crash", At: 3, Seconds: 4, Selector: world.Selector{Share: 0.5}})
 	spec.Defaults()
 	runs := 0
 	play := func(s *world.Spec, _ uint64, _ bool) (Played, error) {
--- a/lab/hunt/shrink.go
+++ b/lab/hunt/shrink.go
@@ -153,8 +153,8 @@
 	if k.Bundle > 1 {
 		try(func(k *world.Kind) { k.Bundle = 1 })
 	}
-	if k.Table > 0 {
-		try(func(k *world.Kind) { k.Table = 0 })
+	if k.MaxConnections > 0 {
+		try(func(k *world.Kind) { k.MaxConnections = 0 })
 	}
 }
 
--- a/lab/limits/limits.go
+++ b/lab/limits/limits.go
@@ -92,7 +92,7 @@
 	case Bad:
 		// Four endpoints; as long as all get alike, this is the share of all calls.
 		t.Kind, t.Amount = "refusing", min(1, 4*share)
-		t.Part.Endpoint = 1
+		t.Selector.Endpoint = 1
 		s.Partners[0].Endpoints = world.Pair{4, 4}
 	default:
 		return nil, fmt.Errorf("no noise is called %q", mode)
@@ -171,17 +171,17 @@
 	s.Senders = senders
 	s.Load.Rate = perSender * float64(senders) / 0.75
 	s.Sender.InFlightLimit = max(8, int(perSender))
-	s.Clients.Own = true
+	s.Clients.OwnSender = true
 	kind := world.Kind{Name: "shared", Count: 1, Endpoints: world.Pair{2, 2}, MeanMS: world.Pair{20, 20}, Sigma: 0.5, Limit: "rate",
 		LimitTimes: world.Pair{0.75, 0.75}, LeastRate: 1, Headroom: world.Pair{4, 4}, Queue: 4, SlowStartS: 8, SlowStartFrom: 0.2, IdleS: 10,
-		CountAll: countAll}
+		CountRefused: countAll}
 	if span > 0 {
 		kind.Limit, kind.SpanS = "span", span
 	}
 	s.Partners = []world.Kind{kind}
 	third := seconds / 3
 	s.Faults = []world.Fault{{Kind: "throttled", At: third, Seconds: third, Amount: 1. / 3},
-		{Kind: "sender_kill", At: 0.01, Seconds: third / 2, Part: world.Part{Senders: []int{senders - 1}}}}
+		{Kind: "sender_kill", At: 0.01, Seconds: third / 2, Selector: world.Selector{Senders: []int{senders - 1}}}}
 	s.Defaults()
 	if p := s.Check(); len(p) > 0 {
 		return nil, p[0]
--- a/lab/live/addresses.go
+++ b/lab/live/addresses.go
@@ -20,13 +20,13 @@
 		if err = e.listenAll(); err == nil {
 			return nil
 		}
-		for _, l := range e.ends {
+		for _, l := range e.listeners {
 			l.close()
 		}
-		for _, d := range e.dirs {
+		for _, d := range e.directories {
 			d.close()
 		}
-		e.ends, e.dirs = map[endKey]*listener{}, nil
+		e.listeners, e.directories = map[listenerKey]*listener{}, nil
 	}
 	return err
 }
@@ -37,7 +37,7 @@
 		if err != nil {
 			return err
 		}
-		e.dirs = append(e.dirs, d)
+		e.directories = append(e.directories, d)
 		// The sender's own address must be free too.
 		ln, err := net.Listen("tcp", e.senderAddr(world.SenderNo(s)))
 		if err != nil {
@@ -45,7 +45,7 @@
 		}
 		ln.Close()
 		for _, end := range e.w.Endpoints {
-			if err := e.listenEnd(world.SenderNo(s), end); err != nil {
+			if err := e.listenEndpoint(world.SenderNo(s), end); err != nil {
 				return err
 			}
 		}
@@ -60,38 +60,38 @@
 
 func (e *engine) directoryAddr(s world.SenderNo) string {
 	// A new configuration names the next address.
-	return fmt.Sprintf("127.%d.%d.%d:%d", 9+e.moves[s]%2*2, int(s)/250+e.moves[s]/2*4, 1+int(s)%250, e.port)
+	return fmt.Sprintf("127.%d.%d.%d:%d", 9+e.directoryMoves[s]%2*2, int(s)/250+e.directoryMoves[s]/2*4, 1+int(s)%250, e.port)
 }
 
-// oldFor is how long a place that discovery has left still answers: a sender keeps its watch there until the new one
+// oldDirectoryPeriod is how long a place that discovery has left still answers: a sender keeps its watch there until the new one
 // has spoken.
-const oldFor = 2 * choice.Second
+const oldDirectoryPeriod = 2 * choice.Second
 
 // moveDirectory has a sender's discovery and platform go elsewhere, and tells its process by a new configuration.
 func (e *engine) moveDirectory(s world.SenderNo) {
-	p, old := e.senders[s], e.dirs[s]
-	e.moves[s]++
+	p, old := e.senders[s], e.directories[s]
+	e.directoryMoves[s]++
 	d, err := e.newDirectory(s)
 	if err == nil {
-		e.dirs[s] = d
+		e.directories[s] = d
 		var text []byte
 		if text, err = p.configuration(); err == nil {
 			p.reload(text)
 		}
 	}
 	if err != nil {
-		e.fail = fmt.Sprintf("discovery of sender %d cannot move: %v", s, err)
+		e.failure = fmt.Sprintf("discovery of sender %d cannot move: %v", s, err)
 		return
 	}
-	e.w.After(oldFor, old.close)
+	e.w.After(oldDirectoryPeriod, old.close)
 }
 
-func (e *engine) endAddr(s world.SenderNo, end world.EndpointNo, addr int) string {
+func (e *engine) endpointAddr(s world.SenderNo, end world.EndpointNo, addr int) string {
 	return fmt.Sprintf("127.%d.%d.%d:%d", 16+int(s), int(end)/250+20*(addr%12), 1+int(end)%250, e.port)
 }
 
-// folder makes one below the run's own, or where the caller wants it kept.
-func (e *engine) folder(under, name string) (string, error) {
+// makeFolder makes one below the run's own, or where the caller wants it kept.
+func (e *engine) makeFolder(under, name string) (string, error) {
 	if under == "" {
 		under = e.dir
 	}
--- a/lab/live/clients.go
+++ b/lab/live/clients.go
@@ -20,26 +20,26 @@
 )
 
 const (
-	dialFor  = 400 * time.Millisecond
-	replyFor = 10 * time.Second // a program's patience is the world's; this ends what nobody waits for
-	keepIdle = 8                // connections that a pool keeps beyond those in use
+	dialTimeout  = 400 * time.Millisecond
+	replyTimeout = 10 * time.Second // a program's patience is the world's; this ends what nobody waits for
+	maxIdle      = 8                // connections that a pool keeps beyond those in use
 )
 
 // pool holds the programs' connections to one sender. Its fields belong to the loop but for those under the lock.
 type pool struct {
 	e      *engine
 	sender world.SenderNo
-	idle   []*program
+	idle   []*client
 
-	mu      sync.Mutex
-	closed  bool
-	open    map[net.Conn]struct{}
-	hoarded []net.Conn
-	bad     chan struct{} // ends the rubbish
+	mu          sync.Mutex
+	closed      bool
+	open        map[net.Conn]struct{}
+	hoarded     []net.Conn
+	stopRubbish chan struct{} // ends the rubbish
 }
 
-// program is one connection; its goroutine hands in one message at a time.
-type program struct {
+// client is one connection; its goroutine hands in one message at a time.
+type client struct {
 	p    *pool
 	work chan *world.HandIn
 	conn net.Conn
@@ -51,8 +51,8 @@
 }
 
 func (p *pool) close() {
-	p.letGo()
-	p.noRubbish()
+	p.releaseHoard()
+	p.endRubbish()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closed = true
@@ -62,7 +62,7 @@
 }
 
 func (p *pool) dial() (net.Conn, error) {
-	conn, err := net.DialTimeout("tcp", p.e.senderAddr(p.sender), dialFor)
+	conn, err := net.DialTimeout("tcp", p.e.senderAddr(p.sender), dialTimeout)
 	if err != nil {
 		return nil, err
 	}
@@ -84,12 +84,12 @@
 }
 
 func (p *pool) handIn(h *world.HandIn) {
-	var c *program
+	var c *client
 	if k := len(p.idle); k > 0 {
 		c = p.idle[k-1]
 		p.idle = p.idle[:k-1]
 	} else {
-		c = &program{p: p, work: make(chan *world.HandIn, 1)}
+		c = &client{p: p, work: make(chan *world.HandIn, 1)}
 		p.e.wg.Add(1)
 		go func() {
 			defer p.e.wg.Done()
@@ -99,32 +99,32 @@
 	c.work <- h
 }
 
-func (c *program) run() {
+func (c *client) run() {
 	e := c.p.e
 	for {
 		select {
 		case h, ok := <-c.work:
 			if !ok {
-				c.hang()
+				c.closeConn()
 				return
 			}
 			what, ms := c.handIn(h)
 			e.post(func() {
 				e.w.Answered(h, what, ms)
-				if len(c.p.idle) < keepIdle {
+				if len(c.p.idle) < maxIdle {
 					c.p.idle = append(c.p.idle, c)
 				} else {
 					close(c.work)
 				}
 			})
 		case <-e.done:
-			c.hang()
+			c.closeConn()
 			return
 		}
 	}
 }
 
-func (c *program) hang() {
+func (c *client) closeConn() {
 	if c.conn != nil {
 		c.p.drop(c.conn)
 		c.conn = nil
@@ -133,7 +133,7 @@
 
 // handIn sends one command and reads its answer. Where a kept connection had been closed before the command was read,
 // it goes once more on a new one.
-func (c *program) handIn(h *world.HandIn) (world.Heard, int64) {
+func (c *client) handIn(h *world.HandIn) (world.HandInAnswer, int64) {
 	body := c.p.e.bodies[:min(len(c.p.e.bodies), max(1, h.Ask.Body))]
 	key := "0000000000000000"
 	if h.Ask.Class.Ordered {
@@ -147,34 +147,34 @@
 		if fresh {
 			conn, err := c.p.dial()
 			if err != nil {
-				return world.HeardNoSender, 0
+				return world.HandInNoSender, 0
 			}
 			c.conn, c.in = conn, bufio.NewReader(conn)
 		}
-		c.conn.SetDeadline(time.Now().Add(replyFor))
+		c.conn.SetDeadline(time.Now().Add(replyTimeout))
 		_, err := c.conn.Write(text)
 		var line string
 		if err == nil {
 			line, err = c.in.ReadString('\n')
 		}
 		if err != nil {
-			c.hang()
+			c.closeConn()
 			if try == 0 && !fresh && line == "" && !errors.Is(err, net.ErrClosed) {
 				continue
 			}
-			return world.HeardNoSender, 0
+			return world.HandInNoSender, 0
 		}
 		line = strings.TrimRight(line, "\r\n")
 		switch {
 		case strings.HasPrefix(line, "+"):
-			return world.HeardOK, 0
+			return world.HandInAccepted, 0
 		case strings.HasPrefix(line, "-BUSY"):
 			ms, _ := strconv.ParseInt(strings.TrimSpace(strings.TrimPrefix(line, "-BUSY")), 10, 64)
-			return world.HeardBusy, ms
+			return world.HandInBusy, ms
 		}
-		return world.HeardError, 0
+		return world.HandInError, 0
 	}
-	return world.HeardNoSender, 0
+	return world.HandInNoSender, 0
 }
 
 // hoard opens connections that say nothing.
@@ -194,7 +194,7 @@
 	}
 }
 
-func (p *pool) letGo() {
+func (p *pool) releaseHoard() {
 	p.mu.Lock()
 	all := p.hoarded
 	p.hoarded = nil
@@ -211,11 +211,11 @@
 func (p *pool) rubbish(perSecond float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.bad != nil || p.closed {
+	if p.stopRubbish != nil || p.closed {
 		return
 	}
 	stop := make(chan struct{})
-	p.bad = stop
+	p.stopRubbish = stop
 	p.e.wg.Add(1)
 	go func() {
 		defer p.e.wg.Done()
@@ -241,11 +241,11 @@
 	}()
 }
 
-func (p *pool) noRubbish() {
+func (p *pool) endRubbish() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.bad != nil {
-		close(p.bad)
-		p.bad = nil
+	if p.stopRubbish != nil {
+		close(p.stopRubbish)
+		p.stopRubbish = nil
 	}
 }
--- a/lab/live/ask.go
+++ b/lab/live/command.go
@@ -14,7 +14,7 @@
 	"flaxcove/internal/resp"
 )
 
-func ask(addr string, words ...string) (*bufio.Reader, net.Conn, error) {
+func sendCommand(addr string, words ...string) (*bufio.Reader, net.Conn, error) {
 	conn, err := net.DialTimeout("tcp", addr, time.Second)
 	if err != nil {
 		return nil, nil, err
@@ -32,7 +32,7 @@
 }
 
 func ping(addr string) error {
-	r, conn, err := ask(addr, "PING")
+	r, conn, err := sendCommand(addr, "PING")
 	if err != nil {
 		return err
 	}
@@ -46,7 +46,7 @@
 
 // info reads a sender's counters.
 func info(addr string) (map[string]int64, error) {
-	r, conn, err := ask(addr, "INFO")
+	r, conn, err := sendCommand(addr, "INFO")
 	if err != nil {
 		return nil, err
 	}
--- a/lab/live/directory.go
+++ b/lab/live/directory.go
@@ -15,8 +15,8 @@
 	"flaxcove/lab/world"
 )
 
-// beat is how often a watch with nothing new shows that it lives.
-const beat = 2 * time.Second
+// heartbeatEvery is how often a watch with nothing new shows that it lives.
+const heartbeatEvery = 2 * time.Second
 
 // directory is discovery's agent beside one sender, and the platform's end of its messages.
 type directory struct {
@@ -53,8 +53,8 @@
 	}
 	d := &directory{e: e, sender: s}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /api/targets", d.targets)
-	mux.HandleFunc("POST /v1/outcomes", d.outcomes)
+	mux.HandleFunc("GET /api/targets", d.serveTargets)
+	mux.HandleFunc("POST /v1/outcomes", d.serveOutcomes)
 	d.server = &http.Server{Handler: mux}
 	e.wg.Add(1)
 	go func() {
@@ -72,7 +72,7 @@
 	m := listMessage{Version: l.Version, Full: l.Full, Servers: []listed{}}
 	for _, entry := range l.Entries {
 		end := entry.Endpoint
-		m.Servers = append(m.Servers, listed{ID: string(end.ID), Addr: d.e.endAddr(d.sender, end.No, entry.Address),
+		m.Servers = append(m.Servers, listed{ID: string(end.ID), Addr: d.e.endpointAddr(d.sender, end.No, entry.Address),
 			Zone: fmt.Sprintf("z%d", end.Zone), Kind: end.Partner.Kind.Name, Cell: int(end.Partner.No), State: states[entry.Stage],
 			Weight: d.e.w.Rating(end)})
 	}
@@ -109,10 +109,10 @@
 	return d.silent
 }
 
-func (d *directory) targets(out http.ResponseWriter, r *http.Request) {
+func (d *directory) serveTargets(out http.ResponseWriter, r *http.Request) {
 	if r.URL.Query().Get("follow") != "1" {
 		whole := make(chan listMessage, 1)
-		d.e.post(func() { whole <- d.message(d.e.w.Whole()) })
+		d.e.post(func() { whole <- d.message(d.e.w.FullList()) })
 		select {
 		case m := <-whole:
 			json.NewEncoder(out).Encode(m)
@@ -133,7 +133,7 @@
 	flusher := http.NewResponseController(out)
 	flusher.Flush()
 	d.e.post(func() { d.e.w.Watch(d.sender, since) })
-	alive := time.NewTicker(beat)
+	alive := time.NewTicker(heartbeatEvery)
 	defer alive.Stop()
 	for {
 		var line []byte
@@ -162,8 +162,8 @@
 	}
 }
 
-// outcomes is the platform hearing of ends. One from a sender that is cut off does not arrive, and is not answered.
-func (d *directory) outcomes(out http.ResponseWriter, r *http.Request) {
+// serveOutcomes is the platform hearing of ends. One from a sender that is cut off does not arrive, and is not answered.
+func (d *directory) serveOutcomes(out http.ResponseWriter, r *http.Request) {
 	type line struct {
 		Message   string `json:"message"`
 		Outcome   string `json:"outcome"`
@@ -180,7 +180,7 @@
 	}
 	heard := make(chan bool, 1)
 	d.e.post(func() {
-		if d.e.w.Cut(d.sender) {
+		if d.e.w.Isolated(d.sender) {
 			heard <- false
 			return
 		}
--- a/lab/live/endpoints.go
+++ b/lab/live/endpoints.go
@@ -18,7 +18,7 @@
 	"flaxcove/lab/world"
 )
 
-type endKey struct {
+type listenerKey struct {
 	sender world.SenderNo
 	end    world.EndpointNo
 	addr   int
@@ -27,7 +27,7 @@
 // listener is one address of one endpoint, for one sender.
 type listener struct {
 	e   *engine
-	key endKey
+	key listenerKey
 	end *world.Endpoint
 
 	mu sync.Mutex
@@ -36,16 +36,16 @@
 
 // socket is a connection as the world knows it and as the machine does.
 type socket struct {
-	conn  net.Conn
-	known *world.Conn
+	conn      net.Conn
+	worldConn *world.Conn
 }
 
-func (e *engine) listenEnd(s world.SenderNo, end *world.Endpoint) error {
-	key := endKey{s, end.No, end.Addr}
-	l := e.ends[key]
+func (e *engine) listenEndpoint(s world.SenderNo, end *world.Endpoint) error {
+	key := listenerKey{s, end.No, end.Addr}
+	l := e.listeners[key]
 	if l == nil {
 		l = &listener{e: e, key: key, end: end}
-		e.ends[key] = l
+		e.listeners[key] = l
 	}
 	return l.open()
 }
@@ -56,7 +56,7 @@
 	if l.ln != nil {
 		return nil
 	}
-	ln, err := net.Listen("tcp", l.e.endAddr(l.key.sender, l.key.end, l.key.addr))
+	ln, err := net.Listen("tcp", l.e.endpointAddr(l.key.sender, l.key.end, l.key.addr))
 	if err != nil {
 		return err
 	}
@@ -88,20 +88,20 @@
 	}
 }
 
-// Accepting opens or closes an endpoint's addresses: a connection to a closed one is refused by the machine itself.
-func (e *engine) Accepting(end *world.Endpoint, on bool) {
+// AcceptingChanged opens or closes an endpoint's addresses: a connection to a closed one is refused by the machine itself.
+func (e *engine) AcceptingChanged(end *world.Endpoint, on bool) {
 	for s := range e.o.Spec.Senders {
 		// It may have moved: nobody is left at its former addresses.
 		for addr := range end.Addr {
-			if l := e.ends[endKey{world.SenderNo(s), end.No, addr}]; l != nil {
+			if l := e.listeners[listenerKey{world.SenderNo(s), end.No, addr}]; l != nil {
 				l.close()
 			}
 		}
 		if on {
-			if err := e.listenEnd(world.SenderNo(s), end); err != nil {
-				e.fail = "an endpoint's address could not be opened again: " + err.Error()
+			if err := e.listenEndpoint(world.SenderNo(s), end); err != nil {
+				e.failure = "an endpoint's address could not be opened again: " + err.Error()
 			}
-		} else if l := e.ends[endKey{world.SenderNo(s), end.No, end.Addr}]; l != nil {
+		} else if l := e.listeners[listenerKey{world.SenderNo(s), end.No, end.Addr}]; l != nil {
 			l.close()
 		}
 	}
@@ -127,8 +127,8 @@
 			in <- false
 			return
 		}
-		s.known = e.w.Accept(l.key.sender, l.end)
-		s.known.Engine = s
+		s.worldConn = e.w.Accept(l.key.sender, l.end)
+		s.worldConn.Engine = s
 		in <- true
 	})
 	select {
@@ -145,33 +145,33 @@
 		if _, err := r.Peek(1); err != nil {
 			break
 		}
-		if !l.reads(stop) {
+		if !l.waitUntilReading(stop) {
 			break
 		}
 		req, err := http.ReadRequest(r)
 		if err != nil {
 			break
 		}
-		ids, probe, err := read(req)
+		ids, probe, err := readCall(req)
 		if err != nil {
-			e.post(func() { e.fail = fmt.Sprintf("a call to %s cannot be read: %v", l.end.ID, err) })
+			e.post(func() { e.failure = fmt.Sprintf("a call to %s cannot be read: %v", l.end.ID, err) })
 			break
 		}
 		e.post(func() {
-			if !e.w.Gone(s.known) {
-				e.w.Came(s.known, ids, probe)
+			if !e.w.ClosedAtEndpoint(s.worldConn) {
+				e.w.SendWithDialDelay(s.worldConn, ids, probe)
 			}
 		})
 	}
-	e.post(func() { e.w.Hang(s.known) })
+	e.post(func() { e.w.CloseBySender(s.worldConn) })
 	conn.Close()
 }
 
-// reads waits while the endpoint reads nothing.
-func (l *listener) reads(stop chan struct{}) bool {
+// waitUntilReading waits while the endpoint waitUntilReading nothing.
+func (l *listener) waitUntilReading(stop chan struct{}) bool {
 	for {
 		answer := make(chan bool, 1)
-		l.e.post(func() { answer <- l.e.w.Deaf(l.end) })
+		l.e.post(func() { answer <- l.e.w.NeverReads(l.end) })
 		select {
 		case deaf := <-answer:
 			if !deaf {
@@ -188,8 +188,8 @@
 	}
 }
 
-// read takes the messages out of a call.
-func read(req *http.Request) (ids []choice.MessageID, probe bool, err error) {
+// readCall takes the messages out of a call.
+func readCall(req *http.Request) (ids []choice.MessageID, probe bool, err error) {
 	if req.Method == http.MethodGet {
 		return nil, true, nil
 	}
@@ -221,7 +221,7 @@
 	conn.Close()
 }
 
-func (e *engine) Down(c *world.Conn, _ world.Seen) {
+func (e *engine) ConnDown(c *world.Conn, _ world.ConnEnd) {
 	if s, ok := c.Engine.(*socket); ok {
 		reset(s.conn)
 	}
@@ -246,8 +246,8 @@
 			items := make([]map[string]string, 0, len(call.Messages))
 			for i, h := range call.Messages {
 				word := "ok"
-				if a.Fates != nil {
-					word = words[a.Fates[i]]
+				if a.Statuses != nil {
+					word = words[a.Statuses[i]]
 				}
 				items = append(items, map[string]string{"id": string(h.ID), "state": word})
 			}
--- a/lab/live/live.go
+++ b/lab/live/live.go
@@ -30,9 +30,9 @@
 	lateShare = 0.01
 	worstLate = 400 * time.Millisecond
 
-	readyWithin = 20 * time.Second
-	mostSenders = 120
-	mostEnds    = 4000
+	readyWithin  = 20 * time.Second
+	maxSenders   = 120
+	maxEndpoints = 4000
 )
 
 // Options are what a run is played with.
@@ -40,7 +40,7 @@
 	Spec    *world.Spec
 	Seed    uint64
 	Command []string          // the sender's program and its arguments
-	Binding map[string]string // more of its environment
+	Env     map[string]string // more of its environment
 	Trace   []load.Arrival
 	Logs    string // a folder for the senders' logs; "" keeps none
 	// WorldOnlyFolder starts no senders: it writes a configuration for each to this folder and waits for somebody to start them.
@@ -51,17 +51,17 @@
 	KeepVerdict bool
 	// Settings changes the settings object that senders are told, for a variant; nil for none.
 	Settings func(text []byte) []byte
-	// With names further arguments of a sender's command; home is its own folder. Asked once, before any starts.
-	With func(s world.SenderNo, home string) ([]string, error)
+	// SenderArgs names further arguments of a sender's command; home is its own folder. Asked once, before any starts.
+	SenderArgs func(s world.SenderNo, home string) ([]string, error)
 	// Ledger stands before the referee and hears all that it hears; nil for none.
 	Ledger func(referee world.Ledger) world.Ledger
-	// Ready returns once all that the caller waits for before the world begins is there; nil for nothing. It is called on a
+	// AwaitReady returns once all that the caller waits for before the world begins is there; nil for nothing. It is called on a
 	// goroutine of its own, and gives up as ctx ends.
-	Ready func(ctx context.Context)
-	// Begun is called as the world begins, on its goroutine, with a hold on the run.
-	Begun func(*Hold)
-	// Busy has the run go on past its end while it holds, for what the caller still waits for; nil for never.
-	Busy func() bool
+	AwaitReady func(ctx context.Context)
+	// OnBegin is called as the world begins, on its goroutine, with a hold on the run.
+	OnBegin func(*RunControl)
+	// KeepRunning has the run go on past its end while it holds, for what the caller still waits for; nil for never.
+	KeepRunning func() bool
 }
 
 // Figures are the senders' own, measured from outside.
@@ -88,30 +88,30 @@
 var ErrTooLarge = errors.New("too large for sockets")
 
 type engine struct {
-	o     Options
-	ctx   context.Context
-	w     *world.World
-	judge *referee.Referee
-	dir   string
-	start time.Time
-	began bool
-	inbox chan func()
-	done  chan struct{}
-	wg    sync.WaitGroup
+	o         Options
+	ctx       context.Context
+	w         *world.World
+	judge     *referee.Referee
+	dir       string
+	startedAt time.Time
+	began     bool
+	tasks     chan func()
+	done      chan struct{}
+	wg        sync.WaitGroup
 
-	port    int
-	ends    map[endKey]*listener
-	dirs    []*directory
-	moves   []int // of each sender's discovery
-	senders []*process
-	pools   []*pool
-	bodies  []byte
-	fail    string
-	slowEnd bool // fail tells of a slow end alone
-	events  int64
-	late    int64
-	worst   time.Duration
-	figures Figures
+	port           int
+	listeners      map[listenerKey]*listener
+	directories    []*directory
+	directoryMoves []int // of each sender's discovery
+	senders        []*process
+	pools          []*pool
+	bodies         []byte
+	failure        string
+	slowEnd        bool // fail tells of a slow end alone
+	events         int64
+	lateEvents     int64
+	worstDelay     time.Duration
+	figures        Figures
 }
 
 // Run plays a scenario on sockets. It returns once nothing more can be judged, or soon after ctx ends.
@@ -119,16 +119,16 @@
 	if o.Say == nil {
 		o.Say = func(string, ...any) {}
 	}
-	if o.Spec.Senders > mostSenders {
-		return nil, fmt.Errorf("%w: %d senders, %d at most", ErrTooLarge, o.Spec.Senders, mostSenders)
+	if o.Spec.Senders > maxSenders {
+		return nil, fmt.Errorf("%w: %d senders, %d at most", ErrTooLarge, o.Spec.Senders, maxSenders)
 	}
-	e := &engine{o: o, ctx: ctx, moves: make([]int, o.Spec.Senders), inbox: make(chan func(), 4096), done: make(chan struct{}), ends: map[endKey]*listener{}}
+	e := &engine{o: o, ctx: ctx, directoryMoves: make([]int, o.Spec.Senders), tasks: make(chan func(), 4096), done: make(chan struct{}), listeners: map[listenerKey]*listener{}}
 	late := &ledger{}
 	w, err := world.New(o.Spec, o.Seed, e, late, o.Trace)
 	if err != nil {
 		return nil, err
 	}
-	if len(w.Endpoints)*o.Spec.Senders > mostEnds {
+	if len(w.Endpoints)*o.Spec.Senders > maxEndpoints {
 		return nil, fmt.Errorf("%w: %d endpoints for %d senders", ErrTooLarge, len(w.Endpoints), o.Spec.Senders)
 	}
 	e.w = w
@@ -155,24 +155,24 @@
 		return nil, err
 	}
 	e.loop()
-	e.endAll()
+	e.stopAll()
 	v := e.judge.Verdict()
 	v.Engine, v.Seed = "sockets", o.Seed
-	share := float64(e.late) / float64(max(1, e.events))
-	if share > lateShare || e.worst > worstLate {
+	share := float64(e.lateEvents) / float64(max(1, e.events))
+	if share > lateShare || e.worstDelay > worstLate {
 		v.Void = fmt.Sprintf("the machine was too busy: %.1f%% of the world's events came over %v late, the worst by %v",
-			100*share, lateAt, e.worst.Round(time.Millisecond))
+			100*share, lateAt, e.worstDelay.Round(time.Millisecond))
 	}
-	e.figures.LateShare, e.figures.WorstLateMS = share, float64(e.worst)/1e6
-	v.Engines = &referee.Engines{WallS: time.Since(began).Seconds(), CPUS: e.figures.CPUS, MemoryMB: e.figures.PeakMB, Events: e.events,
+	e.figures.LateShare, e.figures.WorstLateMS = share, float64(e.worstDelay)/1e6
+	v.EngineFigures = &referee.EngineFigures{WallS: time.Since(began).Seconds(), CPUS: e.figures.CPUS, MemoryMB: e.figures.PeakMB, Events: e.events,
 		LateMS: e.figures.WorstLateMS}
-	if e.fail != "" {
+	if e.failure != "" {
 		v.Figure = 0
 	}
 	if err := ctx.Err(); err != nil && !o.KeepVerdict {
 		return nil, err
 	}
-	return &Result{v, e.figures, e.fail, e.slowEnd}, nil
+	return &Result{v, e.figures, e.failure, e.slowEnd}, nil
 }
 
 type ledger struct{ world.Ledger }
@@ -201,29 +201,29 @@
 	ready := func() bool {
 		return !slices.ContainsFunc(e.senders, func(p *process) bool { return !p.ready })
 	}
-	if !e.until(within, ready) && e.fail == "" && e.ctx.Err() == nil {
-		e.fail = "not all senders were ready in time"
+	if !e.until(within, ready) && e.failure == "" && e.ctx.Err() == nil {
+		e.failure = "not all senders were ready in time"
 	}
-	if e.fail != "" {
-		e.endAll()
-		return errors.New(e.fail)
+	if e.failure != "" {
+		e.stopAll()
+		return errors.New(e.failure)
 	}
 	if err := e.ctx.Err(); err != nil {
-		e.endAll()
+		e.stopAll()
 		return err
 	}
-	e.await()
-	e.start, e.began = time.Now(), true
+	e.awaitCaller()
+	e.startedAt, e.began = time.Now(), true
 	e.w.Begin()
-	if e.o.Begun != nil {
-		e.o.Begun(&Hold{e})
+	if e.o.OnBegin != nil {
+		e.o.OnBegin(&RunControl{e})
 	}
 	return nil
 }
 
-// await waits for the caller, for as long as for senders to be ready at most.
-func (e *engine) await() {
-	if e.o.Ready == nil {
+// awaitCaller waits for the caller, for as long as for senders to be ready at most.
+func (e *engine) awaitCaller() {
+	if e.o.AwaitReady == nil {
 		return
 	}
 	ctx, cancel := context.WithTimeout(e.ctx, readyWithin)
@@ -232,20 +232,20 @@
 	e.wg.Add(1)
 	go func() {
 		defer e.wg.Done()
-		e.o.Ready(ctx)
+		e.o.AwaitReady(ctx)
 		e.post(func() { ready = true })
 	}()
 	e.until(readyWithin, func() bool { return ready })
 }
 
-// endAll ends the senders as an operator would, then by force, and keeps their figures.
-func (e *engine) endAll() {
+// stopAll ends the senders as an operator would, then by force, and keeps their figures.
+func (e *engine) stopAll() {
 	for _, p := range e.senders {
 		p.measure()
 	}
 	for _, p := range e.senders {
-		p.end()
-		e.figures.CPUS += p.used
+		p.stop()
+		e.figures.CPUS += p.cpuSeconds
 	}
 }
 
@@ -254,10 +254,10 @@
 	for _, p := range e.senders {
 		p.kill()
 	}
-	for _, l := range e.ends {
+	for _, l := range e.listeners {
 		l.close()
 	}
-	for _, d := range e.dirs {
+	for _, d := range e.directories {
 		d.close()
 	}
 	for _, p := range e.pools {
--- a/lab/live/live_test.go
+++ b/lab/live/live_test.go
@@ -31,14 +31,14 @@
 	s.Classes = []world.Class{{Name: "status", Share: 3, LatencyObjectiveMS: 500, DeadlineMS: 2500},
 		{Name: "order", Repeat: "single-use", Share: 1, LatencyObjectiveMS: 800, DeadlineMS: 3000, Value: 3}}
 	s.Partners = []world.Kind{{Name: "small", Count: 3, Reports: true}, {Name: "bulk", Count: 2, Bundle: 4, Endpoints: world.Pair{2, 2}}}
-	s.Faults = []world.Fault{{Kind: "crash", At: 1, Seconds: 1, Part: world.Part{Partners: []int{0}}},
-		{Kind: "sender_kill", At: 2, Seconds: 0.6, Part: world.Part{Senders: []int{1}}},
-		{Kind: "hung", At: 2.5, Seconds: 1, Part: world.Part{Partners: []int{1}}},
-		{Kind: "spoilt", At: 3, Seconds: 1, Amount: 0.5, Part: world.Part{Partners: []int{3}}},
-		{Kind: "sender_reload", At: 3, Seconds: 1, Amount: 1, Part: world.Part{Senders: []int{0}}},
+	s.Faults = []world.Fault{{Kind: "crash", At: 1, Seconds: 1, Selector: world.Selector{Partners: []int{0}}},
+		{Kind: "sender_kill", At: 2, Seconds: 0.6, Selector: world.Selector{Senders: []int{1}}},
+		{Kind: "hung", At: 2.5, Seconds: 1, Selector: world.Selector{Partners: []int{1}}},
+		{Kind: "spoilt", At: 3, Seconds: 1, Amount: 0.5, Selector: world.Selector{Partners: []int{3}}},
+		{Kind: "sender_reload", At: 3, Seconds: 1, Amount: 1, Selector: world.Selector{Senders: []int{0}}},
 		{Kind: "rubbish", At: 1, Seconds: 3}, {Kind: "hoard", At: 1, Seconds: 3, Amount: 20}}
-	s.Changes = []world.ListEvent{{What: "drain", At: 2, Part: world.Part{Partners: []int{4}, Endpoint: 2}},
-		{What: "move", At: 3.5, Part: world.Part{Partners: []int{2}}}}
+	s.Changes = []world.ListEvent{{Change: "drain", At: 2, Selector: world.Selector{Partners: []int{4}, Endpoint: 2}},
+		{Change: "move", At: 3.5, Selector: world.Selector{Partners: []int{2}}}}
 	s.Defaults()
 	return &s
 }
@@ -73,7 +73,7 @@
 			t.Skip(r.Void)
 		}
 		if r.Fault != "" || r.Broken() || r.Asked < 100 || float64(r.Delivered) < 0.7*float64(r.Asked) {
-			t.Errorf("%s; %d of %d delivered; %v", r.Fault, r.Delivered, r.Asked, r.Breaks)
+			t.Errorf("%s; %d of %d delivered; %v", r.Fault, r.Delivered, r.Asked, r.Violations)
 		}
 		if r.Figures.Counters[0]["reloads"] != 1 || r.Figures.Counters[0]["endings_owed"] != 0 {
 			t.Errorf("reloads %d, endings owed %d", r.Figures.Counters[0]["reloads"], r.Figures.Counters[0]["endings_owed"])
--- a/lab/live/loop.go
+++ b/lab/live/loop.go
@@ -11,7 +11,7 @@
 // post hands the loop something to do.
 func (e *engine) post(do func()) {
 	select {
-	case e.inbox <- do:
+	case e.tasks <- do:
 	case <-e.done:
 	}
 }
@@ -21,7 +21,7 @@
 	if !e.began {
 		return 0
 	}
-	return choice.Time(time.Since(e.start) / (100 * time.Microsecond))
+	return choice.Time(time.Since(e.startedAt) / (100 * time.Microsecond))
 }
 
 // advance brings the world up to the present and counts how late it was.
@@ -36,9 +36,9 @@
 		e.events++
 		if behind := time.Duration(now-at) * 100 * time.Microsecond; behind > 0 && e.began {
 			if behind > lateAt {
-				e.late++
+				e.lateEvents++
 			}
-			e.worst = max(e.worst, behind)
+			e.worstDelay = max(e.worstDelay, behind)
 		}
 		e.w.Advance(at)
 	}
@@ -53,7 +53,7 @@
 	}
 	end := e.w.End() + choice.Time((tail+e.o.Spec.Rules.LateMS+2000)*float64(choice.Millisecond))
 	second := choice.Time(0)
-	for e.fail == "" {
+	for e.failure == "" {
 		e.advance()
 		now := e.w.Now()
 		if now/choice.Second > second {
@@ -63,20 +63,20 @@
 			}
 		}
 		over := now > end || now > e.w.End()+choice.Second/2 && e.judge.Pending() == 0
-		if over && (e.o.Busy == nil || !e.o.Busy()) {
+		if over && (e.o.KeepRunning == nil || !e.o.KeepRunning()) {
 			return
 		}
 		in := time.Second / 4
 		if at, more := e.w.Next(); more && e.began {
-			in = min(in, time.Until(e.start.Add(time.Duration(at)*100*time.Microsecond)))
+			in = min(in, time.Until(e.startedAt.Add(time.Duration(at)*100*time.Microsecond)))
 		}
 		wake.Reset(max(0, in))
 		select {
-		case do := <-e.inbox:
+		case do := <-e.tasks:
 			e.advance()
 			do()
-			for range len(e.inbox) {
-				(<-e.inbox)()
+			for range len(e.tasks) {
+				(<-e.tasks)()
 			}
 		case <-wake.C:
 		case <-e.ctx.Done():
@@ -89,11 +89,11 @@
 func (e *engine) until(within time.Duration, cond func() bool) bool {
 	deadline := time.After(within)
 	for !cond() {
-		if e.fail != "" {
+		if e.failure != "" {
 			return false
 		}
 		select {
-		case do := <-e.inbox:
+		case do := <-e.tasks:
 			do()
 		case <-deadline:
 			return false
--- a/lab/live/process.go
+++ b/lab/live/process.go
@@ -18,7 +18,7 @@
 	"flaxcove/lab/world"
 )
 
-const endWithin = 4500 * time.Millisecond // from SIGTERM, after which a sender is killed
+const endTimeout = 4500 * time.Millisecond // from SIGTERM, after which a sender is killed
 
 // process is one sender: its folder, which lasts, and the process that runs on it.
 type process struct {
@@ -26,31 +26,31 @@
 	no     world.SenderNo
 	config string
 	state  string
-	home   string
-	more   []string // arguments of its command
+	folder string
+	args   []string // arguments of its command
 
-	cmd      *exec.Cmd
-	exited   chan struct{}
-	used     float64 // CPU seconds of all its lives; to be read once the last has exited
-	ready    bool
-	expected bool // its end is
-	lives    int
+	cmd         *exec.Cmd
+	exited      chan struct{}
+	cpuSeconds  float64 // CPU seconds of all its lives; to be read once the last has exited
+	ready       bool
+	endExpected bool // its end is
+	incarnation int
 }
 
 func (e *engine) newProcess(s world.SenderNo) (*process, error) {
 	p := &process{e: e, no: s}
 	under := e.o.WorldOnlyFolder
-	home, err := e.folder(under, fmt.Sprintf("s%d", s))
+	home, err := e.makeFolder(under, fmt.Sprintf("s%d", s))
 	if err != nil {
 		return nil, err
 	}
-	if p.state, err = e.folder(home, "state"); err != nil {
+	if p.state, err = e.makeFolder(home, "state"); err != nil {
 		return nil, err
 	}
 	p.config = filepath.Join(home, "config.json")
-	p.home = home
-	if e.o.With != nil {
-		if p.more, err = e.o.With(s, home); err != nil {
+	p.folder = home
+	if e.o.SenderArgs != nil {
+		if p.args, err = e.o.SenderArgs(s, home); err != nil {
 			return nil, err
 		}
 	}
@@ -64,7 +64,7 @@
 // configuration is what the sender is told, with the addresses of the moment.
 func (p *process) configuration() ([]byte, error) {
 	e, s := p.e, p.no
-	settings := sim.Boot(e.w)
+	settings := sim.SettingsJSON(e.w)
 	if e.o.Settings != nil {
 		settings = e.o.Settings(settings)
 	}
@@ -73,7 +73,7 @@
 		return nil, err
 	}
 	object["zone"], object["slotNo"] = e.w.Zone(s), int(s)
-	known := e.dirs[s].message(e.w.First())
+	known := e.directories[s].message(e.w.InitialList())
 	spec := &e.o.Spec.Sender
 	return json.MarshalIndent(map[string]any{
 		"name": fmt.Sprintf("s%d", s), "listen": e.senderAddr(s), "discovery": e.directoryAddr(s), "state": p.state,
@@ -91,7 +91,7 @@
 		err = os.Rename(next, p.config)
 	}
 	if err != nil {
-		p.e.fail = fmt.Sprintf("the configuration of sender %d cannot be replaced: %v", p.no, err)
+		p.e.failure = fmt.Sprintf("the configuration of sender %d cannot be replaced: %v", p.no, err)
 		return
 	}
 	p.signal(syscall.SIGHUP)
@@ -99,26 +99,26 @@
 
 // start starts a process, or waits for somebody to.
 func (p *process) start() {
-	p.ready, p.expected = false, false
-	p.lives++
+	p.ready, p.endExpected = false, false
+	p.incarnation++
 	if p.e.o.WorldOnlyFolder == "" {
 		if err := p.spawn(); err != nil {
-			p.e.fail = fmt.Sprintf("sender %d does not start: %v", p.no, err)
+			p.e.failure = fmt.Sprintf("sender %d does not start: %v", p.no, err)
 			return
 		}
 	} else {
 		p.exited = make(chan struct{})
 	}
-	life, exited := p.lives, p.exited
+	life, exited := p.incarnation, p.exited
 	p.e.wg.Add(1)
 	go func() {
 		defer p.e.wg.Done()
 		for {
 			if ping(p.e.senderAddr(p.no)) == nil {
 				p.e.post(func() {
-					if p.lives == life {
+					if p.incarnation == life {
 						p.ready = true
-						p.e.w.Ready(p.no, true)
+						p.e.w.SetServing(p.no, true)
 					}
 				})
 				return
@@ -135,9 +135,9 @@
 }
 
 func (p *process) spawn() error {
-	cmd := exec.Command(p.e.o.Command[0], slices.Concat(p.e.o.Command[1:], p.more)...)
+	cmd := exec.Command(p.e.o.Command[0], slices.Concat(p.e.o.Command[1:], p.args)...)
 	cmd.Env = append(os.Environ(), "EDGE_CONFIG="+p.config, "EDGE_NAME=", "EDGE_LISTEN=", "EDGE_DISCOVERY=", "EDGE_STATE=")
-	for name, value := range p.e.o.Binding {
+	for name, value := range p.e.o.Env {
 		cmd.Env = append(cmd.Env, name+"="+value)
 	}
 	// It goes when we go, however we do.
@@ -159,7 +159,7 @@
 		return err
 	}
 	p.cmd, p.exited = cmd, make(chan struct{})
-	exited, life := p.exited, p.lives
+	exited, life := p.exited, p.incarnation
 	p.e.wg.Add(1)
 	go func() {
 		defer p.e.wg.Done()
@@ -167,15 +167,15 @@
 		// What it had started goes with it, stopped or not.
 		syscall.Kill(-cmd.Process.Pid, syscall.SIGKILL)
 		if u, ok := cmd.ProcessState.SysUsage().(*syscall.Rusage); ok {
-			p.used += float64(u.Utime.Nano()+u.Stime.Nano()) / 1e9
+			p.cpuSeconds += float64(u.Utime.Nano()+u.Stime.Nano()) / 1e9
 		}
 		close(exited)
 		p.e.post(func() {
-			if p.lives != life || p.expected {
+			if p.incarnation != life || p.endExpected {
 				return
 			}
-			p.e.w.Ready(p.no, false)
-			p.e.fail = fmt.Sprintf("sender %d ended by itself: %v; %s", p.no, err, p.lastWords(logs))
+			p.e.w.SetServing(p.no, false)
+			p.e.failure = fmt.Sprintf("sender %d ended by itself: %v; %s", p.no, err, p.lastLogLines(logs))
 		})
 	}()
 	return nil
@@ -185,8 +185,8 @@
 	return filepath.Join(folder, fmt.Sprintf("s%d.log", p.no))
 }
 
-// lastWords are the last lines of its log.
-func (p *process) lastWords(folder string) string {
+// lastLogLines are the last lines of its log.
+func (p *process) lastLogLines(folder string) string {
 	text, err := os.ReadFile(p.logPath(folder))
 	if err != nil {
 		return ""
@@ -214,7 +214,7 @@
 }
 
 func (p *process) kill() {
-	p.expected = true
+	p.endExpected = true
 	p.signal(syscall.SIGKILL)
 	if p.cmd != nil {
 		<-p.exited
@@ -223,9 +223,9 @@
 
 // term is a planned end's signal. Programs still come for a moment, as they do on the platform.
 func (p *process) term() {
-	p.expected = true
+	p.endExpected = true
 	p.signal(syscall.SIGTERM)
-	p.e.w.After(3*world.Second/10, func() { p.e.w.Ready(p.no, false) })
+	p.e.w.After(3*world.Second/10, func() { p.e.w.SetServing(p.no, false) })
 }
 
 func (p *process) pause(on bool) {
@@ -238,7 +238,7 @@
 
 // measure reads what the machine knows of the process, and its own counters; one that does not answer hangs.
 func (p *process) measure() {
-	if !p.alive() || p.e.fail != "" {
+	if !p.alive() || p.e.failure != "" {
 		return
 	}
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.cmd.Process.Pid))
@@ -261,30 +261,30 @@
 	}
 	counters, err := info(p.e.senderAddr(p.no))
 	if err != nil {
-		p.e.fail = fmt.Sprintf("sender %d hangs: it does not answer INFO: %v", p.no, err)
+		p.e.failure = fmt.Sprintf("sender %d hangs: it does not answer INFO: %v", p.no, err)
 		return
 	}
 	p.e.figures.Counters = append(p.e.figures.Counters, counters)
 }
 
-// end asks the process to end, and sees to it.
-func (p *process) end() {
-	p.expected = true
+// stop asks the process to stop, and sees to it.
+func (p *process) stop() {
+	p.endExpected = true
 	if p.cmd == nil {
 		return
 	}
 	p.signal(syscall.SIGCONT)
 	p.signal(syscall.SIGTERM)
-	deadline := time.After(endWithin)
+	deadline := time.After(endTimeout)
 	for {
 		select {
 		case <-p.exited:
 			return
-		case do := <-p.e.inbox:
+		case do := <-p.e.tasks:
 			do()
 		case <-deadline:
-			if p.e.fail == "" {
-				p.e.fail = fmt.Sprintf("sender %d did not end within %v of SIGTERM", p.no, endWithin)
+			if p.e.failure == "" {
+				p.e.failure = fmt.Sprintf("sender %d did not end within %v of SIGTERM", p.no, endTimeout)
 				p.e.slowEnd = true
 			}
 			p.signal(syscall.SIGKILL)
--- a/lab/live/wire.go
+++ b/lab/live/wire.go
@@ -6,17 +6,17 @@
 	"flaxcove/lab/world"
 )
 
-func (e *engine) Up(*world.Conn) {} // connections come up by themselves
+func (e *engine) ConnUp(*world.Conn) {} // connections come up by themselves
 
-func (e *engine) Note(world.SenderNo, world.SenderNo, []byte) {} // this sender listens for none
+func (e *engine) Datagram(world.SenderNo, world.SenderNo, []byte) {} // this sender listens for none
 
 func (e *engine) Act(on world.SenderNo, what world.Act) {
 	p := e.senders[on]
 	switch what {
 	case world.Kill:
-		p.expected = true
+		p.endExpected = true
 		p.kill()
-		e.w.Ready(on, false)
+		e.w.SetServing(on, false)
 	case world.Start:
 		if !p.alive() { // two troubles that overlap have killed it once
 			p.start()
@@ -32,11 +32,11 @@
 	case world.HoardOn:
 		e.pools[on].hoard(e.amount("hoard"))
 	case world.HoardOff:
-		e.pools[on].letGo()
+		e.pools[on].releaseHoard()
 	case world.RubbishOn:
 		e.pools[on].rubbish(e.amount("rubbish"))
 	case world.RubbishOff:
-		e.pools[on].noRubbish()
+		e.pools[on].endRubbish()
 	}
 }
 
@@ -51,6 +51,6 @@
 
 func (e *engine) HandIn(h *world.HandIn) { e.pools[h.Sender].handIn(h) }
 
-func (e *engine) ListUpdate(to world.SenderNo, l world.List) { e.dirs[to].sendUpdate(l) }
+func (e *engine) ListUpdate(to world.SenderNo, l world.List) { e.directories[to].sendUpdate(l) }
 
-func (e *engine) ListFailed(to world.SenderNo) { e.dirs[to].silence() }
+func (e *engine) ListFailed(to world.SenderNo) { e.directories[to].silence() }
--- a/lab/referee/calls.go
+++ b/lab/referee/calls.go
@@ -8,8 +8,8 @@
 	"flaxcove/lab/world"
 )
 
-// heedWithin is for calls that are on their way when a wait is told.
-const heedWithin = 100 * choice.Millisecond
+// waitGrace is for calls that are on their way when a wait is told.
+const waitGrace = 100 * choice.Millisecond
 
 // callState is what is known of a call that is not resolved.
 type callState struct {
@@ -17,8 +17,8 @@
 	answered bool
 }
 
-// seat is an endpoint or a route as one sender sees it.
-type seat struct {
+// senderView is an endpoint or a route as one sender sees it.
+type senderView struct {
 	sender world.SenderNo
 	no     int // of an endpoint, or of a route: partners count from 0, endpoints apart below it
 }
@@ -31,7 +31,7 @@
 
 // route is the number of a route as seats count it.
 func route(e *world.Endpoint) int {
-	if e.Partner.Kind.Apart {
+	if e.Partner.Kind.SeparateRoutes {
 		return -1 - int(e.No)
 	}
 	return int(e.Partner.No)
@@ -39,9 +39,9 @@
 
 func nonIdempotent(h *world.HandIn) bool { return h.Ask.Class.Repeat == world.NonIdempotent }
 
-// Began hears that a call left its sender.
-func (r *Referee) Began(c *world.Call) {
-	r.settle()
+// CallSent hears that a call left its sender.
+func (r *Referee) CallSent(c *world.Call) {
+	r.judgeDue()
 	r.v.Calls++
 	r.second(r.clock()).Calls++
 	r.calls[c] = &callState{}
@@ -61,23 +61,23 @@
 func (r *Referee) judgeDrain(c *world.Call) {
 	now, e, s := r.clock(), c.Conn.Endpoint, c.Conn.Sender
 	grace := milliseconds(r.spec.Rules.DrainGraceMS) + r.slack
-	if t, stages := r.stages[seat{s, int(e.No)}]; stages && t.stage != choice.Ready && now > t.at+grace {
-		r.broken(Drains, s, "a call to %s left %.3f s after it was told that it drains or is gone", e.ID, sec(now-t.at))
+	if t, stages := r.stages[senderView{s, int(e.No)}]; stages && t.stage != choice.Ready && now > t.at+grace {
+		r.violated(Drains, s, "a call to %s left %.3f s after it was told that it drains or is gone", e.ID, sec(now-t.at))
 	}
 }
 
 // judgeWait: nothing goes along a route before the end of a wait that its sender was told.
 func (r *Referee) judgeWait(c *world.Call) {
 	now, e, s := r.clock(), c.Conn.Endpoint, c.Conn.Sender
-	at := seat{s, route(e)}
-	until, waits := r.waits[at]
+	at := senderView{s, route(e)}
+	until, waits := r.retryAfterUntil[at]
 	switch {
 	case !waits:
 	case now >= until:
-		delete(r.waits, at)
-		delete(r.heard, at)
-	case now > r.heard[at]+heedWithin+r.slack:
-		r.broken(Waits, s, "a call to %s left %.3f s before the end of a wait told %.3f s ago", e.ID, sec(until-now), sec(now-r.heard[at]))
+		delete(r.retryAfterUntil, at)
+		delete(r.retryAfterSince, at)
+	case now > r.retryAfterSince[at]+waitGrace+r.slack:
+		r.violated(Waits, s, "a call to %s left %.3f s before the end of a wait told %.3f s ago", e.ID, sec(until-now), sec(now-r.retryAfterSince[at]))
 	}
 }
 
@@ -85,15 +85,15 @@
 func (r *Referee) messageOf(c *world.Call, h *world.HandIn) *message {
 	e, s := c.Conn.Endpoint, c.Conn.Sender
 	if h.Unknown || h.Ask == nil {
-		r.broken(Elsewhere, s, "%s was sent to %s and no program handed it in, or long ago", h.ID, e.ID)
+		r.violated(Elsewhere, s, "%s was sent to %s and no program handed it in, or long ago", h.ID, e.ID)
 		return nil
 	}
 	if h.Ask.Partner != int(e.Partner.No) {
-		r.broken(Elsewhere, s, "%s is for partner %d and went to %s", h.ID, h.Ask.Partner, e.ID)
+		r.violated(Elsewhere, s, "%s is for partner %d and went to %s", h.ID, h.Ask.Partner, e.ID)
 	}
 	n := r.messages[h]
 	if n == nil && !h.Abandoned() {
-		r.broken(Lost, s, "%s was sent after it was judged", h.ID)
+		r.violated(Lost, s, "%s was sent after it was judged", h.ID)
 	}
 	return n
 }
@@ -102,14 +102,14 @@
 func (r *Referee) attempted(c *world.Call, n *message) {
 	r.v.Attempts++
 	r.judgeTime(c, n)
-	if n.out > 0 {
-		r.broken(Twice, c.Conn.Sender, "%s was sent to %s while a dispatch of it was out", n.handIn.ID, c.Conn.Endpoint.ID)
+	if n.inFlight > 0 {
+		r.violated(Twice, c.Conn.Sender, "%s was sent to %s while a dispatch of it was out", n.handIn.ID, c.Conn.Endpoint.ID)
 	}
-	n.out++
+	n.inFlight++
 	if n.mayRun {
 		r.judgeRepeat(c, n)
 	}
-	if key, ordered := r.lineOf(n.handIn); ordered && !n.handIn.Abandoned() {
+	if key, ordered := r.orderKeyOf(n.handIn); ordered && !n.handIn.Abandoned() {
 		r.judgeOrder(c, n, key)
 	}
 }
@@ -120,11 +120,11 @@
 	switch {
 	case h.Abandoned():
 	case n.refused:
-		r.broken(Lost, s, "%s was sent after its program was told no", h.ID)
+		r.violated(Lost, s, "%s was sent after its program was told no", h.ID)
 	case n.ended:
-		r.broken(Lost, s, "%s was sent after the platform heard of its end", h.ID)
+		r.violated(Lost, s, "%s was sent after the platform heard of its end", h.ID)
 	case now > h.Deadline+r.late():
-		r.broken(Lost, s, "%s was sent %.3f s after its hard stop", h.ID, sec(now-h.Deadline))
+		r.violated(Lost, s, "%s was sent %.3f s after its hard stop", h.ID, sec(now-h.Deadline))
 	}
 }
 
@@ -134,40 +134,40 @@
 	w := h.Ask.Class
 	switch w.Repeat {
 	case world.NonIdempotent:
-		r.broken(Twice, s, "%s is single-use, may have run, and was sent again", h.ID)
+		r.violated(Twice, s, "%s is single-use, may have run, and was sent again", h.ID)
 	case world.Keyed:
 		if window := Time(w.WindowS * float64(choice.Second)); now > n.mayRunAt+window+r.slack {
-			r.broken(Twice, s, "%s was sent again %.3f s after it may have run, past its window", h.ID, sec(now-n.mayRunAt))
+			r.violated(Twice, s, "%s was sent again %.3f s after it may have run, past its window", h.ID, sec(now-n.mayRunAt))
 		}
 		if w.ZoneGroup && e.Zone != n.mayRunIn {
-			r.broken(Twice, s, "%s may have run in zone %d and was sent again to zone %d", h.ID, n.mayRunIn+1, e.Zone+1)
+			r.violated(Twice, s, "%s may have run in zone %d and was sent again to zone %d", h.ID, n.mayRunIn+1, e.Zone+1)
 		}
 	}
 }
 
 // judgeOrder: of one key, what came first is over before the next leaves, and a key rests after a call without answer.
-func (r *Referee) judgeOrder(c *world.Call, n *message, key lineKey) {
+func (r *Referee) judgeOrder(c *world.Call, n *message, key orderKey) {
 	now, s := r.clock(), c.Conn.Sender
-	for _, earlier := range r.lines[key] {
+	for _, earlier := range r.keyQueues[key] {
 		if earlier == n {
 			break
 		}
-		if earlier.taken && !earlier.over() || earlier.out > 0 {
-			r.broken(Order, s, "%s was sent while %s, taken on before it with the same key, is not over", n.handIn.ID, earlier.handIn.ID)
+		if earlier.accepted && !earlier.over() || earlier.inFlight > 0 {
+			r.violated(Order, s, "%s was sent while %s, taken on before it with the same key, is not over", n.handIn.ID, earlier.handIn.ID)
 			break
 		}
 	}
-	if until := r.rests[key]; now+r.slack < until && !n.mayRun {
-		r.broken(Order, s, "%s was sent %.3f s before the end of its key's rest", n.handIn.ID, sec(until-now))
+	if until := r.keyRestUntil[key]; now+r.slack < until && !n.mayRun {
+		r.violated(Order, s, "%s was sent %.3f s before the end of its key's rest", n.handIn.ID, sec(until-now))
 	}
 }
 
-// Moved hears that a call is out, which Began has told, or that it no longer is.
-func (r *Referee) Moved(c *world.Call, out bool) {
+// InFlightChanged hears that a call is in flight, which CallSent has reported, or that it no longer is.
+func (r *Referee) InFlightChanged(c *world.Call, out bool) {
 	if out {
 		return
 	}
-	r.settle()
+	r.judgeDue()
 	state := r.calls[c]
 	if state == nil {
 		return
@@ -182,18 +182,18 @@
 
 // resolved takes note of what a call that is no longer out may have done to one of its messages.
 func (r *Referee) resolved(c *world.Call, state *callState, n *message) {
-	n.out--
+	n.inFlight--
 	if !state.refused && !n.mayRun {
 		n.mayRun, n.mayRunAt, n.mayRunIn = true, c.SentAt, c.Conn.Endpoint.Zone
 	}
-	if key, ordered := r.lineOf(n.handIn); ordered && !state.answered {
-		r.rests[key] = max(r.rests[key], r.clock()+milliseconds(r.spec.Rules.KeyRestMS))
+	if key, ordered := r.orderKeyOf(n.handIn); ordered && !state.answered {
+		r.keyRestUntil[key] = max(r.keyRestUntil[key], r.clock()+milliseconds(r.spec.Rules.KeyRestMS))
 	}
 }
 
 // Outcome hears how a call ended as its endpoint saw it.
 func (r *Referee) Outcome(c *world.Call, status int) {
-	r.settle()
+	r.judgeDue()
 	state := r.calls[c]
 	if state == nil {
 		state = &callState{} // abandoned before; it has been resolved as one that may have run
@@ -212,8 +212,8 @@
 	}
 }
 
-// Ran hears that a message had its effect.
-func (r *Referee) Ran(h *world.HandIn, e *world.Endpoint, at Time) {
+// Executed hears that a message had its effect.
+func (r *Referee) Executed(h *world.HandIn, e *world.Endpoint, at Time) {
 	r.v.Runs++
 	n := r.messages[h]
 	if n == nil || h.Unknown {
@@ -222,9 +222,9 @@
 	n.runs++
 	switch {
 	case n.runs == 1 || !nonIdempotent(h):
-	case n.runs <= 1+h.Lied:
-		r.v.Lied++ // on its partner's own word the first had never run
+	case n.runs <= 1+h.FalselyRefused:
+		r.v.FalselyRefused++ // on its partner's own word the first had never run
 	default:
-		r.broken(Twice, h.Sender, "%s is single-use and has run %d times", h.ID, n.runs)
+		r.violated(Twice, h.Sender, "%s is single-use and has run %d times", h.ID, n.runs)
 	}
 }
--- a/lab/referee/clients.go
+++ b/lab/referee/clients.go
@@ -12,101 +12,101 @@
 
 // Asked hears that a program wants something sent.
 func (r *Referee) Asked(a *world.Ask) {
-	r.settle()
-	r.asks[a] = &ask{}
+	r.judgeDue()
+	r.asks[a] = &requestState{}
 	r.asked[a.Arrival.Class] = append(r.asked[a.Arrival.Class], a)
 	r.second(a.At).Asked++
 	r.v.Asked++
-	if counts(a) {
+	if isCounted(a) {
 		w := &r.v.Classes[a.Arrival.Class]
 		w.Asked++
 		w.ValueAsked += a.Class.Value
 	}
 }
 
-// counts tells whether service is reckoned from an ask: the first second only starts a run.
-func counts(a *world.Ask) bool { return a.At >= choice.Second }
+// isCounted tells whether service is reckoned from an ask: the first second only starts a run.
+func isCounted(a *world.Ask) bool { return a.At >= choice.Second }
 
 // HandedIn hears that a program hands a message to a sender.
 func (r *Referee) HandedIn(h *world.HandIn) {
-	r.settle()
+	r.judgeDue()
 	r.v.HandedIn++
 	n := &message{handIn: h, dueAt: h.Deadline + r.late()}
 	r.messages[h] = n
 	heap.Push(&r.due, n)
-	if key, ordered := r.lineOf(h); ordered {
-		r.lines[key] = append(r.lines[key], n)
+	if key, ordered := r.orderKeyOf(h); ordered {
+		r.keyQueues[key] = append(r.keyQueues[key], n)
 	}
 }
 
 // late is how long after its deadline a message is judged.
 func (r *Referee) late() Time { return milliseconds(r.spec.Rules.LateMS) + r.slack }
 
-// Heard hears what a program was told of its hand-in.
-func (r *Referee) Heard(h *world.HandIn, what world.Heard) {
-	r.settle()
+// HandInAnswered hears what a program was told of its hand-in.
+func (r *Referee) HandInAnswered(h *world.HandIn, what world.HandInAnswer) {
+	r.judgeDue()
 	n := r.messages[h]
 	if n == nil {
 		return
 	}
-	if what == world.HeardOK {
-		r.takenOnNow(n)
+	if what == world.HandInAccepted {
+		r.accept(n)
 		return
 	}
-	if what == world.HeardBusy || what == world.HeardError {
+	if what == world.HandInBusy || what == world.HandInError {
 		n.refused = true
 	}
-	r.countNo(what)
-	r.leaveLine(n)
+	r.countRejection(what)
+	r.leaveKeyQueue(n)
 }
 
-func (r *Referee) takenOnNow(n *message) {
-	n.taken = true
-	r.v.TakenOn++
-	record(r.takenOn, r.clock()-n.handIn.At)
+func (r *Referee) accept(n *message) {
+	n.accepted = true
+	r.v.Accepted++
+	record(r.acceptLatency, r.clock()-n.handIn.At)
 	if n.delivered {
-		r.pay(n)
+		r.creditDelivery(n)
 	}
 }
 
-func (r *Referee) countNo(what world.Heard) {
+func (r *Referee) countRejection(what world.HandInAnswer) {
 	line := r.second(r.clock())
 	switch what {
-	case world.HeardBusy:
+	case world.HandInBusy:
 		r.v.Shed++
 		line.Shed++
-	case world.HeardError:
+	case world.HandInError:
 		r.v.Errors++
 		line.Failed++
-	case world.HeardNothing:
-		r.v.Unheard++
-	case world.HeardNoSender:
+	case world.HandInUnanswered:
+		r.v.Unanswered++
+	case world.HandInNoSender:
 		r.v.NoSender++
 	}
 }
 
 // Delivered hears that an endpoint's answer to a message reached its sender.
 func (r *Referee) Delivered(h *world.HandIn, e *world.Endpoint) {
-	r.settle()
+	r.judgeDue()
 	n := r.messages[h]
 	if n == nil || n.delivered {
 		return
 	}
 	n.delivered = true
-	if n.taken {
-		r.pay(n)
+	if n.accepted {
+		r.creditDelivery(n)
 	}
 }
 
 // Ended hears what the platform was told of a message that was not delivered.
 func (r *Referee) Ended(h *world.HandIn, what world.End) {
-	r.settle()
+	r.judgeDue()
 	n := r.messages[h]
 	switch {
 	case n == nil:
 		return
 	case n.ended && n.end != what:
-		r.broken(Lost, h.Sender, "%s was told to the platform as handed back and as given up", h.ID)
+		r.violated(Lost, h.Sender, "%s was told to the platform as handed back and as given up", h.ID)
 		return
 	case n.ended:
 		return
@@ -118,7 +118,7 @@
 		r.v.Failed++
 		r.second(r.clock()).Failed++
 	}
-	r.leaveLine(n)
+	r.leaveKeyQueue(n)
 }
 
 func (r *Referee) handedBack(n *message) {
@@ -126,17 +126,17 @@
 	r.second(r.clock()).Shed++
 	h := n.handIn
 	if n.mayRun && nonIdempotent(h) {
-		r.broken(Twice, h.Sender, "%s is single-use, may have run, and was handed back", h.ID)
+		r.violated(Twice, h.Sender, "%s is single-use, may have run, and was handed back", h.ID)
 	}
 }
 
-// pay counts a message's value, once for all its hand-ins, by the time since the first.
-func (r *Referee) pay(n *message) {
+// creditDelivery counts a message's value, once for all its hand-ins, by the time since the first.
+func (r *Referee) creditDelivery(n *message) {
 	state, ask := r.asks[n.handIn.Ask], n.handIn.Ask
-	if state == nil || state.paid {
+	if state == nil || state.credited {
 		return
 	}
-	state.paid = true
+	state.credited = true
 	took := r.clock() - ask.At
 	r.v.Delivered++
 	r.second(r.clock()).Delivered++
@@ -144,7 +144,7 @@
 	if took <= milliseconds(ask.Class.LatencyObjectiveMS) {
 		r.v.InTime++
 	}
-	if counts(ask) {
+	if isCounted(ask) {
 		w := &r.v.Classes[ask.Arrival.Class]
 		w.Delivered++
 		w.Value += ask.Class.Value * Fade(r.spec, ask.Class, took)
--- a/lab/referee/endpoints.go
+++ b/lab/referee/endpoints.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	knowingEnd = 2.0 / 3 // share of the load from senders that had seen the endpoint fail, from which on they are blamed
-	mostLoads  = 200     // seconds of a return whose load is told
+	blameShare = 2.0 / 3 // share of the load from senders that had seen the endpoint fail, from which on they are blamed
+	maxLoads   = 200     // seconds of a return whose load is told
 )
 
 // senderState is whether a sender can do anything.
@@ -22,7 +22,7 @@
 
 // StageAnnounced hears that the news of an endpoint's stage reached a sender.
 func (r *Referee) StageAnnounced(s world.SenderNo, e *world.Endpoint, stage choice.Stage) {
-	at := seat{s, int(e.No)}
+	at := senderView{s, int(e.No)}
 	if stage == choice.Ready {
 		delete(r.stages, at)
 	} else if t, known := r.stages[at]; !known || t.stage == choice.Ready {
@@ -32,12 +32,12 @@
 
 // RetryAfterReceived hears that a refusal with a wait reached a sender.
 func (r *Referee) RetryAfterReceived(s world.SenderNo, e *world.Endpoint, until Time) {
-	at := seat{s, route(e)}
-	if now := r.clock(); until > r.waits[at] {
-		if r.waits[at] <= now {
-			r.heard[at] = now
+	at := senderView{s, route(e)}
+	if now := r.clock(); until > r.retryAfterUntil[at] {
+		if r.retryAfterUntil[at] <= now {
+			r.retryAfterSince[at] = now
 		}
-		r.waits[at] = until
+		r.retryAfterUntil[at] = until
 	}
 }
 
@@ -61,7 +61,7 @@
 		return
 	}
 	ret.Most = max(ret.Most, load/bound)
-	if len(ret.Loads) >= mostLoads {
+	if len(ret.Loads) >= maxLoads {
 		return
 	}
 	second := int(r.clock() / choice.Second)
@@ -75,8 +75,8 @@
 // PushedOver hears that a returning endpoint fell, and which share of its load came from senders that had seen it fail.
 func (r *Referee) PushedOver(e *world.Endpoint, knowing float64) {
 	r.v.PushedOver++
-	if knowing >= knowingEnd {
-		r.broken(Returns, -1, "%s was pushed over when it returned, %.0f%% of the load from senders that had seen it fail", e.ID, 100*knowing)
+	if knowing >= blameShare {
+		r.violated(Returns, -1, "%s was pushed over when it returned, %.0f%% of the load from senders that had seen it fail", e.ID, 100*knowing)
 	}
 }
 
@@ -96,7 +96,7 @@
 
 // Sender hears that a sender's process serves, or no longer does.
 func (r *Referee) Sender(s world.SenderNo, up bool) {
-	r.settle()
+	r.judgeDue()
 	r.senders[s].up, r.senders[s].upAt = up, r.clock()
 	if !up {
 		r.forgetAnnouncements(s)
@@ -105,10 +105,10 @@
 
 // forgetAnnouncements: what a process knew of waits and drains went with it; the next one is told anew.
 func (r *Referee) forgetAnnouncements(s world.SenderNo) {
-	for at := range r.waits {
+	for at := range r.retryAfterUntil {
 		if at.sender == s {
-			delete(r.waits, at)
-			delete(r.heard, at)
+			delete(r.retryAfterUntil, at)
+			delete(r.retryAfterSince, at)
 		}
 	}
 	for at := range r.stages {
@@ -118,9 +118,9 @@
 	}
 }
 
-// Away hears that a sender's process stands still or is cut off, or no longer is.
-func (r *Referee) Away(s world.SenderNo, away bool) {
-	r.settle()
+// Unavailable hears that a sender's process stands still or is cut off, or no longer is.
+func (r *Referee) Unavailable(s world.SenderNo, away bool) {
+	r.judgeDue()
 	if away {
 		r.senders[s].away++
 		return
--- a/lab/referee/message.go
+++ b/lab/referee/message.go
@@ -12,22 +12,22 @@
 )
 
 const (
-	askedFor   = 10 * choice.Second        // after its deadline, in which a message that is delivered late still counts
-	backWithin = 1500 * choice.Millisecond // after its sender is back, for what was overdue meanwhile
-	lookAgain  = 500 * choice.Millisecond  // at what is overdue while its sender is away
+	lateDeliveryPeriod = 10 * choice.Second        // after its deadline, in which a message that is delivered late still counts
+	returnGrace        = 1500 * choice.Millisecond // after its sender is back, for what was overdue meanwhile
+	awayRecheck        = 500 * choice.Millisecond  // at what is overdue while its sender is away
 )
 
 // message is what is known of one hand-in.
 type message struct {
 	handIn    *world.HandIn
 	dueAt     Time // when it is judged
-	taken     bool
+	accepted  bool
 	refused   bool
 	delivered bool
 	ended     bool
 	end       world.End
 	runs      int
-	out       int  // attempts that are out
+	inFlight  int  // attempts that are out
 	mayRun    bool // an attempt that is no longer out may have run
 	mayRunAt  Time // when the first such one left
 	mayRunIn  int  // the zone that it went to
@@ -37,7 +37,7 @@
 func (n *message) over() bool { return n.delivered || n.ended || n.refused }
 
 // owed tells that its sender took it on and it has no end.
-func (n *message) owed() bool { return n.taken && !n.delivered && !n.ended }
+func (n *message) owed() bool { return n.accepted && !n.delivered && !n.ended }
 
 // dues is container/heap's, the next one to be judged first.
 type dues []*message
@@ -60,18 +60,18 @@
 	return x
 }
 
-// ask is what is known of one wish of a program, which may hand in several times.
-type ask struct{ paid bool }
+// requestState is what is known of one wish of a program, which may hand in several times.
+type requestState struct{ credited bool }
 
-// lineKey names an ordering key at one sender.
-type lineKey struct {
+// orderKey names an ordering key at one sender.
+type orderKey struct {
 	sender  world.SenderNo
 	partner int
 	key     int
 }
 
-// settle judges what was due by now.
-func (r *Referee) settle() {
+// judgeDue judges what was due by now.
+func (r *Referee) judgeDue() {
 	r.forgetAsks()
 	now := r.clock()
 	for len(r.due) > 0 && r.due[0].dueAt < now {
@@ -82,7 +82,7 @@
 				heap.Fix(&r.due, 0)
 				continue
 			}
-			r.broken(Lost, n.handIn.Sender, "%s was taken on at %.3f s and had no final answer by its hard stop at %.3f s",
+			r.violated(Lost, n.handIn.Sender, "%s was taken on at %.3f s and had no final answer by its hard stop at %.3f s",
 				n.handIn.ID, sec(n.handIn.At), sec(n.handIn.Deadline))
 		}
 		heap.Pop(&r.due)
@@ -95,9 +95,9 @@
 	now, s := r.clock(), &r.senders[no]
 	switch {
 	case !s.up || s.away > 0:
-		return now + lookAgain, true
-	case now < s.upAt+backWithin:
-		return s.upAt + backWithin, true
+		return now + awayRecheck, true
+	case now < s.upAt+returnGrace:
+		return s.upAt + returnGrace, true
 	}
 	return 0, false
 }
@@ -106,7 +106,7 @@
 func (r *Referee) forgetAsks() {
 	now := r.clock()
 	for i, line := range r.asked {
-		for len(line) > 0 && line[0].Deadline+askedFor < now {
+		for len(line) > 0 && line[0].Deadline+lateDeliveryPeriod < now {
 			delete(r.asks, line[0])
 			line[0] = nil
 			line = line[1:]
@@ -118,35 +118,35 @@
 // drop forgets a message that is judged.
 func (r *Referee) drop(n *message) {
 	delete(r.messages, n.handIn)
-	r.leaveLine(n)
+	r.leaveKeyQueue(n)
 }
 
-// lineOf is the ordering key of a hand-in, and whether order counts for it.
-func (r *Referee) lineOf(h *world.HandIn) (lineKey, bool) {
-	return lineKey{h.Sender, h.Ask.Partner, h.Ask.Key}, h.Ask.Class.Ordered
+// orderKeyOf is the ordering key of a hand-in, and whether order counts for it.
+func (r *Referee) orderKeyOf(h *world.HandIn) (orderKey, bool) {
+	return orderKey{h.Sender, h.Ask.Partner, h.Ask.Key}, h.Ask.Class.Ordered
 }
 
-// leaveLine takes a message out of the line of its key.
-func (r *Referee) leaveLine(n *message) {
-	key, ordered := r.lineOf(n.handIn)
+// leaveKeyQueue takes a message out of the line of its key.
+func (r *Referee) leaveKeyQueue(n *message) {
+	key, ordered := r.orderKeyOf(n.handIn)
 	if !ordered {
 		return
 	}
-	line := slices.DeleteFunc(r.lines[key], func(other *message) bool { return other == n })
+	line := slices.DeleteFunc(r.keyQueues[key], func(other *message) bool { return other == n })
 	if len(line) > 0 {
-		r.lines[key] = line
+		r.keyQueues[key] = line
 		return
 	}
-	delete(r.lines, key)
-	if r.rests[key] < r.clock() {
-		delete(r.rests, key)
+	delete(r.keyQueues, key)
+	if r.keyRestUntil[key] < r.clock() {
+		delete(r.keyRestUntil, key)
 	}
 }
 
 // Pending is how many messages are still owed an end, or may yet be sent.
 func (r *Referee) Pending() (count int) {
 	for _, n := range r.messages {
-		if n.owed() || n.out > 0 {
+		if n.owed() || n.inFlight > 0 {
 			count++
 		}
 	}
--- a/lab/referee/referee.go
+++ b/lab/referee/referee.go
@@ -37,11 +37,11 @@
 // Rules are all, in the order of reports.
 var Rules = []Rule{Lost, Twice, Drains, Returns, Order, Waits, Elsewhere}
 
-// maxBreaksInFull is how many breaks of each rule are told in full.
-const maxBreaksInFull = 20
+// maxViolationsListed is how many breaks of each rule are told in full.
+const maxViolationsListed = 20
 
-// Break is one breach of a rule.
-type Break struct {
+// Violation is one breach of a rule.
+type Violation struct {
 	Rule   Rule    `json:"rule"`
 	At     float64 `json:"at_s"`
 	Sender int     `json:"sender"`
@@ -54,50 +54,50 @@
 	clock func() Time
 	slack Time // of sockets against a clock that stands still between events
 
-	messages map[*world.HandIn]*message // emptied as each is judged
-	due      dues
-	lines    map[lineKey][]*message // emptied likewise
-	rests    map[lineKey]Time
-	stages   map[seat]announcedStage // one for each sender and endpoint that was told to drain
-	waits    map[seat]Time           // until, by sender and route; emptied as each ends
-	heard    map[seat]Time           // when it was told
-	asks     map[*world.Ask]*ask
-	asked    [][]*world.Ask // by class, in order of time; each leaves askedFor after its deadline
-	senders  []senderState
-	calls    map[*world.Call]*callState // emptied as calls are resolved
+	messages        map[*world.HandIn]*message // emptied as each is judged
+	due             dues
+	keyQueues       map[orderKey][]*message // emptied likewise
+	keyRestUntil    map[orderKey]Time
+	stages          map[senderView]announcedStage // one for each sender and endpoint that was told to drain
+	retryAfterUntil map[senderView]Time           // until, by sender and route; emptied as each ends
+	retryAfterSince map[senderView]Time           // when it was told
+	asks            map[*world.Ask]*requestState
+	asked           [][]*world.Ask // by class, in order of time; each leaves askedFor after its deadline
+	senders         []senderState
+	calls           map[*world.Call]*callState // emptied as calls are resolved
 
-	v        Verdict
-	seconds  []Second
-	delivery []*hdrhistogram.Histogram // by class, in tenths of a millisecond
-	takenOn  *hdrhistogram.Histogram
-	bySecond []*hdrhistogram.Histogram
-	returns  map[*world.Endpoint]*Return
+	v             Verdict
+	seconds       []Second
+	delivery      []*hdrhistogram.Histogram // by class, in tenths of a millisecond
+	acceptLatency *hdrhistogram.Histogram
+	bySecond      []*hdrhistogram.Histogram
+	returns       map[*world.Endpoint]*Return
 }
 
 // New makes a referee; clock is the world's. Slack is how much later than in truth an engine may show what a sender
 // does, 0 in simulated time.
 func New(spec *world.Spec, clock func() Time, slack Time) *Referee {
 	r := &Referee{
-		spec:     spec,
-		clock:    clock,
-		slack:    slack,
-		messages: map[*world.HandIn]*message{},
-		lines:    map[lineKey][]*message{},
-		rests:    map[lineKey]Time{},
-		stages:   map[seat]announcedStage{},
-		waits:    map[seat]Time{},
-		heard:    map[seat]Time{},
-		asks:     map[*world.Ask]*ask{},
-		calls:    map[*world.Call]*callState{},
-		senders:  make([]senderState, spec.Senders),
-		seconds:  make([]Second, int(spec.Seconds)+1),
-		bySecond: make([]*hdrhistogram.Histogram, int(spec.Seconds)+1),
-		returns:  map[*world.Endpoint]*Return{},
+		spec:            spec,
+		clock:           clock,
+		slack:           slack,
+		messages:        map[*world.HandIn]*message{},
+		keyQueues:       map[orderKey][]*message{},
+		keyRestUntil:    map[orderKey]Time{},
+		stages:          map[senderView]announcedStage{},
+		retryAfterUntil: map[senderView]Time{},
+		retryAfterSince: map[senderView]Time{},
+		asks:            map[*world.Ask]*requestState{},
+		calls:           map[*world.Call]*callState{},
+		senders:         make([]senderState, spec.Senders),
+		seconds:         make([]Second, int(spec.Seconds)+1),
+		bySecond:        make([]*hdrhistogram.Histogram, int(spec.Seconds)+1),
+		returns:         map[*world.Endpoint]*Return{},
 	}
 	r.v.Rules = map[Rule]int{}
 	r.v.Classes = make([]Class, len(spec.Classes))
 	r.asked = make([][]*world.Ask, len(spec.Classes))
-	r.takenOn = newHistogram()
+	r.acceptLatency = newHistogram()
 	for i := range spec.Classes {
 		r.v.Classes[i].Name = spec.Classes[i].Name
 		r.delivery = append(r.delivery, newHistogram())
@@ -105,11 +105,11 @@
 	return r
 }
 
-// broken counts a breach, and tells the first ones in full.
-func (r *Referee) broken(rule Rule, s world.SenderNo, format string, args ...any) {
+// violated counts a breach, and tells the first ones in full.
+func (r *Referee) violated(rule Rule, s world.SenderNo, format string, args ...any) {
 	r.v.Rules[rule]++
-	if r.v.Rules[rule] <= maxBreaksInFull {
+	if r.v.Rules[rule] <= maxViolationsListed {
 		what := fmt.Sprintf(format, args...)
-		r.v.Breaks = append(r.v.Breaks, Break{Rule: rule, At: sec(r.clock()), Sender: int(s), What: what})
+		r.v.Violations = append(r.v.Violations, Violation{Rule: rule, At: sec(r.clock()), Sender: int(s), What: what})
 	}
 }
--- a/lab/referee/referee_test.go
+++ b/lab/referee/referee_test.go
@@ -25,12 +25,12 @@
 	s.Partners = []world.Kind{{Name: "plain", Count: 5, Endpoints: world.Pair{1, 3}, SlowStartS: 10, SlowStartFrom: 0.1, Headroom: world.Pair{1.2, 1.6}},
 		{Name: "strict", Count: 3, Limit: "span", SpanS: 2, RetryAfterShare: 1, LimitTimes: world.Pair{0.8, 1.1}}}
 	s.Faults = []world.Fault{
-		{Kind: "crash", At: 4, Seconds: 3, Part: world.Part{Kind: "plain", Share: 0.4}},
-		{Kind: "failing", At: 10, Seconds: 4, Amount: 0.4, Part: world.Part{Kind: "plain"}},
-		{Kind: "sender_kill", At: 14, Seconds: 1, Part: world.Part{Share: 0.3}},
+		{Kind: "crash", At: 4, Seconds: 3, Selector: world.Selector{Kind: "plain", Share: 0.4}},
+		{Kind: "failing", At: 10, Seconds: 4, Amount: 0.4, Selector: world.Selector{Kind: "plain"}},
+		{Kind: "sender_kill", At: 14, Seconds: 1, Selector: world.Selector{Share: 0.3}},
 	}
-	s.Changes = []world.ListEvent{{What: "drain", At: 8, Part: world.Part{Kind: "plain", Endpoint: 1, Partners: []int{0, 1, 2, 3, 4}}},
-		{What: "back", At: 16, Part: world.Part{Kind: "plain", Endpoint: 1, Partners: []int{0, 1, 2, 3, 4}}}}
+	s.Changes = []world.ListEvent{{Change: "drain", At: 8, Selector: world.Selector{Kind: "plain", Endpoint: 1, Partners: []int{0, 1, 2, 3, 4}}},
+		{Change: "back", At: 16, Selector: world.Selector{Kind: "plain", Endpoint: 1, Partners: []int{0, 1, 2, 3, 4}}}}
 	s.Defaults()
 	if p := s.Check(); p != nil {
 		panic(p)
@@ -139,7 +139,7 @@
 			return baseline.Named("one_try")(h, id, seed, set, w)
 		}
 		mine := &host{Host: h, how: how, w: w, out: map[choice.MessageID]sent{}, over: map[choice.MessageID]bool{}}
-		return &wrong{sim.Choice(mine, id, seed, set, w), mine, how}
+		return &wrong{sim.ChoicePolicy(mine, id, seed, set, w), mine, how}
 	}
 	v, err := sim.Run(sim.Options{Spec: spec, Seed: 3, Policy: make})
 	if err != nil {
@@ -151,7 +151,7 @@
 // Each rule has a sender that breaks it, and is caught; the same sender with nothing wrong breaks none.
 func TestEachRuleCatchesASenderThatBreaksIt(t *testing.T) {
 	if v := play(t, rough(), "not at all"); v.Broken() {
-		t.Fatalf("a sender that is right breaks %v: %v", v.Rules, v.Breaks)
+		t.Fatalf("a sender that is right breaks %v: %v", v.Rules, v.Violations)
 	}
 	for how, rule := range map[string]referee.Rule{
 		"forgets ends":              referee.Lost,
@@ -211,8 +211,8 @@
 
 func (l *ledger) call(h *world.HandIn) *world.Call {
 	c := &world.Call{Conn: &world.Conn{Endpoint: l.end}, Messages: []*world.HandIn{h}, SentAt: l.now}
-	l.r.Began(c)
-	l.r.Moved(c, true)
+	l.r.CallSent(c)
+	l.r.InFlightChanged(c, true)
 	return c
 }
 
@@ -226,17 +226,17 @@
 
 	l := newLedger("single-use")
 	h := l.handIn()
-	l.r.Heard(h, world.HeardOK)
+	l.r.HandInAnswered(h, world.HandInAccepted)
 	c := l.call(h)
 	l.r.Outcome(c, 200)
-	l.r.Moved(c, false)
+	l.r.InFlightChanged(c, false)
 	l.r.Delivered(h, l.end)
 	l.r.Ended(h, world.EndFailed) // its sender gave up at the instant of the answer
 	show("answer, then time-out", l)
 
 	l = newLedger("single-use")
 	h = l.handIn()
-	l.r.Heard(h, world.HeardOK)
+	l.r.HandInAnswered(h, world.HandInAccepted)
 	l.r.Sender(0, false) // killed at the instant of its +OK
 	l.now += 10
 	l.r.Sender(0, true)
@@ -245,40 +245,40 @@
 	l = newLedger("single-use")
 	h = l.handIn()
 	l.r.Sender(0, false)
-	l.r.Heard(h, world.HeardNoSender)
+	l.r.HandInAnswered(h, world.HandInNoSender)
 	show("kill, then no +OK", l)
 
 	l = newLedger("replayable")
 	h = l.handIn()
-	l.r.Heard(h, world.HeardOK)
+	l.r.HandInAnswered(h, world.HandInAccepted)
 	l.r.StageAnnounced(0, l.end, choice.Draining)
 	l.now += 5000 // the grace of 500 ms to the tenth
 	c = l.call(h)
 	l.r.Outcome(c, 200)
-	l.r.Moved(c, false)
+	l.r.InFlightChanged(c, false)
 	l.r.Delivered(h, l.end)
 	show("drain, then a call as the grace ends", l)
 
 	l = newLedger("replayable")
 	h = l.handIn()
-	l.r.Heard(h, world.HeardOK)
+	l.r.HandInAnswered(h, world.HandInAccepted)
 	l.r.StageAnnounced(0, l.end, choice.Draining)
 	l.now += 5001
 	c = l.call(h)
 	l.r.Outcome(c, 200)
-	l.r.Moved(c, false)
+	l.r.InFlightChanged(c, false)
 	l.r.Delivered(h, l.end)
 	show("drain, then a call a tenth later", l)
 
 	l = newLedger("replayable")
 	h = l.handIn()
-	l.r.Heard(h, world.HeardOK)
+	l.r.HandInAnswered(h, world.HandInAccepted)
 	c = l.call(h)
 	l.r.Outcome(c, 503)
-	l.r.Moved(c, false)
+	l.r.InFlightChanged(c, false)
 	c = l.call(h) // at the instant of the refusal: the first is over
 	l.r.Outcome(c, 200)
-	l.r.Moved(c, false)
+	l.r.InFlightChanged(c, false)
 	l.r.Delivered(h, l.end)
 	show("refusal, then the next call", l)
 	// Output:
--- a/lab/referee/verdict.go
+++ b/lab/referee/verdict.go
@@ -15,47 +15,47 @@
 // Verdict is all that is said of a run. Service is the value delivered over the value asked for, from the first second
 // on; Figure is Service less the scenario's prices for refused calls and runs of no use, or 0 where a rule was broken.
 type Verdict struct {
-	Scenario string       `json:"scenario"`
-	Engine   string       `json:"engine"`
-	Seed     uint64       `json:"seed"`
-	Figure   float64      `json:"figure"`
-	Service  float64      `json:"service"`
-	Rules    map[Rule]int `json:"rules"`
-	Breaks   []Break      `json:"breaks,omitempty"`
-	Void     string       `json:"void,omitempty"` // why the run says nothing of the senders
-
-	Asked       int `json:"asked"`
-	HandedIn    int `json:"handed_in"`
-	TakenOn     int `json:"taken_on"`
-	Shed        int `json:"shed"`
-	Errors      int `json:"errors"`
-	Unheard     int `json:"unheard"`
-	NoSender    int `json:"no_sender"`
-	Delivered   int `json:"delivered"`
-	InTime      int `json:"in_time"`
-	HandedBack  int `json:"handed_back"`
-	Failed      int `json:"given_up"`
-	Calls       int `json:"calls"`
-	Probes      int `json:"probes"`
-	Attempts    int `json:"dispatches"`
-	Refusals    int `json:"refusals"`
-	FailedCalls int `json:"failures"`
-	Runs        int `json:"runs"`
-	Wasted      int `json:"wasted"` // runs beyond one for each message delivered
-	Outages     int `json:"outages"`
-	PushedOver  int `json:"pushed_over"`
-	Lied        int `json:"lied,omitempty"` // second effects of single-use messages whose first a partner had denied
-
-	Classes   []Class  `json:"workloads"`
-	TakenOnMS Latency  `json:"taken_on_ms"`
-	Seconds   []Second `json:"seconds,omitempty"`
-	Faults    []Span   `json:"troubles,omitempty"`
-	Returns   []Return `json:"returns,omitempty"`
-	Engines   *Engines `json:"engine_figures,omitempty"`
+	Scenario   string       `json:"scenario"`
+	Engine     string       `json:"engine"`
+	Seed       uint64       `json:"seed"`
+	Figure     float64      `json:"figure"`
+	Service    float64      `json:"service"`
+	Rules      map[Rule]int `json:"rules"`
+	Violations []Violation  `json:"breaks,omitempty"`
+	Void       string       `json:"void,omitempty"` // why the run says nothing of the senders
+
+	Asked          int `json:"asked"`
+	HandedIn       int `json:"handed_in"`
+	Accepted       int `json:"taken_on"`
+	Shed           int `json:"shed"`
+	Errors         int `json:"errors"`
+	Unanswered     int `json:"unheard"`
+	NoSender       int `json:"no_sender"`
+	Delivered      int `json:"delivered"`
+	InTime         int `json:"in_time"`
+	HandedBack     int `json:"handed_back"`
+	Failed         int `json:"given_up"`
+	Calls          int `json:"calls"`
+	Probes         int `json:"probes"`
+	Attempts       int `json:"dispatches"`
+	Refusals       int `json:"refusals"`
+	FailedCalls    int `json:"failures"`
+	Runs           int `json:"runs"`
+	Wasted         int `json:"wasted"` // runs beyond one for each message delivered
+	Outages        int `json:"outages"`
+	PushedOver     int `json:"pushed_over"`
+	FalselyRefused int `json:"lied,omitempty"` // second effects of single-use messages whose first a partner had denied
+
+	Classes         []Class        `json:"workloads"`
+	AcceptLatencyMS Latency        `json:"taken_on_ms"`
+	Seconds         []Second       `json:"seconds,omitempty"`
+	Faults          []Span         `json:"troubles,omitempty"`
+	Returns         []Return       `json:"returns,omitempty"`
+	EngineFigures   *EngineFigures `json:"engine_figures,omitempty"`
 }
 
-// Engines are figures of how a run was played rather than of what came of it.
-type Engines struct {
+// EngineFigures are figures of how a run was played rather than of what came of it.
+type EngineFigures struct {
 	WallS    float64 `json:"wall_s"`
 	CPUS     float64 `json:"cpu_s"`
 	MemoryMB float64 `json:"memory_mb"`
@@ -126,7 +126,7 @@
 
 // Verdict is the judgement once the run is over. The world must have gone on past the last deadline.
 func (r *Referee) Verdict() *Verdict {
-	r.settle()
+	r.judgeDue()
 	v := &r.v
 	asked, got := 0.0, 0.0
 	for i := range v.Classes {
@@ -150,7 +150,7 @@
 		}
 	}
 	v.Scenario = r.spec.Name
-	v.TakenOnMS = OutlineOf(r.takenOn)
+	v.AcceptLatencyMS = OutlineOf(r.acceptLatency)
 	v.Seconds = r.seconds
 	for i, h := range r.bySecond {
 		if h != nil {
--- a/lab/report/html.go
+++ b/lab/report/html.go
@@ -79,7 +79,7 @@
 {{if .V.Faults}}<p class="dim">Shaded: {{range $i, $t := .V.Faults}}{{if $i}}, {{end}}{{$t.Kind}} from {{f1 $t.From}} to {{f1 $t.To}} s ({{$t.Parts}} struck){{end}}.</p>{{end}}
 <div class="wide"><table><tr><th>workload</th><th>asked</th><th>delivered</th><th>gain kept</th><th>p50 ms</th><th>p99 ms</th><th>p99.9 ms</th></tr>
 {{range .Rows}}<tr><td>{{.Name}}</td><td>{{.Asked}}</td><td>{{.Delivered}}</td><td>{{f3 .Share}}</td><td>{{f1 .Delivery.P50}}</td><td>{{f1 .Delivery.P99}}</td><td>{{f1 .Delivery.P999}}</td></tr>{{end}}</table></div>
-{{if .V.Breaks}}<h3>Broken rules</h3><ul>{{range .V.Breaks}}<li>{{.Rule}} at {{f3 .At}} s: {{.What}}</li>{{end}}</ul>{{end}}
+{{if .V.Violations}}<h3>Broken rules</h3><ul>{{range .V.Violations}}<li>{{.Rule}} at {{f3 .At}} s: {{.What}}</li>{{end}}</ul>{{end}}
 {{end}}</body></html>
 `))
 
--- a/lab/report/report_test.go
+++ b/lab/report/report_test.go
@@ -23,7 +23,7 @@
 	}
 	broken := *v
 	broken.Rules, broken.Figure = map[referee.Rule]int{referee.Waits: 2}, 0
-	broken.Breaks = []referee.Break{{Rule: referee.Waits, What: "a <call> left early"}}
+	broken.Violations = []referee.Violation{{Rule: referee.Waits, What: "a <call> left early"}}
 	void := *v
 	void.Void = "too busy"
 	var results []*experiment.Result
--- a/lab/report/summary.go
+++ b/lab/report/summary.go
@@ -42,9 +42,9 @@
 	}
 	fmt.Fprintf(&b, "\nasked %d, in contract time %d, shed %d, handed back %d, given up %d\n", v.Asked, v.InTime, v.Shed, v.HandedBack, v.Failed)
 	fmt.Fprintf(&b, "calls %d, refused %d, failed %d, probes %d, runs that were of no use %d\n", v.Calls, v.Refusals, v.FailedCalls, v.Probes, v.Wasted)
-	fmt.Fprintf(&b, "answer to a hand-in: p50 %.1f ms, p99 %.1f ms, p99.9 %.1f ms\n", v.TakenOnMS.P50, v.TakenOnMS.P99, v.TakenOnMS.P999)
-	if v.Lied > 0 {
-		fmt.Fprintf(&b, "second effects of single-use notices whose first run a partner had denied: %d\n", v.Lied)
+	fmt.Fprintf(&b, "answer to a hand-in: p50 %.1f ms, p99 %.1f ms, p99.9 %.1f ms\n", v.AcceptLatencyMS.P50, v.AcceptLatencyMS.P99, v.AcceptLatencyMS.P999)
+	if v.FalselyRefused > 0 {
+		fmt.Fprintf(&b, "second effects of single-use notices whose first run a partner had denied: %d\n", v.FalselyRefused)
 	}
 	if n := len(v.Returns); n > 0 {
 		most := 0.0
@@ -59,7 +59,7 @@
 			if n := v.Rules[rule]; n > 0 {
 				fmt.Fprintf(&b, "  %s, %d times\n", rule, n)
 				shown := 0
-				for _, br := range v.Breaks {
+				for _, br := range v.Violations {
 					if br.Rule == rule && shown < 3 {
 						fmt.Fprintf(&b, "    at %.3f s, sender %d: %s\n", br.At, br.Sender, br.What)
 						shown++
--- a/lab/scale/real.go
+++ b/lab/scale/real.go
@@ -32,7 +32,7 @@
 
 // realRun is the run of lab/live.
 type realRun struct {
-	hold   *live.Hold
+	hold   *live.RunControl
 	relays []*relay.Relay
 	client http.Client
 	stop   context.CancelFunc
@@ -56,17 +56,17 @@
 		return err
 	}
 	ctx, r.real.stop = context.WithCancel(ctx)
-	begun := make(chan *live.Hold, 1)
+	begun := make(chan *live.RunControl, 1)
 	r.real.ended = make(chan error, 1)
 	options := live.Options{Spec: r.worldOf(), Seed: r.o.Load.Seed, Command: r.o.ServeCommand, KeepVerdict: true, Logs: r.o.Logs,
-		With: func(s world.SenderNo, home string) ([]string, error) {
+		SenderArgs: func(s world.SenderNo, home string) ([]string, error) {
 			r.realHomes = append(r.realHomes, home)
 			path := filepath.Join(home, "cluster.toml")
 			text := r.fleet.File(all[s].No, filepath.Join(home, "cluster"), relayed)
 			return []string{"--cluster", path}, os.WriteFile(path, text, 0o644)
 		},
-		Begun: func(h *live.Hold) { begun <- h },
-		Busy:  func() bool { return true }}
+		OnBegin:     func(h *live.RunControl) { begun <- h },
+		KeepRunning: func() bool { return true }}
 	go func() {
 		result, err := live.Run(ctx, options)
 		switch {
--- a/lab/sim/answers.go
+++ b/lab/sim/answers.go
@@ -13,23 +13,23 @@
 	if !ok {
 		return
 	}
-	n.awake(func() {
+	n.whenRunning(func() {
 		if !l.closed {
 			do(l)
 		}
 	})
 }
 
-// down hears that a connection was refused, or ended by the other side.
-func (n *node) down(wc *world.Conn, why world.Seen) {
+// connDown hears that a connection was refused, or ended by the other side.
+func (n *node) connDown(wc *world.Conn, why world.ConnEnd) {
 	n.onLink(wc, func(l *link) {
 		c := l.call
 		n.dropIdle(l)
-		n.e.w.Hang(wc)
+		n.e.w.CloseBySender(wc)
 		if c == nil || c.over {
 			return
 		}
-		if why == world.SeenRefused {
+		if why == world.ConnRefused {
 			n.finish(c, choice.ConnectFailed, world.Answer{})
 		} else {
 			n.finish(c, choice.Reset, world.Answer{})
@@ -51,7 +51,7 @@
 		l.call = nil
 		if a.Spoilt || a.Close {
 			l.closed = true
-			n.e.w.Hang(wc)
+			n.e.w.CloseBySender(wc)
 		} else {
 			n.makeIdle(l)
 		}
@@ -61,12 +61,12 @@
 
 // waitForRest abandons a call if the other half of its answer does not come.
 func (n *node) waitForRest(c *call) {
-	life := n.life
-	n.e.w.After(restFor, func() {
-		if n.life != life || c.over {
+	life := n.incarnation
+	n.e.w.After(answerRestTimeout, func() {
+		if n.incarnation != life || c.over {
 			return
 		}
-		n.awake(func() {
+		n.whenRunning(func() {
 			if !c.over {
 				n.abandon(c, choice.Spoilt)
 			}
@@ -94,12 +94,12 @@
 	}
 	c.over = true
 	delete(n.out, c)
-	n.tell(c, result, a)
+	n.reportCall(c, result, a)
 }
 
-// tell has the module hear how a call ended, message by message.
-func (n *node) tell(c *call, result choice.Result, a world.Answer) {
-	n.scheduleTurn()
+// reportCall has the module hear how a call ended, message by message.
+func (n *node) reportCall(c *call, result choice.Result, a world.Answer) {
+	n.scheduleTick()
 	if c.probe {
 		n.policy.Probed(c.e.id, result)
 		return
@@ -109,12 +109,12 @@
 		wait++ // counted from a clock that may lie inside a tenth
 	}
 	for i, o := range c.messages {
-		if o.out != c {
+		if o.call != c {
 			continue // it has parted
 		}
-		out := choice.Outcome{Message: o.ID, Attempt: o.tries - 1, Endpoint: c.e.id, Took: n.Now() - c.began, Result: result,
+		out := choice.Outcome{Message: o.ID, Attempt: o.attempts - 1, Endpoint: c.e.id, Took: n.Now() - c.startedAt, Result: result,
 			Final: result == choice.Done, Wait: wait, Report: a.Report, Reused: c.reused, Closed: a.Close}
-		if a.Fates != nil && result == choice.Done && a.Fates[i] != 200 {
+		if a.Statuses != nil && result == choice.Done && a.Statuses[i] != 200 {
 			out.Result, out.Final = choice.Errored, false
 		}
 		if len(c.messages) == 1 && out.Result != choice.Full {
@@ -125,20 +125,20 @@
 }
 
 // attemptEnded has the module hear how an attempt ended.
-func (n *node) attemptEnded(c *call, o *owed, out choice.Outcome) {
-	o.out = nil
+func (n *node) attemptEnded(c *call, o *openMessage, out choice.Outcome) {
+	o.call = nil
 	switch out.Result {
 	case choice.Errored, choice.TimedOut, choice.Reset, choice.Cancelled, choice.Spoilt:
 		if !o.MayRun {
-			o.MayRun, o.RanAt, o.RanIn = true, c.began, c.e.zone
+			o.MayRun, o.RanAt, o.RanIn = true, c.startedAt, c.e.zone
 		}
 	default:
 		if !o.MayRun && !out.Final {
-			o.sure = false
+			o.mayRunRecorded = false
 		}
 	}
 	n.policy.Ended(out)
 	if out.Final {
-		n.over(o)
+		n.forgetMessage(o)
 	}
 }
--- a/lab/sim/calls.go
+++ b/lab/sim/calls.go
@@ -9,22 +9,22 @@
 	"flaxcove/lab/world"
 )
 
-func (n *node) closeIdle(e *end) {
+func (n *node) closeIdle(e *endpoint) {
 	for _, l := range e.idle {
 		l.closed = true
-		n.e.w.Hang(l.c)
+		n.e.w.CloseBySender(l.c)
 	}
 	e.idle = nil
 }
 
 func (n *node) begin(c *call) {
-	if !c.probe && !n.timeCall(c) {
+	if !c.probe && !n.limitCallTime(c) {
 		return
 	}
-	life := n.life
-	n.e.w.After(c.lasts, func() {
-		if n.life == life && !c.over {
-			n.awake(func() { n.expire(c) })
+	life := n.incarnation
+	n.e.w.After(c.timeout, func() {
+		if n.incarnation == life && !c.over {
+			n.whenRunning(func() { n.expire(c) })
 		}
 	})
 	if k := len(c.e.idle); k > 0 {
@@ -38,30 +38,30 @@
 	l.c = n.e.w.Dial(n.no, c.e.id, c.e.addr)
 	l.c.Engine = l
 	n.out[c] = struct{}{}
-	if within := n.set.DialTimeout; within > 0 && within < c.lasts {
+	if within := n.settings.DialTimeout; within > 0 && within < c.timeout {
 		n.e.w.After(within, func() {
-			if n.life == life && !c.over && !l.up {
-				n.awake(func() { n.dialFailed(c) })
+			if n.incarnation == life && !c.over && !l.up {
+				n.whenRunning(func() { n.dialFailed(c) })
 			}
 		})
 	}
 }
 
-// timeCall and part are the sender's.
-func (n *node) timeCall(c *call) bool {
-	longest, life := choice.Time(0), n.life
+// limitCallTime and part are the sender's.
+func (n *node) limitCallTime(c *call) bool {
+	longest, life := choice.Time(0), n.incarnation
 	for _, o := range slices.Clone(c.messages) {
-		left := o.Deadline - n.Now() - n.set.Turn
+		left := o.Deadline - n.Now() - n.settings.Turn
 		if longest = max(longest, left); left <= 0 {
-			n.part(c, o)
+			n.detach(c, o)
 		}
 	}
-	c.lasts = min(c.lasts, longest)
+	c.timeout = min(c.timeout, longest)
 	for _, o := range c.messages {
-		if left := o.Deadline - n.Now() - n.set.Turn; left < c.lasts {
+		if left := o.Deadline - n.Now() - n.settings.Turn; left < c.timeout {
 			n.e.w.After(left, func() {
-				if n.life == life && !c.over && o.out == c {
-					n.awake(func() { n.part(c, o) })
+				if n.incarnation == life && !c.over && o.call == c {
+					n.whenRunning(func() { n.detach(c, o) })
 				}
 			})
 		}
@@ -69,16 +69,16 @@
 	return len(c.messages) > 0
 }
 
-// part takes a message off a call that goes on without it.
-func (n *node) part(c *call, o *owed) {
-	if c.over || o.out != c {
+// detach takes a message off a call that goes on without it.
+func (n *node) detach(c *call, o *openMessage) {
+	if c.over || o.call != c {
 		return
 	}
-	n.scheduleTurn()
-	out := choice.Outcome{Message: o.ID, Attempt: o.tries - 1, Endpoint: c.e.id, Took: n.Now() - c.began, Result: choice.Cancelled}
+	n.scheduleTick()
+	out := choice.Outcome{Message: o.ID, Attempt: o.attempts - 1, Endpoint: c.e.id, Took: n.Now() - c.startedAt, Result: choice.Cancelled}
 	if c.link == nil || !c.link.up {
 		out.Result = choice.Moot
-		c.messages = slices.DeleteFunc(c.messages, func(other *owed) bool { return other == o })
+		c.messages = slices.DeleteFunc(c.messages, func(other *openMessage) bool { return other == o })
 	}
 	n.attemptEnded(c, o, out)
 }
@@ -89,12 +89,12 @@
 		return
 	}
 	c.link.closed = true
-	n.e.w.Hang(c.link.c)
+	n.e.w.CloseBySender(c.link.c)
 	n.finish(c, choice.ConnectFailed, world.Answer{})
 }
 
-// up hears that a connection stands. A slow one may have let a wait or a drain come in between.
-func (n *node) up(wc *world.Conn) {
+// connUp hears that a connection stands. A slow one may have let a wait or a drain come in between.
+func (n *node) connUp(wc *world.Conn) {
 	n.onLink(wc, func(l *link) {
 		l.up = true
 		c := l.call
@@ -103,7 +103,7 @@
 			n.makeIdle(l)
 			return
 		}
-		if n.Now() >= c.began+c.lasts || !c.probe && !n.policy.Open(c.e.id, c.ids()...) {
+		if n.Now() >= c.startedAt+c.timeout || !c.probe && !n.policy.Open(c.e.id, c.ids()...) {
 			l.call = nil
 			n.makeIdle(l)
 			n.finish(c, choice.ConnectFailed, world.Answer{})
@@ -135,25 +135,25 @@
 	}
 	if l.e.gone {
 		l.closed = true
-		n.e.w.Hang(l.c)
+		n.e.w.CloseBySender(l.c)
 		return
 	}
 	l.e.idle = append(l.e.idle, l)
 	l.idleNo++
-	keep := n.set.ConnIdle
+	keep := n.settings.ConnIdle
 	if keep <= 0 {
 		return
 	}
-	no, life := l.idleNo, n.life
+	no, life := l.idleNo, n.incarnation
 	still := func() bool { return !l.closed && l.call == nil && l.idleNo == no }
 	n.e.w.After(max(keep/2, keep-idleMargin), func() {
-		if n.life != life || !still() {
+		if n.incarnation != life || !still() {
 			return
 		}
-		n.awake(func() {
+		n.whenRunning(func() {
 			if still() {
 				n.dropIdle(l)
-				n.e.w.Hang(l.c)
+				n.e.w.CloseBySender(l.c)
 			}
 		})
 	})
@@ -173,7 +173,7 @@
 	if c.link == nil || !c.link.up {
 		if c.link != nil {
 			c.link.closed = true
-			n.e.w.Hang(c.link.c)
+			n.e.w.CloseBySender(c.link.c)
 		}
 		n.finish(c, choice.ConnectFailed, world.Answer{})
 		return
@@ -187,11 +187,11 @@
 	c.link.call = nil
 	c.over = true
 	delete(n.out, c)
-	n.e.w.Hang(c.link.c)
-	life := n.life
-	n.e.w.After(settleFor, func() {
-		if n.life == life {
-			n.awake(func() { n.tell(c, result, world.Answer{}) })
+	n.e.w.CloseBySender(c.link.c)
+	life := n.incarnation
+	n.e.w.After(abandonDelay, func() {
+		if n.incarnation == life {
+			n.whenRunning(func() { n.reportCall(c, result, world.Answer{}) })
 		}
 	})
 }
--- a/lab/sim/host.go
+++ b/lab/sim/host.go
@@ -16,23 +16,23 @@
 }
 
 func (n *node) Attempt(id choice.MessageID, to choice.EndpointID, timeOut choice.Time) {
-	o, e := n.owed[id], n.ends[to]
+	o, e := n.owed[id], n.endpoints[to]
 	if e == nil {
-		e = &end{id: to, gone: true, bundle: 1}
+		e = &endpoint{id: to, gone: true, bundle: 1}
 	}
 	c := e.open
 	if c == nil || len(c.messages) >= e.bundle {
-		c = &call{n: n, e: e, began: n.Now()}
+		c = &call{n: n, e: e, startedAt: n.Now()}
 		if e.open == nil || e.bundle > 1 {
 			e.open = c
 		}
-		n.starting = append(n.starting, c)
+		n.newCalls = append(n.newCalls, c)
 	}
 	c.messages = append(c.messages, o)
-	c.lasts = max(c.lasts, timeOut)
-	o.out = c
-	o.tries++
-	n.scheduleTurn()
+	c.timeout = max(c.timeout, timeOut)
+	o.call = c
+	o.attempts++
+	n.scheduleTick()
 }
 
 func (n *node) Shed(id choice.MessageID, comeBackIn choice.Time) {
@@ -41,9 +41,9 @@
 		return
 	}
 	ms := int64(math.Ceil(float64(comeBackIn) / float64(choice.Millisecond)))
-	n.end(o, func() {
-		if o.wait {
-			n.e.w.Answered(o.h, world.HeardBusy, ms)
+	n.endMessage(o, func() {
+		if o.unanswered {
+			n.e.w.Answered(o.h, world.HandInBusy, ms)
 		} else {
 			n.e.w.ReportEnd(o.ID, world.EndHandedBack, ms)
 		}
@@ -55,50 +55,50 @@
 	if o == nil || o.over {
 		return
 	}
-	n.end(o, func() {
-		if o.wait {
-			n.e.w.Answered(o.h, world.HeardError, 0)
+	n.endMessage(o, func() {
+		if o.unanswered {
+			n.e.w.Answered(o.h, world.HandInError, 0)
 		} else {
 			n.e.w.ReportEnd(o.ID, world.EndFailed, 0)
 		}
 	})
 }
 
-func (n *node) over(o *owed) {
+func (n *node) forgetMessage(o *openMessage) {
 	o.over = true
 	delete(n.owed, o.ID)
 }
 
 func (n *node) Probe(id choice.EndpointID) {
-	e := n.ends[id]
+	e := n.endpoints[id]
 	if e == nil {
-		e = &end{id: id, gone: true}
+		e = &endpoint{id: id, gone: true}
 	}
-	n.starting = append(n.starting, &call{n: n, e: e, began: n.Now(), probe: true, lasts: n.set.DialTimeout + probeFor})
-	n.scheduleTurn()
+	n.newCalls = append(n.newCalls, &call{n: n, e: e, startedAt: n.Now(), probe: true, timeout: n.settings.DialTimeout + probeTimeout})
+	n.scheduleTick()
 }
 
 // Tell says nothing: Settings.Notes is unset, as on sockets.
 func (n *node) Tell([]byte) {}
 
 func (n *node) CloseIdle(id choice.EndpointID) {
-	if e := n.ends[id]; e != nil {
+	if e := n.endpoints[id]; e != nil {
 		n.closeIdle(e)
 	}
 }
 
 func (n *node) Timer(in choice.Time, id choice.TimerID) {
-	life := n.life
+	life := n.incarnation
 	n.timers[id] = true
 	n.e.w.After(in, func() {
-		if n.life != life || !n.timers[id] {
+		if n.incarnation != life || !n.timers[id] {
 			return
 		}
-		n.awake(func() {
+		n.whenRunning(func() {
 			if n.timers[id] {
 				delete(n.timers, id)
 				n.policy.TimerDue(id)
-				n.scheduleTurn()
+				n.scheduleTick()
 			}
 		})
 	})
--- a/lab/sim/life.go
+++ b/lab/sim/life.go
@@ -12,10 +12,10 @@
 		return
 	}
 	n.alive, n.paused = false, false
-	n.later = nil
-	n.life++
+	n.deferred = nil
+	n.incarnation++
 	for id, o := range n.owed {
-		if !o.lasting {
+		if !o.recorded {
 			delete(n.owed, id)
 		}
 	}
@@ -25,17 +25,17 @@
 	}
 	slices.SortFunc(calls, func(a, b *call) int { return int(a.link.c.No - b.link.c.No) })
 	for _, c := range calls {
-		n.e.w.Hang(c.link.c)
+		n.e.w.CloseBySender(c.link.c)
 	}
-	for _, l := range n.links() {
-		n.e.w.Hang(l.c)
+	for _, l := range n.idleLinks() {
+		n.e.w.CloseBySender(l.c)
 	}
-	n.e.w.Ready(n.no, false)
+	n.e.w.SetServing(n.no, false)
 }
 
-// links are all idle ones in an order of their own.
-func (n *node) links() (all []*link) {
-	for _, e := range n.ends {
+// idleLinks are all idle ones in an order of their own.
+func (n *node) idleLinks() (all []*link) {
+	for _, e := range n.endpoints {
 		all = append(all, e.idle...)
 	}
 	slices.SortFunc(all, func(a, b *link) int { return int(a.c.No - b.c.No) })
@@ -47,11 +47,11 @@
 	if !n.alive {
 		return
 	}
-	n.ending, n.endAt = true, n.e.w.Now()
-	n.e.w.Ready(n.no, false)
-	life := n.life
-	n.e.w.After(endAfter, func() {
-		if n.life == life && n.alive {
+	n.ending, n.endingSince = true, n.e.w.Now()
+	n.e.w.SetServing(n.no, false)
+	life := n.incarnation
+	n.e.w.After(drainTimeout, func() {
+		if n.incarnation == life && n.alive {
 			n.kill()
 		}
 	})
@@ -60,23 +60,23 @@
 func (n *node) pause(on bool) {
 	n.paused = on
 	if !on {
-		later := n.later
-		n.later = nil
+		later := n.deferred
+		n.deferred = nil
 		for _, do := range later {
 			do()
 		}
-		n.scheduleTurn()
+		n.scheduleTick()
 	}
 }
 
-// awake runs what reaches the process, or keeps it until it goes on.
-func (n *node) awake(do func()) {
+// whenRunning runs what reaches the process, or keeps it until it goes on.
+func (n *node) whenRunning(do func()) {
 	switch {
 	case !n.alive:
 	case n.paused:
-		life := n.life
-		n.later = append(n.later, func() {
-			if n.life == life {
+		life := n.incarnation
+		n.deferred = append(n.deferred, func() {
+			if n.incarnation == life {
 				do()
 			}
 		})
--- a/lab/sim/replay_test.go
+++ b/lab/sim/replay_test.go
@@ -31,7 +31,7 @@
 	{name: "limits with notes", scenario: "fleet-limits", adjust: func(s *choice.Settings) { s.Notes = true }},
 	{name: "tables with notes", scenario: "fleet-tables", adjust: func(s *choice.Settings) { s.Notes, s.TellsFull = true, false },
 		spec: func(s *world.Spec) {
-			s.Faults = append(s.Faults, world.Fault{Kind: "crash", At: 8, Seconds: 5, Part: world.Part{Share: 0.3}})
+			s.Faults = append(s.Faults, world.Fault{Kind: "crash", At: 8, Seconds: 5, Selector: world.Selector{Share: 0.3}})
 		}},
 	{name: "odd ones", scenario: "kills", adjust: func(s *choice.Settings) {
 		s.Quotas, s.OverShareValue, s.RouteFees, s.Probing = []float64{40}, 0.3, []float64{0, 0.02}, true
@@ -40,11 +40,11 @@
 			s.Classes[i].Ordered = true
 		}
 		w := &s.Classes[0]
-		w.Repeat, w.WindowS, w.ZoneGroup, s.Partners[0].Apart, s.Sender.MaxOpen = "tokened", 2, true, true, 60
+		w.Repeat, w.WindowS, w.ZoneGroup, s.Partners[0].SeparateRoutes, s.Sender.MaxOpen = "tokened", 2, true, true, 60
 		for i, kind := range []string{"shut", "resets", "crash", "surge", "no_connections"} {
-			fault := world.Fault{Kind: kind, At: 4 + 3*float64(i), Seconds: 5, Amount: 0.3, Part: world.Part{Share: 0.3}}
+			fault := world.Fault{Kind: kind, At: 4 + 3*float64(i), Seconds: 5, Amount: 0.3, Selector: world.Selector{Share: 0.3}}
 			if kind == "surge" {
-				fault.Amount, fault.Part = 3, world.Part{}
+				fault.Amount, fault.Selector = 3, world.Selector{}
 			}
 			s.Faults = append(s.Faults, fault)
 		}
--- a/lab/sim/settings.go
+++ b/lab/sim/settings.go
@@ -12,9 +12,9 @@
 	"flaxcove/lab/world"
 )
 
-// Boot is the settings object for a sender of a world, as both engines hand it over: the same text that a real sender
+// SettingsJSON is the settings object for a sender of a world, as both engines hand it over: the same text that a real sender
 // finds in its configuration.
-func Boot(w *world.World) json.RawMessage {
+func SettingsJSON(w *world.World) json.RawMessage {
 	spec := w.Spec
 	ns := func(ms float64) int64 { return int64(math.Round(ms * 1e6)) }
 	words := map[string]string{world.Idempotent: "pure", world.Keyed: "token", world.NonIdempotent: "side_effect"}
@@ -33,7 +33,7 @@
 	slowStartFrom, slowStartS, idle := 1.0, 0.0, math.MaxFloat64
 	for i := range spec.Partners {
 		k := &spec.Partners[i]
-		bundles, apart, kinds = append(bundles, k.Bundle), append(apart, k.Apart), append(kinds, k.Name)
+		bundles, apart, kinds = append(bundles, k.Bundle), append(apart, k.SeparateRoutes), append(kinds, k.Name)
 		slowStartFrom, slowStartS, idle = min(slowStartFrom, k.SlowStartFrom), max(slowStartS, k.SlowStartS), min(idle, k.IdleS)
 	}
 	zones := []string{}
@@ -47,11 +47,11 @@
 	}
 	weights := spec.Sender.Rating
 	text, err := json.Marshal(map[string]any{
-		"balancers": spec.Senders, "quantum": ns(spec.Sender.TurnMS), "zones": zones, "machineTypes": kinds, "weights": weights,
+		"balancers": spec.Senders, "quantum": ns(spec.Sender.TickMS), "zones": zones, "machineTypes": kinds, "weights": weights,
 		"classes": classes,
 		"bounds": map[string]any{"maxOpen": open, "maxAttempts": spec.Sender.MaxAttempts, "probing": spec.Sender.Probing,
-			"connIdle": ns(idle * 1e3), "dialTimeout": ns(spec.Sender.DialMS), "retryAfter": !spec.Sender.NoReturn,
-			"maxRetryAfter": ns(spec.Sender.LongestMS)},
+			"connIdle": ns(idle * 1e3), "dialTimeout": ns(spec.Sender.DialMS), "retryAfter": !spec.Sender.NoRetryAfter,
+			"maxRetryAfter": ns(spec.Sender.LongestRetryAfterMS)},
 		"extra": map[string]any{"callsOut": inFlightLimit, "bundleMax": bundles, "separateRoutes": apart, "fades": fades},
 		"rules": map[string]any{"cold": ns(slowStartS * 1e3), "coldFrom": slowStartFrom, "fallMultiple": spec.Rules.FallMultiple,
 			"fall": ns(spec.Rules.FallS * 1e3), "keyRest": ns(spec.Rules.KeyRestMS)},
@@ -88,7 +88,7 @@
 // Settings are what the module is started with, read by the code that reads a real sender's.
 func Settings(w *world.World, s world.SenderNo) (choice.Settings, error) {
 	var b config.Boot
-	if err := json.Unmarshal(Boot(w), &b); err != nil {
+	if err := json.Unmarshal(SettingsJSON(w), &b); err != nil {
 		return choice.Settings{}, err
 	}
 	b.Zone, b.SlotNo = w.Zone(s), int(s)
--- a/lab/sim/sim.go
+++ b/lab/sim/sim.go
@@ -33,8 +33,8 @@
 // NewPolicy starts a policy for one life of one sender. The world is for those that may see the truth.
 type NewPolicy func(h choice.Host, id choice.SenderID, seed int64, set choice.Settings, w *world.World) Policy
 
-// Choice makes the project's own decisions.
-func Choice(h choice.Host, id choice.SenderID, seed int64, set choice.Settings, _ *world.World) Policy {
+// ChoicePolicy makes the project's own decisions.
+func ChoicePolicy(h choice.Host, id choice.SenderID, seed int64, set choice.Settings, _ *world.World) Policy {
 	return choice.Start(h, id, seed, set)
 }
 
@@ -61,18 +61,18 @@
 	began, cpu := time.Now(), cpuTime()
 	e := &engine{o: o}
 	if o.Policy == nil {
-		e.o.Policy = Choice
+		e.o.Policy = ChoicePolicy
 	}
 	var judge *referee.Referee
-	late := &ledger{}
-	w, err := world.New(o.Spec, o.Seed, e, late, o.Trace)
+	lateLedger := &ledger{}
+	w, err := world.New(o.Spec, o.Seed, e, lateLedger, o.Trace)
 	if err != nil {
 		return nil, err
 	}
 	judge = referee.New(o.Spec, w.Now, 0)
-	late.Ledger = judge
+	lateLedger.Ledger = judge
 	if o.Outcome != nil {
-		late.see = func(c *world.Call, status int) { o.Outcome(w.Now(), c, status) }
+		lateLedger.onOutcome = func(c *world.Call, status int) { o.Outcome(w.Now(), c, status) }
 	}
 	e.w = w
 	for i := range o.Spec.Senders {
@@ -80,13 +80,13 @@
 		e.nodes = append(e.nodes, n)
 	}
 	for _, n := range e.nodes {
-		if err := n.start(w.First()); err != nil {
+		if err := n.start(w.InitialList()); err != nil {
 			return nil, err
 		}
 	}
 	w.Begin()
 	events, second := int64(0), choice.Time(0)
-	end := w.End() + tail(o.Spec)
+	end := w.End() + timeAfterEnd(o.Spec)
 	for {
 		at, more := w.Next()
 		if !more || at > end {
@@ -109,13 +109,13 @@
 	v.Engine, v.Seed = "simulated", o.Seed
 	var mem runtime.MemStats
 	runtime.ReadMemStats(&mem)
-	v.Engines = &referee.Engines{WallS: time.Since(began).Seconds(), CPUS: (cpuTime() - cpu).Seconds(),
+	v.EngineFigures = &referee.EngineFigures{WallS: time.Since(began).Seconds(), CPUS: (cpuTime() - cpu).Seconds(),
 		MemoryMB: float64(mem.Sys) / (1 << 20), Events: events}
 	return v, nil
 }
 
-// tail is how long a run goes on after the last hand-in: the longest deadline and what the rules allow behind it.
-func tail(spec *world.Spec) choice.Time {
+// timeAfterEnd is how long a run goes on after the last hand-in: the longest deadline and what the rules allow behind it.
+func timeAfterEnd(spec *world.Spec) choice.Time {
 	longest := 0.0
 	for i := range spec.Classes {
 		longest = max(longest, spec.Classes[i].DeadlineMS)
@@ -134,13 +134,13 @@
 // ledger lets a world be made before its referee, which needs the world's clock.
 type ledger struct {
 	world.Ledger
-	see func(c *world.Call, status int) // nil for nobody
+	onOutcome func(c *world.Call, status int) // nil for nobody
 }
 
 func (l *ledger) Outcome(c *world.Call, status int) {
 	l.Ledger.Outcome(c, status)
-	if l.see != nil {
-		l.see(c, status)
+	if l.onOutcome != nil {
+		l.onOutcome(c, status)
 	}
 }
 
@@ -150,20 +150,20 @@
 	nodes []*node
 }
 
-func (e *engine) Up(c *world.Conn)                   { e.nodes[c.Sender].up(c) }
-func (e *engine) Down(c *world.Conn, why world.Seen) { e.nodes[c.Sender].down(c, why) }
+func (e *engine) ConnUp(c *world.Conn)                      { e.nodes[c.Sender].connUp(c) }
+func (e *engine) ConnDown(c *world.Conn, why world.ConnEnd) { e.nodes[c.Sender].connDown(c, why) }
 func (e *engine) Answered(c *world.Conn, _ *world.Call, a world.Answer) {
 	e.nodes[c.Sender].answered(c, a)
 }
 func (e *engine) ListUpdate(to world.SenderNo, l world.List) { e.nodes[to].updateEndpoints(l) }
 func (e *engine) ListFailed(world.SenderNo)                  {} // the old list stays in force
-func (e *engine) HandIn(h *world.HandIn)                     { e.nodes[h.Sender].handIn(h) }
+func (e *engine) HandIn(h *world.HandIn)                     { e.nodes[h.Sender].admit(h) }
 
-// Accepting needs nothing here: Dial asks the world itself.
-func (e *engine) Accepting(*world.Endpoint, bool) {}
+// AcceptingChanged needs nothing here: Dial asks the world itself.
+func (e *engine) AcceptingChanged(*world.Endpoint, bool) {}
 
-// Note has nowhere to go: this sender listens for none.
-func (e *engine) Note(world.SenderNo, world.SenderNo, []byte) {}
+// Datagram has nowhere to go: this sender listens for none.
+func (e *engine) Datagram(world.SenderNo, world.SenderNo, []byte) {}
 
 func (e *engine) Act(on world.SenderNo, what world.Act) {
 	n := e.nodes[on]
@@ -175,7 +175,7 @@
 			return // two troubles that overlap have killed it once
 		}
 		// The list it finds is the one from the start of the run, as after a bad night.
-		if err := n.start(e.w.First()); err != nil {
+		if err := n.start(e.w.InitialList()); err != nil {
 			panic(err) // the same settings were read before
 		}
 	case world.Term:
--- a/lab/sim/sim_test.go
+++ b/lab/sim/sim_test.go
@@ -22,8 +22,8 @@
 		{Name: "order", Repeat: "single-use", Share: 1, LatencyObjectiveMS: 3000, DeadlineMS: 9000, Value: 3, LateValue: 0.5},
 		{Name: "booking", Repeat: "tokened", ZoneGroup: true, WindowS: 3, Share: 1, LatencyObjectiveMS: 2000, DeadlineMS: 8000, Value: 2, LateValue: 0.2},
 	}
-	s.Partners = []world.Kind{{Name: "small", Count: 8, RetryAfterShare: 0.4, Reports: true, Table: 20, ShakeMS: 10},
-		{Name: "bulk", Count: 4, Bundle: 5, Endpoints: world.Pair{2, 3}, Apart: true, Reports: true}}
+	s.Partners = []world.Kind{{Name: "small", Count: 8, RetryAfterShare: 0.4, Reports: true, MaxConnections: 20, HandshakeMS: 10},
+		{Name: "bulk", Count: 4, Bundle: 5, Endpoints: world.Pair{2, 3}, SeparateRoutes: true, Reports: true}}
 	s.Defaults()
 	return &s
 }
@@ -42,7 +42,7 @@
 
 func brief(v *referee.Verdict) string {
 	c := *v
-	c.Seconds, c.Engines = nil, nil
+	c.Seconds, c.EngineFigures = nil, nil
 	text, _ := json.Marshal(c)
 	return string(text)
 }
@@ -65,12 +65,12 @@
 	}
 	slices.Sort(kinds)
 	for _, kind := range kinds {
-		part := world.Part{Share: 0.3}
-		spec.Faults = append(spec.Faults, world.Fault{Kind: kind, At: at, Seconds: 3, Part: part})
+		part := world.Selector{Share: 0.3}
+		spec.Faults = append(spec.Faults, world.Fault{Kind: kind, At: at, Seconds: 3, Selector: part})
 		at++
 	}
-	spec.Changes = []world.ListEvent{{What: "remove", At: 5, Part: world.Part{Partners: []int{1}}},
-		{What: "back", At: 15, Restart: true, Part: world.Part{Partners: []int{1}}}, {What: "move", At: 20, Part: world.Part{Partners: []int{2}}}}
+	spec.Changes = []world.ListEvent{{Change: "remove", At: 5, Selector: world.Selector{Partners: []int{1}}},
+		{Change: "back", At: 15, Restart: true, Selector: world.Selector{Partners: []int{1}}}, {Change: "move", At: 20, Selector: world.Selector{Partners: []int{2}}}}
 	spec.Defaults()
 	first, again := run(t, sim.Options{Spec: spec, Seed: 7}), run(t, sim.Options{Spec: spec, Seed: 7})
 	if brief(first) != brief(again) {
@@ -80,7 +80,7 @@
 		t.Error("another seed gives the same run")
 	}
 	if first.Broken() {
-		t.Errorf("rules broken: %v", first.Breaks)
+		t.Errorf("rules broken: %v", first.Violations)
 	}
 }
 
@@ -96,7 +96,7 @@
 		"refusing":        func(v *referee.Verdict) bool { return v.Refusals > calm.Refusals },
 		"refusing_bursts": func(v *referee.Verdict) bool { return v.Refusals > calm.Refusals+10 },
 		"refusing_first":  func(v *referee.Verdict) bool { return v.Refusals > calm.Refusals+10 },
-		"lying":           func(v *referee.Verdict) bool { return v.Refusals > calm.Refusals && v.Lied > 0 },
+		"lying":           func(v *referee.Verdict) bool { return v.Refusals > calm.Refusals && v.FalselyRefused > 0 },
 		"slow":            func(v *referee.Verdict) bool { return v.InTime < calm.InTime },
 		"pausing":         func(v *referee.Verdict) bool { return v.Classes[0].Delivery.P99 > calm.Classes[0].Delivery.P99 },
 		"no_connections":  func(v *referee.Verdict) bool { return v.Delivered != calm.Delivered || v.InTime < calm.InTime },
@@ -105,17 +105,17 @@
 		"resets":          func(v *referee.Verdict) bool { return v.FailedCalls > calm.FailedCalls+3 },
 		"spoilt":          func(v *referee.Verdict) bool { return v.Wasted > calm.Wasted },
 		"sender_kill":     func(v *referee.Verdict) bool { return v.NoSender > 0 || v.InTime < calm.InTime },
-		"sender_pause":    func(v *referee.Verdict) bool { return v.Unheard > 0 },
-		"sender_cut_off":  func(v *referee.Verdict) bool { return v.Unheard > 0 },
+		"sender_pause":    func(v *referee.Verdict) bool { return v.Unanswered > 0 },
+		"sender_cut_off":  func(v *referee.Verdict) bool { return v.Unanswered > 0 },
 		"surge":           func(v *referee.Verdict) bool { return v.Asked > calm.Asked+100 },
-		"impatient":       func(v *referee.Verdict) bool { return v.Unheard > calm.Unheard },
+		"impatient":       func(v *referee.Verdict) bool { return v.Unanswered > calm.Unanswered },
 	} {
 		t.Run(kind, func(t *testing.T) {
 			spec := small()
 			fault := world.Fault{Kind: kind, At: 5, Seconds: 8}
-			switch world.FaultKinds[kind].Strikes {
+			switch world.FaultKinds[kind].Affects {
 			case "senders":
-				fault.Part.Share = 0.4
+				fault.Selector.Share = 0.4
 			}
 			switch kind {
 			case "impatient":
@@ -130,7 +130,7 @@
 				t.Errorf("not felt: %s\ncalm: %s", brief(v), brief(calm))
 			}
 			if v.Broken() {
-				t.Errorf("rules broken: %v", v.Breaks)
+				t.Errorf("rules broken: %v", v.Violations)
 			}
 		})
 	}
@@ -144,7 +144,7 @@
 	}
 	spec := small()
 	spec.Partners[0].Endpoints = world.Pair{2, 2}
-	spec.Faults = []world.Fault{{Kind: "crash", At: 5, Seconds: 5, Part: world.Part{Share: 0.2}}}
+	spec.Faults = []world.Fault{{Kind: "crash", At: 5, Seconds: 5, Selector: world.Selector{Share: 0.2}}}
 	spec.Defaults()
 	used, bars := 0, true
 	o := sim.Options{Spec: spec, Seed: 3, Allowed: func(_ choice.Time, _ world.SenderNo, n choice.MessageID, e choice.EndpointID) bool {
@@ -172,8 +172,8 @@
 	spec := small()
 	spec.Seconds = 40
 	spec.Partners[0].ErrorShare, spec.Partners[1].ErrorShare = 0.05, 0.05
-	spec.Faults = []world.Fault{{Kind: "crash", At: 5, Seconds: 10, Part: world.Part{Share: 0.3, Endpoint: 1}},
-		{Kind: "slow", At: 20, Seconds: 8, Part: world.Part{Share: 0.3}}}
+	spec.Faults = []world.Fault{{Kind: "crash", At: 5, Seconds: 10, Selector: world.Selector{Share: 0.3, Endpoint: 1}},
+		{Kind: "slow", At: 20, Seconds: 8, Selector: world.Selector{Share: 0.3}}}
 	spec.Defaults()
 	service := map[string]float64{}
 	for name := range baseline.Kinds {
--- a/lab/world/check.go
+++ b/lab/world/check.go
@@ -80,8 +80,8 @@
 	c.within("sender.slots", float64(s.InFlightLimit), 0, 1e5)
 	c.within("sender.max_open", float64(s.MaxOpen), 0, 1e7)
 	c.within("sender.max_dispatches", float64(s.MaxAttempts), 1, 1000)
-	c.within("sender.turn_ms", s.TurnMS, 0.1, 1000)
-	c.within("sender.longest_return_ms", s.LongestMS, 0, 1e5)
+	c.within("sender.turn_ms", s.TickMS, 0.1, 1000)
+	c.within("sender.longest_return_ms", s.LongestRetryAfterMS, 0, 1e5)
 	c.within("sender.dial_ms", s.DialMS, 1, 1e5)
 	c.within("sender.memory_mb", float64(s.MemoryMB), 16, 1<<20)
 	c.within("sender.sockets", float64(s.Sockets), 64, 1<<20)
@@ -91,9 +91,9 @@
 
 func (c *checker) clients(s *Clients) {
 	c.within("clients.retries", float64(s.Retries), 0, 100)
-	c.within("clients.honour", s.Honour, 0, 1)
+	c.within("clients.honour", s.HonourRetryAfter, 0, 1)
 	c.pair("clients.backoff_ms", s.BackoffMS, 1, 1e6)
-	c.pair("clients.again_ms", s.AgainMS, 1, 1e6)
+	c.pair("clients.again_ms", s.RetryMS, 1, 1e6)
 	c.within("clients.patience_ms", s.PatienceMS, 1, 1e6)
 }
 
@@ -143,7 +143,7 @@
 
 func (c *checker) partner(at string, k *Kind) {
 	c.within(at+"count", float64(k.Count), 1, 1e5)
-	c.pair(at+"endpoints", k.Endpoints, 1, mostEndpoints)
+	c.pair(at+"endpoints", k.Endpoints, 1, maxEndpoints)
 	c.pair(at+"mean_ms", k.MeanMS, 0.1, 1e5)
 	c.within(at+"sigma", k.Sigma, 0, 3)
 	c.pair(at+"headroom", k.Headroom, 0.05, 1000)
@@ -155,8 +155,8 @@
 	c.within(at+"told_waits", k.RetryAfterShare, 0, 1)
 	c.within(at+"report_ms", k.ReportMS, 0, 1e5)
 	c.within(at+"bundle", float64(k.Bundle), 1, 1000)
-	c.within(at+"connections", float64(k.Table), 0, 1e6)
-	c.within(at+"handshake_ms", k.ShakeMS, 0, 1e5)
+	c.within(at+"connections", float64(k.MaxConnections), 0, 1e6)
+	c.within(at+"handshake_ms", k.HandshakeMS, 0, 1e5)
 	c.within(at+"idle_s", k.IdleS, 0.5, 1e5)
 	c.within(at+"cold_s", k.SlowStartS, 0.1, 1e4)
 	c.within(at+"cold_from", k.SlowStartFrom, 0.01, 1)
@@ -181,7 +181,7 @@
 			c.within(at+"amount", t.Amount, kind.Least, kind.Most)
 		}
 		c.within(at+"every_s", t.Every, 0.05, 1e5)
-		if what := s.partOf(&t.Part, kind.Strikes); what != "" {
+		if what := s.selectorProblem(&t.Selector, kind.Affects); what != "" {
 			c.wrong(at+"part", "%s", what)
 		}
 	}
@@ -190,19 +190,19 @@
 func (c *checker) changes(s *Spec) {
 	for i := range s.Changes {
 		change, at := &s.Changes[i], fmt.Sprintf("change[%d].", i)
-		c.word(at+"what", change.What, "drain", "remove", "move", "back")
+		c.word(at+"what", change.Change, "drain", "remove", "move", "back")
 		c.within(at+"at", change.At, 0, s.Seconds)
-		if what := s.partOf(&change.Part, "endpoints"); what != "" {
+		if what := s.selectorProblem(&change.Selector, "endpoints"); what != "" {
 			c.wrong(at+"part", "%s", what)
 		}
 	}
 }
 
-// mostEndpoints is how many a partner may have.
-const mostEndpoints = 4
+// maxEndpoints is how many a partner may have.
+const maxEndpoints = 4
 
-// partOf tells why a part is a part of nothing.
-func (s *Spec) partOf(p *Part, strikes string) string {
+// selectorProblem tells why a part is a part of nothing.
+func (s *Spec) selectorProblem(p *Selector, strikes string) string {
 	named, total := 0, 0
 	for i := range s.Partners {
 		total += s.Partners[i].Count
@@ -215,8 +215,8 @@
 		return fmt.Sprintf("no kind of partner is called %q", p.Kind)
 	case p.Zone < 0 || p.Zone > s.Zones:
 		return fmt.Sprintf("zone %d of %d", p.Zone, s.Zones)
-	case p.Endpoint < 0 || p.Endpoint > mostEndpoints:
-		return fmt.Sprintf("endpoint %d is not within 0 and %d", p.Endpoint, mostEndpoints)
+	case p.Endpoint < 0 || p.Endpoint > maxEndpoints:
+		return fmt.Sprintf("endpoint %d is not within 0 and %d", p.Endpoint, maxEndpoints)
 	case !(p.Share >= 0 && p.Share <= 1): // so that NaN is wrong too
 		return fmt.Sprintf("share %g is not within 0 and 1", p.Share)
 	}
@@ -226,7 +226,7 @@
 	if n, out := outside(p.Senders, s.Senders); out {
 		return fmt.Sprintf("sender %d of %d, counted from 0", n, s.Senders)
 	}
-	return p.strikes(strikes)
+	return p.mismatch(strikes)
 }
 
 // outside is the first number that counts none of so many.
@@ -239,8 +239,8 @@
 	return 0, false
 }
 
-// strikes tells why a part is none of what a trouble strikes.
-func (p *Part) strikes(what string) string {
+// mismatch tells why a part is none of what a trouble mismatch.
+func (p *Selector) mismatch(what string) string {
 	switch what {
 	case "senders":
 		if p.Kind != "" || len(p.Partners) > 0 || p.Endpoint != 0 {
--- a/lab/world/clients.go
+++ b/lab/world/clients.go
@@ -9,15 +9,15 @@
 	"flaxcove/lab/load"
 )
 
-// Heard is what a program was told of a hand-in.
-type Heard int
+// HandInAnswer is what a program was told of a hand-in.
+type HandInAnswer int
 
 const (
-	HeardNothing Heard = iota
-	HeardOK
-	HeardBusy
-	HeardError
-	HeardNoSender // the connection was refused or ended
+	HandInUnanswered HandInAnswer = iota
+	HandInAccepted
+	HandInBusy
+	HandInError
+	HandInNoSender // the connection was refused or ended
 )
 
 // End is how the platform was told that a message ended.
@@ -41,15 +41,15 @@
 
 // HandIn is one hand-in of an ask; each has an id of its own.
 type HandIn struct {
-	ID       choice.MessageID
-	Ask      *Ask
-	Sender   SenderNo
-	At       Time
-	Deadline Time
-	Unknown  bool // no program handed it in
-	Lied     int  // runs that its partner answered with a refusal
+	ID             choice.MessageID
+	Ask            *Ask
+	Sender         SenderNo
+	At             Time
+	Deadline       Time
+	Unknown        bool // no program handed it in
+	FalselyRefused int  // runs that its partner answered with a refusal
 
-	heard    Heard
+	answer   HandInAnswer
 	settled  bool // heard, or waited for in vain
 	ended    bool
 	attempts int
@@ -78,14 +78,14 @@
 		switch t.Kind {
 		case "surge":
 			bend.Factor = t.Amount
-			if len(t.Part.Senders) > 0 {
-				bend.Sender = t.Part.Senders[0]
+			if len(t.Selector.Senders) > 0 {
+				bend.Sender = t.Selector.Senders[0]
 			}
 		case "fixed":
 			bend.Share = t.Amount
-			bend.Partner = int(w.partnersOf(&t.Part, int64(i))[0].No)
-			if len(t.Part.Senders) > 0 {
-				bend.Sender = t.Part.Senders[0]
+			bend.Partner = int(w.partnersOf(&t.Selector, int64(i))[0].No)
+			if len(t.Selector.Senders) > 0 {
+				bend.Sender = t.Selector.Senders[0]
 			}
 		default:
 			continue
@@ -103,12 +103,12 @@
 		return
 	}
 	w.At(a.At, func() {
-		w.asked(a)
+		w.requestArrived(a)
 		w.nextArrival()
 	})
 }
 
-func (w *World) asked(a load.Arrival) {
+func (w *World) requestArrived(a load.Arrival) {
 	class := &w.Spec.Classes[a.Class]
 	ask := &Ask{Arrival: a, No: AskNo(a.Ask), Class: class, Deadline: a.At + ms(class.DeadlineMS)}
 	w.ledger.Asked(ask)
@@ -122,7 +122,7 @@
 		return
 	}
 	for range w.senders {
-		if w.senders[to].up || w.Spec.Clients.Own {
+		if w.senders[to].serving || w.Spec.Clients.OwnSender {
 			break
 		}
 		to = (to + 1) % SenderNo(len(w.senders))
@@ -130,20 +130,20 @@
 	a.Tries++
 	h := &HandIn{ID: choice.MessageID(fmt.Sprintf("%08x%08x", uint32(a.No), uint32(a.Tries)|uint32(to)<<16)), Ask: a, Sender: to, At: w.now,
 		Deadline: a.Deadline}
-	if !w.senders[to].up {
-		w.later(a, (to+1)%SenderNo(len(w.senders)))
+	if !w.senders[to].serving {
+		w.handInElsewhere(a, (to+1)%SenderNo(len(w.senders)))
 		return
 	}
 	w.byMessage[h.ID] = h
 	w.At(h.Deadline+ms(w.Spec.Rules.LateMS)+forgetAfter, func() { w.forget(h) })
 	w.ledger.HandedIn(h)
-	if !w.senders[to].cut {
+	if !w.senders[to].isolated {
 		w.wire.HandIn(h)
 	}
-	w.After(w.senders[to].patient, func() {
+	w.After(w.senders[to].patience, func() {
 		if !h.settled {
-			w.heard(h, HeardNothing)
-			w.later(a, (to+1)%SenderNo(len(w.senders)))
+			w.settle(h, HandInUnanswered)
+			w.handInElsewhere(a, (to+1)%SenderNo(len(w.senders)))
 		}
 	})
 }
@@ -154,7 +154,7 @@
 // forget drops a hand-in once nothing can be heard of it any more. One that was taken on is waited for: its sender may
 // be away for long and end it on its return.
 func (w *World) forget(h *HandIn) {
-	if h.heard == HeardOK && !h.ended && w.now < w.end+forgetAfter {
+	if h.answer == HandInAccepted && !h.ended && w.now < w.end+forgetAfter {
 		w.After(forgetAfter, func() { w.forget(h) })
 		return
 	}
@@ -163,43 +163,43 @@
 
 // Abandoned tells whether its program has stopped waiting for an answer to it: what its sender does with it from then
 // on counts for nothing.
-func (h *HandIn) Abandoned() bool { return h.heard == HeardNothing && h.settled }
+func (h *HandIn) Abandoned() bool { return h.answer == HandInUnanswered && h.settled }
 
-// later hands in again where no sender took it.
-func (w *World) later(a *Ask, to SenderNo) {
-	if w.Spec.Clients.Own {
+// handInElsewhere hands in again where no sender took it.
+func (w *World) handInElsewhere(a *Ask, to SenderNo) {
+	if w.Spec.Clients.OwnSender {
 		to = SenderNo(a.Sender)
 	}
-	wait := ms(w.within(w.Spec.Clients.AgainMS, "again", int64(a.No), int64(a.Tries)))
+	wait := ms(w.within(w.Spec.Clients.RetryMS, "again", int64(a.No), int64(a.Tries)))
 	w.After(wait, func() { w.handIn(a, to) })
 }
 
-func (w *World) heard(h *HandIn, what Heard) bool {
+func (w *World) settle(h *HandIn, what HandInAnswer) bool {
 	if h.settled {
 		return false
 	}
-	h.settled, h.heard = true, what
-	w.ledger.Heard(h, what)
+	h.settled, h.answer = true, what
+	w.ledger.HandInAnswered(h, what)
 	return true
 }
 
-// Answered is what a sender said to a hand-in; ms goes with HeardBusy, 0 for none.
-func (w *World) Answered(h *HandIn, what Heard, comeBackMS int64) {
-	if !w.heard(h, what) {
+// Answered is what a sender said to a hand-in; ms goes with HandInBusy, 0 for none.
+func (w *World) Answered(h *HandIn, what HandInAnswer, comeBackMS int64) {
+	if !w.settle(h, what) {
 		return
 	}
 	switch what {
-	case HeardBusy:
-		w.shed(h, comeBackMS)
-	case HeardNoSender:
-		w.later(h.Ask, (h.Sender+1)%SenderNo(len(w.senders)))
-	case HeardError:
+	case HandInBusy:
+		w.handInAgain(h, comeBackMS)
+	case HandInNoSender:
+		w.handInElsewhere(h.Ask, (h.Sender+1)%SenderNo(len(w.senders)))
+	case HandInError:
 		h.Ask.over = true
 	}
 }
 
-// shed has the program come again, if it does.
-func (w *World) shed(h *HandIn, comeBackMS int64) {
+// handInAgain has the program come again, if it does.
+func (w *World) handInAgain(h *HandIn, comeBackMS int64) {
 	a, c := h.Ask, &w.Spec.Clients
 	if a.over {
 		return
@@ -210,7 +210,7 @@
 	}
 	a.repeats++
 	wait := ms(w.within(c.BackoffMS, "backoff", int64(a.No), int64(a.repeats)))
-	if comeBackMS > 0 && w.draw("honour", int64(a.No)) < c.Honour {
+	if comeBackMS > 0 && w.draw("honour", int64(a.No)) < c.HonourRetryAfter {
 		wait = Time(comeBackMS) * Millisecond
 	}
 	w.After(wait, func() { w.handIn(a, h.Sender) })
@@ -228,9 +228,9 @@
 	}
 	h.ended = true
 	// Only what its program still waits for comes again; of an abandoned hand-in it has forgotten the id.
-	if h.heard == HeardOK {
+	if h.answer == HandInAccepted {
 		if what == EndHandedBack {
-			w.shed(h, comeBackMS)
+			w.handInAgain(h, comeBackMS)
 		} else {
 			h.Ask.over = true
 		}
@@ -240,7 +240,7 @@
 
 func (w *World) delivered(h *HandIn) {
 	h.ended = true
-	h.Ask.over = h.Ask.over || h.heard == HeardOK
+	h.Ask.over = h.Ask.over || h.answer == HandInAccepted
 }
 
 // senderGone settles the hand-ins that its end left without an answer.
@@ -253,6 +253,6 @@
 	}
 	sortHandIns(cut)
 	for _, h := range cut {
-		w.Answered(h, HeardNoSender, 0)
+		w.Answered(h, HandInNoSender, 0)
 	}
 }
--- a/lab/world/connections.go
+++ b/lab/world/connections.go
@@ -12,21 +12,21 @@
 	c := &Conn{No: w.conns, Sender: s}
 	e := w.byID[id]
 	if e == nil {
-		w.After(Millisecond, func() { w.wire.Down(c, SeenRefused) })
+		w.After(Millisecond, func() { w.wire.ConnDown(c, ConnRefused) })
 		return c
 	}
 	c.Endpoint = e
 	w.calls++
-	there := w.way(s, e, int64(w.calls))
+	there := w.oneWayDelay(s, e, int64(w.calls))
 	w.After(2*there, func() {
 		switch {
-		case c.hung:
+		case c.closedBySender:
 		case addr != e.Addr || e.Stage == choice.Gone || !e.accepts(w.now):
-			w.saw(e, s)
-			w.wire.Down(c, SeenRefused)
+			w.noteFailureSeen(e, s)
+			w.wire.ConnDown(c, ConnRefused)
 		default:
 			w.admit(c)
-			w.wire.Up(c)
+			w.wire.ConnUp(c)
 		}
 	})
 	return c
@@ -48,7 +48,7 @@
 func (w *World) admit(c *Conn) {
 	e := c.Endpoint
 	c.up = true
-	c.crowded = e.Partner.Kind.Table > 0 && len(e.conns) >= e.Partner.Kind.Table
+	c.overLimit = e.Partner.Kind.MaxConnections > 0 && len(e.conns) >= e.Partner.Kind.MaxConnections
 	e.conns[c] = struct{}{}
 	w.watchIdle(c)
 }
@@ -58,56 +58,56 @@
 	c.idleAt = w.now
 	at := w.now
 	w.After(seconds(c.Endpoint.Partner.Kind.IdleS), func() {
-		if c.call == nil && c.idleAt == at && !c.gone && !c.hung {
-			w.drop(c, true)
+		if c.call == nil && c.idleAt == at && !c.closedAtEndpoint && !c.closedBySender {
+			w.closeAtEndpoint(c, true)
 		}
 	})
 }
 
-// drop ends a connection from the endpoint's side; tell says whether its sender learns of it.
-func (w *World) drop(c *Conn, tell bool) {
-	if c.gone {
+// closeAtEndpoint ends a connection from the endpoint's side; tell says whether its sender learns of it.
+func (w *World) closeAtEndpoint(c *Conn, tell bool) {
+	if c.closedAtEndpoint {
 		return
 	}
-	c.gone = true
+	c.closedAtEndpoint = true
 	delete(c.Endpoint.conns, c)
 	if call := c.call; call != nil {
 		w.unqueue(call)
-		w.setOut(call, false)
+		w.setInFlight(call, false)
 	}
-	if tell && !c.hung {
+	if tell && !c.closedBySender {
 		c.notified = true
-		w.After(w.way(c.Sender, c.Endpoint, int64(c.carried)), func() {
-			if !c.hung && !w.senders[c.Sender].cut {
-				w.wire.Down(c, SeenBroken)
+		w.After(w.oneWayDelay(c.Sender, c.Endpoint, int64(c.carried)), func() {
+			if !c.closedBySender && !w.senders[c.Sender].isolated {
+				w.wire.ConnDown(c, ConnReset)
 			}
 		})
 	}
 }
 
-// Hang ends a connection from its sender's side.
-func (w *World) Hang(c *Conn) {
-	if c.hung {
+// CloseBySender ends a connection from its sender's side.
+func (w *World) CloseBySender(c *Conn) {
+	if c.closedBySender {
 		return
 	}
-	c.hung = true
+	c.closedBySender = true
 	if call := c.call; call != nil {
-		w.setOut(call, false) // an end and a later call leave their sender in this order, however long each takes
+		w.setInFlight(call, false) // an end and a later call leave their sender in this order, however long each takes
 	}
 	e := c.Endpoint
-	if e == nil || c.gone {
+	if e == nil || c.closedAtEndpoint {
 		return
 	}
-	w.After(w.way(c.Sender, e, int64(c.carried)), func() {
-		if !c.gone {
-			c.gone = true
+	w.After(w.oneWayDelay(c.Sender, e, int64(c.carried)), func() {
+		if !c.closedAtEndpoint {
+			c.closedAtEndpoint = true
 			delete(e.conns, c)
 			if c.call != nil {
-				w.saw(e, c.Sender) // who gave a call up there has seen it fail
+				w.noteFailureSeen(e, c.Sender) // who gave a call up there has seen it fail
 			}
 		}
 	})
 	if c.call != nil && e.out {
-		w.saw(e, c.Sender)
+		w.noteFailureSeen(e, c.Sender)
 	}
 }
--- a/lab/world/defaults.go
+++ b/lab/world/defaults.go
@@ -13,9 +13,9 @@
 		Name: "unnamed", Seconds: 30, Senders: 2, Zones: 1, Halving: true,
 		Network:   Network{SameMS: Pair{1, 3}, CrossMS: Pair{8, 20}, Jitter: 0.2},
 		Discovery: Discovery{DelayMS: Pair{300, 1500}},
-		Sender: SenderSpec{MaxAttempts: 12, TurnMS: 5, Probing: true, LongestMS: 2000, DialMS: 1000, Rating: "rough",
+		Sender: SenderSpec{MaxAttempts: 12, TickMS: 5, Probing: true, LongestRetryAfterMS: 2000, DialMS: 1000, Rating: "rough",
 			MemoryMB: 192, Sockets: 1024, DiskMB: 8},
-		Clients: Clients{Retries: 3, Honour: 0.7, BackoffMS: Pair{500, 1200}, AgainMS: Pair{300, 900}, PatienceMS: 400},
+		Clients: Clients{Retries: 3, HonourRetryAfter: 0.7, BackoffMS: Pair{500, 1200}, RetryMS: Pair{300, 900}, PatienceMS: 400},
 		Prices:  Prices{Refused: 0.05, Wasted: 0.05},
 		Rules:   Rules{DrainGraceMS: 500, FallMultiple: 2.5, FallS: 1.5, KeyRestMS: 500, LateMS: 350},
 	}
--- a/lab/world/directory.go
+++ b/lab/world/directory.go
@@ -14,11 +14,11 @@
 	Version int64
 	Full    bool
 	Stale   bool // it is what an earlier life held
-	Entries []Listed
+	Entries []ListEntry
 }
 
-// Listed is one endpoint of a list. Address counts its addresses from 0.
-type Listed struct {
+// ListEntry is one endpoint of a list. Address counts its addresses from 0.
+type ListEntry struct {
 	Endpoint *Endpoint
 	Stage    choice.Stage
 	Address  int
@@ -27,7 +27,7 @@
 // listState is discovery itself.
 type listState struct {
 	version int64
-	first   []Listed     // as it was at the start
+	first   []ListEntry  // as it was at the start
 	changes []listChange // in order of version
 	late    Time
 	stale   int // troubles that withhold changes
@@ -36,7 +36,7 @@
 
 type listChange struct {
 	version int64
-	entry   Listed
+	entry   ListEntry
 }
 
 func sortHandIns(h []*HandIn) {
@@ -54,24 +54,26 @@
 	return 0
 }
 
-// Whole is the list as discovery holds it now.
-func (w *World) Whole() List {
+// FullList is the list as discovery holds it now.
+func (w *World) FullList() List {
 	l := List{Version: w.list.version, Full: true}
 	for _, e := range w.Endpoints {
 		if e.Stage != choice.Gone {
-			l.Entries = append(l.Entries, Listed{e, e.Stage, e.Addr})
+			l.Entries = append(l.Entries, ListEntry{e, e.Stage, e.Addr})
 		}
 	}
 	return l
 }
 
-// First is the list as it was at the start of the run: what a returning sender may know.
-func (w *World) First() List { return List{Version: 0, Full: true, Stale: true, Entries: w.list.first} }
+// InitialList is the list as it was at the start of the run: what a returning sender may know.
+func (w *World) InitialList() List {
+	return List{Version: 0, Full: true, Stale: true, Entries: w.list.first}
+}
 
 // Watch is a sender asking for the list from a version on. It is answered in its time, with what is new or the whole.
 func (w *World) Watch(s SenderNo, since int64) {
 	st := w.senders[s]
-	st.hello = true
+	st.watching = true
 	st.version = since
 	if w.list.silent > 0 {
 		w.wire.ListFailed(s)
@@ -91,12 +93,12 @@
 // pushUpdate brings a sender up to what discovery lets out.
 func (w *World) pushUpdate(s SenderNo) {
 	st := w.senders[s]
-	if !st.hello || st.cut || st.held || w.list.stale > 0 || w.list.silent > 0 {
+	if !st.watching || st.isolated || st.updatesHeld || w.list.stale > 0 || w.list.silent > 0 {
 		return
 	}
 	l := List{Version: w.list.version, Full: st.version == 0}
 	if l.Full {
-		l = w.Whole()
+		l = w.FullList()
 	} else {
 		for _, c := range w.list.changes {
 			if c.version > st.version {
@@ -126,16 +128,16 @@
 	w.wire.ListUpdate(s, l)
 }
 
-// changed lets out one change of the list.
-func (w *World) changed(e *Endpoint, stage choice.Stage) {
+// changeStage lets out one change of the list.
+func (w *World) changeStage(e *Endpoint, stage choice.Stage) {
 	e.Stage = stage
 	w.list.version++
 	v := w.list.version
-	w.list.changes = append(w.list.changes, listChange{v, Listed{e, stage, e.Addr}})
+	w.list.changes = append(w.list.changes, listChange{v, ListEntry{e, stage, e.Addr}})
 	for i := range w.senders {
 		st := w.senders[i]
-		at := max(w.now+w.updateDelay(SenderNo(i), v), st.lastWay)
-		st.lastWay = at
+		at := max(w.now+w.updateDelay(SenderNo(i), v), st.lastUpdateAt)
+		st.lastUpdateAt = at
 		w.At(at, func() { w.pushUpdate(SenderNo(i)) })
 	}
 }
@@ -143,33 +145,33 @@
 func (w *World) planChanges() {
 	w.list.version = 1
 	for _, e := range w.Endpoints {
-		w.list.first = append(w.list.first, Listed{e, e.Stage, e.Addr})
+		w.list.first = append(w.list.first, ListEntry{e, e.Stage, e.Addr})
 	}
 	for i := range w.Spec.Changes {
 		c := &w.Spec.Changes[i]
 		w.At(seconds(c.At), func() {
-			for _, e := range w.endpointsOf(&c.Part, int64(1000+i)) {
-				switch c.What {
+			for _, e := range w.endpointsOf(&c.Selector, int64(1000+i)) {
+				switch c.Change {
 				case "drain":
-					w.changed(e, choice.Draining)
+					w.changeStage(e, choice.Draining)
 				case "remove":
-					w.changed(e, choice.Gone)
-					w.breakAll(e)
+					w.changeStage(e, choice.Gone)
+					w.crashProcess(e)
 				case "move":
-					w.breakAll(e)
+					w.crashProcess(e)
 					e.Addr++
-					w.wire.Accepting(e, e.accepts(w.now))
+					w.wire.AcceptingChanged(e, e.accepts(w.now))
 					if c.Restart {
-						w.outage(e, true)
-						w.outage(e, false)
+						w.setOutage(e, true)
+						w.setOutage(e, false)
 					}
-					w.changed(e, choice.Ready)
+					w.changeStage(e, choice.Ready)
 				case "back":
 					if c.Restart {
-						w.outage(e, true)
-						w.outage(e, false)
+						w.setOutage(e, true)
+						w.setOutage(e, false)
 					}
-					w.changed(e, choice.Ready)
+					w.changeStage(e, choice.Ready)
 				}
 			}
 		})
--- a/lab/world/effects.go
+++ b/lab/world/effects.go
@@ -61,11 +61,11 @@
 
 // pausedUntil is when an endpoint that stands still goes on; 0 where it does not.
 func (w *World) pausedUntil(e *Endpoint) Time {
-	if e.fx.pauseFor == 0 {
+	if e.effects.pauseFor == 0 {
 		return 0
 	}
-	from := (w.now - e.fx.pauseFrom) / e.fx.pauseEvery * e.fx.pauseEvery
-	if end := e.fx.pauseFrom + from + e.fx.pauseFor; w.now < end {
+	from := (w.now - e.effects.pauseFrom) / e.effects.pauseEvery * e.effects.pauseEvery
+	if end := e.effects.pauseFrom + from + e.effects.pauseFor; w.now < end {
 		return end
 	}
 	return 0
--- a/lab/world/endpoint.go
+++ b/lab/world/endpoint.go
@@ -6,8 +6,8 @@
 	"flaxcove/choice"
 )
 
-// rideWork is what a further message in a call adds to the work of the first.
-const rideWork = 0.15
+// bulkMessageWork is what a further message in a call adds to the work of the first.
+const bulkMessageWork = 0.15
 
 // Partner is one partner system, the destination of messages.
 type Partner struct {
@@ -34,14 +34,14 @@
 	mean            float64 // tenths of a millisecond
 	slots, queueMax int
 	limit           *limit
-	fx              effects
+	effects         effects
 	busy            int
 	queue           []*Call // those that wait; bounded by queueMax
 	conns           map[*Conn]struct{}
 	out             bool // an outage, as the rule on returns counts it
 	since           Time // of the outage, or of the return
 	warmFrom        Time
-	sawFail         map[SenderNo]struct{} // who saw a call fail in the present or last outage; emptied with the next
+	sawFailure      map[SenderNo]struct{} // who saw a call fail in the present or last outage; emptied with the next
 	recent          []arrival             // over the rule's span while cold
 	downUntil       Time
 	report          choice.Report
@@ -60,18 +60,18 @@
 
 // Conn is one connection from a sender to an endpoint.
 type Conn struct {
-	No       int64
-	Sender   SenderNo
-	Endpoint *Endpoint
-	Engine   any // the engine's own
-	up       bool
-	gone     bool // ended at the endpoint's side
-	hung     bool // ended at the sender's side
-	notified bool // the sender hears of the end by itself
-	carried  int
-	idleAt   Time
-	call     *Call
-	crowded  bool // it came past the table's end
+	No               int64
+	Sender           SenderNo
+	Endpoint         *Endpoint
+	Engine           any // the engine's own
+	up               bool
+	closedAtEndpoint bool // ended at the endpoint's side
+	closedBySender   bool // ended at the sender's side
+	notified         bool // the sender hears of the end by itself
+	carried          int
+	idleAt           Time
+	call             *Call
+	overLimit        bool // it came past the table's end
 }
 
 // Call is one attempt on its way: a request with one or several messages, or a probe.
@@ -82,7 +82,7 @@
 	Probe    bool
 	SentAt   Time
 	fresh    bool
-	out      bool // its sender may still get an answer
+	inFlight bool // its sender may still get an answer
 	running  bool
 	over     bool // it has left the endpoint, whatever became of it
 }
@@ -99,42 +99,42 @@
 	return e.Rate
 }
 
-// Well tells, for a policy that may see the truth, whether a call sent now would be answered, and how long it would
+// WouldAnswer tells, for a policy that may see the truth, whether a call sent now would be answered, and how long it would
 // wait there, in tenths of a millisecond. Mine is how many calls of its sender are out there, arrived or not.
-func (w *World) Well(id choice.EndpointID, mine int) (well bool, waiting float64) {
+func (w *World) WouldAnswer(id choice.EndpointID, mine int) (well bool, waiting float64) {
 	e := w.byID[id]
-	if e == nil || e.Stage == choice.Gone || e.unwell() || e.fx.failing > 0.5 || w.now < e.downUntil {
+	if e == nil || e.Stage == choice.Gone || e.unresponsive() || e.effects.failing > 0.5 || w.now < e.downUntil {
 		return false, 0
 	}
-	if l := e.limitOf(); l != nil && l.left(w.now, e.fx.limitLeft(w.now)) <= 0 {
+	if l := e.limitOf(); l != nil && l.left(w.now, e.effects.limitLeft(w.now)) <= 0 {
 		return false, 0
 	}
 	there := max(mine, e.busy+len(e.queue))
 	if there >= e.slots+e.queueMax {
 		return false, 0
 	}
-	return true, (float64(1+there) / float64(e.slots)) * e.mean * e.fx.slowness() / w.warmth(e)
+	return true, (float64(1+there) / float64(e.slots)) * e.mean * e.effects.slowness() / w.capacityShare(e)
 }
 
-func (w *World) setOut(c *Call, out bool) {
-	if c.out != out {
-		c.out = out
-		w.ledger.Moved(c, out)
+func (w *World) setInFlight(c *Call, out bool) {
+	if c.inFlight != out {
+		c.inFlight = out
+		w.ledger.InFlightChanged(c, out)
 	}
 }
 
 // Send is the first byte of a call leaving its sender; its last one follows at once.
 func (w *World) Send(c *Conn, messages []choice.MessageID, probe bool) *Call {
 	call := w.newCall(c, messages, probe)
-	w.After(w.way(c.Sender, c.Endpoint, int64(call.No)), func() { w.arrive(call) })
+	w.After(w.oneWayDelay(c.Sender, c.Endpoint, int64(call.No)), func() { w.arrive(call) })
 	return call
 }
 
-// Came is Send for an engine whose connections come up at once: the first call on one waits for as long as coming up
+// SendWithDialDelay is Send for an engine whose connections come up at once: the first call on one waits for as long as coming up
 // would have taken.
-func (w *World) Came(c *Conn, messages []choice.MessageID, probe bool) *Call {
+func (w *World) SendWithDialDelay(c *Conn, messages []choice.MessageID, probe bool) *Call {
 	call := w.newCall(c, messages, probe)
-	way := w.way(c.Sender, c.Endpoint, int64(call.No))
+	way := w.oneWayDelay(c.Sender, c.Endpoint, int64(call.No))
 	if call.fresh {
 		way *= 3
 	}
@@ -155,16 +155,18 @@
 	}
 	c.carried++
 	c.call = call
-	w.setOut(call, true)
-	w.ledger.Began(call)
+	w.setInFlight(call, true)
+	w.ledger.CallSent(call)
 	return call
 }
 
-func (e *Endpoint) unwell() bool {
-	return e.fx.crash || e.fx.shut || e.fx.silent || e.fx.hung || e.fx.cut || e.fx.deaf
+func (e *Endpoint) unresponsive() bool {
+	return e.effects.crash || e.effects.shut || e.effects.silent || e.effects.hung || e.effects.cut || e.effects.deaf
 }
 
-func (e *Endpoint) accepts(now Time) bool { return !e.fx.crash && !e.fx.refuse && now >= e.downUntil }
+func (e *Endpoint) accepts(now Time) bool {
+	return !e.effects.crash && !e.effects.refuse && now >= e.downUntil
+}
 
 // MeanMS is how long a call takes on average where nothing is wrong.
 func (w *World) MeanMS(e *Endpoint) float64 { return e.mean / float64(Millisecond) }
--- a/lab/world/fault.go
+++ b/lab/world/fault.go
@@ -9,35 +9,35 @@
 
 // planFaults puts all troubles of a spec among the events.
 func (w *World) planFaults() {
-	w.struck = make([]map[*Endpoint]bool, len(w.Spec.Faults))
+	w.affected = make([]map[*Endpoint]bool, len(w.Spec.Faults))
 	for i := range w.Spec.Faults {
 		t := &w.Spec.Faults[i]
 		no := int64(i)
 		from, to := seconds(t.At), seconds(t.At+t.Seconds)
-		switch FaultKinds[t.Kind].Strikes {
+		switch FaultKinds[t.Kind].Affects {
 		case "endpoints":
-			struck := w.endpointsOf(&t.Part, no)
+			struck := w.endpointsOf(&t.Selector, no)
 			set := map[*Endpoint]bool{}
 			for _, e := range struck {
 				set[e] = true
 			}
-			w.struck[i] = set
-			w.At(from, func() { w.strike(t, struck, true) })
-			w.At(to, func() { w.strike(t, struck, false) })
+			w.affected[i] = set
+			w.At(from, func() { w.switchFault(t, struck, true) })
+			w.At(to, func() { w.switchFault(t, struck, false) })
 		case "senders":
-			w.planSenders(t, w.sendersOf(&t.Part, no), from, to)
+			w.planSenders(t, w.sendersOf(&t.Selector, no), from, to)
 		case "discovery":
-			w.At(from, func() { w.strikeList(t, true) })
-			w.At(to, func() { w.strikeList(t, false) })
+			w.At(from, func() { w.switchDiscoveryFault(t, true) })
+			w.At(to, func() { w.switchDiscoveryFault(t, false) })
 		case "clients":
-			w.planClients(t, w.sendersOf(&Part{Zone: t.Part.Zone, Senders: t.Part.Senders}, no), from, to)
+			w.planClients(t, w.sendersOf(&Selector{Zone: t.Selector.Zone, Senders: t.Selector.Senders}, no), from, to)
 		}
 	}
 }
 
-// strike begins or ends a trouble of endpoints. Faults overlap freely: what holds for an endpoint is made anew from
+// switchFault begins or ends a trouble of endpoints. Faults overlap freely: what holds for an endpoint is made anew from
 // all that are on, so that the end of one does not lift another.
-func (w *World) strike(t *Fault, struck []*Endpoint, on bool) {
+func (w *World) switchFault(t *Fault, struck []*Endpoint, on bool) {
 	if on {
 		w.active = append(w.active, t)
 	} else {
@@ -45,16 +45,16 @@
 	}
 	w.ledger.Fault(t, on, len(struck))
 	for _, e := range struck {
-		was := e.fx
-		e.fx = w.effectsOn(e)
-		if e.fx.crash && !was.crash {
-			w.breakAll(e)
+		was := e.effects
+		e.effects = w.effectsOn(e)
+		if e.effects.crash && !was.crash {
+			w.crashProcess(e)
 		}
-		if was.cut && !e.fx.cut || was.deaf && !e.fx.deaf {
+		if was.cut && !e.effects.cut || was.deaf && !e.effects.deaf {
 			// What was open all along is reset now that both sides hear each other again.
-			w.breakAll(e)
+			w.crashProcess(e)
 		}
-		w.judgeOutage(e)
+		w.updateOutage(e)
 	}
 }
 
@@ -62,15 +62,15 @@
 func (w *World) effectsOn(e *Endpoint) (all effects) {
 	for i := range w.Spec.Faults {
 		t := &w.Spec.Faults[i]
-		if slices.Contains(w.active, t) && w.struck[i][e] {
+		if slices.Contains(w.active, t) && w.affected[i][e] {
 			all.add(t)
 		}
 	}
 	return all
 }
 
-// strikeList begins or ends a trouble of discovery.
-func (w *World) strikeList(t *Fault, on bool) {
+// switchDiscoveryFault begins or ends a trouble of discovery.
+func (w *World) switchDiscoveryFault(t *Fault, on bool) {
 	w.ledger.Fault(t, on, len(w.senders))
 	more := 1
 	if !on {
--- a/lab/world/kinds.go
+++ b/lab/world/kinds.go
@@ -5,16 +5,16 @@
 
 // Fault is something that goes wrong for a time. Part says what of; a field left out does not narrow it.
 type Fault struct {
-	Kind    string  `toml:"kind"`
-	At      float64 `toml:"at"` // seconds
-	Seconds float64 `toml:"seconds"`
-	Amount  float64 `toml:"amount"` // what it means stands beside the kind, see FaultKinds
-	Every   float64 `toml:"every_s"`
-	Part    Part    `toml:"part"`
+	Kind     string   `toml:"kind"`
+	At       float64  `toml:"at"` // seconds
+	Seconds  float64  `toml:"seconds"`
+	Amount   float64  `toml:"amount"` // what it means stands beside the kind, see FaultKinds
+	Every    float64  `toml:"every_s"`
+	Selector Selector `toml:"part"`
 }
 
-// Part chooses what a trouble strikes.
-type Part struct {
+// Selector chooses what a trouble strikes.
+type Selector struct {
 	Kind     string  `toml:"kind"`
 	Zone     int     `toml:"zone"`     // from 1; 0 for all
 	Partners []int   `toml:"partners"` // by number, from 0
@@ -25,15 +25,15 @@
 
 // ListEvent changes the list.
 type ListEvent struct {
-	What    string  `toml:"what"` // drain, remove, move (to another address), back
-	At      float64 `toml:"at"`
-	Part    Part    `toml:"part"`
-	Restart bool    `toml:"restart"` // what comes back is cold
+	Change   string   `toml:"what"` // drain, remove, move (to another address), back
+	At       float64  `toml:"at"`
+	Selector Selector `toml:"part"`
+	Restart  bool     `toml:"restart"` // what comes back is cold
 }
 
 // FaultKind tells what a kind of trouble strikes and what its amount means.
 type FaultKind struct {
-	Strikes string // endpoints, senders, discovery or clients
+	Affects string `json:"Strikes"` // endpoints, senders, discovery or clients
 	Amount  string
 	Default float64
 	Least   float64
--- a/lab/world/partners.go
+++ b/lab/world/partners.go
@@ -63,7 +63,7 @@
 		return
 	}
 	l := w.newLimit(kind, p, 1)
-	if !kind.Apart {
+	if !kind.SeparateRoutes {
 		p.limit = l
 	}
 	if !kind.LimitAbove {
@@ -91,21 +91,21 @@
 func (w *World) makeEndpoint(p *Partner, i, count int) *Endpoint {
 	kind, no := p.Kind, len(w.Endpoints)
 	e := &Endpoint{
-		No:       EndpointNo(no),
-		ID:       choice.EndpointID(fmt.Sprintf("p%d-%d", p.No, i)),
-		Partner:  p,
-		Zone:     (int(p.No) + i) % w.Spec.Zones,
-		sameMS:   w.within(w.Spec.Network.SameMS, "same", int64(no)),
-		crossMS:  w.within(w.Spec.Network.CrossMS, "cross", int64(no)),
-		mean:     w.within(kind.MeanMS, "mean", int64(no)) * float64(Millisecond),
-		warmFrom: -seconds(kind.SlowStartS),
-		conns:    map[*Conn]struct{}{},
-		sawFail:  map[SenderNo]struct{}{},
+		No:         EndpointNo(no),
+		ID:         choice.EndpointID(fmt.Sprintf("p%d-%d", p.No, i)),
+		Partner:    p,
+		Zone:       (int(p.No) + i) % w.Spec.Zones,
+		sameMS:     w.within(w.Spec.Network.SameMS, "same", int64(no)),
+		crossMS:    w.within(w.Spec.Network.CrossMS, "cross", int64(no)),
+		mean:       w.within(kind.MeanMS, "mean", int64(no)) * float64(Millisecond),
+		warmFrom:   -seconds(kind.SlowStartS),
+		conns:      map[*Conn]struct{}{},
+		sawFailure: map[SenderNo]struct{}{},
 	}
 	e.slots = max(1, int(math.Ceil(p.Rate/float64(count)*e.mean/float64(Second))))
 	e.Rate = float64(e.slots) * float64(Second) / e.mean
 	e.queueMax = int(math.Ceil(kind.Queue * float64(e.slots)))
-	if kind.Limit != "none" && kind.Apart {
+	if kind.Limit != "none" && kind.SeparateRoutes {
 		e.limit = w.newLimit(kind, p, float64(count))
 	}
 	return e
--- a/lab/world/parts.go
+++ b/lab/world/parts.go
@@ -9,7 +9,7 @@
 
 // partnersOf are the partners that a part names. Where it names a share of the traffic, partners are drawn by chance until
 // that is reached.
-func (w *World) partnersOf(p *Part, no int64) (all []*Partner) {
+func (w *World) partnersOf(p *Selector, no int64) (all []*Partner) {
 	for _, partner := range w.Partners {
 		if p.Kind != "" && partner.Kind.Name != p.Kind {
 			continue
@@ -43,7 +43,7 @@
 }
 
 // endpointsOf are the endpoints that a part names.
-func (w *World) endpointsOf(p *Part, no int64) (all []*Endpoint) {
+func (w *World) endpointsOf(p *Selector, no int64) (all []*Endpoint) {
 	for _, partner := range w.partnersOf(p, no) {
 		for i, e := range partner.Endpoints {
 			if (p.Endpoint == 0 || p.Endpoint == i+1) && (p.Zone == 0 || p.Zone == e.Zone+1) {
@@ -55,7 +55,7 @@
 }
 
 // sendersOf are the senders that a part names.
-func (w *World) sendersOf(p *Part, no int64) (all []SenderNo) {
+func (w *World) sendersOf(p *Selector, no int64) (all []SenderNo) {
 	for i, s := range w.senders {
 		if (p.Zone == 0 || p.Zone == s.zone+1) && (len(p.Senders) == 0 || slices.Contains(p.Senders, i)) {
 			all = append(all, SenderNo(i))
--- a/lab/world/reply.go
+++ b/lab/world/reply.go
@@ -7,8 +7,8 @@
 	"flaxcove/choice"
 )
 
-// fate closes an endpoint's part in a call.
-func (w *World) fate(call *Call, status int) {
+// endAtEndpoint closes an endpoint's part in a call.
+func (w *World) endAtEndpoint(call *Call, status int) {
 	if !call.over {
 		call.over = true
 		w.ledger.Outcome(call, status)
@@ -22,31 +22,31 @@
 	if a.Status == 503 && a.Wait > 0 {
 		a.Status = 429
 	}
-	w.fate(call, a.Status)
+	w.endAtEndpoint(call, a.Status)
 	if a.Status >= 500 || a.Status == 429 {
 		if e.out {
-			w.saw(e, c.Sender)
+			w.noteFailureSeen(e, c.Sender)
 		}
 	}
-	if c.gone {
+	if c.closedAtEndpoint {
 		return
 	}
 	if e.Partner.Kind.Reports {
 		a.Report = w.reportOf(e)
 	}
 	if !a.Half {
-		w.setOut(call, false)
+		w.setInFlight(call, false)
 		c.call = nil
 		w.deliver(call, &a)
 		w.watchIdle(c)
 	}
 	if a.Close {
-		c.gone = true
+		c.closedAtEndpoint = true
 		delete(e.conns, c)
 	}
-	back, replied := w.way(c.Sender, e, -int64(call.No)), w.now
+	back, replied := w.oneWayDelay(c.Sender, e, -int64(call.No)), w.now
 	w.After(back, func() {
-		if !c.hung && !w.senders[c.Sender].cut {
+		if !c.closedBySender && !w.senders[c.Sender].isolated {
 			if a.Wait > 0 {
 				// An answer that crosses the end of its call is heard by nobody, and a wait in it binds nobody.
 				w.ledger.RetryAfterReceived(c.Sender, e, replied+a.Wait)
@@ -58,11 +58,11 @@
 
 // deliver tells which messages an answer delivers.
 func (w *World) deliver(call *Call, a *Answer) {
-	if a.Spoilt || a.Status != 200 || call.Conn.hung {
+	if a.Spoilt || a.Status != 200 || call.Conn.closedBySender {
 		return
 	}
 	for i, h := range call.Messages {
-		if (a.Fates == nil || a.Fates[i] == 200) && !h.Unknown {
+		if (a.Statuses == nil || a.Statuses[i] == 200) && !h.Unknown {
 			w.ledger.Delivered(h, call.Conn.Endpoint)
 			w.delivered(h)
 		}
@@ -75,7 +75,7 @@
 		e.reportAt = w.now + ms(e.Partner.Kind.ReportMS)
 		e.report = choice.Report{Known: true, Left: 1}
 		if l := e.limitOf(); l != nil {
-			e.report.Left, e.report.Limit = l.left(w.now, e.fx.limitLeft(w.now)), l.perSecond*e.fx.limitLeft(w.now)
+			e.report.Left, e.report.Limit = l.left(w.now, e.effects.limitLeft(w.now)), l.perSecond*e.effects.limitLeft(w.now)
 		}
 	}
 	return e.report
--- a/lab/world/senderfault.go
+++ b/lab/world/senderfault.go
@@ -35,8 +35,8 @@
 		case "sender_reload":
 			w.planReload(s, from, t.Amount > 0)
 		case "notes_lost":
-			w.At(from, func() { w.notesLost = t.Amount })
-			w.At(to, func() { w.notesLost = 0 })
+			w.At(from, func() { w.datagramLoss = t.Amount })
+			w.At(to, func() { w.datagramLoss = 0 })
 		}
 	}
 }
@@ -51,7 +51,7 @@
 func (w *World) act(at Time, s SenderNo, what Act) {
 	w.At(at, func() {
 		if what == Kill || what == Term {
-			w.senders[s].hello = false
+			w.senders[s].watching = false
 		}
 		w.wire.Act(s, what)
 	})
@@ -60,11 +60,11 @@
 // planOldList restarts a sender whose next life is told nothing new of the list until the end.
 func (w *World) planOldList(s SenderNo, from, to Time) {
 	state := w.senders[s]
-	w.At(from, func() { state.held = true })
+	w.At(from, func() { state.updatesHeld = true })
 	w.act(from, s, Kill)
 	w.act(from+restartFor, s, Start)
 	w.At(to, func() {
-		state.held = false
+		state.updatesHeld = false
 		w.pushUpdate(s)
 	})
 }
@@ -80,9 +80,9 @@
 func (w *World) planCut(s SenderNo, from, to Time) {
 	state := w.senders[s]
 	w.away(s, from, to)
-	w.At(from, func() { state.cut = true })
+	w.At(from, func() { state.isolated = true })
 	w.At(to, func() {
-		state.cut = false
+		state.isolated = false
 		w.pushUpdate(s)
 		for _, e := range w.Endpoints {
 			w.dropAllOf(s, e)
@@ -100,7 +100,7 @@
 	}
 	slices.SortFunc(theirs, func(a, b *Conn) int { return cmp.Compare(a.No, b.No) })
 	for _, c := range theirs {
-		w.drop(c, true)
+		w.closeAtEndpoint(c, true)
 	}
 }
 
@@ -115,8 +115,8 @@
 
 // away tells the ledger of a time in which a sender can do nothing, so that it is not blamed for it.
 func (w *World) away(s SenderNo, from, to Time) {
-	w.At(from, func() { w.ledger.Away(s, true) })
-	w.At(to, func() { w.ledger.Away(s, false) })
+	w.At(from, func() { w.ledger.Unavailable(s, true) })
+	w.At(to, func() { w.ledger.Unavailable(s, false) })
 }
 
 // planClients puts a trouble of clients among the events. Surges and fixed programs bend the load itself.
@@ -125,8 +125,8 @@
 	for _, s := range struck {
 		switch t.Kind {
 		case "impatient":
-			w.At(from, func() { w.senders[s].patient = ms(t.Amount) })
-			w.At(to, func() { w.senders[s].patient = ms(w.Spec.Clients.PatienceMS) })
+			w.At(from, func() { w.senders[s].patience = ms(t.Amount) })
+			w.At(to, func() { w.senders[s].patience = ms(w.Spec.Clients.PatienceMS) })
 		case "rubbish":
 			w.At(from, func() { w.wire.Act(s, RubbishOn) })
 			w.At(to, func() { w.wire.Act(s, RubbishOff) })
--- a/lab/world/slowstart.go
+++ b/lab/world/slowstart.go
@@ -19,8 +19,8 @@
 	return sum+1 < 0.8*w.overloadBound(e)
 }
 
-// warmth is the share of its capacity that an endpoint has by now.
-func (w *World) warmth(e *Endpoint) float64 {
+// capacityShare is the share of its capacity that an endpoint has by now.
+func (w *World) capacityShare(e *Endpoint) float64 {
 	k := e.Partner.Kind
 	since := float64(w.now-e.warmFrom) / float64(seconds(k.SlowStartS))
 	if since >= 1 {
@@ -33,10 +33,10 @@
 	return now < e.warmFrom+seconds(e.Partner.Kind.SlowStartS)
 }
 
-// saw notes that a sender knows of an outage by what happened to it.
-func (w *World) saw(e *Endpoint, s SenderNo) {
+// noteFailureSeen notes that a sender knows of an outage by what happened to it.
+func (w *World) noteFailureSeen(e *Endpoint, s SenderNo) {
 	if e.out {
-		e.sawFail[s] = struct{}{}
+		e.sawFailure[s] = struct{}{}
 	}
 }
 
@@ -46,7 +46,7 @@
 	e.recent = slices.DeleteFunc(e.recent, func(a arrival) bool { return a.at < w.now-span })
 	for _, a := range e.recent {
 		sum += a.weight
-		if _, knows := e.sawFail[a.sender]; knows {
+		if _, knows := e.sawFailure[a.sender]; knows {
 			knowing += a.weight
 		}
 	}
@@ -55,7 +55,7 @@
 
 // overloadBound is the load over the rule's span beyond which a cold endpoint falls over. A handful of calls fells none.
 func (w *World) overloadBound(e *Endpoint) float64 {
-	return max(4, w.Spec.Rules.FallMultiple*e.Rate*w.warmth(e)*w.Spec.Rules.FallS)
+	return max(4, w.Spec.Rules.FallMultiple*e.Rate*w.capacityShare(e)*w.Spec.Rules.FallS)
 }
 
 // countSlowStartLoad adds a call to the load on a returning endpoint, which may push it over.
@@ -64,7 +64,7 @@
 	if e.out || e.warmFrom < 0 {
 		return
 	}
-	weight := 1 + rideWork*float64(max(1, len(call.Messages))-1)
+	weight := 1 + bulkMessageWork*float64(max(1, len(call.Messages))-1)
 	e.recent = append(e.recent, arrival{w.now, call.Conn.Sender, weight})
 	sum, knowing := w.recentLoad(e)
 	bound := w.overloadBound(e)
@@ -74,15 +74,15 @@
 	}
 	w.ledger.PushedOver(e, knowing/sum)
 	e.downUntil = w.now + seconds(e.Partner.Kind.DownS)
-	w.tellAccepting(e)
-	w.breakAll(e)
-	w.outage(e, true)
-	w.At(e.downUntil, func() { w.judgeOutage(e) })
+	w.updateAccepting(e)
+	w.crashProcess(e)
+	w.setOutage(e, true)
+	w.At(e.downUntil, func() { w.updateOutage(e) })
 }
 
-// breakAll ends the process behind an endpoint: its connections are reset and its work is gone. Of what ran, the part
+// crashProcess ends the process behind an endpoint: its connections are reset and its work is gone. Of what ran, the part
 // that had come far enough has taken effect.
-func (w *World) breakAll(e *Endpoint) {
+func (w *World) crashProcess(e *Endpoint) {
 	e.restarts++
 	e.busy = 0
 	all := make([]*Conn, 0, len(e.conns))
@@ -93,26 +93,26 @@
 	e.queue = nil
 	for _, c := range all {
 		if call := c.call; call != nil && !call.over {
-			if call.running && !call.Probe && w.draw("crash ran", w.name(call)...) < 0.5 {
+			if call.running && !call.Probe && w.draw("crash ran", w.drawKey(call)...) < 0.5 {
 				for _, h := range call.Messages {
-					w.ran(h, e)
+					w.executed(h, e)
 				}
 			}
-			w.saw(e, c.Sender)
-			w.fate(call, 0)
+			w.noteFailureSeen(e, c.Sender)
+			w.endAtEndpoint(call, 0)
 		}
-		w.drop(c, true)
+		w.closeAtEndpoint(c, true)
 	}
 }
 
-// outage begins or ends one; what returns is cold.
-func (w *World) outage(e *Endpoint, down bool) {
+// setOutage begins or ends one; what returns is cold.
+func (w *World) setOutage(e *Endpoint, down bool) {
 	if e.out == down {
 		return
 	}
 	e.out, e.since = down, w.now
 	if down {
-		clear(e.sawFail)
+		clear(e.sawFailure)
 	} else {
 		e.warmFrom = w.now
 		e.recent = nil
@@ -120,16 +120,16 @@
 	w.ledger.Outage(e, down)
 }
 
-// tellAccepting lets the engine know where connections are refused from now on, or no longer.
-func (w *World) tellAccepting(e *Endpoint) {
+// updateAccepting lets the engine know where connections are refused from now on, or no longer.
+func (w *World) updateAccepting(e *Endpoint) {
 	if on := e.accepts(w.now); on == e.refuses {
 		e.refuses = !on
-		w.wire.Accepting(e, on)
+		w.wire.AcceptingChanged(e, on)
 	}
 }
 
-// judgeOutage compares what strikes an endpoint with whether it counts as out.
-func (w *World) judgeOutage(e *Endpoint) {
-	w.tellAccepting(e)
-	w.outage(e, e.unwell() || e.fx.failing > 0.5 || w.now < e.downUntil)
+// updateOutage compares what strikes an endpoint with whether it counts as out.
+func (w *World) updateOutage(e *Endpoint) {
+	w.updateAccepting(e)
+	w.setOutage(e, e.unresponsive() || e.effects.failing > 0.5 || w.now < e.downUntil)
 }
--- a/lab/world/spec.go
+++ b/lab/world/spec.go
@@ -47,28 +47,28 @@
 
 // SenderSpec is what the senders' settings say. 0 for slots (the limit of calls in flight) or max_open derives them from the load.
 type SenderSpec struct {
-	InFlightLimit int     `toml:"slots"`
-	MaxOpen       int     `toml:"max_open"`
-	MaxAttempts   int     `toml:"max_dispatches"`
-	TurnMS        float64 `toml:"turn_ms"`
-	Probing       bool    `toml:"probing"`
-	NoReturn      bool    `toml:"no_return"` // shed replies name no time to come back
-	LongestMS     float64 `toml:"longest_return_ms"`
-	DialMS        float64 `toml:"dial_ms"`
-	Rating        string  `toml:"rating"` // what the list tells of rates: off, rough or nominal
-	MemoryMB      int64   `toml:"memory_mb"`
-	Sockets       int     `toml:"sockets"`
-	DiskMB        float64 `toml:"disk_mb"`
+	InFlightLimit       int     `toml:"slots"`
+	MaxOpen             int     `toml:"max_open"`
+	MaxAttempts         int     `toml:"max_dispatches"`
+	TickMS              float64 `toml:"turn_ms"`
+	Probing             bool    `toml:"probing"`
+	NoRetryAfter        bool    `toml:"no_return"` // shed replies name no time to come back
+	LongestRetryAfterMS float64 `toml:"longest_return_ms"`
+	DialMS              float64 `toml:"dial_ms"`
+	Rating              string  `toml:"rating"` // what the list tells of rates: off, rough or nominal
+	MemoryMB            int64   `toml:"memory_mb"`
+	Sockets             int     `toml:"sockets"`
+	DiskMB              float64 `toml:"disk_mb"`
 }
 
 // Clients are the programs that hand messages in.
 type Clients struct {
-	Retries    int     `toml:"retries"` // times that a shed message is handed in again
-	Honour     float64 `toml:"honour"`  // share that waits as long as it was told
-	BackoffMS  Pair    `toml:"backoff_ms"`
-	AgainMS    Pair    `toml:"again_ms"`    // after a sender that died or did not answer
-	PatienceMS float64 `toml:"patience_ms"` // for the answer to a hand-in
-	Own        bool    `toml:"own"`         // each client has a sender of its own and goes to no other
+	Retries          int     `toml:"retries"` // times that a shed message is handed in again
+	HonourRetryAfter float64 `toml:"honour"`  // share that waits as long as it was told
+	BackoffMS        Pair    `toml:"backoff_ms"`
+	RetryMS          Pair    `toml:"again_ms"`    // after a sender that died or did not answer
+	PatienceMS       float64 `toml:"patience_ms"` // for the answer to a hand-in
+	OwnSender        bool    `toml:"own"`         // each client has a sender of its own and goes to no other
 }
 
 // Rules are the figures of the rules that the referee judges by.
@@ -121,14 +121,14 @@
 	LimitTimes      Pair    `toml:"limit_times"` // the limit in times of the partner's part of the load
 	LimitAbove      bool    `toml:"limit_above"` // the limit may lie above what it can do; else it can do a quarter more
 	SpanS           float64 `toml:"span_s"`
-	CountAll        bool    `toml:"count_refused"` // refused calls use the limit up too
+	CountRefused    bool    `toml:"count_refused"` // refused calls use the limit up too
 	RetryAfterShare float64 `toml:"told_waits"`    // share of refusals that name a Retry-After
 	Reports         bool    `toml:"reports"`
 	ReportMS        float64 `toml:"report_ms"` // age that a report may have
 	Bundle          int     `toml:"bundle"`
-	Apart           bool    `toml:"apart"`       // its endpoints are separate routes
-	Table           int     `toml:"connections"` // an endpoint holds at most so many; 0 for any number
-	ShakeMS         float64 `toml:"handshake_ms"`
+	SeparateRoutes  bool    `toml:"apart"`       // its endpoints are separate routes
+	MaxConnections  int     `toml:"connections"` // an endpoint holds at most so many; 0 for any number
+	HandshakeMS     float64 `toml:"handshake_ms"`
 	IdleS           float64 `toml:"idle_s"`
 	SlowStartS      float64 `toml:"cold_s"`
 	SlowStartFrom   float64 `toml:"cold_from"`
--- a/lab/world/work.go
+++ b/lab/world/work.go
@@ -8,30 +8,30 @@
 	"flaxcove/choice"
 )
 
-// firstWait is the shortest wait of a refusal that has no other reason; the longest is twice that.
-const firstWait = 300 * Millisecond
+// minRetryAfter is the shortest wait of a refusal that has no other reason; the longest is twice that.
+const minRetryAfter = 300 * Millisecond
 
 // arrive is the last byte of a call coming to its endpoint.
 func (w *World) arrive(call *Call) {
 	c := call.Conn
 	e := c.Endpoint
-	if c.gone {
+	if c.closedAtEndpoint {
 		w.arriveTooLate(call)
 		return
 	}
-	if e.fx.cut || e.fx.deaf || e.fx.silent || w.senders[c.Sender].cut {
-		w.saw(e, c.Sender)
-		w.fate(call, 0) // nobody hears it, and nothing runs
+	if e.effects.cut || e.effects.deaf || e.effects.silent || w.senders[c.Sender].isolated {
+		w.noteFailureSeen(e, c.Sender)
+		w.endAtEndpoint(call, 0) // nobody hears it, and nothing runs
 		return
 	}
-	if e.inSlowStart(w.now) && !e.fx.shut {
+	if e.inSlowStart(w.now) && !e.effects.shut {
 		w.countSlowStartLoad(call)
-		if c.gone {
+		if c.closedAtEndpoint {
 			return // it has just been pushed over
 		}
 	}
 	if call.Probe {
-		w.probed(call)
+		w.answerProbe(call)
 		return
 	}
 	if wait, refused := w.refusal(call); refused {
@@ -44,22 +44,22 @@
 // arriveTooLate: the connection had ended. Its sender sees a reset and cannot tell whether the call ran.
 func (w *World) arriveTooLate(call *Call) {
 	c := call.Conn
-	w.fate(call, 0)
-	w.setOut(call, false)
-	if c.hung || c.notified {
+	w.endAtEndpoint(call, 0)
+	w.setInFlight(call, false)
+	if c.closedBySender || c.notified {
 		return
 	}
 	c.notified = true
-	w.After(w.way(c.Sender, c.Endpoint, int64(call.No)), func() {
-		if !c.hung {
-			w.wire.Down(c, SeenBroken)
+	w.After(w.oneWayDelay(c.Sender, c.Endpoint, int64(call.No)), func() {
+		if !c.closedBySender {
+			w.wire.ConnDown(c, ConnReset)
 		}
 	})
 }
 
-// probed is a probe that is heard.
-func (w *World) probed(call *Call) {
-	if e := call.Conn.Endpoint; e.fx.shut || e.Stage == choice.Gone {
+// answerProbe is a probe that is heard.
+func (w *World) answerProbe(call *Call) {
+	if e := call.Conn.Endpoint; e.effects.shut || e.Stage == choice.Gone {
 		w.reply(call, Answer{Status: 503})
 		return
 	}
@@ -70,22 +70,22 @@
 func (w *World) refusal(call *Call) (wait Time, refused bool) {
 	e := call.Conn.Endpoint
 	switch {
-	case e.fx.shut:
-		w.saw(e, call.Conn.Sender)
-		return max(Millisecond, e.fx.shutUntil-w.now), true
-	case e.Stage == choice.Gone, call.Conn.crowded:
+	case e.effects.shut:
+		w.noteFailureSeen(e, call.Conn.Sender)
+		return max(Millisecond, e.effects.shutUntil-w.now), true
+	case e.Stage == choice.Gone, call.Conn.overLimit:
 		return 0, true
-	case w.draw("lying", int64(call.No)) < e.fx.lying:
+	case w.draw("lying", int64(call.No)) < e.effects.lying:
 		for _, h := range call.Messages {
-			h.Lied++
-			w.ran(h, e)
+			h.FalselyRefused++
+			w.executed(h, e)
 		}
 		return 0, true
-	case w.inRefusedBurst(e), w.amongFirst(e), w.draw("refusing", int64(call.No)) < e.fx.refusing:
-		return Time(float64(firstWait) * (1 + w.draw("refusing wait", int64(call.No)))), true
+	case w.inRefusedBurst(e), w.isFirstAfterPause(e), w.draw("refusing", int64(call.No)) < e.effects.refusing:
+		return Time(float64(minRetryAfter) * (1 + w.draw("refusing wait", int64(call.No)))), true
 	}
 	if l := e.limitOf(); l != nil {
-		taken, wait := l.take(w.now, e.fx.limitLeft(w.now), e.Partner.Kind.CountAll)
+		taken, wait := l.take(w.now, e.effects.limitLeft(w.now), e.Partner.Kind.CountRefused)
 		return wait, !taken
 	}
 	return 0, false
@@ -96,22 +96,22 @@
 	if w.draw("told", int64(call.No)) >= call.Conn.Endpoint.Partner.Kind.RetryAfterShare {
 		wait = 0
 	}
-	w.reply(call, Answer{Status: 503, Wait: wait, Close: call.Conn.crowded})
+	w.reply(call, Answer{Status: 503, Wait: wait, Close: call.Conn.overLimit})
 }
 
 // inRefusedBurst tells whether an endpoint refuses all for the moment.
 func (w *World) inRefusedBurst(e *Endpoint) bool {
-	return e.fx.burst.every > 0 && e.fx.burst.phase(w.now) < e.fx.burst.share
+	return e.effects.burst.every > 0 && e.effects.burst.phase(w.now) < e.effects.burst.share
 }
 
-// amongFirst tells whether a call is one of the first after a pause, at an endpoint that refuses these.
-func (w *World) amongFirst(e *Endpoint) bool {
-	if w.now-e.lastCall > e.fx.firstPause {
+// isFirstAfterPause tells whether a call is one of the first after a pause, at an endpoint that refuses these.
+func (w *World) isFirstAfterPause(e *Endpoint) bool {
+	if w.now-e.lastCall > e.effects.firstPause {
 		e.sincePause = 0
 	}
 	e.lastCall = w.now
 	e.sincePause++
-	return e.sincePause <= e.fx.firstCalls
+	return e.sincePause <= e.effects.firstCalls
 }
 
 // enqueue has a call work, wait, or be refused where the queue is full.
@@ -139,22 +139,22 @@
 	e.busy++
 	call.running = true
 	restart := e.restarts
-	work := logNormal(e.mean, e.Partner.Kind.Sigma, w.draw("work", w.name(call)...))
+	work := logNormal(e.mean, e.Partner.Kind.Sigma, w.draw("work", w.drawKey(call)...))
 	if call.Probe {
 		work = e.mean / 8
 	} else {
-		work *= 1 + rideWork*float64(len(call.Messages)-1)
+		work *= 1 + bulkMessageWork*float64(len(call.Messages)-1)
 	}
-	work *= e.fx.slowness() / w.warmth(e)
+	work *= e.effects.slowness() / w.capacityShare(e)
 	if call.fresh {
-		work += (e.Partner.Kind.ShakeMS + e.fx.shake) * float64(Millisecond)
+		work += (e.Partner.Kind.HandshakeMS + e.effects.shake) * float64(Millisecond)
 	}
 	w.After(max(1, Time(work)), func() { w.workDone(call, restart) })
 }
 
-// name is what a call's chance is drawn for: the message and how often it was tried, so that variants of a run meet the
+// drawKey is what a call's chance is drawn for: the message and how often it was tried, so that variants of a run meet the
 // same luck with the same message.
-func (w *World) name(call *Call) []int64 {
+func (w *World) drawKey(call *Call) []int64 {
 	if len(call.Messages) == 0 || call.Messages[0].Unknown {
 		return []int64{int64(call.No)}
 	}
@@ -184,41 +184,41 @@
 		w.reply(call, Answer{Status: 200})
 		return
 	}
-	if a, ok := w.run(call); ok {
+	if a, ok := w.execute(call); ok {
 		w.answerWork(call, a)
 		return
 	}
-	w.saw(e, c.Sender)
+	w.noteFailureSeen(e, c.Sender)
 	w.reply(call, Answer{Status: 500})
 }
 
-// ranAnyway is the share of failed messages that had their effect.
-const ranAnyway = 0.5
+// failedButExecutedShare is the share of failed messages that had their effect.
+const failedButExecutedShare = 0.5
 
-// run has the effects of a call's messages, as far as they do not fail. It is false where the only one does.
-func (w *World) run(call *Call) (a Answer, ok bool) {
+// execute has the effects of a call's messages, as far as they do not fail. It is false where the only one does.
+func (w *World) execute(call *Call) (a Answer, ok bool) {
 	e := call.Conn.Endpoint
-	name := w.name(call)
-	fail := either(e.Partner.Kind.ErrorShare, e.fx.failing)
+	name := w.drawKey(call)
+	fail := either(e.Partner.Kind.ErrorShare, e.effects.failing)
 	a.Status = 200
 	if len(call.Messages) == 1 {
-		return a, w.runOne(call.Messages[0], e, fail, name)
+		return a, w.executeOne(call.Messages[0], e, fail, name)
 	}
 	for i, h := range call.Messages {
 		status := 200
-		if !w.runOne(h, e, fail, append(name, int64(i))) {
+		if !w.executeOne(h, e, fail, append(name, int64(i))) {
 			status = 500
 		}
-		a.Fates = append(a.Fates, status)
+		a.Statuses = append(a.Statuses, status)
 	}
 	return a, true
 }
 
-// runOne is false for a message that fails, which may have had its effect all the same.
-func (w *World) runOne(h *HandIn, e *Endpoint, fail float64, name []int64) bool {
+// executeOne is false for a message that fails, which may have had its effect all the same.
+func (w *World) executeOne(h *HandIn, e *Endpoint, fail float64, name []int64) bool {
 	done := w.draw("fail", name...) >= fail
-	if done || w.draw("fail ran", name...) < ranAnyway {
-		w.ran(h, e)
+	if done || w.draw("fail ran", name...) < failedButExecutedShare {
+		w.executed(h, e)
 	}
 	return done
 }
@@ -227,20 +227,20 @@
 func (w *World) answerWork(call *Call, a Answer) {
 	c := call.Conn
 	e := c.Endpoint
-	name := w.name(call)
+	name := w.drawKey(call)
 	switch {
-	case e.fx.hung:
-		w.saw(e, c.Sender)
+	case e.effects.hung:
+		w.noteFailureSeen(e, c.Sender)
 		a.Half = true
-	case !call.fresh && w.draw("reset", name...) < e.fx.resets:
-		w.fate(call, 0)
-		w.drop(c, true)
+	case !call.fresh && w.draw("reset", name...) < e.effects.resets:
+		w.endAtEndpoint(call, 0)
+		w.closeAtEndpoint(c, true)
 		return
-	case w.draw("spoilt", name...) < e.fx.spoilt:
+	case w.draw("spoilt", name...) < e.effects.spoilt:
 		a.Spoilt = true
 	}
 	w.reply(call, a)
 }
 
-// ran tells that a message had its effect.
-func (w *World) ran(h *HandIn, e *Endpoint) { w.ledger.Ran(h, e, w.now) }
+// executed tells that a message had its effect.
+func (w *World) executed(h *HandIn, e *Endpoint) { w.ledger.Executed(h, e, w.now) }
--- a/lab/world/world.go
+++ b/lab/world/world.go
@@ -34,38 +34,38 @@
 	AskNo      int64
 )
 
-// Seen is how an attempt ends as its sender sees it.
-type Seen int
+// ConnEnd is how an attempt ends as its sender sees it.
+type ConnEnd int
 
 const (
-	SeenAnswer  Seen = iota
-	SeenRefused      // the connection did not come up
-	SeenBroken       // it ended before the answer was whole
-	SeenHalf         // an answer began and stopped in its middle
+	SeenAnswer  ConnEnd = iota
+	ConnRefused         // the connection did not come up
+	ConnReset           // it ended before the answer was whole
+	SeenHalf            // an answer began and stopped in its middle
 )
 
 // Answer is what an endpoint says to a call.
 type Answer struct {
-	Status int
-	Wait   Time // Retry-After; 0 for none
-	Report choice.Report
-	Spoilt bool  // nothing can be made of it
-	Half   bool  // it stops in its middle
-	Close  bool  // the connection ends after it
-	Fates  []int // by message, where a bundle's fared apart: a status each
+	Status   int
+	Wait     Time // Retry-After; 0 for none
+	Report   choice.Report
+	Spoilt   bool  // nothing can be made of it
+	Half     bool  // it stops in its middle
+	Close    bool  // the connection ends after it
+	Statuses []int // by message, where a bundle's fared apart: a status each
 }
 
 // Wire is how the world reaches senders. Its methods are called at the time at which a thing reaches them; they may
 // call the world back.
 type Wire interface {
-	Up(c *Conn)             // the connection stands
-	Down(c *Conn, why Seen) // it was refused, or ended by the other side
+	ConnUp(c *Conn)                // the connection stands
+	ConnDown(c *Conn, why ConnEnd) // it was refused, or ended by the other side
 	Answered(c *Conn, call *Call, a Answer)
-	ListUpdate(to SenderNo, list List) // of the list
-	ListFailed(to SenderNo)            // the watch ended, or was silent for too long
-	HandIn(h *HandIn)                  // a program hands a message in
-	Accepting(e *Endpoint, on bool)    // whether connections come up there
-	Note(from, to SenderNo, text []byte)
+	ListUpdate(to SenderNo, list List)     // of the list
+	ListFailed(to SenderNo)                // the watch ended, or was silent for too long
+	HandIn(h *HandIn)                      // a program hands a message in
+	AcceptingChanged(e *Endpoint, on bool) // whether connections come up there
+	Datagram(from, to SenderNo, text []byte)
 	Act(on SenderNo, what Act) // to its process
 }
 
@@ -90,10 +90,10 @@
 type Ledger interface {
 	Asked(a *Ask)
 	HandedIn(h *HandIn)
-	Heard(h *HandIn, what Heard) // what the client was told
-	Began(c *Call)               // it left its sender
-	Moved(c *Call, out bool)     // whether it still is out
-	Ran(h *HandIn, e *Endpoint, at Time)
+	HandInAnswered(h *HandIn, what HandInAnswer) // what the client was told
+	CallSent(c *Call)                            // it left its sender
+	InFlightChanged(c *Call, out bool)           // whether it still is out
+	Executed(h *HandIn, e *Endpoint, at Time)
 	Delivered(h *HandIn, e *Endpoint)
 	Ended(h *HandIn, what End)
 	StageAnnounced(s SenderNo, e *Endpoint, stage choice.Stage)
@@ -104,7 +104,7 @@
 	PushedOver(e *Endpoint, knowing float64) // knowing: share of the load from senders that saw it fail
 	Fault(t *Fault, on bool, parts int)
 	Sender(s SenderNo, up bool)
-	Away(s SenderNo, away bool) // its process stands still, or it is cut off; these may overlap
+	Unavailable(s SenderNo, away bool) // its process stands still, or it is cut off; these may overlap
 }
 
 // World is one run's outside. It belongs to one goroutine.
@@ -120,28 +120,28 @@
 	calls  CallNo
 	conns  int64
 
-	Partners  []*Partner
-	Endpoints []*Endpoint
-	byID      map[choice.EndpointID]*Endpoint
-	senders   []*senderState
-	byMessage map[choice.MessageID]*HandIn // emptied as asks are over and their time is up
-	arrivals  load.Source
-	active    []*Fault
-	struck    []map[*Endpoint]bool // by trouble
-	list      listState
-	notesLost float64
+	Partners     []*Partner
+	Endpoints    []*Endpoint
+	byID         map[choice.EndpointID]*Endpoint
+	senders      []*senderState
+	byMessage    map[choice.MessageID]*HandIn // emptied as asks are over and their time is up
+	arrivals     load.Source
+	active       []*Fault
+	affected     []map[*Endpoint]bool // by trouble
+	list         listState
+	datagramLoss float64
 }
 
 // senderState is what the world knows of one sender.
 type senderState struct {
-	zone    int
-	up      bool // it has said that it is ready
-	cut     bool
-	lastWay Time // when the last news reach it: a watch keeps its order
-	held    bool // news wait, see old_list
-	hello   bool // a watch stands
-	patient Time
-	version int64
+	zone         int
+	serving      bool // it has said that it is ready
+	isolated     bool
+	lastUpdateAt Time // when the last news reach it: a watch keeps its order
+	updatesHeld  bool // news wait, see old_list
+	watching     bool // a watch stands
+	patience     Time
+	version      int64
 }
 
 // New makes a world that has not begun. Trace, where given, takes the place of the spec's load.
@@ -149,7 +149,7 @@
 	w := &World{Spec: spec, wire: wire, ledger: ledger, seed: seed, end: seconds(spec.Seconds),
 		byID: map[choice.EndpointID]*Endpoint{}, byMessage: map[choice.MessageID]*HandIn{}}
 	for i := range spec.Senders {
-		w.senders = append(w.senders, &senderState{zone: i % spec.Zones, patient: ms(spec.Clients.PatienceMS)})
+		w.senders = append(w.senders, &senderState{zone: i % spec.Zones, patience: ms(spec.Clients.PatienceMS)})
 	}
 	w.makePartners()
 	if err := w.planLoad(trace); err != nil {
@@ -169,14 +169,14 @@
 // End is when the last message may be handed in.
 func (w *World) End() Time { return w.end }
 
-// Cut tells whether a sender is cut off from all others.
-func (w *World) Cut(s SenderNo) bool { return w.senders[s].cut }
+// Isolated tells whether a sender is cut off from all others.
+func (w *World) Isolated(s SenderNo) bool { return w.senders[s].isolated }
 
-// Gone tells whether a connection has ended at its endpoint.
-func (w *World) Gone(c *Conn) bool { return c.gone }
+// ClosedAtEndpoint tells whether a connection has ended at its endpoint.
+func (w *World) ClosedAtEndpoint(c *Conn) bool { return c.closedAtEndpoint }
 
-// Deaf tells whether an endpoint reads nothing.
-func (w *World) Deaf(e *Endpoint) bool { return e.fx.deaf }
+// NeverReads tells whether an endpoint reads nothing.
+func (w *World) NeverReads(e *Endpoint) bool { return e.effects.deaf }
 
 // Senders is how many there are.
 func (w *World) Senders() int { return len(w.senders) }
@@ -184,10 +184,10 @@
 // Zone is where a sender stands.
 func (w *World) Zone(s SenderNo) int { return w.senders[s].zone }
 
-// Ready tells that a sender's process serves, or that it no longer does.
-func (w *World) Ready(s SenderNo, up bool) {
-	if st := w.senders[s]; st.up != up {
-		st.up = up
+// SetServing tells that a sender's process serves, or that it no longer does.
+func (w *World) SetServing(s SenderNo, up bool) {
+	if st := w.senders[s]; st.serving != up {
+		st.serving = up
 		w.ledger.Sender(s, up)
 		if !up {
 			w.senderGone(s)
@@ -195,11 +195,11 @@
 	}
 }
 
-// Up tells whether a sender serves.
-func (w *World) Up(s SenderNo) bool { return w.senders[s].up }
+// Serving tells whether a sender serves.
+func (w *World) Serving(s SenderNo) bool { return w.senders[s].serving }
 
-// way is how long one way between a sender and an endpoint takes this time.
-func (w *World) way(s SenderNo, e *Endpoint, n int64) Time {
+// oneWayDelay is how long one oneWayDelay between a sender and an endpoint takes this time.
+func (w *World) oneWayDelay(s SenderNo, e *Endpoint, n int64) Time {
 	mean := e.sameMS
 	if w.senders[s].zone != e.Zone {
 		mean = e.crossMS
@@ -208,16 +208,16 @@
 	return max(1, ms(mean*(1-j+2*j*w.draw("way", int64(s), int64(e.No), n))))
 }
 
-// Note carries a datagram between senders; it may be lost.
-func (w *World) Note(from, to SenderNo, text []byte) {
+// SendDatagram carries a datagram between senders; it may be lost.
+func (w *World) SendDatagram(from, to SenderNo, text []byte) {
 	w.calls++
-	if w.draw("note lost", int64(w.calls)) < w.notesLost || w.senders[from].cut {
+	if w.draw("note lost", int64(w.calls)) < w.datagramLoss || w.senders[from].isolated {
 		return
 	}
 	late := ms(w.within(w.Spec.Network.CrossMS, "note", int64(w.calls)))
 	w.After(late, func() {
-		if !w.senders[to].cut && w.senders[to].up {
-			w.wire.Note(from, to, text)
+		if !w.senders[to].isolated && w.senders[to].serving {
+			w.wire.Datagram(from, to, text)
 		}
 	})
 }
--- a/lab/world/world_test.go
+++ b/lab/world/world_test.go
@@ -25,8 +25,8 @@
 	}
 }
 
-func (d *desk) Up(c *Conn) { d.print("connection %d up", c.No) }
-func (d *desk) Down(c *Conn, why Seen) {
+func (d *desk) ConnUp(c *Conn) { d.print("connection %d up", c.No) }
+func (d *desk) ConnDown(c *Conn, why ConnEnd) {
 	d.print("connection %d down, %s", c.No, [...]string{"", "refused", "broken"}[why])
 }
 func (d *desk) ListUpdate(s SenderNo, l List) {
@@ -36,10 +36,10 @@
 	}
 	d.print("news for %d, version %d, whole %v: %s", s, l.Version, l.Full, strings.Join(what, ", "))
 }
-func (d *desk) ListFailed(s SenderNo)     { d.print("list of %d failed", s) }
-func (d *desk) HandIn(h *HandIn)          { d.print("hand-in %s to %d", h.ID, h.Sender) }
-func (d *desk) Accepting(*Endpoint, bool) {}
-func (d *desk) Note(from, to SenderNo, text []byte) {
+func (d *desk) ListFailed(s SenderNo)            { d.print("list of %d failed", s) }
+func (d *desk) HandIn(h *HandIn)                 { d.print("hand-in %s to %d", h.ID, h.Sender) }
+func (d *desk) AcceptingChanged(*Endpoint, bool) {}
+func (d *desk) Datagram(from, to SenderNo, text []byte) {
 	d.print("note from %d to %d: %s", from, to, text)
 }
 func (d *desk) Act(on SenderNo, what Act) { d.print("act %d on %d", what, on) }
@@ -48,12 +48,12 @@
 	d.print("answer on %d: %d, wait %d ms, half %v, spoilt %v", c.No, a.Status, a.Wait/Millisecond, a.Half, a.Spoilt)
 }
 
-func (d *desk) Asked(*Ask)                  {}
-func (d *desk) HandedIn(*HandIn)            {}
-func (d *desk) Heard(h *HandIn, what Heard) {}
-func (d *desk) Began(*Call)                 {}
-func (d *desk) Moved(*Call, bool)           {}
-func (d *desk) Ran(h *HandIn, e *Endpoint, _ Time) {
+func (d *desk) Asked(*Ask)                                  {}
+func (d *desk) HandedIn(*HandIn)                            {}
+func (d *desk) HandInAnswered(h *HandIn, what HandInAnswer) {}
+func (d *desk) CallSent(*Call)                              {}
+func (d *desk) InFlightChanged(*Call, bool)                 {}
+func (d *desk) Executed(h *HandIn, e *Endpoint, _ Time) {
 	d.ran[h.ID]++
 	d.print("%s ran at %s", h.ID, e.ID)
 }
@@ -72,8 +72,8 @@
 func (d *desk) Fault(t *Fault, on bool, parts int) {
 	d.print("%s on: %v, strikes %d", t.Kind, on, parts)
 }
-func (d *desk) Sender(SenderNo, bool) {}
-func (d *desk) Away(SenderNo, bool)   {}
+func (d *desk) Sender(SenderNo, bool)      {}
+func (d *desk) Unavailable(SenderNo, bool) {}
 
 // plain is a world with one partner of one endpoint, and no programs but a test's own hand-ins.
 func plain(change func(*Spec)) *desk {
@@ -94,8 +94,8 @@
 		panic(err)
 	}
 	d.w = w
-	w.Ready(0, true)
-	w.Ready(1, true)
+	w.SetServing(0, true)
+	w.SetServing(1, true)
 	return d
 }
 
@@ -122,9 +122,9 @@
 	a, b := d.call(nil, "a"), d.call(nil, "b")
 	c := d.call(nil, "c")
 	d.until(500)
-	d.w.Hang(a)
-	d.w.Hang(b)
-	d.w.Hang(c)
+	d.w.CloseBySender(a)
+	d.w.CloseBySender(b)
+	d.w.CloseBySender(c)
 	// Output:
 	// 20.0    connection 1 up
 	// 41.0    connection 2 up
@@ -176,7 +176,7 @@
 func ExampleWorld_list() {
 	d := plain(func(s *Spec) {
 		s.Partners[0].Count = 2
-		s.Changes = []ListEvent{{What: "drain", At: 1, Part: Part{Partners: []int{0}}}, {What: "remove", At: 5, Part: Part{Partners: []int{0}}}}
+		s.Changes = []ListEvent{{Change: "drain", At: 1, Selector: Selector{Partners: []int{0}}}, {Change: "remove", At: 5, Selector: Selector{Partners: []int{0}}}}
 		s.Faults = []Fault{{Kind: "discovery_silent", At: 4, Seconds: 3}}
 	})
 	d.w.Watch(0, 0)
@@ -197,9 +197,9 @@
 		s.Faults = []Fault{{Kind: "shut", At: 1, Seconds: 4}, {Kind: "shut", At: 2, Seconds: 1}, {Kind: "notes_lost", At: 1, Seconds: 2}}
 	})
 	d.until(1500)
-	d.w.Note(0, 1, []byte("lost"))
+	d.w.SendDatagram(0, 1, []byte("lost"))
 	d.until(4000)
-	d.w.Note(0, 1, []byte("heard"))
+	d.w.SendDatagram(0, 1, []byte("heard"))
 	d.call(nil, "a")
 	d.until(6000)
 	// Output:
@@ -226,7 +226,7 @@
 		c := d.call(nil, "a")
 		d.until(35)
 		if crosses {
-			d.w.Hang(c) // the refusal left at 31 and would come at 41
+			d.w.CloseBySender(c) // the refusal left at 31 and would come at 41
 		}
 		d.until(100)
 	}
