--- a/lab/cluster/schedule/draw.go
+++ b/lab/cluster/schedule/draw.go
@@ -1,5 +1,7 @@
 package schedule
 
+// This file draws schedules from a seed.
+
 import (
 	"fmt"
 	"math/rand/v2"
@@ -15,43 +17,29 @@
 	Changes                   int
 }
 
-var drawn = []string{"cut", "one_way", "flap", "stall", "late", "reset", "stop", "kill", "empty", "leader", "zone"}
+// drawnKinds are the kinds of fault that are drawn; the order is part of what a seed means.
+var drawnKinds = []string{"cut", "one_way", "flap", "stall", "late", "reset", "stop", "kill", "empty", "leader", "zone"}
+
+// settleSeconds is how long before the traffic ends the last fault does, so that no verdict depends on luck.
+const settleSeconds = 2
 
-// Draw makes a schedule from a seed: the same one each time. What could make its verdict hang on luck is left out: all
-// faults end two seconds before the traffic does, and at most one process has its folder emptied, as what it owed is lost.
+// Draw makes a schedule from a seed: the same one each time. What could make its verdict depend on luck is left out: all
+// faults end settleSeconds before the traffic does, and at most one process has its folder emptied, as what it owed is lost.
 func Draw(seed uint64, size Size) *Schedule {
 	r := rand.New(rand.NewPCG(seed, 0xc105))
 	s := &Schedule{Name: fmt.Sprintf("drawn-%d", seed), Seed: seed, Processes: size.Processes, Zones: size.Zones,
 		Regions: size.Regions, Seconds: size.Seconds, Rate: size.Rate}
-	last := size.Seconds - 2
+	last := size.Seconds - settleSeconds
 	emptied := false
 	for range 1 + r.IntN(max(1, size.Faults)) {
-		f := Fault{Kind: drawn[r.IntN(len(drawn))], At: tenth(1 + r.Float64()*(last-2)), MS: float64(20 + r.IntN(300)), Every: 0.5 + float64(r.IntN(4))/2}
-		f.Seconds = tenth(min(0.5+r.Float64()*4, last-f.At))
-		group := 1 + r.IntN(max(1, (size.Processes-1)/2))
-		f.From = r.Perm(size.Processes)[:group]
-		slices.Sort(f.From)
-		f.Zone = 1 + r.IntN(size.Zones)
-		switch f.Kind {
-		case "stop", "kill":
-			f.From = f.From[:min(2, len(f.From))]
-		case "empty":
+		f := drawFault(r, size, last)
+		if f.Kind == "empty" {
 			if emptied {
 				continue
 			}
-			emptied, f.From = true, f.From[:1]
-		case "leader", "zone":
-			f.From = nil
-		}
-		if f.Kind != "late" {
-			f.MS = 0
-		}
-		if f.Kind != "flap" {
-			f.Every = 0
-		}
-		if f.Kind != "zone" {
-			f.Zone = 0
+			emptied = true
 		}
+		f.clearUnusedFields()
 		s.Faults = append(s.Faults, f)
 	}
 	for range size.Purges {
@@ -64,4 +52,41 @@
 	return s
 }
 
+// drawFault draws a fault that ends by last. It makes the same draws for every kind, whether or not the kind uses them.
+func drawFault(r *rand.Rand, size Size, last float64) Fault {
+	f := Fault{
+		Kind:  drawnKinds[r.IntN(len(drawnKinds))],
+		At:    tenth(1 + r.Float64()*(last-2)),
+		MS:    float64(20 + r.IntN(300)),
+		Every: 0.5 + float64(r.IntN(4))/2,
+	}
+	f.Seconds = tenth(min(0.5+r.Float64()*4, last-f.At))
+	group := 1 + r.IntN(max(1, (size.Processes-1)/2))
+	f.From = r.Perm(size.Processes)[:group]
+	slices.Sort(f.From)
+	f.Zone = 1 + r.IntN(size.Zones)
+	return f
+}
+
+// clearUnusedFields drops what was drawn and means nothing for this kind of fault.
+func (f *Fault) clearUnusedFields() {
+	switch f.Kind {
+	case "stop", "kill":
+		f.From = f.From[:min(2, len(f.From))]
+	case "empty":
+		f.From = f.From[:1]
+	case "leader", "zone":
+		f.From = nil
+	}
+	if f.Kind != "late" {
+		f.MS = 0
+	}
+	if f.Kind != "flap" {
+		f.Every = 0
+	}
+	if f.Kind != "zone" {
+		f.Zone = 0
+	}
+}
+
 func tenth(v float64) float64 { return float64(int(v*10)) / 10 }
