--- a/lab/cluster/judge/judge.go
+++ b/lab/cluster/judge/judge.go
@@ -21,7 +21,7 @@
 
 const (
 	Fork     Promise = "fork"     // two plans under one epoch, or an epoch that goes back in one life; two contents of a version
-	Purged   Promise = "purged"   // a message that was taken on before a purge began after it was told complete
+	Purged   Promise = "purged"   // a message that was accepted before a purge began after it was told complete
 	Untold   Promise = "untold"   // long after all was well a purge was not complete, nor told lapsed, or a change not decided
 	Parted   Promise = "parted"   // processes still saw different things long after all was well again
 	Older    Promise = "older"    // a process ran an older version of the settings after a newer one
@@ -135,7 +135,7 @@
 // Epochs is how many plans were seen.
 func (j *Judge) Epochs() int { return len(j.sums) }
 
-// Opened hears that a purge is about to be given: what was taken on before now is to be withdrawn.
+// Opened hears that a purge is about to be given: what was accepted before now is to be withdrawn.
 func (j *Judge) Opened(id string, now choice.Time, matches func(choice.MessageID) bool) {
 	j.purges = append(j.purges, &purge{id: id, matches: matches, opened: now})
 }
@@ -149,7 +149,7 @@
 	}
 }
 
-// Taken hears that a program was told that its message is taken on.
+// Taken hears that a program was told that its message is accepted.
 func (j *Judge) Taken(n choice.MessageID, now choice.Time) { j.taken[n] = now }
 
 // Began hears of a call that left its sender with a message, by the endpoint's ledger.
--- a/lab/cluster/play/hunt_test.go
+++ b/lab/cluster/play/hunt_test.go
@@ -63,7 +63,7 @@
 	replay(t, files)
 }
 
-// A thousand purges while processes and whoever leads are killed: no matching message that was taken on before one of
+// A thousand purges while processes and whoever leads are killed: no matching message that was accepted before one of
 // them begins once that is told complete.
 func TestManyPurges(t *testing.T) {
 	if !*found {
--- a/lab/cluster/size/cases.go
+++ b/lab/cluster/size/cases.go
@@ -15,7 +15,7 @@
 	From, To float64 // seconds; To is when all that was wrong is over
 }
 
-// sized is a world without troubles. Each partner has an endpoint in each of four zones that follow each other, the
+// sized is a world without faults. Each partner has an endpoint in each of four zones that follow each other, the
 // most that a spec can say: with four zones one in each; with twelve, where zones that lie four apart are a region, one
 // in each region. Two kinds: one tells its limits by endpoint, one only by how it does.
 func sized(senders, zones, partners int, rate, seconds float64) *world.Spec {
--- a/lab/cluster/size/measure.go
+++ b/lab/cluster/size/measure.go
@@ -29,7 +29,7 @@
 	*referee.Verdict
 	Value                 float64   // delivered of what was asked while something was wrong
 	Before, During, After float64   // share of calls that leave their home; After: of the last five seconds
-	Back                  float64   // from the end of the trouble until no more leave than before; -1 for never
+	Back                  float64   // from the end of the fault until no more leave than before; -1 for never
 	ZoneOver              Over      // of all endpoints of a zone together, while calls are moved there
 	PlaceOver             Over      // the same for the endpoints of one destination in a zone, of those with many calls
 	Plans                 int       // after the first, which moves nothing
@@ -174,7 +174,7 @@
 	return out
 }
 
-// bound is what endpoints can take a second, by warm endpoints and what a trouble leaves of a limit.
+// bound is what endpoints can take a second, by warm endpoints and what a fault leaves of a limit.
 func (m *measure) bound(of func(*world.Endpoint) bool) (sum float64) {
 	for _, e := range m.w.Endpoints {
 		if of(e) {
--- a/lab/hunt/draw.go
+++ b/lab/hunt/draw.go
@@ -11,7 +11,7 @@
 	"flaxcove/lab/world"
 )
 
-// Kinds of trouble that are drawn, in order of name.
+// Kinds of fault that are drawn, in order of name.
 var endpointFaults, otherFaults = faultKinds()
 
 func faultKinds() (endpoints, others []string) {
@@ -173,7 +173,7 @@
 	return t
 }
 
-// drawEndpoints draws a trouble of endpoints and which ones it strikes.
+// drawEndpoints draws a fault of endpoints and which ones it strikes.
 func (d *drawer) drawEndpoints(t *world.Fault) {
 	t.Kind = pick(d, endpointFaults...)
 	t.Selector.Share = d.figure(0.1, 0.7)
--- a/lab/live/clients.go
+++ b/lab/live/clients.go
@@ -1,6 +1,6 @@
 package live
 
-// This file owns the programs' connections to one sender: hand-ins, hoards and rubbish. It must never answer for a sender, nor hold
+// This file owns the clients' connections to one sender: hand-ins, hoards and rubbish. It must never answer for a sender, nor hold
 // the world's goroutine up.
 
 import (
@@ -21,11 +21,11 @@
 
 const (
 	dialTimeout  = 400 * time.Millisecond
-	replyTimeout = 10 * time.Second // a program's patience is the world's; this ends what nobody waits for
+	replyTimeout = 10 * time.Second // a client's patience is the world's; this ends what nobody waits for
 	maxIdle      = 8                // connections that a pool keeps beyond those in use
 )
 
-// pool holds the programs' connections to one sender. Its fields belong to the loop but for those under the lock.
+// pool holds the clients' connections to one sender. Its fields belong to the loop but for those under the lock.
 type pool struct {
 	e      *engine
 	sender world.SenderNo
@@ -139,7 +139,7 @@
 	if h.Ask.Class.Ordered {
 		key = fmt.Sprintf("%016x", uint64(h.Ask.Partner*1_000_000+h.Ask.Key+1))
 	}
-	// The time that its program has waited before is gone.
+	// The time that its client has waited before is gone.
 	text := resp.AppendCommand(nil, []byte("OUT.ADD"), []byte(key), []byte(h.ID),
 		fmt.Appendf(nil, "c=%s,d=%d,dest=%d", h.Ask.Class.Name, max(1, h.Left()), h.Ask.Partner), body)
 	for try := range 2 {
@@ -204,7 +204,7 @@
 	}
 }
 
-// rubbish is what broken programs send.
+// rubbish is what broken clients send.
 var rubbish = []string{"GET / HTTP/1.1\r\n\r\n", "*5\r\n$99999999999\r\n", "*-7\r\n", "*2\r\n$4\r\nPING", "*1\r\n$3\r\nNOT\r\n",
 	"*5\r\n$7\r\nOUT.ADD\r\n$1\r\n0\r\n$1\r\nx\r\n$9\r\nc=nothing\r\n$1\r\nb\r\n", "\x00\x01\x02\x03\r\n"}
 
--- a/lab/live/control.go
+++ b/lab/live/control.go
@@ -29,7 +29,7 @@
 // Addr is where programs find a sender.
 func (h *RunControl) Addr(s world.SenderNo) string { return h.e.senderAddr(s) }
 
-// Act does to a process what a trouble of the world would: Kill, Start, Term, Pause, Continue.
+// Act does to a process what a fault of the world would: Kill, Start, Term, Pause, Continue.
 func (h *RunControl) Act(on world.SenderNo, what world.Act) { h.e.Act(on, what) }
 
 // Alive tells whether its process runs, stopped or not.
--- a/lab/live/wire.go
+++ b/lab/live/wire.go
@@ -18,7 +18,7 @@
 		p.kill()
 		e.w.SetServing(on, false)
 	case world.Start:
-		if !p.alive() { // two troubles that overlap have killed it once
+		if !p.alive() { // two faults that overlap have killed it once
 			p.start()
 		}
 	case world.Term:
--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -1,4 +1,4 @@
-// Package load makes the arrivals of a run: when a program hands in which message, for whom.
+// Package load makes the arrivals of a run: when a client hands in which message, for whom.
 //
 // It owns the shapes of open-loop load and the traces that stand in for them: each arrival has a time that does not
 // depend on what became of those before. It must never look at a clock, wait, or hang on the order of a map; one seed
@@ -16,7 +16,7 @@
 	"flaxcove/choice"
 )
 
-// Spec describes a load. Rate is in messages a second of all programs together.
+// Spec describes a load. Rate is in messages a second of all clients together.
 type Spec struct {
 	Rate       float64 `toml:"rate"`
 	Shape      string  `toml:"shape"`       // poisson (the default), steady or bursts
@@ -67,7 +67,7 @@
 	return "", nil
 }
 
-// Arrival is one message that a program wants delivered.
+// Arrival is one message that a client wants delivered.
 type Arrival struct {
 	At      choice.Time
 	Ask     int64 // counts from 1; a repeated hand-in of the same message keeps it
@@ -82,7 +82,7 @@
 type Bend struct {
 	From, To choice.Time
 	Factor   float64 // of the rate; 1 for unchanged
-	Sender   int     // whose programs it bends; -1 for all
+	Sender   int     // whose clients it bends; -1 for all
 	Partner  int     // to which Share of the messages go; -1 for none
 	Share    float64
 }
--- a/lab/referee/clients.go
+++ b/lab/referee/clients.go
@@ -1,6 +1,6 @@
 package referee
 
-// This file owns the client's side: what was asked for, what the program and the platform were told, and what a
+// This file owns the client's side: what was asked for, what the client and the platform were told, and what a
 // delivery is worth. It must never look at a call; what one may have done stands in calls.go.
 
 import (
@@ -10,7 +10,7 @@
 	"flaxcove/lab/world"
 )
 
-// Asked hears that a program wants something sent.
+// Asked hears that a client wants something sent.
 func (r *Referee) Asked(a *world.Ask) {
 	r.judgeDue()
 	r.asks[a] = &requestState{}
@@ -27,7 +27,7 @@
 // isCounted tells whether service is reckoned from an ask: the first second only starts a run.
 func isCounted(a *world.Ask) bool { return a.At >= choice.Second }
 
-// HandedIn hears that a program hands a message to a sender.
+// HandedIn hears that a client hands a message to a sender.
 func (r *Referee) HandedIn(h *world.HandIn) {
 	r.judgeDue()
 	r.v.HandedIn++
@@ -42,7 +42,7 @@
 // late is how long after its deadline a message is judged.
 func (r *Referee) late() Time { return milliseconds(r.spec.Rules.LateMS) + r.slack }
 
-// HandInAnswered hears what a program was told of its hand-in.
+// HandInAnswered hears what a client was told of its hand-in.
 func (r *Referee) HandInAnswered(h *world.HandIn, what world.HandInAnswer) {
 	r.judgeDue()
 	n := r.messages[h]
--- a/lab/referee/endpoints.go
+++ b/lab/referee/endpoints.go
@@ -1,7 +1,7 @@
 package referee
 
 // This file owns what endpoints and senders go through: drains and waits that a sender is told of, outages and returns,
-// troubles, and the times at which a sender could do nothing. It must never blame a sender for news that did not reach it.
+// faults, and the times at which a sender could do nothing. It must never blame a sender for news that did not reach it.
 
 import (
 	"flaxcove/choice"
@@ -80,7 +80,7 @@
 	}
 }
 
-// Fault hears that a trouble begins or ends.
+// Fault hears that a fault begins or ends.
 func (r *Referee) Fault(t *world.Fault, on bool, parts int) {
 	now := sec(r.clock())
 	if on {
--- a/lab/referee/message.go
+++ b/lab/referee/message.go
@@ -60,7 +60,7 @@
 	return x
 }
 
-// requestState is what is known of one wish of a program, which may hand in several times.
+// requestState is what is known of one wish of a client, which may hand in several times.
 type requestState struct{ credited bool }
 
 // orderKey names an ordering key at one sender.
--- a/lab/referee/referee_test.go
+++ b/lab/referee/referee_test.go
@@ -11,7 +11,7 @@
 	"flaxcove/lab/world"
 )
 
-// rough is a world with some of each trouble that tempts a sender to break a rule.
+// rough is a world with some of each fault that tempts a sender to break a rule.
 func rough() *world.Spec {
 	s := world.Base()
 	s.Name, s.Seconds, s.Senders, s.Zones = "rough", 25, 3, 2
--- a/lab/referee/verdict.go
+++ b/lab/referee/verdict.go
@@ -70,7 +70,7 @@
 	Delivered  int     `json:"delivered"`
 	ValueAsked float64 `json:"gain_asked"`
 	Value      float64 `json:"gain"`
-	Delivery   Latency `json:"delivery_ms"` // from the time at which its program first wanted it
+	Delivery   Latency `json:"delivery_ms"` // from the time at which its client first wanted it
 }
 
 // Latency is a histogram's outline in milliseconds.
@@ -95,7 +95,7 @@
 	P99         float64 `json:"p99_ms"`
 }
 
-// Span is a trouble as it happened.
+// Span is a fault as it happened.
 type Span struct {
 	Kind  string  `json:"kind"`
 	From  float64 `json:"from_s"`
--- a/lab/report/plots.go
+++ b/lab/report/plots.go
@@ -82,7 +82,7 @@
 	return nil
 }
 
-// shadeTroubles marks the times of troubles, behind all else.
+// shadeTroubles marks the times of faults, behind all else.
 func shadeTroubles(p *plot.Plot, spans []referee.Span, top float64) error {
 	for _, s := range spans {
 		area, err := plotter.NewPolygon(plotter.XYs{{X: s.From, Y: 0}, {X: s.To, Y: 0}, {X: s.To, Y: top}, {X: s.From, Y: top}})
--- a/lab/sim/life.go
+++ b/lab/sim/life.go
@@ -42,7 +42,7 @@
 	return all
 }
 
-// term begins a planned end: programs go elsewhere at once here, and the rest waits for the next process.
+// term begins a planned end: clients go elsewhere at once here, and the rest waits for the next process.
 func (n *node) term() {
 	if !n.alive {
 		return
--- a/lab/sim/node.go
+++ b/lab/sim/node.go
@@ -39,7 +39,7 @@
 	tickDue    bool
 
 	owed          map[choice.MessageID]*openMessage // lasting and not
-	acceptedOrder []choice.MessageID                // of what lasts, as taken on
+	acceptedOrder []choice.MessageID                // of what lasts, as accepted
 	newMessages   []*openMessage                    // of this turn
 	newCalls      []*call                           // of this turn
 	endpoints     map[choice.EndpointID]*endpoint
@@ -56,7 +56,7 @@
 	mayRunRecorded bool // an attempt that may run is on record
 	attempts       int
 	call           *call
-	unanswered     bool // its program waits for its answer
+	unanswered     bool // its client waits for its answer
 	over           bool
 }
 
@@ -113,7 +113,7 @@
 	n.lastTickAt = w.Now() - set.Turn + set.Turn*choice.Time(int64(n.no)%7)/7 // senders' turns do not fall together
 	n.policy = n.e.o.Policy(n, choice.SenderID(fmt.Sprintf("s%d", n.no)), int64(n.e.o.Seed)*1_000_003+n.incarnation, set, w)
 	n.updateEndpoints(known)
-	// What an earlier process had taken on outlasts it, in the order taken on.
+	// What an earlier process had accepted outlasts it, in the order accepted.
 	var reused []choice.MessageID
 	for _, id := range n.acceptedOrder {
 		if o := n.owed[id]; o != nil {
@@ -188,7 +188,7 @@
 // admit takes a message in, or refuses it where its sender is full.
 func (n *node) admit(h *world.HandIn) {
 	if n.paused && n.alive {
-		// Its program waits as long as it does; who has given up by then is not answered.
+		// Its client waits as long as it does; who has given up by then is not answered.
 		n.whenRunning(func() { n.admit(h) })
 		return
 	}
--- a/lab/sim/sim.go
+++ b/lab/sim/sim.go
@@ -172,7 +172,7 @@
 		n.kill()
 	case world.Start:
 		if n.alive {
-			return // two troubles that overlap have killed it once
+			return // two faults that overlap have killed it once
 		}
 		// The list it finds is the one from the start of the run, as after a bad night.
 		if err := n.start(e.w.InitialList()); err != nil {
--- a/lab/sim/sim_test.go
+++ b/lab/sim/sim_test.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// One seed replays a whole run, with every trouble there is in it.
+// One seed replays a whole run, with every fault there is in it.
 func TestOneSeedReplaysARun(t *testing.T) {
 	spec := small()
 	spec.Seconds = 40
@@ -84,7 +84,7 @@
 	}
 }
 
-// Every trouble is felt in the way it is meant: by what the world counts, not by what a sender says.
+// Every fault is felt in the way it is meant: by what the world counts, not by what a sender says.
 func TestEachFaultHasEffect(t *testing.T) {
 	calm := run(t, sim.Options{Spec: small(), Seed: 2})
 	for kind, felt := range map[string]func(v *referee.Verdict) bool{
--- a/lab/world/check.go
+++ b/lab/world/check.go
@@ -1,6 +1,6 @@
 package world
 
-// This file owns what values a spec may have. It must never change a spec, nor stop at the first thing that is wrong.
+// This file validates a spec. It must not change the spec, nor stop at the first problem.
 
 import (
 	"fmt"
@@ -12,8 +12,8 @@
 
 func (p Problem) Error() string { return p.Path + ": " + p.What }
 
-// Check tells all that is wrong with a spec whose defaults are filled. What is looked up in other parts of a spec is
-// only checked once those are right.
+// Check returns all problems of a spec whose defaults are filled in. References to other parts of the spec are checked
+// only if those parts are valid.
 func (s *Spec) Check() []Problem {
 	c := &checker{}
 	c.sizes(s)
@@ -31,7 +31,7 @@
 	return c.problems
 }
 
-// checker gathers what is wrong.
+// checker collects the problems of one spec.
 type checker struct{ problems []Problem }
 
 func (c *checker) wrong(path, format string, args ...any) {
@@ -198,10 +198,10 @@
 	}
 }
 
-// maxEndpoints is how many a partner may have.
+// maxEndpoints is the largest number of endpoints of a partner.
 const maxEndpoints = 4
 
-// selectorProblem tells why a part is a part of nothing.
+// selectorProblem says why a selector matches nothing of this spec, or "" if it matches.
 func (s *Spec) selectorProblem(p *Selector, strikes string) string {
 	named, total := 0, 0
 	for i := range s.Partners {
@@ -229,7 +229,7 @@
 	return p.mismatch(strikes)
 }
 
-// outside is the first number that counts none of so many.
+// outside returns the first number that is not a valid index below total.
 func outside(numbers []int, total int) (int, bool) {
 	for _, n := range numbers {
 		if n < 0 || n >= total {
@@ -239,7 +239,7 @@
 	return 0, false
 }
 
-// mismatch tells why a part is none of what a trouble mismatch.
+// mismatch says why a selector does not suit a fault that affects senders, clients or endpoints, or "" if it does.
 func (p *Selector) mismatch(what string) string {
 	switch what {
 	case "senders":
--- a/lab/world/clients.go
+++ b/lab/world/clients.go
@@ -1,6 +1,7 @@
 package world
 
-// This file owns the programs: asks, hand-ins, what they are told and when they try again. It must never look into a sender.
+// This file models the clients: what they want delivered, how they hand it in, what answer they get and when they try
+// again. It must not read the state of a sender.
 
 import (
 	"fmt"
@@ -9,7 +10,7 @@
 	"flaxcove/lab/load"
 )
 
-// HandInAnswer is what a program was told of a hand-in.
+// HandInAnswer is the answer of a sender to a hand-in, as its client sees it.
 type HandInAnswer int
 
 const (
@@ -20,7 +21,7 @@
 	HandInNoSender // the connection was refused or ended
 )
 
-// End is how the platform was told that a message ended.
+// End is how a message ended according to the outcome callback, which the platform receives.
 type End int
 
 const (
@@ -28,37 +29,43 @@
 	EndFailed
 )
 
-// Ask is one message that a program wants delivered, over all its hand-ins. Its value counts once.
+// Ask is one message that a client wants delivered. It may be handed in several times; its value counts once.
 type Ask struct {
 	load.Arrival
 	No       AskNo
 	Class    *Class
 	Deadline Time
-	Tries    int // hand-ins
-	repeats  int // after refusals
+	Tries    int // number of hand-ins
+	repeats  int // hand-ins after the sender shed the message
 	over     bool
 }
 
-// HandIn is one hand-in of an ask; each has an id of its own.
+// HandIn is one hand-in of an Ask to one sender. Each has a message id of its own.
 type HandIn struct {
 	ID             choice.MessageID
 	Ask            *Ask
 	Sender         SenderNo
 	At             Time
 	Deadline       Time
-	Unknown        bool // no program handed it in
+	Unknown        bool // no client handed it in
 	FalselyRefused int  // runs that its partner answered with a refusal
 
 	answer   HandInAnswer
-	settled  bool // heard, or waited for in vain
+	settled  bool // answered, or the client's patience is over
 	ended    bool
 	attempts int
 }
 
-// Left is how long it may still be delivered, in milliseconds and not rounded up.
+// Left is the time to the deadline in milliseconds, rounded down.
 func (h *HandIn) Left() int64 { return int64((h.Deadline - h.At) / Millisecond) }
 
+// planLoad sets up the arrivals: the given trace, or the spec's load with the faults that change it.
 func (w *World) planLoad(trace []load.Arrival) error {
+	if trace != nil {
+		replay, err := load.NewReplay(trace)
+		w.arrivals = replay
+		return err
+	}
 	classes, partners := make([]float64, len(w.Spec.Classes)), make([]float64, len(w.Partners))
 	for i := range classes {
 		classes[i] = w.Spec.Classes[i].Share
@@ -66,37 +73,34 @@
 	for i, p := range w.Partners {
 		partners[i] = p.Share
 	}
-	if trace != nil {
-		replay, err := load.NewReplay(trace)
-		w.arrivals = replay
-		return err
-	}
-	var bends []load.Bend
+	w.arrivals = load.New(w.Spec.Load, w.seed, w.end, classes, partners,
+		load.ZipfWeights(len(w.senders), w.Spec.Load.SenderSkew), w.loadBends())
+	return nil
+}
+
+// loadBends returns the changes of the load by faults of the kinds surge and fixed.
+func (w *World) loadBends() (bends []load.Bend) {
 	for i := range w.Spec.Faults {
 		t := &w.Spec.Faults[i]
 		bend := load.Bend{From: seconds(t.At), To: seconds(t.At + t.Seconds), Factor: 1, Sender: -1, Partner: -1}
 		switch t.Kind {
 		case "surge":
 			bend.Factor = t.Amount
-			if len(t.Selector.Senders) > 0 {
-				bend.Sender = t.Selector.Senders[0]
-			}
 		case "fixed":
 			bend.Share = t.Amount
 			bend.Partner = int(w.partnersOf(&t.Selector, int64(i))[0].No)
-			if len(t.Selector.Senders) > 0 {
-				bend.Sender = t.Selector.Senders[0]
-			}
 		default:
 			continue
 		}
+		if len(t.Selector.Senders) > 0 {
+			bend.Sender = t.Selector.Senders[0]
+		}
 		bends = append(bends, bend)
 	}
-	w.arrivals = load.New(w.Spec.Load, w.seed, w.end, classes, partners,
-		load.ZipfWeights(len(w.senders), w.Spec.Load.SenderSkew), bends)
-	return nil
+	return bends
 }
 
+// nextArrival schedules the next arrival, which schedules the one after it.
 func (w *World) nextArrival() {
 	a, ok := w.arrivals.Next()
 	if !ok {
@@ -108,6 +112,7 @@
 	})
 }
 
+// requestArrived begins a new Ask and hands its message in for the first time.
 func (w *World) requestArrived(a load.Arrival) {
 	class := &w.Spec.Classes[a.Class]
 	ask := &Ask{Arrival: a, No: AskNo(a.Ask), Class: class, Deadline: a.At + ms(class.DeadlineMS)}
@@ -115,7 +120,7 @@
 	w.handIn(ask, SenderNo(a.Sender))
 }
 
-// handIn has the program of an ask try a sender, or the next one that serves.
+// handIn hands a message in to a sender, or to the next one that serves.
 func (w *World) handIn(a *Ask, to SenderNo) {
 	if a.over || w.now >= a.Deadline-Millisecond {
 		a.over = true
@@ -148,11 +153,11 @@
 	})
 }
 
-// forgetAfter is how long after its time a hand-in is still known, for what comes late.
+// forgetAfter is how long after its deadline a hand-in is still known, for answers and callbacks that come late.
 const forgetAfter = 4 * Second
 
-// forget drops a hand-in once nothing can be heard of it any more. One that was taken on is waited for: its sender may
-// be away for long and end it on its return.
+// forget drops a hand-in once no more events can concern it. One that was accepted and has no end yet is kept until the
+// run is over: its sender may be down for long and end it when it is back.
 func (w *World) forget(h *HandIn) {
 	if h.answer == HandInAccepted && !h.ended && w.now < w.end+forgetAfter {
 		w.After(forgetAfter, func() { w.forget(h) })
@@ -161,11 +166,11 @@
 	delete(w.byMessage, h.ID)
 }
 
-// Abandoned tells whether its program has stopped waiting for an answer to it: what its sender does with it from then
-// on counts for nothing.
+// Abandoned reports whether the client stopped waiting for the answer. What the sender does with the message from then
+// on does not count.
 func (h *HandIn) Abandoned() bool { return h.answer == HandInUnanswered && h.settled }
 
-// handInElsewhere hands in again where no sender took it.
+// handInElsewhere hands a message in to another sender after a pause, since the first one was down or did not answer.
 func (w *World) handInElsewhere(a *Ask, to SenderNo) {
 	if w.Spec.Clients.OwnSender {
 		to = SenderNo(a.Sender)
@@ -174,6 +179,7 @@
 	w.After(wait, func() { w.handIn(a, to) })
 }
 
+// settle records the answer to a hand-in, once. It is false if the hand-in was settled before.
 func (w *World) settle(h *HandIn, what HandInAnswer) bool {
 	if h.settled {
 		return false
@@ -183,7 +189,7 @@
 	return true
 }
 
-// Answered is what a sender said to a hand-in; ms goes with HandInBusy, 0 for none.
+// Answered takes a sender's answer to a hand-in. With HandInBusy, comeBackMS is the wait that the sender asks for, or 0.
 func (w *World) Answered(h *HandIn, what HandInAnswer, comeBackMS int64) {
 	if !w.settle(h, what) {
 		return
@@ -198,7 +204,7 @@
 	}
 }
 
-// handInAgain has the program come again, if it does.
+// handInAgain hands a message in to the same sender after it was shed, if the client has retries left.
 func (w *World) handInAgain(h *HandIn, comeBackMS int64) {
 	a, c := h.Ask, &w.Spec.Clients
 	if a.over {
@@ -216,18 +222,18 @@
 	w.After(wait, func() { w.handIn(a, h.Sender) })
 }
 
-// ReportEnd is the platform hearing of an end. It tells whether the line makes sense.
-func (w *World) ReportEnd(id choice.MessageID, what End, comeBackMS int64) bool {
+// ReportEnd takes one line of an outcome callback: a message ended without being delivered.
+func (w *World) ReportEnd(id choice.MessageID, what End, comeBackMS int64) {
 	h := w.byMessage[id]
 	if h == nil {
-		return true // long over; a message about it does no harm
+		return // forgotten since; a late callback does no harm
 	}
 	w.ledger.Ended(h, what)
 	if h.ended {
-		return true
+		return
 	}
 	h.ended = true
-	// Only what its program still waits for comes again; of an abandoned hand-in it has forgotten the id.
+	// A client that abandoned the hand-in no longer knows its id and does not react.
 	if h.answer == HandInAccepted {
 		if what == EndHandedBack {
 			w.handInAgain(h, comeBackMS)
@@ -235,15 +241,15 @@
 			h.Ask.over = true
 		}
 	}
-	return true
 }
 
+// delivered ends a hand-in whose message was delivered.
 func (w *World) delivered(h *HandIn) {
 	h.ended = true
 	h.Ask.over = h.Ask.over || h.answer == HandInAccepted
 }
 
-// senderGone settles the hand-ins that its end left without an answer.
+// senderGone answers the open hand-ins of a sender whose process ended: their connections break.
 func (w *World) senderGone(s SenderNo) {
 	var cut []*HandIn
 	for _, h := range w.byMessage {
--- a/lab/world/connections.go
+++ b/lab/world/connections.go
@@ -1,12 +1,12 @@
 package world
 
-// This file is the connections to an endpoint.
+// This file models connections to endpoints.
 
 import (
 	"flaxcove/choice"
 )
 
-// Dial begins a connection to an endpoint at the address that its sender was told.
+// Dial begins a connection to an endpoint at the address that its sender got from discovery.
 func (w *World) Dial(s SenderNo, id choice.EndpointID, addr int) *Conn {
 	w.conns++
 	c := &Conn{No: w.conns, Sender: s}
@@ -32,7 +32,7 @@
 	return c
 }
 
-// Accept is Dial for an engine with real connections: it has come up already.
+// Accept is Dial for an engine with real connections, where the connection is up already.
 func (w *World) Accept(s SenderNo, e *Endpoint) *Conn {
 	w.conns++
 	c := &Conn{No: w.conns, Sender: s, Endpoint: e}
@@ -40,7 +40,7 @@
 	return c
 }
 
-// Accepts tells whether an endpoint takes new connections at that address just now.
+// Accepts reports whether an endpoint accepts new connections at an address now.
 func (w *World) Accepts(e *Endpoint, addr int) bool {
 	return addr == e.Addr && e.Stage != choice.Gone && e.accepts(w.now)
 }
@@ -53,7 +53,7 @@
 	w.watchIdle(c)
 }
 
-// watchIdle closes a connection that carries nothing for too long.
+// watchIdle has the endpoint close a connection that stays idle for too long.
 func (w *World) watchIdle(c *Conn) {
 	c.idleAt = w.now
 	at := w.now
@@ -64,8 +64,8 @@
 	})
 }
 
-// closeAtEndpoint ends a connection from the endpoint's side; tell says whether its sender learns of it.
-func (w *World) closeAtEndpoint(c *Conn, tell bool) {
+// closeAtEndpoint closes a connection from the endpoint's side. If notify is set, the sender sees the reset.
+func (w *World) closeAtEndpoint(c *Conn, notify bool) {
 	if c.closedAtEndpoint {
 		return
 	}
@@ -75,7 +75,7 @@
 		w.unqueue(call)
 		w.setInFlight(call, false)
 	}
-	if tell && !c.closedBySender {
+	if notify && !c.closedBySender {
 		c.notified = true
 		w.After(w.oneWayDelay(c.Sender, c.Endpoint, int64(c.carried)), func() {
 			if !c.closedBySender && !w.senders[c.Sender].isolated {
@@ -85,14 +85,14 @@
 	}
 }
 
-// CloseBySender ends a connection from its sender's side.
+// CloseBySender closes a connection from the sender's side.
 func (w *World) CloseBySender(c *Conn) {
 	if c.closedBySender {
 		return
 	}
 	c.closedBySender = true
 	if call := c.call; call != nil {
-		w.setInFlight(call, false) // an end and a later call leave their sender in this order, however long each takes
+		w.setInFlight(call, false) // at once: a later call of this sender leaves after the close, whatever delay each has
 	}
 	e := c.Endpoint
 	if e == nil || c.closedAtEndpoint {
@@ -103,7 +103,7 @@
 			c.closedAtEndpoint = true
 			delete(e.conns, c)
 			if c.call != nil {
-				w.noteFailureSeen(e, c.Sender) // who gave a call up there has seen it fail
+				w.noteFailureSeen(e, c.Sender) // a sender that abandoned a call there has seen it fail
 			}
 		}
 	})
--- a/lab/world/defaults.go
+++ b/lab/world/defaults.go
@@ -1,13 +1,13 @@
 package world
 
-// This file owns what stands where a scenario says nothing. It must never touch what it says.
+// This file holds the default values of a scenario. It must not change a value that the scenario gives.
 
 import (
 	"cmp"
 	"fmt"
 )
 
-// Base is what a scenario starts from; what it says goes before.
+// Base returns the spec that a scenario starts from. Values that the scenario gives override it.
 func Base() Spec {
 	return Spec{
 		Name: "unnamed", Seconds: 30, Senders: 2, Zones: 1, Halving: true,
@@ -21,7 +21,7 @@
 	}
 }
 
-// Defaults fills what tables of a list left out.
+// Defaults fills in the fields that the entries of lists left out.
 func (s *Spec) Defaults() {
 	s.Load.Defaults()
 	for i := range s.Classes {
--- a/lab/world/directory.go
+++ b/lab/world/directory.go
@@ -1,6 +1,7 @@
 package world
 
-// This file owns discovery: the list, its changes and who has heard which. It must never tell a sender news out of order.
+// This file models discovery: the endpoint list, its changes and which version each sender has. It must not send a
+// sender updates out of order.
 
 import (
 	"cmp"
@@ -9,29 +10,29 @@
 	"flaxcove/choice"
 )
 
-// List is a message of discovery, in order of endpoints.
+// List is an update that discovery sends, sorted by endpoint. A full list names all endpoints, another only changes.
 type List struct {
 	Version int64
 	Full    bool
-	Stale   bool // it is what an earlier life held
+	Stale   bool // it is what an earlier incarnation of the sender knew
 	Entries []ListEntry
 }
 
-// ListEntry is one endpoint of a list. Address counts its addresses from 0.
+// ListEntry is one endpoint in a list. Address is the number of its current address, from 0.
 type ListEntry struct {
 	Endpoint *Endpoint
 	Stage    choice.Stage
 	Address  int
 }
 
-// listState is discovery itself.
+// listState is the state of discovery.
 type listState struct {
 	version int64
-	first   []ListEntry  // as it was at the start
+	first   []ListEntry  // the list at the start of the run
 	changes []listChange // in order of version
 	late    Time
-	stale   int // troubles that withhold changes
-	silent  int // troubles in which it says nothing at all
+	stale   int // number of active faults that withhold changes
+	silent  int // number of active faults in which discovery does not answer
 }
 
 type listChange struct {
@@ -43,7 +44,7 @@
 	slices.SortFunc(h, func(a, b *HandIn) int { return cmp.Compare(a.ID, b.ID) })
 }
 
-// Rating is what the list tells of the rate that an endpoint takes.
+// Rating is the weight in the endpoint list: the rate that an endpoint takes, exact, rough or 0 for unknown.
 func (w *World) Rating(e *Endpoint) float64 {
 	switch w.Spec.Sender.Rating {
 	case "nominal":
@@ -54,7 +55,7 @@
 	return 0
 }
 
-// FullList is the list as discovery holds it now.
+// FullList returns the current list.
 func (w *World) FullList() List {
 	l := List{Version: w.list.version, Full: true}
 	for _, e := range w.Endpoints {
@@ -65,12 +66,12 @@
 	return l
 }
 
-// InitialList is the list as it was at the start of the run: what a returning sender may know.
+// InitialList returns the list at the start of the run, which is what a restarted sender may still know.
 func (w *World) InitialList() List {
 	return List{Version: 0, Full: true, Stale: true, Entries: w.list.first}
 }
 
-// Watch is a sender asking for the list from a version on. It is answered in its time, with what is new or the whole.
+// Watch begins a sender's watch from a version on. The first update has the changes since, or the full list for version 0.
 func (w *World) Watch(s SenderNo, since int64) {
 	st := w.senders[s]
 	st.watching = true
@@ -85,12 +86,12 @@
 func (w *World) updateDelay(s SenderNo, version int64) Time {
 	late := ms(w.within(w.Spec.Discovery.DelayMS, "news", int64(s), version))
 	if version == 0 {
-		late = Millisecond // the agent beside the sender answers at once with what it has
+		late = Millisecond // the agent beside the sender answers at once from its copy
 	}
 	return late + w.list.late
 }
 
-// pushUpdate brings a sender up to what discovery lets out.
+// pushUpdate sends a sender all changes since its version, unless a fault withholds them.
 func (w *World) pushUpdate(s SenderNo) {
 	st := w.senders[s]
 	if !st.watching || st.isolated || st.updatesHeld || w.list.stale > 0 || w.list.silent > 0 {
@@ -111,7 +112,7 @@
 	}
 	st.version = l.Version
 	if l.Full {
-		// What is not on a whole list is gone.
+		// An endpoint that a full list does not name is gone.
 		listed := map[*Endpoint]bool{}
 		for _, entry := range l.Entries {
 			listed[entry.Endpoint] = true
@@ -128,7 +129,7 @@
 	w.wire.ListUpdate(s, l)
 }
 
-// changeStage lets out one change of the list.
+// changeStage changes an endpoint's stage on the list and schedules the update for every sender.
 func (w *World) changeStage(e *Endpoint, stage choice.Stage) {
 	e.Stage = stage
 	w.list.version++
--- a/lab/world/draw.go
+++ b/lab/world/draw.go
@@ -1,7 +1,7 @@
 package world
 
-// This file owns chance: a number from the seed and the name of what it is drawn for. It must never keep a state that the
-// order of draws could change.
+// This file draws random numbers from the seed and a name for what is drawn. It must not keep state: then a number would
+// depend on the order of draws.
 
 import (
 	"encoding/binary"
@@ -10,7 +10,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// draw is uniform in [0, 1), the same for the same name and numbers under one seed.
+// draw returns a number in [0, 1). It depends on the seed, the name and the numbers alone.
 func (w *World) draw(name string, numbers ...int64) float64 {
 	var buf [96]byte
 	key := binary.LittleEndian.AppendUint64(buf[:0], w.seed)
@@ -25,7 +25,7 @@
 	return p[0] + (p[1]-p[0])*w.draw(name, numbers...)
 }
 
-// logNormal has the given mean; u is uniform.
+// logNormal maps a uniform u to a log-normal distribution with the given mean.
 func logNormal(mean, sigma, u float64) float64 {
 	u = min(max(u, 1e-9), 1-1e-9)
 	return mean * math.Exp(sigma*math.Sqrt2*math.Erfinv(2*u-1)-sigma*sigma/2)
--- a/lab/world/endpoint.go
+++ b/lab/world/endpoint.go
@@ -1,34 +1,34 @@
 package world
 
-// This file owns partners and endpoints as they stand. It must never answer a call; work.go does.
+// This file holds the state of partners, endpoints, connections and calls. work.go handles calls.
 
 import (
 	"flaxcove/choice"
 )
 
-// bulkMessageWork is what a further message in a call adds to the work of the first.
+// bulkMessageWork is the additional work of each further message in a bulk call, as a share of the first one's.
 const bulkMessageWork = 0.15
 
-// Partner is one partner system, the destination of messages.
+// Partner is one partner system: a destination of messages.
 type Partner struct {
 	No        PartnerNo
 	Kind      *Kind
 	KindNo    int
 	Share     float64 // of the traffic
-	Rate      float64 // calls a second that it can take, all endpoints
+	Rate      float64 // capacity of all endpoints, in calls a second
 	Endpoints []*Endpoint
-	limit     *limit // nil where there is none, or its endpoints have one each
+	limit     *limit // nil if there is none, or if each endpoint has its own
 }
 
-// Endpoint is one machine of a partner.
+// Endpoint is one server of a partner.
 type Endpoint struct {
 	No      EndpointNo
 	ID      choice.EndpointID
 	Partner *Partner
 	Zone    int
-	Addr    int // counts its addresses; a move gives it the next one
+	Addr    int // number of its current address; a move gives it the next one
 	Stage   choice.Stage
-	Rate    float64 // calls a second that it can take when warm
+	Rate    float64 // capacity in calls a second after slow start
 
 	sameMS, crossMS float64
 	mean            float64 // tenths of a millisecond
@@ -36,20 +36,20 @@
 	limit           *limit
 	effects         effects
 	busy            int
-	queue           []*Call // those that wait; bounded by queueMax
+	queue           []*Call // calls that wait for a slot; at most queueMax
 	conns           map[*Conn]struct{}
-	out             bool // an outage, as the rule on returns counts it
-	since           Time // of the outage, or of the return
+	out             bool // in an outage, as the referee's rule on returns counts it
+	since           Time // when the outage began or ended
 	warmFrom        Time
-	sawFailure      map[SenderNo]struct{} // who saw a call fail in the present or last outage; emptied with the next
-	recent          []arrival             // over the rule's span while cold
+	sawFailure      map[SenderNo]struct{} // senders that saw a call fail in the current or last outage
+	recent          []arrival             // calls within the rule's span, during slow start
 	downUntil       Time
 	report          choice.Report
 	reportAt        Time
 	restarts        int64
-	refuses         bool // connections, as the engine was told
+	refuses         bool // the engine was told that it refuses connections
 	lastCall        Time
-	sincePause      float64 // calls since a pause, where the first ones are refused
+	sincePause      float64 // calls since the last pause, for the fault refusing_first
 }
 
 type arrival struct {
@@ -63,18 +63,18 @@
 	No               int64
 	Sender           SenderNo
 	Endpoint         *Endpoint
-	Engine           any // the engine's own
+	Engine           any // for the engine's use
 	up               bool
-	closedAtEndpoint bool // ended at the endpoint's side
-	closedBySender   bool // ended at the sender's side
-	notified         bool // the sender hears of the end by itself
+	closedAtEndpoint bool // closed by the endpoint, or the sender's close reached it
+	closedBySender   bool
+	notified         bool // the reset is on its way to the sender
 	carried          int
 	idleAt           Time
 	call             *Call
-	overLimit        bool // it came past the table's end
+	overLimit        bool // beyond the endpoint's maximum number of connections
 }
 
-// Call is one attempt on its way: a request with one or several messages, or a probe.
+// Call is one request to an endpoint: with one message, a bulk request with several, or a health probe.
 type Call struct {
 	No       CallNo
 	Conn     *Conn
@@ -84,10 +84,10 @@
 	fresh    bool
 	inFlight bool // its sender may still get an answer
 	running  bool
-	over     bool // it has left the endpoint, whatever became of it
+	over     bool // the endpoint is done with it, whatever became of it
 }
 
-// Bound is what an endpoint takes in calls a second when warm: its capacity or its part of the limit.
+// Bound is the rate that an endpoint takes after slow start: its capacity, or its part of the limit if that is less.
 func (e *Endpoint) Bound() float64 {
 	if l := e.limitOf(); l != nil {
 		part := 1.0
@@ -99,8 +99,8 @@
 	return e.Rate
 }
 
-// WouldAnswer tells, for a policy that may see the truth, whether a call sent now would be answered, and how long it would
-// wait there, in tenths of a millisecond. Mine is how many calls of its sender are out there, arrived or not.
+// WouldAnswer is for policies that may see the true state. It reports whether a call sent now would be answered, and how
+// long it would take in tenths of a millisecond. Mine is how many calls of the sender are in flight to that endpoint.
 func (w *World) WouldAnswer(id choice.EndpointID, mine int) (well bool, waiting float64) {
 	e := w.byID[id]
 	if e == nil || e.Stage == choice.Gone || e.unresponsive() || e.effects.failing > 0.5 || w.now < e.downUntil {
@@ -123,15 +123,15 @@
 	}
 }
 
-// Send is the first byte of a call leaving its sender; its last one follows at once.
+// Send has a call leave its sender; it arrives at the endpoint after the delay of the network.
 func (w *World) Send(c *Conn, messages []choice.MessageID, probe bool) *Call {
 	call := w.newCall(c, messages, probe)
 	w.After(w.oneWayDelay(c.Sender, c.Endpoint, int64(call.No)), func() { w.arrive(call) })
 	return call
 }
 
-// SendWithDialDelay is Send for an engine whose connections come up at once: the first call on one waits for as long as coming up
-// would have taken.
+// SendWithDialDelay is Send for an engine whose connections come up without delay: the first call on a connection is
+// delayed by the time that a handshake would have taken.
 func (w *World) SendWithDialDelay(c *Conn, messages []choice.MessageID, probe bool) *Call {
 	call := w.newCall(c, messages, probe)
 	way := w.oneWayDelay(c.Sender, c.Endpoint, int64(call.No))
@@ -161,12 +161,12 @@
 }
 
 func (e *Endpoint) unresponsive() bool {
-	return e.effects.crash || e.effects.shut || e.effects.silent || e.effects.hung || e.effects.cut || e.effects.deaf
+	return e.effects.crash || e.effects.shut || e.effects.silent || e.effects.hung || e.effects.cut || e.effects.neverReads
 }
 
 func (e *Endpoint) accepts(now Time) bool {
 	return !e.effects.crash && !e.effects.refuse && now >= e.downUntil
 }
 
-// MeanMS is how long a call takes on average where nothing is wrong.
+// MeanMS is the mean duration of a call at an endpoint without faults.
 func (w *World) MeanMS(e *Endpoint) float64 { return e.mean / float64(Millisecond) }
--- a/lab/world/events.go
+++ b/lab/world/events.go
@@ -1,6 +1,6 @@
 package world
 
-// This file owns the order of events. It must never let two of one time change places.
+// This file is the event queue. Events of the same time must run in the order in which they were added.
 
 import (
 	"container/heap"
@@ -8,7 +8,7 @@
 
 type event struct {
 	at Time
-	no uint64 // those of one time come in the order made
+	no uint64 // orders events of the same time
 	do func()
 }
 
@@ -32,7 +32,7 @@
 	return x
 }
 
-// Next is when the world has something to do, and false where it never has.
+// Next is the time of the next event; it is false if there is none.
 func (w *World) Next() (Time, bool) {
 	if len(w.events) == 0 {
 		return 0, false
@@ -40,7 +40,7 @@
 	return w.events[0].at, true
 }
 
-// Advance lets everything happen that is due by then.
+// Advance runs all events up to a time and sets the clock to it.
 func (w *World) Advance(to Time) {
 	for len(w.events) > 0 && w.events[0].at <= to {
 		e := heap.Pop(&w.events).(event)
@@ -50,11 +50,11 @@
 	w.now = max(w.now, to)
 }
 
-// At has something happen then. Engine one puts its senders' turns and timers here too.
+// At runs do at a time. The simulated engine schedules its senders' ticks and timers here too.
 func (w *World) At(at Time, do func()) {
 	w.eventN++
 	heap.Push(&w.events, event{max(at, w.now), w.eventN, do})
 }
 
-// After has something happen so much later.
+// After runs do after a delay.
 func (w *World) After(in Time, do func()) { w.At(w.now+in, do) }
--- a/lab/world/fault.go
+++ b/lab/world/fault.go
@@ -1,13 +1,13 @@
 package world
 
-// This file owns when troubles begin and end, and those of endpoints and of discovery. It must never let the end of one
-// trouble lift another.
+// This file plans when faults begin and end, and switches faults of endpoints and of discovery. The end of one fault must
+// not lift another.
 
 import (
 	"slices"
 )
 
-// planFaults puts all troubles of a spec among the events.
+// planFaults schedules all faults of a spec.
 func (w *World) planFaults() {
 	w.affected = make([]map[*Endpoint]bool, len(w.Spec.Faults))
 	for i := range w.Spec.Faults {
@@ -35,8 +35,8 @@
 	}
 }
 
-// switchFault begins or ends a trouble of endpoints. Faults overlap freely: what holds for an endpoint is made anew from
-// all that are on, so that the end of one does not lift another.
+// switchFault begins or ends a fault of endpoints. Faults may overlap: the effects on an endpoint are computed anew from
+// all active faults, so that the end of one does not lift another.
 func (w *World) switchFault(t *Fault, struck []*Endpoint, on bool) {
 	if on {
 		w.active = append(w.active, t)
@@ -50,15 +50,15 @@
 		if e.effects.crash && !was.crash {
 			w.crashProcess(e)
 		}
-		if was.cut && !e.effects.cut || was.deaf && !e.effects.deaf {
-			// What was open all along is reset now that both sides hear each other again.
+		if was.cut && !e.effects.cut || was.neverReads && !e.effects.neverReads {
+			// Connections that were open all along are reset now that both sides hear each other again.
 			w.crashProcess(e)
 		}
 		w.updateOutage(e)
 	}
 }
 
-// effectsOn is what all troubles that are on do to an endpoint.
+// effectsOn is the sum of the effects of all active faults on an endpoint.
 func (w *World) effectsOn(e *Endpoint) (all effects) {
 	for i := range w.Spec.Faults {
 		t := &w.Spec.Faults[i]
@@ -69,7 +69,7 @@
 	return all
 }
 
-// switchDiscoveryFault begins or ends a trouble of discovery.
+// switchDiscoveryFault begins or ends a fault of discovery.
 func (w *World) switchDiscoveryFault(t *Fault, on bool) {
 	w.ledger.Fault(t, on, len(w.senders))
 	more := 1
--- a/lab/world/kinds.go
+++ b/lab/world/kinds.go
@@ -1,19 +1,19 @@
 package world
 
-// This file owns what may go wrong in a scenario: troubles, what they strike and what their amounts mean, and changes of
-// the list. It must never tell how one is played; fault.go does.
+// This file declares what may go wrong in a scenario: the kinds of fault, what they affect and what their amounts mean,
+// and changes of the endpoint list. fault.go plays them.
 
-// Fault is something that goes wrong for a time. Part says what of; a field left out does not narrow it.
+// Fault is something that goes wrong for a time.
 type Fault struct {
 	Kind     string   `toml:"kind"`
 	At       float64  `toml:"at"` // seconds
 	Seconds  float64  `toml:"seconds"`
-	Amount   float64  `toml:"amount"` // what it means stands beside the kind, see FaultKinds
+	Amount   float64  `toml:"amount"` // its meaning depends on the kind, see FaultKinds
 	Every    float64  `toml:"every_s"`
 	Selector Selector `toml:"part"`
 }
 
-// Selector chooses what a trouble strikes.
+// Selector chooses what a fault or a change of the list affects. A field that is left out does not narrow the choice.
 type Selector struct {
 	Kind     string  `toml:"kind"`
 	Zone     int     `toml:"zone"`     // from 1; 0 for all
@@ -23,15 +23,15 @@
 	Senders  []int   `toml:"senders"`
 }
 
-// ListEvent changes the list.
+// ListEvent is a change of the endpoint list.
 type ListEvent struct {
 	Change   string   `toml:"what"` // drain, remove, move (to another address), back
 	At       float64  `toml:"at"`
 	Selector Selector `toml:"part"`
-	Restart  bool     `toml:"restart"` // what comes back is cold
+	Restart  bool     `toml:"restart"` // the endpoint comes back in slow start
 }
 
-// FaultKind tells what a kind of trouble strikes and what its amount means.
+// FaultKind says what a kind of fault affects and what its amount means.
 type FaultKind struct {
 	Affects string `json:"Strikes"` // endpoints, senders, discovery or clients
 	Amount  string
@@ -40,7 +40,7 @@
 	Most    float64
 }
 
-// FaultKinds are all that a scenario may name.
+// FaultKinds are the kinds of fault that a scenario may name.
 var FaultKinds = map[string]FaultKind{
 	"crash":            {"endpoints", "", 0, 0, 0},
 	"shut":             {"endpoints", "", 0, 0, 0},
--- a/lab/world/limit.go
+++ b/lab/world/limit.go
@@ -1,22 +1,22 @@
 package world
 
-// This file is what a partner takes from all senders together.
+// This file models a partner's rate limit.
 
 import (
 	"math"
 )
 
-// limit is what a partner takes from all senders together.
+// limit is a partner's rate limit over all senders: a token bucket, or a number of calls in each span of time.
 type limit struct {
 	perSecond float64
-	span      Time // 0 for a plain rate
+	span      Time // 0 for a token bucket
 	level     float64
 	at        Time
 	spanNo    Time
 	used      float64
 }
 
-// take asks for one call; wait is when there is room again.
+// take admits one call if the limit allows it; else wait is the time until the next one is allowed.
 func (l *limit) take(now Time, share float64, countRefused bool) (ok bool, wait Time) {
 	rate := max(1e-6, l.perSecond*share)
 	if l.span > 0 {
@@ -36,7 +36,7 @@
 	size := max(1, rate*0.4)
 	l.level = min(size, l.level+rate*float64(now-l.at)/float64(Second))
 	l.at = now
-	// Adding up over a wait that was told may fall short of one by a rounding.
+	// After exactly the wait that was named, the level may be below one by a rounding error.
 	if l.level >= 1-1e-9 {
 		l.level--
 		return true, 0
@@ -47,7 +47,7 @@
 	return false, Time(math.Ceil((1 - l.level) / rate * float64(Second)))
 }
 
-// left is the share of the allowance that is not used.
+// left is the unused share of the allowance.
 func (l *limit) left(now Time, share float64) float64 {
 	rate := max(1e-6, l.perSecond*share)
 	if l.span > 0 {
@@ -69,7 +69,7 @@
 	return l
 }
 
-// limitOf is the one that binds an endpoint, nil for none.
+// limitOf is the limit that applies to an endpoint, or nil.
 func (e *Endpoint) limitOf() *limit {
 	if e.limit != nil {
 		return e.limit
--- a/lab/world/partners.go
+++ b/lab/world/partners.go
@@ -1,6 +1,6 @@
 package world
 
-// This file makes partners and their endpoints from the seed.
+// This file creates partners and their endpoints from the seed.
 
 import (
 	"cmp"
@@ -12,7 +12,7 @@
 	"flaxcove/lab/load"
 )
 
-// makePartners makes all partners of a spec, in the order of kinds.
+// makePartners creates all partners of a spec, in the order of kinds.
 func (w *World) makePartners() {
 	shares := w.dealShares()
 	for i := range w.Spec.Partners {
@@ -26,8 +26,8 @@
 	}
 }
 
-// dealShares are the partners' shares of the traffic. Kinds are dealt over the order of size by chance, so that no kind
-// gets all of it.
+// dealShares draws the partners' shares of the traffic. Partners of all kinds are mixed by chance over the order of size,
+// so that no kind gets all the large shares.
 func (w *World) dealShares() []float64 {
 	total := 0
 	for i := range w.Spec.Partners {
@@ -52,10 +52,10 @@
 	return shares
 }
 
-// limitHeadroom is how much more than its limit a partner can do, unless its limit may lie above that.
+// limitHeadroom is a partner's capacity as a multiple of its limit at least, unless the limit may lie above the capacity.
 const limitHeadroom = 1.25
 
-// rate draws what a partner can take, and its limit.
+// rate draws a partner's capacity and its limit.
 func (w *World) rate(p *Partner) {
 	kind := p.Kind
 	p.Rate = max(kind.LeastRate, w.Spec.Load.Rate*p.Share*w.within(kind.Headroom, "headroom", int64(p.No)))
@@ -71,9 +71,9 @@
 	}
 }
 
-// makeEndpoints makes a partner's endpoints; its rate is theirs from then on.
+// makeEndpoints creates a partner's endpoints and sets its rate to the sum of theirs.
 func (w *World) makeEndpoints(p *Partner) {
-	// A half more on both sides, or the ends of the range would be drawn half as often as what lies between.
+	// Half a unit more on both sides: else the ends of the range would be drawn half as often as the numbers between.
 	counts := Pair{p.Kind.Endpoints[0] - 0.499, p.Kind.Endpoints[1] + 0.499}
 	count := max(1, int(math.Round(w.within(counts, "endpoints", int64(p.No)))))
 	rate := 0.0
@@ -87,7 +87,7 @@
 	p.Rate = rate
 }
 
-// makeEndpoint makes one of so many endpoints of a partner. Its rate is what its whole slots can do.
+// makeEndpoint creates one of count endpoints of a partner. Its rate is that of a whole number of slots.
 func (w *World) makeEndpoint(p *Partner, i, count int) *Endpoint {
 	kind, no := p.Kind, len(w.Endpoints)
 	e := &Endpoint{
--- a/lab/world/reply.go
+++ b/lab/world/reply.go
@@ -1,13 +1,13 @@
 package world
 
-// This file owns an answer on its way: what it delivers, what it says of a limit, when its sender hears it. It must never
-// let one deliver what its sender can't hear of any more.
+// This file handles answers: what they deliver, what they report of a limit, and when they reach the sender. An answer
+// must not count as a delivery if its sender can no longer receive it.
 
 import (
 	"flaxcove/choice"
 )
 
-// endAtEndpoint closes an endpoint's part in a call.
+// endAtEndpoint ends the endpoint's part in a call, with the status it answers or 0 for none.
 func (w *World) endAtEndpoint(call *Call, status int) {
 	if !call.over {
 		call.over = true
@@ -15,7 +15,7 @@
 	}
 }
 
-// reply is an answer leaving its endpoint. From here on the call is no longer out, and a message it delivers is.
+// reply sends an answer. From here on the call is no longer in flight, and its messages count as delivered.
 func (w *World) reply(call *Call, a Answer) {
 	c := call.Conn
 	e := c.Endpoint
@@ -48,7 +48,7 @@
 	w.After(back, func() {
 		if !c.closedBySender && !w.senders[c.Sender].isolated {
 			if a.Wait > 0 {
-				// An answer that crosses the end of its call is heard by nobody, and a wait in it binds nobody.
+				// An answer that arrives after the sender closed is not received, and its Retry-After does not count.
 				w.ledger.RetryAfterReceived(c.Sender, e, replied+a.Wait)
 			}
 			w.wire.Answered(c, call, a)
@@ -56,7 +56,7 @@
 	})
 }
 
-// deliver tells which messages an answer delivers.
+// deliver reports the messages that an answer delivers.
 func (w *World) deliver(call *Call, a *Answer) {
 	if a.Spoilt || a.Status != 200 || call.Conn.closedBySender {
 		return
@@ -69,7 +69,7 @@
 	}
 }
 
-// reportOf is what an endpoint says of its limit; it may be old.
+// reportOf is an endpoint's load report, which may be up to ReportMS old.
 func (w *World) reportOf(e *Endpoint) choice.Report {
 	if w.now >= e.reportAt {
 		e.reportAt = w.now + ms(e.Partner.Kind.ReportMS)
--- a/lab/world/parts.go
+++ b/lab/world/selector.go
@@ -1,14 +1,14 @@
 package world
 
-// This file owns which partners, endpoints and senders a part names. It must never draw the same part in two ways.
+// This file resolves selectors to partners, endpoints and senders. The same selector must always give the same ones.
 
 import (
 	"cmp"
 	"slices"
 )
 
-// partnersOf are the partners that a part names. Where it names a share of the traffic, partners are drawn by chance until
-// that is reached.
+// partnersOf returns the partners that a selector matches. If it names a share of the traffic, partners are drawn by
+// chance until they have that share.
 func (w *World) partnersOf(p *Selector, no int64) (all []*Partner) {
 	for _, partner := range w.Partners {
 		if p.Kind != "" && partner.Kind.Name != p.Kind {
@@ -25,7 +25,7 @@
 	return w.drawPartners(all, p.Share, no)
 }
 
-// drawPartners draws partners by chance until they have that share of the traffic.
+// drawPartners draws partners by chance until they have a share of the traffic.
 func (w *World) drawPartners(all []*Partner, share float64, no int64) []*Partner {
 	slices.SortFunc(all, func(a, b *Partner) int {
 		return cmp.Compare(w.draw("part", no, int64(a.No)), w.draw("part", no, int64(b.No)))
@@ -42,7 +42,7 @@
 	return chosen
 }
 
-// endpointsOf are the endpoints that a part names.
+// endpointsOf returns the endpoints that a selector matches.
 func (w *World) endpointsOf(p *Selector, no int64) (all []*Endpoint) {
 	for _, partner := range w.partnersOf(p, no) {
 		for i, e := range partner.Endpoints {
@@ -54,7 +54,7 @@
 	return all
 }
 
-// sendersOf are the senders that a part names.
+// sendersOf returns the senders that a selector matches.
 func (w *World) sendersOf(p *Selector, no int64) (all []SenderNo) {
 	for i, s := range w.senders {
 		if (p.Zone == 0 || p.Zone == s.zone+1) && (len(p.Senders) == 0 || slices.Contains(p.Senders, i)) {
--- a/lab/world/senderfault.go
+++ b/lab/world/senderfault.go
@@ -1,6 +1,6 @@
 package world
 
-// This file owns what befalls senders' processes and the clients in front of them. It must never strike an endpoint.
+// This file plans the faults of senders' processes and of clients. It must not affect an endpoint.
 
 import (
 	"cmp"
@@ -8,11 +8,11 @@
 )
 
 const (
-	termFor    = 3700 * Millisecond // from SIGTERM to the kill
-	restartFor = 600 * Millisecond  // from the kill to the next start
+	drainPeriod  = 3700 * Millisecond // from SIGTERM to the kill
+	restartDelay = 600 * Millisecond  // from the kill to the next start
 )
 
-// planSenders puts a trouble of senders among the events.
+// planSenders schedules a fault of senders.
 func (w *World) planSenders(t *Fault, struck []SenderNo, from, to Time) {
 	w.announceFault(t, len(struck), from, to)
 	for i, s := range struck {
@@ -23,8 +23,8 @@
 		case "old_list":
 			w.planOldList(s, from, to)
 		case "sender_roll":
-			// One after another, spread so that the last is back by the end.
-			capacity := max(0, to-from-termFor-restartFor)
+			// One after another, spread so that the last one is back by the end of the fault.
+			capacity := max(0, to-from-drainPeriod-restartDelay)
 			w.planRestart(s, from+capacity*Time(i)/Time(len(struck)))
 		case "sender_pause":
 			w.act(from, s, Pause)
@@ -41,13 +41,13 @@
 	}
 }
 
-// announceFault tells the ledger of a trouble of so many senders.
+// announceFault reports the begin and the end of a fault to the ledger, with the number of senders it affects.
 func (w *World) announceFault(t *Fault, struck int, from, to Time) {
 	w.At(from, func() { w.ledger.Fault(t, true, struck) })
 	w.At(to, func() { w.ledger.Fault(t, false, struck) })
 }
 
-// act has something befall a sender's process at a time.
+// act schedules an action on a sender's process.
 func (w *World) act(at Time, s SenderNo, what Act) {
 	w.At(at, func() {
 		if what == Kill || what == Term {
@@ -57,26 +57,26 @@
 	})
 }
 
-// planOldList restarts a sender whose next life is told nothing new of the list until the end.
+// planOldList restarts a sender and withholds list updates from its next incarnation until the fault ends.
 func (w *World) planOldList(s SenderNo, from, to Time) {
 	state := w.senders[s]
 	w.At(from, func() { state.updatesHeld = true })
 	w.act(from, s, Kill)
-	w.act(from+restartFor, s, Start)
+	w.act(from+restartDelay, s, Start)
 	w.At(to, func() {
 		state.updatesHeld = false
 		w.pushUpdate(s)
 	})
 }
 
-// planRestart restarts a sender that is asked to end first.
+// planRestart restarts a sender with a graceful shutdown first.
 func (w *World) planRestart(s SenderNo, at Time) {
 	w.act(at, s, Term)
-	w.act(at+termFor, s, Kill)
-	w.act(at+termFor+restartFor, s, Start)
+	w.act(at+drainPeriod, s, Kill)
+	w.act(at+drainPeriod+restartDelay, s, Start)
 }
 
-// planCut cuts a sender off. Connections that were open all along are reset as it is back.
+// planCut isolates a sender from everything else. When it is back, connections that were open all along are reset.
 func (w *World) planCut(s SenderNo, from, to Time) {
 	state := w.senders[s]
 	w.away(s, from, to)
@@ -90,7 +90,7 @@
 	})
 }
 
-// dropAllOf ends a sender's connections to an endpoint, in the order in which they were made.
+// dropAllOf resets a sender's connections to an endpoint, in the order in which they were made.
 func (w *World) dropAllOf(s SenderNo, e *Endpoint) {
 	var theirs []*Conn
 	for c := range e.conns {
@@ -104,7 +104,8 @@
 	}
 }
 
-// planReload has a sender read its configuration again, which half a second before can't be read where it is broken.
+// planReload has a sender reload its configuration. If broken is set, a reload of an unreadable file comes half a second
+// before it.
 func (w *World) planReload(s SenderNo, from Time, broken bool) {
 	if broken {
 		w.act(from, s, Break)
@@ -113,13 +114,13 @@
 	w.act(from, s, Reload)
 }
 
-// away tells the ledger of a time in which a sender can do nothing, so that it is not blamed for it.
+// away reports to the ledger that a sender cannot act for a time, so that the referee does not blame it.
 func (w *World) away(s SenderNo, from, to Time) {
 	w.At(from, func() { w.ledger.Unavailable(s, true) })
 	w.At(to, func() { w.ledger.Unavailable(s, false) })
 }
 
-// planClients puts a trouble of clients among the events. Surges and fixed programs bend the load itself.
+// planClients schedules a fault of clients. The kinds surge and fixed change the load itself, see planLoad.
 func (w *World) planClients(t *Fault, struck []SenderNo, from, to Time) {
 	w.announceFault(t, len(struck), from, to)
 	for _, s := range struck {
--- a/lab/world/slowstart.go
+++ b/lab/world/slowstart.go
@@ -1,6 +1,6 @@
 package world
 
-// This file is what fells an endpoint that is cold, and who had seen it fail.
+// This file models slow start after an outage: an endpoint that gets too many calls then falls over again.
 
 import (
 	"cmp"
@@ -9,7 +9,8 @@
 	"flaxcove/choice"
 )
 
-// HasSlowStartCapacity tells, for such a policy, whether one more call leaves a returning endpoint standing.
+// HasSlowStartCapacity is for policies that may see the true state. It reports whether an endpoint in slow start withstands
+// one more call.
 func (w *World) HasSlowStartCapacity(id choice.EndpointID) bool {
 	e := w.byID[id]
 	if e == nil || !e.inSlowStart(w.now) {
@@ -19,7 +20,7 @@
 	return sum+1 < 0.8*w.overloadBound(e)
 }
 
-// capacityShare is the share of its capacity that an endpoint has by now.
+// capacityShare is the share of its full capacity that an endpoint has now.
 func (w *World) capacityShare(e *Endpoint) float64 {
 	k := e.Partner.Kind
 	since := float64(w.now-e.warmFrom) / float64(seconds(k.SlowStartS))
@@ -33,14 +34,14 @@
 	return now < e.warmFrom+seconds(e.Partner.Kind.SlowStartS)
 }
 
-// noteFailureSeen notes that a sender knows of an outage by what happened to it.
+// noteFailureSeen records that a sender saw a call fail during an outage.
 func (w *World) noteFailureSeen(e *Endpoint, s SenderNo) {
 	if e.out {
 		e.sawFailure[s] = struct{}{}
 	}
 }
 
-// recentLoad is what came over the rule's span, and what of it from senders that know.
+// recentLoad is the load within the span of the rule on returns, and the part from senders that saw the endpoint fail.
 func (w *World) recentLoad(e *Endpoint) (sum, knowing float64) {
 	span := seconds(w.Spec.Rules.FallS)
 	e.recent = slices.DeleteFunc(e.recent, func(a arrival) bool { return a.at < w.now-span })
@@ -53,12 +54,13 @@
 	return sum, knowing
 }
 
-// overloadBound is the load over the rule's span beyond which a cold endpoint falls over. A handful of calls fells none.
+// overloadBound is the load within the rule's span above which an endpoint in slow start falls over. It is at least a few
+// calls.
 func (w *World) overloadBound(e *Endpoint) float64 {
 	return max(4, w.Spec.Rules.FallMultiple*e.Rate*w.capacityShare(e)*w.Spec.Rules.FallS)
 }
 
-// countSlowStartLoad adds a call to the load on a returning endpoint, which may push it over.
+// countSlowStartLoad adds a call to the load on an endpoint in slow start, and takes it down if that is too much.
 func (w *World) countSlowStartLoad(call *Call) {
 	e := call.Conn.Endpoint
 	if e.out || e.warmFrom < 0 {
@@ -80,8 +82,8 @@
 	w.At(e.downUntil, func() { w.updateOutage(e) })
 }
 
-// crashProcess ends the process behind an endpoint: its connections are reset and its work is gone. Of what ran, the part
-// that had come far enough has taken effect.
+// crashProcess ends the process of an endpoint: its connections are reset and its queue is lost. Half of the calls that
+// were being worked on have taken effect.
 func (w *World) crashProcess(e *Endpoint) {
 	e.restarts++
 	e.busy = 0
@@ -105,7 +107,7 @@
 	}
 }
 
-// setOutage begins or ends one; what returns is cold.
+// setOutage begins or ends an outage. An endpoint that returns is in slow start.
 func (w *World) setOutage(e *Endpoint, down bool) {
 	if e.out == down {
 		return
@@ -120,7 +122,7 @@
 	w.ledger.Outage(e, down)
 }
 
-// updateAccepting lets the engine know where connections are refused from now on, or no longer.
+// updateAccepting tells the engine when an endpoint begins or stops to refuse connections.
 func (w *World) updateAccepting(e *Endpoint) {
 	if on := e.accepts(w.now); on == e.refuses {
 		e.refuses = !on
@@ -128,7 +130,7 @@
 	}
 }
 
-// updateOutage compares what strikes an endpoint with whether it counts as out.
+// updateOutage begins or ends an outage according to the current effects on an endpoint.
 func (w *World) updateOutage(e *Endpoint) {
 	w.updateAccepting(e)
 	w.setOutage(e, e.unresponsive() || e.effects.failing > 0.5 || w.now < e.downUntil)
--- a/lab/world/work.go
+++ b/lab/world/work.go
@@ -1,6 +1,7 @@
 package world
 
-// This file owns a call at its endpoint: taken, refused, waiting, at work. It must never know what its sender makes of it.
+// This file models a call at its endpoint: it is refused, or waits for a slot, is worked on and answered. It must not
+// depend on what the sender makes of it.
 
 import (
 	"slices"
@@ -8,10 +9,10 @@
 	"flaxcove/choice"
 )
 
-// minRetryAfter is the shortest wait of a refusal that has no other reason; the longest is twice that.
+// minRetryAfter is the shortest Retry-After of a random refusal; the longest is twice that.
 const minRetryAfter = 300 * Millisecond
 
-// arrive is the last byte of a call coming to its endpoint.
+// arrive handles a call that reaches its endpoint.
 func (w *World) arrive(call *Call) {
 	c := call.Conn
 	e := c.Endpoint
@@ -19,15 +20,15 @@
 		w.arriveTooLate(call)
 		return
 	}
-	if e.effects.cut || e.effects.deaf || e.effects.silent || w.senders[c.Sender].isolated {
+	if e.effects.cut || e.effects.neverReads || e.effects.silent || w.senders[c.Sender].isolated {
 		w.noteFailureSeen(e, c.Sender)
-		w.endAtEndpoint(call, 0) // nobody hears it, and nothing runs
+		w.endAtEndpoint(call, 0) // it is not received, and nothing is executed
 		return
 	}
 	if e.inSlowStart(w.now) && !e.effects.shut {
 		w.countSlowStartLoad(call)
 		if c.closedAtEndpoint {
-			return // it has just been pushed over
+			return // the call took the endpoint down
 		}
 	}
 	if call.Probe {
@@ -41,7 +42,8 @@
 	w.enqueue(call)
 }
 
-// arriveTooLate: the connection had ended. Its sender sees a reset and cannot tell whether the call ran.
+// arriveTooLate handles a call whose connection had closed. The sender sees a reset and cannot know whether the call was
+// executed.
 func (w *World) arriveTooLate(call *Call) {
 	c := call.Conn
 	w.endAtEndpoint(call, 0)
@@ -57,7 +59,7 @@
 	})
 }
 
-// answerProbe is a probe that is heard.
+// answerProbe handles a health probe.
 func (w *World) answerProbe(call *Call) {
 	if e := call.Conn.Endpoint; e.effects.shut || e.Stage == choice.Gone {
 		w.reply(call, Answer{Status: 503})
@@ -66,7 +68,7 @@
 	w.enqueue(call)
 }
 
-// refusal tells whether an endpoint refuses a call, and for how long it wants no other.
+// refusal reports whether an endpoint refuses a call, and the Retry-After.
 func (w *World) refusal(call *Call) (wait Time, refused bool) {
 	e := call.Conn.Endpoint
 	switch {
@@ -91,7 +93,7 @@
 	return 0, false
 }
 
-// refuse answers a call that is refused; some endpoints tell how long to wait.
+// refuse answers a refused call. A share of the answers names the wait as Retry-After.
 func (w *World) refuse(call *Call, wait Time) {
 	if w.draw("told", int64(call.No)) >= call.Conn.Endpoint.Partner.Kind.RetryAfterShare {
 		wait = 0
@@ -99,12 +101,12 @@
 	w.reply(call, Answer{Status: 503, Wait: wait, Close: call.Conn.overLimit})
 }
 
-// inRefusedBurst tells whether an endpoint refuses all for the moment.
+// inRefusedBurst reports whether an endpoint refuses all calls at the moment.
 func (w *World) inRefusedBurst(e *Endpoint) bool {
 	return e.effects.burst.every > 0 && e.effects.burst.phase(w.now) < e.effects.burst.share
 }
 
-// isFirstAfterPause tells whether a call is one of the first after a pause, at an endpoint that refuses these.
+// isFirstAfterPause reports whether a call is one of the first after a pause, at an endpoint that refuses these.
 func (w *World) isFirstAfterPause(e *Endpoint) bool {
 	if w.now-e.lastCall > e.effects.firstPause {
 		e.sincePause = 0
@@ -114,7 +116,7 @@
 	return e.sincePause <= e.effects.firstCalls
 }
 
-// enqueue has a call work, wait, or be refused where the queue is full.
+// enqueue starts work on a call if a slot is free, queues it, or refuses it if the queue is full.
 func (w *World) enqueue(call *Call) {
 	e := call.Conn.Endpoint
 	switch {
@@ -127,13 +129,13 @@
 	}
 }
 
-// unqueue takes a call out of those that wait.
+// unqueue removes a call from the queue.
 func (w *World) unqueue(call *Call) {
 	e := call.Conn.Endpoint
 	e.queue = slices.DeleteFunc(e.queue, func(other *Call) bool { return other == call })
 }
 
-// startWork has an endpoint work at a call.
+// startWork begins the work on a call.
 func (w *World) startWork(call *Call) {
 	e := call.Conn.Endpoint
 	e.busy++
@@ -152,8 +154,8 @@
 	w.After(max(1, Time(work)), func() { w.workDone(call, restart) })
 }
 
-// drawKey is what a call's chance is drawn for: the message and how often it was tried, so that variants of a run meet the
-// same luck with the same message.
+// drawKey is the key of a call's random draws: the message and the number of the attempt. So variants of a run draw the
+// same numbers for the same message.
 func (w *World) drawKey(call *Call) []int64 {
 	if len(call.Messages) == 0 || call.Messages[0].Unknown {
 		return []int64{int64(call.No)}
@@ -162,12 +164,12 @@
 	return []int64{int64(h.Ask.No), int64(h.attempts), int64(len(call.Messages))}
 }
 
-// workDone is the end of the work at a call.
+// workDone ends the work on a call.
 func (w *World) workDone(call *Call, restart int64) {
 	c := call.Conn
 	e := c.Endpoint
 	if e.restarts != restart {
-		return // what it worked at went with the process
+		return // the process crashed meanwhile, and the work is lost
 	}
 	if until := w.pausedUntil(e); until > w.now {
 		w.At(until, func() { w.workDone(call, restart) })
@@ -192,10 +194,10 @@
 	w.reply(call, Answer{Status: 500})
 }
 
-// failedButExecutedShare is the share of failed messages that had their effect.
+// failedButExecutedShare is the share of failed messages that were executed all the same.
 const failedButExecutedShare = 0.5
 
-// execute has the effects of a call's messages, as far as they do not fail. It is false where the only one does.
+// execute executes the messages of a call. It is false if the call has one message and that fails.
 func (w *World) execute(call *Call) (a Answer, ok bool) {
 	e := call.Conn.Endpoint
 	name := w.drawKey(call)
@@ -214,7 +216,7 @@
 	return a, true
 }
 
-// executeOne is false for a message that fails, which may have had its effect all the same.
+// executeOne executes a message. It is false if the message fails, which may have had its effect all the same.
 func (w *World) executeOne(h *HandIn, e *Endpoint, fail float64, name []int64) bool {
 	done := w.draw("fail", name...) >= fail
 	if done || w.draw("fail ran", name...) < failedButExecutedShare {
@@ -223,7 +225,7 @@
 	return done
 }
 
-// answerWork sends an answer that a trouble may keep, cut or spoil.
+// answerWork answers a call, unless a fault withholds, cuts or garbles the answer.
 func (w *World) answerWork(call *Call, a Answer) {
 	c := call.Conn
 	e := c.Endpoint
@@ -242,5 +244,5 @@
 	w.reply(call, a)
 }
 
-// executed tells that a message had its effect.
+// executed reports that a message had its effect.
 func (w *World) executed(h *HandIn, e *Endpoint) { w.ledger.Executed(h, e, w.now) }
--- a/lab/world/world.go
+++ b/lab/world/world.go
@@ -1,14 +1,14 @@
 // Package world is the laboratory's model of everything outside a sender: partner systems and the network to them,
-// discovery, the programs that hand messages in, the platform that hears of ends, and the troubles that strike them.
+// discovery, the clients that hand messages in, the platform that receives outcome callbacks, and faults in all of them.
 //
-// It owns what is true. Both engines drive it: one by its own events in simulated time, one by sockets in real time.
-// It tells the engine what reaches a sender through Wire, and everything that truly happens to a Ledger, from which
-// the referee judges. It must never look at a clock, open a socket, start a goroutine, log, or take a sender's word
-// for anything; chance comes from the seed and the name of what it is drawn for, so that two variants of a run see the
-// same world as far as they act alike. Times are tenths of a millisecond from the start of the run.
+// Its state is the truth of a run. Two engines drive it: package sim by events in simulated time, package live by sockets
+// in real time. It sends what reaches a sender through Wire, and reports everything that happens to a Ledger, from which
+// the referee judges. It must not read a clock, open a socket, start a goroutine, log, or rely on what a sender says.
+// Random numbers depend on the seed and on the name of what is drawn, so that two variants of a run see the same world as
+// far as they act alike. Times are tenths of a millisecond from the start of the run.
 //
-// spec.go and kinds.go hold what a scenario may say, endpoint.go the partners, clients.go the programs, directory.go the
-// list, fault.go what goes wrong, events.go the order of events. This file owns the world's two sides, Wire and Ledger.
+// spec.go and kinds.go declare what a scenario may say. endpoint.go holds the partners, clients.go the clients,
+// directory.go discovery, fault.go the faults, events.go the event queue. This file has the interfaces Wire and Ledger.
 package world
 
 import (
@@ -25,7 +25,7 @@
 	Second      = choice.Second
 )
 
-// Each kind of number is a type of its own. All count from 0.
+// Numbers of senders, partners and so on, each with a type of its own. All count from 0.
 type (
 	SenderNo   int
 	PartnerNo  int
@@ -34,42 +34,39 @@
 	AskNo      int64
 )
 
-// ConnEnd is how an attempt ends as its sender sees it.
+// ConnEnd is how a connection ends as its sender sees it.
 type ConnEnd int
 
 const (
-	SeenAnswer  ConnEnd = iota
-	ConnRefused         // the connection did not come up
-	ConnReset           // it ended before the answer was whole
-	SeenHalf            // an answer began and stopped in its middle
+	ConnRefused ConnEnd = iota + 1 // the connection did not come up
+	ConnReset                      // it was closed before the answer was complete
 )
 
-// Answer is what an endpoint says to a call.
+// Answer is an endpoint's answer to a call.
 type Answer struct {
 	Status   int
 	Wait     Time // Retry-After; 0 for none
 	Report   choice.Report
-	Spoilt   bool  // nothing can be made of it
-	Half     bool  // it stops in its middle
-	Close    bool  // the connection ends after it
-	Statuses []int // by message, where a bundle's fared apart: a status each
+	Spoilt   bool  // it is not valid HTTP
+	Half     bool  // it is cut off in the middle
+	Close    bool  // the endpoint closes the connection after it
+	Statuses []int // of each message of a bulk call, if they differ
 }
 
-// Wire is how the world reaches senders. Its methods are called at the time at which a thing reaches them; they may
-// call the world back.
+// Wire is how the world reaches senders. Its methods are called when something reaches them, and may call the world back.
 type Wire interface {
-	ConnUp(c *Conn)                // the connection stands
-	ConnDown(c *Conn, why ConnEnd) // it was refused, or ended by the other side
+	ConnUp(c *Conn)                // the connection is established
+	ConnDown(c *Conn, why ConnEnd) // it was refused, or closed by the endpoint
 	Answered(c *Conn, call *Call, a Answer)
-	ListUpdate(to SenderNo, list List)     // of the list
+	ListUpdate(to SenderNo, list List)     // an update of the endpoint list
 	ListFailed(to SenderNo)                // the watch ended, or was silent for too long
-	HandIn(h *HandIn)                      // a program hands a message in
-	AcceptingChanged(e *Endpoint, on bool) // whether connections come up there
+	HandIn(h *HandIn)                      // a client hands a message in
+	AcceptingChanged(e *Endpoint, on bool) // whether the endpoint accepts connections
 	Datagram(from, to SenderNo, text []byte)
-	Act(on SenderNo, what Act) // to its process
+	Act(on SenderNo, what Act) // an action on its process or its clients
 }
 
-// Act is what befalls a sender's process or its clients' manners.
+// Act is an action of a fault on a sender's process, or on the behaviour of its clients.
 type Act int
 
 const (
@@ -78,21 +75,21 @@
 	Term
 	Pause
 	Continue
-	Break   // its configuration becomes unreadable, and SIGHUP comes
-	Reload  // its configuration names another discovery, and SIGHUP comes
-	HoardOn // clients hold connections that they do not use
+	Break   // its configuration file becomes unreadable, and it gets SIGHUP
+	Reload  // its configuration file names another discovery address, and it gets SIGHUP
+	HoardOn // clients hold connections open without using them
 	HoardOff
-	RubbishOn // clients send what makes no sense
+	RubbishOn // clients send malformed commands
 	RubbishOff
 )
 
-// Ledger hears all that truly happens, in order of time.
+// Ledger receives everything that happens in the world, in order of time.
 type Ledger interface {
 	Asked(a *Ask)
 	HandedIn(h *HandIn)
-	HandInAnswered(h *HandIn, what HandInAnswer) // what the client was told
-	CallSent(c *Call)                            // it left its sender
-	InFlightChanged(c *Call, out bool)           // whether it still is out
+	HandInAnswered(h *HandIn, what HandInAnswer) // as the client sees it
+	CallSent(c *Call)                            // the call left its sender
+	InFlightChanged(c *Call, inFlight bool)      // whether the sender may still get an answer
 	Executed(h *HandIn, e *Endpoint, at Time)
 	Delivered(h *HandIn, e *Endpoint)
 	Ended(h *HandIn, what End)
@@ -104,10 +101,10 @@
 	PushedOver(e *Endpoint, knowing float64) // knowing: share of the load from senders that saw it fail
 	Fault(t *Fault, on bool, parts int)
 	Sender(s SenderNo, up bool)
-	Unavailable(s SenderNo, away bool) // its process stands still, or it is cut off; these may overlap
+	Unavailable(s SenderNo, on bool) // its process is paused or isolated; these may overlap
 }
 
-// World is one run's outside. It belongs to one goroutine.
+// World is everything outside the senders in one run. It belongs to one goroutine.
 type World struct {
 	Spec   *Spec
 	wire   Wire
@@ -124,10 +121,10 @@
 	Endpoints    []*Endpoint
 	byID         map[choice.EndpointID]*Endpoint
 	senders      []*senderState
-	byMessage    map[choice.MessageID]*HandIn // emptied as asks are over and their time is up
+	byMessage    map[choice.MessageID]*HandIn // forget removes each some time after its deadline
 	arrivals     load.Source
 	active       []*Fault
-	affected     []map[*Endpoint]bool // by trouble
+	affected     []map[*Endpoint]bool // by the fault's number in the spec
 	list         listState
 	datagramLoss float64
 }
@@ -135,16 +132,16 @@
 // senderState is what the world knows of one sender.
 type senderState struct {
 	zone         int
-	serving      bool // it has said that it is ready
+	serving      bool // it accepts hand-ins
 	isolated     bool
-	lastUpdateAt Time // when the last news reach it: a watch keeps its order
-	updatesHeld  bool // news wait, see old_list
-	watching     bool // a watch stands
+	lastUpdateAt Time // when the last scheduled update reaches it: a watch keeps its order
+	updatesHeld  bool // updates are withheld by the fault old_list
+	watching     bool // it has a watch on the list
 	patience     Time
 	version      int64
 }
 
-// New makes a world that has not begun. Trace, where given, takes the place of the spec's load.
+// New creates a world; Begin starts it. A trace that is not nil replaces the spec's load.
 func New(spec *Spec, seed uint64, wire Wire, ledger Ledger, trace []load.Arrival) (*World, error) {
 	w := &World{Spec: spec, wire: wire, ledger: ledger, seed: seed, end: seconds(spec.Seconds),
 		byID: map[choice.EndpointID]*Endpoint{}, byMessage: map[choice.MessageID]*HandIn{}}
@@ -160,31 +157,31 @@
 	return w, nil
 }
 
-// Begin lets the programs start; senders that are ready by then are used.
+// Begin starts the clients. Senders should be serving by then.
 func (w *World) Begin() { w.nextArrival() }
 
-// Now is the world's time.
+// Now is the current time of the world.
 func (w *World) Now() Time { return w.now }
 
-// End is when the last message may be handed in.
+// End is when the last message is handed in for the first time.
 func (w *World) End() Time { return w.end }
 
-// Isolated tells whether a sender is cut off from all others.
+// Isolated reports whether a sender is cut off from everything else.
 func (w *World) Isolated(s SenderNo) bool { return w.senders[s].isolated }
 
-// ClosedAtEndpoint tells whether a connection has ended at its endpoint.
+// ClosedAtEndpoint reports whether a connection is closed at its endpoint.
 func (w *World) ClosedAtEndpoint(c *Conn) bool { return c.closedAtEndpoint }
 
-// NeverReads tells whether an endpoint reads nothing.
-func (w *World) NeverReads(e *Endpoint) bool { return e.effects.deaf }
+// NeverReads reports whether a fault has an endpoint read nothing.
+func (w *World) NeverReads(e *Endpoint) bool { return e.effects.neverReads }
 
-// Senders is how many there are.
+// Senders is the number of senders.
 func (w *World) Senders() int { return len(w.senders) }
 
-// Zone is where a sender stands.
+// Zone is the zone of a sender.
 func (w *World) Zone(s SenderNo) int { return w.senders[s].zone }
 
-// SetServing tells that a sender's process serves, or that it no longer does.
+// SetServing records whether a sender's process accepts hand-ins. The open ones of a process that ended get no answer.
 func (w *World) SetServing(s SenderNo, up bool) {
 	if st := w.senders[s]; st.serving != up {
 		st.serving = up
@@ -195,10 +192,10 @@
 	}
 }
 
-// Serving tells whether a sender serves.
+// Serving reports whether a sender accepts hand-ins.
 func (w *World) Serving(s SenderNo) bool { return w.senders[s].serving }
 
-// oneWayDelay is how long one oneWayDelay between a sender and an endpoint takes this time.
+// oneWayDelay draws the network delay between a sender and an endpoint for the use numbered n.
 func (w *World) oneWayDelay(s SenderNo, e *Endpoint, n int64) Time {
 	mean := e.sameMS
 	if w.senders[s].zone != e.Zone {
--- a/lab/world/world_test.go
+++ b/lab/world/world_test.go
@@ -10,8 +10,8 @@
 	"flaxcove/choice"
 )
 
-// desk is a wire and a ledger that print what reaches them, with the clock in milliseconds.
-type desk struct {
+// eventPrinter is a Wire and a Ledger that prints each event, with the time in milliseconds.
+type eventPrinter struct {
 	w    *World
 	mute bool
 	ran  map[choice.MessageID]int
@@ -19,64 +19,64 @@
 	statuses map[int64]int // by connection: of the last answer
 }
 
-func (d *desk) print(format string, args ...any) {
+func (d *eventPrinter) print(format string, args ...any) {
 	if !d.mute {
 		fmt.Printf("%-8.1f"+format+"\n", append([]any{float64(d.w.Now()) / 10}, args...)...)
 	}
 }
 
-func (d *desk) ConnUp(c *Conn) { d.print("connection %d up", c.No) }
-func (d *desk) ConnDown(c *Conn, why ConnEnd) {
+func (d *eventPrinter) ConnUp(c *Conn) { d.print("connection %d up", c.No) }
+func (d *eventPrinter) ConnDown(c *Conn, why ConnEnd) {
 	d.print("connection %d down, %s", c.No, [...]string{"", "refused", "broken"}[why])
 }
-func (d *desk) ListUpdate(s SenderNo, l List) {
+func (d *eventPrinter) ListUpdate(s SenderNo, l List) {
 	var what []string
 	for _, e := range l.Entries {
 		what = append(what, fmt.Sprintf("%s %s", e.Endpoint.ID, [...]string{"ready", "draining", "gone"}[e.Stage]))
 	}
 	d.print("news for %d, version %d, whole %v: %s", s, l.Version, l.Full, strings.Join(what, ", "))
 }
-func (d *desk) ListFailed(s SenderNo)            { d.print("list of %d failed", s) }
-func (d *desk) HandIn(h *HandIn)                 { d.print("hand-in %s to %d", h.ID, h.Sender) }
-func (d *desk) AcceptingChanged(*Endpoint, bool) {}
-func (d *desk) Datagram(from, to SenderNo, text []byte) {
+func (d *eventPrinter) ListFailed(s SenderNo)            { d.print("list of %d failed", s) }
+func (d *eventPrinter) HandIn(h *HandIn)                 { d.print("hand-in %s to %d", h.ID, h.Sender) }
+func (d *eventPrinter) AcceptingChanged(*Endpoint, bool) {}
+func (d *eventPrinter) Datagram(from, to SenderNo, text []byte) {
 	d.print("note from %d to %d: %s", from, to, text)
 }
-func (d *desk) Act(on SenderNo, what Act) { d.print("act %d on %d", what, on) }
-func (d *desk) Answered(c *Conn, call *Call, a Answer) {
+func (d *eventPrinter) Act(on SenderNo, what Act) { d.print("act %d on %d", what, on) }
+func (d *eventPrinter) Answered(c *Conn, call *Call, a Answer) {
 	d.statuses[c.No] = a.Status
 	d.print("answer on %d: %d, wait %d ms, half %v, spoilt %v", c.No, a.Status, a.Wait/Millisecond, a.Half, a.Spoilt)
 }
 
-func (d *desk) Asked(*Ask)                                  {}
-func (d *desk) HandedIn(*HandIn)                            {}
-func (d *desk) HandInAnswered(h *HandIn, what HandInAnswer) {}
-func (d *desk) CallSent(*Call)                              {}
-func (d *desk) InFlightChanged(*Call, bool)                 {}
-func (d *desk) Executed(h *HandIn, e *Endpoint, _ Time) {
+func (d *eventPrinter) Asked(*Ask)                                  {}
+func (d *eventPrinter) HandedIn(*HandIn)                            {}
+func (d *eventPrinter) HandInAnswered(h *HandIn, what HandInAnswer) {}
+func (d *eventPrinter) CallSent(*Call)                              {}
+func (d *eventPrinter) InFlightChanged(*Call, bool)                 {}
+func (d *eventPrinter) Executed(h *HandIn, e *Endpoint, _ Time) {
 	d.ran[h.ID]++
 	d.print("%s ran at %s", h.ID, e.ID)
 }
-func (d *desk) Delivered(h *HandIn, e *Endpoint)                 { d.print("%s delivered", h.ID) }
-func (d *desk) Ended(*HandIn, End)                               {}
-func (d *desk) StageAnnounced(SenderNo, *Endpoint, choice.Stage) {}
-func (d *desk) RetryAfterReceived(_ SenderNo, _ *Endpoint, until Time) {
+func (d *eventPrinter) Delivered(h *HandIn, e *Endpoint)                 { d.print("%s delivered", h.ID) }
+func (d *eventPrinter) Ended(*HandIn, End)                               {}
+func (d *eventPrinter) StageAnnounced(SenderNo, *Endpoint, choice.Stage) {}
+func (d *eventPrinter) RetryAfterReceived(_ SenderNo, _ *Endpoint, until Time) {
 	d.print("wait told until %d", until/Millisecond)
 }
-func (d *desk) Outcome(*Call, int)                    {}
-func (d *desk) Outage(e *Endpoint, down bool)         { d.print("%s out: %v", e.ID, down) }
-func (d *desk) Returning(*Endpoint, float64, float64) {}
-func (d *desk) PushedOver(e *Endpoint, knowing float64) {
+func (d *eventPrinter) Outcome(*Call, int)                    {}
+func (d *eventPrinter) Outage(e *Endpoint, down bool)         { d.print("%s out: %v", e.ID, down) }
+func (d *eventPrinter) Returning(*Endpoint, float64, float64) {}
+func (d *eventPrinter) PushedOver(e *Endpoint, knowing float64) {
 	d.print("%s pushed over, %.0f%% knew", e.ID, 100*knowing)
 }
-func (d *desk) Fault(t *Fault, on bool, parts int) {
+func (d *eventPrinter) Fault(t *Fault, on bool, parts int) {
 	d.print("%s on: %v, strikes %d", t.Kind, on, parts)
 }
-func (d *desk) Sender(SenderNo, bool)      {}
-func (d *desk) Unavailable(SenderNo, bool) {}
+func (d *eventPrinter) Sender(SenderNo, bool)      {}
+func (d *eventPrinter) Unavailable(SenderNo, bool) {}
 
-// plain is a world with one partner of one endpoint, and no programs but a test's own hand-ins.
-func plain(change func(*Spec)) *desk {
+// newPrintedWorld is a world with one partner of one endpoint, and no clients but a test's own hand-ins.
+func newPrintedWorld(change func(*Spec)) *eventPrinter {
 	s := Base()
 	s.Seconds, s.Senders, s.Load.Rate = 60, 2, 0.001
 	s.Network = Network{SameMS: Pair{10, 10}, CrossMS: Pair{10, 10}}
@@ -88,7 +88,7 @@
 	if p := s.Check(); p != nil {
 		panic(p)
 	}
-	d := &desk{ran: map[choice.MessageID]int{}, statuses: map[int64]int{}}
+	d := &eventPrinter{ran: map[choice.MessageID]int{}, statuses: map[int64]int{}}
 	w, err := New(&s, 1, d, d, nil)
 	if err != nil {
 		panic(err)
@@ -99,13 +99,13 @@
 	return d
 }
 
-func (d *desk) until(ms int) *desk {
+func (d *eventPrinter) until(ms int) *eventPrinter {
 	d.w.Advance(Time(ms) * Millisecond)
 	return d
 }
 
 // call sends one message on a connection, a new one where none is given.
-func (d *desk) call(c *Conn, id string) *Conn {
+func (d *eventPrinter) call(c *Conn, id string) *Conn {
 	h := &HandIn{ID: choice.MessageID(id), Ask: &Ask{No: AskNo(len(d.w.byMessage) + 1), Class: &d.w.Spec.Classes[0], Deadline: 1 << 40}, Deadline: 1 << 40}
 	d.w.byMessage[h.ID] = h
 	if c == nil {
@@ -118,7 +118,7 @@
 
 // One call at a time, at its pace: the queue fills, and what is beyond it is refused.
 func ExampleWorld() {
-	d := plain(func(s *Spec) { s.Partners[0].Queue = 1 })
+	d := newPrintedWorld(func(s *Spec) { s.Partners[0].Queue = 1 })
 	a, b := d.call(nil, "a"), d.call(nil, "b")
 	c := d.call(nil, "c")
 	d.until(500)
@@ -140,7 +140,7 @@
 
 // A crash resets what is open and refuses what is new; what comes back is cold, and falls over when it is pushed.
 func ExampleWorld_crash() {
-	d := plain(func(s *Spec) {
+	d := newPrintedWorld(func(s *Spec) {
 		s.Faults = []Fault{{Kind: "crash", At: 1, Seconds: 2}}
 		s.Partners[0].Queue = 100
 	})
@@ -174,7 +174,7 @@
 
 // The list is told late and in order, to each sender; a silent one says nothing until it speaks again.
 func ExampleWorld_list() {
-	d := plain(func(s *Spec) {
+	d := newPrintedWorld(func(s *Spec) {
 		s.Partners[0].Count = 2
 		s.Changes = []ListEvent{{Change: "drain", At: 1, Selector: Selector{Partners: []int{0}}}, {Change: "remove", At: 5, Selector: Selector{Partners: []int{0}}}}
 		s.Faults = []Fault{{Kind: "discovery_silent", At: 4, Seconds: 3}}
@@ -193,7 +193,7 @@
 
 // Faults overlap freely: the end of one does not lift another, and notes are lost while that lasts.
 func ExampleWorld_faults() {
-	d := plain(func(s *Spec) {
+	d := newPrintedWorld(func(s *Spec) {
 		s.Faults = []Fault{{Kind: "shut", At: 1, Seconds: 4}, {Kind: "shut", At: 2, Seconds: 1}, {Kind: "notes_lost", At: 1, Seconds: 2}}
 	})
 	d.until(1500)
@@ -219,7 +219,7 @@
 // A wait binds from when it is heard: an answer that crosses the end of its call tells nobody anything.
 func ExampleWorld_crossing() {
 	for _, crosses := range []bool{false, true} {
-		d := plain(func(s *Spec) {
+		d := newPrintedWorld(func(s *Spec) {
 			s.Partners[0].RetryAfterShare = 1
 			s.Faults = []Fault{{Kind: "refusing", Seconds: 50, Amount: 1}}
 		})
@@ -244,7 +244,7 @@
 	for _, t := range []Fault{{Kind: "refusing_bursts", Amount: 0.5, Every: 1}, {Kind: "refusing_first", Amount: 2, Every: 1},
 		{Kind: "lying", Amount: 1}, {Kind: "limit_swings", Amount: 0.01, Every: 2}} {
 		t.Seconds = 50
-		d := plain(func(s *Spec) {
+		d := newPrintedWorld(func(s *Spec) {
 			s.Faults = []Fault{t}
 			s.Partners[0].Limit, s.Partners[0].LimitTimes, s.Partners[0].LeastRate, s.Partners[0].IdleS = "span", Pair{1, 1}, 20, 20
 		})
