--- a/lab/cluster/play/watch.go
+++ b/lab/cluster/play/watch.go
@@ -75,7 +75,7 @@
 
 func (e *ear) HandInAnswered(h *world.HandIn, what world.HandInAnswer) {
 	if what == world.HandInAccepted {
-		e.p.kinds[h.ID] = kind{int(h.Ask.Partner), h.Ask.Class.Name, h.Sender, h.At}
+		e.p.kinds[h.ID] = kind{int(h.Request.Partner), h.Request.Class.Name, h.Sender, h.At}
 		e.p.judge.Taken(h.ID, h.At)
 	}
 	e.Ledger.HandInAnswered(h, what)
--- a/lab/live/clients.go
+++ b/lab/live/clients.go
@@ -134,14 +134,14 @@
 // handIn sends one command and reads its answer. Where a kept connection had been closed before the command was read,
 // it goes once more on a new one.
 func (c *client) handIn(h *world.HandIn) (world.HandInAnswer, int64) {
-	body := c.p.e.bodies[:min(len(c.p.e.bodies), max(1, h.Ask.Body))]
+	body := c.p.e.bodies[:min(len(c.p.e.bodies), max(1, h.Request.Body))]
 	key := "0000000000000000"
-	if h.Ask.Class.Ordered {
-		key = fmt.Sprintf("%016x", uint64(h.Ask.Partner*1_000_000+h.Ask.Key+1))
+	if h.Request.Class.Ordered {
+		key = fmt.Sprintf("%016x", uint64(h.Request.Partner*1_000_000+h.Request.Key+1))
 	}
 	// The time that its client has waited before is gone.
 	text := resp.AppendCommand(nil, []byte("OUT.ADD"), []byte(key), []byte(h.ID),
-		fmt.Appendf(nil, "c=%s,d=%d,dest=%d", h.Ask.Class.Name, max(1, h.Left()), h.Ask.Partner), body)
+		fmt.Appendf(nil, "c=%s,d=%d,dest=%d", h.Request.Class.Name, max(1, h.Left()), h.Request.Partner), body)
 	for try := range 2 {
 		fresh := c.conn == nil
 		if fresh {
--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -70,7 +70,7 @@
 // Arrival is one message that a client wants delivered.
 type Arrival struct {
 	At      choice.Time
-	Ask     int64 // counts from 1; a repeated hand-in of the same message keeps it
+	Number  int64 // counts from 1; a repeated hand-in of the same message keeps it
 	Class   int
 	Partner int
 	Sender  int
@@ -78,8 +78,8 @@
 	Body    int // bytes
 }
 
-// Bend changes the load for a time: a surge, or a share of it fixed on one destination.
-type Bend struct {
+// Change changes the load for a time: a surge, or a share of it fixed on one destination.
+type Change struct {
 	From, To choice.Time
 	Factor   float64 // of the rate; 1 for unchanged
 	Sender   int     // whose clients it bends; -1 for all
@@ -96,19 +96,19 @@
 	until             choice.Time
 	classes           picker
 	partners, senders picker
-	bends             []Bend
+	changes           []Change
 	rng               *rand.Rand
 	now               float64 // seconds
-	ask               int64
+	lastNumber        int64
 	clump             []Arrival // the rest of a clump, to come at once
-	top               float64   // highest rate that may be due, in starts a second
+	peakRate          float64   // highest rate that may be due, in starts a second
 	senderTotal       float64
 	senderWeights     []float64
 }
 
 // New makes a plan that ends at until.
-func New(s Spec, seed uint64, until choice.Time, classes, partners, senders []float64, bends []Bend) *Plan {
-	p := &Plan{spec: s, until: until, bends: bends, rng: rand.New(rand.NewPCG(seed, 0x10ad)),
+func New(s Spec, seed uint64, until choice.Time, classes, partners, senders []float64, bends []Change) *Plan {
+	p := &Plan{spec: s, until: until, changes: bends, rng: rand.New(rand.NewPCG(seed, 0x10ad)),
 		classes: newPicker(classes), partners: newPicker(partners), senders: newPicker(senders), senderWeights: senders}
 	for _, w := range senders {
 		p.senderTotal += w
@@ -117,22 +117,22 @@
 	for _, b := range bends {
 		most *= max(1, b.Factor)
 	}
-	p.top = s.Rate / p.perStart() * (1 + s.Swing) * most
+	p.peakRate = s.Rate / p.messagesPerStart() * (1 + s.Swing) * most
 	if s.Shape == "bursts" {
-		p.top /= s.BurstShare
+		p.peakRate /= s.BurstShare
 	}
 	return p
 }
 
-// perStart is how many messages one start brings on average: a clump's are one start.
-func (p *Plan) perStart() float64 {
+// messagesPerStart is how many messages one start brings on average: a clump's are one start.
+func (p *Plan) messagesPerStart() float64 {
 	// Of all messages ClumpShare come in clumps of ClumpSize, so starts are rarer than messages.
 	return 1 / (1 - p.spec.ClumpShare + p.spec.ClumpShare/float64(p.spec.ClumpSize))
 }
 
 // rate is what is due at a time, in starts a second.
 func (p *Plan) rate(at float64) float64 {
-	r := p.spec.Rate / p.perStart()
+	r := p.spec.Rate / p.messagesPerStart()
 	r *= 1 + p.spec.Swing*math.Sin(2*math.Pi*at/p.spec.SwingS)
 	if p.spec.Shape == "bursts" {
 		if math.Mod(at, p.spec.BurstS) < p.spec.BurstS*p.spec.BurstShare {
@@ -146,7 +146,7 @@
 
 func (p *Plan) factor(at float64) float64 {
 	f, now := 1.0, choice.Time(at*float64(choice.Second))
-	for _, b := range p.bends {
+	for _, b := range p.changes {
 		if now < b.From || now >= b.To {
 			continue
 		}
@@ -172,13 +172,13 @@
 			p.now += 1 / max(r, 1e-9)
 		} else {
 			// Thinning: candidates at the highest rate, kept by chance as the present one asks.
-			p.now += p.rng.ExpFloat64() / p.top
+			p.now += p.rng.ExpFloat64() / p.peakRate
 		}
 		at := choice.Time(p.now * float64(choice.Second))
 		if at >= p.until {
 			return Arrival{}, false
 		}
-		if p.spec.Shape != "steady" && p.rng.Float64()*p.top > p.rate(p.now) {
+		if p.spec.Shape != "steady" && p.rng.Float64()*p.peakRate > p.rate(p.now) {
 			continue
 		}
 		a := p.draw(at)
@@ -195,8 +195,8 @@
 }
 
 func (p *Plan) number(a Arrival) (Arrival, bool) {
-	p.ask++
-	a.Ask = p.ask
+	p.lastNumber++
+	a.Number = p.lastNumber
 	return a, true
 }
 
@@ -204,7 +204,7 @@
 	a := Arrival{At: at, Class: p.classes.pick(p.rng.Float64()), Partner: p.partners.pick(p.rng.Float64()),
 		Sender: p.senders.pick(p.rng.Float64()), Key: p.rng.IntN(p.spec.Keys), Body: p.spec.BodyBytes}
 	fix, who := p.rng.Float64(), p.rng.Float64()
-	for _, b := range p.bends {
+	for _, b := range p.changes {
 		if at < b.From || at >= b.To {
 			continue
 		}
@@ -269,7 +269,7 @@
 	}
 	slices.SortStableFunc(arrivals, func(a, b Arrival) int { return cmp.Compare(a.At, b.At) })
 	for i := range arrivals {
-		arrivals[i].Ask = int64(i + 1)
+		arrivals[i].Number = int64(i + 1)
 	}
 	return &Replay{arrivals: arrivals}, nil
 }
--- a/lab/load/load_test.go
+++ b/lab/load/load_test.go
@@ -11,7 +11,7 @@
 	"flaxcove/choice"
 )
 
-func drawn(s Spec, seed uint64, until choice.Time, bends ...Bend) (all []Arrival) {
+func drawn(s Spec, seed uint64, until choice.Time, bends ...Change) (all []Arrival) {
 	p := New(s, seed, until, []float64{3, 1}, ZipfWeights(10, s.Zipf), ZipfWeights(4, s.SenderSkew), bends)
 	for a, ok := p.Next(); ok; a, ok = p.Next() {
 		all = append(all, a)
@@ -35,7 +35,7 @@
 			r.Fatalf("%g arrivals where %g were due", got, expect)
 		}
 		for i, a := range all {
-			if i > 0 && a.At < all[i-1].At || a.Ask != int64(i+1) {
+			if i > 0 && a.At < all[i-1].At || a.Number != int64(i+1) {
 				r.Fatalf("arrival %d: %+v after %+v", i, a, all[i-1])
 			}
 		}
@@ -57,8 +57,8 @@
 		}
 		return n
 	}
-	all := drawn(s, 1, 30*choice.Second, Bend{From: 10 * choice.Second, To: 20 * choice.Second, Factor: 3, Sender: 2, Partner: -1},
-		Bend{From: 20 * choice.Second, To: 30 * choice.Second, Factor: 1, Sender: -1, Partner: 7, Share: 0.5})
+	all := drawn(s, 1, 30*choice.Second, Change{From: 10 * choice.Second, To: 20 * choice.Second, Factor: 3, Sender: 2, Partner: -1},
+		Change{From: 20 * choice.Second, To: 30 * choice.Second, Factor: 1, Sender: -1, Partner: 7, Share: 0.5})
 	mine := func(a Arrival) bool { return a.Sender == 2 }
 	if before, in := count(all, 0, 10*choice.Second, mine), count(all, 10*choice.Second, 20*choice.Second, mine); in < 2*before || in > 4*before {
 		t.Errorf("a surge to three times: %d after %d", in, before)
--- a/lab/load/search.go
+++ b/lab/load/search.go
@@ -9,29 +9,29 @@
 type Search struct {
 	good, bad float64 // highest that held, lowest that did not; 0 for none yet
 	start     float64
-	most      float64
-	closeTo   float64 // the gap, as a share of the good rate, at which the search ends
-	asked     int
-	mostAsked int
+	maxRate   float64
+	tolerance float64 // the gap, as a share of the good rate, at which the search ends
+	steps     int
+	maxSteps  int
 }
 
 // NewSearch begins at a rate and never asks for more than most, nor more than steps times.
 func NewSearch(start, most float64, steps int) *Search {
-	return &Search{start: start, most: most, closeTo: 0.05, mostAsked: steps}
+	return &Search{start: start, maxRate: most, tolerance: 0.05, maxSteps: steps}
 }
 
 // Next is the rate to try, and false once the search is over.
 func (s *Search) Next() (rate float64, more bool) {
-	if s.asked >= s.mostAsked || s.bad > 0 && s.good > 0 && s.bad/s.good < 1+s.closeTo || s.good >= s.most ||
+	if s.steps >= s.maxSteps || s.bad > 0 && s.good > 0 && s.bad/s.good < 1+s.tolerance || s.good >= s.maxRate ||
 		s.bad > 0 && s.good == 0 && s.bad < s.start/64 {
 		return 0, false
 	}
-	s.asked++
+	s.steps++
 	switch {
 	case s.bad == 0 && s.good == 0:
-		return min(s.start, s.most), true
+		return min(s.start, s.maxRate), true
 	case s.bad == 0:
-		return min(2*s.good, s.most), true
+		return min(2*s.good, s.maxRate), true
 	case s.good == 0:
 		return s.bad / 2, true
 	}
--- a/lab/load/trace.go
+++ b/lab/load/trace.go
@@ -11,8 +11,8 @@
 	"flaxcove/choice"
 )
 
-// traced is one line of a recorded trace.
-type traced struct {
+// traceLine is one line of a recorded trace.
+type traceLine struct {
 	AtMS    *float64 `json:"at_ms"`
 	Class   string   `json:"workload"`
 	Partner int      `json:"partner"`
@@ -31,7 +31,7 @@
 		if len(lines.Bytes()) == 0 {
 			continue
 		}
-		var t traced
+		var t traceLine
 		if err := json.Unmarshal(lines.Bytes(), &t); err != nil {
 			return nil, fmt.Errorf("%s:%d: %w", name, no, err)
 		}
--- a/lab/referee/calls.go
+++ b/lab/referee/calls.go
@@ -37,7 +37,7 @@
 	return int(e.Partner.No)
 }
 
-func nonIdempotent(h *world.HandIn) bool { return h.Ask.Class.Repeat == world.NonIdempotent }
+func nonIdempotent(h *world.HandIn) bool { return h.Request.Class.Repeat == world.NonIdempotent }
 
 // CallSent hears that a call left its sender.
 func (r *Referee) CallSent(c *world.Call) {
@@ -84,12 +84,12 @@
 // noticeOf is what is known of a hand-in that a call carries, nil where there is nothing more to judge.
 func (r *Referee) messageOf(c *world.Call, h *world.HandIn) *message {
 	e, s := c.Conn.Endpoint, c.Conn.Sender
-	if h.Unknown || h.Ask == nil {
+	if h.Unknown || h.Request == nil {
 		r.violated(Elsewhere, s, "%s was sent to %s and no program handed it in, or long ago", h.ID, e.ID)
 		return nil
 	}
-	if h.Ask.Partner != int(e.Partner.No) {
-		r.violated(Elsewhere, s, "%s is for partner %d and went to %s", h.ID, h.Ask.Partner, e.ID)
+	if h.Request.Partner != int(e.Partner.No) {
+		r.violated(Elsewhere, s, "%s is for partner %d and went to %s", h.ID, h.Request.Partner, e.ID)
 	}
 	n := r.messages[h]
 	if n == nil && !h.Abandoned() {
@@ -131,7 +131,7 @@
 // judgeRepeat: what may have run is sent again only where and while its effect can't come twice.
 func (r *Referee) judgeRepeat(c *world.Call, n *message) {
 	now, e, s, h := r.clock(), c.Conn.Endpoint, c.Conn.Sender, n.handIn
-	w := h.Ask.Class
+	w := h.Request.Class
 	switch w.Repeat {
 	case world.NonIdempotent:
 		r.violated(Twice, s, "%s is single-use, may have run, and was sent again", h.ID)
--- a/lab/referee/clients.go
+++ b/lab/referee/clients.go
@@ -10,11 +10,11 @@
 	"flaxcove/lab/world"
 )
 
-// Asked hears that a client wants something sent.
-func (r *Referee) Asked(a *world.Ask) {
+// Requested hears that a client wants something sent.
+func (r *Referee) Requested(a *world.Request) {
 	r.judgeDue()
-	r.asks[a] = &requestState{}
-	r.asked[a.Arrival.Class] = append(r.asked[a.Arrival.Class], a)
+	r.requests[a] = &requestState{}
+	r.requestsByClass[a.Arrival.Class] = append(r.requestsByClass[a.Arrival.Class], a)
 	r.second(a.At).Asked++
 	r.v.Asked++
 	if isCounted(a) {
@@ -24,8 +24,8 @@
 	}
 }
 
-// isCounted tells whether service is reckoned from an ask: the first second only starts a run.
-func isCounted(a *world.Ask) bool { return a.At >= choice.Second }
+// isCounted tells whether service is reckoned from an request: the first second only starts a run.
+func isCounted(a *world.Request) bool { return a.At >= choice.Second }
 
 // HandedIn hears that a client hands a message to a sender.
 func (r *Referee) HandedIn(h *world.HandIn) {
@@ -132,26 +132,26 @@
 
 // creditDelivery counts a message's value, once for all its hand-ins, by the time since the first.
 func (r *Referee) creditDelivery(n *message) {
-	state, ask := r.asks[n.handIn.Ask], n.handIn.Ask
+	state, request := r.requests[n.handIn.Request], n.handIn.Request
 	if state == nil || state.credited {
 		return
 	}
 	state.credited = true
-	took := r.clock() - ask.At
+	took := r.clock() - request.At
 	r.v.Delivered++
 	r.second(r.clock()).Delivered++
-	r.recordDelivery(ask, took)
-	if took <= milliseconds(ask.Class.LatencyObjectiveMS) {
+	r.recordDelivery(request, took)
+	if took <= milliseconds(request.Class.LatencyObjectiveMS) {
 		r.v.InTime++
 	}
-	if isCounted(ask) {
-		w := &r.v.Classes[ask.Arrival.Class]
+	if isCounted(request) {
+		w := &r.v.Classes[request.Arrival.Class]
 		w.Delivered++
-		w.Value += ask.Class.Value * Fade(r.spec, ask.Class, took)
+		w.Value += request.Class.Value * Fade(r.spec, request.Class, took)
 	}
 }
 
-func (r *Referee) recordDelivery(a *world.Ask, took Time) {
+func (r *Referee) recordDelivery(a *world.Request, took Time) {
 	record(r.delivery[a.Arrival.Class], took)
 	second := int(r.clock() / choice.Second)
 	if second >= len(r.bySecond) {
--- a/lab/referee/message.go
+++ b/lab/referee/message.go
@@ -72,7 +72,7 @@
 
 // judgeDue judges what was due by now.
 func (r *Referee) judgeDue() {
-	r.forgetAsks()
+	r.forgetRequests()
 	now := r.clock()
 	for len(r.due) > 0 && r.due[0].dueAt < now {
 		n := r.due[0]
@@ -102,16 +102,16 @@
 	return 0, false
 }
 
-// forgetAsks drops the asks whose late deliveries no longer count.
-func (r *Referee) forgetAsks() {
+// forgetRequests drops the requests whose late deliveries no longer count.
+func (r *Referee) forgetRequests() {
 	now := r.clock()
-	for i, line := range r.asked {
+	for i, line := range r.requestsByClass {
 		for len(line) > 0 && line[0].Deadline+lateDeliveryPeriod < now {
-			delete(r.asks, line[0])
+			delete(r.requests, line[0])
 			line[0] = nil
 			line = line[1:]
 		}
-		r.asked[i] = line
+		r.requestsByClass[i] = line
 	}
 }
 
@@ -123,7 +123,7 @@
 
 // orderKeyOf is the ordering key of a hand-in, and whether order counts for it.
 func (r *Referee) orderKeyOf(h *world.HandIn) (orderKey, bool) {
-	return orderKey{h.Sender, h.Ask.Partner, h.Ask.Key}, h.Ask.Class.Ordered
+	return orderKey{h.Sender, h.Request.Partner, h.Request.Key}, h.Request.Class.Ordered
 }
 
 // leaveKeyQueue takes a message out of the line of its key.
--- a/lab/referee/referee.go
+++ b/lab/referee/referee.go
@@ -61,8 +61,8 @@
 	stages          map[senderView]announcedStage // one for each sender and endpoint that was told to drain
 	retryAfterUntil map[senderView]Time           // until, by sender and route; emptied as each ends
 	retryAfterSince map[senderView]Time           // when it was told
-	asks            map[*world.Ask]*requestState
-	asked           [][]*world.Ask // by class, in order of time; each leaves askedFor after its deadline
+	requests        map[*world.Request]*requestState
+	requestsByClass [][]*world.Request // by class, in order of time; each leaves askedFor after its deadline
 	senders         []senderState
 	calls           map[*world.Call]*callState // emptied as calls are resolved
 
@@ -87,7 +87,7 @@
 		stages:          map[senderView]announcedStage{},
 		retryAfterUntil: map[senderView]Time{},
 		retryAfterSince: map[senderView]Time{},
-		asks:            map[*world.Ask]*requestState{},
+		requests:        map[*world.Request]*requestState{},
 		calls:           map[*world.Call]*callState{},
 		senders:         make([]senderState, spec.Senders),
 		seconds:         make([]Second, int(spec.Seconds)+1),
@@ -96,7 +96,7 @@
 	}
 	r.v.Rules = map[Rule]int{}
 	r.v.Classes = make([]Class, len(spec.Classes))
-	r.asked = make([][]*world.Ask, len(spec.Classes))
+	r.requestsByClass = make([][]*world.Request, len(spec.Classes))
 	r.acceptLatency = newHistogram()
 	for i := range spec.Classes {
 		r.v.Classes[i].Name = spec.Classes[i].Name
--- a/lab/referee/referee_test.go
+++ b/lab/referee/referee_test.go
@@ -181,10 +181,10 @@
 
 // ledger is told what a world would tell, one thing at a time, to show how instants are read.
 type ledger struct {
-	r   *referee.Referee
-	now choice.Time
-	ask *world.Ask
-	end *world.Endpoint
+	r       *referee.Referee
+	now     choice.Time
+	request *world.Request
+	end     *world.Endpoint
 }
 
 func newLedger(repeat string) *ledger {
@@ -193,18 +193,18 @@
 	l.r = referee.New(s, func() choice.Time { return l.now }, 0)
 	w := s.Classes[0]
 	w.Repeat = repeat
-	l.ask = &world.Ask{No: 1, Class: &w, Deadline: 50000}
-	l.ask.At = 20000
+	l.request = &world.Request{No: 1, Class: &w, Deadline: 50000}
+	l.request.At = 20000
 	kind := s.Partners[0]
 	l.end = &world.Endpoint{ID: "e", Partner: &world.Partner{Kind: &kind}}
 	l.now = 20000
 	l.r.Sender(0, true)
-	l.r.Asked(l.ask)
+	l.r.Requested(l.request)
 	return l
 }
 
 func (l *ledger) handIn() *world.HandIn {
-	h := &world.HandIn{ID: "n", Ask: l.ask, At: l.now, Deadline: 50000}
+	h := &world.HandIn{ID: "n", Request: l.request, At: l.now, Deadline: 50000}
 	l.r.HandedIn(h)
 	return h
 }
--- a/lab/sim/answers.go
+++ b/lab/sim/answers.go
@@ -1,13 +1,13 @@
 package sim
 
-// This file is what comes back: answers, and ends of connections.
+// This file handles what comes back to a sender: answers, and closed connections.
 
 import (
 	"flaxcove/choice"
 	"flaxcove/lab/world"
 )
 
-// onLink does something with the link of a connection once its process is awake, unless it is closed by then.
+// onLink calls do with the link of a connection once the process runs, unless the link is closed by then.
 func (n *node) onLink(wc *world.Conn, do func(l *link)) {
 	l, ok := wc.Engine.(*link)
 	if !ok {
@@ -20,7 +20,7 @@
 	})
 }
 
-// connDown hears that a connection was refused, or ended by the other side.
+// connDown handles a connection that was refused, or closed by the endpoint.
 func (n *node) connDown(wc *world.Conn, why world.ConnEnd) {
 	n.onLink(wc, func(l *link) {
 		c := l.call
@@ -37,7 +37,7 @@
 	})
 }
 
-// answered hears an answer, or its first half.
+// answered handles an answer, or the first half of one.
 func (n *node) answered(wc *world.Conn, a world.Answer) {
 	n.onLink(wc, func(l *link) {
 		c := l.call
@@ -61,9 +61,9 @@
 
 // waitForRest abandons a call if the other half of its answer does not come.
 func (n *node) waitForRest(c *call) {
-	life := n.incarnation
+	incarnation := n.incarnation
 	n.e.w.After(answerRestTimeout, func() {
-		if n.incarnation != life || c.over {
+		if n.incarnation != incarnation || c.over {
 			return
 		}
 		n.whenRunning(func() {
@@ -74,7 +74,7 @@
 	})
 }
 
-// resultOf is what a whole answer means.
+// resultOf is the result that a complete answer stands for.
 func resultOf(a world.Answer) choice.Result {
 	switch {
 	case a.Spoilt:
@@ -87,32 +87,32 @@
 	return choice.Errored
 }
 
-// finish ends a call.
+// finish ends a call with a result, once.
 func (n *node) finish(c *call, result choice.Result, a world.Answer) {
 	if c.over {
 		return
 	}
 	c.over = true
-	delete(n.out, c)
+	delete(n.inFlight, c)
 	n.reportCall(c, result, a)
 }
 
-// reportCall has the module hear how a call ended, message by message.
+// reportCall reports the end of a call to the policy, message by message.
 func (n *node) reportCall(c *call, result choice.Result, a world.Answer) {
 	n.scheduleTick()
 	if c.probe {
-		n.policy.Probed(c.e.id, result)
+		n.policy.Probed(c.endpoint.id, result)
 		return
 	}
 	wait := a.Wait
 	if wait > 0 {
-		wait++ // counted from a clock that may lie inside a tenth
+		wait++ // the endpoint's clock may be ahead of ours by part of a tenth of a millisecond
 	}
 	for i, o := range c.messages {
 		if o.call != c {
-			continue // it has parted
+			continue // it was detached before
 		}
-		out := choice.Outcome{Message: o.ID, Attempt: o.attempts - 1, Endpoint: c.e.id, Took: n.Now() - c.startedAt, Result: result,
+		out := choice.Outcome{Message: o.ID, Attempt: o.attempts - 1, Endpoint: c.endpoint.id, Took: n.Now() - c.startedAt, Result: result,
 			Final: result == choice.Done, Wait: wait, Report: a.Report, Reused: c.reused, Closed: a.Close}
 		if a.Statuses != nil && result == choice.Done && a.Statuses[i] != 200 {
 			out.Result, out.Final = choice.Errored, false
@@ -124,13 +124,13 @@
 	}
 }
 
-// attemptEnded has the module hear how an attempt ended.
+// attemptEnded reports the end of an attempt to the policy.
 func (n *node) attemptEnded(c *call, o *openMessage, out choice.Outcome) {
 	o.call = nil
 	switch out.Result {
 	case choice.Errored, choice.TimedOut, choice.Reset, choice.Cancelled, choice.Spoilt:
 		if !o.MayRun {
-			o.MayRun, o.RanAt, o.RanIn = true, c.startedAt, c.e.zone
+			o.MayRun, o.RanAt, o.RanIn = true, c.startedAt, c.endpoint.zone
 		}
 	default:
 		if !o.MayRun && !out.Final {
--- a/lab/sim/calls.go
+++ b/lab/sim/calls.go
@@ -1,6 +1,6 @@
 package sim
 
-// This file is connections and the calls that leave by them.
+// This file handles connections and the calls on them.
 
 import (
 	"slices"
@@ -12,7 +12,7 @@
 func (n *node) closeIdle(e *endpoint) {
 	for _, l := range e.idle {
 		l.closed = true
-		n.e.w.CloseBySender(l.c)
+		n.e.w.CloseBySender(l.conn)
 	}
 	e.idle = nil
 }
@@ -21,35 +21,36 @@
 	if !c.probe && !n.limitCallTime(c) {
 		return
 	}
-	life := n.incarnation
+	incarnation := n.incarnation
 	n.e.w.After(c.timeout, func() {
-		if n.incarnation == life && !c.over {
+		if n.incarnation == incarnation && !c.over {
 			n.whenRunning(func() { n.expire(c) })
 		}
 	})
-	if k := len(c.e.idle); k > 0 {
-		l := c.e.idle[k-1]
-		c.e.idle = c.e.idle[:k-1]
+	if k := len(c.endpoint.idle); k > 0 {
+		l := c.endpoint.idle[k-1]
+		c.endpoint.idle = c.endpoint.idle[:k-1]
 		n.send(c, l)
 		return
 	}
-	l := &link{e: c.e, call: c}
+	l := &link{endpoint: c.endpoint, call: c}
 	c.link = l
-	l.c = n.e.w.Dial(n.no, c.e.id, c.e.addr)
-	l.c.Engine = l
-	n.out[c] = struct{}{}
+	l.conn = n.e.w.Dial(n.no, c.endpoint.id, c.endpoint.addr)
+	l.conn.Engine = l
+	n.inFlight[c] = struct{}{}
 	if within := n.settings.DialTimeout; within > 0 && within < c.timeout {
 		n.e.w.After(within, func() {
-			if n.incarnation == life && !c.over && !l.up {
+			if n.incarnation == incarnation && !c.over && !l.up {
 				n.whenRunning(func() { n.dialFailed(c) })
 			}
 		})
 	}
 }
 
-// limitCallTime and part are the sender's.
+// limitCallTime bounds a call by the deadlines of its messages, as internal/sender does: a message that is past its
+// deadline is detached. It is false if none is left.
 func (n *node) limitCallTime(c *call) bool {
-	longest, life := choice.Time(0), n.incarnation
+	longest, incarnation := choice.Time(0), n.incarnation
 	for _, o := range slices.Clone(c.messages) {
 		left := o.Deadline - n.Now() - n.settings.Turn
 		if longest = max(longest, left); left <= 0 {
@@ -60,7 +61,7 @@
 	for _, o := range c.messages {
 		if left := o.Deadline - n.Now() - n.settings.Turn; left < c.timeout {
 			n.e.w.After(left, func() {
-				if n.incarnation == life && !c.over && o.call == c {
+				if n.incarnation == incarnation && !c.over && o.call == c {
 					n.whenRunning(func() { n.detach(c, o) })
 				}
 			})
@@ -69,13 +70,13 @@
 	return len(c.messages) > 0
 }
 
-// detach takes a message off a call that goes on without it.
+// detach takes a message off a call, which goes on without it.
 func (n *node) detach(c *call, o *openMessage) {
 	if c.over || o.call != c {
 		return
 	}
 	n.scheduleTick()
-	out := choice.Outcome{Message: o.ID, Attempt: o.attempts - 1, Endpoint: c.e.id, Took: n.Now() - c.startedAt, Result: choice.Cancelled}
+	out := choice.Outcome{Message: o.ID, Attempt: o.attempts - 1, Endpoint: c.endpoint.id, Took: n.Now() - c.startedAt, Result: choice.Cancelled}
 	if c.link == nil || !c.link.up {
 		out.Result = choice.Moot
 		c.messages = slices.DeleteFunc(c.messages, func(other *openMessage) bool { return other == o })
@@ -89,11 +90,12 @@
 		return
 	}
 	c.link.closed = true
-	n.e.w.CloseBySender(c.link.c)
+	n.e.w.CloseBySender(c.link.conn)
 	n.finish(c, choice.ConnectFailed, world.Answer{})
 }
 
-// connUp hears that a connection stands. A slow one may have let a wait or a drain come in between.
+// connUp handles a connection that is established. Meanwhile the policy may have closed the route to the endpoint, since
+// it drains or named a Retry-After.
 func (n *node) connUp(wc *world.Conn) {
 	n.onLink(wc, func(l *link) {
 		l.up = true
@@ -103,7 +105,7 @@
 			n.makeIdle(l)
 			return
 		}
-		if n.Now() >= c.startedAt+c.timeout || !c.probe && !n.policy.Open(c.e.id, c.ids()...) {
+		if n.Now() >= c.startedAt+c.timeout || !c.probe && !n.policy.Open(c.endpoint.id, c.ids()...) {
 			l.call = nil
 			n.makeIdle(l)
 			n.finish(c, choice.ConnectFailed, world.Answer{})
@@ -120,52 +122,52 @@
 	return ids
 }
 
-// send has a call leave on a link.
+// send sends a call on a link.
 func (n *node) send(c *call, l *link) {
 	c.link, c.reused, l.call, l.used = l, l.used, c, true
-	l.idleNo++
-	n.out[c] = struct{}{}
-	n.e.w.Send(l.c, c.ids(), c.probe)
+	l.useNo++
+	n.inFlight[c] = struct{}{}
+	n.e.w.Send(l.conn, c.ids(), c.probe)
 }
 
-// makeIdle keeps a link for the next call, for as long as its endpoint surely keeps it too.
+// makeIdle keeps a link for the next call, and closes it some time before its endpoint would.
 func (n *node) makeIdle(l *link) {
 	if l.closed {
 		return
 	}
-	if l.e.gone {
+	if l.endpoint.gone {
 		l.closed = true
-		n.e.w.CloseBySender(l.c)
+		n.e.w.CloseBySender(l.conn)
 		return
 	}
-	l.e.idle = append(l.e.idle, l)
-	l.idleNo++
+	l.endpoint.idle = append(l.endpoint.idle, l)
+	l.useNo++
 	keep := n.settings.ConnIdle
 	if keep <= 0 {
 		return
 	}
-	no, life := l.idleNo, n.incarnation
-	still := func() bool { return !l.closed && l.call == nil && l.idleNo == no }
+	no, incarnation := l.useNo, n.incarnation
+	still := func() bool { return !l.closed && l.call == nil && l.useNo == no }
 	n.e.w.After(max(keep/2, keep-idleMargin), func() {
-		if n.incarnation != life || !still() {
+		if n.incarnation != incarnation || !still() {
 			return
 		}
 		n.whenRunning(func() {
 			if still() {
 				n.dropIdle(l)
-				n.e.w.CloseBySender(l.c)
+				n.e.w.CloseBySender(l.conn)
 			}
 		})
 	})
 }
 
-// dropIdle forgets a link.
+// dropIdle removes a link from the idle ones.
 func (n *node) dropIdle(l *link) {
 	l.closed = true
-	l.e.idle = slices.DeleteFunc(l.e.idle, func(other *link) bool { return other == l })
+	l.endpoint.idle = slices.DeleteFunc(l.endpoint.idle, func(other *link) bool { return other == l })
 }
 
-// expire ends a call whose time is over.
+// expire ends a call that has reached its timeout.
 func (n *node) expire(c *call) {
 	if c.over {
 		return
@@ -173,7 +175,7 @@
 	if c.link == nil || !c.link.up {
 		if c.link != nil {
 			c.link.closed = true
-			n.e.w.CloseBySender(c.link.c)
+			n.e.w.CloseBySender(c.link.conn)
 		}
 		n.finish(c, choice.ConnectFailed, world.Answer{})
 		return
@@ -181,16 +183,16 @@
 	n.abandon(c, choice.TimedOut)
 }
 
-// abandon ends a call's connection; the module hears of it once the endpoint has had time to see that.
+// abandon closes a call's connection. The policy learns of it after abandonDelay, when the endpoint has seen the close.
 func (n *node) abandon(c *call, result choice.Result) {
 	c.link.closed = true
 	c.link.call = nil
 	c.over = true
-	delete(n.out, c)
-	n.e.w.CloseBySender(c.link.c)
-	life := n.incarnation
+	delete(n.inFlight, c)
+	n.e.w.CloseBySender(c.link.conn)
+	incarnation := n.incarnation
 	n.e.w.After(abandonDelay, func() {
-		if n.incarnation == life {
+		if n.incarnation == incarnation {
 			n.whenRunning(func() { n.reportCall(c, result, world.Answer{}) })
 		}
 	})
--- /dev/null
+++ b/lab/sim/endpoints.go
@@ -0,0 +1,62 @@
+package sim
+
+// This file applies updates of the endpoint list.
+
+import (
+	"cmp"
+	"slices"
+
+	"flaxcove/choice"
+	"flaxcove/lab/world"
+)
+
+// updateEndpoints takes an update of the endpoint list.
+func (n *node) updateEndpoints(l world.List) {
+	n.whenRunning(func() {
+		if l.Full {
+			for _, e := range n.endpoints {
+				e.gone = true
+			}
+		}
+		entries := make([]choice.Entry, 0, len(l.Entries))
+		for _, entry := range l.Entries {
+			entries = append(entries, n.updateEndpoint(entry))
+		}
+		n.closeIdleOfGone()
+		n.policy.UpdateEndpoints(entries, l.Full)
+		n.scheduleTick()
+	})
+}
+
+// updateEndpoint applies one entry of an update and returns it in the policy's form.
+func (n *node) updateEndpoint(entry world.ListEntry) choice.Entry {
+	listed := entry.Endpoint
+	e := n.endpoints[listed.ID]
+	if e == nil {
+		e = &endpoint{id: listed.ID}
+		n.endpoints[e.id] = e
+	}
+	if e.addr != entry.Address {
+		n.closeIdle(e)
+		e.addr = entry.Address
+	}
+	e.gone = entry.Stage == choice.Gone
+	e.zone, e.bulkMax = choice.ZoneNo(listed.Zone), n.settings.Kinds[listed.Partner.KindNo].BundleMax
+	return choice.Entry{Endpoint: listed.ID, Destination: choice.DestinationID(listed.Partner.No),
+		Kind: choice.KindNo(listed.Partner.KindNo), Zone: choice.ZoneNo(listed.Zone), Rating: n.e.w.Rating(listed), Stage: entry.Stage}
+}
+
+// closeIdleOfGone closes the idle connections to endpoints that are off the list, sorted so that the order does not depend
+// on the map.
+func (n *node) closeIdleOfGone() {
+	var gone []*endpoint
+	for _, e := range n.endpoints {
+		if e.gone && len(e.idle) > 0 {
+			gone = append(gone, e)
+		}
+	}
+	slices.SortFunc(gone, func(a, b *endpoint) int { return cmp.Compare(a.id, b.id) })
+	for _, e := range gone {
+		n.closeIdle(e)
+	}
+}
--- a/lab/sim/host.go
+++ b/lab/sim/host.go
@@ -1,6 +1,6 @@
 package sim
 
-// This file is choice.Host on a simulated sender, and what ends a message there.
+// This file implements choice.Host for a simulated sender.
 
 import (
 	"math"
@@ -16,15 +16,15 @@
 }
 
 func (n *node) Attempt(id choice.MessageID, to choice.EndpointID, timeOut choice.Time) {
-	o, e := n.owed[id], n.endpoints[to]
+	o, e := n.messages[id], n.endpoints[to]
 	if e == nil {
-		e = &endpoint{id: to, gone: true, bundle: 1}
+		e = &endpoint{id: to, gone: true, bulkMax: 1}
 	}
-	c := e.open
-	if c == nil || len(c.messages) >= e.bundle {
-		c = &call{n: n, e: e, startedAt: n.Now()}
-		if e.open == nil || e.bundle > 1 {
-			e.open = c
+	c := e.nextCall
+	if c == nil || len(c.messages) >= e.bulkMax {
+		c = &call{n: n, endpoint: e, startedAt: n.Now()}
+		if e.nextCall == nil || e.bulkMax > 1 {
+			e.nextCall = c
 		}
 		n.newCalls = append(n.newCalls, c)
 	}
@@ -36,14 +36,14 @@
 }
 
 func (n *node) Shed(id choice.MessageID, comeBackIn choice.Time) {
-	o := n.owed[id]
+	o := n.messages[id]
 	if o == nil || o.over {
 		return
 	}
 	ms := int64(math.Ceil(float64(comeBackIn) / float64(choice.Millisecond)))
 	n.endMessage(o, func() {
 		if o.unanswered {
-			n.e.w.Answered(o.h, world.HandInBusy, ms)
+			n.e.w.Answered(o.handIn, world.HandInBusy, ms)
 		} else {
 			n.e.w.ReportEnd(o.ID, world.EndHandedBack, ms)
 		}
@@ -51,13 +51,13 @@
 }
 
 func (n *node) Fail(id choice.MessageID) {
-	o := n.owed[id]
+	o := n.messages[id]
 	if o == nil || o.over {
 		return
 	}
 	n.endMessage(o, func() {
 		if o.unanswered {
-			n.e.w.Answered(o.h, world.HandInError, 0)
+			n.e.w.Answered(o.handIn, world.HandInError, 0)
 		} else {
 			n.e.w.ReportEnd(o.ID, world.EndFailed, 0)
 		}
@@ -66,7 +66,7 @@
 
 func (n *node) forgetMessage(o *openMessage) {
 	o.over = true
-	delete(n.owed, o.ID)
+	delete(n.messages, o.ID)
 }
 
 func (n *node) Probe(id choice.EndpointID) {
@@ -74,11 +74,11 @@
 	if e == nil {
 		e = &endpoint{id: id, gone: true}
 	}
-	n.newCalls = append(n.newCalls, &call{n: n, e: e, startedAt: n.Now(), probe: true, timeout: n.settings.DialTimeout + probeTimeout})
+	n.newCalls = append(n.newCalls, &call{n: n, endpoint: e, startedAt: n.Now(), probe: true, timeout: n.settings.DialTimeout + probeTimeout})
 	n.scheduleTick()
 }
 
-// Tell says nothing: Settings.Notes is unset, as on sockets.
+// Tell does nothing: Settings.Notes, gossip between senders, is off, as on sockets.
 func (n *node) Tell([]byte) {}
 
 func (n *node) CloseIdle(id choice.EndpointID) {
@@ -88,10 +88,10 @@
 }
 
 func (n *node) Timer(in choice.Time, id choice.TimerID) {
-	life := n.incarnation
+	incarnation := n.incarnation
 	n.timers[id] = true
 	n.e.w.After(in, func() {
-		if n.incarnation != life || !n.timers[id] {
+		if n.incarnation != incarnation || !n.timers[id] {
 			return
 		}
 		n.whenRunning(func() {
--- a/lab/sim/life.go
+++ b/lab/sim/life.go
@@ -1,12 +1,12 @@
 package sim
 
-// This file is a process's ends and standstills.
+// This file kills, shuts down and pauses a sender's process.
 
 import (
 	"slices"
 )
 
-// kill ends the process at once: what is not on record is gone.
+// kill ends the process at once. Messages that are not recorded are lost.
 func (n *node) kill() {
 	if !n.alive {
 		return
@@ -14,44 +14,45 @@
 	n.alive, n.paused = false, false
 	n.deferred = nil
 	n.incarnation++
-	for id, o := range n.owed {
+	for id, o := range n.messages {
 		if !o.recorded {
-			delete(n.owed, id)
+			delete(n.messages, id)
 		}
 	}
 	var calls []*call
-	for c := range n.out {
+	for c := range n.inFlight {
 		calls = append(calls, c)
 	}
-	slices.SortFunc(calls, func(a, b *call) int { return int(a.link.c.No - b.link.c.No) })
+	slices.SortFunc(calls, func(a, b *call) int { return int(a.link.conn.No - b.link.conn.No) })
 	for _, c := range calls {
-		n.e.w.CloseBySender(c.link.c)
+		n.e.w.CloseBySender(c.link.conn)
 	}
 	for _, l := range n.idleLinks() {
-		n.e.w.CloseBySender(l.c)
+		n.e.w.CloseBySender(l.conn)
 	}
 	n.e.w.SetServing(n.no, false)
 }
 
-// idleLinks are all idle ones in an order of their own.
+// idleLinks returns all idle links, sorted so that the order does not depend on the map.
 func (n *node) idleLinks() (all []*link) {
 	for _, e := range n.endpoints {
 		all = append(all, e.idle...)
 	}
-	slices.SortFunc(all, func(a, b *link) int { return int(a.c.No - b.c.No) })
+	slices.SortFunc(all, func(a, b *link) int { return int(a.conn.No - b.conn.No) })
 	return all
 }
 
-// term begins a planned end: clients go elsewhere at once here, and the rest waits for the next process.
+// term begins a graceful shutdown: clients go elsewhere at once, and what has not ended by drainTimeout is left to the next
+// incarnation.
 func (n *node) term() {
 	if !n.alive {
 		return
 	}
 	n.ending, n.endingSince = true, n.e.w.Now()
 	n.e.w.SetServing(n.no, false)
-	life := n.incarnation
+	incarnation := n.incarnation
 	n.e.w.After(drainTimeout, func() {
-		if n.incarnation == life && n.alive {
+		if n.incarnation == incarnation && n.alive {
 			n.kill()
 		}
 	})
@@ -69,14 +70,14 @@
 	}
 }
 
-// whenRunning runs what reaches the process, or keeps it until it goes on.
+// whenRunning calls do, or defers it while the process is paused. It is dropped if the process has ended.
 func (n *node) whenRunning(do func()) {
 	switch {
 	case !n.alive:
 	case n.paused:
-		life := n.incarnation
+		incarnation := n.incarnation
 		n.deferred = append(n.deferred, func() {
-			if n.incarnation == life {
+			if n.incarnation == incarnation {
 				do()
 			}
 		})
--- a/lab/sim/settings.go
+++ b/lab/sim/settings.go
@@ -1,6 +1,6 @@
 package sim
 
-// This file owns the settings that a sender of a world is started with, for both engines. It must never know which engine asks.
+// This file makes the settings that a sender of a world is started with. Both engines use the same.
 
 import (
 	"encoding/json"
@@ -12,49 +12,29 @@
 	"flaxcove/lab/world"
 )
 
-// SettingsJSON is the settings object for a sender of a world, as both engines hand it over: the same text that a real sender
-// finds in its configuration.
+// SettingsJSON is the settings object for a sender of a world, as both engines hand it over: the same text that a real
+// sender finds in its configuration.
 func SettingsJSON(w *world.World) json.RawMessage {
 	spec := w.Spec
-	ns := func(ms float64) int64 { return int64(math.Round(ms * 1e6)) }
-	words := map[string]string{world.Idempotent: "pure", world.Keyed: "token", world.NonIdempotent: "side_effect"}
-	classes := []map[string]any{}
-	for i := range spec.Classes {
-		l := &spec.Classes[i]
-		group := ""
-		if l.ZoneGroup {
-			group = "zone"
-		}
-		classes = append(classes, map[string]any{"name": l.Name, "idempotency": words[l.Repeat], "aim": ns(l.LatencyObjectiveMS),
-			"deadline": ns(l.DeadlineMS), "worth": l.Value, "lateWorth": l.LateValue, "byArrival": l.Ordered,
-			"repeatWindow": ns(l.WindowS * 1e3), "group": group})
-	}
-	bundles, apart, kinds := []int{}, []bool{}, []string{}
-	slowStartFrom, slowStartS, idle := 1.0, 0.0, math.MaxFloat64
-	for i := range spec.Partners {
-		k := &spec.Partners[i]
-		bundles, apart, kinds = append(bundles, k.Bundle), append(apart, k.SeparateRoutes), append(kinds, k.Name)
-		slowStartFrom, slowStartS, idle = min(slowStartFrom, k.SlowStartFrom), max(slowStartS, k.SlowStartS), min(idle, k.IdleS)
-	}
 	zones := []string{}
 	for i := range spec.Zones {
 		zones = append(zones, fmt.Sprintf("z%d", i))
 	}
-	inFlightLimit, open := Capacity(w)
+	inFlightLimit, maxOpen := Capacity(w)
 	fades := "halving"
 	if !spec.Halving {
 		fades = "even"
 	}
-	weights := spec.Sender.Rating
+	kinds := settingsOfKinds(spec.Partners)
 	text, err := json.Marshal(map[string]any{
-		"balancers": spec.Senders, "quantum": ns(spec.Sender.TickMS), "zones": zones, "machineTypes": kinds, "weights": weights,
-		"classes": classes,
-		"bounds": map[string]any{"maxOpen": open, "maxAttempts": spec.Sender.MaxAttempts, "probing": spec.Sender.Probing,
-			"connIdle": ns(idle * 1e3), "dialTimeout": ns(spec.Sender.DialMS), "retryAfter": !spec.Sender.NoRetryAfter,
-			"maxRetryAfter": ns(spec.Sender.LongestRetryAfterMS)},
-		"extra": map[string]any{"callsOut": inFlightLimit, "bundleMax": bundles, "separateRoutes": apart, "fades": fades},
-		"rules": map[string]any{"cold": ns(slowStartS * 1e3), "coldFrom": slowStartFrom, "fallMultiple": spec.Rules.FallMultiple,
-			"fall": ns(spec.Rules.FallS * 1e3), "keyRest": ns(spec.Rules.KeyRestMS)},
+		"balancers": spec.Senders, "quantum": nanoseconds(spec.Sender.TickMS), "zones": zones, "machineTypes": kinds.names,
+		"weights": spec.Sender.Rating, "classes": settingsOfClasses(spec.Classes),
+		"bounds": map[string]any{"maxOpen": maxOpen, "maxAttempts": spec.Sender.MaxAttempts, "probing": spec.Sender.Probing,
+			"connIdle": nanoseconds(kinds.idleS * 1e3), "dialTimeout": nanoseconds(spec.Sender.DialMS),
+			"retryAfter": !spec.Sender.NoRetryAfter, "maxRetryAfter": nanoseconds(spec.Sender.LongestRetryAfterMS)},
+		"extra": map[string]any{"callsOut": inFlightLimit, "bundleMax": kinds.bulkMax, "separateRoutes": kinds.separateRoutes, "fades": fades},
+		"rules": map[string]any{"cold": nanoseconds(kinds.slowStartS * 1e3), "coldFrom": kinds.slowStartFrom,
+			"fallMultiple": spec.Rules.FallMultiple, "fall": nanoseconds(spec.Rules.FallS * 1e3), "keyRest": nanoseconds(spec.Rules.KeyRestMS)},
 		"stats": map[string]any{"fields": []string{"x0", "x1"}},
 	})
 	if err != nil {
@@ -63,8 +43,50 @@
 	return text
 }
 
-// Capacity is how many calls a sender may have out and how many messages it may hold: as the scenario says, or twice what
-// its part of the load keeps busy and eight seconds of it.
+func nanoseconds(ms float64) int64 { return int64(math.Round(ms * 1e6)) }
+
+// settingsOfClasses is the list of classes in the settings object.
+func settingsOfClasses(all []world.Class) []map[string]any {
+	idempotency := map[string]string{world.Idempotent: "pure", world.Keyed: "token", world.NonIdempotent: "side_effect"}
+	classes := []map[string]any{}
+	for i := range all {
+		c := &all[i]
+		group := ""
+		if c.ZoneGroup {
+			group = "zone"
+		}
+		classes = append(classes, map[string]any{"name": c.Name, "idempotency": idempotency[c.Repeat], "aim": nanoseconds(c.LatencyObjectiveMS),
+			"deadline": nanoseconds(c.DeadlineMS), "worth": c.Value, "lateWorth": c.LateValue, "byArrival": c.Ordered,
+			"repeatWindow": nanoseconds(c.WindowS * 1e3), "group": group})
+	}
+	return classes
+}
+
+// kindSettings is what the settings object says of the kinds of partner: lists by kind, and the strictest of the values
+// that a sender has once for all kinds.
+type kindSettings struct {
+	names          []string
+	bulkMax        []int
+	separateRoutes []bool
+	slowStartFrom  float64 // lowest
+	slowStartS     float64 // longest
+	idleS          float64 // shortest
+}
+
+func settingsOfKinds(all []world.Kind) kindSettings {
+	s := kindSettings{names: []string{}, bulkMax: []int{}, separateRoutes: []bool{}, slowStartFrom: 1, idleS: math.MaxFloat64}
+	for i := range all {
+		k := &all[i]
+		s.names, s.bulkMax, s.separateRoutes = append(s.names, k.Name), append(s.bulkMax, k.Bundle), append(s.separateRoutes, k.SeparateRoutes)
+		s.slowStartFrom = min(s.slowStartFrom, k.SlowStartFrom)
+		s.slowStartS = max(s.slowStartS, k.SlowStartS)
+		s.idleS = min(s.idleS, k.IdleS)
+	}
+	return s
+}
+
+// Capacity is a sender's in-flight limit and its maximum of open messages: as the scenario says, or two and a half times
+// the calls that its part of the load keeps busy, and eight seconds of that load.
 func Capacity(w *world.World) (inFlightLimit, open int) {
 	part := w.Spec.Load.Rate / float64(w.Spec.Senders)
 	busy := 0.0
@@ -85,7 +107,7 @@
 	return inFlightLimit, open
 }
 
-// Settings are what the module is started with, read by the code that reads a real sender's.
+// Settings are the settings of package choice for a sender, parsed by the code that parses a real sender's.
 func Settings(w *world.World, s world.SenderNo) (choice.Settings, error) {
 	var b config.Boot
 	if err := json.Unmarshal(SettingsJSON(w), &b); err != nil {
--- a/lab/sim/sim.go
+++ b/lab/sim/sim.go
@@ -1,9 +1,9 @@
 // Package sim is the laboratory's first engine: a world and many senders in simulated time.
 //
-// It owns the run and, in node.go, a sender's part around its decisions as internal/sender plays it on sockets: turns,
-// connections, time-outs, and what is on record when its process is killed. Decisions come from a Policy, which
-// choice.Sender is; others are baselines. It must never look at a clock, start a goroutine or hang on the order of a
-// map: one seed replays a whole run.
+// It runs the events and, in node.go, plays the part of a sender around its decisions, which internal/sender has on
+// sockets: ticks, connections, timeouts, and what is recorded when its process is killed. Decisions come from a Policy:
+// choice.Sender or a baseline. The package must not read a clock, start a goroutine or depend on the order of a map, so
+// that one seed replays a run exactly.
 package sim
 
 import (
@@ -18,7 +18,7 @@
 	"flaxcove/lab/world"
 )
 
-// Policy is what decides in a sender: the methods of choice.Sender.
+// Policy makes the decisions of a sender. It has the methods of choice.Sender.
 type Policy interface {
 	UpdateEndpoints(entries []choice.Entry, whole bool)
 	Taken(choice.Message)
@@ -30,63 +30,85 @@
 	Open(choice.EndpointID, ...choice.MessageID) bool
 }
 
-// NewPolicy starts a policy for one life of one sender. The world is for those that may see the truth.
+// NewPolicy starts a policy for one incarnation of a sender. The world is for policies that may see the true state.
 type NewPolicy func(h choice.Host, id choice.SenderID, seed int64, set choice.Settings, w *world.World) Policy
 
-// ChoicePolicy makes the project's own decisions.
+// ChoicePolicy starts the project's own policy, choice.Sender.
 func ChoicePolicy(h choice.Host, id choice.SenderID, seed int64, set choice.Settings, _ *world.World) Policy {
 	return choice.Start(h, id, seed, set)
 }
 
-// Options are what a run is played with.
+// Options are the inputs of a run.
 type Options struct {
 	Spec   *world.Spec
 	Seed   uint64
 	Policy NewPolicy
 	Adjust func(*choice.Settings) // a variant's change of settings; nil for none
 	Trace  []load.Arrival
-	Until  func() bool           // asked now and then; true ends the run early
-	Watch  func(now choice.Time) // told about once a simulated second
-	// Outcome, where given, sees each call as its endpoint ended it; status is 0 for no answer.
+	Until  func() bool           // called once a simulated second; true ends the run early
+	Watch  func(now choice.Time) // called once a simulated second
+	// Outcome, if not nil, is called when an endpoint ends a call; status is 0 for no answer.
 	Outcome func(now choice.Time, c *world.Call, status int)
-	// Allowed, where given, is whether a sender may use an endpoint for a message at that time: a plan under trial.
+	// Allowed, if not nil, says whether a sender may use an endpoint for a message at a time, as a routing plan does.
 	Allowed func(now choice.Time, by world.SenderNo, n choice.MessageID, e choice.EndpointID) bool
 }
 
-// ErrStopped ends a run whose caller no longer wants it.
+// ErrStopped is returned for a run that Options.Until ended.
 var ErrStopped = fmt.Errorf("stopped")
 
 // Run plays a scenario to its end, and on until nothing more can be judged.
 func Run(o Options) (*referee.Verdict, error) {
 	began, cpu := time.Now(), cpuTime()
+	e, judge, err := newEngine(o)
+	if err != nil {
+		return nil, err
+	}
+	for _, n := range e.nodes {
+		if err := n.start(e.w.InitialList()); err != nil {
+			return nil, err
+		}
+	}
+	e.w.Begin()
+	events, err := e.play()
+	if err != nil {
+		return nil, err
+	}
+	v := judge.Verdict()
+	v.Engine, v.Seed = "simulated", o.Seed
+	var mem runtime.MemStats
+	runtime.ReadMemStats(&mem)
+	v.EngineFigures = &referee.EngineFigures{WallS: time.Since(began).Seconds(), CPUS: (cpuTime() - cpu).Seconds(),
+		MemoryMB: float64(mem.Sys) / (1 << 20), Events: events}
+	return v, nil
+}
+
+// newEngine creates the world, its referee and the senders, none of which has started.
+func newEngine(o Options) (*engine, *referee.Referee, error) {
 	e := &engine{o: o}
 	if o.Policy == nil {
 		e.o.Policy = ChoicePolicy
 	}
-	var judge *referee.Referee
-	lateLedger := &ledger{}
-	w, err := world.New(o.Spec, o.Seed, e, lateLedger, o.Trace)
+	events := &ledger{}
+	w, err := world.New(o.Spec, o.Seed, e, events, o.Trace)
 	if err != nil {
-		return nil, err
+		return nil, nil, err
 	}
-	judge = referee.New(o.Spec, w.Now, 0)
-	lateLedger.Ledger = judge
+	judge := referee.New(o.Spec, w.Now, 0)
+	events.Ledger = judge
 	if o.Outcome != nil {
-		lateLedger.onOutcome = func(c *world.Call, status int) { o.Outcome(w.Now(), c, status) }
+		events.onOutcome = func(c *world.Call, status int) { o.Outcome(w.Now(), c, status) }
 	}
 	e.w = w
 	for i := range o.Spec.Senders {
-		n := &node{e: e, no: world.SenderNo(i)}
-		e.nodes = append(e.nodes, n)
+		e.nodes = append(e.nodes, &node{e: e, no: world.SenderNo(i)})
 	}
-	for _, n := range e.nodes {
-		if err := n.start(w.InitialList()); err != nil {
-			return nil, err
-		}
-	}
-	w.Begin()
-	events, second := int64(0), choice.Time(0)
-	end := w.End() + timeAfterEnd(o.Spec)
+	return e, judge, nil
+}
+
+// play runs the world's events until the time after which nothing more can be judged, and returns how many there were.
+func (e *engine) play() (events int64, err error) {
+	w, second := e.w, choice.Time(0)
+	end := w.End() + timeAfterEnd(e.o.Spec)
 	for {
 		at, more := w.Next()
 		if !more || at > end {
@@ -96,25 +118,19 @@
 		events++
 		if at/choice.Second > second {
 			second = at / choice.Second
-			if o.Until != nil && o.Until() {
-				return nil, ErrStopped
+			if e.o.Until != nil && e.o.Until() {
+				return events, ErrStopped
 			}
-			if o.Watch != nil {
-				o.Watch(at)
+			if e.o.Watch != nil {
+				e.o.Watch(at)
 			}
 		}
 	}
 	w.Advance(end)
-	v := judge.Verdict()
-	v.Engine, v.Seed = "simulated", o.Seed
-	var mem runtime.MemStats
-	runtime.ReadMemStats(&mem)
-	v.EngineFigures = &referee.EngineFigures{WallS: time.Since(began).Seconds(), CPUS: (cpuTime() - cpu).Seconds(),
-		MemoryMB: float64(mem.Sys) / (1 << 20), Events: events}
-	return v, nil
+	return events, nil
 }
 
-// timeAfterEnd is how long a run goes on after the last hand-in: the longest deadline and what the rules allow behind it.
+// timeAfterEnd is how long a run goes on after the last hand-in: the longest deadline and what the rules allow after it.
 func timeAfterEnd(spec *world.Spec) choice.Time {
 	longest := 0.0
 	for i := range spec.Classes {
@@ -131,7 +147,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// ledger lets a world be made before its referee, which needs the world's clock.
+// ledger stands before the referee: the world needs a ledger, and the referee needs the world's clock.
 type ledger struct {
 	world.Ledger
 	onOutcome func(c *world.Call, status int) // nil for nobody
@@ -172,9 +188,9 @@
 		n.kill()
 	case world.Start:
 		if n.alive {
-			return // two faults that overlap have killed it once
+			return // two overlapping faults killed it once
 		}
-		// The list it finds is the one from the start of the run, as after a bad night.
+		// The list that it knows is the one from the start of the run, as after a long outage.
 		if err := n.start(e.w.InitialList()); err != nil {
 			panic(err) // the same settings were read before
 		}
@@ -185,6 +201,6 @@
 	case world.Continue:
 		n.pause(false)
 	case world.HoardOn, world.HoardOff, world.RubbishOn, world.RubbishOff, world.Break, world.Reload:
-		// Connections and bytes of clients, and files, are not modelled here; engine two plays them.
+		// Clients' connections and configuration files are not modelled here; package live plays these faults.
 	}
 }
--- a/lab/world/clients.go
+++ b/lab/world/clients.go
@@ -29,21 +29,21 @@
 	EndFailed
 )
 
-// Ask is one message that a client wants delivered. It may be handed in several times; its value counts once.
-type Ask struct {
+// Request is one message that a client wants delivered. It may be handed in several times; its value counts once.
+type Request struct {
 	load.Arrival
-	No       AskNo
+	No       RequestNo
 	Class    *Class
 	Deadline Time
-	Tries    int // number of hand-ins
-	repeats  int // hand-ins after the sender shed the message
+	HandIns  int // number of hand-ins
+	retries  int // hand-ins after the sender shed the message
 	over     bool
 }
 
-// HandIn is one hand-in of an Ask to one sender. Each has a message id of its own.
+// HandIn is one hand-in of a Request to one sender. Each has a message id of its own.
 type HandIn struct {
 	ID             choice.MessageID
-	Ask            *Ask
+	Request        *Request
 	Sender         SenderNo
 	At             Time
 	Deadline       Time
@@ -74,15 +74,15 @@
 		partners[i] = p.Share
 	}
 	w.arrivals = load.New(w.Spec.Load, w.seed, w.end, classes, partners,
-		load.ZipfWeights(len(w.senders), w.Spec.Load.SenderSkew), w.loadBends())
+		load.ZipfWeights(len(w.senders), w.Spec.Load.SenderSkew), w.loadChanges())
 	return nil
 }
 
-// loadBends returns the changes of the load by faults of the kinds surge and fixed.
-func (w *World) loadBends() (bends []load.Bend) {
+// loadChanges returns the changes of the load by faults of the kinds surge and fixed.
+func (w *World) loadChanges() (bends []load.Change) {
 	for i := range w.Spec.Faults {
 		t := &w.Spec.Faults[i]
-		bend := load.Bend{From: seconds(t.At), To: seconds(t.At + t.Seconds), Factor: 1, Sender: -1, Partner: -1}
+		bend := load.Change{From: seconds(t.At), To: seconds(t.At + t.Seconds), Factor: 1, Sender: -1, Partner: -1}
 		switch t.Kind {
 		case "surge":
 			bend.Factor = t.Amount
@@ -112,16 +112,16 @@
 	})
 }
 
-// requestArrived begins a new Ask and hands its message in for the first time.
+// requestArrived begins a new Request and hands its message in for the first time.
 func (w *World) requestArrived(a load.Arrival) {
 	class := &w.Spec.Classes[a.Class]
-	ask := &Ask{Arrival: a, No: AskNo(a.Ask), Class: class, Deadline: a.At + ms(class.DeadlineMS)}
-	w.ledger.Asked(ask)
-	w.handIn(ask, SenderNo(a.Sender))
+	request := &Request{Arrival: a, No: RequestNo(a.Number), Class: class, Deadline: a.At + ms(class.DeadlineMS)}
+	w.ledger.Requested(request)
+	w.handIn(request, SenderNo(a.Sender))
 }
 
 // handIn hands a message in to a sender, or to the next one that serves.
-func (w *World) handIn(a *Ask, to SenderNo) {
+func (w *World) handIn(a *Request, to SenderNo) {
 	if a.over || w.now >= a.Deadline-Millisecond {
 		a.over = true
 		return
@@ -132,8 +132,8 @@
 		}
 		to = (to + 1) % SenderNo(len(w.senders))
 	}
-	a.Tries++
-	h := &HandIn{ID: choice.MessageID(fmt.Sprintf("%08x%08x", uint32(a.No), uint32(a.Tries)|uint32(to)<<16)), Ask: a, Sender: to, At: w.now,
+	a.HandIns++
+	h := &HandIn{ID: choice.MessageID(fmt.Sprintf("%08x%08x", uint32(a.No), uint32(a.HandIns)|uint32(to)<<16)), Request: a, Sender: to, At: w.now,
 		Deadline: a.Deadline}
 	if !w.senders[to].serving {
 		w.handInElsewhere(a, (to+1)%SenderNo(len(w.senders)))
@@ -171,11 +171,11 @@
 func (h *HandIn) Abandoned() bool { return h.answer == HandInUnanswered && h.settled }
 
 // handInElsewhere hands a message in to another sender after a pause, since the first one was down or did not answer.
-func (w *World) handInElsewhere(a *Ask, to SenderNo) {
+func (w *World) handInElsewhere(a *Request, to SenderNo) {
 	if w.Spec.Clients.OwnSender {
 		to = SenderNo(a.Sender)
 	}
-	wait := ms(w.within(w.Spec.Clients.RetryMS, "again", int64(a.No), int64(a.Tries)))
+	wait := ms(w.within(w.Spec.Clients.RetryMS, "again", int64(a.No), int64(a.HandIns)))
 	w.After(wait, func() { w.handIn(a, to) })
 }
 
@@ -198,24 +198,24 @@
 	case HandInBusy:
 		w.handInAgain(h, comeBackMS)
 	case HandInNoSender:
-		w.handInElsewhere(h.Ask, (h.Sender+1)%SenderNo(len(w.senders)))
+		w.handInElsewhere(h.Request, (h.Sender+1)%SenderNo(len(w.senders)))
 	case HandInError:
-		h.Ask.over = true
+		h.Request.over = true
 	}
 }
 
 // handInAgain hands a message in to the same sender after it was shed, if the client has retries left.
 func (w *World) handInAgain(h *HandIn, comeBackMS int64) {
-	a, c := h.Ask, &w.Spec.Clients
+	a, c := h.Request, &w.Spec.Clients
 	if a.over {
 		return
 	}
-	if a.repeats >= c.Retries {
+	if a.retries >= c.Retries {
 		a.over = true
 		return
 	}
-	a.repeats++
-	wait := ms(w.within(c.BackoffMS, "backoff", int64(a.No), int64(a.repeats)))
+	a.retries++
+	wait := ms(w.within(c.BackoffMS, "backoff", int64(a.No), int64(a.retries)))
 	if comeBackMS > 0 && w.draw("honour", int64(a.No)) < c.HonourRetryAfter {
 		wait = Time(comeBackMS) * Millisecond
 	}
@@ -238,7 +238,7 @@
 		if what == EndHandedBack {
 			w.handInAgain(h, comeBackMS)
 		} else {
-			h.Ask.over = true
+			h.Request.over = true
 		}
 	}
 }
@@ -246,7 +246,7 @@
 // delivered ends a hand-in whose message was delivered.
 func (w *World) delivered(h *HandIn) {
 	h.ended = true
-	h.Ask.over = h.Ask.over || h.answer == HandInAccepted
+	h.Request.over = h.Request.over || h.answer == HandInAccepted
 }
 
 // senderGone answers the open hand-ins of a sender whose process ended: their connections break.
--- a/lab/world/work.go
+++ b/lab/world/work.go
@@ -161,7 +161,7 @@
 		return []int64{int64(call.No)}
 	}
 	h := call.Messages[0]
-	return []int64{int64(h.Ask.No), int64(h.attempts), int64(len(call.Messages))}
+	return []int64{int64(h.Request.No), int64(h.attempts), int64(len(call.Messages))}
 }
 
 // workDone ends the work on a call.
--- a/lab/world/world.go
+++ b/lab/world/world.go
@@ -31,7 +31,7 @@
 	PartnerNo  int
 	EndpointNo int
 	CallNo     int64
-	AskNo      int64
+	RequestNo  int64
 )
 
 // ConnEnd is how a connection ends as its sender sees it.
@@ -85,7 +85,7 @@
 
 // Ledger receives everything that happens in the world, in order of time.
 type Ledger interface {
-	Asked(a *Ask)
+	Requested(a *Request)
 	HandedIn(h *HandIn)
 	HandInAnswered(h *HandIn, what HandInAnswer) // as the client sees it
 	CallSent(c *Call)                            // the call left its sender
--- a/lab/world/world_test.go
+++ b/lab/world/world_test.go
@@ -48,7 +48,7 @@
 	d.print("answer on %d: %d, wait %d ms, half %v, spoilt %v", c.No, a.Status, a.Wait/Millisecond, a.Half, a.Spoilt)
 }
 
-func (d *eventPrinter) Asked(*Ask)                                  {}
+func (d *eventPrinter) Requested(*Request)                          {}
 func (d *eventPrinter) HandedIn(*HandIn)                            {}
 func (d *eventPrinter) HandInAnswered(h *HandIn, what HandInAnswer) {}
 func (d *eventPrinter) CallSent(*Call)                              {}
@@ -106,7 +106,7 @@
 
 // call sends one message on a connection, a new one where none is given.
 func (d *eventPrinter) call(c *Conn, id string) *Conn {
-	h := &HandIn{ID: choice.MessageID(id), Ask: &Ask{No: AskNo(len(d.w.byMessage) + 1), Class: &d.w.Spec.Classes[0], Deadline: 1 << 40}, Deadline: 1 << 40}
+	h := &HandIn{ID: choice.MessageID(id), Request: &Request{No: RequestNo(len(d.w.byMessage) + 1), Class: &d.w.Spec.Classes[0], Deadline: 1 << 40}, Deadline: 1 << 40}
 	d.w.byMessage[h.ID] = h
 	if c == nil {
 		c = d.w.Dial(0, "p0-0", 0)
