--- a/lab/referee/calls.go
+++ b/lab/referee/calls.go
@@ -1,36 +1,36 @@
 package referee
 
-// This file owns the calls: which rules one breaks as it leaves, and whether it may have run. It must never judge by
-// what its sender knew or meant, only by what that sender had been told.
+// This file judges calls: which rules a call breaks when it leaves, and whether it may have been executed. It must judge
+// by what had reached the sender, not by what the sender made of it.
 
 import (
 	"flaxcove/choice"
 	"flaxcove/lab/world"
 )
 
-// waitGrace is for calls that are on their way when a wait is told.
+// waitGrace allows for calls that were about to leave when a Retry-After arrived.
 const waitGrace = 100 * choice.Millisecond
 
-// callState is what is known of a call that is not resolved.
+// callState is the endpoint's answer to a call that the sender may still get an answer to.
 type callState struct {
 	refused  bool
 	answered bool
 }
 
-// senderView is an endpoint or a route as one sender sees it.
+// senderView identifies an endpoint, or a route, as one sender sees it.
 type senderView struct {
 	sender world.SenderNo
-	no     int // of an endpoint, or of a route: partners count from 0, endpoints apart below it
+	no     int // an endpoint's number, or a route's from routeNo
 }
 
-// announcedStage is what a sender was told of an endpoint, and when.
+// announcedStage is an endpoint's stage as discovery announced it to a sender, and when.
 type announcedStage struct {
 	stage choice.Stage
 	at    Time
 }
 
-// route is the number of a route as seats count it.
-func route(e *world.Endpoint) int {
+// routeNo numbers routes: a partner's number, or a negative one for an endpoint that is a routeNo of its own.
+func routeNo(e *world.Endpoint) int {
 	if e.Partner.Kind.SeparateRoutes {
 		return -1 - int(e.No)
 	}
@@ -39,7 +39,7 @@
 
 func nonIdempotent(h *world.HandIn) bool { return h.Request.Class.Repeat == world.NonIdempotent }
 
-// CallSent hears that a call left its sender.
+// CallSent receives that a call left its sender.
 func (r *Referee) CallSent(c *world.Call) {
 	r.judgeDue()
 	r.v.Calls++
@@ -57,7 +57,8 @@
 	}
 }
 
-// judgeDrain: nothing new goes to an endpoint past the grace after its sender was told that it drains or is gone.
+// judgeDrain checks that no call goes to an endpoint later than the grace period after its sender learnt that it drains
+// or is gone.
 func (r *Referee) judgeDrain(c *world.Call) {
 	now, e, s := r.clock(), c.Conn.Endpoint, c.Conn.Sender
 	grace := milliseconds(r.spec.Rules.DrainGraceMS) + r.slack
@@ -66,10 +67,10 @@
 	}
 }
 
-// judgeWait: nothing goes along a route before the end of a wait that its sender was told.
+// judgeWait checks that no call goes along a route before the end of a Retry-After that reached its sender.
 func (r *Referee) judgeWait(c *world.Call) {
 	now, e, s := r.clock(), c.Conn.Endpoint, c.Conn.Sender
-	at := senderView{s, route(e)}
+	at := senderView{s, routeNo(e)}
 	until, waits := r.retryAfterUntil[at]
 	switch {
 	case !waits:
@@ -81,7 +82,7 @@
 	}
 }
 
-// noticeOf is what is known of a hand-in that a call carries, nil where there is nothing more to judge.
+// messageOf is the state of a hand-in that a call carries, or nil if there is nothing more to judge.
 func (r *Referee) messageOf(c *world.Call, h *world.HandIn) *message {
 	e, s := c.Conn.Endpoint, c.Conn.Sender
 	if h.Unknown || h.Request == nil {
@@ -98,7 +99,7 @@
 	return n
 }
 
-// attempted judges a message that leaves with a call.
+// attempted judges a message that leaves in a call.
 func (r *Referee) attempted(c *world.Call, n *message) {
 	r.v.Attempts++
 	r.judgeTime(c, n)
@@ -114,7 +115,7 @@
 	}
 }
 
-// judgeTime: nothing is sent after its end or past its deadline.
+// judgeTime checks that a message is not sent after its end or past its deadline.
 func (r *Referee) judgeTime(c *world.Call, n *message) {
 	now, s, h := r.clock(), c.Conn.Sender, n.handIn
 	switch {
@@ -128,7 +129,8 @@
 	}
 }
 
-// judgeRepeat: what may have run is sent again only where and while its effect can't come twice.
+// judgeRepeat checks that a message that may have been executed is sent again only where and while its effect cannot
+// come twice.
 func (r *Referee) judgeRepeat(c *world.Call, n *message) {
 	now, e, s, h := r.clock(), c.Conn.Endpoint, c.Conn.Sender, n.handIn
 	w := h.Request.Class
@@ -145,7 +147,8 @@
 	}
 }
 
-// judgeOrder: of one key, what came first is over before the next leaves, and a key rests after a call without answer.
+// judgeOrder checks that an earlier message of the same ordering key has ended before the next one is sent, and that the
+// key rests after a call without an answer.
 func (r *Referee) judgeOrder(c *world.Call, n *message, key orderKey) {
 	now, s := r.clock(), c.Conn.Sender
 	for _, earlier := range r.keyQueues[key] {
@@ -162,7 +165,7 @@
 	}
 }
 
-// InFlightChanged hears that a call is in flight, which CallSent has reported, or that it no longer is.
+// InFlightChanged receives that a call is in flight, which CallSent has reported, or that it no longer is.
 func (r *Referee) InFlightChanged(c *world.Call, out bool) {
 	if out {
 		return
@@ -180,7 +183,7 @@
 	}
 }
 
-// resolved takes note of what a call that is no longer out may have done to one of its messages.
+// resolved records what a call that is no longer in flight may have done to one of its messages.
 func (r *Referee) resolved(c *world.Call, state *callState, n *message) {
 	n.inFlight--
 	if !state.refused && !n.mayRun {
@@ -191,12 +194,12 @@
 	}
 }
 
-// Outcome hears how a call ended as its endpoint saw it.
+// Outcome receives the end of a call as its endpoint saw it, with the status or 0 for none.
 func (r *Referee) Outcome(c *world.Call, status int) {
 	r.judgeDue()
 	state := r.calls[c]
 	if state == nil {
-		state = &callState{} // abandoned before; it has been resolved as one that may have run
+		state = &callState{} // abandoned before, and resolved as a call that may have been executed
 	}
 	state.refused = status == 429 || status == 503
 	state.answered = status != 0
@@ -212,7 +215,7 @@
 	}
 }
 
-// Executed hears that a message had its effect.
+// Executed receives that a message had its effect.
 func (r *Referee) Executed(h *world.HandIn, e *world.Endpoint, at Time) {
 	r.v.Runs++
 	n := r.messages[h]
@@ -223,7 +226,7 @@
 	switch {
 	case n.runs == 1 || !nonIdempotent(h):
 	case n.runs <= 1+h.FalselyRefused:
-		r.v.FalselyRefused++ // on its partner's own word the first had never run
+		r.v.FalselyRefused++ // its partner had answered that the first was not executed
 	default:
 		r.violated(Twice, h.Sender, "%s is single-use and has run %d times", h.ID, n.runs)
 	}
--- a/lab/referee/clients.go
+++ b/lab/referee/clients.go
@@ -1,7 +1,7 @@
 package referee
 
-// This file owns the client's side: what was asked for, what the client and the platform were told, and what a
-// delivery is worth. It must never look at a call; what one may have done stands in calls.go.
+// This file judges the clients' side: what was requested, what answers the client and the platform got, and the value of a
+// delivery. calls.go judges calls.
 
 import (
 	"container/heap"
@@ -10,7 +10,7 @@
 	"flaxcove/lab/world"
 )
 
-// Requested hears that a client wants something sent.
+// Requested receives that a client wants a message delivered.
 func (r *Referee) Requested(a *world.Request) {
 	r.judgeDue()
 	r.requests[a] = &requestState{}
@@ -24,10 +24,10 @@
 	}
 }
 
-// isCounted tells whether service is reckoned from an request: the first second only starts a run.
+// isCounted reports whether a request counts for the service figure. Those of the first second do not.
 func isCounted(a *world.Request) bool { return a.At >= choice.Second }
 
-// HandedIn hears that a client hands a message to a sender.
+// HandedIn receives that a client hands a message in to a sender.
 func (r *Referee) HandedIn(h *world.HandIn) {
 	r.judgeDue()
 	r.v.HandedIn++
@@ -42,7 +42,7 @@
 // late is how long after its deadline a message is judged.
 func (r *Referee) late() Time { return milliseconds(r.spec.Rules.LateMS) + r.slack }
 
-// HandInAnswered hears what a client was told of its hand-in.
+// HandInAnswered receives the answer to a hand-in as its client sees it.
 func (r *Referee) HandInAnswered(h *world.HandIn, what world.HandInAnswer) {
 	r.judgeDue()
 	n := r.messages[h]
@@ -85,7 +85,7 @@
 	}
 }
 
-// Delivered hears that an endpoint's answer to a message reached its sender.
+// Delivered receives that an endpoint answered a message with success.
 func (r *Referee) Delivered(h *world.HandIn, e *world.Endpoint) {
 	r.judgeDue()
 	n := r.messages[h]
@@ -98,7 +98,7 @@
 	}
 }
 
-// Ended hears what the platform was told of a message that was not delivered.
+// Ended receives an outcome callback for a message that was not delivered.
 func (r *Referee) Ended(h *world.HandIn, what world.End) {
 	r.judgeDue()
 	n := r.messages[h]
@@ -130,7 +130,7 @@
 	}
 }
 
-// creditDelivery counts a message's value, once for all its hand-ins, by the time since the first.
+// creditDelivery adds a message's value to the service figure, once for all its hand-ins, by the time since the first.
 func (r *Referee) creditDelivery(n *message) {
 	state, request := r.requests[n.handIn.Request], n.handIn.Request
 	if state == nil || state.credited {
@@ -163,7 +163,7 @@
 	record(r.bySecond[second], took)
 }
 
-// Fade is the share of a class's value that is left when it is delivered so long after it was first handed in.
+// Fade is the share of a class's value that is left at a delivery this long after the first hand-in.
 func Fade(spec *world.Spec, w *world.Class, took Time) float64 {
 	c := choice.Class{LatencyObjective: milliseconds(w.LatencyObjectiveMS), Deadline: milliseconds(w.DeadlineMS), LateValue: w.LateValue}
 	return c.Fade(took, spec.Halving)
--- a/lab/referee/endpoints.go
+++ b/lab/referee/endpoints.go
@@ -1,7 +1,8 @@
 package referee
 
-// This file owns what endpoints and senders go through: drains and waits that a sender is told of, outages and returns,
-// faults, and the times at which a sender could do nothing. It must never blame a sender for news that did not reach it.
+// This file keeps what endpoints and senders go through: stages and Retry-After that reached a sender, outages and
+// returns, faults, and the times in which a sender could not act. It must not blame a sender for an update that did not
+// reach it.
 
 import (
 	"flaxcove/choice"
@@ -9,18 +10,18 @@
 )
 
 const (
-	blameShare = 2.0 / 3 // share of the load from senders that had seen the endpoint fail, from which on they are blamed
-	maxLoads   = 200     // seconds of a return whose load is told
+	blameShare = 2.0 / 3 // senders are blamed if this share of the load came from those that had seen the endpoint fail
+	maxLoads   = 200     // how many seconds of a return the verdict lists
 )
 
-// senderState is whether a sender can do anything.
+// senderState says whether a sender can act.
 type senderState struct {
 	up   bool
-	upAt Time // or back from being away
-	away int  // reasons for which it is
+	upAt Time // when it began to serve, or became available again
+	away int  // number of faults that keep it from acting
 }
 
-// StageAnnounced hears that the news of an endpoint's stage reached a sender.
+// StageAnnounced receives that an endpoint's stage was announced to a sender.
 func (r *Referee) StageAnnounced(s world.SenderNo, e *world.Endpoint, stage choice.Stage) {
 	at := senderView{s, int(e.No)}
 	if stage == choice.Ready {
@@ -30,9 +31,9 @@
 	}
 }
 
-// RetryAfterReceived hears that a refusal with a wait reached a sender.
+// RetryAfterReceived receives that a refusal with a Retry-After reached a sender.
 func (r *Referee) RetryAfterReceived(s world.SenderNo, e *world.Endpoint, until Time) {
-	at := senderView{s, route(e)}
+	at := senderView{s, routeNo(e)}
 	if now := r.clock(); until > r.retryAfterUntil[at] {
 		if r.retryAfterUntil[at] <= now {
 			r.retryAfterSince[at] = now
@@ -41,7 +42,7 @@
 	}
 }
 
-// Outage hears that an endpoint went down, or came back.
+// Outage receives that an endpoint went down, or came back.
 func (r *Referee) Outage(e *world.Endpoint, down bool) {
 	if down {
 		r.v.Outages++
@@ -54,7 +55,7 @@
 	r.returns[e].At = append(r.returns[e].At, sec(r.clock()))
 }
 
-// Returning hears the load on an endpoint that came back, and the load that would push it over.
+// Returning receives the load on an endpoint in slow start, and the load above which it falls over.
 func (r *Referee) Returning(e *world.Endpoint, load, bound float64) {
 	ret := r.returns[e]
 	if ret == nil {
@@ -72,7 +73,7 @@
 	ret.Loads = append(ret.Loads, [2]float64{float64(second), load / bound})
 }
 
-// PushedOver hears that a returning endpoint fell, and which share of its load came from senders that had seen it fail.
+// PushedOver receives that an endpoint fell over in slow start, and the share of its load from senders that had seen it fail.
 func (r *Referee) PushedOver(e *world.Endpoint, knowing float64) {
 	r.v.PushedOver++
 	if knowing >= blameShare {
@@ -80,7 +81,7 @@
 	}
 }
 
-// Fault hears that a fault begins or ends.
+// Fault receives that a fault begins or ends.
 func (r *Referee) Fault(t *world.Fault, on bool, parts int) {
 	now := sec(r.clock())
 	if on {
@@ -94,7 +95,7 @@
 	}
 }
 
-// Sender hears that a sender's process serves, or no longer does.
+// Sender receives that a sender's process serves, or no longer does.
 func (r *Referee) Sender(s world.SenderNo, up bool) {
 	r.judgeDue()
 	r.senders[s].up, r.senders[s].upAt = up, r.clock()
@@ -103,7 +104,7 @@
 	}
 }
 
-// forgetAnnouncements: what a process knew of waits and drains went with it; the next one is told anew.
+// forgetAnnouncements drops what a process knew of waits and stages; the next incarnation learns them anew.
 func (r *Referee) forgetAnnouncements(s world.SenderNo) {
 	for at := range r.retryAfterUntil {
 		if at.sender == s {
@@ -118,7 +119,7 @@
 	}
 }
 
-// Unavailable hears that a sender's process stands still or is cut off, or no longer is.
+// Unavailable receives that a sender's process is paused or isolated, or no longer is.
 func (r *Referee) Unavailable(s world.SenderNo, away bool) {
 	r.judgeDue()
 	if away {
--- a/lab/referee/histogram.go
+++ b/lab/referee/histogram.go
@@ -30,7 +30,7 @@
 
 func round(v float64) float64 { return math.Round(v*1e4) / 1e4 }
 
-// second is the line of the timeline that an instant belongs to; what comes after the end belongs to the last.
+// second is the entry of the timeline for a time; what comes after the end belongs to the last second.
 func (r *Referee) second(at Time) *Second {
 	return &r.seconds[max(0, min(int(at/choice.Second), len(r.seconds)-1))]
 }
--- a/lab/referee/message.go
+++ b/lab/referee/message.go
@@ -1,7 +1,7 @@
 package referee
 
-// This file owns what the referee holds of a message from its hand-in to its judgement: its due time, its place among
-// those of its ordering key, and the break of a promise that nobody kept. It must never keep a message that is judged.
+// This file holds the state of a message from its hand-in until it is judged: when that is due, and its place in the queue
+// of its ordering key. A message must be dropped once it is judged.
 
 import (
 	"container/heap"
@@ -12,34 +12,34 @@
 )
 
 const (
-	lateDeliveryPeriod = 10 * choice.Second        // after its deadline, in which a message that is delivered late still counts
-	returnGrace        = 1500 * choice.Millisecond // after its sender is back, for what was overdue meanwhile
-	awayRecheck        = 500 * choice.Millisecond  // at what is overdue while its sender is away
+	lateDeliveryPeriod = 10 * choice.Second        // a delivery this long after the deadline still counts
+	returnGrace        = 1500 * choice.Millisecond // for overdue messages after their sender is back
+	awayRecheck        = 500 * choice.Millisecond  // interval of checks for overdue messages of an unavailable sender
 )
 
-// message is what is known of one hand-in.
+// message is the state of one hand-in.
 type message struct {
 	handIn    *world.HandIn
-	dueAt     Time // when it is judged
+	dueAt     Time // when it must have ended
 	accepted  bool
 	refused   bool
 	delivered bool
 	ended     bool
 	end       world.End
 	runs      int
-	inFlight  int  // attempts that are out
-	mayRun    bool // an attempt that is no longer out may have run
-	mayRunAt  Time // when the first such one left
-	mayRunIn  int  // the zone that it went to
+	inFlight  int  // attempts in flight
+	mayRun    bool // an attempt that is no longer in flight may have been executed
+	mayRunAt  Time // when the first such attempt left
+	mayRunIn  int  // the zone it went to
 }
 
-// over tells that nothing more is owed.
+// over reports whether the message has ended.
 func (n *message) over() bool { return n.delivered || n.ended || n.refused }
 
-// owed tells that its sender took it on and it has no end.
+// owed reports whether its sender accepted it and it has not ended.
 func (n *message) owed() bool { return n.accepted && !n.delivered && !n.ended }
 
-// dues is container/heap's, the next one to be judged first.
+// dues is a heap of messages by the time they are due.
 type dues []*message
 
 func (d dues) Len() int { return len(d) }
@@ -60,17 +60,17 @@
 	return x
 }
 
-// requestState is what is known of one wish of a client, which may hand in several times.
+// requestState is the state of one request of a client, which may be handed in several times.
 type requestState struct{ credited bool }
 
-// orderKey names an ordering key at one sender.
+// orderKey identifies an ordering key at one sender.
 type orderKey struct {
 	sender  world.SenderNo
 	partner int
 	key     int
 }
 
-// judgeDue judges what was due by now.
+// judgeDue judges the messages that are due by now.
 func (r *Referee) judgeDue() {
 	r.forgetRequests()
 	now := r.clock()
@@ -90,7 +90,8 @@
 	}
 }
 
-// excused tells until when a sender is not blamed for what is overdue: it has until shortly after its return.
+// excused reports whether a sender is not to blame for overdue messages, and until when: it gets returnGrace after its
+// return.
 func (r *Referee) excused(no world.SenderNo) (until Time, excused bool) {
 	now, s := r.clock(), &r.senders[no]
 	switch {
@@ -102,7 +103,7 @@
 	return 0, false
 }
 
-// forgetRequests drops the requests whose late deliveries no longer count.
+// forgetRequests drops the requests that no delivery can count for any more.
 func (r *Referee) forgetRequests() {
 	now := r.clock()
 	for i, line := range r.requestsByClass {
@@ -115,18 +116,18 @@
 	}
 }
 
-// drop forgets a message that is judged.
+// drop forgets a message after it is judged.
 func (r *Referee) drop(n *message) {
 	delete(r.messages, n.handIn)
 	r.leaveKeyQueue(n)
 }
 
-// orderKeyOf is the ordering key of a hand-in, and whether order counts for it.
+// orderKeyOf is the ordering key of a hand-in, and whether its class is ordered.
 func (r *Referee) orderKeyOf(h *world.HandIn) (orderKey, bool) {
 	return orderKey{h.Sender, h.Request.Partner, h.Request.Key}, h.Request.Class.Ordered
 }
 
-// leaveKeyQueue takes a message out of the line of its key.
+// leaveKeyQueue removes a message from the queue of its ordering key.
 func (r *Referee) leaveKeyQueue(n *message) {
 	key, ordered := r.orderKeyOf(n.handIn)
 	if !ordered {
@@ -143,7 +144,7 @@
 	}
 }
 
-// Pending is how many messages are still owed an end, or may yet be sent.
+// Pending is the number of messages that have not ended or have an attempt in flight.
 func (r *Referee) Pending() (count int) {
 	for _, n := range r.messages {
 		if n.owed() || n.inFlight > 0 {
--- a/lab/referee/referee.go
+++ b/lab/referee/referee.go
@@ -1,12 +1,12 @@
-// Package referee judges a run by what truly happened.
+// Package referee judges a run by what happened in the world.
 //
-// It owns the reading of the six rules and the figures of service. It hears the world's ledger and nothing else: no
-// sender's log, counter or word. It must never depend on which engine played the run, look at a clock, or hang on the
-// order of a map. What it holds of a message goes once that is judged, so that it can sit through a long run.
+// It checks the rules and computes the figures of service. Its only input is the world's ledger, never a sender's log or
+// counters. It must not depend on the engine that played the run, read a clock, or depend on the order of a map. The state
+// of a message is dropped once it is judged, so that memory is bounded in a long run.
 //
-// Where two things come at one instant, they count in the order in which they left whoever caused them: an answer that
-// left before its call was abandoned delivers; a +OK that left before the kill binds; a call that left at the moment at
-// which its endpoint's drain was told is in time, since the grace has just begun.
+// Events of the same instant count in the order in which they left their cause: an answer that left before its call was
+// abandoned is a delivery; a +OK that left before the process was killed is binding; a call that left at the moment when
+// its endpoint's drain was announced is in time, since the grace period has just begun.
 package referee
 
 import (
@@ -21,26 +21,26 @@
 // Time is choice.Time, counted from the start of the run.
 type Time = choice.Time
 
-// Rule is one of the six, or the one that a message goes to nobody else's partner.
+// Rule is one of the six rules, or the rule that a message goes to its own partner only.
 type Rule string
 
 const (
-	Lost      Rule = "lost"    // no final answer in time, two of them, or something sent after it
-	Twice     Rule = "twice"   // an effect that must not happen again may have, or two attempts were out at once
-	Drains    Rule = "drains"  // something new went to an endpoint that drains or is gone
-	Returns   Rule = "returns" // a returning endpoint was pushed over by senders that had seen it fail
+	Lost      Rule = "lost"    // no end in time, two different ends, or an attempt after the end
+	Twice     Rule = "twice"   // an effect may have come twice that must not, or two attempts were in flight at once
+	Drains    Rule = "drains"  // a call went to an endpoint that drains or is gone
+	Returns   Rule = "returns" // an endpoint fell over in slow start by the load of senders that had seen it fail
 	Order     Rule = "order"
 	Waits     Rule = "waits"
 	Elsewhere Rule = "elsewhere" // a message went to another partner than its own
 )
 
-// Rules are all, in the order of reports.
+// Rules are all rules, in the order of reports.
 var Rules = []Rule{Lost, Twice, Drains, Returns, Order, Waits, Elsewhere}
 
-// maxViolationsListed is how many breaks of each rule are told in full.
+// maxViolationsListed is how many violations of each rule the verdict describes.
 const maxViolationsListed = 20
 
-// Violation is one breach of a rule.
+// Violation is one violation of a rule.
 type Violation struct {
 	Rule   Rule    `json:"rule"`
 	At     float64 `json:"at_s"`
@@ -48,19 +48,19 @@
 	What   string  `json:"what"`
 }
 
-// Referee is a world.Ledger.
+// Referee judges a run; it implements world.Ledger.
 type Referee struct {
 	spec  *world.Spec
 	clock func() Time
-	slack Time // of sockets against a clock that stands still between events
+	slack Time // how much later than in truth the engine may report an event
 
 	messages        map[*world.HandIn]*message // emptied as each is judged
 	due             dues
 	keyQueues       map[orderKey][]*message // emptied likewise
 	keyRestUntil    map[orderKey]Time
-	stages          map[senderView]announcedStage // one for each sender and endpoint that was told to drain
+	stages          map[senderView]announcedStage // by sender and endpoint; those that drain or are gone
 	retryAfterUntil map[senderView]Time           // until, by sender and route; emptied as each ends
-	retryAfterSince map[senderView]Time           // when it was told
+	retryAfterSince map[senderView]Time           // when the Retry-After arrived
 	requests        map[*world.Request]*requestState
 	requestsByClass [][]*world.Request // by class, in order of time; each leaves askedFor after its deadline
 	senders         []senderState
@@ -74,7 +74,7 @@
 	returns       map[*world.Endpoint]*Return
 }
 
-// New makes a referee; clock is the world's. Slack is how much later than in truth an engine may show what a sender
+// New creates a referee; clock is the world's. Slack is how much later than in truth the engine may report what a sender
 // does, 0 in simulated time.
 func New(spec *world.Spec, clock func() Time, slack Time) *Referee {
 	r := &Referee{
@@ -105,7 +105,7 @@
 	return r
 }
 
-// violated counts a breach, and tells the first ones in full.
+// violated counts a violation, and describes the first ones of each rule.
 func (r *Referee) violated(rule Rule, s world.SenderNo, format string, args ...any) {
 	r.v.Rules[rule]++
 	if r.v.Rules[rule] <= maxViolationsListed {
--- a/lab/referee/verdict.go
+++ b/lab/referee/verdict.go
@@ -1,7 +1,6 @@
 package referee
 
-// This file owns what is said of a run, its form in JSON among it, and how the figures are reckoned from what was
-// counted. It must never hear the ledger.
+// This file declares the verdict, with its form in JSON, and computes its figures from what was counted.
 
 import (
 	"cmp"
@@ -12,8 +11,8 @@
 	"flaxcove/lab/world"
 )
 
-// Verdict is all that is said of a run. Service is the value delivered over the value asked for, from the first second
-// on; Figure is Service less the scenario's prices for refused calls and runs of no use, or 0 where a rule was broken.
+// Verdict is the result of a run. Service is the value delivered as a share of the value requested, without the first
+// second; Figure is Service less the scenario's prices for refused calls and useless executions, or 0 if a rule was broken.
 type Verdict struct {
 	Scenario   string       `json:"scenario"`
 	Engine     string       `json:"engine"`
@@ -54,26 +53,26 @@
 	EngineFigures   *EngineFigures `json:"engine_figures,omitempty"`
 }
 
-// EngineFigures are figures of how a run was played rather than of what came of it.
+// EngineFigures are figures of the machine that played a run.
 type EngineFigures struct {
 	WallS    float64 `json:"wall_s"`
 	CPUS     float64 `json:"cpu_s"`
 	MemoryMB float64 `json:"memory_mb"`
 	Events   int64   `json:"events"`
-	LateMS   float64 `json:"late_ms,omitempty"` // the latest that the world was behind real time
+	LateMS   float64 `json:"late_ms,omitempty"` // the most that the world was behind real time
 }
 
-// Class is one class's part.
+// Class holds the figures of one class.
 type Class struct {
 	Name       string  `json:"name"`
 	Asked      int     `json:"asked"`
 	Delivered  int     `json:"delivered"`
 	ValueAsked float64 `json:"gain_asked"`
 	Value      float64 `json:"gain"`
-	Delivery   Latency `json:"delivery_ms"` // from the time at which its client first wanted it
+	Delivery   Latency `json:"delivery_ms"` // from the request to the delivery
 }
 
-// Latency is a histogram's outline in milliseconds.
+// Latency holds quantiles of a histogram, in milliseconds.
 type Latency struct {
 	P50  float64 `json:"p50"`
 	P90  float64 `json:"p90"`
@@ -82,7 +81,7 @@
 	Max  float64 `json:"max"`
 }
 
-// Second is one line of the timeline.
+// Second holds the figures of one second of the run.
 type Second struct {
 	Asked       int     `json:"asked"`
 	Delivered   int     `json:"delivered"`
@@ -105,18 +104,18 @@
 	no *world.Fault
 }
 
-// Return is what came to an endpoint after its outages, in times of what would push it over.
+// Return is the load on an endpoint after its outages, as a multiple of the load above which it falls over.
 type Return struct {
 	Endpoint string       `json:"endpoint"`
 	Bound    float64      `json:"bound"` // calls a second when warm
 	Times    int          `json:"times"`
 	At       []float64    `json:"at_s"`
 	Most     float64      `json:"most"`
-	Loads    [][2]float64 `json:"loads"` // second, highest load in it
+	Loads    [][2]float64 `json:"loads"` // pairs of a second and the highest load in it
 }
 
-// OutlineOf reads the quantiles of a histogram that counts tenths of a millisecond.
-func OutlineOf(h *hdrhistogram.Histogram) Latency {
+// LatencyOf reads the quantiles of a histogram of tenths of a millisecond.
+func LatencyOf(h *hdrhistogram.Histogram) Latency {
 	at := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 10 }
 	if h.TotalCount() == 0 {
 		return Latency{}
@@ -124,14 +123,14 @@
 	return Latency{at(50), at(90), at(99), at(99.9), float64(h.Max()) / 10}
 }
 
-// Verdict is the judgement once the run is over. The world must have gone on past the last deadline.
+// Verdict computes the verdict after the run. The world must have run past the last deadline.
 func (r *Referee) Verdict() *Verdict {
 	r.judgeDue()
 	v := &r.v
 	asked, got := 0.0, 0.0
 	for i := range v.Classes {
 		w := &v.Classes[i]
-		w.Delivery = OutlineOf(r.delivery[i])
+		w.Delivery = LatencyOf(r.delivery[i])
 		asked += w.ValueAsked
 		got += w.Value
 	}
@@ -150,7 +149,7 @@
 		}
 	}
 	v.Scenario = r.spec.Name
-	v.AcceptLatencyMS = OutlineOf(r.acceptLatency)
+	v.AcceptLatencyMS = LatencyOf(r.acceptLatency)
 	v.Seconds = r.seconds
 	for i, h := range r.bySecond {
 		if h != nil {
@@ -161,7 +160,7 @@
 	return v
 }
 
-// Broken tells whether any rule was.
+// Broken reports whether any rule was broken.
 func (v *Verdict) Broken() bool {
 	for _, n := range v.Rules {
 		if n > 0 {
@@ -171,7 +170,7 @@
 	return false
 }
 
-// sortedReturns is a map's values in an order that does not hang on the map.
+// sortedReturns returns the returns sorted by endpoint, so that the order does not depend on the map.
 func (r *Referee) sortedReturns() (all []Return) {
 	for _, ret := range r.returns {
 		all = append(all, *ret)
