--- a/lab/live/addresses.go
+++ b/lab/live/addresses.go
@@ -1,6 +1,6 @@
 package live
 
-// This file gives each party its loopback addresses, and moves discovery.
+// This file assigns loopback addresses to senders, discovery and endpoints, and moves discovery to another address.
 
 import (
 	"fmt"
@@ -12,7 +12,7 @@
 	"flaxcove/lab/world"
 )
 
-// open finds a port that is free on all the run's addresses and listens there.
+// open finds a port that is free on all addresses of the run, and listens there.
 func (e *engine) open() error {
 	var err error
 	for try := range 50 {
@@ -53,21 +53,22 @@
 	return nil
 }
 
-// Each party has an address of its own for each sender, all of them loopback.
+// senderAddr is a sender's own address. All addresses of a run are loopback, and those of discovery and of the endpoints
+// differ by sender.
 func (e *engine) senderAddr(s world.SenderNo) string {
 	return fmt.Sprintf("127.8.%d.%d:%d", int(s)/250, 1+int(s)%250, e.port)
 }
 
 func (e *engine) directoryAddr(s world.SenderNo) string {
-	// A new configuration names the next address.
+	// Each move of discovery takes the next address.
 	return fmt.Sprintf("127.%d.%d.%d:%d", 9+e.directoryMoves[s]%2*2, int(s)/250+e.directoryMoves[s]/2*4, 1+int(s)%250, e.port)
 }
 
-// oldDirectoryPeriod is how long a place that discovery has left still answers: a sender keeps its watch there until the new one
-// has spoken.
+// oldDirectoryPeriod is how long discovery still answers at the address that it left: a sender keeps its watch there until
+// it has a list from the new address.
 const oldDirectoryPeriod = 2 * choice.Second
 
-// moveDirectory has a sender's discovery and platform go elsewhere, and tells its process by a new configuration.
+// moveDirectory moves a sender's discovery and platform to another address, and has its process reload its configuration.
 func (e *engine) moveDirectory(s world.SenderNo) {
 	p, old := e.senders[s], e.directories[s]
 	e.directoryMoves[s]++
@@ -90,7 +91,7 @@
 	return fmt.Sprintf("127.%d.%d.%d:%d", 16+int(s), int(end)/250+20*(addr%12), 1+int(end)%250, e.port)
 }
 
-// makeFolder makes one below the run's own, or where the caller wants it kept.
+// makeFolder creates a folder below the given one, or below the run's own temporary folder.
 func (e *engine) makeFolder(under, name string) (string, error) {
 	if under == "" {
 		under = e.dir
--- a/lab/live/clients.go
+++ b/lab/live/clients.go
@@ -1,7 +1,7 @@
 package live
 
-// This file owns the clients' connections to one sender: hand-ins, hoards and rubbish. It must never answer for a sender, nor hold
-// the world's goroutine up.
+// This file plays the clients of one sender: their hand-ins, and the faults hoard and rubbish. It must not block the world's
+// goroutine.
 
 import (
 	"bufio"
@@ -21,11 +21,11 @@
 
 const (
 	dialTimeout  = 400 * time.Millisecond
-	replyTimeout = 10 * time.Second // a client's patience is the world's; this ends what nobody waits for
-	maxIdle      = 8                // connections that a pool keeps beyond those in use
+	replyTimeout = 10 * time.Second // ends exchanges that nobody waits for; the world models the clients' patience
+	maxIdle      = 8                // idle connections that a pool keeps
 )
 
-// pool holds the clients' connections to one sender. Its fields belong to the loop but for those under the lock.
+// pool holds the clients' connections to one sender. Its fields belong to the world's goroutine, except those below mu.
 type pool struct {
 	e      *engine
 	sender world.SenderNo
@@ -35,10 +35,10 @@
 	closed      bool
 	open        map[net.Conn]struct{}
 	hoarded     []net.Conn
-	stopRubbish chan struct{} // ends the rubbish
+	stopRubbish chan struct{} // closed to stop sending rubbish; nil if none is sent
 }
 
-// client is one connection; its goroutine hands in one message at a time.
+// client is one connection with a goroutine, which hands in one message at a time.
 type client struct {
 	p    *pool
 	work chan *world.HandIn
@@ -131,18 +131,11 @@
 	}
 }
 
-// handIn sends one command and reads its answer. Where a kept connection had been closed before the command was read,
-// it goes once more on a new one.
-func (c *client) handIn(h *world.HandIn) (world.HandInAnswer, int64) {
-	body := c.p.e.bodies[:min(len(c.p.e.bodies), max(1, h.Request.Body))]
-	key := "0000000000000000"
-	if h.Request.Class.Ordered {
-		key = fmt.Sprintf("%016x", uint64(h.Request.Partner*1_000_000+h.Request.Key+1))
-	}
-	// The time that its client has waited before is gone.
-	text := resp.AppendCommand(nil, []byte("OUT.ADD"), []byte(key), []byte(h.ID),
-		fmt.Appendf(nil, "c=%s,d=%d,dest=%d", h.Request.Class.Name, max(1, h.Left()), h.Request.Partner), body)
-	for try := range 2 {
+// handIn sends one command and reads its answer. If a reused connection turns out to be closed before the command was read,
+// the command is sent once more on a new one.
+func (c *client) handIn(h *world.HandIn) (answer world.HandInAnswer, comeBackMS int64) {
+	text := c.p.e.addCommand(h)
+	for attempt := range 2 {
 		fresh := c.conn == nil
 		if fresh {
 			conn, err := c.p.dial()
@@ -151,33 +144,53 @@
 			}
 			c.conn, c.in = conn, bufio.NewReader(conn)
 		}
-		c.conn.SetDeadline(time.Now().Add(replyTimeout))
-		_, err := c.conn.Write(text)
-		var line string
+		line, err := c.exchange(text)
 		if err == nil {
-			line, err = c.in.ReadString('\n')
-		}
-		if err != nil {
-			c.closeConn()
-			if try == 0 && !fresh && line == "" && !errors.Is(err, net.ErrClosed) {
-				continue
-			}
-			return world.HandInNoSender, 0
+			return parseAnswer(line)
 		}
-		line = strings.TrimRight(line, "\r\n")
-		switch {
-		case strings.HasPrefix(line, "+"):
-			return world.HandInAccepted, 0
-		case strings.HasPrefix(line, "-BUSY"):
-			ms, _ := strconv.ParseInt(strings.TrimSpace(strings.TrimPrefix(line, "-BUSY")), 10, 64)
-			return world.HandInBusy, ms
+		c.closeConn()
+		if attempt > 0 || fresh || line != "" || errors.Is(err, net.ErrClosed) {
+			break
 		}
-		return world.HandInError, 0
 	}
 	return world.HandInNoSender, 0
 }
 
-// hoard opens connections that say nothing.
+// addCommand is the command that hands a message in.
+func (e *engine) addCommand(h *world.HandIn) []byte {
+	body := e.bodies[:min(len(e.bodies), max(1, h.Request.Body))]
+	key := "0000000000000000"
+	if h.Request.Class.Ordered {
+		key = fmt.Sprintf("%016x", uint64(h.Request.Partner*1_000_000+h.Request.Key+1))
+	}
+	// The deadline is what is left of the request's: the time of earlier hand-ins is gone.
+	return resp.AppendCommand(nil, []byte("OUT.ADD"), []byte(key), []byte(h.ID),
+		fmt.Appendf(nil, "c=%s,d=%d,dest=%d", h.Request.Class.Name, max(1, h.Left()), h.Request.Partner), body)
+}
+
+// exchange writes a command and reads the line of its answer.
+func (c *client) exchange(text []byte) (string, error) {
+	c.conn.SetDeadline(time.Now().Add(replyTimeout))
+	if _, err := c.conn.Write(text); err != nil {
+		return "", err
+	}
+	return c.in.ReadString('\n')
+}
+
+// parseAnswer reads a sender's answer to a hand-in.
+func parseAnswer(line string) (answer world.HandInAnswer, comeBackMS int64) {
+	line = strings.TrimRight(line, "\r\n")
+	if strings.HasPrefix(line, "+") {
+		return world.HandInAccepted, 0
+	}
+	if wait, busy := strings.CutPrefix(line, "-BUSY"); busy {
+		ms, _ := strconv.ParseInt(strings.TrimSpace(wait), 10, 64)
+		return world.HandInBusy, ms
+	}
+	return world.HandInError, 0
+}
+
+// hoard opens connections and sends nothing on them.
 func (p *pool) hoard(amount float64) {
 	for range int(amount) {
 		p.e.wg.Add(1)
@@ -204,8 +217,8 @@
 	}
 }
 
-// rubbish is what broken clients send.
-var rubbish = []string{"GET / HTTP/1.1\r\n\r\n", "*5\r\n$99999999999\r\n", "*-7\r\n", "*2\r\n$4\r\nPING", "*1\r\n$3\r\nNOT\r\n",
+// malformedInput is what broken clients send.
+var malformedInput = []string{"GET / HTTP/1.1\r\n\r\n", "*5\r\n$99999999999\r\n", "*-7\r\n", "*2\r\n$4\r\nPING", "*1\r\n$3\r\nNOT\r\n",
 	"*5\r\n$7\r\nOUT.ADD\r\n$1\r\n0\r\n$1\r\nx\r\n$9\r\nc=nothing\r\n$1\r\nb\r\n", "\x00\x01\x02\x03\r\n"}
 
 func (p *pool) rubbish(perSecond float64) {
@@ -234,7 +247,7 @@
 				continue
 			}
 			conn.SetDeadline(time.Now().Add(100 * time.Millisecond))
-			conn.Write([]byte(rubbish[i%len(rubbish)]))
+			conn.Write([]byte(malformedInput[i%len(malformedInput)]))
 			io.Copy(io.Discard, io.LimitReader(conn, 4096))
 			p.drop(conn)
 		}
--- a/lab/live/command.go
+++ b/lab/live/command.go
@@ -1,6 +1,6 @@
 package live
 
-// This file asks a sender from outside, as a program does.
+// This file sends commands to a sender, as a client does.
 
 import (
 	"bufio"
--- a/lab/live/directory.go
+++ b/lab/live/directory.go
@@ -1,10 +1,13 @@
 package live
 
-// This file owns discovery's watch and the platform's end, as one sender sees them on a socket. It must never decide what is news.
+// This file serves discovery's watch and the platform's outcome callback to one sender. What is on the list is up to the
+// world.
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
+	"io"
 	"net"
 	"net/http"
 	"strconv"
@@ -15,17 +18,20 @@
 	"flaxcove/lab/world"
 )
 
-// heartbeatEvery is how often a watch with nothing new shows that it lives.
+// maxUpdates is how many updates may wait for a watch that does not read them; then the watch is closed.
+const maxUpdates = 4096
+
+// heartbeatEvery is how often a watch without updates sends an empty line.
 const heartbeatEvery = 2 * time.Second
 
-// directory is discovery's agent beside one sender, and the platform's end of its messages.
+// directory serves discovery and the platform's outcome callback to one sender.
 type directory struct {
 	e      *engine
 	sender world.SenderNo
 	server *http.Server
 
 	mu     sync.Mutex
-	lines  chan []byte // of the newest watch
+	lines  chan []byte // updates for the newest watch
 	silent bool
 }
 
@@ -66,7 +72,7 @@
 
 func (d *directory) close() { d.server.Close() }
 
-// message is a list in discovery's form, with the addresses meant for this sender.
+// message is a list in discovery's format, with the addresses for this sender.
 func (d *directory) message(l world.List) listMessage {
 	states := map[choice.Stage]string{choice.Ready: "up", choice.Draining: "draining", choice.Gone: "removed"}
 	m := listMessage{Version: l.Version, Full: l.Full, Servers: []listed{}}
@@ -90,7 +96,7 @@
 	if d.lines != nil {
 		select {
 		case d.lines <- append(text, '\n'):
-		default: // a watch that reads nothing is asked for anew
+		default: // the sender does not read its watch and has to open a new one
 			close(d.lines)
 			d.lines = nil
 		}
@@ -109,15 +115,10 @@
 	return d.silent
 }
 
+// serveTargets answers a sender's question for the endpoint list: at once, or with a watch that follows its changes.
 func (d *directory) serveTargets(out http.ResponseWriter, r *http.Request) {
 	if r.URL.Query().Get("follow") != "1" {
-		whole := make(chan listMessage, 1)
-		d.e.post(func() { whole <- d.message(d.e.w.FullList()) })
-		select {
-		case m := <-whole:
-			json.NewEncoder(out).Encode(m)
-		case <-d.e.done:
-		}
+		d.writeFullList(out)
 		return
 	}
 	since, err := strconv.ParseInt(r.URL.Query().Get("since"), 10, 64)
@@ -125,7 +126,7 @@
 		http.Error(out, "since", http.StatusBadRequest)
 		return
 	}
-	lines := make(chan []byte, 4096)
+	lines := make(chan []byte, maxUpdates)
 	d.mu.Lock()
 	d.lines, d.silent = lines, false
 	d.mu.Unlock()
@@ -133,24 +134,11 @@
 	flusher := http.NewResponseController(out)
 	flusher.Flush()
 	d.e.post(func() { d.e.w.Watch(d.sender, since) })
-	alive := time.NewTicker(heartbeatEvery)
-	defer alive.Stop()
+	heartbeat := time.NewTicker(heartbeatEvery)
+	defer heartbeat.Stop()
 	for {
-		var line []byte
-		select {
-		case text, ok := <-lines:
-			if !ok {
-				return
-			}
-			line = text
-		case <-alive.C:
-			if d.isSilent() {
-				continue
-			}
-			line = []byte("\n")
-		case <-r.Context().Done():
-			return
-		case <-d.e.done:
+		line, open := d.nextLine(r, lines, heartbeat.C)
+		if !open {
 			return
 		}
 		if _, err := out.Write(line); err != nil {
@@ -162,39 +150,54 @@
 	}
 }
 
-// serveOutcomes is the platform hearing of ends. One from a sender that is cut off does not arrive, and is not answered.
-func (d *directory) serveOutcomes(out http.ResponseWriter, r *http.Request) {
-	type line struct {
-		Message   string `json:"message"`
-		Outcome   string `json:"outcome"`
-		RetryInMS int64  `json:"retry_in_ms"`
-	}
-	var all []line
-	for in := json.NewDecoder(r.Body); in.More(); {
-		var l line
-		if err := in.Decode(&l); err != nil || l.Outcome != "given_up" && l.Outcome != "handed_back" {
-			http.Error(out, "line", http.StatusBadRequest)
-			return
-		}
-		all = append(all, l)
+// writeFullList answers with the current list.
+func (d *directory) writeFullList(out http.ResponseWriter) {
+	list := make(chan listMessage, 1)
+	d.e.post(func() { list <- d.message(d.e.w.FullList()) })
+	select {
+	case m := <-list:
+		json.NewEncoder(out).Encode(m)
+	case <-d.e.done:
 	}
-	heard := make(chan bool, 1)
-	d.e.post(func() {
-		if d.e.w.Isolated(d.sender) {
-			heard <- false
-			return
-		}
-		for _, l := range all {
-			what := world.EndFailed
-			if l.Outcome == "handed_back" {
-				what = world.EndHandedBack
+}
+
+// nextLine waits for the next line of a watch: an update, or a heartbeat unless a fault silences discovery. It is false
+// once the watch is over.
+func (d *directory) nextLine(r *http.Request, lines <-chan []byte, heartbeat <-chan time.Time) ([]byte, bool) {
+	for {
+		select {
+		case line, open := <-lines:
+			return line, open
+		case <-heartbeat:
+			if !d.isSilent() {
+				return []byte("\n"), true
 			}
-			d.e.w.ReportEnd(choice.MessageID(l.Message), what, l.RetryInMS)
+		case <-r.Context().Done():
+			return nil, false
+		case <-d.e.done:
+			return nil, false
 		}
-		heard <- true
-	})
+	}
+}
+
+// outcomeLine is one message's end in an outcome callback.
+type outcomeLine struct {
+	Message   string `json:"message"`
+	Outcome   string `json:"outcome"`
+	RetryInMS int64  `json:"retry_in_ms"`
+}
+
+// serveOutcomes is the platform's end of the outcome callback. One from a sender that is isolated gets no answer.
+func (d *directory) serveOutcomes(out http.ResponseWriter, r *http.Request) {
+	lines, err := readOutcomes(r.Body)
+	if err != nil {
+		http.Error(out, "line", http.StatusBadRequest)
+		return
+	}
+	received := make(chan bool, 1)
+	d.e.post(func() { received <- d.reportEnds(lines) })
 	select {
-	case ok := <-heard:
+	case ok := <-received:
 		if ok {
 			out.WriteHeader(http.StatusNoContent)
 			return
@@ -206,3 +209,35 @@
 	case <-d.e.done:
 	}
 }
+
+var errOutcome = errors.New("unknown outcome")
+
+// readOutcomes reads the lines of an outcome callback.
+func readOutcomes(body io.Reader) (lines []outcomeLine, err error) {
+	for in := json.NewDecoder(body); in.More(); {
+		var line outcomeLine
+		if err := in.Decode(&line); err != nil {
+			return nil, err
+		}
+		if line.Outcome != "given_up" && line.Outcome != "handed_back" {
+			return nil, errOutcome
+		}
+		lines = append(lines, line)
+	}
+	return lines, nil
+}
+
+// reportEnds passes the ends to the world, on its goroutine. It is false if the sender is isolated.
+func (d *directory) reportEnds(lines []outcomeLine) bool {
+	if d.e.w.Isolated(d.sender) {
+		return false
+	}
+	for _, line := range lines {
+		what := world.EndFailed
+		if line.Outcome == "handed_back" {
+			what = world.EndHandedBack
+		}
+		d.e.w.ReportEnd(choice.MessageID(line.Message), what, line.RetryInMS)
+	}
+	return true
+}
--- a/lab/live/endpoints.go
+++ b/lab/live/endpoints.go
@@ -1,16 +1,14 @@
 package live
 
-// This file owns the sockets of endpoints, one address of each for each sender. It must never decide how a call ends; the world does.
+// This file serves the sockets of endpoints, at an address of their own for each sender. How a call ends is up to the world.
 
 import (
 	"bufio"
-	"bytes"
 	"encoding/json"
 	"fmt"
 	"io"
 	"net"
 	"net/http"
-	"strconv"
 	"sync"
 	"time"
 
@@ -18,13 +16,14 @@
 	"flaxcove/lab/world"
 )
 
+// listenerKey identifies a listener.
 type listenerKey struct {
 	sender world.SenderNo
 	end    world.EndpointNo
 	addr   int
 }
 
-// listener is one address of one endpoint, for one sender.
+// listener listens at one address of one endpoint, for one sender.
 type listener struct {
 	e   *engine
 	key listenerKey
@@ -34,7 +33,7 @@
 	ln net.Listener
 }
 
-// socket is a connection as the world knows it and as the machine does.
+// socket is a connection of the machine with its connection in the world.
 type socket struct {
 	conn      net.Conn
 	worldConn *world.Conn
@@ -88,10 +87,10 @@
 	}
 }
 
-// AcceptingChanged opens or closes an endpoint's addresses: a connection to a closed one is refused by the machine itself.
+// AcceptingChanged opens or closes an endpoint's addresses. The operating system refuses connections to a closed one.
 func (e *engine) AcceptingChanged(end *world.Endpoint, on bool) {
 	for s := range e.o.Spec.Senders {
-		// It may have moved: nobody is left at its former addresses.
+		// If it has moved, nothing listens at its former addresses.
 		for addr := range end.Addr {
 			if l := e.listeners[listenerKey{world.SenderNo(s), end.No, addr}]; l != nil {
 				l.close()
@@ -107,10 +106,9 @@
 	}
 }
 
-// serve reads one connection's calls, one at a time, and posts them to the world.
+// serve reads the calls of one connection, one at a time, and posts them to the world.
 func (l *listener) serve(conn net.Conn) {
 	e := l.e
-	s := &socket{conn: conn}
 	stop := make(chan struct{})
 	defer close(stop)
 	go func() {
@@ -121,41 +119,59 @@
 		case <-stop:
 		}
 	}()
-	in := make(chan bool, 1)
+	s, ok := l.admit(conn)
+	if !ok {
+		return
+	}
+	l.readCalls(s, stop)
+	e.post(func() { e.w.CloseBySender(s.worldConn) })
+	conn.Close()
+}
+
+// admit asks the world whether the endpoint accepts the connection, and resets it if not. It is false, too, at the run's end.
+func (l *listener) admit(conn net.Conn) (*socket, bool) {
+	e := l.e
+	s := &socket{conn: conn}
+	accepted := make(chan bool, 1)
 	e.post(func() {
 		if !e.w.Accepts(l.end, l.key.addr) {
-			in <- false
+			accepted <- false
 			return
 		}
 		s.worldConn = e.w.Accept(l.key.sender, l.end)
 		s.worldConn.Engine = s
-		in <- true
+		accepted <- true
 	})
 	select {
-	case ok := <-in:
+	case ok := <-accepted:
 		if !ok {
 			reset(conn)
-			return
 		}
+		return s, ok
 	case <-e.done:
-		return
+		return nil, false
 	}
-	r := bufio.NewReaderSize(conn, 4096)
+}
+
+// readCalls posts the calls of a connection until it is closed, or a call cannot be read.
+func (l *listener) readCalls(s *socket, stop chan struct{}) {
+	e := l.e
+	r := bufio.NewReaderSize(s.conn, 4096)
 	for {
 		if _, err := r.Peek(1); err != nil {
-			break
+			return
 		}
 		if !l.waitUntilReading(stop) {
-			break
+			return
 		}
 		req, err := http.ReadRequest(r)
 		if err != nil {
-			break
+			return
 		}
 		ids, probe, err := readCall(req)
 		if err != nil {
 			e.post(func() { e.failure = fmt.Sprintf("a call to %s cannot be read: %v", l.end.ID, err) })
-			break
+			return
 		}
 		e.post(func() {
 			if !e.w.ClosedAtEndpoint(s.worldConn) {
@@ -163,11 +179,9 @@
 			}
 		})
 	}
-	e.post(func() { e.w.CloseBySender(s.worldConn) })
-	conn.Close()
 }
 
-// waitUntilReading waits while the endpoint waitUntilReading nothing.
+// waitUntilReading waits while a fault has the endpoint read nothing. It is false at the run's end.
 func (l *listener) waitUntilReading(stop chan struct{}) bool {
 	for {
 		answer := make(chan bool, 1)
@@ -188,7 +202,7 @@
 	}
 }
 
-// readCall takes the messages out of a call.
+// readCall returns the messages of a call.
 func readCall(req *http.Request) (ids []choice.MessageID, probe bool, err error) {
 	if req.Method == http.MethodGet {
 		return nil, true, nil
@@ -213,7 +227,7 @@
 	return nil, false, fmt.Errorf("no path %s", req.URL.Path)
 }
 
-// reset ends a connection so that its peer hears of it at once, whatever was not read.
+// reset closes a connection with a TCP reset, which its peer sees at once even if there is unread data.
 func reset(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		tcp.SetLinger(0)
@@ -226,48 +240,3 @@
 		reset(s.conn)
 	}
 }
-
-// Answered writes an answer as an endpoint would.
-func (e *engine) Answered(c *world.Conn, call *world.Call, a world.Answer) {
-	s, ok := c.Engine.(*socket)
-	if !ok {
-		return
-	}
-	var out bytes.Buffer
-	switch {
-	case a.Half:
-		out.WriteString("HTTP/1.")
-	case a.Spoilt:
-		out.WriteString("HTTP/1.1 gone wrong\r\nContent-Length: -7\r\n\r\n{{{")
-	default:
-		var body []byte
-		if len(call.Messages) > 1 && a.Status == 200 {
-			words := map[int]string{200: "ok", 500: "error"}
-			items := make([]map[string]string, 0, len(call.Messages))
-			for i, h := range call.Messages {
-				word := "ok"
-				if a.Statuses != nil {
-					word = words[a.Statuses[i]]
-				}
-				items = append(items, map[string]string{"id": string(h.ID), "state": word})
-			}
-			body, _ = json.Marshal(items) // strings always marshal
-		}
-		fmt.Fprintf(&out, "HTTP/1.1 %d %s\r\nContent-Length: %d\r\n", a.Status, http.StatusText(a.Status), len(body))
-		if a.Wait > 0 {
-			fmt.Fprintf(&out, "Retry-After: %s\r\n", strconv.FormatFloat(float64(a.Wait)/float64(choice.Second), 'f', 4, 64))
-		}
-		if a.Report.Known {
-			fmt.Fprintf(&out, "X-Load: x0=%.4f,x1=%.4f\r\n", a.Report.Left, a.Report.Limit)
-		}
-		if a.Close {
-			out.WriteString("Connection: close\r\n")
-		}
-		out.WriteString("\r\n")
-		out.Write(body)
-	}
-	s.conn.SetWriteDeadline(time.Now().Add(100 * time.Millisecond))
-	if _, err := s.conn.Write(out.Bytes()); err != nil || a.Close {
-		s.conn.Close()
-	}
-}
--- a/lab/live/loop.go
+++ b/lab/live/loop.go
@@ -1,6 +1,6 @@
 package live
 
-// This file is the world's goroutine: it keeps the world in step with the machine's clock.
+// This file has the loop of the world's goroutine, which keeps the world in step with the machine's clock.
 
 import (
 	"time"
@@ -8,7 +8,7 @@
 	"flaxcove/choice"
 )
 
-// post hands the loop something to do.
+// post has the loop call do, unless the run has ended.
 func (e *engine) post(do func()) {
 	select {
 	case e.tasks <- do:
@@ -16,7 +16,7 @@
 	}
 }
 
-// now is the world's time by the machine's clock.
+// now is the time of the world by the machine's clock.
 func (e *engine) now() choice.Time {
 	if !e.began {
 		return 0
@@ -24,7 +24,7 @@
 	return choice.Time(time.Since(e.startedAt) / (100 * time.Microsecond))
 }
 
-// advance brings the world up to the present and counts how late it was.
+// advance runs the world's events that are due and counts those that are late.
 func (e *engine) advance() {
 	for {
 		now := e.now()
@@ -44,7 +44,7 @@
 	}
 }
 
-// loop is the world's goroutine.
+// loop plays the world until nothing more can be judged.
 func (e *engine) loop() {
 	wake := time.NewTimer(0)
 	tail := 0.0
@@ -85,7 +85,7 @@
 	}
 }
 
-// until runs the loop before the run begins, until cond holds or the time is over.
+// until runs posted tasks before the world begins, until cond holds. It is false if the run failed or the time is over.
 func (e *engine) until(within time.Duration, cond func() bool) bool {
 	deadline := time.After(within)
 	for !cond() {
--- a/lab/live/process.go
+++ b/lab/live/process.go
@@ -1,6 +1,6 @@
 package live
 
-// This file owns one sender's folder and the processes that run on it. It must never take a process for ready before it has said so.
+// This file manages one sender's folder and its process. A process counts as ready only once it has answered a PING.
 
 import (
 	"encoding/json"
@@ -9,7 +9,6 @@
 	"os/exec"
 	"path/filepath"
 	"slices"
-	"strconv"
 	"strings"
 	"syscall"
 	"time"
@@ -18,9 +17,12 @@
 	"flaxcove/lab/world"
 )
 
-const endTimeout = 4500 * time.Millisecond // from SIGTERM, after which a sender is killed
+const (
+	endTimeout = 4500 * time.Millisecond // from SIGTERM, after which a sender is killed
+	pingEvery  = 20 * time.Millisecond   // until it serves
+)
 
-// process is one sender: its folder, which lasts, and the process that runs on it.
+// process is one sender: its folder, and the process that runs on it.
 type process struct {
 	e      *engine
 	no     world.SenderNo
@@ -31,9 +33,9 @@
 
 	cmd         *exec.Cmd
 	exited      chan struct{}
-	cpuSeconds  float64 // CPU seconds of all its lives; to be read once the last has exited
+	cpuSeconds  float64 // of all incarnations; may be read once the last one has exited
 	ready       bool
-	endExpected bool // its end is
+	endExpected bool // the end of the process is no failure
 	incarnation int
 }
 
@@ -61,7 +63,7 @@
 	return p, os.WriteFile(p.config, text, 0o644)
 }
 
-// configuration is what the sender is told, with the addresses of the moment.
+// configuration is the text of the sender's configuration file, with the current addresses.
 func (p *process) configuration() ([]byte, error) {
 	e, s := p.e, p.no
 	settings := sim.SettingsJSON(e.w)
@@ -83,7 +85,7 @@
 	}, "", "  ")
 }
 
-// reload puts a configuration in the place of the last one, whole, and says so to the process.
+// reload replaces the configuration file atomically and sends the process SIGHUP.
 func (p *process) reload(text []byte) {
 	next := p.config + ".next"
 	err := os.WriteFile(next, text, 0o644)
@@ -97,7 +99,7 @@
 	p.signal(syscall.SIGHUP)
 }
 
-// start starts a process, or waits for somebody to.
+// start starts the process, or waits for somebody to start it.
 func (p *process) start() {
 	p.ready, p.endExpected = false, false
 	p.incarnation++
@@ -109,39 +111,38 @@
 	} else {
 		p.exited = make(chan struct{})
 	}
-	life, exited := p.incarnation, p.exited
+	incarnation, exited := p.incarnation, p.exited
 	p.e.wg.Add(1)
 	go func() {
 		defer p.e.wg.Done()
-		for {
-			if ping(p.e.senderAddr(p.no)) == nil {
-				p.e.post(func() {
-					if p.incarnation == life {
-						p.ready = true
-						p.e.w.SetServing(p.no, true)
-					}
-				})
-				return
-			}
-			select {
-			case <-time.After(20 * time.Millisecond):
-			case <-exited:
-				return
-			case <-p.e.done:
-				return
-			}
-		}
+		p.waitUntilServing(incarnation, exited)
 	}()
 }
 
-func (p *process) spawn() error {
-	cmd := exec.Command(p.e.o.Command[0], slices.Concat(p.e.o.Command[1:], p.args)...)
-	cmd.Env = append(os.Environ(), "EDGE_CONFIG="+p.config, "EDGE_NAME=", "EDGE_LISTEN=", "EDGE_DISCOVERY=", "EDGE_STATE=")
-	for name, value := range p.e.o.Env {
-		cmd.Env = append(cmd.Env, name+"="+value)
+// waitUntilServing pings the sender until it answers, and tells the world that it serves.
+func (p *process) waitUntilServing(incarnation int, exited chan struct{}) {
+	for {
+		if ping(p.e.senderAddr(p.no)) == nil {
+			p.e.post(func() {
+				if p.incarnation == incarnation {
+					p.ready = true
+					p.e.w.SetServing(p.no, true)
+				}
+			})
+			return
+		}
+		select {
+		case <-time.After(pingEvery):
+		case <-exited:
+			return
+		case <-p.e.done:
+			return
+		}
 	}
-	// It goes when we go, however we do.
-	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
+}
+
+// spawn starts the sender's command, with its output in a log file.
+func (p *process) spawn() error {
 	logs := p.e.o.Logs
 	if logs == "" {
 		logs = p.e.dir
@@ -154,38 +155,55 @@
 		return err
 	}
 	defer log.Close()
+	cmd := p.command()
 	cmd.Stdout, cmd.Stderr = log, log
 	if err := cmd.Start(); err != nil {
 		return err
 	}
 	p.cmd, p.exited = cmd, make(chan struct{})
-	exited, life := p.exited, p.incarnation
+	exited, incarnation := p.exited, p.incarnation
 	p.e.wg.Add(1)
 	go func() {
 		defer p.e.wg.Done()
-		err := cmd.Wait()
-		// What it had started goes with it, stopped or not.
-		syscall.Kill(-cmd.Process.Pid, syscall.SIGKILL)
-		if u, ok := cmd.ProcessState.SysUsage().(*syscall.Rusage); ok {
-			p.cpuSeconds += float64(u.Utime.Nano()+u.Stime.Nano()) / 1e9
-		}
-		close(exited)
-		p.e.post(func() {
-			if p.incarnation != life || p.endExpected {
-				return
-			}
-			p.e.w.SetServing(p.no, false)
-			p.e.failure = fmt.Sprintf("sender %d ended by itself: %v; %s", p.no, err, p.lastLogLines(logs))
-		})
+		p.waitForExit(cmd, exited, incarnation, logs)
 	}()
 	return nil
 }
 
+// command is the sender's command, in a process group of its own that is killed with this process.
+func (p *process) command() *exec.Cmd {
+	cmd := exec.Command(p.e.o.Command[0], slices.Concat(p.e.o.Command[1:], p.args)...)
+	cmd.Env = append(os.Environ(), "EDGE_CONFIG="+p.config, "EDGE_NAME=", "EDGE_LISTEN=", "EDGE_DISCOVERY=", "EDGE_STATE=")
+	for name, value := range p.e.o.Env {
+		cmd.Env = append(cmd.Env, name+"="+value)
+	}
+	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
+	return cmd
+}
+
+// waitForExit waits for the end of the process. An end that was not expected fails the run.
+func (p *process) waitForExit(cmd *exec.Cmd, exited chan struct{}, incarnation int, logs string) {
+	err := cmd.Wait()
+	// Its child processes end with it, paused or not.
+	syscall.Kill(-cmd.Process.Pid, syscall.SIGKILL)
+	if u, ok := cmd.ProcessState.SysUsage().(*syscall.Rusage); ok {
+		p.cpuSeconds += float64(u.Utime.Nano()+u.Stime.Nano()) / 1e9
+	}
+	close(exited)
+	p.e.post(func() {
+		if p.incarnation != incarnation || p.endExpected {
+			return
+		}
+		p.e.w.SetServing(p.no, false)
+		p.e.failure = fmt.Sprintf("sender %d ended by itself: %v; %s", p.no, err, p.lastLogLines(logs))
+	})
+}
+
 func (p *process) logPath(folder string) string {
 	return filepath.Join(folder, fmt.Sprintf("s%d.log", p.no))
 }
 
-// lastLogLines are the last lines of its log.
+// lastLogLines are the last lines of the process's log.
 func (p *process) lastLogLines(folder string) string {
 	text, err := os.ReadFile(p.logPath(folder))
 	if err != nil {
@@ -221,7 +239,7 @@
 	}
 }
 
-// term is a planned end's signal. Programs still come for a moment, as they do on the platform.
+// term begins a graceful shutdown. Clients still come for a moment, as they do on the platform.
 func (p *process) term() {
 	p.endExpected = true
 	p.signal(syscall.SIGTERM)
@@ -236,38 +254,7 @@
 	}
 }
 
-// measure reads what the machine knows of the process, and its own counters; one that does not answer hangs.
-func (p *process) measure() {
-	if !p.alive() || p.e.failure != "" {
-		return
-	}
-	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.cmd.Process.Pid))
-	if err == nil {
-		for line := range strings.SplitSeq(string(status), "\n") {
-			if rest, ok := strings.CutPrefix(line, "VmHWM:"); ok {
-				kb, _ := strconv.ParseFloat(strings.Fields(rest)[0], 64)
-				p.e.figures.PeakMB = max(p.e.figures.PeakMB, kb/1024)
-			}
-		}
-	}
-	if fds, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.cmd.Process.Pid)); err == nil {
-		p.e.figures.Descriptors = max(p.e.figures.Descriptors, len(fds))
-	}
-	files, _ := os.ReadDir(p.state)
-	for _, f := range files {
-		if info, err := f.Info(); err == nil {
-			p.e.figures.JournalBytes += info.Size()
-		}
-	}
-	counters, err := info(p.e.senderAddr(p.no))
-	if err != nil {
-		p.e.failure = fmt.Sprintf("sender %d hangs: it does not answer INFO: %v", p.no, err)
-		return
-	}
-	p.e.figures.Counters = append(p.e.figures.Counters, counters)
-}
-
-// stop asks the process to stop, and sees to it.
+// stop sends the process SIGTERM and kills it if it has not ended within endTimeout.
 func (p *process) stop() {
 	p.endExpected = true
 	if p.cmd == nil {
--- a/lab/live/wire.go
+++ b/lab/live/wire.go
@@ -1,14 +1,16 @@
 package live
 
-// This file is the engine as the world reaches senders through it: world.Wire.
+// This file implements world.Wire: how the world reaches the senders.
 
 import (
 	"flaxcove/lab/world"
 )
 
-func (e *engine) ConnUp(*world.Conn) {} // connections come up by themselves
+// ConnUp does nothing: the machine establishes connections.
+func (e *engine) ConnUp(*world.Conn) {}
 
-func (e *engine) Datagram(world.SenderNo, world.SenderNo, []byte) {} // this sender listens for none
+// Datagram does nothing: these senders do not listen for datagrams.
+func (e *engine) Datagram(world.SenderNo, world.SenderNo, []byte) {}
 
 func (e *engine) Act(on world.SenderNo, what world.Act) {
 	p := e.senders[on]
@@ -18,7 +20,7 @@
 		p.kill()
 		e.w.SetServing(on, false)
 	case world.Start:
-		if !p.alive() { // two faults that overlap have killed it once
+		if !p.alive() { // two overlapping faults killed it once
 			p.start()
 		}
 	case world.Term:
--- a/lab/referee/referee.go
+++ b/lab/referee/referee.go
@@ -62,7 +62,7 @@
 	retryAfterUntil map[senderView]Time           // until, by sender and route; emptied as each ends
 	retryAfterSince map[senderView]Time           // when the Retry-After arrived
 	requests        map[*world.Request]*requestState
-	requestsByClass [][]*world.Request // by class, in order of time; each leaves askedFor after its deadline
+	requestsByClass [][]*world.Request // by class, in order of time; each is dropped lateDeliveryPeriod after its deadline
 	senders         []senderState
 	calls           map[*world.Call]*callState // emptied as calls are resolved
 
