--- a/lab/cluster/judge/judge.go
+++ b/lab/cluster/judge/judge.go
@@ -28,25 +28,25 @@
 	Unending Promise = "unending" // a process that should serve did not answer
 )
 
-// Break is one breach.
-type Break struct {
+// Breach is one breach.
+type Breach struct {
 	Promise Promise
 	What    string
 }
 
 // Judge hears and judges. Not for more than one goroutine.
 type Judge struct {
-	sums   map[view.Epoch]uint32
-	last   map[view.Life]view.Epoch
-	purges []*purge
-	taken  map[choice.MessageID]choice.Time // of those that a purge may match; leaves with the run
-	breaks []Break
-	begun  int
-
-	versions map[uint64]configuration.Sum
-	ran      map[folder]uint64 // the newest version that was in force, by what it is kept in
-	changes  map[string]uint64 // by id, the version that each became; 0 until it is told
-	newest   uint64
+	sums     map[view.Epoch]uint32
+	last     map[view.Life]view.Epoch
+	purges   []*purge
+	accepted map[choice.MessageID]choice.Time // of those that a purge may match; leaves with the run
+	breaches []Breach
+	begun    int
+
+	versions  map[uint64]configuration.Sum
+	newestRun map[folder]uint64 // the newest version that was in force, by what it is kept in
+	changes   map[string]uint64 // by id, the version that each became; 0 until it is told
+	newest    uint64
 }
 
 // folder is what a process keeps its version in: an emptied one is another.
@@ -65,44 +65,44 @@
 
 // New judges one run.
 func New() *Judge {
-	return &Judge{sums: map[view.Epoch]uint32{}, last: map[view.Life]view.Epoch{}, taken: map[choice.MessageID]choice.Time{},
-		versions: map[uint64]configuration.Sum{}, ran: map[folder]uint64{}, changes: map[string]uint64{}}
+	return &Judge{sums: map[view.Epoch]uint32{}, last: map[view.Life]view.Epoch{}, accepted: map[choice.MessageID]choice.Time{},
+		versions: map[uint64]configuration.Sum{}, newestRun: map[folder]uint64{}, changes: map[string]uint64{}}
 }
 
-func (j *Judge) broke(p Promise, format string, args ...any) {
-	if len(j.breaks) < 50 {
-		j.breaks = append(j.breaks, Break{p, fmt.Sprintf(format, args...)})
+func (j *Judge) breach(p Promise, format string, args ...any) {
+	if len(j.breaches) < 50 {
+		j.breaches = append(j.breaches, Breach{p, fmt.Sprintf(format, args...)})
 	}
 }
 
-// Saw hears what a process told of itself.
-func (j *Judge) Saw(s *status.Status) {
-	j.sawVersion(s)
+// Status hears what a process told of itself.
+func (j *Judge) Status(s *status.Status) {
+	j.judgeConfiguration(s)
 	if s.Epoch == 0 {
 		return
 	}
 	if sum, known := j.sums[s.Epoch]; !known {
 		j.sums[s.Epoch] = s.PlanSum
 	} else if sum != s.PlanSum {
-		j.broke(Fork, "%s has another plan of epoch %d", s.Self.Name, s.Epoch)
+		j.breach(Fork, "%s has another plan of epoch %d", s.Self.Name, s.Epoch)
 	}
 	if last := j.last[s.Self.Life]; s.Epoch < last {
-		j.broke(Fork, "%s went from epoch %d back to %d", s.Self.Name, last, s.Epoch)
+		j.breach(Fork, "%s went from epoch %d back to %d", s.Self.Name, last, s.Epoch)
 	}
 	j.last[s.Self.Life] = s.Epoch
 }
 
-// sawVersion holds what a process has in force against what was seen before.
-func (j *Judge) sawVersion(s *status.Status) {
+// judgeConfiguration holds what a process has in force against what was seen before.
+func (j *Judge) judgeConfiguration(s *status.Status) {
 	c := s.Configuration
 	if c == nil {
 		return
 	}
 	ranIn := folder{s.Self.Name, s.Self.Folder}
-	if c.Version < j.ran[ranIn] {
-		j.broke(Older, "%s runs version %d after %d", s.Self.Name, c.Version, j.ran[ranIn])
+	if c.Version < j.newestRun[ranIn] {
+		j.breach(Older, "%s runs version %d after %d", s.Self.Name, c.Version, j.newestRun[ranIn])
 	}
-	j.ran[ranIn] = max(j.ran[ranIn], c.Version)
+	j.newestRun[ranIn] = max(j.newestRun[ranIn], c.Version)
 	j.version(c.Version, c.Sum, string(s.Self.Name))
 }
 
@@ -111,18 +111,18 @@
 	if had, known := j.versions[version]; !known {
 		j.versions[version] = sum
 	} else if had != sum {
-		j.broke(Fork, "%s has other settings of version %d", by, version)
+		j.breach(Fork, "%s has other settings of version %d", by, version)
 	}
 }
 
-// Ordered hears that a change is about to be ordered.
-func (j *Judge) Ordered(id string) { j.changes[id] = 0 }
+// ChangeOrdered hears that a change is about to be ordered.
+func (j *Judge) ChangeOrdered(id string) { j.changes[id] = 0 }
 
-// Decided hears what version it was told to be. Two changes never are one.
-func (j *Judge) Decided(id string, version uint64, sum configuration.Sum) {
+// ChangeDecided hears what version it was told to be. Two changes never are one.
+func (j *Judge) ChangeDecided(id string, version uint64, sum configuration.Sum) {
 	for other, had := range j.changes {
 		if had == version && other != id {
-			j.broke(Fork, "%s and %s are both told to be version %d", id, other, version)
+			j.breach(Fork, "%s and %s are both told to be version %d", id, other, version)
 		}
 	}
 	j.changes[id], j.newest = version, max(j.newest, version)
@@ -135,13 +135,13 @@
 // Epochs is how many plans were seen.
 func (j *Judge) Epochs() int { return len(j.sums) }
 
-// Opened hears that a purge is about to be given: what was accepted before now is to be withdrawn.
-func (j *Judge) Opened(id string, now choice.Time, matches func(choice.MessageID) bool) {
+// PurgeOrdered hears that a purge is about to be given: what was accepted before now is to be withdrawn.
+func (j *Judge) PurgeOrdered(id string, now choice.Time, matches func(choice.MessageID) bool) {
 	j.purges = append(j.purges, &purge{id: id, matches: matches, opened: now})
 }
 
-// Complete hears that it was told complete, or complete but for what lapsed.
-func (j *Judge) Complete(id string, now choice.Time, lapsed bool) {
+// PurgeComplete hears that it was told complete, or complete but for what lapsed.
+func (j *Judge) PurgeComplete(id string, now choice.Time, lapsed bool) {
 	for _, p := range j.purges {
 		if p.id == id && p.complete == 0 {
 			p.complete, p.lapsed = now, lapsed
@@ -149,23 +149,23 @@
 	}
 }
 
-// Taken hears that a program was told that its message is accepted.
-func (j *Judge) Taken(n choice.MessageID, now choice.Time) { j.taken[n] = now }
+// Accepted hears that a program was told that its message is accepted.
+func (j *Judge) Accepted(n choice.MessageID, now choice.Time) { j.accepted[n] = now }
 
-// Began hears of a call that left its sender with a message, by the endpoint's ledger.
-func (j *Judge) Began(n choice.MessageID, now choice.Time) {
+// CallSent hears of a call that left its sender with a message, by the endpoint's ledger.
+func (j *Judge) CallSent(n choice.MessageID, now choice.Time) {
 	j.begun++
-	at, known := j.taken[n]
+	at, known := j.accepted[n]
 	for _, p := range j.purges {
 		if known && p.complete > 0 && now > p.complete && at < p.opened && p.matches(n) {
-			j.broke(Purged, "%s, taken on at %d, began at %d; %s was given at %d and complete at %d", n, at, now, p.id, p.opened, p.complete)
+			j.breach(Purged, "%s, taken on at %d, began at %d; %s was given at %d and complete at %d", n, at, now, p.id, p.opened, p.complete)
 		}
 	}
 }
 
-// Settled judges what all processes told last, once all faults are over and they had time. Missing are those that did
+// Differences judges what all processes told last, once all faults are over and they had time. Missing are those that did
 // not answer. It tells what still differs.
-func Settled(all []*status.Status, want int, failover bool) (why []string) {
+func Differences(all []*status.Status, want int, failover bool) (why []string) {
 	if len(all) < want {
 		why = append(why, fmt.Sprintf("%d of %d processes answer", len(all), want))
 	}
@@ -203,19 +203,19 @@
 }
 
 // End judges what was still open; apart is what Settled told last.
-func (j *Judge) End(apart []string) []Break {
+func (j *Judge) End(apart []string) []Breach {
 	for _, what := range apart {
-		j.broke(Parted, "%s", what)
+		j.breach(Parted, "%s", what)
 	}
 	for _, p := range j.purges {
 		if p.complete == 0 {
-			j.broke(Untold, "%s, given at %d", p.id, p.opened)
+			j.breach(Untold, "%s, given at %d", p.id, p.opened)
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(j.changes)) {
 		if j.changes[id] == 0 {
-			j.broke(Untold, "change %s was not told decided", id)
+			j.breach(Untold, "change %s was not told decided", id)
 		}
 	}
-	return slices.Clone(j.breaks)
+	return slices.Clone(j.breaches)
 }
--- a/lab/cluster/judge/judge_test.go
+++ b/lab/cluster/judge/judge_test.go
@@ -28,7 +28,7 @@
 	} {
 		j := New()
 		for _, s := range c.saw {
-			j.Saw(s)
+			j.Status(s)
 		}
 		if b := j.End(nil); len(b) != c.want || c.want > 0 && b[0].Promise != Fork {
 			t.Errorf("%s: %v", c.what, b)
@@ -39,19 +39,19 @@
 func TestPurges(t *testing.T) {
 	j := New()
 	mine := func(n choice.MessageID) bool { return n != "other" }
-	j.Taken("before", 10)
-	j.Taken("other", 10)
-	j.Opened("p", 20, mine)
-	j.Taken("after", 30)
-	j.Began("before", 40) // it spreads still
-	j.Complete("p", 50, false)
-	j.Began("after", 60)
-	j.Began("other", 60)
+	j.Accepted("before", 10)
+	j.Accepted("other", 10)
+	j.PurgeOrdered("p", 20, mine)
+	j.Accepted("after", 30)
+	j.CallSent("before", 40) // it spreads still
+	j.PurgeComplete("p", 50, false)
+	j.CallSent("after", 60)
+	j.CallSent("other", 60)
 	if b := j.End(nil); len(b) != 0 {
 		t.Fatalf("nothing was broken: %v", b)
 	}
-	j.Began("before", 60)
-	j.Opened("q", 70, mine)
+	j.CallSent("before", 60)
+	j.PurgeOrdered("q", 70, mine)
 	b := j.End([]string{"s1 sees 2 of 3"})
 	var got []Promise
 	for _, one := range b {
@@ -80,7 +80,7 @@
 	} {
 		j := New()
 		for _, s := range c.saw {
-			j.Saw(s)
+			j.Status(s)
 		}
 		var got []Promise
 		for _, b := range j.End(nil) {
@@ -91,15 +91,15 @@
 		}
 	}
 	j := New()
-	j.Ordered("c1")
-	j.Ordered("c2")
-	j.Ordered("c3")
-	j.Decided("c1", 4, "x")
-	j.Decided("c2", 4, "x")
+	j.ChangeOrdered("c1")
+	j.ChangeOrdered("c2")
+	j.ChangeOrdered("c3")
+	j.ChangeDecided("c1", 4, "x")
+	j.ChangeDecided("c2", 4, "x")
 	if b := j.End(nil); len(b) != 2 || b[0].Promise != Fork || b[1].Promise != Untold || j.Newest() != 4 {
 		t.Error(b)
 	}
-	if why := Settled([]*status.Status{runs("a", "f", 3, "z"), runs("b", "g", 2, "y")}, 1, false); len(why) != 1 {
+	if why := Differences([]*status.Status{runs("a", "f", 3, "z"), runs("b", "g", 2, "y")}, 1, false); len(why) != 1 {
 		t.Error(why)
 	}
 }
@@ -108,11 +108,11 @@
 	a, b := statusOf("a", 2, 7), statusOf("b", 2, 7)
 	a.Members = []view.Member{a.Self, b.Self}
 	b.Members = a.Members
-	if why := Settled([]*status.Status{a, b}, 2, true); len(why) != 0 {
+	if why := Differences([]*status.Status{a, b}, 2, true); len(why) != 0 {
 		t.Error(why)
 	}
 	b.Epoch, b.Leader, b.Purged = 1, "b", 4
-	if why := Settled([]*status.Status{a, b}, 3, true); len(why) != 6 {
+	if why := Differences([]*status.Status{a, b}, 3, true); len(why) != 6 {
 		t.Errorf("%d differences: %v", len(why), why)
 	}
 }
--- a/lab/cluster/mesh/mesh.go
+++ b/lab/cluster/mesh/mesh.go
@@ -16,8 +16,8 @@
 // Ports are what one process listens at, in the order of their ports.
 var Ports = []string{"gossip", "council", "http"}
 
-// most is set by the loopback addresses that the scheme below has.
-const most = 120
+// maxProcesses is set by the loopback addresses that the scheme below has.
+const maxProcesses = 120
 
 // Process is one process of the cluster.
 type Process struct {
@@ -45,8 +45,8 @@
 
 // Open makes the relays on a port that is free on all addresses.
 func Open(o Options, firstPort int) (*Mesh, error) {
-	if len(o.Processes) > most {
-		return nil, fmt.Errorf("%d processes, %d at most", len(o.Processes), most)
+	if len(o.Processes) > maxProcesses {
+		return nil, fmt.Errorf("%d processes, %d at most", len(o.Processes), maxProcesses)
 	}
 	var err error
 	for try := range 20 {
@@ -63,7 +63,7 @@
 	for i := range m.o.Processes {
 		for p := range Ports {
 			// A process's own addresses must be free too.
-			ln, err := net.Listen("tcp", m.own(i, p))
+			ln, err := net.Listen("tcp", m.ownAddr(i, p))
 			if err != nil {
 				return err
 			}
@@ -74,7 +74,7 @@
 				continue
 			}
 			for p := range Ports {
-				r, err := relay.Open(m.way(i, j, p), m.own(j, p))
+				r, err := relay.Open(m.relayAddr(i, j, p), m.ownAddr(j, p))
 				if err != nil {
 					return err
 				}
@@ -85,24 +85,24 @@
 	return nil
 }
 
-func (m *Mesh) own(i, port int) string { return fmt.Sprintf("127.120.0.%d:%d", 1+i, m.port+port) }
+func (m *Mesh) ownAddr(i, port int) string { return fmt.Sprintf("127.120.0.%d:%d", 1+i, m.port+port) }
 
-func (m *Mesh) way(from, to, port int) string {
+func (m *Mesh) relayAddr(from, to, port int) string {
 	return fmt.Sprintf("127.%d.0.%d:%d", 121+from, 1+to, m.port+port)
 }
 
 // HTTP is where a process's own listener is, with no relay before it.
-func (m *Mesh) HTTP(i int) string { return m.own(i, 2) }
+func (m *Mesh) HTTP(i int) string { return m.ownAddr(i, 2) }
 
 // Set has what one process sends to another meet a fault, on whichever connection it goes; what comes back does not.
 func (m *Mesh) Set(from, to int, f relay.Fault) {
 	for _, r := range m.relays[[2]int{from, to}] {
-		r.Set(relay.Forth, f)
+		r.Set(relay.Forward, f)
 	}
 	back := f
 	back.Refuse = false // connections are refused to whom they begin with
 	for _, r := range m.relays[[2]int{to, from}] {
-		r.Set(relay.Back, back)
+		r.Set(relay.Backward, back)
 	}
 }
 
@@ -122,48 +122,60 @@
 	}
 }
 
-// File is the text of one process's cluster file; in folder its part of the cluster keeps what lasts.
-func (m *Mesh) File(i int, folder string) ([]byte, error) {
-	var out strings.Builder
-	say := func(format string, args ...any) { fmt.Fprintf(&out, format+"\n", args...) }
+// ClusterFile is the text of one process's cluster file. The process keeps its part of the cluster's state in folder.
+func (m *Mesh) ClusterFile(i int, folder string) ([]byte, error) {
+	f := &clusterFile{}
 	self := m.o.Processes[i]
-	say("name = %q\nfounders = [%s]\n", m.o.Cluster, quoted(m.o.Founders))
-	say("[here]\nprocess = %q\nzone = %q\nfolder = %q", self.Name, self.Zone, folder)
+	f.line("name = %q\nfounders = [%s]\n", m.o.Cluster, quoted(m.o.Founders))
+	f.line("[here]\nprocess = %q\nzone = %q\nfolder = %q", self.Name, self.Zone, folder)
 	if self.Small {
-		say("size = \"small\"")
+		f.line("size = \"small\"")
 	}
 	for p, name := range Ports {
-		say("%s = %q", name, m.own(i, p))
+		f.line("%s = %q", name, m.ownAddr(i, p))
 	}
-	say("\n[zones]")
-	regions := map[string]string{}
-	for _, p := range m.o.Processes {
-		if before, is := regions[p.Zone]; !is {
-			regions[p.Zone] = p.Region
-			say("%s = %q", p.Zone, p.Region)
-		} else if before != p.Region {
-			return nil, errors.New("zone " + p.Zone + " lies in two regions")
-		}
+	if err := f.zones(m.o.Processes); err != nil {
+		return nil, err
 	}
-	say("\n[uses]")
+	f.line("\n[uses]")
 	for _, use := range m.o.Uses {
-		say("%s = true", use)
+		f.line("%s = true", use)
 	}
 	if len(m.o.Bounds) > 0 {
-		say("\n[bounds]")
+		f.line("\n[bounds]")
 		for _, name := range sorted(m.o.Bounds) {
-			say("%s = %d", name, m.o.Bounds[name])
+			f.line("%s = %d", name, m.o.Bounds[name])
 		}
 	}
 	for j, p := range m.o.Processes {
-		say("\n[[member]]\nname = %q\nzone = %q", p.Name, p.Zone)
+		f.line("\n[[member]]\nname = %q\nzone = %q", p.Name, p.Zone)
 		for port, name := range Ports {
 			if j == i {
-				say("%s = %q", name, m.own(j, port))
+				f.line("%s = %q", name, m.ownAddr(j, port))
 			} else {
-				say("%s = %q", name, m.way(i, j, port))
+				f.line("%s = %q", name, m.relayAddr(i, j, port))
 			}
 		}
 	}
-	return []byte(out.String()), nil
+	return []byte(f.text.String()), nil
+}
+
+// clusterFile is the text of a cluster file as it is written.
+type clusterFile struct{ text strings.Builder }
+
+func (f *clusterFile) line(format string, args ...any) { fmt.Fprintf(&f.text, format+"\n", args...) }
+
+// zones writes the region of each zone.
+func (f *clusterFile) zones(processes []Process) error {
+	f.line("\n[zones]")
+	regions := map[string]string{}
+	for _, p := range processes {
+		if region, known := regions[p.Zone]; !known {
+			regions[p.Zone] = p.Region
+			f.line("%s = %q", p.Zone, p.Region)
+		} else if region != p.Region {
+			return errors.New("zone " + p.Zone + " lies in two regions")
+		}
+	}
+	return nil
 }
--- a/lab/cluster/play/change.go
+++ b/lab/cluster/play/change.go
@@ -16,7 +16,7 @@
 // This file orders changes of the settings that all share, as an operator's tool would: upon what is the newest, again
 // under the same id where no answer came, and anew where another change came first.
 
-const changeFor = 40 * time.Second
+const changeTimeout = 40 * time.Second
 
 // ChangeReport is what the one who ordered a change was told, by the run's clock in tenths of a millisecond.
 type ChangeReport struct {
@@ -24,57 +24,69 @@
 	Given, Decided choice.Time
 	InForce        choice.Time // when all were first seen to run it or a newer one; 0 for never
 	Version        uint64
-	Tries          int
+	Attempts       int
 }
 
-// order hands a change to a process, and to the next where that does not answer, until it is known to be decided.
-func (p *player) order(ctx context.Context, h *live.RunControl, no int) {
-	change := &p.s.Changes[no]
-	report := &ChangeReport{ID: fmt.Sprintf("%s-change-%d", p.s.Name, no), Given: h.Now()}
-	p.judge.Ordered(report.ID)
-	p.changes = append(p.changes, report)
+// orderChange orders a change of the schedule and reports when it is decided.
+func (p *player) orderChange(ctx context.Context, run *live.RunControl, no int) {
+	report := &ChangeReport{ID: fmt.Sprintf("%s-change-%d", p.schedule.Name, no), Given: run.Now()}
+	p.judge.ChangeOrdered(report.ID)
+	p.changeReports = append(p.changeReports, report)
 	p.wg.Add(1)
 	go func() {
 		defer p.wg.Done()
-		by, began := change.By, time.Now()
-		base, known := uint64(0), false
-		version, sum := uint64(0), configuration.Sum("")
-		tries := 0
-		for ctx.Err() == nil && time.Since(began) < changeFor {
-			tries++
-			if !known {
-				base, known = p.newest(ctx, by)
-			}
-			code := 0
-			if known {
-				version, sum, code = p.post(ctx, by, report.ID, base, change.Back, no)
-			}
-			if version > 0 {
-				break
-			}
-			known = known && code != http.StatusConflict
-			if code/100 != 2 && code != http.StatusConflict {
-				by = (by + 1) % p.s.Processes
-			}
-			select {
-			case <-ctx.Done():
-			case <-time.After(purgeAgain):
-			}
-		}
+		began := time.Now()
+		decided, attempts := p.decideChange(ctx, report.ID, no, began)
 		took := time.Since(began)
-		h.Post(func() {
-			report.Tries, report.Version = tries, version
-			if version > 0 {
+		run.Post(func() {
+			report.Attempts, report.Version = attempts, decided.version
+			if decided.version > 0 {
 				report.Decided = report.Given + tenths(took)
-				p.judge.Decided(report.ID, version, sum)
+				p.judge.ChangeDecided(report.ID, decided.version, decided.sum)
 			}
-			p.open--
+			p.openOrders--
 		})
 	}()
 }
 
-// newest is the newest version as a process tells it.
-func (p *player) newest(ctx context.Context, by int) (uint64, bool) {
+// decidedChange is the version that a change became; version 0 for none.
+type decidedChange struct {
+	version uint64
+	sum     configuration.Sum
+}
+
+// decideChange hands a change to a process, and to the next one where that does not answer, until it is known to be
+// decided. Where another change came first, it is ordered anew upon the newest version.
+func (p *player) decideChange(ctx context.Context, id string, no int, began time.Time) (decided decidedChange, attempts int) {
+	change := &p.schedule.Changes[no]
+	by := change.By
+	base, known := uint64(0), false
+	for ctx.Err() == nil && time.Since(began) < changeTimeout {
+		attempts++
+		if !known {
+			base, known = p.newestVersion(ctx, by)
+		}
+		code := 0
+		if known {
+			decided.version, decided.sum, code = p.postChange(ctx, by, id, base, change.Back, no)
+		}
+		if decided.version > 0 {
+			break
+		}
+		known = known && code != http.StatusConflict
+		if code/100 != 2 && code != http.StatusConflict {
+			by = (by + 1) % p.schedule.Processes
+		}
+		select {
+		case <-ctx.Done():
+		case <-time.After(retryEvery):
+		}
+	}
+	return decided, attempts
+}
+
+// newestVersion is the newestVersion version as a process tells it.
+func (p *player) newestVersion(ctx context.Context, by int) (uint64, bool) {
 	var shown struct {
 		Version uint64 `json:"version"`
 	}
@@ -88,14 +100,14 @@
 	if p.ask(ctx, 0, "GET", "/v1/configuration", nil, &shown) == http.StatusOK {
 		h.Post(func() {
 			p.shown = shown
-			p.o.Shown(h.Now(), shown)
+			p.options.OnConfiguration(h.Now(), shown)
 		})
 	}
 }
 
-// post is one try: the time for which connections are kept is changed, which breaks no rule of the world.
-func (p *player) post(ctx context.Context, by int, id string, base uint64, back bool, no int) (uint64, configuration.Sum, int) {
-	path, body := "/v1/configuration", map[string]any{"id": id, "base": base, "who": "laboratory", "why": "schedule " + p.s.Name}
+// postChange is one try: the time for which connections are kept is changed, which breaks no rule of the world.
+func (p *player) postChange(ctx context.Context, by int, id string, base uint64, back bool, no int) (uint64, configuration.Sum, int) {
+	path, body := "/v1/configuration", map[string]any{"id": id, "base": base, "who": "laboratory", "why": "schedule " + p.schedule.Name}
 	if back && base > 0 {
 		path = fmt.Sprintf("/v1/configuration/%d/restore", base-1)
 	} else {
@@ -116,14 +128,14 @@
 func (p *player) refusedChange(id, why string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.refused == "" {
-		p.refused = fmt.Sprintf("change %s was refused: %s", id, why)
+	if p.refusal == "" {
+		p.refusal = fmt.Sprintf("change %s was refused: %s", id, why)
 	}
 }
 
-// inForce notes which changes all run by now.
-func (p *player) inForce(now choice.Time, all []*status.Status) {
-	if len(all) < p.s.Processes {
+// noteInForce notes which changes all run by now.
+func (p *player) noteInForce(now choice.Time, all []*status.Status) {
+	if len(all) < p.schedule.Processes {
 		return
 	}
 	lowest := ^uint64(0)
@@ -132,7 +144,7 @@
 			lowest = min(lowest, s.Configuration.Version)
 		}
 	}
-	for _, c := range p.changes {
+	for _, c := range p.changeReports {
 		if c.Version > 0 && c.InForce == 0 && c.Version <= lowest {
 			c.InForce = now
 		}
@@ -147,7 +159,7 @@
 				s.Self.Name, c.Version, p.judge.Newest(), c.Refused, c.Why))
 		}
 	}
-	if s := p.shown; p.o.Shown != nil && (s.Version < p.judge.Newest() || s.State != versions.InForce || len(s.Laggards)+len(s.Away) > 0) {
+	if s := p.shown; p.options.OnConfiguration != nil && (s.Version < p.judge.Newest() || s.State != versions.InForce || len(s.Laggards)+len(s.Away) > 0) {
 		why = append(why, fmt.Sprintf("shown is version %d, %q, with laggards %v, away %v", s.Version, s.State, s.Laggards, s.Away))
 	}
 	return why
--- a/lab/cluster/play/change_test.go
+++ b/lab/cluster/play/change_test.go
@@ -28,14 +28,14 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Minute)
 	defer cancel()
 	r, err := Run(ctx, Options{Schedule: s, Command: []string{binary, "serve"},
-		Saw: func(_ choice.Time, all []*status.Status) {
+		OnStatuses: func(_ choice.Time, all []*status.Status) {
 			for _, one := range all {
 				if one.Self.Name == cut {
 					ran[one.Configuration.Version] = true
 				}
 			}
 		},
-		Shown: func(now choice.Time, s versions.Shown) {
+		OnConfiguration: func(now choice.Time, s versions.Shown) {
 			version, is := lagging(s, cut)
 			if !is {
 				return
@@ -48,7 +48,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, b := range r.Breaks {
+	for _, b := range r.Breaches {
 		t.Errorf("%s: %s", b.Promise, b.What)
 	}
 	for _, c := range r.Changes {
--- a/lab/cluster/play/falls.go
+++ b/lab/cluster/play/falls.go
@@ -16,10 +16,10 @@
 // hang on how often they are asked (askEvery), and are figures, not verdicts.
 
 const (
-	enough = 0.95 // of the reachable processes, from the table of issue 36
-	// nearFor is how long after the last fault routes may stay that do not go near: thrice what the table of issue 36
+	quorumShare = 0.95 // of the reachable processes, from the table of issue 36
+	// nearTimeout is how long after the last fault routes may stay that do not go near: thrice what the table of issue 36
 	// grants, and what a plan holds.
-	nearFor = 55.0
+	nearTimeout = 55.0
 )
 
 // Breaks of what a schedule expects.
@@ -37,7 +37,7 @@
 	WithinMS  int64 // until fewer than all routes of the zone are away: the first step of a return
 
 	from, to choice.Time
-	most     int
+	mostAway int
 }
 
 func fallsOf(s *schedule.Schedule) (all []Fall) {
@@ -49,16 +49,16 @@
 	return all
 }
 
-// struck tells whether a process is cut off then, by the schedule.
-func struck(s *schedule.Schedule, i int, now choice.Time) bool {
+// isCutOff tells whether a process is cut off then, by the schedule.
+func isCutOff(s *schedule.Schedule, i int, now choice.Time) bool {
 	return slices.ContainsFunc(s.Faults, func(f schedule.Fault) bool {
 		cuts := slices.Contains([]string{"cut", "one_way", "flap", "stall", "stop"}, f.Kind)
 		return cuts && now >= seconds(f.At) && now < seconds(f.At+f.Seconds) && slices.Contains(f.From, i)
 	})
 }
 
-// fell hears what all told.
-func (p *player) fell(now choice.Time, all []*status.Status) {
+// measureFalls hears what all told.
+func (p *player) measureFalls(now choice.Time, all []*status.Status) {
 	for i := range p.falls {
 		f := &p.falls[i]
 		key := fmt.Sprintf("away_from_z%d", f.Zone-1)
@@ -66,8 +66,8 @@
 		for _, s := range all {
 			routes += s.Counts["plan_routes"]
 			most = max(most, s.Counts[key])
-			no := slices.IndexFunc(p.all.Processes, func(m mesh.Process) bool { return m.Name == string(s.Self.Name) })
-			if no < 0 || struck(p.s, no, now) {
+			no := slices.IndexFunc(p.meshOptions.Processes, func(m mesh.Process) bool { return m.Name == string(s.Self.Name) })
+			if no < 0 || isCutOff(p.schedule, no, now) {
 				continue
 			}
 			reach++
@@ -79,12 +79,12 @@
 			continue
 		}
 		if now <= f.to {
-			f.most = max(f.most, most)
+			f.mostAway = max(f.mostAway, most)
 		}
-		if f.InForceMS < 0 && now <= f.to && away > 0 && away >= int(math.Ceil(enough*float64(reach))) {
+		if f.InForceMS < 0 && now <= f.to && away > 0 && away >= int(math.Ceil(quorumShare*float64(reach))) {
 			f.InForceMS = int64((now - f.from) / choice.Millisecond)
 		}
-		if now > f.to && f.WithinMS < 0 && most < f.most {
+		if now > f.to && f.WithinMS < 0 && most < f.mostAway {
 			f.WithinMS = int64((now - f.to) / choice.Millisecond)
 		}
 		if now > f.to && f.NearMS < 0 && routes == 0 && len(all) > 0 {
@@ -98,22 +98,22 @@
 
 // awaitsNear tells whether the run goes on for what still goes elsewhere.
 func (p *player) awaitsNear() bool {
-	away := slices.ContainsFunc(p.last, func(s *status.Status) bool { return s.Counts["plan_routes"] > 0 })
-	return p.s.Expect.Moves && away && p.now < seconds(p.s.Healed()+nearFor)
+	away := slices.ContainsFunc(p.lastStatuses, func(s *status.Status) bool { return s.Counts["plan_routes"] > 0 })
+	return p.schedule.Expect.Moves && away && p.now < seconds(p.schedule.LastFaultEnd()+nearTimeout)
 }
 
 // unexpected is what was not seen that the schedule expects.
-func (p *player) unexpected(epochs int) (breaks []judge.Break) {
+func (p *player) unexpected(epochs int) (breaks []judge.Breach) {
 	for _, f := range p.falls {
-		if p.s.Expect.Moves && f.InForceMS < 0 {
-			breaks = append(breaks, judge.Break{Promise: Unmoved, What: fmt.Sprintf("zone %d fell at %d", f.Zone, f.from)})
+		if p.schedule.Expect.Moves && f.InForceMS < 0 {
+			breaks = append(breaks, judge.Breach{Promise: Unmoved, What: fmt.Sprintf("zone %d fell at %d", f.Zone, f.from)})
 		}
-		if p.s.Expect.Moves && f.NearMS < 0 {
-			breaks = append(breaks, judge.Break{Promise: Afar, What: fmt.Sprintf("zone %d was well at %d", f.Zone, f.to)})
+		if p.schedule.Expect.Moves && f.NearMS < 0 {
+			breaks = append(breaks, judge.Breach{Promise: Afar, What: fmt.Sprintf("zone %d was well at %d", f.Zone, f.to)})
 		}
 	}
-	if most := p.s.Expect.MostPlans; most > 0 && epochs > most+1 {
-		breaks = append(breaks, judge.Break{Promise: Restless, What: fmt.Sprintf("%d plans, %d expected beyond the first", epochs, most)})
+	if most := p.schedule.Expect.MostPlans; most > 0 && epochs > most+1 {
+		breaks = append(breaks, judge.Breach{Promise: Restless, What: fmt.Sprintf("%d plans, %d expected beyond the first", epochs, most)})
 	}
 	return breaks
 }
--- a/lab/cluster/play/faults.go
+++ b/lab/cluster/play/faults.go
@@ -15,18 +15,18 @@
 
 // This file plays faults. Faults that overlap on one way are kept apart by number: the way is well once none is left.
 
-const restartIn = 400 * choice.Millisecond // of a leader that was killed
+const leaderRestartDelay = 400 * choice.Millisecond // of a leader that was killed
 
-type way struct{ from, to int }
+type direction struct{ from, to int }
 
 // links are the faults that stand on each way between processes.
 type links struct {
 	mesh   *mesh.Mesh
-	faults map[way]map[int]relay.Fault
+	faults map[direction]map[int]relay.Fault
 }
 
 // set has a fault by its number stand on a way, or, with no fault, stand no longer.
-func (l *links) set(w way, no int, f *relay.Fault) {
+func (l *links) set(w direction, no int, f *relay.Fault) {
 	if l.faults[w] == nil {
 		l.faults[w] = map[int]relay.Fault{}
 	}
@@ -41,62 +41,74 @@
 	l.mesh.Set(w.from, w.to, all)
 }
 
+// setAll does what set does on several directions.
+func (l *links) setAll(directions []direction, no int, f *relay.Fault) {
+	for _, d := range directions {
+		l.set(d, no, f)
+	}
+}
+
 func seconds(s float64) choice.Time { return choice.Time(s * float64(choice.Second)) }
 
-// plan lays up all faults of the schedule that are not the world's.
-func (p *player) plan(h *live.RunControl) {
-	l := &links{p.mesh, map[way]map[int]relay.Fault{}}
-	for no := range p.s.Faults {
-		f := &p.s.Faults[no]
+// planFaults schedules all faults of the schedule that are not the world's.
+func (p *player) planFaults(run *live.RunControl) {
+	l := &links{p.mesh, map[direction]map[int]relay.Fault{}}
+	for no := range p.schedule.Faults {
+		f := &p.schedule.Faults[no]
 		from, to := seconds(f.At), seconds(f.At+f.Seconds)
-		ways := p.ways(f)
-		put := func(fault *relay.Fault) func() {
-			return func() {
-				for _, w := range ways {
-					l.set(w, no, fault)
-				}
-			}
-		}
 		switch f.Kind {
 		case "cut", "one_way":
-			h.After(from, put(&relay.Fault{Drop: true}))
-			h.After(to, put(nil))
-		case "flap":
-			for at, off := f.At, true; at < f.At+f.Seconds; at, off = at+f.Every, !off {
-				if off {
-					h.After(seconds(at), put(&relay.Fault{Drop: true}))
-				} else {
-					h.After(seconds(at), put(nil))
-				}
-			}
-			h.After(to, put(nil))
+			p.planLinkFault(run, l, no, relay.Fault{Drop: true})
 		case "stall":
-			h.After(from, put(&relay.Fault{Stall: true}))
-			h.After(to, put(nil))
+			p.planLinkFault(run, l, no, relay.Fault{Stall: true})
 		case "late":
-			h.After(from, put(&relay.Fault{Delay: time.Duration(f.MS * float64(time.Millisecond))}))
-			h.After(to, put(nil))
+			p.planLinkFault(run, l, no, relay.Fault{Delay: time.Duration(f.MS * float64(time.Millisecond))})
+		case "flap":
+			p.planFlap(run, l, no)
 		case "reset":
-			h.After(from, func() {
-				for _, w := range ways {
-					p.mesh.Reset(w.from, w.to)
+			directions := p.directionsOf(f)
+			run.After(from, func() {
+				for _, d := range directions {
+					p.mesh.Reset(d.from, d.to)
 				}
 			})
 		case "empty":
 			for _, s := range f.From {
-				p.empty(h, world.SenderNo(s), from, to)
+				p.restartEmptied(run, world.SenderNo(s), from, to)
 			}
 		case "leader":
-			h.After(from, func() { p.killLeader(h, to-from) })
+			run.After(from, func() { p.killLeader(run, to-from) })
+		}
+	}
+}
+
+// planLinkFault has a fault stand on its links from its begin to its end.
+func (p *player) planLinkFault(run *live.RunControl, l *links, no int, fault relay.Fault) {
+	f := &p.schedule.Faults[no]
+	directions := p.directionsOf(f)
+	run.After(seconds(f.At), func() { l.setAll(directions, no, &fault) })
+	run.After(seconds(f.At+f.Seconds), func() { l.setAll(directions, no, nil) })
+}
+
+// planFlap has a cut come and go.
+func (p *player) planFlap(run *live.RunControl, l *links, no int) {
+	f := &p.schedule.Faults[no]
+	directions := p.directionsOf(f)
+	for at, off := f.At, true; at < f.At+f.Seconds; at, off = at+f.Every, !off {
+		var fault *relay.Fault
+		if off {
+			fault = &relay.Fault{Drop: true}
 		}
+		run.After(seconds(at), func() { l.setAll(directions, no, fault) })
 	}
+	run.After(seconds(f.At+f.Seconds), func() { l.setAll(directions, no, nil) })
 }
 
-// ways are those that a fault strikes: from its first group to its second, and back unless it is one way.
-func (p *player) ways(f *schedule.Fault) (all []way) {
+// directionsOf are those that a fault strikes: from its first group to its second, and back unless it is one way.
+func (p *player) directionsOf(f *schedule.Fault) (all []direction) {
 	others := f.To
 	if len(others) == 0 {
-		for i := range p.s.Processes {
+		for i := range p.schedule.Processes {
 			if !slices.Contains(f.From, i) {
 				others = append(others, i)
 			}
@@ -105,9 +117,9 @@
 	for _, a := range f.From {
 		for _, b := range others {
 			if a != b {
-				all = append(all, way{a, b})
+				all = append(all, direction{a, b})
 				if f.Kind != "one_way" {
-					all = append(all, way{b, a})
+					all = append(all, direction{b, a})
 				}
 			}
 		}
@@ -115,8 +127,8 @@
 	return all
 }
 
-// empty kills a process and has it come again with nothing of what it had.
-func (p *player) empty(h *live.RunControl, s world.SenderNo, from, to choice.Time) {
+// restartEmptied kills a process and has it come again with nothing of what it had.
+func (p *player) restartEmptied(h *live.RunControl, s world.SenderNo, from, to choice.Time) {
 	h.After(from, func() {
 		if !h.Alive(s) {
 			return
@@ -135,10 +147,10 @@
 	p.mu.Lock()
 	leader := p.leader
 	p.mu.Unlock()
-	for i, one := range p.all.Processes {
+	for i, one := range p.meshOptions.Processes {
 		if s := world.SenderNo(i); one.Name == leader && h.Alive(s) {
 			h.Act(s, world.Kill)
-			h.After(max(restartIn, gone), func() { h.Act(s, world.Start) })
+			h.After(max(leaderRestartDelay, gone), func() { h.Act(s, world.Start) })
 		}
 	}
 }
--- a/lab/cluster/play/partner_test.go
+++ b/lab/cluster/play/partner_test.go
@@ -78,7 +78,7 @@
 			}
 			return text
 		},
-		Saw: func(now choice.Time, all []*status.Status) {
+		OnStatuses: func(now choice.Time, all []*status.Status) {
 			seen.saw(struck, all)
 			switch {
 			case now > seconds(from) && now < seconds(to):
@@ -91,11 +91,11 @@
 				}
 			}
 		},
-		Shown: func(_ choice.Time, s versions.Shown) { seen.shown(struck, s) }})
+		OnConfiguration: func(_ choice.Time, s versions.Shown) { seen.shown(struck, s) }})
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, b := range r.Breaks {
+	for _, b := range r.Breaches {
 		t.Errorf("%s: %s", b.Promise, b.What)
 	}
 	if newest := uint64(len(s.Changes)); seen.others != newest || !slices.Equal(seen.versions, []uint64{0, 1, newest}) && !slices.Equal(seen.versions, []uint64{1, newest}) {
--- a/lab/cluster/play/play.go
+++ b/lab/cluster/play/play.go
@@ -40,60 +40,55 @@
 	File func(s world.SenderNo, folder string, text []byte) []byte
 	// Every is how often the processes are asked; 0 for askEvery. Their answers count as their traffic.
 	Every time.Duration
-	// Saw hears what processes told, each time that they were asked; nil for none.
-	Saw func(now choice.Time, all []*status.Status)
-	// Shown hears what the first process told of the settings in common, each time that all were asked; nil for none.
-	Shown func(now choice.Time, s versions.Shown)
+	// OnStatuses hears what processes told, each time that they were asked; nil for none.
+	OnStatuses func(now choice.Time, all []*status.Status)
+	// OnConfiguration hears what the first process told of the settings in common, each time that all were asked; nil for none.
+	OnConfiguration func(now choice.Time, s versions.Shown)
 }
 
-// mostProcesses is how many one machine can run with a relay between any two.
-const mostProcesses = 60
+// maxProcesses is how many one machine can run with a relay between any two.
+const maxProcesses = 60
 
-// smallHold is how many of the four destinations a small process holds what it learnt of.
-const smallHold = 2
+// smallDestinations is how many of the four destinations a small process holds what it learnt of.
+const smallDestinations = 2
 
 // Result is what became of it.
 type Result struct {
 	*live.Result
-	Breaks  []judge.Break // of the cluster's promises
-	Excused int           // breaks of the referee's that the schedule itself asked for: an emptied folder
-	Epochs  int
-	Last    []*status.Status
-	Purges  []PurgeReport
-	Falls   []Fall
-	Changes []*ChangeReport
+	Breaches     []judge.Breach // of the cluster's promises
+	Excused      int            // breaks of the referee's that the schedule itself asked for: an emptied folder
+	Epochs       int
+	LastStatuses []*status.Status
+	Purges       []PurgeReport
+	Falls        []Fall
+	Changes      []*ChangeReport
 	// SettledMS is how long after the last fault all saw the same again.
 	SettledMS int64
 }
 
 // Each run looks for free ports in a range of its own: two that begin at once must not see the same ones free.
 const (
-	firstPort = 30000
-	morePorts = 25000 // a multiple of portsEach
-	portsEach = 500   // more than a mesh tries
+	firstPort   = 30000
+	portRange   = 25000 // a multiple of portsEach
+	portsPerRun = 500   // more than a mesh tries
 )
 
 var runs atomic.Int64
 
-// Run plays one.
+// Run plays a schedule.
 func Run(ctx context.Context, o Options) (*Result, error) {
-	if err := o.Schedule.Named(); err != nil {
+	if err := o.Schedule.CheckNamesProcesses(); err != nil {
 		return nil, err
 	}
-	if n := o.Schedule.Processes; n > mostProcesses {
-		return nil, fmt.Errorf("%d processes, %d at most", n, mostProcesses)
+	if n := o.Schedule.Processes; n > maxProcesses {
+		return nil, fmt.Errorf("%d processes, %d at most", n, maxProcesses)
 	}
 	if o.Uses == nil {
-		o.Uses = []string{"failover", "purges"}
-		if len(o.Schedule.Small) > 0 {
-			o.Uses = append(o.Uses, "popularity")
-		}
-		if len(o.Schedule.Changes) > 0 {
-			o.Uses = append(o.Uses, "configuration")
-		}
+		o.Uses = defaultUses(o.Schedule)
 	}
-	p := &player{o: o, s: o.Schedule, judge: judge.New(), kinds: map[choice.MessageID]kind{}, emptied: map[world.SenderNo]choice.Time{}}
-	spec := worldOf(p.s)
+	p := &player{options: o, schedule: o.Schedule, judge: judge.New(), accepted: map[choice.MessageID]acceptedMessage{},
+		emptied: map[world.SenderNo]choice.Time{}}
+	spec := worldOf(p.schedule)
 	if o.Spec != nil {
 		o.Spec(spec)
 	}
@@ -106,25 +101,44 @@
 		}
 		defer p.mesh.Close()
 	}
-	r, err := live.Run(ctx, live.Options{Spec: spec, Seed: p.s.Seed, Command: o.Command, Logs: o.Logs,
-		SenderArgs: p.with, Ledger: func(referee world.Ledger) world.Ledger { return &ear{referee, p} }, OnBegin: p.begun, KeepRunning: p.busy, AwaitReady: p.ready})
+	r, err := live.Run(ctx, live.Options{Spec: spec, Seed: p.schedule.Seed, Command: o.Command, Logs: o.Logs, SenderArgs: p.writeClusterFile,
+		Ledger:  func(referee world.Ledger) world.Ledger { return &ledgerTap{referee, p} },
+		OnBegin: p.onBegin, KeepRunning: p.keepRunning, AwaitReady: p.awaitLeader})
 	p.wait()
 	if err != nil {
 		return nil, err
 	}
-	out := &Result{Result: r, Last: p.last, Epochs: p.judge.Epochs(), Purges: p.report, SettledMS: p.settledMS}
-	out.Falls, out.Changes = p.falls, p.changes
+	return p.result(r), nil
+}
+
+// defaultUses are the parts of a cluster that a schedule needs.
+func defaultUses(s *schedule.Schedule) []string {
+	uses := []string{"failover", "purges"}
+	if len(s.Small) > 0 {
+		uses = append(uses, "popularity")
+	}
+	if len(s.Changes) > 0 {
+		uses = append(uses, "configuration")
+	}
+	return uses
+}
+
+// result adds the verdict on the cluster to that on the senders.
+func (p *player) result(r *live.Result) *Result {
+	out := &Result{Result: r, LastStatuses: p.lastStatuses, Epochs: p.judge.Epochs(), Purges: p.purgeReports, Falls: p.falls,
+		Changes: p.changeReports, SettledMS: p.settledMS}
 	out.Excused = p.excuse(r.Verdict)
-	if len(o.Uses) > 0 {
-		out.Breaks = p.judge.End(p.apart)
-		if p.refused != "" {
-			out.Breaks = append(out.Breaks, judge.Break{Promise: judge.Untold, What: p.refused})
-		}
-		if r.Void == "" {
-			out.Breaks = append(out.Breaks, p.unexpected(out.Epochs)...)
-		}
+	if len(p.options.Uses) == 0 {
+		return out
+	}
+	out.Breaches = p.judge.End(p.differences)
+	if p.refusal != "" {
+		out.Breaches = append(out.Breaches, judge.Breach{Promise: judge.Untold, What: p.refusal})
+	}
+	if r.Void == "" {
+		out.Breaches = append(out.Breaches, p.unexpected(out.Epochs)...)
 	}
-	return out, nil
+	return out
 }
 
 // excuse takes out of a verdict what a process lost that the schedule itself took the folder of.
@@ -133,7 +147,7 @@
 		at, is := p.emptied[world.SenderNo(b.Sender)]
 		// A breach is told when it is judged, up to a deadline later; it names its message first.
 		id, _, _ := strings.Cut(b.What, " ")
-		owed, known := p.kinds[choice.MessageID(id)]
+		owed, known := p.accepted[choice.MessageID(id)]
 		out := is && b.Rule == referee.Lost && known && owed.by == world.SenderNo(b.Sender) && owed.at <= at
 		if out {
 			v.Rules[b.Rule]--
@@ -180,45 +194,45 @@
 }
 
 func (p *player) openMesh() (err error) {
-	all := mesh.Options{Cluster: "lab", Uses: p.o.Uses}
-	if len(p.s.Small) > 0 {
-		all.Bounds = map[string]int{"small_destinations": smallHold}
+	all := mesh.Options{Cluster: "lab", Uses: p.options.Uses}
+	if len(p.schedule.Small) > 0 {
+		all.Bounds = map[string]int{"small_destinations": smallDestinations}
 	}
-	for i := range p.s.Processes {
-		zone := i % p.s.Zones
+	for i := range p.schedule.Processes {
+		zone := i % p.schedule.Zones
 		all.Processes = append(all.Processes, mesh.Process{Name: fmt.Sprintf("s%d", i), Zone: fmt.Sprintf("z%d", zone),
-			Region: fmt.Sprintf("r%d", zone%p.s.Regions), Small: slices.Contains(p.s.Small, i)})
+			Region: fmt.Sprintf("r%d", zone%p.schedule.Regions), Small: slices.Contains(p.schedule.Small, i)})
 	}
-	for i := range min(5, p.s.Processes, max(3, p.s.Processes/2*2-1)) {
-		if !slices.Contains(p.s.Small, i) && len(p.s.Founders) == 0 {
+	for i := range min(5, p.schedule.Processes, max(3, p.schedule.Processes/2*2-1)) {
+		if !slices.Contains(p.schedule.Small, i) && len(p.schedule.Founders) == 0 {
 			all.Founders = append(all.Founders, all.Processes[i].Name)
 		}
 	}
-	for _, i := range p.s.Founders {
+	for _, i := range p.schedule.Founders {
 		all.Founders = append(all.Founders, all.Processes[i].Name)
 	}
-	p.all = all
-	from := p.o.Port
+	p.meshOptions = all
+	from := p.options.Port
 	if from == 0 {
-		from = firstPort + (os.Getpid()*37+int(runs.Add(1)))*portsEach%morePorts
+		from = firstPort + (os.Getpid()*37+int(runs.Add(1)))*portsPerRun%portRange
 	}
 	p.mesh, err = mesh.Open(all, from)
 	return err
 }
 
-// with gives a process its cluster file.
-func (p *player) with(s world.SenderNo, home string) ([]string, error) {
+// writeClusterFile gives a process its cluster file.
+func (p *player) writeClusterFile(s world.SenderNo, home string) ([]string, error) {
 	if p.mesh == nil {
 		return nil, nil
 	}
 	folder := filepath.Join(home, "cluster")
 	p.folders = append(p.folders, folder)
-	text, err := p.mesh.File(int(s), folder)
+	text, err := p.mesh.ClusterFile(int(s), folder)
 	if err != nil {
 		return nil, err
 	}
-	if p.o.File != nil {
-		text = p.o.File(s, folder, text)
+	if p.options.File != nil {
+		text = p.options.File(s, folder, text)
 	}
 	path := filepath.Join(home, "cluster.toml")
 	return []string{"--cluster", path}, os.WriteFile(path, text, 0o644)
--- a/lab/cluster/play/play_test.go
+++ b/lab/cluster/play/play_test.go
@@ -63,7 +63,7 @@
 		logs = filepath.Join(logs, s.Name)
 		saw = timeline(t, logs, saw)
 	}
-	r, err := Run(ctx, Options{Schedule: s, Command: []string{binary, "serve"}, Logs: logs, Saw: saw, Every: every})
+	r, err := Run(ctx, Options{Schedule: s, Command: []string{binary, "serve"}, Logs: logs, OnStatuses: saw, Every: every})
 	if err != nil {
 		return nil, []string{err.Error()}
 	}
@@ -75,13 +75,13 @@
 	}
 	for _, p := range r.Purges {
 		t.Logf("%s: purge %s given at %d ms, decided %d ms and %q %d ms later, %d calls", s.Name, p.ID, p.Given/10,
-			(p.Decided-p.Given)/10, p.Whole, (p.Complete-p.Given)/10, p.Tries)
+			(p.Decided-p.Given)/10, p.State, (p.Complete-p.Given)/10, p.Attempts)
 	}
 	for _, c := range r.Changes {
 		t.Logf("%s: change %s given at %d ms, decided as version %d %d ms and in force everywhere %d ms later, %d calls", s.Name, c.ID,
-			c.Given/10, c.Version, (c.Decided-c.Given)/10, (c.InForce-c.Given)/10, c.Tries)
+			c.Given/10, c.Version, (c.Decided-c.Given)/10, (c.InForce-c.Given)/10, c.Attempts)
 	}
-	for _, b := range r.Breaks {
+	for _, b := range r.Breaches {
 		wrong = append(wrong, fmt.Sprintf("%s: %s", b.Promise, b.What))
 	}
 	if r.Fault != "" {
--- a/lab/cluster/play/purge.go
+++ b/lab/cluster/play/purge.go
@@ -7,84 +7,113 @@
 	"time"
 
 	"flaxcove/choice"
+	"flaxcove/lab/cluster/schedule"
 	"flaxcove/lab/live"
 )
 
-// This file gives purges to the processes.
+// This file orders purges from the processes.
 
+// States of a purge that is complete, as a process answers them.
 const (
-	purgeFor   = 40 * time.Second
-	purgeAgain = 300 * time.Millisecond
+	complete           = "complete"
+	completeWithLapsed = "complete with lapsed"
+)
+
+const (
+	purgeTimeout = 40 * time.Second
+	retryEvery   = 300 * time.Millisecond
+	// pollDecidedEvery is how often a decided purge is asked about: it is complete soon.
+	pollDecidedEvery = 50 * time.Millisecond
 )
 
 // PurgeReport is what a purge's caller was told, by the run's clock in tenths of a millisecond.
 type PurgeReport struct {
 	ID                       string
 	Given, Decided, Complete choice.Time
-	Tries                    int
-	Whole                    string
+	Attempts                 int
+	State                    string
 }
 
-// give hands a purge to a process, and to the next where that does not answer, until it is known to be decided; then
-// it asks until it is complete.
-func (p *player) give(ctx context.Context, h *live.RunControl, no int) {
-	order := &p.s.Purges[no]
-	id := fmt.Sprintf("%s-%d", p.s.Name, no)
-	p.judge.Opened(id, h.Now(), func(n choice.MessageID) bool {
-		k, known := p.kinds[n]
-		return order.Subject == "notices" && known && k.destination == order.Destination && (order.Class == "" || k.class == order.Class)
+// orderPurge orders a purge of the schedule and watches it until it is complete.
+func (p *player) orderPurge(ctx context.Context, run *live.RunControl, no int) {
+	order := &p.schedule.Purges[no]
+	id := fmt.Sprintf("%s-%d", p.schedule.Name, no)
+	p.judge.PurgeOrdered(id, run.Now(), func(n choice.MessageID) bool {
+		m, known := p.accepted[n]
+		return order.Subject == "notices" && known && m.destination == order.Destination && (order.Class == "" || m.class == order.Class)
 	})
-	report := PurgeReport{ID: id, Given: h.Now()}
-	body := map[string]any{"id": id, "subject": order.Subject, "who": "laboratory", "why": "schedule " + p.s.Name,
-		"match": map[string]any{"destination": order.Destination, "workload": order.Class}}
+	report := PurgeReport{ID: id, Given: run.Now()}
 	p.wg.Add(1)
 	go func() {
 		defer p.wg.Done()
-		deadline := time.Now().Add(purgeFor)
-		by, decided := order.By, false
-		var decidedIn, tries = time.Duration(0), 0
-		began := time.Now()
-		for ctx.Err() == nil && time.Now().Before(deadline) {
-			tries++
-			var answer struct {
-				State string `json:"state"`
-			}
-			var code int
-			if !decided {
-				code = p.ask(ctx, by, "POST", "/v1/purges", body, &answer)
-				decided = code == http.StatusAccepted || code == http.StatusOK
-				decidedIn = time.Since(began)
-			} else {
-				code = p.ask(ctx, by, "GET", "/v1/purges/"+id, nil, &answer)
-			}
-			if answer.State == "complete" || answer.State == "complete with lapsed" {
-				h.Post(func() {
-					report.Decided, report.Complete = report.Given+tenths(decidedIn), h.Now()
-					report.Tries, report.Whole = tries, answer.State
-					p.report = append(p.report, report)
-					p.judge.Complete(id, h.Now(), answer.State != "complete")
-					p.open--
-				})
-				return
+		purge := &purgeOrder{player: p, id: id, order: order, by: order.By, began: time.Now()}
+		state := purge.run(ctx)
+		run.Post(func() {
+			report.Attempts = purge.attempts
+			if state != "" {
+				report.Decided, report.Complete = report.Given+tenths(purge.decidedIn), run.Now()
+				report.State = state
+				p.judge.PurgeComplete(id, run.Now(), state != complete)
 			}
-			if code/100 != 2 {
-				by = (by + 1) % p.s.Processes
-			}
-			wait := purgeAgain
-			if decided {
-				wait = 50 * time.Millisecond
-			}
-			select {
-			case <-ctx.Done():
-			case <-time.After(wait):
-			}
-		}
-		h.Post(func() {
-			report.Tries = tries
-			p.report = append(p.report, report)
-			p.open--
+			p.purgeReports = append(p.purgeReports, report)
+			p.openOrders--
 		})
 	}()
 }
 
+// purgeOrder is one purge on its way to be complete.
+type purgeOrder struct {
+	player    *player
+	id        string
+	order     *schedule.Purge
+	by        int // the process that is asked
+	began     time.Time
+	attempts  int
+	decided   bool
+	decidedIn time.Duration
+}
+
+// run hands the purge to a process, and to the next one where that does not answer, until it is known to be decided; then
+// it polls until the purge is complete. It returns the final state, or "" if the time was over before.
+func (o *purgeOrder) run(ctx context.Context) (state string) {
+	deadline := time.Now().Add(purgeTimeout)
+	for ctx.Err() == nil && time.Now().Before(deadline) {
+		state, code := o.ask(ctx)
+		if state == complete || state == completeWithLapsed {
+			return state
+		}
+		if code/100 != 2 {
+			o.by = (o.by + 1) % o.player.schedule.Processes
+		}
+		wait := retryEvery
+		if o.decided {
+			wait = pollDecidedEvery
+		}
+		select {
+		case <-ctx.Done():
+		case <-time.After(wait):
+		}
+	}
+	return ""
+}
+
+// ask orders the purge, or asks for its state once it is decided. It returns the state that was answered.
+func (o *purgeOrder) ask(ctx context.Context) (state string, code int) {
+	o.attempts++
+	var answer struct {
+		State string `json:"state"`
+	}
+	if o.decided {
+		code = o.player.ask(ctx, o.by, "GET", "/v1/purges/"+o.id, nil, &answer)
+		return answer.State, code
+	}
+	body := map[string]any{"id": o.id, "subject": o.order.Subject, "who": "laboratory", "why": "schedule " + o.player.schedule.Name,
+		"match": map[string]any{"destination": o.order.Destination, "workload": o.order.Class}}
+	code = o.player.ask(ctx, o.by, "POST", "/v1/purges", body, &answer)
+	o.decided = code == http.StatusAccepted || code == http.StatusOK
+	o.decidedIn = time.Since(o.began)
+	return answer.State, code
+}
+
+// tenths converts to the unit of choice.Time, tenths of a millisecond.
 func tenths(d time.Duration) choice.Time { return choice.Time(d / (100 * time.Microsecond)) }
--- a/lab/cluster/play/watch.go
+++ b/lab/cluster/play/watch.go
@@ -23,13 +23,13 @@
 // This file asks the processes, from outside and past all relays, what they see.
 
 const (
-	askEvery  = 150 * time.Millisecond
-	askFor    = 700 * time.Millisecond
-	settleFor = 40 * time.Second // after the last fault, before what still differs is a break
+	askEvery      = 150 * time.Millisecond
+	askTimeout    = 700 * time.Millisecond
+	settleTimeout = 40 * time.Second // after the last fault, before what still differs is a break
 )
 
-// kind is what a purge is matched by, of what a process took on.
-type kind struct {
+// acceptedMessage is what a purge is matched by, of what a process took on.
+type acceptedMessage struct {
 	destination int
 	class       string
 	by          world.SenderNo
@@ -37,62 +37,62 @@
 }
 
 type player struct {
-	o       Options
-	s       *schedule.Schedule
-	spec    *world.Spec
-	mesh    *mesh.Mesh
-	all     mesh.Options
-	folders []string
-	client  http.Client
-	wg      sync.WaitGroup
-	stop    context.CancelFunc
+	options     Options
+	schedule    *schedule.Schedule
+	spec        *world.Spec
+	mesh        *mesh.Mesh
+	meshOptions mesh.Options
+	folders     []string
+	client      http.Client
+	wg          sync.WaitGroup
+	stop        context.CancelFunc
 
 	// What follows belongs to the world's goroutine.
-	judge     *judge.Judge
-	kinds     map[choice.MessageID]kind
-	emptied   map[world.SenderNo]choice.Time
-	report    []PurgeReport
-	last      []*status.Status
-	apart     []string
-	settled   bool
-	settledMS int64
-	open      int // purges that are not complete
-	falls     []Fall
-	changes   []*ChangeReport
-	shown     versions.Shown
-	now       choice.Time // when last was heard
+	judge         *judge.Judge
+	accepted      map[choice.MessageID]acceptedMessage
+	emptied       map[world.SenderNo]choice.Time
+	purgeReports  []PurgeReport
+	lastStatuses  []*status.Status
+	differences   []string
+	settled       bool
+	settledMS     int64
+	openOrders    int // purges that are not complete
+	falls         []Fall
+	changeReports []*ChangeReport
+	shown         versions.Shown
+	now           choice.Time // when last was heard
 
 	mu      sync.Mutex
 	leader  string
-	refused string // a change that was, and why
+	refusal string // a change that was, and why
 }
 
-// ear hears the ledger before the referee does.
-type ear struct {
+// ledgerTap hears the ledger before the referee does.
+type ledgerTap struct {
 	world.Ledger
-	p *player
+	player *player
 }
 
-func (e *ear) HandInAnswered(h *world.HandIn, what world.HandInAnswer) {
+func (e *ledgerTap) HandInAnswered(h *world.HandIn, what world.HandInAnswer) {
 	if what == world.HandInAccepted {
-		e.p.kinds[h.ID] = kind{int(h.Request.Partner), h.Request.Class.Name, h.Sender, h.At}
-		e.p.judge.Taken(h.ID, h.At)
+		e.player.accepted[h.ID] = acceptedMessage{int(h.Request.Partner), h.Request.Class.Name, h.Sender, h.At}
+		e.player.judge.Accepted(h.ID, h.At)
 	}
 	e.Ledger.HandInAnswered(h, what)
 }
 
-func (e *ear) CallSent(c *world.Call) {
+func (e *ledgerTap) CallSent(c *world.Call) {
 	for _, h := range c.Messages {
-		e.p.judge.Began(h.ID, c.SentAt)
+		e.player.judge.CallSent(h.ID, c.SentAt)
 	}
 	e.Ledger.CallSent(c)
 }
 
-// ready waits until all know who leads the council.
-func (p *player) ready(ctx context.Context) {
-	for p.mesh != nil && !p.s.AtOnce && ctx.Err() == nil {
+// awaitLeader waits until all know who leads the council.
+func (p *player) awaitLeader(ctx context.Context) {
+	for p.mesh != nil && !p.schedule.AtOnce && ctx.Err() == nil {
 		all := p.askAll(ctx)
-		if len(all) == p.s.Processes && !slices.ContainsFunc(all, func(s *status.Status) bool { return s.Leader == "" }) {
+		if len(all) == p.schedule.Processes && !slices.ContainsFunc(all, func(s *status.Status) bool { return s.Leader == "" }) {
 			return
 		}
 		select {
@@ -102,28 +102,28 @@
 	}
 }
 
-func (p *player) begun(h *live.RunControl) {
-	p.spec, p.falls = h.World().Spec, fallsOf(p.s)
+func (p *player) onBegin(h *live.RunControl) {
+	p.spec, p.falls = h.World().Spec, fallsOf(p.schedule)
 	if p.mesh == nil {
 		return
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	p.stop = stop
-	p.plan(h)
+	p.planFaults(h)
 	p.wg.Add(1)
 	go p.watch(ctx, h)
-	for i := range p.s.Changes {
-		p.open++
-		h.After(seconds(p.s.Changes[i].At), func() { p.order(ctx, h, i) })
+	for i := range p.schedule.Changes {
+		p.openOrders++
+		h.After(seconds(p.schedule.Changes[i].At), func() { p.orderChange(ctx, h, i) })
 	}
-	for i := range p.s.Purges {
-		p.open++
-		h.After(seconds(p.s.Purges[i].At), func() { p.give(ctx, h, i) })
+	for i := range p.schedule.Purges {
+		p.openOrders++
+		h.After(seconds(p.schedule.Purges[i].At), func() { p.orderPurge(ctx, h, i) })
 	}
 }
 
-func (p *player) busy() bool {
-	return p.mesh != nil && (!p.settled || p.open > 0 || p.awaitsNear()) && p.apart == nil
+func (p *player) keepRunning() bool {
+	return p.mesh != nil && (!p.settled || p.openOrders > 0 || p.awaitsNear()) && p.differences == nil
 }
 
 func (p *player) wait() {
@@ -139,19 +139,19 @@
 	defer p.wg.Done()
 	for ctx.Err() == nil {
 		all := p.askAll(ctx)
-		h.Post(func() { p.saw(h, all) })
-		if p.o.Shown != nil {
+		h.Post(func() { p.judgeStatuses(h, all) })
+		if p.options.OnConfiguration != nil {
 			p.askShown(ctx, h)
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(cmp.Or(p.o.Every, askEvery)):
+		case <-time.After(cmp.Or(p.options.Every, askEvery)):
 		}
 	}
 }
 
 func (p *player) askAll(ctx context.Context) (all []*status.Status) {
-	answers := make([]*status.Status, p.s.Processes)
+	answers := make([]*status.Status, p.schedule.Processes)
 	var wg sync.WaitGroup
 	for i := range answers {
 		wg.Add(1)
@@ -174,7 +174,7 @@
 
 // ask is one call to a process's own listener; 0 where no answer came.
 func (p *player) ask(ctx context.Context, i int, method, path string, in, out any) int {
-	ctx, cancel := context.WithTimeout(ctx, askFor)
+	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
 	body, _ := json.Marshal(in)
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+p.mesh.HTTP(i)+path, bytes.NewReader(body))
@@ -193,11 +193,11 @@
 	return resp.StatusCode
 }
 
-// saw judges what was told; on the world's goroutine.
-func (p *player) saw(h *live.RunControl, all []*status.Status) {
+// judgeStatuses judges what was told; on the world's goroutine.
+func (p *player) judgeStatuses(h *live.RunControl, all []*status.Status) {
 	votes := map[string]int{}
 	for _, s := range all {
-		p.judge.Saw(s)
+		p.judge.Status(s)
 		votes[string(s.Leader)]++
 	}
 	p.mu.Lock()
@@ -207,29 +207,29 @@
 		}
 	}
 	p.mu.Unlock()
-	p.last = all
+	p.lastStatuses = all
 	p.now = h.Now()
-	p.fell(p.now, all)
-	p.inForce(p.now, all)
-	if p.o.Saw != nil {
-		p.o.Saw(h.Now(), all)
+	p.measureFalls(p.now, all)
+	p.noteInForce(p.now, all)
+	if p.options.OnStatuses != nil {
+		p.options.OnStatuses(h.Now(), all)
 	}
-	healed := seconds(p.s.Healed())
+	healed := seconds(p.schedule.LastFaultEnd())
 	if h.Now() <= healed || p.settled && len(p.behind(all)) == 0 {
 		return
 	}
 	p.settled = false // a change that was decided later is awaited, too
-	why := append(judge.Settled(all, p.s.Processes, p.uses("failover")), p.behind(all)...)
-	late := h.Now()-healed > choice.Time(settleFor/(100*time.Microsecond))
+	why := append(judge.Differences(all, p.schedule.Processes, p.uses("failover")), p.behind(all)...)
+	late := h.Now()-healed > choice.Time(settleTimeout/(100*time.Microsecond))
 	if len(why) == 0 {
 		p.settled, p.settledMS = true, int64((h.Now()-healed)/choice.Millisecond)
 	} else if late {
-		p.apart = why
+		p.differences = why
 	}
 }
 
 func (p *player) uses(what string) bool {
-	for _, use := range p.o.Uses {
+	for _, use := range p.options.Uses {
 		if use == what {
 			return true
 		}
--- a/lab/cluster/rate/process.go
+++ b/lab/cluster/rate/process.go
@@ -125,7 +125,7 @@
 }
 
 func (s *senders) writeClusterFile(path string, no int, folder string) error {
-	text, err := s.mesh.File(no, folder)
+	text, err := s.mesh.ClusterFile(no, folder)
 	if err != nil {
 		return err
 	}
--- a/lab/cluster/relay/datagram.go
+++ b/lab/cluster/relay/datagram.go
@@ -8,6 +8,9 @@
 
 // This file carries datagrams: each sender has a port of its own towards the other, so that answers find back.
 
+const maxDatagram = 64 << 10
+
+// flow is one sender of datagrams, with the port that it is served from.
 type flow struct {
 	out   *net.UDPConn
 	heard time.Time
@@ -15,7 +18,7 @@
 
 func (r *Relay) datagrams() {
 	defer r.wg.Done()
-	buf := make([]byte, 64<<10)
+	buf := make([]byte, maxDatagram)
 	for {
 		n, from, err := r.udp.ReadFromUDP(buf)
 		if err != nil {
@@ -25,7 +28,7 @@
 		if f == nil {
 			continue
 		}
-		r.send(append([]byte(nil), buf[:n]...), Forth, func(b []byte) { f.out.Write(b) })
+		r.send(append([]byte(nil), buf[:n]...), Forward, func(b []byte) { f.out.Write(b) })
 	}
 }
 
@@ -42,6 +45,8 @@
 	time.AfterFunc(f.Delay, func() { write(b) })
 }
 
+// flow is the flow of a sender, a new one if it has none. It is nil if the relay is closed, has too many flows or cannot
+// open one.
 func (r *Relay) flow(from *net.UDPAddr) *flow {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -50,13 +55,8 @@
 		f.heard = now
 		return f
 	}
-	for key, f := range r.flows {
-		if now.Sub(f.heard) > idleFlow {
-			f.out.Close()
-			delete(r.flows, key)
-		}
-	}
-	if r.closed || len(r.flows) >= mostFlow {
+	r.closeIdleFlows(now)
+	if r.closed || len(r.flows) >= maxFlows {
 		return nil
 	}
 	to, err := net.ResolveUDPAddr("udp", r.target)
@@ -72,19 +72,34 @@
 	r.wg.Add(1)
 	go func() {
 		defer r.wg.Done()
-		buf := make([]byte, 64<<10)
-		for {
-			n, err := out.Read(buf)
-			if err != nil {
-				if err, is := err.(net.Error); is && !err.Timeout() && !isClosed(err) {
-					continue // nobody listens there now: told by the system for an earlier datagram
-				}
-				return
-			}
-			r.send(append([]byte(nil), buf[:n]...), Back, func(b []byte) { r.udp.WriteToUDP(b, from) })
-		}
+		r.answers(out, from)
 	}()
 	return f
 }
 
+// closeIdleFlows closes the flows of senders that were not heard for flowIdleTimeout. The caller holds mu.
+func (r *Relay) closeIdleFlows(now time.Time) {
+	for key, f := range r.flows {
+		if now.Sub(f.heard) > flowIdleTimeout {
+			f.out.Close()
+			delete(r.flows, key)
+		}
+	}
+}
+
+// answers carries what comes back on a flow until it is closed.
+func (r *Relay) answers(out *net.UDPConn, to *net.UDPAddr) {
+	buf := make([]byte, maxDatagram)
+	for {
+		n, err := out.Read(buf)
+		if err != nil {
+			if err, is := err.(net.Error); is && !err.Timeout() && !isClosed(err) {
+				continue // the system reports that nobody listened for an earlier datagram
+			}
+			return
+		}
+		r.send(append([]byte(nil), buf[:n]...), Backward, func(b []byte) { r.udp.WriteToUDP(b, to) })
+	}
+}
+
 func isClosed(err error) bool { return errors.Is(err, net.ErrClosed) }
--- a/lab/cluster/relay/relay.go
+++ b/lab/cluster/relay/relay.go
@@ -33,16 +33,16 @@
 type Direction int
 
 const (
-	Forth Direction = iota // from whom the relay serves to the other
-	Back
+	Forward Direction = iota // from whom the relay serves to the other
+	Backward
 )
 
 const (
-	piece    = 16 << 10
-	dialFor  = time.Second
-	idleFlow = 30 * time.Second // a UDP sender not heard for so long is forgotten
-	mostFlow = 64
-	look     = 5 * time.Millisecond // how often a stalled direction looks whether it is over
+	chunkBytes      = 16 << 10
+	dialTimeout     = time.Second
+	flowIdleTimeout = 30 * time.Second // a UDP sender not heard for so long is forgotten
+	maxFlows        = 64
+	pollEvery       = 5 * time.Millisecond // how often a stalled direction looks whether it is over
 )
 
 // Relay is one way. Its methods may be called from any goroutine.
@@ -119,8 +119,8 @@
 	return r.faults[d], r.closed
 }
 
-// hold keeps a goroutine back while its direction is stalled, or late; false says to lose what it has.
-func (r *Relay) hold(d Direction) bool {
+// waitForFault keeps a goroutine back while its direction is stalled, or late; false says to lose what it has.
+func (r *Relay) waitForFault(d Direction) bool {
 	late := time.Time{}
 	for {
 		f, closed := r.fault(d)
@@ -128,13 +128,13 @@
 		case closed:
 			return false
 		case f.Stall:
-			time.Sleep(look)
+			time.Sleep(pollEvery)
 		case f.Drop:
 			return false
 		case f.Delay > 0 && late.IsZero():
 			late = time.Now().Add(f.Delay)
 		case !late.IsZero() && time.Now().Before(late):
-			time.Sleep(min(look, time.Until(late)))
+			time.Sleep(min(pollEvery, time.Until(late)))
 		default:
 			return true
 		}
--- a/lab/cluster/relay/relay_test.go
+++ b/lab/cluster/relay/relay_test.go
@@ -81,7 +81,7 @@
 
 func TestFaults(t *testing.T) {
 	const long, short = 5 * time.Second, 60 * time.Millisecond
-	for _, d := range []Direction{Forth, Back} {
+	for _, d := range []Direction{Forward, Backward} {
 		r := open(t)
 		for _, network := range []string{"tcp", "udp"} {
 			c := dial(t, network, r)
@@ -112,7 +112,7 @@
 		}
 	}
 	r := open(t)
-	r.Set(Forth, Fault{Refuse: true})
+	r.Set(Forward, Fault{Refuse: true})
 	c, err := net.Dial("tcp", r.Addr())
 	if err == nil { // the reset may come as soon as that
 		t.Cleanup(func() { c.Close() })
--- a/lab/cluster/relay/stream.go
+++ b/lab/cluster/relay/stream.go
@@ -14,7 +14,7 @@
 		if err != nil {
 			return
 		}
-		if f, _ := r.fault(Forth); f.Refuse || !r.keep(in) {
+		if f, _ := r.fault(Forward); f.Refuse || !r.register(in) {
 			in.(*net.TCPConn).SetLinger(0)
 			in.Close()
 			continue
@@ -24,8 +24,8 @@
 	}
 }
 
-// keep has a connection end with the relay; false if that is over already.
-func (r *Relay) keep(c net.Conn) bool {
+// register has a connection end with the relay; false if that is over already.
+func (r *Relay) register(c net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.closed {
@@ -34,7 +34,7 @@
 	return !r.closed
 }
 
-func (r *Relay) drop(c net.Conn) {
+func (r *Relay) unregister(c net.Conn) {
 	r.mu.Lock()
 	delete(r.conns, c)
 	r.mu.Unlock()
@@ -43,48 +43,48 @@
 
 func (r *Relay) serve(in net.Conn) {
 	defer r.wg.Done()
-	defer r.drop(in)
-	if !r.hold(Forth) {
+	defer r.unregister(in)
+	if !r.waitForFault(Forward) {
 		io.Copy(io.Discard, in) // cut off: it hears nothing until it gives up
 		return
 	}
-	out, err := net.DialTimeout("tcp", r.target, dialFor)
+	out, err := net.DialTimeout("tcp", r.target, dialTimeout)
 	if err != nil {
 		in.(*net.TCPConn).SetLinger(0)
 		return
 	}
-	if !r.keep(out) {
+	if !r.register(out) {
 		out.Close()
 		return
 	}
-	defer r.drop(out)
+	defer r.unregister(out)
 	done := make(chan struct{})
 	r.wg.Add(1)
 	go func() {
 		defer r.wg.Done()
 		defer close(done)
-		r.carry(in, out, Back)
+		r.copyDirection(in, out, Backward)
 	}()
-	r.carry(out, in, Forth)
+	r.copyDirection(out, in, Forward)
 	<-done
 }
 
-// carry hands on what comes from one to another. Bytes that were lost once make the rest of their stream worthless, so
+// copyDirection hands on what comes from one to another. Bytes that were lost once make the rest of their stream worthless, so
 // it is silent from then on, also after the cut is over, until an end gives up: as on a network that forgets a flow.
-func (r *Relay) carry(to, from net.Conn, d Direction) {
+func (r *Relay) copyDirection(to, from net.Conn, d Direction) {
 	defer to.Close()
 	defer from.Close()
-	buf := make([]byte, piece)
+	buf := make([]byte, chunkBytes)
 	for {
 		n, err := from.Read(buf)
 		if err != nil {
-			if r.hold(d) {
+			if r.waitForFault(d) {
 				return
 			}
 			io.Copy(io.Discard, to) // an end that is cut off is not told either
 			return
 		}
-		if !r.hold(d) {
+		if !r.waitForFault(d) {
 			io.Copy(io.Discard, from)
 			return
 		}
--- a/lab/cluster/schedule/schedule.go
+++ b/lab/cluster/schedule/schedule.go
@@ -110,8 +110,8 @@
 	return out.Bytes(), err
 }
 
-// Named tells whether all faults name their processes one by one, as a player of few processes takes them.
-func (s *Schedule) Named() error {
+// CheckNamesProcesses tells whether all faults name their processes one by one, as a player of few processes takes them.
+func (s *Schedule) CheckNamesProcesses() error {
 	for i, f := range s.Faults {
 		if f.Select != (Selection{}) || FleetKinds[f.Kind] != "" {
 			return fmt.Errorf("fault[%d]: %q with drawn processes is for large fleets", i, f.Kind)
@@ -120,8 +120,8 @@
 	return nil
 }
 
-// Healed is when the last fault is over, in seconds.
-func (s *Schedule) Healed() (at float64) {
+// LastFaultEnd is when the last fault is over, in seconds.
+func (s *Schedule) LastFaultEnd() (at float64) {
 	for _, f := range s.Faults {
 		at = max(at, f.At+f.Seconds)
 	}
--- a/lab/cluster/schedule/schedule_test.go
+++ b/lab/cluster/schedule/schedule_test.go
@@ -29,8 +29,8 @@
 		if diff := cmp.Diff(s, Draw(seed, size)); diff != "" {
 			t.Errorf("seed %d drawn anew: %s", seed, diff)
 		}
-		if s.Healed() > size.Seconds-2 {
-			t.Errorf("seed %d: a fault ends at %g", seed, s.Healed())
+		if s.LastFaultEnd() > size.Seconds-2 {
+			t.Errorf("seed %d: a fault ends at %g", seed, s.LastFaultEnd())
 		}
 		for _, f := range s.Faults {
 			kinds[f.Kind] = true
--- a/lab/cluster/schedule/select.go
+++ b/lab/cluster/schedule/select.go
@@ -17,12 +17,12 @@
 	OverS float64 `toml:"over_s"`
 }
 
-// Places tell where a process is; zones and regions count from 1.
-type Places struct{ Zone, Region func(process int) int }
+// Locations tell where a process is; zones and regions count from 1.
+type Locations struct{ Zone, Region func(process int) int }
 
-// Struck are the processes that a fault strikes: those it names, or else those that it selects, drawn from the
+// Affected are the processes that a fault strikes: those it names, or else those that it selects, drawn from the
 // schedule's seed where they are a part.
-func (s *Schedule) Struck(f *Fault, at Places) []int {
+func (s *Schedule) Affected(f *Fault, at Locations) []int {
 	if len(f.From) > 0 || f.Select == (Selection{}) {
 		return f.From
 	}
--- a/lab/scale/faults.go
+++ b/lab/scale/faults.go
@@ -14,12 +14,12 @@
 
 // This file plays a schedule's faults, one after the other in the order of their times.
 
-func (r *run) places() schedule.Places {
+func (r *run) places() schedule.Locations {
 	number := func(text string) int {
 		n, _ := strconv.Atoi(text[1:])
 		return n + 1
 	}
-	return schedule.Places{Zone: func(i int) int { return number(string(r.fleet.Members[i].Zone)) },
+	return schedule.Locations{Zone: func(i int) int { return number(string(r.fleet.Members[i].Zone)) },
 		Region: func(i int) int { return number(string(r.fleet.Members[i].Region)) }}
 }
 
@@ -31,7 +31,7 @@
 		if !sleep(ctx, time.Until(began.Add(seconds(f.At)))) {
 			return ctx.Err()
 		}
-		if err := r.fault(ctx, f, s.Struck(f, r.places())); err != nil {
+		if err := r.fault(ctx, f, s.Affected(f, r.places())); err != nil {
 			return fmt.Errorf("fault[%d]: %w", i, err)
 		}
 	}
--- a/lab/scale/real.go
+++ b/lab/scale/real.go
@@ -130,8 +130,8 @@
 // cutReal has the relays lose all, or carry all again.
 func (r *run) cutReal(lost bool) {
 	for _, one := range r.real.relays {
-		one.Set(relay.Forth, relay.Fault{Drop: lost})
-		one.Set(relay.Back, relay.Fault{Drop: lost})
+		one.Set(relay.Forward, relay.Fault{Drop: lost})
+		one.Set(relay.Backward, relay.Fault{Drop: lost})
 	}
 }
 
--- a/lab/scale/scale_test.go
+++ b/lab/scale/scale_test.go
@@ -113,7 +113,7 @@
 		f := fleet.Plan(fleet.Size{Members: s.Processes, Real: 8, Zones: s.Zones, Regions: s.Regions, Large: 3})
 		r := &run{fleet: f}
 		for i := range s.Faults {
-			struck := s.Struck(&s.Faults[i], r.places())
+			struck := s.Affected(&s.Faults[i], r.places())
 			if k := s.Faults[i].Kind; (k == "kill" || k == "cut") && len(struck) == 0 {
 				t.Errorf("%s: strikes nobody", name)
 			}
