--- a/lab/report/html.go
+++ b/lab/report/html.go
@@ -1,6 +1,7 @@
 package report
 
-// This file owns the page and its template, which names fields of verdicts. It must never fetch anything, nor need a script.
+// This file has the page and its template, which names fields of verdicts. The page must not load anything, nor need a
+// script.
 
 import (
 	"cmp"
@@ -150,7 +151,11 @@
 
 // runPartOf is what is shown of one run.
 func runPartOf(verdict *referee.Verdict) (runPart, error) {
-	rates, latency, err := overTime(verdict)
+	rates, err := ratesPlot(verdict)
+	if err != nil {
+		return runPart{}, err
+	}
+	latency, err := latencyPlot(verdict)
 	if err != nil {
 		return runPart{}, err
 	}
--- a/lab/report/plots.go
+++ b/lab/report/plots.go
@@ -1,6 +1,6 @@
 package report
 
-// This file owns the plots of a page, as SVG elements. It must never hang on the order of a map.
+// This file draws the plots of a run as SVG elements. A plot must not depend on the order of a map.
 
 import (
 	"bytes"
@@ -14,11 +14,10 @@
 	"gonum.org/v1/plot/vg/draw"
 	"gonum.org/v1/plot/vg/vgsvg"
 
-	"flaxcove/lab/experiment"
 	"flaxcove/lab/referee"
 )
 
-// Colours that can be told apart without seeing red from green.
+// Colours that can be distinguished by readers who do not tell red from green.
 var (
 	blue   = color.RGBA{0x00, 0x72, 0xb2, 0xff}
 	orange = color.RGBA{0xd5, 0x5e, 0x00, 0xff}
@@ -34,7 +33,7 @@
 	plotHeight = 7 * vg.Centimeter
 )
 
-// svg draws a plot as an element of a page. Its size goes, its proportions stay, so that it fits a narrow window.
+// svg draws a plot as an element of a page. It has proportions but no fixed size, so that it fits a narrow window.
 func svg(p *plot.Plot, height vg.Length) (string, error) {
 	c := vgsvg.New(plotWidth, height)
 	p.Draw(draw.New(c))
@@ -82,8 +81,8 @@
 	return nil
 }
 
-// shadeTroubles marks the times of faults, behind all else.
-func shadeTroubles(p *plot.Plot, spans []referee.Span, top float64) error {
+// shadeFaults marks the times of faults, behind everything else.
+func shadeFaults(p *plot.Plot, spans []referee.Span, top float64) error {
 	for _, s := range spans {
 		area, err := plotter.NewPolygon(plotter.XYs{{X: s.From, Y: 0}, {X: s.To, Y: 0}, {X: s.To, Y: top}, {X: s.From, Y: top}})
 		if err != nil {
@@ -95,53 +94,73 @@
 	return nil
 }
 
-// overTime plots the outcomes and the latency of a run.
-func overTime(v *referee.Verdict) (rates, latency string, err error) {
-	var asked, done, shed, given, refused, p50, p99 plotter.XYs
-	top, topMS := 1.0, 1.0
-	for i, s := range v.Seconds[:max(0, len(v.Seconds)-1)] {
-		x := float64(i) + 0.5
-		at := func(n int) plotter.XY { return plotter.XY{X: x, Y: float64(n)} }
-		asked, done, shed, given, refused = append(asked, at(s.Asked)), append(done, at(s.Delivered)), append(shed, at(s.Shed)),
-			append(given, at(s.Failed)), append(refused, at(s.Refused+s.FailedCalls))
+// ratesPlot shows the outcomes of a run by second.
+func ratesPlot(v *referee.Verdict) (string, error) {
+	curves := []struct {
+		name  string
+		color color.Color
+		count func(*referee.Second) int
+	}{
+		{"asked", grey, func(s *referee.Second) int { return s.Asked }},
+		{"delivered", blue, func(s *referee.Second) int { return s.Delivered }},
+		{"shed", orange, func(s *referee.Second) int { return s.Shed }},
+		{"given up", purple, func(s *referee.Second) int { return s.Failed }},
+		{"calls refused or failed", green, func(s *referee.Second) int { return s.Refused + s.FailedCalls }},
+	}
+	seconds := wholeSeconds(v)
+	top := 1.0
+	for _, s := range seconds {
 		top = max(top, float64(s.Asked), float64(s.Delivered), float64(s.Refused+s.FailedCalls))
-		if s.Delivered > 0 {
-			p50, p99 = append(p50, plotter.XY{X: x, Y: s.P50}), append(p99, plotter.XY{X: x, Y: s.P99})
-			topMS = max(topMS, s.P99)
-		}
 	}
 	p := newPlot("seconds", "a second")
-	if err := shadeTroubles(p, v.Faults, top); err != nil {
-		return "", "", err
+	if err := shadeFaults(p, v.Faults, top); err != nil {
+		return "", err
 	}
-	for i, l := range []struct {
-		name string
-		xys  plotter.XYs
-	}{{"asked", asked}, {"delivered", done}, {"shed", shed}, {"given up", given}, {"calls refused or failed", refused}} {
-		if err := line(p, l.name, []color.Color{grey, blue, orange, purple, green}[i], l.xys); err != nil {
-			return "", "", err
+	for _, curve := range curves {
+		var xys plotter.XYs
+		for i := range seconds {
+			xys = append(xys, plotter.XY{X: float64(i) + 0.5, Y: float64(curve.count(&seconds[i]))})
+		}
+		if err := line(p, curve.name, curve.color, xys); err != nil {
+			return "", err
 		}
 	}
-	p.X.Min, p.Y.Min, p.Y.Max = 0, 0, top*1.7 // room for the legend above the lines
-	if rates, err = svg(p, plotHeight); err != nil {
-		return "", "", err
+	p.X.Min, p.Y.Min, p.Y.Max = 0, 0, top*1.7 // with space for the legend above the lines
+	return svg(p, plotHeight)
+}
+
+// latencyPlot shows the time to delivery in a run by second.
+func latencyPlot(v *referee.Verdict) (string, error) {
+	var p50, p99 plotter.XYs
+	topMS := 1.0
+	for i, s := range wholeSeconds(v) {
+		if s.Delivered == 0 {
+			continue
+		}
+		x := float64(i) + 0.5
+		p50, p99 = append(p50, plotter.XY{X: x, Y: s.P50}), append(p99, plotter.XY{X: x, Y: s.P99})
+		topMS = max(topMS, s.P99)
 	}
-	q := newPlot("seconds", "ms to delivery")
-	if err := shadeTroubles(q, v.Faults, topMS*1.2); err != nil {
-		return "", "", err
+	p := newPlot("seconds", "ms to delivery")
+	if err := shadeFaults(p, v.Faults, topMS*1.2); err != nil {
+		return "", err
 	}
-	if err := line(q, "half of them", blue, p50); err != nil {
-		return "", "", err
+	if err := line(p, "half of them", blue, p50); err != nil {
+		return "", err
 	}
-	if err := line(q, "all but one in a hundred", orange, p99); err != nil {
-		return "", "", err
+	if err := line(p, "all but one in a hundred", orange, p99); err != nil {
+		return "", err
 	}
-	q.X.Min, q.Y.Min, q.Y.Max = 0, 0, topMS*1.4
-	latency, err = svg(q, plotHeight)
-	return rates, latency, err
+	p.X.Min, p.Y.Min, p.Y.Max = 0, 0, topMS*1.4
+	return svg(p, plotHeight)
 }
 
-// returnsPlot shows the load on endpoints that came back, in times of what would push them over.
+// wholeSeconds is the timeline without its last entry, which also holds what came after the end of the run.
+func wholeSeconds(v *referee.Verdict) []referee.Second {
+	return v.Seconds[:max(0, len(v.Seconds)-1)]
+}
+
+// returnsPlot shows the load on endpoints in slow start, as a multiple of the load above which they fall over.
 func returnsPlot(v *referee.Verdict) (string, error) {
 	p := newPlot("seconds", "load over bound")
 	top := 1.1
@@ -174,102 +193,6 @@
 	return svg(p, plotHeight)
 }
 
-// errorBars are differences with their intervals.
-type errorBars struct {
-	plotter.XYs
-	plotter.XErrors
-}
-
-// differencePlot shows each scenario's difference and its interval for one variant and size.
-func differencePlot(rows []experiment.Difference) (string, error) {
-	p := newPlot("difference of the figure", "")
-	var points errorBars
-	var names []string
-	for i := range rows {
-		d := &rows[len(rows)-1-i]
-		name := d.Scenario
-		if name == "" {
-			name = "all together"
-		}
-		names = append(names, name)
-		points.XYs = append(points.XYs, plotter.XY{X: d.Mean, Y: float64(i)})
-		points.XErrors = append(points.XErrors, struct{ Low, High float64 }{d.Mean - d.Low, d.High - d.Mean})
-		if !d.Known {
-			points.XErrors[i] = struct{ Low, High float64 }{}
-		}
-	}
-	bars, err := plotter.NewXErrorBars(points)
-	if err != nil {
-		return "", err
-	}
-	bars.LineStyle.Color, bars.LineStyle.Width = grey, vg.Points(1.5)
-	dots, err := plotter.NewScatter(points.XYs)
-	if err != nil {
-		return "", err
-	}
-	dots.GlyphStyle = draw.GlyphStyle{Color: blue, Radius: vg.Points(3), Shape: draw.CircleGlyph{}}
-	p.Add(bars, dots)
-	zero, err := plotter.NewLine(plotter.XYs{{X: 0, Y: -0.6}, {X: 0, Y: float64(len(names)) - 0.4}})
-	if err != nil {
-		return "", err
-	}
-	zero.Color, zero.Dashes = color.Black, []vg.Length{vg.Points(3), vg.Points(3)}
-	p.Add(zero)
-	p.NominalY(names...)
-	p.Y.Min, p.Y.Max = -0.6, float64(len(names))-0.4
-	low, high := 0.0, 0.0
-	for i, x := range points.XErrors {
-		low, high = min(low, points.XYs[i].X-x.Low), max(high, points.XYs[i].X+x.High)
-	}
-	margin := max(0.001, (high-low)*0.05)
-	p.X.Min, p.X.Max = low-margin, high+margin
-	return svg(p, vg.Length(len(names)+3)*0.75*vg.Centimeter)
-}
-
-// sizePlot shows the figure against size by variant, all scenarios together.
-func sizePlot(means []experiment.Mean) (string, error) {
-	type key struct {
-		variant string
-		size    float64
-	}
-	sums, counts := map[key]float64{}, map[key]float64{}
-	var variants []string
-	var sizes []float64
-	seen := map[string]bool{}
-	seenSize := map[float64]bool{}
-	for _, m := range means {
-		k := key{m.Variant, m.Size}
-		sums[k] += m.Figure
-		counts[k]++
-		if !seen[m.Variant] {
-			seen[m.Variant] = true
-			variants = append(variants, m.Variant)
-		}
-		if !seenSize[m.Size] {
-			seenSize[m.Size] = true
-			sizes = append(sizes, m.Size)
-		}
-	}
-	if len(sizes) < 2 {
-		return "", nil
-	}
-	p := newPlot("size, in times of the scenario's", "figure")
-	for i, v := range variants {
-		var xys plotter.XYs
-		for _, s := range sizes {
-			if k := (key{v, s}); counts[k] > 0 {
-				xys = append(xys, plotter.XY{X: s, Y: sums[k] / counts[k]})
-			}
-		}
-		if err := line(p, v, series[i%len(series)], xys); err != nil {
-			return "", err
-		}
-	}
-	p.X.Scale, p.X.Tick.Marker = plot.LogScale{}, plot.ConstantTicks(ticks(sizes))
-	p.Y.Min, p.Y.Max = 0, 1.05
-	return svg(p, plotHeight)
-}
-
 func ticks(at []float64) (t []plot.Tick) {
 	for _, v := range at {
 		t = append(t, plot.Tick{Value: v, Label: fmt.Sprintf("%g", v)})
