--- a/lab/cluster/size/cases.go
+++ b/lab/cluster/size/cases.go
@@ -15,10 +15,10 @@
 	From, To float64 // seconds; To is when all that was wrong is over
 }
 
-// sized is a world without faults. Each partner has an endpoint in each of four zones that follow each other, the
+// calmWorld is a world without faults. Each partner has an endpoint in each of four zones that follow each other, the
 // most that a spec can say: with four zones one in each; with twelve, where zones that lie four apart are a region, one
 // in each region. Two kinds: one tells its limits by endpoint, one only by how it does.
-func sized(senders, zones, partners int, rate, seconds float64) *world.Spec {
+func calmWorld(senders, zones, partners int, rate, seconds float64) *world.Spec {
 	s := world.Base()
 	s.Name, s.Seconds, s.Senders, s.Zones = "size", seconds, senders, zones
 	s.Network.SameMS, s.Network.CrossMS = world.Pair{1, 3}, world.Pair{30, 40}
@@ -41,24 +41,26 @@
 	return world.Fault{Kind: "silent", At: at, Seconds: seconds, Selector: world.Selector{Zone: zone + 1}}
 }
 
-func made(name string, s *world.Spec, region func(int) int, from, to float64, all ...world.Fault) Case {
+func newCase(name string, s *world.Spec, region func(int) int, from, to float64, all ...world.Fault) Case {
 	s.Faults = all
 	s.Defaults()
 	return Case{Name: name, Spec: s, Region: region, From: from, To: to}
 }
 
-func halves(zone int) int { return zone / 2 } // four zones in two regions
-func rests(zone int) int  { return zone % 4 } // any number in four
+func regionOfHalves(zone int) int    { return zone / 2 } // four zones in two regions
+func regionByRemainder(zone int) int { return zone % 4 } // any number in four
 
-func sixty(seconds float64) *world.Spec { return sized(60, 4, 24, 1200, seconds) }
+func sixtySenders(seconds float64) *world.Spec { return calmWorld(60, 4, 24, 1200, seconds) }
 
 // Small is the case of a zone gone, small enough for every build.
 func Small() Case {
-	return made("zone gone, small", sized(20, 4, 6, 160, 34), halves, 7, 15, silent(0, 7, 8))
+	return newCase("zone gone, small", calmWorld(20, 4, 6, 160, 34), regionOfHalves, 7, 15, silent(0, 7, 8))
 }
 
-// Gone is the case of issue 36: zone 0 of four hangs for twelve seconds.
-func Gone() Case { return made("zone gone", sixty(45), halves, 10, 22, silent(0, 10, 12)) }
+// ZoneGone is the case of issue 36: zone 0 of four hangs for twelve seconds.
+func ZoneGone() Case {
+	return newCase("zone gone", sixtySenders(45), regionOfHalves, 10, 22, silent(0, 10, 12))
+}
 
 // Cases are all others with sixty senders.
 func Cases() []Case {
@@ -77,17 +79,17 @@
 		flaps = append(flaps, silent(0, at, 2))
 	}
 	return []Case{
-		made("zone fails all calls", sixty(45), halves, 10, 22, failing(0, 10, 12)),
-		made("region gone, one zone weak", sixty(50), halves, 8, 28, silent(0, 10, 12), silent(1, 10, 12), weak(2)),
-		made("half a zone gone", sixty(45), halves, 10, 22, half),
-		made("two zones one after the other", sixty(60), halves, 10, 34, silent(0, 10, 12), silent(1, 22, 12)),
-		made("zone flaps each 2 s for a minute", sixty(95), halves, 10, 70, flaps...),
-		made("all zones gone", sixty(45), halves, 10, 18, silent(0, 10, 8), silent(1, 10, 8), silent(2, 10, 8), silent(3, 10, 8)),
-		made("what was moved to fails as well", sixty(50), halves, 10, 26, silent(0, 10, 16), silent(1, 15, 7)),
+		newCase("zone fails all calls", sixtySenders(45), regionOfHalves, 10, 22, failing(0, 10, 12)),
+		newCase("region gone, one zone weak", sixtySenders(50), regionOfHalves, 8, 28, silent(0, 10, 12), silent(1, 10, 12), weak(2)),
+		newCase("half a zone gone", sixtySenders(45), regionOfHalves, 10, 22, half),
+		newCase("two zones one after the other", sixtySenders(60), regionOfHalves, 10, 34, silent(0, 10, 12), silent(1, 22, 12)),
+		newCase("zone flaps each 2 s for a minute", sixtySenders(95), regionOfHalves, 10, 70, flaps...),
+		newCase("all zones gone", sixtySenders(45), regionOfHalves, 10, 18, silent(0, 10, 8), silent(1, 10, 8), silent(2, 10, 8), silent(3, 10, 8)),
+		newCase("what was moved to fails as well", sixtySenders(50), regionOfHalves, 10, 26, silent(0, 10, 16), silent(1, 15, 7)),
 	}
 }
 
 // Large is a zone gone among so many senders in twelve zones of four regions, short.
 func Large(senders int) Case {
-	return made("zone gone, 12 zones", sized(senders, 12, 60, 5*float64(senders), 32), rests, 8, 16, silent(0, 8, 8))
+	return newCase("zone gone, 12 zones", calmWorld(senders, 12, 60, 5*float64(senders), 32), regionByRemainder, 8, 16, silent(0, 8, 8))
 }
--- a/lab/cluster/size/fleet.go
+++ b/lab/cluster/size/fleet.go
@@ -24,29 +24,29 @@
 )
 
 const (
-	leastHop  = 50 * time.Millisecond // one way between two processes, at the least and at the most
-	mostHop   = 250 * time.Millisecond
-	consensus = 100 * time.Millisecond
-	unit      = 100 * time.Microsecond // of choice.Time
+	minHop         = 50 * time.Millisecond // one way between two processes, at the least and at the most
+	maxHop         = 250 * time.Millisecond
+	consensusDelay = 100 * time.Millisecond
+	timeUnit       = 100 * time.Microsecond // of choice.Time
 )
 
 func zoneName(no int) view.Zone { return view.Zone(fmt.Sprintf("z%02d", no)) }
 
 // fleet is all processes of a run.
 type fleet struct {
-	w       *world.World
-	numbers map[view.Zone]choice.ZoneNo
-	regions map[view.Zone]view.Region
-	procs   map[view.Name]*process
-	order   []*process
-	tree    *tree.Tree
-	set     plan.Settings
-	lead    *leader
-	force   plan.InForce
-	drawn   uint32
-	weighs  bool // bytes are counted
-	span    time.Duration
-	prompt  bool
+	w            *world.World
+	numbers      map[view.Zone]choice.ZoneNo
+	regions      map[view.Zone]view.Region
+	processes    map[view.Name]*process
+	order        []*process
+	tree         *tree.Tree
+	settings     plan.Settings
+	leader       *leader
+	inForce      plan.InForce
+	messagesSent uint32
+	countBytes   bool // bytes are counted
+	span         time.Duration
+	prompt       bool
 
 	traffic map[view.Name]*Traffic
 	epochs  []epoch
@@ -63,13 +63,13 @@
 	reached map[view.Name]view.Now
 }
 
-func (f *fleet) now() view.Now { return view.Now(f.w.Now()) * unit }
+func (f *fleet) now() view.Now { return view.Now(f.w.Now()) * timeUnit }
 
-func (f *fleet) after(in time.Duration, do func()) { f.w.After(max(1, choice.Time(in/unit)), do) }
+func (f *fleet) after(in time.Duration, do func()) { f.w.After(max(1, choice.Time(in/timeUnit)), do) }
 
 // spread draws when a process's turns fall within a turn.
 func (f *fleet) spread(name string) time.Duration {
-	return time.Duration(crc32.ChecksumIEEE([]byte(name))%5000) * unit
+	return time.Duration(crc32.ChecksumIEEE([]byte(name))%5000) * timeUnit
 }
 
 // send carries a message; each takes its own time, so that they may pass each other.
@@ -78,14 +78,14 @@
 		do()
 		return
 	}
-	f.drawn++
-	sum := crc32.ChecksumIEEE(fmt.Appendf(nil, "%s %s %d", from.name, to.name, f.drawn))
+	f.messagesSent++
+	sum := crc32.ChecksumIEEE(fmt.Appendf(nil, "%s %s %d", from.name, to.name, f.messagesSent))
 	f.traffic[from.name].Out++
 	f.traffic[to.name].In++
-	if f.weighs {
+	if f.countBytes {
 		f.traffic[from.name].Bytes += bytesOf(body)
 	}
-	f.after(leastHop+(mostHop-leastHop)*time.Duration(sum%1000)/1000, do)
+	f.after(minHop+(maxHop-minHop)*time.Duration(sum%1000)/1000, do)
 }
 
 // begin derives the tree once all senders are here and lets all processes start.
@@ -97,15 +97,15 @@
 	}
 	f.tree = tree.Derive(view.Make("", 1, members))
 	first, next := f.order[o.Leader], f.order[(o.Leader+1)%len(f.order)]
-	f.lead = newLeader(f, first)
+	f.leader = newLeader(f, first)
 	for _, p := range f.order {
 		p.start()
 	}
 	if o.LeaderDies > 0 {
 		f.w.At(seconds(o.LeaderDies), func() {
-			f.lead = &leader{f: f}
+			f.leader = &leader{f: f}
 			f.after(o.LeaderGone, func() {
-				f.lead = newLeader(f, next)
+				f.leader = newLeader(f, next)
 				next.scheduleTurn()
 			})
 		})
@@ -120,16 +120,16 @@
 
 // leader is the council's: the planner and what came up to it. at is nil while there is none.
 type leader struct {
-	f       *fleet
-	at      *process
-	all     *weigh.Board
-	planner *plan.Planner
-	asking  bool
+	f        *fleet
+	at       *process
+	board    *weigh.Board
+	planner  *plan.Planner
+	deciding bool
 }
 
 func newLeader(f *fleet, at *process) *leader {
-	l := &leader{f: f, at: at, all: weigh.NewBoard(weigh.Usual()), planner: plan.New(f.set)}
-	l.planner.Applied(at.now(), f.force.Plan())
+	l := &leader{f: f, at: at, board: weigh.NewBoard(weigh.Usual()), planner: plan.New(f.settings)}
+	l.planner.Applied(at.now(), f.inForce.Plan())
 	return l
 }
 
@@ -139,19 +139,19 @@
 		l.at.scheduleTurn()
 		return
 	}
-	l.all.Put(now, l.at.passing.Fresh(now))
+	l.board.Put(now, l.at.board.Fresh(now))
 	l.planner.Members(l.f.regions)
-	l.planner.Judged(now, weigh.Judge(l.all.Fresh(now), weigh.Usual()))
+	l.planner.Judged(now, weigh.Judge(l.board.Fresh(now), weigh.Usual()))
 	next, some := l.planner.Step(now)
-	if !some || l.asking {
+	if !some || l.deciding {
 		return
 	}
-	l.asking = true
-	l.f.after(consensus, func() { l.decide(next) })
+	l.deciding = true
+	l.f.after(consensusDelay, func() { l.decide(next) })
 }
 
 func (l *leader) renew(now view.Now) {
-	in := l.f.force.Plan()
+	in := l.f.inForce.Plan()
 	if in.Epoch == 0 {
 		return
 	}
@@ -168,18 +168,18 @@
 }
 
 func (l *leader) decide(next plan.Plan) {
-	l.asking = false
-	if l.f.lead != l {
+	l.deciding = false
+	if l.f.leader != l {
 		return // it died meanwhile
 	}
 	body, err := json.Marshal(next)
 	if err != nil {
 		panic(err) // plain data
 	}
-	_, err = l.f.force.Apply(uint64(next.Epoch), l.f.now(), plan.Kind, body)
-	l.planner.Applied(l.at.now(), l.f.force.Plan())
+	_, err = l.f.inForce.Apply(uint64(next.Epoch), l.f.now(), plan.Kind, body)
+	l.planner.Applied(l.at.now(), l.f.inForce.Plan())
 	if err == nil {
-		l.f.epochs = append(l.f.epochs, epoch{l.f.now(), l.f.force.Plan(), map[view.Name]view.Now{}})
+		l.f.epochs = append(l.f.epochs, epoch{l.f.now(), l.f.inForce.Plan(), map[view.Name]view.Now{}})
 		h := fnv.New64a()
 		fmt.Fprintf(h, "%d %v %s", l.f.hash, l.f.now(), body)
 		l.f.hash = h.Sum64()
--- a/lab/cluster/size/measure.go
+++ b/lab/cluster/size/measure.go
@@ -17,11 +17,11 @@
 )
 
 const (
-	leavesLeast = 0.02 // issue 36: the share that may leave while all is well
-	warmUp      = 4    // seconds that count for nothing: no plan, nothing learnt
-	smooth      = 2    // seconds over which the share that leaves is taken when its return is looked for
-	overFrom    = 1.1  // issue 36: times what a receiver can take
-	judgedFrom  = 50.0 // calls a second of a place that is judged by itself: with fewer, chance alone exceeds overFrom
+	calmShare      = 0.02 // issue 36: the share that may leave while all is well
+	warmUp         = 4    // seconds that count for nothing: no plan, nothing learnt
+	windowSeconds  = 2    // seconds over which the share that leaves is taken when its return is looked for
+	overloadFactor = 1.1  // issue 36: times what a receiver can take
+	minJudgedRate  = 50.0 // calls a second of a place that is judged by itself: with fewer, chance alone exceeds overFrom
 )
 
 // Figures are what is read off a run. Times are seconds.
@@ -30,8 +30,8 @@
 	Value                 float64   // delivered of what was asked while something was wrong
 	Before, During, After float64   // share of calls that leave their home; After: of the last five seconds
 	Back                  float64   // from the end of the fault until no more leave than before; -1 for never
-	ZoneOver              Over      // of all endpoints of a zone together, while calls are moved there
-	PlaceOver             Over      // the same for the endpoints of one destination in a zone, of those with many calls
+	ZoneOver              Overload  // of all endpoints of a zone together, while calls are moved there
+	PlaceOver             Overload  // the same for the endpoints of one destination in a zone, of those with many calls
 	Plans                 int       // after the first, which moves nothing
 	PlansAMinute          int       // in the busiest minute
 	InForce               float64   // from the fall until a plan that moves something is in force at 95%; -1 for never
@@ -44,8 +44,8 @@
 	epochs []epoch
 }
 
-// Over is how far and for how long a receiver was sent more than it can take.
-type Over struct {
+// Overload is how far and for how long a receiver was sent more than it can take.
+type Overload struct {
 	Most    float64 // calls a second as times of that
 	Seconds int     // over overFrom, one after the other
 }
@@ -71,7 +71,7 @@
 	return of[second]
 }
 
-type placeNo struct {
+type locality struct {
 	partner world.PartnerNo
 	zone    int
 }
@@ -83,13 +83,13 @@
 	calls  []float64
 	away   []float64
 	zones  map[int]*received
-	place  map[placeNo]*received
+	place  map[locality]*received
 }
 
 type received struct{ all, moved []float64 }
 
 func newMeasure(o *Options) *measure {
-	return &measure{o: o, zones: map[int]*received{}, place: map[placeNo]*received{}}
+	return &measure{o: o, zones: map[int]*received{}, place: map[locality]*received{}}
 }
 
 // outcome sees each call as its endpoint ended it.
@@ -105,7 +105,7 @@
 	}
 	add(&m.calls, now, 1)
 	add(&m.away, now, moved)
-	k := placeNo{e.Partner.No, e.Zone}
+	k := locality{e.Partner.No, e.Zone}
 	if m.zones[e.Zone] == nil {
 		m.zones[e.Zone] = &received{}
 	}
@@ -156,17 +156,17 @@
 	for s := range end {
 		out.Leaves = append(out.Leaves, m.share(s, s+1))
 	}
-	most := max(out.Before, leavesLeast)
-	for s := end - smooth; s >= to && m.share(s, s+smooth) <= most; s-- {
+	most := max(out.Before, calmShare)
+	for s := end - windowSeconds; s >= to && m.share(s, s+windowSeconds) <= most; s-- {
 		out.Back = float64(s) - m.o.To
 	}
 	for z, r := range m.zones {
-		out.ZoneOver.with(r, m.bound(func(e *world.Endpoint) bool { return e.Zone == z }), end)
+		out.ZoneOver.add(r, m.bound(func(e *world.Endpoint) bool { return e.Zone == z }), end)
 	}
 	for k, r := range m.place {
 		bound := m.bound(func(e *world.Endpoint) bool { return e.Zone == k.zone && e.Partner.No == k.partner })
-		if bound >= judgedFrom {
-			out.PlaceOver.with(r, bound, end)
+		if bound >= minJudgedRate {
+			out.PlaceOver.add(r, bound, end)
 		}
 	}
 	m.plans(out, f)
@@ -184,9 +184,9 @@
 	return sum
 }
 
-// with takes in a receiver's seconds. What its own zone sends it is no plan's doing: only seconds in which a tenth or
+// add takes in a receiver's seconds. What its own zone sends it is no plan's doing: only seconds in which a tenth or
 // more was moved there count.
-func (o *Over) with(r *received, bound float64, end int) {
+func (o *Overload) add(r *received, bound float64, end int) {
 	run := 0
 	for s := range end {
 		over := at(r.all, s) / bound
@@ -195,7 +195,7 @@
 			continue
 		}
 		o.Most = math.Max(o.Most, over)
-		if run++; over <= overFrom {
+		if run++; over <= overloadFactor {
 			run = 0
 		}
 		o.Seconds = max(o.Seconds, run)
--- a/lab/cluster/size/play.go
+++ b/lab/cluster/size/play.go
@@ -41,8 +41,8 @@
 // Play plays a run and reads the figures off it.
 func Play(o Options) (*Figures, error) {
 	m := newMeasure(&o)
-	f := &fleet{numbers: map[view.Zone]choice.ZoneNo{}, regions: map[view.Zone]view.Region{}, procs: map[view.Name]*process{},
-		traffic: map[view.Name]*Traffic{}, weighs: o.Bytes, set: planned(&o)}
+	f := &fleet{numbers: map[view.Zone]choice.ZoneNo{}, regions: map[view.Zone]view.Region{}, processes: map[view.Name]*process{},
+		traffic: map[view.Name]*Traffic{}, countBytes: o.Bytes, settings: planSettings(&o)}
 	for z := range o.Spec.Zones {
 		f.numbers[zoneName(z)] = choice.ZoneNo(z)
 		f.regions[zoneName(z)] = view.Region(fmt.Sprintf("r%d", o.Region(z)))
@@ -53,7 +53,7 @@
 	}
 	started := 0
 	policy := func(h choice.Host, id choice.SenderID, seed int64, set choice.Settings, w *world.World) sim.Policy {
-		c := newCounted(h, set, &m.values)
+		c := newCountingSender(h, set, &m.values)
 		c.escape = o.Escape
 		c.policy = decide(c, id, seed, set, w)
 		f.w, m.w = w, w
@@ -61,9 +61,9 @@
 			return c // no case of these kills a sender
 		}
 		name := view.Name(fmt.Sprintf("p%04d", started-1))
-		c.proc = &process{f: f, name: name, zone: zoneName(int(set.Zone)), c: c,
+		c.proc = &process{fleet: f, name: name, zone: zoneName(int(set.Zone)), sender: c,
 			began: time.Duration(crc32.ChecksumIEEE([]byte(name))%7200) * time.Second}
-		f.procs[name], f.traffic[name] = c.proc, &Traffic{}
+		f.processes[name], f.traffic[name] = c.proc, &Traffic{}
 		f.order = append(f.order, c.proc)
 		if started == o.Spec.Senders {
 			f.span, f.prompt = o.Span, o.Prompt
@@ -78,8 +78,8 @@
 	return m.figures(v, f), nil
 }
 
-// planned are the planner's settings as internal/cluster/uses.go fills them in.
-func planned(o *Options) plan.Settings {
+// planSettings are the planner's settings as internal/cluster/uses.go fills them in.
+func planSettings(o *Options) plan.Settings {
 	set := plan.Usual()
 	set.RatingIsRate = o.Spec.Sender.Rating == "nominal"
 	k := &o.Spec.Partners[0]
--- a/lab/cluster/size/process.go
+++ b/lab/cluster/size/process.go
@@ -20,50 +20,50 @@
 
 // Spans as internal/cluster and its failover/run have them.
 const (
-	digestEach  = 500 * time.Millisecond
-	turnEach    = 500 * time.Millisecond
-	leastTurn   = 50 * time.Millisecond
-	weighEach   = 150 * time.Millisecond
-	calmEach    = 2 * time.Second
-	reportedFor = 15 * time.Second
-	renewals    = 5
-	mostUp      = 3000
-	mostPlaces  = 40_000
-	keepFor     = time.Minute
-	// mostWitnesses is what internal/cluster/evidence keeps of a place.
-	mostWitnesses = 32
+	digestEvery     = 500 * time.Millisecond
+	turnEvery       = 500 * time.Millisecond
+	minTurn         = 50 * time.Millisecond
+	weighEvery      = 150 * time.Millisecond
+	calmReportEvery = 2 * time.Second
+	reportedFor     = 15 * time.Second
+	renewals        = 5
+	maxReports      = 3000
+	maxLocalities   = 40_000
+	keepFor         = time.Minute
+	// maxWitnesses is what internal/cluster/evidence keeps of a place.
+	maxWitnesses = 32
 )
 
 // process is what stands beside one sender: it does in simulated time what cluster/feed.go and failover/run do with
 // goroutines and links. Its clock began at a time of its own, hours apart from others'.
 type process struct {
-	f        *fleet
-	name     view.Name
-	zone     view.Zone
-	began    time.Duration // what its clock shows at the start of the run
-	c        *counted
-	window   *digest.Window
-	own      []healthreport.Sample
-	ownAt    view.Now
-	reported map[healthreport.Locality]telling
-	table    *table.Table
+	fleet        *fleet
+	name         view.Name
+	zone         view.Zone
+	began        time.Duration // what its clock shows at the start of the run
+	sender       *countingSender
+	window       *digest.Window
+	ownSamples   []healthreport.Sample
+	ownSampledAt view.Now
+	reported     map[healthreport.Locality]lastReport
+	table        *table.Table
 
-	passing *weigh.Board
-	weighed view.Now
-	turnDue bool
-	upTo    view.Name
+	board     *weigh.Board
+	weighedAt view.Now
+	turnDue   bool
+	reportsTo view.Name
 
-	holder apply.Holder
-	made   *plan.Plan
-	local  apply.Local
-	guide  *apply.Guide
-	until  view.Now
-	below  map[view.Name]*child
+	holder       apply.Holder
+	compiledPlan *plan.Plan
+	local        apply.Local
+	guide        *apply.Guide
+	guideUntil   view.Now
+	children     map[view.Name]*child
 }
 
-type telling struct {
-	at  view.Now
-	ill bool
+type lastReport struct {
+	at      view.Now
+	failing bool
 }
 
 type child struct {
@@ -72,54 +72,54 @@
 	out   bool
 }
 
-func (p *process) now() view.Now { return p.f.now() + p.began }
+func (p *process) now() view.Now { return p.fleet.now() + p.began }
 
 func (p *process) inForce() *apply.Guide {
-	if p.guide == nil || p.now() >= p.until {
+	if p.guide == nil || p.now() >= p.guideUntil {
 		return nil
 	}
 	return p.guide
 }
 
 func (p *process) start() {
-	p.window = digest.Make(p.name, p.zone, p.f.span, mostPlaces, p.now())
-	p.reported, p.below = map[healthreport.Locality]telling{}, map[view.Name]*child{}
-	p.table = table.Make(table.Bounds{Rows: mostPlaces, Witnesses: mostWitnesses, Keep: keepFor})
-	p.passing, p.weighed = weigh.NewBoard(weigh.Usual()), p.now()-weighEach
-	first := p.f.spread(string(p.name))
-	p.f.after(first, p.digest)
-	p.f.after(first+leastTurn, p.tick)
+	p.window = digest.Make(p.name, p.zone, p.fleet.span, maxLocalities, p.now())
+	p.reported, p.children = map[healthreport.Locality]lastReport{}, map[view.Name]*child{}
+	p.table = table.Make(table.Bounds{Rows: maxLocalities, Witnesses: maxWitnesses, Keep: keepFor})
+	p.board, p.weighedAt = weigh.NewBoard(weigh.Usual()), p.now()-weighEvery
+	first := p.fleet.spread(string(p.name))
+	p.fleet.after(first, p.digest)
+	p.fleet.after(first+minTurn, p.tick)
 }
 
 func (p *process) digest() {
-	p.f.after(digestEach, p.digest)
+	p.fleet.after(digestEvery, p.digest)
 	now := p.now()
-	p.own, p.ownAt = p.window.Take(now, p.c.digest()), now
-	head := p.f.tree.ZoneHead(p.zone)
+	p.ownSamples, p.ownSampledAt = p.window.Take(now, p.sender.digest()), now
+	head := p.fleet.tree.ZoneHead(p.zone)
 	if head == p.name {
-		p.takeIn(now, p.own)
+		p.takeSamples(now, p.ownSamples)
 		return
 	}
-	if tell := p.due(now); len(tell) > 0 {
-		to := p.f.procs[head]
-		p.f.send(p, to, tell, func() { to.takeIn(to.now(), tell) })
+	if tell := p.samplesToReport(now); len(tell) > 0 {
+		to := p.fleet.processes[head]
+		p.fleet.send(p, to, tell, func() { to.takeSamples(to.now(), tell) })
 	}
 }
 
-func (p *process) due(now view.Now) (tell []healthreport.Sample) {
-	for _, s := range p.own {
+func (p *process) samplesToReport(now view.Now) (tell []healthreport.Sample) {
+	for _, s := range p.ownSamples {
 		last, ill := p.reported[s.Locality], s.Failed > 0
-		if ill || ill != last.ill || last.at == 0 || now-last.at >= calmEach {
+		if ill || ill != last.failing || last.at == 0 || now-last.at >= calmReportEvery {
 			tell = append(tell, s)
-			p.reported[s.Locality] = telling{now, ill}
+			p.reported[s.Locality] = lastReport{now, ill}
 		}
 	}
-	maps.DeleteFunc(p.reported, func(_ healthreport.Locality, t telling) bool { return now-t.at > reportedFor })
+	maps.DeleteFunc(p.reported, func(_ healthreport.Locality, t lastReport) bool { return now-t.at > reportedFor })
 	return tell
 }
 
-func (p *process) takeIn(now view.Now, all []healthreport.Sample) {
-	if p.f.prompt && slices.ContainsFunc(all, func(s healthreport.Sample) bool { return s.Failed > s.Done+s.Refused }) {
+func (p *process) takeSamples(now view.Now, all []healthreport.Sample) {
+	if p.fleet.prompt && slices.ContainsFunc(all, func(s healthreport.Sample) bool { return s.Failed > s.Done+s.Refused }) {
 		p.scheduleTurn()
 	}
 	for _, s := range all {
@@ -128,7 +128,7 @@
 }
 
 func (p *process) tick() {
-	p.f.after(turnEach, p.tick)
+	p.fleet.after(turnEvery, p.tick)
 	p.turn()
 }
 
@@ -136,7 +136,7 @@
 func (p *process) scheduleTurn() {
 	if !p.turnDue {
 		p.turnDue = true
-		p.f.after(leastTurn, func() {
+		p.fleet.after(minTurn, func() {
 			p.turnDue = false
 			p.turn()
 		})
@@ -144,34 +144,34 @@
 }
 
 func (p *process) turn() {
-	now, t := p.now(), p.f.tree
-	weighs := now-p.weighed >= weighEach
+	now, t := p.now(), p.fleet.tree
+	weighs := now-p.weighedAt >= weighEvery
 	if weighs {
-		p.weighed = now
+		p.weighedAt = now
 	}
 	if weighs && t.ZoneHead(p.zone) == p.name {
 		seen := p.table.Read(now)
 		slices.SortFunc(seen, func(a, b healthreport.Sample) int { return table.Order(&a, &b) })
-		p.passing.Put(now, slices.DeleteFunc(weigh.Zonal(p.zone, seen, weigh.Usual()), func(w weigh.Report) bool {
+		p.board.Put(now, slices.DeleteFunc(weigh.Zonal(p.zone, seen, weigh.Usual()), func(w weigh.Report) bool {
 			return w.Idle() && w.Zone != p.zone && t.ZoneHead(w.Zone) != ""
 		}))
 	}
-	if p.f.lead.at == p {
-		p.f.lead.turn(now, weighs)
+	if p.fleet.leader.at == p {
+		p.fleet.leader.turn(now, weighs)
 	}
-	local := p.c.local(p.f.numbers)
-	local.Ill = p.ill(now)
+	local := p.sender.local(p.fleet.numbers)
+	local.Ill = p.failingHere(now)
 	p.compile(now, local)
-	p.tellUp(now)
-	p.tellDown(now)
+	p.sendReports(now)
+	p.sendPlan(now)
 }
 
-func (p *process) ill(now view.Now) map[apply.At]bool {
+func (p *process) failingHere(now view.Now) map[apply.At]bool {
 	ill := map[apply.At]bool{}
-	for _, s := range p.own {
-		s.Age += now - p.ownAt
+	for _, s := range p.ownSamples {
+		s.Age += now - p.ownSampledAt
 		if weigh.Ill([]healthreport.Sample{s}, weigh.Usual()) {
-			ill[apply.At{Destination: s.Destination, Zone: p.f.numbers[s.Zone]}] = true
+			ill[apply.At{Destination: s.Destination, Zone: p.fleet.numbers[s.Zone]}] = true
 		}
 	}
 	return ill
@@ -180,24 +180,24 @@
 func (p *process) compile(now view.Now, local apply.Local) {
 	in, until := p.holder.Plan(now)
 	if in == nil {
-		p.guide, p.made = nil, nil
+		p.guide, p.compiledPlan = nil, nil
 		return
 	}
-	p.until = until
-	if p.guide != nil && in == p.made && maps.Equal(local.Ill, p.local.Ill) &&
+	p.guideUntil = until
+	if p.guide != nil && in == p.compiledPlan && maps.Equal(local.Ill, p.local.Ill) &&
 		maps.EqualFunc(local.Listed, p.local.Listed, slices.Equal[[]choice.ZoneNo]) {
 		return
 	}
-	if p.made != in {
-		p.f.reached(p, in)
+	if p.compiledPlan != in {
+		p.fleet.reached(p, in)
 	}
-	p.made, p.local = in, local
+	p.compiledPlan, p.local = in, local
 	p.guide = apply.Compile(in, local)
 }
 
-func (p *process) tellUp(now view.Now) {
-	lead := p.f.lead.at
-	to, known := p.f.tree.Parent(p.name)
+func (p *process) sendReports(now view.Now) {
+	lead := p.fleet.leader.at
+	to, known := p.fleet.tree.Parent(p.name)
 	final := !known
 	if final {
 		if lead == nil || lead == p {
@@ -205,22 +205,22 @@
 		}
 		to = lead.name
 	}
-	if to != p.upTo {
-		p.upTo = to
-		p.passing.Again()
+	if to != p.reportsTo {
+		p.reportsTo = to
+		p.board.Again()
 	}
-	reports := p.passing.Up(now, mostUp)
+	reports := p.board.Up(now, maxReports)
 	if len(reports) == 0 {
 		return
 	}
-	above := p.f.procs[to]
-	p.f.send(p, above, reports, func() {
-		board := above.passing
+	above := p.fleet.processes[to]
+	p.fleet.send(p, above, reports, func() {
+		board := above.board
 		if final {
-			if p.f.lead.at != above {
+			if p.fleet.leader.at != above {
 				return
 			}
-			board = p.f.lead.all
+			board = p.fleet.leader.board
 		}
 		if board.Put(above.now(), reports) {
 			above.scheduleTurn()
@@ -228,27 +228,27 @@
 	})
 }
 
-func (p *process) tellDown(now view.Now) {
-	targets := p.f.tree.Children(p.name)
-	if root := p.f.tree.Root(); p.f.lead.at == p && root != p.name {
+func (p *process) sendPlan(now view.Now) {
+	targets := p.fleet.tree.Children(p.name)
+	if root := p.fleet.tree.Root(); p.fleet.leader.at == p && root != p.name {
 		targets = append(targets, root)
 	}
 	for _, name := range targets {
-		c := p.below[name]
+		c := p.children[name]
 		if c == nil {
 			c = &child{fresh: now - time.Hour}
-			p.below[name] = c
+			p.children[name] = c
 		}
 		in, some := p.holder.Tell(now, c.epoch != p.holder.Epoch())
-		if !some || c.out || c.epoch >= in.Epoch && now-in.Age-c.fresh < p.f.set.Hold/renewals {
+		if !some || c.out || c.epoch >= in.Epoch && now-in.Age-c.fresh < p.fleet.settings.Hold/renewals {
 			continue
 		}
 		c.out = true
-		to, asOf := p.f.procs[name], now-in.Age
-		p.f.send(p, to, in, func() {
-			to.hear(in)
+		to, asOf := p.fleet.processes[name], now-in.Age
+		p.fleet.send(p, to, in, func() {
+			to.takePlan(in)
 			epoch := to.holder.Epoch()
-			p.f.send(to, p, epoch, func() {
+			p.fleet.send(to, p, epoch, func() {
 				c.out, c.epoch, c.fresh = false, epoch, asOf
 				if p.holder.Epoch() > epoch {
 					p.scheduleTurn()
@@ -258,14 +258,14 @@
 	}
 }
 
-func (p *process) hear(in apply.Heard) {
+func (p *process) takePlan(in apply.Heard) {
 	changed, err := p.holder.Hear(p.now(), in)
 	if err != nil {
 		panic(err) // plans are checked before they are decided
 	}
 	local := p.local
 	if changed {
-		local = p.c.local(p.f.numbers)
+		local = p.sender.local(p.fleet.numbers)
 		local.Ill = p.local.Ill
 	}
 	p.compile(p.now(), local)
--- a/lab/cluster/size/sender.go
+++ b/lab/cluster/size/sender.go
@@ -17,9 +17,9 @@
 // wholeEvery is internal/sender's: in so many digests each destination is told once, whatever came of it.
 const wholeEvery = 10
 
-// counted is a sender's policy between the engine and what decides: it counts what internal/sender's digest counts,
+// countingSender is a sender's policy between the engine and what decides: it counts what internal/sender's digest counts,
 // and bars what its process's guide bars. What decides may be any policy; one that plays alone has no process.
-type counted struct {
+type countingSender struct {
 	choice.Host
 	policy   sim.Policy
 	zone     choice.ZoneNo
@@ -51,8 +51,8 @@
 	rating float64
 }
 
-func newCounted(h choice.Host, set choice.Settings, g *values) *counted {
-	c := &counted{Host: h, zone: set.Zone, set: set, values: g, open: map[choice.MessageID]choice.Message{},
+func newCountingSender(h choice.Host, set choice.Settings, g *values) *countingSender {
+	c := &countingSender{Host: h, zone: set.Zone, set: set, values: g, open: map[choice.MessageID]choice.Message{},
 		entries: map[choice.EndpointID]*entry{}, byDest: map[choice.DestinationID][]*entry{}, seen: map[healthreport.Locality]*together.Row{}, listed: map[healthreport.Locality]*listing{}}
 	for i, w := range set.Classes {
 		if i == 0 || w.LatencyObjective < c.shortest {
@@ -65,7 +65,7 @@
 // What follows is choice.Host, as far as it is not the engine's.
 
 // Allowed asks the guide that is in force at this process.
-func (c *counted) Allowed(n choice.MessageID, e choice.EndpointID) bool {
+func (c *countingSender) Allowed(n choice.MessageID, e choice.EndpointID) bool {
 	if c.proc == nil {
 		return true
 	}
@@ -74,7 +74,7 @@
 }
 
 // ejectedHome tells whether all that a guide keeps a message to without a plan's word is seen to fail by this sender.
-func (c *counted) ejectedHome(g *apply.Guide, n choice.MessageID, en *entry) bool {
+func (c *countingSender) ejectedHome(g *apply.Guide, n choice.MessageID, en *entry) bool {
 	if g.Firm(en.Destination) {
 		return false
 	}
@@ -86,19 +86,19 @@
 	return true
 }
 
-func (c *counted) Shed(id choice.MessageID, comeBackIn choice.Time) {
+func (c *countingSender) Shed(id choice.MessageID, comeBackIn choice.Time) {
 	delete(c.open, id)
 	c.Host.Shed(id, comeBackIn)
 }
 
-func (c *counted) Fail(id choice.MessageID) {
+func (c *countingSender) Fail(id choice.MessageID) {
 	delete(c.open, id)
 	c.Host.Fail(id)
 }
 
 // And what follows is sim.Policy.
 
-func (c *counted) UpdateEndpoints(entries []choice.Entry, whole bool) {
+func (c *countingSender) UpdateEndpoints(entries []choice.Entry, whole bool) {
 	if whole {
 		for _, e := range c.entries {
 			e.Stage = choice.Gone
@@ -115,17 +115,17 @@
 	c.policy.UpdateEndpoints(entries, whole)
 }
 
-func (c *counted) Taken(n choice.Message) {
+func (c *countingSender) Taken(n choice.Message) {
 	c.open[n.ID] = n
 	c.policy.Taken(n)
 }
 
-func (c *counted) Withdrawn(id choice.MessageID) {
+func (c *countingSender) Withdrawn(id choice.MessageID) {
 	delete(c.open, id)
 	c.policy.Withdrawn(id)
 }
 
-func (c *counted) Ended(o choice.Outcome) {
+func (c *countingSender) Ended(o choice.Outcome) {
 	n := c.open[o.Message]
 	if o.Final {
 		delete(c.open, o.Message)
@@ -141,15 +141,15 @@
 	c.policy.Ended(o)
 }
 
-func (c *counted) Probed(e choice.EndpointID, r choice.Result) { c.policy.Probed(e, r) }
-func (c *counted) TimerDue(id choice.TimerID)                  { c.policy.TimerDue(id) }
-func (c *counted) TurnEnd()                                    { c.policy.TurnEnd() }
-func (c *counted) Open(e choice.EndpointID, messages ...choice.MessageID) bool {
+func (c *countingSender) Probed(e choice.EndpointID, r choice.Result) { c.policy.Probed(e, r) }
+func (c *countingSender) TimerDue(id choice.TimerID)                  { c.policy.TimerDue(id) }
+func (c *countingSender) TurnEnd()                                    { c.policy.TurnEnd() }
+func (c *countingSender) Open(e choice.EndpointID, messages ...choice.MessageID) bool {
 	return c.policy.Open(e, messages...)
 }
 
 // saw counts how a call ended as internal/sender does. Calls carry one message each here, or it would count too many.
-func (c *counted) saw(e *entry, o choice.Outcome) {
+func (c *countingSender) saw(e *entry, o choice.Outcome) {
 	if o.Report.Known {
 		e.limit, e.limitAt = o.Report.Limit, c.Now()
 	}
@@ -181,7 +181,7 @@
 	return healthreport.Locality{Destination: e.Destination, Zone: zoneName(int(e.Zone))}
 }
 
-func (c *counted) row(at healthreport.Locality) *together.Row {
+func (c *countingSender) row(at healthreport.Locality) *together.Row {
 	r := c.seen[at]
 	if r == nil {
 		r = &together.Row{Destination: at.Destination, Zone: string(at.Zone)}
@@ -191,7 +191,7 @@
 }
 
 // digest hands over what was counted, and begins anew. Messages that wait are not told: nothing of failover reads them.
-func (c *counted) digest() together.Digest {
+func (c *countingSender) digest() together.Digest {
 	if c.changed {
 		c.readList()
 	}
@@ -215,7 +215,7 @@
 	return d
 }
 
-func (c *counted) readList() {
+func (c *countingSender) readList() {
 	c.changed = false
 	old := c.listed
 	c.listed = map[healthreport.Locality]*listing{}
@@ -256,7 +256,7 @@
 }
 
 // listing of a process, as the guide is compiled with it.
-func (c *counted) local(numbers map[view.Zone]choice.ZoneNo) apply.Local {
+func (c *countingSender) local(numbers map[view.Zone]choice.ZoneNo) apply.Local {
 	l := apply.Local{Zone: zoneName(int(c.zone)), Numbers: numbers, Listed: map[choice.DestinationID][]choice.ZoneNo{}}
 	for at := range c.listed {
 		l.Listed[at.Destination] = append(l.Listed[at.Destination], numbers[at.Zone])
--- a/lab/cluster/size/size_test.go
+++ b/lab/cluster/size/size_test.go
@@ -80,9 +80,9 @@
 		all = append(all, Options{Case: Large(*larger), Seed: 1, Bytes: true})
 	} else {
 		for seed := range *seeds {
-			all = append(all, Options{Case: Gone(), Seed: uint64(seed + 1), Bytes: true})
+			all = append(all, Options{Case: ZoneGone(), Seed: uint64(seed + 1), Bytes: true})
 		}
-		dies := Gone()
+		dies := ZoneGone()
 		dies.Name = "zone gone, leader in it"
 		all = append(all, Options{Case: dies, Seed: 1, LeaderDies: dies.From, LeaderGone: 1500 * time.Millisecond})
 		for _, c := range Cases() {
@@ -123,11 +123,11 @@
 		switch {
 		case with.broken() > 0 || with.PushedOver > 0:
 			t.Errorf("seed %d: rules %v, pushed over %d", o.Seed, with.Rules, with.PushedOver)
-		case with.Before >= leavesLeast || with.During < leavesLeast:
+		case with.Before >= calmShare || with.During < calmShare:
 			t.Errorf("seed %d: %.3f leave while all is well, %.3f during the outage", o.Seed, with.Before, with.During)
 		case with.InForce < 0 || with.InForce > 6:
 			t.Errorf("seed %d: in force after %.1f s", o.Seed, with.InForce)
-		case with.After >= 2*leavesLeast || alone.After <= 4*with.After:
+		case with.After >= 2*calmShare || alone.After <= 4*with.After:
 			t.Errorf("seed %d: at the end %.3f leave, %.3f where each is alone", o.Seed, with.After, alone.After)
 		case with.ZoneOver.Seconds > 1:
 			t.Errorf("seed %d: a receiving zone is over what it can take: %v", o.Seed, with.ZoneOver)
--- a/lab/cluster/size/table.go
+++ b/lab/cluster/size/table.go
@@ -47,7 +47,7 @@
 	return fmt.Sprintf("%.1f", s)
 }
 
-func (o Over) String() string { return fmt.Sprintf("%.2f (%d s)", o.Most, o.Seconds) }
+func (o Overload) String() string { return fmt.Sprintf("%.2f (%d s)", o.Most, o.Seconds) }
 
 func (f *Figures) broken() (n int) {
 	for _, times := range f.Rules {
--- a/lab/scale/agree.go
+++ b/lab/scale/agree.go
@@ -12,16 +12,16 @@
 // This file waits until all members see the same. How long that takes is a figure, that it happens the verdict.
 
 const (
-	lookEvery = 400 * time.Millisecond
-	// lookShare bounds what looking costs a large fleet: a look at 660 members is half a second of the cores that they need.
+	pollEvery = 400 * time.Millisecond
+	// pollPause bounds what looking costs a large fleet: a look at 660 members is half a second of the cores that they need.
 	// So many times what it took passes until the next.
-	lookShare   = 5
-	mostReasons = 5
+	pollPause  = 5
+	maxReasons = 5
 )
 
 // states asks all members what they see.
 func (r *run) states(ctx context.Context) ([]host.MemberState, error) {
-	answers, err := r.all(host.Order{Do: host.State})
+	answers, err := r.orderAllHosts(host.Order{Do: host.State})
 	if err != nil {
 		return nil, err
 	}
@@ -32,8 +32,8 @@
 	return states, nil
 }
 
-// differ tells what keeps members from agreeing on one view, one leader, one root, one epoch, one configuration and one purge.
-func differ(all []host.MemberState, want int, failover bool) (why []string) {
+// differences tells what keeps members from agreeing on one view, one leader, one root, one epoch, one configuration and one purge.
+func differences(all []host.MemberState, want int, failover bool) (why []string) {
 	if len(all) != want {
 		return []string{fmt.Sprintf("%d of %d members answer", len(all), want)}
 	}
@@ -61,32 +61,32 @@
 	return why
 }
 
-// agree waits until all see the same, and tells how long that took.
-func (r *run) agree(ctx context.Context, after string) (time.Duration, error) {
+// awaitAgreement waits until all see the same, and tells how long that took.
+func (r *run) awaitAgreement(ctx context.Context, after string) (time.Duration, error) {
 	began := time.Now()
-	answerBytes := time.Now()
+	lastReport := time.Now()
 	for {
 		looked := time.Now()
 		states, err := r.states(ctx)
 		if err != nil {
 			return 0, err
 		}
-		why := differ(states, len(r.fleet.Members), slices.Contains(r.o.Fleet.Uses, "failover"))
+		why := differences(states, len(r.fleet.Members), slices.Contains(r.options.Fleet.Uses, "failover"))
 		if len(why) == 0 {
-			r.o.Say("%s: all agree after %.1f s", after, time.Since(began).Seconds())
+			r.options.Say("%s: all agree after %.1f s", after, time.Since(began).Seconds())
 			return time.Since(began), nil
 		}
-		if time.Since(answerBytes) > 5*time.Second {
-			answerBytes = time.Now()
-			r.o.Say("%s: %.0f s, %d differ: %v", after, time.Since(began).Seconds(), len(why), why[:min(2, len(why))])
+		if time.Since(lastReport) > 5*time.Second {
+			lastReport = time.Now()
+			r.options.Say("%s: %.0f s, %d differ: %v", after, time.Since(began).Seconds(), len(why), why[:min(2, len(why))])
 		}
-		if time.Since(began) > r.o.AgreeWithin {
-			return 0, fmt.Errorf("%s: after %v %d members differ: %v", after, r.o.AgreeWithin, len(why), why[:min(mostReasons, len(why))])
+		if time.Since(began) > r.options.AgreeWithin {
+			return 0, fmt.Errorf("%s: after %v %d members differ: %v", after, r.options.AgreeWithin, len(why), why[:min(maxReasons, len(why))])
 		}
 		select {
 		case <-ctx.Done():
 			return 0, ctx.Err()
-		case <-time.After(max(lookEvery, lookShare*time.Since(looked))):
+		case <-time.After(max(pollEvery, pollPause*time.Since(looked))):
 		}
 	}
 }
--- a/lab/scale/decided.go
+++ b/lab/scale/decided.go
@@ -29,8 +29,8 @@
 // orderAll orders purges and changes one after the other.
 func (r *run) orderAll(ctx context.Context) error {
 	by := r.fleet.Find(r.fleet.Founders[0])
-	for i := range r.o.Purges {
-		if !slices.Contains(r.o.Fleet.Uses, "purges") {
+	for i := range r.options.Purges {
+		if !slices.Contains(r.options.Fleet.Uses, "purges") {
 			break
 		}
 		spread, err := r.purge(ctx, by, i)
@@ -40,8 +40,8 @@
 		r.result.Purges = append(r.result.Purges, spread)
 	}
 	version := uint64(0)
-	for i := range r.o.Changes {
-		if !slices.Contains(r.o.Fleet.Uses, "configuration") {
+	for i := range r.options.Changes {
+		if !slices.Contains(r.options.Fleet.Uses, "configuration") {
 			break
 		}
 		spread, next, err := r.change(ctx, by, i, version)
@@ -154,7 +154,7 @@
 		if !sleep(ctx, decideLook) {
 			return ctx.Err()
 		}
-		answers, err := r.all(applied)
+		answers, err := r.orderAllHosts(applied)
 		if err != nil {
 			return err
 		}
--- a/lab/scale/faults.go
+++ b/lab/scale/faults.go
@@ -14,7 +14,7 @@
 
 // This file plays a schedule's faults, one after the other in the order of their times.
 
-func (r *run) places() schedule.Locations {
+func (r *run) locations() schedule.Locations {
 	number := func(text string) int {
 		n, _ := strconv.Atoi(text[1:])
 		return n + 1
@@ -23,15 +23,15 @@
 		Region: func(i int) int { return number(string(r.fleet.Members[i].Region)) }}
 }
 
-// play plays all faults. They must not overlap.
-func (r *run) play(ctx context.Context, s *schedule.Schedule) error {
+// playFaults plays all faults. They must not overlap.
+func (r *run) playFaults(ctx context.Context, s *schedule.Schedule) error {
 	began := time.Now()
 	for i := range s.Faults {
 		f := &s.Faults[i]
 		if !sleep(ctx, time.Until(began.Add(seconds(f.At)))) {
 			return ctx.Err()
 		}
-		if err := r.fault(ctx, f, s.Affected(f, r.places())); err != nil {
+		if err := r.fault(ctx, f, s.Affected(f, r.locations())); err != nil {
 			return fmt.Errorf("fault[%d]: %w", i, err)
 		}
 	}
@@ -52,7 +52,7 @@
 }
 
 func (r *run) fault(ctx context.Context, f *schedule.Fault, struck []int) error {
-	r.o.Say("%s: strikes %d members", f.Kind, len(struck))
+	r.options.Say("%s: strikes %d members", f.Kind, len(struck))
 	switch f.Kind {
 	case "kill":
 		return r.kill(ctx, f, struck)
@@ -117,13 +117,13 @@
 			return fmt.Errorf("real members can only be cut off from region %s", r.fleet.LastRegion())
 		}
 	}
-	if _, err := r.all(host.Order{Do: host.Cut, Apart: struck}); err != nil {
+	if _, err := r.orderAllHosts(host.Order{Do: host.Cut, Apart: struck}); err != nil {
 		return err
 	}
 	r.cutReal(true)
 	whole := sleep(ctx, seconds(f.Seconds))
 	r.cutReal(false)
-	_, err := r.all(host.Order{Do: host.Cut})
+	_, err := r.orderAllHosts(host.Order{Do: host.Cut})
 	if !whole {
 		return ctx.Err()
 	}
@@ -147,7 +147,7 @@
 		if err := r.up(part); err != nil {
 			return err
 		}
-		r.o.Say("rolling: step %d of %d after %.1f s", step+1, f.Steps, time.Since(began).Seconds())
+		r.options.Say("rolling: step %d of %d after %.1f s", step+1, f.Steps, time.Since(began).Seconds())
 		if !sleep(ctx, seconds(f.Every)) {
 			return ctx.Err()
 		}
@@ -160,14 +160,14 @@
 func (r *run) down(nos []int, how host.Do) error {
 	struck := setOf(nos)
 	r.act(struck, world.Kill)
-	_, err := r.some(struckOf(struck, how))
+	_, err := r.orderHosts(struckOf(struck, how))
 	return err
 }
 
 func (r *run) up(nos []int) error {
 	struck := setOf(nos)
 	r.act(struck, world.Start)
-	_, err := r.some(struckOf(struck, host.Start))
+	_, err := r.orderHosts(struckOf(struck, host.Start))
 	return err
 }
 
@@ -216,14 +216,14 @@
 // zoneFalls has a zone's endpoints say nothing to hollow members, and measures from when on a plan that leaves the zone
 // is in force at most of them.
 func (r *run) zoneFalls(ctx context.Context, f *schedule.Fault) error {
-	if _, err := r.all(host.Order{Do: host.Fall, Zones: []int{f.Zone - 1}}); err != nil {
+	if _, err := r.orderAllHosts(host.Order{Do: host.Fall, Zones: []int{f.Zone - 1}}); err != nil {
 		return err
 	}
 	began := time.Now()
 	fell := Fall{Zone: f.Zone, Members: len(r.fleet.Members), P50S: -1, P95S: -1, P100S: -1}
 	name := "z" + strconv.Itoa(f.Zone-1)
 	for time.Since(began) < seconds(f.Seconds) && ctx.Err() == nil {
-		answers, err := r.all(host.Order{Do: host.State})
+		answers, err := r.orderAllHosts(host.Order{Do: host.State})
 		if err != nil {
 			return err
 		}
@@ -248,6 +248,6 @@
 		sleep(ctx, fallLook)
 	}
 	r.result.Falls = append(r.result.Falls, fell)
-	_, err := r.all(host.Order{Do: host.Fall})
+	_, err := r.orderAllHosts(host.Order{Do: host.Fall})
 	return err
 }
--- a/lab/scale/hollow/load.go
+++ b/lab/scale/hollow/load.go
@@ -27,12 +27,12 @@
 
 // What internal/sender does at each digest, which is twice a second.
 const (
-	perSecond  = 2
-	wholeEvery = 10   // digests, in which each listed place is told once
-	mostPlaces = 8192 // listed and told
-	// probes is the share of messages for a destination that is down which are called all the same; the rest wait.
-	probes = 0.2
-	rating = 4 // calls a second that the list tells of an endpoint
+	digestsPerSecond = 2
+	fullListEvery    = 10   // digests, in which each listed place is told once
+	maxPlaces        = 8192 // listed and told
+	// probeShare is the share of messages for a destination that is down which are called all the same; the rest wait.
+	probeShare = 0.2
+	rating     = 4 // calls a second that the list tells of an endpoint
 )
 
 // DownAt tells whether all endpoints of a destination are down at a time of the run, in seconds. Each falls once in a
@@ -65,25 +65,25 @@
 	zone        int
 }
 
-// seen is what one sender has seen. For one goroutine.
-type seen struct {
+// observations is what one sender has observations. For one goroutine.
+type observations struct {
 	load    *Load
 	zone    int // the sender's own
 	chance  *rand.Rand
 	digests int
-	listed  [wholeEvery][]place          // by the digest in which they are told
-	held    map[choice.DestinationID]int // messages that wait for destinations that are down
+	listed  [fullListEvery][]place       // by the digest in which they are told
+	waiting map[choice.DestinationID]int // messages that wait for destinations that are down
 }
 
-func newSeen(load *Load, zone int, no uint64) *seen {
-	s := &seen{load: load, zone: zone, chance: rand.New(rand.NewPCG(load.Seed, no)), held: map[choice.DestinationID]int{}}
-	left := mostPlaces
+func newSeen(load *Load, zone int, no uint64) *observations {
+	s := &observations{load: load, zone: zone, chance: rand.New(rand.NewPCG(load.Seed, no)), waiting: map[choice.DestinationID]int{}}
+	left := maxPlaces
 	for d := range load.Destinations {
 		for end := range load.Ends {
 			if left--; left < 0 {
 				return s
 			}
-			of := (wholeEvery - d%wholeEvery) % wholeEvery
+			of := (fullListEvery - d%fullListEvery) % fullListEvery
 			s.listed[of] = append(s.listed[of], place{choice.DestinationID(d), load.zoneOf(choice.DestinationID(d), end)})
 		}
 	}
@@ -91,7 +91,7 @@
 }
 
 // digest is what the sender hands over at a time of the run; fallen tells of zones whose endpoints say nothing.
-func (s *seen) digest(seconds float64, fallen func(zone int) bool) together.Digest {
+func (s *observations) digest(seconds float64, fallen func(zone int) bool) together.Digest {
 	rows := map[place]*together.Row{}
 	row := func(at place) *together.Row {
 		r := rows[at]
@@ -102,15 +102,15 @@
 		return r
 	}
 	s.digests++
-	for _, at := range s.listed[s.digests%wholeEvery] {
+	for _, at := range s.listed[s.digests%fullListEvery] {
 		row(at)
 	}
 	for range s.messages() {
 		s.message(seconds, fallen, row)
 	}
-	for d, n := range s.held {
+	for d, n := range s.waiting {
 		if !s.load.DownAt(d, seconds) {
-			delete(s.held, d)
+			delete(s.waiting, d)
 			continue
 		}
 		row(place{d, s.load.zoneOf(d, 0)}).Held = n
@@ -123,17 +123,17 @@
 }
 
 // messages is how many came since the last digest: a Poisson count, by its normal form where it is large.
-func (s *seen) messages() int {
-	mean := s.load.Rate / perSecond
+func (s *observations) messages() int {
+	mean := s.load.Rate / digestsPerSecond
 	return max(0, int(math.Round(mean+math.Sqrt(mean)*s.chance.NormFloat64())))
 }
 
 // message has one message called, or wait.
-func (s *seen) message(seconds float64, fallen func(zone int) bool, row func(place) *together.Row) {
+func (s *observations) message(seconds float64, fallen func(zone int) bool, row func(place) *together.Row) {
 	d := choice.DestinationID(s.chance.IntN(s.load.Destinations))
 	down := s.load.DownAt(d, seconds)
-	if down && s.chance.Float64() >= probes {
-		s.held[d]++
+	if down && s.chance.Float64() >= probeShare {
+		s.waiting[d]++
 		return
 	}
 	zone := s.near(d)
@@ -148,7 +148,7 @@
 }
 
 // near is the zone in which a destination is called: the sender's own where it has an endpoint there.
-func (s *seen) near(d choice.DestinationID) int {
+func (s *observations) near(d choice.DestinationID) int {
 	for end := range s.load.Ends {
 		if zone := s.load.zoneOf(d, end); zone == s.zone {
 			return zone
--- a/lab/scale/hollow/sender.go
+++ b/lab/scale/hollow/sender.go
@@ -18,7 +18,7 @@
 type Sender struct {
 	clock   Clock
 	fallen  func(zone int) bool
-	seen    *seen
+	seen    *observations
 	applied atomic.Uint64
 
 	mu         sync.Mutex
@@ -37,7 +37,7 @@
 
 // Run hands digests to a cluster, at the sender's pace, until ctx ends.
 func (s *Sender) Run(ctx context.Context, to together.Cluster) {
-	every := time.NewTicker(time.Second / perSecond)
+	every := time.NewTicker(time.Second / digestsPerSecond)
 	defer every.Stop()
 	for {
 		select {
--- a/lab/scale/host/host.go
+++ b/lab/scale/host/host.go
@@ -25,9 +25,9 @@
 	fleet   *fleet.Fleet
 	log     *zap.Logger
 	members map[int]*member
-	// parting tells who is on the other side of a cut, and fallen which zones' endpoints say nothing; replaced whole.
-	parting atomic.Pointer[map[view.Name]bool]
-	fallen  atomic.Pointer[[]int]
+	// separated tells who is on the other side of a cut, and fallen which zones' endpoints say nothing; replaced whole.
+	separated atomic.Pointer[map[view.Name]bool]
+	fallen    atomic.Pointer[[]int]
 }
 
 // mostLine bounds an order or answer.
@@ -80,7 +80,7 @@
 			return err
 		}
 	}
-	h.parting.Store(&map[view.Name]bool{})
+	h.separated.Store(&map[view.Name]bool{})
 	h.fallen.Store(&[]int{})
 	for _, no := range h.spec.Members {
 		if no < 0 || no >= len(h.fleet.Members) {
@@ -105,7 +105,7 @@
 
 func (h *host) zoneFell(zone int) bool { return slices.Contains(*h.fallen.Load(), zone) }
 
-// answer does what is asked.
+// answer carries out an order.
 func (h *host) answer(order *Order) (a Answer) {
 	switch order.Do {
 	case Start:
@@ -115,11 +115,7 @@
 	case Stop:
 		a.Error = h.each(order.Members, (*member).stop)
 	case Cut:
-		apart := map[view.Name]bool{}
-		for _, no := range order.Apart {
-			apart[h.fleet.Members[no].Name] = true
-		}
-		h.parting.Store(&apart)
+		h.cut(order.Apart)
 	case Fall:
 		h.fallen.Store(&order.Zones)
 	case State:
@@ -127,12 +123,7 @@
 			a.States = append(a.States, m.state())
 		}
 	case Applied:
-		a.Applied = map[int]time.Time{}
-		for no, m := range h.members {
-			if at := m.appliedAt(order); !at.IsZero() {
-				a.Applied[no] = at
-			}
-		}
+		a.Applied = h.applied(order)
 	case Measure:
 		used := measure(false)
 		a.Used, a.Volumes = &used, map[int]MemberSaid{}
@@ -148,6 +139,27 @@
 	return a
 }
 
+// cut separates members from all others, or none.
+func (h *host) cut(nos []int) {
+	apart := map[view.Name]bool{}
+	for _, no := range nos {
+		apart[h.fleet.Members[no].Name] = true
+	}
+	h.separated.Store(&apart)
+}
+
+// applied is when each member applied the purge or the version of an order; members that have not are left out.
+func (h *host) applied(order *Order) map[int]time.Time {
+	times := map[int]time.Time{}
+	for no, m := range h.members {
+		if at := m.appliedAt(order); !at.IsZero() {
+			times[no] = at
+		}
+	}
+	return times
+}
+
+// ordered returns the members in the order of the spec.
 func (h *host) ordered() (all []*member) {
 	for _, no := range h.spec.Members {
 		all = append(all, h.members[no])
@@ -155,7 +167,7 @@
 	return all
 }
 
-// each has members do something at once, and tells what went wrong first.
+// each calls do on members concurrently and describes the first error.
 func (h *host) each(nos []int, do func(*member) error) string {
 	if len(nos) == 0 {
 		nos = h.spec.Members
--- a/lab/scale/host/member.go
+++ b/lab/scale/host/member.go
@@ -29,12 +29,12 @@
 	no   int
 
 	mu      sync.Mutex // held over a start, an end or a look at one member; no other lock of the program is held then
-	life    *life
+	running *incarnation
 	applied uint64 // the highest purge that an earlier life applied
 }
 
-// life is one run of a member, as a process would have it.
-type life struct {
+// incarnation is one run of a member, as a process would have it.
+type incarnation struct {
 	node   *cluster.Node
 	sender *hollow.Sender
 	// dead has nothing go out or be answered any more: a process that is killed says no word of farewell.
@@ -43,13 +43,13 @@
 	work sync.WaitGroup
 }
 
-// longest is the longest deadline of any message class of the synthetic senders.
-const longest = 5 * time.Second
+// longestDeadline is the longestDeadline deadline of any message class of the synthetic senders.
+const longestDeadline = 5 * time.Second
 
 func (m *member) start() error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.life != nil {
+	if m.running != nil {
 		return nil
 	}
 	h, self := m.host, m.host.fleet.Members[m.no]
@@ -62,7 +62,7 @@
 	if err != nil {
 		return err
 	}
-	l := &life{}
+	l := &incarnation{}
 	zones := map[string]choice.ZoneNo{}
 	own := 0
 	for zone := range h.fleet.Zones {
@@ -73,7 +73,7 @@
 	}
 	l.sender = hollow.New(&h.spec.Load, own, uint64(m.no), m.applied, h.clock, h.zoneFell)
 	l.node, err = cluster.Start(cluster.Options{Settings: set, Log: h.log.With(zap.String("member", string(self.Name))), Orders: l.sender,
-		Zones: zones, Longest: longest, RatingIsRate: true, Cut: func(other view.Name) bool { return l.dead.Load() || h.apart(self.Name, other) }})
+		Zones: zones, Longest: longestDeadline, RatingIsRate: true, Cut: func(other view.Name) bool { return l.dead.Load() || h.apart(self.Name, other) }})
 	if err != nil {
 		return err
 	}
@@ -82,7 +82,7 @@
 	if h.digestsRead() {
 		l.work.Go(func() { l.sender.Run(ctx, l.node) })
 	}
-	m.life = l
+	m.running = l
 	return nil
 }
 
@@ -94,7 +94,7 @@
 
 // apart tells whether a cut lies between two members.
 func (h *host) apart(one, other view.Name) bool {
-	apart := *h.parting.Load()
+	apart := *h.separated.Load()
 	return apart[one] != apart[other]
 }
 
@@ -105,11 +105,11 @@
 func (m *member) end(silent bool) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.life == nil {
+	if m.running == nil {
 		return nil
 	}
-	l := m.life
-	m.life = nil
+	l := m.running
+	m.running = nil
 	m.applied = l.sender.Applied()
 	l.dead.Store(silent)
 	l.stop()
@@ -123,10 +123,10 @@
 func (m *member) state() MemberState {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.life == nil {
+	if m.running == nil {
 		return MemberState{No: m.no}
 	}
-	return StateOf(m.no, m.life.node.Status())
+	return StateOf(m.no, m.running.node.Status())
 }
 
 // StateOf is a member's state by what it tells of itself.
@@ -161,22 +161,22 @@
 func (m *member) appliedAt(order *Order) time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.life == nil {
+	if m.running == nil {
 		return time.Time{}
 	}
 	if order.Purge > 0 {
-		return m.life.sender.AppliedAt(order.Purge)
+		return m.running.sender.AppliedAt(order.Purge)
 	}
-	return m.life.sender.ConfiguredAt(order.Version)
+	return m.running.sender.ConfiguredAt(order.Version)
 }
 
 func (m *member) said() MemberSaid {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.life == nil {
+	if m.running == nil {
 		return MemberSaid{}
 	}
-	return SaidOf(m.life.node.Status())
+	return SaidOf(m.running.node.Status())
 }
 
 // SaidOf is what a member has carried by what it tells of itself.
--- a/lab/scale/hosts.go
+++ b/lab/scale/hosts.go
@@ -30,17 +30,17 @@
 // heap is small, a quarter of the processor time went into allocation and what collects it (360 members that start).
 const hostCollector = "GOGC=400"
 
-// startStep is how many hollow members are started at a time. Before the next are, those that run see each other, or
-// stepFor is over: a machine that starts hundreds at once has no processor time left to answer probes with, so that
+// membersPerStep is how many hollow members are started at a time. Before the next are, those that run see each other, or
+// stepTimeout is over: a machine that starts hundreds at once has no processor time left to answer probes with, so that
 // members take each other for dead, and putting that right takes more of it again.
 const (
-	startStep = 40
-	stepFor   = 30 * time.Second
+	membersPerStep = 40
+	stepTimeout    = 30 * time.Second
 )
 
 const (
-	hostEndsWithin = 15 * time.Second
-	mostAnswer     = 64 << 20
+	hostEndTimeout = 15 * time.Second
+	maxAnswerBytes = 64 << 20
 )
 
 // hostProcess is one host.
@@ -66,7 +66,7 @@
 	for _, role := range fleet.Roles {
 		parts := 1
 		if role == fleet.Plain {
-			parts = r.o.Hosts
+			parts = r.options.Hosts
 		}
 		for _, part := range deal(groups[role], parts) {
 			h, err := r.startHost(role, part)
@@ -92,7 +92,7 @@
 
 func (r *run) startHost(role fleet.Role, members []int) (*hostProcess, error) {
 	h := &hostProcess{role: role, members: members, ended: make(chan error, 1)}
-	h.cmd = exec.Command(r.o.HostCommand[0], r.o.HostCommand[1:]...)
+	h.cmd = exec.Command(r.options.HostCommand[0], r.options.HostCommand[1:]...)
 	h.cmd.Env = append(os.Environ(), HostVariable+"=1", hostThreads, hostCollector)
 	h.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	h.cmd.Stderr = os.Stderr
@@ -108,11 +108,11 @@
 		return nil, err
 	}
 	h.in, h.answers = in, bufio.NewScanner(out)
-	h.answers.Buffer(nil, mostAnswer)
-	spec := host.Spec{Fleet: r.fleet.Size, Members: members, Load: r.o.Load, Folder: filepath.Join(r.dir, "hollow"), Began: r.began.UnixNano()}
-	if r.o.Logs != "" {
-		spec.Log = filepath.Join(r.o.Logs, fmt.Sprintf("host-%d.log", len(r.hosts)))
-		spec.Profile = filepath.Join(r.o.Logs, fmt.Sprintf("host-%d.pprof", len(r.hosts)))
+	h.answers.Buffer(nil, maxAnswerBytes)
+	spec := host.Spec{Fleet: r.fleet.Size, Members: members, Load: r.options.Load, Folder: filepath.Join(r.dir, "hollow"), Began: r.began.UnixNano()}
+	if r.options.Logs != "" {
+		spec.Log = filepath.Join(r.options.Logs, fmt.Sprintf("host-%d.log", len(r.hosts)))
+		spec.Profile = filepath.Join(r.options.Logs, fmt.Sprintf("host-%d.pprof", len(r.hosts)))
 	}
 	return h, json.NewEncoder(in).Encode(spec)
 }
@@ -129,8 +129,8 @@
 	// Dealt over the hosts, so that each has some to start in each step; founders first, whom the others look for.
 	slices.SortStableFunc(all, func(a, b int) int { return cmp.Compare(r.startsAt(a), r.startsAt(b)) })
 	for started := 0; started < len(all); {
-		n := min(startStep, len(all)-started)
-		if _, err := r.some(struckOf(setOf(all[started:started+n]), host.Start)); err != nil {
+		n := min(membersPerStep, len(all)-started)
+		if _, err := r.orderHosts(struckOf(setOf(all[started:started+n]), host.Start)); err != nil {
 			return err
 		}
 		if started += n; started == len(all) {
@@ -146,20 +146,20 @@
 // awaitStep waits until the hollow members that were started see each other, stepFor at most.
 func (r *run) awaitStep(ctx context.Context, started int) error {
 	began := time.Now()
-	for time.Since(began) < stepFor {
+	for time.Since(began) < stepTimeout {
 		looked := time.Now()
-		answers, err := r.all(host.Order{Do: host.State})
+		answers, err := r.orderAllHosts(host.Order{Do: host.State})
 		if err != nil {
 			return err
 		}
 		if seeEachOther(answers, started) {
 			return nil
 		}
-		if !sleep(ctx, max(lookEvery, lookShare*time.Since(looked))) {
+		if !sleep(ctx, max(pollEvery, pollPause*time.Since(looked))) {
 			return ctx.Err()
 		}
 	}
-	r.o.Say("the first %d started do not all see each other after %v", started, stepFor)
+	r.options.Say("the first %d started do not all see each other after %v", started, stepTimeout)
 	return nil
 }
 
@@ -207,13 +207,13 @@
 	return &a, nil
 }
 
-// all has each host do the same at once; the answers are in the hosts' order.
-func (r *run) all(order host.Order) ([]*host.Answer, error) {
-	return r.some(func(*hostProcess) *host.Order { return &order })
+// orderAllHosts has each host do the same at once; the answers are in the hosts' order.
+func (r *run) orderAllHosts(order host.Order) ([]*host.Answer, error) {
+	return r.orderHosts(func(*hostProcess) *host.Order { return &order })
 }
 
-// some has those hosts do something for which there is an order.
-func (r *run) some(orderOf func(*hostProcess) *host.Order) ([]*host.Answer, error) {
+// orderHosts has those hosts do something for which there is an order.
+func (r *run) orderHosts(orderOf func(*hostProcess) *host.Order) ([]*host.Answer, error) {
 	answers, problems := make([]*host.Answer, len(r.hosts)), make([]error, len(r.hosts))
 	var wait sync.WaitGroup
 	for i, h := range r.hosts {
@@ -232,7 +232,7 @@
 	select {
 	case err := <-h.ended:
 		return err
-	case <-time.After(hostEndsWithin):
+	case <-time.After(hostEndTimeout):
 		syscall.Kill(-h.cmd.Process.Pid, syscall.SIGKILL)
 		<-h.ended
 		return fmt.Errorf("host of %ss did not end in time", h.role)
--- a/lab/scale/measure.go
+++ b/lab/scale/measure.go
@@ -105,7 +105,7 @@
 
 func (r *run) read(ctx context.Context) (*reading, error) {
 	now := &reading{at: time.Now(), said: map[int]host.MemberSaid{}, cpuOf: map[int]time.Duration{}, answerBytes: map[int]int{}}
-	answers, err := r.all(host.Order{Do: host.Measure})
+	answers, err := r.orderAllHosts(host.Order{Do: host.Measure})
 	if err != nil {
 		return nil, err
 	}
@@ -151,14 +151,14 @@
 	if err != nil {
 		return err
 	}
-	if !sleep(ctx, r.o.Calm) {
+	if !sleep(ctx, r.options.Calm) {
 		return ctx.Err()
 	}
 	after, err := r.read(ctx)
 	if err != nil {
 		return err
 	}
-	memory, err := r.all(host.Order{Do: host.Memory})
+	memory, err := r.orderAllHosts(host.Order{Do: host.Memory})
 	if err != nil {
 		return err
 	}
--- a/lab/scale/real.go
+++ b/lab/scale/real.go
@@ -25,32 +25,32 @@
 // This file runs the real members: flaxcove serve with a world of partners around it, which is lab/live's.
 
 const (
-	realAskFor    = 3 * time.Second
-	realLoadFor   = 3600 // seconds; the run ends when the faults are over
-	mostListeners = 3600 // endpoints times senders; lab/live opens a listener for each
+	statusTimeout  = 3 * time.Second
+	maxLoadSeconds = 3600 // seconds; the run ends when the faults are over
+	maxListeners   = 3600 // endpoints times senders; lab/live opens a listener for each
 )
 
 // realRun is the run of lab/live.
 type realRun struct {
-	hold   *live.RunControl
-	relays []*relay.Relay
-	client http.Client
-	stop   context.CancelFunc
-	ended  chan error
-	// fault is that a real member was slow to end, read once the run has ended. It hangs on how busy the machine is, so it
-	// is told with the result; a member that died, hung or would not start fails the run.
+	control *live.RunControl
+	relays  []*relay.Relay
+	client  http.Client
+	stop    context.CancelFunc
+	ended   chan error
+	// fault says that a real member was slow to end; it may be read once the run has ended. It is part of the result. A
+	// member that died, hung or would not start fails the run.
 	fault string
 }
 
+// startReal starts the real members, if there are any, and waits until their world begins.
 func (r *run) startReal(ctx context.Context) error {
-	all := r.fleet.RealMembers()
-	if len(all) == 0 {
+	r.realMembers = r.fleet.RealMembers()
+	if len(r.realMembers) == 0 {
 		return nil
 	}
-	if len(all) != r.o.Fleet.Real {
-		return fmt.Errorf("%d of %d real members have a place; fewer, or more members a zone", len(all), r.o.Fleet.Real)
+	if len(r.realMembers) != r.options.Fleet.Real {
+		return fmt.Errorf("%d of %d real members have a place; fewer, or more members a zone", len(r.realMembers), r.options.Fleet.Real)
 	}
-	r.realMembers = all
 	relayed, err := r.openRelays()
 	if err != nil {
 		return err
@@ -58,28 +58,13 @@
 	ctx, r.real.stop = context.WithCancel(ctx)
 	begun := make(chan *live.RunControl, 1)
 	r.real.ended = make(chan error, 1)
-	options := live.Options{Spec: r.worldOf(), Seed: r.o.Load.Seed, Command: r.o.ServeCommand, KeepVerdict: true, Logs: r.o.Logs,
-		SenderArgs: func(s world.SenderNo, home string) ([]string, error) {
-			r.realHomes = append(r.realHomes, home)
-			path := filepath.Join(home, "cluster.toml")
-			text := r.fleet.File(all[s].No, filepath.Join(home, "cluster"), relayed)
-			return []string{"--cluster", path}, os.WriteFile(path, text, 0o644)
-		},
-		OnBegin:     func(h *live.RunControl) { begun <- h },
+	options := live.Options{Spec: r.worldOf(), Seed: r.options.Load.Seed, Command: r.options.ServeCommand, KeepVerdict: true, Logs: r.options.Logs,
+		SenderArgs:  func(s world.SenderNo, home string) ([]string, error) { return r.writeClusterFile(s, home, relayed) },
+		OnBegin:     func(control *live.RunControl) { begun <- control },
 		KeepRunning: func() bool { return true }}
-	go func() {
-		result, err := live.Run(ctx, options)
-		switch {
-		case err != nil:
-		case result.SlowEnd:
-			r.real.fault = result.Fault
-		case result.Fault != "":
-			err = fmt.Errorf("real members: %s", result.Fault)
-		}
-		r.real.ended <- err
-	}()
+	go func() { r.real.ended <- r.runReal(ctx, options) }()
 	select {
-	case r.real.hold = <-begun:
+	case r.real.control = <-begun:
 		return nil
 	case err := <-r.real.ended:
 		r.real.ended <- err
@@ -87,13 +72,35 @@
 	}
 }
 
+// writeClusterFile writes the cluster file of a real member and returns the arguments that name it.
+func (r *run) writeClusterFile(s world.SenderNo, home string, relayed []int) ([]string, error) {
+	r.realHomes = append(r.realHomes, home)
+	path := filepath.Join(home, "cluster.toml")
+	text := r.fleet.File(r.realMembers[s].No, filepath.Join(home, "cluster"), relayed)
+	return []string{"--cluster", path}, os.WriteFile(path, text, 0o644)
+}
+
+// runReal runs the real members until ctx ends. That one was slow to end is no error: it depends on how busy the machine is.
+func (r *run) runReal(ctx context.Context, options live.Options) error {
+	result, err := live.Run(ctx, options)
+	switch {
+	case err != nil:
+		return err
+	case result.SlowEnd:
+		r.real.fault = result.Fault
+	case result.Fault != "":
+		return fmt.Errorf("real members: %s", result.Fault)
+	}
+	return nil
+}
+
 // openRelays puts a relay before each member of the region that a schedule cuts off: hollow members know by themselves
 // whom they do not reach, real ones do not.
 func (r *run) openRelays() (relayed []int, err error) {
 	if len(r.realMembers) == len(r.fleet.Members) {
 		return nil, nil
 	}
-	cuts := slices.ContainsFunc(r.o.Schedules, func(s *schedule.Schedule) bool {
+	cuts := slices.ContainsFunc(r.options.Schedules, func(s *schedule.Schedule) bool {
 		return slices.ContainsFunc(s.Faults, func(f schedule.Fault) bool { return f.Kind == "cut" })
 	})
 	for _, m := range r.fleet.Members {
@@ -117,11 +124,11 @@
 func (r *run) worldOf() *world.Spec {
 	spec := world.Base()
 	n := len(r.realMembers)
-	spec.Name, spec.Seconds, spec.Senders, spec.Zones = "scale", realLoadFor, n, r.fleet.RealZones()
-	spec.Load.Rate = max(1, r.o.RealRate*float64(n))
+	spec.Name, spec.Seconds, spec.Senders, spec.Zones = "scale", maxLoadSeconds, n, r.fleet.RealZones()
+	spec.Load.Rate = max(1, r.options.RealRate*float64(n))
 	spec.Classes = []world.Class{{Name: "status", LatencyObjectiveMS: 1500, DeadlineMS: 4000}}
 	ends := min(2, spec.Zones)
-	count := max(1, min(r.o.RealDestinations, mostListeners/n/ends))
+	count := max(1, min(r.options.RealDestinations, maxListeners/n/ends))
 	spec.Partners = []world.Kind{{Name: "shop", Count: count, Endpoints: world.Pair{float64(ends), float64(ends)}, Headroom: world.Pair{3, 4}, LeastRate: 40}}
 	spec.Defaults()
 	return &spec
@@ -137,19 +144,19 @@
 
 // act does something to real members by their numbers in the fleet.
 func (r *run) act(nos map[int]bool, what world.Act) {
-	if r.real.hold == nil {
+	if r.real.control == nil {
 		return
 	}
 	for s, m := range r.realMembers {
 		if nos[m.No] {
 			done := make(chan struct{})
-			r.real.hold.Post(func() {
-				r.real.hold.Act(world.SenderNo(s), what)
+			r.real.control.Post(func() {
+				r.real.control.Act(world.SenderNo(s), what)
 				close(done)
 			})
 			select {
 			case <-done:
-			case <-time.After(hostEndsWithin):
+			case <-time.After(hostEndTimeout):
 			}
 		}
 	}
@@ -157,7 +164,7 @@
 
 // statusOf asks a real member; length is of its answer, which its own count of bytes does not hold yet.
 func (r *run) statusOf(ctx context.Context, no int) (s *status.Status, length int, err error) {
-	ctx, cancel := context.WithTimeout(ctx, realAskFor)
+	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+r.address(no).HTTP+"/v1/cluster", nil)
 	if err != nil {
--- a/lab/scale/run.go
+++ b/lab/scale/run.go
@@ -14,7 +14,7 @@
 
 // run is one under way. It belongs to one goroutine.
 type run struct {
-	o           Options
+	options     Options
 	fleet       *fleet.Fleet
 	dir         string
 	began       time.Time
@@ -27,16 +27,16 @@
 
 // Run plays one run. An error says that it could not be played, or that members did not come to agree.
 func Run(ctx context.Context, o Options) (result *Result, err error) {
-	if err := o.fill(); err != nil {
+	if err := o.fillAndCheck(); err != nil {
 		return nil, err
 	}
-	r := &run{o: o, began: time.Now(), result: &Result{Options: o}}
-	if r.o.Fleet.Port == 0 {
-		if r.o.Fleet.Port, err = freePort(o.Fleet); err != nil {
+	r := &run{options: o, began: time.Now(), result: &Result{Options: o}}
+	if r.options.Fleet.Port == 0 {
+		if r.options.Fleet.Port, err = freePort(o.Fleet); err != nil {
 			return nil, err
 		}
 	}
-	r.fleet = fleet.Plan(r.o.Fleet)
+	r.fleet = fleet.Plan(r.options.Fleet)
 	if r.dir, err = os.MkdirTemp("", "flaxcove-scale-"); err != nil {
 		return nil, err
 	}
@@ -47,30 +47,30 @@
 	}
 	defer os.RemoveAll(r.dir)
 	defer func() { err = errors.Join(err, r.end()) }()
-	if err := r.whole(ctx); err != nil {
+	if err := r.playAll(ctx); err != nil {
 		return r.result, err
 	}
 	return r.result, nil
 }
 
-// whole is the run's course.
-func (r *run) whole(ctx context.Context) (err error) {
+// playAll is the run's course.
+func (r *run) playAll(ctx context.Context) (err error) {
 	if err := r.startHosts(); err != nil {
 		return err
 	}
 	if err := r.startMembers(ctx); err != nil {
 		return err
 	}
-	r.o.Say("%d hollow members in %d processes started after %.1f s", len(r.fleet.Members)-r.o.Fleet.Real, len(r.hosts), time.Since(r.began).Seconds())
+	r.options.Say("%d hollow members in %d processes started after %.1f s", len(r.fleet.Members)-r.options.Fleet.Real, len(r.hosts), time.Since(r.began).Seconds())
 	if err := r.startReal(ctx); err != nil {
 		return err
 	}
-	if _, err := r.agree(ctx, "start"); err != nil {
+	if _, err := r.awaitAgreement(ctx, "start"); err != nil {
 		return err
 	}
 	r.result.StartS = time.Since(r.began).Seconds()
-	if r.o.Calm > 0 {
-		if !sleep(ctx, r.o.Settle) {
+	if r.options.Calm > 0 {
+		if !sleep(ctx, r.options.Settle) {
 			return ctx.Err()
 		}
 		if err := r.measureCalm(ctx); err != nil {
@@ -80,27 +80,27 @@
 	if err := r.orderAll(ctx); err != nil {
 		return err
 	}
-	for _, s := range r.o.Schedules {
+	for _, s := range r.options.Schedules {
 		if len(s.Faults) == 0 {
 			continue
 		}
-		if err := r.disturbed(ctx, s); err != nil {
+		if err := r.playSchedule(ctx, s); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// disturbed plays one schedule, and waits until all agree again.
-func (r *run) disturbed(ctx context.Context, s *schedule.Schedule) error {
+// playSchedule plays one schedule, and waits until all agree again.
+func (r *run) playSchedule(ctx context.Context, s *schedule.Schedule) error {
 	before, err := r.read(ctx)
 	if err != nil {
 		return err
 	}
-	if err := r.play(ctx, s); err != nil {
+	if err := r.playFaults(ctx, s); err != nil {
 		return err
 	}
-	took, err := r.agree(ctx, s.Name)
+	took, err := r.awaitAgreement(ctx, s.Name)
 	if err != nil {
 		return err
 	}
--- a/lab/scale/scale.go
+++ b/lab/scale/scale.go
@@ -42,11 +42,11 @@
 	defaultHosts  = 6
 	defaultAgree  = 3 * time.Minute
 	defaultSettle = 5 * time.Second
-	// mostMembers is what the addresses of package fleet have room for, and far over what a machine bears.
-	mostMembers = 2000
+	// maxMembers is what the addresses of package fleet have room for, and far over what a machine bears.
+	maxMembers = 2000
 )
 
-func (o *Options) fill() error {
+func (o *Options) fillAndCheck() error {
 	if o.Hosts <= 0 {
 		o.Hosts = defaultHosts
 	}
@@ -61,8 +61,8 @@
 	}
 	f := &o.Fleet
 	switch {
-	case f.Members < 1 || f.Members > mostMembers:
-		return fmt.Errorf("%d members; 1 to %d", f.Members, mostMembers)
+	case f.Members < 1 || f.Members > maxMembers:
+		return fmt.Errorf("%d members; 1 to %d", f.Members, maxMembers)
 	case f.Zones < 1 || f.Zones > f.Members || f.Regions < 1 || f.Regions > f.Zones:
 		return fmt.Errorf("%d zones in %d regions for %d members", f.Zones, f.Regions, f.Members)
 	case f.Large < 1:
--- a/lab/scale/scale_test.go
+++ b/lab/scale/scale_test.go
@@ -113,7 +113,7 @@
 		f := fleet.Plan(fleet.Size{Members: s.Processes, Real: 8, Zones: s.Zones, Regions: s.Regions, Large: 3})
 		r := &run{fleet: f}
 		for i := range s.Faults {
-			struck := s.Affected(&s.Faults[i], r.places())
+			struck := s.Affected(&s.Faults[i], r.locations())
 			if k := s.Faults[i].Kind; (k == "kill" || k == "cut") && len(struck) == 0 {
 				t.Errorf("%s: strikes nobody", name)
 			}
@@ -124,7 +124,7 @@
 // TestDiffer: each thing that members may see differently keeps them from agreeing.
 func TestDiffer(t *testing.T) {
 	alike := host.MemberState{Up: true, Here: 2, View: 7, Root: "a", Leader: "b", Epoch: 3, Purged: 4}
-	if why := differ([]host.MemberState{alike, alike}, 2, true); len(why) > 0 {
+	if why := differences([]host.MemberState{alike, alike}, 2, true); len(why) > 0 {
 		t.Errorf("two that see the same: %v", why)
 	}
 	for name, change := range map[string]func(*host.MemberState){
@@ -137,11 +137,11 @@
 	} {
 		other := alike
 		change(&other)
-		if why := differ([]host.MemberState{alike, other}, 2, true); len(why) == 0 {
+		if why := differences([]host.MemberState{alike, other}, 2, true); len(why) == 0 {
 			t.Errorf("%s: two that differ agree", name)
 		}
 	}
-	if why := differ([]host.MemberState{alike}, 2, true); len(why) == 0 {
+	if why := differences([]host.MemberState{alike}, 2, true); len(why) == 0 {
 		t.Error("one of two agrees")
 	}
 }
