--- a/cmd/flaxcove/lab_run.go
+++ b/cmd/flaxcove/lab_run.go
@@ -54,20 +54,20 @@
 }
 
 // singleRun is the run that the flags ask for.
-func singleRun(c *cli.Command, s *scenario.Scenario) (experiment.Single, error) {
+func singleRun(c *cli.Command, s *scenario.Scenario) (experiment.RunSpec, error) {
 	policy := c.String("policy")
 	if _, err := findPolicy(policy); err != nil {
-		return experiment.Single{}, err
+		return experiment.RunSpec{}, err
 	}
 	engine := c.String("engine")
 	if engine != engineSimulated && engine != engineSockets {
-		return experiment.Single{}, wrongInput(fmt.Errorf("--engine: %q is neither simulated nor sockets", engine))
+		return experiment.RunSpec{}, wrongInput(fmt.Errorf("--engine: %q is neither simulated nor sockets", engine))
 	}
 	self, err := os.Executable()
 	if err != nil {
-		return experiment.Single{}, err
+		return experiment.RunSpec{}, err
 	}
-	return experiment.Single{Engine: engine, Spec: s.Spec, Scenario: s, Seed: c.Uint64("seed"),
+	return experiment.RunSpec{Engine: engine, Spec: s.Spec, Scenario: s, Seed: c.Uint64("seed"),
 		Policy: policy, Binary: c.String("binary"), Self: self, Logs: c.String("logs")}, nil
 }
 
--- a/lab/cluster/rate/change.go
+++ b/lab/cluster/rate/change.go
@@ -16,23 +16,23 @@
 )
 
 const (
-	orderWithin = 16 * time.Second
+	changeTimeout = 16 * time.Second
 	// connIdle is the setting that is changed, a little each time: how long a link without calls is kept.
 	connIdle     = 10 * time.Second
 	connIdleStep = time.Millisecond
 )
 
-// orders hands in one change after the other until its end.
-type orders struct {
+// changeLoop hands in one change after the other until its end.
+type changeLoop struct {
 	stop    context.CancelFunc
 	done    chan struct{}
 	inForce int
 	err     error
 }
 
-func startOrders(ctx context.Context, o Options, s *senders) *orders {
+func startChangeLoop(ctx context.Context, o Options, s *senders) *changeLoop {
 	ordering, stop := context.WithCancel(ctx)
-	all := &orders{stop: stop, done: make(chan struct{})}
+	all := &changeLoop{stop: stop, done: make(chan struct{})}
 	if s.mesh == nil || o.Plain || o.Every == 0 {
 		close(all.done)
 		return all
@@ -55,7 +55,7 @@
 }
 
 // end orders no more, waits for the one under way, and tells how many changes came into force, and why one did not.
-func (all *orders) end() (inForce int, err error) {
+func (all *changeLoop) end() (inForce int, err error) {
 	all.stop()
 	<-all.done
 	return all.inForce, all.err
@@ -63,7 +63,7 @@
 
 // change orders one upon a version and waits until it is in force in all processes.
 func change(ctx context.Context, address string, base uint64) (version uint64, err error) {
-	ctx, stop := context.WithTimeout(ctx, orderWithin)
+	ctx, stop := context.WithTimeout(ctx, changeTimeout)
 	defer stop()
 	idle := connIdle + time.Duration(base+1)*connIdleStep
 	body, err := json.Marshal(map[string]any{"id": fmt.Sprintf("rate-%d", base), "base": base, "who": "laboratory", "why": "rate",
--- a/lab/cluster/rate/client.go
+++ b/lab/cluster/rate/client.go
@@ -24,12 +24,12 @@
 // client is one connection that hands in until it is closed.
 type client struct {
 	connection net.Conn
-	out        *outside
+	out        *environment
 	stop       chan struct{}
 	running    sync.WaitGroup
 }
 
-func handIn(address string, out *outside) (*client, error) {
+func handIn(address string, out *environment) (*client, error) {
 	connection, err := net.Dial("tcp", address)
 	if err != nil {
 		return nil, err
--- a/lab/cluster/rate/outside.go
+++ b/lab/cluster/rate/environment.go
@@ -27,8 +27,8 @@
 	aliveEvery = time.Second
 )
 
-// outside serves all that senders call.
-type outside struct {
+// environment serves all that senders call.
+type environment struct {
 	addresses []string
 	servers   []*http.Server
 	stop      chan struct{}
@@ -40,7 +40,7 @@
 // counts are how many messages came to which end.
 type counts struct{ delivered, refused, ended int64 }
 
-func (o *outside) counts() counts {
+func (o *environment) counts() counts {
 	return counts{o.delivered.Load(), o.refused.Load(), o.ended.Load()}
 }
 
@@ -48,17 +48,17 @@
 func (c counts) over() int64 { return c.delivered + c.refused + c.ended }
 
 // awaitFirst waits for the first message: a sender that joins a cluster holds them back until it knows the newest settings.
-func (o *outside) awaitFirst(ctx context.Context) error {
+func (o *environment) awaitFirst(ctx context.Context) error {
 	for o.delivered.Load() == 0 {
-		if err := sleep(ctx, askAgain); err != nil {
+		if err := sleep(ctx, pollEvery); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func openOutside() (*outside, error) {
-	o := &outside{stop: make(chan struct{})}
+func openEnvironment() (*environment, error) {
+	o := &environment{stop: make(chan struct{})}
 	for i := range outsideHosts {
 		listener, err := net.Listen("tcp", fmt.Sprintf("127.0.0.%d:0", i+1))
 		if err != nil {
@@ -73,7 +73,7 @@
 	return o, nil
 }
 
-func (o *outside) close() {
+func (o *environment) close() {
 	close(o.stop)
 	for _, server := range o.servers {
 		server.Close()
@@ -81,7 +81,7 @@
 	o.serving.Wait()
 }
 
-func (o *outside) handler() http.Handler {
+func (o *environment) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("/inbox", func(_ http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
@@ -97,7 +97,7 @@
 }
 
 // follow is a watch on discovery: senders know the whole list from their start, and nothing changes.
-func (o *outside) follow(w http.ResponseWriter, r *http.Request) {
+func (o *environment) follow(w http.ResponseWriter, r *http.Request) {
 	alive := time.NewTicker(aliveEvery)
 	defer alive.Stop()
 	out := http.NewResponseController(w)
@@ -116,7 +116,7 @@
 }
 
 // list is what discovery would tell: all destinations, in the only zone.
-func (o *outside) list() directory.List {
+func (o *environment) list() directory.List {
 	list := directory.List{Version: 1, Full: true}
 	for destination := range destinations {
 		for i := range endpointsEach {
--- a/lab/cluster/rate/process.go
+++ b/lab/cluster/rate/process.go
@@ -25,9 +25,9 @@
 )
 
 const (
-	setUpWithin = 40 * time.Second
-	endWithin   = 5 * time.Second
-	askAgain    = 50 * time.Millisecond
+	setUpTimeout = 40 * time.Second
+	endTimeout   = 5 * time.Second
+	pollEvery    = 50 * time.Millisecond
 	// tick is the unit of processor times in /proc, on every Linux that Go runs on.
 	tick = 10 * time.Millisecond
 
@@ -57,7 +57,7 @@
 	mesh *mesh.Mesh // nil without a cluster
 }
 
-func startSenders(ctx context.Context, o Options, home string, out *outside) (s *senders, err error) {
+func startSenders(ctx context.Context, o Options, home string, out *environment) (s *senders, err error) {
 	s = &senders{}
 	if o.Cluster {
 		if s.mesh, err = openMesh(o); err != nil {
@@ -87,7 +87,7 @@
 }
 
 // start starts one process in a folder of its own.
-func (s *senders) start(ctx context.Context, o Options, no int, home string, out *outside) error {
+func (s *senders) start(ctx context.Context, o Options, no int, home string, out *environment) error {
 	if err := os.MkdirAll(filepath.Join(home, "state"), 0o755); err != nil {
 		return err
 	}
@@ -132,7 +132,7 @@
 	return os.WriteFile(path, text, 0o644)
 }
 
-func writeConfiguration(path string, no int, state string, out *outside) error {
+func writeConfiguration(path string, no int, state string, out *environment) error {
 	var settings map[string]any
 	if err := json.Unmarshal([]byte(settingsText), &settings); err != nil {
 		return err
@@ -158,14 +158,14 @@
 				return fmt.Errorf("a sender ended by itself: %s", text)
 			case <-ctx.Done():
 				return errors.New("not all senders were ready in time")
-			case <-time.After(askAgain):
+			case <-time.After(pollEvery):
 			}
 		}
 	}
 	for no := 0; s.mesh != nil && no < len(s.all); {
 		if knowsLeader(ctx, s.mesh.HTTP(no)) {
 			no++
-		} else if sleep(ctx, askAgain) != nil {
+		} else if sleep(ctx, pollEvery) != nil {
 			return errors.New("not all members knew who leads in time")
 		}
 	}
@@ -230,7 +230,7 @@
 	for _, one := range s.all {
 		one.command.Process.Signal(syscall.SIGTERM)
 	}
-	deadline := time.After(endWithin)
+	deadline := time.After(endTimeout)
 	for _, one := range s.all {
 		select {
 		case <-one.exited:
--- a/lab/cluster/rate/rate.go
+++ b/lab/cluster/rate/rate.go
@@ -1,7 +1,7 @@
 // Package rate measures what the cluster costs the data path: the highest rate of one real sender, with and without it.
 //
 // It owns the set-up of one run and its figure. The processes are process.go's, endpoints, discovery and platform are
-// outside.go's, the client is client.go's, changes of the settings are change.go's, pairs of runs are pairs.go's. It
+// environment.go's, the client is client.go's, changes of the settings are change.go's, pairs of runs are pairs.go's. It
 // must never judge a figure, call anything but loopback addresses, or leave a process or a file behind.
 package rate
 
@@ -49,14 +49,14 @@
 
 // Run measures once. Messages are handed in as fast as the sender delivers them, so many under way at a time.
 func Run(ctx context.Context, o Options) (figure Figure, err error) {
-	ctx, stop := context.WithTimeout(ctx, o.Warm+o.For+setUpWithin)
+	ctx, stop := context.WithTimeout(ctx, o.Warm+o.For+setUpTimeout)
 	defer stop()
 	home, err := os.MkdirTemp("", "flaxcove-rate-")
 	if err != nil {
 		return figure, err
 	}
 	defer os.RemoveAll(home)
-	out, err := openOutside()
+	out, err := openEnvironment()
 	if err != nil {
 		return figure, err
 	}
@@ -84,14 +84,14 @@
 }
 
 // measure is the span that the figure is of.
-func measure(ctx context.Context, o Options, senders *senders, out *outside) (figure Figure, err error) {
+func measure(ctx context.Context, o Options, senders *senders, out *environment) (figure Figure, err error) {
 	pid := senders.all[0].command.Process.Pid
 	usedBefore, err := processorTime(pid)
 	if err != nil {
 		return figure, err
 	}
 	before, began := out.counts(), time.Now()
-	orders := startOrders(ctx, o, senders)
+	orders := startChangeLoop(ctx, o, senders)
 	waited := sleep(ctx, o.For)
 	after, span := out.counts(), time.Since(began)
 	usedAfter, err := processorTime(pid)
--- a/lab/experiment/plan.go
+++ b/lab/experiment/plan.go
@@ -25,7 +25,7 @@
 	engineSockets   = "sockets"
 
 	defaultSeeds = 6
-	mostSeeds    = 10000
+	maxSeeds     = 10000
 )
 
 // Load reads a plan and lists its runs.
@@ -79,8 +79,8 @@
 		return p.wrong("scenarios", "missing")
 	case len(p.Variants) == 0:
 		return p.wrong("variant", "missing")
-	case p.Seeds < 1 || p.Seeds > mostSeeds:
-		return p.wrong("seeds", "%d is not within 1 and %d", p.Seeds, mostSeeds)
+	case p.Seeds < 1 || p.Seeds > maxSeeds:
+		return p.wrong("seeds", "%d is not within 1 and %d", p.Seeds, maxSeeds)
 	case !slices.ContainsFunc(p.Variants, func(v Variant) bool { return v.Name == p.Base }):
 		return p.wrong("base", "no variant is called %q", p.Base)
 	}
--- a/lab/experiment/results.go
+++ b/lab/experiment/results.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// cutTorn takes away a last line that has no end.
-func cutTorn(path string) error {
+// truncateTornLine takes away a last line that has no end.
+func truncateTornLine(path string) error {
 	text, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) || len(text) == 0 {
 		return nil
@@ -80,7 +80,7 @@
 			known[resultID{r.Key, r.Seed}] = r
 		}
 	}
-	if err := cutTorn(path); err != nil {
+	if err := truncateTornLine(path); err != nil {
 		return nil, err
 	}
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
--- a/lab/experiment/run.go
+++ b/lab/experiment/run.go
@@ -86,7 +86,7 @@
 
 // play plays one run of a plan.
 func play(ctx context.Context, p *Plan, j *Job, o Options) *Result {
-	v, err := RunOnce(ctx, Single{
+	v, err := RunOnce(ctx, RunSpec{
 		Engine:   p.Engine,
 		Spec:     j.spec,
 		Scenario: j.loaded,
--- a/lab/experiment/single.go
+++ b/lab/experiment/single.go
@@ -21,8 +21,8 @@
 	"flaxcove/lab/world"
 )
 
-// Single is one run.
-type Single struct {
+// RunSpec is one run.
+type RunSpec struct {
 	Engine   string
 	Spec     *world.Spec
 	Scenario *scenario.Scenario // whose trace is played; may be nil
@@ -34,18 +34,18 @@
 }
 
 // RunOnce plays one run, whichever engine and build it takes.
-func RunOnce(ctx context.Context, s Single) (*referee.Verdict, error) {
+func RunOnce(ctx context.Context, s RunSpec) (*referee.Verdict, error) {
 	switch {
 	case s.Engine == engineSockets:
 		return onSockets(ctx, s)
 	case s.Binary != "":
-		return other(ctx, s)
+		return onOtherBinary(ctx, s)
 	}
 	return simulated(ctx, s)
 }
 
 // trace is the recorded load that takes the place of the spec's, nil where there is none.
-func (s *Single) trace() []load.Arrival {
+func (s *RunSpec) trace() []load.Arrival {
 	if s.Scenario == nil {
 		return nil
 	}
@@ -53,7 +53,7 @@
 }
 
 // onSockets plays with real senders.
-func onSockets(ctx context.Context, s Single) (*referee.Verdict, error) {
+func onSockets(ctx context.Context, s RunSpec) (*referee.Verdict, error) {
 	binary := s.Self
 	if s.Binary != "" {
 		binary = s.Binary
@@ -69,7 +69,7 @@
 }
 
 // simulated plays in simulated time, in this program.
-func simulated(ctx context.Context, s Single) (*referee.Verdict, error) {
+func simulated(ctx context.Context, s RunSpec) (*referee.Verdict, error) {
 	o := sim.Options{Spec: s.Spec, Seed: s.Seed, Trace: s.trace(), Until: func() bool { return ctx.Err() != nil }}
 	if s.Policy != "" {
 		o.Policy = baseline.Named(s.Policy)
@@ -77,8 +77,8 @@
 	return sim.Run(o)
 }
 
-// other has another build play a simulated run.
-func other(ctx context.Context, s Single) (*referee.Verdict, error) {
+// onOtherBinary has another build play a simulated run.
+func onOtherBinary(ctx context.Context, s RunSpec) (*referee.Verdict, error) {
 	path, err := temporaryScenario(s.Spec)
 	if err != nil {
 		return nil, err
--- a/lab/hunt/hunt.go
+++ b/lab/hunt/hunt.go
@@ -19,14 +19,14 @@
 	Cause string       `toml:"cause"` // once it is known
 }
 
-// Played is what a run of one scenario gave: the sender and the bound.
-type Played struct {
+// Outcome is what a run of one scenario gave: the sender and the bound.
+type Outcome struct {
 	Rules map[referee.Rule]int
 	Gap   float64
 }
 
 // Play plays a scenario with the sender, and with the bound where asked to.
-type Play func(spec *world.Spec, seed uint64, bound bool) (Played, error)
+type Play func(spec *world.Spec, seed uint64, bound bool) (Outcome, error)
 
 // Goal is what a hunt looks for.
 type Goal struct {
@@ -35,7 +35,7 @@
 }
 
 // Hit tells whether a run shows what is looked for, and which rule breaks first by name.
-func (g Goal) Hit(p Played) (rule referee.Rule, hit bool) {
+func (g Goal) Hit(p Outcome) (rule referee.Rule, hit bool) {
 	for _, r := range referee.Rules {
 		if p.Rules[r] > 0 {
 			return r, true
--- a/lab/hunt/hunt_test.go
+++ b/lab/hunt/hunt_test.go
@@ -50,14 +50,14 @@
 	spec.Faults = append(spec.Faults, world.Fault{Kind: "crash", At: 3, Seconds: 4, Selector: world.Selector{Share: 0.5}})
 	spec.Defaults()
 	runs := 0
-	play := func(s *world.Spec, _ uint64, _ bool) (Played, error) {
+	play := func(s *world.Spec, _ uint64, _ bool) (Outcome, error) {
 		runs++
 		for _, tr := range s.Faults {
 			if tr.Kind == "crash" && s.Senders >= 2 {
-				return Played{Rules: map[referee.Rule]int{referee.Returns: 1}}, nil
+				return Outcome{Rules: map[referee.Rule]int{referee.Returns: 1}}, nil
 			}
 		}
-		return Played{}, nil
+		return Outcome{}, nil
 	}
 	small, p, err := Shrink(spec, 1, Goal{Rules: true}, play, 400, nil)
 	if err != nil {
--- a/lab/hunt/play.go
+++ b/lab/hunt/play.go
@@ -9,12 +9,12 @@
 )
 
 // Simulated plays a scenario in simulated time.
-func Simulated(spec *world.Spec, seed uint64, bound bool) (Played, error) {
+func Simulated(spec *world.Spec, seed uint64, bound bool) (Outcome, error) {
 	v, err := sim.Run(sim.Options{Spec: spec, Seed: seed})
 	if err != nil {
-		return Played{}, err
+		return Outcome{}, err
 	}
-	p := Played{Rules: v.Rules}
+	p := Outcome{Rules: v.Rules}
 	if bound && !v.Broken() {
 		b, err := sim.Run(sim.Options{Spec: spec, Seed: seed, Policy: baseline.Named("all_seen")})
 		if err != nil {
--- a/lab/hunt/shrink.go
+++ b/lab/hunt/shrink.go
@@ -13,7 +13,7 @@
 const leastGapShare = 0.7
 
 // Shrink takes away from a find as long as it still shows the same, and returns the smallest met within so many runs.
-func Shrink(spec *world.Spec, seed uint64, goal Goal, play Play, runs int, say func(*world.Spec)) (*world.Spec, Played, error) {
+func Shrink(spec *world.Spec, seed uint64, goal Goal, play Play, runs int, say func(*world.Spec)) (*world.Spec, Outcome, error) {
 	found, err := play(spec, seed, !goal.Rules)
 	if err != nil {
 		return nil, found, err
@@ -22,7 +22,7 @@
 	if !hit {
 		return nil, found, fmt.Errorf("the find does not show again")
 	}
-	still := func(p Played) bool {
+	still := func(p Outcome) bool {
 		if rule != "" {
 			return p.Rules[rule] > 0
 		}
@@ -30,7 +30,7 @@
 	}
 	best, bestPlayed := spec, found
 	for runs > 0 {
-		smaller, p, err := firstSmaller(best, &runs, func(s *world.Spec) (Played, bool, error) {
+		smaller, p, err := firstSmaller(best, &runs, func(s *world.Spec) (Outcome, bool, error) {
 			p, err := play(s, seed, !goal.Rules)
 			return p, err == nil && still(p), err
 		})
@@ -50,8 +50,8 @@
 
 // firstSmaller is the first scenario a little smaller than one that still shows the find, nil if none does within the
 // runs that are left, which it counts down.
-func firstSmaller(s *world.Spec, runs *int, try func(*world.Spec) (Played, bool, error)) (*world.Spec, Played, error) {
-	for _, smaller := range steps(s) {
+func firstSmaller(s *world.Spec, runs *int, try func(*world.Spec) (Outcome, bool, error)) (*world.Spec, Outcome, error) {
+	for _, smaller := range smallerSpecs(s) {
 		if *runs--; *runs < 0 {
 			break
 		}
@@ -63,16 +63,16 @@
 			return smaller, p, err
 		}
 	}
-	return nil, Played{}, nil
+	return nil, Outcome{}, nil
 }
 
-// smaller gathers changed copies of a scenario.
-type smaller struct {
+// candidates gathers changed copies of a scenario.
+type candidates struct {
 	of  *world.Spec
 	all []*world.Spec
 }
 
-func (s *smaller) try(change func(*world.Spec)) {
+func (s *candidates) add(change func(*world.Spec)) {
 	c := *s.of
 	c.Classes = slices.Clone(c.Classes)
 	c.Partners = slices.Clone(c.Partners)
@@ -82,64 +82,64 @@
 	s.all = append(s.all, &c)
 }
 
-// steps are the scenarios a little smaller than one, those that take most away first.
-func steps(of *world.Spec) []*world.Spec {
-	s := &smaller{of: of}
-	s.withoutTroubles()
+// smallerSpecs are the scenarios a little smaller than one, those that take most away first.
+func smallerSpecs(of *world.Spec) []*world.Spec {
+	s := &candidates{of: of}
+	s.withoutFaults()
 	s.withFewerSenders()
 	s.withoutKinds()
 	for i := range of.Partners {
-		s.withPlainer(i)
+		s.withSimplerKind(i)
 	}
 	s.shorter()
 	if of.Load.Rate > 5 {
-		s.try(func(c *world.Spec) { c.Load.Rate = round(c.Load.Rate / 2) })
+		s.add(func(c *world.Spec) { c.Load.Rate = round(c.Load.Rate / 2) })
 	}
 	if of.Zones > 1 {
-		s.try(func(c *world.Spec) { c.Zones = 1 })
+		s.add(func(c *world.Spec) { c.Zones = 1 })
 	}
 	return s.all
 }
 
-func (s *smaller) withoutTroubles() {
+func (s *candidates) withoutFaults() {
 	for i := range s.of.Faults {
-		s.try(func(c *world.Spec) { c.Faults = slices.Delete(c.Faults, i, i+1) })
+		s.add(func(c *world.Spec) { c.Faults = slices.Delete(c.Faults, i, i+1) })
 	}
 	if len(s.of.Changes) > 0 {
-		s.try(func(c *world.Spec) { c.Changes = nil })
+		s.add(func(c *world.Spec) { c.Changes = nil })
 	}
 }
 
-func (s *smaller) withFewerSenders() {
+func (s *candidates) withFewerSenders() {
 	if s.of.Senders <= 1 {
 		return
 	}
-	s.try(func(c *world.Spec) {
+	s.add(func(c *world.Spec) {
 		c.Senders = (c.Senders + 1) / 2
 		c.Load.Rate /= 2
 	})
-	s.try(func(c *world.Spec) { c.Senders-- })
+	s.add(func(c *world.Spec) { c.Senders-- })
 }
 
 // withoutKinds leaves out a kind of partner, or a class.
-func (s *smaller) withoutKinds() {
+func (s *candidates) withoutKinds() {
 	if len(s.of.Partners) > 1 {
 		for i := range s.of.Partners {
-			s.try(func(c *world.Spec) { c.Partners = slices.Delete(c.Partners, i, i+1) })
+			s.add(func(c *world.Spec) { c.Partners = slices.Delete(c.Partners, i, i+1) })
 		}
 	}
 	if len(s.of.Classes) > 1 {
 		for i := range s.of.Classes {
-			s.try(func(c *world.Spec) { c.Classes = slices.Delete(c.Classes, i, i+1) })
+			s.add(func(c *world.Spec) { c.Classes = slices.Delete(c.Classes, i, i+1) })
 		}
 	}
 }
 
-// withPlainer takes one thing that is special away from a kind of partner.
-func (s *smaller) withPlainer(no int) {
+// withSimplerKind takes one thing that is special away from a kind of partner.
+func (s *candidates) withSimplerKind(no int) {
 	k := &s.of.Partners[no]
 	try := func(change func(*world.Kind)) {
-		s.try(func(c *world.Spec) { change(&c.Partners[no]) })
+		s.add(func(c *world.Spec) { change(&c.Partners[no]) })
 	}
 	if k.Count > 1 {
 		try(func(k *world.Kind) { k.Count = (k.Count + 1) / 2 })
@@ -159,7 +159,7 @@
 }
 
 // shorter ends the run soon after the last thing that happens in it.
-func (s *smaller) shorter() {
+func (s *candidates) shorter() {
 	latest := 0.0
 	for _, t := range s.of.Faults {
 		latest = max(latest, t.At+t.Seconds)
@@ -168,6 +168,6 @@
 		latest = max(latest, c.At)
 	}
 	if end := float64(int(latest) + 6); end < s.of.Seconds {
-		s.try(func(c *world.Spec) { c.Seconds = end })
+		s.add(func(c *world.Spec) { c.Seconds = end })
 	}
 }
--- a/lab/limits/limits.go
+++ b/lab/limits/limits.go
@@ -161,8 +161,8 @@
 }
 
 const (
-	nearDone  = 0.75 // of the limit, over three seconds
-	nearCalls = 1.4
+	settledDone  = 0.75 // of the limit, over three seconds
+	settledCalls = 1.4
 )
 
 // ShareSpec is the scenario of one point. Each sender's part of the limit is perSender calls a second.
@@ -235,7 +235,7 @@
 			d += done[j] / 3
 			c += (done[j] + refused[j]) / 3
 		}
-		if d >= nearDone*limit && c <= nearCalls*limit {
+		if d >= settledDone*limit && c <= settledCalls*limit {
 			p.Settled = float64(i - 2)
 			break
 		}
--- a/lab/yardstick/yardstick.go
+++ b/lab/yardstick/yardstick.go
@@ -24,8 +24,8 @@
 )
 
 const (
-	queued  = 4096 // messages that wait for one destination
-	callFor = 10 * time.Second
+	maxQueued   = 4096 // messages that wait for one destination
+	callTimeout = 10 * time.Second
 )
 
 type message struct{ id, body []byte }
@@ -38,22 +38,22 @@
 
 // Forwarder answers every message at once and sends it on once.
 type Forwarder struct {
-	cfg      *config.Config
-	mu       sync.Mutex
-	dests    map[int64]*destination
-	workers  int
-	taken    atomic.Int64
-	sent     atomic.Int64
-	failed   atomic.Int64
-	overflow atomic.Int64
+	cfg          *config.Config
+	mu           sync.Mutex
+	destinations map[int64]*destination
+	workers      int
+	accepted     atomic.Int64
+	sent         atomic.Int64
+	failed       atomic.Int64
+	overflow     atomic.Int64
 }
 
 // Run serves until ctx ends.
 func Run(ctx context.Context, cfg *config.Config) error {
-	f := &Forwarder{cfg: cfg, dests: map[int64]*destination{}, workers: max(1, cfg.Settings.InFlightLimit/4)}
-	f.list(cfg.Known)
+	f := &Forwarder{cfg: cfg, destinations: map[int64]*destination{}, workers: max(1, cfg.Settings.InFlightLimit/4)}
+	f.updateEndpoints(cfg.Known)
 	stop := make(chan struct{})
-	go directory.Watch(cfg.Discovery, cfg.Settings.Senders, cfg.Known.Version, stop, f.list, func(error) {})
+	go directory.Watch(cfg.Discovery, cfg.Settings.Senders, cfg.Known.Version, stop, f.updateEndpoints, func(error) {})
 	ln, err := net.Listen("tcp", cfg.Listen)
 	if err != nil {
 		return err
@@ -71,25 +71,25 @@
 		if err != nil {
 			return err
 		}
-		go f.client(conn)
+		go f.serveClient(conn)
 	}
 }
 
-func (f *Forwarder) list(l directory.List) {
+func (f *Forwarder) updateEndpoints(l directory.List) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if l.Full {
-		for _, d := range f.dests {
+		for _, d := range f.destinations {
 			d.mu.Lock()
 			d.addrs = nil
 			d.mu.Unlock()
 		}
 	}
 	for _, e := range l.Servers {
-		d := f.dests[int64(e.Cell)]
+		d := f.destinations[int64(e.Cell)]
 		if d == nil {
-			d = &destination{work: make(chan message, queued)}
-			f.dests[int64(e.Cell)] = d
+			d = &destination{work: make(chan message, maxQueued)}
+			f.destinations[int64(e.Cell)] = d
 			for i := range f.workers {
 				go f.worker(d, i)
 			}
@@ -102,7 +102,7 @@
 	}
 }
 
-func (f *Forwarder) client(conn net.Conn) {
+func (f *Forwarder) serveClient(conn net.Conn) {
 	defer conn.Close()
 	var in []byte
 	piece := make([]byte, 64<<10)
@@ -141,13 +141,13 @@
 			}
 		}
 		f.mu.Lock()
-		d := f.dests[dest]
+		d := f.destinations[dest]
 		f.mu.Unlock()
 		if d == nil {
 			io.WriteString(out, "-ERR dest\r\n")
 			return
 		}
-		f.taken.Add(1)
+		f.accepted.Add(1)
 		select {
 		case d.work <- message{bytes.Clone(args[2]), bytes.Clone(args[4])}:
 			io.WriteString(out, "+OK\r\n")
@@ -156,7 +156,7 @@
 			io.WriteString(out, "-BUSY 500\r\n")
 		}
 	case len(args) > 0 && strings.EqualFold(string(args[0]), "INFO"):
-		text, _ := json.Marshal(f.taken.Load())
+		text, _ := json.Marshal(f.accepted.Load())
 		body := "taken_on:" + string(text) + "\r\ndelivered:" + strconv.FormatInt(f.sent.Load(), 10) +
 			"\r\ngiven_up:" + strconv.FormatInt(f.failed.Load(), 10) + "\r\n"
 		out.Write(resp.AppendBulk(nil, []byte(body)))
@@ -180,11 +180,11 @@
 			var err error
 			if conn, err = net.DialTimeout("tcp", addr, time.Second); err != nil {
 				conn = nil
-				f.lost(n)
+				f.reportFailed(n)
 				continue
 			}
 		}
-		conn.SetDeadline(time.Now().Add(callFor))
+		conn.SetDeadline(time.Now().Add(callTimeout))
 		call := http1.AppendRequest(nil, "POST", "/inbox", "yardstick", len(n.body), "X-Request-Id", string(n.id), "X-Deadline-Ms", "5000")
 		_, err := conn.Write(append(call, n.body...))
 		var a http1.Answer
@@ -195,7 +195,7 @@
 			}
 		}
 		if err != nil || a.Status() != 200 {
-			f.lost(n)
+			f.reportFailed(n)
 		} else {
 			f.sent.Add(1)
 		}
@@ -206,8 +206,8 @@
 	}
 }
 
-// lost tells the platform of what was not delivered.
-func (f *Forwarder) lost(n message) {
+// reportFailed tells the platform of what was not delivered.
+func (f *Forwarder) reportFailed(n message) {
 	f.failed.Add(1)
 	line, _ := json.Marshal(map[string]string{"message": string(n.id), "outcome": "given_up"}) // strings always marshal
 	r, err := http.Post("http://"+f.cfg.Discovery+"/v1/outcomes", "application/json", bytes.NewReader(line))
