--- a/lab/baseline/baseline.go
+++ b/lab/baseline/baseline.go
@@ -1,8 +1,8 @@
 // Package baseline holds policies that the laboratory compares the project's own with.
 //
-// They decide through choice.Host as choice does, keep the rules that a sender can keep without judgement (one final
-// answer, no repeat of what may have run, drains, waits, order), and are simple on purpose. One of them sees the
-// world's true state and stands for what is within reach. None may ever be imported by what serves.
+// They act through choice.Host like package choice and keep the same rules: one end for each message, no repeat that could
+// have its effect twice, draining, Retry-After, order. Beyond that they are simple on purpose. One of them, all_seen, sees
+// the true state of the world and shows what can be reached. Code that serves must not import this package.
 package baseline
 
 import (
@@ -13,7 +13,7 @@
 	"flaxcove/lab/world"
 )
 
-// Kinds are the policies by name, with what each is.
+// Kinds are the policies by name, each with a description.
 var Kinds = map[string]string{
 	"choice": "the project's own decisions",
 	oneTry:   "each notice is sent once, in order of arrival",
@@ -32,32 +32,32 @@
 	allSeen = "all_seen"
 )
 
-// Named is the policy of that name, nil if there is none.
+// Named returns the policy of a name, or nil if there is none.
 func Named(name string) sim.NewPolicy {
 	switch name {
 	case "choice":
 		return sim.ChoicePolicy
 	case oneTry, fixed, backoff, least, allSeen:
 		return func(h choice.Host, id choice.SenderID, seed int64, set choice.Settings, w *world.World) sim.Policy {
-			return newPlain(name, h, seed, set, w)
+			return newPolicy(name, h, seed, set, w)
 		}
 	}
 	return nil
 }
 
-func newPlain(name string, h choice.Host, seed int64, set choice.Settings, w *world.World) *plain {
-	p := &plain{
-		h:        h,
-		set:      set,
-		kind:     name,
-		w:        w,
-		rng:      rand.New(rand.NewPCG(uint64(seed), 0xba5e)),
-		shortest: choice.Time(1 << 40),
-		held:     map[choice.MessageID]*message{},
-		timers:   map[choice.TimerID]func(){},
-		ends:     map[choice.EndpointID]*end{},
-		dests:    map[choice.DestinationID]*dest{},
-		lines:    map[choice.OrderKey]*line{},
+func newPolicy(name string, h choice.Host, seed int64, set choice.Settings, w *world.World) *policy {
+	p := &policy{
+		host:         h,
+		settings:     set,
+		kind:         name,
+		world:        w,
+		rng:          rand.New(rand.NewPCG(uint64(seed), 0xba5e)),
+		shortest:     choice.Time(1 << 40),
+		messages:     map[choice.MessageID]*message{},
+		timers:       map[choice.TimerID]func(){},
+		endpoints:    map[choice.EndpointID]*endpoint{},
+		destinations: map[choice.DestinationID]*destination{},
+		keyQueues:    map[choice.OrderKey]*keyQueue{},
 	}
 	for _, l := range set.Classes {
 		p.shortest = min(p.shortest, l.LatencyObjective)
@@ -67,68 +67,68 @@
 
 const (
 	fixedWait     = choice.Second
-	budgetPart    = 0.1 // of a first send, that a retry takes a whole one of
-	budgetMost    = 20
-	longestDouble = 10 // doublings of a wait
-	slowPart      = 4  // one in so many of the calls in flight may be at slow endpoints
+	budgetPerSend = 0.1 // what a first attempt adds to the retry budget; a retry takes 1
+	maxBudget     = 20
+	maxDoublings  = 10 // of the backoff
+	slowShare     = 4  // the bound has at most one in this many of the in-flight limit at slow endpoints
 	windowMargin  = choice.Second / 10
 )
 
-// Waits of the bound: a turn, doubled with each try.
-const longestTurnDouble = 6
+// maxTickDoublings bounds the backoff of all_seen: one tick, doubled with each attempt.
+const maxTickDoublings = 6
 
-// plain is all baselines: one that decides as its kind says.
-type plain struct {
-	h        choice.Host
-	set      choice.Settings
-	kind     string
-	w        *world.World
-	rng      *rand.Rand
-	shortest choice.Time
-	budget   float64
-	out      int
-	slow     int // of them at slow endpoints
-	timerNo  choice.TimerID
+// policy implements all baselines; kind says which.
+type policy struct {
+	host         choice.Host
+	settings     choice.Settings
+	kind         string
+	world        *world.World
+	rng          *rand.Rand
+	shortest     choice.Time
+	budget       float64
+	inFlight     int
+	slowInFlight int // of them at slow endpoints, for all_seen
+	timerNo      choice.TimerID
 
-	held   map[choice.MessageID]*message // emptied as messages end
-	timers map[choice.TimerID]func()     // emptied as each fires
-	ends   map[choice.EndpointID]*end
-	dests  map[choice.DestinationID]*dest
-	lines  map[choice.OrderKey]*line
-	queue  []*message // in order of arrival
+	messages     map[choice.MessageID]*message // emptied as messages end
+	timers       map[choice.TimerID]func()     // emptied as each fires
+	endpoints    map[choice.EndpointID]*endpoint
+	destinations map[choice.DestinationID]*destination
+	keyQueues    map[choice.OrderKey]*keyQueue
+	queue        []*message // in order of arrival
 }
 
-// message is one that is held.
+// message is a message that has not ended.
 type message struct {
 	choice.Message
-	tries  int
-	out    *end
-	sentAt choice.Time
-	queued bool
-	line   *line
-	rank   float64
-	slow   bool
+	attempts int
+	sentTo   *endpoint
+	sentAt   choice.Time
+	queued   bool
+	keyQueue *keyQueue
+	rank     float64
+	slow     bool
 }
 
-// line is the messages of an ordering key, the first to go first.
-type line struct {
-	key      choice.OrderKey
-	messages []*message
-	rest     choice.Time
+// keyQueue holds the messages of an ordering key; only the first may be sent.
+type keyQueue struct {
+	key       choice.OrderKey
+	messages  []*message
+	restUntil choice.Time
 }
 
-// dest is a destination.
-type dest struct {
-	ends []*end
-	halt choice.Time
+// destination is a destination.
+type destination struct {
+	endpoints    []*endpoint
+	blockedUntil choice.Time
 }
 
-// end is an endpoint.
-type end struct {
+// endpoint is an endpoint.
+type endpoint struct {
 	choice.Entry
-	d     *dest
-	halt  choice.Time
-	calls int // messages out: what shares a call is not known here
+	destination  *destination
+	blockedUntil choice.Time
+	calls        int // messages in flight; which of them share a call is not known here
 
-	waiting float64 // as the bound sees it
+	waiting float64 // until it would answer, as all_seen sees it
 }
--- a/lab/baseline/messages.go
+++ b/lab/baseline/messages.go
@@ -1,6 +1,6 @@
 package baseline
 
-// This file owns what a policy holds: the list, its messages, their lines and timers. It must never choose an endpoint.
+// This file holds a policy's state: the endpoint list, the messages, the queues of ordering keys and the timers.
 
 import (
 	"slices"
@@ -8,130 +8,130 @@
 	"flaxcove/choice"
 )
 
-// UpdateEndpoints takes the list on.
-func (p *plain) UpdateEndpoints(entries []choice.Entry, whole bool) {
+// UpdateEndpoints takes an update of the endpoint list.
+func (p *policy) UpdateEndpoints(entries []choice.Entry, whole bool) {
 	if whole {
-		for _, e := range p.ends {
+		for _, e := range p.endpoints {
 			e.Stage = choice.Gone
 		}
 	}
 	for _, entry := range entries {
-		p.endOf(entry).Entry = entry
+		p.endpointOf(entry).Entry = entry
 	}
 }
 
-// endOf is the endpoint of an entry, a new one if it was not known.
-func (p *plain) endOf(entry choice.Entry) *end {
-	if e := p.ends[entry.Endpoint]; e != nil {
+// endpointOf returns the endpoint of an entry, and adds it if it is new.
+func (p *policy) endpointOf(entry choice.Entry) *endpoint {
+	if e := p.endpoints[entry.Endpoint]; e != nil {
 		return e
 	}
-	d := p.dests[entry.Destination]
+	d := p.destinations[entry.Destination]
 	if d == nil {
-		d = &dest{}
-		p.dests[entry.Destination] = d
+		d = &destination{}
+		p.destinations[entry.Destination] = d
 	}
-	e := &end{d: d}
-	p.ends[entry.Endpoint] = e
-	d.ends = append(d.ends, e)
+	e := &endpoint{destination: d}
+	p.endpoints[entry.Endpoint] = e
+	d.endpoints = append(d.endpoints, e)
 	return e
 }
 
-// Taken takes a message on.
-func (p *plain) Taken(in choice.Message) {
+// Taken takes a message that the sender has accepted.
+func (p *policy) Taken(in choice.Message) {
 	n := &message{Message: in}
-	p.held[n.ID] = n
-	w := &p.set.Classes[n.Class]
+	p.messages[n.ID] = n
+	w := &p.settings.Classes[n.Class]
 	if w.ByArrival && n.Key != choice.NoKey {
-		n.line = p.lineOf(n.Key)
-		n.line.messages = append(n.line.messages, n)
+		n.keyQueue = p.keyQueueOf(n.Key)
+		n.keyQueue.messages = append(n.keyQueue.messages, n)
 	}
 	if n.MayRun && w.Repeat == choice.NonIdempotent {
 		p.finish(n)
 		return
 	}
-	p.after(p.last(n)-p.h.Now(), func() {
-		if p.held[n.ID] == n && n.out == nil {
+	p.after(p.lastCall(n)-p.host.Now(), func() {
+		if p.messages[n.ID] == n && n.sentTo == nil {
 			p.finish(n)
 		}
 	})
-	p.add(n)
+	p.enqueue(n)
 }
 
-// lineOf is the line of a key, a new one if there is none.
-func (p *plain) lineOf(key choice.OrderKey) *line {
-	if p.lines[key] == nil {
-		p.lines[key] = &line{key: key}
+// keyQueueOf returns the queue of a key, and adds it if there is none.
+func (p *policy) keyQueueOf(key choice.OrderKey) *keyQueue {
+	if p.keyQueues[key] == nil {
+		p.keyQueues[key] = &keyQueue{key: key}
 	}
-	return p.lines[key]
+	return p.keyQueues[key]
 }
 
-// last is when a message that is not out is answered.
-func (p *plain) last(n *message) choice.Time {
-	return n.Deadline - p.shortest/4 - 4*p.set.Turn
+// lastCall is when a message without an attempt in flight is ended.
+func (p *policy) lastCall(n *message) choice.Time {
+	return n.Deadline - p.shortest/4 - 4*p.settings.Turn
 }
 
-// after has something done so much later.
-func (p *plain) after(in choice.Time, do func()) {
+// after calls do after a time.
+func (p *policy) after(in choice.Time, do func()) {
 	p.timerNo++
 	p.timers[p.timerNo] = do
-	p.h.Timer(max(1, in), p.timerNo)
+	p.host.Timer(max(1, in), p.timerNo)
 }
 
-// add puts a message in the queue if it may go.
-func (p *plain) add(n *message) {
-	if p.held[n.ID] != n || n.queued || n.out != nil || n.line != nil && n.line.messages[0] != n {
+// enqueue puts a message in the queue if it may be sent.
+func (p *policy) enqueue(n *message) {
+	if p.messages[n.ID] != n || n.queued || n.sentTo != nil || n.keyQueue != nil && n.keyQueue.messages[0] != n {
 		return
 	}
-	if n.line != nil && n.tries == 0 && p.h.Now() < n.line.rest {
-		p.after(n.line.rest-p.h.Now(), func() { p.add(n) })
+	if n.keyQueue != nil && n.attempts == 0 && p.host.Now() < n.keyQueue.restUntil {
+		p.after(n.keyQueue.restUntil-p.host.Now(), func() { p.enqueue(n) })
 		return
 	}
 	n.queued = true
 	p.queue = append(p.queue, n)
 }
 
-// Withdrawn lets go of a message that is not out.
-func (p *plain) Withdrawn(id choice.MessageID) {
-	if n := p.held[id]; n != nil && n.out == nil {
+// Withdrawn drops a message without an attempt in flight.
+func (p *policy) Withdrawn(id choice.MessageID) {
+	if n := p.messages[id]; n != nil && n.sentTo == nil {
 		p.release(n)
 	}
 }
 
-// release forgets a message; the next one of its line may go.
-func (p *plain) release(n *message) {
-	delete(p.held, n.ID)
+// release forgets a message; the next one of its key may be sent.
+func (p *policy) release(n *message) {
+	delete(p.messages, n.ID)
 	if n.queued {
 		n.queued = false
 		p.queue = slices.DeleteFunc(p.queue, func(other *message) bool { return other == n })
 	}
-	if n.line != nil {
-		p.leaveLine(n, n.line)
+	if n.keyQueue != nil {
+		p.leaveKeyQueue(n, n.keyQueue)
 	}
 }
 
-func (p *plain) leaveLine(n *message, l *line) {
+func (p *policy) leaveKeyQueue(n *message, l *keyQueue) {
 	l.messages = slices.DeleteFunc(l.messages, func(other *message) bool { return other == n })
 	if len(l.messages) > 0 {
-		p.add(l.messages[0])
+		p.enqueue(l.messages[0])
 		return
 	}
-	if p.h.Now() >= l.rest {
-		delete(p.lines, l.key)
+	if p.host.Now() >= l.restUntil {
+		delete(p.keyQueues, l.key)
 	}
 }
 
-// finish gives a message its final answer.
-func (p *plain) finish(n *message) {
+// finish ends a message: it fails if it may have been executed, else it is shed.
+func (p *policy) finish(n *message) {
 	if n.MayRun {
-		p.h.Fail(n.ID)
+		p.host.Fail(n.ID)
 	} else {
-		p.h.Shed(n.ID, min(p.set.LongestReturn, choice.Second))
+		p.host.Shed(n.ID, min(p.settings.LongestReturn, choice.Second))
 	}
 	p.release(n)
 }
 
-// TimerDue does what a timer was set for.
-func (p *plain) TimerDue(id choice.TimerID) {
+// TimerDue calls what a timer was set for.
+func (p *policy) TimerDue(id choice.TimerID) {
 	do := p.timers[id]
 	delete(p.timers, id)
 	if do != nil {
--- a/lab/baseline/outcome.go
+++ b/lab/baseline/outcome.go
@@ -1,49 +1,49 @@
 package baseline
 
-// This file owns what follows an attempt: whether and when a message goes again. It must never send what may have run where
-// its effect could come twice.
+// This file handles the end of an attempt: whether and when the message is sent again. A message that may have been executed
+// must not be sent where its effect could come twice.
 
 import (
 	"flaxcove/choice"
 )
 
-// Ended hears how an attempt ended.
-func (p *plain) Ended(o choice.Outcome) {
-	n := p.held[o.Message]
-	if n == nil || n.out == nil || o.Attempt != n.tries-1 {
+// Ended takes the end of an attempt.
+func (p *policy) Ended(o choice.Outcome) {
+	n := p.messages[o.Message]
+	if n == nil || n.sentTo == nil || o.Attempt != n.attempts-1 {
 		return
 	}
-	e := n.out
-	n.out = nil
+	e := n.sentTo
+	n.sentTo = nil
 	e.calls--
-	p.out--
+	p.inFlight--
 	if n.slow {
 		n.slow = false
-		p.slow--
+		p.slowInFlight--
 	}
 	if o.Wait > 0 {
-		p.heedWait(e, o.Wait)
+		p.applyRetryAfter(e, o.Wait)
 	}
-	p.noteRun(n, e, o.Result)
+	p.recordExecution(n, e, o.Result)
 	if o.Final {
 		p.release(n)
 		return
 	}
-	p.again(n)
+	p.retry(n)
 }
 
-// heedWait holds an endpoint, or its whole destination, for as long as it was told.
-func (p *plain) heedWait(e *end, wait choice.Time) {
-	until := p.h.Now() + wait + choice.Time(p.rng.Int64N(int64(50*choice.Millisecond)))
-	if p.set.Kinds[e.Kind].Apart {
-		e.halt = max(e.halt, until)
+// applyRetryAfter blocks an endpoint, or its whole destination, for the time that it named.
+func (p *policy) applyRetryAfter(e *endpoint, wait choice.Time) {
+	until := p.host.Now() + wait + choice.Time(p.rng.Int64N(int64(50*choice.Millisecond)))
+	if p.settings.Kinds[e.Kind].Apart {
+		e.blockedUntil = max(e.blockedUntil, until)
 	} else {
-		e.d.halt = max(e.d.halt, until)
+		e.destination.blockedUntil = max(e.destination.blockedUntil, until)
 	}
 }
 
-// noteRun takes note that an attempt may have run, and that its key rests where nobody knows whether it still does.
-func (p *plain) noteRun(n *message, e *end, result choice.Result) {
+// recordExecution records that an attempt may have been executed. Its ordering key rests if it may still be worked on.
+func (p *policy) recordExecution(n *message, e *endpoint, result choice.Result) {
 	switch result {
 	case choice.Errored, choice.TimedOut, choice.Reset, choice.Cancelled, choice.Spoilt:
 	default:
@@ -53,59 +53,59 @@
 		n.MayRun, n.RanAt, n.RanIn = true, n.sentAt, e.Zone
 	}
 	answered := result == choice.Errored || result == choice.Spoilt
-	if n.line != nil && !answered {
-		n.line.rest = p.h.Now() + p.set.KeyRest
+	if n.keyQueue != nil && !answered {
+		n.keyQueue.restUntil = p.host.Now() + p.settings.KeyRest
 	}
 }
 
-// again sends a message once more if it may be and there is time, else it has its final answer.
-func (p *plain) again(n *message) {
+// retry sends a message again after a backoff if that is allowed and there is time; else it ends the message.
+func (p *policy) retry(n *message) {
 	if p.kind == oneTry {
 		p.finish(n)
 		return
 	}
-	wait := p.wait(n)
-	spent := p.mayNotRepeat(n, p.h.Now()+wait)
-	if p.kind == least && !p.pay() {
+	wait := p.backoff(n)
+	spent := p.mayNotRepeat(n, p.host.Now()+wait)
+	if p.kind == least && !p.takeFromBudget() {
 		spent = true
 	}
-	if spent || n.tries >= p.set.MaxAttempts || p.h.Now()+wait >= p.last(n) {
+	if spent || n.attempts >= p.settings.MaxAttempts || p.host.Now()+wait >= p.lastCall(n) {
 		p.finish(n)
 		return
 	}
-	p.after(wait, func() { p.add(n) })
+	p.after(wait, func() { p.enqueue(n) })
 }
 
-// wait is how long a message rests before its next try.
-func (p *plain) wait(n *message) choice.Time {
+// backoff is the time before a message's next attempt.
+func (p *policy) backoff(n *message) choice.Time {
 	switch p.kind {
 	case fixed:
 		return fixedWait
 	case backoff, least:
-		ceiling := min(2*p.shortest, p.shortest/4<<min(n.tries-1, longestDouble))
+		ceiling := min(2*p.shortest, p.shortest/4<<min(n.attempts-1, maxDoublings))
 		return 1 + choice.Time(p.rng.Int64N(int64(max(1, ceiling))))
 	case allSeen:
-		return p.set.Turn << min(n.tries, longestTurnDouble)
+		return p.settings.Turn << min(n.attempts, maxTickDoublings)
 	}
 	return 0
 }
 
-// mayNotRepeat tells whether a message that is sent again at a time could have its effect twice.
-func (p *plain) mayNotRepeat(n *message, at choice.Time) bool {
-	w := &p.set.Classes[n.Class]
+// mayNotRepeat reports whether a message that is sent again at a time could have its effect twice.
+func (p *policy) mayNotRepeat(n *message, at choice.Time) bool {
+	w := &p.settings.Classes[n.Class]
 	switch {
 	case !n.MayRun:
 		return false
 	case w.Repeat == choice.NonIdempotent:
 		return true
 	case w.Repeat == choice.Keyed:
-		return w.ZoneGroup || at > n.RanAt+w.RepeatWindow-2*p.set.Turn-windowMargin
+		return w.ZoneGroup || at > n.RanAt+w.RepeatWindow-2*p.settings.Turn-windowMargin
 	}
 	return false
 }
 
-// pay takes a retry out of the budget, if that has one left.
-func (p *plain) pay() bool {
+// takeFromBudget takes a retry out of the retry budget. It is false if there is none left.
+func (p *policy) takeFromBudget() bool {
 	if p.budget < 1 {
 		return false
 	}
@@ -113,5 +113,5 @@
 	return true
 }
 
-// Probed hears of a probe; no baseline sends one.
-func (p *plain) Probed(choice.EndpointID, choice.Result) {}
+// Probed does nothing: baselines send no health probes.
+func (p *policy) Probed(choice.EndpointID, choice.Result) {}
--- a/lab/baseline/send.go
+++ b/lab/baseline/send.go
@@ -1,6 +1,6 @@
 package baseline
 
-// This file owns what goes where at the end of a turn. Only the bound may look at the world.
+// This file sends messages at the end of a tick. Only all_seen may read the state of the world.
 
 import (
 	"cmp"
@@ -9,31 +9,31 @@
 	"flaxcove/choice"
 )
 
-// Open tells whether a call to an endpoint that was queued may still go.
-func (p *plain) Open(id choice.EndpointID, messages ...choice.MessageID) bool {
-	now := p.h.Now()
+// Open reports whether a call whose connection has just come up may still be sent.
+func (p *policy) Open(id choice.EndpointID, messages ...choice.MessageID) bool {
+	now := p.host.Now()
 	for _, id := range messages {
-		n := p.held[id]
-		if n != nil && n.MayRun && now > n.RanAt+p.set.Classes[n.Class].RepeatWindow-p.set.Turn {
+		n := p.messages[id]
+		if n != nil && n.MayRun && now > n.RanAt+p.settings.Classes[n.Class].RepeatWindow-p.settings.Turn {
 			return false
 		}
 	}
-	e := p.ends[id]
-	return e != nil && e.Stage == choice.Ready && now >= max(e.halt, e.d.halt)
+	e := p.endpoints[id]
+	return e != nil && e.Stage == choice.Ready && now >= max(e.blockedUntil, e.destination.blockedUntil)
 }
 
-// TurnEnd sends what waits, in order of arrival, past those whose partner may not be called now.
-func (p *plain) TurnEnd() {
+// TurnEnd sends the queued messages in order of arrival, skipping those whose destination may not be called now.
+func (p *policy) TurnEnd() {
 	if p.kind == allSeen {
 		p.sortByPriority()
 	}
 	rest := p.queue[:0]
 	for i, n := range p.queue {
-		if p.out >= p.set.InFlightLimit {
+		if p.inFlight >= p.settings.InFlightLimit {
 			rest = append(rest, p.queue[i:]...)
 			break
 		}
-		if e := p.place(n); e != nil {
+		if e := p.pickEndpoint(n); e != nil {
 			p.send(n, e)
 		} else {
 			rest = append(rest, n)
@@ -42,11 +42,11 @@
 	p.queue = rest
 }
 
-// sortByPriority puts those first that bring most for the time in which they are in flight.
-func (p *plain) sortByPriority() {
+// sortByPriority puts those messages first that bring most value for the time in flight.
+func (p *policy) sortByPriority() {
 	for _, n := range p.queue {
 		n.rank = 0
-		if e := p.place(n); e != nil {
+		if e := p.pickEndpoint(n); e != nil {
 			n.rank = p.priority(n) / max(1, e.waiting)
 		}
 	}
@@ -54,33 +54,33 @@
 }
 
 // send sends a message.
-func (p *plain) send(n *message, e *end) {
+func (p *policy) send(n *message, e *endpoint) {
 	n.queued = false
-	n.out, n.sentAt = e, p.h.Now()
-	n.tries++
+	n.sentTo, n.sentAt = e, p.host.Now()
+	n.attempts++
 	e.calls++
-	p.out++
+	p.inFlight++
 	if n.slow = e.waiting > float64(p.shortest); n.slow {
-		p.slow++
+		p.slowInFlight++
 	}
-	if n.tries == 1 {
-		p.budget = min(budgetMost, p.budget+budgetPart)
+	if n.attempts == 1 {
+		p.budget = min(maxBudget, p.budget+budgetPerSend)
 	}
 	timeOut := p.shortest
 	if p.kind == allSeen {
 		timeOut = 4 * p.shortest
 	}
-	p.h.Attempt(n.ID, e.Endpoint, max(1, min(timeOut, n.Deadline-p.h.Now()-2*p.set.Turn)))
+	p.host.Attempt(n.ID, e.Endpoint, max(1, min(timeOut, n.Deadline-p.host.Now()-2*p.settings.Turn)))
 }
 
-// priority is the value that a message would bring now.
-func (p *plain) priority(n *message) float64 {
-	w := &p.set.Classes[n.Class]
-	return w.Value * w.Fade(p.h.Now()-(n.Deadline-w.Deadline), p.set.Halving)
+// priority is the value of a message if it were delivered now.
+func (p *policy) priority(n *message) float64 {
+	w := &p.settings.Classes[n.Class]
+	return w.Value * w.Fade(p.host.Now()-(n.Deadline-w.Deadline), p.settings.Halving)
 }
 
-// place is the endpoint that a message goes to, nil if none may be called.
-func (p *plain) place(n *message) *end {
+// pickEndpoint returns the endpoint that a message is sent to, or nil if none may be called.
+func (p *policy) pickEndpoint(n *message) *endpoint {
 	open := p.open(n.Destination)
 	if len(open) == 0 {
 		return nil
@@ -97,30 +97,30 @@
 	return e
 }
 
-// open are the endpoints of a destination that may be called now.
-func (p *plain) open(id choice.DestinationID) (open []*end) {
-	now, d := p.h.Now(), p.dests[id]
-	if d == nil || now < d.halt {
+// open returns the endpoints of a destination that may be called now.
+func (p *policy) open(id choice.DestinationID) (open []*endpoint) {
+	now, d := p.host.Now(), p.destinations[id]
+	if d == nil || now < d.blockedUntil {
 		return nil
 	}
-	for _, e := range d.ends {
-		if e.Stage == choice.Ready && now >= e.halt {
+	for _, e := range d.endpoints {
+		if e.Stage == choice.Ready && now >= e.blockedUntil {
 			open = append(open, e)
 		}
 	}
 	return open
 }
 
-// bestSeen is the endpoint that truly answers first. Slow ones may not take up the whole limit in flight.
-func (p *plain) bestSeen(open []*end) (best *end) {
+// bestSeen returns the endpoint that will answer first by the true state. Slow ones may not take up the whole in-flight limit.
+func (p *policy) bestSeen(open []*endpoint) (best *endpoint) {
 	for _, e := range open {
-		well, waiting := p.w.WouldAnswer(e.Endpoint, e.calls)
-		if well && p.w.HasSlowStartCapacity(e.Endpoint) && (best == nil || waiting < best.waiting) {
+		well, waiting := p.world.WouldAnswer(e.Endpoint, e.calls)
+		if well && p.world.HasSlowStartCapacity(e.Endpoint) && (best == nil || waiting < best.waiting) {
 			best = e
 			e.waiting = waiting
 		}
 	}
-	if best != nil && best.waiting > float64(p.shortest) && p.slow >= max(1, p.set.InFlightLimit/slowPart) {
+	if best != nil && best.waiting > float64(p.shortest) && p.slowInFlight >= max(1, p.settings.InFlightLimit/slowShare) {
 		return nil
 	}
 	return best
--- a/lab/cluster/judge/judge.go
+++ b/lab/cluster/judge/judge.go
@@ -1,8 +1,8 @@
-// Package judge says whether a cluster of processes kept its promises, from what was seen of it from outside.
+// Package judge checks whether a cluster of processes kept its promises, by what was observed from outside.
 //
-// It hears what each process told of itself, when purges were given and said to be complete, and, from the endpoints'
-// own ledger, when messages began to be delivered. It must never take a process's word for what an endpoint saw, look at
-// a clock, or hang on the order of a map. Times are the laboratory's.
+// Its inputs are the status of each process, when purges were ordered and reported complete, and, from the world's ledger,
+// when calls left. It must not rely on a process's word for what an endpoint saw, read a clock, or depend on the order of a
+// map. Times are the laboratory's.
 package judge
 
 import (
@@ -16,40 +16,40 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// Promise is one that may be broken.
+// Promise names a promise of the cluster that a run may break.
 type Promise string
 
 const (
-	Fork     Promise = "fork"     // two plans under one epoch, or an epoch that goes back in one life; two contents of a version
-	Purged   Promise = "purged"   // a message that was accepted before a purge began after it was told complete
-	Untold   Promise = "untold"   // long after all was well a purge was not complete, nor told lapsed, or a change not decided
-	Parted   Promise = "parted"   // processes still saw different things long after all was well again
+	Fork     Promise = "fork"     // two plans of one epoch, an epoch that goes back in one incarnation, or two contents of a version
+	Purged   Promise = "purged"   // a call with a purged message left after the purge was reported complete
+	Untold   Promise = "untold"   // long after the last fault a purge was not reported complete or lapsed, or a change not decided
+	Parted   Promise = "parted"   // long after the last fault processes still disagreed
 	Older    Promise = "older"    // a process ran an older version of the settings after a newer one
 	Unending Promise = "unending" // a process that should serve did not answer
 )
 
-// Breach is one breach.
+// Breach is one breach of a promise.
 type Breach struct {
 	Promise Promise
 	What    string
 }
 
-// Judge hears and judges. Not for more than one goroutine.
+// Judge collects observations and judges them. It belongs to one goroutine.
 type Judge struct {
 	sums     map[view.Epoch]uint32
 	last     map[view.Life]view.Epoch
 	purges   []*purge
-	accepted map[choice.MessageID]choice.Time // of those that a purge may match; leaves with the run
+	accepted map[choice.MessageID]choice.Time // when; grows with the run
 	breaches []Breach
 	begun    int
 
 	versions  map[uint64]configuration.Sum
-	newestRun map[folder]uint64 // the newest version that was in force, by what it is kept in
-	changes   map[string]uint64 // by id, the version that each became; 0 until it is told
+	newestRun map[folder]uint64 // the newest version that was in force, by the folder it is stored in
+	changes   map[string]uint64 // by id, the version that each became; 0 until that is reported
 	newest    uint64
 }
 
-// folder is what a process keeps its version in: an emptied one is another.
+// folder identifies a process's folder. One that was emptied counts as another.
 type folder struct {
 	name view.Name
 	id   string
@@ -59,11 +59,11 @@
 	id       string
 	matches  func(message choice.MessageID) bool
 	opened   choice.Time
-	complete choice.Time // 0 until it is told
+	complete choice.Time // 0 until that is reported
 	lapsed   bool
 }
 
-// New judges one run.
+// New creates the judge of one run.
 func New() *Judge {
 	return &Judge{sums: map[view.Epoch]uint32{}, last: map[view.Life]view.Epoch{}, accepted: map[choice.MessageID]choice.Time{},
 		versions: map[uint64]configuration.Sum{}, newestRun: map[folder]uint64{}, changes: map[string]uint64{}}
@@ -75,7 +75,7 @@
 	}
 }
 
-// Status hears what a process told of itself.
+// Status takes the status that a process reported.
 func (j *Judge) Status(s *status.Status) {
 	j.judgeConfiguration(s)
 	if s.Epoch == 0 {
@@ -92,7 +92,7 @@
 	j.last[s.Self.Life] = s.Epoch
 }
 
-// judgeConfiguration holds what a process has in force against what was seen before.
+// judgeConfiguration compares the version that a process has in force with earlier ones.
 func (j *Judge) judgeConfiguration(s *status.Status) {
 	c := s.Configuration
 	if c == nil {
@@ -106,7 +106,7 @@
 	j.version(c.Version, c.Sum, string(s.Self.Name))
 }
 
-// version hears of a version's content.
+// version checks that a version has one content everywhere.
 func (j *Judge) version(version uint64, sum configuration.Sum, by string) {
 	if had, known := j.versions[version]; !known {
 		j.versions[version] = sum
@@ -115,10 +115,10 @@
 	}
 }
 
-// ChangeOrdered hears that a change is about to be ordered.
+// ChangeOrdered takes that a change is about to be ordered.
 func (j *Judge) ChangeOrdered(id string) { j.changes[id] = 0 }
 
-// ChangeDecided hears what version it was told to be. Two changes never are one.
+// ChangeDecided takes the version that a change was reported to be. Two changes must not be the same version.
 func (j *Judge) ChangeDecided(id string, version uint64, sum configuration.Sum) {
 	for other, had := range j.changes {
 		if had == version && other != id {
@@ -129,18 +129,19 @@
 	j.version(version, sum, id)
 }
 
-// Newest is the highest version that was told to be decided.
+// Newest is the highest version that was reported as decided.
 func (j *Judge) Newest() uint64 { return j.newest }
 
-// Epochs is how many plans were seen.
+// Epochs is how many plans were observed.
 func (j *Judge) Epochs() int { return len(j.sums) }
 
-// PurgeOrdered hears that a purge is about to be given: what was accepted before now is to be withdrawn.
+// PurgeOrdered takes that a purge is about to be ordered: matching messages that were accepted before now must not be sent
+// once it is complete.
 func (j *Judge) PurgeOrdered(id string, now choice.Time, matches func(choice.MessageID) bool) {
 	j.purges = append(j.purges, &purge{id: id, matches: matches, opened: now})
 }
 
-// PurgeComplete hears that it was told complete, or complete but for what lapsed.
+// PurgeComplete takes that a purge was reported complete, or complete except for what lapsed.
 func (j *Judge) PurgeComplete(id string, now choice.Time, lapsed bool) {
 	for _, p := range j.purges {
 		if p.id == id && p.complete == 0 {
@@ -149,10 +150,10 @@
 	}
 }
 
-// Accepted hears that a program was told that its message is accepted.
+// Accepted takes that a client was told that its message is accepted.
 func (j *Judge) Accepted(n choice.MessageID, now choice.Time) { j.accepted[n] = now }
 
-// CallSent hears of a call that left its sender with a message, by the endpoint's ledger.
+// CallSent takes from the world's ledger that a call with a message left its sender.
 func (j *Judge) CallSent(n choice.MessageID, now choice.Time) {
 	j.begun++
 	at, known := j.accepted[n]
@@ -163,8 +164,8 @@
 	}
 }
 
-// Differences judges what all processes told last, once all faults are over and they had time. Missing are those that did
-// not answer. It tells what still differs.
+// Differences returns what the processes still disagree about, by their latest statuses. Want is how many there should be;
+// those that did not answer are missing.
 func Differences(all []*status.Status, want int, failover bool) (why []string) {
 	if len(all) < want {
 		why = append(why, fmt.Sprintf("%d of %d processes answer", len(all), want))
--- a/lab/cluster/mesh/mesh.go
+++ b/lab/cluster/mesh/mesh.go
@@ -1,7 +1,7 @@
 // Package mesh gives each process of a cluster addresses of its own, and each ordered pair a relay.
 //
-// It owns the relays and the text of each process's cluster file, in which every other process stands with the relays
-// that lead to it. It must never start a process.
+// It opens the relays and writes each process's cluster file, which names every other process by the relays that lead to
+// it.
 package mesh
 
 import (
@@ -13,10 +13,10 @@
 	"flaxcove/lab/cluster/relay"
 )
 
-// Ports are what one process listens at, in the order of their ports.
+// Ports are the listeners of a process, in the order of their port numbers.
 var Ports = []string{"gossip", "council", "http"}
 
-// maxProcesses is set by the loopback addresses that the scheme below has.
+// maxProcesses is how many processes the loopback addresses below suffice for.
 const maxProcesses = 120
 
 // Process is one process of the cluster.
@@ -27,7 +27,7 @@
 	Small  bool
 }
 
-// Options are what a mesh is made from.
+// Options describe a mesh.
 type Options struct {
 	Cluster   string
 	Processes []Process
@@ -36,14 +36,14 @@
 	Bounds    map[string]int
 }
 
-// Mesh is all relays of a cluster. Its methods may be called from any goroutine.
+// Mesh holds all relays of a cluster. Its methods may be called from any goroutine.
 type Mesh struct {
 	o      Options
 	port   int
 	relays map[[2]int][]*relay.Relay // by from and to, one for each of Ports
 }
 
-// Open makes the relays on a port that is free on all addresses.
+// Open opens the relays, on ports that are free on all addresses.
 func Open(o Options, firstPort int) (*Mesh, error) {
 	if len(o.Processes) > maxProcesses {
 		return nil, fmt.Errorf("%d processes, %d at most", len(o.Processes), maxProcesses)
@@ -91,16 +91,17 @@
 	return fmt.Sprintf("127.%d.0.%d:%d", 121+from, 1+to, m.port+port)
 }
 
-// HTTP is where a process's own listener is, with no relay before it.
+// HTTP is the address of a process's own HTTP listener, without a relay.
 func (m *Mesh) HTTP(i int) string { return m.ownAddr(i, 2) }
 
-// Set has what one process sends to another meet a fault, on whichever connection it goes; what comes back does not.
+// Set applies a fault to what one process sends to another, whichever of them opened the connection. The other direction is
+// not affected.
 func (m *Mesh) Set(from, to int, f relay.Fault) {
 	for _, r := range m.relays[[2]int{from, to}] {
 		r.Set(relay.Forward, f)
 	}
 	back := f
-	back.Refuse = false // connections are refused to whom they begin with
+	back.Refuse = false // only connections that the first process opens are refused
 	for _, r := range m.relays[[2]int{to, from}] {
 		r.Set(relay.Backward, back)
 	}
--- a/lab/cluster/rate/change.go
+++ b/lab/cluster/rate/change.go
@@ -1,8 +1,7 @@
 package rate
 
-// This file orders changes of the settings, as an operator's tool would, at one of the members that are not measured.
-// It must never order one before the last is in force
-// everywhere.
+// This file changes the settings, as an operator's tool would, at one of the members that are not measured. Each change
+// must be in force everywhere before the next one is ordered.
 
 import (
 	"bytes"
@@ -17,12 +16,12 @@
 
 const (
 	changeTimeout = 16 * time.Second
-	// connIdle is the setting that is changed, a little each time: how long a link without calls is kept.
+	// connIdle is the setting that is changed, by connIdleStep each time: how long an idle connection is kept.
 	connIdle     = 10 * time.Second
 	connIdleStep = time.Millisecond
 )
 
-// changeLoop hands in one change after the other until its end.
+// changeLoop orders one change after the other until it is stopped.
 type changeLoop struct {
 	stop    context.CancelFunc
 	done    chan struct{}
@@ -54,14 +53,14 @@
 	return all
 }
 
-// end orders no more, waits for the one under way, and tells how many changes came into force, and why one did not.
+// end stops the loop and waits for the change in progress. It returns how many changes came into force, and why one did not.
 func (all *changeLoop) end() (inForce int, err error) {
 	all.stop()
 	<-all.done
 	return all.inForce, all.err
 }
 
-// change orders one upon a version and waits until it is in force in all processes.
+// change orders a change based on a version and waits until it is in force in all processes.
 func change(ctx context.Context, address string, base uint64) (version uint64, err error) {
 	ctx, stop := context.WithTimeout(ctx, changeTimeout)
 	defer stop()
--- a/lab/cluster/rate/client.go
+++ b/lab/cluster/rate/client.go
@@ -1,7 +1,6 @@
 package rate
 
-// This file owns the client: it hands in the next message once one before is over, whatever became of it. It must never
-// hand in at a rate of its own.
+// This file plays the client: it hands the next message in once an earlier one has ended, so that the sender sets the rate.
 
 import (
 	"bufio"
@@ -15,13 +14,13 @@
 )
 
 const (
-	window    = 500 // messages under way
+	window    = 500 // messages in progress
 	bodyBytes = 200
-	// windowWait is how long the client waits where the window is full.
+	// windowWait is how long the client waits if the window is full.
 	windowWait = 500 * time.Microsecond
 )
 
-// client is one connection that hands in until it is closed.
+// client is one connection that hands messages in until it is closed.
 type client struct {
 	connection net.Conn
 	out        *environment
@@ -46,7 +45,7 @@
 	c.running.Wait()
 }
 
-// read counts the messages that the sender did not take on.
+// read counts the messages that the sender did not accept.
 func (c *client) read() {
 	for lines := bufio.NewScanner(c.connection); lines.Scan(); {
 		if strings.HasPrefix(lines.Text(), "-") {
@@ -58,7 +57,7 @@
 func (c *client) write() {
 	body := []byte(strings.Repeat("x", bodyBytes))
 	for sent := int64(0); ; {
-		// A message that is delivered twice counts as two that are over; no more than a window goes at once for that.
+		// A message that is delivered twice counts as two that have ended; hence the bound of one window at a time.
 		available := min(window, window-(sent-c.out.counts().over()))
 		if available <= 0 {
 			select {
--- a/lab/cluster/rate/environment.go
+++ b/lab/cluster/rate/environment.go
@@ -1,7 +1,7 @@
 package rate
 
-// This file owns what is outside of the senders: endpoints that take every message, a discovery with no news, and the
-// platform. It must never be slower than a sender on purpose.
+// This file serves what senders call: endpoints that accept every message, discovery without updates, and the platform. It
+// must be fast enough not to be the bottleneck.
 
 import (
 	"bytes"
@@ -18,16 +18,16 @@
 )
 
 const (
-	// outsideHosts are loopback addresses over which endpoints are spread.
+	// outsideHosts is the number of loopback addresses over which endpoints are spread.
 	outsideHosts = 16
 	destinations = 610
 	// endpointsEach is how many endpoints a destination has.
 	endpointsEach = 2
-	// aliveEvery is how often discovery shows that it lives.
+	// aliveEvery is how often discovery sends an empty line on a watch.
 	aliveEvery = time.Second
 )
 
-// environment serves all that senders call.
+// environment serves everything that senders call.
 type environment struct {
 	addresses []string
 	servers   []*http.Server
@@ -37,17 +37,17 @@
 	delivered, refused, ended atomic.Int64
 }
 
-// counts are how many messages came to which end.
+// counts are the numbers of messages by how they ended.
 type counts struct{ delivered, refused, ended int64 }
 
 func (o *environment) counts() counts {
 	return counts{o.delivered.Load(), o.refused.Load(), o.ended.Load()}
 }
 
-// over is how many messages are under way no more.
+// over is how many messages have ended.
 func (c counts) over() int64 { return c.delivered + c.refused + c.ended }
 
-// awaitFirst waits for the first message: a sender that joins a cluster holds them back until it knows the newest settings.
+// awaitFirst waits for the first delivery: a sender that joins a cluster sends nothing until it knows the newest settings.
 func (o *environment) awaitFirst(ctx context.Context) error {
 	for o.delivered.Load() == 0 {
 		if err := sleep(ctx, pollEvery); err != nil {
@@ -96,7 +96,7 @@
 	return mux
 }
 
-// follow is a watch on discovery: senders know the whole list from their start, and nothing changes.
+// follow serves a watch on discovery. Senders know the full list from their start, and nothing changes.
 func (o *environment) follow(w http.ResponseWriter, r *http.Request) {
 	alive := time.NewTicker(aliveEvery)
 	defer alive.Stop()
@@ -115,7 +115,7 @@
 	}
 }
 
-// list is what discovery would tell: all destinations, in the only zone.
+// list is the endpoint list: all destinations, in the only zone.
 func (o *environment) list() directory.List {
 	list := directory.List{Version: 1, Full: true}
 	for destination := range destinations {
--- a/lab/cluster/rate/pairs.go
+++ b/lab/cluster/rate/pairs.go
@@ -1,25 +1,25 @@
 package rate
 
-// This file owns what pairs of runs say together. It is pure.
+// This file compares pairs of runs.
 
 import (
 	"math"
 	"slices"
 )
 
-// Pair is a run without the cluster and the one with it that followed.
+// Pair is a run without the cluster and the run with it that followed.
 type Pair struct{ Without, With Figure }
 
-// Ratio is the rate with the cluster by the rate without.
+// Ratio is the rate with the cluster divided by the rate without.
 func (p Pair) Ratio() float64 { return p.With.PerSecond() / p.Without.PerSecond() }
 
-// Summary is what ratios are together.
+// Summary describes a set of ratios.
 type Summary struct {
 	Mean, Deviation float64 // Deviation is the sample's standard deviation, 0 for fewer than two
 	Least, Most     float64
 }
 
-// Summarize takes one ratio at least.
+// Summarize describes ratios, of which there must be at least one.
 func Summarize(ratios []float64) Summary {
 	sum, squares := 0.0, 0.0
 	for _, ratio := range ratios {
--- a/lab/cluster/rate/process.go
+++ b/lab/cluster/rate/process.go
@@ -1,7 +1,7 @@
 package rate
 
-// This file owns the senders' processes: their folders, their configuration and cluster files, their end. It must never
-// take a process for ready before it has said so.
+// This file starts and stops the senders' processes, with their folders, configuration and cluster files. A process counts
+// as ready only once it has answered.
 
 import (
 	"context"
@@ -36,7 +36,7 @@
 	zone  = "z0"
 )
 
-// settingsText is what all senders are started with: room for all that the client has under way.
+// settingsText is the settings object of all senders, with limits above what the client has in progress.
 const settingsText = `{"balancers":1,"quantum":5000000,"machineTypes":["one"],"zones":["z0"],
 "bounds":{"maxOpen":100000,"maxAttempts":9,"connIdle":10000000000,"dialTimeout":1000000000,"probing":true,"retryAfter":true,
 "maxRetryAfter":2000000000},
@@ -46,7 +46,7 @@
 
 // sender is one process.
 type sender struct {
-	listen  string // where it serves, once it has told
+	listen  string // its address, "" until its log names it
 	log     string
 	command *exec.Cmd
 	exited  chan struct{}
@@ -112,7 +112,7 @@
 	one.command = exec.CommandContext(ctx, o.Command[0], arguments...)
 	one.command.Env = append(os.Environ(), "EDGE_CONFIG="+path, "EDGE_NAME=", "EDGE_LISTEN=", "EDGE_DISCOVERY=", "EDGE_STATE=")
 	one.command.Stdout, one.command.Stderr = log, log
-	one.command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // it goes when we go, however we do
+	one.command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // it is killed with this process
 	if err := one.command.Start(); err != nil {
 		return err
 	}
@@ -148,7 +148,7 @@
 	return os.WriteFile(path, text, 0o644)
 }
 
-// awaitReady waits until each process says that it is.
+// awaitReady waits until each process serves and, in a cluster, knows the leader.
 func (s *senders) awaitReady(ctx context.Context) error {
 	for _, one := range s.all {
 		for !one.ready() {
@@ -188,7 +188,7 @@
 	return json.NewDecoder(answer.Body).Decode(&answered) == nil && answered.Leader != ""
 }
 
-// ready looks for the address in the sender's log, then asks there.
+// ready reports whether the sender answers at the address that its log names.
 func (one *sender) ready() bool {
 	if one.listen == "" {
 		one.listen = addressIn(one.log)
@@ -210,7 +210,7 @@
 	return err == nil && string(answer) == "+PONG"
 }
 
-// addressIn is what a sender's log tells of where it listens; "" for nothing yet.
+// addressIn is the address that a sender's log names, or "" if it names none yet.
 func addressIn(path string) string {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -225,7 +225,7 @@
 	return ""
 }
 
-// end asks all processes to end, and sees to it.
+// end sends all processes SIGTERM and kills those that do not end in time.
 func (s *senders) end() {
 	for _, one := range s.all {
 		one.command.Process.Signal(syscall.SIGTERM)
@@ -246,7 +246,7 @@
 	}
 }
 
-// processorTime is what a process has used so far, in user and system mode.
+// processorTime is the processor time of a process so far, in user and system mode.
 func processorTime(pid int) (time.Duration, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -255,7 +255,7 @@
 	return parseProcessorTime(string(text))
 }
 
-// parseProcessorTime reads fields 14 and 15 of /proc/PID/stat; the second is a name that may hold anything.
+// parseProcessorTime reads fields 14 and 15 of /proc/PID/stat. Field 2 is a name that may contain any characters.
 func parseProcessorTime(stat string) (time.Duration, error) {
 	const user, system = 14 - 3, 15 - 3 // counted from the field behind the name
 	fields := strings.Fields(stat[strings.LastIndexByte(stat, ')')+1:])
--- a/lab/cluster/rate/rate.go
+++ b/lab/cluster/rate/rate.go
@@ -1,8 +1,8 @@
 // Package rate measures what the cluster costs the data path: the highest rate of one real sender, with and without it.
 //
-// It owns the set-up of one run and its figure. The processes are process.go's, endpoints, discovery and platform are
-// environment.go's, the client is client.go's, changes of the settings are change.go's, pairs of runs are pairs.go's. It
-// must never judge a figure, call anything but loopback addresses, or leave a process or a file behind.
+// This file sets a run up and takes its figure. process.go starts the senders, environment.go serves endpoints, discovery
+// and the platform, client.go hands messages in, change.go changes the settings, pairs.go compares runs. The package must
+// use loopback addresses only and leave no process or file behind.
 package rate
 
 import (
@@ -12,27 +12,27 @@
 	"time"
 )
 
-// Options are what one run is made with.
+// Options are the inputs of a run.
 type Options struct {
 	Command []string      // the program and its arguments, as in flaxcove serve
-	Cluster bool          // whether the processes are a cluster that has its configuration in common
-	Plain   bool          // with Cluster: it has membership and a council alone, and nothing changes
-	Members int           // processes; the first is measured, the others have nothing to do
-	Port    int           // from which on the cluster looks for free ones
-	Warm    time.Duration // from the first message that was delivered
-	For     time.Duration // of the figure, after Warm
-	// Every is the time from one change of the settings to the next; without the cluster, or in a plain one, there are none.
+	Cluster bool          // the processes form a cluster that shares its configuration
+	Plain   bool          // with Cluster: it has membership and consensus only, and nothing changes
+	Members int           // number of processes; the first is measured, the others are idle
+	Port    int           // the first port that the cluster tries
+	Warm    time.Duration // warm-up from the first delivery
+	For     time.Duration // measured span after Warm
+	// Every is the time between changes of the settings. Without a cluster, or in a plain one, there are none.
 	Every time.Duration
 }
 
-// Figure is what one run gave. Counts and times are those of the measured span alone.
+// Figure is the result of a run. Counts and times are of the measured span.
 type Figure struct {
 	Delivered int64
 	Refused   int64
-	Ended     int64 // undelivered, as the sender told the platform
+	Ended     int64 // not delivered, by the sender's outcome callbacks
 	Span      time.Duration
 	Processor time.Duration // of the measured sender's process
-	Changes   int           // of the settings, each in force in all processes
+	Changes   int           // changes of the settings that came into force in all processes
 }
 
 // PerSecond is the rate at which messages were delivered.
@@ -43,11 +43,11 @@
 	return f.Processor / time.Duration(max(1, f.Delivered))
 }
 
-// Cores is how many cores the measured sender kept busy. Without a cluster it has one thread for Go code: a figure well
-// below 1 says that not the sender was the bottleneck.
+// Cores is how many cores the measured sender kept busy. Without a cluster it runs Go code on one thread: a figure well
+// below 1 means that the sender was not the bottleneck.
 func (f Figure) Cores() float64 { return f.Processor.Seconds() / f.Span.Seconds() }
 
-// Run measures once. Messages are handed in as fast as the sender delivers them, so many under way at a time.
+// Run measures once. Messages are handed in as fast as the sender delivers them, with a fixed number in progress.
 func Run(ctx context.Context, o Options) (figure Figure, err error) {
 	ctx, stop := context.WithTimeout(ctx, o.Warm+o.For+setUpTimeout)
 	defer stop()
@@ -83,7 +83,7 @@
 	return measure(ctx, o, senders, out)
 }
 
-// measure is the span that the figure is of.
+// measure waits for the measured span and returns its figure.
 func measure(ctx context.Context, o Options, senders *senders, out *environment) (figure Figure, err error) {
 	pid := senders.all[0].command.Process.Pid
 	usedBefore, err := processorTime(pid)
@@ -105,7 +105,7 @@
 		Ended: after.ended - before.ended, Span: span, Processor: usedAfter - usedBefore, Changes: changes}, nil
 }
 
-// sleep waits, or says that the run's time is over.
+// sleep waits for a time. It returns an error if ctx ends before.
 func sleep(ctx context.Context, span time.Duration) error {
 	select {
 	case <-time.After(span):
--- a/lab/cluster/schedule/check.go
+++ b/lab/cluster/schedule/check.go
@@ -1,6 +1,6 @@
 package schedule
 
-// This file owns what values a schedule may have. It must never stop at the first thing that is wrong.
+// This file validates schedules. It must not stop at the first problem.
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	"flaxcove/internal/tomlfile"
 )
 
-// Bounds of a schedule's figures.
+// Bounds of the fields of a schedule.
 const (
 	maxProcesses = 2000
 	maxSeconds   = 600
--- a/lab/cluster/schedule/schedule.go
+++ b/lab/cluster/schedule/schedule.go
@@ -1,8 +1,7 @@
-// Package schedule says what befalls a cluster of real processes, when, and how that is written down and drawn.
+// Package schedule describes what happens to a cluster of real processes, and when.
 //
-// It owns the file's form, the drawing of schedules from a seed, and their shrinking (shrink.go). A schedule names
-// processes by number and times from the start; it never names addresses, so that it is replayed alike anywhere. It
-// must never run anything.
+// It has the format of schedule files, draws schedules from a seed (draw.go) and shrinks failing ones (shrink.go). A
+// schedule names processes by number and times from the start, never addresses, so that it can be replayed anywhere.
 package schedule
 
 import (
@@ -25,9 +24,9 @@
 	Seconds   float64 `toml:"seconds"` // of traffic
 	Rate      float64 `toml:"rate"`    // messages a second
 	Small     []int   `toml:"small"`   // processes of the small size
-	// Founders of the council; drawn over the zones where none is named. A sole one leads at first.
+	// Founders of the consensus group; spread over the zones if none is named. A single one is the first leader.
 	Founders []int `toml:"founders"`
-	// AtOnce begins before the council has a leader; else all that is timed is timed from when it has one.
+	// AtOnce begins the run before the consensus group has a leader. Else times count from when it has one.
 	AtOnce  bool     `toml:"at_once"`
 	Faults  []Fault  `toml:"fault"`
 	Purges  []Purge  `toml:"purge"`
@@ -35,11 +34,11 @@
 	Expect  Expect   `toml:"expect"`
 }
 
-// Expect is what must be seen in a run beyond what is promised always; asked only of a machine that keeps time.
+// Expect is what a run must show beyond the promises that always hold. It is checked only if the machine was not too busy.
 type Expect struct {
-	// Moves says that each fall of a zone has a plan in force at most processes, and that at the end all goes near.
+	// Moves expects a routing plan in force at most processes for each fall of a zone, and none at the end.
 	Moves bool `toml:"moves"`
-	// MostPlans beyond the first; 0 for any number.
+	// MostPlans is the largest number of plans beyond the first; 0 for any number.
 	MostPlans int `toml:"most_plans"`
 }
 
@@ -48,16 +47,16 @@
 	Kind    string    `toml:"kind"`
 	At      float64   `toml:"at"`
 	Seconds float64   `toml:"seconds"`
-	From    []int     `toml:"from"`    // processes that it strikes; whose messages are struck
-	To      []int     `toml:"to"`      // on their way to these; all others where none is named
-	Every   float64   `toml:"every_s"` // of a flap, or a zone that flaps: how long it is off, and on
-	MS      float64   `toml:"ms"`      // of late
-	Zone    int       `toml:"zone"`    // from 1, of what strikes endpoints
-	Select  Selection `toml:"select"`  // in the place of From, for fleets too large to name each
-	Steps   int       `toml:"steps"`   // of rolling
+	From    []int     `toml:"from"`    // processes that it affects, or whose messages
+	To      []int     `toml:"to"`      // to these processes; to all others if none is named
+	Every   float64   `toml:"every_s"` // of a flap, or a zone that flaps: how long each state lasts
+	MS      float64   `toml:"ms"`      // delay, for late
+	Zone    int       `toml:"zone"`    // from 1, for zone
+	Select  Selection `toml:"select"`  // in place of From, for fleets too large to name each process
+	Steps   int       `toml:"steps"`   // for rolling
 }
 
-// Kinds are all that a fault may be, each with what it does.
+// Kinds are the kinds of fault, each with a description.
 var Kinds = map[string]string{
 	"cut":     "messages between the two groups are lost, both ways",
 	"one_way": "messages from the first to the second are lost, not those back",
@@ -72,12 +71,12 @@
 	"zone":    "the endpoints of a zone say nothing",
 }
 
-// FleetKinds are those that only a player of large fleets knows; none is drawn.
+// FleetKinds are the kinds that only package scale plays; they are not drawn.
 var FleetKinds = map[string]string{
 	"rolling": "all are ended as planned and started again, in steps, the next when the one before is back",
 }
 
-// Purge is one order to withdraw, given at a time to a process.
+// Purge is a purge that is ordered at a time from a process.
 type Purge struct {
 	At          float64 `toml:"at"`
 	By          int     `toml:"by"`
@@ -86,15 +85,15 @@
 	Class       string  `toml:"workload"`
 }
 
-// Change is one change of the settings that all share, ordered at a time from a process.
+// Change is a change of the shared settings that is ordered at a time from a process.
 type Change struct {
 	At float64 `toml:"at"`
 	By int     `toml:"by"`
-	// Back has the settings return to what they were before the newest version.
+	// Back restores the settings from before the newest version.
 	Back bool `toml:"back"`
 }
 
-// Parse reads a schedule; name stands for it in messages.
+// Parse reads a schedule; name is the file's name in error messages.
 func Parse(name string, text []byte) (*Schedule, error) {
 	s := Schedule{Zones: 1, Regions: 1, Rate: 40, Seconds: 10}
 	if err := tomlfile.Decode(name, text, &s); err != nil {
@@ -103,14 +102,14 @@
 	return &s, tomlfile.At(name, text, s.Check())
 }
 
-// Write makes a file's text.
+// Write returns the text of a schedule file.
 func Write(s *Schedule) ([]byte, error) {
 	var out bytes.Buffer
 	err := toml.NewEncoder(&out).Encode(s)
 	return out.Bytes(), err
 }
 
-// CheckNamesProcesses tells whether all faults name their processes one by one, as a player of few processes takes them.
+// CheckNamesProcesses returns an error unless all faults name their processes one by one, which package play requires.
 func (s *Schedule) CheckNamesProcesses() error {
 	for i, f := range s.Faults {
 		if f.Select != (Selection{}) || FleetKinds[f.Kind] != "" {
@@ -120,7 +119,7 @@
 	return nil
 }
 
-// LastFaultEnd is when the last fault is over, in seconds.
+// LastFaultEnd is when the last fault ends, in seconds.
 func (s *Schedule) LastFaultEnd() (at float64) {
 	for _, f := range s.Faults {
 		at = max(at, f.At+f.Seconds)
--- a/lab/cluster/schedule/select.go
+++ b/lab/cluster/schedule/select.go
@@ -6,22 +6,22 @@
 	"slices"
 )
 
-// Selection chooses the processes that a fault strikes, for fleets too large to name each. What is left out does not
-// narrow it; the zero Selection chooses none.
+// Selection chooses the processes that a fault affects, for fleets too large to name each. A field that is left out does
+// not narrow the choice; the zero Selection chooses none.
 type Selection struct {
 	Zone   int     `toml:"zone"`   // from 1
 	Region int     `toml:"region"` // from 1
 	Share  float64 `toml:"share"`  // of all processes
 	Count  int     `toml:"count"`
-	// OverS spreads the strikes evenly over so many seconds, one process at a time.
+	// OverS has the fault affect one process after the other, evenly over this many seconds.
 	OverS float64 `toml:"over_s"`
 }
 
-// Locations tell where a process is; zones and regions count from 1.
+// Locations give the zone and the region of a process, counted from 1.
 type Locations struct{ Zone, Region func(process int) int }
 
-// Affected are the processes that a fault strikes: those it names, or else those that it selects, drawn from the
-// schedule's seed where they are a part.
+// Affected returns the processes that a fault affects: those it names, or else those that it selects, which are drawn from
+// the schedule's seed if they are only a part.
 func (s *Schedule) Affected(f *Fault, at Locations) []int {
 	if len(f.From) > 0 || f.Select == (Selection{}) {
 		return f.From
--- a/lab/cluster/schedule/shrink.go
+++ b/lab/cluster/schedule/shrink.go
@@ -1,12 +1,12 @@
 package schedule
 
-// Shrink leaves out of a failing schedule what it fails without, one thing at a time, as long as fails says that it
-// still does. It asks at most so many times.
-func Shrink(s *Schedule, asks int, fails func(*Schedule) bool) *Schedule {
+// Shrink removes from a failing schedule what is not needed to make it fail, one thing at a time. It calls fails at most
+// attempts times.
+func Shrink(s *Schedule, attempts int, fails func(*Schedule) bool) *Schedule {
 	for again := true; again; {
 		again = false
 		for _, smaller := range s.without() {
-			if asks--; asks < 0 {
+			if attempts--; attempts < 0 {
 				return s
 			}
 			if fails(smaller) {
@@ -18,7 +18,7 @@
 	return s
 }
 
-// without are all schedules that lack one thing: a purge, a change, a fault, or one of the processes that a fault strikes.
+// without returns all schedules that lack one thing: a purge, a change, a fault, or one of the processes of a fault.
 func (s *Schedule) without() (all []*Schedule) {
 	for i := range s.Faults {
 		c := *s
--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -1,8 +1,8 @@
-// Package load makes the arrivals of a run: when a client hands in which message, for whom.
+// Package load generates the arrivals of a run: when a client hands in which message, for whom.
 //
-// It owns the shapes of open-loop load and the traces that stand in for them: each arrival has a time that does not
-// depend on what became of those before. It must never look at a clock, wait, or hang on the order of a map; one seed
-// gives the same arrivals on every machine. Times are in tenths of a millisecond from the start of the run.
+// The load is open-loop: the time of an arrival does not depend on what became of earlier ones. Arrivals are drawn, or read
+// from a recorded trace. The package must not read a clock, wait, or depend on the order of a map: one seed gives the same
+// arrivals on every machine. Times are tenths of a millisecond from the start of the run.
 package load
 
 import (
@@ -33,7 +33,7 @@
 	Trace      string  `toml:"trace"` // a recorded trace in place of all this, see ReadTrace
 }
 
-// Defaults fills what was left out.
+// Defaults fills in the fields that were left out.
 func (s *Spec) Defaults() {
 	s.Shape = cmp.Or(s.Shape, "poisson")
 	s.SwingS = cmp.Or(s.SwingS, 20)
@@ -44,7 +44,7 @@
 	s.BodyBytes = cmp.Or(s.BodyBytes, 200)
 }
 
-// Check names the field that is wrong.
+// Check returns the first field with an invalid value, and why; "" and nil if there is none.
 func (s *Spec) Check() (field string, err error) {
 	for _, f := range []struct {
 		name     string
@@ -78,16 +78,16 @@
 	Body    int // bytes
 }
 
-// Change changes the load for a time: a surge, or a share of it fixed on one destination.
+// Change is a change of the load for a time: a surge, or a share of it that goes to one destination.
 type Change struct {
 	From, To choice.Time
 	Factor   float64 // of the rate; 1 for unchanged
-	Sender   int     // whose clients it bends; -1 for all
+	Sender   int     // whose clients it concerns; -1 for all
 	Partner  int     // to which Share of the messages go; -1 for none
 	Share    float64
 }
 
-// Source gives arrivals one by one in order of time; ok is false once there are no more.
+// Source yields arrivals in order of time; ok is false once there are no more.
 type Source interface{ Next() (a Arrival, ok bool) }
 
 // Plan draws arrivals. Weights of classes, partners and senders need not add up to 1.
@@ -106,7 +106,7 @@
 	senderWeights     []float64
 }
 
-// New makes a plan that ends at until.
+// New creates a plan that ends at until.
 func New(s Spec, seed uint64, until choice.Time, classes, partners, senders []float64, bends []Change) *Plan {
 	p := &Plan{spec: s, until: until, changes: bends, rng: rand.New(rand.NewPCG(seed, 0x10ad)),
 		classes: newPicker(classes), partners: newPicker(partners), senders: newPicker(senders), senderWeights: senders}
@@ -124,13 +124,13 @@
 	return p
 }
 
-// messagesPerStart is how many messages one start brings on average: a clump's are one start.
+// messagesPerStart is the mean number of messages of one start. All messages of a clump are one start.
 func (p *Plan) messagesPerStart() float64 {
 	// Of all messages ClumpShare come in clumps of ClumpSize, so starts are rarer than messages.
 	return 1 / (1 - p.spec.ClumpShare + p.spec.ClumpShare/float64(p.spec.ClumpSize))
 }
 
-// rate is what is due at a time, in starts a second.
+// rate is the rate at a time, in starts a second.
 func (p *Plan) rate(at float64) float64 {
 	r := p.spec.Rate / p.messagesPerStart()
 	r *= 1 + p.spec.Swing*math.Sin(2*math.Pi*at/p.spec.SwingS)
@@ -171,7 +171,7 @@
 			r := p.rate(p.now)
 			p.now += 1 / max(r, 1e-9)
 		} else {
-			// Thinning: candidates at the highest rate, kept by chance as the present one asks.
+			// Thinning: candidates come at the highest rate, and are accepted with the probability of the current rate.
 			p.now += p.rng.ExpFloat64() / p.peakRate
 		}
 		at := choice.Time(p.now * float64(choice.Second))
@@ -212,7 +212,7 @@
 			a.Partner = b.Partner
 		}
 		if b.Sender >= 0 && b.Factor > 1 {
-			// What a surge adds is all its sender's.
+			// All that a surge adds goes to its sender.
 			part := p.senderWeights[b.Sender] / p.senderTotal
 			if extra := (b.Factor - 1) * part; who < extra/(1+extra) {
 				a.Sender = b.Sender
@@ -274,6 +274,7 @@
 	return &Replay{arrivals: arrivals}, nil
 }
 
+// Next returns the next recorded arrival.
 func (r *Replay) Next() (Arrival, bool) {
 	if r.at >= len(r.arrivals) {
 		return Arrival{}, false
--- a/lab/load/search.go
+++ b/lab/load/search.go
@@ -1,13 +1,13 @@
 package load
 
-// This file owns the search for the highest rate that holds. It must never play anything.
+// This file searches the highest rate that a sender sustains. The caller plays the runs.
 
 import "math"
 
-// Search looks for the highest rate that a sender holds: it doubles until one fails, then halves the gap. It asks for
-// rates and is told verdicts; it plays nothing itself.
+// Search looks for the highest rate that a sender sustains: it doubles until one fails, then halves the gap. Next is the
+// rate to try, Record takes the result.
 type Search struct {
-	good, bad float64 // highest that held, lowest that did not; 0 for none yet
+	good, bad float64 // highest rate that was sustained, lowest that was not; 0 for none yet
 	start     float64
 	maxRate   float64
 	tolerance float64 // the gap, as a share of the good rate, at which the search ends
@@ -15,7 +15,7 @@
 	maxSteps  int
 }
 
-// NewSearch begins at a rate and never asks for more than most, nor more than steps times.
+// NewSearch begins at a rate and never tries more than most, nor more than steps rates.
 func NewSearch(start, most float64, steps int) *Search {
 	return &Search{start: start, maxRate: most, tolerance: 0.05, maxSteps: steps}
 }
@@ -38,14 +38,14 @@
 	return math.Sqrt(s.good * s.bad), true
 }
 
-// Record takes the verdict on a rate.
-func (s *Search) Record(rate float64, held bool) {
-	if held {
+// Record takes the result at a rate.
+func (s *Search) Record(rate float64, sustained bool) {
+	if sustained {
 		s.good = max(s.good, rate)
 	} else if s.bad == 0 || rate < s.bad {
 		s.bad = rate
 	}
 }
 
-// Best is the highest rate that held, 0 for none, and the lowest that did not, 0 for none.
+// Best is the highest rate that was sustained, 0 for none, and the lowest that was not, 0 for none.
 func (s *Search) Best() (good, bad float64) { return s.good, s.bad }
--- a/lab/load/trace.go
+++ b/lab/load/trace.go
@@ -1,6 +1,6 @@
 package load
 
-// This file owns the reading of recorded loads. It must never guess at a field that is left out or wrong.
+// This file reads recorded traces. A field that is left out or wrong is an error, not a guess.
 
 import (
 	"bufio"
