--- a/lab/cluster/play/change.go
+++ b/lab/cluster/play/change.go
@@ -13,16 +13,16 @@
 	"flaxcove/lab/live"
 )
 
-// This file orders changes of the settings that all share, as an operator's tool would: upon what is the newest, again
-// under the same id where no answer came, and anew where another change came first.
+// This file orders changes of the shared settings, as an operator's tool would: based on the newest version, again under
+// the same id if no answer came, and anew if another change came first.
 
 const changeTimeout = 40 * time.Second
 
-// ChangeReport is what the one who ordered a change was told, by the run's clock in tenths of a millisecond.
+// ChangeReport says what became of a change that was ordered. Times are tenths of a millisecond of the run.
 type ChangeReport struct {
 	ID             string
 	Given, Decided choice.Time
-	InForce        choice.Time // when all were first seen to run it or a newer one; 0 for never
+	InForce        choice.Time // when all first reported it or a newer one in force; 0 for never
 	Version        uint64
 	Attempts       int
 }
@@ -85,7 +85,7 @@
 	return decided, attempts
 }
 
-// newestVersion is the newestVersion version as a process tells it.
+// newestVersion is the newest version of the settings according to a process. It is false if no answer came.
 func (p *player) newestVersion(ctx context.Context, by int) (uint64, bool) {
 	var shown struct {
 		Version uint64 `json:"version"`
@@ -94,7 +94,7 @@
 	return shown.Version, code == http.StatusOK
 }
 
-// askShown asks the first process how far the newest version is.
+// askShown asks the first process where the newest version is in force.
 func (p *player) askShown(ctx context.Context, h *live.RunControl) {
 	var shown versions.Shown
 	if p.ask(ctx, 0, "GET", "/v1/configuration", nil, &shown) == http.StatusOK {
@@ -105,7 +105,7 @@
 	}
 }
 
-// postChange is one try: the time for which connections are kept is changed, which breaks no rule of the world.
+// postChange makes one attempt to order a change. It changes how long idle connections are kept, which affects no rule.
 func (p *player) postChange(ctx context.Context, by int, id string, base uint64, back bool, no int) (uint64, configuration.Sum, int) {
 	path, body := "/v1/configuration", map[string]any{"id": id, "base": base, "who": "laboratory", "why": "schedule " + p.schedule.Name}
 	if back && base > 0 {
@@ -133,7 +133,7 @@
 	}
 }
 
-// noteInForce notes which changes all run by now.
+// noteInForce records which changes are in force at all processes by now.
 func (p *player) noteInForce(now choice.Time, all []*status.Status) {
 	if len(all) < p.schedule.Processes {
 		return
@@ -151,7 +151,7 @@
 	}
 }
 
-// behind tells whether somebody does not run what was decided, or is shown so.
+// behind returns which processes do not run the newest settings, by their own statuses or by the first process's answer.
 func (p *player) behind(all []*status.Status) (why []string) {
 	for _, s := range all {
 		if c := s.Configuration; c != nil && c.Version < p.judge.Newest() {
--- a/lab/cluster/play/falls.go
+++ b/lab/cluster/play/falls.go
@@ -12,29 +12,29 @@
 	"flaxcove/lab/cluster/schedule"
 )
 
-// This file measures how a zone's fall is answered, by what the processes tell of the plan in force at them. Times
-// hang on how often they are asked (askEvery), and are figures, not verdicts.
+// This file measures how the cluster reacts to the fall of a zone, by the routing plans that the processes report in force.
+// The times depend on how often they are polled (askEvery); they are figures, not verdicts.
 
 const (
-	quorumShare = 0.95 // of the reachable processes, from the table of issue 36
-	// nearTimeout is how long after the last fault routes may stay that do not go near: thrice what the table of issue 36
-	// grants, and what a plan holds.
+	quorumShare = 0.95 // of the reachable processes; from issue 36
+	// nearTimeout is how long after the last fault routes may still lead away: three times what issue 36 allows, and the
+	// time that a plan holds.
 	nearTimeout = 55.0
 )
 
-// Breaks of what a schedule expects.
+// Breaches of what a schedule expects.
 const (
-	Unmoved  judge.Promise = "unmoved"  // a zone fell and no plan moved what goes there
-	Afar     judge.Promise = "afar"     // long after all was well some goes elsewhere still
+	Unmoved  judge.Promise = "unmoved"  // a zone fell and no plan routed its messages away
+	Afar     judge.Promise = "afar"     // long after the last fault some routes still lead away
 	Restless judge.Promise = "restless" // more plans than expected
 )
 
-// Fall is one fall of a zone, in milliseconds; -1 for what was not seen.
+// Fall is one fall of a zone. Times are milliseconds; -1 for what was not observed.
 type Fall struct {
 	Zone      int
-	InForceMS int64 // from the fall until a plan that leaves it is in force at enough processes, while it lasts
-	NearMS    int64 // from the zone's return until none has a route that does not go near
-	WithinMS  int64 // until fewer than all routes of the zone are away: the first step of a return
+	InForceMS int64 // from the fall until a plan that routes away from it is in force at enough processes
+	NearMS    int64 // from the zone's return until no process has a route that leads away
+	WithinMS  int64 // from the zone's return until its first routes are back
 
 	from, to choice.Time
 	mostAway int
@@ -49,7 +49,7 @@
 	return all
 }
 
-// isCutOff tells whether a process is cut off then, by the schedule.
+// isCutOff reports whether the schedule has a process cut off or stopped at a time.
 func isCutOff(s *schedule.Schedule, i int, now choice.Time) bool {
 	return slices.ContainsFunc(s.Faults, func(f schedule.Fault) bool {
 		cuts := slices.Contains([]string{"cut", "one_way", "flap", "stall", "stop"}, f.Kind)
@@ -57,7 +57,7 @@
 	})
 }
 
-// measureFalls hears what all told.
+// measureFalls updates the falls by the statuses of a poll.
 func (p *player) measureFalls(now choice.Time, all []*status.Status) {
 	for i := range p.falls {
 		f := &p.falls[i]
@@ -96,13 +96,13 @@
 	}
 }
 
-// awaitsNear tells whether the run goes on for what still goes elsewhere.
+// awaitsNear reports whether the run has to go on because some routes still lead away.
 func (p *player) awaitsNear() bool {
 	away := slices.ContainsFunc(p.lastStatuses, func(s *status.Status) bool { return s.Counts["plan_routes"] > 0 })
 	return p.schedule.Expect.Moves && away && p.now < seconds(p.schedule.LastFaultEnd()+nearTimeout)
 }
 
-// unexpected is what was not seen that the schedule expects.
+// unexpected returns breaches of what the schedule expects.
 func (p *player) unexpected(epochs int) (breaks []judge.Breach) {
 	for _, f := range p.falls {
 		if p.schedule.Expect.Moves && f.InForceMS < 0 {
--- a/lab/cluster/play/faults.go
+++ b/lab/cluster/play/faults.go
@@ -13,19 +13,19 @@
 	"flaxcove/lab/world"
 )
 
-// This file plays faults. Faults that overlap on one way are kept apart by number: the way is well once none is left.
+// This file plays faults. Faults that overlap on a link are told apart by number: the link works again once none is left.
 
-const leaderRestartDelay = 400 * choice.Millisecond // of a leader that was killed
+const leaderRestartDelay = 400 * choice.Millisecond // at least, for a leader that was killed
 
 type direction struct{ from, to int }
 
-// links are the faults that stand on each way between processes.
+// links holds the active faults in each direction between processes.
 type links struct {
 	mesh   *mesh.Mesh
 	faults map[direction]map[int]relay.Fault
 }
 
-// set has a fault by its number stand on a way, or, with no fault, stand no longer.
+// set adds a fault to a direction under a number, or removes that number's if the fault is nil.
 func (l *links) set(w direction, no int, f *relay.Fault) {
 	if l.faults[w] == nil {
 		l.faults[w] = map[int]relay.Fault{}
@@ -82,7 +82,7 @@
 	}
 }
 
-// planLinkFault has a fault stand on its links from its begin to its end.
+// planLinkFault applies a fault to its links from its begin to its end.
 func (p *player) planLinkFault(run *live.RunControl, l *links, no int, fault relay.Fault) {
 	f := &p.schedule.Faults[no]
 	directions := p.directionsOf(f)
@@ -90,7 +90,7 @@
 	run.After(seconds(f.At+f.Seconds), func() { l.setAll(directions, no, nil) })
 }
 
-// planFlap has a cut come and go.
+// planFlap applies a cut that comes and goes.
 func (p *player) planFlap(run *live.RunControl, l *links, no int) {
 	f := &p.schedule.Faults[no]
 	directions := p.directionsOf(f)
@@ -104,7 +104,7 @@
 	run.After(seconds(f.At+f.Seconds), func() { l.setAll(directions, no, nil) })
 }
 
-// directionsOf are those that a fault strikes: from its first group to its second, and back unless it is one way.
+// directionsOf returns the directions that a fault affects: from its first group to its second, and back unless it is one way.
 func (p *player) directionsOf(f *schedule.Fault) (all []direction) {
 	others := f.To
 	if len(others) == 0 {
@@ -127,13 +127,13 @@
 	return all
 }
 
-// restartEmptied kills a process and has it come again with nothing of what it had.
+// restartEmptied kills a process and starts it again with empty folders.
 func (p *player) restartEmptied(h *live.RunControl, s world.SenderNo, from, to choice.Time) {
 	h.After(from, func() {
 		if !h.Alive(s) {
 			return
 		}
-		p.emptied[s] = h.Now() // what it took on before is lost
+		p.emptied[s] = h.Now() // what it accepted before is lost
 		h.Act(s, world.Kill)
 		if err := h.EraseState(s); err == nil {
 			os.RemoveAll(p.folders[s])
@@ -142,7 +142,7 @@
 	})
 }
 
-// killLeader kills whom most processes named as the leader last.
+// killLeader kills the process that most processes named as the leader in the last poll.
 func (p *player) killLeader(h *live.RunControl, gone choice.Time) {
 	p.mu.Lock()
 	leader := p.leader
--- a/lab/cluster/play/play.go
+++ b/lab/cluster/play/play.go
@@ -1,8 +1,8 @@
-// Package play runs a schedule: real processes of the program, a world of partners, and relays between the processes.
+// Package play plays a schedule: real sender processes, a world of partners, and relays between the processes.
 //
-// It owns the run's set-up and its faults (faults.go) and what is asked of the processes meanwhile (watch.go). The world, its endpoints'
-// sockets and the referee are lab/live's; the verdict on the cluster is lab/cluster/judge's. It must never leave a
-// process, a relay or a file behind.
+// This file sets a run up. faults.go plays the faults of the cluster, watch.go polls the processes, purge.go and change.go
+// order purges and changes, falls.go measures the falls of zones. Package live runs the processes and the world, package
+// judge judges the cluster. No process, relay or file may be left behind.
 package play
 
 import (
@@ -26,50 +26,50 @@
 	"flaxcove/lab/world"
 )
 
-// Options are what a schedule is played with.
+// Options are the inputs of a run.
 type Options struct {
 	Schedule *schedule.Schedule
 	Command  []string // the program and its arguments, as in flaxcove serve
-	Port     int      // from which on relays look for free ones
-	Uses     []string // of the cluster; nil for failover and purges, an empty one for no cluster at all
+	Port     int      // the first port that relays try; 0 for a range of the run's own
+	Uses     []string // parts of the cluster that are on; nil for what the schedule needs, empty for no cluster at all
 	Logs     string
-	// Spec changes the world before it begins; nil for none.
+	// Spec changes the world before it begins; nil for no change.
 	Spec func(*world.Spec)
-	// File changes a process's cluster file, and hears the folder that this process's part of the cluster keeps what lasts
-	// in, before it is written; nil for none.
+	// File changes a process's cluster file before it is written, and gets the folder in which the process keeps the
+	// cluster's state; nil for no change.
 	File func(s world.SenderNo, folder string, text []byte) []byte
-	// Every is how often the processes are asked; 0 for askEvery. Their answers count as their traffic.
+	// Every is how often the processes are polled; 0 for askEvery. Their answers count as their traffic.
 	Every time.Duration
-	// OnStatuses hears what processes told, each time that they were asked; nil for none.
+	// OnStatuses is called with the processes' statuses after each poll; nil for nothing.
 	OnStatuses func(now choice.Time, all []*status.Status)
-	// OnConfiguration hears what the first process told of the settings in common, each time that all were asked; nil for none.
+	// OnConfiguration is called with the first process's answer on the shared settings after each poll; nil for nothing.
 	OnConfiguration func(now choice.Time, s versions.Shown)
 }
 
-// maxProcesses is how many one machine can run with a relay between any two.
+// maxProcesses is how many processes one machine can run with a relay between any two.
 const maxProcesses = 60
 
-// smallDestinations is how many of the four destinations a small process holds what it learnt of.
+// smallDestinations is of how many of the four destinations a small process keeps learned state.
 const smallDestinations = 2
 
-// Result is what became of it.
+// Result is the result of a run.
 type Result struct {
 	*live.Result
 	Breaches     []judge.Breach // of the cluster's promises
-	Excused      int            // breaks of the referee's that the schedule itself asked for: an emptied folder
+	Excused      int            // violations of the referee's rules that the schedule caused itself by emptying a folder
 	Epochs       int
 	LastStatuses []*status.Status
 	Purges       []PurgeReport
 	Falls        []Fall
 	Changes      []*ChangeReport
-	// SettledMS is how long after the last fault all saw the same again.
+	// SettledMS is how long after the last fault all processes agreed again.
 	SettledMS int64
 }
 
-// Each run looks for free ports in a range of its own: two that begin at once must not see the same ones free.
+// Each run looks for free ports in a range of its own: two runs that begin at once must not find the same ones free.
 const (
 	firstPort   = 30000
-	portRange   = 25000 // a multiple of portsEach
+	portRange   = 25000 // a multiple of portsPerRun
 	portsPerRun = 500   // more than a mesh tries
 )
 
@@ -141,11 +141,12 @@
 	return out
 }
 
-// excuse takes out of a verdict what a process lost that the schedule itself took the folder of.
+// excuse removes from a verdict the messages that a process lost because the schedule emptied its folder. It returns how
+// many these are.
 func (p *player) excuse(v *referee.Verdict) (n int) {
 	v.Violations = slices.DeleteFunc(v.Violations, func(b referee.Violation) bool {
 		at, is := p.emptied[world.SenderNo(b.Sender)]
-		// A breach is told when it is judged, up to a deadline later; it names its message first.
+		// A violation is found when the message is judged, up to its deadline later; its text begins with the message's id.
 		id, _, _ := strings.Cut(b.What, " ")
 		owed, known := p.accepted[choice.MessageID(id)]
 		out := is && b.Rule == referee.Lost && known && owed.by == world.SenderNo(b.Sender) && owed.at <= at
@@ -220,7 +221,7 @@
 	return err
 }
 
-// writeClusterFile gives a process its cluster file.
+// writeClusterFile writes a process's cluster file and returns the arguments that name it.
 func (p *player) writeClusterFile(s world.SenderNo, home string) ([]string, error) {
 	if p.mesh == nil {
 		return nil, nil
--- a/lab/cluster/play/purge.go
+++ b/lab/cluster/play/purge.go
@@ -22,11 +22,11 @@
 const (
 	purgeTimeout = 40 * time.Second
 	retryEvery   = 300 * time.Millisecond
-	// pollDecidedEvery is how often a decided purge is asked about: it is complete soon.
+	// pollDecidedEvery is how often the state of a decided purge is polled: it will be complete soon.
 	pollDecidedEvery = 50 * time.Millisecond
 )
 
-// PurgeReport is what a purge's caller was told, by the run's clock in tenths of a millisecond.
+// PurgeReport says what became of a purge that was ordered. Times are tenths of a millisecond of the run.
 type PurgeReport struct {
 	ID                       string
 	Given, Decided, Complete choice.Time
--- a/lab/cluster/play/watch.go
+++ b/lab/cluster/play/watch.go
@@ -20,15 +20,15 @@
 	"flaxcove/lab/world"
 )
 
-// This file asks the processes, from outside and past all relays, what they see.
+// This file polls the processes' statuses, from outside and past all relays.
 
 const (
 	askEvery      = 150 * time.Millisecond
 	askTimeout    = 700 * time.Millisecond
-	settleTimeout = 40 * time.Second // after the last fault, before what still differs is a break
+	settleTimeout = 40 * time.Second // after the last fault, until a difference is a breach
 )
 
-// acceptedMessage is what a purge is matched by, of what a process took on.
+// acceptedMessage holds what a purge may match of a message that a process has accepted.
 type acceptedMessage struct {
 	destination int
 	class       string
@@ -36,6 +36,7 @@
 	at          choice.Time
 }
 
+// player plays one schedule.
 type player struct {
 	options     Options
 	schedule    *schedule.Schedule
@@ -47,7 +48,7 @@
 	wg          sync.WaitGroup
 	stop        context.CancelFunc
 
-	// What follows belongs to the world's goroutine.
+	// The fields up to mu belong to the world's goroutine.
 	judge         *judge.Judge
 	accepted      map[choice.MessageID]acceptedMessage
 	emptied       map[world.SenderNo]choice.Time
@@ -56,18 +57,18 @@
 	differences   []string
 	settled       bool
 	settledMS     int64
-	openOrders    int // purges that are not complete
+	openOrders    int // purges and changes in progress
 	falls         []Fall
 	changeReports []*ChangeReport
 	shown         versions.Shown
-	now           choice.Time // when last was heard
+	now           choice.Time // of the last poll
 
 	mu      sync.Mutex
 	leader  string
-	refusal string // a change that was, and why
+	refusal string // which change was refused, and why
 }
 
-// ledgerTap hears the ledger before the referee does.
+// ledgerTap passes the world's events on to the referee and to the judge.
 type ledgerTap struct {
 	world.Ledger
 	player *player
@@ -88,7 +89,7 @@
 	e.Ledger.CallSent(c)
 }
 
-// awaitLeader waits until all know who leads the council.
+// awaitLeader waits until all processes know the leader of the consensus group.
 func (p *player) awaitLeader(ctx context.Context) {
 	for p.mesh != nil && !p.schedule.AtOnce && ctx.Err() == nil {
 		all := p.askAll(ctx)
@@ -102,6 +103,7 @@
 	}
 }
 
+// onBegin schedules the faults, changes and purges, and begins to poll the processes.
 func (p *player) onBegin(h *live.RunControl) {
 	p.spec, p.falls = h.World().Spec, fallsOf(p.schedule)
 	if p.mesh == nil {
@@ -122,10 +124,12 @@
 	}
 }
 
+// keepRunning reports whether the run has to go on past its end: until all agree and all orders have ended.
 func (p *player) keepRunning() bool {
 	return p.mesh != nil && (!p.settled || p.openOrders > 0 || p.awaitsNear()) && p.differences == nil
 }
 
+// wait stops polling and waits for all goroutines.
 func (p *player) wait() {
 	if p.stop != nil {
 		p.stop()
@@ -134,7 +138,7 @@
 	p.client.CloseIdleConnections()
 }
 
-// watch asks all processes again and again.
+// watch polls all processes until ctx ends.
 func (p *player) watch(ctx context.Context, h *live.RunControl) {
 	defer p.wg.Done()
 	for ctx.Err() == nil {
@@ -150,6 +154,7 @@
 	}
 }
 
+// askAll polls all processes concurrently and returns the statuses of those that answered.
 func (p *player) askAll(ctx context.Context) (all []*status.Status) {
 	answers := make([]*status.Status, p.schedule.Processes)
 	var wg sync.WaitGroup
@@ -172,7 +177,7 @@
 	return all
 }
 
-// ask is one call to a process's own listener; 0 where no answer came.
+// ask makes one request to a process's own listener. It returns the status, or 0 if no answer came.
 func (p *player) ask(ctx context.Context, i int, method, path string, in, out any) int {
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
@@ -193,7 +198,7 @@
 	return resp.StatusCode
 }
 
-// judgeStatuses judges what was told; on the world's goroutine.
+// judgeStatuses judges the statuses of a poll. It runs on the world's goroutine.
 func (p *player) judgeStatuses(h *live.RunControl, all []*status.Status) {
 	votes := map[string]int{}
 	for _, s := range all {
@@ -218,7 +223,7 @@
 	if h.Now() <= healed || p.settled && len(p.behind(all)) == 0 {
 		return
 	}
-	p.settled = false // a change that was decided later is awaited, too
+	p.settled = false // also for a change that was decided meanwhile
 	why := append(judge.Differences(all, p.schedule.Processes, p.uses("failover")), p.behind(all)...)
 	late := h.Now()-healed > choice.Time(settleTimeout/(100*time.Microsecond))
 	if len(why) == 0 {
--- a/lab/cluster/relay/datagram.go
+++ b/lab/cluster/relay/datagram.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// This file carries datagrams: each sender has a port of its own towards the other, so that answers find back.
+// This file forwards datagrams. Each sender is served from a port of its own, so that answers find their way back.
 
 const maxDatagram = 64 << 10
 
@@ -32,7 +32,7 @@
 	}
 }
 
-// send hands a datagram on, now or later; what is stalled is lost, as no network keeps datagrams.
+// send forwards a datagram, now or after a delay. Stalled ones are lost, as no network keeps datagrams.
 func (r *Relay) send(b []byte, d Direction, write func([]byte)) {
 	f, closed := r.fault(d)
 	if closed || f.Drop || f.Stall {
--- a/lab/cluster/relay/relay.go
+++ b/lab/cluster/relay/relay.go
@@ -1,9 +1,8 @@
-// Package relay carries bytes between two processes of the laboratory and can be told to fail.
+// Package relay forwards bytes between two processes of the laboratory and can be made to fail.
 //
-// One Relay is one way on which one process reaches another: a TCP and a UDP port of ours on loopback, led to the
-// other's real ones. What goes there and what comes back can fail apart from each other, so that a cut can be one way.
-// It owns its ports and the connections through it. It must never look into what it carries, connect anywhere but to
-// loopback, or leave a goroutine behind once it is closed.
+// A Relay is how one process reaches another: a TCP and a UDP port on loopback, forwarded to the other's real ones. Each
+// direction can fail by itself, so that a cut can be one way. A relay does not interpret what it carries, connects to
+// loopback only, and leaves no goroutine behind once it is closed.
 package relay
 
 import (
@@ -16,36 +15,36 @@
 	"flaxcove/internal/loopback"
 )
 
-// Fault is what a relay does to one direction. The zero Fault carries all.
+// Fault is what a relay does to one direction. The zero Fault forwards everything.
 type Fault struct {
-	// Drop loses datagrams, and bytes of streams without an end of them: they stay open and silent, as when a machine
-	// is cut off. New connections come up and stay silent, or with Refuse never do.
+	// Drop loses datagrams, and bytes of streams, which stay open and silent as when a machine is cut off. New connections
+	// come up and stay silent, or are refused with Refuse.
 	Drop bool
-	// Stall holds everything back until it is over, and then hands it on in order.
+	// Stall holds the bytes of streams back until it is over, and then forwards them in order. Datagrams are lost.
 	Stall bool
-	// Refuse ends new connections at once; those that stand go on.
+	// Refuse resets new connections at once; established ones go on.
 	Refuse bool
-	// Delay is how much later everything comes.
+	// Delay is added to the latency of everything.
 	Delay time.Duration
 }
 
-// Direction is one of the two.
+// Direction is one of the two directions of a relay.
 type Direction int
 
 const (
-	Forward Direction = iota // from whom the relay serves to the other
+	Forward Direction = iota // from the process that uses the relay to the other
 	Backward
 )
 
 const (
 	chunkBytes      = 16 << 10
 	dialTimeout     = time.Second
-	flowIdleTimeout = 30 * time.Second // a UDP sender not heard for so long is forgotten
+	flowIdleTimeout = 30 * time.Second // after which a UDP sender is forgotten
 	maxFlows        = 64
-	pollEvery       = 5 * time.Millisecond // how often a stalled direction looks whether it is over
+	pollEvery       = 5 * time.Millisecond // how often a stalled direction checks whether the fault is over
 )
 
-// Relay is one way. Its methods may be called from any goroutine.
+// Relay forwards from one process to another, and what comes back. Its methods may be called from any goroutine.
 type Relay struct {
 	target string
 	tcp    net.Listener
@@ -59,7 +58,7 @@
 	wg     sync.WaitGroup
 }
 
-// Open listens at addr, TCP and UDP, and carries to target.
+// Open listens at addr, TCP and UDP, and forwards to target.
 func Open(addr, target string) (*Relay, error) {
 	tcp, udp, err := loopback.ListenPair(addr)
 	if err != nil {
@@ -75,17 +74,17 @@
 	return r, nil
 }
 
-// Addr is where the one whom the relay serves finds the other.
+// Addr is the address at which the relay listens.
 func (r *Relay) Addr() string { return r.tcp.Addr().String() }
 
-// Set puts a fault in the place of the one that stands in a direction.
+// Set replaces the fault of a direction.
 func (r *Relay) Set(d Direction, f Fault) {
 	r.mu.Lock()
 	r.faults[d] = f
 	r.mu.Unlock()
 }
 
-// Reset ends all connections through the relay at once, as a reset.
+// Reset closes all connections through the relay with a TCP reset.
 func (r *Relay) Reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -97,7 +96,7 @@
 	}
 }
 
-// Close ends the relay and waits for its goroutines.
+// Close closes the relay and waits for its goroutines.
 func (r *Relay) Close() {
 	r.mu.Lock()
 	r.closed = true
@@ -119,7 +118,7 @@
 	return r.faults[d], r.closed
 }
 
-// waitForFault keeps a goroutine back while its direction is stalled, or late; false says to lose what it has.
+// waitForFault waits while a direction is stalled or delayed. It is false if what is to be forwarded is lost.
 func (r *Relay) waitForFault(d Direction) bool {
 	late := time.Time{}
 	for {
--- a/lab/cluster/relay/stream.go
+++ b/lab/cluster/relay/stream.go
@@ -5,7 +5,7 @@
 	"net"
 )
 
-// This file carries streams.
+// This file forwards TCP connections.
 
 func (r *Relay) accept() {
 	defer r.wg.Done()
@@ -24,7 +24,7 @@
 	}
 }
 
-// register has a connection end with the relay; false if that is over already.
+// register has a connection closed with the relay. It is false if the relay is closed already.
 func (r *Relay) register(c net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -45,7 +45,7 @@
 	defer r.wg.Done()
 	defer r.unregister(in)
 	if !r.waitForFault(Forward) {
-		io.Copy(io.Discard, in) // cut off: it hears nothing until it gives up
+		io.Copy(io.Discard, in) // cut off: the caller gets no answer until it gives up
 		return
 	}
 	out, err := net.DialTimeout("tcp", r.target, dialTimeout)
@@ -69,8 +69,8 @@
 	<-done
 }
 
-// copyDirection hands on what comes from one to another. Bytes that were lost once make the rest of their stream worthless, so
-// it is silent from then on, also after the cut is over, until an end gives up: as on a network that forgets a flow.
+// copyDirection forwards from one connection to another. Once bytes were lost the rest of the stream is useless: the stream
+// stays silent from then on, also after the cut, until an end gives up, as on a network that forgets a flow.
 func (r *Relay) copyDirection(to, from net.Conn, d Direction) {
 	defer to.Close()
 	defer from.Close()
@@ -81,7 +81,7 @@
 			if r.waitForFault(d) {
 				return
 			}
-			io.Copy(io.Discard, to) // an end that is cut off is not told either
+			io.Copy(io.Discard, to) // the end of the connection is lost too
 			return
 		}
 		if !r.waitForFault(d) {
--- a/lab/cluster/size/cases.go
+++ b/lab/cluster/size/cases.go
@@ -1,23 +1,23 @@
 package size
 
-// This file owns the worlds that are played and what goes wrong in them. It must never hang on who decides.
+// This file declares the worlds that are played and their faults. They must not depend on the mode.
 
 import (
 	"flaxcove/lab/load"
 	"flaxcove/lab/world"
 )
 
-// Case is a world and the time in which something is wrong.
+// Case is a world and the time of its faults.
 type Case struct {
 	Name     string
 	Spec     *world.Spec
 	Region   func(zone int) int
-	From, To float64 // seconds; To is when all that was wrong is over
+	From, To float64 // seconds; the begin of the first fault and the end of the last
 }
 
-// calmWorld is a world without faults. Each partner has an endpoint in each of four zones that follow each other, the
-// most that a spec can say: with four zones one in each; with twelve, where zones that lie four apart are a region, one
-// in each region. Two kinds: one tells its limits by endpoint, one only by how it does.
+// calmWorld is a world without faults. Each partner has an endpoint in each of four consecutive zones, the most that a spec
+// can express: with four zones one in each; with twelve, where zones four apart form a region, one in each region. Of the
+// two kinds of partner one has a rate limit at each endpoint, the other only a capacity.
 func calmWorld(senders, zones, partners int, rate, seconds float64) *world.Spec {
 	s := world.Base()
 	s.Name, s.Seconds, s.Senders, s.Zones = "size", seconds, senders, zones
@@ -47,12 +47,12 @@
 	return Case{Name: name, Spec: s, Region: region, From: from, To: to}
 }
 
-func regionOfHalves(zone int) int    { return zone / 2 } // four zones in two regions
-func regionByRemainder(zone int) int { return zone % 4 } // any number in four
+func regionOfHalves(zone int) int    { return zone / 2 } // of four zones, two in each of two regions
+func regionByRemainder(zone int) int { return zone % 4 } // of any number of zones, four regions
 
 func sixtySenders(seconds float64) *world.Spec { return calmWorld(60, 4, 24, 1200, seconds) }
 
-// Small is the case of a zone gone, small enough for every build.
+// Small is a zone that hangs, small enough for the tests of every build.
 func Small() Case {
 	return newCase("zone gone, small", calmWorld(20, 4, 6, 160, 34), regionOfHalves, 7, 15, silent(0, 7, 8))
 }
@@ -62,7 +62,7 @@
 	return newCase("zone gone", sixtySenders(45), regionOfHalves, 10, 22, silent(0, 10, 12))
 }
 
-// Cases are all others with sixty senders.
+// Cases are all other cases with sixty senders.
 func Cases() []Case {
 	failing := func(zone int, at, seconds float64) world.Fault {
 		return world.Fault{Kind: "failing", At: at, Seconds: seconds, Amount: 0.95, Selector: world.Selector{Zone: zone + 1}}
@@ -89,7 +89,7 @@
 	}
 }
 
-// Large is a zone gone among so many senders in twelve zones of four regions, short.
+// Large is a short run with a zone that hangs, with many senders in twelve zones of four regions.
 func Large(senders int) Case {
 	return newCase("zone gone, 12 zones", calmWorld(senders, 12, 60, 5*float64(senders), 32), regionByRemainder, 8, 16, silent(0, 8, 8))
 }
--- a/lab/cluster/size/fleet.go
+++ b/lab/cluster/size/fleet.go
@@ -1,10 +1,10 @@
-// Package size plays many senders and what stands between them in simulated time.
+// Package size plays many senders with the cluster between them in simulated time.
 //
-// It owns the part between lab/sim's senders: digests, reports up the tree, the leader's planner, plans down the tree,
-// all by the pure modules of internal/cluster and with drawn times on each way, beside the same senders each alone and
-// an oracle. sender.go counts what a sender hands over, process.go is one process, cases.go what goes wrong, measure.go
-// what is read off a run, table.go how it is shown. It must never look at a clock, start a goroutine or hang on the
-// order of a map: one seed replays a whole run. What a decision is belongs to the modules; none is made here.
+// It connects lab/sim's senders by the pure packages of internal/cluster, with drawn latencies: digests, reports up the
+// tree, the leader's planner, and plans down the tree. The same worlds are also played without the cluster, and with an
+// oracle. sender.go counts what a sender reports, process.go plays one process, fleet.go all of them with the leader,
+// cases.go has the worlds, measure.go the figures, table.go their table. The package must not read a clock, start a
+// goroutine or depend on the order of a map, so that one seed replays a run exactly.
 package size
 
 import (
@@ -24,7 +24,7 @@
 )
 
 const (
-	minHop         = 50 * time.Millisecond // one way between two processes, at the least and at the most
+	minHop         = 50 * time.Millisecond // bounds of the latency between two processes
 	maxHop         = 250 * time.Millisecond
 	consensusDelay = 100 * time.Millisecond
 	timeUnit       = 100 * time.Microsecond // of choice.Time
@@ -32,7 +32,7 @@
 
 func zoneName(no int) view.Zone { return view.Zone(fmt.Sprintf("z%02d", no)) }
 
-// fleet is all processes of a run.
+// fleet holds all processes of a run.
 type fleet struct {
 	w            *world.World
 	numbers      map[view.Zone]choice.ZoneNo
@@ -53,10 +53,10 @@
 	hash    uint64
 }
 
-// Traffic is what one process sent and was sent.
+// Traffic counts the messages of one process, and the bytes it sent.
 type Traffic struct{ Out, In, Bytes int }
 
-// epoch is one plan that was decided, and when it was in force where.
+// epoch is one decided plan, and when it came into force at each process.
 type epoch struct {
 	at      view.Now
 	plan    plan.Plan
@@ -67,12 +67,12 @@
 
 func (f *fleet) after(in time.Duration, do func()) { f.w.After(max(1, choice.Time(in/timeUnit)), do) }
 
-// spread draws when a process's turns fall within a turn.
+// spread draws a process's offset, so that processes' turns do not coincide.
 func (f *fleet) spread(name string) time.Duration {
 	return time.Duration(crc32.ChecksumIEEE([]byte(name))%5000) * timeUnit
 }
 
-// send carries a message; each takes its own time, so that they may pass each other.
+// send delivers a message after a latency of its own, so that messages may overtake each other.
 func (f *fleet) send(from, to *process, body any, do func()) {
 	if from == to {
 		do()
@@ -88,7 +88,7 @@
 	f.after(minHop+(maxHop-minHop)*time.Duration(sum%1000)/1000, do)
 }
 
-// begin derives the tree once all senders are here and lets all processes start.
+// begin derives the tree once all senders have started, and starts all processes.
 func (f *fleet) begin(o *Options) {
 	var members []view.Member
 	for _, p := range f.order {
@@ -118,7 +118,7 @@
 	}
 }
 
-// leader is the council's: the planner and what came up to it. at is nil while there is none.
+// leader is the leader of the consensus group: the planner, and the reports that reached it. at is nil while there is none.
 type leader struct {
 	f        *fleet
 	at       *process
@@ -163,14 +163,14 @@
 		heard.Plan = nil
 	}
 	if _, err := l.at.holder.Hear(now, heard); err != nil {
-		panic(err) // it was checked before it was decided
+		panic(err) // plans are checked before they are decided
 	}
 }
 
 func (l *leader) decide(next plan.Plan) {
 	l.deciding = false
 	if l.f.leader != l {
-		return // it died meanwhile
+		return // the leader died meanwhile
 	}
 	body, err := json.Marshal(next)
 	if err != nil {
--- a/lab/cluster/size/measure.go
+++ b/lab/cluster/size/measure.go
@@ -1,6 +1,6 @@
 package size
 
-// This file owns what is read off a run. It must never be read by what is played.
+// This file computes the figures of a run. The run must not depend on them.
 
 import (
 	"fmt"
@@ -17,14 +17,14 @@
 )
 
 const (
-	calmShare      = 0.02 // issue 36: the share that may leave while all is well
-	warmUp         = 4    // seconds that count for nothing: no plan, nothing learnt
-	windowSeconds  = 2    // seconds over which the share that leaves is taken when its return is looked for
-	overloadFactor = 1.1  // issue 36: times what a receiver can take
-	minJudgedRate  = 50.0 // calls a second of a place that is judged by itself: with fewer, chance alone exceeds overFrom
+	calmShare      = 0.02 // share of calls that may leave their home without a fault, from issue 36
+	warmUp         = 4    // first seconds that do not count: there is no plan and no learned state yet
+	windowSeconds  = 2    // over which the share of calls that leave is averaged to find their return
+	overloadFactor = 1.1  // load over capacity that counts as overload, from issue 36
+	minJudgedRate  = 50.0 // capacity of a locality that is judged by itself: below it, chance alone exceeds overloadFactor
 )
 
-// Figures are what is read off a run. Times are seconds.
+// Figures are the figures of a run. Times are seconds.
 type Figures struct {
 	*referee.Verdict
 	Value                 float64   // delivered of what was asked while something was wrong
@@ -44,10 +44,10 @@
 	epochs []epoch
 }
 
-// Overload is how far and for how long a receiver was sent more than it can take.
+// Overload is how far and for how long the load of a receiver was above its capacity.
 type Overload struct {
-	Most    float64 // calls a second as times of that
-	Seconds int     // over overFrom, one after the other
+	Most    float64 // highest load over capacity
+	Seconds int     // longest run of seconds above overloadFactor
 }
 
 type values struct{ bySecond []float64 }
@@ -92,7 +92,7 @@
 	return &measure{o: o, zones: map[int]*received{}, place: map[locality]*received{}}
 }
 
-// outcome sees each call as its endpoint ended it.
+// outcome counts a call when its endpoint ends it.
 func (m *measure) outcome(now choice.Time, c *world.Call, _ int) {
 	e := c.Conn.Endpoint
 	if c.Probe {
@@ -118,8 +118,8 @@
 	}
 }
 
-// home tells whether an endpoint is where a zone's messages go while all is well: the zone, or else its region, or else
-// anywhere.
+// home reports whether an endpoint is where a zone's messages go without faults: in the zone if there is one, or else in its
+// region, or else anywhere.
 func (m *measure) home(from int, e *world.Endpoint) bool {
 	near, region := false, false
 	for _, other := range e.Partner.Endpoints {
@@ -174,7 +174,7 @@
 	return out
 }
 
-// bound is what endpoints can take a second, by warm endpoints and what a fault leaves of a limit.
+// bound is the capacity of endpoints in calls a second, after slow start and without faults.
 func (m *measure) bound(of func(*world.Endpoint) bool) (sum float64) {
 	for _, e := range m.w.Endpoints {
 		if of(e) {
@@ -184,8 +184,8 @@
 	return sum
 }
 
-// add takes in a receiver's seconds. What its own zone sends it is no plan's doing: only seconds in which a tenth or
-// more was moved there count.
+// add adds a receiver's seconds. Only seconds in which at least a tenth of the load was moved there count: the rest comes
+// from its own zone, which no plan causes.
 func (o *Overload) add(r *received, bound float64, end int) {
 	run := 0
 	for s := range end {
@@ -241,7 +241,7 @@
 	out.Messages, out.BytesS = float64(sum.Out)/long/float64(n), float64(sum.Bytes)/long/float64(n)
 }
 
-// print tells what was decided when, and what left its home each second.
+// print writes the plans with their times, and the share of calls that left their home by second.
 func (f *Figures) print(to io.Writer) {
 	for _, e := range f.epochs {
 		by := map[plan.Phase]int{}
--- a/lab/cluster/size/play.go
+++ b/lab/cluster/size/play.go
@@ -1,6 +1,6 @@
 package size
 
-// This file owns one run by one mode. It must never let a mode see another's.
+// This file plays one run in one mode.
 
 import (
 	"fmt"
@@ -15,30 +15,30 @@
 	"flaxcove/lab/world"
 )
 
-// Mode is who decides.
+// Mode says who decides.
 type Mode string
 
 const (
-	Alone    Mode = "alone"    // choice in every sender, and nothing between them
-	Together Mode = "together" // the same with the cluster
-	Oracle   Mode = "oracle"   // sees the true state of all endpoints
+	Alone    Mode = "alone"    // every sender by itself
+	Together Mode = "together" // the senders with the cluster
+	Oracle   Mode = "oracle"   // a policy that sees the true state of all endpoints
 )
 
-// Options are what a run is played with.
+// Options are the inputs of a run.
 type Options struct {
 	Case
 	Seed       uint64
 	Mode       Mode
-	Leader     int           // the process that leads at first, by number; i stands in zone i modulo the zones
-	LeaderDies float64       // seconds; 0 for never
-	LeaderGone time.Duration // until the next one leads, which knows nothing but the plan in force
-	Bytes      bool          // messages' bodies are counted
-	Escape     bool          // under trial: without a plan's word, past a home that a sender sees fail
-	Prompt     bool          // under trial: a zone's head weighs at once what tells of failures
-	Span       time.Duration // under trial: of digest.Window; 0 for its own
+	Leader     int           // number of the first leader; process i is in zone i modulo the number of zones
+	LeaderDies float64       // when, in seconds; 0 for never
+	LeaderGone time.Duration // until the next process leads, which knows only the plan in force
+	Bytes      bool          // count the bytes of messages
+	Escape     bool          // trial: a sender leaves a home that it sees fail without waiting for a plan
+	Prompt     bool          // trial: a zone's coordinator evaluates reports of failures at once
+	Span       time.Duration // trial: the span of digest.Window; 0 for its default
 }
 
-// Play plays a run and reads the figures off it.
+// Play plays a run and computes its figures.
 func Play(o Options) (*Figures, error) {
 	m := newMeasure(&o)
 	f := &fleet{numbers: map[view.Zone]choice.ZoneNo{}, regions: map[view.Zone]view.Region{}, processes: map[view.Name]*process{},
@@ -58,7 +58,7 @@
 		c.policy = decide(c, id, seed, set, w)
 		f.w, m.w = w, w
 		if started++; o.Mode != Together || started > o.Spec.Senders {
-			return c // no case of these kills a sender
+			return c // only Together has processes; no case restarts a sender
 		}
 		name := view.Name(fmt.Sprintf("p%04d", started-1))
 		c.proc = &process{fleet: f, name: name, zone: zoneName(int(set.Zone)), sender: c,
--- a/lab/cluster/size/process.go
+++ b/lab/cluster/size/process.go
@@ -1,6 +1,7 @@
 package size
 
-// This file owns what stands beside one sender: digests up, plans down. It must never look into another process.
+// This file plays the control part of one process: digests and reports up, plans down. It must not read the state of
+// another process.
 
 import (
 	"encoding/json"
@@ -18,7 +19,7 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// Spans as internal/cluster and its failover/run have them.
+// Intervals and bounds as in internal/cluster and its package failover/run.
 const (
 	digestEvery     = 500 * time.Millisecond
 	turnEvery       = 500 * time.Millisecond
@@ -30,17 +31,17 @@
 	maxReports      = 3000
 	maxLocalities   = 40_000
 	keepFor         = time.Minute
-	// maxWitnesses is what internal/cluster/evidence keeps of a place.
+	// maxWitnesses is how many reporters internal/cluster/evidence keeps of a locality.
 	maxWitnesses = 32
 )
 
-// process is what stands beside one sender: it does in simulated time what cluster/feed.go and failover/run do with
-// goroutines and links. Its clock began at a time of its own, hours apart from others'.
+// process is the control part beside one sender. It does in simulated time what cluster/feed.go and failover/run do with
+// goroutines and links. Each process has a clock of its own, hours apart from those of others.
 type process struct {
 	fleet        *fleet
 	name         view.Name
 	zone         view.Zone
-	began        time.Duration // what its clock shows at the start of the run
+	began        time.Duration // its clock at the start of the run
 	sender       *countingSender
 	window       *digest.Window
 	ownSamples   []healthreport.Sample
@@ -132,7 +133,7 @@
 	p.turn()
 }
 
-// scheduleTurn has a turn come soon; what comes together is told together.
+// scheduleTurn schedules a turn soon. What arrives until then is handled together.
 func (p *process) scheduleTurn() {
 	if !p.turnDue {
 		p.turnDue = true
@@ -272,7 +273,7 @@
 	p.scheduleTurn()
 }
 
-// bytesOf is how long a message's body is.
+// bytesOf is the length of a message's body.
 func bytesOf(v any) int {
 	b, err := json.Marshal(v)
 	if err != nil {
--- a/lab/cluster/size/sender.go
+++ b/lab/cluster/size/sender.go
@@ -1,6 +1,6 @@
 package size
 
-// This file owns what a sender counts for its digest, in simulated time, and what it bars by a guide. It must never decide.
+// This file counts what a sender reports in its digests, and applies the routing guide. Decisions are the policy's.
 
 import (
 	"cmp"
@@ -14,19 +14,19 @@
 	"flaxcove/lab/sim"
 )
 
-// wholeEvery is internal/sender's: in so many digests each destination is told once, whatever came of it.
+// wholeEvery is in how many digests each destination is reported at least once, as in internal/sender.
 const wholeEvery = 10
 
-// countingSender is a sender's policy between the engine and what decides: it counts what internal/sender's digest counts,
-// and bars what its process's guide bars. What decides may be any policy; one that plays alone has no process.
+// countingSender stands between the engine and a policy: it counts what internal/sender counts for its digests, and forbids
+// what its process's guide forbids. Without the cluster it has no process.
 type countingSender struct {
 	choice.Host
 	policy   sim.Policy
 	zone     choice.ZoneNo
 	set      choice.Settings
-	shortest choice.Time // contract time
+	shortest choice.Time // shortest latency objective of all classes
 	values   *values
-	proc     *process // nil where each is alone
+	proc     *process // nil without the cluster
 
 	open    map[choice.MessageID]choice.Message
 	entries map[choice.EndpointID]*entry
@@ -62,9 +62,9 @@
 	return c
 }
 
-// What follows is choice.Host, as far as it is not the engine's.
+// The following methods implement the part of choice.Host that the engine does not.
 
-// Allowed asks the guide that is in force at this process.
+// Allowed asks the routing guide in force at this process.
 func (c *countingSender) Allowed(n choice.MessageID, e choice.EndpointID) bool {
 	if c.proc == nil {
 		return true
@@ -73,7 +73,7 @@
 	return g == nil || en == nil || g.Allowed(n, en.Destination, en.Zone) || c.escape && c.ejectedHome(g, n, en)
 }
 
-// ejectedHome tells whether all that a guide keeps a message to without a plan's word is seen to fail by this sender.
+// ejectedHome reports whether this sender sees all endpoints fail that the guide limits a message to without a plan.
 func (c *countingSender) ejectedHome(g *apply.Guide, n choice.MessageID, en *entry) bool {
 	if g.Firm(en.Destination) {
 		return false
@@ -96,7 +96,7 @@
 	c.Host.Fail(id)
 }
 
-// And what follows is sim.Policy.
+// The following methods implement sim.Policy.
 
 func (c *countingSender) UpdateEndpoints(entries []choice.Entry, whole bool) {
 	if whole {
@@ -148,7 +148,7 @@
 	return c.policy.Open(e, messages...)
 }
 
-// saw counts how a call ended as internal/sender does. Calls carry one message each here, or it would count too many.
+// saw counts the end of a call as internal/sender does. It relies on calls that carry one message each.
 func (c *countingSender) saw(e *entry, o choice.Outcome) {
 	if o.Report.Known {
 		e.limit, e.limitAt = o.Report.Limit, c.Now()
@@ -190,7 +190,7 @@
 	return r
 }
 
-// digest hands over what was counted, and begins anew. Messages that wait are not told: nothing of failover reads them.
+// digest returns what was counted since the last digest. It leaves waiting messages out, which failover does not use.
 func (c *countingSender) digest() together.Digest {
 	if c.changed {
 		c.readList()
@@ -255,7 +255,7 @@
 	return limit
 }
 
-// listing of a process, as the guide is compiled with it.
+// local is the part of a process's state that its routing guide is compiled with.
 func (c *countingSender) local(numbers map[view.Zone]choice.ZoneNo) apply.Local {
 	l := apply.Local{Zone: zoneName(int(c.zone)), Numbers: numbers, Listed: map[choice.DestinationID][]choice.ZoneNo{}}
 	for at := range c.listed {
--- a/lab/cluster/size/table.go
+++ b/lab/cluster/size/table.go
@@ -1,20 +1,20 @@
 package size
 
-// This file owns how figures are shown. It must never round what a test compares.
+// This file writes tables of figures.
 
 import (
 	"fmt"
 	"strings"
 )
 
-// Row is the figures of one case and seed by mode.
+// Row holds the figures of one case and seed by mode.
 type Row struct {
 	Case   string
 	Seed   uint64
 	ByMode map[Mode]*Figures
 }
 
-// Markdown shows rows as a table; nothing in it hangs on the machine.
+// Markdown writes rows as a table. Nothing in it depends on the machine.
 func Markdown(rows []Row) string {
 	var b strings.Builder
 	b.WriteString("| case | seed | who | figure | service | gain of oracle's | leave before | during | last 5 s | back after s | " +
--- a/lab/scale/agree.go
+++ b/lab/scale/agree.go
@@ -9,17 +9,17 @@
 	"flaxcove/lab/scale/host"
 )
 
-// This file waits until all members see the same. How long that takes is a figure, that it happens the verdict.
+// This file waits until all members agree. That they do is the verdict; how long it takes is a figure.
 
 const (
 	pollEvery = 400 * time.Millisecond
-	// pollPause bounds what looking costs a large fleet: a look at 660 members is half a second of the cores that they need.
-	// So many times what it took passes until the next.
+	// pollPause bounds the cost of polling a large fleet: a poll of 660 members takes half a second of the processor time
+	// that they need. The pause after a poll is this many times its duration.
 	pollPause  = 5
 	maxReasons = 5
 )
 
-// states asks all members what they see.
+// states returns the states of all members.
 func (r *run) states(ctx context.Context) ([]host.MemberState, error) {
 	answers, err := r.orderAllHosts(host.Order{Do: host.State})
 	if err != nil {
@@ -32,7 +32,7 @@
 	return states, nil
 }
 
-// differences tells what keeps members from agreeing on one view, one leader, one root, one epoch, one configuration and one purge.
+// differences returns what keeps members from agreeing on view, leader, root, epoch, configuration and purges.
 func differences(all []host.MemberState, want int, failover bool) (why []string) {
 	if len(all) != want {
 		return []string{fmt.Sprintf("%d of %d members answer", len(all), want)}
@@ -61,7 +61,7 @@
 	return why
 }
 
-// awaitAgreement waits until all see the same, and tells how long that took.
+// awaitAgreement waits until all members agree, and returns how long that took.
 func (r *run) awaitAgreement(ctx context.Context, after string) (time.Duration, error) {
 	began := time.Now()
 	lastReport := time.Now()
--- a/lab/scale/decided.go
+++ b/lab/scale/decided.go
@@ -16,13 +16,12 @@
 	"flaxcove/lab/scale/host"
 )
 
-// This file has things decided in common, purges and changes of the configuration, and times how each reaches the
-// hollow members.
+// This file orders purges and changes of the configuration, and measures when each reaches the hollow members.
 
 const (
-	decideWithin = time.Minute // until it is decided, and again until all have it
+	decideWithin = time.Minute // until an order is decided, and again until all members have it
 	decideLook   = 50 * time.Millisecond
-	// settingsBytes is about the length of a sender's settings in the laboratory.
+	// settingsBytes is about the size of a sender's settings in the laboratory.
 	settingsBytes = 3000
 )
 
@@ -54,7 +53,7 @@
 	return nil
 }
 
-// purge orders one that means a destination.
+// purge orders a purge of a destination.
 func (r *run) purge(ctx context.Context, by, i int) (s Spread, err error) {
 	began := time.Now()
 	var taken struct {
@@ -69,14 +68,14 @@
 	return s, r.reaches(ctx, &s, began, host.Order{Do: host.Applied, Purge: taken.Seq})
 }
 
-// change orders a configuration upon an earlier version.
+// change orders a change of the configuration based on an earlier version.
 func (r *run) change(ctx context.Context, by, i int, base uint64) (s Spread, version uint64, err error) {
 	settings, err := r.settings()
 	if err != nil {
 		return s, 0, err
 	}
 	settings["laboratory_change"] = i
-	if len(r.realMembers) > 0 { // real ones take no field that they don't know
+	if len(r.realMembers) > 0 { // real members reject unknown fields
 		delete(settings, "laboratory_change")
 		settings["dialMs"] = 900 + i
 	}
@@ -92,7 +91,7 @@
 	return s, taken.Version, r.reaches(ctx, &s, began, host.Order{Do: host.Applied, Version: taken.Version})
 }
 
-// settings are those of a real member's own file, or as many bytes.
+// settings returns the settings of a real member's file, or as many bytes if there is no real member.
 func (r *run) settings() (map[string]any, error) {
 	if len(r.realHomes) == 0 {
 		return map[string]any{"filling": strings.Repeat("setting ", settingsBytes/8)}, nil
@@ -107,7 +106,7 @@
 	return file.Settings, json.Unmarshal(text, &file)
 }
 
-// decide posts an order to a member until it is taken, under one id.
+// decide posts an order to a member until it is accepted, under one id.
 func (r *run) decide(ctx context.Context, by int, path string, order, taken any) error {
 	body, err := json.Marshal(order)
 	if err != nil {
@@ -127,7 +126,7 @@
 	return fmt.Errorf("%s: not decided in %v: %w", path, decideWithin, last)
 }
 
-// post is one try; retry tells whether another may fare better.
+// post makes one attempt; retry says whether another one may succeed.
 func (r *run) post(ctx context.Context, url string, body []byte, taken any) (retry bool, err error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
@@ -146,7 +145,7 @@
 	return true, json.NewDecoder(answer.Body).Decode(taken)
 }
 
-// reaches waits until all hollow members have applied something, and takes the times.
+// reaches waits until all hollow members have applied an order, and records the times.
 func (r *run) reaches(ctx context.Context, s *Spread, began time.Time, applied host.Order) error {
 	hollow := len(r.fleet.Members) - len(r.realMembers)
 	var after []float64
@@ -171,7 +170,7 @@
 	return nil
 }
 
-// of takes the times at which members had it, in order, of so many in all.
+// of records quantiles of the times at which members had applied it.
 func (s *Spread) of(after []float64, all int) {
 	for _, mark := range []struct {
 		share float64
--- a/lab/scale/faults.go
+++ b/lab/scale/faults.go
@@ -51,11 +51,11 @@
 	}
 }
 
-func (r *run) fault(ctx context.Context, f *schedule.Fault, struck []int) error {
-	r.options.Say("%s: strikes %d members", f.Kind, len(struck))
+func (r *run) fault(ctx context.Context, f *schedule.Fault, affected []int) error {
+	r.options.Say("%s: strikes %d members", f.Kind, len(affected))
 	switch f.Kind {
 	case "kill":
-		return r.kill(ctx, f, struck)
+		return r.kill(ctx, f, affected)
 	case "leader":
 		leader, err := r.leader(ctx)
 		if err != nil {
@@ -63,7 +63,7 @@
 		}
 		return r.kill(ctx, f, []int{leader})
 	case "cut":
-		return r.cut(ctx, f, struck)
+		return r.cut(ctx, f, affected)
 	case "zone":
 		return r.zoneFalls(ctx, f)
 	case "rolling":
@@ -73,27 +73,27 @@
 }
 
 // kill kills members, at once or one after the other, and starts each again after the fault's time.
-func (r *run) kill(ctx context.Context, f *schedule.Fault, struck []int) error {
-	if f.Select.OverS <= 0 || len(struck) < 2 {
-		if err := r.down(struck, host.Kill); err != nil {
+func (r *run) kill(ctx context.Context, f *schedule.Fault, affected []int) error {
+	if f.Select.OverS <= 0 || len(affected) < 2 {
+		if err := r.down(affected, host.Kill); err != nil {
 			return err
 		}
 		if !sleep(ctx, seconds(f.Seconds)) {
 			return ctx.Err()
 		}
-		return r.up(struck)
+		return r.up(affected)
 	}
-	apart := seconds(f.Select.OverS) / time.Duration(len(struck))
+	apart := seconds(f.Select.OverS) / time.Duration(len(affected))
 	began := time.Now()
 	killed, started := 0, 0
-	for started < len(struck) {
+	for started < len(affected) {
 		nextKill := began.Add(time.Duration(killed) * apart)
 		nextStart := began.Add(time.Duration(started)*apart + seconds(f.Seconds))
-		if killed < len(struck) && !nextStart.Before(nextKill) {
+		if killed < len(affected) && !nextStart.Before(nextKill) {
 			if !sleep(ctx, time.Until(nextKill)) {
 				return ctx.Err()
 			}
-			if err := r.down(struck[killed:killed+1], host.Kill); err != nil {
+			if err := r.down(affected[killed:killed+1], host.Kill); err != nil {
 				return err
 			}
 			killed++
@@ -102,7 +102,7 @@
 		if !sleep(ctx, time.Until(nextStart)) {
 			return ctx.Err()
 		}
-		if err := r.up(struck[started : started+1]); err != nil {
+		if err := r.up(affected[started : started+1]); err != nil {
 			return err
 		}
 		started++
@@ -110,14 +110,14 @@
 	return nil
 }
 
-// cut parts members from all others, for the fault's time.
-func (r *run) cut(ctx context.Context, f *schedule.Fault, struck []int) error {
+// cut separates members from all others for the fault's time.
+func (r *run) cut(ctx context.Context, f *schedule.Fault, affected []int) error {
 	for _, m := range r.realMembers {
 		if len(r.real.relays) == 0 || m.Region == r.fleet.LastRegion() {
 			return fmt.Errorf("real members can only be cut off from region %s", r.fleet.LastRegion())
 		}
 	}
-	if _, err := r.orderAllHosts(host.Order{Do: host.Cut, Apart: struck}); err != nil {
+	if _, err := r.orderAllHosts(host.Order{Do: host.Cut, Apart: affected}); err != nil {
 		return err
 	}
 	r.cutReal(true)
@@ -130,7 +130,7 @@
 	return err
 }
 
-// rolling ends and starts all members in steps, and keeps how long that took.
+// rolling restarts all members in steps, and records how long that took.
 func (r *run) rolling(ctx context.Context, f *schedule.Fault) error {
 	began := time.Now()
 	everyone := make([]int, len(r.fleet.Members))
@@ -156,18 +156,18 @@
 	return nil
 }
 
-// down ends members, and up starts them again.
+// down stops members, and up starts them again.
 func (r *run) down(nos []int, how host.Do) error {
-	struck := setOf(nos)
-	r.act(struck, world.Kill)
-	_, err := r.orderHosts(struckOf(struck, how))
+	affected := setOf(nos)
+	r.act(affected, world.Kill)
+	_, err := r.orderHosts(orderFor(affected, how))
 	return err
 }
 
 func (r *run) up(nos []int) error {
-	struck := setOf(nos)
-	r.act(struck, world.Start)
-	_, err := r.orderHosts(struckOf(struck, host.Start))
+	affected := setOf(nos)
+	r.act(affected, world.Start)
+	_, err := r.orderHosts(orderFor(affected, host.Start))
 	return err
 }
 
@@ -179,12 +179,12 @@
 	return set
 }
 
-// struckOf is the order to each host for those of its members that are struck.
-func struckOf(struck map[int]bool, do host.Do) func(*hostProcess) *host.Order {
+// orderFor returns the order to each host for those of its members that are affected, or nil for none.
+func orderFor(affected map[int]bool, do host.Do) func(*hostProcess) *host.Order {
 	return func(h *hostProcess) *host.Order {
 		order := host.Order{Do: do}
 		for _, no := range h.members {
-			if struck[no] {
+			if affected[no] {
 				order.Members = append(order.Members, no)
 			}
 		}
@@ -213,8 +213,8 @@
 	enough   = 0.95 // of the members
 )
 
-// zoneFalls has a zone's endpoints say nothing to hollow members, and measures from when on a plan that leaves the zone
-// is in force at most of them.
+// zoneFalls has a zone's endpoints not answer hollow members, and measures when a plan that routes away from the zone is in
+// force at most of them.
 func (r *run) zoneFalls(ctx context.Context, f *schedule.Fault) error {
 	if _, err := r.orderAllHosts(host.Order{Do: host.Fall, Zones: []int{f.Zone - 1}}); err != nil {
 		return err
--- a/lab/scale/fleet/file.go
+++ b/lab/scale/fleet/file.go
@@ -6,13 +6,13 @@
 	"strings"
 )
 
-// This file writes the cluster file of a member. It names the founders as seeds, and no more of the fleet: whoever has
-// met one of them hears of the rest by gossip.
+// This file writes the cluster file of a member. It names the founders only, as seeds: the member learns of the rest of the
+// fleet by gossip.
 
-// places is what a member holds sightings of, at most: the fleet's largest list in the two zones of each.
+// places is the bound of localities that a member keeps health reports of: the fleet's longest list, with two zones each.
 const places = 130_000
 
-// File is a member's cluster file; relayed are the numbers of those whom it reaches through relays.
+// File is the text of a member's cluster file; relayed are the numbers of the members that it reaches through relays.
 func (f *Fleet) File(i int, folder string, relayed []int) []byte {
 	var out strings.Builder
 	say := func(format string, args ...any) { fmt.Fprintf(&out, format+"\n", args...) }
--- a/lab/scale/fleet/fleet.go
+++ b/lab/scale/fleet/fleet.go
@@ -1,7 +1,7 @@
 // Package fleet lays out the members of a scale run: their names, zones, roles, addresses and cluster files.
 //
-// It is pure: the same Size gives the same fleet in every process of a run. Roles are derived by the program's own
-// tree; it must never derive them by rules of its own, open a socket, or name an address beyond loopback.
+// It is pure: the same Size gives the same fleet in every process of a run. Roles are derived by the program's own package
+// tree. All addresses are loopback.
 package fleet
 
 import (
@@ -13,19 +13,19 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// Size is what a fleet is laid out from.
+// Size describes a fleet.
 type Size struct {
 	Members int `json:"members"`
-	Real    int `json:"real"` // processes of the program among them
+	Real    int `json:"real"` // members that are processes of the program
 	Zones   int `json:"zones"`
 	Regions int `json:"regions"`
 	// Large is how many members of each zone may coordinate and vote; the rest are of the small size.
 	Large int      `json:"large"`
-	Port  int      `json:"port"` // of gossip; council and HTTP have the two after it
+	Port  int      `json:"port"` // of gossip; consensus and HTTP use the next two
 	Uses  []string `json:"uses"`
 }
 
-// Role is the most that a member does for others while all are well.
+// Role is the highest duty of a member while all members are up.
 type Role string
 
 // Roles, the highest first.
@@ -33,15 +33,15 @@
 	Root       Role = "root"
 	RegionHead Role = "region head"
 	ZoneHead   Role = "zone head"
-	GroupHead  Role = "group head" // has others report to it inside a zone
+	GroupHead  Role = "group head" // others in its zone report to it
 	Voter      Role = "voter"
 	Plain      Role = "sender"
 )
 
-// Roles are all, the highest first.
+// Roles are all roles, the highest first.
 var Roles = []Role{Root, RegionHead, ZoneHead, GroupHead, Voter, Plain}
 
-// Member is one.
+// Member is one member of a fleet.
 type Member struct {
 	No     int
 	Name   view.Name
@@ -52,7 +52,7 @@
 	Role   Role
 }
 
-// Fleet is all members. Immutable.
+// Fleet is a fleet with all its members. It is immutable.
 type Fleet struct {
 	Size
 	Members  []Member
@@ -62,10 +62,10 @@
 const (
 	cluster  = "scale"
 	founders = 5
-	perNet   = 250 // addresses taken of each network of 256
+	perNet   = 250 // addresses used of each network of 256
 )
 
-// Plan lays a fleet out. Regions hold neighbouring zones, so that the last is the smallest.
+// Plan lays a fleet out. Regions consist of consecutive zones, so that the last one is the smallest.
 func Plan(size Size) *Fleet {
 	f := &Fleet{Size: size}
 	perZone := map[view.Zone]int{}
@@ -82,14 +82,14 @@
 	return f
 }
 
-// ZoneName is the name of a zone by its number, as the laboratory's worlds have it.
+// ZoneName is the name of a zone by its number, as in the laboratory's worlds.
 func ZoneName(zone int) view.Zone { return view.Zone(fmt.Sprintf("z%d", zone)) }
 
 func (f *Fleet) regionOf(zone int) view.Region {
 	return view.Region(fmt.Sprintf("r%d", zone*f.Regions/f.Zones))
 }
 
-// assignRoles asks the tree of a fleet whose members are all here.
+// assignRoles derives the roles from the tree of a fleet whose members are all up.
 func (f *Fleet) assignRoles() {
 	t := tree.Derive(view.Make("", 0, f.ViewMembers()))
 	for i := range f.Members {
@@ -107,7 +107,7 @@
 	}
 }
 
-// ViewMembers are the members as a view has them.
+// ViewMembers returns the members as members of a view.
 func (f *Fleet) ViewMembers() (all []view.Member) {
 	for _, m := range f.Members {
 		size := view.Small
@@ -119,8 +119,8 @@
 	return all
 }
 
-// chooseFounders takes voters from the regions in turn, each from another zone where it can, and those first that
-// coordinate nothing: a role's figures are then its own.
+// chooseFounders takes voters from the regions in turn, from different zones as far as possible, and first those that
+// coordinate nothing, so that the figures of the other roles do not include voting.
 func (f *Fleet) chooseFounders() {
 	zones := f.zonesInTurn()
 	for _, plain := range []bool{true, false} {
@@ -140,7 +140,7 @@
 	slices.Sort(f.Founders)
 }
 
-// zonesInTurn are all zones, one of each region after the other.
+// zonesInTurn returns all zones, taken from the regions in turn.
 func (f *Fleet) zonesInTurn() (zones []view.Zone) {
 	of := map[view.Region][]view.Zone{}
 	for zone := range f.Zones {
@@ -157,7 +157,7 @@
 	return zones
 }
 
-// chooseReal takes plain senders, dealt over the zones of all regions but the last, which can be cut off from these.
+// chooseReal makes plain senders real, spread over the zones of all regions but the last, which can be cut off from them.
 func (f *Fleet) chooseReal() {
 	if f.Real >= len(f.Members) {
 		for i := range f.Members {
@@ -189,10 +189,10 @@
 	return last
 }
 
-// LastRegion is the one without real members, unless all are.
+// LastRegion is the region without real members, unless all members are real.
 func (f *Fleet) LastRegion() view.Region { return f.regionOf(f.Zones - 1) }
 
-// RealMembers are the processes of the program, in the order in which the world knows them.
+// RealMembers returns the real members, in the order of the world's senders.
 func (f *Fleet) RealMembers() (all []Member) {
 	for n := range f.Real {
 		zone := ZoneName(n % f.RealZones())
@@ -211,10 +211,10 @@
 	return slices.IndexFunc(f.Members, func(m Member) bool { return m.Name == name })
 }
 
-// Addresses are where a member listens.
+// Addresses returns the addresses at which a member listens.
 func (f *Fleet) Addresses(i int) settings.Addresses { return f.at(200, i) }
 
-// RelayAddresses are where the relays to a member listen.
+// RelayAddresses returns the addresses at which the relays to a member listen.
 func (f *Fleet) RelayAddresses(i int) settings.Addresses { return f.at(210, i) }
 
 func (f *Fleet) at(network, i int) settings.Addresses {
--- a/lab/scale/hollow/load.go
+++ b/lab/scale/hollow/load.go
@@ -1,8 +1,8 @@
-// Package hollow stands in for a sender behind a member's control part: it hands over digests as a sender at a given
-// rate would, and answers what the cluster orders.
+// Package hollow stands in for a sender beside a member's control part: it reports digests as a sender at a given rate
+// would, and answers the cluster's orders.
 //
-// It carries no message and opens no socket. What a sender sees of the world is drawn from a seed and the time (load.go,
-// pure); sender.go is the goroutine that hands it over. It must never speak the cluster's protocol itself.
+// It sends no message and opens no socket. What a sender observes is drawn from a seed and the time (load.go, pure);
+// sender.go reports it. The cluster's protocol is internal/cluster's.
 package hollow
 
 import (
@@ -14,29 +14,29 @@
 	"flaxcove/lab/scale/fleet"
 )
 
-// Load is what the senders of a fleet see of the world.
+// Load describes what the senders of a fleet observe of the world.
 type Load struct {
 	Destinations int     `json:"destinations"`
 	Zones        int     `json:"zones"`
 	Rate         float64 `json:"rate"` // messages a second at one sender
-	Down         float64 `json:"down"` // share of the destinations
+	Down         float64 `json:"down"` // share of the destinations that is down
 	OutageS      float64 `json:"outage_s"`
 	Ends         int     `json:"ends"` // zones in which a destination has an endpoint
 	Seed         uint64  `json:"seed"`
 }
 
-// What internal/sender does at each digest, which is twice a second.
+// Constants of internal/sender's digests.
 const (
 	digestsPerSecond = 2
-	fullListEvery    = 10   // digests, in which each listed place is told once
-	maxPlaces        = 8192 // listed and told
-	// probeShare is the share of messages for a destination that is down which are called all the same; the rest wait.
+	fullListEvery    = 10   // digests in which each listed locality is reported once
+	maxPlaces        = 8192 // listed localities that are reported
+	// probeShare is the share of messages for a destination that is down that are sent all the same; the rest wait.
 	probeShare = 0.2
-	rating     = 4 // calls a second that the list tells of an endpoint
+	rating     = 4 // weight of an endpoint in the list, in calls a second
 )
 
-// DownAt tells whether all endpoints of a destination are down at a time of the run, in seconds. Each falls once in a
-// turn of OutageS/Down seconds, evenly spread, so that the share is the same at all times.
+// DownAt reports whether all endpoints of a destination are down at a time of the run, in seconds. Each destination is down
+// once in a period of OutageS/Down seconds, evenly spread, so that the share is the same at all times.
 func (l *Load) DownAt(d choice.DestinationID, seconds float64) bool {
 	if l.Down <= 0 {
 		return false
@@ -46,7 +46,7 @@
 	return part < l.Down
 }
 
-// zoneOf is the zone of a destination's endpoint by its number.
+// zoneOf is the zone of a destination's endpoint, by the endpoint's number.
 func (l *Load) zoneOf(d choice.DestinationID, end int) int {
 	first := int(mix(uint64(d), l.Seed+1) % uint64(l.Zones))
 	return (first + end*max(1, l.Zones/max(1, l.Ends))) % l.Zones
@@ -65,13 +65,13 @@
 	zone        int
 }
 
-// observations is what one sender has observations. For one goroutine.
+// observations is what one sender has observed. It belongs to one goroutine.
 type observations struct {
 	load    *Load
 	zone    int // the sender's own
 	chance  *rand.Rand
 	digests int
-	listed  [fullListEvery][]place       // by the digest in which they are told
+	listed  [fullListEvery][]place       // by the digest in which they are reported
 	waiting map[choice.DestinationID]int // messages that wait for destinations that are down
 }
 
@@ -90,7 +90,7 @@
 	return s
 }
 
-// digest is what the sender hands over at a time of the run; fallen tells of zones whose endpoints say nothing.
+// digest is the sender's digest at a time of the run; fallen reports whether a zone's endpoints do not answer.
 func (s *observations) digest(seconds float64, fallen func(zone int) bool) together.Digest {
 	rows := map[place]*together.Row{}
 	row := func(at place) *together.Row {
@@ -122,13 +122,13 @@
 	return d
 }
 
-// messages is how many came since the last digest: a Poisson count, by its normal form where it is large.
+// messages draws how many messages came since the last digest: a Poisson count, approximated by a normal distribution.
 func (s *observations) messages() int {
 	mean := s.load.Rate / digestsPerSecond
 	return max(0, int(math.Round(mean+math.Sqrt(mean)*s.chance.NormFloat64())))
 }
 
-// message has one message called, or wait.
+// message draws one message, which is sent or waits.
 func (s *observations) message(seconds float64, fallen func(zone int) bool, row func(place) *together.Row) {
 	d := choice.DestinationID(s.chance.IntN(s.load.Destinations))
 	down := s.load.DownAt(d, seconds)
@@ -147,7 +147,7 @@
 	r.Done++
 }
 
-// near is the zone in which a destination is called: the sender's own where it has an endpoint there.
+// near is the zone in which a destination is called: the sender's own if there is an endpoint.
 func (s *observations) near(d choice.DestinationID) int {
 	for end := range s.load.Ends {
 		if zone := s.load.zoneOf(d, end); zone == s.zone {
--- a/lab/scale/hollow/sender.go
+++ b/lab/scale/hollow/sender.go
@@ -14,7 +14,7 @@
 // Clock is the time of the run in seconds, the same in all its processes.
 type Clock func() float64
 
-// Sender stands in for one. Its Orders may be called from any goroutine.
+// Sender stands in for a sender. Its methods may be called from any goroutine.
 type Sender struct {
 	clock   Clock
 	fallen  func(zone int) bool
@@ -27,15 +27,15 @@
 	configured map[uint64]time.Time // when each version came into force, likewise
 }
 
-// New makes one in a zone; no tells it from others, and applied is the highest purge that an earlier life applied, which a
-// sender has in its journal.
+// New creates a sender in a zone. no distinguishes it from others; applied is the highest purge that an earlier incarnation
+// applied, which a sender has in its journal.
 func New(load *Load, zone int, no uint64, applied uint64, clock Clock, fallen func(zone int) bool) *Sender {
 	s := &Sender{clock: clock, fallen: fallen, seen: newSeen(load, zone, no), at: map[uint64]time.Time{}, configured: map[uint64]time.Time{}}
 	s.applied.Store(applied)
 	return s
 }
 
-// Run hands digests to a cluster, at the sender's pace, until ctx ends.
+// Run reports digests to a cluster until ctx ends.
 func (s *Sender) Run(ctx context.Context, to together.Cluster) {
 	every := time.NewTicker(time.Second / digestsPerSecond)
 	defer every.Stop()
@@ -57,7 +57,7 @@
 	return s.at[seq]
 }
 
-// Purge applies purges at once: nothing is held that could be withdrawn.
+// Purge applies purges at once: there are no messages that could be purged.
 func (s *Sender) Purge(all []together.Purge, done func(uint64, []together.Found)) {
 	now := time.Now()
 	s.mu.Lock()
@@ -71,7 +71,7 @@
 	go done(s.applied.Load(), make([]together.Found, len(all)))
 }
 
-// Configure puts a configuration in force at once, unless a newer one is.
+// Configure puts a configuration in force at once, unless a newer one is in force.
 func (s *Sender) Configure(c together.Configuration, done func(error)) {
 	s.mu.Lock()
 	var err error
@@ -91,7 +91,7 @@
 	return s.configured[version]
 }
 
-// Version is of the configuration in force.
+// Version is the version of the configuration in force.
 func (s *Sender) Version() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -101,14 +101,14 @@
 // Applied is the highest purge applied.
 func (s *Sender) Applied() uint64 { return s.applied.Load() }
 
-// Evict keeps nothing, as nothing is held.
+// Evict evicts nothing, as there is no state to evict.
 func (s *Sender) Evict(_ []choice.DestinationID, done func([]choice.DestinationID)) { go done(nil) }
 
-// Holding tells of nothing.
+// Holding reports no state.
 func (s *Sender) Holding(done func([]together.Held)) { go done(nil) }
 
-// Teach is not taken up.
+// Teach ignores learned state.
 func (s *Sender) Teach([]together.Lesson) {}
 
-// Know knows nothing.
+// Know returns no learned state.
 func (s *Sender) Know(_ []choice.DestinationID, done func([]together.Lesson)) { go done(nil) }
--- a/lab/scale/host/host.go
+++ b/lab/scale/host/host.go
@@ -19,13 +19,14 @@
 	"flaxcove/lab/scale/fleet"
 )
 
-// host is one process's. Orders are taken one at a time.
+// host runs the members of one process. Orders are carried out one at a time.
 type host struct {
 	spec    Spec
 	fleet   *fleet.Fleet
 	log     *zap.Logger
 	members map[int]*member
-	// separated tells who is on the other side of a cut, and fallen which zones' endpoints say nothing; replaced whole.
+	// separated holds the members on the other side of a cut, fallen the zones whose endpoints do not answer. Both are
+	// replaced as a whole.
 	separated atomic.Pointer[map[view.Name]bool]
 	fallen    atomic.Pointer[[]int]
 }
@@ -33,7 +34,7 @@
 // mostLine bounds an order or answer.
 const mostLine = 16 << 20
 
-// Main serves one parent: a Spec, then orders, until the input ends.
+// Main serves one parent: it reads a Spec and then orders, until the input ends.
 func Main(in io.Reader, out io.Writer) error {
 	lines := bufio.NewScanner(in)
 	lines.Buffer(nil, mostLine)
--- a/lab/scale/host/measure.go
+++ b/lab/scale/host/measure.go
@@ -12,7 +12,7 @@
 
 // This file measures the host's own process.
 
-// measure collects garbage first where memory is asked for, and not where processor time is: a collection would count.
+// measure measures this process. It collects garbage first only if collect is set, since that takes processor time.
 func measure(collect bool) (u Used) {
 	var used syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &used) == nil {
@@ -31,7 +31,7 @@
 	return u
 }
 
-// RSS is what a process holds of the machine's memory, in bytes; 0 where that is not known.
+// RSS is the resident memory of a process in bytes; 0 if that is not known.
 func RSS(pid int) uint64 {
 	text, err := os.ReadFile("/proc/" + strconv.Itoa(pid) + "/status")
 	if err != nil {
@@ -46,7 +46,7 @@
 	return 0
 }
 
-// heapByPart sorts the sampled heap in use by the innermost part of the cluster, or the library, that allocated it.
+// heapByPart sums the sampled heap in use by the innermost part of the cluster, or the library, that allocated it.
 func heapByPart() map[string]int64 {
 	records := make([]runtime.MemProfileRecord, 4096)
 	n, ok := runtime.MemProfile(records, false)
@@ -61,7 +61,7 @@
 	return parts
 }
 
-// unsampled is what a record stands for: an allocation of a size is sampled with a chance that grows with it.
+// unsampled estimates the bytes that a sampled record stands for: the probability to be sampled grows with the size.
 func unsampled(r *runtime.MemProfileRecord) int64 {
 	if r.InUseObjects() <= 0 || r.InUseBytes() <= 0 {
 		return 0
@@ -71,10 +71,10 @@
 	return int64(float64(r.InUseBytes()) / chance)
 }
 
-// prefixes are parts by the beginning of their functions' names.
+// prefixes maps the beginnings of function names to parts.
 var prefixes = []struct{ prefix, part string }{
 	{"flaxcove/lab/", "laboratory"},
-	{"flaxcove/internal/cluster/", ""}, // its next word
+	{"flaxcove/internal/cluster/", ""}, // the next element of the path
 	{"flaxcove/internal/cluster.", "feed"},
 	{"github.com/hashicorp/memberlist", "member"},
 	{"github.com/hashicorp/raft", "council"},
--- a/lab/scale/host/member.go
+++ b/lab/scale/host/member.go
@@ -23,27 +23,27 @@
 	"flaxcove/lab/scale/hollow"
 )
 
-// member is one hollow member: its folder, which lasts, and the life that runs on it.
+// member is one hollow member: its folder, and the incarnation that runs on it.
 type member struct {
 	host *host
 	no   int
 
-	mu      sync.Mutex // held over a start, an end or a look at one member; no other lock of the program is held then
+	mu      sync.Mutex // held while one member is started, ended or read; no other lock of the program is held then
 	running *incarnation
-	applied uint64 // the highest purge that an earlier life applied
+	applied uint64 // the highest purge that an earlier incarnation applied
 }
 
-// incarnation is one run of a member, as a process would have it.
+// incarnation is one run of a member, like that of a process.
 type incarnation struct {
 	node   *cluster.Node
 	sender *hollow.Sender
-	// dead has nothing go out or be answered any more: a process that is killed says no word of farewell.
+	// dead stops all traffic of the member at once: a killed process does not say that it leaves.
 	dead atomic.Bool
 	stop context.CancelFunc
 	work sync.WaitGroup
 }
 
-// longestDeadline is the longestDeadline deadline of any message class of the synthetic senders.
+// longestDeadline is the longest deadline of all classes of the hollow senders.
 const longestDeadline = 5 * time.Second
 
 func (m *member) start() error {
@@ -86,19 +86,19 @@
 	return nil
 }
 
-// digestsRead tells whether anything is made of digests: where nothing is, their making would only count as the
-// members' processor time.
+// digestsRead reports whether digests are used. If not, none are made, so that they do not add to the members' processor
+// time.
 func (h *host) digestsRead() bool {
 	return slices.ContainsFunc(h.spec.Fleet.Uses, func(use string) bool { return use == "failover" || use == "popularity" })
 }
 
-// apart tells whether a cut lies between two members.
+// apart reports whether a cut separates two members.
 func (h *host) apart(one, other view.Name) bool {
 	apart := *h.separated.Load()
 	return apart[one] != apart[other]
 }
 
-// kill ends a life without a word to others, and stop with one.
+// kill ends an incarnation without notice to others, stop with one.
 func (m *member) kill() error { return m.end(true) }
 func (m *member) stop() error { return m.end(false) }
 
@@ -129,7 +129,7 @@
 	return StateOf(m.no, m.running.node.Status())
 }
 
-// StateOf is a member's state by what it tells of itself.
+// StateOf is a member's state by its status.
 func StateOf(no int, s *status.Status) MemberState {
 	here, sum := Alive(s.Members)
 	state := MemberState{No: no, Up: true, Here: here, View: sum, Root: s.Root, Leader: s.Leader, Epoch: s.Epoch, Purged: s.Purged}
@@ -146,7 +146,7 @@
 
 var sums = crc64.MakeTable(crc64.ECMA)
 
-// Alive counts members that are alive, and sums up which lives they are.
+// Alive counts the members that are alive, with a checksum of their names and incarnations.
 func Alive(members []view.Member) (here int, sum uint64) {
 	hash := crc64.New(sums)
 	for _, m := range members {
@@ -179,7 +179,7 @@
 	return SaidOf(m.running.node.Status())
 }
 
-// SaidOf is what a member has carried by what it tells of itself.
+// SaidOf returns a member's traffic by its status.
 func SaidOf(s *status.Status) MemberSaid {
 	t := s.Traffic
 	return MemberSaid{In: t.In, Out: t.Out, Gossip: t.Gossip, Packets: t.Packets, Consensus: t.Consensus, Kinds: t.Kinds, Lost: s.Counts["digests_lost"]}
--- a/lab/scale/hosts.go
+++ b/lab/scale/hosts.go
@@ -22,17 +22,17 @@
 
 // This file runs the hosts' processes and carries orders to them.
 
-// hostThreads keeps a host to two threads of Go code, as a sender with a cluster has: ten hosts with one a core each
-// would only take turns, and answer probes late.
+// hostThreads limits a host to two threads of Go code, as a sender with a cluster has: ten hosts with a thread for each core
+// would compete for them and answer probes late.
 const hostThreads = "GOMAXPROCS=2"
 
-// hostCollector has a host's collector run a fourth as often as a process's own would: of a host with forty members, whose
-// heap is small, a quarter of the processor time went into allocation and what collects it (360 members that start).
+// hostCollector has the garbage collector of a host run a quarter as often as by default: with forty members and a small
+// heap, a quarter of the processor time went into allocation and collection (360 members starting).
 const hostCollector = "GOGC=400"
 
-// membersPerStep is how many hollow members are started at a time. Before the next are, those that run see each other, or
-// stepTimeout is over: a machine that starts hundreds at once has no processor time left to answer probes with, so that
-// members take each other for dead, and putting that right takes more of it again.
+// membersPerStep is how many hollow members are started at a time. The next step begins once all that run see each other, or
+// after stepTimeout: a machine that starts hundreds at once has no processor time left to answer probes, so that members
+// take each other for dead, which costs even more processor time to correct.
 const (
 	membersPerStep = 40
 	stepTimeout    = 30 * time.Second
@@ -43,19 +43,19 @@
 	maxAnswerBytes = 64 << 20
 )
 
-// hostProcess is one host.
+// hostProcess is the process of one host.
 type hostProcess struct {
 	role    fleet.Role
 	members []int
 	cmd     *exec.Cmd
 	ended   chan error
 
-	mu      sync.Mutex // held over one order and its answer; no other lock is taken under it
+	mu      sync.Mutex // held from an order to its answer; no other lock is taken under it
 	in      io.WriteCloser
 	answers *bufio.Scanner
 }
 
-// startHosts starts a process for each role's members, and several for those that coordinate nothing.
+// startHosts starts a process for the members of each role, and several for members that coordinate nothing.
 func (r *run) startHosts() error {
 	groups := map[fleet.Role][]int{}
 	for _, m := range r.fleet.Members {
@@ -79,7 +79,7 @@
 	return nil
 }
 
-// deal splits numbers into parts of nearly one size, leaving out empty ones.
+// deal splits numbers into parts of nearly the same size, without empty ones.
 func deal(all []int, parts int) (dealt [][]int) {
 	for part := range parts {
 		from, to := part*len(all)/parts, (part+1)*len(all)/parts
@@ -117,20 +117,20 @@
 	return h, json.NewEncoder(in).Encode(spec)
 }
 
-// HostVariable is set for a host's process, so that a program can tell that it is to be one.
+// HostVariable is the environment variable that tells a program to run as a host.
 const HostVariable = "FLAXCOVE_SCALE_HOST"
 
-// startMembers starts the hollow members of all hosts, some each second.
+// startMembers starts the hollow members of all hosts, step by step.
 func (r *run) startMembers(ctx context.Context) error {
 	var all []int
 	for _, h := range r.hosts {
 		all = append(all, h.members...)
 	}
-	// Dealt over the hosts, so that each has some to start in each step; founders first, whom the others look for.
+	// In an order in which each host has some to start in each step; founders first, which the others contact.
 	slices.SortStableFunc(all, func(a, b int) int { return cmp.Compare(r.startsAt(a), r.startsAt(b)) })
 	for started := 0; started < len(all); {
 		n := min(membersPerStep, len(all)-started)
-		if _, err := r.orderHosts(struckOf(setOf(all[started:started+n]), host.Start)); err != nil {
+		if _, err := r.orderHosts(orderFor(setOf(all[started:started+n]), host.Start)); err != nil {
 			return err
 		}
 		if started += n; started == len(all) {
@@ -143,7 +143,7 @@
 	return nil
 }
 
-// awaitStep waits until the hollow members that were started see each other, stepFor at most.
+// awaitStep waits until the hollow members that were started see each other, for stepTimeout at most.
 func (r *run) awaitStep(ctx context.Context, started int) error {
 	began := time.Now()
 	for time.Since(began) < stepTimeout {
@@ -163,7 +163,7 @@
 	return nil
 }
 
-// seeEachOther tells whether as many members run as were started, and each sees as many.
+// seeEachOther reports whether as many members run as were started, and each sees that many.
 func seeEachOther(answers []*host.Answer, started int) bool {
 	up := 0
 	for _, answer := range answers {
@@ -179,7 +179,7 @@
 	return up == started
 }
 
-// startsAt ranks members by when they start.
+// startsAt is a member's rank in the order of starts.
 func (r *run) startsAt(no int) int {
 	if slices.Contains(r.fleet.Founders, r.fleet.Members[no].Name) {
 		return -1
@@ -187,7 +187,7 @@
 	return no
 }
 
-// order has a host do one thing.
+// order sends a host an order and returns its answer.
 func (h *hostProcess) order(order host.Order) (*host.Answer, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -207,12 +207,12 @@
 	return &a, nil
 }
 
-// orderAllHosts has each host do the same at once; the answers are in the hosts' order.
+// orderAllHosts sends all hosts the same order concurrently. The answers are in the hosts' order.
 func (r *run) orderAllHosts(order host.Order) ([]*host.Answer, error) {
 	return r.orderHosts(func(*hostProcess) *host.Order { return &order })
 }
 
-// orderHosts has those hosts do something for which there is an order.
+// orderHosts sends each host its order concurrently, unless that is nil.
 func (r *run) orderHosts(orderOf func(*hostProcess) *host.Order) ([]*host.Answer, error) {
 	answers, problems := make([]*host.Answer, len(r.hosts)), make([]error, len(r.hosts))
 	var wait sync.WaitGroup
@@ -225,7 +225,7 @@
 	return answers, errors.Join(problems...)
 }
 
-// end closes a host's input, upon which it ends, and sees to it.
+// end closes a host's input, upon which it ends, and kills it if it does not.
 func (h *hostProcess) end() error {
 	h.in.Close()
 	go func() { h.ended <- h.cmd.Wait() }()
--- a/lab/scale/library.go
+++ b/lab/scale/library.go
@@ -13,7 +13,7 @@
 //go:embed schedules/*.toml
 var schedules embed.FS
 
-// Schedules are the names of those that come with the program.
+// Schedules returns the names of the built-in schedules.
 func Schedules() (names []string) {
 	files, _ := schedules.ReadDir("schedules")
 	for _, f := range files {
@@ -23,7 +23,7 @@
 	return names
 }
 
-// FindSchedule reads a file that ends in .toml, or one that comes with the program.
+// FindSchedule reads a schedule from a file that ends in .toml, or returns a built-in one.
 func FindSchedule(name string) (*schedule.Schedule, error) {
 	if strings.HasSuffix(name, ".toml") {
 		text, err := os.ReadFile(name)
--- a/lab/scale/measure.go
+++ b/lab/scale/measure.go
@@ -10,9 +10,9 @@
 	"flaxcove/lab/scale/host"
 )
 
-// This file reads what members and processes have used, and makes rates of two readings.
+// This file reads what members and processes have used, and computes rates from two readings.
 
-// Result is what a run gave. Rates are a second and a member.
+// Result is the result of a run. Rates are per second and member.
 type Result struct {
 	Options      Options       `json:"options"`
 	StartS       float64       `json:"start_s"` // until all agreed
@@ -28,7 +28,7 @@
 	Fault        string        `json:"trouble,omitempty"` // with real members' processes
 }
 
-// RoleUse is what members of one role carried, on average, while all was calm.
+// RoleUse is the mean use of members of one role without faults.
 type RoleUse struct {
 	Role      fleet.Role         `json:"role"`
 	Real      bool               `json:"real"`
@@ -39,8 +39,8 @@
 	Gossip    float64            `json:"gossip_bytes"`
 	Packets   float64            `json:"gossip_packets"`
 	Consensus float64            `json:"council_bytes"`
-	Calls     float64            `json:"calls"`   // made
-	Answers   float64            `json:"answers"` // given
+	Calls     float64            `json:"calls"`   // calls made
+	Answers   float64            `json:"answers"` // calls answered
 	Kinds     map[string]KindUse `json:"kinds"`
 	Lost      int                `json:"digests_lost"`
 	CPU       float64            `json:"cpu"` // of a core; of the processes that hold this role, a member
@@ -49,7 +49,7 @@
 	HeapParts map[string]float64 `json:"heap_parts_mb,omitempty"`
 }
 
-// KindUse is one path's part; bytes are of bodies.
+// KindUse is the part of one path; bytes are those of bodies.
 type KindUse struct {
 	Calls   float64 `json:"calls"`
 	Answers float64 `json:"answers"`
@@ -57,7 +57,7 @@
 	In      float64 `json:"in"`
 }
 
-// ProcessUse is one host's process.
+// ProcessUse is the use of one host's process.
 type ProcessUse struct {
 	Role       fleet.Role `json:"role"`
 	Members    int        `json:"members"`
@@ -68,15 +68,15 @@
 	Files      int        `json:"files"`
 }
 
-// Spread is how something decided in common reached the members; -1 for what was not seen.
+// Spread is when a purge or change reached the members; -1 for what was not observed.
 type Spread struct {
-	DecidedS float64 `json:"decided_s"` // from the order until it was told to be decided
-	P50S     float64 `json:"p50_s"`     // from the order until applied at so many hollow members
+	DecidedS float64 `json:"decided_s"` // from the order until it was reported decided
+	P50S     float64 `json:"p50_s"`     // from the order until it was applied at that share of the hollow members
 	P95S     float64 `json:"p95_s"`
 	P100S    float64 `json:"p100_s"`
 }
 
-// Fall is a zone whose endpoints fell, and when a plan that leaves it was in force at so many members.
+// Fall is a zone whose endpoints failed, and when a plan that routes away from it was in force at a share of the members.
 type Fall struct {
 	Zone    int     `json:"zone"`
 	Members int     `json:"members"`
@@ -85,7 +85,7 @@
 	P100S   float64 `json:"p100_s"`
 }
 
-// Disturbance is what faults cost, over their time and until all agreed again.
+// Disturbance is the cost of a schedule's faults, until all members agreed again.
 type Disturbance struct {
 	Name           string  `json:"name"`
 	Seconds        float64 `json:"seconds"`
@@ -94,13 +94,13 @@
 	BytesPerMember float64 `json:"bytes_per_member"` // sent, by hollow members that lived through it
 }
 
-// reading is of one moment.
+// reading holds the counters at one time.
 type reading struct {
 	at          time.Time
 	used        []host.Used
 	said        map[int]host.MemberSaid
 	cpuOf       map[int]time.Duration // of real members' processes
-	answerBytes map[int]int           // bytes that a real member told for this reading, and counts after it
+	answerBytes map[int]int           // bytes of a real member's answer to this reading, which it counts only afterwards
 }
 
 func (r *run) read(ctx context.Context) (*reading, error) {
@@ -133,7 +133,7 @@
 	return total
 }
 
-// bytesSince is what a member has sent since an earlier reading, on average of those that did not begin anew.
+// bytesSince is the mean of what members have sent since an earlier reading, without those that were restarted.
 func (a *reading) bytesSince(before *reading) float64 {
 	sum, n := 0.0, 0
 	for no, said := range a.said {
@@ -145,7 +145,7 @@
 	return sum / float64(max(1, n))
 }
 
-// measureCalm measures over the calm time.
+// measureCalm measures over the time without faults.
 func (r *run) measureCalm(ctx context.Context) error {
 	before, err := r.read(ctx)
 	if err != nil {
@@ -183,7 +183,7 @@
 
 func megabytes(bytes uint64) float64 { return float64(bytes) / (1 << 20) }
 
-// roleUse is what members of a role used between two readings.
+// roleUse is the use of members of a role between two readings.
 func (r *run) roleUse(role fleet.Role, real bool, before, after *reading, span float64, memory []*host.Answer) RoleUse {
 	use := RoleUse{Role: role, Real: real, Kinds: map[string]KindUse{}, HeapParts: map[string]float64{}}
 	for _, m := range r.fleet.Members {
--- a/lab/scale/real.go
+++ b/lab/scale/real.go
@@ -22,7 +22,7 @@
 	"flaxcove/lab/world"
 )
 
-// This file runs the real members: flaxcove serve with a world of partners around it, which is lab/live's.
+// This file runs the real members: flaxcove serve, with a world of partners by package live.
 
 const (
 	statusTimeout  = 3 * time.Second
@@ -30,7 +30,7 @@
 	maxListeners   = 3600 // endpoints times senders; lab/live opens a listener for each
 )
 
-// realRun is the run of lab/live.
+// realRun is the run of the real members.
 type realRun struct {
 	control *live.RunControl
 	relays  []*relay.Relay
@@ -94,8 +94,8 @@
 	return nil
 }
 
-// openRelays puts a relay before each member of the region that a schedule cuts off: hollow members know by themselves
-// whom they do not reach, real ones do not.
+// openRelays puts a relay before each member of the region that a schedule cuts off. Hollow members apply a cut by
+// themselves, real ones do not.
 func (r *run) openRelays() (relayed []int, err error) {
 	if len(r.realMembers) == len(r.fleet.Members) {
 		return nil, nil
@@ -120,7 +120,7 @@
 	return relayed, nil
 }
 
-// worldOf is a calm world with as much for the real members as the caller asks.
+// worldOf is a world without faults, with the load for real members that the options ask for.
 func (r *run) worldOf() *world.Spec {
 	spec := world.Base()
 	n := len(r.realMembers)
@@ -134,7 +134,7 @@
 	return &spec
 }
 
-// cutReal has the relays lose all, or carry all again.
+// cutReal has the relays lose everything, or forward again.
 func (r *run) cutReal(lost bool) {
 	for _, one := range r.real.relays {
 		one.Set(relay.Forward, relay.Fault{Drop: lost})
@@ -142,7 +142,7 @@
 	}
 }
 
-// act does something to real members by their numbers in the fleet.
+// act applies an action to real members, by their numbers in the fleet.
 func (r *run) act(nos map[int]bool, what world.Act) {
 	if r.real.control == nil {
 		return
@@ -162,7 +162,7 @@
 	}
 }
 
-// statusOf asks a real member; length is of its answer, which its own count of bytes does not hold yet.
+// statusOf returns a real member's status, and the length of its answer, which its own counters do not include yet.
 func (r *run) statusOf(ctx context.Context, no int) (s *status.Status, length int, err error) {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
@@ -212,7 +212,7 @@
 	return err
 }
 
-// processOf finds a real member's process by the cluster file that it was started with; 0 for none.
+// processOf finds the process id of a real member by the cluster file that it was started with; 0 for none.
 func (r *run) processOf(no int) int {
 	folders, _ := os.ReadDir("/proc")
 	for _, f := range folders {
--- a/lab/scale/report.go
+++ b/lab/scale/report.go
@@ -9,9 +9,9 @@
 	"strings"
 )
 
-// This file tells a result as a page.
+// This file writes a result as a page.
 
-// What the operators grant a sender's control.
+// The budget that the operators grant the control part of a sender.
 const (
 	budgetBytes = 4000.0 // a second
 	budgetCPU   = 0.047  // of a core
--- a/lab/scale/run.go
+++ b/lab/scale/run.go
@@ -12,7 +12,7 @@
 	"flaxcove/lab/scale/fleet"
 )
 
-// run is one under way. It belongs to one goroutine.
+// run is a run in progress. It belongs to one goroutine.
 type run struct {
 	options     Options
 	fleet       *fleet.Fleet
@@ -25,7 +25,7 @@
 	result      *Result
 }
 
-// Run plays one run. An error says that it could not be played, or that members did not come to agree.
+// Run plays a run. An error says that it could not be played, or that members did not agree in time.
 func Run(ctx context.Context, o Options) (result *Result, err error) {
 	if err := o.fillAndCheck(); err != nil {
 		return nil, err
@@ -53,7 +53,7 @@
 	return r.result, nil
 }
 
-// playAll is the run's course.
+// playAll plays the parts of a run in their order.
 func (r *run) playAll(ctx context.Context) (err error) {
 	if err := r.startHosts(); err != nil {
 		return err
@@ -91,7 +91,7 @@
 	return nil
 }
 
-// playSchedule plays one schedule, and waits until all agree again.
+// playSchedule plays one schedule and waits until all members agree again.
 func (r *run) playSchedule(ctx context.Context, s *schedule.Schedule) error {
 	before, err := r.read(ctx)
 	if err != nil {
@@ -115,7 +115,7 @@
 	return nil
 }
 
-// end ends all processes.
+// end stops all processes.
 func (r *run) end() error {
 	errs := []error{r.endReal()}
 	problems := make(chan error, len(r.hosts))
@@ -132,7 +132,7 @@
 	firstPort, morePorts, portStep, portTries = 10_000, 9_000, 7, 40
 )
 
-// freePort finds three ports in a row that are free at the members' addresses: below those that the system draws from.
+// freePort finds three consecutive ports that are free at the members' addresses, below the range that the system assigns.
 func freePort(size fleet.Size) (int, error) {
 	for try := range portTries {
 		size.Port = firstPort + (os.Getpid()*31+int(time.Now().UnixNano()%997)+try*portStep)%morePorts
--- a/lab/scale/scale.go
+++ b/lab/scale/scale.go
@@ -1,10 +1,10 @@
-// Package scale runs a fleet of the size that is planned on one machine: hollow members, many to a process, beside real
-// ones, and says what each role of the cluster costs and how the fleet comes through faults.
+// Package scale runs a fleet of the planned size on one machine: hollow members, many to a process, beside real ones. It
+// measures what each role of the cluster costs and how the fleet comes through faults.
 //
-// It owns the run (run.go), the hosts' processes (hosts.go), the real ones (real.go, by lab/live), the faults
-// (faults.go), the check that all agree (agree.go), and what is measured (measure.go) and told (report.go). The protocol
-// is the program's in both kinds of member: nothing here may know it. It must never leave a process or a file behind,
-// listen beyond loopback, or give a verdict that hangs on how busy the machine is: agreement is waited for.
+// run.go plays a run, hosts.go runs the hosts' processes, real.go the real members by package live, faults.go plays faults,
+// agree.go waits for agreement, measure.go measures, report.go writes the result. Both kinds of member speak the program's
+// own protocol, which this package does not know. The package must leave no process or file behind and listen on loopback
+// only. Its verdict must not depend on how busy the machine is: it waits for agreement.
 package scale
 
 import (
@@ -16,33 +16,34 @@
 	"flaxcove/lab/scale/hollow"
 )
 
-// Options are what a run is played with.
+// Options are the inputs of a run.
 type Options struct {
-	Fleet fleet.Size // its Port is drawn where it is 0
+	Fleet fleet.Size // a Port of 0 is drawn
 	Load  hollow.Load
 	Hosts int // processes for hollow members that coordinate nothing; each other role has one of its own
-	// Schedules are played one after the other, each once all agree after the one before.
+	// Schedules are played one after the other, each once all members agree after the one before.
 	Schedules []*schedule.Schedule
-	Calm      time.Duration // measured before any fault
+	Calm      time.Duration // time without faults that is measured
 	Settle    time.Duration // between the first agreement and the measuring
-	// RealRate is the messages a second of each real member's programs, for RealDestinations of two endpoints each.
+	// RealRate is the messages a second that clients hand in to each real member, for RealDestinations destinations with
+	// two endpoints each.
 	RealRate         float64
 	RealDestinations int
 	HostCommand      []string `json:"-"` // runs host.Main
 	ServeCommand     []string `json:"-"` // runs flaxcove serve; needed for real members
-	Purges           int      // ordered one after the other while all is calm, and timed
-	Changes          int      // of the configuration, likewise
+	Purges           int      // number of purges that are ordered without faults, one after the other, and timed
+	Changes          int      // number of changes of the configuration, likewise
 	AgreeWithin      time.Duration
 	Logs             string                           `json:"-"` // a folder; "" keeps none
 	Say              func(format string, args ...any) `json:"-"`
 }
 
-// Defaults of what a caller left out.
+// Defaults of options that were left out.
 const (
 	defaultHosts  = 6
 	defaultAgree  = 3 * time.Minute
 	defaultSettle = 5 * time.Second
-	// maxMembers is what the addresses of package fleet have room for, and far over what a machine bears.
+	// maxMembers is how many members the addresses of package fleet suffice for; far more than one machine can run.
 	maxMembers = 2000
 )
 
--- a/lab/scale/scale_test.go
+++ b/lab/scale/scale_test.go
@@ -113,8 +113,8 @@
 		f := fleet.Plan(fleet.Size{Members: s.Processes, Real: 8, Zones: s.Zones, Regions: s.Regions, Large: 3})
 		r := &run{fleet: f}
 		for i := range s.Faults {
-			struck := s.Affected(&s.Faults[i], r.locations())
-			if k := s.Faults[i].Kind; (k == "kill" || k == "cut") && len(struck) == 0 {
+			affected := s.Affected(&s.Faults[i], r.locations())
+			if k := s.Faults[i].Kind; (k == "kill" || k == "cut") && len(affected) == 0 {
 				t.Errorf("%s: strikes nobody", name)
 			}
 		}
--- a/lab/world/fault.go
+++ b/lab/world/fault.go
@@ -16,14 +16,14 @@
 		from, to := seconds(t.At), seconds(t.At+t.Seconds)
 		switch FaultKinds[t.Kind].Affects {
 		case "endpoints":
-			struck := w.endpointsOf(&t.Selector, no)
+			affected := w.endpointsOf(&t.Selector, no)
 			set := map[*Endpoint]bool{}
-			for _, e := range struck {
+			for _, e := range affected {
 				set[e] = true
 			}
 			w.affected[i] = set
-			w.At(from, func() { w.switchFault(t, struck, true) })
-			w.At(to, func() { w.switchFault(t, struck, false) })
+			w.At(from, func() { w.switchFault(t, affected, true) })
+			w.At(to, func() { w.switchFault(t, affected, false) })
 		case "senders":
 			w.planSenders(t, w.sendersOf(&t.Selector, no), from, to)
 		case "discovery":
@@ -37,14 +37,14 @@
 
 // switchFault begins or ends a fault of endpoints. Faults may overlap: the effects on an endpoint are computed anew from
 // all active faults, so that the end of one does not lift another.
-func (w *World) switchFault(t *Fault, struck []*Endpoint, on bool) {
+func (w *World) switchFault(t *Fault, affected []*Endpoint, on bool) {
 	if on {
 		w.active = append(w.active, t)
 	} else {
 		w.active = slices.DeleteFunc(w.active, func(other *Fault) bool { return other == t })
 	}
-	w.ledger.Fault(t, on, len(struck))
-	for _, e := range struck {
+	w.ledger.Fault(t, on, len(affected))
+	for _, e := range affected {
 		was := e.effects
 		e.effects = w.effectsOn(e)
 		if e.effects.crash && !was.crash {
--- a/lab/world/senderfault.go
+++ b/lab/world/senderfault.go
@@ -13,9 +13,9 @@
 )
 
 // planSenders schedules a fault of senders.
-func (w *World) planSenders(t *Fault, struck []SenderNo, from, to Time) {
-	w.announceFault(t, len(struck), from, to)
-	for i, s := range struck {
+func (w *World) planSenders(t *Fault, affected []SenderNo, from, to Time) {
+	w.announceFault(t, len(affected), from, to)
+	for i, s := range affected {
 		switch t.Kind {
 		case "sender_kill":
 			w.act(from, s, Kill)
@@ -25,7 +25,7 @@
 		case "sender_roll":
 			// One after another, spread so that the last one is back by the end of the fault.
 			capacity := max(0, to-from-drainPeriod-restartDelay)
-			w.planRestart(s, from+capacity*Time(i)/Time(len(struck)))
+			w.planRestart(s, from+capacity*Time(i)/Time(len(affected)))
 		case "sender_pause":
 			w.act(from, s, Pause)
 			w.act(to, s, Continue)
@@ -42,9 +42,9 @@
 }
 
 // announceFault reports the begin and the end of a fault to the ledger, with the number of senders it affects.
-func (w *World) announceFault(t *Fault, struck int, from, to Time) {
-	w.At(from, func() { w.ledger.Fault(t, true, struck) })
-	w.At(to, func() { w.ledger.Fault(t, false, struck) })
+func (w *World) announceFault(t *Fault, affected int, from, to Time) {
+	w.At(from, func() { w.ledger.Fault(t, true, affected) })
+	w.At(to, func() { w.ledger.Fault(t, false, affected) })
 }
 
 // act schedules an action on a sender's process.
@@ -121,9 +121,9 @@
 }
 
 // planClients schedules a fault of clients. The kinds surge and fixed change the load itself, see planLoad.
-func (w *World) planClients(t *Fault, struck []SenderNo, from, to Time) {
-	w.announceFault(t, len(struck), from, to)
-	for _, s := range struck {
+func (w *World) planClients(t *Fault, affected []SenderNo, from, to Time) {
+	w.announceFault(t, len(affected), from, to)
+	for _, s := range affected {
 		switch t.Kind {
 		case "impatient":
 			w.At(from, func() { w.senders[s].patience = ms(t.Amount) })
