--- a/lab/experiment/change.go
+++ b/lab/experiment/change.go
@@ -1,7 +1,6 @@
 package experiment
 
-// This file owns what a variant or a size does to a scenario. It must never change a field that the scenario's file does
-// not have, nor the scenario that it is handed.
+// This file applies a variant or a size to a scenario. It must not add fields, nor change the given scenario.
 
 import (
 	"errors"
@@ -15,7 +14,7 @@
 	"flaxcove/lab/world"
 )
 
-// Change sets fields of a scenario by their names in its file.
+// Change returns a scenario with some fields set, by their names in its file.
 func Change(spec *world.Spec, set map[string]any) (*world.Spec, error) {
 	text, err := scenario.Write(spec)
 	if err != nil {
@@ -36,7 +35,7 @@
 	s, err := scenario.Parse(spec.Name, text)
 	var wrong *tomlfile.Error
 	if errors.As(err, &wrong) {
-		wrong.Line = 0 // of a text that nobody has seen
+		wrong.Line = 0 // the line is of a text that the user has not seen
 	}
 	if err != nil {
 		return nil, err
@@ -44,7 +43,7 @@
 	return s.Spec, nil
 }
 
-// setField sets a field that is there by its dotted path.
+// setField sets an existing field by its dotted path.
 func setField(tree map[string]any, path string, value any) error {
 	words := strings.Split(path, ".")
 	table := tree
@@ -63,7 +62,7 @@
 	return nil
 }
 
-// Scale makes a scenario that many times its size: senders, partners and rate.
+// Scale multiplies the size of a scenario: senders, partners and rate.
 func Scale(spec *world.Spec, by float64) {
 	if by == 1 {
 		return
--- a/lab/experiment/compare.go
+++ b/lab/experiment/compare.go
@@ -1,7 +1,7 @@
 package experiment
 
-// This file owns the statistics: differences between variants on shared seeds, with their intervals. It must never compare
-// a void run, nor call a difference real that its interval does not show.
+// This file has the statistics: differences between variants on the same seeds, with confidence intervals. Void runs are
+// not compared.
 
 import (
 	"cmp"
@@ -13,10 +13,10 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// confidence is that of all intervals.
+// confidence is the confidence level of all intervals.
 const confidence = 0.95
 
-// Difference is how a variant fared beside the base on the same seeds.
+// Difference is the difference of a variant from the base on the same seeds.
 type Difference struct {
 	Scenario string  `json:"scenario"` // "" for all together
 	Size     float64 `json:"size"`
@@ -26,11 +26,11 @@
 	Mean     float64 `json:"mean"`  // of the differences
 	Low      float64 `json:"low"`   // of the interval
 	High     float64 `json:"high"`  // likewise
-	Known    bool    `json:"known"` // there are pairs enough for an interval
+	Known    bool    `json:"known"` // there are enough pairs for an interval
 	Broken   int     `json:"broken"`
 }
 
-// Verdict says in a word what the interval shows.
+// Verdict says in words what the interval shows.
 func (d *Difference) Verdict() string {
 	switch {
 	case d.Pairs == 0:
@@ -43,8 +43,8 @@
 	return "worse"
 }
 
-// Compare pairs each variant's runs with the base's of the same scenario, size and seed. Rows come by scenario, then
-// one for all scenarios of a size together, in which each scenario weighs the same.
+// Compare pairs each variant's runs with the base's of the same scenario, size and seed. There is a row for each scenario,
+// and one for all scenarios of a size, in which each scenario has the same weight.
 func Compare(results []*Result, base string) (rows []Difference) {
 	c := newComparison(results, base)
 	for _, variant := range c.variants {
@@ -59,13 +59,13 @@
 	size     float64
 }
 
-// pairing names the runs that are compared with each other.
+// pairing identifies the runs that are compared with each other.
 type pairing struct {
 	cell
 	seed uint64
 }
 
-// comparison is the results that count, in the order met.
+// comparison holds the results that count, in their order.
 type comparison struct {
 	results  []*Result
 	bases    map[pairing]*Result
@@ -93,7 +93,7 @@
 	return c
 }
 
-// rows are a variant's differences, and behind them one for each size at which several scenarios were played.
+// rows returns a variant's differences, followed by one for each size at which several scenarios were played.
 func (c *comparison) rows(variant string) (rows []Difference) {
 	sums := map[float64]*sizeSum{}
 	for _, at := range c.cells {
@@ -117,7 +117,7 @@
 	return rows
 }
 
-// difference compares a variant with the base at one cell. Each of diffs is one seed's.
+// difference compares a variant with the base at one cell. Diffs has one element for each seed.
 func (c *comparison) difference(at cell, variant string) (d Difference, diffs []float64) {
 	d = Difference{Scenario: at.scenario, Size: at.size, Variant: variant}
 	for _, r := range c.results {
@@ -140,7 +140,7 @@
 	return d, diffs
 }
 
-// sizeSum gathers the scenarios of one size.
+// sizeSum collects the scenarios of one size.
 type sizeSum struct {
 	Difference
 	groups [][]float64
@@ -153,7 +153,7 @@
 	s.groups = append(s.groups, diffs)
 }
 
-// interval is Student's for the mean of the groups' means, each group with its own spread.
+// interval is Student's confidence interval for the mean of the groups' means, each group with its own variance.
 func (d *Difference) interval(groups [][]float64) {
 	sum, variance, freedom := 0.0, 0.0, 0.0
 	k := float64(len(groups))
@@ -187,7 +187,7 @@
 	Senders  int
 }
 
-// Averages are the means, sorted by size, scenario and variant as met.
+// Averages returns the means, sorted by size; scenarios and variants keep their order.
 func Averages(results []*Result) (all []Mean) {
 	at := func(r *Result) *Mean {
 		for i := range all {
--- a/lab/experiment/experiment.go
+++ b/lab/experiment/experiment.go
@@ -1,8 +1,8 @@
-// Package experiment plays scenarios with several variants of a sender, on shared seeds, and tells whether they differ.
+// Package experiment plays scenarios with several variants of a sender, on the same seeds, and reports whether they differ.
 //
-// It owns the plan, the file of results and the statistics. Every result is a line of JSON that is written as it comes,
-// so that a plan that was cut off goes on where it stopped. It must never compare a void run, call a difference real
-// that its interval does not show, or hang on the order in which runs end.
+// It reads plans (plan.go), plays their runs (run.go), keeps the file of results (results.go) and has the statistics
+// (compare.go). Each result is written as a line of JSON at once, so that an interrupted plan continues where it stopped.
+// Results must not depend on the order in which runs end.
 package experiment
 
 import (
@@ -11,7 +11,7 @@
 	"flaxcove/lab/world"
 )
 
-// Plan is an experiment as its file tells it.
+// Plan is an experiment, as its file describes it.
 type Plan struct {
 	Name      string    `toml:"name"`
 	About     string    `toml:"about"`
@@ -19,8 +19,8 @@
 	Scenarios []string  `toml:"scenarios"`
 	Seeds     int       `toml:"seeds"`
 	FirstSeed uint64    `toml:"first_seed"`
-	Sizes     []float64 `toml:"sizes"` // each scenario is played at these times its senders, partners and rate
-	Base      string    `toml:"base"`  // the variant that others are compared with; the first if left out
+	Sizes     []float64 `toml:"sizes"` // factors on the senders, partners and rate of each scenario
+	Base      string    `toml:"base"`  // the variant that others are compared with; the first by default
 	Variants  []Variant `toml:"variant"`
 
 	path  string
@@ -41,7 +41,7 @@
 	Size     float64 `json:"size"`
 	Variant  string  `json:"variant"`
 	Seed     uint64  `json:"seed"`
-	Key      string  `json:"key"` // of all that the run hangs on
+	Key      string  `json:"key"` // hash of everything that the run depends on
 
 	spec    *world.Spec
 	variant *Variant
@@ -71,5 +71,5 @@
 type Sizes struct {
 	Senders  int `json:"S"`
 	Partners int `json:"E"`
-	Rate     int `json:"R"` // starts a second
+	Rate     int `json:"R"` // messages a second
 }
--- a/lab/experiment/plan.go
+++ b/lab/experiment/plan.go
@@ -1,7 +1,6 @@
 package experiment
 
-// This file owns the reading of a plan and the list of its runs. It must never play one, nor take a plan of which a field
-// is wrong.
+// This file reads a plan and lists its runs. A plan with an invalid field is refused.
 
 import (
 	"cmp"
@@ -54,7 +53,7 @@
 	return p, jobs, nil
 }
 
-// wrong is what is wrong with a field of the plan's file.
+// wrong returns an error for a field of the plan's file.
 func (p *Plan) wrong(field, format string, args ...any) error {
 	return &tomlfile.Error{File: p.path, Line: p.lines[field], Field: field, What: fmt.Sprintf(format, args...)}
 }
@@ -87,7 +86,7 @@
 	return nil
 }
 
-// checkVariant checks one variant and makes the path of its binary one from the plan's folder.
+// checkVariant checks one variant, and resolves the path of its binary from the plan's folder.
 func (p *Plan) checkVariant(i int) error {
 	v, at := &p.Variants[i], fmt.Sprintf("variant[%d].", i)
 	baselinePolicy := v.Policy != "" && v.Policy != "choice"
@@ -112,7 +111,7 @@
 	return nil
 }
 
-// jobs lists all runs. Pairs are played close together, so that a plan that is cut off has something to compare.
+// jobs lists all runs, sorted by seed, so that an interrupted plan has complete pairs to compare.
 func (p *Plan) jobs(find Finder) ([]*Job, error) {
 	var jobs []*Job
 	for i, name := range p.Scenarios {
@@ -134,7 +133,7 @@
 	return jobs, nil
 }
 
-// jobsOf lists a run a seed for one variant of one scenario at one size.
+// jobsOf lists the runs of one variant of one scenario at one size, one for each seed.
 func (p *Plan) jobsOf(s *scenario.Scenario, size float64, no int) ([]*Job, error) {
 	v := &p.Variants[no]
 	spec, err := Change(s.Spec, v.Set)
@@ -164,7 +163,7 @@
 	return jobs, nil
 }
 
-// stamp changes with another build of a binary.
+// stamp identifies a build of a binary by its size and time.
 func stamp(path string) string {
 	if path == "" {
 		return ""
--- a/lab/experiment/results.go
+++ b/lab/experiment/results.go
@@ -1,7 +1,6 @@
 package experiment
 
-// This file owns the file of results: a line of JSON for each run, written as it comes. It must never lose a whole line,
-// nor take a torn one for a result.
+// This file reads and writes the file of results: a line of JSON for each run. A torn last line is not a result.
 
 import (
 	"bufio"
@@ -13,7 +12,7 @@
 	"os"
 )
 
-// ReadResults reads a file of results. A last line that a kill cut off is passed over.
+// ReadResults reads a file of results. A torn last line, left by a killed process, is ignored.
 func ReadResults(path string) ([]*Result, error) {
 	file, err := os.Open(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -41,7 +40,7 @@
 	}
 }
 
-// truncateTornLine takes away a last line that has no end.
+// truncateTornLine removes a last line that is not terminated.
 func truncateTornLine(path string) error {
 	text, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) || len(text) == 0 {
@@ -56,7 +55,7 @@
 	return nil
 }
 
-// resultID names a run among the results of all plans that were written to one file.
+// resultID identifies a run among the results of all plans in one file.
 type resultID struct {
 	key  string
 	seed uint64
@@ -68,7 +67,8 @@
 	known map[resultID]*Result
 }
 
-// openResults reads a file of results, cuts a torn end off and opens it for more. What failed or was void is not known.
+// openResults reads a file of results, removes a torn last line and opens the file for appending. Failed and void runs do
+// not count as known.
 func openResults(path string) (*resultFile, error) {
 	old, err := ReadResults(path)
 	if err != nil {
@@ -90,7 +90,7 @@
 	return &resultFile{file: file, known: known}, nil
 }
 
-// add takes a result on and writes its line.
+// add records a result and appends its line.
 func (f *resultFile) add(r *Result) error {
 	f.known[resultID{r.Key, r.Seed}] = r
 	text, err := json.Marshal(r)
@@ -101,7 +101,7 @@
 	return err
 }
 
-// missing are the runs that the file does not hold.
+// missing returns the runs without a result.
 func (f *resultFile) missing(jobs []*Job) (todo []*Job) {
 	for _, j := range jobs {
 		if f.known[resultID{j.Key, j.Seed}] == nil {
@@ -111,7 +111,7 @@
 	return todo
 }
 
-// of are the results of a plan in its order.
+// of returns the results of a plan's runs, in their order.
 func (f *resultFile) of(jobs []*Job) (all []*Result) {
 	for _, j := range jobs {
 		if r := f.known[resultID{j.Key, j.Seed}]; r != nil {
--- a/lab/experiment/run.go
+++ b/lab/experiment/run.go
@@ -1,7 +1,7 @@
 package experiment
 
-// This file owns the order in which runs are played and the workers that play them. It must never play two runs on
-// sockets at once, nor let the order of results hang on which run ends first.
+// This file plays runs on workers. Runs on sockets must not be played concurrently, and the order of results must not depend
+// on which run ends first.
 
 import (
 	"context"
@@ -13,11 +13,11 @@
 type Options struct {
 	Cores    int
 	Out      string // the file of results
-	Self     string // this program, for engine two
+	Self     string // this program, for runs on sockets
 	Progress func(done, all int, left time.Duration, r *Result)
 }
 
-// Run plays what the file of results does not hold yet, and returns all results of the plan in its order.
+// Run plays the runs that have no result yet, and returns all results of the plan in its order.
 func Run(ctx context.Context, p *Plan, jobs []*Job, o Options) ([]*Result, error) {
 	file, err := openResults(o.Out)
 	if err != nil {
@@ -29,7 +29,7 @@
 	var failed error
 	for r := range playAll(ctx, p, todo, o) {
 		if ctx.Err() != nil {
-			continue // the workers are still to be heard to the end
+			continue // drain the channel until all workers have ended
 		}
 		count++
 		if err := file.add(r); err != nil && failed == nil {
@@ -49,11 +49,11 @@
 	return file.of(jobs), nil
 }
 
-// playAll plays runs on as many workers as there are cores to use. The channel ends when all workers have.
+// playAll plays runs on as many workers as there are cores to use. The channel is closed when all workers have ended.
 func playAll(ctx context.Context, p *Plan, todo []*Job, o Options) <-chan *Result {
 	workers := max(1, o.Cores)
 	if p.Engine == engineSockets {
-		workers = 1 // two at once would be late for each other
+		workers = 1 // two at once would delay each other
 	}
 	work, done := make(chan *Job), make(chan *Result)
 	var running sync.WaitGroup
@@ -73,7 +73,7 @@
 	return done
 }
 
-// handOut hands runs to whichever worker is free, until all are or the context ends.
+// handOut gives runs to free workers, until all are given out or ctx ends.
 func handOut(ctx context.Context, todo []*Job, work chan<- *Job) {
 	for _, j := range todo {
 		select {
--- a/lab/experiment/single.go
+++ b/lab/experiment/single.go
@@ -1,6 +1,6 @@
 package experiment
 
-// This file owns one run: which engine and which build play it. It must never keep anything of it.
+// This file plays a single run, with the engine and the build that it asks for.
 
 import (
 	"bytes"
@@ -28,12 +28,12 @@
 	Scenario *scenario.Scenario // whose trace is played; may be nil
 	Seed     uint64
 	Policy   string
-	Binary   string // another build; it plays simulated runs itself and is the sender on sockets
+	Binary   string // another build, which plays simulated runs itself and is the sender on sockets
 	Self     string
 	Logs     string
 }
 
-// RunOnce plays one run, whichever engine and build it takes.
+// RunOnce plays a run with the engine and the build that it asks for.
 func RunOnce(ctx context.Context, s RunSpec) (*referee.Verdict, error) {
 	switch {
 	case s.Engine == engineSockets:
@@ -44,7 +44,7 @@
 	return simulated(ctx, s)
 }
 
-// trace is the recorded load that takes the place of the spec's, nil where there is none.
+// trace is the recorded load that replaces the spec's, or nil.
 func (s *RunSpec) trace() []load.Arrival {
 	if s.Scenario == nil {
 		return nil
@@ -88,7 +88,7 @@
 	var said bytes.Buffer
 	cmd.Stderr = &said
 	out, err := cmd.Output()
-	// A broken rule is exit code 3 and has its verdict all the same.
+	// A run with a broken rule exits with code 3 and writes its verdict all the same.
 	if len(out) == 0 {
 		return nil, fmt.Errorf("%s: %w: %s", s.Binary, err, strings.TrimSpace(said.String()))
 	}
--- a/lab/hunt/draw.go
+++ b/lab/hunt/draw.go
@@ -1,7 +1,6 @@
 package hunt
 
-// This file owns the drawing of random scenarios. It must never draw one that its spec's check refuses, nor hang on
-// anything but the generator that it is handed.
+// This file draws random scenarios. Each must be valid, and depend on nothing but the given generator.
 
 import (
 	"fmt"
@@ -11,7 +10,7 @@
 	"flaxcove/lab/world"
 )
 
-// Kinds of fault that are drawn, in order of name.
+// Kinds of fault that are drawn, sorted by name.
 var endpointFaults, otherFaults = faultKinds()
 
 func faultKinds() (endpoints, others []string) {
@@ -35,7 +34,7 @@
 	spec  world.Spec
 }
 
-// Draw makes a random scenario. Its size follows from scale, about 1 for a handful of senders.
+// Draw returns a random scenario. Scale sets its size; 1 is a handful of senders.
 func Draw(rng *rand.Rand, scale float64) *world.Spec {
 	d := &drawer{rng: rng, scale: scale, spec: world.Base()}
 	d.spec.Name = "drawn"
@@ -58,19 +57,19 @@
 
 func (d *drawer) between(least, most float64) float64 { return least + (most-least)*d.rng.Float64() }
 
-// figure is between two values, to two places.
+// figure draws a value between two, rounded to two decimal places.
 func (d *drawer) figure(least, most float64) float64 { return round(d.between(least, most)) }
 
-// pair is a range that begins in one range and ends in another.
+// pair draws a range that begins in one range and ends in another.
 func (d *drawer) pair(low, high world.Pair) world.Pair {
 	from := d.figure(low[0], low[1])
 	return world.Pair{from, max(from, d.figure(high[0], high[1]))}
 }
 
-// chance is true with that probability.
+// chance is true with probability p.
 func (d *drawer) chance(p float64) bool { return d.rng.Float64() < p }
 
-// pick is one of several.
+// pick draws one of several values.
 func pick[T any](d *drawer, from ...T) T { return from[d.rng.IntN(len(from))] }
 
 // drawWorld draws the size of the world, its load and its rules.
@@ -138,7 +137,7 @@
 	return k
 }
 
-// drawLimit gives a third of all kinds a limit of their rate, a third one of calls in a span, the rest none.
+// drawLimit gives a third of all kinds a rate limit, a third a limit of calls per span, and the rest none.
 func (d *drawer) drawLimit(k *world.Kind) {
 	times := func() world.Pair { return d.pair(world.Pair{0.9, 1.5}, world.Pair{1.5, 3}) }
 	switch d.rng.IntN(3) {
@@ -173,7 +172,7 @@
 	return t
 }
 
-// drawEndpoints draws a fault of endpoints and which ones it strikes.
+// drawEndpoints draws a fault of endpoints and which ones it affects.
 func (d *drawer) drawEndpoints(t *world.Fault) {
 	t.Kind = pick(d, endpointFaults...)
 	t.Selector.Share = d.figure(0.1, 0.7)
@@ -194,5 +193,5 @@
 	}
 }
 
-// round rounds to two places.
+// round rounds to two decimal places.
 func round(v float64) float64 { return float64(int(v*100+0.5)) / 100 }
--- a/lab/hunt/hunt.go
+++ b/lab/hunt/hunt.go
@@ -1,8 +1,7 @@
-// Package hunt looks for scenarios on which a sender does badly, and makes them small.
+// Package hunt looks for scenarios on which a sender does badly, and shrinks them.
 //
-// It owns the drawing of random scenarios, the shrinking of a find and the form in which finds are kept. It plays runs
-// through a function that it is handed. It must never report a find that a second run of the same scenario and seed does
-// not show again, nor hang on anything but its seed.
+// It draws random scenarios (draw.go), shrinks those that show something (shrink.go) and stores them (saved.go). Runs are
+// played by a function that the caller gives. A find must show again in a second run of the same scenario and seed.
 package hunt
 
 import (
@@ -10,31 +9,31 @@
 	"flaxcove/lab/world"
 )
 
-// Find is a scenario that shows something, with what it shows.
+// Find says what a scenario shows.
 type Find struct {
-	Rule  referee.Rule `toml:"rule"` // the one that breaks; "" where the find is a gap
+	Rule  referee.Rule `toml:"rule"` // the rule that is broken; "" if the find is a gap
 	Seed  uint64       `toml:"seed"`
-	Gap   float64      `toml:"gap"` // by which the sender lies under the bound that sees all
+	Gap   float64      `toml:"gap"` // by which the sender's service is below that of the policy that sees the true state
 	Open  bool         `toml:"open"`
-	Cause string       `toml:"cause"` // once it is known
+	Cause string       `toml:"cause"` // if it is known
 }
 
-// Outcome is what a run of one scenario gave: the sender and the bound.
+// Outcome is the result of a run of one scenario.
 type Outcome struct {
 	Rules map[referee.Rule]int
 	Gap   float64
 }
 
-// Play plays a scenario with the sender, and with the bound where asked to.
+// Play plays a scenario with the sender, and also with the bound if asked to.
 type Play func(spec *world.Spec, seed uint64, bound bool) (Outcome, error)
 
 // Goal is what a hunt looks for.
 type Goal struct {
-	Rules bool    // a broken rule; else a gap
-	Least float64 // gap that counts
+	Rules bool    // broken rules only; else also a gap
+	Least float64 // smallest gap that counts
 }
 
-// Hit tells whether a run shows what is looked for, and which rule breaks first by name.
+// Hit reports whether a run shows what the hunt looks for, and the first broken rule in the order of reports.
 func (g Goal) Hit(p Outcome) (rule referee.Rule, hit bool) {
 	for _, r := range referee.Rules {
 		if p.Rules[r] > 0 {
--- a/lab/hunt/play.go
+++ b/lab/hunt/play.go
@@ -1,6 +1,6 @@
 package hunt
 
-// This file owns one run of a hunt in simulated time, and the gap to the bound that sees all. It must never keep anything of it.
+// This file plays a run of a hunt in simulated time and computes the gap to the policy that sees the true state.
 
 import (
 	"flaxcove/lab/baseline"
--- a/lab/hunt/saved.go
+++ b/lab/hunt/saved.go
@@ -1,6 +1,6 @@
 package hunt
 
-// This file owns the form in which finds are kept, and those that are replayed for good. It must never play one.
+// This file reads and writes files of finds, and holds those that the tests replay.
 
 import (
 	"bytes"
@@ -16,13 +16,13 @@
 	"flaxcove/lab/world"
 )
 
-// SavedFind is a find as its file holds it: the scenario with a table found.
+// SavedFind is a find as its file stores it: the scenario with a table found.
 type SavedFind struct {
 	Found Find `toml:"found"`
 	world.Spec
 }
 
-// Read reads a kept find.
+// Read reads a saved find.
 func Read(name string, text []byte) (*SavedFind, error) {
 	k := &SavedFind{Spec: world.Base()}
 	if err := tomlfile.Decode(name, text, k); err != nil {
@@ -35,7 +35,7 @@
 	return k, nil
 }
 
-// Save writes a find to a folder under its name.
+// Save writes a find to a file in a folder, named after the scenario, and returns its path.
 func Save(folder string, k *SavedFind) (string, error) {
 	var out bytes.Buffer
 	if err := toml.NewEncoder(&out).Encode(k); err != nil {
@@ -48,12 +48,12 @@
 	return path, os.WriteFile(path, out.Bytes(), 0o644)
 }
 
-// found holds the finds that are replayed in the tests for good.
+// found holds the finds that the tests replay.
 //
 //go:embed found/*.toml
 var found embed.FS
 
-// Found are those finds, in order of name.
+// Found returns the finds that the tests replay, sorted by name.
 func Found() (all []*SavedFind, err error) {
 	entries, err := found.ReadDir("found")
 	if err != nil {
--- a/lab/hunt/shrink.go
+++ b/lab/hunt/shrink.go
@@ -1,6 +1,6 @@
 package hunt
 
-// This file owns the shrinking of a find. It must never hand back one that shows less than what was found.
+// This file shrinks finds. A smaller one must show the same as the original.
 
 import (
 	"fmt"
@@ -9,10 +9,11 @@
 	"flaxcove/lab/world"
 )
 
-// leastGapShare is the share of its gap that a find may not lose while the scenario gets smaller.
+// leastGapShare is the share of its gap that a find must still have after shrinking.
 const leastGapShare = 0.7
 
-// Shrink takes away from a find as long as it still shows the same, and returns the smallest met within so many runs.
+// Shrink removes parts of a find's scenario as long as it still shows the same, and returns the smallest scenario found
+// within a number of runs.
 func Shrink(spec *world.Spec, seed uint64, goal Goal, play Play, runs int, say func(*world.Spec)) (*world.Spec, Outcome, error) {
 	found, err := play(spec, seed, !goal.Rules)
 	if err != nil {
@@ -48,8 +49,8 @@
 	return best, bestPlayed, nil
 }
 
-// firstSmaller is the first scenario a little smaller than one that still shows the find, nil if none does within the
-// runs that are left, which it counts down.
+// firstSmaller returns the first of the slightly smaller scenarios that still shows the find, or nil if none does within the
+// remaining runs. It counts runs down.
 func firstSmaller(s *world.Spec, runs *int, try func(*world.Spec) (Outcome, bool, error)) (*world.Spec, Outcome, error) {
 	for _, smaller := range smallerSpecs(s) {
 		if *runs--; *runs < 0 {
@@ -66,7 +67,7 @@
 	return nil, Outcome{}, nil
 }
 
-// candidates gathers changed copies of a scenario.
+// candidates collects changed copies of a scenario.
 type candidates struct {
 	of  *world.Spec
 	all []*world.Spec
@@ -82,7 +83,7 @@
 	s.all = append(s.all, &c)
 }
 
-// smallerSpecs are the scenarios a little smaller than one, those that take most away first.
+// smallerSpecs returns the scenarios that are slightly smaller than one, those with the most removed first.
 func smallerSpecs(of *world.Spec) []*world.Spec {
 	s := &candidates{of: of}
 	s.withoutFaults()
@@ -121,7 +122,7 @@
 	s.add(func(c *world.Spec) { c.Senders-- })
 }
 
-// withoutKinds leaves out a kind of partner, or a class.
+// withoutKinds removes a kind of partner, or a class.
 func (s *candidates) withoutKinds() {
 	if len(s.of.Partners) > 1 {
 		for i := range s.of.Partners {
@@ -135,7 +136,7 @@
 	}
 }
 
-// withSimplerKind takes one thing that is special away from a kind of partner.
+// withSimplerKind removes one special property of a kind of partner.
 func (s *candidates) withSimplerKind(no int) {
 	k := &s.of.Partners[no]
 	try := func(change func(*world.Kind)) {
@@ -158,7 +159,7 @@
 	}
 }
 
-// shorter ends the run soon after the last thing that happens in it.
+// shorter ends the run soon after its last fault or change.
 func (s *candidates) shorter() {
 	latest := 0.0
 	for _, t := range s.of.Faults {
--- a/lab/limits/limits.go
+++ b/lab/limits/limits.go
@@ -1,8 +1,8 @@
-// Package limits measures what the decisions make of refusals: from noise, which comes whatever the load, to limits that
-// many senders share and none is told.
+// Package limits measures how senders handle refusals: noise, which does not depend on the load, and rate limits that many
+// senders share and that are not announced.
 //
-// It owns the two grids and what is read off a run for them; runs are the first engine's, in simulated time. It judges
-// nothing by a sender's word: all figures come from the world's ledger. It must never hang on anything but its seed.
+// It plays two grids of runs in simulated time and computes their figures, all from the world's ledger. They depend on
+// nothing but the seed.
 package limits
 
 import (
@@ -15,44 +15,44 @@
 	"flaxcove/lab/world"
 )
 
-// Mode is a kind of noise: how calls fail whatever the load.
+// Mode is a kind of noise: how calls fail independently of the load.
 type Mode string
 
 // The kinds of noise. With a bad machine, one endpoint of four carries all of it; the others are well.
 const (
-	Chance Mode = "chance" // refused one by one
-	Bursts Mode = "bursts" // all refused for a share of each three seconds
-	Errors Mode = "errors" // failing calls in place of refusals
-	Resets Mode = "resets" // kept links that break
+	Chance Mode = "chance" // each call is refused by chance
+	Bursts Mode = "bursts" // all calls are refused for a share of each three seconds
+	Errors Mode = "errors" // calls fail in place of being refused
+	Resets Mode = "resets" // reused connections are reset
 	Bad    Mode = "bad machine"
 )
 
-// Modes are all of them.
+// Modes are all kinds of noise.
 var Modes = []Mode{Chance, Bursts, Errors, Resets, Bad}
 
-// NoisePoint is one run with noise: one sender, one destination with room for four times the load.
+// NoisePoint is one run with noise: one sender, one destination with capacity for four times the load.
 type NoisePoint struct {
 	Mode  Mode    `json:"mode"`
-	Rate  float64 `json:"rate"`  // messages a second that programs want delivered
-	Share float64 `json:"share"` // of calls that fail whatever the load; of all endpoints, where one is bad
+	Rate  float64 `json:"rate"`  // messages a second that clients want delivered
+	Share float64 `json:"share"` // of calls that fail independently of the load, over all endpoints
 
 	Asked       int     `json:"asked"`
-	Delivered   float64 `json:"delivered"`    // share of what was asked for
-	InTime      float64 `json:"in_time"`      // likewise, within the contract time
-	OfIdeal     float64 `json:"of_ideal"`     // delivered over asked x (1 - share), 1 at most
-	Calls       float64 `json:"calls"`        // for each message asked for
-	CallsMost   float64 `json:"calls_most"`   // 1 / (1 - share) and a tenth
+	Delivered   float64 `json:"delivered"`    // share of the messages requested
+	InTime      float64 `json:"in_time"`      // share delivered within the latency objective
+	OfIdeal     float64 `json:"of_ideal"`     // delivered / (requested x (1 - share)), 1 at most
+	Calls       float64 `json:"calls"`        // for each message requested
+	CallsMost   float64 `json:"calls_most"`   // 1.1 / (1 - share)
 	Single      float64 `json:"single"`       // share of single-use messages delivered
 	BrokenRules int     `json:"broken_rules"` // of all
 }
 
-// Passed tells whether a point is as it should be: nine tenths of the ideal with noise up to 6%, and never more calls than
-// the noise explains.
+// Passed reports whether a point is as required: at least nine tenths of the ideal with noise up to 6%, and never more calls
+// than the noise explains.
 func (p *NoisePoint) Passed() bool {
 	return p.BrokenRules == 0 && p.Calls <= p.CallsMost && (p.Share > 0.06 || p.OfIdeal >= 0.9)
 }
 
-// Options are what both grids are played with.
+// Options are the inputs of both grids.
 type Options struct {
 	Seed    uint64
 	Seconds float64
@@ -66,7 +66,7 @@
 	s.Classes = []world.Class{
 		{Name: "status", Repeat: world.Idempotent, Share: 1, LatencyObjectiveMS: 1000, DeadlineMS: 6000, Value: 1, LateValue: 0.1},
 		{Name: "order", Repeat: world.NonIdempotent, Share: 1, LatencyObjectiveMS: 2000, DeadlineMS: 8000, Value: 2, LateValue: 0.5}}
-	s.Clients.Retries = 0 // a message that is turned away counts as that
+	s.Clients.Retries = 0 // a message that is shed is not handed in again
 	return s
 }
 
@@ -90,7 +90,7 @@
 	case Resets:
 		t.Kind = "resets"
 	case Bad:
-		// Four endpoints; as long as all get alike, this is the share of all calls.
+		// Of four endpoints; with equal load on all, this is the share of all calls.
 		t.Kind, t.Amount = "refusing", min(1, 4*share)
 		t.Selector.Endpoint = 1
 		s.Partners[0].Endpoints = world.Pair{4, 4}
@@ -107,7 +107,7 @@
 	return &s, nil
 }
 
-// Noise plays one point.
+// Noise plays a run with noise.
 func Noise(o Options, mode Mode, rate, share float64) (*NoisePoint, error) {
 	spec, err := NoiseSpec(mode, rate, share, o.Seconds)
 	if err != nil {
@@ -134,30 +134,30 @@
 	return n
 }
 
-// SharePoint is one run of many senders at one destination whose limit none of them is told, under a third more than it
-// takes. The limit falls to a third after a third of the run and rises threefold after two thirds; one sender, which was
-// away, joins in the middle of the first part.
+// SharePoint is one run of many senders at one destination with a limit that is not announced, under a load a third above
+// it. The limit falls to a third after a third of the run and is back after two thirds; one sender, which was down, joins in
+// the middle of the first part.
 type SharePoint struct {
 	Senders  int     `json:"senders"`
-	Span     float64 `json:"span_s"`        // in which the limit counts; 0 for a plain rate
-	CountAll bool    `json:"count_refused"` // refused calls use it up too
+	Span     float64 `json:"span_s"`        // span that the limit counts calls in; 0 for a rate limit
+	CountAll bool    `json:"count_refused"` // refused calls count towards the limit too
 	Limit    float64 `json:"limit"`         // calls a second
 
 	Phases      []Phase `json:"phases"`
-	Jain        float64 `json:"jain"`      // of what senders got done over the last half of the first part
-	JainLuck    float64 `json:"jain_luck"` // what equal shares would show by chance alone
-	Joiner      float64 `json:"joiner"`    // what the one that joined got there, in times of the mean
+	Jain        float64 `json:"jain"`      // Jain's index of the senders' successful calls over the end of the first part
+	JainLuck    float64 `json:"jain_luck"` // the index that chance alone would give with equal shares
+	Joiner      float64 `json:"joiner"`    // successful calls of the sender that joined, as a multiple of the mean
 	BrokenRules int     `json:"broken_rules"`
 }
 
-// Phase is one part of such a run, with a limit of its own.
+// Phase is one part of such a run, with its own limit.
 type Phase struct {
 	Limit     float64 `json:"limit"`
-	Done      float64 `json:"done"`      // over the limit, once settled
+	Done      float64 `json:"done"`      // successful calls over the limit, once settled
 	Refused   float64 `json:"refused"`   // share of calls, once settled
-	Settled   float64 `json:"settled_s"` // seconds until done was near the limit and calls not far over; -1 for never
-	Overshoot float64 `json:"overshoot"` // most calls in a second after that, in times of the limit
-	Waves     float64 `json:"waves"`     // deviation of done in a second over its mean, once settled
+	Settled   float64 `json:"settled_s"` // seconds until successful calls were near the limit and calls not far above; -1 for never
+	Overshoot float64 `json:"overshoot"` // most calls in a second after that, over the limit
+	Waves     float64 `json:"waves"`     // standard deviation of successful calls a second over their mean, once settled
 }
 
 const (
@@ -189,7 +189,7 @@
 	return &s, nil
 }
 
-// Share plays one point.
+// Share plays a run with a shared limit.
 func Share(o Options, senders int, perSender, span float64, countAll bool) (*SharePoint, error) {
 	spec, err := ShareSpec(senders, perSender, span, countAll, o.Seconds)
 	if err != nil {
@@ -226,7 +226,7 @@
 	return p, nil
 }
 
-// phase reads one part off its seconds.
+// phase computes the figures of one part from its seconds.
 func phase(limit float64, done, refused []float64) Phase {
 	p := Phase{Limit: limit, Settled: -1}
 	for i := 2; i < len(done); i++ {
@@ -263,8 +263,8 @@
 	return p
 }
 
-// fairness is Jain's index of what senders got, what chance alone would leave of 1 where each call falls to any sender
-// alike, and what the last of them got in times of the mean.
+// fairness returns Jain's index of what senders got, the index that chance alone gives if each call falls to any sender with
+// the same probability, and what the last sender got as a multiple of the mean.
 func fairness(got []float64) (jain, luck, last float64) {
 	sum, square := 0.0, 0.0
 	for _, g := range got {
--- a/lab/world/limit.go
+++ b/lab/world/limit.go
@@ -23,8 +23,8 @@
 		if no := now / l.span; no != l.spanNo {
 			l.spanNo, l.used = no, 0
 		}
-		capacity := max(1, math.Floor(rate*float64(l.span)/float64(Second)))
-		if l.used+1 <= capacity {
+		allowed := max(1, math.Floor(rate*float64(l.span)/float64(Second)))
+		if l.used+1 <= allowed {
 			l.used++
 			return true, 0
 		}
--- a/lab/world/senderfault.go
+++ b/lab/world/senderfault.go
@@ -24,8 +24,8 @@
 			w.planOldList(s, from, to)
 		case "sender_roll":
 			// One after another, spread so that the last one is back by the end of the fault.
-			capacity := max(0, to-from-drainPeriod-restartDelay)
-			w.planRestart(s, from+capacity*Time(i)/Time(len(affected)))
+			slack := max(0, to-from-drainPeriod-restartDelay)
+			w.planRestart(s, from+slack*Time(i)/Time(len(affected)))
 		case "sender_pause":
 			w.act(from, s, Pause)
 			w.act(to, s, Continue)
