--- a/lab/cluster/judge/judge.go
+++ b/lab/cluster/judge/judge.go
@@ -20,12 +20,11 @@
 type Promise string
 
 const (
-	Fork     Promise = "fork"     // two plans of one epoch, an epoch that goes back in one incarnation, or two contents of a version
-	Purged   Promise = "purged"   // a call with a purged message left after the purge was reported complete
-	Untold   Promise = "untold"   // long after the last fault a purge was not reported complete or lapsed, or a change not decided
-	Parted   Promise = "parted"   // long after the last fault processes still disagreed
-	Older    Promise = "older"    // a process ran an older version of the settings after a newer one
-	Unending Promise = "unending" // a process that should serve did not answer
+	Fork   Promise = "fork"   // two plans of one epoch, an epoch that goes back in one incarnation, or two contents of a version
+	Purged Promise = "purged" // a call with a purged message left after the purge was reported complete
+	Untold Promise = "untold" // long after the last fault a purge was not reported complete or lapsed, or a change not decided
+	Parted Promise = "parted" // long after the last fault processes still disagreed
+	Older  Promise = "older"  // a process ran an older version of the settings after a newer one
 )
 
 // Breach is one breach of a promise.
--- a/lab/cluster/schedule/schedule_test.go
+++ b/lab/cluster/schedule/schedule_test.go
@@ -10,7 +10,7 @@
 
 var size = Size{Processes: 7, Zones: 3, Regions: 2, Seconds: 12, Rate: 60, Faults: 4, Purges: 2, Changes: 2}
 
-func TestDrawnSchedulesAreReadBackAlike(t *testing.T) {
+func TestDrawnSchedulesRoundTrip(t *testing.T) {
 	kinds := map[string]bool{}
 	for seed := range uint64(60) {
 		s := Draw(seed, size)
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestWhatIsWrongIsNamed(t *testing.T) {
+func TestCheckNamesInvalidFields(t *testing.T) {
 	_, err := Parse("bad.toml", []byte("processes = 3\n[[fault]]\nkind = \"earthquake\"\nat = 1\nfrom = [4]\n[[purge]]\nsubject = \"all\"\n[[change]]\nat = 11\nby = 9\n"))
 	for _, want := range []string{"bad.toml:3", "earthquake", "no process 4", "\"all\"", "no process 9", "11 does not lie"} {
 		if err == nil || !strings.Contains(err.Error(), want) {
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestShrinkingLeavesWhatMatters(t *testing.T) {
+func TestShrinkKeepsFailure(t *testing.T) {
 	s := &Schedule{Processes: 7, Faults: []Fault{{Kind: "late", From: []int{1}}, {Kind: "kill", From: []int{2, 3, 4}}, {Kind: "cut", From: []int{5}}},
 		Purges: []Purge{{By: 1}}, Changes: []Change{{By: 1}}}
 	small := Shrink(s, 1000, func(s *Schedule) bool {
--- a/lab/cluster/size/size_test.go
+++ b/lab/cluster/size/size_test.go
@@ -101,7 +101,7 @@
 }
 
 // One seed plays one run, whatever the order of maps: plans and their moments are hashed.
-func TestPlaysAlike(t *testing.T) {
+func TestSameSeedSameFigures(t *testing.T) {
 	o := Options{Case: Small(), Seed: 7, Mode: Together}
 	o.Spec.Seconds = 14 // into the outage
 	a, b := play(t, o), play(t, o)
--- a/lab/experiment/experiment_test.go
+++ b/lab/experiment/experiment_test.go
@@ -52,7 +52,7 @@
 
 // A plan that is cut off goes on where it stopped, also past a line that was not written whole, and ends as if it had
 // not been.
-func TestAPlanGoesOnWhereItStopped(t *testing.T) {
+func TestPlanResumesAfterInterruption(t *testing.T) {
 	dir := folder(t, plan)
 	out := filepath.Join(dir, "out.jsonl")
 	p, jobs, err := Load(filepath.Join(dir, "plan.toml"), scenario.Find)
--- a/lab/hunt/hunt_test.go
+++ b/lab/hunt/hunt_test.go
@@ -34,7 +34,7 @@
 }
 
 // A drawn scenario is always one that can be played.
-func TestDrawnScenariosAreRight(t *testing.T) {
+func TestDrawnScenariosAreValid(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 500 {
 		if p := Draw(rng, 0.5+rng.Float64()*10).Check(); p != nil {
--- a/lab/limits/limits_test.go
+++ b/lab/limits/limits_test.go
@@ -27,7 +27,7 @@
 
 // The grid tells a policy that does not hold: one try for each message loses what noise takes, and a policy that tries
 // again at once and always calls more than the noise explains.
-func TestNoiseTellsAPolicyThatDoesNotHold(t *testing.T) {
+func TestNoisePointFailsForOneTryPolicy(t *testing.T) {
 	p, err := Noise(Options{Seed: 3, Seconds: 30, Policy: baseline.Named("one_try")}, Chance, 100, 0.2)
 	if err != nil {
 		t.Fatal(err)
@@ -44,7 +44,7 @@
 }
 
 // Senders that share a limit settle near it in each part, follow it down and up, and are refused little for it.
-func TestSharedLimitIsFound(t *testing.T) {
+func TestSendersSettleAtSharedLimit(t *testing.T) {
 	for _, n := range []int{2, 8, 50} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			t.Parallel()
--- a/lab/referee/referee_test.go
+++ b/lab/referee/referee_test.go
@@ -149,7 +149,7 @@
 }
 
 // Each rule has a sender that breaks it, and is caught; the same sender with nothing wrong breaks none.
-func TestEachRuleCatchesASenderThatBreaksIt(t *testing.T) {
+func TestRulesDetectViolations(t *testing.T) {
 	if v := play(t, rough(), "not at all"); v.Broken() {
 		t.Fatalf("a sender that is right breaks %v: %v", v.Rules, v.Violations)
 	}
--- a/lab/report/report_test.go
+++ b/lab/report/report_test.go
@@ -12,7 +12,7 @@
 )
 
 // A page needs nothing from outside, and says what is void, broken or cannot be told.
-func TestPageStandsAlone(t *testing.T) {
+func TestPageIsSelfContained(t *testing.T) {
 	s, err := scenario.Find("crash", "")
 	if err != nil {
 		t.Fatal(err)
--- a/lab/scale/hollow/hollow_test.go
+++ b/lab/scale/hollow/hollow_test.go
@@ -39,7 +39,7 @@
 // TestDigest: a digest counts the messages of half a second, tells each listed place once in ten, and what waits.
 func TestDigest(t *testing.T) {
 	l := Load{Destinations: 1000, Zones: 8, Rate: 400, Down: 0.05, OutageS: 1e6, Ends: 2, Seed: 1}
-	s := newSeen(&l, 3, 1)
+	s := newObservations(&l, 3, 1)
 	sent, held, listed := uint64(0), 0, map[place]int{}
 	for range 10 {
 		for _, r := range s.digest(0, func(int) bool { return false }).Rows {
@@ -65,15 +65,15 @@
 	}
 }
 
-// TestKeepsWhatWasApplied: a member that was killed comes back with what it had applied, as a sender's journal tells. Without
+// TestAppliedSurvivesRestart: a member that was killed comes back with what it had applied, as a sender's journal tells. Without
 // it a purge that has lapsed meanwhile kept a fleet from agreeing for good.
-func TestKeepsWhatWasApplied(t *testing.T) {
+func TestAppliedSurvivesRestart(t *testing.T) {
 	load := &Load{Destinations: 4, Rate: 1, Zones: 1, Ends: 1}
 	clock := func() float64 { return 0 }
 	first := New(load, 0, 1, 0, clock, func(int) bool { return false })
-	answerBytes := make(chan uint64, 1)
-	first.Purge([]together.Purge{{Seq: 3}}, func(seq uint64, _ []together.Found) { answerBytes <- seq })
-	if seq := <-answerBytes; seq != 3 {
+	applied := make(chan uint64, 1)
+	first.Purge([]together.Purge{{Seq: 3}}, func(seq uint64, _ []together.Found) { applied <- seq })
+	if seq := <-applied; seq != 3 {
 		t.Fatalf("applied up to %d", seq)
 	}
 	if next := New(load, 0, 1, first.Applied(), clock, func(int) bool { return false }); next.Applied() != 3 {
--- a/lab/scale/hollow/load.go
+++ b/lab/scale/hollow/load.go
@@ -75,7 +75,7 @@
 	waiting map[choice.DestinationID]int // messages that wait for destinations that are down
 }
 
-func newSeen(load *Load, zone int, no uint64) *observations {
+func newObservations(load *Load, zone int, no uint64) *observations {
 	s := &observations{load: load, zone: zone, chance: rand.New(rand.NewPCG(load.Seed, no)), waiting: map[choice.DestinationID]int{}}
 	left := maxPlaces
 	for d := range load.Destinations {
--- a/lab/scale/hollow/sender.go
+++ b/lab/scale/hollow/sender.go
@@ -16,10 +16,10 @@
 
 // Sender stands in for a sender. Its methods may be called from any goroutine.
 type Sender struct {
-	clock   Clock
-	fallen  func(zone int) bool
-	seen    *observations
-	applied atomic.Uint64
+	clock    Clock
+	fallen   func(zone int) bool
+	observed *observations
+	applied  atomic.Uint64
 
 	mu         sync.Mutex
 	at         map[uint64]time.Time // when a purge was applied; a run orders a handful
@@ -30,7 +30,7 @@
 // New creates a sender in a zone. no distinguishes it from others; applied is the highest purge that an earlier incarnation
 // applied, which a sender has in its journal.
 func New(load *Load, zone int, no uint64, applied uint64, clock Clock, fallen func(zone int) bool) *Sender {
-	s := &Sender{clock: clock, fallen: fallen, seen: newSeen(load, zone, no), at: map[uint64]time.Time{}, configured: map[uint64]time.Time{}}
+	s := &Sender{clock: clock, fallen: fallen, observed: newObservations(load, zone, no), at: map[uint64]time.Time{}, configured: map[uint64]time.Time{}}
 	s.applied.Store(applied)
 	return s
 }
@@ -44,7 +44,7 @@
 		case <-ctx.Done():
 			return
 		case <-every.C:
-			to.Digest(s.seen.digest(s.clock(), s.fallen))
+			to.Digest(s.observed.digest(s.clock(), s.fallen))
 			to.Guide()
 		}
 	}
--- a/lab/scale/host/host.go
+++ b/lab/scale/host/host.go
@@ -31,13 +31,13 @@
 	fallen    atomic.Pointer[[]int]
 }
 
-// mostLine bounds an order or answer.
-const mostLine = 16 << 20
+// maxLine bounds an order or answer.
+const maxLine = 16 << 20
 
 // Main serves one parent: it reads a Spec and then orders, until the input ends.
 func Main(in io.Reader, out io.Writer) error {
 	lines := bufio.NewScanner(in)
-	lines.Buffer(nil, mostLine)
+	lines.Buffer(nil, maxLine)
 	if !lines.Scan() {
 		return fmt.Errorf("no spec: %w", lines.Err())
 	}
@@ -127,9 +127,9 @@
 		a.Applied = h.applied(order)
 	case Measure:
 		used := measure(false)
-		a.Used, a.Volumes = &used, map[int]MemberSaid{}
+		a.Used, a.Volumes = &used, map[int]MemberTraffic{}
 		for no, m := range h.members {
-			a.Volumes[no] = m.said()
+			a.Volumes[no] = m.traffic()
 		}
 	case Memory:
 		used := measure(true)
--- a/lab/scale/host/host_test.go
+++ b/lab/scale/host/host_test.go
@@ -29,7 +29,7 @@
 		t.Fatal(err)
 	}
 	lines := bufio.NewScanner(fromHost)
-	lines.Buffer(nil, mostLine)
+	lines.Buffer(nil, maxLine)
 	ask := func(o Order) (a Answer) {
 		t.Helper()
 		if err := say.Encode(o); err != nil {
--- a/lab/scale/host/member.go
+++ b/lab/scale/host/member.go
@@ -170,17 +170,17 @@
 	return m.running.sender.ConfiguredAt(order.Version)
 }
 
-func (m *member) said() MemberSaid {
+func (m *member) traffic() MemberTraffic {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.running == nil {
-		return MemberSaid{}
+		return MemberTraffic{}
 	}
-	return SaidOf(m.running.node.Status())
+	return TrafficOf(m.running.node.Status())
 }
 
-// SaidOf returns a member's traffic by its status.
-func SaidOf(s *status.Status) MemberSaid {
+// TrafficOf returns a member's traffic by its status.
+func TrafficOf(s *status.Status) MemberTraffic {
 	t := s.Traffic
-	return MemberSaid{In: t.In, Out: t.Out, Gossip: t.Gossip, Packets: t.Packets, Consensus: t.Consensus, Kinds: t.Kinds, Lost: s.Counts["digests_lost"]}
+	return MemberTraffic{In: t.In, Out: t.Out, Gossip: t.Gossip, Packets: t.Packets, Consensus: t.Consensus, Kinds: t.Kinds, Lost: s.Counts["digests_lost"]}
 }
--- a/lab/scale/host/orders.go
+++ b/lab/scale/host/orders.go
@@ -53,12 +53,12 @@
 
 // Answer is the answer to an Order.
 type Answer struct {
-	Error   string             `json:"error,omitempty"`
-	States  []MemberState      `json:"states,omitempty"`
-	Used    *Used              `json:"used,omitempty"`
-	Applied map[int]time.Time  `json:"applied,omitempty"` // by member, of those that have applied the purge or version
-	Volumes map[int]MemberSaid `json:"volumes,omitempty"` // by member
-	Heap    map[string]int64   `json:"heap,omitempty"`    // bytes by part of the program, by the sampled profile
+	Error   string                `json:"error,omitempty"`
+	States  []MemberState         `json:"states,omitempty"`
+	Used    *Used                 `json:"used,omitempty"`
+	Applied map[int]time.Time     `json:"applied,omitempty"` // by member, of those that have applied the purge or version
+	Volumes map[int]MemberTraffic `json:"volumes,omitempty"` // by member
+	Heap    map[string]int64      `json:"heap,omitempty"`    // bytes by part of the program, by the sampled profile
 }
 
 // MemberState is what a member sees, short enough to be polled often.
@@ -75,8 +75,8 @@
 	Away    []string   `json:"away,omitempty"`    // zones that the plan in force routes away from
 }
 
-// MemberSaid is a member's traffic since its start.
-type MemberSaid struct {
+// MemberTraffic is a member's traffic since its start.
+type MemberTraffic struct {
 	In        uint64                 `json:"in"`  // bytes over link and consensus
 	Out       uint64                 `json:"out"` // bytes over link, consensus and gossip
 	Gossip    uint64                 `json:"gossip"`
--- a/lab/scale/measure.go
+++ b/lab/scale/measure.go
@@ -98,21 +98,21 @@
 type reading struct {
 	at          time.Time
 	used        []host.Used
-	said        map[int]host.MemberSaid
+	traffic     map[int]host.MemberTraffic
 	cpuOf       map[int]time.Duration // of real members' processes
 	answerBytes map[int]int           // bytes of a real member's answer to this reading, which it counts only afterwards
 }
 
 func (r *run) read(ctx context.Context) (*reading, error) {
-	now := &reading{at: time.Now(), said: map[int]host.MemberSaid{}, cpuOf: map[int]time.Duration{}, answerBytes: map[int]int{}}
+	now := &reading{at: time.Now(), traffic: map[int]host.MemberTraffic{}, cpuOf: map[int]time.Duration{}, answerBytes: map[int]int{}}
 	answers, err := r.orderAllHosts(host.Order{Do: host.Measure})
 	if err != nil {
 		return nil, err
 	}
 	for _, a := range answers {
 		now.used = append(now.used, *a.Used)
-		for no, said := range a.Volumes {
-			now.said[no] = said
+		for no, traffic := range a.Volumes {
+			now.traffic[no] = traffic
 		}
 	}
 	for _, m := range r.realMembers {
@@ -120,7 +120,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("real member %d: %w", m.No, err)
 		}
-		now.said[m.No], now.cpuOf[m.No], now.answerBytes[m.No] = host.SaidOf(s), s.Traffic.CPU, length
+		now.traffic[m.No], now.cpuOf[m.No], now.answerBytes[m.No] = host.TrafficOf(s), s.Traffic.CPU, length
 	}
 	return now, nil
 }
@@ -136,9 +136,9 @@
 // bytesSince is the mean of what members have sent since an earlier reading, without those that were restarted.
 func (a *reading) bytesSince(before *reading) float64 {
 	sum, n := 0.0, 0
-	for no, said := range a.said {
-		if was := before.said[no]; said.Out >= was.Out && was.Out > 0 {
-			sum += float64(said.Out - was.Out)
+	for no, traffic := range a.traffic {
+		if was := before.traffic[no]; traffic.Out >= was.Out && was.Out > 0 {
+			sum += float64(traffic.Out - was.Out)
 			n++
 		}
 	}
@@ -191,9 +191,9 @@
 			continue
 		}
 		use.Members++
-		last := after.said[m.No]
+		last := after.traffic[m.No]
 		last.Out -= min(last.Out, uint64(before.answerBytes[m.No])) // to this run, not to members
-		use.add(before.said[m.No], last, span)
+		use.add(before.traffic[m.No], last, span)
 		if real {
 			use.CPU += (after.cpuOf[m.No] - before.cpuOf[m.No]).Seconds() / span
 			if pid := r.processOf(m.No); pid > 0 {
@@ -216,7 +216,7 @@
 	return use
 }
 
-func (u *RoleUse) add(before, after host.MemberSaid, span float64) {
+func (u *RoleUse) add(before, after host.MemberTraffic, span float64) {
 	rate := func(is, was uint64) float64 { return float64(is-min(is, was)) / span }
 	out := rate(after.Out, before.Out)
 	u.BytesOut += out
--- a/lab/scenario/scenario_test.go
+++ b/lab/scenario/scenario_test.go
@@ -65,7 +65,7 @@
 }
 
 // What is written can be read again and means the same.
-func TestWrittenScenariosAreReadBack(t *testing.T) {
+func TestScenariosRoundTrip(t *testing.T) {
 	s, err := Parse("s.toml", []byte(whole))
 	if err != nil {
 		t.Fatal(err)
@@ -89,7 +89,7 @@
 	})
 }
 
-func TestAllScenariosThatComeWithTheProgramAreRight(t *testing.T) {
+func TestLibraryScenariosAreValid(t *testing.T) {
 	for _, name := range Names() {
 		s, err := Find(name, "")
 		if err != nil {
--- a/lab/sim/fleet_test.go
+++ b/lab/sim/fleet_test.go
@@ -10,7 +10,7 @@
 
 // What sixty senders do alone adds up: in each of these the rules hold, and no less is served than is known to be
 // possible. The least figures lie a little under what both seeds give.
-func TestFleetsKeepRulesTogether(t *testing.T) {
+func TestLargeFleetsKeepRules(t *testing.T) {
 	for name, want := range map[string]struct {
 		figure float64
 		felt   func(v *referee.Verdict) bool
--- a/lab/sim/replay_test.go
+++ b/lab/sim/replay_test.go
@@ -53,7 +53,7 @@
 
 // A change that is not meant to change decisions leaves every call to the host as it was, with its time and its
 // arguments, over all senders and lives.
-func TestReplayedDaysAreTheSame(t *testing.T) {
+func TestDecisionsMatchRecordedRuns(t *testing.T) {
 	if runtime.GOARCH != "amd64" {
 		t.Skip("elsewhere products and sums may be rounded once, and decisions differ in the last digit")
 	}
--- a/lab/sim/sim_test.go
+++ b/lab/sim/sim_test.go
@@ -47,7 +47,7 @@
 	return string(text)
 }
 
-func TestCalmKeepsAllRulesAndDeliversNearlyAll(t *testing.T) {
+func TestNoFaultsKeepsRulesAndDeliversNearlyAll(t *testing.T) {
 	v := run(t, sim.Options{Spec: small(), Seed: 1})
 	if v.Broken() || v.Service < 0.98 || v.Asked < 800 {
 		t.Error(brief(v))
@@ -55,7 +55,7 @@
 }
 
 // One seed replays a whole run, with every fault there is in it.
-func TestOneSeedReplaysARun(t *testing.T) {
+func TestSameSeedReplaysRun(t *testing.T) {
 	spec := small()
 	spec.Seconds = 40
 	at := 1.0
@@ -138,7 +138,7 @@
 
 // A plan that bars half the endpoints of a partner to half the messages is kept by every call, and costs little; one that
 // bars nothing is as if there were none.
-func TestWhatAPlanBarsIsNotUsed(t *testing.T) {
+func TestAllowedIsRespected(t *testing.T) {
 	barred := func(n choice.MessageID, e choice.EndpointID) bool {
 		return n[7]&1 == 1 && e[len(e)-1]&1 == 0
 	}
@@ -168,7 +168,7 @@
 
 // What every policy sees is one world: the bound that sees the truth gets most, one try least, of those that keep the
 // rules.
-func TestBaselinesStandInTheOrderMeant(t *testing.T) {
+func TestBaselinesRankAsExpected(t *testing.T) {
 	spec := small()
 	spec.Seconds = 40
 	spec.Partners[0].ErrorShare, spec.Partners[1].ErrorShare = 0.05, 0.05
--- a/lab/world/events.go
+++ b/lab/world/events.go
@@ -52,8 +52,8 @@
 
 // At runs do at a time. The simulated engine schedules its senders' ticks and timers here too.
 func (w *World) At(at Time, do func()) {
-	w.eventN++
-	heap.Push(&w.events, event{max(at, w.now), w.eventN, do})
+	w.eventNo++
+	heap.Push(&w.events, event{max(at, w.now), w.eventNo, do})
 }
 
 // After runs do after a delay.
--- a/lab/world/world.go
+++ b/lab/world/world.go
@@ -106,16 +106,16 @@
 
 // World is everything outside the senders in one run. It belongs to one goroutine.
 type World struct {
-	Spec   *Spec
-	wire   Wire
-	ledger Ledger
-	seed   uint64
-	now    Time
-	end    Time
-	events events
-	eventN uint64
-	calls  CallNo
-	conns  int64
+	Spec    *Spec
+	wire    Wire
+	ledger  Ledger
+	seed    uint64
+	now     Time
+	end     Time
+	events  events
+	eventNo uint64
+	calls   CallNo
+	conns   int64
 
 	Partners     []*Partner
 	Endpoints    []*Endpoint
