--- a/lab/capacity/bench/bench.go
+++ b/lab/capacity/bench/bench.go
@@ -1,8 +1,7 @@
 // Package bench holds what the capacity benchmarks of all packages share: the sizes that they run and how heap is
 // measured.
 //
-// It owns no figure and no plan. It imports nothing of the program, so that the tests of any package may use it, and
-// must never be imported by what serves.
+// It imports nothing of the program, so that the tests of any package may use it. Code that serves must not import it.
 package bench
 
 import (
@@ -16,10 +15,10 @@
 // MostVariable names the environment variable that lifts the bound on sizes for the long runs of docs/CAPACITY.md.
 const MostVariable = "CAPACITY_MOST"
 
-// usualMost keeps a plain `go test -bench .` short and small.
+// usualMost keeps a plain `go test -bench .` short.
 const usualMost = 100_000
 
-// most is the largest size that is run.
+// most returns the largest size that is run.
 func most() int {
 	if n, err := strconv.Atoi(os.Getenv(MostVariable)); err == nil && n > 0 {
 		return n
@@ -37,7 +36,7 @@
 	}
 }
 
-// Heap is how many bytes of live heap build leaves behind in what it returns. Other goroutines should be at rest.
+// Heap returns the bytes of live heap that the result of build holds. Other goroutines should be idle.
 func Heap(build func() any) float64 {
 	before := live()
 	built := build()
@@ -47,7 +46,7 @@
 }
 
 func live() uint64 {
-	// Twice: what finalizers and pools hold on to goes with the second.
+	// Twice: the second collection frees what finalizers and pools still held.
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -55,7 +54,7 @@
 	return m.HeapAlloc
 }
 
-// Allocated is how many bytes of heap f allocates.
+// Allocated returns the bytes of heap that f allocates.
 func Allocated(f func()) float64 {
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
--- a/lab/capacity/capacity_test.go
+++ b/lab/capacity/capacity_test.go
@@ -78,7 +78,7 @@
 	}
 }
 
-// A figure is told with its product, and with the factor by which it lies beyond what was measured.
+// A figure is written with its product with the plan, and with the factor by which that lies beyond what was measured.
 func TestFigures(t *testing.T) {
 	s := read(t, raw)
 	all := Figures(s)
--- a/lab/capacity/fit.go
+++ b/lab/capacity/fit.go
@@ -7,7 +7,7 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// leastPoints is how many sizes a line needs before it tells more than the line through its ends.
+// leastPoints is the smallest number of sizes for a fit.
 const leastPoints = 3
 
 // Point is a figure measured at a size.
@@ -16,19 +16,19 @@
 	Value float64 `json:"value"`
 }
 
-// Fit is the line Fixed + Slope x size through points, and how far they lie off it.
+// Fit is the line Fixed + Slope x size through points, with the distance of the points from it.
 type Fit struct {
 	Fixed float64 `json:"fixed"`
 	Slope float64 `json:"slope"`
 	// Residual is the largest distance of a point from the line, as a share of the point.
 	Residual float64 `json:"residual"`
-	// Power is the exponent of the size over the upper half of the sizes: 1 where the figure grows as they do.
+	// Power is the exponent of the size over the upper half of the sizes: 1 for a figure that grows linearly.
 	Power   float64 `json:"power"`
 	Largest Point   `json:"largest"`
 }
 
-// Line fits points by least squares of the distances relative to each point: over three decades the absolute ones
-// would be those of the largest size alone.
+// Line fits points by least squares of the relative distances: over three decades, absolute distances would be dominated by
+// the largest size.
 func Line(points []Point) (Fit, error) {
 	if len(points) < leastPoints {
 		return Fit{}, errors.New("a line needs three sizes")
@@ -52,11 +52,11 @@
 	return f, nil
 }
 
-// At is the line's figure at a size.
+// At is the value of the line at a size.
 func (f Fit) At(size float64) float64 { return f.Fixed + f.Slope*size }
 
-// Planned is the figure of points at a size: between two measured ones the straight line between these, and beyond the
-// largest the last decade's slope carried on. Where a series is bent, that lies nearer than the line through all.
+// Planned is the figure at a size: interpolated between two measured sizes, and extrapolated with the slope of the last
+// decade beyond the largest. For a series that is not linear this is closer than the line through all points.
 func Planned(points []Point, size float64) float64 {
 	last := len(points) - 1
 	i := 1
@@ -68,7 +68,7 @@
 	return after.Value + slope*(size-after.Size)
 }
 
-// power is the slope of logarithms over the larger half of the points, two at least.
+// power is the slope of the logarithms over the upper half of the points, at least two.
 func power(points []Point) float64 {
 	upper := points[min(len(points)/2, len(points)-2):]
 	var x, y []float64
--- a/lab/capacity/parse.go
+++ b/lab/capacity/parse.go
@@ -12,7 +12,7 @@
 	"strings"
 )
 
-// Key names a series: one metric of one benchmark along its axis.
+// Key identifies a series: one metric of one benchmark along its axis.
 type Key struct {
 	Package   string // below the module
 	Benchmark string // without "Benchmark" or "BenchmarkCapacity"
@@ -20,7 +20,7 @@
 	Metric    string
 }
 
-// Samples are the values measured, by series and size.
+// Samples are the measured values, by series and size.
 type Samples map[Key]map[float64][]float64
 
 const modulePrefix = "flaxcove/"
@@ -31,7 +31,7 @@
 	gossiped = regexp.MustCompile(`(\d+) processes, each: ([\d.]+) B/s, ([\d.]+) packets/s .*, ([\d.]+)% of a core`)
 )
 
-// Read takes in what `go test -bench` or the traffic test printed. Lines of other kinds are passed over.
+// Read reads the output of `go test -bench` or of the traffic test. Other lines are ignored.
 func (s Samples) Read(from io.Reader) error {
 	lines, pkg := bufio.NewScanner(from), ""
 	for lines.Scan() {
@@ -88,8 +88,8 @@
 	return nil
 }
 
-// Points are a series by size. Of times the shortest counts, since all that a busy machine adds makes them longer; of
-// other metrics the median.
+// Points returns a series by size. For times it takes the shortest, since a busy machine only makes them longer; for other
+// metrics the median.
 func (s Samples) Points(k Key) []Point {
 	var points []Point
 	for _, size := range slices.Sorted(maps.Keys(s[k])) {
@@ -107,7 +107,7 @@
 	return metric == "ns/op" || strings.HasPrefix(metric, "ns/") || strings.HasSuffix(metric, "-ns")
 }
 
-// Keys are all series, in order.
+// Keys returns all series, sorted.
 func (s Samples) Keys() []Key {
 	return slices.SortedFunc(maps.Keys(s), func(a, b Key) int {
 		return cmp.Or(cmp.Compare(a.Package, b.Package), cmp.Compare(a.Benchmark, b.Benchmark), cmp.Compare(a.Axis, b.Axis),
--- a/lab/capacity/plan.go
+++ b/lab/capacity/plan.go
@@ -28,14 +28,14 @@
 	Places     = Destinations * EndsEach // an endpoint of a destination in a zone of its own
 )
 
-// Target is a size of the plan along an axis.
+// Target is the planned size along an axis.
 type Target struct {
 	Name string
 	Size float64
 }
 
-// targets are the sizes that a series is multiplied out to, by its axis. Axes that are not here are the plan's in no
-// way, and only their slopes are told.
+// targets are the sizes that a series is extrapolated to, by its axis. Axes that are not listed are not part of the plan;
+// only their slopes are reported.
 var targets = map[string]Target{
 	"destinations": {"destinations", Destinations},
 	"open":         {"open messages a sender", OpenEach},
--- a/lab/capacity/report.go
+++ b/lab/capacity/report.go
@@ -6,19 +6,19 @@
 	"strings"
 )
 
-// Figure is one series with its line and its product with the plan.
+// Figure is one series with its fit and the value at the planned size.
 type Figure struct {
 	Key
 	Points []Point `json:"points"`
 	Fit    Fit     `json:"fit"`
 	Target Target  `json:"target"`
-	// Planned is the figure at the target (func Planned); Beyond by how many times that lies over the largest size.
+	// Planned is the value at the target, see func Planned. Beyond is the target size over the largest measured size.
 	Planned float64 `json:"planned"`
 	Beyond  float64 `json:"beyond"`
 }
 
-// noLine are series whose figure is no line through sizes of the plan: a bound cuts them off, their axis means another
-// thing than the plan's, or another metric of the same benchmark tells it.
+// noLine are series without a figure at the planned size: a bound cuts them off, their axis is not the plan's, or another
+// metric of the same benchmark has the figure.
 var noLine = map[string]bool{
 	"DigestList rows": true, "Turn routes": true, "Turn wire-B": true, "Derive most-children": true,
 	"Told rows/s": true, "Told messages/s": true, "Told ns/op": true,
@@ -27,7 +27,7 @@
 	"Gossip wire-B/s": true, "Gossip packets/s": true,
 }
 
-// Figures are all series of at least three sizes along an axis of the plan.
+// Figures returns the figures of all series with at least three sizes along an axis of the plan.
 func Figures(s Samples) []Figure {
 	var all []Figure
 	for _, k := range s.Keys() {
@@ -43,7 +43,7 @@
 	return all
 }
 
-// Markdown is the table of figures, and below it the series that are no line or of no axis of the plan.
+// Markdown returns the table of figures, followed by the series without a figure at the planned size.
 func Markdown(s Samples) string {
 	var b strings.Builder
 	b.WriteString("| package, benchmark | metric | sizes: value | fixed + slope x size | residual | power | planned size | figure there | beyond measured |\n")
@@ -77,7 +77,7 @@
 	return strings.Join(all, ", ")
 }
 
-// short is a number to three digits with thousands as k, M, G, T.
+// short formats a number with three digits and the units k, M, G, T.
 func short(v float64) string {
 	for _, unit := range []struct {
 		over float64
--- a/lab/capacity/run/main.go
+++ b/lab/capacity/run/main.go
@@ -1,11 +1,11 @@
-// Command run makes the figures of docs/CAPACITY.md: it runs the capacity benchmarks of all packages, keeps their raw
-// output, and writes lines and products with the plan as JSON and Markdown.
+// Command run computes the figures of docs/CAPACITY.md: it runs the capacity benchmarks of all packages, stores their raw
+// output, and writes the fits and the values at the planned sizes as JSON and Markdown.
 //
 //	go run ./lab/capacity/run            # all packages, some ten minutes; two threads
 //	go run ./lab/capacity/run -only choice,internal/journal
 //	go run ./lab/capacity/run -read      # from the raw output as it is
 //
-// It must never touch raw output of a package that it did not run whole.
+// It must not change the raw output of a package whose benchmarks did not all run.
 package main
 
 import (
@@ -21,13 +21,13 @@
 	"flaxcove/lab/capacity/bench"
 )
 
-// packages are those with capacity benchmarks.
+// packages are the packages with capacity benchmarks.
 var packages = []string{"choice", "internal/sender", "internal/journal", "internal/directory", "internal/config", "internal/cluster",
 	"internal/cluster/healthreport", "internal/cluster/evidence", "internal/cluster/tree", "internal/cluster/failover/weigh", "internal/cluster/failover/plan",
 	"internal/cluster/configuration", "internal/cluster/configuration/spread"}
 
 const (
-	// threads bounds a run's share of the machine, the collector's included.
+	// threads bounds the processor time of a run, including the garbage collector's.
 	threads = "2"
 	timeOut = "40m"
 )
--- a/lab/cluster/judge/judge.go
+++ b/lab/cluster/judge/judge.go
@@ -149,7 +149,7 @@
 	}
 }
 
-// Accepted takes that a client was told that its message is accepted.
+// Accepted takes that a message was accepted.
 func (j *Judge) Accepted(n choice.MessageID, now choice.Time) { j.accepted[n] = now }
 
 // CallSent takes from the world's ledger that a call with a message left its sender.
@@ -202,7 +202,7 @@
 	return why
 }
 
-// End judges what was still open; apart is what Settled told last.
+// End judges what is still open at the end of a run and returns all breaches. Apart is the last result of Differences.
 func (j *Judge) End(apart []string) []Breach {
 	for _, what := range apart {
 		j.breach(Parted, "%s", what)
--- a/lab/cluster/play/measure_test.go
+++ b/lab/cluster/play/measure_test.go
@@ -24,7 +24,7 @@
 	measureTo   = 28 * choice.Second
 )
 
-// rates keeps the first and the last that each process told within the span.
+// rates keeps the first and the last status of each process within the measured span.
 type rates struct {
 	first, last map[view.Life]report
 }
@@ -32,7 +32,7 @@
 type report struct {
 	at      choice.Time
 	traffic status.Traffic
-	// Bytes of answers to our own questions, and of the last of them: a process counts one once it is told.
+	// Bytes of answers to our own polls, and of the last one, which the process counts only after sending it.
 	answers, lastAnswer int
 }
 
--- a/lab/cluster/play/play_test.go
+++ b/lab/cluster/play/play_test.go
@@ -87,7 +87,7 @@
 	if r.Fault != "" {
 		wrong = append(wrong, r.Fault)
 	}
-	// The referee's rules hang on the machine keeping time; on one that was too busy they say nothing.
+	// The referee's rules are meaningful only if the machine kept time; a run on one that was too busy is void.
 	if r.Void == "" && r.Broken() {
 		wrong = append(wrong, fmt.Sprintf("rules %v: %v", r.Rules, r.Result.Verdict.Violations))
 	}
@@ -97,7 +97,7 @@
 	return r, wrong
 }
 
-// timeline writes beside the logs what all told, one line each time.
+// timeline writes the statuses to a file beside the logs, one line for each poll.
 func timeline(t *testing.T, folder string, saw func(choice.Time, []*status.Status)) func(choice.Time, []*status.Status) {
 	err := os.MkdirAll(folder, 0o755)
 	var out *os.File
@@ -150,7 +150,7 @@
 		Purges: []schedule.Purge{{At: 5, By: 3, Subject: "notices", Destination: 1}}})
 }
 
-// Small processes let go of what they may not hold, whatever befalls the region's head; no rule is broken by it.
+// Small processes evict state beyond their bound, also while their region's coordinator fails, and no rule is broken.
 func TestSmall(t *testing.T) {
 	t.Parallel()
 	s := &schedule.Schedule{Name: "small-ones", Seed: 31, Processes: 6, Zones: 3, Regions: 1, Seconds: 20, Rate: 60, Small: []int{4, 5},
--- a/lab/referee/histogram.go
+++ b/lab/referee/histogram.go
@@ -1,7 +1,6 @@
 package referee
 
-// This file owns the units of the figures: tenths of a millisecond in histograms, seconds in text, lines of the timeline.
-// It must never judge.
+// This file converts units: tenths of a millisecond in histograms, seconds in text and in the timeline.
 
 import (
 	"math"
--- a/lab/referee/referee_test.go
+++ b/lab/referee/referee_test.go
@@ -179,7 +179,7 @@
 	}
 }
 
-// ledger is told what a world would tell, one thing at a time, to show how instants are read.
+// ledger reports events to a referee one at a time, to show how events of the same instant count.
 type ledger struct {
 	r       *referee.Referee
 	now     choice.Time
--- a/lab/report/report_test.go
+++ b/lab/report/report_test.go
@@ -11,7 +11,7 @@
 	"flaxcove/lab/sim"
 )
 
-// A page needs nothing from outside, and says what is void, broken or cannot be told.
+// A page is self-contained, and says what is void, broken or not significant.
 func TestPageIsSelfContained(t *testing.T) {
 	s, err := scenario.Find("crash", "")
 	if err != nil {
--- a/lab/scale/host/member.go
+++ b/lab/scale/host/member.go
@@ -115,7 +115,7 @@
 	l.stop()
 	l.work.Wait()
 	if err := l.node.Close(); err != nil {
-		m.host.log.Warn("a member ended with trouble", zap.Int("member", m.no), zap.Error(err))
+		m.host.log.Warn("member did not close cleanly", zap.Int("member", m.no), zap.Error(err))
 	}
 	return nil
 }
--- a/lab/scale/measure.go
+++ b/lab/scale/measure.go
@@ -33,8 +33,8 @@
 	Role      fleet.Role         `json:"role"`
 	Real      bool               `json:"real"`
 	Members   int                `json:"members"`
-	BytesOut  float64            `json:"bytes_out"` // link, council and gossip, heads of HTTP included
-	BytesIn   float64            `json:"bytes_in"`  // link and council
+	BytesOut  float64            `json:"bytes_out"` // link, consensus and gossip, including HTTP headers
+	BytesIn   float64            `json:"bytes_in"`  // link and consensus
 	MostOut   float64            `json:"most_bytes_out"`
 	Gossip    float64            `json:"gossip_bytes"`
 	Packets   float64            `json:"gossip_packets"`
--- a/lab/scale/scale_test.go
+++ b/lab/scale/scale_test.go
@@ -50,7 +50,7 @@
 		AgreeWithin: 4 * time.Minute, HostCommand: []string{binary, "lab", "scale"}, ServeCommand: []string{binary, "serve"}, Logs: os.Getenv("SCALE_LOGS"), Say: t.Logf}
 }
 
-// TestSmall plays a kill and a cut. Its verdict is that the fleet comes to agree; how long that takes is told alone.
+// TestSmall plays a kill and a cut. Its verdict is that the fleet agrees again; how long that takes is only logged.
 func TestSmall(t *testing.T) {
 	s, err := schedule.Parse("small.toml", []byte(`
 name = "small"
@@ -102,7 +102,7 @@
 	t.Log(page.String())
 }
 
-// TestSchedules reads all that come with the program.
+// TestSchedules reads all built-in schedules.
 func TestSchedules(t *testing.T) {
 	for _, name := range Schedules() {
 		s, err := FindSchedule(name)
@@ -121,7 +121,7 @@
 	}
 }
 
-// TestDiffer: each thing that members may see differently keeps them from agreeing.
+// TestDiffer checks that every kind of difference between members keeps them from agreeing.
 func TestDiffer(t *testing.T) {
 	alike := host.MemberState{Up: true, Here: 2, View: 7, Root: "a", Leader: "b", Epoch: 3, Purged: 4}
 	if why := differences([]host.MemberState{alike, alike}, 2, true); len(why) > 0 {
--- a/lab/scenario/library.go
+++ b/lab/scenario/library.go
@@ -1,6 +1,6 @@
 package scenario
 
-// This file owns the scenarios that come with the program, and how one is found by name. It must never read one in two ways.
+// This file has the built-in scenarios, and finds scenarios by name or path.
 
 import (
 	"embed"
@@ -11,12 +11,12 @@
 	"strings"
 )
 
-// library holds the scenarios that come with the program.
+// library holds the built-in scenarios.
 //
 //go:embed library/*.toml
 var library embed.FS
 
-// Names are those of the scenarios that come with the program, sorted.
+// Names returns the names of the built-in scenarios, sorted.
 func Names() (names []string) {
 	entries, err := library.ReadDir("library")
 	if err != nil {
@@ -29,8 +29,8 @@
 	return names
 }
 
-// Find reads a scenario by the path of its file, beside the file from where it stands there, or by the name of one that
-// comes with the program.
+// Find reads a scenario from a file, which is first looked for beside the file from, or returns the built-in one of that
+// name.
 func Find(name, from string) (*Scenario, error) {
 	if !strings.HasSuffix(name, ".toml") {
 		text, err := library.ReadFile("library/" + name + ".toml")
--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -1,7 +1,7 @@
 // Package scenario reads scenarios from TOML files and writes them.
 //
-// It owns which files make a scenario. What a field means and which values it may have belongs to lab/world, the messages
-// to internal/tomlfile. It must never run anything.
+// The meaning and the valid values of fields are lab/world's, error messages belong
+// to internal/tomlfile.
 package scenario
 
 import (
@@ -34,7 +34,7 @@
 	return Parse(path, text)
 }
 
-// Parse reads a scenario; name stands for it in messages, and its folder is where a trace is looked for.
+// Parse reads a scenario; name is the file's name in error messages, and a trace is looked for in its folder.
 func Parse(name string, text []byte) (*Scenario, error) {
 	spec := world.Base()
 	if err := tomlfile.Decode(name, text, &spec); err != nil {
@@ -87,7 +87,7 @@
 	return nil
 }
 
-// Write makes a file's text of a spec.
+// Write returns the text of a scenario file.
 func Write(spec *world.Spec) ([]byte, error) {
 	var out bytes.Buffer
 	e := toml.NewEncoder(&out)
--- a/lab/sim/fleet_test.go
+++ b/lab/sim/fleet_test.go
@@ -8,8 +8,8 @@
 	"flaxcove/lab/sim"
 )
 
-// What sixty senders do alone adds up: in each of these the rules hold, and no less is served than is known to be
-// possible. The least figures lie a little under what both seeds give.
+// Sixty senders, each by itself: in each scenario the rules hold and the figure reaches what is known to be possible. The
+// bounds are a little below the figures of both seeds.
 func TestLargeFleetsKeepRules(t *testing.T) {
 	for name, want := range map[string]struct {
 		figure float64
--- a/lab/sim/replay_test.go
+++ b/lab/sim/replay_test.go
@@ -20,7 +20,7 @@
 var update = flag.Bool("update", false, "write testdata/replay.json anew: only where decisions were meant to change")
 
 // days are replayed call by call. The last three have what no scenario has: notes, shares of accounts, route fees,
-// what an earlier life learnt, and messages that are withdrawn.
+// learned state of an earlier incarnation, and purged messages.
 var days = []struct {
 	name, scenario string
 	adjust         func(*choice.Settings)
@@ -52,7 +52,7 @@
 }
 
 // A change that is not meant to change decisions leaves every call to the host as it was, with its time and its
-// arguments, over all senders and lives.
+// arguments, over all senders and incarnations.
 func TestDecisionsMatchRecordedRuns(t *testing.T) {
 	if runtime.GOARCH != "amd64" {
 		t.Skip("elsewhere products and sums may be rounded once, and decisions differ in the last digit")
@@ -107,7 +107,7 @@
 	}
 }
 
-// record holds what all senders of a run ask of their hosts, in order.
+// record holds all calls of the senders of a run to their hosts, in order.
 type record struct {
 	sum   hash.Hash
 	calls int
@@ -116,14 +116,14 @@
 	live  map[choice.SenderID]*recorder
 }
 
-// recorder stands between one life of a sender and its host.
+// recorder stands between one incarnation of a sender and its host.
 type recorder struct {
 	choice.Host
 	*choice.Sender
 	r         *record
 	id        choice.SenderID
 	w         *world.World
-	withdrawn []choice.MessageID // in the turn that comes
+	withdrawn []choice.MessageID // at the next tick
 }
 
 func (r *record) start(h choice.Host, id choice.SenderID, seed int64, set choice.Settings, w *world.World) sim.Policy {
@@ -166,7 +166,7 @@
 	r.Host.CloseIdle(e)
 }
 
-// Tell carries a note to all others, 2 ms later.
+// Tell delivers a gossip datagram to all other senders, 2 ms later.
 func (r *recorder) Tell(note []byte) {
 	r.say("tell %x", note)
 	r.w.After(2*choice.Millisecond, func() {
--- a/lab/sim/sim_test.go
+++ b/lab/sim/sim_test.go
@@ -12,7 +12,7 @@
 	"flaxcove/lab/world"
 )
 
-// small is a world in which all is well.
+// small is a world without faults.
 func small() *world.Spec {
 	s := world.Base()
 	s.Name, s.Seconds, s.Senders, s.Zones = "small", 20, 3, 2
@@ -54,7 +54,7 @@
 	}
 }
 
-// One seed replays a whole run, with every fault there is in it.
+// The same seed replays a run exactly, with every kind of fault in it.
 func TestSameSeedReplaysRun(t *testing.T) {
 	spec := small()
 	spec.Seconds = 40
@@ -84,7 +84,7 @@
 	}
 }
 
-// Every fault is felt in the way it is meant: by what the world counts, not by what a sender says.
+// Every kind of fault has the intended effect, by what the world counts.
 func TestEachFaultHasEffect(t *testing.T) {
 	calm := run(t, sim.Options{Spec: small(), Seed: 2})
 	for kind, felt := range map[string]func(v *referee.Verdict) bool{
@@ -136,8 +136,8 @@
 	}
 }
 
-// A plan that bars half the endpoints of a partner to half the messages is kept by every call, and costs little; one that
-// bars nothing is as if there were none.
+// A plan that forbids half the endpoints of a partner to half the messages is respected by every call, and costs little. One
+// that forbids nothing changes nothing.
 func TestAllowedIsRespected(t *testing.T) {
 	barred := func(n choice.MessageID, e choice.EndpointID) bool {
 		return n[7]&1 == 1 && e[len(e)-1]&1 == 0
@@ -166,8 +166,7 @@
 	}
 }
 
-// What every policy sees is one world: the bound that sees the truth gets most, one try least, of those that keep the
-// rules.
+// All policies play in the same world: all_seen gets the highest figure and one_try the lowest of those that keep the rules.
 func TestBaselinesRankAsExpected(t *testing.T) {
 	spec := small()
 	spec.Seconds = 40
--- a/lab/world/world_test.go
+++ b/lab/world/world_test.go
@@ -138,7 +138,8 @@
 	// 140.9   answer on 2: 200, wait 0 ms, half false, spoilt false
 }
 
-// A crash resets what is open and refuses what is new; what comes back is cold, and falls over when it is pushed.
+// A crash resets open connections and refuses new ones. After it the endpoint is in slow start, and too much load takes it
+// down again.
 func ExampleWorld_crash() {
 	d := newPrintedWorld(func(s *Spec) {
 		s.Faults = []Fault{{Kind: "crash", At: 1, Seconds: 2}}
@@ -172,7 +173,7 @@
 	// down after 28 calls in 588 ms
 }
 
-// The list is told late and in order, to each sender; a silent one says nothing until it speaks again.
+// Updates of the list reach each sender late and in order. While discovery is silent nothing is sent; then the rest follows.
 func ExampleWorld_list() {
 	d := newPrintedWorld(func(s *Spec) {
 		s.Partners[0].Count = 2
--- a/lab/yardstick/yardstick.go
+++ b/lab/yardstick/yardstick.go
@@ -1,5 +1,5 @@
-// Package yardstick is a forwarder with nothing in it: no journal, no decisions, no repeats. The laboratory measures a
-// sender's own cost against it in one run. It keeps no rule and must never be deployed.
+// Package yardstick is a minimal forwarder: no journal, no decisions, no retries. The laboratory compares a sender's cost
+// with it. It keeps no rule and must not be deployed.
 package yardstick
 
 import (
@@ -36,7 +36,7 @@
 	addrs []string
 }
 
-// Forwarder answers every message at once and sends it on once.
+// Forwarder accepts every message at once and forwards it once.
 type Forwarder struct {
 	cfg          *config.Config
 	mu           sync.Mutex
@@ -165,7 +165,7 @@
 	}
 }
 
-// worker keeps one connection to one of the endpoints and sends what comes, once. What fails is handed back.
+// worker keeps one connection to one of the endpoints and forwards messages, each once. Those that fail are reported.
 func (f *Forwarder) worker(d *destination, no int) {
 	var conn net.Conn
 	buf := make([]byte, 16<<10)
@@ -206,7 +206,7 @@
 	}
 }
 
-// reportFailed tells the platform of what was not delivered.
+// reportFailed reports to the platform that a message was not delivered.
 func (f *Forwarder) reportFailed(n message) {
 	f.failed.Add(1)
 	line, _ := json.Marshal(map[string]string{"message": string(n.id), "outcome": "given_up"}) // strings always marshal
