--- a/cmd/flaxcove/lab_run.go
+++ b/cmd/flaxcove/lab_run.go
@@ -40,7 +40,7 @@
 	if run.Engine == engineSockets {
 		fmt.Fprintf(os.Stderr, "%s: %d senders, %.0f s and what is left after that\n", s.Spec.Name, s.Spec.Senders, s.Spec.Seconds)
 	}
-	verdict, err := experiment.Once(ctx, run)
+	verdict, err := experiment.RunOnce(ctx, run)
 	if err != nil {
 		return err
 	}
@@ -54,29 +54,29 @@
 }
 
 // singleRun is the run that the flags ask for.
-func singleRun(c *cli.Command, s *scenario.Scenario) (experiment.Single, error) {
+func singleRun(c *cli.Command, s *scenario.Scenario) (experiment.RunSpec, error) {
 	policy := c.String("policy")
 	if _, err := findPolicy(policy); err != nil {
-		return experiment.Single{}, err
+		return experiment.RunSpec{}, err
 	}
 	engine := c.String("engine")
 	if engine != engineSimulated && engine != engineSockets {
-		return experiment.Single{}, wrongInput(fmt.Errorf("--engine: %q is neither simulated nor sockets", engine))
+		return experiment.RunSpec{}, wrongInput(fmt.Errorf("--engine: %q is neither simulated nor sockets", engine))
 	}
 	self, err := os.Executable()
 	if err != nil {
-		return experiment.Single{}, err
+		return experiment.RunSpec{}, err
 	}
-	return experiment.Single{Engine: engine, Spec: s.Spec, Scenario: s, Seed: c.Uint64("seed"),
+	return experiment.RunSpec{Engine: engine, Spec: s.Spec, Scenario: s, Seed: c.Uint64("seed"),
 		Policy: policy, Binary: c.String("binary"), Self: self, Logs: c.String("logs")}, nil
 }
 
 // findPolicy is the policy that --policy names; nil, for the program's own, where it names none.
-func findPolicy(name string) (sim.Make, error) {
+func findPolicy(name string) (sim.NewPolicy, error) {
 	if name == "" {
 		return nil, nil
 	}
-	policy := baseline.Make(name)
+	policy := baseline.Named(name)
 	if policy == nil {
 		return nil, wrongInput(fmt.Errorf("--policy: no policy is called %q", name))
 	}
--- a/lab/cluster/judge/judge.go
+++ b/lab/cluster/judge/judge.go
@@ -1,8 +1,8 @@
-// Package judge says whether a cluster of processes kept its promises, from what was seen of it from outside.
+// Package judge checks whether a cluster of processes kept its promises, by what was observed from outside.
 //
-// It hears what each process told of itself, when purges were given and said to be complete, and, from the endpoints'
-// own ledger, when messages began to be delivered. It must never take a process's word for what an endpoint saw, look at
-// a clock, or hang on the order of a map. Times are the laboratory's.
+// Its inputs are the status of each process, when purges were ordered and reported complete, and, from the world's ledger,
+// when calls left. It must not rely on a process's word for what an endpoint saw, read a clock, or depend on the order of a
+// map. Times are the laboratory's.
 package judge
 
 import (
@@ -16,40 +16,39 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// Promise is one that may be broken.
+// Promise names a promise of the cluster that a run may break.
 type Promise string
 
 const (
-	Fork     Promise = "fork"     // two plans under one epoch, or an epoch that goes back in one life; two contents of a version
-	Purged   Promise = "purged"   // a message that was taken on before a purge began after it was told complete
-	Untold   Promise = "untold"   // long after all was well a purge was not complete, nor told lapsed, or a change not decided
-	Parted   Promise = "parted"   // processes still saw different things long after all was well again
-	Older    Promise = "older"    // a process ran an older version of the settings after a newer one
-	Unending Promise = "unending" // a process that should serve did not answer
+	Fork   Promise = "fork"   // two plans of one epoch, an epoch that goes back in one incarnation, or two contents of a version
+	Purged Promise = "purged" // a call with a purged message left after the purge was reported complete
+	Untold Promise = "untold" // long after the last fault a purge was not reported complete or lapsed, or a change not decided
+	Parted Promise = "parted" // long after the last fault processes still disagreed
+	Older  Promise = "older"  // a process ran an older version of the settings after a newer one
 )
 
-// Break is one breach.
-type Break struct {
+// Breach is one breach of a promise.
+type Breach struct {
 	Promise Promise
 	What    string
 }
 
-// Judge hears and judges. Not for more than one goroutine.
+// Judge collects observations and judges them. It belongs to one goroutine.
 type Judge struct {
-	sums   map[view.Epoch]uint32
-	last   map[view.Life]view.Epoch
-	purges []*purge
-	taken  map[choice.MessageID]choice.Time // of those that a purge may match; leaves with the run
-	breaks []Break
-	begun  int
-
-	versions map[uint64]configuration.Sum
-	ran      map[folder]uint64 // the newest version that was in force, by what it is kept in
-	changes  map[string]uint64 // by id, the version that each became; 0 until it is told
-	newest   uint64
+	sums     map[view.Epoch]uint32
+	last     map[view.Life]view.Epoch
+	purges   []*purge
+	accepted map[choice.MessageID]choice.Time // when; grows with the run
+	breaches []Breach
+	begun    int
+
+	versions  map[uint64]configuration.Sum
+	newestRun map[folder]uint64 // the newest version that was in force, by the folder it is stored in
+	changes   map[string]uint64 // by id, the version that each became; 0 until that is reported
+	newest    uint64
 }
 
-// folder is what a process keeps its version in: an emptied one is another.
+// folder identifies a process's folder. One that was emptied counts as another.
 type folder struct {
 	name view.Name
 	id   string
@@ -59,89 +58,90 @@
 	id       string
 	matches  func(message choice.MessageID) bool
 	opened   choice.Time
-	complete choice.Time // 0 until it is told
+	complete choice.Time // 0 until that is reported
 	lapsed   bool
 }
 
-// New judges one run.
+// New creates the judge of one run.
 func New() *Judge {
-	return &Judge{sums: map[view.Epoch]uint32{}, last: map[view.Life]view.Epoch{}, taken: map[choice.MessageID]choice.Time{},
-		versions: map[uint64]configuration.Sum{}, ran: map[folder]uint64{}, changes: map[string]uint64{}}
+	return &Judge{sums: map[view.Epoch]uint32{}, last: map[view.Life]view.Epoch{}, accepted: map[choice.MessageID]choice.Time{},
+		versions: map[uint64]configuration.Sum{}, newestRun: map[folder]uint64{}, changes: map[string]uint64{}}
 }
 
-func (j *Judge) broke(p Promise, format string, args ...any) {
-	if len(j.breaks) < 50 {
-		j.breaks = append(j.breaks, Break{p, fmt.Sprintf(format, args...)})
+func (j *Judge) breach(p Promise, format string, args ...any) {
+	if len(j.breaches) < 50 {
+		j.breaches = append(j.breaches, Breach{p, fmt.Sprintf(format, args...)})
 	}
 }
 
-// Saw hears what a process told of itself.
-func (j *Judge) Saw(s *status.Status) {
-	j.sawVersion(s)
+// Status takes the status that a process reported.
+func (j *Judge) Status(s *status.Status) {
+	j.judgeConfiguration(s)
 	if s.Epoch == 0 {
 		return
 	}
 	if sum, known := j.sums[s.Epoch]; !known {
 		j.sums[s.Epoch] = s.PlanSum
 	} else if sum != s.PlanSum {
-		j.broke(Fork, "%s has another plan of epoch %d", s.Self.Name, s.Epoch)
+		j.breach(Fork, "%s has another plan of epoch %d", s.Self.Name, s.Epoch)
 	}
 	if last := j.last[s.Self.Life]; s.Epoch < last {
-		j.broke(Fork, "%s went from epoch %d back to %d", s.Self.Name, last, s.Epoch)
+		j.breach(Fork, "%s went from epoch %d back to %d", s.Self.Name, last, s.Epoch)
 	}
 	j.last[s.Self.Life] = s.Epoch
 }
 
-// sawVersion holds what a process has in force against what was seen before.
-func (j *Judge) sawVersion(s *status.Status) {
+// judgeConfiguration compares the version that a process has in force with earlier ones.
+func (j *Judge) judgeConfiguration(s *status.Status) {
 	c := s.Configuration
 	if c == nil {
 		return
 	}
-	kept := folder{s.Self.Name, s.Self.Folder}
-	if c.Version < j.ran[kept] {
-		j.broke(Older, "%s runs version %d after %d", s.Self.Name, c.Version, j.ran[kept])
+	ranIn := folder{s.Self.Name, s.Self.Folder}
+	if c.Version < j.newestRun[ranIn] {
+		j.breach(Older, "%s runs version %d after %d", s.Self.Name, c.Version, j.newestRun[ranIn])
 	}
-	j.ran[kept] = max(j.ran[kept], c.Version)
+	j.newestRun[ranIn] = max(j.newestRun[ranIn], c.Version)
 	j.version(c.Version, c.Sum, string(s.Self.Name))
 }
 
-// version hears of a version's content.
+// version checks that a version has one content everywhere.
 func (j *Judge) version(version uint64, sum configuration.Sum, by string) {
 	if had, known := j.versions[version]; !known {
 		j.versions[version] = sum
 	} else if had != sum {
-		j.broke(Fork, "%s has other settings of version %d", by, version)
+		j.breach(Fork, "%s has other settings of version %d", by, version)
 	}
 }
 
-// Ordered hears that a change is about to be ordered.
-func (j *Judge) Ordered(id string) { j.changes[id] = 0 }
+// ChangeOrdered takes that a change is about to be ordered.
+func (j *Judge) ChangeOrdered(id string) { j.changes[id] = 0 }
 
-// Decided hears what version it was told to be. Two changes never are one.
-func (j *Judge) Decided(id string, version uint64, sum configuration.Sum) {
+// ChangeDecided takes the version that a change was reported to be. Two changes must not be the same version.
+func (j *Judge) ChangeDecided(id string, version uint64, sum configuration.Sum) {
 	for other, had := range j.changes {
 		if had == version && other != id {
-			j.broke(Fork, "%s and %s are both told to be version %d", id, other, version)
+			j.breach(Fork, "%s and %s are both told to be version %d", id, other, version)
 		}
 	}
 	j.changes[id], j.newest = version, max(j.newest, version)
 	j.version(version, sum, id)
 }
 
-// Newest is the highest version that was told to be decided.
+// Newest is the highest version that was reported as decided.
 func (j *Judge) Newest() uint64 { return j.newest }
 
-// Epochs is how many plans were seen.
+// Epochs is how many plans were observed.
 func (j *Judge) Epochs() int { return len(j.sums) }
 
-// Opened hears that a purge is about to be given: what was taken on before now is to be withdrawn.
-func (j *Judge) Opened(id string, now choice.Time, matches func(choice.MessageID) bool) {
+// PurgeOrdered takes that a purge is about to be ordered: matching messages that were accepted before now must not be sent
+// once it is complete.
+func (j *Judge) PurgeOrdered(id string, now choice.Time, matches func(choice.MessageID) bool) {
 	j.purges = append(j.purges, &purge{id: id, matches: matches, opened: now})
 }
 
-// Complete hears that it was told complete, or complete but for what lapsed.
-func (j *Judge) Complete(id string, now choice.Time, lapsed bool) {
+// PurgeComplete takes that a purge was reported complete, or complete except for what lapsed.
+func (j *Judge) PurgeComplete(id string, now choice.Time, lapsed bool) {
 	for _, p := range j.purges {
 		if p.id == id && p.complete == 0 {
 			p.complete, p.lapsed = now, lapsed
@@ -149,23 +149,23 @@
 	}
 }
 
-// Taken hears that a program was told that its message is taken on.
-func (j *Judge) Taken(n choice.MessageID, now choice.Time) { j.taken[n] = now }
+// Accepted takes that a message was accepted.
+func (j *Judge) Accepted(n choice.MessageID, now choice.Time) { j.accepted[n] = now }
 
-// Began hears of a call that left its sender with a message, by the endpoint's ledger.
-func (j *Judge) Began(n choice.MessageID, now choice.Time) {
+// CallSent takes from the world's ledger that a call with a message left its sender.
+func (j *Judge) CallSent(n choice.MessageID, now choice.Time) {
 	j.begun++
-	at, known := j.taken[n]
+	at, known := j.accepted[n]
 	for _, p := range j.purges {
 		if known && p.complete > 0 && now > p.complete && at < p.opened && p.matches(n) {
-			j.broke(Purged, "%s, taken on at %d, began at %d; %s was given at %d and complete at %d", n, at, now, p.id, p.opened, p.complete)
+			j.breach(Purged, "%s, taken on at %d, began at %d; %s was given at %d and complete at %d", n, at, now, p.id, p.opened, p.complete)
 		}
 	}
 }
 
-// Settled judges what all processes told last, once all faults are over and they had time. Missing are those that did
-// not answer. It tells what still differs.
-func Settled(all []*status.Status, want int, failover bool) (why []string) {
+// Differences returns what the processes still disagree about, by their latest statuses. Want is how many there should be;
+// those that did not answer are missing.
+func Differences(all []*status.Status, want int, failover bool) (why []string) {
 	if len(all) < want {
 		why = append(why, fmt.Sprintf("%d of %d processes answer", len(all), want))
 	}
@@ -202,20 +202,20 @@
 	return why
 }
 
-// End judges what was still open; apart is what Settled told last.
-func (j *Judge) End(apart []string) []Break {
+// End judges what is still open at the end of a run and returns all breaches. Apart is the last result of Differences.
+func (j *Judge) End(apart []string) []Breach {
 	for _, what := range apart {
-		j.broke(Parted, "%s", what)
+		j.breach(Parted, "%s", what)
 	}
 	for _, p := range j.purges {
 		if p.complete == 0 {
-			j.broke(Untold, "%s, given at %d", p.id, p.opened)
+			j.breach(Untold, "%s, given at %d", p.id, p.opened)
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(j.changes)) {
 		if j.changes[id] == 0 {
-			j.broke(Untold, "change %s was not told decided", id)
+			j.breach(Untold, "change %s was not told decided", id)
 		}
 	}
-	return slices.Clone(j.breaks)
+	return slices.Clone(j.breaches)
 }
--- a/lab/cluster/play/change.go
+++ b/lab/cluster/play/change.go
@@ -13,68 +13,80 @@
 	"flaxcove/lab/live"
 )
 
-// This file orders changes of the settings that all share, as an operator's tool would: upon what is the newest, again
-// under the same id where no answer came, and anew where another change came first.
+// This file orders changes of the shared settings, as an operator's tool would: based on the newest version, again under
+// the same id if no answer came, and anew if another change came first.
 
-const changeFor = 40 * time.Second
+const changeTimeout = 40 * time.Second
 
-// ChangeTold is what the one who ordered a change was told, by the run's clock in tenths of a millisecond.
-type ChangeTold struct {
+// ChangeReport says what became of a change that was ordered. Times are tenths of a millisecond of the run.
+type ChangeReport struct {
 	ID             string
 	Given, Decided choice.Time
-	InForce        choice.Time // when all were first seen to run it or a newer one; 0 for never
+	InForce        choice.Time // when all first reported it or a newer one in force; 0 for never
 	Version        uint64
-	Tries          int
+	Attempts       int
 }
 
-// order hands a change to a process, and to the next where that does not answer, until it is known to be decided.
-func (p *player) order(ctx context.Context, h *live.Hold, no int) {
-	change := &p.s.Changes[no]
-	told := &ChangeTold{ID: fmt.Sprintf("%s-change-%d", p.s.Name, no), Given: h.Now()}
-	p.judge.Ordered(told.ID)
-	p.changes = append(p.changes, told)
+// orderChange orders a change of the schedule and reports when it is decided.
+func (p *player) orderChange(ctx context.Context, run *live.RunControl, no int) {
+	report := &ChangeReport{ID: fmt.Sprintf("%s-change-%d", p.schedule.Name, no), Given: run.Now()}
+	p.judge.ChangeOrdered(report.ID)
+	p.changeReports = append(p.changeReports, report)
 	p.wg.Add(1)
 	go func() {
 		defer p.wg.Done()
-		by, began := change.By, time.Now()
-		base, known := uint64(0), false
-		version, sum := uint64(0), configuration.Sum("")
-		tries := 0
-		for ctx.Err() == nil && time.Since(began) < changeFor {
-			tries++
-			if !known {
-				base, known = p.newest(ctx, by)
-			}
-			code := 0
-			if known {
-				version, sum, code = p.post(ctx, by, told.ID, base, change.Back, no)
-			}
-			if version > 0 {
-				break
-			}
-			known = known && code != http.StatusConflict
-			if code/100 != 2 && code != http.StatusConflict {
-				by = (by + 1) % p.s.Processes
-			}
-			select {
-			case <-ctx.Done():
-			case <-time.After(purgeAgain):
-			}
-		}
+		began := time.Now()
+		decided, attempts := p.decideChange(ctx, report.ID, no, began)
 		took := time.Since(began)
-		h.Post(func() {
-			told.Tries, told.Version = tries, version
-			if version > 0 {
-				told.Decided = told.Given + tenths(took)
-				p.judge.Decided(told.ID, version, sum)
+		run.Post(func() {
+			report.Attempts, report.Version = attempts, decided.version
+			if decided.version > 0 {
+				report.Decided = report.Given + tenths(took)
+				p.judge.ChangeDecided(report.ID, decided.version, decided.sum)
 			}
-			p.open--
+			p.openOrders--
 		})
 	}()
 }
 
-// newest is the newest version as a process tells it.
-func (p *player) newest(ctx context.Context, by int) (uint64, bool) {
+// decidedChange is the version that a change became; version 0 for none.
+type decidedChange struct {
+	version uint64
+	sum     configuration.Sum
+}
+
+// decideChange hands a change to a process, and to the next one where that does not answer, until it is known to be
+// decided. Where another change came first, it is ordered anew upon the newest version.
+func (p *player) decideChange(ctx context.Context, id string, no int, began time.Time) (decided decidedChange, attempts int) {
+	change := &p.schedule.Changes[no]
+	by := change.By
+	base, known := uint64(0), false
+	for ctx.Err() == nil && time.Since(began) < changeTimeout {
+		attempts++
+		if !known {
+			base, known = p.newestVersion(ctx, by)
+		}
+		code := 0
+		if known {
+			decided.version, decided.sum, code = p.postChange(ctx, by, id, base, change.Back, no)
+		}
+		if decided.version > 0 {
+			break
+		}
+		known = known && code != http.StatusConflict
+		if code/100 != 2 && code != http.StatusConflict {
+			by = (by + 1) % p.schedule.Processes
+		}
+		select {
+		case <-ctx.Done():
+		case <-time.After(retryEvery):
+		}
+	}
+	return decided, attempts
+}
+
+// newestVersion is the newest version of the settings according to a process. It is false if no answer came.
+func (p *player) newestVersion(ctx context.Context, by int) (uint64, bool) {
 	var shown struct {
 		Version uint64 `json:"version"`
 	}
@@ -82,20 +94,20 @@
 	return shown.Version, code == http.StatusOK
 }
 
-// askShown asks the first process how far the newest version is.
-func (p *player) askShown(ctx context.Context, h *live.Hold) {
+// askShown asks the first process where the newest version is in force.
+func (p *player) askShown(ctx context.Context, h *live.RunControl) {
 	var shown versions.Shown
 	if p.ask(ctx, 0, "GET", "/v1/configuration", nil, &shown) == http.StatusOK {
 		h.Post(func() {
 			p.shown = shown
-			p.o.Shown(h.Now(), shown)
+			p.options.OnConfiguration(h.Now(), shown)
 		})
 	}
 }
 
-// post is one try: the time for which connections are kept is changed, which breaks no rule of the world.
-func (p *player) post(ctx context.Context, by int, id string, base uint64, back bool, no int) (uint64, configuration.Sum, int) {
-	path, body := "/v1/configuration", map[string]any{"id": id, "base": base, "who": "laboratory", "why": "schedule " + p.s.Name}
+// postChange makes one attempt to order a change. It changes how long idle connections are kept, which affects no rule.
+func (p *player) postChange(ctx context.Context, by int, id string, base uint64, back bool, no int) (uint64, configuration.Sum, int) {
+	path, body := "/v1/configuration", map[string]any{"id": id, "base": base, "who": "laboratory", "why": "schedule " + p.schedule.Name}
 	if back && base > 0 {
 		path = fmt.Sprintf("/v1/configuration/%d/restore", base-1)
 	} else {
@@ -116,14 +128,14 @@
 func (p *player) refusedChange(id, why string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.refused == "" {
-		p.refused = fmt.Sprintf("change %s was refused: %s", id, why)
+	if p.refusal == "" {
+		p.refusal = fmt.Sprintf("change %s was refused: %s", id, why)
 	}
 }
 
-// inForce notes which changes all run by now.
-func (p *player) inForce(now choice.Time, all []*status.Status) {
-	if len(all) < p.s.Processes {
+// noteInForce records which changes are in force at all processes by now.
+func (p *player) noteInForce(now choice.Time, all []*status.Status) {
+	if len(all) < p.schedule.Processes {
 		return
 	}
 	lowest := ^uint64(0)
@@ -132,14 +144,14 @@
 			lowest = min(lowest, s.Configuration.Version)
 		}
 	}
-	for _, c := range p.changes {
+	for _, c := range p.changeReports {
 		if c.Version > 0 && c.InForce == 0 && c.Version <= lowest {
 			c.InForce = now
 		}
 	}
 }
 
-// behind tells whether somebody does not run what was decided, or is shown so.
+// behind returns which processes do not run the newest settings, by their own statuses or by the first process's answer.
 func (p *player) behind(all []*status.Status) (why []string) {
 	for _, s := range all {
 		if c := s.Configuration; c != nil && c.Version < p.judge.Newest() {
@@ -147,7 +159,7 @@
 				s.Self.Name, c.Version, p.judge.Newest(), c.Refused, c.Why))
 		}
 	}
-	if s := p.shown; p.o.Shown != nil && (s.Version < p.judge.Newest() || s.State != versions.InForce || len(s.Laggards)+len(s.Away) > 0) {
+	if s := p.shown; p.options.OnConfiguration != nil && (s.Version < p.judge.Newest() || s.State != versions.InForce || len(s.Laggards)+len(s.Away) > 0) {
 		why = append(why, fmt.Sprintf("shown is version %d, %q, with laggards %v, away %v", s.Version, s.State, s.Laggards, s.Away))
 	}
 	return why
--- a/lab/cluster/play/watch.go
+++ b/lab/cluster/play/watch.go
@@ -20,79 +20,80 @@
 	"flaxcove/lab/world"
 )
 
-// This file asks the processes, from outside and past all relays, what they see.
+// This file polls the processes' statuses, from outside and past all relays.
 
 const (
-	askEvery  = 150 * time.Millisecond
-	askFor    = 700 * time.Millisecond
-	settleFor = 40 * time.Second // after the last fault, before what still differs is a break
+	askEvery      = 150 * time.Millisecond
+	askTimeout    = 700 * time.Millisecond
+	settleTimeout = 40 * time.Second // after the last fault, until a difference is a breach
 )
 
-// kind is what a purge is matched by, of what a process took on.
-type kind struct {
+// acceptedMessage holds what a purge may match of a message that a process has accepted.
+type acceptedMessage struct {
 	destination int
 	class       string
 	by          world.SenderNo
 	at          choice.Time
 }
 
+// player plays one schedule.
 type player struct {
-	o       Options
-	s       *schedule.Schedule
-	spec    *world.Spec
-	mesh    *mesh.Mesh
-	all     mesh.Options
-	folders []string
-	client  http.Client
-	wg      sync.WaitGroup
-	stop    context.CancelFunc
-
-	// What follows belongs to the world's goroutine.
-	judge     *judge.Judge
-	kinds     map[choice.MessageID]kind
-	emptied   map[world.SenderNo]choice.Time
-	told      []PurgeTold
-	last      []*status.Status
-	apart     []string
-	settled   bool
-	settledMS int64
-	open      int // purges that are not complete
-	falls     []Fall
-	changes   []*ChangeTold
-	shown     versions.Shown
-	now       choice.Time // when last was heard
+	options     Options
+	schedule    *schedule.Schedule
+	spec        *world.Spec
+	mesh        *mesh.Mesh
+	meshOptions mesh.Options
+	folders     []string
+	client      http.Client
+	wg          sync.WaitGroup
+	stop        context.CancelFunc
+
+	// The fields up to mu belong to the world's goroutine.
+	judge         *judge.Judge
+	accepted      map[choice.MessageID]acceptedMessage
+	emptied       map[world.SenderNo]choice.Time
+	purgeReports  []PurgeReport
+	lastStatuses  []*status.Status
+	differences   []string
+	settled       bool
+	settledMS     int64
+	openOrders    int // purges and changes in progress
+	falls         []Fall
+	changeReports []*ChangeReport
+	shown         versions.Shown
+	now           choice.Time // of the last poll
 
 	mu      sync.Mutex
 	leader  string
-	refused string // a change that was, and why
+	refusal string // which change was refused, and why
 }
 
-// ear hears the ledger before the referee does.
-type ear struct {
+// ledgerTap passes the world's events on to the referee and to the judge.
+type ledgerTap struct {
 	world.Ledger
-	p *player
+	player *player
 }
 
-func (e *ear) Heard(h *world.HandIn, what world.Heard) {
-	if what == world.HeardOK {
-		e.p.kinds[h.ID] = kind{int(h.Ask.Partner), h.Ask.Class.Name, h.Sender, h.At}
-		e.p.judge.Taken(h.ID, h.At)
+func (e *ledgerTap) HandInAnswered(h *world.HandIn, what world.HandInAnswer) {
+	if what == world.HandInAccepted {
+		e.player.accepted[h.ID] = acceptedMessage{int(h.Request.Partner), h.Request.Class.Name, h.Sender, h.At}
+		e.player.judge.Accepted(h.ID, h.At)
 	}
-	e.Ledger.Heard(h, what)
+	e.Ledger.HandInAnswered(h, what)
 }
 
-func (e *ear) Began(c *world.Call) {
+func (e *ledgerTap) CallSent(c *world.Call) {
 	for _, h := range c.Messages {
-		e.p.judge.Began(h.ID, c.SentAt)
+		e.player.judge.CallSent(h.ID, c.SentAt)
 	}
-	e.Ledger.Began(c)
+	e.Ledger.CallSent(c)
 }
 
-// ready waits until all know who leads the council.
-func (p *player) ready(ctx context.Context) {
-	for p.mesh != nil && !p.s.AtOnce && ctx.Err() == nil {
+// awaitLeader waits until all processes know the leader of the consensus group.
+func (p *player) awaitLeader(ctx context.Context) {
+	for p.mesh != nil && !p.schedule.AtOnce && ctx.Err() == nil {
 		all := p.askAll(ctx)
-		if len(all) == p.s.Processes && !slices.ContainsFunc(all, func(s *status.Status) bool { return s.Leader == "" }) {
+		if len(all) == p.schedule.Processes && !slices.ContainsFunc(all, func(s *status.Status) bool { return s.Leader == "" }) {
 			return
 		}
 		select {
@@ -102,30 +103,33 @@
 	}
 }
 
-func (p *player) begun(h *live.Hold) {
-	p.spec, p.falls = h.World().Spec, fallsOf(p.s)
+// onBegin schedules the faults, changes and purges, and begins to poll the processes.
+func (p *player) onBegin(h *live.RunControl) {
+	p.spec, p.falls = h.World().Spec, fallsOf(p.schedule)
 	if p.mesh == nil {
 		return
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	p.stop = stop
-	p.plan(h)
+	p.planFaults(h)
 	p.wg.Add(1)
 	go p.watch(ctx, h)
-	for i := range p.s.Changes {
-		p.open++
-		h.After(seconds(p.s.Changes[i].At), func() { p.order(ctx, h, i) })
+	for i := range p.schedule.Changes {
+		p.openOrders++
+		h.After(seconds(p.schedule.Changes[i].At), func() { p.orderChange(ctx, h, i) })
 	}
-	for i := range p.s.Purges {
-		p.open++
-		h.After(seconds(p.s.Purges[i].At), func() { p.give(ctx, h, i) })
+	for i := range p.schedule.Purges {
+		p.openOrders++
+		h.After(seconds(p.schedule.Purges[i].At), func() { p.orderPurge(ctx, h, i) })
 	}
 }
 
-func (p *player) busy() bool {
-	return p.mesh != nil && (!p.settled || p.open > 0 || p.awaitsNear()) && p.apart == nil
+// keepRunning reports whether the run has to go on past its end: until all agree and all orders have ended.
+func (p *player) keepRunning() bool {
+	return p.mesh != nil && (!p.settled || p.openOrders > 0 || p.awaitsNear()) && p.differences == nil
 }
 
+// wait stops polling and waits for all goroutines.
 func (p *player) wait() {
 	if p.stop != nil {
 		p.stop()
@@ -134,24 +138,25 @@
 	p.client.CloseIdleConnections()
 }
 
-// watch asks all processes again and again.
-func (p *player) watch(ctx context.Context, h *live.Hold) {
+// watch polls all processes until ctx ends.
+func (p *player) watch(ctx context.Context, h *live.RunControl) {
 	defer p.wg.Done()
 	for ctx.Err() == nil {
 		all := p.askAll(ctx)
-		h.Post(func() { p.saw(h, all) })
-		if p.o.Shown != nil {
+		h.Post(func() { p.judgeStatuses(h, all) })
+		if p.options.OnConfiguration != nil {
 			p.askShown(ctx, h)
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(cmp.Or(p.o.Every, askEvery)):
+		case <-time.After(cmp.Or(p.options.Every, askEvery)):
 		}
 	}
 }
 
+// askAll polls all processes concurrently and returns the statuses of those that answered.
 func (p *player) askAll(ctx context.Context) (all []*status.Status) {
-	answers := make([]*status.Status, p.s.Processes)
+	answers := make([]*status.Status, p.schedule.Processes)
 	var wg sync.WaitGroup
 	for i := range answers {
 		wg.Add(1)
@@ -172,9 +177,9 @@
 	return all
 }
 
-// ask is one call to a process's own listener; 0 where no answer came.
+// ask makes one request to a process's own listener. It returns the status, or 0 if no answer came.
 func (p *player) ask(ctx context.Context, i int, method, path string, in, out any) int {
-	ctx, cancel := context.WithTimeout(ctx, askFor)
+	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
 	body, _ := json.Marshal(in)
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+p.mesh.HTTP(i)+path, bytes.NewReader(body))
@@ -193,11 +198,11 @@
 	return resp.StatusCode
 }
 
-// saw judges what was told; on the world's goroutine.
-func (p *player) saw(h *live.Hold, all []*status.Status) {
+// judgeStatuses judges the statuses of a poll. It runs on the world's goroutine.
+func (p *player) judgeStatuses(h *live.RunControl, all []*status.Status) {
 	votes := map[string]int{}
 	for _, s := range all {
-		p.judge.Saw(s)
+		p.judge.Status(s)
 		votes[string(s.Leader)]++
 	}
 	p.mu.Lock()
@@ -207,29 +212,29 @@
 		}
 	}
 	p.mu.Unlock()
-	p.last = all
+	p.lastStatuses = all
 	p.now = h.Now()
-	p.fell(p.now, all)
-	p.inForce(p.now, all)
-	if p.o.Saw != nil {
-		p.o.Saw(h.Now(), all)
+	p.measureFalls(p.now, all)
+	p.noteInForce(p.now, all)
+	if p.options.OnStatuses != nil {
+		p.options.OnStatuses(h.Now(), all)
 	}
-	healed := seconds(p.s.Healed())
+	healed := seconds(p.schedule.LastFaultEnd())
 	if h.Now() <= healed || p.settled && len(p.behind(all)) == 0 {
 		return
 	}
-	p.settled = false // a change that was decided later is awaited, too
-	why := append(judge.Settled(all, p.s.Processes, p.uses("failover")), p.behind(all)...)
-	late := h.Now()-healed > choice.Time(settleFor/(100*time.Microsecond))
+	p.settled = false // also for a change that was decided meanwhile
+	why := append(judge.Differences(all, p.schedule.Processes, p.uses("failover")), p.behind(all)...)
+	late := h.Now()-healed > choice.Time(settleTimeout/(100*time.Microsecond))
 	if len(why) == 0 {
 		p.settled, p.settledMS = true, int64((h.Now()-healed)/choice.Millisecond)
 	} else if late {
-		p.apart = why
+		p.differences = why
 	}
 }
 
 func (p *player) uses(what string) bool {
-	for _, use := range p.o.Uses {
+	for _, use := range p.options.Uses {
 		if use == what {
 			return true
 		}
--- a/lab/cluster/rate/change.go
+++ b/lab/cluster/rate/change.go
@@ -1,8 +1,7 @@
 package rate
 
-// This file orders changes of the settings, as an operator's tool would, at one of the members that are not measured.
-// It must never order one before the last is in force
-// everywhere.
+// This file changes the settings, as an operator's tool would, at one of the members that are not measured. Each change
+// must be in force everywhere before the next one is ordered.
 
 import (
 	"bytes"
@@ -16,23 +15,23 @@
 )
 
 const (
-	orderWithin = 16 * time.Second
-	// linksKept is the setting that is changed, a little each time: how long a link without calls is kept.
-	linksKept     = 10 * time.Second
-	linksKeptStep = time.Millisecond
+	changeTimeout = 16 * time.Second
+	// connIdle is the setting that is changed, by connIdleStep each time: how long an idle connection is kept.
+	connIdle     = 10 * time.Second
+	connIdleStep = time.Millisecond
 )
 
-// orders hands in one change after the other until its end.
-type orders struct {
+// changeLoop orders one change after the other until it is stopped.
+type changeLoop struct {
 	stop    context.CancelFunc
 	done    chan struct{}
 	inForce int
 	err     error
 }
 
-func startOrders(ctx context.Context, o Options, s *senders) *orders {
+func startChangeLoop(ctx context.Context, o Options, s *senders) *changeLoop {
 	ordering, stop := context.WithCancel(ctx)
-	all := &orders{stop: stop, done: make(chan struct{})}
+	all := &changeLoop{stop: stop, done: make(chan struct{})}
 	if s.mesh == nil || o.Plain || o.Every == 0 {
 		close(all.done)
 		return all
@@ -54,20 +53,20 @@
 	return all
 }
 
-// end orders no more, waits for the one under way, and tells how many changes came into force, and why one did not.
-func (all *orders) end() (inForce int, err error) {
+// end stops the loop and waits for the change in progress. It returns how many changes came into force, and why one did not.
+func (all *changeLoop) end() (inForce int, err error) {
 	all.stop()
 	<-all.done
 	return all.inForce, all.err
 }
 
-// change orders one upon a version and waits until it is in force in all processes.
+// change orders a change based on a version and waits until it is in force in all processes.
 func change(ctx context.Context, address string, base uint64) (version uint64, err error) {
-	ctx, stop := context.WithTimeout(ctx, orderWithin)
+	ctx, stop := context.WithTimeout(ctx, changeTimeout)
 	defer stop()
-	kept := linksKept + time.Duration(base+1)*linksKeptStep
+	idle := connIdle + time.Duration(base+1)*connIdleStep
 	body, err := json.Marshal(map[string]any{"id": fmt.Sprintf("rate-%d", base), "base": base, "who": "laboratory", "why": "rate",
-		"patch": map[string]any{"bounds": map[string]any{"connIdle": kept}}})
+		"patch": map[string]any{"bounds": map[string]any{"connIdle": idle}}})
 	if err != nil {
 		return 0, err
 	}
@@ -81,16 +80,16 @@
 		return 0, err
 	}
 	defer answer.Body.Close()
-	var told struct {
+	var changed struct {
 		Version uint64         `json:"version"`
 		State   versions.State `json:"state"`
 		Error   string         `json:"error"`
 	}
-	if err := json.NewDecoder(answer.Body).Decode(&told); err != nil {
+	if err := json.NewDecoder(answer.Body).Decode(&changed); err != nil {
 		return 0, err
 	}
-	if answer.StatusCode != http.StatusOK || told.State != versions.InForce {
-		return 0, fmt.Errorf("a change upon version %d: status %d, state %q, %s", base, answer.StatusCode, told.State, told.Error)
+	if answer.StatusCode != http.StatusOK || changed.State != versions.InForce {
+		return 0, fmt.Errorf("a change upon version %d: status %d, state %q, %s", base, answer.StatusCode, changed.State, changed.Error)
 	}
-	return told.Version, nil
+	return changed.Version, nil
 }
--- a/lab/cluster/rate/client.go
+++ b/lab/cluster/rate/client.go
@@ -1,7 +1,6 @@
 package rate
 
-// This file owns the client: it hands in the next message once one before is over, whatever became of it. It must never
-// hand in at a rate of its own.
+// This file plays the client: it hands the next message in once an earlier one has ended, so that the sender sets the rate.
 
 import (
 	"bufio"
@@ -15,21 +14,21 @@
 )
 
 const (
-	window    = 500 // messages under way
+	window    = 500 // messages in progress
 	bodyBytes = 200
-	// windowWait is how long the client waits where the window is full.
+	// windowWait is how long the client waits if the window is full.
 	windowWait = 500 * time.Microsecond
 )
 
-// client is one connection that hands in until it is closed.
+// client is one connection that hands messages in until it is closed.
 type client struct {
 	connection net.Conn
-	out        *outside
+	out        *environment
 	stop       chan struct{}
 	running    sync.WaitGroup
 }
 
-func handIn(address string, out *outside) (*client, error) {
+func handIn(address string, out *environment) (*client, error) {
 	connection, err := net.Dial("tcp", address)
 	if err != nil {
 		return nil, err
@@ -46,7 +45,7 @@
 	c.running.Wait()
 }
 
-// read counts the messages that the sender did not take on.
+// read counts the messages that the sender did not accept.
 func (c *client) read() {
 	for lines := bufio.NewScanner(c.connection); lines.Scan(); {
 		if strings.HasPrefix(lines.Text(), "-") {
@@ -58,9 +57,9 @@
 func (c *client) write() {
 	body := []byte(strings.Repeat("x", bodyBytes))
 	for sent := int64(0); ; {
-		// A message that is delivered twice counts as two that are over; no more than a window goes at once for that.
-		room := min(window, window-(sent-c.out.counts().over()))
-		if room <= 0 {
+		// A message that is delivered twice counts as two that have ended; hence the bound of one window at a time.
+		available := min(window, window-(sent-c.out.counts().over()))
+		if available <= 0 {
 			select {
 			case <-time.After(windowWait):
 				continue
@@ -69,7 +68,7 @@
 			}
 		}
 		var commands []byte
-		for range room {
+		for range available {
 			commands = resp.AppendCommand(commands, []byte("OUT.ADD"), []byte("0"), fmt.Appendf(nil, "message-%012d", sent),
 				fmt.Appendf(nil, "c=%s,d=60000,dest=%d", class, sent%destinations), body)
 			sent++
--- a/lab/cluster/rate/outside.go
+++ b/lab/cluster/rate/environment.go
@@ -1,7 +1,7 @@
 package rate
 
-// This file owns what is outside of the senders: endpoints that take every message, a discovery with no news, and the
-// platform. It must never be slower than a sender on purpose.
+// This file serves what senders call: endpoints that accept every message, discovery without updates, and the platform. It
+// must be fast enough not to be the bottleneck.
 
 import (
 	"bytes"
@@ -18,17 +18,17 @@
 )
 
 const (
-	// outsideHosts are loopback addresses over which endpoints are spread.
+	// outsideHosts is the number of loopback addresses over which endpoints are spread.
 	outsideHosts = 16
 	destinations = 610
 	// endpointsEach is how many endpoints a destination has.
 	endpointsEach = 2
-	// aliveEvery is how often discovery shows that it lives.
+	// aliveEvery is how often discovery sends an empty line on a watch.
 	aliveEvery = time.Second
 )
 
-// outside serves all that senders call.
-type outside struct {
+// environment serves everything that senders call.
+type environment struct {
 	addresses []string
 	servers   []*http.Server
 	stop      chan struct{}
@@ -37,28 +37,28 @@
 	delivered, refused, ended atomic.Int64
 }
 
-// counts are how many messages came to which end.
+// counts are the numbers of messages by how they ended.
 type counts struct{ delivered, refused, ended int64 }
 
-func (o *outside) counts() counts {
+func (o *environment) counts() counts {
 	return counts{o.delivered.Load(), o.refused.Load(), o.ended.Load()}
 }
 
-// over is how many messages are under way no more.
+// over is how many messages have ended.
 func (c counts) over() int64 { return c.delivered + c.refused + c.ended }
 
-// awaitFirst waits for the first message: a sender that joins a cluster holds them back until it knows the newest settings.
-func (o *outside) awaitFirst(ctx context.Context) error {
+// awaitFirst waits for the first delivery: a sender that joins a cluster sends nothing until it knows the newest settings.
+func (o *environment) awaitFirst(ctx context.Context) error {
 	for o.delivered.Load() == 0 {
-		if err := sleep(ctx, askAgain); err != nil {
+		if err := sleep(ctx, pollEvery); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func openOutside() (*outside, error) {
-	o := &outside{stop: make(chan struct{})}
+func openEnvironment() (*environment, error) {
+	o := &environment{stop: make(chan struct{})}
 	for i := range outsideHosts {
 		listener, err := net.Listen("tcp", fmt.Sprintf("127.0.0.%d:0", i+1))
 		if err != nil {
@@ -73,7 +73,7 @@
 	return o, nil
 }
 
-func (o *outside) close() {
+func (o *environment) close() {
 	close(o.stop)
 	for _, server := range o.servers {
 		server.Close()
@@ -81,7 +81,7 @@
 	o.serving.Wait()
 }
 
-func (o *outside) handler() http.Handler {
+func (o *environment) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("/inbox", func(_ http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
@@ -96,8 +96,8 @@
 	return mux
 }
 
-// follow is a watch on discovery: senders know the whole list from their start, and nothing changes.
-func (o *outside) follow(w http.ResponseWriter, r *http.Request) {
+// follow serves a watch on discovery. Senders know the full list from their start, and nothing changes.
+func (o *environment) follow(w http.ResponseWriter, r *http.Request) {
 	alive := time.NewTicker(aliveEvery)
 	defer alive.Stop()
 	out := http.NewResponseController(w)
@@ -115,8 +115,8 @@
 	}
 }
 
-// list is what discovery would tell: all destinations, in the only zone.
-func (o *outside) list() directory.List {
+// list is the endpoint list: all destinations, in the only zone.
+func (o *environment) list() directory.List {
 	list := directory.List{Version: 1, Full: true}
 	for destination := range destinations {
 		for i := range endpointsEach {
--- a/lab/cluster/rate/process.go
+++ b/lab/cluster/rate/process.go
@@ -1,7 +1,7 @@
 package rate
 
-// This file owns the senders' processes: their folders, their configuration and cluster files, their end. It must never
-// take a process for ready before it has said so.
+// This file starts and stops the senders' processes, with their folders, configuration and cluster files. A process counts
+// as ready only once it has answered.
 
 import (
 	"context"
@@ -25,9 +25,9 @@
 )
 
 const (
-	setUpWithin = 40 * time.Second
-	endWithin   = 5 * time.Second
-	askAgain    = 50 * time.Millisecond
+	setUpTimeout = 40 * time.Second
+	endTimeout   = 5 * time.Second
+	pollEvery    = 50 * time.Millisecond
 	// tick is the unit of processor times in /proc, on every Linux that Go runs on.
 	tick = 10 * time.Millisecond
 
@@ -36,7 +36,7 @@
 	zone  = "z0"
 )
 
-// settingsText is what all senders are started with: room for all that the client has under way.
+// settingsText is the settings object of all senders, with limits above what the client has in progress.
 const settingsText = `{"balancers":1,"quantum":5000000,"machineTypes":["one"],"zones":["z0"],
 "bounds":{"maxOpen":100000,"maxAttempts":9,"connIdle":10000000000,"dialTimeout":1000000000,"probing":true,"retryAfter":true,
 "maxRetryAfter":2000000000},
@@ -46,7 +46,7 @@
 
 // sender is one process.
 type sender struct {
-	listen  string // where it serves, once it has told
+	listen  string // its address, "" until its log names it
 	log     string
 	command *exec.Cmd
 	exited  chan struct{}
@@ -57,7 +57,7 @@
 	mesh *mesh.Mesh // nil without a cluster
 }
 
-func startSenders(ctx context.Context, o Options, home string, out *outside) (s *senders, err error) {
+func startSenders(ctx context.Context, o Options, home string, out *environment) (s *senders, err error) {
 	s = &senders{}
 	if o.Cluster {
 		if s.mesh, err = openMesh(o); err != nil {
@@ -87,7 +87,7 @@
 }
 
 // start starts one process in a folder of its own.
-func (s *senders) start(ctx context.Context, o Options, no int, home string, out *outside) error {
+func (s *senders) start(ctx context.Context, o Options, no int, home string, out *environment) error {
 	if err := os.MkdirAll(filepath.Join(home, "state"), 0o755); err != nil {
 		return err
 	}
@@ -112,7 +112,7 @@
 	one.command = exec.CommandContext(ctx, o.Command[0], arguments...)
 	one.command.Env = append(os.Environ(), "EDGE_CONFIG="+path, "EDGE_NAME=", "EDGE_LISTEN=", "EDGE_DISCOVERY=", "EDGE_STATE=")
 	one.command.Stdout, one.command.Stderr = log, log
-	one.command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // it goes when we go, however we do
+	one.command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // it is killed with this process
 	if err := one.command.Start(); err != nil {
 		return err
 	}
@@ -125,14 +125,14 @@
 }
 
 func (s *senders) writeClusterFile(path string, no int, folder string) error {
-	text, err := s.mesh.File(no, folder)
+	text, err := s.mesh.ClusterFile(no, folder)
 	if err != nil {
 		return err
 	}
 	return os.WriteFile(path, text, 0o644)
 }
 
-func writeConfiguration(path string, no int, state string, out *outside) error {
+func writeConfiguration(path string, no int, state string, out *environment) error {
 	var settings map[string]any
 	if err := json.Unmarshal([]byte(settingsText), &settings); err != nil {
 		return err
@@ -148,7 +148,7 @@
 	return os.WriteFile(path, text, 0o644)
 }
 
-// awaitReady waits until each process says that it is.
+// awaitReady waits until each process serves and, in a cluster, knows the leader.
 func (s *senders) awaitReady(ctx context.Context) error {
 	for _, one := range s.all {
 		for !one.ready() {
@@ -158,14 +158,14 @@
 				return fmt.Errorf("a sender ended by itself: %s", text)
 			case <-ctx.Done():
 				return errors.New("not all senders were ready in time")
-			case <-time.After(askAgain):
+			case <-time.After(pollEvery):
 			}
 		}
 	}
 	for no := 0; s.mesh != nil && no < len(s.all); {
 		if knowsLeader(ctx, s.mesh.HTTP(no)) {
 			no++
-		} else if sleep(ctx, askAgain) != nil {
+		} else if sleep(ctx, pollEvery) != nil {
 			return errors.New("not all members knew who leads in time")
 		}
 	}
@@ -184,11 +184,11 @@
 		return false
 	}
 	defer answer.Body.Close()
-	var told status.Status
-	return json.NewDecoder(answer.Body).Decode(&told) == nil && told.Leader != ""
+	var answered status.Status
+	return json.NewDecoder(answer.Body).Decode(&answered) == nil && answered.Leader != ""
 }
 
-// ready looks for the address in the sender's log, then asks there.
+// ready reports whether the sender answers at the address that its log names.
 func (one *sender) ready() bool {
 	if one.listen == "" {
 		one.listen = addressIn(one.log)
@@ -210,7 +210,7 @@
 	return err == nil && string(answer) == "+PONG"
 }
 
-// addressIn is what a sender's log tells of where it listens; "" for nothing yet.
+// addressIn is the address that a sender's log names, or "" if it names none yet.
 func addressIn(path string) string {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -225,12 +225,12 @@
 	return ""
 }
 
-// end asks all processes to end, and sees to it.
+// end sends all processes SIGTERM and kills those that do not end in time.
 func (s *senders) end() {
 	for _, one := range s.all {
 		one.command.Process.Signal(syscall.SIGTERM)
 	}
-	deadline := time.After(endWithin)
+	deadline := time.After(endTimeout)
 	for _, one := range s.all {
 		select {
 		case <-one.exited:
@@ -246,7 +246,7 @@
 	}
 }
 
-// processorTime is what a process has used so far, in user and system mode.
+// processorTime is the processor time of a process so far, in user and system mode.
 func processorTime(pid int) (time.Duration, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -255,7 +255,7 @@
 	return parseProcessorTime(string(text))
 }
 
-// parseProcessorTime reads fields 14 and 15 of /proc/PID/stat; the second is a name that may hold anything.
+// parseProcessorTime reads fields 14 and 15 of /proc/PID/stat. Field 2 is a name that may contain any characters.
 func parseProcessorTime(stat string) (time.Duration, error) {
 	const user, system = 14 - 3, 15 - 3 // counted from the field behind the name
 	fields := strings.Fields(stat[strings.LastIndexByte(stat, ')')+1:])
--- a/lab/cluster/schedule/schedule.go
+++ b/lab/cluster/schedule/schedule.go
@@ -1,8 +1,7 @@
-// Package schedule says what befalls a cluster of real processes, when, and how that is written down and drawn.
+// Package schedule describes what happens to a cluster of real processes, and when.
 //
-// It owns the file's form, the drawing of schedules from a seed, and their shrinking (shrink.go). A schedule names
-// processes by number and times from the start; it never names addresses, so that it is replayed alike anywhere. It
-// must never run anything.
+// It has the format of schedule files, draws schedules from a seed (draw.go) and shrinks failing ones (shrink.go). A
+// schedule names processes by number and times from the start, never addresses, so that it can be replayed anywhere.
 package schedule
 
 import (
@@ -25,9 +24,9 @@
 	Seconds   float64 `toml:"seconds"` // of traffic
 	Rate      float64 `toml:"rate"`    // messages a second
 	Small     []int   `toml:"small"`   // processes of the small size
-	// Founders of the council; drawn over the zones where none is named. A sole one leads at first.
+	// Founders of the consensus group; spread over the zones if none is named. A single one is the first leader.
 	Founders []int `toml:"founders"`
-	// AtOnce begins before the council has a leader; else all that is timed is timed from when it has one.
+	// AtOnce begins the run before the consensus group has a leader. Else times count from when it has one.
 	AtOnce  bool     `toml:"at_once"`
 	Faults  []Fault  `toml:"fault"`
 	Purges  []Purge  `toml:"purge"`
@@ -35,11 +34,11 @@
 	Expect  Expect   `toml:"expect"`
 }
 
-// Expect is what must be seen in a run beyond what is promised always; asked only of a machine that keeps time.
+// Expect is what a run must show beyond the promises that always hold. It is checked only if the machine was not too busy.
 type Expect struct {
-	// Moves says that each fall of a zone has a plan in force at most processes, and that at the end all goes near.
+	// Moves expects a routing plan in force at most processes for each fall of a zone, and none at the end.
 	Moves bool `toml:"moves"`
-	// MostPlans beyond the first; 0 for any number.
+	// MostPlans is the largest number of plans beyond the first; 0 for any number.
 	MostPlans int `toml:"most_plans"`
 }
 
@@ -48,16 +47,16 @@
 	Kind    string    `toml:"kind"`
 	At      float64   `toml:"at"`
 	Seconds float64   `toml:"seconds"`
-	From    []int     `toml:"from"`    // processes that it strikes; whose messages are struck
-	To      []int     `toml:"to"`      // on their way to these; all others where none is named
-	Every   float64   `toml:"every_s"` // of a flap, or a zone that flaps: how long it is off, and on
-	MS      float64   `toml:"ms"`      // of late
-	Zone    int       `toml:"zone"`    // from 1, of what strikes endpoints
-	Select  Selection `toml:"select"`  // in the place of From, for fleets too large to name each
-	Steps   int       `toml:"steps"`   // of rolling
+	From    []int     `toml:"from"`    // processes that it affects, or whose messages
+	To      []int     `toml:"to"`      // to these processes; to all others if none is named
+	Every   float64   `toml:"every_s"` // of a flap, or a zone that flaps: how long each state lasts
+	MS      float64   `toml:"ms"`      // delay, for late
+	Zone    int       `toml:"zone"`    // from 1, for zone
+	Select  Selection `toml:"select"`  // in place of From, for fleets too large to name each process
+	Steps   int       `toml:"steps"`   // for rolling
 }
 
-// Kinds are all that a fault may be, each with what it does.
+// Kinds are the kinds of fault, each with a description.
 var Kinds = map[string]string{
 	"cut":     "messages between the two groups are lost, both ways",
 	"one_way": "messages from the first to the second are lost, not those back",
@@ -72,12 +71,12 @@
 	"zone":    "the endpoints of a zone say nothing",
 }
 
-// FleetKinds are those that only a player of large fleets knows; none is drawn.
+// FleetKinds are the kinds that only package scale plays; they are not drawn.
 var FleetKinds = map[string]string{
 	"rolling": "all are ended as planned and started again, in steps, the next when the one before is back",
 }
 
-// Purge is one order to withdraw, given at a time to a process.
+// Purge is a purge that is ordered at a time from a process.
 type Purge struct {
 	At          float64 `toml:"at"`
 	By          int     `toml:"by"`
@@ -86,15 +85,15 @@
 	Class       string  `toml:"workload"`
 }
 
-// Change is one change of the settings that all share, ordered at a time from a process.
+// Change is a change of the shared settings that is ordered at a time from a process.
 type Change struct {
 	At float64 `toml:"at"`
 	By int     `toml:"by"`
-	// Back has the settings return to what they were before the newest version.
+	// Back restores the settings from before the newest version.
 	Back bool `toml:"back"`
 }
 
-// Parse reads a schedule; name stands for it in messages.
+// Parse reads a schedule; name is the file's name in error messages.
 func Parse(name string, text []byte) (*Schedule, error) {
 	s := Schedule{Zones: 1, Regions: 1, Rate: 40, Seconds: 10}
 	if err := tomlfile.Decode(name, text, &s); err != nil {
@@ -103,84 +102,15 @@
 	return &s, tomlfile.At(name, text, s.Check())
 }
 
-// Write makes a file's text.
+// Write returns the text of a schedule file.
 func Write(s *Schedule) ([]byte, error) {
 	var out bytes.Buffer
 	err := toml.NewEncoder(&out).Encode(s)
 	return out.Bytes(), err
 }
 
-// Check names all that is wrong.
-func (s *Schedule) Check() (problems []tomlfile.Problem) {
-	bad := func(path, format string, args ...any) {
-		problems = append(problems, tomlfile.Problem{Path: path, What: fmt.Sprintf(format, args...)})
-	}
-	for _, v := range []struct {
-		field      string
-		is         float64
-		least, top float64
-	}{
-		{"processes", float64(s.Processes), 1, 2000}, {"zones", float64(s.Zones), 1, float64(max(1, s.Processes))},
-		{"regions", float64(s.Regions), 1, float64(max(1, s.Zones))}, {"seconds", s.Seconds, 1, 600}, {"rate", s.Rate, 0.1, 2000},
-	} {
-		if !(v.is >= v.least && v.is <= v.top) {
-			bad(v.field, "%g is not within %g and %g", v.is, v.least, v.top)
-		}
-	}
-	known := func(path string, all []int) {
-		for _, i := range all {
-			if i < 0 || i >= s.Processes {
-				bad(path, "there is no process %d", i)
-			}
-		}
-	}
-	known("small", s.Small)
-	known("founders", s.Founders)
-	for i := range s.Faults {
-		f, path := &s.Faults[i], fmt.Sprintf("fault[%d].", i)
-		if Kinds[f.Kind] == "" && FleetKinds[f.Kind] == "" {
-			bad(path+"kind", "unknown word %q", f.Kind)
-		}
-		if !(f.At >= 0 && f.At <= s.Seconds && f.Seconds >= 0) {
-			bad(path+"at", "%g for %g s does not lie within the run", f.At, f.Seconds)
-		}
-		known(path+"from", f.From)
-		known(path+"to", f.To)
-		if f.Kind == "zone" && (f.Zone < 1 || f.Zone > s.Zones) {
-			bad(path+"zone", "%d is not within 1 and %d", f.Zone, s.Zones)
-		}
-		if d := f.Select; !(d.Share >= 0 && d.Share <= 1 && d.Count >= 0 && d.Count <= s.Processes && d.OverS >= 0) {
-			bad(path+"select", "%+v chooses no processes of %d", d, s.Processes)
-		}
-		if f.Select.Zone < 0 || f.Select.Zone > s.Zones || f.Select.Region < 0 || f.Select.Region > s.Regions {
-			bad(path+"select", "there is no such zone or region")
-		}
-		if f.Kind == "rolling" && f.Steps < 1 {
-			bad(path+"steps", "missing")
-		}
-		if f.Kind == "flap" && !(f.Every > 0) {
-			bad(path+"every_s", "missing")
-		}
-	}
-	for i := range s.Purges {
-		p, path := &s.Purges[i], fmt.Sprintf("purge[%d].", i)
-		known(path+"by", []int{p.By})
-		if p.Subject != "notices" && p.Subject != "learnt" {
-			bad(path+"subject", "unknown word %q", p.Subject)
-		}
-	}
-	for i := range s.Changes {
-		c, path := &s.Changes[i], fmt.Sprintf("change[%d].", i)
-		known(path+"by", []int{c.By})
-		if !(c.At >= 0 && c.At <= s.Seconds) {
-			bad(path+"at", "%g does not lie within the run", c.At)
-		}
-	}
-	return problems
-}
-
-// Named tells whether all faults name their processes one by one, as a player of few processes takes them.
-func (s *Schedule) Named() error {
+// CheckNamesProcesses returns an error unless all faults name their processes one by one, which package play requires.
+func (s *Schedule) CheckNamesProcesses() error {
 	for i, f := range s.Faults {
 		if f.Select != (Selection{}) || FleetKinds[f.Kind] != "" {
 			return fmt.Errorf("fault[%d]: %q with drawn processes is for large fleets", i, f.Kind)
@@ -189,8 +119,8 @@
 	return nil
 }
 
-// Healed is when the last fault is over, in seconds.
-func (s *Schedule) Healed() (at float64) {
+// LastFaultEnd is when the last fault ends, in seconds.
+func (s *Schedule) LastFaultEnd() (at float64) {
 	for _, f := range s.Faults {
 		at = max(at, f.At+f.Seconds)
 	}
--- a/lab/cluster/size/fleet.go
+++ b/lab/cluster/size/fleet.go
@@ -1,10 +1,10 @@
-// Package size plays many senders and what stands between them in simulated time.
+// Package size plays many senders with the cluster between them in simulated time.
 //
-// It owns the part between lab/sim's senders: digests, reports up the tree, the leader's planner, plans down the tree,
-// all by the pure modules of internal/cluster and with drawn times on each way, beside the same senders each alone and
-// an oracle. sender.go counts what a sender hands over, process.go is one process, cases.go what goes wrong, measure.go
-// what is read off a run, table.go how it is shown. It must never look at a clock, start a goroutine or hang on the
-// order of a map: one seed replays a whole run. What a decision is belongs to the modules; none is made here.
+// It connects lab/sim's senders by the pure packages of internal/cluster, with drawn latencies: digests, reports up the
+// tree, the leader's planner, and plans down the tree. The same worlds are also played without the cluster, and with an
+// oracle. sender.go counts what a sender reports, process.go plays one process, fleet.go all of them with the leader,
+// cases.go has the worlds, measure.go the figures, table.go their table. The package must not read a clock, start a
+// goroutine or depend on the order of a map, so that one seed replays a run exactly.
 package size
 
 import (
@@ -24,71 +24,71 @@
 )
 
 const (
-	leastHop  = 50 * time.Millisecond // one way between two processes, at the least and at the most
-	mostHop   = 250 * time.Millisecond
-	consensus = 100 * time.Millisecond
-	unit      = 100 * time.Microsecond // of choice.Time
+	minHop         = 50 * time.Millisecond // bounds of the latency between two processes
+	maxHop         = 250 * time.Millisecond
+	consensusDelay = 100 * time.Millisecond
+	timeUnit       = 100 * time.Microsecond // of choice.Time
 )
 
 func zoneName(no int) view.Zone { return view.Zone(fmt.Sprintf("z%02d", no)) }
 
-// fleet is all processes of a run.
+// fleet holds all processes of a run.
 type fleet struct {
-	w       *world.World
-	numbers map[view.Zone]choice.ZoneNo
-	regions map[view.Zone]view.Region
-	procs   map[view.Name]*process
-	order   []*process
-	tree    *tree.Tree
-	set     plan.Settings
-	lead    *leader
-	force   plan.InForce
-	drawn   uint32
-	weighs  bool // bytes are counted
-	span    time.Duration
-	prompt  bool
+	w            *world.World
+	numbers      map[view.Zone]choice.ZoneNo
+	regions      map[view.Zone]view.Region
+	processes    map[view.Name]*process
+	order        []*process
+	tree         *tree.Tree
+	settings     plan.Settings
+	leader       *leader
+	inForce      plan.InForce
+	messagesSent uint32
+	countBytes   bool // bytes are counted
+	span         time.Duration
+	prompt       bool
 
 	traffic map[view.Name]*Traffic
 	epochs  []epoch
 	hash    uint64
 }
 
-// Traffic is what one process sent and was sent.
+// Traffic counts the messages of one process, and the bytes it sent.
 type Traffic struct{ Out, In, Bytes int }
 
-// epoch is one plan that was decided, and when it was in force where.
+// epoch is one decided plan, and when it came into force at each process.
 type epoch struct {
 	at      view.Now
 	plan    plan.Plan
 	reached map[view.Name]view.Now
 }
 
-func (f *fleet) now() view.Now { return view.Now(f.w.Now()) * unit }
+func (f *fleet) now() view.Now { return view.Now(f.w.Now()) * timeUnit }
 
-func (f *fleet) after(in time.Duration, do func()) { f.w.After(max(1, choice.Time(in/unit)), do) }
+func (f *fleet) after(in time.Duration, do func()) { f.w.After(max(1, choice.Time(in/timeUnit)), do) }
 
-// spread draws when a process's turns fall within a turn.
+// spread draws a process's offset, so that processes' turns do not coincide.
 func (f *fleet) spread(name string) time.Duration {
-	return time.Duration(crc32.ChecksumIEEE([]byte(name))%5000) * unit
+	return time.Duration(crc32.ChecksumIEEE([]byte(name))%5000) * timeUnit
 }
 
-// send carries a message; each takes its own time, so that they may pass each other.
+// send delivers a message after a latency of its own, so that messages may overtake each other.
 func (f *fleet) send(from, to *process, body any, do func()) {
 	if from == to {
 		do()
 		return
 	}
-	f.drawn++
-	sum := crc32.ChecksumIEEE(fmt.Appendf(nil, "%s %s %d", from.name, to.name, f.drawn))
+	f.messagesSent++
+	sum := crc32.ChecksumIEEE(fmt.Appendf(nil, "%s %s %d", from.name, to.name, f.messagesSent))
 	f.traffic[from.name].Out++
 	f.traffic[to.name].In++
-	if f.weighs {
+	if f.countBytes {
 		f.traffic[from.name].Bytes += bytesOf(body)
 	}
-	f.after(leastHop+(mostHop-leastHop)*time.Duration(sum%1000)/1000, do)
+	f.after(minHop+(maxHop-minHop)*time.Duration(sum%1000)/1000, do)
 }
 
-// begin derives the tree once all senders are here and lets all processes start.
+// begin derives the tree once all senders have started, and starts all processes.
 func (f *fleet) begin(o *Options) {
 	var members []view.Member
 	for _, p := range f.order {
@@ -97,16 +97,16 @@
 	}
 	f.tree = tree.Derive(view.Make("", 1, members))
 	first, next := f.order[o.Leader], f.order[(o.Leader+1)%len(f.order)]
-	f.lead = newLeader(f, first)
+	f.leader = newLeader(f, first)
 	for _, p := range f.order {
 		p.start()
 	}
 	if o.LeaderDies > 0 {
 		f.w.At(seconds(o.LeaderDies), func() {
-			f.lead = &leader{f: f}
+			f.leader = &leader{f: f}
 			f.after(o.LeaderGone, func() {
-				f.lead = newLeader(f, next)
-				next.news()
+				f.leader = newLeader(f, next)
+				next.scheduleTurn()
 			})
 		})
 	}
@@ -118,40 +118,40 @@
 	}
 }
 
-// leader is the council's: the planner and what came up to it. at is nil while there is none.
+// leader is the leader of the consensus group: the planner, and the reports that reached it. at is nil while there is none.
 type leader struct {
-	f       *fleet
-	at      *process
-	all     *weigh.Board
-	planner *plan.Planner
-	asking  bool
+	f        *fleet
+	at       *process
+	board    *weigh.Board
+	planner  *plan.Planner
+	deciding bool
 }
 
 func newLeader(f *fleet, at *process) *leader {
-	l := &leader{f: f, at: at, all: weigh.NewBoard(weigh.Usual()), planner: plan.New(f.set)}
-	l.planner.Applied(at.now(), f.force.Plan())
+	l := &leader{f: f, at: at, board: weigh.NewBoard(weigh.Usual()), planner: plan.New(f.settings)}
+	l.planner.Applied(at.now(), f.inForce.Plan())
 	return l
 }
 
 func (l *leader) turn(now view.Now, weighs bool) {
 	l.renew(now)
 	if !weighs {
-		l.at.news()
+		l.at.scheduleTurn()
 		return
 	}
-	l.all.Put(now, l.at.passing.Fresh(now))
+	l.board.Put(now, l.at.board.Fresh(now))
 	l.planner.Members(l.f.regions)
-	l.planner.Judged(now, weigh.Judge(l.all.Fresh(now), weigh.Usual()))
+	l.planner.Judged(now, weigh.Judge(l.board.Fresh(now), weigh.Usual()))
 	next, some := l.planner.Step(now)
-	if !some || l.asking {
+	if !some || l.deciding {
 		return
 	}
-	l.asking = true
-	l.f.after(consensus, func() { l.decide(next) })
+	l.deciding = true
+	l.f.after(consensusDelay, func() { l.decide(next) })
 }
 
 func (l *leader) renew(now view.Now) {
-	in := l.f.force.Plan()
+	in := l.f.inForce.Plan()
 	if in.Epoch == 0 {
 		return
 	}
@@ -163,28 +163,28 @@
 		heard.Plan = nil
 	}
 	if _, err := l.at.holder.Hear(now, heard); err != nil {
-		panic(err) // it was checked before it was decided
+		panic(err) // plans are checked before they are decided
 	}
 }
 
 func (l *leader) decide(next plan.Plan) {
-	l.asking = false
-	if l.f.lead != l {
-		return // it died meanwhile
+	l.deciding = false
+	if l.f.leader != l {
+		return // the leader died meanwhile
 	}
 	body, err := json.Marshal(next)
 	if err != nil {
 		panic(err) // plain data
 	}
-	_, err = l.f.force.Apply(uint64(next.Epoch), l.f.now(), plan.Kind, body)
-	l.planner.Applied(l.at.now(), l.f.force.Plan())
+	_, err = l.f.inForce.Apply(uint64(next.Epoch), l.f.now(), plan.Kind, body)
+	l.planner.Applied(l.at.now(), l.f.inForce.Plan())
 	if err == nil {
-		l.f.epochs = append(l.f.epochs, epoch{l.f.now(), l.f.force.Plan(), map[view.Name]view.Now{}})
+		l.f.epochs = append(l.f.epochs, epoch{l.f.now(), l.f.inForce.Plan(), map[view.Name]view.Now{}})
 		h := fnv.New64a()
 		fmt.Fprintf(h, "%d %v %s", l.f.hash, l.f.now(), body)
 		l.f.hash = h.Sum64()
 	}
-	l.at.news()
+	l.at.scheduleTurn()
 }
 
 func seconds(s float64) choice.Time { return choice.Time(s * float64(choice.Second)) }
--- a/lab/cluster/size/measure.go
+++ b/lab/cluster/size/measure.go
@@ -1,6 +1,6 @@
 package size
 
-// This file owns what is read off a run. It must never be read by what is played.
+// This file computes the figures of a run. The run must not depend on them.
 
 import (
 	"fmt"
@@ -17,21 +17,21 @@
 )
 
 const (
-	leavesLeast = 0.02 // issue 36: the share that may leave while all is well
-	warmUp      = 4    // seconds that count for nothing: no plan, nothing learnt
-	smooth      = 2    // seconds over which the share that leaves is taken when its return is looked for
-	overFrom    = 1.1  // issue 36: times what a receiver can take
-	judgedFrom  = 50.0 // calls a second of a place that is judged by itself: with fewer, chance alone exceeds overFrom
+	calmShare      = 0.02 // share of calls that may leave their home without a fault, from issue 36
+	warmUp         = 4    // first seconds that do not count: there is no plan and no learned state yet
+	windowSeconds  = 2    // over which the share of calls that leave is averaged to find their return
+	overloadFactor = 1.1  // load over capacity that counts as overload, from issue 36
+	minJudgedRate  = 50.0 // capacity of a locality that is judged by itself: below it, chance alone exceeds overloadFactor
 )
 
-// Figures are what is read off a run. Times are seconds.
+// Figures are the figures of a run. Times are seconds.
 type Figures struct {
 	*referee.Verdict
 	Value                 float64   // delivered of what was asked while something was wrong
 	Before, During, After float64   // share of calls that leave their home; After: of the last five seconds
-	Back                  float64   // from the end of the trouble until no more leave than before; -1 for never
-	ZoneOver              Over      // of all endpoints of a zone together, while calls are moved there
-	PlaceOver             Over      // the same for the endpoints of one destination in a zone, of those with many calls
+	Back                  float64   // from the end of the fault until no more leave than before; -1 for never
+	ZoneOver              Overload  // of all endpoints of a zone together, while calls are moved there
+	PlaceOver             Overload  // the same for the endpoints of one destination in a zone, of those with many calls
 	Plans                 int       // after the first, which moves nothing
 	PlansAMinute          int       // in the busiest minute
 	InForce               float64   // from the fall until a plan that moves something is in force at 95%; -1 for never
@@ -44,10 +44,10 @@
 	epochs []epoch
 }
 
-// Over is how far and for how long a receiver was sent more than it can take.
-type Over struct {
-	Most    float64 // calls a second as times of that
-	Seconds int     // over overFrom, one after the other
+// Overload is how far and for how long the load of a receiver was above its capacity.
+type Overload struct {
+	Most    float64 // highest load over capacity
+	Seconds int     // longest run of seconds above overloadFactor
 }
 
 type values struct{ bySecond []float64 }
@@ -71,7 +71,7 @@
 	return of[second]
 }
 
-type placeNo struct {
+type locality struct {
 	partner world.PartnerNo
 	zone    int
 }
@@ -83,16 +83,16 @@
 	calls  []float64
 	away   []float64
 	zones  map[int]*received
-	place  map[placeNo]*received
+	place  map[locality]*received
 }
 
 type received struct{ all, moved []float64 }
 
 func newMeasure(o *Options) *measure {
-	return &measure{o: o, zones: map[int]*received{}, place: map[placeNo]*received{}}
+	return &measure{o: o, zones: map[int]*received{}, place: map[locality]*received{}}
 }
 
-// outcome sees each call as its endpoint ended it.
+// outcome counts a call when its endpoint ends it.
 func (m *measure) outcome(now choice.Time, c *world.Call, _ int) {
 	e := c.Conn.Endpoint
 	if c.Probe {
@@ -105,7 +105,7 @@
 	}
 	add(&m.calls, now, 1)
 	add(&m.away, now, moved)
-	k := placeNo{e.Partner.No, e.Zone}
+	k := locality{e.Partner.No, e.Zone}
 	if m.zones[e.Zone] == nil {
 		m.zones[e.Zone] = &received{}
 	}
@@ -118,8 +118,8 @@
 	}
 }
 
-// home tells whether an endpoint is where a zone's messages go while all is well: the zone, or else its region, or else
-// anywhere.
+// home reports whether an endpoint is where a zone's messages go without faults: in the zone if there is one, or else in its
+// region, or else anywhere.
 func (m *measure) home(from int, e *world.Endpoint) bool {
 	near, region := false, false
 	for _, other := range e.Partner.Endpoints {
@@ -156,17 +156,17 @@
 	for s := range end {
 		out.Leaves = append(out.Leaves, m.share(s, s+1))
 	}
-	most := max(out.Before, leavesLeast)
-	for s := end - smooth; s >= to && m.share(s, s+smooth) <= most; s-- {
+	most := max(out.Before, calmShare)
+	for s := end - windowSeconds; s >= to && m.share(s, s+windowSeconds) <= most; s-- {
 		out.Back = float64(s) - m.o.To
 	}
 	for z, r := range m.zones {
-		out.ZoneOver.with(r, m.bound(func(e *world.Endpoint) bool { return e.Zone == z }), end)
+		out.ZoneOver.add(r, m.bound(func(e *world.Endpoint) bool { return e.Zone == z }), end)
 	}
 	for k, r := range m.place {
 		bound := m.bound(func(e *world.Endpoint) bool { return e.Zone == k.zone && e.Partner.No == k.partner })
-		if bound >= judgedFrom {
-			out.PlaceOver.with(r, bound, end)
+		if bound >= minJudgedRate {
+			out.PlaceOver.add(r, bound, end)
 		}
 	}
 	m.plans(out, f)
@@ -174,7 +174,7 @@
 	return out
 }
 
-// bound is what endpoints can take a second, by warm endpoints and what a trouble leaves of a limit.
+// bound is the capacity of endpoints in calls a second, after slow start and without faults.
 func (m *measure) bound(of func(*world.Endpoint) bool) (sum float64) {
 	for _, e := range m.w.Endpoints {
 		if of(e) {
@@ -184,9 +184,9 @@
 	return sum
 }
 
-// with takes in a receiver's seconds. What its own zone sends it is no plan's doing: only seconds in which a tenth or
-// more was moved there count.
-func (o *Over) with(r *received, bound float64, end int) {
+// add adds a receiver's seconds. Only seconds in which at least a tenth of the load was moved there count: the rest comes
+// from its own zone, which no plan causes.
+func (o *Overload) add(r *received, bound float64, end int) {
 	run := 0
 	for s := range end {
 		over := at(r.all, s) / bound
@@ -195,7 +195,7 @@
 			continue
 		}
 		o.Most = math.Max(o.Most, over)
-		if run++; over <= overFrom {
+		if run++; over <= overloadFactor {
 			run = 0
 		}
 		o.Seconds = max(o.Seconds, run)
@@ -241,7 +241,7 @@
 	out.Messages, out.BytesS = float64(sum.Out)/long/float64(n), float64(sum.Bytes)/long/float64(n)
 }
 
-// print tells what was decided when, and what left its home each second.
+// print writes the plans with their times, and the share of calls that left their home by second.
 func (f *Figures) print(to io.Writer) {
 	for _, e := range f.epochs {
 		by := map[plan.Phase]int{}
--- a/lab/experiment/plan.go
+++ b/lab/experiment/plan.go
@@ -1,7 +1,6 @@
 package experiment
 
-// This file owns the reading of a plan and the list of its runs. It must never play one, nor take a plan of which a field
-// is wrong.
+// This file reads a plan and lists its runs. A plan with an invalid field is refused.
 
 import (
 	"cmp"
@@ -25,7 +24,7 @@
 	engineSockets   = "sockets"
 
 	defaultSeeds = 6
-	mostSeeds    = 10000
+	maxSeeds     = 10000
 )
 
 // Load reads a plan and lists its runs.
@@ -54,7 +53,7 @@
 	return p, jobs, nil
 }
 
-// wrong is what is wrong with a field of the plan's file.
+// wrong returns an error for a field of the plan's file.
 func (p *Plan) wrong(field, format string, args ...any) error {
 	return &tomlfile.Error{File: p.path, Line: p.lines[field], Field: field, What: fmt.Sprintf(format, args...)}
 }
@@ -79,15 +78,15 @@
 		return p.wrong("scenarios", "missing")
 	case len(p.Variants) == 0:
 		return p.wrong("variant", "missing")
-	case p.Seeds < 1 || p.Seeds > mostSeeds:
-		return p.wrong("seeds", "%d is not within 1 and %d", p.Seeds, mostSeeds)
+	case p.Seeds < 1 || p.Seeds > maxSeeds:
+		return p.wrong("seeds", "%d is not within 1 and %d", p.Seeds, maxSeeds)
 	case !slices.ContainsFunc(p.Variants, func(v Variant) bool { return v.Name == p.Base }):
 		return p.wrong("base", "no variant is called %q", p.Base)
 	}
 	return nil
 }
 
-// checkVariant checks one variant and makes the path of its binary one from the plan's folder.
+// checkVariant checks one variant, and resolves the path of its binary from the plan's folder.
 func (p *Plan) checkVariant(i int) error {
 	v, at := &p.Variants[i], fmt.Sprintf("variant[%d].", i)
 	baselinePolicy := v.Policy != "" && v.Policy != "choice"
@@ -96,7 +95,7 @@
 		return p.wrong(at+"name", "missing")
 	case slices.ContainsFunc(p.Variants[:i], func(o Variant) bool { return o.Name == v.Name }):
 		return p.wrong(at+"name", "%q is taken", v.Name)
-	case v.Policy != "" && baseline.Make(v.Policy) == nil:
+	case v.Policy != "" && baseline.Named(v.Policy) == nil:
 		return p.wrong(at+"policy", "no policy is called %q", v.Policy)
 	case baselinePolicy && (p.Engine != engineSimulated || v.Binary != ""):
 		return p.wrong(at+"policy", "baselines play in simulated time, in this program")
@@ -112,7 +111,7 @@
 	return nil
 }
 
-// jobs lists all runs. Pairs are played close together, so that a plan that is cut off has something to compare.
+// jobs lists all runs, sorted by seed, so that an interrupted plan has complete pairs to compare.
 func (p *Plan) jobs(find Finder) ([]*Job, error) {
 	var jobs []*Job
 	for i, name := range p.Scenarios {
@@ -134,7 +133,7 @@
 	return jobs, nil
 }
 
-// jobsOf lists a run a seed for one variant of one scenario at one size.
+// jobsOf lists the runs of one variant of one scenario at one size, one for each seed.
 func (p *Plan) jobsOf(s *scenario.Scenario, size float64, no int) ([]*Job, error) {
 	v := &p.Variants[no]
 	spec, err := Change(s.Spec, v.Set)
@@ -164,7 +163,7 @@
 	return jobs, nil
 }
 
-// stamp changes with another build of a binary.
+// stamp identifies a build of a binary by its size and time.
 func stamp(path string) string {
 	if path == "" {
 		return ""
--- a/lab/experiment/single.go
+++ b/lab/experiment/single.go
@@ -1,6 +1,6 @@
 package experiment
 
-// This file owns one run: which engine and which build play it. It must never keep anything of it.
+// This file plays a single run, with the engine and the build that it asks for.
 
 import (
 	"bytes"
@@ -21,31 +21,31 @@
 	"flaxcove/lab/world"
 )
 
-// Single is one run.
-type Single struct {
+// RunSpec is one run.
+type RunSpec struct {
 	Engine   string
 	Spec     *world.Spec
 	Scenario *scenario.Scenario // whose trace is played; may be nil
 	Seed     uint64
 	Policy   string
-	Binary   string // another build; it plays simulated runs itself and is the sender on sockets
+	Binary   string // another build, which plays simulated runs itself and is the sender on sockets
 	Self     string
 	Logs     string
 }
 
-// Once plays one run, whichever engine and build it takes.
-func Once(ctx context.Context, s Single) (*referee.Verdict, error) {
+// RunOnce plays a run with the engine and the build that it asks for.
+func RunOnce(ctx context.Context, s RunSpec) (*referee.Verdict, error) {
 	switch {
 	case s.Engine == engineSockets:
 		return onSockets(ctx, s)
 	case s.Binary != "":
-		return other(ctx, s)
+		return onOtherBinary(ctx, s)
 	}
 	return simulated(ctx, s)
 }
 
-// trace is the recorded load that takes the place of the spec's, nil where there is none.
-func (s *Single) trace() []load.Arrival {
+// trace is the recorded load that replaces the spec's, or nil.
+func (s *RunSpec) trace() []load.Arrival {
 	if s.Scenario == nil {
 		return nil
 	}
@@ -53,7 +53,7 @@
 }
 
 // onSockets plays with real senders.
-func onSockets(ctx context.Context, s Single) (*referee.Verdict, error) {
+func onSockets(ctx context.Context, s RunSpec) (*referee.Verdict, error) {
 	binary := s.Self
 	if s.Binary != "" {
 		binary = s.Binary
@@ -69,16 +69,16 @@
 }
 
 // simulated plays in simulated time, in this program.
-func simulated(ctx context.Context, s Single) (*referee.Verdict, error) {
+func simulated(ctx context.Context, s RunSpec) (*referee.Verdict, error) {
 	o := sim.Options{Spec: s.Spec, Seed: s.Seed, Trace: s.trace(), Until: func() bool { return ctx.Err() != nil }}
 	if s.Policy != "" {
-		o.Policy = baseline.Make(s.Policy)
+		o.Policy = baseline.Named(s.Policy)
 	}
 	return sim.Run(o)
 }
 
-// other has another build play a simulated run.
-func other(ctx context.Context, s Single) (*referee.Verdict, error) {
+// onOtherBinary has another build play a simulated run.
+func onOtherBinary(ctx context.Context, s RunSpec) (*referee.Verdict, error) {
 	path, err := temporaryScenario(s.Spec)
 	if err != nil {
 		return nil, err
@@ -88,7 +88,7 @@
 	var said bytes.Buffer
 	cmd.Stderr = &said
 	out, err := cmd.Output()
-	// A broken rule is exit code 3 and has its verdict all the same.
+	// A run with a broken rule exits with code 3 and writes its verdict all the same.
 	if len(out) == 0 {
 		return nil, fmt.Errorf("%s: %w: %s", s.Binary, err, strings.TrimSpace(said.String()))
 	}
--- a/lab/hunt/draw.go
+++ b/lab/hunt/draw.go
@@ -1,7 +1,6 @@
 package hunt
 
-// This file owns the drawing of random scenarios. It must never draw one that its spec's check refuses, nor hang on
-// anything but the generator that it is handed.
+// This file draws random scenarios. Each must be valid, and depend on nothing but the given generator.
 
 import (
 	"fmt"
@@ -11,13 +10,13 @@
 	"flaxcove/lab/world"
 )
 
-// Kinds of trouble that are drawn, in order of name.
-var endpointTroubles, otherTroubles = troubleKinds()
+// Kinds of fault that are drawn, sorted by name.
+var endpointFaults, otherFaults = faultKinds()
 
-func troubleKinds() (endpoints, others []string) {
+func faultKinds() (endpoints, others []string) {
 	for name, kind := range world.FaultKinds {
 		switch {
-		case kind.Strikes == "endpoints":
+		case kind.Affects == "endpoints":
 			endpoints = append(endpoints, name)
 		case name != "hoard" && name != "rubbish" && name != "notes_lost": // they do nothing in simulated time
 			others = append(others, name)
@@ -35,7 +34,7 @@
 	spec  world.Spec
 }
 
-// Draw makes a random scenario. Its size follows from scale, about 1 for a handful of senders.
+// Draw returns a random scenario. Scale sets its size; 1 is a handful of senders.
 func Draw(rng *rand.Rand, scale float64) *world.Spec {
 	d := &drawer{rng: rng, scale: scale, spec: world.Base()}
 	d.spec.Name = "drawn"
@@ -47,7 +46,7 @@
 		d.spec.Partners = append(d.spec.Partners, d.partner(i))
 	}
 	for range 1 + rng.IntN(4) {
-		d.spec.Faults = append(d.spec.Faults, d.trouble())
+		d.spec.Faults = append(d.spec.Faults, d.fault())
 	}
 	for range rng.IntN(3) {
 		d.spec.Changes = append(d.spec.Changes, d.change())
@@ -58,19 +57,19 @@
 
 func (d *drawer) between(least, most float64) float64 { return least + (most-least)*d.rng.Float64() }
 
-// figure is between two values, to two places.
+// figure draws a value between two, rounded to two decimal places.
 func (d *drawer) figure(least, most float64) float64 { return round(d.between(least, most)) }
 
-// pair is a range that begins in one range and ends in another.
+// pair draws a range that begins in one range and ends in another.
 func (d *drawer) pair(low, high world.Pair) world.Pair {
 	from := d.figure(low[0], low[1])
 	return world.Pair{from, max(from, d.figure(high[0], high[1]))}
 }
 
-// chance is true with that probability.
+// chance is true with probability p.
 func (d *drawer) chance(p float64) bool { return d.rng.Float64() < p }
 
-// pick is one of several.
+// pick draws one of several values.
 func pick[T any](d *drawer, from ...T) T { return from[d.rng.IntN(len(from))] }
 
 // drawWorld draws the size of the world, its load and its rules.
@@ -88,7 +87,7 @@
 	s.Load.Swing = d.figure(0, 0.4)
 	s.Sender.Probing = d.chance(0.7)
 	s.Sender.Rating = pick(d, "off", "rough", "nominal")
-	s.Clients.Own = d.chance(0.4)
+	s.Clients.OwnSender = d.chance(0.4)
 	s.Rules.DrainGraceMS = pick(d, 500.0, 1000, 2000)
 	s.Rules.FallMultiple = d.figure(1.8, 3)
 	s.Rules.FallS = d.figure(1, 2)
@@ -112,49 +111,49 @@
 
 func (d *drawer) partner(no int) world.Kind {
 	k := world.Kind{
-		Name:          fmt.Sprintf("k%d", no),
-		Count:         max(1, int(d.between(1, 7)*d.scale+0.5)),
-		Endpoints:     world.Pair{1, float64(1 + d.rng.IntN(4))},
-		MeanMS:        d.pair(world.Pair{15, 100}, world.Pair{100, 350}),
-		Sigma:         d.figure(0.2, 1.2),
-		Headroom:      d.pair(world.Pair{1.05, 1.8}, world.Pair{1.8, 4}),
-		Queue:         d.figure(0.5, 6),
-		Told:          d.figure(0, 1),
-		Reports:       d.chance(0.6),
-		SlowStartS:    d.figure(3, 15),
-		SlowStartFrom: d.figure(0.1, 0.5),
-		IdleS:         d.figure(2, 15),
-		ShakeMS:       float64(d.rng.IntN(60)),
-		ErrorShare:    d.figure(0, 0.02),
+		Name:            fmt.Sprintf("k%d", no),
+		Count:           max(1, int(d.between(1, 7)*d.scale+0.5)),
+		Endpoints:       world.Pair{1, float64(1 + d.rng.IntN(4))},
+		MeanMS:          d.pair(world.Pair{15, 100}, world.Pair{100, 350}),
+		Sigma:           d.figure(0.2, 1.2),
+		Headroom:        d.pair(world.Pair{1.05, 1.8}, world.Pair{1.8, 4}),
+		Queue:           d.figure(0.5, 6),
+		RetryAfterShare: d.figure(0, 1),
+		Reports:         d.chance(0.6),
+		SlowStartS:      d.figure(3, 15),
+		SlowStartFrom:   d.figure(0.1, 0.5),
+		IdleS:           d.figure(2, 15),
+		HandshakeMS:     float64(d.rng.IntN(60)),
+		ErrorShare:      d.figure(0, 0.02),
 	}
 	d.drawLimit(&k)
 	if d.chance(0.3) {
 		k.Bundle = 2 + d.rng.IntN(9)
 	}
-	k.Apart = d.chance(0.2)
+	k.SeparateRoutes = d.chance(0.2)
 	if d.chance(0.4) {
-		k.Table = max(6, int(d.between(6, 30)*max(1, d.scale)))
+		k.MaxConnections = max(6, int(d.between(6, 30)*max(1, d.scale)))
 	}
 	return k
 }
 
-// drawLimit gives a third of all kinds a limit of their rate, a third one of calls in a span, the rest none.
+// drawLimit gives a third of all kinds a rate limit, a third a limit of calls per span, and the rest none.
 func (d *drawer) drawLimit(k *world.Kind) {
 	times := func() world.Pair { return d.pair(world.Pair{0.9, 1.5}, world.Pair{1.5, 3}) }
 	switch d.rng.IntN(3) {
 	case 0:
 		k.Limit = "rate"
 		k.LimitTimes = times()
-		k.CountAll = d.chance(0.3)
+		k.CountRefused = d.chance(0.3)
 	case 1:
 		k.Limit = "span"
 		k.LimitTimes = times()
 		k.SpanS = float64(1 + d.rng.IntN(3))
-		k.CountAll = d.chance(0.3)
+		k.CountRefused = d.chance(0.3)
 	}
 }
 
-func (d *drawer) trouble() world.Fault {
+func (d *drawer) fault() world.Fault {
 	t := world.Fault{
 		At:      d.figure(1, d.spec.Seconds*0.6),
 		Seconds: d.figure(2, d.spec.Seconds*0.35),
@@ -162,9 +161,9 @@
 	if d.chance(0.75) {
 		d.drawEndpoints(&t)
 	} else {
-		t.Kind = pick(d, otherTroubles...)
-		if world.FaultKinds[t.Kind].Strikes == "senders" {
-			t.Part.Share = d.figure(0.2, 1)
+		t.Kind = pick(d, otherFaults...)
+		if world.FaultKinds[t.Kind].Affects == "senders" {
+			t.Selector.Share = d.figure(0.2, 1)
 		}
 	}
 	if kind := world.FaultKinds[t.Kind]; kind.Amount != "" && d.chance(0.7) {
@@ -173,26 +172,26 @@
 	return t
 }
 
-// drawEndpoints draws a trouble of endpoints and which ones it strikes.
+// drawEndpoints draws a fault of endpoints and which ones it affects.
 func (d *drawer) drawEndpoints(t *world.Fault) {
-	t.Kind = pick(d, endpointTroubles...)
-	t.Part.Share = d.figure(0.1, 0.7)
+	t.Kind = pick(d, endpointFaults...)
+	t.Selector.Share = d.figure(0.1, 0.7)
 	if d.chance(0.3) {
-		t.Part.Endpoint = 1
+		t.Selector.Endpoint = 1
 	}
 	if d.chance(0.3) {
-		t.Part.Kind = pick(d, d.spec.Partners...).Name
+		t.Selector.Kind = pick(d, d.spec.Partners...).Name
 	}
 }
 
 func (d *drawer) change() world.ListEvent {
 	return world.ListEvent{
-		What:    pick(d, "drain", "remove", "move", "back"),
-		At:      d.figure(1, d.spec.Seconds),
-		Part:    world.Part{Share: d.figure(0.1, 0.6), Endpoint: d.rng.IntN(3)},
-		Restart: d.chance(0.5),
+		Change:   pick(d, "drain", "remove", "move", "back"),
+		At:       d.figure(1, d.spec.Seconds),
+		Selector: world.Selector{Share: d.figure(0.1, 0.6), Endpoint: d.rng.IntN(3)},
+		Restart:  d.chance(0.5),
 	}
 }
 
-// round rounds to two places.
+// round rounds to two decimal places.
 func round(v float64) float64 { return float64(int(v*100+0.5)) / 100 }
--- a/lab/hunt/hunt_test.go
+++ b/lab/hunt/hunt_test.go
@@ -34,7 +34,7 @@
 }
 
 // A drawn scenario is always one that can be played.
-func TestDrawnScenariosAreRight(t *testing.T) {
+func TestDrawnScenariosAreValid(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 500 {
 		if p := Draw(rng, 0.5+rng.Float64()*10).Check(); p != nil {
@@ -47,17 +47,17 @@
 func TestShrinkKeepsTheFind(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 6))
 	spec := Draw(rng, 4)
-	spec.Faults = append(spec.Faults, world.Fault{Kind: "crash", At: 3, Seconds: 4, Part: world.Part{Share: 0.5}})
+	spec.Faults = append(spec.Faults, world.Fault{Kind: "crash", At: 3, Seconds: 4, Selector: world.Selector{Share: 0.5}})
 	spec.Defaults()
 	runs := 0
-	play := func(s *world.Spec, _ uint64, _ bool) (Played, error) {
+	play := func(s *world.Spec, _ uint64, _ bool) (Outcome, error) {
 		runs++
 		for _, tr := range s.Faults {
 			if tr.Kind == "crash" && s.Senders >= 2 {
-				return Played{Rules: map[referee.Rule]int{referee.Returns: 1}}, nil
+				return Outcome{Rules: map[referee.Rule]int{referee.Returns: 1}}, nil
 			}
 		}
-		return Played{}, nil
+		return Outcome{}, nil
 	}
 	small, p, err := Shrink(spec, 1, Goal{Rules: true}, play, 400, nil)
 	if err != nil {
--- a/lab/hunt/play.go
+++ b/lab/hunt/play.go
@@ -1,6 +1,6 @@
 package hunt
 
-// This file owns one run of a hunt in simulated time, and the gap to the bound that sees all. It must never keep anything of it.
+// This file plays a run of a hunt in simulated time and computes the gap to the policy that sees the true state.
 
 import (
 	"flaxcove/lab/baseline"
@@ -9,14 +9,14 @@
 )
 
 // Simulated plays a scenario in simulated time.
-func Simulated(spec *world.Spec, seed uint64, bound bool) (Played, error) {
+func Simulated(spec *world.Spec, seed uint64, bound bool) (Outcome, error) {
 	v, err := sim.Run(sim.Options{Spec: spec, Seed: seed})
 	if err != nil {
-		return Played{}, err
+		return Outcome{}, err
 	}
-	p := Played{Rules: v.Rules}
+	p := Outcome{Rules: v.Rules}
 	if bound && !v.Broken() {
-		b, err := sim.Run(sim.Options{Spec: spec, Seed: seed, Policy: baseline.Make("all_seen")})
+		b, err := sim.Run(sim.Options{Spec: spec, Seed: seed, Policy: baseline.Named("all_seen")})
 		if err != nil {
 			return p, err
 		}
--- a/lab/live/loop.go
+++ b/lab/live/loop.go
@@ -1,6 +1,6 @@
 package live
 
-// This file is the world's goroutine: it keeps the world in step with the machine's clock.
+// This file has the loop of the world's goroutine, which keeps the world in step with the machine's clock.
 
 import (
 	"time"
@@ -8,23 +8,23 @@
 	"flaxcove/choice"
 )
 
-// post hands the loop something to do.
+// post has the loop call do, unless the run has ended.
 func (e *engine) post(do func()) {
 	select {
-	case e.inbox <- do:
+	case e.tasks <- do:
 	case <-e.done:
 	}
 }
 
-// now is the world's time by the machine's clock.
+// now is the time of the world by the machine's clock.
 func (e *engine) now() choice.Time {
 	if !e.began {
 		return 0
 	}
-	return choice.Time(time.Since(e.start) / (100 * time.Microsecond))
+	return choice.Time(time.Since(e.startedAt) / (100 * time.Microsecond))
 }
 
-// advance brings the world up to the present and counts how late it was.
+// advance runs the world's events that are due and counts those that are late.
 func (e *engine) advance() {
 	for {
 		now := e.now()
@@ -36,15 +36,15 @@
 		e.events++
 		if behind := time.Duration(now-at) * 100 * time.Microsecond; behind > 0 && e.began {
 			if behind > lateAt {
-				e.late++
+				e.lateEvents++
 			}
-			e.worst = max(e.worst, behind)
+			e.worstDelay = max(e.worstDelay, behind)
 		}
 		e.w.Advance(at)
 	}
 }
 
-// loop is the world's goroutine.
+// loop plays the world until nothing more can be judged.
 func (e *engine) loop() {
 	wake := time.NewTimer(0)
 	tail := 0.0
@@ -53,7 +53,7 @@
 	}
 	end := e.w.End() + choice.Time((tail+e.o.Spec.Rules.LateMS+2000)*float64(choice.Millisecond))
 	second := choice.Time(0)
-	for e.fail == "" {
+	for e.failure == "" {
 		e.advance()
 		now := e.w.Now()
 		if now/choice.Second > second {
@@ -63,20 +63,20 @@
 			}
 		}
 		over := now > end || now > e.w.End()+choice.Second/2 && e.judge.Pending() == 0
-		if over && (e.o.Busy == nil || !e.o.Busy()) {
+		if over && (e.o.KeepRunning == nil || !e.o.KeepRunning()) {
 			return
 		}
 		in := time.Second / 4
 		if at, more := e.w.Next(); more && e.began {
-			in = min(in, time.Until(e.start.Add(time.Duration(at)*100*time.Microsecond)))
+			in = min(in, time.Until(e.startedAt.Add(time.Duration(at)*100*time.Microsecond)))
 		}
 		wake.Reset(max(0, in))
 		select {
-		case do := <-e.inbox:
+		case do := <-e.tasks:
 			e.advance()
 			do()
-			for range len(e.inbox) {
-				(<-e.inbox)()
+			for range len(e.tasks) {
+				(<-e.tasks)()
 			}
 		case <-wake.C:
 		case <-e.ctx.Done():
@@ -85,15 +85,15 @@
 	}
 }
 
-// until runs the loop before the run begins, until cond holds or the time is over.
+// until runs posted tasks before the world begins, until cond holds. It is false if the run failed or the time is over.
 func (e *engine) until(within time.Duration, cond func() bool) bool {
 	deadline := time.After(within)
 	for !cond() {
-		if e.fail != "" {
+		if e.failure != "" {
 			return false
 		}
 		select {
-		case do := <-e.inbox:
+		case do := <-e.tasks:
 			do()
 		case <-deadline:
 			return false
--- a/lab/live/wire.go
+++ b/lab/live/wire.go
@@ -1,24 +1,26 @@
 package live
 
-// This file is the engine as the world reaches senders through it: world.Wire.
+// This file implements world.Wire: how the world reaches the senders.
 
 import (
 	"flaxcove/lab/world"
 )
 
-func (e *engine) Up(*world.Conn) {} // connections come up by themselves
+// ConnUp does nothing: the machine establishes connections.
+func (e *engine) ConnUp(*world.Conn) {}
 
-func (e *engine) Note(world.SenderNo, world.SenderNo, []byte) {} // this sender listens for none
+// Datagram does nothing: these senders do not listen for datagrams.
+func (e *engine) Datagram(world.SenderNo, world.SenderNo, []byte) {}
 
 func (e *engine) Act(on world.SenderNo, what world.Act) {
 	p := e.senders[on]
 	switch what {
 	case world.Kill:
-		p.expected = true
+		p.endExpected = true
 		p.kill()
-		e.w.Ready(on, false)
+		e.w.SetServing(on, false)
 	case world.Start:
-		if !p.alive() { // two troubles that overlap have killed it once
+		if !p.alive() { // two overlapping faults killed it once
 			p.start()
 		}
 	case world.Term:
@@ -32,11 +34,11 @@
 	case world.HoardOn:
 		e.pools[on].hoard(e.amount("hoard"))
 	case world.HoardOff:
-		e.pools[on].letGo()
+		e.pools[on].releaseHoard()
 	case world.RubbishOn:
 		e.pools[on].rubbish(e.amount("rubbish"))
 	case world.RubbishOff:
-		e.pools[on].noRubbish()
+		e.pools[on].endRubbish()
 	}
 }
 
@@ -51,6 +53,6 @@
 
 func (e *engine) HandIn(h *world.HandIn) { e.pools[h.Sender].handIn(h) }
 
-func (e *engine) News(to world.SenderNo, l world.List) { e.dirs[to].news(l) }
+func (e *engine) ListUpdate(to world.SenderNo, l world.List) { e.directories[to].sendUpdate(l) }
 
-func (e *engine) ListFailed(to world.SenderNo) { e.dirs[to].silence() }
+func (e *engine) ListFailed(to world.SenderNo) { e.directories[to].silence() }
--- a/lab/load/trace.go
+++ b/lab/load/trace.go
@@ -1,6 +1,6 @@
 package load
 
-// This file owns the reading of recorded loads. It must never guess at a field that is left out or wrong.
+// This file reads recorded traces. A field that is left out or wrong is an error, not a guess.
 
 import (
 	"bufio"
@@ -11,8 +11,8 @@
 	"flaxcove/choice"
 )
 
-// traced is one line of a recorded trace.
-type traced struct {
+// traceLine is one line of a recorded trace.
+type traceLine struct {
 	AtMS    *float64 `json:"at_ms"`
 	Class   string   `json:"workload"`
 	Partner int      `json:"partner"`
@@ -31,7 +31,7 @@
 		if len(lines.Bytes()) == 0 {
 			continue
 		}
-		var t traced
+		var t traceLine
 		if err := json.Unmarshal(lines.Bytes(), &t); err != nil {
 			return nil, fmt.Errorf("%s:%d: %w", name, no, err)
 		}
--- a/lab/referee/histogram.go
+++ b/lab/referee/histogram.go
@@ -1,7 +1,6 @@
 package referee
 
-// This file owns the units of the figures: tenths of a millisecond in histograms, seconds in text, lines of the timeline.
-// It must never judge.
+// This file converts units: tenths of a millisecond in histograms, seconds in text and in the timeline.
 
 import (
 	"math"
@@ -30,7 +29,7 @@
 
 func round(v float64) float64 { return math.Round(v*1e4) / 1e4 }
 
-// second is the line of the timeline that an instant belongs to; what comes after the end belongs to the last.
+// second is the entry of the timeline for a time; what comes after the end belongs to the last second.
 func (r *Referee) second(at Time) *Second {
 	return &r.seconds[max(0, min(int(at/choice.Second), len(r.seconds)-1))]
 }
--- a/lab/referee/message.go
+++ b/lab/referee/message.go
@@ -1,7 +1,7 @@
 package referee
 
-// This file owns what the referee holds of a message from its hand-in to its judgement: its due time, its place among
-// those of its ordering key, and the break of a promise that nobody kept. It must never keep a message that is judged.
+// This file holds the state of a message from its hand-in until it is judged: when that is due, and its place in the queue
+// of its ordering key. A message must be dropped once it is judged.
 
 import (
 	"container/heap"
@@ -12,34 +12,34 @@
 )
 
 const (
-	askedFor   = 10 * choice.Second        // after its deadline, in which a message that is delivered late still counts
-	backWithin = 1500 * choice.Millisecond // after its sender is back, for what was overdue meanwhile
-	lookAgain  = 500 * choice.Millisecond  // at what is overdue while its sender is away
+	lateDeliveryPeriod = 10 * choice.Second        // a delivery this long after the deadline still counts
+	returnGrace        = 1500 * choice.Millisecond // for overdue messages after their sender is back
+	awayRecheck        = 500 * choice.Millisecond  // interval of checks for overdue messages of an unavailable sender
 )
 
-// message is what is known of one hand-in.
+// message is the state of one hand-in.
 type message struct {
 	handIn    *world.HandIn
-	dueAt     Time // when it is judged
-	taken     bool
+	dueAt     Time // when it must have ended
+	accepted  bool
 	refused   bool
 	delivered bool
 	ended     bool
 	end       world.End
 	runs      int
-	out       int  // attempts that are out
-	mayRun    bool // an attempt that is no longer out may have run
-	mayRunAt  Time // when the first such one left
-	mayRunIn  int  // the zone that it went to
+	inFlight  int  // attempts in flight
+	mayRun    bool // an attempt that is no longer in flight may have been executed
+	mayRunAt  Time // when the first such attempt left
+	mayRunIn  int  // the zone it went to
 }
 
-// over tells that nothing more is owed.
+// over reports whether the message has ended.
 func (n *message) over() bool { return n.delivered || n.ended || n.refused }
 
-// owed tells that its sender took it on and it has no end.
-func (n *message) owed() bool { return n.taken && !n.delivered && !n.ended }
+// owed reports whether its sender accepted it and it has not ended.
+func (n *message) owed() bool { return n.accepted && !n.delivered && !n.ended }
 
-// dues is container/heap's, the next one to be judged first.
+// dues is a heap of messages by the time they are due.
 type dues []*message
 
 func (d dues) Len() int { return len(d) }
@@ -60,19 +60,19 @@
 	return x
 }
 
-// ask is what is known of one wish of a program, which may hand in several times.
-type ask struct{ paid bool }
+// requestState is the state of one request of a client, which may be handed in several times.
+type requestState struct{ credited bool }
 
-// lineKey names an ordering key at one sender.
-type lineKey struct {
+// orderKey identifies an ordering key at one sender.
+type orderKey struct {
 	sender  world.SenderNo
 	partner int
 	key     int
 }
 
-// settle judges what was due by now.
-func (r *Referee) settle() {
-	r.forgetAsks()
+// judgeDue judges the messages that are due by now.
+func (r *Referee) judgeDue() {
+	r.forgetRequests()
 	now := r.clock()
 	for len(r.due) > 0 && r.due[0].dueAt < now {
 		n := r.due[0]
@@ -82,7 +82,7 @@
 				heap.Fix(&r.due, 0)
 				continue
 			}
-			r.broken(Lost, n.handIn.Sender, "%s was taken on at %.3f s and had no final answer by its hard stop at %.3f s",
+			r.violated(Lost, n.handIn.Sender, "%s was taken on at %.3f s and had no final answer by its hard stop at %.3f s",
 				n.handIn.ID, sec(n.handIn.At), sec(n.handIn.Deadline))
 		}
 		heap.Pop(&r.due)
@@ -90,63 +90,64 @@
 	}
 }
 
-// excused tells until when a sender is not blamed for what is overdue: it has until shortly after its return.
+// excused reports whether a sender is not to blame for overdue messages, and until when: it gets returnGrace after its
+// return.
 func (r *Referee) excused(no world.SenderNo) (until Time, excused bool) {
 	now, s := r.clock(), &r.senders[no]
 	switch {
 	case !s.up || s.away > 0:
-		return now + lookAgain, true
-	case now < s.upAt+backWithin:
-		return s.upAt + backWithin, true
+		return now + awayRecheck, true
+	case now < s.upAt+returnGrace:
+		return s.upAt + returnGrace, true
 	}
 	return 0, false
 }
 
-// forgetAsks drops the asks whose late deliveries no longer count.
-func (r *Referee) forgetAsks() {
+// forgetRequests drops the requests that no delivery can count for any more.
+func (r *Referee) forgetRequests() {
 	now := r.clock()
-	for i, line := range r.asked {
-		for len(line) > 0 && line[0].Deadline+askedFor < now {
-			delete(r.asks, line[0])
+	for i, line := range r.requestsByClass {
+		for len(line) > 0 && line[0].Deadline+lateDeliveryPeriod < now {
+			delete(r.requests, line[0])
 			line[0] = nil
 			line = line[1:]
 		}
-		r.asked[i] = line
+		r.requestsByClass[i] = line
 	}
 }
 
-// drop forgets a message that is judged.
+// drop forgets a message after it is judged.
 func (r *Referee) drop(n *message) {
 	delete(r.messages, n.handIn)
-	r.leaveLine(n)
+	r.leaveKeyQueue(n)
 }
 
-// lineOf is the ordering key of a hand-in, and whether order counts for it.
-func (r *Referee) lineOf(h *world.HandIn) (lineKey, bool) {
-	return lineKey{h.Sender, h.Ask.Partner, h.Ask.Key}, h.Ask.Class.Ordered
+// orderKeyOf is the ordering key of a hand-in, and whether its class is ordered.
+func (r *Referee) orderKeyOf(h *world.HandIn) (orderKey, bool) {
+	return orderKey{h.Sender, h.Request.Partner, h.Request.Key}, h.Request.Class.Ordered
 }
 
-// leaveLine takes a message out of the line of its key.
-func (r *Referee) leaveLine(n *message) {
-	key, ordered := r.lineOf(n.handIn)
+// leaveKeyQueue removes a message from the queue of its ordering key.
+func (r *Referee) leaveKeyQueue(n *message) {
+	key, ordered := r.orderKeyOf(n.handIn)
 	if !ordered {
 		return
 	}
-	line := slices.DeleteFunc(r.lines[key], func(other *message) bool { return other == n })
+	line := slices.DeleteFunc(r.keyQueues[key], func(other *message) bool { return other == n })
 	if len(line) > 0 {
-		r.lines[key] = line
+		r.keyQueues[key] = line
 		return
 	}
-	delete(r.lines, key)
-	if r.rests[key] < r.clock() {
-		delete(r.rests, key)
+	delete(r.keyQueues, key)
+	if r.keyRestUntil[key] < r.clock() {
+		delete(r.keyRestUntil, key)
 	}
 }
 
-// Pending is how many messages are still owed an end, or may yet be sent.
+// Pending is the number of messages that have not ended or have an attempt in flight.
 func (r *Referee) Pending() (count int) {
 	for _, n := range r.messages {
-		if n.owed() || n.out > 0 {
+		if n.owed() || n.inFlight > 0 {
 			count++
 		}
 	}
--- a/lab/referee/referee_test.go
+++ b/lab/referee/referee_test.go
@@ -11,7 +11,7 @@
 	"flaxcove/lab/world"
 )
 
-// rough is a world with some of each trouble that tempts a sender to break a rule.
+// rough is a world with some of each fault that tempts a sender to break a rule.
 func rough() *world.Spec {
 	s := world.Base()
 	s.Name, s.Seconds, s.Senders, s.Zones = "rough", 25, 3, 2
@@ -23,14 +23,14 @@
 		{Name: "ledger", Repeat: "replayable", Share: 1, LatencyObjectiveMS: 2000, DeadlineMS: 8000, Value: 2, LateValue: 0.5, Ordered: true},
 	}
 	s.Partners = []world.Kind{{Name: "plain", Count: 5, Endpoints: world.Pair{1, 3}, SlowStartS: 10, SlowStartFrom: 0.1, Headroom: world.Pair{1.2, 1.6}},
-		{Name: "strict", Count: 3, Limit: "span", SpanS: 2, Told: 1, LimitTimes: world.Pair{0.8, 1.1}}}
+		{Name: "strict", Count: 3, Limit: "span", SpanS: 2, RetryAfterShare: 1, LimitTimes: world.Pair{0.8, 1.1}}}
 	s.Faults = []world.Fault{
-		{Kind: "crash", At: 4, Seconds: 3, Part: world.Part{Kind: "plain", Share: 0.4}},
-		{Kind: "failing", At: 10, Seconds: 4, Amount: 0.4, Part: world.Part{Kind: "plain"}},
-		{Kind: "sender_kill", At: 14, Seconds: 1, Part: world.Part{Share: 0.3}},
+		{Kind: "crash", At: 4, Seconds: 3, Selector: world.Selector{Kind: "plain", Share: 0.4}},
+		{Kind: "failing", At: 10, Seconds: 4, Amount: 0.4, Selector: world.Selector{Kind: "plain"}},
+		{Kind: "sender_kill", At: 14, Seconds: 1, Selector: world.Selector{Share: 0.3}},
 	}
-	s.Changes = []world.ListEvent{{What: "drain", At: 8, Part: world.Part{Kind: "plain", Endpoint: 1, Partners: []int{0, 1, 2, 3, 4}}},
-		{What: "back", At: 16, Part: world.Part{Kind: "plain", Endpoint: 1, Partners: []int{0, 1, 2, 3, 4}}}}
+	s.Changes = []world.ListEvent{{Change: "drain", At: 8, Selector: world.Selector{Kind: "plain", Endpoint: 1, Partners: []int{0, 1, 2, 3, 4}}},
+		{Change: "back", At: 16, Selector: world.Selector{Kind: "plain", Endpoint: 1, Partners: []int{0, 1, 2, 3, 4}}}}
 	s.Defaults()
 	if p := s.Check(); p != nil {
 		panic(p)
@@ -136,10 +136,10 @@
 	t.Helper()
 	make := func(h choice.Host, id choice.SenderID, seed int64, set choice.Settings, w *world.World) sim.Policy {
 		if how == "pushes over" {
-			return baseline.Make("one_try")(h, id, seed, set, w)
+			return baseline.Named("one_try")(h, id, seed, set, w)
 		}
 		mine := &host{Host: h, how: how, w: w, out: map[choice.MessageID]sent{}, over: map[choice.MessageID]bool{}}
-		return &wrong{sim.Choice(mine, id, seed, set, w), mine, how}
+		return &wrong{sim.ChoicePolicy(mine, id, seed, set, w), mine, how}
 	}
 	v, err := sim.Run(sim.Options{Spec: spec, Seed: 3, Policy: make})
 	if err != nil {
@@ -149,9 +149,9 @@
 }
 
 // Each rule has a sender that breaks it, and is caught; the same sender with nothing wrong breaks none.
-func TestEachRuleCatchesASenderThatBreaksIt(t *testing.T) {
+func TestRulesDetectViolations(t *testing.T) {
 	if v := play(t, rough(), "not at all"); v.Broken() {
-		t.Fatalf("a sender that is right breaks %v: %v", v.Rules, v.Breaks)
+		t.Fatalf("a sender that is right breaks %v: %v", v.Rules, v.Violations)
 	}
 	for how, rule := range map[string]referee.Rule{
 		"forgets ends":              referee.Lost,
@@ -179,12 +179,12 @@
 	}
 }
 
-// ledger is told what a world would tell, one thing at a time, to show how instants are read.
+// ledger reports events to a referee one at a time, to show how events of the same instant count.
 type ledger struct {
-	r   *referee.Referee
-	now choice.Time
-	ask *world.Ask
-	end *world.Endpoint
+	r       *referee.Referee
+	now     choice.Time
+	request *world.Request
+	end     *world.Endpoint
 }
 
 func newLedger(repeat string) *ledger {
@@ -193,26 +193,26 @@
 	l.r = referee.New(s, func() choice.Time { return l.now }, 0)
 	w := s.Classes[0]
 	w.Repeat = repeat
-	l.ask = &world.Ask{No: 1, Class: &w, Deadline: 50000}
-	l.ask.At = 20000
+	l.request = &world.Request{No: 1, Class: &w, Deadline: 50000}
+	l.request.At = 20000
 	kind := s.Partners[0]
 	l.end = &world.Endpoint{ID: "e", Partner: &world.Partner{Kind: &kind}}
 	l.now = 20000
 	l.r.Sender(0, true)
-	l.r.Asked(l.ask)
+	l.r.Requested(l.request)
 	return l
 }
 
 func (l *ledger) handIn() *world.HandIn {
-	h := &world.HandIn{ID: "n", Ask: l.ask, At: l.now, Deadline: 50000}
+	h := &world.HandIn{ID: "n", Request: l.request, At: l.now, Deadline: 50000}
 	l.r.HandedIn(h)
 	return h
 }
 
 func (l *ledger) call(h *world.HandIn) *world.Call {
 	c := &world.Call{Conn: &world.Conn{Endpoint: l.end}, Messages: []*world.HandIn{h}, SentAt: l.now}
-	l.r.Began(c)
-	l.r.Moved(c, true)
+	l.r.CallSent(c)
+	l.r.InFlightChanged(c, true)
 	return c
 }
 
@@ -226,17 +226,17 @@
 
 	l := newLedger("single-use")
 	h := l.handIn()
-	l.r.Heard(h, world.HeardOK)
+	l.r.HandInAnswered(h, world.HandInAccepted)
 	c := l.call(h)
 	l.r.Outcome(c, 200)
-	l.r.Moved(c, false)
+	l.r.InFlightChanged(c, false)
 	l.r.Delivered(h, l.end)
 	l.r.Ended(h, world.EndFailed) // its sender gave up at the instant of the answer
 	show("answer, then time-out", l)
 
 	l = newLedger("single-use")
 	h = l.handIn()
-	l.r.Heard(h, world.HeardOK)
+	l.r.HandInAnswered(h, world.HandInAccepted)
 	l.r.Sender(0, false) // killed at the instant of its +OK
 	l.now += 10
 	l.r.Sender(0, true)
@@ -245,40 +245,40 @@
 	l = newLedger("single-use")
 	h = l.handIn()
 	l.r.Sender(0, false)
-	l.r.Heard(h, world.HeardNoSender)
+	l.r.HandInAnswered(h, world.HandInNoSender)
 	show("kill, then no +OK", l)
 
 	l = newLedger("replayable")
 	h = l.handIn()
-	l.r.Heard(h, world.HeardOK)
-	l.r.Told(0, l.end, choice.Draining)
+	l.r.HandInAnswered(h, world.HandInAccepted)
+	l.r.StageAnnounced(0, l.end, choice.Draining)
 	l.now += 5000 // the grace of 500 ms to the tenth
 	c = l.call(h)
 	l.r.Outcome(c, 200)
-	l.r.Moved(c, false)
+	l.r.InFlightChanged(c, false)
 	l.r.Delivered(h, l.end)
 	show("drain, then a call as the grace ends", l)
 
 	l = newLedger("replayable")
 	h = l.handIn()
-	l.r.Heard(h, world.HeardOK)
-	l.r.Told(0, l.end, choice.Draining)
+	l.r.HandInAnswered(h, world.HandInAccepted)
+	l.r.StageAnnounced(0, l.end, choice.Draining)
 	l.now += 5001
 	c = l.call(h)
 	l.r.Outcome(c, 200)
-	l.r.Moved(c, false)
+	l.r.InFlightChanged(c, false)
 	l.r.Delivered(h, l.end)
 	show("drain, then a call a tenth later", l)
 
 	l = newLedger("replayable")
 	h = l.handIn()
-	l.r.Heard(h, world.HeardOK)
+	l.r.HandInAnswered(h, world.HandInAccepted)
 	c = l.call(h)
 	l.r.Outcome(c, 503)
-	l.r.Moved(c, false)
+	l.r.InFlightChanged(c, false)
 	c = l.call(h) // at the instant of the refusal: the first is over
 	l.r.Outcome(c, 200)
-	l.r.Moved(c, false)
+	l.r.InFlightChanged(c, false)
 	l.r.Delivered(h, l.end)
 	show("refusal, then the next call", l)
 	// Output:
--- a/lab/report/html.go
+++ b/lab/report/html.go
@@ -1,6 +1,7 @@
 package report
 
-// This file owns the page and its template, which names fields of verdicts. It must never fetch anything, nor need a script.
+// This file has the page and its template, which names fields of verdicts. The page must not load anything, nor need a
+// script.
 
 import (
 	"cmp"
@@ -26,7 +27,7 @@
 	V              *referee.Verdict
 	Rates, Latency template.HTML
 	Returns        template.HTML
-	Kept           string
+	BrokenRules    string
 	Rows           []classRow
 }
 
@@ -72,14 +73,14 @@
 <td>{{if .Broken}}<span class="bad">{{.Broken}}</span>{{else}}0{{end}}</td><td>{{f1 .WallS}}</td><td>{{f1 .MemoryMB}}</td></tr>{{end}}</table></div>{{end}}
 {{if .Left}}<p class="bad">{{.Left}} run(s) are left out: void, or not played to their end.</p>{{end}}
 {{range .Runs}}<h2>{{.V.Scenario}} <span class="dim">{{.V.Engine}}, seed {{.V.Seed}}</span></h2>
-<p>Figure <b>{{f3 .V.Figure}}</b>; {{if .V.Void}}<span class="bad">void: {{.V.Void}}</span>{{else if .Kept}}<span class="bad">{{.Kept}}</span>{{else}}all rules kept{{end}}.
+<p>Figure <b>{{f3 .V.Figure}}</b>; {{if .V.Void}}<span class="bad">void: {{.V.Void}}</span>{{else if .BrokenRules}}<span class="bad">{{.BrokenRules}}</span>{{else}}all rules kept{{end}}.
 Asked {{.V.Asked}}, delivered {{.V.Delivered}}, of these in contract time {{.V.InTime}}; shed {{.V.Shed}}, handed back {{.V.HandedBack}}, given up {{.V.Failed}}; {{.V.Calls}} calls, {{.V.Refusals}} refused, {{.V.FailedCalls}} failed.</p>
 <h3>What became of what was asked</h3><div class="plot">{{.Rates}}</div><h3>Time from first wanted to delivered</h3><div class="plot">{{.Latency}}</div>
 {{if .Returns}}<h3>Load on endpoints that came back</h3><div class="plot">{{.Returns}}</div>{{end}}
 {{if .V.Faults}}<p class="dim">Shaded: {{range $i, $t := .V.Faults}}{{if $i}}, {{end}}{{$t.Kind}} from {{f1 $t.From}} to {{f1 $t.To}} s ({{$t.Parts}} struck){{end}}.</p>{{end}}
 <div class="wide"><table><tr><th>workload</th><th>asked</th><th>delivered</th><th>gain kept</th><th>p50 ms</th><th>p99 ms</th><th>p99.9 ms</th></tr>
 {{range .Rows}}<tr><td>{{.Name}}</td><td>{{.Asked}}</td><td>{{.Delivered}}</td><td>{{f3 .Share}}</td><td>{{f1 .Delivery.P50}}</td><td>{{f1 .Delivery.P99}}</td><td>{{f1 .Delivery.P999}}</td></tr>{{end}}</table></div>
-{{if .V.Breaks}}<h3>Broken rules</h3><ul>{{range .V.Breaks}}<li>{{.Rule}} at {{f3 .At}} s: {{.What}}</li>{{end}}</ul>{{end}}
+{{if .V.Violations}}<h3>Broken rules</h3><ul>{{range .V.Violations}}<li>{{.Rule}} at {{f3 .At}} s: {{.What}}</li>{{end}}</ul>{{end}}
 {{end}}</body></html>
 `))
 
@@ -150,7 +151,11 @@
 
 // runPartOf is what is shown of one run.
 func runPartOf(verdict *referee.Verdict) (runPart, error) {
-	rates, latency, err := overTime(verdict)
+	rates, err := ratesPlot(verdict)
+	if err != nil {
+		return runPart{}, err
+	}
+	latency, err := latencyPlot(verdict)
 	if err != nil {
 		return runPart{}, err
 	}
@@ -159,11 +164,11 @@
 		return runPart{}, err
 	}
 	part := runPart{
-		V:       verdict,
-		Rates:   template.HTML(rates),
-		Latency: template.HTML(latency),
-		Returns: template.HTML(returns),
-		Kept:    brokenRules(verdict),
+		V:           verdict,
+		Rates:       template.HTML(rates),
+		Latency:     template.HTML(latency),
+		Returns:     template.HTML(returns),
+		BrokenRules: brokenRules(verdict),
 	}
 	for _, class := range verdict.Classes {
 		row := classRow{Class: class}
--- a/lab/report/report_test.go
+++ b/lab/report/report_test.go
@@ -11,8 +11,8 @@
 	"flaxcove/lab/sim"
 )
 
-// A page needs nothing from outside, and says what is void, broken or cannot be told.
-func TestPageStandsAlone(t *testing.T) {
+// A page is self-contained, and says what is void, broken or not significant.
+func TestPageIsSelfContained(t *testing.T) {
 	s, err := scenario.Find("crash", "")
 	if err != nil {
 		t.Fatal(err)
@@ -23,7 +23,7 @@
 	}
 	broken := *v
 	broken.Rules, broken.Figure = map[referee.Rule]int{referee.Waits: 2}, 0
-	broken.Breaks = []referee.Break{{Rule: referee.Waits, What: "a <call> left early"}}
+	broken.Violations = []referee.Violation{{Rule: referee.Waits, What: "a <call> left early"}}
 	void := *v
 	void.Void = "too busy"
 	var results []*experiment.Result
--- a/lab/scale/host/host.go
+++ b/lab/scale/host/host.go
@@ -19,24 +19,25 @@
 	"flaxcove/lab/scale/fleet"
 )
 
-// host is one process's. Orders are taken one at a time.
+// host runs the members of one process. Orders are carried out one at a time.
 type host struct {
 	spec    Spec
 	fleet   *fleet.Fleet
 	log     *zap.Logger
 	members map[int]*member
-	// parting tells who is on the other side of a cut, and fallen which zones' endpoints say nothing; replaced whole.
-	parting atomic.Pointer[map[view.Name]bool]
-	fallen  atomic.Pointer[[]int]
+	// separated holds the members on the other side of a cut, fallen the zones whose endpoints do not answer. Both are
+	// replaced as a whole.
+	separated atomic.Pointer[map[view.Name]bool]
+	fallen    atomic.Pointer[[]int]
 }
 
-// mostLine bounds an order or answer.
-const mostLine = 16 << 20
+// maxLine bounds an order or answer.
+const maxLine = 16 << 20
 
-// Main serves one parent: a Spec, then orders, until the input ends.
+// Main serves one parent: it reads a Spec and then orders, until the input ends.
 func Main(in io.Reader, out io.Writer) error {
 	lines := bufio.NewScanner(in)
-	lines.Buffer(nil, mostLine)
+	lines.Buffer(nil, maxLine)
 	if !lines.Scan() {
 		return fmt.Errorf("no spec: %w", lines.Err())
 	}
@@ -80,7 +81,7 @@
 			return err
 		}
 	}
-	h.parting.Store(&map[view.Name]bool{})
+	h.separated.Store(&map[view.Name]bool{})
 	h.fallen.Store(&[]int{})
 	for _, no := range h.spec.Members {
 		if no < 0 || no >= len(h.fleet.Members) {
@@ -105,7 +106,7 @@
 
 func (h *host) zoneFell(zone int) bool { return slices.Contains(*h.fallen.Load(), zone) }
 
-// answer does what is asked.
+// answer carries out an order.
 func (h *host) answer(order *Order) (a Answer) {
 	switch order.Do {
 	case Start:
@@ -115,11 +116,7 @@
 	case Stop:
 		a.Error = h.each(order.Members, (*member).stop)
 	case Cut:
-		apart := map[view.Name]bool{}
-		for _, no := range order.Apart {
-			apart[h.fleet.Members[no].Name] = true
-		}
-		h.parting.Store(&apart)
+		h.cut(order.Apart)
 	case Fall:
 		h.fallen.Store(&order.Zones)
 	case State:
@@ -127,17 +124,12 @@
 			a.States = append(a.States, m.state())
 		}
 	case Applied:
-		a.Applied = map[int]time.Time{}
-		for no, m := range h.members {
-			if at := m.appliedAt(order); !at.IsZero() {
-				a.Applied[no] = at
-			}
-		}
+		a.Applied = h.applied(order)
 	case Measure:
 		used := measure(false)
-		a.Used, a.Volumes = &used, map[int]MemberSaid{}
+		a.Used, a.Volumes = &used, map[int]MemberTraffic{}
 		for no, m := range h.members {
-			a.Volumes[no] = m.said()
+			a.Volumes[no] = m.traffic()
 		}
 	case Memory:
 		used := measure(true)
@@ -148,6 +140,27 @@
 	return a
 }
 
+// cut separates members from all others, or none.
+func (h *host) cut(nos []int) {
+	apart := map[view.Name]bool{}
+	for _, no := range nos {
+		apart[h.fleet.Members[no].Name] = true
+	}
+	h.separated.Store(&apart)
+}
+
+// applied is when each member applied the purge or the version of an order; members that have not are left out.
+func (h *host) applied(order *Order) map[int]time.Time {
+	times := map[int]time.Time{}
+	for no, m := range h.members {
+		if at := m.appliedAt(order); !at.IsZero() {
+			times[no] = at
+		}
+	}
+	return times
+}
+
+// ordered returns the members in the order of the spec.
 func (h *host) ordered() (all []*member) {
 	for _, no := range h.spec.Members {
 		all = append(all, h.members[no])
@@ -155,7 +168,7 @@
 	return all
 }
 
-// each has members do something at once, and tells what went wrong first.
+// each calls do on members concurrently and describes the first error.
 func (h *host) each(nos []int, do func(*member) error) string {
 	if len(nos) == 0 {
 		nos = h.spec.Members
--- a/lab/scale/host/member.go
+++ b/lab/scale/host/member.go
@@ -23,33 +23,33 @@
 	"flaxcove/lab/scale/hollow"
 )
 
-// member is one hollow member: its folder, which lasts, and the life that runs on it.
+// member is one hollow member: its folder, and the incarnation that runs on it.
 type member struct {
 	host *host
 	no   int
 
-	mu      sync.Mutex // held over a start, an end or a look at one member; no other lock of the program is held then
-	life    *life
-	applied uint64 // the highest purge that an earlier life applied
+	mu      sync.Mutex // held while one member is started, ended or read; no other lock of the program is held then
+	running *incarnation
+	applied uint64 // the highest purge that an earlier incarnation applied
 }
 
-// life is one run of a member, as a process would have it.
-type life struct {
+// incarnation is one run of a member, like that of a process.
+type incarnation struct {
 	node   *cluster.Node
 	sender *hollow.Sender
-	// dead has nothing go out or be answered any more: a process that is killed says no word of farewell.
+	// dead stops all traffic of the member at once: a killed process does not say that it leaves.
 	dead atomic.Bool
 	stop context.CancelFunc
 	work sync.WaitGroup
 }
 
-// longest is the longest deadline of any message class of the synthetic senders.
-const longest = 5 * time.Second
+// longestDeadline is the longest deadline of all classes of the hollow senders.
+const longestDeadline = 5 * time.Second
 
 func (m *member) start() error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.life != nil {
+	if m.running != nil {
 		return nil
 	}
 	h, self := m.host, m.host.fleet.Members[m.no]
@@ -62,7 +62,7 @@
 	if err != nil {
 		return err
 	}
-	l := &life{}
+	l := &incarnation{}
 	zones := map[string]choice.ZoneNo{}
 	own := 0
 	for zone := range h.fleet.Zones {
@@ -73,7 +73,7 @@
 	}
 	l.sender = hollow.New(&h.spec.Load, own, uint64(m.no), m.applied, h.clock, h.zoneFell)
 	l.node, err = cluster.Start(cluster.Options{Settings: set, Log: h.log.With(zap.String("member", string(self.Name))), Orders: l.sender,
-		Zones: zones, Longest: longest, RatingIsRate: true, Cut: func(other view.Name) bool { return l.dead.Load() || h.apart(self.Name, other) }})
+		Zones: zones, Longest: longestDeadline, RatingIsRate: true, Cut: func(other view.Name) bool { return l.dead.Load() || h.apart(self.Name, other) }})
 	if err != nil {
 		return err
 	}
@@ -82,40 +82,40 @@
 	if h.digestsRead() {
 		l.work.Go(func() { l.sender.Run(ctx, l.node) })
 	}
-	m.life = l
+	m.running = l
 	return nil
 }
 
-// digestsRead tells whether anything is made of digests: where nothing is, their making would only count as the
-// members' processor time.
+// digestsRead reports whether digests are used. If not, none are made, so that they do not add to the members' processor
+// time.
 func (h *host) digestsRead() bool {
 	return slices.ContainsFunc(h.spec.Fleet.Uses, func(use string) bool { return use == "failover" || use == "popularity" })
 }
 
-// apart tells whether a cut lies between two members.
+// apart reports whether a cut separates two members.
 func (h *host) apart(one, other view.Name) bool {
-	apart := *h.parting.Load()
+	apart := *h.separated.Load()
 	return apart[one] != apart[other]
 }
 
-// kill ends a life without a word to others, and stop with one.
+// kill ends an incarnation without notice to others, stop with one.
 func (m *member) kill() error { return m.end(true) }
 func (m *member) stop() error { return m.end(false) }
 
 func (m *member) end(silent bool) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.life == nil {
+	if m.running == nil {
 		return nil
 	}
-	l := m.life
-	m.life = nil
+	l := m.running
+	m.running = nil
 	m.applied = l.sender.Applied()
 	l.dead.Store(silent)
 	l.stop()
 	l.work.Wait()
 	if err := l.node.Close(); err != nil {
-		m.host.log.Warn("a member ended with trouble", zap.Int("member", m.no), zap.Error(err))
+		m.host.log.Warn("member did not close cleanly", zap.Int("member", m.no), zap.Error(err))
 	}
 	return nil
 }
@@ -123,13 +123,13 @@
 func (m *member) state() MemberState {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.life == nil {
+	if m.running == nil {
 		return MemberState{No: m.no}
 	}
-	return StateOf(m.no, m.life.node.Status())
+	return StateOf(m.no, m.running.node.Status())
 }
 
-// StateOf is a member's state by what it tells of itself.
+// StateOf is a member's state by its status.
 func StateOf(no int, s *status.Status) MemberState {
 	here, sum := Alive(s.Members)
 	state := MemberState{No: no, Up: true, Here: here, View: sum, Root: s.Root, Leader: s.Leader, Epoch: s.Epoch, Purged: s.Purged}
@@ -146,7 +146,7 @@
 
 var sums = crc64.MakeTable(crc64.ECMA)
 
-// Alive counts members that are alive, and sums up which lives they are.
+// Alive counts the members that are alive, with a checksum of their names and incarnations.
 func Alive(members []view.Member) (here int, sum uint64) {
 	hash := crc64.New(sums)
 	for _, m := range members {
@@ -161,26 +161,26 @@
 func (m *member) appliedAt(order *Order) time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.life == nil {
+	if m.running == nil {
 		return time.Time{}
 	}
 	if order.Purge > 0 {
-		return m.life.sender.AppliedAt(order.Purge)
+		return m.running.sender.AppliedAt(order.Purge)
 	}
-	return m.life.sender.ConfiguredAt(order.Version)
+	return m.running.sender.ConfiguredAt(order.Version)
 }
 
-func (m *member) said() MemberSaid {
+func (m *member) traffic() MemberTraffic {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.life == nil {
-		return MemberSaid{}
+	if m.running == nil {
+		return MemberTraffic{}
 	}
-	return SaidOf(m.life.node.Status())
+	return TrafficOf(m.running.node.Status())
 }
 
-// SaidOf is what a member has carried by what it tells of itself.
-func SaidOf(s *status.Status) MemberSaid {
+// TrafficOf returns a member's traffic by its status.
+func TrafficOf(s *status.Status) MemberTraffic {
 	t := s.Traffic
-	return MemberSaid{In: t.In, Out: t.Out, Gossip: t.Gossip, Packets: t.Packets, Consensus: t.Consensus, Kinds: t.Kinds, Lost: s.Counts["digests_lost"]}
+	return MemberTraffic{In: t.In, Out: t.Out, Gossip: t.Gossip, Packets: t.Packets, Consensus: t.Consensus, Kinds: t.Kinds, Lost: s.Counts["digests_lost"]}
 }
--- a/lab/scale/scale_test.go
+++ b/lab/scale/scale_test.go
@@ -50,7 +50,7 @@
 		AgreeWithin: 4 * time.Minute, HostCommand: []string{binary, "lab", "scale"}, ServeCommand: []string{binary, "serve"}, Logs: os.Getenv("SCALE_LOGS"), Say: t.Logf}
 }
 
-// TestSmall plays a kill and a cut. Its verdict is that the fleet comes to agree; how long that takes is told alone.
+// TestSmall plays a kill and a cut. Its verdict is that the fleet agrees again; how long that takes is only logged.
 func TestSmall(t *testing.T) {
 	s, err := schedule.Parse("small.toml", []byte(`
 name = "small"
@@ -102,7 +102,7 @@
 	t.Log(page.String())
 }
 
-// TestSchedules reads all that come with the program.
+// TestSchedules reads all built-in schedules.
 func TestSchedules(t *testing.T) {
 	for _, name := range Schedules() {
 		s, err := FindSchedule(name)
@@ -113,18 +113,18 @@
 		f := fleet.Plan(fleet.Size{Members: s.Processes, Real: 8, Zones: s.Zones, Regions: s.Regions, Large: 3})
 		r := &run{fleet: f}
 		for i := range s.Faults {
-			struck := s.Struck(&s.Faults[i], r.places())
-			if k := s.Faults[i].Kind; (k == "kill" || k == "cut") && len(struck) == 0 {
+			affected := s.Affected(&s.Faults[i], r.locations())
+			if k := s.Faults[i].Kind; (k == "kill" || k == "cut") && len(affected) == 0 {
 				t.Errorf("%s: strikes nobody", name)
 			}
 		}
 	}
 }
 
-// TestDiffer: each thing that members may see differently keeps them from agreeing.
+// TestDiffer checks that every kind of difference between members keeps them from agreeing.
 func TestDiffer(t *testing.T) {
 	alike := host.MemberState{Up: true, Here: 2, View: 7, Root: "a", Leader: "b", Epoch: 3, Purged: 4}
-	if why := differ([]host.MemberState{alike, alike}, 2, true); len(why) > 0 {
+	if why := differences([]host.MemberState{alike, alike}, 2, true); len(why) > 0 {
 		t.Errorf("two that see the same: %v", why)
 	}
 	for name, change := range map[string]func(*host.MemberState){
@@ -137,11 +137,11 @@
 	} {
 		other := alike
 		change(&other)
-		if why := differ([]host.MemberState{alike, other}, 2, true); len(why) == 0 {
+		if why := differences([]host.MemberState{alike, other}, 2, true); len(why) == 0 {
 			t.Errorf("%s: two that differ agree", name)
 		}
 	}
-	if why := differ([]host.MemberState{alike}, 2, true); len(why) == 0 {
+	if why := differences([]host.MemberState{alike}, 2, true); len(why) == 0 {
 		t.Error("one of two agrees")
 	}
 }
--- a/lab/sim/answers.go
+++ b/lab/sim/answers.go
@@ -1,35 +1,35 @@
 package sim
 
-// This file is what comes back: answers, and ends of connections.
+// This file handles what comes back to a sender: answers, and closed connections.
 
 import (
 	"flaxcove/choice"
 	"flaxcove/lab/world"
 )
 
-// onLink does something with the link of a connection once its process is awake, unless it is closed by then.
+// onLink calls do with the link of a connection once the process runs, unless the link is closed by then.
 func (n *node) onLink(wc *world.Conn, do func(l *link)) {
 	l, ok := wc.Engine.(*link)
 	if !ok {
 		return
 	}
-	n.awake(func() {
+	n.whenRunning(func() {
 		if !l.closed {
 			do(l)
 		}
 	})
 }
 
-// down hears that a connection was refused, or ended by the other side.
-func (n *node) down(wc *world.Conn, why world.Seen) {
+// connDown handles a connection that was refused, or closed by the endpoint.
+func (n *node) connDown(wc *world.Conn, why world.ConnEnd) {
 	n.onLink(wc, func(l *link) {
 		c := l.call
 		n.dropIdle(l)
-		n.e.w.Hang(wc)
+		n.e.w.CloseBySender(wc)
 		if c == nil || c.over {
 			return
 		}
-		if why == world.SeenRefused {
+		if why == world.ConnRefused {
 			n.finish(c, choice.ConnectFailed, world.Answer{})
 		} else {
 			n.finish(c, choice.Reset, world.Answer{})
@@ -37,7 +37,7 @@
 	})
 }
 
-// answered hears an answer, or its first half.
+// answered handles an answer, or the first half of one.
 func (n *node) answered(wc *world.Conn, a world.Answer) {
 	n.onLink(wc, func(l *link) {
 		c := l.call
@@ -51,7 +51,7 @@
 		l.call = nil
 		if a.Spoilt || a.Close {
 			l.closed = true
-			n.e.w.Hang(wc)
+			n.e.w.CloseBySender(wc)
 		} else {
 			n.makeIdle(l)
 		}
@@ -61,12 +61,12 @@
 
 // waitForRest abandons a call if the other half of its answer does not come.
 func (n *node) waitForRest(c *call) {
-	life := n.life
-	n.e.w.After(restFor, func() {
-		if n.life != life || c.over {
+	incarnation := n.incarnation
+	n.e.w.After(answerRestTimeout, func() {
+		if n.incarnation != incarnation || c.over {
 			return
 		}
-		n.awake(func() {
+		n.whenRunning(func() {
 			if !c.over {
 				n.abandon(c, choice.Spoilt)
 			}
@@ -74,7 +74,7 @@
 	})
 }
 
-// resultOf is what a whole answer means.
+// resultOf is the result that a complete answer stands for.
 func resultOf(a world.Answer) choice.Result {
 	switch {
 	case a.Spoilt:
@@ -87,58 +87,58 @@
 	return choice.Errored
 }
 
-// finish ends a call.
+// finish ends a call with a result, once.
 func (n *node) finish(c *call, result choice.Result, a world.Answer) {
 	if c.over {
 		return
 	}
 	c.over = true
-	delete(n.out, c)
-	n.tell(c, result, a)
+	delete(n.inFlight, c)
+	n.reportCall(c, result, a)
 }
 
-// tell has the module hear how a call ended, message by message.
-func (n *node) tell(c *call, result choice.Result, a world.Answer) {
-	n.stir()
+// reportCall reports the end of a call to the policy, message by message.
+func (n *node) reportCall(c *call, result choice.Result, a world.Answer) {
+	n.scheduleTick()
 	if c.probe {
-		n.policy.Probed(c.e.id, result)
+		n.policy.Probed(c.endpoint.id, result)
 		return
 	}
 	wait := a.Wait
 	if wait > 0 {
-		wait++ // counted from a clock that may lie inside a tenth
+		wait++ // the endpoint's clock may be ahead of ours by part of a tenth of a millisecond
 	}
 	for i, o := range c.messages {
-		if o.out != c {
-			continue // it has parted
+		if o.call != c {
+			continue // it was detached before
 		}
-		out := choice.Outcome{Message: o.ID, Attempt: o.tries - 1, Endpoint: c.e.id, Took: n.Now() - c.began, Result: result,
-			Final: result == choice.Done, Wait: wait, Report: a.Report, Reused: c.kept, Closed: a.Close}
-		if a.Fates != nil && result == choice.Done && a.Fates[i] != 200 {
+		out := choice.Outcome{Message: o.ID, Attempt: o.attempts - 1, Endpoint: c.endpoint.id, Took: n.Now() - c.startedAt, Result: result,
+			Final: result == choice.Done, Wait: wait, Report: a.Report, Reused: c.reused, Closed: a.Close}
+		if a.Statuses != nil && result == choice.Done && a.Statuses[i] != 200 {
 			out.Result, out.Final = choice.Errored, false
 		}
 		if len(c.messages) == 1 && out.Result != choice.Full {
 			out.Wait = 0
 		}
-		n.told(c, o, out)
+		n.attemptEnded(c, o, out)
 	}
 }
 
-// told has the module hear how an attempt ended.
-func (n *node) told(c *call, o *owed, out choice.Outcome) {
-	o.out = nil
+// attemptEnded reports the end of an attempt to the policy.
+func (n *node) attemptEnded(c *call, o *openMessage, out choice.Outcome) {
+	o.call = nil
 	switch out.Result {
 	case choice.Errored, choice.TimedOut, choice.Reset, choice.Cancelled, choice.Spoilt:
 		if !o.MayRun {
-			o.MayRun, o.RanAt, o.RanIn = true, c.began, c.e.zone
+			o.MayRun, o.RanAt, o.RanIn = true, c.startedAt, c.endpoint.zone
 		}
 	default:
 		if !o.MayRun && !out.Final {
-			o.sure = false
+			o.mayRunRecorded = false
 		}
 	}
 	n.policy.Ended(out)
 	if out.Final {
-		n.over(o)
+		n.forgetMessage(o)
 	}
 }
--- a/lab/sim/node.go
+++ b/lab/sim/node.go
@@ -1,10 +1,9 @@
 package sim
 
-// This file owns one sender in simulated time: its lives, its turns and what it takes in. It must never decide; that is
-// its policy's.
+// This file plays one sender in simulated time: its incarnations, its ticks and the messages it accepts. Decisions are the
+// policy's alone.
 
 import (
-	"cmp"
 	"fmt"
 	"slices"
 
@@ -13,247 +12,217 @@
 )
 
 const (
-	settleFor  = 10 * choice.Millisecond  // between the end of an abandoned call and the next with its message
-	restFor    = 250 * choice.Millisecond // for the rest of an answer that began
-	idleMargin = 500 * choice.Millisecond // an idle link is closed so long before its endpoint would
-	probeFor   = 1500 * choice.Millisecond
-	sendFor    = 2500 * choice.Millisecond // after SIGTERM, new calls leave for so long
-	endAfter   = 3300 * choice.Millisecond // and the process ends
+	abandonDelay      = 10 * choice.Millisecond  // from the close of an abandoned call until the policy learns of it
+	answerRestTimeout = 250 * choice.Millisecond // for the second half of an answer
+	idleMargin        = 500 * choice.Millisecond // an idle link is closed this long before its endpoint would close it
+	probeTimeout      = 1500 * choice.Millisecond
+	drainSendPeriod   = 2500 * choice.Millisecond // new calls are sent for this long after SIGTERM
+	drainTimeout      = 3300 * choice.Millisecond // from SIGTERM to the end of the process
 )
 
-// node is one sender: what lasts over its processes, and the one that runs.
+// node is one sender: its current process, and what survives it.
 type node struct {
-	e      *engine
-	no     world.SenderNo
-	life   int64
-	alive  bool
-	paused bool
-	ending bool // SIGTERM has come
-	endAt  choice.Time
-	later  []func() // what came while it was paused
-
-	policy   Policy
-	set      choice.Settings
-	lastTurn choice.Time
-	stirred  bool
-	turnDue  bool
-
-	owed     map[choice.MessageID]*owed // lasting and not
-	order    []choice.MessageID         // of what lasts, as taken on
-	admitted []*owed                    // of this turn
-	starting []*call                    // of this turn
-	ends     map[choice.EndpointID]*end
-	timers   map[choice.TimerID]bool // false once forgotten
-	out      map[*call]struct{}
-	version  int64
+	e           *engine
+	no          world.SenderNo
+	incarnation int64
+	alive       bool
+	paused      bool
+	ending      bool // SIGTERM was received
+	endingSince choice.Time
+	deferred    []func() // what reached it while it was paused
+
+	policy     Policy
+	settings   choice.Settings
+	lastTickAt choice.Time
+	tickDue    bool
+
+	messages      map[choice.MessageID]*openMessage // recorded or not
+	acceptedOrder []choice.MessageID                // ids of recorded messages, in the order of acceptance
+	newMessages   []*openMessage                    // since the last tick
+	newCalls      []*call                           // since the last tick
+	endpoints     map[choice.EndpointID]*endpoint
+	timers        map[choice.TimerID]bool // false once forgotten
+	inFlight      map[*call]struct{}
 }
 
-// owed is one message that this sender has and that is not over.
-type owed struct {
+// openMessage is a message that this sender has to end.
+type openMessage struct {
 	choice.Message
-	h       *world.HandIn
-	lasting bool
-	sure    bool // an attempt that may run is on record
-	tries   int
-	out     *call
-	wait    bool // its program waits for its answer
-	over    bool
+	handIn         *world.HandIn
+	recorded       bool
+	mayRunRecorded bool // an attempt that may be executed is recorded
+	attempts       int
+	call           *call
+	unanswered     bool // its client waits for the answer to the hand-in
+	over           bool
 }
 
-type end struct {
-	id     choice.EndpointID
-	addr   int
-	zone   choice.ZoneNo
-	bundle int
-	gone   bool
-	open   *call
-	idle   []*link
+type endpoint struct {
+	id       choice.EndpointID
+	addr     int
+	zone     choice.ZoneNo
+	bulkMax  int
+	gone     bool
+	nextCall *call
+	idle     []*link
 }
 
 type link struct {
-	c      *world.Conn
-	e      *end
-	call   *call
-	up     bool
-	used   bool
-	closed bool
-	idleNo int64
+	conn     *world.Conn
+	endpoint *endpoint
+	call     *call
+	up       bool
+	used     bool
+	closed   bool
+	useNo    int64
 }
 
 type call struct {
-	n        *node
-	e        *end
-	messages []*owed
-	probe    bool
-	began    choice.Time
-	lasts    choice.Time
-	link     *link
-	kept     bool
-	over     bool
+	n         *node
+	endpoint  *endpoint
+	messages  []*openMessage
+	probe     bool
+	startedAt choice.Time
+	timeout   choice.Time
+	link      *link
+	reused    bool
+	over      bool
 }
 
+// start starts a new incarnation of the sender, which knows this endpoint list.
 func (n *node) start(known world.List) error {
-	n.life++
+	n.incarnation++
 	n.alive, n.paused, n.ending = true, false, false
-	n.later = nil
+	n.deferred = nil
 	w := n.e.w
-	set, err := Settings(w, n.no)
+	settings, err := Settings(w, n.no)
 	if err != nil {
 		return err
 	}
 	if n.e.o.Adjust != nil {
-		n.e.o.Adjust(&set)
+		n.e.o.Adjust(&settings)
 	}
-	n.set = set
-	n.ends, n.timers, n.out = map[choice.EndpointID]*end{}, map[choice.TimerID]bool{}, map[*call]struct{}{}
-	n.admitted, n.starting, n.turnDue, n.stirred = nil, nil, false, false
-	if n.owed == nil {
-		n.owed = map[choice.MessageID]*owed{}
+	n.settings = settings
+	n.endpoints, n.timers, n.inFlight = map[choice.EndpointID]*endpoint{}, map[choice.TimerID]bool{}, map[*call]struct{}{}
+	n.newMessages, n.newCalls, n.tickDue = nil, nil, false
+	if n.messages == nil {
+		n.messages = map[choice.MessageID]*openMessage{}
 	}
-	n.lastTurn = w.Now() - set.Turn + set.Turn*choice.Time(int64(n.no)%7)/7 // senders' turns do not fall together
-	n.policy = n.e.o.Policy(n, choice.SenderID(fmt.Sprintf("s%d", n.no)), int64(n.e.o.Seed)*1_000_003+n.life, set, w)
-	n.news(known)
-	// What an earlier process had taken on outlasts it, in the order taken on.
-	var kept []choice.MessageID
-	for _, id := range n.order {
-		if o := n.owed[id]; o != nil {
-			kept = append(kept, id)
-			o.tries, o.out, o.wait = 0, nil, false
-			o.MayRun = o.sure
+	n.lastTickAt = w.Now() - settings.Turn + settings.Turn*choice.Time(int64(n.no)%7)/7 // senders' ticks do not coincide
+	n.policy = n.e.o.Policy(n, choice.SenderID(fmt.Sprintf("s%d", n.no)), int64(n.e.o.Seed)*1_000_003+n.incarnation, settings, w)
+	n.updateEndpoints(known)
+	n.takeOverRecorded()
+	n.scheduleTick()
+	w.SetServing(n.no, true)
+	w.Watch(n.no, known.Version)
+	return nil
+}
+
+// takeOverRecorded hands the policy the messages that an earlier incarnation accepted, in the order of acceptance.
+func (n *node) takeOverRecorded() {
+	var open []choice.MessageID
+	for _, id := range n.acceptedOrder {
+		if o := n.messages[id]; o != nil {
+			open = append(open, id)
+			o.attempts, o.call, o.unanswered = 0, nil, false
+			o.MayRun = o.mayRunRecorded
 			n.policy.Taken(o.Message)
 		}
 	}
-	n.order = kept
-	n.stir()
-	w.Ready(n.no, true)
-	w.Watch(n.no, known.Version)
-	return nil
+	n.acceptedOrder = open
 }
 
-// stir sees to it that a turn comes.
-func (n *node) stir() {
-	n.stirred = true
-	if n.turnDue || !n.alive {
+// scheduleTick schedules the next tick, if it is not scheduled yet.
+func (n *node) scheduleTick() {
+	if n.tickDue || !n.alive {
 		return
 	}
-	n.turnDue = true
-	life := n.life
-	n.e.w.At(max(n.e.w.Now(), n.lastTurn+n.set.Turn), func() {
-		if n.life == life {
-			n.turnDue = false
-			n.awake(n.turn)
+	n.tickDue = true
+	incarnation := n.incarnation
+	n.e.w.At(max(n.e.w.Now(), n.lastTickAt+n.settings.Turn), func() {
+		if n.incarnation == incarnation {
+			n.tickDue = false
+			n.whenRunning(n.tick)
 		}
 	})
 }
 
-// turn is the sender's: the module acts, what must last is on record, and only then answers and calls leave.
-func (n *node) turn() {
-	n.lastTurn, n.stirred = n.e.w.Now(), false
-	if !n.ending || n.e.w.Now()-n.endAt < sendFor {
+// tick is one round of the sender's loop: the policy acts, what must survive a crash is recorded, and only then answers
+// and calls leave.
+func (n *node) tick() {
+	n.lastTickAt = n.e.w.Now()
+	if !n.ending || n.e.w.Now()-n.endingSince < drainSendPeriod {
 		n.policy.TurnEnd()
 	}
-	for _, o := range n.admitted {
-		if o.wait {
-			o.lasting = true
-			n.order = append(n.order, o.ID)
+	n.record()
+	for _, o := range n.newMessages {
+		if o.unanswered {
+			o.unanswered = false
+			n.e.w.Answered(o.handIn, world.HandInAccepted, 0)
 		}
 	}
-	for _, c := range n.starting {
-		for _, o := range c.messages {
-			w := &n.set.Classes[o.Class]
-			if !o.sure && (w.Repeat != choice.Idempotent || w.ByArrival && o.Key != choice.NoKey) {
-				o.sure = true
-				o.RanAt, o.RanIn = c.began, c.e.zone
-			}
-		}
-	}
-	for _, o := range n.admitted {
-		if o.wait {
-			o.wait = false
-			n.e.w.Answered(o.h, world.HeardOK, 0)
-		}
-	}
-	n.admitted = n.admitted[:0]
-	starting := n.starting
-	n.starting = nil
+	n.newMessages = n.newMessages[:0]
+	starting := n.newCalls
+	n.newCalls = nil
 	for _, c := range starting {
-		c.e.open = nil
+		c.endpoint.nextCall = nil
 		n.begin(c)
 	}
-	if len(n.order) > 2*len(n.owed)+1024 {
-		n.order = slices.DeleteFunc(n.order, func(id choice.MessageID) bool { return n.owed[id] == nil })
+	if len(n.acceptedOrder) > 2*len(n.messages)+1024 {
+		n.acceptedOrder = slices.DeleteFunc(n.acceptedOrder, func(id choice.MessageID) bool { return n.messages[id] == nil })
 	}
 }
 
-// handIn takes a message in, or refuses it where its sender is full.
-func (n *node) handIn(h *world.HandIn) {
+// record does what the sender's append to its journal does: it keeps the new messages over a crash, and that those of the
+// new calls may be executed, as far as this matters for sending them again.
+func (n *node) record() {
+	for _, o := range n.newMessages {
+		if o.unanswered {
+			o.recorded = true
+			n.acceptedOrder = append(n.acceptedOrder, o.ID)
+		}
+	}
+	for _, c := range n.newCalls {
+		for _, o := range c.messages {
+			class := &n.settings.Classes[o.Class]
+			if !o.mayRunRecorded && (class.Repeat != choice.Idempotent || class.ByArrival && o.Key != choice.NoKey) {
+				o.mayRunRecorded = true
+				o.RanAt, o.RanIn = c.startedAt, c.endpoint.zone
+			}
+		}
+	}
+}
+
+// admit accepts a message, or sheds it if the sender has its maximum of open messages.
+func (n *node) admit(h *world.HandIn) {
 	if n.paused && n.alive {
-		// Its program waits as long as it does; who has given up by then is not answered.
-		n.awake(func() { n.handIn(h) })
+		// The client waits as long as its patience lasts; a later answer does not reach it.
+		n.whenRunning(func() { n.admit(h) })
 		return
 	}
 	if !n.alive {
-		n.e.w.Answered(h, world.HeardNoSender, 0)
+		n.e.w.Answered(h, world.HandInNoSender, 0)
 		return
 	}
-	if len(n.owed) >= n.set.MaxOpen {
-		n.e.w.Answered(h, world.HeardBusy, int64(n.set.LongestReturn/choice.Millisecond))
+	if len(n.messages) >= n.settings.MaxOpen {
+		n.e.w.Answered(h, world.HandInBusy, int64(n.settings.LongestReturn/choice.Millisecond))
 		return
 	}
-	a := h.Ask
-	o := &owed{h: h, wait: true, Message: choice.Message{ID: h.ID, Class: choice.ClassNo(a.Arrival.Class), Key: choice.NoKey,
+	a := h.Request
+	o := &openMessage{handIn: h, unanswered: true, Message: choice.Message{ID: h.ID, Class: choice.ClassNo(a.Arrival.Class), Key: choice.NoKey,
 		Deadline: h.Deadline, Destination: choice.DestinationID(a.Partner)}}
 	if a.Class.Ordered {
 		o.Key = choice.OrderKey(a.Partner*1_000_000 + a.Key + 1)
 	}
-	n.owed[h.ID] = o
-	n.admitted = append(n.admitted, o)
+	n.messages[h.ID] = o
+	n.newMessages = append(n.newMessages, o)
 	n.policy.Taken(o.Message)
-	n.stir()
-}
-
-func (n *node) news(l world.List) {
-	n.awake(func() {
-		n.version = l.Version
-		if l.Full {
-			for _, e := range n.ends {
-				e.gone = true
-			}
-		}
-		entries := make([]choice.Entry, 0, len(l.Entries))
-		for _, entry := range l.Entries {
-			we := entry.Endpoint
-			e := n.ends[we.ID]
-			if e == nil {
-				e = &end{id: we.ID}
-				n.ends[e.id] = e
-			}
-			if e.addr != entry.Address {
-				n.closeIdle(e)
-				e.addr = entry.Address
-			}
-			e.gone = entry.Stage == choice.Gone
-			e.zone, e.bundle = choice.ZoneNo(we.Zone), n.set.Kinds[we.Partner.KindNo].BundleMax
-			entries = append(entries, choice.Entry{Endpoint: we.ID, Destination: choice.DestinationID(we.Partner.No),
-				Kind: choice.KindNo(we.Partner.KindNo), Zone: choice.ZoneNo(we.Zone), Rating: n.e.w.Rating(we), Stage: entry.Stage})
-		}
-		var gone []*end
-		for _, e := range n.ends {
-			if e.gone && len(e.idle) > 0 {
-				gone = append(gone, e)
-			}
-		}
-		slices.SortFunc(gone, func(a, b *end) int { return cmp.Compare(a.id, b.id) })
-		for _, e := range gone {
-			n.closeIdle(e)
-		}
-		n.policy.UpdateEndpoints(entries, l.Full)
-		n.stir()
-	})
+	n.scheduleTick()
 }
 
-func (n *node) end(o *owed, tell func()) {
+// endMessage reports the end of a message and forgets it.
+func (n *node) endMessage(o *openMessage, tell func()) {
 	tell()
-	o.wait = false
-	n.over(o)
+	o.unanswered = false
+	n.forgetMessage(o)
 }
--- a/lab/sim/sim.go
+++ b/lab/sim/sim.go
@@ -1,9 +1,9 @@
 // Package sim is the laboratory's first engine: a world and many senders in simulated time.
 //
-// It owns the run and, in node.go, a sender's part around its decisions as internal/sender plays it on sockets: turns,
-// connections, time-outs, and what is on record when its process is killed. Decisions come from a Policy, which
-// choice.Sender is; others are baselines. It must never look at a clock, start a goroutine or hang on the order of a
-// map: one seed replays a whole run.
+// It runs the events and, in node.go, plays the part of a sender around its decisions, which internal/sender has on
+// sockets: ticks, connections, timeouts, and what is recorded when its process is killed. Decisions come from a Policy:
+// choice.Sender or a baseline. The package must not read a clock, start a goroutine or depend on the order of a map, so
+// that one seed replays a run exactly.
 package sim
 
 import (
@@ -18,7 +18,7 @@
 	"flaxcove/lab/world"
 )
 
-// Policy is what decides in a sender: the methods of choice.Sender.
+// Policy makes the decisions of a sender. It has the methods of choice.Sender.
 type Policy interface {
 	UpdateEndpoints(entries []choice.Entry, whole bool)
 	Taken(choice.Message)
@@ -30,63 +30,85 @@
 	Open(choice.EndpointID, ...choice.MessageID) bool
 }
 
-// Make starts a policy for one life of one sender. The world is for those that may see the truth.
-type Make func(h choice.Host, id choice.SenderID, seed int64, set choice.Settings, w *world.World) Policy
+// NewPolicy starts a policy for one incarnation of a sender. The world is for policies that may see the true state.
+type NewPolicy func(h choice.Host, id choice.SenderID, seed int64, set choice.Settings, w *world.World) Policy
 
-// Choice makes the project's own decisions.
-func Choice(h choice.Host, id choice.SenderID, seed int64, set choice.Settings, _ *world.World) Policy {
+// ChoicePolicy starts the project's own policy, choice.Sender.
+func ChoicePolicy(h choice.Host, id choice.SenderID, seed int64, set choice.Settings, _ *world.World) Policy {
 	return choice.Start(h, id, seed, set)
 }
 
-// Options are what a run is played with.
+// Options are the inputs of a run.
 type Options struct {
 	Spec   *world.Spec
 	Seed   uint64
-	Policy Make
+	Policy NewPolicy
 	Adjust func(*choice.Settings) // a variant's change of settings; nil for none
 	Trace  []load.Arrival
-	Until  func() bool           // asked now and then; true ends the run early
-	Watch  func(now choice.Time) // told about once a simulated second
-	// Outcome, where given, sees each call as its endpoint ended it; status is 0 for no answer.
+	Until  func() bool           // called once a simulated second; true ends the run early
+	Watch  func(now choice.Time) // called once a simulated second
+	// Outcome, if not nil, is called when an endpoint ends a call; status is 0 for no answer.
 	Outcome func(now choice.Time, c *world.Call, status int)
-	// Allowed, where given, is whether a sender may use an endpoint for a message at that time: a plan under trial.
+	// Allowed, if not nil, says whether a sender may use an endpoint for a message at a time, as a routing plan does.
 	Allowed func(now choice.Time, by world.SenderNo, n choice.MessageID, e choice.EndpointID) bool
 }
 
-// ErrStopped ends a run whose caller no longer wants it.
+// ErrStopped is returned for a run that Options.Until ended.
 var ErrStopped = fmt.Errorf("stopped")
 
 // Run plays a scenario to its end, and on until nothing more can be judged.
 func Run(o Options) (*referee.Verdict, error) {
 	began, cpu := time.Now(), cpuTime()
+	e, judge, err := newEngine(o)
+	if err != nil {
+		return nil, err
+	}
+	for _, n := range e.nodes {
+		if err := n.start(e.w.InitialList()); err != nil {
+			return nil, err
+		}
+	}
+	e.w.Begin()
+	events, err := e.play()
+	if err != nil {
+		return nil, err
+	}
+	v := judge.Verdict()
+	v.Engine, v.Seed = "simulated", o.Seed
+	var mem runtime.MemStats
+	runtime.ReadMemStats(&mem)
+	v.EngineFigures = &referee.EngineFigures{WallS: time.Since(began).Seconds(), CPUS: (cpuTime() - cpu).Seconds(),
+		MemoryMB: float64(mem.Sys) / (1 << 20), Events: events}
+	return v, nil
+}
+
+// newEngine creates the world, its referee and the senders, none of which has started.
+func newEngine(o Options) (*engine, *referee.Referee, error) {
 	e := &engine{o: o}
 	if o.Policy == nil {
-		e.o.Policy = Choice
+		e.o.Policy = ChoicePolicy
 	}
-	var judge *referee.Referee
-	late := &ledger{}
-	w, err := world.New(o.Spec, o.Seed, e, late, o.Trace)
+	events := &ledger{}
+	w, err := world.New(o.Spec, o.Seed, e, events, o.Trace)
 	if err != nil {
-		return nil, err
+		return nil, nil, err
 	}
-	judge = referee.New(o.Spec, w.Now, 0)
-	late.Ledger = judge
+	judge := referee.New(o.Spec, w.Now, 0)
+	events.Ledger = judge
 	if o.Outcome != nil {
-		late.see = func(c *world.Call, status int) { o.Outcome(w.Now(), c, status) }
+		events.onOutcome = func(c *world.Call, status int) { o.Outcome(w.Now(), c, status) }
 	}
 	e.w = w
 	for i := range o.Spec.Senders {
-		n := &node{e: e, no: world.SenderNo(i)}
-		e.nodes = append(e.nodes, n)
-	}
-	for _, n := range e.nodes {
-		if err := n.start(w.First()); err != nil {
-			return nil, err
-		}
+		e.nodes = append(e.nodes, &node{e: e, no: world.SenderNo(i)})
 	}
-	w.Begin()
-	events, second := int64(0), choice.Time(0)
-	end := w.End() + tail(o.Spec)
+	return e, judge, nil
+}
+
+// play runs the world's events until the time after which nothing more can be judged, and returns how many there were.
+func (e *engine) play() (events int64, err error) {
+	w, second := e.w, choice.Time(0)
+	end := w.End() + timeAfterEnd(e.o.Spec)
 	for {
 		at, more := w.Next()
 		if !more || at > end {
@@ -96,26 +118,20 @@
 		events++
 		if at/choice.Second > second {
 			second = at / choice.Second
-			if o.Until != nil && o.Until() {
-				return nil, ErrStopped
+			if e.o.Until != nil && e.o.Until() {
+				return events, ErrStopped
 			}
-			if o.Watch != nil {
-				o.Watch(at)
+			if e.o.Watch != nil {
+				e.o.Watch(at)
 			}
 		}
 	}
 	w.Advance(end)
-	v := judge.Verdict()
-	v.Engine, v.Seed = "simulated", o.Seed
-	var mem runtime.MemStats
-	runtime.ReadMemStats(&mem)
-	v.Engines = &referee.Engines{WallS: time.Since(began).Seconds(), CPUS: (cpuTime() - cpu).Seconds(),
-		MemoryMB: float64(mem.Sys) / (1 << 20), Events: events}
-	return v, nil
+	return events, nil
 }
 
-// tail is how long a run goes on after the last hand-in: the longest deadline and what the rules allow behind it.
-func tail(spec *world.Spec) choice.Time {
+// timeAfterEnd is how long a run goes on after the last hand-in: the longest deadline and what the rules allow after it.
+func timeAfterEnd(spec *world.Spec) choice.Time {
 	longest := 0.0
 	for i := range spec.Classes {
 		longest = max(longest, spec.Classes[i].DeadlineMS)
@@ -131,16 +147,16 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// ledger lets a world be made before its referee, which needs the world's clock.
+// ledger stands before the referee: the world needs a ledger, and the referee needs the world's clock.
 type ledger struct {
 	world.Ledger
-	see func(c *world.Call, status int) // nil for nobody
+	onOutcome func(c *world.Call, status int) // nil for nobody
 }
 
 func (l *ledger) Outcome(c *world.Call, status int) {
 	l.Ledger.Outcome(c, status)
-	if l.see != nil {
-		l.see(c, status)
+	if l.onOutcome != nil {
+		l.onOutcome(c, status)
 	}
 }
 
@@ -150,20 +166,20 @@
 	nodes []*node
 }
 
-func (e *engine) Up(c *world.Conn)                   { e.nodes[c.Sender].up(c) }
-func (e *engine) Down(c *world.Conn, why world.Seen) { e.nodes[c.Sender].down(c, why) }
+func (e *engine) ConnUp(c *world.Conn)                      { e.nodes[c.Sender].connUp(c) }
+func (e *engine) ConnDown(c *world.Conn, why world.ConnEnd) { e.nodes[c.Sender].connDown(c, why) }
 func (e *engine) Answered(c *world.Conn, _ *world.Call, a world.Answer) {
 	e.nodes[c.Sender].answered(c, a)
 }
-func (e *engine) News(to world.SenderNo, l world.List) { e.nodes[to].news(l) }
-func (e *engine) ListFailed(world.SenderNo)            {} // the old list stays in force
-func (e *engine) HandIn(h *world.HandIn)               { e.nodes[h.Sender].handIn(h) }
+func (e *engine) ListUpdate(to world.SenderNo, l world.List) { e.nodes[to].updateEndpoints(l) }
+func (e *engine) ListFailed(world.SenderNo)                  {} // the old list stays in force
+func (e *engine) HandIn(h *world.HandIn)                     { e.nodes[h.Sender].admit(h) }
 
-// Accepting needs nothing here: Dial asks the world itself.
-func (e *engine) Accepting(*world.Endpoint, bool) {}
+// AcceptingChanged needs nothing here: Dial asks the world itself.
+func (e *engine) AcceptingChanged(*world.Endpoint, bool) {}
 
-// Note has nowhere to go: this sender listens for none.
-func (e *engine) Note(world.SenderNo, world.SenderNo, []byte) {}
+// Datagram has nowhere to go: this sender listens for none.
+func (e *engine) Datagram(world.SenderNo, world.SenderNo, []byte) {}
 
 func (e *engine) Act(on world.SenderNo, what world.Act) {
 	n := e.nodes[on]
@@ -172,10 +188,10 @@
 		n.kill()
 	case world.Start:
 		if n.alive {
-			return // two troubles that overlap have killed it once
+			return // two overlapping faults killed it once
 		}
-		// The list it finds is the one from the start of the run, as after a bad night.
-		if err := n.start(e.w.First()); err != nil {
+		// The list that it knows is the one from the start of the run, as after a long outage.
+		if err := n.start(e.w.InitialList()); err != nil {
 			panic(err) // the same settings were read before
 		}
 	case world.Term:
@@ -185,6 +201,6 @@
 	case world.Continue:
 		n.pause(false)
 	case world.HoardOn, world.HoardOff, world.RubbishOn, world.RubbishOff, world.Break, world.Reload:
-		// Connections and bytes of clients, and files, are not modelled here; engine two plays them.
+		// Clients' connections and configuration files are not modelled here; package live plays these faults.
 	}
 }
--- a/lab/world/connections.go
+++ b/lab/world/connections.go
@@ -1,38 +1,38 @@
 package world
 
-// This file is the connections to an endpoint.
+// This file models connections to endpoints.
 
 import (
 	"flaxcove/choice"
 )
 
-// Dial begins a connection to an endpoint at the address that its sender was told.
+// Dial begins a connection to an endpoint at the address that its sender got from discovery.
 func (w *World) Dial(s SenderNo, id choice.EndpointID, addr int) *Conn {
 	w.conns++
 	c := &Conn{No: w.conns, Sender: s}
 	e := w.byID[id]
 	if e == nil {
-		w.After(Millisecond, func() { w.wire.Down(c, SeenRefused) })
+		w.After(Millisecond, func() { w.wire.ConnDown(c, ConnRefused) })
 		return c
 	}
 	c.Endpoint = e
 	w.calls++
-	there := w.way(s, e, int64(w.calls))
+	there := w.oneWayDelay(s, e, int64(w.calls))
 	w.After(2*there, func() {
 		switch {
-		case c.hung:
+		case c.closedBySender:
 		case addr != e.Addr || e.Stage == choice.Gone || !e.accepts(w.now):
-			w.saw(e, s)
-			w.wire.Down(c, SeenRefused)
+			w.noteFailureSeen(e, s)
+			w.wire.ConnDown(c, ConnRefused)
 		default:
 			w.admit(c)
-			w.wire.Up(c)
+			w.wire.ConnUp(c)
 		}
 	})
 	return c
 }
 
-// Accept is Dial for an engine with real connections: it has come up already.
+// Accept is Dial for an engine with real connections, where the connection is up already.
 func (w *World) Accept(s SenderNo, e *Endpoint) *Conn {
 	w.conns++
 	c := &Conn{No: w.conns, Sender: s, Endpoint: e}
@@ -40,7 +40,7 @@
 	return c
 }
 
-// Accepts tells whether an endpoint takes new connections at that address just now.
+// Accepts reports whether an endpoint accepts new connections at an address now.
 func (w *World) Accepts(e *Endpoint, addr int) bool {
 	return addr == e.Addr && e.Stage != choice.Gone && e.accepts(w.now)
 }
@@ -48,66 +48,66 @@
 func (w *World) admit(c *Conn) {
 	e := c.Endpoint
 	c.up = true
-	c.crowded = e.Partner.Kind.Table > 0 && len(e.conns) >= e.Partner.Kind.Table
+	c.overLimit = e.Partner.Kind.MaxConnections > 0 && len(e.conns) >= e.Partner.Kind.MaxConnections
 	e.conns[c] = struct{}{}
 	w.watchIdle(c)
 }
 
-// watchIdle closes a connection that carries nothing for too long.
+// watchIdle has the endpoint close a connection that stays idle for too long.
 func (w *World) watchIdle(c *Conn) {
 	c.idleAt = w.now
 	at := w.now
 	w.After(seconds(c.Endpoint.Partner.Kind.IdleS), func() {
-		if c.call == nil && c.idleAt == at && !c.gone && !c.hung {
-			w.drop(c, true)
+		if c.call == nil && c.idleAt == at && !c.closedAtEndpoint && !c.closedBySender {
+			w.closeAtEndpoint(c, true)
 		}
 	})
 }
 
-// drop ends a connection from the endpoint's side; tell says whether its sender learns of it.
-func (w *World) drop(c *Conn, tell bool) {
-	if c.gone {
+// closeAtEndpoint closes a connection from the endpoint's side. If notify is set, the sender sees the reset.
+func (w *World) closeAtEndpoint(c *Conn, notify bool) {
+	if c.closedAtEndpoint {
 		return
 	}
-	c.gone = true
+	c.closedAtEndpoint = true
 	delete(c.Endpoint.conns, c)
 	if call := c.call; call != nil {
 		w.unqueue(call)
-		w.setOut(call, false)
+		w.setInFlight(call, false)
 	}
-	if tell && !c.hung {
-		c.told = true
-		w.After(w.way(c.Sender, c.Endpoint, int64(c.carried)), func() {
-			if !c.hung && !w.senders[c.Sender].cut {
-				w.wire.Down(c, SeenBroken)
+	if notify && !c.closedBySender {
+		c.notified = true
+		w.After(w.oneWayDelay(c.Sender, c.Endpoint, int64(c.carried)), func() {
+			if !c.closedBySender && !w.senders[c.Sender].isolated {
+				w.wire.ConnDown(c, ConnReset)
 			}
 		})
 	}
 }
 
-// Hang ends a connection from its sender's side.
-func (w *World) Hang(c *Conn) {
-	if c.hung {
+// CloseBySender closes a connection from the sender's side.
+func (w *World) CloseBySender(c *Conn) {
+	if c.closedBySender {
 		return
 	}
-	c.hung = true
+	c.closedBySender = true
 	if call := c.call; call != nil {
-		w.setOut(call, false) // an end and a later call leave their sender in this order, however long each takes
+		w.setInFlight(call, false) // at once: a later call of this sender leaves after the close, whatever delay each has
 	}
 	e := c.Endpoint
-	if e == nil || c.gone {
+	if e == nil || c.closedAtEndpoint {
 		return
 	}
-	w.After(w.way(c.Sender, e, int64(c.carried)), func() {
-		if !c.gone {
-			c.gone = true
+	w.After(w.oneWayDelay(c.Sender, e, int64(c.carried)), func() {
+		if !c.closedAtEndpoint {
+			c.closedAtEndpoint = true
 			delete(e.conns, c)
 			if c.call != nil {
-				w.saw(e, c.Sender) // who gave a call up there has seen it fail
+				w.noteFailureSeen(e, c.Sender) // a sender that abandoned a call there has seen it fail
 			}
 		}
 	})
 	if c.call != nil && e.out {
-		w.saw(e, c.Sender)
+		w.noteFailureSeen(e, c.Sender)
 	}
 }
--- a/lab/world/directory.go
+++ b/lab/world/directory.go
@@ -1,6 +1,7 @@
 package world
 
-// This file owns discovery: the list, its changes and who has heard which. It must never tell a sender news out of order.
+// This file models discovery: the endpoint list, its changes and which version each sender has. It must not send a
+// sender updates out of order.
 
 import (
 	"cmp"
@@ -9,41 +10,41 @@
 	"flaxcove/choice"
 )
 
-// List is a message of discovery, in order of endpoints.
+// List is an update that discovery sends, sorted by endpoint. A full list names all endpoints, another only changes.
 type List struct {
 	Version int64
 	Full    bool
-	Stale   bool // it is what an earlier life held
-	Entries []Listed
+	Stale   bool // it is what an earlier incarnation of the sender knew
+	Entries []ListEntry
 }
 
-// Listed is one endpoint of a list. Address counts its addresses from 0.
-type Listed struct {
+// ListEntry is one endpoint in a list. Address is the number of its current address, from 0.
+type ListEntry struct {
 	Endpoint *Endpoint
 	Stage    choice.Stage
 	Address  int
 }
 
-// listState is discovery itself.
+// listState is the state of discovery.
 type listState struct {
 	version int64
-	first   []Listed     // as it was at the start
+	first   []ListEntry  // the list at the start of the run
 	changes []listChange // in order of version
 	late    Time
-	stale   int // troubles that withhold changes
-	silent  int // troubles in which it says nothing at all
+	stale   int // number of active faults that withhold changes
+	silent  int // number of active faults in which discovery does not answer
 }
 
 type listChange struct {
 	version int64
-	entry   Listed
+	entry   ListEntry
 }
 
 func sortHandIns(h []*HandIn) {
 	slices.SortFunc(h, func(a, b *HandIn) int { return cmp.Compare(a.ID, b.ID) })
 }
 
-// Rating is what the list tells of the rate that an endpoint takes.
+// Rating is the weight in the endpoint list: the rate that an endpoint takes, exact, rough or 0 for unknown.
 func (w *World) Rating(e *Endpoint) float64 {
 	switch w.Spec.Sender.Rating {
 	case "nominal":
@@ -54,49 +55,51 @@
 	return 0
 }
 
-// Whole is the list as discovery holds it now.
-func (w *World) Whole() List {
+// FullList returns the current list.
+func (w *World) FullList() List {
 	l := List{Version: w.list.version, Full: true}
 	for _, e := range w.Endpoints {
 		if e.Stage != choice.Gone {
-			l.Entries = append(l.Entries, Listed{e, e.Stage, e.Addr})
+			l.Entries = append(l.Entries, ListEntry{e, e.Stage, e.Addr})
 		}
 	}
 	return l
 }
 
-// First is the list as it was at the start of the run: what a returning sender may know.
-func (w *World) First() List { return List{Version: 0, Full: true, Stale: true, Entries: w.list.first} }
+// InitialList returns the list at the start of the run, which is what a restarted sender may still know.
+func (w *World) InitialList() List {
+	return List{Version: 0, Full: true, Stale: true, Entries: w.list.first}
+}
 
-// Watch is a sender asking for the list from a version on. It is answered in its time, with what is new or the whole.
+// Watch begins a sender's watch from a version on. The first update has the changes since, or the full list for version 0.
 func (w *World) Watch(s SenderNo, since int64) {
 	st := w.senders[s]
-	st.hello = true
+	st.watching = true
 	st.version = since
 	if w.list.silent > 0 {
 		w.wire.ListFailed(s)
 		return
 	}
-	w.After(w.newsWay(s, 0), func() { w.pushNews(s) })
+	w.After(w.updateDelay(s, 0), func() { w.pushUpdate(s) })
 }
 
-func (w *World) newsWay(s SenderNo, version int64) Time {
+func (w *World) updateDelay(s SenderNo, version int64) Time {
 	late := ms(w.within(w.Spec.Discovery.DelayMS, "news", int64(s), version))
 	if version == 0 {
-		late = Millisecond // the agent beside the sender answers at once with what it has
+		late = Millisecond // the agent beside the sender answers at once from its copy
 	}
 	return late + w.list.late
 }
 
-// pushNews brings a sender up to what discovery lets out.
-func (w *World) pushNews(s SenderNo) {
+// pushUpdate sends a sender all changes since its version, unless a fault withholds them.
+func (w *World) pushUpdate(s SenderNo) {
 	st := w.senders[s]
-	if !st.hello || st.cut || st.held || w.list.stale > 0 || w.list.silent > 0 {
+	if !st.watching || st.isolated || st.updatesHeld || w.list.stale > 0 || w.list.silent > 0 {
 		return
 	}
 	l := List{Version: w.list.version, Full: st.version == 0}
 	if l.Full {
-		l = w.Whole()
+		l = w.FullList()
 	} else {
 		for _, c := range w.list.changes {
 			if c.version > st.version {
@@ -109,67 +112,67 @@
 	}
 	st.version = l.Version
 	if l.Full {
-		// What is not on a whole list is gone.
+		// An endpoint that a full list does not name is gone.
 		listed := map[*Endpoint]bool{}
 		for _, entry := range l.Entries {
 			listed[entry.Endpoint] = true
 		}
 		for _, e := range w.Endpoints {
 			if !listed[e] {
-				w.ledger.Told(s, e, choice.Gone)
+				w.ledger.StageAnnounced(s, e, choice.Gone)
 			}
 		}
 	}
 	for _, entry := range l.Entries {
-		w.ledger.Told(s, entry.Endpoint, entry.Stage)
+		w.ledger.StageAnnounced(s, entry.Endpoint, entry.Stage)
 	}
-	w.wire.News(s, l)
+	w.wire.ListUpdate(s, l)
 }
 
-// changed lets out one change of the list.
-func (w *World) changed(e *Endpoint, stage choice.Stage) {
+// changeStage changes an endpoint's stage on the list and schedules the update for every sender.
+func (w *World) changeStage(e *Endpoint, stage choice.Stage) {
 	e.Stage = stage
 	w.list.version++
 	v := w.list.version
-	w.list.changes = append(w.list.changes, listChange{v, Listed{e, stage, e.Addr}})
+	w.list.changes = append(w.list.changes, listChange{v, ListEntry{e, stage, e.Addr}})
 	for i := range w.senders {
 		st := w.senders[i]
-		at := max(w.now+w.newsWay(SenderNo(i), v), st.lastWay)
-		st.lastWay = at
-		w.At(at, func() { w.pushNews(SenderNo(i)) })
+		at := max(w.now+w.updateDelay(SenderNo(i), v), st.lastUpdateAt)
+		st.lastUpdateAt = at
+		w.At(at, func() { w.pushUpdate(SenderNo(i)) })
 	}
 }
 
 func (w *World) planChanges() {
 	w.list.version = 1
 	for _, e := range w.Endpoints {
-		w.list.first = append(w.list.first, Listed{e, e.Stage, e.Addr})
+		w.list.first = append(w.list.first, ListEntry{e, e.Stage, e.Addr})
 	}
 	for i := range w.Spec.Changes {
 		c := &w.Spec.Changes[i]
 		w.At(seconds(c.At), func() {
-			for _, e := range w.endpointsOf(&c.Part, int64(1000+i)) {
-				switch c.What {
+			for _, e := range w.endpointsOf(&c.Selector, int64(1000+i)) {
+				switch c.Change {
 				case "drain":
-					w.changed(e, choice.Draining)
+					w.changeStage(e, choice.Draining)
 				case "remove":
-					w.changed(e, choice.Gone)
-					w.breakAll(e)
+					w.changeStage(e, choice.Gone)
+					w.crashProcess(e)
 				case "move":
-					w.breakAll(e)
+					w.crashProcess(e)
 					e.Addr++
-					w.wire.Accepting(e, e.accepts(w.now))
+					w.wire.AcceptingChanged(e, e.accepts(w.now))
 					if c.Restart {
-						w.outage(e, true)
-						w.outage(e, false)
+						w.setOutage(e, true)
+						w.setOutage(e, false)
 					}
-					w.changed(e, choice.Ready)
+					w.changeStage(e, choice.Ready)
 				case "back":
 					if c.Restart {
-						w.outage(e, true)
-						w.outage(e, false)
+						w.setOutage(e, true)
+						w.setOutage(e, false)
 					}
-					w.changed(e, choice.Ready)
+					w.changeStage(e, choice.Ready)
 				}
 			}
 		})
--- a/lab/world/endpoint.go
+++ b/lab/world/endpoint.go
@@ -1,55 +1,55 @@
 package world
 
-// This file owns partners and endpoints as they stand. It must never answer a call; work.go does.
+// This file holds the state of partners, endpoints, connections and calls. work.go handles calls.
 
 import (
 	"flaxcove/choice"
 )
 
-// rideWork is what a further message in a call adds to the work of the first.
-const rideWork = 0.15
+// bulkMessageWork is the additional work of each further message in a bulk call, as a share of the first one's.
+const bulkMessageWork = 0.15
 
-// Partner is one partner system, the destination of messages.
+// Partner is one partner system: a destination of messages.
 type Partner struct {
 	No        PartnerNo
 	Kind      *Kind
 	KindNo    int
 	Share     float64 // of the traffic
-	Rate      float64 // calls a second that it can take, all endpoints
+	Rate      float64 // capacity of all endpoints, in calls a second
 	Endpoints []*Endpoint
-	limit     *limit // nil where there is none, or its endpoints have one each
+	limit     *limit // nil if there is none, or if each endpoint has its own
 }
 
-// Endpoint is one machine of a partner.
+// Endpoint is one server of a partner.
 type Endpoint struct {
 	No      EndpointNo
 	ID      choice.EndpointID
 	Partner *Partner
 	Zone    int
-	Addr    int // counts its addresses; a move gives it the next one
+	Addr    int // number of its current address; a move gives it the next one
 	Stage   choice.Stage
-	Rate    float64 // calls a second that it can take when warm
+	Rate    float64 // capacity in calls a second after slow start
 
 	sameMS, crossMS float64
 	mean            float64 // tenths of a millisecond
 	slots, queueMax int
 	limit           *limit
-	fx              effects
+	effects         effects
 	busy            int
-	queue           []*Call // those that wait; bounded by queueMax
+	queue           []*Call // calls that wait for a slot; at most queueMax
 	conns           map[*Conn]struct{}
-	out             bool // an outage, as the rule on returns counts it
-	since           Time // of the outage, or of the return
+	out             bool // in an outage, as the referee's rule on returns counts it
+	since           Time // when the outage began or ended
 	warmFrom        Time
-	sawFail         map[SenderNo]struct{} // who saw a call fail in the present or last outage; emptied with the next
-	recent          []arrival             // over the rule's span while cold
+	sawFailure      map[SenderNo]struct{} // senders that saw a call fail in the current or last outage
+	recent          []arrival             // calls within the rule's span, during slow start
 	downUntil       Time
 	report          choice.Report
 	reportAt        Time
 	restarts        int64
-	refuses         bool // connections, as the engine was told
+	refuses         bool // the engine was told that it refuses connections
 	lastCall        Time
-	sincePause      float64 // calls since a pause, where the first ones are refused
+	sincePause      float64 // calls since the last pause, for the fault refusing_first
 }
 
 type arrival struct {
@@ -60,21 +60,21 @@
 
 // Conn is one connection from a sender to an endpoint.
 type Conn struct {
-	No       int64
-	Sender   SenderNo
-	Endpoint *Endpoint
-	Engine   any // the engine's own
-	up       bool
-	gone     bool // ended at the endpoint's side
-	hung     bool // ended at the sender's side
-	told     bool // the sender hears of the end by itself
-	carried  int
-	idleAt   Time
-	call     *Call
-	crowded  bool // it came past the table's end
+	No               int64
+	Sender           SenderNo
+	Endpoint         *Endpoint
+	Engine           any // for the engine's use
+	up               bool
+	closedAtEndpoint bool // closed by the endpoint, or the sender's close reached it
+	closedBySender   bool
+	notified         bool // the reset is on its way to the sender
+	carried          int
+	idleAt           Time
+	call             *Call
+	overLimit        bool // beyond the endpoint's maximum number of connections
 }
 
-// Call is one attempt on its way: a request with one or several messages, or a probe.
+// Call is one request to an endpoint: with one message, a bulk request with several, or a health probe.
 type Call struct {
 	No       CallNo
 	Conn     *Conn
@@ -82,12 +82,12 @@
 	Probe    bool
 	SentAt   Time
 	fresh    bool
-	out      bool // its sender may still get an answer
+	inFlight bool // its sender may still get an answer
 	running  bool
-	over     bool // it has left the endpoint, whatever became of it
+	over     bool // the endpoint is done with it, whatever became of it
 }
 
-// Bound is what an endpoint takes in calls a second when warm: its capacity or its part of the limit.
+// Bound is the rate that an endpoint takes after slow start: its capacity, or its part of the limit if that is less.
 func (e *Endpoint) Bound() float64 {
 	if l := e.limitOf(); l != nil {
 		part := 1.0
@@ -99,42 +99,42 @@
 	return e.Rate
 }
 
-// Well tells, for a policy that may see the truth, whether a call sent now would be answered, and how long it would
-// wait there, in tenths of a millisecond. Mine is how many calls of its sender are out there, arrived or not.
-func (w *World) Well(id choice.EndpointID, mine int) (well bool, waiting float64) {
+// WouldAnswer is for policies that may see the true state. It reports whether a call sent now would be answered, and how
+// long it would take in tenths of a millisecond. Mine is how many calls of the sender are in flight to that endpoint.
+func (w *World) WouldAnswer(id choice.EndpointID, mine int) (well bool, waiting float64) {
 	e := w.byID[id]
-	if e == nil || e.Stage == choice.Gone || e.unwell() || e.fx.failing > 0.5 || w.now < e.downUntil {
+	if e == nil || e.Stage == choice.Gone || e.unresponsive() || e.effects.failing > 0.5 || w.now < e.downUntil {
 		return false, 0
 	}
-	if l := e.limitOf(); l != nil && l.left(w.now, e.fx.limitLeft(w.now)) <= 0 {
+	if l := e.limitOf(); l != nil && l.left(w.now, e.effects.limitLeft(w.now)) <= 0 {
 		return false, 0
 	}
 	there := max(mine, e.busy+len(e.queue))
 	if there >= e.slots+e.queueMax {
 		return false, 0
 	}
-	return true, (float64(1+there) / float64(e.slots)) * e.mean * e.fx.slowness() / w.warmth(e)
+	return true, (float64(1+there) / float64(e.slots)) * e.mean * e.effects.slowness() / w.capacityShare(e)
 }
 
-func (w *World) setOut(c *Call, out bool) {
-	if c.out != out {
-		c.out = out
-		w.ledger.Moved(c, out)
+func (w *World) setInFlight(c *Call, out bool) {
+	if c.inFlight != out {
+		c.inFlight = out
+		w.ledger.InFlightChanged(c, out)
 	}
 }
 
-// Send is the first byte of a call leaving its sender; its last one follows at once.
+// Send has a call leave its sender; it arrives at the endpoint after the delay of the network.
 func (w *World) Send(c *Conn, messages []choice.MessageID, probe bool) *Call {
 	call := w.newCall(c, messages, probe)
-	w.After(w.way(c.Sender, c.Endpoint, int64(call.No)), func() { w.arrive(call) })
+	w.After(w.oneWayDelay(c.Sender, c.Endpoint, int64(call.No)), func() { w.arrive(call) })
 	return call
 }
 
-// Came is Send for an engine whose connections come up at once: the first call on one waits for as long as coming up
-// would have taken.
-func (w *World) Came(c *Conn, messages []choice.MessageID, probe bool) *Call {
+// SendWithDialDelay is Send for an engine whose connections come up without delay: the first call on a connection is
+// delayed by the time that a handshake would have taken.
+func (w *World) SendWithDialDelay(c *Conn, messages []choice.MessageID, probe bool) *Call {
 	call := w.newCall(c, messages, probe)
-	way := w.way(c.Sender, c.Endpoint, int64(call.No))
+	way := w.oneWayDelay(c.Sender, c.Endpoint, int64(call.No))
 	if call.fresh {
 		way *= 3
 	}
@@ -155,16 +155,18 @@
 	}
 	c.carried++
 	c.call = call
-	w.setOut(call, true)
-	w.ledger.Began(call)
+	w.setInFlight(call, true)
+	w.ledger.CallSent(call)
 	return call
 }
 
-func (e *Endpoint) unwell() bool {
-	return e.fx.crash || e.fx.shut || e.fx.silent || e.fx.hung || e.fx.cut || e.fx.deaf
+func (e *Endpoint) unresponsive() bool {
+	return e.effects.crash || e.effects.shut || e.effects.silent || e.effects.hung || e.effects.cut || e.effects.neverReads
 }
 
-func (e *Endpoint) accepts(now Time) bool { return !e.fx.crash && !e.fx.refuse && now >= e.downUntil }
+func (e *Endpoint) accepts(now Time) bool {
+	return !e.effects.crash && !e.effects.refuse && now >= e.downUntil
+}
 
-// MeanMS is how long a call takes on average where nothing is wrong.
+// MeanMS is the mean duration of a call at an endpoint without faults.
 func (w *World) MeanMS(e *Endpoint) float64 { return e.mean / float64(Millisecond) }
--- a/lab/world/kinds.go
+++ b/lab/world/kinds.go
@@ -1,20 +1,20 @@
 package world
 
-// This file owns what may go wrong in a scenario: troubles, what they strike and what their amounts mean, and changes of
-// the list. It must never tell how one is played; trouble.go does.
+// This file declares what may go wrong in a scenario: the kinds of fault, what they affect and what their amounts mean,
+// and changes of the endpoint list. fault.go plays them.
 
-// Fault is something that goes wrong for a time. Part says what of; a field left out does not narrow it.
+// Fault is something that goes wrong for a time.
 type Fault struct {
-	Kind    string  `toml:"kind"`
-	At      float64 `toml:"at"` // seconds
-	Seconds float64 `toml:"seconds"`
-	Amount  float64 `toml:"amount"` // what it means stands beside the kind, see FaultKinds
-	Every   float64 `toml:"every_s"`
-	Part    Part    `toml:"part"`
+	Kind     string   `toml:"kind"`
+	At       float64  `toml:"at"` // seconds
+	Seconds  float64  `toml:"seconds"`
+	Amount   float64  `toml:"amount"` // its meaning depends on the kind, see FaultKinds
+	Every    float64  `toml:"every_s"`
+	Selector Selector `toml:"part"`
 }
 
-// Part chooses what a trouble strikes.
-type Part struct {
+// Selector chooses what a fault or a change of the list affects. A field that is left out does not narrow the choice.
+type Selector struct {
 	Kind     string  `toml:"kind"`
 	Zone     int     `toml:"zone"`     // from 1; 0 for all
 	Partners []int   `toml:"partners"` // by number, from 0
@@ -23,24 +23,24 @@
 	Senders  []int   `toml:"senders"`
 }
 
-// ListEvent changes the list.
+// ListEvent is a change of the endpoint list.
 type ListEvent struct {
-	What    string  `toml:"what"` // drain, remove, move (to another address), back
-	At      float64 `toml:"at"`
-	Part    Part    `toml:"part"`
-	Restart bool    `toml:"restart"` // what comes back is cold
+	Change   string   `toml:"what"` // drain, remove, move (to another address), back
+	At       float64  `toml:"at"`
+	Selector Selector `toml:"part"`
+	Restart  bool     `toml:"restart"` // the endpoint comes back in slow start
 }
 
-// FaultKind tells what a kind of trouble strikes and what its amount means.
+// FaultKind says what a kind of fault affects and what its amount means.
 type FaultKind struct {
-	Strikes string // endpoints, senders, discovery or clients
+	Affects string `json:"Strikes"` // endpoints, senders, discovery or clients
 	Amount  string
 	Default float64
 	Least   float64
 	Most    float64
 }
 
-// FaultKinds are all that a scenario may name.
+// FaultKinds are the kinds of fault that a scenario may name.
 var FaultKinds = map[string]FaultKind{
 	"crash":            {"endpoints", "", 0, 0, 0},
 	"shut":             {"endpoints", "", 0, 0, 0},
--- a/lab/world/partners.go
+++ b/lab/world/partners.go
@@ -1,6 +1,6 @@
 package world
 
-// This file makes partners and their endpoints from the seed.
+// This file creates partners and their endpoints from the seed.
 
 import (
 	"cmp"
@@ -12,7 +12,7 @@
 	"flaxcove/lab/load"
 )
 
-// makePartners makes all partners of a spec, in the order of kinds.
+// makePartners creates all partners of a spec, in the order of kinds.
 func (w *World) makePartners() {
 	shares := w.dealShares()
 	for i := range w.Spec.Partners {
@@ -26,8 +26,8 @@
 	}
 }
 
-// dealShares are the partners' shares of the traffic. Kinds are dealt over the order of size by chance, so that no kind
-// gets all of it.
+// dealShares draws the partners' shares of the traffic. Partners of all kinds are mixed by chance over the order of size,
+// so that no kind gets all the large shares.
 func (w *World) dealShares() []float64 {
 	total := 0
 	for i := range w.Spec.Partners {
@@ -52,10 +52,10 @@
 	return shares
 }
 
-// limitRoom is how much more than its limit a partner can do, unless its limit may lie above that.
-const limitRoom = 1.25
+// limitHeadroom is a partner's capacity as a multiple of its limit at least, unless the limit may lie above the capacity.
+const limitHeadroom = 1.25
 
-// rate draws what a partner can take, and its limit.
+// rate draws a partner's capacity and its limit.
 func (w *World) rate(p *Partner) {
 	kind := p.Kind
 	p.Rate = max(kind.LeastRate, w.Spec.Load.Rate*p.Share*w.within(kind.Headroom, "headroom", int64(p.No)))
@@ -63,17 +63,17 @@
 		return
 	}
 	l := w.newLimit(kind, p, 1)
-	if !kind.Apart {
+	if !kind.SeparateRoutes {
 		p.limit = l
 	}
 	if !kind.LimitAbove {
-		p.Rate = max(p.Rate, limitRoom*l.perSecond)
+		p.Rate = max(p.Rate, limitHeadroom*l.perSecond)
 	}
 }
 
-// makeEndpoints makes a partner's endpoints; its rate is theirs from then on.
+// makeEndpoints creates a partner's endpoints and sets its rate to the sum of theirs.
 func (w *World) makeEndpoints(p *Partner) {
-	// A half more on both sides, or the ends of the range would be drawn half as often as what lies between.
+	// Half a unit more on both sides: else the ends of the range would be drawn half as often as the numbers between.
 	counts := Pair{p.Kind.Endpoints[0] - 0.499, p.Kind.Endpoints[1] + 0.499}
 	count := max(1, int(math.Round(w.within(counts, "endpoints", int64(p.No)))))
 	rate := 0.0
@@ -87,25 +87,25 @@
 	p.Rate = rate
 }
 
-// makeEndpoint makes one of so many endpoints of a partner. Its rate is what its whole slots can do.
+// makeEndpoint creates one of count endpoints of a partner. Its rate is that of a whole number of slots.
 func (w *World) makeEndpoint(p *Partner, i, count int) *Endpoint {
 	kind, no := p.Kind, len(w.Endpoints)
 	e := &Endpoint{
-		No:       EndpointNo(no),
-		ID:       choice.EndpointID(fmt.Sprintf("p%d-%d", p.No, i)),
-		Partner:  p,
-		Zone:     (int(p.No) + i) % w.Spec.Zones,
-		sameMS:   w.within(w.Spec.Network.SameMS, "same", int64(no)),
-		crossMS:  w.within(w.Spec.Network.CrossMS, "cross", int64(no)),
-		mean:     w.within(kind.MeanMS, "mean", int64(no)) * float64(Millisecond),
-		warmFrom: -seconds(kind.SlowStartS),
-		conns:    map[*Conn]struct{}{},
-		sawFail:  map[SenderNo]struct{}{},
+		No:         EndpointNo(no),
+		ID:         choice.EndpointID(fmt.Sprintf("p%d-%d", p.No, i)),
+		Partner:    p,
+		Zone:       (int(p.No) + i) % w.Spec.Zones,
+		sameMS:     w.within(w.Spec.Network.SameMS, "same", int64(no)),
+		crossMS:    w.within(w.Spec.Network.CrossMS, "cross", int64(no)),
+		mean:       w.within(kind.MeanMS, "mean", int64(no)) * float64(Millisecond),
+		warmFrom:   -seconds(kind.SlowStartS),
+		conns:      map[*Conn]struct{}{},
+		sawFailure: map[SenderNo]struct{}{},
 	}
 	e.slots = max(1, int(math.Ceil(p.Rate/float64(count)*e.mean/float64(Second))))
 	e.Rate = float64(e.slots) * float64(Second) / e.mean
 	e.queueMax = int(math.Ceil(kind.Queue * float64(e.slots)))
-	if kind.Limit != "none" && kind.Apart {
+	if kind.Limit != "none" && kind.SeparateRoutes {
 		e.limit = w.newLimit(kind, p, float64(count))
 	}
 	return e
--- a/lab/world/parts.go
+++ b/lab/world/selector.go
@@ -1,15 +1,15 @@
 package world
 
-// This file owns which partners, endpoints and senders a part names. It must never draw the same part in two ways.
+// This file resolves selectors to partners, endpoints and senders. The same selector must always give the same ones.
 
 import (
 	"cmp"
 	"slices"
 )
 
-// partnersOf are the partners that a part names. Where it names a share of the traffic, partners are drawn by chance until
-// that is reached.
-func (w *World) partnersOf(p *Part, no int64) (all []*Partner) {
+// partnersOf returns the partners that a selector matches. If it names a share of the traffic, partners are drawn by
+// chance until they have that share.
+func (w *World) partnersOf(p *Selector, no int64) (all []*Partner) {
 	for _, partner := range w.Partners {
 		if p.Kind != "" && partner.Kind.Name != p.Kind {
 			continue
@@ -25,25 +25,25 @@
 	return w.drawPartners(all, p.Share, no)
 }
 
-// drawPartners draws partners by chance until they have that share of the traffic.
+// drawPartners draws partners by chance until they have a share of the traffic.
 func (w *World) drawPartners(all []*Partner, share float64, no int64) []*Partner {
 	slices.SortFunc(all, func(a, b *Partner) int {
 		return cmp.Compare(w.draw("part", no, int64(a.No)), w.draw("part", no, int64(b.No)))
 	})
-	sum, kept := 0.0, all[:0]
+	sum, chosen := 0.0, all[:0]
 	for _, partner := range all {
-		if len(kept) > 0 && sum+partner.Share/2 > share {
+		if len(chosen) > 0 && sum+partner.Share/2 > share {
 			continue
 		}
 		sum += partner.Share
-		kept = append(kept, partner)
+		chosen = append(chosen, partner)
 	}
-	slices.SortFunc(kept, func(a, b *Partner) int { return cmp.Compare(a.No, b.No) })
-	return kept
+	slices.SortFunc(chosen, func(a, b *Partner) int { return cmp.Compare(a.No, b.No) })
+	return chosen
 }
 
-// endpointsOf are the endpoints that a part names.
-func (w *World) endpointsOf(p *Part, no int64) (all []*Endpoint) {
+// endpointsOf returns the endpoints that a selector matches.
+func (w *World) endpointsOf(p *Selector, no int64) (all []*Endpoint) {
 	for _, partner := range w.partnersOf(p, no) {
 		for i, e := range partner.Endpoints {
 			if (p.Endpoint == 0 || p.Endpoint == i+1) && (p.Zone == 0 || p.Zone == e.Zone+1) {
@@ -54,8 +54,8 @@
 	return all
 }
 
-// sendersOf are the senders that a part names.
-func (w *World) sendersOf(p *Part, no int64) (all []SenderNo) {
+// sendersOf returns the senders that a selector matches.
+func (w *World) sendersOf(p *Selector, no int64) (all []SenderNo) {
 	for i, s := range w.senders {
 		if (p.Zone == 0 || p.Zone == s.zone+1) && (len(p.Senders) == 0 || slices.Contains(p.Senders, i)) {
 			all = append(all, SenderNo(i))
--- a/lab/world/world.go
+++ b/lab/world/world.go
@@ -1,14 +1,14 @@
 // Package world is the laboratory's model of everything outside a sender: partner systems and the network to them,
-// discovery, the programs that hand messages in, the platform that hears of ends, and the troubles that strike them.
+// discovery, the clients that hand messages in, the platform that receives outcome callbacks, and faults in all of them.
 //
-// It owns what is true. Both engines drive it: one by its own events in simulated time, one by sockets in real time.
-// It tells the engine what reaches a sender through Wire, and everything that truly happens to a Ledger, from which
-// the referee judges. It must never look at a clock, open a socket, start a goroutine, log, or take a sender's word
-// for anything; chance comes from the seed and the name of what it is drawn for, so that two variants of a run see the
-// same world as far as they act alike. Times are tenths of a millisecond from the start of the run.
+// Its state is the truth of a run. Two engines drive it: package sim by events in simulated time, package live by sockets
+// in real time. It sends what reaches a sender through Wire, and reports everything that happens to a Ledger, from which
+// the referee judges. It must not read a clock, open a socket, start a goroutine, log, or rely on what a sender says.
+// Random numbers depend on the seed and on the name of what is drawn, so that two variants of a run see the same world as
+// far as they act alike. Times are tenths of a millisecond from the start of the run.
 //
-// spec.go and kinds.go hold what a scenario may say, endpoint.go the partners, clients.go the programs, directory.go the
-// list, trouble.go what goes wrong, events.go the order of events. This file owns the world's two sides, Wire and Ledger.
+// spec.go and kinds.go declare what a scenario may say. endpoint.go holds the partners, clients.go the clients,
+// directory.go discovery, fault.go the faults, events.go the event queue. This file has the interfaces Wire and Ledger.
 package world
 
 import (
@@ -25,51 +25,48 @@
 	Second      = choice.Second
 )
 
-// Each kind of number is a type of its own. All count from 0.
+// Numbers of senders, partners and so on, each with a type of its own. All count from 0.
 type (
 	SenderNo   int
 	PartnerNo  int
 	EndpointNo int
 	CallNo     int64
-	AskNo      int64
+	RequestNo  int64
 )
 
-// Seen is how an attempt ends as its sender sees it.
-type Seen int
+// ConnEnd is how a connection ends as its sender sees it.
+type ConnEnd int
 
 const (
-	SeenAnswer  Seen = iota
-	SeenRefused      // the connection did not come up
-	SeenBroken       // it ended before the answer was whole
-	SeenHalf         // an answer began and stopped in its middle
+	ConnRefused ConnEnd = iota + 1 // the connection did not come up
+	ConnReset                      // it was closed before the answer was complete
 )
 
-// Answer is what an endpoint says to a call.
+// Answer is an endpoint's answer to a call.
 type Answer struct {
-	Status int
-	Wait   Time // Retry-After; 0 for none
-	Report choice.Report
-	Spoilt bool  // nothing can be made of it
-	Half   bool  // it stops in its middle
-	Close  bool  // the connection ends after it
-	Fates  []int // by message, where a bundle's fared apart: a status each
+	Status   int
+	Wait     Time // Retry-After; 0 for none
+	Report   choice.Report
+	Spoilt   bool  // it is not valid HTTP
+	Half     bool  // it is cut off in the middle
+	Close    bool  // the endpoint closes the connection after it
+	Statuses []int // of each message of a bulk call, if they differ
 }
 
-// Wire is how the world reaches senders. Its methods are called at the time at which a thing reaches them; they may
-// call the world back.
+// Wire is how the world reaches senders. Its methods are called when something reaches them, and may call the world back.
 type Wire interface {
-	Up(c *Conn)             // the connection stands
-	Down(c *Conn, why Seen) // it was refused, or ended by the other side
+	ConnUp(c *Conn)                // the connection is established
+	ConnDown(c *Conn, why ConnEnd) // it was refused, or closed by the endpoint
 	Answered(c *Conn, call *Call, a Answer)
-	News(to SenderNo, list List)    // of the list
-	ListFailed(to SenderNo)         // the watch ended, or was silent for too long
-	HandIn(h *HandIn)               // a program hands a message in
-	Accepting(e *Endpoint, on bool) // whether connections come up there
-	Note(from, to SenderNo, text []byte)
-	Act(on SenderNo, what Act) // to its process
+	ListUpdate(to SenderNo, list List)     // an update of the endpoint list
+	ListFailed(to SenderNo)                // the watch ended, or was silent for too long
+	HandIn(h *HandIn)                      // a client hands a message in
+	AcceptingChanged(e *Endpoint, on bool) // whether the endpoint accepts connections
+	Datagram(from, to SenderNo, text []byte)
+	Act(on SenderNo, what Act) // an action on its process or its clients
 }
 
-// Act is what befalls a sender's process or its clients' manners.
+// Act is an action of a fault on a sender's process, or on the behaviour of its clients.
 type Act int
 
 const (
@@ -78,116 +75,116 @@
 	Term
 	Pause
 	Continue
-	Break   // its configuration becomes unreadable, and SIGHUP comes
-	Reload  // its configuration names another discovery, and SIGHUP comes
-	HoardOn // clients hold connections that they do not use
+	Break   // its configuration file becomes unreadable, and it gets SIGHUP
+	Reload  // its configuration file names another discovery address, and it gets SIGHUP
+	HoardOn // clients hold connections open without using them
 	HoardOff
-	RubbishOn // clients send what makes no sense
+	RubbishOn // clients send malformed commands
 	RubbishOff
 )
 
-// Ledger hears all that truly happens, in order of time.
+// Ledger receives everything that happens in the world, in order of time.
 type Ledger interface {
-	Asked(a *Ask)
+	Requested(a *Request)
 	HandedIn(h *HandIn)
-	Heard(h *HandIn, what Heard) // what the client was told
-	Began(c *Call)               // it left its sender
-	Moved(c *Call, out bool)     // whether it still is out
-	Ran(h *HandIn, e *Endpoint, at Time)
+	HandInAnswered(h *HandIn, what HandInAnswer) // as the client sees it
+	CallSent(c *Call)                            // the call left its sender
+	InFlightChanged(c *Call, inFlight bool)      // whether the sender may still get an answer
+	Executed(h *HandIn, e *Endpoint, at Time)
 	Delivered(h *HandIn, e *Endpoint)
 	Ended(h *HandIn, what End)
-	Told(s SenderNo, e *Endpoint, stage choice.Stage)
-	WaitTold(s SenderNo, e *Endpoint, until Time)
+	StageAnnounced(s SenderNo, e *Endpoint, stage choice.Stage)
+	RetryAfterReceived(s SenderNo, e *Endpoint, until Time)
 	Outcome(c *Call, status int) // as the endpoint saw it, 0 for none
 	Outage(e *Endpoint, down bool)
 	Returning(e *Endpoint, load, bound float64)
 	PushedOver(e *Endpoint, knowing float64) // knowing: share of the load from senders that saw it fail
 	Fault(t *Fault, on bool, parts int)
 	Sender(s SenderNo, up bool)
-	Away(s SenderNo, away bool) // its process stands still, or it is cut off; these may overlap
+	Unavailable(s SenderNo, on bool) // its process is paused or isolated; these may overlap
 }
 
-// World is one run's outside. It belongs to one goroutine.
+// World is everything outside the senders in one run. It belongs to one goroutine.
 type World struct {
-	Spec   *Spec
-	wire   Wire
-	ledger Ledger
-	seed   uint64
-	now    Time
-	end    Time
-	events events
-	eventN uint64
-	calls  CallNo
-	conns  int64
-
-	Partners  []*Partner
-	Endpoints []*Endpoint
-	byID      map[choice.EndpointID]*Endpoint
-	senders   []*senderState
-	byMessage map[choice.MessageID]*HandIn // emptied as asks are over and their time is up
-	arrivals  load.Source
-	active    []*Fault
-	struck    []map[*Endpoint]bool // by trouble
-	list      listState
-	notesLost float64
+	Spec    *Spec
+	wire    Wire
+	ledger  Ledger
+	seed    uint64
+	now     Time
+	end     Time
+	events  events
+	eventNo uint64
+	calls   CallNo
+	conns   int64
+
+	Partners     []*Partner
+	Endpoints    []*Endpoint
+	byID         map[choice.EndpointID]*Endpoint
+	senders      []*senderState
+	byMessage    map[choice.MessageID]*HandIn // forget removes each some time after its deadline
+	arrivals     load.Source
+	active       []*Fault
+	affected     []map[*Endpoint]bool // by the fault's number in the spec
+	list         listState
+	datagramLoss float64
 }
 
 // senderState is what the world knows of one sender.
 type senderState struct {
-	zone    int
-	up      bool // it has said that it is ready
-	cut     bool
-	lastWay Time // when the last news reach it: a watch keeps its order
-	held    bool // news wait, see old_list
-	hello   bool // a watch stands
-	patient Time
-	version int64
+	zone         int
+	serving      bool // it accepts hand-ins
+	isolated     bool
+	lastUpdateAt Time // when the last scheduled update reaches it: a watch keeps its order
+	updatesHeld  bool // updates are withheld by the fault old_list
+	watching     bool // it has a watch on the list
+	patience     Time
+	version      int64
 }
 
-// New makes a world that has not begun. Trace, where given, takes the place of the spec's load.
+// New creates a world; Begin starts it. A trace that is not nil replaces the spec's load.
 func New(spec *Spec, seed uint64, wire Wire, ledger Ledger, trace []load.Arrival) (*World, error) {
 	w := &World{Spec: spec, wire: wire, ledger: ledger, seed: seed, end: seconds(spec.Seconds),
 		byID: map[choice.EndpointID]*Endpoint{}, byMessage: map[choice.MessageID]*HandIn{}}
 	for i := range spec.Senders {
-		w.senders = append(w.senders, &senderState{zone: i % spec.Zones, patient: ms(spec.Clients.PatienceMS)})
+		w.senders = append(w.senders, &senderState{zone: i % spec.Zones, patience: ms(spec.Clients.PatienceMS)})
 	}
 	w.makePartners()
 	if err := w.planLoad(trace); err != nil {
 		return nil, err
 	}
-	w.planTroubles()
+	w.planFaults()
 	w.planChanges()
 	return w, nil
 }
 
-// Begin lets the programs start; senders that are ready by then are used.
+// Begin starts the clients. Senders should be serving by then.
 func (w *World) Begin() { w.nextArrival() }
 
-// Now is the world's time.
+// Now is the current time of the world.
 func (w *World) Now() Time { return w.now }
 
-// End is when the last message may be handed in.
+// End is when the last message is handed in for the first time.
 func (w *World) End() Time { return w.end }
 
-// Cut tells whether a sender is cut off from all others.
-func (w *World) Cut(s SenderNo) bool { return w.senders[s].cut }
+// Isolated reports whether a sender is cut off from everything else.
+func (w *World) Isolated(s SenderNo) bool { return w.senders[s].isolated }
 
-// Gone tells whether a connection has ended at its endpoint.
-func (w *World) Gone(c *Conn) bool { return c.gone }
+// ClosedAtEndpoint reports whether a connection is closed at its endpoint.
+func (w *World) ClosedAtEndpoint(c *Conn) bool { return c.closedAtEndpoint }
 
-// Deaf tells whether an endpoint reads nothing.
-func (w *World) Deaf(e *Endpoint) bool { return e.fx.deaf }
+// NeverReads reports whether a fault has an endpoint read nothing.
+func (w *World) NeverReads(e *Endpoint) bool { return e.effects.neverReads }
 
-// Senders is how many there are.
+// Senders is the number of senders.
 func (w *World) Senders() int { return len(w.senders) }
 
-// Zone is where a sender stands.
+// Zone is the zone of a sender.
 func (w *World) Zone(s SenderNo) int { return w.senders[s].zone }
 
-// Ready tells that a sender's process serves, or that it no longer does.
-func (w *World) Ready(s SenderNo, up bool) {
-	if st := w.senders[s]; st.up != up {
-		st.up = up
+// SetServing records whether a sender's process accepts hand-ins. The open ones of a process that ended get no answer.
+func (w *World) SetServing(s SenderNo, up bool) {
+	if st := w.senders[s]; st.serving != up {
+		st.serving = up
 		w.ledger.Sender(s, up)
 		if !up {
 			w.senderGone(s)
@@ -195,11 +192,11 @@
 	}
 }
 
-// Up tells whether a sender serves.
-func (w *World) Up(s SenderNo) bool { return w.senders[s].up }
+// Serving reports whether a sender accepts hand-ins.
+func (w *World) Serving(s SenderNo) bool { return w.senders[s].serving }
 
-// way is how long one way between a sender and an endpoint takes this time.
-func (w *World) way(s SenderNo, e *Endpoint, n int64) Time {
+// oneWayDelay draws the network delay between a sender and an endpoint for the use numbered n.
+func (w *World) oneWayDelay(s SenderNo, e *Endpoint, n int64) Time {
 	mean := e.sameMS
 	if w.senders[s].zone != e.Zone {
 		mean = e.crossMS
@@ -208,16 +205,16 @@
 	return max(1, ms(mean*(1-j+2*j*w.draw("way", int64(s), int64(e.No), n))))
 }
 
-// Note carries a datagram between senders; it may be lost.
-func (w *World) Note(from, to SenderNo, text []byte) {
+// SendDatagram carries a datagram between senders; it may be lost.
+func (w *World) SendDatagram(from, to SenderNo, text []byte) {
 	w.calls++
-	if w.draw("note lost", int64(w.calls)) < w.notesLost || w.senders[from].cut {
+	if w.draw("note lost", int64(w.calls)) < w.datagramLoss || w.senders[from].isolated {
 		return
 	}
 	late := ms(w.within(w.Spec.Network.CrossMS, "note", int64(w.calls)))
 	w.After(late, func() {
-		if !w.senders[to].cut && w.senders[to].up {
-			w.wire.Note(from, to, text)
+		if !w.senders[to].isolated && w.senders[to].serving {
+			w.wire.Datagram(from, to, text)
 		}
 	})
 }
