--- a/internal/loopback/pair_test.go
+++ b/internal/loopback/pair_test.go
@@ -7,10 +7,14 @@
 	"testing"
 )
 
-// occupied is a loopback port that UDP has and TCP does not.
+// ownIP is a loopback address that nothing but these tests binds. On 127.0.0.1 other tests that run beside these take ports
+// for TCP, too: a port that UDP had was once in use there, and the first draw failed.
+var ownIP = net.IPv4(127, 73, 0, 1)
+
+// occupied is a port of ownIP that UDP has and TCP does not.
 func occupied(t *testing.T) *net.TCPAddr {
 	t.Helper()
-	packets, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
+	packets, err := net.ListenUDP("udp", &net.UDPAddr{IP: ownIP})
 	if err != nil {
 		t.Fatal(err)
 	}
