--- a/choice/backlog.go
+++ b/choice/backlog.go
@@ -14,7 +14,7 @@
 	msg.overQuota = !s.withinQuota(in.Account)
 	s.messages[msg.ID] = msg
 	msg.destination.openMessages++
-	if s.class(msg).ByArrival && msg.Key != NoKey {
+	if s.class(msg).Ordered && msg.Key != NoKey {
 		s.joinKeyQueue(msg)
 	}
 	if s.exhausted(msg) {
@@ -102,7 +102,7 @@
 		s.host.Fail(msg.ID)
 	} else {
 		pause := s.pauseEnd(msg.destination) - s.now
-		s.host.Shed(msg.ID, min(s.settings.LongestReturn, max(s.retryBase, pause)))
+		s.host.Shed(msg.ID, min(s.settings.MaxRetryAfter, max(s.retryBase, pause)))
 	}
 	s.release(msg)
 }
--- a/choice/backlog_test.go
+++ b/choice/backlog_test.go
@@ -37,7 +37,7 @@
 	host := startSender(testSettings())
 	a := host.endpoint("a")
 	a.destination.kind.reportsLimits, a.concurrencyLimit = true, 4
-	host.accept(0, 1, "p", "q", "r", "s").advance(200*Millisecond).end(Done, 0, "a", "s").end(Full, 0, "a", "p", "q")
+	host.accept(0, 1, "p", "q", "r", "s").advance(200*Millisecond).end(Done, 0, "a", "s").end(Rejected, 0, "a", "p", "q")
 	fmt.Println("limit:", a.concurrencyLimit, "pace:", a.route.limiter.rate > 1000, "ejected:", a.ejected)
 	host.end(Done, 0, "a", "r").accept(0, 1, "t", "u").advance(100 * Millisecond)
 	// Output:
--- a/choice/configure_test.go
+++ b/choice/configure_test.go
@@ -24,26 +24,26 @@
 	"MaxOpen":                  {change: func(s *Settings) { s.MaxOpen = 10 }},
 	"MaxAttempts":              {change: func(s *Settings) { s.MaxAttempts = 2 }},
 	"Classes":                  {change: func(s *Settings) { s.Classes = append(s.Classes, s.Classes[1], s.Classes[3]) }},
-	"Kinds":                    {change: func(s *Settings) { s.Kinds = append(s.Kinds, Kind{BundleMax: 9}) }, silent: true}, // no endpoint is of it
+	"Kinds":                    {change: func(s *Settings) { s.Kinds = append(s.Kinds, Kind{BulkMax: 9}) }, silent: true}, // no endpoint is of it
 	"Quotas":                   {change: func(s *Settings) { s.Quotas = []float64{3, 3, 3} }},
-	"OverShareValue":           {change: func(s *Settings) { s.OverShareValue = 0.01 }},
+	"OverQuotaValue":           {change: func(s *Settings) { s.OverQuotaValue = 0.01 }},
 	"Halving":                  {change: func(s *Settings) { s.Halving = true }},
 	"Probing":                  {change: func(s *Settings) { s.Probing = false }},
 	"Notes":                    {change: func(s *Settings) { s.Notes = false }, fleet: true},
 	"Cancelling":               {change: func(s *Settings) { s.Cancelling = true }, silent: true},
-	"LongestReturn":            {change: func(s *Settings) { s.LongestReturn = 10 * Millisecond }},
+	"MaxRetryAfter":            {change: func(s *Settings) { s.MaxRetryAfter = 10 * Millisecond }},
 	"DialTimeout":              {change: func(s *Settings) { s.DialTimeout = Second }, silent: true},
 	"ConnIdle":                 {change: func(s *Settings) { s.ConnIdle = 20 * Second }},
-	"TellsFull":                {change: func(s *Settings) { s.TellsFull = true }, fleet: true},
-	"Turn":                     {change: func(s *Settings) { s.Turn = 40 * Millisecond }},
+	"AnswersWhenTableFull":     {change: func(s *Settings) { s.AnswersWhenTableFull = true }, fleet: true},
+	"TurnInterval":             {change: func(s *Settings) { s.TurnInterval = 40 * Millisecond }},
 	"Rating":                   {change: func(s *Settings) { s.Rating = RatingNone }},
-	"FallMultiple":             {change: func(s *Settings) { s.FallMultiple = 0.5 }},
-	"Fall":                     {change: func(s *Settings) { s.Fall = 9 * Second }},
+	"OverloadMultiple":         {change: func(s *Settings) { s.OverloadMultiple = 0.5 }},
+	"OverloadWindow":           {change: func(s *Settings) { s.OverloadWindow = 9 * Second }},
 	"SlowStartFrom":            {change: func(s *Settings) { s.SlowStartFrom = 0.9 }},
 	"SlowStart":                {change: func(s *Settings) { s.SlowStart = 3 * Second }},
-	"KeyRest":                  {change: func(s *Settings) { s.KeyRest = 3 * Second }},
+	"KeyPause":                 {change: func(s *Settings) { s.KeyPause = 3 * Second }},
 	"RouteFees":                {change: func(s *Settings) { s.RouteFees = []float64{0.3, 0} }},
-	"RefusedPrice":             {change: func(s *Settings) { s.RefusedPrice = 0.5 }, silent: true},
+	"RejectedPrice":            {change: func(s *Settings) { s.RejectedPrice = 0.5 }, silent: true},
 	"HandshakePrice":           {change: func(s *Settings) { s.HandshakePrice = 0.5 }, silent: true},
 	"Classes.Repeat":           {change: eachClass(func(w *Class) { w.Repeat = NonIdempotent })},
 	"Classes.ZoneGroup":        {change: eachClass(func(w *Class) { w.ZoneGroup = !w.ZoneGroup })},
@@ -52,9 +52,9 @@
 	"Classes.Deadline":         {change: eachClass(func(w *Class) { w.Deadline = 2 * Second })},
 	"Classes.Value":            {change: func(s *Settings) { s.Classes[0].Value = 50 }},
 	"Classes.LateValue":        {change: eachClass(func(w *Class) { w.LateValue = 0.9 })},
-	"Classes.ByArrival":        {change: eachClass(func(w *Class) { w.ByArrival = !w.ByArrival })},
-	"Kinds.BundleMax":          {change: func(s *Settings) { s.Kinds[0].BundleMax, s.Kinds[1].BundleMax = 4, 1 }},
-	"Kinds.Apart":              {change: func(s *Settings) { s.Kinds[0].Apart = true }},
+	"Classes.Ordered":          {change: eachClass(func(w *Class) { w.Ordered = !w.Ordered })},
+	"Kinds.BulkMax":            {change: func(s *Settings) { s.Kinds[0].BulkMax, s.Kinds[1].BulkMax = 4, 1 }},
+	"Kinds.SeparateRoutes":     {change: func(s *Settings) { s.Kinds[0].SeparateRoutes = true }},
 }
 
 // eachClass is a change of every class.
@@ -109,7 +109,7 @@
 			play := func(start Settings, then *Settings) []string {
 				host := &loadHost{t: t}
 				host.start(start)
-				if then == nil || name != "Kinds.Apart" { // which counts from when an endpoint is listed
+				if then == nil || name != "Kinds.SeparateRoutes" { // which counts from when an endpoint is listed
 					host.listEndpoints()
 				}
 				if then != nil {
@@ -269,7 +269,7 @@
 // New fees rank endpoints anew within a tick, also where nothing else happens.
 func ExampleSender_Configure_fees() {
 	set := testSettings()
-	set.Kinds[1].Apart, set.RouteFees = true, []float64{0, 0.05}
+	set.Kinds[1].SeparateRoutes, set.RouteFees = true, []float64{0, 0.05}
 	host := startSender(set)
 	host.update(Entry{Endpoint: "near", Destination: 3, Kind: 1}, Entry{Endpoint: "far", Destination: 3, Kind: 1, Zone: 1})
 	for _, id := range []EndpointID{"near", "far"} {
--- a/choice/connections.go
+++ b/choice/connections.go
@@ -39,7 +39,7 @@
 // onConnectFailed handles that no connection came up. Unless a full connection table is answered, that may be the reason;
 // the other senders are notified, as they may have idle connections there.
 func (s *Sender) onConnectFailed(ep *endpoint) {
-	if s.settings.TellsFull {
+	if s.settings.AnswersWhenTableFull {
 		return
 	}
 	kind := ep.destination.kind
--- a/choice/connections_test.go
+++ b/choice/connections_test.go
@@ -73,7 +73,7 @@
 		host.accept(0, 1, "first").accept(0, 3, "other").end(Done, 0, "a", "first").end(Done, 0, "d", "other")
 		host.advance(2 * Second).printClosings = true
 		for _, id := range []MessageID{"p", "q", "r"} {
-			host.accept(0, 1, id).sender.Ended(Outcome{Message: id, Endpoint: "a", Result: Full, Closed: closed})
+			host.accept(0, 1, id).sender.Ended(Outcome{Message: id, Endpoint: "a", Result: Rejected, Closed: closed})
 			host.sender.Withdrawn(id)
 			host.advance(2 * Second)
 		}
@@ -105,7 +105,7 @@
 	set.Senders, set.Probing = 300, false
 	host := startSender(set)
 	host.accept(0, 1, "first").end(Done, 0, "a", "first")
-	host.accept(0, 1, "p").sender.Ended(Outcome{Message: "p", Endpoint: "a", Result: Full, Closed: true, Wait: 2 * Second})
+	host.accept(0, 1, "p").sender.Ended(Outcome{Message: "p", Endpoint: "a", Result: Rejected, Closed: true, RetryAfter: 2 * Second})
 	host.advance(Second).accept(0, 1, "q").advance(2 * Second)
 	// Output:
 	// 0.0     attempt first to a
@@ -134,7 +134,7 @@
 func Example_open() {
 	host := startSender(testSettings()).accept(0, 1, "one")
 	fmt.Println(host.sender.Open("a"), host.sender.Open("b"), host.sender.Open("nobody"))
-	host.end(Full, 300*Millisecond, "a", "one")
+	host.end(Rejected, 300*Millisecond, "a", "one")
 	fmt.Println(host.sender.Open("a"))
 	host.mute = true
 	host.advance(400 * Millisecond)
@@ -177,7 +177,7 @@
 func ExampleSender_connectFailures() {
 	for _, tellsFull := range []bool{true, false} {
 		set := testSettings()
-		set.Senders, set.ConnIdle, set.TellsFull = 80, 10*Second, tellsFull
+		set.Senders, set.ConnIdle, set.AnswersWhenTableFull = 80, 10*Second, tellsFull
 		host := startSender(set)
 		host.update(Entry{Endpoint: "d", Destination: 3})
 		host.printClosings, host.mute = true, true
--- a/choice/endpointlist.go
+++ b/choice/endpointlist.go
@@ -50,7 +50,7 @@
 		connectionNoteAt: -recentSuccessSpan,
 		healthState:      healthState{slowStartAt: -forever / 2},
 	}
-	if dest.kind.Apart {
+	if dest.kind.SeparateRoutes {
 		ep.route = newRoute(s.now)
 	}
 	s.restoreLearned(ep, entry.LearnedState)
--- a/choice/fakehost_test.go
+++ b/choice/fakehost_test.go
@@ -28,12 +28,12 @@
 func testSettings() Settings {
 	class := func(r Repeat, order bool) Class {
 		return Class{Repeat: r, RepeatWindow: 3 * Second, LatencyObjective: Second, Deadline: 6 * Second,
-			Value: 1 + float64(r), LateValue: 0.1, ByArrival: order}
+			Value: 1 + float64(r), LateValue: 0.1, Ordered: order}
 	}
 	return Settings{Senders: 2, InFlightLimit: 8, MaxOpen: 100, MaxAttempts: 6,
 		Classes: []Class{class(Idempotent, false), class(Keyed, false), class(NonIdempotent, false), class(Idempotent, true)},
-		Kinds:   []Kind{{BundleMax: 1}, {BundleMax: 3}}, Turn: 5 * Millisecond, Probing: true, Rating: RatingExact,
-		FallMultiple: 2, Fall: 2 * Second, SlowStartFrom: 0.2, SlowStart: 10 * Second, KeyRest: Second}
+		Kinds:   []Kind{{BulkMax: 1}, {BulkMax: 3}}, TurnInterval: 5 * Millisecond, Probing: true, Rating: RatingExact,
+		OverloadMultiple: 2, OverloadWindow: 2 * Second, SlowStartFrom: 0.2, SlowStart: 10 * Second, KeyPause: Second}
 }
 
 // startSender starts a sender whose endpoint list holds a and b (gone) at destination 1, and c at destination 2.
@@ -72,7 +72,7 @@
 func (h *fakeHost) end(result Result, wait Time, at EndpointID, ids ...MessageID) *fakeHost {
 	for _, id := range ids {
 		h.sender.Ended(Outcome{Message: id, Attempt: h.attempts[id] - 1, Endpoint: at, Took: 200 * Millisecond,
-			Result: result, Final: result == Done, Wait: wait})
+			Result: result, Final: result == Done, RetryAfter: wait})
 	}
 	h.sender.TurnEnd()
 	return h
--- a/choice/fleetmodel_test.go
+++ b/choice/fleetmodel_test.go
@@ -63,7 +63,7 @@
 // allowedCalls is N: what the settings let all senders together send in an overload window that ends now.
 func (f *fleetModel) allowedCalls(ep *endpointModel) float64 {
 	warm := f.set.SlowStartFrom + (1-f.set.SlowStartFrom)*seconds(f.now-ep.upAt)/seconds(f.set.SlowStart)
-	return f.set.FallMultiple * f.capacity * warm * seconds(f.set.Fall)
+	return f.set.OverloadMultiple * f.capacity * warm * seconds(f.set.OverloadWindow)
 }
 
 // arrive counts a call that reaches an endpoint, and reports whether the endpoint is up. aware tells whether the sender
@@ -86,7 +86,7 @@
 // what is allowed.
 func (f *fleetModel) countInWindow(ep *endpointModel, aware bool) {
 	ep.recentCalls, ep.fromAware = append(ep.recentCalls, f.now), append(ep.fromAware, aware)
-	for ep.recentCalls[0] < f.now-f.set.Fall {
+	for ep.recentCalls[0] < f.now-f.set.OverloadWindow {
 		ep.recentCalls, ep.fromAware = ep.recentCalls[1:], ep.fromAware[1:]
 	}
 	allowed := f.allowedCalls(ep)
--- a/choice/inputs.go
+++ b/choice/inputs.go
@@ -60,8 +60,8 @@
 	Done Result = iota
 	// Errored: the answer was an error, and the message may have run.
 	Errored
-	// Full: rejected before anything ran.
-	Full
+	// Rejected: rejected before anything ran.
+	Rejected
 	// TimedOut: no answer came in time; the message may have run or still be running.
 	TimedOut
 	// ConnectFailed: no connection came up, so that nothing ran.
@@ -70,10 +70,10 @@
 	Reset
 	// Cancelled: the host cancelled the call; the message may still be running. A cancelled probe was never sent.
 	Cancelled
-	// Moot: the message did not run or is over, and the reason says nothing about the endpoint.
-	Moot
-	// Spoilt: the answer could not be understood, and the message may have run.
-	Spoilt
+	// NotRun: the message did not run or is over, and the reason says nothing about the endpoint.
+	NotRun
+	// Unreadable: the answer could not be understood, and the message may have run.
+	Unreadable
 )
 
 // Report is what an answer says of the rate limit of its route.
@@ -85,15 +85,15 @@
 
 // Outcome is how one attempt ended.
 type Outcome struct {
-	Message  MessageID
-	Attempt  int // number of the attempt, the first being 0
-	Endpoint EndpointID
-	Took     Time
-	Final    bool // the message needs no further answer
-	Result   Result
-	Wait     Time   // Retry-After that came with Full; 0 for none
-	NoSlot   bool   // with Moot: the sender had no free slot
-	Report   Report // rate limit report of the answer
-	Reused   bool   // the connection had carried a call before, as far as the host can tell
-	Closed   bool   // the answer ended the connection, as far as the host can tell
+	Message    MessageID
+	Attempt    int // number of the attempt, the first being 0
+	Endpoint   EndpointID
+	Took       Time
+	Final      bool // the message needs no further answer
+	Result     Result
+	RetryAfter Time   // Retry-After that came with Full; 0 for none
+	NoSlot     bool   // with Moot: the sender had no free slot
+	Report     Report // rate limit report of the answer
+	Reused     bool   // the connection had carried a call before, as far as the host can tell
+	Closed     bool   // the answer ended the connection, as far as the host can tell
 }
--- a/choice/keyorder_test.go
+++ b/choice/keyorder_test.go
@@ -5,8 +5,8 @@
 // orderedSettings are testSettings whose class 1 is keyed in its zone, and class 2 non-idempotent and ordered by key.
 func orderedSettings() Settings {
 	set := testSettings()
-	set.KeyRest = 300 * Millisecond
-	set.Classes[1].ZoneGroup, set.Classes[2].ByArrival = true, true
+	set.KeyPause = 300 * Millisecond
+	set.Classes[1].ZoneGroup, set.Classes[2].Ordered = true, true
 	return set
 }
 
@@ -24,7 +24,7 @@
 	for _, end := range []struct {
 		name   string
 		result Result
-	}{{"done", Done}, {"refused", Full}, {"error", Errored}, {"time-out", TimedOut}, {"reset", Reset}, {"cancelled", Cancelled}} {
+	}{{"done", Done}, {"refused", Rejected}, {"error", Errored}, {"time-out", TimedOut}, {"reset", Reset}, {"cancelled", Cancelled}} {
 		host := startSender(orderedSettings())
 		host.acceptKeyed("head", 2, 7, 2).acceptKeyed("next", 2, 7, 2).acceptKeyed("last", 2, 7, 2).sender.TurnEnd()
 		fmt.Println(end.name)
--- a/choice/learned_test.go
+++ b/choice/learned_test.go
@@ -9,7 +9,7 @@
 		host := startSender(testSettings()).accept(0, 1, "p").end(Done, 0, "a", "p")
 		host.endpoint("a").concurrencyLimit = 8
 		host.accept(0, 1, "q").sender.Ended(Outcome{
-			Message: "q", Endpoint: "a", Result: Full, Wait: 2 * Second, Report: Report{Known: true, Limit: 50},
+			Message: "q", Endpoint: "a", Result: Rejected, RetryAfter: 2 * Second, Report: Report{Known: true, Limit: 50},
 		})
 		host.accept(0, 1, "r").sender.destinations[1].route.limiter.rate = 1
 		host.sender.Void("a", l)
@@ -64,7 +64,7 @@
 	before, after := sent(false), sent(true)
 	fmt.Println("sent in the return:", before > 10, "more where voided:", after > before)
 	host := startSender(set)
-	host.accept(0, 1, "p").end(Full, 4*Second, "a", "p")
+	host.accept(0, 1, "p").end(Rejected, 4*Second, "a", "p")
 	host.sender.Void("a", nil)
 	host.accept(0, 1, "q").advance(5 * Second)
 	// Output:
@@ -88,7 +88,7 @@
 	show("to be retried:", host.accept(0, 2, "q").end(Errored, 0, "c", "q"), 2)
 	host.advance(Second)
 	show("over:", host.end(Done, 0, "c", "q"), 2)
-	show("paused:", host.accept(0, 2, "r").end(Full, Second, "c", "r"), 2)
+	show("paused:", host.accept(0, 2, "r").end(Rejected, Second, "c", "r"), 2)
 	host.sender.Withdrawn("r")
 	show("withdrawn, the pause goes on:", host, 2)
 	show("the pause is over:", host.advance(2*Second), 2)
--- a/choice/loadhost_test.go
+++ b/choice/loadhost_test.go
@@ -82,9 +82,9 @@
 	case to == "b" && h.bDown():
 		o.Result, o.Final = ConnectFailed, false
 	case luck < 0.08:
-		o.Result, o.Final, o.Wait = Full, false, 300*Millisecond
+		o.Result, o.Final, o.RetryAfter = Rejected, false, 300*Millisecond
 	case luck < 0.12:
-		o.Result, o.Final, o.Closed = Full, false, luck < 0.1
+		o.Result, o.Final, o.Closed = Rejected, false, luck < 0.1
 	case luck < 0.18:
 		o.Result, o.Final = Errored, false
 	case luck < 0.22:
@@ -112,12 +112,12 @@
 	check(h.answers[msg.ID] == 0, "it has had its answer")
 	calls, carried := len(h.sender.calls), ep.bulkCall.messages
 	check(carried > 1 || calls <= set.InFlightLimit, fmt.Sprint(calls, " calls out of ", set.InFlightLimit))
-	bundleMax := ep.destination.kind.BundleMax
+	bundleMax := ep.destination.kind.BulkMax
 	check(carried <= max(1, bundleMax), "a bulk call too large")
-	check(bundleMax == set.Kinds[ep.destination.id%2].BundleMax, "the bound of bulk calls is not the one set")
+	check(bundleMax == set.Kinds[ep.destination.id%2].BulkMax, "the bound of bulk calls is not the one set")
 	check(h.attempts[msg.ID] <= set.MaxAttempts, "one attempt too many")
 	check(!msg.MayRun || class.Repeat != NonIdempotent, "a second run")
-	check(!msg.MayRun || class.Repeat != Keyed || h.clock <= msg.RanAt+class.RepeatWindow-set.Turn, "out of its window")
+	check(!msg.MayRun || class.Repeat != Keyed || h.clock <= msg.RanAt+class.RepeatWindow-set.TurnInterval, "out of its window")
 	check(!msg.MayRun || !class.ZoneGroup || ep.zone == msg.RanIn, "known in another zone alone")
 	check(msg.keyQueue == nil || msg.keyQueue.messages[0] == msg, "before its turn")
 }
@@ -130,8 +130,8 @@
 }
 
 func (h *loadHost) Shed(id MessageID, in Time) {
-	if in > h.sender.settings.LongestReturn {
-		h.t.Errorf("%s may come again in %d, above %d", id, in, h.sender.settings.LongestReturn)
+	if in > h.sender.settings.MaxRetryAfter {
+		h.t.Errorf("%s may come again in %d, above %d", id, in, h.sender.settings.MaxRetryAfter)
 	}
 	h.answered(id, fmt.Sprint("shed, again in ", in))
 }
@@ -177,9 +177,9 @@
 // notes.
 func loadSettings(fleet bool) Settings {
 	set := testSettings()
-	set.InFlightLimit, set.MaxOpen, set.LongestReturn, set.ConnIdle = 12, 60, 4*Second, Second
-	set.Kinds = []Kind{{BundleMax: 1}, {BundleMax: 3, Apart: true}}
-	set.Quotas, set.OverShareValue = []float64{12, 30}, 0.5
+	set.InFlightLimit, set.MaxOpen, set.MaxRetryAfter, set.ConnIdle = 12, 60, 4*Second, Second
+	set.Kinds = []Kind{{BulkMax: 1}, {BulkMax: 3, SeparateRoutes: true}}
+	set.Quotas, set.OverQuotaValue = []float64{12, 30}, 0.5
 	set.RouteFees = []float64{0, 0.02}
 	if fleet {
 		set.Senders, set.Probing, set.Notes = 20, false, true
--- a/choice/notes_test.go
+++ b/choice/notes_test.go
@@ -16,7 +16,7 @@
 // and goes on elsewhere. A note about an unknown endpoint, or a malformed one, does nothing.
 func ExampleSender_Heard() {
 	host := startSender(gossipSettings()).accept(0, 1, "p")
-	host.sender.Ended(Outcome{Message: "p", Endpoint: "a", Result: Full, Report: Report{Known: true, Limit: 8}})
+	host.sender.Ended(Outcome{Message: "p", Endpoint: "a", Result: Rejected, Report: Report{Known: true, Limit: 8}})
 	host.accept(0, 1, "q").advance(1600 * Millisecond)
 	fmt.Println("another")
 	host = startSender(gossipSettings())
--- a/choice/outcomes.go
+++ b/choice/outcomes.go
@@ -10,7 +10,7 @@
 	call := msg.inFlight
 	msg.inFlight = nil
 	msg.lastEndpoint = call.endpoint
-	msg.rejected = o.Result == Full
+	msg.rejected = o.Result == Rejected
 	s.judgeCall(msg, call, o)
 	call.pending--
 	if call.pending == 0 {
@@ -30,12 +30,12 @@
 // judgeCall learns from the first outcome of a call that says something of its endpoint. The messages of one call may
 // be given their Retry-After one by one; it counts from the last of them.
 func (s *Sender) judgeCall(msg *message, call *call, o Outcome) {
-	aboutEndpoint := o.Result != Moot && o.Result != Cancelled
+	aboutEndpoint := o.Result != NotRun && o.Result != Cancelled
 	if !call.judged && aboutEndpoint {
 		call.judged = true
 		s.recordOutcome(msg, call, o)
-	} else if o.Wait > 0 {
-		s.pauseRoute(call.endpoint, o.Wait, false)
+	} else if o.RetryAfter > 0 {
+		s.pauseRoute(call.endpoint, o.RetryAfter, false)
 	}
 }
 
@@ -55,14 +55,14 @@
 // key.
 func (s *Sender) recordRun(msg *message, call *call, result Result) {
 	mayStillRun := result == TimedOut || result == Reset || result == Cancelled
-	mayHaveRun := mayStillRun || result == Errored || result == Spoilt
+	mayHaveRun := mayStillRun || result == Errored || result == Unreadable
 	if !msg.MayRun && mayHaveRun {
 		msg.MayRun = true
 		msg.RanAt = call.sentAt
 		msg.RanIn = call.endpoint.zone
 	}
 	if mayStillRun && msg.keyQueue != nil {
-		msg.keyQueue.pausedUntil = s.now + s.settings.KeyRest
+		msg.keyQueue.pausedUntil = s.now + s.settings.KeyPause
 	}
 }
 
@@ -78,14 +78,14 @@
 	switch o.Result {
 	case Done:
 		s.onDone(call, o)
-	case Full:
+	case Rejected:
 		// Without a Retry-After, a new connection that is ended found no place, which says nothing of limits.
-		if o.Closed && !o.Reused && o.Wait == 0 {
+		if o.Closed && !o.Reused && o.RetryAfter == 0 {
 			s.onConnectionTableFull(ep)
 		} else {
 			s.onRejected(call, o)
 		}
-	case Errored, Reset, Spoilt:
+	case Errored, Reset, Unreadable:
 		// A reused connection that breaks, or an answer that can't be understood, shows no outage by itself: where a
 		// process has crashed, new connections fail too.
 		showsOutage := o.Result == Errored || o.Result == Reset && !o.Reused
@@ -106,7 +106,7 @@
 
 // countOutcome counts an outcome into the shares that are kept of an endpoint and its route.
 func (s *Sender) countOutcome(ep *endpoint, o Outcome) {
-	rejected := o.Result == Full
+	rejected := o.Result == Rejected
 	ep.route.answered++
 	ep.recentAnswered++
 	if rejected {
--- a/choice/outlier_test.go
+++ b/choice/outlier_test.go
@@ -31,7 +31,7 @@
 func ExampleSender_readmission() {
 	host := startSender(testSettings()).accept(0, 1, "p", "q").end(Errored, 0, "a", "p", "q").advance(600 * Millisecond)
 	host.sender.Probed("a", Done)
-	host.advance(3*Second).accept(0, 1, "r", "s", "t", "u").end(Full, 0, "a", "p", "q").advance(5 * Second)
+	host.advance(3*Second).accept(0, 1, "r", "s", "t", "u").end(Rejected, 0, "a", "p", "q").advance(5 * Second)
 	host.sender.Probed("a", Done)
 	host.advance(4 * Second)
 	// Output:
@@ -97,10 +97,10 @@
 func ExampleSender_unreadableAnswers() {
 	host := startSender(testSettings()).accept(0, 1, "p").end(Done, 0, "a", "p")
 	for _, id := range []MessageID{"q", "r"} {
-		host.accept(2, 1, id).end(Spoilt, 0, "a", id)
+		host.accept(2, 1, id).end(Unreadable, 0, "a", id)
 	}
 	fmt.Println("ejected:", host.endpoint("a").ejected)
-	host.advance(recentSuccessSpan+tickInterval).accept(2, 1, "s").end(Spoilt, 0, "a", "s")
+	host.advance(recentSuccessSpan+tickInterval).accept(2, 1, "s").end(Unreadable, 0, "a", "s")
 	fmt.Println("ejected:", host.endpoint("a").ejected)
 	// Output:
 	// 0.0     attempt p to a
@@ -121,7 +121,7 @@
 	set.Senders = 50
 	host := startSender(set).advance(3*Second).accept(1, 1, "p").end(Errored, 0, "a", "p")
 	fmt.Println("ejected:", host.endpoint("a").ejected)
-	host.accept(1, 2, "q").end(Full, 5*Second, "c", "q").advance(5 * Second)
+	host.accept(1, 2, "q").end(Rejected, 5*Second, "c", "q").advance(5 * Second)
 	fmt.Printf("budget once open: %.2f, from %d\n", host.endpoint("c").slowStart.tokens, host.endpoint("c").slowStart.updatedAt)
 	// Output:
 	// 3000.0  attempt p to a
--- a/choice/queues.go
+++ b/choice/queues.go
@@ -7,7 +7,7 @@
 	msg.keyQueue = getOrCreate(s.keyQueues, msg.Key)
 	msg.keyQueue.messages = append(msg.keyQueue.messages, msg)
 	if msg.MayRun { // a call of an earlier incarnation may still be running
-		msg.keyQueue.pausedUntil = s.now + s.settings.KeyRest
+		msg.keyQueue.pausedUntil = s.now + s.settings.KeyPause
 		s.setTimer(msg, msg.keyQueue.pausedUntil)
 	}
 }
--- a/choice/ranking.go
+++ b/choice/ranking.go
@@ -9,7 +9,7 @@
 // without calls ranks behind, which spreads a fleet over a destination's endpoints.
 func (s *Sender) rankCost(ep *endpoint) float64 {
 	feeFactor := 1.0
-	if ep.destination.kind.Apart {
+	if ep.destination.kind.SeparateRoutes {
 		feeFactor = 1 + feeTimeFactor*s.settings.routeFee(ep.zone)
 	}
 	if ep.samples == 0 && ep.zone != s.settings.Zone {
--- a/choice/ratelimit.go
+++ b/choice/ratelimit.go
@@ -49,28 +49,28 @@
 	pausedUntil := route.pausedUntil // before this rejection
 	limited := o.Report.Limit > 0 && (o.Report.Left-exhaustedShare)*o.Report.Limit < 1
 	route.consecutiveRejections++
-	if s.exchangesNotes && s.now >= pausedUntil && (limited || o.Wait > 0 || !kind.reportsLimits) {
-		s.sendNote(ep, max(o.Wait, noteUnit))
-		s.applyPeerLimit(ep, o.Wait)
+	if s.exchangesNotes && s.now >= pausedUntil && (limited || o.RetryAfter > 0 || !kind.reportsLimits) {
+		s.sendNote(ep, max(o.RetryAfter, noteUnit))
+		s.applyPeerLimit(ep, o.RetryAfter)
 	}
-	if o.Wait > 0 {
+	if o.RetryAfter > 0 {
 		unexplained := kind.reportsLimits && !limited && s.now-route.lastSuccess > fullQueueSpan
-		s.pauseRoute(ep, o.Wait, o.Wait > longRetryAfter || unexplained)
+		s.pauseRoute(ep, o.RetryAfter, o.RetryAfter > longRetryAfter || unexplained)
 	}
 	switch {
-	case limited && o.Wait <= longRetryAfter:
+	case limited && o.RetryAfter <= longRetryAfter:
 		s.readmit(ep, call.sentAt) // it answers, so it is no outage
-	case o.Wait == 0 && s.queueFull(ep):
+	case o.RetryAfter == 0 && s.queueFull(ep):
 		// Cutting the rate for it would starve an endpoint that has no limit.
 		ep.concurrencyLimit = max(1, min(ep.concurrencyLimit, float64(ep.inFlight)-1))
 		return
 	case ep.ejected || kind.reportsLimits:
 		s.recordFailure(ep, o.Report.Limit)
-	case o.Wait == 0 && s.needsGuessedWait(route):
+	case o.RetryAfter == 0 && s.needsGuessedWait(route):
 		s.pauseByGuess(ep)
 	}
 	// A first Retry-After is enough by itself. Where another one follows at once, the rate is too high.
-	if o.Wait == 0 || s.now-pausedUntil <= recentSuccessSpan {
+	if o.RetryAfter == 0 || s.now-pausedUntil <= recentSuccessSpan {
 		s.adjustRate(ep.destination, route)
 	}
 }
--- a/choice/ratelimit_test.go
+++ b/choice/ratelimit_test.go
@@ -6,7 +6,7 @@
 func ExampleSender_limit() {
 	host := startSender(testSettings()).accept(0, 1, "p", "q").advance(3 * Second)
 	for _, id := range []MessageID{"p", "q"} {
-		host.sender.Ended(Outcome{Message: id, Endpoint: "a", Result: Full, Report: Report{true, 0.1, 4}})
+		host.sender.Ended(Outcome{Message: id, Endpoint: "a", Result: Rejected, Report: Report{true, 0.1, 4}})
 	}
 	fmt.Println("ejected:", host.endpoint("a").ejected, "pace:", host.endpoint("a").route.limiter.rate)
 	host.advance(Second)
@@ -35,7 +35,7 @@
 	}
 	for i, id := range []MessageID{"p", "q", "r", "s", "t"} {
 		host.destination(1).route.limiter.tokens = 1 // else it waits for its turn at that pace
-		tell(id, [...]Result{Full, Full, Full, Done, Done}[i], [...]float64{0, 0, 0, 0.1, 0.5}[i])
+		tell(id, [...]Result{Rejected, Rejected, Rejected, Done, Done}[i], [...]float64{0, 0, 0, 0.1, 0.5}[i])
 		host.sender.Withdrawn(id)
 	}
 	// Output:
@@ -122,7 +122,7 @@
 // Of two endpoints one rejects much, which is its own affair: the route keeps its rate, and that endpoint ranks last.
 func ExampleSender_rejectingEndpoint() {
 	set := testSettings()
-	set.Kinds[0].BundleMax = 1
+	set.Kinds[0].BulkMax = 1
 	host := startSender(set)
 	host.mute = true
 	host.update(Entry{Endpoint: "b", Destination: 1, Rating: 10})
@@ -141,7 +141,7 @@
 			to[ep.id]++
 			result := Done
 			if ep == b && i%2 == 0 {
-				result = Full
+				result = Rejected
 			}
 			host.end(result, 0, ep.id, id)
 		}
--- a/choice/retries.go
+++ b/choice/retries.go
@@ -49,12 +49,12 @@
 	// A restarted sender knows no call times; a message of an earlier incarnation must not end for that alone.
 	mostForCall := float64(msg.lifetime()) / 4
 	call := roundUp(min(s.usualCallTime(msg.destination), mostForCall))
-	return min(msg.Deadline-call-2*s.turnInterval, s.RepeatEnd(msg.ID))
+	return min(msg.Deadline-call-2*s.turnInterval, s.RepeatableUntil(msg.ID))
 }
 
-// RepeatEnd returns until when a message may be sent as a repeat: while the destination remembers its idempotency key.
+// RepeatableUntil returns until when a message may be sent as a repeat: while the destination remembers its idempotency key.
 // For messages without that restriction, and unknown ones, it is never over.
-func (s *Sender) RepeatEnd(id MessageID) Time {
+func (s *Sender) RepeatableUntil(id MessageID) Time {
 	msg := s.messages[id]
 	if msg == nil || !msg.MayRun || s.class(msg).Repeat != Keyed {
 		return forever
--- a/choice/retries_test.go
+++ b/choice/retries_test.go
@@ -48,7 +48,7 @@
 func ExampleSender_rejectedRetries() {
 	host := startSender(testSettings())
 	host.endpoint("a").concurrencyLimit = 8
-	host.accept(0, 1, "p", "q", "r").end(Full, 0, "a", "p", "q", "r")
+	host.accept(0, 1, "p", "q", "r").end(Rejected, 0, "a", "p", "q", "r")
 	host.advance(2*Second).end(Done, 0, "a", "p").advance(2 * Second)
 	// Output:
 	// 0.0     attempt r to a
@@ -62,7 +62,7 @@
 // A non-idempotent message fails at a time-out and is retried after a rejection. A keyed one is retried only within its
 // repeat window.
 func ExampleSender_repeats() {
-	host := startSender(testSettings()).accept(2, 1, "once").end(Full, 0, "a", "once").advance(Second)
+	host := startSender(testSettings()).accept(2, 1, "once").end(Rejected, 0, "a", "once").advance(Second)
 	host.end(TimedOut, 0, "a", "once").accept(1, 2, "token").end(TimedOut, 0, "c", "token").advance(Second)
 	host.advance(2500*Millisecond).end(TimedOut, 0, "c", "token")
 	// Output:
@@ -94,7 +94,7 @@
 	fmt.Println("ejected:", host.endpoint("a").ejected, host.endpoint("b").ejected, host.endpoint("b2").ejected)
 	host.accept(0, 2, "q")
 	for range 2 {
-		host.end(Full, 0, "c", "q").advance(4 * Second)
+		host.end(Rejected, 0, "c", "q").advance(4 * Second)
 		fmt.Printf("pace: %.3f\n", host.destination(2).route.limiter.rate)
 	}
 	// Output:
@@ -114,15 +114,15 @@
 	host.mute = true
 	host.accept(0, 1, "repeatable").accept(1, 1, "keyed")
 	for _, id := range []MessageID{"repeatable", "keyed", "unknown"} {
-		if end := host.sender.RepeatEnd(id); end != forever {
+		if end := host.sender.RepeatableUntil(id); end != forever {
 			t.Errorf("%s, not sent or still out: %d", id, end)
 		}
 	}
 	host.advance(100*Millisecond).end(Errored, 0, "a", "repeatable", "keyed")
-	if end := host.sender.RepeatEnd("repeatable"); end != forever {
+	if end := host.sender.RepeatableUntil("repeatable"); end != forever {
 		t.Errorf("one that may simply be repeated: %d", end)
 	}
-	end := host.sender.RepeatEnd("keyed")
+	end := host.sender.RepeatableUntil("keyed")
 	if want := 3*Second - 5*Millisecond; end != want { // its call began at 0
 		t.Fatalf("it ends at %d, want %d", end, want)
 	}
--- a/choice/retryafter_test.go
+++ b/choice/retryafter_test.go
@@ -4,7 +4,7 @@
 
 // A Retry-After holds back first attempts, too; another destination goes on.
 func ExampleSender_retryAfter() {
-	host := startSender(testSettings()).accept(0, 1, "p").end(Full, 900*Millisecond, "a", "p")
+	host := startSender(testSettings()).accept(0, 1, "p").end(Rejected, 900*Millisecond, "a", "p")
 	host.accept(0, 1, "q").accept(0, 2, "other").advance(1200 * Millisecond)
 	// Output:
 	// 0.0     attempt p to a
@@ -15,8 +15,8 @@
 
 // The messages of one call may get their Retry-After at different times; the last one counts.
 func ExampleSender_retryAfterOfBulkCall() {
-	host := startSender(testSettings()).accept(0, 2, "p", "q").end(Full, 500*Millisecond, "c", "p")
-	host.advance(100*Millisecond).end(Full, 500*Millisecond, "c", "q").accept(0, 2, "r").advance(700 * Millisecond)
+	host := startSender(testSettings()).accept(0, 2, "p", "q").end(Rejected, 500*Millisecond, "c", "p")
+	host.advance(100*Millisecond).end(Rejected, 500*Millisecond, "c", "q").accept(0, 2, "r").advance(700 * Millisecond)
 	// Output:
 	// 0.0     attempt q to c
 	// 0.0     attempt p to c
@@ -30,7 +30,7 @@
 func ExampleSender_longRetryAfter() {
 	host := startSender(testSettings())
 	host.update(Entry{Endpoint: "b", Destination: 1, Rating: 10})
-	host.accept(0, 1, "p", "q", "r").end(Full, 3*Second, "a", "p").end(Done, 0, "a", "q").accept(2, 1, "s", "t", "u", "v")
+	host.accept(0, 1, "p", "q", "r").end(Rejected, 3*Second, "a", "p").end(Done, 0, "a", "q").accept(2, 1, "s", "t", "u", "v")
 	host.advance(6 * Second)
 	// Output:
 	// 0.0     attempt r to a
@@ -46,8 +46,8 @@
 
 // Rejections without a Retry-After, with nothing done for two seconds, pause the route for a guess that doubles.
 func ExampleSender_guessedWait() {
-	host := startSender(testSettings()).advance(2100*Millisecond).accept(0, 1, "p", "q").end(Full, 0, "a", "p", "q")
-	host.advance(900*Millisecond).end(Full, 0, "a", "p", "q").advance(2 * Second)
+	host := startSender(testSettings()).advance(2100*Millisecond).accept(0, 1, "p", "q").end(Rejected, 0, "a", "p", "q")
+	host.advance(900*Millisecond).end(Rejected, 0, "a", "p", "q").advance(2 * Second)
 	fmt.Println("guess:", host.destination(1).route.guessedWait)
 	// Output:
 	// 2100.0  attempt q to a
@@ -64,7 +64,7 @@
 	host.accept(0, 1, "p").end(Done, 0, "a", "p").advance(3 * Second)
 	route := host.destination(1).route
 	rejectAfter := func(id MessageID) {
-		host.accept(0, 1, id).end(Full, 200*Millisecond, "a", id)
+		host.accept(0, 1, id).end(Rejected, 200*Millisecond, "a", id)
 		fmt.Println("paused for", (route.pausedUntil-host.clock)/Millisecond, "ms, unlimited", route.limiter.rate >= unlimitedRate)
 		host.advance(500 * Millisecond)
 	}
@@ -81,10 +81,10 @@
 func ExampleSender_pausesOfRoutes() {
 	for _, apart := range []bool{true, false} {
 		set := orderedSettings()
-		set.Kinds[0].Apart = apart
+		set.Kinds[0].SeparateRoutes = apart
 		host := startSender(set)
 		host.update(Entry{Endpoint: "b", Destination: 1, Rating: 10})
-		host.accept(0, 1, "p").end(Full, 900*Millisecond, "a", "p").accept(0, 1, "q")
+		host.accept(0, 1, "p").end(Rejected, 900*Millisecond, "a", "p").accept(0, 1, "q")
 		fmt.Println("apart:", apart)
 	}
 	// Output:
--- a/choice/selection.go
+++ b/choice/selection.go
@@ -155,7 +155,7 @@
 // bulkCallOpen reports whether there is a call of this turn that takes a further message.
 func (s *Sender) bulkCallOpen(ep *endpoint) bool {
 	call := ep.bulkCall
-	return call != nil && call.turn == s.turnNumber && call.messages < ep.destination.kind.BundleMax
+	return call != nil && call.turn == s.turnNumber && call.messages < ep.destination.kind.BulkMax
 }
 
 // trialDue reports whether a message may try an ejected endpoint. Non-idempotent messages do so later than others.
@@ -187,6 +187,6 @@
 	if ep == nil || !ep.listed || now < ep.route.pausedUntil {
 		return false
 	}
-	tooLate := func(id MessageID) bool { return now > s.RepeatEnd(id) }
+	tooLate := func(id MessageID) bool { return now > s.RepeatableUntil(id) }
 	return !slices.ContainsFunc(messages, tooLate)
 }
--- a/choice/sender.go
+++ b/choice/sender.go
@@ -129,7 +129,7 @@
 	fleet := set.Senders > smallFleetSize
 	s.settings = set
 	s.fleetSize = float64(set.Senders)
-	s.turnInterval = max(1, set.Turn)
+	s.turnInterval = max(1, set.TurnInterval)
 	s.maxValue = highestValue(set.Classes)
 	s.probing = set.Probing && !fleet
 	s.exchangesNotes = set.Notes && fleet
@@ -138,7 +138,7 @@
 	if fleet {
 		s.loadWindow = fleetLoadWindow
 	}
-	s.overloadWindow = seconds(max(minOverloadWindow, set.Fall))
+	s.overloadWindow = seconds(max(minOverloadWindow, set.OverloadWindow))
 	s.ratingShare = reliedOn(set.Rating) / s.fleetSize
 
 	shortest := float64(shortestContract(set.Classes))
--- a/choice/settings.go
+++ b/choice/settings.go
@@ -24,13 +24,13 @@
 	Deadline         Time    // from acceptance until the message must have its end
 	Value            float64 // what a delivery within LatencyObjective is worth
 	LateValue        float64 // share of Value left at the deadline
-	ByArrival        bool    // messages with the same order key are delivered in the order accepted
+	Ordered          bool    // messages with the same order key are delivered in the order accepted
 }
 
 // Kind holds the settings of one kind of destination.
 type Kind struct {
-	BundleMax int  // most messages of one bulk call
-	Apart     bool // each endpoint is a route of its own, with its own limits and waits
+	BulkMax        int  // most messages of one bulk call
+	SeparateRoutes bool // each endpoint is a route of its own, with its own limits and waits
 }
 
 // Rating says how far Entry.Rating can be relied on.
@@ -65,33 +65,33 @@
 	Classes        []Class   // by ClassNo
 	Kinds          []Kind    // by KindNo
 	Quotas         []float64 // by AccountNo: messages a second within the account's quota
-	OverShareValue float64   // share of its value that a message beyond its account's quota keeps
+	OverQuotaValue float64   // share of its value that a message beyond its account's quota keeps
 	Halving        bool      // value halves with each contract time past the first; otherwise it falls linearly
-	KeyRest        Time      // pause of an order key after an attempt that may still be running
+	KeyPause       Time      // pause of an order key after an attempt that may still be running
 
 	// What the host and the protocol offer.
 
-	Probing       bool // health probes may be sent
-	Notes         bool // the host can broadcast notes to the other senders
-	Cancelling    bool // the host can cancel calls; for the host
-	LongestReturn Time // longest time to come back that a shed reply may name; 0 for none
-	DialTimeout   Time // bound of connecting; for the host
-	ConnIdle      Time // the host closes connections that have been idle for this long
-	TellsFull     bool // an endpoint whose connection table is full answers so (Outcome.Closed); otherwise connecting fails
-	Turn          Time // shortest time between two turns
+	Probing              bool // health probes may be sent
+	Notes                bool // the host can broadcast notes to the other senders
+	Cancelling           bool // the host can cancel calls; for the host
+	MaxRetryAfter        Time // longest time to come back that a shed reply may name; 0 for none
+	DialTimeout          Time // bound of connecting; for the host
+	ConnIdle             Time // the host closes connections that have been idle for this long
+	AnswersWhenTableFull bool // an endpoint whose connection table is full answers so (Outcome.Closed); otherwise connecting fails
+	TurnInterval         Time // shortest time between two turns
 
 	// Capacity of endpoints, and slow start after an outage.
 
-	Rating        Rating  // how far Entry.Rating can be relied on
-	FallMultiple  float64 // load that overloads an endpoint, in multiples of its present capacity
-	Fall          Time    // window over which that load is counted
-	SlowStartFrom float64 // share of its capacity that an endpoint has at the beginning of slow start
-	SlowStart     Time    // length of slow start, over which capacity grows linearly to the whole
+	Rating           Rating  // how far Entry.Rating can be relied on
+	OverloadMultiple float64 // load that overloads an endpoint, in multiples of its present capacity
+	OverloadWindow   Time    // window over which that load is counted
+	SlowStartFrom    float64 // share of its capacity that an endpoint has at the beginning of slow start
+	SlowStart        Time    // length of slow start, over which capacity grows linearly to the whole
 
 	// Prices, in messages of mean value.
 
-	RouteFees      []float64 // by zone: what a message sent over a separate route (Kind.Apart) to it costs
-	RefusedPrice   float64   // what a rejected call costs; for the host
+	RouteFees      []float64 // by zone: what a message sent over a separate route (Kind.SeparateRoutes) to it costs
+	RejectedPrice  float64   // what a rejected call costs; for the host
 	HandshakePrice float64   // what a new connection costs; for the host
 }
 
@@ -122,9 +122,9 @@
 	return highest
 }
 
-// Fade returns the share of the class's value that is left when the answer comes the given time after acceptance.
+// ValueShare returns the share of the class's value that is left when the answer comes the given time after acceptance.
 // With halving, value halves with each contract time past the first; otherwise it falls linearly up to the deadline.
-func (c *Class) Fade(after Time, halving bool) float64 {
+func (c *Class) ValueShare(after Time, halving bool) float64 {
 	late := float64(after - c.LatencyObjective)
 	if late <= 0 {
 		return 1
--- a/choice/slowstart.go
+++ b/choice/slowstart.go
@@ -64,10 +64,10 @@
 	}
 	capacity := min(unlimitedRate, max(ep.route.limit, ep.route.rating*s.ratingShare*s.fleetSize))
 	floor := 0.0
-	if capacity*s.settings.FallMultiple == 0 {
+	if capacity*s.settings.OverloadMultiple == 0 {
 		floor = slowStartFloor / seconds(length) / sharing
 	}
-	allowed := s.settings.FallMultiple * warmth * max(minFleetRate, capacity) / sharing * s.overloadWindow
+	allowed := s.settings.OverloadMultiple * warmth * max(minFleetRate, capacity) / sharing * s.overloadWindow
 	share := s.slowStartMean(allowed) / s.overloadWindow / s.fleetSize
 	return max(floor, share)
 }
--- a/choice/slowstart_test.go
+++ b/choice/slowstart_test.go
@@ -13,7 +13,7 @@
 		set: testSettings(), senders: senders, destinations: 16, endpointsEach: 1,
 		capacity: capacity, rating: capacity, demand: 0.6, seed: 1,
 	}
-	p.set.FallMultiple, p.set.Fall, p.set.InFlightLimit = 2.5, 1500*Millisecond, 16
+	p.set.OverloadMultiple, p.set.OverloadWindow, p.set.InFlightLimit = 2.5, 1500*Millisecond, 16
 	return p
 }
 
@@ -75,22 +75,24 @@
 		}
 	}
 	odds := map[string]func(p *outagePlan){
-		"no fall span":             func(p *outagePlan) { p.set.Fall = 0 },
-		"tiny fall span":           func(p *outagePlan) { p.set.Fall = 1 },
-		"endless fall span":        func(p *outagePlan) { p.set.Fall = forever },
-		"no multiple":              func(p *outagePlan) { p.set.FallMultiple = 0 },
-		"negative multiple":        func(p *outagePlan) { p.set.FallMultiple = -1 },
-		"extreme multiple":         func(p *outagePlan) { p.set.FallMultiple = math.MaxFloat64 },
-		"no cold time":             func(p *outagePlan) { p.set.SlowStart = 0 },
-		"long cold time":           func(p *outagePlan) { p.set.SlowStart = 100 * Second },
-		"nothing when cold":        func(p *outagePlan) { p.set.SlowStartFrom = 0 },
-		"all when cold":            func(p *outagePlan) { p.set.SlowStartFrom = 1 },
-		"none of the four":         func(p *outagePlan) { p.set.Fall, p.set.FallMultiple, p.set.SlowStart, p.set.SlowStartFrom = 0, 0, 0, 0 },
+		"no fall span":      func(p *outagePlan) { p.set.OverloadWindow = 0 },
+		"tiny fall span":    func(p *outagePlan) { p.set.OverloadWindow = 1 },
+		"endless fall span": func(p *outagePlan) { p.set.OverloadWindow = forever },
+		"no multiple":       func(p *outagePlan) { p.set.OverloadMultiple = 0 },
+		"negative multiple": func(p *outagePlan) { p.set.OverloadMultiple = -1 },
+		"extreme multiple":  func(p *outagePlan) { p.set.OverloadMultiple = math.MaxFloat64 },
+		"no cold time":      func(p *outagePlan) { p.set.SlowStart = 0 },
+		"long cold time":    func(p *outagePlan) { p.set.SlowStart = 100 * Second },
+		"nothing when cold": func(p *outagePlan) { p.set.SlowStartFrom = 0 },
+		"all when cold":     func(p *outagePlan) { p.set.SlowStartFrom = 1 },
+		"none of the four": func(p *outagePlan) {
+			p.set.OverloadWindow, p.set.OverloadMultiple, p.set.SlowStart, p.set.SlowStartFrom = 0, 0, 0, 0
+		},
 		"no rating":                func(p *outagePlan) { p.set.Rating = RatingNone },
 		"a rating of zero":         func(p *outagePlan) { p.rating = 0 },
 		"a rating below one call":  func(p *outagePlan) { p.rating, p.capacity = 0.1, 0.1; p.demand = 30 },
 		"extreme rating":           func(p *outagePlan) { p.rating = math.MaxFloat64 },
-		"extreme, nothing if cold": func(p *outagePlan) { p.rating, p.set.FallMultiple, p.set.SlowStartFrom = math.MaxFloat64, 1e300, 0 },
+		"extreme, nothing if cold": func(p *outagePlan) { p.rating, p.set.OverloadMultiple, p.set.SlowStartFrom = math.MaxFloat64, 1e300, 0 },
 		"one class":                func(p *outagePlan) { classes(p, 1, Idempotent) },
 		"twenty classes":           func(p *outagePlan) { classes(p, 20, Keyed) },
 		"single-use alone":         func(p *outagePlan) { classes(p, 3, NonIdempotent) },
@@ -170,7 +172,7 @@
 			host.sender.readmit(ep, host.clock)
 			ep.slowStart.tokens = 1 // it had nothing to send for long
 		}
-		host.accept(0, 1, "first").end(Full, 4*Second, "a", "first").accept(0, 1, "p", "q", "r").advance(5 * Second)
+		host.accept(0, 1, "first").end(Rejected, 4*Second, "a", "first").accept(0, 1, "p", "q", "r").advance(5 * Second)
 		for id, ep := range host.sender.endpoints {
 			at[id] += ep.inFlight
 		}
--- a/choice/value.go
+++ b/choice/value.go
@@ -11,7 +11,7 @@
 func (s *Sender) fullValue(msg *message) float64 {
 	value := s.class(msg).Value
 	if msg.overQuota {
-		return value * s.settings.OverShareValue
+		return value * s.settings.OverQuotaValue
 	}
 	return value
 }
@@ -19,7 +19,7 @@
 // valueAfter is the value of a message that is answered the given time from now.
 func (s *Sender) valueAfter(msg *message, in Time) float64 {
 	age := s.now + in - msg.acceptedAt
-	return s.fullValue(msg) * s.class(msg).Fade(age, s.settings.Halving)
+	return s.fullValue(msg) * s.class(msg).ValueShare(age, s.settings.Halving)
 }
 
 // attempted reports whether the message was sent, in this incarnation of the sender or an earlier one.
--- a/choice/withdrawn_test.go
+++ b/choice/withdrawn_test.go
@@ -24,7 +24,7 @@
 		drop(host, "p")
 	})
 	play("in a lane", testSettings(), func(host *fakeHost) {
-		host.accept(0, 1, "p", "q").end(Full, 500*Millisecond, "a", "p", "q").advance(300 * Millisecond)
+		host.accept(0, 1, "p", "q").end(Rejected, 500*Millisecond, "a", "p", "q").advance(300 * Millisecond)
 		fmt.Println("there:", host.destination(1).queues[1].Len())
 		drop(drop(host, "p"), "q")
 	})
@@ -41,7 +41,7 @@
 		host.acceptKeyed("head", 3, 7, 2).sender.TurnEnd()
 		drop(host.acceptKeyed("next", 3, 7, 2).end(Reset, 0, "c", "head"), "head").advance(400*Millisecond).end(Done, 0, "c", "next")
 	})
-	for _, end := range []Result{Done, Full, Errored, TimedOut, Moot} {
+	for _, end := range []Result{Done, Rejected, Errored, TimedOut, NotRun} {
 		play(fmt.Sprint("out, in a call with another, ended ", end), testSettings(), func(host *fakeHost) {
 			drop(host.accept(0, 2, "p", "q"), "p").end(end, 0, "c", "p")
 			fmt.Println("calls out:", len(host.sender.calls))
--- a/cmd/flaxcove/routes_expect.go
+++ b/cmd/flaxcove/routes_expect.go
@@ -26,7 +26,7 @@
 	if err != nil {
 		return err
 	}
-	failures := routes.Test(routes.Compile(r.Rules), r.Overrides, r.List, r.Expects)
+	failures := routes.CheckExpectations(routes.Compile(r.Rules), r.Overrides, r.List, r.Expects)
 	if c.Bool("json") {
 		if err := printFailuresAsJSON(failures); err != nil {
 			return err
--- a/cmd/flaxcove/routes_explain.go
+++ b/cmd/flaxcove/routes_explain.go
@@ -31,12 +31,12 @@
 	}
 	message := &routes.Message{Destination: choice.DestinationID(c.Int64("dest")), Class: c.String("workload"), Tenant: c.String("tenant"), Key: c.String("key")}
 	resolved := routes.Resolve(routes.Compile(r.Rules), r.Overrides, message, r.List)
-	nowhere := whenNowhere[resolved.Nowhere]
+	nowhere := whenNowhere[resolved.NoEndpoint]
 	if c.Bool("json") {
-		return printJSON(map[string]any{"route": resolved.Rule, "open_sets": resolved.Sets, "pin": resolved.Pin, "allowed": resolved.Allowed,
+		return printJSON(map[string]any{"route": resolved.Rule, "open_sets": resolved.Sets, "pin": resolved.StickyBy, "allowed": resolved.Allowed,
 			"nowhere": nowhere})
 	}
-	fmt.Printf("route: %q, open sets: %d, pinned by: %q\n", resolved.Rule, resolved.Sets, resolved.Pin)
+	fmt.Printf("route: %q, open sets: %d, pinned by: %q\n", resolved.Rule, resolved.Sets, resolved.StickyBy)
 	total := 0.0
 	for _, a := range resolved.Allowed {
 		total += a.Weight
--- a/cmd/flaxcove/serve.go
+++ b/cmd/flaxcove/serve.go
@@ -56,7 +56,7 @@
 	defer log.Sync()
 	notes := c.Bool("notes")
 	if notes {
-		if err := cfg.TurnOnNotes(); err != nil {
+		if err := cfg.EnableGossip(); err != nil {
 			log.Warn("notes stay off", zap.Error(err))
 		}
 	}
@@ -148,7 +148,7 @@
 	for range hangups {
 		fresh, err := config.Reload(os.Getenv)
 		if notes && err == nil {
-			_ = fresh.TurnOnNotes() // why not was logged at the start
+			_ = fresh.EnableGossip() // why not was logged at the start
 		}
 		s.Reload(fresh, err)
 	}
--- a/cmd/flaxcove/serve_cluster.go
+++ b/cmd/flaxcove/serve_cluster.go
@@ -23,10 +23,10 @@
 // version of them. What cannot be read or run with ends the start, named by its file, as a wrong configuration file does:
 // the file's own settings are older, and no process runs an older version after a newer one.
 func withCachedSettings(cfg *config.Config, clusterSettings *settings.Settings) (*config.Config, error) {
-	if !clusterSettings.Uses.Configuration {
+	if !clusterSettings.Features.Configuration {
 		return cfg, nil
 	}
-	folder := clusterSettings.Here.Folder
+	folder := clusterSettings.Self.Folder
 	cached, err := configuration.LoadCached(folder)
 	switch {
 	case err != nil:
@@ -64,13 +64,13 @@
 // (sender.Orders) may be given from then on. What it returns is called once Run has returned.
 func startCluster(clusterSettings *settings.Settings, cfg *config.Config, s *sender.Sender, log *zap.Logger) (leave func(), err error) {
 	node, err := cluster.Start(cluster.Options{Settings: clusterSettings, Log: log.Named("cluster"), Orders: s.Orders(), Zones: cfg.Zones,
-		Longest: duration(longestDeadline(cfg.Settings.Classes)), SlowStart: duration(cfg.Settings.SlowStart), SlowStartFrom: cfg.Settings.SlowStartFrom,
-		FallMultiple: cfg.Settings.FallMultiple, RatingIsRate: cfg.Settings.Rating != choice.RatingNone,
+		LongestDeadline: duration(longestDeadline(cfg.Settings.Classes)), SlowStart: duration(cfg.Settings.SlowStart), SlowStartFrom: cfg.Settings.SlowStartFrom,
+		FallMultiple: cfg.Settings.OverloadMultiple, RatingIsRate: cfg.Settings.Rating != choice.RatingNone,
 		CheckSettings: settingsCheck(cfg), OwnSettings: cfg.OwnSettings(), Running: runningConfiguration(cfg)})
 	if err != nil {
 		return nil, err
 	}
-	s.Join(node, sender.Joining{Gate: node.Gate()})
+	s.Join(node, sender.Joining{Gate: node.CaughtUp()})
 	return func() {
 		if err := node.Close(); err != nil {
 			log.Warn("cluster shutdown failed", zap.Error(err))
--- a/cmd/flaxcove/serve_cluster_test.go
+++ b/cmd/flaxcove/serve_cluster_test.go
@@ -141,7 +141,7 @@
 			return "torn or damaged"
 		},
 		func() string {
-			if err := configuration.Keep(a.folder(), together.Configuration{Version: 9, Settings: json.RawMessage(`{"classes":[]}`)}); err != nil {
+			if err := configuration.Store(a.folder(), together.Configuration{Version: 9, Settings: json.RawMessage(`{"classes":[]}`)}); err != nil {
 				t.Fatal(err)
 			}
 			return "version 9: field settings: classes: missing"
--- a/internal/cluster/antientropy.go
+++ b/internal/cluster/antientropy.go
@@ -36,15 +36,15 @@
 // antiEntropy is the state between queries: since when members are gone, and the view's checksum at the last query. It
 // belongs to maintain's goroutine, and holds no more than the view does.
 type antiEntropy struct {
-	goneSince    map[view.Name]view.Now
+	goneSince    map[view.Name]view.Uptime
 	lastChecksum uint64
 	backoff      time.Duration // from the last exchange over a checksum to the next
-	nextExchange view.Now
+	nextExchange view.Uptime
 }
 
 // shouldExchange reports whether to run an exchange with a peer of this checksum, 0 if it has none. Checksums that differ
 // while this process's own one changes are updates that gossip is still delivering.
-func (a *antiEntropy) shouldExchange(now view.Now, own, peer uint64) bool {
+func (a *antiEntropy) shouldExchange(now view.Uptime, own, peer uint64) bool {
 	settled := own == a.lastChecksum
 	a.lastChecksum = own
 	if peer == own {
@@ -59,9 +59,9 @@
 }
 
 // trackGone follows a view, and returns members that have been gone for goneAfter, maxQueryNames at most.
-func (a *antiEntropy) trackGone(now view.Now, v *view.View) (ask []view.Name) {
+func (a *antiEntropy) trackGone(now view.Uptime, v *view.View) (ask []view.Name) {
 	previous := a.goneSince
-	a.goneSince = map[view.Name]view.Now{}
+	a.goneSince = map[view.Name]view.Uptime{}
 	for _, m := range v.Members {
 		if m.State != view.Suspected && m.State != view.Dead {
 			continue
@@ -81,7 +81,7 @@
 // membershipChecksum is a checksum over the present members' names and incarnations, whatever their order; never 0.
 func membershipChecksum(v *view.View) (sum uint64) {
 	for _, m := range v.Members {
-		if m.Here() {
+		if m.Present() {
 			sum += xxhash.Sum64String(fmt.Sprintf("%s %d", m.Name, m.Incarnation))
 		}
 	}
--- a/internal/cluster/antientropy_test.go
+++ b/internal/cluster/antientropy_test.go
@@ -15,7 +15,7 @@
 // TestTrackGone: peers are asked about members that have been gone for a while, not at once and not about those that left.
 func TestTrackGone(t *testing.T) {
 	var state antiEntropy
-	gone := view.Make("a", 1, []view.Member{memberInState("a", view.Alive), memberInState("b", view.Dead), memberInState("c", view.Left),
+	gone := view.New("a", 1, []view.Member{memberInState("a", view.Alive), memberInState("b", view.Dead), memberInState("c", view.Left),
 		memberInState("d", view.Suspected), memberInState("e", view.Alive)})
 	if ask := state.trackGone(time.Second, gone); len(ask) > 0 {
 		t.Errorf("at once: %v", ask)
@@ -23,7 +23,7 @@
 	if ask := state.trackGone(time.Second+goneAfter, gone); !slices.Equal(ask, []view.Name{"b", "d"}) {
 		t.Errorf("after a while: %v", ask)
 	}
-	back := view.Make("a", 2, []view.Member{memberInState("a", view.Alive), memberInState("b", view.Alive), memberInState("d", view.Dead)})
+	back := view.New("a", 2, []view.Member{memberInState("a", view.Alive), memberInState("b", view.Alive), memberInState("d", view.Dead)})
 	if ask := state.trackGone(2*time.Second+goneAfter, back); !slices.Equal(ask, []view.Name{"d"}) {
 		t.Errorf("one has returned: %v", ask)
 	}
@@ -71,7 +71,7 @@
 
 // TestMembershipChecksum: it covers the present members and their incarnations; a suspected member is present.
 func TestMembershipChecksum(t *testing.T) {
-	sum := func(members ...view.Member) uint64 { return membershipChecksum(view.Make("a", 1, members)) }
+	sum := func(members ...view.Member) uint64 { return membershipChecksum(view.New("a", 1, members)) }
 	a, b, c := memberInState("a", view.Alive), memberInState("b", view.Alive), memberInState("c", view.Dead)
 	suspected, later := b, b
 	suspected.State, later.Incarnation = view.Suspected, 2
--- a/internal/cluster/capacity_test.go
+++ b/internal/cluster/capacity_test.go
@@ -66,9 +66,9 @@
 			rows, bytes, messages = 0, 0, 0
 			chance := rand.New(rand.NewPCG(1, 2))
 			feed := &digestFeed{
-				zoneNumbers: map[view.Zone]choice.ZoneNo{}, listedAt: map[healthreport.Locality]view.Now{},
+				zoneNumbers: map[view.Zone]choice.ZoneNo{}, listedAt: map[healthreport.Locality]view.Uptime{},
 				reported: map[healthreport.Locality]lastReport{},
-				window:   digest.Make("sender-0123", "zone-3", sampleSpan, 40_000, 0),
+				window:   digest.NewWindow("sender-0123", "zone-3", sampleSpan, 40_000, 0),
 			}
 			for now, no := capacityEach, 0; now <= capacitySpan; now, no = now+capacityEach, no+1 {
 				d := capacityDigest(chance, n, no)
--- a/internal/cluster/configuration/cached.go
+++ b/internal/cluster/configuration/cached.go
@@ -108,8 +108,8 @@
 	return together.Configuration{Version: cached.Version, Settings: cached.Settings}, nil
 }
 
-// Keep replaces the stored version, and returns once it is on disk. Settings must be in canonical form.
-func Keep(folder string, c together.Configuration) error {
+// Store replaces the stored version, and returns once it is on disk. Settings must be in canonical form.
+func Store(folder string, c together.Configuration) error {
 	var out bytes.Buffer
 	encoder := json.NewEncoder(&out)
 	encoder.SetEscapeHTML(false) // as the sum is over the bytes
--- a/internal/cluster/configuration/cached_test.go
+++ b/internal/cluster/configuration/cached_test.go
@@ -21,7 +21,7 @@
 			t.Fatal(err)
 		}
 		want := together.Configuration{Version: version + 1, Settings: settings}
-		if err := Keep(folder, want); err != nil {
+		if err := Store(folder, want); err != nil {
 			t.Fatal(err)
 		}
 		got, err := LoadCached(folder)
@@ -35,7 +35,7 @@
 func TestDamagedCacheIsRejected(t *testing.T) {
 	folder := t.TempDir()
 	path := filepath.Join(folder, cachedFile)
-	if err := Keep(folder, together.Configuration{Version: 7, Settings: json.RawMessage(`{"pace":41}`)}); err != nil {
+	if err := Store(folder, together.Configuration{Version: 7, Settings: json.RawMessage(`{"pace":41}`)}); err != nil {
 		t.Fatal(err)
 	}
 	whole, err := os.ReadFile(path)
--- a/internal/cluster/configuration/run/announce.go
+++ b/internal/cluster/configuration/run/announce.go
@@ -33,7 +33,7 @@
 }
 
 // announceToLaggards starts the announcements that are due. The lock is held.
-func (r *Runner) announceToLaggards(now view.Now) {
+func (r *Runner) announceToLaggards(now view.Uptime) {
 	work := &r.leaderWork
 	if now < work.nextAnnounceAt || work.state.Newest().Version == 0 {
 		return
--- a/internal/cluster/configuration/run/apply.go
+++ b/internal/cluster/configuration/run/apply.go
@@ -50,7 +50,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if err != nil {
-		r.figures.Refused++
+		r.figures.Rejected++
 		r.options.Log.Warn("configuration: version rejected here; the previous one stays in force", zap.Uint64("version", d.Version),
 			zap.Uint64("in force", r.running.Version), zap.Error(err))
 	} else {
@@ -69,14 +69,14 @@
 	r.mu.Unlock()
 	inForce := before.Settings
 	if before.Version == 0 {
-		inForce = r.options.Own
+		inForce = r.options.OwnSettings
 	}
 	if err := r.options.Check(inForce, d.Settings); err != nil {
 		return err
 	}
 	// Stored first: a process that ends right after the sender has put it in force must not restart with an older one.
 	c := together.Configuration{Version: d.Version, Settings: d.Settings}
-	if err := configuration.Keep(r.options.Folder, c); err != nil {
+	if err := configuration.Store(r.options.Folder, c); err != nil {
 		return fmt.Errorf("not kept: %w", err)
 	}
 	r.pendingHandover = &handover{document: d, before: before, answer: make(chan error, 1)}
@@ -103,7 +103,7 @@
 func (r *Runner) restoreCached(before together.Configuration) {
 	var err error
 	if before.Version > 0 {
-		err = configuration.Keep(r.options.Folder, before)
+		err = configuration.Store(r.options.Folder, before)
 	} else {
 		err = os.Remove(configuration.Path(r.options.Folder))
 	}
--- a/internal/cluster/configuration/run/decide.go
+++ b/internal/cluster/configuration/run/decide.go
@@ -94,7 +94,7 @@
 
 // readDecisionInput reads what a decision on a request depends on.
 func (r *Runner) readDecisionInput(request ledger.Request, fingerprint configuration.Sum) (input decisionInput) {
-	own, err := configuration.NewDocument(0, r.options.Own)
+	own, err := configuration.NewDocument(0, r.options.OwnSettings)
 	if err != nil {
 		own = configuration.Document{}
 	}
--- a/internal/cluster/configuration/run/faults_test.go
+++ b/internal/cluster/configuration/run/faults_test.go
@@ -90,13 +90,13 @@
 		t.Fatalf("%+v", s)
 	}
 	for _, l := range s.Laggards {
-		if l.Reason != spread.Refused || !strings.Contains(l.Text, "shiny") || l.Version != 1 {
+		if l.Reason != spread.Rejected || !strings.Contains(l.Text, "shiny") || l.Version != 1 {
 			t.Errorf("%+v", l)
 		}
 	}
 	f.restart(6)
 	f.waitReady(f.runners[6])
-	if status := f.runners[6].Status(); status.Version != 1 || status.Refused != 2 {
+	if status := f.runners[6].Status(); status.Version != 1 || status.Rejected != 2 {
 		t.Errorf("%+v", status)
 	}
 	f.mustChange("c", 2, `{"shiny":null}`)
--- a/internal/cluster/configuration/run/fetch.go
+++ b/internal/cluster/configuration/run/fetch.go
@@ -12,7 +12,7 @@
 )
 
 // fetch asks for a newer version where one is expected, once each fetchInterval. The lock is held.
-func (r *Runner) fetch(now view.Now) {
+func (r *Runner) fetch(now view.Uptime) {
 	if r.fetchInFlight || now < r.nextFetchAt {
 		return
 	}
--- a/internal/cluster/configuration/run/fleet_test.go
+++ b/internal/cluster/configuration/run/fleet_test.go
@@ -115,7 +115,7 @@
 	s.applied = append(s.applied, running.Version)
 	s.mu.Unlock()
 	r, err := Start(Options{Self: m, Link: l, Consensus: f.net.Consensus(m.Name), Ledger: f.ledger, Orders: s, Folder: s.folder, Running: running,
-		Own: json.RawMessage(ownSettings), Check: s.check, CatchUp: testTimeout, AnswerWithin: f.answerWithin})
+		OwnSettings: json.RawMessage(ownSettings), Check: s.check, CatchUp: testTimeout, AnswerWithin: f.answerWithin})
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -141,10 +141,10 @@
 }
 
 func (f *fleet) publishView() {
-	here := slices.DeleteFunc(slices.Clone(f.members), func(m view.Member) bool { return !m.Here() })
+	here := slices.DeleteFunc(slices.Clone(f.members), func(m view.Member) bool { return !m.Present() })
 	for _, r := range f.runners {
 		if r != nil {
-			r.SetView(view.Make(r.options.Self.Name, 1, f.members), orderingtest.Tree(here))
+			r.SetView(view.New(r.options.Self.Name, 1, f.members), orderingtest.Tree(here))
 		}
 	}
 }
@@ -192,7 +192,7 @@
 	}
 }
 
-func (f *fleet) mustStatus() (s Shown) {
+func (f *fleet) mustStatus() (s ConfigurationStatus) {
 	f.t.Helper()
 	if code := f.request("p01", "GET", "/v1/configuration", "", &s); code != 200 {
 		f.t.Fatalf("%d %+v", code, s)
--- a/internal/cluster/configuration/run/leader.go
+++ b/internal/cluster/configuration/run/leader.go
@@ -28,7 +28,7 @@
 	roster         spread.Roster
 	progress       spread.Progress
 	adoptInFlight  bool
-	nextAnnounceAt view.Now
+	nextAnnounceAt view.Uptime
 }
 
 // ledgerUpdate is what was read from the ledger at once.
@@ -61,7 +61,7 @@
 }
 
 // leaderStep is the leader's part of a step. The lock is held; what may block runs in goroutines.
-func (r *Runner) leaderStep(update ledgerUpdate, now view.Now) {
+func (r *Runner) leaderStep(update ledgerUpdate, now view.Uptime) {
 	work := &r.leaderWork
 	if !update.leading {
 		work.stopLeading()
@@ -106,7 +106,7 @@
 }
 
 // recordSummary takes in where the newest version is in force, if that has changed.
-func (w *leaderWork) recordSummary(now view.Now) {
+func (w *leaderWork) recordSummary(now view.Uptime) {
 	if !w.reportChanged {
 		return
 	}
--- a/internal/cluster/configuration/run/messages.go
+++ b/internal/cluster/configuration/run/messages.go
@@ -36,7 +36,7 @@
 }
 
 // sendUpdates starts the updates that are due. The lock is held.
-func (r *Runner) sendUpdates(state *spread.State, now view.Now) {
+func (r *Runner) sendUpdates(state *spread.State, now view.Uptime) {
 	for _, to := range state.DueUpdates(now) {
 		r.figures.UpdatesSent++
 		r.countContent(to.Update.Content)
--- a/internal/cluster/configuration/run/options.go
+++ b/internal/cluster/configuration/run/options.go
@@ -25,20 +25,20 @@
 
 // Options is what a Runner is given; Running, Own, Check, CatchUp, AnswerWithin, Now and Log may be omitted.
 type Options struct {
-	Self      view.Member // a view may tell a higher incarnation later
-	Link      ordering.Link
-	Consensus ordering.Consensus // nil for a process outside the consensus group
-	Ledger    *ledger.Ledger     // the part of that name in the consensus group; nil without one
-	Orders    Orders
-	Folder    string                 // of the cluster; see configuration.LoadCached
-	Running   together.Configuration // what the sender was started with; version 0 for its own file
-	Own       json.RawMessage        // the settings of the sender's own file
+	Self        view.Member // a view may tell a higher incarnation later
+	Link        ordering.Link
+	Consensus   ordering.Consensus // nil for a process outside the consensus group
+	Ledger      *ledger.Ledger     // the part of that name in the consensus group; nil without one
+	Orders      Orders
+	Folder      string                 // of the cluster; see configuration.LoadCached
+	Running     together.Configuration // what the sender was started with; version 0 for its own file
+	OwnSettings json.RawMessage        // the settings of the sender's own file
 	// Check returns what is wrong with settings for a sender that runs inForce (nil: its own file). It is pure.
 	Check   func(inForce, proposed json.RawMessage) error
 	CatchUp time.Duration // how long a start waits for the newest version, at most
 	// AnswerWithin is how long the sender may take to put a version in force before it is shown as silent.
 	AnswerWithin time.Duration
-	Now          func() view.Now
+	Now          func() view.Uptime
 	Log          *zap.Logger
 }
 
@@ -78,7 +78,7 @@
 	FetchesReceived   uint64 `json:"FetchIn"`
 	CallsFailed       uint64 `json:"Failed"`
 	Applied           uint64 `json:"Applied"` // versions put in force here
-	Refused           uint64 `json:"Refused"` // versions rejected here
+	Rejected          uint64 `json:"Refused"` // versions rejected here
 }
 
 // Status is the state of this process, for GET /v1/cluster.
@@ -86,7 +86,7 @@
 	Version     uint64            `json:"version"` // in force here; 0 for its own file
 	Sum         configuration.Sum `json:"sum,omitempty"`
 	NewestHeard uint64            `json:"held"`              // the newest that it knows
-	Refused     uint64            `json:"refused,omitempty"` // the version rejected here; Why tells the reason
+	Rejected    uint64            `json:"refused,omitempty"` // the version rejected here; Why tells the reason
 	Why         string            `json:"why,omitempty"`
 	CaughtUp    bool              `json:"caught_up"` // it has had the newest version since its start
 	Figures     Figures           `json:"figures"`
--- a/internal/cluster/configuration/run/run.go
+++ b/internal/cluster/configuration/run/run.go
@@ -63,7 +63,7 @@
 	lastLeader    view.Life              // the process that last called this one as the leader
 	running       together.Configuration // what the sender runs
 	fetchInFlight bool
-	nextFetchAt   view.Now
+	nextFetchAt   view.Uptime
 	announcedBy   view.Name // a leader that has announced a newer version, to be fetched from it
 	fetchTurn     int       // counts fetches from other candidates, which are asked in turn
 	caughtUp      bool      // this process has had the newest version since its start
@@ -147,7 +147,7 @@
 	if s.Version > 0 {
 		s.Sum = configuration.SumOf(r.running.Settings)
 	}
-	s.Refused, s.Why = r.state.Rejection()
+	s.Rejected, s.Why = r.state.Rejection()
 	return s
 }
 
@@ -213,7 +213,7 @@
 
 // updateTreePosition sets the parent and the children of the state. The parent of the root is the leader of the consensus
 // group. The lock is held.
-func (r *Runner) updateTreePosition(leader view.Name, known bool, now view.Now) {
+func (r *Runner) updateTreePosition(leader view.Name, known bool, now view.Uptime) {
 	if r.view == nil || r.tree == nil {
 		return
 	}
--- a/internal/cluster/configuration/run/run_test.go
+++ b/internal/cluster/configuration/run/run_test.go
@@ -53,7 +53,7 @@
 }
 
 // running reports whether exactly so many run the newest version.
-func running(s Shown, version uint64, members int) bool {
+func running(s ConfigurationStatus, version uint64, members int) bool {
 	return len(s.InForce) > 0 && s.InForce[0] == spread.Count{Version: version, Members: members}
 }
 
--- a/internal/cluster/configuration/run/silent_test.go
+++ b/internal/cluster/configuration/run/silent_test.go
@@ -47,7 +47,7 @@
 	f.waitFor("p03 is told as silent", func() bool {
 		s := f.mustStatus()
 		return len(s.Laggards) == 1 && s.Laggards[0].Name == "p03" && s.Laggards[0].Version == 1 &&
-			s.Laggards[0].Reason == spread.Refused && strings.Contains(s.Laggards[0].Text, "has not answered")
+			s.Laggards[0].Reason == spread.Rejected && strings.Contains(s.Laggards[0].Text, "has not answered")
 	})
 	return f, halted, goOn
 }
--- a/internal/cluster/configuration/run/status.go
+++ b/internal/cluster/configuration/run/status.go
@@ -24,8 +24,8 @@
 	InForceExceptRejected State = "in force but where refused"
 )
 
-// Shown is the answer to GET /v1/configuration: the status of the newest version. Durations are in milliseconds.
-type Shown struct {
+// ConfigurationStatus is the answer to GET /v1/configuration: the status of the newest version. Durations are in milliseconds.
+type ConfigurationStatus struct {
 	Version  uint64            `json:"version"` // 0: each runs its own file
 	Sum      configuration.Sum `json:"sum,omitempty"`
 	State    State             `json:"state"`
@@ -62,7 +62,7 @@
 }
 
 // queryStatus asks the leader for the status.
-func (r *Runner) queryStatus(ctx context.Context, version *uint64) (s Shown, err error) {
+func (r *Runner) queryStatus(ctx context.Context, version *uint64) (s ConfigurationStatus, err error) {
 	here := func() (err error) {
 		s, err = r.leaderStatus(version)
 		return err
@@ -85,7 +85,7 @@
 }
 
 // leaderStatus is the status, on the leader.
-func (r *Runner) leaderStatus(version *uint64) (s Shown, err error) {
+func (r *Runner) leaderStatus(version *uint64) (s ConfigurationStatus, err error) {
 	if !r.options.Consensus.Leading() {
 		return s, errNotLeading
 	}
@@ -100,7 +100,7 @@
 		}
 	})
 	if version != nil && *version == 0 && s.Settings == nil {
-		s.Settings = r.options.Own
+		s.Settings = r.options.OwnSettings
 	}
 	s.Version, s.Sum, s.ID, s.Base, s.Restored = entry.Version, entry.Sum, entry.ID, entry.Base, entry.Restored
 	s.Who, s.Why, s.Bytes, s.ReportedBy = entry.Who, entry.Why, entry.Bytes, r.options.Self.Name
@@ -117,7 +117,7 @@
 }
 
 // addSpread adds where the newest version is in force. The lock is held.
-func (r *Runner) addSpread(s *Shown) {
+func (r *Runner) addSpread(s *ConfigurationStatus) {
 	now, work := r.options.Now(), &r.leaderWork
 	sum := work.state.Summary(now)
 	s.Members, s.HeardOf = work.roster.PresentCount(), sum.Members-sum.Unknown
--- a/internal/cluster/configuration/spread/children.go
+++ b/internal/cluster/configuration/spread/children.go
@@ -11,14 +11,14 @@
 // child is what is known of one child.
 type child struct {
 	life       view.Life
-	reported   bool     // it has reported
-	report     Report   // the newest
-	reportedAt view.Now // when that arrived
+	reported   bool        // it has reported
+	report     Report      // the newest
+	reportedAt view.Uptime // when that arrived
 
 	inFlight     bool
 	failures     int
-	failingSince view.Now // since when calls fail
-	retryAt      view.Now
+	failingSince view.Uptime // since when calls fail
+	retryAt      view.Uptime
 }
 
 // settled reports whether a child and all below it have put a version in force, or rejected it.
@@ -33,7 +33,7 @@
 }
 
 // DueUpdates are the updates that are due. Each must be followed by HandleAnswer or UpdateFailed.
-func (s *State) DueUpdates(now view.Now) (all []Outgoing) {
+func (s *State) DueUpdates(now view.Uptime) (all []Outgoing) {
 	for _, name := range s.childNames {
 		c := s.children[name]
 		if c.inFlight || now < c.retryAt || !c.needsUpdate(s.newest.Version) {
@@ -52,7 +52,7 @@
 
 // HandleAnswer takes in the answer to an update. An update for an earlier incarnation may have been answered by the
 // current one, which then counts its answer as reported: it must not be lost.
-func (s *State) HandleAnswer(life view.Life, r Report, now view.Now) {
+func (s *State) HandleAnswer(life view.Life, r Report, now view.Uptime) {
 	c := s.children[life.Name]
 	if c == nil || c.life != life {
 		s.HandleReport(r, now)
@@ -71,7 +71,7 @@
 }
 
 // UpdateFailed records that an update, or its answer, was lost.
-func (s *State) UpdateFailed(life view.Life, now view.Now) {
+func (s *State) UpdateFailed(life view.Life, now view.Uptime) {
 	c := s.children[life.Name]
 	if c == nil || c.life != life {
 		return
@@ -89,7 +89,7 @@
 func backoff(fails int) time.Duration { return min(minBackoff<<min(fails, 8), maxBackoff) }
 
 // HandleReport takes in a child's report of itself and all below it.
-func (s *State) HandleReport(r Report, now view.Now) ReportAnswer {
+func (s *State) HandleReport(r Report, now view.Uptime) ReportAnswer {
 	answer := ReportAnswer{Held: s.digest(), Content: s.contentSince(r.Held, r.NeedsFull)}
 	c := s.children[r.From.Name]
 	if c == nil || r.From.Incarnation < c.life.Incarnation {
@@ -127,7 +127,7 @@
 func (s *State) NewFetch() FetchRequest { return FetchRequest{s.digest(), s.needsFull} }
 
 // HandleFetchAnswer takes in the answer to a FetchRequest.
-func (s *State) HandleFetchAnswer(a ReportAnswer, now view.Now) {
+func (s *State) HandleFetchAnswer(a ReportAnswer, now view.Uptime) {
 	s.takeContent(a.Held, a.Content, now)
 }
 
--- a/internal/cluster/configuration/spread/messages.go
+++ b/internal/cluster/configuration/spread/messages.go
@@ -62,7 +62,7 @@
 // Reasons.
 const (
 	Behind      Reason = "behind"      // the process knows of the version, but it is not in force there yet
-	Refused     Reason = "refused"     // its own check, or its sender, rejects it
+	Rejected    Reason = "refused"     // its own check, or its sender, rejects it
 	Unreachable Reason = "unreachable" // its parent gets no answer from it
 	Forked      Reason = "forked"      // it has other content under this version number
 	Absent      Reason = "away"        // it is not in the view
--- a/internal/cluster/configuration/spread/network_test.go
+++ b/internal/cluster/configuration/spread/network_test.go
@@ -10,7 +10,7 @@
 )
 
 type event struct {
-	at view.Now
+	at view.Uptime
 	do func()
 }
 
--- a/internal/cluster/configuration/spread/report.go
+++ b/internal/cluster/configuration/spread/report.go
@@ -18,11 +18,11 @@
 	reportNo       uint64
 	reported       bool // the parent has lastReport
 	lastReport     Report
-	sentAt         view.Now
+	sentAt         view.Uptime
 	changed        bool // since lastReport
 	inFlight       bool
 	failures       int
-	retryAt        view.Now
+	retryAt        view.Uptime
 	pendingAnswers int // answers to updates that wait for the processes below
 	// answeredNo is the newest update that was answered. An answer counts as reported, so each update is answered only
 	// once: of two answers the parent might receive either.
@@ -33,13 +33,13 @@
 func (s *State) markChanged() { s.uplink.changed = true }
 
 // HandleUpdate takes in an update of a parent, with its content.
-func (s *State) HandleUpdate(d Update, now view.Now) { s.takeContent(d.Held, d.Content, now) }
+func (s *State) HandleUpdate(d Update, now view.Uptime) { s.takeContent(d.Held, d.Content, now) }
 
 // BeginAnswer records that an answer to an update waits until Settled, for MaxAnswerDelay at most; Answer ends that.
 func (s *State) BeginAnswer() { s.uplink.pendingAnswers++ }
 
 // Answer is the answer to an update; false for one that was answered before.
-func (s *State) Answer(to Update, now view.Now) (Report, bool) {
+func (s *State) Answer(to Update, now view.Uptime) (Report, bool) {
 	u := &s.uplink
 	u.pendingAnswers = max(u.pendingAnswers-1, 0)
 	if to.From != s.parent.Life || to.FromLeader != s.parent.IsLeader {
@@ -55,7 +55,7 @@
 }
 
 // DueReport is the report that is due, if one is. It must be followed by ReportAnswered or ReportFailed.
-func (s *State) DueReport(now view.Now) (Report, bool) {
+func (s *State) DueReport(now view.Uptime) (Report, bool) {
 	u := &s.uplink
 	if s.parent.Name == "" || u.inFlight || u.pendingAnswers > 0 || now < u.retryAt {
 		return Report{}, false
@@ -74,7 +74,7 @@
 }
 
 // markOwnLag makes a report due once the newest version has not been in force here for a while.
-func (s *State) markOwnLag(now view.Now) {
+func (s *State) markOwnLag(now view.Uptime) {
 	if lag, lagging := s.ownLag(now); lagging && lag.Reason == Behind && !s.lagReported {
 		s.lagReported = true
 		s.markChanged()
@@ -87,7 +87,7 @@
 }
 
 // reportDueAt is when the next report is due.
-func (s *State) reportDueAt() view.Now {
+func (s *State) reportDueAt() view.Uptime {
 	switch {
 	case !s.uplink.reported:
 		return 0
@@ -105,7 +105,7 @@
 }
 
 // ReportAnswered takes in a parent's answer to a report.
-func (s *State) ReportAnswered(to Parent, a ReportAnswer, now view.Now) {
+func (s *State) ReportAnswered(to Parent, a ReportAnswer, now view.Uptime) {
 	s.takeContent(a.Held, a.Content, now)
 	if to != s.parent {
 		return
@@ -121,7 +121,7 @@
 }
 
 // ReportFailed records that a report, or its answer, was lost.
-func (s *State) ReportFailed(to Parent, now view.Now) {
+func (s *State) ReportFailed(to Parent, now view.Uptime) {
 	if to != s.parent {
 		return
 	}
@@ -139,7 +139,7 @@
 func (s *State) Parent() Parent { return s.parent }
 
 // makeReport is the state of this process and all below it.
-func (s *State) makeReport(top bool, now view.Now) Report {
+func (s *State) makeReport(top bool, now view.Uptime) Report {
 	s.uplink.reportNo++
 	return Report{From: s.self, ToLeader: top, ReportNo: s.uplink.reportNo, Held: s.digest(), InForce: s.inForce, NeedsFull: s.needsFull, Settled: s.Settled(),
 		Summary: s.Summary(now)}
--- a/internal/cluster/configuration/spread/roster.go
+++ b/internal/cluster/configuration/spread/roster.go
@@ -28,21 +28,21 @@
 // share is not reached yet, or was reached under an earlier leader.
 type Progress struct {
 	Version    uint64
-	Since      view.Now // when it became known here
+	Since      view.Uptime // when it became known here
 	At50, At95 time.Duration
 	At100      time.Duration
 	fromStart  bool
 }
 
 // Begin starts the progress of a newer version; decidedHere says that it was committed while this process led.
-func (p *Progress) Begin(version uint64, decidedHere bool, now view.Now) {
+func (p *Progress) Begin(version uint64, decidedHere bool, now view.Uptime) {
 	if version > p.Version {
 		*p = Progress{Version: version, Since: now, fromStart: decidedHere}
 	}
 }
 
 // RecordInForce records how many of the present processes run the newest version.
-func (p *Progress) RecordInForce(inForce, here int, now view.Now) {
+func (p *Progress) RecordInForce(inForce, here int, now view.Uptime) {
 	if !p.fromStart || here == 0 {
 		return
 	}
@@ -69,12 +69,12 @@
 	version      uint64
 	versionKnown bool
 	absent       bool
-	since        view.Now
-	nextAttempt  view.Now
+	since        view.Uptime
+	nextAttempt  view.Uptime
 }
 
 // UpdateView takes in a view. A process that left on purpose is forgotten.
-func (r *Roster) UpdateView(members *view.View, now view.Now) {
+func (r *Roster) UpdateView(members *view.View, now view.Uptime) {
 	if r.members == nil {
 		r.members = map[view.Name]*memberRecord{}
 	}
@@ -93,7 +93,7 @@
 		case m.Incarnation > record.life.Incarnation:
 			*record = memberRecord{life: m.Life, absent: record.absent, since: record.since} // a restart, perhaps with another folder
 		}
-		if away := !m.Here(); away != record.absent {
+		if away := !m.Present(); away != record.absent {
 			record.absent, record.since = away, now
 		}
 	}
@@ -152,7 +152,7 @@
 
 // DueAnnouncements are the processes to be called now: absent ones, and laggards that their parent does not reach, up to
 // the limit. The rest is due the next time.
-func (r *Roster) DueAnnouncements(laggards []Laggard, limit int, now view.Now) (names []view.Name) {
+func (r *Roster) DueAnnouncements(laggards []Laggard, limit int, now view.Uptime) (names []view.Name) {
 	var due []*memberRecord
 	for _, l := range laggards {
 		if record := r.members[l.Name]; record != nil && !record.absent && l.Reason == Unreachable && now >= record.nextAttempt {
@@ -191,7 +191,7 @@
 
 // AbsentMembers are the absent processes that did not leave on purpose, by name, at most maxAbsentShown, and how many
 // more there are.
-func (r *Roster) AbsentMembers(now view.Now) (all []AbsentMember, more int) {
+func (r *Roster) AbsentMembers(now view.Uptime) (all []AbsentMember, more int) {
 	for name, record := range r.members {
 		if record.absent {
 			all = append(all, AbsentMember{Laggard{Name: name, Version: record.version, Reason: Absent, SinceMS: (now - record.since).Milliseconds()}, record.versionKnown})
--- a/internal/cluster/configuration/spread/simulation_test.go
+++ b/internal/cluster/configuration/spread/simulation_test.go
@@ -37,7 +37,7 @@
 type simulation struct {
 	t            fatalReporter
 	random       *rand.Rand
-	now          view.Now
+	now          view.Uptime
 	processes    []*process
 	order        []int // processes in the order of the tree: children of i are 3i+1 to 3i+3
 	leader       int
--- a/internal/cluster/configuration/spread/spread_test.go
+++ b/internal/cluster/configuration/spread/spread_test.go
@@ -51,7 +51,7 @@
 		w.t.Fatalf("of %d processes, %d refusing, the leader knows %+v", len(w.processes), refusing, sum)
 	}
 	for _, l := range sum.Laggards {
-		if l.Reason != Refused || l.Text == "" || l.Version != w.find(l.Name).inForce {
+		if l.Reason != Rejected || l.Text == "" || l.Version != w.find(l.Name).inForce {
 			w.t.Fatalf("%+v", l)
 		}
 	}
@@ -239,7 +239,7 @@
 	parent, child := New(view.Life{Name: "p", Incarnation: 1}, first, 1), New(life, first, 1)
 	parent.SetTree(Parent{}, []view.Life{life}, 0)
 	child.SetTree(Parent{Life: view.Life{Name: "p", Incarnation: 1}}, nil, 0)
-	report := func(now view.Now) {
+	report := func(now view.Uptime) {
 		t.Helper()
 		r, due := child.DueReport(now)
 		if !due {
--- a/internal/cluster/configuration/spread/state.go
+++ b/internal/cluster/configuration/spread/state.go
@@ -16,7 +16,7 @@
 	isLeader bool // it is the state of a leader, which neither applies versions nor counts itself
 
 	newest      configuration.Document // the newest version here; version 0 for none
-	newestSince view.Now
+	newestSince view.Uptime
 	history     []configuration.Document // earlier ones, newest first
 	encoded     encodedContent
 
@@ -38,8 +38,8 @@
 type rejection struct {
 	version uint64
 	text    string
-	since   view.Now
-	retryAt view.Now
+	since   view.Uptime
+	retryAt view.Uptime
 }
 
 // encodedContent is the newest version as it is sent: in full, and as patches by the version that they are based on. Each
@@ -67,7 +67,7 @@
 }
 
 // SetTree sets the parent (the zero value for none) and the children.
-func (s *State) SetTree(parent Parent, children []view.Life, now view.Now) {
+func (s *State) SetTree(parent Parent, children []view.Life, now view.Uptime) {
 	if parent != s.parent {
 		s.parent = parent
 		s.uplink = uplink{reportNo: s.uplink.reportNo, changed: true}
@@ -111,7 +111,7 @@
 
 // SetDecided takes in the newest version that was committed. An older one changes nothing. Where one version has two
 // contents (see takeContent) the leader distributes the committed one.
-func (s *State) SetDecided(d configuration.Document, now view.Now) {
+func (s *State) SetDecided(d configuration.Document, now view.Uptime) {
 	otherContent := d.Version == s.newest.Version && d.Version > 0 && d.Sum != s.newest.Sum
 	if d.Version > s.newest.Version || s.isLeader && otherContent {
 		s.setNewest(d, now)
@@ -119,7 +119,7 @@
 }
 
 // setNewest replaces the newest version.
-func (s *State) setNewest(d configuration.Document, now view.Now) {
+func (s *State) setNewest(d configuration.Document, now view.Uptime) {
 	if s.newest.Version > 0 {
 		s.history = slices.Insert(s.history, 0, s.newest)
 		s.history = s.history[:min(len(s.history), maxHistory)]
@@ -132,7 +132,7 @@
 // takeContent takes in content that another process sent, and what that one has. Two contents of one version can't be
 // committed; they occur only where the consensus group lost its records and numbers versions from 1 again. Then neither
 // is replaced: the fork is shown until the next version is committed.
-func (s *State) takeContent(held Digest, c *Content, now view.Now) {
+func (s *State) takeContent(held Digest, c *Content, now view.Uptime) {
 	if held.Version == s.newest.Version && held.Version > 0 && held.Sum != s.newest.Sum && !s.forked {
 		s.forked = true
 		s.markChanged()
@@ -205,7 +205,7 @@
 }
 
 // NextToApply is the version to be put in force now; false while that is in progress, or there is none.
-func (s *State) NextToApply(now view.Now) (configuration.Document, bool) {
+func (s *State) NextToApply(now view.Uptime) (configuration.Document, bool) {
 	if s.isLeader || s.applying || s.newest.Version <= s.inForce {
 		return configuration.Document{}, false
 	}
@@ -217,7 +217,7 @@
 }
 
 // RecordApplied records whether a version that NextToApply returned is in force, or why not.
-func (s *State) RecordApplied(version uint64, err error, now view.Now) {
+func (s *State) RecordApplied(version uint64, err error, now view.Uptime) {
 	s.applying = false
 	s.markChanged()
 	if err == nil {
@@ -254,7 +254,7 @@
 }
 
 // NextDue is when something has to be sent or put in force, at the latest.
-func (s *State) NextDue(now view.Now) (at view.Now) {
+func (s *State) NextDue(now view.Uptime) (at view.Uptime) {
 	at = now + RefreshInterval
 	if !s.isLeader && !s.applying && s.newest.Version > s.inForce {
 		at = now
--- a/internal/cluster/configuration/spread/summary.go
+++ b/internal/cluster/configuration/spread/summary.go
@@ -10,7 +10,7 @@
 )
 
 // Summary is the state of this process and all below it now.
-func (s *State) Summary(now view.Now) (sum Summary) {
+func (s *State) Summary(now view.Uptime) (sum Summary) {
 	if !s.isLeader {
 		sum.Members = 1
 		sum.addInForce(s.inForce, 1)
@@ -26,11 +26,11 @@
 }
 
 // ownLag is this process as a laggard, and whether it is one.
-func (s *State) ownLag(now view.Now) (Laggard, bool) {
+func (s *State) ownLag(now view.Uptime) (Laggard, bool) {
 	l := Laggard{Name: s.self.Name, Version: s.inForce}
 	switch {
 	case s.rejected.version == s.newest.Version && s.newest.Version > 0:
-		l.Reason, l.Text, l.SinceMS = Refused, s.rejected.text, (now - s.rejected.since).Milliseconds()
+		l.Reason, l.Text, l.SinceMS = Rejected, s.rejected.text, (now - s.rejected.since).Milliseconds()
 	case s.forked:
 		l.Reason = Forked
 	case s.inForce < s.newest.Version && now-s.newestSince > LaggardAfter:
@@ -42,7 +42,7 @@
 }
 
 // addChild adds what a child has reported.
-func (s *State) addChild(sum *Summary, c *child, now view.Now) {
+func (s *State) addChild(sum *Summary, c *child, now view.Uptime) {
 	if c.failures > 0 && now-c.failingSince > LaggardAfter {
 		sum.addLaggard(Laggard{Name: c.life.Name, Version: c.report.InForce, Reason: Unreachable, SinceMS: (now - c.failingSince).Milliseconds()})
 	}
--- a/internal/cluster/configuration/spread/summary_test.go
+++ b/internal/cluster/configuration/spread/summary_test.go
@@ -24,7 +24,7 @@
 		version := uint64(i + 1)
 		s.HandleReport(Report{From: life, ReportNo: 1, Held: Digest{version, "y"}, InForce: version, Summary: Summary{Members: 1,
 			InForce:  []Count{{version, 1}},
-			Laggards: []Laggard{{life.Name, version, Refused, truncated(string(make([]byte, 3*maxReasonBytes))), 1}}}}, 0)
+			Laggards: []Laggard{{life.Name, version, Rejected, truncated(string(make([]byte, 3*maxReasonBytes))), 1}}}}, 0)
 	}
 	sum := s.Summary(time.Minute)
 	if sum.Members != 1001 || len(sum.Laggards) != MaxLaggards || sum.Unnamed != 1000-MaxLaggards || len(sum.InForce) != MaxCounts {
@@ -69,15 +69,15 @@
 		return view.Member{Life: view.Life{Name: name, Incarnation: 1}, State: state}
 	}
 	var r Roster
-	r.UpdateView(view.Make("a", 1, []view.Member{member("a", view.Alive), member("b", view.Alive), member("c", view.Alive)}), 0)
-	r.RecordSummary(Summary{Members: 3, InForce: []Count{{7, 2}, {5, 1}}, Laggards: []Laggard{{Name: "c", Version: 5, Reason: Refused}}})
+	r.UpdateView(view.New("a", 1, []view.Member{member("a", view.Alive), member("b", view.Alive), member("c", view.Alive)}), 0)
+	r.RecordSummary(Summary{Members: 3, InForce: []Count{{7, 2}, {5, 1}}, Laggards: []Laggard{{Name: "c", Version: 5, Reason: Rejected}}})
 	r.RecordSummary(Summary{Members: 2, InForce: []Count{{9, 2}}}) // leaves one out
-	r.UpdateView(view.Make("a", 2, []view.Member{member("a", view.Alive), member("b", view.Dead), member("c", view.Dead)}), time.Second)
+	r.UpdateView(view.New("a", 2, []view.Member{member("a", view.Alive), member("b", view.Dead), member("c", view.Dead)}), time.Second)
 	away, more := r.AbsentMembers(3 * time.Second)
 	if len(away) != 2 || more != 0 || away[0].Version != 7 || !away[0].VersionKnown || away[1].Version != 5 || away[1].SinceMS != 2000 || r.PresentCount() != 1 {
 		t.Fatalf("%+v", away)
 	}
-	r.UpdateView(view.Make("a", 3, []view.Member{member("a", view.Alive), member("b", view.Left), member("c", view.Alive)}), 4*time.Second)
+	r.UpdateView(view.New("a", 3, []view.Member{member("a", view.Alive), member("b", view.Left), member("c", view.Alive)}), 4*time.Second)
 	if away, _ := r.AbsentMembers(4 * time.Second); len(away) != 0 || r.PresentCount() != 2 {
 		t.Fatalf("%+v", away)
 	}
--- a/internal/cluster/consensus/consensus_test.go
+++ b/internal/cluster/consensus/consensus_test.go
@@ -157,7 +157,7 @@
 	f := newFleet(t, founders[:4]...)
 	time.Sleep(400 * time.Millisecond)
 	for name, p := range f.processes {
-		if _, known := p.Leader(); known || p.Voted() || len(p.Voters()) > 0 {
+		if _, known := p.Leader(); known || p.HasRecords() || len(p.Voters()) > 0 {
 			t.Errorf("%s is founded", name)
 		}
 	}
--- a/internal/cluster/consensus/fleet_test.go
+++ b/internal/cluster/consensus/fleet_test.go
@@ -118,8 +118,8 @@
 		Raft: "here", Folder: drawn}
 	var err error
 	p.Group, err = Start(Options{Self: p.member, Cluster: "test", Folder: filepath.Join(folder, drawn),
-		Listen: "127.0.0.1:0", Founders: founders, Parts: map[string]machine.Part{"book": p.recorder},
-		Reach: func(to view.Name) (string, bool) {
+		Listen: "127.0.0.1:0", InitialVoters: founders, Parts: map[string]machine.Part{"book": p.recorder},
+		AddressOf: func(to view.Name) (string, bool) {
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			return f.addresses[to], f.addresses[to] != "" && !f.cut[[2]view.Name{name, to}]
@@ -138,11 +138,11 @@
 	var members []view.Member
 	f.viewNo++
 	for _, p := range f.processes {
-		p.member.Voted = p.Voted()
+		p.member.HasRecords = p.HasRecords()
 		members = append(members, p.member)
 	}
 	for _, p := range f.processes {
-		p.SetView(view.Make(p.member.Name, f.viewNo, members))
+		p.SetView(view.New(p.member.Name, f.viewNo, members))
 	}
 }
 
--- a/internal/cluster/consensus/maintain.go
+++ b/internal/cluster/consensus/maintain.go
@@ -78,11 +78,11 @@
 // bootstrap writes the first configuration, once: the founder with the lowest name does so after all founders were
 // alive and without records for a while. It can't be done in part, as the others only take what that founder sends.
 func (g *Group) bootstrap(m *maintenance, v *view.View) {
-	first := g.self.Name == g.options.Founders[0] && !g.Voted()
+	first := g.self.Name == g.options.InitialVoters[0] && !g.HasRecords()
 	configuration := raft.Configuration{}
-	for _, name := range g.options.Founders {
+	for _, name := range g.options.InitialVoters {
 		member, found := v.Find(name)
-		if !found || member.State != view.Alive || member.Voted || member.Folder == "" {
+		if !found || member.State != view.Alive || member.HasRecords || member.Folder == "" {
 			first = false
 			break
 		}
--- a/internal/cluster/consensus/options.go
+++ b/internal/cluster/consensus/options.go
@@ -67,17 +67,17 @@
 
 // Options are the settings of a Group.
 type Options struct {
-	Self     view.Member                    // only Name and Folder (the random name of its data folder) are read
-	Cluster  string                         // both ends of a connection must have the same
-	Folder   string                         // of log and snapshots; created if it does not exist
-	Listen   string                         // address of the port for raft connections
-	Reach    func(view.Name) (string, bool) // the address of a process, and whether it has one
-	Founders []view.Name                    // the initial voters, the same at all processes; 1 to 5
-	Parts    map[string]machine.Part
-	Log      *zap.Logger
-	// Cut reports whether the link to a process is cut: connections to it break, and none can be made. It is for tests in
+	Self          view.Member                    // only Name and Folder (the random name of its data folder) are read
+	Cluster       string                         // both ends of a connection must have the same
+	Folder        string                         // of log and snapshots; created if it does not exist
+	Listen        string                         // address of the port for raft connections
+	AddressOf     func(view.Name) (string, bool) // the address of a process, and whether it has one
+	InitialVoters []view.Name                    // the initial voters, the same at all processes; 1 to 5
+	Parts         map[string]machine.Part
+	Log           *zap.Logger
+	// Partitioned reports whether the link to a process is cut: connections to it break, and none can be made. It is for tests in
 	// the lab, and may be nil.
-	Cut func(view.Name) bool
+	Partitioned func(view.Name) bool
 	// Applied is called with the index after commands were applied, once for several perhaps. One goroutine calls it,
 	// with no lock held, so a slow call delays only the next one. It may be nil.
 	Applied func(index uint64)
@@ -91,14 +91,14 @@
 // complete fills in defaults and checks what must be given.
 func (o *Options) complete() error {
 	o.setDefaults()
-	o.Founders = slices.Compact(slices.Sorted(slices.Values(o.Founders)))
+	o.InitialVoters = slices.Compact(slices.Sorted(slices.Values(o.InitialVoters)))
 	switch {
-	case o.Self.Name == "" || o.Self.Folder == "" || o.Folder == "" || o.Reach == nil:
+	case o.Self.Name == "" || o.Self.Folder == "" || o.Folder == "" || o.AddressOf == nil:
 		return errors.New("council: a name, a folder, its drawn name and ways to the others are needed")
 	case strings.Contains(string(o.Self.Name)+o.Self.Folder, "@"):
 		return fmt.Errorf("council: %q: names have no @", o.Self.Name)
-	case len(o.Founders) == 0 || len(o.Founders) > maxVoters:
-		return fmt.Errorf("council: %d founders; there must be 1 to %d", len(o.Founders), maxVoters)
+	case len(o.InitialVoters) == 0 || len(o.InitialVoters) > maxVoters:
+		return fmt.Errorf("council: %d founders; there must be 1 to %d", len(o.InitialVoters), maxVoters)
 	}
 	return nil
 }
--- a/internal/cluster/consensus/propose.go
+++ b/internal/cluster/consensus/propose.go
@@ -142,7 +142,7 @@
 	g.mu.RLock()
 	if g.view != nil {
 		for _, m := range g.view.Members {
-			if m.Here() && m.Voted {
+			if m.Present() && m.HasRecords {
 				names = append(names, m.Name)
 			}
 		}
@@ -181,8 +181,8 @@
 	return names
 }
 
-// Voted reports whether the folder holds records of a group, which is published as view.Member.Voted.
-func (g *Group) Voted() bool { return g.raft.LastIndex() > 0 }
+// HasRecords reports whether the folder holds records of a group, which is published as view.Member.HasRecords.
+func (g *Group) HasRecords() bool { return g.raft.LastIndex() > 0 }
 
 // Addr is the address on which the group listens.
 func (g *Group) Addr() string { return g.stream.listener.Addr().String() }
--- a/internal/cluster/consensus/storeddata_test.go
+++ b/internal/cluster/consensus/storeddata_test.go
@@ -44,14 +44,14 @@
 	}
 	applied := make(chan struct{}, 1)
 	group, err := consensus.Start(consensus.Options{
-		Self:     view.Member{Life: view.Life{Name: "a", Incarnation: 6}, Zone: "z1", Region: "r1", Size: view.Large, Folder: storedFolderID},
-		Cluster:  "stored",
-		Folder:   folder,
-		Listen:   "127.0.0.1:0",
-		Founders: []view.Name{"a"},
-		Parts:    parts,
-		Reach:    func(view.Name) (string, bool) { return "", false },
-		Timing:   consensus.Timing{HeartbeatTimeout: storedHeartbeat},
+		Self:          view.Member{Life: view.Life{Name: "a", Incarnation: 6}, Zone: "z1", Region: "r1", Size: view.Large, Folder: storedFolderID},
+		Cluster:       "stored",
+		Folder:        folder,
+		Listen:        "127.0.0.1:0",
+		InitialVoters: []view.Name{"a"},
+		Parts:         parts,
+		AddressOf:     func(view.Name) (string, bool) { return "", false },
+		Timing:        consensus.Timing{HeartbeatTimeout: storedHeartbeat},
 		Applied: func(uint64) {
 			select {
 			case applied <- struct{}{}:
@@ -82,8 +82,8 @@
 func TestReadsStoredRecords(t *testing.T) {
 	parts := storedParts()
 	group := startStored(t, parts)
-	if voters := group.Voters(); !slices.Equal(voters, []view.Name{"a"}) || !group.Voted() {
-		t.Errorf("voters %v, holds records: %v", voters, group.Voted())
+	if voters := group.Voters(); !slices.Equal(voters, []view.Name{"a"}) || !group.HasRecords() {
+		t.Errorf("voters %v, holds records: %v", voters, group.HasRecords())
 	}
 	if term := group.Term(); term <= storedTerm {
 		t.Errorf("term %d does not follow the stored one, %d", term, storedTerm)
--- a/internal/cluster/consensus/voters/voters.go
+++ b/internal/cluster/consensus/voters/voters.go
@@ -123,7 +123,7 @@
 // replaced reports whether a server's name is in the view with another folder, so that the server will never come back.
 func (p *planner) replaced(id ID) bool {
 	m, found := p.View.Find(id.Name)
-	return found && m.Here() && m.Folder != id.Folder
+	return found && m.Present() && m.Folder != id.Folder
 }
 
 // isDead reports whether a server counts as dead. One that is silent but in the view does not: it may be the link's fault.
@@ -135,7 +135,7 @@
 		return true
 	}
 	m, found := p.View.Find(s.Name)
-	return s.SilentFor >= p.rule.DeadAfter && (!found || !m.Here())
+	return s.SilentFor >= p.rule.DeadAfter && (!found || !m.Present())
 }
 
 // safeWithout reports whether the reachable voters are a majority once this one is removed.
--- a/internal/cluster/consensus/voters/voters_test.go
+++ b/internal/cluster/consensus/voters/voters_test.go
@@ -51,7 +51,7 @@
 	for _, m := range w.members {
 		all = append(all, *m)
 	}
-	return view.Make(w.leader.Name, 1, all)
+	return view.New(w.leader.Name, 1, all)
 }
 
 func (w *simulation) up(id ID) bool {
@@ -241,7 +241,7 @@
 			}
 			s.Servers, members = append(s.Servers, server), append(members, m)
 		}
-		s.View = view.Make("a", 1, members)
+		s.View = view.New("a", 1, members)
 		if change, due := Next(s, rule); due != want {
 			t.Errorf("%d dead: %v", dead, change)
 		}
--- a/internal/cluster/evidence/capacity_test.go
+++ b/internal/cluster/evidence/capacity_test.go
@@ -42,7 +42,7 @@
 		i := 0
 		for b.Loop() {
 			i++
-			e.apply(time.Second+view.Now(i)*time.Microsecond, &batch[i%n])
+			e.apply(time.Second+view.Uptime(i)*time.Microsecond, &batch[i%n])
 		}
 		b.ReportMetric(heap, "heap-B")
 	})
--- a/internal/cluster/evidence/digest/digest.go
+++ b/internal/cluster/evidence/digest/digest.go
@@ -30,15 +30,15 @@
 	from       view.Zone
 	span       time.Duration
 	maxPlaces  int
-	lastTaken  view.Now // when the sender began to count for the next digest
-	buckets    []bucket // oldest first
+	lastTaken  view.Uptime // when the sender began to count for the next digest
+	buckets    []bucket    // oldest first
 	aggregates map[healthreport.Locality]*aggregate
 	dropped    uint64 // rows beyond maxPlaces
 }
 
 // bucket holds one digest, or several that came close together.
 type bucket struct {
-	startedAt view.Now
+	startedAt view.Uptime
 	rows      map[healthreport.Locality]together.Row
 }
 
@@ -49,9 +49,9 @@
 	row     together.Row
 }
 
-// Make returns a window that counts from now on. It holds at most so many places; rows of further places are dropped
+// NewWindow returns a window that counts from now on. It holds at most so many places; rows of further places are dropped
 // until others have expired.
-func Make(witness view.Name, from view.Zone, span time.Duration, places int, now view.Now) *Window {
+func NewWindow(witness view.Name, from view.Zone, span time.Duration, places int, now view.Uptime) *Window {
 	if span <= 0 {
 		span = Span
 	}
@@ -60,7 +60,7 @@
 }
 
 // Take adds a digest and returns the samples over the span up to now, by place.
-func (w *Window) Take(now view.Now, d together.Digest) []healthreport.Sample {
+func (w *Window) Take(now view.Uptime, d together.Digest) []healthreport.Sample {
 	w.addDigest(now, d.Rows)
 	// The newest bucket stays, however long a time it covers.
 	for len(w.buckets) > 1 && w.buckets[0].startedAt < now-w.span {
@@ -83,19 +83,19 @@
 // sample returns a place's counts over a span in the form in which they are sent.
 func (w *Window) sample(place healthreport.Locality, row together.Row, span time.Duration) healthreport.Sample {
 	return healthreport.Sample{
-		Locality: place, Witness: w.witness, From: w.from, Kind: row.Kind, Span: max(span, 1),
-		Sent: float64(row.Sent), Done: float64(row.Done), Failed: float64(row.Failed), Silent: float64(row.Silent),
-		Refused: float64(row.Refused), Limit: row.Limit, Rating: row.Rating, Endpoints: row.Endpoints, Held: row.Held,
+		Locality: place, Reporter: w.witness, ReporterZone: w.from, Kind: row.Kind, Span: max(span, 1),
+		Sent: float64(row.Sent), Done: float64(row.Done), Failed: float64(row.Failed), Unanswered: float64(row.Unanswered),
+		Rejected: float64(row.Rejected), Limit: row.Limit, Rating: row.Rating, Endpoints: row.Endpoints, Waiting: row.Waiting,
 	}
 }
 
 // unansweredSince sums the newest buckets in which a place answered nothing, and reports since when, and whether
 // anything failed in them: a place that just went down must not look healthy because of earlier successes.
-func (w *Window) unansweredSince(place healthreport.Locality) (row together.Row, since view.Now, failing bool) {
+func (w *Window) unansweredSince(place healthreport.Locality) (row together.Row, since view.Uptime, failing bool) {
 	found := false
 	for i := len(w.buckets) - 1; i >= 0; i-- {
 		r, present := w.buckets[i].rows[place]
-		if r.Done+r.Refused > 0 {
+		if r.Done+r.Rejected > 0 {
 			break
 		}
 		switch since = w.buckets[i].startedAt; {
@@ -112,7 +112,7 @@
 func (w *Window) Dropped() uint64 { return w.dropped }
 
 // addDigest adds rows to the newest bucket, or to a new one, and to the aggregates.
-func (w *Window) addDigest(now view.Now, rows []together.Row) {
+func (w *Window) addDigest(now view.Uptime, rows []together.Row) {
 	now = max(now, w.lastTaken)
 	if n := len(w.buckets); n == 0 || now-w.buckets[n-1].startedAt >= w.span/maxBuckets {
 		w.buckets = append(w.buckets, bucket{w.lastTaken, make(map[healthreport.Locality]together.Row, len(rows))})
@@ -144,8 +144,8 @@
 	later.Sent += earlier.Sent
 	later.Done += earlier.Done
 	later.Failed += earlier.Failed
-	later.Silent += earlier.Silent
-	later.Refused += earlier.Refused
+	later.Unanswered += earlier.Unanswered
+	later.Rejected += earlier.Rejected
 	return later
 }
 
@@ -160,7 +160,7 @@
 		total.row.Sent -= r.Sent
 		total.row.Done -= r.Done
 		total.row.Failed -= r.Failed
-		total.row.Silent -= r.Silent
-		total.row.Refused -= r.Refused
+		total.row.Unanswered -= r.Unanswered
+		total.row.Rejected -= r.Rejected
 	}
 }
--- a/internal/cluster/evidence/digest/digest_test.go
+++ b/internal/cluster/evidence/digest/digest_test.go
@@ -16,17 +16,17 @@
 
 // Counts are summed over the span and expire after it; gauges are as last reported.
 func ExampleWindow() {
-	w := Make("anna", "east", time.Second, 2, 0)
+	w := NewWindow("anna", "east", time.Second, 2, 0)
 	show := func(now time.Duration, d together.Digest) {
 		fmt.Print(now, ":")
 		for _, s := range w.Take(now, d) {
-			fmt.Printf(" %d/%s over %v: sent %v, failed %v, held %d;", s.Destination, s.Zone, s.Span, s.Sent, s.Failed, s.Held)
+			fmt.Printf(" %d/%s over %v: sent %v, failed %v, held %d;", s.Destination, s.Zone, s.Span, s.Sent, s.Failed, s.Waiting)
 		}
 		fmt.Println()
 	}
 	at := func(tenths int) time.Duration { return time.Duration(tenths) * 100 * time.Millisecond }
-	show(at(5), rows(together.Row{Destination: 1, Zone: "e", Sent: 10, Failed: 4, Held: 7}))
-	show(at(10), rows(together.Row{Destination: 1, Zone: "e", Sent: 10, Held: 3},
+	show(at(5), rows(together.Row{Destination: 1, Zone: "e", Sent: 10, Failed: 4, Waiting: 7}))
+	show(at(10), rows(together.Row{Destination: 1, Zone: "e", Sent: 10, Waiting: 3},
 		together.Row{Destination: 1, Zone: "b", Sent: 1}))
 	show(at(15), rows(together.Row{Destination: 2, Zone: "e", Sent: 1}))
 	show(at(45), rows()) // the sender was suspended
@@ -45,7 +45,7 @@
 func TestCountsAreNeitherLostNorDoubled(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const span = time.Second
-		w := Make("a", "z", span, 10, 0)
+		w := NewWindow("a", "z", span, 10, 0)
 		now, began := time.Duration(0), time.Duration(0)
 		type counted struct {
 			from, to time.Duration
--- a/internal/cluster/evidence/evidence.go
+++ b/internal/cluster/evidence/evidence.go
@@ -75,7 +75,7 @@
 
 // batch is what one call of Add handed over, with ages as of now.
 type batch struct {
-	now     view.Now
+	now     view.Uptime
 	samples []healthreport.Sample
 }
 
@@ -97,7 +97,7 @@
 	opts.Shards = min(opts.Shards, opts.Rows)
 	e := &Evidence{shards: make([]shard, opts.Shards), queue: make(chan batch, opts.Queue), stop: make(chan struct{})}
 	for i := range e.shards {
-		e.shards[i].table = table.Make(table.Bounds{Rows: opts.Rows / opts.Shards, Witnesses: opts.Witnesses, Keep: opts.MaxAge})
+		e.shards[i].table = table.NewTable(table.Bounds{Rows: opts.Rows / opts.Shards, Witnesses: opts.Witnesses, MaxAge: opts.MaxAge})
 	}
 	for range opts.Workers {
 		e.wg.Go(e.runWorker)
@@ -107,7 +107,7 @@
 
 // Add hands samples to the pool, which owns the slice from then on; their ages are as of now. It never waits, and
 // returns false if they were dropped: the queue is full, there are too many at once, or the pool is closed.
-func (e *Evidence) Add(now view.Now, all []healthreport.Sample) bool {
+func (e *Evidence) Add(now view.Uptime, all []healthreport.Sample) bool {
 	select {
 	case <-e.stop:
 		return false
@@ -142,11 +142,11 @@
 }
 
 // apply adds one sample to its shard's table.
-func (e *Evidence) apply(now view.Now, s *healthreport.Sample) table.Outcome {
+func (e *Evidence) apply(now view.Uptime, s *healthreport.Sample) table.Outcome {
 	target := e.shardOf(s.Locality)
 	target.mu.Lock()
 	defer target.mu.Unlock()
-	return target.table.Take(now, *s)
+	return target.table.Add(now, *s)
 }
 
 // shardOf returns a place's shard, the same one in every run.
@@ -157,7 +157,7 @@
 }
 
 // Read returns all samples with ages as of now, ordered by destination, zone and witness. The caller owns the slice.
-func (e *Evidence) Read(now view.Now) []healthreport.Sample {
+func (e *Evidence) Read(now view.Uptime) []healthreport.Sample {
 	var ordered []*healthreport.Sample
 	for i := range e.shards {
 		fromShard := e.shards[i].read(now)
@@ -173,20 +173,20 @@
 	return all
 }
 
-func (s *shard) read(now view.Now) []healthreport.Sample {
+func (s *shard) read(now view.Uptime) []healthreport.Sample {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.table.Read(now)
 }
 
 // Forget drops what was observed of a destination up to now, including samples that arrive later.
-func (e *Evidence) Forget(now view.Now, d choice.DestinationID) {
+func (e *Evidence) Forget(now view.Uptime, d choice.DestinationID) {
 	for i := range e.shards {
 		e.shards[i].forget(now, d)
 	}
 }
 
-func (s *shard) forget(now view.Now, d choice.DestinationID) {
+func (s *shard) forget(now view.Uptime, d choice.DestinationID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.table.Forget(now, d)
--- a/internal/cluster/evidence/evidence_test.go
+++ b/internal/cluster/evidence/evidence_test.go
@@ -17,7 +17,7 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 func sample(d int, zone view.Zone, who view.Name, age time.Duration, sent float64) healthreport.Sample {
-	return healthreport.Sample{Locality: healthreport.Locality{Destination: choice.DestinationID(d), Zone: zone}, Witness: who,
+	return healthreport.Sample{Locality: healthreport.Locality{Destination: choice.DestinationID(d), Zone: zone}, Reporter: who,
 		Age: age, Span: time.Second, Sent: sent}
 }
 
@@ -43,7 +43,7 @@
 	for who := range reporters {
 		all.Go(func() {
 			for round := 1; round <= rounds; round++ {
-				now := view.Now(round) * time.Second
+				now := view.Uptime(round) * time.Second
 				batch := make([]healthreport.Sample, 0, 2*ds)
 				for d := range ds {
 					name := view.Name(fmt.Sprint(who))
@@ -142,7 +142,7 @@
 	}
 	b.Run("take", func(b *testing.B) {
 		for i := range b.N {
-			e.apply(view.Now(i)*time.Microsecond, &batch[i%len(batch)])
+			e.apply(view.Uptime(i)*time.Microsecond, &batch[i%len(batch)])
 		}
 	})
 	b.Run("read", func(b *testing.B) {
--- a/internal/cluster/evidence/table/table.go
+++ b/internal/cluster/evidence/table/table.go
@@ -24,7 +24,7 @@
 type Bounds struct {
 	Rows      int           // when exceeded, the row whose newest sample is oldest is evicted
 	Witnesses int           // of a row; when exceeded, the oldest sample is evicted
-	Keep      time.Duration // the highest age of a sample, and the longest span that is accepted
+	MaxAge    time.Duration // the highest age of a sample, and the longest span that is accepted
 }
 
 // Outcome is what became of a sample that was handed to Take.
@@ -47,43 +47,43 @@
 	byAge  ageHeap // the same rows
 	// forgottenAt is when destinations were forgotten: samples from before are rejected. An entry expires after twice
 	// Keep, as older samples, and spans that reach back so far, are rejected anyway.
-	forgottenAt map[choice.DestinationID]view.Now
+	forgottenAt map[choice.DestinationID]view.Uptime
 }
 
 // row holds the samples of one place.
 type row struct {
 	place        healthreport.Locality
 	observations []observation // by witness
-	newestAt     view.Now      // of the newest observation
+	newestAt     view.Uptime   // of the newest observation
 	heapIndex    int           // in Table.byAge
 }
 
 // observation is a sample and the time that it was observed at; the sample's Age is 0.
 type observation struct {
-	at     view.Now
+	at     view.Uptime
 	sample healthreport.Sample
 }
 
 // compareAge orders observations of one place by time, then by witness, so that among equally old ones always the same
 // is evicted.
 func compareAge(a, b *observation) int {
-	return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.sample.Witness, b.sample.Witness))
+	return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.sample.Reporter, b.sample.Reporter))
 }
 
-// Make returns an empty table. Bounds below one row, witness and nanosecond are raised to that.
-func Make(b Bounds) *Table {
-	b = Bounds{max(b.Rows, 1), max(b.Witnesses, 1), max(b.Keep, 1)}
-	return &Table{bounds: b, rows: map[healthreport.Locality]*row{}, forgottenAt: map[choice.DestinationID]view.Now{}}
+// NewTable returns an empty table. Bounds below one row, witness and nanosecond are raised to that.
+func NewTable(b Bounds) *Table {
+	b = Bounds{max(b.Rows, 1), max(b.Witnesses, 1), max(b.MaxAge, 1)}
+	return &Table{bounds: b, rows: map[healthreport.Locality]*row{}, forgottenAt: map[choice.DestinationID]view.Uptime{}}
 }
 
-// Take adds a sample whose age is as of now.
-func (t *Table) Take(now view.Now, s healthreport.Sample) Outcome {
+// Add adds a sample whose age is as of now.
+func (t *Table) Add(now view.Uptime, s healthreport.Sample) Outcome {
 	if !valid(&s) {
 		return Invalid
 	}
 	observed := observation{now - s.Age, s}
 	observed.sample.Age = 0
-	if s.Age > t.bounds.Keep || s.Span > t.bounds.Keep {
+	if s.Age > t.bounds.MaxAge || s.Span > t.bounds.MaxAge {
 		return Outdated
 	}
 	// A span that began before the destination was forgotten contains what is to be forgotten.
@@ -118,8 +118,8 @@
 
 // insert adds an observation, or replaces an earlier one of its witness. Of more than limit the oldest is evicted.
 func (r *row) insert(next observation, limit int) Outcome {
-	i, known := slices.BinarySearchFunc(r.observations, next.sample.Witness,
-		func(o observation, w view.Name) int { return cmp.Compare(o.sample.Witness, w) })
+	i, known := slices.BinarySearchFunc(r.observations, next.sample.Reporter,
+		func(o observation, w view.Name) int { return cmp.Compare(o.sample.Reporter, w) })
 	switch {
 	case known:
 		return r.replace(i, next)
@@ -164,14 +164,14 @@
 }
 
 // Read returns all samples, with their ages as of now, by Order; those older than Keep are dropped from the table.
-func (t *Table) Read(now view.Now) (samples []healthreport.Sample) {
-	for len(t.byAge) > 0 && now-t.byAge[0].newestAt > t.bounds.Keep {
+func (t *Table) Read(now view.Uptime) (samples []healthreport.Sample) {
+	for len(t.byAge) > 0 && now-t.byAge[0].newestAt > t.bounds.MaxAge {
 		t.remove(t.byAge[0])
 	}
 	// Rows are sorted, not samples, as a sample is large to move.
 	rows := slices.SortedFunc(maps.Values(t.rows), func(a, b *row) int { return comparePlace(&a.place, &b.place) })
 	for _, r := range rows {
-		r.observations = slices.DeleteFunc(r.observations, func(o observation) bool { return now-o.at > t.bounds.Keep })
+		r.observations = slices.DeleteFunc(r.observations, func(o observation) bool { return now-o.at > t.bounds.MaxAge })
 		for i := range r.observations {
 			s := r.observations[i].sample
 			s.Age = max(0, now-r.observations[i].at)
@@ -183,7 +183,7 @@
 }
 
 // Forget drops all samples of a destination, and rejects those observed up to now that arrive later.
-func (t *Table) Forget(now view.Now, d choice.DestinationID) {
+func (t *Table) Forget(now view.Uptime, d choice.DestinationID) {
 	for place, r := range t.rows {
 		if place.Destination == d {
 			t.remove(r)
@@ -211,9 +211,9 @@
 }
 
 // expireForgotten drops the destinations that were forgotten too long ago to matter.
-func (t *Table) expireForgotten(now view.Now) {
+func (t *Table) expireForgotten(now view.Uptime) {
 	for d, when := range t.forgottenAt {
-		if now-when > 2*t.bounds.Keep {
+		if now-when > 2*t.bounds.MaxAge {
 			delete(t.forgottenAt, d)
 		}
 	}
@@ -225,12 +225,12 @@
 // valid reports whether a sample's values are possible: they come from other processes, and an empty span would be read
 // as an infinite rate.
 func valid(s *healthreport.Sample) bool {
-	for _, v := range [...]float64{s.Sent, s.Done, s.Failed, s.Silent, s.Refused, s.Limit, s.Rating} {
+	for _, v := range [...]float64{s.Sent, s.Done, s.Failed, s.Unanswered, s.Rejected, s.Limit, s.Rating} {
 		if !(v >= 0) || math.IsInf(v, 1) {
 			return false
 		}
 	}
-	return s.Witness != "" && s.Age >= 0 && s.Span > 0 && s.Endpoints >= 0 && s.Held >= 0
+	return s.Reporter != "" && s.Age >= 0 && s.Span > 0 && s.Endpoints >= 0 && s.Waiting >= 0
 }
 
 // Order compares samples as Read orders them: by destination, zone, witness.
@@ -238,7 +238,7 @@
 	if c := comparePlace(&a.Locality, &b.Locality); c != 0 {
 		return c
 	}
-	return cmp.Compare(a.Witness, b.Witness)
+	return cmp.Compare(a.Reporter, b.Reporter)
 }
 
 func comparePlace(a, b *healthreport.Locality) int {
@@ -252,7 +252,7 @@
 // on the order of arrival will do; of one moment's counts the later is the larger.
 func compareSamples(a, b *healthreport.Sample) int {
 	return cmp.Or(cmp.Compare(a.Span, b.Span), cmp.Compare(a.Sent, b.Sent), cmp.Compare(a.Done, b.Done),
-		cmp.Compare(a.Failed, b.Failed), cmp.Compare(a.Silent, b.Silent), cmp.Compare(a.Refused, b.Refused),
+		cmp.Compare(a.Failed, b.Failed), cmp.Compare(a.Unanswered, b.Unanswered), cmp.Compare(a.Rejected, b.Rejected),
 		cmp.Compare(a.Limit, b.Limit), cmp.Compare(a.Rating, b.Rating), cmp.Compare(a.Endpoints, b.Endpoints),
-		cmp.Compare(a.Held, b.Held), cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.From, b.From))
+		cmp.Compare(a.Waiting, b.Waiting), cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.ReporterZone, b.ReporterZone))
 }
--- a/internal/cluster/evidence/table/table_test.go
+++ b/internal/cluster/evidence/table/table_test.go
@@ -19,11 +19,11 @@
 	return observation{time.Duration(rapid.IntRange(0, 8).Draw(t, "at")) * time.Second, healthreport.Sample{
 		Locality: healthreport.Locality{Destination: choice.DestinationID(rapid.IntRange(1, 3).Draw(t, "d")),
 			Zone: rapid.SampledFrom([]view.Zone{"e", "w"}).Draw(t, "z")},
-		Witness: rapid.SampledFrom([]view.Name{"a", "b", "c"}).Draw(t, "w"), Span: time.Second,
+		Reporter: rapid.SampledFrom([]view.Name{"a", "b", "c"}).Draw(t, "w"), Span: time.Second,
 		Sent: float64(rapid.IntRange(0, 2).Draw(t, "n"))}}
 }
 
-func (n observation) sampleAt(now view.Now) healthreport.Sample {
+func (n observation) sampleAt(now view.Uptime) healthreport.Sample {
 	s := n.sample
 	s.Age = now - n.at
 	return s
@@ -37,15 +37,15 @@
 	rapid.Check(t, func(t *rapid.T) {
 		all := rapid.SliceOfN(rapid.Custom(drawObservation), 1, 30).Draw(t, "all")
 		b := Bounds{rapid.IntRange(1, 6).Draw(t, "rows"), rapid.IntRange(1, 3).Draw(t, "witnesses"), time.Minute}
-		one, two := Make(b), Make(b)
+		one, two := NewTable(b), NewTable(b)
 		for _, n := range all {
-			one.Take(n.at, n.sampleAt(n.at)) // as it is observed
+			one.Add(n.at, n.sampleAt(n.at)) // as it is observed
 		}
 		for _, n := range rapid.Permutation(all).Draw(t, "late") {
 			now := max(n.at, rapid.Custom(drawObservation).Draw(t, "later").at)
-			two.Take(now, n.sampleAt(now))
+			two.Add(now, n.sampleAt(now))
 			before := two.Read(end)
-			if again := two.Take(end, n.sampleAt(end)); again == New || again == Newer {
+			if again := two.Add(end, n.sampleAt(end)); again == New || again == Newer {
 				t.Fatal("a repeated sample was new", n, again)
 			}
 			if d := cmp.Diff(before, two.Read(end)); d != "" {
@@ -79,17 +79,17 @@
 func TestAgainstAList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const keep, most = 4 * time.Second, 2
-		table := Make(Bounds{6, most, keep})
+		table := NewTable(Bounds{6, most, keep})
 		var accepted []observation
-		forgottenAt := map[choice.DestinationID]view.Now{}
-		now := view.Now(0)
+		forgottenAt := map[choice.DestinationID]view.Uptime{}
+		now := view.Uptime(0)
 		t.Repeat(map[string]func(*rapid.T){
 			"take": func(t *rapid.T) {
 				n := drawObservation(t)
 				n.at = now - n.at
 				when, is := forgottenAt[n.sample.Destination]
 				is = is && n.at-n.sample.Span < when
-				if (table.Take(now, n.sampleAt(now)) == Forgotten) != (is && now-n.at <= keep) {
+				if (table.Add(now, n.sampleAt(now)) == Forgotten) != (is && now-n.at <= keep) {
 					t.Fatal("void or not", n, when)
 				}
 				if !is {
@@ -119,7 +119,7 @@
 	})
 }
 
-func referenceRead(accepted []observation, now view.Now, keep time.Duration, most int) (all []healthreport.Sample) {
+func referenceRead(accepted []observation, now view.Uptime, keep time.Duration, most int) (all []healthreport.Sample) {
 	newestFirst := slices.Clone(accepted)
 	slices.SortFunc(newestFirst, func(a, b observation) int {
 		if c := compareAge(&b, &a); c != 0 {
@@ -129,7 +129,7 @@
 	})
 	count, counted := map[healthreport.Locality]int{}, map[healthreport.Sample]bool{}
 	for _, n := range newestFirst {
-		source := healthreport.Sample{Locality: n.sample.Locality, Witness: n.sample.Witness}
+		source := healthreport.Sample{Locality: n.sample.Locality, Reporter: n.sample.Reporter}
 		if count[n.sample.Locality] < most && !counted[source] && now-n.at <= keep {
 			count[n.sample.Locality]++
 			counted[source] = true
@@ -141,26 +141,26 @@
 }
 
 func TestInvalidSamplesAndForgottenBound(t *testing.T) {
-	table := Make(Bounds{4, 1, time.Minute})
-	good := healthreport.Sample{Locality: healthreport.Locality{Destination: 1}, Witness: "a", Span: time.Second}
+	table := NewTable(Bounds{4, 1, time.Minute})
+	good := healthreport.Sample{Locality: healthreport.Locality{Destination: 1}, Reporter: "a", Span: time.Second}
 	for i, spoil := range []func(s *healthreport.Sample){
 		func(s *healthreport.Sample) { s.Failed = math.NaN() }, func(s *healthreport.Sample) { s.Limit = math.Inf(1) },
 		func(s *healthreport.Sample) { s.Sent = -1 }, func(s *healthreport.Sample) { s.Span = 0 },
 		func(s *healthreport.Sample) { s.Age = -1 },
-		func(s *healthreport.Sample) { s.Held = -1 }, func(s *healthreport.Sample) { s.Witness = "" }} {
+		func(s *healthreport.Sample) { s.Waiting = -1 }, func(s *healthreport.Sample) { s.Reporter = "" }} {
 		s := good
-		if spoil(&s); table.Take(end, s) != Invalid {
+		if spoil(&s); table.Add(end, s) != Invalid {
 			t.Error(i)
 		}
 	}
 	endless := good
-	if endless.Span = math.MaxInt64; table.Take(end, endless) != Outdated {
+	if endless.Span = math.MaxInt64; table.Add(end, endless) != Outdated {
 		t.Error("accepted a span that reaches back beyond Keep")
 	}
 	for d := choice.DestinationID(50); d > 0; d-- { // all at once, each lower than those before
 		table.Forget(end, d)
 	}
-	if len(table.forgottenAt) != 4 || table.Take(end, good) != Forgotten {
+	if len(table.forgottenAt) != 4 || table.Add(end, good) != Forgotten {
 		t.Fatal(table.forgottenAt)
 	}
 }
--- a/internal/cluster/failover/apply/apply_test.go
+++ b/internal/cluster/failover/apply/apply_test.go
@@ -23,14 +23,14 @@
 func withNear(epoch view.Epoch, near float64, shares ...plan.Share) *plan.Plan {
 	p := &plan.Plan{Epoch: epoch, Hold: hold, Regions: map[view.Zone]view.Region{"a": "A", "b": "A", "c": "C"}}
 	if near < 1 {
-		p.Routes = []plan.Route{{Destination: 1, From: "a", Phase: plan.Returning, Near: near, Shares: shares}}
+		p.Routes = []plan.Route{{Destination: 1, From: "a", Phase: plan.Returning, NearShare: near, Shares: shares}}
 	}
 	return p
 }
 
 func local() apply.Local {
 	return apply.Local{Zone: "a", Numbers: map[view.Zone]choice.ZoneNo{"a": 0, "b": 1, "c": 2},
-		Listed: map[choice.DestinationID][]choice.ZoneNo{1: {0, 1, 2, 7}, 2: {1, 2}, 3: {2}}, Ill: map[apply.At]bool{}}
+		Listed: map[choice.DestinationID][]choice.ZoneNo{1: {0, 1, 2, 7}, 2: {1, 2}, 3: {2}}, Failing: map[apply.Endpoints]bool{}}
 }
 
 // zones are those that a message may go to.
@@ -88,7 +88,7 @@
 
 func TestNoMessageIsStuck(t *testing.T) {
 	l := local()
-	l.Ill[apply.At{Destination: 1, Zone: 1}] = true
+	l.Failing[apply.Endpoints{Destination: 1, Zone: 1}] = true
 	g := apply.Compile(withNear(1, 0.5, plan.Share{Zone: "b", Fraction: 0.3}, plan.Share{Zone: "x", Fraction: 0.2}), l)
 	all, near := 0, 0
 	for i := range 1000 {
@@ -102,7 +102,7 @@
 	if all < 400 || near < 400 {
 		t.Errorf("%d free and %d near of 1000", all, near)
 	}
-	l.Ill[apply.At{Destination: 1, Zone: 0}] = true // near fails here and no plan has it yet
+	l.Failing[apply.Endpoints{Destination: 1, Zone: 0}] = true // near fails here and no plan has it yet
 	if got := zones(apply.Compile(withNear(1, 1), l), 1, 1); len(got) != 3 {
 		t.Errorf("held to what it sees fail: %v", got)
 	}
@@ -110,13 +110,13 @@
 
 func TestHolder(t *testing.T) {
 	var h apply.Holder
-	receive := func(now view.Now, in apply.Heard) {
+	receive := func(now view.Uptime, in apply.Announcement) {
 		t.Helper()
-		if _, err := h.Hear(now, in); err != nil {
+		if _, err := h.Receive(now, in); err != nil {
 			t.Fatal(err)
 		}
 	}
-	epoch := func(now view.Now, want view.Epoch) {
+	epoch := func(now view.Uptime, want view.Epoch) {
 		t.Helper()
 		got := view.Epoch(0)
 		if p, _ := h.Plan(now); p != nil {
@@ -126,24 +126,24 @@
 			t.Errorf("at %v: epoch %d counts, not %d", now, got, want)
 		}
 	}
-	receive(0, apply.Heard{Epoch: 5, Term: 2, Age: 4 * second, Plan: withNear(5, 1)})
-	receive(second, apply.Heard{Epoch: 4, Term: 2, Plan: withNear(4, 1)}) // after its successor
+	receive(0, apply.Announcement{Epoch: 5, Term: 2, Age: 4 * second, Plan: withNear(5, 1)})
+	receive(second, apply.Announcement{Epoch: 4, Term: 2, Plan: withNear(4, 1)}) // after its successor
 	epoch(5*second, 5)
 	epoch(6*second, 0) // 4 s old when it came
-	receive(5*second, apply.Heard{Epoch: 5, Term: 3})
-	receive(7*second, apply.Heard{Epoch: 5, Term: 2}) // a leader that was replaced
-	receive(8*second, apply.Heard{Epoch: 6, Term: 3}) // of what it never had
+	receive(5*second, apply.Announcement{Epoch: 5, Term: 3})
+	receive(7*second, apply.Announcement{Epoch: 5, Term: 2}) // a leader that was replaced
+	receive(8*second, apply.Announcement{Epoch: 6, Term: 3}) // of what it never had
 	epoch(14*second, 5)
 	epoch(15*second, 0)
-	receive(16*second, apply.Heard{Epoch: 6, Term: 3, Age: hold, Plan: withNear(6, 1)}) // too old
-	receive(16*second, apply.Heard{Epoch: 1, Term: 1, Plan: withNear(1, 1)})
+	receive(16*second, apply.Announcement{Epoch: 6, Term: 3, Age: hold, Plan: withNear(6, 1)}) // too old
+	receive(16*second, apply.Announcement{Epoch: 1, Term: 1, Plan: withNear(1, 1)})
 	epoch(16*second, 0)
-	receive(2*time.Minute, apply.Heard{Epoch: 1, Term: 1, Plan: withNear(1, 1)}) // a consensus group that starts anew
+	receive(2*time.Minute, apply.Announcement{Epoch: 1, Term: 1, Plan: withNear(1, 1)}) // a consensus group that starts anew
 	epoch(2*time.Minute, 1)
-	if _, err := h.Hear(2*time.Minute, apply.Heard{Epoch: 2, Plan: &plan.Plan{Epoch: 2}}); err == nil {
+	if _, err := h.Receive(2*time.Minute, apply.Announcement{Epoch: 2, Plan: &plan.Plan{Epoch: 2}}); err == nil {
 		t.Error("a plan that holds for nothing was taken")
 	}
-	if in, some := h.Tell(2*time.Minute+3*second, true); !some || in.Age != 3*second || in.Plan == nil {
+	if in, some := h.Announce(2*time.Minute+3*second, true); !some || in.Age != 3*second || in.Plan == nil {
 		t.Errorf("announced as %+v", in)
 	}
 }
--- a/internal/cluster/failover/apply/guide.go
+++ b/internal/cluster/failover/apply/guide.go
@@ -17,8 +17,8 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// At is a destination's endpoints in a zone, by the process's own number of the zone.
-type At struct {
+// Endpoints is a destination's endpoints in a zone, by the process's own number of the zone.
+type Endpoints struct {
 	Destination choice.DestinationID
 	Zone        choice.ZoneNo
 }
@@ -28,7 +28,7 @@
 	Zone    view.Zone
 	Numbers map[view.Zone]choice.ZoneNo              // its numbers of zones; other zones are outside the plan
 	Listed  map[choice.DestinationID][]choice.ZoneNo // where it lists endpoints
-	Ill     map[At]bool                              // endpoints that it sees fail by itself (weigh.Ill)
+	Failing map[Endpoints]bool                       // endpoints that it sees fail by itself (weigh.Ill)
 }
 
 // Guide answers for one plan and one list of endpoints. It is immutable.
@@ -74,9 +74,9 @@
 	return true
 }
 
-// Firm reports whether a route of the plan is in force for what this process sends to a destination. Where none is,
+// Planned reports whether a route of the plan is in force for what this process sends to a destination. Where none is,
 // Allowed keeps to the home; a sender that finds all of that ejected need not wait for a plan and may go anywhere.
-func (g *Guide) Firm(d choice.DestinationID) bool {
+func (g *Guide) Planned(d choice.DestinationID) bool {
 	r := g.rules[d]
 	return r != nil && r.planned
 }
@@ -139,7 +139,7 @@
 func compileRule(p *plan.Plan, l Local, d choice.DestinationID, listed, homeZones []choice.ZoneNo) *rule {
 	route, found := p.Find(d, l.Zone)
 	if !found || route.Phase == plan.Overloaded {
-		homeFailing := !slices.ContainsFunc(homeZones, func(z choice.ZoneNo) bool { return !l.Ill[At{d, z}] })
+		homeFailing := !slices.ContainsFunc(homeZones, func(z choice.ZoneNo) bool { return !l.Failing[Endpoints{d, z}] })
 		if homeFailing {
 			return nil // at this process alone: the plan does not know yet, or the process's link fails
 		}
@@ -150,7 +150,7 @@
 	case route.Phase == plan.Unrestricted:
 		return nil
 	}
-	r := &rule{nearShare: route.Near, planned: true, homeZones: homeZones}
+	r := &rule{nearShare: route.NearShare, planned: true, homeZones: homeZones}
 	if len(homeZones) == 0 {
 		r.homeZones = listed // none near here, though others of the zone list some: no message is to wait for it
 	}
@@ -158,7 +158,7 @@
 	if len(r.targets) > 0 {
 		return r
 	}
-	if route.Near >= 1 && len(homeZones) > 0 {
+	if route.NearShare >= 1 && len(homeZones) > 0 {
 		return &rule{nearShare: 1, planned: true, homeZones: homeZones}
 	}
 	return nil
@@ -181,7 +181,7 @@
 			upperBound = 1 // whatever rounding left
 		}
 		no, known := l.Numbers[s.Zone]
-		usable := known && slices.Contains(listed, no) && !l.Ill[At{route.Destination, no}]
+		usable := known && slices.Contains(listed, no) && !l.Failing[Endpoints{route.Destination, no}]
 		targets = append(targets, target{upperBound: upperBound, zone: no, unrestricted: !usable})
 	}
 	return targets
--- a/internal/cluster/failover/apply/holder.go
+++ b/internal/cluster/failover/apply/holder.go
@@ -11,8 +11,8 @@
 // disks starts anew at 1, and no message is in flight for so long, as none older than its hold is taken.
 const lowerEpochAfter = time.Minute
 
-// Heard is how a plan travels: its leader had it in force Age ago. Without the plan itself it is a renewal.
-type Heard struct {
+// Announcement is how a plan travels: its leader had it in force Age ago. Without the plan itself it is a renewal.
+type Announcement struct {
 	Epoch view.Epoch    `json:"epoch"`
 	Term  uint64        `json:"term"` // of the council's leader
 	Age   time.Duration `json:"age"`
@@ -24,13 +24,13 @@
 type Holder struct {
 	current     *plan.Plan
 	term        uint64
-	confirmedAt view.Now // when its leader last had it in force, on this clock
-	expiresAt   view.Now
+	confirmedAt view.Uptime // when its leader last had it in force, on this clock
+	expiresAt   view.Uptime
 }
 
-// Hear takes a received plan or renewal; changed reports whether another plan is in force now. A lower epoch, an
+// Receive takes a received plan or renewal; changed reports whether another plan is in force now. A lower epoch, an
 // earlier leader's term or a plan that is too old is ignored, in whatever order they arrive.
-func (h *Holder) Hear(now view.Now, in Heard) (changed bool, err error) {
+func (h *Holder) Receive(now view.Uptime, in Announcement) (changed bool, err error) {
 	if in.Age < 0 {
 		return false, nil
 	}
@@ -56,14 +56,14 @@
 	return true, nil
 }
 
-func (h *Holder) renew(now view.Now, in Heard) {
+func (h *Holder) renew(now view.Uptime, in Announcement) {
 	h.term = in.Term
 	h.confirmedAt = max(h.confirmedAt, now-in.Age)
 	h.expiresAt = max(h.expiresAt, now-in.Age+h.current.Hold)
 }
 
 // Plan returns the plan in force, and until when by this clock; nil if none is.
-func (h *Holder) Plan(now view.Now) (*plan.Plan, view.Now) {
+func (h *Holder) Plan(now view.Uptime) (*plan.Plan, view.Uptime) {
 	if h.current == nil || now >= h.expiresAt {
 		return nil, 0
 	}
@@ -78,13 +78,13 @@
 	return h.current.Epoch
 }
 
-// Tell returns what to pass on now; false if no plan is in force.
-func (h *Holder) Tell(now view.Now, withPlan bool) (Heard, bool) {
+// Announce returns what to pass on now; false if no plan is in force.
+func (h *Holder) Announce(now view.Uptime, withPlan bool) (Announcement, bool) {
 	p, _ := h.Plan(now)
 	if p == nil {
-		return Heard{}, false
+		return Announcement{}, false
 	}
-	out := Heard{Epoch: p.Epoch, Term: h.term, Age: now - h.confirmedAt}
+	out := Announcement{Epoch: p.Epoch, Term: h.term, Age: now - h.confirmedAt}
 	if withPlan {
 		out.Plan = p
 	}
--- a/internal/cluster/failover/plan/capacity.go
+++ b/internal/cluster/failover/plan/capacity.go
@@ -25,12 +25,12 @@
 type place struct {
 	weigh.PlaceHealth
 	bestRate, saturatedRate float64 // calls a second: the most done lately; done when it last rejected many
-	saturatedUntil          view.Now
-	seenAt                  view.Now
+	saturatedUntil          view.Uptime
+	seenAt                  view.Uptime
 }
 
 // capacity is in calls a second, all being well; false where nothing is known of it.
-func (p *place) capacity(s Settings, now view.Now) (float64, bool) {
+func (p *place) capacity(s Settings, now view.Uptime) (float64, bool) {
 	var capacity float64
 	switch {
 	case p.Limit > 0:
@@ -49,7 +49,7 @@
 }
 
 // update takes the newest health of the place; the best and the saturated rate outlast it.
-func (p *place) update(now view.Now, s weigh.PlaceHealth) {
+func (p *place) update(now view.Uptime, s weigh.PlaceHealth) {
 	p.bestRate *= decay(now-p.seenAt, bestHalfLife)
 	p.bestRate = max(p.bestRate, s.Done)
 	if sent := s.Done + s.Refused; s.Refused > saturatedRefusals*sent && s.Refused > 1 {
@@ -75,7 +75,7 @@
 type capacities map[healthreport.Locality]float64
 
 // spareCapacity is what each place can take beyond the demand of the zones whose home it is.
-func (p *Planner) spareCapacity(now view.Now) capacities {
+func (p *Planner) spareCapacity(now view.Uptime) capacities {
 	spare := capacities{}
 	for at, pl := range p.places {
 		capacity, known := pl.capacity(p.settings, now)
--- a/internal/cluster/failover/plan/capacity_limits_test.go
+++ b/internal/cluster/failover/plan/capacity_limits_test.go
@@ -19,9 +19,9 @@
 	zones := []view.Zone{"a1", "a2", "b1", "b2"}
 	regions := map[view.Zone]view.Region{"a1": "A", "a2": "A", "b1": "B", "b2": "B"}
 	rapid.Check(t, func(t *rapid.T) {
-		set := plan.Usual()
-		p, now, epoch := plan.New(set), view.Now(0), view.Epoch(0)
-		p.Members(regions)
+		set := plan.DefaultSettings()
+		p, now, epoch := plan.New(set), view.Uptime(0), view.Epoch(0)
+		p.SetRegions(regions)
 		rate, limit := map[view.Zone]float64{}, map[view.Zone]float64{}
 		failing := map[view.Zone]bool{}
 		for _, z := range zones {
@@ -29,12 +29,12 @@
 			limit[z] = rate[z] + float64(rapid.IntRange(0, 80).Draw(t, "spare"))
 		}
 		for range rapid.IntRange(5, 80).Draw(t, "steps") {
-			now += view.Now(rapid.IntRange(1, 30).Draw(t, "tenths")) * second / 10
+			now += view.Uptime(rapid.IntRange(1, 30).Draw(t, "tenths")) * second / 10
 			if rapid.IntRange(0, 9).Draw(t, "turn") == 0 {
 				z := rapid.SampledFrom(zones).Draw(t, "zone")
 				failing[z] = !failing[z]
 			}
-			p.Judged(now, placeHealth(zones, rate, limit, failing))
+			p.UpdateHealth(now, placeHealth(zones, rate, limit, failing))
 			next, found := p.Step(now)
 			if !found {
 				continue
@@ -47,7 +47,7 @@
 			}
 			if expectWithinCapacity(t, next, rate, limit, failing); rapid.Bool().Draw(t, "applied") {
 				epoch++
-				p.Applied(now, next)
+				p.PlanInForce(now, next)
 			}
 		}
 	})
@@ -56,7 +56,7 @@
 func expectWithinCapacity(t *rapid.T, next plan.Plan, rate, limit map[view.Zone]float64, failing map[view.Zone]bool) {
 	given, near := map[view.Zone]float64{}, maps.Clone(rate)
 	for _, r := range next.Routes {
-		near[r.From] = rate[r.From] * r.Near
+		near[r.From] = rate[r.From] * r.NearShare
 		for _, s := range r.Shares {
 			given[s.Zone] += s.Fraction * rate[r.From]
 		}
--- a/internal/cluster/failover/plan/capacity_test.go
+++ b/internal/cluster/failover/plan/capacity_test.go
@@ -26,12 +26,12 @@
 		_, bad := plannedFleet.reports(n, "zone-0")
 		var routes, size int
 		for b.Loop() {
-			p := plan.New(plan.Usual())
-			p.Members(regions)
-			p.Judged(0, weigh.Judge(well, weigh.Usual()))
+			p := plan.New(plan.DefaultSettings())
+			p.SetRegions(regions)
+			p.UpdateHealth(0, weigh.Judge(well, weigh.DefaultBounds()))
 			first, _ := p.Step(0)
-			p.Applied(0, first)
-			p.Judged(2*second, weigh.Judge(bad, weigh.Usual()))
+			p.PlanInForce(0, first)
+			p.UpdateHealth(2*second, weigh.Judge(bad, weigh.DefaultBounds()))
 			next, some := p.Step(2 * second)
 			if !some {
 				b.Fatal("no plan")
@@ -52,9 +52,9 @@
 func BenchmarkCapacityBoard(b *testing.B) {
 	bench.Sizes(b, "reports", []int{240, 2_400, 24_000}, func(b *testing.B, n int) {
 		_, reports := plannedFleet.reports(n/8, "")
-		var board *weigh.Board
+		var board *weigh.ReportTable
 		heap := bench.Heap(func() any {
-			board = weigh.NewBoard(weigh.Usual())
+			board = weigh.NewReportTable(weigh.DefaultBounds())
 			board.Put(0, reports)
 			return board
 		})
--- a/internal/cluster/failover/plan/demand.go
+++ b/internal/cluster/failover/plan/demand.go
@@ -18,12 +18,12 @@
 // demand is how many calls a second the clients of a zone hand in for a destination.
 type demand struct {
 	rate      float64
-	updatedAt view.Now
+	updatedAt view.Uptime
 }
 
 // updateDemands takes as a zone's demand what it sent and had answered, over all places of a destination: which of them
 // the calls went to does not matter.
-func (p *Planner) updateDemands(now view.Now, places []weigh.PlaceHealth) {
+func (p *Planner) updateDemands(now view.Uptime, places []weigh.PlaceHealth) {
 	answered, sent := map[routeKey]float64{}, map[routeKey]float64{}
 	for _, place := range places {
 		for _, seen := range place.ByZone {
@@ -46,7 +46,7 @@
 }
 
 // updateDemand follows a higher rate by a moving average, and lets a lower one decay.
-func (p *Planner) updateDemand(now view.Now, k routeKey, d *demand, answered float64) {
+func (p *Planner) updateDemand(now view.Uptime, k routeKey, d *demand, answered float64) {
 	if answered >= d.rate {
 		d.rate, d.updatedAt = d.rate+demandIncreaseWeight*(answered-d.rate), now
 		return
--- a/internal/cluster/failover/plan/fleet_test.go
+++ b/internal/cluster/failover/plan/fleet_test.go
@@ -16,7 +16,7 @@
 // capacity or fails. It plays half seconds: what was seen in one is judged, planned and in force in the next.
 type fleet struct {
 	t                    *testing.T
-	now                  view.Now
+	now                  view.Uptime
 	regions              map[view.Zone]view.Region
 	zones                []view.Zone
 	destinations         []choice.DestinationID
@@ -26,10 +26,10 @@
 	silentZones          map[view.Zone]bool    // whose reports do not arrive
 	limitsKnown          bool                  // endpoints report their limit
 	reports              map[view.Zone][]healthreport.Sample
-	board                *weigh.Board
+	board                *weigh.ReportTable
 	planner              *plan.Planner
 	inForce              plan.InForce
-	planChanges          []view.Now
+	planChanges          []view.Uptime
 	overloadedFor        map[healthreport.Locality]time.Duration // for how long over 1.1 of its capacity because of diverted calls
 	leftZone, totalCalls float64                                 // calls of the last half second
 	decideNothing        bool                                    // no plan is made
@@ -42,7 +42,7 @@
 		zones: []view.Zone{"a1", "a2", "b1", "b2"}, destinations: []choice.DestinationID{1, 2, 3}, limitsKnown: true,
 		rate: map[view.Zone]float64{}, capacity: map[view.Zone]float64{}, working: map[view.Zone]float64{},
 		brokenLinks: map[[2]view.Zone]bool{}, silentZones: map[view.Zone]bool{}, reports: map[view.Zone][]healthreport.Sample{},
-		overloadedFor: map[healthreport.Locality]time.Duration{}, board: weigh.NewBoard(weigh.Usual()), planner: plan.New(plan.Usual())}
+		overloadedFor: map[healthreport.Locality]time.Duration{}, board: weigh.NewReportTable(weigh.DefaultBounds()), planner: plan.New(plan.DefaultSettings())}
 	for _, z := range f.zones {
 		f.rate[z], f.capacity[z] = 60, 100
 	}
@@ -66,7 +66,7 @@
 	case r.Phase == plan.Unrestricted:
 		return map[view.Zone]float64{from: 0.5, "a2": 0.25, "b1": 0.25}
 	}
-	to := map[view.Zone]float64{from: r.Near}
+	to := map[view.Zone]float64{from: r.NearShare}
 	for _, s := range r.Shares {
 		to[s.Zone] += s.Fraction
 	}
@@ -80,15 +80,15 @@
 	f.countOverloads(load, diverted)
 	for _, from := range f.zones {
 		f.updateReports(from, load)
-		if reports := weigh.Zonal(from, f.reports[from], weigh.Usual()); !f.silentZones[from] {
+		if reports := weigh.SummarizeZone(from, f.reports[from], weigh.DefaultBounds()); !f.silentZones[from] {
 			f.board.Put(f.now, reports)
 		}
 	}
 	if f.decideNothing {
 		return
 	}
-	f.planner.Members(f.regions)
-	f.planner.Judged(f.now, weigh.Judge(f.board.Fresh(f.now), weigh.Usual()))
+	f.planner.SetRegions(f.regions)
+	f.planner.UpdateHealth(f.now, weigh.Judge(f.board.Fresh(f.now), weigh.DefaultBounds()))
 	if next, found := f.planner.Step(f.now); found {
 		f.decide(next)
 	}
@@ -127,7 +127,7 @@
 	if _, err := f.inForce.Apply(1, f.now, plan.Kind, body); err != nil {
 		f.t.Fatal(err)
 	}
-	f.planner.Applied(f.now, f.inForce.Plan())
+	f.planner.PlanInForce(f.now, f.inForce.Plan())
 	if next.Epoch > 1 {
 		f.planChanges = append(f.planChanges, f.now)
 	}
@@ -146,17 +146,17 @@
 		for _, z := range f.zones {
 			at := healthreport.Locality{Destination: d, Zone: z}
 			for w := range 2 {
-				s := healthreport.Sample{Locality: at, Witness: view.Name(fmt.Sprint(from, "-", w)), From: from, Span: halfSecond, Endpoints: 2}
+				s := healthreport.Sample{Locality: at, Reporter: view.Name(fmt.Sprint(from, "-", w)), ReporterZone: from, Span: halfSecond, Endpoints: 2}
 				if f.limitsKnown {
 					s.Limit = f.capacity[z]
 				}
 				s.Sent = f.rate[from] * to[z] * halfSecond.Seconds() / 2
 				capacity := f.capacity[z] * f.workingFraction(z)
 				if capacity == 0 || f.brokenLinks[[2]view.Zone{from, z}] {
-					s.Failed, s.Silent = s.Sent, s.Sent
+					s.Failed, s.Unanswered = s.Sent, s.Sent
 				} else {
 					s.Done = s.Sent * min(1, capacity/max(1e-9, load[at]))
-					s.Refused = s.Sent - s.Done
+					s.Rejected = s.Sent - s.Done
 				}
 				all = append(all, s)
 			}
--- a/internal/cluster/failover/plan/planner.go
+++ b/internal/cluster/failover/plan/planner.go
@@ -25,18 +25,18 @@
 	listedZones      map[choice.DestinationID][]view.Zone
 	tiers            map[routeKey]zoneTiers
 	indexStale       bool // places or zones changed since listedZones and tiers were made
-	indexedAt        view.Now
+	indexedAt        view.Uptime
 	demands          map[routeKey]*demand
 	homeDemand       map[healthreport.Locality]float64 // calls a second of the zones whose home it is
 	routes           map[routeKey]*routeState
-	lastFailing      map[routeKey]view.Now
-	assessedAt       view.Now
-	lastStepAt       view.Now      // when returns last took a step
+	lastFailing      map[routeKey]view.Uptime
+	assessedAt       view.Uptime
+	lastStepAt       view.Uptime   // when returns last took a step
 	healthyLinks     map[link]bool // two places or more are healthy and none fails
 	inForce          Plan
 	pending          *Plan
 	pendingRevisions map[routeKey]int // of the routes in pending
-	plannedAt        view.Now
+	plannedAt        view.Uptime
 	regionsChanged   bool // regions differ from those of the plan in force
 }
 
@@ -51,7 +51,7 @@
 		demands:     map[routeKey]*demand{},
 		homeDemand:  map[healthreport.Locality]float64{},
 		routes:      map[routeKey]*routeState{},
-		lastFailing: map[routeKey]view.Now{},
+		lastFailing: map[routeKey]view.Uptime{},
 		assessedAt:  neverAt,
 		plannedAt:   neverAt,
 		lastStepAt:  neverAt,
@@ -61,8 +61,8 @@
 // Epoch returns the epoch of the plan in force, as far as the planner knows it.
 func (p *Planner) Epoch() view.Epoch { return p.inForce.Epoch }
 
-// Members sets which zones there are. A zone that has gone stays known: its endpoints may still be there.
-func (p *Planner) Members(regions map[view.Zone]view.Region) {
+// SetRegions sets which zones there are. A zone that has gone stays known: its endpoints may still be there.
+func (p *Planner) SetRegions(regions map[view.Zone]view.Region) {
 	for z, r := range regions {
 		if old, known := p.regions[z]; (!known || old != r) && (known || len(p.regions) < maxZones) {
 			p.regions[z], p.regionsChanged, p.indexStale = r, true, true
@@ -70,8 +70,8 @@
 	}
 }
 
-// Judged takes the current health of all places.
-func (p *Planner) Judged(now view.Now, places []weigh.PlaceHealth) {
+// UpdateHealth takes the current health of all places.
+func (p *Planner) UpdateHealth(now view.Uptime, places []weigh.PlaceHealth) {
 	p.assessedAt = now
 	for _, s := range places {
 		pl := p.places[s.Locality]
@@ -116,8 +116,8 @@
 	return healthy
 }
 
-// Applied takes the plan in force, of this planner or of another before it.
-func (p *Planner) Applied(now view.Now, in Plan) {
+// PlanInForce takes the plan in force, of this planner or of another before it.
+func (p *Planner) PlanInForce(now view.Uptime, in Plan) {
 	if in.Epoch < p.inForce.Epoch {
 		return
 	}
@@ -134,7 +134,7 @@
 }
 
 // takePublished notes for each route what the plan in force has of it; ours if it is the pending plan of this planner.
-func (p *Planner) takePublished(now view.Now, in Plan, ours bool) {
+func (p *Planner) takePublished(now view.Uptime, in Plan, ours bool) {
 	for k, r := range p.routes {
 		if _, found := in.Find(k.destination, k.from); !found {
 			r.published, r.publishedRevision = Route{}, p.pendingRevisions[k]
@@ -155,16 +155,16 @@
 }
 
 // resumeRoute takes over a route that another planner made: its diversions count as of now.
-func (p *Planner) resumeRoute(now view.Now, published Route) *routeState {
+func (p *Planner) resumeRoute(now view.Uptime, published Route) *routeState {
 	p.assumeHomeListed(now, published)
 	r := newRouteState()
-	r.phase, r.nearShare, r.outage = published.Phase, published.Near, published.Outage
+	r.phase, r.nearShare, r.outage = published.Phase, published.NearShare, published.Outage
 	r.step = min(max(0, published.Step), len(p.settings.Steps)-1)
 	switch published.Phase { // Near may include what there was no capacity for
-	case Away, Unrestricted:
-		r.phase, r.nearShare = Away, min(published.Near, p.settings.MaxTrialShare)
+	case Diverted, Unrestricted:
+		r.phase, r.nearShare = Diverted, min(published.NearShare, p.settings.MaxTrialShare)
 	case Returning:
-		r.nearShare = min(published.Near, p.settings.Steps[r.step])
+		r.nearShare = min(published.NearShare, p.settings.Steps[r.step])
 	}
 	r.failingSince, r.turnedAt, r.steppedAt = now-published.Outage, now, now
 	for range min(published.Diversions, maxDiversions) {
@@ -175,8 +175,8 @@
 
 // assumeHomeListed takes the home zones of a route as listed: those that report on them may be gone, and another zone
 // must not be taken for the home because of that.
-func (p *Planner) assumeHomeListed(now view.Now, published Route) {
-	home := published.Home
+func (p *Planner) assumeHomeListed(now view.Uptime, published Route) {
+	home := published.HomeZones
 	if len(home) == 0 {
 		home = []view.Zone{published.From}
 	}
@@ -191,7 +191,7 @@
 
 // Step moves all routes on and returns the next plan if one is worth making. The caller proposes it and reports the
 // outcome by Applied; until then, for a while, Step makes no other.
-func (p *Planner) Step(now view.Now) (Plan, bool) {
+func (p *Planner) Step(now view.Uptime) (Plan, bool) {
 	p.advanceRoutes(now)
 	sinceLast := now - p.plannedAt
 	if p.pending != nil && sinceLast < pendingTimeout || sinceLast < p.settings.MinPlanInterval || len(p.regions) == 0 {
@@ -215,7 +215,7 @@
 }
 
 // advanceRoutes moves on, in order, all routes that have demand or are not steady.
-func (p *Planner) advanceRoutes(now view.Now) {
+func (p *Planner) advanceRoutes(now view.Uptime) {
 	keys := slices.Collect(maps.Keys(p.routes))
 	for k := range p.demands {
 		if p.routes[k] == nil {
@@ -247,7 +247,7 @@
 }
 
 // forgetIfSettled drops a route that is steady again once its diversions no longer count.
-func (p *Planner) forgetIfSettled(now view.Now, k routeKey, r *routeState) {
+func (p *Planner) forgetIfSettled(now view.Uptime, k routeKey, r *routeState) {
 	settled := r.phase == steady && r.published.Phase == steady && r.overloadedSince == neverAt
 	if settled && now-r.turnedAt > p.settings.DiversionMemory {
 		delete(p.routes, k)
--- a/internal/cluster/failover/plan/planner_test.go
+++ b/internal/cluster/failover/plan/planner_test.go
@@ -192,8 +192,8 @@
 	f.working["a1"] = 0
 	f.until("moved", 2*second, f.awayFrom("a1"))
 	f.now += time.Hour // its clock is another, and so it sees nothing from before
-	f.planner = plan.New(plan.Usual())
-	f.planner.Applied(f.now, f.inForce.Plan())
+	f.planner = plan.New(plan.DefaultSettings())
+	f.planner.PlanInForce(f.now, f.inForce.Plan())
 	n := len(f.planChanges)
 	f.run(8 * second)
 	if f.maxShare("a1", "a1") > 0.5 || len(f.planChanges) > n+1 {
@@ -214,7 +214,7 @@
 	if _, err := f.Apply(2, 0, plan.Kind, must(encode(p))); !errors.As(err, &stale) || stale.InForce != 1 {
 		t.Errorf("the same epoch twice: %v", err)
 	}
-	bad := plan.Plan{Epoch: 2, Hold: second, Routes: []plan.Route{{Phase: plan.Away, Near: 0.5}}}
+	bad := plan.Plan{Epoch: 2, Hold: second, Routes: []plan.Route{{Phase: plan.Diverted, NearShare: 0.5}}}
 	if _, err := f.Apply(3, 0, plan.Kind, must(encode(bad))); err == nil || f.Plan().Epoch != 1 {
 		t.Errorf("shares that add up to a half: %v", err)
 	}
@@ -231,7 +231,7 @@
 // on from that.
 func TestTwoPlannersOneHistory(t *testing.T) {
 	f := newFleet(t)
-	other := plan.New(plan.Usual())
+	other := plan.New(plan.DefaultSettings())
 	decided := map[view.Epoch]int{}
 	for i := range 60 {
 		if f.working["a1"] = 1; i > 20 {
@@ -239,10 +239,10 @@
 		}
 		f.decideNothing = true
 		f.step()
-		all := weigh.Judge(f.board.Fresh(f.now), weigh.Usual())
+		all := weigh.Judge(f.board.Fresh(f.now), weigh.DefaultBounds())
 		for _, p := range []*plan.Planner{f.planner, other} {
-			p.Members(f.regions)
-			p.Judged(f.now, all)
+			p.SetRegions(f.regions)
+			p.UpdateHealth(f.now, all)
 			next, some := p.Step(f.now)
 			if !some {
 				continue
@@ -252,7 +252,7 @@
 			} else if stale := (*plan.StaleEpochError)(nil); !errors.As(err, &stale) {
 				t.Fatal(err)
 			}
-			p.Applied(f.now, f.inForce.Plan())
+			p.PlanInForce(f.now, f.inForce.Plan())
 		}
 	}
 	for e := view.Epoch(1); e <= f.inForce.Plan().Epoch; e++ {
@@ -277,9 +277,9 @@
 	for _, from := range f.zones {
 		f.reports[from] = nil
 	}
-	f.board = weigh.NewBoard(weigh.Usual())
-	f.planner = plan.New(plan.Usual())
-	f.planner.Applied(f.now, f.inForce.Plan())
+	f.board = weigh.NewReportTable(weigh.DefaultBounds())
+	f.planner = plan.New(plan.DefaultSettings())
+	f.planner.PlanInForce(f.now, f.inForce.Plan())
 	f.until("the second moved", 3*second, func() bool { return f.maxShare("b1", "a2")+f.maxShare("b1", "b2") > 0.2 })
 	f.run(6 * second)
 	if !f.awayFrom("a1")() {
--- a/internal/cluster/failover/plan/route.go
+++ b/internal/cluster/failover/plan/route.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	neverAt             = view.Now(math.MinInt64 / 4)
+	neverAt             = view.Uptime(math.MinInt64 / 4)
 	maxDiversions       = 8                       // remembered; the return delay is at its longest by then
 	overloadPersistence = 1500 * time.Millisecond // how long near is overloaded or degraded before anything moves
 	maxShareIncrease    = 0.25                    // the most that near takes back at once after an overload
@@ -19,22 +19,22 @@
 // routeState is where one zone's messages to one destination stand.
 type routeState struct {
 	phase      Phase
-	step       int        // of a return
-	nearShare  float64    // that is to go near in this phase
-	diversions []view.Now // times at which the near share was reduced
+	step       int           // of a return
+	nearShare  float64       // that is to go near in this phase
+	diversions []view.Uptime // times at which the near share was reduced
 
-	turnedAt, steppedAt view.Now // last diversion or begin of a return; last step
-	failingSince        view.Now // these are neverAt if they don't apply
-	healthySince        view.Now // without a break
-	lastHealthyAt       view.Now
-	warmingSince        view.Now
-	overloadedSince     view.Now
+	turnedAt, steppedAt view.Uptime // last diversion or begin of a return; last step
+	failingSince        view.Uptime // these are neverAt if they don't apply
+	healthySince        view.Uptime // without a break
+	lastHealthyAt       view.Uptime
+	warmingSince        view.Uptime
+	overloadedSince     view.Uptime
 	outage              time.Duration // how long the last one lasted
 
-	revision          int      // counts changes of phase and near share
-	published         Route    // in the plan in force
-	publishedRevision int      // that published was made from
-	publishedAt       view.Now // when it was last seen in force
+	revision          int         // counts changes of phase and near share
+	published         Route       // in the plan in force
+	publishedRevision int         // that published was made from
+	publishedAt       view.Uptime // when it was last seen in force
 }
 
 func newRouteState() *routeState {
@@ -44,8 +44,8 @@
 
 // returnDelay is how long near must be healthy before a return: a fraction of the outage's length, doubled for each
 // recent diversion but the last.
-func (r *routeState) returnDelay(s Settings, now view.Now) time.Duration {
-	r.diversions = slices.DeleteFunc(r.diversions, func(t view.Now) bool { return now-t > s.DiversionMemory })
+func (r *routeState) returnDelay(s Settings, now view.Uptime) time.Duration {
+	r.diversions = slices.DeleteFunc(r.diversions, func(t view.Uptime) bool { return now-t > s.DiversionMemory })
 	delay := max(s.MinReturnDelay, min(s.MaxOutageDelay, time.Duration(s.OutageFraction*float64(r.outage))))
 	for range max(0, len(r.diversions)-1) {
 		delay = min(2*delay, s.MaxReturnDelay)
@@ -57,7 +57,7 @@
 	r.phase, r.nearShare, r.revision = phase, near, r.revision+1
 }
 
-func (r *routeState) recordDiversion(now view.Now) {
+func (r *routeState) recordDiversion(now view.Uptime) {
 	r.turnedAt = now
 	if len(r.diversions) < maxDiversions {
 		r.diversions = append(r.diversions, now)
@@ -65,7 +65,7 @@
 }
 
 // observe takes the state that near is seen in; Unknown changes nothing.
-func (r *routeState) observe(now view.Now, state weigh.State) {
+func (r *routeState) observe(now view.Uptime, state weigh.State) {
 	switch state {
 	case weigh.Healthy:
 		if r.healthySince == neverAt {
@@ -81,7 +81,7 @@
 }
 
 // advanceRoute moves a route on by the state that its home is seen in.
-func (p *Planner) advanceRoute(now view.Now, k routeKey, r *routeState, home []view.Zone) {
+func (p *Planner) advanceRoute(now view.Uptime, k routeKey, r *routeState, home []view.Zone) {
 	state := p.homeState(k, home)
 	r.observe(now, state)
 	switch r.phase {
@@ -93,7 +93,7 @@
 		if state != weigh.Failing {
 			p.adjustToCapacity(now, k, r, home)
 		}
-	case Away:
+	case Diverted:
 		p.beginReturn(now, k, r, home, state)
 	case Returning:
 		p.continueReturn(now, k, r, home, state)
@@ -104,7 +104,7 @@
 }
 
 // beginReturn takes the first step of a return once near was healthy for the delay, or was not seen at all for long.
-func (p *Planner) beginReturn(now view.Now, k routeKey, r *routeState, home []view.Zone, state weigh.State) {
+func (p *Planner) beginReturn(now view.Uptime, k routeKey, r *routeState, home []view.Zone, state weigh.State) {
 	delay := r.returnDelay(p.settings, now)
 	healthy := r.healthySince != neverAt && now-r.healthySince >= delay
 	unseen := r.healthySince == neverAt && state == weigh.Unknown &&
@@ -121,14 +121,14 @@
 }
 
 // divert sends all but trials away from near.
-func (r *routeState) divert(now view.Now, trialShare float64) {
+func (r *routeState) divert(now view.Uptime, trialShare float64) {
 	r.recordDiversion(now)
 	r.failingSince, r.healthySince = now, neverAt
-	r.setPhase(Away, trialShare)
+	r.setPhase(Diverted, trialShare)
 }
 
 // continueReturn takes the next step of a return once the last went well for StepDuration, or diverts the route again.
-func (p *Planner) continueReturn(now view.Now, k routeKey, r *routeState, home []view.Zone, state weigh.State) {
+func (p *Planner) continueReturn(now view.Uptime, k routeKey, r *routeState, home []view.Zone, state weigh.State) {
 	switch {
 	case state == weigh.Failing && now-r.turnedAt >= p.settings.MinReturnDelay,
 		state == weigh.Degraded && now-max(r.lastHealthyAt, r.steppedAt) > 2*p.settings.StepDuration:
@@ -155,7 +155,7 @@
 
 // stepShare is the near share of a step, limited to what endpoints in slow start can take from all senders together.
 // Half of the margin up to the load that makes them fail is kept free.
-func (p *Planner) stepShare(now view.Now, k routeKey, r *routeState, home []view.Zone) float64 {
+func (p *Planner) stepShare(now view.Uptime, k routeKey, r *routeState, home []view.Zone) float64 {
 	share := p.settings.Steps[r.step]
 	capacity, demand := 0.0, 0.0
 	for _, z := range home {
@@ -172,11 +172,11 @@
 	if demand <= 0 {
 		return share
 	}
-	return min(share, capacity*p.warmedFraction(now, r)*min(1, p.settings.FallMultiple/2)/demand)
+	return min(share, capacity*p.warmedFraction(now, r)*min(1, p.settings.OverloadMultiple/2)/demand)
 }
 
 // warmedFraction is the part of its capacity that near has by now in its slow start.
-func (p *Planner) warmedFraction(now view.Now, r *routeState) float64 {
+func (p *Planner) warmedFraction(now view.Uptime, r *routeState) float64 {
 	s := p.settings
 	if s.SlowStart <= 0 || r.warmingSince == neverAt {
 		return 1
@@ -186,7 +186,7 @@
 
 // returnsMayStep makes all returns take their steps at the same moments, so that a returning zone with a hundred
 // destinations makes one plan for each step and not one for each destination.
-func (p *Planner) returnsMayStep(now view.Now) bool {
+func (p *Planner) returnsMayStep(now view.Uptime) bool {
 	return now == p.lastStepAt || now-p.lastStepAt >= p.settings.StepDuration
 }
 
@@ -219,7 +219,7 @@
 }
 
 // adjustToCapacity diverts what near lacks capacity for once that has lasted a while, and takes it back step by step.
-func (p *Planner) adjustToCapacity(now view.Now, k routeKey, r *routeState, home []view.Zone) {
+func (p *Planner) adjustToCapacity(now view.Uptime, k routeKey, r *routeState, home []view.Zone) {
 	wanted := p.capacityShare(now, k, home)
 	if wanted > 1-p.settings.MinShareChange {
 		wanted = 1
@@ -249,7 +249,7 @@
 
 // capacityShare is the share of the demand that near has capacity for, where it is seen to be degraded or saturated;
 // otherwise 1.
-func (p *Planner) capacityShare(now view.Now, k routeKey, home []view.Zone) float64 {
+func (p *Planner) capacityShare(now view.Uptime, k routeKey, home []view.Zone) float64 {
 	capacity, demand, limited := 0.0, 0.0, false
 	for _, z := range home {
 		pl := p.places[k.placeIn(z)]
--- a/internal/cluster/failover/plan/settings.go
+++ b/internal/cluster/failover/plan/settings.go
@@ -26,15 +26,15 @@
 	RatingIsRate          bool          // the list's ratings are calls a second
 	SlowStartFrom         float64       // slow start: the fraction of its capacity that an endpoint has at first
 	SlowStart             time.Duration // slow start: until it has all of it
-	FallMultiple          float64       // multiple of its capacity that makes an endpoint fail
+	OverloadMultiple      float64       // multiple of its capacity that makes an endpoint fail
 }
 
-// Usual returns the values in use; those of the service (slow start, FallMultiple, RatingIsRate) are for the caller to
+// DefaultSettings returns the values in use; those of the service (slow start, FallMultiple, RatingIsRate) are for the caller to
 // set.
-func Usual() Settings {
+func DefaultSettings() Settings {
 	return Settings{Hold: 10 * time.Second, Steps: []float64{0.05, 0.15, 0.4, 1}, StepDuration: 1500 * time.Millisecond,
 		MinReturnDelay: 3 * time.Second, MaxOutageDelay: 6 * time.Second, MaxReturnDelay: time.Minute, OutageFraction: 0.25,
 		DiversionMemory: 2 * time.Minute, UnseenReturnAfter: 12 * time.Second, TrialRate: 2, MinTrialShare: 0.01, MaxTrialShare: 0.05,
 		MinShareChange: 0.1, MinPlanInterval: time.Second, MinSharesOnlyInterval: 4 * time.Second,
-		CapacityFraction: 0.95, ObservedMultiple: 2, SlowStartFrom: 0.2, SlowStart: 10 * time.Second, FallMultiple: 2}
+		CapacityFraction: 0.95, ObservedMultiple: 2, SlowStartFrom: 0.2, SlowStart: 10 * time.Second, OverloadMultiple: 2}
 }
--- a/internal/cluster/failover/plan/share.go
+++ b/internal/cluster/failover/plan/share.go
@@ -20,7 +20,7 @@
 
 // shareOut makes the routes of the next plan. Routes in force are kept unchanged while they fit, so that a varying
 // rate makes no plan. changed reports whether some are new or gone, and urgent whether more than shares changed.
-func (p *Planner) shareOut(now view.Now) (routes []Route, changed, urgent bool) {
+func (p *Planner) shareOut(now view.Uptime) (routes []Route, changed, urgent bool) {
 	if !p.anyRouteActive() {
 		return nil, false, false
 	}
@@ -53,7 +53,7 @@
 	routes := make([]Route, len(keys))
 	for i, k := range keys {
 		r := p.routes[k]
-		routes[i] = Route{Destination: k.destination, From: k.from, Phase: r.phase, Near: r.nearShare,
+		routes[i] = Route{Destination: k.destination, From: k.from, Phase: r.phase, NearShare: r.nearShare,
 			Diversions: len(r.diversions), Outage: r.outage}
 		if r.phase == Returning {
 			routes[i].Step = r.step
@@ -89,7 +89,7 @@
 }
 
 // reusableRoutes returns which routes in force stay as they are, and which are to be assigned anew.
-func (p *Planner) reusableRoutes(now view.Now, keys []routeKey, spare capacities) (reused map[routeKey]bool, reassigned []routeKey) {
+func (p *Planner) reusableRoutes(now view.Uptime, keys []routeKey, spare capacities) (reused map[routeKey]bool, reassigned []routeKey) {
 	reused = map[routeKey]bool{}
 	used := map[healthreport.Locality]float64{}
 	for _, k := range keys {
@@ -131,11 +131,11 @@
 
 // stillFits reports whether a route in force can stay: no receiver fails, and nothing that had to stay near could go
 // now.
-func (p *Planner) stillFits(now view.Now, k routeKey, r *routeState, spare capacities) bool {
+func (p *Planner) stillFits(now view.Uptime, k routeKey, r *routeState, spare capacities) bool {
 	if p.sendsToFailing(k, r.published) {
 		return false
 	}
-	stays := r.published.Near - r.nearShare
+	stays := r.published.NearShare - r.nearShare
 	if r.published.Phase == Unrestricted {
 		stays = 1
 	}
@@ -149,7 +149,7 @@
 			available += spare[k.placeIn(z)]
 		}
 	}
-	movable := available >= (1-r.published.Near+p.settings.MinShareChange)*rate
+	movable := available >= (1-r.published.NearShare+p.settings.MinShareChange)*rate
 	return !movable || r.published.Phase == Unrestricted && available == 0
 }
 
@@ -168,7 +168,7 @@
 
 // fillTier assigns what is still to go to the zones of a tier, in proportion to their spare capacity.
 func (p *Planner) fillTier(k routeKey, r *Route, zones []view.Zone, spare capacities) {
-	remaining, available := 1-r.Near, 0.0
+	remaining, available := 1-r.NearShare, 0.0
 	for _, s := range r.Shares {
 		remaining -= s.Fraction
 	}
@@ -194,24 +194,24 @@
 // take anything, nothing moves and all is as without a plan.
 func (p *Planner) assignRemainder(k routeKey, r *Route) {
 	if home := p.tiersFor(k).home; !slices.Equal(home, []view.Zone{k.from}) {
-		r.Home = home
+		r.HomeZones = home
 	}
 	moved := 0.0
 	for _, s := range r.Shares {
 		moved += s.Fraction
 	}
-	if moved == 0 && r.Phase == Away {
+	if moved == 0 && r.Phase == Diverted {
 		others := p.tiersFor(k).others
 		if !slices.ContainsFunc(slices.Concat(others[0], others[1]), func(z view.Zone) bool { return p.usable(k, z) }) {
 			r.Phase = Unrestricted
 		}
 	}
-	r.Near = math.Round((1-moved)*1e4) / 1e4
+	r.NearShare = math.Round((1-moved)*1e4) / 1e4
 }
 
 // sameEffect reports whether two routes send messages alike.
 func sameEffect(a, b Route) bool {
-	return a.Phase == b.Phase && a.Near == b.Near && a.Step == b.Step && slices.Equal(a.Shares, b.Shares)
+	return a.Phase == b.Phase && a.NearShare == b.NearShare && a.Step == b.Step && slices.Equal(a.Shares, b.Shares)
 }
 
 // trimToLimits drops routes with the fewest calls until the plan is small enough to be proposed. Messages of dropped
--- a/internal/cluster/failover/plan/size_test.go
+++ b/internal/cluster/failover/plan/size_test.go
@@ -16,13 +16,13 @@
 // A plan that is too large for a command of the consensus group is cut, and the routes with most calls stay.
 func TestLargePlanIsTrimmed(t *testing.T) {
 	regions, reports := largeFleet.reports(1900, "")
-	p := plan.New(plan.Usual())
-	p.Members(regions)
-	p.Judged(0, weigh.Judge(reports, weigh.Usual()))
+	p := plan.New(plan.DefaultSettings())
+	p.SetRegions(regions)
+	p.UpdateHealth(0, weigh.Judge(reports, weigh.DefaultBounds()))
 	first, _ := p.Step(0)
-	p.Applied(0, first)
+	p.PlanInForce(0, first)
 	_, reports = largeFleet.reports(1900, "z00")
-	p.Judged(2*second, weigh.Judge(reports, weigh.Usual()))
+	p.UpdateHealth(2*second, weigh.Judge(reports, weigh.DefaultBounds()))
 	next, some := p.Step(2 * second)
 	if !some || len(next.Routes) < 1000 || next.EncodedSize() > 256<<10 || next.Check() != nil {
 		t.Errorf("%d routes in %d bytes, %v", len(next.Routes), next.EncodedSize(), next.Check())
@@ -33,18 +33,18 @@
 func BenchmarkTurn(b *testing.B) {
 	regions, well := largeFleet.reports(1000, "")
 	_, bad := largeFleet.reports(1000, "z00")
-	p := plan.New(plan.Usual())
-	p.Members(regions)
-	now := view.Now(0)
+	p := plan.New(plan.DefaultSettings())
+	p.SetRegions(regions)
+	now := view.Uptime(0)
 	for i := 0; b.Loop(); i++ {
 		reports := well
 		if i%40 > 20 {
 			reports = bad
 		}
 		now += second / 2
-		p.Judged(now, weigh.Judge(reports, weigh.Usual()))
+		p.UpdateHealth(now, weigh.Judge(reports, weigh.DefaultBounds()))
 		if next, some := p.Step(now); some {
-			p.Applied(now, next)
+			p.PlanInForce(now, next)
 		}
 	}
 }
--- a/internal/cluster/failover/plan/sparse_fleet_test.go
+++ b/internal/cluster/failover/plan/sparse_fleet_test.go
@@ -19,14 +19,14 @@
 // A sender that saw two calls fail stops sending near unless the plan makes it, as package choice does.
 type sparseFleet struct {
 	random      *rand.Rand
-	now         view.Now
+	now         view.Uptime
 	failing     map[view.Zone]bool
 	lastReports map[healthreport.Locality]map[view.Name]healthreport.Sample
 	ejected     map[healthreport.Locality]map[view.Name]bool
-	board       *weigh.Board
+	board       *weigh.ReportTable
 	planner     *plan.Planner
 	plan        plan.Plan
-	planChanges []view.Now
+	planChanges []view.Uptime
 	nearShare   float64 // share of a1's calls that went near in the last half second
 	leftZone    float64 // of all zones' calls, those that left their zone since the start
 	totalCalls  float64
@@ -70,16 +70,16 @@
 				}
 			}
 		}
-		s.board.Put(s.now, weigh.Zonal(from, rows, weigh.Usual()))
+		s.board.Put(s.now, weigh.SummarizeZone(from, rows, weigh.DefaultBounds()))
 		if from == "a1" {
 			s.nearShare = near / max(1, all)
 		}
 	}
 	s.leftZone, s.totalCalls = s.leftZone+all-near, s.totalCalls+all
-	s.planner.Judged(s.now, weigh.Judge(s.board.Fresh(s.now), weigh.Usual()))
+	s.planner.UpdateHealth(s.now, weigh.Judge(s.board.Fresh(s.now), weigh.DefaultBounds()))
 	if next, some := s.planner.Step(s.now); some {
 		s.plan = next
-		s.planner.Applied(s.now, next)
+		s.planner.PlanInForce(s.now, next)
 		s.planChanges = append(s.planChanges, s.now)
 	}
 }
@@ -89,7 +89,7 @@
 	shares = map[view.Zone]float64{from: 1}
 	r, found := s.plan.Find(d, from)
 	if found && r.Phase != plan.Unrestricted {
-		shares[from] = r.Near
+		shares[from] = r.NearShare
 		for _, share := range r.Shares {
 			shares[share.Zone] = share.Fraction
 		}
@@ -113,7 +113,7 @@
 	if s.lastReports[at] == nil {
 		s.lastReports[at], s.ejected[at] = map[view.Name]healthreport.Sample{}, map[view.Name]bool{}
 	}
-	row := healthreport.Sample{Locality: at, Witness: name, From: from, Span: halfSecond, Endpoints: 2, Sent: s.poisson(mean)}
+	row := healthreport.Sample{Locality: at, Reporter: name, ReporterZone: from, Span: halfSecond, Endpoints: 2, Sent: s.poisson(mean)}
 	for range int(row.Sent) {
 		if s.failing[at.Zone] || s.random.Float64() < 0.01 {
 			row.Failed++
@@ -136,10 +136,10 @@
 }
 
 func TestFewCallsAndRandomFailures(t *testing.T) {
-	s := &sparseFleet{random: rand.New(rand.NewPCG(1, 2)), failing: map[view.Zone]bool{}, board: weigh.NewBoard(weigh.Usual()),
+	s := &sparseFleet{random: rand.New(rand.NewPCG(1, 2)), failing: map[view.Zone]bool{}, board: weigh.NewReportTable(weigh.DefaultBounds()),
 		lastReports: map[healthreport.Locality]map[view.Name]healthreport.Sample{}, ejected: map[healthreport.Locality]map[view.Name]bool{},
-		planner: plan.New(plan.Usual())}
-	s.planner.Members(map[view.Zone]view.Region{"a1": "A", "a2": "A", "b1": "B", "b2": "B"})
+		planner: plan.New(plan.DefaultSettings())}
+	s.planner.SetRegions(map[view.Zone]view.Region{"a1": "A", "a2": "A", "b1": "B", "b2": "B"})
 	run := func(span time.Duration) {
 		for end := s.now + span; s.now < end; {
 			s.step()
--- a/internal/cluster/failover/plan/storeddata_test.go
+++ b/internal/cluster/failover/plan/storeddata_test.go
@@ -18,12 +18,12 @@
 		Hold:    20 * time.Second,
 		Regions: map[view.Zone]view.Region{"z1": "r1", "z2": "r1", "z3": "r2"},
 		Routes: []plan.Route{
-			{Destination: -7, From: "z1", Phase: "away", Near: 0.25,
+			{Destination: -7, From: "z1", Phase: "away", NearShare: 0.25,
 				Shares: []plan.Share{{Zone: "z2", Fraction: 0.5}, {Zone: "z3", Fraction: 0.25}}, Diversions: 2, Outage: 90 * time.Second},
-			{Destination: 7, From: "z1", Phase: "return", Near: 0.5, Shares: []plan.Share{{Zone: "z2", Fraction: 0.5}}, Step: 3, Diversions: 1},
-			{Destination: 7, From: "z3", Phase: "over", Near: 0.75, Shares: []plan.Share{{Zone: "z1", Fraction: 0.25}},
-				Home: []view.Zone{"z2", "z1"}},
-			{Destination: 8, From: "z2", Phase: "free", Near: 1},
+			{Destination: 7, From: "z1", Phase: "return", NearShare: 0.5, Shares: []plan.Share{{Zone: "z2", Fraction: 0.5}}, Step: 3, Diversions: 1},
+			{Destination: 7, From: "z3", Phase: "over", NearShare: 0.75, Shares: []plan.Share{{Zone: "z1", Fraction: 0.25}},
+				HomeZones: []view.Zone{"z2", "z1"}},
+			{Destination: 8, From: "z2", Phase: "free", NearShare: 1},
 		},
 	}
 }
--- a/internal/cluster/failover/plan/tiers.go
+++ b/internal/cluster/failover/plan/tiers.go
@@ -44,7 +44,7 @@
 }
 
 // rebuildIndex finds anew which zones list which destination, if that changed, and forgets places not seen for long.
-func (p *Planner) rebuildIndex(now view.Now) {
+func (p *Planner) rebuildIndex(now view.Uptime) {
 	if !p.indexStale && now-p.indexedAt < forgetAfter/10 {
 		return
 	}
--- a/internal/cluster/failover/plan/types.go
+++ b/internal/cluster/failover/plan/types.go
@@ -35,7 +35,7 @@
 type Phase string
 
 const (
-	Away         Phase = "away"   // near is failing: all that others have capacity for goes to them
+	Diverted     Phase = "away"   // near is failing: all that others have capacity for goes to them
 	Returning    Phase = "return" // near takes a growing share, step by step
 	Overloaded   Phase = "over"   // near has not capacity for all
 	Unrestricted Phase = "free"   // no zone is healthy: package choice decides alone
@@ -48,9 +48,9 @@
 	Destination choice.DestinationID `json:"d"`
 	From        view.Zone            `json:"from"`
 	Phase       Phase                `json:"phase"`
-	Near        float64              `json:"near"`             // share that stays near: trials, and what nobody else has capacity for
+	NearShare   float64              `json:"near"`             // share that stays near: trials, and what nobody else has capacity for
 	Shares      []Share              `json:"to,omitempty"`     // where the rest goes, nearest first; they add up to 1-Near
-	Home        []view.Zone          `json:"home,omitempty"`   // the home zones, unless that is From alone
+	HomeZones   []view.Zone          `json:"home,omitempty"`   // the home zones, unless that is From alone
 	Step        int                  `json:"step,omitempty"`   // while Returning: index of the step
 	Diversions  int                  `json:"turns,omitempty"`  // recent ones; each doubles the delay of the next return
 	Outage      time.Duration        `json:"outage,omitempty"` // how long the last one lasted
@@ -119,7 +119,7 @@
 }
 
 func (r Route) check() error {
-	total := r.Near
+	total := r.NearShare
 	if len(r.Shares) > maxShares {
 		return fmt.Errorf("to: %d are more than %d", len(r.Shares), maxShares)
 	}
@@ -130,9 +130,9 @@
 		total += s.Fraction
 	}
 	switch {
-	case !slices.Contains([]Phase{Away, Returning, Overloaded, Unrestricted}, r.Phase):
+	case !slices.Contains([]Phase{Diverted, Returning, Overloaded, Unrestricted}, r.Phase):
 		return fmt.Errorf("phase: %q is none", r.Phase)
-	case !(r.Near >= 0) || math.Abs(total-1) > 0.01:
+	case !(r.NearShare >= 0) || math.Abs(total-1) > 0.01:
 		return fmt.Errorf("near and to: add up to %v", total)
 	}
 	return nil
--- a/internal/cluster/failover/run/announce.go
+++ b/internal/cluster/failover/run/announce.go
@@ -14,11 +14,11 @@
 
 // child is what is known of a process to which this one announces the plan.
 type child struct {
-	epoch       view.Epoch // of its last answer; 0 for not known
-	confirmedAt view.Now   // when the leader had the announced plan in force
-	calling     bool       // a call is in flight
-	failing     bool       // the last call failed: its children are called from here
-	triedAt     view.Now
+	epoch       view.Epoch  // of its last answer; 0 for not known
+	confirmedAt view.Uptime // when the leader had the announced plan in force
+	calling     bool        // a call is in flight
+	failing     bool        // the last call failed: its children are called from here
+	triedAt     view.Uptime
 }
 
 // planAnswer is the answer to an announcement: the epoch that the receiver has now.
@@ -29,7 +29,7 @@
 // announcePlan announces to each child the plan that it lacks, or renews the one it has. Where a child does not
 // answer, its own children are called from here until it does: a coordinator that died delays nobody's plan until the
 // tree has changed.
-func (r *Runner) announcePlan(now view.Now, t *tree.Tree) {
+func (r *Runner) announcePlan(now view.Uptime, t *tree.Tree) {
 	targets := t.Children(r.options.Self)
 	if r.options.Consensus.Leading() && t.Root() != r.options.Self && t.Root() != "" {
 		targets = append(targets, t.Root())
@@ -68,9 +68,9 @@
 }
 
 // announceTo sends a child what it needs, if anything. The caller holds mu.
-func (r *Runner) announceTo(now view.Now, name view.Name, c *child) {
+func (r *Runner) announceTo(now view.Uptime, name view.Name, c *child) {
 	withPlan := c.epoch != r.holder.Epoch()
-	announcement, found := r.holder.Tell(now, withPlan)
+	announcement, found := r.holder.Announce(now, withPlan)
 	renew := r.options.Settings.Hold / renewalsPerHold
 	due := c.epoch < announcement.Epoch || now-announcement.Age-c.confirmedAt >= renew
 	if !found || !due || c.calling || c.failing && now-c.triedAt < renew/2 {
@@ -80,7 +80,7 @@
 	c.calling = r.startCall(func() { r.callWithPlan(name, c, announcement, now) })
 }
 
-func (r *Runner) callWithPlan(name view.Name, c *child, announcement apply.Heard, announcedAt view.Now) {
+func (r *Runner) callWithPlan(name view.Name, c *child, announcement apply.Announcement, announcedAt view.Uptime) {
 	confirmedAt := announcedAt - announcement.Age
 	announcement.Age = r.options.Now() - confirmedAt
 	ctx, cancel := context.WithTimeout(r.ctx, callTimeout)
@@ -90,7 +90,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	c.calling = false
-	r.stats.Down++
+	r.stats.PlanCalls++
 	if err != nil {
 		if c.epoch = 0; !c.failing {
 			c.failing = true
@@ -108,7 +108,7 @@
 }
 
 func (r *Runner) handlePlan(_ context.Context, from view.Life, body []byte) (any, error) {
-	var in apply.Heard
+	var in apply.Announcement
 	if err := json.Unmarshal(body, &in); err != nil {
 		r.mu.Lock()
 		defer r.mu.Unlock()
@@ -118,7 +118,7 @@
 	local, now := r.options.Local(), r.options.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	changed, err := r.holder.Hear(now, in)
+	changed, err := r.holder.Receive(now, in)
 	if err != nil {
 		r.stats.Malformed++
 		r.options.Log.Error("received plan is invalid", zap.String("from", string(from.Name)), zap.Error(err))
@@ -126,7 +126,7 @@
 	}
 	r.stats.Received++
 	if changed {
-		local.Ill = r.local.Ill
+		local.Failing = r.local.Failing
 	} else {
 		local = r.local
 	}
--- a/internal/cluster/failover/run/leader.go
+++ b/internal/cluster/failover/run/leader.go
@@ -17,7 +17,7 @@
 
 // leaderTick renews the plan in force and makes plans from the collected reports. A process that leads no more does
 // neither, so that its plan lapses unless another leader renews it.
-func (r *Runner) leaderTick(now view.Now, t *tree.Tree, assess bool) {
+func (r *Runner) leaderTick(now view.Uptime, t *tree.Tree, assess bool) {
 	if !r.options.Consensus.Leading() {
 		r.mu.Lock()
 		r.planner = nil
@@ -32,7 +32,7 @@
 	defer r.mu.Unlock()
 	if r.planner == nil {
 		r.planner = plan.New(r.options.Settings)
-		r.planner.Applied(now, inForce)
+		r.planner.PlanInForce(now, inForce)
 	}
 	if inForce.Epoch > 0 {
 		r.renewPlan(now, term, inForce)
@@ -42,8 +42,8 @@
 		return
 	}
 	r.collected.Put(now, r.outgoing.Fresh(now)) // at a root, or at a coordinator whose parents do not answer
-	r.planner.Members(regions)
-	r.planner.Judged(now, weigh.Judge(r.collected.Fresh(now), r.options.Bounds))
+	r.planner.SetRegions(regions)
+	r.planner.UpdateHealth(now, weigh.Judge(r.collected.Fresh(now), r.options.Bounds))
 	if next, found := r.planner.Step(now); found && !r.proposing {
 		r.proposing = r.startCall(func() { r.propose(next) })
 	}
@@ -60,15 +60,15 @@
 }
 
 // renewPlan takes the plan in force from this process itself, as from any other leader. The caller holds mu.
-func (r *Runner) renewPlan(now view.Now, term uint64, inForce plan.Plan) {
+func (r *Runner) renewPlan(now view.Uptime, term uint64, inForce plan.Plan) {
 	if r.planner.Epoch() < inForce.Epoch {
-		r.planner.Applied(now, inForce)
+		r.planner.PlanInForce(now, inForce)
 	}
-	in := apply.Heard{Epoch: inForce.Epoch, Term: term}
+	in := apply.Announcement{Epoch: inForce.Epoch, Term: term}
 	if held, _ := r.holder.Plan(now); held == nil || held.Epoch != inForce.Epoch {
 		in.Plan = &inForce
 	}
-	if _, err := r.holder.Hear(now, in); err != nil {
+	if _, err := r.holder.Receive(now, in); err != nil {
 		r.options.Log.Error("plan in force is invalid", zap.Error(err))
 	}
 }
@@ -90,7 +90,7 @@
 		r.stats.PlansRejected++
 	}
 	if r.planner != nil {
-		r.planner.Applied(now, inForce)
+		r.planner.PlanInForce(now, inForce)
 	}
 	r.mu.Unlock()
 	var stale *plan.StaleEpochError
@@ -102,6 +102,6 @@
 
 // sameLocal reports whether two local states compile to the same guide.
 func sameLocal(a, b apply.Local) bool {
-	return a.Zone == b.Zone && maps.Equal(a.Numbers, b.Numbers) && maps.Equal(a.Ill, b.Ill) &&
+	return a.Zone == b.Zone && maps.Equal(a.Numbers, b.Numbers) && maps.Equal(a.Failing, b.Failing) &&
 		maps.EqualFunc(a.Listed, b.Listed, slices.Equal)
 }
--- a/internal/cluster/failover/run/reports.go
+++ b/internal/cluster/failover/run/reports.go
@@ -21,7 +21,7 @@
 
 // sendReports sends reports to the parent; if it does not answer, to the parent's parent; and if that does not either,
 // to the leader, as the root does. One call is in flight at a time; what it misses goes with the next.
-func (r *Runner) sendReports(now view.Now, t *tree.Tree) {
+func (r *Runner) sendReports(now view.Uptime, t *tree.Tree) {
 	targets, leader := r.reportTargets(t)
 	if len(targets) == 0 {
 		return
@@ -33,9 +33,9 @@
 	}
 	if targets[0] != r.reportingTo {
 		r.reportingTo = targets[0]
-		r.outgoing.Again()
+		r.outgoing.MarkAllUnsent()
 	}
-	reports := r.outgoing.Up(now, maxReports)
+	reports := r.outgoing.TakeDue(now, maxReports)
 	if len(reports) == 0 {
 		return
 	}
@@ -80,7 +80,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.reporting = false
-	r.stats.Up, r.stats.Failed = r.stats.Up+calls, r.stats.Failed+failed
+	r.stats.ReportCalls, r.stats.Failed = r.stats.ReportCalls+calls, r.stats.Failed+failed
 	r.stats.ReportsSent += uint64(len(reports))
 }
 
--- a/internal/cluster/failover/run/run.go
+++ b/internal/cluster/failover/run/run.go
@@ -52,39 +52,39 @@
 
 // Options are what a runner is started with; all but Term, TickInterval and Log must be set.
 type Options struct {
-	Self         view.Name
-	Zone         view.Zone
-	Now          func() view.Now // since the process began; monotonic
-	Link         Link
-	Consensus    Consensus
-	InForce      *plan.InForce                        // replicated state; read only inside Consensus.Read
-	Term         func() uint64                        // of the consensus group, at its leader; nil for 0
-	Tree         func() *tree.Tree                    // as of now
-	Samples      func(view.Now) []healthreport.Sample // of this process, and at the coordinator of a zone of its zone
-	Local        func() apply.Local                   // but for Ill, which is filled in here
-	Bounds       weigh.Bounds
-	Settings     plan.Settings
-	TickInterval time.Duration // defaultTickInterval if 0
-	Log          *zap.Logger
+	Self          view.Name
+	Zone          view.Zone
+	Now           func() view.Uptime // since the process began; monotonic
+	Link          Link
+	Consensus     Consensus
+	InForce       *plan.InForce                           // replicated state; read only inside Consensus.Read
+	Term          func() uint64                           // of the consensus group, at its leader; nil for 0
+	Tree          func() *tree.Tree                       // as of now
+	HealthReports func(view.Uptime) []healthreport.Sample // of this process, and at the coordinator of a zone of its zone
+	Local         func() apply.Local                      // but for Ill, which is filled in here
+	Bounds        weigh.Bounds
+	Settings      plan.Settings
+	TickInterval  time.Duration // defaultTickInterval if 0
+	Log           *zap.Logger
 }
 
 // Stats are counts since the start, but for Epoch and Leading.
 type Stats struct {
-	Epoch         view.Epoch // of the plan in force here; 0 for none
-	Leading       bool
-	Up, Down      uint64 // calls begun: with reports; with plans
-	Failed        uint64 // of these calls
-	ReportsSent   uint64
-	Plans         uint64 // proposed here and decided
-	PlansRejected uint64 // proposed here and not decided
-	Received      uint64 // messages
-	Malformed     uint64 // messages that could not be read
+	Epoch                  view.Epoch // of the plan in force here; 0 for none
+	Leading                bool
+	ReportCalls, PlanCalls uint64 // calls begun: with reports; with plans
+	Failed                 uint64 // of these calls
+	ReportsSent            uint64
+	Plans                  uint64 // proposed here and decided
+	PlansRejected          uint64 // proposed here and not decided
+	Received               uint64 // messages
+	Malformed              uint64 // messages that could not be read
 }
 
 // compiledGuide is what attempts ask, and until when.
 type compiledGuide struct {
 	guide     *apply.Guide
-	expiresAt view.Now
+	expiresAt view.Uptime
 }
 
 // Runner runs failover at one process.
@@ -100,16 +100,16 @@
 	mu           sync.Mutex
 	closed       bool
 	holder       apply.Holder
-	outgoing     *weigh.Board // reports to send up
-	collected    *weigh.Board // at the leader: reports that came from the root
+	outgoing     *weigh.ReportTable // reports to send up
+	collected    *weigh.ReportTable // at the leader: reports that came from the root
 	planner      *plan.Planner
 	local        apply.Local // that guide was compiled with
 	compiledFrom *plan.Plan  // that guide was compiled from
 	children     map[view.Name]*child
-	reporting    bool      // a call with reports is in flight
-	reportingTo  view.Name // receiver of the last reports
-	assessedAt   view.Now  // when reports were last made and judged
-	proposing    bool      // a proposal is in flight
+	reporting    bool        // a call with reports is in flight
+	reportingTo  view.Name   // receiver of the last reports
+	assessedAt   view.Uptime // when reports were last made and judged
+	proposing    bool        // a proposal is in flight
 	stats        Stats
 }
 
@@ -125,7 +125,7 @@
 		o.Term = func() uint64 { return 0 }
 	}
 	r := &Runner{options: o, assessedAt: -assessInterval, wake: make(chan struct{}, 1), children: map[view.Name]*child{},
-		outgoing: weigh.NewBoard(o.Bounds), collected: weigh.NewBoard(o.Bounds)}
+		outgoing: weigh.NewReportTable(o.Bounds), collected: weigh.NewReportTable(o.Bounds)}
 	r.ctx, r.cancel = context.WithCancel(context.Background())
 	o.Link.Handle(reportsPath, r.handleReports)
 	o.Link.Handle(planPath, r.handlePlan)
@@ -152,7 +152,7 @@
 }
 
 // Plan is the plan in force at this process, and until when by its clock; nil for none. The caller must not change it.
-func (r *Runner) Plan() (*plan.Plan, view.Now) {
+func (r *Runner) Plan() (*plan.Plan, view.Uptime) {
 	now := r.options.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -215,14 +215,14 @@
 	if t == nil {
 		return
 	}
-	reports, local := r.options.Samples(now), r.options.Local()
-	local.Ill = r.failingEndpoints(reports, local)
+	reports, local := r.options.HealthReports(now), r.options.Local()
+	local.Failing = r.failingEndpoints(reports, local)
 	assess := now-r.assessedAt >= min(assessInterval, r.options.TickInterval)
 	if assess {
 		r.assessedAt = now
 	}
 	if assess && t.ZoneHead(r.options.Zone) == r.options.Self {
-		summaries := weigh.Zonal(r.options.Zone, reports, r.options.Bounds)
+		summaries := weigh.SummarizeZone(r.options.Zone, reports, r.options.Bounds)
 		summaries = slices.DeleteFunc(summaries, func(w weigh.Report) bool {
 			return w.Idle() && w.Zone != r.options.Zone && t.ZoneHead(w.Zone) != "" // its own zone reports on it
 		})
@@ -239,17 +239,17 @@
 }
 
 // failingEndpoints returns what this process sees fail by itself.
-func (r *Runner) failingEndpoints(reports []healthreport.Sample, local apply.Local) map[apply.At]bool {
+func (r *Runner) failingEndpoints(reports []healthreport.Sample, local apply.Local) map[apply.Endpoints]bool {
 	ownReports := map[healthreport.Locality][]healthreport.Sample{}
 	for _, s := range reports {
-		if s.Witness == r.options.Self {
+		if s.Reporter == r.options.Self {
 			ownReports[s.Locality] = append(ownReports[s.Locality], s)
 		}
 	}
-	failing := map[apply.At]bool{}
+	failing := map[apply.Endpoints]bool{}
 	for at, rows := range ownReports {
-		if no, known := local.Numbers[at.Zone]; known && weigh.Ill(rows, r.options.Bounds) {
-			failing[apply.At{Destination: at.Destination, Zone: no}] = true
+		if no, known := local.Numbers[at.Zone]; known && weigh.SeesFailure(rows, r.options.Bounds) {
+			failing[apply.Endpoints{Destination: at.Destination, Zone: no}] = true
 		}
 	}
 	return failing
@@ -257,7 +257,7 @@
 
 // compileGuide compiles the guide anew if the plan or the local state changed, and otherwise only renews it. The
 // caller holds mu.
-func (r *Runner) compileGuide(now view.Now, local apply.Local) {
+func (r *Runner) compileGuide(now view.Uptime, local apply.Local) {
 	p, until := r.holder.Plan(now)
 	if p == nil {
 		r.guide.Store(nil)
--- a/internal/cluster/failover/run/run_test.go
+++ b/internal/cluster/failover/run/run_test.go
@@ -111,7 +111,7 @@
 				Region: view.Region(z[:1])})
 		}
 	}
-	w.tree = tree.Derive(view.Make("", 1, w.members))
+	w.tree = tree.Derive(view.New("", 1, w.members))
 	t.Cleanup(func() {
 		for _, r := range w.runners {
 			r.Close()
@@ -122,19 +122,19 @@
 
 func (w *testCluster) start(m view.Member) {
 	begun := time.Now()
-	set := plan.Usual()
+	set := plan.DefaultSettings()
 	set.MinPlanInterval, set.Hold, set.MinReturnDelay = 50*time.Millisecond, time.Second, 200*time.Millisecond
 	e := testLink{w, m.Name}
 	w.mu.Lock()
 	delete(w.handlers, m.Name)
 	w.mu.Unlock()
-	r := Start(Options{Self: m.Name, Zone: m.Zone, Now: func() view.Now { return time.Since(begun) }, Link: e, Consensus: e,
+	r := Start(Options{Self: m.Name, Zone: m.Zone, Now: func() view.Uptime { return time.Since(begun) }, Link: e, Consensus: e,
 		InForce: &w.inForce, Tree: func() *tree.Tree { w.mu.Lock(); defer w.mu.Unlock(); return w.tree },
-		Samples: func(view.Now) []healthreport.Sample { return w.healthReports(m.Zone) },
+		HealthReports: func(view.Uptime) []healthreport.Sample { return w.healthReports(m.Zone) },
 		Local: func() apply.Local {
 			return apply.Local{Zone: m.Zone, Numbers: map[view.Zone]choice.ZoneNo{"a1": 0, "a2": 1, "b1": 2, "b2": 3},
 				Listed: map[choice.DestinationID][]choice.ZoneNo{1: {0, 1, 2, 3}}}
-		}, Bounds: weigh.Usual(), Settings: set, TickInterval: 20 * time.Millisecond})
+		}, Bounds: weigh.DefaultBounds(), Settings: set, TickInterval: 20 * time.Millisecond})
 	w.runners[m.Name] = r
 }
 
@@ -152,8 +152,8 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for i := range 2 {
-		s := healthreport.Sample{Locality: healthreport.Locality{Destination: 1, Zone: z}, From: z, Span: time.Second, Sent: 20, Done: 20,
-			Endpoints: 2, Limit: 100, Witness: view.Name(fmt.Sprint("witness", i))}
+		s := healthreport.Sample{Locality: healthreport.Locality{Destination: 1, Zone: z}, ReporterZone: z, Span: time.Second, Sent: 20, Done: 20,
+			Endpoints: 2, Limit: 100, Reporter: view.Name(fmt.Sprint("witness", i))}
 		if w.failing[z] {
 			s.Done, s.Failed = 0, 20
 		}
--- a/internal/cluster/failover/weigh/capacity_test.go
+++ b/internal/cluster/failover/weigh/capacity_test.go
@@ -21,10 +21,10 @@
 		for i := range n {
 			d := i / witnesses
 			all = append(all, healthreport.Sample{Locality: healthreport.Locality{Destination: choice.DestinationID(d), Zone: view.Zone(fmt.Sprintf("zone-%d", d%8))},
-				Witness: view.Name(fmt.Sprintf("sender-%04d", i%witnesses)), From: "zone-0", Span: time.Second, Sent: 1, Done: 1, Endpoints: 1})
+				Reporter: view.Name(fmt.Sprintf("sender-%04d", i%witnesses)), ReporterZone: "zone-0", Span: time.Second, Sent: 1, Done: 1, Endpoints: 1})
 		}
 		for b.Loop() {
-			Zonal("zone-0", all, Usual())
+			SummarizeZone("zone-0", all, DefaultBounds())
 		}
 	})
 }
--- a/internal/cluster/failover/weigh/report_board.go
+++ b/internal/cluster/failover/weigh/report_board.go
@@ -21,26 +21,28 @@
 // storedReport is the newest report of its key.
 type storedReport struct {
 	report     Report
-	receivedAt view.Now
-	sentAt     view.Now // when it was last passed on
-	changed    bool     // since then
+	receivedAt view.Uptime
+	sentAt     view.Uptime // when it was last passed on
+	changed    bool        // since then
 }
 
-// Board stores the newest report of each zone about each place, with the time it was received. It never holds more
+// ReportTable stores the newest report of each zone about each place, with the time it was received. It never holds more
 // than maxReports: reports that are too old are deleted, and new keys beyond the limit are dropped. A board belongs to
 // one goroutine.
-type Board struct {
+type ReportTable struct {
 	bounds  Bounds
 	reports map[reportKey]*storedReport
 }
 
-// NewBoard returns an empty board.
-func NewBoard(b Bounds) *Board { return &Board{bounds: b, reports: map[reportKey]*storedReport{}} }
+// NewReportTable returns an empty board.
+func NewReportTable(b Bounds) *ReportTable {
+	return &ReportTable{bounds: b, reports: map[reportKey]*storedReport{}}
+}
 
 // Put stores reports, each as old as its Age says. A report older than the stored one is dropped: while the tree
 // changes, reports arrive by more than one path. worsened is true if any report has more failing witnesses than the
 // one before it.
-func (b *Board) Put(now view.Now, reports []Report) (worsened bool) {
+func (b *ReportTable) Put(now view.Uptime, reports []Report) (worsened bool) {
 	for _, r := range reports {
 		key := reportKey{r.Locality, r.From}
 		stored := b.reports[key]
@@ -64,7 +66,7 @@
 
 // Fresh returns all reports that are still believed, with their ages as of now, sorted; it deletes those that are too
 // old.
-func (b *Board) Fresh(now view.Now) []Report {
+func (b *ReportTable) Fresh(now view.Uptime) []Report {
 	all := make([]Report, 0, len(b.reports))
 	for key, row := range b.reports {
 		r := row.report
@@ -88,9 +90,9 @@
 	idleInterval    = 12 * time.Second
 )
 
-// Up returns the reports to send to the parent now, at most limit: changed ones at once, those with failures often,
+// TakeDue returns the reports to send to the parent now, at most limit: changed ones at once, those with failures often,
 // the rest at longer intervals.
-func (b *Board) Up(now view.Now, limit int) []Report {
+func (b *ReportTable) TakeDue(now view.Uptime, limit int) []Report {
 	n := 0
 	fresh := b.Fresh(now)
 	return slices.DeleteFunc(fresh, func(r Report) bool {
@@ -113,8 +115,8 @@
 	})
 }
 
-// Again marks all reports as unsent, since there is a new receiver.
-func (b *Board) Again() {
+// MarkAllUnsent marks all reports as unsent, since there is a new receiver.
+func (b *ReportTable) MarkAllUnsent() {
 	for _, row := range b.reports {
 		row.changed = true
 		row.sentAt = -b.bounds.IdleAge
@@ -131,9 +133,9 @@
 		(a.Refused > a.Sent/10) != (b.Refused > b.Sent/10)
 }
 
-// Ill reports whether one process by itself sees a place fail, by its own rows of the last window. Its own traffic may
+// SeesFailure reports whether one process by itself sees a place fail, by its own rows of the last window. Its own traffic may
 // then go wherever package choice sends it until the plan takes account of the failure.
-func Ill(rows []healthreport.Sample, b Bounds) bool {
+func SeesFailure(rows []healthreport.Sample, b Bounds) bool {
 	var t witnessCounts
 	for _, s := range rows {
 		if s.Age <= b.Window {
--- a/internal/cluster/failover/weigh/types.go
+++ b/internal/cluster/failover/weigh/types.go
@@ -44,8 +44,8 @@
 	MaxNames       int           // failing witnesses listed by name in a report
 }
 
-// Usual returns the values in use.
-func Usual() Bounds {
+// DefaultBounds returns the values in use.
+func DefaultBounds() Bounds {
 	return Bounds{Window: 1100 * time.Millisecond, MaxAge: 5 * time.Second, IdleAge: 40 * time.Second,
 		SilenceTimeout: 900 * time.Millisecond, FailingAbove: 0.5, DegradedAbove: 0.15, Deviations: 1.96, MaxNames: 3}
 }
--- a/internal/cluster/failover/weigh/weigh_test.go
+++ b/internal/cluster/failover/weigh/weigh_test.go
@@ -11,12 +11,12 @@
 	"flaxcove/internal/cluster/view"
 )
 
-var defaultBounds = weigh.Usual()
+var defaultBounds = weigh.DefaultBounds()
 
 // sighting is what a witness of a zone saw of a destination's place in the last second.
 func sighting(from view.Zone, w int, d choice.DestinationID, z view.Zone, done, failed float64) healthreport.Sample {
-	return healthreport.Sample{Locality: healthreport.Locality{Destination: d, Zone: z}, From: from,
-		Witness: view.Name(fmt.Sprint(from, w)), Span: time.Second, Sent: done + failed, Done: done, Failed: failed,
+	return healthreport.Sample{Locality: healthreport.Locality{Destination: d, Zone: z}, ReporterZone: from,
+		Reporter: view.Name(fmt.Sprint(from, w)), Span: time.Second, Sent: done + failed, Done: done, Failed: failed,
 		Endpoints: 2}
 }
 
@@ -25,7 +25,7 @@
 func statesOf(all ...healthreport.Sample) map[string]weigh.State {
 	var reports []weigh.Report
 	for _, from := range []view.Zone{"a", "b", "c"} {
-		reports = append(reports, weigh.Zonal(from, all, defaultBounds)...)
+		reports = append(reports, weigh.SummarizeZone(from, all, defaultBounds)...)
 	}
 	states := map[string]weigh.State{}
 	for _, s := range weigh.Judge(reports, defaultBounds) {
@@ -78,7 +78,7 @@
 
 func TestRejectionsAreNoOutageButSilenceIs(t *testing.T) {
 	refused := sighting("a", 1, 1, "a", 0, 0)
-	refused.Sent, refused.Refused = 40, 40
+	refused.Sent, refused.Rejected = 40, 40
 	silent := sighting("a", 1, 2, "a", 0, 0)
 	silent.Sent = 8 // all still out after a second in which nothing came back
 	expectStates(t, statesOf(refused, silent), map[string]weigh.State{"1a": weigh.Healthy, "2a": weigh.Failing})
@@ -97,9 +97,9 @@
 	old := sighting("a", 1, 1, "a", 0, 9)
 	old.Age = 6 * time.Second
 	expectStates(t, statesOf(old), map[string]weigh.State{"1a": weigh.Unknown})
-	b := weigh.NewBoard(defaultBounds)
-	b.Put(0, weigh.Zonal("a", []healthreport.Sample{sighting("a", 1, 1, "a", 0, 9)}, defaultBounds))
-	for at, want := range map[view.Now]weigh.State{time.Second: weigh.Failing, 6 * time.Second: weigh.Unknown} {
+	b := weigh.NewReportTable(defaultBounds)
+	b.Put(0, weigh.SummarizeZone("a", []healthreport.Sample{sighting("a", 1, 1, "a", 0, 9)}, defaultBounds))
+	for at, want := range map[view.Uptime]weigh.State{time.Second: weigh.Failing, 6 * time.Second: weigh.Unknown} {
 		if got := weigh.Judge(b.Fresh(at), defaultBounds)[0].State; got != want {
 			t.Errorf("at %v: %v, not %v", at, got, want)
 		}
@@ -110,18 +110,18 @@
 }
 
 func TestBoardSendsChanges(t *testing.T) {
-	b := weigh.NewBoard(defaultBounds)
-	well := weigh.Zonal("a", []healthreport.Sample{sighting("a", 1, 1, "a", 9, 0), sighting("a", 1, 2, "b", 0, 0)}, defaultBounds)
+	b := weigh.NewReportTable(defaultBounds)
+	well := weigh.SummarizeZone("a", []healthreport.Sample{sighting("a", 1, 1, "a", 9, 0), sighting("a", 1, 2, "b", 0, 0)}, defaultBounds)
 	sent := 0
 	for i := range 20 { // ten seconds
-		b.Put(view.Now(i)*500*time.Millisecond, well)
-		sent += len(b.Up(view.Now(i)*500*time.Millisecond, 9))
+		b.Put(view.Uptime(i)*500*time.Millisecond, well)
+		sent += len(b.TakeDue(view.Uptime(i)*500*time.Millisecond, 9))
 	}
 	if sent > 7 {
 		t.Errorf("%d reports in ten seconds in which nothing changed", sent)
 	}
-	b.Put(10*time.Second, weigh.Zonal("a", []healthreport.Sample{sighting("a", 1, 1, "a", 0, 9)}, defaultBounds))
-	if up := b.Up(10*time.Second, 9); len(up) != 1 || up[0].FailingWitnesses != 1 {
+	b.Put(10*time.Second, weigh.SummarizeZone("a", []healthreport.Sample{sighting("a", 1, 1, "a", 0, 9)}, defaultBounds))
+	if up := b.TakeDue(10*time.Second, 9); len(up) != 1 || up[0].FailingWitnesses != 1 {
 		t.Errorf("a place failed, and what goes up is %v", up)
 	}
 	older := well
