--- a/internal/cluster/failover/weigh/zonal.go
+++ b/internal/cluster/failover/weigh/zonal.go
@@ -18,7 +18,7 @@
 }
 
 func (t *witnessCounts) add(s healthreport.Sample) {
-	t.sent, t.done, t.failed, t.refused = t.sent+s.Sent, t.done+s.Done, t.failed+s.Failed, t.refused+s.Refused
+	t.sent, t.done, t.failed, t.refused = t.sent+s.Sent, t.done+s.Done, t.failed+s.Failed, t.refused+s.Rejected
 	t.span += s.Span
 }
 
@@ -41,10 +41,10 @@
 	reports   map[healthreport.Locality]*Report
 }
 
-// Zonal sums what the processes of one zone saw into one report for each place, sorted. Several sightings of one
+// SummarizeZone sums what the processes of one zone saw into one report for each place, sorted. Several sightings of one
 // witness and place are consecutive spans; the same sighting must not be passed in twice. Witnesses that are at fault
 // themselves are excluded.
-func Zonal(from view.Zone, rows []healthreport.Sample, b Bounds) []Report {
+func SummarizeZone(from view.Zone, rows []healthreport.Sample, b Bounds) []Report {
 	t := tabulate(from, rows, b)
 	excluded := t.excludedWitnesses()
 	reports := make([]Report, 0, len(t.order))
@@ -98,10 +98,10 @@
 // tabulate sorts the rows first, so that neither their order nor that of a map shows in the reports.
 func tabulate(from view.Zone, rows []healthreport.Sample, b Bounds) *zoneTable {
 	rows = slices.DeleteFunc(slices.Clone(rows), func(s healthreport.Sample) bool {
-		return s.From != from || s.Age < 0 || s.Age > b.IdleAge || !valid(s)
+		return s.ReporterZone != from || s.Age < 0 || s.Age > b.IdleAge || !valid(s)
 	})
 	slices.SortStableFunc(rows, func(x, y healthreport.Sample) int {
-		return cmp.Or(ComparePlaces(x.Locality, y.Locality), cmp.Compare(x.Witness, y.Witness), cmp.Compare(x.Age, y.Age))
+		return cmp.Or(ComparePlaces(x.Locality, y.Locality), cmp.Compare(x.Reporter, y.Reporter), cmp.Compare(x.Age, y.Age))
 	})
 	t := &zoneTable{witnesses: map[healthreport.Locality][]*witnessCounts{}, reports: map[healthreport.Locality]*Report{}}
 	active := map[view.Name]bool{}
@@ -115,8 +115,8 @@
 		if s.Age > b.MaxAge {
 			continue
 		}
-		active[s.Witness] = true
-		if s.Sent+s.Done+s.Failed+s.Refused > 0 {
+		active[s.Reporter] = true
+		if s.Sent+s.Done+s.Failed+s.Rejected > 0 {
 			t.addRow(s, b)
 		}
 	}
@@ -132,8 +132,8 @@
 // addRow adds a row to its witness's counts: rows within the window, or the newest row where all are older.
 func (t *zoneTable) addRow(s healthreport.Sample, b Bounds) {
 	witnesses := t.witnesses[s.Locality]
-	if len(witnesses) == 0 || witnesses[len(witnesses)-1].witness != s.Witness {
-		witnesses = append(witnesses, &witnessCounts{witness: s.Witness, age: s.Age})
+	if len(witnesses) == 0 || witnesses[len(witnesses)-1].witness != s.Reporter {
+		witnesses = append(witnesses, &witnessCounts{witness: s.Reporter, age: s.Age})
 		t.witnesses[s.Locality] = witnesses
 	} else if s.Age > b.Window {
 		return
@@ -169,7 +169,7 @@
 
 // valid reports whether all figures of a row are finite and not negative.
 func valid(s healthreport.Sample) bool {
-	for _, v := range [...]float64{s.Sent, s.Done, s.Failed, s.Refused, s.Limit, s.Rating} {
+	for _, v := range [...]float64{s.Sent, s.Done, s.Failed, s.Rejected, s.Limit, s.Rating} {
 		if math.IsNaN(v) || math.IsInf(v, 0) || v < 0 {
 			return false
 		}
--- a/internal/cluster/feed.go
+++ b/internal/cluster/feed.go
@@ -42,13 +42,13 @@
 	dropped     atomic.Uint64
 	zoneNumbers map[view.Zone]choice.ZoneNo
 	window      *digest.Window
-	listedAt    map[healthreport.Locality]view.Now
+	listedAt    map[healthreport.Locality]view.Uptime
 	reported    map[healthreport.Locality]lastReport
 }
 
 // lastReport is what the zone's coordinator was last sent of a place.
 type lastReport struct {
-	at      view.Now
+	at      view.Uptime
 	failing bool
 }
 
@@ -59,8 +59,8 @@
 	for zone, no := range n.opts.Zones {
 		f.zoneNumbers[view.Zone(zone)] = no
 	}
-	f.listedAt, f.reported = map[healthreport.Locality]view.Now{}, map[healthreport.Locality]lastReport{}
-	f.window = digest.Make(n.self.Name, n.self.Zone, sampleSpan, n.opts.Settings.Bounds.Destinations, n.Now())
+	f.listedAt, f.reported = map[healthreport.Locality]view.Uptime{}, map[healthreport.Locality]lastReport{}
+	f.window = digest.NewWindow(n.self.Name, n.self.Zone, sampleSpan, n.opts.Settings.Bounds.Destinations, n.Now())
 	f.listing.Store(&apply.Local{Zone: n.self.Zone, Numbers: f.zoneNumbers})
 }
 
@@ -108,7 +108,7 @@
 func (n *Node) handleDigest(ctx context.Context, d together.Digest) {
 	feed, now := &n.digests, n.Now()
 	if n.subsystems.purge != nil {
-		n.subsystems.purge.Longest(d.Longest)
+		n.subsystems.purge.SetLongestDeadline(d.Longest)
 	}
 	if n.subsystems.popularity != nil {
 		n.subsystems.popularity.Digest(d)
@@ -123,7 +123,7 @@
 }
 
 // reportSamples sends the zone's coordinator the samples that are due.
-func (n *Node) reportSamples(ctx context.Context, now view.Now, samples []healthreport.Sample) {
+func (n *Node) reportSamples(ctx context.Context, now view.Uptime, samples []healthreport.Sample) {
 	coordinator := n.TreeWithoutSuspected().ZoneHead(n.self.Zone)
 	if coordinator == "" || coordinator == n.self.Name {
 		return
@@ -140,7 +140,7 @@
 }
 
 // updateListing follows in which zones the sender lists endpoints of a destination.
-func (f *digestFeed) updateListing(now view.Now, rows []together.Row, zone view.Zone) {
+func (f *digestFeed) updateListing(now view.Uptime, rows []together.Row, zone view.Zone) {
 	changed := false
 	for _, r := range rows {
 		place := healthreport.Locality{Destination: r.Destination, Zone: view.Zone(r.Zone)}
@@ -178,7 +178,7 @@
 
 // dueSamples returns the samples to be reported now: at once those with failures, and the first without any after them;
 // the others every healthyInterval.
-func (f *digestFeed) dueSamples(now view.Now, samples []healthreport.Sample) (due []healthreport.Sample) {
+func (f *digestFeed) dueSamples(now view.Uptime, samples []healthreport.Sample) (due []healthreport.Sample) {
 	for _, s := range samples {
 		last, failing := f.reported[s.Locality], s.Failed > 0
 		isDue := failing || failing != last.failing || last.at == 0 || now-last.at >= healthyInterval
@@ -199,8 +199,8 @@
 			return nil, fmt.Errorf("evidence of %s: %w", from.Name, err)
 		}
 		for _, s := range samples {
-			if s.Witness != from.Name {
-				return nil, fmt.Errorf("evidence of %s: field w: tells of %q", from.Name, s.Witness)
+			if s.Reporter != from.Name {
+				return nil, fmt.Errorf("evidence of %s: field w: tells of %q", from.Name, s.Reporter)
 			}
 		}
 		n.evidence.Add(n.Now(), samples)
--- a/internal/cluster/healthreport/capacity_test.go
+++ b/internal/cluster/healthreport/capacity_test.go
@@ -17,7 +17,7 @@
 func capacitySamples(n int) (all []Sample) {
 	for d := range n {
 		all = append(all, Sample{Locality: Locality{choice.DestinationID(d), view.Zone(fmt.Sprintf("zone-%d", d%8))},
-			Witness: "sender-0123", From: "zone-3", Kind: 1, Age: 131 * time.Millisecond, Span: 1003 * time.Millisecond,
+			Reporter: "sender-0123", ReporterZone: "zone-3", Kind: 1, Age: 131 * time.Millisecond, Span: 1003 * time.Millisecond,
 			Sent: 1, Done: 1, Limit: 40, Rating: 200, Endpoints: 1})
 	}
 	return all
--- a/internal/cluster/healthreport/healthreport.go
+++ b/internal/cluster/healthreport/healthreport.go
@@ -20,18 +20,18 @@
 // Sample is what one process observed of a place over Span, up to Age ago.
 type Sample struct {
 	Locality
-	Witness   view.Name     `json:"w"`
-	From      view.Zone     `json:"from"` // the witness's zone
-	Kind      choice.KindNo `json:"k,omitempty"`
-	Age       time.Duration `json:"age"`
-	Span      time.Duration `json:"span"`
-	Sent      float64       `json:"sent"` // calls in the span, and how they ended
-	Done      float64       `json:"done"`
-	Failed    float64       `json:"failed"`
-	Silent    float64       `json:"silent"` // of Failed: no answer, or no connection
-	Refused   float64       `json:"refused"`
-	Limit     float64       `json:"limit,omitempty"`  // calls a second that the place last announced, for all senders; 0 for none
-	Rating    float64       `json:"rating,omitempty"` // sum over the place's endpoints
-	Endpoints int           `json:"ends,omitempty"`
-	Held      int           `json:"held,omitempty"` // messages waiting for the destination, reported with one place of it
+	Reporter     view.Name     `json:"w"`
+	ReporterZone view.Zone     `json:"from"` // the witness's zone
+	Kind         choice.KindNo `json:"k,omitempty"`
+	Age          time.Duration `json:"age"`
+	Span         time.Duration `json:"span"`
+	Sent         float64       `json:"sent"` // calls in the span, and how they ended
+	Done         float64       `json:"done"`
+	Failed       float64       `json:"failed"`
+	Unanswered   float64       `json:"silent"` // of Failed: no answer, or no connection
+	Rejected     float64       `json:"refused"`
+	Limit        float64       `json:"limit,omitempty"`  // calls a second that the place last announced, for all senders; 0 for none
+	Rating       float64       `json:"rating,omitempty"` // sum over the place's endpoints
+	Endpoints    int           `json:"ends,omitempty"`
+	Waiting      int           `json:"held,omitempty"` // messages waiting for the destination, reported with one place of it
 }
--- a/internal/cluster/leader.go
+++ b/internal/cluster/leader.go
@@ -26,7 +26,7 @@
 // leaderHint is the leader as another process answered.
 type leaderHint struct {
 	leader    view.Name
-	expiresAt view.Now
+	expiresAt view.Uptime
 }
 
 // consensusClient is the consensus group as the subsystems use it, also in a process without a part in it.
@@ -122,7 +122,7 @@
 	}
 	var voters []view.Name
 	for _, m := range n.View().Members {
-		if m.Here() && m.Voted && m.Name != n.self.Name {
+		if m.Present() && m.HasRecords && m.Name != n.self.Name {
 			voters = append(voters, m.Name)
 		}
 	}
--- a/internal/cluster/link/call.go
+++ b/internal/cluster/link/call.go
@@ -131,7 +131,7 @@
 		return err
 	case response.StatusCode != http.StatusOK:
 		seen, _ := strconv.ParseUint(response.Header.Get(headerSeen), 10, 64) // absent or unreadable: 0
-		return &Refused{
+		return &StatusError{
 			Status: response.StatusCode,
 			Text:   strings.TrimSpace(string(text[:min(len(text), maxErrorText)])),
 			Seen:   view.Incarnation(seen),
--- a/internal/cluster/link/guard.go
+++ b/internal/cluster/link/guard.go
@@ -18,8 +18,8 @@
 	headerSeen = "Fc-Seen"
 )
 
-// Refused is the error of a call that was answered with an HTTP status other than 200.
-type Refused struct {
+// StatusError is the error of a call that was answered with an HTTP status other than 200.
+type StatusError struct {
 	Status int
 	Text   string
 	// Seen is, with status 409, the highest incarnation that the peer has observed of the caller's name.
@@ -27,27 +27,27 @@
 }
 
 // Error returns the status and the peer's text.
-func (r *Refused) Error() string { return fmt.Sprintf("refused with %d: %s", r.Status, r.Text) }
+func (r *StatusError) Error() string { return fmt.Sprintf("refused with %d: %s", r.Status, r.Text) }
 
 // authorize returns who calls, or why the call is refused: the caller belongs to another cluster (403), the call is for
 // another process, as when a port was reassigned (421), or the caller's incarnation is outdated, as of a process that
 // was suspended while its successor started (409).
-func (l *Link) authorize(r *http.Request) (view.Life, *Refused) {
+func (l *Link) authorize(r *http.Request) (view.Life, *StatusError) {
 	if name := r.Header.Get(headerCluster); name != l.opts.Cluster {
-		return view.Life{}, &Refused{Status: http.StatusForbidden,
+		return view.Life{}, &StatusError{Status: http.StatusForbidden,
 			Text: fmt.Sprintf("this is cluster %q, not %q", l.opts.Cluster, name)}
 	}
 	if r.Host != string(l.opts.Self.Name) {
-		return view.Life{}, &Refused{Status: http.StatusMisdirectedRequest,
+		return view.Life{}, &StatusError{Status: http.StatusMisdirectedRequest,
 			Text: fmt.Sprintf("this is process %q, not %q", l.opts.Self.Name, r.Host)}
 	}
 	no, err := strconv.ParseUint(r.Header.Get(headerLife), 10, 64)
 	from := view.Life{Name: view.Name(r.Header.Get(headerFrom)), Incarnation: view.Incarnation(no)}
 	if err != nil || from.Name == "" {
-		return view.Life{}, &Refused{Status: http.StatusBadRequest, Text: "does not tell who calls"}
+		return view.Life{}, &StatusError{Status: http.StatusBadRequest, Text: "does not tell who calls"}
 	}
 	if highest := l.lives.observe(from); highest > from.Incarnation {
-		return view.Life{}, &Refused{Status: http.StatusConflict, Seen: highest,
+		return view.Life{}, &StatusError{Status: http.StatusConflict, Seen: highest,
 			Text: fmt.Sprintf("%q lives as %d; %d is an older life", from.Name, highest, no)}
 	}
 	return from, nil
--- a/internal/cluster/link/link.go
+++ b/internal/cluster/link/link.go
@@ -55,9 +55,9 @@
 	// asked for each call.
 	Reach func(view.Name) (string, bool)
 	Log   *zap.Logger
-	// Cut reports processes from which this one is partitioned: calls to them, and responses to their calls, wait until
+	// Partitioned reports processes from which this one is partitioned: calls to them, and responses to their calls, wait until
 	// their timeout. For test rigs; may be nil.
-	Cut func(view.Name) bool
+	Partitioned func(view.Name) bool
 	// CallTimeout and BodyLimit have defaults for zero.
 	CallTimeout time.Duration
 	BodyLimit   int
--- a/internal/cluster/link/link_test.go
+++ b/internal/cluster/link/link_test.go
@@ -45,7 +45,7 @@
 }
 
 func status(err error) int {
-	var refused *Refused
+	var refused *StatusError
 	if errors.As(err, &refused) {
 		return refused.Status
 	}
@@ -61,7 +61,7 @@
 	b := startLink(t, all, "ours", "b", 1, "127.0.0.1:0")
 	b.Handle("/echo", echo)
 	b.Handle("/no", func(context.Context, view.Life, []byte) (any, error) {
-		return nil, &Refused{Status: 410, Text: "gone"}
+		return nil, &StatusError{Status: 410, Text: "gone"}
 	})
 	b.Handle("/bad", func(context.Context, view.Life, []byte) (any, error) { return nil, errors.New("broken") })
 	b.Public().HandleFunc("GET /v1/x", func(w http.ResponseWriter, _ *http.Request) { w.Write([]byte("public")) })
@@ -94,7 +94,7 @@
 			t.Errorf("%s to %s%s: %v, not %d", c.who.opts.Self.Name, c.to, c.path, err, c.want)
 		}
 	}
-	var refused *Refused
+	var refused *StatusError
 	if err := outdated.Call(ctx, "b", "/echo", nil, nil); !errors.As(err, &refused) || refused.Seen != 5 {
 		t.Fatal(err)
 	}
--- a/internal/cluster/link/serve.go
+++ b/internal/cluster/link/serve.go
@@ -73,9 +73,9 @@
 	handle := l.handlerOf(r.URL.Path)
 	switch {
 	case handle == nil:
-		return nil, &Refused{Status: http.StatusNotFound, Text: fmt.Sprintf("nothing here answers %q", r.URL.Path)}
+		return nil, &StatusError{Status: http.StatusNotFound, Text: fmt.Sprintf("nothing here answers %q", r.URL.Path)}
 	case r.Method != http.MethodPost:
-		return nil, &Refused{Status: http.StatusMethodNotAllowed, Text: "takes POST"}
+		return nil, &StatusError{Status: http.StatusMethodNotAllowed, Text: "takes POST"}
 	}
 	body, refused := readBody(r)
 	if refused != nil {
@@ -102,21 +102,21 @@
 }
 
 // readBody reads a request's body, which serve has limited.
-func readBody(r *http.Request) ([]byte, *Refused) {
+func readBody(r *http.Request) ([]byte, *StatusError) {
 	body, err := io.ReadAll(r.Body)
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
-		return nil, &Refused{Status: http.StatusRequestEntityTooLarge, Text: fmt.Sprintf("over %d bytes", tooLarge.Limit)}
+		return nil, &StatusError{Status: http.StatusRequestEntityTooLarge, Text: fmt.Sprintf("over %d bytes", tooLarge.Limit)}
 	case err != nil:
-		return nil, &Refused{Status: http.StatusBadRequest, Text: err.Error()}
+		return nil, &StatusError{Status: http.StatusBadRequest, Text: err.Error()}
 	}
 	return body, nil
 }
 
 // writeError answers with a *Refused's status and text, or with 500 for any other error.
 func writeError(w http.ResponseWriter, err error) {
-	refused := &Refused{Status: http.StatusInternalServerError, Text: err.Error()}
+	refused := &StatusError{Status: http.StatusInternalServerError, Text: err.Error()}
 	errors.As(err, &refused)
 	if refused.Seen > 0 {
 		w.Header().Set(headerSeen, strconv.FormatUint(uint64(refused.Seen), 10))
--- a/internal/cluster/link/volumes.go
+++ b/internal/cluster/link/volumes.go
@@ -45,4 +45,6 @@
 }
 
 // partitionedFrom reports whether nothing may come from or go to a process (Options.Cut).
-func (l *Link) partitionedFrom(name view.Name) bool { return l.opts.Cut != nil && l.opts.Cut(name) }
+func (l *Link) partitionedFrom(name view.Name) bool {
+	return l.opts.Partitioned != nil && l.opts.Partitioned(name)
+}
--- a/internal/cluster/link/volumes_test.go
+++ b/internal/cluster/link/volumes_test.go
@@ -17,7 +17,7 @@
 	all := addresses{}
 	var cut atomic.Bool
 	b, err := Start(Options{Cluster: "ours", Self: view.Life{Name: "b", Incarnation: 1}, Listen: "127.0.0.1:0", Reach: all.reach,
-		Cut: func(name view.Name) bool { return cut.Load() && name == "a" }})
+		Partitioned: func(name view.Name) bool { return cut.Load() && name == "a" }})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/cluster/maintain.go
+++ b/internal/cluster/maintain.go
@@ -18,7 +18,7 @@
 func (n *Node) maintain(ctx context.Context) {
 	ticker := time.NewTicker(maintenanceInterval)
 	defer ticker.Stop()
-	voted := n.self.Voted
+	voted := n.self.HasRecords
 	var entropy antiEntropy
 	antiEntropyRound := rand.IntN(antiEntropyRounds) // random, so that many that start at once do not ask in step
 	for round := 0; ; round++ {
@@ -31,9 +31,9 @@
 		if round%antiEntropyRounds == antiEntropyRound {
 			n.runAntiEntropy(ctx, &entropy)
 		}
-		if n.consensus != nil && n.consensus.Voted() != voted {
+		if n.consensus != nil && n.consensus.HasRecords() != voted {
 			voted = !voted
-			if err := n.members.Update(func(m *view.Member) { m.Voted = voted }); err != nil {
+			if err := n.members.Update(func(m *view.Member) { m.HasRecords = voted }); err != nil {
 				n.log.Warn("own metadata not announced", zap.Error(err))
 			}
 		}
--- a/internal/cluster/member/changes_test.go
+++ b/internal/cluster/member/changes_test.go
@@ -70,12 +70,12 @@
 // checkUpdate: new metadata reaches another member, and metadata too long for the library is rejected.
 func (c *testCluster) checkUpdate(name, other view.Name) {
 	m := c.members[name]
-	if err := m.Update(func(s *view.Member) { s.Size, s.Voted, s.Name = view.Small, true, "other" }); err != nil {
+	if err := m.Update(func(s *view.Member) { s.Size, s.HasRecords, s.Name = view.Small, true, "other" }); err != nil {
 		c.t.Fatal(err)
 	}
 	eventually(c.t, "new metadata", func() bool {
 		s, _ := c.members[other].View().Find(name)
-		return s.Size == view.Small && s.Voted
+		return s.Size == view.Small && s.HasRecords
 	})
 	long := make([]byte, 600)
 	err := m.Update(func(s *view.Member) { s.Zone = view.Zone(long) })
--- a/internal/cluster/member/loops.go
+++ b/internal/cluster/member/loops.go
@@ -127,7 +127,7 @@
 	m.rejected = ""
 	m.mu.Unlock()
 	present, missing := m.presentAndMissing(v)
-	isolated := m.now()-view.Now(m.lastAnswer.Load()) > isolationProbes*m.opts.Timing.ProbeInterval
+	isolated := m.now()-view.Uptime(m.lastAnswer.Load()) > isolationProbes*m.opts.Timing.ProbeInterval
 	switch {
 	case len(present) == 0:
 		return missing[:min(len(missing), maxJoinsPerRound)], true
@@ -145,7 +145,7 @@
 // present, then members that neither are alive nor left.
 func (m *Members) presentAndMissing(v *view.View) (present, missing []view.Name) {
 	for _, name := range m.opts.Seeds {
-		if seed, found := v.Find(name); name != v.Self && (!found || !seed.Here()) {
+		if seed, found := v.Find(name); name != v.Self && (!found || !seed.Present()) {
 			missing = append(missing, name)
 		}
 	}
--- a/internal/cluster/member/member.go
+++ b/internal/cluster/member/member.go
@@ -45,11 +45,11 @@
 	// folder was lost or an old one restored: this process has taken the next incarnation, which its owner must store.
 	// May be nil.
 	OnIncarnationRaised func(view.Incarnation)
-	// Cut reports processes from which this one is partitioned: what is sent there is lost. For test rigs that run many
+	// Partitioned reports processes from which this one is partitioned: what is sent there is lost. For test rigs that run many
 	// members in one process; it must return at once and be safe for concurrent use. May be nil.
-	Cut    func(view.Name) bool
-	Timing Timing
-	Bounds roster.Bounds
+	Partitioned func(view.Name) bool
+	Timing      Timing
+	Bounds      roster.Bounds
 }
 
 // Members is this process's membership.
@@ -86,8 +86,8 @@
 	metaChanged          bool   // meta is newer than what the library gossips
 	goneState            []byte // what LocalState returns for the roster's goneVersion
 	goneVersion          uint64
-	rejected             view.Name // announces an outdated incarnation, and is to be joined so that it learns of it
-	metAt                view.Now  // when the first other member was met, if hasMetPeer
+	rejected             view.Name   // announces an outdated incarnation, and is to be joined so that it learns of it
+	metAt                view.Uptime // when the first other member was met, if hasMetPeer
 	hasMetPeer           bool
 	raiseCount           int
 	raisePending         bool       // OnIncarnationRaised is due
@@ -111,7 +111,7 @@
 		return nil, err
 	}
 	m := newMembers(opts, bound)
-	m.transport = &transport{NetTransport: nt, addressOf: m.addressOf, partitionedFrom: opts.Cut}
+	m.transport = &transport{NetTransport: nt, addressOf: m.addressOf, partitionedFrom: opts.Partitioned}
 	if m.meta, err = encodeMeta(m.self); err == nil {
 		m.snapshots, err = newSnapshotter(clusterLabel(opts.Cluster))
 	}
@@ -286,7 +286,7 @@
 }
 
 // now is the time since this membership started.
-func (m *Members) now() view.Now { return time.Since(m.startedAt) }
+func (m *Members) now() view.Uptime { return time.Since(m.startedAt) }
 
 // addressOf returns where a process's gossip port is: by Options.Reach, else by what the process announces.
 func (m *Members) addressOf(name view.Name) (string, bool) {
--- a/internal/cluster/member/meta.go
+++ b/internal/cluster/member/meta.go
@@ -33,7 +33,7 @@
 func encodeMeta(s roster.Observation) ([]byte, error) {
 	m := s.Member
 	body, err := json.Marshal(nodeMeta{m.Incarnation, m.Zone, m.Region, m.Size == view.Small, s.GossipAddr, m.HTTP, m.Raft,
-		m.Empty, m.Folder, m.Voted})
+		m.Empty, m.Folder, m.HasRecords})
 	if err != nil {
 		return nil, err
 	}
@@ -66,7 +66,7 @@
 	return roster.Observation{GossipAddr: meta.Gossip, Member: view.Member{
 		Life: view.Life{Name: view.Name(n.Name), Incarnation: meta.Incarnation},
 		Zone: meta.Zone, Region: meta.Region, Size: size, State: stateOf[n.State], HTTP: meta.HTTP, Raft: meta.Consensus,
-		Empty: meta.Empty, Folder: meta.Folder, Voted: meta.Voted,
+		Empty: meta.Empty, Folder: meta.Folder, HasRecords: meta.Voted,
 	}}, nil
 }
 
--- a/internal/cluster/member/roster/roster.go
+++ b/internal/cluster/member/roster/roster.go
@@ -40,7 +40,7 @@
 // entry is the last accepted observation of a name.
 type entry struct {
 	Observation
-	stateSince view.Now // when its present state was first observed
+	stateSince view.Uptime // when its present state was first observed
 }
 
 // Roster holds what is known of all processes. It is not safe for concurrent use.
@@ -55,7 +55,7 @@
 }
 
 // New returns a roster that knows only the process itself, alive.
-func New(self Observation, bounds Bounds, now view.Now) *Roster {
+func New(self Observation, bounds Bounds, now view.Uptime) *Roster {
 	bounds.RetainGone = cmp.Or(max(0, bounds.RetainGone), DefaultRetainGone)
 	bounds.MaxGone = cmp.Or(max(0, bounds.MaxGone), DefaultMaxGone)
 	bounds.MaxHere = cmp.Or(max(0, bounds.MaxHere), DefaultMaxHere)
@@ -72,7 +72,7 @@
 		for _, e := range r.entries {
 			members = append(members, e.Member)
 		}
-		r.cachedView = view.Make(r.self, r.version, members)
+		r.cachedView = view.New(r.self, r.version, members)
 	}
 	return r.cachedView
 }
@@ -97,7 +97,7 @@
 }
 
 // StateSince returns when a process's present state was first observed.
-func (r *Roster) StateSince(name view.Name) (view.Now, bool) {
+func (r *Roster) StateSince(name view.Name) (view.Uptime, bool) {
 	if e := r.entries[name]; e != nil {
 		return e.stateSince, true
 	}
@@ -108,7 +108,7 @@
 func (r *Roster) Gone() []Observation {
 	var gone []Observation
 	for _, name := range slices.Sorted(maps.Keys(r.entries)) {
-		if e := r.entries[name]; !e.Member.Here() {
+		if e := r.entries[name]; !e.Member.Present() {
 			gone = append(gone, e.Observation)
 		}
 	}
@@ -133,28 +133,28 @@
 
 // MarkAlive records that a process is alive: it joined, changed its metadata, returned, or a later incarnation of its
 // name started. Like all below it reports whether anything changed.
-func (r *Roster) MarkAlive(o Observation, now view.Now) bool {
+func (r *Roster) MarkAlive(o Observation, now view.Uptime) bool {
 	return r.transition(view.Alive, o, now)
 }
 
 // MarkSuspected records that a process does not answer probes.
-func (r *Roster) MarkSuspected(o Observation, now view.Now) bool {
+func (r *Roster) MarkSuspected(o Observation, now view.Uptime) bool {
 	return r.transition(view.Suspected, o, now)
 }
 
 // MarkLeft records that a process announced its leave.
-func (r *Roster) MarkLeft(o Observation, now view.Now) bool {
+func (r *Roster) MarkLeft(o Observation, now view.Uptime) bool {
 	return r.transition(view.Left, o, now)
 }
 
 // MarkDead records that a process was declared dead.
-func (r *Roster) MarkDead(o Observation, now view.Now) bool {
+func (r *Roster) MarkDead(o Observation, now view.Uptime) bool {
 	return r.transition(view.Dead, o, now)
 }
 
 // transition applies an observation with a state, and enforces MaxGone. RetainGone is left to the next snapshot, as
 // Expire goes over all entries.
-func (r *Roster) transition(state view.State, o Observation, now view.Now) bool {
+func (r *Roster) transition(state view.State, o Observation, now view.Uptime) bool {
 	o.Member.State = state
 	changed := r.apply(o, now)
 	if gone := len(r.entries) - r.hereCount; gone > r.bounds.MaxGone {
@@ -165,7 +165,7 @@
 
 // apply stores an observation if it is admitted and new. It leaves the bounds to its caller: within one snapshot no
 // member may be dropped and then return as an earlier incarnation.
-func (r *Roster) apply(o Observation, now view.Now) bool {
+func (r *Roster) apply(o Observation, now view.Uptime) bool {
 	e := r.entries[o.Member.Name]
 	if !r.Admits(o) || (e != nil && e.Observation == o) {
 		return false
@@ -179,19 +179,19 @@
 }
 
 // store replaces an entry and updates the counts.
-func (r *Roster) store(o Observation, now view.Now) {
+func (r *Roster) store(o Observation, now view.Uptime) {
 	since := now
 	e := r.entries[o.Member.Name]
 	if e != nil && e.Member.Life == o.Member.Life && e.Member.State == o.Member.State {
 		since = e.stateSince
 	}
-	if e != nil && e.Member.Here() {
+	if e != nil && e.Member.Present() {
 		r.hereCount--
 	}
-	if o.Member.Here() {
+	if o.Member.Present() {
 		r.hereCount++
 	}
-	if e != nil && !e.Member.Here() || !o.Member.Here() {
+	if e != nil && !e.Member.Present() || !o.Member.Present() {
 		r.goneVersion++
 	}
 	r.entries[o.Member.Name] = &entry{o, since}
@@ -200,7 +200,7 @@
 
 // ApplySnapshot takes all that the library has at one moment. A present member that is not among it is marked dead: the
 // library drops only members that are gone.
-func (r *Roster) ApplySnapshot(snapshot []Observation, now view.Now) bool {
+func (r *Roster) ApplySnapshot(snapshot []Observation, now view.Uptime) bool {
 	changed := false
 	present := make(map[view.Name]bool, len(snapshot))
 	for _, s := range snapshot {
@@ -208,7 +208,7 @@
 		changed = r.apply(s, now) || changed
 	}
 	for _, name := range slices.Sorted(maps.Keys(r.entries)) {
-		if e := r.entries[name]; e != nil && !present[name] && name != r.self && e.Member.Here() {
+		if e := r.entries[name]; e != nil && !present[name] && name != r.self && e.Member.Present() {
 			s := e.Observation
 			s.Member.State = view.Dead
 			changed = r.apply(s, now) || changed
@@ -218,10 +218,10 @@
 }
 
 // Expire drops members that are gone for longer than RetainGone, and the longest gone beyond MaxGone.
-func (r *Roster) Expire(now view.Now) bool {
+func (r *Roster) Expire(now view.Uptime) bool {
 	var gone []*entry
 	for _, e := range r.entries {
-		if !e.Member.Here() && e.Member.Name != r.self {
+		if !e.Member.Present() && e.Member.Name != r.self {
 			gone = append(gone, e)
 		}
 	}
--- a/internal/cluster/member/roster/roster_test.go
+++ b/internal/cluster/member/roster/roster_test.go
@@ -18,16 +18,16 @@
 func TestInvariantsUnderAnyTrace(t *testing.T) {
 	bounds := Bounds{RetainGone: time.Minute, MaxGone: 3, MaxHere: 6}
 	rapid.Check(t, func(t *rapid.T) {
-		var now view.Now
+		var now view.Uptime
 		r := New(observed("self", 1, view.Alive), bounds, now)
 		lastMembers := map[view.Name]view.Member{} // what the last view showed
-		lastVersion := r.View().No
+		lastVersion := r.View().Version
 		drawObservation := func(t *rapid.T) Observation {
 			return observed(view.Name(fmt.Sprintf("p%d", rapid.IntRange(0, 8).Draw(t, "name"))),
 				view.Incarnation(rapid.IntRange(1, 4).Draw(t, "incarnation")),
 				view.State(rapid.IntRange(0, 3).Draw(t, "state")))
 		}
-		marking := func(f func(*Roster, Observation, view.Now) bool, state view.State) func(*rapid.T) {
+		marking := func(f func(*Roster, Observation, view.Uptime) bool, state view.State) func(*rapid.T) {
 			return func(t *rapid.T) {
 				s := drawObservation(t)
 				previous, known := lastMembers[s.Member.Name]
@@ -39,7 +39,7 @@
 					}
 				} else if byName && (m.State != state || m.Incarnation != s.Member.Incarnation) {
 					t.Fatalf("observed %+v as %d, shown %+v", s.Member, state, m)
-				} else if known && !byName && (view.Member{State: state}).Here() {
+				} else if known && !byName && (view.Member{State: state}).Present() {
 					t.Fatalf("%s was forgotten", s.Member.Name)
 				}
 			}
@@ -66,7 +66,7 @@
 					if i > 0 && v.Members[i-1].Name >= m.Name {
 						t.Fatalf("not by name: %v", v.Members)
 					}
-					if since, _ := r.StateSince(m.Name); !m.Here() {
+					if since, _ := r.StateSince(m.Name); !m.Present() {
 						gone++
 						if now-since > bounds.RetainGone {
 							t.Fatalf("%s is retained for %v", m.Name, now-since)
@@ -86,14 +86,14 @@
 					t.Fatalf("self is shown as %+v", self)
 				}
 				for name, previous := range lastMembers {
-					if _, still := byName[name]; !still && previous.Here() && v.No == lastVersion {
+					if _, still := byName[name]; !still && previous.Present() && v.Version == lastVersion {
 						t.Fatalf("%s went without a change", name)
 					}
 				}
-				if v.No < lastVersion || fmt.Sprint(byName) != fmt.Sprint(lastMembers) && len(lastMembers) > 0 && v.No == lastVersion {
-					t.Fatalf("No %d after %d", v.No, lastVersion)
+				if v.Version < lastVersion || fmt.Sprint(byName) != fmt.Sprint(lastMembers) && len(lastMembers) > 0 && v.Version == lastVersion {
+					t.Fatalf("No %d after %d", v.Version, lastVersion)
 				}
-				lastMembers, lastVersion = byName, v.No
+				lastMembers, lastVersion = byName, v.Version
 			},
 		})
 	})
--- a/internal/cluster/node.go
+++ b/internal/cluster/node.go
@@ -37,16 +37,16 @@
 	Orders   together.Orders
 	// Zones are the sender's numbers of zones, by name.
 	Zones map[string]choice.ZoneNo
-	// Longest is the longest deadline of any class.
-	Longest time.Duration
+	// LongestDeadline is the longest deadline of any class.
+	LongestDeadline time.Duration
 	// SlowStart, SlowStartFrom and FallMultiple are the service's settings for slow start.
 	SlowStart     time.Duration
 	SlowStartFrom float64
 	FallMultiple  float64
 	// RatingIsRate is set if the endpoint list's ratings are calls a second.
 	RatingIsRate bool
-	// Cut reports processes from which this one is partitioned, for test rigs that run many nodes; nil for none.
-	Cut func(view.Name) bool
+	// Partitioned reports processes from which this one is partitioned, for test rigs that run many nodes; nil for none.
+	Partitioned func(view.Name) bool
 	// CheckSettings reports what is wrong with proposed settings for a sender that runs inForce (nil: its own file). Pure.
 	CheckSettings func(inForce, proposed json.RawMessage) error
 	// OwnSettings is the settings object of this process's own file: version 0.
@@ -117,7 +117,7 @@
 
 // openFolder starts a new incarnation of this process, which at first sees nobody but itself.
 func (n *Node) openFolder() (err error) {
-	here := n.opts.Settings.Here
+	here := n.opts.Settings.Self
 	if n.folder, err = folder.Open(here.Folder); err != nil {
 		return err
 	}
@@ -125,7 +125,7 @@
 		Life: view.Life{Name: here.Name, Incarnation: n.folder.Incarnation},
 		Zone: here.Zone, Region: here.Region, Size: here.Size, Folder: n.folder.ID, Empty: n.folder.Empty,
 	}
-	n.setView(view.Make(n.self.Name, 0, []view.Member{n.self}))
+	n.setView(view.New(n.self.Name, 0, []view.Member{n.self}))
 	return nil
 }
 
@@ -133,7 +133,7 @@
 func (n *Node) startLink() (err error) {
 	file := n.opts.Settings
 	n.link, err = link.Start(link.Options{
-		Cut: n.opts.Cut, Cluster: file.Cluster, Self: n.self.Life, Listen: file.Here.Listen.HTTP, Log: n.log.Named("link"),
+		Partitioned: n.opts.Partitioned, Cluster: file.Cluster, Self: n.self.Life, Listen: file.Self.Listen.HTTP, Log: n.log.Named("link"),
 		Reach: n.addressOf(func(a settings.Addresses, m view.Member) (string, string) { return a.HTTP, m.HTTP }),
 	})
 	if err != nil {
@@ -152,14 +152,14 @@
 	}
 	file := n.opts.Settings
 	n.consensus, err = consensus.Start(consensus.Options{
-		Cut: n.opts.Cut, Self: n.self, Cluster: file.Cluster, Folder: filepath.Join(file.Here.Folder, "council"),
-		Listen: file.Here.Listen.Consensus, Founders: file.Founders, Parts: parts, Log: n.log.Named("council"),
-		Reach: n.addressOf(func(a settings.Addresses, m view.Member) (string, string) { return a.Consensus, m.Raft }),
+		Partitioned: n.opts.Partitioned, Self: n.self, Cluster: file.Cluster, Folder: filepath.Join(file.Self.Folder, "council"),
+		Listen: file.Self.Listen.Consensus, InitialVoters: file.Founders, Parts: parts, Log: n.log.Named("council"),
+		AddressOf: n.addressOf(func(a settings.Addresses, m view.Member) (string, string) { return a.Consensus, m.Raft }),
 	})
 	if err != nil {
 		return err
 	}
-	n.self.Raft, n.self.Voted = n.consensus.Addr(), n.consensus.Voted()
+	n.self.Raft, n.self.HasRecords = n.consensus.Addr(), n.consensus.HasRecords()
 	return nil
 }
 
@@ -173,7 +173,7 @@
 		}
 	}
 	n.members, err = member.Start(member.Options{
-		Cut: n.opts.Cut, Cluster: file.Cluster, Self: n.self, Listen: file.Here.Listen.Gossip, Seeds: seeds,
+		Partitioned: n.opts.Partitioned, Cluster: file.Cluster, Self: n.self, Listen: file.Self.Listen.Gossip, Seeds: seeds,
 		Reach: func(name view.Name) (string, bool) {
 			addresses, known := file.Reach(name)
 			return addresses.Gossip, known && addresses.Gossip != ""
@@ -202,7 +202,7 @@
 }
 
 // Now is for how long this process has been running.
-func (n *Node) Now() view.Now { return time.Since(n.startedAt) }
+func (n *Node) Now() view.Uptime { return time.Since(n.startedAt) }
 
 // Close leaves the cluster. It may be called twice, and ends within a few seconds.
 func (n *Node) Close() error {
--- a/internal/cluster/ordering/ordering.go
+++ b/internal/cluster/ordering/ordering.go
@@ -72,9 +72,9 @@
 func (NoConsensus) Read(func(uint64)) {}
 
 // NewClock returns a clock that starts at 0 now.
-func NewClock() func() view.Now {
+func NewClock() func() view.Uptime {
 	start := time.Now()
-	return func() view.Now { return time.Since(start) }
+	return func() view.Uptime { return time.Since(start) }
 }
 
 // LifeOf is the incarnation of a process in the view; the zero value for one that is not in it.
@@ -118,7 +118,7 @@
 	}
 	for _, voter := range []bool{true, false} {
 		for _, m := range members.Members {
-			if m.Here() && m.Voted == voter && len(all) < limit && !slices.Contains(all, m.Name) {
+			if m.Present() && m.HasRecords == voter && len(all) < limit && !slices.Contains(all, m.Name) {
 				all = append(all, m.Name)
 			}
 		}
--- a/internal/cluster/ordering/ordering_test.go
+++ b/internal/cluster/ordering/ordering_test.go
@@ -184,9 +184,9 @@
 // Candidates lists members with raft records before others, up to the limit, and never the process itself.
 func TestCandidates(t *testing.T) {
 	member := func(name view.Name, voted bool) view.Member {
-		return view.Member{Life: view.Life{Name: name, Incarnation: 1}, Voted: voted}
+		return view.Member{Life: view.Life{Name: name, Incarnation: 1}, HasRecords: voted}
 	}
-	v := view.Make("self", 1, []view.Member{member("a", false), member("b", true), member("c", false), member("self", true)})
+	v := view.New("self", 1, []view.Member{member("a", false), member("b", true), member("c", false), member("self", true)})
 	for _, one := range []struct {
 		likely []view.Name
 		spoke  view.Name
--- a/internal/cluster/popularity/count/count.go
+++ b/internal/cluster/popularity/count/count.go
@@ -66,7 +66,7 @@
 // Table is for one goroutine at a time.
 type Table struct {
 	bounds   Bounds
-	baseTime view.Now // counts are scaled to this time, so that decay changes no order
+	baseTime view.Uptime // counts are scaled to this time, so that decay changes no order
 	rows     map[choice.DestinationID]*row
 	byCount  indexheap.Heap[*row]
 	total    float64
@@ -98,7 +98,7 @@
 func Decay(age, half time.Duration) float64 { return math.Exp2(-float64(max(age, 0)) / float64(half)) }
 
 // Add counts what clients handed in up to now.
-func (t *Table) Add(now view.Now, all []together.Count) {
+func (t *Table) Add(now view.Uptime, all []together.Count) {
 	if now-t.baseTime > rebaseAfter*t.bounds.HalfLife {
 		t.rebase(now)
 	}
@@ -129,7 +129,7 @@
 		t.rows[r.id] = r
 		heap.Fix(&t.byCount, 0)
 	}
-	r.addClient(xxhash.Sum64String(c.Program), messages)
+	r.addClient(xxhash.Sum64String(c.Client), messages)
 }
 
 // addClient adds to a client's count. Where all are taken the lowest is replaced: its messages count on, as those of
@@ -153,7 +153,7 @@
 }
 
 // rebase scales all counts to the time now.
-func (t *Table) rebase(now view.Now) {
+func (t *Table) rebase(now view.Uptime) {
 	scale := Decay(now-t.baseTime, t.bounds.HalfLife)
 	t.baseTime, t.total = now, t.total*scale
 	for _, r := range t.byCount { // the order of the heap stays
@@ -165,7 +165,7 @@
 }
 
 // Top returns the destinations with most messages, the most first, at most limit; the caller owns the slice.
-func (t *Table) Top(now view.Now, limit int) []Row {
+func (t *Table) Top(now view.Uptime, limit int) []Row {
 	scale := Decay(now-t.baseTime, t.bounds.HalfLife)
 	floor := t.clientFloor(scale)
 	all := make([]Row, 0, len(t.byCount))
@@ -179,7 +179,7 @@
 }
 
 // Estimate is what was certainly handed in for one destination, with each client held to its bound.
-func (t *Table) Estimate(now view.Now, d choice.DestinationID) float64 {
+func (t *Table) Estimate(now view.Uptime, d choice.DestinationID) float64 {
 	r := t.rows[d]
 	if r == nil {
 		return 0
@@ -205,7 +205,7 @@
 }
 
 // Total is how many messages were handed in for all destinations.
-func (t *Table) Total(now view.Now) float64 {
+func (t *Table) Total(now view.Uptime) float64 {
 	return t.total * Decay(now-t.baseTime, t.bounds.HalfLife)
 }
 
--- a/internal/cluster/popularity/count/count_test.go
+++ b/internal/cluster/popularity/count/count_test.go
@@ -14,7 +14,7 @@
 )
 
 func handedIn(d int, client string, n uint64) []together.Count {
-	return []together.Count{{Destination: choice.DestinationID(d), Program: client, Messages: n}}
+	return []together.Count{{Destination: choice.DestinationID(d), Client: client, Messages: n}}
 }
 
 // Against exact counts: never more than was handed in, and less by no more than the total over the number of rows.
@@ -23,7 +23,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		rows := rapid.IntRange(1, 6).Draw(t, "rows")
 		table := NewTable(Bounds{Destinations: rows, ClientShare: 1e9})
-		now, exact, all := view.Now(0), map[int]float64{}, 0.0
+		now, exact, all := view.Uptime(0), map[int]float64{}, 0.0
 		for i := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			step := time.Duration(rapid.IntRange(0, 90).Draw(t, "wait")) * HalfLife / 2
 			now += step
--- a/internal/cluster/popularity/evict/evict.go
+++ b/internal/cluster/popularity/evict/evict.go
@@ -44,17 +44,17 @@
 
 // Evictor remembers which destinations were evicted and loaded again. It is for one goroutine at a time.
 type Evictor struct {
-	evictedAt  map[choice.DestinationID]view.Now // within returnWindow, at most maxTracked
-	returnedAt map[choice.DestinationID]view.Now // those of the cached destinations that were loaded again
+	evictedAt  map[choice.DestinationID]view.Uptime // within returnWindow, at most maxTracked
+	returnedAt map[choice.DestinationID]view.Uptime // those of the cached destinations that were loaded again
 }
 
 // New returns an evictor that remembers nothing.
 func New() *Evictor {
-	return &Evictor{evictedAt: map[choice.DestinationID]view.Now{}, returnedAt: map[choice.DestinationID]view.Now{}}
+	return &Evictor{evictedAt: map[choice.DestinationID]view.Uptime{}, returnedAt: map[choice.DestinationID]view.Uptime{}}
 }
 
 // Loaded records that a destination is cached that was not before.
-func (e *Evictor) Loaded(now view.Now, d choice.DestinationID) {
+func (e *Evictor) Loaded(now view.Uptime, d choice.DestinationID) {
 	if when, evicted := e.evictedAt[d]; evicted && now-when <= returnWindow {
 		if len(e.returnedAt) >= maxTracked {
 			e.expire(now)
@@ -67,7 +67,7 @@
 }
 
 // Evicted records an eviction.
-func (e *Evictor) Evicted(now view.Now, d choice.DestinationID) {
+func (e *Evictor) Evicted(now view.Uptime, d choice.DestinationID) {
 	delete(e.returnedAt, d)
 	if _, tracked := e.evictedAt[d]; !tracked && len(e.evictedAt) >= maxTracked {
 		e.expire(now)
@@ -78,8 +78,8 @@
 	e.evictedAt[d] = now
 }
 
-func (e *Evictor) expire(now view.Now) {
-	for _, m := range []map[choice.DestinationID]view.Now{e.evictedAt, e.returnedAt} {
+func (e *Evictor) expire(now view.Uptime) {
+	for _, m := range []map[choice.DestinationID]view.Uptime{e.evictedAt, e.returnedAt} {
 		for d, when := range m {
 			if now-when > returnWindow {
 				delete(m, d)
@@ -94,7 +94,7 @@
 }
 
 // Choose selects what to evict so that the rest is within bounds. score is of each destination, as of now.
-func (e *Evictor) Choose(now view.Now, held []together.Held, b Bounds,
+func (e *Evictor) Choose(now view.Uptime, held []together.Held, b Bounds,
 	score func(choice.DestinationID) float64) (s Selection) {
 	number, bytes := len(held), 0
 	for i := range held {
@@ -118,7 +118,7 @@
 }
 
 // candidates are the destinations that may be evicted, the lowest weight first.
-func (e *Evictor) candidates(now view.Now, held []together.Held, score func(choice.DestinationID) float64) []candidate {
+func (e *Evictor) candidates(now view.Uptime, held []together.Held, score func(choice.DestinationID) float64) []candidate {
 	all := make([]candidate, 0, len(held))
 	for _, h := range held {
 		if !h.InUse {
@@ -132,7 +132,7 @@
 }
 
 // priorityWeight is what is lost with a destination, for each byte it takes.
-func (e *Evictor) priorityWeight(now view.Now, h together.Held, score float64) float64 {
+func (e *Evictor) priorityWeight(now view.Uptime, h together.Held, score float64) float64 {
 	if !(score >= minScore) || math.IsInf(score, 0) {
 		score = minScore
 	}
--- a/internal/cluster/popularity/evict/size_test.go
+++ b/internal/cluster/popularity/evict/size_test.go
@@ -155,7 +155,7 @@
 }
 
 // evict has an evictor of this package make space after a destination was loaded.
-func (s *smallSender) evict(now view.Now, policy int, loaded choice.DestinationID) {
+func (s *smallSender) evict(now view.Uptime, policy int, loaded choice.DestinationID) {
 	e, c := s.evictors[policy], &s.caches[policy]
 	e.Loaded(now, loaded)
 	selection := e.Choose(now, c.held, s.bounds, func(d choice.DestinationID) float64 {
@@ -189,14 +189,14 @@
 	now := stepTime(step)
 	for p := range r.tables {
 		n := arrived.of[p][step]
-		r.tables[p].Add(now, []together.Count{{Destination: choice.DestinationID(n), Program: fmt.Sprint(n % 7), Messages: 1}})
+		r.tables[p].Add(now, []together.Count{{Destination: choice.DestinationID(n), Client: fmt.Sprint(n % 7), Messages: 1}})
 	}
 	if step%(4*perSecond) == 0 {
 		r.rank(now, uint64(step+1))
 	}
 }
 
-func (r *regionCounts) rank(now view.Now, seq uint64) {
+func (r *regionCounts) rank(now view.Uptime, seq uint64) {
 	for p := 1; p < senders; p++ {
 		r.merged.Put(now, merge.NewDigest(r.lives[p], seq, 1, r.tables[p].Top(now, merge.MaxRows)))
 	}
@@ -206,7 +206,7 @@
 	r.ranking.Update(now, "r", ranking)
 }
 
-func stepTime(step int) view.Now { return view.Now(step) * time.Second / perSecond }
+func stepTime(step int) view.Uptime { return view.Uptime(step) * time.Second / perSecond }
 
 // simulate returns each policy's share of hits over two regions.
 func simulate(seed uint64, skew float64, sized bool) (share [policies]float64) {
--- a/internal/cluster/popularity/merge/merge.go
+++ b/internal/cluster/popularity/merge/merge.go
@@ -96,7 +96,7 @@
 type version struct {
 	incarnation view.Incarnation
 	seq         uint64
-	countedAt   view.Now
+	countedAt   view.Uptime
 }
 
 func (v version) newer(than version) bool {
@@ -140,7 +140,7 @@
 }
 
 // Put stores a digest whose age is as of now.
-func (t *Table) Put(now view.Now, d Digest) PutResult {
+func (t *Table) Put(now view.Uptime, d Digest) PutResult {
 	minIncarnation, reports := t.reporters[d.From.Name]
 	last, known := t.formerVersions[d.From.Name]
 	if stored, found := t.digests[d.From.Name]; found {
@@ -172,7 +172,7 @@
 
 // Sum adds all stored digests to what this process counted itself: the rows of most messages, and how many processes
 // they are from. It depends on nothing but the table.
-func (t *Table) Sum(now view.Now, own []count.Row) (rows []count.Row, processes int) {
+func (t *Table) Sum(now view.Uptime, own []count.Row) (rows []count.Row, processes int) {
 	sum := make(map[choice.DestinationID]float64, len(own))
 	for _, r := range own {
 		sum[r.Destination] += r.Messages
--- a/internal/cluster/popularity/merge/merge_test.go
+++ b/internal/cluster/popularity/merge/merge_test.go
@@ -18,11 +18,11 @@
 const halfLife = time.Minute
 
 type sentDigest struct {
-	countedAt view.Now // by the clock of the process that merges
+	countedAt view.Uptime // by the clock of the process that merges
 	digest    Digest
 }
 
-func (s sentDigest) aged(now view.Now) Digest {
+func (s sentDigest) aged(now view.Uptime) Digest {
 	s.digest.Age = now - s.countedAt
 	return s.digest
 }
@@ -38,7 +38,7 @@
 			for life := view.Incarnation(1); life <= 2; life++ {
 				for seq := range uint64(rapid.IntRange(0, 3).Draw(t, "digests")) {
 					from := view.Life{Name: view.Name(fmt.Sprint(p)), Incarnation: life}
-					s := sentDigest{view.Now(life)*5*time.Second + view.Now(seq)*time.Second, NewDigest(from, seq, 1,
+					s := sentDigest{view.Uptime(life)*5*time.Second + view.Uptime(seq)*time.Second, NewDigest(from, seq, 1,
 						[]count.Row{{Destination: choice.DestinationID(rapid.IntRange(1, 4).Draw(t, "d")),
 							Messages: float64(rapid.IntRange(1, 9).Draw(t, "n"))}})}
 					all = append(all, s)
--- a/internal/cluster/popularity/recall/recall.go
+++ b/internal/cluster/popularity/recall/recall.go
@@ -47,18 +47,18 @@
 	entries         map[choice.DestinationID]*entry
 	oldest          indexheap.Heap[*entry]
 	// voidSince is when destinations were forgotten: older lessons are void. At most maxDestinations.
-	voidSince map[choice.DestinationID]view.Now
+	voidSince map[choice.DestinationID]view.Uptime
 }
 
 type entry struct {
 	destination choice.DestinationID
 	lessons     []storedLesson // by endpoint
-	newestAt    view.Now
+	newestAt    view.Uptime
 	heapIndex   int // in oldest
 }
 
 type storedLesson struct {
-	learnedAt view.Now
+	learnedAt view.Uptime
 	lesson    Lesson // without its age
 }
 
@@ -67,12 +67,12 @@
 	return &Summary{
 		maxDestinations: cmp.Or(max(maxDestinations, 0), defaultMaxDestinations),
 		entries:         map[choice.DestinationID]*entry{},
-		voidSince:       map[choice.DestinationID]view.Now{},
+		voidSince:       map[choice.DestinationID]view.Uptime{},
 	}
 }
 
 // Put stores lessons whose ages are as of now. Of one endpoint the newest stays, in whatever order they arrive.
-func (s *Summary) Put(now view.Now, all Lessons) {
+func (s *Summary) Put(now view.Uptime, all Lessons) {
 	for _, l := range all.All[:min(len(all.All), maxEndpoints)] {
 		if valid(l) && l.Age <= MaxAge {
 			s.put(all.Destination, storedLesson{now - l.Age, l})
@@ -97,7 +97,7 @@
 
 // entryFor returns the entry of a destination. A new one replaces the oldest where the summary is full; nil if a lesson
 // learned at that time is older than all.
-func (s *Summary) entryFor(d choice.DestinationID, learnedAt view.Now) *entry {
+func (s *Summary) entryFor(d choice.DestinationID, learnedAt view.Uptime) *entry {
 	if e := s.entries[d]; e != nil {
 		return e
 	}
@@ -168,7 +168,7 @@
 }
 
 // Lookup is what is known of a destination, ages as of now; false if nothing young enough is.
-func (s *Summary) Lookup(now view.Now, d choice.DestinationID) (Lessons, bool) {
+func (s *Summary) Lookup(now view.Uptime, d choice.DestinationID) (Lessons, bool) {
 	out := Lessons{Destination: d}
 	if e := s.entries[d]; e != nil {
 		for _, stored := range e.lessons {
@@ -182,7 +182,7 @@
 }
 
 // Forget drops a destination: what was learned of it up to now is void, also what is still on its way here.
-func (s *Summary) Forget(now view.Now, d choice.DestinationID) {
+func (s *Summary) Forget(now view.Uptime, d choice.DestinationID) {
 	if e := s.entries[d]; e != nil {
 		heap.Remove(&s.oldest, e.heapIndex)
 		delete(s.entries, d)
--- a/internal/cluster/popularity/recall/recall_test.go
+++ b/internal/cluster/popularity/recall/recall_test.go
@@ -19,7 +19,7 @@
 func TestOrderDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		type sent struct {
-			at view.Now
+			at view.Uptime
 			l  Lesson
 		}
 		all := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) sent {
@@ -45,7 +45,7 @@
 func TestBoundsAndForget(t *testing.T) {
 	s := NewSummary(3)
 	for d := range choice.DestinationID(10) {
-		s.Put(view.Now(d), Lessons{d, []Lesson{newLesson(1, 1, 0)}})
+		s.Put(view.Uptime(d), Lessons{d, []Lesson{newLesson(1, 1, 0)}})
 	}
 	if _, oldest := s.Lookup(10, 0); oldest || s.Len() != 3 {
 		t.Error("the oldest destination stayed", s.Len())
--- a/internal/cluster/popularity/run/cluster_test.go
+++ b/internal/cluster/popularity/run/cluster_test.go
@@ -80,7 +80,7 @@
 type fakeSender struct {
 	mu     sync.Mutex
 	held   map[choice.DestinationID]together.Held
-	taught map[choice.EndpointID]together.Lesson
+	taught map[choice.EndpointID]together.LearnedEndpoint
 }
 
 func (s *fakeSender) Evict(all []choice.DestinationID, done func([]choice.DestinationID)) {
@@ -107,7 +107,7 @@
 	done(all)
 }
 
-func (s *fakeSender) Teach(lessons []together.Lesson) {
+func (s *fakeSender) Teach(lessons []together.LearnedEndpoint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, l := range lessons {
@@ -117,9 +117,9 @@
 
 func endpoint(d choice.DestinationID) choice.EndpointID { return choice.EndpointID(fmt.Sprint("e", d)) }
 
-func (s *fakeSender) Know(of []choice.DestinationID, done func([]together.Lesson)) {
+func (s *fakeSender) Know(of []choice.DestinationID, done func([]together.LearnedEndpoint)) {
 	k := choice.LearnedState{Mean: 50, Dev: 5, Past: 50, Seen: 30, Limit: 9}
-	done([]together.Lesson{{Endpoint: endpoint(of[0]), LearnedState: k}})
+	done([]together.LearnedEndpoint{{Endpoint: endpoint(of[0]), LearnedState: k}})
 }
 
 func (s *fakeSender) hold(all ...together.Held) {
@@ -162,8 +162,8 @@
 		began := time.Now().Add(-time.Duration(i) * time.Hour) // no two clocks are near each other
 		w.handlers[m.Name] = map[string]handler{}
 		w.senders[m.Name] = &fakeSender{held: map[choice.DestinationID]together.Held{},
-			taught: map[choice.EndpointID]together.Lesson{}}
-		w.runners[m.Name] = New(Options{Self: m, Now: func() view.Now { return time.Since(began) }, Link: testLink{w, m.Life},
+			taught: map[choice.EndpointID]together.LearnedEndpoint{}}
+		w.runners[m.Name] = New(Options{Self: m, Now: func() view.Uptime { return time.Since(began) }, Link: testLink{w, m.Life},
 			Orders: w.senders[m.Name], View: w.currentView, Tree: w.currentTree, Bounds: bounds, TickInterval: tickInterval})
 	}
 	for _, r := range w.runners {
@@ -180,7 +180,7 @@
 }
 
 func (w *testCluster) setMembers(all []view.Member) {
-	v := view.Make("", 1, all)
+	v := view.New("", 1, all)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.view, w.tree = v, tree.Derive(v)
--- a/internal/cluster/popularity/run/counts.go
+++ b/internal/cluster/popularity/run/counts.go
@@ -41,11 +41,11 @@
 	seq         uint64
 	parent      view.Life // this process itself if it is the region's coordinator
 	sentRows    []count.Row
-	sentAt      view.Now
+	sentAt      view.Uptime
 	sent        bool // anything, to that parent
 	inFlight    bool
-	wantedAt    view.Now // when a process below last asked for a ranking
-	wantedBelow bool     // ever
+	wantedAt    view.Uptime // when a process below last asked for a ranking
+	wantedBelow bool        // ever
 }
 
 // updateReporters sets the children of this region as those whose digests are accepted. The caller holds mu.
@@ -89,7 +89,7 @@
 }
 
 // prepareCounts makes the message for the parent. The region's coordinator ranks by its digest instead of sending it.
-func (r *Runner) prepareCounts(now view.Now, v *view.View, t *tree.Tree, parent view.Life) (message countsMessage, send bool) {
+func (r *Runner) prepareCounts(now view.Uptime, v *view.View, t *tree.Tree, parent view.Life) (message countsMessage, send bool) {
 	isHead := parent.Name == r.options.Self.Name
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -114,7 +114,7 @@
 }
 
 // countsDue reports whether the counts are to be sent, since they changed or were not sent for long. The caller holds mu.
-func (r *Runner) countsDue(now view.Now, rows []count.Row) bool {
+func (r *Runner) countsDue(now view.Uptime, rows []count.Row) bool {
 	state := &r.countSending
 	if !state.sent || now-state.sentAt >= r.ticks(renewTicks)-r.options.TickInterval/2 {
 		return true
@@ -124,7 +124,7 @@
 }
 
 // nextDigest makes a digest and notes it as sent. The caller holds mu.
-func (r *Runner) nextDigest(now view.Now, rows []count.Row, processes int) *merge.Digest {
+func (r *Runner) nextDigest(now view.Uptime, rows []count.Row, processes int) *merge.Digest {
 	state := &r.countSending
 	state.seq++
 	state.sentRows, state.sentAt, state.sent = rows, now, true
@@ -133,7 +133,7 @@
 }
 
 // rank makes the digest of the region's coordinator the region's ranking. The caller holds mu.
-func (r *Runner) rank(now view.Now, t *tree.Tree, d *merge.Digest) {
+func (r *Runner) rank(now view.Uptime, t *tree.Tree, d *merge.Digest) {
 	region := r.region(t)
 	r.scores.Update(now, region, score.Ranking{
 		Version:      score.Version{Head: d.From, Seq: d.Seq},
@@ -145,7 +145,7 @@
 	r.status.RankedProcesses = d.Processes
 }
 
-func (r *Runner) sendCounts(to view.Life, message countsMessage, countedAt view.Now) {
+func (r *Runner) sendCounts(to view.Life, message countsMessage, countedAt view.Uptime) {
 	if message.Digest != nil {
 		message.Digest.Age = max(0, r.options.Now()-countedAt)
 	}
--- a/internal/cluster/popularity/run/eviction.go
+++ b/internal/cluster/popularity/run/eviction.go
@@ -32,7 +32,7 @@
 type evictionState struct {
 	requestNo   uint64
 	inFlight    bool
-	requestedAt view.Now
+	requestedAt view.Uptime
 	requested   bool         // ever
 	loaded      int          // destinations since the last check
 	bounds      evict.Bounds // of the last check
--- a/internal/cluster/popularity/run/lessons.go
+++ b/internal/cluster/popularity/run/lessons.go
@@ -43,7 +43,7 @@
 // lessonState belongs to the loop alone.
 type lessonState struct {
 	batchNo   uint64
-	startedAt view.Now
+	startedAt view.Uptime
 	started   bool
 	head      view.Life                            // the coordinator that sent is about
 	sent      map[choice.DestinationID]sentLessons // what it has
@@ -51,13 +51,13 @@
 
 type sentLessons struct {
 	calls  float64 // that the lessons were learned from
-	sentAt view.Now
+	sentAt view.Uptime
 }
 
 // lessonBatch is what the sender knows of the destinations to be sent.
 type lessonBatch struct {
 	batchNo uint64
-	askedAt view.Now
+	askedAt view.Uptime
 	lessons []recall.Lessons
 }
 
@@ -65,7 +65,7 @@
 func (r *Runner) regionHead(v *view.View, t *tree.Tree) (head view.Member, largeProcesses int, found bool) {
 	region := r.region(t)
 	for i := range v.Members {
-		if m := &v.Members[i]; m.Here() && m.Size != view.Small && t.Region(m.Zone) == region {
+		if m := &v.Members[i]; m.Present() && m.Size != view.Small && t.Region(m.Zone) == region {
 			largeProcesses++
 		}
 	}
@@ -119,7 +119,7 @@
 	collector := &lessonCollector{missing: len(due), batch: lessonBatch{batchNo: answer.requestNo, askedAt: now}}
 	for _, d := range due {
 		state.sent[d.Destination] = sentLessons{d.Calls, now}
-		r.options.Orders.Know([]choice.DestinationID{d.Destination}, func(lessons []together.Lesson) {
+		r.options.Orders.Know([]choice.DestinationID{d.Destination}, func(lessons []together.LearnedEndpoint) {
 			r.collectLessons(collector, d.Destination, lessons)
 		})
 	}
@@ -138,7 +138,7 @@
 }
 
 // due are the destinations to send: those never sent first, then those sent longest ago, then those with most calls.
-func (s *lessonState) due(now view.Now, held []together.Held, resendAfter time.Duration) []together.Held {
+func (s *lessonState) due(now view.Uptime, held []together.Held, resendAfter time.Duration) []together.Held {
 	due := make([]together.Held, 0, len(held))
 	for _, d := range held {
 		last, wasSent := s.sent[d.Destination]
@@ -171,7 +171,7 @@
 	return c.missing == 0
 }
 
-func (r *Runner) collectLessons(collector *lessonCollector, d choice.DestinationID, learned []together.Lesson) {
+func (r *Runner) collectLessons(collector *lessonCollector, d choice.DestinationID, learned []together.LearnedEndpoint) {
 	lessons := recall.Lessons{Destination: d}
 	for _, l := range learned {
 		lessons.All = append(lessons.All, recall.FromSender(l, r.options.Self.Zone))
--- a/internal/cluster/popularity/run/requests.go
+++ b/internal/cluster/popularity/run/requests.go
@@ -89,7 +89,7 @@
 }
 
 // callHead asks the region's coordinator and hands the lessons to the sender.
-func (r *Runner) callHead(head view.Name, destinations []choice.DestinationID, requestedAt view.Now) {
+func (r *Runner) callHead(head view.Name, destinations []choice.DestinationID, requestedAt view.Uptime) {
 	var answer lessonsAnswer
 	var err error
 	switch head {
@@ -101,7 +101,7 @@
 	default:
 		err = r.call(head, requestPath, lessonsRequest{destinations}, &answer)
 	}
-	var lessons []together.Lesson
+	var lessons []together.LearnedEndpoint
 	waited := max(0, r.options.Now()-requestedAt)
 	if err == nil {
 		lessons = r.applicableLessons(answer, destinations, waited)
@@ -118,7 +118,7 @@
 }
 
 // applicableLessons are those of an answer that were asked for and can still be believed.
-func (r *Runner) applicableLessons(answer lessonsAnswer, destinations []choice.DestinationID, waited time.Duration) (all []together.Lesson) {
+func (r *Runner) applicableLessons(answer lessonsAnswer, destinations []choice.DestinationID, waited time.Duration) (all []together.LearnedEndpoint) {
 	requested := make(map[choice.DestinationID]bool, len(destinations))
 	for _, d := range destinations {
 		requested[d] = true
--- a/internal/cluster/popularity/run/run.go
+++ b/internal/cluster/popularity/run/run.go
@@ -47,14 +47,14 @@
 type Orders interface {
 	Evict(all []choice.DestinationID, done func(retained []choice.DestinationID))
 	Holding(done func([]together.Held))
-	Teach(lessons []together.Lesson)
-	Know(of []choice.DestinationID, done func([]together.Lesson))
+	Teach(lessons []together.LearnedEndpoint)
+	Know(of []choice.DestinationID, done func([]together.LearnedEndpoint))
 }
 
 // Options are what a runner is made with; all but Bounds, TickInterval and Log must be set.
 type Options struct {
 	Self         view.Member
-	Now          func() view.Now // since the process began; monotonic
+	Now          func() view.Uptime // since the process began; monotonic
 	Link         Link
 	Orders       Orders
 	View         func() *view.View
--- a/internal/cluster/popularity/run/run_test.go
+++ b/internal/cluster/popularity/run/run_test.go
@@ -16,8 +16,8 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 func handedIn(d choice.DestinationID, n uint64) together.Digest {
-	return together.Digest{Counts: []together.Count{{Destination: d, Program: "a", Messages: n},
-		{Destination: d, Program: "b", Messages: n}}}
+	return together.Digest{Counts: []together.Count{{Destination: d, Client: "a", Messages: n},
+		{Destination: d, Client: "b", Messages: n}}}
 }
 
 // What is handed in at the large processes is popular at the small one of their region, and unknown in the other,
--- a/internal/cluster/popularity/score/score.go
+++ b/internal/cluster/popularity/score/score.go
@@ -46,7 +46,7 @@
 type Table struct {
 	halfLife time.Duration
 	ranking  *Ranking // immutable
-	rankedAt view.Now
+	rankedAt view.Uptime
 	means    map[choice.DestinationID]float64 // messages a process of the region, as of rankedAt
 }
 
@@ -56,7 +56,7 @@
 // Update takes a ranking whose age is as of now, at a process of the region here; false where it changes nothing. Of
 // one coordinator the later incarnation and the higher number count; of two coordinators the younger ranking, as one
 // that lost its role may go on sending for a while.
-func (b *Table) Update(now view.Now, here view.Region, t Ranking) bool {
+func (b *Table) Update(now view.Uptime, here view.Region, t Ranking) bool {
 	if t.Region != here || t.Age < 0 || t.Age > maxAge || t.Processes < 1 || t.Head.Name == "" ||
 		!merge.ValidColumns(t.Destinations, t.Messages) {
 		return false
@@ -72,7 +72,7 @@
 	return true
 }
 
-func (b *Table) supersededBy(t Ranking, rankedAt view.Now) bool {
+func (b *Table) supersededBy(t Ranking, rankedAt view.Uptime) bool {
 	if t.Head.Name != b.ranking.Head.Name {
 		return rankedAt > b.rankedAt
 	}
@@ -81,7 +81,7 @@
 
 // RankingFor is what this process passes on to one that knows a version, its age as of now; nil if that has nothing
 // newer to learn.
-func (b *Table) RankingFor(now view.Now, known Version) *Ranking {
+func (b *Table) RankingFor(now view.Uptime, known Version) *Ranking {
 	if b.ranking == nil || b.ranking.Version == known || now-b.rankedAt > maxAge {
 		return nil
 	}
@@ -99,16 +99,16 @@
 }
 
 // Age is how old the ranking is; false if there is none.
-func (b *Table) Age(now view.Now) (time.Duration, bool) { return now - b.rankedAt, b.ranking != nil }
+func (b *Table) Age(now view.Uptime) (time.Duration, bool) { return now - b.rankedAt, b.ranking != nil }
 
 // Isolated reports whether this process hears nothing from its region.
-func (b *Table) Isolated(now view.Now) bool {
+func (b *Table) Isolated(now view.Uptime) bool {
 	return b.ranking == nil || now-b.rankedAt > IsolatedAfter
 }
 
 // Score is how many messages one process of the region is handed in for a destination on average, decayed by the
 // ranking's age, and what was handed in here (own).
-func (b *Table) Score(now view.Now, d choice.DestinationID, own float64) float64 {
+func (b *Table) Score(now view.Uptime, d choice.DestinationID, own float64) float64 {
 	if b.ranking == nil {
 		return own
 	}
--- a/internal/cluster/purge/run/leader.go
+++ b/internal/cluster/purge/run/leader.go
@@ -24,8 +24,8 @@
 	participants   []ledger.Participant
 	closeInFlight  bool
 	syncInFlight   bool
-	syncedAt       view.Now
-	absentSince    map[view.Name]view.Now // since when a participant is not in the view
+	syncedAt       view.Uptime
+	absentSince    map[view.Name]view.Uptime // since when a participant is not in the view
 }
 
 // ledgerUpdate is what was read from the ledger at once.
@@ -76,7 +76,7 @@
 }
 
 // leaderStep is the leader's part of a step. The lock is held; what may block runs in goroutines.
-func (r *Runner) leaderStep(update ledgerUpdate, now view.Now) {
+func (r *Runner) leaderStep(update ledgerUpdate, now view.Uptime) {
 	if !update.leading {
 		r.leading, r.leaderWork = false, leaderWork{}
 		return
@@ -114,7 +114,7 @@
 type rootState struct{ *spread.LeaderState }
 
 // HandleAnswer takes in the root's answer.
-func (s rootState) HandleAnswer(life view.Life, report spread.Report, now view.Now) {
+func (s rootState) HandleAnswer(life view.Life, report spread.Report, now view.Uptime) {
 	s.HandleRootAnswer(life, report, now)
 }
 
@@ -135,7 +135,7 @@
 
 // syncParticipants adds members that are not participants (their own join may not get through), and removes
 // participants that were absent for so long that they count as gone for good. The lock is held.
-func (r *Runner) syncParticipants(now view.Now) {
+func (r *Runner) syncParticipants(now view.Uptime) {
 	if r.leaderWork.syncInFlight || r.leaderWork.syncedAt != 0 && now-r.leaderWork.syncedAt < participantSyncInterval {
 		return
 	}
@@ -149,13 +149,13 @@
 }
 
 // goneParticipants are those that were absent for longer than ledger.AbsenceLimit. The lock is held.
-func (r *Runner) goneParticipants(now view.Now) (gone []view.Life) {
+func (r *Runner) goneParticipants(now view.Uptime) (gone []view.Life) {
 	w := &r.leaderWork
 	if w.absentSince == nil {
-		w.absentSince = map[view.Name]view.Now{}
+		w.absentSince = map[view.Name]view.Uptime{}
 	}
 	for _, p := range w.participants {
-		if m, found := r.view.Find(p.Name); found && m.Here() {
+		if m, found := r.view.Find(p.Name); found && m.Present() {
 			delete(w.absentSince, p.Name)
 			continue
 		}
@@ -179,7 +179,7 @@
 	}
 	for _, m := range r.view.Members {
 		p, joined := participants[m.Name]
-		if m.Here() && (!joined || p.Incarnation < m.Incarnation) {
+		if m.Present() && (!joined || p.Incarnation < m.Incarnation) {
 			joining = append(joining, ledger.Participant{Life: m.Life, Zone: m.Zone, Region: m.Region, Folder: m.Folder})
 		}
 	}
--- a/internal/cluster/purge/run/messages.go
+++ b/internal/cluster/purge/run/messages.go
@@ -51,8 +51,8 @@
 
 // updateTracker is told the outcome of an update: a spread.State or a rootState.
 type updateTracker interface {
-	HandleAnswer(view.Life, spread.Report, view.Now)
-	UpdateFailed(view.Life, view.Now)
+	HandleAnswer(view.Life, spread.Report, view.Uptime)
+	UpdateFailed(view.Life, view.Uptime)
 }
 
 // sendUpdate sends an update to a child, and takes in the report in its answer.
--- a/internal/cluster/purge/run/run.go
+++ b/internal/cluster/purge/run/run.go
@@ -38,15 +38,15 @@
 
 // Options is what a Runner is given; Now, CatchUp and Log may be left out.
 type Options struct {
-	Self      view.Member // Life, Zone, Region and Folder are read; a view may tell a higher incarnation later
-	Link      ordering.Link
-	Consensus ordering.Consensus // nil for a process outside the consensus group
-	Ledger    *ledger.Ledger     // the part of that name in the consensus group; nil without one
-	Orders    together.Orders
-	Longest   time.Duration // the longest deadline of the messages in the folder; 0 for not known
-	CatchUp   time.Duration // how long a start waits for purges that it missed, at most
-	Now       func() view.Now
-	Log       *zap.Logger
+	Self            view.Member // Life, Zone, Region and Folder are read; a view may tell a higher incarnation later
+	Link            ordering.Link
+	Consensus       ordering.Consensus // nil for a process outside the consensus group
+	Ledger          *ledger.Ledger     // the part of that name in the consensus group; nil without one
+	Orders          together.Orders
+	LongestDeadline time.Duration // the longest deadline of the messages in the folder; 0 for not known
+	CatchUp         time.Duration // how long a start waits for purges that it missed, at most
+	Now             func() view.Uptime
+	Log             *zap.Logger
 }
 
 // complete checks what must be given, and fills in defaults.
@@ -96,7 +96,7 @@
 	if err := o.complete(); err != nil {
 		return nil, err
 	}
-	r := &Runner{options: o, limiter: make(ordering.Limiter, maxRequests), longestDeadline: o.Longest,
+	r := &Runner{options: o, limiter: make(ordering.Limiter, maxRequests), longestDeadline: o.LongestDeadline,
 		state: spread.New(o.Self.Life, o.Self.Folder, o.Orders.Applied())}
 	r.signals = ordering.NewSignals(&r.mu)
 	r.ctx, r.stop = context.WithCancel(context.Background())
@@ -147,9 +147,9 @@
 	r.signals.Wake()
 }
 
-// Longest reports the longest deadline of any class, as in a sender's digest. It never shrinks until a restart, as
+// SetLongestDeadline reports the longest deadline of any class, as in a sender's digest. It never shrinks until a restart, as
 // messages that were accepted with a longer one may still be waiting.
-func (r *Runner) Longest(d time.Duration) {
+func (r *Runner) SetLongestDeadline(d time.Duration) {
 	r.mu.Lock()
 	r.longestDeadline = max(r.longestDeadline, d)
 	r.mu.Unlock()
@@ -209,7 +209,7 @@
 
 // updateTreePosition sets the parent and the children of the state. The parent of the root is the leader of the consensus
 // group. The lock is held.
-func (r *Runner) updateTreePosition(leader view.Name, known bool, now view.Now) {
+func (r *Runner) updateTreePosition(leader view.Name, known bool, now view.Uptime) {
 	if r.view == nil || r.tree == nil {
 		return
 	}
--- a/internal/cluster/purge/run/run_test.go
+++ b/internal/cluster/purge/run/run_test.go
@@ -43,11 +43,11 @@
 	defer o.mu.Unlock()
 	return o.applied
 }
-func (o *fakeSender) Evict([]choice.DestinationID, func([]choice.DestinationID)) {}
-func (o *fakeSender) Holding(func([]together.Held))                              {}
-func (o *fakeSender) Teach([]together.Lesson)                                    {}
-func (o *fakeSender) Know([]choice.DestinationID, func([]together.Lesson))       {}
-func (o *fakeSender) Configure(together.Configuration, func(error))              {}
+func (o *fakeSender) Evict([]choice.DestinationID, func([]choice.DestinationID))    {}
+func (o *fakeSender) Holding(func([]together.Held))                                 {}
+func (o *fakeSender) Teach([]together.LearnedEndpoint)                              {}
+func (o *fakeSender) Know([]choice.DestinationID, func([]together.LearnedEndpoint)) {}
+func (o *fakeSender) Configure(together.Configuration, func(error))                 {}
 
 // fleet is several processes in one, with fake senders.
 type fleet struct {
@@ -64,7 +64,7 @@
 	t.Helper()
 	l := f.net.Link(m.Life)
 	r, err := Start(Options{Self: m, Link: l, Consensus: f.net.Consensus(m.Name), Ledger: f.ledger, Orders: o,
-		Longest: time.Minute, CatchUp: bound})
+		LongestDeadline: time.Minute, CatchUp: bound})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -91,7 +91,7 @@
 	}()
 	see := func() {
 		for _, r := range all {
-			r.SetView(view.Make(r.options.Self.Name, 1, members), orderingtest.Tree(members))
+			r.SetView(view.New(r.options.Self.Name, 1, members), orderingtest.Tree(members))
 		}
 	}
 	see()
--- a/internal/cluster/purge/spread/children.go
+++ b/internal/cluster/purge/spread/children.go
@@ -22,11 +22,11 @@
 
 	inFlight bool
 	failures int
-	retryAt  view.Now
+	retryAt  view.Uptime
 }
 
 // DueUpdates are the updates that are due. Each must be followed by HandleAnswer or UpdateFailed.
-func (s *State) DueUpdates(now view.Now) (all []Outgoing) {
+func (s *State) DueUpdates(now view.Uptime) (all []Outgoing) {
 	if s.hasSeq == 0 {
 		return nil // there never was a purge
 	}
@@ -48,7 +48,7 @@
 }
 
 // HandleAnswer takes in the answer to an update.
-func (s *State) HandleAnswer(life view.Life, report Report, now view.Now) {
+func (s *State) HandleAnswer(life view.Life, report Report, now view.Uptime) {
 	c := s.children[life.Name]
 	if c == nil || c.life != life {
 		return
@@ -64,7 +64,7 @@
 }
 
 // UpdateFailed records that an update, or its answer, was lost.
-func (s *State) UpdateFailed(life view.Life, now view.Now) {
+func (s *State) UpdateFailed(life view.Life, now view.Uptime) {
 	c := s.children[life.Name]
 	if c == nil || c.life != life {
 		return
@@ -78,7 +78,7 @@
 func backoff(fails int) time.Duration { return min(minBackoff<<min(fails, 8), maxBackoff) }
 
 // HandleReport takes in a child's report of itself and all below it.
-func (s *State) HandleReport(report Report, now view.Now) ReportAnswer {
+func (s *State) HandleReport(report Report, now view.Uptime) ReportAnswer {
 	c := s.children[report.From.Name]
 	if c == nil || report.From.Incarnation < c.life.Incarnation {
 		return ReportAnswer{Resend: true} // not a child by this process's view: the report would be lost
--- a/internal/cluster/purge/spread/leader.go
+++ b/internal/cluster/purge/spread/leader.go
@@ -46,25 +46,25 @@
 }
 
 // AddPurges adds the ledger's purges after HasSeq, up to upTo, with their ages as of now.
-func (l *LeaderState) AddPurges(all []together.Purge, upTo, oldestOpen uint64, horizon time.Duration, now view.Now) {
+func (l *LeaderState) AddPurges(all []together.Purge, upTo, oldestOpen uint64, horizon time.Duration, now view.Uptime) {
 	l.State.horizon = horizon // the ledger's own; it may shrink
 	l.State.HandleUpdate(Update{Base: l.hasSeq, UpTo: upTo, OldestOpen: oldestOpen, Horizon: horizon, Purges: all}, now)
 }
 
 // SetRoot sets the root of the tree.
-func (l *LeaderState) SetRoot(root view.Life, now view.Now) {
+func (l *LeaderState) SetRoot(root view.Life, now view.Uptime) {
 	l.SetTree(Parent{}, []view.Life{root}, now)
 }
 
 // HandleRootReport takes in a report of the root.
-func (l *LeaderState) HandleRootReport(report Report, now view.Now) ReportAnswer {
+func (l *LeaderState) HandleRootReport(report Report, now view.Uptime) ReportAnswer {
 	answer := l.HandleReport(report, now)
 	l.recordProgress()
 	return answer
 }
 
 // HandleRootAnswer takes in the root's answer to an update.
-func (l *LeaderState) HandleRootAnswer(life view.Life, report Report, now view.Now) {
+func (l *LeaderState) HandleRootAnswer(life view.Life, report Report, now view.Uptime) {
 	l.HandleAnswer(life, report, now)
 	l.recordProgress()
 }
@@ -90,7 +90,7 @@
 }
 
 // NextClose is the command that closes the oldest purges that can be closed now, up to the limit.
-func (l *LeaderState) NextClose(limit int, now view.Now) (command ledger.Close, due bool) {
+func (l *LeaderState) NextClose(limit int, now view.Uptime) (command ledger.Close, due bool) {
 	if len(l.participants) == 0 || l.oldestOpen > l.hasSeq {
 		return command, false
 	}
--- a/internal/cluster/purge/spread/report.go
+++ b/internal/cluster/purge/spread/report.go
@@ -17,24 +17,24 @@
 	prevMessageNo   uint64 // the newest report that the parent has; 0 when a complete one is to be sent
 	membersChecksum uint32 // of the members that the parent knows
 	changed         bool   // something is not reported yet
-	changedAt       view.Now
-	sentAt          view.Now
+	changedAt       view.Uptime
+	sentAt          view.Uptime
 	everSent        bool // sentAt is set
 	inFlight        bool
 	failures        int
-	retryAt         view.Now
+	retryAt         view.Uptime
 	pendingAnswers  int // answers to updates that wait for the processes below; they will carry the report
 }
 
 // markChanged records that there is something to report.
-func (s *State) markChanged(now view.Now) {
+func (s *State) markChanged(now view.Uptime) {
 	if !s.uplink.changed {
 		s.uplink.changed, s.uplink.changedAt = true, now
 	}
 }
 
 // resendAll makes the next report a complete one: the parent is another, or lost a report.
-func (s *State) resendAll(now view.Now) {
+func (s *State) resendAll(now view.Uptime) {
 	s.uplink.membersChecksum, s.uplink.prevMessageNo = 0, 0
 	for _, r := range s.findings {
 		r.reported = false
@@ -79,13 +79,13 @@
 func (s *State) BeginAnswer() { s.uplink.pendingAnswers++ }
 
 // Answer is the answer to an update.
-func (s *State) Answer(to Update, now view.Now) Report {
+func (s *State) Answer(to Update, now view.Uptime) Report {
 	s.uplink.pendingAnswers = max(s.uplink.pendingAnswers-1, 0)
 	return s.makeReport(to.sender() == s.parent, now)
 }
 
 // DueReport is the report that is due, if one is. It must be followed by ReportAnswered or ReportFailed.
-func (s *State) DueReport(now view.Now) (Report, bool) {
+func (s *State) DueReport(now view.Uptime) (Report, bool) {
 	u := &s.uplink
 	if s.parent.Name == "" || s.hasSeq == 0 || !u.changed || u.inFlight || u.pendingAnswers > 0 || now < u.retryAt {
 		return Report{}, false
@@ -105,7 +105,7 @@
 }
 
 // ReportAnswered takes in a parent's answer to a report.
-func (s *State) ReportAnswered(to Parent, a ReportAnswer, now view.Now) {
+func (s *State) ReportAnswered(to Parent, a ReportAnswer, now view.Uptime) {
 	if to != s.parent {
 		return
 	}
@@ -117,7 +117,7 @@
 }
 
 // ReportFailed records that a report, or its answer, was lost.
-func (s *State) ReportFailed(to Parent, now view.Now) {
+func (s *State) ReportFailed(to Parent, now view.Uptime) {
 	if to != s.parent {
 		return
 	}
@@ -129,7 +129,7 @@
 
 // makeReport is the progress of this process and all below it. Where record is true it builds on the last one and counts
 // as sent to the parent; otherwise it is complete.
-func (s *State) makeReport(record bool, now view.Now) Report {
+func (s *State) makeReport(record bool, now view.Uptime) Report {
 	progress := s.allProgress()
 	s.uplink.messageNo++
 	report := Report{From: s.self, MessageNo: s.uplink.messageNo, HasSeq: s.hasSeq, MembersChecksum: membersChecksum(progress)}
@@ -190,7 +190,7 @@
 }
 
 // recordSent records that a report is on its way to the parent. The rest of an incomplete one is due at once.
-func (s *State) recordSent(report Report, incomplete bool, now view.Now) {
+func (s *State) recordSent(report Report, incomplete bool, now view.Uptime) {
 	u := &s.uplink
 	u.prevMessageNo, u.membersChecksum = report.MessageNo, report.MembersChecksum
 	u.sentAt, u.everSent = now, true
--- a/internal/cluster/purge/spread/simulation_test.go
+++ b/internal/cluster/purge/spread/simulation_test.go
@@ -21,7 +21,7 @@
 // testMessage is a message that a sender has accepted.
 type testMessage struct {
 	key        string
-	acceptedAt view.Now
+	acceptedAt view.Uptime
 	state      withdrawal.State
 	purgesSeen uint64 // up to which purge its process had all when it was accepted
 }
@@ -59,7 +59,7 @@
 type simulation struct {
 	t               testing.TB
 	fail            func(string, ...any)
-	now             view.Now
+	now             view.Uptime
 	ledger          *ledger.Ledger
 	processes       []*process
 	tree            []int // parent by number of process; -1 at the root
@@ -70,13 +70,13 @@
 	disks           []*disk
 	longestDeadline time.Duration
 	rootCalls       int // calls that the root made or received
-	openedAt        map[uint64]view.Now
+	openedAt        map[uint64]view.Uptime
 	openedKey       map[uint64]string
 	closedAt        map[uint64]uint64 // the ledger's revision when it was closed
 }
 
 func newSimulation(t testing.TB, fail func(string, ...any), n, zones int, hard time.Duration) *simulation {
-	w := &simulation{t: t, fail: fail, ledger: ledger.New(), longestDeadline: hard, openedAt: map[uint64]view.Now{},
+	w := &simulation{t: t, fail: fail, ledger: ledger.New(), longestDeadline: hard, openedAt: map[uint64]view.Uptime{},
 		openedKey: map[uint64]string{}, leaderStates: map[view.Life]*LeaderState{}, closedAt: map[uint64]uint64{}}
 	for i := range n {
 		p := &process{name: view.Name(fmt.Sprintf("p%02d", i)), zone: view.Zone(fmt.Sprintf("z%d", i%zones))}
@@ -160,7 +160,7 @@
 }
 
 // ticks is a time in the sender's unit.
-func ticks(t view.Now) choice.Time { return config.Down(time.Duration(t).Nanoseconds()) }
+func ticks(t view.Uptime) choice.Time { return config.RoundDown(time.Duration(t).Nanoseconds()) }
 
 // apply does to a disk what a sender does; a purge is durable before it is acknowledged.
 func (w *simulation) apply(p *process, all []together.Purge) (found []together.Found) {
@@ -169,7 +169,7 @@
 		if o.Seq > p.disk.applied {
 			order := withdrawal.Since(o, ticks(w.now))
 			for _, n := range p.disk.messages {
-				if !order.Takes(1, "", n.key, ticks(n.acceptedAt)) {
+				if !order.Matches(1, "", n.key, ticks(n.acceptedAt)) {
 					continue
 				}
 				fate := n.state.Fate()
--- a/internal/cluster/purge/spread/state.go
+++ b/internal/cluster/purge/spread/state.go
@@ -15,11 +15,11 @@
 // heldPurge is a purge and when it was received, from which time on its age grows.
 type heldPurge struct {
 	together.Purge
-	receivedAt view.Now
+	receivedAt view.Uptime
 }
 
 // age is the age of the purge now, which is a lower bound as the time on the network is not known.
-func (h heldPurge) age(now view.Now) time.Duration { return h.Age + max(now-h.receivedAt, 0) }
+func (h heldPurge) age(now view.Uptime) time.Duration { return h.Age + max(now-h.receivedAt, 0) }
 
 func bySeq(h heldPurge, seq uint64) int { return cmp.Compare(h.Seq, seq) }
 
@@ -40,7 +40,7 @@
 	applying              bool
 	batchSeqs             []uint64
 	batchEndSeq           uint64
-	nextApplyAt           view.Now // not before
+	nextApplyAt           view.Uptime // not before
 
 	parent     Parent
 	children   map[view.Name]*child
@@ -70,7 +70,7 @@
 }
 
 // SetTree sets the parent (the zero value for none) and the children.
-func (s *State) SetTree(parent Parent, children []view.Life, now view.Now) {
+func (s *State) SetTree(parent Parent, children []view.Life, now view.Uptime) {
 	if parent != s.parent {
 		s.parent = parent
 		s.uplink.retryAt, s.uplink.failures, s.uplink.inFlight = 0, 0, false
@@ -95,7 +95,7 @@
 }
 
 // HandleUpdate takes in purges, from the parent or from another process that was asked for them.
-func (s *State) HandleUpdate(update Update, now view.Now) {
+func (s *State) HandleUpdate(update Update, now view.Uptime) {
 	if update.Resend && update.sender() == s.parent {
 		s.resendAll(now)
 	}
@@ -123,12 +123,12 @@
 
 // obsolete reports whether no process can need a purge any more: it is closed and past the horizon. Purges of learned state
 // have no horizon.
-func (s *State) obsolete(h heldPurge, now view.Now) bool {
+func (s *State) obsolete(h heldPurge, now view.Uptime) bool {
 	return h.Seq < s.oldestOpen && !h.LearnedState && s.horizon > 0 && h.age(now) > s.horizon
 }
 
 // prune drops obsolete purges, and beyond the bound the oldest that are closed and applied here.
-func (s *State) prune(now view.Now) {
+func (s *State) prune(now view.Uptime) {
 	if len(s.purges) <= s.pruneThreshold {
 		return
 	}
@@ -156,7 +156,7 @@
 }
 
 // NextBatch is the purges that the sender has to apply next, in order; nil while it applies some, or when there are none.
-func (s *State) NextBatch(now view.Now) (all []together.Purge) {
+func (s *State) NextBatch(now view.Uptime) (all []together.Purge) {
 	if s.isLeader || s.applying || s.handedSeq >= s.hasSeq || now < s.nextApplyAt {
 		return nil
 	}
@@ -186,7 +186,7 @@
 
 // BatchApplied records up to which purge of the batch the sender has applied, on disk, and what each one found. The rest
 // is handed over again after a while.
-func (s *State) BatchApplied(upto uint64, found []together.Found, now view.Now) {
+func (s *State) BatchApplied(upto uint64, found []together.Found, now view.Uptime) {
 	if !s.applying {
 		return
 	}
@@ -229,7 +229,7 @@
 
 // PurgesSince is what a process needs that has all purges up to since, at most MaxPurgesPerMessage. Its UpTo is as far
 // as this process can tell: one that needs more has to ask on.
-func (s *State) PurgesSince(since uint64, now view.Now) Update {
+func (s *State) PurgesSince(since uint64, now view.Uptime) Update {
 	update := Update{From: s.self, FromLeader: s.isLeader, Base: since, UpTo: max(s.hasSeq, since), OldestOpen: s.oldestOpen, Horizon: s.horizon}
 	first, _ := slices.BinarySearchFunc(s.purges, since+1, bySeq)
 	for size, rest := 0, s.purges[first:]; len(rest) > 0; rest = rest[1:] {
@@ -253,7 +253,7 @@
 }
 
 // SetIncarnation raises this process's incarnation, as another process of its name was known with this one or a higher.
-func (s *State) SetIncarnation(to view.Life, now view.Now) {
+func (s *State) SetIncarnation(to view.Life, now view.Uptime) {
 	for k, r := range s.findings {
 		if k.name == s.self.Name && r.incarnation == s.self.Incarnation {
 			r.incarnation = to.Incarnation
--- a/internal/cluster/serve.go
+++ b/internal/cluster/serve.go
@@ -30,13 +30,13 @@
 func (n *Node) Status() *status.Status {
 	topology := n.topology.Load()
 	s := &status.Status{
-		Cluster:  n.opts.Settings.Cluster,
-		Members:  topology.view.Members,
-		Root:     topology.tree.Root(),
-		Children: topology.tree.Children(n.self.Name),
-		Since:    n.Now().Milliseconds(),
-		Purged:   n.opts.Orders.Applied(),
-		Counts:   map[string]int{},
+		Cluster:   n.opts.Settings.Cluster,
+		Members:   topology.view.Members,
+		Root:      topology.tree.Root(),
+		Children:  topology.tree.Children(n.self.Name),
+		Since:     n.Now().Milliseconds(),
+		LastPurge: n.opts.Orders.Applied(),
+		Counts:    map[string]int{},
 	}
 	s.Self, _ = topology.view.Find(n.self.Name)
 	s.Parent, _ = topology.tree.Parent(n.self.Name)
@@ -78,21 +78,21 @@
 	}
 	stats := n.subsystems.failover.Stats()
 	s.Counts["plans_decided_here"] = int(stats.Plans)
-	s.Counts["failover_up"] = int(stats.Up)
-	s.Counts["failover_down"] = int(stats.Down)
+	s.Counts["failover_up"] = int(stats.ReportCalls)
+	s.Counts["failover_down"] = int(stats.PlanCalls)
 }
 
 // addPlan fills in a plan that holds until then, with the number of routes that lead away from each zone.
-func (n *Node) addPlan(s *status.Status, p *plan.Plan, until view.Now) {
+func (n *Node) addPlan(s *status.Status, p *plan.Plan, until view.Uptime) {
 	text, _ := json.Marshal(p)
-	s.Epoch, s.PlanSum, s.HoldsMS = p.Epoch, crc32.ChecksumIEEE(text), (until - n.Now()).Milliseconds()
+	s.Epoch, s.PlanSum, s.PlanExpiresMS = p.Epoch, crc32.ChecksumIEEE(text), (until - n.Now()).Milliseconds()
 	s.Plan = fmt.Sprintf("%d routes do not go near", len(p.Routes))
 	s.Counts["plan_routes"] = len(p.Routes)
 	for _, route := range p.Routes {
-		if route.Phase != plan.Away {
+		if route.Phase != plan.Diverted {
 			continue
 		}
-		home := route.Home
+		home := route.HomeZones
 		if len(home) == 0 {
 			home = []view.Zone{route.From}
 		}
@@ -115,9 +115,9 @@
 	}
 }
 
-// Gate returns a channel that is closed once this process has applied what it missed: purges, and the settings in common.
+// CaughtUp returns a channel that is closed once this process has applied what it missed: purges, and the settings in common.
 // It is nil where neither is followed.
-func (n *Node) Gate() <-chan struct{} {
+func (n *Node) CaughtUp() <-chan struct{} {
 	var gates []<-chan struct{}
 	if n.subsystems.purge != nil {
 		gates = append(gates, n.subsystems.purge.Ready())
--- a/internal/cluster/settings/check.go
+++ b/internal/cluster/settings/check.go
@@ -20,10 +20,10 @@
 		s.Zones[view.Zone(zone)] = view.Region(c.name(path, f.Zones[zone]))
 	}
 	claimed := claimedAddresses{}
-	s.Here = c.here(&f.Here, s.Zones, claimed)
+	s.Self = c.here(&f.Here, s.Zones, claimed)
 	s.Members = c.members(f.Members, s, claimed)
 	s.Founders = c.founders(f.Founders, s)
-	s.Uses = Uses{
+	s.Features = Features{
 		Failover:      c.boolean("uses.failover", f.Uses.Failover),
 		Purges:        c.boolean("uses.purges", f.Uses.Purges),
 		Popularity:    c.boolean("uses.popularity", f.Uses.Popularity),
@@ -45,8 +45,8 @@
 }
 
 // here reads the table [here].
-func (c *checker) here(f *here, zones map[view.Zone]view.Region, claimed claimedAddresses) Here {
-	h := Here{Name: view.Name(c.name("here.process", f.Process)), Size: view.Large}
+func (c *checker) here(f *here, zones map[view.Zone]view.Region, claimed claimedAddresses) Self {
+	h := Self{Name: view.Name(c.name("here.process", f.Process)), Size: view.Large}
 	h.Zone, h.Region = c.zone("here.zone", f.Zone, zones)
 	if f.Size != nil {
 		word, ok := c.text("here.size", f.Size)
@@ -92,13 +92,13 @@
 		} else {
 			firstIndex[m.Name] = i
 		}
-		self := m.Name != "" && m.Name == s.Here.Name
-		if self && m.Zone != "" && s.Here.Zone != "" && m.Zone != s.Here.Zone {
-			c.reject(at+"zone", "%q is this process, and here.zone is %q", m.Zone, s.Here.Zone)
+		self := m.Name != "" && m.Name == s.Self.Name
+		if self && m.Zone != "" && s.Self.Zone != "" && m.Zone != s.Self.Zone {
+			c.reject(at+"zone", "%q is this process, and here.zone is %q", m.Zone, s.Self.Zone)
 		}
-		m.Reach = Addresses{c.memberAddress(at+"gossip", f.Gossip, self, s.Here.Listen.Gossip, claimed),
-			c.memberAddress(at+"council", f.Consensus, self, s.Here.Listen.Consensus, claimed),
-			c.memberAddress(at+"http", f.HTTP, self, s.Here.Listen.HTTP, claimed)}
+		m.Reach = Addresses{c.memberAddress(at+"gossip", f.Gossip, self, s.Self.Listen.Gossip, claimed),
+			c.memberAddress(at+"council", f.Consensus, self, s.Self.Listen.Consensus, claimed),
+			c.memberAddress(at+"http", f.HTTP, self, s.Self.Listen.HTTP, claimed)}
 		members = append(members, m)
 	}
 	slices.SortFunc(members, func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
@@ -157,8 +157,8 @@
 	if i := slices.IndexFunc(s.Members, func(m Member) bool { return m.Name == name }); i >= 0 {
 		return s.Members[i].Zone, true
 	}
-	if name == s.Here.Name {
-		return s.Here.Zone, true
+	if name == s.Self.Name {
+		return s.Self.Zone, true
 	}
 	return "", false
 }
--- a/internal/cluster/settings/settings.go
+++ b/internal/cluster/settings/settings.go
@@ -15,18 +15,18 @@
 // Settings is one process's file. Addresses are host:port, ready to listen on or to dial.
 type Settings struct {
 	Cluster  string // its name; processes of another cluster are rejected
-	Here     Here
+	Self     Self
 	Members  []Member // the seeds, by name; may include this process
 	Zones    map[view.Zone]view.Region
 	Founders []view.Name // the first voters of the consensus group, by name; the same in every process's file
-	Uses     Uses
+	Features Features
 	Bounds   Bounds
 	// Warnings has a line for the log for each setting that is allowed but seldom intended.
 	Warnings []string
 }
 
-// Here describes this process.
-type Here struct {
+// Self describes this process.
+type Self struct {
 	Name   view.Name
 	Zone   view.Zone
 	Region view.Region // of the zone
@@ -46,8 +46,8 @@
 // Addresses of one process: gossip is UDP and TCP, the others TCP.
 type Addresses struct{ Gossip, Consensus, HTTP string }
 
-// Uses are the features of the cluster, each off unless switched on.
-type Uses struct{ Failover, Purges, Popularity, Configuration bool }
+// Features are the features of the cluster, each off unless switched on.
+type Features struct{ Failover, Purges, Popularity, Configuration bool }
 
 // Bounds limit what this process stores.
 type Bounds struct {
@@ -92,6 +92,6 @@
 		return nil, err
 	}
 	// Absolute, as a later change of the working directory must not move the folder.
-	s.Here.Folder, err = filepath.Abs(s.Here.Folder)
+	s.Self.Folder, err = filepath.Abs(s.Self.Folder)
 	return s, err
 }
--- a/internal/cluster/settings/settings_test.go
+++ b/internal/cluster/settings/settings_test.go
@@ -85,12 +85,12 @@
 	}
 	folder, _ := filepath.Abs("state/cluster/anna")
 	want := &Settings{Cluster: "example",
-		Here: Here{"anna", "east", "coast", view.Large, folder,
+		Self: Self{"anna", "east", "coast", view.Large, folder,
 			Addresses{"127.0.0.1:7101", "127.0.0.1:7102", "127.0.0.1:7103"}},
 		Members: []Member{{"bert", "west", "coast", Addresses{"127.0.0.1:7201", "127.0.0.1:7202", "127.0.0.1:7203"}},
 			{"cara", "north", "hills", Addresses{"127.0.0.1:7301", "127.0.0.1:7302", "127.0.0.1:7303"}}},
 		Zones:    map[view.Zone]view.Region{"east": "coast", "west": "coast", "north": "hills"},
-		Founders: []view.Name{"anna", "bert", "cara"}, Uses: Uses{Failover: true, Purges: true},
+		Founders: []view.Name{"anna", "bert", "cara"}, Features: Features{Failover: true, Purges: true},
 		Bounds: Bounds{defaultDestinations, defaultSmallDestinations, defaultSmallBytes, defaultPurges}}
 	if d := cmp.Diff(want, got); d != "" {
 		t.Fatal(d)
--- a/internal/cluster/settings/storeddata_test.go
+++ b/internal/cluster/settings/storeddata_test.go
@@ -20,13 +20,13 @@
 	}
 	return &settings.Settings{
 		Cluster: "fleet",
-		Here: settings.Here{Name: "a", Zone: "z1", Region: "r1", Size: view.Small, Folder: folder,
+		Self: settings.Self{Name: "a", Zone: "z1", Region: "r1", Size: view.Small, Folder: folder,
 			Listen: settings.Addresses{Gossip: "10.0.0.1:7101", Consensus: "10.0.0.1:7102", HTTP: "10.0.0.1:7103"}},
 		Members: []settings.Member{{Name: "b", Zone: "z2", Region: "r2",
 			Reach: settings.Addresses{Gossip: "10.0.0.2:7201", Consensus: "10.0.0.2:7202", HTTP: "10.0.0.2:7203"}}},
 		Zones:    map[view.Zone]view.Region{"z1": "r1", "z2": "r2"},
 		Founders: []view.Name{"b"},
-		Uses:     settings.Uses{Failover: true, Purges: true, Popularity: true, Configuration: true},
+		Features: settings.Features{Failover: true, Purges: true, Popularity: true, Configuration: true},
 		Bounds:   settings.Bounds{Destinations: 17, SmallDestinations: 18, SmallBytes: 19000, Purges: 20},
 	}
 }
--- a/internal/cluster/status/status.go
+++ b/internal/cluster/status/status.go
@@ -27,15 +27,15 @@
 	Voters  []view.Name `json:"voters,omitempty"`
 	Applied uint64      `json:"applied"` // index in the consensus log, where this process has it
 
-	Epoch   view.Epoch `json:"epoch"` // of the routing plan in force here; 0 for none
-	Plan    string     `json:"plan,omitempty"`
-	PlanSum uint32     `json:"plan_sum,omitempty"` // checksum of its content: two plans of one epoch must not differ
-	HoldsMS int64      `json:"holds_ms,omitempty"` // until it lapses, unless it is renewed
-	Since   int64      `json:"since_ms"`           // for how long this process has been running
-
-	Purged  uint64         `json:"purged"` // highest purge that is on disk here
-	Traffic Traffic        `json:"traffic"`
-	Counts  map[string]int `json:"counts,omitempty"`
+	Epoch         view.Epoch `json:"epoch"` // of the routing plan in force here; 0 for none
+	Plan          string     `json:"plan,omitempty"`
+	PlanSum       uint32     `json:"plan_sum,omitempty"` // checksum of its content: two plans of one epoch must not differ
+	PlanExpiresMS int64      `json:"holds_ms,omitempty"` // until it lapses, unless it is renewed
+	Since         int64      `json:"since_ms"`           // for how long this process has been running
+
+	LastPurge uint64         `json:"purged"` // highest purge that is on disk here
+	Traffic   Traffic        `json:"traffic"`
+	Counts    map[string]int `json:"counts,omitempty"`
 
 	Configuration *configuration.Status `json:"configuration,omitempty"` // nil where that is switched off
 
--- a/internal/cluster/storeddata_test.go
+++ b/internal/cluster/storeddata_test.go
@@ -101,7 +101,7 @@
 		}
 	}
 	s := node.Status()
-	if s.Self.Incarnation != storedIncarnation+1 || s.Self.Folder != storedFolderID || s.Self.Empty || !s.Self.Voted {
+	if s.Self.Incarnation != storedIncarnation+1 || s.Self.Folder != storedFolderID || s.Self.Empty || !s.Self.HasRecords {
 		t.Errorf("goes on as %+v", s.Self)
 	}
 	if !slices.Equal(s.Voters, []view.Name{"a"}) || s.Applied != storedLastIndex {
--- a/internal/cluster/subsystems.go
+++ b/internal/cluster/subsystems.go
@@ -38,7 +38,7 @@
 
 // start starts the subsystems that are switched on.
 func (u *subsystems) start(n *Node) error {
-	on := n.opts.Settings.Uses
+	on := n.opts.Settings.Features
 	if on.Failover {
 		u.startFailover(n)
 	}
@@ -57,16 +57,16 @@
 }
 
 func (u *subsystems) startFailover(n *Node) {
-	planSettings := plan.Usual()
+	planSettings := plan.DefaultSettings()
 	planSettings.RatingIsRate = n.opts.RatingIsRate
 	if n.opts.FallMultiple > 0 {
-		planSettings.SlowStart, planSettings.SlowStartFrom, planSettings.FallMultiple = n.opts.SlowStart, n.opts.SlowStartFrom, n.opts.FallMultiple
+		planSettings.SlowStart, planSettings.SlowStartFrom, planSettings.OverloadMultiple = n.opts.SlowStart, n.opts.SlowStartFrom, n.opts.FallMultiple
 	}
 	client := consensusClient{n}
 	u.failover = failover.Start(failover.Options{
 		Self: n.self.Name, Zone: n.self.Zone, Now: n.Now, Link: n.link, Consensus: client, InForce: u.inForce,
-		Term: client.Term, Tree: n.TreeWithoutSuspected, Samples: n.evidence.Read, Local: n.digests.local,
-		Bounds: weigh.Usual(), Settings: planSettings, Log: n.log.Named("failover"),
+		Term: client.Term, Tree: n.TreeWithoutSuspected, HealthReports: n.evidence.Read, Local: n.digests.local,
+		Bounds: weigh.DefaultBounds(), Settings: planSettings, Log: n.log.Named("failover"),
 	})
 }
 
@@ -82,7 +82,7 @@
 
 func (u *subsystems) startPurges(n *Node) (err error) {
 	opts := purge.Options{
-		Self: n.self, Link: n.link, Orders: forgettingOrders{n.opts.Orders, u}, Longest: n.opts.Longest, Now: n.Now,
+		Self: n.self, Link: n.link, Orders: forgettingOrders{n.opts.Orders, u}, LongestDeadline: n.opts.LongestDeadline, Now: n.Now,
 		Log: n.log.Named("purge"),
 	}
 	if n.consensus != nil {
@@ -95,7 +95,7 @@
 func (u *subsystems) startConfiguration(n *Node) (err error) {
 	opts := configuration.Options{
 		Self: n.self, Link: n.link, Orders: n.opts.Orders, Folder: n.folder.Path, Running: n.opts.Running,
-		Own: n.opts.OwnSettings, Check: n.opts.CheckSettings, Now: n.Now, Log: n.log.Named("configuration"),
+		OwnSettings: n.opts.OwnSettings, Check: n.opts.CheckSettings, Now: n.Now, Log: n.log.Named("configuration"),
 	}
 	if n.consensus != nil {
 		opts.Consensus, opts.Ledger = consensusClient{n}, u.configurationLedger
--- a/internal/cluster/topology.go
+++ b/internal/cluster/topology.go
@@ -29,7 +29,7 @@
 	next.treeWithoutSuspected = next.tree
 	if slices.ContainsFunc(v.Members, isSuspected) {
 		others := slices.DeleteFunc(slices.Clone(v.Members), isSuspected)
-		next.treeWithoutSuspected = tree.Derive(view.Make(v.Self, v.No, others))
+		next.treeWithoutSuspected = tree.Derive(view.New(v.Self, v.Version, others))
 	}
 	n.topology.Store(next)
 	if n.link == nil {
--- a/internal/cluster/tree/capacity_test.go
+++ b/internal/cluster/tree/capacity_test.go
@@ -12,7 +12,7 @@
 // BenchmarkCapacityDerive is of 24 zones in 3 regions; most-children is what reports to the busiest process.
 func BenchmarkCapacityDerive(b *testing.B) {
 	bench.Sizes(b, "members", []int{66, 660, 6_600}, func(b *testing.B, n int) {
-		v := view.Make("", 1, fleet(n, 24, 3))
+		v := view.New("", 1, fleet(n, 24, 3))
 		var t *Tree
 		heap := bench.Heap(func() any {
 			t = Derive(v)
--- a/internal/cluster/tree/tree.go
+++ b/internal/cluster/tree/tree.go
@@ -100,7 +100,7 @@
 	if v == nil {
 		return nil
 	}
-	here := slices.DeleteFunc(slices.Clone(v.Members), func(m view.Member) bool { return !m.Here() })
+	here := slices.DeleteFunc(slices.Clone(v.Members), func(m view.Member) bool { return !m.Present() })
 	slices.SortFunc(here, func(a, b view.Member) int {
 		// A roster holds one life of a name; should there be two, the later counts.
 		return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(b.Incarnation, a.Incarnation), cmp.Compare(a.Zone, b.Zone))
--- a/internal/cluster/tree/tree_test.go
+++ b/internal/cluster/tree/tree_test.go
@@ -30,7 +30,7 @@
 func checkInvariants(t interface{ Fatalf(string, ...any) }, tr *Tree, members []view.Member, depth int) {
 	here := 0
 	for _, m := range members {
-		if !m.Here() {
+		if !m.Present() {
 			if _, has := tr.Parent(m.Name); has {
 				t.Fatalf("%s is not here and has a parent", m.Name)
 			}
@@ -76,20 +76,20 @@
 				State:  rapid.SampledFrom([]view.State{view.Alive, view.Suspected, view.Left, view.Dead}).Draw(t, "state"),
 			}
 		}), 0, 120, func(m view.Member) view.Name { return m.Name }).Draw(t, "members")
-		tr := Derive(view.Make("p0", 1, members))
+		tr := Derive(view.New("p0", 1, members))
 		checkInvariants(t, tr, members, 5)
 		shuffled := rapid.Permutation(members).Draw(t, "order")
-		other := Derive(&view.View{Self: "p1", No: 9, Members: shuffled})
+		other := Derive(&view.View{Self: "p1", Version: 9, Members: shuffled})
 		if d := cmp.Diff(tr, other, cmp.AllowUnexported(Tree{})); d != "" {
 			t.Fatalf("another order, another tree: %s", d)
 		}
 		for _, m := range members {
 			isHead := tr.ZoneHead(m.Zone) == m.Name
-			if !m.Here() || !isHead || m.Size == view.Large {
+			if !m.Present() || !isHead || m.Size == view.Large {
 				continue
 			}
 			for _, o := range members {
-				if o.Here() && o.Zone == m.Zone && o.Size == view.Large {
+				if o.Present() && o.Zone == m.Zone && o.Size == view.Large {
 					t.Fatalf("small %s heads %s, where large %s is", m.Name, m.Zone, o.Name)
 				}
 			}
@@ -98,7 +98,7 @@
 }
 
 func TestHeadsBelongToTheirGroups(t *testing.T) {
-	tr := Derive(view.Make("", 1, fleet(300, 12, 4)))
+	tr := Derive(view.New("", 1, fleet(300, 12, 4)))
 	for _, r := range tr.Regions() {
 		among := false
 		for _, z := range tr.Zones(r) {
@@ -120,10 +120,10 @@
 // parent.
 func TestDepartureMovesOnlyItsChildren(t *testing.T) {
 	all := fleet(300, 12, 4)
-	before := Derive(view.Make("", 1, all))
+	before := Derive(view.New("", 1, all))
 	for i, gone := range all {
 		rest := append(append([]view.Member{}, all[:i]...), all[i+1:]...)
-		after := Derive(view.Make("", 2, rest))
+		after := Derive(view.New("", 2, rest))
 		for _, m := range rest {
 			was, _ := before.Parent(m.Name)
 			is, _ := after.Parent(m.Name)
@@ -140,7 +140,7 @@
 	} {
 		all := fleet(c.processes, c.zones, c.regions)
 		rand.New(rand.NewPCG(1, 2)).Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
-		tr := Derive(view.Make("", 1, all))
+		tr := Derive(view.New("", 1, all))
 		checkInvariants(t, tr, all, c.depth)
 		for _, m := range all {
 			if n := len(tr.Children(m.Name)); n > c.most {
@@ -153,7 +153,7 @@
 				continue
 			}
 			moved := 0
-			after := Derive(view.Make("", 2, append(append([]view.Member{}, all[:i]...), all[i+1:]...)))
+			after := Derive(view.New("", 2, append(append([]view.Member{}, all[:i]...), all[i+1:]...)))
 			for _, m := range all {
 				was, _ := tr.Parent(m.Name)
 				if is, _ := after.Parent(m.Name); m.Name != gone.Name && is != was {
@@ -168,7 +168,7 @@
 }
 
 func TestEmptyViews(t *testing.T) {
-	dead := view.Make("a", 1, []view.Member{{Life: view.Life{Name: "a"}, State: view.Dead}})
+	dead := view.New("a", 1, []view.Member{{Life: view.Life{Name: "a"}, State: view.Dead}})
 	for _, v := range []*view.View{nil, {}, dead} {
 		if tr := Derive(v); tr.Root() != "" || len(tr.Regions()) != 0 {
 			t.Errorf("%v: root %q", v, tr.Root())
@@ -177,7 +177,7 @@
 }
 
 func BenchmarkDerive(b *testing.B) {
-	v := view.Make("", 1, fleet(1000, 12, 4))
+	v := view.New("", 1, fleet(1000, 12, 4))
 	for b.Loop() {
 		Derive(v)
 	}
--- a/internal/cluster/view/view.go
+++ b/internal/cluster/view/view.go
@@ -54,32 +54,32 @@
 // Member is one process as it announces itself, and its state as known here.
 type Member struct {
 	Life
-	Zone   Zone   `json:"zone"`
-	Region Region `json:"region"`
-	Size   Size   `json:"size"`
-	State  State  `json:"state"`
-	HTTP   string `json:"http,omitempty"`    // address of its listener for calls (package link), as it announces it
-	Raft   string `json:"council,omitempty"` // address of its raft transport
-	Empty  bool   `json:"empty,omitempty"`   // it started with an empty folder: what it had stored before is lost
-	Folder string `json:"folder,omitempty"`  // random id of its folder; a name with another Folder lost its disk
-	Voted  bool   `json:"voted,omitempty"`   // its folder holds the records of a consensus group
+	Zone       Zone   `json:"zone"`
+	Region     Region `json:"region"`
+	Size       Size   `json:"size"`
+	State      State  `json:"state"`
+	HTTP       string `json:"http,omitempty"`    // address of its listener for calls (package link), as it announces it
+	Raft       string `json:"council,omitempty"` // address of its raft transport
+	Empty      bool   `json:"empty,omitempty"`   // it started with an empty folder: what it had stored before is lost
+	Folder     string `json:"folder,omitempty"`  // random id of its folder; a name with another Folder lost its disk
+	HasRecords bool   `json:"voted,omitempty"`   // its folder holds the records of a consensus group
 }
 
-// Here reports whether a member counts as present in the fleet.
-func (m Member) Here() bool { return m.State == Alive || m.State == Suspected }
+// Present reports whether a member counts as present in the fleet.
+func (m Member) Present() bool { return m.State == Alive || m.State == Suspected }
 
 // View is all members as one process sees them, by name. Immutable.
 type View struct {
 	Self    Name
-	No      uint64 // version; grows with each change observed here
+	Version uint64 // version; grows with each change observed here
 	Members []Member
 }
 
-// Make returns a view of a sorted copy of members.
-func Make(self Name, no uint64, members []Member) *View {
+// New returns a view of a sorted copy of members.
+func New(self Name, no uint64, members []Member) *View {
 	all := slices.Clone(members)
 	slices.SortFunc(all, func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
-	return &View{Self: self, No: no, Members: all}
+	return &View{Self: self, Version: no, Members: all}
 }
 
 // Find returns a member by its name.
@@ -91,5 +91,5 @@
 	return v.Members[i], true
 }
 
-// Now is a time as a span since the process started, by its monotonic clock.
-type Now = time.Duration
+// Uptime is a time as a span since the process started, by its monotonic clock.
+type Uptime = time.Duration
--- a/internal/config/capacity_test.go
+++ b/internal/config/capacity_test.go
@@ -49,8 +49,8 @@
 	bench.Sizes(b, "destinations", []int{610, 6_100, 61_000}, func(b *testing.B, n int) {
 		l := directory.List{Version: 1, Full: true}
 		for d := range 2 * n {
-			l.Servers = append(l.Servers, directory.Entry{ID: fmt.Sprintf("endpoint-%07d", d), Addr: "10.0.0.1:8080", Zone: "z",
-				Kind: "one", Cell: float64(d / 2), State: "up", Weight: 100})
+			l.Entries = append(l.Entries, directory.Entry{ID: fmt.Sprintf("endpoint-%07d", d), Addr: "10.0.0.1:8080", Zone: "z",
+				Kind: "one", Destination: float64(d / 2), State: "up", Weight: 100})
 		}
 		known, err := json.Marshal(l)
 		if err != nil {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -23,19 +23,19 @@
 
 // Config is the configuration of one sender.
 type Config struct {
-	Name         string
-	Listen       string
-	Discovery    string
-	State        string // the folder that outlives the process
-	Seed         int64
-	Limits       Limits
-	Known        directory.List
-	ClassNumbers map[string]choice.ClassNo // by name
-	Accounts     map[string]choice.AccountNo
-	Zones        map[string]choice.ZoneNo
-	Kinds        map[string]choice.KindNo
-	Reports      []string // fields of load reports
-	Settings     choice.Settings
+	Name             string
+	Listen           string
+	Discovery        string
+	StateDir         string // the folder that outlives the process
+	Seed             int64
+	Limits           Limits
+	Known            directory.List
+	ClassNumbers     map[string]choice.ClassNo // by name
+	Accounts         map[string]choice.AccountNo
+	Zones            map[string]choice.ZoneNo
+	Kinds            map[string]choice.KindNo
+	LoadReportFields []string // fields of load reports
+	Settings         choice.Settings
 
 	PeerListen string   // where gossip of other senders arrives; empty for nowhere
 	Peers      []string // the address of each sender of the tier, by number
@@ -93,24 +93,24 @@
 	})
 }
 
-// Fixed names the fields in which a configuration that was read again differs and which a running sender cannot change.
+// RestartOnlyChanges names the fields in which a configuration that was read again differs and which a running sender cannot change.
 // The seed and the known list matter only at a start; once shared settings are in force, the file's settings matter to
 // neither.
-func (c *Config) Fixed(fresh *Config) (fields []string) {
+func (c *Config) RestartOnlyChanges(fresh *Config) (fields []string) {
 	for _, f := range []struct {
 		name     string
 		old, new any
 	}{
 		{"name", c.Name, fresh.Name},
 		{"listen", c.Listen, fresh.Listen},
-		{"state", c.State, fresh.State},
+		{"state", c.StateDir, fresh.StateDir},
 		{"limits", c.Limits, fresh.Limits},
 		{"settings", c.Settings, fresh.Settings},
 		{"settings.classes", c.ClassNumbers, fresh.ClassNumbers},
 		{"settings.accounts", c.Accounts, fresh.Accounts},
 		{"settings.zones", c.Zones, fresh.Zones},
 		{"settings.machineTypes", c.Kinds, fresh.Kinds},
-		{"settings.stats.fields", c.Reports, fresh.Reports},
+		{"settings.stats.fields", c.LoadReportFields, fresh.LoadReportFields},
 		{"peer_listen", c.PeerListen, fresh.PeerListen},
 		{"peers", c.Peers, fresh.Peers},
 		{"peers_all", c.PeersAll, fresh.PeersAll},
@@ -123,9 +123,9 @@
 	return fields
 }
 
-// TurnOnNotes turns on gossip between senders if the settings allow it and the file says where it goes. Otherwise it
+// EnableGossip turns on gossip between senders if the settings allow it and the file says where it goes. Otherwise it
 // returns what is missing and changes nothing.
-func (c *Config) TurnOnNotes() error {
+func (c *Config) EnableGossip() error {
 	switch {
 	case !c.gossipAllowed:
 		return &fielderror.Error{Field: settingsField, Err: settingError("bounds.peers", "notes are not allowed")}
@@ -193,7 +193,7 @@
 		{&c.Name, "EDGE_NAME", "name", f.Name, false},
 		{&c.Listen, "EDGE_LISTEN", "listen", f.Listen, true},
 		{&c.Discovery, "EDGE_DISCOVERY", "discovery", f.Discovery, true},
-		{&c.State, "EDGE_STATE", "state", f.State, false},
+		{&c.StateDir, "EDGE_STATE", "state", f.State, false},
 	} {
 		*v.to = cmp.Or(getenv(v.variable), v.fromFile)
 		if *v.to == "" {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -31,7 +31,7 @@
 		fmt.Println(strings.ReplaceAll(err.Error(), file.Name(), "FILE"))
 		return
 	}
-	fmt.Println(c.Name, c.Listen, c.Discovery, c.State, c.Seed, c.Limits, c.Settings.InFlightLimit, c.ClassNumbers)
+	fmt.Println(c.Name, c.Listen, c.Discovery, c.StateDir, c.Seed, c.Limits, c.Settings.InFlightLimit, c.ClassNumbers)
 }
 
 // The environment overrides the file; what is wrong is named by its field, and nothing is guessed.
@@ -61,7 +61,7 @@
 }
 
 // Gossip is on only where it is wanted, the settings allow it, and the file says where it goes.
-func ExampleConfig_TurnOnNotes() {
+func ExampleConfig_EnableGossip() {
 	const allowed = `"extra":{"callsOut":4},"bounds":{"peers":true}`
 	peers := `{"peer_listen":"127.0.0.1:3","peers":["127.0.0.1:3","127.0.0.1:4"],"peers_all":"127.0.0.1:5",`
 	whole := strings.Replace(strings.Replace(good, `"extra":{"callsOut":4}`, allowed, 1), `{`, peers, 1)
@@ -77,7 +77,7 @@
 			continue
 		}
 		before := c.Settings.Notes
-		fmt.Println(before, c.TurnOnNotes(), c.Settings.Notes, c.PeerListen, c.Peers, c.PeersAll)
+		fmt.Println(before, c.EnableGossip(), c.Settings.Notes, c.PeerListen, c.Peers, c.PeersAll)
 	}
 	// Output:
 	// false <nil> true 127.0.0.1:3 [127.0.0.1:3 127.0.0.1:4] 127.0.0.1:5
--- a/internal/config/durations.go
+++ b/internal/config/durations.go
@@ -11,8 +11,8 @@
 // for no end; a sum with it must not overflow, since a timer that lies in the past fires at once.
 const maxDuration = 10 * 365 * 24 * 3600 * 1_000_000_000
 
-// Down rounds nanoseconds down to choice.Time, for durations that must not be exceeded.
-func Down(ns int64) choice.Time {
+// RoundDown rounds nanoseconds down to choice.Time, for durations that must not be exceeded.
+func RoundDown(ns int64) choice.Time {
 	t := ns / nanosecondsPerUnit
 	if ns%nanosecondsPerUnit < 0 {
 		t--
@@ -20,14 +20,14 @@
 	return choice.Time(t)
 }
 
-// Up rounds nanoseconds up to choice.Time, for durations that must have passed.
-func Up(ns int64) choice.Time { return -Down(-ns) }
+// RoundUp rounds nanoseconds up to choice.Time, for durations that must have passed.
+func RoundUp(ns int64) choice.Time { return -RoundDown(-ns) }
 
 // Nanoseconds converts choice.Time back.
 func Nanoseconds(t choice.Time) int64 { return int64(t) * nanosecondsPerUnit }
 
 // atMost is a duration of the settings that must not be exceeded.
-func atMost(ns int64) choice.Time { return Down(min(maxDuration, ns)) }
+func atMost(ns int64) choice.Time { return RoundDown(min(maxDuration, ns)) }
 
 // atLeast is a duration of the settings that must have passed.
-func atLeast(ns int64) choice.Time { return Up(min(maxDuration, ns)) }
+func atLeast(ns int64) choice.Time { return RoundUp(min(maxDuration, ns)) }
--- a/internal/config/extremes_test.go
+++ b/internal/config/extremes_test.go
@@ -183,7 +183,7 @@
 		return
 	}
 	s := &c.Settings
-	spans := []choice.Time{s.Turn, s.ConnIdle, s.DialTimeout, s.LongestReturn, s.SlowStart, s.Fall, s.KeyRest}
+	spans := []choice.Time{s.TurnInterval, s.ConnIdle, s.DialTimeout, s.MaxRetryAfter, s.SlowStart, s.OverloadWindow, s.KeyPause}
 	for _, class := range s.Classes {
 		spans = append(spans, class.LatencyObjective, class.Deadline, class.RepeatWindow)
 		if class.LatencyObjective == 0 {
--- a/internal/config/reload_test.go
+++ b/internal/config/reload_test.go
@@ -43,7 +43,7 @@
 	set(o, "discovery", "127.0.0.1:3")
 	write(o)
 	c, err := Reload(env)
-	if err != nil || c.Discovery != "127.0.0.1:3" || c.Name != "other" || fmt.Sprint(first.Fixed(c)) != "[settings]" {
+	if err != nil || c.Discovery != "127.0.0.1:3" || c.Name != "other" || fmt.Sprint(first.RestartOnlyChanges(c)) != "[settings]" {
 		t.Errorf("%v %+v", err, c)
 	}
 }
--- a/internal/config/running.go
+++ b/internal/config/running.go
@@ -62,7 +62,7 @@
 	for i, kind := range b.MachineTypes {
 		c.Kinds[kind] = choice.KindNo(i)
 	}
-	c.Reports, c.settingsInForce = b.Stats.Fields, raw
+	c.LoadReportFields, c.settingsInForce = b.Stats.Fields, raw
 	return nil
 }
 
@@ -163,7 +163,7 @@
 			"%d kinds, and %d are in force (machineTypes, extra.bundleMax or extra.separateRoutes, the longest)", len(new), len(now))
 	}
 	for i := range now {
-		if now[i].Apart != new[i].Apart {
+		if now[i].SeparateRoutes != new[i].SeparateRoutes {
 			return settingError(fmt.Sprintf("extra.separateRoutes[%d]", i), "it cannot change while senders run; add a machine type")
 		}
 	}
--- a/internal/config/running_test.go
+++ b/internal/config/running_test.go
@@ -145,7 +145,7 @@
 	if s.Number != 4 || s.Zone != 1 || s.Classes[0].Value != 3 || len(s.Quotas) != 2 || with.Accounts["new"] != 1 {
 		t.Errorf("%+v", with)
 	}
-	if with.Name != own.Name || with.Listen != own.Listen || with.State != own.State || with.Limits != own.Limits || with.Seed != own.Seed {
+	if with.Name != own.Name || with.Listen != own.Listen || with.StateDir != own.StateDir || with.Limits != own.Limits || with.Seed != own.Seed {
 		t.Errorf("%+v", with)
 	}
 	if string(with.SettingsInForce()) != string(shared) || string(own.SettingsInForce()) != string(own.OwnSettings()) ||
@@ -177,7 +177,7 @@
 	}
 	for _, on := range []bool{false, true} {
 		if on {
-			if err := wanted.TurnOnNotes(); err != nil {
+			if err := wanted.EnableGossip(); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -108,28 +108,28 @@
 // plainSettings are the settings that need no more than a conversion of their type.
 func (b *Boot) plainSettings(connectionLimitAnswered bool) choice.Settings {
 	return choice.Settings{
-		Senders:        max(1, b.Senders),
-		Number:         choice.PeerNo(b.SlotNo),
-		Zone:           choice.ZoneNo(b.Zone),
-		InFlightLimit:  b.Extra.InFlightLimit,
-		MaxOpen:        b.Bounds.MaxOpen,
-		MaxAttempts:    b.Bounds.MaxAttempts,
-		OverShareValue: b.OverQuotaPriorityWeight,
-		Halving:        b.Extra.ValueDecay == "halving",
-		Probing:        b.Bounds.Probing,
-		Notes:          b.Bounds.Peers,
-		Cancelling:     b.Bounds.Cancel,
-		DialTimeout:    atLeast(b.Bounds.DialTimeout),
-		ConnIdle:       atMost(b.Bounds.ConnIdle),
-		TellsFull:      connectionLimitAnswered,
-		Turn:           atLeast(b.TickInterval),
-		FallMultiple:   b.Rules.FallMultiple,
-		Fall:           atLeast(b.Rules.Fall),
-		SlowStartFrom:  b.Rules.SlowStartFrom,
-		SlowStart:      atLeast(b.Rules.SlowStart),
-		KeyRest:        atLeast(b.Rules.KeyRest),
-		RefusedPrice:   b.Extra.RejectedPrice,
-		HandshakePrice: b.Deductions.Handshake,
+		Senders:              max(1, b.Senders),
+		Number:               choice.PeerNo(b.SlotNo),
+		Zone:                 choice.ZoneNo(b.Zone),
+		InFlightLimit:        b.Extra.InFlightLimit,
+		MaxOpen:              b.Bounds.MaxOpen,
+		MaxAttempts:          b.Bounds.MaxAttempts,
+		OverQuotaValue:       b.OverQuotaPriorityWeight,
+		Halving:              b.Extra.ValueDecay == "halving",
+		Probing:              b.Bounds.Probing,
+		Notes:                b.Bounds.Peers,
+		Cancelling:           b.Bounds.Cancel,
+		DialTimeout:          atLeast(b.Bounds.DialTimeout),
+		ConnIdle:             atMost(b.Bounds.ConnIdle),
+		AnswersWhenTableFull: connectionLimitAnswered,
+		TurnInterval:         atLeast(b.TickInterval),
+		OverloadMultiple:     b.Rules.FallMultiple,
+		OverloadWindow:       atLeast(b.Rules.Fall),
+		SlowStartFrom:        b.Rules.SlowStartFrom,
+		SlowStart:            atLeast(b.Rules.SlowStart),
+		KeyPause:             atLeast(b.Rules.KeyRest),
+		RejectedPrice:        b.Extra.RejectedPrice,
+		HandshakePrice:       b.Deductions.Handshake,
 	}
 }
 
@@ -155,7 +155,7 @@
 			Deadline:         atMost(c.Deadline),
 			Value:            c.PriorityWeight,
 			LateValue:        c.LatePriorityWeight,
-			ByArrival:        c.ByArrival,
+			Ordered:          c.ByArrival,
 		})
 	}
 	if len(all) == 0 {
@@ -195,18 +195,18 @@
 		s.MaxAttempts = math.MaxInt
 	}
 	if b.Bounds.RetryAfter {
-		s.LongestReturn = atMost(b.Bounds.MaxRetryAfter)
+		s.MaxRetryAfter = atMost(b.Bounds.MaxRetryAfter)
 	}
 }
 
 // kinds are as many as the longest of the three lists that describe them, and at least one.
 func (b *Boot) kinds() (all []choice.Kind) {
 	for i := range max(1, len(b.MachineTypes), len(b.Extra.BulkMax), len(b.Extra.SeparateRoutes)) {
-		k := choice.Kind{BundleMax: 1}
+		k := choice.Kind{BulkMax: 1}
 		if i < len(b.Extra.BulkMax) {
-			k.BundleMax = max(1, b.Extra.BulkMax[i])
+			k.BulkMax = max(1, b.Extra.BulkMax[i])
 		}
-		k.Apart = i < len(b.Extra.SeparateRoutes) && b.Extra.SeparateRoutes[i]
+		k.SeparateRoutes = i < len(b.Extra.SeparateRoutes) && b.Extra.SeparateRoutes[i]
 		all = append(all, k)
 	}
 	return all
--- a/internal/config/storeddata_test.go
+++ b/internal/config/storeddata_test.go
@@ -44,29 +44,29 @@
 			{Repeat: choice.Idempotent, ZoneGroup: true, LatencyObjective: 7 * tenthOfSecond, Deadline: 8 * tenthOfSecond, Value: 10, LateValue: 0.9},
 			{Repeat: choice.Keyed, ZoneGroup: true, RepeatWindow: 13 * tenthOfSecond, LatencyObjective: 11 * tenthOfSecond,
 				Deadline: 12 * tenthOfSecond, Value: 14},
-			{Repeat: choice.NonIdempotent, LatencyObjective: 15 * tenthOfSecond, Deadline: 16 * tenthOfSecond, Value: 17, ByArrival: true},
+			{Repeat: choice.NonIdempotent, LatencyObjective: 15 * tenthOfSecond, Deadline: 16 * tenthOfSecond, Value: 17, Ordered: true},
 		},
-		Kinds:          []choice.Kind{{BundleMax: 19, Apart: true}, {BundleMax: 20}},
-		Quotas:         []float64{1.5, 2.5},
-		OverShareValue: 0.25,
-		Halving:        true,
-		Probing:        true,
-		Notes:          false, // allowed by bounds.peers, and off until TurnOnNotes
-		Cancelling:     true,
-		LongestReturn:  6 * tenthOfSecond,
-		DialTimeout:    2 * tenthOfSecond,
-		ConnIdle:       1 * tenthOfSecond,
-		TellsFull:      true,
-		Turn:           26 * choice.Millisecond,
-		Rating:         choice.RatingExact,
-		FallMultiple:   30,
-		Fall:           29 * tenthOfSecond,
-		SlowStartFrom:  0.28,
-		SlowStart:      27 * tenthOfSecond,
-		KeyRest:        31 * tenthOfSecond,
-		RouteFees:      []float64{0.22, 0.23},
-		RefusedPrice:   0.24,
-		HandshakePrice: 0.18,
+		Kinds:                []choice.Kind{{BulkMax: 19, SeparateRoutes: true}, {BulkMax: 20}},
+		Quotas:               []float64{1.5, 2.5},
+		OverQuotaValue:       0.25,
+		Halving:              true,
+		Probing:              true,
+		Notes:                false, // allowed by bounds.peers, and off until TurnOnNotes
+		Cancelling:           true,
+		MaxRetryAfter:        6 * tenthOfSecond,
+		DialTimeout:          2 * tenthOfSecond,
+		ConnIdle:             1 * tenthOfSecond,
+		AnswersWhenTableFull: true,
+		TurnInterval:         26 * choice.Millisecond,
+		Rating:               choice.RatingExact,
+		OverloadMultiple:     30,
+		OverloadWindow:       29 * tenthOfSecond,
+		SlowStartFrom:        0.28,
+		SlowStart:            27 * tenthOfSecond,
+		KeyPause:             31 * tenthOfSecond,
+		RouteFees:            []float64{0.22, 0.23},
+		RejectedPrice:        0.24,
+		HandshakePrice:       0.18,
 	}
 }
 
@@ -80,11 +80,11 @@
 		{"name", c.Name, "s1"},
 		{"listen", c.Listen, "127.0.0.1:1"},
 		{"discovery", c.Discovery, "127.0.0.1:2"},
-		{"state", c.State, "state"},
+		{"state", c.StateDir, "state"},
 		{"seed", c.Seed, int64(0x1f)},
 		{"limits", c.Limits, config.Limits{MemoryMB: 64, Sockets: 128, DiskMB: 3.5}},
-		{"known", c.Known, directory.List{Version: 5, Full: true, Servers: []directory.Entry{
-			{ID: "a", Addr: "127.0.0.1:3", Zone: "z1", Kind: "many", Cell: 7, State: "draining", Weight: 100}}}},
+		{"known", c.Known, directory.List{Version: 5, Full: true, Entries: []directory.Entry{
+			{ID: "a", Addr: "127.0.0.1:3", Zone: "z1", Kind: "many", Destination: 7, State: "draining", Weight: 100}}}},
 		{"peer_listen", c.PeerListen, "127.0.0.1:4"},
 		{"peers", c.Peers, []string{"127.0.0.1:4", "127.0.0.1:5"}},
 		{"peers_all", c.PeersAll, "127.0.0.1:6"},
@@ -92,14 +92,14 @@
 		{"accounts", c.Accounts, map[string]choice.AccountNo{"acme": 0, "umbrella": 1}},
 		{"zones", c.Zones, map[string]choice.ZoneNo{"z1": 0, "z2": 1}},
 		{"machineTypes", c.Kinds, map[string]choice.KindNo{"one": 0, "many": 1}},
-		{"stats.fields", c.Reports, []string{"x0", "x1"}},
+		{"stats.fields", c.LoadReportFields, []string{"x0", "x1"}},
 		{"settings", c.Settings, storedSettings()},
 	} {
 		if diff := cmp.Diff(field.want, field.got); diff != "" {
 			t.Errorf("%s (-stored +read):\n%s", field.name, diff)
 		}
 	}
-	if err := c.TurnOnNotes(); err != nil {
+	if err := c.EnableGossip(); err != nil {
 		t.Errorf("bounds.peers: %v", err)
 	}
 }
--- a/internal/directory/call.go
+++ b/internal/directory/call.go
@@ -136,7 +136,7 @@
 		if err := d.Decode(&l); err != nil {
 			return err
 		}
-		if l.Full && l.Servers == nil {
+		if l.Full && l.Entries == nil {
 			// Accepted as an empty list it would leave no endpoint to send to. The drawback: where discovery means an empty
 			// list by it, the old one stays in force, and discovery is called again as long as it answers so.
 			return errNoServers
--- a/internal/directory/capacity_test.go
+++ b/internal/directory/capacity_test.go
@@ -15,8 +15,8 @@
 	l := List{Version: 1000, Full: full}
 	for d := range destinations {
 		for e := range 2 {
-			l.Servers = append(l.Servers, Entry{ID: fmt.Sprintf("endpoint-%06d-%d", d, e), Addr: fmt.Sprintf("10.%d.%d.%d:8080", e, d/250, d%250),
-				Zone: fmt.Sprintf("zone-%d", (d+e)%8), Kind: "partner", Cell: float64(d), State: "up", Weight: 100})
+			l.Entries = append(l.Entries, Entry{ID: fmt.Sprintf("endpoint-%06d-%d", d, e), Addr: fmt.Sprintf("10.%d.%d.%d:8080", e, d/250, d%250),
+				Zone: fmt.Sprintf("zone-%d", (d+e)%8), Kind: "partner", Destination: float64(d), State: "up", Weight: 100})
 		}
 	}
 	return l
@@ -27,7 +27,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	names := Names{Zones: map[string]choice.ZoneNo{}, Kinds: map[string]choice.KindNo{"partner": 0}}
+	names := NameNumbers{Zones: map[string]choice.ZoneNo{}, Kinds: map[string]choice.KindNo{"partner": 0}}
 	for z := range 8 {
 		names.Zones[fmt.Sprintf("zone-%d", z)] = choice.ZoneNo(z)
 	}
@@ -36,7 +36,7 @@
 		if err := json.Unmarshal(text, &read); err != nil {
 			b.Fatal(err)
 		}
-		if entries, unread := names.Entries(read); unread > 0 || len(entries) != len(l.Servers) {
+		if entries, unread := names.Entries(read); unread > 0 || len(entries) != len(l.Entries) {
 			b.Fatal(len(entries), unread)
 		}
 	}
--- a/internal/directory/list_test.go
+++ b/internal/directory/list_test.go
@@ -8,11 +8,11 @@
 )
 
 // An entry with an unknown state or no address is left out, and the others hold.
-func ExampleNames_Entries() {
+func ExampleNameNumbers_Entries() {
 	var l List
 	json.Unmarshal([]byte(`{"servers":[{"id":"a","addr":"h:1","zone":"z","kind":"k","cell":3,"state":"up","weight":2.5},
 		{"id":"b","state":"draining"},{"id":"c","state":"removed"},{"id":"d","state":"odd"},{"id":"e","state":"up"},{"state":"up"}]}`), &l)
-	n := Names{Zones: map[string]choice.ZoneNo{"z": 1}, Kinds: map[string]choice.KindNo{"k": 2}}
+	n := NameNumbers{Zones: map[string]choice.ZoneNo{"z": 1}, Kinds: map[string]choice.KindNo{"k": 2}}
 	entries, unread := n.Entries(l)
 	fmt.Printf("%+v\n%d unread\n", entries, unread)
 	// Output:
--- a/internal/directory/malformed_test.go
+++ b/internal/directory/malformed_test.go
@@ -80,12 +80,12 @@
 
 // An entry that ends an endpoint's service by its id alone gets the other fields of the entry known of it.
 func TestFilled(t *testing.T) {
-	known := Entry{ID: "a", Addr: "h:1", Cell: 3, State: "up"}
-	l := List{Servers: []Entry{{ID: "a", State: "draining"}, {ID: "x", State: "removed"}, {ID: "b", Addr: "h:2", Cell: 4, State: "up"},
+	known := Entry{ID: "a", Addr: "h:1", Destination: 3, State: "up"}
+	l := List{Entries: []Entry{{ID: "a", State: "draining"}, {ID: "x", State: "removed"}, {ID: "b", Addr: "h:2", Destination: 4, State: "up"},
 		{ID: "b", State: "removed"}, {ID: "c", State: "odd"}, {State: "removed"}, {ID: "d", State: "up"}}}
-	got := l.Filled(func(id string) (Entry, bool) { return known, id == "a" }).Servers
-	want := []Entry{{ID: "a", Addr: "h:1", Cell: 3, State: "draining"}, {ID: "b", Addr: "h:2", Cell: 4, State: "up"},
-		{ID: "b", Addr: "h:2", Cell: 4, State: "removed"}, {ID: "c", State: "odd"}, {State: "removed"}, {ID: "d", State: "up"}}
+	got := l.Complete(func(id string) (Entry, bool) { return known, id == "a" }).Entries
+	want := []Entry{{ID: "a", Addr: "h:1", Destination: 3, State: "draining"}, {ID: "b", Addr: "h:2", Destination: 4, State: "up"},
+		{ID: "b", Addr: "h:2", Destination: 4, State: "removed"}, {ID: "c", State: "odd"}, {State: "removed"}, {ID: "d", State: "up"}}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("%+v", got)
 	}
--- a/internal/directory/watch_test.go
+++ b/internal/directory/watch_test.go
@@ -73,7 +73,7 @@
 	}))
 	defer server.Close()
 	stop := make(chan struct{})
-	names := Names{}
+	names := NameNumbers{}
 	Watch(server.Listener.Addr().String(), 2, 7, stop,
 		func(l List) {
 			entries, unread := names.Entries(l)
--- a/internal/drill/events.go
+++ b/internal/drill/events.go
@@ -30,9 +30,9 @@
 
 // results are the words of an outcome.
 var results = map[string]choice.Result{
-	"OK": choice.Done, "INTERNAL": choice.Errored, "RESOURCE_EXHAUSTED": choice.Full,
+	"OK": choice.Done, "INTERNAL": choice.Errored, "RESOURCE_EXHAUSTED": choice.Rejected,
 	"DEADLINE_EXCEEDED": choice.TimedOut, "UNAVAILABLE": choice.ConnectFailed,
-	"ABORTED": choice.Reset, "CANCELLED": choice.Cancelled, "TOO_LATE": choice.Moot,
+	"ABORTED": choice.Reset, "CANCELLED": choice.Cancelled, "TOO_LATE": choice.NotRun,
 }
 
 // hostedSender is one sender: its decider and the lines that this has written in the batch.
@@ -113,7 +113,7 @@
 	m.Class = choice.ClassNo(f.integer("cls"))
 	m.Account = choice.AccountNo(f.integerOr("project", 0))
 	m.Key = choice.OrderKey(f.integerOr("pathKey", int64(choice.NoKey)))
-	m.Deadline = config.Down(f.integer("dropDead"))
+	m.Deadline = config.RoundDown(f.integer("dropDead"))
 	f.integerOr("effort", 0)
 	m.Destination = choice.DestinationID(f.numberOr("destination", 0))
 	f.integerOr("options", 0)
@@ -154,17 +154,17 @@
 
 func (s *hostedSender) endAttempt(f *fields) error {
 	o := choice.Outcome{Message: choice.MessageID(f.text("rid"))}
-	o.Took = config.Up(f.integerOr("duration", 0))
+	o.Took = config.RoundUp(f.integerOr("duration", 0))
 	o.Attempt = int(f.integer("shot"))
 	o.Endpoint = choice.EndpointID(f.text("endpoint"))
 	o.Final = f.boolean("terminal")
 	o.Result = lookUp(f, "outcome", results)
 	detail := f.integerOr("detail", 0)
-	if o.Result == choice.Full && detail > 0 {
+	if o.Result == choice.Rejected && detail > 0 {
 		// A Retry-After is counted from a clock that may lie inside a unit of choice.Time.
-		o.Wait = choice.Time(detail)*choice.Millisecond + 1
+		o.RetryAfter = choice.Time(detail)*choice.Millisecond + 1
 	}
-	o.NoSlot = o.Result == choice.Moot && detail == 1
+	o.NoSlot = o.Result == choice.NotRun && detail == 1
 	o.Report = s.report(f.numbers("healthInfo"))
 	if err := f.end(); err != nil || s.decider == nil {
 		return err
--- a/internal/drill/host.go
+++ b/internal/drill/host.go
@@ -15,7 +15,7 @@
 }
 
 // Now is the clock of the batch.
-func (s *hostedSender) Now() choice.Time { return config.Down(s.server.clock) }
+func (s *hostedSender) Now() choice.Time { return config.RoundDown(s.server.clock) }
 
 // Allowed allows everything: the wire has no routing rules.
 func (s *hostedSender) Allowed(choice.MessageID, choice.EndpointID) bool { return true }
--- a/internal/http1/answer.go
+++ b/internal/http1/answer.go
@@ -17,8 +17,8 @@
 // Status is that of the status line, 0 while it is not complete.
 func (a *Answer) Status() int { return a.status }
 
-// Began reports whether anything has come.
-func (a *Answer) Began() bool { return len(a.buf) > 0 }
+// Started reports whether anything has come.
+func (a *Answer) Started() bool { return len(a.buf) > 0 }
 
 // Feed adds a piece and reads as far as possible. Interim answers are skipped.
 func (a *Answer) Feed(piece []byte) error {
@@ -101,5 +101,5 @@
 // finish ends the answer with its body; the next bytes of buf come after it.
 func (a *Answer) finish(body []byte, at int) { a.Body, a.at, a.Done = body, at, true }
 
-// Left is how many bytes have come after the answer, which were not asked for.
-func (a *Answer) Left() int { return len(a.buf) - a.at }
+// BytesAfter is how many bytes have come after the answer, which were not asked for.
+func (a *Answer) BytesAfter() int { return len(a.buf) - a.at }
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -99,7 +99,7 @@
 
 func ExampleHead_Get() {
 	a, _ := feed("HTTP/1.1 429 Wait\r\nRetry-After:  1.5 \r\nx-load: x0=0.4,x1=25\r\nContent-Length: 0\r\n\r\nbehind", 3)
-	fmt.Printf("%s %s %v %d\n", a.Get("retry-after"), a.Get("X-Load"), a.Get("X-No-Slot") == nil, a.Left())
+	fmt.Printf("%s %s %v %d\n", a.Get("retry-after"), a.Get("X-Load"), a.Get("X-No-Slot") == nil, a.BytesAfter())
 	// Output: 1.5 x0=0.4,x1=25 true 6
 }
 
--- a/internal/routes/expect.go
+++ b/internal/routes/expect.go
@@ -98,10 +98,10 @@
 	return found
 }
 
-// Test checks expectations against rules, overrides and a list, without traffic. It returns each expectation that fails
+// CheckExpectations checks expectations against rules, overrides and a list, without traffic. It returns each expectation that fails
 // once, with the smallest case: fewest endpoints lost, then fewest overrides. Its cost grows with the endpoints of one
 // destination to the power of the losses, and linearly with the number of destinations.
-func Test(t *Table, o *Overrides, list []Endpoint, expectations []Expectation) (failures []Failure) {
+func CheckExpectations(t *Table, o *Overrides, list []Endpoint, expectations []Expectation) (failures []Failure) {
 	byDestination := map[choice.DestinationID][]Endpoint{}
 	var all []choice.DestinationID
 	for _, e := range list {
--- a/internal/routes/expect_test.go
+++ b/internal/routes/expect_test.go
@@ -16,7 +16,7 @@
 }
 
 // Each failure names the smallest case: what is drained, which override is active, which rule decided.
-func ExampleTest() {
+func ExampleCheckExpectations() {
 	o := &Overrides{}
 	for _, v := range []Override{{ID: "pin-d", Kind: Sticky, Destination: 1, Class: "status", Endpoints: []choice.EndpointID{"d"}},
 		{ID: "a-heavy", Kind: FixedWeight, Destination: 1, Endpoints: []choice.EndpointID{"a"}, Weight: 9}} {
@@ -25,7 +25,7 @@
 	}
 	order := Expectation{Destination: to(1), Class: "order"}
 	with := func(change func(*Expectation)) Expectation { x := order; change(&x); return x }
-	failures := Test(Compile(orders()), o, list("abcd"), []Expectation{
+	failures := CheckExpectations(Compile(orders()), o, list("abcd"), []Expectation{
 		with(func(x *Expectation) { x.Name, x.Only = "only the east", []choice.EndpointID{"a", "b"} }),
 		with(func(x *Expectation) {
 			x.Name, x.Only, x.Losses = "only the east, whatever is lost", []choice.EndpointID{"a", "b"}, 1
@@ -88,7 +88,7 @@
 			r := Resolve(table, o, &Message{Destination: 1, Class: x.Class}, drained)
 			return x.unmet(&r) != ""
 		}
-		failures := Test(table, o, ends, []Expectation{x})
+		failures := CheckExpectations(table, o, ends, []Expectation{x})
 		least := -1
 		for i := range ends {
 			for j := range ends {
@@ -117,7 +117,7 @@
 		}
 	}
 	rules := []Rule{{Name: "one is narrow", Match: Match{Destination: to(777)}, Sets: []Set{{Targets: []Target{{Zone: "west", Weight: 1}}}}}}
-	f := Test(Compile(rules), &Overrides{}, ends, []Expectation{{Name: "any one may go", AtLeast: 1, Losses: 1}})
+	f := CheckExpectations(Compile(rules), &Overrides{}, ends, []Expectation{{Name: "any one may go", AtLeast: 1, Losses: 1}})
 	if len(f) != 1 || f[0].Destination != 777 || len(f[0].Lost) != 1 || f[0].Lost[0] != "777-1" {
 		t.Fatalf("%+v", f)
 	}
@@ -132,7 +132,7 @@
 		for losses := range 3 {
 			b.Run(fmt.Sprintf("%d endpoints, %d lost", size, losses), func(b *testing.B) {
 				for range b.N {
-					Test(Compile(nil), &Overrides{}, ends, []Expectation{{Name: "one", AtLeast: 1, Losses: losses}})
+					CheckExpectations(Compile(nil), &Overrides{}, ends, []Expectation{{Name: "one", AtLeast: 1, Losses: losses}})
 				}
 			})
 		}
--- a/internal/routes/file/file_test.go
+++ b/internal/routes/file/file_test.go
@@ -60,7 +60,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if f := routes.Test(routes.Compile(r.Rules), r.Overrides, r.List, r.Expects); len(f) > 0 || len(r.Expects) < 4 {
+	if f := routes.CheckExpectations(routes.Compile(r.Rules), r.Overrides, r.List, r.Expects); len(f) > 0 || len(r.Expects) < 4 {
 		t.Fatal(f)
 	}
 	more := filepath.Join(t.TempDir(), "pin.toml")
@@ -71,7 +71,7 @@
 	if r, err = Load(path, more); err != nil {
 		t.Fatal(err)
 	}
-	f := routes.Test(routes.Compile(r.Rules), r.Overrides, r.List, r.Expects)
+	f := routes.CheckExpectations(routes.Compile(r.Rules), r.Overrides, r.List, r.Expects)
 	if len(f) != 3 || len(f[0].Overrides) != 1 || f[0].Overrides[0] != "evening" || !strings.Contains(f[0].String(), "it reaches florist-trial") {
 		t.Fatal(f)
 	}
@@ -109,7 +109,7 @@
 	f.Add([]byte("[[expect]]\nname = \"x\"\nat_least = 1\nlosses = 2\n[[endpoint]]\nid = \"a\"\n"))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		if r, err := Parse("f", text); err == nil && len(r.List) < 20 {
-			routes.Test(routes.Compile(r.Rules), r.Overrides, r.List, r.Expects)
+			routes.CheckExpectations(routes.Compile(r.Rules), r.Overrides, r.List, r.Expects)
 		}
 	})
 }
--- a/internal/routes/resolve.go
+++ b/internal/routes/resolve.go
@@ -15,11 +15,11 @@
 
 // Route is where a message may go, and why.
 type Route struct {
-	Rule    string     // "" where none matched
-	Sets    int        // how many of the rule's sets are open
-	Pin     OverrideID // of the override that makes the message sticky; "" for none
-	Allowed []Allowed  // sorted by endpoint; empty where it may go nowhere now
-	Nowhere NoEndpointPolicy
+	Rule       string     // "" where none matched
+	Sets       int        // how many of the rule's sets are open
+	StickyBy   OverrideID // of the override that makes the message sticky; "" for none
+	Allowed    []Allowed  // sorted by endpoint; empty where it may go nowhere now
+	NoEndpoint NoEndpointPolicy
 }
 
 // Resolve returns where a message may go: the first rule that matches names the endpoints, overrides narrow them, and what
@@ -29,16 +29,16 @@
 	r := Route{}
 	sets := []Set{{Targets: []Target{{Weight: 1}}}} // without a rule all endpoints are allowed alike
 	if rule := t.Rule(m); rule != nil {
-		r.Rule, r.Nowhere, sets = rule.Name, rule.NoEndpoint, rule.Sets
+		r.Rule, r.NoEndpoint, sets = rule.Name, rule.NoEndpoint, rule.Sets
 	}
 	effect := o.effectOn(m)
-	r.Pin = effect.stickyBy
+	r.StickyBy = effect.stickyBy
 	var weights map[choice.EndpointID]float64
 	weights, r.Sets = openSets(sets, &effect, m, endpoints)
 	for i := range endpoints {
 		e := &endpoints[i]
 		weight, named := weights[e.ID]
-		if r.Pin != "" {
+		if r.StickyBy != "" {
 			// A sticky override goes before the rule: it is what an operator wants now.
 			named, weight = slices.Contains(effect.stickyTo, e.ID) && e.Destination == m.Destination, 1
 		}
--- a/internal/routes/routes_test.go
+++ b/internal/routes/routes_test.go
@@ -26,9 +26,9 @@
 		parts = append(parts, fmt.Sprintf("%s x%g", a.Endpoint, a.Weight))
 	}
 	if len(parts) == 0 {
-		parts = []string{[]string{"held", "handed back"}[r.Nowhere]}
+		parts = []string{[]string{"held", "handed back"}[r.NoEndpoint]}
 	}
-	return fmt.Sprintf("rule %q, sets %d, pin %q: %s", r.Rule, r.Sets, r.Pin, strings.Join(parts, ", "))
+	return fmt.Sprintf("rule %q, sets %d, pin %q: %s", r.Rule, r.Sets, r.StickyBy, strings.Join(parts, ", "))
 }
 
 // Orders go to the east, to the west only while under half of the east is ready, and nowhere else ever.
@@ -192,7 +192,7 @@
 				}
 			}
 			for _, s := range o.active {
-				if s.Kind == OutOfService && s.Endpoints[0] == a.Endpoint || s.ID == r.Pin && s.Endpoints[0] != a.Endpoint {
+				if s.Kind == OutOfService && s.Endpoints[0] == a.Endpoint || s.ID == r.StickyBy && s.Endpoints[0] != a.Endpoint {
 					t.Fatalf("%s is allowed beside %s %s", a.Endpoint, s.Kind, s.Endpoints[0])
 				}
 			}
--- a/internal/sender/acceptance_test.go
+++ b/internal/sender/acceptance_test.go
@@ -30,7 +30,7 @@
 		if line, err := in.ReadString('\n'); line != "+OK\r\n" {
 			t.Fatalf("%q, %v", line, err)
 		}
-		text, err := os.ReadFile(filepath.Join(cfg.State, "notices.log")) // what a kill would leave now
+		text, err := os.ReadFile(filepath.Join(cfg.StateDir, "notices.log")) // what a kill would leave now
 		if err != nil || !isAccepted(t, text, choice.MessageID(id)) {
 			t.Fatalf("%s was taken on and is not on record, %v", id, err)
 		}
--- a/internal/sender/admission.go
+++ b/internal/sender/admission.go
@@ -119,7 +119,7 @@
 // limitsRepeat reports whether an attempt forbids or limits another one, or holds up the next message of its key.
 func (s *Sender) limitsRepeat(m *message) bool {
 	class := &s.cfg.Settings.Classes[m.Class]
-	return class.Repeat != choice.Idempotent || class.ByArrival && m.Key != choice.NoKey
+	return class.Repeat != choice.Idempotent || class.Ordered && m.Key != choice.NoKey
 }
 
 // writeJournal writes the added records, or the whole file anew where it has grown too large.
--- a/internal/sender/answer.go
+++ b/internal/sender/answer.go
@@ -41,11 +41,11 @@
 	case http.StatusOK:
 		return choice.Done, true
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		return choice.Full, false
+		return choice.Rejected, false
 	case http.StatusGone:
-		return choice.Moot, true
+		return choice.NotRun, true
 	case http.StatusBadRequest, http.StatusNotFound, http.StatusRequestEntityTooLarge, http.StatusGatewayTimeout:
-		return choice.Moot, false
+		return choice.NotRun, false
 	}
 	return choice.Errored, false
 }
@@ -68,7 +68,7 @@
 	}
 	a.noSlot = h.Head.Status == http.StatusServiceUnavailable && bytes.Equal(h.Get("X-No-Slot"), []byte("1"))
 	if a.noSlot {
-		a.result = choice.Moot
+		a.result = choice.NotRun
 	}
 	a.reportFields, a.report = parseReport(h.Get("X-Load"))
 	if h.Head.Status == http.StatusOK {
@@ -144,7 +144,7 @@
 	case unsent:
 		return answer{result: choice.ConnectFailed}
 	case end.begun:
-		return answer{result: choice.Spoilt}
+		return answer{result: choice.Unreadable}
 	}
 	return answer{result: choice.Reset}
 }
--- a/internal/sender/call.go
+++ b/internal/sender/call.go
@@ -82,7 +82,7 @@
 
 // timeLeft is the time until a message's deadline, less the turn in which its end is handled.
 func (s *Sender) timeLeft(m *message) choice.Time {
-	return m.Deadline - s.Now() - s.cfg.Settings.Turn
+	return m.Deadline - s.Now() - s.cfg.Settings.TurnInterval
 }
 
 // findLink sends a call on an idle link, or dials. Where this process can't open one more connection the call stays in
@@ -133,7 +133,7 @@
 	s.eventsPending = true
 	o := choice.Outcome{Message: m.ID, Attempt: m.attempts - 1, Endpoint: c.endpoint.id, Took: s.Now() - c.beganAt, Result: choice.Cancelled}
 	if c.link == nil {
-		o.Result = choice.Moot
+		o.Result = choice.NotRun
 		c.messages = slices.DeleteFunc(c.messages, func(other *message) bool { return other == m })
 	}
 	s.reportOutcome(c, m, o, nil)
@@ -201,7 +201,7 @@
 		return
 	}
 	c.done, c.localFailure = true, true
-	result := choice.Moot
+	result := choice.NotRun
 	if c.probe {
 		result = choice.Cancelled // Moot is also what an answer to a probe can mean
 	}
--- a/internal/sender/call_ends_test.go
+++ b/internal/sender/call_ends_test.go
@@ -54,26 +54,26 @@
 			h.s.expireCall(c)
 		}, choice.TimedOut, may},
 		{"time over behind a first line with 200", false, begins("HTTP/1.1 200 OK\nContent-Length: 9\n\nok", ends), choice.Done, over},
-		{"time over behind half a first line", false, begins("HTTP/1.1 2", ends), choice.Spoilt, may},
-		{"half a first line", false, says("HTTP/1.1 2"), choice.Spoilt, may},
-		{"a first line with 200 but for its end", false, says("HTTP/1.1 200 OK"), choice.Spoilt, may},
-		{"a first line with 503, cut", false, says("HTTP/1.1 503 Full\nCont"), choice.Spoilt, may},
+		{"time over behind half a first line", false, begins("HTTP/1.1 2", ends), choice.Unreadable, may},
+		{"half a first line", false, says("HTTP/1.1 2"), choice.Unreadable, may},
+		{"a first line with 200 but for its end", false, says("HTTP/1.1 200 OK"), choice.Unreadable, may},
+		{"a first line with 503, cut", false, says("HTTP/1.1 503 Full\nCont"), choice.Unreadable, may},
 		{"a first line with 200, cut", false, says("HTTP/1.1 200 OK\nCont"), choice.Done, over},
 		{"a first line with 200, then noise", false, says("HTTP/1.1 200 OK\nnoise\x00\n\n"), choice.Done, over},
 		{"a first line with 200, two lengths", false, says("HTTP/1.1 200 OK\nContent-Length: 1\nContent-Length: 2\n\nok"), choice.Done, over},
-		{"noise", false, says("\x00\xff\x01"), choice.Spoilt, may},
+		{"noise", false, says("\x00\xff\x01"), choice.Unreadable, may},
 		{"an interim answer alone", false, says("HTTP/1.1 102 On\n\n"), choice.Reset, may},
-		{"an interim answer, then half a first line", false, says("HTTP/1.1 102 On\n\nHTTP/1.1 20"), choice.Spoilt, may},
+		{"an interim answer, then half a first line", false, says("HTTP/1.1 102 On\n\nHTTP/1.1 20"), choice.Unreadable, may},
 		{"an interim answer, then 200", false, says("HTTP/1.1 100 On\n\n" + answerOK), choice.Done, over},
 		{"two answers at once", false, says(answerOK + answerError), choice.Done, over},
 		{"two answers at once, the other way", false, says(answerError + answerOK), choice.Errored, may},
 		{"200", false, says(answerOK), choice.Done, over},
-		{"410", false, says("HTTP/1.1 410 Gone\nContent-Length: 0\n\n"), choice.Moot, over},
-		{"429", false, says(answerFull), choice.Full, no},
-		{"503", false, says("HTTP/1.1 503 Full\nContent-Length: 0\n\n"), choice.Full, no},
-		{"503, no slot", false, says("HTTP/1.1 503 Full\nX-No-Slot: 1\nContent-Length: 0\n\n"), choice.Moot, no},
-		{"504", false, says("HTTP/1.1 504 Out\nContent-Length: 0\n\n"), choice.Moot, no},
-		{"413", false, says("HTTP/1.1 413 Large\nContent-Length: 0\n\n"), choice.Moot, no},
+		{"410", false, says("HTTP/1.1 410 Gone\nContent-Length: 0\n\n"), choice.NotRun, over},
+		{"429", false, says(answerFull), choice.Rejected, no},
+		{"503", false, says("HTTP/1.1 503 Full\nContent-Length: 0\n\n"), choice.Rejected, no},
+		{"503, no slot", false, says("HTTP/1.1 503 Full\nX-No-Slot: 1\nContent-Length: 0\n\n"), choice.NotRun, no},
+		{"504", false, says("HTTP/1.1 504 Out\nContent-Length: 0\n\n"), choice.NotRun, no},
+		{"413", false, says("HTTP/1.1 413 Large\nContent-Length: 0\n\n"), choice.NotRun, no},
 		{"500", false, says(answerError), choice.Errored, may},
 		{"204", false, says("HTTP/1.1 204 None\n\n"), choice.Errored, may},
 		{"202", false, says("HTTP/1.1 202 Later\nContent-Length: 0\n\n"), choice.Errored, may},
@@ -157,11 +157,11 @@
 		name, text string
 		o1, o2     choice.Result
 	}{
-		{"whole", fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(states), states), choice.Done, choice.Full},
-		{"cut", fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(states), states[:len(states)-1]), choice.Spoilt, choice.Spoilt},
-		{"length too short", fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(states)-1, states), choice.Spoilt, choice.Spoilt},
-		{"first line alone", "HTTP/1.1 200 OK\r\n", choice.Spoilt, choice.Spoilt},
-		{"full", "HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n", choice.Full, choice.Full},
+		{"whole", fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(states), states), choice.Done, choice.Rejected},
+		{"cut", fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(states), states[:len(states)-1]), choice.Unreadable, choice.Unreadable},
+		{"length too short", fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(states)-1, states), choice.Unreadable, choice.Unreadable},
+		{"first line alone", "HTTP/1.1 200 OK\r\n", choice.Unreadable, choice.Unreadable},
+		{"full", "HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n", choice.Rejected, choice.Rejected},
 		{"nothing", "", choice.Reset, choice.Reset},
 	} {
 		conn, peer := connPair(t, false)
@@ -173,7 +173,7 @@
 		peer.Write([]byte(row.text))
 		peer.Close()
 		h.runUntil(t, row.name, func() bool { return n1.inFlight == nil && n2.inFlight == nil })
-		var want [choice.Spoilt + 1]int64
+		var want [choice.Unreadable + 1]int64
 		want[row.o1]++
 		want[row.o2]++
 		if h.s.counts.outcomes != want {
--- a/internal/sender/capacity_test.go
+++ b/internal/sender/capacity_test.go
@@ -29,8 +29,8 @@
 	l := directory.List{Version: 1, Full: true}
 	for d := range destinations {
 		for e := range 2 {
-			l.Servers = append(l.Servers, directory.Entry{ID: fmt.Sprintf("endpoint-%06d-%d", d, e), Addr: fmt.Sprintf("127.0.0.1:%d", 1+(2*d+e)%60000),
-				Zone: fmt.Sprintf("zone-%d", (d+e)%capacityZones), Kind: "one", Cell: float64(d), State: "up", Weight: 1e6})
+			l.Entries = append(l.Entries, directory.Entry{ID: fmt.Sprintf("endpoint-%06d-%d", d, e), Addr: fmt.Sprintf("127.0.0.1:%d", 1+(2*d+e)%60000),
+				Zone: fmt.Sprintf("zone-%d", (d+e)%capacityZones), Kind: "one", Destination: float64(d), State: "up", Weight: 1e6})
 		}
 	}
 	return l
@@ -204,7 +204,7 @@
 func BenchmarkCapacityListChange(b *testing.B) {
 	bench.Sizes(b, "destinations", []int{610, 6_100, 61_000}, func(b *testing.B, n int) {
 		h := capacityHarness(capacityConfig(b, n, 1))
-		change := directory.List{Version: 2, Servers: capacityList(1).Servers}
+		change := directory.List{Version: 2, Entries: capacityList(1).Entries}
 		for b.Loop() {
 			h.s.updateEndpoints(change, false)
 		}
--- a/internal/sender/clients.go
+++ b/internal/sender/clients.go
@@ -115,7 +115,7 @@
 
 // setBusyReply makes the answer for clients that find no place from the settings' longest time to come back.
 func (t *clientTable) setBusyReply(set *choice.Settings) {
-	text := busyText(int64(set.LongestReturn / choice.Millisecond))
+	text := busyText(int64(set.MaxRetryAfter / choice.Millisecond))
 	t.busyReply.Store(&text)
 }
 
--- a/internal/sender/clock_test.go
+++ b/internal/sender/clock_test.go
@@ -32,7 +32,7 @@
 			writeJournal(t, dir, m.acceptedRecord(), attemptRecord("of", clockAt(began), 0, "z"))
 			cfg := fourClassConfig(dir, 100)
 			if c.silent > 0 {
-				cfg.Known.Servers = nil
+				cfg.Known.Entries = nil
 			}
 			l := recordCalls(t, startAt(cfg, began+c.starts))
 			if c.silent > 0 {
--- a/internal/sender/cluster.go
+++ b/internal/sender/cluster.go
@@ -117,12 +117,12 @@
 }
 
 // Teach implements together.Orders.
-func (o orders) Teach(lessons []together.Lesson) {
+func (o orders) Teach(lessons []together.LearnedEndpoint) {
 	o.s.enqueueOrder(func() { o.s.adoptLessons(lessons) })
 }
 
 // Know implements together.Orders.
-func (o orders) Know(of []choice.DestinationID, done func([]together.Lesson)) {
+func (o orders) Know(of []choice.DestinationID, done func([]together.LearnedEndpoint)) {
 	o.s.enqueueOrder(func() {
 		all := o.s.learnedLessons(of)
 		o.s.afterAppend(func() { done(all) })
--- a/internal/sender/cluster_test.go
+++ b/internal/sender/cluster_test.go
@@ -110,8 +110,8 @@
 	show()
 	os.RemoveAll(h.dir)
 	// Output:
-	// row {Destination:1 Kind:0 Zone:z Sent:0 Done:0 Failed:0 Silent:0 Refused:0 Endpoints:1 Limit:0 Rating:100 Held:0}
-	// row {Destination:2 Kind:1 Zone:z Sent:0 Done:0 Failed:0 Silent:0 Refused:0 Endpoints:1 Limit:0 Rating:100 Held:0}
+	// row {Destination:1 Kind:0 Zone:z Sent:0 Done:0 Failed:0 Unanswered:0 Rejected:0 Endpoints:1 Limit:0 Rating:100 Waiting:0}
+	// row {Destination:2 Kind:1 Zone:z Sent:0 Done:0 Failed:0 Unanswered:0 Rejected:0 Endpoints:1 Limit:0 Rating:100 Waiting:0}
 	// counts [] longest 20s
 	// call b: POST /inbox/bulk
 	//    s2
@@ -124,8 +124,8 @@
 	// platform: {"message":"s2","outcome":"handed_back","retry_in_ms":2000}
 	// {"message":"s1","outcome":"handed_back","retry_in_ms":2000}
 	// client: +OK
-	// row {Destination:2 Kind:1 Zone:z Sent:1 Done:0 Failed:0 Silent:0 Refused:1 Endpoints:1 Limit:25 Rating:100 Held:0}
-	// row {Destination:9 Kind:0 Zone: Sent:0 Done:0 Failed:0 Silent:0 Refused:0 Endpoints:0 Limit:0 Rating:0 Held:2}
+	// row {Destination:2 Kind:1 Zone:z Sent:1 Done:0 Failed:0 Unanswered:0 Rejected:1 Endpoints:1 Limit:25 Rating:100 Waiting:0}
+	// row {Destination:9 Kind:0 Zone: Sent:0 Done:0 Failed:0 Unanswered:0 Rejected:0 Endpoints:0 Limit:0 Rating:0 Waiting:2}
 	// counts [{2  2} {9  2}] longest 1m30s
 }
 
@@ -152,7 +152,7 @@
 	evict()
 	h.calls[0].endpoint.linkCount-- // the harness has none
 	h.endpointAnswers(answerOK).advance(5 * time.Millisecond)
-	o.Know([]choice.DestinationID{1}, func(all []together.Lesson) { fmt.Printf("known %+v\n", all) })
+	o.Know([]choice.DestinationID{1}, func(all []together.LearnedEndpoint) { fmt.Printf("known %+v\n", all) })
 	h.runNext().advance(20 * time.Millisecond)
 	list()
 	evict()
@@ -160,7 +160,7 @@
 	h.submit("OUT.ADD 0 again c=status,d=6000,dest=9 x", "OUT.ADD 0 more c=status,d=6000,dest=9 x")
 	fmt.Println("woke", c.woke)
 	k := choice.LearnedState{Mean: 10, Dev: 1, Past: 10, Seen: 3, Wait: 5 * choice.Second}
-	o.Teach([]together.Lesson{{Endpoint: "z", LearnedState: k, Age: 2 * time.Second}, {Endpoint: "a", LearnedState: k},
+	o.Teach([]together.LearnedEndpoint{{Endpoint: "z", LearnedState: k, Age: 2 * time.Second}, {Endpoint: "a", LearnedState: k},
 		{Endpoint: "none", LearnedState: k},
 		{Endpoint: "b", LearnedState: choice.LearnedState{Mean: -1}}})
 	h.runNext()
--- a/internal/sender/command.go
+++ b/internal/sender/command.go
@@ -94,5 +94,5 @@
 
 // longestReturnMS is when a client is to come again, in milliseconds, where no message of any kind can be accepted.
 func (s *Sender) longestReturnMS() int64 {
-	return int64(s.cfg.Settings.LongestReturn / choice.Millisecond)
+	return int64(s.cfg.Settings.MaxRetryAfter / choice.Millisecond)
 }
--- a/internal/sender/configure.go
+++ b/internal/sender/configure.go
@@ -72,7 +72,7 @@
 func (s *Sender) apply(next *config.Config) {
 	previous := s.cfg
 	s.cfg = next
-	s.numbering = directory.Names{Zones: next.Zones, Kinds: next.Kinds}
+	s.numbering = directory.NameNumbers{Zones: next.Zones, Kinds: next.Kinds}
 	s.clients.setBusyReply(&next.Settings)
 	s.linkPool.init(s.withSystemLimits(next), s.clients.maxConns)
 	if s.cluster != nil {
@@ -129,6 +129,6 @@
 	}
 	slices.SortFunc(named, func(a, b directory.Entry) int { return strings.Compare(a.ID, b.ID) })
 	if len(named) > 0 {
-		s.updateEndpoints(directory.List{Servers: named}, true)
+		s.updateEndpoints(directory.List{Entries: named}, true)
 	}
 }
--- a/internal/sender/configure_bench_test.go
+++ b/internal/sender/configure_bench_test.go
@@ -22,8 +22,8 @@
 			b.Run(fmt.Sprintf("%s/%dDestinations%dOpen", name, destinations, open), func(b *testing.B) {
 				list := directory.List{Version: 1, Full: true}
 				for i := range destinations {
-					list.Servers = append(list.Servers, directory.Entry{ID: fmt.Sprint("endpoint", i), Addr: "127.0.0.1:1", Zone: "z", Kind: "one",
-						Cell: float64(i), State: "up", Weight: 100})
+					list.Entries = append(list.Entries, directory.Entry{ID: fmt.Sprint("endpoint", i), Addr: "127.0.0.1:1", Zone: "z", Kind: "one",
+						Destination: float64(i), State: "up", Weight: 100})
 				}
 				settings := func(change []string) json.RawMessage {
 					return settingsWith(b, append([]string{`"maxOpen":100`, `"maxOpen":1000000`}, change...)...)
--- a/internal/sender/configure_sockets_test.go
+++ b/internal/sender/configure_sockets_test.go
@@ -22,7 +22,7 @@
 	for i := range 4 {
 		entry := readyEntry(fmt.Sprint("e", i), addr, i)
 		entry.Weight = 1000
-		list.Servers = append(list.Servers, entry)
+		list.Entries = append(list.Entries, entry)
 	}
 	cfg := loadedConfig(t, t.TempDir(), settingsWith(t, `"connIdle":10000000000`, `"connIdle":9000000000`), list)
 	cfg.Discovery = addr
@@ -152,8 +152,8 @@
 func TestConfigureEndsIdleLinksSooner(t *testing.T) {
 	endpoint := httptest.NewServer(http.HandlerFunc(func(out http.ResponseWriter, _ *http.Request) { out.WriteHeader(http.StatusOK) }))
 	defer endpoint.Close()
-	list := directory.List{Version: 1, Full: true, Servers: []directory.Entry{{ID: "e", Addr: endpoint.Listener.Addr().String(), Zone: "z",
-		Kind: "one", Cell: 1, State: "up", Weight: 1000}}}
+	list := directory.List{Version: 1, Full: true, Entries: []directory.Entry{{ID: "e", Addr: endpoint.Listener.Addr().String(), Zone: "z",
+		Kind: "one", Destination: 1, State: "up", Weight: 1000}}}
 	s, conn, done := startServing(t, loadedConfig(t, t.TempDir(), settingsWith(t, `"connIdle":10000000000`, `"connIdle":600000000000`), list))
 	defer conn.Close()
 	conn.Write(outAdd("0", "id", "c=status,d=6000,dest=1", ""))
--- a/internal/sender/configure_test.go
+++ b/internal/sender/configure_test.go
@@ -113,7 +113,7 @@
 // back the old ones; accepted messages stay.
 func TestConfigureHolds(t *testing.T) {
 	list := knownList(t)
-	list.Servers[0].Zone, list.Servers[0].Kind = "new", "newer" // of settings to come
+	list.Entries[0].Zone, list.Entries[0].Kind = "new", "newer" // of settings to come
 	h := startWith(loadedConfig(t, t.TempDir(), settingsWith(t), list))
 	h.submit("OUT.ADD 0 first c=status,d=6000,dest=9 x")
 	if e := h.s.endpoints["a"]; e.zone >= 0 || e.kind != 0 {
@@ -189,10 +189,10 @@
 	}
 	// A file that says otherwise by now is of no account while shared settings are in force.
 	other := loadedConfig(t, dir, settingsWith(t, `"maxOpen":100`, `"maxOpen":7`), knownList(t))
-	if fixed := again.s.cfg.Fixed(other); len(fixed) > 0 {
+	if fixed := again.s.cfg.RestartOnlyChanges(other); len(fixed) > 0 {
 		t.Errorf("at the next start: %v", fixed)
 	}
-	if fixed := fmt.Sprint(own.Fixed(other)); fixed != "[settings]" {
+	if fixed := fmt.Sprint(own.RestartOnlyChanges(other)); fixed != "[settings]" {
 		t.Errorf("at the next start: %v", fixed)
 	}
 }
--- a/internal/sender/counters.go
+++ b/internal/sender/counters.go
@@ -17,7 +17,7 @@
 	clientsEnded, linksEnded, watchesEnded, rewritings        int64
 	reloads                                                   int64
 	purges, withdrawn, withdrawnInFlight, evicted, taught     int64
-	outcomes                                                  [choice.Spoilt + 1]int64
+	outcomes                                                  [choice.Unreadable + 1]int64
 }
 
 // counter is one line of INFO. Names are part of the protocol, and so is their order.
@@ -27,7 +27,7 @@
 }
 
 // resultNames name the outcomes of calls in counters and in the log.
-var resultNames = [choice.Spoilt + 1]string{"done", "errored", "full", "timed_out", "connect_failed", "reset", "cancelled", "moot", "spoilt"}
+var resultNames = [choice.Unreadable + 1]string{"done", "errored", "full", "timed_out", "connect_failed", "reset", "cancelled", "moot", "spoilt"}
 
 // Counters are the lines of INFO, name:value.
 func (s *Sender) Counters() (lines []string) {
--- a/internal/sender/descriptors_test.go
+++ b/internal/sender/descriptors_test.go
@@ -164,9 +164,9 @@
 			conn.Close()
 			return
 		}
-		json.NewEncoder(out).Encode(directory.List{Version: 9, Full: true, Servers: []directory.Entry{
+		json.NewEncoder(out).Encode(directory.List{Version: 9, Full: true, Entries: []directory.Entry{
 			readyEntry("new", p.Listener.Addr().String(), 1),
-			{ID: "leaves", Addr: "127.0.0.1:9", Zone: "z", Kind: "one", Cell: 9, State: "draining", Weight: 100}}})
+			{ID: "leaves", Addr: "127.0.0.1:9", Zone: "z", Kind: "one", Destination: 9, State: "draining", Weight: 100}}})
 		out.(http.Flusher).Flush()
 		<-r.Context().Done()
 	case "/v1/outcomes":
--- a/internal/sender/digest.go
+++ b/internal/sender/digest.go
@@ -95,15 +95,15 @@
 	switch a.result {
 	case choice.Done:
 		r.Done++
-	case choice.Full:
-		r.Refused++
-	case choice.Errored, choice.Reset, choice.Spoilt:
+	case choice.Rejected:
+		r.Rejected++
+	case choice.Errored, choice.Reset, choice.Unreadable:
 		r.Failed++
 	case choice.ConnectFailed:
-		r.Failed, r.Silent = r.Failed+1, r.Silent+1
+		r.Failed, r.Unanswered = r.Failed+1, r.Unanswered+1
 	case choice.TimedOut:
 		if now-c.beganAt >= s.shortestContract { // else the message's own deadline cut it short
-			r.Failed, r.Silent = r.Failed+1, r.Silent+1
+			r.Failed, r.Unanswered = r.Failed+1, r.Unanswered+1
 		}
 	}
 }
@@ -180,7 +180,7 @@
 	}
 	for d, n := range waiting {
 		if r := s.row(destinationZone{d, s.firstZone[d]}); r != nil {
-			r.Held = n
+			r.Waiting = n
 		}
 	}
 }
@@ -203,10 +203,10 @@
 // digestCounts are the counts of messages, in order.
 func (d *digestState) digestCounts() (counts []together.Count) {
 	for from, n := range d.submissions {
-		counts = append(counts, together.Count{Destination: from.destination, Program: from.host, Messages: n})
+		counts = append(counts, together.Count{Destination: from.destination, Client: from.host, Messages: n})
 	}
 	slices.SortFunc(counts, func(a, b together.Count) int {
-		return cmp.Or(cmp.Compare(a.Destination, b.Destination), strings.Compare(a.Program, b.Program))
+		return cmp.Or(cmp.Compare(a.Destination, b.Destination), strings.Compare(a.Client, b.Client))
 	})
 	return counts
 }
--- a/internal/sender/digest_listing.go
+++ b/internal/sender/digest_listing.go
@@ -66,7 +66,7 @@
 // the sum of their limits.
 func (l *listing) limit(kinds []choice.Kind) (limit float64) {
 	latest := choice.Time(-1)
-	apart := kindOf(kinds, l.kind).Apart
+	apart := kindOf(kinds, l.kind).SeparateRoutes
 	for _, e := range l.endpoints {
 		if apart {
 			limit += e.reportedLimit
--- a/internal/sender/discovery.go
+++ b/internal/sender/discovery.go
@@ -71,7 +71,7 @@
 		return
 	}
 	s.counts.reloads++
-	fixed := s.cfg.Fixed(cfg)
+	fixed := s.cfg.RestartOnlyChanges(cfg)
 	s.log.Info("configuration read", zap.String("discovery", cfg.Discovery), zap.String("before", s.discovery),
 		zap.Strings("at_the_next_start", fixed))
 	if cfg.Discovery == s.discovery {
--- a/internal/sender/earlier_process_test.go
+++ b/internal/sender/earlier_process_test.go
@@ -36,7 +36,7 @@
 
 // clockAt is the time of a sender whose harness clock is at d.
 func clockAt(d time.Duration) choice.Time {
-	return config.Down(time.Unix(1e9, 0).UnixNano() + int64(d))
+	return config.RoundDown(time.Unix(1e9, 0).UnixNano() + int64(d))
 }
 
 // acceptedMessage is a message that was accepted at a time, with a deadline that much later.
@@ -99,7 +99,7 @@
 func (l *callRecorder) advanceAnswering(span, answer time.Duration) {
 	for end := l.clock + span; l.clock < end; {
 		l.clock += 5 * time.Millisecond
-		for len(l.openCalls) > 0 && l.openCalls[0].beganAt+config.Down(int64(answer)) <= l.s.Now() {
+		for len(l.openCalls) > 0 && l.openCalls[0].beganAt+config.RoundDown(int64(answer)) <= l.s.Now() {
 			c := l.openCalls[0]
 			l.openCalls = l.openCalls[1:]
 			l.s.openLinks--
--- a/internal/sender/endpoint_input.go
+++ b/internal/sender/endpoint_input.go
@@ -44,12 +44,12 @@
 	switch {
 	case l.answer.Done:
 		a := readAnswer(&l.answer)
-		a.close = a.close || l.answer.Left() > 0 // bytes behind an answer would be read as the start of the next one
+		a.close = a.close || l.answer.BytesAfter() > 0 // bytes behind an answer would be read as the start of the next one
 		l.answer = http1.Answer{}
 		l.awaitingAnswer.Store(false)
 		l.answerBegun = false
 		return func() { l.sender.onAnswer(l, a) }, nil
-	case !l.answerBegun && l.answer.Began(): // not by interim answers, which come because the call will take long
+	case !l.answerBegun && l.answer.Started(): // not by interim answers, which come because the call will take long
 		l.answerBegun = true
 		return func() { l.sender.onAnswerBegun(l) }, nil
 	}
--- a/internal/sender/endpoints.go
+++ b/internal/sender/endpoints.go
@@ -59,7 +59,7 @@
 
 // updateEndpoints applies a list, or a change of the list. A stale one is from the configuration, not from discovery.
 func (s *Sender) updateEndpoints(l directory.List, stale bool) {
-	l = l.Filled(func(id string) (directory.Entry, bool) {
+	l = l.Complete(func(id string) (directory.Entry, bool) {
 		e := s.endpoints[choice.EndpointID(id)]
 		if e == nil {
 			return directory.Entry{}, false
@@ -79,7 +79,7 @@
 		}
 	}
 	latest := map[choice.EndpointID]directory.Entry{}
-	for _, entry := range l.Servers {
+	for _, entry := range l.Entries {
 		latest[choice.EndpointID(entry.ID)] = entry
 	}
 	for i := range entries {
@@ -87,7 +87,7 @@
 	}
 	s.listChanged = true
 	s.dropGone()
-	s.log.Debug("list", zap.Bool("full", l.Full), zap.Bool("stale", stale), zap.Any("entries", l.Servers))
+	s.log.Debug("list", zap.Bool("full", l.Full), zap.Bool("stale", stale), zap.Any("entries", l.Entries))
 	s.listReceived = s.listReceived || !stale
 	s.choice.UpdateEndpoints(entries, l.Full)
 }
@@ -142,7 +142,7 @@
 
 // bulkMaxOf is how many messages one call to a kind of endpoint may carry.
 func (s *Sender) bulkMaxOf(kind choice.KindNo) int {
-	return kindOf(s.cfg.Settings.Kinds, kind).BundleMax
+	return kindOf(s.cfg.Settings.Kinds, kind).BulkMax
 }
 
 // kindOf is a kind of endpoint by number; the nearest one for a number that the settings do not have.
--- a/internal/sender/endpoints_test.go
+++ b/internal/sender/endpoints_test.go
@@ -95,7 +95,7 @@
 	t.Cleanup(discovery.CloseClientConnections)
 	cfg := testConfig(t.TempDir(), 100)
 	cfg.Listen, cfg.Discovery = "127.0.0.1:0", discovery.Listener.Addr().String()
-	cfg.Known.Servers = []directory.Entry{readyEntry("e", addr, 1)}
+	cfg.Known.Entries = []directory.Entry{readyEntry("e", addr, 1)}
 	s, conn, done := startServing(t, cfg)
 	t.Cleanup(func() {
 		conn.Close()
@@ -107,7 +107,7 @@
 		}, func(entry directory.Entry) {
 			heard := make(chan struct{})
 			s.post(func() {
-				s.updateEndpoints(directory.List{Version: 2, Servers: []directory.Entry{entry}}, false)
+				s.updateEndpoints(directory.List{Version: 2, Entries: []directory.Entry{entry}}, false)
 				close(heard)
 			})
 			<-heard
@@ -187,7 +187,7 @@
 			})
 			hand("one")
 			<-up
-			tell(directory.Entry{ID: "e", Addr: second, Zone: "z", Kind: "one", Cell: cell, State: "up", Weight: 100})
+			tell(directory.Entry{ID: "e", Addr: second, Zone: "z", Kind: "one", Destination: cell, State: "up", Weight: 100})
 			close(dialed)
 			if cell == 1 {
 				mustReceive(t, atSecond, "the second place", "one")
--- a/internal/sender/eviction.go
+++ b/internal/sender/eviction.go
@@ -126,15 +126,15 @@
 // purgeLearned applies a purge of learned state, in memory and on disk, and counts the endpoints.
 func (s *Sender) purgeLearned(o *withdrawal.Order) (int, error) {
 	purged := map[choice.EndpointID]struct{}{}
-	onDisk, err := s.deleteLearned(o.Forgets)
+	onDisk, err := s.deleteLearned(o.DropsLearned)
 	if err != nil {
 		return 0, err
 	}
 	for _, id := range onDisk {
 		purged[id] = struct{}{}
 	}
-	maps.DeleteFunc(s.learned, func(_ choice.EndpointID, entry learnedEntry) bool { return o.Forgets(entry.Destination) })
-	for _, e := range s.endpointsOf(o.Forgets) {
+	maps.DeleteFunc(s.learned, func(_ choice.EndpointID, entry learnedEntry) bool { return o.DropsLearned(entry.Destination) })
+	for _, e := range s.endpointsOf(o.DropsLearned) {
 		s.dropLearned(e)
 		purged[e.id] = struct{}{}
 	}
@@ -151,7 +151,7 @@
 
 // learnedLessons are what was learned of some destinations, or of all if none is named, each with the age of the last
 // answer that it rests on.
-func (s *Sender) learnedLessons(of []choice.DestinationID) (all []together.Lesson) {
+func (s *Sender) learnedLessons(of []choice.DestinationID) (all []together.LearnedEndpoint) {
 	now := s.Now()
 	which := inSet(of)
 	if len(of) == 0 {
@@ -164,23 +164,23 @@
 		}
 		answeredAt := e.lastAnswerAt
 		if answeredAt == 0 { // before this sender joined; at its start at the earliest
-			answeredAt = now - config.Down(int64(s.sinceStart()))
+			answeredAt = now - config.RoundDown(int64(s.sinceStart()))
 		}
 		age := max(0, config.Nanoseconds(now-answeredAt))
-		all = append(all, together.Lesson{Endpoint: e.id, LearnedState: l, Age: time.Duration(age)})
+		all = append(all, together.LearnedEndpoint{Endpoint: e.id, LearnedState: l, Age: time.Duration(age)})
 	}
 	return all
 }
 
 // adoptLessons takes over what others learned of endpoints of which nothing is known here. A wait is shorter by the
 // lesson's age.
-func (s *Sender) adoptLessons(lessons []together.Lesson) {
+func (s *Sender) adoptLessons(lessons []together.LearnedEndpoint) {
 	for _, l := range lessons {
 		e := s.endpoints[l.Endpoint]
 		if e == nil || e.gone || !isPlausible(l.LearnedState) || l.Age < 0 || isKnown(s.choice.LearnedState(e.id)) {
 			continue
 		}
-		age := config.Up(int64(l.Age))
+		age := config.RoundUp(int64(l.Age))
 		l.LearnedState.Wait = max(0, l.LearnedState.Wait-age)
 		s.learnedStore.Void(e.id, &l.LearnedState)
 		e.lastAnswerAt = s.Now() - age
--- a/internal/sender/gossip_test.go
+++ b/internal/sender/gossip_test.go
@@ -69,7 +69,7 @@
 	cfg.Listen, cfg.Discovery = "127.0.0.1:0", addr
 	cfg.PeerListen, cfg.Peers = r.peers[number], append(r.peers[:], "127.0.0.1:7", "127.0.0.1:7", "127.0.0.1:7")
 	cfg.Settings.Senders, cfg.Settings.Number, cfg.Settings.Notes = 20, choice.PeerNo(number), on
-	cfg.Known.Servers = []directory.Entry{readyEntry("full", addr, 1)}
+	cfg.Known.Entries = []directory.Entry{readyEntry("full", addr, 1)}
 	return startServing(t, cfg)
 }
 
--- a/internal/sender/harness_test.go
+++ b/internal/sender/harness_test.go
@@ -52,7 +52,7 @@
 // testConfigWith is a configuration of a settings object and an endpoint list.
 func testConfigWith(dir, settings, list string) *config.Config {
 	var b config.Boot
-	c := &config.Config{Name: "s", State: dir, Limits: config.Limits{MemoryMB: 192, Sockets: 256, DiskMB: 0.25},
+	c := &config.Config{Name: "s", StateDir: dir, Limits: config.Limits{MemoryMB: 192, Sockets: 256, DiskMB: 0.25},
 		ClassNumbers: map[string]choice.ClassNo{}, Zones: map[string]choice.ZoneNo{}, Kinds: map[string]choice.KindNo{}}
 	for text, to := range map[string]any{settings: &b, list: &c.Known} {
 		if err := json.Unmarshal([]byte(text), to); err != nil {
@@ -78,7 +78,7 @@
 
 // readyEntry is an endpoint of a list that takes calls.
 func readyEntry(id, addr string, destination int) directory.Entry {
-	return directory.Entry{ID: id, Addr: addr, Zone: "z", Kind: "one", Cell: float64(destination), State: "up", Weight: 100}
+	return directory.Entry{ID: id, Addr: addr, Zone: "z", Kind: "one", Destination: float64(destination), State: "up", Weight: 100}
 }
 
 // start opens a sender on a folder; "" makes one. Another start on the same folder is a start after a kill.
@@ -93,7 +93,7 @@
 
 // startAt is a start with the clock at another time.
 func startAt(cfg *config.Config, at time.Duration) *harness {
-	dir := cfg.State
+	dir := cfg.StateDir
 	h := &harness{dir: dir, clock: at, platformUp: true}
 	s, err := openSender(cfg, zap.NewNop(), time.Unix(1e9, 0), func() time.Duration { return h.clock })
 	if err != nil {
@@ -199,7 +199,7 @@
 	}
 	c.done = true
 	if err != nil || !a.Done {
-		h.s.finishCall(c, cutOffAnswer(c, text == lastByteUnsent, &partialAnswer{a.Status(), a.Began()}))
+		h.s.finishCall(c, cutOffAnswer(c, text == lastByteUnsent, &partialAnswer{a.Status(), a.Started()}))
 	} else {
 		h.s.finishCall(c, readAnswer(&a))
 	}
--- a/internal/sender/host.go
+++ b/internal/sender/host.go
@@ -15,7 +15,7 @@
 
 // Now is the wall clock at the start, advanced by the monotonic clock.
 func (s *Sender) Now() choice.Time {
-	return config.Down(s.start.UnixNano() + int64(s.sinceStart()))
+	return config.RoundDown(s.start.UnixNano() + int64(s.sinceStart()))
 }
 
 // Allowed reports whether a message may go to an endpoint as the cluster's routing plan stands. An endpoint that is not
--- a/internal/sender/learned_state.go
+++ b/internal/sender/learned_state.go
@@ -49,7 +49,7 @@
 // logged and left out.
 func (s *Sender) loadLearned() {
 	var file learnedFile
-	text, err := journal.Get(s.cfg.State, learnedFileName)
+	text, err := journal.Get(s.cfg.StateDir, learnedFileName)
 	if errors.Is(err, fs.ErrNotExist) {
 		return
 	}
@@ -100,7 +100,7 @@
 // the endpoints that were in it. A file that is no JSON is left as it is, as no start reads it.
 func (s *Sender) deleteLearned(of func(choice.DestinationID) bool) (deleted []choice.EndpointID, err error) {
 	var file learnedFile
-	text, err := journal.Get(s.cfg.State, learnedFileName)
+	text, err := journal.Get(s.cfg.StateDir, learnedFileName)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
 	}
--- a/internal/sender/links.go
+++ b/internal/sender/links.go
@@ -142,7 +142,7 @@
 		l.bufferLock.Lock()
 		l.buffersReleased = true
 		l.bufferLock.Unlock()
-		end := &partialAnswer{l.answer.Status(), l.answer.Began()}
+		end := &partialAnswer{l.answer.Status(), l.answer.Started()}
 		go s.post(func() { s.onLinkEnded(l, end) })
 		return nil
 	})
--- a/internal/sender/loop.go
+++ b/internal/sender/loop.go
@@ -61,7 +61,7 @@
 
 // nextTurn is the earliest time of the next turn.
 func (s *Sender) nextTurn() time.Duration {
-	gap := time.Duration(config.Nanoseconds(s.cfg.Settings.Turn))
+	gap := time.Duration(config.Nanoseconds(s.cfg.Settings.TurnInterval))
 	if s.journalFailing {
 		gap = journalRetryPause
 	}
--- a/internal/sender/move_test.go
+++ b/internal/sender/move_test.go
@@ -165,11 +165,11 @@
 	w, addr := startFakeServer(t)
 	dir := t.TempDir()
 	entry := func(id, zone string, cell float64) directory.Entry {
-		return directory.Entry{ID: id, Addr: addr, Zone: zone, Kind: "one", Cell: cell, State: "up", Weight: 9}
+		return directory.Entry{ID: id, Addr: addr, Zone: zone, Kind: "one", Destination: cell, State: "up", Weight: 9}
 	}
 	run := func(settings string, entries ...directory.Entry) (s *Sender, hand func(id, dest, body string), end func()) {
 		cfg := testConfigWith(dir, settings, `{"version":1,"full":true}`)
-		cfg.Listen, cfg.Discovery, cfg.Known.Servers = "127.0.0.1:0", addr, entries
+		cfg.Listen, cfg.Discovery, cfg.Known.Entries = "127.0.0.1:0", addr, entries
 		s, done := startRunning(t, cfg)
 		client := connectClient(t, s)
 		hand = func(id, dest, body string) {
--- a/internal/sender/no_delay_test.go
+++ b/internal/sender/no_delay_test.go
@@ -31,8 +31,8 @@
 	defer p.CloseClientConnections()
 	cfg := testConfig(t.TempDir(), 100)
 	cfg.Listen, cfg.Discovery = "127.0.0.1:0", p.Listener.Addr().String()
-	cfg.Known.Servers = []directory.Entry{readyEntry("new", cfg.Discovery, 1),
-		{ID: "leaves", Addr: "127.0.0.1:9", Zone: "z", Kind: "one", Cell: 9, State: "draining", Weight: 100}}
+	cfg.Known.Entries = []directory.Entry{readyEntry("new", cfg.Discovery, 1),
+		{ID: "leaves", Addr: "127.0.0.1:9", Zone: "z", Kind: "one", Destination: 9, State: "draining", Weight: 100}}
 	s, conn, done := startServing(t, cfg)
 	for id, list := range map[string]string{"sent": "c=status,d=6000,dest=1", "ends": "c=status,d=1200,dest=9"} {
 		conn.Write(outAdd("0", id, list, ""))
--- a/internal/sender/outcome_reporter_test.go
+++ b/internal/sender/outcome_reporter_test.go
@@ -60,7 +60,7 @@
 // may have run, so many of each.
 func writeEndings(t *testing.T, dir string, each int) {
 	t.Helper()
-	now := config.Down(time.Now().UnixNano())
+	now := config.RoundDown(time.Now().UnixNano())
 	var records [][]byte
 	for i := range each {
 		m := acceptedMessage(fmt.Sprint("ended", i), "0", "single", 1, now-second, 8*second)
--- a/internal/sender/outcomes.go
+++ b/internal/sender/outcomes.go
@@ -72,15 +72,15 @@
 // outcome is what the answer to a call says of one of its messages.
 func (c *call) outcome(m *message, a answer, took choice.Time) choice.Outcome {
 	o := choice.Outcome{Message: m.ID, Attempt: m.attempts - 1, Endpoint: c.endpoint.id, Took: took, Result: a.result,
-		Final: a.final, Wait: a.wait, NoSlot: a.noSlot, Report: a.loadReport(), Reused: c.reused, Closed: a.close}
+		Final: a.final, RetryAfter: a.wait, NoSlot: a.noSlot, Report: a.loadReport(), Reused: c.reused, Closed: a.close}
 	if len(c.messages) > 1 && a.result == choice.Done {
-		o.Result, o.Final = choice.Spoilt, false // unless the answer has its state
+		o.Result, o.Final = choice.Unreadable, false // unless the answer has its state
 		if status, known := bulkStates[a.states[m.ID]]; known {
 			o.Result, o.Final = resultOf(status)
 		}
 	}
-	if len(c.messages) == 1 && o.Result != choice.Full {
-		o.Wait = 0 // Retry-After counts with a rejection only, but with any answer to a bulk call
+	if len(c.messages) == 1 && o.Result != choice.Rejected {
+		o.RetryAfter = 0 // Retry-After counts with a rejection only, but with any answer to a bulk call
 	}
 	return o
 }
@@ -90,7 +90,7 @@
 	m.inFlight = nil
 	s.log.Debug("outcome", zap.String("id", string(m.ID)), zap.String("to", string(c.endpoint.id)),
 		zap.String("result", resultNames[o.Result]), zap.Float64("took_ms", float64(o.Took)/float64(choice.Millisecond)),
-		zap.Float64("wait_ms", float64(o.Wait)/float64(choice.Millisecond)), zap.Float64s("report", report))
+		zap.Float64("wait_ms", float64(o.RetryAfter)/float64(choice.Millisecond)), zap.Float64s("report", report))
 	mayRunBefore := m.MayRun
 	s.recordOutcome(m, c, o)
 	s.choice.Ended(o)
@@ -106,7 +106,7 @@
 func (s *Sender) recordOutcome(m *message, c *call, o choice.Outcome) {
 	s.counts.outcomes[o.Result]++
 	switch o.Result {
-	case choice.Errored, choice.TimedOut, choice.Reset, choice.Cancelled, choice.Spoilt:
+	case choice.Errored, choice.TimedOut, choice.Reset, choice.Cancelled, choice.Unreadable:
 		if !m.MayRun {
 			m.MayRun, m.RanAt, m.RanIn, m.ranInZoneName = true, c.beganAt, c.endpoint.zone, c.endpoint.zoneName
 		}
--- a/internal/sender/platform_conn.go
+++ b/internal/sender/platform_conn.go
@@ -81,7 +81,7 @@
 			return 0, err
 		}
 	}
-	if answer.Close || answer.Left() > 0 {
+	if answer.Close || answer.BytesAfter() > 0 {
 		p.disconnect(endpointCloses, nil)
 	}
 	return answer.Status(), nil
--- a/internal/sender/purge.go
+++ b/internal/sender/purge.go
@@ -139,7 +139,7 @@
 func (s *Sender) withdrawMatching(order *withdrawal.Order, found *together.Found) {
 	for _, list := range [][]*message{s.accepted, s.admitted} {
 		for _, m := range list {
-			if order.Takes(m.Destination, m.className, m.key, m.acceptedAt) {
+			if order.Matches(m.Destination, m.className, m.key, m.acceptedAt) {
 				fate := m.withdrawalState().Fate()
 				fate.Add(found)
 				s.withdraw(m, fate)
@@ -155,11 +155,11 @@
 	case m.withdrawn:
 		return withdrawal.Withdrawn
 	case m.ending.kind != endNone && !m.journaled:
-		return withdrawal.Refused
+		return withdrawal.Rejected
 	case m.ending.kind != endNone:
 		return withdrawal.Ended
 	case m.inFlight != nil && m.inFlight.link != nil:
-		return withdrawal.Out
+		return withdrawal.InFlight
 	case m.MayRun:
 		return withdrawal.MayRun
 	}
@@ -186,7 +186,7 @@
 }
 
 // endWithdrawn ends a withdrawn message whose call has ended.
-func (s *Sender) endWithdrawn(m *message, how withdrawal.Back) {
+func (s *Sender) endWithdrawn(m *message, how withdrawal.CallEnd) {
 	if how == withdrawal.AsAnswered {
 		s.closeMessage(m)
 		return
--- a/internal/sender/purge_sockets_test.go
+++ b/internal/sender/purge_sockets_test.go
@@ -30,7 +30,7 @@
 	defer l.Unlock()
 	l.digests++
 	for _, c := range d.Counts {
-		l.messages[c.Program] += c.Messages
+		l.messages[c.Client] += c.Messages
 	}
 	for _, r := range d.Rows {
 		l.sent, l.done = l.sent+r.Sent, l.done+r.Done
@@ -68,7 +68,7 @@
 	cfg := testConfigWith(t.TempDir(), fmt.Sprintf(twoClassSettings, 100), `{"version":1,"full":true}`)
 	cfg.Listen, cfg.Discovery = "127.0.0.1:0", addr
 	for i := range 4 {
-		cfg.Known.Servers = append(cfg.Known.Servers, readyEntry(fmt.Sprint("e", i), addr, i))
+		cfg.Known.Entries = append(cfg.Known.Entries, readyEntry(fmt.Sprint("e", i), addr, i))
 	}
 	s, err := Start(cfg, zap.NewNop())
 	if err != nil {
@@ -108,7 +108,7 @@
 
 // rejections is how many calls endpoints have rejected.
 func (r *purgeRun) rejections() (n int64) {
-	onLoop(r.T, r.s, func() { n = r.s.counts.outcomes[choice.Full] })
+	onLoop(r.T, r.s, func() { n = r.s.counts.outcomes[choice.Rejected] })
 	return n
 }
 
@@ -120,7 +120,7 @@
 			for range 20 {
 				answer := make(chan int, 2)
 				r.s.Orders().Holding(func(all []together.Held) { answer <- len(all) })
-				r.s.Orders().Know(nil, func(all []together.Lesson) { answer <- len(all) })
+				r.s.Orders().Know(nil, func(all []together.LearnedEndpoint) { answer <- len(all) })
 				<-answer
 				<-answer
 			}
--- a/internal/sender/ready_test.go
+++ b/internal/sender/ready_test.go
@@ -89,7 +89,7 @@
 // messagesOf makes messages of a class that were accepted some time ago; key may hold a verb for their number.
 func messagesOf(class, key string, dest choice.DestinationID, ago choice.Time) func(i int) *message {
 	return func(i int) *message {
-		now := config.Down(time.Now().UnixNano())
+		now := config.RoundDown(time.Now().UnixNano())
 		return acceptedMessage(fmt.Sprintf("%016x", uint64(i)), fmt.Sprintf(key, i), class, dest, now-ago, 3600*second)
 	}
 }
@@ -98,9 +98,9 @@
 func tenThousand(apart bool) directory.List {
 	l := directory.List{Version: 5, Full: true}
 	for i := range 10000 {
-		l.Servers = append(l.Servers, directory.Entry{ID: fmt.Sprint("e", i), Addr: "127.0.0.1:1", Zone: "z", Kind: "one", State: "up", Weight: 1})
+		l.Entries = append(l.Entries, directory.Entry{ID: fmt.Sprint("e", i), Addr: "127.0.0.1:1", Zone: "z", Kind: "one", State: "up", Weight: 1})
 		if apart {
-			l.Servers[i].Cell = float64(i)
+			l.Entries[i].Destination = float64(i)
 		}
 	}
 	return l
--- a/internal/sender/replay.go
+++ b/internal/sender/replay.go
@@ -19,7 +19,7 @@
 func (s *Sender) openJournal() (unfinished []*message, err error) {
 	s.pending, s.recentlyEnded = map[choice.MessageID]*message{}, map[choice.MessageID]struct{}{}
 	limit := int64(s.cfg.Limits.DiskMB * 1e6)
-	j, dropped, err := journal.Open(s.cfg.State, limit, s.replayRecord)
+	j, dropped, err := journal.Open(s.cfg.StateDir, limit, s.replayRecord)
 	if err != nil {
 		return nil, err
 	}
@@ -66,7 +66,7 @@
 	}
 	for _, className := range slices.Sorted(maps.Keys(unknownClasses)) {
 		return nil, fmt.Errorf("field state: %s owes %d notices of workload %q, which field settings.classes does not name; "+
-			"end them under the settings that they came with", s.cfg.State, unknownClasses[className], className)
+			"end them under the settings that they came with", s.cfg.StateDir, unknownClasses[className], className)
 	}
 	return unfinished, nil
 }
--- a/internal/sender/send.go
+++ b/internal/sender/send.go
@@ -72,7 +72,7 @@
 	c.link, c.reused, l.call, l.writing = l, l.used, c, true
 	until := c.beganAt + c.timeout - 1
 	for _, m := range c.messages {
-		until = min(until, s.choice.RepeatEnd(m.ID))
+		until = min(until, s.choice.RepeatableUntil(m.ID))
 	}
 	head, body := s.request(c)
 	go func() {
--- a/internal/sender/sender.go
+++ b/internal/sender/sender.go
@@ -43,7 +43,7 @@
 	choice    *choice.Sender                     // decides about deliveries
 	learned   map[choice.EndpointID]learnedEntry // by an earlier process; each is removed as the list names it
 	learnedAt choice.Time                        // when that process wrote them
-	numbering directory.Names
+	numbering directory.NameNumbers
 	start     time.Time            // Now counts from here by the monotonic clock, so that it never steps back
 	clock     func() time.Duration // time since start; called from any goroutine
 	inbox     chan func()
@@ -94,7 +94,7 @@
 // openSender makes a sender that has replayed its journal and has opened no socket yet.
 func openSender(cfg *config.Config, log *zap.Logger, start time.Time, clock func() time.Duration) (*Sender, error) {
 	s := &Sender{cfg: cfg, log: log, start: start, clock: clock, inbox: make(chan func(), inboxSize), stop: make(chan struct{})}
-	s.numbering = directory.Names{Zones: cfg.Zones, Kinds: cfg.Kinds}
+	s.numbering = directory.NameNumbers{Zones: cfg.Zones, Kinds: cfg.Kinds}
 	limited := s.withSystemLimits(cfg)
 	s.clientFrontend.init(limited)
 	s.routing.init()
--- a/internal/sender/sockets_test.go
+++ b/internal/sender/sockets_test.go
@@ -134,9 +134,9 @@
 	}
 	cfg := testConfig(t.TempDir(), 100)
 	cfg.Listen, cfg.Discovery = "127.0.0.1:0", addr
-	cfg.Known.Servers = nil
+	cfg.Known.Entries = nil
 	for i := range answers {
-		cfg.Known.Servers = append(cfg.Known.Servers, readyEntry(answers[i].id, addr, i))
+		cfg.Known.Entries = append(cfg.Known.Entries, readyEntry(answers[i].id, addr, i))
 	}
 	s, conn, done := startServing(t, cfg)
 	in := bufio.NewReader(conn)
@@ -180,7 +180,7 @@
 	if len(s.pending) != 0 {
 		t.Errorf("%d notices owed at the end", len(s.pending))
 	}
-	if files, _ := os.ReadDir(cfg.State); len(files) != 2 { // the journal, and the learned state
+	if files, _ := os.ReadDir(cfg.StateDir); len(files) != 2 { // the journal, and the learned state
 		t.Errorf("%d files in the state folder", len(files))
 	}
 }
--- a/internal/sender/together/together.go
+++ b/internal/sender/together/together.go
@@ -20,18 +20,18 @@
 	Sent        uint64               `json:"s,omitempty"` // calls
 	Done        uint64               `json:"o,omitempty"`
 	Failed      uint64               `json:"f,omitempty"` // errored, timed out, not connected, reset
-	Silent      uint64               `json:"q,omitempty"` // of these: timed out or not connected
-	Refused     uint64               `json:"r,omitempty"` // rejected by the endpoint
+	Unanswered  uint64               `json:"q,omitempty"` // of these: timed out or not connected
+	Rejected    uint64               `json:"r,omitempty"` // rejected by the endpoint
 	Endpoints   int                  `json:"e,omitempty"` // listed there
 	Limit       float64              `json:"l,omitempty"` // calls a second, of all senders, as last reported there; 0 for none
 	Rating      float64              `json:"w,omitempty"` // summed over the endpoints, as the list gives it
-	Held        int                  `json:"h,omitempty"` // messages waiting for the destination (in one row of it)
+	Waiting     int                  `json:"h,omitempty"` // messages waiting for the destination (in one row of it)
 }
 
 // Count is how many messages one client host submitted for a destination since the last digest, each message once.
 type Count struct {
 	Destination choice.DestinationID `json:"d"`
-	Program     string               `json:"p"` // the client's host, as the sender tells clients apart
+	Client      string               `json:"p"` // the client's host, as the sender tells clients apart
 	Messages    uint64               `json:"n"`
 }
 
@@ -88,8 +88,8 @@
 	Age time.Duration
 }
 
-// Lesson is learned state of an endpoint from elsewhere, and how old it is.
-type Lesson struct {
+// LearnedEndpoint is learned state of an endpoint from elsewhere, and how old it is.
+type LearnedEndpoint struct {
 	Endpoint     choice.EndpointID
 	LearnedState choice.LearnedState
 	Age          time.Duration
@@ -107,9 +107,9 @@
 	// Holding lists the destinations of which something is held, with bytes and what would be lost, for eviction.
 	Holding(done func([]Held))
 	// Teach hands over learned state from elsewhere, for endpoints of which nothing is known here.
-	Teach(lessons []Lesson)
+	Teach(lessons []LearnedEndpoint)
 	// Know hands out what has been learned of these destinations, of all if none is named.
-	Know(of []choice.DestinationID, done func([]Lesson))
+	Know(of []choice.DestinationID, done func([]LearnedEndpoint))
 	// Configure puts a configuration in force in one turn, completely or not at all. done is called on the loop: with nil
 	// once it is in force, else with what is wrong, and the settings before stay in force. A version older than the one
 	// in force is rejected.
--- a/internal/sender/torn_journal_test.go
+++ b/internal/sender/torn_journal_test.go
@@ -27,9 +27,9 @@
 // twelveEndpointConfig has an endpoint for each of twelve destinations.
 func twelveEndpointConfig(dir string) *config.Config {
 	c := fourClassConfig(dir, 100)
-	c.Known.Servers = nil
+	c.Known.Entries = nil
 	for i := range 12 {
-		c.Known.Servers = append(c.Known.Servers, directory.Entry{ID: fmt.Sprint("e", i), Addr: "127.0.0.1:1", Zone: "z", Kind: "one", Cell: float64(i), State: "up", Weight: 9})
+		c.Known.Entries = append(c.Known.Entries, directory.Entry{ID: fmt.Sprint("e", i), Addr: "127.0.0.1:1", Zone: "z", Kind: "one", Destination: float64(i), State: "up", Weight: 9})
 	}
 	return c
 }
--- a/internal/sender/unsent_test.go
+++ b/internal/sender/unsent_test.go
@@ -47,7 +47,7 @@
 			if !c.done || c.link != nil || m.MayRun || m.inFlight != nil {
 				t.Fatalf("over %v, left %v, may have run %v, out %v", c.done, c.link != nil, m.MayRun, m.inFlight != nil)
 			}
-			if all := h.s.counts.outcomes; all[choice.ConnectFailed] != 0 || all[choice.Moot] != 1 {
+			if all := h.s.counts.outcomes; all[choice.ConnectFailed] != 0 || all[choice.NotRun] != 1 {
 				t.Errorf("outcomes %v", all)
 			}
 			if !of.takes(t, h) {
--- a/internal/sender/withdrawal/withdrawal.go
+++ b/internal/sender/withdrawal/withdrawal.go
@@ -26,12 +26,12 @@
 // that was there at the commit is matched; what came while the purge was on its way may be matched too.
 func Since(p together.Purge, at choice.Time) Order {
 	age := max(0, p.Age)
-	return Order{Purge: p, Cut: at - config.Down(age.Nanoseconds())}
+	return Order{Purge: p, Cut: at - config.RoundDown(age.Nanoseconds())}
 }
 
-// Takes reports whether an order matches a message with these properties that was accepted at a time, on the clock of the
+// Matches reports whether an order matches a message with these properties that was accepted at a time, on the clock of the
 // cut; 0 stands for long ago. Keys are compared as the client writes them, not as the numbers that they stand for.
-func (o *Order) Takes(d choice.DestinationID, class, key string, acceptedAt choice.Time) bool {
+func (o *Order) Matches(d choice.DestinationID, class, key string, acceptedAt choice.Time) bool {
 	return !o.LearnedState && acceptedAt <= o.Cut && matches(&o.Match, d, class, key)
 }
 
@@ -47,9 +47,9 @@
 		strings.HasPrefix(key, m.KeyPrefix)
 }
 
-// Forgets reports whether the learned state of a destination is to be dropped. Learned state depends on endpoints alone, so
+// DropsLearned reports whether the learned state of a destination is to be dropped. Learned state depends on endpoints alone, so
 // an order that also names a class or a key drops nothing.
-func (o *Order) Forgets(d choice.DestinationID) bool {
+func (o *Order) DropsLearned(d choice.DestinationID) bool {
 	m := &o.Match
 	return o.LearnedState && m.Destination != nil && *m.Destination == d && m.Class == "" && m.Key == "" && m.KeyPrefix == ""
 }
@@ -59,12 +59,12 @@
 
 const (
 	Waiting   State = iota // no call of it can have run: never sent, or every call was certainly rejected
-	Out                    // a call is in flight
+	InFlight               // a call is in flight
 	MayRun                 // no call is in flight, but one of this process or an earlier one may have run
 	Delivered              // ended with its delivery
 	Ended                  // ended otherwise, before the purge came
 	Withdrawn              // ended by an earlier purge: counted there
-	Refused                // answered so at once: it was never accepted, and nothing is known of it
+	Rejected               // answered so at once: it was never accepted, and nothing is known of it
 )
 
 // Fate is what becomes of a message under a purge.
@@ -83,7 +83,7 @@
 	switch s {
 	case Waiting:
 		return End
-	case Out:
+	case InFlight:
 		return Hold
 	case MayRun:
 		return Close
@@ -105,23 +105,23 @@
 	}
 }
 
-// Back is how a message with the fate Hold ends once its last call has ended.
-type Back uint8
+// CallEnd is how a message with the fate Hold ends once its last call has ended.
+type CallEnd uint8
 
 const (
-	AsAnswered  Back = iota // delivered, or its endpoint wants it no more
-	AsWithdrawn             // the call has certainly not run
-	AsMayRun                // it may have run
+	AsAnswered  CallEnd = iota // delivered, or its endpoint wants it no more
+	AsWithdrawn                // the call has certainly not run
+	AsMayRun                   // it may have run
 )
 
 // Ends returns how a message with the fate Hold ends. earlierMayRun says that a call before the last one may have run too:
 // then a rejection of the last one proves nothing.
-func Ends(last choice.Outcome, earlierMayRun bool) Back {
+func Ends(last choice.Outcome, earlierMayRun bool) CallEnd {
 	if last.Final {
 		return AsAnswered
 	}
 	switch last.Result {
-	case choice.Full, choice.ConnectFailed, choice.Moot:
+	case choice.Rejected, choice.ConnectFailed, choice.NotRun:
 		if !earlierMayRun {
 			return AsWithdrawn
 		}
--- a/internal/sender/withdrawal/withdrawal_test.go
+++ b/internal/sender/withdrawal/withdrawal_test.go
@@ -26,21 +26,21 @@
 		{"all", together.Match{Destination: &five, Class: "orders", Key: "order-17", KeyPrefix: "order"}, true},
 	} {
 		order := Order{Purge: together.Purge{Match: c.m}}
-		if got := order.Takes(5, "orders", "order-17", 0); got != c.want {
+		if got := order.Matches(5, "orders", "order-17", 0); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
 		}
-		if order.LearnedState = true; order.Takes(5, "orders", "order-17", 0) {
+		if order.LearnedState = true; order.Matches(5, "orders", "order-17", 0) {
 			t.Errorf("%s: a purge of what was learnt takes no message", c.name)
 		}
 	}
 	forgets := func(m together.Match, d choice.DestinationID) bool {
-		return (&Order{Purge: together.Purge{Match: m, LearnedState: true}}).Forgets(d)
+		return (&Order{Purge: together.Purge{Match: m, LearnedState: true}}).DropsLearned(d)
 	}
 	if !forgets(together.Match{Destination: &five}, 5) || forgets(together.Match{Destination: &five}, 6) ||
 		forgets(together.Match{Destination: &five, Key: "k"}, 5) || forgets(together.Match{Class: "orders"}, 5) {
 		t.Error("what was learnt is named by its destination alone")
 	}
-	if (&Order{Purge: together.Purge{Match: together.Match{Destination: &five}}}).Forgets(5) {
+	if (&Order{Purge: together.Purge{Match: together.Match{Destination: &five}}}).DropsLearned(5) {
 		t.Error("a purge of messages forgets nothing")
 	}
 }
@@ -50,13 +50,13 @@
 	var first, second together.Found
 	order := Order{Purge: together.Purge{Match: together.Match{Key: "k"}}, Cut: 10}
 	fate := func(s State, takenAt choice.Time) Fate {
-		if !order.Takes(5, "orders", "k", takenAt) {
+		if !order.Matches(5, "orders", "k", takenAt) {
 			return Untouched
 		}
 		return s.Fate()
 	}
-	after := map[State]State{Waiting: Withdrawn, Out: Out, MayRun: Withdrawn, Delivered: Delivered, Ended: Ended, Refused: Refused}
-	for _, s := range []State{Waiting, Out, MayRun, Delivered, Ended, Refused} {
+	after := map[State]State{Waiting: Withdrawn, InFlight: InFlight, MayRun: Withdrawn, Delivered: Delivered, Ended: Ended, Rejected: Rejected}
+	for _, s := range []State{Waiting, InFlight, MayRun, Delivered, Ended, Rejected} {
 		fate(s, 10).Add(&first)
 		fate(after[s], 10).Add(&second)
 		if f := fate(s, 11); f != Untouched {
@@ -76,7 +76,7 @@
 	before := func(held, age time.Duration) bool {
 		now := time.Hour
 		order := Since(together.Purge{Match: together.Match{Key: "k"}, Age: age}, choice.Time(now/tick))
-		return order.Takes(5, "orders", "k", choice.Time((now-held)/tick))
+		return order.Matches(5, "orders", "k", choice.Time((now-held)/tick))
 	}
 	if !before(3*time.Second, 2*time.Second) || before(time.Second, 2*time.Second) || !before(0, -time.Second) {
 		t.Error("the cut is at the purge's age")
@@ -84,9 +84,9 @@
 	if !before(2*time.Second, 2*time.Second+tick/2) {
 		t.Error("an age that is no whole number of ticks spares what was there")
 	}
-	for r, want := range map[choice.Result]Back{choice.Done: AsAnswered, choice.Full: AsWithdrawn,
-		choice.ConnectFailed: AsWithdrawn, choice.TimedOut: AsMayRun, choice.Reset: AsMayRun, choice.Spoilt: AsMayRun,
-		choice.Cancelled: AsMayRun, choice.Errored: AsMayRun, choice.Moot: AsWithdrawn} {
+	for r, want := range map[choice.Result]CallEnd{choice.Done: AsAnswered, choice.Rejected: AsWithdrawn,
+		choice.ConnectFailed: AsWithdrawn, choice.TimedOut: AsMayRun, choice.Reset: AsMayRun, choice.Unreadable: AsMayRun,
+		choice.Cancelled: AsMayRun, choice.Errored: AsMayRun, choice.NotRun: AsWithdrawn} {
 		last := choice.Outcome{Result: r, Final: r == choice.Done}
 		if got := Ends(last, false); got != want {
 			t.Errorf("result %d: %d", r, got)
@@ -95,7 +95,7 @@
 			t.Errorf("result %d after a call that may have run: %d", r, got)
 		}
 	}
-	if got := Ends(choice.Outcome{Result: choice.Moot, Final: true}, true); got != AsAnswered {
+	if got := Ends(choice.Outcome{Result: choice.NotRun, Final: true}, true); got != AsAnswered {
 		t.Errorf("an endpoint that wants it no more: %d", got)
 	}
 }
--- a/lab/baseline/messages.go
+++ b/lab/baseline/messages.go
@@ -41,7 +41,7 @@
 	n := &message{Message: in}
 	p.messages[n.ID] = n
 	w := &p.settings.Classes[n.Class]
-	if w.ByArrival && n.Key != choice.NoKey {
+	if w.Ordered && n.Key != choice.NoKey {
 		n.keyQueue = p.keyQueueOf(n.Key)
 		n.keyQueue.messages = append(n.keyQueue.messages, n)
 	}
@@ -67,7 +67,7 @@
 
 // lastCall is when a message without an attempt in flight is ended.
 func (p *policy) lastCall(n *message) choice.Time {
-	return n.Deadline - p.shortest/4 - 4*p.settings.Turn
+	return n.Deadline - p.shortest/4 - 4*p.settings.TurnInterval
 }
 
 // after calls do after a time.
@@ -125,7 +125,7 @@
 	if n.MayRun {
 		p.host.Fail(n.ID)
 	} else {
-		p.host.Shed(n.ID, min(p.settings.LongestReturn, choice.Second))
+		p.host.Shed(n.ID, min(p.settings.MaxRetryAfter, choice.Second))
 	}
 	p.release(n)
 }
--- a/lab/baseline/outcome.go
+++ b/lab/baseline/outcome.go
@@ -21,8 +21,8 @@
 		n.slow = false
 		p.slowInFlight--
 	}
-	if o.Wait > 0 {
-		p.applyRetryAfter(e, o.Wait)
+	if o.RetryAfter > 0 {
+		p.applyRetryAfter(e, o.RetryAfter)
 	}
 	p.recordExecution(n, e, o.Result)
 	if o.Final {
@@ -35,7 +35,7 @@
 // applyRetryAfter blocks an endpoint, or its whole destination, for the time that it named.
 func (p *policy) applyRetryAfter(e *endpoint, wait choice.Time) {
 	until := p.host.Now() + wait + choice.Time(p.rng.Int64N(int64(50*choice.Millisecond)))
-	if p.settings.Kinds[e.Kind].Apart {
+	if p.settings.Kinds[e.Kind].SeparateRoutes {
 		e.blockedUntil = max(e.blockedUntil, until)
 	} else {
 		e.destination.blockedUntil = max(e.destination.blockedUntil, until)
@@ -45,16 +45,16 @@
 // recordExecution records that an attempt may have been executed. Its ordering key rests if it may still be worked on.
 func (p *policy) recordExecution(n *message, e *endpoint, result choice.Result) {
 	switch result {
-	case choice.Errored, choice.TimedOut, choice.Reset, choice.Cancelled, choice.Spoilt:
+	case choice.Errored, choice.TimedOut, choice.Reset, choice.Cancelled, choice.Unreadable:
 	default:
 		return
 	}
 	if !n.MayRun {
 		n.MayRun, n.RanAt, n.RanIn = true, n.sentAt, e.Zone
 	}
-	answered := result == choice.Errored || result == choice.Spoilt
+	answered := result == choice.Errored || result == choice.Unreadable
 	if n.keyQueue != nil && !answered {
-		n.keyQueue.restUntil = p.host.Now() + p.settings.KeyRest
+		n.keyQueue.restUntil = p.host.Now() + p.settings.KeyPause
 	}
 }
 
@@ -85,7 +85,7 @@
 		ceiling := min(2*p.shortest, p.shortest/4<<min(n.attempts-1, maxDoublings))
 		return 1 + choice.Time(p.rng.Int64N(int64(max(1, ceiling))))
 	case allSeen:
-		return p.settings.Turn << min(n.attempts, maxTickDoublings)
+		return p.settings.TurnInterval << min(n.attempts, maxTickDoublings)
 	}
 	return 0
 }
@@ -99,7 +99,7 @@
 	case w.Repeat == choice.NonIdempotent:
 		return true
 	case w.Repeat == choice.Keyed:
-		return w.ZoneGroup || at > n.RanAt+w.RepeatWindow-2*p.settings.Turn-windowMargin
+		return w.ZoneGroup || at > n.RanAt+w.RepeatWindow-2*p.settings.TurnInterval-windowMargin
 	}
 	return false
 }
--- a/lab/baseline/send.go
+++ b/lab/baseline/send.go
@@ -14,7 +14,7 @@
 	now := p.host.Now()
 	for _, id := range messages {
 		n := p.messages[id]
-		if n != nil && n.MayRun && now > n.RanAt+p.settings.Classes[n.Class].RepeatWindow-p.settings.Turn {
+		if n != nil && n.MayRun && now > n.RanAt+p.settings.Classes[n.Class].RepeatWindow-p.settings.TurnInterval {
 			return false
 		}
 	}
@@ -70,13 +70,13 @@
 	if p.kind == allSeen {
 		timeOut = 4 * p.shortest
 	}
-	p.host.Attempt(n.ID, e.Endpoint, max(1, min(timeOut, n.Deadline-p.host.Now()-2*p.settings.Turn)))
+	p.host.Attempt(n.ID, e.Endpoint, max(1, min(timeOut, n.Deadline-p.host.Now()-2*p.settings.TurnInterval)))
 }
 
 // priority is the value of a message if it were delivered now.
 func (p *policy) priority(n *message) float64 {
 	w := &p.settings.Classes[n.Class]
-	return w.Value * w.Fade(p.host.Now()-(n.Deadline-w.Deadline), p.settings.Halving)
+	return w.Value * w.ValueShare(p.host.Now()-(n.Deadline-w.Deadline), p.settings.Halving)
 }
 
 // pickEndpoint returns the endpoint that a message is sent to, or nil if none may be called.
