--- a/lab/cluster/judge/judge.go
+++ b/lab/cluster/judge/judge.go
@@ -192,8 +192,8 @@
 		if failover && (s.Epoch == 0 || s.Epoch != first.Epoch) {
 			why = append(why, fmt.Sprintf("%s is at epoch %d, %s at %d", s.Self.Name, s.Epoch, first.Self.Name, first.Epoch))
 		}
-		if s.Purged != first.Purged {
-			why = append(why, fmt.Sprintf("%s has purged up to %d, %s to %d", s.Self.Name, s.Purged, first.Self.Name, first.Purged))
+		if s.LastPurge != first.LastPurge {
+			why = append(why, fmt.Sprintf("%s has purged up to %d, %s to %d", s.Self.Name, s.LastPurge, first.Self.Name, first.LastPurge))
 		}
 		if one, other := s.Configuration, first.Configuration; one != nil && other != nil && (one.Version != other.Version || one.Sum != other.Sum) {
 			why = append(why, fmt.Sprintf("%s runs version %d of the settings, %s %d", s.Self.Name, one.Version, first.Self.Name, other.Version))
--- a/lab/cluster/judge/judge_test.go
+++ b/lab/cluster/judge/judge_test.go
@@ -111,7 +111,7 @@
 	if why := Differences([]*status.Status{a, b}, 2, true); len(why) != 0 {
 		t.Error(why)
 	}
-	b.Epoch, b.Leader, b.Purged = 1, "b", 4
+	b.Epoch, b.Leader, b.LastPurge = 1, "b", 4
 	if why := Differences([]*status.Status{a, b}, 3, true); len(why) != 6 {
 		t.Errorf("%d differences: %v", len(why), why)
 	}
--- a/lab/cluster/play/change.go
+++ b/lab/cluster/play/change.go
@@ -96,7 +96,7 @@
 
 // askShown asks the first process where the newest version is in force.
 func (p *player) askShown(ctx context.Context, h *live.RunControl) {
-	var shown versions.Shown
+	var shown versions.ConfigurationStatus
 	if p.ask(ctx, 0, "GET", "/v1/configuration", nil, &shown) == http.StatusOK {
 		h.Post(func() {
 			p.shown = shown
@@ -156,7 +156,7 @@
 	for _, s := range all {
 		if c := s.Configuration; c != nil && c.Version < p.judge.Newest() {
 			why = append(why, fmt.Sprintf("%s runs version %d of the settings, %d is decided (%d refused: %s)",
-				s.Self.Name, c.Version, p.judge.Newest(), c.Refused, c.Why))
+				s.Self.Name, c.Version, p.judge.Newest(), c.Rejected, c.Why))
 		}
 	}
 	if s := p.shown; p.options.OnConfiguration != nil && (s.Version < p.judge.Newest() || s.State != versions.InForce || len(s.Laggards)+len(s.Away) > 0) {
--- a/lab/cluster/play/change_test.go
+++ b/lab/cluster/play/change_test.go
@@ -35,7 +35,7 @@
 				}
 			}
 		},
-		OnConfiguration: func(now choice.Time, s versions.Shown) {
+		OnConfiguration: func(now choice.Time, s versions.ConfigurationStatus) {
 			version, is := lagging(s, cut)
 			if !is {
 				return
@@ -70,7 +70,7 @@
 }
 
 // lagging is the version that a process is shown with as a laggard or as away; false where it is not named.
-func lagging(s versions.Shown, name view.Name) (uint64, bool) {
+func lagging(s versions.ConfigurationStatus, name view.Name) (uint64, bool) {
 	var all []spread.Laggard
 	all = append(all, s.Laggards...)
 	for _, away := range s.Away {
--- a/lab/cluster/play/partner_test.go
+++ b/lab/cluster/play/partner_test.go
@@ -48,7 +48,7 @@
 	o.others = max(o.others, lowest)
 }
 
-func (o *seenOf) shown(name view.Name, s versions.Shown) {
+func (o *seenOf) shown(name view.Name, s versions.ConfigurationStatus) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, l := range s.Laggards {
@@ -91,7 +91,7 @@
 				}
 			}
 		},
-		OnConfiguration: func(_ choice.Time, s versions.Shown) { seen.shown(struck, s) }})
+		OnConfiguration: func(_ choice.Time, s versions.ConfigurationStatus) { seen.shown(struck, s) }})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -101,7 +101,7 @@
 	if newest := uint64(len(s.Changes)); seen.others != newest || !slices.Equal(seen.versions, []uint64{0, 1, newest}) && !slices.Equal(seen.versions, []uint64{1, newest}) {
 		t.Errorf("%s ran %v, all others up to %d", struck, seen.versions, seen.others)
 	}
-	if text := seen.reasons[spread.Refused]; !strings.Contains(text, "not kept") {
+	if text := seen.reasons[spread.Rejected]; !strings.Contains(text, "not kept") {
 		t.Errorf("%s was named as %v", struck, seen.reasons)
 	}
 }
--- a/lab/cluster/play/play.go
+++ b/lab/cluster/play/play.go
@@ -43,7 +43,7 @@
 	// OnStatuses is called with the processes' statuses after each poll; nil for nothing.
 	OnStatuses func(now choice.Time, all []*status.Status)
 	// OnConfiguration is called with the first process's answer on the shared settings after each poll; nil for nothing.
-	OnConfiguration func(now choice.Time, s versions.Shown)
+	OnConfiguration func(now choice.Time, s versions.ConfigurationStatus)
 }
 
 // maxProcesses is how many processes one machine can run with a relay between any two.
--- a/lab/cluster/play/play_test.go
+++ b/lab/cluster/play/play_test.go
@@ -114,11 +114,11 @@
 		for _, s := range all {
 			here := 0
 			for _, m := range s.Members {
-				if m.Here() {
+				if m.Present() {
 					here++
 				}
 			}
-			fmt.Fprintf(out, "  %s epoch %d of %s sees %d root %s purged %d", s.Self.Name, s.Epoch, s.Leader, here, s.Root, s.Purged)
+			fmt.Fprintf(out, "  %s epoch %d of %s sees %d root %s purged %d", s.Self.Name, s.Epoch, s.Leader, here, s.Root, s.LastPurge)
 			if c := s.Configuration; c != nil {
 				fmt.Fprintf(out, " version %d", c.Version)
 			}
--- a/lab/cluster/play/watch.go
+++ b/lab/cluster/play/watch.go
@@ -60,7 +60,7 @@
 	openOrders    int // purges and changes in progress
 	falls         []Fall
 	changeReports []*ChangeReport
-	shown         versions.Shown
+	shown         versions.ConfigurationStatus
 	now           choice.Time // of the last poll
 
 	mu      sync.Mutex
--- a/lab/cluster/rate/environment.go
+++ b/lab/cluster/rate/environment.go
@@ -121,8 +121,8 @@
 	for destination := range destinations {
 		for i := range endpointsEach {
 			no := endpointsEach*destination + i
-			list.Servers = append(list.Servers, directory.Entry{ID: fmt.Sprintf("endpoint-%d", no),
-				Addr: o.addresses[no%len(o.addresses)], Zone: zone, Kind: kind, Cell: float64(destination), State: "up", Weight: 1e6})
+			list.Entries = append(list.Entries, directory.Entry{ID: fmt.Sprintf("endpoint-%d", no),
+				Addr: o.addresses[no%len(o.addresses)], Zone: zone, Kind: kind, Destination: float64(destination), State: "up", Weight: 1e6})
 		}
 	}
 	return list
--- a/lab/cluster/size/fleet.go
+++ b/lab/cluster/size/fleet.go
@@ -58,12 +58,12 @@
 
 // epoch is one decided plan, and when it came into force at each process.
 type epoch struct {
-	at      view.Now
+	at      view.Uptime
 	plan    plan.Plan
-	reached map[view.Name]view.Now
+	reached map[view.Name]view.Uptime
 }
 
-func (f *fleet) now() view.Now { return view.Now(f.w.Now()) * timeUnit }
+func (f *fleet) now() view.Uptime { return view.Uptime(f.w.Now()) * timeUnit }
 
 func (f *fleet) after(in time.Duration, do func()) { f.w.After(max(1, choice.Time(in/timeUnit)), do) }
 
@@ -95,7 +95,7 @@
 		members = append(members, view.Member{Life: view.Life{Name: p.name, Incarnation: 1}, Zone: p.zone,
 			Region: f.regions[p.zone], Size: view.Large})
 	}
-	f.tree = tree.Derive(view.Make("", 1, members))
+	f.tree = tree.Derive(view.New("", 1, members))
 	first, next := f.order[o.Leader], f.order[(o.Leader+1)%len(f.order)]
 	f.leader = newLeader(f, first)
 	for _, p := range f.order {
@@ -122,26 +122,26 @@
 type leader struct {
 	f        *fleet
 	at       *process
-	board    *weigh.Board
+	board    *weigh.ReportTable
 	planner  *plan.Planner
 	deciding bool
 }
 
 func newLeader(f *fleet, at *process) *leader {
-	l := &leader{f: f, at: at, board: weigh.NewBoard(weigh.Usual()), planner: plan.New(f.settings)}
-	l.planner.Applied(at.now(), f.inForce.Plan())
+	l := &leader{f: f, at: at, board: weigh.NewReportTable(weigh.DefaultBounds()), planner: plan.New(f.settings)}
+	l.planner.PlanInForce(at.now(), f.inForce.Plan())
 	return l
 }
 
-func (l *leader) turn(now view.Now, weighs bool) {
+func (l *leader) turn(now view.Uptime, weighs bool) {
 	l.renew(now)
 	if !weighs {
 		l.at.scheduleTurn()
 		return
 	}
 	l.board.Put(now, l.at.board.Fresh(now))
-	l.planner.Members(l.f.regions)
-	l.planner.Judged(now, weigh.Judge(l.board.Fresh(now), weigh.Usual()))
+	l.planner.SetRegions(l.f.regions)
+	l.planner.UpdateHealth(now, weigh.Judge(l.board.Fresh(now), weigh.DefaultBounds()))
 	next, some := l.planner.Step(now)
 	if !some || l.deciding {
 		return
@@ -150,19 +150,19 @@
 	l.f.after(consensusDelay, func() { l.decide(next) })
 }
 
-func (l *leader) renew(now view.Now) {
+func (l *leader) renew(now view.Uptime) {
 	in := l.f.inForce.Plan()
 	if in.Epoch == 0 {
 		return
 	}
 	if l.planner.Epoch() < in.Epoch {
-		l.planner.Applied(now, in)
+		l.planner.PlanInForce(now, in)
 	}
-	heard := apply.Heard{Epoch: in.Epoch, Plan: &in}
+	heard := apply.Announcement{Epoch: in.Epoch, Plan: &in}
 	if held, _ := l.at.holder.Plan(now); held != nil && held.Epoch == in.Epoch {
 		heard.Plan = nil
 	}
-	if _, err := l.at.holder.Hear(now, heard); err != nil {
+	if _, err := l.at.holder.Receive(now, heard); err != nil {
 		panic(err) // plans are checked before they are decided
 	}
 }
@@ -177,9 +177,9 @@
 		panic(err) // plain data
 	}
 	_, err = l.f.inForce.Apply(uint64(next.Epoch), l.f.now(), plan.Kind, body)
-	l.planner.Applied(l.at.now(), l.f.inForce.Plan())
+	l.planner.PlanInForce(l.at.now(), l.f.inForce.Plan())
 	if err == nil {
-		l.f.epochs = append(l.f.epochs, epoch{l.f.now(), l.f.inForce.Plan(), map[view.Name]view.Now{}})
+		l.f.epochs = append(l.f.epochs, epoch{l.f.now(), l.f.inForce.Plan(), map[view.Name]view.Uptime{}})
 		h := fnv.New64a()
 		fmt.Fprintf(h, "%d %v %s", l.f.hash, l.f.now(), body)
 		l.f.hash = h.Sum64()
--- a/lab/cluster/size/measure.go
+++ b/lab/cluster/size/measure.go
@@ -214,11 +214,11 @@
 		out.PlansAMinute = max(out.PlansAMinute, n)
 	}
 	for _, e := range f.epochs {
-		moves := slices.ContainsFunc(e.plan.Routes, func(r plan.Route) bool { return r.Phase == plan.Away })
-		if fell := view.Now(m.o.From * float64(time.Second)); e.at < fell || !moves {
+		moves := slices.ContainsFunc(e.plan.Routes, func(r plan.Route) bool { return r.Phase == plan.Diverted })
+		if fell := view.Uptime(m.o.From * float64(time.Second)); e.at < fell || !moves {
 			continue
 		} else if need := int(math.Ceil(0.95 * float64(len(f.order)))); len(e.reached) >= need {
-			var all []view.Now
+			var all []view.Uptime
 			for _, when := range e.reached {
 				all = append(all, when)
 			}
@@ -248,7 +248,7 @@
 		moved := map[view.Zone]float64{}
 		for _, r := range e.plan.Routes {
 			by[r.Phase]++
-			moved[r.From] += 1 - r.Near
+			moved[r.From] += 1 - r.NearShare
 		}
 		fmt.Fprintf(to, "%6.2f epoch %d %v %v\n", e.at.Seconds(), e.plan.Epoch, by, moved)
 	}
--- a/lab/cluster/size/play.go
+++ b/lab/cluster/size/play.go
@@ -80,9 +80,9 @@
 
 // planSettings are the planner's settings as internal/cluster/uses.go fills them in.
 func planSettings(o *Options) plan.Settings {
-	set := plan.Usual()
+	set := plan.DefaultSettings()
 	set.RatingIsRate = o.Spec.Sender.Rating == "nominal"
 	k := &o.Spec.Partners[0]
-	set.SlowStart, set.SlowStartFrom, set.FallMultiple = time.Duration(k.SlowStartS*float64(time.Second)), k.SlowStartFrom, o.Spec.Rules.FallMultiple
+	set.SlowStart, set.SlowStartFrom, set.OverloadMultiple = time.Duration(k.SlowStartS*float64(time.Second)), k.SlowStartFrom, o.Spec.Rules.FallMultiple
 	return set
 }
--- a/lab/cluster/size/process.go
+++ b/lab/cluster/size/process.go
@@ -45,12 +45,12 @@
 	sender       *countingSender
 	window       *digest.Window
 	ownSamples   []healthreport.Sample
-	ownSampledAt view.Now
+	ownSampledAt view.Uptime
 	reported     map[healthreport.Locality]lastReport
 	table        *table.Table
 
-	board     *weigh.Board
-	weighedAt view.Now
+	board     *weigh.ReportTable
+	weighedAt view.Uptime
 	turnDue   bool
 	reportsTo view.Name
 
@@ -58,22 +58,22 @@
 	compiledPlan *plan.Plan
 	local        apply.Local
 	guide        *apply.Guide
-	guideUntil   view.Now
+	guideUntil   view.Uptime
 	children     map[view.Name]*child
 }
 
 type lastReport struct {
-	at      view.Now
+	at      view.Uptime
 	failing bool
 }
 
 type child struct {
 	epoch view.Epoch
-	fresh view.Now
+	fresh view.Uptime
 	out   bool
 }
 
-func (p *process) now() view.Now { return p.fleet.now() + p.began }
+func (p *process) now() view.Uptime { return p.fleet.now() + p.began }
 
 func (p *process) inForce() *apply.Guide {
 	if p.guide == nil || p.now() >= p.guideUntil {
@@ -83,10 +83,10 @@
 }
 
 func (p *process) start() {
-	p.window = digest.Make(p.name, p.zone, p.fleet.span, maxLocalities, p.now())
+	p.window = digest.NewWindow(p.name, p.zone, p.fleet.span, maxLocalities, p.now())
 	p.reported, p.children = map[healthreport.Locality]lastReport{}, map[view.Name]*child{}
-	p.table = table.Make(table.Bounds{Rows: maxLocalities, Witnesses: maxWitnesses, Keep: keepFor})
-	p.board, p.weighedAt = weigh.NewBoard(weigh.Usual()), p.now()-weighEvery
+	p.table = table.NewTable(table.Bounds{Rows: maxLocalities, Witnesses: maxWitnesses, MaxAge: keepFor})
+	p.board, p.weighedAt = weigh.NewReportTable(weigh.DefaultBounds()), p.now()-weighEvery
 	first := p.fleet.spread(string(p.name))
 	p.fleet.after(first, p.digest)
 	p.fleet.after(first+minTurn, p.tick)
@@ -107,7 +107,7 @@
 	}
 }
 
-func (p *process) samplesToReport(now view.Now) (tell []healthreport.Sample) {
+func (p *process) samplesToReport(now view.Uptime) (tell []healthreport.Sample) {
 	for _, s := range p.ownSamples {
 		last, ill := p.reported[s.Locality], s.Failed > 0
 		if ill || ill != last.failing || last.at == 0 || now-last.at >= calmReportEvery {
@@ -119,12 +119,12 @@
 	return tell
 }
 
-func (p *process) takeSamples(now view.Now, all []healthreport.Sample) {
-	if p.fleet.prompt && slices.ContainsFunc(all, func(s healthreport.Sample) bool { return s.Failed > s.Done+s.Refused }) {
+func (p *process) takeSamples(now view.Uptime, all []healthreport.Sample) {
+	if p.fleet.prompt && slices.ContainsFunc(all, func(s healthreport.Sample) bool { return s.Failed > s.Done+s.Rejected }) {
 		p.scheduleTurn()
 	}
 	for _, s := range all {
-		p.table.Take(now, s)
+		p.table.Add(now, s)
 	}
 }
 
@@ -153,7 +153,7 @@
 	if weighs && t.ZoneHead(p.zone) == p.name {
 		seen := p.table.Read(now)
 		slices.SortFunc(seen, func(a, b healthreport.Sample) int { return table.Order(&a, &b) })
-		p.board.Put(now, slices.DeleteFunc(weigh.Zonal(p.zone, seen, weigh.Usual()), func(w weigh.Report) bool {
+		p.board.Put(now, slices.DeleteFunc(weigh.SummarizeZone(p.zone, seen, weigh.DefaultBounds()), func(w weigh.Report) bool {
 			return w.Idle() && w.Zone != p.zone && t.ZoneHead(w.Zone) != ""
 		}))
 	}
@@ -161,31 +161,31 @@
 		p.fleet.leader.turn(now, weighs)
 	}
 	local := p.sender.local(p.fleet.numbers)
-	local.Ill = p.failingHere(now)
+	local.Failing = p.failingHere(now)
 	p.compile(now, local)
 	p.sendReports(now)
 	p.sendPlan(now)
 }
 
-func (p *process) failingHere(now view.Now) map[apply.At]bool {
-	ill := map[apply.At]bool{}
+func (p *process) failingHere(now view.Uptime) map[apply.Endpoints]bool {
+	ill := map[apply.Endpoints]bool{}
 	for _, s := range p.ownSamples {
 		s.Age += now - p.ownSampledAt
-		if weigh.Ill([]healthreport.Sample{s}, weigh.Usual()) {
-			ill[apply.At{Destination: s.Destination, Zone: p.fleet.numbers[s.Zone]}] = true
+		if weigh.SeesFailure([]healthreport.Sample{s}, weigh.DefaultBounds()) {
+			ill[apply.Endpoints{Destination: s.Destination, Zone: p.fleet.numbers[s.Zone]}] = true
 		}
 	}
 	return ill
 }
 
-func (p *process) compile(now view.Now, local apply.Local) {
+func (p *process) compile(now view.Uptime, local apply.Local) {
 	in, until := p.holder.Plan(now)
 	if in == nil {
 		p.guide, p.compiledPlan = nil, nil
 		return
 	}
 	p.guideUntil = until
-	if p.guide != nil && in == p.compiledPlan && maps.Equal(local.Ill, p.local.Ill) &&
+	if p.guide != nil && in == p.compiledPlan && maps.Equal(local.Failing, p.local.Failing) &&
 		maps.EqualFunc(local.Listed, p.local.Listed, slices.Equal[[]choice.ZoneNo]) {
 		return
 	}
@@ -196,7 +196,7 @@
 	p.guide = apply.Compile(in, local)
 }
 
-func (p *process) sendReports(now view.Now) {
+func (p *process) sendReports(now view.Uptime) {
 	lead := p.fleet.leader.at
 	to, known := p.fleet.tree.Parent(p.name)
 	final := !known
@@ -208,9 +208,9 @@
 	}
 	if to != p.reportsTo {
 		p.reportsTo = to
-		p.board.Again()
+		p.board.MarkAllUnsent()
 	}
-	reports := p.board.Up(now, maxReports)
+	reports := p.board.TakeDue(now, maxReports)
 	if len(reports) == 0 {
 		return
 	}
@@ -229,7 +229,7 @@
 	})
 }
 
-func (p *process) sendPlan(now view.Now) {
+func (p *process) sendPlan(now view.Uptime) {
 	targets := p.fleet.tree.Children(p.name)
 	if root := p.fleet.tree.Root(); p.fleet.leader.at == p && root != p.name {
 		targets = append(targets, root)
@@ -240,7 +240,7 @@
 			c = &child{fresh: now - time.Hour}
 			p.children[name] = c
 		}
-		in, some := p.holder.Tell(now, c.epoch != p.holder.Epoch())
+		in, some := p.holder.Announce(now, c.epoch != p.holder.Epoch())
 		if !some || c.out || c.epoch >= in.Epoch && now-in.Age-c.fresh < p.fleet.settings.Hold/renewals {
 			continue
 		}
@@ -259,15 +259,15 @@
 	}
 }
 
-func (p *process) takePlan(in apply.Heard) {
-	changed, err := p.holder.Hear(p.now(), in)
+func (p *process) takePlan(in apply.Announcement) {
+	changed, err := p.holder.Receive(p.now(), in)
 	if err != nil {
 		panic(err) // plans are checked before they are decided
 	}
 	local := p.local
 	if changed {
 		local = p.sender.local(p.fleet.numbers)
-		local.Ill = p.local.Ill
+		local.Failing = p.local.Failing
 	}
 	p.compile(p.now(), local)
 	p.scheduleTurn()
--- a/lab/cluster/size/sender.go
+++ b/lab/cluster/size/sender.go
@@ -75,7 +75,7 @@
 
 // ejectedHome reports whether this sender sees all endpoints fail that the guide limits a message to without a plan.
 func (c *countingSender) ejectedHome(g *apply.Guide, n choice.MessageID, en *entry) bool {
-	if g.Firm(en.Destination) {
+	if g.Planned(en.Destination) {
 		return false
 	}
 	for _, other := range c.byDest[en.Destination] {
@@ -133,7 +133,7 @@
 	if o.Final && o.Result == choice.Done {
 		w := &c.set.Classes[n.Class]
 		asked := n.Deadline - w.Deadline
-		c.values.delivered(asked, w.Value*w.Fade(c.Now()-asked, c.set.Halving))
+		c.values.delivered(asked, w.Value*w.ValueShare(c.Now()-asked, c.set.Halving))
 	}
 	if e := c.entries[o.Endpoint]; e != nil && c.proc != nil {
 		c.saw(e, o)
@@ -156,7 +156,7 @@
 	switch o.Result {
 	case choice.TimedOut, choice.ConnectFailed, choice.Reset:
 		e.failed = c.Now()
-	case choice.Done, choice.Full, choice.Errored, choice.Spoilt:
+	case choice.Done, choice.Rejected, choice.Errored, choice.Unreadable:
 		e.failed = 0
 	}
 	r := c.row(placeOf(e))
@@ -164,15 +164,15 @@
 	switch o.Result {
 	case choice.Done:
 		r.Done++
-	case choice.Full:
-		r.Refused++
-	case choice.Errored, choice.Reset, choice.Spoilt:
+	case choice.Rejected:
+		r.Rejected++
+	case choice.Errored, choice.Reset, choice.Unreadable:
 		r.Failed++
 	case choice.ConnectFailed:
-		r.Failed, r.Silent = r.Failed+1, r.Silent+1
+		r.Failed, r.Unanswered = r.Failed+1, r.Unanswered+1
 	case choice.TimedOut:
 		if o.Took >= c.shortest {
-			r.Failed, r.Silent = r.Failed+1, r.Silent+1
+			r.Failed, r.Unanswered = r.Failed+1, r.Unanswered+1
 		}
 	}
 }
@@ -246,7 +246,7 @@
 func (l *listing) limit(kinds []choice.Kind) (limit float64) {
 	heard := choice.Time(-1)
 	for _, e := range l.ends {
-		if kinds[l.kind].Apart {
+		if kinds[l.kind].SeparateRoutes {
 			limit += e.limit
 		} else if e.limitAt > heard {
 			heard, limit = e.limitAt, e.limit
--- a/lab/referee/clients.go
+++ b/lab/referee/clients.go
@@ -166,5 +166,5 @@
 // Fade is the share of a class's value that is left at a delivery this long after the first hand-in.
 func Fade(spec *world.Spec, w *world.Class, took Time) float64 {
 	c := choice.Class{LatencyObjective: milliseconds(w.LatencyObjectiveMS), Deadline: milliseconds(w.DeadlineMS), LateValue: w.LateValue}
-	return c.Fade(took, spec.Halving)
+	return c.ValueShare(took, spec.Halving)
 }
--- a/lab/referee/referee_test.go
+++ b/lab/referee/referee_test.go
@@ -93,11 +93,11 @@
 	switch p.how {
 	case "repeats what may have run":
 		if o.Result == choice.Errored || o.Result == choice.Reset || o.Result == choice.TimedOut {
-			o.Result = choice.Full
+			o.Result = choice.Rejected
 		}
 	case "passes over waits":
-		if o.Result == choice.Full {
-			o.Wait, o.Result = 0, choice.Errored
+		if o.Result == choice.Rejected {
+			o.RetryAfter, o.Result = 0, choice.Errored
 		}
 	}
 	p.Policy.Ended(o)
--- a/lab/scale/fleet/fleet.go
+++ b/lab/scale/fleet/fleet.go
@@ -91,7 +91,7 @@
 
 // assignRoles derives the roles from the tree of a fleet whose members are all up.
 func (f *Fleet) assignRoles() {
-	t := tree.Derive(view.Make("", 0, f.ViewMembers()))
+	t := tree.Derive(view.New("", 0, f.ViewMembers()))
 	for i := range f.Members {
 		m := &f.Members[i]
 		switch {
--- a/lab/scale/hollow/hollow_test.go
+++ b/lab/scale/hollow/hollow_test.go
@@ -44,7 +44,7 @@
 	for range 10 {
 		for _, r := range s.digest(0, func(int) bool { return false }).Rows {
 			sent += r.Sent
-			held = max(held, r.Held)
+			held = max(held, r.Waiting)
 			if r.Sent != r.Done+r.Failed || r.Failed > 0 != l.DownAt(r.Destination, 0) && r.Sent > 0 {
 				t.Errorf("row %+v", r)
 			}
--- a/lab/scale/hollow/load.go
+++ b/lab/scale/hollow/load.go
@@ -113,7 +113,7 @@
 			delete(s.waiting, d)
 			continue
 		}
-		row(place{d, s.load.zoneOf(d, 0)}).Held = n
+		row(place{d, s.load.zoneOf(d, 0)}).Waiting = n
 	}
 	d := together.Digest{Rows: make([]together.Row, 0, len(rows))}
 	for _, r := range rows {
@@ -141,7 +141,7 @@
 	r.Sent++
 	if down || fallen(zone) {
 		r.Failed++
-		r.Silent++
+		r.Unanswered++
 		return
 	}
 	r.Done++
--- a/lab/scale/hollow/sender.go
+++ b/lab/scale/hollow/sender.go
@@ -108,7 +108,7 @@
 func (s *Sender) Holding(done func([]together.Held)) { go done(nil) }
 
 // Teach ignores learned state.
-func (s *Sender) Teach([]together.Lesson) {}
+func (s *Sender) Teach([]together.LearnedEndpoint) {}
 
 // Know returns no learned state.
-func (s *Sender) Know(_ []choice.DestinationID, done func([]together.Lesson)) { go done(nil) }
+func (s *Sender) Know(_ []choice.DestinationID, done func([]together.LearnedEndpoint)) { go done(nil) }
--- a/lab/scale/host/member.go
+++ b/lab/scale/host/member.go
@@ -73,7 +73,7 @@
 	}
 	l.sender = hollow.New(&h.spec.Load, own, uint64(m.no), m.applied, h.clock, h.zoneFell)
 	l.node, err = cluster.Start(cluster.Options{Settings: set, Log: h.log.With(zap.String("member", string(self.Name))), Orders: l.sender,
-		Zones: zones, Longest: longestDeadline, RatingIsRate: true, Cut: func(other view.Name) bool { return l.dead.Load() || h.apart(self.Name, other) }})
+		Zones: zones, LongestDeadline: longestDeadline, RatingIsRate: true, Partitioned: func(other view.Name) bool { return l.dead.Load() || h.apart(self.Name, other) }})
 	if err != nil {
 		return err
 	}
@@ -132,7 +132,7 @@
 // StateOf is a member's state by its status.
 func StateOf(no int, s *status.Status) MemberState {
 	here, sum := Alive(s.Members)
-	state := MemberState{No: no, Up: true, Here: here, View: sum, Root: s.Root, Leader: s.Leader, Epoch: s.Epoch, Purged: s.Purged}
+	state := MemberState{No: no, Up: true, Here: here, View: sum, Root: s.Root, Leader: s.Leader, Epoch: s.Epoch, Purged: s.LastPurge}
 	if s.Configuration != nil {
 		state.Version = s.Configuration.Version
 	}
--- a/lab/sim/answers.go
+++ b/lab/sim/answers.go
@@ -68,7 +68,7 @@
 		}
 		n.whenRunning(func() {
 			if !c.over {
-				n.abandon(c, choice.Spoilt)
+				n.abandon(c, choice.Unreadable)
 			}
 		})
 	})
@@ -78,11 +78,11 @@
 func resultOf(a world.Answer) choice.Result {
 	switch {
 	case a.Spoilt:
-		return choice.Spoilt
+		return choice.Unreadable
 	case a.Status == 200:
 		return choice.Done
 	case a.Status == 429 || a.Status == 503:
-		return choice.Full
+		return choice.Rejected
 	}
 	return choice.Errored
 }
@@ -113,12 +113,12 @@
 			continue // it was detached before
 		}
 		out := choice.Outcome{Message: o.ID, Attempt: o.attempts - 1, Endpoint: c.endpoint.id, Took: n.Now() - c.startedAt, Result: result,
-			Final: result == choice.Done, Wait: wait, Report: a.Report, Reused: c.reused, Closed: a.Close}
+			Final: result == choice.Done, RetryAfter: wait, Report: a.Report, Reused: c.reused, Closed: a.Close}
 		if a.Statuses != nil && result == choice.Done && a.Statuses[i] != 200 {
 			out.Result, out.Final = choice.Errored, false
 		}
-		if len(c.messages) == 1 && out.Result != choice.Full {
-			out.Wait = 0
+		if len(c.messages) == 1 && out.Result != choice.Rejected {
+			out.RetryAfter = 0
 		}
 		n.attemptEnded(c, o, out)
 	}
@@ -128,7 +128,7 @@
 func (n *node) attemptEnded(c *call, o *openMessage, out choice.Outcome) {
 	o.call = nil
 	switch out.Result {
-	case choice.Errored, choice.TimedOut, choice.Reset, choice.Cancelled, choice.Spoilt:
+	case choice.Errored, choice.TimedOut, choice.Reset, choice.Cancelled, choice.Unreadable:
 		if !o.MayRun {
 			o.MayRun, o.RanAt, o.RanIn = true, c.startedAt, c.endpoint.zone
 		}
--- a/lab/sim/calls.go
+++ b/lab/sim/calls.go
@@ -52,14 +52,14 @@
 func (n *node) limitCallTime(c *call) bool {
 	longest, incarnation := choice.Time(0), n.incarnation
 	for _, o := range slices.Clone(c.messages) {
-		left := o.Deadline - n.Now() - n.settings.Turn
+		left := o.Deadline - n.Now() - n.settings.TurnInterval
 		if longest = max(longest, left); left <= 0 {
 			n.detach(c, o)
 		}
 	}
 	c.timeout = min(c.timeout, longest)
 	for _, o := range c.messages {
-		if left := o.Deadline - n.Now() - n.settings.Turn; left < c.timeout {
+		if left := o.Deadline - n.Now() - n.settings.TurnInterval; left < c.timeout {
 			n.e.w.After(left, func() {
 				if n.incarnation == incarnation && !c.over && o.call == c {
 					n.whenRunning(func() { n.detach(c, o) })
@@ -78,7 +78,7 @@
 	n.scheduleTick()
 	out := choice.Outcome{Message: o.ID, Attempt: o.attempts - 1, Endpoint: c.endpoint.id, Took: n.Now() - c.startedAt, Result: choice.Cancelled}
 	if c.link == nil || !c.link.up {
-		out.Result = choice.Moot
+		out.Result = choice.NotRun
 		c.messages = slices.DeleteFunc(c.messages, func(other *openMessage) bool { return other == o })
 	}
 	n.attemptEnded(c, o, out)
--- a/lab/sim/node.go
+++ b/lab/sim/node.go
@@ -108,7 +108,7 @@
 	if n.messages == nil {
 		n.messages = map[choice.MessageID]*openMessage{}
 	}
-	n.lastTickAt = w.Now() - settings.Turn + settings.Turn*choice.Time(int64(n.no)%7)/7 // senders' ticks do not coincide
+	n.lastTickAt = w.Now() - settings.TurnInterval + settings.TurnInterval*choice.Time(int64(n.no)%7)/7 // senders' ticks do not coincide
 	n.policy = n.e.o.Policy(n, choice.SenderID(fmt.Sprintf("s%d", n.no)), int64(n.e.o.Seed)*1_000_003+n.incarnation, settings, w)
 	n.updateEndpoints(known)
 	n.takeOverRecorded()
@@ -139,7 +139,7 @@
 	}
 	n.tickDue = true
 	incarnation := n.incarnation
-	n.e.w.At(max(n.e.w.Now(), n.lastTickAt+n.settings.Turn), func() {
+	n.e.w.At(max(n.e.w.Now(), n.lastTickAt+n.settings.TurnInterval), func() {
 		if n.incarnation == incarnation {
 			n.tickDue = false
 			n.whenRunning(n.tick)
@@ -185,7 +185,7 @@
 	for _, c := range n.newCalls {
 		for _, o := range c.messages {
 			class := &n.settings.Classes[o.Class]
-			if !o.mayRunRecorded && (class.Repeat != choice.Idempotent || class.ByArrival && o.Key != choice.NoKey) {
+			if !o.mayRunRecorded && (class.Repeat != choice.Idempotent || class.Ordered && o.Key != choice.NoKey) {
 				o.mayRunRecorded = true
 				o.RanAt, o.RanIn = c.startedAt, c.endpoint.zone
 			}
@@ -205,7 +205,7 @@
 		return
 	}
 	if len(n.messages) >= n.settings.MaxOpen {
-		n.e.w.Answered(h, world.HandInBusy, int64(n.settings.LongestReturn/choice.Millisecond))
+		n.e.w.Answered(h, world.HandInBusy, int64(n.settings.MaxRetryAfter/choice.Millisecond))
 		return
 	}
 	a := h.Request
--- a/lab/sim/replay_test.go
+++ b/lab/sim/replay_test.go
@@ -29,12 +29,12 @@
 	{name: "fleet-limits"}, {name: "fleet-tables"}, {name: "crash"}, {name: "roll"}, {name: "refused-first"},
 	{name: "list"}, {name: "kills"}, {name: "silent"}, {name: "limit-spans"}, {name: "limit-swings"},
 	{name: "limits with notes", scenario: "fleet-limits", adjust: func(s *choice.Settings) { s.Notes = true }},
-	{name: "tables with notes", scenario: "fleet-tables", adjust: func(s *choice.Settings) { s.Notes, s.TellsFull = true, false },
+	{name: "tables with notes", scenario: "fleet-tables", adjust: func(s *choice.Settings) { s.Notes, s.AnswersWhenTableFull = true, false },
 		spec: func(s *world.Spec) {
 			s.Faults = append(s.Faults, world.Fault{Kind: "crash", At: 8, Seconds: 5, Selector: world.Selector{Share: 0.3}})
 		}},
 	{name: "odd ones", scenario: "kills", adjust: func(s *choice.Settings) {
-		s.Quotas, s.OverShareValue, s.RouteFees, s.Probing = []float64{40}, 0.3, []float64{0, 0.02}, true
+		s.Quotas, s.OverQuotaValue, s.RouteFees, s.Probing = []float64{40}, 0.3, []float64{0, 0.02}, true
 	}, spec: func(s *world.Spec) {
 		for i := range s.Classes {
 			s.Classes[i].Ordered = true
--- a/lab/yardstick/yardstick.go
+++ b/lab/yardstick/yardstick.go
@@ -85,11 +85,11 @@
 			d.mu.Unlock()
 		}
 	}
-	for _, e := range l.Servers {
-		d := f.destinations[int64(e.Cell)]
+	for _, e := range l.Entries {
+		d := f.destinations[int64(e.Destination)]
 		if d == nil {
 			d = &destination{work: make(chan message, maxQueued)}
-			f.destinations[int64(e.Cell)] = d
+			f.destinations[int64(e.Destination)] = d
 			for i := range f.workers {
 				go f.worker(d, i)
 			}
