--- a/lab/world/directory.go
+++ b/lab/world/directory.go
@@ -83,6 +83,7 @@
 	w.After(w.updateDelay(s, 0), func() { w.pushUpdate(s) })
 }
 
+// updateDelay draws when an update reaches a sender.
 func (w *World) updateDelay(s SenderNo, version int64) Time {
 	late := ms(w.within(w.Spec.Discovery.DelayMS, "news", int64(s), version))
 	if version == 0 {
@@ -97,20 +98,31 @@
 	if !st.watching || st.isolated || st.updatesHeld || w.list.stale > 0 || w.list.silent > 0 {
 		return
 	}
-	l := List{Version: w.list.version, Full: st.version == 0}
-	if l.Full {
-		l = w.FullList()
-	} else {
-		for _, c := range w.list.changes {
-			if c.version > st.version {
-				l.Entries = append(l.Entries, c.entry)
-			}
-		}
-	}
+	l := w.changesSince(st.version)
 	if l.Version == st.version && !l.Full {
 		return
 	}
 	st.version = l.Version
+	w.announceStages(s, l)
+	w.wire.ListUpdate(s, l)
+}
+
+// changesSince is the full list for version 0, else the changes after a version.
+func (w *World) changesSince(version int64) List {
+	if version == 0 {
+		return w.FullList()
+	}
+	l := List{Version: w.list.version}
+	for _, c := range w.list.changes {
+		if c.version > version {
+			l.Entries = append(l.Entries, c.entry)
+		}
+	}
+	return l
+}
+
+// announceStages reports to the ledger the stages that an update tells a sender.
+func (w *World) announceStages(s SenderNo, l List) {
 	if l.Full {
 		// An endpoint that a full list does not name is gone.
 		listed := map[*Endpoint]bool{}
@@ -126,7 +138,6 @@
 	for _, entry := range l.Entries {
 		w.ledger.StageAnnounced(s, entry.Endpoint, entry.Stage)
 	}
-	w.wire.ListUpdate(s, l)
 }
 
 // changeStage changes an endpoint's stage on the list and schedules the update for every sender.
@@ -143,6 +154,7 @@
 	}
 }
 
+// planChanges records the initial list and schedules the changes of the spec.
 func (w *World) planChanges() {
 	w.list.version = 1
 	for _, e := range w.Endpoints {
@@ -152,29 +164,35 @@
 		c := &w.Spec.Changes[i]
 		w.At(seconds(c.At), func() {
 			for _, e := range w.endpointsOf(&c.Selector, int64(1000+i)) {
-				switch c.Change {
-				case "drain":
-					w.changeStage(e, choice.Draining)
-				case "remove":
-					w.changeStage(e, choice.Gone)
-					w.crashProcess(e)
-				case "move":
-					w.crashProcess(e)
-					e.Addr++
-					w.wire.AcceptingChanged(e, e.accepts(w.now))
-					if c.Restart {
-						w.setOutage(e, true)
-						w.setOutage(e, false)
-					}
-					w.changeStage(e, choice.Ready)
-				case "back":
-					if c.Restart {
-						w.setOutage(e, true)
-						w.setOutage(e, false)
-					}
-					w.changeStage(e, choice.Ready)
-				}
+				w.applyChange(c, e)
 			}
 		})
 	}
 }
+
+// applyChange applies a change of the list to one endpoint.
+func (w *World) applyChange(c *ListEvent, e *Endpoint) {
+	switch c.Change {
+	case "drain":
+		w.changeStage(e, choice.Draining)
+	case "remove":
+		w.changeStage(e, choice.Gone)
+		w.crashProcess(e)
+	case "move":
+		w.crashProcess(e)
+		e.Addr++
+		w.wire.AcceptingChanged(e, e.accepts(w.now))
+		w.bringBack(c, e)
+	case "back":
+		w.bringBack(c, e)
+	}
+}
+
+// bringBack makes an endpoint ready again, in slow start if the change restarts it.
+func (w *World) bringBack(c *ListEvent, e *Endpoint) {
+	if c.Restart {
+		w.setOutage(e, true)
+		w.setOutage(e, false)
+	}
+	w.changeStage(e, choice.Ready)
+}
--- a/lab/world/reply.go
+++ b/lab/world/reply.go
@@ -24,9 +24,7 @@
 	}
 	w.endAtEndpoint(call, a.Status)
 	if a.Status >= 500 || a.Status == 429 {
-		if e.out {
-			w.noteFailureSeen(e, c.Sender)
-		}
+		w.noteFailureSeen(e, c.Sender)
 	}
 	if c.closedAtEndpoint {
 		return
@@ -44,15 +42,22 @@
 		c.closedAtEndpoint = true
 		delete(e.conns, c)
 	}
-	back, replied := w.oneWayDelay(c.Sender, e, -int64(call.No)), w.now
-	w.After(back, func() {
-		if !c.closedBySender && !w.senders[c.Sender].isolated {
-			if a.Wait > 0 {
-				// An answer that arrives after the sender closed is not received, and its Retry-After does not count.
-				w.ledger.RetryAfterReceived(c.Sender, e, replied+a.Wait)
-			}
-			w.wire.Answered(c, call, a)
+	w.sendAnswer(call, a)
+}
+
+// sendAnswer has an answer reach its sender after the delay of the network. If the sender closed before, the answer is not
+// received, and its Retry-After does not count.
+func (w *World) sendAnswer(call *Call, a Answer) {
+	c := call.Conn
+	delay, sentAt := w.oneWayDelay(c.Sender, c.Endpoint, -int64(call.No)), w.now
+	w.After(delay, func() {
+		if c.closedBySender || w.senders[c.Sender].isolated {
+			return
+		}
+		if a.Wait > 0 {
+			w.ledger.RetryAfterReceived(c.Sender, c.Endpoint, sentAt+a.Wait)
 		}
+		w.wire.Answered(c, call, a)
 	})
 }
 
--- a/lab/yardstick/yardstick.go
+++ b/lab/yardstick/yardstick.go
@@ -26,6 +26,7 @@
 const (
 	maxQueued   = 4096 // messages that wait for one destination
 	callTimeout = 10 * time.Second
+	dialTimeout = time.Second
 )
 
 type message struct{ id, body []byte }
@@ -169,43 +170,54 @@
 func (f *Forwarder) worker(d *destination, no int) {
 	var conn net.Conn
 	buf := make([]byte, 16<<10)
-	for n := range d.work {
+	for m := range d.work {
 		if conn == nil {
-			d.mu.Lock()
-			addr := ""
-			if len(d.addrs) > 0 {
-				addr = d.addrs[no%len(d.addrs)]
-			}
-			d.mu.Unlock()
 			var err error
-			if conn, err = net.DialTimeout("tcp", addr, time.Second); err != nil {
+			if conn, err = net.DialTimeout("tcp", d.address(no), dialTimeout); err != nil {
 				conn = nil
-				f.reportFailed(n)
+				f.reportFailed(m)
 				continue
 			}
 		}
-		conn.SetDeadline(time.Now().Add(callTimeout))
-		call := http1.AppendRequest(nil, "POST", "/inbox", "yardstick", len(n.body), "X-Request-Id", string(n.id), "X-Deadline-Ms", "5000")
-		_, err := conn.Write(append(call, n.body...))
-		var a http1.Answer
-		for err == nil && !a.Done {
-			var k int
-			if k, err = conn.Read(buf); err == nil {
-				err = a.Feed(buf[:k])
-			}
-		}
-		if err != nil || a.Status() != 200 {
-			f.reportFailed(n)
-		} else {
+		delivered, reusable := forward(conn, m, buf)
+		if delivered {
 			f.sent.Add(1)
+		} else {
+			f.reportFailed(m)
 		}
-		if err != nil || a.Close {
+		if !reusable {
 			conn.Close()
 			conn = nil
 		}
 	}
 }
 
+// address is the endpoint of a destination that a worker sends to, "" if there is none.
+func (d *destination) address(worker int) string {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if len(d.addrs) == 0 {
+		return ""
+	}
+	return d.addrs[worker%len(d.addrs)]
+}
+
+// forward sends a message and reads its answer. It reports whether the message was delivered, and whether the connection can
+// carry another one.
+func forward(conn net.Conn, m message, buf []byte) (delivered, reusable bool) {
+	conn.SetDeadline(time.Now().Add(callTimeout))
+	call := http1.AppendRequest(nil, "POST", "/inbox", "yardstick", len(m.body), "X-Request-Id", string(m.id), "X-Deadline-Ms", "5000")
+	_, err := conn.Write(append(call, m.body...))
+	var a http1.Answer
+	for err == nil && !a.Done {
+		var k int
+		if k, err = conn.Read(buf); err == nil {
+			err = a.Feed(buf[:k])
+		}
+	}
+	return err == nil && a.Status() == http.StatusOK, err == nil && !a.Close
+}
+
 // reportFailed reports to the platform that a message was not delivered.
 func (f *Forwarder) reportFailed(n message) {
 	f.failed.Add(1)
