--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -164,40 +164,54 @@
 	if len(p.clump) > 0 {
 		a := p.clump[0]
 		p.clump = p.clump[1:]
-		return p.number(a)
+		return p.number(a), true
 	}
+	at, ok := p.nextStart()
+	if !ok {
+		return Arrival{}, false
+	}
+	a := p.draw(at)
+	p.drawClump(a)
+	return p.number(a), true
+}
+
+// nextStart is the time of the next message, or of the next clump. It is false at the end of the plan.
+func (p *Plan) nextStart() (choice.Time, bool) {
 	for {
 		if p.spec.Shape == "steady" {
-			r := p.rate(p.now)
-			p.now += 1 / max(r, 1e-9)
+			p.now += 1 / max(p.rate(p.now), 1e-9)
 		} else {
 			// Thinning: candidates come at the highest rate, and are accepted with the probability of the current rate.
 			p.now += p.rng.ExpFloat64() / p.peakRate
 		}
 		at := choice.Time(p.now * float64(choice.Second))
 		if at >= p.until {
-			return Arrival{}, false
-		}
-		if p.spec.Shape != "steady" && p.rng.Float64()*p.peakRate > p.rate(p.now) {
-			continue
+			return 0, false
 		}
-		a := p.draw(at)
-		starts := p.spec.ClumpShare / float64(p.spec.ClumpSize)
-		if p.rng.Float64() < starts/(starts+1-p.spec.ClumpShare) {
-			for range p.spec.ClumpSize - 1 {
-				more := p.draw(at)
-				more.Partner, more.Sender = a.Partner, a.Sender
-				p.clump = append(p.clump, more)
-			}
+		if p.spec.Shape == "steady" || p.rng.Float64()*p.peakRate <= p.rate(p.now) {
+			return at, true
 		}
-		return p.number(a)
 	}
 }
 
-func (p *Plan) number(a Arrival) (Arrival, bool) {
+// drawClump decides by chance whether an arrival begins a clump, and draws the rest of the clump.
+func (p *Plan) drawClump(first Arrival) {
+	starts := p.spec.ClumpShare / float64(p.spec.ClumpSize)
+	if p.rng.Float64() >= starts/(starts+1-p.spec.ClumpShare) {
+		return
+	}
+	for range p.spec.ClumpSize - 1 {
+		more := p.draw(first.At)
+		more.Partner, more.Sender = first.Partner, first.Sender
+		p.clump = append(p.clump, more)
+	}
+}
+
+// number gives an arrival the next number.
+func (p *Plan) number(a Arrival) Arrival {
 	p.lastNumber++
 	a.Number = p.lastNumber
-	return a, true
+	return a
 }
 
 func (p *Plan) draw(at choice.Time) Arrival {
--- a/lab/load/trace.go
+++ b/lab/load/trace.go
@@ -5,12 +5,16 @@
 import (
 	"bufio"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 
 	"flaxcove/choice"
 )
 
+// maxTraceBytes is the largest body of a message in a trace.
+const maxTraceBytes = 60000
+
 // traceLine is one line of a recorded trace.
 type traceLine struct {
 	AtMS    *float64 `json:"at_ms"`
@@ -35,25 +39,11 @@
 		if err := json.Unmarshal(lines.Bytes(), &t); err != nil {
 			return nil, fmt.Errorf("%s:%d: %w", name, no, err)
 		}
-		w := -1
-		for i, known := range classes {
-			if known == t.Class {
-				w = i
-			}
-		}
-		switch {
-		case t.AtMS == nil || !(*t.AtMS >= 0 && *t.AtMS < 1e9):
-			return nil, fmt.Errorf("%s:%d: field at_ms: missing, or not within 0 and 1e9", name, no)
-		case w < 0:
-			return nil, fmt.Errorf("%s:%d: field workload: no workload %q", name, no, t.Class)
-		case t.Partner < 0 || t.Partner >= partners:
-			return nil, fmt.Errorf("%s:%d: field partner: %d of %d", name, no, t.Partner, partners)
-		case t.Sender < 0 || t.Sender >= senders:
-			return nil, fmt.Errorf("%s:%d: field sender: %d of %d", name, no, t.Sender, senders)
-		case t.Bytes < 0 || t.Bytes > 60000:
-			return nil, fmt.Errorf("%s:%d: field bytes: %d is not within 0 and 60000", name, no, t.Bytes)
+		class := classNo(classes, t.Class)
+		if err := t.check(class, partners, senders); err != nil {
+			return nil, fmt.Errorf("%s:%d: %w", name, no, err)
 		}
-		all = append(all, Arrival{At: choice.Time(*t.AtMS * float64(choice.Millisecond)), Class: w,
+		all = append(all, Arrival{At: choice.Time(*t.AtMS * float64(choice.Millisecond)), Class: class,
 			Partner: t.Partner, Sender: t.Sender, Key: t.Key, Body: max(1, t.Bytes)})
 	}
 	if err := lines.Err(); err != nil {
@@ -61,3 +51,31 @@
 	}
 	return all, nil
 }
+
+// classNo is the number of the class of a name, the last one if several have it; -1 for none.
+func classNo(classes []string, name string) int {
+	no := -1
+	for i, known := range classes {
+		if known == name {
+			no = i
+		}
+	}
+	return no
+}
+
+// check returns an error that names the first invalid field. Class is the number of the line's class, -1 for none.
+func (t *traceLine) check(class, partners, senders int) error {
+	switch {
+	case t.AtMS == nil || !(*t.AtMS >= 0 && *t.AtMS < 1e9):
+		return errors.New("field at_ms: missing, or not within 0 and 1e9")
+	case class < 0:
+		return fmt.Errorf("field workload: no workload %q", t.Class)
+	case t.Partner < 0 || t.Partner >= partners:
+		return fmt.Errorf("field partner: %d of %d", t.Partner, partners)
+	case t.Sender < 0 || t.Sender >= senders:
+		return fmt.Errorf("field sender: %d of %d", t.Sender, senders)
+	case t.Bytes < 0 || t.Bytes > maxTraceBytes:
+		return fmt.Errorf("field bytes: %d is not within 0 and %d", t.Bytes, maxTraceBytes)
+	}
+	return nil
+}
