--- a/lab/scale/decided.go
+++ b/lab/scale/decided.go
@@ -103,7 +103,8 @@
 	var file struct {
 		Settings map[string]any `json:"settings"`
 	}
-	return file.Settings, json.Unmarshal(text, &file)
+	err = json.Unmarshal(text, &file)
+	return file.Settings, err
 }
 
 // decide posts an order to a member until it is accepted, under one id.
