--- a/internal/cluster/consensus/consensus.go
+++ b/internal/cluster/consensus/consensus.go
@@ -54,7 +54,7 @@
 	leadingTerm  atomic.Uint64 // the latest term in which this server led and had applied all earlier entries
 	removedIndex atomic.Uint64 // a peer answered that the configuration at this index lacks this server; 0 for none
 
-	mu            sync.RWMutex // stands as council.mu in the lock order of package cluster
+	mu            sync.RWMutex // stands as consensus.mu in the lock order of package cluster
 	machine       *machine.Machine
 	clockBase     time.Duration // value of the group's clock ...
 	clockBaseTime time.Time     // ... at this local time
