--- a/cmd/flaxcove/serve_cluster.go
+++ b/cmd/flaxcove/serve_cluster.go
@@ -16,7 +16,7 @@
 	"flaxcove/internal/cluster/settings"
 	"flaxcove/internal/config"
 	"flaxcove/internal/sender"
-	"flaxcove/internal/sender/together"
+	"flaxcove/internal/sender/clusterapi"
 )
 
 // withCachedSettings is a configuration with the settings that all senders share, where an earlier incarnation of this process cached a
@@ -43,11 +43,11 @@
 }
 
 // runningConfiguration is the shared version that a sender starts with; version 0 for its own file.
-func runningConfiguration(cfg *config.Config) together.Configuration {
+func runningConfiguration(cfg *config.Config) clusterapi.Configuration {
 	if cfg.Version == 0 {
-		return together.Configuration{}
+		return clusterapi.Configuration{}
 	}
-	return together.Configuration{Version: cfg.Version, Settings: cfg.SettingsInForce()}
+	return clusterapi.Configuration{Version: cfg.Version, Settings: cfg.SettingsInForce()}
 }
 
 // settingsCheck checks proposed settings against those in force; against those of the sender's own file where none are given.
--- a/cmd/flaxcove/serve_cluster_test.go
+++ b/cmd/flaxcove/serve_cluster_test.go
@@ -14,7 +14,7 @@
 	"testing"
 
 	"flaxcove/internal/cluster/configuration"
-	"flaxcove/internal/sender/together"
+	"flaxcove/internal/sender/clusterapi"
 )
 
 // singleProcessCluster is one process that is its own cluster; its folders outlive the process.
@@ -141,7 +141,7 @@
 			return "torn or damaged"
 		},
 		func() string {
-			if err := configuration.Store(a.folder(), together.Configuration{Version: 9, Settings: json.RawMessage(`{"classes":[]}`)}); err != nil {
+			if err := configuration.Store(a.folder(), clusterapi.Configuration{Version: 9, Settings: json.RawMessage(`{"classes":[]}`)}); err != nil {
 				t.Fatal(err)
 			}
 			return "version 9: field settings: classes: missing"
--- a/internal/cluster/capacity_test.go
+++ b/internal/cluster/capacity_test.go
@@ -13,7 +13,7 @@
 	"flaxcove/internal/cluster/evidence/digest"
 	"flaxcove/internal/cluster/healthreport"
 	"flaxcove/internal/cluster/view"
-	"flaxcove/internal/sender/together"
+	"flaxcove/internal/sender/clusterapi"
 	"flaxcove/lab/capacity/bench"
 )
 
@@ -28,11 +28,11 @@
 
 // capacityDigest returns a sender's digest as internal/sender makes it: a row for each place that was called, and a tenth
 // of the places that it lists, 8,192 of them at most.
-func capacityDigest(chance *rand.Rand, destinations, no int) together.Digest {
-	rows := map[int]*together.Row{}
-	row := func(d int) *together.Row {
+func capacityDigest(chance *rand.Rand, destinations, no int) clusterapi.Digest {
+	rows := map[int]*clusterapi.Row{}
+	row := func(d int) *clusterapi.Row {
 		if rows[d] == nil {
-			rows[d] = &together.Row{Destination: choice.DestinationID(d), Zone: fmt.Sprintf("zone-%d", d%8), Endpoints: 1, Rating: 100}
+			rows[d] = &clusterapi.Row{Destination: choice.DestinationID(d), Zone: fmt.Sprintf("zone-%d", d%8), Endpoints: 1, Rating: 100}
 		}
 		return rows[d]
 	}
@@ -49,7 +49,7 @@
 	for d := no % capacityFullRound; d < min(destinations, capacityPlaces); d += capacityFullRound {
 		row(d)
 	}
-	var d together.Digest
+	var d clusterapi.Digest
 	for _, r := range rows {
 		d.Rows = append(d.Rows, *r)
 	}
--- a/internal/cluster/configuration/cached.go
+++ b/internal/cluster/configuration/cached.go
@@ -21,7 +21,7 @@
 	"os"
 	"path/filepath"
 
-	"flaxcove/internal/sender/together"
+	"flaxcove/internal/sender/clusterapi"
 )
 
 const (
@@ -84,32 +84,32 @@
 
 // LoadCached reads the version that an earlier incarnation stored in a cluster folder (here.folder of the cluster file);
 // version 0 without one. An error names the file and what is wrong with it: its content must not be used then.
-func LoadCached(folder string) (together.Configuration, error) {
+func LoadCached(folder string) (clusterapi.Configuration, error) {
 	path := Path(folder)
 	text, err := os.ReadFile(path)
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
-		return together.Configuration{}, nil
+		return clusterapi.Configuration{}, nil
 	case err != nil:
-		return together.Configuration{}, err
+		return clusterapi.Configuration{}, err
 	case len(text) > maxFileBytes:
-		return together.Configuration{}, fmt.Errorf("%s: %d bytes; it is not this file", path, len(text))
+		return clusterapi.Configuration{}, fmt.Errorf("%s: %d bytes; it is not this file", path, len(text))
 	}
 	var cached cachedVersion
 	if err := json.Unmarshal(text, &cached); err != nil {
-		return together.Configuration{}, fmt.Errorf("%s: torn or damaged: %w", path, err)
+		return clusterapi.Configuration{}, fmt.Errorf("%s: torn or damaged: %w", path, err)
 	}
 	switch {
 	case cached.Version == 0:
-		return together.Configuration{}, fmt.Errorf("%s: field version: 0 is never kept", path)
+		return clusterapi.Configuration{}, fmt.Errorf("%s: field version: 0 is never kept", path)
 	case SumOf(cached.Settings) != cached.Sum:
-		return together.Configuration{}, fmt.Errorf("%s: field sum: it is not that of the settings: damaged", path)
+		return clusterapi.Configuration{}, fmt.Errorf("%s: field sum: it is not that of the settings: damaged", path)
 	}
-	return together.Configuration{Version: cached.Version, Settings: cached.Settings}, nil
+	return clusterapi.Configuration{Version: cached.Version, Settings: cached.Settings}, nil
 }
 
 // Store replaces the stored version, and returns once it is on disk. Settings must be in canonical form.
-func Store(folder string, c together.Configuration) error {
+func Store(folder string, c clusterapi.Configuration) error {
 	var out bytes.Buffer
 	encoder := json.NewEncoder(&out)
 	encoder.SetEscapeHTML(false) // as the sum is over the bytes
--- a/internal/cluster/configuration/cached_test.go
+++ b/internal/cluster/configuration/cached_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"flaxcove/internal/sender/together"
+	"flaxcove/internal/sender/clusterapi"
 )
 
 func TestStoreAndLoadCached(t *testing.T) {
@@ -20,7 +20,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		want := together.Configuration{Version: version + 1, Settings: settings}
+		want := clusterapi.Configuration{Version: version + 1, Settings: settings}
 		if err := Store(folder, want); err != nil {
 			t.Fatal(err)
 		}
@@ -35,7 +35,7 @@
 func TestDamagedCacheIsRejected(t *testing.T) {
 	folder := t.TempDir()
 	path := filepath.Join(folder, cachedFile)
-	if err := Store(folder, together.Configuration{Version: 7, Settings: json.RawMessage(`{"pace":41}`)}); err != nil {
+	if err := Store(folder, clusterapi.Configuration{Version: 7, Settings: json.RawMessage(`{"pace":41}`)}); err != nil {
 		t.Fatal(err)
 	}
 	whole, err := os.ReadFile(path)
--- a/internal/cluster/configuration/run/apply.go
+++ b/internal/cluster/configuration/run/apply.go
@@ -10,14 +10,14 @@
 	"go.uber.org/zap"
 
 	"flaxcove/internal/cluster/configuration"
-	"flaxcove/internal/sender/together"
+	"flaxcove/internal/sender/clusterapi"
 )
 
 // handover is a version that was handed to the sender, until its answer is known.
 type handover struct {
 	document configuration.Document
-	before   together.Configuration // what the sender ran before
-	answer   chan error             // with a buffer of one
+	before   clusterapi.Configuration // what the sender ran before
+	answer   chan error               // with a buffer of one
 }
 
 // apply puts one version in force; spread.State asks for one at a time. While the sender has not answered for the version
@@ -55,7 +55,7 @@
 			zap.Uint64("in force", r.running.Version), zap.Error(err))
 	} else {
 		r.figures.Applied++
-		r.running = together.Configuration{Version: d.Version, Settings: d.Settings}
+		r.running = clusterapi.Configuration{Version: d.Version, Settings: d.Settings}
 		r.options.Log.Info("configuration: in force", zap.Uint64("version", d.Version), zap.String("sum", string(d.Sum)))
 	}
 	r.state.RecordApplied(d.Version, err, r.options.Now())
@@ -75,7 +75,7 @@
 		return err
 	}
 	// Stored first: a process that ends right after the sender has put it in force must not restart with an older one.
-	c := together.Configuration{Version: d.Version, Settings: d.Settings}
+	c := clusterapi.Configuration{Version: d.Version, Settings: d.Settings}
 	if err := configuration.Store(r.options.Folder, c); err != nil {
 		return fmt.Errorf("not kept: %w", err)
 	}
@@ -100,7 +100,7 @@
 }
 
 // restoreCached stores the version that is in force here again, so that a restart does not begin with the rejected one.
-func (r *Runner) restoreCached(before together.Configuration) {
+func (r *Runner) restoreCached(before clusterapi.Configuration) {
 	var err error
 	if before.Version > 0 {
 		err = configuration.Store(r.options.Folder, before)
--- a/internal/cluster/configuration/run/fleet_test.go
+++ b/internal/cluster/configuration/run/fleet_test.go
@@ -14,7 +14,7 @@
 	"flaxcove/internal/cluster/configuration/ledger"
 	"flaxcove/internal/cluster/ordering/orderingtest"
 	"flaxcove/internal/cluster/view"
-	"flaxcove/internal/sender/together"
+	"flaxcove/internal/sender/clusterapi"
 )
 
 // This file is several processes in one, with fake senders.
@@ -61,7 +61,7 @@
 	return nil
 }
 
-func (s *fakeSender) Configure(c together.Configuration, done func(error)) {
+func (s *fakeSender) Configure(c clusterapi.Configuration, done func(error)) {
 	s.mu.Lock()
 	stands := s.blocked
 	s.handedOver = append(s.handedOver, c.Version)
--- a/internal/cluster/configuration/run/options.go
+++ b/internal/cluster/configuration/run/options.go
@@ -14,13 +14,13 @@
 	"flaxcove/internal/cluster/configuration/ledger"
 	"flaxcove/internal/cluster/ordering"
 	"flaxcove/internal/cluster/view"
-	"flaxcove/internal/sender/together"
+	"flaxcove/internal/sender/clusterapi"
 )
 
-// Orders is what this package asks of the sender; see together.Orders.
+// Orders is what this package asks of the sender; see clusterapi.Orders.
 type Orders interface {
 	// Configure has the sender put a version in force, and calls done with the outcome.
-	Configure(c together.Configuration, done func(error))
+	Configure(c clusterapi.Configuration, done func(error))
 }
 
 // Options is what a Runner is given; Running, Own, Check, CatchUp, AnswerWithin, Now and Log may be omitted.
@@ -30,9 +30,9 @@
 	Consensus   ordering.Consensus // nil for a process outside the consensus group
 	Ledger      *ledger.Ledger     // the part of that name in the consensus group; nil without one
 	Orders      Orders
-	Folder      string                 // of the cluster; see configuration.LoadCached
-	Running     together.Configuration // what the sender was started with; version 0 for its own file
-	OwnSettings json.RawMessage        // the settings of the sender's own file
+	Folder      string                   // of the cluster; see configuration.LoadCached
+	Running     clusterapi.Configuration // what the sender was started with; version 0 for its own file
+	OwnSettings json.RawMessage          // the settings of the sender's own file
 	// Check returns what is wrong with settings for a sender that runs inForce (nil: its own file). It is pure.
 	Check   func(inForce, proposed json.RawMessage) error
 	CatchUp time.Duration // how long a start waits for the newest version, at most
--- a/internal/cluster/configuration/run/run.go
+++ b/internal/cluster/configuration/run/run.go
@@ -27,7 +27,7 @@
 	"flaxcove/internal/cluster/configuration/spread"
 	"flaxcove/internal/cluster/ordering"
 	"flaxcove/internal/cluster/view"
-	"flaxcove/internal/sender/together"
+	"flaxcove/internal/sender/clusterapi"
 )
 
 // Tuned values.
@@ -60,8 +60,8 @@
 	leaderWork    leaderWork
 	view          *view.View
 	tree          ordering.Tree
-	lastLeader    view.Life              // the process that last called this one as the leader
-	running       together.Configuration // what the sender runs
+	lastLeader    view.Life                // the process that last called this one as the leader
+	running       clusterapi.Configuration // what the sender runs
 	fetchInFlight bool
 	nextFetchAt   view.Uptime
 	announcedBy   view.Name // a leader that has announced a newer version, to be fetched from it
--- a/internal/cluster/configuration/storeddata_test.go
+++ b/internal/cluster/configuration/storeddata_test.go
@@ -5,7 +5,7 @@
 	"testing"
 
 	"flaxcove/internal/cluster/configuration"
-	"flaxcove/internal/sender/together"
+	"flaxcove/internal/sender/clusterapi"
 )
 
 // What testdata/stored/configuration.json holds. Commit 485f0e4 wrote the file; it is never written anew.
@@ -29,7 +29,7 @@
 // TestWritesStoredConfiguration: the same version gives the same file, which an older program can read after a step back.
 func TestWritesStoredConfiguration(t *testing.T) {
 	folder := t.TempDir()
-	if err := configuration.Store(folder, together.Configuration{Version: storedVersion, Settings: []byte(storedSettings)}); err != nil {
+	if err := configuration.Store(folder, clusterapi.Configuration{Version: storedVersion, Settings: []byte(storedSettings)}); err != nil {
 		t.Fatal(err)
 	}
 	got, err := os.ReadFile(folder + "/configuration.json")
--- a/internal/cluster/evidence/digest/digest.go
+++ b/internal/cluster/evidence/digest/digest.go
@@ -13,7 +13,7 @@
 	"flaxcove/internal/cluster/evidence/table"
 	"flaxcove/internal/cluster/healthreport"
 	"flaxcove/internal/cluster/view"
-	"flaxcove/internal/sender/together"
+	"flaxcove/internal/sender/clusterapi"
 )
 
 const (
@@ -39,14 +39,14 @@
 // bucket holds one digest, or several that came close together.
 type bucket struct {
 	startedAt view.Uptime
-	rows      map[healthreport.Locality]together.Row
+	rows      map[healthreport.Locality]clusterapi.Row
 }
 
 // aggregate is a place's sum over all buckets: counts are added with a row and subtracted when its bucket expires; all
 // else is as last reported, which may be a span ago.
 type aggregate struct {
 	buckets int // how many buckets hold the place
-	row     together.Row
+	row     clusterapi.Row
 }
 
 // NewWindow returns a window that counts from now on. It holds at most so many places; rows of further places are dropped
@@ -60,7 +60,7 @@
 }
 
 // Take adds a digest and returns the samples over the span up to now, by place.
-func (w *Window) Take(now view.Uptime, d together.Digest) []healthreport.Sample {
+func (w *Window) Take(now view.Uptime, d clusterapi.Digest) []healthreport.Sample {
 	w.addDigest(now, d.Rows)
 	// The newest bucket stays, however long a time it covers.
 	for len(w.buckets) > 1 && w.buckets[0].startedAt < now-w.span {
@@ -81,7 +81,7 @@
 }
 
 // sample returns a place's counts over a span in the form in which they are sent.
-func (w *Window) sample(place healthreport.Locality, row together.Row, span time.Duration) healthreport.Sample {
+func (w *Window) sample(place healthreport.Locality, row clusterapi.Row, span time.Duration) healthreport.Sample {
 	return healthreport.Sample{
 		Locality: place, Reporter: w.witness, ReporterZone: w.from, Kind: row.Kind, Span: max(span, 1),
 		Sent: float64(row.Sent), Done: float64(row.Done), Failed: float64(row.Failed), Unanswered: float64(row.Unanswered),
@@ -91,7 +91,7 @@
 
 // unansweredSince sums the newest buckets in which a place answered nothing, and reports since when, and whether
 // anything failed in them: a place that just went down must not look healthy because of earlier successes.
-func (w *Window) unansweredSince(place healthreport.Locality) (row together.Row, since view.Uptime, failing bool) {
+func (w *Window) unansweredSince(place healthreport.Locality) (row clusterapi.Row, since view.Uptime, failing bool) {
 	found := false
 	for i := len(w.buckets) - 1; i >= 0; i-- {
 		r, present := w.buckets[i].rows[place]
@@ -112,10 +112,10 @@
 func (w *Window) Dropped() uint64 { return w.dropped }
 
 // addDigest adds rows to the newest bucket, or to a new one, and to the aggregates.
-func (w *Window) addDigest(now view.Uptime, rows []together.Row) {
+func (w *Window) addDigest(now view.Uptime, rows []clusterapi.Row) {
 	now = max(now, w.lastTaken)
 	if n := len(w.buckets); n == 0 || now-w.buckets[n-1].startedAt >= w.span/maxBuckets {
-		w.buckets = append(w.buckets, bucket{w.lastTaken, make(map[healthreport.Locality]together.Row, len(rows))})
+		w.buckets = append(w.buckets, bucket{w.lastTaken, make(map[healthreport.Locality]clusterapi.Row, len(rows))})
 	}
 	w.lastTaken = now
 	current := w.buckets[len(w.buckets)-1].rows
@@ -140,7 +140,7 @@
 }
 
 // addCounts returns a later row with the counts of an earlier one added.
-func addCounts(earlier, later together.Row) together.Row {
+func addCounts(earlier, later clusterapi.Row) clusterapi.Row {
 	later.Sent += earlier.Sent
 	later.Done += earlier.Done
 	later.Failed += earlier.Failed
@@ -150,7 +150,7 @@
 }
 
 // removeBucket subtracts an expired bucket's rows from the aggregates.
-func (w *Window) removeBucket(rows map[healthreport.Locality]together.Row) {
+func (w *Window) removeBucket(rows map[healthreport.Locality]clusterapi.Row) {
 	for place, r := range rows {
 		total := w.aggregates[place]
 		if total.buckets--; total.buckets == 0 {
--- a/internal/cluster/evidence/digest/digest_test.go
+++ b/internal/cluster/evidence/digest/digest_test.go
@@ -9,15 +9,15 @@
 
 	"flaxcove/choice"
 	"flaxcove/internal/cluster/healthreport"
-	"flaxcove/internal/sender/together"
+	"flaxcove/internal/sender/clusterapi"
 )
 
-func rows(rows ...together.Row) together.Digest { return together.Digest{Rows: rows} }
+func rows(rows ...together.Row) clusterapi.Digest { return clusterapi.Digest{Rows: rows} }
 
 // Counts are summed over the span and expire after it; gauges are as last reported.
 func ExampleWindow() {
 	w := NewWindow("anna", "east", time.Second, 2, 0)
-	show := func(now time.Duration, d together.Digest) {
+	show := func(now time.Duration, d clusterapi.Digest) {
 		fmt.Print(now, ":")
 		for _, s := range w.Take(now, d) {
 			fmt.Printf(" %d/%s over %v: sent %v, failed %v, held %d;", s.Destination, s.Zone, s.Span, s.Sent, s.Failed, s.Waiting)
@@ -25,12 +25,12 @@
 		fmt.Println()
 	}
 	at := func(tenths int) time.Duration { return time.Duration(tenths) * 100 * time.Millisecond }
-	show(at(5), rows(together.Row{Destination: 1, Zone: "e", Sent: 10, Failed: 4, Waiting: 7}))
-	show(at(10), rows(together.Row{Destination: 1, Zone: "e", Sent: 10, Waiting: 3},
-		together.Row{Destination: 1, Zone: "b", Sent: 1}))
-	show(at(15), rows(together.Row{Destination: 2, Zone: "e", Sent: 1}))
+	show(at(5), rows(clusterapi.Row{Destination: 1, Zone: "e", Sent: 10, Failed: 4, Waiting: 7}))
+	show(at(10), rows(clusterapi.Row{Destination: 1, Zone: "e", Sent: 10, Waiting: 3},
+		clusterapi.Row{Destination: 1, Zone: "b", Sent: 1}))
+	show(at(15), rows(clusterapi.Row{Destination: 2, Zone: "e", Sent: 1}))
 	show(at(45), rows()) // the sender was suspended
-	show(at(50), rows(together.Row{Destination: 2, Zone: "e", Sent: 2}))
+	show(at(50), rows(clusterapi.Row{Destination: 2, Zone: "e", Sent: 2}))
 	fmt.Println("dropped:", w.Dropped())
 	// Output:
 	// 500ms: 1/e over 500ms: sent 10, failed 4, held 7;
@@ -57,8 +57,8 @@
 			n := uint64(rapid.IntRange(0, 9).Draw(t, "sent"))
 			all = append(all, counted{began, now, n})
 			began = now
-			half := together.Row{Destination: 1, Zone: "e", Sent: n / 2, Done: n / 2}
-			rest := together.Row{Destination: 1, Zone: "e", Sent: n - n/2, Done: n - n/2}
+			half := clusterapi.Row{Destination: 1, Zone: "e", Sent: n / 2, Done: n / 2}
+			rest := clusterapi.Row{Destination: 1, Zone: "e", Sent: n - n/2, Done: n - n/2}
 			got := w.Take(now, rows(half, rest))
 			var want float64
 			for _, c := range all {
--- a/internal/cluster/failover/apply/apply_test.go
+++ b/internal/cluster/failover/apply/apply_test.go
@@ -10,10 +10,10 @@
 	"flaxcove/internal/cluster/failover/apply"
 	"flaxcove/internal/cluster/failover/plan"
 	"flaxcove/internal/cluster/view"
-	"flaxcove/internal/sender/together"
+	"flaxcove/internal/sender/clusterapi"
 )
 
-var _ together.Guide = (*apply.Guide)(nil)
+var _ clusterapi.Guide = (*apply.Guide)(nil)
 
 const (
 	hold   = 10 * time.Second
--- a/internal/cluster/failover/run/run.go
+++ b/internal/cluster/failover/run/run.go
@@ -22,7 +22,7 @@
 	"flaxcove/internal/cluster/healthreport"
 	"flaxcove/internal/cluster/tree"
 	"flaxcove/internal/cluster/view"
-	"flaxcove/internal/sender/together"
+	"flaxcove/internal/sender/clusterapi"
 )
 
 const (
@@ -144,7 +144,7 @@
 }
 
 // Guide returns what attempts ask; nil while no plan is in force.
-func (r *Runner) Guide() together.Guide {
+func (r *Runner) Guide() clusterapi.Guide {
 	if c := r.guide.Load(); c != nil && r.options.Now() < c.expiresAt {
 		return c.guide
 	}
--- a/internal/cluster/feed.go
+++ b/internal/cluster/feed.go
@@ -14,7 +14,7 @@
 	"flaxcove/internal/cluster/failover/apply"
 	"flaxcove/internal/cluster/healthreport"
 	"flaxcove/internal/cluster/view"
-	"flaxcove/internal/sender/together"
+	"flaxcove/internal/sender/clusterapi"
 )
 
 // This file connects the sender: its digests become health samples, which go into this process's tables and to its zone's
@@ -37,7 +37,7 @@
 
 // digestFeed processes the digests of a node's sender. All but queue, listing and dropped belong to one goroutine.
 type digestFeed struct {
-	queue       chan together.Digest
+	queue       chan clusterapi.Digest
 	listing     atomic.Pointer[apply.Local]
 	dropped     atomic.Uint64
 	zoneNumbers map[view.Zone]choice.ZoneNo
@@ -54,7 +54,7 @@
 
 // init prepares the feed of a node.
 func (f *digestFeed) init(n *Node) {
-	f.queue = make(chan together.Digest, digestQueueSize)
+	f.queue = make(chan clusterapi.Digest, digestQueueSize)
 	f.zoneNumbers = map[view.Zone]choice.ZoneNo{}
 	for zone, no := range n.opts.Zones {
 		f.zoneNumbers[view.Zone(zone)] = no
@@ -68,7 +68,7 @@
 func (f *digestFeed) local() apply.Local { return *f.listing.Load() }
 
 // Digest takes a sender's digest; it never waits.
-func (n *Node) Digest(d together.Digest) {
+func (n *Node) Digest(d clusterapi.Digest) {
 	select {
 	case n.digests.queue <- d:
 	default:
@@ -77,7 +77,7 @@
 }
 
 // Guide returns the routing plan in force, nil for none.
-func (n *Node) Guide() together.Guide {
+func (n *Node) Guide() clusterapi.Guide {
 	if n.subsystems.failover == nil {
 		return nil
 	}
@@ -105,7 +105,7 @@
 
 // handleDigest passes a digest to the subsystems that need it, and its samples to this process's tables and to the zone's
 // coordinator.
-func (n *Node) handleDigest(ctx context.Context, d together.Digest) {
+func (n *Node) handleDigest(ctx context.Context, d clusterapi.Digest) {
 	feed, now := &n.digests, n.Now()
 	if n.subsystems.purge != nil {
 		n.subsystems.purge.SetLongestDeadline(d.Longest)
@@ -140,7 +140,7 @@
 }
 
 // updateListing follows in which zones the sender lists endpoints of a destination.
-func (f *digestFeed) updateListing(now view.Uptime, rows []together.Row, zone view.Zone) {
+func (f *digestFeed) updateListing(now view.Uptime, rows []clusterapi.Row, zone view.Zone) {
 	changed := false
 	for _, r := range rows {
 		place := healthreport.Locality{Destination: r.Destination, Zone: view.Zone(r.Zone)}
--- a/internal/cluster/node.go
+++ b/internal/cluster/node.go
@@ -20,7 +20,7 @@
 	"flaxcove/internal/cluster/settings"
 	"flaxcove/internal/cluster/settings/folder"
 	"flaxcove/internal/cluster/view"
-	"flaxcove/internal/sender/together"
+	"flaxcove/internal/sender/clusterapi"
 )
 
 // This file starts the parts of a node in order and ends them in reverse.
@@ -34,7 +34,7 @@
 type Options struct {
 	Settings *settings.Settings
 	Log      *zap.Logger
-	Orders   together.Orders
+	Orders   clusterapi.Orders
 	// Zones are the sender's numbers of zones, by name.
 	Zones map[string]choice.ZoneNo
 	// LongestDeadline is the longest deadline of any class.
@@ -52,7 +52,7 @@
 	// OwnSettings is the settings object of this process's own file: version 0.
 	OwnSettings json.RawMessage
 	// Running is the version that the sender was started with: stored in the folder by an earlier run, or 0.
-	Running together.Configuration
+	Running clusterapi.Configuration
 }
 
 // Node is one process's part in the cluster.
--- a/internal/cluster/popularity/count/count.go
+++ b/internal/cluster/popularity/count/count.go
@@ -19,7 +19,7 @@
 	"flaxcove/choice"
 	"flaxcove/internal/cluster/popularity/indexheap"
 	"flaxcove/internal/cluster/view"
-	"flaxcove/internal/sender/together"
+	"flaxcove/internal/sender/clusterapi"
 )
 
 // HalfLife is the default half-life of counts. In simulations (TestHitRateAtSize of package evict) 30 s has hit rates 0.004 to
@@ -98,7 +98,7 @@
 func Decay(age, half time.Duration) float64 { return math.Exp2(-float64(max(age, 0)) / float64(half)) }
 
 // Add counts what clients handed in up to now.
-func (t *Table) Add(now view.Uptime, all []together.Count) {
+func (t *Table) Add(now view.Uptime, all []clusterapi.Count) {
 	if now-t.baseTime > rebaseAfter*t.bounds.HalfLife {
 		t.rebase(now)
 	}
@@ -110,7 +110,7 @@
 	}
 }
 
-func (t *Table) add(c together.Count, messages float64) {
+func (t *Table) add(c clusterapi.Count, messages float64) {
 	t.total += messages
 	r := t.rows[c.Destination]
 	switch {
--- a/internal/cluster/popularity/count/count_test.go
+++ b/internal/cluster/popularity/count/count_test.go
@@ -10,11 +10,11 @@
 
 	"flaxcove/choice"
 	"flaxcove/internal/cluster/view"
-	"flaxcove/internal/sender/together"
+	"flaxcove/internal/sender/clusterapi"
 )
 
-func handedIn(d int, client string, n uint64) []together.Count {
-	return []together.Count{{Destination: choice.DestinationID(d), Client: client, Messages: n}}
+func handedIn(d int, client string, n uint64) []clusterapi.Count {
+	return []clusterapi.Count{{Destination: choice.DestinationID(d), Client: client, Messages: n}}
 }
 
 // Against exact counts: never more than was handed in, and less by no more than the total over the number of rows.
--- a/internal/cluster/popularity/evict/cache_test.go
+++ b/internal/cluster/popularity/evict/cache_test.go
@@ -4,12 +4,12 @@
 	"math"
 
 	"flaxcove/choice"
-	"flaxcove/internal/sender/together"
+	"flaxcove/internal/sender/clusterapi"
 )
 
 // cache is what a simulated sender holds under one policy.
 type cache struct {
-	held  []together.Held
+	held  []clusterapi.Held
 	index map[choice.DestinationID]int
 	bytes int
 	hits  int
@@ -35,13 +35,13 @@
 		return false
 	}
 	c.index[d] = len(c.held)
-	c.held = append(c.held, together.Held{Destination: d, Bytes: bytes, Calls: 1})
+	c.held = append(c.held, clusterapi.Held{Destination: d, Bytes: bytes, Calls: 1})
 	c.bytes += bytes
 	return true
 }
 
 // evictLowest evicts the destinations of the lowest value until the bounds hold.
-func (c *cache) evictLowest(b Bounds, of func(h *together.Held) float64) {
+func (c *cache) evictLowest(b Bounds, of func(h *clusterapi.Held) float64) {
 	for b.Destinations > 0 && len(c.held) > b.Destinations || b.Bytes > 0 && c.bytes > b.Bytes {
 		low, least := 0, math.Inf(1)
 		for i := range c.held {
--- a/internal/cluster/popularity/evict/evict.go
+++ b/internal/cluster/popularity/evict/evict.go
@@ -1,7 +1,7 @@
 // Package evict chooses which cached destinations a small process evicts, to stay within a number and within bytes.
 //
 // The package is pure. Those of the lowest priority weight go first: a destination's score, multiplied by what it would cost
-// to learn it again, for each byte it takes. A protected destination (together.Held.InUse) is never chosen; if that leaves
+// to learn it again, for each byte it takes. A protected destination (clusterapi.Held.InUse) is never chosen; if that leaves
 // a bound exceeded, the selection says so.
 package evict
 
@@ -13,7 +13,7 @@
 
 	"flaxcove/choice"
 	"flaxcove/internal/cluster/view"
-	"flaxcove/internal/sender/together"
+	"flaxcove/internal/sender/clusterapi"
 )
 
 const (
@@ -89,12 +89,12 @@
 }
 
 type candidate struct {
-	held   together.Held
+	held   clusterapi.Held
 	weight float64
 }
 
 // Choose selects what to evict so that the rest is within bounds. score is of each destination, as of now.
-func (e *Evictor) Choose(now view.Uptime, held []together.Held, b Bounds,
+func (e *Evictor) Choose(now view.Uptime, held []clusterapi.Held, b Bounds,
 	score func(choice.DestinationID) float64) (s Selection) {
 	number, bytes := len(held), 0
 	for i := range held {
@@ -118,7 +118,7 @@
 }
 
 // candidates are the destinations that may be evicted, the lowest weight first.
-func (e *Evictor) candidates(now view.Uptime, held []together.Held, score func(choice.DestinationID) float64) []candidate {
+func (e *Evictor) candidates(now view.Uptime, held []clusterapi.Held, score func(choice.DestinationID) float64) []candidate {
 	all := make([]candidate, 0, len(held))
 	for _, h := range held {
 		if !h.InUse {
@@ -132,7 +132,7 @@
 }
 
 // priorityWeight is what is lost with a destination, for each byte it takes.
-func (e *Evictor) priorityWeight(now view.Uptime, h together.Held, score float64) float64 {
+func (e *Evictor) priorityWeight(now view.Uptime, h clusterapi.Held, score float64) float64 {
 	if !(score >= minScore) || math.IsInf(score, 0) {
 		score = minScore
 	}
--- a/internal/cluster/popularity/evict/evict_test.go
+++ b/internal/cluster/popularity/evict/evict_test.go
@@ -6,12 +6,12 @@
 	"time"
 
 	"flaxcove/choice"
-	"flaxcove/internal/sender/together"
+	"flaxcove/internal/sender/clusterapi"
 )
 
-func heldDestinations(n int) (all []together.Held) {
+func heldDestinations(n int) (all []clusterapi.Held) {
 	for d := 1; d <= n; d++ {
-		all = append(all, together.Held{Destination: choice.DestinationID(d), Bytes: 1000, Calls: 20})
+		all = append(all, clusterapi.Held{Destination: choice.DestinationID(d), Bytes: 1000, Calls: 20})
 	}
 	return all
 }
@@ -90,13 +90,13 @@
 		now := time.Duration(n) * 600 * time.Millisecond
 		d := choice.DestinationID(1000 + n)
 		e.Loaded(now, d)
-		held = append(held, together.Held{Destination: d, Bytes: 1000, Calls: 1})
+		held = append(held, clusterapi.Held{Destination: d, Bytes: 1000, Calls: 1})
 		for _, gone := range e.Choose(now, held, Bounds{Destinations: 50}, score).Evict {
 			if gone <= 50 {
 				t.Fatal("a popular destination was evicted for one just loaded", gone)
 			}
 			e.Evicted(now, gone)
-			held = slices.DeleteFunc(held, func(h together.Held) bool { return h.Destination == gone })
+			held = slices.DeleteFunc(held, func(h clusterapi.Held) bool { return h.Destination == gone })
 		}
 	}
 	if len(held) != 50 {
--- a/internal/cluster/popularity/evict/size_test.go
+++ b/internal/cluster/popularity/evict/size_test.go
@@ -14,7 +14,7 @@
 	"flaxcove/internal/cluster/popularity/merge"
 	"flaxcove/internal/cluster/popularity/score"
 	"flaxcove/internal/cluster/view"
-	"flaxcove/internal/sender/together"
+	"flaxcove/internal/sender/clusterapi"
 )
 
 // This file measures hit rates at size, in simulated time: two regions of eight senders, one of each region small and
@@ -133,19 +133,19 @@
 			s.evict(now, p, id)
 		}
 	}
-	play := func(policy int, value func(h *together.Held) float64) {
+	play := func(policy int, value func(h *clusterapi.Held) float64) {
 		if s.caches[policy].request(id, bytes, counted) {
 			s.caches[policy].evictLowest(s.bounds, value)
 		}
 	}
-	play(lru, func(h *together.Held) float64 { return float64(s.last[h.Destination]) })
-	play(lfu, func(h *together.Held) float64 {
+	play(lru, func(h *clusterapi.Held) float64 { return float64(s.last[h.Destination]) })
+	play(lfu, func(h *clusterapi.Held) float64 {
 		return s.total[h.Destination] + float64(s.last[h.Destination])/1e9
 	})
-	play(knowsFuture, func(h *together.Held) float64 {
+	play(knowsFuture, func(h *clusterapi.Held) float64 {
 		return -float64(min(math.MaxInt32, s.next[s.last[h.Destination]])-step) * float64(h.Bytes)
 	})
-	play(knowsRates, func(h *together.Held) float64 {
+	play(knowsRates, func(h *clusterapi.Held) float64 {
 		value := float64(s.last[h.Destination])
 		if hot[h.Destination] {
 			value += 1e12
@@ -189,7 +189,7 @@
 	now := stepTime(step)
 	for p := range r.tables {
 		n := arrived.of[p][step]
-		r.tables[p].Add(now, []together.Count{{Destination: choice.DestinationID(n), Client: fmt.Sprint(n % 7), Messages: 1}})
+		r.tables[p].Add(now, []clusterapi.Count{{Destination: choice.DestinationID(n), Client: fmt.Sprint(n % 7), Messages: 1}})
 	}
 	if step%(4*perSecond) == 0 {
 		r.rank(now, uint64(step+1))
--- a/internal/cluster/popularity/recall/discount.go
+++ b/internal/cluster/popularity/recall/discount.go
@@ -6,7 +6,7 @@
 	"flaxcove/choice"
 	"flaxcove/internal/cluster/popularity/count"
 	"flaxcove/internal/cluster/view"
-	"flaxcove/internal/sender/together"
+	"flaxcove/internal/sender/clusterapi"
 )
 
 const (
@@ -27,9 +27,9 @@
 // Discount is what of a lesson is applied at a process in zone here; false for nothing. Times count for less the older
 // they are, a limit only while it is fresh, and a wait for what is left of it. How warm an endpoint is is not passed
 // on: its first calls go by package choice's slow start.
-func Discount(l Lesson, here view.Zone) (together.LearnedEndpoint, bool) {
+func Discount(l Lesson, here view.Zone) (clusterapi.LearnedEndpoint, bool) {
 	if !valid(l) || l.Age > MaxAge {
-		return together.LearnedEndpoint{}, false
+		return clusterapi.LearnedEndpoint{}, false
 	}
 	state := choice.LearnedState{Wait: max(0, l.Wait-choice.Time(l.Age/(100*time.Microsecond)))}
 	if l.Seen > 0 && l.Mean > 0 && l.Past > 0 {
@@ -42,11 +42,11 @@
 	if l.Age <= limitMaxAge {
 		state.Limit = l.Limit
 	}
-	return together.LearnedEndpoint{Endpoint: l.Endpoint, LearnedState: state, Age: l.Age}, state != choice.LearnedState{}
+	return clusterapi.LearnedEndpoint{Endpoint: l.Endpoint, LearnedState: state, Age: l.Age}, state != choice.LearnedState{}
 }
 
 // FromSender turns what a sender handed over into a lesson for the summary.
-func FromSender(l together.LearnedEndpoint, zone view.Zone) Lesson {
+func FromSender(l clusterapi.LearnedEndpoint, zone view.Zone) Lesson {
 	state := l.LearnedState
 	return Lesson{
 		Endpoint: l.Endpoint,
--- a/internal/cluster/popularity/run/cluster_test.go
+++ b/internal/cluster/popularity/run/cluster_test.go
@@ -14,7 +14,7 @@
 	"flaxcove/internal/cluster/popularity/evict"
 	"flaxcove/internal/cluster/tree"
 	"flaxcove/internal/cluster/view"
-	"flaxcove/internal/sender/together"
+	"flaxcove/internal/sender/clusterapi"
 )
 
 // This file has the processes in memory that the tests run: links that lose calls, and senders that hold destinations.
@@ -79,8 +79,8 @@
 // fakeSender holds destinations; its loop is whoever calls.
 type fakeSender struct {
 	mu     sync.Mutex
-	held   map[choice.DestinationID]together.Held
-	taught map[choice.EndpointID]together.LearnedEndpoint
+	held   map[choice.DestinationID]clusterapi.Held
+	taught map[choice.EndpointID]clusterapi.LearnedEndpoint
 }
 
 func (s *fakeSender) Evict(all []choice.DestinationID, done func([]choice.DestinationID)) {
@@ -97,9 +97,9 @@
 	done(retained)
 }
 
-func (s *fakeSender) Holding(done func([]together.Held)) {
+func (s *fakeSender) Holding(done func([]clusterapi.Held)) {
 	s.mu.Lock()
-	var all []together.Held
+	var all []clusterapi.Held
 	for _, h := range s.held {
 		all = append(all, h)
 	}
@@ -107,7 +107,7 @@
 	done(all)
 }
 
-func (s *fakeSender) Teach(lessons []together.LearnedEndpoint) {
+func (s *fakeSender) Teach(lessons []clusterapi.LearnedEndpoint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, l := range lessons {
@@ -117,9 +117,9 @@
 
 func endpoint(d choice.DestinationID) choice.EndpointID { return choice.EndpointID(fmt.Sprint("e", d)) }
 
-func (s *fakeSender) Know(of []choice.DestinationID, done func([]together.LearnedEndpoint)) {
+func (s *fakeSender) Know(of []choice.DestinationID, done func([]clusterapi.LearnedEndpoint)) {
 	k := choice.LearnedState{Mean: 50, Dev: 5, Past: 50, Seen: 30, Limit: 9}
-	done([]together.LearnedEndpoint{{Endpoint: endpoint(of[0]), LearnedState: k}})
+	done([]clusterapi.LearnedEndpoint{{Endpoint: endpoint(of[0]), LearnedState: k}})
 }
 
 func (s *fakeSender) hold(all ...together.Held) {
@@ -161,8 +161,8 @@
 	for i, m := range all {
 		began := time.Now().Add(-time.Duration(i) * time.Hour) // no two clocks are near each other
 		w.handlers[m.Name] = map[string]handler{}
-		w.senders[m.Name] = &fakeSender{held: map[choice.DestinationID]together.Held{},
-			taught: map[choice.EndpointID]together.LearnedEndpoint{}}
+		w.senders[m.Name] = &fakeSender{held: map[choice.DestinationID]clusterapi.Held{},
+			taught: map[choice.EndpointID]clusterapi.LearnedEndpoint{}}
 		w.runners[m.Name] = New(Options{Self: m, Now: func() view.Uptime { return time.Since(began) }, Link: testLink{w, m.Life},
 			Orders: w.senders[m.Name], View: w.currentView, Tree: w.currentTree, Bounds: bounds, TickInterval: tickInterval})
 	}
--- a/internal/cluster/popularity/run/eviction.go
+++ b/internal/cluster/popularity/run/eviction.go
@@ -6,7 +6,7 @@
 	"flaxcove/choice"
 	"flaxcove/internal/cluster/popularity/evict"
 	"flaxcove/internal/cluster/view"
-	"flaxcove/internal/sender/together"
+	"flaxcove/internal/sender/clusterapi"
 )
 
 // This file has a small process's sender evict what exceeds its bounds: each second tick, and sooner where many
@@ -25,7 +25,7 @@
 // holdings are what the sender holds, in answer to a request by eviction or by lessons.
 type holdings struct {
 	requestNo uint64
-	held      []together.Held
+	held      []clusterapi.Held
 }
 
 // evictionState belongs to the loop alone.
@@ -55,7 +55,7 @@
 	}
 	requestNo := state.requestNo + 1
 	*state = evictionState{requestNo: requestNo, inFlight: true, requestedAt: now, requested: true, bounds: bounds}
-	r.options.Orders.Holding(func(held []together.Held) { r.deliverHoldings(holdings{requestNo, held}) })
+	r.options.Orders.Holding(func(held []clusterapi.Held) { r.deliverHoldings(holdings{requestNo, held}) })
 }
 
 // deliverHoldings takes the sender's answer on the sender's loop, and never waits.
--- a/internal/cluster/popularity/run/lessons.go
+++ b/internal/cluster/popularity/run/lessons.go
@@ -13,7 +13,7 @@
 	"flaxcove/internal/cluster/popularity/recall"
 	"flaxcove/internal/cluster/tree"
 	"flaxcove/internal/cluster/view"
-	"flaxcove/internal/sender/together"
+	"flaxcove/internal/sender/clusterapi"
 )
 
 // This file sends what a large process learned of endpoints to its region's coordinator: what changed, each five ticks,
@@ -95,7 +95,7 @@
 		clear(state.sent)
 	}
 	batchNo := state.batchNo
-	r.options.Orders.Holding(func(held []together.Held) { r.deliverHoldings(holdings{batchNo, held}) })
+	r.options.Orders.Holding(func(held []clusterapi.Held) { r.deliverHoldings(holdings{batchNo, held}) })
 }
 
 // askForLessons asks the sender for what changed most since it was sent, and for what was sent longest ago.
@@ -119,13 +119,13 @@
 	collector := &lessonCollector{missing: len(due), batch: lessonBatch{batchNo: answer.requestNo, askedAt: now}}
 	for _, d := range due {
 		state.sent[d.Destination] = sentLessons{d.Calls, now}
-		r.options.Orders.Know([]choice.DestinationID{d.Destination}, func(lessons []together.LearnedEndpoint) {
+		r.options.Orders.Know([]choice.DestinationID{d.Destination}, func(lessons []clusterapi.LearnedEndpoint) {
 			r.collectLessons(collector, d.Destination, lessons)
 		})
 	}
 }
 
-func (s *lessonState) forgetNotHeld(held []together.Held) {
+func (s *lessonState) forgetNotHeld(held []clusterapi.Held) {
 	heldNow := make(map[choice.DestinationID]bool, len(held))
 	for _, d := range held {
 		heldNow[d.Destination] = true
@@ -138,8 +138,8 @@
 }
 
 // due are the destinations to send: those never sent first, then those sent longest ago, then those with most calls.
-func (s *lessonState) due(now view.Uptime, held []together.Held, resendAfter time.Duration) []together.Held {
-	due := make([]together.Held, 0, len(held))
+func (s *lessonState) due(now view.Uptime, held []clusterapi.Held, resendAfter time.Duration) []clusterapi.Held {
+	due := make([]clusterapi.Held, 0, len(held))
 	for _, d := range held {
 		last, wasSent := s.sent[d.Destination]
 		changed := d.Calls < last.calls || d.Calls > last.calls*1.25+4
@@ -147,7 +147,7 @@
 			due = append(due, d)
 		}
 	}
-	slices.SortFunc(due, func(a, b together.Held) int {
+	slices.SortFunc(due, func(a, b clusterapi.Held) int {
 		x, y := s.sent[a.Destination], s.sent[b.Destination] // zero if never sent
 		return cmp.Or(cmp.Compare(x.sentAt, y.sentAt), cmp.Compare(b.Calls, a.Calls), cmp.Compare(a.Destination, b.Destination))
 	})
@@ -171,7 +171,7 @@
 	return c.missing == 0
 }
 
-func (r *Runner) collectLessons(collector *lessonCollector, d choice.DestinationID, learned []together.LearnedEndpoint) {
+func (r *Runner) collectLessons(collector *lessonCollector, d choice.DestinationID, learned []clusterapi.LearnedEndpoint) {
 	lessons := recall.Lessons{Destination: d}
 	for _, l := range learned {
 		lessons.All = append(lessons.All, recall.FromSender(l, r.options.Self.Zone))
--- a/internal/cluster/popularity/run/requests.go
+++ b/internal/cluster/popularity/run/requests.go
@@ -10,7 +10,7 @@
 	"flaxcove/choice"
 	"flaxcove/internal/cluster/popularity/recall"
 	"flaxcove/internal/cluster/view"
-	"flaxcove/internal/sender/together"
+	"flaxcove/internal/sender/clusterapi"
 )
 
 // This file asks the region's coordinator for what is known of destinations that the sender loaded, many in one call: a
@@ -101,7 +101,7 @@
 	default:
 		err = r.call(head, requestPath, lessonsRequest{destinations}, &answer)
 	}
-	var lessons []together.LearnedEndpoint
+	var lessons []clusterapi.LearnedEndpoint
 	waited := max(0, r.options.Now()-requestedAt)
 	if err == nil {
 		lessons = r.applicableLessons(answer, destinations, waited)
@@ -118,7 +118,7 @@
 }
 
 // applicableLessons are those of an answer that were asked for and can still be believed.
-func (r *Runner) applicableLessons(answer lessonsAnswer, destinations []choice.DestinationID, waited time.Duration) (all []together.LearnedEndpoint) {
+func (r *Runner) applicableLessons(answer lessonsAnswer, destinations []choice.DestinationID, waited time.Duration) (all []clusterapi.LearnedEndpoint) {
 	requested := make(map[choice.DestinationID]bool, len(destinations))
 	for _, d := range destinations {
 		requested[d] = true
--- a/internal/cluster/popularity/run/run.go
+++ b/internal/cluster/popularity/run/run.go
@@ -23,7 +23,7 @@
 	"flaxcove/internal/cluster/popularity/score"
 	"flaxcove/internal/cluster/tree"
 	"flaxcove/internal/cluster/view"
-	"flaxcove/internal/sender/together"
+	"flaxcove/internal/sender/clusterapi"
 )
 
 const (
@@ -43,12 +43,12 @@
 	Handle(path string, h func(ctx context.Context, from view.Life, body []byte) (any, error))
 }
 
-// Orders is what is asked of the sender; see together.Orders.
+// Orders is what is asked of the sender; see clusterapi.Orders.
 type Orders interface {
 	Evict(all []choice.DestinationID, done func(retained []choice.DestinationID))
-	Holding(done func([]together.Held))
-	Teach(lessons []together.LearnedEndpoint)
-	Know(of []choice.DestinationID, done func([]together.LearnedEndpoint))
+	Holding(done func([]clusterapi.Held))
+	Teach(lessons []clusterapi.LearnedEndpoint)
+	Know(of []choice.DestinationID, done func([]clusterapi.LearnedEndpoint))
 }
 
 // Options are what a runner is made with; all but Bounds, TickInterval and Log must be set.
@@ -93,7 +93,7 @@
 	ctx           context.Context
 	cancel        context.CancelFunc
 	goroutines    sync.WaitGroup
-	digests       chan []together.Count
+	digests       chan []clusterapi.Count
 	loaded        chan choice.DestinationID
 	wake          chan struct{}
 	holdings      chan holdings
@@ -134,7 +134,7 @@
 	r := &Runner{
 		options:       o,
 		bounds:        o.Bounds,
-		digests:       make(chan []together.Count, maxQueuedDigests),
+		digests:       make(chan []clusterapi.Count, maxQueuedDigests),
 		loaded:        make(chan choice.DestinationID, maxQueuedLoads),
 		wake:          make(chan struct{}, 1),
 		holdings:      make(chan holdings, 1),
@@ -167,7 +167,7 @@
 }
 
 // Digest hands over what clients handed in. It never waits: a digest that finds the queue full is dropped and counted.
-func (r *Runner) Digest(d together.Digest) {
+func (r *Runner) Digest(d clusterapi.Digest) {
 	if len(d.Counts) == 0 {
 		return
 	}
--- a/internal/cluster/popularity/run/run_test.go
+++ b/internal/cluster/popularity/run/run_test.go
@@ -10,13 +10,13 @@
 	"flaxcove/choice"
 	"flaxcove/internal/cluster/popularity/evict"
 	"flaxcove/internal/cluster/view"
-	"flaxcove/internal/sender/together"
+	"flaxcove/internal/sender/clusterapi"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func handedIn(d choice.DestinationID, n uint64) together.Digest {
-	return together.Digest{Counts: []together.Count{{Destination: d, Client: "a", Messages: n},
+func handedIn(d choice.DestinationID, n uint64) clusterapi.Digest {
+	return clusterapi.Digest{Counts: []clusterapi.Count{{Destination: d, Client: "a", Messages: n},
 		{Destination: d, Client: "b", Messages: n}}}
 }
 
@@ -25,9 +25,9 @@
 func TestPopularityStaysInItsRegion(t *testing.T) {
 	w := startCluster(t, evict.Bounds{Destinations: 10})
 	for d := range choice.DestinationID(30) {
-		w.senders["p6"].hold(together.Held{Destination: 100 + d, Bytes: 500, Calls: 20})
+		w.senders["p6"].hold(clusterapi.Held{Destination: 100 + d, Bytes: 500, Calls: 20})
 	}
-	w.senders["p6"].hold(together.Held{Destination: 99, Bytes: 500, InUse: true})
+	w.senders["p6"].hold(clusterapi.Held{Destination: 99, Bytes: 500, InUse: true})
 	for _, p := range []view.Name{"p0", "p2", "p4"} {
 		w.runners[p].Digest(handedIn(107, 40))
 	}
@@ -40,7 +40,7 @@
 		t.Error("another region's popularity is known, or a protected one was evicted")
 	}
 	// The ranking is there now: what is loaded on top is evicted, and the popular one stays, also with a bound lowered.
-	w.senders["p6"].hold(together.Held{Destination: 107, Bytes: 500, Calls: 1})
+	w.senders["p6"].hold(clusterapi.Held{Destination: 107, Bytes: 500, Calls: 1})
 	w.runners["p6"].SetBounds(evict.Bounds{Destinations: 2})
 	w.waitFor("the lower bound holds", func() bool { held, _ := w.senders["p6"].counts(); return held == 2 })
 	if !w.senders["p6"].has(107) || !w.senders["p6"].has(99) {
@@ -54,7 +54,7 @@
 	w := startCluster(t, evict.Bounds{})
 	for d := range choice.DestinationID(100) {
 		for _, p := range []view.Name{"p0", "p2", "p4"} {
-			w.senders[p].hold(together.Held{Destination: d, Bytes: 500, Calls: 20})
+			w.senders[p].hold(clusterapi.Held{Destination: d, Bytes: 500, Calls: 20})
 		}
 	}
 	full := func() bool { return w.runners[w.currentTree().RegionHead("r0")].Status().SummarySize == 100 }
--- a/internal/cluster/purge/ledger/commands.go
+++ b/internal/cluster/purge/ledger/commands.go
@@ -16,7 +16,7 @@
 	"unicode/utf8"
 
 	"flaxcove/internal/cluster/view"
-	"flaxcove/internal/sender/together"
+	"flaxcove/internal/sender/clusterapi"
 )
 
 // Part is the name of this state in the consensus group's machine.
@@ -52,11 +52,11 @@
 
 // Open is the command that opens a purge. ID is chosen by the caller, as an idempotency key.
 type Open struct {
-	ID      string         `json:"id"`
-	Subject Subject        `json:"subject"`
-	Match   together.Match `json:"match"`
-	Who     string         `json:"who"`
-	Why     string         `json:"why"`
+	ID      string           `json:"id"`
+	Subject Subject          `json:"subject"`
+	Match   clusterapi.Match `json:"match"`
+	Who     string           `json:"who"`
+	Why     string           `json:"why"`
 }
 
 // OpenResult is the answer to an Open. Where Rejected is set nothing was opened, and Field names what is wrong.
@@ -111,11 +111,11 @@
 
 // ZoneSum is the result of a purge in one zone.
 type ZoneSum struct {
-	Region  view.Region    `json:"region"`
-	Zone    view.Zone      `json:"zone"`
-	Reached int            `json:"reached"`
-	Lapsed  int            `json:"lapsed,omitempty"`
-	Found   together.Found `json:"found"`
+	Region  view.Region      `json:"region"`
+	Zone    view.Zone        `json:"zone"`
+	Reached int              `json:"reached"`
+	Lapsed  int              `json:"lapsed,omitempty"`
+	Found   clusterapi.Found `json:"found"`
 }
 
 // CloseResult is the answer to a Close: Done purges were closed; Reason tells why the next was not.
@@ -127,21 +127,21 @@
 // Record is one purge. A compacted one is needed by no process any more; it retains its id, checksums and sums, and for
 // a while its contents.
 type Record struct {
-	Seq         uint64         `json:"seq"`
-	ID          string         `json:"id"`
-	Subject     Subject        `json:"subject"`
-	Match       together.Match `json:"match"`
-	Who         string         `json:"who,omitempty"`
-	Why         string         `json:"why,omitempty"`
-	At          time.Duration  `json:"at"` // the group's clock when it was opened
-	State       State          `json:"state"`
-	Zones       []ZoneSum      `json:"zones,omitempty"`
-	LapsedNames []view.Name    `json:"names,omitempty"`
-	Reached     int            `json:"reached,omitempty"`
-	Lapsed      int            `json:"lapsed,omitempty"`
-	Found       together.Found `json:"found"`
-	Checksums   [4]uint32      `json:"prints"` // of subject, match, who, why
-	Compacted   bool           `json:"short,omitempty"`
+	Seq         uint64           `json:"seq"`
+	ID          string           `json:"id"`
+	Subject     Subject          `json:"subject"`
+	Match       clusterapi.Match `json:"match"`
+	Who         string           `json:"who,omitempty"`
+	Why         string           `json:"why,omitempty"`
+	At          time.Duration    `json:"at"` // the group's clock when it was opened
+	State       State            `json:"state"`
+	Zones       []ZoneSum        `json:"zones,omitempty"`
+	LapsedNames []view.Name      `json:"names,omitempty"`
+	Reached     int              `json:"reached,omitempty"`
+	Lapsed      int              `json:"lapsed,omitempty"`
+	Found       clusterapi.Found `json:"found"`
+	Checksums   [4]uint32        `json:"prints"` // of subject, match, who, why
+	Compacted   bool             `json:"short,omitempty"`
 }
 
 // Bounds on what a caller sends, in bytes.
@@ -220,6 +220,6 @@
 }
 
 // ToPurge is the purge as it is sent to processes, with its age.
-func (r Record) ToPurge(age time.Duration) together.Purge {
-	return together.Purge{Seq: r.Seq, ID: r.ID, LearnedState: r.Subject == LearnedState, Match: r.Match, Age: max(age, 0)}
+func (r Record) ToPurge(age time.Duration) clusterapi.Purge {
+	return clusterapi.Purge{Seq: r.Seq, ID: r.ID, LearnedState: r.Subject == LearnedState, Match: r.Match, Age: max(age, 0)}
 }
--- a/internal/cluster/purge/ledger/ledger.go
+++ b/internal/cluster/purge/ledger/ledger.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"flaxcove/internal/cluster/view"
-	"flaxcove/internal/sender/together"
+	"flaxcove/internal/sender/clusterapi"
 )
 
 // Bounds of the ledger. Ten thousand purges at once must fit (the hard case), with a margin: a purge takes about
@@ -269,5 +269,5 @@
 
 // dropContents leaves the id, the checksums and the sums.
 func (r *Record) dropContents() {
-	r.Who, r.Why, r.Match, r.Zones, r.LapsedNames = "", "", together.Match{}, nil, nil
+	r.Who, r.Why, r.Match, r.Zones, r.LapsedNames = "", "", clusterapi.Match{}, nil, nil
 }
--- a/internal/cluster/purge/ledger/ledger_test.go
+++ b/internal/cluster/purge/ledger/ledger_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 
 	"flaxcove/internal/cluster/view"
-	"flaxcove/internal/sender/together"
+	"flaxcove/internal/sender/clusterapi"
 )
 
 func mustApply[A any](t interface{ Fatalf(string, ...any) }, l *Ledger, at time.Duration, kind string, c any) (a A) {
@@ -30,7 +30,7 @@
 }
 
 func testOpen(id string) Open {
-	return Open{ID: id, Subject: Messages, Match: together.Match{Key: "k-" + id}, Who: "billing", Why: "cancelled"}
+	return Open{ID: id, Subject: Messages, Match: clusterapi.Match{Key: "k-" + id}, Who: "billing", Why: "cancelled"}
 }
 
 func participant(n string, inc view.Incarnation) Participant {
@@ -55,11 +55,11 @@
 		}
 	}
 	for field, o := range map[string]Open{
-		"id":                {Subject: Messages, Match: together.Match{Key: "k"}, Who: "w", Why: "y"},
+		"id":                {Subject: Messages, Match: clusterapi.Match{Key: "k"}, Who: "w", Why: "y"},
 		"match":             {ID: "b", Subject: Messages, Who: "w", Why: "y"},
-		"match.destination": {ID: "b", Subject: LearnedState, Match: together.Match{Key: "k"}, Who: "w", Why: "y"},
-		"subject":           {ID: "b", Subject: "all", Match: together.Match{Key: "k"}, Who: "w", Why: "y"},
-		"why":               {ID: "b", Subject: Messages, Match: together.Match{Key: "k"}, Who: "w"},
+		"match.destination": {ID: "b", Subject: LearnedState, Match: clusterapi.Match{Key: "k"}, Who: "w", Why: "y"},
+		"subject":           {ID: "b", Subject: "all", Match: clusterapi.Match{Key: "k"}, Who: "w", Why: "y"},
+		"why":               {ID: "b", Subject: Messages, Match: clusterapi.Match{Key: "k"}, Who: "w"},
 	} {
 		if got := mustApply[OpenResult](t, l, 3, KindOpen, o); got.Field != field {
 			t.Errorf("%s: %+v", field, got)
--- a/internal/cluster/purge/run/leader.go
+++ b/internal/cluster/purge/run/leader.go
@@ -12,7 +12,7 @@
 	"flaxcove/internal/cluster/purge/ledger"
 	"flaxcove/internal/cluster/purge/spread"
 	"flaxcove/internal/cluster/view"
-	"flaxcove/internal/sender/together"
+	"flaxcove/internal/sender/clusterapi"
 )
 
 // participantSyncInterval is between two synchronizations of the participants, at least.
@@ -87,7 +87,7 @@
 	}
 	state := r.leaderState
 	if update.changed {
-		purges := make([]together.Purge, len(update.records))
+		purges := make([]clusterapi.Purge, len(update.records))
 		for i, record := range update.records {
 			purges[i] = record.ToPurge(update.clock - record.At)
 		}
--- a/internal/cluster/purge/run/run.go
+++ b/internal/cluster/purge/run/run.go
@@ -20,7 +20,7 @@
 	"flaxcove/internal/cluster/purge/ledger"
 	"flaxcove/internal/cluster/purge/spread"
 	"flaxcove/internal/cluster/view"
-	"flaxcove/internal/sender/together"
+	"flaxcove/internal/sender/clusterapi"
 )
 
 // Tuned values.
@@ -42,7 +42,7 @@
 	Link            ordering.Link
 	Consensus       ordering.Consensus // nil for a process outside the consensus group
 	Ledger          *ledger.Ledger     // the part of that name in the consensus group; nil without one
-	Orders          together.Orders
+	Orders          clusterapi.Orders
 	LongestDeadline time.Duration // the longest deadline of the messages in the folder; 0 for not known
 	CatchUp         time.Duration // how long a start waits for purges that it missed, at most
 	Now             func() view.Uptime
@@ -198,7 +198,7 @@
 		r.goroutines.Go(func() { r.sendReport(parent, report) })
 	}
 	if apply != nil {
-		r.options.Orders.Purge(apply, func(applied uint64, found []together.Found) {
+		r.options.Orders.Purge(apply, func(applied uint64, found []clusterapi.Found) {
 			r.mu.Lock()
 			defer r.mu.Unlock()
 			r.state.BatchApplied(applied, found, r.options.Now())
--- a/internal/cluster/purge/run/run_test.go
+++ b/internal/cluster/purge/run/run_test.go
@@ -14,22 +14,22 @@
 	"flaxcove/internal/cluster/ordering/orderingtest"
 	"flaxcove/internal/cluster/purge/ledger"
 	"flaxcove/internal/cluster/view"
-	"flaxcove/internal/sender/together"
+	"flaxcove/internal/sender/clusterapi"
 )
 
 // fakeSender is a sender with a disk, which outlives a Runner.
 type fakeSender struct {
 	mu      sync.Mutex
 	applied uint64
-	found   map[uint64]together.Found
+	found   map[uint64]clusterapi.Found
 }
 
-func (o *fakeSender) Purge(all []together.Purge, done func(uint64, []together.Found)) {
+func (o *fakeSender) Purge(all []clusterapi.Purge, done func(uint64, []clusterapi.Found)) {
 	o.mu.Lock()
-	var found []together.Found
+	var found []clusterapi.Found
 	for _, p := range all {
 		if p.Seq > o.applied {
-			o.applied, o.found[p.Seq] = p.Seq, together.Found{NotBegun: 1}
+			o.applied, o.found[p.Seq] = p.Seq, clusterapi.Found{NotBegun: 1}
 		}
 		found = append(found, o.found[p.Seq])
 	}
@@ -43,11 +43,11 @@
 	defer o.mu.Unlock()
 	return o.applied
 }
-func (o *fakeSender) Evict([]choice.DestinationID, func([]choice.DestinationID))    {}
-func (o *fakeSender) Holding(func([]together.Held))                                 {}
-func (o *fakeSender) Teach([]together.LearnedEndpoint)                              {}
-func (o *fakeSender) Know([]choice.DestinationID, func([]together.LearnedEndpoint)) {}
-func (o *fakeSender) Configure(together.Configuration, func(error))                 {}
+func (o *fakeSender) Evict([]choice.DestinationID, func([]choice.DestinationID))      {}
+func (o *fakeSender) Holding(func([]clusterapi.Held))                                 {}
+func (o *fakeSender) Teach([]clusterapi.LearnedEndpoint)                              {}
+func (o *fakeSender) Know([]choice.DestinationID, func([]clusterapi.LearnedEndpoint)) {}
+func (o *fakeSender) Configure(clusterapi.Configuration, func(error))                 {}
 
 // fleet is several processes in one, with fake senders.
 type fleet struct {
@@ -81,7 +81,7 @@
 	for i := range 13 {
 		members = append(members, view.Member{Life: view.Life{Name: view.Name(fmt.Sprintf("p%d", i)), Incarnation: 1},
 			Zone: view.Zone(fmt.Sprintf("z%d", i%3)), Region: "r", Folder: fmt.Sprint("f", i)})
-		disks = append(disks, &fakeSender{found: map[uint64]together.Found{}})
+		disks = append(disks, &fakeSender{found: map[uint64]clusterapi.Found{}})
 		all = append(all, f.start(t, members[i], disks[i], 20*time.Second))
 	}
 	defer func() {
--- a/internal/cluster/purge/run/status.go
+++ b/internal/cluster/purge/run/status.go
@@ -13,7 +13,7 @@
 	"flaxcove/internal/cluster/purge/ledger"
 	"flaxcove/internal/cluster/purge/spread"
 	"flaxcove/internal/cluster/view"
-	"flaxcove/internal/sender/together"
+	"flaxcove/internal/sender/clusterapi"
 )
 
 // AckState is whether a process has acknowledged an open purge.
@@ -26,27 +26,27 @@
 
 // PurgeStatus is the answer to GET /v1/purges/ID.
 type PurgeStatus struct {
-	ID         string          `json:"id"`
-	Seq        uint64          `json:"seq"`
-	Subject    ledger.Subject  `json:"subject"`
-	Match      *together.Match `json:"match,omitempty"` // nil once no process can need it any more
-	Who        string          `json:"who,omitempty"`
-	Why        string          `json:"why,omitempty"`
-	AgeMS      int64           `json:"age_ms"`
-	State      ledger.State    `json:"state"`
-	Sums       Sums            `json:"sums"`
-	Regions    []RegionStatus  `json:"regions,omitempty"`
-	LapsedAt   []view.Name     `json:"lapsed_at,omitempty"` // at most 64 of them
-	LapseAgeMS int64           `json:"lapse_at_age_ms"`     // the age from which missing acknowledgements lapse
-	ReportedBy view.Name       `json:"told_by"`
+	ID         string            `json:"id"`
+	Seq        uint64            `json:"seq"`
+	Subject    ledger.Subject    `json:"subject"`
+	Match      *clusterapi.Match `json:"match,omitempty"` // nil once no process can need it any more
+	Who        string            `json:"who,omitempty"`
+	Why        string            `json:"why,omitempty"`
+	AgeMS      int64             `json:"age_ms"`
+	State      ledger.State      `json:"state"`
+	Sums       Sums              `json:"sums"`
+	Regions    []RegionStatus    `json:"regions,omitempty"`
+	LapsedAt   []view.Name       `json:"lapsed_at,omitempty"` // at most 64 of them
+	LapseAgeMS int64             `json:"lapse_at_age_ms"`     // the age from which missing acknowledgements lapse
+	ReportedBy view.Name         `json:"told_by"`
 }
 
 // Sums are numbers of processes by acknowledgement, and what was found.
 type Sums struct {
-	Acknowledged int            `json:"acknowledged"`
-	NotReached   int            `json:"not_reached_yet"`
-	Lapsed       int            `json:"lapsed"`
-	Found        together.Found `json:"found"`
+	Acknowledged int              `json:"acknowledged"`
+	NotReached   int              `json:"not_reached_yet"`
+	Lapsed       int              `json:"lapsed"`
+	Found        clusterapi.Found `json:"found"`
 }
 
 // RegionStatus is the status of a purge in one region.
@@ -66,8 +66,8 @@
 // ProcessStatus is the status of a purge at one process.
 type ProcessStatus struct {
 	view.Life
-	AckState AckState       `json:"standing"`
-	Found    together.Found `json:"found"`
+	AckState AckState         `json:"standing"`
+	Found    clusterapi.Found `json:"found"`
 }
 
 // statusRequest asks the leader for the status of a purge.
@@ -110,7 +110,7 @@
 	}
 	status := PurgeStatus{ID: record.ID, Seq: record.Seq, Subject: record.Subject, Who: record.Who, Why: record.Why, State: record.State,
 		LapseAgeMS: horizon.Milliseconds(), ReportedBy: r.options.Self.Name}
-	if record.Match != (together.Match{}) {
+	if record.Match != (clusterapi.Match{}) {
 		status.Match = &record.Match
 	}
 	status.AgeMS = max(r.options.Consensus.Clock()-record.At, 0).Milliseconds()
--- a/internal/cluster/purge/spread/guarantee_test.go
+++ b/internal/cluster/purge/spread/guarantee_test.go
@@ -12,7 +12,7 @@
 
 	"flaxcove/internal/cluster/purge/ledger"
 	"flaxcove/internal/cluster/view"
-	"flaxcove/internal/sender/together"
+	"flaxcove/internal/sender/clusterapi"
 	"flaxcove/internal/sender/withdrawal"
 )
 
@@ -77,7 +77,7 @@
 				p.oldDisk = p.disk.copy()
 			case 13: // reached nobody so far, took messages on all the same, and joins
 				p := &process{name: view.Name(fmt.Sprintf("q%02d", len(w.processes))), zone: "z0", alive: true, incarnation: 1,
-					disk: &disk{folder: "new", found: map[uint64]together.Found{}}}
+					disk: &disk{folder: "new", found: map[uint64]clusterapi.Found{}}}
 				p.disk.messages = append(p.disk.messages, &testMessage{key: key.Draw(t, "key"), acceptedAt: w.now - time.Second})
 				p.state = New(p.life(), "new", 0)
 				w.processes, w.tree, w.disks = append(w.processes, p), append(w.tree, slices.Index(w.tree, -1)), append(w.disks, p.disk)
@@ -118,7 +118,7 @@
 			t.Fatalf("purge %d of %d is still open", w.ledger.OldestOpen(), w.ledger.LastSeq())
 		}
 		for seq := uint64(1); seq <= w.ledger.LastSeq(); seq++ {
-			var truth, sure together.Found
+			var truth, sure clusterapi.Found
 			for _, d := range w.disks {
 				truth = AddFound(truth, d.found[seq])
 			}
--- a/internal/cluster/purge/spread/leader.go
+++ b/internal/cluster/purge/spread/leader.go
@@ -10,7 +10,7 @@
 
 	"flaxcove/internal/cluster/purge/ledger"
 	"flaxcove/internal/cluster/view"
-	"flaxcove/internal/sender/together"
+	"flaxcove/internal/sender/clusterapi"
 )
 
 // LeaderState is what the leader knows of acknowledgements. A new leader begins with nothing and asks the root for a
@@ -46,7 +46,7 @@
 }
 
 // AddPurges adds the ledger's purges after HasSeq, up to upTo, with their ages as of now.
-func (l *LeaderState) AddPurges(all []together.Purge, upTo, oldestOpen uint64, horizon time.Duration, now view.Uptime) {
+func (l *LeaderState) AddPurges(all []clusterapi.Purge, upTo, oldestOpen uint64, horizon time.Duration, now view.Uptime) {
 	l.State.horizon = horizon // the ledger's own; it may shrink
 	l.State.HandleUpdate(Update{Base: l.hasSeq, UpTo: upTo, OldestOpen: oldestOpen, Horizon: horizon, Purges: all}, now)
 }
@@ -118,14 +118,14 @@
 }
 
 // sumFindings sums findings by purge and process.
-func (l *LeaderState) sumFindings(first, last uint64) map[uint64]map[view.Name]together.Found {
-	sums := map[uint64]map[view.Name]together.Found{}
+func (l *LeaderState) sumFindings(first, last uint64) map[uint64]map[view.Name]clusterapi.Found {
+	sums := map[uint64]map[view.Name]clusterapi.Found{}
 	for k, r := range l.findings {
 		if k.seq < first || k.seq > last {
 			continue
 		}
 		if sums[k.seq] == nil {
-			sums[k.seq] = map[view.Name]together.Found{}
+			sums[k.seq] = map[view.Name]clusterapi.Found{}
 		}
 		sums[k.seq][k.name] = AddFound(sums[k.seq][k.name], r.found)
 	}
@@ -133,13 +133,13 @@
 }
 
 // AddFound adds up two findings.
-func AddFound(a, b together.Found) together.Found {
-	return together.Found{NotBegun: a.NotBegun + b.NotBegun, MayRun: a.MayRun + b.MayRun,
+func AddFound(a, b clusterapi.Found) clusterapi.Found {
+	return clusterapi.Found{NotBegun: a.NotBegun + b.NotBegun, MayRun: a.MayRun + b.MayRun,
 		Delivered: a.Delivered + b.Delivered, LearnedState: a.LearnedState + b.LearnedState}
 }
 
 // closure is the end of a purge, by zone.
-func (l *LeaderState) closure(seq uint64, found map[view.Name]together.Found) ledger.Closure {
+func (l *LeaderState) closure(seq uint64, found map[view.Name]clusterapi.Found) ledger.Closure {
 	closure := ledger.Closure{Seq: seq}
 	zones := map[view.Zone]*ledger.ZoneSum{}
 	for _, participant := range l.participants {
@@ -171,7 +171,7 @@
 type ParticipantStatus struct {
 	Participant  ledger.Participant
 	Acknowledged bool
-	Found        together.Found
+	Found        clusterapi.Found
 }
 
 // StatusOf is the state of one open purge at all participants, by name.
--- a/internal/cluster/purge/spread/messages.go
+++ b/internal/cluster/purge/spread/messages.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"flaxcove/internal/cluster/view"
-	"flaxcove/internal/sender/together"
+	"flaxcove/internal/sender/clusterapi"
 )
 
 // Tuned values. At the root of 1,000 processes in 12 zones of 4 regions a purge costs one call to each of four children,
@@ -44,9 +44,9 @@
 // incarnation with the same folder answers as the earlier one did and replaces it; another folder is counted apart.
 type Finding struct {
 	view.Life
-	Folder string         `json:"folder,omitempty"`
-	Seq    uint64         `json:"seq"`
-	Found  together.Found `json:"found"`
+	Folder string           `json:"folder,omitempty"`
+	Seq    uint64           `json:"seq"`
+	Found  clusterapi.Found `json:"found"`
 }
 
 // Report tells a parent the progress of a process and all below it. Members, the list of these, is sent once for each
@@ -79,14 +79,14 @@
 // Update tells a child the purges after Base. Up to UpTo it has all that a process may still need; none below OldestOpen
 // is open.
 type Update struct {
-	From       view.Life        `json:"from"`
-	FromLeader bool             `json:"top,omitempty"` // from the leader to the root of the tree
-	Base       uint64           `json:"base"`
-	UpTo       uint64           `json:"upto"`
-	OldestOpen uint64           `json:"floor"`
-	Horizon    time.Duration    `json:"horizon"` // beyond this age a purge of messages concerns no process
-	Purges     []together.Purge `json:"orders,omitempty"`
-	Resend     bool             `json:"again,omitempty"` // the child's last answer was lost: it has to send a complete report
+	From       view.Life          `json:"from"`
+	FromLeader bool               `json:"top,omitempty"` // from the leader to the root of the tree
+	Base       uint64             `json:"base"`
+	UpTo       uint64             `json:"upto"`
+	OldestOpen uint64             `json:"floor"`
+	Horizon    time.Duration      `json:"horizon"` // beyond this age a purge of messages concerns no process
+	Purges     []clusterapi.Purge `json:"orders,omitempty"`
+	Resend     bool               `json:"again,omitempty"` // the child's last answer was lost: it has to send a complete report
 }
 
 // sender is the process that sent the update, as a parent.
--- a/internal/cluster/purge/spread/network_test.go
+++ b/internal/cluster/purge/spread/network_test.go
@@ -8,7 +8,7 @@
 
 	"flaxcove/internal/cluster/purge/ledger"
 	"flaxcove/internal/cluster/view"
-	"flaxcove/internal/sender/together"
+	"flaxcove/internal/sender/clusterapi"
 )
 
 type envelope struct{ deliver, fail func() }
@@ -16,7 +16,7 @@
 // step has each state say what is due; messages go to the network.
 func (w *simulation) step() {
 	if w.ledger.LastSeq() > w.leaderState.HasSeq() || w.ledger.OldestOpen() > w.leaderState.oldestOpen {
-		var all []together.Purge
+		var all []clusterapi.Purge
 		for _, r := range w.ledger.Since(w.leaderState.HasSeq(), 1<<20) {
 			all = append(all, r.ToPurge(w.now-r.At))
 		}
--- a/internal/cluster/purge/spread/simulation_test.go
+++ b/internal/cluster/purge/spread/simulation_test.go
@@ -12,7 +12,7 @@
 	"flaxcove/internal/cluster/purge/ledger"
 	"flaxcove/internal/cluster/view"
 	"flaxcove/internal/config"
-	"flaxcove/internal/sender/together"
+	"flaxcove/internal/sender/clusterapi"
 	"flaxcove/internal/sender/withdrawal"
 )
 
@@ -29,7 +29,7 @@
 type disk struct {
 	folder   string
 	applied  uint64
-	found    map[uint64]together.Found
+	found    map[uint64]clusterapi.Found
 	messages []*testMessage
 }
 
@@ -107,7 +107,7 @@
 	p.incarnation++
 	p.alive = true
 	if empty || p.disk == nil {
-		p.disk = &disk{folder: fmt.Sprintf("%s-%d", p.name, p.incarnation), found: map[uint64]together.Found{}}
+		p.disk = &disk{folder: fmt.Sprintf("%s-%d", p.name, p.incarnation), found: map[uint64]clusterapi.Found{}}
 		w.disks = append(w.disks, p.disk)
 	}
 	p.state = New(p.life(), p.disk.folder, p.disk.applied)
@@ -150,7 +150,7 @@
 func (w *simulation) open(key string) uint64 {
 	var o ledger.OpenResult
 	id := fmt.Sprintf("%s-%d", key, w.ledger.LastSeq())
-	w.propose(ledger.KindOpen, ledger.Open{ID: id, Subject: ledger.Messages, Match: together.Match{Key: key},
+	w.propose(ledger.KindOpen, ledger.Open{ID: id, Subject: ledger.Messages, Match: clusterapi.Match{Key: key},
 		Who: "w", Why: "y"}, &o)
 	if o.Rejected != "" {
 		w.fail("%s", o.Rejected)
@@ -163,7 +163,7 @@
 func ticks(t view.Uptime) choice.Time { return config.RoundDown(time.Duration(t).Nanoseconds()) }
 
 // apply does to a disk what a sender does; a purge is durable before it is acknowledged.
-func (w *simulation) apply(p *process, all []together.Purge) (found []together.Found) {
+func (w *simulation) apply(p *process, all []clusterapi.Purge) (found []clusterapi.Found) {
 	for _, o := range all {
 		f := p.disk.found[o.Seq]
 		if o.Seq > p.disk.applied {
--- a/internal/cluster/purge/spread/spread_test.go
+++ b/internal/cluster/purge/spread/spread_test.go
@@ -9,7 +9,7 @@
 
 	"flaxcove/internal/cluster/purge/ledger"
 	"flaxcove/internal/cluster/view"
-	"flaxcove/internal/sender/together"
+	"flaxcove/internal/sender/clusterapi"
 	"flaxcove/internal/sender/withdrawal"
 )
 
@@ -137,10 +137,10 @@
 
 // A process is killed between effect and acknowledgement: its next incarnation answers the same, and is counted once.
 func TestKillBeforeAcknowledging(t *testing.T) {
-	disk := map[uint64]together.Found{1: {NotBegun: 3}}
+	disk := map[uint64]clusterapi.Found{1: {NotBegun: 3}}
 	p := view.Life{Name: "p", Incarnation: 1}
 	g := NewLeaderState(view.Life{Name: "l", Incarnation: 1})
-	order := []together.Purge{{Seq: 1, Match: together.Match{Key: "a"}}}
+	order := []clusterapi.Purge{{Seq: 1, Match: clusterapi.Match{Key: "a"}}}
 	g.AddPurges(order, 1, 1, time.Hour, 0)
 	for inc := range 3 {
 		p.Incarnation = view.Incarnation(inc + 1)
@@ -154,7 +154,7 @@
 		if all := st.NextBatch(0); len(all) != 1 {
 			t.Fatalf("life %d is asked again: %v", p.Incarnation, all)
 		}
-		st.BatchApplied(1, []together.Found{disk[1]}, 0)
+		st.BatchApplied(1, []clusterapi.Found{disk[1]}, 0)
 		up := st.Answer(Update{}, 0)
 		g.HandleRootReport(up, 0)
 		g.HandleRootReport(up, 0)
@@ -172,11 +172,11 @@
 	child.SetTree(Parent{Life: up}, nil, 0)
 	order := func(seq uint64, found int) {
 		d := Update{From: up, Base: seq - 1, UpTo: seq, OldestOpen: 1,
-			Purges: []together.Purge{{Seq: seq, Match: together.Match{Key: "a"}}}}
+			Purges: []clusterapi.Purge{{Seq: seq, Match: clusterapi.Match{Key: "a"}}}}
 		parent.HandleUpdate(d, 0)
 		child.HandleUpdate(d, 0)
 		child.NextBatch(0)
-		child.BatchApplied(seq, []together.Found{{NotBegun: found}}, 0)
+		child.BatchApplied(seq, []clusterapi.Found{{NotBegun: found}}, 0)
 	}
 	order(1, 0)
 	// The parent also leads and asks as the leader: what it is answered does not count as reported to the parent.
@@ -240,7 +240,7 @@
 	s := New(view.Life{Name: "p"}, "f", 0)
 	d := Update{UpTo: 600, OldestOpen: 1}
 	for i := range 600 {
-		d.Purges = append(d.Purges, together.Purge{Seq: uint64(i + 1), Match: together.Match{Key: strings.Repeat("\x01", 512)}})
+		d.Purges = append(d.Purges, clusterapi.Purge{Seq: uint64(i + 1), Match: clusterapi.Match{Key: strings.Repeat("\x01", 512)}})
 	}
 	s.HandleUpdate(d, 0)
 	for since := uint64(0); since < 600; {
--- a/internal/cluster/purge/spread/state.go
+++ b/internal/cluster/purge/spread/state.go
@@ -9,12 +9,12 @@
 	"time"
 
 	"flaxcove/internal/cluster/view"
-	"flaxcove/internal/sender/together"
+	"flaxcove/internal/sender/clusterapi"
 )
 
 // heldPurge is a purge and when it was received, from which time on its age grows.
 type heldPurge struct {
-	together.Purge
+	clusterapi.Purge
 	receivedAt view.Uptime
 }
 
@@ -57,7 +57,7 @@
 
 type finding struct {
 	incarnation view.Incarnation
-	found       together.Found
+	found       clusterapi.Found
 	reported    bool // the parent has it
 }
 
@@ -156,7 +156,7 @@
 }
 
 // NextBatch is the purges that the sender has to apply next, in order; nil while it applies some, or when there are none.
-func (s *State) NextBatch(now view.Uptime) (all []together.Purge) {
+func (s *State) NextBatch(now view.Uptime) (all []clusterapi.Purge) {
 	if s.isLeader || s.applying || s.handedSeq >= s.hasSeq || now < s.nextApplyAt {
 		return nil
 	}
@@ -186,7 +186,7 @@
 
 // BatchApplied records up to which purge of the batch the sender has applied, on disk, and what each one found. The rest
 // is handed over again after a while.
-func (s *State) BatchApplied(upto uint64, found []together.Found, now view.Uptime) {
+func (s *State) BatchApplied(upto uint64, found []clusterapi.Found, now view.Uptime) {
 	if !s.applying {
 		return
 	}
@@ -197,7 +197,7 @@
 			s.batchEndSeq = seq - 1
 			break
 		}
-		if i < len(found) && found[i] != (together.Found{}) {
+		if i < len(found) && found[i] != (clusterapi.Found{}) {
 			s.addFinding(findingKey{seq, s.self.Name, s.folder}, s.self.Incarnation, found[i])
 		}
 	}
@@ -209,7 +209,7 @@
 
 // addFinding adds a finding, which replaces that of an earlier incarnation with the same folder. It returns whether it
 // was new.
-func (s *State) addFinding(k findingKey, incarnation view.Incarnation, found together.Found) bool {
+func (s *State) addFinding(k findingKey, incarnation view.Incarnation, found clusterapi.Found) bool {
 	r := s.findings[k]
 	switch {
 	case k.seq < s.oldestOpen, r == nil && len(s.findings) >= maxFindings:
@@ -248,7 +248,7 @@
 }
 
 // sizeOf is the size of a purge in a message at most: a byte of text may become six in JSON.
-func sizeOf(p together.Purge) int {
+func sizeOf(p clusterapi.Purge) int {
 	return 200 + 6*(len(p.ID)+len(p.Match.Class)+len(p.Match.Key)+len(p.Match.KeyPrefix))
 }
 
--- a/internal/cluster/storeddata_test.go
+++ b/internal/cluster/storeddata_test.go
@@ -14,7 +14,7 @@
 	"flaxcove/internal/cluster"
 	"flaxcove/internal/cluster/settings"
 	"flaxcove/internal/cluster/view"
-	"flaxcove/internal/sender/together"
+	"flaxcove/internal/sender/clusterapi"
 )
 
 // What the stored folder holds; see the packages whose testdata/stored it is made of.
@@ -42,7 +42,7 @@
 `
 
 // storedOrders is a sender of which only the highest applied purge is asked.
-type storedOrders struct{ together.Orders }
+type storedOrders struct{ clusterapi.Orders }
 
 func (storedOrders) Applied() uint64 { return 0 }
 
--- a/internal/cluster/subsystems.go
+++ b/internal/cluster/subsystems.go
@@ -11,7 +11,7 @@
 	popularity "flaxcove/internal/cluster/popularity/run"
 	"flaxcove/internal/cluster/purge/ledger"
 	purge "flaxcove/internal/cluster/purge/run"
-	"flaxcove/internal/sender/together"
+	"flaxcove/internal/sender/clusterapi"
 )
 
 // This file starts the features that use the cluster, each only if the file switches it on. Their parts of the consensus
@@ -107,12 +107,12 @@
 // forgettingOrders makes a purge of learned state reach the region's copy too, and not only the sender: otherwise a small
 // process would fetch it back from there.
 type forgettingOrders struct {
-	together.Orders
+	clusterapi.Orders
 	subsystems *subsystems
 }
 
 // Purge passes purges on to the sender.
-func (f forgettingOrders) Purge(all []together.Purge, done func(uint64, []together.Found)) {
+func (f forgettingOrders) Purge(all []clusterapi.Purge, done func(uint64, []clusterapi.Found)) {
 	for _, p := range all {
 		if p.LearnedState && p.Match.Destination != nil && f.subsystems.popularity != nil {
 			f.subsystems.popularity.Forget(*p.Match.Destination)
--- a/internal/sender/capacity_test.go
+++ b/internal/sender/capacity_test.go
@@ -13,7 +13,7 @@
 	"flaxcove/internal/config"
 	"flaxcove/internal/directory"
 	"flaxcove/internal/http1"
-	"flaxcove/internal/sender/together"
+	"flaxcove/internal/sender/clusterapi"
 	"flaxcove/lab/capacity/bench"
 )
 
@@ -152,9 +152,9 @@
 // silentCluster takes digests and decides nothing.
 type silentCluster struct{ rows int }
 
-func (c *silentCluster) Digest(d together.Digest)  { c.rows = len(d.Rows) }
-func (c *silentCluster) Guide() together.Guide     { return nil }
-func (c *silentCluster) Woke(choice.DestinationID) {}
+func (c *silentCluster) Digest(d clusterapi.Digest) { c.rows = len(d.Rows) }
+func (c *silentCluster) Guide() clusterapi.Guide    { return nil }
+func (c *silentCluster) Woke(choice.DestinationID)  {}
 
 // BenchmarkCapacityDigest is a digest, of which there are two a second, beside so many messages that wait.
 func BenchmarkCapacityDigest(b *testing.B) {
--- a/internal/sender/cluster.go
+++ b/internal/sender/cluster.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"flaxcove/choice"
-	"flaxcove/internal/sender/together"
+	"flaxcove/internal/sender/clusterapi"
 )
 
 // gateTimeout bounds how long a gate that is never closed holds attempts back, unless Joining.For is set: far less than
@@ -28,8 +28,8 @@
 
 // clusterMember is the part of a Sender that belongs to its cluster.
 type clusterMember struct {
-	cluster      together.Cluster // nil for none
-	routingPlan  together.Guide   // as of the start of this turn
+	cluster      clusterapi.Cluster // nil for none
+	routingPlan  clusterapi.Guide   // as of the start of this turn
 	learnedStore learnedStore
 	gated        bool
 	orderQueue   orderQueue
@@ -48,7 +48,7 @@
 }
 
 // Join ties the sender to a cluster. It is called at most once, before Run.
-func (s *Sender) Join(c together.Cluster, j Joining) {
+func (s *Sender) Join(c clusterapi.Cluster, j Joining) {
 	s.cluster = c
 	s.digestState.init(s)
 	s.after(digestInterval, s.sendDigest)
@@ -85,22 +85,22 @@
 }
 
 // Orders are what a cluster may ask of this sender. Purges are applied once it has joined.
-func (s *Sender) Orders() together.Orders { return orders{s} }
+func (s *Sender) Orders() clusterapi.Orders { return orders{s} }
 
 // orders hands each order to the loop, in the order given. None of them waits, so that they may be called on the loop
 // too. None is dropped: the caller waits for an answer before it gives many more. After the sender's end none is answered.
 type orders struct{ s *Sender }
 
-// Applied implements together.Orders.
+// Applied implements clusterapi.Orders.
 func (o orders) Applied() uint64 { return o.s.applied.Load() }
 
-// Purge implements together.Orders.
-func (o orders) Purge(all []together.Purge, done func(uint64, []together.Found)) {
+// Purge implements clusterapi.Orders.
+func (o orders) Purge(all []clusterapi.Purge, done func(uint64, []clusterapi.Found)) {
 	at := o.s.Now() // the purges grow older while they wait for the loop
 	o.s.enqueueOrder(func() { o.s.purge(all, at, done) })
 }
 
-// Evict implements together.Orders.
+// Evict implements clusterapi.Orders.
 func (o orders) Evict(all []choice.DestinationID, done func([]choice.DestinationID)) {
 	o.s.enqueueOrder(func() {
 		retained := o.s.evictDestinations(all)
@@ -108,21 +108,21 @@
 	})
 }
 
-// Holding implements together.Orders.
-func (o orders) Holding(done func([]together.Held)) {
+// Holding implements clusterapi.Orders.
+func (o orders) Holding(done func([]clusterapi.Held)) {
 	o.s.enqueueOrder(func() {
 		all := o.s.holdings()
 		o.s.afterAppend(func() { done(all) })
 	})
 }
 
-// Teach implements together.Orders.
-func (o orders) Teach(lessons []together.LearnedEndpoint) {
+// Teach implements clusterapi.Orders.
+func (o orders) Teach(lessons []clusterapi.LearnedEndpoint) {
 	o.s.enqueueOrder(func() { o.s.adoptLessons(lessons) })
 }
 
-// Know implements together.Orders.
-func (o orders) Know(of []choice.DestinationID, done func([]together.LearnedEndpoint)) {
+// Know implements clusterapi.Orders.
+func (o orders) Know(of []choice.DestinationID, done func([]clusterapi.LearnedEndpoint)) {
 	o.s.enqueueOrder(func() {
 		all := o.s.learnedLessons(of)
 		o.s.afterAppend(func() { done(all) })
--- a/internal/sender/cluster_test.go
+++ b/internal/sender/cluster_test.go
@@ -6,19 +6,19 @@
 	"time"
 
 	"flaxcove/choice"
-	"flaxcove/internal/sender/together"
+	"flaxcove/internal/sender/clusterapi"
 )
 
 // fakeCluster stands in for the processes around a sender.
 type fakeCluster struct {
-	last       together.Digest
+	last       clusterapi.Digest
 	closedZone choice.ZoneNo // a zone to which nothing may go; -1 for none
 	woke       []choice.DestinationID
 }
 
-func (c *fakeCluster) Digest(d together.Digest)    { c.last = d }
+func (c *fakeCluster) Digest(d clusterapi.Digest)  { c.last = d }
 func (c *fakeCluster) Woke(d choice.DestinationID) { c.woke = append(c.woke, d) }
-func (c *fakeCluster) Guide() together.Guide       { return c }
+func (c *fakeCluster) Guide() clusterapi.Guide     { return c }
 func (c *fakeCluster) Allowed(_ choice.MessageID, _ choice.DestinationID, zone choice.ZoneNo) bool {
 	return zone != c.closedZone
 }
@@ -140,7 +140,7 @@
 	h.clock += 50 * time.Millisecond
 	o := h.s.Orders()
 	list := func() {
-		o.Holding(func(all []together.Held) { fmt.Printf("held %+v\n", all) })
+		o.Holding(func(all []clusterapi.Held) { fmt.Printf("held %+v\n", all) })
 		h.runNext().advance(5 * time.Millisecond)
 	}
 	evict := func() {
@@ -152,7 +152,7 @@
 	evict()
 	h.calls[0].endpoint.linkCount-- // the harness has none
 	h.endpointAnswers(answerOK).advance(5 * time.Millisecond)
-	o.Know([]choice.DestinationID{1}, func(all []together.LearnedEndpoint) { fmt.Printf("known %+v\n", all) })
+	o.Know([]choice.DestinationID{1}, func(all []clusterapi.LearnedEndpoint) { fmt.Printf("known %+v\n", all) })
 	h.runNext().advance(20 * time.Millisecond)
 	list()
 	evict()
@@ -160,7 +160,7 @@
 	h.submit("OUT.ADD 0 again c=status,d=6000,dest=9 x", "OUT.ADD 0 more c=status,d=6000,dest=9 x")
 	fmt.Println("woke", c.woke)
 	k := choice.LearnedState{Mean: 10, Dev: 1, Past: 10, Seen: 3, Wait: 5 * choice.Second}
-	o.Teach([]together.LearnedEndpoint{{Endpoint: "z", LearnedState: k, Age: 2 * time.Second}, {Endpoint: "a", LearnedState: k},
+	o.Teach([]clusterapi.LearnedEndpoint{{Endpoint: "z", LearnedState: k, Age: 2 * time.Second}, {Endpoint: "a", LearnedState: k},
 		{Endpoint: "none", LearnedState: k},
 		{Endpoint: "b", LearnedState: choice.LearnedState{Mean: -1}}})
 	h.runNext()
--- a/internal/sender/together/together.go
+++ b/internal/sender/clusterapi/clusterapi.go
@@ -1,10 +1,10 @@
-// Package together holds what a sender and the processes around it hand each other. The sender declares it; what stands
+// Package clusterapi holds what a sender and the processes around it hand each other. The sender declares it; what stands
 // behind it is internal/cluster, or nothing.
 //
 // All of it is called on the sender's loop and must return at once: no lock that is held over I/O, no wait. What the
 // cluster wants of the sender it posts to the loop (Orders). The answer comes by a function that is handed along, called on
 // the loop after the append of that turn: what it says is on disk by then.
-package together
+package clusterapi
 
 import (
 	"time"
--- a/internal/sender/together/configuration.go
+++ b/internal/sender/clusterapi/configuration.go
@@ -1,4 +1,4 @@
-package together
+package clusterapi
 
 import "encoding/json"
 
--- a/internal/sender/together/storeddata_test.go
+++ b/internal/sender/clusterapi/storeddata_test.go
@@ -1,4 +1,4 @@
-package together_test
+package clusterapi_test
 
 import (
 	"encoding/json"
@@ -8,7 +8,7 @@
 	"github.com/google/go-cmp/cmp"
 
 	"flaxcove/choice"
-	"flaxcove/internal/sender/together"
+	"flaxcove/internal/sender/clusterapi"
 )
 
 // storedPurge is a purge as a process of commit 485f0e4 sends it to another: processes of both versions run side by side
@@ -17,9 +17,9 @@
 
 // TestReadsStoredPurge: a purge is read and written as by an older program.
 func TestReadsStoredPurge(t *testing.T) {
-	want := together.Purge{Seq: 3, ID: "one", LearnedState: true, Age: 90 * time.Second,
-		Match: together.Match{Destination: new(choice.DestinationID(-7)), Class: "pure", Key: "k", KeyPrefix: "k-"}}
-	var got together.Purge
+	want := clusterapi.Purge{Seq: 3, ID: "one", LearnedState: true, Age: 90 * time.Second,
+		Match: clusterapi.Match{Destination: new(choice.DestinationID(-7)), Class: "pure", Key: "k", KeyPrefix: "k-"}}
+	var got clusterapi.Purge
 	if err := json.Unmarshal([]byte(storedPurge), &got); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/sender/configure.go
+++ b/internal/sender/configure.go
@@ -15,18 +15,18 @@
 
 	"flaxcove/internal/config"
 	"flaxcove/internal/directory"
-	"flaxcove/internal/sender/together"
+	"flaxcove/internal/sender/clusterapi"
 )
 
 // Configure puts a configuration in force, or says why not.
-func (o orders) Configure(c together.Configuration, done func(error)) {
+func (o orders) Configure(c clusterapi.Configuration, done func(error)) {
 	o.s.enqueueOrder(func() {
 		err := o.s.configure(c)
 		o.s.afterAppend(func() { done(err) })
 	})
 }
 
-func (s *Sender) configure(c together.Configuration) error {
+func (s *Sender) configure(c clusterapi.Configuration) error {
 	if s.inForce(c) {
 		return nil
 	}
@@ -43,12 +43,12 @@
 }
 
 // inForce reports whether an order has been carried out already.
-func (s *Sender) inForce(c together.Configuration) bool {
+func (s *Sender) inForce(c clusterapi.Configuration) bool {
 	return c.Version == s.cfg.Version && bytes.Equal(c.Settings, s.cfg.SettingsInForce())
 }
 
 // checkConfiguration returns the configuration that an order leads to, or what is wrong with it.
-func (s *Sender) checkConfiguration(c together.Configuration) (*config.Config, error) {
+func (s *Sender) checkConfiguration(c clusterapi.Configuration) (*config.Config, error) {
 	switch {
 	case c.Version < s.cfg.Version:
 		return nil, fmt.Errorf("version %d is older than version %d, which is in force", c.Version, s.cfg.Version)
--- a/internal/sender/configure_bench_test.go
+++ b/internal/sender/configure_bench_test.go
@@ -6,7 +6,7 @@
 	"testing"
 
 	"flaxcove/internal/directory"
-	"flaxcove/internal/sender/together"
+	"flaxcove/internal/sender/clusterapi"
 )
 
 // BenchmarkConfigure is how long the loop stands for a change of settings, by what it holds.
@@ -40,7 +40,7 @@
 				}
 				b.ResetTimer()
 				for i := range b.N {
-					if err := h.s.configure(together.Configuration{Version: uint64(i + 1), Settings: settings(changes[name][i%2])}); err != nil {
+					if err := h.s.configure(clusterapi.Configuration{Version: uint64(i + 1), Settings: settings(changes[name][i%2])}); err != nil {
 						b.Fatal(err)
 					}
 				}
--- a/internal/sender/configure_sockets_test.go
+++ b/internal/sender/configure_sockets_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"flaxcove/internal/directory"
-	"flaxcove/internal/sender/together"
+	"flaxcove/internal/sender/clusterapi"
 )
 
 // Over sockets, with clients that submit without a pause while settings change many times: each accepted message is
@@ -105,7 +105,7 @@
 		if version%len(settingsForms) == 1 { // the text of the class's end is changed already
 			form = append([]string{classEnd, `"worth":30},` + offer + `],`}, settingsForms[1][2:]...)
 		}
-		if err := f.order(together.Configuration{Version: uint64(version + 1), Settings: settingsWith(t, form...)}); err != nil {
+		if err := f.order(clusterapi.Configuration{Version: uint64(version + 1), Settings: settingsWith(t, form...)}); err != nil {
 			t.Fatalf("version %d: %v", version+1, err)
 		}
 		f.submit(t, client, fmt.Sprint("new", version), "offer", version%4)
@@ -115,7 +115,7 @@
 }
 
 // order gives an order to change the settings, and waits for the answer.
-func (f *traffic) order(c together.Configuration) error {
+func (f *traffic) order(c clusterapi.Configuration) error {
 	answer := make(chan error, 1)
 	f.s.Orders().Configure(c, func(err error) { answer <- err })
 	select {
@@ -165,7 +165,7 @@
 	}
 	waitUntil(t, "a link idles", idle(1))
 	answer := make(chan error, 1)
-	s.Orders().Configure(together.Configuration{Version: 1, Settings: settingsWith(t, `"connIdle":10000000000`, `"connIdle":20000000`)},
+	s.Orders().Configure(clusterapi.Configuration{Version: 1, Settings: settingsWith(t, `"connIdle":10000000000`, `"connIdle":20000000`)},
 		func(err error) { answer <- err })
 	if err := <-answer; err != nil {
 		t.Fatal(err)
--- a/internal/sender/configure_test.go
+++ b/internal/sender/configure_test.go
@@ -14,7 +14,7 @@
 
 	"flaxcove/internal/config"
 	"flaxcove/internal/directory"
-	"flaxcove/internal/sender/together"
+	"flaxcove/internal/sender/clusterapi"
 )
 
 // Tests of settings that change under a running sender.
@@ -60,7 +60,7 @@
 }
 
 // configure gives an order to change the settings, and returns the answer, which comes at the end of the turn.
-func (h *harness) configure(c together.Configuration) (answer error) {
+func (h *harness) configure(c clusterapi.Configuration) (answer error) {
 	answer = errors.New("no answer")
 	h.s.Orders().Configure(c, func(err error) { answer = err })
 	h.runNext()
@@ -78,11 +78,11 @@
 // that is in force is accepted and changes nothing.
 func TestConfigureRefuses(t *testing.T) {
 	h := startWith(loadedConfig(t, t.TempDir(), settingsWith(t), knownList(t)))
-	two := together.Configuration{Version: 2, Settings: settingsWith(t, `"maxOpen":100`, `"maxOpen":50`)}
+	two := clusterapi.Configuration{Version: 2, Settings: settingsWith(t, `"maxOpen":100`, `"maxOpen":50`)}
 	if err := h.configure(two); err != nil {
 		t.Fatal(err)
 	}
-	for want, c := range map[string]together.Configuration{
+	for want, c := range map[string]clusterapi.Configuration{
 		"version 1 is older than version 2":                 {Version: 1, Settings: settingsWith(t)},
 		"version 0 is older than version 2":                 {Settings: settingsWith(t)},
 		"version 2 is in force with other settings":         {Version: 2, Settings: settingsWith(t)},
@@ -104,7 +104,7 @@
 	if err := h.configure(two); err != nil {
 		t.Errorf("what is in force: %v", err)
 	}
-	if err := h.configure(together.Configuration{Version: 7, Settings: settingsWith(t)}); err != nil || h.s.cfg.Version != 7 {
+	if err := h.configure(clusterapi.Configuration{Version: 7, Settings: settingsWith(t)}); err != nil || h.s.cfg.Version != 7 {
 		t.Errorf("a later one: %v", err)
 	}
 }
@@ -119,7 +119,7 @@
 	if e := h.s.endpoints["a"]; e.zone >= 0 || e.kind != 0 {
 		t.Fatalf("what the settings don't name has numbers: %+v", e)
 	}
-	changed := together.Configuration{Version: 1, Settings: settingsWith(t, `"maxOpen":100`, `"maxOpen":1`, `"zones":["z"]`, `"zones":["z","new"]`,
+	changed := clusterapi.Configuration{Version: 1, Settings: settingsWith(t, `"maxOpen":100`, `"maxOpen":1`, `"zones":["z"]`, `"zones":["z","new"]`,
 		`"maxRetryAfter":2000000000`, `"maxRetryAfter":700000000`, `"machineTypes":["one","many"]`, `"machineTypes":["one","many","newer"]`,
 		`"bundleMax":[1,3]`, `"bundleMax":[1,5,7]`, classEnd, withNew, `"callsOut":8`, `"callsOut":300`)}
 	if err := h.configure(changed); err != nil {
@@ -144,7 +144,7 @@
 	if len(h.s.pending) != 1 {
 		t.Error("what was taken on is gone")
 	}
-	if err := h.configure(together.Configuration{Version: 2, Settings: settingsWith(t, classEnd, withNew,
+	if err := h.configure(clusterapi.Configuration{Version: 2, Settings: settingsWith(t, classEnd, withNew,
 		`"zones":["z"]`, `"zones":["z","new"]`, `"machineTypes":["one","many"]`, `"machineTypes":["one","many","newer"]`)}); err != nil {
 		t.Fatal(err)
 	}
@@ -162,7 +162,7 @@
 func TestRestartWithStoredVersion(t *testing.T) {
 	dir := t.TempDir()
 	own := loadedConfig(t, dir, settingsWith(t), knownList(t))
-	stored := together.Configuration{Version: 5, Settings: settingsWith(t, classEnd, withNew)}
+	stored := clusterapi.Configuration{Version: 5, Settings: settingsWith(t, classEnd, withNew)}
 	h := startWith(own)
 	if err := h.configure(stored); err != nil {
 		t.Fatal(err)
@@ -181,7 +181,7 @@
 	if again.s == nil || again.s.pending["owed"] == nil || again.s.pending["owed"].Class != 2 {
 		t.Fatal("what was owed is not")
 	}
-	if err := again.configure(together.Configuration{Version: 4, Settings: settingsWith(t, classEnd, withNew)}); err == nil {
+	if err := again.configure(clusterapi.Configuration{Version: 4, Settings: settingsWith(t, classEnd, withNew)}); err == nil {
 		t.Error("an older version is taken")
 	}
 	if err := again.configure(stored); err != nil {
--- a/internal/sender/digest.go
+++ b/internal/sender/digest.go
@@ -12,7 +12,7 @@
 
 	"flaxcove/choice"
 	"flaxcove/internal/config"
-	"flaxcove/internal/sender/together"
+	"flaxcove/internal/sender/clusterapi"
 )
 
 const (
@@ -39,8 +39,8 @@
 
 // digestState is the part of a Sender that holds the next digest.
 type digestState struct {
-	rows             map[destinationZone]*together.Row // since the last digest
-	submissions      map[submitter]uint64              // since the last digest
+	rows             map[destinationZone]*clusterapi.Row // since the last digest
+	submissions      map[submitter]uint64                // since the last digest
 	listings         map[destinationZone]*listing
 	firstZone        map[choice.DestinationID]string // the zone in whose row the waiting messages are counted
 	digests          uint64
@@ -51,7 +51,7 @@
 }
 
 func (d *digestState) init(s *Sender) {
-	d.rows, d.submissions, d.listChanged = map[destinationZone]*together.Row{}, map[submitter]uint64{}, true
+	d.rows, d.submissions, d.listChanged = map[destinationZone]*clusterapi.Row{}, map[submitter]uint64{}, true
 	d.includeClasses(s.cfg.Settings.Classes)
 	for _, m := range s.pending {
 		d.includeMessage(m, s.Now())
@@ -109,14 +109,14 @@
 }
 
 // row returns the row of a destination and zone, nil where the table is full.
-func (d *digestState) row(at destinationZone) *together.Row {
+func (d *digestState) row(at destinationZone) *clusterapi.Row {
 	r := d.rows[at]
 	if r == nil {
 		if len(d.rows) >= maxDigestRows {
 			d.leftOut++
 			return nil
 		}
-		r = &together.Row{Destination: at.destination, Zone: at.zone}
+		r = &clusterapi.Row{Destination: at.destination, Zone: at.zone}
 		d.rows[at] = r
 	}
 	return r
@@ -150,7 +150,7 @@
 	}
 	s.addDueRows()
 	s.addWaiting()
-	d := together.Digest{
+	d := clusterapi.Digest{
 		Longest: time.Duration(config.Nanoseconds(s.longestDeadline)),
 		Rows:    s.digestRows(s.cfg.Settings.Kinds),
 		Counts:  s.digestCounts(),
@@ -186,7 +186,7 @@
 }
 
 // digestRows are the rows with what the endpoint list says, in order.
-func (d *digestState) digestRows(kinds []choice.Kind) (rows []together.Row) {
+func (d *digestState) digestRows(kinds []choice.Kind) (rows []clusterapi.Row) {
 	for at, r := range d.rows {
 		if l := d.listings[at]; l != nil {
 			r.Kind, r.Endpoints, r.Rating = l.kind, len(l.endpoints), l.rating
@@ -194,18 +194,18 @@
 		}
 		rows = append(rows, *r)
 	}
-	slices.SortFunc(rows, func(a, b together.Row) int {
+	slices.SortFunc(rows, func(a, b clusterapi.Row) int {
 		return cmp.Or(cmp.Compare(a.Destination, b.Destination), strings.Compare(a.Zone, b.Zone))
 	})
 	return rows
 }
 
 // digestCounts are the counts of messages, in order.
-func (d *digestState) digestCounts() (counts []together.Count) {
+func (d *digestState) digestCounts() (counts []clusterapi.Count) {
 	for from, n := range d.submissions {
-		counts = append(counts, together.Count{Destination: from.destination, Client: from.host, Messages: n})
+		counts = append(counts, clusterapi.Count{Destination: from.destination, Client: from.host, Messages: n})
 	}
-	slices.SortFunc(counts, func(a, b together.Count) int {
+	slices.SortFunc(counts, func(a, b clusterapi.Count) int {
 		return cmp.Or(cmp.Compare(a.Destination, b.Destination), strings.Compare(a.Client, b.Client))
 	})
 	return counts
--- a/internal/sender/eviction.go
+++ b/internal/sender/eviction.go
@@ -11,7 +11,7 @@
 
 	"flaxcove/choice"
 	"flaxcove/internal/config"
-	"flaxcove/internal/sender/together"
+	"flaxcove/internal/sender/clusterapi"
 	"flaxcove/internal/sender/withdrawal"
 )
 
@@ -54,15 +54,15 @@
 }
 
 // holdings lists the destinations of which anything is held, by number.
-func (s *Sender) holdings() (all []together.Held) {
-	by := map[choice.DestinationID]*together.Held{}
+func (s *Sender) holdings() (all []clusterapi.Held) {
+	by := map[choice.DestinationID]*clusterapi.Held{}
 	for _, e := range s.endpoints {
 		if e.linkCount == 0 && !isKnown(s.choice.LearnedState(e.id)) {
 			continue
 		}
 		h := by[e.destination]
 		if h == nil {
-			h = &together.Held{Destination: e.destination}
+			h = &clusterapi.Held{Destination: e.destination}
 			h.Calls, h.InUse = s.learnedStore.Holds(e.destination)
 			by[e.destination] = h
 		}
@@ -151,7 +151,7 @@
 
 // learnedLessons are what was learned of some destinations, or of all if none is named, each with the age of the last
 // answer that it rests on.
-func (s *Sender) learnedLessons(of []choice.DestinationID) (all []together.LearnedEndpoint) {
+func (s *Sender) learnedLessons(of []choice.DestinationID) (all []clusterapi.LearnedEndpoint) {
 	now := s.Now()
 	which := inSet(of)
 	if len(of) == 0 {
@@ -167,14 +167,14 @@
 			answeredAt = now - config.RoundDown(int64(s.sinceStart()))
 		}
 		age := max(0, config.Nanoseconds(now-answeredAt))
-		all = append(all, together.LearnedEndpoint{Endpoint: e.id, LearnedState: l, Age: time.Duration(age)})
+		all = append(all, clusterapi.LearnedEndpoint{Endpoint: e.id, LearnedState: l, Age: time.Duration(age)})
 	}
 	return all
 }
 
 // adoptLessons takes over what others learned of endpoints of which nothing is known here. A wait is shorter by the
 // lesson's age.
-func (s *Sender) adoptLessons(lessons []together.LearnedEndpoint) {
+func (s *Sender) adoptLessons(lessons []clusterapi.LearnedEndpoint) {
 	for _, l := range lessons {
 		e := s.endpoints[l.Endpoint]
 		if e == nil || e.gone || !isPlausible(l.LearnedState) || l.Age < 0 || isKnown(s.choice.LearnedState(e.id)) {
--- a/internal/sender/learned_state_test.go
+++ b/internal/sender/learned_state_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"flaxcove/choice"
-	"flaxcove/internal/sender/together"
+	"flaxcove/internal/sender/clusterapi"
 )
 
 // A file of learned state that is broken, or not plausible, keeps no start from happening and no call from having its time:
@@ -74,9 +74,9 @@
 	m := &fakeLearnedStore{}
 	h.s.learnedStore = m
 	d := choice.DestinationID(1)
-	var found []together.Found
-	h.s.Orders().Purge([]together.Purge{{Seq: 1, LearnedState: true, Match: together.Match{Destination: &d}},
-		{Seq: 2, LearnedState: true, Match: together.Match{Class: "order"}}}, func(_ uint64, f []together.Found) { found = f })
+	var found []clusterapi.Found
+	h.s.Orders().Purge([]clusterapi.Purge{{Seq: 1, LearnedState: true, Match: clusterapi.Match{Destination: &d}},
+		{Seq: 2, LearnedState: true, Match: clusterapi.Match{Class: "order"}}}, func(_ uint64, f []clusterapi.Found) { found = f })
 	h.runNext().advance(5 * time.Millisecond)
 	if len(found) != 2 || found[0].LearnedState != 2 || found[1].LearnedState != 0 || len(m.voided) != 1 {
 		t.Errorf("found %+v, void %v", found, m.voided)
--- a/internal/sender/purge.go
+++ b/internal/sender/purge.go
@@ -18,7 +18,7 @@
 
 	"flaxcove/choice"
 	"flaxcove/internal/journal"
-	"flaxcove/internal/sender/together"
+	"flaxcove/internal/sender/clusterapi"
 	"flaxcove/internal/sender/withdrawal"
 )
 
@@ -44,8 +44,8 @@
 // purgeOrder is one call of Orders.Purge.
 type purgeOrder struct {
 	all   []withdrawal.Order
-	found []together.Found // of those that are applied
-	done  func(uint64, []together.Found)
+	found []clusterapi.Found // of those that are applied
+	done  func(uint64, []clusterapi.Found)
 }
 
 func (o *purgeOrder) complete() bool { return len(o.found) == len(o.all) }
@@ -53,11 +53,11 @@
 // appliedPurge is what is remembered of a purge.
 type appliedPurge struct {
 	seq   uint64
-	found together.Found
+	found clusterapi.Found
 }
 
 // purge queues purges for the next turns.
-func (s *Sender) purge(all []together.Purge, at choice.Time, done func(uint64, []together.Found)) {
+func (s *Sender) purge(all []clusterapi.Purge, at choice.Time, done func(uint64, []clusterapi.Found)) {
 	o := purgeOrder{done: done}
 	for _, p := range all {
 		o.all = append(o.all, withdrawal.Since(p, at))
@@ -109,7 +109,7 @@
 }
 
 // applyOnce applies a purge, unless that was done: then it is answered as it was.
-func (s *Sender) applyOnce(order *withdrawal.Order) (f together.Found, err error) {
+func (s *Sender) applyOnce(order *withdrawal.Order) (f clusterapi.Found, err error) {
 	if order.Seq <= s.seq {
 		if i := slices.IndexFunc(s.past, func(p appliedPurge) bool { return p.seq == order.Seq }); i >= 0 {
 			f = s.past[i].found
@@ -127,7 +127,7 @@
 	s.journal.Add(done.record())
 	s.counts.purges++
 	level := zap.DebugLevel // a process that was away for long applies thousands
-	if f != (together.Found{}) {
+	if f != (clusterapi.Found{}) {
 		level = zap.InfoLevel
 	}
 	s.log.Log(level, "purge", zap.Uint64("seq", order.Seq), zap.String("id", order.ID), zap.Bool("learnt", order.LearnedState),
@@ -136,7 +136,7 @@
 }
 
 // withdrawMatching withdraws the messages that a purge matches, in the order they were accepted.
-func (s *Sender) withdrawMatching(order *withdrawal.Order, found *together.Found) {
+func (s *Sender) withdrawMatching(order *withdrawal.Order, found *clusterapi.Found) {
 	for _, list := range [][]*message{s.accepted, s.admitted} {
 		for _, m := range list {
 			if order.Matches(m.Destination, m.className, m.key, m.acceptedAt) {
--- a/internal/sender/purge_sockets_test.go
+++ b/internal/sender/purge_sockets_test.go
@@ -13,7 +13,7 @@
 	"go.uber.org/zap"
 
 	"flaxcove/choice"
-	"flaxcove/internal/sender/together"
+	"flaxcove/internal/sender/clusterapi"
 )
 
 // recordingCluster keeps what a sender hands over, under a lock, as the loop calls it while the test looks.
@@ -25,7 +25,7 @@
 	digests  int
 }
 
-func (l *recordingCluster) Digest(d together.Digest) {
+func (l *recordingCluster) Digest(d clusterapi.Digest) {
 	l.Lock()
 	defer l.Unlock()
 	l.digests++
@@ -36,7 +36,7 @@
 		l.sent, l.done = l.sent+r.Sent, l.done+r.Done
 	}
 }
-func (l *recordingCluster) Guide() together.Guide       { return nil }
+func (l *recordingCluster) Guide() clusterapi.Guide     { return nil }
 func (l *recordingCluster) Woke(_ choice.DestinationID) {}
 
 // purgeRun is a sender on sockets whose messages are purged, with the fakeServer that receives them.
@@ -99,10 +99,10 @@
 	}
 }
 
-func (r *purgeRun) purge(seq uint64) together.Found {
-	answer := make(chan together.Found, 1)
-	all := []together.Purge{{Seq: seq, Match: together.Match{Key: "key"}}}
-	r.s.Orders().Purge(all, func(_ uint64, f []together.Found) { answer <- f[0] })
+func (r *purgeRun) purge(seq uint64) clusterapi.Found {
+	answer := make(chan clusterapi.Found, 1)
+	all := []clusterapi.Purge{{Seq: seq, Match: clusterapi.Match{Key: "key"}}}
+	r.s.Orders().Purge(all, func(_ uint64, f []clusterapi.Found) { answer <- f[0] })
 	return <-answer
 }
 
@@ -119,8 +119,8 @@
 		others.Go(func() {
 			for range 20 {
 				answer := make(chan int, 2)
-				r.s.Orders().Holding(func(all []together.Held) { answer <- len(all) })
-				r.s.Orders().Know(nil, func(all []together.LearnedEndpoint) { answer <- len(all) })
+				r.s.Orders().Holding(func(all []clusterapi.Held) { answer <- len(all) })
+				r.s.Orders().Know(nil, func(all []clusterapi.LearnedEndpoint) { answer <- len(all) })
 				<-answer
 				<-answer
 			}
--- a/internal/sender/purge_test.go
+++ b/internal/sender/purge_test.go
@@ -7,12 +7,12 @@
 	"testing"
 	"time"
 
-	"flaxcove/internal/sender/together"
+	"flaxcove/internal/sender/clusterapi"
 )
 
 // purge orders a purge and prints what was found, once it is answered.
-func (h *harness) purge(age time.Duration, seq uint64, m together.Match) *harness {
-	h.s.Orders().Purge([]together.Purge{{Seq: seq, Match: m, Age: age}}, func(applied uint64, found []together.Found) {
+func (h *harness) purge(age time.Duration, seq uint64, m clusterapi.Match) *harness {
+	h.s.Orders().Purge([]clusterapi.Purge{{Seq: seq, Match: m, Age: age}}, func(applied uint64, found []clusterapi.Found) {
 		fmt.Printf("applied %d: %+v\n", applied, found)
 	})
 	return h.runNext()
@@ -26,11 +26,11 @@
 	h.submit("OUT.ADD 0 o1 c=order,d=20000,dest=2 x", "OUT.ADD 0 s1 c=status,d=6000,dest=2 x",
 		"OUT.ADD 0 nobody c=order,d=20000,dest=9 x")
 	h.submit("OUT.ADD 0 later c=order,d=20000,dest=9 x")
-	h.purge(7*time.Millisecond, 3, together.Match{Class: "order"}).advance(5 * time.Millisecond)
+	h.purge(7*time.Millisecond, 3, clusterapi.Match{Class: "order"}).advance(5 * time.Millisecond)
 	c := h.calls[0]
-	h.purge(0, 4, together.Match{Class: "status"}).advance(5 * time.Millisecond)
+	h.purge(0, 4, clusterapi.Match{Class: "status"}).advance(5 * time.Millisecond)
 	fmt.Println("the call is over:", c.done, "timers:", len(h.s.timers))
-	h.purge(time.Hour, 5, together.Match{}).advance(5 * time.Millisecond).printPending()
+	h.purge(time.Hour, 5, clusterapi.Match{}).advance(5 * time.Millisecond).printPending()
 	os.RemoveAll(h.dir)
 	// Output:
 	// call b: POST /inbox/bulk
@@ -64,18 +64,18 @@
 	for _, c := range []struct {
 		stands, before, after string
 		dest                  int
-		found                 together.Found
+		found                 clusterapi.Found
 		reported              string
 	}{
-		{stands: "waits for an endpoint", dest: 9, found: together.Found{NotBegun: 1}, reported: "given_up"},
-		{stands: "waits for its connection", found: together.Found{NotBegun: 1}, reported: "given_up"},
-		{stands: "waits after a refusal", before: answerFull, found: together.Found{NotBegun: 1}, reported: "given_up"},
-		{stands: "waits after an error", before: answerError, found: together.Found{MayRun: 1}, reported: "given_up"},
-		{stands: "out, then done", after: answerOK, found: together.Found{MayRun: 1}},
-		{stands: "out, then refused", after: answerFull, found: together.Found{MayRun: 1}, reported: "given_up"},
-		{stands: "out, then an error", after: answerError, found: together.Found{MayRun: 1}, reported: "given_up"},
-		{stands: "out, then killed", after: "kill", found: together.Found{MayRun: 1}, reported: "given_up"},
-		{stands: "done", before: answerOK, found: together.Found{Delivered: 1}},
+		{stands: "waits for an endpoint", dest: 9, found: clusterapi.Found{NotBegun: 1}, reported: "given_up"},
+		{stands: "waits for its connection", found: clusterapi.Found{NotBegun: 1}, reported: "given_up"},
+		{stands: "waits after a refusal", before: answerFull, found: clusterapi.Found{NotBegun: 1}, reported: "given_up"},
+		{stands: "waits after an error", before: answerError, found: clusterapi.Found{MayRun: 1}, reported: "given_up"},
+		{stands: "out, then done", after: answerOK, found: clusterapi.Found{MayRun: 1}},
+		{stands: "out, then refused", after: answerFull, found: clusterapi.Found{MayRun: 1}, reported: "given_up"},
+		{stands: "out, then an error", after: answerError, found: clusterapi.Found{MayRun: 1}, reported: "given_up"},
+		{stands: "out, then killed", after: "kill", found: clusterapi.Found{MayRun: 1}, reported: "given_up"},
+		{stands: "done", before: answerOK, found: clusterapi.Found{Delivered: 1}},
 	} {
 		posted := ""
 		watch := func(h *harness) *harness {
@@ -93,9 +93,9 @@
 		} else if c.after != "" {
 			h.calls[0].link = &link{sender: h.s, endpoint: h.calls[0].endpoint}
 		}
-		var found []together.Found
-		h.s.Orders().Purge([]together.Purge{{Seq: 1, Match: together.Match{KeyPrefix: "0"}}},
-			func(_ uint64, f []together.Found) { found = f })
+		var found []clusterapi.Found
+		h.s.Orders().Purge([]clusterapi.Purge{{Seq: 1, Match: clusterapi.Match{KeyPrefix: "0"}}},
+			func(_ uint64, f []clusterapi.Found) { found = f })
 		h.runNext().advance(5 * time.Millisecond)
 		if c.after == "kill" {
 			h = watch(start(h.dir, 100))
@@ -126,7 +126,7 @@
 	for _, c := range h.calls {
 		c.link = &link{sender: h.s, endpoint: c.endpoint}
 	}
-	h.purge(0, 1, together.Match{Key: "k"}).purge(0, 2, together.Match{Class: "change"}).advance(5 * time.Millisecond)
+	h.purge(0, 1, clusterapi.Match{Key: "k"}).purge(0, 2, clusterapi.Match{Class: "change"}).advance(5 * time.Millisecond)
 	h.submit("OUT.ADD k new c=change,d=20000,dest=1 x")
 	for len(h.calls) > 0 {
 		h.endpointAnswers(answerOK)
@@ -165,7 +165,7 @@
 	h.joinCluster(Joining{})
 	c := newClient()
 	h.handle(c, "OUT.ADD 0 id c=order,d=20000,dest=1 x")
-	h.purge(0, 1, together.Match{Key: "0"}).advance(5 * time.Millisecond).printPending()
+	h.purge(0, 1, clusterapi.Match{Key: "0"}).advance(5 * time.Millisecond).printPending()
 	fmt.Printf("client: %q, calls: %d\n", c.output, len(h.calls))
 	start(h.dir, 100).printPending()
 	os.RemoveAll(h.dir)
@@ -184,7 +184,7 @@
 	h.joinCluster(Joining{})
 	h.platformUp = false
 	h.submit("OUT.ADD 0 old c=order,d=20000,dest=9 x")
-	h.purge(0, 7, together.Match{Class: "order"}).advance(100 * time.Millisecond)
+	h.purge(0, 7, clusterapi.Match{Class: "order"}).advance(100 * time.Millisecond)
 	h.submit("OUT.ADD 0 new c=order,d=900000,dest=9 x")
 	takenAt := h.s.pending["new"].acceptedAt
 	again := func(at time.Duration) {
@@ -198,16 +198,16 @@
 	}
 	again(2 * time.Minute)
 	fmt.Println("applied:", h.s.Orders().Applied(), "taken on then:", h.s.pending["new"].acceptedAt == takenAt)
-	h.purge(0, 7, together.Match{Class: "order"}).advance(5 * time.Millisecond).printPending()
+	h.purge(0, 7, clusterapi.Match{Class: "order"}).advance(5 * time.Millisecond).printPending()
 	rewrite()
 	again(2 * time.Minute)
-	h.purge(time.Minute, 8, together.Match{Class: "order"}).advance(5 * time.Millisecond).printPending()
+	h.purge(time.Minute, 8, clusterapi.Match{Class: "order"}).advance(5 * time.Millisecond).printPending()
 	again(time.Minute)
 	fmt.Println("the wall clock was put back:", h.s.pending["new"].acceptedAt == h.s.Now())
 	h.s.pending["new"].acceptedAt = 0
 	rewrite()
 	again(2 * time.Minute)
-	h.purge(time.Hour, 9, together.Match{Class: "order"}).advance(5 * time.Millisecond).printPending()
+	h.purge(time.Hour, 9, clusterapi.Match{Class: "order"}).advance(5 * time.Millisecond).printPending()
 	os.RemoveAll(h.dir)
 	// Output:
 	// client: +OK
@@ -241,12 +241,12 @@
 	for i := range 100 {
 		h.submit(fmt.Sprintf("OUT.ADD key-%d n%d c=order,d=20000,dest=9 x", i*100, i))
 	}
-	var all []together.Purge
+	var all []clusterapi.Purge
 	for i := range many {
-		all = append(all, together.Purge{Seq: uint64(i + 1), Match: together.Match{Key: fmt.Sprintf("key-%d", i)}})
+		all = append(all, clusterapi.Purge{Seq: uint64(i + 1), Match: clusterapi.Match{Key: fmt.Sprintf("key-%d", i)}})
 	}
-	ask := func(all []together.Purge) (found []together.Found, turns int) {
-		h.s.Orders().Purge(all, func(_ uint64, f []together.Found) { found = f })
+	ask := func(all []clusterapi.Purge) (found []clusterapi.Found, turns int) {
+		h.s.Orders().Purge(all, func(_ uint64, f []clusterapi.Found) { found = f })
 		for h.runNext(); found == nil; turns++ {
 			if h.advance(5 * time.Millisecond); turns > many {
 				t.Fatal("never answered")
@@ -256,7 +256,7 @@
 	}
 	found, turns := ask(all)
 	for i, f := range found {
-		if want := (together.Found{NotBegun: map[bool]int{true: 1}[i%100 == 0]}); f != want {
+		if want := (clusterapi.Found{NotBegun: map[bool]int{true: 1}[i%100 == 0]}); f != want {
 			t.Fatalf("purge %d found %+v", i, f)
 		}
 	}
--- a/internal/sender/storeddata_test.go
+++ b/internal/sender/storeddata_test.go
@@ -13,7 +13,7 @@
 
 	"flaxcove/choice"
 	"flaxcove/internal/journal"
-	"flaxcove/internal/sender/together"
+	"flaxcove/internal/sender/clusterapi"
 )
 
 // storedEnding is how a message ends, by the byte in its record.
@@ -44,7 +44,7 @@
 	Messages     []storedMessage
 	EndingsOwed  int
 	Ended        bool // the id of the message that is over is known again
-	Purges       map[uint64]together.Found
+	Purges       map[uint64]clusterapi.Found
 	HighestPurge uint64
 	Learned      choice.LearnedState // of an endpoint that is listed; its wait has run on
 	Unlisted     choice.LearnedState // of one that is not
@@ -65,7 +65,7 @@
 func readStart(s *Sender) storedStart {
 	unlisted := s.learned["unlisted"]
 	_, ended := s.admission.recentlyEnded["over"]
-	start := storedStart{EndingsOwed: len(s.endings), Ended: ended, Purges: map[uint64]together.Found{}, HighestPurge: s.applied.Load(),
+	start := storedStart{EndingsOwed: len(s.endings), Ended: ended, Purges: map[uint64]clusterapi.Found{}, HighestPurge: s.applied.Load(),
 		Learned: s.choice.LearnedState("a"), Unlisted: unlisted.LearnedState, UnlistedAt: unlisted.Addr,
 		UnlistedOf: unlisted.Destination, LearnedAt: sinceDay(s.learnedAt)}
 	for _, n := range s.accepted {
@@ -106,7 +106,7 @@
 		},
 		EndingsOwed:  5,
 		Ended:        true,
-		Purges:       map[uint64]together.Found{3: {NotBegun: 1, MayRun: 2, Delivered: 3, LearnedState: 4}, 9: {}},
+		Purges:       map[uint64]clusterapi.Found{3: {NotBegun: 1, MayRun: 2, Delivered: 3, LearnedState: 4}, 9: {}},
 		HighestPurge: 9,
 		Learned:      choice.LearnedState{Mean: 900, Dev: 300, Past: 950, Seen: 9, Limit: 7, Wait: 4 * second},
 		Unlisted:     choice.LearnedState{Mean: 1.5, Dev: 0.5, Past: 2.5, Seen: 3, Limit: 0.25, Wait: 4},
--- a/internal/sender/withdrawal/withdrawal.go
+++ b/internal/sender/withdrawal/withdrawal.go
@@ -11,12 +11,12 @@
 
 	"flaxcove/choice"
 	"flaxcove/internal/config"
-	"flaxcove/internal/sender/together"
+	"flaxcove/internal/sender/clusterapi"
 )
 
 // Order is a purge as one process applies it: what was accepted after Cut is not touched.
 type Order struct {
-	together.Purge
+	clusterapi.Purge
 	Cut choice.Time
 }
 
@@ -24,7 +24,7 @@
 //
 // An age is a lower bound of the true one (the time on the way is not in it), and it is rounded towards a later cut. So all
 // that was there at the commit is matched; what came while the purge was on its way may be matched too.
-func Since(p together.Purge, at choice.Time) Order {
+func Since(p clusterapi.Purge, at choice.Time) Order {
 	age := max(0, p.Age)
 	return Order{Purge: p, Cut: at - config.RoundDown(age.Nanoseconds())}
 }
@@ -37,8 +37,8 @@
 
 // matches reports whether a match names a message with these properties. Fields that are set must all agree. An empty
 // match names nothing: withdrawing everything by an empty form would be a mistake, and no ledger takes one.
-func matches(m *together.Match, d choice.DestinationID, class, key string) bool {
-	if *m == (together.Match{}) {
+func matches(m *clusterapi.Match, d choice.DestinationID, class, key string) bool {
+	if *m == (clusterapi.Match{}) {
 		return false
 	}
 	return (m.Destination == nil || *m.Destination == d) &&
@@ -94,7 +94,7 @@
 }
 
 // Add counts a fate in what a purge found. A message is withdrawn once: a second purge that matches it finds it Withdrawn.
-func (f Fate) Add(found *together.Found) {
+func (f Fate) Add(found *clusterapi.Found) {
 	switch f {
 	case End:
 		found.NotBegun++
--- a/internal/sender/withdrawal/withdrawal_test.go
+++ b/internal/sender/withdrawal/withdrawal_test.go
@@ -5,27 +5,27 @@
 	"time"
 
 	"flaxcove/choice"
-	"flaxcove/internal/sender/together"
+	"flaxcove/internal/sender/clusterapi"
 )
 
 func TestTakes(t *testing.T) {
 	five := choice.DestinationID(5)
 	for _, c := range []struct {
 		name string
-		m    together.Match
+		m    clusterapi.Match
 		want bool
 	}{
-		{"empty names nothing", together.Match{}, false},
-		{"destination", together.Match{Destination: &five}, true},
-		{"workload", together.Match{Class: "orders"}, true},
-		{"other workload", together.Match{Destination: &five, Class: "mail"}, false},
-		{"key", together.Match{Key: "order-17"}, true},
-		{"key is whole", together.Match{Key: "order-1"}, false},
-		{"prefix", together.Match{KeyPrefix: "order-1"}, true},
-		{"other prefix", together.Match{KeyPrefix: "order-2"}, false},
-		{"all", together.Match{Destination: &five, Class: "orders", Key: "order-17", KeyPrefix: "order"}, true},
+		{"empty names nothing", clusterapi.Match{}, false},
+		{"destination", clusterapi.Match{Destination: &five}, true},
+		{"workload", clusterapi.Match{Class: "orders"}, true},
+		{"other workload", clusterapi.Match{Destination: &five, Class: "mail"}, false},
+		{"key", clusterapi.Match{Key: "order-17"}, true},
+		{"key is whole", clusterapi.Match{Key: "order-1"}, false},
+		{"prefix", clusterapi.Match{KeyPrefix: "order-1"}, true},
+		{"other prefix", clusterapi.Match{KeyPrefix: "order-2"}, false},
+		{"all", clusterapi.Match{Destination: &five, Class: "orders", Key: "order-17", KeyPrefix: "order"}, true},
 	} {
-		order := Order{Purge: together.Purge{Match: c.m}}
+		order := Order{Purge: clusterapi.Purge{Match: c.m}}
 		if got := order.Matches(5, "orders", "order-17", 0); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
 		}
@@ -33,22 +33,22 @@
 			t.Errorf("%s: a purge of what was learnt takes no message", c.name)
 		}
 	}
-	forgets := func(m together.Match, d choice.DestinationID) bool {
-		return (&Order{Purge: together.Purge{Match: m, LearnedState: true}}).DropsLearned(d)
+	forgets := func(m clusterapi.Match, d choice.DestinationID) bool {
+		return (&Order{Purge: clusterapi.Purge{Match: m, LearnedState: true}}).DropsLearned(d)
 	}
-	if !forgets(together.Match{Destination: &five}, 5) || forgets(together.Match{Destination: &five}, 6) ||
-		forgets(together.Match{Destination: &five, Key: "k"}, 5) || forgets(together.Match{Class: "orders"}, 5) {
+	if !forgets(clusterapi.Match{Destination: &five}, 5) || forgets(clusterapi.Match{Destination: &five}, 6) ||
+		forgets(clusterapi.Match{Destination: &five, Key: "k"}, 5) || forgets(clusterapi.Match{Class: "orders"}, 5) {
 		t.Error("what was learnt is named by its destination alone")
 	}
-	if (&Order{Purge: together.Purge{Match: together.Match{Destination: &five}}}).DropsLearned(5) {
+	if (&Order{Purge: clusterapi.Purge{Match: clusterapi.Match{Destination: &five}}}).DropsLearned(5) {
 		t.Error("a purge of messages forgets nothing")
 	}
 }
 
 // Two purges overlap: each message gets one final answer, and none is counted as withdrawn twice.
 func TestOverlap(t *testing.T) {
-	var first, second together.Found
-	order := Order{Purge: together.Purge{Match: together.Match{Key: "k"}}, Cut: 10}
+	var first, second clusterapi.Found
+	order := Order{Purge: clusterapi.Purge{Match: clusterapi.Match{Key: "k"}}, Cut: 10}
 	fate := func(s State, takenAt choice.Time) Fate {
 		if !order.Matches(5, "orders", "k", takenAt) {
 			return Untouched
@@ -63,10 +63,10 @@
 			t.Errorf("state %d taken on after the purge: %d", s, f)
 		}
 	}
-	if first != (together.Found{NotBegun: 1, MayRun: 2, Delivered: 2}) {
+	if first != (clusterapi.Found{NotBegun: 1, MayRun: 2, Delivered: 2}) {
 		t.Errorf("first: %+v", first)
 	}
-	if second != (together.Found{MayRun: 1, Delivered: 2}) {
+	if second != (clusterapi.Found{MayRun: 1, Delivered: 2}) {
 		t.Errorf("second: %+v", second)
 	}
 }
@@ -75,7 +75,7 @@
 	const tick = 100 * time.Microsecond // of choice.Time
 	before := func(held, age time.Duration) bool {
 		now := time.Hour
-		order := Since(together.Purge{Match: together.Match{Key: "k"}, Age: age}, choice.Time(now/tick))
+		order := Since(clusterapi.Purge{Match: clusterapi.Match{Key: "k"}, Age: age}, choice.Time(now/tick))
 		return order.Matches(5, "orders", "k", choice.Time((now-held)/tick))
 	}
 	if !before(3*time.Second, 2*time.Second) || before(time.Second, 2*time.Second) || !before(0, -time.Second) {
--- a/lab/cluster/size/sender.go
+++ b/lab/cluster/size/sender.go
@@ -10,7 +10,7 @@
 	"flaxcove/internal/cluster/failover/apply"
 	"flaxcove/internal/cluster/healthreport"
 	"flaxcove/internal/cluster/view"
-	"flaxcove/internal/sender/together"
+	"flaxcove/internal/sender/clusterapi"
 	"flaxcove/lab/sim"
 )
 
@@ -31,8 +31,8 @@
 	open    map[choice.MessageID]choice.Message
 	entries map[choice.EndpointID]*entry
 	byDest  map[choice.DestinationID][]*entry
-	escape  bool                                    // where no plan says otherwise, past a home that this sender sees fail
-	seen    map[healthreport.Locality]*together.Row // since the last digest
+	escape  bool                                      // where no plan says otherwise, past a home that this sender sees fail
+	seen    map[healthreport.Locality]*clusterapi.Row // since the last digest
 	listed  map[healthreport.Locality]*listing
 	changed bool
 	digests uint64
@@ -53,7 +53,7 @@
 
 func newCountingSender(h choice.Host, set choice.Settings, g *values) *countingSender {
 	c := &countingSender{Host: h, zone: set.Zone, set: set, values: g, open: map[choice.MessageID]choice.Message{},
-		entries: map[choice.EndpointID]*entry{}, byDest: map[choice.DestinationID][]*entry{}, seen: map[healthreport.Locality]*together.Row{}, listed: map[healthreport.Locality]*listing{}}
+		entries: map[choice.EndpointID]*entry{}, byDest: map[choice.DestinationID][]*entry{}, seen: map[healthreport.Locality]*clusterapi.Row{}, listed: map[healthreport.Locality]*listing{}}
 	for i, w := range set.Classes {
 		if i == 0 || w.LatencyObjective < c.shortest {
 			c.shortest = w.LatencyObjective
@@ -181,17 +181,17 @@
 	return healthreport.Locality{Destination: e.Destination, Zone: zoneName(int(e.Zone))}
 }
 
-func (c *countingSender) row(at healthreport.Locality) *together.Row {
+func (c *countingSender) row(at healthreport.Locality) *clusterapi.Row {
 	r := c.seen[at]
 	if r == nil {
-		r = &together.Row{Destination: at.Destination, Zone: string(at.Zone)}
+		r = &clusterapi.Row{Destination: at.Destination, Zone: string(at.Zone)}
 		c.seen[at] = r
 	}
 	return r
 }
 
 // digest returns what was counted since the last digest. It leaves waiting messages out, which failover does not use.
-func (c *countingSender) digest() together.Digest {
+func (c *countingSender) digest() clusterapi.Digest {
 	if c.changed {
 		c.readList()
 	}
@@ -201,14 +201,14 @@
 			c.row(at)
 		}
 	}
-	var d together.Digest
+	var d clusterapi.Digest
 	for at, r := range c.seen {
 		if l := c.listed[at]; l != nil {
 			r.Kind, r.Endpoints, r.Rating, r.Limit = l.kind, len(l.ends), l.rating, l.limit(c.set.Kinds)
 		}
 		d.Rows = append(d.Rows, *r)
 	}
-	slices.SortFunc(d.Rows, func(a, b together.Row) int {
+	slices.SortFunc(d.Rows, func(a, b clusterapi.Row) int {
 		return cmp.Or(cmp.Compare(a.Destination, b.Destination), cmp.Compare(a.Zone, b.Zone))
 	})
 	clear(c.seen)
--- a/lab/scale/hollow/hollow_test.go
+++ b/lab/scale/hollow/hollow_test.go
@@ -4,7 +4,7 @@
 	"math"
 	"testing"
 
-	"flaxcove/internal/sender/together"
+	"flaxcove/internal/sender/clusterapi"
 
 	"flaxcove/choice"
 )
@@ -72,7 +72,7 @@
 	clock := func() float64 { return 0 }
 	first := New(load, 0, 1, 0, clock, func(int) bool { return false })
 	applied := make(chan uint64, 1)
-	first.Purge([]together.Purge{{Seq: 3}}, func(seq uint64, _ []together.Found) { applied <- seq })
+	first.Purge([]clusterapi.Purge{{Seq: 3}}, func(seq uint64, _ []clusterapi.Found) { applied <- seq })
 	if seq := <-applied; seq != 3 {
 		t.Fatalf("applied up to %d", seq)
 	}
--- a/lab/scale/hollow/load.go
+++ b/lab/scale/hollow/load.go
@@ -10,7 +10,7 @@
 	"math/rand/v2"
 
 	"flaxcove/choice"
-	"flaxcove/internal/sender/together"
+	"flaxcove/internal/sender/clusterapi"
 	"flaxcove/lab/scale/fleet"
 )
 
@@ -91,12 +91,12 @@
 }
 
 // digest is the sender's digest at a time of the run; fallen reports whether a zone's endpoints do not answer.
-func (s *observations) digest(seconds float64, fallen func(zone int) bool) together.Digest {
-	rows := map[place]*together.Row{}
-	row := func(at place) *together.Row {
+func (s *observations) digest(seconds float64, fallen func(zone int) bool) clusterapi.Digest {
+	rows := map[place]*clusterapi.Row{}
+	row := func(at place) *clusterapi.Row {
 		r := rows[at]
 		if r == nil {
-			r = &together.Row{Destination: at.destination, Zone: string(fleet.ZoneName(at.zone)), Endpoints: 1, Rating: rating}
+			r = &clusterapi.Row{Destination: at.destination, Zone: string(fleet.ZoneName(at.zone)), Endpoints: 1, Rating: rating}
 			rows[at] = r
 		}
 		return r
@@ -115,7 +115,7 @@
 		}
 		row(place{d, s.load.zoneOf(d, 0)}).Waiting = n
 	}
-	d := together.Digest{Rows: make([]together.Row, 0, len(rows))}
+	d := clusterapi.Digest{Rows: make([]clusterapi.Row, 0, len(rows))}
 	for _, r := range rows {
 		d.Rows = append(d.Rows, *r)
 	}
@@ -129,7 +129,7 @@
 }
 
 // message draws one message, which is sent or waits.
-func (s *observations) message(seconds float64, fallen func(zone int) bool, row func(place) *together.Row) {
+func (s *observations) message(seconds float64, fallen func(zone int) bool, row func(place) *clusterapi.Row) {
 	d := choice.DestinationID(s.chance.IntN(s.load.Destinations))
 	down := s.load.DownAt(d, seconds)
 	if down && s.chance.Float64() >= probeShare {
--- a/lab/scale/hollow/sender.go
+++ b/lab/scale/hollow/sender.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"flaxcove/choice"
-	"flaxcove/internal/sender/together"
+	"flaxcove/internal/sender/clusterapi"
 )
 
 // Clock is the time of the run in seconds, the same in all its processes.
@@ -36,7 +36,7 @@
 }
 
 // Run reports digests to a cluster until ctx ends.
-func (s *Sender) Run(ctx context.Context, to together.Cluster) {
+func (s *Sender) Run(ctx context.Context, to clusterapi.Cluster) {
 	every := time.NewTicker(time.Second / digestsPerSecond)
 	defer every.Stop()
 	for {
@@ -58,7 +58,7 @@
 }
 
 // Purge applies purges at once: there are no messages that could be purged.
-func (s *Sender) Purge(all []together.Purge, done func(uint64, []together.Found)) {
+func (s *Sender) Purge(all []clusterapi.Purge, done func(uint64, []clusterapi.Found)) {
 	now := time.Now()
 	s.mu.Lock()
 	for _, p := range all {
@@ -68,11 +68,11 @@
 		s.applied.Store(max(s.applied.Load(), p.Seq))
 	}
 	s.mu.Unlock()
-	go done(s.applied.Load(), make([]together.Found, len(all)))
+	go done(s.applied.Load(), make([]clusterapi.Found, len(all)))
 }
 
 // Configure puts a configuration in force at once, unless a newer one is in force.
-func (s *Sender) Configure(c together.Configuration, done func(error)) {
+func (s *Sender) Configure(c clusterapi.Configuration, done func(error)) {
 	s.mu.Lock()
 	var err error
 	if c.Version < s.version {
@@ -105,10 +105,12 @@
 func (s *Sender) Evict(_ []choice.DestinationID, done func([]choice.DestinationID)) { go done(nil) }
 
 // Holding reports no state.
-func (s *Sender) Holding(done func([]together.Held)) { go done(nil) }
+func (s *Sender) Holding(done func([]clusterapi.Held)) { go done(nil) }
 
 // Teach ignores learned state.
-func (s *Sender) Teach([]together.LearnedEndpoint) {}
+func (s *Sender) Teach([]clusterapi.LearnedEndpoint) {}
 
 // Know returns no learned state.
-func (s *Sender) Know(_ []choice.DestinationID, done func([]together.LearnedEndpoint)) { go done(nil) }
+func (s *Sender) Know(_ []choice.DestinationID, done func([]clusterapi.LearnedEndpoint)) {
+	go done(nil)
+}
