--- a/internal/cluster/failover/weigh/weigh_test.go
+++ b/internal/cluster/failover/assess/assess_test.go
@@ -1,4 +1,4 @@
-package weigh_test
+package assess_test
 
 import (
 	"fmt"
@@ -6,12 +6,12 @@
 	"time"
 
 	"flaxcove/choice"
-	"flaxcove/internal/cluster/failover/weigh"
+	"flaxcove/internal/cluster/failover/assess"
 	"flaxcove/internal/cluster/healthreport"
 	"flaxcove/internal/cluster/view"
 )
 
-var defaultBounds = weigh.DefaultBounds()
+var defaultBounds = assess.DefaultBounds()
 
 // sighting is what a witness of a zone saw of a destination's place in the last second.
 func sighting(from view.Zone, w int, d choice.DestinationID, z view.Zone, done, failed float64) healthreport.Sample {
@@ -22,13 +22,13 @@
 
 // statesOf judges sightings of all zones and returns the states by "destination zone", and by "destination zone<from"
 // as a zone sees it.
-func statesOf(all ...healthreport.Sample) map[string]weigh.State {
-	var reports []weigh.Report
+func statesOf(all ...healthreport.Sample) map[string]assess.State {
+	var reports []assess.Report
 	for _, from := range []view.Zone{"a", "b", "c"} {
-		reports = append(reports, weigh.SummarizeZone(from, all, defaultBounds)...)
+		reports = append(reports, assess.SummarizeZone(from, all, defaultBounds)...)
 	}
-	states := map[string]weigh.State{}
-	for _, s := range weigh.Judge(reports, defaultBounds) {
+	states := map[string]assess.State{}
+	for _, s := range assess.Judge(reports, defaultBounds) {
 		key := fmt.Sprint(s.Destination, s.Zone)
 		states[key] = s.State
 		for _, p := range s.ByZone {
@@ -39,7 +39,7 @@
 }
 
 // expectStates fails where a place is not in the wanted state.
-func expectStates(t *testing.T, got map[string]weigh.State, want map[string]weigh.State) {
+func expectStates(t *testing.T, got map[string]assess.State, want map[string]assess.State) {
 	t.Helper()
 	for k, w := range want {
 		if got[k] != w {
@@ -50,30 +50,30 @@
 
 func TestAllWitnessesOfTheOwnZone(t *testing.T) {
 	expectStates(t, statesOf(sighting("a", 1, 1, "a", 0, 9), sighting("a", 2, 1, "a", 0, 9)),
-		map[string]weigh.State{"1a": weigh.Failing, "1a<a": weigh.Failing})
+		map[string]assess.State{"1a": assess.Failing, "1a<a": assess.Failing})
 }
 
 func TestTwoZonesAgree(t *testing.T) {
-	expectStates(t, statesOf(sighting("b", 1, 1, "a", 0, 9), sighting("c", 1, 1, "a", 0, 9)), map[string]weigh.State{"1a": weigh.Failing})
-	expectStates(t, statesOf(sighting("b", 1, 1, "a", 0, 9)), map[string]weigh.State{"1a": weigh.Unknown, "1a<b": weigh.Failing})
+	expectStates(t, statesOf(sighting("b", 1, 1, "a", 0, 9), sighting("c", 1, 1, "a", 0, 9)), map[string]assess.State{"1a": assess.Failing})
+	expectStates(t, statesOf(sighting("b", 1, 1, "a", 0, 9)), map[string]assess.State{"1a": assess.Unknown, "1a<b": assess.Failing})
 }
 
 func TestOneFaultySenderMovesNothing(t *testing.T) {
 	got := statesOf(sighting("a", 1, 1, "a", 0, 30), sighting("a", 1, 2, "a", 0, 30), sighting("a", 2, 1, "a", 9, 0),
 		sighting("a", 3, 2, "a", 9, 0))
-	expectStates(t, got, map[string]weigh.State{"1a": weigh.Healthy, "2a": weigh.Healthy, "1a<a": weigh.Healthy})
+	expectStates(t, got, map[string]assess.State{"1a": assess.Healthy, "2a": assess.Healthy, "1a<a": assess.Healthy})
 }
 
 func TestFailingLinkConcernsOneZone(t *testing.T) {
 	got := statesOf(sighting("b", 1, 1, "a", 0, 9), sighting("b", 2, 1, "a", 0, 9), sighting("a", 1, 1, "a", 9, 0),
 		sighting("c", 1, 1, "a", 9, 0))
-	expectStates(t, got, map[string]weigh.State{"1a": weigh.Healthy, "1a<b": weigh.Failing, "1a<c": weigh.Healthy})
+	expectStates(t, got, map[string]assess.State{"1a": assess.Healthy, "1a<b": assess.Failing, "1a<c": assess.Healthy})
 }
 
 // A zone that is cut off sees all calls fail: its reports fail a place for nobody else.
 func TestIsolatedZone(t *testing.T) {
 	got := statesOf(sighting("a", 1, 1, "a", 0, 9), sighting("a", 1, 1, "b", 0, 9), sighting("b", 1, 1, "b", 9, 0))
-	expectStates(t, got, map[string]weigh.State{"1a<a": weigh.Failing, "1a": weigh.Unknown, "1b": weigh.Healthy})
+	expectStates(t, got, map[string]assess.State{"1a<a": assess.Failing, "1a": assess.Unknown, "1b": assess.Healthy})
 }
 
 func TestRejectionsAreNoOutageButSilenceIs(t *testing.T) {
@@ -81,26 +81,26 @@
 	refused.Sent, refused.Rejected = 40, 40
 	silent := sighting("a", 1, 2, "a", 0, 0)
 	silent.Sent = 8 // all still out after a second in which nothing came back
-	expectStates(t, statesOf(refused, silent), map[string]weigh.State{"1a": weigh.Healthy, "2a": weigh.Failing})
+	expectStates(t, statesOf(refused, silent), map[string]assess.State{"1a": assess.Healthy, "2a": assess.Failing})
 }
 
 // Three failures of three calls may be chance at one place, but not where all places of the zone show the like.
 func TestFewCalls(t *testing.T) {
-	expectStates(t, statesOf(sighting("a", 1, 1, "a", 0, 3)), map[string]weigh.State{"1a<a": weigh.Degraded})
+	expectStates(t, statesOf(sighting("a", 1, 1, "a", 0, 3)), map[string]assess.State{"1a<a": assess.Degraded})
 	expectStates(t, statesOf(sighting("a", 1, 1, "a", 0, 1), sighting("a", 2, 2, "a", 0, 2), sighting("a", 3, 3, "a", 0, 2)),
-		map[string]weigh.State{"1a": weigh.Failing, "2a": weigh.Failing})
-	expectStates(t, statesOf(sighting("a", 1, 1, "a", 5, 5), sighting("a", 2, 1, "a", 5, 5)), map[string]weigh.State{"1a": weigh.Degraded})
+		map[string]assess.State{"1a": assess.Failing, "2a": assess.Failing})
+	expectStates(t, statesOf(sighting("a", 1, 1, "a", 5, 5), sighting("a", 2, 1, "a", 5, 5)), map[string]assess.State{"1a": assess.Degraded})
 }
 
 // Only ages count: the same rows say nothing a minute later.
 func TestOldEvidence(t *testing.T) {
 	old := sighting("a", 1, 1, "a", 0, 9)
 	old.Age = 6 * time.Second
-	expectStates(t, statesOf(old), map[string]weigh.State{"1a": weigh.Unknown})
-	b := weigh.NewReportTable(defaultBounds)
-	b.Put(0, weigh.SummarizeZone("a", []healthreport.Sample{sighting("a", 1, 1, "a", 0, 9)}, defaultBounds))
-	for at, want := range map[view.Uptime]weigh.State{time.Second: weigh.Failing, 6 * time.Second: weigh.Unknown} {
-		if got := weigh.Judge(b.Fresh(at), defaultBounds)[0].State; got != want {
+	expectStates(t, statesOf(old), map[string]assess.State{"1a": assess.Unknown})
+	b := assess.NewReportTable(defaultBounds)
+	b.Put(0, assess.SummarizeZone("a", []healthreport.Sample{sighting("a", 1, 1, "a", 0, 9)}, defaultBounds))
+	for at, want := range map[view.Uptime]assess.State{time.Second: assess.Failing, 6 * time.Second: assess.Unknown} {
+		if got := assess.Judge(b.Fresh(at), defaultBounds)[0].State; got != want {
 			t.Errorf("at %v: %v, not %v", at, got, want)
 		}
 	}
@@ -110,8 +110,8 @@
 }
 
 func TestBoardSendsChanges(t *testing.T) {
-	b := weigh.NewReportTable(defaultBounds)
-	well := weigh.SummarizeZone("a", []healthreport.Sample{sighting("a", 1, 1, "a", 9, 0), sighting("a", 1, 2, "b", 0, 0)}, defaultBounds)
+	b := assess.NewReportTable(defaultBounds)
+	well := assess.SummarizeZone("a", []healthreport.Sample{sighting("a", 1, 1, "a", 9, 0), sighting("a", 1, 2, "b", 0, 0)}, defaultBounds)
 	sent := 0
 	for i := range 20 { // ten seconds
 		b.Put(view.Uptime(i)*500*time.Millisecond, well)
@@ -120,7 +120,7 @@
 	if sent > 7 {
 		t.Errorf("%d reports in ten seconds in which nothing changed", sent)
 	}
-	b.Put(10*time.Second, weigh.SummarizeZone("a", []healthreport.Sample{sighting("a", 1, 1, "a", 0, 9)}, defaultBounds))
+	b.Put(10*time.Second, assess.SummarizeZone("a", []healthreport.Sample{sighting("a", 1, 1, "a", 0, 9)}, defaultBounds))
 	if up := b.TakeDue(10*time.Second, 9); len(up) != 1 || up[0].FailingWitnesses != 1 {
 		t.Errorf("a place failed, and what goes up is %v", up)
 	}
--- a/internal/cluster/failover/weigh/capacity_test.go
+++ b/internal/cluster/failover/assess/capacity_test.go
@@ -1,4 +1,4 @@
-package weigh
+package assess
 
 // Benchmark behind docs/CAPACITY.md: a zone's coordinator makes reports of all that its zone saw.
 
--- a/internal/cluster/failover/weigh/judge.go
+++ b/internal/cluster/failover/assess/judge.go
@@ -1,4 +1,4 @@
-package weigh
+package assess
 
 import (
 	"cmp"
--- a/internal/cluster/failover/weigh/types.go
+++ b/internal/cluster/failover/assess/types.go
@@ -1,4 +1,4 @@
-// Package weigh turns what senders saw of places into what is known of them in common. A place is the endpoints of one
+// Package assess turns what senders saw of places into what is known of them in common. A place is the endpoints of one
 // destination in one zone; a witness is a process that reports on it.
 //
 // Samples of a zone's processes become one report for each place (zonal.go). Reports of all zones become the health of
@@ -7,7 +7,7 @@
 // The package is pure: it has no clock and never waits, and its results don't depend on the order of a map. One witness
 // alone never moves what others send, a rejected call never counts as an outage, and old reports are not believed. Ages
 // are spans; nothing here knows what time it is.
-package weigh
+package assess
 
 import (
 	"math"
--- a/internal/cluster/failover/plan/capacity.go
+++ b/internal/cluster/failover/plan/capacity.go
@@ -4,7 +4,7 @@
 	"math"
 	"time"
 
-	"flaxcove/internal/cluster/failover/weigh"
+	"flaxcove/internal/cluster/failover/assess"
 	"flaxcove/internal/cluster/healthreport"
 	"flaxcove/internal/cluster/view"
 )
@@ -23,7 +23,7 @@
 
 // place is what is remembered of the endpoints of a destination in a zone.
 type place struct {
-	weigh.PlaceHealth
+	assess.PlaceHealth
 	bestRate, saturatedRate float64 // calls a second: the most done lately; done when it last rejected many
 	saturatedUntil          view.Uptime
 	seenAt                  view.Uptime
@@ -49,7 +49,7 @@
 }
 
 // update takes the newest health of the place; the best and the saturated rate outlast it.
-func (p *place) update(now view.Uptime, s weigh.PlaceHealth) {
+func (p *place) update(now view.Uptime, s assess.PlaceHealth) {
 	p.bestRate *= decay(now-p.seenAt, bestHalfLife)
 	p.bestRate = max(p.bestRate, s.Done)
 	if sent := s.Done + s.Refused; s.Refused > saturatedRefusals*sent && s.Refused > 1 {
@@ -80,14 +80,14 @@
 	for at, pl := range p.places {
 		capacity, known := pl.capacity(p.settings, now)
 		switch {
-		case !pl.listed() || pl.seenAt != p.assessedAt || pl.State == weigh.Failing:
+		case !pl.listed() || pl.seenAt != p.assessedAt || pl.State == assess.Failing:
 			continue
 		case !known:
 			spare[at] = unknownCapacity
 			continue
-		case pl.State == weigh.Degraded:
+		case pl.State == assess.Degraded:
 			capacity *= pl.SuccessShare
-		case pl.State == weigh.Unknown:
+		case pl.State == assess.Unknown:
 			capacity *= unseenFraction
 		}
 		spare[at] = capacity * p.settings.CapacityFraction
@@ -115,7 +115,7 @@
 	case r.phase == Overloaded:
 		return r.nearShare
 	}
-	if state, _ := p.stateSeenBy(k, at.Zone); state == weigh.Failing {
+	if state, _ := p.stateSeenBy(k, at.Zone); state == assess.Failing {
 		return 1 // the link fails; the place serves others
 	}
 	return math.Inf(1)
--- a/internal/cluster/failover/plan/capacity_limits_test.go
+++ b/internal/cluster/failover/plan/capacity_limits_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 
 	"flaxcove/choice"
+	"flaxcove/internal/cluster/failover/assess"
 	"flaxcove/internal/cluster/failover/plan"
-	"flaxcove/internal/cluster/failover/weigh"
 	"flaxcove/internal/cluster/healthreport"
 	"flaxcove/internal/cluster/view"
 )
@@ -72,7 +72,7 @@
 }
 
 // placeHealth is as if each zone tried each place each time, and had its messages done at the first that answers.
-func placeHealth(zones []view.Zone, rate, limit map[view.Zone]float64, failing map[view.Zone]bool) (all []weigh.PlaceHealth) {
+func placeHealth(zones []view.Zone, rate, limit map[view.Zone]float64, failing map[view.Zone]bool) (all []assess.PlaceHealth) {
 	served := map[view.Zone]view.Zone{}
 	for _, from := range zones {
 		for _, z := range append([]view.Zone{from}, zones...) {
@@ -82,13 +82,13 @@
 		}
 	}
 	for _, z := range zones {
-		s := weigh.PlaceHealth{Locality: healthreport.Locality{Destination: choice.DestinationID(1), Zone: z}, State: weigh.Healthy, SuccessShare: 1,
+		s := assess.PlaceHealth{Locality: healthreport.Locality{Destination: choice.DestinationID(1), Zone: z}, State: assess.Healthy, SuccessShare: 1,
 			Limit: limit[z], Endpoints: 1}
 		if failing[z] {
-			s.State = weigh.Failing
+			s.State = assess.Failing
 		}
 		for _, from := range zones {
-			pair := weigh.ZoneView{From: from, State: s.State, SuccessShare: 1}
+			pair := assess.ZoneView{From: from, State: s.State, SuccessShare: 1}
 			if served[from] == z {
 				pair.Done = rate[from]
 			}
--- a/internal/cluster/failover/plan/capacity_test.go
+++ b/internal/cluster/failover/plan/capacity_test.go
@@ -8,8 +8,8 @@
 	"fmt"
 	"testing"
 
+	"flaxcove/internal/cluster/failover/assess"
 	"flaxcove/internal/cluster/failover/plan"
-	"flaxcove/internal/cluster/failover/weigh"
 	"flaxcove/internal/cluster/view"
 	"flaxcove/lab/capacity/bench"
 )
@@ -28,10 +28,10 @@
 		for b.Loop() {
 			p := plan.New(plan.DefaultSettings())
 			p.SetRegions(regions)
-			p.UpdateHealth(0, weigh.Judge(well, weigh.DefaultBounds()))
+			p.UpdateHealth(0, assess.Judge(well, assess.DefaultBounds()))
 			first, _ := p.Step(0)
 			p.PlanInForce(0, first)
-			p.UpdateHealth(2*second, weigh.Judge(bad, weigh.DefaultBounds()))
+			p.UpdateHealth(2*second, assess.Judge(bad, assess.DefaultBounds()))
 			next, some := p.Step(2 * second)
 			if !some {
 				b.Fatal("no plan")
@@ -52,9 +52,9 @@
 func BenchmarkCapacityBoard(b *testing.B) {
 	bench.Sizes(b, "reports", []int{240, 2_400, 24_000}, func(b *testing.B, n int) {
 		_, reports := plannedFleet.reports(n/8, "")
-		var board *weigh.ReportTable
+		var board *assess.ReportTable
 		heap := bench.Heap(func() any {
-			board = weigh.NewReportTable(weigh.DefaultBounds())
+			board = assess.NewReportTable(assess.DefaultBounds())
 			board.Put(0, reports)
 			return board
 		})
--- a/internal/cluster/failover/plan/demand.go
+++ b/internal/cluster/failover/plan/demand.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"flaxcove/internal/cluster/failover/weigh"
+	"flaxcove/internal/cluster/failover/assess"
 	"flaxcove/internal/cluster/view"
 )
 
@@ -23,7 +23,7 @@
 
 // updateDemands takes as a zone's demand what it sent and had answered, over all places of a destination: which of them
 // the calls went to does not matter.
-func (p *Planner) updateDemands(now view.Uptime, places []weigh.PlaceHealth) {
+func (p *Planner) updateDemands(now view.Uptime, places []assess.PlaceHealth) {
 	answered, sent := map[routeKey]float64{}, map[routeKey]float64{}
 	for _, place := range places {
 		for _, seen := range place.ByZone {
--- a/internal/cluster/failover/plan/fleet_test.go
+++ b/internal/cluster/failover/plan/fleet_test.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"flaxcove/choice"
+	"flaxcove/internal/cluster/failover/assess"
 	"flaxcove/internal/cluster/failover/plan"
-	"flaxcove/internal/cluster/failover/weigh"
 	"flaxcove/internal/cluster/healthreport"
 	"flaxcove/internal/cluster/view"
 )
@@ -26,7 +26,7 @@
 	silentZones          map[view.Zone]bool    // whose reports do not arrive
 	limitsKnown          bool                  // endpoints report their limit
 	reports              map[view.Zone][]healthreport.Sample
-	board                *weigh.ReportTable
+	board                *assess.ReportTable
 	planner              *plan.Planner
 	inForce              plan.InForce
 	planChanges          []view.Uptime
@@ -42,7 +42,7 @@
 		zones: []view.Zone{"a1", "a2", "b1", "b2"}, destinations: []choice.DestinationID{1, 2, 3}, limitsKnown: true,
 		rate: map[view.Zone]float64{}, capacity: map[view.Zone]float64{}, working: map[view.Zone]float64{},
 		brokenLinks: map[[2]view.Zone]bool{}, silentZones: map[view.Zone]bool{}, reports: map[view.Zone][]healthreport.Sample{},
-		overloadedFor: map[healthreport.Locality]time.Duration{}, board: weigh.NewReportTable(weigh.DefaultBounds()), planner: plan.New(plan.DefaultSettings())}
+		overloadedFor: map[healthreport.Locality]time.Duration{}, board: assess.NewReportTable(assess.DefaultBounds()), planner: plan.New(plan.DefaultSettings())}
 	for _, z := range f.zones {
 		f.rate[z], f.capacity[z] = 60, 100
 	}
@@ -80,7 +80,7 @@
 	f.countOverloads(load, diverted)
 	for _, from := range f.zones {
 		f.updateReports(from, load)
-		if reports := weigh.SummarizeZone(from, f.reports[from], weigh.DefaultBounds()); !f.silentZones[from] {
+		if reports := assess.SummarizeZone(from, f.reports[from], assess.DefaultBounds()); !f.silentZones[from] {
 			f.board.Put(f.now, reports)
 		}
 	}
@@ -88,7 +88,7 @@
 		return
 	}
 	f.planner.SetRegions(f.regions)
-	f.planner.UpdateHealth(f.now, weigh.Judge(f.board.Fresh(f.now), weigh.DefaultBounds()))
+	f.planner.UpdateHealth(f.now, assess.Judge(f.board.Fresh(f.now), assess.DefaultBounds()))
 	if next, found := f.planner.Step(f.now); found {
 		f.decide(next)
 	}
--- a/internal/cluster/failover/plan/planner.go
+++ b/internal/cluster/failover/plan/planner.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"flaxcove/choice"
-	"flaxcove/internal/cluster/failover/weigh"
+	"flaxcove/internal/cluster/failover/assess"
 	"flaxcove/internal/cluster/healthreport"
 	"flaxcove/internal/cluster/view"
 )
@@ -71,7 +71,7 @@
 }
 
 // UpdateHealth takes the current health of all places.
-func (p *Planner) UpdateHealth(now view.Uptime, places []weigh.PlaceHealth) {
+func (p *Planner) UpdateHealth(now view.Uptime, places []assess.PlaceHealth) {
 	p.assessedAt = now
 	for _, s := range places {
 		pl := p.places[s.Locality]
@@ -96,15 +96,15 @@
 type link struct{ from, to view.Zone }
 
 // healthyLinks returns the links on which two places or more are healthy and none fails.
-func healthyLinks(places []weigh.PlaceHealth) map[link]bool {
+func healthyLinks(places []assess.PlaceHealth) map[link]bool {
 	healthyPlaces, failing := map[link]int{}, map[link]bool{}
 	for _, s := range places {
 		for _, seen := range s.ByZone {
 			l := link{seen.From, s.Zone}
 			switch seen.State {
-			case weigh.Healthy:
+			case assess.Healthy:
 				healthyPlaces[l]++
-			case weigh.Failing:
+			case assess.Failing:
 				failing[l] = true
 			}
 		}
@@ -183,7 +183,7 @@
 	for _, z := range home {
 		at := healthreport.Locality{Destination: published.Destination, Zone: z}
 		if p.places[at] == nil && len(p.places) < maxPlaces {
-			health := weigh.PlaceHealth{Locality: at, SuccessShare: 1, Endpoints: 1}
+			health := assess.PlaceHealth{Locality: at, SuccessShare: 1, Endpoints: 1}
 			p.places[at], p.indexStale = &place{PlaceHealth: health, seenAt: now}, true
 		}
 	}
--- a/internal/cluster/failover/plan/planner_test.go
+++ b/internal/cluster/failover/plan/planner_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
+	"flaxcove/internal/cluster/failover/assess"
 	"flaxcove/internal/cluster/failover/plan"
-	"flaxcove/internal/cluster/failover/weigh"
 	"flaxcove/internal/cluster/view"
 )
 
@@ -239,7 +239,7 @@
 		}
 		f.decideNothing = true
 		f.step()
-		all := weigh.Judge(f.board.Fresh(f.now), weigh.DefaultBounds())
+		all := assess.Judge(f.board.Fresh(f.now), assess.DefaultBounds())
 		for _, p := range []*plan.Planner{f.planner, other} {
 			p.SetRegions(f.regions)
 			p.UpdateHealth(f.now, all)
@@ -277,7 +277,7 @@
 	for _, from := range f.zones {
 		f.reports[from] = nil
 	}
-	f.board = weigh.NewReportTable(weigh.DefaultBounds())
+	f.board = assess.NewReportTable(assess.DefaultBounds())
 	f.planner = plan.New(plan.DefaultSettings())
 	f.planner.PlanInForce(f.now, f.inForce.Plan())
 	f.until("the second moved", 3*second, func() bool { return f.maxShare("b1", "a2")+f.maxShare("b1", "b2") > 0.2 })
--- a/internal/cluster/failover/plan/reports_test.go
+++ b/internal/cluster/failover/plan/reports_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 
 	"flaxcove/choice"
-	"flaxcove/internal/cluster/failover/weigh"
+	"flaxcove/internal/cluster/failover/assess"
 	"flaxcove/internal/cluster/healthreport"
 	"flaxcove/internal/cluster/view"
 )
@@ -17,14 +17,14 @@
 }
 
 // reports are those of all zones; all calls to places in zone failing fail.
-func (f fleetShape) reports(destinations int, failing view.Zone) (map[view.Zone]view.Region, []weigh.Report) {
+func (f fleetShape) reports(destinations int, failing view.Zone) (map[view.Zone]view.Region, []assess.Report) {
 	regions := map[view.Zone]view.Region{}
-	var all []weigh.Report
+	var all []assess.Report
 	for i := range f.zones {
 		z := view.Zone(fmt.Sprintf(f.zoneName, i))
 		regions[z] = f.region(i)
 		for d := range destinations {
-			r := weigh.Report{Locality: healthreport.Locality{Destination: choice.DestinationID(d), Zone: z}, From: z, Processes: f.processes,
+			r := assess.Report{Locality: healthreport.Locality{Destination: choice.DestinationID(d), Zone: z}, From: z, Processes: f.processes,
 				HealthyWitnesses: 9, Successes: 20, Sent: 20, Done: 20, Limit: 40, Endpoints: f.endpoints}
 			if z == failing {
 				r.HealthyWitnesses, r.FailingWitnesses, r.Successes, r.Failures, r.Done = 0, 9, 0, 20, 0
--- a/internal/cluster/failover/plan/route.go
+++ b/internal/cluster/failover/plan/route.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"flaxcove/internal/cluster/failover/weigh"
+	"flaxcove/internal/cluster/failover/assess"
 	"flaxcove/internal/cluster/view"
 )
 
@@ -65,9 +65,9 @@
 }
 
 // observe takes the state that near is seen in; Unknown changes nothing.
-func (r *routeState) observe(now view.Uptime, state weigh.State) {
+func (r *routeState) observe(now view.Uptime, state assess.State) {
 	switch state {
-	case weigh.Healthy:
+	case assess.Healthy:
 		if r.healthySince == neverAt {
 			r.healthySince = now
 			if r.failingSince != neverAt {
@@ -75,7 +75,7 @@
 			}
 		}
 		r.lastHealthyAt = now
-	case weigh.Failing, weigh.Degraded:
+	case assess.Failing, assess.Degraded:
 		r.healthySince = neverAt
 	}
 }
@@ -86,11 +86,11 @@
 	r.observe(now, state)
 	switch r.phase {
 	case steady, Overloaded:
-		if state == weigh.Failing && now-r.turnedAt >= p.settings.MinReturnDelay {
+		if state == assess.Failing && now-r.turnedAt >= p.settings.MinReturnDelay {
 			r.divert(now, p.trialShare(k))
 			return
 		}
-		if state != weigh.Failing {
+		if state != assess.Failing {
 			p.adjustToCapacity(now, k, r, home)
 		}
 	case Diverted:
@@ -98,16 +98,16 @@
 	case Returning:
 		p.continueReturn(now, k, r, home, state)
 	}
-	if state == weigh.Failing {
+	if state == assess.Failing {
 		p.lastFailing[k] = now
 	}
 }
 
 // beginReturn takes the first step of a return once near was healthy for the delay, or was not seen at all for long.
-func (p *Planner) beginReturn(now view.Uptime, k routeKey, r *routeState, home []view.Zone, state weigh.State) {
+func (p *Planner) beginReturn(now view.Uptime, k routeKey, r *routeState, home []view.Zone, state assess.State) {
 	delay := r.returnDelay(p.settings, now)
 	healthy := r.healthySince != neverAt && now-r.healthySince >= delay
-	unseen := r.healthySince == neverAt && state == weigh.Unknown &&
+	unseen := r.healthySince == neverAt && state == assess.Unknown &&
 		now-max(r.turnedAt, p.lastFailing[k]) >= max(delay, p.settings.UnseenReturnAfter)
 	if now-r.turnedAt < delay || !healthy && !unseen || !p.returnsMayStep(now) {
 		return
@@ -128,16 +128,16 @@
 }
 
 // continueReturn takes the next step of a return once the last went well for StepDuration, or diverts the route again.
-func (p *Planner) continueReturn(now view.Uptime, k routeKey, r *routeState, home []view.Zone, state weigh.State) {
+func (p *Planner) continueReturn(now view.Uptime, k routeKey, r *routeState, home []view.Zone, state assess.State) {
 	switch {
-	case state == weigh.Failing && now-r.turnedAt >= p.settings.MinReturnDelay,
-		state == weigh.Degraded && now-max(r.lastHealthyAt, r.steppedAt) > 2*p.settings.StepDuration:
+	case state == assess.Failing && now-r.turnedAt >= p.settings.MinReturnDelay,
+		state == assess.Degraded && now-max(r.lastHealthyAt, r.steppedAt) > 2*p.settings.StepDuration:
 		r.divert(now, p.trialShare(k))
 		return
 	case now-r.steppedAt < p.settings.StepDuration || !p.returnsMayStep(now):
 		return
 	case r.healthySince == neverAt || r.lastHealthyAt <= r.steppedAt:
-		if state != weigh.Unknown || now-r.steppedAt < p.settings.UnseenReturnAfter {
+		if state != assess.Unknown || now-r.steppedAt < p.settings.UnseenReturnAfter {
 			return
 		}
 	}
@@ -198,24 +198,24 @@
 // homeState joins the states of a home's zones; it is failing only if all of them are. A place that nobody called
 // lately counts as healthy if the other places that the zone calls there are: where calls are few, it returns together
 // with the rest.
-func (p *Planner) homeState(k routeKey, home []view.Zone) weigh.State {
-	var states [weigh.Failing + 1]int
+func (p *Planner) homeState(k routeKey, home []view.Zone) assess.State {
+	var states [assess.Failing + 1]int
 	for _, z := range home {
 		state, _ := p.stateSeenBy(k, z)
-		if state == weigh.Unknown && p.healthyLinks[link{k.from, z}] {
-			state = weigh.Healthy
+		if state == assess.Unknown && p.healthyLinks[link{k.from, z}] {
+			state = assess.Healthy
 		}
 		states[state]++
 	}
 	switch {
-	case states[weigh.Failing] == len(home):
-		return weigh.Failing
-	case states[weigh.Healthy] > 0:
-		return weigh.Healthy
-	case states[weigh.Degraded] > 0:
-		return weigh.Degraded
+	case states[assess.Failing] == len(home):
+		return assess.Failing
+	case states[assess.Healthy] > 0:
+		return assess.Healthy
+	case states[assess.Degraded] > 0:
+		return assess.Degraded
 	}
-	return weigh.Unknown
+	return assess.Unknown
 }
 
 // adjustToCapacity diverts what near lacks capacity for once that has lasted a while, and takes it back step by step.
@@ -261,8 +261,8 @@
 			return 1
 		}
 		state, successShare := p.stateSeenBy(k, z)
-		limited = limited || state == weigh.Degraded || now < pl.saturatedUntil
-		if state == weigh.Degraded {
+		limited = limited || state == assess.Degraded || now < pl.saturatedUntil
+		if state == assess.Degraded {
 			zoneCapacity *= successShare
 		}
 		capacity, demand = capacity+zoneCapacity, demand+p.homeDemand[pl.Locality]
--- a/internal/cluster/failover/plan/share.go
+++ b/internal/cluster/failover/plan/share.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"flaxcove/internal/cluster/failover/weigh"
+	"flaxcove/internal/cluster/failover/assess"
 	"flaxcove/internal/cluster/healthreport"
 	"flaxcove/internal/cluster/view"
 )
@@ -74,7 +74,7 @@
 func (p *Planner) sendsToFailing(k routeKey, r Route) bool {
 	return slices.ContainsFunc(r.Shares, func(s Share) bool {
 		state, _ := p.stateSeenBy(k, s.Zone)
-		return s.Fraction > 0 && state == weigh.Failing
+		return s.Fraction > 0 && state == assess.Failing
 	})
 }
 
@@ -155,7 +155,7 @@
 
 func (p *Planner) usable(k routeKey, z view.Zone) bool {
 	state, _ := p.stateSeenBy(k, z)
-	return state != weigh.Failing
+	return state != assess.Failing
 }
 
 // reserve takes what a route sends from the spare capacity.
--- a/internal/cluster/failover/plan/size_test.go
+++ b/internal/cluster/failover/plan/size_test.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"testing"
 
+	"flaxcove/internal/cluster/failover/assess"
 	"flaxcove/internal/cluster/failover/plan"
-	"flaxcove/internal/cluster/failover/weigh"
 	"flaxcove/internal/cluster/view"
 )
 
@@ -18,11 +18,11 @@
 	regions, reports := largeFleet.reports(1900, "")
 	p := plan.New(plan.DefaultSettings())
 	p.SetRegions(regions)
-	p.UpdateHealth(0, weigh.Judge(reports, weigh.DefaultBounds()))
+	p.UpdateHealth(0, assess.Judge(reports, assess.DefaultBounds()))
 	first, _ := p.Step(0)
 	p.PlanInForce(0, first)
 	_, reports = largeFleet.reports(1900, "z00")
-	p.UpdateHealth(2*second, weigh.Judge(reports, weigh.DefaultBounds()))
+	p.UpdateHealth(2*second, assess.Judge(reports, assess.DefaultBounds()))
 	next, some := p.Step(2 * second)
 	if !some || len(next.Routes) < 1000 || next.EncodedSize() > 256<<10 || next.Check() != nil {
 		t.Errorf("%d routes in %d bytes, %v", len(next.Routes), next.EncodedSize(), next.Check())
@@ -42,7 +42,7 @@
 			reports = bad
 		}
 		now += second / 2
-		p.UpdateHealth(now, weigh.Judge(reports, weigh.DefaultBounds()))
+		p.UpdateHealth(now, assess.Judge(reports, assess.DefaultBounds()))
 		if next, some := p.Step(now); some {
 			p.PlanInForce(now, next)
 		}
--- a/internal/cluster/failover/plan/tiers.go
+++ b/internal/cluster/failover/plan/tiers.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"flaxcove/internal/cluster/failover/weigh"
+	"flaxcove/internal/cluster/failover/assess"
 	"flaxcove/internal/cluster/view"
 )
 
@@ -69,10 +69,10 @@
 
 // stateSeenBy is the state in which the sending zone of a key sees its destination in zone z; Unknown if nobody
 // reported on it lately.
-func (p *Planner) stateSeenBy(k routeKey, z view.Zone) (weigh.State, float64) {
+func (p *Planner) stateSeenBy(k routeKey, z view.Zone) (assess.State, float64) {
 	pl := p.places[k.placeIn(z)]
 	if pl == nil || pl.seenAt != p.assessedAt {
-		return weigh.Unknown, 1
+		return assess.Unknown, 1
 	}
 	return pl.StateFrom(k.from)
 }
--- a/internal/cluster/failover/run/leader.go
+++ b/internal/cluster/failover/run/leader.go
@@ -9,8 +9,8 @@
 	"go.uber.org/zap"
 
 	"flaxcove/internal/cluster/failover/apply"
+	"flaxcove/internal/cluster/failover/assess"
 	"flaxcove/internal/cluster/failover/plan"
-	"flaxcove/internal/cluster/failover/weigh"
 	"flaxcove/internal/cluster/tree"
 	"flaxcove/internal/cluster/view"
 )
@@ -43,7 +43,7 @@
 	}
 	r.collected.Put(now, r.outgoing.Fresh(now)) // at a root, or at a coordinator whose parents do not answer
 	r.planner.SetRegions(regions)
-	r.planner.UpdateHealth(now, weigh.Judge(r.collected.Fresh(now), r.options.Bounds))
+	r.planner.UpdateHealth(now, assess.Judge(r.collected.Fresh(now), r.options.Bounds))
 	if next, found := r.planner.Step(now); found && !r.proposing {
 		r.proposing = r.startCall(func() { r.propose(next) })
 	}
--- a/internal/cluster/failover/run/reports.go
+++ b/internal/cluster/failover/run/reports.go
@@ -5,15 +5,15 @@
 	"encoding/json"
 	"fmt"
 
-	"flaxcove/internal/cluster/failover/weigh"
+	"flaxcove/internal/cluster/failover/assess"
 	"flaxcove/internal/cluster/tree"
 	"flaxcove/internal/cluster/view"
 )
 
 // reportsMessage goes to a parent; with Final set to the leader, which passes it no further.
 type reportsMessage struct {
-	Reports []weigh.Report `json:"reports"`
-	Final   bool           `json:"final,omitempty"`
+	Reports []assess.Report `json:"reports"`
+	Final   bool            `json:"final,omitempty"`
 }
 
 // maxReports bounds one message. Reports beyond it wait for the next tick, as the board still has them.
@@ -58,7 +58,7 @@
 }
 
 // callWithReports calls the targets until one answers.
-func (r *Runner) callWithReports(targets []view.Name, leader view.Name, reports []weigh.Report) {
+func (r *Runner) callWithReports(targets []view.Name, leader view.Name, reports []assess.Report) {
 	calls, failed := uint64(0), uint64(0)
 	countedFrom := r.options.Now()
 	for i, name := range targets {
--- a/internal/cluster/failover/run/run.go
+++ b/internal/cluster/failover/run/run.go
@@ -17,8 +17,8 @@
 	"go.uber.org/zap"
 
 	"flaxcove/internal/cluster/failover/apply"
+	"flaxcove/internal/cluster/failover/assess"
 	"flaxcove/internal/cluster/failover/plan"
-	"flaxcove/internal/cluster/failover/weigh"
 	"flaxcove/internal/cluster/healthreport"
 	"flaxcove/internal/cluster/tree"
 	"flaxcove/internal/cluster/view"
@@ -62,7 +62,7 @@
 	Tree          func() *tree.Tree                       // as of now
 	HealthReports func(view.Uptime) []healthreport.Sample // of this process, and at the coordinator of a zone of its zone
 	Local         func() apply.Local                      // but for Ill, which is filled in here
-	Bounds        weigh.Bounds
+	Bounds        assess.Bounds
 	Settings      plan.Settings
 	TickInterval  time.Duration // defaultTickInterval if 0
 	Log           *zap.Logger
@@ -100,8 +100,8 @@
 	mu           sync.Mutex
 	closed       bool
 	holder       apply.Holder
-	outgoing     *weigh.ReportTable // reports to send up
-	collected    *weigh.ReportTable // at the leader: reports that came from the root
+	outgoing     *assess.ReportTable // reports to send up
+	collected    *assess.ReportTable // at the leader: reports that came from the root
 	planner      *plan.Planner
 	local        apply.Local // that guide was compiled with
 	compiledFrom *plan.Plan  // that guide was compiled from
@@ -125,7 +125,7 @@
 		o.Term = func() uint64 { return 0 }
 	}
 	r := &Runner{options: o, assessedAt: -assessInterval, wake: make(chan struct{}, 1), children: map[view.Name]*child{},
-		outgoing: weigh.NewReportTable(o.Bounds), collected: weigh.NewReportTable(o.Bounds)}
+		outgoing: assess.NewReportTable(o.Bounds), collected: assess.NewReportTable(o.Bounds)}
 	r.ctx, r.cancel = context.WithCancel(context.Background())
 	o.Link.Handle(reportsPath, r.handleReports)
 	o.Link.Handle(planPath, r.handlePlan)
@@ -222,8 +222,8 @@
 		r.assessedAt = now
 	}
 	if assess && t.ZoneHead(r.options.Zone) == r.options.Self {
-		summaries := weigh.SummarizeZone(r.options.Zone, reports, r.options.Bounds)
-		summaries = slices.DeleteFunc(summaries, func(w weigh.Report) bool {
+		summaries := assess.SummarizeZone(r.options.Zone, reports, r.options.Bounds)
+		summaries = slices.DeleteFunc(summaries, func(w assess.Report) bool {
 			return w.Idle() && w.Zone != r.options.Zone && t.ZoneHead(w.Zone) != "" // its own zone reports on it
 		})
 		r.mu.Lock()
@@ -248,7 +248,7 @@
 	}
 	failing := map[apply.Endpoints]bool{}
 	for at, rows := range ownReports {
-		if no, known := local.Numbers[at.Zone]; known && weigh.SeesFailure(rows, r.options.Bounds) {
+		if no, known := local.Numbers[at.Zone]; known && assess.SeesFailure(rows, r.options.Bounds) {
 			failing[apply.Endpoints{Destination: at.Destination, Zone: no}] = true
 		}
 	}
--- a/internal/cluster/failover/run/run_test.go
+++ b/internal/cluster/failover/run/run_test.go
@@ -13,8 +13,8 @@
 
 	"flaxcove/choice"
 	"flaxcove/internal/cluster/failover/apply"
+	"flaxcove/internal/cluster/failover/assess"
 	"flaxcove/internal/cluster/failover/plan"
-	"flaxcove/internal/cluster/failover/weigh"
 	"flaxcove/internal/cluster/healthreport"
 	"flaxcove/internal/cluster/tree"
 	"flaxcove/internal/cluster/view"
@@ -134,7 +134,7 @@
 		Local: func() apply.Local {
 			return apply.Local{Zone: m.Zone, Numbers: map[view.Zone]choice.ZoneNo{"a1": 0, "a2": 1, "b1": 2, "b2": 3},
 				Listed: map[choice.DestinationID][]choice.ZoneNo{1: {0, 1, 2, 3}}}
-		}, Bounds: weigh.DefaultBounds(), Settings: set, TickInterval: 20 * time.Millisecond})
+		}, Bounds: assess.DefaultBounds(), Settings: set, TickInterval: 20 * time.Millisecond})
 	w.runners[m.Name] = r
 }
 
--- a/internal/cluster/subsystems.go
+++ b/internal/cluster/subsystems.go
@@ -4,9 +4,9 @@
 	versions "flaxcove/internal/cluster/configuration/ledger"
 	configuration "flaxcove/internal/cluster/configuration/run"
 	"flaxcove/internal/cluster/consensus/machine"
+	"flaxcove/internal/cluster/failover/assess"
 	"flaxcove/internal/cluster/failover/plan"
 	failover "flaxcove/internal/cluster/failover/run"
-	"flaxcove/internal/cluster/failover/weigh"
 	"flaxcove/internal/cluster/popularity/evict"
 	popularity "flaxcove/internal/cluster/popularity/run"
 	"flaxcove/internal/cluster/purge/ledger"
@@ -66,7 +66,7 @@
 	u.failover = failover.Start(failover.Options{
 		Self: n.self.Name, Zone: n.self.Zone, Now: n.Now, Link: n.link, Consensus: client, InForce: u.inForce,
 		Term: client.Term, Tree: n.TreeWithoutSuspected, HealthReports: n.evidence.Read, Local: n.digests.local,
-		Bounds: weigh.DefaultBounds(), Settings: planSettings, Log: n.log.Named("failover"),
+		Bounds: assess.DefaultBounds(), Settings: planSettings, Log: n.log.Named("failover"),
 	})
 }
 
--- a/lab/capacity/run/main.go
+++ b/lab/capacity/run/main.go
@@ -23,7 +23,7 @@
 
 // packages are the packages with capacity benchmarks.
 var packages = []string{"choice", "internal/sender", "internal/journal", "internal/directory", "internal/config", "internal/cluster",
-	"internal/cluster/healthreport", "internal/cluster/evidence", "internal/cluster/tree", "internal/cluster/failover/weigh", "internal/cluster/failover/plan",
+	"internal/cluster/healthreport", "internal/cluster/evidence", "internal/cluster/tree", "internal/cluster/failover/assess", "internal/cluster/failover/plan",
 	"internal/cluster/configuration", "internal/cluster/configuration/spread"}
 
 const (
--- a/lab/cluster/size/fleet.go
+++ b/lab/cluster/size/fleet.go
@@ -16,8 +16,8 @@
 
 	"flaxcove/choice"
 	"flaxcove/internal/cluster/failover/apply"
+	"flaxcove/internal/cluster/failover/assess"
 	"flaxcove/internal/cluster/failover/plan"
-	"flaxcove/internal/cluster/failover/weigh"
 	"flaxcove/internal/cluster/tree"
 	"flaxcove/internal/cluster/view"
 	"flaxcove/lab/world"
@@ -122,13 +122,13 @@
 type leader struct {
 	f        *fleet
 	at       *process
-	board    *weigh.ReportTable
+	board    *assess.ReportTable
 	planner  *plan.Planner
 	deciding bool
 }
 
 func newLeader(f *fleet, at *process) *leader {
-	l := &leader{f: f, at: at, board: weigh.NewReportTable(weigh.DefaultBounds()), planner: plan.New(f.settings)}
+	l := &leader{f: f, at: at, board: assess.NewReportTable(assess.DefaultBounds()), planner: plan.New(f.settings)}
 	l.planner.PlanInForce(at.now(), f.inForce.Plan())
 	return l
 }
@@ -141,7 +141,7 @@
 	}
 	l.board.Put(now, l.at.board.Fresh(now))
 	l.planner.SetRegions(l.f.regions)
-	l.planner.UpdateHealth(now, weigh.Judge(l.board.Fresh(now), weigh.DefaultBounds()))
+	l.planner.UpdateHealth(now, assess.Judge(l.board.Fresh(now), assess.DefaultBounds()))
 	next, some := l.planner.Step(now)
 	if !some || l.deciding {
 		return
--- a/lab/cluster/size/process.go
+++ b/lab/cluster/size/process.go
@@ -13,8 +13,8 @@
 	"flaxcove/internal/cluster/evidence/digest"
 	"flaxcove/internal/cluster/evidence/table"
 	"flaxcove/internal/cluster/failover/apply"
+	"flaxcove/internal/cluster/failover/assess"
 	"flaxcove/internal/cluster/failover/plan"
-	"flaxcove/internal/cluster/failover/weigh"
 	"flaxcove/internal/cluster/healthreport"
 	"flaxcove/internal/cluster/view"
 )
@@ -49,7 +49,7 @@
 	reported     map[healthreport.Locality]lastReport
 	table        *table.Table
 
-	board     *weigh.ReportTable
+	board     *assess.ReportTable
 	weighedAt view.Uptime
 	turnDue   bool
 	reportsTo view.Name
@@ -86,7 +86,7 @@
 	p.window = digest.NewWindow(p.name, p.zone, p.fleet.span, maxLocalities, p.now())
 	p.reported, p.children = map[healthreport.Locality]lastReport{}, map[view.Name]*child{}
 	p.table = table.NewTable(table.Bounds{Rows: maxLocalities, Witnesses: maxWitnesses, MaxAge: keepFor})
-	p.board, p.weighedAt = weigh.NewReportTable(weigh.DefaultBounds()), p.now()-weighEvery
+	p.board, p.weighedAt = assess.NewReportTable(assess.DefaultBounds()), p.now()-weighEvery
 	first := p.fleet.spread(string(p.name))
 	p.fleet.after(first, p.digest)
 	p.fleet.after(first+minTurn, p.tick)
@@ -153,7 +153,7 @@
 	if weighs && t.ZoneHead(p.zone) == p.name {
 		seen := p.table.Read(now)
 		slices.SortFunc(seen, func(a, b healthreport.Sample) int { return table.Order(&a, &b) })
-		p.board.Put(now, slices.DeleteFunc(weigh.SummarizeZone(p.zone, seen, weigh.DefaultBounds()), func(w weigh.Report) bool {
+		p.board.Put(now, slices.DeleteFunc(assess.SummarizeZone(p.zone, seen, assess.DefaultBounds()), func(w assess.Report) bool {
 			return w.Idle() && w.Zone != p.zone && t.ZoneHead(w.Zone) != ""
 		}))
 	}
@@ -171,7 +171,7 @@
 	ill := map[apply.Endpoints]bool{}
 	for _, s := range p.ownSamples {
 		s.Age += now - p.ownSampledAt
-		if weigh.SeesFailure([]healthreport.Sample{s}, weigh.DefaultBounds()) {
+		if assess.SeesFailure([]healthreport.Sample{s}, assess.DefaultBounds()) {
 			ill[apply.Endpoints{Destination: s.Destination, Zone: p.fleet.numbers[s.Zone]}] = true
 		}
 	}
