--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -4,7 +4,7 @@
 // are in pure parts (tree, consensus/machine, failover, purge, popularity), which have no clock, socket, goroutine or
 // logger; member, consensus, evidence and link have these. Whatever is decided in common lapses; a process without it
 // decides by package choice alone. The sender's loop waits for nothing here: it hands over a digest and reads a routing
-// plan (together.Guide).
+// plan (clusterapi.Guide).
 //
 // Lock order, outermost first; no lock is held over I/O, a channel operation that may wait, or a call out of its
 // package:
--- a/internal/cluster/configuration/run/faults_test.go
+++ b/internal/cluster/configuration/run/faults_test.go
@@ -15,7 +15,7 @@
 	"flaxcove/internal/cluster/configuration"
 	"flaxcove/internal/cluster/configuration/ledger"
 	"flaxcove/internal/cluster/configuration/spread"
-	"flaxcove/internal/cluster/ordering/orderingtest"
+	"flaxcove/internal/cluster/leadercall/leadercalltest"
 	"flaxcove/internal/cluster/view"
 )
 
@@ -188,7 +188,7 @@
 func TestProcessWithoutPeersBecomesReady(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	l := ledger.New()
-	f := &fleet{t: t, net: orderingtest.New(l, ""), ledger: l}
+	f := &fleet{t: t, net: leadercalltest.New(l, ""), ledger: l}
 	s := &fakeSender{folder: t.TempDir()}
 	member := view.Member{Life: view.Life{Name: "p", Incarnation: 1}}
 	r, err := Start(Options{Self: member, Link: f.net.Link(member.Life), Consensus: f.net.Consensus("p"), Ledger: f.ledger, Orders: s,
--- a/internal/cluster/configuration/run/fetch.go
+++ b/internal/cluster/configuration/run/fetch.go
@@ -7,7 +7,7 @@
 
 	"flaxcove/internal/cluster/configuration/ledger"
 	"flaxcove/internal/cluster/configuration/spread"
-	"flaxcove/internal/cluster/ordering"
+	"flaxcove/internal/cluster/leadercall"
 	"flaxcove/internal/cluster/view"
 )
 
@@ -88,5 +88,5 @@
 
 // candidatesFrom are the likely processes and others of the view, up to maxCandidates. The lock is held.
 func (r *Runner) candidatesFrom(likely []view.Name) []view.Name {
-	return ordering.Candidates(likely, r.lastLeader.Name, r.view, r.options.Self.Name, maxCandidates)
+	return leadercall.Candidates(likely, r.lastLeader.Name, r.view, r.options.Self.Name, maxCandidates)
 }
--- a/internal/cluster/configuration/run/fleet_test.go
+++ b/internal/cluster/configuration/run/fleet_test.go
@@ -12,7 +12,7 @@
 
 	"flaxcove/internal/cluster/configuration"
 	"flaxcove/internal/cluster/configuration/ledger"
-	"flaxcove/internal/cluster/ordering/orderingtest"
+	"flaxcove/internal/cluster/leadercall/leadercalltest"
 	"flaxcove/internal/cluster/view"
 	"flaxcove/internal/sender/clusterapi"
 )
@@ -24,7 +24,7 @@
 
 type fleet struct {
 	t       *testing.T
-	net     *orderingtest.Net
+	net     *leadercalltest.Net
 	ledger  *ledger.Ledger
 	members []view.Member
 	senders []*fakeSender
@@ -90,7 +90,7 @@
 
 func newFleet(t *testing.T, size int) *fleet {
 	l := ledger.New()
-	f := &fleet{t: t, net: orderingtest.New(l, "p02"), ledger: l, senders: make([]*fakeSender, size), runners: make([]*Runner, size)}
+	f := &fleet{t: t, net: leadercalltest.New(l, "p02"), ledger: l, senders: make([]*fakeSender, size), runners: make([]*Runner, size)}
 	for i := range size {
 		f.members = append(f.members, view.Member{Life: view.Life{Name: view.Name(fmt.Sprintf("p%02d", i)), Incarnation: 1}, Region: "r", Zone: "z"})
 		f.senders[i] = &fakeSender{folder: t.TempDir()}
@@ -144,7 +144,7 @@
 	here := slices.DeleteFunc(slices.Clone(f.members), func(m view.Member) bool { return !m.Present() })
 	for _, r := range f.runners {
 		if r != nil {
-			r.SetView(view.New(r.options.Self.Name, 1, f.members), orderingtest.Tree(here))
+			r.SetView(view.New(r.options.Self.Name, 1, f.members), leadercalltest.Tree(here))
 		}
 	}
 }
@@ -168,7 +168,7 @@
 // request makes an HTTP request to a process.
 func (f *fleet) request(at view.Name, method, url, body string, out any) int {
 	f.t.Helper()
-	return orderingtest.Request(f.t, f.net.Mux(at), method, url, body, out)
+	return leadercalltest.Request(f.t, f.net.Mux(at), method, url, body, out)
 }
 
 // mustChange orders a patch based on a version and waits until it is in force.
--- a/internal/cluster/configuration/run/http.go
+++ b/internal/cluster/configuration/run/http.go
@@ -10,7 +10,7 @@
 
 	"flaxcove/internal/cluster/configuration"
 	"flaxcove/internal/cluster/configuration/ledger"
-	"flaxcove/internal/cluster/ordering"
+	"flaxcove/internal/cluster/leadercall"
 )
 
 const (
@@ -40,11 +40,11 @@
 // postChange takes a change by settings or patch.
 func (r *Runner) postChange(w http.ResponseWriter, httpRequest *http.Request) {
 	var request ledger.Request
-	if !ordering.ReadOrder(w, httpRequest, maxBodyBytes, &request) {
+	if !leadercall.ReadOrder(w, httpRequest, maxBodyBytes, &request) {
 		return
 	}
 	if request.Restore != nil {
-		ordering.WriteJSON(w, http.StatusBadRequest, ordering.ErrorResponse{Field: "restore", Error: "restore: POST /v1/configuration/VERSION/restore does that"})
+		leadercall.WriteJSON(w, http.StatusBadRequest, leadercall.ErrorResponse{Field: "restore", Error: "restore: POST /v1/configuration/VERSION/restore does that"})
 		return
 	}
 	r.handleOrder(w, httpRequest, request)
@@ -57,11 +57,11 @@
 		return
 	}
 	var request ledger.Request
-	if !ordering.ReadOrder(w, httpRequest, maxBodyBytes, &request) {
+	if !leadercall.ReadOrder(w, httpRequest, maxBodyBytes, &request) {
 		return
 	}
 	if request.Settings != nil || request.Patch != nil || request.Restore != nil {
-		ordering.WriteJSON(w, http.StatusBadRequest, ordering.ErrorResponse{Field: "settings", Error: "settings: a restore has none, and no patch"})
+		leadercall.WriteJSON(w, http.StatusBadRequest, leadercall.ErrorResponse{Field: "settings", Error: "settings: a restore has none, and no patch"})
 		return
 	}
 	request.Restore = &version
@@ -72,19 +72,19 @@
 func pathVersion(w http.ResponseWriter, httpRequest *http.Request) (uint64, bool) {
 	version, err := strconv.ParseUint(httpRequest.PathValue("version"), 10, 64)
 	if err != nil {
-		ordering.WriteJSON(w, http.StatusBadRequest, ordering.ErrorResponse{Field: "version", Error: "version: takes a number"})
+		leadercall.WriteJSON(w, http.StatusBadRequest, leadercall.ErrorResponse{Field: "version", Error: "version: takes a number"})
 	}
 	return version, err == nil
 }
 
 // handleOrder answers 202 once the change is committed, or 200 once it is in force where the caller waits for that.
 func (r *Runner) handleOrder(w http.ResponseWriter, httpRequest *http.Request, request ledger.Request) {
-	wait, ok := ordering.ParseWait(w, httpRequest, "in_force", proposeTimeout)
+	wait, ok := leadercall.ParseWait(w, httpRequest, "in_force", proposeTimeout)
 	if !ok {
 		return
 	}
 	if field, why := request.Validate(); field != "" {
-		ordering.WriteJSON(w, http.StatusBadRequest, ordering.ErrorResponse{Error: field + " " + why, Field: field})
+		leadercall.WriteJSON(w, http.StatusBadRequest, leadercall.ErrorResponse{Error: field + " " + why, Field: field})
 		return
 	}
 	ctx, cancel := context.WithTimeout(httpRequest.Context(), proposeTimeout)
@@ -92,13 +92,13 @@
 	decided, err := r.propose(ctx, request)
 	switch {
 	case err != nil:
-		ordering.WriteRetryLater(w, ordering.RetrySoon, ordering.ErrorResponse{Error: err.Error() + "; order it again under the same id"})
+		leadercall.WriteRetryLater(w, leadercall.RetrySoon, leadercall.ErrorResponse{Error: err.Error() + "; order it again under the same id"})
 		return
 	case decided.Conflict:
-		ordering.WriteJSON(w, http.StatusConflict, ordering.ErrorResponse{Error: decided.Rejected, Field: decided.Field, Current: &decided.Current})
+		leadercall.WriteJSON(w, http.StatusConflict, leadercall.ErrorResponse{Error: decided.Rejected, Field: decided.Field, Current: &decided.Current})
 		return
 	case decided.Rejected != "":
-		ordering.WriteJSON(w, http.StatusBadRequest, ordering.ErrorResponse{Error: decided.Rejected, Field: decided.Field})
+		leadercall.WriteJSON(w, http.StatusBadRequest, leadercall.ErrorResponse{Error: decided.Rejected, Field: decided.Field})
 		return
 	}
 	response := orderResponse{ID: request.ID, Version: decided.Version, Sum: decided.Sum, Duplicate: decided.Duplicate}
@@ -108,7 +108,7 @@
 			status = http.StatusOK
 		}
 	}
-	ordering.WriteJSON(w, status, response)
+	leadercall.WriteJSON(w, status, response)
 }
 
 // awaitVersion polls until a version, or a newer one, is in force wherever it is not rejected, or the wait is over.
@@ -148,10 +148,10 @@
 	s, err := r.queryStatus(ctx, version)
 	switch {
 	case err != nil:
-		ordering.WriteRetryLater(w, ordering.RetrySoon, ordering.ErrorResponse{Error: err.Error()})
+		leadercall.WriteRetryLater(w, leadercall.RetrySoon, leadercall.ErrorResponse{Error: err.Error()})
 	case version != nil && s.Settings == nil:
-		ordering.WriteJSON(w, http.StatusNotFound, ordering.ErrorResponse{Field: "version", Error: "this version is not held, or not held any more"})
+		leadercall.WriteJSON(w, http.StatusNotFound, leadercall.ErrorResponse{Field: "version", Error: "this version is not held, or not held any more"})
 	default:
-		ordering.WriteJSON(w, http.StatusOK, s)
+		leadercall.WriteJSON(w, http.StatusOK, s)
 	}
 }
--- a/internal/cluster/configuration/run/leader.go
+++ b/internal/cluster/configuration/run/leader.go
@@ -12,7 +12,7 @@
 	"flaxcove/internal/cluster/configuration"
 	"flaxcove/internal/cluster/configuration/ledger"
 	"flaxcove/internal/cluster/configuration/spread"
-	"flaxcove/internal/cluster/ordering"
+	"flaxcove/internal/cluster/leadercall"
 	"flaxcove/internal/cluster/view"
 )
 
@@ -85,7 +85,7 @@
 		work.roster.UpdateView(r.view, now)
 		work.reportChanged = true
 	}
-	if root := ordering.LifeOf(r.view, r.tree.Root()); root.Name != "" {
+	if root := leadercall.LifeOf(r.view, r.tree.Root()); root.Name != "" {
 		work.state.SetTree(spread.Parent{}, []view.Life{root}, now)
 	}
 	work.recordSummary(now)
--- a/internal/cluster/configuration/run/messages.go
+++ b/internal/cluster/configuration/run/messages.go
@@ -9,7 +9,7 @@
 	"fmt"
 
 	"flaxcove/internal/cluster/configuration/spread"
-	"flaxcove/internal/cluster/ordering"
+	"flaxcove/internal/cluster/leadercall"
 	"flaxcove/internal/cluster/view"
 )
 
@@ -29,7 +29,7 @@
 
 // registerHandlers registers the handlers of messages.
 func (r *Runner) registerHandlers() {
-	r.caller.Handle(map[string]ordering.Handler{
+	r.caller.Handle(map[string]leadercall.Handler{
 		pathUpdate: r.handleUpdate, pathReport: r.handleReport, pathFetch: r.handleFetch, pathPropose: r.handlePropose, pathStatus: r.handleStatusRequest,
 		pathAnnounce: r.handleAnnouncement,
 	})
--- a/internal/cluster/configuration/run/options.go
+++ b/internal/cluster/configuration/run/options.go
@@ -12,7 +12,7 @@
 
 	"flaxcove/internal/cluster/configuration"
 	"flaxcove/internal/cluster/configuration/ledger"
-	"flaxcove/internal/cluster/ordering"
+	"flaxcove/internal/cluster/leadercall"
 	"flaxcove/internal/cluster/view"
 	"flaxcove/internal/sender/clusterapi"
 )
@@ -26,9 +26,9 @@
 // Options is what a Runner is given; Running, Own, Check, CatchUp, AnswerWithin, Now and Log may be omitted.
 type Options struct {
 	Self        view.Member // a view may tell a higher incarnation later
-	Link        ordering.Link
-	Consensus   ordering.Consensus // nil for a process outside the consensus group
-	Ledger      *ledger.Ledger     // the part of that name in the consensus group; nil without one
+	Link        leadercall.Link
+	Consensus   leadercall.Consensus // nil for a process outside the consensus group
+	Ledger      *ledger.Ledger       // the part of that name in the consensus group; nil without one
 	Orders      Orders
 	Folder      string                   // of the cluster; see configuration.LoadCached
 	Running     clusterapi.Configuration // what the sender was started with; version 0 for its own file
@@ -48,10 +48,10 @@
 		return errors.New("configuration: a link, a folder and a sender's orders must be given, and a ledger with a council")
 	}
 	if o.Consensus == nil {
-		o.Consensus = ordering.NoConsensus{NotLeading: errNotLeading}
+		o.Consensus = leadercall.NoConsensus{NotLeading: errNotLeading}
 	}
 	if o.Now == nil {
-		o.Now = ordering.NewClock()
+		o.Now = leadercall.NewClock()
 	}
 	o.CatchUp = cmp.Or(o.CatchUp, catchUpTimeout)
 	o.AnswerWithin = cmp.Or(o.AnswerWithin, senderAnswerTimeout)
--- a/internal/cluster/configuration/run/run.go
+++ b/internal/cluster/configuration/run/run.go
@@ -25,7 +25,7 @@
 
 	"flaxcove/internal/cluster/configuration"
 	"flaxcove/internal/cluster/configuration/spread"
-	"flaxcove/internal/cluster/ordering"
+	"flaxcove/internal/cluster/leadercall"
 	"flaxcove/internal/cluster/view"
 	"flaxcove/internal/sender/clusterapi"
 )
@@ -50,16 +50,16 @@
 	ctx             context.Context
 	stop            context.CancelFunc
 	goroutines      sync.WaitGroup
-	signals         *ordering.Signals
-	limiter         ordering.Limiter // of HTTP requests
-	caller          ordering.Caller
+	signals         *leadercall.Signals
+	limiter         leadercall.Limiter // of HTTP requests
+	caller          leadercall.Caller
 	pendingHandover *handover // used by apply only, of which one runs at a time
 
 	mu            sync.Mutex // configuration.mu
 	state         *spread.State
 	leaderWork    leaderWork
 	view          *view.View
-	tree          ordering.Tree
+	tree          leadercall.Tree
 	lastLeader    view.Life                // the process that last called this one as the leader
 	running       clusterapi.Configuration // what the sender runs
 	fetchInFlight bool
@@ -75,11 +75,11 @@
 	if err := o.complete(); err != nil {
 		return nil, err
 	}
-	r := &Runner{options: o, limiter: make(ordering.Limiter, maxRequests), running: o.Running}
+	r := &Runner{options: o, limiter: make(leadercall.Limiter, maxRequests), running: o.Running}
 	r.state = spread.New(o.Self.Life, r.loadCached(), o.Running.Version)
-	r.signals = ordering.NewSignals(&r.mu)
+	r.signals = leadercall.NewSignals(&r.mu)
 	r.ctx, r.stop = context.WithCancel(context.Background())
-	r.caller = ordering.Caller{
+	r.caller = leadercall.Caller{
 		Part:           "configuration",
 		Link:           o.Link,
 		Consensus:      o.Consensus,
@@ -126,7 +126,7 @@
 func (r *Runner) Ready() <-chan struct{} { return r.signals.Ready() }
 
 // SetView sets the view of members, and the tree derived from it.
-func (r *Runner) SetView(v *view.View, t ordering.Tree) {
+func (r *Runner) SetView(v *view.View, t leadercall.Tree) {
 	r.mu.Lock()
 	r.view, r.tree = v, t
 	if m, found := v.Find(r.options.Self.Name); found && m.Incarnation > r.options.Self.Incarnation {
@@ -217,7 +217,7 @@
 	if r.view == nil || r.tree == nil {
 		return
 	}
-	life, top, below := ordering.TreePosition(r.view, r.tree, r.options.Self.Name, leader, known, r.lastLeader)
+	life, top, below := leadercall.TreePosition(r.view, r.tree, r.options.Self.Name, leader, known, r.lastLeader)
 	above := spread.Parent{Life: life, IsLeader: top}
 	if above.Name == "" {
 		above = spread.Parent{}
--- a/internal/cluster/configuration/run/run_test.go
+++ b/internal/cluster/configuration/run/run_test.go
@@ -9,7 +9,7 @@
 	"flaxcove/internal/cluster/configuration"
 	"flaxcove/internal/cluster/configuration/ledger"
 	"flaxcove/internal/cluster/configuration/spread"
-	"flaxcove/internal/cluster/ordering"
+	"flaxcove/internal/cluster/leadercall"
 )
 
 // A change is committed once, comes into force and is stored at each process, and is sent as a patch; the same order
@@ -81,13 +81,13 @@
 		"restore of what": {"/1/restore", `{"id":"b","patch":{},"who":"w","why":"y"}`, 400, "settings", 0},
 		"restore in body": {"", `{"id":"b","restore":1,"who":"w","why":"y"}`, 400, "restore", 0},
 	} {
-		var no ordering.ErrorResponse
+		var no leadercall.ErrorResponse
 		if code := f.request("p03", "POST", "/v1/configuration"+c.url, c.body, &no); code != c.code || no.Field != c.field || no.Error == "" ||
 			(c.current > 0) != (no.Current != nil) || c.current > 0 && *no.Current != c.current {
 			t.Errorf("%s: %d %+v", name, code, no)
 		}
 	}
-	var no ordering.ErrorResponse
+	var no leadercall.ErrorResponse
 	if code := f.request("p03", "GET", "/v1/configuration/9", "", &no); code != 404 {
 		t.Errorf("%d %+v", code, no)
 	}
--- a/internal/cluster/evidence/digest/digest_test.go
+++ b/internal/cluster/evidence/digest/digest_test.go
@@ -12,7 +12,7 @@
 	"flaxcove/internal/sender/clusterapi"
 )
 
-func rows(rows ...together.Row) clusterapi.Digest { return clusterapi.Digest{Rows: rows} }
+func rows(rows ...clusterapi.Row) clusterapi.Digest { return clusterapi.Digest{Rows: rows} }
 
 // Counts are summed over the span and expire after it; gauges are as last reported.
 func ExampleWindow() {
--- a/internal/cluster/failover/apply/guide.go
+++ b/internal/cluster/failover/apply/guide.go
@@ -28,7 +28,7 @@
 	Zone    view.Zone
 	Numbers map[view.Zone]choice.ZoneNo              // its numbers of zones; other zones are outside the plan
 	Listed  map[choice.DestinationID][]choice.ZoneNo // where it lists endpoints
-	Failing map[Endpoints]bool                       // endpoints that it sees fail by itself (weigh.Ill)
+	Failing map[Endpoints]bool                       // endpoints that it sees fail by itself (assess.SeesFailure)
 }
 
 // Guide answers for one plan and one list of endpoints. It is immutable.
--- a/internal/cluster/failover/run/leader.go
+++ b/internal/cluster/failover/run/leader.go
@@ -17,7 +17,7 @@
 
 // leaderTick renews the plan in force and makes plans from the collected reports. A process that leads no more does
 // neither, so that its plan lapses unless another leader renews it.
-func (r *Runner) leaderTick(now view.Uptime, t *tree.Tree, assess bool) {
+func (r *Runner) leaderTick(now view.Uptime, t *tree.Tree, due bool) {
 	if !r.options.Consensus.Leading() {
 		r.mu.Lock()
 		r.planner = nil
@@ -37,7 +37,7 @@
 	if inForce.Epoch > 0 {
 		r.renewPlan(now, term, inForce)
 	}
-	if !assess {
+	if !due {
 		r.wakeLoop() // what woke the loop is judged a moment later
 		return
 	}
--- a/internal/cluster/failover/run/run.go
+++ b/internal/cluster/failover/run/run.go
@@ -2,7 +2,7 @@
 // leader of the consensus group runs the planner.
 //
 // It owns one goroutine that ticks twice a second or when woken, and one for each call in flight; all of them end with
-// Close. Packages weigh, plan and apply decide. The lock is never held over a call to another process, a plan that its
+// Close. Packages assess, plan and apply decide. The lock is never held over a call to another process, a plan that its
 // leader does not renew is not kept in force, and the sender never waits: Guide reads a compiled value.
 package run
 
@@ -217,11 +217,11 @@
 	}
 	reports, local := r.options.HealthReports(now), r.options.Local()
 	local.Failing = r.failingEndpoints(reports, local)
-	assess := now-r.assessedAt >= min(assessInterval, r.options.TickInterval)
-	if assess {
+	due := now-r.assessedAt >= min(assessInterval, r.options.TickInterval)
+	if due {
 		r.assessedAt = now
 	}
-	if assess && t.ZoneHead(r.options.Zone) == r.options.Self {
+	if due && t.ZoneHead(r.options.Zone) == r.options.Self {
 		summaries := assess.SummarizeZone(r.options.Zone, reports, r.options.Bounds)
 		summaries = slices.DeleteFunc(summaries, func(w assess.Report) bool {
 			return w.Idle() && w.Zone != r.options.Zone && t.ZoneHead(w.Zone) != "" // its own zone reports on it
@@ -230,7 +230,7 @@
 		r.outgoing.Put(now, summaries)
 		r.mu.Unlock()
 	}
-	r.leaderTick(now, t, assess)
+	r.leaderTick(now, t, due)
 	r.mu.Lock()
 	r.compileGuide(now, local)
 	r.mu.Unlock()
--- a/internal/cluster/feed.go
+++ b/internal/cluster/feed.go
@@ -24,7 +24,7 @@
 	evidencePath    = "/evidence"
 	evidenceTimeout = 400 * time.Millisecond
 	digestQueueSize = 8 // further digests are dropped, and their counts with them
-	// healthyInterval is how often a sample without failures is reported: twice in the time for which package weigh
+	// healthyInterval is how often a sample without failures is reported: twice in the time for which package assess
 	// considers one.
 	healthyInterval = 2 * time.Second
 	// listingTTL is how long a place counts as listed after the sender last reported it, which it does every five seconds.
--- a/internal/cluster/ordering/caller.go
+++ b/internal/cluster/leadercall/caller.go
@@ -1,4 +1,4 @@
-package ordering
+package leadercall
 
 // This file is calls to other processes: to one, to several in turn, and with retries until a deadline.
 
--- a/internal/cluster/ordering/http.go
+++ b/internal/cluster/leadercall/http.go
@@ -1,4 +1,4 @@
-package ordering
+package leadercall
 
 // This file is the HTTP side: the limit of concurrent orders, and how one is decoded and answered.
 
--- a/internal/cluster/ordering/ordering.go
+++ b/internal/cluster/leadercall/leadercall.go
@@ -1,4 +1,4 @@
-// Package ordering is what is common to the parts that have orders of HTTP callers committed by the consensus group and
+// Package leadercall is what is common to the parts that have orders of HTTP callers committed by the consensus group and
 // then distributed over the tree (purge/run and configuration/run): the interfaces they use, how they find and call the
 // leader with retries, and how they answer over HTTP.
 //
@@ -7,7 +7,7 @@
 // has no lock of its own: Signals use the part's, and a Caller reads the part's state through functions that lock.
 //
 // This file is the interfaces, and the process's position among the others.
-package ordering
+package leadercall
 
 import (
 	"context"
--- a/internal/cluster/ordering/ordering_test.go
+++ b/internal/cluster/leadercall/leadercall_test.go
@@ -1,4 +1,4 @@
-package ordering
+package leadercall
 
 import (
 	"context"
--- a/internal/cluster/ordering/orderingtest/orderingtest.go
+++ b/internal/cluster/leadercall/leadercalltest/leadercalltest.go
@@ -1,9 +1,9 @@
-// Package orderingtest is the test environment of the parts that use package ordering: many processes in one, connected
+// Package leadercalltest is the test environment of the parts that use package ordering: many processes in one, connected
 // by in-memory links, with a consensus that fails only on request, and a tree with three children a node.
 //
 // It owns who leads, which links are cut, and the lock around the ledger. It must be imported by tests only, and must
 // never check results itself.
-package orderingtest
+package leadercalltest
 
 import (
 	"context"
@@ -16,7 +16,7 @@
 	"testing"
 	"time"
 
-	"flaxcove/internal/cluster/ordering"
+	"flaxcove/internal/cluster/leadercall"
 	"flaxcove/internal/cluster/view"
 )
 
@@ -112,19 +112,19 @@
 	net    *Net
 	self   view.Life
 	mux    *http.ServeMux
-	routes map[string]ordering.Handler
+	routes map[string]leadercall.Handler
 }
 
 // Link returns a link for a process, which is reachable once it has joined.
 func (n *Net) Link(self view.Life) *Link {
-	return &Link{net: n, self: self, mux: http.NewServeMux(), routes: map[string]ordering.Handler{}}
+	return &Link{net: n, self: self, mux: http.NewServeMux(), routes: map[string]leadercall.Handler{}}
 }
 
 // Public is the HTTP interface for callers.
 func (l *Link) Public() *http.ServeMux { return l.mux }
 
 // Handle registers the handler of a path.
-func (l *Link) Handle(path string, h ordering.Handler) { l.routes[path] = h }
+func (l *Link) Handle(path string, h leadercall.Handler) { l.routes[path] = h }
 
 // Call calls the other process's handler.
 func (l *Link) Call(ctx context.Context, to view.Name, path string, in, out any) error {
--- a/internal/cluster/ordering/signals.go
+++ b/internal/cluster/leadercall/signals.go
@@ -1,4 +1,4 @@
-package ordering
+package leadercall
 
 // This file is how the goroutines of a part notify each other: that there is work, that the part's state has changed,
 // and that the process is ready.
--- a/internal/cluster/popularity/run/cluster_test.go
+++ b/internal/cluster/popularity/run/cluster_test.go
@@ -122,7 +122,7 @@
 	done([]clusterapi.LearnedEndpoint{{Endpoint: endpoint(of[0]), LearnedState: k}})
 }
 
-func (s *fakeSender) hold(all ...together.Held) {
+func (s *fakeSender) hold(all ...clusterapi.Held) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, h := range all {
--- a/internal/cluster/purge/run/http.go
+++ b/internal/cluster/purge/run/http.go
@@ -7,7 +7,7 @@
 	"net/http"
 	"time"
 
-	"flaxcove/internal/cluster/ordering"
+	"flaxcove/internal/cluster/leadercall"
 	"flaxcove/internal/cluster/purge/ledger"
 )
 
@@ -35,31 +35,31 @@
 
 // postPurge answers 202 once the purge is committed, or 200 once it is closed where the caller waits for that.
 func (r *Runner) postPurge(w http.ResponseWriter, request *http.Request) {
-	wait, ok := ordering.ParseWait(w, request, "complete", proposeTimeout)
+	wait, ok := leadercall.ParseWait(w, request, "complete", proposeTimeout)
 	if !ok {
 		return
 	}
 	var order ledger.Open
-	if !ordering.ReadOrder(w, request, maxBodyBytes, &order) {
+	if !leadercall.ReadOrder(w, request, maxBodyBytes, &order) {
 		return
 	}
 	if field, why := order.Validate(); field != "" {
-		ordering.WriteJSON(w, http.StatusBadRequest, ordering.ErrorResponse{Error: field + " " + why, Field: field})
+		leadercall.WriteJSON(w, http.StatusBadRequest, leadercall.ErrorResponse{Error: field + " " + why, Field: field})
 		return
 	}
 	ctx, cancel := context.WithTimeout(request.Context(), proposeTimeout)
 	defer cancel()
 	var opened ledger.OpenResult
 	if err := r.propose(ctx, ledger.KindOpen, order, &opened); err != nil {
-		ordering.WriteRetryLater(w, ordering.RetrySoon, ordering.ErrorResponse{Error: err.Error() + "; order it again under the same id"})
+		leadercall.WriteRetryLater(w, leadercall.RetrySoon, leadercall.ErrorResponse{Error: err.Error() + "; order it again under the same id"})
 		return
 	}
 	switch {
 	case opened.Full:
-		ordering.WriteRetryLater(w, retryWhenFull, ordering.ErrorResponse{Error: opened.Rejected})
+		leadercall.WriteRetryLater(w, retryWhenFull, leadercall.ErrorResponse{Error: opened.Rejected})
 		return
 	case opened.Rejected != "":
-		ordering.WriteJSON(w, http.StatusConflict, ordering.ErrorResponse{Error: opened.Rejected, Field: opened.Field})
+		leadercall.WriteJSON(w, http.StatusConflict, leadercall.ErrorResponse{Error: opened.Rejected, Field: opened.Field})
 		return
 	}
 	response := orderResponse{ID: order.ID, Seq: opened.Seq, Duplicate: opened.Duplicate, State: opened.State}
@@ -70,7 +70,7 @@
 	if wait > 0 && response.State != ledger.Spreading {
 		status = http.StatusOK
 	}
-	ordering.WriteJSON(w, status, response)
+	leadercall.WriteJSON(w, status, response)
 }
 
 // awaitClosed polls until a purge is closed, or the wait is over, and returns its state.
@@ -99,11 +99,11 @@
 	s, err := r.queryStatus(ctx, request.PathValue("id"))
 	switch {
 	case err != nil:
-		ordering.WriteRetryLater(w, ordering.RetrySoon, ordering.ErrorResponse{Error: err.Error()})
+		leadercall.WriteRetryLater(w, leadercall.RetrySoon, leadercall.ErrorResponse{Error: err.Error()})
 	case !s.Known:
-		ordering.WriteJSON(w, http.StatusNotFound, ordering.ErrorResponse{Field: "id",
+		leadercall.WriteJSON(w, http.StatusNotFound, leadercall.ErrorResponse{Field: "id",
 			Error: "no purge has this id, or it was forgotten as one of the oldest"})
 	default:
-		ordering.WriteJSON(w, http.StatusOK, s.Status)
+		leadercall.WriteJSON(w, http.StatusOK, s.Status)
 	}
 }
--- a/internal/cluster/purge/run/messages.go
+++ b/internal/cluster/purge/run/messages.go
@@ -8,7 +8,7 @@
 	"errors"
 	"fmt"
 
-	"flaxcove/internal/cluster/ordering"
+	"flaxcove/internal/cluster/leadercall"
 	"flaxcove/internal/cluster/purge/ledger"
 	"flaxcove/internal/cluster/purge/spread"
 	"flaxcove/internal/cluster/view"
@@ -43,7 +43,7 @@
 
 // registerHandlers registers the handlers of messages.
 func (r *Runner) registerHandlers() {
-	r.caller.Handle(map[string]ordering.Handler{
+	r.caller.Handle(map[string]leadercall.Handler{
 		pathUpdate: r.handleUpdate, pathRootUpdate: r.handleRootUpdate, pathReport: r.handleReport, pathRootReport: r.handleRootReport,
 		pathPurgesSince: r.handlePurgesSince, pathPropose: r.handlePropose, pathStatus: r.handleStatusRequest,
 	})
@@ -216,5 +216,5 @@
 	likely := r.options.Consensus.Ask()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return ordering.Candidates(likely, r.lastLeader.Name, r.view, r.options.Self.Name, maxCandidates)
+	return leadercall.Candidates(likely, r.lastLeader.Name, r.view, r.options.Self.Name, maxCandidates)
 }
--- a/internal/cluster/purge/run/run.go
+++ b/internal/cluster/purge/run/run.go
@@ -16,7 +16,7 @@
 
 	"go.uber.org/zap"
 
-	"flaxcove/internal/cluster/ordering"
+	"flaxcove/internal/cluster/leadercall"
 	"flaxcove/internal/cluster/purge/ledger"
 	"flaxcove/internal/cluster/purge/spread"
 	"flaxcove/internal/cluster/view"
@@ -39,9 +39,9 @@
 // Options is what a Runner is given; Now, CatchUp and Log may be left out.
 type Options struct {
 	Self            view.Member // Life, Zone, Region and Folder are read; a view may tell a higher incarnation later
-	Link            ordering.Link
-	Consensus       ordering.Consensus // nil for a process outside the consensus group
-	Ledger          *ledger.Ledger     // the part of that name in the consensus group; nil without one
+	Link            leadercall.Link
+	Consensus       leadercall.Consensus // nil for a process outside the consensus group
+	Ledger          *ledger.Ledger       // the part of that name in the consensus group; nil without one
 	Orders          clusterapi.Orders
 	LongestDeadline time.Duration // the longest deadline of the messages in the folder; 0 for not known
 	CatchUp         time.Duration // how long a start waits for purges that it missed, at most
@@ -55,10 +55,10 @@
 		return errors.New("purge: a link and a sender's orders must be given, and a ledger with a council")
 	}
 	if o.Consensus == nil {
-		o.Consensus = ordering.NoConsensus{NotLeading: errNotLeading}
+		o.Consensus = leadercall.NoConsensus{NotLeading: errNotLeading}
 	}
 	if o.Now == nil {
-		o.Now = ordering.NewClock()
+		o.Now = leadercall.NewClock()
 	}
 	o.CatchUp = cmp.Or(o.CatchUp, catchUpTimeout)
 	if o.Log == nil {
@@ -73,9 +73,9 @@
 	ctx        context.Context
 	stop       context.CancelFunc
 	goroutines sync.WaitGroup
-	signals    *ordering.Signals
-	limiter    ordering.Limiter // of HTTP requests
-	caller     ordering.Caller
+	signals    *leadercall.Signals
+	limiter    leadercall.Limiter // of HTTP requests
+	caller     leadercall.Caller
 
 	mu               sync.Mutex // purge.mu
 	state            *spread.State
@@ -83,7 +83,7 @@
 	leading          bool
 	leaderWork       leaderWork
 	view             *view.View
-	tree             ordering.Tree
+	tree             leadercall.Tree
 	lastLeader       view.Life // the process that last called this one as the leader
 	longestDeadline  time.Duration
 	reportedDeadline time.Duration // the one that the ledger has of this participant
@@ -96,11 +96,11 @@
 	if err := o.complete(); err != nil {
 		return nil, err
 	}
-	r := &Runner{options: o, limiter: make(ordering.Limiter, maxRequests), longestDeadline: o.LongestDeadline,
+	r := &Runner{options: o, limiter: make(leadercall.Limiter, maxRequests), longestDeadline: o.LongestDeadline,
 		state: spread.New(o.Self.Life, o.Self.Folder, o.Orders.Applied())}
-	r.signals = ordering.NewSignals(&r.mu)
+	r.signals = leadercall.NewSignals(&r.mu)
 	r.ctx, r.stop = context.WithCancel(context.Background())
-	r.caller = ordering.Caller{
+	r.caller = leadercall.Caller{
 		Part:           "purge",
 		Link:           o.Link,
 		Consensus:      o.Consensus,
@@ -133,7 +133,7 @@
 }
 
 // SetView sets the view of members, and the tree derived from it.
-func (r *Runner) SetView(v *view.View, t ordering.Tree) {
+func (r *Runner) SetView(v *view.View, t leadercall.Tree) {
 	r.mu.Lock()
 	r.view, r.tree = v, t
 	if m, found := v.Find(r.options.Self.Name); found && m.Incarnation > r.options.Self.Incarnation {
@@ -213,7 +213,7 @@
 	if r.view == nil || r.tree == nil {
 		return
 	}
-	life, top, below := ordering.TreePosition(r.view, r.tree, r.options.Self.Name, leader, known, r.lastLeader)
+	life, top, below := leadercall.TreePosition(r.view, r.tree, r.options.Self.Name, leader, known, r.lastLeader)
 	r.state.SetTree(spread.Parent{Life: life, IsLeader: top}, below, now)
 }
 
--- a/internal/cluster/purge/run/run_test.go
+++ b/internal/cluster/purge/run/run_test.go
@@ -10,8 +10,8 @@
 	"go.uber.org/goleak"
 
 	"flaxcove/choice"
-	"flaxcove/internal/cluster/ordering"
-	"flaxcove/internal/cluster/ordering/orderingtest"
+	"flaxcove/internal/cluster/leadercall"
+	"flaxcove/internal/cluster/leadercall/leadercalltest"
 	"flaxcove/internal/cluster/purge/ledger"
 	"flaxcove/internal/cluster/view"
 	"flaxcove/internal/sender/clusterapi"
@@ -51,13 +51,13 @@
 
 // fleet is several processes in one, with fake senders.
 type fleet struct {
-	net    *orderingtest.Net
+	net    *leadercalltest.Net
 	ledger *ledger.Ledger
 }
 
 func newFleet(leader view.Name) *fleet {
 	l := ledger.New()
-	return &fleet{orderingtest.New(l, leader), l}
+	return &fleet{leadercalltest.New(l, leader), l}
 }
 
 func (f *fleet) start(t *testing.T, m view.Member, o *fakeSender, bound time.Duration) *Runner {
@@ -91,7 +91,7 @@
 	}()
 	see := func() {
 		for _, r := range all {
-			r.SetView(view.New(r.options.Self.Name, 1, members), orderingtest.Tree(members))
+			r.SetView(view.New(r.options.Self.Name, 1, members), leadercalltest.Tree(members))
 		}
 	}
 	see()
@@ -108,28 +108,28 @@
 	var got orderResponse
 	var code int
 	f.net.LoseNextAnswer(ledger.KindOpen) // killed between commit and answer: tried again under the same id
-	code = orderingtest.Request(t, door, "POST", "/v1/purges?wait=complete&for=20s", order("a"), &got)
+	code = leadercalltest.Request(t, door, "POST", "/v1/purges?wait=complete&for=20s", order("a"), &got)
 	if code != 200 || got.State != ledger.Complete || got.Seq != 1 {
 		t.Fatalf("%d %+v", code, got)
 	}
-	if code := orderingtest.Request(t, door, "POST", "/v1/purges", order("a"), &got); code != 202 || !got.Duplicate || got.Seq != 1 {
+	if code := leadercalltest.Request(t, door, "POST", "/v1/purges", order("a"), &got); code != 202 || !got.Duplicate || got.Seq != 1 {
 		t.Errorf("the same again: %d %+v", code, got)
 	}
-	var no ordering.ErrorResponse
+	var no leadercall.ErrorResponse
 	for field, bad := range map[string]string{
 		"why":     strings.Replace(order("a"), "cancelled", "moved", 1),
 		"subject": strings.Replace(order("b"), "notices", "all", 1),
 		"match":   strings.Replace(order("b"), `"key":"k"`, "", 1),
 	} {
-		if code := orderingtest.Request(t, door, "POST", "/v1/purges", bad, &no); code/100 != 4 || no.Field != field {
+		if code := leadercalltest.Request(t, door, "POST", "/v1/purges", bad, &no); code/100 != 4 || no.Field != field {
 			t.Errorf("%s: %d %+v", field, code, no)
 		}
 	}
-	code = orderingtest.Request(t, door, "POST", "/v1/purges", `{"id":"b","whose":1}`, &no)
+	code = leadercalltest.Request(t, door, "POST", "/v1/purges", `{"id":"b","whose":1}`, &no)
 	if code != 400 || !strings.Contains(no.Error, "whose") {
 		t.Errorf("%d %+v", code, no)
 	}
-	if code := orderingtest.Request(t, door, "GET", "/v1/purges/nobody", "", &no); code != 404 {
+	if code := leadercalltest.Request(t, door, "GET", "/v1/purges/nobody", "", &no); code != 404 {
 		t.Errorf("%d %+v", code, no)
 	}
 	atRoot := f.net.Calls("p0", pathUpdate) + f.net.Calls("p0", pathReport)
@@ -137,13 +137,13 @@
 
 	// One that nobody reaches is shown so, and nothing is complete without it; its next life applies, then answers.
 	f.net.SetDown(true, "p5")
-	code = orderingtest.Request(t, door, "POST", "/v1/purges?wait=complete&for=700ms", order("c"), &got)
+	code = leadercalltest.Request(t, door, "POST", "/v1/purges?wait=complete&for=700ms", order("c"), &got)
 	if code != 202 || got.State != ledger.Spreading {
 		t.Fatalf("%d %+v", code, got)
 	}
 	var s PurgeStatus
 	for end := time.Now().Add(20 * time.Second); s.Sums.Acknowledged < 12; time.Sleep(20 * time.Millisecond) {
-		if code = orderingtest.Request(t, door, "GET", "/v1/purges/c", "", &s); code != 200 || time.Now().After(end) {
+		if code = leadercalltest.Request(t, door, "GET", "/v1/purges/c", "", &s); code != 200 || time.Now().After(end) {
 			t.Fatalf("%d %+v", code, s)
 		}
 	}
@@ -166,17 +166,17 @@
 		t.Errorf("ready with %d applied, %d was decided", seq, got.Seq)
 	}
 	see()
-	code = orderingtest.Request(t, door, "POST", "/v1/purges?wait=complete&for=20s", order("c"), &got)
+	code = leadercalltest.Request(t, door, "POST", "/v1/purges?wait=complete&for=20s", order("c"), &got)
 	if code != 200 || got.State != ledger.Complete {
 		t.Fatalf("%d %+v", code, got)
 	}
-	code = orderingtest.Request(t, door, "GET", "/v1/purges/c", "", &s)
+	code = leadercalltest.Request(t, door, "GET", "/v1/purges/c", "", &s)
 	if code != 200 || s.Sums.Acknowledged != 13 || s.Sums.Found.NotBegun != 13 {
 		t.Errorf("%d %+v", code, s)
 	}
 	// The leader goes; the next asks anew.
 	f.net.SetLeader("p9")
-	code = orderingtest.Request(t, door, "POST", "/v1/purges?wait=complete&for=20s", order("d"), &got)
+	code = leadercalltest.Request(t, door, "POST", "/v1/purges?wait=complete&for=20s", order("d"), &got)
 	if code != 200 || got.Seq != 3 {
 		t.Fatalf("%d %+v", code, got)
 	}
