--- a/internal/cluster/failover/run/run.go
+++ b/internal/cluster/failover/run/run.go
@@ -61,7 +61,7 @@
 	Term          func() uint64                           // of the consensus group, at its leader; nil for 0
 	Tree          func() *tree.Tree                       // as of now
 	HealthReports func(view.Uptime) []healthreport.Sample // of this process, and at the coordinator of a zone of its zone
-	Local         func() apply.Local                      // but for Ill, which is filled in here
+	Local         func() apply.Local                      // but for Failing, which is filled in here
 	Bounds        assess.Bounds
 	Settings      plan.Settings
 	TickInterval  time.Duration // defaultTickInterval if 0
