--- a/internal/cluster/popularity/count/count.go
+++ b/internal/cluster/popularity/count/count.go
@@ -1,10 +1,10 @@
-// Package count counts how many messages clients hand in for each destination at one process, in bounded memory.
+// Package count counts the messages that clients submit for each destination at one process, in bounded memory.
 //
-// The package is pure. Counts decay with a half-life, so that a count is a rate weighted towards now. Which destinations
-// have a row is settled by the space-saving algorithm (Metwally, Agrawal, El Abbadi, 2005): a destination without a row
-// takes the row of the lowest count, and inherits that count as the amount by which its own may be too high. Reported is
-// only what was certainly handed in: an estimate that includes an inherited count would make each newcomer popular. One
-// client alone must never make a destination popular: see Bounds.ClientShare.
+// The package does no I/O and reads no clock. Counts decay with a half-life, so that a count is a rate in which recent messages
+// have more weight. Rows are assigned to destinations by the space-saving algorithm (Metwally, Agrawal, El Abbadi, 2005): a
+// destination without a row replaces the one with the lowest count, and inherits that count as the amount by which its own may
+// be too high. Estimates exclude this amount, because otherwise each new destination would appear popular. A single client
+// cannot make a destination popular, see Bounds.ClientShare.
 package count
 
 import (
@@ -22,84 +22,90 @@
 	"flaxcove/internal/sender/clusterapi"
 )
 
-// HalfLife is the default half-life of counts. In simulations (TestHitRateAtSize of package evict) 30 s has hit rates 0.004 to
-// 0.008 above those of a minute. 20 s had 0.005 more, but rankings that shift each 50 s favour short half-lives; it is a
-// guess.
+// HalfLife is the default half-life of counts. In simulations (TestHitRateAtSize of package evict) the hit rates with 30 s are
+// 0.004 to 0.008 higher than with a minute. With 20 s they are 0.005 higher still, but the simulated popularity shifts every
+// 50 s, which favours short half-lives.
 const HalfLife = 30 * time.Second
 
 // Defaults of Bounds.
 const (
-	defaultDestinations = 4096 // over the 3,000 of the largest fleet drawn, where counts are exact; about 1 MB
-	defaultClientShare  = 0.25 // stated: a quarter of what all others add
-	// defaultClientFloor: where a destination has one client, a bound without the logarithm gave all destinations worth
-	// caching the same count, and cost up to 0.06 of the hit rate (simulated, TestHitRateAtSize of package evict). A
-	// hundred times the floor counts as less than six times.
-	defaultClientFloor = 1.0 / 400
+	// defaultDestinations is above the 3,000 destinations of the largest simulated cluster, so that counts there are exact. A
+	// table of this size takes about 1 MB.
+	defaultDestinations = 4096
+	defaultClientShare  = 0.25 // a quarter of what all other clients add
+	// defaultClientAllowance is the default of ClientAllowance. Messages beyond the allowance count by their logarithm: a
+	// client that submits a hundred times the allowance counts as less than six times the allowance. With a fixed limit instead,
+	// all destinations with a single client had the same count if they were worth caching, which reduced the hit rate by up to
+	// 0.06 (simulated, TestHitRateAtSize of package evict).
+	defaultClientAllowance = 1.0 / 400
 )
 
 const (
-	minFloorMessages = 2.0  // the floor at a process that counted next to nothing
-	minReported      = 0.05 // messages; rows with less are left out of Top
-	// maxClients is for how many clients a row has counts of their own; more than four that each send much are not one
-	// client.
+	minClientAllowance  = 2.0  // the lowest client allowance, for a process that has counted hardly any messages
+	minReportedMessages = 0.05 // messages; Top omits rows with less
+	// maxClients is the number of clients that have separate counts in a row. If more than four clients each submit many
+	// messages, the destination is not made popular by a single client.
 	maxClients = 4
-	// rebaseAfter is in half-lives: 2^40 is far from what a float64 can hold.
-	rebaseAfter = 40
+	// rebaseAfterHalfLives is the age of baseTime, in half-lives, from which on counts are rescaled. They grow by a factor of
+	// 2^40 until then, which is far below the limit of a float64.
+	rebaseAfterHalfLives = 40
 )
 
-// Bounds are a table's; zero values stand for the defaults.
+// Bounds are the bounds of a Table. A field that is zero stands for its default.
 type Bounds struct {
-	Destinations int
-	HalfLife     time.Duration
-	// ClientShare is what one client may add to a destination, as a share of what all other clients add to it.
-	// ClientFloor is what it may add beside that, as a share of all that was counted here: so much counts in full, and
-	// what is beyond by its logarithm.
-	ClientShare, ClientFloor float64
+	Destinations int           // number of rows
+	HalfLife     time.Duration // of counts
+	// ClientShare limits the messages of one client that count for a destination, as a fraction of those of all its other
+	// clients. In addition to that share, messages count in full up to the client allowance, and beyond it by their logarithm.
+	// ClientAllowance is that allowance, as a fraction of all messages in the table.
+	ClientShare, ClientAllowance float64
 }
 
-// Row is a destination and how many messages were handed in for it, decayed.
+// Row is a destination and the decayed number of messages submitted for it.
 type Row struct {
 	Destination choice.DestinationID
 	Messages    float64
 }
 
-// Table is for one goroutine at a time.
+// Table counts messages by destination and client. NewTable creates one. It is not safe for concurrent use.
 type Table struct {
 	bounds   Bounds
-	baseTime view.Uptime // counts are scaled to this time, so that decay changes no order
+	baseTime view.Uptime // all counts are scaled as of this time, so that decay does not change their order
 	rows     map[choice.DestinationID]*row
-	byCount  indexheap.Heap[*row]
-	total    float64
+	byCount  indexheap.Heap[*row] // all rows, the lowest count first
+	total    float64              // messages for all destinations, including those without a row
 }
 
+// row is the count of one destination. Its numbers are scaled as of Table.baseTime.
 type row struct {
 	id           choice.DestinationID
-	count        float64       // never less than what was handed in
-	overestimate float64       // by how much count may be too high
+	count        float64       // never less than the number of messages submitted
+	overestimate float64       // the amount by which count may be too high
 	clients      []clientCount // at most maxClients
 	heapIndex    int           // in Table.byCount
 }
 
-// clientCount is what one client handed in. A client is stored as a hash, since names may be of any length.
+// clientCount is the number of messages that one client submitted. The client is identified by the hash of its name, as names
+// can have any length.
 type clientCount struct {
 	client   uint64
 	messages float64
 }
 
-// NewTable takes bounds; zero values stand for the defaults.
+// NewTable returns an empty table.
 func NewTable(b Bounds) *Table {
 	b.Destinations = cmp.Or(max(b.Destinations, 0), defaultDestinations)
 	b.HalfLife = cmp.Or(max(b.HalfLife, 0), HalfLife)
-	b.ClientShare, b.ClientFloor = cmp.Or(b.ClientShare, defaultClientShare), cmp.Or(b.ClientFloor, defaultClientFloor)
+	b.ClientShare, b.ClientAllowance = cmp.Or(b.ClientShare, defaultClientShare), cmp.Or(b.ClientAllowance, defaultClientAllowance)
 	return &Table{bounds: b, rows: map[choice.DestinationID]*row{}}
 }
 
-// Decay is what is left of a count after a span; all of it if the span is negative.
+// Decay returns the fraction of a count that is left at an age, with a half-life. It is 1 for a negative age.
 func Decay(age, half time.Duration) float64 { return math.Exp2(-float64(max(age, 0)) / float64(half)) }
 
-// Add counts what clients handed in up to now.
+// Add counts messages that were submitted up to now.
 func (t *Table) Add(now view.Uptime, all []clusterapi.Count) {
-	if now-t.baseTime > rebaseAfter*t.bounds.HalfLife {
+	if now-t.baseTime > rebaseAfterHalfLives*t.bounds.HalfLife {
 		t.rebase(now)
 	}
 	scale := 1 / Decay(now-t.baseTime, t.bounds.HalfLife)
@@ -110,6 +116,7 @@
 	}
 }
 
+// add counts messages, given as a number scaled as of baseTime, and assigns a row to the destination if it has none.
 func (t *Table) add(c clusterapi.Count, messages float64) {
 	t.total += messages
 	r := t.rows[c.Destination]
@@ -132,8 +139,8 @@
 	r.addClient(xxhash.Sum64String(c.Client), messages)
 }
 
-// addClient adds to a client's count. Where all are taken the lowest is replaced: its messages count on, as those of
-// others.
+// addClient adds to a client's count. If there are maxClients other clients, it replaces the one with the lowest count, whose
+// messages remain in the row's count but are no longer attributed to a client.
 func (r *row) addClient(client uint64, messages float64) {
 	lowest := 0
 	for i := range r.clients {
@@ -152,11 +159,11 @@
 	r.clients[lowest] = clientCount{client, messages}
 }
 
-// rebase scales all counts to the time now.
+// rebase sets baseTime to now and rescales all counts.
 func (t *Table) rebase(now view.Uptime) {
 	scale := Decay(now-t.baseTime, t.bounds.HalfLife)
 	t.baseTime, t.total = now, t.total*scale
-	for _, r := range t.byCount { // the order of the heap stays
+	for _, r := range t.byCount { // the order of the heap is unchanged
 		r.count, r.overestimate = r.count*scale, r.overestimate*scale
 		for i := range r.clients {
 			r.clients[i].messages *= scale
@@ -164,13 +171,13 @@
 	}
 }
 
-// Top returns the destinations with most messages, the most first, at most limit; the caller owns the slice.
+// Top returns the rows with the most messages in descending order, at most limit of them. The caller owns the slice.
 func (t *Table) Top(now view.Uptime, limit int) []Row {
 	scale := Decay(now-t.baseTime, t.bounds.HalfLife)
-	floor := t.clientFloor(scale)
+	allowance := t.clientAllowance(scale)
 	all := make([]Row, 0, len(t.byCount))
 	for _, r := range t.byCount {
-		if n := r.boundedCount(scale, floor, t.bounds.ClientShare); n >= minReported {
+		if n := r.boundedCount(scale, allowance, t.bounds.ClientShare); n >= minReportedMessages {
 			all = append(all, Row{r.id, n})
 		}
 	}
@@ -178,46 +185,48 @@
 	return slices.Clip(all[:min(len(all), limit)])
 }
 
-// Estimate is what was certainly handed in for one destination, with each client held to its bound.
+// Estimate returns a lower bound of the number of messages submitted for a destination, with each client limited by its bound.
+// It is 0 for a destination without a row.
 func (t *Table) Estimate(now view.Uptime, d choice.DestinationID) float64 {
 	r := t.rows[d]
 	if r == nil {
 		return 0
 	}
 	scale := Decay(now-t.baseTime, t.bounds.HalfLife)
-	return r.boundedCount(scale, t.clientFloor(scale), t.bounds.ClientShare)
+	return r.boundedCount(scale, t.clientAllowance(scale), t.bounds.ClientShare)
 }
 
-func (t *Table) clientFloor(scale float64) float64 {
-	return max(minFloorMessages, t.bounds.ClientFloor*t.total*scale)
+// clientAllowance returns the number of messages of a client that count in full.
+func (t *Table) clientAllowance(scale float64) float64 {
+	return max(minClientAllowance, t.bounds.ClientAllowance*t.total*scale)
 }
 
-// boundedCount is a row's count with each client held to its bound.
-func (r *row) boundedCount(scale, floor, share float64) float64 {
+// boundedCount returns a row's count without its overestimate, and with each client limited by its bound.
+func (r *row) boundedCount(scale, allowance, share float64) float64 {
 	certain := (r.count - r.overestimate) * scale
 	bounded := certain
 	for _, c := range r.clients {
-		if n := c.messages * scale; n > floor {
-			bounded -= max(0, n-floor*(1+math.Log(n/floor))-share*max(0, certain-n))
+		if n := c.messages * scale; n > allowance {
+			bounded -= max(0, n-allowance*(1+math.Log(n/allowance))-share*max(0, certain-n))
 		}
 	}
 	return max(0, bounded)
 }
 
-// Total is how many messages were handed in for all destinations.
+// Total returns the decayed number of messages submitted for all destinations.
 func (t *Table) Total(now view.Uptime) float64 {
 	return t.total * Decay(now-t.baseTime, t.bounds.HalfLife)
 }
 
-// CompareRows has the most popular first, and of two alike the lower id.
+// CompareRows orders rows by descending number of messages, and rows with equal numbers by destination.
 func CompareRows(a, b Row) int {
 	return cmp.Or(cmp.Compare(b.Messages, a.Messages), cmp.Compare(a.Destination, b.Destination))
 }
 
-// Less has the row first that is evicted first.
+// Less reports whether the row is replaced before the other one. It implements indexheap.Item.
 func (r *row) Less(other *row) bool {
 	return r.count < other.count || r.count == other.count && r.id < other.id
 }
 
-// SetIndex is called by the heap.
+// SetIndex stores the index in the heap. It implements indexheap.Item.
 func (r *row) SetIndex(i int) { r.heapIndex = i }
--- a/internal/cluster/popularity/count/count_test.go
+++ b/internal/cluster/popularity/count/count_test.go
@@ -72,7 +72,7 @@
 	}
 	table.Add(0, handedIn(7, "pusher", 10_000))
 	table.Add(0, handedIn(1000, "pusher", 10_000))
-	floor := table.Total(0) * defaultClientFloor
+	floor := table.Total(0) * defaultClientAllowance
 	floor *= 1 + math.Log(10_000/floor) // 150 by 5.2
 	if n := table.Estimate(0, 7); n > 100+0.25*100+floor+1e-6 {
 		t.Error("a destination pushed by one client", n)
--- a/internal/cluster/popularity/evict/evict.go
+++ b/internal/cluster/popularity/evict/evict.go
@@ -1,8 +1,8 @@
-// Package evict chooses which cached destinations a small process evicts, to stay within a number and within bytes.
+// Package evict chooses which cached destinations a small process evicts to stay within bounds on their number and bytes.
 //
-// The package is pure. Those of the lowest priority weight go first: a destination's score, multiplied by what it would cost
-// to learn it again, for each byte it takes. A protected destination (clusterapi.Held.InUse) is never chosen; if that leaves
-// a bound exceeded, the selection says so.
+// The package does no I/O and reads no clock. Destinations with the lowest priority weight are evicted first. The weight is the
+// destination's score multiplied by the cost of learning its state again, divided by the bytes it takes. A protected destination
+// (clusterapi.Held.InUse) is never chosen. If a bound remains exceeded for that reason, the Selection says so.
 package evict
 
 import (
@@ -17,43 +17,45 @@
 )
 
 const (
-	// callsToLearn is from how many answers on learned state is about as good as it gets: it then has twice the weight of a
-	// destination without any. Package choice weighs a call by one over those seen.
+	// callsToLearn is the number of answers after which learned state hardly improves, since package choice weights an answer
+	// by one over the number seen. From there on a destination has twice the weight of one without learned state.
 	callsToLearn = 16
-	// returnWindow is for how long a destination that was evicted and loaded again has a higher weight, and returnFactor how
-	// much higher: it was evicted in error, and evicting it again would make it alternate with another.
-	// Simulated (size_test.go): with 2 hit rates are up to 0.007 above those with 1.
+	// returnWindow is the time within which a destination that is loaded again after its eviction counts as returned, and
+	// for which it then has a higher weight. Without that, it could alternate with another destination of similar weight.
 	returnWindow = time.Minute
+	// returnFactor is the factor by which the weight of a returned destination is raised. In simulations (size_test.go) hit
+	// rates with 2 are up to 0.007 higher than with 1.
 	returnFactor = 2.0
-	minScore     = 1e-3   // messages; so that cost and bytes count among destinations without a score
-	maxTracked   = 2048   // destinations in each of an evictor's tables
-	baseBytes    = 1024.0 // added to all sizes: a destination costs that much to cache in any form
+	minScore     = 1e-3   // messages; lowest score, so that cost and bytes decide between destinations without a score
+	maxTracked   = 2048   // destinations in each map of an Evictor
+	baseBytes    = 1024.0 // added to the size of each destination, for what any cached destination costs
 )
 
-// Bounds are what may be cached; 0 is no bound.
+// Bounds limit the destinations that are cached. A field that is 0 sets no limit.
 type Bounds struct {
-	Destinations int
-	Bytes        int
+	Destinations int // number of destinations
+	Bytes        int // sum of clusterapi.Held.Bytes
 }
 
-// Selection is what Choose says.
+// Selection is the result of Evictor.Choose.
 type Selection struct {
-	Evict         []choice.DestinationID // the lowest weight first
-	BoundExceeded bool                   // by protected destinations
+	Evict         []choice.DestinationID // by ascending priority weight
+	BoundExceeded bool                   // a bound remains exceeded because of protected destinations
 }
 
-// Evictor remembers which destinations were evicted and loaded again. It is for one goroutine at a time.
+// Evictor chooses destinations to evict. It tracks which destinations were evicted and loaded again. New creates one. It is not
+// safe for concurrent use.
 type Evictor struct {
-	evictedAt  map[choice.DestinationID]view.Uptime // within returnWindow, at most maxTracked
-	returnedAt map[choice.DestinationID]view.Uptime // those of the cached destinations that were loaded again
+	evictedAt  map[choice.DestinationID]view.Uptime // time of the last eviction; at most maxTracked entries
+	returnedAt map[choice.DestinationID]view.Uptime // time at which a returned destination was loaded again; at most maxTracked entries
 }
 
-// New returns an evictor that remembers nothing.
+// New returns an Evictor without any history.
 func New() *Evictor {
 	return &Evictor{evictedAt: map[choice.DestinationID]view.Uptime{}, returnedAt: map[choice.DestinationID]view.Uptime{}}
 }
 
-// Loaded records that a destination is cached that was not before.
+// Loaded records that a destination was added to the cache.
 func (e *Evictor) Loaded(now view.Uptime, d choice.DestinationID) {
 	if when, evicted := e.evictedAt[d]; evicted && now-when <= returnWindow {
 		if len(e.returnedAt) >= maxTracked {
@@ -66,18 +68,19 @@
 	delete(e.evictedAt, d)
 }
 
-// Evicted records an eviction.
+// Evicted records that a destination was evicted.
 func (e *Evictor) Evicted(now view.Uptime, d choice.DestinationID) {
 	delete(e.returnedAt, d)
 	if _, tracked := e.evictedAt[d]; !tracked && len(e.evictedAt) >= maxTracked {
 		e.expire(now)
 		if len(e.evictedAt) >= maxTracked {
-			return // not tracked, and so not favoured if it returns
+			return // not tracked, so its weight is not raised if it is loaded again
 		}
 	}
 	e.evictedAt[d] = now
 }
 
+// expire drops the entries that are older than returnWindow.
 func (e *Evictor) expire(now view.Uptime) {
 	for _, m := range []map[choice.DestinationID]view.Uptime{e.evictedAt, e.returnedAt} {
 		for d, when := range m {
@@ -88,12 +91,14 @@
 	}
 }
 
+// candidate is a destination that may be evicted, with its priority weight.
 type candidate struct {
 	held   clusterapi.Held
 	weight float64
 }
 
-// Choose selects what to evict so that the rest is within bounds. score is of each destination, as of now.
+// Choose selects destinations to evict, so that the others are within the bounds. held lists all cached destinations, and score
+// returns the score of a destination as of now.
 func (e *Evictor) Choose(now view.Uptime, held []clusterapi.Held, b Bounds,
 	score func(choice.DestinationID) float64) (s Selection) {
 	number, bytes := len(held), 0
@@ -117,7 +122,7 @@
 	return s
 }
 
-// candidates are the destinations that may be evicted, the lowest weight first.
+// candidates returns the destinations that may be evicted, by ascending priority weight.
 func (e *Evictor) candidates(now view.Uptime, held []clusterapi.Held, score func(choice.DestinationID) float64) []candidate {
 	all := make([]candidate, 0, len(held))
 	for _, h := range held {
@@ -131,7 +136,8 @@
 	return all
 }
 
-// priorityWeight is what is lost with a destination, for each byte it takes.
+// priorityWeight returns the priority weight of a destination. Scores and numbers of calls that are invalid count as the lowest
+// possible ones.
 func (e *Evictor) priorityWeight(now view.Uptime, h clusterapi.Held, score float64) float64 {
 	if !(score >= minScore) || math.IsInf(score, 0) {
 		score = minScore
--- a/internal/cluster/popularity/evict/size_test.go
+++ b/internal/cluster/popularity/evict/size_test.go
@@ -201,7 +201,7 @@
 		r.merged.Put(now, merge.NewDigest(r.lives[p], seq, 1, r.tables[p].Top(now, merge.MaxRows)))
 	}
 	rows, processes := r.merged.Sum(now, r.tables[0].Top(now, merge.MaxRows))
-	ranking := score.Ranking{Version: score.Version{Head: r.lives[0], Seq: seq}, Region: "r", Processes: processes}
+	ranking := score.Ranking{Version: score.Version{Coordinator: r.lives[0], Seq: seq}, Region: "r", Processes: processes}
 	ranking.Destinations, ranking.Messages = merge.Columns(rows)
 	r.ranking.Update(now, "r", ranking)
 }
--- a/internal/cluster/popularity/merge/merge.go
+++ b/internal/cluster/popularity/merge/merge.go
@@ -1,10 +1,11 @@
-// Package merge adds up what processes counted, on the way up the tree of one region.
+// Package merge adds up the counts of the processes of one region, as they are sent up the tree.
 //
-// The package is pure. A digest is one process's complete count, with the process's incarnation and a sequence number: the
-// newest of each process is stored, in whatever order and however often digests arrive. A coordinator's digest is its own
-// sum, so that a region's coordinator stores one set of rows for each process that reports to it and not for each process
-// of the region. No clock is compared with another: a digest carries its age. One process's counts are never added twice,
-// and a digest of a process that does not report here is rejected.
+// The package does no I/O and reads no clock. A Digest holds the complete counts of one process, with the incarnation of the
+// process and a sequence number. Of each process the newest digest is stored, whatever the order and number of arrivals. A
+// process with others below it sends the sum of their digests and its own counts as its digest, so a region's coordinator
+// stores one set of rows per child rather than one per process of the region. A digest carries its age, so that clocks of
+// different processes are never compared. The counts of a process are never added twice, and a digest of a process that does
+// not report here is rejected.
 package merge
 
 import (
@@ -20,36 +21,36 @@
 )
 
 const (
-	// MaxRows bounds a digest: a destination beyond it counts, at each process, at most as much as the last row. At ten bytes
-	// a row it is 4 KB.
+	// MaxRows is the maximum number of rows in a digest. A destination that is omitted has at most as many messages at that
+	// process as the last row. At ten bytes per row, a digest takes up to 4 KB.
 	MaxRows = 384
-	// maxAge of a digest: two renewals and a half-life later nothing of it counts any more.
+	// maxAge is the age beyond which a digest no longer counts. It is longer than two renewals and a half-life.
 	maxAge = 90 * time.Second
-	// maxChildren is above tree.Fan in each of three roles.
+	// maxChildren is the maximum number of processes that report here. It exceeds tree.Fan children in each of three roles.
 	maxChildren       = 128
-	maxFormerVersions = 512
-	maxMessages       = 1e9 // in a digest's row; more is a fault and no count
+	maxFormerVersions = 512 // entries in Table.formerVersions
+	maxRowMessages    = 1e9 // in a row of a digest; a higher number is invalid
 )
 
-// Digest is one process's count, or a coordinator's sum. Its rows travel as two lists of one length, which are shorter
-// than objects.
+// Digest holds the counts of one process and of the processes below it. Its rows are encoded as two lists of equal length, which
+// take less space than a list of objects.
 type Digest struct {
 	From         view.Life              `json:"from"`
-	Seq          uint64                 `json:"seq"` // grows with each digest of an incarnation
-	Age          time.Duration          `json:"age"`
-	Processes    int                    `json:"processes"` // that it sums up
+	Seq          uint64                 `json:"seq"`       // grows with each digest that an incarnation makes
+	Age          time.Duration          `json:"age"`       // time since the counts were made
+	Processes    int                    `json:"processes"` // number of processes whose counts it includes
 	Destinations []choice.DestinationID `json:"d"`
 	Messages     []float64              `json:"n"`
 }
 
-// NewDigest makes a digest of rows, messages rounded to a tenth.
+// NewDigest returns a digest with rows, in which numbers of messages are rounded to a tenth.
 func NewDigest(from view.Life, seq uint64, processes int, rows []count.Row) Digest {
 	d := Digest{From: from, Seq: seq, Processes: processes}
 	d.Destinations, d.Messages = Columns(rows)
 	return d
 }
 
-// Columns returns rows as two lists, messages rounded to a tenth.
+// Columns returns the destinations and the numbers of messages of rows as two lists. The numbers are rounded to a tenth.
 func Columns(rows []count.Row) (ids []choice.DestinationID, messages []float64) {
 	for _, r := range rows {
 		ids = append(ids, r.Destination)
@@ -58,15 +59,15 @@
 	return ids, messages
 }
 
-// ValidColumns reports whether two lists can be rows: as many of each, not too many, each destination once, counts
-// that are possible.
+// ValidColumns reports whether two lists form valid rows: they have equal lengths of at most MaxRows, each destination occurs
+// once, and the numbers of messages are possible.
 func ValidColumns(ids []choice.DestinationID, messages []float64) bool {
 	if len(ids) != len(messages) || len(ids) > MaxRows {
 		return false
 	}
 	seen := make(map[choice.DestinationID]bool, len(ids))
 	for i, n := range messages {
-		if !(n >= 0 && n <= maxMessages) || seen[ids[i]] {
+		if !(n >= 0 && n <= maxRowMessages) || seen[ids[i]] {
 			return false
 		}
 		seen[ids[i]] = true
@@ -74,47 +75,53 @@
 	return true
 }
 
-// PutResult is what became of a digest.
+// PutResult is the outcome of Table.Put.
 type PutResult uint8
 
+// Values of PutResult.
 const (
 	Accepted     PutResult = iota
-	Outdated               // this digest or a newer one is stored already, or it is older than maxAge
-	NotReporting           // of a process, or an earlier incarnation of it, that does not report here
-	Invalid
+	Outdated               // the same digest or a newer one is already known, or the digest is older than maxAge
+	NotReporting           // the process, or this incarnation of it, does not report here
+	Invalid                // the age, the number of processes or the rows are impossible
 )
 
-// Table is for one goroutine at a time.
+// Table stores the newest digest of each process that reports here. NewTable creates one. It is not safe for concurrent use.
 type Table struct {
 	halfLife  time.Duration
-	reporters map[view.Name]view.Incarnation
+	reporters map[view.Name]view.Incarnation // lowest accepted incarnation of the processes that report here
 	digests   map[view.Name]storedDigest
-	// formerVersions are those of digests that were removed: a process that reports here again must send a newer one.
+	// formerVersions has the versions of digests that were removed. If a process reports here again, only a newer digest is
+	// accepted.
 	formerVersions map[view.Name]version
 }
 
+// version identifies a digest of a process, and holds the time at which its counts were made.
 type version struct {
 	incarnation view.Incarnation
 	seq         uint64
 	countedAt   view.Uptime
 }
 
+// newer reports whether v is a later digest of the same process. It does not compare the times.
 func (v version) newer(than version) bool {
 	return cmp.Or(cmp.Compare(v.incarnation, than.incarnation), cmp.Compare(v.seq, than.seq)) > 0
 }
 
+// storedDigest is the content of a digest, with the time of its counts in place of its age.
 type storedDigest struct {
 	version
 	processes int
 	rows      []count.Row
 }
 
-// NewTable takes the half-life of counts.
+// NewTable returns an empty table for counts with this half-life.
 func NewTable(halfLife time.Duration) *Table {
 	return &Table{halfLife: halfLife, digests: map[view.Name]storedDigest{}, formerVersions: map[view.Name]version{}}
 }
 
-// SetReporters sets which processes report here. The digests of all others are removed.
+// SetReporters sets the processes that report here, of which at most maxChildren are accepted. The digests of all others are
+// removed.
 func (t *Table) SetReporters(reporters []view.Life) {
 	t.reporters = map[view.Name]view.Incarnation{}
 	for _, l := range reporters[:min(len(reporters), maxChildren)] {
@@ -127,6 +134,7 @@
 	}
 }
 
+// remove removes a digest and records its version.
 func (t *Table) remove(name view.Name, stored storedDigest) {
 	delete(t.digests, name)
 	t.formerVersions[name] = stored.version
@@ -139,7 +147,7 @@
 	}
 }
 
-// Put stores a digest whose age is as of now.
+// Put stores a digest whose age is as of now, and returns whether it was accepted or why not.
 func (t *Table) Put(now view.Uptime, d Digest) PutResult {
 	minIncarnation, reports := t.reporters[d.From.Name]
 	last, known := t.formerVersions[d.From.Name]
@@ -164,21 +172,22 @@
 	return Accepted
 }
 
-// Has reports whether a digest of this incarnation is stored.
+// Has reports whether a digest of this incarnation of a process is stored.
 func (t *Table) Has(l view.Life) bool {
 	stored, found := t.digests[l.Name]
 	return found && stored.incarnation == l.Incarnation
 }
 
-// Sum adds all stored digests to what this process counted itself: the rows of most messages, and how many processes
-// they are from. It depends on nothing but the table.
+// Sum adds the stored digests, decayed to now, to the rows that this process has counted itself. It returns the MaxRows rows with
+// the most messages in descending order, and the number of processes whose counts they include. Digests older than maxAge are
+// removed.
 func (t *Table) Sum(now view.Uptime, own []count.Row) (rows []count.Row, processes int) {
 	sum := make(map[choice.DestinationID]float64, len(own))
 	for _, r := range own {
 		sum[r.Destination] += r.Messages
 	}
 	processes = 1
-	for _, name := range slices.Sorted(maps.Keys(t.digests)) { // in order, as sums of floats depend on it
+	for _, name := range slices.Sorted(maps.Keys(t.digests)) { // in a fixed order, as sums of floats depend on it
 		stored := t.digests[name]
 		if now-stored.countedAt > maxAge {
 			t.remove(name, stored)
@@ -197,8 +206,8 @@
 	return slices.Clip(rows[:min(len(rows), MaxRows)]), processes
 }
 
-// ChangedFraction is how much of a digest is new, from 0 to 1: before are the rows of the last one, and decayed is
-// what decay left of them.
+// ChangedFraction returns the fraction of the messages in rows that has changed since the last digest, from 0 to 1. before are
+// the rows of the last digest, and decayed is the fraction of their messages that is left after decay.
 func ChangedFraction(before, after []count.Row, decayed float64) float64 {
 	expected := make(map[choice.DestinationID]float64, len(before))
 	var difference, total float64
@@ -210,8 +219,8 @@
 		delete(expected, r.Destination)
 		difference, total = difference+math.Abs(r.Messages-b), total+max(r.Messages, b)
 	}
-	for _, r := range before { // in order, as above
-		if n, gone := expected[r.Destination]; gone {
+	for _, r := range before { // in a fixed order, as sums of floats depend on it
+		if n, removed := expected[r.Destination]; removed {
 			difference, total = difference+n, total+n
 		}
 	}
--- a/internal/cluster/popularity/recall/discount.go
+++ b/internal/cluster/popularity/recall/discount.go
@@ -10,24 +10,29 @@
 )
 
 const (
-	// MaxAge: older lessons are not used; a destination's endpoint may have moved, and the prior of package choice is as
-	// good.
+	// MaxAge is the age beyond which learned state is not used: the destination's endpoint may have moved since, and the
+	// prior of package choice is as good.
 	MaxAge = 10 * time.Minute
-	// ageHalfLife and maxAnswers: package choice weighs each new answer by one over those seen. A lesson that counts as
-	// four answers has the first new answer move the mean by a fifth, and one of two half-lives by half.
+	// ageHalfLife is the age at which learned latencies count for half as many answers as new ones.
 	ageHalfLife = 2 * time.Minute
-	maxAnswers  = 4.0
-	// maxAnswersElsewhere is what a lesson learned in another zone counts for at most: its calls took another way.
+	// maxAnswers is the number of answers for which learned latencies count at most. Package choice weights each new answer
+	// by one over the number of answers seen. With 4 answers seen, the first new answer moves the mean by a fifth, and after
+	// two half-lives by half.
+	maxAnswers = 4.0
+	// maxAnswersElsewhere replaces maxAnswers for latencies that were learned in another zone, whose calls took another
+	// network path.
 	maxAnswersElsewhere = 1.0
-	// limitMaxAge: a limit is reported by the endpoint and renewed with each answer. An old one may be too high, which does
-	// harm, or too low, which holds a sender back for nothing; either is learned anew with the first answer.
+	// limitMaxAge is the age beyond which a limit is not used. Endpoints report their limit with each answer, so it is learned
+	// again with the first one. An outdated limit may be too high, which overloads the endpoint, or too low, which slows the
+	// sender down without need.
 	limitMaxAge = 30 * time.Second
 )
 
-// Discount is what of a lesson is applied at a process in zone here; false for nothing. Times count for less the older
-// they are, a limit only while it is fresh, and a wait for what is left of it. How warm an endpoint is is not passed
-// on: its first calls go by package choice's slow start.
-func Discount(l Lesson, here view.Zone) (clusterapi.LearnedEndpoint, bool) {
+// Discount returns the learned state that a process in zone here should apply, and false if it should apply none. Latencies
+// count for fewer answers the older they are, a limit is used only up to limitMaxAge, and a wait is reduced by the age. The
+// progress of an endpoint's slow start is not part of the state: its first calls are subject to the slow start of package
+// choice.
+func Discount(l EndpointState, here view.Zone) (clusterapi.LearnedEndpoint, bool) {
 	if !valid(l) || l.Age > MaxAge {
 		return clusterapi.LearnedEndpoint{}, false
 	}
@@ -45,10 +50,10 @@
 	return clusterapi.LearnedEndpoint{Endpoint: l.Endpoint, LearnedState: state, Age: l.Age}, state != choice.LearnedState{}
 }
 
-// FromSender turns what a sender handed over into a lesson for the summary.
-func FromSender(l clusterapi.LearnedEndpoint, zone view.Zone) Lesson {
+// FromSender converts learned state of a sender in a zone to the form that is sent between processes.
+func FromSender(l clusterapi.LearnedEndpoint, zone view.Zone) EndpointState {
 	state := l.LearnedState
-	return Lesson{
+	return EndpointState{
 		Endpoint: l.Endpoint,
 		Mean:     state.Mean,
 		Dev:      state.Dev,
--- a/internal/cluster/popularity/recall/recall.go
+++ b/internal/cluster/popularity/recall/recall.go
@@ -1,8 +1,10 @@
-// Package recall is a region's summary of learned state: what its larger processes have learned of endpoints, the newest of
-// each, for the small processes that evicted theirs.
+// Package recall implements a region's summary of learned state. Large processes of the region contribute what they have learned
+// of endpoints, and small processes, which evict learned state, get it back from the summary. Of each endpoint the summary
+// stores the newest learned state.
 //
-// The package is pure, and bounded by destinations. Each lesson carries its age and the zone where it was learned; what is
-// handed back is discounted by age (discount.go). A lesson is never passed on as younger than it is.
+// The package does no I/O and reads no clock. A Summary is bounded by its number of destinations. Learned state carries its age
+// and the zone where it was learned; the process that receives it discounts it by its age (Discount). It is never passed on
+// with an age below its true one.
 package recall
 
 import (
@@ -18,51 +20,54 @@
 )
 
 const (
-	defaultMaxDestinations = 4096
-	maxEndpoints           = 64 // of a destination
+	defaultMaxDestinations = 4096 // in a Summary
+	maxEndpoints           = 64   // of a destination
 )
 
-// Lesson is the learned state of one endpoint on its way between processes; a destination's lessons travel together.
-type Lesson struct {
+// EndpointState is the learned state of one endpoint, as processes send it to each other.
+type EndpointState struct {
 	Endpoint choice.EndpointID `json:"e"`
-	Mean     float64           `json:"m"` // all as in choice.LearnedState
+	Mean     float64           `json:"m"` // this and the next five fields are those of choice.LearnedState
 	Dev      float64           `json:"v,omitempty"`
 	Past     float64           `json:"p,omitempty"`
 	Seen     float64           `json:"s,omitempty"`
 	Limit    float64           `json:"l,omitempty"`
-	Wait     choice.Time       `json:"w,omitempty"` // left when it was learned, Age ago
+	Wait     choice.Time       `json:"w,omitempty"` // as of when the state was learned, Age ago
 	Age      time.Duration     `json:"a"`
-	Zone     view.Zone         `json:"z"` // of the process that learned it: calls from elsewhere take other times
+	Zone     view.Zone         `json:"z"` // of the process that learned it; calls from other zones have other latencies
 }
 
-// Lessons are those of one destination.
-type Lessons struct {
+// DestinationState is the learned state of the endpoints of one destination.
+type DestinationState struct {
 	Destination choice.DestinationID `json:"d"`
-	All         []Lesson             `json:"l"`
+	Endpoints   []EndpointState      `json:"l"`
 }
 
-// Summary is for one goroutine at a time.
+// Summary stores the learned state of a region's destinations. NewSummary creates one. It is not safe for concurrent use.
 type Summary struct {
 	maxDestinations int
 	entries         map[choice.DestinationID]*entry
-	oldest          indexheap.Heap[*entry]
-	// voidSince is when destinations were forgotten: older lessons are void. At most maxDestinations.
+	oldest          indexheap.Heap[*entry] // all entries, the one with the lowest newestAt first
+	// voidSince has the times at which destinations were forgotten. State learned up to then is not accepted. It has at most
+	// maxDestinations entries.
 	voidSince map[choice.DestinationID]view.Uptime
 }
 
+// entry is the learned state of one destination.
 type entry struct {
 	destination choice.DestinationID
-	lessons     []storedLesson // by endpoint
-	newestAt    view.Uptime
-	heapIndex   int // in oldest
+	endpoints   []storedState // sorted by endpoint
+	newestAt    view.Uptime   // the highest learnedAt of the endpoints
+	heapIndex   int           // in Summary.oldest
 }
 
-type storedLesson struct {
+// storedState is the learned state of one endpoint, with the time at which it was learned in place of its age.
+type storedState struct {
 	learnedAt view.Uptime
-	lesson    Lesson // without its age
+	state     EndpointState // Age is 0
 }
 
-// NewSummary takes how many destinations it stores at most; 0 for the package's own bound.
+// NewSummary returns an empty summary that stores at most maxDestinations destinations; 0 means 4096.
 func NewSummary(maxDestinations int) *Summary {
 	return &Summary{
 		maxDestinations: cmp.Or(max(maxDestinations, 0), defaultMaxDestinations),
@@ -71,17 +76,19 @@
 	}
 }
 
-// Put stores lessons whose ages are as of now. Of one endpoint the newest stays, in whatever order they arrive.
-func (s *Summary) Put(now view.Uptime, all Lessons) {
-	for _, l := range all.All[:min(len(all.All), maxEndpoints)] {
+// Put stores the learned state of a destination, with ages as of now. Of each endpoint the newest state is retained, whatever
+// the order of calls. State that is invalid or older than MaxAge is ignored.
+func (s *Summary) Put(now view.Uptime, destination DestinationState) {
+	for _, l := range destination.Endpoints[:min(len(destination.Endpoints), maxEndpoints)] {
 		if valid(l) && l.Age <= MaxAge {
-			s.put(all.Destination, storedLesson{now - l.Age, l})
+			s.put(destination.Destination, storedState{now - l.Age, l})
 		}
 	}
 }
 
-func (s *Summary) put(d choice.DestinationID, l storedLesson) {
-	l.lesson.Age = 0
+// put stores the learned state of one endpoint, unless the destination was forgotten since it was learned.
+func (s *Summary) put(d choice.DestinationID, l storedState) {
+	l.state.Age = 0
 	if since, found := s.voidSince[d]; found && l.learnedAt <= since {
 		return
 	}
@@ -95,8 +102,8 @@
 	}
 }
 
-// entryFor returns the entry of a destination. A new one replaces the oldest where the summary is full; nil if a lesson
-// learned at that time is older than all.
+// entryFor returns the entry of a destination, and adds it if there is none. If the summary is full, the new entry replaces the
+// oldest one; if that is not older than learnedAt, entryFor returns nil.
 func (s *Summary) entryFor(d choice.DestinationID, learnedAt view.Uptime) *entry {
 	if e := s.entries[d]; e != nil {
 		return e
@@ -113,39 +120,41 @@
 	return e
 }
 
-// put stores a lesson unless a newer one of its endpoint is there; beyond maxEndpoints the oldest is dropped.
-func (e *entry) put(l storedLesson) bool {
-	i, found := slices.BinarySearchFunc(e.lessons, l.lesson.Endpoint, func(stored storedLesson, id choice.EndpointID) int {
-		return cmp.Compare(stored.lesson.Endpoint, id)
+// put stores the learned state of an endpoint and returns true, or returns false if the stored state is the same or
+// newer. If there are more than maxEndpoints endpoints, the one with the oldest state is dropped.
+func (e *entry) put(l storedState) bool {
+	i, found := slices.BinarySearchFunc(e.endpoints, l.state.Endpoint, func(stored storedState, id choice.EndpointID) int {
+		return cmp.Compare(stored.state.Endpoint, id)
 	})
 	if found {
-		if !newer(l, e.lessons[i]) {
+		if !newer(l, e.endpoints[i]) {
 			return false
 		}
-		e.lessons[i] = l
+		e.endpoints[i] = l
 		return true
 	}
-	e.lessons = slices.Insert(e.lessons, i, l)
-	if len(e.lessons) > maxEndpoints {
+	e.endpoints = slices.Insert(e.endpoints, i, l)
+	if len(e.endpoints) > maxEndpoints {
 		e.dropOldest()
 	}
 	return true
 }
 
+// dropOldest removes the endpoint with the oldest learned state.
 func (e *entry) dropOldest() {
 	oldest := 0
-	for i := range e.lessons {
-		if newer(e.lessons[oldest], e.lessons[i]) {
+	for i := range e.endpoints {
+		if newer(e.endpoints[oldest], e.endpoints[i]) {
 			oldest = i
 		}
 	}
-	e.lessons = slices.Delete(e.lessons, oldest, oldest+1)
+	e.endpoints = slices.Delete(e.endpoints, oldest, oldest+1)
 }
 
-// newer settles which of two lessons of one endpoint stays, also where both are as old: any rule will do that does not
-// depend on their order.
-func newer(a, b storedLesson) bool {
-	x, y := a.lesson, b.lesson
+// newer reports whether a replaces b. If both were learned at the same time, their contents decide, so that the result does not
+// depend on the order in which they arrive.
+func newer(a, b storedState) bool {
+	x, y := a.state, b.state
 	return cmp.Or(
 		cmp.Compare(a.learnedAt, b.learnedAt),
 		cmp.Compare(x.Seen, y.Seen),
@@ -158,37 +167,40 @@
 		cmp.Compare(x.Endpoint, y.Endpoint)) > 0
 }
 
-func valid(l Lesson) bool {
-	for _, v := range [...]float64{l.Mean, l.Dev, l.Past, l.Seen, l.Limit} {
+// valid reports whether the numbers of learned state are possible.
+func valid(state EndpointState) bool {
+	for _, v := range [...]float64{state.Mean, state.Dev, state.Past, state.Seen, state.Limit} {
 		if !(v >= 0) || math.IsInf(v, 1) {
 			return false
 		}
 	}
-	return l.Age >= 0 && l.Wait >= 0 && l.Wait < math.MaxInt32
+	return state.Age >= 0 && state.Wait >= 0 && state.Wait < math.MaxInt32
 }
 
-// Lookup is what is known of a destination, ages as of now; false if nothing young enough is.
-func (s *Summary) Lookup(now view.Uptime, d choice.DestinationID) (Lessons, bool) {
-	out := Lessons{Destination: d}
+// Lookup returns the learned state of a destination that is not older than MaxAge, with ages as of now. It returns false if there
+// is none.
+func (s *Summary) Lookup(now view.Uptime, d choice.DestinationID) (DestinationState, bool) {
+	out := DestinationState{Destination: d}
 	if e := s.entries[d]; e != nil {
-		for _, stored := range e.lessons {
-			if l := stored.lesson; now-stored.learnedAt <= MaxAge {
+		for _, stored := range e.endpoints {
+			if l := stored.state; now-stored.learnedAt <= MaxAge {
 				l.Age = max(0, now-stored.learnedAt)
-				out.All = append(out.All, l)
+				out.Endpoints = append(out.Endpoints, l)
 			}
 		}
 	}
-	return out, len(out.All) > 0
+	return out, len(out.Endpoints) > 0
 }
 
-// Forget drops a destination: what was learned of it up to now is void, also what is still on its way here.
+// Forget drops the learned state of a destination. State that was learned up to now is not accepted afterwards either, as it may
+// still be on its way here.
 func (s *Summary) Forget(now view.Uptime, d choice.DestinationID) {
 	if e := s.entries[d]; e != nil {
 		heap.Remove(&s.oldest, e.heapIndex)
 		delete(s.entries, d)
 	}
 	for other, when := range s.voidSince {
-		if now-when > MaxAge { // lessons so old are not taken anyway
+		if now-when > MaxAge { // state older than MaxAge is not accepted in any case
 			delete(s.voidSince, other)
 		}
 	}
@@ -197,13 +209,13 @@
 	}
 }
 
-// Len is how many destinations something is known of.
+// Len returns the number of destinations with learned state.
 func (s *Summary) Len() int { return len(s.entries) }
 
-// Less has the entry first that is dropped first.
+// Less reports whether the entry is dropped before the other one if the summary is full. It implements indexheap.Item.
 func (e *entry) Less(other *entry) bool {
 	return e.newestAt < other.newestAt || e.newestAt == other.newestAt && e.destination < other.destination
 }
 
-// SetIndex is called by the heap.
+// SetIndex stores the index in the heap. It implements indexheap.Item.
 func (e *entry) SetIndex(i int) { e.heapIndex = i }
--- a/internal/cluster/popularity/recall/recall_test.go
+++ b/internal/cluster/popularity/recall/recall_test.go
@@ -11,8 +11,8 @@
 	"flaxcove/internal/cluster/view"
 )
 
-func newLesson(e int, mean float64, age time.Duration) Lesson {
-	return Lesson{Endpoint: choice.EndpointID(rune(96 + e)), Mean: mean, Past: mean, Seen: 10, Age: age, Zone: "z"}
+func newLesson(e int, mean float64, age time.Duration) EndpointState {
+	return EndpointState{Endpoint: choice.EndpointID(rune(96 + e)), Mean: mean, Past: mean, Seen: 10, Age: age, Zone: "z"}
 }
 
 // Of one endpoint the newest stays, however lessons come and how often.
@@ -20,17 +20,17 @@
 	rapid.Check(t, func(t *rapid.T) {
 		type sent struct {
 			at view.Uptime
-			l  Lesson
+			l  EndpointState
 		}
 		all := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) sent {
 			return sent{time.Duration(rapid.IntRange(0, 5).Draw(t, "at")) * time.Second,
 				newLesson(rapid.IntRange(1, 3).Draw(t, "e"), float64(rapid.IntRange(1, 3).Draw(t, "mean")), 0)}
 		}), 1, 12).Draw(t, "all")
-		put := func(order []sent) Lessons {
+		put := func(order []sent) DestinationState {
 			s := NewSummary(0)
 			for _, x := range order {
 				x.l.Age = 9*time.Second - x.at
-				s.Put(9*time.Second, Lessons{1, []Lesson{x.l}})
+				s.Put(9*time.Second, DestinationState{1, []EndpointState{x.l}})
 			}
 			got, _ := s.Lookup(10*time.Second, 1)
 			return got
@@ -45,17 +45,17 @@
 func TestBoundsAndForget(t *testing.T) {
 	s := NewSummary(3)
 	for d := range choice.DestinationID(10) {
-		s.Put(view.Uptime(d), Lessons{d, []Lesson{newLesson(1, 1, 0)}})
+		s.Put(view.Uptime(d), DestinationState{d, []EndpointState{newLesson(1, 1, 0)}})
 	}
 	if _, oldest := s.Lookup(10, 0); oldest || s.Len() != 3 {
 		t.Error("the oldest destination stayed", s.Len())
 	}
 	s.Forget(20, 9)
-	s.Put(30, Lessons{9, []Lesson{newLesson(1, 1, 15)}}) // learned at 15, on its way when it was forgotten
+	s.Put(30, DestinationState{9, []EndpointState{newLesson(1, 1, 15)}}) // learned at 15, on its way when it was forgotten
 	if _, some := s.Lookup(30, 9); some {
 		t.Error("void lessons came back")
 	}
-	s.Put(30, Lessons{9, []Lesson{newLesson(1, 1, 5)}})
+	s.Put(30, DestinationState{9, []EndpointState{newLesson(1, 1, 5)}})
 	if _, some := s.Lookup(30, 9); !some {
 		t.Error("what was learned since is not taken")
 	}
--- a/internal/cluster/popularity/run/counts.go
+++ b/internal/cluster/popularity/run/counts.go
@@ -13,42 +13,46 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// This file carries counts up the tree and rankings down. One message does both: a process calls its parent, and the
-// answer holds the ranking if the caller wants one and has not got it. Where nothing changed the message is a few dozen
-// bytes, and a process without a small one below it sends none.
+// This file sends counts up the tree and rankings down. One call does both: a process sends its counts to its parent, and the
+// answer holds the ranking if the caller wants one and does not have it. If nothing has changed, the message takes a few dozen
+// bytes; and if the process is also large and has no small process below it, it sends no message.
 
 const (
 	countsPath = "/popularity/up"
-	// changedFraction is from which part of the counts on they are sent. Decay alone makes 0.05 after a tick of two seconds
-	// and 0.15 after seven: steady traffic is sent each eight seconds, traffic that doubles each four.
+	// changedFraction is the fraction of the counts that must have changed for them to be sent before renewTicks. Decay alone
+	// changes 0.05 in a tick of two seconds and 0.15 in seven seconds. So counts of steady traffic are sent every eight
+	// seconds, and those of traffic that doubles every four.
 	changedFraction = 0.15
 )
 
+// countsMessage is the message of a process to its parent.
 type countsMessage struct {
-	Digest       *merge.Digest `json:"digest,omitempty"`
-	WantRanking  bool          `json:"want,omitempty"` // the process is small, or one below it is
-	KnownRanking score.Version `json:"have"`
-	region       view.Region   // the sender's; does not travel
+	Digest       *merge.Digest `json:"digest,omitempty"` // nil if the counts are not due
+	WantRanking  bool          `json:"want,omitempty"`   // the process is small, or has a small one below it
+	KnownRanking score.Version `json:"have"`             // version of the ranking that the process has
+	region       view.Region   // of the process; not sent
 }
 
+// countsAnswer is the answer to a countsMessage.
 type countsAnswer struct {
-	Ranking   *score.Ranking `json:"told,omitempty"`
-	ResendAll bool           `json:"lost,omitempty"` // no digest of the caller is stored
+	Ranking   *score.Ranking `json:"told,omitempty"` // nil if the caller does not want one or has it already
+	ResendAll bool           `json:"lost,omitempty"` // the caller must send its digest, as none of it is stored
 }
 
-// countState is what was sent last. Guarded by mu.
-type countState struct {
-	seq         uint64
-	parent      view.Life // this process itself if it is the region's coordinator
-	sentRows    []count.Row
-	sentAt      view.Uptime
-	sent        bool // anything, to that parent
-	inFlight    bool
-	wantedAt    view.Uptime // when a process below last asked for a ranking
-	wantedBelow bool        // ever
+// countReportState is the state of sending counts to the parent. It is guarded by mu.
+type countReportState struct {
+	seq           uint64      // of the newest digest
+	parent        view.Life   // the receiver of the counts; this process itself if it is the region's coordinator
+	sentRows      []count.Row // of the newest digest
+	sentAt        view.Uptime // time of the newest digest; valid if sent
+	sent          bool        // whether a digest was sent to the parent
+	inFlight      bool        // a call to a parent is in flight
+	wantedAt      view.Uptime // time at which a process below last asked for a ranking; valid if wantedByChild
+	wantedByChild bool        // whether a process below has ever asked for a ranking
 }
 
-// updateReporters sets the children of this region as those whose digests are accepted. The caller holds mu.
+// updateReporters accepts the digests of the children that are in this process's region, and of no other process. The caller
+// holds mu.
 func (r *Runner) updateReporters(v *view.View, t *tree.Tree) {
 	var all []view.Life
 	for _, name := range t.Children(r.options.Self.Name) {
@@ -59,10 +63,11 @@
 	r.merged.SetReporters(all)
 }
 
-// region is this process's region as the tree has it: an error in its own settings must not put it apart.
+// region returns this process's region according to the tree. A wrong region in the process's own settings thus does not separate
+// it from the others of its zone.
 func (r *Runner) region(t *tree.Tree) view.Region { return t.Region(r.options.Self.Zone) }
 
-// countsTick makes the ranking at the region's coordinator, and sends counts to the parent at all other processes.
+// countsTick makes the region's ranking if this process is the region's coordinator. Otherwise it sends the counts to the parent.
 func (r *Runner) countsTick() {
 	now, v, t := r.options.Now(), r.options.View(), r.options.Tree()
 	if v == nil || t == nil {
@@ -77,7 +82,8 @@
 	}
 }
 
-// countsReceiver is the parent if that is in the same region; the region's coordinator is its own.
+// countsReceiver returns the process that receives the counts: the parent, or this process itself if it is the region's
+// coordinator. It returns false if the receiver is not in the view or not in the same region.
 func (r *Runner) countsReceiver(v *view.View, t *tree.Tree) (view.Life, bool) {
 	region := r.region(t)
 	name := t.RegionHead(region)
@@ -88,16 +94,17 @@
 	return m.Life, found && t.Region(m.Zone) == region
 }
 
-// prepareCounts makes the message for the parent. The region's coordinator ranks by its digest instead of sending it.
+// prepareCounts returns the message for the parent, and whether it has to be sent. The region's coordinator sends none; it turns
+// its digest into the region's ranking.
 func (r *Runner) prepareCounts(now view.Uptime, v *view.View, t *tree.Tree, parent view.Life) (message countsMessage, send bool) {
 	isHead := parent.Name == r.options.Self.Name
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.updateReporters(v, t)
-	state := &r.countSending
+	state := &r.countReport
 	if parent != state.parent {
-		*state = countState{seq: state.seq, parent: parent, inFlight: state.inFlight, wantedAt: state.wantedAt,
-			wantedBelow: state.wantedBelow}
+		*state = countReportState{seq: state.seq, parent: parent, inFlight: state.inFlight, wantedAt: state.wantedAt,
+			wantedByChild: state.wantedByChild}
 	}
 	rows, processes := r.merged.Sum(now, r.counts.Top(now, merge.MaxRows))
 	if r.countsDue(now, rows) && (isHead || !state.inFlight) {
@@ -106,16 +113,17 @@
 			r.rank(now, t, message.Digest)
 		}
 	}
-	message.WantRanking = r.small() || state.wantedBelow && now-state.wantedAt <= r.ticks(wantTicks)
+	message.WantRanking = r.isSmall() || state.wantedByChild && now-state.wantedAt <= r.ticks(wantTicks)
 	message.KnownRanking, message.region = r.scores.Version(), r.region(t)
 	send = !isHead && !state.inFlight && (message.WantRanking || message.Digest != nil)
 	state.inFlight = state.inFlight || send
 	return message, send
 }
 
-// countsDue reports whether the counts are to be sent, since they changed or were not sent for long. The caller holds mu.
+// countsDue reports whether the counts have to be sent, because they have changed or were not sent for renewTicks. The caller
+// holds mu.
 func (r *Runner) countsDue(now view.Uptime, rows []count.Row) bool {
-	state := &r.countSending
+	state := &r.countReport
 	if !state.sent || now-state.sentAt >= r.ticks(renewTicks)-r.options.TickInterval/2 {
 		return true
 	}
@@ -123,20 +131,20 @@
 	return merge.ChangedFraction(state.sentRows, rows, decayed) > changedFraction
 }
 
-// nextDigest makes a digest and notes it as sent. The caller holds mu.
+// nextDigest returns a new digest and records it as sent. The caller holds mu.
 func (r *Runner) nextDigest(now view.Uptime, rows []count.Row, processes int) *merge.Digest {
-	state := &r.countSending
+	state := &r.countReport
 	state.seq++
 	state.sentRows, state.sentAt, state.sent = rows, now, true
 	d := merge.NewDigest(r.options.Self.Life, state.seq, processes, rows)
 	return &d
 }
 
-// rank makes the digest of the region's coordinator the region's ranking. The caller holds mu.
+// rank turns the digest of the region's coordinator into the region's ranking. The caller holds mu.
 func (r *Runner) rank(now view.Uptime, t *tree.Tree, d *merge.Digest) {
 	region := r.region(t)
 	r.scores.Update(now, region, score.Ranking{
-		Version:      score.Version{Head: d.From, Seq: d.Seq},
+		Version:      score.Version{Coordinator: d.From, Seq: d.Seq},
 		Region:       region,
 		Processes:    d.Processes,
 		Destinations: d.Destinations,
@@ -145,6 +153,8 @@
 	r.status.RankedProcesses = d.Processes
 }
 
+// sendCounts sends a message to the parent and stores the ranking in the answer. If the call fails or the parent has lost the
+// counts, they are due again at the next tick. countedAt is the time of the counts.
 func (r *Runner) sendCounts(to view.Life, message countsMessage, countedAt view.Uptime) {
 	if message.Digest != nil {
 		message.Digest.Age = max(0, r.options.Now()-countedAt)
@@ -155,15 +165,15 @@
 	now := r.options.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.countSending.inFlight = false
+	r.countReport.inFlight = false
 	if err != nil || answer.ResendAll {
-		if r.countSending.parent == to {
-			r.countSending.sent = false
+		if r.countReport.parent == to {
+			r.countReport.sent = false
 		}
 		return
 	}
 	if answer.Ranking != nil {
-		// How long the answer was on its way is not known; at most it was the whole call.
+		// The time that the answer spent on the network is not known, but it cannot exceed the duration of the call.
 		answer.Ranking.Age += max(0, now-started)
 		if r.scores.Update(now, message.region, *answer.Ranking) {
 			r.status.RankedProcesses = answer.Ranking.Processes
@@ -171,13 +181,14 @@
 	}
 }
 
+// handleCounts handles the message of a child.
 func (r *Runner) handleCounts(_ context.Context, from view.Life, body []byte) (any, error) {
 	var in countsMessage
 	if err := json.Unmarshal(body, &in); err != nil {
-		return nil, r.countMalformed(fmt.Errorf("popularity: counts of %s: %w", from.Name, err))
+		return nil, r.countMalformed(fmt.Errorf("popularity: cannot decode counts from %q: %w", from.Name, err))
 	}
 	if in.Digest != nil && in.Digest.From != from {
-		return nil, r.countMalformed(fmt.Errorf("popularity: counts from %q, field from tells %q", from.Name, in.Digest.From.Name))
+		return nil, r.countMalformed(fmt.Errorf("popularity: counts rejected: the caller is %q, but their field digest.from names %q", from.Name, in.Digest.From.Name))
 	}
 	now, v, t := r.options.Now(), r.options.View(), r.options.Tree()
 	if v == nil || t == nil {
@@ -188,15 +199,15 @@
 	r.updateReporters(v, t)
 	if in.Digest != nil && r.merged.Put(now, *in.Digest) == merge.Invalid {
 		r.status.Malformed++
-		return nil, fmt.Errorf("popularity: counts of %s: not sound", from.Name)
+		return nil, fmt.Errorf("popularity: counts from %q rejected: the age, the number of processes or the rows are invalid", from.Name)
 	}
 	answer := countsAnswer{ResendAll: !r.merged.Has(from)}
 	if in.WantRanking {
-		r.countSending.wantedAt, r.countSending.wantedBelow = now, true
+		r.countReport.wantedAt, r.countReport.wantedByChild = now, true
 		answer.Ranking = r.scores.RankingFor(now, in.KnownRanking)
 	}
 	return answer, nil
 }
 
-// ticks is the span of so many ticks.
+// ticks returns the duration of n ticks.
 func (r *Runner) ticks(n int) time.Duration { return time.Duration(n) * r.options.TickInterval }
--- a/internal/cluster/popularity/run/eviction.go
+++ b/internal/cluster/popularity/run/eviction.go
@@ -9,42 +9,46 @@
 	"flaxcove/internal/sender/clusterapi"
 )
 
-// This file has a small process's sender evict what exceeds its bounds: each second tick, and sooner where many
-// destinations were loaded or a bound was lowered. Between two checks the sender may hold as many more as it loads.
+// This file implements eviction at a small process. At every second tick, and earlier if many destinations were loaded or the
+// bounds were changed, it checks what the sender caches, and makes it evict what exceeds the bounds. Between two checks, the
+// sender may exceed the bounds by the destinations that it loads.
 
 const (
-	checkTicks = 2
-	// checkLoads: so many destinations loaded, or an eighth of the bound, are reason to check before the tick.
+	checkTicks = 2 // ticks between two checks
+	// checkLoads is the number of loaded destinations after which the check is done early. If an eighth of the bound on
+	// destinations is higher, that number is used.
 	checkLoads = 8
-	// checksPerTick bounds how often: the sender walks through all it holds for each check.
+	// checksPerTick is the maximum number of early checks per tick. It is low because the sender iterates over all cached
+	// destinations for each check.
 	checksPerTick = 4
-	// answerTicks: a sender that did not say what it holds by then is asked again.
+	// answerTicks is the number of ticks after which a sender that has not answered is asked again.
 	answerTicks = 5
 )
 
-// holdings are what the sender holds, in answer to a request by eviction or by lessons.
+// holdings is the sender's answer to a request for its cached destinations. At a small process eviction makes that request, at a
+// large one the sending of learned state.
 type holdings struct {
 	requestNo uint64
 	held      []clusterapi.Held
 }
 
-// evictionState belongs to the loop alone.
+// evictionState is the state of the checks. Only the loop's goroutine uses it.
 type evictionState struct {
-	requestNo   uint64
-	inFlight    bool
-	requestedAt view.Uptime
-	requested   bool         // ever
-	loaded      int          // destinations since the last check
-	bounds      evict.Bounds // of the last check
+	requestNo   uint64       // of the newest request to the sender
+	inFlight    bool         // the sender has not answered it
+	requestedAt view.Uptime  // time of the newest request; valid if requested
+	requested   bool         // whether there was any request
+	loaded      int          // destinations loaded since the newest request
+	bounds      evict.Bounds // as of the newest request
 }
 
-// checkBounds asks the sender what it holds, if that is due.
+// checkBounds asks the sender for its cached destinations if a check is due. onTick is true if it is called at a tick.
 func (r *Runner) checkBounds(onTick bool) {
 	now, state := r.options.Now(), &r.eviction
 	r.mu.Lock()
 	bounds := r.bounds
 	r.mu.Unlock()
-	if !r.small() || bounds == (evict.Bounds{}) || state.inFlight && now-state.requestedAt < r.ticks(answerTicks) {
+	if !r.isSmall() || bounds == (evict.Bounds{}) || state.inFlight && now-state.requestedAt < r.ticks(answerTicks) {
 		return
 	}
 	since := now - state.requestedAt
@@ -58,7 +62,8 @@
 	r.options.Orders.Holding(func(held []clusterapi.Held) { r.deliverHoldings(holdings{requestNo, held}) })
 }
 
-// deliverHoldings takes the sender's answer on the sender's loop, and never waits.
+// deliverHoldings passes the sender's answer to the loop. It is called on the sender's loop and never blocks; if an answer is
+// already waiting, this one is dropped.
 func (r *Runner) deliverHoldings(h holdings) {
 	select {
 	case r.holdings <- h:
@@ -66,9 +71,11 @@
 	}
 }
 
+// handleHoldings processes the sender's answer: at a small process it evicts destinations, at a large one it continues sending
+// learned state.
 func (r *Runner) handleHoldings(h holdings) {
-	if !r.small() {
-		r.askForLessons(h)
+	if !r.isSmall() {
+		r.askForLearnedState(h)
 		return
 	}
 	state := &r.eviction
@@ -82,7 +89,7 @@
 		return r.scores.Score(now, d, r.counts.Estimate(now, d))
 	})
 	if selection.BoundExceeded && !r.status.BoundExceeded {
-		r.options.Log.Warn("popularity: bound exceeded by protected destinations", zap.Int("held", len(h.held)))
+		r.options.Log.Warn("popularity: bound on cached destinations exceeded, as protected ones cannot be evicted", zap.Int("held", len(h.held)))
 	}
 	r.status.Held, r.status.BoundExceeded = len(h.held)-len(selection.Evict), selection.BoundExceeded
 	r.status.Evicted += uint64(len(selection.Evict))
--- a/internal/cluster/popularity/run/lessons.go
+++ b/internal/cluster/popularity/run/lessons.go
@@ -16,73 +16,80 @@
 	"flaxcove/internal/sender/clusterapi"
 )
 
-// This file sends what a large process learned of endpoints to its region's coordinator: what changed, each five ticks,
-// and to a new coordinator all that there is capacity for.
+// This file sends the learned state of a large process to its region's coordinator. Every five ticks it sends the destinations
+// whose state has changed. To a new coordinator it sends as many destinations as the limits allow.
+//
+// A batch is made in three steps, none of which blocks the sender or the loop: the sender is asked for its cached destinations
+// (startBatch), then for the learned state of those that are due (askForLearnedState), and its answers are sent (sendBatch).
 
 const (
-	lessonsPath = "/popularity/learnt"
-	lessonTicks = 5
-	// maxCallsPerHead is how many calls a second a coordinator takes of its region, at ticks of two seconds: with over 80
-	// large processes each of them sends less often.
-	maxCallsPerHead = 8
-	// Destinations in a batch, over all large processes of a region, and the least for each of them: of what changed, and
-	// to a new coordinator. At three endpoints of 90 bytes, 64 in ten seconds are 1.7 KB/s at the coordinator.
+	learnedStatePath = "/popularity/learnt"
+	batchTicks       = 5 // ticks between two batches
+	// maxCallsPerCoordinator is the maximum number of calls per second to a coordinator, with ticks of two seconds. If a region
+	// has more than 80 large processes, each of them sends less often.
+	maxCallsPerCoordinator = 8
+	// Numbers of destinations in a batch, of changed ones and, to a new coordinator, of all. The maximum is shared by all large
+	// processes of a region, and the minimum is what each of them may send in any case. With three endpoints of 90 bytes per
+	// destination, 64 destinations in ten seconds are 1.7 KB/s at the coordinator.
 	maxChanged, minChanged = 64, 1
 	maxInitial, minInitial = 2048, 16
 
-	maxPerCall         = 64   // destinations: about 20 KB
-	maxQuestions       = 1280 // to the sender, for one batch
-	maxBatchesInFlight = 2    // a batch beyond that is dropped, and its destinations are part of a later one
-	resendTicks        = 30   // until what changed little is sent again: its age is what it is believed by
+	maxPerCall         = 64   // destinations in a call; about 20 KB
+	maxQueries         = 1280 // to the sender for one batch
+	maxBatchesInFlight = 2    // further batches are dropped, and their destinations are sent in a later batch
+	resendTicks        = 30   // ticks after which state that has hardly changed is sent again, because receivers discount it by its age
 )
 
-type lessonsMessage struct {
-	All []recall.Lessons `json:"all"`
+// learnedStateMessage sends learned state to the region's coordinator.
+type learnedStateMessage struct {
+	Destinations []recall.DestinationState `json:"all"`
 }
 
-// lessonState belongs to the loop alone.
-type lessonState struct {
-	batchNo   uint64
-	startedAt view.Uptime
-	started   bool
-	head      view.Life                            // the coordinator that sent is about
-	sent      map[choice.DestinationID]sentLessons // what it has
+// uploadState is the state of sending learned state. Only the loop's goroutine uses it.
+type uploadState struct {
+	batchNo     uint64                                   // of the newest batch
+	startedAt   view.Uptime                              // time of the newest batch; valid if started
+	started     bool                                     // whether there was any batch
+	coordinator view.Life                                // the coordinator to which sent refers
+	sent        map[choice.DestinationID]sentDestination // destinations whose learned state was sent to the coordinator
 }
 
-type sentLessons struct {
-	calls  float64 // that the lessons were learned from
+// sentDestination records the learned state of a destination that was last sent.
+type sentDestination struct {
+	calls  float64 // number of calls that the state was learned from
 	sentAt view.Uptime
 }
 
-// lessonBatch is what the sender knows of the destinations to be sent.
-type lessonBatch struct {
-	batchNo uint64
-	askedAt view.Uptime
-	lessons []recall.Lessons
+// learnedBatch is the learned state of the destinations to be sent.
+type learnedBatch struct {
+	batchNo      uint64
+	askedAt      view.Uptime // time to which the ages in the batch refer
+	destinations []recall.DestinationState
 }
 
-// regionHead is the region's coordinator, and how many large processes the region has.
-func (r *Runner) regionHead(v *view.View, t *tree.Tree) (head view.Member, largeProcesses int, found bool) {
+// regionCoordinator returns the region's coordinator, the number of large processes in the region, which is at least 1, and
+// whether the coordinator was found in the view.
+func (r *Runner) regionCoordinator(v *view.View, t *tree.Tree) (coordinator view.Member, largeProcesses int, found bool) {
 	region := r.region(t)
 	for i := range v.Members {
 		if m := &v.Members[i]; m.Present() && m.Size != view.Small && t.Region(m.Zone) == region {
 			largeProcesses++
 		}
 	}
-	head, found = v.Find(t.RegionHead(region))
-	return head, max(largeProcesses, 1), found
+	coordinator, found = v.Find(t.RegionHead(region))
+	return coordinator, max(largeProcesses, 1), found
 }
 
-// startBatch begins a batch if one is due.
+// startBatch starts a batch if one is due, by asking the sender for its cached destinations.
 func (r *Runner) startBatch() {
 	now, v, t := r.options.Now(), r.options.View(), r.options.Tree()
-	if r.small() || v == nil || t == nil {
+	if r.isSmall() || v == nil || t == nil {
 		return
 	}
-	head, large, found := r.regionHead(v, t)
-	state := &r.lessonSending
-	interval := max(r.ticks(lessonTicks), r.ticks(large)/(2*maxCallsPerHead))
-	if !found || head.Life == state.head && state.started && now-state.startedAt < interval-r.options.TickInterval/2 {
+	coordinator, large, found := r.regionCoordinator(v, t)
+	state := &r.upload
+	interval := max(r.ticks(batchTicks), r.ticks(large)/(2*maxCallsPerCoordinator))
+	if !found || coordinator.Life == state.coordinator && state.started && now-state.startedAt < interval-r.options.TickInterval/2 {
 		return
 	}
 	state.batchNo, state.startedAt, state.started = state.batchNo+1, now, true
@@ -90,24 +97,25 @@
 	lost := r.batchFailed
 	r.batchFailed = false
 	r.mu.Unlock()
-	if lost || head.Life != state.head {
-		state.head = head.Life
+	if lost || coordinator.Life != state.coordinator {
+		state.coordinator = coordinator.Life
 		clear(state.sent)
 	}
 	batchNo := state.batchNo
 	r.options.Orders.Holding(func(held []clusterapi.Held) { r.deliverHoldings(holdings{batchNo, held}) })
 }
 
-// askForLessons asks the sender for what changed most since it was sent, and for what was sent longest ago.
-func (r *Runner) askForLessons(answer holdings) {
-	now, v, t, state := r.options.Now(), r.options.View(), r.options.Tree(), &r.lessonSending
+// askForLearnedState asks the sender for the learned state of the destinations that are due, as many as the limits allow. answer
+// is the list of its cached destinations.
+func (r *Runner) askForLearnedState(answer holdings) {
+	now, v, t, state := r.options.Now(), r.options.View(), r.options.Tree(), &r.upload
 	if answer.requestNo != state.batchNo || v == nil || t == nil {
 		return
 	}
-	_, large, _ := r.regionHead(v, t)
+	_, large, _ := r.regionCoordinator(v, t)
 	limit := max(minChanged, maxChanged/large)
 	if len(state.sent) == 0 {
-		limit = max(minInitial, min(maxInitial/large, maxQuestions))
+		limit = max(minInitial, min(maxInitial/large, maxQueries))
 	}
 	state.forgetNotHeld(answer.held)
 	due := state.due(now, answer.held, r.ticks(resendTicks))
@@ -115,17 +123,18 @@
 	if len(due) == 0 {
 		return
 	}
-	// One question for each destination: a lesson does not name its destination.
-	collector := &lessonCollector{missing: len(due), batch: lessonBatch{batchNo: answer.requestNo, askedAt: now}}
+	// The sender is asked for each destination separately, because its answers do not name the destination.
+	collector := &batchCollector{missing: len(due), batch: learnedBatch{batchNo: answer.requestNo, askedAt: now}}
 	for _, d := range due {
-		state.sent[d.Destination] = sentLessons{d.Calls, now}
-		r.options.Orders.Know([]choice.DestinationID{d.Destination}, func(lessons []clusterapi.LearnedEndpoint) {
-			r.collectLessons(collector, d.Destination, lessons)
+		state.sent[d.Destination] = sentDestination{d.Calls, now}
+		r.options.Orders.Know([]choice.DestinationID{d.Destination}, func(learned []clusterapi.LearnedEndpoint) {
+			r.collectLearnedState(collector, d.Destination, learned)
 		})
 	}
 }
 
-func (s *lessonState) forgetNotHeld(held []clusterapi.Held) {
+// forgetNotHeld drops the records of destinations that the sender does not cache any more.
+func (s *uploadState) forgetNotHeld(held []clusterapi.Held) {
 	heldNow := make(map[choice.DestinationID]bool, len(held))
 	for _, d := range held {
 		heldNow[d.Destination] = true
@@ -137,8 +146,9 @@
 	}
 }
 
-// due are the destinations to send: those never sent first, then those sent longest ago, then those with most calls.
-func (s *lessonState) due(now view.Uptime, held []clusterapi.Held, resendAfter time.Duration) []clusterapi.Held {
+// due returns the destinations to send: first those that were never sent, then those that were sent longest ago. Among equals,
+// those with the most calls come first.
+func (s *uploadState) due(now view.Uptime, held []clusterapi.Held, resendAfter time.Duration) []clusterapi.Held {
 	due := make([]clusterapi.Held, 0, len(held))
 	for _, d := range held {
 		last, wasSent := s.sent[d.Destination]
@@ -154,71 +164,74 @@
 	return due
 }
 
-// lessonCollector collects the answers as they come on the sender's loop.
-type lessonCollector struct {
-	mu      sync.Mutex // nothing is called under it
-	missing int        // answers
-	batch   lessonBatch
+// batchCollector collects the sender's answers, which come on the sender's loop, in a batch.
+type batchCollector struct {
+	mu      sync.Mutex // no other lock is taken under it
+	missing int        // number of answers that have not come yet
+	batch   learnedBatch
 }
 
-func (c *lessonCollector) add(l recall.Lessons) (last bool) {
+// add adds an answer and returns whether it is the last one.
+func (c *batchCollector) add(l recall.DestinationState) (last bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.missing--
-	if len(l.All) > 0 {
-		c.batch.lessons = append(c.batch.lessons, l)
+	if len(l.Endpoints) > 0 {
+		c.batch.destinations = append(c.batch.destinations, l)
 	}
 	return c.missing == 0
 }
 
-func (r *Runner) collectLessons(collector *lessonCollector, d choice.DestinationID, learned []clusterapi.LearnedEndpoint) {
-	lessons := recall.Lessons{Destination: d}
+// collectLearnedState processes the sender's answer for one destination, and passes the batch to the loop after the last answer.
+// It never blocks; if a batch is already waiting, this one is dropped.
+func (r *Runner) collectLearnedState(collector *batchCollector, d choice.DestinationID, learned []clusterapi.LearnedEndpoint) {
+	destination := recall.DestinationState{Destination: d}
 	for _, l := range learned {
-		lessons.All = append(lessons.All, recall.FromSender(l, r.options.Self.Zone))
+		destination.Endpoints = append(destination.Endpoints, recall.FromSender(l, r.options.Self.Zone))
 	}
-	if !collector.add(lessons) {
+	if !collector.add(destination) {
 		return
 	}
 	select {
-	case r.lessonBatches <- collector.batch: // all answers are in: nobody else uses the batch any more
+	case r.learnedBatches <- collector.batch: // no other goroutine uses the batch after the last answer
 	default:
 	}
 }
 
-// sendBatch sends what was collected to the region's coordinator, or stores it here if that is this process.
-func (r *Runner) sendBatch(batch lessonBatch) {
-	state := &r.lessonSending
-	if batch.batchNo != state.batchNo || len(batch.lessons) == 0 {
+// sendBatch sends a batch to the region's coordinator, or stores it here if this process is the coordinator.
+func (r *Runner) sendBatch(batch learnedBatch) {
+	state := &r.upload
+	if batch.batchNo != state.batchNo || len(batch.destinations) == 0 {
 		return
 	}
-	head := state.head
+	coordinator := state.coordinator
 	r.mu.Lock()
 	mayStart := r.batchesInFlight < maxBatchesInFlight
-	if head.Name == r.options.Self.Name {
-		r.storeLessons(batch.lessons)
+	if coordinator.Name == r.options.Self.Name {
+		r.storeLearnedState(batch.destinations)
 	} else if mayStart {
 		r.batchesInFlight++
 	}
 	r.mu.Unlock()
-	if head.Name != r.options.Self.Name && mayStart {
-		r.startGoroutine(func() { r.callWithLessons(head, batch) })
+	if coordinator.Name != r.options.Self.Name && mayStart {
+		r.startGoroutine(func() { r.callWithBatch(coordinator, batch) })
 	}
 }
 
-// callWithLessons sends a batch in several calls, until one fails.
-func (r *Runner) callWithLessons(head view.Life, batch lessonBatch) {
-	for rest := batch.lessons; len(rest) > 0; {
+// callWithBatch sends a batch to the coordinator, in calls of at most maxPerCall destinations. It stops if a call fails.
+func (r *Runner) callWithBatch(coordinator view.Life, batch learnedBatch) {
+	for rest := batch.destinations; len(rest) > 0; {
 		part := rest[:min(len(rest), maxPerCall)]
 		rest = rest[len(part):]
 		addAge(part, max(0, r.options.Now()-batch.askedAt))
-		err := r.call(head.Name, lessonsPath, lessonsMessage{part}, nil)
+		err := r.call(coordinator.Name, learnedStatePath, learnedStateMessage{part}, nil)
 		r.mu.Lock()
 		if err != nil {
 			r.batchFailed = true
 			r.mu.Unlock()
 			break
 		}
-		r.status.LessonsSent += uint64(len(part))
+		r.status.DestinationsSent += uint64(len(part))
 		r.mu.Unlock()
 	}
 	r.mu.Lock()
@@ -226,29 +239,31 @@
 	r.batchesInFlight--
 }
 
-func addAge(all []recall.Lessons, span time.Duration) {
+// addAge adds a time to the age of all learned state.
+func addAge(all []recall.DestinationState, span time.Duration) {
 	for i := range all {
-		for j := range all[i].All {
-			all[i].All[j].Age += span
+		for j := range all[i].Endpoints {
+			all[i].Endpoints[j].Age += span
 		}
 	}
 }
 
-// storeLessons puts lessons into the summary here. The caller holds mu.
-func (r *Runner) storeLessons(all []recall.Lessons) {
+// storeLearnedState puts learned state into the summary here. The caller holds mu.
+func (r *Runner) storeLearnedState(all []recall.DestinationState) {
 	now := r.options.Now()
 	for _, l := range all {
 		r.summary.Put(now, l)
 	}
 }
 
-func (r *Runner) handleLessons(_ context.Context, from view.Life, body []byte) (any, error) {
-	var in lessonsMessage
+// handleLearnedState stores the learned state that another process has sent to the coordinator.
+func (r *Runner) handleLearnedState(_ context.Context, from view.Life, body []byte) (any, error) {
+	var in learnedStateMessage
 	if err := json.Unmarshal(body, &in); err != nil {
-		return nil, r.countMalformed(fmt.Errorf("popularity: lessons of %s: %w", from.Name, err))
+		return nil, r.countMalformed(fmt.Errorf("popularity: cannot decode learned state from %q: %w", from.Name, err))
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.storeLessons(in.All[:min(len(in.All), maxPerCall)])
+	r.storeLearnedState(in.Destinations[:min(len(in.Destinations), maxPerCall)])
 	return nil, nil
 }
--- a/internal/cluster/popularity/run/requests.go
+++ b/internal/cluster/popularity/run/requests.go
@@ -13,30 +13,32 @@
 	"flaxcove/internal/sender/clusterapi"
 )
 
-// This file asks the region's coordinator for what is known of destinations that the sender loaded, many in one call: a
-// hundred that are loaded together are two messages.
+// This file requests learned state from the region's coordinator for the destinations that the sender has loaded. One call
+// requests many of them, so that a hundred destinations loaded at once take two calls.
 
 const (
 	requestPath         = "/popularity/ask"
-	maxPerRequest       = 64 // destinations
+	maxPerRequest       = 64 // destinations in a call
 	maxRequestsInFlight = 2
 )
 
-type lessonsRequest struct {
+// learnedStateRequest asks for the learned state of destinations.
+type learnedStateRequest struct {
 	Destinations []choice.DestinationID `json:"of"`
 }
 
-type lessonsAnswer struct {
-	All []recall.Lessons `json:"all,omitempty"`
+// learnedStateAnswer is the answer to a learnedStateRequest. Destinations without learned state are omitted.
+type learnedStateAnswer struct {
+	Destinations []recall.DestinationState `json:"all,omitempty"`
 }
 
-// requestState belongs to the loop alone.
+// requestState is the state of the requests. Only the loop's goroutine uses it.
 type requestState struct {
-	queued  []choice.DestinationID
-	pending map[choice.DestinationID]bool // queued or asked for: one request each
+	queued  []choice.DestinationID        // to be requested
+	pending map[choice.DestinationID]bool // queued or requested, so not to be queued again
 }
 
-// takeLoaded takes a destination that the sender loaded, and all that are queued by now.
+// takeLoaded processes a destination that the sender has loaded, and all others in the channel.
 func (r *Runner) takeLoaded(d choice.DestinationID) {
 	for more := true; more; {
 		r.evictor.Loaded(r.options.Now(), d)
@@ -60,8 +62,8 @@
 	}
 }
 
-// requestLessons starts requests for the queued destinations, as many as may be in flight.
-func (r *Runner) requestLessons() {
+// sendRequests starts calls for the queued destinations, until maxRequestsInFlight are in flight.
+func (r *Runner) sendRequests() {
 	now, t := r.options.Now(), r.options.Tree()
 	r.mu.Lock()
 	finished, mayStart := r.finishedRequests, maxRequestsInFlight-r.requestsInFlight
@@ -74,84 +76,86 @@
 	for ; len(state.queued) > 0 && mayStart > 0; mayStart-- {
 		batch := slices.Clone(state.queued[:min(len(state.queued), maxPerRequest)])
 		state.queued = slices.Delete(state.queued, 0, len(batch))
-		head := view.Name("")
+		coordinator := view.Name("")
 		if t != nil {
-			head = t.RegionHead(r.region(t))
+			coordinator = t.RegionHead(r.region(t))
 		}
 		r.mu.Lock()
 		r.requestsInFlight++
 		r.status.Asked += uint64(len(batch))
 		r.mu.Unlock()
-		if !r.startGoroutine(func() { r.callHead(head, batch, now) }) {
+		if !r.startGoroutine(func() { r.callCoordinator(coordinator, batch, now) }) {
 			return
 		}
 	}
 }
 
-// callHead asks the region's coordinator and hands the lessons to the sender.
-func (r *Runner) callHead(head view.Name, destinations []choice.DestinationID, requestedAt view.Uptime) {
-	var answer lessonsAnswer
+// callCoordinator requests learned state from the region's coordinator, which may be this process, and hands it to the sender.
+func (r *Runner) callCoordinator(coordinator view.Name, destinations []choice.DestinationID, requestedAt view.Uptime) {
+	var answer learnedStateAnswer
 	var err error
-	switch head {
-	case "": // no coordinator is known: there is no answer
+	switch coordinator {
+	case "": // no coordinator is known, so there is no learned state
 	case r.options.Self.Name:
 		r.mu.Lock()
 		answer = r.lookUp(destinations)
 		r.mu.Unlock()
 	default:
-		err = r.call(head, requestPath, lessonsRequest{destinations}, &answer)
+		err = r.call(coordinator, requestPath, learnedStateRequest{destinations}, &answer)
 	}
-	var lessons []clusterapi.LearnedEndpoint
+	var learned []clusterapi.LearnedEndpoint
 	waited := max(0, r.options.Now()-requestedAt)
 	if err == nil {
-		lessons = r.applicableLessons(answer, destinations, waited)
+		learned = r.applicableState(answer, destinations, waited)
 	}
-	if len(lessons) > 0 && r.ctx.Err() == nil {
-		r.options.Orders.Teach(lessons)
+	if len(learned) > 0 && r.ctx.Err() == nil {
+		r.options.Orders.Teach(learned)
 	}
 	r.mu.Lock()
 	r.requestsInFlight--
-	r.finishedRequests = append(r.finishedRequests, destinations...) // at most as many as are in flight
-	r.status.LessonsApplied += uint64(len(lessons))
+	r.finishedRequests = append(r.finishedRequests, destinations...) // bounded by the calls in flight
+	r.status.EndpointsApplied += uint64(len(learned))
 	r.mu.Unlock()
 	r.wakeLoop()
 }
 
-// applicableLessons are those of an answer that were asked for and can still be believed.
-func (r *Runner) applicableLessons(answer lessonsAnswer, destinations []choice.DestinationID, waited time.Duration) (all []clusterapi.LearnedEndpoint) {
+// applicableState returns the learned state in an answer that was requested and that recall.Discount does not reject. waited is
+// the time since the request, by which the state is older than the answer says.
+func (r *Runner) applicableState(answer learnedStateAnswer, destinations []choice.DestinationID, waited time.Duration) (all []clusterapi.LearnedEndpoint) {
 	requested := make(map[choice.DestinationID]bool, len(destinations))
 	for _, d := range destinations {
 		requested[d] = true
 	}
-	for _, of := range answer.All {
+	for _, of := range answer.Destinations {
 		if !requested[of.Destination] {
 			continue
 		}
-		for _, l := range of.All {
+		for _, l := range of.Endpoints {
 			l.Age += waited
-			if lesson, usable := recall.Discount(l, r.options.Self.Zone); usable {
-				all = append(all, lesson)
+			if state, usable := recall.Discount(l, r.options.Self.Zone); usable {
+				all = append(all, state)
 			}
 		}
 	}
 	return all
 }
 
-// lookUp is what the summary has of destinations. The caller holds mu.
-func (r *Runner) lookUp(destinations []choice.DestinationID) (answer lessonsAnswer) {
+// lookUp returns the learned state of destinations in the summary. The caller holds mu.
+func (r *Runner) lookUp(destinations []choice.DestinationID) (answer learnedStateAnswer) {
 	now := r.options.Now()
 	for _, d := range destinations[:min(len(destinations), maxPerRequest)] {
 		if l, found := r.summary.Lookup(now, d); found {
-			answer.All = append(answer.All, l)
+			answer.Destinations = append(answer.Destinations, l)
 		}
 	}
 	return answer
 }
 
+// handleRequest answers another process's request for learned state.
 func (r *Runner) handleRequest(_ context.Context, from view.Life, body []byte) (any, error) {
-	var in lessonsRequest
+	var in learnedStateRequest
 	if err := json.Unmarshal(body, &in); err != nil {
-		return nil, r.countMalformed(fmt.Errorf("popularity: question of %s: %w", from.Name, err))
+		return nil, r.countMalformed(fmt.Errorf("popularity: cannot decode request for learned state from %q: %w", from.Name, err))
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/cluster/popularity/run/run.go
+++ b/internal/cluster/popularity/run/run.go
@@ -1,10 +1,11 @@
-// Package run carries popularity between the processes of one region. Counts go up the tree and rankings come down
-// (counts.go); larger processes send what they learned to the region's coordinator (lessons.go), and small ones ask it for
-// that (requests.go); at a small process the sender evicts the destinations of the lowest priority weight (eviction.go).
+// Package run exchanges the popularity of destinations, and learned state, between the processes of one region. Counts are sent
+// up the tree and rankings down (counts.go). Large processes send their learned state to the region's coordinator
+// (lessons.go), and small ones request it from there (requests.go). At a small process the sender evicts the destinations with
+// the lowest priority weight (eviction.go).
 //
-// It owns one goroutine that ticks each two seconds or when woken, and one for each call in flight, at most five; all end
-// with Close. Packages count, merge, score, evict and recall decide. The lock is never held over a call to another process,
-// the sender never waits, and nothing is sent to another region.
+// A Runner has one goroutine that runs every two seconds or when it is woken, and one for each call in flight, of which there are
+// at most five. All of them end with Close. The decisions are made by packages count, merge, score, evict and recall. The lock
+// is never held during a call to another process, the sender never waits, and nothing is sent to another region.
 package run
 
 import (
@@ -28,102 +29,103 @@
 
 const (
 	defaultTickInterval = 2 * time.Second
-	// renewTicks: counts and rankings that changed little are sent again after so long, which the half-life of counts allows.
+	// renewTicks is the number of ticks after which counts and rankings are sent again although they have hardly changed. It
+	// is short compared with the half-life of counts.
 	renewTicks = 5
-	// wantTicks: a process that asked for rankings still wants them for three renewals.
+	// wantTicks is the number of ticks for which a process that has asked for rankings counts as wanting them: three renewals.
 	wantTicks        = 15
-	callTimeout      = 700 * time.Millisecond
-	maxQueuedDigests = 16  // handed over and not yet counted: eight seconds of them
-	maxQueuedLoads   = 256 // destinations loaded by the sender and not yet asked for
+	callTimeout      = 700 * time.Millisecond // of one call to another process
+	maxQueuedDigests = 16                     // digests of the sender that are not counted yet, which is eight seconds of them
+	maxQueuedLoads   = 256                    // destinations loaded by the sender for which no request was sent yet
 )
 
-// Link carries calls to other processes.
+// Link calls other processes and receives calls of them.
 type Link interface {
 	Call(ctx context.Context, to view.Name, path string, in, out any) error
 	Handle(path string, h func(ctx context.Context, from view.Life, body []byte) (any, error))
 }
 
-// Orders is what is asked of the sender; see clusterapi.Orders.
+// Orders is the part of clusterapi.Orders that a Runner uses to control the sender.
 type Orders interface {
 	Evict(all []choice.DestinationID, done func(retained []choice.DestinationID))
 	Holding(done func([]clusterapi.Held))
-	Teach(lessons []clusterapi.LearnedEndpoint)
+	Teach(learned []clusterapi.LearnedEndpoint)
 	Know(of []choice.DestinationID, done func([]clusterapi.LearnedEndpoint))
 }
 
-// Options are what a runner is made with; all but Bounds, TickInterval and Log must be set.
+// Options configures a Runner. Bounds, TickInterval and Log are optional.
 type Options struct {
 	Self         view.Member
-	Now          func() view.Uptime // since the process began; monotonic
+	Now          func() view.Uptime // time since the process started; monotonic
 	Link         Link
 	Orders       Orders
-	View         func() *view.View
-	Tree         func() *tree.Tree
-	Bounds       evict.Bounds  // of a small process
-	TickInterval time.Duration // defaultTickInterval if 0; all other spans but callTimeout are multiples of it
-	Log          *zap.Logger
+	View         func() *view.View // may return nil
+	Tree         func() *tree.Tree // may return nil
+	Bounds       evict.Bounds      // on the destinations that the sender of a small process caches
+	TickInterval time.Duration     // 0 for two seconds; all other intervals except callTimeout are multiples of it
+	Log          *zap.Logger       // nil for none
 }
 
-// Status is the state as operators see it; counts are since the start.
+// Status is the state of a Runner as it is shown to operators. Counters are since the start of the process.
 type Status struct {
-	Region          view.Region   `json:"region"`
-	Head            view.Name     `json:"head"`       // coordinator of the region
-	Isolated        bool          `json:"cut"`        // no ranking lately: goes by the last one and its own counts
-	RankingAge      time.Duration `json:"scores_age"` // -1 for no ranking
-	RankedProcesses int           `json:"scored"`     // processes that the ranking is from
-	Counted         float64       `json:"counted"`    // messages handed in here, decayed
-	SummarySize     int           `json:"summary"`    // destinations of which lessons are stored here for the region
-	BoundExceeded   bool          `json:"over"`       // by protected destinations
-	Held            int           `json:"held"`       // destinations, at the last check
-	Evicted         uint64        `json:"evicted"`
-	Retained        uint64        `json:"kept"`   // selected for eviction and retained by the sender
-	Loaded          uint64        `json:"woke"`   // destinations that the sender had nothing of
-	Asked           uint64        `json:"asked"`  // destinations asked for
-	LessonsApplied  uint64        `json:"taught"` // handed to the sender
-	LessonsSent     uint64        `json:"passed"` // destinations whose lessons were sent to the region's coordinator
-	Calls           uint64        `json:"calls"`
-	Failed          uint64        `json:"failed"` // of these
-	Malformed       uint64        `json:"bad"`    // messages that could not be read or were rejected
-	Dropped         uint64        `json:"dropped"`
+	Region           view.Region   `json:"region"`
+	Coordinator      view.Name     `json:"head"`       // coordinator of the region; empty if unknown
+	Isolated         bool          `json:"cut"`        // no ranking was received recently, so the last one and this process's own counts are used
+	RankingAge       time.Duration `json:"scores_age"` // -1 if there is no ranking
+	RankedProcesses  int           `json:"scored"`     // processes whose counts the ranking includes
+	Counted          float64       `json:"counted"`    // messages submitted at this process, decayed
+	SummarySize      int           `json:"summary"`    // destinations with learned state in the region's summary here
+	BoundExceeded    bool          `json:"over"`       // protected destinations exceed a bound
+	Held             int           `json:"held"`       // destinations cached by the sender after the last check
+	Evicted          uint64        `json:"evicted"`    // destinations selected for eviction
+	Retained         uint64        `json:"kept"`       // destinations selected for eviction but retained by the sender
+	Loaded           uint64        `json:"woke"`       // destinations that the sender loaded without learned state
+	Asked            uint64        `json:"asked"`      // destinations requested from the region's coordinator
+	EndpointsApplied uint64        `json:"taught"`     // endpoints whose learned state was handed to the sender
+	DestinationsSent uint64        `json:"passed"`     // destinations whose learned state was sent to the region's coordinator
+	Calls            uint64        `json:"calls"`      // calls to other processes
+	Failed           uint64        `json:"failed"`     // calls that failed
+	Malformed        uint64        `json:"bad"`        // received messages that could not be decoded or are invalid
+	Dropped          uint64        `json:"dropped"`    // digests and loaded destinations dropped because a queue was full
 }
 
-// Runner runs popularity at one process.
+// Runner runs the popularity feature at one process. Its methods are safe for concurrent use.
 type Runner struct {
-	options       Options
-	ctx           context.Context
-	cancel        context.CancelFunc
-	goroutines    sync.WaitGroup
-	digests       chan []clusterapi.Count
-	loaded        chan choice.DestinationID
-	wake          chan struct{}
-	holdings      chan holdings
-	lessonBatches chan lessonBatch
-	dropped       atomic.Uint64
-	retained      atomic.Uint64
+	options        Options
+	ctx            context.Context
+	cancel         context.CancelFunc
+	goroutines     sync.WaitGroup
+	digests        chan []clusterapi.Count
+	loaded         chan choice.DestinationID
+	wake           chan struct{}
+	holdings       chan holdings
+	learnedBatches chan learnedBatch
+	dropped        atomic.Uint64
+	retained       atomic.Uint64
 
-	// Of the loop alone.
-	evictor       *evict.Evictor
-	eviction      evictionState
-	lessonSending lessonState
-	requests      requestState
+	// Used only by the loop's goroutine.
+	evictor  *evict.Evictor
+	eviction evictionState
+	upload   uploadState
+	requests requestState
 
-	// mu is popularity.mu in the order of package cluster; no other lock is taken under it.
+	// mu guards the fields below. It is popularity.mu in the lock order of package cluster; no other lock is taken under it.
 	mu               sync.Mutex
 	closed           bool
 	counts           *count.Table
 	merged           *merge.Table
 	scores           *score.Table
 	summary          *recall.Summary
-	countSending     countState
-	requestsInFlight int  // calls that ask for lessons
-	batchesInFlight  int  // calls with lessons
-	batchFailed      bool // one of them did: all lessons are sent anew
-	finishedRequests []choice.DestinationID
+	countReport      countReportState
+	requestsInFlight int                    // calls that request learned state
+	batchesInFlight  int                    // batches of learned state being sent
+	batchFailed      bool                   // sending a batch failed, so all learned state is to be sent again
+	finishedRequests []choice.DestinationID // requested destinations whose call has ended
 	status           Status
 	bounds           evict.Bounds
 }
 
-// New makes a runner; its handlers are added to the link at once, and nothing runs before Start.
+// New returns a Runner and registers its handlers on the link. Its loop does not run before Start.
 func New(o Options) *Runner {
 	if o.TickInterval <= 0 {
 		o.TickInterval = defaultTickInterval
@@ -132,32 +134,32 @@
 		o.Log = zap.NewNop()
 	}
 	r := &Runner{
-		options:       o,
-		bounds:        o.Bounds,
-		digests:       make(chan []clusterapi.Count, maxQueuedDigests),
-		loaded:        make(chan choice.DestinationID, maxQueuedLoads),
-		wake:          make(chan struct{}, 1),
-		holdings:      make(chan holdings, 1),
-		lessonBatches: make(chan lessonBatch, 1),
-		evictor:       evict.New(),
-		counts:        count.NewTable(count.Bounds{}),
-		merged:        merge.NewTable(count.HalfLife),
-		scores:        score.NewTable(count.HalfLife),
-		summary:       recall.NewSummary(0),
+		options:        o,
+		bounds:         o.Bounds,
+		digests:        make(chan []clusterapi.Count, maxQueuedDigests),
+		loaded:         make(chan choice.DestinationID, maxQueuedLoads),
+		wake:           make(chan struct{}, 1),
+		holdings:       make(chan holdings, 1),
+		learnedBatches: make(chan learnedBatch, 1),
+		evictor:        evict.New(),
+		counts:         count.NewTable(count.Bounds{}),
+		merged:         merge.NewTable(count.HalfLife),
+		scores:         score.NewTable(count.HalfLife),
+		summary:        recall.NewSummary(0),
 	}
 	r.requests.pending = map[choice.DestinationID]bool{}
-	r.lessonSending.sent = map[choice.DestinationID]sentLessons{}
+	r.upload.sent = map[choice.DestinationID]sentDestination{}
 	r.ctx, r.cancel = context.WithCancel(context.Background())
 	o.Link.Handle(countsPath, r.handleCounts)
 	o.Link.Handle(requestPath, r.handleRequest)
-	o.Link.Handle(lessonsPath, r.handleLessons)
+	o.Link.Handle(learnedStatePath, r.handleLearnedState)
 	return r
 }
 
-// Start starts the loop.
+// Start starts the Runner's loop, which runs until Close.
 func (r *Runner) Start() { r.startGoroutine(r.loop) }
 
-// Close ends all goroutines and abandons calls in flight.
+// Close cancels all calls in flight, ends all goroutines and waits for them.
 func (r *Runner) Close() {
 	r.mu.Lock()
 	r.closed = true
@@ -166,7 +168,8 @@
 	r.goroutines.Wait()
 }
 
-// Digest hands over what clients handed in. It never waits: a digest that finds the queue full is dropped and counted.
+// Digest adds the counts of a sender's digest. It never blocks: if the queue of digests is full, the digest is dropped and
+// counted in Status.Dropped.
 func (r *Runner) Digest(d clusterapi.Digest) {
 	if len(d.Counts) == 0 {
 		return
@@ -178,8 +181,8 @@
 	}
 }
 
-// Woke asks the region for what it knows of a destination that the sender holds nothing of. It never waits; the answer
-// is handed to the sender as lessons, or never comes.
+// Woke requests the region's learned state of a destination of which the sender has none. It never blocks. The answer is handed
+// to the sender by Orders.Teach; there may be none.
 func (r *Runner) Woke(d choice.DestinationID) {
 	select {
 	case r.loaded <- d:
@@ -188,7 +191,7 @@
 	}
 }
 
-// SetBounds sets other bounds and makes the loop check them at once.
+// SetBounds replaces the bounds and makes the loop check them at once.
 func (r *Runner) SetBounds(b evict.Bounds) {
 	r.mu.Lock()
 	r.bounds = b
@@ -196,7 +199,7 @@
 	r.wakeLoop()
 }
 
-// Forget drops what the region's summary here has of a destination: what was learned of it is void.
+// Forget drops the learned state of a destination from the region's summary here, because it was purged.
 func (r *Runner) Forget(d choice.DestinationID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -220,12 +223,12 @@
 	s.Region = r.options.Self.Region
 	if t != nil {
 		s.Region = r.region(t)
-		s.Head = t.RegionHead(s.Region)
+		s.Coordinator = t.RegionHead(s.Region)
 	}
 	return s
 }
 
-// startGoroutine starts a goroutine that Close waits for; false once closed.
+// startGoroutine starts a goroutine that Close waits for. After Close it starts none and returns false.
 func (r *Runner) startGoroutine(f func()) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -235,6 +238,7 @@
 	return !r.closed
 }
 
+// wakeLoop makes the loop run at once. It never blocks.
 func (r *Runner) wakeLoop() {
 	select {
 	case r.wake <- struct{}{}:
@@ -242,8 +246,10 @@
 	}
 }
 
-func (r *Runner) small() bool { return r.options.Self.Size == view.Small }
+// isSmall reports whether this process is a small one.
+func (r *Runner) isSmall() bool { return r.options.Self.Size == view.Small }
 
+// loop processes digests, answers of the sender and ticks until Close.
 func (r *Runner) loop() {
 	tick := time.NewTicker(r.options.TickInterval)
 	defer tick.Stop()
@@ -260,7 +266,7 @@
 			r.takeLoaded(d)
 		case h := <-r.holdings:
 			r.handleHoldings(h)
-		case b := <-r.lessonBatches:
+		case b := <-r.learnedBatches:
 			r.sendBatch(b)
 		case <-r.wake:
 		case <-tick.C:
@@ -268,12 +274,12 @@
 			r.startBatch()
 			r.checkBounds(true)
 		}
-		r.requestLessons()
+		r.sendRequests()
 		r.checkBounds(false)
 	}
 }
 
-// call makes one call to another process, within callTimeout, and counts it.
+// call makes a call to another process with callTimeout, and counts it and its failure.
 func (r *Runner) call(to view.Name, path string, in, out any) error {
 	ctx, cancel := context.WithTimeout(r.ctx, callTimeout)
 	defer cancel()
@@ -287,6 +293,7 @@
 	return err
 }
 
+// countMalformed counts an invalid message and returns err.
 func (r *Runner) countMalformed(err error) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/cluster/popularity/run/run_test.go
+++ b/internal/cluster/popularity/run/run_test.go
@@ -50,7 +50,7 @@
 
 // A hundred destinations loaded at a small process get back what the region knows, in a few calls; the region's
 // coordinator fails, and the next one gets all lessons again.
-func TestLessonsSurviveTheHead(t *testing.T) {
+func TestLearnedStateSurvivesCoordinatorFailure(t *testing.T) {
 	w := startCluster(t, evict.Bounds{})
 	for d := range choice.DestinationID(100) {
 		for _, p := range []view.Name{"p0", "p2", "p4"} {
--- a/internal/cluster/popularity/score/score.go
+++ b/internal/cluster/popularity/score/score.go
@@ -1,9 +1,9 @@
-// Package score holds a region's ranking as one process received it, and computes the score of a destination from that and
-// from what the process counted itself.
+// Package score computes the score of destinations at one process, from the newest ranking of its region and the process's own
+// counts.
 //
-// The package is pure. Rankings come from the region's coordinator with their age; they decay by the half-life of counts,
-// so that a process that is cut off goes over to its own counts without a jump. The ranking of another region is never
-// taken, nor an older one in place of a newer.
+// The package does no I/O and reads no clock. The region's coordinator makes the rankings, which carry their age. They decay with
+// the half-life of counts, so that a process that is isolated from its region changes over to its own counts gradually. A
+// ranking of another region is never accepted, and neither is an older one in place of a newer one.
 package score
 
 import (
@@ -17,47 +17,50 @@
 )
 
 const (
-	// IsolatedAfter is the age of a ranking from which a process counts as cut off from its region: coordinators send anew
-	// each ten seconds, and a ranking passes three tiers of two seconds.
+	// IsolatedAfter is the age of the ranking beyond which a process counts as isolated from its region. Coordinators make a new
+	// ranking at least every ten seconds, and it passes three levels of the tree, each within two seconds.
 	IsolatedAfter = 30 * time.Second
-	maxAge        = 10 * time.Minute // twenty half-lives of counts
-	// regionWeight is how much the mean of the region's processes weighs beside the process's own count. Its own messages
-	// are a part of the same stream, and the mean rests on many times as many; what it alone is handed still shows.
+	maxAge        = 10 * time.Minute // of a ranking that is used or passed on: twenty half-lives of counts
+	// regionWeight is the weight in a score of the region's mean count per process, relative to the process's own count. The
+	// mean weighs more because it is based on many more messages of the same traffic. Messages that only this process
+	// receives still have an effect.
 	regionWeight = 4
 )
 
-// Version names one ranking: the incarnation of the region's coordinator, and a sequence number.
+// Version identifies a ranking by the incarnation of the region's coordinator that made it and a sequence number. The zero value
+// stands for no ranking.
 type Version struct {
-	Head view.Life `json:"head"`
-	Seq  uint64    `json:"seq"`
+	Coordinator view.Life `json:"head"`
+	Seq         uint64    `json:"seq"`
 }
 
-// Ranking is a region's ranking on its way down the tree.
+// Ranking holds the destinations with the most messages in a region, as it is sent down the tree. Destinations and Messages have
+// equal lengths; the numbers of messages are sums over the region's processes.
 type Ranking struct {
 	Version
 	Region       view.Region            `json:"region"`
-	Age          time.Duration          `json:"age"`
-	Processes    int                    `json:"processes"`
+	Age          time.Duration          `json:"age"`       // time since the counts were made
+	Processes    int                    `json:"processes"` // number of processes whose counts it includes
 	Destinations []choice.DestinationID `json:"d"`
 	Messages     []float64              `json:"n"`
 }
 
-// Table is for one goroutine at a time.
+// Table stores the newest ranking that a process has received. NewTable creates one. It is not safe for concurrent use.
 type Table struct {
 	halfLife time.Duration
-	ranking  *Ranking // immutable
-	rankedAt view.Uptime
-	means    map[choice.DestinationID]float64 // messages a process of the region, as of rankedAt
+	ranking  *Ranking                         // nil for none; never modified
+	rankedAt view.Uptime                      // time of the ranking's counts
+	means    map[choice.DestinationID]float64 // messages per process of the region, as of rankedAt
 }
 
-// NewTable takes the half-life of counts.
+// NewTable returns a table without a ranking, for counts with this half-life.
 func NewTable(halfLife time.Duration) *Table { return &Table{halfLife: halfLife} }
 
-// Update takes a ranking whose age is as of now, at a process of the region here; false where it changes nothing. Of
-// one coordinator the later incarnation and the higher number count; of two coordinators the younger ranking, as one
-// that lost its role may go on sending for a while.
+// Update stores a ranking whose age is as of now, at a process of the region here, and returns whether it replaces the stored one.
+// Rankings of one coordinator are compared by its incarnation and their sequence number. Rankings of two coordinators are
+// compared by age, as a process that is no longer the coordinator may continue to send for a while.
 func (b *Table) Update(now view.Uptime, here view.Region, t Ranking) bool {
-	if t.Region != here || t.Age < 0 || t.Age > maxAge || t.Processes < 1 || t.Head.Name == "" ||
+	if t.Region != here || t.Age < 0 || t.Age > maxAge || t.Processes < 1 || t.Coordinator.Name == "" ||
 		!merge.ValidColumns(t.Destinations, t.Messages) {
 		return false
 	}
@@ -72,15 +75,16 @@
 	return true
 }
 
+// supersededBy reports whether a ranking is newer than the stored one.
 func (b *Table) supersededBy(t Ranking, rankedAt view.Uptime) bool {
-	if t.Head.Name != b.ranking.Head.Name {
+	if t.Coordinator.Name != b.ranking.Coordinator.Name {
 		return rankedAt > b.rankedAt
 	}
-	return cmp.Or(cmp.Compare(t.Head.Incarnation, b.ranking.Head.Incarnation), cmp.Compare(t.Seq, b.ranking.Seq)) > 0
+	return cmp.Or(cmp.Compare(t.Coordinator.Incarnation, b.ranking.Coordinator.Incarnation), cmp.Compare(t.Seq, b.ranking.Seq)) > 0
 }
 
-// RankingFor is what this process passes on to one that knows a version, its age as of now; nil if that has nothing
-// newer to learn.
+// RankingFor returns the ranking to pass on to a process that has the version known, with its age as of now. It returns nil if
+// that process has the same ranking, or if there is none younger than maxAge.
 func (b *Table) RankingFor(now view.Uptime, known Version) *Ranking {
 	if b.ranking == nil || b.ranking.Version == known || now-b.rankedAt > maxAge {
 		return nil
@@ -90,7 +94,7 @@
 	return &t
 }
 
-// Version is that of the stored ranking; zero for none.
+// Version returns the version of the stored ranking, or the zero Version if there is none.
 func (b *Table) Version() Version {
 	if b.ranking == nil {
 		return Version{}
@@ -98,16 +102,16 @@
 	return b.ranking.Version
 }
 
-// Age is how old the ranking is; false if there is none.
+// Age returns the age of the stored ranking, and false if there is none.
 func (b *Table) Age(now view.Uptime) (time.Duration, bool) { return now - b.rankedAt, b.ranking != nil }
 
-// Isolated reports whether this process hears nothing from its region.
+// Isolated reports whether this process has no ranking that is at most IsolatedAfter old.
 func (b *Table) Isolated(now view.Uptime) bool {
 	return b.ranking == nil || now-b.rankedAt > IsolatedAfter
 }
 
-// Score is how many messages one process of the region is handed in for a destination on average, decayed by the
-// ranking's age, and what was handed in here (own).
+// Score returns the score of a destination, in messages: own, which is the process's own count, plus regionWeight times the mean
+// count per process of the region, decayed by the ranking's age.
 func (b *Table) Score(now view.Uptime, d choice.DestinationID, own float64) float64 {
 	if b.ranking == nil {
 		return own
--- a/internal/cluster/purge/ledger/commands.go
+++ b/internal/cluster/purge/ledger/commands.go
@@ -1,13 +1,15 @@
-// Package ledger is the replicated record of purges, and of the participants: the processes that must acknowledge them.
+// Package ledger implements the replicated record of purges and of their participants, which are the processes that must
+// acknowledge each purge.
 //
-// It is a part of the consensus group's state machine: pure and deterministic, the same commands in the same order give
-// the same state to the byte. It owns the sequence numbers of purges (Seq), which purge an id stands for, the set of
-// participants, and the closing of purges. It must never drop a purge that is open, or that a process may still need;
-// nor close one by timeout before the longest deadline has passed. It uses no network, clock or disk.
-//
-// This file holds the commands, their results, and the record of a purge.
+// A Ledger is one part of the consensus group's state machine. It is deterministic: the same commands in the same order
+// produce the same state, byte for byte. It uses no network, clock or disk. It assigns the sequence numbers of purges
+// (Seq), maps the ids that callers choose to purges, maintains the set of participants, and closes purges. It never drops
+// a purge that is open or that a process may still need, and never lets a missing acknowledgement lapse before the
+// longest deadline has passed.
 package ledger
 
+// This file defines the commands, their results, and the record of a purge.
+
 import (
 	"encoding/json"
 	"fmt"
@@ -19,11 +21,11 @@
 	"flaxcove/internal/sender/clusterapi"
 )
 
-// Part is the name of this state in the consensus group's machine.
+// Part is the name of the ledger among the parts of the consensus group's state machine.
 const Part = "purge"
 
-// Kinds of command. There is none for progress: a new leader asks the processes again what they have acknowledged, and
-// they answer from disk. Recording each step would cost one log entry a process and purge.
+// Kinds of commands. No command records the progress of a purge: a new leader asks the processes again what they have
+// acknowledged, and they answer from disk. Recording each acknowledgement would cost one log entry per process and purge.
 const (
 	KindOpen  = "open"
 	KindJoin  = "join"
@@ -31,45 +33,49 @@
 	KindClose = "close"
 )
 
-// Subject is what a purge withdraws.
+// Subject is the kind of state that a purge removes.
 type Subject string
 
-// Subjects of a purge: messages by key, class or destination; or what senders have learned of a destination.
+// Subjects of a purge: messages selected by key, class or destination, or the learned state of the endpoints of one
+// destination.
 const (
 	Messages     Subject = "notices"
 	LearnedState Subject = "learnt"
 )
 
-// State is how far a purge has come.
+// State is the stage that a purge has reached.
 type State string
 
-// States of a purge: open; acknowledged by all participants; or closed with some that did not answer in time.
+// States of a purge. Spreading means that it is open, Complete that all participants have acknowledged it, and Lapsed that
+// it was closed although some participants did not acknowledge it in time.
 const (
 	Spreading State = "spreading"
 	Complete  State = "complete"
 	Lapsed    State = "complete with lapsed"
 )
 
-// Open is the command that opens a purge. ID is chosen by the caller, as an idempotency key.
+// Open is the command that opens a purge. The caller chooses ID, which serves as an idempotency key.
 type Open struct {
-	ID      string           `json:"id"`
-	Subject Subject          `json:"subject"`
-	Match   clusterapi.Match `json:"match"`
-	Who     string           `json:"who"`
-	Why     string           `json:"why"`
+	ID          string           `json:"id"`
+	Subject     Subject          `json:"subject"`
+	Match       clusterapi.Match `json:"match"`
+	RequestedBy string           `json:"who"`
+	Reason      string           `json:"why"`
 }
 
-// OpenResult is the answer to an Open. Where Rejected is set nothing was opened, and Field names what is wrong.
+// OpenResult is the answer to an Open. If Rejected is set, no purge was opened, Rejected is the reason, and Field names the
+// invalid field.
 type OpenResult struct {
 	Seq       uint64 `json:"seq,omitempty"`
-	Duplicate bool   `json:"known,omitempty"` // the same command was committed before
+	Duplicate bool   `json:"known,omitempty"` // the same command was committed earlier; Seq and State are those of its purge
 	State     State  `json:"state,omitempty"`
 	Rejected  string `json:"refused,omitempty"`
 	Field     string `json:"field,omitempty"`
-	Full      bool   `json:"full,omitempty"` // rejected for want of capacity: to be retried later
+	Full      bool   `json:"full,omitempty"` // rejected because the ledger is full; the caller may retry later
 }
 
-// Participant is a process that must acknowledge. LongestDeadline is that of any message it can hold; 0 for not known.
+// Participant is a process that must acknowledge purges. LongestDeadline is the longest deadline of any message that the
+// process can hold; 0 means unknown.
 type Participant struct {
 	view.Life
 	Zone            view.Zone     `json:"zone"`
@@ -78,38 +84,40 @@
 	LongestDeadline time.Duration `json:"longest,omitempty"`
 }
 
-// Join is the command that adds participants, each in place of the earlier incarnation of its name.
+// Join is the command that adds participants. A participant replaces an earlier incarnation of the same name.
 type Join struct {
 	Participants []Participant `json:"seats"`
 }
 
-// JoinResult tells a participant up to which purge it must have applied before it sends. Later ones wait for it.
+// JoinResult is the answer to a Join or Leave. A participant must apply all purges up to Seq before it sends messages; later
+// purges do not become complete without its acknowledgement. OldestOpen is the oldest open purge, or Seq+1 if none is open.
 type JoinResult struct {
 	Seq        uint64 `json:"seq"`
 	OldestOpen uint64 `json:"floor"`
 	Rejected   string `json:"refused,omitempty"`
 }
 
-// Leave is the command that removes participants that hold no messages: they left after a drain, or were absent for
-// AbsenceLimit.
+// Leave is the command that removes participants that hold no messages any more, because they left after a drain or were
+// absent for AbsenceLimit.
 type Leave struct {
 	Lives []view.Life `json:"lives"`
 }
 
-// Close is the command that closes the oldest open purges, in order.
+// Close is the command that closes the oldest open purges, in ascending order of their Seqs.
 type Close struct {
-	RosterVersion uint64    `json:"roster"` // of the participants whose acknowledgements were counted; any other is rejected
+	RosterVersion uint64    `json:"roster"` // version of the participants that the closures count; the command is rejected if it is not current
 	Closures      []Closure `json:"rows"`
 }
 
-// Closure is the end of one purge. LapsedNames are at most MaxLapsedNames.
+// Closure is the outcome of one purge. LapsedNames holds at most MaxLapsedNames names.
 type Closure struct {
 	Seq         uint64      `json:"seq"`
 	Zones       []ZoneSum   `json:"zones"`
 	LapsedNames []view.Name `json:"names,omitempty"`
 }
 
-// ZoneSum is the result of a purge in one zone.
+// ZoneSum is the outcome of a purge in one zone: the number of participants that acknowledged it, the number whose
+// acknowledgement lapsed, and the sum of what the purge found.
 type ZoneSum struct {
 	Region  view.Region      `json:"region"`
 	Zone    view.Zone        `json:"zone"`
@@ -118,59 +126,60 @@
 	Found   clusterapi.Found `json:"found"`
 }
 
-// CloseResult is the answer to a Close: Done purges were closed; Reason tells why the next was not.
+// CloseResult is the answer to a Close. Closed purges were closed; Reason says why the next one was not.
 type CloseResult struct {
-	Done   int    `json:"done"`
+	Closed int    `json:"done"`
 	Reason string `json:"why,omitempty"`
 }
 
-// Record is one purge. A compacted one is needed by no process any more; it retains its id, checksums and sums, and for
-// a while its contents.
+// Record is one purge. A closed one retains Zones and LapsedNames only while it is among the newest closed purges. A compacted
+// record is no longer needed by any process; when it is not among the newest closed purges either, it retains only its id,
+// its state, the checksums and the total sums.
 type Record struct {
 	Seq         uint64           `json:"seq"`
 	ID          string           `json:"id"`
 	Subject     Subject          `json:"subject"`
 	Match       clusterapi.Match `json:"match"`
-	Who         string           `json:"who,omitempty"`
-	Why         string           `json:"why,omitempty"`
-	At          time.Duration    `json:"at"` // the group's clock when it was opened
+	RequestedBy string           `json:"who,omitempty"`
+	Reason      string           `json:"why,omitempty"`
+	OpenedAt    time.Duration    `json:"at"` // time of the consensus group's clock when the purge was opened
 	State       State            `json:"state"`
 	Zones       []ZoneSum        `json:"zones,omitempty"`
 	LapsedNames []view.Name      `json:"names,omitempty"`
 	Reached     int              `json:"reached,omitempty"`
 	Lapsed      int              `json:"lapsed,omitempty"`
 	Found       clusterapi.Found `json:"found"`
-	Checksums   [4]uint32        `json:"prints"` // of subject, match, who, why
+	Checksums   [4]uint32        `json:"prints"` // CRC-32 of each of checksumFields, in that order
 	Compacted   bool             `json:"short,omitempty"`
 }
 
-// Bounds on what a caller sends, in bytes.
+// Bounds on the texts of a command, in bytes.
 const (
-	maxIDBytes   = 128
-	maxKeyBytes  = 512
-	maxWhyBytes  = 1024
-	maxNameBytes = 128
+	maxIDBytes     = 128
+	maxKeyBytes    = 512
+	maxReasonBytes = 1024
+	maxNameBytes   = 128
 )
 
-// Validate returns the first field that is wrong, and why; "" for none.
-func (o Open) Validate() (field, why string) {
+// Validate returns the first invalid field and what is wrong with it. It returns "" for both if the command is valid.
+func (o Open) Validate() (field, problem string) {
 	for _, text := range []struct {
 		field, value string
 		maxBytes     int
 		required     bool
 	}{
-		{"id", o.ID, maxIDBytes, true}, {"who", o.Who, maxNameBytes, true}, {"why", o.Why, maxWhyBytes, true},
+		{"id", o.ID, maxIDBytes, true}, {"who", o.RequestedBy, maxNameBytes, true}, {"why", o.Reason, maxReasonBytes, true},
 		{"match.workload", o.Match.Class, maxNameBytes, false}, {"match.key", o.Match.Key, maxKeyBytes, false},
 		{"match.key_prefix", o.Match.KeyPrefix, maxKeyBytes, false},
 	} {
-		if why = validateText(text.value, text.maxBytes, text.required); why != "" {
-			return text.field, why
+		if problem = validateText(text.value, text.maxBytes, text.required); problem != "" {
+			return text.field, problem
 		}
 	}
 	return o.validateMatch()
 }
 
-// validateText returns why a text is wrong; "" for one that is not.
+// validateText returns what is wrong with a text, or "" if it is valid.
 func validateText(text string, maxBytes int, required bool) string {
 	switch {
 	case required && text == "":
@@ -183,8 +192,8 @@
 	return ""
 }
 
-// validateMatch checks that the match names something that its subject can be withdrawn by.
-func (o Open) validateMatch() (field, why string) {
+// validateMatch checks that Match has the fields that Subject requires, and no others.
+func (o Open) validateMatch() (field, problem string) {
 	m := o.Match
 	switch o.Subject {
 	case Messages:
@@ -204,22 +213,24 @@
 	return "", ""
 }
 
+// checksumFields names the fields that have checksums, in the order of Record.Checksums.
 var checksumFields = [4]string{"subject", "match", "who", "why"}
 
-// checksums tell whether a command equals a compacted purge. They are no protection against forgery: each caller chooses
-// its own ids.
+// checksums returns the checksums of the command's fields. They detect that a command with a known id differs from the
+// purge of that id, even after its record was compacted. They do not protect against forgery, which is not needed because
+// each caller chooses its own ids.
 func (o Open) checksums() (p [4]uint32) {
 	match, err := json.Marshal(o.Match)
 	if err != nil {
-		match = nil // can't happen: strings and a number always marshal
+		match = nil // cannot happen: strings and a number can always be marshalled
 	}
-	for i, text := range [][]byte{[]byte(o.Subject), match, []byte(o.Who), []byte(o.Why)} {
+	for i, text := range [][]byte{[]byte(o.Subject), match, []byte(o.RequestedBy), []byte(o.Reason)} {
 		p[i] = crc32.ChecksumIEEE(text)
 	}
 	return p
 }
 
-// ToPurge is the purge as it is sent to processes, with its age.
+// ToPurge returns the purge in the form that is sent to processes. A negative age is replaced by 0.
 func (r Record) ToPurge(age time.Duration) clusterapi.Purge {
 	return clusterapi.Purge{Seq: r.Seq, ID: r.ID, LearnedState: r.Subject == LearnedState, Match: r.Match, Age: max(age, 0)}
 }
--- a/internal/cluster/purge/ledger/ledger.go
+++ b/internal/cluster/purge/ledger/ledger.go
@@ -1,7 +1,7 @@
 package ledger
 
-// This file is the state machine: one method for each command. It must stay deterministic: no map is ranged over
-// where the order shows, and nothing is read but the command and the state.
+// This file implements the state machine, with one method for each command. The methods must be deterministic: the
+// iteration order of a map must not affect the result, and nothing is read except the command and the state.
 
 import (
 	"cmp"
@@ -15,53 +15,55 @@
 	"flaxcove/internal/sender/clusterapi"
 )
 
-// Bounds of the ledger. Ten thousand purges at once must fit (the hard case), with a margin: a purge takes about
-// 400 bytes.
+// Bounds of the ledger. It must hold ten thousand purges at once, with a margin. A purge takes about 400 bytes.
 const (
-	MaxFullRecords      = 16384 // purges that are open, or that a process may still need; beyond it a new one is rejected
-	MaxCompactedRecords = 16384 // retained after that, for their ids; an id that was dropped may be used for another purge
+	MaxFullRecords      = 16384 // purges that are open or that a process may still need; new purges beyond it are rejected
+	MaxCompactedRecords = 16384 // compacted purges, retained for their ids; the id of a dropped record can be used for another purge
 	MaxLearnedState     = 4096  // closed purges of learned state, which has no deadline, that are retained in full
 	MaxParticipants     = 4096
-	MaxLapsedNames      = 64
-	maxDetailedRecords  = 1024 // closed purges that retain contents and sums by zone, to be shown
+	MaxLapsedNames      = 64   // names in a Closure or Record of participants that did not acknowledge
+	maxDetailedRecords  = 1024 // newest closed purges, which retain contents and sums by zone for status requests
 )
 
-// LapseMargin is added to the longest deadline before a missing acknowledgement may lapse: a sender ends a message up to
-// 300 ms past its deadline (docs/design.md), clocks of two machines drift by 1 in 10,000 at most, and the rest is slack.
+// LapseMargin is added to the longest deadline to get the age from which a missing acknowledgement may lapse. A sender ends
+// a message up to 300 ms after its deadline (docs/design.md), and the clocks of two machines drift apart by at most 1 in
+// 10,000. The rest is a safety margin.
 const LapseMargin = 5 * time.Second
 
-// DefaultLongestDeadline is assumed where no participant has reported its longest deadline.
+// DefaultLongestDeadline is the longest deadline that is assumed if no participant has reported one.
 const DefaultLongestDeadline = time.Hour
 
-// AbsenceLimit is how long a process may be absent and still remain a participant: what it does while partitioned from
-// the others cannot be known.
+// AbsenceLimit is how long a process may be absent and still remain a participant. It is long because a process that is
+// partitioned from the others may still be sending messages.
 const AbsenceLimit = 24 * time.Hour
 
-// Ledger is the state. It is not safe for concurrent use: the consensus group guards it.
+// Ledger is the replicated state of purges and participants. It is not safe for concurrent use; the consensus group
+// serializes all access. New returns an empty Ledger.
 type Ledger struct {
 	records       map[uint64]*Record
 	seqByID       map[string]uint64
-	participants  []Participant // sorted by name
-	lastSeq       uint64        // the newest purge
-	oldestOpen    uint64        // the oldest open purge; lastSeq+1 for none. All from it on are open
+	participants  []Participant // sorted by name, one for each name
+	lastSeq       uint64        // Seq of the newest purge; 0 for none
+	oldestOpen    uint64        // Seq of the oldest open purge, or lastSeq+1 for none; all later purges are open too
 	rosterVersion uint64        // grows when a participant joins, restarts or leaves
-	clock         time.Duration
-	revision      uint64 // grows with each command; not in snapshots
+	clock         time.Duration // the highest time of any applied command
+	revision      uint64        // grows with each command; not part of snapshots
 
-	// The Seqs of closed purges, oldest first.
-	closedMessages []uint64 // of messages, in full until past the horizon
-	closedLearned  []uint64 // of learned state, in full
-	compacted      []uint64 // needed by no process
-	detailed       []uint64 // with contents and sums by zone, to be shown
+	// Seqs of closed purges, in ascending order.
+	closedMessages []uint64 // purges of messages, retained in full until older than the horizon
+	closedLearned  []uint64 // purges of learned state, retained in full
+	compacted      []uint64 // purges that no process needs any more
+	detailed       []uint64 // purges that retain contents and sums by zone
 }
 
-// New returns an empty ledger.
+// New returns a ledger without purges and participants.
 func New() *Ledger {
 	return &Ledger{records: map[uint64]*Record{}, seqByID: map[string]uint64{}, oldestOpen: 1}
 }
 
-// Apply applies one committed command. An error means that it could not be decoded, and nothing has changed; a command
-// that is rejected by a rule says so in its answer.
+// Apply applies one committed command and returns its encoded result. at is the consensus group's clock. An error means
+// that the kind is unknown or the body could not be decoded, and that no purge or participant has changed. A command that
+// breaks a rule of the ledger is not an error: its result holds the reason for the rejection.
 func (l *Ledger) Apply(_ uint64, at time.Duration, kind string, body json.RawMessage) (json.RawMessage, error) {
 	var answer any
 	var err error
@@ -86,7 +88,7 @@
 	return json.Marshal(answer)
 }
 
-// decodeAndApply decodes a command and applies it. Nothing is applied where it can't be decoded.
+// decodeAndApply decodes a command and applies it. If decoding fails, it applies nothing.
 func decodeAndApply[C, R any](body json.RawMessage, apply func(C) R) (any, error) {
 	var command C
 	if err := json.Unmarshal(body, &command); err != nil {
@@ -95,10 +97,10 @@
 	return apply(command), nil
 }
 
-// open opens a purge, or finds the one that was opened by the same command before.
+// open opens a purge. If the same command was applied before, it returns the purge opened then.
 func (l *Ledger) open(c Open) OpenResult {
-	if field, why := c.Validate(); field != "" {
-		return OpenResult{Rejected: field + " " + why, Field: field}
+	if field, problem := c.Validate(); field != "" {
+		return OpenResult{Rejected: field + " " + problem, Field: field}
 	}
 	checksums := c.checksums()
 	if seq, known := l.seqByID[c.ID]; known {
@@ -117,45 +119,47 @@
 			"the ledger is full: %d purges are open or younger than the longest hard stop (%v)", n, l.LongestDeadline())}
 	}
 	l.lastSeq++
-	l.records[l.lastSeq] = &Record{Seq: l.lastSeq, ID: c.ID, Subject: c.Subject, Match: c.Match, Who: c.Who, Why: c.Why,
-		At: l.clock, State: Spreading, Checksums: checksums}
+	l.records[l.lastSeq] = &Record{Seq: l.lastSeq, ID: c.ID, Subject: c.Subject, Match: c.Match, RequestedBy: c.RequestedBy, Reason: c.Reason,
+		OpenedAt: l.clock, State: Spreading, Checksums: checksums}
 	l.seqByID[c.ID] = l.lastSeq
 	return OpenResult{Seq: l.lastSeq, State: Spreading}
 }
 
-func byName(s Participant, n view.Name) int { return cmp.Compare(s.Name, n) }
+// byName compares the name of a participant with a name, for binary searches.
+func byName(p Participant, n view.Name) int { return cmp.Compare(p.Name, n) }
 
-// join adds participants, or updates them to their later incarnations.
+// join adds participants, and replaces those that have an earlier or the same incarnation.
 func (l *Ledger) join(c Join) JoinResult {
 	rejected := ""
-	for _, s := range c.Participants {
-		i, found := slices.BinarySearchFunc(l.participants, s.Name, byName)
+	for _, p := range c.Participants {
+		i, found := slices.BinarySearchFunc(l.participants, p.Name, byName)
 		switch {
-		case s.Name == "":
+		case p.Name == "":
 			rejected = "a seat without a name"
 		case !found && len(l.participants) >= MaxParticipants:
-			rejected = fmt.Sprintf("%q: all %d seats are taken", s.Name, MaxParticipants)
+			rejected = fmt.Sprintf("%q: all %d seats are taken", p.Name, MaxParticipants)
 		case !found:
-			l.participants = slices.Insert(l.participants, i, s)
+			l.participants = slices.Insert(l.participants, i, p)
 			l.rosterVersion++
-		case s.Incarnation < l.participants[i].Incarnation:
-			rejected = fmt.Sprintf("%q: incarnation %d has the seat, %d is older", s.Name, l.participants[i].Incarnation, s.Incarnation)
+		case p.Incarnation < l.participants[i].Incarnation:
+			rejected = fmt.Sprintf("%q: incarnation %d has the seat, %d is older", p.Name, l.participants[i].Incarnation, p.Incarnation)
 		default:
-			// This incarnation can hold what the earlier one could: it has the same folder, or the message is lost anyway.
-			s.LongestDeadline = max(s.LongestDeadline, l.participants[i].LongestDeadline)
-			if s.Folder == "" {
-				s.Folder = l.participants[i].Folder
+			// The new incarnation may hold the messages of the earlier one, so its longest deadline must not be lower. If it
+			// has another folder, those messages are lost in any case.
+			p.LongestDeadline = max(p.LongestDeadline, l.participants[i].LongestDeadline)
+			if p.Folder == "" {
+				p.Folder = l.participants[i].Folder
 			}
-			if s.Incarnation > l.participants[i].Incarnation {
+			if p.Incarnation > l.participants[i].Incarnation {
 				l.rosterVersion++
 			}
-			l.participants[i] = s
+			l.participants[i] = p
 		}
 	}
 	return JoinResult{Seq: l.lastSeq, OldestOpen: l.oldestOpen, Rejected: rejected}
 }
 
-// leave removes participants, unless a later incarnation has joined.
+// leave removes participants, except those of which another incarnation has joined.
 func (l *Ledger) leave(c Leave) JoinResult {
 	for _, life := range c.Lives {
 		i, found := slices.BinarySearchFunc(l.participants, life.Name, byName)
@@ -167,26 +171,26 @@
 	return JoinResult{Seq: l.lastSeq, OldestOpen: l.oldestOpen}
 }
 
-// close closes purges in order until one can't be closed.
+// close closes purges in order, and stops at the first one that cannot be closed.
 func (l *Ledger) close(c Close) (answer CloseResult) {
 	if c.RosterVersion != l.rosterVersion {
-		// A participant that joined since has acknowledged nothing yet.
+		// A participant may have joined since, and has not acknowledged the purges yet.
 		return CloseResult{Reason: fmt.Sprintf("roster %d, not %d", l.rosterVersion, c.RosterVersion)}
 	}
 	for _, closure := range c.Closures {
 		if closure.Seq < l.oldestOpen {
-			answer.Done++ // closed before: the command was retried
+			answer.Closed++ // already closed by an earlier attempt of the same command
 			continue
 		}
 		if answer.Reason = l.closeOldest(closure); answer.Reason != "" {
 			return answer
 		}
-		answer.Done++
+		answer.Closed++
 	}
 	return answer
 }
 
-// closeOldest closes the oldest open purge, or returns why it can't.
+// closeOldest closes the oldest open purge. It returns the reason if the purge cannot be closed, otherwise "".
 func (l *Ledger) closeOldest(closure Closure) (reason string) {
 	if closure.Seq != l.oldestOpen || closure.Seq > l.lastSeq {
 		return fmt.Sprintf("%d is not the oldest open purge", closure.Seq)
@@ -200,8 +204,8 @@
 	switch {
 	case reached+lapsed != len(l.participants):
 		return fmt.Sprintf("%d: %d of %d seats", r.Seq, reached+lapsed, len(l.participants))
-	case lapsed > 0 && l.clock-r.At < l.Horizon():
-		return fmt.Sprintf("%d: %v old, time may stand for an answer at %v", r.Seq, l.clock-r.At, l.Horizon())
+	case lapsed > 0 && l.clock-r.OpenedAt < l.Horizon():
+		return fmt.Sprintf("%d: %v old, time may stand for an answer at %v", r.Seq, l.clock-r.OpenedAt, l.Horizon())
 	}
 	r.setClosed(closure, reached, lapsed)
 	l.oldestOpen++
@@ -214,7 +218,7 @@
 	return ""
 }
 
-// setClosed records the end of a purge.
+// setClosed records the outcome of a purge.
 func (r *Record) setClosed(closure Closure, reached, lapsed int) {
 	r.State = Complete
 	if lapsed > 0 {
@@ -230,7 +234,8 @@
 	}
 }
 
-// compact compacts records that no process can need any more, and drops the oldest of these beyond the bounds.
+// compact compacts the records that no process can need any more, and drops the oldest compacted ones beyond
+// MaxCompactedRecords.
 func (l *Ledger) compact() {
 	for len(l.detailed) > maxDetailedRecords {
 		if r := l.records[l.detailed[0]]; r != nil {
@@ -241,7 +246,7 @@
 		}
 		l.detailed = l.detailed[1:]
 	}
-	for len(l.closedMessages) > 0 && l.clock-l.records[l.closedMessages[0]].At > l.Horizon() {
+	for len(l.closedMessages) > 0 && l.clock-l.records[l.closedMessages[0]].OpenedAt > l.Horizon() {
 		l.compactRecord(l.closedMessages[0])
 		l.closedMessages = l.closedMessages[1:]
 	}
@@ -256,8 +261,8 @@
 	}
 }
 
-// compactRecord marks a purge that no process can need. Its contents are dropped once it is not among the newest closed
-// ones either.
+// compactRecord marks a purge as no longer needed by any process. Its contents are dropped once it is also not among the
+// newest closed purges (maxDetailedRecords).
 func (l *Ledger) compactRecord(seq uint64) {
 	r := l.records[seq]
 	r.Compacted = true
@@ -267,7 +272,7 @@
 	}
 }
 
-// dropContents leaves the id, the checksums and the sums.
+// dropContents drops everything of a record except its id, checksums and total sums.
 func (r *Record) dropContents() {
-	r.Who, r.Why, r.Match, r.Zones, r.LapsedNames = "", "", clusterapi.Match{}, nil, nil
+	r.RequestedBy, r.Reason, r.Match, r.Zones, r.LapsedNames = "", "", clusterapi.Match{}, nil, nil
 }
--- a/internal/cluster/purge/ledger/ledger_test.go
+++ b/internal/cluster/purge/ledger/ledger_test.go
@@ -30,7 +30,7 @@
 }
 
 func testOpen(id string) Open {
-	return Open{ID: id, Subject: Messages, Match: clusterapi.Match{Key: "k-" + id}, Who: "billing", Why: "cancelled"}
+	return Open{ID: id, Subject: Messages, Match: clusterapi.Match{Key: "k-" + id}, RequestedBy: "billing", Reason: "cancelled"}
 }
 
 func participant(n string, inc view.Incarnation) Participant {
@@ -45,8 +45,8 @@
 	}
 	for field, change := range map[string]func(*Open){
 		"match": func(o *Open) { o.Match.Key = "other" },
-		"who":   func(o *Open) { o.Who = "sales" },
-		"why":   func(o *Open) { o.Why = "moved" },
+		"who":   func(o *Open) { o.RequestedBy = "sales" },
+		"why":   func(o *Open) { o.Reason = "moved" },
 	} {
 		o := testOpen("a")
 		change(&o)
@@ -55,11 +55,11 @@
 		}
 	}
 	for field, o := range map[string]Open{
-		"id":                {Subject: Messages, Match: clusterapi.Match{Key: "k"}, Who: "w", Why: "y"},
-		"match":             {ID: "b", Subject: Messages, Who: "w", Why: "y"},
-		"match.destination": {ID: "b", Subject: LearnedState, Match: clusterapi.Match{Key: "k"}, Who: "w", Why: "y"},
-		"subject":           {ID: "b", Subject: "all", Match: clusterapi.Match{Key: "k"}, Who: "w", Why: "y"},
-		"why":               {ID: "b", Subject: Messages, Match: clusterapi.Match{Key: "k"}, Who: "w"},
+		"id":                {Subject: Messages, Match: clusterapi.Match{Key: "k"}, RequestedBy: "w", Reason: "y"},
+		"match":             {ID: "b", Subject: Messages, RequestedBy: "w", Reason: "y"},
+		"match.destination": {ID: "b", Subject: LearnedState, Match: clusterapi.Match{Key: "k"}, RequestedBy: "w", Reason: "y"},
+		"subject":           {ID: "b", Subject: "all", Match: clusterapi.Match{Key: "k"}, RequestedBy: "w", Reason: "y"},
+		"why":               {ID: "b", Subject: Messages, Match: clusterapi.Match{Key: "k"}, RequestedBy: "w"},
 	} {
 		if got := mustApply[OpenResult](t, l, 3, KindOpen, o); got.Field != field {
 			t.Errorf("%s: %+v", field, got)
@@ -79,19 +79,19 @@
 	mustApply[JoinResult](t, l, 0, KindJoin, Join{Participants: []Participant{participant("p", 1), participant("q", 1)}})
 	mustApply[OpenResult](t, l, time.Second, KindOpen, testOpen("a"))
 	lapse := Close{RosterVersion: l.RosterVersion(), Closures: []Closure{{Seq: 1, Zones: []ZoneSum{{Zone: "z1", Reached: 1, Lapsed: 1}}}}}
-	if got := mustApply[CloseResult](t, l, time.Minute, KindClose, lapse); got.Done != 0 || !strings.Contains(got.Reason, "old") {
+	if got := mustApply[CloseResult](t, l, time.Minute, KindClose, lapse); got.Closed != 0 || !strings.Contains(got.Reason, "old") {
 		t.Fatalf("lapsed too early: %+v", got)
 	}
 	all := Close{RosterVersion: l.RosterVersion(), Closures: []Closure{{Seq: 1, Zones: []ZoneSum{{Zone: "z1", Reached: 2}}}}}
 	mustApply[JoinResult](t, l, time.Minute, KindJoin, Join{Participants: []Participant{participant("q", 2)}})
-	if got := mustApply[CloseResult](t, l, time.Minute, KindClose, all); got.Done != 0 {
+	if got := mustApply[CloseResult](t, l, time.Minute, KindClose, all); got.Closed != 0 {
 		t.Fatalf("closed past a life that joined: %+v", got)
 	}
 	if got := mustApply[JoinResult](t, l, time.Minute, KindJoin, Join{Participants: []Participant{participant("q", 1)}}); got.Rejected == "" {
 		t.Fatal("an older incarnation took the seat")
 	}
 	lapse.RosterVersion = l.RosterVersion()
-	if got := mustApply[CloseResult](t, l, time.Second+time.Minute+LapseMargin, KindClose, lapse); got.Done != 1 {
+	if got := mustApply[CloseResult](t, l, time.Second+time.Minute+LapseMargin, KindClose, lapse); got.Closed != 1 {
 		t.Fatalf("not lapsed: %+v", got)
 	}
 	if r, _ := l.Find("a"); r.State != Lapsed || r.Reached != 1 || r.Lapsed != 1 {
--- a/internal/cluster/purge/ledger/read.go
+++ b/internal/cluster/purge/ledger/read.go
@@ -1,7 +1,7 @@
 package ledger
 
-// This file is the readers of a ledger, and its snapshots. Readers get copies of records, whose slices they must not
-// change.
+// This file implements the read methods of a ledger, and its snapshots. Read methods return copies of records; callers
+// must not modify the slices in them.
 
 import (
 	"cmp"
@@ -11,25 +11,27 @@
 	"time"
 )
 
-// Revision grows with each command applied here. While it is unchanged there is nothing new to read.
+// Revision returns a number that grows with each command applied to this copy of the ledger. While it is unchanged, the
+// ledger is too.
 func (l *Ledger) Revision() uint64 { return l.revision }
 
-// LastSeq is the newest purge.
+// LastSeq returns the Seq of the newest purge, or 0 if there never was a purge.
 func (l *Ledger) LastSeq() uint64 { return l.lastSeq }
 
-// OldestOpen is the oldest open purge; LastSeq+1 for none.
+// OldestOpen returns the Seq of the oldest open purge, or LastSeq+1 if no purge is open.
 func (l *Ledger) OldestOpen() uint64 { return l.oldestOpen }
 
-// RosterVersion grows with each change of the participants.
+// RosterVersion returns the version of the set of participants. It grows when a participant joins, restarts or leaves.
 func (l *Ledger) RosterVersion() uint64 { return l.rosterVersion }
 
-// Participants are the processes that must acknowledge, by name.
+// Participants returns the processes that must acknowledge purges, sorted by name.
 func (l *Ledger) Participants() []Participant { return slices.Clone(l.participants) }
 
-// FullRecords is how many purges count against MaxFullRecords.
+// FullRecords returns the number of purges that count towards MaxFullRecords: the open ones, and closed ones of messages
+// that a process may still need.
 func (l *Ledger) FullRecords() int { return int(l.lastSeq-l.oldestOpen) + 1 + len(l.closedMessages) }
 
-// LongestDeadline is the longest deadline that any participant has reported.
+// LongestDeadline returns the longest deadline that any participant has reported, or DefaultLongestDeadline if none has.
 func (l *Ledger) LongestDeadline() time.Duration {
 	longest := time.Duration(0)
 	for i := range l.participants {
@@ -41,10 +43,11 @@
 	return longest
 }
 
-// Horizon is the age of a purge from which no message accepted before it can still be sent.
+// Horizon returns the age beyond which a purge of messages is obsolete: all messages that were accepted before it have ended
+// by then.
 func (l *Ledger) Horizon() time.Duration { return l.LongestDeadline() + LapseMargin }
 
-// Find returns a purge by its caller's id.
+// Find returns the purge with the id that its caller chose, and whether there is one.
 func (l *Ledger) Find(id string) (Record, bool) {
 	seq, known := l.seqByID[id]
 	if !known {
@@ -53,7 +56,7 @@
 	return *l.records[seq], true
 }
 
-// Since returns the purges after seq that a process may still need, in order, up to the limit.
+// Since returns the purges with a Seq above seq that a process may still need, in ascending order and at most limit.
 func (l *Ledger) Since(seq uint64, limit int) (records []Record) {
 	for _, old := range [][]uint64{l.closedMessages, l.closedLearned} {
 		for _, s := range old {
@@ -72,9 +75,10 @@
 	return records
 }
 
+// bySeq orders records by Seq.
 func bySeq(a, b Record) int { return cmp.Compare(a.Seq, b.Seq) }
 
-// snapshotState is the encoding of a ledger. The names in the tags stand for good: older programs read them.
+// snapshotState is the encoding of a ledger. The names in the tags must never change, as older programs read them.
 type snapshotState struct {
 	Records        []Record      `json:"rows"`
 	Participants   []Participant `json:"seats"`
@@ -88,7 +92,7 @@
 	Detailed       []uint64      `json:"detail"`
 }
 
-// Snapshot encodes the complete state; the same state gives the same bytes.
+// Snapshot returns the encoded state. Equal states have equal encodings.
 func (l *Ledger) Snapshot() (json.RawMessage, error) {
 	state := snapshotState{
 		Participants:   l.participants,
@@ -108,7 +112,8 @@
 	return json.Marshal(state)
 }
 
-// Restore replaces the state by that of a snapshot. After an error, as for an inconsistent snapshot, nothing has changed.
+// Restore replaces the state with that of a snapshot. If the snapshot cannot be decoded or is inconsistent, Restore returns
+// an error and leaves the state unchanged.
 func (l *Ledger) Restore(text json.RawMessage) error {
 	var state snapshotState
 	if err := json.Unmarshal(text, &state); err != nil {
--- a/internal/cluster/purge/run/catchup.go
+++ b/internal/cluster/purge/run/catchup.go
@@ -1,9 +1,10 @@
 package run
 
-// This file is how a process becomes a participant at its start, and gets the purges that it missed.
+// This file implements how a process becomes a participant when it starts, and how it gets the purges that it missed.
 //
-// It joins first: any purge that is opened after the join waits for this process's acknowledgement, and any that was
-// opened before has a Seq up to the one in the answer. So no purge can be complete that this process does not know.
+// It joins first. A purge that is opened after the join is not complete without the acknowledgement of this process, and a
+// purge that was opened before has a Seq up to the one in the answer to the join. Once all purges up to that Seq are applied,
+// there is no complete purge that this process has not applied.
 
 import (
 	"context"
@@ -16,7 +17,7 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// participant is this process as a participant.
+// participant returns the description of this process for a Join command.
 func (r *Runner) participant() ledger.Participant {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -25,11 +26,11 @@
 		LongestDeadline: r.longestDeadline}
 }
 
-// catchUp joins and gets all missed purges. After Options.CatchUp the process becomes ready anyway, and this goes on.
-// Later it joins again whenever the longest deadline has grown.
+// catchUp joins and gets all missed purges. After Options.CatchUpTimeout the process becomes ready in any case, and catchUp
+// continues. Afterwards it joins again whenever the longest deadline has grown, until the Runner is closed.
 func (r *Runner) catchUp() {
-	bound := time.AfterFunc(r.options.CatchUp, func() {
-		r.options.Log.Warn("purge: not caught up in time; serving anyway", zap.Duration("after", r.options.CatchUp))
+	bound := time.AfterFunc(r.options.CatchUpTimeout, func() {
+		r.options.Log.Warn("purge: missed purges not applied in time, serving anyway", zap.Duration("after", r.options.CatchUpTimeout))
 		r.signals.MarkReady()
 	})
 	defer bound.Stop()
@@ -58,15 +59,15 @@
 	}
 }
 
-// joinAndCatchUp joins, gets the missed purges and waits until they are applied. It returns whether that succeeded, each
-// half within proposeTimeout.
+// joinAndCatchUp joins, gets the missed purges and waits until they are applied. Joining and applying may each take
+// proposeTimeout. It returns whether both succeeded.
 func (r *Runner) joinAndCatchUp() bool {
 	self := r.participant()
 	joined, ok := r.join(self)
 	return ok && r.applyMissed(joined.Seq, self.LongestDeadline)
 }
 
-// join makes this process a participant.
+// join makes this process a participant, and returns the answer and whether that succeeded.
 func (r *Runner) join(self ledger.Participant) (joined ledger.JoinResult, ok bool) {
 	ctx, cancel := context.WithTimeout(r.ctx, proposeTimeout)
 	defer cancel()
@@ -74,8 +75,8 @@
 		return joined, false
 	}
 	if joined.Rejected != "" {
-		r.options.Log.Error("purge: join rejected", zap.String("why", joined.Rejected))
-		select { // another incarnation has joined, or there are too many participants: a retry soon is of no use
+		r.options.Log.Error("purge: join rejected, will be retried", zap.String("why", joined.Rejected))
+		select { // a later incarnation has joined or there are too many participants, so an immediate retry would fail as well
 		case <-time.After(proposeTimeout):
 		case <-r.ctx.Done():
 		}
@@ -84,15 +85,16 @@
 	return joined, true
 }
 
-// applyMissed asks for purges until all up to seq are applied here, or proposeTimeout is over. The processes that may
-// know them are asked in turn.
+// applyMissed requests purges until all up to seq are applied here, or proposeTimeout has passed. It asks the processes that
+// may have them one after the other. reportedDeadline is the longest deadline that the join has reported. It returns whether
+// all purges are applied.
 func (r *Runner) applyMissed(seq uint64, reportedDeadline time.Duration) bool {
 	ctx, cancel := context.WithTimeout(r.ctx, proposeTimeout)
 	defer cancel()
 	for n := 0; ctx.Err() == nil; n++ {
 		ask := r.candidates()
 		r.mu.Lock()
-		since, applied := r.state.HasSeq(), r.state.AppliedSeq()
+		since, applied := r.state.ReceivedSeq(), r.state.AppliedSeq()
 		if p := r.state.Parent(); p.Name != "" {
 			ask = append(ask, p.Name)
 		}
@@ -115,11 +117,11 @@
 	return false
 }
 
-// requestPurges asks one process for the purges after since, and takes them in.
+// requestPurges asks one process for the purges with a Seq above since, and processes its answer.
 func (r *Runner) requestPurges(ctx context.Context, from view.Name, since uint64) {
 	var update spread.Update
 	if r.caller.Call(ctx, from, pathPurgesSince, sinceRequest{since}, &update) != nil {
-		return // the next one is asked
+		return // the caller asks the next process
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/cluster/purge/run/http.go
+++ b/internal/cluster/purge/run/http.go
@@ -1,6 +1,7 @@
 package run
 
-// This file is the HTTP interface for callers. It decides nothing: the ledger validates orders.
+// This file implements the HTTP interface for callers. An order, which is the body of a POST /v1/purges, is an Open command
+// of the ledger, which also defines what is valid.
 
 import (
 	"context"
@@ -12,28 +13,29 @@
 )
 
 const (
-	maxRequests  = 64       // concurrent requests; more get 503
-	maxBodyBytes = 16 << 10 // an order within all bounds is under 4 KB
-	pollInterval = 100 * time.Millisecond
+	maxRequests  = 64                     // concurrent requests; further ones are answered with 503
+	maxBodyBytes = 16 << 10               // a valid order is smaller than 4 KB
+	pollInterval = 100 * time.Millisecond // between two status queries while a caller waits for a purge to be closed
 
-	retryWhenFull = "5" // seconds: Retry-After while the ledger is full
+	retryWhenFull = "5" // Retry-After in seconds while the ledger is full
 )
 
-// orderResponse is the answer to an order.
+// orderResponse is the body of the answer to an order that was accepted.
 type orderResponse struct {
 	ID        string       `json:"id"`
 	Seq       uint64       `json:"seq"`
-	Duplicate bool         `json:"known"` // the same order was committed before
+	Duplicate bool         `json:"known"` // the same order was committed earlier
 	State     ledger.State `json:"state"`
 }
 
-// registerPublic registers the HTTP interface.
+// registerPublic registers the handlers of HTTP requests.
 func (r *Runner) registerPublic(mux *http.ServeMux) {
 	mux.HandleFunc("POST /v1/purges", r.limiter.Limit(r.postPurge))
 	mux.HandleFunc("GET /v1/purges/{id}", r.limiter.Limit(r.getPurge))
 }
 
-// postPurge answers 202 once the purge is committed, or 200 once it is closed where the caller waits for that.
+// postPurge opens a purge. It answers with 202 once the purge is committed, or with 200 if the caller waits for the purge to be
+// closed and that happens in time.
 func (r *Runner) postPurge(w http.ResponseWriter, request *http.Request) {
 	wait, ok := leadercall.ParseWait(w, request, "complete", proposeTimeout)
 	if !ok {
@@ -43,15 +45,15 @@
 	if !leadercall.ReadOrder(w, request, maxBodyBytes, &order) {
 		return
 	}
-	if field, why := order.Validate(); field != "" {
-		leadercall.WriteJSON(w, http.StatusBadRequest, leadercall.ErrorResponse{Error: field + " " + why, Field: field})
+	if field, problem := order.Validate(); field != "" {
+		leadercall.WriteJSON(w, http.StatusBadRequest, leadercall.ErrorResponse{Error: field + " " + problem, Field: field})
 		return
 	}
 	ctx, cancel := context.WithTimeout(request.Context(), proposeTimeout)
 	defer cancel()
 	var opened ledger.OpenResult
 	if err := r.propose(ctx, ledger.KindOpen, order, &opened); err != nil {
-		leadercall.WriteRetryLater(w, leadercall.RetrySoon, leadercall.ErrorResponse{Error: err.Error() + "; order it again under the same id"})
+		leadercall.WriteRetryLater(w, leadercall.RetrySoon, leadercall.ErrorResponse{Error: err.Error() + "; repeat the request with the same id"})
 		return
 	}
 	switch {
@@ -73,7 +75,8 @@
 	leadercall.WriteJSON(w, status, response)
 }
 
-// awaitClosed polls until a purge is closed, or the wait is over, and returns its state.
+// awaitClosed polls the leader until a purge is closed, the wait has passed or ctx ends, and returns the last known state of the
+// purge. state is its state so far.
 func (r *Runner) awaitClosed(ctx context.Context, id string, state ledger.State, wait time.Duration) ledger.State {
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
@@ -102,7 +105,7 @@
 		leadercall.WriteRetryLater(w, leadercall.RetrySoon, leadercall.ErrorResponse{Error: err.Error()})
 	case !s.Known:
 		leadercall.WriteJSON(w, http.StatusNotFound, leadercall.ErrorResponse{Field: "id",
-			Error: "no purge has this id, or it was forgotten as one of the oldest"})
+			Error: "no purge has this id, or its record was dropped because newer ones replaced it"})
 	default:
 		leadercall.WriteJSON(w, http.StatusOK, s.Status)
 	}
--- a/internal/cluster/purge/run/leader.go
+++ b/internal/cluster/purge/run/leader.go
@@ -1,7 +1,7 @@
 package run
 
-// This file is the work of the leader: it sends purges in the ledger to the root of the tree, closes purges that are
-// acknowledged or have lapsed, and synchronizes the participants with the view.
+// This file implements the tasks of the leader: it sends the purges of the ledger to the root of the tree, closes purges that
+// are acknowledged or have lapsed, and synchronizes the participants with the view.
 
 import (
 	"context"
@@ -15,44 +15,45 @@
 	"flaxcove/internal/sender/clusterapi"
 )
 
-// participantSyncInterval is between two synchronizations of the participants, at least.
+// participantSyncInterval is the minimum time between two synchronizations of the participants with the view.
 const participantSyncInterval = time.Second
 
-// leaderWork is what the leader knows besides its LeaderState. It is guarded by purge.mu.
+// leaderWork is the state of the leader's tasks. It is discarded when this process stops being the leader. It is guarded by
+// Runner.mu.
 type leaderWork struct {
-	ledgerRevision uint64
-	participants   []ledger.Participant
-	closeInFlight  bool
-	syncInFlight   bool
-	syncedAt       view.Uptime
-	absentSince    map[view.Name]view.Uptime // since when a participant is not in the view
+	ledgerRevision uint64                    // revision of the ledger when it was last read
+	participants   []ledger.Participant      // as last read from the ledger
+	closeInFlight  bool                      // a Close is being proposed
+	syncInFlight   bool                      // a Join or Leave is being proposed
+	syncedAt       view.Uptime               // time of the last synchronization; 0 for none
+	absentSince    map[view.Name]view.Uptime // times from which on participants are absent from the view
 }
 
-// ledgerUpdate is what was read from the ledger at once.
+// ledgerUpdate is a consistent copy of the parts of the ledger that the leader needs.
 type ledgerUpdate struct {
-	leading       bool
-	changed       bool
-	records       []ledger.Record
+	leading       bool            // whether this process leads the consensus group; otherwise all other fields are zero
+	changed       bool            // whether the ledger has changed since it was last read; otherwise only leading and clock are set
+	records       []ledger.Record // purges that the LeaderState has not received
 	lastSeq       uint64
 	oldestOpen    uint64
-	clock         time.Duration
+	clock         time.Duration // of the consensus group
 	horizon       time.Duration
 	participants  []ledger.Participant
 	rosterVersion uint64
 }
 
-// readLedger reads what has changed, while this process leads. No lock of this package may be held, as the consensus
-// group's comes first in the lock order.
+// readLedger reads the ledger if this process is the leader and the ledger has changed since it was last read. The caller must
+// not hold Runner.mu, because the lock of the consensus group comes first in the lock order.
 func (r *Runner) readLedger() (update ledgerUpdate) {
 	if !r.options.Consensus.Leading() {
 		return update
 	}
 	update.leading, update.clock = true, r.options.Consensus.Clock()
 	r.mu.Lock()
-	var hasSeq uint64
+	var receivedSeq uint64
 	newLeader := !r.leading || r.leaderState == nil
 	if r.leaderState != nil {
-		hasSeq = r.leaderState.HasSeq()
+		receivedSeq = r.leaderState.ReceivedSeq()
 	}
 	revision := r.leaderWork.ledgerRevision
 	r.mu.Unlock()
@@ -62,7 +63,7 @@
 			return
 		}
 		update.changed, revision = true, l.Revision()
-		update.records = l.Since(hasSeq, ledger.MaxFullRecords+ledger.MaxLearnedState)
+		update.records = l.Since(receivedSeq, ledger.MaxFullRecords+ledger.MaxLearnedState)
 		update.lastSeq = l.LastSeq()
 		update.oldestOpen = l.OldestOpen()
 		update.horizon = l.Horizon()
@@ -75,7 +76,8 @@
 	return update
 }
 
-// leaderStep is the leader's part of a step. The lock is held; what may block runs in goroutines.
+// leaderStep performs the part of a step that only the leader has. The caller holds the lock; calls that may block run in
+// goroutines.
 func (r *Runner) leaderStep(update ledgerUpdate, now view.Uptime) {
 	if !update.leading {
 		r.leading, r.leaderWork = false, leaderWork{}
@@ -89,7 +91,7 @@
 	if update.changed {
 		purges := make([]clusterapi.Purge, len(update.records))
 		for i, record := range update.records {
-			purges[i] = record.ToPurge(update.clock - record.At)
+			purges[i] = record.ToPurge(update.clock - record.OpenedAt)
 		}
 		state.AddPurges(purges, update.lastSeq, update.oldestOpen, update.horizon, now)
 		state.SetParticipants(update.participants, update.rosterVersion)
@@ -110,15 +112,15 @@
 	}
 }
 
-// rootState is a LeaderState as the updateTracker of its calls to the root.
+// rootState implements updateTracker for the leader's updates to the root.
 type rootState struct{ *spread.LeaderState }
 
-// HandleAnswer takes in the root's answer.
+// HandleAnswer processes the root's answer to an update.
 func (s rootState) HandleAnswer(life view.Life, report spread.Report, now view.Uptime) {
 	s.HandleRootAnswer(life, report, now)
 }
 
-// proposeClose has purges closed. What was not closed is due again in a later step.
+// proposeClose proposes a Close. Purges that it does not close are proposed again in a later step.
 func (r *Runner) proposeClose(command ledger.Close) {
 	ctx, cancel := context.WithTimeout(r.ctx, proposeTimeout)
 	defer cancel()
@@ -127,19 +129,19 @@
 	defer r.mu.Unlock()
 	r.leaderWork.closeInFlight = false
 	if err != nil {
-		r.options.Log.Warn("purge: not closed, will be retried", zap.Int("purges", len(command.Closures)), zap.Error(err))
+		r.options.Log.Warn("purge: closing purges failed, will be retried", zap.Int("purges", len(command.Closures)), zap.Error(err))
 		return
 	}
 	r.signals.Wake()
 }
 
-// syncParticipants adds members that are not participants (their own join may not get through), and removes
-// participants that were absent for so long that they count as gone for good. The lock is held.
+// syncParticipants adds members that are not participants, as their own joins may not have reached the leader, and removes
+// participants that were absent for longer than ledger.AbsenceLimit. The caller holds the lock.
 func (r *Runner) syncParticipants(now view.Uptime) {
 	if r.leaderWork.syncInFlight || r.leaderWork.syncedAt != 0 && now-r.leaderWork.syncedAt < participantSyncInterval {
 		return
 	}
-	leave := ledger.Leave{Lives: r.goneParticipants(now)}
+	leave := ledger.Leave{Lives: r.expiredParticipants(now)}
 	join := ledger.Join{Participants: r.newParticipants()}
 	if join.Participants == nil && leave.Lives == nil {
 		return
@@ -148,8 +150,8 @@
 	r.goroutines.Go(func() { r.proposeParticipants(join, leave) })
 }
 
-// goneParticipants are those that were absent for longer than ledger.AbsenceLimit. The lock is held.
-func (r *Runner) goneParticipants(now view.Uptime) (gone []view.Life) {
+// expiredParticipants returns the participants that were absent for longer than ledger.AbsenceLimit. The caller holds the lock.
+func (r *Runner) expiredParticipants(now view.Uptime) (expired []view.Life) {
 	w := &r.leaderWork
 	if w.absentSince == nil {
 		w.absentSince = map[view.Name]view.Uptime{}
@@ -164,14 +166,14 @@
 		case !known:
 			w.absentSince[p.Name] = now
 		case now-since > ledger.AbsenceLimit:
-			gone = append(gone, p.Life)
+			expired = append(expired, p.Life)
 			delete(w.absentSince, p.Name)
 		}
 	}
-	return gone
+	return expired
 }
 
-// newParticipants are the members that are not participants with their current incarnation. The lock is held.
+// newParticipants returns the members that are not participants with their current incarnation. The caller holds the lock.
 func (r *Runner) newParticipants() (joining []ledger.Participant) {
 	participants := make(map[view.Name]ledger.Participant, len(r.leaderWork.participants))
 	for _, p := range r.leaderWork.participants {
@@ -186,7 +188,7 @@
 	return joining
 }
 
-// proposeParticipants has participants added and removed. What fails is due again in a later step.
+// proposeParticipants proposes a Join and a Leave, each unless it is empty. If one fails, a later step proposes it again.
 func (r *Runner) proposeParticipants(join ledger.Join, leave ledger.Leave) {
 	ctx, cancel := context.WithTimeout(r.ctx, proposeTimeout)
 	defer cancel()
@@ -198,7 +200,7 @@
 		_, err = r.options.Consensus.Propose(ctx, ledger.Part, ledger.KindLeave, leave)
 	}
 	if err != nil {
-		r.options.Log.Warn("purge: participants not synchronized", zap.Error(err))
+		r.options.Log.Warn("purge: synchronizing the participants failed, will be retried", zap.Error(err))
 	}
 	r.mu.Lock()
 	r.leaderWork.syncInFlight = false
--- a/internal/cluster/purge/run/messages.go
+++ b/internal/cluster/purge/run/messages.go
@@ -1,6 +1,6 @@
 package run
 
-// This file is the messages between processes: sent and handled here.
+// This file implements the sending and handling of messages between processes.
 
 import (
 	"context"
@@ -14,28 +14,29 @@
 	"flaxcove/internal/cluster/view"
 )
 
+// Paths of messages.
 const (
-	pathUpdate      = "/purge/down"
-	pathRootUpdate  = "/purge/root" // from the leader to the root
-	pathReport      = "/purge/up"
-	pathRootReport  = "/purge/top" // from the root to the leader
-	pathPurgesSince = "/purge/missed"
-	pathPropose     = "/purge/propose"
-	pathStatus      = "/purge/show"
+	pathUpdate      = "/purge/down"    // from a parent to a child
+	pathRootUpdate  = "/purge/root"    // from the leader to the root
+	pathReport      = "/purge/up"      // from a child to its parent
+	pathRootReport  = "/purge/top"     // from the root to the leader
+	pathPurgesSince = "/purge/missed"  // from a process that has started to any other
+	pathPropose     = "/purge/propose" // from any process to the leader
+	pathStatus      = "/purge/show"    // from any process to the leader
 )
 
 var (
-	errNotLeading  = errors.New("purge: this process does not lead the council")
-	errNoCandidate = errors.New("purge: nobody to ask is known")
-	errUndecided   = errors.New("nobody to ask is known")
+	errNotLeading  = errors.New("purge: this process is not the leader of the consensus group")
+	errNoCandidate = errors.New("purge: no candidate for the leader is known")
+	errUndecided   = errors.New("no candidate for the leader is known")
 )
 
-// sinceRequest asks for the purges after a Seq.
+// sinceRequest asks for the purges with a Seq above Since.
 type sinceRequest struct {
 	Since uint64 `json:"since"`
 }
 
-// proposal is a command that another process asks the leader to propose.
+// proposal asks the leader to propose a command to the consensus group.
 type proposal struct {
 	Kind string          `json:"kind"`
 	Body json.RawMessage `json:"body"`
@@ -49,14 +50,14 @@
 	})
 }
 
-// updateTracker is told the outcome of an update: a spread.State or a rootState.
+// updateTracker processes the outcome of an update. It is implemented by spread.State and rootState.
 type updateTracker interface {
 	HandleAnswer(view.Life, spread.Report, view.Uptime)
 	UpdateFailed(view.Life, view.Uptime)
 }
 
-// sendUpdate sends an update to a child, and takes in the report in its answer.
-func (r *Runner) sendUpdate(tracker updateTracker, path string, to spread.Outgoing) {
+// sendUpdate sends an update to a child, and passes the report in the answer to the tracker.
+func (r *Runner) sendUpdate(tracker updateTracker, path string, to spread.OutgoingUpdate) {
 	var report spread.Report
 	err := r.caller.Call(r.ctx, to.Child.Name, path, to.Update, &report)
 	r.mu.Lock()
@@ -70,44 +71,44 @@
 	}
 }
 
-// sendReport sends a report to the parent.
+// sendReport sends a report to the parent and processes the answer.
 func (r *Runner) sendReport(parent spread.Parent, report spread.Report) {
 	path := pathReport
 	if parent.IsLeader {
 		path = pathRootReport
 	}
-	var a spread.ReportAnswer
-	err := r.caller.Call(r.ctx, parent.Name, path, report, &a)
+	var answer spread.ReportAnswer
+	err := r.caller.Call(r.ctx, parent.Name, path, report, &answer)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if err != nil {
 		r.state.ReportFailed(parent, r.options.Now())
 		return
 	}
-	r.state.ReportAnswered(parent, a, r.options.Now())
+	r.state.ReportAnswered(parent, answer, r.options.Now())
 }
 
-// handleUpdate takes in purges and answers with a report, once this process and all below it have applied them or
-// spread.MaxAnswerDelay is over.
+// handleUpdate handles an update of the parent. It answers with a report once this process and all processes below it have
+// applied the purges, or after spread.MaxAnswerDelay.
 func (r *Runner) handleUpdate(ctx context.Context, from view.Life, body []byte) (any, error) {
-	var d spread.Update
-	if err := json.Unmarshal(body, &d); err != nil {
-		return nil, fmt.Errorf("purge: message down: %w", err)
+	var update spread.Update
+	if err := json.Unmarshal(body, &update); err != nil {
+		return nil, fmt.Errorf("purge: cannot decode update: %w", err)
 	}
-	if d.From.Name != from.Name {
-		return nil, fmt.Errorf("purge: message down: from %q, field from tells %q", from.Name, d.From.Name)
+	if update.From.Name != from.Name {
+		return nil, fmt.Errorf("purge: update rejected: the caller is %q, but its field from names %q", from.Name, update.From.Name)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.state.HandleUpdate(d, r.options.Now())
+	r.state.HandleUpdate(update, r.options.Now())
 	r.state.BeginAnswer()
 	r.signals.NotifyChange()
-	r.signals.WaitUntil(ctx, r.ctx.Done(), spread.MaxAnswerDelay, r.state.Settled)
-	return r.state.Answer(d, r.options.Now()), nil
+	r.signals.WaitUntil(ctx, r.ctx.Done(), spread.MaxAnswerDelay, r.state.SubtreeApplied)
+	return r.state.Answer(update, r.options.Now()), nil
 }
 
-// handleRootUpdate handles an update of the leader, by which a root outside the consensus group learns to whom it
-// reports.
+// handleRootUpdate handles an update of the leader to the root. It stores who the leader is, because a root outside the
+// consensus group learns only from this message to whom it must report.
 func (r *Runner) handleRootUpdate(ctx context.Context, from view.Life, body []byte) (any, error) {
 	leader, known := r.options.Consensus.Leader()
 	r.mu.Lock()
@@ -117,18 +118,18 @@
 	return r.handleUpdate(ctx, from, body)
 }
 
-// decodeReport decodes a report and checks that it is the sender's own.
+// decodeReport decodes a report and checks that it was made by the process that sent it.
 func decodeReport(from view.Life, body []byte) (report spread.Report, err error) {
 	if err = json.Unmarshal(body, &report); err != nil {
-		return report, fmt.Errorf("purge: message up: %w", err)
+		return report, fmt.Errorf("purge: cannot decode report: %w", err)
 	}
 	if report.From.Name != from.Name {
-		return report, fmt.Errorf("purge: message up: from %q, field from tells %q", from.Name, report.From.Name)
+		return report, fmt.Errorf("purge: report rejected: the caller is %q, but its field from names %q", from.Name, report.From.Name)
 	}
 	return report, nil
 }
 
-// handleReport takes in a child's report.
+// handleReport handles a report of a child.
 func (r *Runner) handleReport(_ context.Context, from view.Life, body []byte) (any, error) {
 	report, err := decodeReport(from, body)
 	if err != nil {
@@ -136,12 +137,12 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	a := r.state.HandleReport(report, r.options.Now())
+	answer := r.state.HandleReport(report, r.options.Now())
 	r.signals.NotifyChange()
-	return a, nil
+	return answer, nil
 }
 
-// handleRootReport takes in the root's report, on the leader.
+// handleRootReport handles a report of the root. It fails if this process is not the leader.
 func (r *Runner) handleRootReport(_ context.Context, from view.Life, body []byte) (any, error) {
 	report, err := decodeReport(from, body)
 	if err != nil {
@@ -152,16 +153,16 @@
 	if !r.leading || r.leaderState == nil {
 		return nil, errNotLeading
 	}
-	a := r.leaderState.HandleRootReport(report, r.options.Now())
+	answer := r.leaderState.HandleRootReport(report, r.options.Now())
 	r.signals.NotifyChange()
-	return a, nil
+	return answer, nil
 }
 
-// handlePurgesSince answers a process that has restarted with the purges that it missed, as far as they are known here.
+// handlePurgesSince answers a process that has started with the purges that it has missed and this process has received.
 func (r *Runner) handlePurgesSince(_ context.Context, _ view.Life, body []byte) (any, error) {
 	var request sinceRequest
 	if err := json.Unmarshal(body, &request); err != nil {
-		return nil, fmt.Errorf("purge: asked for what was missed: %w", err)
+		return nil, fmt.Errorf("purge: cannot decode request for missed purges: %w", err)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -171,14 +172,14 @@
 	return r.state.PurgesSince(request.Since, r.options.Now()), nil
 }
 
-// handlePropose proposes another process's command, on the leader.
+// handlePropose proposes a command of another process. It fails if this process is not the leader.
 func (r *Runner) handlePropose(ctx context.Context, _ view.Life, body []byte) (any, error) {
 	var p proposal
 	if err := json.Unmarshal(body, &p); err != nil {
-		return nil, fmt.Errorf("purge: proposal: %w", err)
+		return nil, fmt.Errorf("purge: cannot decode proposal: %w", err)
 	}
 	if p.Kind != ledger.KindOpen && p.Kind != ledger.KindJoin && p.Kind != ledger.KindLeave {
-		return nil, fmt.Errorf("purge: proposal: kind %q is not taken from others", p.Kind)
+		return nil, fmt.Errorf("purge: proposal rejected: commands of kind %q are not accepted from other processes", p.Kind)
 	}
 	if !r.options.Consensus.Leading() {
 		return nil, errNotLeading
@@ -188,8 +189,8 @@
 	return answer, err
 }
 
-// propose has a command committed, by this process or by the leader, with retries until ctx ends: commands are
-// idempotent. After an error it is not known whether the command was committed.
+// propose has a command committed, either by this process or by the leader, and decodes the result into out. It retries until
+// ctx ends, which is safe because commands are idempotent. After an error it is unknown whether the command was committed.
 func (r *Runner) propose(ctx context.Context, kind string, body, out any) error {
 	text, err := json.Marshal(body)
 	if err != nil {
@@ -210,8 +211,8 @@
 	return json.Unmarshal(answer, out)
 }
 
-// candidates are the processes to ask for what only the leader can answer: those that may lead, as far as they are known
-// here, and then others, up to maxCandidates.
+// candidates returns the processes to ask for what only the leader can answer: first those that may be the leader, as far as
+// this process knows, then others, at most maxCandidates in total.
 func (r *Runner) candidates() []view.Name {
 	likely := r.options.Consensus.Ask()
 	r.mu.Lock()
--- a/internal/cluster/purge/run/run.go
+++ b/internal/cluster/purge/run/run.go
@@ -1,10 +1,11 @@
-// Package run executes what the pure parts of purges decide: it carries their messages, hands purges to the sender, and
-// serves HTTP to callers.
+// Package run runs the purges of one process: it exchanges the messages of package spread with other processes, hands purges
+// to the sender, proposes commands of the ledger, and serves the HTTP interface for callers.
 //
-// It owns the goroutines and the lock (purge.mu, see package cluster) around spread.State, and around spread.LeaderState
-// while this process leads the consensus group. It must never decide who has acknowledged, acknowledge what the sender
-// does not have on disk, or hold its lock over a call. A process that reaches nobody goes on serving: Ready opens after
-// a bounded wait.
+// A Runner owns the goroutines of purges and the lock purge.mu, whose place in the lock order package cluster defines. The lock
+// guards the process's spread.State, and its spread.LeaderState while it leads the consensus group. The package takes no
+// decisions: which processes have acknowledged a purge is determined by packages spread and ledger. A purge is acknowledged
+// only once the sender has it on disk, and the lock is never held during a call. A process that reaches no other process
+// still starts to serve, because Ready is closed after a bounded wait.
 package run
 
 import (
@@ -23,36 +24,36 @@
 	"flaxcove/internal/sender/clusterapi"
 )
 
-// Tuned values.
+// Intervals and limits.
 const (
-	stepInterval          = 25 * time.Millisecond // between steps, besides those at once after a change
-	maxBackoff            = 16 * stepInterval     // between attempts of a proposal, from stepInterval on
-	queryInterval         = 4 * stepInterval      // between attempts to reach the leader for a status
-	catchUpInterval       = 2 * stepInterval      // between requests for missed purges
-	callTimeout           = 2 * time.Second       // of one message; over the 250 ms that an answer may wait for the processes below
-	proposeTimeout        = 5 * time.Second       // of one proposal; over a change of leader (1 to 2 s)
-	catchUpTimeout        = 3 * time.Second       // how long a start waits for purges that it missed; deadlines are seconds at least
-	maxCandidates         = 8                     // processes asked for the leader's answer in one attempt
-	maxClosuresPerCommand = 256                   // under 300 KB with 12 zones
+	stepInterval          = 25 * time.Millisecond // between two steps of the loop; a change triggers a step at once
+	maxBackoff            = 16 * stepInterval     // between attempts of a proposal; the first backoff is stepInterval
+	queryInterval         = 4 * stepInterval      // between attempts to get a status from the leader
+	catchUpInterval       = 2 * stepInterval      // between two requests for missed purges
+	callTimeout           = 2 * time.Second       // of one message; more than the 250 ms for which an answer may wait for the processes below (spread.MaxAnswerDelay)
+	proposeTimeout        = 5 * time.Second       // of one proposal; longer than a change of leader, which takes 1 to 2 s
+	defaultCatchUpTimeout = 3 * time.Second       // default of Options.CatchUpTimeout; deadlines of messages are seconds or more
+	maxCandidates         = 8                     // processes asked in one attempt for what only the leader can answer
+	maxClosuresPerCommand = 256                   // less than 300 KB with 12 zones
 )
 
-// Options is what a Runner is given; Now, CatchUp and Log may be left out.
+// Options configures a Runner. Now, CatchUpTimeout and Log are optional; Consensus and Ledger are set together or not at all.
 type Options struct {
-	Self            view.Member // Life, Zone, Region and Folder are read; a view may tell a higher incarnation later
+	Self            view.Member // Life, Zone, Region and Folder are used; SetView may raise the incarnation later
 	Link            leadercall.Link
 	Consensus       leadercall.Consensus // nil for a process outside the consensus group
-	Ledger          *ledger.Ledger       // the part of that name in the consensus group; nil without one
-	Orders          clusterapi.Orders
-	LongestDeadline time.Duration // the longest deadline of the messages in the folder; 0 for not known
-	CatchUp         time.Duration // how long a start waits for purges that it missed, at most
-	Now             func() view.Uptime
-	Log             *zap.Logger
+	Ledger          *ledger.Ledger       // the part ledger.Part of the consensus group's state; nil if Consensus is
+	Orders          clusterapi.Orders    // of the sender
+	LongestDeadline time.Duration        // the longest deadline of the messages in the folder; 0 for unknown
+	CatchUpTimeout  time.Duration        // after which Ready is closed even if missed purges are not applied; 0 for 3 s
+	Now             func() view.Uptime   // monotonic; nil for a clock that begins at Start
+	Log             *zap.Logger          // nil for none
 }
 
-// complete checks what must be given, and fills in defaults.
+// complete checks that the required options are set, and sets the defaults of the others.
 func (o *Options) complete() error {
 	if o.Link == nil || o.Orders == nil || (o.Consensus == nil) != (o.Ledger == nil) {
-		return errors.New("purge: a link and a sender's orders must be given, and a ledger with a council")
+		return errors.New("purge: Link and Orders are required, and Consensus and Ledger must be set together")
 	}
 	if o.Consensus == nil {
 		o.Consensus = leadercall.NoConsensus{NotLeading: errNotLeading}
@@ -60,38 +61,38 @@
 	if o.Now == nil {
 		o.Now = leadercall.NewClock()
 	}
-	o.CatchUp = cmp.Or(o.CatchUp, catchUpTimeout)
+	o.CatchUpTimeout = cmp.Or(o.CatchUpTimeout, defaultCatchUpTimeout)
 	if o.Log == nil {
 		o.Log = zap.NewNop()
 	}
 	return nil
 }
 
-// Runner is the purge part of one process.
+// Runner runs the purges of one process. Its methods are safe for concurrent use.
 type Runner struct {
 	options    Options
 	ctx        context.Context
 	stop       context.CancelFunc
 	goroutines sync.WaitGroup
 	signals    *leadercall.Signals
-	limiter    leadercall.Limiter // of HTTP requests
+	limiter    leadercall.Limiter // of concurrent HTTP requests
 	caller     leadercall.Caller
 
-	mu               sync.Mutex // purge.mu
+	mu               sync.Mutex // purge.mu in the lock order of package cluster; guards the fields below
 	state            *spread.State
 	leaderState      *spread.LeaderState // nil until this process first leads
-	leading          bool
+	leading          bool                // whether this process led the consensus group at the last step
 	leaderWork       leaderWork
-	view             *view.View
-	tree             leadercall.Tree
-	lastLeader       view.Life // the process that last called this one as the leader
-	longestDeadline  time.Duration
-	reportedDeadline time.Duration // the one that the ledger has of this participant
-	caughtUp         bool
+	view             *view.View      // nil until SetView
+	tree             leadercall.Tree // nil until SetView
+	lastLeader       view.Life       // the process that last called this one as the leader
+	longestDeadline  time.Duration   // of any message that the sender can hold; 0 for unknown
+	reportedDeadline time.Duration   // the longestDeadline that the ledger has of this participant; -1 to join again
+	caughtUp         bool            // see CaughtUp
 }
 
-// Start registers the handlers and starts the goroutines, which Close ends. The sender is asked once which purges it has
-// applied, before Start returns.
+// Start returns a running Runner. It registers the handlers of messages and of HTTP requests on the link, asks the sender
+// which purges it has applied, and starts the goroutines. The caller must call Close to end them.
 func Start(o Options) (*Runner, error) {
 	if err := o.complete(); err != nil {
 		return nil, err
@@ -121,23 +122,24 @@
 	return r, nil
 }
 
-// Ready is closed when all missed purges are applied, or Options.CatchUp is over (CaughtUp tells which). Until then no
-// message of an earlier incarnation may be sent.
+// Ready returns a channel that is closed once all missed purges are applied, or after Options.CatchUpTimeout; CaughtUp tells
+// which. Until then the sender must not send messages that an earlier incarnation has accepted.
 func (r *Runner) Ready() <-chan struct{} { return r.signals.Ready() }
 
-// CaughtUp reports whether this process is a participant and has applied all purges that were opened before that.
+// CaughtUp reports whether this process has become a participant and has applied all purges that were opened before.
 func (r *Runner) CaughtUp() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.caughtUp
 }
 
-// SetView sets the view of members, and the tree derived from it.
+// SetView sets the view of the members, and the tree derived from it. If the view has a higher incarnation of this process, it
+// takes over that incarnation.
 func (r *Runner) SetView(v *view.View, t leadercall.Tree) {
 	r.mu.Lock()
 	r.view, r.tree = v, t
 	if m, found := v.Find(r.options.Self.Name); found && m.Incarnation > r.options.Self.Incarnation {
-		// An earlier incarnation had a higher number, and this one was raised above it. It has to join again.
+		// An earlier incarnation had a higher number, so this incarnation was raised above it and has to join again.
 		r.options.Self.Incarnation = m.Incarnation
 		r.leaderState = nil
 		r.state.SetIncarnation(m.Life, r.options.Now())
@@ -147,21 +149,21 @@
 	r.signals.Wake()
 }
 
-// SetLongestDeadline reports the longest deadline of any class, as in a sender's digest. It never shrinks until a restart, as
-// messages that were accepted with a longer one may still be waiting.
+// SetLongestDeadline reports the longest deadline of any class, as it is in the sender's digest. A lower value than before has
+// no effect, because messages that were accepted with the longer deadline may still be pending.
 func (r *Runner) SetLongestDeadline(d time.Duration) {
 	r.mu.Lock()
 	r.longestDeadline = max(r.longestDeadline, d)
 	r.mu.Unlock()
 }
 
-// Close ends all goroutines and waits for them; calls in flight are cancelled.
+// Close cancels all calls in flight, ends all goroutines and waits for them.
 func (r *Runner) Close() {
 	r.stop()
 	r.goroutines.Wait()
 }
 
-// loop makes a step each stepInterval, and at once after a change.
+// loop runs a step every stepInterval, and at once after a change.
 func (r *Runner) loop() {
 	tick := time.NewTicker(stepInterval)
 	defer tick.Stop()
@@ -176,7 +178,7 @@
 	}
 }
 
-// step asks each pure part what is due, and starts that.
+// step gets the messages and purges that are due, and starts a goroutine for each message. It hands due purges to the sender.
 func (r *Runner) step() {
 	update := r.readLedger()
 	leader, known := r.options.Consensus.Leader()
@@ -207,8 +209,8 @@
 	}
 }
 
-// updateTreePosition sets the parent and the children of the state. The parent of the root is the leader of the consensus
-// group. The lock is held.
+// updateTreePosition sets the parent and the children of this process in its spread.State. The parent of the root is the leader
+// of the consensus group. The caller holds the lock.
 func (r *Runner) updateTreePosition(leader view.Name, known bool, now view.Uptime) {
 	if r.view == nil || r.tree == nil {
 		return
@@ -217,7 +219,7 @@
 	r.state.SetTree(spread.Parent{Life: life, IsLeader: top}, below, now)
 }
 
-// life is this process's current incarnation, which SetView may raise.
+// life returns the current incarnation of this process, which SetView may raise.
 func (r *Runner) life() view.Life {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/cluster/purge/run/run_test.go
+++ b/internal/cluster/purge/run/run_test.go
@@ -64,7 +64,7 @@
 	t.Helper()
 	l := f.net.Link(m.Life)
 	r, err := Start(Options{Self: m, Link: l, Consensus: f.net.Consensus(m.Name), Ledger: f.ledger, Orders: o,
-		LongestDeadline: time.Minute, CatchUp: bound})
+		LongestDeadline: time.Minute, CatchUpTimeout: bound})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/cluster/purge/run/status.go
+++ b/internal/cluster/purge/run/status.go
@@ -1,6 +1,6 @@
 package run
 
-// This file is the status of a purge, by region, zone and process, as the leader of the consensus group knows it.
+// This file implements the status of a purge by region, zone and process, as the leader of the consensus group knows it.
 
 import (
 	"cmp"
@@ -16,32 +16,33 @@
 	"flaxcove/internal/sender/clusterapi"
 )
 
-// AckState is whether a process has acknowledged an open purge.
+// AckState says whether a process has acknowledged an open purge.
 type AckState string
 
+// Values of AckState.
 const (
 	ackReceived AckState = "acknowledged"
 	ackPending  AckState = "not reached yet"
 )
 
-// PurgeStatus is the answer to GET /v1/purges/ID.
+// PurgeStatus is the body of the answer to GET /v1/purges/ID.
 type PurgeStatus struct {
-	ID         string            `json:"id"`
-	Seq        uint64            `json:"seq"`
-	Subject    ledger.Subject    `json:"subject"`
-	Match      *clusterapi.Match `json:"match,omitempty"` // nil once no process can need it any more
-	Who        string            `json:"who,omitempty"`
-	Why        string            `json:"why,omitempty"`
-	AgeMS      int64             `json:"age_ms"`
-	State      ledger.State      `json:"state"`
-	Sums       Sums              `json:"sums"`
-	Regions    []RegionStatus    `json:"regions,omitempty"`
-	LapsedAt   []view.Name       `json:"lapsed_at,omitempty"` // at most 64 of them
-	LapseAgeMS int64             `json:"lapse_at_age_ms"`     // the age from which missing acknowledgements lapse
-	ReportedBy view.Name         `json:"told_by"`
+	ID          string            `json:"id"`
+	Seq         uint64            `json:"seq"`
+	Subject     ledger.Subject    `json:"subject"`
+	Match       *clusterapi.Match `json:"match,omitempty"` // nil once the ledger has dropped the contents of the record
+	RequestedBy string            `json:"who,omitempty"`
+	Reason      string            `json:"why,omitempty"`
+	AgeMS       int64             `json:"age_ms"`
+	State       ledger.State      `json:"state"`
+	Sums        Sums              `json:"sums"`
+	Regions     []RegionStatus    `json:"regions,omitempty"`
+	LapsedAt    []view.Name       `json:"lapsed_at,omitempty"` // participants that did not acknowledge in time; at most 64 of them
+	LapseAgeMS  int64             `json:"lapse_at_age_ms"`     // age of the purge from which missing acknowledgements lapse
+	ReportedBy  view.Name         `json:"told_by"`             // the leader that made the status
 }
 
-// Sums are numbers of processes by acknowledgement, and what was found.
+// Sums holds the numbers of processes by acknowledgement, and the sum of what the purge found at them.
 type Sums struct {
 	Acknowledged int              `json:"acknowledged"`
 	NotReached   int              `json:"not_reached_yet"`
@@ -56,14 +57,14 @@
 	Zones  []ZoneStatus `json:"zones"`
 }
 
-// ZoneStatus is the status of a purge in one zone. A closed purge has sums only.
+// ZoneStatus is the status of a purge in one zone. Processes is empty for a closed purge.
 type ZoneStatus struct {
 	Zone      view.Zone       `json:"zone"`
 	Sums      Sums            `json:"sums"`
 	Processes []ProcessStatus `json:"processes,omitempty"`
 }
 
-// ProcessStatus is the status of a purge at one process.
+// ProcessStatus is the status of an open purge at one process.
 type ProcessStatus struct {
 	view.Life
 	AckState AckState         `json:"standing"`
@@ -75,24 +76,25 @@
 	ID string `json:"id"`
 }
 
-// statusAnswer answers it.
+// statusAnswer is the answer to a statusRequest. Known is false if no purge has the id.
 type statusAnswer struct {
 	Known  bool        `json:"known"`
 	Status PurgeStatus `json:"shown"`
 }
 
-// queryStatus asks the leader for the status of a purge.
+// queryStatus gets the status of a purge from the leader, which may be this process. It retries until ctx ends.
 func (r *Runner) queryStatus(ctx context.Context, id string) (s statusAnswer, err error) {
 	here := func() error { return r.caller.Call(ctx, r.options.Self.Name, pathStatus, statusRequest{id}, &s) }
 	err = r.caller.Query(ctx, queryInterval, here, pathStatus, statusRequest{id}, &s)
 	return s, err
 }
 
-// handleStatusRequest answers another process's request, and this one's.
+// handleStatusRequest handles a request for a status, by another process or this one. It fails if this process is not the
+// leader.
 func (r *Runner) handleStatusRequest(_ context.Context, _ view.Life, body []byte) (any, error) {
 	var request statusRequest
 	if err := json.Unmarshal(body, &request); err != nil {
-		return nil, fmt.Errorf("purge: asked to show: %w", err)
+		return nil, fmt.Errorf("purge: cannot decode status request: %w", err)
 	}
 	if !r.options.Consensus.Leading() {
 		return nil, errNotLeading
@@ -108,12 +110,12 @@
 	if !known {
 		return statusAnswer{}, nil
 	}
-	status := PurgeStatus{ID: record.ID, Seq: record.Seq, Subject: record.Subject, Who: record.Who, Why: record.Why, State: record.State,
+	status := PurgeStatus{ID: record.ID, Seq: record.Seq, Subject: record.Subject, RequestedBy: record.RequestedBy, Reason: record.Reason, State: record.State,
 		LapseAgeMS: horizon.Milliseconds(), ReportedBy: r.options.Self.Name}
 	if record.Match != (clusterapi.Match{}) {
 		status.Match = &record.Match
 	}
-	status.AgeMS = max(r.options.Consensus.Clock()-record.At, 0).Milliseconds()
+	status.AgeMS = max(r.options.Consensus.Clock()-record.OpenedAt, 0).Milliseconds()
 	r.mu.Lock()
 	var acknowledgements []spread.ParticipantStatus
 	if r.leading && r.leaderState != nil && record.State == ledger.Spreading {
@@ -128,7 +130,8 @@
 	return statusAnswer{Known: true, Status: status}, nil
 }
 
-// addOpen adds the status of an open purge by process. A leader that has just begun knows of no acknowledgements.
+// addOpen adds the status of an open purge at each process. acknowledgements is nil at a leader that has not received any yet;
+// then no participant is reported to have acknowledged.
 func (s *PurgeStatus) addOpen(acknowledgements []spread.ParticipantStatus, participants []ledger.Participant) {
 	if acknowledgements == nil {
 		for _, participant := range participants {
@@ -150,7 +153,7 @@
 	s.sum()
 }
 
-// addClosed adds the status of a closed purge by zone, as the ledger has it.
+// addClosed adds the outcome of a closed purge by zone, from its record.
 func (s *PurgeStatus) addClosed(record ledger.Record) {
 	for _, sum := range record.Zones {
 		s.zone(sum.Region, sum.Zone).Sums = Sums{Acknowledged: sum.Reached, Lapsed: sum.Lapsed, Found: sum.Found}
@@ -160,7 +163,7 @@
 	s.Sums = Sums{Acknowledged: record.Reached, Lapsed: record.Lapsed, Found: record.Found}
 }
 
-// zone returns the status of a zone, which it adds where there is none.
+// zone returns the status of a zone, and adds it if there is none. Regions and zones are sorted by name.
 func (s *PurgeStatus) zone(region view.Region, zone view.Zone) *ZoneStatus {
 	i, found := slices.BinarySearchFunc(s.Regions, region, func(r RegionStatus, n view.Region) int {
 		return cmp.Compare(r.Region, n)
@@ -178,7 +181,7 @@
 	return &(*zones)[j]
 }
 
-// sum adds up the sums of the zones.
+// sum computes the sums of all regions and of the purge from those of the zones.
 func (s *PurgeStatus) sum() {
 	for i := range s.Regions {
 		for _, z := range s.Regions[i].Zones {
@@ -188,7 +191,7 @@
 	}
 }
 
-// plus adds up two sums.
+// plus returns the sum of s and o.
 func (s Sums) plus(o Sums) Sums {
 	return Sums{Acknowledged: s.Acknowledged + o.Acknowledged, NotReached: s.NotReached + o.NotReached,
 		Lapsed: s.Lapsed + o.Lapsed, Found: spread.AddFound(s.Found, o.Found)}
