--- a/internal/cluster/purge/spread/children.go
+++ b/internal/cluster/purge/spread/children.go
@@ -1,7 +1,7 @@
 package spread
 
-// This file is the children: what each has and has reported, and the updates to it. One call to a child is in flight at
-// a time.
+// This file implements the updates to the children and the processing of their reports. At most one update to a child is in
+// flight at a time.
 
 import (
 	"time"
@@ -9,61 +9,61 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// child is what is known of one child.
+// child is the state of one child in the tree, as this process knows it.
 type child struct {
 	life            view.Life
-	reported        bool // it has reported
-	hasSeq          uint64
-	messageNo       uint64 // of its newest report
-	membersChecksum uint32
-	members         []view.Life
-	progress        []Progress // of itself and all below it, in the order of members
-	resend          bool       // it has to send a complete report
+	reported        bool        // a report was received from this incarnation
+	receivedSeq     uint64      // the child has received all purges up to here
+	messageNo       uint64      // MessageNo of its newest report
+	membersChecksum uint32      // of members
+	members         []view.Life // the child and all processes below it
+	progress        []Progress  // of the members, in the same order
+	resend          bool        // the next update must ask for a complete report
 
-	inFlight bool
-	failures int
-	retryAt  view.Uptime
+	inFlight bool        // an update is in flight
+	failures int         // updates that failed one after the other
+	retryAt  view.Uptime // no update is sent before this time
 }
 
-// DueUpdates are the updates that are due. Each must be followed by HandleAnswer or UpdateFailed.
-func (s *State) DueUpdates(now view.Uptime) (all []Outgoing) {
-	if s.hasSeq == 0 {
-		return nil // there never was a purge
+// DueUpdates returns the updates that must be sent now. Each must be followed by HandleAnswer or UpdateFailed.
+func (s *State) DueUpdates(now view.Uptime) (all []OutgoingUpdate) {
+	if s.receivedSeq == 0 {
+		return nil // there has never been a purge
 	}
 	for _, name := range s.childNames {
 		c := s.children[name]
-		if c.inFlight || now < c.retryAt || c.reported && c.hasSeq >= s.hasSeq && !c.resend {
+		if c.inFlight || now < c.retryAt || c.reported && c.receivedSeq >= s.receivedSeq && !c.resend {
 			continue
 		}
-		since := s.oldestOpen - 1 // one that has not reported usually lacks open purges only
+		since := s.oldestOpen - 1 // a child that has not reported usually lacks only open purges
 		if c.reported {
-			since = c.hasSeq
+			since = c.receivedSeq
 		}
 		update := s.PurgesSince(since, now)
 		update.Resend = c.resend || !c.reported
 		c.inFlight, c.resend = true, false
-		all = append(all, Outgoing{Child: c.life, Update: update})
+		all = append(all, OutgoingUpdate{Child: c.life, Update: update})
 	}
 	return all
 }
 
-// HandleAnswer takes in the answer to an update.
+// HandleAnswer processes the answer of a child to an update.
 func (s *State) HandleAnswer(life view.Life, report Report, now view.Uptime) {
 	c := s.children[life.Name]
 	if c == nil || c.life != life {
 		return
 	}
 	c.inFlight, c.failures, c.retryAt = false, 0, 0
-	had := c.hasSeq
+	had := c.receivedSeq
 	if s.HandleReport(report, now).Resend {
 		c.resend = true
 	}
-	if c.hasSeq <= had && c.hasSeq < s.hasSeq {
-		c.retryAt = now + minBackoff // the update did not help: no hurry
+	if c.receivedSeq <= had && c.receivedSeq < s.receivedSeq {
+		c.retryAt = now + minBackoff // the update had no effect, so the next one is delayed
 	}
 }
 
-// UpdateFailed records that an update, or its answer, was lost.
+// UpdateFailed records that the call with an update failed; the child may still have received it.
 func (s *State) UpdateFailed(life view.Life, now view.Uptime) {
 	c := s.children[life.Name]
 	if c == nil || c.life != life {
@@ -74,14 +74,14 @@
 	c.failures++
 }
 
-// backoff is the wait before the next attempt.
+// backoff returns the wait before the next attempt after a number of failures.
 func backoff(fails int) time.Duration { return min(minBackoff<<min(fails, 8), maxBackoff) }
 
-// HandleReport takes in a child's report of itself and all below it.
+// HandleReport processes a child's report about itself and all processes below it, and returns the answer to it.
 func (s *State) HandleReport(report Report, now view.Uptime) ReportAnswer {
 	c := s.children[report.From.Name]
 	if c == nil || report.From.Incarnation < c.life.Incarnation {
-		return ReportAnswer{Resend: true} // not a child by this process's view: the report would be lost
+		return ReportAnswer{Resend: true} // not a child in this process's view; the report has to be repeated once it is
 	}
 	if report.From.Incarnation > c.life.Incarnation {
 		*c = child{life: report.From}
@@ -96,7 +96,7 @@
 		s.markChanged(now)
 	}
 	if report.MessageNo <= c.messageNo {
-		return ReportAnswer{} // overtaken
+		return ReportAnswer{} // a newer report was processed before
 	}
 	lostPrevious := report.PrevMessageNo != 0 && report.PrevMessageNo != c.messageNo
 	unknownMembers := report.Members == nil && report.MembersChecksum != c.membersChecksum
@@ -104,15 +104,15 @@
 		return ReportAnswer{Resend: true}
 	}
 	c.messageNo = report.MessageNo
-	c.hasSeq = report.HasSeq
+	c.receivedSeq = report.ReceivedSeq
 	if c.mergeProgress(report) {
 		s.markChanged(now)
 	}
 	return ReportAnswer{}
 }
 
-// mergeProgress takes in the progress of the child and all below it, which never goes back. It returns whether anything
-// has changed.
+// mergeProgress updates the progress of the child's members from a report, and returns whether it has changed. The progress of
+// an incarnation never decreases.
 func (c *child) mergeProgress(report Report) (changed bool) {
 	before := seqByLife(c.progress)
 	if report.Members != nil {
@@ -134,7 +134,7 @@
 	return changed
 }
 
-// seqByLife indexes progress by incarnation.
+// seqByLife returns the AppliedSeq of each incarnation.
 func seqByLife(progress []Progress) map[view.Life]uint64 {
 	index := make(map[view.Life]uint64, len(progress))
 	for _, p := range progress {
--- a/internal/cluster/purge/spread/guarantee_test.go
+++ b/internal/cluster/purge/spread/guarantee_test.go
@@ -31,7 +31,7 @@
 			case 0, 1:
 				for range rapid.IntRange(1, 4).Draw(t, "notices") {
 					if p := some("at"); p.alive {
-						p.disk.messages = append(p.disk.messages, &testMessage{key: key.Draw(t, "key"), acceptedAt: w.now, purgesSeen: p.state.HasSeq()})
+						p.disk.messages = append(p.disk.messages, &testMessage{key: key.Draw(t, "key"), acceptedAt: w.now, purgesSeen: p.state.ReceivedSeq()})
 					}
 				}
 			case 2, 3:
--- a/internal/cluster/purge/spread/leader.go
+++ b/internal/cluster/purge/spread/leader.go
@@ -1,7 +1,8 @@
 package spread
 
-// This file is the leader's part: it sends the purges in the ledger to the root of the tree, and compares the reports
-// with the participants. Only here may a missing acknowledgement lapse, and the ledger checks that.
+// This file implements the leader's state: it sends the purges of the ledger to the root of the tree and determines from the
+// reports which participants have acknowledged them. Only the leader may let a missing acknowledgement lapse, and the ledger
+// checks that it is old enough.
 
 import (
 	"cmp"
@@ -13,24 +14,26 @@
 	"flaxcove/internal/sender/clusterapi"
 )
 
-// LeaderState is what the leader knows of acknowledgements. A new leader begins with nothing and asks the root for a
-// complete report. A process that becomes leader again must go on with the LeaderState that it had: the root may not
-// have noticed the change, and does not repeat what it reported.
+// LeaderState holds the acknowledgements that the leader of the consensus group has received. A new leader starts with an
+// empty one and asks the root for a complete report. A process that becomes the leader again must continue with its previous
+// LeaderState: the root may not have noticed the change of leaders, and would not repeat what it has already reported.
+//
+// Like a State, it is not safe for concurrent use.
 type LeaderState struct {
 	*State
 	participants  []ledger.Participant
 	rosterVersion uint64
-	progress      map[view.Name]Progress // of all processes ever reported, as a new root may not know it yet
+	progress      map[view.Name]Progress // of all processes that any root has reported, as a new root may not know them yet
 }
 
-// NewLeaderState returns the state of a new leader.
+// NewLeaderState returns the state of a process that has not been the leader before.
 func NewLeaderState(self view.Life) *LeaderState {
 	s := New(self, "", 0)
 	s.isLeader = true
 	return &LeaderState{State: s, progress: map[view.Name]Progress{}}
 }
 
-// SetParticipants sets who must acknowledge.
+// SetParticipants sets the processes that must acknowledge purges, and the version of that set in the ledger.
 func (l *LeaderState) SetParticipants(participants []ledger.Participant, rosterVersion uint64) {
 	l.participants, l.rosterVersion = participants, rosterVersion
 	if len(l.progress) <= ledger.MaxParticipants {
@@ -45,31 +48,32 @@
 	l.progress = retained
 }
 
-// AddPurges adds the ledger's purges after HasSeq, up to upTo, with their ages as of now.
+// AddPurges adds the purges of the ledger with a Seq above ReceivedSeq and up to upTo. Their ages are as of now.
 func (l *LeaderState) AddPurges(all []clusterapi.Purge, upTo, oldestOpen uint64, horizon time.Duration, now view.Uptime) {
-	l.State.horizon = horizon // the ledger's own; it may shrink
-	l.State.HandleUpdate(Update{Base: l.hasSeq, UpTo: upTo, OldestOpen: oldestOpen, Horizon: horizon, Purges: all}, now)
+	l.State.horizon = horizon // the ledger's current value, which may be lower than before
+	l.State.HandleUpdate(Update{Base: l.receivedSeq, UpTo: upTo, OldestOpen: oldestOpen, Horizon: horizon, Purges: all}, now)
 }
 
-// SetRoot sets the root of the tree.
+// SetRoot sets the root of the tree, which is the only child of the leader.
 func (l *LeaderState) SetRoot(root view.Life, now view.Uptime) {
 	l.SetTree(Parent{}, []view.Life{root}, now)
 }
 
-// HandleRootReport takes in a report of the root.
+// HandleRootReport processes a report of the root and returns the answer to it.
 func (l *LeaderState) HandleRootReport(report Report, now view.Uptime) ReportAnswer {
 	answer := l.HandleReport(report, now)
 	l.recordProgress()
 	return answer
 }
 
-// HandleRootAnswer takes in the root's answer to an update.
+// HandleRootAnswer processes the root's answer to an update.
 func (l *LeaderState) HandleRootAnswer(life view.Life, report Report, now view.Uptime) {
 	l.HandleAnswer(life, report, now)
 	l.recordProgress()
 }
 
-// recordProgress retains what the root reported: the next root may not know it yet.
+// recordProgress stores the progress that the root has reported. It remains when the root changes, because the next root may
+// not know it yet.
 func (l *LeaderState) recordProgress() {
 	for _, name := range l.childNames {
 		for _, progress := range l.children[name].progress {
@@ -81,7 +85,8 @@
 	}
 }
 
-// appliedBy is up to which purge a participant has applied; 0 while only its earlier incarnation has reported.
+// appliedBy returns the Seq up to which a participant has applied all purges. It is 0 while only an earlier incarnation has
+// reported.
 func (l *LeaderState) appliedBy(participant ledger.Participant) uint64 {
 	if progress := l.progress[participant.Name]; progress.Incarnation >= participant.Incarnation {
 		return progress.AppliedSeq
@@ -89,9 +94,10 @@
 	return 0
 }
 
-// NextClose is the command that closes the oldest purges that can be closed now, up to the limit.
+// NextClose returns the command that closes the oldest open purges, at most limit of them, and whether any can be closed. A
+// purge can be closed once all participants have applied it or it is older than the horizon.
 func (l *LeaderState) NextClose(limit int, now view.Uptime) (command ledger.Close, due bool) {
-	if len(l.participants) == 0 || l.oldestOpen > l.hasSeq {
+	if len(l.participants) == 0 || l.oldestOpen > l.receivedSeq {
 		return command, false
 	}
 	appliedByAll := ^uint64(0)
@@ -99,7 +105,7 @@
 		appliedByAll = min(appliedByAll, l.appliedBy(participant))
 	}
 	lastClosable := l.oldestOpen - 1
-	for lastClosable < l.hasSeq && lastClosable < l.oldestOpen-1+uint64(limit) {
+	for lastClosable < l.receivedSeq && lastClosable < l.oldestOpen-1+uint64(limit) {
 		i, found := slices.BinarySearchFunc(l.purges, lastClosable+1, bySeq)
 		if !found || lastClosable+1 > appliedByAll && l.purges[i].age(now) < l.horizon {
 			break
@@ -117,28 +123,28 @@
 	return command, true
 }
 
-// sumFindings sums findings by purge and process.
+// sumFindings adds up the findings of purges first to last, by purge and process.
 func (l *LeaderState) sumFindings(first, last uint64) map[uint64]map[view.Name]clusterapi.Found {
 	sums := map[uint64]map[view.Name]clusterapi.Found{}
-	for k, r := range l.findings {
+	for k, f := range l.findings {
 		if k.seq < first || k.seq > last {
 			continue
 		}
 		if sums[k.seq] == nil {
 			sums[k.seq] = map[view.Name]clusterapi.Found{}
 		}
-		sums[k.seq][k.name] = AddFound(sums[k.seq][k.name], r.found)
+		sums[k.seq][k.name] = AddFound(sums[k.seq][k.name], f.found)
 	}
 	return sums
 }
 
-// AddFound adds up two findings.
+// AddFound returns the sum of two findings.
 func AddFound(a, b clusterapi.Found) clusterapi.Found {
 	return clusterapi.Found{NotBegun: a.NotBegun + b.NotBegun, MayRun: a.MayRun + b.MayRun,
 		Delivered: a.Delivered + b.Delivered, LearnedState: a.LearnedState + b.LearnedState}
 }
 
-// closure is the end of a purge, by zone.
+// closure returns the outcome of a purge by zone, with its findings by process.
 func (l *LeaderState) closure(seq uint64, found map[view.Name]clusterapi.Found) ledger.Closure {
 	closure := ledger.Closure{Seq: seq}
 	zones := map[view.Zone]*ledger.ZoneSum{}
@@ -167,14 +173,14 @@
 	return closure
 }
 
-// ParticipantStatus is the state of one purge at one participant.
+// ParticipantStatus is the status of one purge at one participant.
 type ParticipantStatus struct {
 	Participant  ledger.Participant
 	Acknowledged bool
 	Found        clusterapi.Found
 }
 
-// StatusOf is the state of one open purge at all participants, by name.
+// StatusOf returns the status of an open purge at each participant, sorted by name.
 func (l *LeaderState) StatusOf(seq uint64) (status []ParticipantStatus) {
 	found := l.sumFindings(seq, seq)[seq]
 	for _, participant := range l.participants {
--- a/internal/cluster/purge/spread/network_test.go
+++ b/internal/cluster/purge/spread/network_test.go
@@ -15,10 +15,10 @@
 
 // step has each state say what is due; messages go to the network.
 func (w *simulation) step() {
-	if w.ledger.LastSeq() > w.leaderState.HasSeq() || w.ledger.OldestOpen() > w.leaderState.oldestOpen {
+	if w.ledger.LastSeq() > w.leaderState.ReceivedSeq() || w.ledger.OldestOpen() > w.leaderState.oldestOpen {
 		var all []clusterapi.Purge
-		for _, r := range w.ledger.Since(w.leaderState.HasSeq(), 1<<20) {
-			all = append(all, r.ToPurge(w.now-r.At))
+		for _, r := range w.ledger.Since(w.leaderState.ReceivedSeq(), 1<<20) {
+			all = append(all, r.ToPurge(w.now-r.OpenedAt))
 		}
 		w.leaderState.AddPurges(all, w.ledger.LastSeq(), w.ledger.OldestOpen(), w.ledger.Horizon(), w.now)
 	}
@@ -90,7 +90,7 @@
 }
 
 // sendUpdate carries one update; its answer waits for the processes below, as in package run.
-func (w *simulation) sendUpdate(to Outgoing, answered func(Report), failed func()) {
+func (w *simulation) sendUpdate(to OutgoingUpdate, answered func(Report), failed func()) {
 	w.network = append(w.network, envelope{func() {
 		for _, p := range w.processes {
 			if p.life() != to.Child || !p.alive {
@@ -102,7 +102,7 @@
 			until := w.now + MaxAnswerDelay
 			var wait func()
 			wait = func() {
-				if !st.Settled() && w.now < until {
+				if !st.SubtreeApplied() && w.now < until {
 					w.network = append(w.network, envelope{wait, wait})
 					return
 				}
--- a/internal/cluster/purge/spread/report.go
+++ b/internal/cluster/purge/spread/report.go
@@ -1,6 +1,6 @@
 package spread
 
-// This file is reports to the parent: when one is due, and what is in it.
+// This file implements the reports to the parent: their content, and when one is due.
 
 import (
 	"cmp"
@@ -11,38 +11,39 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// uplink is the state of the reports to the parent.
-type uplink struct {
-	messageNo       uint64
-	prevMessageNo   uint64 // the newest report that the parent has; 0 when a complete one is to be sent
-	membersChecksum uint32 // of the members that the parent knows
-	changed         bool   // something is not reported yet
-	changedAt       view.Uptime
-	sentAt          view.Uptime
-	everSent        bool // sentAt is set
-	inFlight        bool
-	failures        int
-	retryAt         view.Uptime
-	pendingAnswers  int // answers to updates that wait for the processes below; they will carry the report
+// reportState is the state of the reports to the parent.
+type reportState struct {
+	messageNo       uint64      // of the newest report
+	prevMessageNo   uint64      // of the newest report sent to the parent; 0 if the next one must be complete
+	membersChecksum uint32      // of the newest list of members sent to the parent; 0 for none
+	changed         bool        // there are changes that are not reported yet
+	changedAt       view.Uptime // time of the first of these changes
+	sentAt          view.Uptime // time of the newest report to the parent; valid if everSent
+	everSent        bool        // a report was sent to any parent
+	inFlight        bool        // a report is in flight
+	failures        int         // reports that failed one after the other
+	retryAt         view.Uptime // no report is sent before this time
+	pendingAnswers  int         // answers that wait for the processes below; no report is sent, as they will carry it
 }
 
-// markChanged records that there is something to report.
+// markChanged records that a change has to be reported.
 func (s *State) markChanged(now view.Uptime) {
-	if !s.uplink.changed {
-		s.uplink.changed, s.uplink.changedAt = true, now
+	if !s.reporting.changed {
+		s.reporting.changed, s.reporting.changedAt = true, now
 	}
 }
 
-// resendAll makes the next report a complete one: the parent is another, or lost a report.
+// resendAll makes the next report a complete one, because the parent has changed or has not received a report.
 func (s *State) resendAll(now view.Uptime) {
-	s.uplink.membersChecksum, s.uplink.prevMessageNo = 0, 0
-	for _, r := range s.findings {
-		r.reported = false
+	s.reporting.membersChecksum, s.reporting.prevMessageNo = 0, 0
+	for _, f := range s.findings {
+		f.reported = false
 	}
 	s.markChanged(now)
 }
 
-// allProgress is the progress of this process and all below it, by name, with the newest incarnation of each.
+// allProgress returns the progress of this process and all processes below it, sorted by name. Of each process it returns only
+// the newest incarnation.
 func (s *State) allProgress() (all []Progress) {
 	if !s.isLeader {
 		all = append(all, Progress{s.self, s.appliedSeq})
@@ -56,9 +57,10 @@
 	return slices.CompactFunc(all, func(a, b Progress) bool { return a.Name == b.Name })
 }
 
-// Settled reports whether this process and all below it have applied all purges that this process has.
-func (s *State) Settled() bool {
-	if !s.isLeader && s.appliedSeq < s.hasSeq {
+// SubtreeApplied reports whether this process and all processes below it have applied all purges that this process has
+// received. It is false while a child has not reported.
+func (s *State) SubtreeApplied() bool {
+	if !s.isLeader && s.appliedSeq < s.receivedSeq {
 		return false
 	}
 	for _, name := range s.childNames {
@@ -67,7 +69,7 @@
 			return false
 		}
 		for _, progress := range c.progress {
-			if progress.AppliedSeq < s.hasSeq {
+			if progress.AppliedSeq < s.receivedSeq {
 				return false
 			}
 		}
@@ -75,23 +77,25 @@
 	return true
 }
 
-// BeginAnswer records that an answer to an update waits until Settled, for MaxAnswerDelay at most; Answer ends that.
-func (s *State) BeginAnswer() { s.uplink.pendingAnswers++ }
+// BeginAnswer records that the answer to an update is delayed until SubtreeApplied is true, or for MaxAnswerDelay. No reports
+// are due until Answer is called.
+func (s *State) BeginAnswer() { s.reporting.pendingAnswers++ }
 
-// Answer is the answer to an update.
+// Answer returns the answer to an update. It counts as a report if the update was sent by the parent.
 func (s *State) Answer(to Update, now view.Uptime) Report {
-	s.uplink.pendingAnswers = max(s.uplink.pendingAnswers-1, 0)
+	s.reporting.pendingAnswers = max(s.reporting.pendingAnswers-1, 0)
 	return s.makeReport(to.sender() == s.parent, now)
 }
 
-// DueReport is the report that is due, if one is. It must be followed by ReportAnswered or ReportFailed.
+// DueReport returns the report that must be sent to the parent now, and whether there is one. It must be followed by
+// ReportAnswered or ReportFailed.
 func (s *State) DueReport(now view.Uptime) (Report, bool) {
-	u := &s.uplink
-	if s.parent.Name == "" || s.hasSeq == 0 || !u.changed || u.inFlight || u.pendingAnswers > 0 || now < u.retryAt {
+	u := &s.reporting
+	if s.parent.Name == "" || s.receivedSeq == 0 || !u.changed || u.inFlight || u.pendingAnswers > 0 || now < u.retryAt {
 		return Report{}, false
 	}
 	due := u.changedAt + ReportInterval
-	if s.Settled() {
+	if s.SubtreeApplied() {
 		due = u.changedAt
 	}
 	if u.everSent {
@@ -104,39 +108,39 @@
 	return s.makeReport(true, now), true
 }
 
-// ReportAnswered takes in a parent's answer to a report.
-func (s *State) ReportAnswered(to Parent, a ReportAnswer, now view.Uptime) {
+// ReportAnswered processes the answer of a parent to a report. It is ignored if the parent has changed.
+func (s *State) ReportAnswered(to Parent, answer ReportAnswer, now view.Uptime) {
 	if to != s.parent {
 		return
 	}
-	s.uplink.inFlight, s.uplink.failures = false, 0
-	if a.Resend {
+	s.reporting.inFlight, s.reporting.failures = false, 0
+	if answer.Resend {
 		s.resendAll(now)
-		s.uplink.retryAt = now + minBackoff
+		s.reporting.retryAt = now + minBackoff
 	}
 }
 
-// ReportFailed records that a report, or its answer, was lost.
+// ReportFailed records that the call with a report failed; the parent may still have received it.
 func (s *State) ReportFailed(to Parent, now view.Uptime) {
 	if to != s.parent {
 		return
 	}
-	s.uplink.inFlight = false
+	s.reporting.inFlight = false
 	s.resendAll(now)
-	s.uplink.retryAt = now + backoff(s.uplink.failures)
-	s.uplink.failures++
+	s.reporting.retryAt = now + backoff(s.reporting.failures)
+	s.reporting.failures++
 }
 
-// makeReport is the progress of this process and all below it. Where record is true it builds on the last one and counts
-// as sent to the parent; otherwise it is complete.
+// makeReport returns a report of the progress of this process and all processes below it. If record is true, the report is the
+// difference to the previous one and is recorded as sent to the parent; otherwise it is complete.
 func (s *State) makeReport(record bool, now view.Uptime) Report {
 	progress := s.allProgress()
-	s.uplink.messageNo++
-	report := Report{From: s.self, MessageNo: s.uplink.messageNo, HasSeq: s.hasSeq, MembersChecksum: membersChecksum(progress)}
+	s.reporting.messageNo++
+	report := Report{From: s.self, MessageNo: s.reporting.messageNo, ReceivedSeq: s.receivedSeq, MembersChecksum: membersChecksum(progress)}
 	if record {
-		report.PrevMessageNo = s.uplink.prevMessageNo
+		report.PrevMessageNo = s.reporting.prevMessageNo
 	}
-	if report.PrevMessageNo == 0 || s.uplink.membersChecksum != report.MembersChecksum {
+	if report.PrevMessageNo == 0 || s.reporting.membersChecksum != report.MembersChecksum {
 		report.Members = make([]view.Life, len(progress))
 		for i, one := range progress {
 			report.Members[i] = one.Life
@@ -146,7 +150,8 @@
 	incomplete := len(keys) > MaxFindingsPerMessage
 	maxSeq := ^uint64(0)
 	if incomplete {
-		// That a process has applied a purge is reported with what it found, or later: never before.
+		// A purge may be reported as applied only together with its findings or after them. So the progress in this report
+		// ends before the first purge whose findings do not fit.
 		maxSeq = keys[MaxFindingsPerMessage].seq - 1
 		keys = keys[:MaxFindingsPerMessage]
 	}
@@ -163,7 +168,8 @@
 	return report
 }
 
-// findingsToReport lists the findings that the parent does not have, or all, in their order.
+// findingsToReport returns the findings, sorted by Seq, name and folder. If unreportedOnly is true, it omits those that were
+// sent to the parent.
 func (s *State) findingsToReport(unreportedOnly bool) []findingKey {
 	keys := make([]findingKey, 0, 16)
 	for k, f := range s.findings {
@@ -177,7 +183,8 @@
 	return keys
 }
 
-// setProgress sets Base to the highest progress, up to maxSeq, and Behind to the members below it.
+// setProgress sets Base to the highest progress of any member, and Behind to the members with lower progress. All progress is
+// reported as maxSeq at most.
 func (r *Report) setProgress(progress []Progress, maxSeq uint64) {
 	for _, p := range progress {
 		r.Base = max(r.Base, min(p.AppliedSeq, maxSeq))
@@ -189,9 +196,9 @@
 	}
 }
 
-// recordSent records that a report is on its way to the parent. The rest of an incomplete one is due at once.
+// recordSent records that a report was sent to the parent. If it is incomplete, the next report is due without further delay.
 func (s *State) recordSent(report Report, incomplete bool, now view.Uptime) {
-	u := &s.uplink
+	u := &s.reporting
 	u.prevMessageNo, u.membersChecksum = report.MessageNo, report.MembersChecksum
 	u.sentAt, u.everSent = now, true
 	u.changed = incomplete
@@ -200,7 +207,7 @@
 	}
 }
 
-// membersChecksum is the checksum of a list of members.
+// membersChecksum returns the checksum of the names and incarnations in a list.
 func membersChecksum(progress []Progress) uint32 {
 	var text []byte
 	for _, one := range progress {
@@ -210,5 +217,5 @@
 	return crc32.ChecksumIEEE(text)
 }
 
-// Parent is the process to which this one reports; the zero value for none.
+// Parent returns the process to which this one reports, or the zero Parent if there is none.
 func (s *State) Parent() Parent { return s.parent }
--- a/internal/cluster/purge/spread/simulation_test.go
+++ b/internal/cluster/purge/spread/simulation_test.go
@@ -151,7 +151,7 @@
 	var o ledger.OpenResult
 	id := fmt.Sprintf("%s-%d", key, w.ledger.LastSeq())
 	w.propose(ledger.KindOpen, ledger.Open{ID: id, Subject: ledger.Messages, Match: clusterapi.Match{Key: key},
-		Who: "w", Why: "y"}, &o)
+		RequestedBy: "w", Reason: "y"}, &o)
 	if o.Rejected != "" {
 		w.fail("%s", o.Rejected)
 	}
@@ -213,7 +213,7 @@
 
 // catchUp has a process that started ask the leader for what it missed.
 func (w *simulation) catchUp(p *process) {
-	if p.alive && p.joinedAt > 0 && p.state.HasSeq() < p.requiredSeq {
-		p.state.HandleUpdate(w.leaderState.PurgesSince(p.state.HasSeq(), w.now), w.now)
+	if p.alive && p.joinedAt > 0 && p.state.ReceivedSeq() < p.requiredSeq {
+		p.state.HandleUpdate(w.leaderState.PurgesSince(p.state.ReceivedSeq(), w.now), w.now)
 	}
 }
--- a/internal/cluster/purge/spread/spread_test.go
+++ b/internal/cluster/purge/spread/spread_test.go
@@ -180,7 +180,7 @@
 	}
 	order(1, 0)
 	// The parent also leads and asks as the leader: what it is answered does not count as reported to the parent.
-	if child.Answer(Update{From: up, FromLeader: true}, 0); !child.uplink.changed {
+	if child.Answer(Update{From: up, FromLeader: true}, 0); !child.reporting.changed {
 		t.Fatal("what the leader was told counts as told to the parent")
 	}
 	parent.HandleReport(child.Answer(Update{From: up}, 0), 0)
