--- a/internal/cluster/popularity/count/count.go
+++ b/internal/cluster/popularity/count/count.go
@@ -55,9 +55,9 @@
 type Bounds struct {
 	Destinations int           // number of rows
 	HalfLife     time.Duration // of counts
-	// ClientShare limits the messages of one client that count for a destination, as a fraction of those of all its other
-	// clients. In addition to that share, messages count in full up to the client allowance, and beyond it by their logarithm.
-	// ClientAllowance is that allowance, as a fraction of all messages in the table.
+	// ClientShare and ClientAllowance limit how much the messages of one client count for a destination. They count in full
+	// up to the allowance, which is the fraction ClientAllowance of all messages in the table, and beyond it by their
+	// logarithm. In addition, they count up to the fraction ClientShare of the messages of the destination's other clients.
 	ClientShare, ClientAllowance float64
 }
 
--- a/internal/cluster/popularity/count/count_test.go
+++ b/internal/cluster/popularity/count/count_test.go
@@ -13,12 +13,14 @@
 	"flaxcove/internal/sender/clusterapi"
 )
 
+// handedIn returns the count of n messages of one client for a destination.
 func handedIn(d int, client string, n uint64) []clusterapi.Count {
 	return []clusterapi.Count{{Destination: choice.DestinationID(d), Client: client, Messages: n}}
 }
 
-// Against exact counts: never more than was handed in, and less by no more than the total over the number of rows.
-// Clients are many, so that none is held to its bound.
+// TestEstimatesWithinBounds compares a table with exact counts. The lower bound of a row never exceeds the exact count, and its
+// overestimate never exceeds the total divided by the number of rows. Each message has another client, so that no client is
+// limited by its bound.
 func TestEstimatesWithinBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rows := rapid.IntRange(1, 6).Draw(t, "rows")
@@ -35,31 +37,32 @@
 			exact[d] += float64(n)
 			table.Add(now, handedIn(d, fmt.Sprint(i), n))
 			if len(table.rows) > rows || len(table.byCount) > rows {
-				t.Fatal("more rows than the bound")
+				t.Fatal("the table has more rows than its bound")
 			}
 			if math.Abs(table.Total(now)-all) > 1e-6*all {
-				t.Fatal("all", table.Total(now), all)
+				t.Fatalf("total %v, want %v", table.Total(now), all)
 			}
 			for k, want := range exact {
 				r := table.rows[choice.DestinationID(k)]
 				if r == nil {
 					if want > all/float64(rows)*(1+1e-9) {
-						t.Fatal("a count above the lowest has no row", k, want)
+						t.Fatalf("destination %d has no row, although its count of %v exceeds the total over the number of rows", k, want)
 					}
 					continue
 				}
 				scale := Decay(now-table.baseTime, HalfLife)
 				if low, high := (r.count-r.overestimate)*scale, r.count*scale; low > want*(1+1e-6) || high < want*(1-1e-6) ||
 					r.overestimate*scale > all/float64(rows)*(1+1e-6) || len(r.clients) > maxClients {
-					t.Fatal(k, low, want, high)
+					t.Fatalf("destination %d: exact count %v, want it between %v and %v, with an overestimate of at most the total over the number of rows",
+						k, want, low, high)
 				}
 			}
 		}
 	})
 }
 
-// A client that sends ten thousand messages to make a destination popular gains a quarter of what others add, and the
-// floor by its logarithm.
+// TestOneClientMakesNothingPopular checks that a client that submits ten thousand messages for a destination adds at most a quarter
+// of what other clients have added, plus what its allowance permits by the logarithm.
 func TestOneClientMakesNothingPopular(t *testing.T) {
 	table := NewTable(Bounds{})
 	for d := range 400 {
@@ -68,27 +71,28 @@
 		}
 	}
 	if n := table.Estimate(0, 7); n != 100 {
-		t.Fatal("honest clients are bounded", n)
+		t.Fatalf("estimate %v for honest clients, want all of their 100 messages", n)
 	}
 	table.Add(0, handedIn(7, "pusher", 10_000))
 	table.Add(0, handedIn(1000, "pusher", 10_000))
-	floor := table.Total(0) * defaultClientAllowance
-	floor *= 1 + math.Log(10_000/floor) // 150 by 5.2
-	if n := table.Estimate(0, 7); n > 100+0.25*100+floor+1e-6 {
-		t.Error("a destination pushed by one client", n)
+	allowance := table.Total(0) * defaultClientAllowance
+	allowance *= 1 + math.Log(10_000/allowance) // 150 by 5.2
+	if n := table.Estimate(0, 7); n > 100+0.25*100+allowance+1e-6 {
+		t.Errorf("estimate %v is too high for a destination that one client tries to make popular", n)
 	}
-	if n := table.Estimate(0, 1000); n > floor+1e-6 {
-		t.Error("a destination that only one client sends to", n)
+	if n := table.Estimate(0, 1000); n > allowance+1e-6 {
+		t.Errorf("estimate %v is too high for a destination with a single client", n)
 	}
-	// Many client names in turn are more than have counts of their own: each counts for what it sent.
+	// There are more client names than separate counts in a row. Each message counts.
 	for i := range 100 {
 		table.Add(0, handedIn(7, fmt.Sprint("name", i), 1))
 	}
 	if n := len(table.rows[7].clients); n > maxClients {
-		t.Error(n)
+		t.Errorf("the row has %d clients, want at most %d", n, maxClients)
 	}
 }
 
+// TestTopIsOrderedAndDecays checks the order and limit of Top, and that counts are halved after each half-life.
 func TestTopIsOrderedAndDecays(t *testing.T) {
 	table := NewTable(Bounds{})
 	for d := 1; d <= 50; d++ {
@@ -97,14 +101,14 @@
 	}
 	top := table.Top(0, 3)
 	if len(top) != 3 || top[0].Destination != 50 || top[2].Destination != 48 {
-		t.Fatal(top)
+		t.Fatalf("top rows %v, want destinations 50, 49 and 48", top)
 	}
 	was := table.Estimate(0, 10)
 	if now := table.Estimate(HalfLife, 10); math.Abs(now-was/2) > 1e-9 {
-		t.Error("one half-life later", now, was)
+		t.Errorf("after one half-life the estimate is %v, want half of %v", now, was)
 	}
 	table.Add(1000*HalfLife, handedIn(1, "a", 1))
 	if top := table.Top(1000*HalfLife, 10); len(top) != 1 || top[0].Destination != 1 {
-		t.Error("a day later", top)
+		t.Errorf("after 1000 half-lives the top rows are %v, want only destination 1", top)
 	}
 }
--- a/internal/cluster/popularity/evict/cache_test.go
+++ b/internal/cluster/popularity/evict/cache_test.go
@@ -7,14 +7,15 @@
 	"flaxcove/internal/sender/clusterapi"
 )
 
-// cache is what a simulated sender holds under one policy.
+// cache holds the destinations that a simulated sender caches under one policy.
 type cache struct {
 	held  []clusterapi.Held
-	index map[choice.DestinationID]int
-	bytes int
-	hits  int
+	index map[choice.DestinationID]int // index in held
+	bytes int                          // sum over held
+	hits  int                          // counted requests for cached destinations
 }
 
+// drop removes a destination.
 func (c *cache) drop(d choice.DestinationID) {
 	i := c.index[d]
 	last := len(c.held) - 1
@@ -25,7 +26,8 @@
 	delete(c.index, d)
 }
 
-// request is one message; true where its destination was not cached.
+// request simulates a message for a destination. If the destination is not cached, it is added and request returns true. A hit is
+// counted if counted is true.
 func (c *cache) request(d choice.DestinationID, bytes int, counted bool) bool {
 	if i, held := c.index[d]; held {
 		c.held[i].Calls++
@@ -40,7 +42,7 @@
 	return true
 }
 
-// evictLowest evicts the destinations of the lowest value until the bounds hold.
+// evictLowest evicts the destinations with the lowest value, as returned by of, until the bounds hold.
 func (c *cache) evictLowest(b Bounds, of func(h *clusterapi.Held) float64) {
 	for b.Destinations > 0 && len(c.held) > b.Destinations || b.Bytes > 0 && c.bytes > b.Bytes {
 		low, least := 0, math.Inf(1)
--- a/internal/cluster/popularity/evict/evict_test.go
+++ b/internal/cluster/popularity/evict/evict_test.go
@@ -9,6 +9,7 @@
 	"flaxcove/internal/sender/clusterapi"
 )
 
+// heldDestinations returns destinations 1 to n with equal sizes and numbers of calls.
 func heldDestinations(n int) (all []clusterapi.Held) {
 	for d := 1; d <= n; d++ {
 		all = append(all, clusterapi.Held{Destination: choice.DestinationID(d), Bytes: 1000, Calls: 20})
@@ -16,14 +17,16 @@
 	return all
 }
 
-// byNumber has the higher number more popular.
+// byNumber is a score by which a destination with a higher number is more popular.
 func byNumber(d choice.DestinationID) float64 { return float64(d) }
 
+// TestLowestWeightIsEvictedAndProtectedNever checks the order of eviction, that it stops at the bounds, and that a protected
+// destination is never evicted.
 func TestLowestWeightIsEvictedAndProtectedNever(t *testing.T) {
 	e, held := New(), heldDestinations(6)
-	held[0].InUse = true   // 1, the least popular
-	held[2].Calls = 0      // 3: weighs as much as 1.5 with learned state
-	held[4].Bytes = 10_000 // 5: for its bytes weighs less than 1
+	held[0].InUse = true   // destination 1, the least popular one
+	held[2].Calls = 0      // destination 3 weighs as much as one with score 1.5 and learned state
+	held[4].Bytes = 10_000 // destination 5 weighs less than destination 1, because of its bytes
 	for _, c := range []struct {
 		b    Bounds
 		want []choice.DestinationID
@@ -37,47 +40,47 @@
 	} {
 		got := e.Choose(0, held, c.b, byNumber)
 		if !slices.Equal(got.Evict, c.want) || got.BoundExceeded != c.over {
-			t.Error(c, got)
+			t.Errorf("case %v: selected %v", c, got)
 		}
 	}
 }
 
-// A bound lowered at run time evicts what is beyond it at once, and nothing more.
+// TestLoweredBound checks that lowering a bound evicts what exceeds it at once, and nothing more.
 func TestLoweredBound(t *testing.T) {
 	e := New()
 	if c := e.Choose(0, heldDestinations(100), Bounds{Destinations: 100}, byNumber); c.Evict != nil {
-		t.Fatal(c)
+		t.Fatalf("selected %v within the bound", c)
 	}
 	c := e.Choose(0, heldDestinations(100), Bounds{Destinations: 40}, byNumber)
 	if len(c.Evict) != 60 || slices.Max(c.Evict) != 60 || c.BoundExceeded {
-		t.Error(c)
+		t.Errorf("selected %v, want destinations 1 to 60", c)
 	}
 }
 
-// A destination that was evicted and loaded again is favoured for a minute: two of about the same score do not
-// alternate.
+// TestReturnedDestinationIsFavoured checks that a destination that was evicted and loaded again has a higher weight within
+// returnWindow, so that two destinations with similar scores do not alternate; and that the maps of an Evictor are bounded.
 func TestReturnedDestinationIsFavoured(t *testing.T) {
 	e, score := New(), func(d choice.DestinationID) float64 { return 10 - float64(d)/10 }
 	e.Evicted(0, 3)
 	e.Loaded(time.Second, 3)
 	c := e.Choose(2*time.Second, heldDestinations(3), Bounds{Destinations: 2}, score)
 	if !slices.Equal(c.Evict, []choice.DestinationID{2}) {
-		t.Error("it was evicted again", c)
+		t.Errorf("within the window: selected %v, want only destination 2", c)
 	}
 	c = e.Choose(2*returnWindow, heldDestinations(3), Bounds{Destinations: 2}, score)
 	if !slices.Equal(c.Evict, []choice.DestinationID{3}) {
-		t.Error("still favoured after the window", c)
+		t.Errorf("after the window: selected %v, want only destination 3", c)
 	}
 	for d := range choice.DestinationID(3 * maxTracked) {
 		e.Evicted(0, d)
 		e.Loaded(0, d/2)
 	}
 	if len(e.evictedAt) > maxTracked || len(e.returnedAt) > maxTracked {
-		t.Error(len(e.evictedAt), len(e.returnedAt))
+		t.Errorf("%d evicted and %d returned destinations are tracked, want at most %d of each", len(e.evictedAt), len(e.returnedAt), maxTracked)
 	}
 }
 
-// A hundred destinations loaded within a minute do not evict those that the region knows to be popular.
+// TestPopularSurvivesManyLoads checks that a hundred unpopular destinations loaded within a minute do not displace popular ones.
 func TestPopularSurvivesManyLoads(t *testing.T) {
 	e, held := New(), heldDestinations(50)
 	score := func(d choice.DestinationID) float64 {
@@ -93,13 +96,13 @@
 		held = append(held, clusterapi.Held{Destination: d, Bytes: 1000, Calls: 1})
 		for _, gone := range e.Choose(now, held, Bounds{Destinations: 50}, score).Evict {
 			if gone <= 50 {
-				t.Fatal("a popular destination was evicted for one just loaded", gone)
+				t.Fatalf("popular destination %d was evicted", gone)
 			}
 			e.Evicted(now, gone)
 			held = slices.DeleteFunc(held, func(h clusterapi.Held) bool { return h.Destination == gone })
 		}
 	}
 	if len(held) != 50 {
-		t.Error(len(held))
+		t.Errorf("%d destinations are cached, want 50", len(held))
 	}
 }
--- a/internal/cluster/popularity/evict/size_test.go
+++ b/internal/cluster/popularity/evict/size_test.go
@@ -17,26 +17,26 @@
 	"flaxcove/internal/sender/clusterapi"
 )
 
-// This file measures hit rates at size, in simulated time: two regions of eight senders, one of each region small and
-// caching 3% of the destinations; rankings are four seconds old, two tiers, when the next one arrives. A region's
-// popularity is its own and shifts each 50 s; a flash crowd meets one region.
+// This file measures hit rates at realistic size, in simulated time. There are two regions of eight senders, one of which in each
+// region is small and caches 3% of the destinations. A ranking is four seconds old when the next one arrives, which is the
+// delay of two levels of the tree. Each region has its own popularity, which shifts every 50 s, and one of them has a flash crowd.
 
 const (
 	destinations  = 1200
-	capacity      = destinations * 3 / 100
+	capacity      = destinations * 3 / 100 // of the small sender's cache
 	senders       = 8
-	perSecond     = 20 // messages at a sender
-	seconds       = 100
-	warmupSeconds = 20 // not counted
+	perSecond     = 20  // messages per second at each sender
+	seconds       = 100 // simulated time
+	warmupSeconds = 20  // at the start, in which hits are not counted
 )
 
-// arrivals are the messages that each sender of a region is handed, by step, and which destinations have the highest
-// true rates.
+// arrivals holds the messages that are submitted at the senders of a region, and which destinations have the highest true rates.
 type arrivals struct {
-	of  [senders][]int
-	top [][]bool // by second
+	of  [senders][]int // destination of the message at each step, by sender
+	top [][]bool       // whether a destination is among the first capacity ones, by second
 }
 
+// drawArrivals draws the arrivals of a region. The popularity of destinations follows a power law with exponent skew.
 func drawArrivals(rng *rand.Rand, skew float64, crowd bool) (d arrivals) {
 	ranks := rng.Perm(destinations)
 	sum, sums := 0.0, make([]float64, destinations)
@@ -45,7 +45,7 @@
 		sums[i] = sum
 	}
 	for s := range seconds {
-		if s > 0 && s%50 == 0 { // two fifths of the first hundred fall back, others take their ranks
+		if s > 0 && s%50 == 0 { // two fifths of the hundred most popular ones exchange their ranks with others
 			for i := range 100 {
 				if rng.IntN(5) < 2 {
 					j := 100 + rng.IntN(destinations-100)
@@ -76,30 +76,28 @@
 	return d
 }
 
-// The policies: with its region, isolated from it all the time, local LRU and LFU (counts of all destinations ever
-// requested, not only of cached ones), the best that knows all requests to come, and the best that knows the true rates
-// of each second.
+// The policies that are compared.
 const (
-	withRegion = iota
-	isolated
-	lru
-	lfu
-	knowsFuture
-	knowsRates
+	withRegion  = iota // this package, with the region's rankings
+	isolated           // this package, without any ranking
+	lru                // least recently used first
+	lfu                // least frequently used first, with counts of all destinations ever requested, not only of cached ones
+	knowsFuture        // optimal with knowledge of all future requests
+	knowsRates         // optimal with knowledge of the true rates of each second
 	policies
 )
 
-// smallSender is the one sender of a region with a small cache, played under all policies.
+// smallSender is the small sender of a region, simulated under all policies.
 type smallSender struct {
-	requests []int // destinations, by step
-	next     []int // the step of the next request for the same destination, by step
+	requests []int // destination of each step
+	next     []int // for each step, the next one with the same destination
 	counts   *count.Table
 	bounds   Bounds
 	caches   [policies]cache
-	evictors [2]*Evictor // of withRegion and isolated
+	evictors [2]*Evictor // of the policies withRegion and isolated
 	rankings [2]*score.Table
-	last     [destinations]int // step of the last request
-	total    [destinations]float64
+	last     [destinations]int     // step of the last request, by destination
+	total    [destinations]float64 // number of requests, by destination
 }
 
 func newSmallSender(requests []int, counts *count.Table, bounds Bounds, ranking *score.Table) *smallSender {
@@ -111,6 +109,7 @@
 	return s
 }
 
+// nextRequests returns for each request the index of the next one for the same destination.
 func nextRequests(requests []int) []int {
 	next := make([]int, len(requests))
 	var at [destinations]int
@@ -123,7 +122,7 @@
 	return next
 }
 
-// step plays one request; hot are the destinations with the highest true rates now.
+// step simulates one request under all policies. hot marks the destinations that have the highest true rates now.
 func (s *smallSender) step(step, bytes int, counted bool, hot []bool) {
 	now, n := stepTime(step), s.requests[step]
 	id := choice.DestinationID(n)
@@ -154,7 +153,7 @@
 	})
 }
 
-// evict has an evictor of this package make space after a destination was loaded.
+// evict evicts what exceeds the bounds after a destination was loaded, as an Evictor selects it.
 func (s *smallSender) evict(now view.Uptime, policy int, loaded choice.DestinationID) {
 	e, c := s.evictors[policy], &s.caches[policy]
 	e.Loaded(now, loaded)
@@ -167,7 +166,7 @@
 	}
 }
 
-// regionCounts counts at all senders of a region and makes its ranking.
+// regionCounts holds the counts of all senders of a region and its ranking.
 type regionCounts struct {
 	lives   []view.Life
 	tables  [senders]*count.Table
@@ -185,6 +184,7 @@
 	return r
 }
 
+// step counts the messages of one step, and makes a ranking every four seconds.
 func (r *regionCounts) step(step int, arrived *arrivals) {
 	now := stepTime(step)
 	for p := range r.tables {
@@ -196,6 +196,7 @@
 	}
 }
 
+// rank merges the counts of all senders to a new ranking.
 func (r *regionCounts) rank(now view.Uptime, seq uint64) {
 	for p := 1; p < senders; p++ {
 		r.merged.Put(now, merge.NewDigest(r.lives[p], seq, 1, r.tables[p].Top(now, merge.MaxRows)))
@@ -206,9 +207,11 @@
 	r.ranking.Update(now, "r", ranking)
 }
 
+// stepTime returns the simulated time of a step.
 func stepTime(step int) view.Uptime { return view.Uptime(step) * time.Second / perSecond }
 
-// simulate returns each policy's share of hits over two regions.
+// simulate returns the hit rate of each policy over both regions. If sized is true, destinations differ in size and the bound is in
+// bytes, otherwise it is on their number.
 func simulate(seed uint64, skew float64, sized bool) (share [policies]float64) {
 	bounds := Bounds{Destinations: capacity}
 	size := func(int) int { return 2048 }
@@ -239,14 +242,16 @@
 	return share
 }
 
-var seeds = flag.Int("seeds", 1, "of the hit rates at size; 5 for those in the docs")
+var seeds = flag.Int("seeds", 1, "number of seeds of TestHitRateAtSize; the hit rates in the docs are of 5")
 
+// TestHitRateAtSize checks that the hit rate of this package exceeds those of LRU and LFU, and is close to those of the optimal
+// policies.
 func TestHitRateAtSize(t *testing.T) {
-	t.Log("bytes skew seed | with region, cut off | LRU, LFU | knows the future, the rates | of the one, of the other")
+	t.Log("sized skew seed | with region, isolated | LRU, LFU | knows future, knows rates | fraction of each of these")
 	for i, skew := range []float64{0.8, 1.0, 1.2} {
 		for seed := range uint64(*seeds) {
 			for _, sized := range []bool{false, true} {
-				if *seeds == 1 && sized != (skew == 1) { // half of them, for time
+				if *seeds == 1 && sized != (skew == 1) { // half of the combinations, to save time
 					continue
 				}
 				s := simulate(seed+1, skew, sized)
@@ -254,11 +259,11 @@
 				t.Logf("%5v %.1f %d | %.3f %.3f | %.3f %.3f | %.3f %.3f | %.2f %.2f", sized, skew, seed+1, s[withRegion], s[isolated],
 					s[lru], s[lfu], s[knowsFuture], s[knowsRates], best, known)
 				if s[withRegion] < s[lru]+0.04 || s[withRegion] < s[lfu]+0.005 {
-					t.Error("not above both LRU and LFU")
+					t.Error("the hit rate is not sufficiently above those of LRU and LFU")
 				}
-				// The objective is 0.9 of the best; a policy that knows the true rates, and not the draws, reaches less.
+				// The objective is 0.9 of the optimum. A policy that knows the true rates but not the requests does not reach it.
 				if best < [...]float64{0.68, 0.77, 0.85}[i] || known < 0.86 {
-					t.Error("lower than it was")
+					t.Error("the fraction of the optimal hit rate is below its lower bound")
 				}
 			}
 		}
--- a/internal/cluster/popularity/merge/merge.go
+++ b/internal/cluster/popularity/merge/merge.go
@@ -82,7 +82,7 @@
 const (
 	Accepted     PutResult = iota
 	Outdated               // the same digest or a newer one is already known, or the digest is older than maxAge
-	NotReporting           // the process, or this incarnation of it, does not report here
+	NotReporting           // the process does not report here, or the digest is of an earlier incarnation of it
 	Invalid                // the age, the number of processes or the rows are impossible
 )
 
--- a/internal/cluster/popularity/merge/merge_test.go
+++ b/internal/cluster/popularity/merge/merge_test.go
@@ -17,19 +17,23 @@
 
 const halfLife = time.Minute
 
+// sentDigest is a digest and the time of its counts.
 type sentDigest struct {
-	countedAt view.Uptime // by the clock of the process that merges
+	countedAt view.Uptime // by the clock of the receiver
 	digest    Digest
 }
 
+// aged returns the digest with its age as of now.
 func (s sentDigest) aged(now view.Uptime) Digest {
 	s.digest.Age = now - s.countedAt
 	return s.digest
 }
 
+// approximately compares floats with a relative tolerance.
 func approximately() cmp.Option { return cmpopts.EquateApprox(1e-9, 0) }
 
-// However digests arrive, late, twice or from an earlier incarnation: the sum is that of each process's newest.
+// TestOrderDoesNotMatter checks that the sum is that of the newest digest of each process, even if digests arrive late, twice or
+// from an earlier incarnation, or if a process stops reporting for a while.
 func TestOrderDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var all []sentDigest
@@ -57,7 +61,7 @@
 		for _, s := range append(rapid.Permutation(all).Draw(t, "order"), rapid.Permutation(all).Draw(t, "again")...) {
 			now := s.countedAt + time.Duration(rapid.IntRange(0, 5).Draw(t, "late"))*time.Second
 			table.Put(now, s.aged(now))
-			if rapid.Bool().Draw(t, "went") { // a process that stops reporting here and returns adds nothing old
+			if rapid.Bool().Draw(t, "stops reporting") { // a process stops reporting here and returns; its old digests must not count
 				table.SetReporters(lives[1:])
 				table.SetReporters(lives)
 				if s.digest.From.Name == "0" {
@@ -65,7 +69,7 @@
 				}
 			}
 		}
-		for _, s := range newest { // those that were away send again, under a higher number
+		for _, s := range newest { // all send a newer digest, as some may have been removed
 			s.digest.Seq += 100
 			table.Put(end, s.aged(end))
 		}
@@ -75,11 +79,12 @@
 			got[r.Destination] = r.Messages
 		}
 		if d := cmp.Diff(want, got, approximately()); d != "" || processes != 1+len(newest) {
-			t.Fatal(processes, d)
+			t.Fatalf("sum of %d processes (-want +got):\n%s", processes, d)
 		}
 	})
 }
 
+// TestPutResults checks the result of Put for valid and invalid digests.
 func TestPutResults(t *testing.T) {
 	table := NewTable(halfLife)
 	table.SetReporters([]view.Life{{Name: "a", Incarnation: 5}})
@@ -87,12 +92,12 @@
 		return NewDigest(view.Life{Name: "a", Incarnation: 5}, 1, 1, []count.Row{{Destination: 1, Messages: 3}})
 	}
 	for i, c := range []struct {
-		want  PutResult
-		spoil func(*Digest)
+		want   PutResult
+		modify func(*Digest)
 	}{
 		{NotReporting, func(d *Digest) { d.From.Name = "b" }},
 		{NotReporting, func(d *Digest) { d.From.Incarnation = 4 }},
-		{Invalid, func(d *Digest) { d.Age = -time.Hour }}, // a clock that is off shows in an age alone, and is rejected
+		{Invalid, func(d *Digest) { d.Age = -time.Hour }}, // as after a clock was set back
 		{Outdated, func(d *Digest) { d.Age = time.Hour }},
 		{Invalid, func(d *Digest) { d.Messages[0] = math.NaN() }},
 		{Invalid, func(d *Digest) { d.Messages[0] = 1e12 }},
@@ -103,21 +108,22 @@
 		{Accepted, func(*Digest) {}},
 		{Outdated, func(*Digest) {}},
 		{Accepted, func(d *Digest) { d.From.Incarnation, d.Seq = 6, 0 }},
-		{Outdated, func(d *Digest) { d.Seq = 99 }}, // of the incarnation before
+		{Outdated, func(d *Digest) { d.Seq = 99 }}, // of the earlier incarnation
 	} {
 		d := good()
-		c.spoil(&d)
+		c.modify(&d)
 		if got := table.Put(time.Hour, d); got != c.want {
-			t.Error(i, got, c.want)
+			t.Errorf("case %d: got %d, want %d", i, got, c.want)
 		}
 	}
 	table.SetReporters(nil)
 	if rows, n := table.Sum(time.Hour, nil); len(rows) != 0 || n != 1 {
-		t.Error("a process that stopped reporting still counts", rows, n)
+		t.Errorf("after the process stopped reporting: rows %v of %d processes, want none of its own", rows, n)
 	}
 }
 
-// Popular at no single process: forty others are ahead of it at each of ten processes, and in the region it leads.
+// TestPopularOnlyInTheRegion checks that a destination ranks first in the region although at each of ten processes forty other
+// destinations rank before it.
 func TestPopularOnlyInTheRegion(t *testing.T) {
 	table := NewTable(halfLife)
 	var lives []view.Life
@@ -133,22 +139,23 @@
 		table.Put(0, NewDigest(l, 1, 1, rows))
 	}
 	if rows, n := table.Sum(0, nil); rows[0].Destination != 7 || n != 11 || len(rows) != MaxRows {
-		t.Error(rows[0], n, len(rows))
+		t.Errorf("first row %v, %d processes, %d rows", rows[0], n, len(rows))
 	}
 }
 
+// TestChangedFraction checks equal, decayed, empty and partly equal rows.
 func TestChangedFraction(t *testing.T) {
 	a := []count.Row{{Destination: 1, Messages: 10}, {Destination: 2, Messages: 10}}
 	for _, c := range []struct {
-		is   []count.Row
-		left float64
-		want float64
+		after   []count.Row
+		decayed float64
+		want    float64
 	}{{a, 1, 0}, {a, 0.5, 0.5}, {nil, 1, 1}, {a[:1], 1, 0.5}} {
-		if got := ChangedFraction(a, c.is, c.left); math.Abs(got-c.want) > 1e-9 {
-			t.Error(c, got)
+		if got := ChangedFraction(a, c.after, c.decayed); math.Abs(got-c.want) > 1e-9 {
+			t.Errorf("case %v: got %v", c, got)
 		}
 	}
 	if ChangedFraction(nil, nil, 1) != 0 {
-		t.Error("nothing counts as a change")
+		t.Error("the change between empty rows is not 0")
 	}
 }
--- a/internal/cluster/popularity/recall/recall_test.go
+++ b/internal/cluster/popularity/recall/recall_test.go
@@ -11,11 +11,13 @@
 	"flaxcove/internal/cluster/view"
 )
 
+// newLesson returns the learned state of endpoint number e.
 func newLesson(e int, mean float64, age time.Duration) EndpointState {
 	return EndpointState{Endpoint: choice.EndpointID(rune(96 + e)), Mean: mean, Past: mean, Seen: 10, Age: age, Zone: "z"}
 }
 
-// Of one endpoint the newest stays, however lessons come and how often.
+// TestOrderDoesNotMatter checks that a Summary retains the newest state of each endpoint, whatever the order and number of calls of
+// Put.
 func TestOrderDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		type sent struct {
@@ -42,28 +44,31 @@
 	})
 }
 
+// TestBoundsAndForget checks that the oldest destination is dropped from a full Summary, that state learned before Forget is not
+// accepted, and that state older than MaxAge is not returned.
 func TestBoundsAndForget(t *testing.T) {
 	s := NewSummary(3)
 	for d := range choice.DestinationID(10) {
 		s.Put(view.Uptime(d), DestinationState{d, []EndpointState{newLesson(1, 1, 0)}})
 	}
 	if _, oldest := s.Lookup(10, 0); oldest || s.Len() != 3 {
-		t.Error("the oldest destination stayed", s.Len())
+		t.Error("the oldest destination was not dropped; destinations in the summary:", s.Len())
 	}
 	s.Forget(20, 9)
-	s.Put(30, DestinationState{9, []EndpointState{newLesson(1, 1, 15)}}) // learned at 15, on its way when it was forgotten
+	s.Put(30, DestinationState{9, []EndpointState{newLesson(1, 1, 15)}}) // learned at 15, so before Forget, but received afterwards
 	if _, some := s.Lookup(30, 9); some {
-		t.Error("void lessons came back")
+		t.Error("state learned before Forget was accepted")
 	}
 	s.Put(30, DestinationState{9, []EndpointState{newLesson(1, 1, 5)}})
 	if _, some := s.Lookup(30, 9); !some {
-		t.Error("what was learned since is not taken")
+		t.Error("state learned after Forget was not accepted")
 	}
 	if _, some := s.Lookup(30+MaxAge+1, 9); some {
-		t.Error("returned although it is too old")
+		t.Error("state older than MaxAge was returned")
 	}
 }
 
+// TestDiscountByAge checks what Discount returns for learned state of different ages and zones.
 func TestDiscountByAge(t *testing.T) {
 	l := newLesson(1, 50, 0)
 	l.Seen, l.Limit, l.Wait = 1000, 20, 90*choice.Second
@@ -76,7 +81,7 @@
 	}{
 		{0, "z", maxAnswers, 20, 90 * choice.Second, true},
 		{0, "y", maxAnswersElsewhere, 20, 90 * choice.Second, true},
-		{time.Minute + time.Second, "z", 2.8, 0, 29 * choice.Second, true}, // an old limit is not trusted, a wait is
+		{time.Minute + time.Second, "z", 2.8, 0, 29 * choice.Second, true}, // the limit is too old, the wait is not
 		{2 * ageHalfLife, "z", 1, 0, 0, true},
 		{MaxAge + 1, "z", 0, 0, 0, false},
 		{-1, "z", 0, 0, 0, false},
@@ -85,7 +90,7 @@
 		got, some := Discount(l, c.zone)
 		k := got.LearnedState
 		if some != c.some || k.Limit != c.limit || k.Wait != c.wait || k.Seen < c.seen-0.05 || k.Seen > c.seen+0.05 {
-			t.Error(c, got, some)
+			t.Errorf("case %v: got %v, applicable %v", c, got, some)
 		}
 	}
 }
--- a/internal/cluster/popularity/run/cluster_test.go
+++ b/internal/cluster/popularity/run/cluster_test.go
@@ -17,11 +17,12 @@
 	"flaxcove/internal/sender/clusterapi"
 )
 
-// This file has the processes in memory that the tests run: links that lose calls, and senders that hold destinations.
+// This file implements the cluster in memory that the tests run: links that can lose calls, and senders that cache destinations.
 
+// handler handles calls of one path.
 type handler = func(context.Context, view.Life, []byte) (any, error)
 
-// testCluster is processes in memory: two regions, and a link that can lose any of them.
+// testCluster is a cluster of processes in two regions, each of which can become unreachable.
 type testCluster struct {
 	t              *testing.T
 	mu             sync.Mutex
@@ -31,12 +32,13 @@
 	down           map[view.Name]bool
 	runners        map[view.Name]*Runner
 	senders        map[view.Name]*fakeSender
-	maxMessageSize int // bytes of a message
-	requests       int
-	requestGate    chan struct{} // requests wait until it is closed
-	openGate       func()
+	maxMessageSize int           // size in bytes of the largest message
+	requests       int           // calls to requestPath
+	requestGate    chan struct{} // calls to requestPath wait until it is closed
+	openGate       func()        // closes requestGate
 }
 
+// testLink is the Link of one process.
 type testLink struct {
 	cluster *testCluster
 	self    view.Life
@@ -64,7 +66,7 @@
 		<-e.cluster.requestGate
 	}
 	if lost || h == nil {
-		return errors.New("no answer")
+		return errors.New("process is unreachable")
 	}
 	answer, err := h(ctx, e.self, body)
 	if err != nil || out == nil {
@@ -76,7 +78,7 @@
 	return json.Unmarshal(body, out)
 }
 
-// fakeSender holds destinations; its loop is whoever calls.
+// fakeSender is a sender that caches destinations. It calls back at once, on the goroutine of the caller.
 type fakeSender struct {
 	mu     sync.Mutex
 	held   map[choice.DestinationID]clusterapi.Held
@@ -107,14 +109,15 @@
 	done(all)
 }
 
-func (s *fakeSender) Teach(lessons []clusterapi.LearnedEndpoint) {
+func (s *fakeSender) Teach(learned []clusterapi.LearnedEndpoint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, l := range lessons {
+	for _, l := range learned {
 		s.taught[l.Endpoint] = l
 	}
 }
 
+// endpoint returns the only endpoint of a destination.
 func endpoint(d choice.DestinationID) choice.EndpointID { return choice.EndpointID(fmt.Sprint("e", d)) }
 
 func (s *fakeSender) Know(of []choice.DestinationID, done func([]clusterapi.LearnedEndpoint)) {
@@ -122,6 +125,7 @@
 	done([]clusterapi.LearnedEndpoint{{Endpoint: endpoint(of[0]), LearnedState: k}})
 }
 
+// hold adds destinations to the cache.
 func (s *fakeSender) hold(all ...clusterapi.Held) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -130,13 +134,15 @@
 	}
 }
 
+// has reports whether a destination is cached.
 func (s *fakeSender) has(d choice.DestinationID) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	_, is := s.held[d]
-	return is
+	_, found := s.held[d]
+	return found
 }
 
+// counts returns the numbers of cached destinations and of endpoints with received learned state.
 func (s *fakeSender) counts() (held, taught int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -145,6 +151,8 @@
 
 const tickInterval = 20 * time.Millisecond
 
+// startCluster starts eight processes, p0 to p7. Those with even numbers are in region r0, the others in r1. p6 and p7 are small.
+// The cluster is stopped at the end of the test.
 func startCluster(t *testing.T, bounds evict.Bounds) *testCluster {
 	w := &testCluster{t: t, requestGate: make(chan struct{}), handlers: map[view.Name]map[string]handler{}, down: map[view.Name]bool{},
 		runners: map[view.Name]*Runner{}, senders: map[view.Name]*fakeSender{}}
@@ -159,7 +167,7 @@
 	}
 	w.setMembers(all)
 	for i, m := range all {
-		began := time.Now().Add(-time.Duration(i) * time.Hour) // no two clocks are near each other
+		began := time.Now().Add(-time.Duration(i) * time.Hour) // all clocks differ by hours
 		w.handlers[m.Name] = map[string]handler{}
 		w.senders[m.Name] = &fakeSender{held: map[choice.DestinationID]clusterapi.Held{},
 			taught: map[choice.EndpointID]clusterapi.LearnedEndpoint{}}
@@ -179,6 +187,7 @@
 	return w
 }
 
+// setMembers sets the view of all processes.
 func (w *testCluster) setMembers(all []view.Member) {
 	v := view.New("", 1, all)
 	w.mu.Lock()
@@ -198,7 +207,7 @@
 	return w.tree
 }
 
-// fail makes a process answer nobody, which others see.
+// fail makes a process unreachable and removes it from the view.
 func (w *testCluster) fail(name view.Name) {
 	w.mu.Lock()
 	w.down[name] = true
@@ -207,16 +216,17 @@
 	w.setMembers(all)
 }
 
-// waitFor waits for a condition that must come true; the bound is far beyond what it takes.
+// waitFor waits until a condition is true. It fails the test after 5 s, which is much longer than any condition takes.
 func (w *testCluster) waitFor(what string, f func() bool) {
 	w.t.Helper()
 	for end := time.Now().Add(5 * time.Second); !f(); time.Sleep(tickInterval / 4) {
 		if time.Now().After(end) {
-			w.t.Fatal("not within five seconds: ", what)
+			w.t.Fatalf("condition not true within 5 s: %s", what)
 		}
 	}
 }
 
+// score returns the score of a destination at a process, without its own counts.
 func (w *testCluster) score(name view.Name, d choice.DestinationID) float64 {
 	r := w.runners[name]
 	now := r.options.Now()
--- a/internal/cluster/popularity/run/requests.go
+++ b/internal/cluster/popularity/run/requests.go
@@ -19,7 +19,7 @@
 const (
 	requestPath         = "/popularity/ask"
 	maxPerRequest       = 64 // destinations in a call
-	maxRequestsInFlight = 2
+	maxRequestsInFlight = 2  // calls
 )
 
 // learnedStateRequest asks for the learned state of destinations.
--- a/internal/cluster/purge/ledger/ledger.go
+++ b/internal/cluster/purge/ledger/ledger.go
@@ -20,9 +20,9 @@
 	MaxFullRecords      = 16384 // purges that are open or that a process may still need; new purges beyond it are rejected
 	MaxCompactedRecords = 16384 // compacted purges, retained for their ids; the id of a dropped record can be used for another purge
 	MaxLearnedState     = 4096  // closed purges of learned state, which has no deadline, that are retained in full
-	MaxParticipants     = 4096
-	MaxLapsedNames      = 64   // names in a Closure or Record of participants that did not acknowledge
-	maxDetailedRecords  = 1024 // newest closed purges, which retain contents and sums by zone for status requests
+	MaxParticipants     = 4096  // joins of further processes are rejected
+	MaxLapsedNames      = 64    // names in a Closure or Record of participants that did not acknowledge
+	maxDetailedRecords  = 1024  // newest closed purges, which retain contents and sums by zone for status requests
 )
 
 // LapseMargin is added to the longest deadline to get the age from which a missing acknowledgement may lapse. A sender ends
--- a/internal/cluster/purge/ledger/ledger_test.go
+++ b/internal/cluster/purge/ledger/ledger_test.go
@@ -14,6 +14,7 @@
 	"flaxcove/internal/sender/clusterapi"
 )
 
+// mustApply applies a command and returns its result. It fails the test if either cannot be encoded or decoded.
 func mustApply[A any](t interface{ Fatalf(string, ...any) }, l *Ledger, at time.Duration, kind string, c any) (a A) {
 	body, err := json.Marshal(c)
 	if err != nil {
@@ -41,7 +42,7 @@
 	l := New()
 	first := mustApply[OpenResult](t, l, 0, KindOpen, testOpen("a"))
 	if again := mustApply[OpenResult](t, l, 1, KindOpen, testOpen("a")); !again.Duplicate || again.Seq != first.Seq {
-		t.Fatalf("the same id again: %+v", again)
+		t.Fatalf("the same command applied twice: %+v, want the first purge as a duplicate", again)
 	}
 	for field, change := range map[string]func(*Open){
 		"match": func(o *Open) { o.Match.Key = "other" },
@@ -51,7 +52,7 @@
 		o := testOpen("a")
 		change(&o)
 		if got := mustApply[OpenResult](t, l, 2, KindOpen, o); got.Field != field || !strings.Contains(got.Rejected, field) {
-			t.Errorf("%s: %+v", field, got)
+			t.Errorf("id reused with another %s: %+v, want a rejection that names the field", field, got)
 		}
 	}
 	for field, o := range map[string]Open{
@@ -62,18 +63,19 @@
 		"why":               {ID: "b", Subject: Messages, Match: clusterapi.Match{Key: "k"}, RequestedBy: "w"},
 	} {
 		if got := mustApply[OpenResult](t, l, 3, KindOpen, o); got.Field != field {
-			t.Errorf("%s: %+v", field, got)
+			t.Errorf("invalid %s: %+v, want a rejection that names the field", field, got)
 		}
 	}
 	if l.LastSeq() != 1 {
-		t.Errorf("%d purges", l.LastSeq())
+		t.Errorf("%d purges were opened, want 1", l.LastSeq())
 	}
 	if _, err := l.Apply(0, 4, KindOpen, json.RawMessage(`{"id":`)); err == nil {
-		t.Error("a torn command was taken")
+		t.Error("a truncated command was applied without an error")
 	}
 }
 
-// A purge closes without an acknowledgement only past the longest deadline, and a participant that joins is waited for.
+// TestCloseWaitsForParticipants checks that a missing acknowledgement lapses only after the longest deadline and LapseMargin, and
+// that a Close is rejected if a participant has joined since its acknowledgements were counted.
 func TestCloseWaitsForParticipants(t *testing.T) {
 	l := New()
 	mustApply[JoinResult](t, l, 0, KindJoin, Join{Participants: []Participant{participant("p", 1), participant("q", 1)}})
@@ -85,21 +87,22 @@
 	all := Close{RosterVersion: l.RosterVersion(), Closures: []Closure{{Seq: 1, Zones: []ZoneSum{{Zone: "z1", Reached: 2}}}}}
 	mustApply[JoinResult](t, l, time.Minute, KindJoin, Join{Participants: []Participant{participant("q", 2)}})
 	if got := mustApply[CloseResult](t, l, time.Minute, KindClose, all); got.Closed != 0 {
-		t.Fatalf("closed past a life that joined: %+v", got)
+		t.Fatalf("closed although a new incarnation has joined: %+v", got)
 	}
 	if got := mustApply[JoinResult](t, l, time.Minute, KindJoin, Join{Participants: []Participant{participant("q", 1)}}); got.Rejected == "" {
-		t.Fatal("an older incarnation took the seat")
+		t.Fatal("an older incarnation replaced a newer one")
 	}
 	lapse.RosterVersion = l.RosterVersion()
 	if got := mustApply[CloseResult](t, l, time.Second+time.Minute+LapseMargin, KindClose, lapse); got.Closed != 1 {
-		t.Fatalf("not lapsed: %+v", got)
+		t.Fatalf("not closed after the longest deadline and LapseMargin: %+v", got)
 	}
 	if r, _ := l.Find("a"); r.State != Lapsed || r.Reached != 1 || r.Lapsed != 1 {
-		t.Fatalf("%+v", r)
+		t.Fatalf("record %+v, want one acknowledgement and one that lapsed", r)
 	}
 }
 
-// Ten thousand purges are accepted, closed and compacted within the bounds; an open one is never dropped.
+// TestTenThousandPurges checks that ten thousand purges can be opened, closed and compacted within the bounds, and that an open
+// purge is never dropped.
 func TestTenThousandPurges(t *testing.T) {
 	l := New()
 	mustApply[JoinResult](t, l, 0, KindJoin, Join{Participants: []Participant{participant("p", 1)}})
@@ -107,10 +110,10 @@
 		mustApply[OpenResult](t, l, 0, KindOpen, testOpen(fmt.Sprint(i)))
 	}
 	if got := mustApply[OpenResult](t, l, 0, KindOpen, testOpen("one more")); !got.Full || got.Rejected == "" {
-		t.Fatalf("beyond the bound: %+v", got)
+		t.Fatalf("a purge beyond MaxFullRecords: %+v, want a rejection", got)
 	}
 	if got := mustApply[OpenResult](t, l, 0, KindOpen, testOpen("7")); !got.Duplicate {
-		t.Fatalf("a known id in a full ledger: %+v", got)
+		t.Fatalf("a known id in a full ledger: %+v, want a duplicate", got)
 	}
 	c := Close{RosterVersion: l.RosterVersion()}
 	for i := range 10000 {
@@ -118,16 +121,16 @@
 	}
 	mustApply[CloseResult](t, l, time.Second, KindClose, c)
 	if got := mustApply[OpenResult](t, l, time.Second, KindOpen, testOpen("one more")); !got.Full {
-		t.Fatal("young closed ones may still be needed: they count")
+		t.Fatal("closed purges that a process may still need do not count towards MaxFullRecords")
 	}
 	if got := mustApply[OpenResult](t, l, 2*time.Minute, KindOpen, testOpen("one more")); got.Rejected != "" {
-		t.Fatalf("%+v", got)
+		t.Fatalf("rejected although the closed purges are past the horizon: %+v", got)
 	}
 	if r, _ := l.Find("7"); !r.Compacted || r.State != Complete || r.Match.Key != "" {
-		t.Errorf("not compacted: %+v", r)
+		t.Errorf("a closed purge past the horizon was not compacted: %+v", r)
 	}
 	if got := mustApply[OpenResult](t, l, 2*time.Minute, KindOpen, testOpen("7")); !got.Duplicate || got.State != Complete {
-		t.Errorf("a short row still answers its id: %+v", got)
+		t.Errorf("the id of a compacted purge: %+v, want a duplicate that is complete", got)
 	}
 	for s := l.OldestOpen(); s <= l.LastSeq(); s++ {
 		if l.records[s] == nil || l.records[s].Compacted {
@@ -136,8 +139,9 @@
 	}
 }
 
-// Any commands: a second ledger that is restored from snapshots in between stays identical; Seqs never fork or go back;
-// the open purges are always the newest ones; an id stands for the same purge as long as it is retained.
+// TestReplicasStayIdentical applies random commands to two ledgers, one of which is restored from snapshots in between. It
+// checks that both stay identical, that the last Seq never decreases, that the open purges are always the newest ones, and that
+// an id always belongs to the same purge.
 func TestReplicasStayIdentical(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l, twin := New(), New()
@@ -171,16 +175,16 @@
 			if o, ok := c.(Open); ok {
 				seq := l.seqByID[o.ID]
 				if was, known := seqs[o.ID]; known && was != seq {
-					t.Fatalf("%s was %d, is %d", o.ID, was, seq)
+					t.Fatalf("id %s belonged to purge %d, now to %d", o.ID, was, seq)
 				}
 				seqs[o.ID] = seq
 			}
 			if l.lastSeq < last || l.oldestOpen > l.lastSeq+1 {
-				t.Fatalf("floor %d last %d, was %d", l.oldestOpen, l.lastSeq, last)
+				t.Fatalf("oldest open purge %d, last purge %d, which was %d before", l.oldestOpen, l.lastSeq, last)
 			}
 			for s, r := range l.records {
 				if (s >= l.oldestOpen) != (r.State == Spreading) {
-					t.Fatalf("%d is %q, floor %d", s, r.State, l.oldestOpen)
+					t.Fatalf("purge %d is %q, oldest open purge %d", s, r.State, l.oldestOpen)
 				}
 			}
 			if rapid.Bool().Draw(t, "restart") {
--- a/internal/cluster/purge/ledger/storeddata_test.go
+++ b/internal/cluster/purge/ledger/storeddata_test.go
@@ -14,7 +14,7 @@
 	"flaxcove/internal/sender/clusterapi"
 )
 
-// storedRecords are the purges after the stored commands, one of each state and subject.
+// storedRecords returns the purges that result from the stored commands: one for each state and subject.
 func storedRecords() []ledger.Record {
 	destination := new(choice.DestinationID(-7))
 	return []ledger.Record{
@@ -42,6 +42,7 @@
 	}
 }
 
+// storedParticipants returns the participants that result from the stored commands.
 func storedParticipants() []ledger.Participant {
 	return []ledger.Participant{
 		{Life: view.Life{Name: "a", Incarnation: 5}, Zone: "z1", Region: "r1", Folder: "fa", LongestDeadline: time.Minute},
@@ -49,20 +50,21 @@
 	}
 }
 
-// TestReplaysStoredPurges: the commands in an older program's log are decided and answered as they were.
+// TestReplaysStoredPurges checks that the commands in the log of an older program have the same results as they had there.
 func TestReplaysStoredPurges(t *testing.T) {
 	l := ledger.New()
 	machinetest.Replay(t, l)
 	checkStoredPurges(t, l)
 }
 
-// TestReadsStoredPurges: all of an older program's snapshot is read.
+// TestReadsStoredPurges checks that the snapshot of an older program is restored completely.
 func TestReadsStoredPurges(t *testing.T) {
 	l := ledger.New()
 	machinetest.Restore(t, l)
 	checkStoredPurges(t, l)
 }
 
+// checkStoredPurges checks that a ledger has the content of the stored data.
 func checkStoredPurges(t *testing.T, l *ledger.Ledger) {
 	t.Helper()
 	for _, want := range storedRecords() {
@@ -77,15 +79,15 @@
 	for _, c := range []struct {
 		what      string
 		got, want uint64
-	}{{"last", l.LastSeq(), 4}, {"floor", l.OldestOpen(), 4}, {"roster", l.RosterVersion(), 5}} {
+	}{{"last Seq", l.LastSeq(), 4}, {"oldest open purge", l.OldestOpen(), 4}, {"roster version", l.RosterVersion(), 5}} {
 		if c.got != c.want {
-			t.Errorf("%s is %d, stored is %d", c.what, c.got, c.want)
+			t.Errorf("%s is %d, stored %d", c.what, c.got, c.want)
 		}
 	}
 	var state struct {
 		At time.Duration `json:"at"`
 	}
 	if text, err := l.Snapshot(); err != nil || json.Unmarshal(text, &state) != nil || state.At != 11*time.Minute {
-		t.Errorf("%v, the time of the newest command is %v", err, state.At)
+		t.Errorf("snapshot: error %v, time of the newest command %v, want 11m", err, state.At)
 	}
 }
--- a/internal/cluster/purge/run/run.go
+++ b/internal/cluster/purge/run/run.go
@@ -2,9 +2,8 @@
 // to the sender, proposes commands of the ledger, and serves the HTTP interface for callers.
 //
 // A Runner owns the goroutines of purges and the lock purge.mu, whose place in the lock order package cluster defines. The lock
-// guards the process's spread.State, and its spread.LeaderState while it leads the consensus group. The package takes no
-// decisions: which processes have acknowledged a purge is determined by packages spread and ledger. A purge is acknowledged
-// only once the sender has it on disk, and the lock is never held during a call. A process that reaches no other process
+// guards the process's spread.State, and its spread.LeaderState while it leads the consensus group. The package
+// does not decide which processes have acknowledged a purge; packages spread and ledger do. A purge is acknowledged only once the sender has it on disk, and the lock is never held during a call. A process that reaches no other process
 // still starts to serve, because Ready is closed after a bounded wait.
 package run
 
--- a/internal/cluster/purge/spread/children.go
+++ b/internal/cluster/purge/spread/children.go
@@ -75,7 +75,7 @@
 }
 
 // backoff returns the wait before the next attempt after a number of failures.
-func backoff(fails int) time.Duration { return min(minBackoff<<min(fails, 8), maxBackoff) }
+func backoff(failures int) time.Duration { return min(minBackoff<<min(failures, 8), maxBackoff) }
 
 // HandleReport processes a child's report about itself and all processes below it, and returns the answer to it.
 func (s *State) HandleReport(report Report, now view.Uptime) ReportAnswer {
--- a/internal/cluster/purge/spread/guarantee_test.go
+++ b/internal/cluster/purge/spread/guarantee_test.go
@@ -1,6 +1,6 @@
 package spread
 
-// This file is the test of the guarantee under any faults.
+// This file tests the guarantee of a complete purge under random faults.
 
 import (
 	"fmt"
@@ -16,20 +16,21 @@
 	"flaxcove/internal/sender/withdrawal"
 )
 
-// Any faults: no matching message is sent after a purge is complete, and once the links work all purges are closed with
-// each finding counted once.
+// TestNoMatchingMessageSentAfterComplete runs a random fleet with random faults. It checks that no message is sent that matches a
+// complete purge and was accepted before it was opened; and that, once there are no more faults, all purges are closed and
+// each finding is counted once.
 func TestNoMatchingMessageSentAfterComplete(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 30).Draw(t, "processes")
 		w := newSimulation(nil, t.Fatalf, n, min(n, 3), time.Hour)
 		some := func(what string) *process { return w.processes[rapid.IntRange(0, n-1).Draw(t, what)] }
 		key := rapid.SampledFrom([]string{"a", "b", "c"})
-		restored := false // then what was found first is forgotten on disk, and the truth with it
+		restored := false // whether a folder was restored from an old copy, which loses the findings stored on disk since
 		for range rapid.IntRange(10, 120).Draw(t, "steps") {
 			w.now += time.Duration(rapid.IntRange(1, 30).Draw(t, "hundredths")) * 10 * time.Millisecond
 			switch rapid.IntRange(0, 13).Draw(t, "what") {
 			case 0, 1:
-				for range rapid.IntRange(1, 4).Draw(t, "notices") {
+				for range rapid.IntRange(1, 4).Draw(t, "messages") {
 					if p := some("at"); p.alive {
 						p.disk.messages = append(p.disk.messages, &testMessage{key: key.Draw(t, "key"), acceptedAt: w.now, purgesSeen: p.state.ReceivedSeq()})
 					}
@@ -50,14 +51,14 @@
 					w.lead(w.leader)
 				}
 				w.updateTree(p)
-			case 6: // killed between effect and acknowledgement
+			case 6: // killed after applying purges and before acknowledging them
 				if p := some("killed"); p.alive {
 					if all := p.state.NextBatch(w.now); all != nil {
 						w.apply(p, all)
 						p.alive = false
 					}
 				}
-			case 7: // the tree turns; who sees it when is drawn
+			case 7: // the tree changes; processes see that at random times (case 8)
 				root := rapid.IntRange(0, n-1).Draw(t, "root")
 				wide := rapid.IntRange(1, 5).Draw(t, "wide")
 				for i := range n {
@@ -75,7 +76,7 @@
 			case 12:
 				p := some("copied")
 				p.oldDisk = p.disk.copy()
-			case 13: // reached nobody so far, took messages on all the same, and joins
+			case 13: // a new process joins that has already accepted a message
 				p := &process{name: view.Name(fmt.Sprintf("q%02d", len(w.processes))), zone: "z0", alive: true, incarnation: 1,
 					disk: &disk{folder: "new", found: map[uint64]clusterapi.Found{}}}
 				p.disk.messages = append(p.disk.messages, &testMessage{key: key.Draw(t, "key"), acceptedAt: w.now - time.Second})
@@ -92,13 +93,13 @@
 				case 0:
 					m.fail()
 				case 1:
-					w.network = append([]envelope{m}, w.network...) // late, and before others
+					w.network = append([]envelope{m}, w.network...) // delayed, and delivered before others
 				case 2:
 					m.deliver()
 					m.deliver()
 				case 3:
 					m.deliver()
-					m.fail() // arrived, its answer did not
+					m.fail() // delivered, but its answer is lost
 				default:
 					m.deliver()
 				}
@@ -115,28 +116,28 @@
 		}
 		w.settle(3000)
 		if w.ledger.OldestOpen() != w.ledger.LastSeq()+1 {
-			t.Fatalf("purge %d of %d is still open", w.ledger.OldestOpen(), w.ledger.LastSeq())
+			t.Fatalf("without faults, purge %d of %d is still open", w.ledger.OldestOpen(), w.ledger.LastSeq())
 		}
 		for seq := uint64(1); seq <= w.ledger.LastSeq(); seq++ {
-			var truth, sure clusterapi.Found
+			var onAllDisks, onCurrentDisks clusterapi.Found
 			for _, d := range w.disks {
-				truth = AddFound(truth, d.found[seq])
+				onAllDisks = AddFound(onAllDisks, d.found[seq])
 			}
 			for _, p := range w.processes {
-				sure = AddFound(sure, p.disk.found[seq])
+				onCurrentDisks = AddFound(onCurrentDisks, p.disk.found[seq])
 			}
-			if r := record(w, seq); r.State != ledger.Complete || !restored && (r.Found.NotBegun > truth.NotBegun ||
-				r.Found.Delivered > truth.Delivered) {
-				t.Fatalf("purge %d: %+v, in truth %+v", seq, r, truth)
-			} else if !restored && r.Reached == n && len(w.disks) == n && r.Found != sure {
-				t.Fatalf("purge %d: %+v, in truth %+v", seq, r.Found, sure)
+			if r := record(w, seq); r.State != ledger.Complete || !restored && (r.Found.NotBegun > onAllDisks.NotBegun ||
+				r.Found.Delivered > onAllDisks.Delivered) {
+				t.Fatalf("purge %d: %+v, found on all disks at most %+v", seq, r, onAllDisks)
+			} else if !restored && r.Reached == n && len(w.disks) == n && r.Found != onCurrentDisks {
+				t.Fatalf("purge %d: recorded findings %+v, on disk %+v", seq, r.Found, onCurrentDisks)
 			}
 		}
 		for _, p := range w.processes {
 			w.startAttempts(p)
-			for _, nt := range p.disk.messages {
-				if nt.state == withdrawal.Waiting {
-					t.Fatalf("%s never caught up: applied %d, must %d", p.name, p.state.AppliedSeq(), p.requiredSeq)
+			for _, message := range p.disk.messages {
+				if message.state == withdrawal.Waiting {
+					t.Fatalf("%s has a message that was not sent or withdrawn: applied purges up to %d, required %d", p.name, p.state.AppliedSeq(), p.requiredSeq)
 				}
 			}
 		}
--- a/internal/cluster/purge/spread/leader.go
+++ b/internal/cluster/purge/spread/leader.go
@@ -144,7 +144,7 @@
 		Delivered: a.Delivered + b.Delivered, LearnedState: a.LearnedState + b.LearnedState}
 }
 
-// closure returns the outcome of a purge by zone, with its findings by process.
+// closure returns the outcome of a purge by zone. found is what the purge found at each process.
 func (l *LeaderState) closure(seq uint64, found map[view.Name]clusterapi.Found) ledger.Closure {
 	closure := ledger.Closure{Seq: seq}
 	zones := map[view.Zone]*ledger.ZoneSum{}
--- a/internal/cluster/purge/spread/messages.go
+++ b/internal/cluster/purge/spread/messages.go
@@ -75,8 +75,8 @@
 }
 
 // Parent is the process to which another one reports: its parent in the tree, or, for the root, the leader of the consensus
-// group (IsLeader). While views of the membership differ, a process can receive reports of the same process in both roles.
-// It keeps them apart: a report to it as the leader does not count as a report to it as the parent, or vice versa.
+// group (IsLeader). While views of the membership differ, the same process can send updates in both roles. The roles are kept
+// apart: a report to the leader does not count as a report to the parent, or vice versa.
 type Parent struct {
 	view.Life
 	IsLeader bool
--- a/internal/cluster/purge/spread/network_test.go
+++ b/internal/cluster/purge/spread/network_test.go
@@ -1,6 +1,6 @@
 package spread
 
-// This file is the simulated network, and what the processes send over it.
+// This file simulates the network and the messages that the processes send over it.
 
 import (
 	"slices"
@@ -11,9 +11,11 @@
 	"flaxcove/internal/sender/clusterapi"
 )
 
+// envelope is a message on the network. It is either delivered or it fails, in which case the sender is told; it can also be both
+// or delivered twice.
 type envelope struct{ deliver, fail func() }
 
-// step has each state say what is due; messages go to the network.
+// step puts all messages that are due on the network, and applies purges at all processes.
 func (w *simulation) step() {
 	if w.ledger.LastSeq() > w.leaderState.ReceivedSeq() || w.ledger.OldestOpen() > w.leaderState.oldestOpen {
 		var all []clusterapi.Purge
@@ -27,7 +29,7 @@
 	w.leaderState.SetRoot(w.processes[root].life(), w.now)
 	g := w.leaderState
 	for _, to := range w.leaderState.DueUpdates(w.now) {
-		w.sendUpdate(to, func(up Report) { g.HandleRootAnswer(to.Child, up, w.now) }, func() { g.UpdateFailed(to.Child, w.now) })
+		w.sendUpdate(to, func(report Report) { g.HandleRootAnswer(to.Child, report, w.now) }, func() { g.UpdateFailed(to.Child, w.now) })
 	}
 	if c, any := w.leaderState.NextClose(256, w.now); any {
 		close := func() {
@@ -47,12 +49,12 @@
 		st := p.state
 		for _, to := range st.DueUpdates(w.now) {
 			w.count(p.name, to.Child.Name)
-			w.sendUpdate(to, func(up Report) { st.HandleAnswer(to.Child, up, w.now) }, func() { st.UpdateFailed(to.Child, w.now) })
+			w.sendUpdate(to, func(report Report) { st.HandleAnswer(to.Child, report, w.now) }, func() { st.UpdateFailed(to.Child, w.now) })
 		}
-		if up, due := st.DueReport(w.now); due {
+		if report, due := st.DueReport(w.now); due {
 			to := st.parent
 			w.network = append(w.network, envelope{func() {
-				a, ok := w.handleReport(to, up)
+				a, ok := w.handleReport(to, report)
 				if !ok {
 					st.ReportFailed(to, w.now)
 					return
@@ -67,29 +69,32 @@
 	}
 }
 
+// count counts a call if one of the processes is the root.
 func (w *simulation) count(names ...view.Name) {
 	if slices.Contains(names, w.processes[slices.Index(w.tree, -1)].name) {
 		w.rootCalls++
 	}
 }
 
-func (w *simulation) handleReport(to Parent, up Report) (ReportAnswer, bool) {
+// handleReport delivers a report. It returns false if the receiver is not alive or not the leader any more.
+func (w *simulation) handleReport(to Parent, report Report) (ReportAnswer, bool) {
 	if to.IsLeader {
 		if to.Life != w.processes[w.leader].life() {
 			return ReportAnswer{}, false
 		}
-		return w.leaderState.HandleRootReport(up, w.now), true
+		return w.leaderState.HandleRootReport(report, w.now), true
 	}
 	for _, p := range w.processes {
 		if p.life() == to.Life && p.alive {
 			w.count(to.Name)
-			return p.state.HandleReport(up, w.now), true
+			return p.state.HandleReport(report, w.now), true
 		}
 	}
 	return ReportAnswer{}, false
 }
 
-// sendUpdate carries one update; its answer waits for the processes below, as in package run.
+// sendUpdate sends an update. As in package run, the answer is delayed until the processes below have applied the purges, or for
+// MaxAnswerDelay.
 func (w *simulation) sendUpdate(to OutgoingUpdate, answered func(Report), failed func()) {
 	w.network = append(w.network, envelope{func() {
 		for _, p := range w.processes {
@@ -106,8 +111,8 @@
 					w.network = append(w.network, envelope{wait, wait})
 					return
 				}
-				up := st.Answer(to.Update, w.now)
-				w.network = append(w.network, envelope{func() { answered(up) }, failed})
+				report := st.Answer(to.Update, w.now)
+				w.network = append(w.network, envelope{func() { answered(report) }, failed})
 			}
 			wait()
 			return
@@ -116,9 +121,9 @@
 	}, failed})
 }
 
-// settle runs without lost messages until all purges are closed, for a number of ticks at most.
-func (w *simulation) settle(most int) {
-	for left := most; left > 0; left-- {
+// settle runs the simulation without faults until all purges are closed, for at most this number of steps.
+func (w *simulation) settle(maxSteps int) {
+	for left := maxSteps; left > 0; left-- {
 		w.now += 10 * time.Millisecond
 		w.step()
 		net := w.network
@@ -130,7 +135,7 @@
 			w.catchUp(p)
 		}
 		if w.ledger.OldestOpen() > w.ledger.LastSeq() {
-			left = min(left, 6) // and those that only catch up
+			left = min(left, 6) // a few more steps for processes that are still catching up
 		}
 	}
 }
--- a/internal/cluster/purge/spread/simulation_test.go
+++ b/internal/cluster/purge/spread/simulation_test.go
@@ -16,16 +16,17 @@
 	"flaxcove/internal/sender/withdrawal"
 )
 
-// This file simulates a fleet with one clock: processes with disks, a ledger that never fails, and messages that may.
+// This file simulates a fleet with a single clock: processes with disks, a ledger that never fails, and messages that can be lost.
 
 // testMessage is a message that a sender has accepted.
 type testMessage struct {
 	key        string
 	acceptedAt view.Uptime
 	state      withdrawal.State
-	purgesSeen uint64 // up to which purge its process had all when it was accepted
+	purgesSeen uint64 // ReceivedSeq of its process when the message was accepted
 }
 
+// disk is the durable state of a process.
 type disk struct {
 	folder   string
 	applied  uint64
@@ -33,15 +34,16 @@
 	messages []*testMessage
 }
 
+// process is a simulated process.
 type process struct {
 	name        view.Name
 	zone        view.Zone
 	incarnation view.Incarnation
 	alive       bool
-	requiredSeq uint64 // it is to apply up to here before it sends
-	joinedAt    uint64 // the ledger's revision when it became a participant; 0 for not
+	requiredSeq uint64 // purges that it must apply before it sends, from the answer to its join
+	joinedAt    uint64 // revision of the ledger when it became a participant; 0 if it is not one
 	disk        *disk
-	oldDisk     *disk // an old copy of the folder
+	oldDisk     *disk // an earlier copy of the disk
 	state       *State
 }
 
@@ -56,32 +58,35 @@
 
 func (p *process) life() view.Life { return view.Life{Name: p.name, Incarnation: p.incarnation} }
 
+// simulation is a simulated fleet.
 type simulation struct {
 	t               testing.TB
 	fail            func(string, ...any)
 	now             view.Uptime
 	ledger          *ledger.Ledger
 	processes       []*process
-	tree            []int // parent by number of process; -1 at the root
-	leader          int
+	tree            []int // index of each process's parent; -1 for the root
+	leader          int   // index of the leader
 	leaderState     *LeaderState
 	leaderStates    map[view.Life]*LeaderState
-	network         []envelope
-	disks           []*disk
+	network         []envelope // messages that are on their way
+	disks           []*disk    // all that were ever in use, except restored copies
 	longestDeadline time.Duration
-	rootCalls       int // calls that the root made or received
+	rootCalls       int // calls made or received by the root
 	openedAt        map[uint64]view.Uptime
 	openedKey       map[uint64]string
-	closedAt        map[uint64]uint64 // the ledger's revision when it was closed
+	closedAt        map[uint64]uint64 // revision of the ledger when the purge was closed
 }
 
-func newSimulation(t testing.TB, fail func(string, ...any), n, zones int, hard time.Duration) *simulation {
-	w := &simulation{t: t, fail: fail, ledger: ledger.New(), longestDeadline: hard, openedAt: map[uint64]view.Uptime{},
+// newSimulation returns a fleet of n processes in a number of zones, in which each has three children and process 0 is the root and
+// the leader. fail reports violations. longestDeadline is that of messages.
+func newSimulation(t testing.TB, fail func(string, ...any), n, zones int, longestDeadline time.Duration) *simulation {
+	w := &simulation{t: t, fail: fail, ledger: ledger.New(), longestDeadline: longestDeadline, openedAt: map[uint64]view.Uptime{},
 		openedKey: map[uint64]string{}, leaderStates: map[view.Life]*LeaderState{}, closedAt: map[uint64]uint64{}}
 	for i := range n {
 		p := &process{name: view.Name(fmt.Sprintf("p%02d", i)), zone: view.Zone(fmt.Sprintf("z%d", i%zones))}
 		w.processes = append(w.processes, p)
-		w.tree = append(w.tree, (i-1)/3) // each three children
+		w.tree = append(w.tree, (i-1)/3) // three children each
 		w.start(p, true)
 	}
 	w.tree[0] = -1
@@ -92,6 +97,7 @@
 	return w
 }
 
+// propose applies a command to the ledger and decodes its result.
 func (w *simulation) propose(kind string, c, answer any) {
 	body, _ := json.Marshal(c)
 	text, err := w.ledger.Apply(0, w.now, kind, body)
@@ -103,6 +109,7 @@
 	}
 }
 
+// start starts the next incarnation of a process, with an empty disk if empty is true.
 func (w *simulation) start(p *process, empty bool) {
 	p.incarnation++
 	p.alive = true
@@ -115,6 +122,7 @@
 	w.join(p)
 }
 
+// join makes a process a participant.
 func (w *simulation) join(p *process) {
 	var j ledger.JoinResult
 	w.propose(ledger.KindJoin, ledger.Join{Participants: []ledger.Participant{{Life: p.life(), Zone: p.zone, Region: "r",
@@ -122,6 +130,7 @@
 	p.requiredSeq, p.joinedAt = j.Seq, w.ledger.Revision()
 }
 
+// lead makes process i the leader, with the LeaderState that this incarnation had before, if any.
 func (w *simulation) lead(i int) {
 	life := w.processes[i].life()
 	if w.leaderStates[life] == nil {
@@ -130,23 +139,25 @@
 	w.leader, w.leaderState = i, w.leaderStates[life]
 }
 
+// updateTree tells a process its current position in the tree.
 func (w *simulation) updateTree(p *process) {
-	me := slices.Index(w.processes, p)
+	self := slices.Index(w.processes, p)
 	var parent Parent
-	if up := w.tree[me]; up >= 0 {
-		parent.Life = w.processes[up].life()
+	if above := w.tree[self]; above >= 0 {
+		parent.Life = w.processes[above].life()
 	} else {
 		parent = Parent{w.processes[w.leader].life(), true}
 	}
 	var children []view.Life
-	for i, up := range w.tree {
-		if up == me {
+	for i, above := range w.tree {
+		if above == self {
 			children = append(children, w.processes[i].life())
 		}
 	}
 	p.state.SetTree(parent, children, w.now)
 }
 
+// open opens a purge of messages with a key and returns its Seq.
 func (w *simulation) open(key string) uint64 {
 	var o ledger.OpenResult
 	id := fmt.Sprintf("%s-%d", key, w.ledger.LastSeq())
@@ -159,10 +170,10 @@
 	return o.Seq
 }
 
-// ticks is a time in the sender's unit.
+// ticks converts a time to the unit of the sender.
 func ticks(t view.Uptime) choice.Time { return config.RoundDown(time.Duration(t).Nanoseconds()) }
 
-// apply does to a disk what a sender does; a purge is durable before it is acknowledged.
+// apply applies purges to a disk as a sender does, and returns what they found. Purges are on disk before they are acknowledged.
 func (w *simulation) apply(p *process, all []clusterapi.Purge) (found []clusterapi.Found) {
 	for _, o := range all {
 		f := p.disk.found[o.Seq]
@@ -174,7 +185,7 @@
 				}
 				fate := n.state.Fate()
 				if fate != withdrawal.Untouched && n.purgesSeen >= o.Seq {
-					w.fail("%s: a notice taken on with purge %d at hand was touched by it", p.name, o.Seq)
+					w.fail("%s: purge %d affected a message that was accepted after the purge was received", p.name, o.Seq)
 				}
 				fate.Add(&f)
 				if fate == withdrawal.End {
@@ -188,8 +199,9 @@
 	return found
 }
 
-// startAttempts sends what waits at a process, and checks the guarantee. A process that has caught up must respect all
-// purges; one that serves without having caught up, those closed since it became a participant.
+// startAttempts sends the waiting messages of a process and checks the guarantee: none of them may match a closed purge that was
+// opened after the message was accepted. For a process that has not caught up, this applies only to purges that were closed
+// after it became a participant.
 func (w *simulation) startAttempts(p *process) {
 	if !p.alive {
 		return
@@ -205,13 +217,13 @@
 				continue
 			}
 			if caught || p.joinedAt > 0 && w.closedAt[seq] > p.joinedAt {
-				w.fail("%s begins a notice taken on at %v after purge %d of %v was complete", p.name, n.acceptedAt, seq, at)
+				w.fail("%s sends a message accepted at %v although a matching purge %d, opened at %v, is closed", p.name, n.acceptedAt, seq, at)
 			}
 		}
 	}
 }
 
-// catchUp has a process that started ask the leader for what it missed.
+// catchUp makes a process that has not caught up request missed purges from the leader.
 func (w *simulation) catchUp(p *process) {
 	if p.alive && p.joinedAt > 0 && p.state.ReceivedSeq() < p.requiredSeq {
 		p.state.HandleUpdate(w.leaderState.PurgesSince(p.state.ReceivedSeq(), w.now), w.now)
--- a/internal/cluster/purge/spread/spread_test.go
+++ b/internal/cluster/purge/spread/spread_test.go
@@ -13,12 +13,14 @@
 	"flaxcove/internal/sender/withdrawal"
 )
 
+// record returns the ledger's record of a purge opened by simulation.open.
 func record(w *simulation, seq uint64) ledger.Record {
 	r, _ := w.ledger.Find(fmt.Sprintf("%s-%d", w.openedKey[seq], seq-1))
 	return r
 }
 
-// One purge in a fleet without faults takes under two calls a child at the root, and counts each message once.
+// TestRootCallsArePerChild checks that, without faults, the root makes and receives fewer than two calls per child for a purge,
+// whatever the number of processes, and that each message is counted once.
 func TestRootCallsArePerChild(t *testing.T) {
 	for _, n := range []int{4, 13, 30, 300} {
 		w := newSimulation(t, t.Fatalf, n, 3, time.Hour)
@@ -32,9 +34,9 @@
 			began := w.now
 			w.settle(200)
 			if r := record(w, seq); r.State != ledger.Complete || r.Reached != n || r.Found.NotBegun != n*(2-round) {
-				t.Fatalf("%d processes: %+v", n, r)
+				t.Fatalf("%d processes, round %d: %+v", n, round, r)
 			}
-			for range 200 { // what trails behind counts as well
+			for range 200 { // later messages count as well
 				w.now += 10 * time.Millisecond
 				w.step()
 				net := w.network
@@ -44,14 +46,14 @@
 				}
 			}
 			t.Logf("%d processes: complete after %v, %d calls at the root", n, w.now-began-2*time.Second, w.rootCalls)
-			if round == 2 && w.rootCalls >= 2*3 { // the first also makes acquaintance
-				t.Errorf("%d processes: %d calls at the root with 3 children", n, w.rootCalls)
+			if round == 2 && w.rootCalls >= 2*3 { // the first purge takes more calls, as the children have not reported yet
+				t.Errorf("%d processes: %d calls at the root with 3 children, want fewer than 6", n, w.rootCalls)
 			}
 		}
 	}
 }
 
-// Ten thousand purges at once.
+// TestTenThousandPurges checks that ten thousand purges opened at once are closed, with a bounded number of calls at the root.
 func TestTenThousandPurges(t *testing.T) {
 	w := newSimulation(t, t.Fatalf, 13, 3, time.Hour)
 	w.processes[5].disk.messages = append(w.processes[5].disk.messages, &testMessage{key: "k77", acceptedAt: w.now})
@@ -61,48 +63,49 @@
 	}
 	w.settle(3000)
 	if w.ledger.OldestOpen() != 10001 {
-		t.Fatalf("%d closed", w.ledger.OldestOpen()-1)
+		t.Fatalf("%d of 10000 purges closed", w.ledger.OldestOpen()-1)
 	}
 	if r := record(w, 78); r.Found.NotBegun != 1 {
-		t.Errorf("%+v", r)
+		t.Errorf("purge of the only message: %+v, want one message found", r)
 	}
 	if w.rootCalls > 2*3*10000/MaxPurgesPerMessage+60 {
-		t.Errorf("%d calls at the root", w.rootCalls)
+		t.Errorf("%d calls at the root, too many", w.rootCalls)
 	}
 }
 
-// A process that is partitioned for longer than the longest deadline lapses, and not before. Once it is back it gets the
-// purges that still matter.
+// TestPartitionedProcessLapses checks that the acknowledgement of a partitioned process lapses after the longest deadline and not
+// before, and that the process gets the purges that it still needs once it is reachable again.
 func TestPartitionedProcessLapses(t *testing.T) {
 	w := newSimulation(t, t.Fatalf, 4, 2, time.Minute)
 	far := w.processes[3]
-	far.alive = false // nobody reaches it
+	far.alive = false // unreachable
 	w.now += time.Second
 	seq := w.open("a")
 	w.settle(500)
 	if r := record(w, seq); r.State != ledger.Spreading {
-		t.Fatalf("time stood for an answer after %v: %+v", w.now, r)
+		t.Fatalf("the acknowledgement lapsed after %v: %+v", w.now, r)
 	}
 	for _, p := range w.leaderState.StatusOf(seq) {
 		if p.Acknowledged == (p.Participant.Name == far.name) {
-			t.Errorf("%+v", p)
+			t.Errorf("wrong acknowledgement in status: %+v", p)
 		}
 	}
 	w.now += w.longestDeadline + ledger.LapseMargin
 	w.settle(50)
 	r := record(w, seq)
 	if r.State != ledger.Lapsed || r.Lapsed != 1 || len(r.LapsedNames) != 1 || r.LapsedNames[0] != far.name {
-		t.Fatalf("%+v", r)
+		t.Fatalf("not lapsed after the longest deadline and the margin: %+v", r)
 	}
 	late := w.open("a")
 	far.alive = true
 	w.settle(1500)
 	if r := record(w, late); r.State != ledger.Complete || far.disk.applied != late {
-		t.Fatalf("%+v, applied %d", r, far.disk.applied)
+		t.Fatalf("after the partition: %+v, applied up to %d, want %d", r, far.disk.applied, late)
 	}
 }
 
-// The root, which also leads, is lost with its disk halfway: the next root and the next leader ask again.
+// TestRootAndLeaderLost checks that a purge is not completed while the root, which is also the leader, is lost before all processes
+// have acknowledged, and is completed by the next root and leader once the lost process is replaced with an empty disk.
 func TestRootAndLeaderLost(t *testing.T) {
 	w := newSimulation(t, t.Fatalf, 13, 3, time.Hour)
 	for _, p := range w.processes {
@@ -110,9 +113,9 @@
 	}
 	w.now += time.Second
 	seq := w.open("a")
-	w.settle(6) // under way
+	w.settle(6) // not all processes have acknowledged yet
 	if r := record(w, seq); r.State != ledger.Spreading {
-		t.Fatalf("too quick for this test: %+v", r)
+		t.Fatalf("the purge is closed before the root is lost: %+v", r)
 	}
 	w.processes[0].alive = false
 	w.network = nil
@@ -123,7 +126,7 @@
 	}
 	w.settle(300)
 	if r := record(w, seq); r.State != ledger.Spreading {
-		t.Fatalf("complete without the life that had a seat: %+v", r)
+		t.Fatalf("closed without the acknowledgement of the lost participant: %+v", r)
 	}
 	w.start(w.processes[0], true)
 	for _, p := range w.processes {
@@ -131,11 +134,12 @@
 	}
 	w.settle(600)
 	if r := record(w, seq); r.State != ledger.Complete || r.Found.NotBegun < 12 || r.Found.NotBegun > 13 {
-		t.Fatalf("%+v", r)
+		t.Fatalf("after the replacement: %+v, want complete with 12 or 13 messages found", r)
 	}
 }
 
-// A process is killed between effect and acknowledgement: its next incarnation answers the same, and is counted once.
+// TestKillBeforeAcknowledging checks that a process that is killed after applying a purge and before acknowledging it is counted
+// once: its next incarnation is handed the purge again and reports the same finding.
 func TestKillBeforeAcknowledging(t *testing.T) {
 	disk := map[uint64]clusterapi.Found{1: {NotBegun: 3}}
 	p := view.Life{Name: "p", Incarnation: 1}
@@ -147,31 +151,32 @@
 		g.SetParticipants([]ledger.Participant{{Life: p}}, uint64(inc))
 		g.SetRoot(p, 0)
 		if got := g.StatusOf(1)[0]; got.Acknowledged {
-			t.Fatalf("life %d has not acknowledged", p.Incarnation)
+			t.Fatalf("incarnation %d counts as having acknowledged before it did", p.Incarnation)
 		}
 		st := New(p, "folder", min(uint64(inc), 1))
 		st.HandleUpdate(g.PurgesSince(0, 0), 0)
 		if all := st.NextBatch(0); len(all) != 1 {
-			t.Fatalf("life %d is asked again: %v", p.Incarnation, all)
+			t.Fatalf("incarnation %d is handed %v, want one purge", p.Incarnation, all)
 		}
 		st.BatchApplied(1, []clusterapi.Found{disk[1]}, 0)
-		up := st.Answer(Update{}, 0)
-		g.HandleRootReport(up, 0)
-		g.HandleRootReport(up, 0)
+		report := st.Answer(Update{}, 0)
+		g.HandleRootReport(report, 0)
+		g.HandleRootReport(report, 0)
 		if got := g.StatusOf(1)[0]; !got.Acknowledged || got.Found.NotBegun != 3 {
-			t.Fatalf("life %d: %+v", p.Incarnation, got)
+			t.Fatalf("incarnation %d: %+v, want an acknowledgement with 3 messages found", p.Incarnation, got)
 		}
 	}
 }
 
-// An answer is lost and the next report builds on it: that is not accepted before the lost findings are known.
+// TestLostAnswer checks that if an answer with findings is lost, the parent does not accept the reports that are differences to it
+// until it has received the findings.
 func TestLostAnswer(t *testing.T) {
-	up, low := view.Life{Name: "up", Incarnation: 1}, view.Life{Name: "low", Incarnation: 1}
-	parent, child := New(up, "u", 0), New(low, "l", 0)
-	parent.SetTree(Parent{}, []view.Life{low}, 0)
-	child.SetTree(Parent{Life: up}, nil, 0)
+	parentLife, childLife := view.Life{Name: "up", Incarnation: 1}, view.Life{Name: "low", Incarnation: 1}
+	parent, child := New(parentLife, "u", 0), New(childLife, "l", 0)
+	parent.SetTree(Parent{}, []view.Life{childLife}, 0)
+	child.SetTree(Parent{Life: parentLife}, nil, 0)
 	order := func(seq uint64, found int) {
-		d := Update{From: up, Base: seq - 1, UpTo: seq, OldestOpen: 1,
+		d := Update{From: parentLife, Base: seq - 1, UpTo: seq, OldestOpen: 1,
 			Purges: []clusterapi.Purge{{Seq: seq, Match: clusterapi.Match{Key: "a"}}}}
 		parent.HandleUpdate(d, 0)
 		child.HandleUpdate(d, 0)
@@ -179,32 +184,32 @@
 		child.BatchApplied(seq, []clusterapi.Found{{NotBegun: found}}, 0)
 	}
 	order(1, 0)
-	// The parent also leads and asks as the leader: what it is answered does not count as reported to the parent.
-	if child.Answer(Update{From: up, FromLeader: true}, 0); !child.reporting.changed {
-		t.Fatal("what the leader was told counts as told to the parent")
+	// The parent is also the leader and sends an update as such: the answer does not count as a report to the parent.
+	if child.Answer(Update{From: parentLife, FromLeader: true}, 0); !child.reporting.changed {
+		t.Fatal("an answer to the leader counts as a report to the parent")
 	}
-	parent.HandleReport(child.Answer(Update{From: up}, 0), 0)
+	parent.HandleReport(child.Answer(Update{From: parentLife}, 0), 0)
 	order(2, 5)
 	parent.DueUpdates(0)
-	child.Answer(Update{From: up}, 0) // lost
+	child.Answer(Update{From: parentLife}, 0) // lost
 	order(3, 0)
 	for i := range 3 {
 		now := time.Duration(i+1) * time.Minute
 		if msg, due := child.DueReport(now); due {
-			child.ReportAnswered(Parent{Life: up}, parent.HandleReport(msg, now), now)
+			child.ReportAnswered(Parent{Life: parentLife}, parent.HandleReport(msg, now), now)
 		}
 		st := parent.children["low"].progress[0]
 		if r := parent.findings[findingKey{2, "low", "l"}]; st.AppliedSeq >= 2 && r == nil {
-			t.Fatalf("up to %d is told as applied, what was found is not known", st.AppliedSeq)
+			t.Fatalf("purges up to %d are known as applied, but the finding of purge 2 is not known", st.AppliedSeq)
 		}
 	}
 	if st := parent.children["low"].progress[0]; st.AppliedSeq != 3 {
-		t.Errorf("told up to %d", st.AppliedSeq)
+		t.Errorf("purges up to %d are known as applied, want 3", st.AppliedSeq)
 	}
 }
 
-// A coordinator restarts after a purge was closed, and a process below it is restored from an old copy of its folder and
-// lacks that purge. The coordinator must be able to send it, although it has applied the purge itself long ago.
+// TestRestartedCoordinatorSendsAll checks that a restarted coordinator can send a closed purge to a process below it that was
+// restored from an old copy of its folder and lacks the purge, although the coordinator has applied the purge before its restart.
 func TestRestartedCoordinatorSendsAll(t *testing.T) {
 	w := newSimulation(t, t.Fatalf, 4, 1, time.Hour)
 	low := w.processes[3]
@@ -217,7 +222,7 @@
 	w.now += time.Second
 	w.open("a")
 	w.settle(300)
-	w.open("x") // with it the floor is told
+	w.open("x") // its updates carry the new OldestOpen
 	w.settle(300)
 	w.start(w.processes[1], false)
 	low.disk = low.oldDisk.copy()
@@ -225,17 +230,18 @@
 	for _, p := range w.processes {
 		w.updateTree(p)
 	}
-	low.requiredSeq, w.processes[1].requiredSeq = 0, 0 // neither asks the leader: the tree alone must do
+	low.requiredSeq, w.processes[1].requiredSeq = 0, 0 // neither requests purges from the leader, so that they come down the tree only
 	low.state.HandleUpdate(w.processes[1].state.PurgesSince(0, w.now), w.now)
 	w.open("b")
 	w.settle(600)
 	if low.state.AppliedSeq() != 3 || low.disk.messages[0].state != withdrawal.Withdrawn {
-		t.Fatalf("applied up to %d, notice %d", low.state.AppliedSeq(), low.disk.messages[0].state)
+		t.Fatalf("applied purges up to %d, want 3; message state %d", low.state.AppliedSeq(), low.disk.messages[0].state)
 	}
 	w.startAttempts(low)
 }
 
-// Purges with the longest keys of characters that JSON escapes still fit the link's message size, a few at a time.
+// TestLongKeysFitTheLink checks that updates stay below the link's message size if all keys have the longest length and consist of
+// characters that JSON escapes.
 func TestLongKeysFitTheLink(t *testing.T) {
 	s := New(view.Life{Name: "p"}, "f", 0)
 	d := Update{UpTo: 600, OldestOpen: 1}
@@ -246,7 +252,7 @@
 	for since := uint64(0); since < 600; {
 		m := s.PurgesSince(since, 0)
 		if text, err := json.Marshal(m); err != nil || len(text) > 1<<20 || m.UpTo <= since {
-			t.Fatalf("after %d up to %d: %d bytes, %v", since, m.UpTo, len(text), err)
+			t.Fatalf("update from %d up to %d: %d bytes, error %v", since, m.UpTo, len(text), err)
 		}
 		since = m.UpTo
 	}
