--- a/internal/cluster/popularity/count/count_test.go
+++ b/internal/cluster/popularity/count/count_test.go
@@ -13,8 +13,8 @@
 	"flaxcove/internal/sender/clusterapi"
 )
 
-// handedIn returns the count of n messages of one client for a destination.
-func handedIn(d int, client string, n uint64) []clusterapi.Count {
+// submitted returns the count of n messages of one client for a destination.
+func submitted(d int, client string, n uint64) []clusterapi.Count {
 	return []clusterapi.Count{{Destination: choice.DestinationID(d), Client: client, Messages: n}}
 }
 
@@ -35,7 +35,7 @@
 			}
 			all = all*Decay(step, HalfLife) + float64(n)
 			exact[d] += float64(n)
-			table.Add(now, handedIn(d, fmt.Sprint(i), n))
+			table.Add(now, submitted(d, fmt.Sprint(i), n))
 			if len(table.rows) > rows || len(table.byCount) > rows {
 				t.Fatal("the table has more rows than its bound")
 			}
@@ -67,14 +67,14 @@
 	table := NewTable(Bounds{})
 	for d := range 400 {
 		for p := range 4 {
-			table.Add(0, handedIn(d, fmt.Sprint("honest", p), 25))
+			table.Add(0, submitted(d, fmt.Sprint("honest", p), 25))
 		}
 	}
 	if n := table.Estimate(0, 7); n != 100 {
 		t.Fatalf("estimate %v for honest clients, want all of their 100 messages", n)
 	}
-	table.Add(0, handedIn(7, "pusher", 10_000))
-	table.Add(0, handedIn(1000, "pusher", 10_000))
+	table.Add(0, submitted(7, "pusher", 10_000))
+	table.Add(0, submitted(1000, "pusher", 10_000))
 	allowance := table.Total(0) * defaultClientAllowance
 	allowance *= 1 + math.Log(10_000/allowance) // 150 by 5.2
 	if n := table.Estimate(0, 7); n > 100+0.25*100+allowance+1e-6 {
@@ -85,7 +85,7 @@
 	}
 	// There are more client names than separate counts in a row. Each message counts.
 	for i := range 100 {
-		table.Add(0, handedIn(7, fmt.Sprint("name", i), 1))
+		table.Add(0, submitted(7, fmt.Sprint("name", i), 1))
 	}
 	if n := len(table.rows[7].clients); n > maxClients {
 		t.Errorf("the row has %d clients, want at most %d", n, maxClients)
@@ -96,8 +96,8 @@
 func TestTopIsOrderedAndDecays(t *testing.T) {
 	table := NewTable(Bounds{})
 	for d := 1; d <= 50; d++ {
-		table.Add(0, handedIn(d, "a", uint64(d)))
-		table.Add(0, handedIn(d, "b", uint64(d)))
+		table.Add(0, submitted(d, "a", uint64(d)))
+		table.Add(0, submitted(d, "b", uint64(d)))
 	}
 	top := table.Top(0, 3)
 	if len(top) != 3 || top[0].Destination != 50 || top[2].Destination != 48 {
@@ -107,7 +107,7 @@
 	if now := table.Estimate(HalfLife, 10); math.Abs(now-was/2) > 1e-9 {
 		t.Errorf("after one half-life the estimate is %v, want half of %v", now, was)
 	}
-	table.Add(1000*HalfLife, handedIn(1, "a", 1))
+	table.Add(1000*HalfLife, submitted(1, "a", 1))
 	if top := table.Top(1000*HalfLife, 10); len(top) != 1 || top[0].Destination != 1 {
 		t.Errorf("after 1000 half-lives the top rows are %v, want only destination 1", top)
 	}
--- a/internal/cluster/popularity/run/counts.go
+++ b/internal/cluster/popularity/run/counts.go
@@ -97,7 +97,7 @@
 // prepareCounts returns the message for the parent, and whether it has to be sent. The region's coordinator sends none; it turns
 // its digest into the region's ranking.
 func (r *Runner) prepareCounts(now view.Uptime, v *view.View, t *tree.Tree, parent view.Life) (message countsMessage, send bool) {
-	isHead := parent.Name == r.options.Self.Name
+	isCoordinator := parent.Name == r.options.Self.Name
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.updateReporters(v, t)
@@ -107,15 +107,15 @@
 			wantedByChild: state.wantedByChild}
 	}
 	rows, processes := r.merged.Sum(now, r.counts.Top(now, merge.MaxRows))
-	if r.countsDue(now, rows) && (isHead || !state.inFlight) {
+	if r.countsDue(now, rows) && (isCoordinator || !state.inFlight) {
 		message.Digest = r.nextDigest(now, rows, processes)
-		if isHead {
+		if isCoordinator {
 			r.rank(now, t, message.Digest)
 		}
 	}
 	message.WantRanking = r.isSmall() || state.wantedByChild && now-state.wantedAt <= r.ticks(wantTicks)
 	message.KnownRanking, message.region = r.scores.Version(), r.region(t)
-	send = !isHead && !state.inFlight && (message.WantRanking || message.Digest != nil)
+	send = !isCoordinator && !state.inFlight && (message.WantRanking || message.Digest != nil)
 	state.inFlight = state.inFlight || send
 	return message, send
 }
@@ -183,12 +183,13 @@
 
 // handleCounts handles the message of a child.
 func (r *Runner) handleCounts(_ context.Context, from view.Life, body []byte) (any, error) {
-	var in countsMessage
-	if err := json.Unmarshal(body, &in); err != nil {
+	var message countsMessage
+	if err := json.Unmarshal(body, &message); err != nil {
 		return nil, r.countMalformed(fmt.Errorf("popularity: cannot decode counts from %q: %w", from.Name, err))
 	}
-	if in.Digest != nil && in.Digest.From != from {
-		return nil, r.countMalformed(fmt.Errorf("popularity: counts rejected: the caller is %q, but their field digest.from names %q", from.Name, in.Digest.From.Name))
+	if message.Digest != nil && message.Digest.From != from {
+		return nil, r.countMalformed(fmt.Errorf("popularity: counts rejected: the caller is %q, but their field digest.from names %q",
+			from.Name, message.Digest.From.Name))
 	}
 	now, v, t := r.options.Now(), r.options.View(), r.options.Tree()
 	if v == nil || t == nil {
@@ -197,14 +198,14 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.updateReporters(v, t)
-	if in.Digest != nil && r.merged.Put(now, *in.Digest) == merge.Invalid {
+	if message.Digest != nil && r.merged.Put(now, *message.Digest) == merge.Invalid {
 		r.status.Malformed++
 		return nil, fmt.Errorf("popularity: counts from %q rejected: the age, the number of processes or the rows are invalid", from.Name)
 	}
 	answer := countsAnswer{ResendAll: !r.merged.Has(from)}
-	if in.WantRanking {
+	if message.WantRanking {
 		r.countReport.wantedAt, r.countReport.wantedByChild = now, true
-		answer.Ranking = r.scores.RankingFor(now, in.KnownRanking)
+		answer.Ranking = r.scores.RankingFor(now, message.KnownRanking)
 	}
 	return answer, nil
 }
--- a/internal/cluster/popularity/run/eviction.go
+++ b/internal/cluster/popularity/run/eviction.go
@@ -89,7 +89,8 @@
 		return r.scores.Score(now, d, r.counts.Estimate(now, d))
 	})
 	if selection.BoundExceeded && !r.status.BoundExceeded {
-		r.options.Log.Warn("popularity: bound on cached destinations exceeded, as protected ones cannot be evicted", zap.Int("held", len(h.held)))
+		r.options.Log.Warn("popularity: bound on cached destinations exceeded, as protected ones cannot be evicted",
+			zap.Int("held", len(h.held)))
 	}
 	r.status.Held, r.status.BoundExceeded = len(h.held)-len(selection.Evict), selection.BoundExceeded
 	r.status.Evicted += uint64(len(selection.Evict))
--- a/internal/cluster/popularity/run/lessons.go
+++ b/internal/cluster/popularity/run/lessons.go
@@ -40,7 +40,7 @@
 	resendTicks        = 30   // ticks after which state that has hardly changed is sent again, because receivers discount it by its age
 )
 
-// learnedStateMessage sends learned state to the region's coordinator.
+// learnedStateMessage is a call that sends learned state to the region's coordinator.
 type learnedStateMessage struct {
 	Destinations []recall.DestinationState `json:"all"`
 }
@@ -172,12 +172,12 @@
 }
 
 // add adds an answer and returns whether it is the last one.
-func (c *batchCollector) add(l recall.DestinationState) (last bool) {
+func (c *batchCollector) add(d recall.DestinationState) (last bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.missing--
-	if len(l.Endpoints) > 0 {
-		c.batch.destinations = append(c.batch.destinations, l)
+	if len(d.Endpoints) > 0 {
+		c.batch.destinations = append(c.batch.destinations, d)
 	}
 	return c.missing == 0
 }
@@ -251,19 +251,19 @@
 // storeLearnedState puts learned state into the summary here. The caller holds mu.
 func (r *Runner) storeLearnedState(all []recall.DestinationState) {
 	now := r.options.Now()
-	for _, l := range all {
-		r.summary.Put(now, l)
+	for _, d := range all {
+		r.summary.Put(now, d)
 	}
 }
 
 // handleLearnedState stores the learned state that another process has sent to the coordinator.
 func (r *Runner) handleLearnedState(_ context.Context, from view.Life, body []byte) (any, error) {
-	var in learnedStateMessage
-	if err := json.Unmarshal(body, &in); err != nil {
+	var message learnedStateMessage
+	if err := json.Unmarshal(body, &message); err != nil {
 		return nil, r.countMalformed(fmt.Errorf("popularity: cannot decode learned state from %q: %w", from.Name, err))
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.storeLearnedState(in.Destinations[:min(len(in.Destinations), maxPerCall)])
+	r.storeLearnedState(message.Destinations[:min(len(message.Destinations), maxPerCall)])
 	return nil, nil
 }
--- a/internal/cluster/popularity/run/requests.go
+++ b/internal/cluster/popularity/run/requests.go
@@ -126,13 +126,13 @@
 	for _, d := range destinations {
 		requested[d] = true
 	}
-	for _, of := range answer.Destinations {
-		if !requested[of.Destination] {
+	for _, destination := range answer.Destinations {
+		if !requested[destination.Destination] {
 			continue
 		}
-		for _, l := range of.Endpoints {
-			l.Age += waited
-			if state, usable := recall.Discount(l, r.options.Self.Zone); usable {
+		for _, endpoint := range destination.Endpoints {
+			endpoint.Age += waited
+			if state, usable := recall.Discount(endpoint, r.options.Self.Zone); usable {
 				all = append(all, state)
 			}
 		}
@@ -153,11 +153,11 @@
 
 // handleRequest answers another process's request for learned state.
 func (r *Runner) handleRequest(_ context.Context, from view.Life, body []byte) (any, error) {
-	var in learnedStateRequest
-	if err := json.Unmarshal(body, &in); err != nil {
+	var request learnedStateRequest
+	if err := json.Unmarshal(body, &request); err != nil {
 		return nil, r.countMalformed(fmt.Errorf("popularity: cannot decode request for learned state from %q: %w", from.Name, err))
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.lookUp(in.Destinations), nil
+	return r.lookUp(request.Destinations), nil
 }
--- a/internal/cluster/popularity/run/run.go
+++ b/internal/cluster/popularity/run/run.go
@@ -70,7 +70,7 @@
 type Status struct {
 	Region           view.Region   `json:"region"`
 	Coordinator      view.Name     `json:"head"`       // coordinator of the region; empty if unknown
-	Isolated         bool          `json:"cut"`        // no ranking was received recently, so the last one and this process's own counts are used
+	Isolated         bool          `json:"cut"`        // no recent ranking; the last one and this process's own counts are used
 	RankingAge       time.Duration `json:"scores_age"` // -1 if there is no ranking
 	RankedProcesses  int           `json:"scored"`     // processes whose counts the ranking includes
 	Counted          float64       `json:"counted"`    // messages submitted at this process, decayed
--- a/internal/cluster/popularity/run/run_test.go
+++ b/internal/cluster/popularity/run/run_test.go
@@ -15,8 +15,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// handedIn returns a digest with n messages of each of two clients for a destination.
-func handedIn(d choice.DestinationID, n uint64) clusterapi.Digest {
+// submitted returns a digest with n messages of each of two clients for a destination.
+func submitted(d choice.DestinationID, n uint64) clusterapi.Digest {
 	return clusterapi.Digest{Counts: []clusterapi.Count{{Destination: d, Client: "a", Messages: n},
 		{Destination: d, Client: "b", Messages: n}}}
 }
@@ -31,7 +31,7 @@
 	}
 	w.senders["p6"].hold(clusterapi.Held{Destination: 99, Bytes: 500, InUse: true})
 	for _, p := range []view.Name{"p0", "p2", "p4"} {
-		w.runners[p].Digest(handedIn(107, 40))
+		w.runners[p].Digest(submitted(107, 40))
 	}
 	w.waitFor("the small process of the region has received the ranking", func() bool { return w.score("p6", 107) > 10 })
 	w.waitFor("the small process is within its bound", func() bool {
@@ -93,21 +93,21 @@
 // process than the caller, or are negative; and that full queues drop entries without blocking.
 func TestMalformedMessagesChangeNothing(t *testing.T) {
 	w := startCluster(t, evict.Bounds{})
-	head := w.currentTree().RegionHead("r0")
+	coordinator := w.currentTree().RegionHead("r0")
 	for _, body := range []string{`{`, `{"digest":{"from":{"name":"other","incarnation":1},"seq":1,"processes":1}}`,
 		`{"digest":{"from":{"name":"p6","incarnation":1},"seq":1,"processes":1,"d":[1],"n":[-5]}}`} {
-		_, err := w.handlers[head][countsPath](context.Background(), view.Life{Name: "p6", Incarnation: 1}, []byte(body))
+		_, err := w.handlers[coordinator][countsPath](context.Background(), view.Life{Name: "p6", Incarnation: 1}, []byte(body))
 		if err == nil {
 			t.Errorf("message %s was accepted", body)
 		}
 	}
-	if s := w.runners[head].Status(); s.Malformed != 3 {
+	if s := w.runners[coordinator].Status(); s.Malformed != 3 {
 		t.Errorf("%d messages counted as malformed, want 3", s.Malformed)
 	}
 	w.runners["p7"].Close()
 	for range maxQueuedLoads + 1 { // the loop has ended, so the queues fill up
 		w.runners["p7"].Woke(1)
-		w.runners["p7"].Digest(handedIn(1, 1))
+		w.runners["p7"].Digest(submitted(1, 1))
 	}
 	if s := w.runners["p7"].Status(); s.Dropped == 0 {
 		t.Error("no dropped entry was counted")
--- a/internal/cluster/popularity/score/score_test.go
+++ b/internal/cluster/popularity/score/score_test.go
@@ -12,8 +12,8 @@
 const halfLife = 30 * time.Second
 
 // ranking returns a ranking of ten processes with destination 1 only.
-func ranking(head view.Name, life view.Incarnation, seq uint64, age time.Duration, messages float64) Ranking {
-	return Ranking{Version: Version{view.Life{Name: head, Incarnation: life}, seq}, Region: "r", Age: age, Processes: 10,
+func ranking(coordinator view.Name, incarnation view.Incarnation, seq uint64, age time.Duration, messages float64) Ranking {
+	return Ranking{Version: Version{view.Life{Name: coordinator, Incarnation: incarnation}, seq}, Region: "r", Age: age, Processes: 10,
 		Destinations: []choice.DestinationID{1}, Messages: []float64{messages}}
 }
 
--- a/internal/cluster/purge/ledger/commands.go
+++ b/internal/cluster/purge/ledger/commands.go
@@ -105,7 +105,7 @@
 
 // Close is the command that closes the oldest open purges, in ascending order of their Seqs.
 type Close struct {
-	RosterVersion uint64    `json:"roster"` // version of the participants that the closures count; the command is rejected if it is not current
+	RosterVersion uint64    `json:"roster"` // of the participants that the closures count; any other than the current one is rejected
 	Closures      []Closure `json:"rows"`
 }
 
--- a/internal/cluster/purge/ledger/ledger.go
+++ b/internal/cluster/purge/ledger/ledger.go
@@ -119,8 +119,8 @@
 			"the ledger is full: %d purges are open or younger than the longest hard stop (%v)", n, l.LongestDeadline())}
 	}
 	l.lastSeq++
-	l.records[l.lastSeq] = &Record{Seq: l.lastSeq, ID: c.ID, Subject: c.Subject, Match: c.Match, RequestedBy: c.RequestedBy, Reason: c.Reason,
-		OpenedAt: l.clock, State: Spreading, Checksums: checksums}
+	l.records[l.lastSeq] = &Record{Seq: l.lastSeq, ID: c.ID, Subject: c.Subject, Match: c.Match, RequestedBy: c.RequestedBy,
+		Reason: c.Reason, OpenedAt: l.clock, State: Spreading, Checksums: checksums}
 	l.seqByID[c.ID] = l.lastSeq
 	return OpenResult{Seq: l.lastSeq, State: Spreading}
 }
--- a/internal/cluster/purge/ledger/ledger_test.go
+++ b/internal/cluster/purge/ledger/ledger_test.go
@@ -151,7 +151,7 @@
 			at += time.Duration(rapid.IntRange(0, 40).Draw(t, "seconds")) * time.Second
 			var kind string
 			var c any
-			switch rapid.IntRange(0, 4).Draw(t, "what") {
+			switch rapid.IntRange(0, 4).Draw(t, "operation") {
 			case 0, 1:
 				kind, c = KindOpen, testOpen(fmt.Sprint(rapid.IntRange(0, 20).Draw(t, "id")))
 			case 2:
@@ -165,7 +165,7 @@
 				if len(l.participants) == 0 {
 					continue
 				}
-				kind, c = KindLeave, Leave{Lives: []view.Life{rapid.SampledFrom(l.participants).Draw(t, "life").Life}}
+				kind, c = KindLeave, Leave{Lives: []view.Life{rapid.SampledFrom(l.participants).Draw(t, "participant").Life}}
 			}
 			last := l.lastSeq
 			one, two := mustApply[map[string]any](t, l, at, kind, c), mustApply[map[string]any](t, twin, at, kind, c)
--- a/internal/cluster/purge/run/catchup.go
+++ b/internal/cluster/purge/run/catchup.go
@@ -29,17 +29,17 @@
 // catchUp joins and gets all missed purges. After Options.CatchUpTimeout the process becomes ready in any case, and catchUp
 // continues. Afterwards it joins again whenever the longest deadline has grown, until the Runner is closed.
 func (r *Runner) catchUp() {
-	bound := time.AfterFunc(r.options.CatchUpTimeout, func() {
+	timer := time.AfterFunc(r.options.CatchUpTimeout, func() {
 		r.options.Log.Warn("purge: missed purges not applied in time, serving anyway", zap.Duration("after", r.options.CatchUpTimeout))
 		r.signals.MarkReady()
 	})
-	defer bound.Stop()
+	defer timer.Stop()
 	for r.ctx.Err() == nil {
 		if r.joinAndCatchUp() {
 			break
 		}
 	}
-	if bound.Stop() {
+	if timer.Stop() {
 		r.signals.MarkReady()
 	}
 	tick := time.NewTicker(time.Second)
@@ -91,12 +91,12 @@
 func (r *Runner) applyMissed(seq uint64, reportedDeadline time.Duration) bool {
 	ctx, cancel := context.WithTimeout(r.ctx, proposeTimeout)
 	defer cancel()
-	for n := 0; ctx.Err() == nil; n++ {
-		ask := r.candidates()
+	for attempt := 0; ctx.Err() == nil; attempt++ {
+		candidates := r.candidates()
 		r.mu.Lock()
 		since, applied := r.state.ReceivedSeq(), r.state.AppliedSeq()
 		if p := r.state.Parent(); p.Name != "" {
-			ask = append(ask, p.Name)
+			candidates = append(candidates, p.Name)
 		}
 		changed := r.signals.Changed()
 		if applied >= seq {
@@ -105,8 +105,8 @@
 			return true
 		}
 		r.mu.Unlock()
-		if since < seq && len(ask) > 0 {
-			r.requestPurges(ctx, ask[n%len(ask)], since)
+		if since < seq && len(candidates) > 0 {
+			r.requestPurges(ctx, candidates[attempt%len(candidates)], since)
 		}
 		select {
 		case <-changed:
--- a/internal/cluster/purge/run/messages.go
+++ b/internal/cluster/purge/run/messages.go
@@ -25,6 +25,7 @@
 	pathStatus      = "/purge/show"    // from any process to the leader
 )
 
+// Errors of calls that need the leader. errUndecided has no prefix, as leadercall.Caller adds that of the part.
 var (
 	errNotLeading  = errors.New("purge: this process is not the leader of the consensus group")
 	errNoCandidate = errors.New("purge: no candidate for the leader is known")
--- a/internal/cluster/purge/run/run.go
+++ b/internal/cluster/purge/run/run.go
@@ -2,9 +2,10 @@
 // to the sender, proposes commands of the ledger, and serves the HTTP interface for callers.
 //
 // A Runner owns the goroutines of purges and the lock purge.mu, whose place in the lock order package cluster defines. The lock
-// guards the process's spread.State, and its spread.LeaderState while it leads the consensus group. The package
-// does not decide which processes have acknowledged a purge; packages spread and ledger do. A purge is acknowledged only once the sender has it on disk, and the lock is never held during a call. A process that reaches no other process
-// still starts to serve, because Ready is closed after a bounded wait.
+// guards the process's spread.State, and its spread.LeaderState while it leads the consensus group. The lock is never held
+// during a call. The package does not decide which processes have acknowledged a purge; packages spread and ledger do. A purge
+// is acknowledged only once the sender has it on disk. A process that reaches no other process still starts to serve, because
+// Ready is closed after a bounded wait.
 package run
 
 import (
@@ -29,7 +30,7 @@
 	maxBackoff            = 16 * stepInterval     // between attempts of a proposal; the first backoff is stepInterval
 	queryInterval         = 4 * stepInterval      // between attempts to get a status from the leader
 	catchUpInterval       = 2 * stepInterval      // between two requests for missed purges
-	callTimeout           = 2 * time.Second       // of one message; more than the 250 ms for which an answer may wait for the processes below (spread.MaxAnswerDelay)
+	callTimeout           = 2 * time.Second       // of one message; more than spread.MaxAnswerDelay, which is 250 ms
 	proposeTimeout        = 5 * time.Second       // of one proposal; longer than a change of leader, which takes 1 to 2 s
 	defaultCatchUpTimeout = 3 * time.Second       // default of Options.CatchUpTimeout; deadlines of messages are seconds or more
 	maxCandidates         = 8                     // processes asked in one attempt for what only the leader can answer
--- a/internal/cluster/purge/run/status.go
+++ b/internal/cluster/purge/run/status.go
@@ -110,8 +110,8 @@
 	if !known {
 		return statusAnswer{}, nil
 	}
-	status := PurgeStatus{ID: record.ID, Seq: record.Seq, Subject: record.Subject, RequestedBy: record.RequestedBy, Reason: record.Reason, State: record.State,
-		LapseAgeMS: horizon.Milliseconds(), ReportedBy: r.options.Self.Name}
+	status := PurgeStatus{ID: record.ID, Seq: record.Seq, Subject: record.Subject, RequestedBy: record.RequestedBy,
+		Reason: record.Reason, State: record.State, LapseAgeMS: horizon.Milliseconds(), ReportedBy: r.options.Self.Name}
 	if record.Match != (clusterapi.Match{}) {
 		status.Match = &record.Match
 	}
@@ -130,8 +130,8 @@
 	return statusAnswer{Known: true, Status: status}, nil
 }
 
-// addOpen adds the status of an open purge at each process. acknowledgements is nil at a leader that has not received any yet;
-// then no participant is reported to have acknowledged.
+// addOpen adds the status of an open purge at each process. acknowledgements is nil at a process that has only just become the
+// leader; then all participants are reported as not reached yet.
 func (s *PurgeStatus) addOpen(acknowledgements []spread.ParticipantStatus, participants []ledger.Participant) {
 	if acknowledgements == nil {
 		for _, participant := range participants {
--- a/internal/cluster/purge/spread/children.go
+++ b/internal/cluster/purge/spread/children.go
@@ -54,11 +54,11 @@
 		return
 	}
 	c.inFlight, c.failures, c.retryAt = false, 0, 0
-	had := c.receivedSeq
+	previousSeq := c.receivedSeq
 	if s.HandleReport(report, now).Resend {
 		c.resend = true
 	}
-	if c.receivedSeq <= had && c.receivedSeq < s.receivedSeq {
+	if c.receivedSeq <= previousSeq && c.receivedSeq < s.receivedSeq {
 		c.retryAt = now + minBackoff // the update had no effect, so the next one is delayed
 	}
 }
@@ -126,9 +126,9 @@
 		if !isBehind {
 			applied = report.Base
 		}
-		had, known := before[life]
-		progress[i] = Progress{life, max(applied, had)}
-		changed = changed || !known || progress[i].AppliedSeq > had
+		previousSeq, known := before[life]
+		progress[i] = Progress{life, max(applied, previousSeq)}
+		changed = changed || !known || progress[i].AppliedSeq > previousSeq
 	}
 	c.reported, c.progress = true, progress
 	return changed
--- a/internal/cluster/purge/spread/guarantee_test.go
+++ b/internal/cluster/purge/spread/guarantee_test.go
@@ -28,7 +28,7 @@
 		restored := false // whether a folder was restored from an old copy, which loses the findings stored on disk since
 		for range rapid.IntRange(10, 120).Draw(t, "steps") {
 			w.now += time.Duration(rapid.IntRange(1, 30).Draw(t, "hundredths")) * 10 * time.Millisecond
-			switch rapid.IntRange(0, 13).Draw(t, "what") {
+			switch rapid.IntRange(0, 13).Draw(t, "operation") {
 			case 0, 1:
 				for range rapid.IntRange(1, 4).Draw(t, "messages") {
 					if p := some("at"); p.alive {
--- a/internal/cluster/purge/spread/messages.go
+++ b/internal/cluster/purge/spread/messages.go
@@ -26,7 +26,7 @@
 	MaxPurgesPerMessage   = 500                    // in an Update; about 100 KB with keys of usual length
 	maxMessageBytes       = 600 << 10              // estimated encoded size of an Update; the link's limit is 1 MB
 	MaxFindingsPerMessage = 2000                   // in a Report; about 300 KB
-	MaxAnswerDelay        = 250 * time.Millisecond // maximum wait of an answer for the processes below; enough for a few journal appends and network hops
+	MaxAnswerDelay        = 250 * time.Millisecond // how long an answer waits for the processes below; enough for a few appends and hops
 	ReportInterval        = 500 * time.Millisecond // delay of a report while some processes below have not applied all purges
 	MinReportInterval     = 50 * time.Millisecond  // minimum time between two reports
 	minBackoff            = 200 * time.Millisecond // first wait before a failed call is retried; doubled after each failure
--- a/internal/cluster/purge/spread/report.go
+++ b/internal/cluster/purge/spread/report.go
@@ -90,21 +90,22 @@
 // DueReport returns the report that must be sent to the parent now, and whether there is one. It must be followed by
 // ReportAnswered or ReportFailed.
 func (s *State) DueReport(now view.Uptime) (Report, bool) {
-	u := &s.reporting
-	if s.parent.Name == "" || s.receivedSeq == 0 || !u.changed || u.inFlight || u.pendingAnswers > 0 || now < u.retryAt {
+	reporting := &s.reporting
+	if s.parent.Name == "" || s.receivedSeq == 0 || !reporting.changed || reporting.inFlight ||
+		reporting.pendingAnswers > 0 || now < reporting.retryAt {
 		return Report{}, false
 	}
-	due := u.changedAt + ReportInterval
+	due := reporting.changedAt + ReportInterval
 	if s.SubtreeApplied() {
-		due = u.changedAt
+		due = reporting.changedAt
 	}
-	if u.everSent {
-		due = max(due, u.sentAt+MinReportInterval)
+	if reporting.everSent {
+		due = max(due, reporting.sentAt+MinReportInterval)
 	}
 	if now < due {
 		return Report{}, false
 	}
-	u.inFlight = true
+	reporting.inFlight = true
 	return s.makeReport(true, now), true
 }
 
@@ -142,8 +143,8 @@
 	}
 	if report.PrevMessageNo == 0 || s.reporting.membersChecksum != report.MembersChecksum {
 		report.Members = make([]view.Life, len(progress))
-		for i, one := range progress {
-			report.Members[i] = one.Life
+		for i, p := range progress {
+			report.Members[i] = p.Life
 		}
 	}
 	keys := s.findingsToReport(record)
@@ -198,21 +199,21 @@
 
 // recordSent records that a report was sent to the parent. If it is incomplete, the next report is due without further delay.
 func (s *State) recordSent(report Report, incomplete bool, now view.Uptime) {
-	u := &s.reporting
-	u.prevMessageNo, u.membersChecksum = report.MessageNo, report.MembersChecksum
-	u.sentAt, u.everSent = now, true
-	u.changed = incomplete
+	reporting := &s.reporting
+	reporting.prevMessageNo, reporting.membersChecksum = report.MessageNo, report.MembersChecksum
+	reporting.sentAt, reporting.everSent = now, true
+	reporting.changed = incomplete
 	if incomplete {
-		u.changedAt = now - ReportInterval
+		reporting.changedAt = now - ReportInterval
 	}
 }
 
 // membersChecksum returns the checksum of the names and incarnations in a list.
 func membersChecksum(progress []Progress) uint32 {
 	var text []byte
-	for _, one := range progress {
-		text = append(append(text, one.Name...), 0)
-		text = binary.LittleEndian.AppendUint64(text, uint64(one.Incarnation))
+	for _, p := range progress {
+		text = append(append(text, p.Name...), 0)
+		text = binary.LittleEndian.AppendUint64(text, uint64(p.Incarnation))
 	}
 	return crc32.ChecksumIEEE(text)
 }
--- a/internal/cluster/purge/spread/spread_test.go
+++ b/internal/cluster/purge/spread/spread_test.go
@@ -77,8 +77,8 @@
 // before, and that the process gets the purges that it still needs once it is reachable again.
 func TestPartitionedProcessLapses(t *testing.T) {
 	w := newSimulation(t, t.Fatalf, 4, 2, time.Minute)
-	far := w.processes[3]
-	far.alive = false // unreachable
+	partitioned := w.processes[3]
+	partitioned.alive = false // unreachable
 	w.now += time.Second
 	seq := w.open("a")
 	w.settle(500)
@@ -86,21 +86,21 @@
 		t.Fatalf("the acknowledgement lapsed after %v: %+v", w.now, r)
 	}
 	for _, p := range w.leaderState.StatusOf(seq) {
-		if p.Acknowledged == (p.Participant.Name == far.name) {
+		if p.Acknowledged == (p.Participant.Name == partitioned.name) {
 			t.Errorf("wrong acknowledgement in status: %+v", p)
 		}
 	}
 	w.now += w.longestDeadline + ledger.LapseMargin
 	w.settle(50)
 	r := record(w, seq)
-	if r.State != ledger.Lapsed || r.Lapsed != 1 || len(r.LapsedNames) != 1 || r.LapsedNames[0] != far.name {
+	if r.State != ledger.Lapsed || r.Lapsed != 1 || len(r.LapsedNames) != 1 || r.LapsedNames[0] != partitioned.name {
 		t.Fatalf("not lapsed after the longest deadline and the margin: %+v", r)
 	}
 	late := w.open("a")
-	far.alive = true
+	partitioned.alive = true
 	w.settle(1500)
-	if r := record(w, late); r.State != ledger.Complete || far.disk.applied != late {
-		t.Fatalf("after the partition: %+v, applied up to %d, want %d", r, far.disk.applied, late)
+	if r := record(w, late); r.State != ledger.Complete || partitioned.disk.applied != late {
+		t.Fatalf("after the partition: %+v, applied up to %d, want %d", r, partitioned.disk.applied, late)
 	}
 }
 
--- a/internal/cluster/purge/spread/state.go
+++ b/internal/cluster/purge/spread/state.go
@@ -21,10 +21,10 @@
 
 // age returns the age of the purge at now. It is a lower bound, because the time that the purge spent on the network is not
 // known.
-func (h receivedPurge) age(now view.Uptime) time.Duration { return h.Age + max(now-h.receivedAt, 0) }
+func (r receivedPurge) age(now view.Uptime) time.Duration { return r.Age + max(now-r.receivedAt, 0) }
 
 // bySeq compares the Seq of a purge with seq, for binary searches.
-func bySeq(h receivedPurge, seq uint64) int { return cmp.Compare(h.Seq, seq) }
+func bySeq(r receivedPurge, seq uint64) int { return cmp.Compare(r.Seq, seq) }
 
 // State is the state of the distribution of purges at one process. It is not safe for concurrent use; the caller must hold a
 // lock.
@@ -129,8 +129,8 @@
 
 // obsolete reports whether no process can need a purge of messages any more, because it is closed and older than the horizon.
 // Purges of learned state never become obsolete.
-func (s *State) obsolete(h receivedPurge, now view.Uptime) bool {
-	return h.Seq < s.oldestOpen && !h.LearnedState && s.horizon > 0 && h.age(now) > s.horizon
+func (s *State) obsolete(r receivedPurge, now view.Uptime) bool {
+	return r.Seq < s.oldestOpen && !r.LearnedState && s.horizon > 0 && r.age(now) > s.horizon
 }
 
 // prune drops obsolete purges that are applied here. If more than maxPurges remain, it also drops the oldest ones, provided
@@ -143,7 +143,7 @@
 	if s.isLeader {
 		done = s.receivedSeq
 	}
-	s.purges = slices.DeleteFunc(s.purges, func(h receivedPurge) bool { return h.Seq <= done && s.obsolete(h, now) })
+	s.purges = slices.DeleteFunc(s.purges, func(r receivedPurge) bool { return r.Seq <= done && s.obsolete(r, now) })
 	if extra := len(s.purges) - maxPurges; extra > 0 && s.purges[extra].Seq <= min(done, s.oldestOpen-1) {
 		s.purges = slices.Delete(s.purges, 0, extra)
 	}
@@ -170,16 +170,16 @@
 	}
 	first, _ := slices.BinarySearchFunc(s.purges, s.dispatchedSeq+1, bySeq)
 	s.batchSeqs, s.batchEndSeq = s.batchSeqs[:0], s.receivedSeq
-	for _, h := range s.purges[first:] {
+	for _, r := range s.purges[first:] {
 		if len(all) == MaxPurgesPerMessage {
 			s.batchEndSeq = all[len(all)-1].Seq
 			break
 		}
-		if s.obsolete(h, now) || h.Seq <= s.priorAppliedSeq && h.Seq < s.oldestOpen {
+		if s.obsolete(r, now) || r.Seq <= s.priorAppliedSeq && r.Seq < s.oldestOpen {
 			continue // obsolete, or closed and applied by an earlier incarnation
 		}
-		p := h.Purge
-		p.Age = h.age(now)
+		p := r.Purge
+		p.Age = r.age(now)
 		all = append(all, p)
 		s.batchSeqs = append(s.batchSeqs, p.Seq)
 	}
@@ -239,7 +239,8 @@
 // purges. Its UpTo may be lower than the newest purge, either for that limit or because this process has not received more;
 // the other process then has to ask again.
 func (s *State) PurgesSince(since uint64, now view.Uptime) Update {
-	update := Update{From: s.self, FromLeader: s.isLeader, Base: since, UpTo: max(s.receivedSeq, since), OldestOpen: s.oldestOpen, Horizon: s.horizon}
+	update := Update{From: s.self, FromLeader: s.isLeader, Base: since, UpTo: max(s.receivedSeq, since),
+		OldestOpen: s.oldestOpen, Horizon: s.horizon}
 	first, _ := slices.BinarySearchFunc(s.purges, since+1, bySeq)
 	for size, rest := 0, s.purges[first:]; len(rest) > 0; rest = rest[1:] {
 		if s.obsolete(rest[0], now) {
