--- a/internal/cluster/popularity/run/counts.go
+++ b/internal/cluster/popularity/run/counts.go
@@ -188,7 +188,7 @@
 		return nil, r.countMalformed(fmt.Errorf("popularity: cannot decode counts from %q: %w", from.Name, err))
 	}
 	if message.Digest != nil && message.Digest.From != from {
-		return nil, r.countMalformed(fmt.Errorf("popularity: counts rejected: the caller is %q, but their field digest.from names %q",
+		return nil, r.countMalformed(fmt.Errorf("popularity: counts rejected: the caller is %q, but field digest.from names %q or another incarnation of it",
 			from.Name, message.Digest.From.Name))
 	}
 	now, v, t := r.options.Now(), r.options.View(), r.options.Tree()
