--- a/internal/cluster/configuration/cached.go
+++ b/internal/cluster/configuration/cached.go
@@ -1,12 +1,16 @@
-// Package configuration stores the settings that all senders of a cluster share: the newest version that this process
-// had in force, in its cluster folder. It also has the canonical form, checksums and patches of settings.
+// Package configuration stores the shared settings of a cluster on disk, and defines their canonical form, checksums
+// and patches. All senders of a cluster run the same settings; their versions are numbered from 1, and version 0 stands
+// for the settings in a process's own configuration file.
 //
-// It owns one file, replaced atomically (a temporary file is written, synced and renamed, and the folder synced), with a
-// checksum of its content. A truncated or damaged file is reported by its path and not used. It must never write a
-// version older than one that was in force here: a process runs no older version after a newer one. The packages below
-// it decide (ledger, spread) and execute (run).
+// The package owns one file in the cluster folder of a process, with the newest version that the process had in force
+// and a checksum of it. Store replaces the file atomically: it writes, syncs and renames a temporary file and syncs the
+// folder. A truncated or damaged file is reported with its path and not used. Callers must not store an older version
+// than one that was in force in the process, because a process never runs an older version after a newer one.
 //
-// Load (docs/CAPACITY.md, row sender): one file of the settings' size, written once for each change.
+// Package ledger records the committed versions, package spread decides which process gets which version when, and
+// package run executes these decisions.
+//
+// Load (docs/CAPACITY.md, row sender): one file of the size of the settings, written once per change.
 package configuration
 
 import (
@@ -27,15 +31,15 @@
 const (
 	cachedFile = "configuration.json"
 	tempFile   = "configuration.json.new"
-	// MaxBytes bounds a settings object in its canonical form. A command with its other fields stays under the bound
-	// of the consensus group (machine.MaxBodyBytes).
+	// MaxBytes is the maximum length of a settings object in canonical form. A command with the settings and its other
+	// fields stays below the limit of the consensus group (machine.MaxBodyBytes).
 	MaxBytes = 240 << 10
-	// maxFileBytes bounds the file: the settings and the few fields around them.
+	// maxFileBytes is the maximum length of the file, which has the settings and a few other fields.
 	maxFileBytes = MaxBytes + 4<<10
-	sumLength    = 16
+	sumLength    = 16 // bytes of the SHA-256 digest that are used
 )
 
-// Sum is a checksum that identifies a settings object by its canonical form: 32 hexadecimal digits.
+// Sum is a checksum of a settings object in canonical form: 32 hexadecimal digits.
 type Sum string
 
 // SumOf returns the checksum of settings in canonical form.
@@ -44,20 +48,21 @@
 	return Sum(hex.EncodeToString(digest[:sumLength]))
 }
 
-// Canonicalize returns the form of a settings object that is committed, sent and summed: no blanks, names sorted, numbers
-// as written. Anything but a JSON object, and one over MaxBytes, is an error.
+// Canonicalize returns the canonical form of a settings object, which is the form that is committed, sent and
+// checksummed. It has no white space, sorted names, and numbers as they were written. Input that is not a single JSON
+// object, or is longer than MaxBytes in canonical form, is an error.
 func Canonicalize(settings json.RawMessage) (json.RawMessage, error) {
 	decoder := json.NewDecoder(bytes.NewReader(settings))
 	decoder.UseNumber()
 	var object map[string]any
 	if err := decoder.Decode(&object); err != nil {
-		return nil, fmt.Errorf("settings: no JSON object: %w", err)
+		return nil, fmt.Errorf("settings: not a JSON object: %w", err)
 	}
 	if object == nil {
-		return nil, errors.New("settings: no JSON object: null")
+		return nil, errors.New("settings: not a JSON object: null")
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
-		return nil, errors.New("settings: more behind the end of the object")
+		return nil, errors.New("settings: data after the end of the JSON object")
 	}
 	var out bytes.Buffer
 	encoder := json.NewEncoder(&out)
@@ -67,23 +72,25 @@
 	}
 	text := bytes.TrimSuffix(out.Bytes(), []byte("\n"))
 	if len(text) > MaxBytes {
-		return nil, fmt.Errorf("settings: %d bytes; at most %d", len(text), MaxBytes)
+		return nil, fmt.Errorf("settings: %d bytes in canonical form; at most %d are allowed", len(text), MaxBytes)
 	}
 	return text, nil
 }
 
-// cachedVersion is the content of the file. Unknown fields are skipped: a newer program may have written it.
+// cachedVersion is the content of the file. Unknown fields are ignored, because a newer program may have written the
+// file.
 type cachedVersion struct {
 	Version  uint64          `json:"version"`
 	Sum      Sum             `json:"sum"`
 	Settings json.RawMessage `json:"settings"`
 }
 
-// Path is the file in a cluster folder that has the newest version.
+// Path returns the path of the file with the stored version in a cluster folder.
 func Path(folder string) string { return filepath.Join(folder, cachedFile) }
 
-// LoadCached reads the version that an earlier incarnation stored in a cluster folder (here.folder of the cluster file);
-// version 0 without one. An error names the file and what is wrong with it: its content must not be used then.
+// LoadCached reads the version that an earlier incarnation of the process stored in a cluster folder (here.folder of
+// the cluster file). It returns version 0 if there is none. An error names the file and the problem; the content of the
+// file must then not be used.
 func LoadCached(folder string) (clusterapi.Configuration, error) {
 	path := Path(folder)
 	text, err := os.ReadFile(path)
@@ -93,7 +100,7 @@
 	case err != nil:
 		return clusterapi.Configuration{}, err
 	case len(text) > maxFileBytes:
-		return clusterapi.Configuration{}, fmt.Errorf("%s: %d bytes; it is not this file", path, len(text))
+		return clusterapi.Configuration{}, fmt.Errorf("%s: %d bytes; a stored version has at most %d", path, len(text), maxFileBytes)
 	}
 	var cached cachedVersion
 	if err := json.Unmarshal(text, &cached); err != nil {
@@ -101,23 +108,24 @@
 	}
 	switch {
 	case cached.Version == 0:
-		return clusterapi.Configuration{}, fmt.Errorf("%s: field version: 0 is never kept", path)
+		return clusterapi.Configuration{}, fmt.Errorf("%s: field version: 0 or missing", path)
 	case SumOf(cached.Settings) != cached.Sum:
-		return clusterapi.Configuration{}, fmt.Errorf("%s: field sum: it is not that of the settings: damaged", path)
+		return clusterapi.Configuration{}, fmt.Errorf("%s: field sum: does not match field settings; the file is damaged", path)
 	}
 	return clusterapi.Configuration{Version: cached.Version, Settings: cached.Settings}, nil
 }
 
-// Store replaces the stored version, and returns once it is on disk. Settings must be in canonical form.
+// Store replaces the stored version in a cluster folder and returns once the new version is synced to disk. The
+// settings must be in canonical form.
 func Store(folder string, c clusterapi.Configuration) error {
 	var out bytes.Buffer
 	encoder := json.NewEncoder(&out)
-	encoder.SetEscapeHTML(false) // as the sum is over the bytes
+	encoder.SetEscapeHTML(false) // because the checksum is over the unescaped bytes
 	if err := encoder.Encode(cachedVersion{c.Version, SumOf(c.Settings), c.Settings}); err != nil {
 		return err
 	}
-	aside := filepath.Join(folder, tempFile)
-	file, err := os.OpenFile(aside, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o640)
+	tempPath := filepath.Join(folder, tempFile)
+	file, err := os.OpenFile(tempPath, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o640)
 	if err != nil {
 		return err
 	}
@@ -125,7 +133,7 @@
 	if err = errors.Join(err, file.Sync(), file.Close()); err != nil {
 		return err
 	}
-	if err := os.Rename(aside, Path(folder)); err != nil {
+	if err := os.Rename(tempPath, Path(folder)); err != nil {
 		return err
 	}
 	dir, err := os.Open(folder)
--- a/internal/cluster/configuration/cached_test.go
+++ b/internal/cluster/configuration/cached_test.go
@@ -10,6 +10,7 @@
 	"flaxcove/internal/sender/clusterapi"
 )
 
+// TestStoreAndLoadCached checks that LoadCached returns what Store has stored, and version 0 before that.
 func TestStoreAndLoadCached(t *testing.T) {
 	folder := t.TempDir()
 	if c, err := LoadCached(folder); err != nil || c.Version != 0 {
@@ -31,20 +32,21 @@
 	}
 }
 
-// A file that was damaged or truncated anywhere is reported by its path and not used.
+// TestDamagedCacheIsRejected checks that a file that is damaged or truncated anywhere is reported with its path and not
+// used.
 func TestDamagedCacheIsRejected(t *testing.T) {
 	folder := t.TempDir()
 	path := filepath.Join(folder, cachedFile)
 	if err := Store(folder, clusterapi.Configuration{Version: 7, Settings: json.RawMessage(`{"pace":41}`)}); err != nil {
 		t.Fatal(err)
 	}
-	whole, err := os.ReadFile(path)
+	stored, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	damaged := []string{strings.Replace(string(whole), "41", "42", 1), `{"version":0}`, `{"version":3}`, strings.Repeat(" ", maxFileBytes+1)}
-	for cut := range len(whole) - 1 { // the line's end alone is no loss
-		damaged = append(damaged, string(whole[:cut]))
+	damaged := []string{strings.Replace(string(stored), "41", "42", 1), `{"version":0}`, `{"version":3}`, strings.Repeat(" ", maxFileBytes+1)}
+	for cut := range len(stored) - 1 { // without its final newline the file is still valid
+		damaged = append(damaged, string(stored[:cut]))
 	}
 	for _, text := range damaged {
 		if err := os.WriteFile(path, []byte(text), 0o640); err != nil {
--- a/internal/cluster/configuration/document.go
+++ b/internal/cluster/configuration/document.go
@@ -1,6 +1,7 @@
 package configuration
 
-// This file is how one version is made from another, and how it is compressed for sending. All of it is pure.
+// This file holds the functions that make one version from another and compress it for sending. They have no side
+// effects.
 
 import (
 	"bytes"
@@ -12,14 +13,15 @@
 	jsonpatch "github.com/evanphx/json-patch/v5"
 )
 
-// Document is one version's content in canonical form.
+// Document is one version of the settings in canonical form. The zero value stands for no version.
 type Document struct {
 	Version  uint64          `json:"version"`
 	Sum      Sum             `json:"sum"`
 	Settings json.RawMessage `json:"settings"`
 }
 
-// NewDocument returns a document with the settings in canonical form.
+// NewDocument returns the document of a version, with the settings in canonical form and their checksum. Settings that
+// Canonicalize rejects are an error.
 func NewDocument(version uint64, settings json.RawMessage) (Document, error) {
 	canonical, err := Canonicalize(settings)
 	if err != nil {
@@ -28,7 +30,8 @@
 	return Document{version, SumOf(canonical), canonical}, nil
 }
 
-// ApplyPatch applies a JSON merge patch (RFC 7386) to settings and returns the result in canonical form.
+// ApplyPatch applies a JSON merge patch (RFC 7386) to settings and returns the result in canonical form. A patch that
+// is not a JSON object is an error, and so is a result that Canonicalize rejects.
 func ApplyPatch(settings, patch json.RawMessage) (json.RawMessage, error) {
 	if _, err := Canonicalize(patch); err != nil {
 		return nil, fmt.Errorf("patch: %w", err)
@@ -40,8 +43,8 @@
 	return Canonicalize(merged)
 }
 
-// CreatePatch returns a merge patch that turns settings into others. It returns false where there is none that gives
-// exactly these: a merge patch can't set a field to null, and the library reads numbers as floats.
+// CreatePatch returns a JSON merge patch that changes the settings from into the settings to. It returns false if no
+// patch gives exactly those: a merge patch can't set a field to null, and the library reads numbers as floats.
 func CreatePatch(from, to json.RawMessage) (json.RawMessage, bool) {
 	patch, err := jsonpatch.CreateMergePatch(from, to)
 	if err != nil {
@@ -54,7 +57,7 @@
 	return patch, true
 }
 
-// Compress compresses settings for sending.
+// Compress compresses settings with gzip for sending.
 func Compress(settings json.RawMessage) ([]byte, error) {
 	var out bytes.Buffer
 	w, err := gzip.NewWriterLevel(&out, gzip.BestCompression)
@@ -70,18 +73,18 @@
 	return out.Bytes(), nil
 }
 
-// Decompress reads what Compress wrote; settings of more than MaxBytes are an error.
+// Decompress returns the settings that Compress compressed. More than MaxBytes of settings are an error.
 func Decompress(packed []byte) (json.RawMessage, error) {
 	r, err := gzip.NewReader(bytes.NewReader(packed))
 	if err != nil {
-		return nil, fmt.Errorf("packed settings: %w", err)
+		return nil, fmt.Errorf("compressed settings: %w", err)
 	}
 	settings, err := io.ReadAll(io.LimitReader(r, MaxBytes+1))
 	if err != nil {
-		return nil, fmt.Errorf("packed settings: %w", err)
+		return nil, fmt.Errorf("compressed settings: %w", err)
 	}
 	if len(settings) > MaxBytes {
-		return nil, fmt.Errorf("packed settings: over %d bytes", MaxBytes)
+		return nil, fmt.Errorf("compressed settings: more than %d bytes after decompression", MaxBytes)
 	}
 	return settings, nil
 }
--- a/internal/cluster/configuration/document_bench_test.go
+++ b/internal/cluster/configuration/document_bench_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// settingsOf returns settings of about so many bytes.
+// settingsOf returns settings of about this many bytes.
 func settingsOf(b *testing.B, bytes int) json.RawMessage {
 	b.Helper()
 	var classes []map[string]any
@@ -26,8 +26,9 @@
 	return canonical
 }
 
-// BenchmarkDocument is what a change of one field costs by the size of the settings: at the process that makes a patch or
-// compresses the full content (once a version, for all children), and at one that receives it; with the bytes sent.
+// BenchmarkDocument measures the cost of a change of one field for settings of several sizes: in the process that
+// creates the patch or compresses the full content (once per version, for all children), and in a process that receives
+// either. It also reports the number of bytes sent.
 func BenchmarkDocument(b *testing.B) {
 	for _, size := range []int{2 << 10, 20 << 10, 200 << 10} {
 		from := settingsOf(b, size)
@@ -36,7 +37,7 @@
 			b.Fatal(err)
 		}
 		patch, _ := CreatePatch(from, to)
-		packed, err := Compress(to)
+		compressed, err := Compress(to)
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -45,7 +46,7 @@
 			"take-change": func() error { _, err := ApplyPatch(from, patch); return err },
 			"pack-whole":  func() error { _, err := Compress(to); return err },
 			"take-whole": func() error {
-				settings, err := Decompress(packed)
+				settings, err := Decompress(compressed)
 				if err == nil {
 					_, err = NewDocument(1, settings)
 				}
@@ -59,7 +60,7 @@
 					}
 				}
 				b.ReportMetric(float64(len(patch)), "change-B")
-				b.ReportMetric(float64(len(packed)), "whole-B")
+				b.ReportMetric(float64(len(compressed)), "whole-B")
 			})
 		}
 	}
--- a/internal/cluster/configuration/document_test.go
+++ b/internal/cluster/configuration/document_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// anyObject draws a settings object: objects in objects, lists, nulls, large numbers, texts that JSON escapes.
+// anyObject draws a settings object with nested objects, lists, nulls, large numbers, and texts that JSON escapes.
 func anyObject(depth int) *rapid.Generator[map[string]any] {
 	leaf := rapid.OneOf(
 		rapid.Just[any](nil),
@@ -24,6 +24,7 @@
 	return rapid.MapOfN(rapid.SampledFrom([]string{"a", "b", "c", "d<"}), value, 0, 4)
 }
 
+// drawSettings draws settings in canonical form.
 func drawSettings(t *rapid.T, name string) json.RawMessage {
 	text, err := json.Marshal(anyObject(3).Draw(t, name))
 	if err != nil {
@@ -36,37 +37,40 @@
 	return canonical
 }
 
-// A patch gives exactly the other version or there is none, and compression preserves settings.
+// TestPatchAndCompression checks that a patch, if there is one, gives exactly the other version, and that compression
+// preserves settings.
 func TestPatchAndCompression(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		from, to := drawSettings(t, "from"), drawSettings(t, "to")
-		if patch, is := CreatePatch(from, to); is {
-			escaped, err := json.Marshal(patch) // as it travels
+		if patch, ok := CreatePatch(from, to); ok {
+			escaped, err := json.Marshal(patch) // as in a message
 			if err != nil {
 				t.Fatal(err)
 			}
 			if got, err := ApplyPatch(from, escaped); err != nil || string(got) != string(to) {
-				t.Fatalf("%s with %s is %s, not %s: %v", from, patch, got, to, err)
+				t.Fatalf("%s patched with %s is %s, not %s: %v", from, patch, got, to, err)
 			}
 		}
-		packed, err := Compress(to)
+		compressed, err := Compress(to)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got, err := Decompress(packed); err != nil || string(got) != string(to) {
+		if got, err := Decompress(compressed); err != nil || string(got) != string(to) {
 			t.Fatalf("%s %v", got, err)
 		}
 	})
 }
 
+// TestPatchOfOneField checks that a patch has the changed field only, that there is no patch that sets a field to null,
+// and that ApplyPatch rejects anything but a JSON object.
 func TestPatchOfOneField(t *testing.T) {
 	from := json.RawMessage(`{"a":1,"b":{"c":2,"d":3}}`)
-	patch, is := CreatePatch(from, json.RawMessage(`{"a":1,"b":{"c":2,"d":4}}`))
-	if !is || string(patch) != `{"b":{"d":4}}` {
-		t.Fatalf("%s %v", patch, is)
+	patch, ok := CreatePatch(from, json.RawMessage(`{"a":1,"b":{"c":2,"d":4}}`))
+	if !ok || string(patch) != `{"b":{"d":4}}` {
+		t.Fatalf("%s %v", patch, ok)
 	}
-	if _, is := CreatePatch(from, json.RawMessage(`{"a":null,"b":{"c":2,"d":3}}`)); is {
-		t.Fatal("a merge patch that sets null")
+	if _, ok := CreatePatch(from, json.RawMessage(`{"a":null,"b":{"c":2,"d":3}}`)); ok {
+		t.Fatal("there is a merge patch that sets a field to null")
 	}
 	for _, bad := range []string{`[]`, `7`, ``, `{"a"`} {
 		if got, err := ApplyPatch(from, json.RawMessage(bad)); err == nil {
@@ -75,6 +79,7 @@
 	}
 }
 
+// TestDecompressRejects checks that damaged input and too large settings are rejected.
 func TestDecompressRejects(t *testing.T) {
 	large, err := Compress(json.RawMessage(`"` + strings.Repeat("x", MaxBytes) + `"`))
 	if err != nil {
@@ -82,7 +87,7 @@
 	}
 	for _, bad := range [][]byte{nil, []byte("{}"), large, large[:len(large)/2]} {
 		if _, err := Decompress(bad); err == nil {
-			t.Errorf("%d bytes taken", len(bad))
+			t.Errorf("invalid input of %d bytes was accepted", len(bad))
 		}
 	}
 }
--- a/internal/cluster/configuration/ledger/ledger.go
+++ b/internal/cluster/configuration/ledger/ledger.go
@@ -1,7 +1,7 @@
 package ledger
 
-// This file is the state machine: one method for each command. It must stay deterministic: no map is ranged over
-// where the order shows, and nothing is read but the command and the state.
+// This file holds the state machine, with one method per command. The methods must stay deterministic: their result
+// must not depend on the iteration order of a map, or on anything other than the command and the state.
 
 import (
 	"encoding/json"
@@ -12,30 +12,32 @@
 	"flaxcove/internal/cluster/configuration"
 )
 
-// Bounds of the ledger. 1,600 changes a day are planned for: ids are recognised for over a day, and the retained documents
-// suffice to restore what was in force before a bad change, or some hours of them.
+// Size limits of the ledger. It is designed for 1,600 changes a day, so that request IDs are recognised for more than a
+// day. The retained documents allow an operator to restore the version before a bad change, or before some hours of
+// changes.
 const (
-	MaxEntries       = 2048
-	MaxDocuments     = 32
-	MaxDocumentBytes = 2 << 20 // of all documents; the newest and the one before it are retained in any case
+	MaxEntries       = 2048    // of versions with their request IDs
+	MaxDocuments     = 32      // of versions that can be restored
+	MaxDocumentBytes = 2 << 20 // total length of all documents; the two newest are retained in any case
 	minDocuments     = 2
 )
 
-// Ledger is the state. It is not safe for concurrent use: the consensus group guards it.
+// Ledger implements machine.Part. It is not safe for concurrent use; the consensus group guards it.
 type Ledger struct {
-	entries       []Entry // by version, with gaps before adopted versions
-	versionByID   map[string]uint64
-	documents     []configuration.Document // by version, oldest first; the last is that of the last entry
-	documentBytes int                      // of documents
-	clock         time.Duration
-	revision      uint64 // grows with each command; not in snapshots
+	entries       []Entry                  // sorted by version, with gaps before adopted versions
+	versionByID   map[string]uint64        // by request ID
+	documents     []configuration.Document // sorted by version; the last document belongs to the last entry
+	documentBytes int                      // total length of documents
+	clock         time.Duration            // the group's clock at the latest command
+	revision      uint64                   // see Revision; not part of snapshots
 }
 
 // New returns an empty ledger.
 func New() *Ledger { return &Ledger{versionByID: map[string]uint64{}} }
 
-// Apply applies one committed command. An error means that it could not be decoded, and nothing has changed; a command
-// that is rejected by a rule says so in its answer.
+// Apply applies one committed command and returns a DecideResult as JSON. An error means that the command could not be
+// decoded or is of an unknown kind, and has changed nothing. A command that breaks a rule of the ledger gets an answer
+// in which DecideResult.Rejected is set.
 func (l *Ledger) Apply(_ uint64, at time.Duration, kind string, body json.RawMessage) (json.RawMessage, error) {
 	var answer DecideResult
 	var err error
@@ -63,7 +65,7 @@
 	return json.Marshal(answer)
 }
 
-// decide commits a change, or finds the version of the same request that was committed before.
+// decide commits a change, or returns the version that the same request became before.
 func (l *Ledger) decide(c Decide) DecideResult {
 	if field, why := validateTexts(c.ID, c.Who, c.Why); field != "" {
 		return DecideResult{Rejected: field + " " + why, Field: field}
@@ -97,7 +99,8 @@
 	return DecideResult{Version: document.Version, Sum: document.Sum}
 }
 
-// FindRequest is the answer to a request whose id is known: its version, or a rejection where the request differs.
+// FindRequest returns the answer to a request whose ID is known, and reports whether it is known. The answer is the
+// version of the request, or a rejection if another request was committed under this ID.
 func (l *Ledger) FindRequest(id string, fingerprint configuration.Sum) (DecideResult, bool) {
 	version, known := l.versionByID[id]
 	if !known {
@@ -111,7 +114,7 @@
 	return DecideResult{Version: version, Sum: entry.Sum, Duplicate: true, Current: l.LastVersion()}, true
 }
 
-// adopt adds a version that members have.
+// adopt adds a version that members have in force.
 func (l *Ledger) adopt(c Adopt) DecideResult {
 	if c.Version <= l.LastVersion() {
 		return DecideResult{Conflict: true, Field: "version", Rejected: fmt.Sprintf("version %d is not above %d", c.Version, l.LastVersion())}
@@ -124,7 +127,7 @@
 	return DecideResult{Version: c.Version, Sum: document.Sum}
 }
 
-// append adds an entry with its document, and drops the oldest beyond the bounds.
+// append adds an entry and its document, and deletes the oldest entries and documents that exceed the size limits.
 func (l *Ledger) append(entry Entry, document configuration.Document) {
 	l.entries = append(l.entries, entry)
 	if entry.ID != "" {
@@ -141,7 +144,7 @@
 	}
 }
 
-// retain adds a document to those that can be restored.
+// retain adds a document to the documents that can be restored.
 func (l *Ledger) retain(document configuration.Document) {
 	l.documents = append(l.documents, document)
 	l.documentBytes += len(document.Settings)
--- a/internal/cluster/configuration/ledger/ledger_test.go
+++ b/internal/cluster/configuration/ledger/ledger_test.go
@@ -12,8 +12,10 @@
 	"flaxcove/internal/cluster/configuration"
 )
 
+// fatalReporter is the part of testing.T and rapid.T that the helpers use.
 type fatalReporter interface{ Fatalf(string, ...any) }
 
+// apply applies a command and returns the decoded answer.
 func apply(t fatalReporter, l *Ledger, kind string, command any) (d DecideResult) {
 	body, err := json.Marshal(command)
 	if err != nil {
@@ -29,28 +31,30 @@
 	return d
 }
 
+// change returns a command that changes the settings.
 func change(id string, base uint64, settings string) Decide {
 	return Decide{ID: id, Fingerprint: configuration.SumOf(json.RawMessage(settings)), Base: base, Settings: json.RawMessage(settings),
 		Who: "ops", Why: "try", OwnSettings: json.RawMessage(`{"own":true}`)}
 }
 
+// TestDecide checks the answers to valid, repeated, conflicting and invalid changes.
 func TestDecide(t *testing.T) {
 	l := New()
 	if text, err := l.Snapshot(); err != nil || string(text) != "null" {
-		t.Fatalf("a new ledger's snapshot: %s %v", text, err)
+		t.Fatalf("the snapshot of a new ledger: %s %v", text, err)
 	}
 	one := apply(t, l, KindDecide, change("a", 0, `{"x": 1}`))
 	if one.Version != 1 || one.Rejected != "" || one.Current != 1 {
 		t.Fatalf("%+v", one)
 	}
 	if again := apply(t, l, KindDecide, change("a", 0, `{"x": 1}`)); !again.Duplicate || again.Version != 1 || again.Sum != one.Sum {
-		t.Fatalf("the same again: %+v", again)
+		t.Fatalf("the same request again: %+v", again)
 	}
 	if other := apply(t, l, KindDecide, change("a", 1, `{"x":2}`)); !other.Conflict || other.Field != "id" || other.Current != 1 {
-		t.Fatalf("another under the same id: %+v", other)
+		t.Fatalf("another request with the same ID: %+v", other)
 	}
 	if stale := apply(t, l, KindDecide, change("b", 0, `{"x":2}`)); !stale.Conflict || stale.Field != "base" || stale.Current != 1 {
-		t.Fatalf("upon an older version: %+v", stale)
+		t.Fatalf("a change based on an older version: %+v", stale)
 	}
 	if two := apply(t, l, KindDecide, change("b", 1, `{"x":2}`)); two.Version != 2 {
 		t.Fatalf("%+v", two)
@@ -71,12 +75,13 @@
 	}
 	for kind, body := range map[string]string{KindDecide: `{"id":`, "other": `{}`} {
 		if _, err := l.Apply(0, 0, kind, json.RawMessage(body)); err == nil {
-			t.Errorf("%s %s was taken", kind, body)
+			t.Errorf("%s %s was accepted", kind, body)
 		}
 	}
 }
 
-// A restore makes a new, higher version with the old content; version 0 is the file before the first change.
+// TestRestoreOldVersion checks that a restore creates a new version with the old content, and that version 0 is the
+// file from before the first change.
 func TestRestoreOldVersion(t *testing.T) {
 	l := New()
 	apply(t, l, KindDecide, change("a", 0, `{"x":1}`))
@@ -88,7 +93,7 @@
 	if d, _ := l.Newest(); string(d.Settings) != `{"x":1}` || d.Version != 3 {
 		t.Fatalf("%+v", d)
 	}
-	own := Decide{ID: "d", Base: 3, Restore: new(uint64(0)), Who: "ops", Why: "all the way"}
+	own := Decide{ID: "d", Base: 3, Restore: new(uint64(0)), Who: "ops", Why: "1 was bad"}
 	if got := apply(t, l, KindDecide, own); got.Version != 4 {
 		t.Fatalf("%+v", got)
 	}
@@ -97,6 +102,8 @@
 	}
 }
 
+// TestAdopt checks that a newer version of members is adopted, that an older one is rejected, and that versions are
+// numbered from the adopted one.
 func TestAdopt(t *testing.T) {
 	l := New()
 	if got := apply(t, l, KindAdopt, Adopt{57, json.RawMessage(`{"x":57}`)}); got.Version != 57 {
@@ -110,7 +117,8 @@
 	}
 }
 
-// The ledger stays within its bounds, and within those of the consensus group, at any number of changes.
+// TestLedgerStaysWithinBounds checks that the ledger keeps its size limits after many changes, and that its snapshot
+// stays below 4 MiB.
 func TestLedgerStaysWithinBounds(t *testing.T) {
 	l := New()
 	large := strings.Repeat("x", 200<<10)
@@ -133,11 +141,12 @@
 	if err != nil || len(text) > 4<<20 {
 		t.Fatal(len(text), err)
 	}
-	t.Logf("snapshot of the largest ledger: %d bytes", len(text))
+	t.Logf("the snapshot of the largest ledger has %d bytes", len(text))
 }
 
-// Any commands: versions only rise and never change their content, two ledgers with the same commands are identical to
-// the byte, and one that was restored from a snapshot stays identical, too.
+// TestReplicasStayIdentical applies arbitrary commands to two ledgers, one of which is restored from its snapshot from
+// time to time. It checks that the version number never decreases, that no version changes its content, and that the
+// snapshots of both ledgers have the same bytes.
 func TestReplicasStayIdentical(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := New(), New()
@@ -167,7 +176,7 @@
 				t.Fatalf("%+v and %+v", got, same)
 			}
 			if a.LastVersion() < last {
-				t.Fatalf("from version %d back to %d", last, a.LastVersion())
+				t.Fatalf("the newest version went from %d back to %d", last, a.LastVersion())
 			}
 			if got.Version > 0 {
 				if sum, known := sums[got.Version]; known && sum != got.Sum {
@@ -194,6 +203,7 @@
 	})
 }
 
+// TestRestoreRejectsInconsistentSnapshots checks that an inconsistent snapshot is an error and changes nothing.
 func TestRestoreRejectsInconsistentSnapshots(t *testing.T) {
 	l := New()
 	apply(t, l, KindDecide, change("a", 0, `{"x":1}`))
@@ -201,33 +211,34 @@
 	for _, bad := range []string{`{`, `{"entries":[{"version":0}]}`, `{"entries":[{"version":2},{"version":1}]}`,
 		`{"entries":[{"version":1}],"documents":[]}`, strings.Replace(string(before), `{"x":1}`, `{"x":2}`, 1)} {
 		if err := l.Restore(json.RawMessage(bad)); err == nil {
-			t.Errorf("taken: %s", bad)
+			t.Errorf("restored without an error: %s", bad)
 		}
 	}
 	if after, _ := l.Snapshot(); string(after) != string(before) {
-		t.Fatal("a refused snapshot changed something")
+		t.Fatal("a rejected snapshot changed the state")
 	}
 	if err := l.Restore(json.RawMessage("null")); err != nil || l.LastVersion() != 0 {
 		t.Fatal(err)
 	}
 }
 
+// TestRequestValidate checks which field of an invalid request is reported, and what the fingerprint depends on.
 func TestRequestValidate(t *testing.T) {
 	good := Request{ID: "a", Base: new(uint64(3)), Settings: json.RawMessage(`{"x": 1}`), Who: "w", Why: "y"}
 	if field, why := good.Validate(); field != "" {
 		t.Fatal(field, why)
 	}
-	print, err := good.Fingerprint()
+	fingerprint, err := good.Fingerprint()
 	if err != nil {
 		t.Fatal(err)
 	}
 	good.Settings = json.RawMessage(`{ "x":1 }`)
-	if again, _ := good.Fingerprint(); again != print {
-		t.Fatal("blanks make another request")
+	if again, _ := good.Fingerprint(); again != fingerprint {
+		t.Fatal("the fingerprint depends on white space")
 	}
 	good.Why = "z"
-	if other, _ := good.Fingerprint(); other == print {
-		t.Fatal("another why is the same request")
+	if other, _ := good.Fingerprint(); other == fingerprint {
+		t.Fatal("the fingerprint does not depend on the field why")
 	}
 	for field, r := range map[string]Request{
 		"base":     {ID: "a", Settings: json.RawMessage(`{}`), Who: "w", Why: "y"},
--- a/internal/cluster/configuration/ledger/storeddata_test.go
+++ b/internal/cluster/configuration/ledger/storeddata_test.go
@@ -11,7 +11,7 @@
 	"flaxcove/internal/cluster/consensus/machine/machinetest"
 )
 
-// storedEntries are the versions after the stored commands.
+// storedEntries returns the entries of all versions after the stored commands.
 func storedEntries() []ledger.Entry {
 	const sumOfOne = "6a509ac90fc0e8170bdf70b64a73158b"
 	return []ledger.Entry{
@@ -25,7 +25,7 @@
 	}
 }
 
-// storedSettings are the documents to which a return is possible, by version.
+// storedSettings returns the settings that can be restored after the stored commands, by version.
 func storedSettings() map[uint64]string {
 	return map[uint64]string{
 		0:  `{"own":true}`,
@@ -36,20 +36,22 @@
 	}
 }
 
-// TestReplaysStoredVersions: the changes in an older program's log are decided and answered as they were.
+// TestReplaysStoredVersions checks that the commands in an older program's log give the same versions and answers as
+// they did there.
 func TestReplaysStoredVersions(t *testing.T) {
 	l := ledger.New()
 	machinetest.Replay(t, l)
 	checkStoredVersions(t, l)
 }
 
-// TestReadsStoredVersions: all of an older program's snapshot is read.
+// TestReadsStoredVersions checks that an older program's snapshot is restored completely.
 func TestReadsStoredVersions(t *testing.T) {
 	l := ledger.New()
 	machinetest.Restore(t, l)
 	checkStoredVersions(t, l)
 }
 
+// checkStoredVersions compares a ledger with the stored versions.
 func checkStoredVersions(t *testing.T, l *ledger.Ledger) {
 	t.Helper()
 	for _, want := range storedEntries() {
@@ -57,12 +59,12 @@
 		if diff := cmp.Diff(want, got); !found || diff != "" {
 			t.Errorf("version %d, found %v (-stored +read):\n%s", want.Version, found, diff)
 		}
-		if known, is := l.FindRequest(want.ID, want.Fingerprint); want.ID != "" && (!is || known.Version != want.Version) {
-			t.Errorf("id %q stands for version %d, known %v", want.ID, known.Version, is)
+		if answer, known := l.FindRequest(want.ID, want.Fingerprint); want.ID != "" && (!known || answer.Version != want.Version) {
+			t.Errorf("ID %q is known: %v, for version %d", want.ID, known, answer.Version)
 		}
 	}
-	if held := l.RetainedVersions(); !slices.Equal(held, []uint64{0, 1, 2, 3, 57}) {
-		t.Errorf("held are %v", held)
+	if retained := l.RetainedVersions(); !slices.Equal(retained, []uint64{0, 1, 2, 3, 57}) {
+		t.Errorf("the retained versions are %v", retained)
 	}
 	for version, want := range storedSettings() {
 		if document, found := l.Document(version); !found || string(document.Settings) != want {
--- a/internal/cluster/configuration/run/announce.go
+++ b/internal/cluster/configuration/run/announce.go
@@ -1,8 +1,9 @@
 package run
 
-// This file is the leader's announcements to processes that the tree does not reach: those absent from its view, as a
-// partitioned process is back seconds before the view says so, and those that do not answer their parent. A process that
-// gets one fetches what it lacks; processes that were partitioned together with it get the version from there.
+// This file holds the leader's announcements of the newest version to processes that the tree does not reach. These are
+// processes that are absent from the leader's view, as a partitioned process returns seconds before the view shows
+// that, and processes that do not answer their parent. A process that receives an announcement fetches the version from
+// the leader. Processes that were partitioned together with it get the version from it.
 
 import (
 	"context"
@@ -16,23 +17,24 @@
 
 const (
 	pathAnnounce = "/configuration/nudge"
-	// At most maxAnnouncements calls in announceInterval: 3 KB/s where many are absent and all of them answer.
+	// At most maxAnnouncements calls are made per announceInterval. That is 3 KB/s if many processes are absent and all
+	// of them answer.
 	announceInterval = time.Second
 	maxAnnouncements = 8
 )
 
-// announcement names the newest version.
+// announcement is the message that names the newest version.
 type announcement struct {
 	Held spread.Digest `json:"h"`
 }
 
-// announceAnswer is the answer to an announcement.
+// announceAnswer is the answer to an announcement: the newest version that the process has, and the one in force there.
 type announceAnswer struct {
 	Held    spread.Digest `json:"h"`
 	InForce uint64        `json:"i"`
 }
 
-// announceToLaggards starts the announcements that are due. The lock is held.
+// announceToLaggards starts the announcements that are due. r.mu is held.
 func (r *Runner) announceToLaggards(now view.Uptime) {
 	work := &r.leaderWork
 	if now < work.nextAnnounceAt || work.state.Newest().Version == 0 {
@@ -46,7 +48,7 @@
 		r.goroutines.Go(func() {
 			var answer announceAnswer
 			if r.caller.Call(r.ctx, name, pathAnnounce, message, &answer) != nil {
-				return // as expected of an absent process
+				return // expected for an absent process
 			}
 			r.mu.Lock()
 			defer r.mu.Unlock()
@@ -55,11 +57,11 @@
 	}
 }
 
-// handleAnnouncement has a newer version fetched from the caller.
+// handleAnnouncement records the caller as the source of a newer version, which the next step fetches.
 func (r *Runner) handleAnnouncement(_ context.Context, from view.Life, body []byte) (any, error) {
 	var message announcement
 	if err := json.Unmarshal(body, &message); err != nil {
-		return nil, fmt.Errorf("configuration: nudge: %w", err)
+		return nil, fmt.Errorf("configuration: announcement: %w", err)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/cluster/configuration/run/catchup.go
+++ b/internal/cluster/configuration/run/catchup.go
@@ -1,7 +1,7 @@
 package run
 
-// This file is how a process catches up at its start, before its sender sends anything: it gets the newest version from
-// the leader.
+// This file makes a process catch up at its start: it gets the newest version from the leader and has it put in force
+// before the sender sends anything.
 
 import (
 	"context"
@@ -10,11 +10,11 @@
 	"go.uber.org/zap"
 )
 
-// catchUp gets the newest version and waits until it is in force. After Options.CatchUp the process becomes ready anyway,
-// and this goes on.
+// catchUp gets the newest version from the leader, waits until it is in force here, and then marks the process as
+// ready. After Options.CatchUp the process becomes ready in any case, and catchUp goes on.
 func (r *Runner) catchUp() {
 	bound := time.AfterFunc(r.options.CatchUp, func() {
-		r.options.Log.Warn("configuration: not caught up in time; serving anyway", zap.Duration("after", r.options.CatchUp),
+		r.options.Log.Warn("configuration: not caught up in time; serving with the version that is in force here", zap.Duration("after", r.options.CatchUp),
 			zap.Uint64("version", r.Status().Version))
 		r.signals.MarkReady()
 	})
@@ -31,8 +31,9 @@
 	}
 }
 
-// fetchNewest makes one attempt to get the newest version from the leader and to have it in force, or rejected, here. The
-// other candidates are asked, too, as there may be no leader: what they have is taken in, but may not be the newest.
+// fetchNewest makes one attempt to get the newest version from the leader and waits until that version is in force or
+// rejected here. It returns whether that succeeded. The candidates include processes that do not lead, as there may be
+// no leader. Their versions are used, too, but may not be the newest.
 func (r *Runner) fetchNewest() bool {
 	ctx, cancel := context.WithTimeout(r.ctx, r.options.CatchUp)
 	defer cancel()
@@ -61,7 +62,7 @@
 	return false
 }
 
-// awaitInForce waits until the newest version here is in force, or rejected.
+// awaitInForce waits until the newest version known here is in force or rejected. It returns false if ctx ends first.
 func (r *Runner) awaitInForce(ctx context.Context) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/cluster/configuration/run/decide.go
+++ b/internal/cluster/configuration/run/decide.go
@@ -1,7 +1,7 @@
 package run
 
-// This file is how the leader decides a request: it resolves the settings that are asked for, checks them and proposes
-// the change.
+// This file handles change requests on the leader: it computes the settings that a request results in, checks them, and
+// proposes the change to the consensus group.
 
 import (
 	"context"
@@ -15,23 +15,24 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// envelopeBytes bounds a command without the settings in it: texts at their bounds, of which a byte may become six.
+// envelopeBytes is the maximum length of a command without the settings in it: the texts at their maximum lengths, in
+// which JSON may encode one byte as six.
 const envelopeBytes = 12 << 10
 
-var errLedgerBehind = errors.New("configuration: members have a newer version than the council; it is taken in first")
+var errLedgerBehind = errors.New("configuration: members have a newer version than the consensus group, which adopts it first")
 
-// decisionInput is what the ledger says that a decision on a request depends on.
+// decisionInput is the content of the ledger that the decision on a request depends on.
 type decisionInput struct {
-	answer      ledger.DecideResult // to a request that was committed before
-	duplicate   bool
+	answer      ledger.DecideResult // the answer to an earlier request with the same ID, if there was one
+	duplicate   bool                // there was an earlier request with the same ID
 	lastVersion uint64
-	newest      configuration.Document // version 0 before the first change: the leader's own file
-	restored    configuration.Document
-	restorable  bool // the version to be restored is retained
+	newest      configuration.Document // before the first change version 0, the leader's own file
+	restored    configuration.Document // the version to restore, if restorable is set
+	restorable  bool                   // the version to restore is retained
 }
 
-// decide resolves, checks and proposes a request, on the leader. A request that is rejected by a rule gets an answer; an
-// error means that it is not known whether it was committed.
+// decide checks a request and proposes it as a command, on the leader. For an invalid request it returns an answer with
+// Rejected set. After an error it is unknown whether the request was committed.
 func (r *Runner) decide(ctx context.Context, request ledger.Request) (ledger.DecideResult, error) {
 	if field, why := request.Validate(); field != "" {
 		return ledger.DecideResult{Rejected: field + " " + why, Field: field}, nil
@@ -58,7 +59,7 @@
 	text, err := r.options.Consensus.Propose(ctx, ledger.Part, ledger.KindDecide, command)
 	var rejectedError *machine.RejectedError
 	switch {
-	case errors.As(err, &rejectedError): // by the machine, as when the command is too long once it is escaped
+	case errors.As(err, &rejectedError): // for example because the command is too long after JSON escaping
 		return ledger.DecideResult{Rejected: err.Error(), Field: contentField(request), Current: input.lastVersion}, nil
 	case err != nil:
 		return ledger.DecideResult{}, err
@@ -68,7 +69,7 @@
 	return decided, json.Unmarshal(text, &decided)
 }
 
-// newCommand makes the command for a request. Where ok is false the request is rejected.
+// newCommand returns the command for a request. If ok is false the request is rejected, and rejection says why.
 func (r *Runner) newCommand(request ledger.Request, fingerprint configuration.Sum, input decisionInput) (
 	command ledger.Decide, rejection ledger.DecideResult, ok bool) {
 	command = ledger.Decide{ID: request.ID, Fingerprint: fingerprint, Base: input.lastVersion, Restore: request.Restore,
@@ -84,7 +85,7 @@
 		return command, ledger.DecideResult{Rejected: err.Error(), Field: contentField(request)}, false
 	}
 	if request.Restore == nil || input.lastVersion == 0 {
-		command.Settings = proposed // otherwise the ledger has them
+		command.Settings = proposed // otherwise the ledger has the settings
 	}
 	if input.lastVersion == 0 && len(input.newest.Settings)+len(proposed)+envelopeBytes < machine.MaxBodyBytes {
 		command.OwnSettings = input.newest.Settings
@@ -92,7 +93,7 @@
 	return command, ledger.DecideResult{}, true
 }
 
-// readDecisionInput reads what a decision on a request depends on.
+// readDecisionInput reads from the ledger what the decision on a request depends on.
 func (r *Runner) readDecisionInput(request ledger.Request, fingerprint configuration.Sum) (input decisionInput) {
 	own, err := configuration.NewDocument(0, r.options.OwnSettings)
 	if err != nil {
@@ -112,18 +113,18 @@
 	return input
 }
 
-// resolveSettings returns the complete settings that a request asks for, or why it is rejected.
+// resolveSettings returns the complete settings that a request results in, or a DecideResult with Rejected set.
 func resolveSettings(request ledger.Request, input decisionInput, base uint64) (json.RawMessage, ledger.DecideResult) {
 	switch {
 	case base != input.lastVersion:
 		return nil, ledger.DecideResult{Conflict: true, Field: "base",
 			Rejected: fmt.Sprintf("base %d is not the newest version, which is %d", base, input.lastVersion)}
 	case request.Restore != nil && !input.restorable:
-		return nil, ledger.DecideResult{Field: "restore", Rejected: fmt.Sprintf("version %d is not held, or not held any more", *request.Restore)}
+		return nil, ledger.DecideResult{Field: "restore", Rejected: fmt.Sprintf("version %d does not exist or is no longer retained", *request.Restore)}
 	case request.Restore != nil:
 		return input.restored.Settings, ledger.DecideResult{}
 	case request.Patch != nil && input.newest.Settings == nil:
-		return nil, ledger.DecideResult{Field: "patch", Rejected: "there are no settings that it could change; send them whole"}
+		return nil, ledger.DecideResult{Field: "patch", Rejected: "there are no settings to which a patch could be applied; send complete settings"}
 	}
 	var settings json.RawMessage
 	var err error
@@ -138,7 +139,7 @@
 	return settings, ledger.DecideResult{}
 }
 
-// contentField is the field of a request that has its content.
+// contentField returns the name of the request field that has the content of the change.
 func contentField(request ledger.Request) string {
 	switch {
 	case request.Patch != nil:
@@ -149,7 +150,7 @@
 	return "settings"
 }
 
-// handlePropose decides another process's request, on the leader.
+// handlePropose decides a request that another process has forwarded to the leader.
 func (r *Runner) handlePropose(ctx context.Context, _ view.Life, body []byte) (any, error) {
 	var request ledger.Request
 	if err := json.Unmarshal(body, &request); err != nil {
--- a/internal/cluster/configuration/run/faults_test.go
+++ b/internal/cluster/configuration/run/faults_test.go
@@ -1,6 +1,6 @@
 package run
 
-// This file is the tests with partitions, restarts, lost leaders and damaged files.
+// This file holds the tests with partitions, restarts, lost leaders and damaged files.
 
 import (
 	"encoding/json"
@@ -19,8 +19,9 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// A process that is partitioned during three changes is shown with its version, and gets only the newest once it is back.
-// A process that restarts has it before it is ready.
+// TestPartitionedProcessCatchesUp checks that a process that is partitioned during three changes is shown with its
+// version and gets only the newest version afterwards. It also checks that a process that restarts after it has missed
+// a change has the newest version in force before it is ready.
 func TestPartitionedProcessCatchesUp(t *testing.T) {
 	f := newFleet(t, 13)
 	f.mustChange("a", 0, `{"pace":1}`)
@@ -32,14 +33,14 @@
 			t.Fatalf("%d %+v", code, got)
 		}
 	}
-	f.waitFor("p12 is named", func() bool {
+	f.waitFor("p12 is shown as unreachable", func() bool {
 		s := f.mustStatus()
 		return len(s.Laggards) == 1 && s.Laggards[0].Name == "p12" && s.Laggards[0].Reason == spread.Unreachable &&
 			s.Laggards[0].Version == 1 && running(s, 4, 12) && s.State == Spreading
 	})
-	f.members[12].State = view.Dead // in time the view says so, too
+	f.members[12].State = view.Dead // the view shows its absence only later
 	f.publishView()
-	f.waitFor("p12 is away with its version", func() bool {
+	f.waitFor("p12 is shown as absent with its version", func() bool {
 		s := f.mustStatus()
 		return len(s.Away) == 1 && s.Away[0].Name == "p12" && s.Away[0].Version == 1 && s.Away[0].VersionKnown && s.Members == 12
 	})
@@ -50,7 +51,7 @@
 	if ran := f.senders[12].history(); len(ran) != 3 {
 		t.Errorf("p12 ran %v", ran)
 	}
-	f.waitFor("all is in force", func() bool { return f.mustStatus().State == InForce })
+	f.waitFor("the newest version is in force everywhere", func() bool { return f.mustStatus().State == InForce })
 
 	f.runners[11].Close()
 	f.changeWithoutEleven(t)
@@ -59,11 +60,11 @@
 	f.publishView()
 	f.waitReady(f.runners[11])
 	if status := f.runners[11].Status(); status.Version != 5 || !status.CaughtUp {
-		t.Errorf("ready with %+v", status)
+		t.Errorf("after the restart p11 is ready with %+v", status)
 	}
 }
 
-// changeWithoutEleven orders a change while p11 can be reached by nobody.
+// changeWithoutEleven orders a change while no process can reach p11.
 func (f *fleet) changeWithoutEleven(t *testing.T) {
 	t.Helper()
 	f.net.SetDown(true, "p11")
@@ -74,8 +75,9 @@
 	f.net.SetDown(false, "p11")
 }
 
-// A process whose program rejects a version goes on with what it has, reports the field, and holds up nobody; nor does
-// one whose sender rejects what its check let pass: it restarts with what was in force.
+// TestRejectedByOneProcess checks that a process whose check rejects a version keeps the version that it has, reports
+// the rejected field, and does not delay the others. The same holds for a process whose sender rejects a version that
+// passed the check; it also restarts with the version that was in force.
 func TestRejectedByOneProcess(t *testing.T) {
 	f := newFleet(t, 13)
 	f.mustChange("a", 0, `{"pace":1}`)
@@ -100,11 +102,11 @@
 		t.Errorf("%+v", status)
 	}
 	f.mustChange("c", 2, `{"shiny":null}`)
-	f.waitFor("all have the next", func() bool { return f.mustStatus().State == InForce })
+	f.waitFor("the next version is in force everywhere", func() bool { return f.mustStatus().State == InForce })
 }
 
-// A process that its parent does not reach, and one that is back while it is still absent from the view, get what they
-// lack from the leader.
+// TestLeaderAnnouncesOutsideTheTree checks that the leader's announcements bring the newest version to a process that
+// its parent does not reach, and to a process that has returned but is still absent from the view.
 func TestLeaderAnnouncesOutsideTheTree(t *testing.T) {
 	f := newFleet(t, 13)
 	f.mustChange("a", 0, `{"pace":1}`)
@@ -116,20 +118,21 @@
 	if code := f.request("p07", "POST", "/v1/configuration", `{"id":"b","base":1,"patch":{"pace":2},"who":"ops","why":"try"}`, &got); code != 202 {
 		t.Fatalf("%d %+v", code, got)
 	}
-	f.waitFor("p12 has it", func() bool { return f.runners[12].Status().Version == 2 })
+	f.waitFor("p12 has version 2", func() bool { return f.runners[12].Status().Version == 2 })
 	f.net.SetDown(false, "p11")
-	f.waitFor("p11 has it", func() bool { return f.runners[11].Status().Version == 2 })
-	f.waitFor("it is shown with what it has", func() bool {
+	f.waitFor("p11 has version 2", func() bool { return f.runners[11].Status().Version == 2 })
+	f.waitFor("p11 is shown as absent with version 2", func() bool {
 		s := f.mustStatus()
 		return len(s.Away) == 1 && s.Away[0].Name == "p11" && s.Away[0].Version == 2
 	})
 	f.net.SetCut("p12", "p03", false)
 	f.members[11].State = view.Alive
 	f.publishView()
-	f.waitFor("all is in force", func() bool { return f.mustStatus().State == InForce })
+	f.waitFor("the newest version is in force everywhere", func() bool { return f.mustStatus().State == InForce })
 }
 
-// The leader is lost during a change: what was committed comes into force everywhere.
+// TestLeaderLostDuringChange checks that a committed version comes into force everywhere although the leader is lost
+// before it has distributed the version.
 func TestLeaderLostDuringChange(t *testing.T) {
 	f := newFleet(t, 13)
 	f.mustChange("a", 0, `{"pace":1}`)
@@ -142,14 +145,15 @@
 	})
 	f.members[2].State, f.members[3].State = view.Dead, view.Dead
 	f.publishView()
-	f.waitFor("those who are reached have it", func() bool { return f.mustStatus().State == InForce && running(f.mustStatus(), 2, 11) })
+	f.waitFor("version 2 is in force in the processes that are up", func() bool { return f.mustStatus().State == InForce && running(f.mustStatus(), 2, 11) })
 	f.net.SetDown(false, "p02", "p03")
 	f.members[2].State, f.members[3].State = view.Alive, view.Alive
 	f.publishView()
-	f.waitFor("all have it", func() bool { return f.mustStatus().State == InForce })
+	f.waitFor("version 2 is in force everywhere", func() bool { return f.mustStatus().State == InForce })
 }
 
-// After the consensus group lost its records, versions are numbered on from what members have in force.
+// TestAdoptAfterLostRecords checks that a consensus group that has lost its records adopts the version that members
+// have in force, and numbers the next versions from there.
 func TestAdoptAfterLostRecords(t *testing.T) {
 	f := newFleet(t, 4)
 	f.mustChangePace("a", 0)
@@ -159,19 +163,20 @@
 			t.Fatal(err)
 		}
 	})
-	f.waitFor("the council knows version 2", func() bool { return f.mustStatus().Version == 2 })
+	f.waitFor("the consensus group knows version 2", func() bool { return f.mustStatus().Version == 2 })
 	f.mustChangePace("c", 2)
 	if got := f.runners[1].Status().Version; got != 3 {
 		t.Fatal(got)
 	}
 }
 
-// A damaged stored version is not used; the process gets the version from others before it is ready.
+// TestDamagedCacheIsReplaced checks that a damaged stored version is not used, and that the process gets the version
+// from the others before it is ready.
 func TestDamagedCacheIsReplaced(t *testing.T) {
 	f := newFleet(t, 4)
 	f.mustChangePace("a", 0)
 	f.runners[3].Close()
-	f.senders[3].applied = nil // what it runs at first is its own file: what was kept is lost with the file
+	f.senders[3].applied = nil // with the stored version lost, the sender starts with its own file
 	if err := os.WriteFile(configuration.Path(f.senders[3].folder), []byte(`{"version":1,"sum":"`), 0o640); err != nil {
 		t.Fatal(err)
 	}
@@ -184,7 +189,8 @@
 	}
 }
 
-// A process that reaches nobody becomes ready, and reports that it has not caught up.
+// TestProcessWithoutPeersBecomesReady checks that a process that reaches no other becomes ready and reports that it has
+// not caught up.
 func TestProcessWithoutPeersBecomesReady(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	l := ledger.New()
@@ -199,14 +205,15 @@
 	defer r.Close()
 	f.waitReady(r)
 	if r.Status().CaughtUp {
-		t.Error("caught up with nobody")
+		t.Error("the process reports that it has caught up")
 	}
 	if _, err := Start(Options{}); err == nil {
-		t.Error("started with nothing")
+		t.Error("Start accepted empty options")
 	}
 }
 
-// A version that can't be written to disk is not put in force, and reported.
+// TestUnwritableFolder checks that a version that can't be stored on disk is not put in force and is reported as
+// rejected.
 func TestUnwritableFolder(t *testing.T) {
 	f := newFleet(t, 4)
 	folder := f.senders[3].folder
@@ -219,6 +226,6 @@
 		t.Fatalf("%d %+v", code, got)
 	}
 	if ran := f.senders[3].history(); len(ran) != 1 {
-		t.Errorf("p03 ran %v without a disk", ran)
+		t.Errorf("p03 ran %v although it can store nothing", ran)
 	}
 }
--- a/internal/cluster/configuration/run/fetch.go
+++ b/internal/cluster/configuration/run/fetch.go
@@ -1,6 +1,6 @@
 package run
 
-// This file is what a process asks of others: newer versions, and what only the leader can answer.
+// This file sends requests to other processes: for newer versions, and for answers that only the leader can give.
 
 import (
 	"context"
@@ -11,7 +11,8 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// fetch asks for a newer version where one is expected, once each fetchInterval. The lock is held.
+// fetch starts a request for a newer version if another process may have one, at most once per fetchInterval. r.mu is
+// held.
 func (r *Runner) fetch(now view.Uptime) {
 	if r.fetchInFlight || now < r.nextFetchAt {
 		return
@@ -25,9 +26,9 @@
 	r.goroutines.Go(func() { r.fetchFrom(r.ctx, state, name, request) })
 }
 
-// fetchSource is the process to ask for a newer version, and the state that is to have it: a child that has reported one,
-// the leader that has announced one, on the leader the root, or any other process while the parent is unreachable. The
-// lock is held.
+// fetchSource returns the process to ask for a newer version and the state that receives the answer, and reports
+// whether there is one. The process is a child that has reported a newer version, the leader that has announced one,
+// the root of the tree (on the leader), or any other process while the parent is unreachable. r.mu is held.
 func (r *Runner) fetchSource() (state *spread.State, name view.Name, found bool) {
 	if name, found := r.state.ChildWithNewer(); found {
 		return r.state, name, true
@@ -50,7 +51,7 @@
 	return nil, "", false
 }
 
-// fetchFrom asks one process for a newer version and takes it in.
+// fetchFrom asks one process for a newer version and passes the answer to state.
 func (r *Runner) fetchFrom(ctx context.Context, state *spread.State, name view.Name, request spread.FetchRequest) (answer spread.ReportAnswer, err error) {
 	err = r.caller.Call(ctx, name, pathFetch, request, &answer)
 	r.mu.Lock()
@@ -66,8 +67,8 @@
 	return answer, nil
 }
 
-// propose has a change committed, by this process or by the leader, with retries until ctx ends: a request is idempotent.
-// After an error it is not known whether it was committed.
+// propose proposes a change, on this process if it leads and otherwise through the leader. It retries until ctx ends,
+// which is possible because requests are idempotent. After an error it is unknown whether the change was committed.
 func (r *Runner) propose(ctx context.Context, request ledger.Request) (decided ledger.DecideResult, err error) {
 	here := func() (err error) {
 		decided, err = r.decide(ctx, request)
@@ -77,8 +78,8 @@
 	return decided, err
 }
 
-// candidates are the processes to ask for what only the leader can answer: those that may lead, as far as they are known
-// here, and then others, up to maxCandidates.
+// candidates returns the processes to ask when only the leader can answer: those that may lead, as far as they are
+// known here, and then others, up to maxCandidates.
 func (r *Runner) candidates() []view.Name {
 	likely := r.options.Consensus.Ask()
 	r.mu.Lock()
@@ -86,7 +87,7 @@
 	return r.candidatesFrom(likely)
 }
 
-// candidatesFrom are the likely processes and others of the view, up to maxCandidates. The lock is held.
+// candidatesFrom returns the likely processes and others from the view, up to maxCandidates. r.mu is held.
 func (r *Runner) candidatesFrom(likely []view.Name) []view.Name {
 	return leadercall.Candidates(likely, r.lastLeader.Name, r.view, r.options.Self.Name, maxCandidates)
 }
--- a/internal/cluster/configuration/run/fleet_test.go
+++ b/internal/cluster/configuration/run/fleet_test.go
@@ -17,11 +17,12 @@
 	"flaxcove/internal/sender/clusterapi"
 )
 
-// This file is several processes in one, with fake senders.
+// This file holds the test environment: a fleet of several runners in one process, with fake senders.
 
-// testTimeout bounds every wait; no test depends on how long one takes.
+// testTimeout is the maximum duration of each wait. No test depends on how long a wait takes.
 const testTimeout = 20 * time.Second
 
+// fleet is several processes with their runners and senders, by index.
 type fleet struct {
 	t       *testing.T
 	net     *leadercalltest.Net
@@ -29,46 +30,49 @@
 	members []view.Member
 	senders []*fakeSender
 	runners []*Runner
-	// answerWithin is how long each waits for its sender; 0 for the default.
+	// answerWithin is Options.AnswerWithin of processes that start from now on; 0 stands for the default.
 	answerWithin time.Duration
 }
 
-// fakeSender is a sender with a folder, which outlives a Runner.
+// fakeSender is a sender with a cluster folder. Both outlive a restart of their Runner.
 type fakeSender struct {
 	folder string
 
 	mu           sync.Mutex
 	applied      []uint64      // versions in the order in which they came into force
 	rejectsField string        // settings with this field fail the check
-	failsAtField string        // settings with this field pass the check and are rejected by the loop
-	blocked      chan struct{} // until it is closed the loop takes no orders; nil where it does
+	failsAtField string        // settings with this field pass the check, but are rejected by Configure
+	blocked      chan struct{} // Configure does not answer until it is closed; nil if not blocked
 	handedOver   []uint64      // versions in the order in which they were handed over
 }
 
+// check is the sender's Options.Check.
 func (s *fakeSender) check(_, proposed json.RawMessage) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.validate(proposed, s.rejectsField)
 }
 
+// validate rejects settings with a field, and a negative pace.
 func (s *fakeSender) validate(settings json.RawMessage, field string) error {
 	if field != "" && strings.Contains(string(settings), field) {
-		return fmt.Errorf("field %s: not known here", field)
+		return fmt.Errorf("field %s: unknown", field)
 	}
 	if strings.Contains(string(settings), `"pace":-1`) {
-		return errors.New("field pace: -1 is not within 0 and 9")
+		return errors.New("field pace: -1 is not between 0 and 9")
 	}
 	return nil
 }
 
+// Configure puts a version in force in a goroutine of its own, once the sender is not blocked.
 func (s *fakeSender) Configure(c clusterapi.Configuration, done func(error)) {
 	s.mu.Lock()
-	stands := s.blocked
+	blocked := s.blocked
 	s.handedOver = append(s.handedOver, c.Version)
 	s.mu.Unlock()
 	go func() {
-		if stands != nil {
-			<-stands
+		if blocked != nil {
+			<-blocked
 		}
 		s.mu.Lock()
 		err := s.validate(c.Settings, s.failsAtField)
@@ -80,14 +84,17 @@
 	}()
 }
 
+// history returns the versions in the order in which they came into force, over all restarts.
 func (s *fakeSender) history() []uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]uint64(nil), s.applied...)
 }
 
+// ownSettings is the settings object in each process's own file. The long text makes a patch shorter than half of it.
 const ownSettings = `{"pace":0,"workloads":{"a":1,"b":2,"c":"a longer text that makes a change cheaper than the whole of it"}}`
 
+// newFleet starts processes p00, p01 and so on, of which p02 leads, and waits until all are ready.
 func newFleet(t *testing.T, size int) *fleet {
 	l := ledger.New()
 	f := &fleet{t: t, net: leadercalltest.New(l, "p02"), ledger: l, senders: make([]*fakeSender, size), runners: make([]*Runner, size)}
@@ -104,6 +111,7 @@
 	return f
 }
 
+// start starts a process with the version that is stored in its folder.
 func (f *fleet) start(i int) {
 	s, m := f.senders[i], f.members[i]
 	l := f.net.Link(m.Life)
@@ -131,6 +139,7 @@
 	f.publishView()
 }
 
+// waitReady waits until a process is ready.
 func (f *fleet) waitReady(r *Runner) {
 	f.t.Helper()
 	select {
@@ -140,16 +149,17 @@
 	}
 }
 
+// publishView gives all processes a view of the members and a tree of the present ones.
 func (f *fleet) publishView() {
-	here := slices.DeleteFunc(slices.Clone(f.members), func(m view.Member) bool { return !m.Present() })
+	present := slices.DeleteFunc(slices.Clone(f.members), func(m view.Member) bool { return !m.Present() })
 	for _, r := range f.runners {
 		if r != nil {
-			r.SetView(view.New(r.options.Self.Name, 1, f.members), leadercalltest.Tree(here))
+			r.SetView(view.New(r.options.Self.Name, 1, f.members), leadercalltest.Tree(present))
 		}
 	}
 }
 
-// close ends all processes, and checks that none ran an older version after a newer one.
+// close ends all processes and checks that none ran an older version after a newer one.
 func (f *fleet) close() {
 	for _, r := range f.runners {
 		r.Close()
@@ -165,7 +175,7 @@
 	}
 }
 
-// request makes an HTTP request to a process.
+// request makes an HTTP request to a process and returns the status code.
 func (f *fleet) request(at view.Name, method, url, body string, out any) int {
 	f.t.Helper()
 	return leadercalltest.Request(f.t, f.net.Mux(at), method, url, body, out)
@@ -182,16 +192,17 @@
 	return got
 }
 
-// waitFor polls until a condition holds.
-func (f *fleet) waitFor(what string, is func() bool) {
+// waitFor polls until a condition is true, for testTimeout at most.
+func (f *fleet) waitFor(what string, condition func() bool) {
 	f.t.Helper()
-	for end := time.Now().Add(testTimeout); !is(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !condition(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			f.t.Fatal("never so: " + what)
+			f.t.Fatalf("not within %v: %s", testTimeout, what)
 		}
 	}
 }
 
+// mustStatus returns the status of the newest version.
 func (f *fleet) mustStatus() (s ConfigurationStatus) {
 	f.t.Helper()
 	if code := f.request("p01", "GET", "/v1/configuration", "", &s); code != 200 {
--- a/internal/cluster/configuration/run/http.go
+++ b/internal/cluster/configuration/run/http.go
@@ -1,6 +1,6 @@
 package run
 
-// This file is the HTTP interface for callers. It decides nothing: changes are validated by Options.Check and the ledger.
+// This file holds the HTTP interface for callers. Changes are checked by Options.Check and the ledger, not here.
 
 import (
 	"context"
@@ -14,22 +14,22 @@
 )
 
 const (
-	maxRequests = 16 // concurrent requests; more get 503
-	// maxBodyBytes allows for blanks and line ends in settings, whose bound applies to the canonical form.
+	maxRequests = 16 // concurrent requests; further ones are answered with 503
+	// maxBodyBytes is twice configuration.MaxBytes, which applies to the canonical form, to allow for white space.
 	maxBodyBytes = 2 * configuration.MaxBytes
-	pollInterval = 50 * time.Millisecond
+	pollInterval = 50 * time.Millisecond // between two queries of the leader's status
 )
 
-// orderResponse is the answer to an order.
+// orderResponse is the body of the answer to an order that was committed.
 type orderResponse struct {
 	ID        string            `json:"id"`
 	Version   uint64            `json:"version"`
 	Sum       configuration.Sum `json:"sum"`
-	Duplicate bool              `json:"known"` // the same order was committed before
-	State     State             `json:"state,omitempty"`
+	Duplicate bool              `json:"known"`           // the same order was committed before
+	State     State             `json:"state,omitempty"` // set if the caller waited
 }
 
-// registerPublic registers the HTTP interface.
+// registerPublic registers the handlers of HTTP requests.
 func (r *Runner) registerPublic(mux *http.ServeMux) {
 	mux.HandleFunc("POST /v1/configuration", r.limiter.Limit(r.postChange))
 	mux.HandleFunc("POST /v1/configuration/{version}/restore", r.limiter.Limit(r.postRestore))
@@ -37,20 +37,20 @@
 	mux.HandleFunc("GET /v1/configuration/{version}", r.limiter.Limit(r.getVersion))
 }
 
-// postChange takes a change by settings or patch.
+// postChange handles an order to change the settings, with complete settings or a patch.
 func (r *Runner) postChange(w http.ResponseWriter, httpRequest *http.Request) {
 	var request ledger.Request
 	if !leadercall.ReadOrder(w, httpRequest, maxBodyBytes, &request) {
 		return
 	}
 	if request.Restore != nil {
-		leadercall.WriteJSON(w, http.StatusBadRequest, leadercall.ErrorResponse{Field: "restore", Error: "restore: POST /v1/configuration/VERSION/restore does that"})
+		leadercall.WriteJSON(w, http.StatusBadRequest, leadercall.ErrorResponse{Field: "restore", Error: "restore: not allowed here; use POST /v1/configuration/VERSION/restore"})
 		return
 	}
 	r.handleOrder(w, httpRequest, request)
 }
 
-// postRestore takes an order to restore a version.
+// postRestore handles an order to restore a version.
 func (r *Runner) postRestore(w http.ResponseWriter, httpRequest *http.Request) {
 	version, ok := pathVersion(w, httpRequest)
 	if !ok {
@@ -61,23 +61,24 @@
 		return
 	}
 	if request.Settings != nil || request.Patch != nil || request.Restore != nil {
-		leadercall.WriteJSON(w, http.StatusBadRequest, leadercall.ErrorResponse{Field: "settings", Error: "settings: a restore has none, and no patch"})
+		leadercall.WriteJSON(w, http.StatusBadRequest, leadercall.ErrorResponse{Field: "settings", Error: "settings: an order to restore a version must have neither settings nor a patch"})
 		return
 	}
 	request.Restore = &version
 	r.handleOrder(w, httpRequest, request)
 }
 
-// pathVersion reads the version in the path. Where it is no number it has answered with 400.
+// pathVersion returns the version in the path. If that is not a number, pathVersion answers with 400 and returns false.
 func pathVersion(w http.ResponseWriter, httpRequest *http.Request) (uint64, bool) {
 	version, err := strconv.ParseUint(httpRequest.PathValue("version"), 10, 64)
 	if err != nil {
-		leadercall.WriteJSON(w, http.StatusBadRequest, leadercall.ErrorResponse{Field: "version", Error: "version: takes a number"})
+		leadercall.WriteJSON(w, http.StatusBadRequest, leadercall.ErrorResponse{Field: "version", Error: "version: must be a number"})
 	}
 	return version, err == nil
 }
 
-// handleOrder answers 202 once the change is committed, or 200 once it is in force where the caller waits for that.
+// handleOrder proposes a change and answers with 202 once it is committed. If the caller waits until the version is in
+// force, it answers with 200 once that is so, and with 202 after the wait.
 func (r *Runner) handleOrder(w http.ResponseWriter, httpRequest *http.Request, request ledger.Request) {
 	wait, ok := leadercall.ParseWait(w, httpRequest, "in_force", proposeTimeout)
 	if !ok {
@@ -92,7 +93,7 @@
 	decided, err := r.propose(ctx, request)
 	switch {
 	case err != nil:
-		leadercall.WriteRetryLater(w, leadercall.RetrySoon, leadercall.ErrorResponse{Error: err.Error() + "; order it again under the same id"})
+		leadercall.WriteRetryLater(w, leadercall.RetrySoon, leadercall.ErrorResponse{Error: err.Error() + "; repeat the order with the same id"})
 		return
 	case decided.Conflict:
 		leadercall.WriteJSON(w, http.StatusConflict, leadercall.ErrorResponse{Error: decided.Rejected, Field: decided.Field, Current: &decided.Current})
@@ -111,7 +112,8 @@
 	leadercall.WriteJSON(w, status, response)
 }
 
-// awaitVersion polls until a version, or a newer one, is in force wherever it is not rejected, or the wait is over.
+// awaitVersion polls the leader until a version, or a newer one, is in force in all processes that do not reject it, or
+// until the wait has passed. It returns the last state.
 func (r *Runner) awaitVersion(ctx context.Context, version uint64, wait time.Duration) State {
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
@@ -129,20 +131,20 @@
 	}
 }
 
-// getNewest answers with the status of the newest version.
+// getNewest handles a request for the status of the newest version.
 func (r *Runner) getNewest(w http.ResponseWriter, httpRequest *http.Request) {
-	r.writeShown(w, httpRequest, nil)
+	r.writeStatus(w, httpRequest, nil)
 }
 
-// getVersion answers with the same and the settings of one version.
+// getVersion handles a request for the status of the newest version and the settings of one version.
 func (r *Runner) getVersion(w http.ResponseWriter, httpRequest *http.Request) {
 	if version, ok := pathVersion(w, httpRequest); ok {
-		r.writeShown(w, httpRequest, &version)
+		r.writeStatus(w, httpRequest, &version)
 	}
 }
 
-// writeShown answers with the status of the newest version, and the settings of one where that is given.
-func (r *Runner) writeShown(w http.ResponseWriter, httpRequest *http.Request, version *uint64) {
+// writeStatus answers with the status of the newest version, and with the settings of a version unless that is nil.
+func (r *Runner) writeStatus(w http.ResponseWriter, httpRequest *http.Request, version *uint64) {
 	ctx, cancel := context.WithTimeout(httpRequest.Context(), proposeTimeout)
 	defer cancel()
 	s, err := r.queryStatus(ctx, version)
@@ -150,7 +152,7 @@
 	case err != nil:
 		leadercall.WriteRetryLater(w, leadercall.RetrySoon, leadercall.ErrorResponse{Error: err.Error()})
 	case version != nil && s.Settings == nil:
-		leadercall.WriteJSON(w, http.StatusNotFound, leadercall.ErrorResponse{Field: "version", Error: "this version is not held, or not held any more"})
+		leadercall.WriteJSON(w, http.StatusNotFound, leadercall.ErrorResponse{Field: "version", Error: "version: does not exist or is no longer retained"})
 	default:
 		leadercall.WriteJSON(w, http.StatusOK, s)
 	}
--- a/internal/cluster/configuration/run/leader.go
+++ b/internal/cluster/configuration/run/leader.go
@@ -1,7 +1,7 @@
 package run
 
-// This file is the work of the leader: it sends the newest version in the ledger to the root of the tree, and tracks
-// where that is in force.
+// This file holds the work of the leader of the consensus group. The leader sends the newest version in the ledger to
+// the root of the tree and tracks where that version is in force.
 
 import (
 	"cmp"
@@ -16,32 +16,32 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// leaderWork is what the leader knows besides its State. It is guarded by configuration.mu.
+// leaderWork holds what only the leader needs. It is guarded by configuration.mu.
 type leaderWork struct {
 	state          *spread.State // nil while another process leads
-	previous       *spread.State // the one that this process had when it led before
-	leading        bool
-	reportChanged  bool   // state has changed since the last summary
-	ledgerRevision uint64 // when the ledger was read last
-	lastVersion    uint64 // the newest version then
-	seenView       *view.View
+	previous       *spread.State // the state when this process led before; nil if it has not
+	leading        bool          // this process led at the latest step
+	reportChanged  bool          // state has changed since the last summary
+	ledgerRevision uint64        // of the ledger when it was last read
+	lastVersion    uint64        // the newest version in the ledger when it was last read
+	seenView       *view.View    // the view that roster was last updated with
 	roster         spread.Roster
 	progress       spread.Progress
-	adoptInFlight  bool
+	adoptInFlight  bool // a proposal to adopt a version is in flight
 	nextAnnounceAt view.Uptime
 }
 
-// ledgerUpdate is what was read from the ledger at once.
+// ledgerUpdate is what one read of the ledger returned.
 type ledgerUpdate struct {
-	leading     bool
-	changed     bool
+	leading     bool // this process leads; otherwise nothing was read
+	changed     bool // the ledger has changed since the last read, or this process has just become leader
 	revision    uint64
 	lastVersion uint64
-	newest      configuration.Document
+	newest      configuration.Document // set if changed
 }
 
-// readLedger reads what has changed, while this process leads. No lock of this package may be held, as the consensus
-// group's comes first in the lock order.
+// readLedger reads the ledger if this process leads and the ledger has changed. r.mu must not be held, because the lock
+// of the consensus group comes first in the lock order.
 func (r *Runner) readLedger() (update ledgerUpdate) {
 	if !r.options.Consensus.Leading() {
 		return update
@@ -60,7 +60,7 @@
 	return update
 }
 
-// leaderStep is the leader's part of a step. The lock is held; what may block runs in goroutines.
+// leaderStep does the leader's part of a step. r.mu is held, and everything that may block runs in goroutines.
 func (r *Runner) leaderStep(update ledgerUpdate, now view.Uptime) {
 	work := &r.leaderWork
 	if !update.leading {
@@ -73,7 +73,7 @@
 	if update.changed && update.newest.Version > 0 {
 		work.progress.Begin(update.newest.Version, work.leading, now)
 		work.state.SetDecided(update.newest, now)
-		r.state.SetDecided(update.newest, now) // at once, and even if the tree does not reach this process
+		r.state.SetDecided(update.newest, now) // directly, so that this process gets the version even if the tree does not reach it
 	}
 	work.ledgerRevision, work.lastVersion = update.revision, max(work.lastVersion, update.lastVersion)
 	work.leading = true
@@ -93,7 +93,7 @@
 	r.announceToLaggards(now)
 }
 
-// stopLeading drops what only a leader needs. The state is retained for the next time.
+// stopLeading resets everything except the state, which is kept for the next time that this process leads.
 func (w *leaderWork) stopLeading() {
 	if w.leading {
 		w.leading = false
@@ -105,7 +105,7 @@
 	w.state, w.previous = nil, cmp.Or(w.state, w.previous)
 }
 
-// recordSummary takes in where the newest version is in force, if that has changed.
+// recordSummary updates roster and progress from a summary of the state, if a report has changed it.
 func (w *leaderWork) recordSummary(now view.Uptime) {
 	if !w.reportChanged {
 		return
@@ -116,8 +116,8 @@
 	w.progress.RecordInForce(sum.MembersAtLeast(w.progress.Version), w.roster.PresentCount(), now)
 }
 
-// adopt has the consensus group take over a version that members have and it does not know: its records were lost, and
-// versions must be numbered on from what is in force. The lock is held.
+// adopt proposes to add a version to the ledger that members have in force but the consensus group does not know. The
+// group has then lost its records, and the next versions must be numbered from the version in force. r.mu is held.
 func (r *Runner) adopt() {
 	known := r.newerThanLedger()
 	if known.Version == 0 || r.leaderWork.adoptInFlight {
@@ -128,7 +128,7 @@
 		ctx, cancel := context.WithTimeout(r.ctx, proposeTimeout)
 		defer cancel()
 		_, err := r.options.Consensus.Propose(ctx, ledger.Part, ledger.KindAdopt, ledger.Adopt{Version: known.Version, Settings: known.Settings})
-		r.options.Log.Warn("configuration: adopted a version of members that the consensus group did not know", zap.Uint64("version", known.Version), zap.Error(err))
+		r.options.Log.Warn("configuration: proposed a version of members that the consensus group did not know", zap.Uint64("version", known.Version), zap.Error(err))
 		r.mu.Lock()
 		r.leaderWork.adoptInFlight = false
 		r.mu.Unlock()
@@ -136,8 +136,8 @@
 	})
 }
 
-// newerThanLedger is a version that is known here and newer than those in the ledger when it was read last; version 0 for
-// none. The lock is held.
+// newerThanLedger returns a version that is known here and is newer than all versions in the ledger when that was last
+// read. It returns version 0 if there is none. r.mu is held.
 func (r *Runner) newerThanLedger() configuration.Document {
 	for _, state := range []*spread.State{r.state, r.leaderWork.state} {
 		if state != nil && state.Newest().Version > r.leaderWork.lastVersion {
--- a/internal/cluster/configuration/run/messages.go
+++ b/internal/cluster/configuration/run/messages.go
@@ -1,6 +1,6 @@
 package run
 
-// This file is the messages between processes: sent and handled here.
+// This file sends and handles the messages between processes.
 
 import (
 	"context"
@@ -13,6 +13,7 @@
 	"flaxcove/internal/cluster/view"
 )
 
+// Paths of the messages, by which processes of different program versions understand each other.
 const (
 	pathUpdate  = "/configuration/down"
 	pathReport  = "/configuration/report"
@@ -22,9 +23,9 @@
 )
 
 var (
-	errNotLeading      = errors.New("configuration: this process does not lead the council")
-	errNoCandidate     = errors.New("configuration: nobody to ask is known")
-	errAlreadyAnswered = errors.New("configuration: this message was answered before")
+	errNotLeading      = errors.New("configuration: this process does not lead the consensus group")
+	errNoCandidate     = errors.New("configuration: no process is known that may lead the consensus group")
+	errAlreadyAnswered = errors.New("configuration: this update was already answered")
 )
 
 // registerHandlers registers the handlers of messages.
@@ -35,7 +36,7 @@
 	})
 }
 
-// sendUpdates starts the updates that are due. The lock is held.
+// sendUpdates starts the updates that are due. r.mu is held.
 func (r *Runner) sendUpdates(state *spread.State, now view.Uptime) {
 	for _, to := range state.DueUpdates(now) {
 		r.figures.UpdatesSent++
@@ -44,7 +45,7 @@
 	}
 }
 
-// countContent counts content that is sent. The lock is held.
+// countContent counts content that is sent; c may be nil. r.mu is held.
 func (r *Runner) countContent(c *spread.Content) {
 	switch {
 	case c == nil:
@@ -57,7 +58,7 @@
 	r.figures.ContentBytes += uint64(len(c.Patch) + len(c.Full))
 }
 
-// sendUpdate sends an update to a child, and takes in the report in its answer.
+// sendUpdate sends an update to a child and passes the report in its answer to state.
 func (r *Runner) sendUpdate(state *spread.State, to spread.Outgoing) {
 	var report spread.Report
 	err := r.caller.Call(r.ctx, to.Child.Name, pathUpdate, to.Update, &report)
@@ -90,22 +91,22 @@
 	r.signals.NotifyChange()
 }
 
-// handleUpdate takes in a version and answers with a report, once this process and all below it have put it in force or
-// spread.MaxAnswerDelay is over.
+// handleUpdate passes an update to the state and answers with a report. If the update has content, the answer waits
+// until this process and all below it have put the version in force or rejected it, for spread.MaxAnswerDelay at most.
 func (r *Runner) handleUpdate(ctx context.Context, from view.Life, body []byte) (any, error) {
 	var update spread.Update
 	if err := json.Unmarshal(body, &update); err != nil {
-		return nil, fmt.Errorf("configuration: message down: %w", err)
+		return nil, fmt.Errorf("configuration: update: %w", err)
 	}
 	if update.From.Name != from.Name {
-		return nil, fmt.Errorf("configuration: message down: from %q, field from tells %q", from.Name, update.From.Name)
+		return nil, fmt.Errorf("configuration: update: it came from %q, but its field from is %q", from.Name, update.From.Name)
 	}
 	leader, known := r.options.Consensus.Leader()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.figures.UpdatesReceived++
 	if update.FromLeader {
-		r.lastLeader = update.From // by which a root outside the consensus group learns to whom it reports
+		r.lastLeader = update.From // a root outside the consensus group learns here which process it reports to
 		r.updateTreePosition(leader, known, r.options.Now())
 	}
 	r.state.HandleUpdate(update, r.options.Now())
@@ -122,14 +123,14 @@
 	return report, nil
 }
 
-// handleReport takes in a child's report; on the leader, that of the root.
+// handleReport passes a child's report to the state. On the leader, the report of the root goes to the leader's state.
 func (r *Runner) handleReport(_ context.Context, from view.Life, body []byte) (any, error) {
 	var report spread.Report
 	if err := json.Unmarshal(body, &report); err != nil {
 		return nil, fmt.Errorf("configuration: report: %w", err)
 	}
 	if report.From.Name != from.Name {
-		return nil, fmt.Errorf("configuration: report: from %q, field from tells %q", from.Name, report.From.Name)
+		return nil, fmt.Errorf("configuration: report: it came from %q, but its field from is %q", from.Name, report.From.Name)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -147,13 +148,13 @@
 	return answer, nil
 }
 
-// handleFetch answers a process with the content that it lacks, as far as it is known here.
+// handleFetch answers a process with the newest version known here, if that process lacks it.
 func (r *Runner) handleFetch(_ context.Context, _ view.Life, body []byte) (any, error) {
 	var request spread.FetchRequest
 	if err := json.Unmarshal(body, &request); err != nil {
-		return nil, fmt.Errorf("configuration: question: %w", err)
+		return nil, fmt.Errorf("configuration: fetch request: %w", err)
 	}
-	update := r.readLedger() // the other may become ready upon the answer, so it must not be outdated
+	update := r.readLedger() // read before the answer, which must be up to date because the other process may become ready after it
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.figures.FetchesReceived++
--- a/internal/cluster/configuration/run/run.go
+++ b/internal/cluster/configuration/run/run.go
@@ -1,19 +1,22 @@
-// Package run executes what the pure parts of the shared settings decide: it carries their messages, stores a version on
-// disk, has the sender put it in force, and serves HTTP to callers.
+// Package run executes what the packages spread and ledger decide about the shared settings. It sends and receives
+// their messages, stores a version on disk, has the sender put it in force, and serves the HTTP interface for callers.
 //
-// It owns the goroutines and the lock (configuration.mu, see package cluster) around spread.State, and around one more
-// while this process leads the consensus group; and the file in the cluster's folder. It must never put a version in
-// force that is not on disk, report one as in force that the sender has not confirmed, or hold its lock over a call, a
-// file or the sender. A process that reaches nobody goes on serving with the settings that it has: Ready opens after a
-// bounded wait.
+// A Runner owns its goroutines, the stored version in the cluster folder, and the lock configuration.mu (see package
+// cluster). The lock guards a spread.State, and a second one while this process leads the consensus group. A Runner
+// never has a version put in force that is not on disk, and never reports a version as in force before the sender has
+// confirmed it. It holds no lock during a call, a file operation or an order to the sender. A process that can't reach
+// any other goes on serving with the settings that it has: the channel of Ready is closed after a bounded wait.
 //
-// A process that does not answer is called again with bounded backoff and shown as unreachable; a slow one is shown as
-// behind, and holds up no other; an old program skips unknown fields, or rejects the version and is shown so with the
-// field; content that does not match its checksum is not accepted, and the full content is asked for.
+// Faults are handled as follows:
 //
-// Load: see package spread; and for each change one file written and synced at each process.
+//   - A process that does not answer is called again with bounded backoff, and is shown as unreachable.
+//   - A slow process is shown as behind and does not delay any other.
+//   - An older program ignores unknown fields, or rejects the version and is shown with the field that it rejects.
+//   - Content that does not match its checksum is not accepted, and the full content is requested.
 //
-// This file starts and ends the goroutines, and asks the pure parts what is due.
+// Load: that of package spread, and one file written and synced per change in each process.
+//
+// This file starts and stops the goroutines, and asks the states what is due.
 package run
 
 import (
@@ -30,21 +33,20 @@
 	"flaxcove/internal/sender/clusterapi"
 )
 
-// Tuned values.
 const (
-	minStepInterval     = 5 * time.Millisecond    // between two steps, unless something has changed
-	idleInterval        = 250 * time.Millisecond  // between steps when nothing is due, as the leader and the ledger may change
-	callTimeout         = 1500 * time.Millisecond // of one message; over spread.MaxAnswerDelay
-	proposeTimeout      = 5 * time.Second         // of one proposal; over a change of leader (1 to 2 s)
-	catchUpTimeout      = 3 * time.Second         // how long a start waits for the newest version
-	senderAnswerTimeout = 10 * time.Second        // until a sender that has not answered is shown as silent
-	minBackoff          = 25 * time.Millisecond   // between attempts to reach the leader, doubled up to maxBackoff
+	minStepInterval     = 5 * time.Millisecond    // minimum time between two steps, unless something has changed
+	idleInterval        = 250 * time.Millisecond  // maximum time between two steps, because the leader and the ledger may change
+	callTimeout         = 1500 * time.Millisecond // of one message with its answer; must exceed spread.MaxAnswerDelay
+	proposeTimeout      = 5 * time.Second         // of one proposal; must exceed a change of leader (1 to 2 s)
+	catchUpTimeout      = 3 * time.Second         // default of Options.CatchUp
+	senderAnswerTimeout = 10 * time.Second        // default of Options.AnswerWithin
+	minBackoff          = 25 * time.Millisecond   // first delay between attempts to reach the leader, doubled up to maxBackoff
 	maxBackoff          = 400 * time.Millisecond
-	fetchInterval       = time.Second // between fetches from other processes than the parent
-	maxCandidates       = 8           // processes asked for the leader's answer in one attempt
+	fetchInterval       = time.Second // minimum time between two fetches of a newer version
+	maxCandidates       = 8           // processes asked in one attempt for an answer that only the leader can give
 )
 
-// Runner is the configuration part of one process.
+// Runner distributes the shared settings and puts them in force in one process. Start creates it, and Close ends it.
 type Runner struct {
 	options         Options
 	ctx             context.Context
@@ -53,24 +55,25 @@
 	signals         *leadercall.Signals
 	limiter         leadercall.Limiter // of HTTP requests
 	caller          leadercall.Caller
-	pendingHandover *handover // used by apply only, of which one runs at a time
+	pendingHandover *handover // version that the sender has not answered for; nil for none. Used by apply only, of which one runs at a time
 
-	mu            sync.Mutex // configuration.mu
+	mu            sync.Mutex // configuration.mu; guards the fields below
 	state         *spread.State
 	leaderWork    leaderWork
 	view          *view.View
 	tree          leadercall.Tree
-	lastLeader    view.Life                // the process that last called this one as the leader
-	running       clusterapi.Configuration // what the sender runs
+	lastLeader    view.Life                // the process that last called this one as the leader; zero if none has
+	running       clusterapi.Configuration // the version that the sender runs; version 0 for its own file
 	fetchInFlight bool
 	nextFetchAt   view.Uptime
-	announcedBy   view.Name // a leader that has announced a newer version, to be fetched from it
-	fetchTurn     int       // counts fetches from other candidates, which are asked in turn
+	announcedBy   view.Name // the leader that announced a newer version, which is fetched from it next; "" for none
+	fetchTurn     int       // counts the fetches while the parent is unreachable; candidates are asked in turn
 	caughtUp      bool      // this process has had the newest version since its start
 	figures       Figures
 }
 
-// Start reads the stored version, registers the handlers and starts the goroutines, which Close ends.
+// Start reads the stored version, registers the handlers of messages and HTTP requests, and starts the goroutines,
+// which Close ends. It returns an error if a required option is missing.
 func Start(o Options) (*Runner, error) {
 	if err := o.complete(); err != nil {
 		return nil, err
@@ -100,12 +103,12 @@
 	return r, nil
 }
 
-// loadCached returns the version that an earlier incarnation stored. A damaged file is logged and not used, as the other
-// processes have the version.
+// loadCached returns the version that an earlier incarnation stored, or Options.Running if that is newer. A damaged
+// file is logged and not used, because the other processes have the version.
 func (r *Runner) loadCached() configuration.Document {
 	c, err := configuration.LoadCached(r.options.Folder)
 	if err != nil {
-		r.options.Log.Error("configuration: stored version not used; fetching it from other processes", zap.Error(err))
+		r.options.Log.Error("configuration: stored version is not usable; the version will be fetched from other processes", zap.Error(err))
 	}
 	if c.Version < r.options.Running.Version {
 		c = r.options.Running
@@ -115,22 +118,22 @@
 	}
 	d, err := configuration.NewDocument(c.Version, c.Settings)
 	if err != nil {
-		r.options.Log.Error("configuration: stored version not used; fetching it from other processes", zap.Error(err))
+		r.options.Log.Error("configuration: stored version is not usable; the version will be fetched from other processes", zap.Error(err))
 		return configuration.Document{}
 	}
 	return d
 }
 
-// Ready is closed when the newest version is in force or rejected here, or Options.CatchUp is over (Status tells which).
-// Until then the sender should send nothing.
+// Ready returns a channel that is closed when the newest version is in force or rejected here, or after
+// Options.CatchUp; Status.CaughtUp tells which. Until then the sender should send nothing.
 func (r *Runner) Ready() <-chan struct{} { return r.signals.Ready() }
 
-// SetView sets the view of members, and the tree derived from it.
+// SetView sets the membership view and the tree that is derived from it.
 func (r *Runner) SetView(v *view.View, t leadercall.Tree) {
 	r.mu.Lock()
 	r.view, r.tree = v, t
 	if m, found := v.Find(r.options.Self.Name); found && m.Incarnation > r.options.Self.Incarnation {
-		// An earlier incarnation had a higher number, and this one was raised above it.
+		// Other processes knew an earlier incarnation with a higher number, so this one got a number above that.
 		r.options.Self.Incarnation = m.Incarnation
 		r.state.SetIncarnation(m.Life)
 		r.leaderWork = leaderWork{}
@@ -139,7 +142,7 @@
 	r.signals.Wake()
 }
 
-// Status is the state of this process.
+// Status returns the status of this process.
 func (r *Runner) Status() Status {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -151,13 +154,13 @@
 	return s
 }
 
-// Close ends all goroutines and waits for them; calls in flight are cancelled.
+// Close cancels the calls in flight, ends all goroutines and waits for them.
 func (r *Runner) Close() {
 	r.stop()
 	r.goroutines.Wait()
 }
 
-// loop makes a step when something is due, and at once after a change.
+// loop runs a step when something is due, and at once after a change.
 func (r *Runner) loop() {
 	next := time.NewTimer(0)
 	defer next.Stop()
@@ -173,7 +176,7 @@
 	}
 }
 
-// untilNextStep is how long to wait until the next step.
+// untilNextStep returns how long to wait until the next step.
 func (r *Runner) untilNextStep() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -185,7 +188,7 @@
 	return max(at-now, minStepInterval)
 }
 
-// step asks each pure part what is due, and starts that.
+// step starts all messages and changes that are due.
 func (r *Runner) step() {
 	update := r.readLedger()
 	leader, known := r.options.Consensus.Leader()
@@ -198,10 +201,10 @@
 	if r.leaderWork.state != nil {
 		r.sendUpdates(r.leaderWork.state, now)
 	}
-	if up, due := r.state.DueReport(now); due {
+	if report, due := r.state.DueReport(now); due {
 		parent := r.state.Parent()
 		r.figures.ReportsSent++
-		r.goroutines.Go(func() { r.sendReport(parent, up) })
+		r.goroutines.Go(func() { r.sendReport(parent, report) })
 	}
 	r.fetch(now)
 	document, due := r.state.NextToApply(now)
@@ -211,21 +214,21 @@
 	}
 }
 
-// updateTreePosition sets the parent and the children of the state. The parent of the root is the leader of the consensus
-// group. The lock is held.
+// updateTreePosition sets the parent and the children in r.state. The parent of the root is the leader of the consensus
+// group. r.mu is held.
 func (r *Runner) updateTreePosition(leader view.Name, known bool, now view.Uptime) {
 	if r.view == nil || r.tree == nil {
 		return
 	}
-	life, top, below := leadercall.TreePosition(r.view, r.tree, r.options.Self.Name, leader, known, r.lastLeader)
-	above := spread.Parent{Life: life, IsLeader: top}
-	if above.Name == "" {
-		above = spread.Parent{}
+	life, isRoot, children := leadercall.TreePosition(r.view, r.tree, r.options.Self.Name, leader, known, r.lastLeader)
+	parent := spread.Parent{Life: life, IsLeader: isRoot}
+	if parent.Name == "" {
+		parent = spread.Parent{}
 	}
-	r.state.SetTree(above, below, now)
+	r.state.SetTree(parent, children, now)
 }
 
-// life is this process's current incarnation, which SetView may raise.
+// life returns this process's current incarnation, which SetView may raise.
 func (r *Runner) life() view.Life {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/cluster/configuration/run/silent_test.go
+++ b/internal/cluster/configuration/run/silent_test.go
@@ -10,46 +10,47 @@
 	"flaxcove/internal/cluster/configuration/spread"
 )
 
-// shortAnswerTimeout is after how long a sender counts as silent in these tests.
+// shortAnswerTimeout is Options.AnswerWithin in these tests, after which a sender counts as silent.
 const shortAnswerTimeout = 50 * time.Millisecond
 
-// block makes a sender take no orders until goOn is called.
-func (s *fakeSender) block() (goOn func()) {
+// block makes a sender leave orders unanswered until unblock is called.
+func (s *fakeSender) block() (unblock func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	stands := make(chan struct{})
-	s.blocked = stands
+	blocked := make(chan struct{})
+	s.blocked = blocked
 	return func() {
 		s.mu.Lock()
 		s.blocked = nil
 		s.mu.Unlock()
-		close(stands)
+		close(blocked)
 	}
 }
 
+// handedOverVersions returns the versions in the order in which the sender got them.
 func (s *fakeSender) handedOverVersions() []uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.handedOver)
 }
 
-// newFleetWithBlockedSender returns a fleet of four, of which the last one's sender was handed version 2 and has not
-// answered.
-func newFleetWithBlockedSender(t *testing.T) (f *fleet, halted *fakeSender, goOn func()) {
+// newFleetWithBlockedSender returns a fleet of four processes. The sender of the last one, p03, was handed version 2
+// and does not answer until unblock is called.
+func newFleetWithBlockedSender(t *testing.T) (f *fleet, blocked *fakeSender, unblock func()) {
 	f = newFleet(t, 4)
 	f.mustChangePace("a", 0)
 	f.answerWithin = shortAnswerTimeout
 	f.restart(3)
 	f.waitReady(f.runners[3])
-	halted = f.senders[3]
-	goOn = halted.block()
+	blocked = f.senders[3]
+	unblock = blocked.block()
 	f.postWithoutWait("b", 1, 2)
-	f.waitFor("p03 is told as silent", func() bool {
+	f.waitFor("p03 is shown with a silent sender", func() bool {
 		s := f.mustStatus()
 		return len(s.Laggards) == 1 && s.Laggards[0].Name == "p03" && s.Laggards[0].Version == 1 &&
 			s.Laggards[0].Reason == spread.Rejected && strings.Contains(s.Laggards[0].Text, "has not answered")
 	})
-	return f, halted, goOn
+	return f, blocked, unblock
 }
 
 // postWithoutWait orders a change without waiting until it is in force.
@@ -62,56 +63,57 @@
 	}
 }
 
-// A sender that does not answer is waited for with a bound, shown as silent and handed nothing newer, as it is not known
-// what it runs. Once it answers it gets the versions in their order.
+// TestSilentSender checks that a sender that does not answer within the timeout is shown as silent and is handed no
+// newer version, because it is unknown which version it runs. Once it answers it gets the versions in their order.
 func TestSilentSender(t *testing.T) {
-	f, halted, goOn := newFleetWithBlockedSender(t)
+	f, blocked, unblock := newFleetWithBlockedSender(t)
 	f.postWithoutWait("c", 2, 3)
 	f.waitFor("the others have version 3", func() bool { return running(f.mustStatus(), 3, 3) })
-	if given := halted.handedOverVersions(); !slices.Equal(given, []uint64{1, 2}) {
-		t.Errorf("it was given %v", given)
+	if got := blocked.handedOverVersions(); !slices.Equal(got, []uint64{1, 2}) {
+		t.Errorf("the sender got %v", got)
 	}
-	if cached, err := configuration.LoadCached(halted.folder); err != nil || cached.Version != 2 {
-		t.Errorf("kept: %+v %v", cached, err)
+	if cached, err := configuration.LoadCached(blocked.folder); err != nil || cached.Version != 2 {
+		t.Errorf("the stored version is %+v, error %v", cached, err)
 	}
-	goOn()
-	f.waitFor("p03 has it, too", func() bool { return f.runners[3].Status().Version == 3 })
-	if ran := halted.history(); !slices.Equal(ran, []uint64{0, 1, 1, 2, 3}) {
-		t.Errorf("it ran %v", ran)
+	unblock()
+	f.waitFor("p03 has version 3", func() bool { return f.runners[3].Status().Version == 3 })
+	if ran := blocked.history(); !slices.Equal(ran, []uint64{0, 1, 1, 2, 3}) {
+		t.Errorf("the sender ran %v", ran)
 	}
 }
 
-// When a sender rejects a version late, the version that was stored before it is stored again.
+// TestSilentSenderRejects checks that when a sender rejects a version late, the version before it is stored again.
 func TestSilentSenderRejects(t *testing.T) {
-	f, halted, goOn := newFleetWithBlockedSender(t)
-	halted.mu.Lock()
-	halted.failsAtField = `"pace":2`
-	halted.mu.Unlock()
-	goOn()
-	f.waitFor("what was refused is no longer kept", func() bool {
-		cached, err := configuration.LoadCached(halted.folder)
+	f, blocked, unblock := newFleetWithBlockedSender(t)
+	blocked.mu.Lock()
+	blocked.failsAtField = `"pace":2`
+	blocked.mu.Unlock()
+	unblock()
+	f.waitFor("the rejected version is no longer stored", func() bool {
+		cached, err := configuration.LoadCached(blocked.folder)
 		return err == nil && cached.Version == 1
 	})
 	f.postWithoutWait("c", 2, 3)
-	f.waitFor("p03 has the next", func() bool { return f.runners[3].Status().Version == 3 })
-	if ran := halted.history(); !slices.Equal(ran, []uint64{0, 1, 1, 3}) {
-		t.Errorf("it ran %v", ran)
+	f.waitFor("p03 has version 3", func() bool { return f.runners[3].Status().Version == 3 })
+	if ran := blocked.history(); !slices.Equal(ran, []uint64{0, 1, 1, 3}) {
+		t.Errorf("the sender ran %v", ran)
 	}
 }
 
-// A process that ends before its sender has answered restarts with the version that the sender may have put in force.
+// TestRestartWhileSenderIsSilent checks that a process that ends before its sender has answered restarts with the
+// version that the sender may have put in force.
 func TestRestartWhileSenderIsSilent(t *testing.T) {
-	f, halted, goOn := newFleetWithBlockedSender(t)
+	f, blocked, unblock := newFleetWithBlockedSender(t)
 	f.runners[3].Close()
-	goOn()
+	unblock()
 	f.members[3].Incarnation++
 	f.start(3)
 	f.publishView()
 	f.waitReady(f.runners[3])
 	if status := f.runners[3].Status(); status.Version != 2 {
-		t.Errorf("began again with %+v", status)
+		t.Errorf("p03 restarted with %+v", status)
 	}
-	if ran := halted.history(); !slices.IsSorted(ran) {
-		t.Errorf("it ran %v", ran)
+	if ran := blocked.history(); !slices.IsSorted(ran) {
+		t.Errorf("the sender ran %v", ran)
 	}
 }
--- a/internal/cluster/configuration/run/status.go
+++ b/internal/cluster/configuration/run/status.go
@@ -1,6 +1,6 @@
 package run
 
-// This file is the status of the shared settings, as the leader of the consensus group knows it.
+// This file computes the status of the shared settings, which only the leader of the consensus group knows.
 
 import (
 	"context"
@@ -13,55 +13,59 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// State is how far the newest version has come.
+// State says whether the newest version is in force in the cluster.
 type State string
 
 // States of the newest version.
 const (
+	// Spreading means that some present processes do not have the version in force yet, or have not reported.
 	Spreading State = "spreading"
-	InForce   State = "in force"
-	// InForceExceptRejected says that all present processes have it in force, except those that reject it.
+	// InForce means that all present processes have the version in force.
+	InForce State = "in force"
+	// InForceExceptRejected means that all present processes have the version in force, except those that rejected it.
 	InForceExceptRejected State = "in force but where refused"
 )
 
-// ConfigurationStatus is the answer to GET /v1/configuration: the status of the newest version. Durations are in milliseconds.
+// ConfigurationStatus is the answer to GET /v1/configuration, the status of the newest version. Durations are in
+// milliseconds.
 type ConfigurationStatus struct {
-	Version  uint64            `json:"version"` // 0: each runs its own file
+	Version  uint64            `json:"version"` // 0 if there is none and each process runs its own file
 	Sum      configuration.Sum `json:"sum,omitempty"`
 	State    State             `json:"state"`
 	ID       string            `json:"id,omitempty"`
 	Base     uint64            `json:"base"`
-	Restored *uint64           `json:"restored,omitempty"` // the version whose content it has
+	Restored *uint64           `json:"restored,omitempty"` // the version whose content was restored
 	Who      string            `json:"who,omitempty"`
 	Why      string            `json:"why,omitempty"`
 	Bytes    int               `json:"bytes,omitempty"`
-	AgeMS    int64             `json:"age_ms"` // since it was committed
+	AgeMS    int64             `json:"age_ms"` // time since the version was committed
 
-	Members  int                   `json:"members"`           // present, by the leader's view
-	HeardOf  int                   `json:"heard_of"`          // of these, that have reported
-	InForce  []spread.Count        `json:"in_force"`          // how many run which version, newest first
-	Older    int                   `json:"older,omitempty"`   // members with older versions
-	Laggards []spread.Laggard      `json:"laggards"`          // without the newest version for over 1.5 s
-	Unnamed  int                   `json:"unnamed,omitempty"` // further laggards
-	Away     []spread.AbsentMember `json:"away"`              // absent, with the version that they had at least
-	MoreAway int                   `json:"more_away,omitempty"`
+	Members  int                   `json:"members"`             // processes that are present in the leader's view
+	HeardOf  int                   `json:"heard_of"`            // the number of these that have reported
+	InForce  []spread.Count        `json:"in_force"`            // number of processes by version, newest first
+	Older    int                   `json:"older,omitempty"`     // processes with versions older than these
+	Laggards []spread.Laggard      `json:"laggards"`            // processes without the newest version for more than 1.5 s
+	Unnamed  int                   `json:"unnamed,omitempty"`   // number of further laggards
+	Away     []spread.AbsentMember `json:"away"`                // absent processes, with the latest version that they are known to have had
+	MoreAway int                   `json:"more_away,omitempty"` // number of further absent processes
 
-	// From the commit until it was known to be in force at these shares of the fleet; 0 where that is not known.
+	// The time from the commit until the leader knew that 50, 95 and 100% of the processes had the version in force; 0
+	// if that is not known.
 	At50MS  int64 `json:"at_50_ms,omitempty"`
 	At95MS  int64 `json:"at_95_ms,omitempty"`
 	At100MS int64 `json:"at_100_ms,omitempty"`
 
-	Restorable []uint64        `json:"held"` // versions that can be restored
-	Settings   json.RawMessage `json:"settings,omitempty"`
-	ReportedBy view.Name       `json:"told_by"`
+	Restorable []uint64        `json:"held"`               // versions that can be restored
+	Settings   json.RawMessage `json:"settings,omitempty"` // of the requested version, if there is one
+	ReportedBy view.Name       `json:"told_by"`            // the leader
 }
 
-// statusRequest asks the leader for the status.
+// statusRequest is the message that asks the leader for the status.
 type statusRequest struct {
-	Version *uint64 `json:"version,omitempty"` // whose settings are asked for, too
+	Version *uint64 `json:"version,omitempty"` // the version whose settings are requested; nil for none
 }
 
-// queryStatus asks the leader for the status.
+// queryStatus gets the status from the leader, with the settings of a version unless that is nil.
 func (r *Runner) queryStatus(ctx context.Context, version *uint64) (s ConfigurationStatus, err error) {
 	here := func() (err error) {
 		s, err = r.leaderStatus(version)
@@ -71,11 +75,11 @@
 	return s, err
 }
 
-// handleStatusRequest answers another process's request.
+// handleStatusRequest answers a statusRequest of another process.
 func (r *Runner) handleStatusRequest(_ context.Context, _ view.Life, body []byte) (any, error) {
 	var request statusRequest
 	if err := json.Unmarshal(body, &request); err != nil {
-		return nil, fmt.Errorf("configuration: asked to show: %w", err)
+		return nil, fmt.Errorf("configuration: status request: %w", err)
 	}
 	s, err := r.leaderStatus(request.Version)
 	if err != nil {
@@ -84,7 +88,7 @@
 	return s, nil
 }
 
-// leaderStatus is the status, on the leader.
+// leaderStatus returns the status. On a process that does not lead it returns errNotLeading.
 func (r *Runner) leaderStatus(version *uint64) (s ConfigurationStatus, err error) {
 	if !r.options.Consensus.Leading() {
 		return s, errNotLeading
@@ -112,12 +116,12 @@
 	if r.leaderWork.state == nil {
 		return s, errNotLeading
 	}
-	r.addSpread(&s)
+	r.addProgress(&s)
 	return s, nil
 }
 
-// addSpread adds where the newest version is in force. The lock is held.
-func (r *Runner) addSpread(s *ConfigurationStatus) {
+// addProgress sets the fields that say where the newest version is in force. r.mu is held.
+func (r *Runner) addProgress(s *ConfigurationStatus) {
 	now, work := r.options.Now(), &r.leaderWork
 	sum := work.state.Summary(now)
 	s.Members, s.HeardOf = work.roster.PresentCount(), sum.Members-sum.Unknown
--- a/internal/cluster/configuration/spread/network_test.go
+++ b/internal/cluster/configuration/spread/network_test.go
@@ -1,6 +1,6 @@
 package spread
 
-// This file is the simulated network, and what the processes send over it.
+// This file holds the simulated network and the messages that the processes send over it.
 
 import (
 	"encoding/json"
@@ -9,16 +9,18 @@
 	"flaxcove/internal/cluster/view"
 )
 
+// event is a function that runs at a simulated time.
 type event struct {
 	at view.Uptime
 	do func()
 }
 
+// after runs a function after a simulated delay.
 func (w *simulation) after(d time.Duration, do func()) {
 	w.events = append(w.events, event{w.now + d, do})
 }
 
-// arrives draws whether a message arrives, and after how long.
+// arrives draws the delay of a message and whether it arrives at all.
 func (w *simulation) arrives(from, to *process) (time.Duration, bool) {
 	if from.group != to.group || w.random.Float64() < w.loss {
 		return 0, false
@@ -26,6 +28,7 @@
 	return time.Duration(1+w.random.IntN(3)) * step, true
 }
 
+// find returns the process with this name, or nil.
 func (w *simulation) find(name view.Name) *process {
 	for _, p := range w.processes {
 		if p.name == name {
@@ -35,7 +38,7 @@
 	return nil
 }
 
-// countBytes counts a message at both ends.
+// countBytes counts the bytes of a message at both ends, if measure is set.
 func (w *simulation) countBytes(one, other view.Name, message any) {
 	if !w.measure {
 		return
@@ -48,21 +51,22 @@
 	w.bytes[other] += len(text)
 }
 
-// call carries one call: take answers (by calling done, perhaps later), end gets the answer, or nil without one.
-func (w *simulation) call(from *process, to view.Name, message any, take func(p *process, done func(any)), end func(answer any)) {
+// call simulates one call. handle runs in the called process, twice if the message is duplicated, and answers by
+// calling done, at once or later. end runs once in the caller, with the answer or, after callTimeout, with nil.
+func (w *simulation) call(from *process, to view.Name, message any, handle func(p *process, done func(any)), end func(answer any)) {
 	w.calls++
 	w.countBytes(from.name, to, message)
-	over, life := false, from.life
+	finished, life := false, from.life
 	finish := func(answer any) {
-		if !over && from.state != nil && from.life == life {
-			over = true
+		if !finished && from.state != nil && from.life == life {
+			finished = true
 			end(answer)
 		}
 	}
 	w.after(callTimeout, func() { finish(nil) })
 	p := w.find(to)
-	late, comes := w.arrives(from, p)
-	if !comes {
+	delay, arrives := w.arrives(from, p)
+	if !arrives {
 		return
 	}
 	times := 1
@@ -70,37 +74,38 @@
 		times = 2
 	}
 	for range times {
-		w.after(late, func() {
+		w.after(delay, func() {
 			if p.state == nil {
 				return
 			}
-			take(p, func(answer any) {
+			handle(p, func(answer any) {
 				w.countBytes(from.name, to, answer)
-				if late, comes := w.arrives(p, from); comes {
-					w.after(late, func() { finish(answer) })
+				if delay, arrives := w.arrives(p, from); arrives {
+					w.after(delay, func() { finish(answer) })
 				}
 			})
 		})
 	}
 }
 
-// answerUpdate answers as configuration/run does.
-func (w *simulation) answerUpdate(p *process, d Update, done func(any)) {
+// answerUpdate handles an update as configuration/run does, and answers it once the state is settled or MaxAnswerDelay
+// has passed.
+func (w *simulation) answerUpdate(p *process, u Update, done func(any)) {
 	state := p.state
-	state.HandleUpdate(d, w.now)
+	state.HandleUpdate(u, w.now)
 	answer := func() {
-		if r, first := state.Answer(d, w.now); first {
+		if r, first := state.Answer(u, w.now); first {
 			done(r)
 		}
 	}
 	state.BeginAnswer()
-	if d.Content == nil {
+	if u.Content == nil {
 		answer()
 		return
 	}
 	until := w.now + MaxAnswerDelay
-	var look func()
-	look = func() {
+	var poll func()
+	poll = func() {
 		if p.state != state {
 			return
 		}
@@ -108,15 +113,16 @@
 			answer()
 			return
 		}
-		w.after(step, look)
+		w.after(step, poll)
 	}
-	look()
+	poll()
 }
 
+// sendUpdates sends the updates of a state that are due.
 func (w *simulation) sendUpdates(p *process, state *State) {
 	for _, to := range state.DueUpdates(w.now) {
 		w.call(p, to.Child.Name, to.Update, func(at *process, done func(any)) { w.answerUpdate(at, to.Update, done) }, func(answer any) {
-			if r, is := answer.(Report); is && r.From.Name == to.Child.Name {
+			if r, ok := answer.(Report); ok && r.From.Name == to.Child.Name {
 				state.HandleAnswer(to.Child, r, w.now)
 				return
 			}
@@ -125,9 +131,10 @@
 	}
 }
 
-func (w *simulation) fetch(p *process, state *State, of view.Name) {
-	w.call(p, of, state.NewFetch(), func(at *process, done func(any)) { done(at.state.AnswerFetch(state.NewFetch())) }, func(answer any) {
-		if a, is := answer.(ReportAnswer); is {
+// fetch asks another process for a newer version.
+func (w *simulation) fetch(p *process, state *State, from view.Name) {
+	w.call(p, from, state.NewFetch(), func(at *process, done func(any)) { done(at.state.AnswerFetch(state.NewFetch())) }, func(answer any) {
+		if a, ok := answer.(ReportAnswer); ok {
 			state.HandleFetchAnswer(a, w.now)
 		}
 	})
--- a/internal/cluster/configuration/spread/report.go
+++ b/internal/cluster/configuration/spread/report.go
@@ -1,6 +1,6 @@
 package spread
 
-// This file is reports to the parent: when one is due, and what is in it.
+// This file handles reports to the parent: when one is due, and what it contains.
 
 import (
 	"time"
@@ -10,35 +10,36 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// failuresUntilUnreachable is after how many failed reports in a row the parent counts as unreachable.
+// failuresUntilUnreachable is the number of failed reports in a row after which the parent counts as unreachable.
 const failuresUntilUnreachable = 3
 
-// uplink is the state of the reports to the current parent.
+// uplink is the state of the reports to the current parent. SetTree resets it when the parent changes.
 type uplink struct {
-	reportNo       uint64
-	reported       bool // the parent has lastReport
+	reportNo       uint64 // number of the latest report; not reset
+	reported       bool   // the parent has received lastReport
 	lastReport     Report
-	sentAt         view.Uptime
-	changed        bool // since lastReport
-	inFlight       bool
-	failures       int
-	retryAt        view.Uptime
-	pendingAnswers int // answers to updates that wait for the processes below
-	// answeredNo is the newest update that was answered. An answer counts as reported, so each update is answered only
-	// once: of two answers the parent might receive either.
+	sentAt         view.Uptime // when the parent confirmed lastReport, or when it was sent as an answer
+	changed        bool        // there is something new since lastReport
+	inFlight       bool        // a report is in flight
+	failures       int         // number of reports in a row that failed
+	retryAt        view.Uptime // no report before this time
+	pendingAnswers int         // number of updates whose answer still waits for the processes below
+	// answeredNo is the number of the newest update that was answered. Each update is answered only once, because an
+	// answer counts as reported and the parent might receive only the first of two answers.
 	answeredNo uint64
 }
 
 // markChanged records that there is something new to report.
 func (s *State) markChanged() { s.uplink.changed = true }
 
-// HandleUpdate takes in an update of a parent, with its content.
-func (s *State) HandleUpdate(d Update, now view.Uptime) { s.takeContent(d.Held, d.Content, now) }
+// HandleUpdate handles an update from a parent. The caller must answer the update with BeginAnswer and Answer.
+func (s *State) HandleUpdate(u Update, now view.Uptime) { s.receiveContent(u.Held, u.Content, now) }
 
-// BeginAnswer records that an answer to an update waits until Settled, for MaxAnswerDelay at most; Answer ends that.
+// BeginAnswer records that the answer to an update waits until Settled returns true, for MaxAnswerDelay at most. No
+// report is due until Answer is called.
 func (s *State) BeginAnswer() { s.uplink.pendingAnswers++ }
 
-// Answer is the answer to an update; false for one that was answered before.
+// Answer returns the answer to an update. It returns false if the update was already answered.
 func (s *State) Answer(to Update, now view.Uptime) (Report, bool) {
 	u := &s.uplink
 	u.pendingAnswers = max(u.pendingAnswers-1, 0)
@@ -54,7 +55,8 @@
 	return u.lastReport, true
 }
 
-// DueReport is the report that is due, if one is. It must be followed by ReportAnswered or ReportFailed.
+// DueReport returns the report to the parent that is due, and reports whether there is one. The caller must then call
+// ReportAnswered or ReportFailed.
 func (s *State) DueReport(now view.Uptime) (Report, bool) {
 	u := &s.uplink
 	if s.parent.Name == "" || u.inFlight || u.pendingAnswers > 0 || now < u.retryAt {
@@ -73,7 +75,7 @@
 	return r, true
 }
 
-// markOwnLag makes a report due once the newest version has not been in force here for a while.
+// markOwnLag makes a report due once the newest version has not been in force here for LaggardAfter.
 func (s *State) markOwnLag(now view.Uptime) {
 	if lag, lagging := s.ownLag(now); lagging && lag.Reason == Behind && !s.lagReported {
 		s.lagReported = true
@@ -81,12 +83,12 @@
 	}
 }
 
-// sameReport reports whether two reports have the same content.
+// sameReport reports whether two reports have the same content, except for durations.
 func sameReport(a, b Report) bool {
 	return a.Held == b.Held && a.InForce == b.InForce && a.NeedsFull == b.NeedsFull && a.Settled == b.Settled && sameSummary(a.Summary, b.Summary)
 }
 
-// reportDueAt is when the next report is due.
+// reportDueAt returns when the next report is due.
 func (s *State) reportDueAt() view.Uptime {
 	switch {
 	case !s.uplink.reported:
@@ -99,14 +101,15 @@
 	return s.uplink.sentAt + ReportInterval
 }
 
-// phase spreads the idle reports of a coordinator's children over time, by a hash of the process's name.
+// phase returns a delay of up to a quarter of RefreshInterval, by a hash of the process's name. It spreads the reports
+// of a coordinator's children over time while nothing changes.
 func (s *State) phase() time.Duration {
 	return time.Duration(xxhash.Sum64String(string(s.self.Name)) % uint64(RefreshInterval/4))
 }
 
-// ReportAnswered takes in a parent's answer to a report.
+// ReportAnswered handles a parent's answer to a report.
 func (s *State) ReportAnswered(to Parent, a ReportAnswer, now view.Uptime) {
-	s.takeContent(a.Held, a.Content, now)
+	s.receiveContent(a.Held, a.Content, now)
 	if to != s.parent {
 		return
 	}
@@ -120,7 +123,7 @@
 	u.reported, u.sentAt, u.failures = true, now, 0
 }
 
-// ReportFailed records that a report, or its answer, was lost.
+// ReportFailed records that a report or its answer was lost.
 func (s *State) ReportFailed(to Parent, now view.Uptime) {
 	if to != s.parent {
 		return
@@ -131,16 +134,16 @@
 	u.failures++
 }
 
-// ParentUnreachable reports whether the parent has not been reached for a while, so that another process has to be asked for
-// newer versions.
+// ParentUnreachable reports whether several reports in a row have failed. The caller should then fetch newer versions
+// from other processes.
 func (s *State) ParentUnreachable() bool { return s.uplink.failures >= failuresUntilUnreachable }
 
-// Parent is the process to which this one reports; the zero value for none.
+// Parent returns the process that this one reports to, or the zero value if there is none.
 func (s *State) Parent() Parent { return s.parent }
 
-// makeReport is the state of this process and all below it.
-func (s *State) makeReport(top bool, now view.Uptime) Report {
+// makeReport returns a new report with the state of this process and all processes below it.
+func (s *State) makeReport(toLeader bool, now view.Uptime) Report {
 	s.uplink.reportNo++
-	return Report{From: s.self, ToLeader: top, ReportNo: s.uplink.reportNo, Held: s.digest(), InForce: s.inForce, NeedsFull: s.needsFull, Settled: s.Settled(),
+	return Report{From: s.self, ToLeader: toLeader, ReportNo: s.uplink.reportNo, Held: s.digest(), InForce: s.inForce, NeedsFull: s.needsFull, Settled: s.Settled(),
 		Summary: s.Summary(now)}
 }
--- a/internal/cluster/configuration/spread/roster.go
+++ b/internal/cluster/configuration/spread/roster.go
@@ -1,7 +1,7 @@
 package spread
 
-// This file is what the leader knows besides its State: how fast the newest version came into force, and which version
-// absent processes have.
+// This file holds what the leader records besides its State: how fast the newest version came into force, and which
+// version each absent process has.
 
 import (
 	"cmp"
@@ -12,38 +12,40 @@
 )
 
 const (
-	maxNames       = 4096           // processes remembered; the largest planned fleet has 660
-	AbsenceLimit   = 24 * time.Hour // a process that is absent for longer is forgotten
-	maxAbsentShown = 256
+	maxNames       = 4096           // processes in a Roster; the largest planned fleet has 660
+	AbsenceLimit   = 24 * time.Hour // a process that is absent for longer is deleted from the Roster
+	maxAbsentShown = 256            // processes in the result of AbsentMembers
 
-	// The leader calls an absent process, as it may be back before the view says so: each second at first, and then less
-	// often (each tenth of its absence), up to each 5 s.
+	// The leader calls absent processes, because they may be back before the view shows that. The time between two
+	// calls to a process is a tenth (attemptShare) of the duration of its absence, at least 1 s and at most 5 s.
 	minAttemptInterval, maxAttemptInterval, attemptShare = time.Second, 5 * time.Second, 10
 )
 
-// Shares of the fleet for which it is shown how long a version took.
+// Shares of the fleet for which Progress records how long a version took to be in force.
 const shareHalf, shareMost = 0.5, 0.95
 
-// Progress is how fast the newest version came into force, by the leader's own clock. A duration of 0 is not known: the
-// share is not reached yet, or was reached under an earlier leader.
+// Progress records how fast the newest version came into force, by the leader's own clock. At50, At95 and At100 are the
+// times until 50, 95 and 100% of the present processes had it in force. They are 0 if that is not known, because the
+// share is not reached yet or was reached under an earlier leader.
 type Progress struct {
 	Version    uint64
-	Since      view.Uptime // when it became known here
+	Since      view.Uptime // when the version became known to this leader
 	At50, At95 time.Duration
 	At100      time.Duration
-	fromStart  bool
+	fromStart  bool // the version was committed while this process led
 }
 
-// Begin starts the progress of a newer version; decidedHere says that it was committed while this process led.
+// Begin starts to record the progress of a version, unless it is not newer than the recorded one. decidedHere says that
+// the version was committed while this process led; otherwise no times are recorded.
 func (p *Progress) Begin(version uint64, decidedHere bool, now view.Uptime) {
 	if version > p.Version {
 		*p = Progress{Version: version, Since: now, fromStart: decidedHere}
 	}
 }
 
-// RecordInForce records how many of the present processes run the newest version.
-func (p *Progress) RecordInForce(inForce, here int, now view.Uptime) {
-	if !p.fromStart || here == 0 {
+// RecordInForce records that inForce of the present processes run the newest version.
+func (p *Progress) RecordInForce(inForce, present int, now view.Uptime) {
+	if !p.fromStart || present == 0 {
 		return
 	}
 	took := max(now-p.Since, time.Millisecond)
@@ -51,29 +53,30 @@
 		share float64
 		at    *time.Duration
 	}{{shareHalf, &p.At50}, {shareMost, &p.At95}, {1, &p.At100}} {
-		if *step.at == 0 && float64(inForce) >= step.share*float64(here) {
+		if *step.at == 0 && float64(inForce) >= step.share*float64(present) {
 			*step.at = took
 		}
 	}
 }
 
-// Roster is the version that each process had in force at least, to be shown while the process is absent and can't be
-// asked.
+// Roster records the newest version that each process is known to have had in force. It is shown for processes that are
+// absent and can't be asked. The zero value is an empty Roster.
 type Roster struct {
 	members map[view.Name]*memberRecord
 }
 
-// memberRecord is what is known of one process.
+// memberRecord is the record of one process.
 type memberRecord struct {
 	life         view.Life
-	version      uint64
-	versionKnown bool
-	absent       bool
-	since        view.Uptime
-	nextAttempt  view.Uptime
+	version      uint64      // the newest version known to have been in force there, if versionKnown is set
+	versionKnown bool        // false until a report or an answer has named a version
+	absent       bool        // not present in the latest view
+	since        view.Uptime // when absent last changed, or for a present laggard its latest announcement
+	nextAttempt  view.Uptime // no announcement before this time
 }
 
-// UpdateView takes in a view. A process that left on purpose is forgotten.
+// UpdateView updates the presence of all processes from a view. It deletes processes that left on purpose, and those
+// that are absent for longer than AbsenceLimit.
 func (r *Roster) UpdateView(members *view.View, now view.Uptime) {
 	if r.members == nil {
 		r.members = map[view.Name]*memberRecord{}
@@ -91,10 +94,10 @@
 		case record == nil:
 			continue
 		case m.Incarnation > record.life.Incarnation:
-			*record = memberRecord{life: m.Life, absent: record.absent, since: record.since} // a restart, perhaps with another folder
+			*record = memberRecord{life: m.Life, absent: record.absent, since: record.since} // a restarted process may have another folder, and so an older version
 		}
-		if away := !m.Present(); away != record.absent {
-			record.absent, record.since = away, now
+		if absent := !m.Present(); absent != record.absent {
+			record.absent, record.since = absent, now
 		}
 	}
 	for name, record := range r.members {
@@ -104,7 +107,7 @@
 	}
 }
 
-// PresentCount is how many processes are present.
+// PresentCount returns the number of present processes.
 func (r *Roster) PresentCount() (present int) {
 	for _, record := range r.members {
 		if !record.absent {
@@ -114,23 +117,24 @@
 	return present
 }
 
-// RecordSummary takes in a summary: laggards have the version named with them, all others at least the lowest of the
-// rest. A summary that does not cover all present processes says nothing of the others.
+// RecordSummary updates the versions of all present processes from a summary. A laggard has the version that is named
+// with it, and each other process at least the lowest of the remaining versions. A summary that does not cover all
+// present processes and versions is ignored.
 func (r *Roster) RecordSummary(sum Summary) {
 	if sum.Unknown > 0 || sum.Unnamed > 0 || sum.Older > 0 || sum.Members != r.PresentCount() {
 		return
 	}
-	rest := map[uint64]int{}
+	others := map[uint64]int{} // number of processes by version, without the laggards
 	for _, count := range sum.InForce {
-		rest[count.Version] += count.Members
+		others[count.Version] += count.Members
 	}
 	lagging := map[view.Name]uint64{}
 	for _, laggard := range sum.Laggards {
-		rest[laggard.Version]--
+		others[laggard.Version]--
 		lagging[laggard.Name] = laggard.Version
 	}
 	lowest, found := uint64(0), false
-	for version, members := range rest {
+	for version, members := range others {
 		if members > 0 && (!found || version < lowest) {
 			lowest, found = version, true
 		}
@@ -150,8 +154,8 @@
 	}
 }
 
-// DueAnnouncements are the processes to be called now: absent ones, and laggards that their parent does not reach, up to
-// the limit. The rest is due the next time.
+// DueAnnouncements returns the processes that the leader should call now, at most limit: absent processes, and laggards
+// that their parent does not reach. Processes beyond the limit are due at the next call.
 func (r *Roster) DueAnnouncements(laggards []Laggard, limit int, now view.Uptime) (names []view.Name) {
 	var due []*memberRecord
 	for _, l := range laggards {
@@ -175,22 +179,22 @@
 	return names
 }
 
-// RecordVersion takes in which version a process that was called has in force.
+// RecordVersion records the version that a process has in force by its own answer.
 func (r *Roster) RecordVersion(name view.Name, version uint64) {
 	if record := r.members[name]; record != nil {
 		record.version, record.versionKnown = max(record.version, version), true
 	}
 }
 
-// AbsentMember is an absent process with the version that it had at least; VersionKnown is false where this leader never
-// knew one.
+// AbsentMember is an absent process with the newest version that it is known to have had in force. VersionKnown is
+// false if this leader knows of none.
 type AbsentMember struct {
 	Laggard
 	VersionKnown bool `json:"version_known"`
 }
 
-// AbsentMembers are the absent processes that did not leave on purpose, by name, at most maxAbsentShown, and how many
-// more there are.
+// AbsentMembers returns the absent processes that did not leave on purpose, sorted by name, at most maxAbsentShown, and
+// the number of further ones.
 func (r *Roster) AbsentMembers(now view.Uptime) (all []AbsentMember, more int) {
 	for name, record := range r.members {
 		if record.absent {
--- a/internal/cluster/configuration/spread/simulation_test.go
+++ b/internal/cluster/configuration/spread/simulation_test.go
@@ -10,49 +10,52 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// This file simulates a fleet in one goroutine: states, their disks and senders, and a network that loses, delays and
-// duplicates messages.
+// This file holds the simulation of a fleet in one goroutine: the states, their disks and senders, and a network that
+// loses, delays and duplicates messages.
 
 const (
-	step        = 10 * time.Millisecond
-	callTimeout = 1500 * time.Millisecond
+	step        = 10 * time.Millisecond   // of simulated time
+	callTimeout = 1500 * time.Millisecond // of a simulated call, as in configuration/run
 )
 
+// fatalReporter is the part of testing.TB and rapid.T that a simulation uses.
 type fatalReporter interface{ Fatalf(string, ...any) }
 
-// process is one process; its disk survives restarts.
+// process is one simulated process. Its disk survives restarts.
 type process struct {
 	name            view.Name
 	life            view.Life
-	state           *State // nil while it is down
-	disk            configuration.Document
-	inForce         uint64 // at its sender, since its start
-	highest         uint64 // that its sender ever ran
-	rejectedVersion uint64 // a version that its program rejects
-	group           int    // processes of different groups can't reach each other
-	treeVersion     int    // of the tree that it saw last
-	leaderState     *State // the one that it had when it led last, since its start
+	state           *State                 // nil while it is down
+	disk            configuration.Document // the stored version
+	inForce         uint64                 // the version that its sender runs
+	highest         uint64                 // the highest version that its sender ever ran
+	rejectedVersion uint64                 // a version that its check rejects; 0 for none
+	group           int                    // processes of different groups can't reach each other
+	treeVersion     int                    // version of the tree that it saw last
+	leaderState     *State                 // its leader state when it last led since its start
 }
 
+// simulation is a fleet with its network, consensus group and tree.
 type simulation struct {
 	t            fatalReporter
 	random       *rand.Rand
 	now          view.Uptime
 	processes    []*process
-	order        []int // processes in the order of the tree: children of i are 3i+1 to 3i+3
-	leader       int
-	leaderState  *State
-	leaderLife   view.Life
-	decided      []configuration.Document // by version, from 1
-	events       []event
-	loss         float64 // of messages
-	calls        int
-	measure      bool
-	bytes        map[view.Name]int // of messages and answers, in and out, without the link's own
-	fan          int
-	treeVersions int
+	order        []int                    // processes in the order of the tree: children of i are 3i+1 to 3i+3
+	leader       int                      // index of the leader in processes
+	leaderState  *State                   // nil while the leader is down
+	leaderLife   view.Life                // the incarnation that leaderState belongs to
+	decided      []configuration.Document // committed documents by version, from 1
+	events       []event                  // not run yet
+	loss         float64                  // probability that a message is lost
+	calls        int                      // number of calls
+	measure      bool                     // count bytes
+	bytes        map[view.Name]int        // bytes of messages and answers that a process has sent and received, without the overhead of the link
+	fan          int                      // children per process in the tree
+	treeVersions int                      // number of trees so far
 }
 
+// newSimulation returns a fleet of running processes, of which the first leads, without any version.
 func newSimulation(t fatalReporter, seed uint64, size int) *simulation {
 	w := &simulation{t: t, random: rand.New(rand.NewPCG(seed, 1)), bytes: map[view.Name]int{}, fan: 3}
 	for i := range size {
@@ -65,17 +68,18 @@
 	return w
 }
 
+// start starts the next incarnation of a process with the version on its disk.
 func (w *simulation) start(p *process) {
 	p.life = view.Life{Name: p.name, Incarnation: p.life.Incarnation + 1}
 	p.inForce = p.disk.Version
 	w.recordRun(p, p.inForce)
 	p.state = New(p.life, p.disk, p.inForce)
 	if p.inForce == p.rejectedVersion && p.inForce > 0 {
-		w.t.Fatalf("%s keeps what it refuses", p.name)
+		w.t.Fatalf("%s has stored version %d, which it rejects", p.name, p.inForce)
 	}
 }
 
-// recordRun checks the first guarantee: no process runs an older version after a newer one.
+// recordRun records that a sender runs a version, and checks that no process runs an older version after a newer one.
 func (w *simulation) recordRun(p *process, version uint64) {
 	if version < p.highest {
 		w.t.Fatalf("%s runs version %d after %d", p.name, version, p.highest)
@@ -83,9 +87,10 @@
 	p.highest = version
 }
 
+// kill ends a process. Its disk stays.
 func (w *simulation) kill(p *process) { p.state, p.leaderState = nil, nil }
 
-// running are the processes that run, in the order of the tree.
+// running returns the running processes in the order of the tree.
 func (w *simulation) running() (all []*process) {
 	for _, i := range w.order {
 		if w.processes[i].state != nil {
@@ -95,27 +100,28 @@
 	return all
 }
 
-// updateTree has all running processes see the current tree, each after a random delay.
+// updateTree makes a tree of the running processes. Each of them sees it after a random delay, the leader's state at
+// once.
 func (w *simulation) updateTree() {
 	all := w.running()
 	w.treeVersions++
-	turn := w.treeVersions
+	treeVersion := w.treeVersions
 	for i, p := range all {
-		var above Parent
+		var parent Parent
 		if i > 0 {
-			above.Life = all[(i-1)/w.fan].life
+			parent.Life = all[(i-1)/w.fan].life
 		} else if l := w.processes[w.leader]; l.state != nil {
-			above = Parent{l.life, true}
+			parent = Parent{l.life, true}
 		}
-		var below []view.Life
+		var children []view.Life
 		for j := w.fan*i + 1; j <= w.fan*i+w.fan && j < len(all); j++ {
-			below = append(below, all[j].life)
+			children = append(children, all[j].life)
 		}
-		life, late := p.life, time.Duration(w.random.IntN(20))*step
-		w.after(late, func() {
-			if p.state != nil && p.life == life && p.treeVersion < turn {
-				p.treeVersion = turn
-				p.state.SetTree(above, below, w.now)
+		life, delay := p.life, time.Duration(w.random.IntN(20))*step
+		w.after(delay, func() {
+			if p.state != nil && p.life == life && p.treeVersion < treeVersion {
+				p.treeVersion = treeVersion
+				p.state.SetTree(parent, children, w.now)
 			}
 		})
 	}
@@ -133,43 +139,45 @@
 	}
 }
 
+// stepProcess does what is due in a process, as configuration/run does.
 func (w *simulation) stepProcess(p *process) {
 	state := p.state
 	w.sendUpdates(p, state)
-	if up, due := state.DueReport(w.now); due {
-		above := state.Parent()
-		w.call(p, above.Name, up, func(at *process, done func(any)) {
-			of := at.state
-			if up.ToLeader {
+	if report, due := state.DueReport(w.now); due {
+		parent := state.Parent()
+		w.call(p, parent.Name, report, func(at *process, done func(any)) {
+			receiver := at.state
+			if report.ToLeader {
 				if w.leaderState == nil || at != w.processes[w.leader] {
 					return
 				}
-				of = w.leaderState
+				receiver = w.leaderState
 			}
-			done(of.HandleReport(up, w.now))
+			done(receiver.HandleReport(report, w.now))
 		}, func(answer any) {
-			if a, is := answer.(ReportAnswer); is {
-				state.ReportAnswered(above, a, w.now)
+			if a, ok := answer.(ReportAnswer); ok {
+				state.ReportAnswered(parent, a, w.now)
 				return
 			}
-			state.ReportFailed(above, w.now)
+			state.ReportFailed(parent, w.now)
 		})
 	}
-	if name, is := state.ChildWithNewer(); is && w.random.IntN(10) == 0 {
+	if name, found := state.ChildWithNewer(); found && w.random.IntN(10) == 0 {
 		w.fetch(p, state, name)
 	}
 	if (state.ParentUnreachable() || state.NewFetch().NeedsFull) && w.random.IntN(20) == 0 {
 		w.fetch(p, state, w.processes[w.random.IntN(len(w.processes))].name)
 	}
-	if d, is := state.NextToApply(w.now); is {
+	if d, due := state.NextToApply(w.now); due {
 		w.apply(p, state, d)
 	}
 }
 
-// apply does what package run and a sender do: check, store, put in force, record; a kill may come between any two.
+// apply does what package run and a sender do with a version: they check, store, apply and record it. A process may be
+// killed between any two of these steps.
 func (w *simulation) apply(p *process, state *State, d configuration.Document) {
 	if d.Version == p.rejectedVersion {
-		state.RecordApplied(d.Version, errors.New("field pace: not known here"), w.now)
+		state.RecordApplied(d.Version, errors.New("field pace: unknown"), w.now)
 		return
 	}
 	w.after(time.Duration(w.random.IntN(3))*step, func() {
@@ -192,6 +200,7 @@
 	})
 }
 
+// decide commits a new version.
 func (w *simulation) decide() {
 	version := uint64(len(w.decided) + 1)
 	settings := fmt.Sprintf(`{"long":"%0400d","pace":%d,"odd":%d}`, 7, version, version%2)
@@ -202,6 +211,7 @@
 	w.decided = append(w.decided, d)
 }
 
+// run lets simulated time pass.
 func (w *simulation) run(d time.Duration) {
 	for end := w.now + d; w.now < end; {
 		w.now += step
@@ -232,10 +242,10 @@
 	}
 }
 
-// check checks the second guarantee: a version has one content.
+// check checks that the newest version of a process is a committed one with the committed content.
 func (w *simulation) check(p *process) {
 	held := p.state.Newest()
 	if v := held.Version; v > 0 && (v > uint64(len(w.decided)) || held.Sum != w.decided[v-1].Sum) {
-		w.t.Fatalf("%s holds another version %d", p.name, v)
+		w.t.Fatalf("%s has a version %d that was not committed", p.name, v)
 	}
 }
--- a/internal/cluster/configuration/spread/size_test.go
+++ b/internal/cluster/configuration/spread/size_test.go
@@ -6,9 +6,10 @@
 	"time"
 )
 
-// BenchmarkChange reports what one change costs a fleet: calls for each member, bytes of messages at a member on average
-// and at the busiest, simulated time until it is known to be in force everywhere, and the same bytes a second while
-// nothing changes. One iteration is one change. A hop takes 10 to 30 ms, each of the three steps at a process 0 to 20 ms.
+// BenchmarkChange reports the cost of one change in a fleet: the number of calls per member, the bytes of messages at a
+// member (the mean, and at the busiest), and the simulated time until the leader knows that the change is in force
+// everywhere. It also reports the bytes per second while nothing changes. One iteration is one change. A message takes
+// 10 to 30 ms, and each of the three steps in a process (store, apply, record) 0 to 20 ms.
 func BenchmarkChange(b *testing.B) {
 	for _, size := range []int{66, 660, 6600} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -51,7 +52,7 @@
 	}
 }
 
-// bytesPerProcess are the bytes at a process on average, and at the busiest.
+// bytesPerProcess returns the mean number of bytes at a process, and the number at the busiest.
 func (w *simulation) bytesPerProcess() (mean, most float64) {
 	for _, n := range w.bytes {
 		mean += float64(n) / float64(len(w.processes))
--- a/internal/cluster/configuration/spread/spread_test.go
+++ b/internal/cluster/configuration/spread/spread_test.go
@@ -11,7 +11,7 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// heal ends all faults and gives the fleet time.
+// heal ends all faults and lets 8 s pass.
 func heal(w *simulation) {
 	w.loss = 0
 	for _, p := range w.processes {
@@ -24,7 +24,8 @@
 	w.run(8 * time.Second)
 }
 
-// checkAgreement checks that all run the newest version, and that the leader knows it.
+// checkAgreement checks that all processes run the newest version, except those that reject it, and that the leader
+// knows this.
 func checkAgreement(w *simulation) {
 	newest := uint64(len(w.decided))
 	for _, p := range w.processes {
@@ -33,22 +34,22 @@
 			want = p.inForce
 		}
 		if p.inForce != want || p.state.Newest().Version != newest {
-			w.t.Fatalf("%s runs %d and holds %d; %d is the newest", p.name, p.inForce, p.state.Newest().Version, newest)
+			w.t.Fatalf("%s runs %d and has %d; the newest version is %d", p.name, p.inForce, p.state.Newest().Version, newest)
 		}
 	}
 	if newest == 0 {
 		return
 	}
 	sum := w.leaderState.Summary(w.now)
-	refusing := 0
+	rejecting := 0
 	for _, p := range w.processes {
 		if p.rejectedVersion == newest {
-			refusing++
+			rejecting++
 		}
 	}
-	if sum.Members != len(w.processes) || sum.Unknown > 0 || sum.MembersAtLeast(newest) != len(w.processes)-refusing ||
-		len(sum.Laggards)+sum.Unnamed != refusing {
-		w.t.Fatalf("of %d processes, %d refusing, the leader knows %+v", len(w.processes), refusing, sum)
+	if sum.Members != len(w.processes) || sum.Unknown > 0 || sum.MembersAtLeast(newest) != len(w.processes)-rejecting ||
+		len(sum.Laggards)+sum.Unnamed != rejecting {
+		w.t.Fatalf("of %d processes %d reject the version; the leader has the summary %+v", len(w.processes), rejecting, sum)
 	}
 	for _, l := range sum.Laggards {
 		if l.Reason != Rejected || l.Text == "" || l.Version != w.find(l.Name).inForce {
@@ -60,9 +61,10 @@
 	}
 }
 
-// Messages are lost, duplicated and reordered; processes are killed between any two steps and restart with their disks;
-// parts are partitioned; coordinators and leaders change meanwhile. No process ever runs an older version after a newer
-// one, or another content under a version number, and after the faults all run the newest, and the leader knows it.
+// TestFaults draws faults of all kinds: messages are lost, duplicated and reordered, processes are killed between any
+// two steps and restart with their disks, the fleet is partitioned, and coordinators and leaders change. It checks that
+// no process ever runs an older version after a newer one, or another content under a version number, and that after
+// the faults all processes run the newest version and the leader knows it.
 func TestFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newSimulation(t, rapid.Uint64().Draw(t, "seed"), rapid.IntRange(1, 16).Draw(t, "size"))
@@ -101,8 +103,9 @@
 	})
 }
 
-// Without faults a change costs one call a child, is sent as a patch, and is known to be in force everywhere well within
-// the bound; while idle next to nothing is sent.
+// TestFaultlessChange checks that without faults a change costs about one call per process, and that the leader knows
+// within 3 s that it is in force everywhere. While nothing changes, a process makes at most one call per
+// RefreshInterval.
 func TestFaultlessChange(t *testing.T) {
 	for _, size := range []int{1, 13, 660} {
 		w := newSimulation(t, 3, size)
@@ -119,7 +122,7 @@
 				t.Fatalf("%d processes: %+v", size, w.leaderState.Summary(w.now))
 			}
 		}
-		t.Logf("%d processes: known to be in force everywhere after %v, %d calls", size, w.now-began, w.calls-calls)
+		t.Logf("%d processes: the leader knows after %v that the version is in force everywhere; %d calls", size, w.now-began, w.calls-calls)
 		if extra := w.calls - calls - size; extra > size/10+1 {
 			t.Errorf("%d processes: %d calls", size, w.calls-calls)
 		}
@@ -127,13 +130,14 @@
 		calls = w.calls
 		w.run(RefreshInterval)
 		if got := w.calls - calls; got > size+1 {
-			t.Errorf("%d processes, idle: %d calls in %v", size, got, RefreshInterval)
+			t.Errorf("%d processes without a change: %d calls in %v", size, got, RefreshInterval)
 		}
 	}
 }
 
-// Coordinators, the root among them, die just as a change is committed, messages are lost, and the view takes two seconds
-// to drop the dead: all others have the change in force within the allowed six seconds.
+// TestCoordinatorsDie kills coordinators, the root among them, just when a change is committed. Messages are lost, and
+// the view shows the dead processes only after two seconds. All other processes must have the change in force within
+// six seconds.
 func TestCoordinatorsDie(t *testing.T) {
 	w := newSimulation(t, 11, 660)
 	w.fan, w.leader = 32, 400
@@ -159,14 +163,14 @@
 	for inForce() < 656 {
 		w.run(step)
 		if w.now-began > 6*time.Second {
-			t.Fatalf("after %v in force at %d of 656", w.now-began, inForce())
+			t.Fatalf("after %v the version is in force in %d of 656 processes", w.now-began, inForce())
 		}
 	}
-	t.Logf("in force at all who are left after %v", w.now-began)
+	t.Logf("the version is in force in all remaining processes after %v", w.now-began)
 }
 
-// A process that is partitioned during three changes gets only the newest when it is back; meanwhile it is shown as a
-// laggard with its version.
+// TestPartitionedProcessGetsNewestOnly checks that a process that is partitioned during three changes is shown as a
+// laggard with its version, and gets only the newest version afterwards.
 func TestPartitionedProcessGetsNewestOnly(t *testing.T) {
 	w := newSimulation(t, 5, 13)
 	w.decide()
@@ -189,15 +193,16 @@
 	for cut.inForce != 4 {
 		w.run(step)
 		if w.now-began > 4*time.Second {
-			t.Fatal("not caught up")
+			t.Fatal("the process has not caught up")
 		}
 	}
 	heal(w)
 	checkAgreement(w)
 }
 
-// An update to an earlier incarnation is answered by the next one, which then counts its answer as reported: the parent
-// must not drop it. (Found by TestFaults: the leader knew of later changes only half a minute late.)
+// TestAnswerOfNextIncarnation checks that a parent uses the answer to an update for an earlier incarnation of a child.
+// The next incarnation gives that answer and counts it as reported. If the parent dropped the answer, the leader would
+// learn of later changes only half a minute late, with the next report.
 func TestAnswerOfNextIncarnation(t *testing.T) {
 	document, err := configuration.NewDocument(3, json.RawMessage(`{}`))
 	if err != nil {
@@ -206,26 +211,27 @@
 	parent := New(view.Life{Name: "p", Incarnation: 1}, document, 3)
 	first, second := view.Life{Name: "c", Incarnation: 1}, view.Life{Name: "c", Incarnation: 2}
 	parent.SetTree(Parent{}, []view.Life{first}, 0)
-	downs := parent.DueUpdates(time.Second)
+	updates := parent.DueUpdates(time.Second)
 	parent.SetTree(Parent{}, []view.Life{second}, time.Second)
 	child := New(second, document, 3)
 	child.SetTree(Parent{Life: view.Life{Name: "p", Incarnation: 1}}, nil, time.Second)
 	child.BeginAnswer()
-	r, answered := child.Answer(downs[0].Update, time.Second)
+	r, answered := child.Answer(updates[0].Update, time.Second)
 	if !answered {
-		t.Fatal("not answered")
+		t.Fatal("the update was not answered")
 	}
-	parent.HandleAnswer(downs[0].Child, r, time.Second)
+	parent.HandleAnswer(updates[0].Child, r, time.Second)
 	if sum := parent.Summary(time.Second); sum.MembersAtLeast(3) != 2 || sum.Unknown > 0 {
 		t.Fatalf("%+v", sum)
 	}
 	child.BeginAnswer()
-	if _, again := child.Answer(downs[0].Update, time.Second); again {
-		t.Fatal("one message answered twice")
+	if _, again := child.Answer(updates[0].Update, time.Second); again {
+		t.Fatal("the update was answered twice")
 	}
 }
 
-// A process that no call reaches, but whose reports arrive, gets what it lacks with their answers, and lags no more.
+// TestOneWayLink checks that a process that no call reaches, but whose reports arrive, gets the newest version with the
+// answers to its reports and is then no longer a laggard.
 func TestOneWayLink(t *testing.T) {
 	first, err := configuration.NewDocument(1, json.RawMessage(`{"a":1}`))
 	if err != nil {
@@ -256,7 +262,7 @@
 	if sum := parent.Summary(5 * time.Second); len(sum.Laggards) != 1 || sum.Laggards[0].Reason != Unreachable {
 		t.Fatalf("%+v", sum)
 	}
-	report(time.Minute) // none is due sooner
+	report(time.Minute) // no report is due earlier
 	if d, due := child.NextToApply(time.Minute); !due || d.Version != 2 {
 		t.Fatal(d, due)
 	}
--- a/internal/cluster/configuration/spread/state.go
+++ b/internal/cluster/configuration/spread/state.go
@@ -1,6 +1,6 @@
 package spread
 
-// This file is the versions of a process: received from others, and put in force by its sender.
+// This file handles the versions of a process: those received from other processes, and the one that its sender runs.
 
 import (
 	"maps"
@@ -10,22 +10,23 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// State is one process's part. Its owner guards it.
+// State is the state of one process. It is not safe for concurrent use; its owner guards it. New and NewLeaderState
+// create it.
 type State struct {
 	self     view.Life
-	isLeader bool // it is the state of a leader, which neither applies versions nor counts itself
+	isLeader bool // created by NewLeaderState; it neither applies versions nor counts itself in summaries
 
 	newest      configuration.Document // the newest version here; version 0 for none
 	newestSince view.Uptime
-	history     []configuration.Document // earlier ones, newest first
+	history     []configuration.Document // earlier versions, newest first, at most maxHistory
 	encoded     encodedContent
 
-	inForce     uint64
-	applying    bool
+	inForce     uint64 // the version that the sender runs
+	applying    bool   // NextToApply has returned a version whose outcome is not recorded yet
 	rejected    rejection
 	forked      bool // another process has other content under the number of the newest version
-	needsFull   bool // a patch did not give the content that its checksum names
-	lagReported bool // the lag of this process is reported, or due to be
+	needsFull   bool // received content did not match its checksum
+	lagReported bool // a report of this process's lag was marked as due
 
 	parent     Parent
 	children   map[view.Name]*child
@@ -34,29 +35,29 @@
 	uplink     uplink
 }
 
-// rejection is a version that could not be put in force here.
+// rejection is a version that could not be put in force here. Version 0 stands for none.
 type rejection struct {
 	version uint64
-	text    string
-	since   view.Uptime
-	retryAt view.Uptime
+	text    string      // the reason, truncated
+	since   view.Uptime // time of the first failure
+	retryAt view.Uptime // time of the next attempt
 }
 
-// encodedContent is the newest version as it is sent: in full, and as patches by the version that they are based on. Each
-// is made once.
+// encodedContent caches the encoded forms of the newest version: the full content, and the patches by the version that
+// they are based on. A nil patch means that the full content is sent instead.
 type encodedContent struct {
 	full    []byte
 	patches map[uint64]*Content
 }
 
-// New returns the state of a process that has a version of an earlier incarnation on disk (the zero value for none), and
-// whose sender runs inForce: that version, or 0 where it could not be used.
+// New returns the state of a process. stored is the version that an earlier incarnation has stored on disk, or the zero
+// value. inForce is the version that the sender runs: that of stored, or 0 if the stored version could not be used.
 func New(self view.Life, stored configuration.Document, inForce uint64) *State {
 	return &State{self: self, newest: stored, inForce: inForce, children: map[view.Name]*child{}}
 }
 
-// NewLeaderState returns the state of the leader, whose only child is the root of the tree. previous is the one that this
-// process had when it led before, or nil: updates are numbered on from there.
+// NewLeaderState returns the state of the leader, whose only child is the root of the tree. previous is the state of
+// the last time that this process led, or nil; the numbers of updates continue from there.
 func NewLeaderState(self view.Life, previous *State) *State {
 	s := New(self, configuration.Document{}, 0)
 	s.isLeader = true
@@ -66,7 +67,7 @@
 	return s
 }
 
-// SetTree sets the parent (the zero value for none) and the children.
+// SetTree sets the parent (the zero value for none) and the children of this process.
 func (s *State) SetTree(parent Parent, children []view.Life, now view.Uptime) {
 	if parent != s.parent {
 		s.parent = parent
@@ -79,7 +80,8 @@
 	for _, life := range children {
 		delete(gone, life.Name)
 		if c := s.children[life.Name]; c == nil || c.life.Incarnation < life.Incarnation {
-			// A child reports to a new parent by itself: it is called only if it does not.
+			// A child reports to a new parent on its own. It gets an update only if it has not done so after
+			// minBackoff.
 			s.children[life.Name] = &child{life: life, retryAt: now + minBackoff}
 			s.markChanged()
 		}
@@ -91,26 +93,28 @@
 	s.childNames = slices.Sorted(maps.Keys(s.children))
 }
 
-// SetIncarnation raises this process's incarnation, as another process of its name was known with this one or a higher.
+// SetIncarnation sets a higher incarnation for this process. It is called when other processes know its name with the
+// current incarnation or a higher one.
 func (s *State) SetIncarnation(to view.Life) {
 	s.self = to
 	s.uplink.reported = false
 	s.markChanged()
 }
 
-// Newest is the newest version that this process has.
+// Newest returns the newest version that this process has, or version 0 if it has none.
 func (s *State) Newest() configuration.Document { return s.newest }
 
-// InForce is the version that the sender here runs.
+// InForce returns the version that the sender of this process runs.
 func (s *State) InForce() uint64 { return s.inForce }
 
-// Rejection is the version that could not be put in force here, and why; 0 for none.
+// Rejection returns the version that could not be put in force here and the reason. The version is 0 if there is none.
 func (s *State) Rejection() (version uint64, text string) { return s.rejected.version, s.rejected.text }
 
+// digest returns the digest of the newest version.
 func (s *State) digest() Digest { return Digest{s.newest.Version, s.newest.Sum} }
 
-// SetDecided takes in the newest version that was committed. An older one changes nothing. Where one version has two
-// contents (see takeContent) the leader distributes the committed one.
+// SetDecided sets the newest committed version. An older version changes nothing. If there are two contents of one
+// version (see receiveContent), the leader distributes the committed one.
 func (s *State) SetDecided(d configuration.Document, now view.Uptime) {
 	otherContent := d.Version == s.newest.Version && d.Version > 0 && d.Sum != s.newest.Sum
 	if d.Version > s.newest.Version || s.isLeader && otherContent {
@@ -118,7 +122,7 @@
 	}
 }
 
-// setNewest replaces the newest version.
+// setNewest replaces the newest version and keeps the old one in history.
 func (s *State) setNewest(d configuration.Document, now view.Uptime) {
 	if s.newest.Version > 0 {
 		s.history = slices.Insert(s.history, 0, s.newest)
@@ -129,10 +133,11 @@
 	s.markChanged()
 }
 
-// takeContent takes in content that another process sent, and what that one has. Two contents of one version can't be
-// committed; they occur only where the consensus group lost its records and numbers versions from 1 again. Then neither
-// is replaced: the fork is shown until the next version is committed.
-func (s *State) takeContent(held Digest, c *Content, now view.Uptime) {
+// receiveContent handles the digest and the content (nil for none) that another process has sent. The consensus group
+// never commits two contents of one version. They occur only if the group has lost its records and numbers versions
+// from 1 again. Neither content is then replaced, and the process is reported as forked until the next version is
+// committed.
+func (s *State) receiveContent(held Digest, c *Content, now view.Uptime) {
 	if held.Version == s.newest.Version && held.Version > 0 && held.Sum != s.newest.Sum && !s.forked {
 		s.forked = true
 		s.markChanged()
@@ -148,7 +153,8 @@
 	s.markChanged()
 }
 
-// decode makes a document of content; false where that does not match its checksum.
+// decode returns the document of received content. It returns false if the content can't be decoded or does not match
+// its checksum.
 func (s *State) decode(c *Content) (d configuration.Document, ok bool) {
 	settings, err := configuration.Decompress(c.Full)
 	if c.Patch != nil {
@@ -164,8 +170,8 @@
 	return d, err == nil && d.Sum == c.Sum
 }
 
-// contentSince is what a process with the version base lacks: nil where it lacks nothing. It is full where that is asked
-// for, or no patch is known or small enough.
+// contentSince returns the content that a process with the version base lacks, or nil if it lacks nothing. The content
+// is a patch unless full is set, no patch is possible, or the patch is too long.
 func (s *State) contentSince(base Digest, full bool) *Content {
 	if base.Version >= s.newest.Version {
 		return nil
@@ -176,13 +182,14 @@
 		}
 	}
 	if s.encoded.full == nil {
-		// Compression fails for want of memory only; an empty Content is not accepted, and asked for again.
+		// Compress fails only without memory. The receiver does not accept the empty content and requests it again.
 		s.encoded.full, _ = configuration.Compress(s.newest.Settings)
 	}
 	return &Content{Digest: s.digest(), Full: s.encoded.full}
 }
 
-// patchFrom is the patch from a version in the history; nil where there is none, or the full content is better.
+// patchFrom returns the content as a patch of an earlier version. It returns nil if that version is not in the history,
+// or if the patch would not be shorter than half of the settings.
 func (s *State) patchFrom(base Digest) *Content {
 	if c, made := s.encoded.patches[base.Version]; made && (c == nil || c.Base == base) {
 		return c
@@ -204,7 +211,8 @@
 	return c
 }
 
-// NextToApply is the version to be put in force now; false while that is in progress, or there is none.
+// NextToApply returns the version to put in force now. It returns false if there is none, or while another is being put
+// in force. The caller must then call RecordApplied.
 func (s *State) NextToApply(now view.Uptime) (configuration.Document, bool) {
 	if s.isLeader || s.applying || s.newest.Version <= s.inForce {
 		return configuration.Document{}, false
@@ -216,7 +224,8 @@
 	return s.newest, true
 }
 
-// RecordApplied records whether a version that NextToApply returned is in force, or why not.
+// RecordApplied records that a version from NextToApply is in force, or with an error that it could not be put in
+// force. It is then tried again after applyRetryDelay.
 func (s *State) RecordApplied(version uint64, err error, now view.Uptime) {
 	s.applying = false
 	s.markChanged()
@@ -232,15 +241,15 @@
 	s.rejected = rejection{version, truncated(err.Error()), since, now + applyRetryDelay}
 }
 
-// truncated cuts a text to the bound of a reason.
+// truncated cuts a text to maxReasonBytes.
 func truncated(text string) string { return text[:min(len(text), maxReasonBytes)] }
 
-// SelfSettled reports whether the newest version is in force at this process, or was rejected.
+// SelfSettled reports whether the newest version is in force in this process or was rejected by it.
 func (s *State) SelfSettled() bool {
 	return s.isLeader || s.inForce >= s.newest.Version || s.rejected.version == s.newest.Version
 }
 
-// Settled reports whether this process and all below it have put the newest version in force, or rejected it.
+// Settled reports whether this process and all processes below it have put the newest version in force or rejected it.
 func (s *State) Settled() bool {
 	if !s.SelfSettled() {
 		return false
@@ -253,7 +262,7 @@
 	return true
 }
 
-// NextDue is when something has to be sent or put in force, at the latest.
+// NextDue returns the latest time at which the caller should ask again for due messages and versions to apply.
 func (s *State) NextDue(now view.Uptime) (at view.Uptime) {
 	at = now + RefreshInterval
 	if !s.isLeader && !s.applying && s.newest.Version > s.inForce {
--- a/internal/cluster/configuration/spread/summary.go
+++ b/internal/cluster/configuration/spread/summary.go
@@ -1,6 +1,6 @@
 package spread
 
-// This file is the bounded summary of a process and all below it.
+// This file computes the summary of a process and all processes below it, whose size is bounded.
 
 import (
 	"cmp"
@@ -9,7 +9,8 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// Summary is the state of this process and all below it now.
+// Summary returns the current state of this process and all processes below it. On the leader it leaves out the leader
+// itself, which is counted in the tree.
 func (s *State) Summary(now view.Uptime) (sum Summary) {
 	if !s.isLeader {
 		sum.Members = 1
@@ -25,7 +26,7 @@
 	return sum
 }
 
-// ownLag is this process as a laggard, and whether it is one.
+// ownLag returns this process as a laggard and reports whether it is one.
 func (s *State) ownLag(now view.Uptime) (Laggard, bool) {
 	l := Laggard{Name: s.self.Name, Version: s.inForce}
 	switch {
@@ -41,7 +42,7 @@
 	return l, true
 }
 
-// addChild adds what a child has reported.
+// addChild adds a child's latest report. A child that has not reported counts as unknown.
 func (s *State) addChild(sum *Summary, c *child, now view.Uptime) {
 	if c.failures > 0 && now-c.failingSince > LaggardAfter {
 		sum.addLaggard(Laggard{Name: c.life.Name, Version: c.report.InForce, Reason: Unreachable, SinceMS: (now - c.failingSince).Milliseconds()})
@@ -54,15 +55,15 @@
 	if held := c.report.Held; held.Version == s.newest.Version && held != s.digest() {
 		sum.addLaggard(Laggard{Name: c.life.Name, Version: c.report.InForce, Reason: Forked})
 	}
-	of := c.report.Summary
-	sum.Members += of.Members
-	sum.Unknown += of.Unknown
-	sum.Older += of.Older
-	sum.Unnamed += of.Unnamed
-	for _, count := range of.InForce {
+	reported := c.report.Summary
+	sum.Members += reported.Members
+	sum.Unknown += reported.Unknown
+	sum.Older += reported.Older
+	sum.Unnamed += reported.Unnamed
+	for _, count := range reported.InForce {
 		sum.addInForce(count.Version, count.Members)
 	}
-	for _, l := range of.Laggards {
+	for _, l := range reported.Laggards {
 		l.SinceMS += (now - c.reportedAt).Milliseconds()
 		sum.addLaggard(l)
 	}
@@ -78,15 +79,16 @@
 	sum.InForce[i].Members += members
 }
 
-// addLaggard adds a laggard, unless its name is there: one that its parent does not reach is listed once, as unreachable.
+// addLaggard adds a laggard unless it is already listed. A process that its parent does not reach is thus listed once,
+// as unreachable.
 func (sum *Summary) addLaggard(l Laggard) {
-	i := slices.IndexFunc(sum.Laggards, func(had Laggard) bool { return had.Name == l.Name })
+	i := slices.IndexFunc(sum.Laggards, func(listed Laggard) bool { return listed.Name == l.Name })
 	if i < 0 {
 		sum.Laggards = append(sum.Laggards, l)
 	}
 }
 
-// limit reduces what has grown with the children to the bounds of a summary.
+// limit sorts the lists of a summary and cuts them to MaxCounts and MaxLaggards.
 func (sum *Summary) limit() {
 	slices.SortFunc(sum.InForce, func(a, b Count) int { return cmp.Compare(b.Version, a.Version) })
 	for _, c := range sum.InForce[min(len(sum.InForce), MaxCounts):] {
@@ -100,7 +102,7 @@
 	sum.Laggards = sum.Laggards[:min(len(sum.Laggards), MaxLaggards)]
 }
 
-// MembersAtLeast is how many processes run a version or a newer one.
+// MembersAtLeast returns how many processes run a version or a newer one.
 func (sum Summary) MembersAtLeast(version uint64) (members int) {
 	for _, c := range sum.InForce {
 		if c.Version >= version {
--- a/internal/cluster/configuration/spread/summary_test.go
+++ b/internal/cluster/configuration/spread/summary_test.go
@@ -1,6 +1,6 @@
 package spread
 
-// This file is the tests of summaries, messages and the roster.
+// This file holds the tests of summaries, messages and the roster.
 
 import (
 	"encoding/json"
@@ -12,7 +12,7 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// A summary is bounded, whatever the number of children, versions and laggards.
+// TestSummaryIsBounded checks that the size of a summary is bounded for many children, versions and laggards.
 func TestSummaryIsBounded(t *testing.T) {
 	s := New(view.Life{Name: "p", Incarnation: 1}, configuration.Document{Version: 2000, Sum: "x"}, 2000)
 	var children []view.Life
@@ -43,13 +43,14 @@
 	}
 }
 
-// A reader skips unknown fields, and arbitrary bytes cause no panic.
-func FuzzTake(f *testing.F) {
+// FuzzHandleUpdate checks that arbitrary bytes as an update cause no panic and no content with a wrong checksum. The
+// seeds include unknown fields, which a receiver ignores.
+func FuzzHandleUpdate(f *testing.F) {
 	f.Add([]byte(`{"from":{"name":"p"},"h":{"v":2,"s":"x"},"c":{"v":2,"s":"x","b":{"v":1},"p":{"a":1},"later":[1]},"later":{}}`))
 	f.Add([]byte(`{"h":{"v":3},"c":{"v":3,"w":"H4sIAAAAAAAA"}}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		var d Update
-		if json.Unmarshal(text, &d) != nil {
+		var update Update
+		if json.Unmarshal(text, &update) != nil {
 			return
 		}
 		held, err := configuration.NewDocument(1, json.RawMessage(`{"a":0}`))
@@ -57,13 +58,14 @@
 			t.Fatal(err)
 		}
 		s := New(view.Life{Name: "p", Incarnation: 1}, held, 1)
-		s.HandleUpdate(d, 0)
+		s.HandleUpdate(update, 0)
 		if got := s.Newest(); got.Version < 1 || configuration.SumOf(got.Settings) != got.Sum {
 			t.Fatalf("%+v", got)
 		}
 	})
 }
 
+// TestRosterAndProgress checks the versions of absent processes in a Roster, and the times in a Progress.
 func TestRosterAndProgress(t *testing.T) {
 	member := func(name view.Name, state view.State) view.Member {
 		return view.Member{Life: view.Life{Name: name, Incarnation: 1}, State: state}
@@ -71,15 +73,15 @@
 	var r Roster
 	r.UpdateView(view.New("a", 1, []view.Member{member("a", view.Alive), member("b", view.Alive), member("c", view.Alive)}), 0)
 	r.RecordSummary(Summary{Members: 3, InForce: []Count{{7, 2}, {5, 1}}, Laggards: []Laggard{{Name: "c", Version: 5, Reason: Rejected}}})
-	r.RecordSummary(Summary{Members: 2, InForce: []Count{{9, 2}}}) // leaves one out
+	r.RecordSummary(Summary{Members: 2, InForce: []Count{{9, 2}}}) // ignored, as it does not cover all processes
 	r.UpdateView(view.New("a", 2, []view.Member{member("a", view.Alive), member("b", view.Dead), member("c", view.Dead)}), time.Second)
-	away, more := r.AbsentMembers(3 * time.Second)
-	if len(away) != 2 || more != 0 || away[0].Version != 7 || !away[0].VersionKnown || away[1].Version != 5 || away[1].SinceMS != 2000 || r.PresentCount() != 1 {
-		t.Fatalf("%+v", away)
+	absent, more := r.AbsentMembers(3 * time.Second)
+	if len(absent) != 2 || more != 0 || absent[0].Version != 7 || !absent[0].VersionKnown || absent[1].Version != 5 || absent[1].SinceMS != 2000 || r.PresentCount() != 1 {
+		t.Fatalf("%+v", absent)
 	}
 	r.UpdateView(view.New("a", 3, []view.Member{member("a", view.Alive), member("b", view.Left), member("c", view.Alive)}), 4*time.Second)
-	if away, _ := r.AbsentMembers(4 * time.Second); len(away) != 0 || r.PresentCount() != 2 {
-		t.Fatalf("%+v", away)
+	if absent, _ := r.AbsentMembers(4 * time.Second); len(absent) != 0 || r.PresentCount() != 2 {
+		t.Fatalf("%+v", absent)
 	}
 
 	var p Progress
@@ -92,10 +94,10 @@
 	}
 	p.Begin(2, true, 2*time.Second)
 	if p.Version != 3 {
-		t.Fatal("back to an older version")
+		t.Fatal("the progress went back to an older version")
 	}
 	p.Begin(4, false, 2*time.Second)
 	if p.RecordInForce(4, 4, 3*time.Second); p.At100 != 0 {
-		t.Fatal("a time that was not seen from the start")
+		t.Fatal("a time was recorded for a version that an earlier leader committed")
 	}
 }
--- a/internal/cluster/configuration/storeddata_test.go
+++ b/internal/cluster/configuration/storeddata_test.go
@@ -8,13 +8,13 @@
 	"flaxcove/internal/sender/clusterapi"
 )
 
-// What testdata/stored/configuration.json holds. Commit 485f0e4 wrote the file; it is never written anew.
+// The content of testdata/stored/configuration.json. Commit 485f0e4 wrote the file; it must never be written again.
 const (
 	storedVersion  = 57
 	storedSettings = `{"list":[1.0,12345678901234567890,null],"pace":41,"text":"<&>é"}`
 )
 
-// TestReadsStoredConfiguration: the version that an older program cached is read whole.
+// TestReadsStoredConfiguration checks that LoadCached reads the complete version that an older program stored.
 func TestReadsStoredConfiguration(t *testing.T) {
 	folder := t.TempDir()
 	if err := os.CopyFS(folder, os.DirFS("testdata/stored")); err != nil {
@@ -26,7 +26,8 @@
 	}
 }
 
-// TestWritesStoredConfiguration: the same version gives the same file, which an older program can read after a step back.
+// TestWritesStoredConfiguration checks that Store writes the same file as an older program did for the same version, so
+// that the older program can read it after a downgrade.
 func TestWritesStoredConfiguration(t *testing.T) {
 	folder := t.TempDir()
 	if err := configuration.Store(folder, clusterapi.Configuration{Version: storedVersion, Settings: []byte(storedSettings)}); err != nil {
@@ -41,6 +42,6 @@
 		t.Fatal(err)
 	}
 	if string(got) != string(want) {
-		t.Errorf("written %q, stored %q", got, want)
+		t.Errorf("Store wrote %q, the stored file is %q", got, want)
 	}
 }
--- a/internal/cluster/consensus/consensus.go
+++ b/internal/cluster/consensus/consensus.go
@@ -1,18 +1,19 @@
-// Package consensus commits the commands of replicated parts (package machine) in one order, by raft among at most five
-// voters.
+// Package consensus runs a raft group of at most five voters, which commits the commands of the replicated parts (see
+// package machine) in a single order.
 //
-// It owns the raft library (hashicorp/raft), the folder of its log and snapshots, the port on which servers talk, the
-// bootstrap of the group, and changes of its voters, which package voters works out. It must never decide a command
-// itself, never report a command as committed that may not be, and never call out with its lock held.
+// The package owns the raft library (hashicorp/raft), the folder with the raft log and snapshots, the listening port
+// for raft connections, the bootstrap of the group, and the changes of its voters, which package voters computes. The
+// package never interprets a command, never reports a command as committed unless it is, and never calls other code
+// with its lock held.
 //
-// A server is a name and the folder that holds its records ("a@5f3c"). A process that lost its disk is therefore a
-// different server and can't vote twice in one term. A server that was removed from the configuration starts elections
-// only rarely.
+// A raft server is identified by the name of its process and the random name of the folder that holds its records, as
+// in "a@5f3c". A process that lost its disk is therefore a different server and can't vote twice in one term. A server
+// that was removed from the configuration starts an election every two minutes at most.
 //
-// Without a quorum nothing is committed, what was committed can still be read here, and Propose returns an
-// UncertainError within its deadline.
+// Without a quorum nothing is committed. Committed state can still be read locally, and Propose returns an
+// UncertainError when its context ends.
 //
-// docs/design/cluster/consensus.md lists what is guaranteed, and the risks.
+// The guarantees and the known risks are listed in docs/design/cluster/consensus.md.
 package consensus
 
 import (
@@ -35,7 +36,8 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// Group is one process's membership in the consensus group.
+// Group is the member of the consensus group that runs in this process. Start creates it, and Close ends it. Its
+// methods are safe for concurrent use.
 type Group struct {
 	options       Options
 	self          voters.ID
@@ -45,32 +47,32 @@
 	raft          *raft.Raft
 	log           *zap.Logger
 	proposalSlots chan struct{}
-	wakeups       chan struct{} // makes the maintenance loop run at once
-	appliedSignal chan struct{} // Options.Applied is to be called
-	done          chan struct{} // closed when the group ends
+	wakeups       chan struct{} // a value makes the maintenance loop run at once
+	appliedSignal chan struct{} // a value makes reportApplied call Options.Applied
+	done          chan struct{} // closed by halt
 	goroutines    sync.WaitGroup
 	closeOnce     sync.Once
 
-	leadingTerm  atomic.Uint64 // the latest term in which this server led and had applied all earlier entries
-	removedIndex atomic.Uint64 // a peer answered that the configuration at this index lacks this server; 0 for none
+	leadingTerm  atomic.Uint64 // latest term in which this server led and had applied all earlier entries
+	removedIndex atomic.Uint64 // index of a configuration that lacks this server, as reported by a peer; 0 for none
 
-	mu            sync.RWMutex // stands as consensus.mu in the lock order of package cluster
+	mu            sync.RWMutex // consensus.mu in the lock order of package cluster; guards the fields below
 	machine       *machine.Machine
-	clockBase     time.Duration // value of the group's clock ...
-	clockBaseTime time.Time     // ... at this local time
-	logBytes      int           // bytes of commands since the last snapshot
+	clockBase     time.Duration // value of the group's clock at clockBaseTime
+	clockBaseTime time.Time     // local time
+	logBytes      int           // total length of the commands since the last snapshot
 	view          *view.View
-	configuration serverSet // the latest one known here
+	configuration serverSet // the latest raft configuration known here
 }
 
-// serverSet is the servers of a configuration, and the index of its log entry.
+// serverSet holds the servers of a raft configuration and the index of its log entry.
 type serverSet struct {
 	index   uint64
 	members map[raft.ServerID]bool
 }
 
-// Start opens the records, listens and takes part. A server without records waits for a leader to call it, unless it
-// bootstraps the group (see Options.Founders).
+// Start opens the raft log and snapshots in Options.Folder, listens on Options.Listen, and joins the group. A server
+// without records waits until a leader calls it, unless it bootstraps the group (see Options.InitialVoters).
 func Start(o Options) (*Group, error) {
 	if err := o.complete(); err != nil {
 		return nil, err
@@ -108,7 +110,7 @@
 	return g, nil
 }
 
-// raftConfig returns the library's configuration.
+// raftConfig returns the settings of the raft library.
 func (g *Group) raftConfig(logger *raftLogWriter) *raft.Config {
 	config := raft.DefaultConfig()
 	config.LocalID = raftID(g.self)
@@ -119,24 +121,25 @@
 	config.SnapshotInterval = snapshotCheckInterval
 	config.SnapshotThreshold = snapshotThreshold
 	config.TrailingLogs = g.options.trailingLogs
-	config.ShutdownOnRemove = false // a removed server may be added again
+	config.ShutdownOnRemove = false // so that a removed server can be added again
 	config.NoLegacyTelemetry = true
 	config.Logger = logger.logger()
 	return config
 }
 
-// raftID is a server's ID in the library: "name@folder".
+// raftID returns the ID of a server in the raft library, "name@folder".
 func raftID(id voters.ID) raft.ServerID { return raft.ServerID(string(id.Name) + "@" + id.Folder) }
 
-// voterID is the inverse of raftID.
+// voterID returns the name and folder of which raftID made the ID.
 func voterID(id raft.ServerID) voters.ID {
 	name, folder, _ := strings.Cut(string(id), "@")
 	return voters.ID{Name: view.Name(name), Folder: folder}
 }
 
+// nameOf returns the process name in a server's ID.
 func nameOf(id raft.ServerID) view.Name { return voterID(id).Name }
 
-// SetView sets the view of members, from which the group is bootstrapped and its voters are chosen.
+// SetView sets the membership view that Group uses to bootstrap the group and to choose its voters.
 func (g *Group) SetView(v *view.View) {
 	g.mu.Lock()
 	g.view = v
@@ -144,7 +147,7 @@
 	g.wake()
 }
 
-// wake makes the maintenance loop run at once.
+// wake makes the maintenance loop run at once. It never blocks.
 func (g *Group) wake() {
 	select {
 	case g.wakeups <- struct{}{}:
@@ -152,12 +155,13 @@
 	}
 }
 
-// Close transfers leadership where that succeeds within a second, and ends all within about four seconds.
+// Close transfers leadership to another voter if this server leads, waiting up to a second for that, and then stops the
+// group. It returns within about four seconds, with an error if the group did not stop in time.
 func (g *Group) Close() error {
 	if g.raft.State() == raft.Leader {
 		transfer := g.raft.LeadershipTransfer()
 		transferred := make(chan struct{})
-		go func() { // ends when the library does (halt), at the latest
+		go func() { // ends at the latest when halt shuts the library down
 			_ = transfer.Error()
 			close(transferred)
 		}()
@@ -166,13 +170,13 @@
 	return g.halt()
 }
 
-// halt ends everything without a transfer of leadership.
+// halt stops the group without a transfer of leadership. Only the first call has an effect.
 func (g *Group) halt() error {
 	var err error
 	g.closeOnce.Do(func() {
 		close(g.done)
 		shutdown := g.raft.Shutdown()
-		err = g.transport.Close() // ends the calls for which the library waits
+		err = g.transport.Close() // aborts the calls that the library waits for
 		ended := make(chan error, 1)
 		go func() {
 			_ = shutdown.Error()
@@ -186,13 +190,13 @@
 		case closed := <-ended:
 			err = errors.Join(err, closed)
 		case <-timer.C:
-			err = errors.Join(err, errors.New("council: did not end in time"))
+			err = errors.Join(err, errors.New("consensus: the raft group did not stop in time"))
 		}
 	})
 	return err
 }
 
-// closedWithin waits until done is closed, for d at most, and returns whether it was.
+// closedWithin waits up to d for done to be closed and reports whether it was.
 func closedWithin(done <-chan struct{}, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/cluster/consensus/fleet_test.go
+++ b/internal/cluster/consensus/fleet_test.go
@@ -1,6 +1,6 @@
 package consensus
 
-// This file is the fleet of the tests: several groups in one process, and a part that records what is applied.
+// This file holds the test environment: a fleet of several groups in one process, and a part that records commands.
 
 import (
 	"context"
@@ -20,68 +20,72 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// testTimeout bounds every wait of these tests; none takes nearly as long.
+// testTimeout is the maximum duration of each wait in these tests. A passing test waits much shorter.
 const testTimeout = 20 * time.Second
 
-// recorder is a part that records words, with the index of each.
+// recorder is a part that records the words in its commands. It accepts only commands of kind "write".
 type recorder struct {
 	Lines []line `json:"lines"`
 
-	onApply func(line) // hears of each line as it is applied
+	onApply func(line) // called with each line when it is applied; may be nil
 }
 
+// line is one applied command.
 type line struct {
 	Index uint64
 	At    time.Duration
 	Word  string
 }
 
-func (b *recorder) Apply(index uint64, at time.Duration, kind string, body json.RawMessage) (json.RawMessage, error) {
+func (r *recorder) Apply(index uint64, at time.Duration, kind string, body json.RawMessage) (json.RawMessage, error) {
 	var word string
 	if err := json.Unmarshal(body, &word); err != nil || kind != "write" {
-		return nil, fmt.Errorf("%s %s: not written", kind, body)
+		return nil, fmt.Errorf("command %q with body %s: not a word to write", kind, body)
 	}
-	b.Lines = append(b.Lines, line{index, at, word})
-	if b.onApply != nil {
-		b.onApply(b.Lines[len(b.Lines)-1])
+	r.Lines = append(r.Lines, line{index, at, word})
+	if r.onApply != nil {
+		r.onApply(r.Lines[len(r.Lines)-1])
 	}
-	return json.Marshal(len(b.Lines))
+	return json.Marshal(len(r.Lines))
 }
 
-func (b *recorder) Snapshot() (json.RawMessage, error) { return json.Marshal(b) }
+func (r *recorder) Snapshot() (json.RawMessage, error) { return json.Marshal(r) }
 
-func (b *recorder) Restore(state json.RawMessage) error {
-	b.Lines = nil
-	return json.Unmarshal(state, b)
+func (r *recorder) Restore(state json.RawMessage) error {
+	r.Lines = nil
+	return json.Unmarshal(state, r)
 }
 
-// fleet is several groups in this process, with links that can be cut.
+// fleet runs several groups in this process, with links that can be cut.
 type fleet struct {
 	t         *testing.T
 	mu        sync.Mutex
-	cut       map[[2]view.Name]bool // from, to
+	cut       map[[2]view.Name]bool // the links, from one process to another, that are cut
 	addresses map[view.Name]string
 	processes map[view.Name]*process
-	folders   int
-	viewNo    uint64
+	folders   int    // number of folder names made
+	viewNo    uint64 // number of the latest view
 
-	onApply func(line)
-	logMost int
+	onApply     func(line) // see recorder
+	maxLogBytes int        // see Options
 }
 
 // testTiming is about twice as fast as the default timing.
 var testTiming = Timing{HeartbeatTimeout: 400 * time.Millisecond, VoterCheckInterval: 50 * time.Millisecond, ReplaceDeadAfter: time.Second,
 	BootstrapAfter: 100 * time.Millisecond}
 
+// process is one process of a fleet with its group.
 type process struct {
 	*Group
 	recorder *recorder
 	member   view.Member
-	folder   string
+	folder   string // path that outlives restarts
 }
 
+// founders are the initial voters of each fleet.
 var founders = []view.Name{"a", "b", "c", "d", "e"}
 
+// newFleet starts the named processes and checks at the end of the test that no goroutine is left.
 func newFleet(t *testing.T, names ...view.Name) *fleet {
 	goleak.VerifyNone(t)
 	f := &fleet{t: t, cut: map[[2]view.Name]bool{}, addresses: map[view.Name]string{}, processes: map[view.Name]*process{}}
@@ -100,8 +104,10 @@
 	return f
 }
 
+// newFolderName returns the random name of a new folder, as in view.Member.Folder.
 func (f *fleet) newFolderName() string { f.folders++; return "f" + strconv.Itoa(f.folders) }
 
+// names returns the sorted names of the running processes.
 func (f *fleet) names() []view.Name {
 	var names []view.Name
 	for name := range f.processes {
@@ -111,20 +117,21 @@
 	return names
 }
 
-func (f *fleet) start(name view.Name, zone view.Zone, folder, drawn string) {
+// start starts a process on a path, with the random name of its folder.
+func (f *fleet) start(name view.Name, zone view.Zone, folder, folderName string) {
 	f.t.Helper()
 	p := &process{recorder: &recorder{onApply: f.onApply}, folder: folder}
 	p.member = view.Member{Life: view.Life{Name: name}, Zone: zone, Region: view.Region("r" + zone), Size: view.Large,
-		Raft: "here", Folder: drawn}
+		Raft: "here", Folder: folderName}
 	var err error
-	p.Group, err = Start(Options{Self: p.member, Cluster: "test", Folder: filepath.Join(folder, drawn),
-		Listen: "127.0.0.1:0", InitialVoters: founders, Parts: map[string]machine.Part{"book": p.recorder},
+	p.Group, err = Start(Options{Self: p.member, Cluster: "test", Folder: filepath.Join(folder, folderName),
+		Listen: "127.0.0.1:0", InitialVoters: founders, Parts: map[string]machine.Part{"recorder": p.recorder},
 		AddressOf: func(to view.Name) (string, bool) {
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			return f.addresses[to], f.addresses[to] != "" && !f.cut[[2]view.Name{name, to}]
 		},
-		Timing: testTiming, maxLogBytes: f.logMost, trailingLogs: 4})
+		Timing: testTiming, maxLogBytes: f.maxLogBytes, trailingLogs: 4})
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -133,7 +140,7 @@
 	f.addresses[name], f.processes[name] = p.Addr(), p
 }
 
-// publishView gives all running processes a view of those that run.
+// publishView gives all running processes a view with the running processes.
 func (f *fleet) publishView() {
 	var members []view.Member
 	f.viewNo++
@@ -146,7 +153,7 @@
 	}
 }
 
-// kill ends a process without a transfer of leadership, as a crash does, except that it unlocks its files.
+// kill ends a process without a transfer of leadership, as a crash does, except that the files are unlocked.
 func (f *fleet) kill(name view.Name) *process {
 	f.t.Helper()
 	p := f.processes[name]
@@ -160,21 +167,22 @@
 	return p
 }
 
-func (f *fleet) waitFor(what string, holds func() bool) {
+// waitFor polls until a condition is true, for testTimeout at most.
+func (f *fleet) waitFor(what string, condition func() bool) {
 	f.t.Helper()
-	for begun := time.Now(); !holds(); time.Sleep(5 * time.Millisecond) {
+	for begun := time.Now(); !condition(); time.Sleep(5 * time.Millisecond) {
 		if time.Since(begun) > testTimeout {
-			f.t.Fatalf("not in %v: %s", testTimeout, what)
+			f.t.Fatalf("not within %v: %s", testTimeout, what)
 		}
 	}
 }
 
-// leader waits until one of the named processes leads.
-func (f *fleet) leader(of ...view.Name) *process {
+// leader waits until one of the named processes leads, and returns it.
+func (f *fleet) leader(names ...view.Name) *process {
 	f.t.Helper()
 	var found *process
 	f.waitFor("a leader", func() bool {
-		for _, name := range of {
+		for _, name := range names {
 			if p := f.processes[name]; p != nil && p.Leading() {
 				found = p
 			}
@@ -184,39 +192,41 @@
 	return found
 }
 
-// mustPropose proposes a word, numbered by attempt, until it is committed, and returns the word with its number.
-func (f *fleet) mustPropose(word string, of ...view.Name) (decided string) {
+// mustPropose proposes a word to the leader among the named processes until it is committed. It appends the number of
+// the attempt to the word, and returns the committed text.
+func (f *fleet) mustPropose(word string, names ...view.Name) (committed string) {
 	f.t.Helper()
 	n := 0
 	f.waitFor(word, func() bool {
 		n++
-		decided = fmt.Sprint(word, n)
+		committed = fmt.Sprint(word, n)
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 		defer cancel()
-		_, err := f.leader(of...).Propose(ctx, "book", "write", decided)
+		_, err := f.leader(names...).Propose(ctx, "recorder", "write", committed)
 		return err == nil
 	})
-	return decided
+	return committed
 }
 
+// lines returns a copy of the lines that the process has recorded.
 func (p *process) lines() (lines []line) {
 	p.Read(func(uint64) { lines = slices.Clone(p.recorder.Lines) })
 	return lines
 }
 
-// waitUntilEqual waits until all named processes have the same lines with all of these words, and checks that no word
-// is there twice.
-func (f *fleet) waitUntilEqual(words []string, of ...view.Name) {
+// waitUntilEqual waits until all named processes have the same lines and these include all words. It checks that no
+// word is recorded twice and that index and clock never go back.
+func (f *fleet) waitUntilEqual(words []string, names ...view.Name) {
 	f.t.Helper()
 	var first []line
-	f.waitFor("all alike", func() bool {
-		first = f.processes[of[0]].lines()
+	f.waitFor("all processes have the same lines", func() bool {
+		first = f.processes[names[0]].lines()
 		for _, word := range words {
 			if !slices.ContainsFunc(first, func(l line) bool { return l.Word == word }) {
 				return false
 			}
 		}
-		return !slices.ContainsFunc(of, func(n view.Name) bool { return !cmp.Equal(first, f.processes[n].lines()) })
+		return !slices.ContainsFunc(names, func(n view.Name) bool { return !cmp.Equal(first, f.processes[n].lines()) })
 	})
 	seen := map[string]bool{}
 	for i, l := range first {
@@ -227,11 +237,12 @@
 	}
 }
 
+// others returns the sorted names of all running processes except one.
 func (f *fleet) others(p *process) []view.Name {
 	return slices.DeleteFunc(f.names(), func(n view.Name) bool { return n == p.member.Name })
 }
 
-// setPartition cuts all links between two sets of processes, or restores them, and closes open connections.
+// setPartition cuts or restores all links between two sets of processes, and closes all open connections.
 func (f *fleet) setPartition(one, other []view.Name, cut bool) {
 	f.mu.Lock()
 	for _, a := range one {
--- a/internal/cluster/consensus/fsm.go
+++ b/internal/cluster/consensus/fsm.go
@@ -8,16 +8,16 @@
 	"github.com/hashicorp/raft"
 )
 
-// fsm is the Group's side of the library's interfaces raft.FSM and raft.ConfigurationStore.
+// fsm implements the interfaces raft.FSM and raft.ConfigurationStore of the raft library for a Group.
 type fsm Group
 
-// applyResult is what the machine answered to a command.
+// applyResult is the machine's answer to a command.
 type applyResult struct {
 	answer json.RawMessage
 	err    error
 }
 
-// Apply applies one committed command.
+// Apply applies one committed command and returns its applyResult.
 func (f *fsm) Apply(entry *raft.Log) any {
 	g := (*Group)(f)
 	g.mu.Lock()
@@ -33,7 +33,8 @@
 	return applyResult{answer, err}
 }
 
-// advanceClock sets the clock forward to the machine's where it is behind; between commands it runs by local time.
+// advanceClock sets the group's clock to the machine's clock if it is behind that. Between commands the group's clock
+// advances with local time. Group.mu is held.
 func (g *Group) advanceClock() {
 	now := time.Now()
 	if at := g.machine.Clock(); at > g.clockBase+now.Sub(g.clockBaseTime) {
@@ -41,7 +42,7 @@
 	}
 }
 
-// signalApplied wakes reportApplied.
+// signalApplied wakes reportApplied. It never blocks.
 func (g *Group) signalApplied() {
 	select {
 	case g.appliedSignal <- struct{}{}:
@@ -49,12 +50,12 @@
 	}
 }
 
-// StoreConfiguration is called by the library with each committed configuration.
+// StoreConfiguration records a committed configuration. The raft library calls it for each one.
 func (f *fsm) StoreConfiguration(index uint64, configuration raft.Configuration) {
 	(*Group)(f).setConfiguration(index, configuration)
 }
 
-// setConfiguration records the servers of a configuration, unless a newer one is known.
+// setConfiguration records the servers of the configuration at index, unless a newer configuration is known.
 func (g *Group) setConfiguration(index uint64, configuration raft.Configuration) {
 	members := map[raft.ServerID]bool{}
 	for _, s := range configuration.Servers {
@@ -67,7 +68,7 @@
 	}
 }
 
-// Snapshot encodes the state of all parts. The library applies nothing meanwhile.
+// Snapshot encodes the state of all parts. The raft library applies no command during the call.
 func (f *fsm) Snapshot() (raft.FSMSnapshot, error) {
 	g := (*Group)(f)
 	g.mu.Lock()
@@ -80,7 +81,8 @@
 	return encodedSnapshot(state), nil
 }
 
-// Restore replaces the state by a snapshot's, whose size the parts bound.
+// Restore replaces the state of all parts by that of a snapshot. It reads the snapshot into memory; the parts bound its
+// size.
 func (f *fsm) Restore(from io.ReadCloser) error {
 	g := (*Group)(f)
 	data, err := io.ReadAll(from)
@@ -92,7 +94,7 @@
 	defer g.signalApplied()
 	defer g.mu.Unlock()
 	if err := g.machine.Restore(data); err != nil {
-		g.log.Error("consensus: snapshot not restored", zapError(err))
+		g.log.Error("consensus: snapshot could not be restored", zapError(err))
 		return err
 	}
 	g.logBytes = 0
@@ -100,10 +102,10 @@
 	return nil
 }
 
-// encodedSnapshot is a snapshot that the library writes to disk.
+// encodedSnapshot is an encoded snapshot, which the raft library writes to disk.
 type encodedSnapshot []byte
 
-// Persist writes the snapshot.
+// Persist writes the snapshot to the sink.
 func (s encodedSnapshot) Persist(to raft.SnapshotSink) error {
 	if _, err := to.Write(s); err != nil {
 		_ = to.Cancel()
@@ -112,5 +114,5 @@
 	return to.Close()
 }
 
-// Release has nothing to release.
+// Release does nothing: an encodedSnapshot holds no resources.
 func (encodedSnapshot) Release() {}
--- a/internal/cluster/consensus/history_test.go
+++ b/internal/cluster/consensus/history_test.go
@@ -15,25 +15,27 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// recorderModel is a recorder as its writers see it: each write returns the next line number. An answer of 0 stands for
-// an UncertainError: the write may have happened at any later time, or never, which as the last of all is the same.
+// recorderModel is the sequential model of a recorder: each write returns the next line number. The output 0 stands for
+// an UncertainError. Such a write may have happened at any later time or never; the model treats a write that never
+// happened as the last of all.
 var recorderModel = porcupine.Model{
 	Init: func() any { return 0 },
 	Step: func(state, _, output any) (bool, any) {
-		at := state.(int) + 1
-		return output.(int) == at || output.(int) == 0, at
+		next := state.(int) + 1
+		return output.(int) == next || output.(int) == 0, next
 	},
 }
 
-// history is what writers were answered and what all processes applied.
+// history records the answers to all writers and the commands that all processes applied.
 type history struct {
 	mu         sync.Mutex
-	byIndex    map[uint64]line // by index
-	forks      []string
-	operations []porcupine.Operation
-	confirmed  []string
+	byIndex    map[uint64]line       // the command applied at each log index
+	forks      []string              // indexes at which processes applied different commands
+	operations []porcupine.Operation // answered and uncertain writes
+	confirmed  []string              // words whose write was answered
 }
 
+// applied records a command that a process applied.
 func (h *history) applied(l line) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -43,8 +45,9 @@
 	h.byIndex[l.Index] = l
 }
 
-// Writers go on while leaders are partitioned and killed: the answers are linearizable, all processes apply the same at
-// each index, before and after restarts, each confirmed write is there, and none is there twice.
+// TestHistory lets writers go on while leaders are partitioned and killed. It checks that the answers are linearizable,
+// that all processes apply the same command at each index, before and after restarts, and that each confirmed write is
+// recorded exactly once.
 func TestHistory(t *testing.T) {
 	f := newFleet(t)
 	h := &history{byIndex: map[uint64]line{}}
@@ -81,7 +84,7 @@
 	stop()
 	writers.Wait()
 
-	f.waitFor("all alike", func() bool {
+	f.waitFor("all processes have the same number of lines", func() bool {
 		last := len(f.leader(founders...).lines())
 		for _, p := range f.processes {
 			if len(p.lines()) != last {
@@ -91,30 +94,30 @@
 		return true
 	})
 	if len(h.forks) > 0 || len(h.confirmed) < 20 {
-		t.Errorf("%d answered; forks: %v", len(h.confirmed), h.forks)
+		t.Errorf("%d writes confirmed; forks: %v", len(h.confirmed), h.forks)
 	}
 	count := map[string]int{}
 	for _, l := range f.leader(founders...).lines() {
 		if count[l.Word]++; count[l.Word] > 1 {
-			t.Errorf("%s is there %d times", l.Word, count[l.Word])
+			t.Errorf("%s is recorded %d times", l.Word, count[l.Word])
 		}
 	}
 	for _, word := range h.confirmed {
 		if count[word] == 0 {
-			t.Errorf("%s was answered and is not there", word)
+			t.Errorf("the write of %s was confirmed, but is not recorded", word)
 		}
 	}
 	if verdict := porcupine.CheckOperationsTimeout(recorderModel, h.operations, testTimeout); verdict != porcupine.Ok {
-		t.Errorf("no one order fits what was answered: %v", verdict)
+		t.Errorf("the answers are not linearizable: %v", verdict)
 	}
 }
 
-// write proposes a word once, to any process that leads.
+// write proposes a word once, to a process that leads, if there is one.
 func (h *history) write(f *fleet, begun time.Time, client int, word string) {
 	var leading *process
 	f.mu.Lock()
 	for _, p := range f.processes {
-		if p.Leading() && (leading == nil || client%2 == 0) { // half of them ask the one, half the other of two
+		if p.Leading() && (leading == nil || client%2 == 0) { // if two processes believe that they lead, half of the writers use each
 			leading = p
 		}
 	}
@@ -125,7 +128,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 	defer cancel()
 	op := porcupine.Operation{ClientId: client, Input: word, Call: int64(time.Since(begun)), Output: 0}
-	answer, err := leading.Propose(ctx, "book", "write", word)
+	answer, err := leading.Propose(ctx, "recorder", "write", word)
 	op.Return = int64(time.Since(begun))
 	var uncertain *UncertainError
 	h.mu.Lock()
@@ -136,9 +139,9 @@
 	case err != nil:
 		return
 	default:
-		var at int
-		_ = json.Unmarshal(answer, &at)
-		op.Output, h.confirmed = at, append(h.confirmed, word)
+		var lineNo int
+		_ = json.Unmarshal(answer, &lineNo)
+		op.Output, h.confirmed = lineNo, append(h.confirmed, word)
 	}
 	h.operations = append(h.operations, op)
 }
