--- a/internal/cluster/consensus/machine/machine.go
+++ b/internal/cluster/consensus/machine/machine.go
@@ -1,13 +1,14 @@
-// Package machine is the replicated state machine of the consensus group: it passes each committed command to the part
-// that the command names.
+// Package machine implements the replicated state machine of the consensus group. The state consists of named parts,
+// and each committed command is applied by the part that it names.
 //
-// It is pure: the same commands at the same indexes give the same state and the same answers on every process. It owns
-// the group's clock and the encoding of commands and snapshots; what a command means is up to its part. It must never
-// read a clock, depend on a map's order, or end the process over a command: one that cannot be read, or that is for an
-// unknown part, is answered with a RejectedError and changes nothing.
+// The machine is deterministic: the same commands at the same indexes give the same state and the same answers on every
+// process. It owns the group's clock and the encoding of commands and snapshots; each part defines the meaning of its
+// commands. The machine never reads a local clock, never depends on the iteration order of a map, and never ends the
+// process because of a command: a malformed command, or one for an unknown part, gets a RejectedError and does not
+// change any part.
 //
-// All processes must have the same parts. A process that lacked one would reject commands that the others apply; a
-// snapshot with an unknown part is therefore an error (see Restore), and not skipped.
+// All processes must have the same parts, because a process without a part would reject commands that the others apply.
+// Restore therefore returns an error for a snapshot with an unknown part.
 package machine
 
 import (
@@ -20,75 +21,77 @@
 	"time"
 )
 
-// MaxBodyBytes bounds a command's body: a plan for some thousand destinations fits, and the log stays small (package
-// consensus says how small). Longer commands are rejected before they are proposed, and in Apply.
+// MaxBodyBytes is the maximum length of a command's body. A routing plan for some thousand destinations fits, and the
+// log stays small (see the size limits in package consensus). Encode and Apply reject longer commands.
 const MaxBodyBytes = 256 << 10
 
-// Part is one of the replicated states. Implementations are pure and deterministic, and bound their own size. One that
-// rejects a command returns an error and has changed nothing.
+// Part is one part of the replicated state. Implementations must be deterministic, must have no side effects, and must
+// limit their own size. They need no locks: the Machine's caller serialises all calls.
 type Part interface {
-	// Apply applies one command and returns the answer to it. at is the group's clock, which never goes back; index
-	// grows with each command, with gaps.
+	// Apply applies one command and returns its answer. An error means that the command was rejected and has changed
+	// nothing. at is the group's clock, which never goes back. index is the log index, which increases with each
+	// command, with gaps.
 	Apply(index uint64, at time.Duration, kind string, body json.RawMessage) (json.RawMessage, error)
-	// Snapshot encodes the complete state; the same state gives the same bytes.
+	// Snapshot encodes the complete state. Equal states have equal encodings.
 	Snapshot() (json.RawMessage, error)
-	// Restore replaces the state by that of a snapshot; "null" stands for the state of a new part. After an error the
-	// state is unchanged.
+	// Restore replaces the state by that of a snapshot, where "null" stands for the state of a new part. After an error
+	// the state is unchanged.
 	Restore(json.RawMessage) error
 }
 
-// Command is one proposal, as it is encoded in the log.
+// Command is a proposal in the form that is encoded in the log.
 type Command struct {
 	Part string          `json:"part"`
 	Kind string          `json:"kind"`
-	At   time.Duration   `json:"at"` // the group's clock on the leader
+	At   time.Duration   `json:"at"` // the group's clock on the leader at the proposal
 	Body json.RawMessage `json:"body,omitempty"`
 }
 
-// RejectedError is the answer to a command that its part, or the machine, rejects. The command was committed and
-// changed nothing: proposed again, it is rejected again unless something else changes.
+// RejectedError is the answer to a command that its part or the machine rejected. The command has changed nothing. If
+// it is proposed again it is rejected again, unless the state has changed in between.
 type RejectedError struct {
 	Part, Kind string
 	Cause      error
 }
 
-// Error names the part, the kind of command and the cause.
+// Error returns a text with the part, the kind of command and the cause.
 func (r *RejectedError) Error() string {
-	return fmt.Sprintf("%s refuses %s: %v", r.Part, r.Kind, r.Cause)
+	return fmt.Sprintf("part %q rejected command %q: %v", r.Part, r.Kind, r.Cause)
 }
 
 // Unwrap returns the cause.
 func (r *RejectedError) Unwrap() error { return r.Cause }
 
-// Causes for which the machine itself rejects a command.
+// Causes of a RejectedError that come from the machine itself.
 var (
-	ErrMalformed   = errors.New("the command cannot be read")
-	ErrUnknownPart = errors.New("no such part")
-	ErrTooLong     = fmt.Errorf("over %d bytes", MaxBodyBytes)
-	ErrPanicked    = errors.New("the part failed at it")
+	ErrMalformed   = errors.New("malformed command")
+	ErrUnknownPart = errors.New("this program has no such part")
+	ErrTooLong     = fmt.Errorf("the body of the command is longer than %d bytes", MaxBodyBytes)
+	ErrPanicked    = errors.New("the part panicked while it applied the command")
 )
 
-// Machine is the state of all parts. It is not safe for concurrent use.
+// Machine holds the state of all parts and the group's clock. It is not safe for concurrent use.
 type Machine struct {
 	parts map[string]Part
-	names []string // sorted; all parts are visited in this order
-	clock time.Duration
-	index uint64
+	names []string      // of all parts, sorted; snapshots have this order
+	clock time.Duration // the group's clock, see Clock
+	index uint64        // log index of the latest command
 }
 
-// New returns a machine of these parts, which nobody else may change from then on.
+// New returns a machine with these parts. From then on only the machine may change them.
 func New(parts map[string]Part) *Machine {
 	return &Machine{parts: maps.Clone(parts), names: slices.Sorted(maps.Keys(parts))}
 }
 
-// Clock is the group's clock as of the latest command: the time since the bootstrap during which there was a leader.
-// Time while no process ran is not counted.
+// Clock returns the group's clock at the latest command: the time since the bootstrap during which the group had a
+// leader. Time during which no process ran is not counted.
 func (m *Machine) Clock() time.Duration { return m.clock }
 
-// Index is the log index of the latest command.
+// Index returns the log index of the latest command, or 0 if there is none.
 func (m *Machine) Index() uint64 { return m.index }
 
-// Encode returns a command's encoding in the log.
+// Encode returns the encoding of a command in the log. It returns a *RejectedError with ErrTooLong for a body longer
+// than MaxBodyBytes.
 func Encode(c Command) ([]byte, error) {
 	if len(c.Body) > MaxBodyBytes {
 		return nil, &RejectedError{c.Part, c.Kind, ErrTooLong}
@@ -96,7 +99,7 @@
 	return json.Marshal(c)
 }
 
-// Apply applies the command at an index and returns its part's answer. The error is always a *RejectedError.
+// Apply applies the command at a log index and returns the answer of its part. Any error is a *RejectedError.
 func (m *Machine) Apply(index uint64, command []byte) (json.RawMessage, error) {
 	m.index = index
 	var c Command
@@ -120,9 +123,9 @@
 	return answer, nil
 }
 
-// applyRecovered has a part apply a command and recovers from its panic: otherwise every process would panic at the same
-// command after each restart, and none would ever come up. What the part had changed before the panic stays, the same on
-// all processes; parts validate before they change anything.
+// applyRecovered applies a command to a part and turns a panic of the part into ErrPanicked. Without that, every
+// process would panic at the same command after each restart, and none could ever start. Changes that the part made
+// before the panic stay; they are the same on all processes, and parts validate a command before they change anything.
 func (m *Machine) applyRecovered(part Part, index uint64, c Command) (answer json.RawMessage, err error) {
 	defer func() {
 		if recover() != nil {
@@ -132,11 +135,11 @@
 	return part.Apply(index, m.clock, c.Kind, c.Body)
 }
 
-// snapshot is the encoding of a Machine's state.
+// snapshot is the encoded form of a Machine's state.
 type snapshot struct {
 	At    time.Duration  `json:"at"`
 	Index uint64         `json:"index"`
-	Parts []partSnapshot `json:"parts"` // by name
+	Parts []partSnapshot `json:"parts"` // sorted by name
 }
 
 // partSnapshot is the state of one part in a snapshot.
@@ -145,8 +148,9 @@
 	State json.RawMessage `json:"state"`
 }
 
-// Snapshot encodes the state of all parts; the same state gives the same bytes. A part whose state is that of a new one
-// ("null") is omitted, so that an older program that lacks the part can read the snapshot until the part is used.
+// Snapshot encodes the state of all parts. Equal states have equal encodings. A part that was never used (its own
+// snapshot is "null") is omitted, so that an older program without that part can read the snapshot until the part is
+// used.
 func (m *Machine) Snapshot() ([]byte, error) {
 	all := snapshot{At: m.clock, Index: m.index}
 	for _, name := range m.names {
@@ -162,8 +166,9 @@
 	return json.Marshal(all)
 }
 
-// Restore replaces the state of all parts, or after an error of none. A part that the snapshot lacks is reset; a part
-// that only the snapshot has is an error.
+// Restore replaces the state of all parts by that of a snapshot. After an error no part has changed. A part that is not
+// in the snapshot is reset to the state of a new part. A snapshot with a part that the machine does not have is an
+// error.
 func (m *Machine) Restore(data []byte) error {
 	var all snapshot
 	if err := json.Unmarshal(data, &all); err != nil {
@@ -183,7 +188,7 @@
 	return nil
 }
 
-// restoreParts restores each part to its state. If one fails, those before it get back the state that they had.
+// restoreParts restores each part from its snapshot. If one part fails, the parts before it get back their old state.
 func (m *Machine) restoreParts(states map[string]json.RawMessage) error {
 	before := make([]json.RawMessage, len(m.names))
 	for i, name := range m.names {
--- a/internal/cluster/consensus/machine/machine_test.go
+++ b/internal/cluster/consensus/machine/machine_test.go
@@ -12,37 +12,39 @@
 	"pgregory.net/rapid"
 )
 
-// sum adds numbers up; it refuses those below zero, and panics at 13.
+// adder is a part that adds numbers. It rejects negative numbers and panics at 13.
 type adder struct {
 	Total int           `json:"total"`
 	Last  time.Duration `json:"last"`
 }
 
-func (s *adder) Apply(_ uint64, at time.Duration, kind string, body json.RawMessage) (json.RawMessage, error) {
+func (a *adder) Apply(_ uint64, at time.Duration, kind string, body json.RawMessage) (json.RawMessage, error) {
 	n, err := strconv.Atoi(string(body))
 	switch {
 	case err != nil || kind != "add" || n < 0:
-		return nil, errors.New("no number")
+		return nil, errors.New("the body is not a number of at least 0")
 	case n == 13:
 		panic(n)
 	}
-	s.Total, s.Last = s.Total+n, at
-	return json.Marshal(s.Total)
+	a.Total, a.Last = a.Total+n, at
+	return json.Marshal(a.Total)
 }
 
-func (s *adder) Snapshot() (json.RawMessage, error) { return json.Marshal(s) }
+func (a *adder) Snapshot() (json.RawMessage, error) { return json.Marshal(a) }
 
-func (s *adder) Restore(state json.RawMessage) error {
+func (a *adder) Restore(state json.RawMessage) error {
 	var next adder
 	if err := json.Unmarshal(state, &next); err != nil || next.Total < 0 {
-		return fmt.Errorf("state %s", state)
+		return fmt.Errorf("invalid state %s", state)
 	}
-	*s = next
+	*a = next
 	return nil
 }
 
+// newTestMachine returns a machine with two adders.
 func newTestMachine() *Machine { return New(map[string]Part{"b": &adder{}, "a": &adder{}}) }
 
+// snapshotOf returns the snapshot of a machine.
 func snapshotOf(t rapid.TB, m *Machine) string {
 	t.Helper()
 	data, err := m.Snapshot()
@@ -52,8 +54,9 @@
 	return string(data)
 }
 
-// The same commands, good and bad, leave two machines alike, of which one is restored from its snapshot on the way;
-// the clock never goes back, and what is refused changes no part.
+// TestReplicasStayIdentical applies the same valid and invalid commands to two machines, one of which is restored from
+// its snapshot from time to time. It checks that their answers and states are equal, that the clock never goes back,
+// and that a rejected command changes no part.
 func TestReplicasStayIdentical(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		one, other := newTestMachine(), newTestMachine()
@@ -66,22 +69,22 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if rapid.IntRange(0, 9).Draw(t, "spoilt") == 0 {
+			if rapid.IntRange(0, 9).Draw(t, "truncated") == 0 {
 				data, n = data[:len(data)/2], -1
 			}
 			before := one.Clock()
-			first, refused := one.Apply(uint64(i+1), data)
-			second, refusedToo := other.Apply(uint64(i+1), data)
+			first, firstErr := one.Apply(uint64(i+1), data)
+			second, secondErr := other.Apply(uint64(i+1), data)
 			if one.Clock() < before {
 				t.Fatalf("the clock went from %v to %v", before, one.Clock())
 			}
-			if diff := cmp.Diff(fmt.Sprint(string(first), refused), fmt.Sprint(string(second), refusedToo)); diff != "" {
+			if diff := cmp.Diff(fmt.Sprint(string(first), firstErr), fmt.Sprint(string(second), secondErr)); diff != "" {
 				t.Fatal(diff)
 			}
-			var typed *RejectedError
-			if bad := n < 0 || n == 13 || part == "none"; bad != errors.As(refused, &typed) {
-				t.Fatalf("%s add %d: %v", part, n, refused)
-			} else if !bad {
+			var rejected *RejectedError
+			if invalid := n < 0 || n == 13 || part == "none"; invalid != errors.As(firstErr, &rejected) {
+				t.Fatalf("%s add %d: %v", part, n, firstErr)
+			} else if !invalid {
 				total[part] += n
 			}
 			if rapid.IntRange(0, 4).Draw(t, "restored") == 0 {
@@ -97,13 +100,13 @@
 		}
 		for name, want := range total {
 			if got := one.parts[name].(*adder).Total; got != want {
-				t.Fatalf("%s holds %d of %d", name, got, want)
+				t.Fatalf("part %s has the total %d, want %d", name, got, want)
 			}
 		}
 	})
 }
 
-// A snapshot is taken whole or not at all.
+// TestRestoreAllOrNothing checks that Restore changes nothing if any part of the snapshot is invalid.
 func TestRestoreAllOrNothing(t *testing.T) {
 	m := newTestMachine()
 	if _, err := m.Apply(4, []byte(`{"part":"a","kind":"add","at":7,"body":5}`)); err != nil {
@@ -111,31 +114,32 @@
 	}
 	before := snapshotOf(t, m)
 	for name, bad := range map[string]string{
-		"cut":          before[:9],
-		"another part": `{"parts":[{"name":"a","state":null},{"name":"c","state":null}]}`,
-		"second bad":   `{"at":9,"index":9,"parts":[{"name":"a","state":{"total":1}},{"name":"b","state":{"total":-1}}]}`,
+		"truncated":    before[:9],
+		"unknown part": `{"parts":[{"name":"a","state":null},{"name":"c","state":null}]}`,
+		"bad second":   `{"at":9,"index":9,"parts":[{"name":"a","state":{"total":1}},{"name":"b","state":{"total":-1}}]}`,
 	} {
 		if err := m.Restore([]byte(bad)); err == nil {
-			t.Errorf("%s: taken", name)
+			t.Errorf("%s: restored without an error", name)
 		}
 		if diff := cmp.Diff(before, snapshotOf(t, m)); diff != "" {
 			t.Errorf("%s: %s", name, diff)
 		}
 	}
 	if err := m.Restore([]byte(`{"at":9,"index":9}`)); err != nil || m.Clock() != 9 || m.parts["a"].(*adder).Total != 0 {
-		t.Errorf("a part that a snapshot lacks begins anew: %v, %v", m.parts["a"], err)
+		t.Errorf("a part that is not in the snapshot was not reset: %v, %v", m.parts["a"], err)
 	}
 	if _, err := Encode(Command{Body: make([]byte, MaxBodyBytes+1)}); !errors.Is(err, ErrTooLong) {
 		t.Error(err)
 	}
 }
 
-// fresh is a part that nothing was decided of.
+// unusedPart is a part that has applied no command: its snapshot is null.
 type unusedPart struct{ adder }
 
 func (*unusedPart) Snapshot() (json.RawMessage, error) { return json.RawMessage("null"), nil }
 
-// A process of a program without a part can read the snapshot of one that has it, as long as the part is not used.
+// TestUnusedPartIsOmittedFromSnapshot checks that a program without a part can restore the snapshot of a program that
+// has it, as long as the part was never used.
 func TestUnusedPartIsOmittedFromSnapshot(t *testing.T) {
 	later := New(map[string]Part{"a": &adder{Total: 3}, "later": &unusedPart{}})
 	earlier := New(map[string]Part{"a": &adder{}})
--- a/internal/cluster/consensus/machine/machinetest/machinetest.go
+++ b/internal/cluster/consensus/machine/machinetest/machinetest.go
@@ -1,8 +1,9 @@
-// Package machinetest holds the parts of the consensus group's state to what an older program decided and stored.
+// Package machinetest tests that a machine.Part still reads, and answers in the same way, what an older program
+// committed and stored.
 //
-// It is for tests alone. It owns the form of the two files below a part's testdata/stored, which commit 485f0e4 wrote
-// and which are never written anew: commands.jsonl, a committed command with its answer a line, and snapshot.json, the
-// state after all of them.
+// The stored data of a part is in two files of its folder testdata/stored. Each line of commands.jsonl is a committed
+// command with the answer to it, and snapshot.json is the state after all these commands. Commit 485f0e4 wrote the
+// files; they must never be written again.
 package machinetest
 
 import (
@@ -30,8 +31,8 @@
 	Answer json.RawMessage `json:"answer"`
 }
 
-// Replay applies the stored commands to a new part and checks each answer and the state at the end, byte for byte: two
-// programs that answered one command differently would hold different states.
+// Replay applies the stored commands to a new part and compares each answer, and the state at the end, with the stored
+// bytes. Two programs that answered a command differently would have different states in one group.
 func Replay(t *testing.T, part machine.Part) {
 	t.Helper()
 	lines := bytes.Split(bytes.TrimSpace(read(t, commandsFile)), []byte("\n"))
@@ -47,14 +48,14 @@
 			t.Fatalf("%s:%d: %v", commandsFile, no+1, err)
 		}
 		if !bytes.Equal(answer, c.Answer) {
-			t.Errorf("%s:%d: answered\n%s, stored is\n%s", commandsFile, no+1, answer, c.Answer)
+			t.Errorf("%s:%d: the answer is\n%s, the stored answer is\n%s", commandsFile, no+1, answer, c.Answer)
 		}
 	}
 	checkState(t, part)
 }
 
-// Restore puts the stored snapshot in place of a new part's state and checks that all of it was read: the part's own
-// snapshot is the same again, byte for byte.
+// Restore restores a new part from the stored snapshot and checks that the part's own snapshot then has the same bytes,
+// so that nothing in the stored snapshot was skipped.
 func Restore(t *testing.T, part machine.Part) {
 	t.Helper()
 	if err := part.Restore(bytes.TrimSpace(read(t, snapshotFile))); err != nil {
@@ -63,6 +64,7 @@
 	checkState(t, part)
 }
 
+// checkState compares the part's snapshot with the stored one.
 func checkState(t *testing.T, part machine.Part) {
 	t.Helper()
 	state, err := part.Snapshot()
@@ -70,10 +72,11 @@
 		t.Fatal(err)
 	}
 	if stored := bytes.TrimSpace(read(t, snapshotFile)); !bytes.Equal(state, stored) {
-		t.Errorf("the state is\n%s, stored is\n%s", state, stored)
+		t.Errorf("the state is\n%s, the stored state is\n%s", state, stored)
 	}
 }
 
+// read returns the content of a stored file.
 func read(t *testing.T, name string) []byte {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", "stored", name))
--- a/internal/cluster/consensus/maintain.go
+++ b/internal/cluster/consensus/maintain.go
@@ -10,18 +10,18 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// maintenance is the state of the maintenance loop, which alone reads and writes it.
+// maintenance is the state of the maintenance loop (Group.maintain). No other goroutine uses it.
 type maintenance struct {
-	foundersSince   time.Time // the view has shown all founders alive and without records since then
+	foundersSince   time.Time // since when the view shows all initial voters alive and without records; zero if it does not
 	leadingSince    time.Time
-	staged          voters.ID // the server added as nonvoter last
+	staged          voters.ID // the server that was last added as nonvoter
 	stagedSince     time.Time
-	skipped         map[voters.ID]time.Time // servers that did not catch up, not to be staged again until then
-	electionsSlowed bool
+	skipped         map[voters.ID]time.Time // servers that did not catch up, with the time at which they may be staged again
+	electionsSlowed bool                    // the election timeout is removedElectionTimeout
 }
 
-// maintain is the loop that assumes leadership, bootstraps the group, changes voters and truncates the log. Each call
-// of the library in it ends when leadership is lost, at the latest.
+// maintain is the maintenance loop: it assumes leadership, bootstraps the group, changes voters and truncates the log.
+// Its calls of the raft library return at the latest when leadership is lost.
 func (g *Group) maintain() {
 	defer g.goroutines.Done()
 	m := &maintenance{skipped: map[voters.ID]time.Time{}}
@@ -57,13 +57,14 @@
 	}
 }
 
-// assumeLeadership waits until all entries of earlier leaders are applied here: only then does Leading hold.
+// assumeLeadership waits until all entries of earlier leaders are applied here, after which Leading returns true. It
+// returns false if that failed; the maintenance loop then retries.
 func (g *Group) assumeLeadership(m *maintenance) bool {
 	term := g.raft.CurrentTerm()
 	configuration := g.raft.GetConfiguration()
 	err := g.raft.Barrier(g.options.HeartbeatTimeout).Error()
 	if err != nil || configuration.Error() != nil || g.raft.CurrentTerm() != term {
-		closedWithin(g.done, leadershipRetryDelay) // leadership may be passing to another server
+		closedWithin(g.done, leadershipRetryDelay) // leadership may be moving to another server
 		g.wake()
 		return false
 	}
@@ -75,8 +76,9 @@
 	return true
 }
 
-// bootstrap writes the first configuration, once: the founder with the lowest name does so after all founders were
-// alive and without records for a while. It can't be done in part, as the others only take what that founder sends.
+// bootstrap writes the first configuration of the group. Only the initial voter with the lowest name does so, after all
+// initial voters were alive and without records for Timing.BootstrapAfter. The other servers get the configuration from
+// that server, so the group is never bootstrapped in part.
 func (g *Group) bootstrap(m *maintenance, v *view.View) {
 	first := g.self.Name == g.options.InitialVoters[0] && !g.HasRecords()
 	configuration := raft.Configuration{}
@@ -101,9 +103,10 @@
 	}
 }
 
-// slowElectionsIfRemoved lengthens the election timeout of a server that was removed, and restores it afterwards. Only a
-// removal newer than the configuration here counts, as the peer that reported it may itself be behind. A removed server
-// still answers, so that it can be added again, and still starts elections now and then, as the report may be wrong.
+// slowElectionsIfRemoved sets the election timeout to removedElectionTimeout while this server is removed from the
+// configuration, and resets it afterwards. A reported removal counts only if it is newer than the configuration here,
+// because the peer that reported it may itself be behind. A removed server still answers calls, so that it can be added
+// again, and still starts elections from time to time, because the report may be wrong.
 func (g *Group) slowElectionsIfRemoved(m *maintenance) {
 	known := g.raft.GetConfiguration()
 	removed := known.Error() == nil && g.removedIndex.Load() > known.Index()
@@ -116,14 +119,14 @@
 		config.HeartbeatTimeout, config.ElectionTimeout = removedElectionTimeout, removedElectionTimeout
 	}
 	if err := g.raft.ReloadConfig(config); err != nil {
-		g.log.Warn("consensus: election timeout not changed", zapError(err))
+		g.log.Warn("consensus: election timeout could not be changed", zapError(err))
 		return
 	}
 	m.electionsSlowed = removed
 	g.log.Info("consensus: election timeout changed", zap.Bool("rarely", removed))
 }
 
-// reportApplied calls Options.Applied after commands were applied.
+// reportApplied is the goroutine that calls Options.Applied after commands were applied.
 func (g *Group) reportApplied() {
 	defer g.goroutines.Done()
 	for {
--- a/internal/cluster/consensus/membership.go
+++ b/internal/cluster/consensus/membership.go
@@ -1,7 +1,7 @@
 package consensus
 
-// This file is changes of the group's voters: what the leader knows of its servers, the change that package voters
-// works out from that, and what a server hears about its own removal.
+// This file changes the voters of the group: it collects what the leader knows of each server, makes the change that
+// package voters computes from that, and records reports that this server was removed.
 
 import (
 	"maps"
@@ -14,10 +14,12 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// unreachableHeartbeats is after how many heartbeat timeouts without an answer a server counts as unreachable.
+// unreachableHeartbeats is the number of heartbeat timeouts without an answer after which a server counts as
+// unreachable.
 const unreachableHeartbeats = 2
 
-// adjustVoters makes the change of voters that is due, if there is one.
+// adjustVoters makes the next change of voters, if one is due. It does nothing until this server has led long enough to
+// know which servers are reachable.
 func (g *Group) adjustVoters(m *maintenance, v *view.View) {
 	rule := voters.Rule{
 		MaxVoters:        maxVoters,
@@ -26,7 +28,7 @@
 	}
 	now := time.Now()
 	if now.Sub(m.leadingSince) < rule.UnreachableAfter {
-		return // which servers are reachable is not known yet
+		return
 	}
 	maps.DeleteFunc(m.skipped, func(_ voters.ID, until time.Time) bool { return now.After(until) })
 	future := g.raft.GetConfiguration()
@@ -54,8 +56,8 @@
 	}
 }
 
-// serverState is what the leader knows of one server of the configuration. Silence counts from when this server became
-// leader, or staged the other, at the earliest.
+// serverState returns what the leader knows of one server of the configuration. The time without an answer (SilentFor)
+// starts when this server became leader or staged the other server, if that is later than the last answer.
 func (g *Group) serverState(m *maintenance, server raft.Server, commitIndex uint64, now time.Time) voters.Server {
 	known := voters.Server{ID: voterID(server.ID), Voter: server.Suffrage == raft.Voter, CaughtUp: true}
 	if known.ID == g.self {
@@ -73,8 +75,8 @@
 	return known
 }
 
-// applyChange has one change committed, on condition that the configuration is still the one at basedOn, from which it
-// was worked out.
+// applyChange proposes one change of the configuration. The change fails if the configuration is no longer the one at
+// index basedOn, from which the change was computed.
 func (g *Group) applyChange(m *maintenance, change voters.Change, basedOn uint64, now time.Time) {
 	id := raftID(change.ID)
 	var future raft.IndexFuture
@@ -93,28 +95,29 @@
 	}
 	g.transport.notifyProposed()
 	if err := future.Error(); err != nil {
-		g.log.Warn("consensus: change of voters failed", zap.String("server", string(id)), zapError(err))
+		g.log.Warn("consensus: change of voters failed; it is computed again at the next check", zap.String("server", string(id)), zapError(err))
 		return
 	}
 	g.log.Info("consensus: "+text, zap.String("server", string(id)))
 	g.wake()
 }
 
-// removedAt returns the index of the latest configuration known here, and whether it lacks a server.
+// removedAt returns the index of the latest configuration known here and reports whether that configuration lacks the
+// server.
 func (g *Group) removedAt(id raft.ServerID) (uint64, bool) {
 	g.mu.RLock()
 	defer g.mu.RUnlock()
 	return g.configuration.index, g.configuration.index > 0 && !g.configuration.members[id]
 }
 
-// recordRemoval records that a peer's configuration, of this index, lacks this server.
+// recordRemoval records that a peer's configuration at this index lacks this server.
 func (g *Group) recordRemoval(index uint64) {
 	if g.removedIndex.Swap(index) != index {
 		g.wake()
 	}
 }
 
-// recordLeaderCall records that a leader called: this server is in its configuration.
+// recordLeaderCall records that a leader called this server, which is therefore in the leader's configuration.
 func (g *Group) recordLeaderCall() {
 	if g.removedIndex.Load() > 0 && g.removedIndex.Swap(0) > 0 {
 		g.wake()
--- a/internal/cluster/consensus/options.go
+++ b/internal/cluster/consensus/options.go
@@ -1,6 +1,6 @@
 package consensus
 
-// This file is what a Group is given: its options, the timing, and the bounds of its folder.
+// This file holds the options of a Group, its default timing, and the size limits of its folder.
 
 import (
 	"errors"
@@ -15,26 +15,29 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// Timing is how fast a Group reacts. Zero stands for the default named with each field.
+// Timing holds the intervals and timeouts of a Group. A field that is 0 or negative stands for its default, which is
+// named with the field.
 type Timing struct {
-	// HeartbeatTimeout is how long a voter goes without hearing from a leader before it starts an election
-	// (DefaultHeartbeatTimeout). It is the election timeout and the leader's lease, too.
+	// HeartbeatTimeout is the time without a call from a leader after which a voter starts an election. It is also the
+	// election timeout and the duration of the leader's lease. The default is DefaultHeartbeatTimeout.
 	HeartbeatTimeout time.Duration
-	// HeartbeatInterval is the time between calls that carry nothing new, to each other voter. By default it is a third
-	// of HeartbeatTimeout, so that two of them may be lost.
+	// HeartbeatInterval is the time between two calls from the leader to the same server when there is nothing new to
+	// send. The default is a third of HeartbeatTimeout, so that two calls in a row may be lost.
 	HeartbeatInterval time.Duration
-	// VoterCheckInterval is how often the leader checks whether the voters should change (DefaultVoterCheckInterval).
+	// VoterCheckInterval is the time between the leader's checks of whether the voters should change. The default is
+	// DefaultVoterCheckInterval.
 	VoterCheckInterval time.Duration
-	// ReplaceDeadAfter is how long a voter must be unreachable, and absent from the view, before it is replaced
-	// (DefaultReplaceDeadAfter).
+	// ReplaceDeadAfter is how long a voter must have been unreachable before it is replaced. It must also be absent
+	// from the view. The default is DefaultReplaceDeadAfter.
 	ReplaceDeadAfter time.Duration
-	// BootstrapAfter is how long the view must show all founders alive and without records before the group is
-	// bootstrapped (DefaultBootstrapAfter).
+	// BootstrapAfter is how long the view must have shown all initial voters alive and without records before the group
+	// is bootstrapped. The default is DefaultBootstrapAfter.
 	BootstrapAfter time.Duration
 }
 
-// Values tuned on loopback with five voters (docs/design/cluster/consensus.md). DefaultReplaceDeadAfter exceeds the two
-// minutes that the deployment page gives a restart, so that a rolling restart changes no voters.
+// Timing constants. The measurements behind them, on loopback with five voters, are in
+// docs/design/cluster/consensus.md. DefaultReplaceDeadAfter exceeds the two minutes that the deployment page allows for
+// a restart, so that a rolling restart does not change the voters.
 const (
 	DefaultHeartbeatTimeout   = 700 * time.Millisecond
 	DefaultVoterCheckInterval = time.Second
@@ -42,20 +45,20 @@
 	DefaultBootstrapAfter     = 3 * time.Second
 
 	maxVoters                 = 5
-	commitTimeout             = 40 * time.Millisecond // until followers hear that an entry is committed, at most twice that
-	catchUpTimeout            = 20 * time.Second      // for a staged server to catch up, before another is tried
-	catchUpRetryDelay         = time.Minute           // before a server that did not catch up is staged again
-	removedElectionTimeout    = 2 * time.Minute       // of a server that was removed and that no leader calls
-	leadershipRetryDelay      = 20 * time.Millisecond // after earlier entries could not be applied
-	minCallTimeout            = time.Second           // of one raft call, unless two heartbeat timeouts are longer
+	commitTimeout             = 40 * time.Millisecond // followers learn within twice this time that an entry is committed
+	catchUpTimeout            = 20 * time.Second      // how long a staged server may take to catch up before another is tried
+	catchUpRetryDelay         = time.Minute           // until a server that did not catch up may be staged again
+	removedElectionTimeout    = 2 * time.Minute       // election timeout of a server that was removed and that no leader calls
+	leadershipRetryDelay      = 20 * time.Millisecond // until a new leader retries to apply all earlier entries
+	minCallTimeout            = time.Second           // minimum timeout of a raft call; two heartbeat timeouts if that is longer
 	closeTimeout              = 3 * time.Second
 	leadershipTransferTimeout = time.Second
 )
 
-// Bounds of the folder: after maxLogBytes of commands a snapshot is taken and the log is truncated to trailingLogs
-// entries; at twice that much nothing more is proposed until that is done. With commands of machine.MaxBodyBytes that
-// is 40 MB of log at the worst, which the store's file, as it never shrinks, may hold twice; and two snapshots of the
-// parts' state.
+// Size limits of the folder. After maxLogBytes of commands a snapshot is taken, and the log is truncated to
+// trailingLogs entries. At twice maxLogBytes nothing more is proposed until that is done. With commands of
+// machine.MaxBodyBytes the log has at most 40 MB. The file of the log store never shrinks and may have twice that size.
+// The folder also holds two snapshots of the state of all parts.
 const (
 	maxLogBytes           = 4 << 20
 	trailingLogs          = 64
@@ -67,42 +70,44 @@
 
 // Options are the settings of a Group.
 type Options struct {
-	Self          view.Member                    // only Name and Folder (the random name of its data folder) are read
-	Cluster       string                         // both ends of a connection must have the same
-	Folder        string                         // of log and snapshots; created if it does not exist
+	Self          view.Member                    // only Name and Folder (the random name of the data folder) are read
+	Cluster       string                         // name of the cluster, which must be the same at both ends of a connection
+	Folder        string                         // path of the folder with log and snapshots; created if it does not exist
 	Listen        string                         // address of the port for raft connections
 	AddressOf     func(view.Name) (string, bool) // the address of a process, and whether it has one
-	InitialVoters []view.Name                    // the initial voters, the same at all processes; 1 to 5
+	InitialVoters []view.Name                    // the first voters of the group: 1 to 5 names, the same on all processes
 	Parts         map[string]machine.Part
 	Log           *zap.Logger
-	// Partitioned reports whether the link to a process is cut: connections to it break, and none can be made. It is for tests in
-	// the lab, and may be nil.
+	// Partitioned reports whether the link to a process is cut. Writes on connections to that process then fail, and no
+	// connection to it can be made. The lab's fault injection sets it; it may be nil.
 	Partitioned func(view.Name) bool
-	// Applied is called with the index after commands were applied, once for several perhaps. One goroutine calls it,
-	// with no lock held, so a slow call delays only the next one. It may be nil.
+	// Applied is called after commands were applied, with the index of the latest. One call may stand for several
+	// commands. All calls come from one goroutine that holds no lock, so a slow call delays only the next call. It may
+	// be nil.
 	Applied func(index uint64)
 	Timing
 
-	// Bounds of the log, smaller in tests.
+	// Size limits of the log. 0 stands for the constants of the same names; tests set smaller values.
 	maxLogBytes  int
 	trailingLogs uint64
 }
 
-// complete fills in defaults and checks what must be given.
+// complete fills in defaults and returns an error if a required option is missing or invalid.
 func (o *Options) complete() error {
 	o.setDefaults()
 	o.InitialVoters = slices.Compact(slices.Sorted(slices.Values(o.InitialVoters)))
 	switch {
 	case o.Self.Name == "" || o.Self.Folder == "" || o.Folder == "" || o.AddressOf == nil:
-		return errors.New("council: a name, a folder, its drawn name and ways to the others are needed")
+		return errors.New("consensus: options Self.Name, Self.Folder, Folder and AddressOf must be set")
 	case strings.Contains(string(o.Self.Name)+o.Self.Folder, "@"):
-		return fmt.Errorf("council: %q: names have no @", o.Self.Name)
+		return fmt.Errorf("consensus: name %q or folder name %q contains @", o.Self.Name, o.Self.Folder)
 	case len(o.InitialVoters) == 0 || len(o.InitialVoters) > maxVoters:
-		return fmt.Errorf("council: %d founders; there must be 1 to %d", len(o.InitialVoters), maxVoters)
+		return fmt.Errorf("consensus: %d initial voters; there must be 1 to %d", len(o.InitialVoters), maxVoters)
 	}
 	return nil
 }
 
+// setDefaults replaces zero values by their defaults.
 func (o *Options) setDefaults() {
 	o.HeartbeatTimeout = orDefault(o.HeartbeatTimeout, DefaultHeartbeatTimeout)
 	o.HeartbeatInterval = orDefault(o.HeartbeatInterval, o.HeartbeatTimeout/3)
@@ -117,7 +122,7 @@
 	}
 }
 
-// orDefault returns d where it is above 0, and the default otherwise.
+// orDefault returns d if it is positive, and byDefault otherwise.
 func orDefault(d, byDefault time.Duration) time.Duration {
 	if d <= 0 {
 		return byDefault
--- a/internal/cluster/consensus/propose.go
+++ b/internal/cluster/consensus/propose.go
@@ -15,30 +15,37 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// NotLeaderError says that nothing was proposed, and who leads; "" where that is not known (see Ask).
+// NotLeaderError is returned by Propose on a server that does not lead. Nothing was proposed. Leader is the name of the
+// leader, or "" if it is not known here; Group.Ask then lists the processes to ask.
 type NotLeaderError struct{ Leader view.Name }
 
-// Error names the leader.
+// Error returns a text that names the leader, as far as it is known.
 func (e *NotLeaderError) Error() string {
-	return fmt.Sprintf("not the council's leader, which is %q", e.Leader)
+	return fmt.Sprintf("consensus: this server is not the leader, which is %q", e.Leader)
 }
 
-// UncertainError says that a proposal may have been committed or may yet be: there was no quorum in time, or the leader
-// changed. A command that is to be retried must carry an id by which its part recognises it.
+// UncertainError is returned by Propose when the outcome of a proposal is unknown: there was no quorum in time, or the
+// leader changed. The command may have been committed, or may still be. A command that callers retry must carry an id
+// by which its part recognises duplicates.
 type UncertainError struct{ Cause error }
 
-// Error tells the cause.
-func (e *UncertainError) Error() string { return fmt.Sprintf("may have been decided: %v", e.Cause) }
+// Error returns a text that contains the cause.
+func (e *UncertainError) Error() string {
+	return fmt.Sprintf("consensus: the command may have been committed: %v", e.Cause)
+}
 
 // Unwrap returns the cause.
 func (e *UncertainError) Unwrap() error { return e.Cause }
 
-// ErrBusy says that nothing was proposed: too many proposals are in flight, or the log has to be truncated first.
-var ErrBusy = errors.New("the council is busy; nothing was proposed")
+// ErrBusy is returned by Propose when too many proposals are in flight or the log has to be truncated first. Nothing
+// was proposed, so the caller may retry.
+var ErrBusy = errors.New("consensus: too many proposals in flight, or the log is full; nothing was proposed")
 
-// Propose has a command committed, on the leader only, and returns its part's answer. Callers distinguish the errors:
-// with *NotLeaderError and ErrBusy nothing was proposed; with *UncertainError the command may have been committed; with
-// *machine.RejectedError its part rejected it.
+// Propose proposes a command, waits until it is committed and applied, and returns the answer of its part. It works on
+// the leader only. body is encoded as JSON.
+//
+// After a *NotLeaderError or ErrBusy nothing was proposed. After an *UncertainError the command may have been
+// committed. After a *machine.RejectedError the command was rejected and has changed nothing.
 func (g *Group) Propose(ctx context.Context, part, kind string, body any) (json.RawMessage, error) {
 	if !g.Leading() {
 		return nil, g.notLeaderError()
@@ -57,8 +64,8 @@
 	return g.applyCommand(ctx, command)
 }
 
-// reserveProposal takes one of the proposal slots, which applyCommand releases. It returns ErrBusy where there is none
-// before ctx ends, or the log has to be truncated first.
+// reserveProposal acquires one of the proposal slots, which applyCommand releases. It returns ErrBusy if no slot
+// becomes free before ctx ends, or if the log has to be truncated first.
 func (g *Group) reserveProposal(ctx context.Context) error {
 	select {
 	case g.proposalSlots <- struct{}{}:
@@ -75,12 +82,12 @@
 	return nil
 }
 
-// applyCommand appends a command to the log and waits until it was applied here, or ctx ends.
+// applyCommand appends a command to the log and waits until it is applied here or ctx ends.
 func (g *Group) applyCommand(ctx context.Context, command []byte) (json.RawMessage, error) {
 	future := g.raft.Apply(command, g.options.HeartbeatTimeout)
 	g.transport.notifyProposed()
 	applied := make(chan error, 1)
-	go func() { // ends once the command is applied or leadership is lost, as the lease is HeartbeatTimeout
+	go func() { // ends once the command is applied or leadership is lost, at the latest when the lease (HeartbeatTimeout) expires
 		defer func() { <-g.proposalSlots }()
 		applied <- future.Error()
 	}()
@@ -102,37 +109,38 @@
 	return nil, &UncertainError{err}
 }
 
-// notLeaderError names the leader, as far as it is another server.
+// notLeaderError returns a NotLeaderError, which names the leader if that is known to be another server.
 func (g *Group) notLeaderError() error {
 	leader, _ := g.Leader()
 	if leader == g.self.Name {
-		leader = "" // elected, but it has not yet applied all earlier entries
+		leader = "" // this server is elected, but has not yet applied all earlier entries
 	}
 	return &NotLeaderError{leader}
 }
 
-// Clock is the group's clock as this process has it, which a command proposed now would carry. Two processes may differ
-// by the time that a command took to reach one of them.
+// Clock returns the group's clock on this process, which is the time that a command proposed now would carry (see
+// machine.Machine.Clock). The clocks of two processes differ by the time that the latest command took to reach them.
 func (g *Group) Clock() time.Duration {
 	g.mu.RLock()
 	defer g.mu.RUnlock()
 	return g.clockBase + time.Since(g.clockBaseTime)
 }
 
-// Leader is the leader as far as this process knows, and whether it knows of one. A process that is no server of the
-// group does not: see Ask.
+// Leader returns the name of the leader and reports whether it is known here. A process that is not a server of the
+// group does not know the leader; Ask lists the processes to ask.
 func (g *Group) Leader() (view.Name, bool) {
 	_, id := g.raft.LeaderWithID()
 	return nameOf(id), id != ""
 }
 
-// Leading reports whether this server leads and has applied all earlier entries. One that is partitioned from the others
-// may believe so for HeartbeatTimeout at most.
+// Leading reports whether this server leads and has applied all earlier entries. After a partition from the other
+// voters it may return true for up to Timing.HeartbeatTimeout although another server leads.
 func (g *Group) Leading() bool {
 	return g.raft.State() == raft.Leader && g.leadingTerm.Load() == g.raft.CurrentTerm()
 }
 
-// Ask lists the processes that may lead, the likeliest first: the leader; the voters; members with records.
+// Ask returns the processes that may lead, the likeliest first: the leader if it is known, the voters, and then present
+// members with raft records. The list has no duplicates and does not contain this process.
 func (g *Group) Ask() []view.Name {
 	var names []view.Name
 	if leader, known := g.Leader(); known {
@@ -157,15 +165,16 @@
 	return once
 }
 
-// Read calls f with the index of the latest command. Parts may be read inside f, which must be short and must not call
-// methods of the Group.
+// Read calls f with the log index of the latest applied command. While f runs no command is applied, so f may read the
+// parts. f must be short and must not call methods of the Group.
 func (g *Group) Read(f func(index uint64)) {
 	g.mu.RLock()
 	defer g.mu.RUnlock()
 	f(g.machine.Index())
 }
 
-// Voters are the names of the voters in the configuration known here, sorted; none on a server outside it.
+// Voters returns the sorted names of the voters in the configuration known here. It returns none if this process has
+// received no configuration.
 func (g *Group) Voters() []view.Name {
 	var names []view.Name
 	configuration := g.raft.GetConfiguration()
@@ -181,16 +190,18 @@
 	return names
 }
 
-// HasRecords reports whether the folder holds records of a group, which is published as view.Member.HasRecords.
+// HasRecords reports whether the folder holds raft records of a group. It is published as view.Member.HasRecords.
 func (g *Group) HasRecords() bool { return g.raft.LastIndex() > 0 }
 
-// Addr is the address on which the group listens.
+// Addr returns the address on which the group listens.
 func (g *Group) Addr() string { return g.stream.listener.Addr().String() }
 
-// Traffic is the number of bytes received and sent on raft connections.
+// Traffic returns the numbers of bytes received and sent on raft connections since Start.
 func (g *Group) Traffic() (in, out uint64) { return g.stream.bytesIn.Load(), g.stream.bytesOut.Load() }
 
+// zapError returns the log field for an error, whose key is "why".
 func zapError(err error) zap.Field { return zap.NamedError("why", err) }
 
-// Term is the latest term in which this server led; it grows with each leader.
+// Term returns the latest raft term in which this server led, or 0 if it has not led since Start. Each new leader has a
+// higher term.
 func (g *Group) Term() uint64 { return g.leadingTerm.Load() }
--- a/internal/cluster/consensus/raftlog.go
+++ b/internal/cluster/consensus/raftlog.go
@@ -7,8 +7,9 @@
 	"go.uber.org/zap"
 )
 
-// raftLogWriter passes the raft library's log lines on to zap at debug level: this package logs itself what an operator
-// needs, and an unreachable peer makes the library write several lines a second.
+// raftLogWriter is an io.Writer that writes the raft library's log lines to zap at debug level. They are not logged at
+// a higher level because an unreachable peer makes the library write several lines per second; what an operator needs
+// is logged by this package.
 type raftLogWriter struct{ log *zap.Logger }
 
 // Write logs one line.
@@ -17,7 +18,7 @@
 	return len(line), nil
 }
 
-// logger returns a logger for the library, which writes nothing unless zap logs at debug level.
+// logger returns a logger for the raft library. It is off unless zap logs at debug level.
 func (z *raftLogWriter) logger() hclog.Logger {
 	level := hclog.Off
 	if z.log.Core().Enabled(zap.DebugLevel) {
--- a/internal/cluster/consensus/storeddata_test.go
+++ b/internal/cluster/consensus/storeddata_test.go
@@ -16,26 +16,27 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// What testdata/stored/council holds: the folder of a single voter, with a snapshot after the first commands of each part
-// and later commands in the log. Commit 485f0e4 wrote it, and testdata/stored/state.json, which is the state after all of
-// them; neither is written anew.
+// Properties of the stored data. testdata/stored/council is the folder of a single voter, with a snapshot after the
+// first commands of each part and later commands in the log. testdata/stored/state.json is the state after all
+// commands. Commit 485f0e4 wrote both; they must never be written again.
 const (
 	storedFolderID      = "00112233445566778899aabbccddeeff"
 	storedTerm          = 2
 	storedSnapshotIndex = 7
 	storedLastIndex     = 11
 
-	// storedWait bounds a wait for the election of the only voter, which takes some 0.2 s.
+	// storedWait is the maximum wait for the election of the only voter, which takes some 0.2 s.
 	storedWait      = 20 * time.Second
 	storedHeartbeat = 100 * time.Millisecond
 )
 
-// storedParts are the parts of the state by the names under which an older program stored them.
+// storedParts returns new parts, by the names under which an older program stored them.
 func storedParts() map[string]machine.Part {
 	return map[string]machine.Part{"failover": &plan.InForce{}, "purge": purges.New(), "configuration": versions.New()}
 }
 
-// startStored starts the only voter on a copy of the stored folder and waits until it leads, with all of the log applied.
+// startStored starts the only voter on a copy of the stored folder and waits until it leads and has applied the whole
+// log.
 func startStored(t *testing.T, parts map[string]machine.Part) *consensus.Group {
 	t.Helper()
 	folder := t.TempDir()
@@ -72,21 +73,22 @@
 		select {
 		case <-applied:
 		case <-timeout:
-			t.Fatalf("does not lead after %v", storedWait)
+			t.Fatalf("the only voter does not lead after %v", storedWait)
 		}
 	}
 	return group
 }
 
-// TestReadsStoredRecords: the stable store, the log and the snapshot of an older program give the state that it had.
+// TestReadsStoredRecords checks that a group reads the stable store, the log and the snapshot of an older program, and
+// that the result is the state that the older program had.
 func TestReadsStoredRecords(t *testing.T) {
 	parts := storedParts()
 	group := startStored(t, parts)
 	if voters := group.Voters(); !slices.Equal(voters, []view.Name{"a"}) || !group.HasRecords() {
-		t.Errorf("voters %v, holds records: %v", voters, group.HasRecords())
+		t.Errorf("voters %v, has records: %v", voters, group.HasRecords())
 	}
 	if term := group.Term(); term <= storedTerm {
-		t.Errorf("term %d does not follow the stored one, %d", term, storedTerm)
+		t.Errorf("term %d is not above the stored term %d", term, storedTerm)
 	}
 	text, err := os.ReadFile("testdata/stored/state.json")
 	if err != nil {
@@ -94,24 +96,24 @@
 	}
 	stored := readState(t, text)
 	if clock := group.Clock(); clock < stored.At {
-		t.Errorf("the clock went back to %v from %v", clock, stored.At)
+		t.Errorf("the clock is %v, behind the stored clock %v", clock, stored.At)
 	}
 	if len(stored.Parts) != len(parts) {
-		t.Fatalf("%d parts are stored, %d are here", len(stored.Parts), len(parts))
+		t.Fatalf("%d parts are stored, %d exist", len(stored.Parts), len(parts))
 	}
 	group.Read(func(index uint64) {
 		if index != storedLastIndex {
-			t.Errorf("applied up to %d, stored is %d", index, storedLastIndex)
+			t.Errorf("applied up to index %d, the stored log ends at %d", index, storedLastIndex)
 		}
 		for _, want := range stored.Parts {
 			if got, err := parts[want.Name].Snapshot(); err != nil || !bytes.Equal(got, want.State) {
-				t.Errorf("part %q: %v, the state is\n%s, stored is\n%s", want.Name, err, got, want.State)
+				t.Errorf("part %q: error %v, the state is\n%s, the stored state is\n%s", want.Name, err, got, want.State)
 			}
 		}
 	})
 }
 
-// storedState is the form of a snapshot, apart from the code under test.
+// storedState is the encoded form of a snapshot, declared independently of the code under test.
 type storedState struct {
 	At    time.Duration `json:"at"`
 	Index uint64        `json:"index"`
@@ -121,6 +123,7 @@
 	} `json:"parts"`
 }
 
+// readState decodes a snapshot.
 func readState(t *testing.T, text []byte) (s storedState) {
 	t.Helper()
 	if err := json.Unmarshal(text, &s); err != nil {
@@ -129,8 +132,8 @@
 	return s
 }
 
-// TestMachineReadsStoredSnapshot: the state machine takes a snapshot of an older program whole, and writes it again byte
-// for byte.
+// TestMachineReadsStoredSnapshot checks that the state machine restores a snapshot of an older program and then writes
+// the same bytes again, so that nothing was skipped.
 func TestMachineReadsStoredSnapshot(t *testing.T) {
 	for _, c := range []struct {
 		path  string
@@ -152,7 +155,7 @@
 			t.Errorf("%s: index %d, clock %v", c.path, m.Index(), m.Clock())
 		}
 		if again, err := m.Snapshot(); err != nil || !bytes.Equal(again, text) {
-			t.Errorf("%s: %v, the state is\n%s, stored is\n%s", c.path, err, again, text)
+			t.Errorf("%s: error %v, the state is\n%s, the stored state is\n%s", c.path, err, again, text)
 		}
 	}
 }
--- a/internal/cluster/consensus/stream.go
+++ b/internal/cluster/consensus/stream.go
@@ -17,46 +17,46 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// The handshake of a connection is an upgrade of HTTP/1.1. The server that answers must be the very one that was
-// called, its folder included: the library's requests do not name their addressee, and a process that lost its disk
-// would otherwise answer, and vote, as the server it was before.
+// The handshake of a connection is an HTTP/1.1 upgrade. The server that answers must have the ID that was called,
+// folder included. The requests of the raft library do not name their receiver, so a process that lost its disk would
+// otherwise answer and vote as the server that it was before.
 const (
 	upgradeProtocol  = "flaxcove-council"
 	headerCluster    = "Flaxcove-Cluster"
 	headerTo         = "Flaxcove-To"
 	handshakeTimeout = time.Second
-	maxHandshakes    = 64  // handshakes in progress at once; further connections are closed
-	maxConnections   = 256 // established ones: two to and two from each of more servers than there ever are
+	maxHandshakes    = 64  // concurrent handshakes; further connections are closed
+	maxConnections   = 256 // established connections; two to and two from each server, which allows for 64 servers
 
-	acceptRetryDelay = 50 * time.Millisecond // after the listener failed, as when file descriptors ran out
+	acceptRetryDelay = 50 * time.Millisecond // before the next Accept after an error, for example when file descriptors ran out
 )
 
 var (
-	errWrongServer        = errors.New("not the server that was called")
-	errPartitioned        = errors.New("cut off")
-	errTooManyConnections = errors.New("too many connections")
+	errWrongServer        = errors.New("the process there is not the server that was called")
+	errPartitioned        = errors.New("the link is partitioned by a test")
+	errTooManyConnections = errors.New("too many raft connections; the new one was closed")
 )
 
-// streamLayer carries the library's calls over connections whose handshake identified both ends. It implements
-// raft.StreamLayer.
+// streamLayer implements raft.StreamLayer. It listens and dials for the raft library, and makes the handshake that
+// checks the cluster and the server ID at the other end.
 type streamLayer struct {
 	listener          net.Listener
 	cluster           string
 	self              raft.ServerAddress
 	addressOf         func(view.Name) (string, bool)
-	partitioned       func(view.Name) bool // Options.Cut; may be nil
-	handshaken        chan net.Conn        // incoming connections for Accept
-	handshakeSlots    chan struct{}
+	partitioned       func(view.Name) bool // Options.Partitioned; may be nil
+	handshaken        chan net.Conn        // incoming connections after the handshake, for Accept
+	handshakeSlots    chan struct{}        // holds a value for each handshake in progress
 	closed            chan struct{}
 	closeOnce         sync.Once
 	goroutines        sync.WaitGroup
 	bytesIn, bytesOut atomic.Uint64
 
-	mu          sync.Mutex // nothing is called with it held
+	mu          sync.Mutex // no other code is called with it held
 	connections map[*countedConn]bool
 }
 
-// listen opens the port and starts to accept connections, until Close.
+// listen listens on Options.Listen and starts to accept connections. Close ends both.
 func listen(o Options, self raft.ServerAddress) (*streamLayer, error) {
 	l, err := net.Listen("tcp", o.Listen)
 	if err != nil {
@@ -78,7 +78,8 @@
 	return s, nil
 }
 
-// acceptLoop starts a handshake for each incoming connection, in a goroutine that ends within handshakeTimeout.
+// acceptLoop starts a goroutine for the handshake of each incoming connection. The reads and writes of a handshake end
+// within handshakeTimeout.
 func (s *streamLayer) acceptLoop() {
 	defer s.goroutines.Done()
 	for {
@@ -101,7 +102,7 @@
 	}
 }
 
-// handshake answers the caller's upgrade request and passes the connection on to Accept.
+// handshake answers the caller's upgrade request and passes the connection to Accept.
 func (s *streamLayer) handshake(conn net.Conn) {
 	defer s.goroutines.Done()
 	_ = conn.SetDeadline(time.Now().Add(handshakeTimeout))
@@ -132,7 +133,8 @@
 	}
 }
 
-// track registers a connection, which Close ends at the latest. It closes one that is not taken.
+// track registers a connection, so that Close closes it. peer is the dialled process, or "" for an incoming connection.
+// After Close, and beyond maxConnections, track closes the connection and returns an error.
 func (s *streamLayer) track(conn net.Conn, peer view.Name) (*countedConn, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -151,7 +153,7 @@
 	return c, nil
 }
 
-// closeConnections closes all connections; calls on them fail, and the library makes new ones.
+// closeConnections closes all connections. Calls on them fail, and the raft library makes new connections.
 func (s *streamLayer) closeConnections() {
 	s.mu.Lock()
 	connections := slices.Collect(maps.Keys(s.connections))
@@ -161,12 +163,12 @@
 	}
 }
 
-// Dial connects to the server at an address, which is its ID: its name and the folder that it must still have.
+// Dial connects to a server. Its address is its ID (see raftID), so the server must have the same folder as before.
 func (s *streamLayer) Dial(address raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
 	peer := nameOf(raft.ServerID(address))
 	hostPort, found := s.addressOf(peer)
 	if !found || s.isPartitioned(peer) {
-		return nil, fmt.Errorf("%s: no way there", address)
+		return nil, fmt.Errorf("raft connection to %s: no address is known, or the link is partitioned by a test", address)
 	}
 	conn, err := net.DialTimeout("tcp", hostPort, timeout)
 	if err != nil {
@@ -185,7 +187,8 @@
 	return tracked, nil
 }
 
-// requestUpgrade makes the caller's side of the handshake.
+// requestUpgrade performs the caller's side of the handshake. It returns errWrongServer if the other end has another ID
+// or belongs to another cluster.
 func (s *streamLayer) requestUpgrade(conn net.Conn, hostPort string, address raft.ServerAddress) error {
 	request, err := http.NewRequest(http.MethodGet, "http://"+hostPort+"/", nil)
 	if err != nil {
@@ -198,18 +201,18 @@
 	if err := request.Write(conn); err != nil {
 		return err
 	}
-	// The other end sends nothing after its answer until it is called, so the reader buffers nothing that follows.
+	// The other end sends nothing after its answer until it is called, so the reader buffers nothing beyond the answer.
 	answer, err := http.ReadResponse(bufio.NewReader(conn), request)
 	if err != nil {
 		return err
 	}
 	if answer.StatusCode != http.StatusSwitchingProtocols {
-		return fmt.Errorf("%s: %w", address, errWrongServer)
+		return fmt.Errorf("raft connection to %s: %w", address, errWrongServer)
 	}
 	return nil
 }
 
-// Accept returns the next incoming connection whose handshake is done.
+// Accept returns the next incoming connection after its handshake. After Close it returns net.ErrClosed.
 func (s *streamLayer) Accept() (net.Conn, error) {
 	select {
 	case conn := <-s.handshaken:
@@ -219,7 +222,7 @@
 	}
 }
 
-// Close closes the listener and all connections.
+// Close closes the listener and all connections. Only the first call has an effect.
 func (s *streamLayer) Close() error {
 	var err error
 	s.closeOnce.Do(func() {
@@ -230,38 +233,38 @@
 	return err
 }
 
-// Addr is this server's address: its ID.
+// Addr returns this server's address, which is its ID.
 func (s *streamLayer) Addr() net.Addr { return streamAddr(s.self) }
 
-// streamAddr is the address of a server: its ID.
+// streamAddr is the ID of a server as a net.Addr.
 type streamAddr string
 
-// Network names the kind of address.
+// Network returns the name of the address type.
 func (streamAddr) Network() string { return "council" }
 
-// String is the server's ID.
+// String returns the server's ID.
 func (a streamAddr) String() string { return string(a) }
 
-// countedConn counts the bytes that a connection carries.
+// countedConn is a connection that adds the bytes it carries to the counters of its streamLayer.
 type countedConn struct {
 	net.Conn
 	stream *streamLayer
-	peer   view.Name // who was dialled; "" for an incoming connection
+	peer   view.Name // the dialled process; "" for an incoming connection
 }
 
-// isPartitioned reports whether a test has cut the link to a process (Options.Cut).
+// isPartitioned reports whether a test has cut the link to a process (Options.Partitioned).
 func (s *streamLayer) isPartitioned(peer view.Name) bool {
 	return s.partitioned != nil && peer != "" && s.partitioned(peer)
 }
 
-// Read reads and counts.
+// Read reads from the connection and counts the bytes.
 func (c *countedConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.stream.bytesIn.Add(uint64(max(n, 0)))
 	return n, err
 }
 
-// Write writes and counts. It fails where the link is cut.
+// Write writes to the connection and counts the bytes. It fails if a test has cut the link.
 func (c *countedConn) Write(p []byte) (int, error) {
 	if c.stream.isPartitioned(c.peer) {
 		return 0, errPartitioned
@@ -271,7 +274,7 @@
 	return n, err
 }
 
-// Close closes the connection and unregisters it.
+// Close closes the connection and removes it from the connections of the streamLayer.
 func (c *countedConn) Close() error {
 	c.stream.mu.Lock()
 	delete(c.stream.connections, c)
--- a/internal/cluster/consensus/transport.go
+++ b/internal/cluster/consensus/transport.go
@@ -9,10 +9,13 @@
 	"github.com/hashicorp/raft"
 )
 
-// transport wraps the raft library's network transport and adds four things: AppendEntries calls that carry nothing new
-// are rate limited to one per heartbeat interval; each peer's latest answer and match index are recorded; a candidate
-// that is no longer in the configuration is answered that it was removed; and such an answer is passed on to the Group.
-// It decides nothing: it only delays calls, by two heartbeat intervals at most.
+// transport wraps the raft library's network transport. It delays calls by at most two heartbeat intervals and
+// otherwise does not change when the library calls a peer. It adds:
+//
+//   - a rate limit of one AppendEntries call per heartbeat interval for calls that carry nothing new,
+//   - a record of when each peer last answered, and of its match index,
+//   - an answer to a candidate that is no longer in the configuration, which tells it that it was removed,
+//   - a report to the Group when this server receives that answer.
 type transport struct {
 	*raft.NetworkTransport
 	heartbeatInterval time.Duration
@@ -20,46 +23,49 @@
 	closed            chan struct{}
 	closeOnce         sync.Once
 	goroutines        sync.WaitGroup
-	removedAt         func(raft.ServerID) (uint64, bool) // index of the latest configuration, and whether it lacks the server
-	onRemoved         func(uint64)                       // this server is not in the configuration committed at that index
-	onLeaderCall      func()                             // a leader sent AppendEntries
+	removedAt         func(raft.ServerID) (uint64, bool) // returns the index of the latest configuration and whether that lacks the server
+	onRemoved         func(uint64)                       // called when the configuration at that index lacks this server
+	onLeaderCall      func()                             // called when a leader sent AppendEntries
 
-	mu       sync.Mutex // below Group.mu in the lock order; nothing is called with it held
+	mu       sync.Mutex // after Group.mu in the lock order; no other code is called with it held
 	peers    map[raft.ServerID]*peer
-	proposed chan struct{} // closed when something is proposed
+	proposed chan struct{} // closed at the next proposal, then replaced
 }
 
-// connectionsPerPeer bounds the idle connections to one peer.
+// connectionsPerPeer is the maximum number of idle connections to one peer.
 const connectionsPerPeer = 2
 
-// peer is what is known of one server that is called. Servers no longer in the configuration are dropped (retainPeers).
+// peer is the state of one server that this server calls. retainPeers deletes the servers that are no longer in the
+// configuration.
 type peer struct {
 	lastSent, lastAnswered time.Time
-	matchIndex             uint64 // its log is known to equal the leader's up to here
-	commitIndex            uint64 // as it was last sent to the peer
-	term                   uint64
+	matchIndex             uint64 // index up to which the peer's log is known to equal the leader's
+	commitIndex            uint64 // the commit index in the last successful call
+	term                   uint64 // the term of that call
 }
 
-// removedErrorPrefix precedes the index of the configuration that lacks a candidate, in the error text of the pre-vote
-// response: the library's response has no other field for it.
+// removedErrorPrefix is the prefix of the error text in the pre-vote response to a candidate that was removed. The
+// index of the configuration that lacks the candidate follows it. The library's response has no other field for the
+// index.
 const removedErrorPrefix = "left out at "
 
-// newTransport returns a transport for group and starts its forwarding goroutine, which Close ends.
+// newTransport returns a transport for group and starts the goroutine of forwardCalls, which Close ends. timeout bounds
+// one raft call.
 func newTransport(group *Group, timeout time.Duration, logger *raftLogWriter) *transport {
 	t := &transport{heartbeatInterval: group.options.HeartbeatInterval, rpcs: make(chan raft.RPC), closed: make(chan struct{}),
 		removedAt: group.removedAt, onRemoved: group.recordRemoval, onLeaderCall: group.recordLeaderCall,
 		peers: map[raft.ServerID]*peer{}, proposed: make(chan struct{})}
 	t.NetworkTransport = raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{
 		Stream: group.stream, MaxPool: connectionsPerPeer, Timeout: timeout, Logger: logger.logger(),
-		MaxRPCsInFlight: 1, // no pipelines: each answer passes AppendEntries below
+		MaxRPCsInFlight: 1, // no pipelining, so that each answer passes through AppendEntries below
 	})
 	t.goroutines.Add(1)
 	go t.forwardCalls()
 	return t
 }
 
-// forwardCalls passes incoming calls on to the library, except pre-vote requests of servers that are not in the
-// configuration: these are answered here.
+// forwardCalls passes incoming calls to the raft library. It answers pre-vote requests from servers that are not in the
+// configuration itself.
 func (t *transport) forwardCalls() {
 	defer t.goroutines.Done()
 	for {
@@ -86,11 +92,11 @@
 	}
 }
 
-// Consumer returns the channel from which the library takes incoming calls.
+// Consumer returns the channel from which the raft library receives incoming calls.
 func (t *transport) Consumer() <-chan raft.RPC { return t.rpcs }
 
-// RequestPreVote asks a peer whether it would vote for this server. An answer that this server was removed from the
-// configuration is reported to the Group.
+// RequestPreVote asks a peer whether it would vote for this server. If the peer answers that this server was removed
+// from the configuration, RequestPreVote reports that to the Group.
 func (t *transport) RequestPreVote(id raft.ServerID, to raft.ServerAddress, request *raft.RequestPreVoteRequest,
 	response *raft.RequestPreVoteResponse) error {
 	err := t.NetworkTransport.RequestPreVote(id, to, request, response)
@@ -105,8 +111,9 @@
 	return err
 }
 
-// AppendEntries makes the library's calls. Those that carry nothing new are throttled to the heartbeat interval. A
-// pure heartbeat (no previous entry, no entries) waits for as long as other calls keep the peer in contact.
+// AppendEntries makes an AppendEntries call of the raft library. Calls that carry nothing new are throttled to one per
+// heartbeat interval. A pure heartbeat (without previous entry and entries) is delayed further while other calls to the
+// peer succeed.
 func (t *transport) AppendEntries(id raft.ServerID, to raft.ServerAddress, request *raft.AppendEntriesRequest,
 	response *raft.AppendEntriesResponse) error {
 	heartbeat := request.PrevLogEntry == 0 && len(request.Entries) == 0
@@ -128,7 +135,7 @@
 	return nil
 }
 
-// throttle waits until a call that carries nothing new is due. It returns raft.ErrTransportShutdown after Close.
+// throttle waits until a call to a peer is due (see untilDue). It returns raft.ErrTransportShutdown after Close.
 func (t *transport) throttle(id raft.ServerID, request *raft.AppendEntriesRequest, heartbeat bool) error {
 	for {
 		t.mu.Lock()
@@ -146,7 +153,7 @@
 		case <-timer.C:
 		case <-proposed:
 			timer.Stop()
-			if !heartbeat { // sent at once, so that the library's replication loop is free for the proposed entry
+			if !heartbeat { // send at once, so that the library's replication loop becomes free for the proposed entry
 				t.mu.Lock()
 				p.lastSent = time.Now()
 				t.mu.Unlock()
@@ -160,8 +167,8 @@
 	}
 }
 
-// untilDue is how long a call to p has to wait; 0 or less for one that is sent now: it carries something new, the peer
-// does not answer or has a new leader, or the interval is over. The lock is held.
+// untilDue returns how long a call to p has to wait. It returns 0 or less if the call is due now: it carries something
+// new, the peer does not answer, this is the first call in a new term, or the interval has passed. t.mu is held.
 func (t *transport) untilDue(p *peer, request *raft.AppendEntriesRequest, heartbeat bool) time.Duration {
 	answering := p.term == request.Term && p.lastSent.Sub(p.lastAnswered) < t.heartbeatInterval
 	nothingNew := len(request.Entries) == 0 && (heartbeat || p.commitIndex == request.LeaderCommitIndex)
@@ -175,7 +182,7 @@
 	return interval - time.Since(p.lastSent)
 }
 
-// peerState returns the record of a peer, a new one where there is none. The lock is held.
+// peerState returns the state of a peer and creates it if there is none. t.mu is held.
 func (t *transport) peerState(id raft.ServerID) *peer {
 	p := t.peers[id]
 	if p == nil {
@@ -185,7 +192,7 @@
 	return p
 }
 
-// notifyProposed releases calls that wait for their interval: something was proposed.
+// notifyProposed sends the calls that throttle delays, because there is a new proposal.
 func (t *transport) notifyProposed() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -193,7 +200,8 @@
 	t.proposed = make(chan struct{})
 }
 
-// progress returns when a peer last answered, and up to where its log is known to equal the leader's.
+// progress returns when a peer last answered and the index up to which its log is known to equal the leader's. Both are
+// zero for an unknown peer.
 func (t *transport) progress(id raft.ServerID) (lastAnswered time.Time, matchIndex uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -203,7 +211,7 @@
 	return time.Time{}, 0
 }
 
-// retainPeers drops the records of peers that are not members any more.
+// retainPeers deletes the state of all peers that are not in members.
 func (t *transport) retainPeers(members map[raft.ServerID]bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -214,7 +222,7 @@
 	}
 }
 
-// Close ends all waits, and the library's transport, and waits for the forwarding goroutine.
+// Close ends delayed calls, closes the library's transport, and waits for the goroutine of forwardCalls to end.
 func (t *transport) Close() error {
 	t.closeOnce.Do(func() { close(t.closed) })
 	err := t.NetworkTransport.Close()
--- a/internal/cluster/consensus/voters/placement.go
+++ b/internal/cluster/consensus/voters/placement.go
@@ -1,6 +1,6 @@
 package voters
 
-// This file is how well a set of voters is spread over regions and zones.
+// This file rates how well a set of voters is distributed over regions and zones.
 
 import (
 	"cmp"
@@ -8,7 +8,7 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// placedServer is a server with what decides how well it is placed.
+// placedServer is a server with the properties that the placement of voters depends on.
 type placedServer struct {
 	ID
 	zone   view.Zone
@@ -16,7 +16,8 @@
 	size   view.Size
 }
 
-// votersWithout are all voters but one. A voter that is not in the view has an empty zone and region.
+// votersWithout returns all voters except one; with the zero ID it returns all. A voter that is not in the view has an
+// empty zone and region.
 func (p *planner) votersWithout(id ID) []placedServer {
 	var rest []placedServer
 	for _, v := range p.voters {
@@ -29,15 +30,17 @@
 	return rest
 }
 
-// cost is how badly votes are spread: pairs in the same region, pairs in the same zone, and votes of small processes,
-// compared in this order. Less is better.
+// cost rates the placement of a set of voters; lower is better. Its fields are the number of pairs of voters in the
+// same region, the number of pairs in the same zone, and the number of voters on small processes. They are compared in
+// this order.
 type cost struct{ sameRegion, sameZone, small int }
 
+// less reports whether s is the better (lower) cost.
 func (s cost) less(o cost) bool {
 	return cmp.Or(cmp.Compare(s.sameRegion, o.sameRegion), cmp.Compare(s.sameZone, o.sameZone), cmp.Compare(s.small, o.small)) < 0
 }
 
-// placementCost is the cost of a set of voters.
+// placementCost returns the cost of a set of voters.
 func (p *planner) placementCost(all []placedServer) cost {
 	var s cost
 	for i, a := range all {
--- a/internal/cluster/consensus/voters/voters.go
+++ b/internal/cluster/consensus/voters/voters.go
@@ -1,16 +1,17 @@
-// Package voters works out the next single change of the consensus group's voters, if one is due.
+// Package voters computes the next change of the consensus group's voters.
 //
-// It is pure: its input is the current configuration, how long each server has not answered the leader, and the view.
-// What it guarantees:
+// The package has no state and no side effects. Its input is the current configuration, how long each server has not
+// answered the leader, and the membership view. It guarantees:
 //
-//   - After a change the reachable voters are a majority; without a majority now there is no change at all.
-//   - One change at a time, each worked out anew from the configuration that the last one left.
-//   - At most Rule.MaxVoters voters. A server gets a vote only if it is alive by the view, reachable and caught up.
-//   - A reachable voter loses its vote only to a server that spreads the votes better, and only while all voters are
+//   - The reachable voters are a majority after each change. Without a majority there is no change.
+//   - Each change adds, promotes or removes one server, and is computed from the configuration after the last change.
+//   - There are at most Rule.MaxVoters voters. A server becomes a voter only if it is alive in the view, reachable and
+//     caught up.
+//   - A reachable voter is replaced only if that improves the placement of the voters, and only while all voters are
 //     reachable.
-//   - A process that lost its disk is a different server: the old one is replaced, and never counts as reachable.
+//   - A process that lost its disk is a different server. The old server is replaced and never counts as reachable.
 //
-// It must never count a server as reachable because the view says so: only the leader's own calls tell.
+// Only the leader's own calls decide whether a server is reachable, never the view.
 package voters
 
 import (
@@ -21,52 +22,53 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// Rule is the limits that a change must keep.
+// Rule holds the limits that Next keeps.
 type Rule struct {
 	MaxVoters        int
-	DeadAfter        time.Duration // a server silent for so long, and not in the view, counts as dead
-	UnreachableAfter time.Duration // a server silent for so long counts as unreachable
+	DeadAfter        time.Duration // a server that has not answered for this long and is not present in the view counts as dead
+	UnreachableAfter time.Duration // a server that has not answered for this long counts as unreachable
 }
 
-// ID identifies a server: a name and the folder that holds its records. The same name with another folder is another
-// server.
+// ID identifies a raft server by the name of its process and the random name of the folder with its records. The same
+// process with another folder is another server.
 type ID struct {
 	Name   view.Name
 	Folder string
 }
 
-// Server is one server of the configuration, as the leader knows it.
+// Server is what the leader knows of one server of the configuration.
 type Server struct {
 	ID
 	Voter     bool
-	SilentFor time.Duration // since it last answered the leader; 0 for the leader itself
-	CaughtUp  bool          // its latest answer had all committed entries
+	SilentFor time.Duration // time since it last answered the leader; 0 for the leader itself
+	CaughtUp  bool          // its log had all committed entries at its latest answer
 }
 
-// Kind is what a change does.
+// Kind is the kind of a Change.
 type Kind uint8
 
+// Kinds of changes.
 const (
-	Stage   Kind = iota + 1 // add a server as nonvoter, so that it catches up
+	Stage   Kind = iota + 1 // add a server as nonvoter, so that it catches up with the log
 	Promote                 // make a staged server a voter
-	Remove                  // remove a server
+	Remove                  // remove a voter or nonvoter
 )
 
-// Change is one change of the configuration.
+// Change is a change of one server in the configuration.
 type Change struct {
 	Kind
 	ID
 }
 
-// State is what a change is worked out from.
+// State is the input of Next.
 type State struct {
 	Leader  ID
 	Servers []Server
 	View    *view.View
-	Skipped map[ID]bool // servers not to be staged now, as they recently did not catch up
+	Skipped map[ID]bool // servers that must not be staged now because they recently did not catch up
 }
 
-// planner works out one change.
+// planner holds the intermediate results of one call of Next.
 type planner struct {
 	State
 	rule            Rule
@@ -75,7 +77,7 @@
 	reachableVoters int
 }
 
-// Next returns the change that is due, and whether there is one.
+// Next returns the next change of the configuration and reports whether one is due.
 func Next(s State, rule Rule) (Change, bool) {
 	p := planner{State: s, rule: rule}
 	for _, server := range slices.SortedFunc(slices.Values(s.Servers), func(a, b Server) int {
@@ -113,20 +115,23 @@
 	return Change{}, false
 }
 
-func majority(reached, of int) bool { return reached > of/2 }
+// majority reports whether count servers are a majority of total.
+func majority(count, total int) bool { return count > total/2 }
 
-// reachable reports whether a server answers the leader.
+// reachable reports whether a server answers the leader. A replaced server never counts as reachable.
 func (p *planner) reachable(s Server) bool {
 	return s.ID == p.Leader || s.SilentFor < p.rule.UnreachableAfter && !p.replaced(s.ID)
 }
 
-// replaced reports whether a server's name is in the view with another folder, so that the server will never come back.
+// replaced reports whether the view shows the server's process with another folder, so that the server will never
+// return.
 func (p *planner) replaced(id ID) bool {
 	m, found := p.View.Find(id.Name)
 	return found && m.Present() && m.Folder != id.Folder
 }
 
-// isDead reports whether a server counts as dead. One that is silent but in the view does not: it may be the link's fault.
+// isDead reports whether a server counts as dead. A server that does not answer but is present in the view does not, as
+// only the link may have failed.
 func (p *planner) isDead(s Server) bool {
 	if s.ID == p.Leader {
 		return false
@@ -138,19 +143,20 @@
 	return s.SilentFor >= p.rule.DeadAfter && (!found || !m.Present())
 }
 
-// safeWithout reports whether the reachable voters are a majority once this one is removed.
+// safeWithout reports whether the reachable voters are still a majority after the removal of one voter.
 func (p *planner) safeWithout(id ID) bool {
-	reached := p.reachableVoters
+	remaining := p.reachableVoters
 	for _, v := range p.voters {
 		if v.ID == id && p.reachable(v) {
-			reached--
+			remaining--
 		}
 	}
-	return majority(reached, len(p.voters)-1)
+	return majority(remaining, len(p.voters)-1)
 }
 
-// betterWithout reports whether a dead voter should be removed even though there is no replacement: an odd number of
-// voters tolerates as many failures as the even number above it, and without two dead voters it tolerates one more.
+// betterWithout reports whether a dead voter should be removed although there is no replacement. An odd number of
+// voters tolerates as many failures as the even number above it, and the removal of two dead voters makes the group
+// tolerate one more failure.
 func (p *planner) betterWithout() bool {
 	dead := 0
 	for _, v := range p.voters {
@@ -161,8 +167,10 @@
 	return dead > 1 || len(p.voters)%2 == 0
 }
 
-// voterToReplace is a dead voter; else the worst placed of too many voters; else one whose replacement by the best
-// candidate spreads the votes better.
+// voterToReplace returns the voter that should be removed and reports whether there is one. A dead voter comes first.
+// Otherwise, while all voters are reachable, it is the voter with the worst placement if there are more than MaxVoters
+// voters, or if its replacement by the best candidate improves the placement. The leader is never replaced for its
+// placement.
 func (p *planner) voterToReplace() (ID, bool) {
 	for _, v := range p.voters {
 		if p.isDead(v) {
@@ -173,13 +181,13 @@
 		return ID{}, false
 	}
 	var worst ID
-	var least cost
+	var lowest cost
 	for _, v := range p.voters {
-		if v.ID == p.Leader { // removing the leader would cost an election
+		if v.ID == p.Leader { // the removal of the leader would cause an election
 			continue
 		}
-		if s := p.placementCost(p.votersWithout(v.ID)); worst == (ID{}) || s.less(least) {
-			worst, least = v.ID, s
+		if s := p.placementCost(p.votersWithout(v.ID)); worst == (ID{}) || s.less(lowest) {
+			worst, lowest = v.ID, s
 		}
 	}
 	if worst == (ID{}) {
@@ -198,25 +206,27 @@
 	return worst, true
 }
 
-// targetVoters is how many voters there should be: the largest odd number of servers that can vote, up to MaxVoters.
+// targetVoters returns how many voters there should be: the largest odd number up to MaxVoters for which there are
+// enough servers that can vote.
 func (p *planner) targetVoters() int {
-	able := 0
+	eligible := 0
 	for _, v := range p.voters {
 		if !p.isDead(v) {
-			able++
+			eligible++
 		}
 	}
-	able += len(p.candidates())
-	n := min(able, p.rule.MaxVoters)
+	eligible += len(p.candidates())
+	n := min(eligible, p.rule.MaxVoters)
 	if n%2 == 0 {
 		n--
 	}
 	return n
 }
 
-// candidates are the members that are alive, take part in raft and have no vote.
+// candidates returns the members that can become voters: they are alive in the view, take part in raft, have no vote
+// yet, and are neither skipped nor staged without being reachable.
 func (p *planner) candidates() []view.Member {
-	var able []view.Member
+	var eligible []view.Member
 	for _, m := range p.View.Members {
 		id := ID{m.Name, m.Folder}
 		if m.State != view.Alive || m.Raft == "" || m.Folder == "" || p.Skipped[id] {
@@ -229,24 +239,26 @@
 		if i := slices.IndexFunc(p.staged, sameID); i >= 0 && !p.reachable(p.staged[i]) {
 			continue
 		}
-		able = append(able, m)
+		eligible = append(eligible, m)
 	}
-	return able
+	return eligible
 }
 
-// bestCandidate is the server to get a vote next: the one that spreads the votes best, then the larger, then by name.
+// bestCandidate returns the server that should become a voter next, in place of outgoing if hasOutgoing is set, and
+// reports whether there is one. It is the candidate with the lowest placement cost, and the first by name among equals.
+// There is none while the group has enough voters.
 func (p *planner) bestCandidate(outgoing ID, hasOutgoing bool) (placedServer, bool) {
 	remaining := p.votersWithout(outgoing)
 	if len(p.voters) > p.rule.MaxVoters || !hasOutgoing && len(p.voters) >= p.targetVoters() {
 		return placedServer{}, false
 	}
 	var best placedServer
-	var least cost
+	var lowest cost
 	found := false
 	for _, m := range p.candidates() {
 		c := placedServer{ID{m.Name, m.Folder}, m.Zone, m.Region, m.Size}
-		if s := p.placementCost(append(slices.Clone(remaining), c)); !found || s.less(least) {
-			best, least, found = c, s, true
+		if s := p.placementCost(append(slices.Clone(remaining), c)); !found || s.less(lowest) {
+			best, lowest, found = c, s, true
 		}
 	}
 	return best, found
--- a/internal/cluster/consensus/voters/voters_test.go
+++ b/internal/cluster/consensus/voters/voters_test.go
@@ -13,14 +13,15 @@
 
 var rule = Rule{MaxVoters: 5, DeadAfter: time.Minute, UnreachableAfter: time.Second}
 
-// simulation is a fleet in which processes die, return and lose their disks, and a group that makes Next's changes.
+// simulation is a fleet whose processes die, return and lose their disks, and a group that makes the changes of Next.
 type simulation struct {
 	members   map[view.Name]*view.Member
-	silentFor map[ID]time.Duration
-	servers   []Server
+	silentFor map[ID]time.Duration // Server.SilentFor of the servers that are down
+	servers   []Server             // the configuration
 	leader    ID
 }
 
+// newSimulation draws a fleet of up to 12 processes in up to 6 zones, with 1, 3 or 5 voters.
 func newSimulation(t *rapid.T) *simulation {
 	w := &simulation{members: map[view.Name]*view.Member{}, silentFor: map[ID]time.Duration{}}
 	zones := rapid.IntRange(1, 6).Draw(t, "zones")
@@ -38,6 +39,7 @@
 	return w
 }
 
+// names returns the sorted names of all processes.
 func (w *simulation) names() (names []view.Name) {
 	for name := range w.members {
 		names = append(names, name)
@@ -46,6 +48,7 @@
 	return names
 }
 
+// view returns the membership view of the leader.
 func (w *simulation) view() *view.View {
 	var all []view.Member
 	for _, m := range w.members {
@@ -54,12 +57,13 @@
 	return view.New(w.leader.Name, 1, all)
 }
 
+// up reports whether a server runs: its process is alive and has the server's folder.
 func (w *simulation) up(id ID) bool {
 	m := w.members[id.Name]
 	return m.State == view.Alive && m.Folder == id.Folder
 }
 
-// counts returns how many voters are up, and how many there are.
+// counts returns how many voters are up and how many there are.
 func (w *simulation) counts() (up, of int) {
 	for _, s := range w.servers {
 		if s.Voter {
@@ -72,7 +76,7 @@
 	return up, of
 }
 
-// elect makes a voter that is up the leader, if there is one, and returns whether there is a majority for it.
+// elect makes a voter that is up the leader, if the leader is down, and reports whether a majority of the voters is up.
 func (w *simulation) elect() bool {
 	for _, s := range w.servers {
 		if s.Voter && w.up(s.ID) && !w.up(w.leader) {
@@ -89,9 +93,10 @@
 	return up > of/2
 }
 
-// step makes the change that Next returns, and checks everything guaranteed of a change.
+// step makes the change that Next returns, checks everything that the package guarantees for a change, and reports
+// whether there was one.
 func (w *simulation) step(t *rapid.T) bool {
-	leads := w.elect()
+	hasMajority := w.elect()
 	if !w.up(w.leader) {
 		return false
 	}
@@ -100,8 +105,8 @@
 	switch {
 	case !due:
 		return false
-	case !leads:
-		t.Fatalf("%v without a majority: %v", change, w.servers)
+	case !hasMajority:
+		t.Fatalf("change %v without a majority: %v", change, w.servers)
 	}
 	i := at(change.ID)
 	switch {
@@ -112,15 +117,15 @@
 		w.servers = append(w.servers, Server{ID: change.ID})
 	case change.Kind == Promote:
 		if i < 0 || w.servers[i].Voter || !w.servers[i].CaughtUp || !w.up(change.ID) {
-			t.Fatalf("%v is given a vote", change.ID)
+			t.Fatalf("%v becomes a voter, but is not staged, caught up and up", change.ID)
 		}
 		w.servers[i].Voter = true
 	case i < 0 || change.ID == w.leader:
-		t.Fatalf("%v is taken out", change.ID)
+		t.Fatalf("%v is removed, but is the leader or not in the configuration", change.ID)
 	default:
 		up, of := w.counts()
 		if w.servers[i].Voter && w.up(change.ID) && up < of {
-			t.Fatalf("%v loses its vote while another is away", change.ID)
+			t.Fatalf("%v is up and removed while another voter is down", change.ID)
 		}
 		w.servers = slices.Delete(w.servers, i, i+1)
 	}
@@ -130,7 +135,7 @@
 	return true
 }
 
-// settle lets all staged servers catch up until no more change is due, which must come.
+// settle lets all staged servers catch up until no change is due. It fails if there is no end of changes.
 func (w *simulation) settle(t *rapid.T) {
 	for n := 0; ; n++ {
 		if n > 100 {
@@ -145,6 +150,7 @@
 	}
 }
 
+// TestVoters draws sequences of faults and checks what the package guarantees after each change.
 func TestVoters(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newSimulation(t)
@@ -160,7 +166,7 @@
 				m := pick(t)
 				m.State = rapid.SampledFrom([]view.State{view.Dead, view.Left}).Draw(t, "how")
 				w.silentFor[ID{m.Name, m.Folder}] = 2 * rule.UnreachableAfter
-				for id, silence := range w.silentFor { // what the name was before as well
+				for id, silence := range w.silentFor { // the earlier servers of the same process as well
 					if id.Name == m.Name {
 						w.silentFor[id] = max(silence, 2*rule.UnreachableAfter)
 					}
@@ -176,7 +182,7 @@
 			"return": func(t *rapid.T) { pick(t).State = view.Alive },
 			"lose its disk": func(t *rapid.T) {
 				m := pick(t)
-				w.silentFor[ID{m.Name, m.Folder}] = 0 // the leader has not noticed yet
+				w.silentFor[ID{m.Name, m.Folder}] = 0 // the leader has not noticed yet that the old server is gone
 				m.Folder += "1"
 				m.State = view.Alive
 			},
@@ -187,13 +193,12 @@
 				}
 			},
 		})
-		// All return: in the end there are as many as should be, all up, and no region or zone has more than its part
-		// by two or more while another has room.
+		// After all processes have returned, the group must reach the target number of voters, all of them up.
 		for _, m := range w.members {
 			m.State = view.Alive
 		}
 		if !w.elect() {
-			return // too many disks were lost: only people can help
+			return // too many disks were lost; the group needs an operator
 		}
 		w.settle(t)
 		up, of := w.counts()
@@ -204,7 +209,8 @@
 	})
 }
 
-// Five of twelve in six zones of three regions: two, two and one by region, and no zone twice.
+// TestVotesSpreadOverZones checks the placement of five voters among twelve processes in six zones of three regions:
+// the regions get two, two and one voters, and each voter is in another zone.
 func TestVotesSpreadOverZones(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newSimulation(t)
@@ -228,7 +234,8 @@
 	})
 }
 
-// A dead voter without a replacement stays while its removal gains nothing: of five voters with one dead, not with two.
+// TestDeadVoterWithoutReplacementStays checks that a dead voter without a replacement is removed only if the group then
+// tolerates more failures. Of five voters that is so if two are dead, but not if one is.
 func TestDeadVoterWithoutReplacementStays(t *testing.T) {
 	for dead, want := range []bool{false, false, true} {
 		s := State{Leader: ID{"a", "1"}}
@@ -243,7 +250,7 @@
 		}
 		s.View = view.New("a", 1, members)
 		if change, due := Next(s, rule); due != want {
-			t.Errorf("%d dead: %v", dead, change)
+			t.Errorf("%d dead voters: change %v", dead, change)
 		}
 	}
 }
--- a/internal/cluster/leadercall/caller.go
+++ b/internal/cluster/leadercall/caller.go
@@ -1,6 +1,6 @@
 package leadercall
 
-// This file is calls to other processes: to one, to several in turn, and with retries until a deadline.
+// This file calls other processes: one, several in turn, or with retries until a deadline.
 
 import (
 	"context"
@@ -12,26 +12,27 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// Caller calls other processes, and this one, on behalf of one part. All fields are set before the first call.
+// Caller sends the messages of one part to other processes, and to this process itself. All fields must be set before
+// the first call. Its methods are safe for concurrent use.
 type Caller struct {
-	Part           string // prefix of error texts
+	Part           string // name of the part, which is the prefix of error texts
 	Link           Link
 	Consensus      Consensus
 	Self           view.Name
-	Life           func() view.Life   // of this process; takes the part's lock
-	Candidates     func() []view.Name // who may lead, the likeliest first; takes the part's lock
-	Done           <-chan struct{}    // closed when this process ends
-	CallTimeout    time.Duration      // of one message
-	MinBackoff     time.Duration      // between attempts, doubled up to MaxBackoff
+	Life           func() view.Life   // current incarnation of this process; acquires the part's lock
+	Candidates     func() []view.Name // processes that may lead, the likeliest first; acquires the part's lock
+	Done           <-chan struct{}    // closed when the part ends, which ends all retries
+	CallTimeout    time.Duration      // of one message with its answer
+	MinBackoff     time.Duration      // first delay between two attempts; doubled after each attempt up to MaxBackoff
 	MaxBackoff     time.Duration
-	ErrNoCandidate error // no candidate is known
-	ErrUndecided   error // the cause of failure of a proposal for which there never was a candidate
+	ErrNoCandidate error // returned when Candidates returns none
+	ErrUndecided   error // the cause in Propose's error if no candidate was known at any attempt
 
 	handlers map[string]Handler
 }
 
-// Handle registers the handlers of messages by path, whether they come over the link or from this process itself. It is
-// called once.
+// Handle registers the handlers of messages by path, for messages over the link and for those of this process to
+// itself. It must be called once, before the first call.
 func (c *Caller) Handle(handlers map[string]Handler) {
 	c.handlers = handlers
 	for path, h := range handlers {
@@ -39,8 +40,9 @@
 	}
 }
 
-// Call sends one message and decodes the answer into out, within CallTimeout. A message to this process itself (the
-// leader may be the root of the tree) goes to its handler without the link.
+// Call sends one message and decodes the answer into out. It returns after CallTimeout at the latest. A message to this
+// process itself is passed to its handler without the link; there are such messages when the leader is the root of the
+// tree.
 func (c *Caller) Call(ctx context.Context, to view.Name, path string, in, out any) error {
 	ctx, cancel := context.WithTimeout(ctx, c.CallTimeout)
 	defer cancel()
@@ -62,15 +64,15 @@
 	return json.Unmarshal(body, out)
 }
 
-// Propose has an order committed: by calling here where this process leads, otherwise by the first candidate that
-// answers on path. It retries until ctx ends, so the order must be idempotent. After an error it is not known whether
-// the order was committed.
+// Propose proposes an order. While this process leads, Propose calls here; otherwise it sends in to one candidate after
+// the other on path, until one answers, and decodes the answer into out. It retries until ctx ends, so the order must
+// be idempotent. After an error it is unknown whether the order was committed.
 func (c *Caller) Propose(ctx context.Context, here func() error, path string, in, out any) error {
 	lastErr := c.ErrUndecided
-	return c.retry(ctx, c.MinBackoff, c.MaxBackoff, "not known to be decided", func() error {
+	return c.retry(ctx, c.MinBackoff, c.MaxBackoff, "not known whether the order was committed", func() error {
 		err := c.askLeader(ctx, here, path, in, out)
 		if err != nil && !errors.Is(err, c.ErrNoCandidate) {
-			lastErr = err // a candidate's error says more than that there is none now
+			lastErr = err // if there is no candidate now, the last candidate's error is the more useful one
 		}
 		if err != nil {
 			return lastErr
@@ -79,15 +81,16 @@
 	})
 }
 
-// Query gets the leader's answer: by calling here where this process leads, otherwise from the first candidate that
-// answers on path. It retries at this interval until ctx ends.
+// Query gets an answer that only the leader can give. While this process leads, Query calls here; otherwise it sends in
+// to one candidate after the other on path, until one answers, and decodes the answer into out. It retries at the given
+// interval until ctx ends.
 func (c *Caller) Query(ctx context.Context, interval time.Duration, here func() error, path string, in, out any) error {
-	return c.retry(ctx, interval, interval, "the council's leader was not reached", func() error {
+	return c.retry(ctx, interval, interval, "the leader of the consensus group was not reached", func() error {
 		return c.askLeader(ctx, here, path, in, out)
 	})
 }
 
-// askLeader makes one attempt.
+// askLeader makes one attempt of Propose or Query.
 func (c *Caller) askLeader(ctx context.Context, here func() error, path string, in, out any) error {
 	if c.Consensus.Leading() {
 		return here()
@@ -95,7 +98,8 @@
 	return c.askInTurn(ctx, path, in, out)
 }
 
-// askInTurn asks one candidate after the other until one answers.
+// askInTurn sends a message to one candidate after the other until one answers. It returns the last candidate's error,
+// or ErrNoCandidate.
 func (c *Caller) askInTurn(ctx context.Context, path string, in, out any) error {
 	err := c.ErrNoCandidate
 	for _, name := range c.Candidates() {
@@ -109,7 +113,8 @@
 	return err
 }
 
-// retry repeats an attempt with backoff until it succeeds, ctx ends or this process does.
+// retry repeats an attempt with backoff until it succeeds, ctx ends, or Done is closed. failure is part of the error
+// text when ctx ends.
 func (c *Caller) retry(ctx context.Context, backoff, maxBackoff time.Duration, failure string, attempt func() error) error {
 	for ; ; backoff = min(2*backoff, maxBackoff) {
 		err := attempt()
@@ -121,7 +126,7 @@
 		case <-ctx.Done():
 			return fmt.Errorf("%s: %s: %w", c.Part, failure, err)
 		case <-c.Done:
-			return fmt.Errorf("%s: this process ends: %w", c.Part, err)
+			return fmt.Errorf("%s: this process is shutting down: %w", c.Part, err)
 		}
 	}
 }
--- a/internal/cluster/leadercall/http.go
+++ b/internal/cluster/leadercall/http.go
@@ -1,6 +1,7 @@
 package leadercall
 
-// This file is the HTTP side: the limit of concurrent orders, and how one is decoded and answered.
+// This file has what the HTTP handlers of the parts share: a limit of concurrent requests, and functions that decode
+// orders and write answers.
 
 import (
 	"encoding/json"
@@ -9,23 +10,25 @@
 	"time"
 )
 
-// maxWait bounds the query parameter for=.
+// maxWait is the maximum of the query parameter for=.
 const maxWait = 60 * time.Second
 
-// RetrySoon is the Retry-After, in seconds, of an order that may succeed at once.
+// RetrySoon is the Retry-After header, in seconds, of an answer to an order that may succeed at the next attempt.
 const RetrySoon = "1"
 
-// ErrorResponse is the body of an answer to an order that is rejected or failed.
+// ErrorResponse is the body of the answer to a request that was rejected or has failed. Field is the wrong field of the
+// request, if a single field is wrong.
 type ErrorResponse struct {
 	Error   string  `json:"error"`
 	Field   string  `json:"field,omitempty"`
-	Current *uint64 `json:"current,omitempty"` // the newest version, where the order was based on an older one
+	Current *uint64 `json:"current,omitempty"` // the newest version, if the order was based on an older one
 }
 
-// Limiter bounds concurrent requests to its capacity. More are answered with 503 and Retry-After.
+// Limiter limits the number of concurrent requests to the capacity of the channel. Further requests are answered with
+// 503 and a Retry-After header.
 type Limiter chan struct{}
 
-// Limit wraps a handler in the limiter.
+// Limit returns a handler that calls the given one within the limit.
 func (l Limiter) Limit(handler http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, request *http.Request) {
 		select {
@@ -33,26 +36,26 @@
 			defer func() { <-l }()
 			handler(w, request)
 		default:
-			WriteRetryLater(w, RetrySoon, ErrorResponse{Error: "too many orders at once; come back"})
+			WriteRetryLater(w, RetrySoon, ErrorResponse{Error: "too many concurrent requests; retry later"})
 		}
 	}
 }
 
-// WriteJSON answers with a body in JSON.
+// WriteJSON writes an answer with this status and body as JSON.
 func WriteJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(body) // the caller may be gone
+	_ = json.NewEncoder(w).Encode(body) // an error means that the caller has closed the connection
 }
 
-// WriteRetryLater answers with 503 and how many seconds to wait before a retry.
+// WriteRetryLater writes an answer with status 503 and a Retry-After header of this many seconds.
 func WriteRetryLater(w http.ResponseWriter, seconds string, response ErrorResponse) {
 	w.Header().Set("Retry-After", seconds)
 	WriteJSON(w, http.StatusServiceUnavailable, response)
 }
 
-// ReadOrder decodes an order of at most maxBytes and returns whether that succeeded. Otherwise it has answered with 400
-// and what is wrong, which may be an unknown field.
+// ReadOrder decodes a request body of at most maxBytes into order and reports whether that succeeded. If not, it has
+// answered with status 400 and an ErrorResponse. An unknown field is an error.
 func ReadOrder(w http.ResponseWriter, request *http.Request, maxBytes int64, order any) bool {
 	decoder := json.NewDecoder(http.MaxBytesReader(w, request.Body, maxBytes))
 	decoder.DisallowUnknownFields()
@@ -69,8 +72,9 @@
 	return false
 }
 
-// ParseWait reads how long the caller waits from the query parameters wait=, whose only value is word, and for=, which
-// may be omitted for defaultWait. It returns 0 without wait=. Where ok is false it has answered with 400.
+// ParseWait returns how long the caller is ready to wait. The query parameter wait= must have the value word; without
+// it ParseWait returns 0. The parameter for= is the duration, defaultWait if it is omitted. If ok is false, ParseWait
+// has answered with status 400 and an ErrorResponse.
 func ParseWait(w http.ResponseWriter, request *http.Request, word string, defaultWait time.Duration) (wait time.Duration, ok bool) {
 	values := request.URL.Query()
 	switch values.Get("wait") {
@@ -86,7 +90,7 @@
 	}
 	wait, err := time.ParseDuration(values.Get("for"))
 	if err != nil || wait <= 0 || wait > maxWait {
-		WriteJSON(w, http.StatusBadRequest, ErrorResponse{Error: "for must be a span up to " + maxWait.String() + ", as 5s", Field: "for"})
+		WriteJSON(w, http.StatusBadRequest, ErrorResponse{Error: "for must be a positive duration of at most " + maxWait.String() + ", for example 5s", Field: "for"})
 		return 0, false
 	}
 	return wait, true
--- a/internal/cluster/leadercall/leadercall.go
+++ b/internal/cluster/leadercall/leadercall.go
@@ -1,12 +1,14 @@
-// Package leadercall is what is common to the parts that have orders of HTTP callers committed by the consensus group and
-// then distributed over the tree (purge/run and configuration/run): the interfaces they use, how they find and call the
-// leader with retries, and how they answer over HTTP.
+// Package leadercall holds the code that purge/run and configuration/run share. Both parts accept orders over HTTP,
+// have them committed by the consensus group, and distribute the result over the tree of processes. The package defines
+// the interfaces of the link, the consensus group and the tree, finds and calls the leader with retries, and writes
+// answers over HTTP.
 //
-// It owns the handlers of a Caller, the slots of a Limiter and the channels of Signals, and no other state. It must
-// never know what is ordered, decide anything about it, start a goroutine, or call another process with a lock held. It
-// has no lock of its own: Signals use the part's, and a Caller reads the part's state through functions that lock.
+// The package owns the handlers of a Caller, the slots of a Limiter and the channels of Signals, and no other state. It
+// does not depend on the content of an order, starts no goroutine, and never calls another process with a lock held. It
+// has no lock of its own: Signals uses the lock of the part, and a Caller reads the part's state through functions that
+// acquire that lock.
 //
-// This file is the interfaces, and the process's position among the others.
+// This file holds the interfaces and the functions that find this process's neighbours in the tree.
 package leadercall
 
 import (
@@ -19,34 +21,38 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// Handler handles a message of another process and returns the answer.
+// Handler handles a message from another process. The answer is encoded as JSON; an error makes the call fail.
 type Handler = func(ctx context.Context, from view.Life, body []byte) (any, error)
 
-// Link carries messages between processes, and serves HTTP to callers.
+// Link carries messages between processes and has the HTTP interface for callers.
 type Link interface {
+	// Call sends a message to the handler of path at another process and decodes the answer into out.
 	Call(ctx context.Context, to view.Name, path string, in, out any) error
+	// Handle registers the handler of a path.
 	Handle(path string, h Handler)
+	// Public returns the HTTP interface for callers.
 	Public() *http.ServeMux
 }
 
-// Consensus is where orders are committed. A part's ledger may be read only inside Read.
+// Consensus is the interface of the consensus group that commits orders (see consensus.Group). A part may read its
+// ledger only inside Read.
 type Consensus interface {
 	Propose(ctx context.Context, part, kind string, body any) (json.RawMessage, error)
 	Leader() (view.Name, bool)
 	Leading() bool
-	Ask() []view.Name // who may lead, the likeliest first
+	Ask() []view.Name // processes that may lead, the likeliest first
 	Clock() time.Duration
 	Read(f func(index uint64))
 }
 
-// Tree says who reports to whom.
+// Tree is the tree over which versions and reports are distributed.
 type Tree interface {
 	Parent(p view.Name) (view.Name, bool)
 	Children(p view.Name) []view.Name
 	Root() view.Name
 }
 
-// NoConsensus is the Consensus of a process that is not in the consensus group.
+// NoConsensus implements Consensus for a process that is not in the consensus group.
 type NoConsensus struct {
 	NotLeading error // returned by Propose
 }
@@ -56,28 +62,28 @@
 	return nil, o.NotLeading
 }
 
-// Leader is unknown.
+// Leader returns false: the leader is not known.
 func (NoConsensus) Leader() (view.Name, bool) { return "", false }
 
-// Leading is false.
+// Leading returns false.
 func (NoConsensus) Leading() bool { return false }
 
-// Ask names nobody.
+// Ask returns nil.
 func (NoConsensus) Ask() []view.Name { return nil }
 
-// Clock is always 0.
+// Clock returns 0.
 func (NoConsensus) Clock() time.Duration { return 0 }
 
-// Read does not call f: there is no ledger.
+// Read does nothing, because there is no ledger.
 func (NoConsensus) Read(func(uint64)) {}
 
-// NewClock returns a clock that starts at 0 now.
+// NewClock returns a monotonic clock that starts at 0 now.
 func NewClock() func() view.Uptime {
 	start := time.Now()
 	return func() view.Uptime { return time.Since(start) }
 }
 
-// LifeOf is the incarnation of a process in the view; the zero value for one that is not in it.
+// LifeOf returns the incarnation of a process in the view, or the zero value if the process is not in the view.
 func LifeOf(v *view.View, name view.Name) view.Life {
 	m, found := v.Find(name)
 	if !found {
@@ -86,28 +92,29 @@
 	return m.Life
 }
 
-// TreePosition returns the parent and the children of self in the tree. At the root (top is true) the parent is the
-// leader where it is known, and otherwise lastLeader, which last called self as the leader. A parent that is not in the
-// view is the zero value; such children are omitted.
-func TreePosition(members *view.View, tree Tree, self, leader view.Name, known bool, lastLeader view.Life) (above view.Life, top bool, below []view.Life) {
-	if parent, found := tree.Parent(self); found {
-		above = LifeOf(members, parent)
+// TreePosition returns the parent and the children of self in the tree, and reports whether self is the root. The
+// parent of the root is the leader if it is known, and otherwise lastLeader, the process that last called self as the
+// leader. A parent that is not in the view is the zero value. Children that are not in the view are omitted.
+func TreePosition(members *view.View, tree Tree, self, leader view.Name, known bool, lastLeader view.Life) (parent view.Life, isRoot bool, children []view.Life) {
+	if name, found := tree.Parent(self); found {
+		parent = LifeOf(members, name)
 	} else if tree.Root() == self {
-		top, above = true, lastLeader
+		isRoot, parent = true, lastLeader
 		if known {
-			above = LifeOf(members, leader)
+			parent = LifeOf(members, leader)
 		}
 	}
 	for _, name := range tree.Children(self) {
 		if life := LifeOf(members, name); life.Name != "" {
-			below = append(below, life)
+			children = append(children, life)
 		}
 	}
-	return above, top, below
+	return parent, isRoot, children
 }
 
-// Candidates lists whom self asks for what only the leader can answer: the likely ones, or without any the process that
-// last called as the leader; then others of the view (which may be nil) up to the limit, those with raft records first.
+// Candidates returns the processes that self asks when only the leader can answer. The likely processes come first, or
+// lastLeader (the process that last called as the leader) if there are none. Present members of the view follow, those
+// with raft records first, until there are limit processes. members may be nil. self is never in the result.
 func Candidates(likely []view.Name, lastLeader view.Name, members *view.View, self view.Name, limit int) []view.Name {
 	all := slices.Clone(likely)
 	if lastLeader != "" && len(all) == 0 {
--- a/internal/cluster/leadercall/leadercall_test.go
+++ b/internal/cluster/leadercall/leadercall_test.go
@@ -15,10 +15,10 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// unreachableLink is a link over which nobody answers; it records whom it called.
+// unreachableLink is a link over which no process answers. It records which processes were called.
 type unreachableLink struct{ called []view.Name }
 
-var errUnreachable = errors.New("not reached")
+var errUnreachable = errors.New("not reachable")
 
 func (u *unreachableLink) Call(_ context.Context, to view.Name, _ string, _, _ any) error {
 	u.called = append(u.called, to)
@@ -27,14 +27,16 @@
 func (u *unreachableLink) Handle(string, Handler) {}
 func (u *unreachableLink) Public() *http.ServeMux { return nil }
 
-func newCaller(u *unreachableLink, whom func() []view.Name) *Caller {
+// newCaller returns a Caller on a process outside the consensus group.
+func newCaller(u *unreachableLink, candidates func() []view.Name) *Caller {
 	return &Caller{Part: "part", Link: u, Consensus: NoConsensus{}, Self: "self",
-		Life: func() view.Life { return view.Life{Name: "self", Incarnation: 3} }, Candidates: whom, Done: make(chan struct{}),
+		Life: func() view.Life { return view.Life{Name: "self", Incarnation: 3} }, Candidates: candidates, Done: make(chan struct{}),
 		CallTimeout: time.Minute, MinBackoff: time.Millisecond, MaxBackoff: time.Millisecond,
-		ErrNoCandidate: errors.New("nobody"), ErrUndecided: errors.New("undone")}
+		ErrNoCandidate: errors.New("no candidate"), ErrUndecided: errors.New("undecided")}
 }
 
-// A message to this process itself goes to its own handler, from its current incarnation.
+// TestCallSelfUsesOwnHandler checks that a message of a process to itself is passed to its own handler without the
+// link, with the current incarnation as its sender.
 func TestCallSelfUsesOwnHandler(t *testing.T) {
 	u := &unreachableLink{}
 	c := newCaller(u, nil)
@@ -47,8 +49,8 @@
 	}
 }
 
-// The error of a failed proposal is what a candidate answered, even if none is known any more at the deadline, and it
-// tells what ended the retries.
+// TestRetryReportsTheCause checks that the error of a failed proposal contains the last candidate's error, even if
+// there is no candidate at the deadline, and that the error says what ended the retries.
 func TestRetryReportsTheCause(t *testing.T) {
 	ctx, stop := context.WithCancel(t.Context())
 	attempts := 0
@@ -59,7 +61,7 @@
 		stop()
 		return nil
 	})
-	if err := c.Propose(ctx, nil, "/p", 1, nil); !errors.Is(err, errUnreachable) || !strings.HasPrefix(err.Error(), "part: not known to be decided: ") {
+	if err := c.Propose(ctx, nil, "/p", 1, nil); !errors.Is(err, errUnreachable) || !strings.HasPrefix(err.Error(), "part: not known whether the order was committed: ") {
 		t.Error(err)
 	}
 	if err := c.Propose(ctx, nil, "/p", 1, nil); !errors.Is(err, c.ErrUndecided) {
@@ -71,12 +73,13 @@
 	ended := make(chan struct{})
 	close(ended)
 	c.Done = ended
-	if err := c.Query(t.Context(), time.Hour, nil, "/p", 1, nil); err == nil || !strings.HasPrefix(err.Error(), "part: this process ends: ") {
+	if err := c.Query(t.Context(), time.Hour, nil, "/p", 1, nil); err == nil || !strings.HasPrefix(err.Error(), "part: this process is shutting down: ") {
 		t.Error(err)
 	}
 }
 
-// A wait ends when the state is settled, at its timeout, and when the process ends. The lock is held again each time.
+// TestWaitUntil checks that a wait ends when the state is settled, at the timeout, when the context ends, and when the
+// process ends, and that the lock is held after each wait.
 func TestWaitUntil(t *testing.T) {
 	var mu sync.Mutex
 	s := NewSignals(&mu)
@@ -84,16 +87,16 @@
 	mu.Lock()
 	defer mu.Unlock()
 
-	looks := 0
+	checks := 0
 	s.WaitUntil(t.Context(), nil, time.Hour, func() bool {
-		if looks++; looks < 3 {
-			go func() { // not before the one that waits has let go of the lock
+		if checks++; checks < 3 {
+			go func() { // acquires the lock only after WaitUntil has released it
 				mu.Lock()
 				defer mu.Unlock()
 				s.NotifyChange()
 			}()
 		}
-		return looks == 3
+		return checks == 3
 	})
 	s.WaitUntil(t.Context(), nil, time.Millisecond, never)
 	ended, end := context.WithCancel(t.Context())
@@ -103,17 +106,17 @@
 	if mu.TryLock() {
 		t.Error("the lock is not held after a wait")
 	}
-	if looks != 3 || len(s.Wakeups()) != 1 {
-		t.Errorf("%d looks, %d wakes kept", looks, len(s.Wakeups()))
+	if checks != 3 || len(s.Wakeups()) != 1 {
+		t.Errorf("%d checks of the condition, %d wakeups pending", checks, len(s.Wakeups()))
 	}
 }
 
-// Ready stays closed.
+// TestMarkReadyTwice checks that a second MarkReady has no effect.
 func TestMarkReadyTwice(t *testing.T) {
 	s := NewSignals(&sync.Mutex{})
 	select {
 	case <-s.Ready():
-		t.Error("ready before it was opened")
+		t.Error("ready before MarkReady")
 	default:
 	}
 	s.MarkReady()
@@ -121,12 +124,13 @@
 	<-s.Ready()
 }
 
-// A request over the limit gets 503, and a slot is free again once its request was answered.
+// TestLimiter checks that a request beyond the limit is answered with 503, and that a slot is free again once its
+// request was answered.
 func TestLimiter(t *testing.T) {
-	g := make(Limiter, 1)
+	limiter := make(Limiter, 1)
 	var inner int
 	var h http.HandlerFunc
-	h = g.Limit(func(w http.ResponseWriter, q *http.Request) {
+	h = limiter.Limit(func(w http.ResponseWriter, q *http.Request) {
 		second := httptest.NewRecorder()
 		h(second, q)
 		inner = second.Code
@@ -136,7 +140,7 @@
 		w := httptest.NewRecorder()
 		h(w, httptest.NewRequest("GET", "/", nil))
 		if w.Code != http.StatusOK || inner != http.StatusServiceUnavailable {
-			t.Errorf("%d, and while it was under way %d", w.Code, inner)
+			t.Errorf("status %d, and of a second request meanwhile %d", w.Code, inner)
 		}
 	}
 }
@@ -157,12 +161,12 @@
 	} {
 		w := httptest.NewRecorder()
 		wait, ok := ParseWait(w, httptest.NewRequest("GET", "/?"+query, nil), "done", 5*time.Second)
-		var why ErrorResponse
-		if !ok && (w.Code != http.StatusBadRequest || json.Unmarshal(w.Body.Bytes(), &why) != nil) {
+		var response ErrorResponse
+		if !ok && (w.Code != http.StatusBadRequest || json.Unmarshal(w.Body.Bytes(), &response) != nil) {
 			t.Errorf("%s: %d %s", query, w.Code, w.Body)
 		}
-		if wait != want.wait || why.Field != want.field || ok != (want.field == "") {
-			t.Errorf("%s: %v %v %+v", query, wait, ok, why)
+		if wait != want.wait || response.Field != want.field || ok != (want.field == "") {
+			t.Errorf("%s: %v %v %+v", query, wait, ok, response)
 		}
 	}
 }
@@ -174,29 +178,30 @@
 		}
 		w := httptest.NewRecorder()
 		ok := ReadOrder(w, httptest.NewRequest("POST", "/", strings.NewReader(body)), 15, &order)
-		var why ErrorResponse
-		if ok || json.Unmarshal(w.Body.Bytes(), &why) != nil || w.Code != http.StatusBadRequest || why.Field != field || why.Error == "" {
-			t.Errorf("%s: %v %d %+v", body, ok, w.Code, why)
+		var response ErrorResponse
+		if ok || json.Unmarshal(w.Body.Bytes(), &response) != nil || w.Code != http.StatusBadRequest || response.Field != field || response.Error == "" {
+			t.Errorf("%s: %v %d %+v", body, ok, w.Code, response)
 		}
 	}
 }
 
-// Candidates lists members with raft records before others, up to the limit, and never the process itself.
+// TestCandidates checks that Candidates lists members with raft records before others, keeps the limit, and never lists
+// the process itself.
 func TestCandidates(t *testing.T) {
-	member := func(name view.Name, voted bool) view.Member {
-		return view.Member{Life: view.Life{Name: name, Incarnation: 1}, HasRecords: voted}
+	member := func(name view.Name, hasRecords bool) view.Member {
+		return view.Member{Life: view.Life{Name: name, Incarnation: 1}, HasRecords: hasRecords}
 	}
 	v := view.New("self", 1, []view.Member{member("a", false), member("b", true), member("c", false), member("self", true)})
 	for _, one := range []struct {
-		likely []view.Name
-		spoke  view.Name
-		want   []view.Name
+		likely     []view.Name
+		lastLeader view.Name
+		want       []view.Name
 	}{
 		{nil, "", []view.Name{"b", "a"}},
 		{nil, "c", []view.Name{"c", "b"}},
 		{[]view.Name{"a"}, "c", []view.Name{"a", "b"}},
 	} {
-		if got := Candidates(one.likely, one.spoke, v, "self", 3); !slices.Equal(got, one.want) {
+		if got := Candidates(one.likely, one.lastLeader, v, "self", 3); !slices.Equal(got, one.want) {
 			t.Errorf("%v: %v", one, got)
 		}
 	}
--- a/internal/cluster/leadercall/leadercalltest/leadercalltest.go
+++ b/internal/cluster/leadercall/leadercalltest/leadercalltest.go
@@ -1,8 +1,9 @@
-// Package leadercalltest is the test environment of the parts that use package ordering: many processes in one, connected
-// by in-memory links, with a consensus that fails only on request, and a tree with three children a node.
+// Package leadercalltest is a test environment for the parts that use package leadercall. It runs many processes in one
+// test process, connects them by links in memory, and gives them a tree with three children per node and a consensus
+// that fails only on request.
 //
-// It owns who leads, which links are cut, and the lock around the ledger. It must be imported by tests only, and must
-// never check results itself.
+// The package owns the choice of the leader, the faults of the links, and the lock around the ledger. Only tests may
+// import it. It does not check results.
 package leadercalltest
 
 import (
@@ -20,35 +21,36 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// Ledger is the replicated part that is under test.
+// Ledger is the replicated part under test.
 type Ledger interface {
 	Apply(index uint64, at time.Duration, kind string, body json.RawMessage) (json.RawMessage, error)
 }
 
+// direction is one direction of the link between two processes.
 type direction struct{ from, to view.Name }
 
-// Net is the network and the consensus of all processes.
+// Net is the network and the consensus of all processes. Its methods are safe for concurrent use.
 type Net struct {
 	ledger Ledger
 	start  time.Time
 
 	mu           sync.Mutex
 	leader       view.Name
-	loseAnswerTo string // the kind of command whose next answer is lost
+	loseAnswerTo string // kind of the command whose next answer is lost; "" for none
 	down         map[view.Name]bool
-	cut          map[direction]bool // nothing arrives in these
+	cut          map[direction]bool // directions in which no message arrives
 	links        map[view.Name]*Link
-	calls        map[view.Name]map[string]int // made or received by a process, by path
-	started      map[string]int               // by path
+	calls        map[view.Name]map[string]int // number of calls that a process made or received, by path
+	started      map[string]int               // number of calls, by path
 }
 
-// New returns a Net without processes; leader may be "".
+// New returns a Net without processes. leader is the name of the first leader, or "" for none.
 func New(ledger Ledger, leader view.Name) *Net {
 	return &Net{ledger: ledger, start: time.Now(), leader: leader, down: map[view.Name]bool{}, cut: map[direction]bool{},
 		links: map[view.Name]*Link{}, calls: map[view.Name]map[string]int{}, started: map[string]int{}}
 }
 
-// withLock calls f while no command is applied and the ledger is not read.
+// withLock calls f with the lock held, so that no command is applied and the ledger is not read meanwhile.
 func (n *Net) withLock(f func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -58,7 +60,7 @@
 // SetLeader makes another process the leader.
 func (n *Net) SetLeader(name view.Name) { n.SetLeaderAfter(name, func() {}) }
 
-// SetLeaderAfter changes the ledger by calling change and makes another process the leader, in one step.
+// SetLeaderAfter calls change, which may change the ledger, and then makes another process the leader, in one step.
 func (n *Net) SetLeaderAfter(name view.Name, change func()) {
 	n.withLock(func() {
 		change()
@@ -66,10 +68,10 @@
 	})
 }
 
-// LoseNextAnswer has the next command of a kind applied, and its answer lost.
+// LoseNextAnswer makes Propose return an error for the next command of this kind although the command is applied.
 func (n *Net) LoseNextAnswer(kind string) { n.withLock(func() { n.loseAnswerTo = kind }) }
 
-// SetDown isolates processes from all others, or ends that.
+// SetDown isolates processes from all others, or ends their isolation.
 func (n *Net) SetDown(down bool, names ...view.Name) {
 	n.withLock(func() {
 		for _, name := range names {
@@ -83,31 +85,31 @@
 	n.withLock(func() { n.cut[direction{one, other}], n.cut[direction{other, one}] = off, off })
 }
 
-// CallsStarted is the number of calls on a path.
+// CallsStarted returns the number of calls on a path, by all processes.
 func (n *Net) CallsStarted(path string) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.started[path]
 }
 
-// Calls is the number of calls on a path that one process made or received.
+// Calls returns the number of calls on a path that one process made or received.
 func (n *Net) Calls(name view.Name, path string) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.calls[name][path]
 }
 
-// Join makes a process reachable over its link.
+// Join makes a process reachable over its link, in place of an earlier link of the same process.
 func (n *Net) Join(l *Link) { n.withLock(func() { n.links[l.self.Name] = l }) }
 
-// Mux is the public HTTP interface of a process.
+// Mux returns the public HTTP interface of a process.
 func (n *Net) Mux(name view.Name) *http.ServeMux {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.links[name].mux
 }
 
-// Link is one process's link.
+// Link implements leadercall.Link for one process.
 type Link struct {
 	net    *Net
 	self   view.Life
@@ -115,22 +117,22 @@
 	routes map[string]leadercall.Handler
 }
 
-// Link returns a link for a process, which is reachable once it has joined.
+// Link returns a link for a process. The process is reachable after Join.
 func (n *Net) Link(self view.Life) *Link {
 	return &Link{net: n, self: self, mux: http.NewServeMux(), routes: map[string]leadercall.Handler{}}
 }
 
-// Public is the HTTP interface for callers.
+// Public returns the HTTP interface for callers.
 func (l *Link) Public() *http.ServeMux { return l.mux }
 
 // Handle registers the handler of a path.
 func (l *Link) Handle(path string, h leadercall.Handler) { l.routes[path] = h }
 
-// Call calls the other process's handler.
+// Call calls the handler of the other process. It fails if one of the two processes is down or the link is cut.
 func (l *Link) Call(ctx context.Context, to view.Name, path string, in, out any) error {
 	other := l.net.call(l.self.Name, to, path)
 	if other == nil {
-		return errors.New("not reached")
+		return errors.New("the called process is not reachable")
 	}
 	body, err := json.Marshal(in)
 	if err != nil {
@@ -146,7 +148,7 @@
 	return json.Unmarshal(body, out)
 }
 
-// call counts a call and returns the link that it reaches, or nil.
+// call counts a call and returns the link of the called process, or nil if the call does not reach it.
 func (n *Net) call(from, to view.Name, path string) *Link {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -163,16 +165,16 @@
 	return n.links[to]
 }
 
-// Consensus is one process's access to the consensus.
+// Consensus implements leadercall.Consensus for one process.
 type Consensus struct {
 	net  *Net
 	self view.Name
 }
 
-// Consensus returns that of a process.
+// Consensus returns the Consensus of a process.
 func (n *Net) Consensus(self view.Name) Consensus { return Consensus{n, self} }
 
-// Propose applies a command at once, on the leader only.
+// Propose applies a command at once. It fails on a process that is down or does not lead.
 func (c Consensus) Propose(_ context.Context, _, kind string, body any) (json.RawMessage, error) {
 	c.net.mu.Lock()
 	defer c.net.mu.Unlock()
@@ -186,12 +188,12 @@
 	answer, err := c.net.ledger.Apply(0, c.Clock(), kind, text)
 	if c.net.loseAnswerTo == kind {
 		c.net.loseAnswerTo = ""
-		return nil, errors.New("unsure")
+		return nil, errors.New("the answer was lost")
 	}
 	return answer, err
 }
 
-// Leader is unknown to a process that is down.
+// Leader returns the leader. A process that is down does not know it.
 func (c Consensus) Leader() (view.Name, bool) {
 	c.net.mu.Lock()
 	defer c.net.mu.Unlock()
@@ -204,7 +206,7 @@
 	return known && name == c.self
 }
 
-// Ask names the leader only.
+// Ask returns the leader, or none if this process does not know it.
 func (c Consensus) Ask() []view.Name {
 	name, known := c.Leader()
 	if !known {
@@ -213,19 +215,19 @@
 	return []view.Name{name}
 }
 
-// Clock is the same for all processes.
+// Clock returns the time since New.
 func (c Consensus) Clock() time.Duration { return time.Since(c.net.start) }
 
-// Read calls f while nothing is applied.
+// Read calls f while no command is applied.
 func (c Consensus) Read(f func(uint64)) { c.net.withLock(func() { f(0) }) }
 
-// Tree is a tree of members in which each has up to three children.
+// Tree implements leadercall.Tree. Its members are in breadth-first order, and each has up to three children.
 type Tree []view.Member
 
-// Root is the first member.
+// Root returns the first member.
 func (t Tree) Root() view.Name { return t[0].Name }
 
-// Parent returns false for the root, and for a process that is not in the tree.
+// Parent returns the parent of a process. It returns false for the root and for a process that is not in the tree.
 func (t Tree) Parent(p view.Name) (view.Name, bool) {
 	for i := range t {
 		if t[i].Name == p && i > 0 {
@@ -235,7 +237,7 @@
 	return "", false
 }
 
-// Children are at most three.
+// Children returns the children of a process, at most three.
 func (t Tree) Children(p view.Name) (all []view.Name) {
 	for i := range t {
 		if i > 0 && t[(i-1)/3].Name == p {
@@ -245,7 +247,7 @@
 	return all
 }
 
-// Request makes an HTTP request to a process, decodes the answer into out and returns its status.
+// Request makes an HTTP request to a handler, decodes the JSON answer into out, and returns the status code.
 func Request(t *testing.T, h http.Handler, method, url, body string, out any) int {
 	t.Helper()
 	w := httptest.NewRecorder()
--- a/internal/cluster/leadercall/signals.go
+++ b/internal/cluster/leadercall/signals.go
@@ -1,7 +1,7 @@
 package leadercall
 
-// This file is how the goroutines of a part notify each other: that there is work, that the part's state has changed,
-// and that the process is ready.
+// This file holds the notifications between the goroutines of a part: there is work, the part's state has changed, and
+// the process is ready.
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Signals are the notifications of one part. NewSignals makes them.
+// Signals holds the notifications of one part. NewSignals creates it.
 type Signals struct {
 	mu      sync.Locker
 	wakeups chan struct{}
@@ -17,7 +17,7 @@
 	changed chan struct{} // closed at the next change of state, then replaced; guarded by mu
 }
 
-// NewSignals returns signals for the part that mu guards.
+// NewSignals returns the Signals of a part whose state is guarded by mu.
 func NewSignals(mu sync.Locker) *Signals {
 	return &Signals{mu: mu, wakeups: make(chan struct{}, 1), ready: make(chan struct{}), changed: make(chan struct{})}
 }
@@ -30,21 +30,22 @@
 	}
 }
 
-// Wakeups is what the loop receives from.
+// Wakeups returns the channel on which the part's loop receives a value after Wake. Several calls of Wake may give one
+// value.
 func (s *Signals) Wakeups() <-chan struct{} { return s.wakeups }
 
-// NotifyChange notifies all who wait for a change of state, and wakes the loop. The lock is held.
+// NotifyChange ends all waits for a change of the part's state, and wakes the part's loop. The part's lock is held.
 func (s *Signals) NotifyChange() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 	s.Wake()
 }
 
-// Changed returns a channel that is closed at the next change of state. The lock is held when it is called, but not
-// while its result is waited on.
+// Changed returns a channel that is closed at the next change of the part's state. The part's lock is held during the
+// call, and must be released while waiting on the channel.
 func (s *Signals) Changed() <-chan struct{} { return s.changed }
 
-// MarkReady closes Ready. It may be called more than once.
+// MarkReady closes the channel of Ready. Further calls have no effect. The part's lock must not be held.
 func (s *Signals) MarkReady() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -55,11 +56,11 @@
 	}
 }
 
-// Ready is closed once the process may start work.
+// Ready returns a channel that is closed once the process may start work.
 func (s *Signals) Ready() <-chan struct{} { return s.ready }
 
-// WaitUntil waits until settled returns true, for timeout at most, or until ctx ends or done is closed. The lock is held
-// when it is called, when it calls settled and when it returns, but not while it waits.
+// WaitUntil waits until settled returns true, timeout has passed, ctx ends, or done is closed. The part's lock is held
+// when WaitUntil is called, calls settled, and returns; it is released while WaitUntil waits.
 func (s *Signals) WaitUntil(ctx context.Context, done <-chan struct{}, timeout time.Duration, settled func() bool) {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
