--- a/internal/cluster/configuration/document.go
+++ b/internal/cluster/configuration/document.go
@@ -74,8 +74,8 @@
 }
 
 // Decompress returns the settings that Compress compressed. More than MaxBytes of settings are an error.
-func Decompress(packed []byte) (json.RawMessage, error) {
-	r, err := gzip.NewReader(bytes.NewReader(packed))
+func Decompress(compressed []byte) (json.RawMessage, error) {
+	r, err := gzip.NewReader(bytes.NewReader(compressed))
 	if err != nil {
 		return nil, fmt.Errorf("compressed settings: %w", err)
 	}
--- a/internal/cluster/configuration/ledger/commands.go
+++ b/internal/cluster/configuration/ledger/commands.go
@@ -10,8 +10,6 @@
 // Load (docs/CAPACITY.md, row council voter): one command of the size of the settings in the log per change, and in a
 // snapshot at most MaxDocuments documents and some 400 bytes for each of MaxEntries entries. The load grows with the
 // number of changes up to these limits, and does not depend on the number of members.
-//
-// This file holds the commands, their result, and the entry of a version.
 package ledger
 
 import (
--- a/internal/cluster/configuration/run/announce.go
+++ b/internal/cluster/configuration/run/announce.go
@@ -44,7 +44,7 @@
 	newest := work.state.Newest()
 	message := announcement{spread.Digest{Version: newest.Version, Sum: newest.Sum}}
 	for _, name := range work.roster.DueAnnouncements(work.state.Summary(now).Laggards, maxAnnouncements, now) {
-		r.figures.AnnouncementsSent++
+		r.counters.AnnouncementsSent++
 		r.goroutines.Go(func() {
 			var answer announceAnswer
 			if r.caller.Call(r.ctx, name, pathAnnounce, message, &answer) != nil {
--- a/internal/cluster/configuration/run/apply.go
+++ b/internal/cluster/configuration/run/apply.go
@@ -53,11 +53,11 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if err != nil {
-		r.figures.Rejected++
+		r.counters.Rejected++
 		r.options.Log.Warn("configuration: version not put in force here; the previous version stays in force", zap.Uint64("version", d.Version),
 			zap.Uint64("in force", r.running.Version), zap.Error(err))
 	} else {
-		r.figures.Applied++
+		r.counters.Applied++
 		r.running = clusterapi.Configuration{Version: d.Version, Settings: d.Settings}
 		r.options.Log.Info("configuration: version is in force", zap.Uint64("version", d.Version), zap.String("sum", string(d.Sum)))
 	}
--- a/internal/cluster/configuration/run/catchup.go
+++ b/internal/cluster/configuration/run/catchup.go
@@ -41,7 +41,7 @@
 		r.mu.Lock()
 		state := r.leaderWork.state
 		if state != nil {
-			r.state.SetDecided(state.Newest(), r.options.Now())
+			r.state.SetCommitted(state.Newest(), r.options.Now())
 		}
 		r.mu.Unlock()
 		r.signals.Wake()
--- a/internal/cluster/configuration/run/fetch.go
+++ b/internal/cluster/configuration/run/fetch.go
@@ -56,10 +56,10 @@
 	err = r.caller.Call(ctx, name, pathFetch, request, &answer)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.figures.FetchesSent++
+	r.counters.FetchesSent++
 	r.fetchInFlight = false
 	if err != nil {
-		r.figures.CallsFailed++
+		r.counters.CallsFailed++
 		return answer, err
 	}
 	state.HandleFetchAnswer(answer, r.options.Now())
--- a/internal/cluster/configuration/run/http.go
+++ b/internal/cluster/configuration/run/http.go
@@ -112,8 +112,8 @@
 	leadercall.WriteJSON(w, status, response)
 }
 
-// awaitVersion polls the leader until a version, or a newer one, is in force in all processes that do not reject it, or
-// until the wait has passed. It returns the last state.
+// awaitVersion polls the leader until a version, or a newer one, is in force in all processes that do not reject it,
+// and returns the state. It returns Spreading if the wait has passed first.
 func (r *Runner) awaitVersion(ctx context.Context, version uint64, wait time.Duration) State {
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
--- a/internal/cluster/configuration/run/leader.go
+++ b/internal/cluster/configuration/run/leader.go
@@ -24,7 +24,7 @@
 	reportChanged  bool          // state has changed since the last summary
 	ledgerRevision uint64        // of the ledger when it was last read
 	lastVersion    uint64        // the newest version in the ledger when it was last read
-	seenView       *view.View    // the view that roster was last updated with
+	rosterView     *view.View    // the view that roster was last updated with
 	roster         spread.Roster
 	progress       spread.Progress
 	adoptInFlight  bool // a proposal to adopt a version is in flight
@@ -72,16 +72,16 @@
 	}
 	if update.changed && update.newest.Version > 0 {
 		work.progress.Begin(update.newest.Version, work.leading, now)
-		work.state.SetDecided(update.newest, now)
-		r.state.SetDecided(update.newest, now) // directly, so that this process gets the version even if the tree does not reach it
+		work.state.SetCommitted(update.newest, now)
+		r.state.SetCommitted(update.newest, now) // directly, so that this process gets the version even if the tree does not reach it
 	}
 	work.ledgerRevision, work.lastVersion = update.revision, max(work.lastVersion, update.lastVersion)
 	work.leading = true
 	if r.view == nil || r.tree == nil {
 		return
 	}
-	if work.seenView != r.view {
-		work.seenView = r.view
+	if work.rosterView != r.view {
+		work.rosterView = r.view
 		work.roster.UpdateView(r.view, now)
 		work.reportChanged = true
 	}
@@ -100,7 +100,7 @@
 		w.lastVersion = 0
 		w.roster = spread.Roster{}
 		w.progress = spread.Progress{}
-		w.seenView = nil
+		w.rosterView = nil
 	}
 	w.state, w.previous = nil, cmp.Or(w.state, w.previous)
 }
--- a/internal/cluster/configuration/run/messages.go
+++ b/internal/cluster/configuration/run/messages.go
@@ -39,7 +39,7 @@
 // sendUpdates starts the updates that are due. r.mu is held.
 func (r *Runner) sendUpdates(state *spread.State, now view.Uptime) {
 	for _, to := range state.DueUpdates(now) {
-		r.figures.UpdatesSent++
+		r.counters.UpdatesSent++
 		r.countContent(to.Update.Content)
 		r.goroutines.Go(func() { r.sendUpdate(state, to) })
 	}
@@ -51,11 +51,11 @@
 	case c == nil:
 		return
 	case c.Patch != nil:
-		r.figures.PatchesSent++
+		r.counters.PatchesSent++
 	default:
-		r.figures.FullSent++
+		r.counters.FullSent++
 	}
-	r.figures.ContentBytes += uint64(len(c.Patch) + len(c.Full))
+	r.counters.ContentBytes += uint64(len(c.Patch) + len(c.Full))
 }
 
 // sendUpdate sends an update to a child and passes the report in its answer to state.
@@ -65,7 +65,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if err != nil || report.From.Name != to.Child.Name {
-		r.figures.CallsFailed++
+		r.counters.CallsFailed++
 		state.UpdateFailed(to.Child, r.options.Now())
 	} else {
 		state.HandleAnswer(to.Child, report, r.options.Now())
@@ -83,7 +83,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if err != nil {
-		r.figures.CallsFailed++
+		r.counters.CallsFailed++
 		r.state.ReportFailed(parent, r.options.Now())
 	} else {
 		r.state.ReportAnswered(parent, answer, r.options.Now())
@@ -104,7 +104,7 @@
 	leader, known := r.options.Consensus.Leader()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.figures.UpdatesReceived++
+	r.counters.UpdatesReceived++
 	if update.FromLeader {
 		r.lastLeader = update.From // a root outside the consensus group learns here which process it reports to
 		r.updateTreePosition(leader, known, r.options.Now())
@@ -141,7 +141,7 @@
 		}
 		state, r.leaderWork.reportChanged = r.leaderWork.state, true
 	}
-	r.figures.ReportsReceived++
+	r.counters.ReportsReceived++
 	answer := state.HandleReport(report, r.options.Now())
 	r.countContent(answer.Content)
 	r.signals.NotifyChange()
@@ -157,7 +157,7 @@
 	update := r.readLedger() // read before the answer, which must be up to date because the other process may become ready after it
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.figures.FetchesReceived++
+	r.counters.FetchesReceived++
 	answer := r.state.AnswerFetch(request)
 	if update.leading {
 		r.leaderStep(update, r.options.Now())
--- a/internal/cluster/configuration/run/options.go
+++ b/internal/cluster/configuration/run/options.go
@@ -69,8 +69,8 @@
 	return nil
 }
 
-// Figures holds the counters of a Runner since its start.
-type Figures struct {
+// Counters holds the counters of a Runner since its start.
+type Counters struct {
 	UpdatesSent       uint64 `json:"Downs"` // updates sent, with and without content
 	ReportsSent       uint64 `json:"Ups"`
 	FetchesSent       uint64 `json:"Fetches"`
@@ -90,9 +90,9 @@
 type Status struct {
 	Version     uint64            `json:"version"` // the version in force here; 0 for the process's own file
 	Sum         configuration.Sum `json:"sum,omitempty"`
-	NewestHeard uint64            `json:"held"`              // the newest version known here
+	NewestKnown uint64            `json:"held"`              // the newest version known here
 	Rejected    uint64            `json:"refused,omitempty"` // the version rejected here; Why is the reason
 	Why         string            `json:"why,omitempty"`
 	CaughtUp    bool              `json:"caught_up"` // this process has had the newest version at some time since its start
-	Figures     Figures           `json:"figures"`
+	Counters    Counters          `json:"figures"`
 }
--- a/internal/cluster/configuration/run/run.go
+++ b/internal/cluster/configuration/run/run.go
@@ -15,8 +15,6 @@
 //   - Content that does not match its checksum is not accepted, and the full content is requested.
 //
 // Load: that of package spread, and one file written and synced per change in each process.
-//
-// This file starts and stops the goroutines, and asks the states what is due.
 package run
 
 import (
@@ -55,7 +53,7 @@
 	signals         *leadercall.Signals
 	limiter         leadercall.Limiter // of HTTP requests
 	caller          leadercall.Caller
-	pendingHandover *handover // version that the sender has not answered for; nil for none. Used by apply only, of which one runs at a time
+	pendingHandover *handover // the version that the sender has not answered for; nil for none; used by apply only
 
 	mu            sync.Mutex // configuration.mu; guards the fields below
 	state         *spread.State
@@ -69,7 +67,7 @@
 	announcedBy   view.Name // the leader that announced a newer version, which is fetched from it next; "" for none
 	fetchTurn     int       // counts the fetches while the parent is unreachable; candidates are asked in turn
 	caughtUp      bool      // this process has had the newest version since its start
-	figures       Figures
+	counters      Counters
 }
 
 // Start reads the stored version, registers the handlers of messages and HTTP requests, and starts the goroutines,
@@ -146,7 +144,7 @@
 func (r *Runner) Status() Status {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	s := Status{Version: r.running.Version, NewestHeard: r.state.Newest().Version, CaughtUp: r.caughtUp, Figures: r.figures}
+	s := Status{Version: r.running.Version, NewestKnown: r.state.Newest().Version, CaughtUp: r.caughtUp, Counters: r.counters}
 	if s.Version > 0 {
 		s.Sum = configuration.SumOf(r.running.Settings)
 	}
@@ -203,7 +201,7 @@
 	}
 	if report, due := r.state.DueReport(now); due {
 		parent := r.state.Parent()
-		r.figures.ReportsSent++
+		r.counters.ReportsSent++
 		r.goroutines.Go(func() { r.sendReport(parent, report) })
 	}
 	r.fetch(now)
--- a/internal/cluster/configuration/run/run_test.go
+++ b/internal/cluster/configuration/run/run_test.go
@@ -33,8 +33,8 @@
 			t.Errorf("%+v %v", cached, err)
 		}
 	}
-	if status := f.runners[0].Status(); status.Figures.PatchesSent == 0 {
-		t.Errorf("no patch was sent: %+v", status.Figures)
+	if status := f.runners[0].Status(); status.Counters.PatchesSent == 0 {
+		t.Errorf("no patch was sent: %+v", status.Counters)
 	}
 	var got orderResponse
 	if code := f.request("p04", "POST", "/v1/configuration", `{"id":"a","base":0,"patch":{"pace":1},"who":"ops","why":"try"}`, &got); code != 202 ||
--- a/internal/cluster/configuration/run/status.go
+++ b/internal/cluster/configuration/run/status.go
@@ -41,7 +41,7 @@
 	AgeMS    int64             `json:"age_ms"` // time since the version was committed
 
 	Members  int                   `json:"members"`             // processes that are present in the leader's view
-	HeardOf  int                   `json:"heard_of"`            // the number of these that have reported
+	Reported int                   `json:"heard_of"`            // number of these that have reported
 	InForce  []spread.Count        `json:"in_force"`            // number of processes by version, newest first
 	Older    int                   `json:"older,omitempty"`     // processes with versions older than these
 	Laggards []spread.Laggard      `json:"laggards"`            // processes without the newest version for more than 1.5 s
@@ -124,7 +124,7 @@
 func (r *Runner) addProgress(s *ConfigurationStatus) {
 	now, work := r.options.Now(), &r.leaderWork
 	sum := work.state.Summary(now)
-	s.Members, s.HeardOf = work.roster.PresentCount(), sum.Members-sum.Unknown
+	s.Members, s.Reported = work.roster.PresentCount(), sum.Members-sum.Unknown
 	s.InForce, s.Older, s.Laggards, s.Unnamed = sum.InForce, sum.Older, sum.Laggards, sum.Unnamed
 	s.Away, s.MoreAway = work.roster.AbsentMembers(now)
 	if p := work.progress; p.Version == s.Version {
@@ -133,9 +133,9 @@
 	s.State = Spreading
 	inForce := sum.MembersAtLeast(s.Version)
 	switch {
-	case s.Version == 0 || inForce >= s.Members && s.HeardOf >= s.Members:
+	case s.Version == 0 || inForce >= s.Members && s.Reported >= s.Members:
 		s.State = InForce
-	case work.state.Newest().Version == s.Version && work.state.Settled() && s.HeardOf >= s.Members:
+	case work.state.Newest().Version == s.Version && work.state.Settled() && s.Reported >= s.Members:
 		s.State = InForceExceptRejected
 	}
 }
--- a/internal/cluster/configuration/spread/messages.go
+++ b/internal/cluster/configuration/spread/messages.go
@@ -16,7 +16,7 @@
 // RefreshInterval. The number of a coordinator's messages therefore grows with the number of its children (tree.Fan)
 // times the number of changes, and with nothing else.
 //
-// This file holds the messages. Receivers ignore unknown fields.
+// Receivers of a message ignore unknown fields, so that processes of different program versions understand each other.
 package spread
 
 import (
--- a/internal/cluster/configuration/spread/report.go
+++ b/internal/cluster/configuration/spread/report.go
@@ -25,7 +25,7 @@
 	retryAt        view.Uptime // no report before this time
 	pendingAnswers int         // number of updates whose answer still waits for the processes below
 	// answeredNo is the number of the newest update that was answered. Each update is answered only once, because an
-	// answer counts as reported and the parent might receive only the first of two answers.
+	// answer counts as reported and the parent might receive either of two answers.
 	answeredNo uint64
 }
 
--- a/internal/cluster/configuration/spread/roster.go
+++ b/internal/cluster/configuration/spread/roster.go
@@ -35,11 +35,11 @@
 	fromStart  bool // the version was committed while this process led
 }
 
-// Begin starts to record the progress of a version, unless it is not newer than the recorded one. decidedHere says that
-// the version was committed while this process led; otherwise no times are recorded.
-func (p *Progress) Begin(version uint64, decidedHere bool, now view.Uptime) {
+// Begin starts to record the progress of a version, unless it is not newer than the recorded one. committedHere says
+// that the version was committed while this process led; otherwise no times are recorded.
+func (p *Progress) Begin(version uint64, committedHere bool, now view.Uptime) {
 	if version > p.Version {
-		*p = Progress{Version: version, Since: now, fromStart: decidedHere}
+		*p = Progress{Version: version, Since: now, fromStart: committedHere}
 	}
 }
 
@@ -62,7 +62,7 @@
 // Roster records the newest version that each process is known to have had in force. It is shown for processes that are
 // absent and can't be asked. The zero value is an empty Roster.
 type Roster struct {
-	members map[view.Name]*memberRecord
+	records map[view.Name]*memberRecord
 }
 
 // memberRecord is the record of one process.
@@ -78,19 +78,19 @@
 // UpdateView updates the presence of all processes from a view. It deletes processes that left on purpose, and those
 // that are absent for longer than AbsenceLimit.
 func (r *Roster) UpdateView(members *view.View, now view.Uptime) {
-	if r.members == nil {
-		r.members = map[view.Name]*memberRecord{}
+	if r.records == nil {
+		r.records = map[view.Name]*memberRecord{}
 	}
 	for _, m := range members.Members {
 		if m.State == view.Left {
-			delete(r.members, m.Name)
+			delete(r.records, m.Name)
 			continue
 		}
-		record := r.members[m.Name]
+		record := r.records[m.Name]
 		switch {
-		case record == nil && len(r.members) < maxNames:
+		case record == nil && len(r.records) < maxNames:
 			record = &memberRecord{life: m.Life}
-			r.members[m.Name] = record
+			r.records[m.Name] = record
 		case record == nil:
 			continue
 		case m.Incarnation > record.life.Incarnation:
@@ -100,16 +100,16 @@
 			record.absent, record.since = absent, now
 		}
 	}
-	for name, record := range r.members {
+	for name, record := range r.records {
 		if record.absent && now-record.since > AbsenceLimit {
-			delete(r.members, name)
+			delete(r.records, name)
 		}
 	}
 }
 
 // PresentCount returns the number of present processes.
 func (r *Roster) PresentCount() (present int) {
-	for _, record := range r.members {
+	for _, record := range r.records {
 		if !record.absent {
 			present++
 		}
@@ -139,7 +139,7 @@
 			lowest, found = version, true
 		}
 	}
-	for name, record := range r.members {
+	for name, record := range r.records {
 		if record.absent {
 			continue
 		}
@@ -159,12 +159,12 @@
 func (r *Roster) DueAnnouncements(laggards []Laggard, limit int, now view.Uptime) (names []view.Name) {
 	var due []*memberRecord
 	for _, l := range laggards {
-		if record := r.members[l.Name]; record != nil && !record.absent && l.Reason == Unreachable && now >= record.nextAttempt {
+		if record := r.records[l.Name]; record != nil && !record.absent && l.Reason == Unreachable && now >= record.nextAttempt {
 			record.since = now
 			due = append(due, record)
 		}
 	}
-	for _, record := range r.members {
+	for _, record := range r.records {
 		if record.absent && now >= record.nextAttempt {
 			due = append(due, record)
 		}
@@ -181,7 +181,7 @@
 
 // RecordVersion records the version that a process has in force by its own answer.
 func (r *Roster) RecordVersion(name view.Name, version uint64) {
-	if record := r.members[name]; record != nil {
+	if record := r.records[name]; record != nil {
 		record.version, record.versionKnown = max(record.version, version), true
 	}
 }
@@ -196,7 +196,7 @@
 // AbsentMembers returns the absent processes that did not leave on purpose, sorted by name, at most maxAbsentShown, and
 // the number of further ones.
 func (r *Roster) AbsentMembers(now view.Uptime) (all []AbsentMember, more int) {
-	for name, record := range r.members {
+	for name, record := range r.records {
 		if record.absent {
 			all = append(all, AbsentMember{Laggard{Name: name, Version: record.version, Reason: Absent, SinceMS: (now - record.since).Milliseconds()}, record.versionKnown})
 		}
--- a/internal/cluster/configuration/spread/simulation_test.go
+++ b/internal/cluster/configuration/spread/simulation_test.go
@@ -45,7 +45,7 @@
 	leader       int                      // index of the leader in processes
 	leaderState  *State                   // nil while the leader is down
 	leaderLife   view.Life                // the incarnation that leaderState belongs to
-	decided      []configuration.Document // committed documents by version, from 1
+	committed    []configuration.Document // committed documents by version, from 1
 	events       []event                  // not run yet
 	loss         float64                  // probability that a message is lost
 	calls        int                      // number of calls
@@ -200,15 +200,15 @@
 	})
 }
 
-// decide commits a new version.
-func (w *simulation) decide() {
-	version := uint64(len(w.decided) + 1)
+// commit adds a new version to the committed ones.
+func (w *simulation) commit() {
+	version := uint64(len(w.committed) + 1)
 	settings := fmt.Sprintf(`{"long":"%0400d","pace":%d,"odd":%d}`, 7, version, version%2)
 	d, err := configuration.NewDocument(version, []byte(settings))
 	if err != nil {
 		w.t.Fatalf("%v", err)
 	}
-	w.decided = append(w.decided, d)
+	w.committed = append(w.committed, d)
 }
 
 // run lets simulated time pass.
@@ -228,8 +228,8 @@
 			e.do()
 		}
 		if leader := w.processes[w.leader]; w.leaderState != nil && leader.state != nil {
-			if n := len(w.decided); n > 0 {
-				w.leaderState.SetDecided(w.decided[n-1], w.now)
+			if n := len(w.committed); n > 0 {
+				w.leaderState.SetCommitted(w.committed[n-1], w.now)
 			}
 			w.sendUpdates(leader, w.leaderState)
 		}
@@ -245,7 +245,7 @@
 // check checks that the newest version of a process is a committed one with the committed content.
 func (w *simulation) check(p *process) {
 	held := p.state.Newest()
-	if v := held.Version; v > 0 && (v > uint64(len(w.decided)) || held.Sum != w.decided[v-1].Sum) {
+	if v := held.Version; v > 0 && (v > uint64(len(w.committed)) || held.Sum != w.committed[v-1].Sum) {
 		w.t.Fatalf("%s has a version %d that was not committed", p.name, v)
 	}
 }
--- a/internal/cluster/configuration/spread/size_test.go
+++ b/internal/cluster/configuration/spread/size_test.go
@@ -16,7 +16,7 @@
 			w := newSimulation(b, 3, size)
 			w.fan = 32
 			w.updateTree()
-			w.decide()
+			w.commit()
 			w.run(8 * time.Second)
 			w.measure = true
 			calls, mean, busiest, known := 0, 0.0, 0.0, time.Duration(0)
@@ -24,8 +24,8 @@
 				w.calls = 0
 				clear(w.bytes)
 				began := w.now
-				w.decide()
-				newest := uint64(len(w.decided))
+				w.commit()
+				newest := uint64(len(w.committed))
 				for w.leaderState.Summary(w.now).MembersAtLeast(newest) < size {
 					w.run(step)
 					if w.now-began > time.Minute {
--- a/internal/cluster/configuration/spread/spread_test.go
+++ b/internal/cluster/configuration/spread/spread_test.go
@@ -27,7 +27,7 @@
 // checkAgreement checks that all processes run the newest version, except those that reject it, and that the leader
 // knows this.
 func checkAgreement(w *simulation) {
-	newest := uint64(len(w.decided))
+	newest := uint64(len(w.committed))
 	for _, p := range w.processes {
 		want := newest
 		if p.rejectedVersion == newest && newest > 0 {
@@ -74,7 +74,7 @@
 			p := w.processes[rapid.IntRange(0, len(w.processes)-1).Draw(t, "process")]
 			switch rapid.IntRange(0, 7).Draw(t, "what") {
 			case 0, 1, 2:
-				w.decide()
+				w.commit()
 			case 3:
 				w.kill(p)
 				w.updateTree()
@@ -95,8 +95,8 @@
 			w.run(time.Duration(rapid.IntRange(0, 80).Draw(t, "pause")) * step)
 		}
 		if rapid.IntRange(0, 2).Draw(t, "refusing") == 0 {
-			w.processes[len(w.processes)/2].rejectedVersion = uint64(len(w.decided) + 1)
-			w.decide()
+			w.processes[len(w.processes)/2].rejectedVersion = uint64(len(w.committed) + 1)
+			w.commit()
 		}
 		heal(w)
 		checkAgreement(w)
@@ -111,11 +111,11 @@
 		w := newSimulation(t, 3, size)
 		w.fan = 32
 		w.updateTree()
-		w.decide()
+		w.commit()
 		w.run(8 * time.Second)
 		checkAgreement(w)
 		calls, began := w.calls, w.now
-		w.decide()
+		w.commit()
 		for w.leaderState.Summary(w.now).MembersAtLeast(2) < size {
 			w.run(step)
 			if w.now-began > 3*time.Second {
@@ -142,10 +142,10 @@
 	w := newSimulation(t, 11, 660)
 	w.fan, w.leader = 32, 400
 	w.updateTree()
-	w.decide()
+	w.commit()
 	w.run(8 * time.Second)
 	w.loss = 0.02
-	w.decide()
+	w.commit()
 	began := w.now
 	for _, i := range []int{0, 1, 7, 20} {
 		w.kill(w.processes[i])
@@ -173,12 +173,12 @@
 // laggard with its version, and gets only the newest version afterwards.
 func TestPartitionedProcessGetsNewestOnly(t *testing.T) {
 	w := newSimulation(t, 5, 13)
-	w.decide()
+	w.commit()
 	w.run(3 * time.Second)
 	cut := w.processes[12]
 	cut.group = 1
 	for range 3 {
-		w.decide()
+		w.commit()
 		w.run(2 * time.Second)
 	}
 	sum := w.leaderState.Summary(w.now)
@@ -254,7 +254,7 @@
 		child.ReportAnswered(child.Parent(), parent.HandleReport(r, now), now)
 	}
 	report(0)
-	parent.SetDecided(second, time.Second)
+	parent.SetCommitted(second, time.Second)
 	parent.RecordApplied(2, nil, time.Second)
 	for _, to := range parent.DueUpdates(time.Second) {
 		parent.UpdateFailed(to.Child, time.Second)
--- a/internal/cluster/configuration/spread/state.go
+++ b/internal/cluster/configuration/spread/state.go
@@ -113,9 +113,9 @@
 // digest returns the digest of the newest version.
 func (s *State) digest() Digest { return Digest{s.newest.Version, s.newest.Sum} }
 
-// SetDecided sets the newest committed version. An older version changes nothing. If there are two contents of one
+// SetCommitted sets the newest committed version. An older version changes nothing. If there are two contents of one
 // version (see receiveContent), the leader distributes the committed one.
-func (s *State) SetDecided(d configuration.Document, now view.Uptime) {
+func (s *State) SetCommitted(d configuration.Document, now view.Uptime) {
 	otherContent := d.Version == s.newest.Version && d.Version > 0 && d.Sum != s.newest.Sum
 	if d.Version > s.newest.Version || s.isLeader && otherContent {
 		s.setNewest(d, now)
--- a/internal/cluster/consensus/consensus.go
+++ b/internal/cluster/consensus/consensus.go
@@ -58,8 +58,8 @@
 
 	mu            sync.RWMutex // consensus.mu in the lock order of package cluster; guards the fields below
 	machine       *machine.Machine
-	clockBase     time.Duration // value of the group's clock at clockBaseTime
-	clockBaseTime time.Time     // local time
+	clockBase     time.Duration // value of the group's clock at clockBaseTime; the clock runs on from there
+	clockBaseTime time.Time     // local time at which the clock had the value clockBase
 	logBytes      int           // total length of the commands since the last snapshot
 	view          *view.View
 	configuration serverSet // the latest raft configuration known here
@@ -130,7 +130,7 @@
 // raftID returns the ID of a server in the raft library, "name@folder".
 func raftID(id voters.ID) raft.ServerID { return raft.ServerID(string(id.Name) + "@" + id.Folder) }
 
-// voterID returns the name and folder of which raftID made the ID.
+// voterID returns the name and folder in an ID of the raft library. It is the inverse of raftID.
 func voterID(id raft.ServerID) voters.ID {
 	name, folder, _ := strings.Cut(string(id), "@")
 	return voters.ID{Name: view.Name(name), Folder: folder}
--- a/internal/cluster/consensus/options.go
+++ b/internal/cluster/consensus/options.go
@@ -15,8 +15,8 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// Timing holds the intervals and timeouts of a Group. A field that is 0 or negative stands for its default, which is
-// named with the field.
+// Timing holds the intervals and timeouts of a Group. A duration that is not positive stands for the default, which is
+// named with each field.
 type Timing struct {
 	// HeartbeatTimeout is the time without a call from a leader after which a voter starts an election. It is also the
 	// election timeout and the duration of the leader's lease. The default is DefaultHeartbeatTimeout.
@@ -44,15 +44,15 @@
 	DefaultReplaceDeadAfter   = 3 * time.Minute
 	DefaultBootstrapAfter     = 3 * time.Second
 
-	maxVoters                 = 5
+	maxVoters                 = 5                     // a group with five voters tolerates two failures
 	commitTimeout             = 40 * time.Millisecond // followers learn within twice this time that an entry is committed
 	catchUpTimeout            = 20 * time.Second      // how long a staged server may take to catch up before another is tried
 	catchUpRetryDelay         = time.Minute           // until a server that did not catch up may be staged again
 	removedElectionTimeout    = 2 * time.Minute       // election timeout of a server that was removed and that no leader calls
 	leadershipRetryDelay      = 20 * time.Millisecond // until a new leader retries to apply all earlier entries
 	minCallTimeout            = time.Second           // minimum timeout of a raft call; two heartbeat timeouts if that is longer
-	closeTimeout              = 3 * time.Second
-	leadershipTransferTimeout = time.Second
+	closeTimeout              = 3 * time.Second       // how long Close waits for the group to stop
+	leadershipTransferTimeout = time.Second           // how long Close waits for a transfer of leadership
 )
 
 // Size limits of the folder. After maxLogBytes of commands a snapshot is taken, and the log is truncated to
@@ -61,11 +61,11 @@
 // The folder also holds two snapshots of the state of all parts.
 const (
 	maxLogBytes           = 4 << 20
-	trailingLogs          = 64
-	snapshotThreshold     = 512 // entries
-	snapshotCheckInterval = 20 * time.Second
+	trailingLogs          = 64               // log entries kept after a snapshot, for followers that are slightly behind
+	snapshotThreshold     = 512              // log entries after which a snapshot is taken
+	snapshotCheckInterval = 20 * time.Second // between checks of snapshotThreshold
 	snapshotsRetained     = 2
-	maxInFlightProposals  = 64
+	maxInFlightProposals  = 64 // further calls of Propose wait
 )
 
 // Options are the settings of a Group.
@@ -74,10 +74,10 @@
 	Cluster       string                         // name of the cluster, which must be the same at both ends of a connection
 	Folder        string                         // path of the folder with log and snapshots; created if it does not exist
 	Listen        string                         // address of the port for raft connections
-	AddressOf     func(view.Name) (string, bool) // the address of a process, and whether it has one
+	AddressOf     func(view.Name) (string, bool) // returns the raft address of a process and whether it is known
 	InitialVoters []view.Name                    // the first voters of the group: 1 to 5 names, the same on all processes
-	Parts         map[string]machine.Part
-	Log           *zap.Logger
+	Parts         map[string]machine.Part        // the replicated parts by name, the same on all processes
+	Log           *zap.Logger                    // nil for none
 	// Partitioned reports whether the link to a process is cut. Writes on connections to that process then fail, and no
 	// connection to it can be made. The lab's fault injection sets it; it may be nil.
 	Partitioned func(view.Name) bool
--- a/internal/cluster/consensus/propose.go
+++ b/internal/cluster/consensus/propose.go
@@ -25,7 +25,7 @@
 }
 
 // UncertainError is returned by Propose when the outcome of a proposal is unknown: there was no quorum in time, or the
-// leader changed. The command may have been committed, or may still be. A command that callers retry must carry an id
+// leader changed. The command may have been committed, or may still be. A command that callers retry must carry an ID
 // by which its part recognises duplicates.
 type UncertainError struct{ Cause error }
 
--- a/internal/cluster/consensus/voters/voters.go
+++ b/internal/cluster/consensus/voters/voters.go
@@ -87,7 +87,7 @@
 		case !server.Voter:
 			p.staged = append(p.staged, server)
 			continue
-		case p.reachable(server):
+		case p.isReachable(server):
 			p.reachableVoters++
 		}
 		p.voters = append(p.voters, server)
@@ -107,7 +107,7 @@
 		return Change{Stage, incoming.ID}, true
 	case hasIncoming && !p.staged[0].CaughtUp:
 		return Change{}, false
-	case hasOutgoing && (hasIncoming || p.betterWithout()) && p.safeWithout(outgoing):
+	case hasOutgoing && (hasIncoming || p.removalHelps()) && p.majorityWithout(outgoing):
 		return Change{Remove, outgoing}, true
 	case hasIncoming && !hasOutgoing && len(p.voters) < rule.MaxVoters:
 		return Change{Promote, incoming.ID}, true
@@ -118,14 +118,14 @@
 // majority reports whether count servers are a majority of total.
 func majority(count, total int) bool { return count > total/2 }
 
-// reachable reports whether a server answers the leader. A replaced server never counts as reachable.
-func (p *planner) reachable(s Server) bool {
-	return s.ID == p.Leader || s.SilentFor < p.rule.UnreachableAfter && !p.replaced(s.ID)
+// isReachable reports whether a server answers the leader. A replaced server never counts as reachable.
+func (p *planner) isReachable(s Server) bool {
+	return s.ID == p.Leader || s.SilentFor < p.rule.UnreachableAfter && !p.isReplaced(s.ID)
 }
 
-// replaced reports whether the view shows the server's process with another folder, so that the server will never
+// isReplaced reports whether the view shows the server's process with another folder, so that the server will never
 // return.
-func (p *planner) replaced(id ID) bool {
+func (p *planner) isReplaced(id ID) bool {
 	m, found := p.View.Find(id.Name)
 	return found && m.Present() && m.Folder != id.Folder
 }
@@ -136,28 +136,28 @@
 	if s.ID == p.Leader {
 		return false
 	}
-	if p.replaced(s.ID) {
+	if p.isReplaced(s.ID) {
 		return true
 	}
 	m, found := p.View.Find(s.Name)
 	return s.SilentFor >= p.rule.DeadAfter && (!found || !m.Present())
 }
 
-// safeWithout reports whether the reachable voters are still a majority after the removal of one voter.
-func (p *planner) safeWithout(id ID) bool {
+// majorityWithout reports whether the reachable voters are still a majority after the removal of one voter.
+func (p *planner) majorityWithout(id ID) bool {
 	remaining := p.reachableVoters
 	for _, v := range p.voters {
-		if v.ID == id && p.reachable(v) {
+		if v.ID == id && p.isReachable(v) {
 			remaining--
 		}
 	}
 	return majority(remaining, len(p.voters)-1)
 }
 
-// betterWithout reports whether a dead voter should be removed although there is no replacement. An odd number of
+// removalHelps reports whether a dead voter should be removed although there is no replacement. An odd number of
 // voters tolerates as many failures as the even number above it, and the removal of two dead voters makes the group
 // tolerate one more failure.
-func (p *planner) betterWithout() bool {
+func (p *planner) removalHelps() bool {
 	dead := 0
 	for _, v := range p.voters {
 		if p.isDead(v) {
@@ -236,7 +236,7 @@
 		if slices.ContainsFunc(p.voters, sameID) {
 			continue
 		}
-		if i := slices.IndexFunc(p.staged, sameID); i >= 0 && !p.reachable(p.staged[i]) {
+		if i := slices.IndexFunc(p.staged, sameID); i >= 0 && !p.isReachable(p.staged[i]) {
 			continue
 		}
 		eligible = append(eligible, m)
--- a/internal/cluster/leadercall/caller.go
+++ b/internal/cluster/leadercall/caller.go
@@ -25,7 +25,7 @@
 	CallTimeout    time.Duration      // of one message with its answer
 	MinBackoff     time.Duration      // first delay between two attempts; doubled after each attempt up to MaxBackoff
 	MaxBackoff     time.Duration
-	ErrNoCandidate error // returned when Candidates returns none
+	ErrNoCandidate error // the cause in Query's error if Candidates returned none at the last attempt
 	ErrUndecided   error // the cause in Propose's error if no candidate was known at any attempt
 
 	handlers map[string]Handler
--- a/internal/cluster/leadercall/leadercall.go
+++ b/internal/cluster/leadercall/leadercall.go
@@ -7,8 +7,6 @@
 // does not depend on the content of an order, starts no goroutine, and never calls another process with a lock held. It
 // has no lock of its own: Signals uses the lock of the part, and a Caller reads the part's state through functions that
 // acquire that lock.
-//
-// This file holds the interfaces and the functions that find this process's neighbours in the tree.
 package leadercall
 
 import (
@@ -37,18 +35,27 @@
 // Consensus is the interface of the consensus group that commits orders (see consensus.Group). A part may read its
 // ledger only inside Read.
 type Consensus interface {
+	// Propose commits a command of a part and returns the part's answer. It works on the leader only.
 	Propose(ctx context.Context, part, kind string, body any) (json.RawMessage, error)
+	// Leader returns the leader and reports whether it is known here.
 	Leader() (view.Name, bool)
+	// Leading reports whether this process leads.
 	Leading() bool
-	Ask() []view.Name // processes that may lead, the likeliest first
+	// Ask returns the processes that may lead, the likeliest first.
+	Ask() []view.Name
+	// Clock returns the group's clock, which starts at 0 when the group is bootstrapped.
 	Clock() time.Duration
+	// Read calls f while no command is applied. f gets the index of the latest command.
 	Read(f func(index uint64))
 }
 
 // Tree is the tree over which versions and reports are distributed.
 type Tree interface {
+	// Parent returns the parent of a process. It returns false for the root and for a process that is not in the tree.
 	Parent(p view.Name) (view.Name, bool)
+	// Children returns the children of a process.
 	Children(p view.Name) []view.Name
+	// Root returns the root of the tree.
 	Root() view.Name
 }
 
--- a/internal/cluster/leadercall/leadercalltest/leadercalltest.go
+++ b/internal/cluster/leadercall/leadercalltest/leadercalltest.go
@@ -81,8 +81,8 @@
 }
 
 // SetCut cuts the link between two processes, or restores it.
-func (n *Net) SetCut(one, other view.Name, off bool) {
-	n.withLock(func() { n.cut[direction{one, other}], n.cut[direction{other, one}] = off, off })
+func (n *Net) SetCut(one, other view.Name, cut bool) {
+	n.withLock(func() { n.cut[direction{one, other}], n.cut[direction{other, one}] = cut, cut })
 }
 
 // CallsStarted returns the number of calls on a path, by all processes.
