--- a/internal/cluster/evidence/digest/digest.go
+++ b/internal/cluster/evidence/digest/digest.go
@@ -1,9 +1,11 @@
-// Package digest turns a sender's digests, which are counts since the previous one, into health samples over a sliding
-// window.
+// Package digest turns the digests of a sender into health samples over a sliding window. A digest holds the counts of
+// calls since the previous digest.
 //
-// A sender hands over a digest twice a second; half a second has too few calls for a failure rate. A sample is the sum
-// of the digests that began within the window's span, with the span that they actually cover: it is longer after a
-// sender was suspended. Pure.
+// A sender delivers a digest twice a second, and the calls of half a second are too few for a failure rate. A sample
+// sums the digests that began within the window's span. Its Span is the time that these digests cover, which is longer
+// than the window's span after a sender was suspended.
+//
+// The package is pure: it reads no clock and starts no goroutine.
 package digest
 
 import (
@@ -17,84 +19,88 @@
 )
 
 const (
-	// Span is the default span, some four digests. A shorter one reveals an outage sooner, for which a plan must be in
-	// force within three seconds; a longer one has more calls to distinguish an outage from chance by.
+	// Span is the default span of a window, about four digests. A shorter span reveals an outage sooner, after which a
+	// plan must be in force within three seconds. A longer span holds more calls, which better distinguish an outage
+	// from random failures.
 	Span = 2 * time.Second
-	// maxBuckets bounds the buckets of a span; a digest that follows too soon is added to the bucket before it.
+	// maxBuckets bounds the number of buckets of a span. A digest that arrives less than span/maxBuckets after the start
+	// of the newest bucket is added to that bucket.
 	maxBuckets = 16
 )
 
-// Window is the sliding window over one sender's digests.
+// Window is the sliding window over one sender's digests. It is not safe for concurrent use.
 type Window struct {
-	witness    view.Name
-	from       view.Zone
-	span       time.Duration
-	maxPlaces  int
-	lastTaken  view.Uptime // when the sender began to count for the next digest
-	buckets    []bucket    // oldest first
-	aggregates map[healthreport.Locality]*aggregate
-	dropped    uint64 // rows beyond maxPlaces
+	witness       view.Name // the sender's process, the Reporter of all samples
+	witnessZone   view.Zone // zone of witness
+	span          time.Duration
+	maxLocalities int
+	lastDigestAt  view.Uptime // arrival of the last digest; the counts of the next one start here
+	buckets       []bucket    // oldest first
+	aggregates    map[healthreport.Locality]*aggregate
+	dropped       uint64 // rows dropped because of maxLocalities
 }
 
-// bucket holds one digest, or several that came close together.
+// bucket holds the counts of one digest, or of several that arrived close together.
 type bucket struct {
 	startedAt view.Uptime
 	rows      map[healthreport.Locality]clusterapi.Row
 }
 
-// aggregate is a place's sum over all buckets: counts are added with a row and subtracted when its bucket expires; all
-// else is as last reported, which may be a span ago.
+// aggregate is the sum of a locality's rows in all buckets. Counts are added with a row and subtracted when its bucket
+// expires. All other fields are as last reported, which may be as long ago as the span.
 type aggregate struct {
-	buckets int // how many buckets hold the place
+	buckets int // number of buckets that hold the locality
 	row     clusterapi.Row
 }
 
-// NewWindow returns a window that counts from now on. It holds at most so many places; rows of further places are dropped
-// until others have expired.
-func NewWindow(witness view.Name, from view.Zone, span time.Duration, places int, now view.Uptime) *Window {
+// NewWindow returns a window for the digests of the process witness in a zone; the first digest counts from now on. A
+// span of 0 or below selects the default Span. The window holds at most maxLocalities localities; rows of further ones
+// are dropped until others have expired.
+func NewWindow(witness view.Name, witnessZone view.Zone, span time.Duration, maxLocalities int, now view.Uptime) *Window {
 	if span <= 0 {
 		span = Span
 	}
-	return &Window{witness: witness, from: from, span: span, maxPlaces: max(places, 1), lastTaken: now,
+	return &Window{witness: witness, witnessZone: witnessZone, span: span, maxLocalities: max(maxLocalities, 1), lastDigestAt: now,
 		aggregates: map[healthreport.Locality]*aggregate{}}
 }
 
-// Take adds a digest and returns the samples over the span up to now, by place.
+// Take adds a digest and returns one sample for each locality, sorted by locality.
 func (w *Window) Take(now view.Uptime, d clusterapi.Digest) []healthreport.Sample {
 	w.addDigest(now, d.Rows)
-	// The newest bucket stays, however long a time it covers.
+	// The newest bucket stays even if it covers more than the span.
 	for len(w.buckets) > 1 && w.buckets[0].startedAt < now-w.span {
 		w.removeBucket(w.buckets[0].rows)
 		w.buckets = slices.Delete(w.buckets, 0, 1)
 	}
 	windowSpan := now - w.buckets[0].startedAt
 	samples := make([]healthreport.Sample, 0, len(w.aggregates))
-	for place, total := range w.aggregates {
+	for locality, total := range w.aggregates {
 		row, span := total.row, windowSpan
-		if unanswered, since, failing := w.unansweredSince(place); failing {
+		if unanswered, since, failing := w.unansweredSince(locality); failing {
 			row, span = unanswered, now-since
 		}
-		samples = append(samples, w.sample(place, row, span))
+		samples = append(samples, w.sample(locality, row, span))
 	}
 	slices.SortFunc(samples, func(a, b healthreport.Sample) int { return table.Order(&a, &b) })
 	return samples
 }
 
-// sample returns a place's counts over a span in the form in which they are sent.
-func (w *Window) sample(place healthreport.Locality, row clusterapi.Row, span time.Duration) healthreport.Sample {
+// sample converts the counts of a locality over a span to a health sample.
+func (w *Window) sample(locality healthreport.Locality, row clusterapi.Row, span time.Duration) healthreport.Sample {
 	return healthreport.Sample{
-		Locality: place, Reporter: w.witness, ReporterZone: w.from, Kind: row.Kind, Span: max(span, 1),
+		Locality: locality, Reporter: w.witness, ReporterZone: w.witnessZone, Kind: row.Kind, Span: max(span, 1),
 		Sent: float64(row.Sent), Done: float64(row.Done), Failed: float64(row.Failed), Unanswered: float64(row.Unanswered),
 		Rejected: float64(row.Rejected), Limit: row.Limit, Rating: row.Rating, Endpoints: row.Endpoints, Waiting: row.Waiting,
 	}
 }
 
-// unansweredSince sums the newest buckets in which a place answered nothing, and reports since when, and whether
-// anything failed in them: a place that just went down must not look healthy because of earlier successes.
-func (w *Window) unansweredSince(place healthreport.Locality) (row clusterapi.Row, since view.Uptime, failing bool) {
+// unansweredSince sums the newest consecutive buckets in which a locality answered no call. It returns when the oldest
+// of them started, and whether any call failed in them. Without it, a locality that just went down would look healthy
+// because of earlier successes in the window.
+func (w *Window) unansweredSince(locality healthreport.Locality) (row clusterapi.Row, since view.Uptime, failing bool) {
 	found := false
 	for i := len(w.buckets) - 1; i >= 0; i-- {
-		r, present := w.buckets[i].rows[place]
+		r, present := w.buckets[i].rows[locality]
 		if r.Done+r.Rejected > 0 {
 			break
 		}
@@ -108,38 +114,38 @@
 	return row, since, row.Failed > 0
 }
 
-// Dropped returns how many rows were dropped because there were too many places.
+// Dropped returns the number of rows dropped because the window already held its maximum number of localities.
 func (w *Window) Dropped() uint64 { return w.dropped }
 
-// addDigest adds rows to the newest bucket, or to a new one, and to the aggregates.
+// addDigest adds the rows of a digest to the newest bucket or to a new one, and to the aggregates.
 func (w *Window) addDigest(now view.Uptime, rows []clusterapi.Row) {
-	now = max(now, w.lastTaken)
+	now = max(now, w.lastDigestAt)
 	if n := len(w.buckets); n == 0 || now-w.buckets[n-1].startedAt >= w.span/maxBuckets {
-		w.buckets = append(w.buckets, bucket{w.lastTaken, make(map[healthreport.Locality]clusterapi.Row, len(rows))})
+		w.buckets = append(w.buckets, bucket{w.lastDigestAt, make(map[healthreport.Locality]clusterapi.Row, len(rows))})
 	}
-	w.lastTaken = now
+	w.lastDigestAt = now
 	current := w.buckets[len(w.buckets)-1].rows
 	for _, r := range rows {
-		place := healthreport.Locality{Destination: r.Destination, Zone: view.Zone(r.Zone)}
-		total := w.aggregates[place]
+		locality := healthreport.Locality{Destination: r.Destination, Zone: view.Zone(r.Zone)}
+		total := w.aggregates[locality]
 		if total == nil {
-			if len(w.aggregates) >= w.maxPlaces {
+			if len(w.aggregates) >= w.maxLocalities {
 				w.dropped++
 				continue
 			}
 			total = &aggregate{}
-			w.aggregates[place] = total
+			w.aggregates[locality] = total
 		}
-		previous, present := current[place]
+		previous, present := current[locality]
 		if !present {
 			total.buckets++
 		}
-		current[place] = addCounts(previous, r)
+		current[locality] = addCounts(previous, r)
 		total.row = addCounts(total.row, r)
 	}
 }
 
-// addCounts returns a later row with the counts of an earlier one added.
+// addCounts returns the later row with the counts of the earlier row added.
 func addCounts(earlier, later clusterapi.Row) clusterapi.Row {
 	later.Sent += earlier.Sent
 	later.Done += earlier.Done
@@ -149,12 +155,12 @@
 	return later
 }
 
-// removeBucket subtracts an expired bucket's rows from the aggregates.
+// removeBucket subtracts the rows of an expired bucket from the aggregates.
 func (w *Window) removeBucket(rows map[healthreport.Locality]clusterapi.Row) {
-	for place, r := range rows {
-		total := w.aggregates[place]
+	for locality, r := range rows {
+		total := w.aggregates[locality]
 		if total.buckets--; total.buckets == 0 {
-			delete(w.aggregates, place)
+			delete(w.aggregates, locality)
 			continue
 		}
 		total.row.Sent -= r.Sent
--- a/internal/cluster/evidence/evidence.go
+++ b/internal/cluster/evidence/evidence.go
@@ -1,14 +1,15 @@
-// Package evidence stores the health samples of this process and of others, by destination and zone, in sharded tables
-// that a pool of workers fills and anyone reads.
+// Package evidence stores the health samples of this process and of others, by destination and zone, in sharded tables.
+// A pool of workers writes to the tables; any goroutine may read them.
 //
-// It owns the pool, its bounded queue and the shards; what a table retains is decided by package table. Add never
-// waits: a batch that finds the queue full is dropped and counted, as the next one follows half a second later. It must
-// never take a decision, nor hold a lock over a channel operation, I/O or a call out of its packages.
+// The package owns the workers, their bounded queue and the shards. Package table decides which samples are retained.
+// Add never blocks: if the queue is full, the batch is dropped and counted, since the next batch follows half a second
+// later. The package makes no routing decision, and holds no lock during a channel operation, I/O or a call to another
+// package other than table.
 //
-// Lock order: each shard has its own lock, held for one operation on its table. No two shards are ever locked at once,
-// and no other lock is taken under one, so there is no order among them; a holder of a lock that is above these in the
-// list of internal/cluster may take one, never the reverse. Readers lock one shard after another: what they read is of
-// one moment within a shard, not across all.
+// Lock order: each shard has its own lock, held for one operation on its table. At most one shard is locked at a time,
+// and no other lock is acquired while a shard is locked. Code that holds a lock listed before the shard locks in the
+// lock order of package cluster may lock a shard, never the reverse. Read and Stats lock one shard after another, so
+// their result is consistent within a shard but not across shards.
 package evidence
 
 import (
@@ -27,63 +28,67 @@
 
 // Defaults of Options.
 const (
-	defaultRows      = 40_000
-	defaultWitnesses = 32 // of a place; two from two zones suffice for a plan, the rest show how wide a fault is
-	defaultShards    = 16 // eight times the workers, so that two seldom contend for one
+	defaultRows = 40_000
+	// defaultWitnesses is per locality. Two witnesses from two zones suffice for a plan; the others show how many
+	// senders a fault affects.
+	defaultWitnesses = 32
+	defaultShards    = 16 // eight times the workers, so that two workers seldom contend for a shard
 	defaultWorkers   = 2
 	defaultQueue     = 256 // batches; a coordinator has a few dozen children, each reporting twice a second
 	// defaultMaxAge is the age up to which a sample is retained; decisions require a far lower age.
 	defaultMaxAge = time.Minute
-	// maxBatch bounds one batch, and so the queue's memory: more samples than the body of a call can hold.
+	// maxBatch is the maximum number of samples in one batch, and thereby bounds the queue's memory. It is more than
+	// the body of one call can hold.
 	maxBatch = 16_384
 )
 
-// Options are a pool's bounds; zero values stand for defaults.
+// Options bound the memory and the concurrency of an Evidence. A value of 0 or below selects the default.
 type Options struct {
-	Rows      int // places over all shards; each shard holds an equal part, so one may be full before others are
-	Witnesses int // samples of a place
-	MaxAge    time.Duration
+	Rows      int           // localities in all shards; each shard holds an equal part, so one may be full before others are
+	Witnesses int           // samples per locality, one of each reporting process
+	MaxAge    time.Duration // samples older than this are dropped
 	Shards    int
 	Workers   int
 	Queue     int // batches
 }
 
-// Stats are counts since the start, except Rows and Waiting, which are present values.
+// Stats holds counters since the start, and the present values Rows and Waiting.
 type Stats struct {
-	Accepted, Duplicate, Outdated, Forgotten, Invalid uint64 // samples, by their outcome
-	Dropped                                           uint64 // samples dropped: the queue was full, or their batch too long
-	Rows, Waiting                                     int    // places stored; batches queued or being applied
+	Accepted, Duplicate, Outdated, Forgotten, Invalid uint64 // samples by outcome; see table.Outcome
+	Dropped                                           uint64 // samples dropped because the queue was full or their batch too long
+	Rows, Waiting                                     int    // localities stored; batches queued or being applied
 }
 
-// Evidence is a running pool of workers with its sharded tables.
+// Evidence stores health samples in sharded tables and runs the workers that fill them. Its methods are safe for
+// concurrent use.
 type Evidence struct {
 	shards   []shard
 	queue    chan batch
 	stop     chan struct{}
 	stopOnce sync.Once
 	wg       sync.WaitGroup
-	waiting  atomic.Int64
-	dropped  atomic.Uint64
-	outcomes [table.Invalid + 1]atomic.Uint64
+	waiting  atomic.Int64                     // batches queued or being applied
+	dropped  atomic.Uint64                    // samples
+	outcomes [table.Invalid + 1]atomic.Uint64 // samples by table.Outcome
 }
 
-// shard is the table of a part of all places.
+// shard holds the table of a part of all localities.
 type shard struct {
 	mu    sync.Mutex
 	table *table.Table
 }
 
-// batch is what one call of Add handed over, with ages as of now.
+// batch holds the samples of one call of Add.
 type batch struct {
 	now     view.Uptime
 	samples []healthreport.Sample
 }
 
-// Start starts the workers.
+// Start returns an empty Evidence with its workers running. The caller must call Close.
 func Start(opts Options) *Evidence {
-	setDefault := func(v *int, own int) {
+	setDefault := func(v *int, value int) {
 		if *v <= 0 {
-			*v = own
+			*v = value
 		}
 	}
 	setDefault(&opts.Rows, defaultRows)
@@ -105,24 +110,24 @@
 	return e
 }
 
-// Add hands samples to the pool, which owns the slice from then on; their ages are as of now. It never waits, and
-// returns false if they were dropped: the queue is full, there are too many at once, or the pool is closed.
-func (e *Evidence) Add(now view.Uptime, all []healthreport.Sample) bool {
+// Add queues samples, whose ages are as of now, and takes ownership of the slice. It never blocks. It returns false if
+// the samples were dropped because the queue is full, there are more than maxBatch of them, or e is closed.
+func (e *Evidence) Add(now view.Uptime, samples []healthreport.Sample) bool {
 	select {
 	case <-e.stop:
 		return false
 	default:
 	}
-	if len(all) <= maxBatch {
+	if len(samples) <= maxBatch {
 		e.waiting.Add(1)
 		select {
-		case e.queue <- batch{now, all}:
+		case e.queue <- batch{now, samples}:
 			return true
 		default:
 			e.waiting.Add(-1)
 		}
 	}
-	e.dropped.Add(uint64(len(all)))
+	e.dropped.Add(uint64(len(samples)))
 	return false
 }
 
@@ -141,7 +146,7 @@
 	}
 }
 
-// apply adds one sample to its shard's table.
+// apply adds one sample to the table of its shard.
 func (e *Evidence) apply(now view.Uptime, s *healthreport.Sample) table.Outcome {
 	target := e.shardOf(s.Locality)
 	target.mu.Lock()
@@ -149,14 +154,15 @@
 	return target.table.Add(now, *s)
 }
 
-// shardOf returns a place's shard, the same one in every run.
-func (e *Evidence) shardOf(place healthreport.Locality) *shard {
-	sum := crc32.ChecksumIEEE(binary.LittleEndian.AppendUint64(make([]byte, 0, 8), uint64(place.Destination)))
-	sum = crc32.Update(sum, crc32.IEEETable, []byte(place.Zone))
+// shardOf returns the shard of a locality, which is the same one in every run.
+func (e *Evidence) shardOf(locality healthreport.Locality) *shard {
+	sum := crc32.ChecksumIEEE(binary.LittleEndian.AppendUint64(make([]byte, 0, 8), uint64(locality.Destination)))
+	sum = crc32.Update(sum, crc32.IEEETable, []byte(locality.Zone))
 	return &e.shards[sum%uint32(len(e.shards))]
 }
 
-// Read returns all samples with ages as of now, ordered by destination, zone and witness. The caller owns the slice.
+// Read returns all samples with their ages as of now, sorted by destination, zone and reporter. The caller owns the
+// slice.
 func (e *Evidence) Read(now view.Uptime) []healthreport.Sample {
 	var ordered []*healthreport.Sample
 	for i := range e.shards {
@@ -166,11 +172,11 @@
 		}
 	}
 	slices.SortFunc(ordered, table.Order)
-	all := make([]healthreport.Sample, len(ordered))
+	samples := make([]healthreport.Sample, len(ordered))
 	for i, s := range ordered {
-		all[i] = *s
+		samples[i] = *s
 	}
-	return all
+	return samples
 }
 
 func (s *shard) read(now view.Uptime) []healthreport.Sample {
@@ -179,7 +185,7 @@
 	return s.table.Read(now)
 }
 
-// Forget drops what was observed of a destination up to now, including samples that arrive later.
+// Forget drops all samples of a destination that were observed up to now, including those that arrive later.
 func (e *Evidence) Forget(now view.Uptime, d choice.DestinationID) {
 	for i := range e.shards {
 		e.shards[i].forget(now, d)
@@ -192,9 +198,9 @@
 	s.table.Forget(now, d)
 }
 
-// Stats returns the pool's counters.
+// Stats returns the counters of e.
 func (e *Evidence) Stats() Stats {
-	count := func(t table.Outcome) uint64 { return e.outcomes[t].Load() }
+	count := func(o table.Outcome) uint64 { return e.outcomes[o].Load() }
 	s := Stats{Accepted: count(table.New) + count(table.Newer), Duplicate: count(table.Duplicate),
 		Outdated: count(table.Outdated), Forgotten: count(table.Forgotten),
 		Invalid: count(table.Invalid), Dropped: e.dropped.Load(), Waiting: int(e.waiting.Load())}
@@ -210,7 +216,8 @@
 	return s.table.Rows()
 }
 
-// Close ends the workers, each after its present batch; queued batches are discarded. The tables can still be read.
+// Close stops the workers, each after its current batch, and discards queued batches. Read and Stats still work
+// afterwards, and further calls of Close have no effect.
 func (e *Evidence) Close() {
 	e.stopOnce.Do(func() { close(e.stop) })
 	e.wg.Wait()
--- a/internal/cluster/evidence/table/ageheap.go
+++ b/internal/cluster/evidence/table/ageheap.go
@@ -1,12 +1,13 @@
 package table
 
-// ageHeap is a heap (container/heap) whose first row is the next to be evicted, so that a full table need not scan all
-// rows for each new place. It maintains each row's heapIndex.
+// ageHeap is a heap of rows (container/heap) whose first row is the next to be evicted, so that a full table need not
+// scan all rows for each new locality. It maintains the heapIndex of its rows.
 type ageHeap []*row
 
-// olderThan reports whether r is evicted before other: the row observed longer ago, of two equal ones the lower place.
+// olderThan reports whether r is evicted before other: the row whose newest sample is older, or the lower locality if
+// both are equally old.
 func (r *row) olderThan(other *row) bool {
-	return r.newestAt < other.newestAt || r.newestAt == other.newestAt && comparePlace(&r.place, &other.place) < 0
+	return r.newestAt < other.newestAt || r.newestAt == other.newestAt && compareLocality(&r.locality, &other.locality) < 0
 }
 
 // Len, Less, Swap, Push and Pop implement heap.Interface.
--- a/internal/cluster/evidence/table/table.go
+++ b/internal/cluster/evidence/table/table.go
@@ -1,10 +1,12 @@
-// Package table stores health samples of places, each with its age and its witness, in bounded rows.
+// Package table stores health samples in a table of bounded size. A row holds the samples of one locality (the
+// endpoints of a destination in one zone), at most one of each witness (a process that reports on the locality).
 //
-// A row is a place (a destination in one zone); it holds one sample of each witness. Pure: time comes in as a span since
-// the process began, and the time of a sample is now less its age. What is stored does not depend on the order in which
-// samples of different witnesses arrive: a row keeps the newest samples, the table the rows most recently observed. (A
-// row that was evicted and returns has lost what other witnesses reported before, which is all that order can change.)
-// It must never decide what a sample means.
+// The package is pure: it reads no clock, starts no goroutine, and draws no conclusion from a sample. Times are spans
+// since the process started, and a sample was observed at the present time less its age.
+//
+// A row retains the newest samples, and the table retains the rows with the newest samples. The content therefore does
+// not depend on the order in which samples arrive, with one exception: a row that was evicted and is added again has
+// lost the earlier samples of its other witnesses.
 package table
 
 import (
@@ -20,24 +22,24 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// Bounds limit what a table holds.
+// Bounds limit the content of a table.
 type Bounds struct {
-	Rows      int           // when exceeded, the row whose newest sample is oldest is evicted
-	Witnesses int           // of a row; when exceeded, the oldest sample is evicted
-	MaxAge    time.Duration // the highest age of a sample, and the longest span that is accepted
+	Rows      int           // number of localities; when exceeded, the row whose newest sample is oldest is evicted
+	Witnesses int           // number of samples in a row; when exceeded, the oldest one is evicted
+	MaxAge    time.Duration // maximum age and maximum Span of a sample
 }
 
-// Outcome is what became of a sample that was handed to Take.
+// Outcome tells how Add treated a sample.
 type Outcome uint8
 
-// Outcomes of Take.
+// Outcomes of Add.
 const (
-	New       Outcome = iota // the first of its witness for this place
-	Newer                    // replaced its witness's earlier one
-	Duplicate                // nothing changed
-	Outdated                 // older than its witness's last, than what a full row or table holds, or than Keep
-	Forgotten                // observed before its destination was forgotten
-	Invalid                  // impossible counts
+	New       Outcome = iota // stored; the row had no sample of this witness
+	Newer                    // stored in place of an earlier sample of the same witness
+	Duplicate                // dropped, equal to the stored sample
+	Outdated                 // dropped, older than the witness's stored sample, than all that a full row or table holds, or than MaxAge
+	Forgotten                // dropped, its span began before Forget was called for its destination
+	Invalid                  // dropped, a value is impossible
 )
 
 // Table is a bounded store of samples. It is not safe for concurrent use.
@@ -45,38 +47,38 @@
 	bounds Bounds
 	rows   map[healthreport.Locality]*row
 	byAge  ageHeap // the same rows
-	// forgottenAt is when destinations were forgotten: samples from before are rejected. An entry expires after twice
-	// Keep, as older samples, and spans that reach back so far, are rejected anyway.
+	// forgottenAt holds the time of the last Forget of a destination; samples whose span began before are rejected. An
+	// entry expires after twice MaxAge: by then samples from before it exceed MaxAge in their age or their span.
 	forgottenAt map[choice.DestinationID]view.Uptime
 }
 
-// row holds the samples of one place.
+// row holds the samples of one locality.
 type row struct {
-	place        healthreport.Locality
-	observations []observation // by witness
-	newestAt     view.Uptime   // of the newest observation
+	locality     healthreport.Locality
+	observations []observation // sorted by witness
+	newestAt     view.Uptime   // time of the newest observation
 	heapIndex    int           // in Table.byAge
 }
 
-// observation is a sample and the time that it was observed at; the sample's Age is 0.
+// observation is a sample with the time at which it was observed. The sample's Age is 0.
 type observation struct {
 	at     view.Uptime
 	sample healthreport.Sample
 }
 
-// compareAge orders observations of one place by time, then by witness, so that among equally old ones always the same
-// is evicted.
+// compareAge orders observations of one locality by time, then by witness, so that the choice among equally old ones
+// is deterministic.
 func compareAge(a, b *observation) int {
 	return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.sample.Reporter, b.sample.Reporter))
 }
 
-// NewTable returns an empty table. Bounds below one row, witness and nanosecond are raised to that.
+// NewTable returns an empty table. Bounds below one row, one witness and one nanosecond are raised to these values.
 func NewTable(b Bounds) *Table {
 	b = Bounds{max(b.Rows, 1), max(b.Witnesses, 1), max(b.MaxAge, 1)}
 	return &Table{bounds: b, rows: map[healthreport.Locality]*row{}, forgottenAt: map[choice.DestinationID]view.Uptime{}}
 }
 
-// Add adds a sample whose age is as of now.
+// Add stores a sample, whose age is as of now, unless the returned outcome says that it was dropped.
 func (t *Table) Add(now view.Uptime, s healthreport.Sample) Outcome {
 	if !valid(&s) {
 		return Invalid
@@ -86,13 +88,13 @@
 	if s.Age > t.bounds.MaxAge || s.Span > t.bounds.MaxAge {
 		return Outdated
 	}
-	// A span that began before the destination was forgotten contains what is to be forgotten.
+	// A span that began before Forget includes calls that are to be forgotten.
 	if when, forgotten := t.forgottenAt[s.Destination]; forgotten && observed.at-s.Span < when {
 		return Forgotten
 	}
 	target := t.rows[s.Locality]
 	if target == nil {
-		target = &row{place: s.Locality, newestAt: observed.at}
+		target = &row{locality: s.Locality, newestAt: observed.at}
 		if len(t.rows) >= t.bounds.Rows {
 			if target.olderThan(t.byAge[0]) {
 				return Outdated
@@ -110,13 +112,14 @@
 	return outcome
 }
 
-// remove drops a row.
+// remove deletes a row.
 func (t *Table) remove(r *row) {
-	delete(t.rows, r.place)
+	delete(t.rows, r.locality)
 	heap.Remove(&t.byAge, r.heapIndex)
 }
 
-// insert adds an observation, or replaces an earlier one of its witness. Of more than limit the oldest is evicted.
+// insert adds an observation, or replaces the earlier one of the same witness. If the row already holds limit
+// observations, the oldest of these and next is dropped.
 func (r *row) insert(next observation, limit int) Outcome {
 	i, known := slices.BinarySearchFunc(r.observations, next.sample.Reporter,
 		func(o observation, w view.Name) int { return cmp.Compare(o.sample.Reporter, w) })
@@ -139,7 +142,7 @@
 	return New
 }
 
-// replace puts next in the place of observation i, which is of the same witness, unless that is the same or newer.
+// replace overwrites observation i, which is of the same witness, with next, unless the existing one is equal or newer.
 func (r *row) replace(i int, next observation) Outcome {
 	previous := &r.observations[i]
 	if *previous == next {
@@ -163,13 +166,14 @@
 	return oldest
 }
 
-// Read returns all samples, with their ages as of now, by Order; those older than Keep are dropped from the table.
+// Read returns all samples with their ages as of now, sorted by Order. It first deletes those older than MaxAge from the
+// table.
 func (t *Table) Read(now view.Uptime) (samples []healthreport.Sample) {
 	for len(t.byAge) > 0 && now-t.byAge[0].newestAt > t.bounds.MaxAge {
 		t.remove(t.byAge[0])
 	}
-	// Rows are sorted, not samples, as a sample is large to move.
-	rows := slices.SortedFunc(maps.Values(t.rows), func(a, b *row) int { return comparePlace(&a.place, &b.place) })
+	// Rows are sorted instead of samples, because a sample is large to move.
+	rows := slices.SortedFunc(maps.Values(t.rows), func(a, b *row) int { return compareLocality(&a.locality, &b.locality) })
 	for _, r := range rows {
 		r.observations = slices.DeleteFunc(r.observations, func(o observation) bool { return now-o.at > t.bounds.MaxAge })
 		for i := range r.observations {
@@ -182,10 +186,10 @@
 	return samples
 }
 
-// Forget drops all samples of a destination, and rejects those observed up to now that arrive later.
+// Forget deletes all samples of a destination. Samples that arrive later are rejected if their span began before now.
 func (t *Table) Forget(now view.Uptime, d choice.DestinationID) {
-	for place, r := range t.rows {
-		if place.Destination == d {
+	for locality, r := range t.rows {
+		if locality.Destination == d {
 			t.remove(r)
 		}
 	}
@@ -197,8 +201,8 @@
 	t.forgottenAt[d] = max(now, previous)
 }
 
-// evictForgotten drops the destination that was forgotten longest ago, of several the lowest, where more of them than
-// rows were forgotten within Keep.
+// evictForgotten deletes the oldest entry of forgottenAt, the one of the lowest destination if several are equally old.
+// It is called when forgottenAt has as many entries as the table may have rows.
 func (t *Table) evictForgotten() {
 	first := true
 	var oldest choice.DestinationID
@@ -210,7 +214,7 @@
 	delete(t.forgottenAt, oldest)
 }
 
-// expireForgotten drops the destinations that were forgotten too long ago to matter.
+// expireForgotten deletes the entries of forgottenAt that are older than twice MaxAge.
 func (t *Table) expireForgotten(now view.Uptime) {
 	for d, when := range t.forgottenAt {
 		if now-when > 2*t.bounds.MaxAge {
@@ -219,11 +223,11 @@
 	}
 }
 
-// Rows returns the number of places stored.
+// Rows returns the number of localities stored.
 func (t *Table) Rows() int { return len(t.rows) }
 
-// valid reports whether a sample's values are possible: they come from other processes, and an empty span would be read
-// as an infinite rate.
+// valid reports whether a sample's values are possible. Samples come from other processes, and a span of 0 would yield
+// an infinite rate.
 func valid(s *healthreport.Sample) bool {
 	for _, v := range [...]float64{s.Sent, s.Done, s.Failed, s.Unanswered, s.Rejected, s.Limit, s.Rating} {
 		if !(v >= 0) || math.IsInf(v, 1) {
@@ -233,23 +237,23 @@
 	return s.Reporter != "" && s.Age >= 0 && s.Span > 0 && s.Endpoints >= 0 && s.Waiting >= 0
 }
 
-// Order compares samples as Read orders them: by destination, zone, witness.
+// Order compares samples in the order of Read: by destination, zone and witness.
 func Order(a, b *healthreport.Sample) int {
-	if c := comparePlace(&a.Locality, &b.Locality); c != 0 {
+	if c := compareLocality(&a.Locality, &b.Locality); c != 0 {
 		return c
 	}
 	return cmp.Compare(a.Reporter, b.Reporter)
 }
 
-func comparePlace(a, b *healthreport.Locality) int {
+func compareLocality(a, b *healthreport.Locality) int {
 	if c := cmp.Compare(a.Destination, b.Destination); c != 0 {
 		return c
 	}
 	return cmp.Compare(a.Zone, b.Zone)
 }
 
-// compareSamples decides which of two samples of one witness, place and time is retained. Any rule that does not depend
-// on the order of arrival will do; of one moment's counts the later is the larger.
+// compareSamples decides which of two samples of the same witness, locality and time is retained: the larger one. Any
+// rule that is independent of the order of arrival would do. Counts only grow, so the larger sample is the later one.
 func compareSamples(a, b *healthreport.Sample) int {
 	return cmp.Or(cmp.Compare(a.Span, b.Span), cmp.Compare(a.Sent, b.Sent), cmp.Compare(a.Done, b.Done),
 		cmp.Compare(a.Failed, b.Failed), cmp.Compare(a.Unanswered, b.Unanswered), cmp.Compare(a.Rejected, b.Rejected),
--- a/internal/cluster/evidence/table/table_test.go
+++ b/internal/cluster/evidence/table/table_test.go
@@ -57,7 +57,7 @@
 			t.Fatal("over the bound")
 		}
 		if b.Rows < 6 {
-			got, want = places(got), places(want)
+			got, want = localitiesOf(got), localitiesOf(want)
 		}
 		if d := cmp.Diff(want, got); d != "" {
 			t.Fatal(d)
@@ -65,7 +65,7 @@
 	})
 }
 
-func places(all []healthreport.Sample) (only []healthreport.Sample) {
+func localitiesOf(all []healthreport.Sample) (only []healthreport.Sample) {
 	for _, s := range all {
 		if len(only) == 0 || only[len(only)-1].Locality != s.Locality {
 			only = append(only, healthreport.Sample{Locality: s.Locality})
--- a/internal/cluster/healthreport/healthreport.go
+++ b/internal/cluster/healthreport/healthreport.go
@@ -1,7 +1,8 @@
-// Package healthreport holds health reports of destinations in the form in which processes send them: counts, their age, and
-// the process that observed them.
+// Package healthreport defines the health reports of destinations as processes exchange them: counts of calls, their
+// age, and the process that observed them.
 //
-// Plain data, no decision. Ages are spans, to which each process that forwards a sample adds; no wall-clock time is sent.
+// The types are plain data without logic. No wall-clock time is sent, since the clocks of processes differ: an age is a
+// duration, and each process that forwards a sample adds the time for which it held the sample.
 package healthreport
 
 import (
@@ -17,21 +18,22 @@
 	Zone        view.Zone            `json:"z"`
 }
 
-// Sample is what one process observed of a place over Span, up to Age ago.
+// Sample is what one process, the reporter, observed of a locality over a time Span that ended Age ago. The counts are
+// numbers of calls within Span.
 type Sample struct {
 	Locality
 	Reporter     view.Name     `json:"w"`
-	ReporterZone view.Zone     `json:"from"` // the witness's zone
+	ReporterZone view.Zone     `json:"from"`
 	Kind         choice.KindNo `json:"k,omitempty"`
 	Age          time.Duration `json:"age"`
 	Span         time.Duration `json:"span"`
-	Sent         float64       `json:"sent"` // calls in the span, and how they ended
+	Sent         float64       `json:"sent"`
 	Done         float64       `json:"done"`
 	Failed       float64       `json:"failed"`
-	Unanswered   float64       `json:"silent"` // of Failed: no answer, or no connection
+	Unanswered   float64       `json:"silent"` // those of Failed without an answer or without a connection
 	Rejected     float64       `json:"refused"`
-	Limit        float64       `json:"limit,omitempty"`  // calls a second that the place last announced, for all senders; 0 for none
-	Rating       float64       `json:"rating,omitempty"` // sum over the place's endpoints
-	Endpoints    int           `json:"ends,omitempty"`
-	Waiting      int           `json:"held,omitempty"` // messages waiting for the destination, reported with one place of it
+	Limit        float64       `json:"limit,omitempty"`  // calls per second from all senders that the locality last announced; 0 if none
+	Rating       float64       `json:"rating,omitempty"` // sum of the ratings of the locality's endpoints
+	Endpoints    int           `json:"ends,omitempty"`   // endpoints listed in the locality
+	Waiting      int           `json:"held,omitempty"`   // messages waiting for the destination; set in only one of its localities
 }
