--- a/internal/cluster/failover/apply/apply_test.go
+++ b/internal/cluster/failover/apply/apply_test.go
@@ -21,7 +21,7 @@
 )
 
 func withNear(epoch view.Epoch, near float64, shares ...plan.Share) *plan.Plan {
-	p := &plan.Plan{Epoch: epoch, Hold: hold, Regions: map[view.Zone]view.Region{"a": "A", "b": "A", "c": "C"}}
+	p := &plan.Plan{Epoch: epoch, TTL: hold, Regions: map[view.Zone]view.Region{"a": "A", "b": "A", "c": "C"}}
 	if near < 1 {
 		p.Routes = []plan.Route{{Destination: 1, From: "a", Phase: plan.Returning, NearShare: near, Shares: shares}}
 	}
@@ -43,7 +43,7 @@
 	return to
 }
 
-func TestAllWellGoesNear(t *testing.T) {
+func TestMessagesGoHomeWithoutRoutes(t *testing.T) {
 	g := apply.Compile(withNear(1, 1), local())
 	for d, want := range map[choice.DestinationID]string{1: "[0]", 2: "[1]", 3: "[0 1 2]", 9: "[0 1 2]"} {
 		if got := fmt.Sprint(zones(g, 1, d)); got != want {
--- a/internal/cluster/failover/apply/holder.go
+++ b/internal/cluster/failover/apply/holder.go
@@ -7,29 +7,32 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// lowerEpochAfter is how long after a plan lapsed one of a lower epoch is taken: a consensus group that lost all its
-// disks starts anew at 1, and no message is in flight for so long, as none older than its hold is taken.
-const lowerEpochAfter = time.Minute
+// lowerEpochDelay is how long after a plan expired a plan of a lower epoch is accepted. A consensus group that lost all
+// its disks starts again at epoch 1. The delay is longer than any announcement of the old group can stay valid, as an
+// announcement older than the plan's TTL is ignored.
+const lowerEpochDelay = time.Minute
 
-// Announcement is how a plan travels: its leader had it in force Age ago. Without the plan itself it is a renewal.
+// Announcement is the message that carries a plan from process to process. Without Plan it renews the plan of Epoch.
 type Announcement struct {
 	Epoch view.Epoch    `json:"epoch"`
-	Term  uint64        `json:"term"` // of the council's leader
-	Age   time.Duration `json:"age"`
+	Term  uint64        `json:"term"` // the term in which the announcing leader of the consensus group leads
+	Age   time.Duration `json:"age"`  // time since that leader had the plan in force
 	Plan  *plan.Plan    `json:"plan,omitempty"`
 }
 
-// Holder holds the plan in force at one process. It counts by the process's own clock from when it received the plan,
-// less the age that travelled with it. It is not for two goroutines at once.
+// Holder holds the plan in force at one process. Times are on the process's own clock: a plan expires its TTL after the
+// leader last had it in force, which is the time of receipt less the Age of the announcement. The zero value holds no
+// plan. A Holder is not safe for concurrent use.
 type Holder struct {
 	current     *plan.Plan
 	term        uint64
-	confirmedAt view.Uptime // when its leader last had it in force, on this clock
+	confirmedAt view.Uptime // when the leader last had the plan in force
 	expiresAt   view.Uptime
 }
 
-// Receive takes a received plan or renewal; changed reports whether another plan is in force now. A lower epoch, an
-// earlier leader's term or a plan that is too old is ignored, in whatever order they arrive.
+// Receive handles an announcement and reports whether another plan is in force afterwards. An announcement of a lower
+// epoch, of an earlier term, or older than the plan's TTL is ignored, so that announcements may arrive in any order. An
+// error means that the plan is invalid; the plan in force stays.
 func (h *Holder) Receive(now view.Uptime, in Announcement) (changed bool, err error) {
 	if in.Age < 0 {
 		return false, nil
@@ -44,25 +47,25 @@
 		return false, err
 	}
 	switch {
-	case in.Age >= in.Plan.Hold || in.Plan.Epoch != in.Epoch:
+	case in.Age >= in.Plan.TTL || in.Plan.Epoch != in.Epoch:
 		return false, nil
-	case h.current != nil && in.Epoch <= h.current.Epoch && now < h.expiresAt+lowerEpochAfter:
+	case h.current != nil && in.Epoch <= h.current.Epoch && now < h.expiresAt+lowerEpochDelay:
 		if in.Epoch == h.current.Epoch && in.Term >= h.term {
 			h.renew(now, in)
 		}
 		return false, nil
 	}
-	h.current, h.term, h.confirmedAt, h.expiresAt = in.Plan, in.Term, now-in.Age, now-in.Age+in.Plan.Hold
+	h.current, h.term, h.confirmedAt, h.expiresAt = in.Plan, in.Term, now-in.Age, now-in.Age+in.Plan.TTL
 	return true, nil
 }
 
 func (h *Holder) renew(now view.Uptime, in Announcement) {
 	h.term = in.Term
 	h.confirmedAt = max(h.confirmedAt, now-in.Age)
-	h.expiresAt = max(h.expiresAt, now-in.Age+h.current.Hold)
+	h.expiresAt = max(h.expiresAt, now-in.Age+h.current.TTL)
 }
 
-// Plan returns the plan in force, and until when by this clock; nil if none is.
+// Plan returns the plan in force and when it expires, or nil if no plan is in force.
 func (h *Holder) Plan(now view.Uptime) (*plan.Plan, view.Uptime) {
 	if h.current == nil || now >= h.expiresAt {
 		return nil, 0
@@ -70,7 +73,7 @@
 	return h.current, h.expiresAt
 }
 
-// Epoch returns the last epoch received, whether lapsed or not.
+// Epoch returns the epoch of the last plan received, even if the plan has expired; 0 before the first one.
 func (h *Holder) Epoch() view.Epoch {
 	if h.current == nil {
 		return 0
@@ -78,7 +81,8 @@
 	return h.current.Epoch
 }
 
-// Announce returns what to pass on now; false if no plan is in force.
+// Announce returns the announcement to pass on now, with the plan itself or as a renewal. It returns false if no plan
+// is in force.
 func (h *Holder) Announce(now view.Uptime, withPlan bool) (Announcement, bool) {
 	p, _ := h.Plan(now)
 	if p == nil {
--- a/internal/cluster/failover/assess/assess_test.go
+++ b/internal/cluster/failover/assess/assess_test.go
@@ -13,8 +13,8 @@
 
 var defaultBounds = assess.DefaultBounds()
 
-// sighting is what a witness of a zone saw of a destination's place in the last second.
-func sighting(from view.Zone, w int, d choice.DestinationID, z view.Zone, done, failed float64) healthreport.Sample {
+// sampleFrom is what a witness of a zone saw of a destination's place in the last second.
+func sampleFrom(from view.Zone, w int, d choice.DestinationID, z view.Zone, done, failed float64) healthreport.Sample {
 	return healthreport.Sample{Locality: healthreport.Locality{Destination: d, Zone: z}, ReporterZone: from,
 		Reporter: view.Name(fmt.Sprint(from, w)), Span: time.Second, Sent: done + failed, Done: done, Failed: failed,
 		Endpoints: 2}
@@ -49,56 +49,56 @@
 }
 
 func TestAllWitnessesOfTheOwnZone(t *testing.T) {
-	expectStates(t, statesOf(sighting("a", 1, 1, "a", 0, 9), sighting("a", 2, 1, "a", 0, 9)),
+	expectStates(t, statesOf(sampleFrom("a", 1, 1, "a", 0, 9), sampleFrom("a", 2, 1, "a", 0, 9)),
 		map[string]assess.State{"1a": assess.Failing, "1a<a": assess.Failing})
 }
 
 func TestTwoZonesAgree(t *testing.T) {
-	expectStates(t, statesOf(sighting("b", 1, 1, "a", 0, 9), sighting("c", 1, 1, "a", 0, 9)), map[string]assess.State{"1a": assess.Failing})
-	expectStates(t, statesOf(sighting("b", 1, 1, "a", 0, 9)), map[string]assess.State{"1a": assess.Unknown, "1a<b": assess.Failing})
+	expectStates(t, statesOf(sampleFrom("b", 1, 1, "a", 0, 9), sampleFrom("c", 1, 1, "a", 0, 9)), map[string]assess.State{"1a": assess.Failing})
+	expectStates(t, statesOf(sampleFrom("b", 1, 1, "a", 0, 9)), map[string]assess.State{"1a": assess.Unknown, "1a<b": assess.Failing})
 }
 
 func TestOneFaultySenderMovesNothing(t *testing.T) {
-	got := statesOf(sighting("a", 1, 1, "a", 0, 30), sighting("a", 1, 2, "a", 0, 30), sighting("a", 2, 1, "a", 9, 0),
-		sighting("a", 3, 2, "a", 9, 0))
+	got := statesOf(sampleFrom("a", 1, 1, "a", 0, 30), sampleFrom("a", 1, 2, "a", 0, 30), sampleFrom("a", 2, 1, "a", 9, 0),
+		sampleFrom("a", 3, 2, "a", 9, 0))
 	expectStates(t, got, map[string]assess.State{"1a": assess.Healthy, "2a": assess.Healthy, "1a<a": assess.Healthy})
 }
 
 func TestFailingLinkConcernsOneZone(t *testing.T) {
-	got := statesOf(sighting("b", 1, 1, "a", 0, 9), sighting("b", 2, 1, "a", 0, 9), sighting("a", 1, 1, "a", 9, 0),
-		sighting("c", 1, 1, "a", 9, 0))
+	got := statesOf(sampleFrom("b", 1, 1, "a", 0, 9), sampleFrom("b", 2, 1, "a", 0, 9), sampleFrom("a", 1, 1, "a", 9, 0),
+		sampleFrom("c", 1, 1, "a", 9, 0))
 	expectStates(t, got, map[string]assess.State{"1a": assess.Healthy, "1a<b": assess.Failing, "1a<c": assess.Healthy})
 }
 
 // A zone that is cut off sees all calls fail: its reports fail a place for nobody else.
 func TestIsolatedZone(t *testing.T) {
-	got := statesOf(sighting("a", 1, 1, "a", 0, 9), sighting("a", 1, 1, "b", 0, 9), sighting("b", 1, 1, "b", 9, 0))
+	got := statesOf(sampleFrom("a", 1, 1, "a", 0, 9), sampleFrom("a", 1, 1, "b", 0, 9), sampleFrom("b", 1, 1, "b", 9, 0))
 	expectStates(t, got, map[string]assess.State{"1a<a": assess.Failing, "1a": assess.Unknown, "1b": assess.Healthy})
 }
 
-func TestRejectionsAreNoOutageButSilenceIs(t *testing.T) {
-	refused := sighting("a", 1, 1, "a", 0, 0)
+func TestRejectionsAreNoOutageUnansweredCallsAre(t *testing.T) {
+	refused := sampleFrom("a", 1, 1, "a", 0, 0)
 	refused.Sent, refused.Rejected = 40, 40
-	silent := sighting("a", 1, 2, "a", 0, 0)
+	silent := sampleFrom("a", 1, 2, "a", 0, 0)
 	silent.Sent = 8 // all still out after a second in which nothing came back
 	expectStates(t, statesOf(refused, silent), map[string]assess.State{"1a": assess.Healthy, "2a": assess.Failing})
 }
 
 // Three failures of three calls may be chance at one place, but not where all places of the zone show the like.
 func TestFewCalls(t *testing.T) {
-	expectStates(t, statesOf(sighting("a", 1, 1, "a", 0, 3)), map[string]assess.State{"1a<a": assess.Degraded})
-	expectStates(t, statesOf(sighting("a", 1, 1, "a", 0, 1), sighting("a", 2, 2, "a", 0, 2), sighting("a", 3, 3, "a", 0, 2)),
+	expectStates(t, statesOf(sampleFrom("a", 1, 1, "a", 0, 3)), map[string]assess.State{"1a<a": assess.Degraded})
+	expectStates(t, statesOf(sampleFrom("a", 1, 1, "a", 0, 1), sampleFrom("a", 2, 2, "a", 0, 2), sampleFrom("a", 3, 3, "a", 0, 2)),
 		map[string]assess.State{"1a": assess.Failing, "2a": assess.Failing})
-	expectStates(t, statesOf(sighting("a", 1, 1, "a", 5, 5), sighting("a", 2, 1, "a", 5, 5)), map[string]assess.State{"1a": assess.Degraded})
+	expectStates(t, statesOf(sampleFrom("a", 1, 1, "a", 5, 5), sampleFrom("a", 2, 1, "a", 5, 5)), map[string]assess.State{"1a": assess.Degraded})
 }
 
 // Only ages count: the same rows say nothing a minute later.
-func TestOldEvidence(t *testing.T) {
-	old := sighting("a", 1, 1, "a", 0, 9)
+func TestOldReportsExpire(t *testing.T) {
+	old := sampleFrom("a", 1, 1, "a", 0, 9)
 	old.Age = 6 * time.Second
 	expectStates(t, statesOf(old), map[string]assess.State{"1a": assess.Unknown})
 	b := assess.NewReportTable(defaultBounds)
-	b.Put(0, assess.SummarizeZone("a", []healthreport.Sample{sighting("a", 1, 1, "a", 0, 9)}, defaultBounds))
+	b.Put(0, assess.SummarizeZone("a", []healthreport.Sample{sampleFrom("a", 1, 1, "a", 0, 9)}, defaultBounds))
 	for at, want := range map[view.Uptime]assess.State{time.Second: assess.Failing, 6 * time.Second: assess.Unknown} {
 		if got := assess.Judge(b.Fresh(at), defaultBounds)[0].State; got != want {
 			t.Errorf("at %v: %v, not %v", at, got, want)
@@ -109,9 +109,9 @@
 	}
 }
 
-func TestBoardSendsChanges(t *testing.T) {
+func TestReportTableSendsChanges(t *testing.T) {
 	b := assess.NewReportTable(defaultBounds)
-	well := assess.SummarizeZone("a", []healthreport.Sample{sighting("a", 1, 1, "a", 9, 0), sighting("a", 1, 2, "b", 0, 0)}, defaultBounds)
+	well := assess.SummarizeZone("a", []healthreport.Sample{sampleFrom("a", 1, 1, "a", 9, 0), sampleFrom("a", 1, 2, "b", 0, 0)}, defaultBounds)
 	sent := 0
 	for i := range 20 { // ten seconds
 		b.Put(view.Uptime(i)*500*time.Millisecond, well)
@@ -120,7 +120,7 @@
 	if sent > 7 {
 		t.Errorf("%d reports in ten seconds in which nothing changed", sent)
 	}
-	b.Put(10*time.Second, assess.SummarizeZone("a", []healthreport.Sample{sighting("a", 1, 1, "a", 0, 9)}, defaultBounds))
+	b.Put(10*time.Second, assess.SummarizeZone("a", []healthreport.Sample{sampleFrom("a", 1, 1, "a", 0, 9)}, defaultBounds))
 	if up := b.TakeDue(10*time.Second, 9); len(up) != 1 || up[0].FailingWitnesses != 1 {
 		t.Errorf("a place failed, and what goes up is %v", up)
 	}
--- a/internal/cluster/failover/assess/judge.go
+++ b/internal/cluster/failover/assess/judge.go
@@ -8,31 +8,32 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// ZoneView is what one zone sees of a place. Rates are calls a second.
+// ZoneView is the health of a locality as seen from one sending zone. Sent, Done and Rejected are in calls per second.
 type ZoneView struct {
-	From                view.Zone
-	State               State
-	SuccessShare        float64 // of its calls that are answered, where Degraded
-	Sent, Done, Refused float64
+	From                 view.Zone // the sending zone
+	State                State
+	SuccessShare         float64 // share of calls that are answered if Degraded; 0 if Failing, otherwise 1
+	Sent, Done, Rejected float64
 }
 
-// PlaceHealth is what is known of a place from the reports of all zones.
-type PlaceHealth struct {
+// LocalityHealth is the health of a locality as derived from the reports of all zones. State and SuccessShare are the
+// overall state, which applies to zones that have no calls there themselves.
+type LocalityHealth struct {
 	healthreport.Locality
-	State            State // for a zone that has seen nothing of it
-	SuccessShare     float64
-	Limit            float64 // calls a second of all senders together; 0 where none is known
-	Rating           float64
+	State            State
+	SuccessShare     float64 // share of calls that are answered if Degraded; 0 if Failing, otherwise 1
+	Limit            float64 // calls per second from all senders; 0 if none is known
+	Rating           float64 // sum of the endpoints' ratings
 	Endpoints        int
-	Done             float64 // calls a second, of all zones
-	Refused          float64
-	FailureWitnesses []view.Name // where Failing
-	ByZone           []ZoneView  // sorted by From; only zones that sent there
+	Done             float64     // calls per second from all zones
+	Rejected         float64     // likewise
+	FailureWitnesses []view.Name // some of the witnesses of the failure; set only if State is Failing
+	ByZone           []ZoneView  // zones that recently sent there, sorted by From
 }
 
-// StateFrom returns the place's state and success share for messages that a zone sends: what that zone sees itself if
-// it sees anything, otherwise the common state.
-func (s PlaceHealth) StateFrom(from view.Zone) (State, float64) {
+// StateFrom returns the state and the success share that apply to calls from a zone: those that the zone observes
+// itself unless they are Unknown, otherwise the overall ones.
+func (s LocalityHealth) StateFrom(from view.Zone) (State, float64) {
 	for _, p := range s.ByZone {
 		if p.From == from && p.State != Unknown {
 			return p.State, p.SuccessShare
@@ -41,45 +42,45 @@
 	return s.State, s.SuccessShare
 }
 
-// assumedSuccessShare stands in for a success share that is not known: one zone gets answers and the place's own zone
-// does not, or a few calls failed and none was answered.
+// assumedSuccessShare replaces a success share that is not known: some zone gets answers while the locality's own zone
+// gets none, or a few calls failed and none was answered.
 const assumedSuccessShare = 0.5
 
-// outcomes counts failed and answered calls.
+// outcomes holds the numbers of failed and answered calls.
 type outcomes struct{ failures, successes float64 }
 
-// link is from a zone that sends to a zone that is sent to.
+// link is the direction from a sending zone to a receiving zone.
 type link struct{ from, to view.Zone }
 
-// Judge combines the reports of all zones, one for each zone and place, into the health of each place, sorted by
-// place. A place is failing for everyone only if two zones say so and none gets answers, or if all witnesses of its
-// own zone say so and none gets answers. Where one zone fails and others get answers, the link is at fault and only
-// that zone's traffic is concerned.
-func Judge(reports []Report, b Bounds) []PlaceHealth {
+// Judge combines the reports of all zones, at most one for each sending zone and locality, into the health of each
+// locality, sorted by locality. The overall state is Failing only if no zone gets answers and either two zones or the
+// locality's own zone see it fail. If calls from one zone fail and others are answered, the link is at fault, and only
+// the state seen from that zone is Failing.
+func Judge(reports []Report, b Bounds) []LocalityHealth {
 	reports = slices.Clone(reports)
 	slices.SortStableFunc(reports, func(x, y Report) int {
-		return cmp.Or(ComparePlaces(x.Locality, y.Locality), cmp.Compare(x.From, y.From))
+		return cmp.Or(CompareLocalities(x.Locality, y.Locality), cmp.Compare(x.From, y.From))
 	})
-	outcomesByZones := sumByZones(reports, b)
-	var places []PlaceHealth
+	byLink := sumByLink(reports, b)
+	var localities []LocalityHealth
 	for i := 0; i < len(reports); {
 		j := i
 		for j < len(reports) && reports[j].Locality == reports[i].Locality {
 			j++
 		}
-		if s, ok := assessPlace(reports[i:j], outcomesByZones, b); ok {
-			places = append(places, s)
+		if s, ok := assessLocality(reports[i:j], byLink, b); ok {
+			localities = append(localities, s)
 		}
 		i = j
 	}
-	settleCommonStates(places, reports, b)
-	return places
+	setOverallStates(localities, reports, b)
+	return localities
 }
 
-// sumByZones sums what each zone sees of all places in another. A place with few calls is then judged together with
-// the rest of its zone, so that the failure of a zone makes one plan rather than one for each destination as its calls
-// fail.
-func sumByZones(reports []Report, b Bounds) map[link]outcomes {
+// sumByLink sums the outcomes of all calls from one zone to another. A locality with few calls is assessed by these
+// sums, so that the failure of a zone results in one plan rather than in one plan for each destination as soon as
+// enough of its calls have failed.
+func sumByLink(reports []Report, b Bounds) map[link]outcomes {
 	sums := map[link]outcomes{}
 	for _, r := range reports {
 		if r.Age <= b.MaxAge {
@@ -91,13 +92,13 @@
 	return sums
 }
 
-// assessPlace combines the reports about one place; false if all of them are too old. The common state is left to
-// settleCommonStates.
-func assessPlace(reports []Report, outcomesByZones map[link]outcomes, b Bounds) (PlaceHealth, bool) {
-	s := PlaceHealth{Locality: reports[0].Locality, SuccessShare: 1}
+// assessLocality combines the reports on one locality. It returns false if all of them are too old. The overall state is
+// set later, by setOverallStates.
+func assessLocality(reports []Report, byLink map[link]outcomes, b Bounds) (LocalityHealth, bool) {
+	s := LocalityHealth{Locality: reports[0].Locality, SuccessShare: 1}
 	known := false
 	for _, r := range reports {
-		if r.Age < 0 || r.Age > b.IdleAge {
+		if r.Age < 0 || r.Age > b.IdleMaxAge {
 			continue
 		}
 		known = true
@@ -105,55 +106,56 @@
 		if r.Age > b.MaxAge || r.Idle() {
 			continue
 		}
-		p := ZoneView{From: r.From, Sent: r.Sent, Done: r.Done, Refused: r.Refused}
-		p.State, p.SuccessShare = stateSeenBy(r, outcomesByZones[link{r.From, r.Zone}], b)
-		s.Done, s.Refused = s.Done+r.Done, s.Refused+r.Refused
+		p := ZoneView{From: r.From, Sent: r.Sent, Done: r.Done, Rejected: r.Rejected}
+		p.State, p.SuccessShare = stateSeenBy(r, byLink[link{r.From, r.Zone}], b)
+		s.Done, s.Rejected = s.Done+r.Done, s.Rejected+r.Rejected
 		s.ByZone = append(s.ByZone, p)
 	}
 	return s, known
 }
 
-// stateSeenBy is the state of a place as the witnesses of one zone see it. Failing takes two witnesses, or all of the
-// zone's witnesses that sent there, and more failures than chance explains.
-func stateSeenBy(r Report, zoneOutcomes outcomes, b Bounds) (State, float64) {
+// stateSeenBy returns the state and the success share of a locality as the witnesses of one zone see it. A locality is
+// Failing if its failed share is significantly above Bounds.FailingAbove and calls of most witnesses fail (of at least
+// two, or of all that sent there). It is also Failing if some witness sees it fail and the failed share of linkOutcomes,
+// the outcomes of all calls from that zone to the locality's zone, is significantly above Bounds.FailingAbove.
+func stateSeenBy(r Report, linkOutcomes outcomes, b Bounds) (State, float64) {
 	state, share := b.classify(r.Failures, r.Successes)
 	majority := r.FailingWitnesses >= 2 && r.FailingWitnesses > r.HealthyWitnesses ||
 		r.FailingWitnesses > 0 && r.HealthyWitnesses == 0
 	switch {
 	case state == Failing && !majority:
-		return Degraded, max(0.1, r.Successes/max(1, r.Failures+r.Successes)) // all calls of some witnesses fail, those of others don't
+		return Degraded, max(0.1, r.Successes/max(1, r.Failures+r.Successes)) // calls of some witnesses fail, those of others don't
 	case state != Failing && r.FailingWitnesses > 0:
-		// The whole zone fails, and this is one of its places.
-		if zoneState, _ := b.classify(zoneOutcomes.failures, zoneOutcomes.successes); zoneState == Failing {
+		// The calls to this locality are too few to tell, but all calls over the link together show that it fails.
+		if linkState, _ := b.classify(linkOutcomes.failures, linkOutcomes.successes); linkState == Failing {
 			return Failing, 0
 		}
 	case state == Degraded && r.FailingWitnesses == 1 && r.HealthyWitnesses > 0:
-		return Healthy, 1 // one sender's fault
+		return Healthy, 1 // the fault is that of a single sender
 	}
 	return state, share
 }
 
-// settleCommonStates sets the state that holds for zones that have seen nothing of a place. What an
-// isolated zone reports counts for no other zone.
-func settleCommonStates(places []PlaceHealth, reports []Report, b Bounds) {
-	isolated := isolatedZones(places)
-	for i := range places {
-		s := &places[i]
-		s.settleCommonState(isolated)
+// setOverallStates sets the overall state of all localities. Failures seen by an isolated zone are ignored.
+func setOverallStates(localities []LocalityHealth, reports []Report, b Bounds) {
+	isolated := isolatedZones(localities)
+	for i := range localities {
+		s := &localities[i]
+		s.setOverallState(isolated)
 		if s.State == Failing {
 			s.FailureWitnesses = failureWitnesses(reports, s.Locality, b)
 		}
 	}
 }
 
-func (s *PlaceHealth) settleCommonState(isolated map[view.Zone]bool) {
+func (s *LocalityHealth) setOverallState(isolated map[view.Zone]bool) {
 	failing, healthy, degraded := 0, 0, 0
-	failsAtHome, share := false, 1.0
+	failsInOwnZone, share := false, 1.0
 	for _, seen := range s.ByZone {
 		switch {
 		case seen.State == Failing && !isolated[seen.From]:
 			failing++
-			failsAtHome = failsAtHome || seen.From == s.Zone
+			failsInOwnZone = failsInOwnZone || seen.From == s.Zone
 		case seen.State == Healthy:
 			healthy++
 		case seen.State == Degraded:
@@ -162,9 +164,9 @@
 		}
 	}
 	switch {
-	case healthy == 0 && degraded == 0 && (failing >= 2 || failsAtHome):
+	case healthy == 0 && degraded == 0 && (failing >= 2 || failsInOwnZone):
 		s.State, s.SuccessShare = Failing, 0
-	case degraded > 0 && healthy == 0 || failsAtHome:
+	case degraded > 0 && healthy == 0 || failsInOwnZone:
 		s.State, s.SuccessShare = Degraded, share
 		if degraded == 0 {
 			s.SuccessShare = assumedSuccessShare
@@ -174,12 +176,12 @@
 	}
 }
 
-// isolatedZones returns the zones that are cut off themselves: they see places of two zones or more fail and none
-// answer, while other zones get answers there.
-func isolatedZones(places []PlaceHealth) map[view.Zone]bool {
-	failingZones := map[view.Zone]map[view.Zone]bool{} // by the zone that sees them fail
+// isolatedZones returns the sending zones that are cut off from the network: they see localities in at least two zones
+// fail and none answer, while some other zone gets answers from one of these localities.
+func isolatedZones(localities []LocalityHealth) map[view.Zone]bool {
+	failingZones := map[view.Zone]map[view.Zone]bool{} // by sending zone, the receiving zones in which it sees a failure
 	sawHealthy, othersAnswered := map[view.Zone]bool{}, map[view.Zone]bool{}
-	for _, s := range places {
+	for _, s := range localities {
 		answered := slices.ContainsFunc(s.ByZone, func(p ZoneView) bool { return p.State == Healthy })
 		for _, p := range s.ByZone {
 			sawHealthy[p.From] = sawHealthy[p.From] || p.State == Healthy || p.State == Degraded
@@ -201,11 +203,11 @@
 	return isolated
 }
 
-// failureWitnesses returns the names of witnesses of a place's failure. The reports must be sorted by place.
-func failureWitnesses(reports []Report, place healthreport.Locality, b Bounds) []view.Name {
+// failureWitnesses returns names of witnesses that see a locality fail. The reports must be sorted by locality.
+func failureWitnesses(reports []Report, locality healthreport.Locality, b Bounds) []view.Name {
 	var names []view.Name
-	i, _ := slices.BinarySearchFunc(reports, place, func(r Report, p healthreport.Locality) int { return ComparePlaces(r.Locality, p) })
-	for ; i < len(reports) && reports[i].Locality == place; i++ {
+	i, _ := slices.BinarySearchFunc(reports, locality, func(r Report, l healthreport.Locality) int { return CompareLocalities(r.Locality, l) })
+	for ; i < len(reports) && reports[i].Locality == locality; i++ {
 		if r := reports[i]; r.FailingWitnesses > 0 && r.Age <= b.MaxAge && len(names) < 2*b.MaxNames {
 			names = append(names, r.FailingNames...)
 		}
--- a/internal/cluster/failover/assess/report_board.go
+++ b/internal/cluster/failover/assess/report_board.go
@@ -9,48 +9,48 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// maxReports bounds a board: 12 zones that each report on 2,000 places (issue 36 names 1,000 processes in 12 zones).
+// maxReports bounds a ReportTable: each of 12 zones reports on 2,000 localities. The target is a cluster of 1,000
+// processes in 12 zones.
 const maxReports = 24000
 
-// reportKey names one report: the place it is about and the zone that made it.
+// reportKey identifies a report by its locality and the zone of its witnesses.
 type reportKey struct {
-	place healthreport.Locality
-	from  view.Zone
+	locality healthreport.Locality
+	from     view.Zone
 }
 
-// storedReport is the newest report of its key.
+// storedReport is the newest report of a key.
 type storedReport struct {
 	report     Report
 	receivedAt view.Uptime
-	sentAt     view.Uptime // when it was last passed on
-	changed    bool        // since then
+	sentAt     view.Uptime // when TakeDue last returned it
+	changed    bool        // its state changed since sentAt
 }
 
-// ReportTable stores the newest report of each zone about each place, with the time it was received. It never holds more
-// than maxReports: reports that are too old are deleted, and new keys beyond the limit are dropped. A board belongs to
-// one goroutine.
+// ReportTable stores the newest report of each zone on each locality. It holds at most maxReports reports: those older
+// than Bounds.IdleMaxAge are deleted, and new keys beyond the limit are dropped. It is not safe for concurrent use.
 type ReportTable struct {
 	bounds  Bounds
 	reports map[reportKey]*storedReport
 }
 
-// NewReportTable returns an empty board.
+// NewReportTable returns an empty table.
 func NewReportTable(b Bounds) *ReportTable {
 	return &ReportTable{bounds: b, reports: map[reportKey]*storedReport{}}
 }
 
-// Put stores reports, each as old as its Age says. A report older than the stored one is dropped: while the tree
-// changes, reports arrive by more than one path. worsened is true if any report has more failing witnesses than the
-// one before it.
-func (b *ReportTable) Put(now view.Uptime, reports []Report) (worsened bool) {
+// Put stores reports, whose ages are as of now. A report that is older than the stored one is dropped, since reports
+// arrive by more than one path while the tree changes. Put returns true if any report has more failing witnesses than
+// the one it replaces.
+func (t *ReportTable) Put(now view.Uptime, reports []Report) (worsened bool) {
 	for _, r := range reports {
 		key := reportKey{r.Locality, r.From}
-		stored := b.reports[key]
+		stored := t.reports[key]
 		if stored == nil {
-			if len(b.reports) >= maxReports {
+			if len(t.reports) >= maxReports {
 				continue
 			}
-			b.reports[key] = &storedReport{report: r, receivedAt: now, sentAt: -b.bounds.IdleAge, changed: true}
+			t.reports[key] = &storedReport{report: r, receivedAt: now, sentAt: -t.bounds.IdleMaxAge, changed: true}
 			worsened = worsened || r.FailingWitnesses > 0
 			continue
 		}
@@ -64,84 +64,85 @@
 	return worsened
 }
 
-// Fresh returns all reports that are still believed, with their ages as of now, sorted; it deletes those that are too
-// old.
-func (b *ReportTable) Fresh(now view.Uptime) []Report {
-	all := make([]Report, 0, len(b.reports))
-	for key, row := range b.reports {
-		r := row.report
-		if r.Age += now - row.receivedAt; r.Age > b.bounds.IdleAge {
-			delete(b.reports, key)
+// Fresh returns all reports with their ages as of now, sorted by locality and zone. It first deletes those older than
+// Bounds.IdleMaxAge.
+func (t *ReportTable) Fresh(now view.Uptime) []Report {
+	all := make([]Report, 0, len(t.reports))
+	for key, stored := range t.reports {
+		r := stored.report
+		if r.Age += now - stored.receivedAt; r.Age > t.bounds.IdleMaxAge {
+			delete(t.reports, key)
 			continue
 		}
 		all = append(all, r)
 	}
 	slices.SortFunc(all, func(x, y Report) int {
-		return cmp.Or(ComparePlaces(x.Locality, y.Locality), cmp.Compare(x.From, y.From))
+		return cmp.Or(CompareLocalities(x.Locality, y.Locality), cmp.Compare(x.From, y.From))
 	})
 	return all
 }
 
-// Intervals at which a report is sent again: short for places that fail, short enough not to age out for healthy
-// ones, long for idle ones.
+// Intervals at which an unchanged report is sent again. That of healthy localities is short enough for their reports
+// not to exceed Bounds.MaxAge.
 const (
 	failingInterval = 450 * time.Millisecond
 	healthyInterval = 2 * time.Second
 	idleInterval    = 12 * time.Second
 )
 
-// TakeDue returns the reports to send to the parent now, at most limit: changed ones at once, those with failures often,
-// the rest at longer intervals.
-func (b *ReportTable) TakeDue(now view.Uptime, limit int) []Report {
+// TakeDue returns the reports to send to the parent now, at most limit of them, and records them as sent. Changed
+// reports with failures are due at once, other changed reports and those with many failures after failingInterval, idle
+// ones after idleInterval, and all others after healthyInterval.
+func (t *ReportTable) TakeDue(now view.Uptime, limit int) []Report {
 	n := 0
-	fresh := b.Fresh(now)
+	fresh := t.Fresh(now)
 	return slices.DeleteFunc(fresh, func(r Report) bool {
-		row := b.reports[reportKey{r.Locality, r.From}]
+		stored := t.reports[reportKey{r.Locality, r.From}]
 		interval := healthyInterval
 		switch {
-		case row.changed && r.FailingWitnesses > 0:
+		case stored.changed && r.FailingWitnesses > 0:
 			interval = 0
-		case row.changed || r.FailingWitnesses > 0 || r.Failures > r.Successes/5:
+		case stored.changed || r.FailingWitnesses > 0 || r.Failures > r.Successes/5:
 			interval = failingInterval
 		case r.Idle():
 			interval = idleInterval
 		}
-		if n >= limit || now-row.sentAt < interval {
+		if n >= limit || now-stored.sentAt < interval {
 			return true
 		}
 		n++
-		row.sentAt, row.changed = now, false
+		stored.sentAt, stored.changed = now, false
 		return false
 	})
 }
 
-// MarkAllUnsent marks all reports as unsent, since there is a new receiver.
-func (b *ReportTable) MarkAllUnsent() {
-	for _, row := range b.reports {
-		row.changed = true
-		row.sentAt = -b.bounds.IdleAge
+// MarkAllUnsent makes all reports due. It is called when the receiver changes, as the new one has none of them.
+func (t *ReportTable) MarkAllUnsent() {
+	for _, stored := range t.reports {
+		stored.changed = true
+		stored.sentAt = -t.bounds.IdleMaxAge
 	}
 }
 
-// stateChanged reports whether two reports differ in more than their figures.
+// stateChanged reports whether two reports differ enough for the new one to be sent soon.
 func stateChanged(a, b Report) bool {
 	return (a.FailingWitnesses > 0) != (b.FailingWitnesses > 0) ||
 		a.Idle() != b.Idle() ||
 		a.Endpoints != b.Endpoints ||
 		a.Limit != b.Limit ||
 		a.Sent > 2*b.Sent+1 || b.Sent > 2*a.Sent+1 ||
-		(a.Refused > a.Sent/10) != (b.Refused > b.Sent/10)
+		(a.Rejected > a.Sent/10) != (b.Rejected > b.Sent/10)
 }
 
-// SeesFailure reports whether one process by itself sees a place fail, by its own rows of the last window. Its own traffic may
-// then go wherever package choice sends it until the plan takes account of the failure.
-func SeesFailure(rows []healthreport.Sample, b Bounds) bool {
+// SeesFailure reports whether a single process sees a locality fail, judging by its own samples up to the age
+// Bounds.Window. Until the plan reflects the failure, package choice alone decides where the process sends.
+func SeesFailure(samples []healthreport.Sample, b Bounds) bool {
 	var t witnessCounts
-	for _, s := range rows {
+	for _, s := range samples {
 		if s.Age <= b.Window {
 			t.add(s)
 		}
 	}
-	t.countSilenceAsFailures(b)
-	return t.failed >= 2 && t.failed > 3*(t.done+t.refused)
+	t.countUnansweredAsFailed(b)
+	return t.failed >= 2 && t.failed > 3*(t.done+t.rejected)
 }
--- a/internal/cluster/failover/assess/types.go
+++ b/internal/cluster/failover/assess/types.go
@@ -1,12 +1,17 @@
-// Package assess turns what senders saw of places into what is known of them in common. A place is the endpoints of one
-// destination in one zone; a witness is a process that reports on it.
+// Package assess derives the health of localities from the health samples of all senders. A locality is the endpoints
+// of one destination in one zone; a witness is a process that reports on it.
 //
-// Samples of a zone's processes become one report for each place (zonal.go). Reports of all zones become the health of
-// each place (judge.go), given separately for each zone that sends there, since a link may fail where the place does not.
+// SummarizeZone combines the samples of one zone's processes into one report for each locality (zonal.go). ReportTable
+// stores the newest reports of all zones (report_board.go). Judge combines them into the health of each locality, both
+// overall and as seen from each zone that sends there, since a link between zones may fail while the locality works
+// (judge.go).
 //
-// The package is pure: it has no clock and never waits, and its results don't depend on the order of a map. One witness
-// alone never moves what others send, a rejected call never counts as an outage, and old reports are not believed. Ages
-// are spans; nothing here knows what time it is.
+// The package is pure: it reads no clock, never blocks, and its results don't depend on the iteration order of a map.
+// Times are passed in, and ages are durations. The following always holds:
+//
+//   - A single witness never changes where other processes send.
+//   - A rejected call never counts as an outage, since a rejection is an answer.
+//   - Reports that are too old are ignored.
 package assess
 
 import (
@@ -18,68 +23,70 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// State is what is known of a place.
+// State is the health of a locality.
 type State uint8
 
 const (
-	Unknown  State = iota // nobody sent there lately, or too few calls to judge by
+	Unknown  State = iota // no recent calls, or too few of them to tell
 	Healthy               // calls are answered
-	Degraded              // part of the calls fail
+	Degraded              // some calls fail
 	Failing               // nearly all calls fail
 )
 
-// String returns the state as it is printed.
-func (s State) String() string { return [...]string{"unknown", "well", "weak", "bad"}[s] }
+// String returns the name of the state in lower case.
+func (s State) String() string { return [...]string{"unknown", "healthy", "degraded", "failing"}[s] }
 
-// Bounds are the tuned values. They come from the table of issue 36 (a plan in force 3 s after a failure, of which
-// digests, two tiers of the tree and consensus take about 1.5 s) and were tried on the traces of this package.
+// Bounds are the thresholds of the assessment. They are chosen so that a plan is in force 3 s after a failure; of this
+// time digests, two tiers of the tree and consensus take about 1.5 s.
 type Bounds struct {
-	Window         time.Duration // calls that ended within it are summed; older ones only where there are no newer
-	MaxAge         time.Duration // older reports say nothing of a place's state
-	IdleAge        time.Duration // how long an idle place's endpoints, limit and rating are believed
-	SilenceTimeout time.Duration // calls in flight count as failed once nothing at all came back for so long
-	FailingAbove   float64       // a place fails if its failed share is surely above this
-	DegradedAbove  float64       // likewise for a degraded one
-	Deviations     float64       // standard deviations beyond which it is not chance
-	MaxNames       int           // failing witnesses listed by name in a report
+	Window            time.Duration // samples up to this age are summed; if a witness has only older ones, its newest counts
+	MaxAge            time.Duration // older reports are ignored when the state is determined
+	IdleMaxAge        time.Duration // endpoints, limit and rating are used up to this age; long, as idle localities are seldom reported
+	UnansweredTimeout time.Duration // calls in flight count as failed once no call was answered or failed for this long
+	FailingAbove      float64       // a locality is failing if the lower confidence bound of its failed share is above this
+	DegradedAbove     float64       // the same for degraded
+	ZScore            float64       // width of the confidence interval in standard deviations
+	MaxNames          int           // maximum number of names in Report.FailingNames
 }
 
-// DefaultBounds returns the values in use.
+// DefaultBounds returns the bounds used in production.
 func DefaultBounds() Bounds {
-	return Bounds{Window: 1100 * time.Millisecond, MaxAge: 5 * time.Second, IdleAge: 40 * time.Second,
-		SilenceTimeout: 900 * time.Millisecond, FailingAbove: 0.5, DegradedAbove: 0.15, Deviations: 1.96, MaxNames: 3}
+	return Bounds{Window: 1100 * time.Millisecond, MaxAge: 5 * time.Second, IdleMaxAge: 40 * time.Second,
+		UnansweredTimeout: 900 * time.Millisecond, FailingAbove: 0.5, DegradedAbove: 0.15, ZScore: 1.96, MaxNames: 3}
 }
 
-// Report is what one zone's processes see of a place. Rates are calls a second over all of them; counts are those of
-// the window.
+// Report is what the processes of one zone, the witnesses, observe of a locality. Age is that of the newest sample in
+// it. Failures and Successes are numbers of calls within Bounds.Window; Sent, Done and Rejected are rates in calls per
+// second. All five are sums over the witnesses that are not excluded.
 type Report struct {
 	healthreport.Locality
-	From              view.Zone     `json:"from"`
+	From              view.Zone     `json:"from"` // zone of the witnesses
 	Kind              choice.KindNo `json:"k,omitempty"`
 	Age               time.Duration `json:"age"`
-	Processes         int           `json:"n"`              // of the zone, that reported anything lately
-	FailingWitnesses  int           `json:"bad,omitempty"`  // most of their calls fail
-	HealthyWitnesses  int           `json:"well,omitempty"` // that get answers
-	ExcludedWitnesses int           `json:"sick,omitempty"` // at fault themselves: they alone see all their calls fail
-	FailingNames      []view.Name   `json:"by,omitempty"`   // of some of FailingWitnesses
-	Failures          float64       `json:"f,omitempty"`    // of witnesses that are not excluded; unanswered calls included
-	Successes         float64       `json:"o,omitempty"`
-	Sent              float64       `json:"s,omitempty"` // calls a second
+	Processes         int           `json:"n"`              // processes of zone From that recently reported on any locality
+	FailingWitnesses  int           `json:"bad,omitempty"`  // witnesses most of whose calls fail
+	HealthyWitnesses  int           `json:"well,omitempty"` // witnesses whose calls are answered
+	ExcludedWitnesses int           `json:"sick,omitempty"` // witnesses at fault themselves; see SummarizeZone
+	FailingNames      []view.Name   `json:"by,omitempty"`   // names of the first Bounds.MaxNames of FailingWitnesses
+	Failures          float64       `json:"f,omitempty"`    // includes unanswered calls
+	Successes         float64       `json:"o,omitempty"`    // includes rejected calls
+	Sent              float64       `json:"s,omitempty"`
 	Done              float64       `json:"d1,omitempty"`
-	Refused           float64       `json:"r,omitempty"`
-	Limit             float64       `json:"l,omitempty"`
-	Rating            float64       `json:"w,omitempty"`
+	Rejected          float64       `json:"r,omitempty"`
+	Limit             float64       `json:"l,omitempty"` // calls per second from all senders; 0 if none is known
+	Rating            float64       `json:"w,omitempty"` // sum of the endpoints' ratings
 	Endpoints         int           `json:"e,omitempty"`
 }
 
-// Idle reports whether no witness sent anything there.
+// Idle reports whether no witness sent calls to the locality.
 func (r Report) Idle() bool { return r.FailingWitnesses+r.HealthyWitnesses+r.ExcludedWitnesses == 0 }
 
-// failureLowerBound is the lower bound of Wilson's score interval for the failed share of n calls: with few calls it
-// is low, and they prove nothing.
-func failureLowerBound(failed, n, deviations float64) float64 { return wilson(failed, n, -deviations) }
+// failureLowerBound returns the lower bound of the Wilson score interval for the failed share of n calls. It is low if
+// n is small, so that a few failed calls prove nothing.
+func failureLowerBound(failed, n, z float64) float64 { return wilson(failed, n, -z) }
 
-// wilson is one bound of Wilson's score interval; a negative z gives the lower one.
+// wilson returns one bound of the Wilson score interval for a share of failed among n calls: the lower bound if z is
+// negative, the upper one otherwise.
 func wilson(failed, n, z float64) float64 {
 	if n <= 0 {
 		return 0
@@ -88,17 +95,17 @@
 	return (p + z*z/(2*n) + z*math.Sqrt(p*(1-p)/n+z*z/(4*n*n))) / (1 + z*z/n)
 }
 
-// classify returns the state and the success share that so many failed and answered calls show.
+// classify returns the state and the success share that follow from the numbers of failed and answered calls.
 func (b Bounds) classify(failures, successes float64) (State, float64) {
 	n := failures + successes
-	low := failureLowerBound(failures, n, b.Deviations)
+	low := failureLowerBound(failures, n, b.ZScore)
 	switch {
 	case n == 0:
 		return Unknown, 1
 	case low > b.FailingAbove:
 		return Failing, 0
 	case low > b.DegradedAbove && successes == 0:
-		return Degraded, assumedSuccessShare // too few calls to say that all fail
+		return Degraded, assumedSuccessShare // too few calls to conclude that all fail
 	case low > b.DegradedAbove:
 		return Degraded, successes / n
 	case successes > 0 && failures <= successes:
--- a/internal/cluster/failover/assess/zonal.go
+++ b/internal/cluster/failover/assess/zonal.go
@@ -10,50 +10,53 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// witnessCounts is what one witness saw of one place.
+// witnessCounts sums the samples of one witness of one locality.
 type witnessCounts struct {
-	witness                     view.Name
-	sent, done, failed, refused float64
-	span, age                   time.Duration
+	witness                      view.Name
+	sent, done, failed, rejected float64       // numbers of calls
+	span, age                    time.Duration // sum of the samples' spans; age of the newest sample
 }
 
 func (t *witnessCounts) add(s healthreport.Sample) {
-	t.sent, t.done, t.failed, t.refused = t.sent+s.Sent, t.done+s.Done, t.failed+s.Failed, t.refused+s.Rejected
+	t.sent, t.done, t.failed, t.rejected = t.sent+s.Sent, t.done+s.Done, t.failed+s.Failed, t.rejected+s.Rejected
 	t.span += s.Span
 }
 
-// countSilenceAsFailures counts unanswered calls as failed once nothing at all came back for SilenceTimeout: an
-// endpoint that hangs answers nothing, and timeouts may be long.
-func (t *witnessCounts) countSilenceAsFailures(b Bounds) {
-	out := t.sent - t.done - t.failed - t.refused
-	if t.done+t.refused == 0 && t.span >= b.SilenceTimeout && out > 0 {
-		t.failed += out
+// countUnansweredAsFailed counts calls in flight as failed if no call was answered during Bounds.UnansweredTimeout. An
+// endpoint that hangs answers no call, and the senders' own timeouts may be long.
+func (t *witnessCounts) countUnansweredAsFailed(b Bounds) {
+	inFlight := t.sent - t.done - t.failed - t.rejected
+	if t.done+t.rejected == 0 && t.span >= b.UnansweredTimeout && inFlight > 0 {
+		t.failed += inFlight
 	}
 }
 
-func (t *witnessCounts) failing() bool { return t.failed > 0 && t.failed > t.done+t.refused }
-func (t *witnessCounts) healthy() bool { return !t.failing() && t.done+t.refused > 0 }
+func (t *witnessCounts) failing() bool { return t.failed > 0 && t.failed > t.done+t.rejected }
+func (t *witnessCounts) healthy() bool { return !t.failing() && t.done+t.rejected > 0 }
 
-// zoneTable holds the rows of one zone's witnesses by place, in a fixed order.
+// zoneTable holds the counts of one zone's witnesses by locality.
 type zoneTable struct {
-	order     []healthreport.Locality
-	witnesses map[healthreport.Locality][]*witnessCounts
-	reports   map[healthreport.Locality]*Report
+	localities []healthreport.Locality                    // all localities, sorted
+	witnesses  map[healthreport.Locality][]*witnessCounts // sorted by witness
+	reports    map[healthreport.Locality]*Report
 }
 
-// SummarizeZone sums what the processes of one zone saw into one report for each place, sorted. Several sightings of one
-// witness and place are consecutive spans; the same sighting must not be passed in twice. Witnesses that are at fault
-// themselves are excluded.
-func SummarizeZone(from view.Zone, rows []healthreport.Sample, b Bounds) []Report {
-	t := tabulate(from, rows, b)
+// SummarizeZone combines the samples of the processes of one zone into one report for each locality, sorted by locality.
+// Several samples of the same witness and locality must cover different spans, so that no call is counted twice.
+//
+// Witnesses at fault themselves are excluded: they see at least two localities fail and none answer, while another
+// witness of the zone gets answers from one of these. A healthy witness whose newest sample is older than
+// healthyReportGrace is left out if another witness sees the locality fail.
+func SummarizeZone(from view.Zone, samples []healthreport.Sample, b Bounds) []Report {
+	t := newZoneTable(from, samples, b)
 	excluded := t.excludedWitnesses()
-	reports := make([]Report, 0, len(t.order))
-	for _, place := range t.order {
-		r := t.reports[place]
-		someFail := slices.ContainsFunc(t.witnesses[place], func(w *witnessCounts) bool {
+	reports := make([]Report, 0, len(t.localities))
+	for _, locality := range t.localities {
+		r := t.reports[locality]
+		someFail := slices.ContainsFunc(t.witnesses[locality], func(w *witnessCounts) bool {
 			return w.failing() && !excluded[w.witness]
 		})
-		for _, w := range t.witnesses[place] {
+		for _, w := range t.witnesses[locality] {
 			if someFail && w.healthy() && w.age > healthyReportGrace {
 				continue
 			}
@@ -68,11 +71,12 @@
 	return reports
 }
 
-// healthyReportGrace is for how long a witness that gets answers contradicts others that see a place fail now. Healthy
-// places are reported every two seconds, and with calls of the two seconds before; failures are reported at once.
+// healthyReportGrace is the maximum age at which the sample of a healthy witness still contradicts failures seen by
+// other witnesses. Failures are reported at once, but healthy localities only every two seconds and with calls of the
+// two seconds before, so that an older sample may be from before the failure.
 const healthyReportGrace = 700 * time.Millisecond
 
-// add adds one witness's counts.
+// add adds the counts of a witness that is not excluded.
 func (r *Report) add(w *witnessCounts, b Bounds) {
 	switch {
 	case w.failing():
@@ -86,30 +90,31 @@
 		return
 	}
 	perSecond := 1 / max(0.1, w.span.Seconds())
-	r.Failures, r.Successes = r.Failures+w.failed, r.Successes+w.done+w.refused // a rejection is an answer
+	r.Failures, r.Successes = r.Failures+w.failed, r.Successes+w.done+w.rejected // a rejection is an answer
 	r.Sent = roundToTenth(r.Sent + w.sent*perSecond)
 	r.Done = roundToTenth(r.Done + w.done*perSecond)
-	r.Refused = roundToTenth(r.Refused + w.refused*perSecond)
+	r.Rejected = roundToTenth(r.Rejected + w.rejected*perSecond)
 	if r.FailingWitnesses+r.HealthyWitnesses == 1 || w.age < r.Age {
 		r.Age = w.age
 	}
 }
 
-// tabulate sorts the rows first, so that neither their order nor that of a map shows in the reports.
-func tabulate(from view.Zone, rows []healthreport.Sample, b Bounds) *zoneTable {
-	rows = slices.DeleteFunc(slices.Clone(rows), func(s healthreport.Sample) bool {
-		return s.ReporterZone != from || s.Age < 0 || s.Age > b.IdleAge || !valid(s)
+// newZoneTable returns a table of the valid samples from a zone. It sorts the samples first, so that the reports depend
+// neither on their order nor on the iteration order of a map.
+func newZoneTable(from view.Zone, samples []healthreport.Sample, b Bounds) *zoneTable {
+	samples = slices.DeleteFunc(slices.Clone(samples), func(s healthreport.Sample) bool {
+		return s.ReporterZone != from || s.Age < 0 || s.Age > b.IdleMaxAge || !valid(s)
 	})
-	slices.SortStableFunc(rows, func(x, y healthreport.Sample) int {
-		return cmp.Or(ComparePlaces(x.Locality, y.Locality), cmp.Compare(x.Reporter, y.Reporter), cmp.Compare(x.Age, y.Age))
+	slices.SortStableFunc(samples, func(x, y healthreport.Sample) int {
+		return cmp.Or(CompareLocalities(x.Locality, y.Locality), cmp.Compare(x.Reporter, y.Reporter), cmp.Compare(x.Age, y.Age))
 	})
 	t := &zoneTable{witnesses: map[healthreport.Locality][]*witnessCounts{}, reports: map[healthreport.Locality]*Report{}}
 	active := map[view.Name]bool{}
-	for _, s := range rows {
+	for _, s := range samples {
 		r := t.reports[s.Locality]
 		if r == nil {
 			r = &Report{Locality: s.Locality, From: from, Kind: s.Kind, Age: s.Age}
-			t.reports[s.Locality], t.order = r, append(t.order, s.Locality)
+			t.reports[s.Locality], t.localities = r, append(t.localities, s.Locality)
 		}
 		r.Limit, r.Rating, r.Endpoints = max(r.Limit, s.Limit), max(r.Rating, s.Rating), max(r.Endpoints, s.Endpoints)
 		if s.Age > b.MaxAge {
@@ -117,20 +122,21 @@
 		}
 		active[s.Reporter] = true
 		if s.Sent+s.Done+s.Failed+s.Rejected > 0 {
-			t.addRow(s, b)
+			t.addSample(s, b)
 		}
 	}
-	for _, place := range t.order {
-		t.reports[place].Processes = len(active)
-		for _, w := range t.witnesses[place] {
-			w.countSilenceAsFailures(b)
+	for _, locality := range t.localities {
+		t.reports[locality].Processes = len(active)
+		for _, w := range t.witnesses[locality] {
+			w.countUnansweredAsFailed(b)
 		}
 	}
 	return t
 }
 
-// addRow adds a row to its witness's counts: rows within the window, or the newest row where all are older.
-func (t *zoneTable) addRow(s healthreport.Sample, b Bounds) {
+// addSample adds a sample to the counts of its witness. Of a witness's samples, the newest always counts, the others
+// only up to the age Bounds.Window. Samples must be added newest first.
+func (t *zoneTable) addSample(s healthreport.Sample, b Bounds) {
 	witnesses := t.witnesses[s.Locality]
 	if len(witnesses) == 0 || witnesses[len(witnesses)-1].witness != s.Reporter {
 		witnesses = append(witnesses, &witnessCounts{witness: s.Reporter, age: s.Age})
@@ -142,13 +148,12 @@
 	w.add(s)
 }
 
-// excludedWitnesses returns the witnesses that are at fault themselves: they see two places or more fail and none
-// answer, while another witness of the zone gets answers from one of these.
+// excludedWitnesses returns the witnesses at fault themselves; see SummarizeZone.
 func (t *zoneTable) excludedWitnesses() map[view.Name]bool {
 	failing, healthy, othersAnswered := map[view.Name]int{}, map[view.Name]int{}, map[view.Name]bool{}
-	for _, place := range t.order {
-		answered := slices.ContainsFunc(t.witnesses[place], (*witnessCounts).healthy)
-		for _, w := range t.witnesses[place] {
+	for _, locality := range t.localities {
+		answered := slices.ContainsFunc(t.witnesses[locality], (*witnessCounts).healthy)
+		for _, w := range t.witnesses[locality] {
 			if w.healthy() {
 				healthy[w.witness]++
 			}
@@ -167,7 +172,7 @@
 	return excluded
 }
 
-// valid reports whether all figures of a row are finite and not negative.
+// valid reports whether all values of a sample are finite and not negative.
 func valid(s healthreport.Sample) bool {
 	for _, v := range [...]float64{s.Sent, s.Done, s.Failed, s.Rejected, s.Limit, s.Rating} {
 		if math.IsNaN(v) || math.IsInf(v, 0) || v < 0 {
@@ -177,8 +182,8 @@
 	return s.Span >= 0
 }
 
-// ComparePlaces orders places by destination, then zone.
-func ComparePlaces(a, b healthreport.Locality) int {
+// CompareLocalities orders localities by destination, then by zone.
+func CompareLocalities(a, b healthreport.Locality) int {
 	return cmp.Or(cmp.Compare(a.Destination, b.Destination), cmp.Compare(a.Zone, b.Zone))
 }
 
--- a/internal/cluster/failover/plan/capacity.go
+++ b/internal/cluster/failover/plan/capacity.go
@@ -10,56 +10,58 @@
 )
 
 const (
-	bestHalfLife      = 3 * time.Minute // of the best rate seen
-	saturatedRefusals = 0.1             // fraction of calls rejected above which a place is saturated
-	saturatedFor      = 10 * time.Second
-	forgetAfter       = 10 * time.Minute // a place that nobody reported for so long
-	maxPlaces         = 24000
-	minRate           = 0.05 // calls a second
+	bestHalfLife              = 3 * time.Minute  // half-life of localityState.bestRate
+	saturatedRejectedFraction = 0.1              // a locality that rejects a larger fraction of its calls is saturated
+	saturatedFor              = 10 * time.Second // how long a locality counts as saturated after the last such update
+	localityTTL               = 10 * time.Minute // how long a locality is kept after its last update
+	maxLocalities             = 24000
+	minRate                   = 0.05 // calls per second; lower rates are treated as this rate or as none
 
-	unknownCapacity = 2.0 // calls a second that a place of which nothing is known is tried with
-	unseenFraction  = 0.5 // of the capacity of a place with a known limit that got no calls lately
+	unknownCapacity    = 2.0 // calls per second assigned to a locality of unknown capacity, to try it
+	unobservedFraction = 0.5 // fraction of a known capacity that is used while a locality got no recent calls
 )
 
-// place is what is remembered of the endpoints of a destination in a zone.
-type place struct {
-	assess.PlaceHealth
-	bestRate, saturatedRate float64 // calls a second: the most done lately; done when it last rejected many
-	saturatedUntil          view.Uptime
-	seenAt                  view.Uptime
+// localityState is the last reported health of a locality with the rates that the planner remembers of it.
+type localityState struct {
+	assess.LocalityHealth
+	bestRate, saturatedRate float64     // calls done per second: the maximum, which decays; the rate when last saturated
+	saturatedUntil          view.Uptime // the locality counts as saturated until then
+	updatedAt               view.Uptime
 }
 
-// capacity is in calls a second, all being well; false where nothing is known of it.
-func (p *place) capacity(s Settings, now view.Uptime) (float64, bool) {
+// capacity returns the capacity of the locality in calls per second if all its endpoints work, or false if it is
+// unknown.
+func (l *localityState) capacity(s Settings, now view.Uptime) (float64, bool) {
 	var capacity float64
 	switch {
-	case p.Limit > 0:
-		capacity = p.Limit
-	case s.RatingIsRate && p.Rating > 0:
-		capacity = p.Rating
-	case p.bestRate > minRate:
-		capacity = p.bestRate * s.ObservedMultiple
+	case l.Limit > 0:
+		capacity = l.Limit
+	case s.RatingIsRate && l.Rating > 0:
+		capacity = l.Rating
+	case l.bestRate > minRate:
+		capacity = l.bestRate * s.ObservedMultiple
 	default:
 		return 0, false
 	}
-	if now < p.saturatedUntil && p.Limit == 0 {
-		capacity = min(capacity, max(p.saturatedRate, minRate))
+	if now < l.saturatedUntil && l.Limit == 0 {
+		capacity = min(capacity, max(l.saturatedRate, minRate))
 	}
 	return capacity, true
 }
 
-// update takes the newest health of the place; the best and the saturated rate outlast it.
-func (p *place) update(now view.Uptime, s assess.PlaceHealth) {
-	p.bestRate *= decay(now-p.seenAt, bestHalfLife)
-	p.bestRate = max(p.bestRate, s.Done)
-	if sent := s.Done + s.Refused; s.Refused > saturatedRefusals*sent && s.Refused > 1 {
-		p.saturatedRate, p.saturatedUntil = s.Done, now+saturatedFor
+// update replaces the health of the locality and updates its best and saturated rates.
+func (l *localityState) update(now view.Uptime, s assess.LocalityHealth) {
+	l.bestRate *= decay(now-l.updatedAt, bestHalfLife)
+	l.bestRate = max(l.bestRate, s.Done)
+	if sent := s.Done + s.Rejected; s.Rejected > saturatedRejectedFraction*sent && s.Rejected > 1 {
+		l.saturatedRate, l.saturatedUntil = s.Done, now+saturatedFor
 	}
-	// The limit and the rating of an idle place stay as they were until others are reported.
-	s.Limit, s.Rating = positiveOr(s.Limit, p.Limit), positiveOr(s.Rating, p.Rating)
-	p.PlaceHealth, p.seenAt = s, now
+	// An idle locality keeps its last known limit and rating.
+	s.Limit, s.Rating = positiveOr(s.Limit, l.Limit), positiveOr(s.Rating, l.Rating)
+	l.LocalityHealth, l.updatedAt = s, now
 }
 
+// positiveOr returns v if it is positive, otherwise old.
 func positiveOr(v, old float64) float64 {
 	if v > 0 {
 		return v
@@ -67,35 +69,37 @@
 	return old
 }
 
-func decay(span, half time.Duration) float64 {
-	return math.Exp2(-float64(max(0, span)) / float64(half))
+// decay returns the factor by which a value with a half-life decays during span.
+func decay(span, halfLife time.Duration) float64 {
+	return math.Exp2(-float64(max(0, span)) / float64(halfLife))
 }
 
-// capacities is the spare capacity of each place in calls a second.
+// capacities holds the spare capacity of localities in calls per second.
 type capacities map[healthreport.Locality]float64
 
-// spareCapacity is what each place can take beyond the demand of the zones whose home it is.
+// spareCapacity returns the capacity of each usable locality that remains after the demand of the zones whose home it
+// is.
 func (p *Planner) spareCapacity(now view.Uptime) capacities {
 	spare := capacities{}
-	for at, pl := range p.places {
-		capacity, known := pl.capacity(p.settings, now)
+	for at, locality := range p.localities {
+		capacity, known := locality.capacity(p.settings, now)
 		switch {
-		case !pl.listed() || pl.seenAt != p.assessedAt || pl.State == assess.Failing:
+		case !locality.listed() || locality.updatedAt != p.assessedAt || locality.State == assess.Failing:
 			continue
 		case !known:
 			spare[at] = unknownCapacity
 			continue
-		case pl.State == assess.Degraded:
-			capacity *= pl.SuccessShare
-		case pl.State == assess.Unknown:
-			capacity *= unseenFraction
+		case locality.State == assess.Degraded:
+			capacity *= locality.SuccessShare
+		case locality.State == assess.Unknown:
+			capacity *= unobservedFraction
 		}
 		spare[at] = capacity * p.settings.CapacityFraction
 	}
 	for k, demanded := range p.demands {
 		home := p.tiersFor(k).home
 		for _, z := range home {
-			at := k.placeIn(z)
+			at := k.localityIn(z)
 			if remaining, found := spare[at]; found {
 				spare[at] = max(0, remaining-p.homeLoadFactor(k, at)*demanded.rate/float64(len(home)))
 			}
@@ -104,9 +108,10 @@
 	return spare
 }
 
-// homeLoadFactor is the part of a zone's demand for which its home must reserve capacity: all of it, less what was
-// diverted for lack of capacity. A home that is failing or returning takes nothing else: it may be in slow start, and
-// what stays or returns needs its capacity.
+// homeLoadFactor returns the factor by which a zone's demand is subtracted from the capacity of its home: 1, or the near
+// share if part of the demand is diverted for lack of capacity. It is infinite, so that no other zone gets capacity
+// there, for a home that is failing or returning: it may be in slow start, and needs its capacity for the messages that
+// stay or return.
 func (p *Planner) homeLoadFactor(k routeKey, at healthreport.Locality) float64 {
 	r := p.routes[k]
 	switch {
@@ -116,7 +121,7 @@
 		return r.nearShare
 	}
 	if state, _ := p.stateSeenBy(k, at.Zone); state == assess.Failing {
-		return 1 // the link fails; the place serves others
+		return 1 // only the link fails; the locality serves other zones
 	}
 	return math.Inf(1)
 }
--- a/internal/cluster/failover/plan/capacity_limits_test.go
+++ b/internal/cluster/failover/plan/capacity_limits_test.go
@@ -72,7 +72,7 @@
 }
 
 // placeHealth is as if each zone tried each place each time, and had its messages done at the first that answers.
-func placeHealth(zones []view.Zone, rate, limit map[view.Zone]float64, failing map[view.Zone]bool) (all []assess.PlaceHealth) {
+func placeHealth(zones []view.Zone, rate, limit map[view.Zone]float64, failing map[view.Zone]bool) (all []assess.LocalityHealth) {
 	served := map[view.Zone]view.Zone{}
 	for _, from := range zones {
 		for _, z := range append([]view.Zone{from}, zones...) {
@@ -82,7 +82,7 @@
 		}
 	}
 	for _, z := range zones {
-		s := assess.PlaceHealth{Locality: healthreport.Locality{Destination: choice.DestinationID(1), Zone: z}, State: assess.Healthy, SuccessShare: 1,
+		s := assess.LocalityHealth{Locality: healthreport.Locality{Destination: choice.DestinationID(1), Zone: z}, State: assess.Healthy, SuccessShare: 1,
 			Limit: limit[z], Endpoints: 1}
 		if failing[z] {
 			s.State = assess.Failing
--- a/internal/cluster/failover/plan/demand.go
+++ b/internal/cluster/failover/plan/demand.go
@@ -9,26 +9,26 @@
 
 const (
 	demandHalfLife       = 20 * time.Second
-	divertedHalfLife     = 3 * time.Minute // while a route is diverted its demand can't be seen from the calls done
-	demandIncreaseWeight = 0.3             // of a new, higher demand in the moving average
-	maxRefusedFraction   = 0.25            // of the calls done: more rejected calls don't count as demand, as they are retries
-	minDemand            = minRate / 10
+	divertedHalfLife     = 3 * time.Minute // longer, as the calls answered do not show the demand while a route is diverted
+	demandIncreaseWeight = 0.3             // weight of a higher demand in the moving average
+	maxRejectedFraction  = 0.25            // of the calls done; further rejected calls don't count as demand, as they are retries
+	minDemand            = minRate / 10    // calls per second; a lower demand is dropped
 )
 
-// demand is how many calls a second the clients of a zone hand in for a destination.
+// demand is the rate of calls from one zone to one destination.
 type demand struct {
-	rate      float64
+	rate      float64 // calls per second
 	updatedAt view.Uptime
 }
 
-// updateDemands takes as a zone's demand what it sent and had answered, over all places of a destination: which of them
-// the calls went to does not matter.
-func (p *Planner) updateDemands(now view.Uptime, places []assess.PlaceHealth) {
+// updateDemands derives the demand of each zone for each destination from the calls that were answered, summed over the
+// destination's localities, since it does not matter which of them received the calls.
+func (p *Planner) updateDemands(now view.Uptime, localities []assess.LocalityHealth) {
 	answered, sent := map[routeKey]float64{}, map[routeKey]float64{}
-	for _, place := range places {
-		for _, seen := range place.ByZone {
-			k := routeKey{place.Destination, seen.From}
-			answered[k] += seen.Done + min(seen.Refused, maxRefusedFraction*seen.Done)
+	for _, locality := range localities {
+		for _, seen := range locality.ByZone {
+			k := routeKey{locality.Destination, seen.From}
+			answered[k] += seen.Done + min(seen.Rejected, maxRejectedFraction*seen.Done)
 			sent[k] += seen.Sent
 		}
 	}
@@ -36,16 +36,17 @@
 		p.updateDemand(now, k, d, answered[k])
 	}
 	for k, rate := range answered {
-		if rate == 0 { // to a new leader during an outage, the calls tried are all there is to go by
+		if rate == 0 { // a new leader that starts during an outage knows only the calls sent
 			rate = sent[k]
 		}
-		if p.demands[k] == nil && rate > minDemand && len(p.demands) < maxPlaces {
+		if p.demands[k] == nil && rate > minDemand && len(p.demands) < maxLocalities {
 			p.demands[k] = &demand{rate, now}
 		}
 	}
 }
 
-// updateDemand follows a higher rate by a moving average, and lets a lower one decay.
+// updateDemand approaches a higher rate by a moving average and a lower rate by exponential decay. It deletes a demand
+// that falls below minDemand.
 func (p *Planner) updateDemand(now view.Uptime, k routeKey, d *demand, answered float64) {
 	if answered >= d.rate {
 		d.rate, d.updatedAt = d.rate+demandIncreaseWeight*(answered-d.rate), now
@@ -61,18 +62,18 @@
 	}
 }
 
-// updateHomeDemand spreads each zone's demand evenly over its home.
+// updateHomeDemand recomputes homeDemand: each zone's demand is divided evenly among its home zones.
 func (p *Planner) updateHomeDemand() {
 	clear(p.homeDemand)
 	for k, d := range p.demands {
 		home := p.tiersFor(k).home
 		for _, z := range home {
-			p.homeDemand[k.placeIn(z)] += d.rate / float64(len(home))
+			p.homeDemand[k.localityIn(z)] += d.rate / float64(len(home))
 		}
 	}
 }
 
-// demand is in calls a second.
+// demand returns the demand for a route in calls per second, 0 if unknown.
 func (p *Planner) demand(k routeKey) float64 {
 	if d := p.demands[k]; d != nil {
 		return d.rate
--- a/internal/cluster/failover/plan/fleet_test.go
+++ b/internal/cluster/failover/plan/fleet_test.go
@@ -23,16 +23,16 @@
 	rate, capacity       map[view.Zone]float64 // calls a second of one destination: handed in, and what its place can do
 	working              map[view.Zone]float64 // fraction of the capacity that is left, 1 if missing
 	brokenLinks          map[[2]view.Zone]bool // from, to
-	silentZones          map[view.Zone]bool    // whose reports do not arrive
+	unreportedZones      map[view.Zone]bool    // whose reports do not arrive
 	limitsKnown          bool                  // endpoints report their limit
 	reports              map[view.Zone][]healthreport.Sample
-	board                *assess.ReportTable
+	reportTable          *assess.ReportTable
 	planner              *plan.Planner
 	inForce              plan.InForce
 	planChanges          []view.Uptime
 	overloadedFor        map[healthreport.Locality]time.Duration // for how long over 1.1 of its capacity because of diverted calls
 	leftZone, totalCalls float64                                 // calls of the last half second
-	decideNothing        bool                                    // no plan is made
+	planningDisabled     bool                                    // no plan is made
 }
 
 const halfSecond = 500 * time.Millisecond
@@ -41,8 +41,8 @@
 	f := &fleet{t: t, regions: map[view.Zone]view.Region{"a1": "A", "a2": "A", "b1": "B", "b2": "B"},
 		zones: []view.Zone{"a1", "a2", "b1", "b2"}, destinations: []choice.DestinationID{1, 2, 3}, limitsKnown: true,
 		rate: map[view.Zone]float64{}, capacity: map[view.Zone]float64{}, working: map[view.Zone]float64{},
-		brokenLinks: map[[2]view.Zone]bool{}, silentZones: map[view.Zone]bool{}, reports: map[view.Zone][]healthreport.Sample{},
-		overloadedFor: map[healthreport.Locality]time.Duration{}, board: assess.NewReportTable(assess.DefaultBounds()), planner: plan.New(plan.DefaultSettings())}
+		brokenLinks: map[[2]view.Zone]bool{}, unreportedZones: map[view.Zone]bool{}, reports: map[view.Zone][]healthreport.Sample{},
+		overloadedFor: map[healthreport.Locality]time.Duration{}, reportTable: assess.NewReportTable(assess.DefaultBounds()), planner: plan.New(plan.DefaultSettings())}
 	for _, z := range f.zones {
 		f.rate[z], f.capacity[z] = 60, 100
 	}
@@ -80,15 +80,15 @@
 	f.countOverloads(load, diverted)
 	for _, from := range f.zones {
 		f.updateReports(from, load)
-		if reports := assess.SummarizeZone(from, f.reports[from], assess.DefaultBounds()); !f.silentZones[from] {
-			f.board.Put(f.now, reports)
+		if reports := assess.SummarizeZone(from, f.reports[from], assess.DefaultBounds()); !f.unreportedZones[from] {
+			f.reportTable.Put(f.now, reports)
 		}
 	}
-	if f.decideNothing {
+	if f.planningDisabled {
 		return
 	}
 	f.planner.SetRegions(f.regions)
-	f.planner.UpdateHealth(f.now, assess.Judge(f.board.Fresh(f.now), assess.DefaultBounds()))
+	f.planner.UpdateHealth(f.now, assess.Judge(f.reportTable.Fresh(f.now), assess.DefaultBounds()))
 	if next, found := f.planner.Step(f.now); found {
 		f.decide(next)
 	}
--- a/internal/cluster/failover/plan/planner.go
+++ b/internal/cluster/failover/plan/planner.go
@@ -13,39 +13,39 @@
 
 const (
 	maxZones       = 256
-	pendingTimeout = 3 * time.Second // a proposed plan that is not in force by then is made anew
+	pendingTimeout = 3 * time.Second // a plan that is not in force this long after Step returned it is replaced by a new one
 )
 
-// Planner makes plans. It belongs to one goroutine, of the consensus leader. A new leader starts with the plan in
-// force (Applied) and with the reports that it then receives.
+// Planner makes plans at the consensus leader. A new leader creates a Planner, passes the plan in force to PlanInForce,
+// and then the health of all localities to UpdateHealth. A Planner is not safe for concurrent use.
 type Planner struct {
 	settings         Settings
 	regions          map[view.Zone]view.Region
-	places           map[healthreport.Locality]*place
+	localities       map[healthreport.Locality]*localityState
 	listedZones      map[choice.DestinationID][]view.Zone
 	tiers            map[routeKey]zoneTiers
-	indexStale       bool // places or zones changed since listedZones and tiers were made
-	indexedAt        view.Uptime
+	indexStale       bool        // localities or zones changed since listedZones and tiers were computed
+	indexedAt        view.Uptime // when listedZones was last computed
 	demands          map[routeKey]*demand
-	homeDemand       map[healthreport.Locality]float64 // calls a second of the zones whose home it is
+	homeDemand       map[healthreport.Locality]float64 // calls per second from the zones whose home the locality is
 	routes           map[routeKey]*routeState
-	lastFailing      map[routeKey]view.Uptime
-	assessedAt       view.Uptime
-	lastStepAt       view.Uptime   // when returns last took a step
-	healthyLinks     map[link]bool // two places or more are healthy and none fails
+	lastFailing      map[routeKey]view.Uptime // when the home was last seen failing
+	assessedAt       view.Uptime              // last health update
+	lastStepAt       view.Uptime              // last step of any returning route
+	healthyLinks     map[link]bool
 	inForce          Plan
-	pending          *Plan
-	pendingRevisions map[routeKey]int // of the routes in pending
-	plannedAt        view.Uptime
-	regionsChanged   bool // regions differ from those of the plan in force
+	pending          *Plan            // plan that Step returned, until PlanInForce is called
+	pendingRevisions map[routeKey]int // routeState.revision of each route when pending was made
+	plannedAt        view.Uptime      // when Step last returned a plan
+	regionsChanged   bool             // regions differ from those of the plan in force
 }
 
-// New returns a planner that knows nothing yet.
+// New returns a Planner without any state.
 func New(s Settings) *Planner {
 	return &Planner{
 		settings:    s,
 		regions:     map[view.Zone]view.Region{},
-		places:      map[healthreport.Locality]*place{},
+		localities:  map[healthreport.Locality]*localityState{},
 		listedZones: map[choice.DestinationID][]view.Zone{},
 		tiers:       map[routeKey]zoneTiers{},
 		demands:     map[routeKey]*demand{},
@@ -58,10 +58,11 @@
 	}
 }
 
-// Epoch returns the epoch of the plan in force, as far as the planner knows it.
+// Epoch returns the epoch of the plan last passed to PlanInForce, 0 if none was.
 func (p *Planner) Epoch() view.Epoch { return p.inForce.Epoch }
 
-// SetRegions sets which zones there are. A zone that has gone stays known: its endpoints may still be there.
+// SetRegions sets the regions of all zones that have processes. Zones that are no longer among them stay known, since
+// their endpoints may still work. Of new zones, those beyond maxZones are ignored.
 func (p *Planner) SetRegions(regions map[view.Zone]view.Region) {
 	for z, r := range regions {
 		if old, known := p.regions[z]; (!known || old != r) && (known || len(p.regions) < maxZones) {
@@ -70,58 +71,59 @@
 	}
 }
 
-// UpdateHealth takes the current health of all places.
-func (p *Planner) UpdateHealth(now view.Uptime, places []assess.PlaceHealth) {
+// UpdateHealth sets the current health of all localities. Of new localities, those beyond maxLocalities are ignored.
+func (p *Planner) UpdateHealth(now view.Uptime, localities []assess.LocalityHealth) {
 	p.assessedAt = now
-	for _, s := range places {
-		pl := p.places[s.Locality]
-		if pl == nil {
-			if len(p.places) >= maxPlaces {
+	for _, s := range localities {
+		locality := p.localities[s.Locality]
+		if locality == nil {
+			if len(p.localities) >= maxLocalities {
 				continue
 			}
-			pl = &place{seenAt: now}
-			p.places[s.Locality] = pl
+			locality = &localityState{updatedAt: now}
+			p.localities[s.Locality] = locality
 		}
-		wasListed := pl.listed()
-		pl.update(now, s)
-		p.indexStale = p.indexStale || wasListed != pl.listed()
+		wasListed := locality.listed()
+		locality.update(now, s)
+		p.indexStale = p.indexStale || wasListed != locality.listed()
 	}
-	p.healthyLinks = healthyLinks(places)
+	p.healthyLinks = healthyLinks(localities)
 	p.rebuildIndex(now)
-	p.updateDemands(now, places)
+	p.updateDemands(now, localities)
 	p.updateHomeDemand()
 }
 
-// link is from a zone that sends to a zone that is sent to.
+// link is the direction from a sending zone to a receiving zone.
 type link struct{ from, to view.Zone }
 
-// healthyLinks returns the links on which two places or more are healthy and none fails.
-func healthyLinks(places []assess.PlaceHealth) map[link]bool {
-	healthyPlaces, failing := map[link]int{}, map[link]bool{}
-	for _, s := range places {
+// healthyLinks returns the links over which at least two localities are healthy and none is failing.
+func healthyLinks(localities []assess.LocalityHealth) map[link]bool {
+	healthyCount, failing := map[link]int{}, map[link]bool{}
+	for _, s := range localities {
 		for _, seen := range s.ByZone {
 			l := link{seen.From, s.Zone}
 			switch seen.State {
 			case assess.Healthy:
-				healthyPlaces[l]++
+				healthyCount[l]++
 			case assess.Failing:
 				failing[l] = true
 			}
 		}
 	}
 	healthy := map[link]bool{}
-	for l, n := range healthyPlaces {
+	for l, n := range healthyCount {
 		healthy[l] = n >= 2 && !failing[l]
 	}
 	return healthy
 }
 
-// PlanInForce takes the plan in force, of this planner or of another before it.
+// PlanInForce sets the plan in force, which this planner or that of an earlier leader made. A plan of a lower epoch than
+// the current one is ignored.
 func (p *Planner) PlanInForce(now view.Uptime, in Plan) {
 	if in.Epoch < p.inForce.Epoch {
 		return
 	}
-	ours := p.pending != nil && p.pending.Epoch == in.Epoch
+	isPending := p.pending != nil && p.pending.Epoch == in.Epoch
 	p.inForce = in
 	for z, r := range in.Regions {
 		if _, known := p.regions[z]; !known {
@@ -129,12 +131,13 @@
 		}
 	}
 	p.regionsChanged = !maps.Equal(p.regions, in.Regions)
-	p.takePublished(now, in, ours)
+	p.recordPublished(now, in, isPending)
 	p.pending, p.pendingRevisions = nil, nil
 }
 
-// takePublished notes for each route what the plan in force has of it; ours if it is the pending plan of this planner.
-func (p *Planner) takePublished(now view.Uptime, in Plan, ours bool) {
+// recordPublished records in each routeState its route in the plan in force. isPending says that this is the pending
+// plan of this planner.
+func (p *Planner) recordPublished(now view.Uptime, in Plan, isPending bool) {
 	for k, r := range p.routes {
 		if _, found := in.Find(k.destination, k.from); !found {
 			r.published, r.publishedRevision = Route{}, p.pendingRevisions[k]
@@ -148,33 +151,34 @@
 			p.routes[k] = r
 		}
 		r.published, r.publishedAt = published, now
-		if revision, found := p.pendingRevisions[k]; ours && found {
+		if revision, found := p.pendingRevisions[k]; isPending && found {
 			r.publishedRevision = revision
 		}
 	}
 }
 
-// resumeRoute takes over a route that another planner made: its diversions count as of now.
+// resumeRoute returns the state of a route that another planner published. The times of its diversions are not known;
+// they count as if they happened now.
 func (p *Planner) resumeRoute(now view.Uptime, published Route) *routeState {
 	p.assumeHomeListed(now, published)
 	r := newRouteState()
 	r.phase, r.nearShare, r.outage = published.Phase, published.NearShare, published.Outage
 	r.step = min(max(0, published.Step), len(p.settings.Steps)-1)
-	switch published.Phase { // Near may include what there was no capacity for
+	switch published.Phase { // NearShare may include messages that no other zone had capacity for
 	case Diverted, Unrestricted:
 		r.phase, r.nearShare = Diverted, min(published.NearShare, p.settings.MaxTrialShare)
 	case Returning:
 		r.nearShare = min(published.NearShare, p.settings.Steps[r.step])
 	}
-	r.failingSince, r.turnedAt, r.steppedAt = now-published.Outage, now, now
+	r.failingSince, r.directionChangedAt, r.steppedAt = now-published.Outage, now, now
 	for range min(published.Diversions, maxDiversions) {
 		r.diversions = append(r.diversions, now)
 	}
 	return r
 }
 
-// assumeHomeListed takes the home zones of a route as listed: those that report on them may be gone, and another zone
-// must not be taken for the home because of that.
+// assumeHomeListed adds the home localities of a published route that are not known yet. The processes that report on
+// them may be down, and without them another zone would be taken for the home.
 func (p *Planner) assumeHomeListed(now view.Uptime, published Route) {
 	home := published.HomeZones
 	if len(home) == 0 {
@@ -182,22 +186,23 @@
 	}
 	for _, z := range home {
 		at := healthreport.Locality{Destination: published.Destination, Zone: z}
-		if p.places[at] == nil && len(p.places) < maxPlaces {
-			health := assess.PlaceHealth{Locality: at, SuccessShare: 1, Endpoints: 1}
-			p.places[at], p.indexStale = &place{PlaceHealth: health, seenAt: now}, true
+		if p.localities[at] == nil && len(p.localities) < maxLocalities {
+			health := assess.LocalityHealth{Locality: at, SuccessShare: 1, Endpoints: 1}
+			p.localities[at], p.indexStale = &localityState{LocalityHealth: health, updatedAt: now}, true
 		}
 	}
 }
 
-// Step moves all routes on and returns the next plan if one is worth making. The caller proposes it and reports the
-// outcome by Applied; until then, for a while, Step makes no other.
+// Step advances the phases of all routes and returns the next plan, or false if the plan in force needs no change yet.
+// The caller proposes the plan to the consensus group and then calls PlanInForce, whatever the outcome. Until then Step
+// returns no other plan for up to pendingTimeout.
 func (p *Planner) Step(now view.Uptime) (Plan, bool) {
 	p.advanceRoutes(now)
 	sinceLast := now - p.plannedAt
 	if p.pending != nil && sinceLast < pendingTimeout || sinceLast < p.settings.MinPlanInterval || len(p.regions) == 0 {
 		return Plan{}, false
 	}
-	routes, changed, urgent := p.shareOut(now)
+	routes, changed, urgent := p.planRoutes(now)
 	if !p.regionsChanged {
 		unchanged := !changed && p.inForce.Epoch > 0
 		tooSoon := !urgent && sinceLast < p.settings.MinSharesOnlyInterval
@@ -205,7 +210,7 @@
 			return Plan{}, false
 		}
 	}
-	next := Plan{Epoch: p.inForce.Epoch + 1, Hold: p.settings.Hold, Regions: maps.Clone(p.regions), Routes: routes}
+	next := Plan{Epoch: p.inForce.Epoch + 1, TTL: p.settings.Hold, Regions: maps.Clone(p.regions), Routes: routes}
 	p.trimToLimits(&next)
 	p.pending, p.plannedAt, p.pendingRevisions = &next, now, map[routeKey]int{}
 	for k, r := range p.routes {
@@ -214,7 +219,7 @@
 	return next, true
 }
 
-// advanceRoutes moves on, in order, all routes that have demand or are not steady.
+// advanceRoutes advances, in the order of their keys, all routes that have demand or a state.
 func (p *Planner) advanceRoutes(now view.Uptime) {
 	keys := slices.Collect(maps.Keys(p.routes))
 	for k := range p.demands {
@@ -227,29 +232,30 @@
 		home := p.tiersFor(k).home
 		r := p.routes[k]
 		if len(home) == 0 {
-			if r != nil && p.assessedAt != neverAt && now-r.turnedAt > p.settings.DiversionMemory {
+			if r != nil && p.assessedAt != neverAt && now-r.directionChangedAt > p.settings.DiversionWindow {
 				r.setPhase(steady, 1)
 				p.forgetIfSettled(now, k, r)
 			}
 			continue
 		}
-		fresh := r == nil
-		if fresh {
+		isNew := r == nil
+		if isNew {
 			r = newRouteState()
 		}
 		p.advanceRoute(now, k, r, home)
-		if fresh && r.phase == steady && r.overloadedSince == neverAt {
-			continue // nothing to remember
+		if isNew && r.phase == steady && r.overloadedSince == neverAt {
+			continue // no state to keep
 		}
 		p.routes[k] = r
 		p.forgetIfSettled(now, k, r)
 	}
 }
 
-// forgetIfSettled drops a route that is steady again once its diversions no longer count.
+// forgetIfSettled deletes the state of a route that is steady, also in the plan in force, once its diversions no longer
+// count.
 func (p *Planner) forgetIfSettled(now view.Uptime, k routeKey, r *routeState) {
 	settled := r.phase == steady && r.published.Phase == steady && r.overloadedSince == neverAt
-	if settled && now-r.turnedAt > p.settings.DiversionMemory {
+	if settled && now-r.directionChangedAt > p.settings.DiversionWindow {
 		delete(p.routes, k)
 		delete(p.lastFailing, k)
 	}
--- a/internal/cluster/failover/plan/planner_test.go
+++ b/internal/cluster/failover/plan/planner_test.go
@@ -170,10 +170,10 @@
 	}
 }
 
-func TestSilenceMovesNothing(t *testing.T) {
+func TestMissingReportsMoveNothing(t *testing.T) {
 	f := newFleet(t)
 	f.run(10 * second)
-	f.silentZones["b1"], f.silentZones["b2"] = true, true // cut off: their reports grow old
+	f.unreportedZones["b1"], f.unreportedZones["b2"] = true, true // cut off: their reports grow old
 	f.run(60 * second)
 	if n := len(f.planChanges); n > 0 {
 		t.Errorf("%d plan changes by silence alone", n)
@@ -206,7 +206,7 @@
 func TestEpochsNeverFork(t *testing.T) {
 	var f plan.InForce
 	regions := map[view.Zone]view.Region{"a": "A"}
-	p := plan.Plan{Epoch: 1, Hold: second, Regions: regions}
+	p := plan.Plan{Epoch: 1, TTL: second, Regions: regions}
 	if _, err := f.Apply(1, 0, plan.Kind, must(encode(p))); err != nil {
 		t.Fatal(err)
 	}
@@ -214,7 +214,7 @@
 	if _, err := f.Apply(2, 0, plan.Kind, must(encode(p))); !errors.As(err, &stale) || stale.InForce != 1 {
 		t.Errorf("the same epoch twice: %v", err)
 	}
-	bad := plan.Plan{Epoch: 2, Hold: second, Routes: []plan.Route{{Phase: plan.Diverted, NearShare: 0.5}}}
+	bad := plan.Plan{Epoch: 2, TTL: second, Routes: []plan.Route{{Phase: plan.Diverted, NearShare: 0.5}}}
 	if _, err := f.Apply(3, 0, plan.Kind, must(encode(bad))); err == nil || f.Plan().Epoch != 1 {
 		t.Errorf("shares that add up to a half: %v", err)
 	}
@@ -229,7 +229,7 @@
 
 // Two planners both believe to lead: of the plans they make for one epoch one is decided, and the other planner goes
 // on from that.
-func TestTwoPlannersOneHistory(t *testing.T) {
+func TestTwoPlannersDecideEachEpochOnce(t *testing.T) {
 	f := newFleet(t)
 	other := plan.New(plan.DefaultSettings())
 	decided := map[view.Epoch]int{}
@@ -237,9 +237,9 @@
 		if f.working["a1"] = 1; i > 20 {
 			f.working["a1"] = 0
 		}
-		f.decideNothing = true
+		f.planningDisabled = true
 		f.step()
-		all := assess.Judge(f.board.Fresh(f.now), assess.DefaultBounds())
+		all := assess.Judge(f.reportTable.Fresh(f.now), assess.DefaultBounds())
 		for _, p := range []*plan.Planner{f.planner, other} {
 			p.SetRegions(f.regions)
 			p.UpdateHealth(f.now, all)
@@ -273,11 +273,11 @@
 	f.working["a1"] = 0
 	f.until("moved", 2*second, f.awayFrom("a1"))
 	f.run(3 * second)
-	f.silentZones["a1"], f.working["b1"] = true, 0
+	f.unreportedZones["a1"], f.working["b1"] = true, 0
 	for _, from := range f.zones {
 		f.reports[from] = nil
 	}
-	f.board = assess.NewReportTable(assess.DefaultBounds())
+	f.reportTable = assess.NewReportTable(assess.DefaultBounds())
 	f.planner = plan.New(plan.DefaultSettings())
 	f.planner.PlanInForce(f.now, f.inForce.Plan())
 	f.until("the second moved", 3*second, func() bool { return f.maxShare("b1", "a2")+f.maxShare("b1", "b2") > 0.2 })
--- a/internal/cluster/failover/plan/share.go
+++ b/internal/cluster/failover/plan/share.go
@@ -13,14 +13,15 @@
 )
 
 const (
-	overloadTolerance  = 1.05            // multiple of a receiver's capacity beyond which its routes are assigned anew
-	negligibleCapacity = 0.5             // calls a second that are too few to count as an overload
-	improveInterval    = 3 * time.Second // between two attempts to move what had to stay
+	overloadTolerance = 1.05            // multiple of a receiver's capacity above which routes to it are reassigned
+	negligibleRate    = 0.5             // calls per second above that multiple that still count as no overload
+	reassignInterval  = 3 * time.Second // minimum time between two attempts to divert what stayed near for lack of capacity
 )
 
-// shareOut makes the routes of the next plan. Routes in force are kept unchanged while they fit, so that a varying
-// rate makes no plan. changed reports whether some are new or gone, and urgent whether more than shares changed.
-func (p *Planner) shareOut(now view.Uptime) (routes []Route, changed, urgent bool) {
+// planRoutes returns the routes of the next plan. Routes in force are reused unchanged while they fit, so that varying
+// rates cause no plan. changed reports whether any route differs from the plan in force, and urgent whether more than
+// shares differ, or a route in force sends to a failing locality.
+func (p *Planner) planRoutes(now view.Uptime) (routes []Route, changed, urgent bool) {
 	if !p.anyRouteActive() {
 		return nil, false, false
 	}
@@ -36,7 +37,7 @@
 			changed, urgent = true, true
 		}
 	}
-	for _, next := range p.assign(reassigned, spare) {
+	for _, next := range p.assignRoutes(reassigned, spare) {
 		k := next.key()
 		if published := p.routes[k].published; !sameEffect(next, published) {
 			changed = true
@@ -48,8 +49,9 @@
 	return routes, changed, urgent
 }
 
-// assign makes routes for these keys, in their order, out of the spare capacity.
-func (p *Planner) assign(keys []routeKey, spare capacities) []Route {
+// assignRoutes returns routes for these keys, and subtracts what they send from the spare capacity. Keys that come earlier
+// are served first.
+func (p *Planner) assignRoutes(keys []routeKey, spare capacities) []Route {
 	routes := make([]Route, len(keys))
 	for i, k := range keys {
 		r := p.routes[k]
@@ -59,7 +61,7 @@
 			routes[i].Step = r.step
 		}
 	}
-	for tier := range 2 { // the regions of all zones before anything goes beyond them
+	for tier := range 2 { // capacity in the own region of each route is assigned before that in other regions
 		for i, k := range keys {
 			p.fillTier(k, &routes[i], p.tiersFor(k).others[tier], spare)
 		}
@@ -70,7 +72,7 @@
 	return routes
 }
 
-// sendsToFailing reports whether a route sends to a place that is failing.
+// sendsToFailing reports whether a route sends to a locality that is failing.
 func (p *Planner) sendsToFailing(k routeKey, r Route) bool {
 	return slices.ContainsFunc(r.Shares, func(s Share) bool {
 		state, _ := p.stateSeenBy(k, s.Zone)
@@ -78,7 +80,7 @@
 	})
 }
 
-// anyRouteActive reports whether any route is not steady, or is not yet steady in the plan in force.
+// anyRouteActive reports whether any route is not steady, or not steady in the plan in force.
 func (p *Planner) anyRouteActive() bool {
 	for _, r := range p.routes {
 		if r.phase != steady || r.published.Phase != steady {
@@ -88,7 +90,7 @@
 	return false
 }
 
-// reusableRoutes returns which routes in force stay as they are, and which are to be assigned anew.
+// reusableRoutes returns which routes in force stay unchanged, and the keys of the others that need a route.
 func (p *Planner) reusableRoutes(now view.Uptime, keys []routeKey, spare capacities) (reused map[routeKey]bool, reassigned []routeKey) {
 	reused = map[routeKey]bool{}
 	used := map[healthreport.Locality]float64{}
@@ -100,7 +102,7 @@
 		if r.published.Phase != steady && r.revision == r.publishedRevision && p.stillFits(now, k, r, spare) {
 			reused[k] = true
 			for _, s := range r.published.Shares {
-				used[k.placeIn(s.Zone)] += s.Fraction * p.demand(k)
+				used[k.localityIn(s.Zone)] += s.Fraction * p.demand(k)
 			}
 		}
 	}
@@ -119,54 +121,55 @@
 	return reused, reassigned
 }
 
-// sendsToOverloaded reports whether a receiver of a route gets more than its spare capacity. Where that is not known, as
-// to a new leader, what is in force stays.
+// sendsToOverloaded reports whether a receiver of a route gets more than its spare capacity from all reused routes. A
+// receiver whose spare capacity is unknown, as at a new leader, does not count as overloaded.
 func sendsToOverloaded(k routeKey, r Route, used map[healthreport.Locality]float64, spare capacities) bool {
 	return slices.ContainsFunc(r.Shares, func(s Share) bool {
-		at := k.placeIn(s.Zone)
+		at := k.localityIn(s.Zone)
 		capacity, known := spare[at]
-		return known && s.Fraction > 0 && used[at] > capacity*overloadTolerance+negligibleCapacity
+		return known && s.Fraction > 0 && used[at] > capacity*overloadTolerance+negligibleRate
 	})
 }
 
-// stillFits reports whether a route in force can stay: no receiver fails, and nothing that had to stay near could go
-// now.
+// stillFits reports whether a route in force can stay unchanged: no receiver is failing, and other zones have no capacity
+// for messages that stayed near because there was none.
 func (p *Planner) stillFits(now view.Uptime, k routeKey, r *routeState, spare capacities) bool {
 	if p.sendsToFailing(k, r.published) {
 		return false
 	}
-	stays := r.published.NearShare - r.nearShare
+	excess := r.published.NearShare - r.nearShare
 	if r.published.Phase == Unrestricted {
-		stays = 1
+		excess = 1
 	}
-	if stays <= p.settings.MinShareChange || now-r.publishedAt < improveInterval {
+	if excess <= p.settings.MinShareChange || now-r.publishedAt < reassignInterval {
 		return true
 	}
 	available, rate := 0.0, p.demand(k)
 	others := p.tiersFor(k).others
 	for _, z := range slices.Concat(others[0], others[1]) {
 		if p.usable(k, z) {
-			available += spare[k.placeIn(z)]
+			available += spare[k.localityIn(z)]
 		}
 	}
 	movable := available >= (1-r.published.NearShare+p.settings.MinShareChange)*rate
 	return !movable || r.published.Phase == Unrestricted && available == 0
 }
 
+// usable reports whether a route may send to zone z, which it may unless the locality there is failing.
 func (p *Planner) usable(k routeKey, z view.Zone) bool {
 	state, _ := p.stateSeenBy(k, z)
 	return state != assess.Failing
 }
 
-// reserve takes what a route sends from the spare capacity.
+// reserve subtracts the calls that a route sends from the spare capacity of its receivers.
 func (p *Planner) reserve(k routeKey, r Route, spare capacities) {
 	for _, s := range r.Shares {
-		at := k.placeIn(s.Zone)
+		at := k.localityIn(s.Zone)
 		spare[at] = max(0, spare[at]-s.Fraction*p.demand(k))
 	}
 }
 
-// fillTier assigns what is still to go to the zones of a tier, in proportion to their spare capacity.
+// fillTier assigns the share that is still to be diverted to the zones of a tier, in proportion to their spare capacity.
 func (p *Planner) fillTier(k routeKey, r *Route, zones []view.Zone, spare capacities) {
 	remaining, available := 1-r.NearShare, 0.0
 	for _, s := range r.Shares {
@@ -174,15 +177,15 @@
 	}
 	zones = slices.DeleteFunc(slices.Clone(zones), func(z view.Zone) bool { return !p.usable(k, z) })
 	for _, z := range zones {
-		available += spare[k.placeIn(z)]
+		available += spare[k.localityIn(z)]
 	}
 	if remaining <= 1e-9 || available <= 0 {
 		return
 	}
 	rate := max(minRate, p.demand(k))
-	fraction := min(1, available/(remaining*rate)) // of the remaining share, that there is capacity for
+	fraction := min(1, available/(remaining*rate)) // fraction of the remaining share that there is capacity for
 	for _, z := range zones {
-		at := k.placeIn(z)
+		at := k.localityIn(z)
 		if s := floorShare(remaining * fraction * spare[at] / available); s > 0 && len(r.Shares) < maxShares {
 			r.Shares = append(r.Shares, Share{z, s})
 			spare[at] = max(0, spare[at]-s*rate)
@@ -190,8 +193,9 @@
 	}
 }
 
-// assignRemainder lets the rest stay near, where package choice sheds it with a Retry-After. Where no other zone can
-// take anything, nothing moves and all is as without a plan.
+// assignRemainder lets the rest of the messages go near, where package choice sheds what exceeds the capacity, with a
+// Retry-After. If no other zone is usable, a diverted route becomes unrestricted, so that messages go where they would
+// go without a plan.
 func (p *Planner) assignRemainder(k routeKey, r *Route) {
 	if home := p.tiersFor(k).home; !slices.Equal(home, []view.Zone{k.from}) {
 		r.HomeZones = home
@@ -209,13 +213,13 @@
 	r.NearShare = math.Round((1-moved)*1e4) / 1e4
 }
 
-// sameEffect reports whether two routes send messages alike.
+// sameEffect reports whether two routes send messages to the same zones in the same shares, in the same phase and step.
 func sameEffect(a, b Route) bool {
 	return a.Phase == b.Phase && a.NearShare == b.NearShare && a.Step == b.Step && slices.Equal(a.Shares, b.Shares)
 }
 
-// trimToLimits drops routes with the fewest calls until the plan is small enough to be proposed. Messages of dropped
-// routes go to their home, and each process by itself avoids what it sees fail.
+// trimToLimits removes the routes with the lowest demand until the plan is within MaxRoutes and maxPlanBytes. Messages of
+// removed routes go to their home zones, except that each process avoids endpoints that it sees fail itself.
 func (p *Planner) trimToLimits(next *Plan) {
 	size := next.EncodedSize()
 	if size <= maxPlanBytes && len(next.Routes) <= MaxRoutes {
@@ -228,5 +232,5 @@
 	slices.SortFunc(next.Routes, func(a, b Route) int { return a.key().compare(b.key()) })
 }
 
-// floorShare rounds down to a ten-thousandth: shares must never add up to more than 1.
+// floorShare rounds a share down to a ten-thousandth, so that the shares of a route never add up to more than 1.
 func floorShare(v float64) float64 { return math.Floor(v*1e4) / 1e4 }
--- a/internal/cluster/failover/plan/sparse_fleet_test.go
+++ b/internal/cluster/failover/plan/sparse_fleet_test.go
@@ -23,7 +23,7 @@
 	failing     map[view.Zone]bool
 	lastReports map[healthreport.Locality]map[view.Name]healthreport.Sample
 	ejected     map[healthreport.Locality]map[view.Name]bool
-	board       *assess.ReportTable
+	reportTable *assess.ReportTable
 	planner     *plan.Planner
 	plan        plan.Plan
 	planChanges []view.Uptime
@@ -70,13 +70,13 @@
 				}
 			}
 		}
-		s.board.Put(s.now, assess.SummarizeZone(from, rows, assess.DefaultBounds()))
+		s.reportTable.Put(s.now, assess.SummarizeZone(from, rows, assess.DefaultBounds()))
 		if from == "a1" {
 			s.nearShare = near / max(1, all)
 		}
 	}
 	s.leftZone, s.totalCalls = s.leftZone+all-near, s.totalCalls+all
-	s.planner.UpdateHealth(s.now, assess.Judge(s.board.Fresh(s.now), assess.DefaultBounds()))
+	s.planner.UpdateHealth(s.now, assess.Judge(s.reportTable.Fresh(s.now), assess.DefaultBounds()))
 	if next, some := s.planner.Step(s.now); some {
 		s.plan = next
 		s.planner.PlanInForce(s.now, next)
@@ -136,7 +136,7 @@
 }
 
 func TestFewCallsAndRandomFailures(t *testing.T) {
-	s := &sparseFleet{random: rand.New(rand.NewPCG(1, 2)), failing: map[view.Zone]bool{}, board: assess.NewReportTable(assess.DefaultBounds()),
+	s := &sparseFleet{random: rand.New(rand.NewPCG(1, 2)), failing: map[view.Zone]bool{}, reportTable: assess.NewReportTable(assess.DefaultBounds()),
 		lastReports: map[healthreport.Locality]map[view.Name]healthreport.Sample{}, ejected: map[healthreport.Locality]map[view.Name]bool{},
 		planner: plan.New(plan.DefaultSettings())}
 	s.planner.SetRegions(map[view.Zone]view.Region{"a1": "A", "a2": "A", "b1": "B", "b2": "B"})
--- a/internal/cluster/failover/plan/storeddata_test.go
+++ b/internal/cluster/failover/plan/storeddata_test.go
@@ -15,7 +15,7 @@
 func storedPlan() plan.Plan {
 	return plan.Plan{
 		Epoch:   2,
-		Hold:    20 * time.Second,
+		TTL:     20 * time.Second,
 		Regions: map[view.Zone]view.Region{"z1": "r1", "z2": "r1", "z3": "r2"},
 		Routes: []plan.Route{
 			{Destination: -7, From: "z1", Phase: "away", NearShare: 0.25,
--- a/internal/cluster/failover/plan/tiers.go
+++ b/internal/cluster/failover/plan/tiers.go
@@ -7,13 +7,14 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// zoneTiers are the zones that list a destination, as seen from one zone.
+// zoneTiers groups the zones with endpoints of a destination by their distance from one sending zone.
 type zoneTiers struct {
-	home   []view.Zone    // where messages go while all is well
-	others [2][]view.Zone // the rest of the region, and the zones beyond
+	home   []view.Zone    // where messages go without failures
+	others [2][]view.Zone // other zones of the same region; zones of other regions
 }
 
-// tiersFor caches the tiers until places or zones change: a leader asks for them thousands of times a turn.
+// tiersFor returns the tiers for a route. It caches them until localities or zones change, since a leader asks for them
+// thousands of times per tick.
 func (p *Planner) tiersFor(k routeKey) zoneTiers {
 	t, found := p.tiers[k]
 	if !found {
@@ -23,6 +24,7 @@
 	return t
 }
 
+// buildTiers computes the tiers for a route. The nearest tier that is not empty becomes the home.
 func (p *Planner) buildTiers(k routeKey) (t zoneTiers) {
 	region, known := p.regions[k.from]
 	for _, z := range p.listedZones[k.destination] {
@@ -43,20 +45,21 @@
 	return t
 }
 
-// rebuildIndex finds anew which zones list which destination, if that changed, and forgets places not seen for long.
+// rebuildIndex recomputes which zones list which destination if that may have changed, and deletes localities that were
+// not updated for localityTTL.
 func (p *Planner) rebuildIndex(now view.Uptime) {
-	if !p.indexStale && now-p.indexedAt < forgetAfter/10 {
+	if !p.indexStale && now-p.indexedAt < localityTTL/10 {
 		return
 	}
 	p.indexStale, p.indexedAt = false, now
 	clear(p.listedZones)
 	clear(p.tiers)
-	for at, pl := range p.places {
-		if now-pl.seenAt > forgetAfter {
-			delete(p.places, at)
+	for at, locality := range p.localities {
+		if now-locality.updatedAt > localityTTL {
+			delete(p.localities, at)
 			continue
 		}
-		if pl.listed() {
+		if locality.listed() {
 			p.listedZones[at.Destination] = append(p.listedZones[at.Destination], at.Zone)
 		}
 	}
@@ -65,14 +68,15 @@
 	}
 }
 
-func (p *place) listed() bool { return p.Endpoints > 0 || len(p.ByZone) > 0 }
+// listed reports whether the locality has endpoints, or receives calls.
+func (l *localityState) listed() bool { return l.Endpoints > 0 || len(l.ByZone) > 0 }
 
-// stateSeenBy is the state in which the sending zone of a key sees its destination in zone z; Unknown if nobody
-// reported on it lately.
+// stateSeenBy returns the state and the success share of the route's destination in zone z as seen from the route's
+// sending zone. The state is Unknown if the last health update did not include the locality.
 func (p *Planner) stateSeenBy(k routeKey, z view.Zone) (assess.State, float64) {
-	pl := p.places[k.placeIn(z)]
-	if pl == nil || pl.seenAt != p.assessedAt {
+	locality := p.localities[k.localityIn(z)]
+	if locality == nil || locality.updatedAt != p.assessedAt {
 		return assess.Unknown, 1
 	}
-	return pl.StateFrom(k.from)
+	return locality.StateFrom(k.from)
 }
--- a/internal/cluster/failover/run/announce.go
+++ b/internal/cluster/failover/run/announce.go
@@ -12,23 +12,22 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// child is what is known of a process to which this one announces the plan.
+// child is the state of a process to which this process announces the plan.
 type child struct {
-	epoch       view.Epoch  // of its last answer; 0 for not known
-	confirmedAt view.Uptime // when the leader had the announced plan in force
+	epoch       view.Epoch  // epoch in its last answer; 0 if unknown
+	confirmedAt view.Uptime // when the leader had the last announced plan in force
 	calling     bool        // a call is in flight
-	failing     bool        // the last call failed: its children are called from here
-	triedAt     view.Uptime
+	failing     bool        // the last call failed; this process calls the child's children instead
+	triedAt     view.Uptime // start of the last call
 }
 
-// planAnswer is the answer to an announcement: the epoch that the receiver has now.
+// planAnswer is the answer to an announcement. Epoch is that of the last plan the receiver got.
 type planAnswer struct {
 	Epoch view.Epoch `json:"epoch"`
 }
 
-// announcePlan announces to each child the plan that it lacks, or renews the one it has. Where a child does not
-// answer, its own children are called from here until it does: a coordinator that died delays nobody's plan until the
-// tree has changed.
+// announcePlan sends each child the plan if the child lacks it, or a renewal. While a child does not answer, this
+// process also calls the child's children, so that a dead coordinator does not delay plans until the tree changes.
 func (r *Runner) announcePlan(now view.Uptime, t *tree.Tree) {
 	targets := t.Children(r.options.Self)
 	if r.options.Consensus.Leading() && t.Root() != r.options.Self && t.Root() != "" {
@@ -37,7 +36,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	visited := map[view.Name]bool{r.options.Self: true}
-	for i := 0; i < len(targets); i++ { // grows by the children of those that fail
+	for i := 0; i < len(targets); i++ { // targets grows by the children of processes that don't answer
 		name := targets[i]
 		if visited[name] {
 			continue
@@ -56,7 +55,8 @@
 	}
 }
 
-// childNamed is the child of that name; a new one lacks everything. The caller holds mu.
+// childNamed returns the state of a child. A new child gets epoch 0 and times long ago, so that it is sent the plan at
+// once. The caller holds mu.
 func (r *Runner) childNamed(name view.Name) *child {
 	c := r.children[name]
 	if c == nil {
@@ -67,11 +67,12 @@
 	return c
 }
 
-// announceTo sends a child what it needs, if anything. The caller holds mu.
+// announceTo starts a call with the plan or a renewal to a child if one is due and none is in flight. The caller holds
+// mu.
 func (r *Runner) announceTo(now view.Uptime, name view.Name, c *child) {
 	withPlan := c.epoch != r.holder.Epoch()
 	announcement, found := r.holder.Announce(now, withPlan)
-	renew := r.options.Settings.Hold / renewalsPerHold
+	renew := r.options.Settings.Hold / renewalsPerTTL
 	due := c.epoch < announcement.Epoch || now-announcement.Age-c.confirmedAt >= renew
 	if !found || !due || c.calling || c.failing && now-c.triedAt < renew/2 {
 		return
@@ -80,6 +81,7 @@
 	c.calling = r.startCall(func() { r.callWithPlan(name, c, announcement, now) })
 }
 
+// callWithPlan sends an announcement, whose Age is as of announcedAt, to a child and records the answer.
 func (r *Runner) callWithPlan(name view.Name, c *child, announcement apply.Announcement, announcedAt view.Uptime) {
 	confirmedAt := announcedAt - announcement.Age
 	announcement.Age = r.options.Now() - confirmedAt
@@ -107,13 +109,14 @@
 	}
 }
 
+// handlePlan handles an announcement from the parent or from the leader.
 func (r *Runner) handlePlan(_ context.Context, from view.Life, body []byte) (any, error) {
 	var in apply.Announcement
 	if err := json.Unmarshal(body, &in); err != nil {
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		r.stats.Malformed++
-		return nil, fmt.Errorf("failover: plan of %s: %w", from.Name, err)
+		return nil, fmt.Errorf("failover: cannot decode plan from %q: %w", from.Name, err)
 	}
 	local, now := r.options.Local(), r.options.Now()
 	r.mu.Lock()
@@ -121,7 +124,7 @@
 	changed, err := r.holder.Receive(now, in)
 	if err != nil {
 		r.stats.Malformed++
-		r.options.Log.Error("received plan is invalid", zap.String("from", string(from.Name)), zap.Error(err))
+		r.options.Log.Error("received plan is invalid, ignored", zap.String("from", string(from.Name)), zap.Error(err))
 		return nil, err
 	}
 	r.stats.Received++
@@ -131,6 +134,6 @@
 		local = r.local
 	}
 	r.compileGuide(now, local)
-	r.wakeLoop() // to pass it on at once: ages would add up from tier to tier
+	r.wakeLoop() // pass it on soon; waiting for a tick in each tier would add up to an old plan
 	return planAnswer{r.holder.Epoch()}, nil
 }
--- a/internal/cluster/failover/run/leader.go
+++ b/internal/cluster/failover/run/leader.go
@@ -15,8 +15,8 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// leaderTick renews the plan in force and makes plans from the collected reports. A process that leads no more does
-// neither, so that its plan lapses unless another leader renews it.
+// leaderTick renews the plan in force and, if an assessment is due, plans from the collected reports. At a process that
+// does not lead, it only drops the planner, so that the plan expires unless another leader renews it.
 func (r *Runner) leaderTick(now view.Uptime, t *tree.Tree, due bool) {
 	if !r.options.Consensus.Leading() {
 		r.mu.Lock()
@@ -38,10 +38,12 @@
 		r.renewPlan(now, term, inForce)
 	}
 	if !due {
-		r.wakeLoop() // what woke the loop is judged a moment later
+		r.wakeLoop() // reports received since the last assessment are assessed at the next tick
 		return
 	}
-	r.collected.Put(now, r.outgoing.Fresh(now)) // at a root, or at a coordinator whose parents do not answer
+	// The leader sends no reports to itself. If it is the root, or a coordinator whose parents don't answer, its outgoing
+	// reports reach the planner only here.
+	r.collected.Put(now, r.outgoing.Fresh(now))
 	r.planner.SetRegions(regions)
 	r.planner.UpdateHealth(now, assess.Judge(r.collected.Fresh(now), r.options.Bounds))
 	if next, found := r.planner.Step(now); found && !r.proposing {
@@ -49,6 +51,7 @@
 	}
 }
 
+// regionsOf returns the region of each zone in the tree.
 func regionsOf(t *tree.Tree) map[view.Zone]view.Region {
 	regions := map[view.Zone]view.Region{}
 	for _, region := range t.Regions() {
@@ -59,7 +62,8 @@
 	return regions
 }
 
-// renewPlan takes the plan in force from this process itself, as from any other leader. The caller holds mu.
+// renewPlan announces the plan in force to the leader's own holder, as the leader does to other processes. The caller
+// holds mu.
 func (r *Runner) renewPlan(now view.Uptime, term uint64, inForce plan.Plan) {
 	if r.planner.Epoch() < inForce.Epoch {
 		r.planner.PlanInForce(now, inForce)
@@ -69,12 +73,12 @@
 		in.Plan = &inForce
 	}
 	if _, err := r.holder.Receive(now, in); err != nil {
-		r.options.Log.Error("plan in force is invalid", zap.Error(err))
+		r.options.Log.Error("plan in force is invalid, not renewed", zap.Error(err))
 	}
 }
 
-// propose has a plan decided. A plan that was made on another than the one in force by then is dropped: the next tick
-// makes another.
+// propose submits a plan to the consensus group. The group rejects it if another plan came into force meanwhile; the
+// next tick then makes a plan that follows that one.
 func (r *Runner) propose(next plan.Plan) {
 	ctx, cancel := context.WithTimeout(r.ctx, proposeTimeout)
 	defer cancel()
@@ -100,7 +104,7 @@
 	r.wakeLoop()
 }
 
-// sameLocal reports whether two local states compile to the same guide.
+// sameLocal reports whether a plan compiles to the same guide with both local states.
 func sameLocal(a, b apply.Local) bool {
 	return a.Zone == b.Zone && maps.Equal(a.Numbers, b.Numbers) && maps.Equal(a.Failing, b.Failing) &&
 		maps.EqualFunc(a.Listed, b.Listed, slices.Equal)
--- a/internal/cluster/failover/run/reports.go
+++ b/internal/cluster/failover/run/reports.go
@@ -10,17 +10,18 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// reportsMessage goes to a parent; with Final set to the leader, which passes it no further.
+// reportsMessage carries reports to the parent, or to the leader.
 type reportsMessage struct {
 	Reports []assess.Report `json:"reports"`
-	Final   bool            `json:"final,omitempty"`
+	Final   bool            `json:"final,omitempty"` // sent to the leader, which does not forward the reports
 }
 
-// maxReports bounds one message. Reports beyond it wait for the next tick, as the board still has them.
+// maxReports bounds the number of reports in one message. Further ones stay due and go with a later message.
 const maxReports = 3000
 
-// sendReports sends reports to the parent; if it does not answer, to the parent's parent; and if that does not either,
-// to the leader, as the root does. One call is in flight at a time; what it misses goes with the next.
+// sendReports sends the reports that are due to the parent. If the parent does not answer, they go to the parent's
+// parent, and if that does not answer, to the leader. The root sends them to the leader. At most one call is in flight;
+// reports that become due meanwhile go with the next one.
 func (r *Runner) sendReports(now view.Uptime, t *tree.Tree) {
 	targets, leader := r.reportTargets(t)
 	if len(targets) == 0 {
@@ -42,12 +43,13 @@
 	r.reporting = r.startCall(func() { r.callWithReports(targets, leader, reports) })
 }
 
-// reportTargets is whom to try, in this order, and the leader if that is another process.
+// reportTargets returns the processes to send reports to, in the order in which they are tried, and the leader if that
+// is another process.
 func (r *Runner) reportTargets(t *tree.Tree) (targets []view.Name, leader view.Name) {
 	if parent, known := t.Parent(r.options.Self); known {
 		targets = append(targets, parent)
-		if above, known := t.Parent(parent); known {
-			targets = append(targets, above)
+		if grandparent, known := t.Parent(parent); known {
+			targets = append(targets, grandparent)
 		}
 	}
 	leader, known := r.options.Consensus.Leader()
@@ -57,16 +59,16 @@
 	return append(targets, leader), leader
 }
 
-// callWithReports calls the targets until one answers.
+// callWithReports sends reports to the targets in turn until one answers.
 func (r *Runner) callWithReports(targets []view.Name, leader view.Name, reports []assess.Report) {
 	calls, failed := uint64(0), uint64(0)
-	countedFrom := r.options.Now()
+	agesAsOf := r.options.Now()
 	for i, name := range targets {
-		if waited := r.options.Now() - countedFrom; waited > 0 { // one did not answer: all reports are older by that
+		if waited := r.options.Now() - agesAsOf; waited > 0 { // the reports have aged while a target did not answer
 			for j := range reports {
 				reports[j].Age += waited
 			}
-			countedFrom += waited
+			agesAsOf += waited
 		}
 		message := reportsMessage{reports, i == len(targets)-1 && name == leader}
 		ctx, cancel := context.WithTimeout(r.ctx, callTimeout)
@@ -84,6 +86,7 @@
 	r.stats.ReportsSent += uint64(len(reports))
 }
 
+// handleReports stores reports from a child, or from any process if they are final.
 func (r *Runner) handleReports(_ context.Context, from view.Life, body []byte) (any, error) {
 	var in reportsMessage
 	err := json.Unmarshal(body, &in)
@@ -92,14 +95,14 @@
 	defer r.mu.Unlock()
 	if err != nil {
 		r.stats.Malformed++
-		return nil, fmt.Errorf("failover: reports of %s: %w", from.Name, err)
+		return nil, fmt.Errorf("failover: cannot decode reports from %q: %w", from.Name, err)
 	}
 	r.stats.Received++
-	board := r.outgoing
+	table := r.outgoing
 	if in.Final {
-		board = r.collected
+		table = r.collected
 	}
-	if board.Put(now, in.Reports) {
+	if table.Put(now, in.Reports) {
 		r.wakeLoop()
 	}
 	return nil, nil
--- a/internal/cluster/failover/run/run.go
+++ b/internal/cluster/failover/run/run.go
@@ -1,9 +1,11 @@
-// Package run carries failover between processes: health reports go up the tree, plans and their renewals go down, and the
-// leader of the consensus group runs the planner.
+// Package run connects the parts of failover between processes: health reports go up the tree, plans and their renewals
+// go down the tree, and the leader of the consensus group runs the planner.
 //
-// It owns one goroutine that ticks twice a second or when woken, and one for each call in flight; all of them end with
-// Close. Packages assess, plan and apply decide. The lock is never held over a call to another process, a plan that its
-// leader does not renew is not kept in force, and the sender never waits: Guide reads a compiled value.
+// A Runner has one goroutine that ticks twice a second and whenever it is woken, and one goroutine for each call in
+// flight. All of them end with Close. The decisions are made by packages assess, plan and apply.
+//
+// The lock is never held during a call to another process. A plan that the leader does not renew expires. The sender
+// never blocks, since Guide only reads a compiled value.
 package run
 
 import (
@@ -28,66 +30,72 @@
 const (
 	defaultTickInterval = 500 * time.Millisecond
 	minTickInterval     = 50 * time.Millisecond  // between two ticks, however often the loop is woken
-	assessInterval      = 150 * time.Millisecond // between two judgements; messages that wake the loop are passed on sooner
-	callTimeout         = 700 * time.Millisecond
+	assessInterval      = 150 * time.Millisecond // between two assessments; ticks in between only forward reports and plans
+	callTimeout         = 700 * time.Millisecond // for one call with reports or with a plan
 	proposeTimeout      = 2 * time.Second
-	renewalsPerHold     = 5 // in the Hold of a plan
+	renewalsPerTTL      = 5 // renewals of a plan within its TTL
 	reportsPath         = "/failover/up"
 	planPath            = "/failover/down"
 )
 
-// Link carries calls to other processes.
+// Link sends calls to other processes and receives theirs.
 type Link interface {
+	// Call sends in, encoded as JSON, to a path of another process and decodes the answer into out unless out is nil.
 	Call(ctx context.Context, to view.Name, path string, in, out any) error
+	// Handle registers the handler of calls to a path.
 	Handle(path string, h func(ctx context.Context, from view.Life, body []byte) (any, error))
 }
 
-// Consensus decides in common. A leader without a quorum must not say that it leads for longer than its lease.
+// Consensus is the consensus group that decides on plans.
 type Consensus interface {
+	// Propose submits a command to a part of the replicated state and returns the part's answer.
 	Propose(ctx context.Context, part, kind string, body any) (json.RawMessage, error)
+	// Leader returns the leader, or false if none is known.
 	Leader() (view.Name, bool)
+	// Leading reports whether this process leads. A leader without a quorum must return false once its lease expired.
 	Leading() bool
+	// Read calls f with the index of the last applied command; the state does not change meanwhile.
 	Read(f func(index uint64))
 }
 
-// Options are what a runner is started with; all but Term, TickInterval and Log must be set.
+// Options configure a Runner. All fields except Term, TickInterval and Log must be set.
 type Options struct {
-	Self          view.Name
-	Zone          view.Zone
-	Now           func() view.Uptime // since the process began; monotonic
+	Self          view.Name          // name of this process
+	Zone          view.Zone          // zone of this process
+	Now           func() view.Uptime // time since the process started, by a monotonic clock
 	Link          Link
 	Consensus     Consensus
-	InForce       *plan.InForce                           // replicated state; read only inside Consensus.Read
-	Term          func() uint64                           // of the consensus group, at its leader; nil for 0
-	Tree          func() *tree.Tree                       // as of now
-	HealthReports func(view.Uptime) []healthreport.Sample // of this process, and at the coordinator of a zone of its zone
-	Local         func() apply.Local                      // but for Failing, which is filled in here
+	InForce       *plan.InForce                           // replicated state, read only inside Consensus.Read
+	Term          func() uint64                           // term of the consensus group, called at its leader; 0 if nil
+	Tree          func() *tree.Tree                       // current tree; nil while there is none
+	HealthReports func(view.Uptime) []healthreport.Sample // samples of this process; at the coordinator of a zone, of the whole zone
+	Local         func() apply.Local                      // current local state; the Runner sets its Failing
 	Bounds        assess.Bounds
 	Settings      plan.Settings
-	TickInterval  time.Duration // defaultTickInterval if 0
-	Log           *zap.Logger
+	TickInterval  time.Duration // defaultTickInterval if 0 or below
+	Log           *zap.Logger   // no logging if nil
 }
 
-// Stats are counts since the start, but for Epoch and Leading.
+// Stats holds counters since the start, and the present values Epoch and Leading.
 type Stats struct {
-	Epoch                  view.Epoch // of the plan in force here; 0 for none
+	Epoch                  view.Epoch // epoch of the plan in force at this process; 0 if none is
 	Leading                bool
-	ReportCalls, PlanCalls uint64 // calls begun: with reports; with plans
-	Failed                 uint64 // of these calls
+	ReportCalls, PlanCalls uint64 // calls with reports; calls with a plan or a renewal
+	Failed                 uint64 // failed ones of ReportCalls and PlanCalls
 	ReportsSent            uint64
-	Plans                  uint64 // proposed here and decided
-	PlansRejected          uint64 // proposed here and not decided
-	Received               uint64 // messages
-	Malformed              uint64 // messages that could not be read
+	Plans                  uint64 // plans proposed by this process and accepted
+	PlansRejected          uint64 // plans proposed by this process and not accepted
+	Received               uint64 // messages received
+	Malformed              uint64 // messages that could not be decoded or held an invalid plan
 }
 
-// compiledGuide is what attempts ask, and until when.
+// compiledGuide is the guide of the plan in force, with the time at which the plan expires.
 type compiledGuide struct {
 	guide     *apply.Guide
 	expiresAt view.Uptime
 }
 
-// Runner runs failover at one process.
+// Runner runs failover at one process. Its methods are safe for concurrent use.
 type Runner struct {
 	options    Options
 	guide      atomic.Pointer[compiledGuide]
@@ -96,24 +104,25 @@
 	cancel     context.CancelFunc
 	goroutines sync.WaitGroup
 
-	// mu stands beside node.mu in the order of package cluster: no other lock is taken under it.
+	// mu guards the fields below, except assessedAt. It ranks with node.mu in the lock order of package cluster; no other lock is acquired
+	// while it is held.
 	mu           sync.Mutex
 	closed       bool
 	holder       apply.Holder
-	outgoing     *assess.ReportTable // reports to send up
-	collected    *assess.ReportTable // at the leader: reports that came from the root
-	planner      *plan.Planner
-	local        apply.Local // that guide was compiled with
-	compiledFrom *plan.Plan  // that guide was compiled from
+	outgoing     *assess.ReportTable // reports to send to the parent
+	collected    *assess.ReportTable // at the leader, reports that arrived as final
+	planner      *plan.Planner       // nil unless this process leads
+	local        apply.Local         // local state that guide was compiled with
+	compiledFrom *plan.Plan          // plan that guide was compiled from
 	children     map[view.Name]*child
 	reporting    bool        // a call with reports is in flight
-	reportingTo  view.Name   // receiver of the last reports
-	assessedAt   view.Uptime // when reports were last made and judged
+	reportingTo  view.Name   // first target of the last reports
+	assessedAt   view.Uptime // last assessment; accessed only by the goroutine of loop, without mu
 	proposing    bool        // a proposal is in flight
 	stats        Stats
 }
 
-// Start starts a runner; its handlers are added to the link at once.
+// Start registers the handlers of a Runner with its link and starts it. The caller must call Close.
 func Start(o Options) *Runner {
 	if o.TickInterval <= 0 {
 		o.TickInterval = defaultTickInterval
@@ -134,7 +143,8 @@
 	return r
 }
 
-// Close ends all goroutines and abandons calls in flight. The plan in force stays readable until it lapses.
+// Close ends all goroutines and abandons calls in flight. Guide and Plan still return the plan in force until it
+// expires.
 func (r *Runner) Close() {
 	r.mu.Lock()
 	r.closed = true
@@ -143,7 +153,7 @@
 	r.goroutines.Wait()
 }
 
-// Guide returns what attempts ask; nil while no plan is in force.
+// Guide returns the guide compiled from the plan in force, or nil while no plan is in force. It takes no lock.
 func (r *Runner) Guide() clusterapi.Guide {
 	if c := r.guide.Load(); c != nil && r.options.Now() < c.expiresAt {
 		return c.guide
@@ -151,7 +161,8 @@
 	return nil
 }
 
-// Plan is the plan in force at this process, and until when by its clock; nil for none. The caller must not change it.
+// Plan returns the plan in force at this process and when it expires, or nil if no plan is in force. The caller must not
+// modify the plan.
 func (r *Runner) Plan() (*plan.Plan, view.Uptime) {
 	now := r.options.Now()
 	r.mu.Lock()
@@ -159,7 +170,7 @@
 	return r.holder.Plan(now)
 }
 
-// Stats returns counts for operators.
+// Stats returns the counters of r.
 func (r *Runner) Stats() Stats {
 	leading, now := r.options.Consensus.Leading(), r.options.Now()
 	r.mu.Lock()
@@ -173,6 +184,7 @@
 	return s
 }
 
+// loop ticks until Close.
 func (r *Runner) loop() {
 	defer r.goroutines.Done()
 	ticker := time.NewTicker(r.options.TickInterval)
@@ -184,7 +196,7 @@
 			return
 		case <-ticker.C:
 		case <-r.wake:
-			select { // changes that come together are passed on together
+			select { // changes that arrive within minTickInterval are passed on together
 			case <-r.ctx.Done():
 				return
 			case <-time.After(minTickInterval):
@@ -193,7 +205,7 @@
 	}
 }
 
-// wakeLoop makes the next tick come at once.
+// wakeLoop makes the next tick start after minTickInterval.
 func (r *Runner) wakeLoop() {
 	select {
 	case r.wake <- struct{}{}:
@@ -201,7 +213,7 @@
 	}
 }
 
-// startCall runs a call in a goroutine of its own; false once closed. The caller holds mu.
+// startCall runs f in a goroutine of its own. After Close it returns false and does not run f. The caller holds mu.
 func (r *Runner) startCall(f func()) bool {
 	if r.closed {
 		return false
@@ -210,21 +222,23 @@
 	return true
 }
 
+// tick makes and sends reports, renews or makes plans at the leader, compiles the guide and announces the plan.
 func (r *Runner) tick() {
 	now, t := r.options.Now(), r.options.Tree()
 	if t == nil {
 		return
 	}
-	reports, local := r.options.HealthReports(now), r.options.Local()
-	local.Failing = r.failingEndpoints(reports, local)
+	samples, local := r.options.HealthReports(now), r.options.Local()
+	local.Failing = r.failingEndpoints(samples, local)
 	due := now-r.assessedAt >= min(assessInterval, r.options.TickInterval)
 	if due {
 		r.assessedAt = now
 	}
 	if due && t.ZoneHead(r.options.Zone) == r.options.Self {
-		summaries := assess.SummarizeZone(r.options.Zone, reports, r.options.Bounds)
+		summaries := assess.SummarizeZone(r.options.Zone, samples, r.options.Bounds)
 		summaries = slices.DeleteFunc(summaries, func(w assess.Report) bool {
-			return w.Idle() && w.Zone != r.options.Zone && t.ZoneHead(w.Zone) != "" // its own zone reports on it
+			// Idle localities in another zone are reported by the coordinator of that zone.
+			return w.Idle() && w.Zone != r.options.Zone && t.ZoneHead(w.Zone) != ""
 		})
 		r.mu.Lock()
 		r.outgoing.Put(now, summaries)
@@ -238,25 +252,25 @@
 	r.announcePlan(now, t)
 }
 
-// failingEndpoints returns what this process sees fail by itself.
-func (r *Runner) failingEndpoints(reports []healthreport.Sample, local apply.Local) map[apply.Endpoints]bool {
-	ownReports := map[healthreport.Locality][]healthreport.Sample{}
-	for _, s := range reports {
+// failingEndpoints returns the endpoints that this process sees fail by its own samples alone.
+func (r *Runner) failingEndpoints(samples []healthreport.Sample, local apply.Local) map[apply.Endpoints]bool {
+	ownSamples := map[healthreport.Locality][]healthreport.Sample{}
+	for _, s := range samples {
 		if s.Reporter == r.options.Self {
-			ownReports[s.Locality] = append(ownReports[s.Locality], s)
+			ownSamples[s.Locality] = append(ownSamples[s.Locality], s)
 		}
 	}
 	failing := map[apply.Endpoints]bool{}
-	for at, rows := range ownReports {
-		if no, known := local.Numbers[at.Zone]; known && assess.SeesFailure(rows, r.options.Bounds) {
-			failing[apply.Endpoints{Destination: at.Destination, Zone: no}] = true
+	for locality, samples := range ownSamples {
+		if no, known := local.Numbers[locality.Zone]; known && assess.SeesFailure(samples, r.options.Bounds) {
+			failing[apply.Endpoints{Destination: locality.Destination, Zone: no}] = true
 		}
 	}
 	return failing
 }
 
-// compileGuide compiles the guide anew if the plan or the local state changed, and otherwise only renews it. The
-// caller holds mu.
+// compileGuide compiles the guide again if the plan or the local state changed, and otherwise only updates its expiry.
+// The caller holds mu.
 func (r *Runner) compileGuide(now view.Uptime, local apply.Local) {
 	p, until := r.holder.Plan(now)
 	if p == nil {
