--- a/internal/cluster/evidence/capacity_test.go
+++ b/internal/cluster/evidence/capacity_test.go
@@ -1,6 +1,7 @@
 package evidence
 
-// Benchmarks behind docs/CAPACITY.md: a zone's coordinator's tables by rows (places) and by witnesses.
+// Benchmarks whose results are in docs/CAPACITY.md: the tables of a zone's coordinator, by number of rows (localities)
+// and by number of witnesses.
 
 import (
 	"fmt"
@@ -12,6 +13,7 @@
 	"flaxcove/lab/capacity/bench"
 )
 
+// capacityFilled returns an Evidence with so many rows of so many witnesses each.
 func capacityFilled(rows, witnesses int) *Evidence {
 	e := Start(Options{Rows: 20 * rows, Witnesses: 32})
 	for w := range witnesses {
@@ -26,7 +28,7 @@
 
 var capacityRows = []int{400, 4_000, 40_000, 122_000}
 
-// BenchmarkCapacityRows adds a sample to tables of so many places with one witness each, and measures their memory.
+// BenchmarkCapacityRows adds a sample to tables with one witness in each row, and measures their memory.
 func BenchmarkCapacityRows(b *testing.B) {
 	bench.Sizes(b, "rows", capacityRows, func(b *testing.B, n int) {
 		var e *Evidence
@@ -48,7 +50,8 @@
 	})
 }
 
-// BenchmarkCapacityWitnesses is the same for a thousand places by witnesses, of which 32 are retained.
+// BenchmarkCapacityWitnesses reads tables of a thousand rows by number of witnesses, of which at most 32 are retained,
+// and measures their memory.
 func BenchmarkCapacityWitnesses(b *testing.B) {
 	bench.Sizes(b, "witnesses", []int{1, 10, 28}, func(b *testing.B, n int) {
 		var e *Evidence
@@ -64,7 +67,7 @@
 	})
 }
 
-// BenchmarkCapacityRead is a reading of all, which each of a coordinator's decisions begins with.
+// BenchmarkCapacityRead reads all samples, with which each of a coordinator's assessments begins.
 func BenchmarkCapacityRead(b *testing.B) {
 	bench.Sizes(b, "rows", capacityRows, func(b *testing.B, n int) {
 		e := capacityFilled(n, 1)
--- a/internal/cluster/evidence/evidence_test.go
+++ b/internal/cluster/evidence/evidence_test.go
@@ -16,53 +16,55 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func sample(d int, zone view.Zone, who view.Name, age time.Duration, sent float64) healthreport.Sample {
-	return healthreport.Sample{Locality: healthreport.Locality{Destination: choice.DestinationID(d), Zone: zone}, Reporter: who,
+// sample returns a sample over one second in which a reporter sent calls to a locality.
+func sample(d int, zone view.Zone, reporter view.Name, age time.Duration, sent float64) healthreport.Sample {
+	return healthreport.Sample{Locality: healthreport.Locality{Destination: choice.DestinationID(d), Zone: zone}, Reporter: reporter,
 		Age: age, Span: time.Second, Sent: sent}
 }
 
+// awaitIdle waits until all queued batches are applied.
 func awaitIdle(t *testing.T, e *Evidence) Stats {
 	t.Helper()
-	for begun := time.Now(); time.Since(begun) < 10*time.Second; time.Sleep(time.Millisecond) {
+	for started := time.Now(); time.Since(started) < 10*time.Second; time.Sleep(time.Millisecond) {
 		if s := e.Stats(); s.Waiting == 0 {
 			return s
 		}
 	}
-	t.Fatal("workers are stuck")
+	t.Fatal("batches are still queued after 10 seconds")
 	return Stats{}
 }
 
-// TestConcurrentUse adds, reads, forgets and reads statistics at once; in the end the latest samples are stored, whichever
-// worker applied them, and every sample is accounted for. Under -race this exercises the stated lock order.
+// TestConcurrentUse calls Add, Read, Forget and Stats concurrently. In the end the latest samples must be stored,
+// whichever worker applied them, and the counters must account for every sample. With -race it also checks the locking.
 func TestConcurrentUse(t *testing.T) {
 	e := Start(Options{Rows: 4000, Witnesses: 8, Shards: 4, Workers: 4, Queue: 8})
 	defer e.Close()
-	const reporters, rounds, ds = 8, 40, 50
-	var all sync.WaitGroup
+	const reporters, rounds, destinations = 8, 40, 50
+	var wg sync.WaitGroup
 	var reported [reporters]uint64
-	for who := range reporters {
-		all.Go(func() {
+	for reporter := range reporters {
+		wg.Go(func() {
 			for round := 1; round <= rounds; round++ {
 				now := view.Uptime(round) * time.Second
-				batch := make([]healthreport.Sample, 0, 2*ds)
-				for d := range ds {
-					name := view.Name(fmt.Sprint(who))
+				batch := make([]healthreport.Sample, 0, 2*destinations)
+				for d := range destinations {
+					name := view.Name(fmt.Sprint(reporter))
 					batch = append(batch, sample(d, "e", name, 0, float64(round)), sample(d, "w", name, 0, 1))
 				}
-				reported[who] += uint64(len(batch))
+				reported[reporter] += uint64(len(batch))
 				for !e.Add(now, batch) && round == rounds { // the last round is retried until it is accepted
-					reported[who] += uint64(len(batch))
+					reported[reporter] += uint64(len(batch))
 					time.Sleep(time.Millisecond)
 				}
 			}
 		})
 	}
 	for range 2 {
-		all.Go(func() {
+		wg.Go(func() {
 			for i := range 60 {
 				for _, s := range e.Read(rounds * time.Second) {
 					if s.Age < 0 || s.Span != time.Second {
-						t.Error("torn", s)
+						t.Errorf("sample with an impossible age or span: %+v", s)
 					}
 				}
 				e.Forget(time.Millisecond, choice.DestinationID(1000+i))
@@ -70,26 +72,28 @@
 			}
 		})
 	}
-	all.Wait()
+	wg.Wait()
 	s := awaitIdle(t, e)
 	var sum uint64
 	for _, n := range reported {
 		sum += n
 	}
-	if got := s.Accepted + s.Duplicate + s.Outdated + s.Forgotten + s.Invalid + s.Dropped; got != sum || s.Rows != 2*ds {
-		t.Fatal(got, sum, s)
+	if got := s.Accepted + s.Duplicate + s.Outdated + s.Forgotten + s.Invalid + s.Dropped; got != sum || s.Rows != 2*destinations {
+		t.Fatalf("counters sum to %d for %d samples: %+v", got, sum, s)
 	}
 	retained := e.Read((rounds + 1) * time.Second)
-	if len(retained) != 2*ds*reporters {
-		t.Fatal(len(retained))
+	if len(retained) != 2*destinations*reporters {
+		t.Fatalf("%d samples are stored, want %d", len(retained), 2*destinations*reporters)
 	}
 	for _, s := range retained {
 		if s.Age != time.Second || s.Zone == "e" && s.Sent != rounds {
-			t.Fatal("not the latest", s)
+			t.Fatalf("stored sample is not the latest: %+v", s)
 		}
 	}
 }
 
+// TestForgetAndMaxAge checks that Read omits samples above MaxAge, that Forget drops stored samples and later ones whose
+// span began before it, and that a closed Evidence rejects samples but can still be read.
 func TestForgetAndMaxAge(t *testing.T) {
 	e := Start(Options{MaxAge: 10 * time.Second})
 	now := 100 * time.Second
@@ -109,30 +113,31 @@
 	e.Close()
 	e.Close()
 	if e.Add(now, []healthreport.Sample{sample(1, "e", "a", 0, 1)}) || len(e.Read(now)) != 1 {
-		t.Fatal("a closed pool accepts samples, or has lost its own")
+		t.Fatal("after Close, Add accepts samples or Read has lost the stored ones")
 	}
 }
 
-// TestFullQueueDrops: with its worker blocked the queue fills, and further batches are dropped without a wait.
+// TestFullQueueDrops blocks the only worker, so that the queue fills. Further batches must be dropped and counted, and Add
+// must not block.
 func TestFullQueueDrops(t *testing.T) {
 	e := Start(Options{Workers: 1, Queue: 2, Shards: 1})
 	defer e.Close()
 	e.shards[0].mu.Lock() // the worker blocks at its first sample
-	taken := 0
+	queued := 0
 	for range 10 {
 		if e.Add(0, []healthreport.Sample{sample(1, "e", "a", 0, 1)}) {
-			taken++
+			queued++
 		}
 	}
-	long := e.Add(0, make([]healthreport.Sample, maxBatch+1))
+	tooLongQueued := e.Add(0, make([]healthreport.Sample, maxBatch+1))
 	e.shards[0].mu.Unlock()
 	s := awaitIdle(t, e)
-	if taken < 2 || taken > 3 || long || s.Dropped != uint64(10-taken+maxBatch+1) || s.Accepted != 1 {
-		t.Fatal(taken, s)
+	if queued < 2 || queued > 3 || tooLongQueued || s.Dropped != uint64(10-queued+maxBatch+1) || s.Accepted != 1 {
+		t.Fatalf("%d of 10 batches queued, too long a batch queued: %v, %+v", queued, tooLongQueued, s)
 	}
 }
 
-// BenchmarkTables measures applying a sample, and reading 3,000 places of one witness.
+// BenchmarkTables measures applying one sample, and reading 3,000 localities of one reporter.
 func BenchmarkTables(b *testing.B) {
 	e := Start(Options{})
 	defer e.Close()
--- a/internal/cluster/evidence/table/table_test.go
+++ b/internal/cluster/evidence/table/table_test.go
@@ -14,7 +14,7 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// drawObservation draws from few places, witnesses and times, so that observations collide.
+// drawObservation draws an observation from few localities, witnesses and times, so that observations collide.
 func drawObservation(t *rapid.T) observation {
 	return observation{time.Duration(rapid.IntRange(0, 8).Draw(t, "at")) * time.Second, healthreport.Sample{
 		Locality: healthreport.Locality{Destination: choice.DestinationID(rapid.IntRange(1, 3).Draw(t, "d")),
@@ -23,38 +23,40 @@
 		Sent: float64(rapid.IntRange(0, 2).Draw(t, "n"))}}
 }
 
-func (n observation) sampleAt(now view.Uptime) healthreport.Sample {
-	s := n.sample
-	s.Age = now - n.at
+// sampleAt returns the sample of an observation with its age as of now.
+func (o observation) sampleAt(now view.Uptime) healthreport.Sample {
+	s := o.sample
+	s.Age = now - o.at
 	return s
 }
 
+// end is a time after all drawn observations.
 const end = 10 * time.Second
 
-// TestOrderDoesNotMatter: whatever the order of samples, duplicates and delays, the table holds the same: all of it while
-// there are rows for all places, and otherwise of the same places.
+// TestOrderDoesNotMatter checks that the content of the table does not depend on the order, the delay or the repetition
+// of samples. If there are fewer rows than localities, only the localities stored must be the same.
 func TestOrderDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := rapid.SliceOfN(rapid.Custom(drawObservation), 1, 30).Draw(t, "all")
 		b := Bounds{rapid.IntRange(1, 6).Draw(t, "rows"), rapid.IntRange(1, 3).Draw(t, "witnesses"), time.Minute}
-		one, two := NewTable(b), NewTable(b)
-		for _, n := range all {
-			one.Add(n.at, n.sampleAt(n.at)) // as it is observed
+		inOrder, permuted := NewTable(b), NewTable(b)
+		for _, o := range all {
+			inOrder.Add(o.at, o.sampleAt(o.at)) // without delay
 		}
-		for _, n := range rapid.Permutation(all).Draw(t, "late") {
-			now := max(n.at, rapid.Custom(drawObservation).Draw(t, "later").at)
-			two.Add(now, n.sampleAt(now))
-			before := two.Read(end)
-			if again := two.Add(end, n.sampleAt(end)); again == New || again == Newer {
-				t.Fatal("a repeated sample was new", n, again)
+		for _, o := range rapid.Permutation(all).Draw(t, "late") {
+			now := max(o.at, rapid.Custom(drawObservation).Draw(t, "later").at)
+			permuted.Add(now, o.sampleAt(now))
+			before := permuted.Read(end)
+			if again := permuted.Add(end, o.sampleAt(end)); again == New || again == Newer {
+				t.Fatal("a repeated sample was stored again", o, again)
 			}
-			if d := cmp.Diff(before, two.Read(end)); d != "" {
+			if d := cmp.Diff(before, permuted.Read(end)); d != "" {
 				t.Fatal("a repeated sample changed the table", d)
 			}
 		}
-		got, want := two.Read(end), one.Read(end)
-		if one.Rows() > b.Rows || two.Rows() > b.Rows || len(got) > b.Rows*b.Witnesses {
-			t.Fatal("over the bound")
+		got, want := permuted.Read(end), inOrder.Read(end)
+		if inOrder.Rows() > b.Rows || permuted.Rows() > b.Rows || len(got) > b.Rows*b.Witnesses {
+			t.Fatal("a table exceeds its bounds")
 		}
 		if b.Rows < 6 {
 			got, want = localitiesOf(got), localitiesOf(want)
@@ -65,6 +67,7 @@
 	})
 }
 
+// localitiesOf returns one sample for each locality of sorted samples, with no other field set.
 func localitiesOf(all []healthreport.Sample) (only []healthreport.Sample) {
 	for _, s := range all {
 		if len(only) == 0 || only[len(only)-1].Locality != s.Locality {
@@ -74,44 +77,45 @@
 	return only
 }
 
-// TestAgainstAList compares the table with a list of all samples: Read returns the newest sample of each witness, of the
-// newest witnesses of each place, none too old and none from before its destination was forgotten.
+// TestAgainstAList compares the table with a list of all samples. Read must return the newest sample of each of the
+// newest witnesses of each locality, but no sample older than MaxAge and none whose span began before its destination was
+// forgotten.
 func TestAgainstAList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		const keep, most = 4 * time.Second, 2
-		table := NewTable(Bounds{6, most, keep})
+		const maxAge, maxWitnesses = 4 * time.Second, 2
+		table := NewTable(Bounds{6, maxWitnesses, maxAge})
 		var accepted []observation
 		forgottenAt := map[choice.DestinationID]view.Uptime{}
 		now := view.Uptime(0)
 		t.Repeat(map[string]func(*rapid.T){
 			"take": func(t *rapid.T) {
-				n := drawObservation(t)
-				n.at = now - n.at
-				when, is := forgottenAt[n.sample.Destination]
-				is = is && n.at-n.sample.Span < when
-				if (table.Add(now, n.sampleAt(now)) == Forgotten) != (is && now-n.at <= keep) {
-					t.Fatal("void or not", n, when)
+				o := drawObservation(t)
+				o.at = now - o.at
+				when, forgotten := forgottenAt[o.sample.Destination]
+				forgotten = forgotten && o.at-o.sample.Span < when
+				if (table.Add(now, o.sampleAt(now)) == Forgotten) != (forgotten && now-o.at <= maxAge) {
+					t.Fatal("sample wrongly forgotten or wrongly stored", o, when)
 				}
-				if !is {
-					accepted = append(accepted, n)
+				if !forgotten {
+					accepted = append(accepted, o)
 				}
 			},
 			"forget": func(t *rapid.T) {
 				d := drawObservation(t).sample.Destination
 				table.Forget(now, d)
 				forgottenAt[d] = now
-				accepted = slices.DeleteFunc(accepted, func(n observation) bool { return n.sample.Destination == d })
+				accepted = slices.DeleteFunc(accepted, func(o observation) bool { return o.sample.Destination == d })
 			},
 			"wait": func(t *rapid.T) {
 				now += drawObservation(t).at / 3
 				for d, when := range forgottenAt {
-					if now-when > 2*keep {
+					if now-when > 2*maxAge {
 						delete(forgottenAt, d)
 					}
 				}
 			},
 			"": func(t *rapid.T) {
-				if d := cmp.Diff(referenceRead(accepted, now, keep, most), table.Read(now)); d != "" {
+				if d := cmp.Diff(referenceRead(accepted, now, maxAge, maxWitnesses), table.Read(now)); d != "" {
 					t.Fatal(d)
 				}
 			},
@@ -119,7 +123,8 @@
 	})
 }
 
-func referenceRead(accepted []observation, now view.Uptime, keep time.Duration, most int) (all []healthreport.Sample) {
+// referenceRead returns what Read should return for all accepted observations.
+func referenceRead(accepted []observation, now view.Uptime, maxAge time.Duration, maxWitnesses int) (all []healthreport.Sample) {
 	newestFirst := slices.Clone(accepted)
 	slices.SortFunc(newestFirst, func(a, b observation) int {
 		if c := compareAge(&b, &a); c != 0 {
@@ -128,39 +133,41 @@
 		return compareSamples(&b.sample, &a.sample)
 	})
 	count, counted := map[healthreport.Locality]int{}, map[healthreport.Sample]bool{}
-	for _, n := range newestFirst {
-		source := healthreport.Sample{Locality: n.sample.Locality, Reporter: n.sample.Reporter}
-		if count[n.sample.Locality] < most && !counted[source] && now-n.at <= keep {
-			count[n.sample.Locality]++
+	for _, o := range newestFirst {
+		source := healthreport.Sample{Locality: o.sample.Locality, Reporter: o.sample.Reporter}
+		if count[o.sample.Locality] < maxWitnesses && !counted[source] && now-o.at <= maxAge {
+			count[o.sample.Locality]++
 			counted[source] = true
-			all = append(all, n.sampleAt(now))
+			all = append(all, o.sampleAt(now))
 		}
 	}
 	slices.SortFunc(all, func(a, b healthreport.Sample) int { return Order(&a, &b) })
 	return all
 }
 
+// TestInvalidSamplesAndForgottenBound checks that samples with impossible values are rejected, and that the memory for
+// forgotten destinations is bounded by the number of rows.
 func TestInvalidSamplesAndForgottenBound(t *testing.T) {
 	table := NewTable(Bounds{4, 1, time.Minute})
-	good := healthreport.Sample{Locality: healthreport.Locality{Destination: 1}, Reporter: "a", Span: time.Second}
-	for i, spoil := range []func(s *healthreport.Sample){
+	validSample := healthreport.Sample{Locality: healthreport.Locality{Destination: 1}, Reporter: "a", Span: time.Second}
+	for i, invalidate := range []func(s *healthreport.Sample){
 		func(s *healthreport.Sample) { s.Failed = math.NaN() }, func(s *healthreport.Sample) { s.Limit = math.Inf(1) },
 		func(s *healthreport.Sample) { s.Sent = -1 }, func(s *healthreport.Sample) { s.Span = 0 },
 		func(s *healthreport.Sample) { s.Age = -1 },
 		func(s *healthreport.Sample) { s.Waiting = -1 }, func(s *healthreport.Sample) { s.Reporter = "" }} {
-		s := good
-		if spoil(&s); table.Add(end, s) != Invalid {
-			t.Error(i)
+		s := validSample
+		if invalidate(&s); table.Add(end, s) != Invalid {
+			t.Errorf("invalid sample %d was not rejected: %+v", i, s)
 		}
 	}
-	endless := good
+	endless := validSample
 	if endless.Span = math.MaxInt64; table.Add(end, endless) != Outdated {
-		t.Error("accepted a span that reaches back beyond Keep")
+		t.Error("accepted a span longer than MaxAge")
 	}
-	for d := choice.DestinationID(50); d > 0; d-- { // all at once, each lower than those before
+	for d := choice.DestinationID(50); d > 0; d-- { // at the same time and in descending order, so that each evicts the lowest one before it
 		table.Forget(end, d)
 	}
-	if len(table.forgottenAt) != 4 || table.Add(end, good) != Forgotten {
-		t.Fatal(table.forgottenAt)
+	if len(table.forgottenAt) != 4 || table.Add(end, validSample) != Forgotten {
+		t.Fatalf("want 4 forgotten destinations, among them 1: %v", table.forgottenAt)
 	}
 }
--- a/internal/cluster/failover/apply/apply_test.go
+++ b/internal/cluster/failover/apply/apply_test.go
@@ -16,76 +16,85 @@
 var _ clusterapi.Guide = (*apply.Guide)(nil)
 
 const (
-	hold   = 10 * time.Second
+	ttl    = 10 * time.Second
 	second = time.Second
 )
 
+// withNear returns a plan with a route from zone a to destination 1 that has this near share and these shares, or without
+// any route if near is 1.
 func withNear(epoch view.Epoch, near float64, shares ...plan.Share) *plan.Plan {
-	p := &plan.Plan{Epoch: epoch, TTL: hold, Regions: map[view.Zone]view.Region{"a": "A", "b": "A", "c": "C"}}
+	p := &plan.Plan{Epoch: epoch, TTL: ttl, Regions: map[view.Zone]view.Region{"a": "A", "b": "A", "c": "C"}}
 	if near < 1 {
 		p.Routes = []plan.Route{{Destination: 1, From: "a", Phase: plan.Returning, NearShare: near, Shares: shares}}
 	}
 	return p
 }
 
+// local returns the state of a process in zone a that lists endpoints of destinations 1 to 3.
 func local() apply.Local {
 	return apply.Local{Zone: "a", Numbers: map[view.Zone]choice.ZoneNo{"a": 0, "b": 1, "c": 2},
 		Listed: map[choice.DestinationID][]choice.ZoneNo{1: {0, 1, 2, 7}, 2: {1, 2}, 3: {2}}, Failing: map[apply.Endpoints]bool{}}
 }
 
-// zones are those that a message may go to.
-func zones(g *apply.Guide, n int, d choice.DestinationID) (to []choice.ZoneNo) {
+// zones returns those of zones 0 to 2 that message n may go to.
+func zones(g *apply.Guide, n int, d choice.DestinationID) (allowed []choice.ZoneNo) {
 	for z := range choice.ZoneNo(3) {
 		if g.Allowed(choice.MessageID(fmt.Sprint("order-", n)), d, z) {
-			to = append(to, z)
+			allowed = append(allowed, z)
 		}
 	}
-	return to
+	return allowed
 }
 
+// TestMessagesGoHomeWithoutRoutes checks the home zones of destinations that are listed in the own zone, only in the own
+// region, only in another region, and not at all. It also checks that zones outside the plan are allowed.
 func TestMessagesGoHomeWithoutRoutes(t *testing.T) {
 	g := apply.Compile(withNear(1, 1), local())
 	for d, want := range map[choice.DestinationID]string{1: "[0]", 2: "[1]", 3: "[0 1 2]", 9: "[0 1 2]"} {
 		if got := fmt.Sprint(zones(g, 1, d)); got != want {
-			t.Errorf("destination %d may go to %s, not %s", d, got, want)
+			t.Errorf("messages to destination %d may go to zones %s, want %s", d, got, want)
 		}
 	}
 	if !g.Allowed("n", 1, 7) {
-		t.Error("a zone outside the plan is closed")
+		t.Error("a zone outside the plan is not allowed")
 	}
 }
 
+// TestSharesAndSmallMoves checks that each zone receives its share of the messages, and that a larger near share only
+// moves messages to near, not between the other zones.
 func TestSharesAndSmallMoves(t *testing.T) {
 	const n = 20000
-	to := func(near, b, c float64) *apply.Guide {
+	guideOf := func(near, b, c float64) *apply.Guide {
 		return apply.Compile(withNear(1, near, plan.Share{Zone: "b", Fraction: b}, plan.Share{Zone: "c", Fraction: c}), local())
 	}
-	before, after := to(0.05, 0.57, 0.38), to(0.15, 0.51, 0.34)
+	before, after := guideOf(0.05, 0.57, 0.38), guideOf(0.15, 0.51, 0.34)
 	var counts [3]float64
 	moved := 0
 	for i := range n {
-		to, then := zones(before, i, 1), zones(after, i, 1)
-		if len(to) != 1 || len(then) != 1 {
-			t.Fatalf("message %d may go to %v", i, to)
+		zonesBefore, zonesAfter := zones(before, i, 1), zones(after, i, 1)
+		if len(zonesBefore) != 1 || len(zonesAfter) != 1 {
+			t.Fatalf("message %d may go to zones %v and then %v, want one each", i, zonesBefore, zonesAfter)
 		}
-		counts[to[0]]++
-		if to[0] != then[0] {
+		counts[zonesBefore[0]]++
+		if zonesBefore[0] != zonesAfter[0] {
 			moved++
-			if then[0] != 0 {
-				t.Fatalf("message %d moves between receivers", i)
+			if zonesAfter[0] != 0 {
+				t.Fatalf("message %d moves between zones other than near", i)
 			}
 		}
 	}
 	for z, want := range []float64{0.05, 0.57, 0.38} {
 		if got := counts[z] / n; math.Abs(got-want) > 0.02 {
-			t.Errorf("zone %d gets %.3f, not %.2f", z, got, want)
+			t.Errorf("zone %d receives a share of %.3f, want %.2f", z, got, want)
 		}
 	}
 	if share := float64(moved) / n; math.Abs(share-0.1) > 0.02 {
-		t.Errorf("%.3f move as a tenth returns", share)
+		t.Errorf("a share of %.3f moved, want 0.1", share)
 	}
 }
 
+// TestNoMessageIsStuck checks that all zones are allowed for messages whose assigned zone the process sees fail or does
+// not know, and for those whose home the process sees fail while the plan has no route.
 func TestNoMessageIsStuck(t *testing.T) {
 	l := local()
 	l.Failing[apply.Endpoints{Destination: 1, Zone: 1}] = true
@@ -100,14 +109,16 @@
 		}
 	}
 	if all < 400 || near < 400 {
-		t.Errorf("%d free and %d near of 1000", all, near)
+		t.Errorf("of 1000 messages %d may go to all zones and %d to near only, want about 500 each", all, near)
 	}
-	l.Failing[apply.Endpoints{Destination: 1, Zone: 0}] = true // near fails here and no plan has it yet
+	l.Failing[apply.Endpoints{Destination: 1, Zone: 0}] = true // the process sees near fail, and the plan has no route yet
 	if got := zones(apply.Compile(withNear(1, 1), l), 1, 1); len(got) != 3 {
-		t.Errorf("held to what it sees fail: %v", got)
+		t.Errorf("while the process sees near fail, only zones %v are allowed", got)
 	}
 }
 
+// TestHolder checks which plan is in force as plans and renewals arrive late, out of order, from a replaced leader and
+// from a consensus group that started again.
 func TestHolder(t *testing.T) {
 	var h apply.Holder
 	receive := func(now view.Uptime, in apply.Announcement) {
@@ -116,35 +127,35 @@
 			t.Fatal(err)
 		}
 	}
-	epoch := func(now view.Uptime, want view.Epoch) {
+	expectEpoch := func(now view.Uptime, want view.Epoch) {
 		t.Helper()
 		got := view.Epoch(0)
 		if p, _ := h.Plan(now); p != nil {
 			got = p.Epoch
 		}
 		if got != want {
-			t.Errorf("at %v: epoch %d counts, not %d", now, got, want)
+			t.Errorf("at %v the plan of epoch %d is in force, want %d", now, got, want)
 		}
 	}
 	receive(0, apply.Announcement{Epoch: 5, Term: 2, Age: 4 * second, Plan: withNear(5, 1)})
-	receive(second, apply.Announcement{Epoch: 4, Term: 2, Plan: withNear(4, 1)}) // after its successor
-	epoch(5*second, 5)
-	epoch(6*second, 0) // 4 s old when it came
+	receive(second, apply.Announcement{Epoch: 4, Term: 2, Plan: withNear(4, 1)}) // arrives after its successor
+	expectEpoch(5*second, 5)
+	expectEpoch(6*second, 0) // the plan was 4 s old on arrival
 	receive(5*second, apply.Announcement{Epoch: 5, Term: 3})
-	receive(7*second, apply.Announcement{Epoch: 5, Term: 2}) // a leader that was replaced
-	receive(8*second, apply.Announcement{Epoch: 6, Term: 3}) // of what it never had
-	epoch(14*second, 5)
-	epoch(15*second, 0)
-	receive(16*second, apply.Announcement{Epoch: 6, Term: 3, Age: hold, Plan: withNear(6, 1)}) // too old
+	receive(7*second, apply.Announcement{Epoch: 5, Term: 2}) // from a leader that was replaced
+	receive(8*second, apply.Announcement{Epoch: 6, Term: 3}) // renews a plan that was not received
+	expectEpoch(14*second, 5)
+	expectEpoch(15*second, 0)
+	receive(16*second, apply.Announcement{Epoch: 6, Term: 3, Age: ttl, Plan: withNear(6, 1)}) // too old
 	receive(16*second, apply.Announcement{Epoch: 1, Term: 1, Plan: withNear(1, 1)})
-	epoch(16*second, 0)
-	receive(2*time.Minute, apply.Announcement{Epoch: 1, Term: 1, Plan: withNear(1, 1)}) // a consensus group that starts anew
-	epoch(2*time.Minute, 1)
+	expectEpoch(16*second, 0)
+	receive(2*time.Minute, apply.Announcement{Epoch: 1, Term: 1, Plan: withNear(1, 1)}) // the consensus group started again
+	expectEpoch(2*time.Minute, 1)
 	if _, err := h.Receive(2*time.Minute, apply.Announcement{Epoch: 2, Plan: &plan.Plan{Epoch: 2}}); err == nil {
-		t.Error("a plan that holds for nothing was taken")
+		t.Error("a plan without a TTL was accepted")
 	}
-	if in, some := h.Announce(2*time.Minute+3*second, true); !some || in.Age != 3*second || in.Plan == nil {
-		t.Errorf("announced as %+v", in)
+	if in, found := h.Announce(2*time.Minute+3*second, true); !found || in.Age != 3*second || in.Plan == nil {
+		t.Errorf("Announce returns %+v, want the plan with an age of 3 s", in)
 	}
 }
 
--- a/internal/cluster/failover/assess/assess_test.go
+++ b/internal/cluster/failover/assess/assess_test.go
@@ -13,19 +13,21 @@
 
 var defaultBounds = assess.DefaultBounds()
 
-// sampleFrom is what a witness of a zone saw of a destination's place in the last second.
+// sampleFrom returns a sample over the last second: witness w of zone from saw calls done and failed at destination d in
+// zone z.
 func sampleFrom(from view.Zone, w int, d choice.DestinationID, z view.Zone, done, failed float64) healthreport.Sample {
 	return healthreport.Sample{Locality: healthreport.Locality{Destination: d, Zone: z}, ReporterZone: from,
 		Reporter: view.Name(fmt.Sprint(from, w)), Span: time.Second, Sent: done + failed, Done: done, Failed: failed,
 		Endpoints: 2}
 }
 
-// statesOf judges sightings of all zones and returns the states by "destination zone", and by "destination zone<from"
-// as a zone sees it.
-func statesOf(all ...healthreport.Sample) map[string]assess.State {
+// statesOf returns the states that follow from samples of zones a, b and c. The key of an overall state is the
+// destination followed by the zone, as in "1a". The key of the state seen from a zone adds "<" and that zone, as in
+// "1a<b".
+func statesOf(samples ...healthreport.Sample) map[string]assess.State {
 	var reports []assess.Report
 	for _, from := range []view.Zone{"a", "b", "c"} {
-		reports = append(reports, assess.SummarizeZone(from, all, defaultBounds)...)
+		reports = append(reports, assess.SummarizeZone(from, samples, defaultBounds)...)
 	}
 	states := map[string]assess.State{}
 	for _, s := range assess.Judge(reports, defaultBounds) {
@@ -38,53 +40,63 @@
 	return states
 }
 
-// expectStates fails where a place is not in the wanted state.
+// expectStates reports an error for each key of want whose state differs.
 func expectStates(t *testing.T, got map[string]assess.State, want map[string]assess.State) {
 	t.Helper()
 	for k, w := range want {
 		if got[k] != w {
-			t.Errorf("%s is seen as %v, not %v", k, got[k], w)
+			t.Errorf("state of %s is %v, want %v", k, got[k], w)
 		}
 	}
 }
 
+// TestAllWitnessesOfTheOwnZone checks that a locality is failing if all witnesses in its own zone see it fail.
 func TestAllWitnessesOfTheOwnZone(t *testing.T) {
 	expectStates(t, statesOf(sampleFrom("a", 1, 1, "a", 0, 9), sampleFrom("a", 2, 1, "a", 0, 9)),
 		map[string]assess.State{"1a": assess.Failing, "1a<a": assess.Failing})
 }
 
+// TestTwoZonesAgree checks that failures seen from other zones count for all zones only if two zones see them.
 func TestTwoZonesAgree(t *testing.T) {
 	expectStates(t, statesOf(sampleFrom("b", 1, 1, "a", 0, 9), sampleFrom("c", 1, 1, "a", 0, 9)), map[string]assess.State{"1a": assess.Failing})
 	expectStates(t, statesOf(sampleFrom("b", 1, 1, "a", 0, 9)), map[string]assess.State{"1a": assess.Unknown, "1a<b": assess.Failing})
 }
 
+// TestOneFaultySenderMovesNothing checks that a sender all of whose calls fail, while others of its zone get answers,
+// changes no state.
 func TestOneFaultySenderMovesNothing(t *testing.T) {
 	got := statesOf(sampleFrom("a", 1, 1, "a", 0, 30), sampleFrom("a", 1, 2, "a", 0, 30), sampleFrom("a", 2, 1, "a", 9, 0),
 		sampleFrom("a", 3, 2, "a", 9, 0))
 	expectStates(t, got, map[string]assess.State{"1a": assess.Healthy, "2a": assess.Healthy, "1a<a": assess.Healthy})
 }
 
+// TestFailingLinkConcernsOneZone checks that a locality that answers two zones is failing only for a third zone whose
+// calls fail.
 func TestFailingLinkConcernsOneZone(t *testing.T) {
 	got := statesOf(sampleFrom("b", 1, 1, "a", 0, 9), sampleFrom("b", 2, 1, "a", 0, 9), sampleFrom("a", 1, 1, "a", 9, 0),
 		sampleFrom("c", 1, 1, "a", 9, 0))
 	expectStates(t, got, map[string]assess.State{"1a": assess.Healthy, "1a<b": assess.Failing, "1a<c": assess.Healthy})
 }
 
-// A zone that is cut off sees all calls fail: its reports fail a place for nobody else.
+// TestIsolatedZone checks that failures seen by a zone that is cut off, all of whose calls fail, do not count for other
+// zones.
 func TestIsolatedZone(t *testing.T) {
 	got := statesOf(sampleFrom("a", 1, 1, "a", 0, 9), sampleFrom("a", 1, 1, "b", 0, 9), sampleFrom("b", 1, 1, "b", 9, 0))
 	expectStates(t, got, map[string]assess.State{"1a<a": assess.Failing, "1a": assess.Unknown, "1b": assess.Healthy})
 }
 
+// TestRejectionsAreNoOutageUnansweredCallsAre checks that a locality that rejects all calls is healthy, while one that
+// answers no call is failing even before the calls time out.
 func TestRejectionsAreNoOutageUnansweredCallsAre(t *testing.T) {
-	refused := sampleFrom("a", 1, 1, "a", 0, 0)
-	refused.Sent, refused.Rejected = 40, 40
-	silent := sampleFrom("a", 1, 2, "a", 0, 0)
-	silent.Sent = 8 // all still out after a second in which nothing came back
-	expectStates(t, statesOf(refused, silent), map[string]assess.State{"1a": assess.Healthy, "2a": assess.Failing})
+	rejecting := sampleFrom("a", 1, 1, "a", 0, 0)
+	rejecting.Sent, rejecting.Rejected = 40, 40
+	unanswered := sampleFrom("a", 1, 2, "a", 0, 0)
+	unanswered.Sent = 8 // all still in flight after a second without any answer
+	expectStates(t, statesOf(rejecting, unanswered), map[string]assess.State{"1a": assess.Healthy, "2a": assess.Failing})
 }
 
-// Three failures of three calls may be chance at one place, but not where all places of the zone show the like.
+// TestFewCalls checks that three failures of three calls make one locality only degraded, as they may be random, but that
+// a few failures at each locality of a zone together make these localities failing.
 func TestFewCalls(t *testing.T) {
 	expectStates(t, statesOf(sampleFrom("a", 1, 1, "a", 0, 3)), map[string]assess.State{"1a<a": assess.Degraded})
 	expectStates(t, statesOf(sampleFrom("a", 1, 1, "a", 0, 1), sampleFrom("a", 2, 2, "a", 0, 2), sampleFrom("a", 3, 3, "a", 0, 2)),
@@ -92,42 +104,45 @@
 	expectStates(t, statesOf(sampleFrom("a", 1, 1, "a", 5, 5), sampleFrom("a", 2, 1, "a", 5, 5)), map[string]assess.State{"1a": assess.Degraded})
 }
 
-// Only ages count: the same rows say nothing a minute later.
+// TestOldReportsExpire checks that samples and reports no longer count above Bounds.MaxAge, and that a ReportTable deletes
+// reports that are minutes old.
 func TestOldReportsExpire(t *testing.T) {
 	old := sampleFrom("a", 1, 1, "a", 0, 9)
 	old.Age = 6 * time.Second
 	expectStates(t, statesOf(old), map[string]assess.State{"1a": assess.Unknown})
-	b := assess.NewReportTable(defaultBounds)
-	b.Put(0, assess.SummarizeZone("a", []healthreport.Sample{sampleFrom("a", 1, 1, "a", 0, 9)}, defaultBounds))
+	table := assess.NewReportTable(defaultBounds)
+	table.Put(0, assess.SummarizeZone("a", []healthreport.Sample{sampleFrom("a", 1, 1, "a", 0, 9)}, defaultBounds))
 	for at, want := range map[view.Uptime]assess.State{time.Second: assess.Failing, 6 * time.Second: assess.Unknown} {
-		if got := assess.Judge(b.Fresh(at), defaultBounds)[0].State; got != want {
-			t.Errorf("at %v: %v, not %v", at, got, want)
+		if got := assess.Judge(table.Fresh(at), defaultBounds)[0].State; got != want {
+			t.Errorf("state at %v is %v, want %v", at, got, want)
 		}
 	}
-	if n := len(b.Fresh(2 * time.Minute)); n > 0 {
-		t.Errorf("%d reports are minutes old and still held", n)
+	if n := len(table.Fresh(2 * time.Minute)); n > 0 {
+		t.Errorf("%d reports are still stored after two minutes", n)
 	}
 }
 
+// TestReportTableSendsChanges checks that unchanged reports are seldom due, that a report of a new failure is due at once,
+// and that a report older than the stored one does not replace it.
 func TestReportTableSendsChanges(t *testing.T) {
-	b := assess.NewReportTable(defaultBounds)
-	well := assess.SummarizeZone("a", []healthreport.Sample{sampleFrom("a", 1, 1, "a", 9, 0), sampleFrom("a", 1, 2, "b", 0, 0)}, defaultBounds)
+	table := assess.NewReportTable(defaultBounds)
+	healthy := assess.SummarizeZone("a", []healthreport.Sample{sampleFrom("a", 1, 1, "a", 9, 0), sampleFrom("a", 1, 2, "b", 0, 0)}, defaultBounds)
 	sent := 0
 	for i := range 20 { // ten seconds
-		b.Put(view.Uptime(i)*500*time.Millisecond, well)
-		sent += len(b.TakeDue(view.Uptime(i)*500*time.Millisecond, 9))
+		table.Put(view.Uptime(i)*500*time.Millisecond, healthy)
+		sent += len(table.TakeDue(view.Uptime(i)*500*time.Millisecond, 9))
 	}
 	if sent > 7 {
-		t.Errorf("%d reports in ten seconds in which nothing changed", sent)
+		t.Errorf("%d reports were due in ten seconds without a change", sent)
 	}
-	b.Put(10*time.Second, assess.SummarizeZone("a", []healthreport.Sample{sampleFrom("a", 1, 1, "a", 0, 9)}, defaultBounds))
-	if up := b.TakeDue(10*time.Second, 9); len(up) != 1 || up[0].FailingWitnesses != 1 {
-		t.Errorf("a place failed, and what goes up is %v", up)
+	table.Put(10*time.Second, assess.SummarizeZone("a", []healthreport.Sample{sampleFrom("a", 1, 1, "a", 0, 9)}, defaultBounds))
+	if due := table.TakeDue(10*time.Second, 9); len(due) != 1 || due[0].FailingWitnesses != 1 {
+		t.Errorf("want only the report of the new failure, got %+v", due)
 	}
-	older := well
+	older := healthy
 	older[0].Age = 3 * time.Second
-	b.Put(11*time.Second, older)
-	if got := b.Fresh(11 * time.Second)[0]; got.FailingWitnesses != 1 {
-		t.Errorf("a late report took a newer one's place: %+v", got)
+	table.Put(11*time.Second, older)
+	if got := table.Fresh(11 * time.Second)[0]; got.FailingWitnesses != 1 {
+		t.Errorf("an older report replaced a newer one: %+v", got)
 	}
 }
--- a/internal/cluster/failover/plan/capacity_limits_test.go
+++ b/internal/cluster/failover/plan/capacity_limits_test.go
@@ -13,14 +13,15 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// Whatever is judged, no plan gives a place more than its limit less the demand of its own zone; no fraction is
-// negative; epochs follow each other; and nothing is sent to a place that answers nobody.
+// TestPlansStayWithinCapacity checks plans for random health: no plan sends more to a locality than its limit less the
+// demand of its own zone, no fraction is negative, each epoch follows the one before, and nothing is sent to a locality
+// that answers no zone.
 func TestPlansStayWithinCapacity(t *testing.T) {
 	zones := []view.Zone{"a1", "a2", "b1", "b2"}
 	regions := map[view.Zone]view.Region{"a1": "A", "a2": "A", "b1": "B", "b2": "B"}
 	rapid.Check(t, func(t *rapid.T) {
-		set := plan.DefaultSettings()
-		p, now, epoch := plan.New(set), view.Uptime(0), view.Epoch(0)
+		settings := plan.DefaultSettings()
+		p, now, epoch := plan.New(settings), view.Uptime(0), view.Epoch(0)
 		p.SetRegions(regions)
 		rate, limit := map[view.Zone]float64{}, map[view.Zone]float64{}
 		failing := map[view.Zone]bool{}
@@ -34,13 +35,13 @@
 				z := rapid.SampledFrom(zones).Draw(t, "zone")
 				failing[z] = !failing[z]
 			}
-			p.UpdateHealth(now, placeHealth(zones, rate, limit, failing))
+			p.UpdateHealth(now, healthOf(zones, rate, limit, failing))
 			next, found := p.Step(now)
 			if !found {
 				continue
 			}
 			if next.Epoch != epoch+1 {
-				t.Fatalf("epoch %d after %d", next.Epoch, epoch)
+				t.Fatalf("the plan after epoch %d has epoch %d", epoch, next.Epoch)
 			}
 			if err := next.Check(); err != nil {
 				t.Fatal(err)
@@ -53,26 +54,29 @@
 	})
 }
 
+// expectWithinCapacity fails the test if a plan diverts calls to a failing zone, or more calls than a zone has capacity
+// for. Rates and limits are calls per second by zone.
 func expectWithinCapacity(t *rapid.T, next plan.Plan, rate, limit map[view.Zone]float64, failing map[view.Zone]bool) {
-	given, near := map[view.Zone]float64{}, maps.Clone(rate)
+	diverted, near := map[view.Zone]float64{}, maps.Clone(rate)
 	for _, r := range next.Routes {
 		near[r.From] = rate[r.From] * r.NearShare
 		for _, s := range r.Shares {
-			given[s.Zone] += s.Fraction * rate[r.From]
+			diverted[s.Zone] += s.Fraction * rate[r.From]
 		}
 	}
-	for z, g := range given {
-		if failing[z] && g > 0.01 {
-			t.Fatalf("%v goes to %v, where nobody is answered: %+v", g, z, next.Routes)
+	for z, received := range diverted {
+		if failing[z] && received > 0.01 {
+			t.Fatalf("%v calls per second are diverted to %v, which is failing: %+v", received, z, next.Routes)
 		}
-		if g+near[z] > 1.1*limit[z]+0.5 {
-			t.Fatalf("%v gets %v beside %v of its own, of %v: %+v", z, g, near[z], limit[z], next.Routes)
+		if received+near[z] > 1.1*limit[z]+0.5 {
+			t.Fatalf("%v receives %v diverted calls per second and %v of its own, above its limit of %v: %+v", z, received, near[z], limit[z], next.Routes)
 		}
 	}
 }
 
-// placeHealth is as if each zone tried each place each time, and had its messages done at the first that answers.
-func placeHealth(zones []view.Zone, rate, limit map[view.Zone]float64, failing map[view.Zone]bool) (all []assess.LocalityHealth) {
+// healthOf returns the health of the locality in each zone, as if each zone sent calls to all localities and the first one
+// that answers, beginning with its own, did all its calls.
+func healthOf(zones []view.Zone, rate, limit map[view.Zone]float64, failing map[view.Zone]bool) (all []assess.LocalityHealth) {
 	served := map[view.Zone]view.Zone{}
 	for _, from := range zones {
 		for _, z := range append([]view.Zone{from}, zones...) {
@@ -88,12 +92,12 @@
 			s.State = assess.Failing
 		}
 		for _, from := range zones {
-			pair := assess.ZoneView{From: from, State: s.State, SuccessShare: 1}
+			seen := assess.ZoneView{From: from, State: s.State, SuccessShare: 1}
 			if served[from] == z {
-				pair.Done = rate[from]
+				seen.Done = rate[from]
 			}
-			s.Done += pair.Done
-			s.ByZone = append(s.ByZone, pair)
+			s.Done += seen.Done
+			s.ByZone = append(s.ByZone, seen)
 		}
 		all = append(all, s)
 	}
--- a/internal/cluster/failover/plan/capacity_test.go
+++ b/internal/cluster/failover/plan/capacity_test.go
@@ -1,7 +1,7 @@
 package plan_test
 
-// Benchmarks behind docs/CAPACITY.md: judging what zones report and planning, by places reported (a report for each zone
-// and place), and a plan's size by routes.
+// Benchmarks whose results are in docs/CAPACITY.md: assessment and planning by number of destinations, with one report for
+// each destination and zone, and the size of the plan.
 
 import (
 	"encoding/json"
@@ -14,27 +14,27 @@
 	"flaxcove/lab/capacity/bench"
 )
 
-// plannedFleet is 8 zones in 3 regions.
+// plannedFleet has 8 zones in 3 regions.
 var plannedFleet = fleetShape{zones: 8, processes: 27, endpoints: 1, zoneName: "zone-%d",
 	region: func(zone int) view.Region { return view.Region(fmt.Sprint("region-", zone%3)) }}
 
-// BenchmarkCapacityTurn is a judgement and a step with one of eight zones lost; the metrics are of the plan that
-// follows: its routes and its bytes.
+// BenchmarkCapacityTurn measures the assessments and steps of a planner that loses one of eight zones. The metrics are the
+// number of routes and the encoded size of the resulting plan.
 func BenchmarkCapacityTurn(b *testing.B) {
 	bench.Sizes(b, "destinations", []int{61, 610, 6_100}, func(b *testing.B, n int) {
-		regions, well := plannedFleet.reports(n, "")
-		_, bad := plannedFleet.reports(n, "zone-0")
+		regions, healthy := plannedFleet.reports(n, "")
+		_, failing := plannedFleet.reports(n, "zone-0")
 		var routes, size int
 		for b.Loop() {
 			p := plan.New(plan.DefaultSettings())
 			p.SetRegions(regions)
-			p.UpdateHealth(0, assess.Judge(well, assess.DefaultBounds()))
+			p.UpdateHealth(0, assess.Judge(healthy, assess.DefaultBounds()))
 			first, _ := p.Step(0)
 			p.PlanInForce(0, first)
-			p.UpdateHealth(2*second, assess.Judge(bad, assess.DefaultBounds()))
-			next, some := p.Step(2 * second)
-			if !some {
-				b.Fatal("no plan")
+			p.UpdateHealth(2*second, assess.Judge(failing, assess.DefaultBounds()))
+			next, found := p.Step(2 * second)
+			if !found {
+				b.Fatal("no plan after a zone failed")
 			}
 			text, err := json.Marshal(next)
 			if err != nil {
@@ -47,24 +47,24 @@
 	})
 }
 
-// BenchmarkCapacityBoard is a coordinator's board: reports stored and the fresh ones read, as at each judgement. It
-// holds 24,000 at most.
+// BenchmarkCapacityBoard stores reports in a coordinator's ReportTable and reads them, as each assessment does. The table
+// holds at most 24,000 reports.
 func BenchmarkCapacityBoard(b *testing.B) {
 	bench.Sizes(b, "reports", []int{240, 2_400, 24_000}, func(b *testing.B, n int) {
 		_, reports := plannedFleet.reports(n/8, "")
-		var board *assess.ReportTable
+		var table *assess.ReportTable
 		heap := bench.Heap(func() any {
-			board = assess.NewReportTable(assess.DefaultBounds())
-			board.Put(0, reports)
-			return board
+			table = assess.NewReportTable(assess.DefaultBounds())
+			table.Put(0, reports)
+			return table
 		})
 		text, err := json.Marshal(reports)
 		if err != nil {
 			b.Fatal(err)
 		}
 		for b.Loop() {
-			board.Put(0, reports)
-			board.Fresh(0)
+			table.Put(0, reports)
+			table.Fresh(0)
 		}
 		b.ReportMetric(heap, "heap-B")
 		b.ReportMetric(float64(len(text)), "wire-B")
--- a/internal/cluster/failover/plan/fleet_test.go
+++ b/internal/cluster/failover/plan/fleet_test.go
@@ -12,31 +12,34 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// fleet is a small model: processes in zones send calls at an even rate to one place in each zone, which has a fixed
-// capacity or fails. It plays half seconds: what was seen in one is judged, planned and in force in the next.
+// fleet simulates zones whose processes send calls at a constant rate to the localities of three destinations. The
+// locality of a destination in a zone has a fixed capacity, or fails. A step is half a second; the plan made from the
+// reports of one step is in force in the next.
 type fleet struct {
 	t                    *testing.T
 	now                  view.Uptime
 	regions              map[view.Zone]view.Region
 	zones                []view.Zone
 	destinations         []choice.DestinationID
-	rate, capacity       map[view.Zone]float64 // calls a second of one destination: handed in, and what its place can do
-	working              map[view.Zone]float64 // fraction of the capacity that is left, 1 if missing
-	brokenLinks          map[[2]view.Zone]bool // from, to
-	unreportedZones      map[view.Zone]bool    // whose reports do not arrive
-	limitsKnown          bool                  // endpoints report their limit
-	reports              map[view.Zone][]healthreport.Sample
-	reportTable          *assess.ReportTable
-	planner              *plan.Planner
+	rate, capacity       map[view.Zone]float64               // calls per second to each destination: demand of a zone, capacity of its locality
+	working              map[view.Zone]float64               // fraction of the capacity that is left; 1 if missing
+	brokenLinks          map[[2]view.Zone]bool               // links whose calls fail, from the first zone to the second
+	unreportedZones      map[view.Zone]bool                  // zones whose reports do not arrive
+	limitsKnown          bool                                // whether endpoints report their limit
+	reports              map[view.Zone][]healthreport.Sample // samples of the last second, by reporting zone
+	reportTable          *assess.ReportTable                 // at the leader
+	planner              *plan.Planner                       // at the leader
 	inForce              plan.InForce
-	planChanges          []view.Uptime
-	overloadedFor        map[healthreport.Locality]time.Duration // for how long over 1.1 of its capacity because of diverted calls
-	leftZone, totalCalls float64                                 // calls of the last half second
-	planningDisabled     bool                                    // no plan is made
+	planChanges          []view.Uptime                           // times of all plans after the first
+	overloadedFor        map[healthreport.Locality]time.Duration // for how long a locality with diverted calls was loaded above 1.1 of its capacity
+	leftZone, totalCalls float64                                 // calls per second of the last step: those that left their zone, and all
+	planningDisabled     bool                                    // step makes no plan
 }
 
-const halfSecond = 500 * time.Millisecond
+const halfSecond = 500 * time.Millisecond // duration of a step
 
+// newFleet returns a fleet of four zones in two regions. Each zone sends 60 calls per second to each destination, and each
+// locality has capacity for 100.
 func newFleet(t *testing.T) *fleet {
 	f := &fleet{t: t, regions: map[view.Zone]view.Region{"a1": "A", "a2": "A", "b1": "B", "b2": "B"},
 		zones: []view.Zone{"a1", "a2", "b1", "b2"}, destinations: []choice.DestinationID{1, 2, 3}, limitsKnown: true,
@@ -49,6 +52,7 @@
 	return f
 }
 
+// workingFraction returns the fraction of its capacity that a zone has left.
 func (f *fleet) workingFraction(z view.Zone) float64 {
 	if p, set := f.working[z]; set {
 		return p
@@ -56,7 +60,7 @@
 	return 1
 }
 
-// distribution is how a zone's calls to a destination are spread.
+// distribution returns the share of a zone's calls to a destination that goes to each zone.
 func (f *fleet) distribution(d choice.DestinationID, from view.Zone) map[view.Zone]float64 {
 	p := f.inForce.Plan()
 	r, found := p.Find(d, from)
@@ -73,6 +77,7 @@
 	return to
 }
 
+// step simulates half a second, with the plan made by the step before.
 func (f *fleet) step() {
 	f.now += halfSecond
 	f.leftZone, f.totalCalls = 0, 0
@@ -94,7 +99,8 @@
 	}
 }
 
-// routeCalls spreads the calls of the step by the plan in force: all calls by place, and those that left their zone.
+// routeCalls distributes the calls of a step according to the plan in force. It returns the calls per second that each
+// locality receives, and those of them that come from other zones.
 func (f *fleet) routeCalls() (load, diverted map[healthreport.Locality]float64) {
 	load, diverted = map[healthreport.Locality]float64{}, map[healthreport.Locality]float64{}
 	for _, d := range f.destinations {
@@ -113,6 +119,7 @@
 	return load, diverted
 }
 
+// countOverloads adds a step to overloadedFor for each locality that receives diverted calls and is overloaded.
 func (f *fleet) countOverloads(load, diverted map[healthreport.Locality]float64) {
 	for at, rate := range diverted {
 		capacity := f.capacity[at.Zone] * f.workingFraction(at.Zone)
@@ -122,6 +129,7 @@
 	}
 }
 
+// decide puts a plan in force.
 func (f *fleet) decide(next plan.Plan) {
 	body := must(encode(next))
 	if _, err := f.inForce.Apply(1, f.now, plan.Kind, body); err != nil {
@@ -133,12 +141,12 @@
 	}
 }
 
-// updateReports makes the reports of the last second, of two processes a zone.
+// updateReports adds the samples of this step, from two processes of a zone, and drops those older than the step before.
 func (f *fleet) updateReports(from view.Zone, load map[healthreport.Locality]float64) {
-	var all []healthreport.Sample
+	var samples []healthreport.Sample
 	for _, s := range f.reports[from] {
 		if s.Age += halfSecond; s.Age <= halfSecond {
-			all = append(all, s)
+			samples = append(samples, s)
 		}
 	}
 	for _, d := range f.destinations {
@@ -158,32 +166,34 @@
 					s.Done = s.Sent * min(1, capacity/max(1e-9, load[at]))
 					s.Rejected = s.Sent - s.Done
 				}
-				all = append(all, s)
+				samples = append(samples, s)
 			}
 		}
 	}
-	f.reports[from] = all
+	f.reports[from] = samples
 }
 
+// run simulates a time span.
 func (f *fleet) run(span time.Duration) {
 	for end := f.now + span; f.now < end; {
 		f.step()
 	}
 }
 
+// until simulates until done returns true, and fails the test if that takes longer than within.
 func (f *fleet) until(what string, within time.Duration, done func() bool) {
 	f.t.Helper()
 	started := f.now
 	for !done() {
 		if f.now-started > within {
-			f.t.Fatalf("%s: not within %v; plan %+v", what, within, f.inForce.Plan().Routes)
+			f.t.Fatalf("%s: not within %v; routes in force are %+v", what, within, f.inForce.Plan().Routes)
 		}
 		f.step()
 	}
 	f.t.Logf("%s: after %v", what, f.now-started)
 }
 
-// awayFrom reports whether hardly anything of a zone still goes near.
+// awayFrom returns a function that reports whether at most a tenth of a zone's calls to any destination goes near.
 func (f *fleet) awayFrom(from view.Zone) func() bool {
 	return func() bool {
 		for _, d := range f.destinations {
@@ -195,21 +205,23 @@
 	}
 }
 
+// allNear reports whether no call left its zone in the last step.
 func (f *fleet) allNear() bool { return f.leftZone == 0 }
 
+// expectNoOverload reports an error for each locality that diverted calls overloaded for more than a second.
 func (f *fleet) expectNoOverload() {
 	f.t.Helper()
 	for at, span := range f.overloadedFor {
 		if span > time.Second {
-			f.t.Errorf("%v was over 1.1 of its capacity for %v", at, span)
+			f.t.Errorf("%v was loaded above 1.1 of its capacity for %v", at, span)
 		}
 	}
 }
 
-// maxShare is the largest share, over destinations, that a zone sends to another.
-func (f *fleet) maxShare(from, z view.Zone) (most float64) {
+// maxShare returns the largest share of a zone's calls to any destination that goes to zone z.
+func (f *fleet) maxShare(from, z view.Zone) (largest float64) {
 	for _, d := range f.destinations {
-		most = max(most, f.distribution(d, from)[z])
+		largest = max(largest, f.distribution(d, from)[z])
 	}
-	return most
+	return largest
 }
--- a/internal/cluster/failover/plan/planner_test.go
+++ b/internal/cluster/failover/plan/planner_test.go
@@ -11,8 +11,10 @@
 	"flaxcove/internal/cluster/view"
 )
 
+// encode returns v as JSON.
 func encode(v any) (json.RawMessage, error) { return json.Marshal(v) }
 
+// must returns v, and panics if err is not nil.
 func must[T any](v T, err error) T {
 	if err != nil {
 		panic(err)
@@ -22,28 +24,30 @@
 
 const second = time.Second
 
+// TestZoneFailsAndReturns checks that the messages of a failing zone go to its own region first, then to others, and
+// return in ascending steps that do not exceed the capacity of endpoints in slow start.
 func TestZoneFailsAndReturns(t *testing.T) {
 	f := newFleet(t)
 	f.run(10 * second)
 	if f.leftZone > 0.02*f.totalCalls {
-		t.Fatalf("%.0f of %.0f leave their zone while all is well", f.leftZone, f.totalCalls)
+		t.Fatalf("%.0f of %.0f calls leave their zone without a failure", f.leftZone, f.totalCalls)
 	}
 	f.working["a1"] = 0
-	f.until("moved", 2*second, func() bool { return f.maxShare("a1", "a2")+f.maxShare("a1", "b1")+f.maxShare("a1", "b2") > 0.8 })
-	if f.maxShare("a1", "a2") < 0.5 { // the own region has capacity for 35 of 60 and comes first
-		t.Errorf("only %.2f to the own region", f.maxShare("a1", "a2"))
+	f.until("diverted", 2*second, func() bool { return f.maxShare("a1", "a2")+f.maxShare("a1", "b1")+f.maxShare("a1", "b2") > 0.8 })
+	if f.maxShare("a1", "a2") < 0.5 { // the own region comes first and has capacity for 35 of 60 calls per second
+		t.Errorf("only a share of %.2f goes to the own region", f.maxShare("a1", "a2"))
 	}
 	f.run(12 * second)
 	f.working["a1"] = 1
-	well := f.now
+	healthySince := f.now
 	last := 0.0
-	f.until("back", 15*second, func() bool {
+	f.until("returned", 15*second, func() bool {
 		share := f.distribution(1, "a1")["a1"]
-		if warm := 0.2 + 0.8*(f.now-well).Seconds()/10; 60*share > 100*min(1, warm)+1 {
-			t.Errorf("%.2f of 60 calls a second go to what can do %.2f of 100", share, warm)
+		if warmed := 0.2 + 0.8*(f.now-healthySince).Seconds()/10; 60*share > 100*min(1, warmed)+1 {
+			t.Errorf("a share of %.2f of 60 calls per second goes to endpoints in slow start, with a fraction of %.2f of their capacity of 100", share, warmed)
 		}
 		if share < last {
-			t.Errorf("a step back without a reason: %.2f after %.2f", share, last)
+			t.Errorf("the near share decreases during a return, from %.2f to %.2f", last, share)
 		}
 		last = share
 		return f.allNear()
@@ -54,52 +58,59 @@
 	}
 }
 
+// TestHalfOfAZoneFails checks that a zone that loses half of its capacity, and whose limit is not known, keeps the share
+// of messages that it has capacity for.
 func TestHalfOfAZoneFails(t *testing.T) {
 	f := newFleet(t)
 	f.limitsKnown = false
 	f.run(10 * second)
-	f.working["a1"] = 0.5 // 50 of 60
+	f.working["a1"] = 0.5 // capacity for 50 of 60 calls per second
 	f.run(10 * second)
 	if got := f.maxShare("a1", "a1"); got < 0.6 || got > 0.95 {
-		t.Errorf("%.2f stay near, of which there is capacity for 0.83", got)
+		t.Errorf("a share of %.2f goes near, which has capacity for 0.83", got)
 	}
 	f.working["a1"] = 1
-	f.until("back", 40*second, f.allNear)
+	f.until("returned", 40*second, f.allNear)
 	f.expectNoOverload()
 }
 
+// TestRegionFailsWhileAnotherIsDegraded checks that only as many messages leave a failing region as a partly degraded
+// region has capacity for.
 func TestRegionFailsWhileAnotherIsDegraded(t *testing.T) {
 	f := newFleet(t)
 	f.run(10 * second)
-	f.working["b1"] = 0.65 // 65 of 100, 60 of its own
+	f.working["b1"] = 0.65 // capacity for 65 calls per second, of which 60 are its own
 	f.run(6 * second)
-	f.capacity["b1"], f.working["b1"] = 65, 1 // as it reports by then
+	f.capacity["b1"], f.working["b1"] = 65, 1 // by now the endpoints report the lower limit
 	f.run(3 * second)
 	f.working["a1"], f.working["a2"] = 0, 0
 	f.run(8 * second)
 	if f.maxShare("a1", "b2")+f.maxShare("a2", "b2") < 0.4 {
-		t.Errorf("little goes to where there is capacity: %v", f.inForce.Plan().Routes)
+		t.Errorf("too few messages go to the zone with spare capacity: %v", f.inForce.Plan().Routes)
 	}
-	f.expectNoOverload() // 120 a second lost their home and there is capacity for under 40: the rest stays
+	f.expectNoOverload() // 120 calls per second lost their home, and there is capacity for less than 40; the rest stays
 	if near := f.distribution(1, "a1")["a1"] + f.distribution(1, "a2")["a2"]; near < 1 {
-		t.Errorf("more was diverted than there is capacity for: %.2f of 2 stay", near)
+		t.Errorf("the near shares of two zones add up to %.2f; more was diverted than there is capacity for", near)
 	}
 }
 
+// TestTwoZonesOneAfterTheOther checks that both zones of a region are diverted when the second fails shortly after the
+// first, whose messages it received.
 func TestTwoZonesOneAfterTheOther(t *testing.T) {
 	f := newFleet(t)
 	f.run(10 * second)
 	f.working["a1"] = 0
-	f.until("first", 2*second, f.awayFrom("a1"))
+	f.until("first zone diverted", 2*second, f.awayFrom("a1"))
 	f.run(2 * second)
 	f.working["a2"] = 0
-	f.until("second", 3*second, func() bool { return f.maxShare("a2", "b1")+f.maxShare("a2", "b2") > 0.1 && f.maxShare("a1", "a2") == 0 })
+	f.until("second zone diverted", 3*second, func() bool { return f.maxShare("a2", "b1")+f.maxShare("a2", "b2") > 0.1 && f.maxShare("a1", "a2") == 0 })
 	f.run(5 * second)
 	f.expectNoOverload()
 	f.working["a1"], f.working["a2"] = 1, 1
-	f.until("both back", 25*second, f.allNear)
+	f.until("both zones returned", 25*second, f.allNear)
 }
 
+// TestReceiverFails checks that diverted messages move on when the zone that receives them fails too.
 func TestReceiverFails(t *testing.T) {
 	f := newFleet(t)
 	for _, z := range f.zones {
@@ -107,18 +118,20 @@
 	}
 	f.run(10 * second)
 	f.working["a1"] = 0
-	f.until("moved", 2*second, func() bool { return f.maxShare("a1", "a2") > 0.9 })
+	f.until("diverted", 2*second, func() bool { return f.maxShare("a1", "a2") > 0.9 })
 	f.working["a2"] = 0
-	f.until("moved on", 3*second, func() bool { return f.maxShare("a1", "a2") == 0 && f.maxShare("a1", "b1")+f.maxShare("a1", "b2") > 0.9 })
+	f.until("diverted again", 3*second, func() bool { return f.maxShare("a1", "a2") == 0 && f.maxShare("a1", "b1")+f.maxShare("a1", "b2") > 0.9 })
 }
 
+// TestNothingMovesWhileAllFail checks that all routes are unrestricted and that no further plan is made while all zones
+// fail.
 func TestNothingMovesWhileAllFail(t *testing.T) {
 	f := newFleet(t)
 	f.run(10 * second)
 	for _, z := range f.zones {
 		f.working[z] = 0
 	}
-	f.until("free", 4*second, func() bool {
+	f.until("unrestricted", 4*second, func() bool {
 		p := f.inForce.Plan()
 		for _, r := range p.Routes {
 			if r.Phase != plan.Unrestricted || len(r.Shares) > 0 {
@@ -130,79 +143,86 @@
 	n := len(f.planChanges)
 	f.run(20 * second)
 	if len(f.planChanges) > n {
-		t.Errorf("%d more plans while nothing can be done", len(f.planChanges)-n)
+		t.Errorf("%d further plans while all zones fail", len(f.planChanges)-n)
 	}
 	for _, z := range f.zones {
 		f.working[z] = 1
 	}
-	f.until("back", 30*second, f.allNear)
+	f.until("returned", 30*second, f.allNear)
 }
 
+// TestFlappingLink checks that a link that alternates between failing and working makes few plan changes.
 func TestFlappingLink(t *testing.T) {
-	for _, each := range []time.Duration{2 * second, 5 * second, 9 * second} {
+	for _, interval := range []time.Duration{2 * second, 5 * second, 9 * second} {
 		f := newFleet(t)
 		f.run(10 * second)
-		for range int(time.Minute / each / 2) {
+		for range int(time.Minute / interval / 2) {
 			f.brokenLinks[[2]view.Zone{"a1", "a1"}] = true
-			f.run(each)
+			f.run(interval)
 			f.brokenLinks[[2]view.Zone{"a1", "a1"}] = false
-			f.run(each)
+			f.run(interval)
 		}
-		// Longer ones are outages, with steps.
-		most := map[time.Duration]int{2 * second: 3, 5 * second: 5, 9 * second: 9}[each]
-		if f.expectNoOverload(); len(f.planChanges) > most {
-			t.Errorf("flaps each %v: %d plan changes in a minute, at %v", each, len(f.planChanges), f.planChanges)
+		// Longer failures are outages, after which the route returns in steps, each with a plan.
+		maxChanges := map[time.Duration]int{2 * second: 3, 5 * second: 5, 9 * second: 9}[interval]
+		if f.expectNoOverload(); len(f.planChanges) > maxChanges {
+			t.Errorf("flapping every %v: %d plan changes in a minute, want at most %d: at %v", interval, len(f.planChanges), maxChanges, f.planChanges)
 		}
-		t.Log(each, f.planChanges)
+		t.Log(interval, f.planChanges)
 	}
 }
 
+// TestOneWayLinkFailureMovesOneZone checks that the failure of the link from one zone to another diverts only the
+// messages from the first zone.
 func TestOneWayLinkFailureMovesOneZone(t *testing.T) {
 	f := newFleet(t)
 	f.run(10 * second)
 	f.working["a1"] = 0
-	f.until("moved", 2*second, f.awayFrom("a1"))
-	f.brokenLinks[[2]view.Zone{"a1", "a2"}] = true // a2 serves all but a1
-	f.until("around the link", 3*second, func() bool { return f.maxShare("a1", "a2") == 0 })
+	f.until("diverted", 2*second, f.awayFrom("a1"))
+	f.brokenLinks[[2]view.Zone{"a1", "a2"}] = true // a2 answers all zones but a1
+	f.until("diverted from a2", 3*second, func() bool { return f.maxShare("a1", "a2") == 0 })
 	f.run(5 * second)
 	if f.maxShare("a2", "a2") != 1 {
-		t.Errorf("a2's own traffic moved: %v", f.inForce.Plan().Routes)
+		t.Errorf("messages from a2 were diverted: %v", f.inForce.Plan().Routes)
 	}
 }
 
+// TestMissingReportsMoveNothing checks that the loss of all reports of a region causes no plan, and that the other region
+// is still diverted when it fails.
 func TestMissingReportsMoveNothing(t *testing.T) {
 	f := newFleet(t)
 	f.run(10 * second)
-	f.unreportedZones["b1"], f.unreportedZones["b2"] = true, true // cut off: their reports grow old
+	f.unreportedZones["b1"], f.unreportedZones["b2"] = true, true // cut off, so that their last reports become too old
 	f.run(60 * second)
 	if n := len(f.planChanges); n > 0 {
-		t.Errorf("%d plan changes by silence alone", n)
+		t.Errorf("%d plan changes because of missing reports alone", n)
 	}
 	f.working["a1"] = 0
 	f.run(4 * second)
 	if f.maxShare("a1", "a2") < 0.3 {
-		t.Error("the side that still decides does not act")
+		t.Error("a failing zone of the region with the leader is not diverted")
 	}
 }
 
-// A new leader starts with the plan in force: no step is lost, and no route changes its direction.
+// TestNewLeaderContinues checks that a new leader continues from the plan in force and does not undo diversions.
 func TestNewLeaderContinues(t *testing.T) {
 	f := newFleet(t)
 	f.run(10 * second)
 	f.working["a1"] = 0
-	f.until("moved", 2*second, f.awayFrom("a1"))
-	f.now += time.Hour // its clock is another, and so it sees nothing from before
+	f.until("diverted", 2*second, f.awayFrom("a1"))
+	f.now += time.Hour // the new leader's clock differs, so that all earlier reports are too old
 	f.planner = plan.New(plan.DefaultSettings())
 	f.planner.PlanInForce(f.now, f.inForce.Plan())
 	n := len(f.planChanges)
 	f.run(8 * second)
 	if f.maxShare("a1", "a1") > 0.5 || len(f.planChanges) > n+1 {
-		t.Errorf("%d plans, %v", len(f.planChanges)-n, f.inForce.Plan().Routes)
+		t.Errorf("the new leader made %d plans, in force is %v", len(f.planChanges)-n, f.inForce.Plan().Routes)
 	}
 	f.working["a1"] = 1
-	f.until("back", 20*second, f.allNear)
+	f.until("returned", 20*second, f.allNear)
 }
 
+// TestEpochsNeverFork checks that InForce rejects a second plan of the same epoch and invalid plans, and that invalid
+// snapshots leave the state unchanged.
 func TestEpochsNeverFork(t *testing.T) {
 	var f plan.InForce
 	regions := map[view.Zone]view.Region{"a": "A"}
@@ -212,43 +232,43 @@
 	}
 	var stale *plan.StaleEpochError
 	if _, err := f.Apply(2, 0, plan.Kind, must(encode(p))); !errors.As(err, &stale) || stale.InForce != 1 {
-		t.Errorf("the same epoch twice: %v", err)
+		t.Errorf("a second plan of the same epoch returns %v, want a StaleEpochError", err)
 	}
-	bad := plan.Plan{Epoch: 2, TTL: second, Routes: []plan.Route{{Phase: plan.Diverted, NearShare: 0.5}}}
-	if _, err := f.Apply(3, 0, plan.Kind, must(encode(bad))); err == nil || f.Plan().Epoch != 1 {
-		t.Errorf("shares that add up to a half: %v", err)
+	invalid := plan.Plan{Epoch: 2, TTL: second, Routes: []plan.Route{{Phase: plan.Diverted, NearShare: 0.5}}}
+	if _, err := f.Apply(3, 0, plan.Kind, must(encode(invalid))); err == nil || f.Plan().Epoch != 1 {
+		t.Errorf("a route whose shares add up to 0.5 returns %v, epoch %d is in force", err, f.Plan().Epoch)
 	}
-	var g plan.InForce
-	if err := g.Restore(must(f.Snapshot())); err != nil || g.Plan().Epoch != 1 || g.Plan().Regions["a"] != "A" {
-		t.Errorf("restored %+v, %v", g.Plan(), err)
+	var restored plan.InForce
+	if err := restored.Restore(must(f.Snapshot())); err != nil || restored.Plan().Epoch != 1 || restored.Plan().Regions["a"] != "A" {
+		t.Errorf("restored %+v, error %v", restored.Plan(), err)
 	}
-	if g.Restore(json.RawMessage(`{"plan":{"epoch":3}}`)) == nil || g.Plan().Epoch != 1 {
-		t.Error("a spoilt snapshot was taken")
+	if restored.Restore(json.RawMessage(`{"plan":{"epoch":3}}`)) == nil || restored.Plan().Epoch != 1 {
+		t.Error("an invalid snapshot was restored")
 	}
 }
 
-// Two planners both believe to lead: of the plans they make for one epoch one is decided, and the other planner goes
-// on from that.
+// TestTwoPlannersDecideEachEpochOnce checks that, while two planners both act as leader, exactly one plan for each epoch
+// is accepted, and that both planners continue from it.
 func TestTwoPlannersDecideEachEpochOnce(t *testing.T) {
 	f := newFleet(t)
 	other := plan.New(plan.DefaultSettings())
-	decided := map[view.Epoch]int{}
+	accepted := map[view.Epoch]int{}
 	for i := range 60 {
 		if f.working["a1"] = 1; i > 20 {
 			f.working["a1"] = 0
 		}
 		f.planningDisabled = true
 		f.step()
-		all := assess.Judge(f.reportTable.Fresh(f.now), assess.DefaultBounds())
+		health := assess.Judge(f.reportTable.Fresh(f.now), assess.DefaultBounds())
 		for _, p := range []*plan.Planner{f.planner, other} {
 			p.SetRegions(f.regions)
-			p.UpdateHealth(f.now, all)
-			next, some := p.Step(f.now)
-			if !some {
+			p.UpdateHealth(f.now, health)
+			next, found := p.Step(f.now)
+			if !found {
 				continue
 			}
 			if _, err := f.inForce.Apply(uint64(i), f.now, plan.Kind, must(encode(next))); err == nil {
-				decided[next.Epoch]++
+				accepted[next.Epoch]++
 			} else if stale := (*plan.StaleEpochError)(nil); !errors.As(err, &stale) {
 				t.Fatal(err)
 			}
@@ -256,22 +276,23 @@
 		}
 	}
 	for e := view.Epoch(1); e <= f.inForce.Plan().Epoch; e++ {
-		if decided[e] != 1 {
-			t.Errorf("epoch %d was decided %d times", e, decided[e])
+		if accepted[e] != 1 {
+			t.Errorf("%d plans of epoch %d were accepted, want 1", accepted[e], e)
 		}
 	}
-	if n := len(decided); n < 2 || n > 6 || !f.awayFrom("a1")() {
-		t.Errorf("%d epochs, %v", n, f.inForce.Plan().Routes)
+	if n := len(accepted); n < 2 || n > 6 || !f.awayFrom("a1")() {
+		t.Errorf("%d epochs, want 2 to 6 and zone a1 diverted: %v", n, f.inForce.Plan().Routes)
 	}
 }
 
-// A new leader that starts in an outage gets no reports of one zone that failed, and of another only what fails: the
-// first stays diverted, and the second is diverted by the calls tried there.
+// TestNewLeaderDuringOutage starts a new leader that gets no reports from one failing zone, and from another zone only
+// failures. The first zone must stay diverted, and the second must be diverted although only the calls sent show its
+// demand.
 func TestNewLeaderDuringOutage(t *testing.T) {
 	f := newFleet(t)
 	f.run(10 * second)
 	f.working["a1"] = 0
-	f.until("moved", 2*second, f.awayFrom("a1"))
+	f.until("first zone diverted", 2*second, f.awayFrom("a1"))
 	f.run(3 * second)
 	f.unreportedZones["a1"], f.working["b1"] = true, 0
 	for _, from := range f.zones {
@@ -280,9 +301,9 @@
 	f.reportTable = assess.NewReportTable(assess.DefaultBounds())
 	f.planner = plan.New(plan.DefaultSettings())
 	f.planner.PlanInForce(f.now, f.inForce.Plan())
-	f.until("the second moved", 3*second, func() bool { return f.maxShare("b1", "a2")+f.maxShare("b1", "b2") > 0.2 })
+	f.until("second zone diverted", 3*second, func() bool { return f.maxShare("b1", "a2")+f.maxShare("b1", "b2") > 0.2 })
 	f.run(6 * second)
 	if !f.awayFrom("a1")() {
-		t.Errorf("a zone that nobody reports on is taken for healthy: %v", f.inForce.Plan().Routes)
+		t.Errorf("a zone without reports is taken for healthy: %v", f.inForce.Plan().Routes)
 	}
 }
--- a/internal/cluster/failover/plan/reports_test.go
+++ b/internal/cluster/failover/plan/reports_test.go
@@ -9,14 +9,14 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// fleetShape is a fleet in which each zone sends to its own place of each destination.
+// fleetShape describes a fleet in which each zone sends to its own locality of each destination.
 type fleetShape struct {
-	zones, processes, endpoints int    // zones; processes of a zone; endpoints of a place
-	zoneName                    string // format, of the zone's number
+	zones, processes, endpoints int    // number of zones; of processes in a zone; of endpoints in a locality
+	zoneName                    string // fmt format of a zone's name, which takes its number
 	region                      func(zone int) view.Region
 }
 
-// reports are those of all zones; all calls to places in zone failing fail.
+// reports returns the region of each zone and the reports of all zones. All calls to localities in the zone failing fail.
 func (f fleetShape) reports(destinations int, failing view.Zone) (map[view.Zone]view.Region, []assess.Report) {
 	regions := map[view.Zone]view.Region{}
 	var all []assess.Report
--- a/internal/cluster/failover/plan/sparse_fleet_test.go
+++ b/internal/cluster/failover/plan/sparse_fleet_test.go
@@ -14,24 +14,28 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// sparseFleet is a fleet in which each destination has few calls: six senders a zone, twelve destinations of 0.5 to 8
-// calls a second a zone, one call in a hundred fails at random, no limits are known, digests cover one sliding second.
-// A sender that saw two calls fail stops sending near unless the plan makes it, as package choice does.
+// sparseFleet simulates a fleet in which each destination has few calls. Each zone has six senders and sends 0.5 to 8
+// calls per second to each of twelve destinations. One call in a hundred fails at random. No limits are known, and a
+// sample covers the last second. A step is half a second.
+//
+// As with package choice, a sender ejects its near locality after two failed calls, and then does not send there unless
+// a route of the plan says so.
 type sparseFleet struct {
 	random      *rand.Rand
 	now         view.Uptime
-	failing     map[view.Zone]bool
-	lastReports map[healthreport.Locality]map[view.Name]healthreport.Sample
-	ejected     map[healthreport.Locality]map[view.Name]bool
+	failing     map[view.Zone]bool                                          // zones in which all calls fail
+	lastReports map[healthreport.Locality]map[view.Name]healthreport.Sample // samples of the last half second
+	ejected     map[healthreport.Locality]map[view.Name]bool                // by sender
 	reportTable *assess.ReportTable
 	planner     *plan.Planner
-	plan        plan.Plan
-	planChanges []view.Uptime
-	nearShare   float64 // share of a1's calls that went near in the last half second
-	leftZone    float64 // of all zones' calls, those that left their zone since the start
-	totalCalls  float64
+	plan        plan.Plan     // in force
+	planChanges []view.Uptime // times of all plans
+	nearShare   float64       // share of a1's calls that went near in the last half second
+	leftZone    float64       // calls of all zones since the start that left their zone
+	totalCalls  float64       // calls of all zones since the start
 }
 
+// poisson draws a Poisson-distributed number.
 func (s *sparseFleet) poisson(mean float64) float64 {
 	n, p := 0.0, s.random.Float64()
 	for limit := math.Exp(-mean); p > limit; p *= s.random.Float64() {
@@ -40,13 +44,14 @@
 	return n
 }
 
-const sparseSenders = 6 // of a zone
+const sparseSenders = 6 // per zone
 
 var sparseZones = []view.Zone{"a1", "a2", "b1", "b2"}
 
-// sparseRate is in calls a second of a zone.
+// sparseRate returns the calls per second from each zone to a destination.
 func sparseRate(d choice.DestinationID) float64 { return 0.5 * math.Exp2(float64(d)/2.75) }
 
+// step simulates half a second.
 func (s *sparseFleet) step() {
 	s.now += halfSecond
 	near, all := 0.0, 0.0
@@ -60,7 +65,7 @@
 					at := healthreport.Locality{Destination: d, Zone: to}
 					mean := sparseRate(d) / sparseSenders * halfSecond.Seconds() * shares[to]
 					if to == from && s.ejected[at][name] && !planned {
-						mean = 0 // a sender does not try what it ejected while others can be used
+						mean = 0 // a sender does not use an ejected locality while it can use others
 					}
 					row := s.drawCalls(at, name, from, mean)
 					if all += row.Sent; to == from {
@@ -77,14 +82,15 @@
 	}
 	s.leftZone, s.totalCalls = s.leftZone+all-near, s.totalCalls+all
 	s.planner.UpdateHealth(s.now, assess.Judge(s.reportTable.Fresh(s.now), assess.DefaultBounds()))
-	if next, some := s.planner.Step(s.now); some {
+	if next, found := s.planner.Step(s.now); found {
 		s.plan = next
 		s.planner.PlanInForce(s.now, next)
 		s.planChanges = append(s.planChanges, s.now)
 	}
 }
 
-// sharesOf is where a zone's calls to a destination go; planned if a route of the plan in force says so.
+// sharesOf returns the share of a zone's calls to a destination that goes to each zone. planned says whether the plan in
+// force has a route for these calls.
 func (s *sparseFleet) sharesOf(d choice.DestinationID, from view.Zone) (shares map[view.Zone]float64, planned bool) {
 	shares = map[view.Zone]float64{from: 1}
 	r, found := s.plan.Find(d, from)
@@ -97,7 +103,8 @@
 	return shares, found
 }
 
-// overOneSecond joins a sender's half second to the one before it.
+// overOneSecond stores a sender's sample of this half second and returns its sum with the sample of the half second
+// before.
 func (s *sparseFleet) overOneSecond(at healthreport.Locality, name view.Name, row healthreport.Sample) healthreport.Sample {
 	old, known := s.lastReports[at][name]
 	s.lastReports[at][name] = row
@@ -108,7 +115,8 @@
 	return sumOf(row, old)
 }
 
-// drawCalls is half a second of one sender at one place.
+// drawCalls draws the calls of one sender to one locality in half a second, updates whether the sender ejects the
+// locality, and returns the sample.
 func (s *sparseFleet) drawCalls(at healthreport.Locality, name view.Name, from view.Zone, mean float64) healthreport.Sample {
 	if s.lastReports[at] == nil {
 		s.lastReports[at], s.ejected[at] = map[view.Name]healthreport.Sample{}, map[view.Name]bool{}
@@ -130,11 +138,14 @@
 	return row
 }
 
+// sumOf returns a with the counts and the span of b added.
 func sumOf(a, b healthreport.Sample) healthreport.Sample {
 	a.Sent, a.Done, a.Failed, a.Span = a.Sent+b.Sent, a.Done+b.Done, a.Failed+b.Failed, a.Span+b.Span
 	return a
 }
 
+// TestFewCallsAndRandomFailures checks that random failures of single calls cause no diversion, that a zone that fails is
+// diverted within 3 seconds, and that it returns within 25 seconds, although each destination has few calls.
 func TestFewCallsAndRandomFailures(t *testing.T) {
 	s := &sparseFleet{random: rand.New(rand.NewPCG(1, 2)), failing: map[view.Zone]bool{}, reportTable: assess.NewReportTable(assess.DefaultBounds()),
 		lastReports: map[healthreport.Locality]map[view.Name]healthreport.Sample{}, ejected: map[healthreport.Locality]map[view.Name]bool{},
@@ -147,16 +158,16 @@
 	}
 	run(time.Minute)
 	if len(s.planChanges) > 1 || s.leftZone > 0.02*s.totalCalls {
-		t.Errorf("all is well: plans at %v, %.4f of calls left their zone", s.planChanges, s.leftZone/s.totalCalls)
+		t.Errorf("without a failure there are plans at %v, and a share of %.4f of the calls left its zone", s.planChanges, s.leftZone/s.totalCalls)
 	}
 	failedAt, n := s.now, len(s.planChanges)
 	s.failing["a1"] = true
 	for s.nearShare > 0.15 && s.now < failedAt+20*time.Second {
 		s.step()
 	}
-	t.Logf("moved after %v in %d plans", s.now-failedAt, len(s.planChanges)-n)
+	t.Logf("diverted after %v in %d plans", s.now-failedAt, len(s.planChanges)-n)
 	if s.now-failedAt > 3*time.Second {
-		t.Errorf("moved only after %v", s.now-failedAt)
+		t.Errorf("diverted only after %v, want at most 3s", s.now-failedAt)
 	}
 	run(12 * time.Second)
 	n = len(s.planChanges)
@@ -165,8 +176,8 @@
 	for len(s.plan.Routes) > 0 && s.now < healthyAt+time.Minute {
 		s.step()
 	}
-	t.Logf("back after %v in %d plans", s.now-healthyAt, len(s.planChanges)-n)
+	t.Logf("returned after %v in %d plans", s.now-healthyAt, len(s.planChanges)-n)
 	if s.now-healthyAt > 25*time.Second {
-		t.Errorf("back only after %v: %+v", s.now-healthyAt, s.plan.Routes)
+		t.Errorf("returned only after %v, want at most 25s: %+v", s.now-healthyAt, s.plan.Routes)
 	}
 }
--- a/internal/cluster/failover/plan/storeddata_test.go
+++ b/internal/cluster/failover/plan/storeddata_test.go
@@ -11,7 +11,7 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// storedPlan is the plan in force after the stored commands.
+// storedPlan returns the plan in force after the stored commands.
 func storedPlan() plan.Plan {
 	return plan.Plan{
 		Epoch:   2,
@@ -28,23 +28,25 @@
 	}
 }
 
-// TestReplaysStoredPlans: the plans in an older program's log are decided and answered as they were.
+// TestReplaysStoredPlans checks that the commands in the log of an older version are applied with the same answers and
+// the same plan in force.
 func TestReplaysStoredPlans(t *testing.T) {
 	part := &plan.InForce{}
 	machinetest.Replay(t, part)
 	checkStoredPlan(t, part)
 }
 
-// TestReadsStoredPlan: the plan in an older program's snapshot is in force, with every field.
+// TestReadsStoredPlan checks that the plan in a snapshot of an older version is restored with every field.
 func TestReadsStoredPlan(t *testing.T) {
 	part := &plan.InForce{}
 	machinetest.Restore(t, part)
 	checkStoredPlan(t, part)
 }
 
+// checkStoredPlan reports an error if the plan in force differs from storedPlan.
 func checkStoredPlan(t *testing.T, part *plan.InForce) {
 	t.Helper()
 	if diff := cmp.Diff(storedPlan(), part.Plan()); diff != "" {
-		t.Errorf("the plan in force (-stored +read):\n%s", diff)
+		t.Errorf("the plan in force differs from the stored one (-stored +read):\n%s", diff)
 	}
 }
--- a/internal/cluster/healthreport/capacity_test.go
+++ b/internal/cluster/healthreport/capacity_test.go
@@ -1,6 +1,6 @@
 package healthreport
 
-// Benchmark behind docs/CAPACITY.md: the size of a health report on the wire.
+// Benchmarks whose results are in docs/CAPACITY.md: the size of a health report on the wire, and its decoding.
 
 import (
 	"encoding/json"
@@ -13,24 +13,24 @@
 	"flaxcove/lab/capacity/bench"
 )
 
-// capacitySamples returns samples of so many places, as a sender of the planned fleet reports them.
-func capacitySamples(n int) (all []Sample) {
+// capacitySamples returns samples of n localities, with values like those of a sender in the planned fleet.
+func capacitySamples(n int) (samples []Sample) {
 	for d := range n {
-		all = append(all, Sample{Locality: Locality{choice.DestinationID(d), view.Zone(fmt.Sprintf("zone-%d", d%8))},
+		samples = append(samples, Sample{Locality: Locality{choice.DestinationID(d), view.Zone(fmt.Sprintf("zone-%d", d%8))},
 			Reporter: "sender-0123", ReporterZone: "zone-3", Kind: 1, Age: 131 * time.Millisecond, Span: 1003 * time.Millisecond,
 			Sent: 1, Done: 1, Limit: 40, Rating: 200, Endpoints: 1})
 	}
-	return all
+	return samples
 }
 
-// BenchmarkCapacityMessage encodes the samples of so many places that a sender reports to its zone's coordinator.
+// BenchmarkCapacityMessage encodes the samples that a sender reports to its zone's coordinator.
 func BenchmarkCapacityMessage(b *testing.B) {
 	bench.Sizes(b, "places", []int{10, 100, 1_000, 10_000}, func(b *testing.B, n int) {
-		all := capacitySamples(n)
+		samples := capacitySamples(n)
 		var body []byte
 		for b.Loop() {
 			var err error
-			if body, err = json.Marshal(all); err != nil {
+			if body, err = json.Marshal(samples); err != nil {
 				b.Fatal(err)
 			}
 		}
@@ -38,7 +38,7 @@
 	})
 }
 
-// BenchmarkCapacityDecode decodes such a report, as its zone's coordinator does.
+// BenchmarkCapacityDecode decodes the same samples, as the zone's coordinator does.
 func BenchmarkCapacityDecode(b *testing.B) {
 	bench.Sizes(b, "places", []int{10, 100, 1_000, 10_000}, func(b *testing.B, n int) {
 		body, err := json.Marshal(capacitySamples(n))
@@ -46,9 +46,9 @@
 			b.Fatal(err)
 		}
 		for b.Loop() {
-			var all []Sample
-			if err := json.Unmarshal(body, &all); err != nil || len(all) != n {
-				b.Fatal(len(all), err)
+			var samples []Sample
+			if err := json.Unmarshal(body, &samples); err != nil || len(samples) != n {
+				b.Fatalf("decoded %d samples of %d: %v", len(samples), n, err)
 			}
 		}
 	})
