--- a/internal/cluster/evidence/table/table.go
+++ b/internal/cluster/evidence/table/table.go
@@ -119,7 +119,7 @@
 }
 
 // insert adds an observation, or replaces the earlier one of the same witness. If the row already holds limit
-// observations, the oldest of these and next is dropped.
+// observations of other witnesses, the oldest one is evicted, or next is dropped if it is older than all of them.
 func (r *row) insert(next observation, limit int) Outcome {
 	i, known := slices.BinarySearchFunc(r.observations, next.sample.Reporter,
 		func(o observation, w view.Name) int { return cmp.Compare(o.sample.Reporter, w) })
--- a/internal/cluster/failover/apply/guide.go
+++ b/internal/cluster/failover/apply/guide.go
@@ -38,7 +38,7 @@
 // concurrent use.
 type Guide struct {
 	rules   map[choice.DestinationID]*rule // a destination without a rule is not restricted
-	outside []bool                         // by zone number: whether the plan doesn't know the zone; numbers beyond its length are outside
+	outside []bool                         // by zone number: true if the plan lacks the zone; higher numbers are outside too
 }
 
 // rule assigns the messages for one destination to zones.
--- a/internal/cluster/failover/assess/judge.go
+++ b/internal/cluster/failover/assess/judge.go
@@ -27,19 +27,19 @@
 	Endpoints        int
 	Done             float64     // calls per second from all zones
 	Rejected         float64     // likewise
-	FailureWitnesses []view.Name // some of the witnesses of the failure; set only if State is Failing
+	FailureWitnesses []view.Name // names of some witnesses that see it fail; set only if State is Failing
 	ByZone           []ZoneView  // zones that recently sent there, sorted by From
 }
 
 // StateFrom returns the state and the success share that apply to calls from a zone: those that the zone observes
 // itself unless they are Unknown, otherwise the overall ones.
-func (s LocalityHealth) StateFrom(from view.Zone) (State, float64) {
-	for _, p := range s.ByZone {
-		if p.From == from && p.State != Unknown {
-			return p.State, p.SuccessShare
+func (h LocalityHealth) StateFrom(from view.Zone) (State, float64) {
+	for _, seen := range h.ByZone {
+		if seen.From == from && seen.State != Unknown {
+			return seen.State, seen.SuccessShare
 		}
 	}
-	return s.State, s.SuccessShare
+	return h.State, h.SuccessShare
 }
 
 // assumedSuccessShare replaces a success share that is not known: some zone gets answers while the locality's own zone
@@ -68,8 +68,8 @@
 		for j < len(reports) && reports[j].Locality == reports[i].Locality {
 			j++
 		}
-		if s, ok := assessLocality(reports[i:j], byLink, b); ok {
-			localities = append(localities, s)
+		if h, ok := assessLocality(reports[i:j], byLink, b); ok {
+			localities = append(localities, h)
 		}
 		i = j
 	}
@@ -85,8 +85,8 @@
 	for _, r := range reports {
 		if r.Age <= b.MaxAge {
 			key := link{r.From, r.Zone}
-			p := sums[key]
-			sums[key] = outcomes{p.failures + r.Failures, p.successes + r.Successes}
+			sum := sums[key]
+			sums[key] = outcomes{sum.failures + r.Failures, sum.successes + r.Successes}
 		}
 	}
 	return sums
@@ -95,23 +95,23 @@
 // assessLocality combines the reports on one locality. It returns false if all of them are too old. The overall state is
 // set later, by setOverallStates.
 func assessLocality(reports []Report, byLink map[link]outcomes, b Bounds) (LocalityHealth, bool) {
-	s := LocalityHealth{Locality: reports[0].Locality, SuccessShare: 1}
+	h := LocalityHealth{Locality: reports[0].Locality, SuccessShare: 1}
 	known := false
 	for _, r := range reports {
 		if r.Age < 0 || r.Age > b.IdleMaxAge {
 			continue
 		}
 		known = true
-		s.Limit, s.Rating, s.Endpoints = max(s.Limit, r.Limit), max(s.Rating, r.Rating), max(s.Endpoints, r.Endpoints)
+		h.Limit, h.Rating, h.Endpoints = max(h.Limit, r.Limit), max(h.Rating, r.Rating), max(h.Endpoints, r.Endpoints)
 		if r.Age > b.MaxAge || r.Idle() {
 			continue
 		}
-		p := ZoneView{From: r.From, Sent: r.Sent, Done: r.Done, Rejected: r.Rejected}
-		p.State, p.SuccessShare = stateSeenBy(r, byLink[link{r.From, r.Zone}], b)
-		s.Done, s.Rejected = s.Done+r.Done, s.Rejected+r.Rejected
-		s.ByZone = append(s.ByZone, p)
+		seen := ZoneView{From: r.From, Sent: r.Sent, Done: r.Done, Rejected: r.Rejected}
+		seen.State, seen.SuccessShare = stateSeenBy(r, byLink[link{r.From, r.Zone}], b)
+		h.Done, h.Rejected = h.Done+r.Done, h.Rejected+r.Rejected
+		h.ByZone = append(h.ByZone, seen)
 	}
-	return s, known
+	return h, known
 }
 
 // stateSeenBy returns the state and the success share of a locality as the witnesses of one zone see it. A locality is
@@ -140,22 +140,23 @@
 func setOverallStates(localities []LocalityHealth, reports []Report, b Bounds) {
 	isolated := isolatedZones(localities)
 	for i := range localities {
-		s := &localities[i]
-		s.setOverallState(isolated)
-		if s.State == Failing {
-			s.FailureWitnesses = failureWitnesses(reports, s.Locality, b)
+		h := &localities[i]
+		h.setOverallState(isolated)
+		if h.State == Failing {
+			h.FailureWitnesses = failureWitnesses(reports, h.Locality, b)
 		}
 	}
 }
 
-func (s *LocalityHealth) setOverallState(isolated map[view.Zone]bool) {
+// setOverallState sets State and SuccessShare by the states in ByZone, without failures seen by isolated zones.
+func (h *LocalityHealth) setOverallState(isolated map[view.Zone]bool) {
 	failing, healthy, degraded := 0, 0, 0
 	failsInOwnZone, share := false, 1.0
-	for _, seen := range s.ByZone {
+	for _, seen := range h.ByZone {
 		switch {
 		case seen.State == Failing && !isolated[seen.From]:
 			failing++
-			failsInOwnZone = failsInOwnZone || seen.From == s.Zone
+			failsInOwnZone = failsInOwnZone || seen.From == h.Zone
 		case seen.State == Healthy:
 			healthy++
 		case seen.State == Degraded:
@@ -165,14 +166,14 @@
 	}
 	switch {
 	case healthy == 0 && degraded == 0 && (failing >= 2 || failsInOwnZone):
-		s.State, s.SuccessShare = Failing, 0
+		h.State, h.SuccessShare = Failing, 0
 	case degraded > 0 && healthy == 0 || failsInOwnZone:
-		s.State, s.SuccessShare = Degraded, share
+		h.State, h.SuccessShare = Degraded, share
 		if degraded == 0 {
-			s.SuccessShare = assumedSuccessShare
+			h.SuccessShare = assumedSuccessShare
 		}
 	case healthy > 0:
-		s.State = Healthy
+		h.State = Healthy
 	}
 }
 
@@ -181,16 +182,16 @@
 func isolatedZones(localities []LocalityHealth) map[view.Zone]bool {
 	failingZones := map[view.Zone]map[view.Zone]bool{} // by sending zone, the receiving zones in which it sees a failure
 	sawHealthy, othersAnswered := map[view.Zone]bool{}, map[view.Zone]bool{}
-	for _, s := range localities {
-		answered := slices.ContainsFunc(s.ByZone, func(p ZoneView) bool { return p.State == Healthy })
-		for _, p := range s.ByZone {
-			sawHealthy[p.From] = sawHealthy[p.From] || p.State == Healthy || p.State == Degraded
-			if p.State == Failing {
-				if failingZones[p.From] == nil {
-					failingZones[p.From] = map[view.Zone]bool{}
+	for _, h := range localities {
+		answered := slices.ContainsFunc(h.ByZone, func(v ZoneView) bool { return v.State == Healthy })
+		for _, seen := range h.ByZone {
+			sawHealthy[seen.From] = sawHealthy[seen.From] || seen.State == Healthy || seen.State == Degraded
+			if seen.State == Failing {
+				if failingZones[seen.From] == nil {
+					failingZones[seen.From] = map[view.Zone]bool{}
 				}
-				failingZones[p.From][s.Zone] = true
-				othersAnswered[p.From] = othersAnswered[p.From] || answered
+				failingZones[seen.From][h.Zone] = true
+				othersAnswered[seen.From] = othersAnswered[seen.From] || answered
 			}
 		}
 	}
--- a/internal/cluster/failover/assess/report_board.go
+++ b/internal/cluster/failover/assess/report_board.go
@@ -137,12 +137,12 @@
 // SeesFailure reports whether a single process sees a locality fail, judging by its own samples up to the age
 // Bounds.Window. Until the plan reflects the failure, package choice alone decides where the process sends.
 func SeesFailure(samples []healthreport.Sample, b Bounds) bool {
-	var t witnessCounts
+	var counts witnessCounts
 	for _, s := range samples {
 		if s.Age <= b.Window {
-			t.add(s)
+			counts.add(s)
 		}
 	}
-	t.countUnansweredAsFailed(b)
-	return t.failed >= 2 && t.failed > 3*(t.done+t.rejected)
+	counts.countUnansweredAsFailed(b)
+	return counts.failed >= 2 && counts.failed > 3*(counts.done+counts.rejected)
 }
--- a/internal/cluster/failover/assess/types.go
+++ b/internal/cluster/failover/assess/types.go
@@ -42,10 +42,10 @@
 	Window            time.Duration // samples up to this age are summed; if a witness has only older ones, its newest counts
 	MaxAge            time.Duration // older reports are ignored when the state is determined
 	IdleMaxAge        time.Duration // endpoints, limit and rating are used up to this age; long, as idle localities are seldom reported
-	UnansweredTimeout time.Duration // calls in flight count as failed once no call was answered or failed for this long
+	UnansweredTimeout time.Duration // calls in flight count as failed once no call was answered for this long
 	FailingAbove      float64       // a locality is failing if the lower confidence bound of its failed share is above this
 	DegradedAbove     float64       // the same for degraded
-	ZScore            float64       // width of the confidence interval in standard deviations
+	ZScore            float64       // number of standard deviations from the failed share to its lower confidence bound
 	MaxNames          int           // maximum number of names in Report.FailingNames
 }
 
--- a/internal/cluster/failover/assess/zonal.go
+++ b/internal/cluster/failover/assess/zonal.go
@@ -17,22 +17,26 @@
 	span, age                    time.Duration // sum of the samples' spans; age of the newest sample
 }
 
-func (t *witnessCounts) add(s healthreport.Sample) {
-	t.sent, t.done, t.failed, t.rejected = t.sent+s.Sent, t.done+s.Done, t.failed+s.Failed, t.rejected+s.Rejected
-	t.span += s.Span
+// add adds the counts and the span of a sample.
+func (c *witnessCounts) add(s healthreport.Sample) {
+	c.sent, c.done, c.failed, c.rejected = c.sent+s.Sent, c.done+s.Done, c.failed+s.Failed, c.rejected+s.Rejected
+	c.span += s.Span
 }
 
 // countUnansweredAsFailed counts calls in flight as failed if no call was answered during Bounds.UnansweredTimeout. An
 // endpoint that hangs answers no call, and the senders' own timeouts may be long.
-func (t *witnessCounts) countUnansweredAsFailed(b Bounds) {
-	inFlight := t.sent - t.done - t.failed - t.rejected
-	if t.done+t.rejected == 0 && t.span >= b.UnansweredTimeout && inFlight > 0 {
-		t.failed += inFlight
+func (c *witnessCounts) countUnansweredAsFailed(b Bounds) {
+	inFlight := c.sent - c.done - c.failed - c.rejected
+	if c.done+c.rejected == 0 && c.span >= b.UnansweredTimeout && inFlight > 0 {
+		c.failed += inFlight
 	}
 }
 
-func (t *witnessCounts) failing() bool { return t.failed > 0 && t.failed > t.done+t.rejected }
-func (t *witnessCounts) healthy() bool { return !t.failing() && t.done+t.rejected > 0 }
+// failing reports whether more calls failed than were answered.
+func (c *witnessCounts) failing() bool { return c.failed > 0 && c.failed > c.done+c.rejected }
+
+// healthy reports whether calls were answered, at least as many as failed.
+func (c *witnessCounts) healthy() bool { return !c.failing() && c.done+c.rejected > 0 }
 
 // zoneTable holds the counts of one zone's witnesses by locality.
 type zoneTable struct {
--- a/internal/cluster/failover/plan/planner.go
+++ b/internal/cluster/failover/plan/planner.go
@@ -13,7 +13,7 @@
 
 const (
 	maxZones       = 256
-	pendingTimeout = 3 * time.Second // a plan that is not in force this long after Step returned it is replaced by a new one
+	pendingTimeout = 3 * time.Second // how long Step waits for PlanInForce before it makes another plan
 )
 
 // Planner makes plans at the consensus leader. A new leader creates a Planner, passes the plan in force to PlanInForce,
@@ -22,17 +22,17 @@
 	settings         Settings
 	regions          map[view.Zone]view.Region
 	localities       map[healthreport.Locality]*localityState
-	listedZones      map[choice.DestinationID][]view.Zone
-	tiers            map[routeKey]zoneTiers
-	indexStale       bool        // localities or zones changed since listedZones and tiers were computed
-	indexedAt        view.Uptime // when listedZones was last computed
+	listedZones      map[choice.DestinationID][]view.Zone // zones with endpoints of a destination, sorted
+	tiers            map[routeKey]zoneTiers               // computed by tiersFor
+	indexStale       bool                                 // localities or zones changed since listedZones and tiers were computed
+	indexedAt        view.Uptime                          // when listedZones was last computed
 	demands          map[routeKey]*demand
 	homeDemand       map[healthreport.Locality]float64 // calls per second from the zones whose home the locality is
 	routes           map[routeKey]*routeState
 	lastFailing      map[routeKey]view.Uptime // when the home was last seen failing
 	assessedAt       view.Uptime              // last health update
 	lastStepAt       view.Uptime              // last step of any returning route
-	healthyLinks     map[link]bool
+	healthyLinks     map[link]bool            // see the function healthyLinks
 	inForce          Plan
 	pending          *Plan            // plan that Step returned, until PlanInForce is called
 	pendingRevisions map[routeKey]int // routeState.revision of each route when pending was made
@@ -117,8 +117,8 @@
 	return healthy
 }
 
-// PlanInForce sets the plan in force, which this planner or that of an earlier leader made. A plan of a lower epoch than
-// the current one is ignored.
+// PlanInForce sets the plan in force, made by this planner or by that of another leader. A plan of a lower epoch than the
+// last one is ignored.
 func (p *Planner) PlanInForce(now view.Uptime, in Plan) {
 	if in.Epoch < p.inForce.Epoch {
 		return
@@ -135,8 +135,8 @@
 	p.pending, p.pendingRevisions = nil, nil
 }
 
-// recordPublished records in each routeState its route in the plan in force. isPending says that this is the pending
-// plan of this planner.
+// recordPublished records in each routeState its route in the plan in force. isPending reports whether that plan is the
+// pending plan of this planner.
 func (p *Planner) recordPublished(now view.Uptime, in Plan, isPending bool) {
 	for k, r := range p.routes {
 		if _, found := in.Find(k.destination, k.from); !found {
@@ -219,7 +219,7 @@
 	return next, true
 }
 
-// advanceRoutes advances, in the order of their keys, all routes that have demand or a state.
+// advanceRoutes advances the phases of all routes that have demand or a state, in the order of their keys.
 func (p *Planner) advanceRoutes(now view.Uptime) {
 	keys := slices.Collect(maps.Keys(p.routes))
 	for k := range p.demands {
@@ -251,8 +251,8 @@
 	}
 }
 
-// forgetIfSettled deletes the state of a route that is steady, also in the plan in force, once its diversions no longer
-// count.
+// forgetIfSettled deletes the state of a route that is steady, both here and in the plan in force, once its diversions no
+// longer count.
 func (p *Planner) forgetIfSettled(now view.Uptime, k routeKey, r *routeState) {
 	settled := r.phase == steady && r.published.Phase == steady && r.overloadedSince == neverAt
 	if settled && now-r.directionChangedAt > p.settings.DiversionWindow {
--- a/internal/cluster/failover/plan/route.go
+++ b/internal/cluster/failover/plan/route.go
@@ -107,8 +107,8 @@
 	}
 }
 
-// beginReturn takes the first step of a return if near was healthy for the return delay, or if its state was unknown for
-// Settings.UnobservedReturnAfter.
+// beginReturn takes the first step of a return if near was healthy for the return delay. It also does so if the state of
+// near is unknown and near was not seen failing for Settings.UnobservedReturnAfter.
 func (p *Planner) beginReturn(now view.Uptime, k routeKey, r *routeState, home []view.Zone, state assess.State) {
 	delay := r.returnDelay(p.settings, now)
 	healthy := r.healthySince != neverAt && now-r.healthySince >= delay
@@ -132,8 +132,9 @@
 	r.setPhase(Diverted, trialShare)
 }
 
-// continueReturn takes the next step of a return if near was healthy during the last one, which lasts at least
-// Settings.StepDuration. It diverts the route again if near is failing, or degraded for more than two such durations.
+// continueReturn takes the next step of a return once the current step has lasted for Settings.StepDuration and near was
+// seen healthy in it, or once near was unobserved for Settings.UnobservedReturnAfter. It diverts the route again if near
+// is failing, or degraded for more than twice Settings.StepDuration.
 func (p *Planner) continueReturn(now view.Uptime, k routeKey, r *routeState, home []view.Zone, state assess.State) {
 	switch {
 	case state == assess.Failing && now-r.directionChangedAt >= p.settings.MinReturnDelay,
@@ -226,8 +227,8 @@
 	return assess.Unknown
 }
 
-// adjustToCapacity reduces the near share once near has lacked capacity for overloadPersistence, and later increases it
-// again in steps of up to maxShareIncrease.
+// adjustToCapacity reduces the near share once near has lacked capacity for overloadPersistence. After the return delay it
+// increases the share again as near has capacity, by up to maxShareIncrease at a time.
 func (p *Planner) adjustToCapacity(now view.Uptime, k routeKey, r *routeState, home []view.Zone) {
 	wanted := p.capacityShare(now, k, home)
 	if wanted > 1-p.settings.MinShareChange {
@@ -256,8 +257,8 @@
 	}
 }
 
-// capacityShare returns the share of the demand that near has capacity for if a home zone is degraded or saturated,
-// otherwise 1.
+// capacityShare returns the share of the demand that near has capacity for. It returns 1 unless a home zone is degraded or
+// saturated and the capacity of all home zones is known.
 func (p *Planner) capacityShare(now view.Uptime, k routeKey, home []view.Zone) float64 {
 	capacity, demand, limited := 0.0, 0.0, false
 	for _, z := range home {
--- a/internal/cluster/failover/plan/share.go
+++ b/internal/cluster/failover/plan/share.go
@@ -14,7 +14,7 @@
 
 const (
 	overloadTolerance = 1.05            // multiple of a receiver's capacity above which routes to it are reassigned
-	negligibleRate    = 0.5             // calls per second above that multiple that still count as no overload
+	negligibleRate    = 0.5             // excess over that multiple in calls per second that does not count as an overload
 	reassignInterval  = 3 * time.Second // minimum time between two attempts to divert what stayed near for lack of capacity
 )
 
@@ -80,7 +80,7 @@
 	})
 }
 
-// anyRouteActive reports whether any route is not steady, or not steady in the plan in force.
+// anyRouteActive reports whether any route has a phase other than steady, here or in the plan in force.
 func (p *Planner) anyRouteActive() bool {
 	for _, r := range p.routes {
 		if r.phase != steady || r.published.Phase != steady {
@@ -155,7 +155,7 @@
 	return !movable || r.published.Phase == Unrestricted && available == 0
 }
 
-// usable reports whether a route may send to zone z, which it may unless the locality there is failing.
+// usable reports whether a route may send to zone z: its locality there is not failing.
 func (p *Planner) usable(k routeKey, z view.Zone) bool {
 	state, _ := p.stateSeenBy(k, z)
 	return state != assess.Failing
--- a/internal/cluster/failover/run/announce.go
+++ b/internal/cluster/failover/run/announce.go
@@ -17,13 +17,13 @@
 	epoch       view.Epoch  // epoch in its last answer; 0 if unknown
 	confirmedAt view.Uptime // when the leader had the last announced plan in force
 	calling     bool        // a call is in flight
-	failing     bool        // the last call failed; this process calls the child's children instead
+	failing     bool        // the last call failed; this process also calls the child's children
 	triedAt     view.Uptime // start of the last call
 }
 
-// planAnswer is the answer to an announcement. Epoch is that of the last plan the receiver got.
+// planAnswer is the answer to an announcement.
 type planAnswer struct {
-	Epoch view.Epoch `json:"epoch"`
+	Epoch view.Epoch `json:"epoch"` // epoch of the last plan that the receiver got, see apply.Holder.Epoch
 }
 
 // announcePlan sends each child the plan if the child lacks it, or a renewal. While a child does not answer, this
@@ -109,7 +109,7 @@
 	}
 }
 
-// handlePlan handles an announcement from the parent or from the leader.
+// handlePlan handles an announcement from another process.
 func (r *Runner) handlePlan(_ context.Context, from view.Life, body []byte) (any, error) {
 	var in apply.Announcement
 	if err := json.Unmarshal(body, &in); err != nil {
@@ -134,6 +134,6 @@
 		local = r.local
 	}
 	r.compileGuide(now, local)
-	r.wakeLoop() // pass it on soon; waiting for a tick in each tier would add up to an old plan
+	r.wakeLoop() // pass the plan on soon; with a full tick interval in each tier, its age would add up
 	return planAnswer{r.holder.Epoch()}, nil
 }
--- a/internal/cluster/failover/run/run.go
+++ b/internal/cluster/failover/run/run.go
@@ -104,8 +104,8 @@
 	cancel     context.CancelFunc
 	goroutines sync.WaitGroup
 
-	// mu guards the fields below, except assessedAt. It ranks with node.mu in the lock order of package cluster; no other lock is acquired
-	// while it is held.
+	// mu guards the fields below, except assessedAt. It ranks with node.mu in the lock order of package cluster; no other
+	// lock is acquired while it is held.
 	mu           sync.Mutex
 	closed       bool
 	holder       apply.Holder
@@ -236,9 +236,9 @@
 	}
 	if due && t.ZoneHead(r.options.Zone) == r.options.Self {
 		summaries := assess.SummarizeZone(r.options.Zone, samples, r.options.Bounds)
-		summaries = slices.DeleteFunc(summaries, func(w assess.Report) bool {
-			// Idle localities in another zone are reported by the coordinator of that zone.
-			return w.Idle() && w.Zone != r.options.Zone && t.ZoneHead(w.Zone) != ""
+		summaries = slices.DeleteFunc(summaries, func(report assess.Report) bool {
+			// Idle localities in another zone are reported by the coordinator of that zone, if there is one.
+			return report.Idle() && report.Zone != r.options.Zone && t.ZoneHead(report.Zone) != ""
 		})
 		r.mu.Lock()
 		r.outgoing.Put(now, summaries)
@@ -272,7 +272,7 @@
 // compileGuide compiles the guide again if the plan or the local state changed, and otherwise only updates its expiry.
 // The caller holds mu.
 func (r *Runner) compileGuide(now view.Uptime, local apply.Local) {
-	p, until := r.holder.Plan(now)
+	p, expiresAt := r.holder.Plan(now)
 	if p == nil {
 		r.guide.Store(nil)
 		r.compiledFrom = nil
@@ -280,9 +280,9 @@
 	}
 	old := r.guide.Load()
 	if old != nil && p == r.compiledFrom && sameLocal(local, r.local) {
-		r.guide.Store(&compiledGuide{old.guide, until})
+		r.guide.Store(&compiledGuide{old.guide, expiresAt})
 		return
 	}
 	r.compiledFrom, r.local = p, local
-	r.guide.Store(&compiledGuide{apply.Compile(p, local), until})
+	r.guide.Store(&compiledGuide{apply.Compile(p, local), expiresAt})
 }
