--- a/internal/cluster/antientropy.go
+++ b/internal/cluster/antientropy.go
@@ -14,36 +14,38 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// This file repairs what gossip has lost. A member retransmits a message a few times and then no more: after a partition
-// of 5 s some of 40 members still took another for dead 62 s later, and of several hundred that start a few never learn
-// of some others, until their next push/pull exchange, which happens every minute and at 660 members every six. So each
-// member asks a random one, in a few bytes, whether it sees those that are gone here, and for a checksum over all present
-// members; and runs a full exchange with it only where it sees one of them, or the checksums differ while nothing changes.
+// This file repairs membership updates that gossip lost. A member retransmits a message only a few times: 62 s after a
+// partition of 5 s some of 40 members still considered another one dead, and when several hundred members start, a few
+// of them miss some others. Without this file they would learn of it only in their next push/pull exchange, which runs
+// every minute, and at 660 members every six minutes. So each member asks a random peer in a few bytes which of the
+// members that are gone here it sees alive, and for a checksum over all present members. It runs a full exchange with
+// that peer only if the peer sees one of them alive, or if the checksums differ while the own view is stable.
 
 const (
 	presencePath      = "/members/here"
-	antiEntropyRounds = 5 // rounds of maintain from one query to the next
-	presenceTimeout   = 300 * time.Millisecond
-	// goneAfter is how long a member must be gone before others are asked about it: they detect failures at other times.
-	goneAfter = 12 * time.Second
-	// maxQueryNames bounds a query; further names are asked next time, or arrive with the exchange.
+	antiEntropyRounds = 5                      // rounds of maintain from one query to the next
+	presenceTimeout   = 300 * time.Millisecond // bounds one query
+	// goneQueryDelay is how long a member must be gone before a peer is asked about it. Members detect the same failure at
+	// different times.
+	goneQueryDelay = 12 * time.Second
+	// maxQueryNames bounds the names in a query. Further names are in a later query, or arrive with an exchange.
 	maxQueryNames = 64
-	// minExchangeBackoff and maxExchangeBackoff bound the time from one exchange over a checksum to the next, which
-	// doubles while the checksums differ: an exchange at 660 members takes some 160 KB.
+	// minExchangeBackoff and maxExchangeBackoff bound the time between two exchanges that differing checksums caused. It
+	// doubles while the checksums differ, as an exchange at 660 members takes some 160 KB.
 	minExchangeBackoff, maxExchangeBackoff = 10 * time.Second, 5 * time.Minute
 )
 
-// antiEntropy is the state between queries: since when members are gone, and the view's checksum at the last query. It
-// belongs to maintain's goroutine, and holds no more than the view does.
+// antiEntropy is the state kept between queries. It belongs to maintain's goroutine, and holds no more members than the
+// view does. The zero value is ready for use.
 type antiEntropy struct {
-	goneSince    map[view.Name]view.Uptime
-	lastChecksum uint64
-	backoff      time.Duration // from the last exchange over a checksum to the next
-	nextExchange view.Uptime
+	goneSince    map[view.Name]view.Uptime // when each suspected or dead member was first seen so
+	lastChecksum uint64                    // of the own view at the last query
+	backoff      time.Duration             // from the last exchange that differing checksums caused to the next
+	nextExchange view.Uptime               // earliest time of that next exchange
 }
 
-// shouldExchange reports whether to run an exchange with a peer of this checksum, 0 if it has none. Checksums that differ
-// while this process's own one changes are updates that gossip is still delivering.
+// shouldExchange reports whether to run an exchange with a peer, given this process's own checksum and the peer's, which
+// is 0 if it sent none. It returns false while the own checksum changes, as gossip is then still delivering updates.
 func (a *antiEntropy) shouldExchange(now view.Uptime, own, peer uint64) bool {
 	settled := own == a.lastChecksum
 	a.lastChecksum = own
@@ -58,7 +60,8 @@
 	return true
 }
 
-// trackGone follows a view, and returns members that have been gone for goneAfter, maxQueryNames at most.
+// trackGone updates goneSince from a view, and returns the members that have been suspected or dead for at least
+// goneQueryDelay, maxQueryNames at most.
 func (a *antiEntropy) trackGone(now view.Uptime, v *view.View) (ask []view.Name) {
 	previous := a.goneSince
 	a.goneSince = map[view.Name]view.Uptime{}
@@ -71,14 +74,15 @@
 			since = now
 		}
 		a.goneSince[m.Name] = since
-		if now-since >= goneAfter && len(ask) < maxQueryNames {
+		if now-since >= goneQueryDelay && len(ask) < maxQueryNames {
 			ask = append(ask, m.Name)
 		}
 	}
 	return ask
 }
 
-// membershipChecksum is a checksum over the present members' names and incarnations, whatever their order; never 0.
+// membershipChecksum returns a checksum over the names and incarnations of the present members, which does not depend on
+// their order. It is never 0, which stands for a missing checksum.
 func membershipChecksum(v *view.View) (sum uint64) {
 	for _, m := range v.Members {
 		if m.Present() {
@@ -88,21 +92,21 @@
 	return max(1, sum)
 }
 
-// presenceQuery asks which of these members the answering process sees alive.
+// presenceQuery asks which of the named members the answering process sees alive.
 type presenceQuery struct {
 	Names []view.Name `json:"names"`
 }
 
-// presenceAnswer lists those of a query's names that are alive.
+// presenceAnswer is the answer to a presenceQuery.
 type presenceAnswer struct {
-	Here []view.Name `json:"here,omitempty"`
-	// Checksum is the membershipChecksum of the answering process, in hexadecimal; older versions send none.
+	Here []view.Name `json:"here,omitempty"` // the queried names that the answering process sees alive
+	// Checksum is the membershipChecksum of the answering process in hexadecimal. Older versions send none.
 	Checksum string `json:"sum,omitempty"`
 }
 
-const checksumBase = 16
+const checksumBase = 16 // hexadecimal
 
-// checksum returns the parsed Checksum, 0 if it is missing or invalid.
+// checksum returns the parsed Checksum; 0 if it is missing or invalid.
 func (p *presenceAnswer) checksum() uint64 {
 	sum, err := strconv.ParseUint(p.Checksum, checksumBase, 64)
 	if err != nil {
@@ -111,7 +115,7 @@
 	return sum
 }
 
-// aliveAmong returns those of a list that a view shows alive.
+// aliveAmong returns the names whose members are alive in v.
 func aliveAmong(v *view.View, names []view.Name) (present []view.Name) {
 	for _, name := range names {
 		if m, known := v.Find(name); known && m.State == view.Alive {
@@ -126,7 +130,7 @@
 	n.link.Handle(presencePath, func(_ context.Context, from view.Life, body []byte) (any, error) {
 		var query presenceQuery
 		if err := json.Unmarshal(body, &query); err != nil {
-			return nil, fmt.Errorf("members of %s: %w", from.Name, err)
+			return nil, fmt.Errorf("presence query from %s: %w", from.Name, err)
 		}
 		v := n.View()
 		return presenceAnswer{
@@ -136,7 +140,8 @@
 	})
 }
 
-// runAntiEntropy queries a random peer, and runs an exchange with it if it knows of members that are missing here.
+// runAntiEntropy sends a presence query to a random peer, and runs an exchange with it if it sees members alive that are
+// gone here, or if shouldExchange returns true for its checksum.
 func (n *Node) runAntiEntropy(ctx context.Context, state *antiEntropy) {
 	v := n.View()
 	gone := state.trackGone(n.Now(), v)
@@ -154,12 +159,12 @@
 	if len(answer.Here) == 0 && !differs {
 		return
 	}
-	n.log.Info("a peer knows of members that are gone or unknown here", zap.String("by", string(peer)),
+	n.log.Info("a peer's membership differs from the own one; running a push/pull exchange", zap.String("by", string(peer)),
 		zap.Int("members", len(answer.Here)))
 	n.members.Exchange(peer)
 }
 
-// randomPeer returns a random other member that is alive.
+// randomPeer returns a random alive member other than this process; false if there is none.
 func randomPeer(v *view.View) (name view.Name, found bool) {
 	var others []view.Name
 	for _, m := range v.Members {
--- a/internal/cluster/capacity_test.go
+++ b/internal/cluster/capacity_test.go
@@ -1,6 +1,6 @@
 package cluster
 
-// Benchmark behind docs/CAPACITY.md: what one sender reports to its zone's coordinator, in simulated time.
+// This file holds the benchmark for docs/CAPACITY.md of the health reports that one sender sends to its zone's coordinator.
 
 import (
 	"encoding/json"
@@ -18,16 +18,16 @@
 )
 
 const (
-	capacityRate      = 864 // messages a second of one sender
-	capacityPlaces    = 8192
-	capacityEach      = 500 * time.Millisecond
-	capacitySpan      = 30 * time.Second
-	capacityFullRound = 10 // digests in which each place is reported once
-	capacityDown      = 0.027
+	capacityRate           = 864 // messages a second of one sender
+	capacityMaxListed      = 8192
+	capacityDigestInterval = 500 * time.Millisecond
+	capacityDuration       = 30 * time.Second
+	capacityListingDigests = 10 // digests in which each place is reported once
+	capacityFailingShare   = 0.027
 )
 
-// capacityDigest returns a sender's digest as internal/sender makes it: a row for each place that was called, and a tenth
-// of the places that it lists, 8,192 of them at most.
+// capacityDigest returns digest number no of a sender, as internal/sender makes it: a row for each locality that was
+// called, and one for a tenth of the localities that the sender lists, of which it reports 8,192 at most.
 func capacityDigest(chance *rand.Rand, destinations, no int) clusterapi.Digest {
 	rows := map[int]*clusterapi.Row{}
 	row := func(d int) *clusterapi.Row {
@@ -36,17 +36,17 @@
 		}
 		return rows[d]
 	}
-	for range int(capacityRate * capacityEach.Seconds()) {
+	for range int(capacityRate * capacityDigestInterval.Seconds()) {
 		d := chance.IntN(destinations)
 		r := row(d)
 		r.Sent++
-		if float64(d) < capacityDown*float64(destinations) {
+		if float64(d) < capacityFailingShare*float64(destinations) {
 			r.Failed++
 		} else {
 			r.Done++
 		}
 	}
-	for d := no % capacityFullRound; d < min(destinations, capacityPlaces); d += capacityFullRound {
+	for d := no % capacityListingDigests; d < min(destinations, capacityMaxListed); d += capacityListingDigests {
 		row(d)
 	}
 	var d clusterapi.Digest
@@ -56,9 +56,9 @@
 	return d
 }
 
-// BenchmarkCapacityReported simulates half a minute of one sender's digests, with calls spread evenly over so many destinations
-// of one place each, of which 2.7% fail all calls: rows and bytes a second that go to the coordinator, without HTTP's
-// own.
+// BenchmarkCapacityReported measures the samples and bytes per second that one sender reports to its zone's coordinator,
+// without the bytes of HTTP's headers. It simulates half a minute of digests. Calls are spread evenly over the
+// destinations, each of which has endpoints in one zone; 2.7% of the destinations fail all calls.
 func BenchmarkCapacityReported(b *testing.B) {
 	bench.Sizes(b, "destinations", []int{61, 610, 6_100, 61_000}, func(b *testing.B, n int) {
 		var rows, bytes, messages int
@@ -70,7 +70,7 @@
 				reported: map[healthreport.Locality]lastReport{},
 				window:   digest.NewWindow("sender-0123", "zone-3", sampleSpan, 40_000, 0),
 			}
-			for now, no := capacityEach, 0; now <= capacitySpan; now, no = now+capacityEach, no+1 {
+			for now, no := capacityDigestInterval, 0; now <= capacityDuration; now, no = now+capacityDigestInterval, no+1 {
 				d := capacityDigest(chance, n, no)
 				feed.updateListing(now, d.Rows, "zone-3")
 				due := feed.dueSamples(now, feed.window.Take(now, d))
@@ -84,9 +84,9 @@
 				messages, rows, bytes = messages+1, rows+len(due), bytes+len(text)
 			}
 		}
-		b.ReportMetric(float64(b.Elapsed())/float64(b.N)/float64(capacitySpan/capacityEach), "ns/digest")
-		b.ReportMetric(float64(rows)/capacitySpan.Seconds(), "rows/s")
-		b.ReportMetric(float64(bytes)/capacitySpan.Seconds(), "wire-B/s")
-		b.ReportMetric(float64(messages)/capacitySpan.Seconds(), "messages/s")
+		b.ReportMetric(float64(b.Elapsed())/float64(b.N)/float64(capacityDuration/capacityDigestInterval), "ns/digest")
+		b.ReportMetric(float64(rows)/capacityDuration.Seconds(), "rows/s")
+		b.ReportMetric(float64(bytes)/capacityDuration.Seconds(), "wire-B/s")
+		b.ReportMetric(float64(messages)/capacityDuration.Seconds(), "messages/s")
 	})
 }
--- a/internal/cluster/feed.go
+++ b/internal/cluster/feed.go
@@ -17,42 +17,45 @@
 	"flaxcove/internal/sender/clusterapi"
 )
 
-// This file connects the sender: its digests become health samples, which go into this process's tables and to its zone's
-// coordinator, and what it lists is available to the routing plan. The sender's loop only puts a digest into a queue.
+// This file processes the sender's digests. They become health samples, which are added to this process's tables and sent
+// to the zone's coordinator, and they tell the routing plan which destinations the sender lists in which zones. The
+// sender's loop only puts a digest into a queue.
 
 const (
 	evidencePath    = "/evidence"
-	evidenceTimeout = 400 * time.Millisecond
-	digestQueueSize = 8 // further digests are dropped, and their counts with them
-	// healthyInterval is how often a sample without failures is reported: twice in the time for which package assess
-	// considers one.
+	evidenceTimeout = 400 * time.Millisecond // bounds sending one report
+	digestQueueSize = 8                      // further digests are dropped, and their counts with them
+	// healthyInterval is the time between two reports of a locality without failures. Package assess considers a sample
+	// for twice that time.
 	healthyInterval = 2 * time.Second
-	// listingTTL is how long a place counts as listed after the sender last reported it, which it does every five seconds.
+	// listingTTL is how long a locality counts as listed after the sender last reported it. The sender reports each one
+	// every five seconds.
 	listingTTL       = 15 * time.Second
-	maxReportSamples = 4096 // in one report
-	// sampleSpan is what a failure rate is taken over: in the model of failover an outage shows after 1.5 s, with 2 s
-	// after 3.
+	maxReportSamples = 4096 // samples in one report
+	// sampleSpan is the time over which a failure rate is computed. In the failover model an outage is detected after
+	// 1.5 s; with a span of 2 s it was detected after 3 s.
 	sampleSpan = time.Second
 )
 
-// digestFeed processes the digests of a node's sender. All but queue, listing and dropped belong to one goroutine.
+// digestFeed processes the digests of a node's sender. The fields queue, listing and dropped are safe for concurrent use;
+// the others belong to the goroutine of consumeDigests.
 type digestFeed struct {
 	queue       chan clusterapi.Digest
 	listing     atomic.Pointer[apply.Local]
-	dropped     atomic.Uint64
+	dropped     atomic.Uint64 // digests dropped because the queue was full
 	zoneNumbers map[view.Zone]choice.ZoneNo
 	window      *digest.Window
-	listedAt    map[healthreport.Locality]view.Uptime
+	listedAt    map[healthreport.Locality]view.Uptime // when the sender last listed endpoints there
 	reported    map[healthreport.Locality]lastReport
 }
 
-// lastReport is what the zone's coordinator was last sent of a place.
+// lastReport describes the sample of a locality that was last sent to the zone's coordinator.
 type lastReport struct {
-	at      view.Uptime
-	failing bool
+	sentAt  view.Uptime // when it was sent
+	failing bool        // the sample had failures
 }
 
-// init prepares the feed of a node.
+// init initializes the feed of node n.
 func (f *digestFeed) init(n *Node) {
 	f.queue = make(chan clusterapi.Digest, digestQueueSize)
 	f.zoneNumbers = map[view.Zone]choice.ZoneNo{}
@@ -64,10 +67,10 @@
 	f.listing.Store(&apply.Local{Zone: n.self.Zone, Numbers: f.zoneNumbers})
 }
 
-// local returns which destinations the sender lists in which zones.
+// local returns the zones in which the sender lists endpoints, by destination.
 func (f *digestFeed) local() apply.Local { return *f.listing.Load() }
 
-// Digest takes a sender's digest; it never waits.
+// Digest queues a digest of the sender. It never waits: if the queue is full, the digest is dropped and counted.
 func (n *Node) Digest(d clusterapi.Digest) {
 	select {
 	case n.digests.queue <- d:
@@ -76,7 +79,7 @@
 	}
 }
 
-// Guide returns the routing plan in force, nil for none.
+// Guide returns the routing plan in force; nil if there is none.
 func (n *Node) Guide() clusterapi.Guide {
 	if n.subsystems.failover == nil {
 		return nil
@@ -84,7 +87,7 @@
 	return n.subsystems.failover.Guide()
 }
 
-// Woke asks the region for its learned state of a destination.
+// Woke asks the region for its learned state of a destination. It does nothing if the popularity feature is off.
 func (n *Node) Woke(d choice.DestinationID) {
 	if n.subsystems.popularity != nil {
 		n.subsystems.popularity.Woke(d)
@@ -103,8 +106,8 @@
 	}
 }
 
-// handleDigest passes a digest to the subsystems that need it, and its samples to this process's tables and to the zone's
-// coordinator.
+// handleDigest passes a digest to the subsystems that use it. With failover enabled it also adds the digest's samples to
+// this process's tables and reports them to the zone's coordinator.
 func (n *Node) handleDigest(ctx context.Context, d clusterapi.Digest) {
 	feed, now := &n.digests, n.Now()
 	if n.subsystems.purge != nil {
@@ -118,11 +121,11 @@
 	}
 	feed.updateListing(now, d.Rows, n.self.Zone)
 	samples := feed.window.Take(now, d)
-	n.evidence.Add(now, slices.Clone(samples)) // a copy, as the tables own what they are handed
+	n.evidence.Add(now, slices.Clone(samples)) // a copy, as Add takes ownership of its argument
 	n.reportSamples(ctx, now, samples)
 }
 
-// reportSamples sends the zone's coordinator the samples that are due.
+// reportSamples sends the samples that are due to the zone's coordinator, unless this process is the coordinator.
 func (n *Node) reportSamples(ctx context.Context, now view.Uptime, samples []healthreport.Sample) {
 	coordinator := n.TreeWithoutSuspected().ZoneHead(n.self.Zone)
 	if coordinator == "" || coordinator == n.self.Name {
@@ -135,25 +138,25 @@
 	ctx, cancel := context.WithTimeout(ctx, evidenceTimeout)
 	defer cancel()
 	if n.link.Call(ctx, coordinator, evidencePath, due, nil) != nil {
-		clear(n.digests.reported) // all is due again next time, perhaps for another coordinator
+		clear(n.digests.reported) // all localities are due again next time, possibly at another coordinator
 	}
 }
 
-// updateListing follows in which zones the sender lists endpoints of a destination.
+// updateListing updates the localities in which the sender lists endpoints, and publishes them if they changed.
 func (f *digestFeed) updateListing(now view.Uptime, rows []clusterapi.Row, zone view.Zone) {
 	changed := false
 	for _, r := range rows {
-		place := healthreport.Locality{Destination: r.Destination, Zone: view.Zone(r.Zone)}
-		if _, known := f.listedAt[place]; r.Endpoints > 0 {
-			f.listedAt[place], changed = now, changed || !known
+		locality := healthreport.Locality{Destination: r.Destination, Zone: view.Zone(r.Zone)}
+		if _, known := f.listedAt[locality]; r.Endpoints > 0 {
+			f.listedAt[locality], changed = now, changed || !known
 		} else if known {
-			delete(f.listedAt, place)
+			delete(f.listedAt, locality)
 			changed = true
 		}
 	}
-	for place, at := range f.listedAt {
+	for locality, at := range f.listedAt {
 		if now-at > listingTTL {
-			delete(f.listedAt, place)
+			delete(f.listedAt, locality)
 			changed = true
 		}
 	}
@@ -162,12 +165,12 @@
 	}
 }
 
-// publishListing makes the present listing available to the routing plan.
+// publishListing makes the current listing available to the routing plan.
 func (f *digestFeed) publishListing(zone view.Zone) {
 	local := &apply.Local{Zone: zone, Numbers: f.zoneNumbers, Listed: map[choice.DestinationID][]choice.ZoneNo{}}
-	for place := range f.listedAt {
-		if no, known := f.zoneNumbers[place.Zone]; known {
-			local.Listed[place.Destination] = append(local.Listed[place.Destination], no)
+	for locality := range f.listedAt {
+		if no, known := f.zoneNumbers[locality.Zone]; known {
+			local.Listed[locality.Destination] = append(local.Listed[locality.Destination], no)
 		}
 	}
 	for d := range maps.Keys(local.Listed) {
@@ -176,31 +179,31 @@
 	f.listing.Store(local)
 }
 
-// dueSamples returns the samples to be reported now: at once those with failures, and the first without any after them;
-// the others every healthyInterval.
+// dueSamples returns the samples to report now, maxReportSamples at most. A sample with failures, and the first one of
+// its locality without failures after that, is due at once; other samples are due every healthyInterval.
 func (f *digestFeed) dueSamples(now view.Uptime, samples []healthreport.Sample) (due []healthreport.Sample) {
 	for _, s := range samples {
 		last, failing := f.reported[s.Locality], s.Failed > 0
-		isDue := failing || failing != last.failing || last.at == 0 || now-last.at >= healthyInterval
+		isDue := failing || failing != last.failing || last.sentAt == 0 || now-last.sentAt >= healthyInterval
 		if isDue && len(due) < maxReportSamples {
 			due = append(due, s)
 			f.reported[s.Locality] = lastReport{now, failing}
 		}
 	}
-	maps.DeleteFunc(f.reported, func(_ healthreport.Locality, last lastReport) bool { return now-last.at > listingTTL })
+	maps.DeleteFunc(f.reported, func(_ healthreport.Locality, last lastReport) bool { return now-last.sentAt > listingTTL })
 	return due
 }
 
-// serveEvidence stores what another process of the zone observed.
+// serveEvidence registers the handler that adds the samples of another process of the zone to this process's tables.
 func (n *Node) serveEvidence() {
 	n.link.Handle(evidencePath, func(_ context.Context, from view.Life, body []byte) (any, error) {
 		var samples []healthreport.Sample
 		if err := json.Unmarshal(body, &samples); err != nil {
-			return nil, fmt.Errorf("evidence of %s: %w", from.Name, err)
+			return nil, fmt.Errorf("health report from %s: %w", from.Name, err)
 		}
 		for _, s := range samples {
 			if s.Reporter != from.Name {
-				return nil, fmt.Errorf("evidence of %s: field w: tells of %q", from.Name, s.Reporter)
+				return nil, fmt.Errorf("health report from %s: field w names another reporter, %q", from.Name, s.Reporter)
 			}
 		}
 		n.evidence.Add(n.Now(), samples)
--- a/internal/cluster/leader.go
+++ b/internal/cluster/leader.go
@@ -11,28 +11,29 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// This file finds the leader of the consensus group, also in processes that have no part in it: these ask those that do.
+// This file finds the leader of the consensus group. Processes without a participant of the group ask those that have one.
 
 const (
 	leaderPath       = "/council/leader"
-	leaderHintTTL    = 5 * maintenanceInterval // for how long an answer is valid
-	leaderTimeout    = 300 * time.Millisecond
-	maxLeaderQueries = 3 // in one round
+	leaderHintTTL    = 5 * maintenanceInterval // how long an answer is valid
+	leaderTimeout    = 300 * time.Millisecond  // bounds one query
+	maxLeaderQueries = 3                       // queries per round
 )
 
-// errNoConsensus is the error of a proposal in a small process.
-var errNoConsensus = errors.New("this process has no place in the council")
+// errNoConsensus is the error of a proposal in a small process, which has no participant of the consensus group.
+var errNoConsensus = errors.New("this process is small and does not take part in the consensus group")
 
-// leaderHint is the leader as another process answered.
+// leaderHint is the leader that another process named in its answer, valid until expiresAt.
 type leaderHint struct {
 	leader    view.Name
 	expiresAt view.Uptime
 }
 
-// consensusClient is the consensus group as the subsystems use it, also in a process without a part in it.
+// consensusClient gives the subsystems access to the consensus group. It also works in a process without a participant
+// of the group.
 type consensusClient struct{ node *Node }
 
-// Propose puts a command to the consensus group; it fails in a process that has no part in the group.
+// Propose proposes a command to the consensus group. It returns errNoConsensus in a process without a participant.
 func (c consensusClient) Propose(ctx context.Context, part, kind string, body any) (json.RawMessage, error) {
 	if c.node.consensus == nil {
 		return nil, errNoConsensus
@@ -43,7 +44,8 @@
 // Leading reports whether this process is the leader.
 func (c consensusClient) Leading() bool { return c.node.consensus != nil && c.node.consensus.Leading() }
 
-// Leader returns the leader by this process's part of the group, or else by what others answered recently.
+// Leader returns the leader that this process's participant knows, or else the one that another process named recently.
+// It returns false if neither is known.
 func (c consensusClient) Leader() (view.Name, bool) {
 	if c.node.consensus != nil {
 		if name, known := c.node.consensus.Leader(); known {
@@ -56,7 +58,7 @@
 	return "", false
 }
 
-// Ask returns whom to ask for a decision, the most likely leader first.
+// Ask returns the candidates for the leader, the most likely one first.
 func (c consensusClient) Ask() (names []view.Name) {
 	if name, known := c.Leader(); known && name != c.node.self.Name {
 		names = append(names, name)
@@ -71,7 +73,7 @@
 	return names
 }
 
-// Clock returns the consensus group's clock; 0 in a process without a part in it.
+// Clock returns the consensus group's clock; 0 in a process without a participant of the group.
 func (c consensusClient) Clock() time.Duration {
 	if c.node.consensus == nil {
 		return 0
@@ -79,7 +81,7 @@
 	return c.node.consensus.Clock()
 }
 
-// Term returns the group's present term; 0 in a process without a part in it.
+// Term returns the group's current term; 0 in a process without a participant of the group.
 func (c consensusClient) Term() uint64 {
 	if c.node.consensus == nil {
 		return 0
@@ -87,21 +89,21 @@
 	return c.node.consensus.Term()
 }
 
-// Read calls f with the index of the last applied command while the state does not change; not in a process without a
-// part in the group.
+// Read calls f with the index of the last applied command; the state does not change during the call. In a process
+// without a participant of the group it does nothing.
 func (c consensusClient) Read(f func(uint64)) {
 	if c.node.consensus != nil {
 		c.node.consensus.Read(f)
 	}
 }
 
-// leaderAnswer is the answer to leaderPath.
+// leaderAnswer is the answer to a call of leaderPath.
 type leaderAnswer struct {
-	Leader view.Name `json:"leader,omitempty"`
+	Leader view.Name `json:"leader,omitempty"` // "" if unknown
 }
 
-// serveLeader answers by this process's own part of the group, never by a hint: two processes that only had hints from
-// each other would keep a dead leader for ever.
+// serveLeader answers calls of leaderPath with the leader that this process's own participant knows, never with a hint:
+// two processes that refreshed their hints from each other would name a dead leader forever.
 func (n *Node) serveLeader() {
 	n.link.Handle(leaderPath, func(context.Context, view.Life, []byte) (any, error) {
 		var answer leaderAnswer
@@ -112,8 +114,8 @@
 	})
 }
 
-// queryLeader asks a few processes that hold the group's records for the leader, unless this process's own part of the
-// group knows it.
+// queryLeader asks up to maxLeaderQueries processes that hold the group's records for the leader, unless this process's
+// own participant knows it. The round number selects which process is asked first.
 func (n *Node) queryLeader(ctx context.Context, round int) {
 	if n.consensus != nil {
 		if _, known := n.consensus.Leader(); known {
--- a/internal/cluster/link/call.go
+++ b/internal/cluster/link/call.go
@@ -15,23 +15,23 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// maxErrorText is how many bytes of a refusal's text are retained.
+// maxErrorText bounds the bytes that are kept of the text of a response with an error status.
 const maxErrorText = 512
 
-// errNoAddress is returned for a process that Options.Reach does not know.
-var errNoAddress = errors.New("no address is known")
+// errNoAddress is the error of a call to a process for which Options.Reach returns no address.
+var errNoAddress = errors.New("no address is known for this process")
 
-// newClient returns the HTTP client and its connection pool. It uses no proxy, follows no redirect and does not
-// compress: addresses are exactly what Options.Reach returns.
+// newClient returns the HTTP client and its connection pool. The client uses no proxy, follows no redirect and does not
+// compress: it dials exactly the addresses that Options.Reach returns.
 func (l *Link) newClient() (*http.Client, *http.Transport) {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	transport := &http.Transport{
 		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
-			// net/http goes on dialling after a call has ended, to have a connection for the next one. Close must
-			// end such a dial too.
+			// net/http keeps dialling after a call has ended, to have a connection for the next one. Close must cancel
+			// such a dial too.
 			ctx, cancel := context.WithCancel(ctx)
 			defer cancel()
-			defer context.AfterFunc(l.base, cancel)()
+			defer context.AfterFunc(l.baseCtx, cancel)()
 			conn, err := dialer.DialContext(ctx, network, addr)
 			if err != nil {
 				return nil, err
@@ -39,26 +39,27 @@
 			return &countingConn{Conn: conn, link: l}, nil
 		},
 		MaxIdleConns: maxIdleConns, MaxIdleConnsPerHost: maxIdleConnsPerPeer, MaxConnsPerHost: maxConnsPerPeer,
-		// Shorter than the server's idle timeout: a call must not use a connection that is just being closed.
+		// Shorter than the server's idle timeout, so that no call uses a connection that the server is closing.
 		IdleConnTimeout: idleTimeout / 2, DisableCompression: true, MaxResponseHeaderBytes: maxHeaderBytes,
 	}
 	noRedirect := func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 	return &http.Client{Transport: transport, CheckRedirect: noRedirect}, transport
 }
 
-// Call posts in, encoded as JSON, to a path of another process and decodes the response into out; nil for either sends
-// or decodes nothing. It ends with ctx, or after CallTimeout if ctx has no deadline, or with Close. A response other
-// than 200 is a *Refused; after any other error it is unknown whether the peer handled the call.
+// Call posts in, encoded as JSON, to a path of another process, and decodes the response into out. If in is nil it sends
+// an empty body; if out is nil it ignores the response's body. It ends with ctx, or after Options.CallTimeout if ctx has
+// no deadline, or with Close, whose error is ErrClosed. If the peer responds with a status other than 200 the error is a
+// *StatusError; after any other error it is unknown whether the peer handled the call.
 func (l *Link) Call(ctx context.Context, to view.Name, path string, in, out any) error {
 	if !l.begin() {
 		return ErrClosed
 	}
 	defer l.finish()
 	if err := l.call(ctx, to, path, in, out); err != nil {
-		if l.base.Err() != nil {
+		if l.baseCtx.Err() != nil {
 			err = fmt.Errorf("%w: %w", ErrClosed, err)
 		}
-		return fmt.Errorf("call %s of %s: %w", path, to, err)
+		return fmt.Errorf("call %s at process %s: %w", path, to, err)
 	}
 	return nil
 }
@@ -79,7 +80,7 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer context.AfterFunc(l.base, cancel)()
+	defer context.AfterFunc(l.baseCtx, cancel)()
 	l.volumes.add(path, Volume{Calls: 1, Out: uint64(len(body))})
 	if l.partitionedFrom(to) {
 		<-ctx.Done()
@@ -98,7 +99,7 @@
 	return l.decodeResponse(response, path, out)
 }
 
-// encodeBody returns in as JSON, empty for nil, or an error if it exceeds the body limit.
+// encodeBody returns in encoded as JSON, or nothing for nil. It returns an error if the result exceeds the body limit.
 func (l *Link) encodeBody(in any) ([]byte, error) {
 	if in == nil {
 		return nil, nil
@@ -108,21 +109,22 @@
 		return nil, err
 	}
 	if len(body) > l.opts.BodyLimit {
-		return nil, fmt.Errorf("a body of %d bytes; at most %d", len(body), l.opts.BodyLimit)
+		return nil, fmt.Errorf("request body has %d bytes, limit is %d", len(body), l.opts.BodyLimit)
 	}
 	return body, nil
 }
 
-// setHeaders identifies the caller and the called process. Each call carries these, so they are few and short.
+// setHeaders sets the headers that identify the caller and the called process. They are few and short, as each call
+// carries them.
 func (l *Link) setHeaders(request *http.Request, to view.Name) {
 	request.Host = string(to)
 	request.Header[headerCluster] = []string{l.opts.Cluster}
 	request.Header[headerFrom] = []string{string(l.opts.Self.Name)}
-	request.Header[headerLife] = []string{strconv.FormatUint(l.incarnation.Load(), 10)}
-	request.Header["User-Agent"] = []string{""} // none, instead of net/http's default
+	request.Header[headerIncarnation] = []string{strconv.FormatUint(l.incarnation.Load(), 10)}
+	request.Header["User-Agent"] = []string{""} // suppresses net/http's default
 }
 
-// decodeResponse reads a response's body into out, or returns its refusal.
+// decodeResponse decodes a response's body into out, or returns a *StatusError if the status is not 200.
 func (l *Link) decodeResponse(response *http.Response, path string, out any) error {
 	text, err := io.ReadAll(io.LimitReader(response.Body, int64(l.opts.BodyLimit)+1))
 	l.volumes.add(path, Volume{In: uint64(len(text))})
@@ -130,14 +132,14 @@
 	case err != nil:
 		return err
 	case response.StatusCode != http.StatusOK:
-		seen, _ := strconv.ParseUint(response.Header.Get(headerSeen), 10, 64) // absent or unreadable: 0
+		seen, _ := strconv.ParseUint(response.Header.Get(headerHighestSeen), 10, 64) // 0 if missing or invalid
 		return &StatusError{
-			Status: response.StatusCode,
-			Text:   strings.TrimSpace(string(text[:min(len(text), maxErrorText)])),
-			Seen:   view.Incarnation(seen),
+			Status:      response.StatusCode,
+			Text:        strings.TrimSpace(string(text[:min(len(text), maxErrorText)])),
+			HighestSeen: view.Incarnation(seen),
 		}
 	case len(text) > l.opts.BodyLimit:
-		return fmt.Errorf("an answer over %d bytes", l.opts.BodyLimit)
+		return fmt.Errorf("response body exceeds the limit of %d bytes", l.opts.BodyLimit)
 	case out == nil || len(text) == 0:
 		return nil
 	}
--- a/internal/cluster/link/conncount.go
+++ b/internal/cluster/link/conncount.go
@@ -5,8 +5,8 @@
 	"sync"
 )
 
-// countingListener accepts connections that count their bytes. Connections beyond maxInboundConns are closed at once,
-// so that a peer that opens too many keeps out later connections and does not exhaust the process.
+// countingListener accepts connections and wraps them to count their bytes. It closes connections beyond maxInboundConns
+// at once, so that a peer that opens too many of them keeps out later ones but does not exhaust the process.
 type countingListener struct {
 	net.Listener
 	link *Link
@@ -30,8 +30,8 @@
 type countingConn struct {
 	net.Conn
 	link      *Link
-	inbound   bool // accepted by the listener, and counted in Link.inboundConns
-	closeOnce sync.Once
+	inbound   bool      // it was accepted by the listener, and is counted in Link.inboundConns
+	closeOnce sync.Once // for the decrement of Link.inboundConns
 }
 
 func (c *countingConn) Read(b []byte) (int, error) {
@@ -40,7 +40,8 @@
 	return n, err
 }
 
-// Write counts before it writes: the peer may have read everything, and answered, before this goroutine runs again.
+// Write counts the bytes before it writes them, as the peer may have read and answered them before this goroutine runs
+// again. It subtracts the bytes that were not written.
 func (c *countingConn) Write(b []byte) (int, error) {
 	c.link.bytesOut.Add(uint64(len(b)))
 	n, err := c.Conn.Write(b)
--- a/internal/cluster/link/guard.go
+++ b/internal/cluster/link/guard.go
@@ -9,85 +9,91 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// Headers of a call. Short, as each call carries them; the called process's name is in Host.
+// Headers of a call. Their names are short, as each call carries them. The header Host has the name of the called process.
 const (
-	headerCluster = "Fc-Cluster"
-	headerFrom    = "Fc-From"
-	headerLife    = "Fc-Life"
-	// headerSeen is in the refusal of an outdated incarnation: the highest incarnation observed of the caller's name.
-	headerSeen = "Fc-Seen"
+	headerCluster     = "Fc-Cluster" // name of the caller's cluster
+	headerFrom        = "Fc-From"    // name of the caller
+	headerIncarnation = "Fc-Life"    // incarnation of the caller
+	// headerHighestSeen is in the response that rejects an outdated incarnation. It holds the highest incarnation observed of the
+	// caller's name.
+	headerHighestSeen = "Fc-Seen"
 )
 
-// StatusError is the error of a call that was answered with an HTTP status other than 200.
+// StatusError is the error of a call that was answered with an HTTP status other than 200. A handler returns one to choose
+// the status and the text of the response.
 type StatusError struct {
 	Status int
 	Text   string
-	// Seen is, with status 409, the highest incarnation that the peer has observed of the caller's name.
-	Seen view.Incarnation
+	// HighestSeen is the highest incarnation that the peer has observed of the caller's name; set with status 409 only.
+	HighestSeen view.Incarnation
 }
 
 // Error returns the status and the peer's text.
-func (r *StatusError) Error() string { return fmt.Sprintf("refused with %d: %s", r.Status, r.Text) }
+func (r *StatusError) Error() string {
+	return fmt.Sprintf("rejected with status %d: %s", r.Status, r.Text)
+}
 
-// authorize returns who calls, or why the call is refused: the caller belongs to another cluster (403), the call is for
-// another process, as when a port was reassigned (421), or the caller's incarnation is outdated, as of a process that
-// was suspended while its successor started (409).
+// authorize returns the caller of a request, or the error that rejects the call. It rejects a caller of another cluster
+// (403), a call for another process, as after a port was reassigned (421), a call without a caller's name and incarnation
+// (400), and a caller of an outdated incarnation, as of a process that was suspended while its successor started (409).
 func (l *Link) authorize(r *http.Request) (view.Life, *StatusError) {
 	if name := r.Header.Get(headerCluster); name != l.opts.Cluster {
 		return view.Life{}, &StatusError{Status: http.StatusForbidden,
-			Text: fmt.Sprintf("this is cluster %q, not %q", l.opts.Cluster, name)}
+			Text: fmt.Sprintf("this process belongs to cluster %q, the caller to %q", l.opts.Cluster, name)}
 	}
 	if r.Host != string(l.opts.Self.Name) {
 		return view.Life{}, &StatusError{Status: http.StatusMisdirectedRequest,
-			Text: fmt.Sprintf("this is process %q, not %q", l.opts.Self.Name, r.Host)}
+			Text: fmt.Sprintf("this is process %q, the call is for %q", l.opts.Self.Name, r.Host)}
 	}
-	no, err := strconv.ParseUint(r.Header.Get(headerLife), 10, 64)
+	no, err := strconv.ParseUint(r.Header.Get(headerIncarnation), 10, 64)
 	from := view.Life{Name: view.Name(r.Header.Get(headerFrom)), Incarnation: view.Incarnation(no)}
 	if err != nil || from.Name == "" {
-		return view.Life{}, &StatusError{Status: http.StatusBadRequest, Text: "does not tell who calls"}
+		return view.Life{}, &StatusError{Status: http.StatusBadRequest, Text: "header Fc-From or Fc-Life is missing or invalid"}
 	}
-	if highest := l.lives.observe(from); highest > from.Incarnation {
-		return view.Life{}, &StatusError{Status: http.StatusConflict, Seen: highest,
-			Text: fmt.Sprintf("%q lives as %d; %d is an older life", from.Name, highest, no)}
+	if highest := l.incarnations.observe(from); highest > from.Incarnation {
+		return view.Life{}, &StatusError{Status: http.StatusConflict, HighestSeen: highest,
+			Text: fmt.Sprintf("process %q has incarnation %d; the caller's %d is outdated", from.Name, highest, no)}
 	}
 	return from, nil
 }
 
-// knownLives holds the highest incarnation observed of each process name. Of more than limit names the one heard of
-// longest ago is evicted; an outdated incarnation of it would then be accepted again.
-type knownLives struct {
-	limit int
+// incarnationTable holds the highest incarnation observed of each process name. A name beyond limit evicts the one that
+// was observed longest ago; an outdated incarnation of that one would then be accepted again. It is safe for concurrent
+// use.
+type incarnationTable struct {
+	limit int // maximum number of names
 
 	mu     sync.Mutex // innermost; never held while waiting
 	clock  uint64     // counts observations
-	byName map[view.Name]*knownLife
+	byName map[view.Name]*incarnationEntry
 }
 
-type knownLife struct {
+// incarnationEntry is the entry of one name in an incarnationTable.
+type incarnationEntry struct {
 	highest   view.Incarnation
-	lastHeard uint64 // knownLives.clock at its last observation
+	lastHeard uint64 // incarnationTable.clock at the last observation of the name
 }
 
-// observe records a life and returns the highest incarnation of its name.
-func (k *knownLives) observe(life view.Life) view.Incarnation {
+// observe records an incarnation of a name and returns the highest one observed of that name.
+func (k *incarnationTable) observe(id view.Life) view.Incarnation {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.clock++
-	known := k.byName[life.Name]
+	known := k.byName[id.Name]
 	if known == nil {
 		if len(k.byName) >= k.limit {
 			k.evictOldest()
 		}
-		known = &knownLife{}
-		k.byName[life.Name] = known
+		known = &incarnationEntry{}
+		k.byName[id.Name] = known
 	}
 	known.lastHeard = k.clock
-	known.highest = max(known.highest, life.Incarnation)
+	known.highest = max(known.highest, id.Incarnation)
 	return known.highest
 }
 
-// evictOldest forgets the name heard of longest ago; under mu.
-func (k *knownLives) evictOldest() {
+// evictOldest removes the name that was observed longest ago. The caller holds mu.
+func (k *incarnationTable) evictOldest() {
 	var oldest view.Name
 	lastHeard := k.clock
 	for name, known := range k.byName {
--- a/internal/cluster/link/link_test.go
+++ b/internal/cluster/link/link_test.go
@@ -17,9 +17,10 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// testTimeout is far above what any step takes, and low enough to reveal an unbounded wait.
+// testTimeout is far above the duration of any step, and short enough to detect an unbounded wait.
 const testTimeout = 5 * time.Second
 
+// addresses maps processes to the addresses at which they are dialled.
 type addresses map[view.Name]string
 
 func (a addresses) reach(name view.Name) (string, bool) { addr, known := a[name]; return addr, known }
@@ -44,6 +45,7 @@
 	}
 }
 
+// status returns the status of a StatusError; 0 for any other error and for nil.
 func status(err error) int {
 	var refused *StatusError
 	if errors.As(err, &refused) {
@@ -52,10 +54,13 @@
 	return 0
 }
 
+// echo is a handler that returns the caller and the body of the call.
 func echo(_ context.Context, from view.Life, body []byte) (any, error) {
 	return map[string]any{"from": from, "body": string(body)}, nil
 }
 
+// TestAuthorization checks the status of calls from another cluster, of an outdated incarnation, to another process, to
+// unknown paths and of failing handlers, and that public paths need no headers of a member.
 func TestAuthorization(t *testing.T) {
 	all := addresses{}
 	b := startLink(t, all, "ours", "b", 1, "127.0.0.1:0")
@@ -78,7 +83,7 @@
 	in, out := a.Traffic()
 	bIn, bOut := b.Traffic()
 	if out == 0 || in == 0 || out > 160 || in > 160 || out != bIn || in != bOut {
-		t.Fatal("a small call's bytes", in, out, bIn, bOut)
+		t.Fatal("a small call takes more than 160 bytes, or the two sides count differently", in, out, bIn, bOut)
 	}
 	outdated, otherCluster := startLink(t, all, "ours", "a", 3, "127.0.0.1:0"), startLink(t, all, "theirs", "d", 1, "127.0.0.1:0")
 	sameName := startLink(t, all, "ours", "b", 0, "127.0.0.1:0")
@@ -91,19 +96,19 @@
 		{a, "b", "/none", 404},
 		{a, "b", "/no", 410}, {a, "b", "/bad", 500}} {
 		if err := c.who.Call(ctx, c.to, c.path, nil, nil); status(err) != c.want {
-			t.Errorf("%s to %s%s: %v, not %d", c.who.opts.Self.Name, c.to, c.path, err, c.want)
+			t.Errorf("call of %s to %s%s: error %v, want status %d", c.who.opts.Self.Name, c.to, c.path, err, c.want)
 		}
 	}
 	var refused *StatusError
-	if err := outdated.Call(ctx, "b", "/echo", nil, nil); !errors.As(err, &refused) || refused.Seen != 5 {
+	if err := outdated.Call(ctx, "b", "/echo", nil, nil); !errors.As(err, &refused) || refused.HighestSeen != 5 {
 		t.Fatal(err)
 	}
-	outdated.RaiseIncarnation(refused.Seen + 1)
+	outdated.RaiseIncarnation(refused.HighestSeen + 1)
 	if err := outdated.Call(ctx, "b", "/echo", nil, nil); err != nil {
 		t.Fatal(err)
 	}
 	if err := a.Call(ctx, "b", "/echo", nil, nil); status(err) != 409 {
-		t.Fatal("an outdated incarnation was accepted", err)
+		t.Fatal("a call of an outdated incarnation was accepted", err)
 	}
 	if err := a.Call(ctx, "nobody", "/echo", nil, nil); err == nil || status(err) != 0 {
 		t.Fatal(err)
@@ -118,6 +123,8 @@
 	http.DefaultClient.CloseIdleConnections()
 }
 
+// TestBodyLimits checks that a request body over the limit is rejected before it is sent and before it reaches a handler,
+// and that a response body over the limit is not sent.
 func TestBodyLimits(t *testing.T) {
 	all := addresses{}
 	b := startLink(t, all, "ours", "b", 1, "127.0.0.1:0")
@@ -128,7 +135,7 @@
 	a := startLink(t, all, "ours", "a", 1, "127.0.0.1:0")
 	ctx := context.Background()
 	if err := a.Call(ctx, "b", "/take", strings.Repeat("x", 5000), nil); err == nil || status(err) != 0 {
-		t.Fatal("went out", err)
+		t.Fatal("a request body over the caller's limit was sent", err)
 	}
 	a.opts.BodyLimit = 1 << 20
 	if err := a.Call(ctx, "b", "/take", strings.Repeat("x", 5000), nil); status(err) != 413 || calls.Load() != 0 {
@@ -142,7 +149,8 @@
 	}
 }
 
-// TestStalledPeer: a peer that accepts connections and never answers delays its own calls up to their timeout and no others.
+// TestStalledPeer checks that calls to a peer that accepts connections and never answers end with their timeout or their
+// context, and do not delay calls to other peers.
 func TestStalledPeer(t *testing.T) {
 	mute, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -161,7 +169,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	ended := make(chan error, maxConnsPerPeer+1)
-	for range maxConnsPerPeer + 1 { // the last waits for a connection of its own
+	for range maxConnsPerPeer + 1 { // the last one waits for a free connection
 		go func() { ended <- a.Call(ctx, "mute", "/x", nil, nil) }()
 	}
 	if err := a.Call(ctx, "a", "/echo", nil, nil); err != nil {
@@ -174,11 +182,12 @@
 		}
 	}
 	if took := time.Since(begun); took > testTimeout {
-		t.Fatal("took", took)
+		t.Fatalf("took %v, limit is %v", took, testTimeout)
 	}
 }
 
-// TestPeerRestart: a peer that ends and returns is reached again over the same link, and its address is free at once.
+// TestPeerRestart checks that a peer that is closed and starts again on the same address is reached over the same link,
+// after one failed call at most, and that its address can be reused at once.
 func TestPeerRestart(t *testing.T) {
 	all := addresses{}
 	b := startLink(t, all, "ours", "b", 1, "127.0.0.1:0")
@@ -193,18 +202,20 @@
 				break
 			}
 			if failures > 1 {
-				t.Fatal("more than the call that met the old connection failed", err)
+				t.Fatal("more calls failed than the one that used the old connection", err)
 			}
 		}
 		closeLink(t, b)
 		if err := a.Call(context.Background(), "b", "/echo", nil, nil); err == nil {
-			t.Fatal("nobody answered")
+			t.Fatal("a call to a closed link succeeded")
 		}
 		b = startLink(t, all, "ours", "b", view.Incarnation(no+2), addr)
 		b.Handle("/echo", echo)
 	}
 }
 
+// TestCloseCancelsCallsInFlight checks that Close cancels the calls and handlers in flight, and returns an error if a
+// handler ignores its context.
 func TestCloseCancelsCallsInFlight(t *testing.T) {
 	all := addresses{}
 	a, b := startLink(t, all, "ours", "a", 1, "127.0.0.1:0"), startLink(t, all, "ours", "b", 1, "127.0.0.1:0")
@@ -228,7 +239,7 @@
 		select {
 		case <-entered:
 		case <-ctx.Done():
-			t.Fatal("a call did not arrive")
+			t.Fatal("a call did not reach its handler")
 		}
 	}
 	ended := make(chan error, 2)
@@ -249,16 +260,17 @@
 	short, done := context.WithTimeout(ctx, 20*time.Millisecond)
 	defer done()
 	if err := b.Close(short); !errors.Is(err, context.DeadlineExceeded) {
-		t.Fatal("Close did not report a handler that ignores its context", err)
+		t.Fatal("Close returned no deadline error although a handler ignores its context", err)
 	}
 	if err := <-ended; err == nil {
-		t.Fatal("a call of a closed link was answered")
+		t.Fatal("a call to a closed link was answered")
 	}
 	close(unblock)
 }
 
-func TestKnownLivesAreBounded(t *testing.T) {
-	s := &knownLives{limit: 3, byName: map[view.Name]*knownLife{}}
+// TestIncarnationTableIsBounded checks that a name beyond the limit evicts the one that was observed longest ago.
+func TestIncarnationTableIsBounded(t *testing.T) {
+	s := &incarnationTable{limit: 3, byName: map[view.Name]*incarnationEntry{}}
 	for _, name := range []view.Name{"a", "b", "c", "a", "d"} {
 		s.observe(view.Life{Name: name, Incarnation: 9})
 	}
--- a/internal/cluster/link/volumes_test.go
+++ b/internal/cluster/link/volumes_test.go
@@ -11,8 +11,8 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// TestVolumesAndPartition: both sides count a call's bodies alike, and a process behind a partition is neither called nor
-// answered until the partition ends.
+// TestVolumesAndPartition checks that both sides count the bodies of a call alike, and that during a partition no call
+// between the two processes is answered.
 func TestVolumesAndPartition(t *testing.T) {
 	all := addresses{}
 	var cut atomic.Bool
@@ -37,10 +37,10 @@
 	}
 	caller, answerer := a.Volumes()["/echo"], b.Volumes()["/echo"]
 	if want := (Volume{Calls: 1, Out: 6, In: 6}); caller != want {
-		t.Errorf("the caller counted %+v, not %+v", caller, want)
+		t.Errorf("the caller counted %+v, want %+v", caller, want)
 	}
 	if want := (Volume{Answers: 1, In: 6, Out: 6}); answerer != want {
-		t.Errorf("the answerer counted %+v, not %+v", answerer, want)
+		t.Errorf("the called process counted %+v, want %+v", answerer, want)
 	}
 	cut.Store(true)
 	for _, way := range []struct {
@@ -49,15 +49,15 @@
 	}{{a, "b"}, {b, "a"}} {
 		soon, cancel := context.WithTimeout(ctx, 50*time.Millisecond)
 		if err := way.from.Call(soon, way.to, "/echo", 1, nil); !errors.Is(err, context.DeadlineExceeded) {
-			t.Errorf("a call to %s over a cut: %v", way.to, err)
+			t.Errorf("a call to %s during the partition: %v, want a deadline error", way.to, err)
 		}
 		cancel()
 	}
 	if n := answered.Load(); n != 1 {
-		t.Errorf("%d calls were answered, of one before the cut", n)
+		t.Errorf("%d calls were answered, want only the one before the partition", n)
 	}
 	cut.Store(false)
 	if err := b.Call(ctx, "a", "/echo", 1, nil); err != nil {
-		t.Errorf("after the cut: %v", err)
+		t.Errorf("after the partition: %v", err)
 	}
 }
--- a/internal/cluster/maintain.go
+++ b/internal/cluster/maintain.go
@@ -10,17 +10,17 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// maintenanceInterval is the length of one round of maintain.
+// maintenanceInterval is the time from one round of maintain to the next.
 const maintenanceInterval = time.Second
 
-// maintain does the periodic work until ctx ends: it asks for the leader, runs anti-entropy every few rounds, and
-// announces whether this process's folder holds a consensus group's records.
+// maintain is the node's maintenance loop, which runs until ctx ends. In each round it looks for the leader and announces
+// whether this process's folder holds records of a consensus group; every antiEntropyRounds rounds it runs anti-entropy.
 func (n *Node) maintain(ctx context.Context) {
 	ticker := time.NewTicker(maintenanceInterval)
 	defer ticker.Stop()
-	voted := n.self.HasRecords
+	hasRecords := n.self.HasRecords
 	var entropy antiEntropy
-	antiEntropyRound := rand.IntN(antiEntropyRounds) // random, so that many that start at once do not ask in step
+	antiEntropyRound := rand.IntN(antiEntropyRounds) // random, so that many processes that start together do not query at once
 	for round := 0; ; round++ {
 		select {
 		case <-ctx.Done():
@@ -31,10 +31,10 @@
 		if round%antiEntropyRounds == antiEntropyRound {
 			n.runAntiEntropy(ctx, &entropy)
 		}
-		if n.consensus != nil && n.consensus.HasRecords() != voted {
-			voted = !voted
-			if err := n.members.Update(func(m *view.Member) { m.HasRecords = voted }); err != nil {
-				n.log.Warn("own metadata not announced", zap.Error(err))
+		if n.consensus != nil && n.consensus.HasRecords() != hasRecords {
+			hasRecords = !hasRecords
+			if err := n.members.Update(func(m *view.Member) { m.HasRecords = hasRecords }); err != nil {
+				n.log.Warn("announcing this process's changed metadata failed", zap.Error(err))
 			}
 		}
 	}
--- a/internal/cluster/member/delegate.go
+++ b/internal/cluster/member/delegate.go
@@ -1,7 +1,7 @@
 package member
 
-// This file implements memberlist's delegates. The library calls them with its own lock held: nothing here may call
-// back into it, wait, or hold Members.mu for longer than an update of the roster takes.
+// This file implements memberlist's delegates. The library calls them with its own lock held, so no method here may call
+// the library, wait, or hold Members.mu for longer than an update of the roster takes.
 
 import (
 	"encoding/json"
@@ -17,8 +17,8 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// delegate receives memberlist's questions and events; it implements Delegate, EventDelegate, AliveDelegate,
-// MergeDelegate and PingDelegate.
+// delegate receives memberlist's queries and events for Members. It implements Delegate, EventDelegate, AliveDelegate,
+// MergeDelegate and PingDelegate of memberlist.
 type delegate struct{ members *Members }
 
 // NodeMeta returns this process's encoded metadata.
@@ -28,7 +28,7 @@
 	return d.members.meta
 }
 
-// NotifyMerge rejects the snapshot instance, which is no member.
+// NotifyMerge rejects a merge with the snapshot instance, which is not a member of the cluster.
 func (d delegate) NotifyMerge(nodes []*memberlist.Node) error {
 	for _, n := range nodes {
 		if n.Name == snapshotNode {
@@ -38,9 +38,10 @@
 	return nil
 }
 
-// NotifyAlive decides whether an alive message is accepted. Otherwise two processes of one name would refute each other
-// for ever. So every member rejects an earlier incarnation once it knows of a later one, and the earlier process ends
-// its own membership when it hears of the later one.
+// NotifyAlive returns an error to reject an alive message: if it comes from the snapshot instance, its metadata is
+// invalid, the roster does not admit it, or handleOwnName rejects it. If all messages were accepted, two processes of one
+// name would refute each other forever. So every member rejects an earlier incarnation once it knows a later one, and the
+// process of the earlier incarnation ends its membership when it learns of the later one.
 func (d delegate) NotifyAlive(n *memberlist.Node) error {
 	if n.Name == snapshotNode {
 		return errSnapshotOnly
@@ -57,27 +58,30 @@
 		return m.handleOwnName(s, false)
 	}
 	if !m.hasMetPeer {
-		m.hasMetPeer, m.metAt = true, m.now()
+		m.hasMetPeer, m.firstMetAt = true, m.now()
 	}
 	if !m.roster.Admits(s) {
-		m.rejected = s.Member.Name
-		return fmt.Errorf("life %d of it is not admitted", s.Member.Incarnation)
+		m.rejectedName = s.Member.Name
+		return fmt.Errorf("incarnation %d rejected: a known one takes precedence, or too many members are present", s.Member.Incarnation)
 	}
 	m.metaCache[n.Name] = meta
 	return nil
 }
 
-// handleOwnName decides on metadata that carries this process's own name; under mu. Without an error the library
-// refutes it. Where the fleet knows this name with the same or a later incarnation of another process, this process
-// takes the next incarnation while it may: soon after it joined, or at any time if that other process is gone. An equal
-// incarnation counts too, as others count acknowledgements by life. Later on the other process owns the name.
+// handleOwnName handles an observation that carries this process's own name. gone is true if it was received as that of a
+// member that left or died. If handleOwnName returns nil, the library refutes the observation. The caller holds mu.
+//
+// If the cluster knows the name with the same or a later incarnation of another process, this process raises its own
+// incarnation above that one. It may do so within settlingPeriod of meeting its first member, or at any time if the other
+// process is gone. The same incarnation matters too, as other members count acknowledgements by incarnation. If this
+// process may not raise its incarnation, a process with a later one becomes the name owner.
 func (m *Members) handleOwnName(s roster.Observation, gone bool) error {
 	sameProcess := s.Member.Folder == m.self.Member.Folder && s.GossipAddr == m.self.GossipAddr
 	superseded := roster.Supersedes(s, m.self)
 	if !superseded && (sameProcess || s.Member.Incarnation < m.self.Member.Incarnation) {
 		return nil
 	}
-	mayRaise := gone || !m.hasMetPeer || m.now()-m.metAt < settlingPeriod
+	mayRaise := gone || !m.hasMetPeer || m.now()-m.firstMetAt < settlingPeriod
 	if mayRaise && m.raiseCount < maxRaises && s.Member.Incarnation < math.MaxUint64 {
 		next := m.self
 		next.Member.Incarnation = s.Member.Incarnation + 1
@@ -86,7 +90,7 @@
 		}
 		m.raiseCount, m.raisePending = m.raiseCount+1, true
 		wake(m.notifyNeeded)
-		m.opts.Log.Warn("the fleet remembers a later life of this process's name; taking the next number",
+		m.opts.Log.Warn("the cluster knows this process's name with the same or a later incarnation; raising the own incarnation",
 			zap.Uint64("incarnation", uint64(next.Member.Incarnation)))
 		return nil
 	}
@@ -97,20 +101,21 @@
 		m.nameOwner = &s.Member.Life
 		wake(m.snapshotNeeded)
 	}
-	return errors.New("a later life of this process's name is here")
+	return errors.New("another process uses this process's name with a later incarnation")
 }
 
-// NotifyJoin updates the one member that joined. A snapshot for each burst of joins would cost 9 us for each member of
-// the fleet (BenchmarkSnapshot).
+// NotifyJoin updates the member that joined in the roster. It requests no snapshot, which would cost 9 us for each member
+// of the cluster at each burst of joins (BenchmarkSnapshot).
 func (d delegate) NotifyJoin(n *memberlist.Node) { d.members.updateMember(n) }
 
-// NotifyUpdate updates the one member that changed, as NotifyJoin does.
+// NotifyUpdate updates the member that changed its metadata in the roster.
 func (d delegate) NotifyUpdate(n *memberlist.Node) { d.members.updateMember(n) }
 
-// NotifyLeave asks for a snapshot: the library does not say here whether the member left or died.
+// NotifyLeave requests a snapshot, as the library does not tell here whether the member left or died.
 func (d delegate) NotifyLeave(*memberlist.Node) { wake(d.members.snapshotNeeded) }
 
-// updateMember marks a member alive with its present metadata. What is said of this process itself is ignored.
+// updateMember marks a member alive with its current metadata. It ignores events about this process itself, and members
+// with invalid metadata.
 func (m *Members) updateMember(n *memberlist.Node) {
 	if n.Name == string(m.opts.Self.Name) || n.Name == snapshotNode {
 		return
@@ -129,12 +134,13 @@
 
 // NotifyPingComplete records that one of this process's probes was answered.
 func (d delegate) NotifyPingComplete(*memberlist.Node, time.Duration, []byte) {
-	d.members.lastAnswer.Store(int64(d.members.now()))
+	d.members.lastContact.Store(int64(d.members.now()))
 }
 
-// LocalState returns, for a joining member, the metadata of members that are gone, so that a process which starts with
-// too low an incarnation learns of it. The library itself forgets the dead sooner than the roster does, and does not
-// pass a dead member's metadata on to a process of the same name.
+// LocalState returns the encoded metadata of members that are gone, by name, if the exchange is a join, and nil
+// otherwise. From it a process that starts with too low an incarnation learns the higher one. The library does not pass
+// this on: it forgets dead members sooner than the roster does, and does not send a dead member's metadata to a process
+// of the same name.
 func (d delegate) LocalState(join bool) []byte {
 	if !join {
 		return nil
@@ -142,20 +148,20 @@
 	m := d.members
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if version := m.roster.GoneVersion(); m.goneState == nil || m.goneVersion != version {
+	if version := m.roster.GoneVersion(); m.localState == nil || m.localStateVersion != version {
 		metaByName := map[view.Name]json.RawMessage{}
 		for _, s := range m.roster.Gone() {
 			if meta, err := encodeMeta(s); err == nil {
 				metaByName[s.Member.Name] = meta
 			}
 		}
-		m.goneState, _ = json.Marshal(metaByName)
-		m.goneVersion = version
+		m.localState, _ = json.Marshal(metaByName)
+		m.localStateVersion = version
 	}
-	return m.goneState
+	return m.localState
 }
 
-// MergeRemoteState reads another process's LocalState: only what it says of this process's own name matters.
+// MergeRemoteState reads the LocalState of another process. It uses only the entry for this process's own name.
 func (d delegate) MergeRemoteState(state []byte, _ bool) {
 	var metaByName map[view.Name]json.RawMessage
 	if len(state) == 0 || json.Unmarshal(state, &metaByName) != nil {
@@ -171,13 +177,13 @@
 	_ = d.members.handleOwnName(s, true)
 }
 
-// The remaining methods are unused: this process gossips nothing but its metadata.
+// The remaining methods do nothing, as this process gossips only its metadata.
 
-// AckPayload adds nothing to the answers to probes.
+// AckPayload returns nil: answers to probes carry no payload.
 func (d delegate) AckPayload() []byte { return nil }
 
-// NotifyMsg ignores user messages, as none are sent.
+// NotifyMsg ignores user messages, as no process sends any.
 func (d delegate) NotifyMsg([]byte) {}
 
-// GetBroadcasts queues no user messages.
+// GetBroadcasts returns nil, as there are no user messages to send.
 func (d delegate) GetBroadcasts(int, int) [][]byte { return nil }
--- a/internal/cluster/member/delegate_test.go
+++ b/internal/cluster/member/delegate_test.go
@@ -10,7 +10,7 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// newTestMembers returns a membership without the library, for tests of what the library calls.
+// newTestMembers returns a membership without the library, for tests of the methods that the library calls.
 func newTestMembers() *Members {
 	self := view.Member{Life: view.Life{Name: "self", Incarnation: 1}}
 	return newMembers(Options{Self: self, Log: zap.NewNop()}, "")
@@ -33,23 +33,25 @@
 	}
 }
 
-// TestJoinDuringSnapshot: a member that joined or returned while a snapshot was being taken, which does not show that
-// yet, must not be marked dead by it; the next snapshot shows it, and may.
+// TestJoinDuringSnapshot checks that a snapshot does not mark a member dead that joined or returned while the snapshot was
+// being taken, as the snapshot may not show that yet. A later snapshot without the member does mark it dead.
 func TestJoinDuringSnapshot(t *testing.T) {
 	m := newTestMembers()
 	for _, shown := range [][]*memberlist.Node{nil, {nodeOf(t, "a", 1, memberlist.StateDead)}} {
 		m.updatedSinceSnapshot = map[view.Name]bool{} // as takeSnapshot begins
 		delegate{m}.NotifyJoin(nodeOf(t, "a", 2, memberlist.StateAlive))
-		m.wantState(t, "as it joins", "a", view.Alive, 2)
+		m.wantState(t, "after the join", "a", view.Alive, 2)
 		m.roster.ApplySnapshot(m.reconcile(m.metaCache.refresh(shown)), m.now())
-		m.wantState(t, "after the snapshot that it joined during", "a", view.Alive, 2)
+		m.wantState(t, "after the snapshot during which it joined", "a", view.Alive, 2)
 		m.updatedSinceSnapshot = map[view.Name]bool{}
 		m.roster.ApplySnapshot(m.reconcile(m.metaCache.refresh(nil)), m.now())
-		m.wantState(t, "after a snapshot without it", "a", view.Dead, 2)
+		m.wantState(t, "after a later snapshot without it", "a", view.Dead, 2)
 	}
 }
 
-// TestJoinsNeedNoSnapshot: in a large cluster a snapshot for each of hundreds of joins exhausted the processor.
+// TestJoinsNeedNoSnapshot checks that joins and updates change the roster without requesting a snapshot. In a large
+// cluster a snapshot for each of hundreds of joins used up all processor time. It also checks that events of an earlier
+// incarnation, of this process itself and with invalid metadata are ignored.
 func TestJoinsNeedNoSnapshot(t *testing.T) {
 	m := newTestMembers()
 	alive := nodeOf(t, "a", 1, memberlist.StateAlive)
@@ -58,14 +60,14 @@
 	m.wantState(t, "after join and update", "a", view.Alive, 2)
 	select {
 	case <-m.snapshotNeeded:
-		t.Error("a join asked for a snapshot")
+		t.Error("a join or an update requested a snapshot")
 	default:
 	}
-	delegate{m}.NotifyLeave(alive) // left or dead: only a snapshot distinguishes them
+	delegate{m}.NotifyLeave(alive) // only a snapshot tells whether it left or died
 	select {
 	case <-m.snapshotNeeded:
 	default:
-		t.Error("a departure asked for no snapshot")
+		t.Error("a leave requested no snapshot")
 	}
 	delegate{m}.NotifyJoin(nodeOf(t, "a", 1, memberlist.StateAlive))
 	m.wantState(t, "after an event of an earlier incarnation", "a", view.Alive, 2)
@@ -73,14 +75,15 @@
 	m.wantState(t, "after an event about this process", "self", view.Alive, 1)
 	delegate{m}.NotifyJoin(&memberlist.Node{Name: "torn", Meta: []byte("{")})
 	if _, known := m.View().Find("torn"); known {
-		t.Error("a member with unreadable metadata was accepted")
+		t.Error("a member with invalid metadata was accepted")
 	}
 }
 
-// TestRejectedMetaIsNotCached: the cache is bounded between two snapshots by the number of admitted members.
+// TestRejectedMetaIsNotCached checks that only the metadata of admitted members is cached, so that the cache stays bounded
+// between two snapshots.
 func TestRejectedMetaIsNotCached(t *testing.T) {
 	m := newTestMembers()
-	m.roster = roster.New(m.self, roster.Bounds{MaxHere: 2}, 0)
+	m.roster = roster.New(m.self, roster.Bounds{MaxPresent: 2}, 0)
 	for _, name := range []view.Name{"a", "b", "c", "d"} {
 		n := nodeOf(t, name, 1, memberlist.StateAlive)
 		if (delegate{m}).NotifyAlive(n) == nil {
@@ -88,6 +91,6 @@
 		}
 	}
 	if len(m.metaCache) != 1 || len(m.View().Members) != 2 {
-		t.Errorf("%d cached, %d members, want 1 and 2", len(m.metaCache), len(m.View().Members))
+		t.Errorf("%d cache entries, %d members, want 1 and 2", len(m.metaCache), len(m.View().Members))
 	}
 }
--- a/internal/cluster/member/loops.go
+++ b/internal/cluster/member/loops.go
@@ -1,7 +1,7 @@
 package member
 
-// This file has the three goroutines: one takes snapshots of the library's state, one joins other processes, one
-// notifies the owner.
+// This file holds the three goroutines of Members: runSnapshots takes snapshots of the library's states, runJoins joins
+// other processes, and runNotifications calls the owner's callbacks.
 
 import (
 	"context"
@@ -15,7 +15,8 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// runSnapshots takes a snapshot regularly and when asked to, and ends the library once the name is another process's.
+// runSnapshots takes a snapshot regularly and on a signal of snapshotNeeded. After a name conflict it shuts the library
+// down and returns.
 func (m *Members) runSnapshots(ctx context.Context) {
 	defer m.wg.Done()
 	timer := time.NewTimer(0)
@@ -40,7 +41,7 @@
 			return
 		}
 		if metaChanged {
-			// The update is queued at once; the rest of the call waits until it was sent, which nobody needs here.
+			// UpdateNode queues the update at once, and then waits until it is sent, which is not needed here.
 			_ = m.list.UpdateNode(time.Millisecond)
 		}
 		startedAt := time.Now()
@@ -52,14 +53,15 @@
 	}
 }
 
-// takeSnapshot updates the roster by a snapshot of the library's state and returns the number of members in it.
+// takeSnapshot updates the roster from a snapshot of the library's states, and returns the number of members in it; 0 if
+// the snapshot failed.
 func (m *Members) takeSnapshot() int {
 	m.mu.Lock()
 	m.updatedSinceSnapshot = map[view.Name]bool{}
 	m.mu.Unlock()
 	nodes, err := m.snapshots.snapshot(m.list)
 	if err != nil {
-		m.opts.Log.Warn("membership snapshot failed; the last view stays", zap.Error(err))
+		m.opts.Log.Warn("membership snapshot failed; keeping the last view", zap.Error(err))
 		return 0
 	}
 	m.mu.Lock()
@@ -71,8 +73,9 @@
 	return len(nodes)
 }
 
-// reconcile returns a snapshot without what is known better: this process itself, and the members of which the library
-// reported since the snapshot began, which are returned as the roster has them. Under mu.
+// reconcile returns the observations of a snapshot that the roster may apply. It leaves out this process itself and
+// members with invalid metadata, and replaces the members in updatedSinceSnapshot by their observations in the roster,
+// which are newer. The caller holds mu.
 func (m *Members) reconcile(snapshot []decodedMeta) []roster.Observation {
 	observed := make([]roster.Observation, 0, len(snapshot))
 	for _, c := range snapshot {
@@ -88,8 +91,9 @@
 	return observed
 }
 
-// runJoins joins other processes: while alone all seeds, with a backoff up to RejoinInterval; then, each RejoinInterval,
-// possibly one that is missing; and one that is present when this process appears to have been suspended.
+// runJoins joins the processes that joinTargets returns, in rounds, the first of them at once. While no other process is
+// present the interval between rounds doubles from twice GossipInterval up to RejoinInterval; after that it is
+// RejoinInterval. Each interval is randomized.
 func (m *Members) runJoins(ctx context.Context) {
 	defer m.wg.Done()
 	wait := m.opts.Timing.GossipInterval
@@ -109,25 +113,27 @@
 		} else {
 			wait = m.opts.Timing.RejoinInterval
 		}
-		// Jitter, so that many processes that start together do not join one seed in step.
+		// Jitter keeps many processes that start together from joining one seed at the same time.
 		if !sleep(ctx, wait/2+rand.N(wait)) || m.libraryClosed.Load() {
 			return
 		}
 	}
 }
 
-// joinTargets returns whom to join now, and whether no other process is present.
+// joinTargets returns the processes to join now, and whether no other process is present (alone). While alone it returns
+// the missing seeds and members, maxJoinsPerRound at most. Otherwise it returns one process or none: a present one if
+// this process needs an exchange, else possibly one of a rejected incarnation or a missing one.
 //
-// A process that was suspended, or whose probes nobody answers, exchanges with one that is present: others may long
-// have marked it dead. So does one that met its first member recently: where many start at once each knows too few
-// others to learn of all by gossip (of 30, some had not met after 20 s).
+// A process needs an exchange with a present member if it was suspended, or if its probes are not answered: the other
+// members may have marked it dead. It also needs one within settlingPeriod of meeting its first member: if many processes
+// start together, each knows too few others to learn of all of them by gossip. Of 30, some had not met after 20 s.
 func (m *Members) joinTargets(suspended bool) (names []view.Name, alone bool) {
 	m.mu.Lock()
-	v, rejected, recentlyMet := m.roster.View(), m.rejected, m.hasMetPeer && m.now()-m.metAt < settlingPeriod
-	m.rejected = ""
+	v, rejected, recentlyMet := m.roster.View(), m.rejectedName, m.hasMetPeer && m.now()-m.firstMetAt < settlingPeriod
+	m.rejectedName = ""
 	m.mu.Unlock()
 	present, missing := m.presentAndMissing(v)
-	isolated := m.now()-view.Uptime(m.lastAnswer.Load()) > isolationProbes*m.opts.Timing.ProbeInterval
+	isolated := m.now()-view.Uptime(m.lastContact.Load()) > isolationProbes*m.opts.Timing.ProbeInterval
 	switch {
 	case len(present) == 0:
 		return missing[:min(len(missing), maxJoinsPerRound)], true
@@ -141,8 +147,8 @@
 	return nil, false
 }
 
-// presentAndMissing returns the other members that are alive, and those to be found again: first the seeds that are not
-// present, then members that neither are alive nor left.
+// presentAndMissing returns the other members that are alive, and those to rejoin: first the seeds that are not present,
+// then the members that are suspected or dead.
 func (m *Members) presentAndMissing(v *view.View) (present, missing []view.Name) {
 	for _, name := range m.opts.Seeds {
 		if seed, found := v.Find(name); name != v.Self && (!found || !seed.Present()) {
@@ -161,15 +167,15 @@
 	return present, missing
 }
 
-// notification is what the owner has to be called for.
+// notification holds the arguments of the callbacks that are due.
 type notification struct {
 	view        *view.View
-	raised      bool // to incarnation
-	incarnation view.Incarnation
-	conflict    *view.Life // nil for none
+	raised      bool             // OnIncarnationRaised is due, with incarnation
+	incarnation view.Incarnation // of this process
+	conflict    *view.Life       // argument of OnNameConflict; nil if that is not due
 }
 
-// runNotifications calls the owner back, one call at a time and with the latest view only.
+// runNotifications calls the owner's callbacks on a signal of notifyNeeded, one at a time and with the latest view only.
 func (m *Members) runNotifications(ctx context.Context) {
 	defer m.wg.Done()
 	var last *view.View
@@ -192,7 +198,7 @@
 	}
 }
 
-// nextNotification returns what is due, and marks it as reported.
+// nextNotification returns the callbacks that are due, and marks them as called.
 func (m *Members) nextNotification() notification {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -205,7 +211,7 @@
 	return n
 }
 
-// notify calls the owner's callbacks, under no lock.
+// notify calls the owner's callbacks that are due; OnViewChange only if viewChanged. It holds no lock.
 func (m *Members) notify(n notification, viewChanged bool) {
 	if n.raised && m.opts.OnIncarnationRaised != nil {
 		m.opts.OnIncarnationRaised(n.incarnation)
@@ -218,7 +224,7 @@
 	}
 }
 
-// sleep waits for d and returns true, or returns false as soon as ctx ends.
+// sleep waits for d and returns true; it returns false as soon as ctx ends.
 func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/cluster/member/member_test.go
+++ b/internal/cluster/member/member_test.go
@@ -13,11 +13,11 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// fastTiming is a fifth of the defaults, so that a test sees a death within its time.
+// fastTiming has intervals of a tenth to a third of the defaults, so that a test sees a death within eventually's bound.
 var fastTiming = Timing{ProbeInterval: 150 * time.Millisecond, ProbeTimeout: 75 * time.Millisecond, GossipInterval: 40 * time.Millisecond,
 	SnapshotInterval: 50 * time.Millisecond, RejoinInterval: 300 * time.Millisecond, StreamTimeout: 500 * time.Millisecond}
 
-// addressBook holds where the processes of one test listen, as a settings file would.
+// addressBook maps the processes of one test to their gossip addresses, as a cluster file would.
 type addressBook struct {
 	mu    sync.Mutex
 	addrs map[view.Name]string
@@ -64,7 +64,8 @@
 	return m
 }
 
-// eventually waits until f holds, with a bound far above what that takes.
+// eventually waits until f returns true, for 20 s at most, which is far above what any step takes. On failure it logs the
+// views of the members at.
 func eventually(t *testing.T, what string, f func() bool, at ...*Members) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !f(); time.Sleep(10 * time.Millisecond) {
@@ -72,7 +73,7 @@
 			for _, m := range at {
 				t.Logf("%+v", m.View())
 			}
-			t.Fatalf("never: %s", what)
+			t.Fatalf("did not happen within 20 s: %s", what)
 		}
 	}
 }
@@ -82,14 +83,16 @@
 	return found && s.State == state && s.Incarnation == incarnation
 }
 
+// TestOtherClusterIsRejected checks that members of two clusters that have each other as seeds never see each other, and
+// that a cluster needs a name.
 func TestOtherClusterIsRejected(t *testing.T) {
 	t.Parallel()
 	p := &addressBook{addrs: map[view.Name]string{}}
 	a := p.start(t, "a", 1, nil)
 	other := p.start(t, "b", 1, func(o *Options) { o.Cluster = "other fleet" })
 	c := p.start(t, "c", 1, nil)
-	eventually(t, "c is here", func() bool { return hasState(a, "c", view.Alive, 1) })
-	time.Sleep(4 * fastTiming.RejoinInterval) // both have b for a seed and go on trying
+	eventually(t, "a sees c alive", func() bool { return hasState(a, "c", view.Alive, 1) })
+	time.Sleep(4 * fastTiming.RejoinInterval) // a and c have b as a seed and keep trying to join it
 	for _, m := range []*Members{a, c, other} {
 		for _, s := range m.View().Members {
 			if (s.Name == "b") != (m == other) {
@@ -98,12 +101,13 @@
 		}
 	}
 	if _, err := Start(Options{Self: a.Self()}); err == nil {
-		t.Error("a cluster without a name was started")
+		t.Error("a member of a cluster without a name was started")
 	}
 }
 
-// TestNameConflict: the later incarnation owns the name everywhere, the earlier is notified and ends its membership, and
-// they do not alternate. Others know only the addresses that both announce.
+// TestNameConflict checks that of two processes of one name the one with the later incarnation owns the name at all
+// members, that the other is notified once and ends its membership, and that they do not alternate. The other members
+// reach both at the addresses that these announce.
 func TestNameConflict(t *testing.T) {
 	t.Parallel()
 	p := &addressBook{addrs: map[view.Name]string{}}
@@ -121,17 +125,17 @@
 	a := p.start(t, "a", 1, func(o *Options) { o.Reach = reach })
 	b := p.start(t, "b", 1, func(o *Options) { o.Reach = reach })
 	first := p.start(t, "x", 4, conflicting)
-	eventually(t, "the first is here", func() bool { return hasState(a, "x", view.Alive, 4) && hasState(b, "x", view.Alive, 4) })
+	eventually(t, "a and b see the first process alive", func() bool { return hasState(a, "x", view.Alive, 4) && hasState(b, "x", view.Alive, 4) })
 	first.mu.Lock()
-	first.metAt -= settlingPeriod // it has been here for long
+	first.firstMetAt -= settlingPeriod // it may not raise its incarnation any more
 	first.mu.Unlock()
 	second := p.start(t, "x", 5, conflicting)
-	eventually(t, "the first is notified", func() bool { return len(conflicts) > 0 })
+	eventually(t, "the first process is notified", func() bool { return len(conflicts) > 0 })
 	if l := <-conflicts; l.Incarnation != 5 {
-		t.Errorf("notified of %+v", l)
+		t.Errorf("notified of %+v, want incarnation 5", l)
 	}
 	for range 50 {
-		eventually(t, "the later has the name", func() bool {
+		eventually(t, "a and b see the later incarnation", func() bool {
 			s, _ := b.View().Find("x")
 			return hasState(a, "x", s.State, 5) && s.Incarnation == 5
 		})
@@ -140,7 +144,7 @@
 	if err := first.Leave(time.Second); err != nil {
 		t.Error(err)
 	}
-	eventually(t, "it is still here", func() bool {
+	eventually(t, "the second process is alive after the first one called Leave", func() bool {
 		return hasState(a, "x", view.Alive, 5) && hasState(second, "a", view.Alive, 1)
 	})
 	if len(conflicts) > 0 {
@@ -148,15 +152,15 @@
 	}
 }
 
-// TestReachableOnlyThroughRelays: a and b reach each other through relays alone; each takes the other for dead
-// during a partition, and both return as the same incarnation after it.
+// TestReachableOnlyThroughRelays checks that a and b, which reach each other only through relays, declare each other dead
+// during a partition, and are alive with the same incarnations after it.
 func TestReachableOnlyThroughRelays(t *testing.T) {
 	t.Parallel()
 	p := &addressBook{addrs: map[view.Name]string{}}
 	relays := map[view.Name]*relay{"a": newRelay(t), "b": newRelay(t)}
 	start := func(name, other view.Name) *Members {
 		return p.start(t, name, 1, func(o *Options) {
-			o.Advertise = "127.0.0.1:9" // the announced address is useless here
+			o.Advertise = "127.0.0.1:9" // an address at which nothing listens
 			o.Reach = func(n view.Name) (string, bool) { return relays[n].addr, n == other }
 		})
 	}
@@ -166,16 +170,17 @@
 	both := func(state view.State) func() bool {
 		return func() bool { return hasState(a, "b", state, 1) && hasState(b, "a", state, 1) }
 	}
-	eventually(t, "both are here", both(view.Alive))
+	eventually(t, "both are alive", both(view.Alive))
 	relays["a"].forwardTo("")
 	relays["b"].forwardTo("")
-	eventually(t, "both are cut off", both(view.Dead))
+	eventually(t, "both are dead during the partition", both(view.Dead))
 	relays["a"].forwardTo(a.Addr())
 	relays["b"].forwardTo(b.Addr())
-	eventually(t, "both are back, as the same incarnations", both(view.Alive))
+	eventually(t, "both are alive with the same incarnations after the partition", both(view.Alive))
 }
 
-// TestSuspendedProcess: a process that neither sends nor receives, as under SIGSTOP, returns as the same incarnation.
+// TestSuspendedProcess checks that a process that neither sends nor receives for some time, as under SIGSTOP, is declared
+// dead and is alive with the same incarnation afterwards.
 func TestSuspendedProcess(t *testing.T) {
 	t.Parallel()
 	p := &addressBook{addrs: map[view.Name]string{}}
@@ -185,27 +190,28 @@
 	var suspended sync.Mutex
 	c := p.start(t, "c", 1, func(o *Options) {
 		o.Reach = func(n view.Name) (string, bool) {
-			suspended.Lock() // while it is suspended it sends nothing
+			suspended.Lock() // blocks while c is suspended, so that it sends nothing
 			defer suspended.Unlock()
 			return p.addressOf(n)
 		}
 	})
 	relayToC.forwardTo(c.Addr())
-	eventually(t, "c is here", func() bool { return hasState(a, "c", view.Alive, 1) && hasState(c, "b", view.Alive, 1) })
+	eventually(t, "a and c have met", func() bool { return hasState(a, "c", view.Alive, 1) && hasState(c, "b", view.Alive, 1) })
 	suspended.Lock()
 	relayToC.forwardTo("")
 	eventually(t, "c is dead", func() bool { return hasState(a, "c", view.Dead, 1) && hasState(b, "c", view.Dead, 1) })
 	relayToC.forwardTo(c.Addr())
 	suspended.Unlock()
-	eventually(t, "c is back, as the same incarnation", func() bool {
+	eventually(t, "c is alive again with the same incarnation", func() bool {
 		return hasState(a, "c", view.Alive, 1) && hasState(b, "c", view.Alive, 1)
 	})
 }
 
+// TestNothingListensBeyondLoopback checks that without Options.Listen gossip is bound to loopback.
 func TestNothingListensBeyondLoopback(t *testing.T) {
 	p := &addressBook{addrs: map[view.Name]string{}}
 	host, _, err := net.SplitHostPort(p.start(t, "a", 1, nil).Addr())
 	if err != nil || !net.ParseIP(host).IsLoopback() {
-		t.Errorf("bound to %q: %v", host, err)
+		t.Errorf("bound to %q, want a loopback address: %v", host, err)
 	}
 }
--- a/internal/cluster/member/meta.go
+++ b/internal/cluster/member/meta.go
@@ -1,7 +1,7 @@
 package member
 
-// This file encodes what a process announces of itself as the metadata that memberlist gossips with its name, and
-// decodes and caches that of others.
+// This file encodes the metadata that memberlist gossips with this process's name, and decodes and caches the metadata of
+// other processes.
 
 import (
 	"bytes"
@@ -14,8 +14,8 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// nodeMeta is a member on the wire. Its keys are short, as the library allows 512 bytes and sends all metadata again
-// with each push/pull exchange; usual values are omitted.
+// nodeMeta is the wire format of a member's metadata. Its keys are short and common values are omitted, as the library
+// allows 512 bytes and sends all metadata again with each push/pull exchange.
 type nodeMeta struct {
 	Incarnation view.Incarnation `json:"i"`
 	Zone        view.Zone        `json:"z,omitempty"`
@@ -26,10 +26,10 @@
 	Consensus   string           `json:"c,omitempty"`
 	Empty       bool             `json:"e,omitempty"`
 	Folder      string           `json:"d,omitempty"`
-	Voted       bool             `json:"v,omitempty"`
+	HasRecords  bool             `json:"v,omitempty"`
 }
 
-// encodeMeta returns a member's metadata. It fails when that is longer than the library carries.
+// encodeMeta returns a member's encoded metadata, or an error if it is longer than the library allows.
 func encodeMeta(s roster.Observation) ([]byte, error) {
 	m := s.Member
 	body, err := json.Marshal(nodeMeta{m.Incarnation, m.Zone, m.Region, m.Size == view.Small, s.GossipAddr, m.HTTP, m.Raft,
@@ -38,8 +38,8 @@
 		return nil, err
 	}
 	if len(body) > memberlist.MetaMaxSize {
-		return nil, fmt.Errorf("member %q: its metadata takes %d bytes, at most %d are carried: "+
-			"shorten its zone, region, folder or addresses", m.Name, len(body), memberlist.MetaMaxSize)
+		return nil, fmt.Errorf("member %q: metadata takes %d bytes, limit is %d: "+
+			"shorten the zone, the region, the folder's id or the addresses", m.Name, len(body), memberlist.MetaMaxSize)
 	}
 	return body, nil
 }
@@ -50,14 +50,15 @@
 	memberlist.StateLeft: view.Left, memberlist.StateDead: view.Dead,
 }
 
-// decodeMeta reads the metadata and state of a process that the library knows.
+// decodeMeta returns the metadata and state of a process that the library knows. It returns an error if the metadata is
+// not valid JSON or has no incarnation.
 func decodeMeta(n *memberlist.Node) (roster.Observation, error) {
 	var meta nodeMeta
 	if err := json.Unmarshal(n.Meta, &meta); err != nil {
-		return roster.Observation{}, fmt.Errorf("member %q: its metadata cannot be read: %w", n.Name, err)
+		return roster.Observation{}, fmt.Errorf("member %q: invalid metadata: %w", n.Name, err)
 	}
 	if meta.Incarnation == 0 {
-		return roster.Observation{}, fmt.Errorf("member %q: its metadata has no incarnation", n.Name)
+		return roster.Observation{}, fmt.Errorf("member %q: metadata without an incarnation", n.Name)
 	}
 	size := view.Large
 	if meta.Small {
@@ -66,23 +67,24 @@
 	return roster.Observation{GossipAddr: meta.Gossip, Member: view.Member{
 		Life: view.Life{Name: view.Name(n.Name), Incarnation: meta.Incarnation},
 		Zone: meta.Zone, Region: meta.Region, Size: size, State: stateOf[n.State], HTTP: meta.HTTP, Raft: meta.Consensus,
-		Empty: meta.Empty, Folder: meta.Folder, HasRecords: meta.Voted,
+		Empty: meta.Empty, Folder: meta.Folder, HasRecords: meta.HasRecords,
 	}}, nil
 }
 
-// metaCache holds the last metadata decoded of each name, so that it is decoded again only where it changed: decoding
-// unchanged metadata took two thirds of a snapshot, and of all that gossip and exchanges bring. Each snapshot drops the
-// names that it no longer holds.
+// metaCache holds the last decoded metadata of each name, so that only changed metadata is decoded again. Decoding
+// unchanged metadata took two thirds of the time of a snapshot, and of processing what gossip and exchanges deliver.
+// Each snapshot removes the names that it does not contain.
 type metaCache map[string]decodedMeta
 
-// decodedMeta is one member's metadata as received, and what it decodes to.
+// decodedMeta is one member's metadata with the result of decoding it.
 type decodedMeta struct {
-	meta     []byte
-	observed roster.Observation
-	err      error
+	meta     []byte             // as received
+	observed roster.Observation // valid if err is nil
+	err      error              // of decodeMeta
 }
 
-// lookup returns a node's metadata, decoded if it is not the cached one. It does not store it.
+// lookup returns a node's decoded metadata, from the cache if the cached metadata is the same. It does not change the
+// cache.
 func (c metaCache) lookup(n *memberlist.Node) decodedMeta {
 	entry, known := c[n.Name]
 	if !known || !bytes.Equal(entry.meta, n.Meta) {
@@ -92,8 +94,8 @@
 	return entry
 }
 
-// refresh replaces the cache's content by the metadata of a snapshot's nodes, and returns it in the nodes' order with
-// their present states.
+// refresh replaces the cache's content by the metadata of a snapshot's nodes, and returns that in the order of the nodes,
+// with their current states.
 func (c *metaCache) refresh(nodes []*memberlist.Node) []decodedMeta {
 	entries, next := make([]decodedMeta, 0, len(nodes)), make(metaCache, len(nodes))
 	for _, n := range nodes {
--- a/internal/cluster/member/meta_test.go
+++ b/internal/cluster/member/meta_test.go
@@ -9,7 +9,8 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// TestMetaCache: a cached entry equals what decoding would give, and only the last snapshot's members are cached.
+// TestMetaCache checks that refresh returns the same as decoding each node would, and that the cache holds only the
+// members of the last snapshot.
 func TestMetaCache(t *testing.T) {
 	node := func(name string, incarnation view.Incarnation, state memberlist.NodeStateType) *memberlist.Node {
 		meta, err := encodeMeta(roster.Observation{Member: view.Member{Life: view.Life{Name: view.Name(name), Incarnation: incarnation}, Zone: "z"}})
@@ -34,7 +35,7 @@
 			}
 		}
 		if len(c) != len(snapshot) {
-			t.Errorf("snapshot %d: %d of %d are cached", i, len(c), len(snapshot))
+			t.Errorf("snapshot %d: the cache has %d entries, want %d", i, len(c), len(snapshot))
 		}
 	}
 }
--- a/internal/cluster/member/relay_test.go
+++ b/internal/cluster/member/relay_test.go
@@ -10,11 +10,11 @@
 	"flaxcove/internal/loopback"
 )
 
-// relay forwards packets and streams to its target; without one it drops packets and closes streams.
+// relay forwards packets and streams to its target. Without a target it drops packets and closes streams.
 type relay struct {
-	addr   string
+	addr   string // on which it listens
 	mu     sync.Mutex
-	addrTo string
+	addrTo string // the target; "" for none
 }
 
 func (r *relay) forwardTo(to string) {
--- a/internal/cluster/member/roster/roster_test.go
+++ b/internal/cluster/member/roster/roster_test.go
@@ -14,13 +14,13 @@
 	return Observation{Member: view.Member{Life: view.Life{Name: name, Incarnation: incarnation}, State: state}, GossipAddr: "a"}
 }
 
-// TestInvariantsUnderAnyTrace applies random events to a roster and checks the invariants of its view after each.
+// TestInvariantsUnderAnyTrace applies random observations to a roster and checks the invariants of its view after each.
 func TestInvariantsUnderAnyTrace(t *testing.T) {
-	bounds := Bounds{RetainGone: time.Minute, MaxGone: 3, MaxHere: 6}
+	bounds := Bounds{RetainGone: time.Minute, MaxGone: 3, MaxPresent: 6}
 	rapid.Check(t, func(t *rapid.T) {
 		var now view.Uptime
 		r := New(observed("self", 1, view.Alive), bounds, now)
-		lastMembers := map[view.Name]view.Member{} // what the last view showed
+		lastMembers := map[view.Name]view.Member{} // of the last view
 		lastVersion := r.View().Version
 		drawObservation := func(t *rapid.T) Observation {
 			return observed(view.Name(fmt.Sprintf("p%d", rapid.IntRange(0, 8).Draw(t, "name"))),
@@ -35,12 +35,12 @@
 				m, byName := r.View().Find(s.Member.Name)
 				if known && previous.Incarnation > s.Member.Incarnation {
 					if m != previous {
-						t.Fatalf("an earlier incarnation turned %+v into %+v", previous, m)
+						t.Fatalf("an earlier incarnation changed %+v to %+v", previous, m)
 					}
 				} else if byName && (m.State != state || m.Incarnation != s.Member.Incarnation) {
-					t.Fatalf("observed %+v as %d, shown %+v", s.Member, state, m)
+					t.Fatalf("observed %+v in state %d, the view has %+v", s.Member, state, m)
 				} else if known && !byName && (view.Member{State: state}).Present() {
-					t.Fatalf("%s was forgotten", s.Member.Name)
+					t.Fatalf("present member %s is missing from the view", s.Member.Name)
 				}
 			}
 		}
@@ -64,12 +64,12 @@
 				for i, m := range v.Members {
 					byName[m.Name] = m
 					if i > 0 && v.Members[i-1].Name >= m.Name {
-						t.Fatalf("not by name: %v", v.Members)
+						t.Fatalf("not sorted by name: %v", v.Members)
 					}
 					if since, _ := r.StateSince(m.Name); !m.Present() {
 						gone++
 						if now-since > bounds.RetainGone {
-							t.Fatalf("%s is retained for %v", m.Name, now-since)
+							t.Fatalf("%s is gone and has been retained for %v, limit is %v", m.Name, now-since, bounds.RetainGone)
 						}
 					} else {
 						here++
@@ -78,20 +78,20 @@
 						t.Fatalf("%s went back from incarnation %d to %d", m.Name, previous.Incarnation, m.Incarnation)
 					}
 				}
-				// Retained gone members may return, so only both bounds together hold.
-				if gone > bounds.MaxGone || here > bounds.MaxHere+bounds.MaxGone {
-					t.Fatalf("%d here, %d gone", here, gone)
+				// A retained member that is gone may return although MaxPresent members are present.
+				if gone > bounds.MaxGone || here > bounds.MaxPresent+bounds.MaxGone {
+					t.Fatalf("%d members are present and %d gone, bounds are %+v", here, gone, bounds)
 				}
 				if self, byName := v.Find("self"); !byName || self.State != view.Alive {
-					t.Fatalf("self is shown as %+v", self)
+					t.Fatalf("the view has the process itself as %+v", self)
 				}
 				for name, previous := range lastMembers {
 					if _, still := byName[name]; !still && previous.Present() && v.Version == lastVersion {
-						t.Fatalf("%s went without a change", name)
+						t.Fatalf("%s was removed without a new version", name)
 					}
 				}
 				if v.Version < lastVersion || fmt.Sprint(byName) != fmt.Sprint(lastMembers) && len(lastMembers) > 0 && v.Version == lastVersion {
-					t.Fatalf("No %d after %d", v.Version, lastVersion)
+					t.Fatalf("version %d after %d: it decreased, or the members changed without a new version", v.Version, lastVersion)
 				}
 				lastMembers, lastVersion = byName, v.Version
 			},
@@ -99,19 +99,21 @@
 	})
 }
 
+// TestSuspendedAndRestartedMember takes one member through suspicion, death, return with the same incarnation, removal
+// from the snapshot, restart with a later incarnation, leave and expiry.
 func TestSuspendedAndRestartedMember(t *testing.T) {
 	r := New(observed("self", 1, view.Alive), Bounds{}, 0)
 	wantState := func(want view.State, incarnation view.Incarnation) {
 		t.Helper()
 		if m, is := r.View().Find("a"); !is || m.State != want || m.Incarnation != incarnation {
-			t.Errorf("shown as %+v, want state %d of incarnation %d", m, want, incarnation)
+			t.Errorf("the view has %+v, want state %d of incarnation %d", m, want, incarnation)
 		}
 	}
 	r.MarkAlive(observed("a", 2, 0), 1*time.Second)
 	r.MarkSuspected(observed("a", 2, 0), 2*time.Second)
 	r.MarkDead(observed("a", 2, 0), 4*time.Second)
 	wantState(view.Dead, 2)
-	r.MarkAlive(observed("a", 2, 0), 30*time.Second) // resumed, the same incarnation
+	r.MarkAlive(observed("a", 2, 0), 30*time.Second) // resumed with the same incarnation
 	wantState(view.Alive, 2)
 	r.ApplySnapshot(nil, 31*time.Second) // missing from the snapshot
 	wantState(view.Dead, 2)
@@ -127,14 +129,15 @@
 	r.Expire(34*time.Second + DefaultRetainGone)
 	wantState(view.Left, 3)
 	if !r.Expire(35*time.Second+DefaultRetainGone) || r.GossipAddr("a") != "" {
-		t.Error("it is retained longer than configured")
+		t.Error("the member is retained for longer than DefaultRetainGone")
 	}
 }
 
+// TestSupersedesIsAntisymmetric checks that of two observations of one incarnation exactly one supersedes the other.
 func TestSupersedesIsAntisymmetric(t *testing.T) {
 	a, b := observed("a", 2, view.Alive), observed("a", 2, view.Alive)
 	a.GossipAddr = "b"
 	if Supersedes(a, b) == Supersedes(b, a) || !Supersedes(a, b) || Supersedes(a, a) {
-		t.Error("not decided alike from both sides")
+		t.Error("of two addresses of one incarnation not exactly the greater one supersedes the other")
 	}
 }
--- a/internal/cluster/member/snapshot_bench_test.go
+++ b/internal/cluster/member/snapshot_bench_test.go
@@ -13,7 +13,7 @@
 	"flaxcove/lab/capacity/bench"
 )
 
-// aliveMessage is the library's alive message, field by field as it is encoded.
+// aliveMessage has the fields of the library's alive message, in the order in which they are encoded.
 type aliveMessage struct {
 	Incarnation uint32
 	Node        string
@@ -24,9 +24,9 @@
 }
 
 const (
-	labelledPacket = 244 // the library's first byte of a packet with a label
-	aliveKind      = 4   // and of an aliveMessage
-	benchCluster   = "bench"
+	hasLabelMessage  = 244 // the library's first byte of a packet with a label
+	aliveMessageType = 4   // and of an aliveMessage
+	benchCluster     = "bench"
 )
 
 func benchObservation(no int, incarnation view.Incarnation) roster.Observation {
@@ -36,7 +36,8 @@
 		HTTP: "127.0.0.1:18080", Raft: "127.0.0.1:18090", Folder: "0123456789abcdef"}}
 }
 
-// alivePacket is a gossip packet with one process's alive message of a version.
+// alivePacket returns a gossip packet with the alive message of process no. The version is the library's own incarnation
+// number, which is not a view.Incarnation.
 func alivePacket(b *testing.B, no int, version uint32) []byte {
 	meta, err := encodeMeta(benchObservation(no, 1))
 	if err != nil {
@@ -48,11 +49,11 @@
 		b.Fatal(err)
 	}
 	name := clusterLabel(benchCluster)
-	packet := append([]byte{labelledPacket, byte(len(name))}, name...)
-	return append(append(packet, aliveKind), body...)
+	packet := append([]byte{hasLabelMessage, byte(len(name))}, name...)
+	return append(append(packet, aliveMessageType), body...)
 }
 
-// startWithMembers starts a membership that knows n members by gossip, itself included, and probes nobody.
+// startWithMembers starts a membership that has learned of n members, itself included, by gossip. It sends no probes.
 func startWithMembers(b *testing.B, n int) *Members {
 	never := 24 * time.Hour
 	m, err := Start(Options{Cluster: benchCluster, Self: benchObservation(0, 1).Member,
@@ -67,9 +68,9 @@
 	}
 	defer conn.Close()
 	deadline := time.Now().Add(time.Minute)
-	for sent := 0; m.list.NumMembers() < n; { // a packet may be lost: all are sent again until none is missing
+	for sent := 0; m.list.NumMembers() < n; { // packets may be lost, so all are sent again until no member is missing
 		if time.Now().After(deadline) {
-			b.Fatalf("%d of %d members are known", m.list.NumMembers(), n)
+			b.Fatalf("only %d of %d members are known after a minute", m.list.NumMembers(), n)
 		}
 		if _, err := conn.Write(alivePacket(b, 1+sent%(n-1), 1)); err != nil {
 			b.Fatal(err)
@@ -89,13 +90,13 @@
 		b.ReportAllocs()
 		for b.Loop() {
 			if seen := m.takeSnapshot(); seen != n {
-				b.Fatalf("%d of %d seen", seen, n)
+				b.Fatalf("the snapshot has %d members, want %d", seen, n)
 			}
 		}
 	})
 }
 
-// BenchmarkRepeatedAlive measures an alive message of a known process, as gossip and exchanges repeat it.
+// BenchmarkRepeatedAlive measures an alive message of a known process without changes, which gossip and exchanges repeat.
 func BenchmarkRepeatedAlive(b *testing.B) {
 	bench.Sizes(b, "members", []int{66, 660, 4000}, func(b *testing.B, n int) {
 		m := startWithMembers(b, n)
--- a/internal/cluster/member/timing.go
+++ b/internal/cluster/member/timing.go
@@ -1,6 +1,6 @@
 package member
 
-// This file holds how quickly failures are detected and what that costs, and configures the library.
+// This file holds the timing of failure detection and gossip, and the configuration of the memberlist library.
 
 import (
 	"cmp"
@@ -16,65 +16,70 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// Timing configures failure detection and gossip. Zero values stand for the defaults below.
+// Timing configures failure detection and gossip. The zero value of each field stands for its default below.
 type Timing struct {
-	ProbeInterval time.Duration // each process probes one other in turn
-	// ProbeTimeout is for the direct probe; indirect probes and one over a stream follow until ProbeInterval has passed.
+	ProbeInterval time.Duration // each process probes one other process per interval, in turn
+	// ProbeTimeout bounds a direct probe. Indirect probes and one over a stream follow until ProbeInterval has passed.
 	ProbeTimeout time.Duration
-	// SuspicionMult is for how many ProbeInterval (more by log10 of the cluster beyond ten) a silent member is suspected
-	// before it is dead.
+	// SuspicionMult is the number of probe intervals for which a silent member stays suspected before it is declared dead.
+	// It is multiplied by the decimal logarithm of the cluster's size beyond ten members.
 	SuspicionMult    int
-	GossipInterval   time.Duration // how often messages are gossiped, to three others
-	PushPullInterval time.Duration // how often full state is exchanged with one other; longer with each doubling beyond 32
-	SnapshotInterval time.Duration // how often the library's states are read, apart from the events that it reports
-	RejoinInterval   time.Duration // between two attempts to join a seed that is missing
+	GossipInterval   time.Duration // between two rounds of gossip, each to three other processes
+	PushPullInterval time.Duration // between two push/pull exchanges; longer with each doubling of the cluster beyond 32
+	SnapshotInterval time.Duration // between two regular snapshots of the library's states; its events cause further ones
+	RejoinInterval   time.Duration // between two attempts to join a missing seed
 	StreamTimeout    time.Duration // bounds one exchange over a stream
 }
 
-// Defaults, chosen for one site on a good network and checked by TestTraffic: a process that dies is probed by somebody
-// within ProbeInterval and suspected ProbeInterval later; of 30 it is dead 3 s after it fell silent.
+// Defaults of Timing for one site on a good network; TestTraffic measures them. A process that dies is probed by another
+// one within ProbeInterval and suspected ProbeInterval later. In a cluster of 30 it is declared dead 3 s after it fell
+// silent.
 const (
 	defaultProbeInterval  = 500 * time.Millisecond
-	defaultProbeTimeout   = 250 * time.Millisecond // 30 to 40 ms across zones, twice with an indirect probe, and a margin
+	defaultProbeTimeout   = 250 * time.Millisecond // 30 to 40 ms across zones, twice that for an indirect probe, and a margin
 	defaultSuspicionMult  = 3
 	defaultGossipInterval = 200 * time.Millisecond
-	// defaultPushPullInterval is for anti-entropy only: at 30 processes an exchange costs some 6 KB each way, which at the
-	// library's default of half a minute would be the larger part of the traffic budget.
+	// defaultPushPullInterval serves anti-entropy only. At 30 processes an exchange costs some 6 KB each way; at the
+	// library's default of half a minute exchanges would use the larger part of the traffic budget.
 	defaultPushPullInterval = time.Minute
 	defaultSnapshotInterval = 250 * time.Millisecond
-	// defaultRejoinInterval bounds how long two halves stay apart after a partition longer than gossipToDeadTime.
+	// defaultRejoinInterval bounds how long two halves of the cluster stay separate after a partition that lasted longer
+	// than gossipToDeadTime.
 	defaultRejoinInterval = 3 * time.Second
 	defaultStreamTimeout  = 2 * time.Second
 
-	// gossipToDeadTime is how long the dead still receive gossip, so that one that resumes can refute what is said of it.
+	// gossipToDeadTime is how long members that were declared dead still receive gossip, so that a process that resumes
+	// can refute its death.
 	gossipToDeadTime = 30 * time.Second
-	// isolationProbes is for how many ProbeInterval all probes may fail before the process counts as having been suspended
-	// or isolated: it then exchanges full state with another.
+	// isolationProbes is the number of probe intervals without an answer after which a process assumes that it was
+	// suspended or isolated, and runs a push/pull exchange with another member.
 	isolationProbes = 6
-	// settlingPeriod is how long after it met its first member a process may still find that its name was used with a
-	// later incarnation, and raise its own above it. Later on such a find means that another process took the name over.
+	// settlingPeriod is the time after it met its first member in which a process may raise its incarnation above a later
+	// one that the cluster knows of its name. After that time a later incarnation means that another process took over the
+	// name.
 	settlingPeriod = 10 * time.Second
-	maxRaises      = 3
-	// expectedRejoiners is how many members, on average, try to join a missing one in each RejoinInterval: enough to end a
-	// partition in a few seconds, without a stampede on a process that starts.
+	maxRaises      = 3 // raises of the incarnation in one run of the process
+	// expectedRejoiners is how many members, on average, try to join a missing member in each RejoinInterval. It is enough
+	// to end a partition within a few seconds without overloading a process that starts.
 	expectedRejoiners = 4
-	maxJoinsPerRound  = 16 // while alone, in one round; seeds come first
-	// snapshotIntervalPerMember spaces regular snapshots out beyond a hundred members: one costs 9 us a member
-	// (BenchmarkSnapshot), and with the pause after it snapshots take 0.2% of a core at rest. Of 660 members a suspicion is
-	// seen 2.8 s late at most, of 1,000 4.3 s; joins, leaves and deaths are events, and seen at once whatever the size.
+	maxJoinsPerRound  = 16 // while no other member is present; seeds come first
+	// snapshotIntervalPerMember lengthens the interval between regular snapshots beyond a hundred members. A snapshot
+	// costs 9 us for each member (BenchmarkSnapshot); with the pause after each, snapshots take 0.2% of a core at rest. A
+	// suspicion is seen at most 2.8 s late at 660 members, and 4.3 s late at 1,000. Joins, leaves and deaths are reported
+	// as events, and seen at once at any size.
 	snapshotIntervalPerMember = 2500 * time.Microsecond
 
-	// coalesceDelay is how long further events of the same moment are awaited: a zone's failure arrives in many packets.
+	// coalesceDelay is the wait for further events after a first one, as the failure of a zone arrives in many packets.
 	coalesceDelay = 20 * time.Millisecond
-	// snapshotPauseFactor and notifyPauseFactor bound the cost of snapshots and notifications under continuous change:
-	// each is followed by a pause of that many times its duration, maxPause at most, so that either takes half a percent
-	// of a core. At 660 members a snapshot takes 6 ms and a notification 3 ms. Fixed pauses, and a share of two percent,
-	// kept a machine with several hundred members that was too busy to answer probes overloaded for good.
+	// snapshotPauseFactor and notifyPauseFactor bound the cost of snapshots and notifications under continuous change.
+	// Each is followed by a pause of that many times its duration, maxPause at most, so that either takes half a percent
+	// of a core. At 660 members a snapshot takes 6 ms and a notification 3 ms. With fixed pauses, and with a share of two
+	// percent of a core, a machine with several hundred members that was once too busy to answer probes stayed overloaded.
 	snapshotPauseFactor, notifyPauseFactor = 200, 200
 	maxPause                               = 2 * time.Second
 )
 
-// withDefaults returns t with defaults for zero values.
+// withDefaults returns t with the defaults in place of zero values.
 func (t Timing) withDefaults() Timing {
 	return Timing{
 		ProbeInterval:    cmp.Or(t.ProbeInterval, defaultProbeInterval),
@@ -88,23 +93,24 @@
 	}
 }
 
-// baseConfig is the configuration that both of the library's instances have in common.
+// baseConfig returns the configuration that both of the library's instances share: the one that holds the cluster's
+// members, and the snapshot instance.
 func baseConfig(name, label string) *memberlist.Config {
 	conf := memberlist.DefaultLANConfig()
 	conf.Name, conf.Label = name, label
-	conf.BindAddr, conf.AdvertiseAddr = "127.0.0.1", "127.0.0.1" // both unused: the transport has its own
-	conf.EnableCompression = false                               // of little use for small packets, and costly for snapshots
+	conf.BindAddr, conf.AdvertiseAddr = "127.0.0.1", "127.0.0.1" // unused: the transport has addresses of its own
+	conf.EnableCompression = false                               // saves little on small packets, and is costly in snapshots
 	conf.RequireNodeNames = true                                 // the transport addresses members by name only
 	return conf
 }
 
-// config is the configuration of the instance that has the cluster's members.
+// config returns the configuration of the instance that holds the cluster's members.
 func (t Timing) config(name, label string) *memberlist.Config {
 	conf := baseConfig(name, label)
 	conf.ProbeInterval, conf.ProbeTimeout = t.ProbeInterval, t.ProbeTimeout
 	conf.SuspicionMult = t.SuspicionMult
-	conf.SuspicionMaxTimeoutMult = 3 // until another member confirms the suspicion
-	conf.AwarenessMaxMultiplier = 4  // a process that receives nothing suspects itself first, but not for long
+	conf.SuspicionMaxTimeoutMult = 3 // applies until other members confirm the suspicion
+	conf.AwarenessMaxMultiplier = 4  // bounds how much a process whose probes are not answered slows its probes down
 	conf.GossipInterval, conf.GossipToTheDeadTime = t.GossipInterval, gossipToDeadTime
 	conf.PushPullInterval = t.PushPullInterval
 	conf.TCPTimeout = t.StreamTimeout
@@ -112,17 +118,18 @@
 	return conf
 }
 
-// clusterLabel is the label that every packet and stream carries; the library drops those with another. It is a hash of
-// the cluster's name in eight letters, as the name itself would be a tenth of the traffic; two names collide with a
-// probability of 2^-48.
+// clusterLabel returns the label that every packet and stream of a cluster carries; the library drops those with another
+// label. It is a hash of the cluster's name in eight characters, as the name itself would be a tenth of the traffic. Two
+// names collide with a probability of 2^-48.
 func clusterLabel(cluster string) string {
 	var sum [8]byte
 	binary.BigEndian.PutUint64(sum[:], xxhash.Sum64String(cluster))
 	return base64.RawURLEncoding.EncodeToString(sum[:6])
 }
 
-// newLibraryLogger forwards the library's log lines without its debug output, at most twenty of a kind a minute: a
-// stranger that keeps sending packets must not fill the disk.
+// newLibraryLogger returns a logger that forwards the library's log lines, without its debug output, to another. It
+// forwards at most twenty lines of a kind per minute, so that a foreign host that keeps sending packets cannot fill the
+// disk.
 func newLibraryLogger(to *zap.Logger) *log.Logger {
 	sampled := to.WithOptions(zap.WrapCore(func(c zapcore.Core) zapcore.Core {
 		return zapcore.NewSamplerWithOptions(c, time.Minute, 20, 0)
@@ -145,7 +152,7 @@
 	return len(b), nil
 }
 
-// pauseAfter is the pause after work that took so long: factor times as long, maxPause at most.
+// pauseAfter returns the pause after work that took the given time: factor times as long, maxPause at most.
 func pauseAfter(took time.Duration, factor int) time.Duration {
 	return min(time.Duration(factor)*took, maxPause)
 }
--- a/internal/cluster/member/timing_test.go
+++ b/internal/cluster/member/timing_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// TestPauseAfter: the pause grows with the cost, up to maxPause.
+// TestPauseAfter checks that the pause grows with the duration of the work, up to maxPause.
 func TestPauseAfter(t *testing.T) {
 	for took, want := range map[time.Duration]time.Duration{
 		0:                      0,
@@ -14,7 +14,7 @@
 		time.Second:            maxPause,
 	} {
 		if got := pauseAfter(took, snapshotPauseFactor); got != want {
-			t.Errorf("after %v: %v, want %v", took, got, want)
+			t.Errorf("pause after %v: %v, want %v", took, got, want)
 		}
 	}
 }
--- a/internal/cluster/member/traffic_test.go
+++ b/internal/cluster/member/traffic_test.go
@@ -11,10 +11,10 @@
 	"flaxcove/internal/cluster/view"
 )
 
-var trafficProcesses = flag.Int("traffic", 0, "measure the gossip of so many processes, for three minutes")
+var trafficProcesses = flag.Int("traffic", 0, "number of processes whose gossip is measured, for three minutes")
 
-// TestTraffic prints what one process of many sends while nothing happens, and how soon one that dies is suspected and
-// dead. Only with -traffic N: it takes over three minutes.
+// TestTraffic logs how much gossip each of N processes sends while nothing changes, and how soon all others see one that
+// dies as suspected and as dead. It runs with -traffic N only, as it takes over three minutes.
 func TestTraffic(t *testing.T) {
 	if *trafficProcesses == 0 {
 		t.Skip("only with -traffic N")
@@ -38,9 +38,9 @@
 		return true
 	}
 	began := time.Now()
-	eventually(t, "all are here", here)
+	eventually(t, "all see all", here)
 	t.Logf("all see all after %v", time.Since(began).Round(10*time.Millisecond))
-	time.Sleep(2 * defaultPushPullInterval) // the first exchange comes after one to two of its spans
+	time.Sleep(2 * defaultPushPullInterval) // the first exchange comes after one to two intervals
 	sum := func() (b, n int64, cpu time.Duration) {
 		for _, m := range all {
 			mb, mn := m.Sent()
@@ -65,7 +65,7 @@
 	_ = gone.Close()
 	began = time.Now()
 	for _, state := range []view.State{view.Suspected, view.Dead} {
-		eventually(t, "seen everywhere", func() bool {
+		eventually(t, fmt.Sprintf("all others see the closed process in state %d", state), func() bool {
 			for _, m := range all[:len(all)-1] {
 				if s, _ := m.View().Find(name); s.State < state {
 					return false
@@ -73,6 +73,6 @@
 			}
 			return true
 		})
-		t.Logf("state %d everywhere after %v", state, time.Since(began).Round(10*time.Millisecond))
+		t.Logf("all others see state %d after %v", state, time.Since(began).Round(10*time.Millisecond))
 	}
 }
--- a/internal/cluster/member/transport.go
+++ b/internal/cluster/member/transport.go
@@ -1,9 +1,9 @@
 package member
 
-// This file delivers the library's packets and streams by a process's name, never by the address that the library
-// gossips. There may be a relay between any two processes, so only the sender knows which address reaches whom. The
-// library therefore gossips one placeholder address for all members, which also keeps it from rejecting a process that
-// restarts on another port as an address conflict.
+// This file addresses the library's packets and streams by the name of a process, never by the address that the library
+// gossips. There may be a relay between any two processes, so only the sending process knows the address at which it
+// reaches another. The library therefore gossips one placeholder address for all members. This also keeps it from
+// rejecting a process that restarts on another port as an address conflict.
 
 import (
 	"errors"
@@ -19,29 +19,31 @@
 )
 
 const (
-	// placeholderAddr is the address that the library has of every member; nothing is ever sent there.
+	// placeholderAddr is the address that the library has for every member. Nothing is ever sent to it.
 	placeholderAddr = "127.0.0.1:1"
-	// maxBindAttempts bounds the ephemeral ports tried until one is free for both UDP and TCP.
+	// maxBindAttempts is how many ephemeral ports are tried to find one that is free for both UDP and TCP.
 	maxBindAttempts = 10
 )
 
+// errNoAddress is the error of a packet or stream to a process whose address is unknown, or from which this one is
+// partitioned.
 var errNoAddress = errors.New("no address is known for this name")
 
-// joinAddr is a member in the form in which the library's Join takes it: name and address.
+// joinAddr returns a member's name and address in the form that the library's Join takes.
 func joinAddr(name string) string { return name + "/" + placeholderAddr }
 
-// transport is the library's own transport over UDP and TCP, addressed by name.
+// transport is the library's transport over UDP and TCP, with members addressed by name.
 type transport struct {
 	*memberlist.NetTransport
 	snapshots       *snapshotter
 	addressOf       func(name view.Name) (addr string, known bool) // Members.addressOf
-	partitionedFrom func(name view.Name) bool                      // Options.Cut; may be nil
-	bytesSent       atomic.Int64                                   // of packets sent, and of streams dialled in both directions
+	partitionedFrom func(name view.Name) bool                      // Options.Partitioned; may be nil
+	bytesSent       atomic.Int64                                   // of packets sent, and of dialled streams in both directions
 	packetsSent     atomic.Int64
 }
 
-// bind listens on one address for packets and streams. Port 0 stands for an ephemeral port; as both protocols need the
-// same one, a few attempts may be needed.
+// bind listens for packets and streams on the address listen, and returns the library's transport with the bound address.
+// Port 0 stands for an ephemeral port. As UDP and TCP need the same port, bind tries up to maxBindAttempts of these.
 func bind(listen string, logger *log.Logger) (*memberlist.NetTransport, string, error) {
 	addr, err := net.ResolveTCPAddr("tcp", listen)
 	if err != nil {
@@ -63,13 +65,13 @@
 	}
 }
 
-// FinalAdvertiseAddr returns the placeholder, which the library gossips as this process's address.
+// FinalAdvertiseAddr returns placeholderAddr, which the library gossips as this process's address.
 func (t *transport) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
 	return net.IPv4(127, 0, 0, 1).To4(), 1, nil
 }
 
-// WriteToAddress sends a packet to a name. A name without an address fails as an unreachable host does, so that the
-// process is suspected instead of counting as alive for ever.
+// WriteToAddress sends a packet to the process that a.Name names. Without a known address it returns the error of an
+// unreachable host, so that the process is suspected instead of counting as alive forever.
 func (t *transport) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
 	addr, known := t.addressOf(view.Name(a.Name))
 	if !known {
@@ -83,12 +85,12 @@
 	return t.NetTransport.WriteToAddress(b, memberlist.Address{Addr: addr, Name: a.Name})
 }
 
-// isPartitioned reports whether what is sent to a name is lost.
+// isPartitioned reports whether packets and streams to the named process are dropped, by Options.Partitioned.
 func (t *transport) isPartitioned(name view.Name) bool {
 	return t.partitionedFrom != nil && t.partitionedFrom(name)
 }
 
-// DialAddressTimeout opens a stream to a name.
+// DialAddressTimeout opens a stream to the process that a.Name names, or to the snapshot instance.
 func (t *transport) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
 	if a.Name == snapshotNode {
 		return t.snapshots.dial(timeout)
--- a/internal/cluster/node.go
+++ b/internal/cluster/node.go
@@ -23,35 +23,39 @@
 	"flaxcove/internal/sender/clusterapi"
 )
 
-// This file starts the parts of a node in order and ends them in reverse.
+// This file starts the components of a node in order and stops them in reverse order.
 
 const (
-	leaveTimeout = 500 * time.Millisecond // for announcing a planned leave
-	closeTimeout = 2 * time.Second        // for closing the link
+	leaveTimeout = 500 * time.Millisecond // bounds the announcement of a planned leave
+	closeTimeout = 2 * time.Second        // bounds closing the link
 )
 
-// Options configure a node.
+// Options configures a node.
 type Options struct {
-	Settings *settings.Settings
+	Settings *settings.Settings // the cluster file of this process
 	Log      *zap.Logger
-	Orders   clusterapi.Orders
-	// Zones are the sender's numbers of zones, by name.
+	Orders   clusterapi.Orders // carries the cluster's requests to the sender
+	// Zones maps the name of each zone to the sender's number for it.
 	Zones map[string]choice.ZoneNo
 	// LongestDeadline is the longest deadline of any class.
 	LongestDeadline time.Duration
-	// SlowStart, SlowStartFrom and FallMultiple are the service's settings for slow start.
+	// SlowStart, SlowStartFrom and FallMultiple are the service's settings for slow start. FallMultiple 0 stands for the
+	// defaults of all three.
 	SlowStart     time.Duration
 	SlowStartFrom float64
 	FallMultiple  float64
-	// RatingIsRate is set if the endpoint list's ratings are calls a second.
+	// RatingIsRate is true if the ratings in the endpoint list are in calls per second.
 	RatingIsRate bool
-	// Partitioned reports processes from which this one is partitioned, for test rigs that run many nodes; nil for none.
+	// Partitioned reports whether a simulated network partition separates this process from the named one. It serves test
+	// rigs that run many nodes; nil means that there is no partition.
 	Partitioned func(view.Name) bool
-	// CheckSettings reports what is wrong with proposed settings for a sender that runs inForce (nil: its own file). Pure.
+	// CheckSettings returns an error if the proposed settings are invalid for a sender that runs the settings inForce;
+	// nil for inForce stands for the settings of its own file. It must be a pure function.
 	CheckSettings func(inForce, proposed json.RawMessage) error
-	// OwnSettings is the settings object of this process's own file: version 0.
+	// OwnSettings is the settings object of this process's own file, which is version 0.
 	OwnSettings json.RawMessage
-	// Running is the version that the sender was started with: stored in the folder by an earlier run, or 0.
+	// Running is the configuration that the sender was started with: the one that an earlier run stored in the cluster
+	// folder, or version 0.
 	Running clusterapi.Configuration
 }
 
@@ -60,7 +64,7 @@
 	opts       Options
 	log        *zap.Logger
 	startedAt  time.Time
-	self       view.Member
+	self       view.Member // as announced at the start
 	folder     *folder.Folder
 	link       *link.Link
 	members    *member.Members
@@ -78,7 +82,8 @@
 	closed bool
 }
 
-// Start joins the cluster. On an error everything that it had started has ended again.
+// Start starts a node, which then joins the cluster in the background. Before it returns an error it stops everything
+// that it had started.
 func Start(opts Options) (n *Node, err error) {
 	n = &Node{opts: opts, log: opts.Log, startedAt: time.Now()}
 	defer func() {
@@ -88,7 +93,7 @@
 		}
 	}()
 	for _, warning := range opts.Settings.Warnings {
-		n.log.Warn("cluster file", zap.String("advice", warning))
+		n.log.Warn("unusual setting in the cluster file", zap.String("advice", warning))
 	}
 	if err = n.openFolder(); err != nil {
 		return n, err
@@ -115,7 +120,8 @@
 	return n, nil
 }
 
-// openFolder starts a new incarnation of this process, which at first sees nobody but itself.
+// openFolder opens the cluster folder, which starts a new incarnation of this process, and sets a view that holds only
+// this process.
 func (n *Node) openFolder() (err error) {
 	here := n.opts.Settings.Self
 	if n.folder, err = folder.Open(here.Folder); err != nil {
@@ -129,7 +135,7 @@
 	return nil
 }
 
-// startLink starts the listener and client for calls between processes.
+// startLink starts the listener and the client for calls between processes.
 func (n *Node) startLink() (err error) {
 	file := n.opts.Settings
 	n.link, err = link.Start(link.Options{
@@ -143,7 +149,7 @@
 	return nil
 }
 
-// startConsensus starts this process's part of the consensus group; a small process has none.
+// startConsensus starts this process's participant of the consensus group. A small process has none.
 func (n *Node) startConsensus() (err error) {
 	parts := map[string]machine.Part{}
 	n.subsystems.registerParts(parts)
@@ -153,7 +159,7 @@
 	file := n.opts.Settings
 	n.consensus, err = consensus.Start(consensus.Options{
 		Partitioned: n.opts.Partitioned, Self: n.self, Cluster: file.Cluster, Folder: filepath.Join(file.Self.Folder, "council"),
-		Listen: file.Self.Listen.Consensus, InitialVoters: file.Founders, Parts: parts, Log: n.log.Named("council"),
+		Listen: file.Self.Listen.Consensus, InitialVoters: file.InitialVoters, Parts: parts, Log: n.log.Named("council"),
 		AddressOf: n.addressOf(func(a settings.Addresses, m view.Member) (string, string) { return a.Consensus, m.Raft }),
 	})
 	if err != nil {
@@ -163,7 +169,7 @@
 	return nil
 }
 
-// startMembership joins the seeds, whose views arrive from then on.
+// startMembership starts the membership, which joins the seeds in the background and calls setView with each new view.
 func (n *Node) startMembership() (err error) {
 	file := n.opts.Settings
 	var seeds []view.Name
@@ -186,25 +192,26 @@
 	return err
 }
 
-// leaveToNameOwner ends this process's part in the cluster: its name is another's.
+// leaveToNameOwner closes this node after the name owner, another process, took over this process's name.
 func (n *Node) leaveToNameOwner(owner view.Life) {
-	n.log.Error("another process has this one's name and a later life; the cluster is left",
+	n.log.Error("another process uses this process's name with a later incarnation; leaving the cluster",
 		zap.String("name", string(owner.Name)), zap.Uint64("incarnation", uint64(owner.Incarnation)))
-	go n.Close() // not here: Close waits for the membership's goroutine, which makes this call
+	go n.Close() // in its own goroutine: Close waits for the membership's goroutine, which makes this call
 }
 
-// storeRaisedIncarnation takes on an incarnation that the membership raised.
+// storeRaisedIncarnation uses the incarnation that the membership raised this process to, and stores it in the folder.
 func (n *Node) storeRaisedIncarnation(to view.Incarnation) {
 	n.link.RaiseIncarnation(to)
 	if err := n.folder.Raise(to - 1); err != nil {
-		n.log.Error("the folder could not store the raised incarnation", zap.Error(err))
+		n.log.Error("storing the raised incarnation in the cluster folder failed", zap.Error(err))
 	}
 }
 
-// Now is for how long this process has been running.
+// Now returns the time since this node started.
 func (n *Node) Now() view.Uptime { return time.Since(n.startedAt) }
 
-// Close leaves the cluster. It may be called twice, and ends within a few seconds.
+// Close leaves the cluster and stops all components; it returns within a few seconds. Further calls do nothing and
+// return nil at once.
 func (n *Node) Close() error {
 	n.mu.Lock()
 	closed := n.closed
@@ -218,7 +225,7 @@
 		n.cancel()
 	}
 	if n.members != nil {
-		n.members.Leave(leaveTimeout) // a member that misses this detects a failure shortly after
+		n.members.Leave(leaveTimeout) // an error is ignored: members that miss the announcement detect a failure shortly after
 		errs = append(errs, n.members.Close())
 	}
 	n.subsystems.close()
--- a/internal/cluster/serve.go
+++ b/internal/cluster/serve.go
@@ -13,20 +13,20 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// This file answers what this process sees of the cluster.
+// This file serves the cluster's status as this process sees it.
 
-// registerHandlers registers everything that this package answers, for members and for the public.
+// registerHandlers registers the handlers of this package, for calls of members and for public requests.
 func (n *Node) registerHandlers() {
 	n.serveLeader()
 	n.serveEvidence()
 	n.servePresence()
 	n.link.Public().HandleFunc("GET /v1/cluster", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(n.Status()) // an error means that the client is gone
+		_ = json.NewEncoder(w).Encode(n.Status()) // an error means that the client has disconnected
 	})
 }
 
-// Status returns what this process sees of the cluster now.
+// Status returns the cluster's status as this process sees it now.
 func (n *Node) Status() *status.Status {
 	topology := n.topology.Load()
 	s := &status.Status{
@@ -55,7 +55,8 @@
 	return s
 }
 
-// addConsensusStatus fills in the leader, and what this process's part of the consensus group has.
+// addConsensusStatus fills in the leader and, where this process takes part in the consensus group, the state of its
+// participant.
 func (n *Node) addConsensusStatus(s *status.Status) {
 	client := consensusClient{n}
 	s.Leader, _ = client.Leader()
@@ -68,7 +69,7 @@
 	s.Traffic.In, s.Traffic.Out = n.consensus.Traffic()
 }
 
-// addFailoverStatus fills in the routing plan in force, and what was decided here.
+// addFailoverStatus fills in the routing plan in force and the counters of the failover subsystem.
 func (n *Node) addFailoverStatus(s *status.Status) {
 	if n.subsystems.failover == nil {
 		return
@@ -82,11 +83,11 @@
 	s.Counts["failover_down"] = int(stats.PlanCalls)
 }
 
-// addPlan fills in a plan that holds until then, with the number of routes that lead away from each zone.
+// addPlan fills in a plan that is in force until the given time, with the number of diverted routes of each zone.
 func (n *Node) addPlan(s *status.Status, p *plan.Plan, until view.Uptime) {
 	text, _ := json.Marshal(p)
 	s.Epoch, s.PlanSum, s.PlanExpiresMS = p.Epoch, crc32.ChecksumIEEE(text), (until - n.Now()).Milliseconds()
-	s.Plan = fmt.Sprintf("%d routes do not go near", len(p.Routes))
+	s.Plan = fmt.Sprintf("%d routes deviate from the home zones", len(p.Routes))
 	s.Counts["plan_routes"] = len(p.Routes)
 	for _, route := range p.Routes {
 		if route.Phase != plan.Diverted {
@@ -96,13 +97,13 @@
 		if len(home) == 0 {
 			home = []view.Zone{route.From}
 		}
-		for _, zone := range home { // one count for each zone at most, so that their number is bounded
+		for _, zone := range home { // one counter for each zone, so that the number of counters is bounded
 			s.Counts["away_from_"+string(zone)]++
 		}
 	}
 }
 
-// addTraffic adds the link's and gossip's traffic to that of the consensus group, and the processor time.
+// addTraffic adds the traffic of the link and of gossip to that of the consensus group, and fills in the processor time.
 func (n *Node) addTraffic(s *status.Status) {
 	in, out := n.link.Traffic()
 	sent, packets := n.members.Sent()
@@ -115,23 +116,23 @@
 	}
 }
 
-// CaughtUp returns a channel that is closed once this process has applied what it missed: purges, and the settings in common.
-// It is nil where neither is followed.
+// CaughtUp returns a channel that is closed once this process has applied the purges and the shared configuration that it
+// missed. It returns nil if the cluster file enables neither feature.
 func (n *Node) CaughtUp() <-chan struct{} {
-	var gates []<-chan struct{}
+	var readies []<-chan struct{}
 	if n.subsystems.purge != nil {
-		gates = append(gates, n.subsystems.purge.Ready())
+		readies = append(readies, n.subsystems.purge.Ready())
 	}
 	if n.subsystems.configuration != nil {
-		gates = append(gates, n.subsystems.configuration.Ready())
+		readies = append(readies, n.subsystems.configuration.Ready())
 	}
-	if len(gates) < 2 {
-		return append(gates, nil)[0]
+	if len(readies) < 2 {
+		return append(readies, nil)[0]
 	}
-	gate := make(chan struct{})
+	allReady := make(chan struct{})
 	n.wg.Go(func() {
-		defer close(gate) // each opens within its own bound, or the node is closed
-		for _, ready := range gates {
+		defer close(allReady) // each subsystem becomes ready within a time of its own, or the node is closed
+		for _, ready := range readies {
 			select {
 			case <-ready:
 			case <-n.done:
@@ -139,5 +140,5 @@
 			}
 		}
 	})
-	return gate
+	return allReady
 }
--- a/internal/cluster/settings/check.go
+++ b/internal/cluster/settings/check.go
@@ -9,20 +9,20 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// settings turns the decoded file into settings and records every problem that it finds.
+// settings returns the settings of a decoded file, and records every problem that it finds.
 func (c *checker) settings(f *form) *Settings {
 	s := &Settings{Cluster: c.name("name", f.Name), Zones: map[view.Zone]view.Region{}}
 	for _, zone := range slices.Sorted(maps.Keys(f.Zones)) {
 		path := "zones." + zone
 		if !validName.MatchString(zone) {
-			c.reject(path, "%q is no name: %s", zone, nameRule)
+			c.reject(path, "%q is not a valid name: %s", zone, nameRule)
 		}
 		s.Zones[view.Zone(zone)] = view.Region(c.name(path, f.Zones[zone]))
 	}
 	claimed := claimedAddresses{}
 	s.Self = c.here(&f.Here, s.Zones, claimed)
 	s.Members = c.members(f.Members, s, claimed)
-	s.Founders = c.founders(f.Founders, s)
+	s.InitialVoters = c.initialVoters(f.Founders, s)
 	s.Features = Features{
 		Failover:      c.boolean("uses.failover", f.Uses.Failover),
 		Purges:        c.boolean("uses.purges", f.Uses.Purges),
@@ -67,20 +67,20 @@
 	return h
 }
 
-// zone returns the zone that a value names, and its region.
-func (c *checker) zone(path string, leaf any, zones map[view.Zone]view.Region) (view.Zone, view.Region) {
-	zone := view.Zone(c.name(path, leaf))
+// zone returns the zone that a value names, and its region. It records a problem if the table [zones] does not have it.
+func (c *checker) zone(path string, value any, zones map[view.Zone]view.Region) (view.Zone, view.Region) {
+	zone := view.Zone(c.name(path, value))
 	region, known := zones[zone]
 	if zone != "" && !known {
-		c.reject(path, "%q has no region under zones", zone)
+		c.reject(path, "%q is not in the table [zones]", zone)
 	}
 	return zone, region
 }
 
-// members reads the tables [[member]], sorted by name.
+// members reads the tables [[member]], and returns the members sorted by name.
 func (c *checker) members(forms []member, s *Settings, claimed claimedAddresses) (members []Member) {
 	if len(forms) > maxMembers {
-		c.reject(fmt.Sprintf("member[%d]", maxMembers), "%d members; at most %d", len(forms), maxMembers)
+		c.reject(fmt.Sprintf("member[%d]", maxMembers), "the file has %d members, limit is %d", len(forms), maxMembers)
 	}
 	firstIndex := map[view.Name]int{}
 	for i := range forms {
@@ -88,13 +88,13 @@
 		m := Member{Name: view.Name(c.name(at+"name", f.Name))}
 		m.Zone, m.Region = c.zone(at+"zone", f.Zone, s.Zones)
 		if j, twice := firstIndex[m.Name]; twice && m.Name != "" {
-			c.reject(at+"name", "%q is taken by member[%d]", m.Name, j)
+			c.reject(at+"name", "%q is already the name of member[%d]", m.Name, j)
 		} else {
 			firstIndex[m.Name] = i
 		}
 		self := m.Name != "" && m.Name == s.Self.Name
 		if self && m.Zone != "" && s.Self.Zone != "" && m.Zone != s.Self.Zone {
-			c.reject(at+"zone", "%q is this process, and here.zone is %q", m.Zone, s.Self.Zone)
+			c.reject(at+"zone", "%q differs from here.zone, %q, although the member is this process", m.Zone, s.Self.Zone)
 		}
 		m.Reach = Addresses{c.memberAddress(at+"gossip", f.Gossip, self, s.Self.Listen.Gossip, claimed),
 			c.memberAddress(at+"council", f.Consensus, self, s.Self.Listen.Consensus, claimed),
@@ -105,29 +105,29 @@
 	return members
 }
 
-// memberAddress returns where a member is reached. This process's own address may be omitted, and is then where it
-// listens.
-func (c *checker) memberAddress(path string, leaf any, self bool, own string, claimed claimedAddresses) string {
-	if self && leaf == nil {
+// memberAddress returns the address at which a member is reached. If the member is this process (self), the address may be
+// omitted and is then own, on which it listens.
+func (c *checker) memberAddress(path string, value any, self bool, own string, claimed claimedAddresses) string {
+	if self && value == nil {
 		return own
 	}
-	address := c.dialAddress(path, leaf)
+	address := c.dialAddress(path, value)
 	if !self || address != own {
 		claimed.claim(c, path, address)
 	}
 	return address
 }
 
-// founders reads the names of the consensus group's first voters, sorted.
-func (c *checker) founders(leaf any, s *Settings) (founders []view.Name) {
+// initialVoters returns the names of the consensus group's first voters, sorted, and adds warnings about them to s.
+func (c *checker) initialVoters(value any, s *Settings) (voters []view.Name) {
 	const path = "founders"
-	list, isList := leaf.([]any)
-	if leaf != nil && !isList {
-		c.reject(path, "takes a list of names, not %v", leaf)
+	list, isList := value.([]any)
+	if value != nil && !isList {
+		c.reject(path, "must be a list of names, not %v", value)
 		return nil
 	}
-	if len(list) < 1 || len(list) > maxFounders {
-		c.reject(path, "%d named; 1 to %d begin a council", len(list), maxFounders)
+	if len(list) < 1 || len(list) > maxInitialVoters {
+		c.reject(path, "has %d names: must have from 1 to %d", len(list), maxInitialVoters)
 		return nil
 	}
 	perZone := map[view.Zone]int{}
@@ -136,8 +136,8 @@
 		switch {
 		case name == "":
 			continue
-		case slices.Contains(founders, name):
-			c.reject(path, "%q stands twice", name)
+		case slices.Contains(voters, name):
+			c.reject(path, "%q is listed twice", name)
 			continue
 		}
 		if zone, known := s.zoneOf(name); known {
@@ -145,14 +145,14 @@
 		} else {
 			c.reject(path, "%q is neither a member nor this process", name)
 		}
-		founders = append(founders, name)
+		voters = append(voters, name)
 	}
-	slices.Sort(founders)
-	s.Warnings = append(s.Warnings, founderWarnings(len(founders), perZone)...)
-	return founders
+	slices.Sort(voters)
+	s.Warnings = append(s.Warnings, initialVoterWarnings(len(voters), perZone)...)
+	return voters
 }
 
-// zoneOf returns the zone of a member or of this process.
+// zoneOf returns the zone of a member or of this process; false for a name that is neither.
 func (s *Settings) zoneOf(name view.Name) (zone view.Zone, known bool) {
 	if i := slices.IndexFunc(s.Members, func(m Member) bool { return m.Name == name }); i >= 0 {
 		return s.Members[i].Zone, true
@@ -163,14 +163,15 @@
 	return "", false
 }
 
-// founderWarnings returns warnings about an even number of founders, and of a zone whose loss would cost the majority.
-func founderWarnings(founders int, perZone map[view.Zone]int) (warnings []string) {
-	if founders%2 == 0 {
-		warnings = append(warnings, fmt.Sprintf("founders: %d outlast no more losses than %d", founders, founders-1))
+// initialVoterWarnings returns warnings about an even number of initial voters, and about each zone whose loss would leave
+// the consensus group without a majority.
+func initialVoterWarnings(voters int, perZone map[view.Zone]int) (warnings []string) {
+	if voters%2 == 0 {
+		warnings = append(warnings, fmt.Sprintf("founders: %d voters tolerate no more failures than %d", voters, voters-1))
 	}
 	for _, zone := range slices.Sorted(maps.Keys(perZone)) {
-		if n := perZone[zone]; n > 1 && 2*n >= founders {
-			warnings = append(warnings, fmt.Sprintf("founders: %d of %d are in zone %q; without it nothing is decided", n, founders, zone))
+		if n := perZone[zone]; n > 1 && 2*n >= voters {
+			warnings = append(warnings, fmt.Sprintf("founders: %d of %d are in zone %q; without that zone the consensus group has no majority", n, voters, zone))
 		}
 	}
 	return warnings
--- a/internal/cluster/settings/folder/folder_test.go
+++ b/internal/cluster/settings/folder/folder_test.go
@@ -17,6 +17,8 @@
 	return f
 }
 
+// TestIncarnations checks that the incarnation grows with each Open and Raise, that the id stays, and that a folder can be
+// opened only once at a time.
 func TestIncarnations(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "deep", "anna")
 	first := open(t, path)
@@ -24,7 +26,7 @@
 		t.Fatal(first)
 	}
 	if _, err := Open(path); err == nil || !strings.Contains(err.Error(), lockFile) {
-		t.Fatal("two have one folder", err)
+		t.Fatal("a folder was opened twice", err)
 	}
 	first.Close()
 	second := open(t, path)
@@ -35,19 +37,19 @@
 		t.Fatal(second, err)
 	}
 	if err := second.Raise(3); err != nil || second.Incarnation != first.Incarnation+42 {
-		t.Fatal("the incarnation went back", second, err)
+		t.Fatal("raising to a lower incarnation changed it or failed", second, err)
 	}
 	second.Close()
 	if third := open(t, path); third.Incarnation != first.Incarnation+43 {
-		t.Fatal("what was raised did not last", third)
+		t.Fatal("the raised incarnation was not stored", third)
 	}
 	if other := open(t, filepath.Join(t.TempDir(), "anna")); !other.Empty || other.ID == first.ID {
-		t.Fatal("another folder of the same id", other)
+		t.Fatal("another folder is not empty or has the same id", other)
 	}
 }
 
-// TestDamagedOrForeignFolder: a file truncated at any byte, damaged or another program's is an error that names it, and
-// stays unchanged.
+// TestDamagedOrForeignFolder checks that Open returns an error that names life.json, and does not change it, if it is
+// truncated at any byte, damaged or another program's file.
 func TestDamagedOrForeignFolder(t *testing.T) {
 	path := t.TempDir()
 	open(t, path).Close()
@@ -74,7 +76,7 @@
 		}
 	}
 	os.Remove(file)
-	// A process that ended during its first write leaves no more than this.
+	// A process that is killed during its first write leaves only a part of the temporary file.
 	os.WriteFile(filepath.Join(path, tempFile), whole[:9], 0o640)
 	if f := open(t, path); !f.Empty {
 		t.Fatal(f)
@@ -83,6 +85,6 @@
 	}
 	os.Rename(file, filepath.Join(path, "raft.db"))
 	if _, err := Open(path); err == nil || !strings.Contains(err.Error(), file) {
-		t.Fatal("accepted another's folder", err)
+		t.Fatal("a folder with files of other packages and no life.json was accepted", err)
 	}
 }
--- a/internal/cluster/settings/folder/storeddata_test.go
+++ b/internal/cluster/settings/folder/storeddata_test.go
@@ -8,14 +8,15 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// What testdata/stored/life.json holds. Commit 485f0e4 wrote the file; it is never written anew.
+// Content of testdata/stored/life.json. Commit 485f0e4 wrote the file; it must never be regenerated.
 const (
 	storedID          = "00112233445566778899aabbccddeeff"
 	storedIncarnation = view.Incarnation(1700000000123)
 	storedNext        = `{"folder":"00112233445566778899aabbccddeeff","incarnation":1700000000124}` + "\n"
 )
 
-// TestReadsStoredFolder: a folder of an older program keeps its id and counts its lives on, in the same form.
+// TestReadsStoredFolder checks that a folder of an older version keeps its id, gets the next incarnation, and keeps the
+// format of its life record.
 func TestReadsStoredFolder(t *testing.T) {
 	path := t.TempDir()
 	if err := os.CopyFS(path, os.DirFS("testdata/stored")); err != nil {
@@ -31,10 +32,10 @@
 		}
 	})
 	if f.ID != storedID || f.Incarnation != storedIncarnation+1 || f.Empty {
-		t.Errorf("id %q, incarnation %d, empty %v", f.ID, f.Incarnation, f.Empty)
+		t.Errorf("id %q, incarnation %d, empty %v, want id %q, incarnation %d, not empty", f.ID, f.Incarnation, f.Empty, storedID, storedIncarnation+1)
 	}
 	written, err := os.ReadFile(path + "/life.json")
 	if err != nil || string(written) != storedNext {
-		t.Errorf("written %q, error %v", written, err)
+		t.Errorf("life.json is %q, error %v, want %q", written, err, storedNext)
 	}
 }
--- a/internal/cluster/settings/form.go
+++ b/internal/cluster/settings/form.go
@@ -11,9 +11,9 @@
 	"flaxcove/internal/tomlfile"
 )
 
-// form is the file as written. Its values have type any, so that one of a wrong type is reported along with all other
-// problems; decoding into the expected type would end at the first. Error messages of the TOML library print the names
-// of these types and their fields, so they keep them.
+// form is the cluster file as decoded from TOML. Its values have type any, so that a value of a wrong type is reported
+// together with all other problems; decoding into the expected type would stop at the first. The types and fields must not
+// be renamed, as error messages of the TOML library contain their names.
 type form struct {
 	Name     any            `toml:"name"`
 	Founders any            `toml:"founders"`
@@ -47,7 +47,7 @@
 	Failover   any `toml:"failover"`
 	Purges     any `toml:"purges"`
 	Popularity any `toml:"popularity"`
-	// Configuration must be on in all processes or in none.
+	// Configuration must have the same value in all processes.
 	Configuration any `toml:"configuration"`
 }
 
@@ -58,12 +58,14 @@
 	Purges            any `toml:"purges"`
 }
 
-// Parse reads and checks a file's text; name is the file's in messages. The folder is left as written.
+// Parse decodes and checks the text of a cluster file. The name is that of the file in error messages. Self.Folder is as
+// written in the file, possibly relative. An error is a list with all problems of the file, sorted by line, or a single
+// error if the text is not valid TOML.
 func Parse(name string, text []byte) (*Settings, error) {
 	var f form
 	var all tomlfile.Errors
 	if err := tomlfile.Decode(name, text, &f); err != nil {
-		// Unknown fields leave the rest readable; invalid TOML, or a table of another structure, does not.
+		// After unknown fields the rest can still be checked. After invalid TOML, or a table of another structure, it cannot.
 		f = form{}
 		if toml.Unmarshal(text, &f) != nil {
 			return nil, err
@@ -79,7 +81,7 @@
 	return s, nil
 }
 
-// appendErrors appends an error of package tomlfile, which is one or a list.
+// appendErrors appends an error of package tomlfile, which is a single error or a list.
 func appendErrors(all tomlfile.Errors, err error) tomlfile.Errors {
 	switch e := err.(type) {
 	case *tomlfile.Error:
@@ -90,7 +92,8 @@
 	return all
 }
 
-// checker gathers problems; each of its methods reports what is wrong with a value and continues with a zero value.
+// checker collects the problems of a file. Its methods record a problem of an invalid value and return a value with which
+// the checks can continue.
 type checker struct{ problems []tomlfile.Problem }
 
 // reject records a problem of the field at path.
@@ -98,53 +101,54 @@
 	c.problems = append(c.problems, tomlfile.Problem{Path: path, What: fmt.Sprintf(format, args...)})
 }
 
-// validName matches names. They are used in headers, as hosts and in logs, so they have no character that any of these
-// would have to escape.
+// validName matches the names of clusters, processes, zones and regions. Names are used in headers, as hosts and in logs,
+// so they contain no character that has to be escaped there.
 var validName = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
 
-const nameRule = "letters, digits, '.', '_' and '-', the first a letter or digit, 63 at most"
+// nameRule describes validName in error messages.
+const nameRule = "letters, digits, '.', '_' and '-', the first a letter or digit, 63 characters at most"
 
-// text returns a value that is a string; false if it is missing or no string, which is reported.
-func (c *checker) text(path string, leaf any) (string, bool) {
-	s, isText := leaf.(string)
+// text returns a value that must be a non-empty string. It returns false, and records a problem, if it is not.
+func (c *checker) text(path string, value any) (string, bool) {
+	s, isText := value.(string)
 	switch {
-	case leaf == nil || isText && s == "":
+	case value == nil || isText && s == "":
 		c.reject(path, "missing")
 	case !isText:
-		c.reject(path, "takes a text in quotes, not %v", leaf)
+		c.reject(path, "must be a string in quotes, not %v", value)
 	}
 	return s, isText && s != ""
 }
 
-// name returns a value that is a valid name, or "" if it is not, which is reported.
-func (c *checker) name(path string, leaf any) string {
-	s, ok := c.text(path, leaf)
+// name returns a value that must be a valid name. It returns "", and records a problem, if it is not.
+func (c *checker) name(path string, value any) string {
+	s, ok := c.text(path, value)
 	if ok && !validName.MatchString(s) {
-		c.reject(path, "%q is no name: %s", s, nameRule)
+		c.reject(path, "%q is not a valid name: %s", s, nameRule)
 		return ""
 	}
 	return s
 }
 
-// boolean returns a value that is a bool; a missing one is false.
-func (c *checker) boolean(path string, leaf any) bool {
-	b, isBool := leaf.(bool)
-	if leaf != nil && !isBool {
-		c.reject(path, "takes true or false, not %v", leaf)
+// boolean returns a value that must be a bool; a missing one is false.
+func (c *checker) boolean(path string, value any) bool {
+	b, isBool := value.(bool)
+	if value != nil && !isBool {
+		c.reject(path, "must be true or false, not %v", value)
 	}
 	return b
 }
 
-// number returns a value that is an integer within min and max; a missing one is fallback.
-func (c *checker) number(path string, leaf any, fallback, min, max int) int {
-	n, isNumber := leaf.(int64)
+// number returns a value that must be an integer from min to max; a missing one is fallback.
+func (c *checker) number(path string, value any, fallback, min, max int) int {
+	n, isNumber := value.(int64)
 	switch {
-	case leaf == nil:
+	case value == nil:
 		return fallback
 	case !isNumber:
-		c.reject(path, "takes a whole number, not %v", leaf)
+		c.reject(path, "must be an integer, not %v", value)
 	case n < int64(min) || n > int64(max):
-		c.reject(path, "%d is not within %d and %d", n, min, max)
+		c.reject(path, "%d is out of range: must be from %d to %d", n, min, max)
 	}
 	return int(n)
 }
--- a/internal/cluster/settings/settings.go
+++ b/internal/cluster/settings/settings.go
@@ -1,8 +1,9 @@
-// Package settings reads a process's cluster file: one TOML file, named by `serve --cluster`.
+// Package settings reads a process's cluster file, a TOML file named by `serve --cluster`.
 //
-// It owns the file's structure (form.go), its checks (check.go, address.go), and the defaults. A file that passes can be
-// run with; all problems are reported at once, with file, line and field. It must never accept a part of a file, replace
-// an invalid value by a default, open a socket, or read the cluster folder, which package settings/folder does.
+// It owns the structure of the file (form.go), its checks (check.go, address.go), and the defaults. A file that passes the
+// checks can be run; otherwise all problems are reported at once, each with file, line and field. The package must never
+// accept a part of a file, replace an invalid value by a default, open a socket, or read the cluster folder, which belongs
+// to package settings/folder.
 package settings
 
 import (
@@ -12,16 +13,17 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// Settings is one process's file. Addresses are host:port, ready to listen on or to dial.
+// Settings is the checked content of one process's cluster file. Addresses have the form host:port, ready to listen on or
+// to dial.
 type Settings struct {
-	Cluster  string // its name; processes of another cluster are rejected
-	Self     Self
-	Members  []Member // the seeds, by name; may include this process
-	Zones    map[view.Zone]view.Region
-	Founders []view.Name // the first voters of the consensus group, by name; the same in every process's file
-	Features Features
-	Bounds   Bounds
-	// Warnings has a line for the log for each setting that is allowed but seldom intended.
+	Cluster       string // name of the cluster; processes of another cluster are rejected
+	Self          Self
+	Members       []Member // the seeds, sorted by name; may include this process
+	Zones         map[view.Zone]view.Region
+	InitialVoters []view.Name // the first voters of the consensus group, sorted by name; the same in every process's file
+	Features      Features
+	Bounds        Bounds
+	// Warnings holds one line for the log for each setting that is allowed but rarely intended.
 	Warnings []string
 }
 
@@ -31,47 +33,47 @@
 	Zone   view.Zone
 	Region view.Region // of the zone
 	Size   view.Size
-	Folder string // absolute; stores this process's incarnation and its part of the consensus group's records
+	Folder string // absolute path; holds this process's incarnation and its records of the consensus group
 	Listen Addresses
 }
 
-// Member is a seed. Reach is where this process reaches it, possibly a relay and not where it listens.
+// Member describes a seed.
 type Member struct {
 	Name   view.Name
 	Zone   view.Zone
 	Region view.Region
-	Reach  Addresses
+	Reach  Addresses // where this process reaches it; where there is a relay, not the addresses that it listens on
 }
 
-// Addresses of one process: gossip is UDP and TCP, the others TCP.
+// Addresses holds the addresses of one process. Gossip is for UDP and TCP, the others are for TCP.
 type Addresses struct{ Gossip, Consensus, HTTP string }
 
-// Features are the features of the cluster, each off unless switched on.
+// Features tells which features of the cluster are enabled. Each is off by default.
 type Features struct{ Failover, Purges, Popularity, Configuration bool }
 
-// Bounds limit what this process stores.
+// Bounds limits the data that this process stores.
 type Bounds struct {
-	Destinations      int // places (a destination in one zone) in the tables of health samples
+	Destinations      int // localities (a destination in one zone) in the tables of health samples
 	SmallDestinations int // destinations whose learned state a small process holds
 	SmallBytes        int // bytes of that learned state
-	Purges            int // in the ledger
+	Purges            int // purges in the ledger
 }
 
-// Defaults and ranges of the bounds, estimated with a margin: the largest planned fleet has 3,000 destinations in 12
-// zones, the longest list of purges has ten thousand. The maxima keep a typing mistake from exhausting the machine.
+// Defaults and ranges of Bounds, estimated with a margin: the largest planned cluster has 3,000 destinations in 12 zones,
+// and the longest list of purges has ten thousand. The maxima keep a typing mistake from exhausting the machine.
 const (
 	defaultDestinations, minDestinations, maxDestinations                = 40_000, 16, 1_000_000
 	defaultSmallDestinations, minSmallDestinations, maxSmallDestinations = 500, 1, 1_000_000
 	defaultSmallBytes, minSmallBytes, maxSmallBytes                      = 4 << 20, 16 << 10, 1 << 30
 	defaultPurges, minPurges, maxPurges                                  = 20_000, 16, 1_000_000
-	// maxMembers bounds the seeds; twice the largest fleet that was simulated.
+	// maxMembers bounds the seeds. It is twice the largest cluster that was simulated.
 	maxMembers = 2_000
-	// maxFounders is the most voters that a consensus group has, whatever the size of the fleet.
-	maxFounders = 5
+	// maxInitialVoters is the largest number of voters that a consensus group has, whatever the size of the cluster.
+	maxInitialVoters = 5
 )
 
-// Reach returns where this process reaches another. It returns false for a process that the file does not name, and for
-// this process unless the file has addresses for it.
+// Reach returns the addresses at which this process reaches another. It returns false for a process that the file does not
+// name, and for this process unless the file has addresses for it among the members.
 func (s *Settings) Reach(name view.Name) (Addresses, bool) {
 	for i := range s.Members {
 		if s.Members[i].Name == name {
@@ -81,7 +83,8 @@
 	return Addresses{}, false
 }
 
-// Load reads and checks the file at path.
+// Load reads and checks the cluster file at path, and makes Self.Folder absolute. An error of the content is a list with
+// all problems of the file.
 func Load(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -91,7 +94,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// Absolute, as a later change of the working directory must not move the folder.
+	// The path is made absolute, so that a later change of the working directory does not select another folder.
 	s.Self.Folder, err = filepath.Abs(s.Self.Folder)
 	return s, err
 }
--- a/internal/cluster/storeddata_test.go
+++ b/internal/cluster/storeddata_test.go
@@ -17,17 +17,17 @@
 	"flaxcove/internal/sender/clusterapi"
 )
 
-// What the stored folder holds; see the packages whose testdata/stored it is made of.
+// Content of the stored cluster folder, which is made of testdata/stored of the packages settings/folder and consensus.
 const (
 	storedFolderID    = "00112233445566778899aabbccddeeff"
 	storedIncarnation = view.Incarnation(1700000000123)
-	storedLastIndex   = 11
+	storedLastIndex   = 11 // index of the last applied command
 
-	storedWait = 20 * time.Second // bounds an election of the only voter, which takes some 1.5 s
-	storedLook = 20 * time.Millisecond
+	storedWait = 20 * time.Second      // bounds the election of the only voter, which takes some 1.5 s
+	storedLook = 20 * time.Millisecond // from one check of the status to the next
 )
 
-// storedFile is the cluster file of a process that is alone, with its folder and three addresses.
+// storedFile is the cluster file of a cluster with one process, with verbs for the folder and the three addresses.
 const storedFile = `name = "stored"
 founders = ["a"]
 [here]
@@ -41,13 +41,13 @@
 z1 = "r1"
 `
 
-// storedOrders is a sender of which only the highest applied purge is asked.
+// storedOrders implements Orders without a sender. The test calls only its method Applied.
 type storedOrders struct{ clusterapi.Orders }
 
 func (storedOrders) Applied() uint64 { return 0 }
 
-// storedFolder puts a process's folder together of what commit 485f0e4 wrote: its lives, and its records of the
-// consensus group in a folder of their own, under the names that both had then.
+// storedFolder returns a copy of a cluster folder with the files that commit 485f0e4 wrote, under the names that they had
+// then: the life record, and the records of the consensus group in the subfolder council.
 func storedFolder(t *testing.T) string {
 	t.Helper()
 	folder := t.TempDir()
@@ -73,8 +73,8 @@
 	return l.Addr().String()
 }
 
-// TestStartsOnStoredFolder: a process goes on from the folder of an older program: as its next life, and as the voter that
-// it was, with all that was decided.
+// TestStartsOnStoredFolder checks that a process starts from the cluster folder of an older version: with the next
+// incarnation, as the voter that it was, and with all applied commands.
 func TestStartsOnStoredFolder(t *testing.T) {
 	text := fmt.Sprintf(storedFile, storedFolder(t), freeAddress(t), freeAddress(t), freeAddress(t))
 	set, err := settings.Parse("cluster.toml", []byte(text))
@@ -97,14 +97,14 @@
 		select {
 		case <-look.C:
 		case <-timeout:
-			t.Fatalf("does not lead after %v: %+v", storedWait, node.Status())
+			t.Fatalf("not the leader after %v: %+v", storedWait, node.Status())
 		}
 	}
 	s := node.Status()
 	if s.Self.Incarnation != storedIncarnation+1 || s.Self.Folder != storedFolderID || s.Self.Empty || !s.Self.HasRecords {
-		t.Errorf("goes on as %+v", s.Self)
+		t.Errorf("started as %+v, want incarnation %d of folder %s, with records", s.Self, storedIncarnation+1, storedFolderID)
 	}
 	if !slices.Equal(s.Voters, []view.Name{"a"}) || s.Applied != storedLastIndex {
-		t.Errorf("voters %v, applied up to %d", s.Voters, s.Applied)
+		t.Errorf("voters %v, applied index %d, want voter a and index %d", s.Voters, s.Applied, storedLastIndex)
 	}
 }
--- a/internal/cluster/subsystems.go
+++ b/internal/cluster/subsystems.go
@@ -14,11 +14,11 @@
 	"flaxcove/internal/sender/clusterapi"
 )
 
-// This file starts the features that use the cluster, each only if the file switches it on. Their parts of the consensus
-// group's state are registered in any case: if one process accepted a command and another rejected it, their states would
-// differ.
+// This file starts the subsystems, each only if the cluster file enables it. Their parts of the consensus group's state
+// are registered even if they are disabled: if one process accepted a command and another rejected it, their states
+// would differ.
 
-// subsystems are the features that use the cluster; the runner of one that is off is nil.
+// subsystems holds the features that use the cluster, and their replicated state. The runner of a disabled one is nil.
 type subsystems struct {
 	inForce             *plan.InForce
 	purgeLedger         *ledger.Ledger
@@ -30,27 +30,28 @@
 	configuration *configuration.Runner
 }
 
-// registerParts creates the replicated state of all subsystems, which the consensus group applies commands to.
+// registerParts creates the replicated state of all subsystems, and adds it to the parts that the consensus group applies
+// commands to.
 func (u *subsystems) registerParts(parts map[string]machine.Part) {
 	u.inForce, u.purgeLedger, u.configurationLedger = &plan.InForce{}, ledger.New(), versions.New()
 	parts[plan.PartName], parts[ledger.Part], parts[versions.Part] = u.inForce, u.purgeLedger, u.configurationLedger
 }
 
-// start starts the subsystems that are switched on.
+// start starts the subsystems that the cluster file enables.
 func (u *subsystems) start(n *Node) error {
-	on := n.opts.Settings.Features
-	if on.Failover {
+	enabled := n.opts.Settings.Features
+	if enabled.Failover {
 		u.startFailover(n)
 	}
-	if on.Popularity {
+	if enabled.Popularity {
 		u.startPopularity(n)
 	}
-	if on.Purges {
+	if enabled.Purges {
 		if err := u.startPurges(n); err != nil {
 			return err
 		}
 	}
-	if on.Configuration {
+	if enabled.Configuration {
 		return u.startConfiguration(n)
 	}
 	return nil
@@ -104,14 +105,14 @@
 	return err
 }
 
-// forgettingOrders makes a purge of learned state reach the region's copy too, and not only the sender: otherwise a small
-// process would fetch it back from there.
+// forgettingOrders extends a purge of learned state to the copy that the region keeps. Without it a small process would
+// fetch the purged state back from there.
 type forgettingOrders struct {
 	clusterapi.Orders
 	subsystems *subsystems
 }
 
-// Purge passes purges on to the sender.
+// Purge drops the region's copy of the learned state that the purges match, and passes all purges on to the sender.
 func (f forgettingOrders) Purge(all []clusterapi.Purge, done func(uint64, []clusterapi.Found)) {
 	for _, p := range all {
 		if p.LearnedState && p.Match.Destination != nil && f.subsystems.popularity != nil {
@@ -121,7 +122,7 @@
 	f.Orders.Purge(all, done)
 }
 
-// setTopology passes a new topology on to those that follow it.
+// setTopology passes a new topology on to the purge and configuration subsystems. The others read it when they need it.
 func (u *subsystems) setTopology(t *topology) {
 	if u.purge != nil {
 		u.purge.SetView(t.view, t.tree)
@@ -131,7 +132,7 @@
 	}
 }
 
-// close ends the subsystems that run.
+// close stops the subsystems that are running.
 func (u *subsystems) close() {
 	if u.failover != nil {
 		u.failover.Close()
--- a/internal/cluster/tree/capacity_test.go
+++ b/internal/cluster/tree/capacity_test.go
@@ -1,6 +1,6 @@
 package tree
 
-// Benchmark behind docs/CAPACITY.md: deriving the tree, which each change of the view does, by members.
+// This file holds the benchmark for docs/CAPACITY.md of deriving the tree, which happens at each change of the view.
 
 import (
 	"testing"
@@ -9,7 +9,8 @@
 	"flaxcove/lab/capacity/bench"
 )
 
-// BenchmarkCapacityDerive is of 24 zones in 3 regions; most-children is what reports to the busiest process.
+// BenchmarkCapacityDerive measures Derive, by the number of members, with 24 zones in 3 regions. The metric most-children
+// is the number of processes that report to the process with most children.
 func BenchmarkCapacityDerive(b *testing.B) {
 	bench.Sizes(b, "members", []int{66, 660, 6_600}, func(b *testing.B, n int) {
 		v := view.New("", 1, fleet(n, 24, 3))
--- a/internal/cluster/tree/tree_test.go
+++ b/internal/cluster/tree/tree_test.go
@@ -11,6 +11,7 @@
 	"flaxcove/internal/cluster/view"
 )
 
+// fleet returns members spread evenly over zones, and zones over regions. In each zone every third process is small.
 func fleet(processes, zones, regions int) []view.Member {
 	var all []view.Member
 	for i := range processes {
@@ -25,14 +26,14 @@
 	return all
 }
 
-// checkInvariants checks what holds of every tree: one root that every member reaches within the depth, parents and
-// children that agree, and no role with more than Fan children.
+// checkInvariants checks the invariants of a tree: every present member reaches the one root in at most depth steps,
+// parents and children agree, and no process has more than Fan children in each of its three roles.
 func checkInvariants(t interface{ Fatalf(string, ...any) }, tr *Tree, members []view.Member, depth int) {
 	here := 0
 	for _, m := range members {
 		if !m.Present() {
 			if _, has := tr.Parent(m.Name); has {
-				t.Fatalf("%s is not here and has a parent", m.Name)
+				t.Fatalf("%s is not present but has a parent", m.Name)
 			}
 			continue
 		}
@@ -41,7 +42,7 @@
 		for p != tr.Root() {
 			up, has := tr.Parent(p)
 			if !has || steps > depth {
-				t.Fatalf("%s does not reach the root %s: stuck at %s after %d steps", m.Name, tr.Root(), p, steps)
+				t.Fatalf("%s does not reach the root %s: it is at %s after %d steps, limit is %d", m.Name, tr.Root(), p, steps, depth)
 			}
 			p, steps = up, steps+1
 		}
@@ -51,19 +52,21 @@
 		children := tr.Children(m.Name)
 		links += len(children)
 		if len(children) > 3*Fan {
-			t.Fatalf("%s has %d children", m.Name, len(children))
+			t.Fatalf("%s has %d children, limit is %d", m.Name, len(children), 3*Fan)
 		}
 		for _, c := range children {
 			if up, _ := tr.Parent(c); up != m.Name {
-				t.Fatalf("%s is a child of %s and reports to %s", c, m.Name, up)
+				t.Fatalf("%s is a child of %s but its parent is %s", c, m.Name, up)
 			}
 		}
 	}
 	if here > 0 && links != here-1 {
-		t.Fatalf("%d are here and %d report to somebody", here, links)
+		t.Fatalf("of %d present members %d have a parent, want all but one", here, links)
 	}
 }
 
+// TestInvariantsAndOrderIndependence checks for random members that the tree has its invariants, does not depend on the
+// order of the members, and has no small process as the coordinator of a zone with a large one.
 func TestInvariantsAndOrderIndependence(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := rapid.SliceOfNDistinct(rapid.Custom(func(t *rapid.T) view.Member {
@@ -81,7 +84,7 @@
 		shuffled := rapid.Permutation(members).Draw(t, "order")
 		other := Derive(&view.View{Self: "p1", Version: 9, Members: shuffled})
 		if d := cmp.Diff(tr, other, cmp.AllowUnexported(Tree{})); d != "" {
-			t.Fatalf("another order, another tree: %s", d)
+			t.Fatalf("the tree depends on the order of the members: %s", d)
 		}
 		for _, m := range members {
 			isHead := tr.ZoneHead(m.Zone) == m.Name
@@ -90,13 +93,15 @@
 			}
 			for _, o := range members {
 				if o.Present() && o.Zone == m.Zone && o.Size == view.Large {
-					t.Fatalf("small %s heads %s, where large %s is", m.Name, m.Zone, o.Name)
+					t.Fatalf("small process %s is the coordinator of zone %s, which has the large process %s", m.Name, m.Zone, o.Name)
 				}
 			}
 		}
 	})
 }
 
+// TestHeadsBelongToTheirGroups checks that the coordinator of a region is the coordinator of one of its zones, that those
+// of the region's other zones report to it, and that it reports to the root.
 func TestHeadsBelongToTheirGroups(t *testing.T) {
 	tr := Derive(view.New("", 1, fleet(300, 12, 4)))
 	for _, r := range tr.Regions() {
@@ -104,20 +109,20 @@
 		for _, z := range tr.Zones(r) {
 			among = among || tr.ZoneHead(z) == tr.RegionHead(r)
 			if up, _ := tr.Parent(tr.ZoneHead(z)); tr.ZoneHead(z) != tr.RegionHead(r) && up != tr.RegionHead(r) {
-				t.Errorf("head of %s reports to %s, not to %s's head", z, up, r)
+				t.Errorf("the coordinator of zone %s reports to %s, not to the coordinator of region %s", z, up, r)
 			}
 			if tr.Region(z) != r {
-				t.Errorf("%s lies in %s", z, tr.Region(z))
+				t.Errorf("zone %s of region %s has region %s", z, r, tr.Region(z))
 			}
 		}
 		if up, _ := tr.Parent(tr.RegionHead(r)); !among || (tr.RegionHead(r) != tr.Root() && up != tr.Root()) {
-			t.Errorf("%s: its head %s is no zone's head or reports to %s", r, tr.RegionHead(r), up)
+			t.Errorf("the coordinator of region %s, %s, is not that of a zone or reports to %s instead of the root", r, tr.RegionHead(r), up)
 		}
 	}
 }
 
-// TestDepartureMovesOnlyItsChildren: of 300 members without groups only the children of the one that leaves get another
-// parent.
+// TestDepartureMovesOnlyItsChildren checks that if one of 300 members leaves, only its children get another parent. The
+// zones are small enough not to be divided into groups.
 func TestDepartureMovesOnlyItsChildren(t *testing.T) {
 	all := fleet(300, 12, 4)
 	before := Derive(view.New("", 1, all))
@@ -128,12 +133,14 @@
 			was, _ := before.Parent(m.Name)
 			is, _ := after.Parent(m.Name)
 			if was != is && was != gone.Name && !(was == "" && gone.Name == before.Root()) {
-				t.Errorf("%s goes: %s reported to %s, now to %s", gone.Name, m.Name, was, is)
+				t.Errorf("after %s left, %s reports to %s instead of %s", gone.Name, m.Name, is, was)
 			}
 		}
 	}
 }
 
+// TestFanAtSize checks the number of children and the depth of the tree in clusters of up to 3,000 members, and how many
+// members get another parent when one without children leaves.
 func TestFanAtSize(t *testing.T) {
 	for _, c := range []struct{ processes, zones, regions, most, depth int }{
 		{1000, 12, 4, Fan, 4}, {1000, 1, 1, Fan, 3}, {1000, 200, 2, 2 * Fan, 6}, {3000, 3, 3, 2 * Fan, 6}, {1, 1, 1, 0, 0},
@@ -147,7 +154,8 @@
 				t.Errorf("%+v: %s has %d children", c, m.Name, n)
 			}
 		}
-		// With groups too: a leaving member without children moves nobody, or one group that now fits without a level.
+		// The departure of a member without children moves no other member, or those of one group that then needs one level
+		// less.
 		for i, gone := range all {
 			if i > 20 || len(tr.Children(gone.Name)) > 0 || c.processes == 1 {
 				continue
@@ -161,17 +169,18 @@
 				}
 			}
 			if moved > Fan {
-				t.Errorf("%+v: %s goes and %d others move", c, gone.Name, moved)
+				t.Errorf("%+v: after %s left, %d others have another parent, limit is %d", c, gone.Name, moved, Fan)
 			}
 		}
 	}
 }
 
+// TestEmptyViews checks that the tree of a view without present members has no root and no regions.
 func TestEmptyViews(t *testing.T) {
 	dead := view.New("a", 1, []view.Member{{Life: view.Life{Name: "a"}, State: view.Dead}})
 	for _, v := range []*view.View{nil, {}, dead} {
 		if tr := Derive(v); tr.Root() != "" || len(tr.Regions()) != 0 {
-			t.Errorf("%v: root %q", v, tr.Root())
+			t.Errorf("%v: root %q, regions %v, want none", v, tr.Root(), tr.Regions())
 		}
 	}
 }
