--- a/internal/cluster/capacity_test.go
+++ b/internal/cluster/capacity_test.go
@@ -19,12 +19,12 @@
 )
 
 const (
-	capacityRate           = 864 // messages a second of one sender
-	capacityMaxListed      = 8192
+	capacityRate           = 864  // messages per second of one sender
+	capacityMaxListed      = 8192 // listed localities that a sender reports at most
 	capacityDigestInterval = 500 * time.Millisecond
-	capacityDuration       = 30 * time.Second
-	capacityListingDigests = 10 // digests in which each place is reported once
-	capacityFailingShare   = 0.027
+	capacityDuration       = 30 * time.Second // simulated time
+	capacityListingDigests = 10               // number of digests that together report each listed locality once
+	capacityFailingShare   = 0.027            // share of the destinations that fail all calls
 )
 
 // capacityDigest returns digest number no of a sender, as internal/sender makes it: a row for each locality that was
--- a/internal/cluster/link/volumes_test.go
+++ b/internal/cluster/link/volumes_test.go
@@ -15,9 +15,9 @@
 // between the two processes is answered.
 func TestVolumesAndPartition(t *testing.T) {
 	all := addresses{}
-	var cut atomic.Bool
+	var partitioned atomic.Bool
 	b, err := Start(Options{Cluster: "ours", Self: view.Life{Name: "b", Incarnation: 1}, Listen: "127.0.0.1:0", Reach: all.reach,
-		Partitioned: func(name view.Name) bool { return cut.Load() && name == "a" }})
+		Partitioned: func(name view.Name) bool { return partitioned.Load() && name == "a" }})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -42,7 +42,7 @@
 	if want := (Volume{Answers: 1, In: 6, Out: 6}); answerer != want {
 		t.Errorf("the called process counted %+v, want %+v", answerer, want)
 	}
-	cut.Store(true)
+	partitioned.Store(true)
 	for _, way := range []struct {
 		from *Link
 		to   view.Name
@@ -56,7 +56,7 @@
 	if n := answered.Load(); n != 1 {
 		t.Errorf("%d calls were answered, want only the one before the partition", n)
 	}
-	cut.Store(false)
+	partitioned.Store(false)
 	if err := b.Call(ctx, "a", "/echo", 1, nil); err != nil {
 		t.Errorf("after the partition: %v", err)
 	}
--- a/internal/cluster/storeddata_test.go
+++ b/internal/cluster/storeddata_test.go
@@ -90,12 +90,12 @@
 			t.Error(err)
 		}
 	})
-	look := time.NewTicker(storedPollInterval)
-	defer look.Stop()
+	ticker := time.NewTicker(storedPollInterval)
+	defer ticker.Stop()
 	timeout := time.After(storedLeaderTimeout)
 	for !node.Status().Leading {
 		select {
-		case <-look.C:
+		case <-ticker.C:
 		case <-timeout:
 			t.Fatalf("not the leader after %v: %+v", storedLeaderTimeout, node.Status())
 		}
