--- a/choice/allowed_test.go
+++ b/choice/allowed_test.go
@@ -5,25 +5,25 @@
 	"strings"
 )
 
-// startTwoZones starts a sender with a near and a far endpoint of one destination, the near one ranked first. Messages
-// whose id begins with near may only go there, and those with far only to the far one.
+// startTwoZones starts a sender with two endpoints of one destination, near and far, of which near is ranked first.
+// Messages whose id begins with "near" may use only near, and those whose id begins with "far" only far.
 func startTwoZones(set Settings) *fakeHost {
 	host := startSender(set)
 	host.update(Entry{Endpoint: "near", Destination: 3, Kind: 1, Rating: 10}, Entry{Endpoint: "far", Destination: 3, Kind: 1, Zone: 1, Rating: 10})
-	host.barred = func(n MessageID, e EndpointID) bool {
+	host.disallowed = func(n MessageID, e EndpointID) bool {
 		return strings.HasPrefix(string(n), "near") && e == "far" || strings.HasPrefix(string(n), "far") && e == "near"
 	}
 	return host
 }
 
-// A message goes only where it is allowed to, also where it could join another's call; one that is barred nowhere goes
-// as ever. What counts is what is allowed as it is sent.
+// A message goes only to endpoints that it is allowed to use, even if it could join a bulk call elsewhere. A message
+// without restrictions goes to the best ranked endpoint. The restrictions at the time of the attempt apply.
 func ExampleSender_allowed() {
 	host := startTwoZones(testSettings())
 	host.accept(0, 3, "far1", "near1", "any", "far2")
-	host.barred = func(MessageID, EndpointID) bool { return true }
+	host.disallowed = func(MessageID, EndpointID) bool { return true }
 	host.accept(0, 3, "later").advance(100 * Millisecond)
-	host.barred = nil
+	host.disallowed = nil
 	host.advance(50 * Millisecond)
 	// Output:
 	// 0.0     attempt far2 to far
@@ -33,8 +33,8 @@
 	// 150.0   attempt later to near
 }
 
-// The near endpoint is down: what may only go there waits, and tries it as any trial does, within the slow start
-// budget; what waits behind and may go far does so at once.
+// The endpoint near is down. Messages that may use only near wait and serve as trials within the slow start budget.
+// Messages behind them that may use far are sent there at once.
 func ExampleSender_allowedOutage() {
 	set := testSettings()
 	set.Probing = false
@@ -54,16 +54,16 @@
 	// budget left for a trial: false
 }
 
-// A message may wait behind newer ones that may only go where there is no capacity, and goes where it may; behind more
-// than a bound of them it waits until some are over.
+// A message that may use an endpoint with capacity is sent even if newer messages in its queue may not use it. It waits
+// if maxDisallowedScanned or more newer messages may not.
 func ExampleSender_allowedBehind() {
-	for _, newer := range []int{barredScanLimit - 1, barredScanLimit} {
+	for _, newer := range []int{maxDisallowedScanned - 1, maxDisallowedScanned} {
 		set := testSettings()
 		set.InFlightLimit = 40
 		host := startTwoZones(set)
 		host.mute = true
 		host.sender.pauseRoute(host.endpoint("near"), Second, false)
-		host.endpoint("far").route = newRoute(0) // a route of its own
+		host.endpoint("far").route = newRoute(0) // a separate route
 		host.sender.Taken(Message{ID: "far", Key: NoKey, Destination: 3, Deadline: 6 * Second})
 		for i := range newer {
 			host.sender.Taken(Message{ID: MessageID(fmt.Sprint("near", i)), Key: NoKey, Destination: 3, Deadline: 6 * Second})
@@ -76,8 +76,8 @@
 	// 16 newer, sent: false
 }
 
-// What may have run in one zone, and whose key is known there alone, may not be repeated elsewhere: a routing plan that
-// moves it would leave it nowhere to go.
+// A keyed message whose idempotency key is known in only one zone must not be repeated in another one. A routing plan
+// that moved it would leave it without an endpoint.
 func ExampleSender_allowedKnownInOneZone() {
 	set := testSettings()
 	set.Classes[1].ZoneGroup = true
--- a/choice/attempts.go
+++ b/choice/attempts.go
@@ -1,19 +1,19 @@
 package choice
 
 const (
-	// bulkMemberCost is what a further message of a bulk call takes of the slow start budget; a call takes 1.
+	// bulkMemberCost is what each further message of a bulk call costs the slow start budget. The call itself costs 1.
 	bulkMemberCost = 0.15
-	// timeoutDeviations is how many mean deviations above the mean a call may take.
+	// timeoutDeviations is the margin of a time-out above the mean call time, in mean absolute deviations.
 	timeoutDeviations = 10.0
-	// finalTimeoutFactor is how many times longer a call may take whose time-out is final, as its message is not
-	// idempotent; that much with the in-flight limit unused, and less the more of it is used.
+	// finalTimeoutFactor multiplies the time-out of a non-idempotent message, which ends at its first time-out, while
+	// no call is in flight. The factor falls linearly to 1 as the in-flight limit is used up.
 	finalTimeoutFactor = 4.0
-	// reusedResetLimit is the share of calls over reused connections that are reset, beyond which a non-idempotent
-	// message gets a new connection.
+	// reusedResetLimit is the share of calls over reused connections that may be reset. Above it, non-idempotent
+	// messages get new connections.
 	reusedResetLimit = 0.05
 )
 
-// attempt sends a message to an endpoint, in the bulk call of this turn or a new one.
+// attempt sends a message to an endpoint, in the bulk call of this turn or in a new call.
 func (s *Sender) attempt(msg *message, ep *endpoint) {
 	s.dequeue(msg)
 	if s.class(msg).Repeat == NonIdempotent && s.reusedResetShare > reusedResetLimit {
@@ -33,8 +33,9 @@
 	s.host.Attempt(msg.ID, ep.id, s.attemptTimeout(msg, ep))
 }
 
-// assumeKindTimes gives an endpoint without calls the call times of its kind, in a fleet. Many such calls that stay
-// unanswered would otherwise hold the in-flight limit for the time-out of an unknown call.
+// assumeKindTimes gives an endpoint that has no measured calls the call times of its kind, in a large fleet. With the
+// time-out of an unknown endpoint, many unanswered calls to such endpoints would occupy the in-flight limit for too
+// long.
 func (s *Sender) assumeKindTimes(ep *endpoint) {
 	times := ep.destination.kind.callTimes
 	if s.fleetSize > smallFleetSize && ep.samples == 0 && times.samples > 0 {
@@ -43,7 +44,7 @@
 	}
 }
 
-// openCall opens a call to an endpoint for a message, and counts it against all limits.
+// openCall opens a call to an endpoint for a message, and counts it against every limit that applies.
 func (s *Sender) openCall(msg *message, ep *endpoint) {
 	call := &call{
 		endpoint:      ep,
@@ -56,7 +57,7 @@
 		s.retryBudget(msg.destination).tokens--
 	}
 	if call.rejectedRetry {
-		msg.destination.rejectedRetriesOut++
+		msg.destination.rejectedRetriesInFlight++
 	}
 	ep.bulkCall = call
 	ep.inFlight++
@@ -64,17 +65,19 @@
 	ep.route.limiter.tokens--
 	ep.route.sent.count(s.now, s.loadWindow)
 	ep.sent.count(s.now, s.sharedRateWindow())
-	// These two matter only while it is ejected.
+	// The next two fields are read only while the endpoint is ejected.
 	ep.probePassed = false
 	ep.nextTrial = s.now + 2*ep.trialPause
 	s.calls = append(s.calls, call)
 }
 
-// sharedRateWindow is the window of meters of a sender's own events, which are few where there are many senders.
+// sharedRateWindow returns the window of meters that count only this sender's events. It grows with the number of
+// senders, since each of them then has fewer events.
 func (s *Sender) sharedRateWindow() Time { return rateWindow * Time(s.fleetSize) }
 
-// attemptTimeout is how long an attempt may take: usual call times with a margin, longer with each attempt, or, where a
-// time-out is final, the more the in-flight limit is unused. It is over before the deadline.
+// attemptTimeout returns the time-out of an attempt: the usual call time with a margin, multiplied by the number of the
+// attempt. For a non-idempotent message the factor is instead up to finalTimeoutFactor, depending on how much of the
+// in-flight limit is free. The time-out ends before the message's deadline.
 func (s *Sender) attemptTimeout(msg *message, ep *endpoint) Time {
 	usual := max(2*s.assumedCallTime, ep.mean+timeoutDeviations*ep.deviation)
 	factor := float64(msg.attempts)
--- a/choice/backlog.go
+++ b/choice/backlog.go
@@ -1,12 +1,13 @@
 package choice
 
-// This file accepts messages, sheds some where the backlog fills up, and gives each its one end.
+// This file accepts messages, sheds some of them when the backlog is nearly full, and reports exactly one end for each.
 
-// shedFromShare is the share of Settings.MaxOpen from which on messages are shed. Up to MaxOpen it is done by chance,
-// with a probability that grows with the backlog, so that rejections do not set in all at once.
-const shedFromShare = 0.85
+// sheddingThreshold is the share of Settings.MaxOpen at which shedding begins. Between it and MaxOpen, the probability
+// of shedding grows with the backlog, so that rejections set in gradually.
+const sheddingThreshold = 0.85
 
-// Taken accepts a message, or ends it at once where it may not be sent any more or the backlog is full.
+// Taken accepts a message. It ends the message at once if it can no longer be sent or is shed because the backlog is
+// full.
 func (s *Sender) Taken(in Message) {
 	s.now = s.host.Now()
 	msg := &message{Message: in, destination: s.ensureDestination(in.Destination)}
@@ -28,7 +29,7 @@
 	}
 }
 
-// withinQuota counts a message against its account's quota, and reports whether it was within it.
+// withinQuota counts a message against its account's quota and reports whether the quota still had room for it.
 func (s *Sender) withinQuota(account AccountNo) bool {
 	a := int(account)
 	if a < 0 || a >= len(s.accountQuotas) {
@@ -37,12 +38,12 @@
 	return s.accountQuotas[a].take(s.now, s.settings.Quotas[a]/s.fleetSize, quotaBurst)
 }
 
-// limitBacklog sheds a message by chance where the backlog fills up, which may be the one just accepted or another: the
-// one with the least value for the time it will stay. The more valuable the one just accepted is, the less likely one
-// is shed for it. Messages accepted by an earlier incarnation cause no shedding, and are shed only once attempted.
+// limitBacklog may shed one message when the backlog is nearly full: the one with the least value for the time that it
+// is expected to stay open, which can be the accepted one. The probability is lower the more valuable the accepted
+// message is. Messages accepted by an earlier incarnation never cause shedding, and are shed only after an attempt.
 func (s *Sender) limitBacklog(accepted *message) {
 	fullness := float64(len(s.messages)) / float64(s.settings.MaxOpen)
-	pressure := (fullness - shedFromShare) / (1 - shedFromShare)
+	pressure := (fullness - sheddingThreshold) / (1 - sheddingThreshold)
 	if pressure <= 0 || accepted.Span > 0 {
 		return
 	}
@@ -55,17 +56,17 @@
 	s.endUndelivered(minBy(s.messages, mayShed, s.valuePerTime))
 }
 
-// valuePerTime is the value of a message divided by the time that it is expected to stay open: until its retry is due or
-// a pause or outage is over, and then for the calls of the messages ahead in its key queue and its own. An outage is
-// expected to last as long again as it has so far.
+// valuePerTime returns the value of a message divided by the time it is expected to stay open. That time consists of
+// the wait for its retry, or for the end of a pause or outage, and of one call for each message ahead in its key queue
+// and for itself. An outage is expected to last as long again as it has lasted so far.
 func (s *Sender) valuePerTime(msg *message) float64 {
 	unavailable := earliest(msg.destination.ranked, forever, s.unavailableFor)
-	calls := Time(s.usualCallTime(msg.destination)) * Time(1+msg.keyQueue.position(msg))
-	stays := calls + max(msg.retryAt-s.now, min(unavailable, msg.Deadline-s.now), 1)
-	return s.valueAfter(msg, stays) / float64(stays)
+	callsTake := Time(s.usualCallTime(msg.destination)) * Time(1+msg.keyQueue.position(msg))
+	openFor := callsTake + max(msg.retryAt-s.now, min(unavailable, msg.Deadline-s.now), 1)
+	return s.valueAfter(msg, openFor) / float64(openFor)
 }
 
-// unavailableFor is how long an endpoint is expected to take no calls.
+// unavailableFor returns how long an endpoint is expected to take no calls.
 func (s *Sender) unavailableFor(ep *endpoint) Time {
 	if !ep.listed {
 		return forever
@@ -77,7 +78,8 @@
 	return wait
 }
 
-// usualCallTime is what a call to a destination takes: that of its best available endpoint.
+// usualCallTime returns the mean call time of a destination's best available endpoint, or the assumed call time if it
+// has none.
 func (s *Sender) usualCallTime(dest *destination) float64 {
 	for _, ep := range dest.ranked {
 		if ep.listed && !ep.ejected {
@@ -87,7 +89,8 @@
 	return s.assumedCallTime
 }
 
-// Withdrawn ends a message without an answer. It is not sent again; if it is in flight its outcome still counts.
+// Withdrawn ends a message without an answer. The message is not sent again. If a call is in flight, its outcome is
+// still counted.
 func (s *Sender) Withdrawn(id MessageID) {
 	s.now = s.host.Now()
 	if msg := s.messages[id]; msg != nil {
@@ -95,8 +98,7 @@
 	}
 }
 
-// endUndelivered ends a message that was not delivered: it is shed where it is certain that it never ran, and failed
-// otherwise.
+// endUndelivered ends a message that was not delivered: it is shed if it certainly never ran, and failed otherwise.
 func (s *Sender) endUndelivered(msg *message) {
 	if msg.MayRun || msg.inFlight != nil {
 		s.host.Fail(msg.ID)
@@ -107,12 +109,12 @@
 	s.release(msg)
 }
 
-// release drops a message that has its end, once it is not in flight, and lets the next one of its key go.
+// release ends a message and, once it is not in flight, drops it and lets the next message of its order key be sent.
 func (s *Sender) release(msg *message) {
 	msg.ended = true
 	s.dequeue(msg)
 	if msg.inFlight != nil {
-		return // released again with its outcome
+		return // Ended calls release again when the outcome arrives.
 	}
 	delete(s.messages, msg.ID)
 	s.timers.clear(msg, s.host.Forget)
--- a/choice/bookkeeping.go
+++ b/choice/bookkeeping.go
@@ -6,17 +6,18 @@
 	"slices"
 )
 
-// This file keeps lists: the queues of a destination, the endpoints of a route, and the timers of messages. It decides
-// nothing and holds no tuned value.
+// This file maintains the queues of a destination, the endpoints of a route and the timers of messages. It makes no
+// decisions and has no tuned values.
 
-// A destination's queues are numbered: those of retries first, then one for the first attempts of each class.
+// These are indexes of destination.queues. The queues of retries come first, then one queue for the first attempts of
+// each class.
 const (
 	dueRetries      = iota // retries of messages that were not rejected
 	rejectedRetries        // retries of rejected messages
-	retryQueues            // number of these, and the queue of class 0
+	retryQueues            // number of retry queues, and index of the queue of class 0
 )
 
-// queueFor returns the queue of its destination that a message belongs to, made where it is new.
+// queueFor returns the queue of the destination that a message belongs to, and creates it if necessary.
 func (d *destination) queueFor(msg *message) *list.List {
 	i := retryQueues + int(msg.Class)
 	if msg.attempts > 0 {
@@ -31,7 +32,7 @@
 	return d.queues[i]
 }
 
-// endpointsOf returns the endpoints of a destination that belong to a route.
+// endpointsOf returns the endpoints of a destination that belong to the given route.
 func (d *destination) endpointsOf(route *route) iter.Seq[*endpoint] {
 	return func(yield func(*endpoint) bool) {
 		for _, ep := range d.ranked {
@@ -42,7 +43,8 @@
 	}
 }
 
-// position returns how many messages are ahead of one in its key queue; none where it has no key.
+// position returns how many messages of its key queue are ahead of a message. A nil queue, which means no order key,
+// gives 0.
 func (q *keyQueue) position(msg *message) int {
 	if q == nil {
 		return 0
@@ -50,10 +52,10 @@
 	return slices.Index(q.messages, msg)
 }
 
-// messageTimers are the timers that stand for messages.
+// messageTimers holds the timers that were set for messages.
 type messageTimers struct {
 	last    TimerID
-	pending map[TimerID]*message // each leaves as it fires, or as its message is released
+	pending map[TimerID]*message // removed when the timer fires or the message is released
 }
 
 // add returns a new timer for a message.
@@ -64,8 +66,8 @@
 	return t.last
 }
 
-// takeFired returns the message of a timer that has fired, or nil where the timer no longer stands for one.
-func (t *messageTimers) takeFired(id TimerID) *message {
+// removeFired removes a timer that has fired and returns its message, or nil if the timer was already removed.
+func (t *messageTimers) removeFired(id TimerID) *message {
 	msg := t.pending[id]
 	if msg != nil {
 		msg.timers = removeValue(msg.timers, id)
@@ -74,7 +76,7 @@
 	return msg
 }
 
-// clear drops all timers of a message.
+// clear removes all timers of a message and passes each of them to forget.
 func (t *messageTimers) clear(msg *message, forget func(TimerID)) {
 	for _, id := range msg.timers {
 		delete(t.pending, id)
--- a/choice/capacity_test.go
+++ b/choice/capacity_test.go
@@ -1,6 +1,7 @@
 package choice
 
-// Benchmarks behind docs/CAPACITY.md: what the module holds and how long it takes, by destinations and open messages.
+// This file holds the benchmarks for docs/CAPACITY.md: the memory and time that the package needs, by number of
+// destinations and of open messages.
 
 import (
 	"fmt"
@@ -9,7 +10,7 @@
 	"flaxcove/lab/capacity/bench"
 )
 
-// silentHost takes all that a sender asks of it and does nothing. Its clock stands.
+// silentHost is a Host that does nothing. Its clock stands still.
 type silentHost struct {
 	clock Time
 	timer TimerID
@@ -28,12 +29,12 @@
 
 const (
 	capacityZones     = 8
-	capacityEndpoints = 2 // a destination
-	// capacityDown is 2.7% of 61,000 destinations.
-	capacityDown = 1647
+	capacityEndpoints = 2 // of each destination
+	// capacityUnavailable is the number of unavailable destinations: 2.7% of 61,000.
+	capacityUnavailable = 1647
 )
 
-// capacitySettings are those of a fleet of 660 senders, with one kind and the three repeats.
+// capacitySettings returns settings of a fleet of 660 senders, with classes of all three kinds of Repeat.
 func capacitySettings(maxOpen int) Settings {
 	set := testSettings()
 	set.Senders, set.InFlightLimit, set.MaxOpen = 660, 1024, maxOpen
@@ -44,7 +45,7 @@
 	return set
 }
 
-// capacityList is a complete endpoint list; the endpoints of a destination lie in two of the zones.
+// capacityList returns a complete endpoint list. The endpoints of a destination are in two different zones.
 func capacityList(destinations int, stage Stage) []Entry {
 	all := make([]Entry, 0, capacityEndpoints*destinations)
 	for d := range destinations {
@@ -56,13 +57,14 @@
 	return all
 }
 
-// capacityMessage is one message, for one of so many destinations in turn.
+// capacityMessage returns the message with number i. The messages are spread evenly over the given number of
+// destinations.
 func capacityMessage(i, destinations int) Message {
 	return Message{ID: MessageID(fmt.Sprintf("message-%012d", i)), Class: 0, Account: -1, Key: NoKey,
 		Destination: DestinationID(i % destinations), Deadline: 3600 * Second}
 }
 
-// BenchmarkCapacityList measures a complete endpoint list given again to a sender that has it, and the memory the
+// BenchmarkCapacityList measures applying a complete endpoint list that the sender already has, and the memory that the
 // sender holds for it.
 func BenchmarkCapacityList(b *testing.B) {
 	bench.Sizes(b, "destinations", []int{610, 6_100, 61_000, 610_000}, func(b *testing.B, n int) {
@@ -80,7 +82,8 @@
 	})
 }
 
-// BenchmarkCapacityChange measures one destination's change of the list at a sender that holds so many.
+// BenchmarkCapacityChange measures a change to the endpoint list that affects one destination, by number of
+// destinations.
 func BenchmarkCapacityChange(b *testing.B) {
 	bench.Sizes(b, "destinations", []int{610, 6_100, 61_000}, func(b *testing.B, n int) {
 		s := Start(&silentHost{}, "s", 7, capacitySettings(1000))
@@ -92,7 +95,7 @@
 	})
 }
 
-// BenchmarkCapacityTick measures a tick that looks at all destinations, as after a complete list.
+// BenchmarkCapacityTick measures a tick that refreshes all destinations, as after a complete list.
 func BenchmarkCapacityTick(b *testing.B) {
 	bench.Sizes(b, "destinations", []int{610, 6_100, 61_000}, func(b *testing.B, n int) {
 		s := Start(&silentHost{}, "s", 7, capacitySettings(1000))
@@ -106,8 +109,8 @@
 	})
 }
 
-// withOpen returns a sender that holds so many open messages, for destinations none of whose endpoints may be used.
-func withOpen(open, destinations, maxOpen int) (*Sender, *silentHost) {
+// senderWithOpen returns a sender with the given number of open messages, for destinations without any usable endpoint.
+func senderWithOpen(open, destinations, maxOpen int) (*Sender, *silentHost) {
 	h := &silentHost{}
 	s := Start(h, "s", 7, capacitySettings(maxOpen))
 	s.UpdateEndpoints(capacityList(destinations, Draining), true)
@@ -117,16 +120,16 @@
 	return s, h
 }
 
-// BenchmarkCapacityOpen measures one more message accepted and withdrawn beside so many open ones, and the memory these
-// take.
+// BenchmarkCapacityOpen measures accepting and withdrawing a message by number of open messages, and the memory that
+// those take.
 func BenchmarkCapacityOpen(b *testing.B) {
 	bench.Sizes(b, "open", []int{1_000, 10_000, 100_000, 1_000_000}, func(b *testing.B, n int) {
 		var s *Sender
 		heap := bench.Heap(func() any {
-			s, _ = withOpen(n, capacityDown, 10*n)
+			s, _ = senderWithOpen(n, capacityUnavailable, 10*n)
 			return s
 		})
-		one := capacityMessage(n, capacityDown)
+		one := capacityMessage(n, capacityUnavailable)
 		for b.Loop() {
 			s.Taken(one)
 			s.Withdrawn(one.ID)
@@ -135,45 +138,46 @@
 	})
 }
 
-// capacityFull is of MaxOpen, past crowdFrom.
+// capacityFull is the share of MaxOpen that BenchmarkCapacityFull fills. It is above sheddingThreshold.
 const capacityFull = 0.9
 
-// BenchmarkCapacityFull measures one more message accepted at nine tenths of MaxOpen, where each may have to find one
-// to be shed.
+// BenchmarkCapacityFull measures accepting a message at nine tenths of MaxOpen, where each one may require a search for
+// the message to shed.
 func BenchmarkCapacityFull(b *testing.B) {
 	bench.Sizes(b, "open", []int{1_000, 10_000, 100_000}, func(b *testing.B, n int) {
-		s, _ := withOpen(n, capacityDown, 10*n)
-		// Only now: filled up at this bound, each of the last messages would have looked through all before it.
+		s, _ := senderWithOpen(n, capacityUnavailable, 10*n)
+		// The limit is lowered only now, since each of the last messages would otherwise have searched all those before
+		// it.
 		s.settings.MaxOpen = int(float64(n) / capacityFull)
 		i := n
 		for b.Loop() {
 			i++
-			one := capacityMessage(i, capacityDown)
+			one := capacityMessage(i, capacityUnavailable)
 			s.Taken(one)
 			s.Withdrawn(one.ID)
 		}
 	})
 }
 
-// BenchmarkCapacityWaiting measures one message accepted, sent and done at a healthy destination, while messages wait for
-// so many others that may not be sent to.
+// BenchmarkCapacityWaiting measures accepting, sending and completing a message for a healthy destination, by number of
+// other destinations whose messages wait and may not be sent.
 func BenchmarkCapacityWaiting(b *testing.B) {
 	bench.Sizes(b, "waiting", []int{16, 165, 1_647, 16_470}, func(b *testing.B, n int) {
-		s, _ := withOpen(4*n, n, 100*n+1000)
-		well := DestinationID(n)
-		s.UpdateEndpoints([]Entry{{Endpoint: "well", Destination: well, Rating: 1e6}}, false)
+		s, _ := senderWithOpen(4*n, n, 100*n+1000)
+		healthy := DestinationID(n)
+		s.UpdateEndpoints([]Entry{{Endpoint: "healthy", Destination: healthy, Rating: 1e6}}, false)
 		one := capacityMessage(0, 1)
-		one.Destination = well
+		one.Destination = healthy
 		i := 0
 		for b.Loop() {
 			i++
 			one.ID = MessageID(fmt.Sprint(i))
 			s.Taken(one)
 			s.TurnEnd()
-			s.Ended(Outcome{Message: one.ID, Endpoint: "well", Took: 20 * Millisecond, Result: Done, Final: true})
+			s.Ended(Outcome{Message: one.ID, Endpoint: "healthy", Took: 20 * Millisecond, Result: Done, Final: true})
 		}
 		if len(s.messages) != 4*n {
-			b.Fatalf("%d held, not %d: the one was not delivered", len(s.messages), 4*n)
+			b.Fatalf("%d messages open, want %d: the message was not delivered", len(s.messages), 4*n)
 		}
 	})
 }
--- a/choice/configure_bench_test.go
+++ b/choice/configure_bench_test.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// BenchmarkConfigure measures how long a change of settings holds up a sender: the turn in which it comes, and the next
-// tick, which looks at all destinations.
+// BenchmarkConfigure measures for how long a change of settings blocks a sender: the turn with the change, and the next
+// tick, which refreshes all destinations.
 func BenchmarkConfigure(b *testing.B) {
-	gain := func(set *Settings, i int) { set.Classes[0].Value = float64(2 + i%2) }
-	contract := func(set *Settings, i int) { set.Classes[0].LatencyObjective = Time(1+i%2) * Second / 2 }
+	value := func(set *Settings, i int) { set.Classes[0].Value = float64(2 + i%2) }
+	objective := func(set *Settings, i int) { set.Classes[0].LatencyObjective = Time(1+i%2) * Second / 2 }
 	for _, size := range []struct {
 		name               string
 		change             func(*Settings, int)
 		destinations, open int
 	}{
-		{"gain", gain, 610, 1_000}, {"gain", gain, 6_100, 10_000}, {"gain", gain, 61_000, 100_000},
-		{"contract", contract, 610, 1_000}, {"contract", contract, 6_100, 10_000}, {"contract", contract, 61_000, 100_000},
+		{"value", value, 610, 1_000}, {"value", value, 6_100, 10_000}, {"value", value, 61_000, 100_000},
+		{"objective", objective, 610, 1_000}, {"objective", objective, 6_100, 10_000}, {"objective", objective, 61_000, 100_000},
 	} {
 		b.Run(fmt.Sprintf("%s/%dDestinations%dOpen", size.name, size.destinations, size.open), func(b *testing.B) {
 			set := testSettings()
@@ -30,11 +30,11 @@
 			}
 			host.sender.UpdateEndpoints(list, true)
 			for i := range size.open {
-				host.sender.Taken(Message{ID: MessageID(fmt.Sprint("notice", i)), Key: NoKey, Destination: DestinationID(i % size.destinations),
+				host.sender.Taken(Message{ID: MessageID(fmt.Sprint("message", i)), Key: NoKey, Destination: DestinationID(i % size.destinations),
 					Deadline: host.clock + 6*Second})
 			}
 			host.sender.TimerDue(tickTimer)
-			var turn, next time.Duration
+			var turn, tick time.Duration
 			for i := range b.N {
 				size.change(&set, i)
 				began := time.Now()
@@ -42,10 +42,10 @@
 				turn += time.Since(began)
 				began = time.Now()
 				host.sender.TimerDue(tickTimer)
-				next += time.Since(began)
+				tick += time.Since(began)
 			}
 			b.ReportMetric(float64(turn.Microseconds())/1e3/float64(b.N), "ms/turn")
-			b.ReportMetric(float64(next.Microseconds())/1e3/float64(b.N), "ms/tick")
+			b.ReportMetric(float64(tick.Microseconds())/1e3/float64(b.N), "ms/tick")
 		})
 	}
 }
--- a/choice/configure_test.go
+++ b/choice/configure_test.go
@@ -8,31 +8,32 @@
 	"testing"
 )
 
-// What holds of settings that change while a sender runs: Configure(new) leads to what Start(new) leads to, what is open
-// gets its one answer, and nothing goes beyond what the new ones allow.
+// The tests in this file check changes of settings in a running sender. A sender after Configure must act like one that
+// was started with the same settings, every open message must get exactly one answer, and nothing may exceed the new
+// limits.
 
-// settingsChanges are a change of each field of the settings. With fleet many senders are needed for it to show; with
-// silent this package doesn't read the field.
+// settingsChanges has one change for each field of the settings, by field name. A change with fleet set has an effect
+// only with many senders. A field with unread set is not read by this package.
 var settingsChanges = map[string]struct {
 	change        func(*Settings)
-	fleet, silent bool
+	fleet, unread bool
 }{
 	"Senders":                  {change: func(s *Settings) { s.Senders = 30 }, fleet: true},
-	"Number":                   {change: func(s *Settings) { s.Number = 3 }, silent: true},
+	"Number":                   {change: func(s *Settings) { s.Number = 3 }, unread: true},
 	"Zone":                     {change: func(s *Settings) { s.Zone = 1 }},
 	"InFlightLimit":            {change: func(s *Settings) { s.InFlightLimit = 3 }},
 	"MaxOpen":                  {change: func(s *Settings) { s.MaxOpen = 10 }},
 	"MaxAttempts":              {change: func(s *Settings) { s.MaxAttempts = 2 }},
 	"Classes":                  {change: func(s *Settings) { s.Classes = append(s.Classes, s.Classes[1], s.Classes[3]) }},
-	"Kinds":                    {change: func(s *Settings) { s.Kinds = append(s.Kinds, Kind{BulkMax: 9}) }, silent: true}, // no endpoint is of it
+	"Kinds":                    {change: func(s *Settings) { s.Kinds = append(s.Kinds, Kind{BulkMax: 9}) }, unread: true}, // no endpoint has this kind
 	"Quotas":                   {change: func(s *Settings) { s.Quotas = []float64{3, 3, 3} }},
 	"OverQuotaValue":           {change: func(s *Settings) { s.OverQuotaValue = 0.01 }},
 	"Halving":                  {change: func(s *Settings) { s.Halving = true }},
 	"Probing":                  {change: func(s *Settings) { s.Probing = false }},
 	"Notes":                    {change: func(s *Settings) { s.Notes = false }, fleet: true},
-	"Cancelling":               {change: func(s *Settings) { s.Cancelling = true }, silent: true},
+	"Cancelling":               {change: func(s *Settings) { s.Cancelling = true }, unread: true},
 	"MaxRetryAfter":            {change: func(s *Settings) { s.MaxRetryAfter = 10 * Millisecond }},
-	"DialTimeout":              {change: func(s *Settings) { s.DialTimeout = Second }, silent: true},
+	"DialTimeout":              {change: func(s *Settings) { s.DialTimeout = Second }, unread: true},
 	"ConnIdle":                 {change: func(s *Settings) { s.ConnIdle = 20 * Second }},
 	"AnswersWhenTableFull":     {change: func(s *Settings) { s.AnswersWhenTableFull = true }, fleet: true},
 	"TurnInterval":             {change: func(s *Settings) { s.TurnInterval = 40 * Millisecond }},
@@ -43,8 +44,8 @@
 	"SlowStart":                {change: func(s *Settings) { s.SlowStart = 3 * Second }},
 	"KeyPause":                 {change: func(s *Settings) { s.KeyPause = 3 * Second }},
 	"RouteFees":                {change: func(s *Settings) { s.RouteFees = []float64{0.3, 0} }},
-	"RejectedPrice":            {change: func(s *Settings) { s.RejectedPrice = 0.5 }, silent: true},
-	"HandshakePrice":           {change: func(s *Settings) { s.HandshakePrice = 0.5 }, silent: true},
+	"RejectedPrice":            {change: func(s *Settings) { s.RejectedPrice = 0.5 }, unread: true},
+	"HandshakePrice":           {change: func(s *Settings) { s.HandshakePrice = 0.5 }, unread: true},
 	"Classes.Repeat":           {change: eachClass(func(w *Class) { w.Repeat = NonIdempotent })},
 	"Classes.ZoneGroup":        {change: eachClass(func(w *Class) { w.ZoneGroup = !w.ZoneGroup })},
 	"Classes.RepeatWindow":     {change: eachClass(func(w *Class) { w.RepeatWindow = 300 * Millisecond })},
@@ -57,7 +58,7 @@
 	"Kinds.SeparateRoutes":     {change: func(s *Settings) { s.Kinds[0].SeparateRoutes = true }},
 }
 
-// eachClass is a change of every class.
+// eachClass returns a change that is applied to every class.
 func eachClass(change func(*Class)) func(*Settings) {
 	return func(s *Settings) {
 		for i := range s.Classes {
@@ -66,7 +67,7 @@
 	}
 }
 
-// withChange returns a copy of settings with one change, which shares no memory with them.
+// withChange returns a changed copy of settings, which shares no memory with them.
 func withChange(set Settings, change func(*Settings)) Settings {
 	set.Classes, set.Kinds = slices.Clone(set.Classes), slices.Clone(set.Kinds)
 	set.Quotas, set.RouteFees = slices.Clone(set.Quotas), slices.Clone(set.RouteFees)
@@ -74,52 +75,53 @@
 	return set
 }
 
-// Each field of the settings is in settingsChanges, also one that is new.
+// TestEverySettingHasAChange fails if settingsChanges lacks a field of the settings, so that a new field can't be
+// forgotten.
 func TestEverySettingHasAChange(t *testing.T) {
-	rows := map[string]bool{}
+	listed := map[string]bool{}
 	for name := range settingsChanges {
-		rows[name] = true
+		listed[name] = true
 	}
 	take := func(prefix string, of reflect.Type) {
 		for i := range of.NumField() {
 			name := prefix + of.Field(i).Name
-			if !rows[name] {
-				t.Errorf("field %s has no row", name)
+			if !listed[name] {
+				t.Errorf("field %s is not in settingsChanges", name)
 			}
-			delete(rows, name)
+			delete(listed, name)
 		}
 	}
 	take("", reflect.TypeFor[Settings]())
 	take("Classes.", reflect.TypeFor[Class]())
 	take("Kinds.", reflect.TypeFor[Kind]())
-	for name := range rows {
-		t.Errorf("row %s stands for no field", name)
+	for name := range listed {
+		t.Errorf("settingsChanges has %s, which is not a field", name)
 	}
 }
 
-// A sender that is configured before anything happened acts as one that was started with these settings: whatever
-// depends on a field is worked out anew. And each field that the package reads shows in what the sender does, or else
-// its change would prove nothing.
+// TestConfigureIsAsStart checks that a sender configured before any event acts like one started with the same settings,
+// so that every field derived from settings is updated. Each field that the package reads must change what the sender
+// does, since the comparison would prove nothing otherwise.
 func TestConfigureIsAsStart(t *testing.T) {
-	for name, row := range settingsChanges {
+	for name, entry := range settingsChanges {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			before := loadSettings(row.fleet)
-			after := withChange(before, row.change)
+			before := loadSettings(entry.fleet)
+			after := withChange(before, entry.change)
 			play := func(start Settings, then *Settings) []string {
 				host := &loadHost{t: t}
 				host.start(start)
-				if then == nil || name != "Kinds.SeparateRoutes" { // which counts from when an endpoint is listed
+				if then == nil || name != "Kinds.SeparateRoutes" { // this field applies when an endpoint is first listed
 					host.listEndpoints()
 				}
 				if then != nil {
 					host.sender.Configure(withChange(*then, func(*Settings) {}))
 					host.listEndpoints()
 				}
-				host.playUntil(loadWarmUp)
+				host.runUntil(loadWarmUp)
 				host.trace = nil
 				host.offerLoad(loadWarmUp, loadWarmUp+loadSpan)
-				host.playUntil(loadWarmUp + loadSpan + 30*Second)
+				host.runUntil(loadWarmUp + loadSpan + 30*Second)
 				return host.trace
 			}
 			started, configured, other := play(after, nil), play(before, &after), play(before, nil)
@@ -127,8 +129,8 @@
 				startedLine, configuredLine := started[i:min(len(started), i+1)], configured[i:min(len(configured), i+1)]
 				t.Errorf("line %d of %d: started %q, configured %q", i, len(started), startedLine, configuredLine)
 			}
-			if same := firstDifference(started, other) < 0; same != row.silent {
-				t.Errorf("it changes nothing: %v; the row says %v", same, row.silent)
+			if same := firstDifference(started, other) < 0; same != entry.unread {
+				t.Errorf("change without effect: %v, want %v", same, entry.unread)
 			}
 		})
 	}
@@ -144,19 +146,19 @@
 	return -1
 }
 
-// Each field changes under load, to the new value or back from it: every message gets one answer, nothing goes beyond
-// what is allowed from then on, and nothing is left behind.
+// TestConfigureUnderLoad changes each field under load, to the new value or back from it. Every message must get one
+// answer, nothing may exceed the new limits, and no state may be left over.
 func TestConfigureUnderLoad(t *testing.T) {
-	for name, row := range settingsChanges {
+	for name, entry := range settingsChanges {
 		for _, back := range []bool{false, true} {
-			before := loadSettings(row.fleet)
-			after := withChange(before, row.change)
+			before := loadSettings(entry.fleet)
+			after := withChange(before, entry.change)
 			if back {
 				before, after = after, before
 			}
 			shorter := len(before.Classes) > len(after.Classes) || len(before.Kinds) > len(after.Kinds) ||
 				len(before.Quotas) > len(after.Quotas)
-			if shorter { // which is rejected where settings are checked
+			if shorter { // the check of settings rejects shorter lists
 				continue
 			}
 			t.Run(fmt.Sprint(name, back), func(t *testing.T) {
@@ -165,32 +167,32 @@
 				host.start(before)
 				host.listEndpoints()
 				host.offerLoad(0, loadSpan)
-				for _, at := range []Time{3*Second + 1, 6*Second + 1} { // before and in an outage
+				for _, at := range []Time{3*Second + 1, 6*Second + 1} { // before and during an outage
 					host.schedule(at, -1, func() { host.sender.Configure(withChange(after, func(*Settings) {})) })
 				}
-				host.playUntil(loadSpan + 60*Second)
-				if coming := int(loadSpan / loadInterval); len(host.answers) < coming {
-					t.Errorf("%d answers for %d messages", len(host.answers), coming)
+				host.runUntil(loadSpan + 60*Second)
+				if offered := int(loadSpan / loadInterval); len(host.answers) < offered {
+					t.Errorf("%d answers for %d messages", len(host.answers), offered)
 				}
-				if left := openState(host.sender); left > 0 {
-					t.Errorf("%d left behind", left)
+				if left := countOpenState(host.sender); left > 0 {
+					t.Errorf("%d pieces of state left over", left)
 				}
-				if dispatched := strings.Count(strings.Join(host.trace, "\n"), "attempt"); dispatched < 100 {
-					t.Errorf("%d attempts", dispatched)
+				if attempts := strings.Count(strings.Join(host.trace, "\n"), "attempt"); attempts < 100 {
+					t.Errorf("%d attempts, want at least 100", attempts)
 				}
 			})
 		}
 	}
 }
 
-// Configure keeps learned state: limits, rates, pauses, health and slow start, and the call times of endpoints that
-// were called.
+// TestConfigureKeepsLearnedState checks that Configure keeps learned state: limits, rates, pauses, health, slow start,
+// and the call times of endpoints that had calls.
 func TestConfigureKeepsLearnedState(t *testing.T) {
 	host := &loadHost{t: t}
 	host.start(loadSettings(false))
 	host.listEndpoints()
 	host.offerLoad(0, loadSpan)
-	host.playUntil(7 * Second)
+	host.runUntil(7 * Second)
 	type known struct {
 		callTimes
 		healthState
@@ -211,11 +213,11 @@
 	}
 	before := state()
 	if !slices.ContainsFunc(before, func(k known) bool { return k.ejected }) {
-		t.Fatal("nothing is ejected")
+		t.Fatal("no endpoint is ejected")
 	}
 	host.sender.Configure(withChange(host.sender.settings, func(s *Settings) {
-		for _, row := range settingsChanges {
-			row.change(s)
+		for _, entry := range settingsChanges {
+			entry.change(s)
 		}
 	}))
 	if after := state(); !reflect.DeepEqual(before, after) {
@@ -223,25 +225,26 @@
 	}
 }
 
-// One that nobody called yet stands with the guess of the new settings; one that was called with its own times.
+// TestConfigureRenewsAssumedCallTimes checks that an endpoint without calls gets the assumed call time of the new
+// settings, and that one with calls keeps its own call times.
 func TestConfigureRenewsAssumedCallTimes(t *testing.T) {
 	host := startSender(testSettings())
 	host.mute = true
 	host.accept(0, 1, "p").end(Done, 0, "a", "p")
 	host.sender.Configure(withChange(testSettings(), eachClass(func(w *Class) { w.LatencyObjective = 4 * Second })))
-	called, new := host.endpoint("a"), host.endpoint("c")
-	if called.mean != float64(200*Millisecond) || new.callTimes != guessedTimes(float64(2*Second)) {
-		t.Error(called.callTimes, new.callTimes)
+	called, uncalled := host.endpoint("a"), host.endpoint("c")
+	if called.mean != float64(200*Millisecond) || uncalled.callTimes != assumedCallTimes(float64(2*Second)) {
+		t.Errorf("call times of a called endpoint %v, of another one %v", called.callTimes, uncalled.callTimes)
 	}
 }
 
-// A message that may not be sent again under new settings gets its answer at once, and no attempt too many.
+// A message that must not be sent again under the new settings ends at once, without a further attempt.
 func ExampleSender_Configure() {
 	for _, change := range []func(*Settings){
 		func(s *Settings) { s.MaxAttempts = 1 },
 		eachClass(func(w *Class) { w.Repeat = NonIdempotent }),
 		eachClass(func(w *Class) { w.RepeatWindow = 100 * Millisecond }),
-		eachClass(func(w *Class) { w.LateValue = 0 }), // and where nothing forbids it, it is retried
+		eachClass(func(w *Class) { w.LateValue = 0 }), // this does not forbid a retry
 	} {
 		set := testSettings()
 		set.InFlightLimit = 1
@@ -266,7 +269,7 @@
 	// 2000.0  attempt p to a
 }
 
-// New fees rank endpoints anew within a tick, also where nothing else happens.
+// New route fees change the ranking of endpoints within a tick, even if nothing else happens.
 func ExampleSender_Configure_fees() {
 	set := testSettings()
 	set.Kinds[1].SeparateRoutes, set.RouteFees = true, []float64{0, 0.05}
--- a/choice/connections.go
+++ b/choice/connections.go
@@ -1,15 +1,15 @@
 package choice
 
-// keepUseFactor decides whether an idle connection is kept: this sender's calls there, counted over the time after which
-// the host closes idle connections, must be at least this many times the share of new connections that fail.
-const keepUseFactor = 30.0
+// minUseFactor decides whether an idle connection is kept. The number of calls that this sender makes there within
+// Settings.ConnIdle must be at least this factor times the share of new connections that fail.
+const minUseFactor = 30.0
 
-// closeIfUnused closes the idle connections to an endpoint that are used too little, also where messages wait that may
-// not be sent yet. The connections of a fleet fill an endpoint's table: the more new ones fail at its kind, the oftener
-// one must be used to be kept.
+// closeIfUnused closes the idle connections to an endpoint if they are used too rarely, even while messages are queued
+// that may not be sent yet. The connections of a large fleet can fill an endpoint's connection table, so the more new
+// connections of a kind fail, the more use a kept connection must have.
 func (s *Sender) closeIfUnused(ep *endpoint) {
 	used := ep.sent.read(s.now, s.sharedRateWindow()) * seconds(s.settings.ConnIdle)
-	if s.idle(ep) && used < keepUseFactor*ep.destination.kind.connectFailShare {
+	if s.idle(ep) && used < minUseFactor*ep.destination.kind.connectFailShare {
 		s.host.CloseIdle(ep.id)
 		ep.idleConnUntil = s.now
 	}
@@ -23,9 +23,9 @@
 	return ep.destination.queued == 0 || !ep.route.ready(s.now) || !s.slowStartReady(ep)
 }
 
-// onConnectionTableFull handles that an endpoint had no place for a further connection, which says nothing of its limits.
-// Idle connections to its kind may be closed, and one call at a time tries there. A drawback: some destinations that
-// are shut look like this.
+// onConnectionTableFull handles an endpoint that had no room for another connection, from which nothing follows about
+// its rate limits. It closes little-used idle connections to endpoints of the same kind and limits this endpoint to one
+// call at a time. Drawback: some unavailable destinations look the same.
 func (s *Sender) onConnectionTableFull(ep *endpoint) {
 	kind := ep.destination.kind
 	ep.concurrencyLimit = 1
@@ -36,8 +36,9 @@
 	}
 }
 
-// onConnectFailed handles that no connection came up. Unless a full connection table is answered, that may be the reason;
-// the other senders are notified, as they may have idle connections there.
+// onConnectFailed handles a failed connection attempt. Unless endpoints report a full connection table
+// (Settings.AnswersWhenTableFull), the table may have been full. The other senders are then notified, as they may hold
+// idle connections to the endpoint.
 func (s *Sender) onConnectFailed(ep *endpoint) {
 	if s.settings.AnswersWhenTableFull {
 		return
--- a/choice/connections_test.go
+++ b/choice/connections_test.go
@@ -2,32 +2,33 @@
 
 import "fmt"
 
-// Messages sent in one turn to one endpoint share a call: here five, of a kind that takes three in one.
+// Messages sent to one endpoint in one turn share bulk calls. Five messages need two calls here, as the kind allows
+// three in each.
 func ExampleSender_bulkCall() {
 	host := startSender(testSettings()).accept(2, 2, "p", "q", "r", "s", "t")
-	fmt.Println(len(host.sender.calls), "slots")
+	fmt.Println(len(host.sender.calls), "calls")
 	host.end(Done, 0, "c", "p", "q")
-	fmt.Println(len(host.sender.calls), "slots")
+	fmt.Println(len(host.sender.calls), "calls")
 	host.end(Done, 0, "c", "r")
-	fmt.Println(len(host.sender.calls), "slot")
+	fmt.Println(len(host.sender.calls), "call")
 	// Output:
 	// 0.0     attempt t to c
 	// 0.0     attempt s to c
 	// 0.0     attempt r to c
 	// 0.0     attempt q to c
 	// 0.0     attempt p to c
-	// 2 slots
-	// 1 slots
-	// 1 slot
+	// 2 calls
+	// 1 calls
+	// 1 call
 }
 
-// Idle connections are kept until new ones of their kind fail, as those of a fleet fill an endpoint's table. Then those
-// little used are closed, in any zone.
+// Idle connections are kept until new connections of their kind fail, because a fleet can fill an endpoint's connection
+// table. Then little-used ones are closed, in any zone.
 func ExampleSender_idleConnections() {
 	set := testSettings()
 	set.ConnIdle = Second
 	host := startSender(set)
-	host.printClosings = true
+	host.printCloseIdle = true
 	host.accept(0, 1, "p").end(Done, 0, "a", "p")
 	host.sender.kinds[0].connectFailShare = 0.5
 	host.advance(Second).accept(0, 1, "r").end(Done, 0, "a", "r")
@@ -41,11 +42,11 @@
 	// 1000.0  close a
 }
 
-// Calls that are reset on reused connections show no outage. While there are many, a non-idempotent message gets a new
+// Resets of reused connections are no evidence of an outage. While there are many, a non-idempotent message gets a new
 // connection.
 func ExampleSender_reusedConnections() {
 	host := startSender(testSettings())
-	host.printClosings = true
+	host.printCloseIdle = true
 	host.accept(0, 1, "o").end(Done, 0, "a", "o")
 	for _, id := range []MessageID{"p", "q"} {
 		host.accept(2, 1, id)
@@ -62,8 +63,9 @@
 	// ejected: false
 }
 
-// A new connection that is rejected and ended found no place: idle connections to endpoints of the kind are closed, and
-// the rate is not cut, however often it happens. Rejections on connections that stay open are a limit's.
+// A new connection that the endpoint rejects and closes found a full connection table. Idle connections to endpoints of
+// the kind are closed, and the rate is not cut, however often that happens. Rejections on connections that stay open
+// are attributed to a limit.
 func ExampleSender_connectionTableFull() {
 	for _, closed := range []bool{true, false} {
 		set := testSettings()
@@ -71,13 +73,13 @@
 		host := startSender(set)
 		host.update(Entry{Endpoint: "d", Destination: 3})
 		host.accept(0, 1, "first").accept(0, 3, "other").end(Done, 0, "a", "first").end(Done, 0, "d", "other")
-		host.advance(2 * Second).printClosings = true
+		host.advance(2 * Second).printCloseIdle = true
 		for _, id := range []MessageID{"p", "q", "r"} {
 			host.accept(0, 1, id).sender.Ended(Outcome{Message: id, Endpoint: "a", Result: Rejected, Closed: closed})
 			host.sender.Withdrawn(id)
 			host.advance(2 * Second)
 		}
-		fmt.Println("pace cut:", host.destination(1).route.limiter.rate < 100)
+		fmt.Println("rate cut:", host.destination(1).route.limiter.rate < 100)
 	}
 	// Output:
 	// 0.0     attempt first to a
@@ -91,15 +93,16 @@
 	// 6000.0  attempt r to a
 	// 6000.0  close d
 	// 6000.0  close a
-	// pace cut: false
+	// rate cut: false
 	// 0.0     attempt first to a
 	// 0.0     attempt other to d
 	// 2000.0  attempt p to a
 	// 4000.0  attempt q to a
-	// pace cut: true
+	// rate cut: true
 }
 
-// A Retry-After counts whatever came with it: a shut destination may send one as it ends a connection beyond its table.
+// A Retry-After is obeyed even with a closed connection: an unavailable destination may send one when it closes a
+// connection that does not fit its connection table.
 func ExampleSender_connectionTableFullRetryAfter() {
 	set := testSettings()
 	set.Senders, set.Probing = 300, false
@@ -114,8 +117,8 @@
 	// 2200.0  attempt p to a
 }
 
-// A connection may take longer to come up than a destination remembers an idempotency key: the repeat must not be sent
-// then.
+// Establishing a connection may take longer than a destination remembers an idempotency key. The repeat must not be
+// sent then.
 func ExampleSender_Open() {
 	host := startSender(testSettings())
 	host.mute = true
@@ -130,10 +133,10 @@
 	// 3800 false true
 }
 
-// A connection may take so long to come up that a pause or a drain is reported before the attempt can be sent.
+// A pause or a drain may be reported while a connection is being established. The attempt must not be sent then.
 func Example_open() {
 	host := startSender(testSettings()).accept(0, 1, "one")
-	fmt.Println(host.sender.Open("a"), host.sender.Open("b"), host.sender.Open("nobody"))
+	fmt.Println(host.sender.Open("a"), host.sender.Open("b"), host.sender.Open("unknown"))
 	host.end(Rejected, 300*Millisecond, "a", "one")
 	fmt.Println(host.sender.Open("a"))
 	host.mute = true
@@ -149,16 +152,16 @@
 	// false
 }
 
-// At a kind whose connection tables run full, no idle connection is kept for queued messages that may not be sent yet:
-// the endpoint is in slow start, its budget is used up, and others who may call find no place. Where it is well, the
-// connection is kept for what is queued.
+// If connection tables of a kind are full, no idle connection is kept for queued messages that may not be sent yet,
+// such as in slow start with the budget used up: other senders that may call would find no room. A healthy endpoint's
+// connection is kept for queued messages.
 func ExampleSender_idleConnectionWhileQueued() {
 	for _, warmingUp := range []bool{true, false} {
 		set := testSettings()
 		set.Senders, set.ConnIdle, set.InFlightLimit = 300, 10*Second, 1
 		host := startSender(set)
 		host.destination(1).kind.connectFailShare = 0.5
-		host.printClosings = true
+		host.printCloseIdle = true
 		if warmingUp {
 			host.sender.beginSlowStart(host.endpoint("a"), host.clock)
 		}
@@ -172,15 +175,16 @@
 	// 100.0   attempt r to a
 }
 
-// Where a full connection table is answered, connections that fail show an outage and nothing else: the idle connection
-// to a healthy endpoint stays. Where a full table makes connecting fail, idle connections to that kind are closed.
+// If endpoints answer when their connection table is full, failed connections are evidence of an outage only, and the
+// idle connection to a healthy endpoint stays. If a full table makes connecting fail, idle connections to endpoints of
+// that kind are closed.
 func ExampleSender_connectFailures() {
 	for _, tellsFull := range []bool{true, false} {
 		set := testSettings()
 		set.Senders, set.ConnIdle, set.AnswersWhenTableFull = 80, 10*Second, tellsFull
 		host := startSender(set)
 		host.update(Entry{Endpoint: "d", Destination: 3})
-		host.printClosings, host.mute = true, true
+		host.printCloseIdle, host.mute = true, true
 		for i := range 4 {
 			id := MessageID(fmt.Sprint("down", i))
 			host.advance(2*Second).accept(0, 1, id).end(ConnectFailed, 0, "a", id)
--- a/choice/endpointlist.go
+++ b/choice/endpointlist.go
@@ -5,12 +5,13 @@
 	"slices"
 )
 
-// This file follows the endpoint list: which endpoints and destinations there are, and when they are dropped.
+// This file applies the endpoint list: it adds and drops endpoints and destinations.
 
-// initialConcurrency is how many calls may be in flight at an endpoint of which nothing is known, or nothing new.
+// initialConcurrency is the concurrency limit of an endpoint that has no calls yet, or no recent successful ones.
 const initialConcurrency = 2.0
 
-// UpdateEndpoints takes the endpoint list (whole), or the entries of it that changed.
+// UpdateEndpoints applies the endpoint list. With whole, entries are the complete list; otherwise they are the entries
+// that changed.
 func (s *Sender) UpdateEndpoints(entries []Entry, whole bool) {
 	s.now = s.host.Now()
 	if whole {
@@ -23,7 +24,8 @@
 	}
 }
 
-// updateEndpoint takes one entry of the endpoint list. An endpoint that has moved to another destination is a new one.
+// updateEndpoint applies one entry of the endpoint list. An endpoint that has moved to another destination is treated
+// as a new one.
 func (s *Sender) updateEndpoint(entry Entry) {
 	dest, ep := s.ensureDestination(entry.Destination), s.endpoints[entry.Endpoint]
 	lastKind := len(s.kinds) - 1
@@ -40,8 +42,8 @@
 	ep.route.rating = entry.Rating
 }
 
-// addEndpoint adds an endpoint to its destination, which it joins in the state of the rest: most of a destination may
-// be replaced during an outage.
+// addEndpoint adds an endpoint to a destination. It starts with the health of the other endpoints of its route, because
+// most of a destination may be replaced during an outage.
 func (s *Sender) addEndpoint(dest *destination, entry Entry) *endpoint {
 	ep := &endpoint{
 		id:               entry.Endpoint,
@@ -56,7 +58,7 @@
 	s.restoreLearned(ep, entry.LearnedState)
 	for _, other := range dest.ranked {
 		if other.route == ep.route && (other.ejected && !ep.ejected || other.slowStartAt > ep.slowStartAt) {
-			s.adoptHealth(ep, other)
+			s.copyHealth(ep, other)
 		}
 	}
 	s.endpoints[ep.id] = ep
@@ -65,16 +67,16 @@
 	return ep
 }
 
-// adoptHealth gives an endpoint the health and call times of another one of its route. Its slow start budget begins by
-// chance: all senders hear of a new endpoint at the same moment, and must not all call it then.
-func (s *Sender) adoptHealth(ep, other *endpoint) {
+// copyHealth gives an endpoint the health and call times of another endpoint of its route. Its slow start budget begins
+// at a random level: all senders learn of a new endpoint at the same moment, and they must not all call it then.
+func (s *Sender) copyHealth(ep, other *endpoint) {
 	s.beginSlowStart(ep, other.slowStartAt)
 	ep.callTimes = other.callTimes
 	ep.healthState = other.healthState
 	ep.slowStart.updatedAt = max(s.now, other.slowStart.updatedAt)
 }
 
-// ensureDestination returns a destination, added if it is new, and marks it dirty.
+// ensureDestination returns a destination, which it creates if necessary, and marks it dirty.
 func (s *Sender) ensureDestination(id DestinationID) *destination {
 	dest := s.destinations[id]
 	if dest == nil {
@@ -88,13 +90,13 @@
 // newRoute returns a route without a known limit.
 func newRoute(now Time) *route {
 	return &route{
-		limiter:  tokenBucket{rate: unlimitedRate, tokens: unlimitedRate, updatedAt: now},
-		judgedAt: now,
+		limiter:        tokenBucket{rate: unlimitedRate, tokens: unlimitedRate, updatedAt: now},
+		rateAdjustedAt: now,
 	}
 }
 
-// markDirty has the next tick look at a destination, so that the tick's work follows what changed and not the size of
-// the list.
+// markDirty makes the next tick refresh a destination. The work of a tick therefore depends on the number of changes
+// and not on the size of the list.
 func (s *Sender) markDirty(dest *destination) {
 	if !dest.dirty {
 		dest.dirty = true
@@ -102,8 +104,8 @@
 	}
 }
 
-// refreshDestination drops a destination's endpoints that are no longer needed, ranks the others and probes ejected
-// ones. It reports whether the next tick may leave the destination out.
+// refreshDestination drops the endpoints of a destination that are no longer needed, ranks the others, and probes
+// ejected ones. It reports whether the next tick may skip the destination.
 func (s *Sender) refreshDestination(dest *destination) bool {
 	dest.ranked = slices.DeleteFunc(dest.ranked, s.dropIfUnneeded)
 	slices.SortStableFunc(dest.ranked, func(a, b *endpoint) int { return cmp.Compare(s.rankCost(a), s.rankCost(b)) })
@@ -120,16 +122,16 @@
 	return !dest.dirty
 }
 
-// dropIfUnneeded forgets an endpoint that has left the list, once nothing is in flight there and what is known of an
-// outage or a pause can't matter any more. It reports whether it did.
+// dropIfUnneeded drops an endpoint that is no longer listed, once it has nothing in flight and its pause and slow start
+// are over. It reports whether it did.
 func (s *Sender) dropIfUnneeded(ep *endpoint) bool {
 	knownUntil := max(ep.slowStartAt+s.settings.SlowStart, ep.route.pausedUntil)
 	if ep.listed || ep.inFlight > 0 || ep.probing || s.now < knownUntil {
 		return false
 	}
-	if s.endpoints[ep.id] == ep { // otherwise one of its id has joined another destination
+	if s.endpoints[ep.id] == ep { // otherwise an endpoint with the same id has joined another destination
 		delete(s.endpoints, ep.id)
-		deleteValue(s.endpointsByHash, ep) // by value: another endpoint may have the same hash
+		deleteValue(s.endpointsByHash, ep) // by value, since two endpoints may have the same hash
 	}
 	return true
 }
--- a/choice/fakehost_test.go
+++ b/choice/fakehost_test.go
@@ -6,15 +6,15 @@
 	"sort"
 )
 
-// fakeHost is a host that prints what the sender asks of it, with its clock in milliseconds.
+// fakeHost is a Host that prints the calls of its sender, with its clock in milliseconds.
 type fakeHost struct {
-	sender        *Sender
-	clock         Time
-	timers        []fakeTimer
-	mute          bool                             // print nothing
-	printClosings bool                             // print which idle connections are closed, too
-	attempts      map[MessageID]int                // sent, by message
-	barred        func(MessageID, EndpointID) bool // nil for nothing
+	sender         *Sender
+	clock          Time
+	timers         []fakeTimer
+	mute           bool                             // print nothing
+	printCloseIdle bool                             // also print CloseIdle
+	attempts       map[MessageID]int                // number of attempts, by message
+	disallowed     func(MessageID, EndpointID) bool // reports what Allowed denies; nil for nothing
 }
 
 // fakeTimer is a timer that has not fired yet.
@@ -23,8 +23,8 @@
 	id TimerID
 }
 
-// testSettings are settings of a small fleet whose class 0 is idempotent, 1 keyed, 2 non-idempotent, and 3 idempotent
-// and ordered by key.
+// testSettings returns settings of a small fleet. Class 0 is idempotent, 1 is keyed, 2 is non-idempotent, and 3 is
+// idempotent and ordered by key.
 func testSettings() Settings {
 	class := func(r Repeat, order bool) Class {
 		return Class{Repeat: r, RepeatWindow: 3 * Second, LatencyObjective: Second, Deadline: 6 * Second,
@@ -36,7 +36,7 @@
 		OverloadMultiple: 2, OverloadWindow: 2 * Second, SlowStartFrom: 0.2, SlowStart: 10 * Second, KeyPause: Second}
 }
 
-// startSender starts a sender whose endpoint list holds a and b (gone) at destination 1, and c at destination 2.
+// startSender starts a sender with the endpoints a and b (gone) of destination 1 and c of destination 2.
 func startSender(set Settings) *fakeHost {
 	host := &fakeHost{attempts: map[MessageID]int{}}
 	host.sender = Start(host, "s", 7, set)
@@ -49,16 +49,16 @@
 	return host
 }
 
-// update gives the sender entries of the endpoint list that changed.
+// update passes changed entries of the endpoint list to the sender.
 func (h *fakeHost) update(entries ...Entry) { h.sender.UpdateEndpoints(entries, false) }
 
-// endpoint returns what the sender knows of an endpoint.
+// endpoint returns the sender's state of an endpoint.
 func (h *fakeHost) endpoint(id EndpointID) *endpoint { return h.sender.endpoints[id] }
 
-// destination returns what the sender knows of a destination.
+// destination returns the sender's state of a destination.
 func (h *fakeHost) destination(id DestinationID) *destination { return h.sender.destinations[id] }
 
-// accept hands in messages of order key 5, and ends the turn.
+// accept passes messages with order key 5 to the sender and ends the turn.
 func (h *fakeHost) accept(class ClassNo, to DestinationID, ids ...MessageID) *fakeHost {
 	for _, id := range ids {
 		h.sender.Taken(Message{ID: id, Class: class, Key: 5, Destination: to,
@@ -68,7 +68,7 @@
 	return h
 }
 
-// end gives each message's latest attempt an outcome, which took 200 ms, and ends the turn.
+// end passes an outcome for the latest attempt of each message, which took 200 ms, and ends the turn.
 func (h *fakeHost) end(result Result, wait Time, at EndpointID, ids ...MessageID) *fakeHost {
 	for _, id := range ids {
 		h.sender.Ended(Outcome{Message: id, Attempt: h.attempts[id] - 1, Endpoint: at, Took: 200 * Millisecond,
@@ -78,7 +78,7 @@
 	return h
 }
 
-// advance moves the clock on, firing timers in order, each in a turn of its own.
+// advance moves the clock forward. It fires the timers that become due in order, each in a turn of its own.
 func (h *fakeHost) advance(span Time) *fakeHost {
 	end := h.clock + span
 	for {
@@ -103,7 +103,7 @@
 
 func (h *fakeHost) Now() Time { return h.clock }
 func (h *fakeHost) Allowed(n MessageID, e EndpointID) bool {
-	return h.barred == nil || !h.barred(n, e)
+	return h.disallowed == nil || !h.disallowed(n, e)
 }
 func (h *fakeHost) Attempt(n MessageID, to EndpointID, timeOut Time) {
 	h.attempts[n]++
@@ -114,7 +114,7 @@
 func (h *fakeHost) Probe(e EndpointID)        { h.printf("probe %s", e) }
 func (h *fakeHost) Tell(note []byte)          { h.printf("note %x", note) }
 func (h *fakeHost) CloseIdle(e EndpointID) {
-	if h.printClosings {
+	if h.printCloseIdle {
 		h.printf("close %s", e)
 	}
 }
--- a/choice/fleetmodel_test.go
+++ b/choice/fleetmodel_test.go
@@ -7,27 +7,27 @@
 	"math/rand/v2"
 )
 
-// fleetModel plays many senders against the endpoints of a few destinations, on a clock that goes from one event to the
-// next. It counts what reaches each endpoint that is back from an outage and warming up, from whichever sender.
+// fleetModel simulates many senders and the endpoints of a few destinations, with a clock that jumps from event to
+// event. It counts the calls of all senders that reach each endpoint in slow start after an outage.
 type fleetModel struct {
 	outagePlan
 	now         Time
-	events      eventHeap // to come
-	eventSerial int       // of the event scheduled last
-	eventCount  int       // of events that happened
+	events      eventHeap // future events
+	eventSerial int       // serial number of the event scheduled last
+	eventCount  int       // number of events that have happened
 	hosts       []*senderHost
 	endpoints   map[EndpointID]*endpointModel
 	random      *rand.Rand
 }
 
-// fleetEvent is something that happens at a time; those of one time in the order scheduled.
+// fleetEvent is something that happens at a time. Events with the same time happen in the order scheduled.
 type fleetEvent struct {
 	at     Time
 	serial int
 	do     func()
 }
 
-// eventHeap is a heap.Interface of events, the next one first.
+// eventHeap is a heap.Interface of events, ordered by time.
 type eventHeap []fleetEvent
 
 func (h eventHeap) Len() int      { return len(h) }
@@ -42,32 +42,33 @@
 	return last
 }
 
-// after has something happen after a span.
+// after schedules an event.
 func (f *fleetModel) after(in Time, do func()) {
 	f.eventSerial++
 	heap.Push(&f.events, fleetEvent{f.now + in, f.eventSerial, do})
 }
 
-// endpointModel is one endpoint as it is: when it is down, and what reached it of late while warming up.
+// endpointModel is the true state of one endpoint: when it is down, and which calls have reached it.
 type endpointModel struct {
 	id           EndpointID
 	downAt, upAt Time
 	recentCalls  []Time  // in slow start, within the overload window
-	fromAware    []bool  // of each of these, whether its sender had met the outage
-	calls        int     // since it is back
-	firstSecond  int     // of these, in the first second and from senders that had met the outage
+	fromAware    []bool  // for each of recentCalls, whether its sender knew of the outage
+	calls        int     // since the end of the outage
+	firstSecond  int     // calls in the first second after the outage from senders that knew of it
 	excess       float64 // most calls beyond what is allowed in a window
-	awareExcess  float64 // of windows of which over two thirds came from senders that had met the outage
+	awareExcess  float64 // the same, over windows with more than two thirds of the calls from senders that knew of the outage
 }
 
-// allowedCalls is N: what the settings let all senders together send in an overload window that ends now.
+// allowedCalls returns N, the number of calls that the settings allow all senders together in an overload window that
+// ends now.
 func (f *fleetModel) allowedCalls(ep *endpointModel) float64 {
 	warm := f.set.SlowStartFrom + (1-f.set.SlowStartFrom)*seconds(f.now-ep.upAt)/seconds(f.set.SlowStart)
 	return f.set.OverloadMultiple * f.capacity * warm * seconds(f.set.OverloadWindow)
 }
 
-// arrive counts a call that reaches an endpoint, and reports whether the endpoint is up. aware tells whether the sender
-// had met the outage.
+// arrive counts a call that reaches an endpoint and reports whether the endpoint is up. aware means that the sender
+// knew of the outage.
 func (f *fleetModel) arrive(ep *endpointModel, aware bool) bool {
 	if f.now >= ep.downAt && f.now < ep.upAt {
 		return false
@@ -82,8 +83,8 @@
 	return true
 }
 
-// countInWindow counts a call to an endpoint in slow start, and by how many calls the window that ends with it is beyond
-// what is allowed.
+// countInWindow counts a call to an endpoint in slow start. It records by how many calls the window that ends with it
+// exceeds what is allowed.
 func (f *fleetModel) countInWindow(ep *endpointModel, aware bool) {
 	ep.recentCalls, ep.fromAware = append(ep.recentCalls, f.now), append(ep.fromAware, aware)
 	for ep.recentCalls[0] < f.now-f.set.OverloadWindow {
@@ -102,7 +103,7 @@
 	}
 }
 
-// senderHost is the host of one sender. A process that ends takes its timers and answers with it.
+// senderHost is the Host of one sender. Timers and answers of a previous incarnation are dropped.
 type senderHost struct {
 	fleet       *fleetModel
 	number      int
@@ -113,7 +114,7 @@
 	forgotten   map[TimerID]bool
 }
 
-// start starts the next incarnation of the sender, with the endpoint list as it is.
+// start starts the next incarnation of the sender, with the current endpoint list.
 func (h *senderHost) start() {
 	h.incarnation++
 	h.attempts, h.forgotten = map[MessageID]int{}, map[TimerID]bool{}
@@ -128,14 +129,14 @@
 	h.sender.TurnEnd()
 }
 
-// entry is what the endpoint list says of an endpoint.
+// entry returns the entry of an endpoint in the endpoint list.
 func (f *fleetModel) entry(id EndpointID) Entry {
 	dest := 0
 	fmt.Sscanf(string(id), "d%d", &dest)
 	return Entry{Endpoint: id, Destination: DestinationID(dest), Rating: f.rating * float64(f.endpointsEach)}
 }
 
-// later does something to this incarnation of the sender after a span, and then ends its turn.
+// later schedules an action of this incarnation of the sender, and ends the turn after it.
 func (h *senderHost) later(in Time, do func()) {
 	incarnation := h.incarnation
 	h.fleet.after(in, func() {
@@ -184,7 +185,7 @@
 	h.later(30*Millisecond, func() { h.sender.Probed(e, result) })
 }
 
-// accept hands in one message, and ends the turn.
+// accept passes one message to the sender and ends the turn.
 func (h *senderHost) accept(dest, serial int) {
 	class := ClassNo(serial % len(h.fleet.set.Classes))
 	h.sender.Taken(Message{
--- a/choice/helpers_test.go
+++ b/choice/helpers_test.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// countIf is 1 if something happened and 0 otherwise, for sums.
+// countIf returns 1 if something happened and 0 otherwise.
 func countIf(happened bool) int {
 	if happened {
 		return 1
@@ -14,10 +14,11 @@
 	return 0
 }
 
-// openState counts what a sender holds of messages: nothing of it may be left once all have ended.
-func openState(s *Sender) int {
-	return len(s.messages) + len(s.calls) + len(s.timers.pending) + len(s.keyQueues) + len(s.withQueued)
+// countOpenState returns the amount of state that a sender holds for messages. It must be 0 when all messages have
+// ended.
+func countOpenState(s *Sender) int {
+	return len(s.messages) + len(s.calls) + len(s.timers.pending) + len(s.keyQueues) + len(s.queuedDestinations)
 }
 
-// sortedKeys returns the keys of a map in their order.
+// sortedKeys returns the keys of a map in ascending order.
 func sortedKeys[K cmp.Ordered, V any](table map[K]V) []K { return slices.Sorted(maps.Keys(table)) }
--- a/choice/inputs.go
+++ b/choice/inputs.go
@@ -4,11 +4,11 @@
 type Stage int
 
 const (
-	// Ready endpoints take new calls.
+	// Ready means that the endpoint takes new calls.
 	Ready Stage = iota
-	// Draining endpoints finish what they have and take nothing new.
+	// Draining means that the endpoint finishes its calls in flight and takes no new ones.
 	Draining
-	// Gone endpoints are no longer there.
+	// Gone means that the endpoint no longer exists.
 	Gone
 )
 
@@ -20,16 +20,18 @@
 	Zone         ZoneNo
 	Rating       float64 // capacity of the route in calls a second; see Settings.Rating
 	Stage        Stage
-	LearnedState *LearnedState // state of an earlier incarnation, nil for none; read only when the endpoint is new
+	LearnedState *LearnedState // learned state of an earlier incarnation, or nil; read only when the endpoint is new
 }
 
-// LearnedState is the learned state of an endpoint that stays valid in another incarnation of a sender or another fleet.
+// LearnedState is the part of an endpoint's learned state that remains valid in another incarnation of a sender and in
+// another fleet.
 type LearnedState struct {
-	// Call times in tenths of a millisecond: recent mean, recent mean deviation, long-term mean, number of samples.
+	// Mean and Dev are the recent mean and mean absolute deviation of the call times, and Past is their long-term mean,
+	// all in tenths of a millisecond. Seen is the number of measured calls.
 	Mean, Dev, Past, Seen float64
-	// Limit is the last reported rate limit in calls a second, 0 for none.
+	// Limit is the last reported rate limit in calls a second, or 0 for none.
 	Limit float64
-	// Wait is what is left of the route's present pause.
+	// Wait is the remaining time of the route's pause.
 	Wait Time
 }
 
@@ -37,16 +39,16 @@
 type Message struct {
 	ID          MessageID
 	Class       ClassNo
-	Account     AccountNo // no quota applies where there is none of that number
+	Account     AccountNo // an index without an entry in Settings.Quotas has no quota
 	Key         OrderKey  // NoKey for none
-	Deadline    Time      // absolute, on the host's clock
+	Deadline    Time      // on the host's clock
 	Destination DestinationID
-	// Span is the time to its deadline with which an earlier incarnation accepted the message; 0 for messages new from
-	// a client, which may still be rejected. It keeps a restart from handing back much of a full backlog, and messages
-	// whose time was short from the beginning.
+	// Span is the time that the message had until its deadline when an earlier incarnation accepted it. It is 0 for new
+	// messages from a client, which may still be rejected. A restarted sender uses it so as not to
+	// shed much of a full backlog, or messages whose time was short from the start.
 	Span Time
-	// MayRun is set after a restart where an attempt of an earlier incarnation may have run; RanAt is when that attempt
-	// was sent, and RanIn to which zone.
+	// MayRun is set for a message that an earlier incarnation accepted if one of its attempts may have run. RanAt is
+	// the time when that attempt was sent, and RanIn is the zone of its endpoint.
 	MayRun bool
 	RanAt  Time
 	RanIn  ZoneNo
@@ -56,44 +58,45 @@
 type Result int
 
 const (
-	// Done: the message was processed.
+	// Done means that the message was processed.
 	Done Result = iota
-	// Errored: the answer was an error, and the message may have run.
+	// Errored means that the answer was an error; the message may have run.
 	Errored
-	// Rejected: rejected before anything ran.
+	// Rejected means that the endpoint rejected the message before it ran.
 	Rejected
-	// TimedOut: no answer came in time; the message may have run or still be running.
+	// TimedOut means that no answer came in time; the message may have run or may still be running.
 	TimedOut
-	// ConnectFailed: no connection came up, so that nothing ran.
+	// ConnectFailed means that no connection was established; the message did not run.
 	ConnectFailed
-	// Reset: the connection broke; the message may have run or still be running.
+	// Reset means that the connection broke; the message may have run or may still be running.
 	Reset
-	// Cancelled: the host cancelled the call; the message may still be running. A cancelled probe was never sent.
+	// Cancelled means that the host cancelled the call; the message may still be running. A cancelled probe was never
+	// sent.
 	Cancelled
-	// NotRun: the message did not run or is over, and the reason says nothing about the endpoint.
+	// NotRun means that the message did not run or had already ended, for a reason unrelated to the endpoint.
 	NotRun
-	// Unreadable: the answer could not be understood, and the message may have run.
+	// Unreadable means that the answer could not be parsed; the message may have run.
 	Unreadable
 )
 
-// Report is what an answer says of the rate limit of its route.
+// Report is the information about its route's rate limit that an answer carries.
 type Report struct {
-	Known bool    // false where the answer says nothing
+	Known bool    // false if the answer carries no such information
 	Left  float64 // share of the allowance that is left
-	Limit float64 // limit in calls a second; 0 where there is none
+	Limit float64 // calls a second; 0 for no limit
 }
 
 // Outcome is how one attempt ended.
 type Outcome struct {
 	Message    MessageID
-	Attempt    int // number of the attempt, the first being 0
+	Attempt    int // number of the attempt, starting at 0
 	Endpoint   EndpointID
 	Took       Time
 	Final      bool // the message needs no further answer
 	Result     Result
-	RetryAfter Time   // Retry-After that came with Full; 0 for none
-	NoSlot     bool   // with Moot: the sender had no free slot
-	Report     Report // rate limit report of the answer
-	Reused     bool   // the connection had carried a call before, as far as the host can tell
-	Closed     bool   // the answer ended the connection, as far as the host can tell
+	RetryAfter Time   // Retry-After of the answer, or 0 for none
+	NoSlot     bool   // with NotRun: the sender had no free slot
+	Report     Report // information about the rate limit
+	Reused     bool   // the connection had carried another call before, as far as the host knows
+	Closed     bool   // the endpoint closed the connection with the answer, as far as the host knows
 }
--- a/choice/keyorder_test.go
+++ b/choice/keyorder_test.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// orderedSettings are testSettings whose class 1 is keyed in its zone, and class 2 non-idempotent and ordered by key.
+// orderedSettings returns testSettings with class 1 keyed within a zone, and class 2 non-idempotent and ordered by key.
 func orderedSettings() Settings {
 	set := testSettings()
 	set.KeyPause = 300 * Millisecond
@@ -10,28 +10,28 @@
 	return set
 }
 
-// acceptKeyed hands in a message with an order key of its own, and leaves the turn open.
+// acceptKeyed passes a message with an order key to the sender and does not end the turn.
 func (h *fakeHost) acceptKeyed(id MessageID, class ClassNo, key OrderKey, to DestinationID) *fakeHost {
 	deadline := h.clock + h.sender.settings.Classes[class].Deadline
 	h.sender.Taken(Message{ID: id, Class: class, Key: key, Destination: to, Deadline: deadline})
 	return h
 }
 
-// Whatever becomes of the first message of a key, the next goes after it, one at a time: at once where no call can
-// still be running, after a pause where one may. A rejected message keeps its turn, and what is over is answered in the
-// turn that decides it.
+// Whatever happens to the first message of a key, the next one is sent after it: at once if no call can still be
+// running, and after a pause if one may. A rejected message keeps its place. A message that has its end is answered in
+// the turn in which that is decided.
 func ExampleSender_headOfKey() {
 	for _, end := range []struct {
 		name   string
 		result Result
-	}{{"done", Done}, {"refused", Rejected}, {"error", Errored}, {"time-out", TimedOut}, {"reset", Reset}, {"cancelled", Cancelled}} {
+	}{{"done", Done}, {"rejected", Rejected}, {"error", Errored}, {"time-out", TimedOut}, {"reset", Reset}, {"cancelled", Cancelled}} {
 		host := startSender(orderedSettings())
 		host.acceptKeyed("head", 2, 7, 2).acceptKeyed("next", 2, 7, 2).acceptKeyed("last", 2, 7, 2).sender.TurnEnd()
 		fmt.Println(end.name)
 		host.clock += 10 * Millisecond
 		host.end(end.result, 0, "c", "head").advance(500 * Millisecond)
 	}
-	fmt.Println("withdrawn while it waits, then while it is out")
+	fmt.Println("withdrawn while waiting, then while in flight")
 	host := startSender(orderedSettings())
 	host.acceptKeyed("head", 2, 7, 2).sender.TurnEnd()
 	host.acceptKeyed("waits", 2, 7, 2).acceptKeyed("next", 2, 7, 2).sender.Withdrawn("waits")
@@ -42,7 +42,7 @@
 	// done
 	// 10.0    attempt next to c
 	// 0.0     attempt head to c
-	// refused
+	// rejected
 	// 25.0    attempt head to c
 	// 0.0     attempt head to c
 	// error
@@ -60,13 +60,13 @@
 	// cancelled
 	// 10.0    fail head
 	// 310.0   attempt next to c
-	// withdrawn while it waits, then while it is out
+	// withdrawn while waiting, then while in flight
 	// 0.0     attempt head to c
 	// 10.0    attempt next to c
 }
 
-// A first message that no attempt serves in time is shed when its time is over, which lets the next go at once. One
-// that is handed in again joins at the end of its key.
+// A first message that can't be sent in time is shed after its last possible attempt, which lets the next one of its
+// key be sent at once. A message submitted again joins the key queue at its end.
 func ExampleSender_headPastDeadline() {
 	host := startSender(orderedSettings())
 	host.update(Entry{Endpoint: "c", Destination: 2, Kind: 1, Stage: Draining})
@@ -79,8 +79,8 @@
 	// 6000.0  attempt again to a
 }
 
-// First messages of several keys, of two ordered classes, share a call; two of one key never do, whatever their
-// classes.
+// The first messages of several keys, here from two ordered classes, share a bulk call. Two messages of one key never
+// do, whatever their classes.
 func ExampleSender_keysInABulkCall() {
 	host := startSender(orderedSettings())
 	host.acceptKeyed("a1", 2, 7, 2).acceptKeyed("b1", 3, 8, 2).acceptKeyed("a2", 3, 7, 2).acceptKeyed("b2", 2, 8, 2).sender.TurnEnd()
@@ -94,7 +94,7 @@
 	// 0.0     attempt a2 to c
 }
 
-// The order of a key holds over several destinations, too.
+// The order of a key applies across destinations as well.
 func ExampleSender_keyOverDestinations() {
 	host := startSender(orderedSettings())
 	host.acceptKeyed("here", 2, 7, 1).acceptKeyed("there", 2, 7, 2).sender.TurnEnd()
@@ -104,18 +104,18 @@
 	// 10.0    attempt there to c
 }
 
-// A keyed message that may have run in a zone whose endpoint drains goes to no other zone, though one is free there,
-// and is answered when its window ends.
+// A keyed message that may have run in a zone whose endpoint drains is not sent to another zone, even if an endpoint is
+// free there. It fails when its repeat window ends.
 func ExampleSender_zoneDrained() {
 	set := orderedSettings()
 	set.Probing = false
 	host := startSender(set)
 	host.update(Entry{Endpoint: "far", Destination: 1, Zone: 1, Rating: 10})
-	host.accept(1, 1, "token").advance(10*Millisecond).end(Errored, 0, "a", "token")
+	host.accept(1, 1, "keyed").advance(10*Millisecond).end(Errored, 0, "a", "keyed")
 	host.update(Entry{Endpoint: "a", Destination: 1, Stage: Draining})
 	host.accept(0, 1, "other").advance(6 * Second)
 	// Output:
-	// 0.0     attempt token to a
+	// 0.0     attempt keyed to a
 	// 10.0    attempt other to far
-	// 2995.1  fail token
+	// 2995.1  fail keyed
 }
--- a/choice/learned.go
+++ b/choice/learned.go
@@ -2,10 +2,11 @@
 
 import "slices"
 
-// This file holds what passes between incarnations of a sender, and what others ask of a sender's state.
+// This file exports and restores learned state, and answers the host's questions about it.
 
-// LearnedState returns the learned state of an endpoint that stays valid in another incarnation or another fleet: its call
-// times, a reported limit and the rest of a pause. It is empty for an unknown endpoint.
+// LearnedState returns the part of an endpoint's learned state that remains valid in another incarnation and in another
+// fleet: its call times, its reported limit and the remaining time of a pause. The result is empty for an unknown
+// endpoint.
 func (s *Sender) LearnedState(id EndpointID) LearnedState {
 	ep := s.endpoints[id]
 	if ep == nil {
@@ -14,54 +15,54 @@
 	return LearnedState{
 		Mean:  ep.mean,
 		Dev:   ep.deviation,
-		Past:  ep.longMean,
+		Past:  ep.longTermMean,
 		Seen:  ep.samples,
 		Limit: ep.route.limit,
 		Wait:  max(0, ep.route.pausedUntil-s.host.Now()),
 	}
 }
 
-// restoreLearned puts an endpoint into the state of one of which nothing is known, but for state learned earlier, if
-// there is any.
+// restoreLearned sets an endpoint to its initial state, and then applies the learned state if it is not nil.
 func (s *Sender) restoreLearned(ep *endpoint, learned *LearnedState) {
-	ep.callTimes = guessedTimes(s.assumedCallTime)
+	ep.callTimes = assumedCallTimes(s.assumedCallTime)
 	ep.concurrencyLimit = initialConcurrency
 	if learned == nil {
 		return
 	}
 	if learned.Seen > 0 {
-		ep.callTimes = callTimes{mean: learned.Mean, deviation: learned.Dev, longMean: learned.Past, samples: learned.Seen}
+		ep.callTimes = callTimes{mean: learned.Mean, deviation: learned.Dev, longTermMean: learned.Past, samples: learned.Seen}
 	}
 	ep.route.limit = learned.Limit
 	ep.route.pausedUntil = max(ep.route.pausedUntil, s.now+learned.Wait)
 }
 
-// Void drops the learned state of an endpoint and its route, or replaces it by the given one, as when the destination
-// has moved. It does not lift an outage: ejection, slow start and its budget stay, and while there is one on the route,
-// pauses stay too and a limit that was learned elsewhere does not count.
-func (s *Sender) Void(id EndpointID, l *LearnedState) {
+// Void replaces the learned state of an endpoint and its route by the given state, or by the initial one if that is
+// nil. It is called, for example, when the destination has moved. An outage is not lifted: ejection, slow start and the
+// slow start budget stay. While an endpoint of the route is ejected or in slow start, its pause stays as well and the
+// given limit is ignored.
+func (s *Sender) Void(id EndpointID, learned *LearnedState) {
 	s.now = s.host.Now()
 	ep := s.endpoints[id]
 	if ep == nil {
 		return
 	}
-	was := *ep.route
+	old := *ep.route
 	*ep.route = *newRoute(s.now)
-	s.restoreLearned(ep, l)
+	s.restoreLearned(ep, learned)
 	ep.consecutiveFailures = 0
 	ep.errorShare, ep.rejectedShare = 0, 0
 	ep.recentAnswered, ep.recentRejected = 0, 0
 	ep.lastSuccess = 0
-	ep.route.rating = was.rating
+	ep.route.rating = old.rating
 	s.markDirty(ep.destination)
 	if s.routeImpaired(ep) {
 		ep.route.limit = 0
-		ep.route.consecutiveFailures = was.consecutiveFailures
-		ep.route.pausedUntil = max(ep.route.pausedUntil, was.pausedUntil)
+		ep.route.consecutiveFailures = old.consecutiveFailures
+		ep.route.pausedUntil = max(ep.route.pausedUntil, old.pausedUntil)
 	}
 }
 
-// routeImpaired reports whether an endpoint, or another one of the route it shares, is ejected or in slow start.
+// routeImpaired reports whether an endpoint, or another one that shares its route, is ejected or in slow start.
 func (s *Sender) routeImpaired(ep *endpoint) bool {
 	if s.impaired(ep) {
 		return true
@@ -70,9 +71,9 @@
 	return shared && slices.ContainsFunc(ep.destination.ranked, s.impaired)
 }
 
-// Holds returns how many measured calls the knowledge of a destination rests on, and whether the destination is in use:
-// with messages open, calls in flight, an order key paused, or an outage or pause not over. What is not in use may be
-// evicted.
+// Holds returns the number of measured calls behind the learned state of a destination, and whether the destination is
+// in use. It is in use while it has open messages, calls in flight, a paused order key, an endpoint that is not listed as ready, or a
+// pause, ejection or slow start that is not over. A destination that is not in use may be evicted.
 func (s *Sender) Holds(id DestinationID) (calls float64, inUse bool) {
 	dest := s.destinations[id]
 	s.now = s.host.Now()
--- a/choice/learned_test.go
+++ b/choice/learned_test.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// The learned state of a destination that has moved is void: its call times, concurrency limit, rate and pause are
-// those of a new one, or those given.
+// Void replaces learned state, as when a destination has moved: the call times, concurrency limit, rate and pause
+// become the initial ones, or the given ones.
 func ExampleSender_Void() {
 	for _, l := range []*LearnedState{nil, {Mean: 700, Dev: 100, Past: 600, Seen: 9, Limit: 4, Wait: Second}} {
 		host := startSender(testSettings()).accept(0, 1, "p").end(Done, 0, "a", "p")
@@ -15,25 +15,25 @@
 		host.sender.Void("a", l)
 		host.sender.Void("unknown", l)
 		ep, route := host.endpoint("a"), host.destination(1).route
-		fmt.Println(host.sender.LearnedState("a"), "calls at once:", ep.concurrencyLimit,
+		fmt.Println(host.sender.LearnedState("a"), "concurrency limit:", ep.concurrencyLimit,
 			"limited:", route.limiter.rate < unlimitedRate, "rated:", route.rating*host.sender.ratingShare)
 		host.advance(1500 * Millisecond)
 	}
 	// Output:
 	// 0.0     attempt p to a
 	// 0.0     attempt q to a
-	// {5000 5000 5000 0 0 0} calls at once: 2 limited: false rated: 5
+	// {5000 5000 5000 0 0 0} concurrency limit: 2 limited: false rated: 5
 	// 50.0    attempt r to a
 	// 189.1   attempt q to a
 	// 0.0     attempt p to a
 	// 0.0     attempt q to a
-	// {700 100 600 9 4 10000} calls at once: 2 limited: false rated: 5
+	// {700 100 600 9 4 10000} concurrency limit: 2 limited: false rated: 5
 	// 1000.0  attempt r to a
 	// 1000.0  attempt q to a
 }
 
-// Void does not lift an outage: an ejected endpoint stays so, the pause of a shut destination stays, the slow start
-// budget is not larger, and a limit that others learned counts only once the outage is over.
+// Void does not lift an outage. An ejected endpoint stays ejected, the pause of an unavailable destination stays, the
+// slow start budget does not grow, and a limit learned by other senders applies only after the outage.
 func ExampleSender_Void_outage() {
 	set := testSettings()
 	set.Probing = false
@@ -62,18 +62,18 @@
 		return all
 	}
 	before, after := sent(false), sent(true)
-	fmt.Println("sent in the return:", before > 10, "more where voided:", after > before)
+	fmt.Println("sent in slow start:", before > 10, "more after Void:", after > before)
 	host := startSender(set)
 	host.accept(0, 1, "p").end(Rejected, 4*Second, "a", "p")
 	host.sender.Void("a", nil)
 	host.accept(0, 1, "q").advance(5 * Second)
 	// Output:
-	// sent in the return: true more where voided: false
+	// sent in slow start: true more after Void: false
 	// 0.0     attempt p to a
 	// 4200.0  attempt q to a
 }
 
-// What is held for a destination may be evicted unless something is under way there.
+// The learned state of a destination may be evicted unless the destination is in use.
 func ExampleSender_Holds() {
 	show := func(what string, host *fakeHost, id DestinationID) {
 		calls, inUse := host.sender.Holds(id)
@@ -84,14 +84,14 @@
 	show("unknown:", host, 9)
 	show("new:", host, 2)
 	show("open:", host.accept(0, 2, "p"), 2)
-	show("known:", host.end(Done, 0, "c", "p"), 2)
-	show("to be retried:", host.accept(0, 2, "q").end(Errored, 0, "c", "q"), 2)
+	show("with a call:", host.end(Done, 0, "c", "p"), 2)
+	show("waiting for a retry:", host.accept(0, 2, "q").end(Errored, 0, "c", "q"), 2)
 	host.advance(Second)
-	show("over:", host.end(Done, 0, "c", "q"), 2)
+	show("done:", host.end(Done, 0, "c", "q"), 2)
 	show("paused:", host.accept(0, 2, "r").end(Rejected, Second, "c", "r"), 2)
 	host.sender.Withdrawn("r")
-	show("withdrawn, the pause goes on:", host, 2)
-	show("the pause is over:", host.advance(2*Second), 2)
+	show("withdrawn during the pause:", host, 2)
+	show("after the pause:", host.advance(2*Second), 2)
 	host.sender.eject(host.endpoint("c"))
 	show("ejected:", host, 2)
 	host.sender.readmit(host.endpoint("c"), host.clock)
@@ -103,22 +103,22 @@
 	host.mute = true
 	host.acceptKeyed("head", 3, 7, 2).sender.TurnEnd()
 	host.end(Reset, 0, "c", "head").sender.Withdrawn("head")
-	show("the key is paused:", host, 2)
-	show("the key is free:", host.advance(Second), 2)
+	show("order key paused:", host, 2)
+	show("order key not paused:", host.advance(Second), 2)
 	// Output:
 	// unknown: 0 false
 	// new: 0 false
 	// open: 0 true
-	// known: 1 false
-	// to be retried: 1 true
-	// over: 2 false
+	// with a call: 1 false
+	// waiting for a retry: 1 true
+	// done: 2 false
 	// paused: 2 true
-	// withdrawn, the pause goes on: 2 true
-	// the pause is over: 2 false
+	// withdrawn during the pause: 2 true
+	// after the pause: 2 false
 	// ejected: 2 true
 	// in slow start: 2 true
 	// after slow start: 2 false
 	// draining: 2 true
-	// the key is paused: 0 true
-	// the key is free: 0 false
+	// order key paused: 0 true
+	// order key not paused: 0 false
 }
--- a/choice/loadhost_test.go
+++ b/choice/loadhost_test.go
@@ -7,15 +7,15 @@
 	"testing"
 )
 
-// loadHost is a host with a steady load of messages, whose calls end by what is drawn from their ids. It checks each
-// thing the sender asks of it.
+// loadHost is a Host with a steady load of messages. The results of calls are drawn from the message ids. It checks
+// every action of the sender.
 type loadHost struct {
 	t        *testing.T
 	sender   *Sender
 	clock    Time
-	events   []loadEvent // to come, by time
+	events   []loadEvent // future events, by time
 	attempts map[MessageID]int
-	answers  map[MessageID]int // given, by message
+	answers  map[MessageID]int // number of answers, by message
 	trace    []string
 }
 
@@ -25,9 +25,9 @@
 	timer TimerID
 }
 
-// schedule has something happen at a time; a timer has its id, anything else -1.
-func (h *loadHost) schedule(at Time, timer TimerID, what func()) {
-	e := loadEvent{max(at, h.clock), what, timer}
+// schedule schedules an event. For a timer, timer is its id; for any other event it is -1.
+func (h *loadHost) schedule(at Time, timer TimerID, do func()) {
+	e := loadEvent{max(at, h.clock), do, timer}
 	i, _ := slices.BinarySearchFunc(h.events, e, func(a, b loadEvent) int { return int(min(1, max(-1, a.at-b.at))) })
 	for i < len(h.events) && h.events[i].at == e.at {
 		i++
@@ -35,8 +35,8 @@
 	h.events = slices.Insert(h.events, i, e)
 }
 
-// playUntil plays until a time. All that happens at one moment is one turn.
-func (h *loadHost) playUntil(until Time) {
+// runUntil processes the events up to a time. Simultaneous events form one turn.
+func (h *loadHost) runUntil(until Time) {
 	for len(h.events) > 0 && h.events[0].at <= until {
 		h.clock = h.events[0].at
 		for len(h.events) > 0 && h.events[0].at == h.clock {
@@ -53,13 +53,13 @@
 	h.trace = append(h.trace, fmt.Sprintf("%d ", h.clock)+fmt.Sprintf(format, args...))
 }
 
-// bDown reports whether endpoint b is down, as it is for five seconds in every minute.
+// bDown reports whether endpoint b is down, which it is for five seconds in every minute.
 func (h *loadHost) bDown() bool {
 	since := h.clock % loadWarmUp
 	return since > 4*Second && since < 9*Second
 }
 
-// hashFraction is a number in [0, 1) that depends on its arguments alone.
+// hashFraction returns a number in [0, 1) that depends only on its arguments.
 func hashFraction(of ...any) float64 {
 	h := fnv.New64a()
 	fmt.Fprint(h, of...)
@@ -75,7 +75,7 @@
 	h.checkAttempt(h.sender.messages[id], h.sender.endpoints[to])
 	took := 50*Millisecond + Time(hashFraction(id, h.attempts[id], "took")*float64(300*Millisecond))
 	o := Outcome{Message: id, Attempt: h.attempts[id] - 1, Endpoint: to, Took: took, Final: true}
-	if d := h.sender.endpoints[to].destination.id; d == 1 { // the one that reports its limit
+	if d := h.sender.endpoints[to].destination.id; d == 1 { // the destination that reports its limit
 		o.Report = Report{Known: true, Left: 0.5, Limit: 20}
 	}
 	switch luck := hashFraction(id, h.attempts[id], "luck"); {
@@ -100,40 +100,40 @@
 	})
 }
 
-// checkAttempt checks an attempt against the settings in force.
+// checkAttempt checks an attempt against the current settings.
 func (h *loadHost) checkAttempt(msg *message, ep *endpoint) {
 	set, class := h.sender.settings, h.sender.class(msg)
-	check := func(is bool, what string) {
+	check := func(ok bool, failure string) {
 		h.t.Helper()
-		if !is {
-			h.t.Errorf("%d: %s to %s: %s", h.clock, msg.ID, ep.id, what)
+		if !ok {
+			h.t.Errorf("%d: attempt of %s at %s: %s", h.clock, msg.ID, ep.id, failure)
 		}
 	}
-	check(h.answers[msg.ID] == 0, "it has had its answer")
+	check(h.answers[msg.ID] == 0, "attempt of an answered message")
 	calls, carried := len(h.sender.calls), ep.bulkCall.messages
-	check(carried > 1 || calls <= set.InFlightLimit, fmt.Sprint(calls, " calls out of ", set.InFlightLimit))
-	bundleMax := ep.destination.kind.BulkMax
-	check(carried <= max(1, bundleMax), "a bulk call too large")
-	check(bundleMax == set.Kinds[ep.destination.id%2].BulkMax, "the bound of bulk calls is not the one set")
-	check(h.attempts[msg.ID] <= set.MaxAttempts, "one attempt too many")
-	check(!msg.MayRun || class.Repeat != NonIdempotent, "a second run")
-	check(!msg.MayRun || class.Repeat != Keyed || h.clock <= msg.RanAt+class.RepeatWindow-set.TurnInterval, "out of its window")
-	check(!msg.MayRun || !class.ZoneGroup || ep.zone == msg.RanIn, "known in another zone alone")
-	check(msg.keyQueue == nil || msg.keyQueue.messages[0] == msg, "before its turn")
+	check(carried > 1 || calls <= set.InFlightLimit, fmt.Sprint(calls, " calls in flight, limit ", set.InFlightLimit))
+	bulkMax := ep.destination.kind.BulkMax
+	check(carried <= max(1, bulkMax), "bulk call exceeds BulkMax")
+	check(bulkMax == set.Kinds[ep.destination.id%2].BulkMax, "BulkMax of the kind differs from the settings")
+	check(h.attempts[msg.ID] <= set.MaxAttempts, "more attempts than MaxAttempts")
+	check(!msg.MayRun || class.Repeat != NonIdempotent, "non-idempotent message may run twice")
+	check(!msg.MayRun || class.Repeat != Keyed || h.clock <= msg.RanAt+class.RepeatWindow-set.TurnInterval, "keyed message sent after its repeat window")
+	check(!msg.MayRun || !class.ZoneGroup || ep.zone == msg.RanIn, "idempotency key unknown in this zone")
+	check(msg.keyQueue == nil || msg.keyQueue.messages[0] == msg, "not the first message of its order key")
 }
 
 func (h *loadHost) answered(id MessageID, how string) {
 	if h.answers[id]++; h.answers[id] > 1 {
-		h.t.Errorf("%d: %s: %s, and it had an answer", h.clock, id, how)
+		h.t.Errorf("%d: message %s: further answer %q", h.clock, id, how)
 	}
 	h.log("%s %s", how, id)
 }
 
 func (h *loadHost) Shed(id MessageID, in Time) {
 	if in > h.sender.settings.MaxRetryAfter {
-		h.t.Errorf("%s may come again in %d, above %d", id, in, h.sender.settings.MaxRetryAfter)
+		h.t.Errorf("message %s shed with retry time %d, want at most %d", id, in, h.sender.settings.MaxRetryAfter)
 	}
-	h.answered(id, fmt.Sprint("shed, again in ", in))
+	h.answered(id, fmt.Sprint("shed, retry in ", in))
 }
 
 func (h *loadHost) Fail(id MessageID) { h.answered(id, "failed") }
@@ -141,7 +141,7 @@
 func (h *loadHost) Probe(e EndpointID) {
 	h.log("probe %s", e)
 	if !h.sender.settings.Probing {
-		h.t.Errorf("%d: a probe", h.clock)
+		h.t.Errorf("%d: probe sent although Probing is false", h.clock)
 	}
 	result := Done
 	if h.bDown() {
@@ -155,7 +155,7 @@
 func (h *loadHost) Tell(note []byte) {
 	h.log("note %x", note)
 	if !h.sender.settings.Notes {
-		h.t.Errorf("%d: a note", h.clock)
+		h.t.Errorf("%d: note sent although Notes is false", h.clock)
 	}
 }
 
@@ -168,13 +168,13 @@
 }
 
 const (
-	loadWarmUp   = 60 * Second // by then budgets and buckets are full
-	loadSpan     = 10 * Second // of messages coming
+	loadWarmUp   = 60 * Second // by its end, budgets and token buckets are full
+	loadSpan     = 10 * Second // time during which messages arrive
 	loadInterval = 10 * Millisecond
 )
 
-// loadSettings are settings with two of each kind, account and zone; fleet gives those of many senders that exchange
-// notes.
+// loadSettings returns settings with two kinds, accounts and zones. With fleet, they are those of many senders that
+// exchange notes.
 func loadSettings(fleet bool) Settings {
 	set := testSettings()
 	set.InFlightLimit, set.MaxOpen, set.MaxRetryAfter, set.ConnIdle = 12, 60, 4*Second, Second
@@ -193,7 +193,7 @@
 	h.sender = Start(h, "s", 7, set)
 }
 
-// listEndpoints gives it two destinations of two endpoints each, in two zones, one destination of each kind.
+// listEndpoints gives the sender two destinations, one of each kind. Each has two endpoints, in different zones.
 func (h *loadHost) listEndpoints() {
 	var all []Entry
 	for i, id := range []EndpointID{"a", "b", "c", "d"} {
@@ -203,8 +203,8 @@
 	h.sender.UpdateEndpoints(all, true)
 }
 
-// offerLoad has messages come at a steady rate, of all classes, accounts and destinations that the settings have by
-// then.
+// offerLoad schedules messages at a steady rate. They are spread over all classes, accounts and destinations of the
+// settings in force when they arrive.
 func (h *loadHost) offerLoad(from, until Time) {
 	no := 0
 	for at := from; at < until; at += loadInterval {
@@ -219,7 +219,7 @@
 			held := len(h.sender.messages)
 			h.sender.Taken(n)
 			if most := max(held, set.MaxOpen); len(h.sender.messages) > most {
-				h.t.Errorf("%d: %d held, at most %d", h.clock, len(h.sender.messages), most)
+				h.t.Errorf("%d: %d messages open, want at most %d", h.clock, len(h.sender.messages), most)
 			}
 		})
 	}
--- a/choice/notes.go
+++ b/choice/notes.go
@@ -1,16 +1,16 @@
 package choice
 
-// This file acts on what senders tell each other by notes; noteformat.go has their form.
+// This file sends notes to the other senders and acts on theirs. Their format is in noteformat.go.
 
 const (
-	// defaultLimitWait is the usual pause of a used-up limit, until Retry-Afters of its kind were seen.
+	// defaultLimitWait is the usual pause for a limit that is used up, until a kind has had its first Retry-After.
 	defaultLimitWait = 500 * Millisecond
-	// minLimitPauseCap is the least bound of the growing pause of a limit that is met again and again.
+	// minLimitPauseCap is the lowest cap of the pause that grows while a limit is hit repeatedly.
 	minLimitPauseCap = Second
 )
 
-// Heard handles a note of another sender: that it met the limit of a route or, without a wait, that an endpoint had no
-// place for its connection. What is no note, or is about an unknown endpoint, changes nothing.
+// Heard handles a note of another sender. With a wait, that sender hit the limit of the route; without one, the
+// endpoint had no room for its connection. A malformed note and a note about an unknown endpoint are ignored.
 func (s *Sender) Heard(note []byte) {
 	s.now = s.host.Now()
 	hash, wait := decodeNote(note)
@@ -29,8 +29,8 @@
 	}
 }
 
-// sendNote tells the other senders that a limit was met or, without a wait, that an endpoint had no place for a
-// connection. The latter is not repeated while a note of it is recent, whoever sent it.
+// sendNote notifies the other senders that this sender hit a limit or, without a wait, that an endpoint had no room for
+// a connection. The latter note is not sent if any sender has sent it recently.
 func (s *Sender) sendNote(ep *endpoint, wait Time) {
 	if !s.exchangesNotes {
 		return
@@ -42,24 +42,24 @@
 	s.host.Tell(encodeNote(ep.id, wait))
 }
 
-// applyPeerLimit pauses a route whose limit was met by a sender of the fleet, for as long as its kind usually says to
-// wait, and longer the sooner it is met again. It is jittered, as what all senders hold back must not come at once. A
-// drawback: capacity lies idle.
+// applyPeerLimit pauses a route whose limit was hit by any sender of the fleet. The pause is the usual Retry-After of
+// the kind, and is longer if the limit is hit again soon. It has jitter, so that the messages that all senders hold
+// back are not sent at the same moment. Drawback: capacity is left unused.
 func (s *Sender) applyPeerLimit(ep *endpoint, wait Time) {
 	route, kind := ep.route, ep.destination.kind
 	if wait > noteUnit && wait < longestGuessedWait/2 {
-		kind.usualWait += Time(recentWeight * float64(wait-kind.usualWait))
+		kind.usualRetryAfter += Time(recentWeight * float64(wait-kind.usualRetryAfter))
 	}
-	if s.now < route.limitMetAt+route.limitPause/2 {
-		return // many senders meet it at the same time
+	if s.now < route.limitHitAt+route.limitPause/2 {
+		return // many senders hit the limit at the same time
 	}
-	longer := min(max(minLimitPauseCap, 2*kind.usualWait), route.limitPause+route.limitPause/2)
-	if s.now >= route.limitMetAt+2*longer {
-		route.limitPause = kind.usualWait
+	longer := min(max(minLimitPauseCap, 2*kind.usualRetryAfter), route.limitPause+route.limitPause/2)
+	if s.now >= route.limitHitAt+2*longer {
+		route.limitPause = kind.usualRetryAfter
 	} else {
 		route.limitPause = longer
 	}
-	route.limitMetAt = s.now
+	route.limitHitAt = s.now
 	pause := max(wait, route.limitPause/2) + s.random.jitter(string(ep.id), route.limitPause)
 	route.pausedUntil = max(route.pausedUntil, s.now+pause)
 }
--- a/choice/notes_test.go
+++ b/choice/notes_test.go
@@ -5,21 +5,22 @@
 	"math"
 )
 
-// gossipSettings are settings of a fleet whose senders exchange notes.
-func gossipSettings() Settings {
+// notesSettings returns settings of a fleet whose senders exchange notes.
+func notesSettings() Settings {
 	set := testSettings()
 	set.Senders, set.Probing, set.Notes, set.ConnIdle = 80, false, true, 10*Second
 	return set
 }
 
-// A sender that meets a used-up limit pauses the route and sends a note; one that hears of it pauses the route, too,
-// and goes on elsewhere. A note about an unknown endpoint, or a malformed one, does nothing.
+// A sender that hits a used-up limit pauses the route and sends a note. A sender that receives the note pauses the
+// route as well, and continues with other destinations. A malformed note and a note about an unknown endpoint are
+// ignored.
 func ExampleSender_Heard() {
-	host := startSender(gossipSettings()).accept(0, 1, "p")
+	host := startSender(notesSettings()).accept(0, 1, "p")
 	host.sender.Ended(Outcome{Message: "p", Endpoint: "a", Result: Rejected, Report: Report{Known: true, Limit: 8}})
 	host.accept(0, 1, "q").advance(1600 * Millisecond)
-	fmt.Println("another")
-	host = startSender(gossipSettings())
+	fmt.Println("receiver of a note")
+	host = startSender(notesSettings())
 	for _, note := range [][]byte{{}, {1}, {1, 2}, {1, 2, 3}, {1, 2, 3, 4}, encodeNote("c", noteUnit)} {
 		host.sender.Heard(note)
 	}
@@ -29,17 +30,17 @@
 	// 0.0     note 43be01
 	// 700.0   attempt q to a
 	// 700.0   attempt p to a
-	// another
+	// receiver of a note
 	// 0.0     attempt s to a
 	// 700.0   attempt r to c
 }
 
-// A sender that finds no place for a connection sends a note, at most once in two seconds; one that hears of it closes
-// its idle connection there.
+// A sender whose connection finds no room sends a note, at most once in two seconds. A sender that receives the note
+// closes its idle connection to the endpoint.
 func ExampleSender_Heard_connectionTableFull() {
-	host := startSender(gossipSettings()).accept(0, 1, "p", "q").end(ConnectFailed, 0, "a", "p", "q")
-	host = startSender(gossipSettings()).accept(0, 1, "r").end(Done, 0, "a", "r")
-	host.printClosings = true
+	host := startSender(notesSettings()).accept(0, 1, "p", "q").end(ConnectFailed, 0, "a", "p", "q")
+	host = startSender(notesSettings()).accept(0, 1, "r").end(Done, 0, "a", "r")
+	host.printCloseIdle = true
 	host.sender.Heard(encodeNote("a", 0))
 	host.sender.Heard(encodeNote("a", 0))
 	// Output:
@@ -50,10 +51,10 @@
 	// 0.0     close a
 }
 
-// In a fleet with notes the calls done at a kind pay for retries there: where nothing is done, one kind's budget is
-// used up whatever the number of its destinations.
+// In a fleet with notes, the successful calls of a kind pay for the retries there. Without successful calls, the budget
+// of the kind is used up whatever the number of its destinations.
 func ExampleSender_retryBudgetOfKind() {
-	host := startSender(gossipSettings())
+	host := startSender(notesSettings())
 	host.mute = true
 	host.update(Entry{Endpoint: "e", Destination: 3}, Entry{Endpoint: "f", Destination: 4})
 	host.accept(0, 1, "p").accept(0, 3, "q").accept(0, 4, "r")
@@ -66,8 +67,8 @@
 	// attempts: 5
 }
 
-// An endpoint that joins a destination in an outage joins it as ejected: it is tried as one that may be warming up, and
-// does not get all that waits at once.
+// An endpoint that joins a destination during an outage starts as ejected. It is tried like one in slow start, and does
+// not receive all waiting messages at once.
 func ExampleSender_replacedInOutage() {
 	set := testSettings()
 	set.Senders, set.Probing = 80, false
@@ -82,8 +83,9 @@
 	// true true
 }
 
-// An endpoint that joins a destination in slow start is in the same slow start, with a budget that begins by chance:
-// all senders hear of it at one moment, and empty budgets would all be full at one moment, too.
+// An endpoint that joins a destination in slow start shares that slow start, with a budget at a random level. All
+// senders learn of the endpoint at the same moment, and budgets that started empty would also become full at the same
+// moment.
 func ExampleSender_replacedInSlowStart() {
 	set := testSettings()
 	set.Senders, set.Probing = 80, false
@@ -100,11 +102,11 @@
 	// ejected: false in the same slow start: true budget: 0.22
 }
 
-// In a fleet a call to an endpoint without calls gets the time-out of its kind, and not that of half a contract time:
-// many such calls that stay unanswered would hold the in-flight limit for as long as a message lives.
+// In a large fleet, a call to an endpoint without calls has the time-out of its kind, not one based on the assumed call
+// time. With the latter, many unanswered calls would occupy the in-flight limit for as long as a message lives.
 func ExampleSender_callTimesOfKind() {
 	for _, senders := range []int{80, 2} {
-		set := gossipSettings()
+		set := notesSettings()
 		set.Senders = senders
 		host := startSender(set)
 		host.mute = true
--- a/choice/outageplan_test.go
+++ b/choice/outageplan_test.go
@@ -7,22 +7,22 @@
 	"math/rand/v2"
 )
 
-// outagePlan is one outage as it is drawn: how much is sent there, by whom, and what else happens meanwhile.
+// outagePlan describes one simulated outage: the load, the senders, and what else happens meanwhile.
 type outagePlan struct {
 	set           Settings
 	senders       int
 	destinations  int
-	endpointsEach int     // endpoints of each destination
+	endpointsEach int     // of each destination
 	capacity      float64 // calls a second of each endpoint after slow start
-	rating        float64 // the same in the endpoint list
-	demand        float64 // messages a second, as a part of the capacity
-	skew          float64 // exponent by which senders differ; 0 is even
-	replaced      bool    // half of the endpoints are replaced in the outage
-	restarts      float64 // share of senders that start anew in the outage, or up to two seconds after it
+	rating        float64 // capacity according to the endpoint list
+	demand        float64 // messages a second, as a multiple of the capacity
+	skew          float64 // exponent of the differences in load between senders; 0 for equal loads
+	replaced      bool    // half of the endpoints are replaced during the outage
+	restarts      float64 // share of senders that restart during the outage or up to two seconds after it
 	seed          uint64
 }
 
-// run plays the outage, and returns the endpoints that came back.
+// run simulates the outage and returns the endpoints that came back.
 func (p outagePlan) run() ([]*endpointModel, *fleetModel) {
 	f := &fleetModel{
 		outagePlan: p,
@@ -49,8 +49,8 @@
 	return back, f
 }
 
-// drawOutages adds the endpoints with their outages, those of one destination coming back at the same time. It returns
-// them, and when the play ends.
+// drawOutages adds the endpoints and draws their outages. The endpoints of one destination come back at the same time.
+// It returns the endpoints and the time when the simulation ends.
 func (f *fleetModel) drawOutages() (all []*endpointModel, end Time) {
 	const down = 4 * Second
 	for d := range f.destinations {
@@ -70,7 +70,7 @@
 	return all, end
 }
 
-// replace has every second endpoint replaced by a new one in the middle of the outage, where the plan says so.
+// replace schedules the replacement of every second endpoint in the middle of its outage, if the plan says so.
 func (f *fleetModel) replace(back *[]*endpointModel) {
 	for i, ep := range *back {
 		if !f.replaced || i%2 > 0 {
@@ -86,12 +86,12 @@
 				delay := Time(f.random.IntN(1000))
 				h.later(delay, func() { h.sender.UpdateEndpoints([]Entry{gone, f.entry(fresh.id)}, false) })
 			}
-			ep.upAt = forever // what is replaced stays away
+			ep.upAt = forever // a replaced endpoint does not come back
 		})
 	}
 }
 
-// restart has some senders start anew in the outage, or soon after it.
+// restart schedules the restart of some senders during the outage or soon after it.
 func (f *fleetModel) restart() {
 	for _, h := range f.hosts {
 		if f.random.Float64() < f.restarts {
@@ -100,7 +100,8 @@
 	}
 }
 
-// traffic schedules the messages handed in: by chance, over all destinations evenly, and to each sender by its weight.
+// traffic schedules messages at random times. They are spread evenly over the destinations, and over the senders by
+// weight.
 func (f *fleetModel) traffic(end Time) {
 	cumulative, sum := make([]float64, f.senders), 0.0
 	for i := range cumulative {
--- a/choice/outcomes.go
+++ b/choice/outcomes.go
@@ -1,6 +1,7 @@
 package choice
 
-// Ended handles the outcome of an attempt. One that does not belong to the message's attempt in flight changes nothing.
+// Ended handles the outcome of an attempt. An outcome that does not belong to the message's attempt in flight is
+// ignored.
 func (s *Sender) Ended(o Outcome) {
 	s.now = s.host.Now()
 	msg := s.messages[o.Message]
@@ -11,12 +12,12 @@
 	msg.inFlight = nil
 	msg.lastEndpoint = call.endpoint
 	msg.rejected = o.Result == Rejected
-	s.judgeCall(msg, call, o)
+	s.learnFromAttempt(msg, call, o)
 	call.pending--
 	if call.pending == 0 {
 		s.closeCall(msg.destination, call)
 	}
-	s.recordRun(msg, call, o.Result)
+	s.recordPossibleRun(msg, call, o.Result)
 	if o.Final {
 		msg.ended = true
 	}
@@ -27,33 +28,33 @@
 	}
 }
 
-// judgeCall learns from the first outcome of a call that says something of its endpoint. The messages of one call may
-// be given their Retry-After one by one; it counts from the last of them.
-func (s *Sender) judgeCall(msg *message, call *call, o Outcome) {
+// learnFromAttempt counts the first outcome of a call that is informative about its endpoint. The Retry-Afters of the
+// messages of one call may arrive separately; each of them extends the pause.
+func (s *Sender) learnFromAttempt(msg *message, call *call, o Outcome) {
 	aboutEndpoint := o.Result != NotRun && o.Result != Cancelled
-	if !call.judged && aboutEndpoint {
-		call.judged = true
+	if !call.outcomeCounted && aboutEndpoint {
+		call.outcomeCounted = true
 		s.recordOutcome(msg, call, o)
 	} else if o.RetryAfter > 0 {
 		s.pauseRoute(call.endpoint, o.RetryAfter, false)
 	}
 }
 
-// closeCall ends a call, all of whose messages have their outcomes.
+// closeCall ends a call when all of its messages have their outcomes.
 func (s *Sender) closeCall(dest *destination, call *call) {
 	ep := call.endpoint
 	ep.inFlight--
 	ep.idleConnUntil = s.now + s.settings.ConnIdle
 	if call.rejectedRetry {
-		dest.rejectedRetriesOut--
+		dest.rejectedRetriesInFlight--
 	}
 	s.closeIfUnused(ep)
 	s.calls = removeValue(s.calls, call)
 }
 
-// recordRun notes on a message whether its attempt may have run, or may even be running still, which pauses its order
-// key.
-func (s *Sender) recordRun(msg *message, call *call, result Result) {
+// recordPossibleRun records that a message's attempt may have run. If the attempt may still be running, it also pauses
+// the message's order key.
+func (s *Sender) recordPossibleRun(msg *message, call *call, result Result) {
 	mayStillRun := result == TimedOut || result == Reset || result == Cancelled
 	mayHaveRun := mayStillRun || result == Errored || result == Unreadable
 	if !msg.MayRun && mayHaveRun {
@@ -66,7 +67,7 @@
 	}
 }
 
-// recordOutcome learns from the outcome of a call.
+// recordOutcome updates the learned state by the outcome of a call.
 func (s *Sender) recordOutcome(msg *message, call *call, o Outcome) {
 	ep := call.endpoint
 	s.markDirty(ep.destination)
@@ -79,15 +80,16 @@
 	case Done:
 		s.onDone(call, o)
 	case Rejected:
-		// Without a Retry-After, a new connection that is ended found no place, which says nothing of limits.
+		// A new connection that the endpoint closes without a Retry-After means that its connection table was full,
+		// from which nothing follows about rate limits.
 		if o.Closed && !o.Reused && o.RetryAfter == 0 {
 			s.onConnectionTableFull(ep)
 		} else {
 			s.onRejected(call, o)
 		}
 	case Errored, Reset, Unreadable:
-		// A reused connection that breaks, or an answer that can't be understood, shows no outage by itself: where a
-		// process has crashed, new connections fail too.
+		// A reset of a reused connection and an answer that can't be parsed are no evidence of an outage by themselves.
+		// If a process has crashed, new connections fail as well.
 		showsOutage := o.Result == Errored || o.Result == Reset && !o.Reused
 		if showsOutage || s.now-ep.lastSuccess > recentSuccessSpan {
 			s.recordFailure(ep, 0)
@@ -96,15 +98,15 @@
 		if o.Result == ConnectFailed {
 			s.onConnectFailed(ep)
 		}
-		// A call that was cut short by its message's deadline says nothing of the endpoint.
-		hadItsTime := float64(s.now-call.sentAt) >= 2*s.assumedCallTime
-		if hadItsTime || s.now < msg.Deadline-2*s.turnInterval {
+		// A call that was cut short by its message's deadline is not informative about the endpoint.
+		hadFullTime := float64(s.now-call.sentAt) >= 2*s.assumedCallTime
+		if hadFullTime || s.now < msg.Deadline-2*s.turnInterval {
 			s.onUnanswered(call)
 		}
 	}
 }
 
-// countOutcome counts an outcome into the shares that are kept of an endpoint and its route.
+// countOutcome updates the rejection and error shares of an endpoint and its route.
 func (s *Sender) countOutcome(ep *endpoint, o Outcome) {
 	rejected := o.Result == Rejected
 	ep.route.answered++
@@ -121,8 +123,9 @@
 	}
 }
 
-// onDone learns from a call that was done: how long it took, that its route works and, by its report, which rate is
-// free again. It lets more calls in flight at its endpoint, unless calls have become much slower.
+// onDone handles a successful call. It updates the call times, marks the route as working and, if the call's report
+// shows free capacity, raises the rate to the limit. It raises the endpoint's concurrency limit unless calls have
+// become much slower.
 func (s *Sender) onDone(call *call, o Outcome) {
 	ep, route, kind := call.endpoint, call.endpoint.route, call.endpoint.destination.kind
 	ep.observe(float64(o.Took), recentWeight, longTermWeight)
@@ -130,7 +133,7 @@
 	if call.newConnection {
 		kind.connectFailShare *= 1 - recentWeight
 	}
-	s.payForSuccess(ep.destination)
+	s.creditSuccess(ep.destination)
 	route.succeeded.count(s.now, s.sharedRateWindow())
 	route.peakSuccessRate = max(route.peakSuccessRate, route.succeeded.rate)
 	route.consecutiveFailures = 0
@@ -143,7 +146,7 @@
 	}
 	if ep.ejected {
 		s.readmit(ep, call.sentAt)
-	} else if ep.mean < 2*ep.longMean {
+	} else if ep.mean < 2*ep.longTermMean {
 		ep.concurrencyLimit = min(float64(s.settings.InFlightLimit), ep.concurrencyLimit+1/ep.concurrencyLimit)
 	}
 	ep.lastSuccess = s.now
--- a/choice/outlier.go
+++ b/choice/outlier.go
@@ -2,25 +2,27 @@
 
 import "math"
 
-// This file ejects endpoints whose calls fail (outlier ejection), and readmits them.
+// This file ejects endpoints whose calls fail (outlier ejection) and readmits them.
 
 const (
-	// failuresToEject is the least number of failures in a row that eject an endpoint which has done calls lately.
-	failuresToEject = 2
-	// chanceEjectionSpan is how many seconds pass, on average, between ejections of a healthy endpoint by chance.
-	chanceEjectionSpan = 60
-	// firstTrialPause and longestTrialPause bound the backoff between trials of an ejected endpoint.
+	// minFailuresToEject is the least number of consecutive failures that ejects an endpoint with recent successful
+	// calls.
+	minFailuresToEject = 2
+	// falseEjectionInterval is the mean time in seconds between ejections of a healthy endpoint by chance.
+	falseEjectionInterval = 60
+	// firstTrialPause and longestTrialPause are the bounds of the backoff between trials of an ejected endpoint.
 	firstTrialPause   = 300 * Millisecond
 	longestTrialPause = 2 * Second
-	// briefOutageSpan: an endpoint that has done a call within this time before its readmission was not down.
-	briefOutageSpan = 3 * Second / 2
-	// successesAfterUnanswered is how many calls an endpoint must do, after one stayed unanswered, before it gets
-	// non-idempotent messages again.
+	// maxBriefOutage is the longest time between the last successful call and the readmission of an endpoint for which
+	// the endpoint counts as not having been down.
+	maxBriefOutage = 3 * Second / 2
+	// successesAfterUnanswered is the number of successful calls that an endpoint needs after an unanswered one before
+	// it gets non-idempotent messages again.
 	successesAfterUnanswered = 6
 )
 
-// onUnanswered counts a call as unanswered, once. Where the endpoint has answered others since it was sent, fewer
-// calls at once are enough; otherwise it is a failure.
+// onUnanswered counts a call as unanswered, at most once. If the endpoint has answered other calls since then, its
+// concurrency limit is halved; otherwise the call counts as a failure.
 func (s *Sender) onUnanswered(call *call) {
 	if call.unanswered {
 		return
@@ -36,40 +38,41 @@
 	ep.unansweredAt = s.now
 }
 
-// recordFailure counts a failed call, and ejects the endpoint after enough of them in a row: the more calls and errors
-// it usually has, the more are needed, as some fail by chance. One is enough where it has done nothing lately, since a
-// sender of a large fleet seldom sees two, unless the answer reported a limit (0 for none).
+// recordFailure counts a failed call and ejects the endpoint after enough consecutive failures. The more calls and
+// errors an endpoint usually has, the more failures are needed, as some occur by chance. If it has had no successful
+// call recently, one failure is enough, since a sender of a large fleet rarely sees two. That does not apply if the
+// answer reported a limit (0 for none).
 //
-// In a large fleet, two failures on a route that has done nothing lately eject all of its endpoints: each sender would
-// otherwise try every endpoint in turn.
+// In a large fleet, two failures on a route without recent successful calls eject all of its endpoints. Otherwise, each
+// sender would try every endpoint in turn.
 func (s *Sender) recordFailure(ep *endpoint, reportedLimit float64) {
 	route := ep.route
 	ep.consecutiveFailures++
 	route.consecutiveFailures++
-	quiet := reportedLimit == 0 && s.now-ep.lastSuccess > recentSuccessSpan
-	if !ep.ejected && ep.consecutiveFailures < s.ejectionRun(ep) && !quiet {
+	oneIsEnough := reportedLimit == 0 && s.now-ep.lastSuccess > recentSuccessSpan
+	if !ep.ejected && ep.consecutiveFailures < s.ejectionThreshold(ep) && !oneIsEnough {
 		return
 	}
-	quietRoute := s.now-route.lastSuccess > recentSuccessSpan
-	wholeRoute := s.fleetSize > smallFleetSize && route.consecutiveFailures >= failuresToEject && quietRoute
+	noRecentSuccess := s.now-route.lastSuccess > recentSuccessSpan
+	ejectRoute := s.fleetSize > smallFleetSize && route.consecutiveFailures >= minFailuresToEject && noRecentSuccess
 	for _, other := range ep.destination.ranked {
-		if other == ep || other.route == route && !other.ejected && wholeRoute {
+		if other == ep || other.route == route && !other.ejected && ejectRoute {
 			s.eject(other)
 		}
 	}
 }
 
-// ejectionRun is how many failures in a row eject an endpoint: so many that, at its usual rate of calls and share of
-// errors, a run of them comes by chance only once in chanceEjectionSpan.
-func (s *Sender) ejectionRun(ep *endpoint) int {
+// ejectionThreshold returns the number of consecutive failures that ejects an endpoint. At its usual call rate and
+// error share, that many failures occur by chance only once in falseEjectionInterval.
+func (s *Sender) ejectionThreshold(ep *endpoint) int {
 	rate := ep.sent.read(s.now, s.sharedRateWindow())
-	run := math.Log(chanceEjectionSpan*rate) / -math.Log(max(toleratedRejections, ep.errorShare))
-	return max(failuresToEject, int(math.Ceil(run)))
+	threshold := math.Log(falseEjectionInterval*rate) / -math.Log(max(toleratedRejections, ep.errorShare))
+	return max(minFailuresToEject, int(math.Ceil(threshold)))
 }
 
-// eject stops sending to an endpoint whose calls fail, whatever the cause. It comes back by a trial call, and in a
-// small fleet by a probe before that. Each ejection while ejected doubles the pause before the next trial. A drawback:
-// a healthy endpoint with two failures by chance is ejected, too.
+// eject stops sending to an endpoint whose calls fail, whatever the cause. A trial call readmits it; in a small fleet a
+// probe must pass before that. Each further ejection doubles the pause before the next trial. Drawback: a healthy
+// endpoint with two failures by chance is ejected as well.
 func (s *Sender) eject(ep *endpoint) {
 	s.markDirty(ep.destination)
 	if ep.ejected {
@@ -86,20 +89,20 @@
 	ep.nextTrial = s.now + ep.trialPause/2 + s.random.jitter(string(ep.id), ep.trialPause/2)
 }
 
-// readmit ends an ejection as an endpoint has answered a call, sent at the given time. Slow start counts from midway
-// between the last failure and now: in a large fleet the two lie far apart. An endpoint that was not down keeps the
-// slow start it had before, if any.
+// readmit ends the ejection of an endpoint that has answered a call sent at the given time. Slow start counts from
+// midway between the last failure and now, since the two are far apart in a large fleet. An endpoint that was not down
+// keeps its slow start from before the ejection, if any.
 func (s *Sender) readmit(ep *endpoint, sentAt Time) {
-	if ep.ejected && s.now-ep.lastSuccess < briefOutageSpan {
+	if ep.ejected && s.now-ep.lastSuccess < maxBriefOutage {
 		ep.slowStartAt = ep.previousSlowStartAt
-	} else if ep.ejected && sentAt >= ep.ejectedAt { // a call from before the ejection shows no return
+	} else if ep.ejected && sentAt >= ep.ejectedAt { // a call sent before the ejection does not prove that the endpoint is back
 		s.beginSlowStart(ep, (ep.lastFailure+s.now)/2)
 	}
 	ep.consecutiveFailures = 0
 	ep.ejected = false
 }
 
-// probeIfDue sends a health probe to an ejected endpoint that is due for a trial, where this sender probes.
+// probeIfDue sends a health probe to an ejected endpoint whose trial is due, if this sender sends probes.
 func (s *Sender) probeIfDue(ep *endpoint) {
 	wanted := ep.ejected && s.probing && !ep.probePassed && ep.listed && !ep.probing
 	due := s.now >= max(ep.nextTrial, ep.route.pausedUntil)
@@ -110,8 +113,8 @@
 	}
 }
 
-// Probed handles the result of a health probe. One that passed lets a call try the endpoint; one that failed doubles the
-// pause before the next trial. A probe that was cancelled was never sent and says nothing.
+// Probed handles the result of a health probe. A passed probe allows a trial call, and a failed one doubles the pause
+// before the next trial. A cancelled probe was never sent, so it changes no health.
 func (s *Sender) Probed(id EndpointID, result Result) {
 	s.now = s.host.Now()
 	ep := s.endpoints[id]
--- a/choice/outlier_test.go
+++ b/choice/outlier_test.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// A probe that the host cancelled says nothing: the pause before the next one stays as it was, where one that failed
-// doubles it, and none is sent at once.
+// A probe that the host cancelled leaves the pause before the next trial unchanged, whereas a failed probe doubles it.
+// In neither case is another probe sent at once.
 func ExampleSender_Probed_cancelled() {
 	for _, result := range []Result{Cancelled, ConnectFailed} {
 		set := testSettings()
@@ -12,22 +12,23 @@
 		host.end(Errored, 0, "a", "p").advance(Second)
 		was := host.endpoint("a").trialPause
 		host.sender.Probed("a", result)
-		fmt.Println("ejected", host.endpoint("a").ejected, "pause", was, "then", host.endpoint("a").trialPause)
+		fmt.Println("ejected:", host.endpoint("a").ejected, "pause before:", was, "after:", host.endpoint("a").trialPause)
 		host.advance(Second)
 	}
 	// Output:
 	// 3000.0  attempt p to a
 	// 3250.0  probe a
-	// ejected true pause 3000 then 3000
+	// ejected: true pause before: 3000 after: 3000
 	// 4300.0  probe a
 	// 3000.0  attempt p to a
 	// 3250.0  probe a
-	// ejected true pause 3000 then 6000
+	// ejected: true pause before: 3000 after: 6000
 	// 4550.0  probe a
 }
 
-// Two failures eject an endpoint. A probe shows that its process runs, and one trial call whether calls are answered: a
-// shut destination answers probes, too. Then a growing budget bounds all that is sent while it warms up.
+// Two failures eject an endpoint. A passed probe shows that its process runs, and a trial call then shows whether it
+// answers calls, since an unavailable destination answers probes as well. After that, a growing budget limits the calls
+// during slow start.
 func ExampleSender_readmission() {
 	host := startSender(testSettings()).accept(0, 1, "p", "q").end(Errored, 0, "a", "p", "q").advance(600 * Millisecond)
 	host.sender.Probed("a", Done)
@@ -48,20 +49,20 @@
 	// 9090.1  shed t
 }
 
-// Calls that stay unanswered lower the concurrency limit of an endpoint, and then eject it; other endpoints go on.
+// Unanswered calls lower the concurrency limit of an endpoint and then eject it. Other endpoints are not affected.
 func ExampleSender_unanswered() {
 	host := startSender(testSettings()).accept(2, 1, "p", "q", "r").accept(2, 2, "other").end(Done, 0, "c", "other")
 	host.advance(2500*Millisecond).accept(2, 2, "more")
-	fmt.Println("ejected:", host.endpoint("a").ejected, "calls out:", host.endpoint("a").inFlight)
+	fmt.Println("ejected:", host.endpoint("a").ejected, "calls in flight:", host.endpoint("a").inFlight)
 	// Output:
 	// 0.0     attempt r to a
 	// 0.0     attempt q to a
 	// 0.0     attempt other to c
 	// 2500.0  attempt more to c
-	// ejected: true calls out: 2
+	// ejected: true calls in flight: 2
 }
 
-// Where probes are not allowed, a single attempt tries an ejected endpoint.
+// If probes are not allowed, a single attempt serves as the trial of an ejected endpoint.
 func ExampleSender_trial() {
 	set := testSettings()
 	set.Probing = false
@@ -75,8 +76,8 @@
 	// 300.0   attempt again to a
 }
 
-// An endpoint that was ejected but answers again within 1.5 s of its last answer was not down: it needs no slow start.
-// One that was quiet for longer may have restarted.
+// An ejected endpoint that answers again within 1.5 s of its last answer was not down and needs no slow start. One
+// without answers for longer may have restarted.
 func ExampleSender_shortEjection() {
 	for _, pause := range []Time{200 * Millisecond, 1600 * Millisecond} {
 		host := startSender(testSettings())
@@ -86,14 +87,14 @@
 		wasEjected := a.ejected
 		host.advance(pause)
 		host.sender.readmit(a, host.clock)
-		fmt.Println(wasEjected, a.ejected, "slow start:", host.clock < a.slowStartAt+host.sender.settings.SlowStart)
+		fmt.Println("ejected before:", wasEjected, "after:", a.ejected, "slow start:", host.clock < a.slowStartAt+host.sender.settings.SlowStart)
 	}
 	// Output:
-	// true false slow start: false
-	// true false slow start: true
+	// ejected before: true after: false slow start: false
+	// ejected before: true after: false slow start: true
 }
 
-// Answers that can't be understood do not eject an endpoint that has just answered others.
+// Answers that can't be parsed do not eject an endpoint with recent successful calls.
 func ExampleSender_unreadableAnswers() {
 	host := startSender(testSettings()).accept(0, 1, "p").end(Done, 0, "a", "p")
 	for _, id := range []MessageID{"q", "r"} {
@@ -114,25 +115,25 @@
 	// ejected: true
 }
 
-// One failure is enough where nothing was done lately, and the slow start budget does not fill during a Retry-After:
-// the senders of a large fleet get the same one, and would overload the destination as it opens.
+// One failure ejects an endpoint without recent successful calls. The slow start budget does not fill during a
+// Retry-After: the senders of a large fleet receive the same one, and would overload the destination when it ends.
 func ExampleSender_singleFailureInFleet() {
 	set := testSettings()
 	set.Senders = 50
 	host := startSender(set).advance(3*Second).accept(1, 1, "p").end(Errored, 0, "a", "p")
 	fmt.Println("ejected:", host.endpoint("a").ejected)
 	host.accept(1, 2, "q").end(Rejected, 5*Second, "c", "q").advance(5 * Second)
-	fmt.Printf("budget once open: %.2f, from %d\n", host.endpoint("c").slowStart.tokens, host.endpoint("c").slowStart.updatedAt)
+	fmt.Printf("budget after the pause: %.2f, filling from %d\n", host.endpoint("c").slowStart.tokens, host.endpoint("c").slowStart.updatedAt)
 	// Output:
 	// 3000.0  attempt p to a
 	// ejected: true
 	// 3000.0  attempt q to c
 	// 5995.1  fail p
-	// budget once open: 0.72, from 81046
+	// budget after the pause: 0.72, filling from 81046
 }
 
-// Of a thousand calls a second some fail in a row by chance, and no endpoint is ejected for that. A crash is still
-// noticed within a few calls.
+// At a thousand calls a second, some consecutive calls fail by chance, which must not eject an endpoint. A crash is
+// still noticed within a few calls.
 func ExampleSender_failuresByChance() {
 	for _, rate := range []int{2, 100, 1000} {
 		host := startSender(testSettings())
@@ -145,16 +146,16 @@
 			return Done, 0
 		})
 		crash := steadyCalls(host, callLoad{"c", rate, 1, "a"}, 2, func(int) (Result, Time) { return ConnectFailed, 0 })
-		fmt.Printf("%d a second: %.0f%% sent, then %d calls into a crash\n", rate, 5*float64(well)/float64(rate), crash)
+		fmt.Printf("%d a second: %.0f%% sent, then %d calls to a crashed endpoint\n", rate, 5*float64(well)/float64(rate), crash)
 	}
 	// Output:
-	// 2 a second: 100% sent, then 2 calls into a crash
-	// 100 a second: 100% sent, then 5 calls into a crash
-	// 1000 a second: 100% sent, then 7 calls into a crash
+	// 2 a second: 100% sent, then 2 calls to a crashed endpoint
+	// 100 a second: 100% sent, then 5 calls to a crashed endpoint
+	// 1000 a second: 100% sent, then 7 calls to a crashed endpoint
 }
 
-// Slow start counts from midway between the last failure seen and the first answer: in a large fleet the two lie far
-// apart, and counting from the answer would starve an endpoint that has long been back.
+// Slow start counts from midway between the last failure and the first answer. The two are far apart in a large fleet,
+// and counting from the answer would starve an endpoint that has been back for long.
 func ExampleSender_slowStartFromMidway() {
 	set := testSettings()
 	set.Senders = 50
@@ -168,8 +169,8 @@
 	// slow start from: 35000
 }
 
-// Where a call stays unanswered while others are answered, non-idempotent messages wait until some more are done; those
-// that may be repeated find that out.
+// While a call stays unanswered and others are answered, non-idempotent messages wait until some more calls succeed.
+// Messages that may be repeated are sent meanwhile.
 func ExampleSender_nonIdempotentAfterUnanswered() {
 	host := startSender(testSettings()).accept(0, 1, "lost").advance(Millisecond).accept(0, 1, "p").end(Done, 0, "a", "p").advance(2 * Second)
 	host.accept(2, 1, "single")
@@ -188,8 +189,9 @@
 	// 2061.0  attempt single to a
 }
 
-// A call that its message's deadline cut short says nothing of the endpoint: a non-idempotent message still goes there
-// at once. Nor does a message that the host ended alone, while the others of its call are still in flight.
+// A call that was cut short by its message's deadline is not informative about the endpoint: a non-idempotent message
+// still goes there at once. Neither is a message that the host cancelled alone, while the others of its call are in
+// flight.
 func ExampleSender_cutShortByDeadline() {
 	for _, left := range []Time{100 * Millisecond, 5 * Second} {
 		host := startSender(testSettings())
@@ -197,7 +199,7 @@
 		host.endpoint("a").mean = float64(20 * Millisecond)
 		host.sender.Taken(Message{ID: "late", Key: NoKey, Destination: 1, Deadline: host.clock + left})
 		host.accept(0, 1, "other").end(Done, 0, "a", "other")
-		host.clock += 1 // answered since
+		host.clock += 1 // answered after the other calls were sent
 		host.accept(0, 1, "another").end(Done, 0, "a", "another")
 		host.clock += min(left, 2*Second) - 6*Millisecond
 		host.end(TimedOut, 0, "a", "late").accept(2, 1, "order")
@@ -205,7 +207,7 @@
 	host := startSender(testSettings())
 	host.accept(0, 2, "p", "q")
 	host.sender.Ended(Outcome{Message: "p", Endpoint: "c", Result: Cancelled})
-	fmt.Println("calls out:", len(host.sender.calls), "judged:", host.sender.calls[0].judged)
+	fmt.Println("calls in flight:", len(host.sender.calls), "outcome counted:", host.sender.calls[0].outcomeCounted)
 	// Output:
 	// 0.0     attempt first to a
 	// 0.0     attempt other to a
@@ -219,5 +221,5 @@
 	// 0.1     attempt another to a
 	// 0.0     attempt q to c
 	// 0.0     attempt p to c
-	// calls out: 1 judged: false
+	// calls in flight: 1 outcome counted: false
 }
--- a/choice/queues.go
+++ b/choice/queues.go
@@ -1,8 +1,9 @@
 package choice
 
-// This file keeps messages in the order in which they may go: the queues of each destination, and those of order keys.
+// This file keeps messages in the order in which they may be sent: in the queues of each destination, and in the queues
+// of order keys.
 
-// joinKeyQueue puts a message at the end of its order key's queue.
+// joinKeyQueue appends a message to the queue of its order key.
 func (s *Sender) joinKeyQueue(msg *message) {
 	msg.keyQueue = getOrCreate(s.keyQueues, msg.Key)
 	msg.keyQueue.messages = append(msg.keyQueue.messages, msg)
@@ -12,8 +13,8 @@
 	}
 }
 
-// leaveKeyQueue takes a message out of its order key's queue, and lets the next one go. Where the key is paused, a
-// timer does so when the pause is over.
+// leaveKeyQueue removes a message from the queue of its order key and lets the next one be sent. If the key is paused,
+// a timer does so at the end of the pause.
 func (s *Sender) leaveKeyQueue(msg *message) {
 	queue := msg.keyQueue
 	queue.messages = removeValue(queue.messages, msg)
@@ -24,8 +25,8 @@
 	s.advanceKey(msg)
 }
 
-// advanceKey lets the first message of an order key go, where it has not been sent yet and the key is not paused. from
-// is any message of that key, also one that has left.
+// advanceKey queues the first message of an order key for sending, if it was not sent before and the key is not paused.
+// from is any message of the key, including one that has left the key queue.
 func (s *Sender) advanceKey(from *message) {
 	queue := from.keyQueue
 	if queue == nil || s.keyQueues[from.Key] != queue || s.now < queue.pausedUntil {
@@ -40,8 +41,8 @@
 	}
 }
 
-// enqueue puts a message in its destination's queue, unless it stands there already or another one of its key goes
-// first. It may stand there already, as its key's turn may have come to it when another message was shed.
+// enqueue appends a message to its destination's queue, unless it is already queued or another message of its key must
+// go first. It can be already queued because its key advanced when another message was shed.
 func (s *Sender) enqueue(msg *message) {
 	if msg.queueElement != nil || !s.keyAllows(msg) {
 		return
@@ -50,12 +51,12 @@
 	msg.queueElement = msg.queue.PushBack(msg)
 	msg.destination.queued++
 	if msg.destination.queued == 1 {
-		s.withQueued = append(s.withQueued, msg.destination)
+		s.queuedDestinations = append(s.queuedDestinations, msg.destination)
 	}
 }
 
-// keyAllows reports whether a message's order key lets it go: it is first, and the key is not paused. The pause does
-// not hold back a retry.
+// keyAllows reports whether a message may be sent as far as its order key is concerned: it is the first of the key, and
+// the key is not paused. The pause does not hold back retries.
 func (s *Sender) keyAllows(msg *message) bool {
 	queue := msg.keyQueue
 	if queue == nil {
@@ -67,7 +68,7 @@
 	return msg.attempts > 0 || s.now >= queue.pausedUntil
 }
 
-// dequeue takes a message out of its destination's queue, if it stands there.
+// dequeue removes a message from its destination's queue, if it is queued.
 func (s *Sender) dequeue(msg *message) {
 	if msg.queueElement == nil {
 		return
@@ -76,6 +77,6 @@
 	msg.queue, msg.queueElement = nil, nil
 	msg.destination.queued--
 	if msg.destination.queued == 0 {
-		s.withQueued = removeValue(s.withQueued, msg.destination)
+		s.queuedDestinations = removeValue(s.queuedDestinations, msg.destination)
 	}
 }
--- a/choice/ranking.go
+++ b/choice/ranking.go
@@ -1,12 +1,13 @@
 package choice
 
-// feeTimeFactor converts fees to time: a fee of x messages of mean value makes an endpoint count as slower by the factor
-// 1 + feeTimeFactor*x.
+// feeTimeFactor converts fees to time. A fee of x messages of mean value multiplies the rank cost of an endpoint by 1 +
+// feeTimeFactor*x.
 const feeTimeFactor = 20.0
 
-// rankCost is what endpoints of a destination are ranked by, the lowest first: when one more call would be done if
-// calls went one by one, where each rejection costs a backoff and a fee counts as time. An endpoint of another zone
-// without calls ranks behind, which spreads a fleet over a destination's endpoints.
+// rankCost returns the cost by which the endpoints of a destination are ranked, lowest first: the time until one more
+// call would be answered if calls were processed one by one. Each rejection adds a backoff, and a route fee counts as
+// time. An endpoint of another zone that has no measured calls costs twice as much, which spreads a fleet over the
+// endpoints of a destination.
 func (s *Sender) rankCost(ep *endpoint) float64 {
 	feeFactor := 1.0
 	if ep.destination.kind.SeparateRoutes {
--- a/choice/ratelimit.go
+++ b/choice/ratelimit.go
@@ -2,48 +2,52 @@
 
 import "math"
 
-// This file finds the rate of calls that a route takes, from rejections.
+// This file estimates, from rejections, the rate of calls that a route accepts.
 
 const (
-	// unlimitedRate is the rate, in calls a second, of a route whose limit was never met.
+	// unlimitedRate is the rate, in calls a second, of a route whose limit was never hit.
 	unlimitedRate = 1e6
-	// minFleetRate is the least rate of a route, in calls a second of all senders together.
+	// minFleetRate is the lowest rate of a route, in calls a second of all senders together.
 	minFleetRate = 0.6
-	// exhaustedShare: a rejection whose report leaves less of the allowance than this is explained by the limit.
+	// exhaustedShare is the share of the allowance below which a report explains a rejection by the limit.
 	exhaustedShare = 0.3
-	// rejectionRun is how many rejections in a row, with no call done, count as a run.
-	rejectionRun = 2
-	// fullQueueSpan: a rejection so soon after a call was done means that an endpoint without a limit has a full queue.
+	// minRejectionRun is the least number of consecutive rejections that counts as a run.
+	minRejectionRun = 2
+	// fullQueueSpan is the time after a successful call within which a rejection means, for an endpoint without a
+	// limit, that its queue is full.
 	fullQueueSpan = Second / 2
 
-	// judgeInterval is the shortest time between two adjustments of a rate.
-	judgeInterval = Second
-	// answersToJudge is how many answers a share rejected can be judged by. By fewer, a fleet takes it for a limit.
-	answersToJudge = 16
-	// fewCalls is a number of calls that overload no endpoint, and of which few rejections are nothing unusual.
-	fewCalls = 4.0
-	// toleratedRejections is the share rejected that is accepted, as the price of finding free capacity.
+	// minAdjustInterval is the shortest time between two adjustments of a rate.
+	minAdjustInterval = Second
+	// minAnswersToAdjust is the number of answers from which a rejection share can be estimated. In a large fleet, a
+	// share of fewer answers counts as caused by the limit.
+	minAnswersToAdjust = 16
+	// negligibleCalls is a number of calls that overloads no endpoint. That few rejections are not unusual, either.
+	negligibleCalls = 4.0
+	// toleratedRejections is the rejection share that is accepted as the price of finding free capacity.
 	toleratedRejections = 0.02
-	// maxNoiseShare is the highest share rejected that is taken as independent of the load.
+	// maxNoiseShare is the highest rejection share that counts as independent of the load.
 	maxNoiseShare = 0.25
-	// noiseDeviations is how many standard deviations two shares rejected lie apart that differ not by chance alone.
+	// noiseDeviations is the number of standard deviations between two rejection shares from which on the difference is
+	// not attributed to chance.
 	noiseDeviations = 3.0
-	// sameLoadShare is the share of a load that still counts as the same load.
+	// sameLoadShare is the share of the previous load above which a load counts as the same.
 	sameLoadShare = 0.95
-	// recentFade is what is left of an endpoint's recent counts after each adjustment.
-	recentFade = 0.95
-	// peakLoadFade is the time constant, in seconds, with which the highest load is forgotten.
-	peakLoadFade = 10.0
-	// rateCutShare is to which part a rate is cut at most; to half of that after more than a few rejections.
-	rateCutShare = 0.5
-	// rateGrowth is the relative growth of a rate each second, and more the longer no limit was met.
+	// recentCountDecay is the factor by which the recent counts of an endpoint decay with each adjustment.
+	recentCountDecay = 0.95
+	// peakLoadTimeConstant is the time constant, in seconds, of the decay of the peak load.
+	peakLoadTimeConstant = 10.0
+	// rateCutFactor is the lowest factor by which one adjustment cuts a rate. After more than negligibleCalls
+	// rejections it is half of that.
+	rateCutFactor = 0.5
+	// rateGrowth is the relative growth of a rate in one second. Growth speeds up the longer no limit is hit.
 	rateGrowth = 0.05
-	// fastGrowthAfter is how long after a rate was adjusted its growth begins to speed up.
+	// fastGrowthAfter is the time from the adjustment of a rate until its growth speeds up.
 	fastGrowthAfter = 3 * Second
 )
 
-// onRejected handles a rejected call. It tells a rate limit, which a report shows as used up, from a shut destination.
-// A drawback: a very low limit without reports is taken for one that is shut.
+// onRejected handles a rejected call. It distinguishes a rate limit, which a report shows as used up, from an
+// unavailable destination. Drawback: a destination with a very low limit and no reports is taken for unavailable.
 func (s *Sender) onRejected(call *call, o Outcome) {
 	ep, route, kind := call.endpoint, call.endpoint.route, call.endpoint.destination.kind
 	pausedUntil := route.pausedUntil // before this rejection
@@ -59,51 +63,51 @@
 	}
 	switch {
 	case limited && o.RetryAfter <= longRetryAfter:
-		s.readmit(ep, call.sentAt) // it answers, so it is no outage
+		s.readmit(ep, call.sentAt) // it answers, so this is no outage
 	case o.RetryAfter == 0 && s.queueFull(ep):
-		// Cutting the rate for it would starve an endpoint that has no limit.
+		// A rate cut would starve this endpoint, which has no limit.
 		ep.concurrencyLimit = max(1, min(ep.concurrencyLimit, float64(ep.inFlight)-1))
 		return
 	case ep.ejected || kind.reportsLimits:
 		s.recordFailure(ep, o.Report.Limit)
 	case o.RetryAfter == 0 && s.needsGuessedWait(route):
-		s.pauseByGuess(ep)
+		s.startGuessedWait(ep)
 	}
-	// A first Retry-After is enough by itself. Where another one follows at once, the rate is too high.
+	// The first Retry-After is enough without a rate cut. If another one follows at once, the rate is too high.
 	if o.RetryAfter == 0 || s.now-pausedUntil <= recentSuccessSpan {
 		s.adjustRate(ep.destination, route)
 	}
 }
 
-// queueFull reports whether a rejection means that an endpoint has too many calls at once: its kind reports limits, it
-// has none, and it has just done calls.
+// queueFull reports whether a rejection means that an endpoint has too many calls in flight. That is so if its kind
+// reports limits, it has none, and it had a successful call just before.
 func (s *Sender) queueFull(ep *endpoint) bool {
 	unlimited := ep.destination.kind.reportsLimits && ep.route.limit == 0
 	return unlimited && !ep.ejected && s.now-ep.route.lastSuccess < fullQueueSpan
 }
 
-// adjustRate counts a rejection and, once a second at most, cuts the rate of a route in proportion to the share
-// rejected since it last did so, from the highest load of late. A share that stays the same at a lower load is noise
-// and no limit's, once chance does not explain it. Drawbacks: a limit that is not reported is met more often than need
-// be, and nothing can be said of few calls.
+// adjustRate counts a rejection and, at most once a second, cuts the rate of a route. The cut starts from the recent
+// peak load and is proportional to the share rejected since the previous adjustment. A rejection share that does not
+// fall at a lower load, beyond what chance explains, is noise and not the effect of a limit. Drawbacks: a limit that is
+// not reported is hit more often than necessary, and a few calls allow no conclusion.
 func (s *Sender) adjustRate(dest *destination, route *route) {
 	route.rejected++
-	if s.now-route.judgedAt <= judgeInterval {
+	if s.now-route.rateAdjustedAt <= minAdjustInterval {
 		return
 	}
 	rejected, answered := s.routeRejections(dest, route)
-	elapsed := max(1, seconds(s.now-route.judgedAt))
+	elapsed := max(1, seconds(s.now-route.rateAdjustedAt))
 	share := rejected / answered
-	fadedPeak := route.peakLoad * math.Exp(-elapsed/peakLoadFade)
+	fadedPeak := route.peakLoad * math.Exp(-elapsed/peakLoadTimeConstant)
 	route.peakLoad = max(route.sent.read(s.now, s.loadWindow), route.answered/elapsed, fadedPeak)
 	load := route.separateNoise(min(route.peakLoad, route.limiter.rate), share, answered)
 
 	noiseBound := route.noiseShare + 2*math.Sqrt(route.noiseShare*(1-route.noiseShare)/answered)
 	excess := share - max(toleratedRejections, noiseBound)
-	if s.fleetSize > smallFleetSize && route.answered < answersToJudge {
+	if s.fleetSize > smallFleetSize && route.answered < minAnswersToAdjust {
 		excess = max(excess, 1)
 	}
-	route.judgedAt = s.now
+	route.rateAdjustedAt = s.now
 	route.answered = 0
 	route.rejected = 0
 	if excess > 0 {
@@ -111,11 +115,11 @@
 	}
 }
 
-// separateNoise compares the share rejected at a load with that at the last different load, and updates the share that
-// is rejected whatever the load. It returns the load that the share stands for: the earlier one, where the lower load
-// has changed nothing.
+// separateNoise compares the rejection shares at this load and at the previous different load, and updates the share
+// that is rejected at any load. It returns the load that the share applies to: the previous one, if the lower load has
+// made no difference.
 func (r *route) separateNoise(load, share, answered float64) float64 {
-	// What a limit would reject of so much less load, had it rejected the earlier share.
+	// The share that a limit would reject at this load if it rejected previousShare at previousLoad.
 	byLimit := max(0, 1-(1-r.previousShare)*r.previousLoad/load)
 	bothShare := (share*answered + r.previousShare*r.previousAnswered) / (answered + r.previousAnswered)
 	distinct := r.previousShare-byLimit > noiseDeviations*shareDeviation(bothShare, answered, r.previousAnswered)
@@ -136,62 +140,63 @@
 	return load
 }
 
-// cutRate cuts the rate of a route at which a load had an excess share of calls rejected. Where a limit is reported,
-// the rate becomes this sender's part of it; where rejections go on at that, less, since rejected calls count against
-// some limits, which all senders together would keep used up.
+// cutRate cuts the rate of a route, given the load and the share of it that was rejected in excess. If a limit is
+// reported, the rate becomes this sender's part of the limit. If rejections continue at that rate, it is cut further:
+// some limits count rejected calls, so all senders together would keep the limit used up.
 func (s *Sender) cutRate(route *route, load, excess, rejected float64) {
 	route.limiter.tokens = min(0, route.limiter.tokens)
-	leastPart := rateCutShare
-	if rejected > fewCalls {
-		leastPart = rateCutShare - rateCutShare/2
+	minFactor := rateCutFactor
+	if rejected > negligibleCalls {
+		minFactor = rateCutFactor - rateCutFactor/2
 	}
-	rate := max(leastPart, 1-excess) * load
+	rate := max(minFactor, 1-excess) * load
 	if route.limit > 0 {
 		part := route.limit / s.fleetSize
 		rate = part
-		if route.consecutiveRejections >= rejectionRun {
-			rate = rateCutShare * min(route.limiter.rate, part)
+		if route.consecutiveRejections >= minRejectionRun {
+			rate = rateCutFactor * min(route.limiter.rate, part)
 		}
 	}
-	least := minFleetRate / s.fleetSize
-	if s.exchangesNotes { // the fleet then pauses together at a limit: a call in each shortest backoff is allowed
-		least = max(least, 1/seconds(s.retryBase))
+	minRate := minFleetRate / s.fleetSize
+	if s.exchangesNotes { // the fleet then pauses together at a limit, so one call in each shortest backoff is allowed
+		minRate = max(minRate, 1/seconds(s.retryBase))
 	}
-	route.limiter.rate = max(least, rate)
+	route.limiter.rate = max(minRate, rate)
 }
 
-// routeRejections returns how many calls of a route were rejected, and how many answered, since its rate was adjusted.
-// Where one endpoint rejects more than the others, and not by chance, that is no limit of the route, and only the
-// others count, by their recent counts.
+// routeRejections returns how many calls of a route were rejected and how many were answered since its rate was last
+// adjusted. If one endpoint rejects more than the others, beyond chance, its rejections are not caused by a limit of
+// the route. Then the recent counts of the others are returned.
 func (s *Sender) routeRejections(dest *destination, route *route) (rejected, answered float64) {
 	worst := &endpoint{}
 	for ep := range dest.endpointsOf(route) {
 		rejected += ep.recentRejected
 		answered += ep.recentAnswered
-		ep.recentRejected *= recentFade
-		ep.recentAnswered *= recentFade
+		ep.recentRejected *= recentCountDecay
+		ep.recentAnswered *= recentCountDecay
 		if ep.recentRejected >= worst.recentRejected {
 			worst = ep
 		}
 	}
-	worstRejected := worst.recentRejected / recentFade
-	worstAnswered := worst.recentAnswered / recentFade
+	worstRejected := worst.recentRejected / recentCountDecay
+	worstAnswered := worst.recentAnswered / recentCountDecay
 	restAnswered := answered - worstAnswered
-	if restAnswered >= answersToJudge/2 {
+	if restAnswered >= minAnswersToAdjust/2 {
 		restRejected := rejected - worstRejected
-		apart := worstRejected/worstAnswered - restRejected/restAnswered
-		if apart > noiseDeviations*shareDeviation(rejected/answered, worstAnswered, restAnswered) {
+		difference := worstRejected/worstAnswered - restRejected/restAnswered
+		if difference > noiseDeviations*shareDeviation(rejected/answered, worstAnswered, restAnswered) {
 			return restRejected, restAnswered
 		}
 	}
 	return route.rejected, route.answered + 1
 }
 
-// ready lets the rate of a route grow, and reports whether it may be sent a call. The rate grows faster the longer, and
-// the more calls were answered, since it was adjusted, and while it is far below what was once done.
+// ready lets the rate of a route grow and reports whether the route may be sent a call. The rate grows faster with the
+// time and with the calls answered since its adjustment, and also while it is far below the highest rate of successful
+// calls.
 func (r *route) ready(now Time) bool {
-	sinceAdjusted := seconds(now - r.judgedAt - fastGrowthAfter)
-	speedUp := max(0, min(sinceAdjusted, r.answered/answersToJudge)) / 2
+	sinceAdjusted := seconds(now - r.rateAdjustedAt - fastGrowthAfter)
+	speedUp := max(0, min(sinceAdjusted, r.answered/minAnswersToAdjust)) / 2
 	if r.limiter.rate < r.peakSuccessRate/2 {
 		speedUp++
 	}
--- a/choice/ratelimit_test.go
+++ b/choice/ratelimit_test.go
@@ -2,26 +2,27 @@
 
 import "fmt"
 
-// A rejection with the allowance used up is a limit: the endpoint stays in use, at a lower rate.
+// A rejection whose report shows a used-up allowance means that a limit was hit. The endpoint stays in use, at a lower
+// rate.
 func ExampleSender_limit() {
 	host := startSender(testSettings()).accept(0, 1, "p", "q").advance(3 * Second)
 	for _, id := range []MessageID{"p", "q"} {
 		host.sender.Ended(Outcome{Message: id, Endpoint: "a", Result: Rejected, Report: Report{true, 0.1, 4}})
 	}
-	fmt.Println("ejected:", host.endpoint("a").ejected, "pace:", host.endpoint("a").route.limiter.rate)
+	fmt.Println("ejected:", host.endpoint("a").ejected, "rate:", host.endpoint("a").route.limiter.rate)
 	host.advance(Second)
 	// Output:
 	// 0.0     attempt q to a
 	// 0.0     attempt p to a
 	// 2550.0  probe a
-	// ejected: false pace: 2
+	// ejected: false rate: 2
 	// 3016.2  attempt p to a
 	// 3400.0  attempt q to a
 }
 
-// A sender that keeps to its part of a reported limit and is rejected again and again halves its rate, and halves it
-// again: where rejected calls use the limit up, all senders at their parts would have nothing done for as long as there
-// is demand. A report of free capacity brings the part back at once.
+// A sender that keeps to its part of a reported limit and is still rejected halves its rate repeatedly. If rejected
+// calls use up the limit, no calls would succeed while all senders kept to their parts. A report of free capacity
+// restores the part at once.
 func ExampleSender_limitUsedUp() {
 	set := testSettings()
 	set.Senders, set.Probing = 80, false
@@ -31,22 +32,23 @@
 	tell := func(id MessageID, result Result, left float64) {
 		host.advance(1100*Millisecond).accept(0, 1, id).sender.Ended(Outcome{Message: id, Attempt: host.attempts[id] - 1, Endpoint: "a", Result: result,
 			Final: result == Done, Report: Report{Known: true, Left: left, Limit: 80}})
-		fmt.Printf("%v, %.1f left: rate %.2f\n", [...]string{"done", "", "refused"}[result], left, host.destination(1).route.limiter.rate)
+		fmt.Printf("%v, %.1f left: rate %.2f\n", [...]string{"done", "", "rejected"}[result], left, host.destination(1).route.limiter.rate)
 	}
 	for i, id := range []MessageID{"p", "q", "r", "s", "t"} {
-		host.destination(1).route.limiter.tokens = 1 // else it waits for its turn at that pace
+		host.destination(1).route.limiter.tokens = 1 // otherwise the call would wait for a token at the low rate
 		tell(id, [...]Result{Rejected, Rejected, Rejected, Done, Done}[i], [...]float64{0, 0, 0, 0.1, 0.5}[i])
 		host.sender.Withdrawn(id)
 	}
 	// Output:
-	// refused, 0.0 left: rate 1.00
-	// refused, 0.0 left: rate 0.50
-	// refused, 0.0 left: rate 0.26
+	// rejected, 0.0 left: rate 1.00
+	// rejected, 0.0 left: rate 0.50
+	// rejected, 0.0 left: rate 0.26
 	// done, 0.1 left: rate 0.28
 	// done, 0.5 left: rate 1.00
 }
 
-// A share that is rejected whatever the load costs little; a limit is found and kept, also with such a share on top.
+// A rejection share that does not depend on the load costs little throughput. A limit is found and kept, even with such
+// a share added.
 func ExampleSender_adjustRate() {
 	play := func(what string, offered int, noise, limit float64) {
 		host := startSender(testSettings())
@@ -70,12 +72,12 @@
 			} else {
 				allowance--
 			}
-			if now >= playSeconds*Second/2 { // by then it has settled
+			if now >= playSeconds*Second/2 { // the rate has settled by then
 				sent++
 				rejected += countIf(isRejected)
 			}
 		}
-		fmt.Printf("%s: %d a second sent of %d, %d%% of them refused\n", what, sent/30, offered, 100*rejected/max(1, sent))
+		fmt.Printf("%s: %d a second sent of %d, %d%% of them rejected\n", what, sent/30, offered, 100*rejected/max(1, sent))
 	}
 	play("noise of 1%", 200, 0.01, 0)
 	play("noise of 6%", 200, 0.06, 0)
@@ -85,17 +87,17 @@
 	play("a limit of 100 and noise of 6%", 200, 0.06, 100)
 	play("a limit of 2", 10, 0, 2)
 	// Output:
-	// noise of 1%: 200 a second sent of 200, 1% of them refused
-	// noise of 6%: 200 a second sent of 200, 6% of them refused
-	// noise of 6% at a low rate: 4 a second sent of 5, 6% of them refused
-	// noise of 20%: 200 a second sent of 200, 20% of them refused
-	// a limit of 100: 105 a second sent of 200, 5% of them refused
-	// a limit of 100 and noise of 6%: 94 a second sent of 200, 6% of them refused
-	// a limit of 2: 1 a second sent of 10, 17% of them refused
+	// noise of 1%: 200 a second sent of 200, 1% of them rejected
+	// noise of 6%: 200 a second sent of 200, 6% of them rejected
+	// noise of 6% at a low rate: 4 a second sent of 5, 6% of them rejected
+	// noise of 20%: 200 a second sent of 200, 20% of them rejected
+	// a limit of 100: 105 a second sent of 200, 5% of them rejected
+	// a limit of 100 and noise of 6%: 94 a second sent of 200, 6% of them rejected
+	// a limit of 2: 1 a second sent of 10, 17% of them rejected
 }
 
-// steadyCalls plays seconds of a steady load of calls on one endpoint, and returns how many were sent. result says how
-// each ends.
+// steadyCalls makes calls to one endpoint at a steady rate for the given number of seconds, and returns how many were
+// sent. result returns the result of call i.
 func steadyCalls(host *fakeHost, load callLoad, seconds int, result func(i int) (Result, Time)) (sent int) {
 	for i := range load.rate * seconds {
 		host.advance(Second / Time(load.rate))
@@ -111,15 +113,16 @@
 	return sent
 }
 
-// callLoad is a load of calls, with the prefix of their messages' ids.
+// callLoad describes the calls of steadyCalls. Their message ids begin with prefix.
 type callLoad struct {
 	prefix   string
-	rate     int // a second
+	rate     int // calls a second
 	to       DestinationID
 	endpoint EndpointID
 }
 
-// Of two endpoints one rejects much, which is its own affair: the route keeps its rate, and that endpoint ranks last.
+// If one of two endpoints rejects many calls, no limit of the route is the cause: the route keeps its rate, and that
+// endpoint is ranked last.
 func ExampleSender_rejectingEndpoint() {
 	set := testSettings()
 	set.Kinds[0].BulkMax = 1
@@ -148,17 +151,18 @@
 		low = min(low, route.limiter.rate)
 	}
 	host.sender.refreshDestination(host.destination(1))
-	fmt.Println("healthy one preferred:", to["a"] > 10*to["b"], "ranked first:", host.destination(1).ranked[0].id, "rate kept:", low >= 90)
+	fmt.Println("a preferred:", to["a"] > 10*to["b"], "ranked first:", host.destination(1).ranked[0].id, "rate kept:", low >= 90)
 	// Output:
-	// healthy one preferred: true ranked first: a rate kept: true
+	// a preferred: true ranked first: a rate kept: true
 }
 
-// A rate that was halved wrongly recovers in seconds, whatever it is; few calls show little capacity, and take longest.
+// A rate that was wrongly halved recovers in seconds, whatever it is. A low rate takes longest, since few calls are
+// little evidence of free capacity.
 func ExampleSender_rateRecovers() {
 	for _, rate := range []int{1, 100, 5000} {
 		host := startSender(testSettings())
 		route := host.destination(1).route
-		route.limiter.rate, route.limiter.tokens, route.judgedAt = float64(rate)/2, 0, 0
+		route.limiter.rate, route.limiter.tokens, route.rateAdjustedAt = float64(rate)/2, 0, 0
 		now := Time(0)
 		for route.limiter.rate < float64(rate) {
 			now += Second / Time(2*rate)
--- a/choice/retries.go
+++ b/choice/retries.go
@@ -1,22 +1,22 @@
 package choice
 
 const (
-	// retryBaseShare and retryCapShare are the first and the highest ceiling of the backoff, in shortest contract
-	// times.
+	// retryBaseShare and retryCapShare are the first and the highest ceiling of the backoff, as multiples of the
+	// shortest latency objective.
 	retryBaseShare = 0.25
 	retryCapShare  = 2.0
-	// maxBackoffDoublings keeps the doubling of the ceiling from overflowing.
+	// maxBackoffDoublings prevents an overflow when the ceiling is doubled.
 	maxBackoffDoublings = 20
-	// rejectedRetryDivisor: rejected messages of one destination may take the in-flight limit by this for their
-	// retries.
+	// rejectedRetryDivisor limits the retries of rejected messages of one destination to the in-flight limit divided by
+	// it.
 	rejectedRetryDivisor = 4
-	// kindRetryCredit is how many retries a call done pays for where senders exchange notes: there the retry budget is
-	// that of a kind, into which all its destinations pay.
+	// kindRetryCredit is the number of retries that a successful call pays for if senders exchange notes. In that case
+	// all destinations of a kind share one retry budget.
 	kindRetryCredit = 0.3
 )
 
-// scheduleRetry sets when a message is sent again: after a backoff with full jitter, under a ceiling that doubles with
-// each attempt up to a cap. It ends the message where no attempt is left, or none could be sent in time.
+// scheduleRetry sets the time of a message's next attempt: after a backoff with full jitter, whose ceiling doubles with
+// each attempt up to a cap. It ends the message if no attempt is left or none can be sent in time.
 func (s *Sender) scheduleRetry(msg *message) {
 	last := s.lastAttemptAt(msg)
 	earliestRetry := max(s.now+1, s.pauseEnd(msg.destination))
@@ -31,8 +31,8 @@
 	s.setTimer(msg, last+1)
 }
 
-// exhausted reports whether a message may not be sent any more: it has had all its attempts, may not be repeated, or it
-// is too late.
+// exhausted reports whether a message may not be sent any more, because it has had all its attempts, must not be
+// repeated, or is too late.
 func (s *Sender) exhausted(msg *message) bool {
 	if msg.attempts > 0 && msg.attempts >= s.settings.MaxAttempts {
 		return true
@@ -43,17 +43,17 @@
 	return s.now > s.lastAttemptAt(msg)
 }
 
-// lastAttemptAt is the latest time for an attempt: one usual call is still over before the deadline, and where it would
-// be a repeat its idempotency key is still known.
+// lastAttemptAt returns the latest time for an attempt. A call of usual length must end before the deadline, and if the
+// attempt is a repeat, the destination must still know the idempotency key.
 func (s *Sender) lastAttemptAt(msg *message) Time {
-	// A restarted sender knows no call times; a message of an earlier incarnation must not end for that alone.
-	mostForCall := float64(msg.lifetime()) / 4
-	call := roundUp(min(s.usualCallTime(msg.destination), mostForCall))
+	// A restarted sender knows no call times. The messages of an earlier incarnation must not end only because of that.
+	maxCall := float64(msg.lifetime()) / 4
+	call := roundUp(min(s.usualCallTime(msg.destination), maxCall))
 	return min(msg.Deadline-call-2*s.turnInterval, s.RepeatableUntil(msg.ID))
 }
 
-// RepeatableUntil returns until when a message may be sent as a repeat: while the destination remembers its idempotency key.
-// For messages without that restriction, and unknown ones, it is never over.
+// RepeatableUntil returns the time until which a message may be sent again, which is as long as the destination
+// remembers its idempotency key. It returns forever for unknown messages and for those without that restriction.
 func (s *Sender) RepeatableUntil(id MessageID) Time {
 	msg := s.messages[id]
 	if msg == nil || !msg.MayRun || s.class(msg).Repeat != Keyed {
@@ -62,8 +62,8 @@
 	return msg.RanAt + s.class(msg).RepeatWindow - s.turnInterval
 }
 
-// retryBudget is what pays for retries to a destination: calls done, and a trickle. Where senders exchange notes it is
-// that of the destination's kind, otherwise its own.
+// retryBudget returns the budget that pays for retries to a destination. Successful calls and a trickle over time fill
+// it. If senders exchange notes, all destinations of a kind share it; otherwise each destination has its own.
 func (s *Sender) retryBudget(dest *destination) *tokenBucket {
 	if s.exchangesNotes {
 		return &dest.kind.retryBudget
@@ -71,13 +71,14 @@
 	return &dest.retryBudget
 }
 
-// newRetryBudget returns a budget for as many retries as a destination may have in flight of rejected messages.
+// newRetryBudget returns a budget that pays for as many retries as rejected messages of a destination may have in
+// flight.
 func (s *Sender) newRetryBudget() tokenBucket {
 	return tokenBucket{tokens: float64(s.maxRejectedRetries), updatedAt: s.now}
 }
 
-// payForSuccess adds to a destination's retry budget what a call done there pays.
-func (s *Sender) payForSuccess(dest *destination) {
+// creditSuccess adds the credit of one successful call to the retry budget of a destination.
+func (s *Sender) creditSuccess(dest *destination) {
 	credit := 1.0
 	if s.exchangesNotes {
 		credit = kindRetryCredit
@@ -85,12 +86,12 @@
 	s.retryBudget(dest).tokens += credit
 }
 
-// mayPayAttempt reports whether the retry budget pays for an attempt of a message. First attempts cost nothing.
-func (s *Sender) mayPayAttempt(msg *message) bool {
+// retryBudgetAllows reports whether the retry budget pays for an attempt of a message. First attempts are free.
+func (s *Sender) retryBudgetAllows(msg *message) bool {
 	if msg.attempts == 0 {
 		return true
 	}
 	trickle := 1 / seconds(s.retryCap)
-	mostTokens := float64(s.settings.InFlightLimit)
-	return s.retryBudget(msg.destination).refillAt(s.now, trickle, mostTokens) >= 1
+	size := float64(s.settings.InFlightLimit)
+	return s.retryBudget(msg.destination).refillAt(s.now, trickle, size) >= 1
 }
--- a/choice/retries_test.go
+++ b/choice/retries_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// The one call in flight goes to first attempts, newest first, before the retry that was due earlier.
+// If one call may be in flight, first attempts are sent before the retry that was due earlier, the newest one first.
 func ExampleSender_firstAttemptsFirst() {
 	set := testSettings()
 	set.InFlightLimit = 1
@@ -22,7 +22,7 @@
 	// 300.0   attempt old to a
 }
 
-// Backoffs differ by chance, under ceilings that double up to a cap; the first ceiling is a quarter second.
+// Backoffs are random, below ceilings that double up to a cap. The first ceiling is a quarter of a second.
 func ExampleSender_jitter() {
 	host := startSender(testSettings())
 	host.mute = true
@@ -35,16 +35,17 @@
 			host.sender.scheduleRetry(msg)
 			longest, shortest = max(longest, msg.retryAt), min(shortest, msg.retryAt)
 		}
-		fmt.Println("try", try, "from", shortest, "to", longest)
+		fmt.Println("attempt", try, "from", shortest, "to", longest)
 	}
 	// Output:
-	// try 1 from 4 to 2490
-	// try 2 from 121 to 4615
-	// try 3 from 129 to 9625
-	// try 4 from 16 to 19705
+	// attempt 1 from 4 to 2490
+	// attempt 2 from 121 to 4615
+	// attempt 3 from 129 to 9625
+	// attempt 4 from 16 to 19705
 }
 
-// Rejected messages are retried in a quarter of the in-flight limit: two here, and the third when one is done.
+// Retries of rejected messages use at most a quarter of the in-flight limit. Here, two are sent, and the third when one
+// of them is done.
 func ExampleSender_rejectedRetries() {
 	host := startSender(testSettings())
 	host.endpoint("a").concurrencyLimit = 8
@@ -59,8 +60,8 @@
 	// 2000.0  attempt q to a
 }
 
-// A non-idempotent message fails at a time-out and is retried after a rejection. A keyed one is retried only within its
-// repeat window.
+// A non-idempotent message fails after a time-out and is retried after a rejection. A keyed message is retried only
+// within its repeat window.
 func ExampleSender_repeats() {
 	host := startSender(testSettings()).accept(2, 1, "once").end(Rejected, 0, "a", "once").advance(Second)
 	host.end(TimedOut, 0, "a", "once").accept(1, 2, "token").end(TimedOut, 0, "c", "token").advance(Second)
@@ -75,15 +76,16 @@
 	// 4500.0  fail token
 }
 
-// A message that no attempt can serve in time is answered at once: it is shed, as none ever ran.
+// A message that can't be sent in time is shed when its last possible attempt has passed, since it never ran.
 func ExampleSender_deadline() {
 	startSender(testSettings()).accept(0, 9, "nowhere").advance(7 * Second)
 	// Output:
 	// 5490.1  shed nowhere
 }
 
-// In a large fleet two failures with nothing done lately eject all endpoints of the route, and each rejection halves
-// the rate: many senders that try one endpoint after another, or again and again, are a storm.
+// In a large fleet, two failures on a route without recent successful calls eject all endpoints of the route, and each
+// rejection halves the rate. Otherwise, many senders that try one endpoint after another, or retry again and again,
+// would cause a retry storm.
 func ExampleSender_retryStorm() {
 	set := testSettings()
 	set.Senders = 50
@@ -95,47 +97,48 @@
 	host.accept(0, 2, "q")
 	for range 2 {
 		host.end(Rejected, 0, "c", "q").advance(4 * Second)
-		fmt.Printf("pace: %.3f\n", host.destination(2).route.limiter.rate)
+		fmt.Printf("rate: %.3f\n", host.destination(2).route.limiter.rate)
 	}
 	// Output:
 	// 3050.0  attempt p to a
 	// 3075.7  attempt p to b
 	// ejected: true true true
 	// 3350.0  attempt q to c
-	// pace: 0.182
+	// rate: 0.182
 	// 8540.1  shed p
 	// 8840.1  shed q
-	// pace: 0.196
+	// rate: 0.196
 }
 
-// What the host asks as it writes is what the sender asks as it chooses: the last moment for a repeat.
+// TestRepeatEnd checks that Open and RepeatableUntil agree on the last moment for a repeat. The host calls Open before
+// it writes an attempt.
 func TestRepeatEnd(t *testing.T) {
 	host := startSender(testSettings())
 	host.mute = true
 	host.accept(0, 1, "repeatable").accept(1, 1, "keyed")
 	for _, id := range []MessageID{"repeatable", "keyed", "unknown"} {
 		if end := host.sender.RepeatableUntil(id); end != forever {
-			t.Errorf("%s, not sent or still out: %d", id, end)
+			t.Errorf("RepeatableUntil(%q) = %d before any outcome, want no bound", id, end)
 		}
 	}
 	host.advance(100*Millisecond).end(Errored, 0, "a", "repeatable", "keyed")
 	if end := host.sender.RepeatableUntil("repeatable"); end != forever {
-		t.Errorf("one that may simply be repeated: %d", end)
+		t.Errorf("RepeatableUntil of an idempotent message = %d, want no bound", end)
 	}
 	end := host.sender.RepeatableUntil("keyed")
-	if want := 3*Second - 5*Millisecond; end != want { // its call began at 0
-		t.Fatalf("it ends at %d, want %d", end, want)
+	if want := 3*Second - 5*Millisecond; end != want { // its call was sent at 0
+		t.Fatalf("RepeatableUntil of the keyed message = %d, want %d", end, want)
 	}
 	for at, open := range map[Time]bool{end: true, end + 1: false} {
 		host.clock = at
 		if host.sender.Open("a", "keyed") != open {
-			t.Errorf("open at %d: %v", at, !open)
+			t.Errorf("Open at %d = %v, want %v", at, !open, open)
 		}
 	}
 }
 
-// A destination whose calls all fail gets first attempts and few retries on top: as many as the in-flight limit, and a
-// trickle.
+// A destination whose calls all fail receives first attempts and only a few retries: as many as the in-flight limit,
+// and a trickle.
 func ExampleSender_retryBudget() {
 	set := testSettings()
 	set.InFlightLimit = 4
@@ -146,7 +149,7 @@
 	for i := range 600 {
 		host.advance(20 * Millisecond)
 		host.accept(0, 1, MessageID(fmt.Sprint(i)))
-		host.endpoint("a").ejected = false // otherwise an ejection would end it sooner
+		host.endpoint("a").ejected = false // otherwise an ejection would reduce the retries
 		host.endpoint("a").consecutiveFailures = 0
 		var ids []string
 		for id, msg := range host.sender.messages {
--- a/choice/retryafter.go
+++ b/choice/retryafter.go
@@ -1,45 +1,47 @@
 package choice
 
-// This file pauses routes: as a Retry-After says, or by a guess where rejections come without one.
+// This file pauses routes, for a Retry-After or, if rejections come without one, for a guessed wait.
 
 const (
-	// longRetryAfter: a longer Retry-After comes from a destination that is shut, not from a limit.
+	// longRetryAfter is the longest Retry-After that is attributed to a rate limit. A longer one means that the
+	// destination is unavailable.
 	longRetryAfter = 2500 * Millisecond
-	// longestGuessedWait is the longest pause that is guessed.
+	// longestGuessedWait is the longest guessed wait.
 	longestGuessedWait = 8 * Second
 	// maxPauseJitter is the longest jitter added to a Retry-After.
 	maxPauseJitter = 4 * tickInterval
 )
 
-// pauseRoute pauses a route for a Retry-After, jittered so that senders that got the same one do not return at the same
-// moment. Where the destination is shut, its endpoints begin slow start when the pause is over.
-func (s *Sender) pauseRoute(ep *endpoint, wait Time, shut bool) {
+// pauseRoute pauses a route for a Retry-After. It adds jitter, so that senders with the same Retry-After do not resume
+// at the same moment. If the destination is unavailable, its endpoints begin slow start when the pause ends.
+func (s *Sender) pauseRoute(ep *endpoint, wait Time, unavailable bool) {
 	end := s.now + wait + s.random.jitter(string(ep.id), min(wait/8, maxPauseJitter))
 	ep.route.pausedUntil = max(ep.route.pausedUntil, end)
 	for other := range ep.destination.endpointsOf(ep.route) {
-		// The slow start budget does not fill during the pause: all senders would use it up at the moment it ends.
+		// The slow start budget does not fill during the pause. Otherwise, all senders would spend it the moment the
+		// pause ends.
 		other.slowStart.updatedAt = max(other.slowStart.updatedAt, end)
-		if shut {
+		if unavailable {
 			s.beginSlowStart(other, end)
 		}
 	}
 }
 
-// pauseEnd is when the first endpoint of a destination may be sent something, as far as pauses go.
+// pauseEnd returns the time when the pause of the first endpoint of a destination ends, or now if one is not paused.
 func (s *Sender) pauseEnd(dest *destination) Time {
 	latest := max(dest.route.pausedUntil, s.now)
 	return earliest(dest.ranked, latest, func(ep *endpoint) Time { return ep.route.pausedUntil })
 }
 
-// needsGuessedWait reports whether a route should pause though no Retry-After came: a run of rejections, with nothing
-// done lately, and no pause yet.
+// needsGuessedWait reports whether a route should pause without a Retry-After: after a run of rejections, with no
+// successful call recently and no pause in force.
 func (s *Sender) needsGuessedWait(route *route) bool {
-	run := route.consecutiveRejections >= rejectionRun
+	run := route.consecutiveRejections >= minRejectionRun
 	return run && s.now-route.lastSuccess > recentSuccessSpan && s.now >= route.pausedUntil
 }
 
-// pauseByGuess pauses a route for a guess, which doubles each time, with half of it jitter.
-func (s *Sender) pauseByGuess(ep *endpoint) {
+// startGuessedWait pauses a route for a guessed wait, half of which is jitter. The wait doubles each time.
+func (s *Sender) startGuessedWait(ep *endpoint) {
 	route := ep.route
 	route.guessedWait = min(longestGuessedWait, max(firstTrialPause, 2*route.guessedWait))
 	jitter := s.random.jitter(string(ep.id), route.guessedWait/2)
--- a/choice/retryafter_test.go
+++ b/choice/retryafter_test.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// A Retry-After holds back first attempts, too; another destination goes on.
+// A Retry-After holds back first attempts as well. Other destinations are not affected.
 func ExampleSender_retryAfter() {
 	host := startSender(testSettings()).accept(0, 1, "p").end(Rejected, 900*Millisecond, "a", "p")
 	host.accept(0, 1, "q").accept(0, 2, "other").advance(1200 * Millisecond)
@@ -13,7 +13,8 @@
 	// 1050.0  attempt p to a
 }
 
-// The messages of one call may get their Retry-After at different times; the last one counts.
+// The messages of one call may receive their Retry-Afters at different times. The pause lasts until the latest of them
+// is over.
 func ExampleSender_retryAfterOfBulkCall() {
 	host := startSender(testSettings()).accept(0, 2, "p", "q").end(Rejected, 500*Millisecond, "c", "p")
 	host.advance(100*Millisecond).end(Rejected, 500*Millisecond, "c", "q").accept(0, 2, "r").advance(700 * Millisecond)
@@ -25,8 +26,8 @@
 	// 650.0   attempt q to c
 }
 
-// A long Retry-After is that of a shut destination: once it opens, what was waiting goes out bit by bit, also to
-// endpoints that were not asked, and although a call from before was done meanwhile.
+// A long Retry-After means that the destination is unavailable. When it ends, the waiting messages are sent gradually,
+// also to endpoints that did not send it, and even though a call from before has succeeded meanwhile.
 func ExampleSender_longRetryAfter() {
 	host := startSender(testSettings())
 	host.update(Entry{Endpoint: "b", Destination: 1, Rating: 10})
@@ -44,20 +45,20 @@
 	// 5790.1  shed s
 }
 
-// Rejections without a Retry-After, with nothing done for two seconds, pause the route for a guess that doubles.
+// After rejections without a Retry-After, and with no successful call for two seconds, the route pauses for a guessed
+// wait, which doubles each time.
 func ExampleSender_guessedWait() {
 	host := startSender(testSettings()).advance(2100*Millisecond).accept(0, 1, "p", "q").end(Rejected, 0, "a", "p", "q")
 	host.advance(900*Millisecond).end(Rejected, 0, "a", "p", "q").advance(2 * Second)
-	fmt.Println("guess:", host.destination(1).route.guessedWait)
+	fmt.Println("guessed wait:", host.destination(1).route.guessedWait)
 	// Output:
 	// 2100.0  attempt q to a
 	// 2100.0  attempt p to a
 	// 3950.0  attempt p to a
-	// guess: 3000
+	// guessed wait: 3000
 }
 
-// A first Retry-After pauses the route and is enough: the rate stays what it was. Another one that follows at once cuts
-// it.
+// The first Retry-After pauses the route and leaves its rate unchanged. Another one that follows at once cuts the rate.
 func ExampleSender_firstRetryAfter() {
 	host := startSender(testSettings())
 	host.mute = true
@@ -76,21 +77,21 @@
 	// paused for 215 ms, unlimited false
 }
 
-// A Retry-After pauses the route: one endpoint that is a route of its own, or all endpoints of a destination that share
-// a limit.
+// A Retry-After pauses a route: a single endpoint if the kind has separate routes, and otherwise all endpoints of the
+// destination, which share a limit.
 func ExampleSender_pausesOfRoutes() {
-	for _, apart := range []bool{true, false} {
+	for _, separate := range []bool{true, false} {
 		set := orderedSettings()
-		set.Kinds[0].SeparateRoutes = apart
+		set.Kinds[0].SeparateRoutes = separate
 		host := startSender(set)
 		host.update(Entry{Endpoint: "b", Destination: 1, Rating: 10})
 		host.accept(0, 1, "p").end(Rejected, 900*Millisecond, "a", "p").accept(0, 1, "q")
-		fmt.Println("apart:", apart)
+		fmt.Println("separate routes:", separate)
 	}
 	// Output:
 	// 0.0     attempt p to a
 	// 0.0     attempt q to b
-	// apart: true
+	// separate routes: true
 	// 0.0     attempt p to a
-	// apart: false
+	// separate routes: false
 }
--- a/choice/selection.go
+++ b/choice/selection.go
@@ -6,16 +6,17 @@
 )
 
 const (
-	// barredScanLimit is how many messages of a queue are looked at, at most, where those looked at may not use the
-	// endpoints that have capacity, and those behind may.
-	barredScanLimit = 16
-	// valueEpsilon ranks messages without any value by their call time, too.
+	// maxDisallowedScanned is the number of messages of a queue that are examined at most when the first ones are not
+	// allowed to use the available endpoints but later ones may be.
+	maxDisallowedScanned = 16
+	// valueEpsilon is added to the value of messages, so that those without value are ranked by their call time as
+	// well.
 	valueEpsilon = 1e-6
-	// cautiousTrialDelay is how much later than others a non-idempotent message is sent where calls went unanswered.
-	cautiousTrialDelay = 2 * longestTrialPause
+	// nonIdempotentTrialDelay is the additional delay of a non-idempotent message at an endpoint with unanswered calls.
+	nonIdempotentTrialDelay = 2 * longestTrialPause
 )
 
-// TurnEnd sends what can be sent. The host calls it after each batch of things that happened at one time; messages sent
+// TurnEnd sends the messages that can be sent. The host calls it after each batch of simultaneous events. Messages sent
 // to the same endpoint in one turn share a bulk call.
 func (s *Sender) TurnEnd() {
 	s.now = s.host.Now()
@@ -29,8 +30,8 @@
 	s.turnNumber++
 }
 
-// selectNext returns the message to be sent next, and the endpoint it goes to, or nil. First attempts go before any
-// retry.
+// selectNext returns the message to be sent next and its endpoint, or nil for none. First attempts go before all
+// retries.
 func (s *Sender) selectNext() (*message, *endpoint) {
 	if msg, ep := s.selectAmong(true); msg != nil {
 		return msg, ep
@@ -38,11 +39,11 @@
 	return s.selectAmong(false)
 }
 
-// selectAmong returns, among first attempts or among retries, the message with the most value for its call time. Of
-// each queue the newest message takes part.
+// selectAmong returns the message with the highest value for its call time, either among first attempts or among
+// retries. Only the newest sendable message of each queue is considered.
 func (s *Sender) selectAmong(firstAttempts bool) (best *message, to *endpoint) {
 	highest := 0.0
-	for _, dest := range s.withQueued {
+	for _, dest := range s.queuedDestinations {
 		for i, queue := range dest.queues {
 			if firstAttempts != (i >= retryQueues) {
 				continue
@@ -60,18 +61,19 @@
 	return best, to
 }
 
-// newestSendable returns the newest message of a queue and the endpoint it can go to, or nil where it can go to none.
-// Where that is because of endpoints it is not allowed to use, some older messages are tried, which may be allowed to.
+// newestSendable returns the newest message of a queue and an endpoint that it can go to, or nil if no endpoint can
+// take it. If it is not allowed to use the available endpoints, some older messages are tried, as they may be allowed
+// to.
 func (s *Sender) newestSendable(dest *destination, queue *list.List) (*message, *endpoint) {
 	element := queue.Back()
-	for looked := 0; element != nil && looked < barredScanLimit; looked++ {
+	for scanned := 0; element != nil && scanned < maxDisallowedScanned; scanned++ {
 		msg := element.Value.(*message)
-		bulkOnly := msg.rejected && dest.rejectedRetriesOut >= s.maxRejectedRetries
-		ep, barred := s.selectEndpoint(msg, bulkOnly)
+		bulkOnly := msg.rejected && dest.rejectedRetriesInFlight >= s.maxRejectedRetries
+		ep, disallowed := s.selectEndpoint(msg, bulkOnly)
 		if ep != nil {
 			return msg, ep
 		}
-		if !barred {
+		if !disallowed {
 			return nil, nil
 		}
 		element = element.Prev()
@@ -79,25 +81,25 @@
 	return nil, nil
 }
 
-// selectEndpoint returns the endpoint that a message can go to now, or nil, and whether there were any that it is not
-// allowed to use. With bulkOnly no call may be opened for it.
+// selectEndpoint returns the endpoint that a message can go to now, or nil, and whether it is not allowed to use some
+// endpoints. With bulkOnly, no new call may be opened for it.
 //
-// The best ranked endpoint that can take it wins, but a message that was rejected goes to a less rejecting endpoint if
-// there is one; an ejected endpoint that is due for a trial comes last.
-func (s *Sender) selectEndpoint(msg *message, bulkOnly bool) (to *endpoint, barred bool) {
+// It returns the best ranked endpoint that can take the message. A message that was rejected prefers an endpoint with a
+// lower rejection share than the last one. An ejected endpoint whose trial is due comes last.
+func (s *Sender) selectEndpoint(msg *message, bulkOnly bool) (to *endpoint, disallowed bool) {
 	var trial, rejecting *endpoint
 	for _, ep := range msg.destination.ranked {
 		if !s.usable(msg, ep) {
 			continue
 		}
 		if !s.boundToZone(msg) && !s.host.Allowed(msg.ID, ep.id) {
-			barred = true
+			disallowed = true
 			continue
 		}
-		if s.joinsBulkCall(ep) {
-			return ep, barred
+		if s.canJoinBulkCall(ep) {
+			return ep, disallowed
 		}
-		if bulkOnly || len(s.calls) >= s.settings.InFlightLimit || !s.mayPayAttempt(msg) {
+		if bulkOnly || len(s.calls) >= s.settings.InFlightLimit || !s.retryBudgetAllows(msg) {
 			continue
 		}
 		if ep.ejected {
@@ -110,19 +112,19 @@
 			continue
 		}
 		if msg.lastEndpoint == nil || ep.rejectedShare < msg.lastEndpoint.rejectedShare {
-			return ep, barred
+			return ep, disallowed
 		}
 		if rejecting == nil {
 			rejecting = ep
 		}
 	}
 	if rejecting != nil {
-		return rejecting, barred
+		return rejecting, disallowed
 	}
-	return trial, barred
+	return trial, disallowed
 }
 
-// usable reports whether an endpoint takes calls at all, and may get this message.
+// usable reports whether an endpoint takes calls and may be sent this message.
 func (s *Sender) usable(msg *message, ep *endpoint) bool {
 	if !ep.listed || s.now < ep.route.pausedUntil {
 		return false
@@ -130,49 +132,50 @@
 	if s.boundToZone(msg) && ep.zone != msg.RanIn {
 		return false
 	}
-	return !s.tooUncertain(msg, ep)
+	return !s.mustAwaitAnswers(msg, ep)
 }
 
-// boundToZone reports whether a message may be repeated only in the zone where it may have run, as its idempotency key
-// is known there alone. No routing plan moves it then: it would have nowhere to go.
+// boundToZone reports whether a message may be repeated only in the zone where it may have run, because its idempotency
+// key is known only there. Routing rules do not apply to it then, since they could leave it without an endpoint.
 func (s *Sender) boundToZone(msg *message) bool { return msg.MayRun && s.class(msg).ZoneGroup }
 
-// tooUncertain reports whether a non-idempotent message should wait until calls to an endpoint, of which some stayed
-// unanswered, are answered again. It waits no longer than its deadline allows.
-func (s *Sender) tooUncertain(msg *message, ep *endpoint) bool {
+// mustAwaitAnswers reports whether a non-idempotent message must wait because calls to the endpoint went unanswered,
+// until enough of them succeed again. It waits no longer than its deadline allows.
+func (s *Sender) mustAwaitAnswers(msg *message, ep *endpoint) bool {
 	if s.class(msg).Repeat != NonIdempotent || ep.successesNeeded == 0 {
 		return false
 	}
-	lately := s.now-ep.unansweredAt < cautiousTrialDelay
-	return lately && s.now < s.lastAttemptAt(msg)-recentSuccessSpan
+	recent := s.now-ep.unansweredAt < nonIdempotentTrialDelay
+	return recent && s.now < s.lastAttemptAt(msg)-recentSuccessSpan
 }
 
-// joinsBulkCall reports whether a message for an endpoint can join the call that was opened there in this turn.
-func (s *Sender) joinsBulkCall(ep *endpoint) bool {
+// canJoinBulkCall reports whether a message for an endpoint can join a call that was opened in this turn.
+func (s *Sender) canJoinBulkCall(ep *endpoint) bool {
 	return !ep.ejected && s.bulkCallOpen(ep)
 }
 
-// bulkCallOpen reports whether there is a call of this turn that takes a further message.
+// bulkCallOpen reports whether there is a call of this turn with room for another message.
 func (s *Sender) bulkCallOpen(ep *endpoint) bool {
 	call := ep.bulkCall
 	return call != nil && call.turn == s.turnNumber && call.messages < ep.destination.kind.BulkMax
 }
 
-// trialDue reports whether a message may try an ejected endpoint. Non-idempotent messages do so later than others.
-// Where a probe has passed, the slow start budget may be exceeded by a trial, if it is more than a few calls.
+// trialDue reports whether a message may be used as a trial of an ejected endpoint. Non-idempotent messages may be used
+// later than others. After a passed probe, a trial may exceed the slow start budget, provided that this budget allows
+// more than negligibleCalls.
 func (s *Sender) trialDue(msg *message, ep *endpoint) bool {
 	from := ep.nextTrial
 	if s.class(msg).Repeat == NonIdempotent {
-		from += cautiousTrialDelay
+		from += nonIdempotentTrialDelay
 	}
 	if s.now < from || s.probing && !ep.probePassed {
 		return false
 	}
-	return s.slowStartReady(ep) || s.probing && ep.slowStart.rate*s.fleetSize*s.overloadWindow > fewCalls
+	return s.slowStartReady(ep) || s.probing && ep.slowStart.rate*s.fleetSize*s.overloadWindow > negligibleCalls
 }
 
-// atConcurrencyLimit reports whether an endpoint has as many calls in flight as it should. One that has done no call
-// lately gets no more than an unknown one.
+// atConcurrencyLimit reports whether an endpoint has as many calls in flight as allowed. Without a recent successful
+// call, an endpoint gets no more calls than an unknown one.
 func (s *Sender) atConcurrencyLimit(ep *endpoint) bool {
 	if float64(ep.inFlight) >= ep.concurrencyLimit {
 		return true
@@ -180,8 +183,8 @@
 	return ep.inFlight >= initialConcurrency && s.now-ep.lastSuccess >= recentSuccessSpan
 }
 
-// Open reports whether attempts may still be sent once their connection is up: the endpoint was not paused or drained
-// meanwhile, and no repeat among the messages has become too late.
+// Open reports whether attempts may still be sent after the host has established a connection for them. They may not if
+// the endpoint was paused or drained meanwhile, or if one of the messages is a repeat that is now too late.
 func (s *Sender) Open(id EndpointID, messages ...MessageID) bool {
 	ep, now := s.endpoints[id], s.host.Now()
 	if ep == nil || !ep.listed || now < ep.route.pausedUntil {
--- a/choice/selection_test.go
+++ b/choice/selection_test.go
@@ -2,7 +2,8 @@
 
 import "fmt"
 
-// Nothing new goes to a draining endpoint from the turn in which it is reported; what it would have got goes elsewhere.
+// No new call goes to a draining endpoint from the turn in which the drain is reported. Messages for it go to other
+// endpoints.
 func ExampleSender_draining() {
 	host := startSender(testSettings()).accept(0, 1, "p").end(Errored, 0, "a", "p")
 	host.update(Entry{Endpoint: "a", Destination: 1, Stage: Draining}, Entry{Endpoint: "b", Destination: 1})
@@ -12,7 +13,7 @@
 	// 86.4    attempt p to b
 }
 
-// An endpoint of another zone without calls ranks behind one of the sender's own zone.
+// An endpoint of another zone without calls is ranked below one of the sender's own zone.
 func ExampleSender_zones() {
 	host := startSender(testSettings())
 	host.sender.UpdateEndpoints([]Entry{{Endpoint: "far", Destination: 1, Zone: 1}, {Endpoint: "near", Destination: 1}}, true)
@@ -21,7 +22,7 @@
 	// 50.0    attempt p to near
 }
 
-// An endpoint that has done no call lately gets no more calls at once than an unknown one, until it answers.
+// An endpoint without a recent successful call gets no more calls at a time than an unknown one, until it answers.
 func ExampleSender_idleConcurrency() {
 	host := startSender(testSettings())
 	host.endpoint("a").concurrencyLimit = 8
@@ -35,8 +36,8 @@
 	// 3100.0  attempt q to a
 }
 
-// A sender that stood still for two seconds finds answers, timers and a drain at once: an endpoint that answered in
-// time is not blamed, and nothing goes to the one that drains.
+// A sender that stalls for two seconds then receives answers, timers and a drain all at once. An endpoint that answered
+// in time must not be ejected, and nothing may be sent to the draining one.
 func ExampleSender_stalledSender() {
 	host := startSender(orderedSettings())
 	host.update(Entry{Endpoint: "b", Destination: 1, Rating: 10})
@@ -47,12 +48,12 @@
 		host.sender.Ended(Outcome{Message: id, Took: 100 * Millisecond, Result: Done, Final: true})
 	}
 	host.accept(0, 1, "late").accept(0, 2, "other").advance(100 * Millisecond)
-	fmt.Println("known of the drained one:", host.sender.endpoints["a"] != nil, "ejected:", host.endpoint("b").ejected, host.endpoint("c").ejected)
+	fmt.Println("drained endpoint kept:", host.sender.endpoints["a"] != nil, "ejected:", host.endpoint("b").ejected, host.endpoint("c").ejected)
 	// Output:
 	// 0.0     attempt q to a
 	// 0.0     attempt p to a
 	// 0.0     attempt r to c
 	// 2000.0  attempt late to b
 	// 2000.0  attempt other to c
-	// known of the drained one: false ejected: false false
+	// drained endpoint kept: false ejected: false false
 }
