--- a/choice/slowstart_test.go
+++ b/choice/slowstart_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// largeFleetPlan is a plan with settings as they are in a large fleet.
+// largeFleetPlan returns a plan with the settings of a large fleet.
 func largeFleetPlan(senders int, capacity float64) outagePlan {
 	p := outagePlan{
 		set: testSettings(), senders: senders, destinations: 16, endpointsEach: 1,
@@ -17,10 +17,11 @@
 	return p
 }
 
-// What all senders that met an outage do together stays within N + 2 sqrt(N) + 2 in every overload window, over more
-// than a thousand outages: however many they are, whoever has how much to send, and also where all hear of replaced
-// endpoints at one moment. Windows of which a third came from senders that had no way to know are counted and only
-// logged: restarted ones, and those that had nothing to send there in the outage.
+// TestSlowStartOfFleets checks, over more than a thousand outages, that the calls of all senders that knew of an outage
+// stay within N + 2 sqrt(N) + 2 in every overload window. This must hold for any number of senders, for any
+// distribution of load, and if all senders learn of replaced endpoints at the same moment. Windows with at least a
+// third of the calls from senders that could not know of the outage are only counted and logged. Such senders have
+// restarted, or had no messages for the endpoint during the outage.
 func TestSlowStartOfFleets(t *testing.T) {
 	kinds := []struct {
 		name string
@@ -36,8 +37,8 @@
 	for _, senders := range []int{2, 6, 20, 30, 80, 300} {
 		t.Run(fmt.Sprint(senders), func(t *testing.T) {
 			t.Parallel()
-			returns, over, blamed := 0, 0, 0
-			mostExcess, mostBlamed := 0.0, 0.0
+			outages, overloads, byAware := 0, 0, 0
+			maxExcess, maxAwareExcess := 0.0, 0.0
 			for _, kind := range kinds {
 				for i, capacity := range []float64{3, 20} {
 					p := largeFleetPlan(senders, capacity)
@@ -45,26 +46,27 @@
 					kind.set(&p)
 					back, _ := p.run()
 					for _, ep := range back {
-						returns++
-						over += countIf(ep.excess > 0)
-						blamed += countIf(ep.awareExcess > 0)
-						mostExcess = max(mostExcess, ep.excess)
-						mostBlamed = max(mostBlamed, ep.awareExcess)
+						outages++
+						overloads += countIf(ep.excess > 0)
+						byAware += countIf(ep.awareExcess > 0)
+						maxExcess = max(maxExcess, ep.excess)
+						maxAwareExcess = max(maxAwareExcess, ep.awareExcess)
 						if ep.awareExcess > 0 {
-							t.Errorf("%s, %v a second, seed %d: %.1f calls too many at %s",
+							t.Errorf("%s, capacity %v calls a second, seed %d: %.1f calls too many at %s",
 								kind.name, capacity, p.seed, ep.awareExcess, ep.id)
 						}
 					}
 				}
 			}
-			t.Logf("%d returns: %d over, by %.1f at most; of these %d by aware senders, by %.1f at most",
-				returns, over, mostExcess, blamed, mostBlamed)
+			t.Logf("%d outages: %d overloads, by at most %.1f calls; of these %d by aware senders, by at most %.1f calls",
+				outages, overloads, maxExcess, byAware, maxAwareExcess)
 		})
 	}
 }
 
-// Settings of other customers, also absent or extreme: the budget stays a number, nothing spins, endpoints that came
-// back are called again, and a fleet is not let through at once, unless the settings say so.
+// TestSlowStartUnderExtremeSettings checks missing and extreme settings. The budget must stay a valid number, the
+// number of events must stay bounded, endpoints that came back must be called again, and a fleet must not call all at
+// once unless the settings allow it.
 func TestSlowStartUnderExtremeSettings(t *testing.T) {
 	classes := func(p *outagePlan, n int, r Repeat) {
 		w := p.set.Classes[0]
@@ -74,57 +76,57 @@
 			p.set.Classes = append(p.set.Classes, w)
 		}
 	}
-	odds := map[string]func(p *outagePlan){
-		"no fall span":      func(p *outagePlan) { p.set.OverloadWindow = 0 },
-		"tiny fall span":    func(p *outagePlan) { p.set.OverloadWindow = 1 },
-		"endless fall span": func(p *outagePlan) { p.set.OverloadWindow = forever },
-		"no multiple":       func(p *outagePlan) { p.set.OverloadMultiple = 0 },
-		"negative multiple": func(p *outagePlan) { p.set.OverloadMultiple = -1 },
-		"extreme multiple":  func(p *outagePlan) { p.set.OverloadMultiple = math.MaxFloat64 },
-		"no cold time":      func(p *outagePlan) { p.set.SlowStart = 0 },
-		"long cold time":    func(p *outagePlan) { p.set.SlowStart = 100 * Second },
-		"nothing when cold": func(p *outagePlan) { p.set.SlowStartFrom = 0 },
-		"all when cold":     func(p *outagePlan) { p.set.SlowStartFrom = 1 },
-		"none of the four": func(p *outagePlan) {
+	plans := map[string]func(p *outagePlan){
+		"no overload window":         func(p *outagePlan) { p.set.OverloadWindow = 0 },
+		"tiny overload window":       func(p *outagePlan) { p.set.OverloadWindow = 1 },
+		"endless overload window":    func(p *outagePlan) { p.set.OverloadWindow = forever },
+		"no overload multiple":       func(p *outagePlan) { p.set.OverloadMultiple = 0 },
+		"negative overload multiple": func(p *outagePlan) { p.set.OverloadMultiple = -1 },
+		"extreme multiple":           func(p *outagePlan) { p.set.OverloadMultiple = math.MaxFloat64 },
+		"no slow start":              func(p *outagePlan) { p.set.SlowStart = 0 },
+		"long slow start":            func(p *outagePlan) { p.set.SlowStart = 100 * Second },
+		"slow start from 0":          func(p *outagePlan) { p.set.SlowStartFrom = 0 },
+		"slow start from 1":          func(p *outagePlan) { p.set.SlowStartFrom = 1 },
+		"no slow start settings": func(p *outagePlan) {
 			p.set.OverloadWindow, p.set.OverloadMultiple, p.set.SlowStart, p.set.SlowStartFrom = 0, 0, 0, 0
 		},
-		"no rating":                func(p *outagePlan) { p.set.Rating = RatingNone },
-		"a rating of zero":         func(p *outagePlan) { p.rating = 0 },
-		"a rating below one call":  func(p *outagePlan) { p.rating, p.capacity = 0.1, 0.1; p.demand = 30 },
-		"extreme rating":           func(p *outagePlan) { p.rating = math.MaxFloat64 },
-		"extreme, nothing if cold": func(p *outagePlan) { p.rating, p.set.OverloadMultiple, p.set.SlowStartFrom = math.MaxFloat64, 1e300, 0 },
-		"one class":                func(p *outagePlan) { classes(p, 1, Idempotent) },
-		"twenty classes":           func(p *outagePlan) { classes(p, 20, Keyed) },
-		"single-use alone":         func(p *outagePlan) { classes(p, 3, NonIdempotent) },
-		"nothing single-use":       func(p *outagePlan) { classes(p, 3, Idempotent) },
+		"no rating":                  func(p *outagePlan) { p.set.Rating = RatingNone },
+		"a rating of zero":           func(p *outagePlan) { p.rating = 0 },
+		"a rating below one call":    func(p *outagePlan) { p.rating, p.capacity = 0.1, 0.1; p.demand = 30 },
+		"extreme rating":             func(p *outagePlan) { p.rating = math.MaxFloat64 },
+		"extreme, slow start from 0": func(p *outagePlan) { p.rating, p.set.OverloadMultiple, p.set.SlowStartFrom = math.MaxFloat64, 1e300, 0 },
+		"one class":                  func(p *outagePlan) { classes(p, 1, Idempotent) },
+		"twenty classes":             func(p *outagePlan) { classes(p, 20, Keyed) },
+		"only non-idempotent":        func(p *outagePlan) { classes(p, 3, NonIdempotent) },
+		"only idempotent":            func(p *outagePlan) { classes(p, 3, Idempotent) },
 	}
-	for _, name := range sortedKeys(odds) {
+	for _, name := range sortedKeys(plans) {
 		for _, senders := range []int{3, 80} {
 			t.Run(fmt.Sprint(name, " ", senders), func(t *testing.T) {
 				p := largeFleetPlan(senders, 8)
 				p.destinations, p.demand = 4, 1.5
-				odds[name](&p)
+				plans[name](&p)
 				if p.set.SlowStart > 30*Second {
 					p.demand = 0.5
 				}
 				back, f := p.run()
-				calls, rush := 0, 0
+				calls, firstSecond := 0, 0
 				for _, ep := range back {
-					calls, rush = calls+ep.calls, max(rush, ep.firstSecond)
+					calls, firstSecond = calls+ep.calls, max(firstSecond, ep.firstSecond)
 				}
-				if extreme := strings.HasPrefix(name, "extreme"); senders > smallFleetSize && rush > senders/2 && !extreme {
-					t.Errorf("%d of %d senders call in the first second", rush, senders)
+				if extreme := strings.HasPrefix(name, "extreme"); senders > smallFleetSize && firstSecond > senders/2 && !extreme {
+					t.Errorf("%d calls of %d senders in the first second", firstSecond, senders)
 				}
 				if calls == 0 {
-					t.Error("nothing is called any more")
+					t.Error("no endpoint is called after its outage")
 				}
 				if most := 2000 * senders * int(1+seconds(f.now)/10); f.eventCount > most {
-					t.Errorf("%d events, at most %d expected", f.eventCount, most)
+					t.Errorf("%d events, want at most %d", f.eventCount, most)
 				}
 				for _, h := range f.hosts {
 					for _, id := range sortedKeys(h.sender.endpoints) {
 						if b := h.sender.endpoints[id].slowStart; math.IsNaN(b.rate) || math.IsNaN(b.tokens) || b.rate < 0 || b.tokens > 1 {
-							t.Errorf("budget %v", b)
+							t.Errorf("invalid slow start budget %v", b)
 						}
 					}
 				}
@@ -133,29 +135,30 @@
 	}
 }
 
-// The mean of all senders follows what the settings allow: never beyond it by more than a fifth, never by fewer
-// deviations below the overload than asked for, and where few senders cannot get there with all budgets full, below it
-// by as much.
+// TestSlowStartMean checks the mean number of calls of all senders. It must not exceed what the settings allow by more
+// than a fifth. Either it lies below the overload even with all budgets full, or it lies below it by at least
+// slowStartDeviations standard deviations.
 func TestSlowStartMean(t *testing.T) {
 	for _, senders := range []float64{1, 2, 8, 9, 30, 300, 1e5} {
 		s := &Sender{fleetSize: senders, overloadWindow: 1.5}
 		last := 0.0
 		for _, n := range []float64{math.Inf(-1), -1, 0, 0.01, 0.3, 1, 4, 10, 30, 100, 1e4, 1e9, math.Inf(1)} {
-			mean, in := s.slowStartMean(n), min(max(0, n), unlimitedRate*1.5)
-			most := in + 2*math.Sqrt(in) + 2
-			if !(mean > 0 && mean >= last && mean <= slowStartShare*max(in, 1/fewCalls)) {
-				t.Errorf("%v senders, %v allowed: %v on average", senders, n, mean)
+			mean, allowed := s.slowStartMean(n), min(max(0, n), unlimitedRate*1.5)
+			most := allowed + 2*math.Sqrt(allowed) + 2
+			if !(mean > 0 && mean >= last && mean <= slowStartShare*max(allowed, 1/negligibleCalls)) {
+				t.Errorf("%v senders, %v allowed: mean %v out of bounds", senders, n, mean)
 			}
 			if mean+senders > most+1e-9 && mean+slowStartDeviations*math.Sqrt(mean) > most*(1+1e-9) {
-				t.Errorf("%v senders, %v allowed: %v on average may go beyond %v", senders, n, mean, most)
+				t.Errorf("%v senders, %v allowed: mean %v may exceed %v", senders, n, mean, most)
 			}
 			last = mean
 		}
 	}
 }
 
-// A destination that shuts during slow start opens to a fleet at one moment. What each sender may send to those of its
-// endpoints that it did not ask has piled up until then, and must not all be sent at once.
+// TestReopensInSlowStart covers a destination that sends a Retry-After during slow start, so that a whole fleet resumes
+// at one moment. The budget for those of its endpoints that a sender did not call has filled by then, and the calls
+// must not all be sent at once.
 func TestReopensInSlowStart(t *testing.T) {
 	p := largeFleetPlan(80, 10)
 	p.set.Senders, p.set.Probing = p.senders, false
@@ -170,17 +173,17 @@
 			host.sender.now = host.clock
 			host.sender.eject(ep)
 			host.sender.readmit(ep, host.clock)
-			ep.slowStart.tokens = 1 // it had nothing to send for long
+			ep.slowStart.tokens = 1 // it had nothing to send for a long time
 		}
 		host.accept(0, 1, "first").end(Rejected, 4*Second, "a", "first").accept(0, 1, "p", "q", "r").advance(5 * Second)
 		for id, ep := range host.sender.endpoints {
 			at[id] += ep.inFlight
 		}
 	}
-	n := 2.5 * 10 * (0.2 + 0.8*0.5) * 1.5 // allowed at the end of the span, were it cold from before the wait
+	n := 2.5 * 10 * (0.2 + 0.8*0.5) * 1.5 // what the settings allow after 5 s of a slow start that began before the pause
 	for id, calls := range at {
 		if most := n + 2*math.Sqrt(n) + 2; float64(calls) > most {
-			t.Errorf("%d calls at once at %s, %.0f fell it", calls, id, most)
+			t.Errorf("%d calls at once at %s, more than %.0f overload it", calls, id, most)
 		}
 	}
 }
--- a/choice/state.go
+++ b/choice/state.go
@@ -2,95 +2,94 @@
 
 import "container/list"
 
-// This file holds the types of what a Sender knows of messages, destinations, routes and endpoints. Sender itself is in
-// sender.go.
+// This file holds the state of messages, destinations, routes and endpoints. Sender itself is in sender.go.
 
-// message is one open message. It leaves Sender.messages once it has ended and no attempt of it is in flight.
+// message is an open message. It is removed from Sender.messages when it has ended and no attempt of it is in flight.
 type message struct {
 	Message
 	destination *destination
 
-	inFlight     *call     // the call that carries it, nil while none does
-	lastEndpoint *endpoint // of the latest attempt whose outcome is known
+	inFlight     *call     // the call that carries it, or nil
+	lastEndpoint *endpoint // endpoint of the latest attempt with an outcome
 	attempts     int
 	retryAt      Time // earliest time of the next attempt
-	acceptedAt   Time // deadline less its class's deadline: value fades from here
+	acceptedAt   Time // its deadline minus the class's Deadline; its value is computed from here
 
-	queue        *list.List // the queue it stands in, nil for none
+	queue        *list.List // the queue that holds it, or nil
 	queueElement *list.Element
-	keyQueue     *keyQueue // nil where its order does not matter
-	timers       []TimerID // those that stand for it
+	keyQueue     *keyQueue // nil if its order does not matter
+	timers       []TimerID // timers set for it
 
-	rejected  bool // its latest attempt was rejected (Full)
+	rejected  bool // its latest attempt was rejected
 	ended     bool // no further attempt follows
-	overQuota bool // beyond its account's quota when it was accepted
+	overQuota bool // it exceeded its account's quota when it was accepted
 }
 
-// keyQueue holds the messages of one order key in the order accepted. It is dropped once it is empty and not paused.
+// keyQueue holds the messages of one order key in the order accepted. It is dropped when it is empty and not paused.
 type keyQueue struct {
 	messages    []*message
 	pausedUntil Time // an attempt may still be running until then
 }
 
-// destination is where messages are addressed to; it has endpoints.
+// destination is what messages are addressed to. It has one or more endpoints.
 type destination struct {
 	id     DestinationID
 	kind   *kind
-	route  *route      // shared by its endpoints, unless its kind keeps them apart
-	ranked []*endpoint // best first, as of the latest refresh
+	route  *route      // shared by its endpoints, unless its kind has separate routes
+	ranked []*endpoint // all endpoints, best first as of the latest refresh
 
-	queues             []*list.List // due retries, rejected ones, then first attempts by class
-	queued             int          // messages in these queues
-	openMessages       int          // messages not ended, or ended and still in flight
-	rejectedRetriesOut int          // calls in flight that retry a rejected message
-	keysPausedUntil    Time         // end of the pauses of order keys that have no message left
+	queues                  []*list.List // by index: dueRetries, rejectedRetries, then first attempts by class
+	queued                  int          // number of messages in queues
+	openMessages            int          // messages that have not ended, or have ended and are still in flight
+	rejectedRetriesInFlight int          // calls in flight that retry a rejected message
+	keysPausedUntil         Time         // latest end of a pause of an order key
 
-	retryBudget tokenBucket // pays for retries, see Sender.retryBudget
+	retryBudget tokenBucket // pays for retries; see Sender.retryBudget
 	dirty       bool        // it is in Sender.dirty
 }
 
-// kind is what is known of all destinations of one kind together.
+// kind is the state that all destinations of one kind share.
 type kind struct {
 	Kind
-	callTimes                    // of all calls there, for endpoints without any yet
-	reportsLimits    bool        // its answers report limits: a rejection without a report is no limit's
-	retryBudget      tokenBucket // pays for retries where senders exchange notes, see Sender.retryBudget
-	usualWait        Time        // recent mean of the Retry-After of used-up limits
+	callTimes                    // of all calls to the kind; used for endpoints without calls
+	reportsLimits    bool        // its answers report limits, so a rejection without a report is not caused by one
+	retryBudget      tokenBucket // pays for retries if senders exchange notes; see Sender.retryBudget
+	usualRetryAfter  Time        // recent mean of the Retry-After of limits that are used up
 	connectFailShare float64     // recent share of new connections that failed
 }
 
-// route is what rate limits, pauses and outages apply to: all of a destination, or one endpoint of a kind that keeps
-// them apart.
+// route is what rate limits, pauses and outages apply to: a whole destination, or one endpoint if its kind has separate
+// routes.
 type route struct {
-	limiter   tokenBucket // the rate of calls that this sender allows itself
-	sent      rateMeter   // calls
-	succeeded rateMeter   // calls done
+	limiter   tokenBucket // allows the rate of calls of this sender
+	sent      rateMeter   // calls sent
+	succeeded rateMeter   // successful calls
 
-	rating          float64 // capacity from the endpoint list, calls a second of all senders
-	limit           float64 // latest reported limit, calls a second of all senders; 0 for none
-	peakSuccessRate float64 // highest rate of calls done
+	rating          float64 // capacity from the endpoint list, in calls a second of all senders
+	limit           float64 // latest reported limit, in calls a second of all senders; 0 for none
+	peakSuccessRate float64 // highest rate of successful calls
 
-	// What adjustRate has seen since it judged last.
+	// The next fields count what happened since adjustRate last adjusted the rate.
 
 	answered, rejected float64
-	judgedAt           Time
+	rateAdjustedAt     Time
 
-	// What adjustRate remembers of earlier judgements.
+	// The next fields are what adjustRate keeps from earlier adjustments.
 
-	peakLoad         float64 // highest load of late, calls a second
-	previousShare    float64 // share rejected at the last different load
-	previousLoad     float64 // that load, calls a second
-	previousAnswered float64 // calls that share was found with
-	noiseShare       float64 // share rejected whatever the load
+	peakLoad         float64 // recent peak load, in calls a second
+	previousShare    float64 // rejection share at the previous different load
+	previousLoad     float64 // that load, in calls a second
+	previousAnswered float64 // number of answers that the share is based on
+	noiseShare       float64 // rejection share at any load
 
-	pausedUntil Time // nothing is sent before
-	guessedWait Time // latest pause guessed as no Retry-After came
-	limitMetAt  Time // when a sender of the fleet last met the limit
-	limitPause  Time // how long the route paused for that
+	pausedUntil Time // no call is sent before this time
+	guessedWait Time // latest guessed wait, used when no Retry-After came
+	limitHitAt  Time // when a sender of the fleet last hit the limit
+	limitPause  Time // how long the route paused for it
 
 	lastSuccess           Time
-	consecutiveFailures   int // since a call was done
-	consecutiveRejections int // likewise
+	consecutiveFailures   int // since the last successful call
+	consecutiveRejections int // since the last successful call
 }
 
 // endpoint is one address of a destination.
@@ -101,54 +100,54 @@
 	destination *destination
 	route       *route
 	zone        ZoneNo
-	listed      bool // the endpoint list has it as ready
+	listed      bool // the endpoint list has it as Ready
 	probing     bool // a health probe is in flight
 
-	inFlight         int     // calls
+	inFlight         int     // calls in flight
 	concurrencyLimit float64 // most calls in flight, adapted by their outcomes
-	bulkCall         *call   // latest call, which takes further messages in its turn
+	bulkCall         *call   // latest call, which other messages of the same turn may join
 	sent             rateMeter
-	slowStart        tokenBucket // bounds what is sent while it is ejected or in slow start
+	slowStart        tokenBucket // limits calls while it is ejected or in slow start
 
-	// Outcomes. The shares are exponential means of the latest calls.
+	// The next fields are learned from outcomes. The shares are exponential means over recent calls.
 
 	consecutiveFailures int
-	errorShare          float64 // neither done nor rejected, while not ejected
+	errorShare          float64 // calls that neither succeeded nor were rejected, while not ejected
 	rejectedShare       float64
-	recentAnswered      float64 // fading count of calls with an outcome
-	recentRejected      float64 // fading count of those rejected
-	successesNeeded     int     // calls to be done before it gets non-idempotent messages again
-	unansweredAt        Time    // latest call that stayed without an answer while others were answered
+	recentAnswered      float64 // decaying count of calls with an outcome
+	recentRejected      float64 // decaying count of rejected calls
+	successesNeeded     int     // successful calls needed before it gets non-idempotent messages again
+	unansweredAt        Time    // time of the latest call that went unanswered while others were answered
 	lastSuccess         Time
 
-	idleConnUntil    Time // an idle connection may be there until then
-	connectionNoteAt Time // latest note, sent or received, that it had no place for a further connection
+	idleConnUntil    Time // an idle connection may exist until then
+	connectionNoteAt Time // when the latest note was sent or received that it had no room for another connection
 }
 
 // healthState is whether an endpoint is ejected or in slow start, and since when.
 type healthState struct {
 	ejected     bool
-	probePassed bool // the process answers probes: a call may try whether it answers calls
+	probePassed bool // it answers probes, so a trial call may find out whether it answers calls
 	lastFailure Time
 	ejectedAt   Time
 	trialPause  Time // backoff between trials (probes or calls)
 	nextTrial   Time
 
 	slowStartAt         Time // beginning of the latest slow start
-	previousSlowStartAt Time // that of the one before the ejection
+	previousSlowStartAt Time // beginning of the slow start before the ejection
 }
 
-// call is one call to an endpoint, with the messages sent to it in one turn, until all have their outcomes. It takes
-// one of the in-flight limit.
+// call is one call to an endpoint. It carries the messages sent to the endpoint in one turn, exists until all of them
+// have their outcomes, and counts as one towards the in-flight limit.
 type call struct {
 	endpoint *endpoint
 	sentAt   Time
-	messages int // carried
-	pending  int // of these, without an outcome
-	turn     int // Sender.turnNumber when it was sent
-
-	rejectedRetry bool // opened for the retry of a rejected message
-	newConnection bool // no idle connection was known of
-	judged        bool // an outcome has been counted
-	unanswered    bool // it was counted as unanswered
+	messages int // number of messages carried
+	pending  int // number of messages without an outcome
+	turn     int // value of Sender.turnNumber when it was sent
+
+	rejectedRetry  bool // opened for the retry of a rejected message
+	newConnection  bool // no idle connection was known
+	outcomeCounted bool // the first informative outcome has been counted
+	unanswered     bool // it has been counted as unanswered
 }
--- a/choice/timers.go
+++ b/choice/timers.go
@@ -2,32 +2,32 @@
 
 import "slices"
 
-// overdueFactor is how many long-term means of call times pass before a call counts as unanswered.
+// overdueFactor is the multiple of the long-term mean call time after which a call counts as unanswered.
 const overdueFactor = 4.0
 
-// setTimer sets a timer that stands for a message.
+// setTimer sets a timer for a message.
 func (s *Sender) setTimer(msg *message, at Time) {
 	s.host.Timer(max(1, at-s.now), s.timers.add(msg))
 }
 
-// TimerDue handles a timer that has fired, which was set by Host.Timer.
+// TimerDue handles a timer that was set by Host.Timer and has fired.
 func (s *Sender) TimerDue(id TimerID) {
 	s.now = s.host.Now()
 	if id == tickTimer {
 		s.tick()
 		return
 	}
-	msg := s.timers.takeFired(id)
+	msg := s.timers.removeFired(id)
 	if msg != nil && msg.inFlight == nil {
-		s.wake(msg)
+		s.onMessageTimer(msg)
 	}
 }
 
-// tick finds calls that are overdue, and refreshes the destinations that have changed.
+// tick marks overdue calls as unanswered and refreshes the dirty destinations.
 func (s *Sender) tick() {
 	s.host.Timer(tickInterval, tickTimer)
 	for _, call := range s.calls {
-		overdue := max(2*s.assumedCallTime, overdueFactor*call.endpoint.longMean)
+		overdue := max(2*s.assumedCallTime, overdueFactor*call.endpoint.longTermMean)
 		if float64(s.now-call.sentAt) > overdue {
 			s.onUnanswered(call)
 		}
@@ -35,8 +35,8 @@
 	s.dirty = slices.DeleteFunc(s.dirty, s.refreshDestination)
 }
 
-// wake looks at a message whose timer has fired, and which is not in flight.
-func (s *Sender) wake(msg *message) {
+// onMessageTimer handles the timer of a message that is not in flight.
+func (s *Sender) onMessageTimer(msg *message) {
 	if msg.ended { // the pause of its order key is over
 		s.advanceKey(msg)
 		return
@@ -48,6 +48,7 @@
 	if msg.attempts == 0 || s.now >= msg.retryAt {
 		s.enqueue(msg)
 	}
-	// Its last attempt may have moved; without a timer it would be lost where nothing else happens to its destination.
+	// The time of the last possible attempt may have moved. Without a timer, the message would be lost if nothing else
+	// happens to its destination.
 	s.setTimer(msg, s.lastAttemptAt(msg)+1)
 }
--- a/choice/value.go
+++ b/choice/value.go
@@ -2,12 +2,12 @@
 
 import "cmp"
 
-// This file holds the value of messages. It decides nothing.
+// This file computes the value of messages. It makes no decisions.
 
 func (s *Sender) class(msg *message) *Class { return &s.settings.Classes[msg.Class] }
 
-// fullValue is the value of a message that is answered within its contract time. It is lower for one that was beyond
-// its account's quota when it was accepted.
+// fullValue returns the value of a message that is answered within its latency objective. It is lower if the message
+// exceeded its account's quota when it was accepted.
 func (s *Sender) fullValue(msg *message) float64 {
 	value := s.class(msg).Value
 	if msg.overQuota {
@@ -16,14 +16,15 @@
 	return value
 }
 
-// valueAfter is the value of a message that is answered the given time from now.
+// valueAfter returns the value of a message that is answered the given time from now.
 func (s *Sender) valueAfter(msg *message, in Time) float64 {
 	age := s.now + in - msg.acceptedAt
 	return s.fullValue(msg) * s.class(msg).ValueShare(age, s.settings.Halving)
 }
 
-// attempted reports whether the message was sent, in this incarnation of the sender or an earlier one.
+// attempted reports whether the message was sent, by this incarnation of the sender or an earlier one.
 func (msg *message) attempted() bool { return msg.attempts > 0 || msg.MayRun }
 
-// lifetime is the time to its deadline with which the message was accepted, as far as that is known.
+// lifetime returns the time that the message had until its deadline when it was first accepted, as far as that is
+// known.
 func (msg *message) lifetime() Time { return cmp.Or(msg.Span, msg.Deadline-msg.acceptedAt) }
--- a/choice/withdrawn_test.go
+++ b/choice/withdrawn_test.go
@@ -2,16 +2,16 @@
 
 import "fmt"
 
-// A message withdrawn in whatever state is neither sent again nor answered, its place in the in-flight limit is free
-// once its call has ended, and those behind it in its key go on.
+// A withdrawn message is neither sent again nor answered, whatever its state. It frees its place in the in-flight limit
+// when its call ends, and the messages behind it in its key queue continue.
 func ExampleSender_Withdrawn() {
 	play := func(what string, set Settings, do func(host *fakeHost)) {
 		fmt.Println(what)
 		host := startSender(set)
 		do(host)
 		host.advance(7 * Second)
-		if s := host.sender; openState(s) > 0 {
-			fmt.Println("left over:", s.messages, s.calls, s.timers.pending, s.keyQueues, s.withQueued)
+		if s := host.sender; countOpenState(s) > 0 {
+			fmt.Println("left over state:", s.messages, s.calls, s.timers.pending, s.keyQueues, s.queuedDestinations)
 		}
 	}
 	drop := func(host *fakeHost, id MessageID) *fakeHost {
@@ -23,65 +23,65 @@
 		host.sender.Taken(Message{ID: "p", Key: NoKey, Destination: 1, Deadline: 6 * Second})
 		drop(host, "p")
 	})
-	play("in a lane", testSettings(), func(host *fakeHost) {
+	play("in the queue of rejected retries", testSettings(), func(host *fakeHost) {
 		host.accept(0, 1, "p", "q").end(Rejected, 500*Millisecond, "a", "p", "q").advance(300 * Millisecond)
-		fmt.Println("there:", host.destination(1).queues[1].Len())
+		fmt.Println("queued:", host.destination(1).queues[1].Len())
 		drop(drop(host, "p"), "q")
 	})
 	play("waiting for a retry", testSettings(), func(host *fakeHost) { drop(host.accept(1, 1, "p").end(Errored, 0, "a", "p"), "p") })
-	play("behind its key's head, and the head while out", orderedSettings(), func(host *fakeHost) {
+	play("behind the first of its key, and the first while in flight", orderedSettings(), func(host *fakeHost) {
 		host.acceptKeyed("head", 2, 7, 2).sender.TurnEnd()
 		drop(drop(host.acceptKeyed("next", 2, 7, 2).acceptKeyed("last", 2, 7, 2), "next"), "head")
 		host.advance(50*Millisecond).end(Done, 0, "c", "head").end(Done, 0, "c", "last")
 	})
-	play("the head, queued", orderedSettings(), func(host *fakeHost) {
+	play("the first of its key, while queued", orderedSettings(), func(host *fakeHost) {
 		drop(host.acceptKeyed("head", 2, 7, 2).acceptKeyed("next", 2, 7, 2), "head").end(Done, 0, "c", "next")
 	})
-	play("a head that may run", orderedSettings(), func(host *fakeHost) {
+	play("the first of its key, while it may be running", orderedSettings(), func(host *fakeHost) {
 		host.acceptKeyed("head", 3, 7, 2).sender.TurnEnd()
 		drop(host.acceptKeyed("next", 3, 7, 2).end(Reset, 0, "c", "head"), "head").advance(400*Millisecond).end(Done, 0, "c", "next")
 	})
 	for _, end := range []Result{Done, Rejected, Errored, TimedOut, NotRun} {
-		play(fmt.Sprint("out, in a call with another, ended ", end), testSettings(), func(host *fakeHost) {
+		play(fmt.Sprint("in flight in a bulk call, result ", end), testSettings(), func(host *fakeHost) {
 			drop(host.accept(0, 2, "p", "q"), "p").end(end, 0, "c", "p")
-			fmt.Println("calls out:", len(host.sender.calls))
+			fmt.Println("calls in flight:", len(host.sender.calls))
 			host.end(Done, 0, "c", "q")
 		})
 	}
 	// Output:
 	// queued
-	// in a lane
+	// in the queue of rejected retries
 	// 0.0     attempt q to a
 	// 0.0     attempt p to a
-	// there: 2
+	// queued: 2
 	// waiting for a retry
 	// 0.0     attempt p to a
-	// behind its key's head, and the head while out
+	// behind the first of its key, and the first while in flight
 	// 0.0     attempt head to c
 	// 50.0    attempt last to c
-	// the head, queued
+	// the first of its key, while queued
 	// 0.0     attempt next to c
-	// a head that may run
+	// the first of its key, while it may be running
 	// 0.0     attempt head to c
 	// 300.0   attempt next to c
-	// out, in a call with another, ended 0
+	// in flight in a bulk call, result 0
 	// 0.0     attempt q to c
 	// 0.0     attempt p to c
-	// calls out: 1
-	// out, in a call with another, ended 2
+	// calls in flight: 1
+	// in flight in a bulk call, result 2
 	// 0.0     attempt q to c
 	// 0.0     attempt p to c
-	// calls out: 1
-	// out, in a call with another, ended 1
+	// calls in flight: 1
+	// in flight in a bulk call, result 1
 	// 0.0     attempt q to c
 	// 0.0     attempt p to c
-	// calls out: 1
-	// out, in a call with another, ended 3
+	// calls in flight: 1
+	// in flight in a bulk call, result 3
 	// 0.0     attempt q to c
 	// 0.0     attempt p to c
-	// calls out: 1
-	// out, in a call with another, ended 7
+	// calls in flight: 1
+	// in flight in a bulk call, result 7
 	// 0.0     attempt q to c
 	// 0.0     attempt p to c
-	// calls out: 1
+	// calls in flight: 1
 }
--- a/internal/drill/drill.go
+++ b/internal/drill/drill.go
@@ -1,9 +1,9 @@
-// Package drill connects the simulator's wire to the decisions of package choice: it turns lines into calls of one decider
-// for each sender, and the deciders' calls into lines.
+// Package drill runs senders of package choice behind the line protocol of the simulator. It turns each event line into
+// a call of a choice.Sender, and each call of choice.Host into an action line.
 //
-// Events come in batches, from a frame line to a go line; a batch is answered by the lines of the senders that it touched
-// and a line "done". drill.go reads batches, events.go handles the events of senders, host.go writes what senders do, and
-// fields.go reads the fields of a line.
+// Events come in batches that begin with a frame line and end with a go line. The answer to a batch consists of the
+// action lines of the senders that had events in it, and a line "done". drill.go reads batches, events.go handles the
+// events of senders, host.go writes their actions, and fields.go reads the fields of a line.
 package drill
 
 import (
@@ -17,20 +17,20 @@
 )
 
 const (
-	catalogCount   = 16 // endpoint lists that are stored at a time
+	catalogCount   = 16 // number of endpoint lists that can be stored
 	readBufferSize = 1 << 20
 	sendBufferSize = 1 << 16
 )
 
-// LineError says which line of the input is wrong.
+// LineError is an error in one line of the input.
 type LineError struct {
-	Line int // from 1
+	Line int // line number, starting at 1
 	Err  error
 }
 
 func (e *LineError) Error() string { return fmt.Sprintf("line %d: %v", e.Line, e.Err) }
 
-// Unwrap returns what is wrong with the line.
+// Unwrap returns the error without the line number.
 func (e *LineError) Unwrap() error { return e.Err }
 
 var errInputEnds = errors.New("input ends inside a batch")
@@ -67,19 +67,19 @@
 type server struct {
 	in      *bufio.Reader
 	out     *bufio.Writer
-	line    int // number of the line at hand
+	line    int // number of the current line
 	inBatch bool
-	clock   int64 // nanoseconds; of the batch at hand
+	clock   int64 // clock of the current batch, in nanoseconds
 
 	catalogs     [catalogCount][]choice.Entry
-	catalog      int // the one being read
-	missingItems int // of it
+	catalog      int // index of the list being read
+	missingItems int // items of that list still to be read
 
 	senders map[choice.SenderID]*hostedSender
-	touched []choice.SenderID // in order of their first event in the batch
+	touched []choice.SenderID // senders with events in the batch, in the order of their first event
 }
 
-// handleLine handles one line without its line end.
+// handleLine handles one line, given without its line end.
 func (s *server) handleLine(text string) error {
 	f := &fields{rest: text}
 	event := f.text("event")
@@ -87,7 +87,7 @@
 		return s.beginBatch(event, f)
 	}
 	if s.missingItems > 0 && event != "item" {
-		return fielderror.New("event", "%q where %d more items were due", event, s.missingItems)
+		return fielderror.New("event", "got %q, want %d more items", event, s.missingItems)
 	}
 	switch event {
 	case "go":
@@ -112,17 +112,17 @@
 	return f.end()
 }
 
-// beginCatalog empties one of the stored lists; its items follow.
+// beginCatalog empties one of the stored lists. The item lines that follow fill it.
 func (s *server) beginCatalog(f *fields) error {
 	number, rows := f.integer("rosterId"), f.integer("rows")
 	if err := f.end(); err != nil {
 		return err
 	}
 	if number < 0 || number >= catalogCount {
-		return fielderror.New("rosterId", "%d is not 0 to %d", number, catalogCount-1)
+		return fielderror.New("rosterId", "%d is not between 0 and %d", number, catalogCount-1)
 	}
 	if rows < 0 {
-		return fielderror.New("rows", "%d is below 0", rows)
+		return fielderror.New("rows", "%d is negative", rows)
 	}
 	s.catalog, s.missingItems = int(number), int(rows)
 	s.catalogs[number] = nil
@@ -131,7 +131,7 @@
 
 func (s *server) addItem(f *fields) error {
 	if s.missingItems == 0 {
-		return fielderror.New("event", "an item outside a catalog")
+		return fielderror.New("event", "an item without a catalog line before it")
 	}
 	entry, err := readItem(f)
 	if err != nil {
@@ -166,13 +166,13 @@
 	return handle(sender, f)
 }
 
-// endBatch ends the turn of the senders that the batch touched and writes their lines.
+// endBatch ends the turn of each sender that had events in the batch, and writes the sender's lines.
 func (s *server) endBatch() error {
 	for _, id := range s.touched {
 		sender := s.senders[id]
 		sender.touched = false
-		if sender.decider != nil {
-			sender.decider.TurnEnd()
+		if sender.core != nil {
+			sender.core.TurnEnd()
 		}
 		if _, err := s.out.Write(sender.output.Bytes()); err != nil {
 			return err
--- a/internal/drill/events.go
+++ b/internal/drill/events.go
@@ -9,7 +9,7 @@
 	"flaxcove/internal/fielderror"
 )
 
-// handlers handle the events of one sender by their word on the wire.
+// handlers maps the name of an event on the wire to its handler.
 var handlers = map[string]func(*hostedSender, *fields) error{
 	"start":         (*hostedSender).start,
 	"targets":       (*hostedSender).updateEndpoints,
@@ -23,34 +23,34 @@
 	"started":       (*hostedSender).startStream,
 }
 
-// stages are the words of an endpoint's stage.
+// stages maps the name of an endpoint's stage on the wire to the stage.
 var stages = map[string]choice.Stage{
 	"ready": choice.Ready, "draining": choice.Draining, "gone": choice.Gone,
 }
 
-// results are the words of an outcome.
+// results maps the name of an outcome on the wire to the result.
 var results = map[string]choice.Result{
 	"OK": choice.Done, "INTERNAL": choice.Errored, "RESOURCE_EXHAUSTED": choice.Rejected,
 	"DEADLINE_EXCEEDED": choice.TimedOut, "UNAVAILABLE": choice.ConnectFailed,
 	"ABORTED": choice.Reset, "CANCELLED": choice.Cancelled, "TOO_LATE": choice.NotRun,
 }
 
-// hostedSender is one sender: its decider and the lines that this has written in the batch.
+// hostedSender is one sender, with the lines that it has written in the current batch.
 type hostedSender struct {
 	id           choice.SenderID
 	server       *server
-	decider      *choice.Sender // nil while the sender is down
-	reportFields []string       // of load reports
+	core         *choice.Sender // makes the decisions; nil while the sender is down
+	reportFields []string       // names of the fields of load reports
 	classCount   int
 	output       bytes.Buffer
-	touched      bool // by an event of the batch
+	touched      bool // it had an event in the current batch
 }
 
-func lookUp[V any](f *fields, field string, words map[string]V) V {
-	word := f.text(field)
-	v, known := words[word]
+func lookUp[V any](f *fields, field string, values map[string]V) V {
+	text := f.text(field)
+	v, known := values[text]
 	if !known {
-		f.fail(field, "unknown word %q", word)
+		f.fail(field, "unknown value %q", text)
 	}
 	return v
 }
@@ -74,7 +74,7 @@
 	if f.err != nil {
 		return f.err
 	}
-	var b config.Boot // the JSON decoder prints this name in its errors
+	var b config.Boot // the JSON decoder prints the name Boot in its errors
 	if err := json.Unmarshal([]byte(text), &b); err != nil {
 		return &fielderror.Error{Field: "bootInfo", Err: err}
 	}
@@ -84,7 +84,7 @@
 	}
 	s.output.Reset()
 	s.reportFields, s.classCount = b.Stats.Fields, len(b.Classes)
-	s.decider = choice.Start(s, s.id, seed, settings)
+	s.core = choice.Start(s, s.id, seed, settings)
 	return nil
 }
 
@@ -92,19 +92,19 @@
 	scope := f.text("scope")
 	f.integerOr("index", 0)
 	catalog := f.integerOr("rosterId", 0)
-	if err := f.end(); err != nil || s.decider == nil {
+	if err := f.end(); err != nil || s.core == nil {
 		return err
 	}
 	if scope == "X" {
-		return nil // nothing to ask for, as the simulator sends the list by itself; the old one stays in force
+		return nil // there is nobody to ask for a list, as the simulator sends lists on its own; the old one remains in force
 	}
 	if scope != "D" && scope != "F" && scope != "C" {
-		return fielderror.New("scope", "unknown word %q", scope)
+		return fielderror.New("scope", "unknown value %q", scope)
 	}
 	if catalog < 0 || catalog >= catalogCount {
-		return fielderror.New("rosterId", "no list %d", catalog)
+		return fielderror.New("rosterId", "there is no list %d", catalog)
 	}
-	s.decider.UpdateEndpoints(s.server.catalogs[catalog], scope != "D")
+	s.core.UpdateEndpoints(s.server.catalogs[catalog], scope != "D")
 	return nil
 }
 
@@ -117,37 +117,37 @@
 	f.integerOr("effort", 0)
 	m.Destination = choice.DestinationID(f.numberOr("destination", 0))
 	f.integerOr("options", 0)
-	if err := f.end(); err != nil || s.decider == nil {
+	if err := f.end(); err != nil || s.core == nil {
 		return err
 	}
 	if m.Class < 0 || int(m.Class) >= s.classCount {
-		return fielderror.New("cls", "no class %d", m.Class)
+		return fielderror.New("cls", "there is no class %d", m.Class)
 	}
-	s.decider.Taken(m)
+	s.core.Taken(m)
 	return nil
 }
 
 func (s *hostedSender) withdrawMessage(f *fields) error {
 	id := f.text("rid")
-	if err := f.end(); err != nil || s.decider == nil {
+	if err := f.end(); err != nil || s.core == nil {
 		return err
 	}
-	s.decider.Withdrawn(choice.MessageID(id))
+	s.core.Withdrawn(choice.MessageID(id))
 	return nil
 }
 
 func (s *hostedSender) receiveGossip(f *fields) error {
 	f.integer("neighbour")
 	note := f.bytes("contents")
-	if err := f.end(); err != nil || s.decider == nil {
+	if err := f.end(); err != nil || s.core == nil {
 		return err
 	}
-	s.decider.Heard(note)
+	s.core.Heard(note)
 	return nil
 }
 
 func (s *hostedSender) crash(f *fields) error {
-	s.decider = nil
+	s.core = nil
 	s.output.Reset()
 	return f.end()
 }
@@ -161,15 +161,16 @@
 	o.Result = lookUp(f, "outcome", results)
 	detail := f.integerOr("detail", 0)
 	if o.Result == choice.Rejected && detail > 0 {
-		// A Retry-After is counted from a clock that may lie inside a unit of choice.Time.
+		// Retry-After is counted from a clock whose time may lie between two values of choice.Time, so it is rounded
+		// up.
 		o.RetryAfter = choice.Time(detail)*choice.Millisecond + 1
 	}
 	o.NoSlot = o.Result == choice.NotRun && detail == 1
 	o.Report = s.report(f.numbers("healthInfo"))
-	if err := f.end(); err != nil || s.decider == nil {
+	if err := f.end(); err != nil || s.core == nil {
 		return err
 	}
-	s.decider.Ended(o)
+	s.core.Ended(o)
 	return nil
 }
 
@@ -191,10 +192,10 @@
 
 func (s *hostedSender) fireTimer(f *fields) error {
 	id := f.integer("nonce")
-	if err := f.end(); err != nil || s.decider == nil {
+	if err := f.end(); err != nil || s.core == nil {
 		return err
 	}
-	s.decider.TimerDue(choice.TimerID(id))
+	s.core.TimerDue(choice.TimerID(id))
 	return nil
 }
 
@@ -203,14 +204,14 @@
 	result := lookUp(f, "outcome", results)
 	f.integerOr("duration", 0)
 	f.numbers("healthInfo")
-	if err := f.end(); err != nil || s.decider == nil {
+	if err := f.end(); err != nil || s.core == nil {
 		return err
 	}
-	s.decider.Probed(id, result)
+	s.core.Probed(id, result)
 	return nil
 }
 
-// startStream is legal on the wire, but no class of this family streams its answers.
+// startStream reads the event and ignores it, since no class of this protocol streams its answers.
 func (s *hostedSender) startStream(f *fields) error {
 	f.text("rid")
 	f.integer("shot")
--- a/internal/drill/fields.go
+++ b/internal/drill/fields.go
@@ -9,10 +9,10 @@
 	"flaxcove/internal/fielderror"
 )
 
-// absent stands for a field that is left out.
+// absent is the value of a field that is left out.
 const absent = "-"
 
-// fields reads the tab-separated fields of one line in order and stores the first error.
+// fields reads the tab-separated fields of one line in order and keeps the first error.
 type fields struct {
 	rest string
 	done bool // the last field has been read
@@ -25,7 +25,7 @@
 	}
 }
 
-// next is the next field as it stands.
+// next returns the next field unchanged.
 func (f *fields) next(field string) string {
 	if f.done {
 		f.fail(field, "missing")
@@ -36,7 +36,7 @@
 	return text
 }
 
-// text is a field that must be there.
+// text returns a required field.
 func (f *fields) text(field string) string {
 	text := f.next(field)
 	if text == "" || text == absent {
@@ -45,7 +45,7 @@
 	return text
 }
 
-// remainder is a field that runs to the end of the line.
+// remainder returns the rest of the line as one field.
 func (f *fields) remainder(field string) string {
 	if f.done {
 		f.fail(field, "missing")
@@ -55,15 +55,15 @@
 	return text
 }
 
-// integer is a whole number that must be there.
+// integer returns a required whole number.
 func (f *fields) integer(field string) int64 { return f.parseInteger(field, f.text(field)) }
 
-// integerOr is a whole number, or the given one where the field is absent.
-func (f *fields) integerOr(field string, otherwise int64) int64 {
+// integerOr returns a whole number, or fallback if the field is absent.
+func (f *fields) integerOr(field string, fallback int64) int64 {
 	if text := f.next(field); text != absent {
 		return f.parseInteger(field, text)
 	}
-	return otherwise
+	return fallback
 }
 
 func (f *fields) parseInteger(field, text string) int64 {
@@ -74,12 +74,12 @@
 	return n
 }
 
-// numberOr is a finite number, or the given one where the field is absent.
-func (f *fields) numberOr(field string, otherwise float64) float64 {
+// numberOr returns a finite number, or fallback if the field is absent.
+func (f *fields) numberOr(field string, fallback float64) float64 {
 	if text := f.next(field); text != absent {
 		return f.parseNumber(field, text)
 	}
-	return otherwise
+	return fallback
 }
 
 func (f *fields) parseNumber(field, text string) float64 {
@@ -91,7 +91,7 @@
 	return n
 }
 
-// boolean is a 1 or a 0 that must be there.
+// boolean returns a required flag, written as 1 or 0.
 func (f *fields) boolean(field string) bool {
 	switch text := f.text(field); text {
 	case "1":
@@ -103,7 +103,7 @@
 	return false
 }
 
-// bytes are written in base64; nil where the field is absent.
+// bytes returns a field written in base64, or nil if it is absent.
 func (f *fields) bytes(field string) []byte {
 	text := f.next(field)
 	if text == absent {
@@ -111,12 +111,13 @@
 	}
 	b, err := base64.StdEncoding.DecodeString(text)
 	if err != nil {
-		f.fail(field, "not base64")
+		f.fail(field, "not valid base64")
 	}
 	return b
 }
 
-// numbers are separated by commas, an absent one counts as 0; nil where the field is absent.
+// numbers returns numbers separated by commas, of which an absent one counts as 0. It returns nil if the field is
+// absent.
 func (f *fields) numbers(field string) []float64 {
 	text := f.next(field)
 	if text == absent || text == "" {
@@ -132,10 +133,10 @@
 	return all
 }
 
-// end returns the first error of the line, and one where the line has further fields.
+// end returns the first error of the line, or an error if the line has further fields.
 func (f *fields) end() error {
 	if !f.done {
-		f.fail("end", "the line goes on after its last field")
+		f.fail("end", "the line has further fields")
 	}
 	return f.err
 }
--- a/internal/drill/host.go
+++ b/internal/drill/host.go
@@ -8,16 +8,16 @@
 	"flaxcove/internal/config"
 )
 
-// This file is a sender's choice.Host: each call writes one line of the wire.
+// This file implements choice.Host: each method writes one action line.
 
 func (s *hostedSender) writeLine(format string, args ...any) {
 	fmt.Fprintf(&s.output, format+"\n", args...)
 }
 
-// Now is the clock of the batch.
+// Now returns the clock of the batch.
 func (s *hostedSender) Now() choice.Time { return config.RoundDown(s.server.clock) }
 
-// Allowed allows everything: the wire has no routing rules.
+// Allowed allows every endpoint, since the protocol has no routing rules.
 func (s *hostedSender) Allowed(choice.MessageID, choice.EndpointID) bool { return true }
 
 // Attempt sends a message to an endpoint.
@@ -25,18 +25,18 @@
 	s.writeLine("submit_to\t%s\t%s\t%d\t%s", s.id, id, config.Nanoseconds(timeout), to)
 }
 
-// Shed hands a message back with a time to return.
+// Shed ends a message that never ran, with the time after which the client may retry.
 func (s *hostedSender) Shed(id choice.MessageID, returnIn choice.Time) {
 	s.writeLine("refuse\t%s\t%s\t%d", s.id, id, config.Nanoseconds(returnIn))
 }
 
-// Fail ends a message that was not delivered.
+// Fail ends a message that was not delivered and may have run.
 func (s *hostedSender) Fail(id choice.MessageID) { s.writeLine("surrender\t%s\t%s", s.id, id) }
 
-// Probe starts a health check of an endpoint.
+// Probe sends a health probe to an endpoint.
 func (s *hostedSender) Probe(e choice.EndpointID) { s.writeLine("poll\t%s\t%s", s.id, e) }
 
-// Tell sends gossip to all other senders.
+// Tell broadcasts a note to all other senders.
 func (s *hostedSender) Tell(note []byte) {
 	s.writeLine("publish\t%s\t*\t%s", s.id, base64.StdEncoding.EncodeToString(note))
 }
@@ -49,5 +49,6 @@
 	s.writeLine("timer\t%s\t%d\t%d", s.id, config.Nanoseconds(in), int64(id))
 }
 
-// Forget writes nothing: the wire cannot cancel a timer, and the decider ignores one that it has forgotten.
+// Forget writes nothing: the protocol cannot cancel a timer, and the choice.Sender ignores a timer that it has
+// forgotten.
 func (s *hostedSender) Forget(choice.TimerID) {}
