--- a/choice/attempts.go
+++ b/choice/attempts.go
@@ -75,9 +75,9 @@
 // senders, since each of them then has fewer events.
 func (s *Sender) sharedRateWindow() Time { return rateWindow * Time(s.fleetSize) }
 
-// attemptTimeout returns the time-out of an attempt: the usual call time with a margin, multiplied by the number of the
-// attempt. For a non-idempotent message the factor is instead up to finalTimeoutFactor, depending on how much of the
-// in-flight limit is free. The time-out ends before the message's deadline.
+// attemptTimeout returns the time-out of an attempt: the usual call time with a margin, multiplied by the number of
+// attempts including this one. For a non-idempotent message the factor is instead up to finalTimeoutFactor, depending
+// on how much of the in-flight limit is free. The time-out ends before the message's deadline.
 func (s *Sender) attemptTimeout(msg *message, ep *endpoint) Time {
 	usual := max(2*s.assumedCallTime, ep.mean+timeoutDeviations*ep.deviation)
 	factor := float64(msg.attempts)
--- a/choice/collect.go
+++ b/choice/collect.go
@@ -26,8 +26,8 @@
 	maps.DeleteFunc(table, func(_ K, other V) bool { return other == value })
 }
 
-// minBy returns, among the values of a map that accept allows, the one with the lowest score. Equal scores are
-// resolved by the lowest key. score is called once for each accepted value.
+// minBy returns, among the values of a map that accept allows, the one with the lowest score. Equal scores are resolved
+// by the lowest key. score is called once for each accepted value.
 func minBy[K cmp.Ordered, V any](table map[K]V, accept func(V) bool, score func(V) float64) V {
 	var lowest V
 	var lowestKey K
--- a/choice/configure_test.go
+++ b/choice/configure_test.go
@@ -46,14 +46,14 @@
 	"RouteFees":                {change: func(s *Settings) { s.RouteFees = []float64{0.3, 0} }},
 	"RejectedPrice":            {change: func(s *Settings) { s.RejectedPrice = 0.5 }, unread: true},
 	"HandshakePrice":           {change: func(s *Settings) { s.HandshakePrice = 0.5 }, unread: true},
-	"Classes.Repeat":           {change: eachClass(func(w *Class) { w.Repeat = NonIdempotent })},
-	"Classes.ZoneGroup":        {change: eachClass(func(w *Class) { w.ZoneGroup = !w.ZoneGroup })},
-	"Classes.RepeatWindow":     {change: eachClass(func(w *Class) { w.RepeatWindow = 300 * Millisecond })},
-	"Classes.LatencyObjective": {change: eachClass(func(w *Class) { w.LatencyObjective = 400 * Millisecond })},
-	"Classes.Deadline":         {change: eachClass(func(w *Class) { w.Deadline = 2 * Second })},
+	"Classes.Repeat":           {change: eachClass(func(c *Class) { c.Repeat = NonIdempotent })},
+	"Classes.ZoneGroup":        {change: eachClass(func(c *Class) { c.ZoneGroup = !c.ZoneGroup })},
+	"Classes.RepeatWindow":     {change: eachClass(func(c *Class) { c.RepeatWindow = 300 * Millisecond })},
+	"Classes.LatencyObjective": {change: eachClass(func(c *Class) { c.LatencyObjective = 400 * Millisecond })},
+	"Classes.Deadline":         {change: eachClass(func(c *Class) { c.Deadline = 2 * Second })},
 	"Classes.Value":            {change: func(s *Settings) { s.Classes[0].Value = 50 }},
-	"Classes.LateValue":        {change: eachClass(func(w *Class) { w.LateValue = 0.9 })},
-	"Classes.Ordered":          {change: eachClass(func(w *Class) { w.Ordered = !w.Ordered })},
+	"Classes.LateValue":        {change: eachClass(func(c *Class) { c.LateValue = 0.9 })},
+	"Classes.Ordered":          {change: eachClass(func(c *Class) { c.Ordered = !c.Ordered })},
 	"Kinds.BulkMax":            {change: func(s *Settings) { s.Kinds[0].BulkMax, s.Kinds[1].BulkMax = 4, 1 }},
 	"Kinds.SeparateRoutes":     {change: func(s *Settings) { s.Kinds[0].SeparateRoutes = true }},
 }
@@ -231,7 +231,7 @@
 	host := startSender(testSettings())
 	host.mute = true
 	host.accept(0, 1, "p").end(Done, 0, "a", "p")
-	host.sender.Configure(withChange(testSettings(), eachClass(func(w *Class) { w.LatencyObjective = 4 * Second })))
+	host.sender.Configure(withChange(testSettings(), eachClass(func(c *Class) { c.LatencyObjective = 4 * Second })))
 	called, uncalled := host.endpoint("a"), host.endpoint("c")
 	if called.mean != float64(200*Millisecond) || uncalled.callTimes != assumedCallTimes(float64(2*Second)) {
 		t.Errorf("call times of a called endpoint %v, of another one %v", called.callTimes, uncalled.callTimes)
@@ -242,9 +242,9 @@
 func ExampleSender_Configure() {
 	for _, change := range []func(*Settings){
 		func(s *Settings) { s.MaxAttempts = 1 },
-		eachClass(func(w *Class) { w.Repeat = NonIdempotent }),
-		eachClass(func(w *Class) { w.RepeatWindow = 100 * Millisecond }),
-		eachClass(func(w *Class) { w.LateValue = 0 }), // this does not forbid a retry
+		eachClass(func(c *Class) { c.Repeat = NonIdempotent }),
+		eachClass(func(c *Class) { c.RepeatWindow = 100 * Millisecond }),
+		eachClass(func(c *Class) { c.LateValue = 0 }), // this does not forbid a retry
 	} {
 		set := testSettings()
 		set.InFlightLimit = 1
--- a/choice/connections_test.go
+++ b/choice/connections_test.go
@@ -156,13 +156,13 @@
 // such as in slow start with the budget used up: other senders that may call would find no room. A healthy endpoint's
 // connection is kept for queued messages.
 func ExampleSender_idleConnectionWhileQueued() {
-	for _, warmingUp := range []bool{true, false} {
+	for _, inSlowStart := range []bool{true, false} {
 		set := testSettings()
 		set.Senders, set.ConnIdle, set.InFlightLimit = 300, 10*Second, 1
 		host := startSender(set)
 		host.destination(1).kind.connectFailShare = 0.5
 		host.printCloseIdle = true
-		if warmingUp {
+		if inSlowStart {
 			host.sender.beginSlowStart(host.endpoint("a"), host.clock)
 		}
 		host.endpoint("a").slowStart.tokens = 1
@@ -179,9 +179,9 @@
 // idle connection to a healthy endpoint stays. If a full table makes connecting fail, idle connections to endpoints of
 // that kind are closed.
 func ExampleSender_connectFailures() {
-	for _, tellsFull := range []bool{true, false} {
+	for _, answersWhenFull := range []bool{true, false} {
 		set := testSettings()
-		set.Senders, set.ConnIdle, set.AnswersWhenTableFull = 80, 10*Second, tellsFull
+		set.Senders, set.ConnIdle, set.AnswersWhenTableFull = 80, 10*Second, answersWhenFull
 		host := startSender(set)
 		host.update(Entry{Endpoint: "d", Destination: 3})
 		host.printCloseIdle, host.mute = true, true
@@ -191,10 +191,10 @@
 			host.sender.Withdrawn(id)
 		}
 		host.mute = false
-		host.accept(0, 3, "well").end(Done, 0, "d", "well")
+		host.accept(0, 3, "healthy").end(Done, 0, "d", "healthy")
 	}
 	// Output:
-	// 8000.0  attempt well to d
-	// 8000.0  attempt well to d
+	// 8000.0  attempt healthy to d
+	// 8000.0  attempt healthy to d
 	// 8000.0  close d
 }
--- a/choice/fakehost_test.go
+++ b/choice/fakehost_test.go
@@ -102,20 +102,20 @@
 }
 
 func (h *fakeHost) Now() Time { return h.clock }
-func (h *fakeHost) Allowed(n MessageID, e EndpointID) bool {
-	return h.disallowed == nil || !h.disallowed(n, e)
+func (h *fakeHost) Allowed(id MessageID, ep EndpointID) bool {
+	return h.disallowed == nil || !h.disallowed(id, ep)
 }
-func (h *fakeHost) Attempt(n MessageID, to EndpointID, timeOut Time) {
-	h.attempts[n]++
-	h.printf("attempt %s to %s", n, to)
+func (h *fakeHost) Attempt(id MessageID, to EndpointID, timeOut Time) {
+	h.attempts[id]++
+	h.printf("attempt %s to %s", id, to)
 }
-func (h *fakeHost) Shed(n MessageID, in Time) { h.printf("shed %s", n) }
-func (h *fakeHost) Fail(n MessageID)          { h.printf("fail %s", n) }
-func (h *fakeHost) Probe(e EndpointID)        { h.printf("probe %s", e) }
-func (h *fakeHost) Tell(note []byte)          { h.printf("note %x", note) }
-func (h *fakeHost) CloseIdle(e EndpointID) {
+func (h *fakeHost) Shed(id MessageID, in Time) { h.printf("shed %s", id) }
+func (h *fakeHost) Fail(id MessageID)          { h.printf("fail %s", id) }
+func (h *fakeHost) Probe(ep EndpointID)        { h.printf("probe %s", ep) }
+func (h *fakeHost) Tell(note []byte)           { h.printf("note %x", note) }
+func (h *fakeHost) CloseIdle(ep EndpointID) {
 	if h.printCloseIdle {
-		h.printf("close %s", e)
+		h.printf("close %s", ep)
 	}
 }
 func (h *fakeHost) Timer(in Time, id TimerID) {
--- a/choice/fleetmodel_test.go
+++ b/choice/fleetmodel_test.go
@@ -63,8 +63,8 @@
 // allowedCalls returns N, the number of calls that the settings allow all senders together in an overload window that
 // ends now.
 func (f *fleetModel) allowedCalls(ep *endpointModel) float64 {
-	warm := f.set.SlowStartFrom + (1-f.set.SlowStartFrom)*seconds(f.now-ep.upAt)/seconds(f.set.SlowStart)
-	return f.set.OverloadMultiple * f.capacity * warm * seconds(f.set.OverloadWindow)
+	capacityShare := f.set.SlowStartFrom + (1-f.set.SlowStartFrom)*seconds(f.now-ep.upAt)/seconds(f.set.SlowStart)
+	return f.set.OverloadMultiple * f.capacity * capacityShare * seconds(f.set.OverloadWindow)
 }
 
 // arrive counts a call that reaches an endpoint and reports whether the endpoint is up. aware means that the sender
@@ -92,14 +92,14 @@
 	}
 	allowed := f.allowedCalls(ep)
 	bound := allowed + 2*math.Sqrt(allowed) + 2
-	over := float64(len(ep.recentCalls)) - bound
-	ep.excess = max(ep.excess, over)
+	excess := float64(len(ep.recentCalls)) - bound
+	ep.excess = max(ep.excess, excess)
 	awareCalls := 0
-	for _, is := range ep.fromAware {
-		awareCalls += countIf(is)
+	for _, known := range ep.fromAware {
+		awareCalls += countIf(known)
 	}
 	if 3*awareCalls > 2*len(ep.recentCalls) {
-		ep.awareExcess = max(ep.awareExcess, over)
+		ep.awareExcess = max(ep.awareExcess, excess)
 	}
 }
 
@@ -147,13 +147,13 @@
 	})
 }
 
-func (h *senderHost) Now() Time                              { return h.fleet.now + h.clockSkew }
-func (h *senderHost) Allowed(n MessageID, e EndpointID) bool { return true }
-func (h *senderHost) Fail(n MessageID)                       {}
-func (h *senderHost) Shed(n MessageID, in Time)              {}
-func (h *senderHost) CloseIdle(e EndpointID)                 {}
-func (h *senderHost) Tell(note []byte)                       {}
-func (h *senderHost) Forget(id TimerID)                      { h.forgotten[id] = true }
+func (h *senderHost) Now() Time                                { return h.fleet.now + h.clockSkew }
+func (h *senderHost) Allowed(id MessageID, ep EndpointID) bool { return true }
+func (h *senderHost) Fail(id MessageID)                        {}
+func (h *senderHost) Shed(id MessageID, in Time)               {}
+func (h *senderHost) CloseIdle(ep EndpointID)                  {}
+func (h *senderHost) Tell(note []byte)                         {}
+func (h *senderHost) Forget(id TimerID)                        { h.forgotten[id] = true }
 func (h *senderHost) Timer(in Time, id TimerID) {
 	h.later(in, func() {
 		if !h.forgotten[id] {
@@ -163,10 +163,10 @@
 	})
 }
 
-func (h *senderHost) Attempt(n MessageID, to EndpointID, timeOut Time) {
-	h.attempts[n]++
+func (h *senderHost) Attempt(id MessageID, to EndpointID, timeOut Time) {
+	h.attempts[id]++
 	aware := h.sender.impaired(h.sender.endpoints[to])
-	o := Outcome{Message: n, Attempt: h.attempts[n] - 1, Endpoint: to, Result: ConnectFailed}
+	o := Outcome{Message: id, Attempt: h.attempts[id] - 1, Endpoint: to, Result: ConnectFailed}
 	h.fleet.after(10*Millisecond+Time(h.fleet.random.IntN(200)), func() {
 		if h.fleet.arrive(h.fleet.endpoints[to], aware) {
 			o.Result, o.Took, o.Final = Done, 60*Millisecond, true
@@ -175,14 +175,14 @@
 	h.later(60*Millisecond, func() { h.sender.Ended(o) })
 }
 
-func (h *senderHost) Probe(e EndpointID) {
+func (h *senderHost) Probe(ep EndpointID) {
 	result := Errored
 	h.fleet.after(10*Millisecond, func() {
-		if h.fleet.arrive(h.fleet.endpoints[e], true) {
+		if h.fleet.arrive(h.fleet.endpoints[ep], true) {
 			result = Done
 		}
 	})
-	h.later(30*Millisecond, func() { h.sender.Probed(e, result) })
+	h.later(30*Millisecond, func() { h.sender.Probed(ep, result) })
 }
 
 // accept passes one message to the sender and ends the turn.
--- a/choice/host.go
+++ b/choice/host.go
@@ -11,7 +11,7 @@
 	Second           = 1000 * Millisecond
 )
 
-// forever is a point in time after every other one.
+// forever is the largest Time. It stands for a time that is never reached.
 const forever = Time(math.MaxInt64)
 
 // Each identifier and number has its own type, so that one cannot be passed for another.
@@ -53,8 +53,8 @@
 	// Attempt sends a message to an endpoint. Attempts of one turn to the same endpoint share a bulk call. The host
 	// passes the outcome to Sender.Ended, at the latest when the time-out expires.
 	Attempt(msg MessageID, to EndpointID, timeOut Time)
-	// Shed ends a message that certainly never ran. retryIn is the time after which the client may retry, or 0 for
-	// no such time.
+	// Shed ends a message that certainly never ran. retryIn is the time after which the client may retry, or 0 for no
+	// such time.
 	Shed(msg MessageID, retryIn Time)
 	// Fail ends a message that was not delivered and may have run.
 	Fail(msg MessageID)
--- a/choice/inputs.go
+++ b/choice/inputs.go
@@ -24,7 +24,7 @@
 }
 
 // LearnedState is the part of an endpoint's learned state that remains valid in another incarnation of a sender and in
-// another fleet.
+// another fleet. Its field names are part of a stored file format.
 type LearnedState struct {
 	// Mean and Dev are the recent mean and mean absolute deviation of the call times, and Past is their long-term mean,
 	// all in tenths of a millisecond. Seen is the number of measured calls.
@@ -44,8 +44,8 @@
 	Deadline    Time      // on the host's clock
 	Destination DestinationID
 	// Span is the time that the message had until its deadline when an earlier incarnation accepted it. It is 0 for new
-	// messages from a client, which may still be rejected. A restarted sender uses it so as not to
-	// shed much of a full backlog, or messages whose time was short from the start.
+	// messages from a client, which may still be rejected. A restarted sender uses it so as not to shed much of a full
+	// backlog, or messages whose time was short from the start.
 	Span Time
 	// MayRun is set for a message that an earlier incarnation accepted if one of its attempts may have run. RanAt is
 	// the time when that attempt was sent, and RanIn is the zone of its endpoint.
--- a/choice/keyorder_test.go
+++ b/choice/keyorder_test.go
@@ -18,7 +18,7 @@
 }
 
 // Whatever happens to the first message of a key, the next one is sent after it: at once if no call can still be
-// running, and after a pause if one may. A rejected message keeps its place. A message that has its end is answered in
+// running, and after a pause if one may. A rejected message keeps its place. A message that has ended is answered in
 // the turn in which that is decided.
 func ExampleSender_headOfKey() {
 	for _, end := range []struct {
--- a/choice/learned.go
+++ b/choice/learned.go
@@ -72,8 +72,8 @@
 }
 
 // Holds returns the number of measured calls behind the learned state of a destination, and whether the destination is
-// in use. It is in use while it has open messages, calls in flight, a paused order key, an endpoint that is not listed as ready, or a
-// pause, ejection or slow start that is not over. A destination that is not in use may be evicted.
+// in use. It is in use while it has open messages, calls in flight, a paused order key, an endpoint that is not listed
+// as ready, or a pause, ejection or slow start that is not over. A destination that is not in use may be evicted.
 func (s *Sender) Holds(id DestinationID) (calls float64, inUse bool) {
 	dest := s.destinations[id]
 	s.now = s.host.Now()
--- a/choice/learned_test.go
+++ b/choice/learned_test.go
@@ -49,17 +49,17 @@
 			}
 			id := MessageID(fmt.Sprint(i))
 			host.accept(0, 1, id).advance(40 * Millisecond)
-			for id, tries := range host.attempts {
-				if msg := host.sender.messages[id]; msg != nil && msg.inFlight != nil && tries > 0 {
+			for id, attempts := range host.attempts {
+				if msg := host.sender.messages[id]; msg != nil && msg.inFlight != nil && attempts > 0 {
 					host.end(Done, 0, "a", id)
 				}
 			}
 		}
-		all := 0
-		for _, tries := range host.attempts {
-			all += tries
+		total := 0
+		for _, attempts := range host.attempts {
+			total += attempts
 		}
-		return all
+		return total
 	}
 	before, after := sent(false), sent(true)
 	fmt.Println("sent in slow start:", before > 10, "more after Void:", after > before)
--- a/choice/loadhost_test.go
+++ b/choice/loadhost_test.go
@@ -78,18 +78,18 @@
 	if d := h.sender.endpoints[to].destination.id; d == 1 { // the destination that reports its limit
 		o.Report = Report{Known: true, Left: 0.5, Limit: 20}
 	}
-	switch luck := hashFraction(id, h.attempts[id], "luck"); {
+	switch draw := hashFraction(id, h.attempts[id], "luck"); {
 	case to == "b" && h.bDown():
 		o.Result, o.Final = ConnectFailed, false
-	case luck < 0.08:
+	case draw < 0.08:
 		o.Result, o.Final, o.RetryAfter = Rejected, false, 300*Millisecond
-	case luck < 0.12:
-		o.Result, o.Final, o.Closed = Rejected, false, luck < 0.1
-	case luck < 0.18:
+	case draw < 0.12:
+		o.Result, o.Final, o.Closed = Rejected, false, draw < 0.1
+	case draw < 0.18:
 		o.Result, o.Final = Errored, false
-	case luck < 0.22:
+	case draw < 0.22:
 		o.Result, o.Final, o.Reused = Reset, false, true
-	case luck < 0.26 || took > timeOut:
+	case draw < 0.26 || took > timeOut:
 		o.Result, o.Final, o.Took = TimedOut, false, timeOut
 	}
 	h.schedule(h.clock+o.Took, -1, func() {
@@ -168,7 +168,7 @@
 }
 
 const (
-	loadWarmUp   = 60 * Second // by its end, budgets and token buckets are full
+	loadWarmUp   = 60 * Second // after it, budgets and token buckets are full
 	loadSpan     = 10 * Second // time during which messages arrive
 	loadInterval = 10 * Millisecond
 )
@@ -213,12 +213,12 @@
 		class, account := no, no/3
 		h.schedule(at, -1, func() {
 			set := h.sender.settings
-			n := Message{ID: id, Class: ClassNo(class % len(set.Classes)), Account: AccountNo(account % len(set.Quotas)),
+			msg := Message{ID: id, Class: ClassNo(class % len(set.Classes)), Account: AccountNo(account % len(set.Quotas)),
 				Key: OrderKey(class % 7), Destination: DestinationID(class / 2 % 2)}
-			n.Deadline = h.clock + set.Classes[n.Class].Deadline
-			held := len(h.sender.messages)
-			h.sender.Taken(n)
-			if most := max(held, set.MaxOpen); len(h.sender.messages) > most {
+			msg.Deadline = h.clock + set.Classes[msg.Class].Deadline
+			before := len(h.sender.messages)
+			h.sender.Taken(msg)
+			if most := max(before, set.MaxOpen); len(h.sender.messages) > most {
 				h.t.Errorf("%d: %d messages open, want at most %d", h.clock, len(h.sender.messages), most)
 			}
 		})
--- a/choice/outageplan_test.go
+++ b/choice/outageplan_test.go
@@ -32,8 +32,8 @@
 	f.set.Senders = p.senders
 	f.set.Probing = p.senders <= smallFleetSize
 	back, end := f.drawOutages()
-	for no := range p.senders {
-		h := &senderHost{fleet: f, number: no, clockSkew: Time(f.random.IntN(1000) - 500)}
+	for number := range p.senders {
+		h := &senderHost{fleet: f, number: number, clockSkew: Time(f.random.IntN(1000) - 500)}
 		f.hosts = append(f.hosts, h)
 		h.start()
 	}
@@ -55,13 +55,13 @@
 	const down = 4 * Second
 	for d := range f.destinations {
 		for e := range f.endpointsEach {
-			lasts := 5*Second + Time(f.random.IntN(int(10*Second)))
+			duration := 5*Second + Time(f.random.IntN(int(10*Second)))
 			if e > 0 {
 				first := EndpointID(fmt.Sprintf("d%d-0", d))
-				lasts = f.endpoints[first].upAt - down
+				duration = f.endpoints[first].upAt - down
 			}
 			id := EndpointID(fmt.Sprintf("d%d-%d", d, e))
-			ep := &endpointModel{id: id, downAt: down + Time(f.random.IntN(int(Second))), upAt: down + lasts}
+			ep := &endpointModel{id: id, downAt: down + Time(f.random.IntN(int(Second))), upAt: down + duration}
 			f.endpoints[id] = ep
 			all = append(all, ep)
 			end = max(end, ep.upAt+max(f.set.SlowStart, 10*Second))
@@ -76,15 +76,15 @@
 		if !f.replaced || i%2 > 0 {
 			continue
 		}
-		fresh := &endpointModel{id: ep.id + "'", downAt: ep.downAt, upAt: ep.upAt}
-		(*back)[i] = fresh
+		replacement := &endpointModel{id: ep.id + "'", downAt: ep.downAt, upAt: ep.upAt}
+		(*back)[i] = replacement
 		f.after(ep.downAt+(ep.upAt-ep.downAt)/2, func() {
-			f.endpoints[fresh.id] = fresh
+			f.endpoints[replacement.id] = replacement
 			gone := f.entry(ep.id)
 			gone.Stage = Gone
 			for _, h := range f.hosts {
 				delay := Time(f.random.IntN(1000))
-				h.later(delay, func() { h.sender.UpdateEndpoints([]Entry{gone, f.entry(fresh.id)}, false) })
+				h.later(delay, func() { h.sender.UpdateEndpoints([]Entry{gone, f.entry(replacement.id)}, false) })
 			}
 			ep.upAt = forever // a replaced endpoint does not come back
 		})
--- a/choice/outlier_test.go
+++ b/choice/outlier_test.go
@@ -10,9 +10,9 @@
 		set.SlowStart = 0
 		host := startSender(set).advance(3*Second).accept(0, 1, "p")
 		host.end(Errored, 0, "a", "p").advance(Second)
-		was := host.endpoint("a").trialPause
+		before := host.endpoint("a").trialPause
 		host.sender.Probed("a", result)
-		fmt.Println("ejected:", host.endpoint("a").ejected, "pause before:", was, "after:", host.endpoint("a").trialPause)
+		fmt.Println("ejected:", host.endpoint("a").ejected, "pause before:", before, "after:", host.endpoint("a").trialPause)
 		host.advance(Second)
 	}
 	// Output:
@@ -138,15 +138,15 @@
 	for _, rate := range []int{2, 100, 1000} {
 		host := startSender(testSettings())
 		host.mute = true
-		luck := newRandomSource("luck", 1)
-		well := steadyCalls(host, callLoad{"n", rate, 1, "a"}, 20, func(int) (Result, Time) {
-			if luck.fraction("fails") < 0.06 {
+		random := newRandomSource("luck", 1)
+		sent := steadyCalls(host, callLoad{"n", rate, 1, "a"}, 20, func(int) (Result, Time) {
+			if random.fraction("fails") < 0.06 {
 				return Errored, 0
 			}
 			return Done, 0
 		})
 		crash := steadyCalls(host, callLoad{"c", rate, 1, "a"}, 2, func(int) (Result, Time) { return ConnectFailed, 0 })
-		fmt.Printf("%d a second: %.0f%% sent, then %d calls to a crashed endpoint\n", rate, 5*float64(well)/float64(rate), crash)
+		fmt.Printf("%d a second: %.0f%% sent, then %d calls to a crashed endpoint\n", rate, 5*float64(sent)/float64(rate), crash)
 	}
 	// Output:
 	// 2 a second: 100% sent, then 2 calls to a crashed endpoint
--- a/choice/ranking.go
+++ b/choice/ranking.go
@@ -1,7 +1,7 @@
 package choice
 
-// feeTimeFactor converts fees to time. A fee of x messages of mean value multiplies the rank cost of an endpoint by 1 +
-// feeTimeFactor*x.
+// feeTimeFactor converts fees to time. A fee of x messages of mean value multiplies the rank cost of an endpoint by
+// 1+feeTimeFactor*x.
 const feeTimeFactor = 20.0
 
 // rankCost returns the cost by which the endpoints of a destination are ranked, lowest first: the time until one more
--- a/choice/ratelimit.go
+++ b/choice/ratelimit.go
@@ -19,10 +19,10 @@
 
 	// minAdjustInterval is the shortest time between two adjustments of a rate.
 	minAdjustInterval = Second
-	// minAnswersToAdjust is the number of answers from which a rejection share can be estimated. In a large fleet, a
-	// share of fewer answers counts as caused by the limit.
+	// minAnswersToAdjust is the number of answers from which a rejection share can be estimated. With fewer answers, a
+	// sender of a large fleet attributes all rejections to a limit.
 	minAnswersToAdjust = 16
-	// negligibleCalls is a number of calls that overloads no endpoint. That few rejections are not unusual, either.
+	// negligibleCalls is a number of calls that overloads no endpoint, and a number of rejections that is not unusual.
 	negligibleCalls = 4.0
 	// toleratedRejections is the rejection share that is accepted as the price of finding free capacity.
 	toleratedRejections = 0.02
--- a/choice/retries.go
+++ b/choice/retries.go
@@ -7,8 +7,8 @@
 	retryCapShare  = 2.0
 	// maxBackoffDoublings prevents an overflow when the ceiling is doubled.
 	maxBackoffDoublings = 20
-	// rejectedRetryDivisor limits the retries of rejected messages of one destination to the in-flight limit divided by
-	// it.
+	// rejectedRetryDivisor divides the in-flight limit. The result is the number of calls in flight that may retry
+	// rejected messages of one destination.
 	rejectedRetryDivisor = 4
 	// kindRetryCredit is the number of retries that a successful call pays for if senders exchange notes. In that case
 	// all destinations of a kind share one retry budget.
@@ -53,7 +53,8 @@
 }
 
 // RepeatableUntil returns the time until which a message may be sent again, which is as long as the destination
-// remembers its idempotency key. It returns forever for unknown messages and for those without that restriction.
+// remembers its idempotency key. It returns the largest Time for unknown messages and for those without that
+// restriction.
 func (s *Sender) RepeatableUntil(id MessageID) Time {
 	msg := s.messages[id]
 	if msg == nil || !msg.MayRun || s.class(msg).Repeat != Keyed {
--- a/choice/retries_test.go
+++ b/choice/retries_test.go
@@ -170,7 +170,7 @@
 	}
 	most := float64(set.InFlightLimit) + 12/seconds(host.sender.retryCap) + 1
 	left := math.Floor(dest.retryBudget.tokens)
-	fmt.Println("retries within the budget:", float64(retries) <= most, "left", left <= float64(set.InFlightLimit), firsts > 0)
+	fmt.Println("retries within the budget:", float64(retries) <= most, "tokens within the limit:", left <= float64(set.InFlightLimit), "first attempts:", firsts > 0)
 	// Output:
-	// retries within the budget: true left true true
+	// retries within the budget: true tokens within the limit: true first attempts: true
 }
--- a/choice/retryafter.go
+++ b/choice/retryafter.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// pauseEnd returns the time when the pause of the first endpoint of a destination ends, or now if one is not paused.
+// pauseEnd returns the earliest end of a pause among the endpoints of a destination. The end may be in the past.
 func (s *Sender) pauseEnd(dest *destination) Time {
 	latest := max(dest.route.pausedUntil, s.now)
 	return earliest(dest.ranked, latest, func(ep *endpoint) Time { return ep.route.pausedUntil })
--- a/choice/sender.go
+++ b/choice/sender.go
@@ -39,7 +39,7 @@
 	host     Host
 	settings Settings
 	random   randomSource
-	now      Time // the host's clock at the latest event
+	now      Time // time of the latest event, on the host's clock
 
 	// The next fields are derived from the settings by applySettings.
 
@@ -70,7 +70,7 @@
 	destinations       map[DestinationID]*destination // those with endpoints or messages; dropped by the tick
 	endpoints          map[EndpointID]*endpoint       // those listed or still needed; dropped by the tick
 	endpointsByHash    map[endpointHash]*endpoint     // the same endpoints, by their hash in notes
-	queuedDestinations []*destination                 // those with queued messages, the one that became so first in front
+	queuedDestinations []*destination                 // those with queued messages, longest queued first
 	dirty              []*destination                 // those that the next tick refreshes
 	calls              []*call                        // calls in flight, at most the in-flight limit
 }
--- a/choice/slowstart_test.go
+++ b/choice/slowstart_test.go
@@ -23,7 +23,7 @@
 // third of the calls from senders that could not know of the outage are only counted and logged. Such senders have
 // restarted, or had no messages for the endpoint during the outage.
 func TestSlowStartOfFleets(t *testing.T) {
-	kinds := []struct {
+	variants := []struct {
 		name string
 		set  func(p *outagePlan)
 	}{
@@ -39,11 +39,11 @@
 			t.Parallel()
 			outages, overloads, byAware := 0, 0, 0
 			maxExcess, maxAwareExcess := 0.0, 0.0
-			for _, kind := range kinds {
+			for _, variant := range variants {
 				for i, capacity := range []float64{3, 20} {
 					p := largeFleetPlan(senders, capacity)
 					p.seed = uint64(i + 1)
-					kind.set(&p)
+					variant.set(&p)
 					back, _ := p.run()
 					for _, ep := range back {
 						outages++
@@ -53,7 +53,7 @@
 						maxAwareExcess = max(maxAwareExcess, ep.awareExcess)
 						if ep.awareExcess > 0 {
 							t.Errorf("%s, capacity %v calls a second, seed %d: %.1f calls too many at %s",
-								kind.name, capacity, p.seed, ep.awareExcess, ep.id)
+								variant.name, capacity, p.seed, ep.awareExcess, ep.id)
 						}
 					}
 				}
@@ -69,11 +69,11 @@
 // once unless the settings allow it.
 func TestSlowStartUnderExtremeSettings(t *testing.T) {
 	classes := func(p *outagePlan, n int, r Repeat) {
-		w := p.set.Classes[0]
-		w.Repeat = r
+		class := p.set.Classes[0]
+		class.Repeat = r
 		p.set.Classes = nil
 		for range n {
-			p.set.Classes = append(p.set.Classes, w)
+			p.set.Classes = append(p.set.Classes, class)
 		}
 	}
 	plans := map[string]func(p *outagePlan){
@@ -162,7 +162,7 @@
 func TestReopensInSlowStart(t *testing.T) {
 	p := largeFleetPlan(80, 10)
 	p.set.Senders, p.set.Probing = p.senders, false
-	at := map[EndpointID]int{}
+	callsAt := map[EndpointID]int{}
 	for i := range p.senders {
 		host := &fakeHost{attempts: map[MessageID]int{}, mute: true}
 		host.sender = Start(host, SenderID(fmt.Sprint(i)), 7, p.set)
@@ -173,15 +173,15 @@
 			host.sender.now = host.clock
 			host.sender.eject(ep)
 			host.sender.readmit(ep, host.clock)
-			ep.slowStart.tokens = 1 // it had nothing to send for a long time
+			ep.slowStart.tokens = 1 // the sender had nothing to send for a long time
 		}
 		host.accept(0, 1, "first").end(Rejected, 4*Second, "a", "first").accept(0, 1, "p", "q", "r").advance(5 * Second)
 		for id, ep := range host.sender.endpoints {
-			at[id] += ep.inFlight
+			callsAt[id] += ep.inFlight
 		}
 	}
 	n := 2.5 * 10 * (0.2 + 0.8*0.5) * 1.5 // what the settings allow after 5 s of a slow start that began before the pause
-	for id, calls := range at {
+	for id, calls := range callsAt {
 		if most := n + 2*math.Sqrt(n) + 2; float64(calls) > most {
 			t.Errorf("%d calls at once at %s, more than %.0f overload it", calls, id, most)
 		}
--- a/choice/state.go
+++ b/choice/state.go
@@ -9,20 +9,20 @@
 	Message
 	destination *destination
 
-	inFlight     *call     // the call that carries it, or nil
+	inFlight     *call     // the call that carries the message, or nil
 	lastEndpoint *endpoint // endpoint of the latest attempt with an outcome
 	attempts     int
 	retryAt      Time // earliest time of the next attempt
-	acceptedAt   Time // its deadline minus the class's Deadline; its value is computed from here
+	acceptedAt   Time // Deadline minus the deadline of its class; the value of the message decays from here
 
-	queue        *list.List // the queue that holds it, or nil
+	queue        *list.List // the queue that holds the message, or nil
 	queueElement *list.Element
-	keyQueue     *keyQueue // nil if its order does not matter
-	timers       []TimerID // timers set for it
+	keyQueue     *keyQueue // nil if the message has no order
+	timers       []TimerID // timers set for the message
 
-	rejected  bool // its latest attempt was rejected
+	rejected  bool // the latest attempt was rejected
 	ended     bool // no further attempt follows
-	overQuota bool // it exceeded its account's quota when it was accepted
+	overQuota bool // beyond its account's quota when accepted
 }
 
 // keyQueue holds the messages of one order key in the order accepted. It is dropped when it is empty and not paused.
@@ -35,24 +35,24 @@
 type destination struct {
 	id     DestinationID
 	kind   *kind
-	route  *route      // shared by its endpoints, unless its kind has separate routes
+	route  *route      // shared by all endpoints, unless the kind has separate routes
 	ranked []*endpoint // all endpoints, best first as of the latest refresh
 
 	queues                  []*list.List // by index: dueRetries, rejectedRetries, then first attempts by class
 	queued                  int          // number of messages in queues
 	openMessages            int          // messages that have not ended, or have ended and are still in flight
 	rejectedRetriesInFlight int          // calls in flight that retry a rejected message
-	keysPausedUntil         Time         // latest end of a pause of an order key
+	keysPausedUntil         Time         // latest end of a pause of an order key that a message has left
 
 	retryBudget tokenBucket // pays for retries; see Sender.retryBudget
-	dirty       bool        // it is in Sender.dirty
+	dirty       bool        // whether Sender.dirty holds the destination
 }
 
 // kind is the state that all destinations of one kind share.
 type kind struct {
 	Kind
 	callTimes                    // of all calls to the kind; used for endpoints without calls
-	reportsLimits    bool        // its answers report limits, so a rejection without a report is not caused by one
+	reportsLimits    bool        // answers report limits, so a rejection without a report has another cause
 	retryBudget      tokenBucket // pays for retries if senders exchange notes; see Sender.retryBudget
 	usualRetryAfter  Time        // recent mean of the Retry-After of limits that are used up
 	connectFailShare float64     // recent share of new connections that failed
@@ -85,7 +85,7 @@
 	pausedUntil Time // no call is sent before this time
 	guessedWait Time // latest guessed wait, used when no Retry-After came
 	limitHitAt  Time // when a sender of the fleet last hit the limit
-	limitPause  Time // how long the route paused for it
+	limitPause  Time // basis of the latest pause for the limit; see Sender.applyPeerLimit
 
 	lastSuccess           Time
 	consecutiveFailures   int // since the last successful call
@@ -100,14 +100,14 @@
 	destination *destination
 	route       *route
 	zone        ZoneNo
-	listed      bool // the endpoint list has it as Ready
+	listed      bool // the endpoint list has the endpoint as Ready
 	probing     bool // a health probe is in flight
 
 	inFlight         int     // calls in flight
 	concurrencyLimit float64 // most calls in flight, adapted by their outcomes
 	bulkCall         *call   // latest call, which other messages of the same turn may join
 	sent             rateMeter
-	slowStart        tokenBucket // limits calls while it is ejected or in slow start
+	slowStart        tokenBucket // limits calls while the endpoint is ejected or in slow start
 
 	// The next fields are learned from outcomes. The shares are exponential means over recent calls.
 
@@ -116,18 +116,18 @@
 	rejectedShare       float64
 	recentAnswered      float64 // decaying count of calls with an outcome
 	recentRejected      float64 // decaying count of rejected calls
-	successesNeeded     int     // successful calls needed before it gets non-idempotent messages again
+	successesNeeded     int     // successful calls needed before non-idempotent messages are sent again
 	unansweredAt        Time    // time of the latest call that went unanswered while others were answered
 	lastSuccess         Time
 
 	idleConnUntil    Time // an idle connection may exist until then
-	connectionNoteAt Time // when the latest note was sent or received that it had no room for another connection
+	connectionNoteAt Time // time of the latest note, sent or received, that the connection table was full
 }
 
 // healthState is whether an endpoint is ejected or in slow start, and since when.
 type healthState struct {
 	ejected     bool
-	probePassed bool // it answers probes, so a trial call may find out whether it answers calls
+	probePassed bool // the latest probe passed, so a trial call may be sent
 	lastFailure Time
 	ejectedAt   Time
 	trialPause  Time // backoff between trials (probes or calls)
@@ -149,5 +149,5 @@
 	rejectedRetry  bool // opened for the retry of a rejected message
 	newConnection  bool // no idle connection was known
 	outcomeCounted bool // the first informative outcome has been counted
-	unanswered     bool // it has been counted as unanswered
+	unanswered     bool // the call has been counted as unanswered
 }
--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -1,4 +1,4 @@
-// Drill hosts senders behind the bench's wire on standard input and output.
+// Drill runs senders behind the line protocol of the simulator, on standard input and output.
 package main
 
 import (
--- a/internal/drill/drill.go
+++ b/internal/drill/drill.go
@@ -33,7 +33,7 @@
 // Unwrap returns the error without the line number.
 func (e *LineError) Unwrap() error { return e.Err }
 
-var errInputEnds = errors.New("input ends inside a batch")
+var errInputEndsInBatch = errors.New("input ends inside a batch")
 
 // Run serves batches until the input ends. An error in the input is a *LineError.
 func Run(in io.Reader, out io.Writer) error {
@@ -46,7 +46,7 @@
 		text, err := s.in.ReadString('\n')
 		if text == "" && errors.Is(err, io.EOF) {
 			if s.inBatch {
-				return &LineError{s.line + 1, errInputEnds}
+				return &LineError{s.line + 1, errInputEndsInBatch}
 			}
 			return nil
 		}
@@ -75,8 +75,8 @@
 	catalog      int // index of the list being read
 	missingItems int // items of that list still to be read
 
-	senders map[choice.SenderID]*hostedSender
-	touched []choice.SenderID // senders with events in the batch, in the order of their first event
+	senders    map[choice.SenderID]*hostedSender
+	withEvents []choice.SenderID // senders with events in the batch, in the order of their first event
 }
 
 // handleLine handles one line, given without its line end.
@@ -159,18 +159,18 @@
 		sender = &hostedSender{id: id, server: s}
 		s.senders[id] = sender
 	}
-	if !sender.touched {
-		sender.touched = true
-		s.touched = append(s.touched, id)
+	if !sender.hadEvent {
+		sender.hadEvent = true
+		s.withEvents = append(s.withEvents, id)
 	}
 	return handle(sender, f)
 }
 
 // endBatch ends the turn of each sender that had events in the batch, and writes the sender's lines.
 func (s *server) endBatch() error {
-	for _, id := range s.touched {
+	for _, id := range s.withEvents {
 		sender := s.senders[id]
-		sender.touched = false
+		sender.hadEvent = false
 		if sender.core != nil {
 			sender.core.TurnEnd()
 		}
@@ -179,7 +179,7 @@
 		}
 		sender.output.Reset()
 	}
-	s.touched = s.touched[:0]
+	s.withEvents = s.withEvents[:0]
 	s.inBatch = false
 	if _, err := s.out.WriteString("done\n"); err != nil {
 		return err
