--- a/choice/configure_test.go
+++ b/choice/configure_test.go
@@ -108,7 +108,7 @@
 			t.Parallel()
 			before := loadSettings(entry.fleet)
 			after := withChange(before, entry.change)
-			play := func(start Settings, then *Settings) []string {
+			run := func(start Settings, then *Settings) []string {
 				host := &loadHost{t: t}
 				host.start(start)
 				if then == nil || name != "Kinds.SeparateRoutes" { // this field applies when an endpoint is first listed
@@ -124,7 +124,7 @@
 				host.runUntil(loadWarmUp + loadSpan + 30*Second)
 				return host.trace
 			}
-			started, configured, other := play(after, nil), play(before, &after), play(before, nil)
+			started, configured, other := run(after, nil), run(before, &after), run(before, nil)
 			if i := firstDifference(started, configured); i >= 0 {
 				startedLine, configuredLine := started[i:min(len(started), i+1)], configured[i:min(len(configured), i+1)]
 				t.Errorf("line %d of %d: started %q, configured %q", i, len(started), startedLine, configuredLine)
--- a/choice/keyorder_test.go
+++ b/choice/keyorder_test.go
@@ -18,8 +18,8 @@
 }
 
 // Whatever happens to the first message of a key, the next one is sent after it: at once if no call can still be
-// running, and after a pause if one may. A rejected message keeps its place. A message that has ended is answered in
-// the turn in which that is decided.
+// running, and after a pause if one may. A rejected message keeps its place. A message is answered in the turn that
+// decides its end.
 func ExampleSender_headOfKey() {
 	for _, end := range []struct {
 		name   string
--- a/choice/ratelimit_test.go
+++ b/choice/ratelimit_test.go
@@ -29,14 +29,14 @@
 	host := startSender(set)
 	host.mute = true
 	host.accept(0, 1, "first").end(Done, 0, "a", "first")
-	tell := func(id MessageID, result Result, left float64) {
+	endCall := func(id MessageID, result Result, left float64) {
 		host.advance(1100*Millisecond).accept(0, 1, id).sender.Ended(Outcome{Message: id, Attempt: host.attempts[id] - 1, Endpoint: "a", Result: result,
 			Final: result == Done, Report: Report{Known: true, Left: left, Limit: 80}})
 		fmt.Printf("%v, %.1f left: rate %.2f\n", [...]string{"done", "", "rejected"}[result], left, host.destination(1).route.limiter.rate)
 	}
 	for i, id := range []MessageID{"p", "q", "r", "s", "t"} {
 		host.destination(1).route.limiter.tokens = 1 // otherwise the call would wait for a token at the low rate
-		tell(id, [...]Result{Rejected, Rejected, Rejected, Done, Done}[i], [...]float64{0, 0, 0, 0.1, 0.5}[i])
+		endCall(id, [...]Result{Rejected, Rejected, Rejected, Done, Done}[i], [...]float64{0, 0, 0, 0.1, 0.5}[i])
 		host.sender.Withdrawn(id)
 	}
 	// Output:
@@ -50,13 +50,13 @@
 // A rejection share that does not depend on the load costs little throughput. A limit is found and kept, even with such
 // a share added.
 func ExampleSender_adjustRate() {
-	play := func(what string, offered int, noise, limit float64) {
+	run := func(name string, offered int, noise, limit float64) {
 		host := startSender(testSettings())
 		s, route := host.sender, host.destination(1).route
 		allowance := 0.0 // left of the limit
 		sent, rejected := 0, 0
-		const playSeconds = 60
-		for i := range offered * playSeconds {
+		const runSeconds = 60
+		for i := range offered * runSeconds {
 			now := Time(i) * Second / Time(offered)
 			s.now, host.clock = now, now
 			allowance = min(max(1, limit/5), allowance+limit/float64(offered))
@@ -72,20 +72,20 @@
 			} else {
 				allowance--
 			}
-			if now >= playSeconds*Second/2 { // the rate has settled by then
+			if now >= runSeconds*Second/2 { // the rate has settled by then
 				sent++
 				rejected += countIf(isRejected)
 			}
 		}
-		fmt.Printf("%s: %d a second sent of %d, %d%% of them rejected\n", what, sent/30, offered, 100*rejected/max(1, sent))
+		fmt.Printf("%s: %d a second sent of %d, %d%% of them rejected\n", name, sent/30, offered, 100*rejected/max(1, sent))
 	}
-	play("noise of 1%", 200, 0.01, 0)
-	play("noise of 6%", 200, 0.06, 0)
-	play("noise of 6% at a low rate", 5, 0.06, 0)
-	play("noise of 20%", 200, 0.2, 0)
-	play("a limit of 100", 200, 0, 100)
-	play("a limit of 100 and noise of 6%", 200, 0.06, 100)
-	play("a limit of 2", 10, 0, 2)
+	run("noise of 1%", 200, 0.01, 0)
+	run("noise of 6%", 200, 0.06, 0)
+	run("noise of 6% at a low rate", 5, 0.06, 0)
+	run("noise of 20%", 200, 0.2, 0)
+	run("a limit of 100", 200, 0, 100)
+	run("a limit of 100 and noise of 6%", 200, 0.06, 100)
+	run("a limit of 2", 10, 0, 2)
 	// Output:
 	// noise of 1%: 200 a second sent of 200, 1% of them rejected
 	// noise of 6%: 200 a second sent of 200, 6% of them rejected
@@ -130,8 +130,8 @@
 	host.mute = true
 	host.update(Entry{Endpoint: "b", Destination: 1, Rating: 10})
 	a, b := host.endpoint("a"), host.endpoint("b")
-	route, low := a.route, unlimitedRate
-	to := map[EndpointID]int{}
+	route, lowestRate := a.route, unlimitedRate
+	callsTo := map[EndpointID]int{}
 	for i := range 2000 {
 		host.advance(10 * Millisecond)
 		id := MessageID(fmt.Sprint(i))
@@ -141,17 +141,17 @@
 			if msg == nil || msg.inFlight == nil || msg.inFlight.endpoint != ep {
 				continue
 			}
-			to[ep.id]++
+			callsTo[ep.id]++
 			result := Done
 			if ep == b && i%2 == 0 {
 				result = Rejected
 			}
 			host.end(result, 0, ep.id, id)
 		}
-		low = min(low, route.limiter.rate)
+		lowestRate = min(lowestRate, route.limiter.rate)
 	}
 	host.sender.refreshDestination(host.destination(1))
-	fmt.Println("a preferred:", to["a"] > 10*to["b"], "ranked first:", host.destination(1).ranked[0].id, "rate kept:", low >= 90)
+	fmt.Println("a preferred:", callsTo["a"] > 10*callsTo["b"], "ranked first:", host.destination(1).ranked[0].id, "rate kept:", lowestRate >= 90)
 	// Output:
 	// a preferred: true ranked first: a rate kept: true
 }
--- a/choice/retries_test.go
+++ b/choice/retries_test.go
@@ -26,16 +26,16 @@
 func ExampleSender_jitter() {
 	host := startSender(testSettings())
 	host.mute = true
-	for try := 1; try <= 4; try++ {
+	for attempt := 1; attempt <= 4; attempt++ {
 		longest, shortest := Time(0), Time(1<<60)
 		for i := range 40 {
-			msg := &message{Message: Message{ID: MessageID(fmt.Sprint(i))}, attempts: try,
+			msg := &message{Message: Message{ID: MessageID(fmt.Sprint(i))}, attempts: attempt,
 				destination: host.destination(1)}
 			msg.Deadline = 60 * Second
 			host.sender.scheduleRetry(msg)
 			longest, shortest = max(longest, msg.retryAt), min(shortest, msg.retryAt)
 		}
-		fmt.Println("attempt", try, "from", shortest, "to", longest)
+		fmt.Println("attempt", attempt, "from", shortest, "to", longest)
 	}
 	// Output:
 	// attempt 1 from 4 to 2490
--- a/choice/withdrawn_test.go
+++ b/choice/withdrawn_test.go
@@ -5,8 +5,8 @@
 // A withdrawn message is neither sent again nor answered, whatever its state. It frees its place in the in-flight limit
 // when its call ends, and the messages behind it in its key queue continue.
 func ExampleSender_Withdrawn() {
-	play := func(what string, set Settings, do func(host *fakeHost)) {
-		fmt.Println(what)
+	run := func(name string, set Settings, do func(host *fakeHost)) {
+		fmt.Println(name)
 		host := startSender(set)
 		do(host)
 		host.advance(7 * Second)
@@ -14,36 +14,36 @@
 			fmt.Println("left over state:", s.messages, s.calls, s.timers.pending, s.keyQueues, s.queuedDestinations)
 		}
 	}
-	drop := func(host *fakeHost, id MessageID) *fakeHost {
+	withdraw := func(host *fakeHost, id MessageID) *fakeHost {
 		host.sender.Withdrawn(id)
 		host.sender.TurnEnd()
 		return host
 	}
-	play("queued", testSettings(), func(host *fakeHost) {
+	run("queued", testSettings(), func(host *fakeHost) {
 		host.sender.Taken(Message{ID: "p", Key: NoKey, Destination: 1, Deadline: 6 * Second})
-		drop(host, "p")
+		withdraw(host, "p")
 	})
-	play("in the queue of rejected retries", testSettings(), func(host *fakeHost) {
+	run("in the queue of rejected retries", testSettings(), func(host *fakeHost) {
 		host.accept(0, 1, "p", "q").end(Rejected, 500*Millisecond, "a", "p", "q").advance(300 * Millisecond)
 		fmt.Println("queued:", host.destination(1).queues[1].Len())
-		drop(drop(host, "p"), "q")
+		withdraw(withdraw(host, "p"), "q")
 	})
-	play("waiting for a retry", testSettings(), func(host *fakeHost) { drop(host.accept(1, 1, "p").end(Errored, 0, "a", "p"), "p") })
-	play("behind the first of its key, and the first while in flight", orderedSettings(), func(host *fakeHost) {
+	run("waiting for a retry", testSettings(), func(host *fakeHost) { withdraw(host.accept(1, 1, "p").end(Errored, 0, "a", "p"), "p") })
+	run("behind the first of its key, and the first while in flight", orderedSettings(), func(host *fakeHost) {
 		host.acceptKeyed("head", 2, 7, 2).sender.TurnEnd()
-		drop(drop(host.acceptKeyed("next", 2, 7, 2).acceptKeyed("last", 2, 7, 2), "next"), "head")
+		withdraw(withdraw(host.acceptKeyed("next", 2, 7, 2).acceptKeyed("last", 2, 7, 2), "next"), "head")
 		host.advance(50*Millisecond).end(Done, 0, "c", "head").end(Done, 0, "c", "last")
 	})
-	play("the first of its key, while queued", orderedSettings(), func(host *fakeHost) {
-		drop(host.acceptKeyed("head", 2, 7, 2).acceptKeyed("next", 2, 7, 2), "head").end(Done, 0, "c", "next")
+	run("the first of its key, while queued", orderedSettings(), func(host *fakeHost) {
+		withdraw(host.acceptKeyed("head", 2, 7, 2).acceptKeyed("next", 2, 7, 2), "head").end(Done, 0, "c", "next")
 	})
-	play("the first of its key, while it may be running", orderedSettings(), func(host *fakeHost) {
+	run("the first of its key, while it may be running", orderedSettings(), func(host *fakeHost) {
 		host.acceptKeyed("head", 3, 7, 2).sender.TurnEnd()
-		drop(host.acceptKeyed("next", 3, 7, 2).end(Reset, 0, "c", "head"), "head").advance(400*Millisecond).end(Done, 0, "c", "next")
+		withdraw(host.acceptKeyed("next", 3, 7, 2).end(Reset, 0, "c", "head"), "head").advance(400*Millisecond).end(Done, 0, "c", "next")
 	})
 	for _, end := range []Result{Done, Rejected, Errored, TimedOut, NotRun} {
-		play(fmt.Sprint("in flight in a bulk call, result ", end), testSettings(), func(host *fakeHost) {
-			drop(host.accept(0, 2, "p", "q"), "p").end(end, 0, "c", "p")
+		run(fmt.Sprint("in flight in a bulk call, result ", end), testSettings(), func(host *fakeHost) {
+			withdraw(host.accept(0, 2, "p", "q"), "p").end(end, 0, "c", "p")
 			fmt.Println("calls in flight:", len(host.sender.calls))
 			host.end(Done, 0, "c", "q")
 		})
--- a/internal/drill/events.go
+++ b/internal/drill/events.go
@@ -43,7 +43,7 @@
 	reportFields []string       // names of the fields of load reports
 	classCount   int
 	output       bytes.Buffer
-	hadEvent     bool // it had an event in the current batch
+	hadEvent     bool // whether the current batch has an event of the sender
 }
 
 func lookUp[V any](f *fields, field string, values map[string]V) V {
