--- a/cmd/flaxcove/helpers_test.go
+++ b/cmd/flaxcove/helpers_test.go
@@ -11,10 +11,11 @@
 	"time"
 )
 
-// startTimeout bounds how long a test waits for a process that it has started.
+// startTimeout bounds the time that a test waits for a condition of a process that it has started.
 const startTimeout = 30 * time.Second
 
-// TestMain lets the test's own binary stand in for the program.
+// TestMain runs the program itself if the test binary is started with one of the program's sub-commands as its first
+// argument, so that tests can start the program without building it.
 func TestMain(m *testing.M) {
 	if len(os.Args) > 1 && slices.Contains([]string{"serve", "lab", "routes"}, os.Args[1]) {
 		main()
@@ -23,7 +24,7 @@
 	os.Exit(m.Run())
 }
 
-// runProgram runs the program to its end and returns its exit code, -1 where it did not start, and what it printed.
+// runProgram runs the program in a folder until it exits, and returns its exit code (-1 if it did not start) and its output.
 func runProgram(dir string, args ...string) (code int, stdout, stderr string) {
 	program := exec.Command(os.Args[0], args...)
 	program.Dir = dir
@@ -39,12 +40,12 @@
 	return code, out.String(), errOut.String()
 }
 
-// runLab runs a lab command to its end.
+// runLab runs a lab command in a folder until it exits.
 func runLab(dir string, args ...string) (code int, stdout, stderr string) {
 	return runProgram(dir, append([]string{"lab"}, args...)...)
 }
 
-// startProgram starts the program, which is killed at the end of the test where it has not ended by then.
+// startProgram starts the program. It is killed at the end of the test if it is still running.
 func startProgram(t *testing.T, program *exec.Cmd) {
 	t.Helper()
 	if err := program.Start(); err != nil {
@@ -56,7 +57,7 @@
 	})
 }
 
-// freeAddr is a loopback address that nobody listened on a moment ago.
+// freeAddr returns a loopback address with a port that was free a moment ago.
 func freeAddr(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -83,12 +84,12 @@
 	return string(text)
 }
 
-// eventually polls until the condition holds, and fails the test where that takes longer than startTimeout.
-func eventually(t *testing.T, what string, condition func() bool) {
+// eventually polls until the condition holds, and fails the test if that takes longer than startTimeout.
+func eventually(t *testing.T, expected string, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(startTimeout); !condition(); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("not within %v: %s", startTimeout, expected)
 		}
 	}
 }
--- a/cmd/flaxcove/lab.go
+++ b/cmd/flaxcove/lab.go
@@ -1,6 +1,6 @@
 package main
 
-// This file owns what the lab commands share: their list, their exit codes and the flags that several of them take.
+// This file declares the list of lab commands, and what they share: exit codes, flags and helpers.
 
 import (
 	"context"
@@ -15,30 +15,31 @@
 	"flaxcove/lab/scenario"
 )
 
-// Exit codes of all lab commands and of the routes commands, beside 0 and 1 for what else went wrong.
+// Exit codes of all lab commands and of the routes commands. Code 0 means success, code 1 any other failure.
 const (
-	exitWrongInput = 2 // a file or a flag is wrong; nothing has run
-	exitRuleBroken = 3 // a rule was broken, or a find was made
-	exitVoid       = 4 // the machine was too busy for the run to say anything
+	exitWrongInput = 2 // a file or a flag is invalid; nothing has run
+	exitRuleBroken = 3 // a rule was broken, an expectation failed, or a hunt saved a find
+	exitInvalidRun = 4 // the machine was too busy, so the result of the run is void
 )
 
-// The engines that can play a scenario, as --engine names them.
+// The engines that can run a scenario, by their names in --engine.
 const (
 	engineSimulated = "simulated"
 	engineSockets   = "sockets"
 )
 
 var (
-	flagSet    = &cli.StringSliceFlag{Name: "set", Usage: "`FIELD=VALUE` of the scenario, as in load.rate=100; may be repeated"}
-	flagSize   = &cli.FloatFlag{Name: "size", Usage: "times the scenario's senders, partners and rate", Value: 1}
-	flagEngine = &cli.StringFlag{Name: "engine", Usage: "simulated, or sockets with real senders", Value: engineSimulated}
-	flagSeed   = &cli.Uint64Flag{Name: "seed", Usage: "from which all chance comes", Value: 1}
+	flagSet    = &cli.StringSliceFlag{Name: "set", Usage: "set a field of the scenario to a value: `FIELD=VALUE`, for example load.rate=100; may be repeated"}
+	flagSize   = &cli.FloatFlag{Name: "size", Usage: "factor by which to multiply the scenario's senders, destinations and rate", Value: 1}
+	flagEngine = &cli.StringFlag{Name: "engine", Usage: "simulated (in simulated time) or sockets (real senders on loopback sockets)", Value: engineSimulated}
+	flagSeed   = &cli.Uint64Flag{Name: "seed", Usage: "seed of all random draws", Value: 1}
 	flagJSON   = &cli.BoolFlag{Name: "json", Usage: "print JSON"}
-	flagBinary = &cli.StringFlag{Name: "binary", Usage: "another build of this program, to play with"}
-	flagLogs   = &cli.StringFlag{Name: "logs", Usage: "keep the senders' logs in this folder (sockets)"}
+	flagBinary = &cli.StringFlag{Name: "binary", Usage: "run the senders with this other build of the program"}
+	flagLogs   = &cli.StringFlag{Name: "logs", Usage: "store the senders' logs in this folder (engine sockets only)"}
 )
 
-// flagCores is --cores with what the command does so many of at once.
+// flagCores returns the flag --cores, whose default is the number of CPUs. The usage text says what the command runs that
+// many of in parallel.
 func flagCores(usage string) *cli.IntFlag {
 	return &cli.IntFlag{Name: "cores", Usage: usage, Value: runtime.NumCPU()}
 }
@@ -46,16 +47,17 @@
 func labCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "lab",
-		Usage: "try senders against a model of the outside world",
-		Description: "All of it stays on this machine: engine one plays in simulated time, engine two on loopback sockets.\n" +
-			"Exit codes: 0 done, 1 it could not be done, 2 a file or flag is wrong and nothing has run, 3 a rule was\n" +
-			"broken or a find was made, 4 the machine was too busy and the run is void.\n\n" +
+		Usage: "test senders against a simulated environment",
+		Description: "All traffic stays on this machine: the engine \"simulated\" runs in simulated time, the engine \"sockets\" on\nloopback sockets.\n" +
+			"Exit codes: 0 success, 1 failure, 2 a file or a flag is invalid and nothing has run, 3 a rule was broken or a\n" +
+			"find was saved, 4 the machine was too busy and the run is void.\n\n" +
 			"Example: flaxcove lab run crash",
 		Commands: []*cli.Command{labRun(), labServe(), labLoad(), labExperiment(), labHunt(), labReport(), labLimits(), labScenarios(), labYardstick(), labScale()},
 	}
 }
 
-// untilStopSignal is an action whose context ends with SIGINT or SIGTERM, so that neither a process nor a folder is left behind.
+// untilStopSignal returns an action whose context ends on SIGINT or SIGTERM, so that the action can stop its processes and
+// remove its temporary folders.
 func untilStopSignal(action cli.ActionFunc) cli.ActionFunc {
 	return func(ctx context.Context, c *cli.Command) error {
 		ctx, stop := signal.NotifyContext(ctx, syscall.SIGINT, syscall.SIGTERM)
@@ -64,7 +66,8 @@
 	}
 }
 
-// withScenario is an action on the scenario that the command's only argument names; its context ends with a stop signal.
+// withScenario returns an action that loads the scenario named by the command's only argument, and passes it to the given
+// function. The context ends on SIGINT or SIGTERM.
 func withScenario(action func(context.Context, *cli.Command, *scenario.Scenario) error) cli.ActionFunc {
 	return untilStopSignal(func(ctx context.Context, c *cli.Command) error {
 		s, err := findScenario(c)
@@ -75,19 +78,21 @@
 	})
 }
 
-// wrongInput ends the program with the error as its message and the exit code for wrong input.
+// wrongInput returns an error that makes the program print err and exit with exitWrongInput.
 func wrongInput(err error) error {
 	return cli.Exit(fmt.Errorf("flaxcove: %w", err), exitWrongInput)
 }
 
-// exitSilently ends the program with a code and no message: what went wrong has been printed already.
+// exitSilently returns an error that makes the program exit with a code and print nothing, because the result has already
+// been printed.
 func exitSilently(code int) error { return cli.Exit("", code) }
 
-// verdictCode is the exit code that a verdict asks for.
+// verdictCode returns an error that makes the program exit with exitInvalidRun for a void run and with exitRuleBroken for a
+// run that broke a rule. It returns nil for any other run.
 func verdictCode(v *referee.Verdict) error {
 	switch {
 	case v.Void != "":
-		return exitSilently(exitVoid)
+		return exitSilently(exitInvalidRun)
 	case v.Broken():
 		return exitSilently(exitRuleBroken)
 	}
--- a/cmd/flaxcove/lab_hunt.go
+++ b/cmd/flaxcove/lab_hunt.go
@@ -14,41 +14,42 @@
 	"flaxcove/lab/world"
 )
 
-// huntStream selects the random stream from which scenarios are drawn; a seed gives the same scenario in every version.
+// huntStream selects the random stream from which scenarios are drawn. It must not change: a seed must draw the same
+// scenario in every version.
 const huntStream = 0x4047
 
-// shrinkRuns is how many runs may go into making one find small.
+// shrinkRuns is the maximum number of runs to shrink one find.
 const shrinkRuns = 120
 
 func labHunt() *cli.Command {
 	return &cli.Command{
-		Name: "hunt", Usage: "draw random scenarios and keep those that break a rule or lie far under the bound",
-		Description: "Each find is shrunk to a small scenario and saved; `flaxcove lab run FILE` plays it. Exit code 3 tells of finds.\n\n" +
+		Name: "hunt", Usage: "run random scenarios and save those that break a rule or reach much less value than the bound",
+		Description: "Each find is shrunk to a small scenario and saved; `flaxcove lab run FILE` runs it. The bound is the value that\nthe policy all_seen reaches, which sees the true state of all endpoints. Exit code 3 means that there are finds.\n\n" +
 			"Examples: flaxcove lab hunt --rules --runs 500\n          flaxcove lab hunt --gap 0.3 --scale 4 --for 2m --dir finds",
-		Flags: []cli.Flag{flagJSON, &cli.Uint64Flag{Name: "seed", Usage: "of the first scenario; each next one has the next", Value: 1},
-			&cli.BoolFlag{Name: "rules", Usage: "look for broken rules only"},
-			&cli.FloatFlag{Name: "gap", Usage: "share of the bound's gain that is missing, from which on a scenario is kept", Value: 0.25},
-			&cli.FloatFlag{Name: "scale", Usage: "size of scenarios; 1 is a handful of senders", Value: 1},
-			&cli.IntFlag{Name: "runs", Usage: "scenarios to draw", Value: 200},
-			&cli.DurationFlag{Name: "for", Usage: "and for no longer than this", Value: 10 * time.Minute},
-			&cli.IntFlag{Name: "finds", Usage: "finds after which it ends", Value: 5},
-			flagCores("scenarios at once"),
-			&cli.StringFlag{Name: "dir", Usage: "where finds go", Value: "finds"}},
+		Flags: []cli.Flag{flagJSON, &cli.Uint64Flag{Name: "seed", Usage: "seed of the first scenario; each further scenario has the next seed", Value: 1},
+			&cli.BoolFlag{Name: "rules", Usage: "save only scenarios that break a rule"},
+			&cli.FloatFlag{Name: "gap", Usage: "smallest missing share of the bound's value for which a scenario is saved", Value: 0.25},
+			&cli.FloatFlag{Name: "scale", Usage: "size of the scenarios; 1 means up to six senders", Value: 1},
+			&cli.IntFlag{Name: "runs", Usage: "number of scenarios to draw", Value: 200},
+			&cli.DurationFlag{Name: "for", Usage: "maximum duration of the hunt", Value: 10 * time.Minute},
+			&cli.IntFlag{Name: "finds", Usage: "number of finds after which the hunt ends", Value: 5},
+			flagCores("number of parallel runs"),
+			&cli.StringFlag{Name: "dir", Usage: "folder in which finds are saved", Value: "finds"}},
 		Action: untilStopSignal(runHunt),
 	}
 }
 
-// runHunt plays random scenarios until the hunt ends, prints the finds, and ends with the exit code that they ask for.
+// runHunt runs random scenarios until the hunt ends, and prints the finds. The exit code is exitRuleBroken if there are any.
 func runHunt(ctx context.Context, c *cli.Command) error {
 	ctx, cancel := context.WithTimeout(ctx, c.Duration("for"))
 	defer cancel()
-	h := &hunter{goal: hunt.Goal{Rules: c.Bool("rules"), Least: c.Float("gap")}, firstSeed: c.Uint64("seed"), scale: c.Float("scale"),
+	h := &hunter{goal: hunt.Goal{RulesOnly: c.Bool("rules"), MinGap: c.Float("gap")}, firstSeed: c.Uint64("seed"), scale: c.Float("scale"),
 		maxRuns: c.Int("runs"), maxFinds: c.Int("finds"), folder: c.String("dir"), progress: newProgress()}
-	h.playAll(ctx, max(1, c.Int("cores")))
+	h.runAll(ctx, max(1, c.Int("cores")))
 	if h.err != nil {
 		return h.err
 	}
-	if err := printFinds(c.Bool("json"), h.played, h.finds); err != nil {
+	if err := printFinds(c.Bool("json"), h.completed, h.finds); err != nil {
 		return err
 	}
 	if len(h.finds) > 0 {
@@ -57,7 +58,7 @@
 	return nil
 }
 
-// huntFind is one scenario that a hunt kept, as it is printed.
+// huntFind is one saved find in the output of the command.
 type huntFind struct {
 	File    string       `json:"file"`
 	Rule    referee.Rule `json:"rule,omitempty"`
@@ -67,28 +68,28 @@
 	About   string       `json:"about"`
 }
 
-// hunter draws and plays scenarios on several goroutines.
+// hunter draws and runs scenarios on several goroutines.
 type hunter struct {
 	goal              hunt.Goal
-	firstSeed         uint64 // of the first scenario; each next one has the next
+	firstSeed         uint64 // seed of the first scenario; each further scenario has the next seed
 	scale             float64
 	maxRuns, maxFinds int
-	folder            string // where finds are saved
-
-	mu       sync.Mutex // guards what follows
-	progress *progress
-	drawn    int
-	played   int
-	finds    []huntFind
-	err      error // ends the hunt
+	folder            string // in which finds are saved
+
+	mu        sync.Mutex // guards the fields below
+	progress  *progress
+	drawn     int // scenarios whose seed has been assigned
+	completed int // scenarios that have been run
+	finds     []huntFind
+	err       error // the error that ended the hunt, nil if there is none
 }
 
-// playAll plays scenarios on the given number of goroutines until the hunt ends.
-func (h *hunter) playAll(ctx context.Context, cores int) {
+// runAll runs scenarios on the given number of goroutines until the hunt ends.
+func (h *hunter) runAll(ctx context.Context, cores int) {
 	var wg sync.WaitGroup
 	for range cores {
 		wg.Go(func() {
-			for h.playNext(ctx) {
+			for h.runNext(ctx) {
 			}
 		})
 	}
@@ -96,8 +97,8 @@
 	h.progress.clear()
 }
 
-// nextSeed hands out the seed of the next scenario, or says that the hunt has ended: all runs drawn, enough finds,
-// an error, or the time is up.
+// nextSeed returns the seed of the next scenario. More is false once the hunt has ended: all scenarios are drawn, there are
+// enough finds, an error occurred, or ctx has ended.
 func (h *hunter) nextSeed(ctx context.Context) (seed uint64, more bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -109,24 +110,24 @@
 	return seed, true
 }
 
-// playNext draws, plays and records one scenario; it says false when the hunt has ended.
-func (h *hunter) playNext(ctx context.Context) bool {
+// runNext draws, runs and records one scenario. It returns false once the hunt has ended.
+func (h *hunter) runNext(ctx context.Context) bool {
 	seed, more := h.nextSeed(ctx)
 	if !more {
 		return false
 	}
 	spec := hunt.Draw(rand.New(rand.NewPCG(seed, huntStream)), h.scale)
-	saved, err := playAndShrink(ctx, spec, seed, h.goal)
+	saved, err := runAndShrink(ctx, spec, seed, h.goal)
 	h.record(ctx, seed, saved, err)
 	return true
 }
 
-// record counts a played scenario, saves what was found in it, nil for nothing, and shows the progress.
+// record counts a scenario that has been run, saves its find unless that is nil, and shows the progress.
 func (h *hunter) record(ctx context.Context, seed uint64, found *hunt.SavedFind, err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.played++
-	if err != nil && ctx.Err() == nil { // a run that the end of the hunt cut off has not failed
+	h.completed++
+	if err != nil && ctx.Err() == nil { // a run that the end of the hunt interrupted has not failed
 		h.err = err
 	}
 	if found != nil {
@@ -136,36 +137,37 @@
 		}
 		h.finds = append(h.finds, huntFind{path, found.Found.Rule, found.Found.Gap, seed, found.Senders, found.About})
 	}
-	h.progress.show("%d of %d scenarios, %d finds", h.played, h.maxRuns, len(h.finds))
+	h.progress.show("%d of %d scenarios, %d finds", h.completed, h.maxRuns, len(h.finds))
 }
 
-// printFinds prints the finds as JSON or as lines for a person.
-func printFinds(asJSON bool, played int, finds []huntFind) error {
+// printFinds prints the finds as JSON, or as a summary line followed by a line for each find.
+func printFinds(asJSON bool, completed int, finds []huntFind) error {
 	if asJSON {
 		return printJSON(finds)
 	}
-	fmt.Printf("%d scenarios played, %d finds\n", played, len(finds))
+	fmt.Printf("%d scenarios run, %d finds\n", completed, len(finds))
 	for _, f := range finds {
-		what := fmt.Sprintf("gap %.2f", f.Gap)
+		finding := fmt.Sprintf("gap %.2f", f.Gap)
 		if f.Rule != "" {
-			what = "breaks " + string(f.Rule)
+			finding = "breaks rule " + string(f.Rule)
 		}
-		fmt.Printf("  %s: %s, seed %d, %d senders; %s\n", f.File, what, f.Seed, f.Senders, f.About)
+		fmt.Printf("  %s: %s, seed %d, %d senders; %s\n", f.File, finding, f.Seed, f.Senders, f.About)
 	}
 	return nil
 }
 
-// playAndShrink plays a scenario and, where it shows something, returns a small scenario that shows the same; else nil.
-func playAndShrink(ctx context.Context, spec *world.Spec, seed uint64, goal hunt.Goal) (*hunt.SavedFind, error) {
-	played, err := hunt.Simulated(spec, seed, !goal.Rules)
+// runAndShrink runs a scenario. If the outcome matches the goal, it returns the smallest scenario with the same finding that
+// it reaches within shrinkRuns runs; otherwise it returns nil.
+func runAndShrink(ctx context.Context, spec *world.Spec, seed uint64, goal hunt.Goal) (*hunt.SavedFind, error) {
+	outcome, err := hunt.RunSimulated(spec, seed, !goal.RulesOnly)
 	if err != nil {
 		return nil, err
 	}
-	rule, hit := goal.Hit(played)
-	if !hit || ctx.Err() != nil {
+	rule, matches := goal.Matches(outcome)
+	if !matches || ctx.Err() != nil {
 		return nil, nil
 	}
-	small, played, err := hunt.Shrink(spec, seed, goal, hunt.Simulated, shrinkRuns, nil)
+	small, outcome, err := hunt.Shrink(spec, seed, goal, hunt.RunSimulated, shrinkRuns, nil)
 	if err != nil {
 		return nil, err
 	}
@@ -175,11 +177,11 @@
 	}
 	small.Name = fmt.Sprintf("%s-%d", kind, seed)
 	small.About = "found by hunt:"
-	for _, t := range small.Faults {
-		small.About += " " + t.Kind
+	for _, fault := range small.Faults {
+		small.About += " " + fault.Kind
 	}
-	return &hunt.SavedFind{Spec: *small, Found: hunt.Find{Rule: rule, Seed: seed, Gap: cutToThousandths(played.Gap), Open: true}}, nil
+	return &hunt.SavedFind{Spec: *small, Found: hunt.Find{Rule: rule, Seed: seed, Gap: cutToThousandths(outcome.Gap), Open: true}}, nil
 }
 
-// cutToThousandths drops the digits that would only make the saved file harder to read.
+// cutToThousandths truncates x after the third decimal place, to keep saved files readable.
 func cutToThousandths(x float64) float64 { return float64(int(x*1000)) / 1000 }
--- a/cmd/flaxcove/lab_limits.go
+++ b/cmd/flaxcove/lab_limits.go
@@ -16,37 +16,38 @@
 
 func labLimits() *cli.Command {
 	return &cli.Command{
-		Name: "limits", Usage: "what refusals do: noise by rate and share, and limits that many senders share",
-		Description: "Two grids in simulated time. Noise: one sender, one destination with room, a share of calls that fail whatever\n" +
-			"the load. Sharing: 2 to 250 senders at one limit that none is told, which falls to a third and rises again.\n" +
-			"Exit code 3 tells that a point of the noise grid did not hold, or that a rule was broken.\n\n" +
+		Name: "limits", Usage: "measure the effect of rejections: random failures, and rate limits that many senders share",
+		Description: "Runs two grids of scenarios in simulated time. Noise: one sender, one destination with spare capacity, and a share\n" +
+			"of calls that fail independently of the load. Sharing: 2 to 250 senders share one rate limit that is not\nannounced, falls to a third and rises again.\n" +
+			"Exit code 3 means that a point of the noise grid did not pass, or that a rule was broken.\n\n" +
 			"Examples: flaxcove lab limits\n          flaxcove lab limits --only noise --rates 1,1000 --shares 0.06 --policy backoff",
 		Flags: []cli.Flag{flagJSON, flagSeed,
-			&cli.StringFlag{Name: "only", Usage: "noise or sharing; both if left out"},
-			&cli.FloatSliceFlag{Name: "rates", Usage: "notices a second (noise)", Value: []float64{1, 10, 100, 1000}},
+			&cli.StringFlag{Name: "only", Usage: "run one grid only: noise or sharing (default: both)"},
+			&cli.FloatSliceFlag{Name: "rates", Usage: "messages per second (noise)", Value: []float64{1, 10, 100, 1000}},
 			&cli.FloatSliceFlag{Name: "shares", Usage: "shares of calls that fail (noise)", Value: []float64{0, 0.001, 0.01, 0.03, 0.06, 0.2}},
-			&cli.IntSliceFlag{Name: "senders", Usage: "at one limit (sharing)", Value: []int{2, 8, 50, 250}},
-			&cli.FloatFlag{Name: "part", Usage: "of the limit for each sender, in calls a second (sharing)", Value: 4},
-			&cli.FloatFlag{Name: "seconds", Usage: "simulated, for each point", Value: 60},
-			flagCores("points at once"),
-			&cli.StringFlag{Name: "policy", Usage: "choice, or a baseline"}},
+			&cli.IntSliceFlag{Name: "senders", Usage: "numbers of senders that share the limit (sharing)", Value: []int{2, 8, 50, 250}},
+			&cli.FloatFlag{Name: "part", Usage: "each sender's part of the limit, in calls per second (sharing)", Value: 4},
+			&cli.FloatFlag{Name: "seconds", Usage: "simulated seconds for each point", Value: 60},
+			flagCores("number of points run in parallel"),
+			&cli.StringFlag{Name: "policy", Usage: "choice (the default) or the name of a baseline"}},
 		Action: untilStopSignal(runLimits),
 	}
 }
 
-// The grids, as --only names them.
+// The grids, by their names in --only and in the JSON output.
 const (
 	gridNoise   = "noise"
 	gridSharing = "sharing"
 )
 
-// runLimits plays the points of the grids that the flags ask for, prints them, and ends with the exit code that they ask for.
+// runLimits runs the points of the grids selected by --only, and prints them. The exit code is exitRuleBroken if a point did
+// not pass.
 func runLimits(ctx context.Context, c *cli.Command) error {
 	only := c.String("only")
 	if only != "" && only != gridNoise && only != gridSharing {
 		return wrongInput(fmt.Errorf("--only: %q is neither noise nor sharing", only))
 	}
-	o, err := limitsOptions(c)
+	o, err := newLimitsOptions(c)
 	if err != nil {
 		return err
 	}
@@ -69,20 +70,21 @@
 	return nil
 }
 
-// limitsOptions are the options that all points of both grids share, from the flags.
-func limitsOptions(c *cli.Command) (limits.Options, error) {
+// newLimitsOptions returns the options that all points of both grids share, as set by the flags.
+func newLimitsOptions(c *cli.Command) (limits.Options, error) {
 	policy, err := findPolicy(c.String("policy"))
 	return limits.Options{Seed: c.Uint64("seed"), Seconds: c.Float("seconds"), Policy: policy}, err
 }
 
-// limitsGrids are the points of both grids and the jobs that fill them in; each job writes its own point only.
+// limitsGrids holds the points of both grids, and the jobs that compute them. Each job writes one point, so that jobs can run
+// in parallel.
 type limitsGrids struct {
 	jobs    []func() error
 	noise   []*limits.NoisePoint
-	sharing []*limits.SharePoint
+	sharing []*limits.SharingPoint
 }
 
-// addNoise adds a point for each mode, rate and share of calls that fail.
+// addNoise adds a point and its job for each combination of mode, rate in messages per second, and share of calls that fail.
 func (g *limitsGrids) addNoise(o limits.Options, rates, shares []float64) {
 	for _, mode := range limits.Modes {
 		for _, rate := range rates {
@@ -90,7 +92,7 @@
 				i := len(g.noise)
 				g.noise = append(g.noise, nil)
 				g.jobs = append(g.jobs, func() (err error) {
-					g.noise[i], err = limits.Noise(o, mode, rate, failing)
+					g.noise[i], err = limits.RunNoise(o, mode, rate, failing)
 					return err
 				})
 			}
@@ -98,17 +100,18 @@
 	}
 }
 
-// addSharing adds, for each number of senders, a point for each way of counting at the limit.
+// addSharing adds, for each number of senders, a point and its job for each way in which the limit counts calls. Part is each
+// sender's part of the limit, in calls per second.
 func (g *limitsGrids) addSharing(o limits.Options, senderCounts []int, part float64) {
 	for _, senders := range senderCounts {
 		for _, counting := range []struct {
-			span float64 // seconds of a window; 0 for a steady rate
-			all  bool    // refused calls count too
+			span float64 // length of the counting window in seconds; 0 for a rate limit
+			all  bool    // rejected calls count, too
 		}{{0, false}, {0, true}, {1, false}, {2, true}} {
 			i := len(g.sharing)
 			g.sharing = append(g.sharing, nil)
 			g.jobs = append(g.jobs, func() (err error) {
-				g.sharing[i], err = limits.Share(o, senders, part, counting.span, counting.all)
+				g.sharing[i], err = limits.RunSharing(o, senders, part, counting.span, counting.all)
 				return err
 			})
 		}
@@ -122,7 +125,7 @@
 	}
 	table := tabwriter.NewWriter(os.Stdout, 2, 0, 2, ' ', tabwriter.AlignRight)
 	printNoise(table, g.noise)
-	// Columns are aligned within a table only.
+	// Flush between the tables, so that the columns of each are aligned on their own.
 	if err := table.Flush(); err != nil {
 		return err
 	}
@@ -130,7 +133,7 @@
 	return table.Flush()
 }
 
-// broken says whether a point of the noise grid did not hold or a point of the sharing grid broke a rule.
+// broken reports whether a point of the noise grid did not pass or a point of the sharing grid broke a rule.
 func (g *limitsGrids) broken() bool {
 	for _, p := range g.noise {
 		if !p.Passed() {
@@ -145,7 +148,8 @@
 	return false
 }
 
-// inParallel runs jobs on so many cores, tells how far it is, and ends early with the context or the first error.
+// inParallel runs jobs, at most cores of them at a time, and shows the progress. It starts no further job after ctx has ended
+// or a job has failed, and returns the first error.
 func inParallel(ctx context.Context, cores int, jobs []func() error) error {
 	progress := newProgress()
 	defer progress.clear()
@@ -169,32 +173,32 @@
 	return group.Wait()
 }
 
-// printNoise writes the noise grid, a row for each point; nothing where it was not played.
+// printNoise writes the noise grid with a row for each point, or nothing if there are no points.
 func printNoise(table io.Writer, points []*limits.NoisePoint) {
 	if len(points) > 0 {
-		fmt.Fprintln(table, "noise\trate\tshare\tdelivered\tin time\tof ideal\tsingle-use\tcalls\tat most\trules\t")
+		fmt.Fprintln(table, "noise\trate\tshare\tdelivered\tin time\tof ideal\tnon-idempotent\tcalls\tmax calls\trules broken\t")
 	}
 	for _, p := range points {
 		mark := ""
 		if !p.Passed() {
 			mark = "!"
 		}
-		fmt.Fprintf(table, "%s\t%g\t%g\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%d\t%s\n", p.Mode, p.Rate, p.Share, p.Delivered, p.InTime, p.OfIdeal,
-			p.Single, p.Calls, p.CallsMost, p.BrokenRules, mark)
+		fmt.Fprintf(table, "%s\t%g\t%g\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%d\t%s\n", p.Mode, p.Rate, p.Share, p.Delivered, p.InTime, p.IdealRatio,
+			p.NonIdempotent, p.Calls, p.MaxCalls, p.BrokenRules, mark)
 	}
 }
 
-// printSharing writes the sharing grid, a row for each phase of each point; nothing where it was not played.
-func printSharing(table io.Writer, points []*limits.SharePoint) {
+// printSharing writes the sharing grid with a row for each phase of each point, or nothing if there are no points.
+func printSharing(table io.Writer, points []*limits.SharingPoint) {
 	if len(points) > 0 {
-		fmt.Fprintln(table, "senders\tlimit\tcounts\tpart\tdone/limit\trefused\tsettled s\tovershoot\twaves\tJain\tby luck\tjoiner\trules\t")
+		fmt.Fprintln(table, "senders\tlimit\tcounts\tphase\tutilization\trejected\tsettled s\tovershoot\tvariation\tJain\tby chance\tjoiner\trules broken\t")
 	}
 	for _, p := range points {
 		for i, phase := range p.Phases {
-			fmt.Fprintf(table, "%d\t%.0f\t%s\t%d\t%.2f\t%.3f\t%.0f\t%.2f\t%.2f\t", p.Senders, phase.Limit, countedBy(p), i+1, phase.Done, phase.Refused,
-				phase.Settled, phase.Overshoot, phase.Waves)
+			fmt.Fprintf(table, "%d\t%.0f\t%s\t%d\t%.2f\t%.3f\t%.0f\t%.2f\t%.2f\t", p.Senders, phase.Limit, countingText(p), i+1, phase.Utilization, phase.Refused,
+				phase.Settled, phase.Overshoot, phase.Variation)
 			if i == 0 {
-				fmt.Fprintf(table, "%.3f\t%.3f\t%.2f\t%d\t\n", p.Jain, p.JainLuck, p.Joiner, p.BrokenRules)
+				fmt.Fprintf(table, "%.3f\t%.3f\t%.2f\t%d\t\n", p.Jain, p.JainByChance, p.Joiner, p.BrokenRules)
 			} else {
 				fmt.Fprintf(table, "\t\t\t\t\n")
 			}
@@ -202,14 +206,14 @@
 	}
 }
 
-// countedBy says how the limit of a point counts calls.
-func countedBy(p *limits.SharePoint) string {
+// countingText describes how the limit of a point counts calls: as a rate or in a window, and whether rejected calls count.
+func countingText(p *limits.SharingPoint) string {
 	counts := "rate"
 	if p.Span > 0 {
 		counts = fmt.Sprintf("%g s", p.Span)
 	}
 	if p.CountAll {
-		counts += ", refused too"
+		counts += ", with rejected calls"
 	}
 	return counts
 }
--- a/cmd/flaxcove/lab_output.go
+++ b/cmd/flaxcove/lab_output.go
@@ -1,6 +1,6 @@
 package main
 
-// This file owns how lab commands print: JSON, reports, status lines and progress.
+// This file holds the output functions of the lab commands: JSON, reports, status lines and progress.
 
 import (
 	"encoding/json"
@@ -15,16 +15,16 @@
 	"flaxcove/lab/report"
 )
 
-// statusInterval is how often progress is printed where standard error is no terminal.
+// statusInterval is the minimum time between two progress lines if standard error is not a terminal.
 const statusInterval = 5 * time.Second
 
-// clearLine returns to the start of a terminal's line and erases it.
+// clearLine is the control sequence that returns to the start of a terminal's line and erases it.
 const clearLine = "\r\033[K"
 
 // printJSON writes one value to standard output as a line of JSON.
 func printJSON(v any) error { return json.NewEncoder(os.Stdout).Encode(v) }
 
-// printVerdict prints the whole result of a run as JSON where --json asks for it, and else its verdict for a person.
+// printVerdict prints the whole result of a run as JSON if --json is set, and otherwise a summary of its verdict.
 func printVerdict(c *cli.Command, result any, verdict *referee.Verdict) error {
 	if c.Bool("json") {
 		return printJSON(result)
@@ -53,19 +53,21 @@
 	return errors.Join(report.HTML(file, p), file.Close())
 }
 
-// progress prints a line that replaces itself on a terminal, and a line now and then elsewhere.
+// progress shows the progress of a command on standard error. On a terminal it replaces the same line each time; elsewhere it
+// prints a new line at most once in statusInterval.
 type progress struct {
-	terminal bool
-	lastLine time.Time
+	terminal bool      // standard error is a terminal
+	lastLine time.Time // when the last line was printed, if standard error is not a terminal
 }
 
-// newProgress finds out whether standard error is a terminal.
+// newProgress returns a progress for standard error as it is now: a terminal or not.
 func newProgress() *progress {
 	info, err := os.Stderr.Stat()
 	return &progress{terminal: err == nil && info.Mode()&os.ModeCharDevice != 0}
 }
 
-// show replaces the progress line; elsewhere than on a terminal it prints a line, once in statusInterval at most.
+// show replaces the progress line. If standard error is not a terminal, it prints a new line, or nothing if less than
+// statusInterval has passed since the last one.
 func (p *progress) show(format string, args ...any) {
 	switch {
 	case p.terminal:
@@ -76,7 +78,7 @@
 	}
 }
 
-// clear erases the progress line.
+// clear erases the progress line. It does nothing if standard error is not a terminal.
 func (p *progress) clear() {
 	if p.terminal {
 		fmt.Fprint(os.Stderr, clearLine)
--- a/cmd/flaxcove/lab_report.go
+++ b/cmd/flaxcove/lab_report.go
@@ -17,19 +17,19 @@
 
 func labReport() *cli.Command {
 	return &cli.Command{
-		Name: "report", Usage: "make one HTML file of verdicts and results", ArgsUsage: "FILE ...",
-		Description: "Files that end in .json are verdicts of `lab run --out`, those that end in .jsonl results of `lab experiment`.\n\n" +
+		Name: "report", Usage: "write verdicts and results as one HTML file", ArgsUsage: "FILE ...",
+		Description: "Files whose names end in .jsonl are read as results of `lab experiment`, all others as verdicts of\n`lab run --out`.\n\n" +
 			"Example: flaxcove lab report --out both.html crash.json tiers.jsonl",
-		Flags: []cli.Flag{&cli.StringFlag{Name: "out", Usage: "the page", Value: "report.html"}, &cli.StringFlag{Name: "title", Value: "Laboratory report"},
-			&cli.StringFlag{Name: "base", Usage: "the variant that others are compared with (default: the first)"}},
+		Flags: []cli.Flag{&cli.StringFlag{Name: "out", Usage: "path of the HTML file", Value: "report.html"}, &cli.StringFlag{Name: "title", Value: "Laboratory report"},
+			&cli.StringFlag{Name: "base", Usage: "the variant with which the others are compared (default: the first)"}},
 		Action: runReport,
 	}
 }
 
-// runReport reads all files that the arguments name and writes them as one page.
+// runReport reads all files that the arguments name, writes them as one page, and prints the path of the page.
 func runReport(_ context.Context, c *cli.Command) error {
 	if c.Args().Len() == 0 {
-		return wrongInput(errors.New("name at least one file"))
+		return wrongInput(errors.New("expected at least one argument: a file of verdicts or results"))
 	}
 	page := &report.Page{Title: c.String("title"), Base: c.String("base")}
 	for _, path := range c.Args().Slice() {
@@ -45,7 +45,8 @@
 	return nil
 }
 
-// addToPage reads a file of experiment results (.jsonl) or of one verdict into the page.
+// addToPage reads a file and adds its contents to the page: experiment results if its name ends in .jsonl, otherwise one
+// verdict.
 func addToPage(page *report.Page, path string) error {
 	if strings.HasSuffix(path, ".jsonl") {
 		results, err := experiment.ReadResults(path)
--- a/cmd/flaxcove/lab_run.go
+++ b/cmd/flaxcove/lab_run.go
@@ -17,28 +17,29 @@
 
 func labRun() *cli.Command {
 	return &cli.Command{
-		Name: "run", Usage: "play one scenario and judge it", ArgsUsage: "SCENARIO",
-		Description: "SCENARIO is a file that ends in .toml or the name of one that comes with the program. What a hunt has saved is\n" +
-			"played with its own seed, where none is given.\n\n" +
+		Name: "run", Usage: "run one scenario and check the rules", ArgsUsage: "SCENARIO",
+		Description: "SCENARIO is the name of a file that ends in .toml, or the name of a built-in scenario. A find that a hunt has\n" +
+			"saved is run with the seed of its file, unless --seed is set.\n\n" +
 			"Examples: flaxcove lab run crash\n" +
 			"          flaxcove lab run --engine sockets --report crash.html crash\n" +
 			"          flaxcove lab run --policy backoff --set load.rate=100 slow",
 		Flags: []cli.Flag{flagEngine, flagSeed, flagSet, flagSize, flagJSON, flagBinary, flagLogs,
-			&cli.StringFlag{Name: "policy", Usage: "choice, or a baseline (simulated): one_try, fixed, backoff, least, all_seen"},
+			&cli.StringFlag{Name: "policy", Usage: "choice (the default) or a baseline (engine simulated only): one_try, fixed, backoff, least, all_seen"},
 			&cli.StringFlag{Name: "out", Usage: "write the verdict as JSON to this file"},
 			&cli.StringFlag{Name: "report", Usage: "write an HTML report to this file"}},
 		Action: withScenario(runScenario),
 	}
 }
 
-// runScenario plays the scenario once, writes and prints the verdict, and ends with the exit code that it asks for.
+// runScenario runs the scenario once, and writes and prints the verdict. The exit code depends on the verdict, see
+// verdictCode.
 func runScenario(ctx context.Context, c *cli.Command, s *scenario.Scenario) error {
-	run, err := singleRun(c, s)
+	run, err := newRunSpec(c, s)
 	if err != nil {
 		return err
 	}
 	if run.Engine == engineSockets {
-		fmt.Fprintf(os.Stderr, "%s: %d senders, %.0f s and what is left after that\n", s.Spec.Name, s.Spec.Senders, s.Spec.Seconds)
+		fmt.Fprintf(os.Stderr, "%s: %d senders, %.0f s and the time to finish pending messages\n", s.Spec.Name, s.Spec.Senders, s.Spec.Seconds)
 	}
 	verdict, err := experiment.RunOnce(ctx, run)
 	if err != nil {
@@ -53,8 +54,8 @@
 	return verdictCode(verdict)
 }
 
-// singleRun is the run that the flags ask for.
-func singleRun(c *cli.Command, s *scenario.Scenario) (experiment.RunSpec, error) {
+// newRunSpec returns the run that the flags describe.
+func newRunSpec(c *cli.Command, s *scenario.Scenario) (experiment.RunSpec, error) {
 	policy := c.String("policy")
 	if _, err := findPolicy(policy); err != nil {
 		return experiment.RunSpec{}, err
@@ -71,19 +72,19 @@
 		Policy: policy, Binary: c.String("binary"), Self: self, Logs: c.String("logs")}, nil
 }
 
-// findPolicy is the policy that --policy names; nil, for the program's own, where it names none.
+// findPolicy returns the policy with a name, or nil if the name is "": nil selects the project's own decisions.
 func findPolicy(name string) (sim.NewPolicy, error) {
 	if name == "" {
 		return nil, nil
 	}
 	policy := baseline.Named(name)
 	if policy == nil {
-		return nil, wrongInput(fmt.Errorf("--policy: no policy is called %q", name))
+		return nil, wrongInput(fmt.Errorf("--policy: unknown policy %q", name))
 	}
 	return policy, nil
 }
 
-// writeVerdict writes the verdict to the files that --out and --report name.
+// writeVerdict writes the verdict to the files named by --out and --report, if these are set.
 func writeVerdict(c *cli.Command, title string, verdict *referee.Verdict) error {
 	if path := c.String("out"); path != "" {
 		if err := writeJSON(path, verdict); err != nil {
--- a/cmd/flaxcove/lab_scenario_argument.go
+++ b/cmd/flaxcove/lab_scenario_argument.go
@@ -1,6 +1,6 @@
 package main
 
-// This file finds the scenario that a lab command is to play, and changes it as the command's flags say.
+// This file loads the scenario that a lab command runs, and applies the flags that change it.
 
 import (
 	"errors"
@@ -16,10 +16,10 @@
 	"flaxcove/lab/scenario"
 )
 
-// findScenario reads the scenario named by the only argument, changed as --set and --size say.
+// findScenario loads the scenario named by the command's only argument, and applies --set and --size to it.
 func findScenario(c *cli.Command) (*scenario.Scenario, error) {
 	if c.Args().Len() != 1 {
-		return nil, wrongInput(errors.New("name one scenario; `flaxcove lab scenarios` lists those that come with the program"))
+		return nil, wrongInput(errors.New("expected one argument: a scenario; `flaxcove lab scenarios` lists the built-in ones"))
 	}
 	s, err := loadScenario(c, c.Args().First())
 	if err != nil {
@@ -40,8 +40,8 @@
 	return s, nil
 }
 
-// loadScenario reads a scenario from its file or from the library. A file that a hunt has saved is a scenario with one
-// table more, the find; its seed becomes --seed where none is given.
+// loadScenario loads a scenario from a file, from the built-in ones, or from a find that a hunt has saved. A saved find is a
+// scenario file with a further table, "found"; its seed becomes the value of --seed unless that flag is set.
 func loadScenario(c *cli.Command, name string) (*scenario.Scenario, error) {
 	s, err := scenario.Find(name, "")
 	if err == nil {
@@ -59,7 +59,7 @@
 	return &scenario.Scenario{Spec: &saved.Spec}, nil
 }
 
-// readSavedFind reads a file that a hunt has saved; nil where it is not one.
+// readSavedFind reads a find that a hunt has saved. It returns nil if the file cannot be read or is not a saved find.
 func readSavedFind(path string) *hunt.SavedFind {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -72,21 +72,21 @@
 	return saved
 }
 
-// changedFields reads the FIELD=VALUE pairs of --set.
+// changedFields parses the FIELD=VALUE pairs of --set into a map from fields to values.
 func changedFields(pairs []string) (map[string]any, error) {
 	changes := map[string]any{}
 	for _, pair := range pairs {
 		field, value, ok := strings.Cut(pair, "=")
 		if !ok {
-			return nil, wrongInput(fmt.Errorf("--set %s: it takes FIELD=VALUE", pair))
+			return nil, wrongInput(fmt.Errorf("--set %s: want FIELD=VALUE", pair))
 		}
-		changes[field] = literal(value)
+		changes[field] = parseLiteral(value)
 	}
 	return changes, nil
 }
 
-// literal reads a value as TOML would.
-func literal(text string) any {
+// parseLiteral parses a value as an integer, a float or a boolean, as TOML would, and returns any other text as a string.
+func parseLiteral(text string) any {
 	if v, err := strconv.ParseInt(text, 10, 64); err == nil {
 		return v
 	}
--- a/cmd/flaxcove/lab_scenarios.go
+++ b/cmd/flaxcove/lab_scenarios.go
@@ -16,16 +16,16 @@
 
 func labScenarios() *cli.Command {
 	return &cli.Command{
-		Name: "scenarios", Usage: "list the scenarios that come with the program, print one, or check files", ArgsUsage: "[SCENARIO ...]",
-		Description: "Without an argument it lists them; with --troubles, the kinds of trouble a scenario may name.\n\n" +
+		Name: "scenarios", Usage: "list the built-in scenarios, print scenarios, or check files", ArgsUsage: "[SCENARIO ...]",
+		Description: "Without an argument it lists the built-in scenarios; with --troubles, the kinds of fault that a scenario may\ncontain.\n\n" +
 			"Examples: flaxcove lab scenarios\n          flaxcove lab scenarios --print crash > mine.toml\n          flaxcove lab scenarios mine.toml",
-		Flags: []cli.Flag{flagJSON, &cli.BoolFlag{Name: "print", Usage: "print the scenario with all its fields"},
-			&cli.BoolFlag{Name: "troubles", Usage: "list the kinds of trouble"}},
+		Flags: []cli.Flag{flagJSON, &cli.BoolFlag{Name: "print", Usage: "print each scenario as TOML, with all its fields"},
+			&cli.BoolFlag{Name: "troubles", Usage: "list the kinds of fault"}},
 		Action: runScenarios,
 	}
 }
 
-// scenarioRow is one scenario of the list, as it is printed.
+// scenarioRow is one scenario in the output of the list.
 type scenarioRow struct {
 	Name    string  `json:"name"`
 	About   string  `json:"about"`
@@ -34,7 +34,8 @@
 	Rate    float64 `json:"rate"`
 }
 
-// runScenarios does what the flags ask for: list the kinds of fault, print scenarios in full, or list them.
+// runScenarios lists the kinds of fault if --troubles is set. Otherwise it prints the named scenarios, or all built-in ones:
+// in full if --print is set, else as a list.
 func runScenarios(_ context.Context, c *cli.Command) error {
 	if c.Bool("troubles") {
 		return listFaultKinds(c.Bool("json"))
@@ -60,7 +61,7 @@
 	return listScenarios(c.Bool("json"), rows)
 }
 
-// listFaultKinds prints the kinds of fault that a scenario may name, by name.
+// listFaultKinds prints the kinds of fault that a scenario may contain, sorted by name.
 func listFaultKinds(asJSON bool) error {
 	if asJSON {
 		return printJSON(world.FaultKinds)
@@ -68,7 +69,7 @@
 	table := newTable()
 	for _, name := range slices.Sorted(maps.Keys(world.FaultKinds)) {
 		kind := world.FaultKinds[name]
-		fmt.Fprintf(table, "%s\tstrikes %s\t%s\n", name, kind.Affects, kind.Amount)
+		fmt.Fprintf(table, "%s\taffects %s\t%s\n", name, kind.Affects, kind.Amount)
 	}
 	return table.Flush()
 }
@@ -90,10 +91,10 @@
 	}
 	table := newTable()
 	for _, r := range rows {
-		fmt.Fprintf(table, "%s\t%g s\t%d senders\t%g a second\t%s\n", r.Name, r.Seconds, r.Senders, r.Rate, r.About)
+		fmt.Fprintf(table, "%s\t%g s\t%d senders\t%g messages/s\t%s\n", r.Name, r.Seconds, r.Senders, r.Rate, r.About)
 	}
 	return table.Flush()
 }
 
-// newTable is a table on standard output whose columns are aligned to the left.
+// newTable returns a table on standard output with left-aligned columns.
 func newTable() *tabwriter.Writer { return tabwriter.NewWriter(os.Stdout, 2, 0, 2, ' ', 0) }
--- a/cmd/flaxcove/lab_serve.go
+++ b/cmd/flaxcove/lab_serve.go
@@ -14,19 +14,20 @@
 
 func labServe() *cli.Command {
 	return &cli.Command{
-		Name: "serve", Usage: "run a world alone, to try a sender of your own against", ArgsUsage: "SCENARIO",
-		Description: "It listens for partners, discovery and platform, writes a configuration for each sender to --dir and waits\n" +
-			"until senders serve. Its programs hand in as the scenario says; load.rate=0.001 leaves that to you. SIGINT\n" +
-			"ends it, with a verdict on what was played.\n\n" +
+		Name: "serve", Usage: "run only the simulated environment, for senders that you start yourself", ArgsUsage: "SCENARIO",
+		Description: "It listens in place of destinations, discovery and platform, writes a configuration for each sender to --dir and\n" +
+			"waits until the senders serve. Its clients submit messages as the scenario describes; --set load.rate=0.001\n" +
+			"leaves that to you. SIGINT ends the run and prints the verdict up to that time.\n\n" +
 			"Example: flaxcove lab serve --dir /tmp/try calm\n" +
 			"         EDGE_CONFIG=/tmp/try/s0/config.json flaxcove serve      # in another terminal, for each sender",
 		Flags: []cli.Flag{flagSeed, flagSet, flagSize, flagJSON,
-			&cli.StringFlag{Name: "dir", Usage: "where configurations and the senders' folders go", Value: "lab-senders"}},
+			&cli.StringFlag{Name: "dir", Usage: "folder for the senders' configurations and data", Value: "lab-senders"}},
 		Action: withScenario(runWorld),
 	}
 }
 
-// runWorld plays the outside world of the scenario until it ends or a stop signal comes, and prints the verdict.
+// runWorld runs the simulated environment of the scenario until its end or until a stop signal arrives, and prints the
+// verdict.
 func runWorld(ctx context.Context, c *cli.Command, s *scenario.Scenario) error {
 	folder := c.String("dir")
 	if err := os.MkdirAll(folder, 0o755); err != nil {
--- a/cmd/flaxcove/lab_test.go
+++ b/cmd/flaxcove/lab_test.go
@@ -15,7 +15,7 @@
 	"flaxcove/lab/referee"
 )
 
-// What is wrong with the input is told in one line, and nothing runs.
+// An invalid argument, flag or file is reported in one line on standard error; nothing runs, and the exit code is 2.
 func ExampleMain_labInput() {
 	dir, _ := os.MkdirTemp("", "lab")
 	defer os.RemoveAll(dir)
@@ -28,19 +28,19 @@
 	}
 	// Output:
 	// 2 "" flaxcove: bad.toml:3: field load.rate: 0 is not within 0.001 and 1e+06
-	// 2 "" flaxcove: name one scenario; `flaxcove lab scenarios` lists those that come with the program
-	// 2 "" flaxcove: --policy: no policy is called "best"
+	// 2 "" flaxcove: expected one argument: a scenario; `flaxcove lab scenarios` lists the built-in ones
+	// 2 "" flaxcove: --policy: unknown policy "best"
 	// 2 "" flaxcove: --engine: "real" is neither simulated nor sockets
 	// 2 "" flaxcove: "load.rates": there is no such field
 	// 2 "" flaxcove: calm: field load.rate: -3 is not within 0.001 and 1e+06
-	// 2 "" flaxcove: say --search, --rates or --soak
-	// 2 "" flaxcove: --rates: "fast" is not a rate
+	// 2 "" flaxcove: one of --search, --rates and --soak is required
+	// 2 "" flaxcove: --rates: "fast" is not a valid rate in messages per second
 	// 2 "" flaxcove: open none.json: no such file or directory
 	// 2 "" flaxcove: open none.toml: no such file or directory
 	// 2 "" flaxcove: bad.toml:3: field load.rate: 0 is not within 0.001 and 1e+06
 }
 
-// Wrong flags of lab limits run nothing.
+// Invalid flags of lab limits are reported and nothing runs; with valid flags a grid is printed.
 func ExampleMain_limits() {
 	for _, args := range [][]string{{"--only", "thunder"}, {"--policy", "best"},
 		{"--only", "noise", "--rates", "50", "--shares", "0.06", "--seconds", "5", "--cores", "1"}} {
@@ -52,11 +52,12 @@
 	}
 	// Output:
 	// 2 false flaxcove: --only: "thunder" is neither noise nor sharing
-	// 2 false flaxcove: --policy: no policy is called "best"
+	// 2 false flaxcove: --policy: unknown policy "best"
 	// 0 true
 }
 
-// A run prints JSON that can be read, writes its page, and tells by its exit code whether rules were kept.
+// TestLabRunAndReport checks that a run prints its verdict as valid JSON and writes an HTML page, that its exit code shows
+// whether rules were broken, and that `lab report` makes a page of a stored verdict.
 func TestLabRunAndReport(t *testing.T) {
 	dir := t.TempDir()
 	code, stdout, stderr := runLab(dir, "run", "--json", "--out", "v.json", "--report", "v.html", "--set", "seconds=10", "calm")
@@ -65,7 +66,7 @@
 		t.Fatalf("%d, %v, %s", code, err, stderr)
 	}
 	if code, stdout, _ := runLab(dir, "run", "--policy", "one_try", "hard-outage"); code != exitRuleBroken || !strings.Contains(stdout, "broken rules:") {
-		t.Errorf("a run that breaks rules ends with %d: %s", code, stdout)
+		t.Errorf("exit code of a run that breaks rules: %d, want %d: %s", code, exitRuleBroken, stdout)
 	}
 	if code, _, stderr := runLab(dir, "report", "--out", "r.html", "v.json"); code != 0 {
 		t.Error(code, stderr)
@@ -77,24 +78,24 @@
 	}
 }
 
-// SIGINT ends a run on sockets soon, and leaves neither a process nor a folder.
+// TestLabInterrupt checks that SIGINT ends a run on sockets within 8 s, and that the run removes its temporary folder.
 func TestLabInterrupt(t *testing.T) {
 	dir := t.TempDir()
 	program := exec.Command(os.Args[0], "lab", "run", "--engine", "sockets", "calm")
 	program.Dir = dir
 	program.Env = append(os.Environ(), "TMPDIR="+dir)
 	startProgram(t, program)
-	eventually(t, "three senders have started", func() bool {
+	eventually(t, "the logs of three senders exist", func() bool {
 		logs, _ := filepath.Glob(filepath.Join(dir, "flaxcove-lab-*", "s*.log"))
 		return len(logs) == 3
 	})
 	program.Process.Signal(syscall.SIGINT)
-	began := time.Now()
+	interruptedAt := time.Now()
 	err := program.Wait()
-	if err == nil || time.Since(began) > 8*time.Second {
-		t.Errorf("it ended after %v with %v", time.Since(began), err)
+	if err == nil || time.Since(interruptedAt) > 8*time.Second {
+		t.Errorf("the run ended %v after SIGINT with error %v", time.Since(interruptedAt), err)
 	}
 	if rest, _ := os.ReadDir(dir); len(rest) > 0 {
-		t.Errorf("%v is left", rest)
+		t.Errorf("files left behind: %v", rest)
 	}
 }
--- a/cmd/flaxcove/lab_yardstick.go
+++ b/cmd/flaxcove/lab_yardstick.go
@@ -14,18 +14,19 @@
 
 func labYardstick() *cli.Command {
 	return &cli.Command{
-		Name: "yardstick", Hidden: true, Usage: "run the forwarder that lab load measures senders against; keeps no rule",
+		Name: "yardstick", Hidden: true, Usage: "run the minimal forwarder with which `lab load` compares senders; it follows no rules",
 		Action: untilStopSignal(runYardstick),
 	}
 }
 
-// runYardstick forwards until a stop signal, on one thread as a sender does, so that both are measured alike.
+// runYardstick forwards messages until a stop signal arrives. It uses one thread, as a sender does, so that the two can be
+// compared.
 func runYardstick(ctx context.Context, _ *cli.Command) error {
 	cfg, err := config.Load(os.Getenv)
 	if err != nil {
 		return err
 	}
 	runtime.GOMAXPROCS(1)
-	fmt.Fprintln(os.Stderr, "yardstick: a plain forwarder for measurements; it keeps no rule")
+	fmt.Fprintln(os.Stderr, "yardstick: a minimal forwarder for measurements only; it follows no rules")
 	return yardstick.Run(ctx, cfg)
 }
--- a/cmd/flaxcove/main.go
+++ b/cmd/flaxcove/main.go
@@ -1,8 +1,8 @@
 // Flaxcove is the gateway's command line.
 //
-// The package owns flags, exit codes and what is printed on a terminal, one file a sub-command; what the sub-commands do
-// is in internal (serve), lab (lab ...) and internal/routes (routes ...). It never decides anything about a message.
-// This file owns the list of sub-commands and the logger; serve.go owns the process's limits and signals.
+// The package defines flags, exit codes and terminal output, with one file for each sub-command. The work is done by the
+// packages below internal (serve), lab (lab ...) and internal/routes (routes ...); no decision about a message is made here.
+// This file declares the list of sub-commands and the logger; serve.go sets the process's limits and handles its signals.
 package main
 
 import (
@@ -18,17 +18,17 @@
 	"flaxcove/internal/config"
 )
 
-// version is set by the build where it is known: -ldflags "-X main.version=...".
+// version is the version of the program. A release build sets it with -ldflags "-X main.version=...".
 var version = "development"
 
 func main() {
 	app := &cli.Command{
 		Name:  "flaxcove",
-		Usage: "take notices from clients and deliver them to partners' endpoints",
+		Usage: "an outbound gateway: accept messages from clients and deliver them to the endpoints of their destinations",
 		Commands: []*cli.Command{serveCommand(), addCommand(),
 			{Name: "counters", Usage: "print a running sender's counters", Action: counters, Flags: []cli.Flag{flagAddr}},
-			{Name: "ping", Usage: "ask a sender whether it is ready", Action: ping, Flags: []cli.Flag{flagAddr}},
-			{Name: "check", Usage: "read the configuration and say what is wrong with it", Action: checkConfig},
+			{Name: "ping", Usage: "check whether a sender is ready", Action: ping, Flags: []cli.Flag{flagAddr}},
+			{Name: "check", Usage: "check the configuration and print a summary or the first error", Action: checkConfig},
 			labCommand(), routesCommand(),
 			{Name: "version", Usage: "print the version", Action: printVersion},
 		},
@@ -44,17 +44,18 @@
 	return err
 }
 
-// checkConfig reads the configuration as serve would and sums it up.
+// checkConfig reads the configuration as serve does, and prints a summary.
 func checkConfig(context.Context, *cli.Command) error {
 	cfg, err := config.Load(os.Getenv)
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%s: %d endpoints known, %d workloads, %d slots\n", cfg.Name, len(cfg.Known.Entries), len(cfg.ClassNumbers), cfg.Settings.InFlightLimit)
+	fmt.Printf("%s: %d known endpoints, %d classes, in-flight limit %d\n", cfg.Name, len(cfg.Known.Entries), len(cfg.ClassNumbers), cfg.Settings.InFlightLimit)
 	return nil
 }
 
-// newLogger writes a line of JSON for each entry to standard error, and drops none.
+// newLogger returns a logger that writes each entry to standard error as a line of JSON, without sampling. Trace enables the
+// debug level.
 func newLogger(trace bool) (*zap.Logger, error) {
 	cfg := zap.NewProductionConfig()
 	if trace {
--- a/cmd/flaxcove/routes.go
+++ b/cmd/flaxcove/routes.go
@@ -10,17 +10,17 @@
 
 func routesCommand() *cli.Command {
 	return &cli.Command{
-		Name: "routes", Usage: "check what routes do, without traffic",
-		Description: "Routes are not followed by `serve` yet; these commands show what they would do.\n\n" +
+		Name: "routes", Usage: "test and explain routes, without traffic",
+		Description: "These commands show the effect of routes. `serve` does not apply routes yet.\n\n" +
 			"Example: flaxcove routes test deploy/routes-example.toml",
 		Commands: []*cli.Command{routesTest(), routesExplain()},
 	}
 }
 
-// loadRouting reads the files that the arguments name; they add up.
+// loadRouting reads the files that the arguments name, and merges them into one routing.
 func loadRouting(c *cli.Command) (*file.Routing, error) {
 	if c.Args().Len() == 0 {
-		return nil, wrongInput(errors.New("name at least one file"))
+		return nil, wrongInput(errors.New("expected at least one argument: a file of routes"))
 	}
 	r, err := file.Load(c.Args().Slice()...)
 	if err != nil {
--- a/cmd/flaxcove/routes_expect.go
+++ b/cmd/flaxcove/routes_expect.go
@@ -11,16 +11,16 @@
 
 func routesTest() *cli.Command {
 	return &cli.Command{
-		Name: "test", Usage: "check expectations against routes, overrides and a list", ArgsUsage: "FILE ...",
-		Description: "FILEs are TOML with [[route]], [[expect]], [[override]] and [[endpoint]] tables; they add up. Each expectation that\n" +
-			"fails is told with its smallest case. Exit codes: 0 all hold, 2 a file is wrong, 3 one fails.\n\n" +
+		Name: "test", Usage: "check expectations against routes, overrides and an endpoint list", ArgsUsage: "FILE ...",
+		Description: "FILEs are TOML with [[route]], [[expect]], [[override]] and [[endpoint]] tables; the tables of all files are\n" +
+			"merged. Each expectation that fails is printed with its smallest failing case. Exit codes: 0 all expectations\nhold, 2 a file is invalid, 3 an expectation fails.\n\n" +
 			"Example: flaxcove routes test routes.toml list.toml",
 		Flags:  []cli.Flag{flagJSON},
 		Action: runRoutesTest,
 	}
 }
 
-// runRoutesTest checks all expectations, prints those that fail, and ends with the exit code that they ask for.
+// runRoutesTest checks all expectations and prints those that fail. The exit code is exitRuleBroken if there are any.
 func runRoutesTest(_ context.Context, c *cli.Command) error {
 	r, err := loadRouting(c)
 	if err != nil {
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// failureRow is one expectation that failed, as it is printed.
+// failureRow is one failed expectation in the JSON output.
 type failureRow struct {
 	Expect      string              `json:"expect"`
 	Destination int64               `json:"destination"`
@@ -53,7 +53,7 @@
 	Route       string              `json:"route,omitempty"`
 }
 
-// printFailuresAsJSON prints the failures as a list, an empty one where there are none.
+// printFailuresAsJSON prints the failures as a JSON list, which is empty (not null) if there are none.
 func printFailuresAsJSON(failures []routes.Failure) error {
 	rows := []failureRow{}
 	for _, f := range failures {
--- a/cmd/flaxcove/routes_test.go
+++ b/cmd/flaxcove/routes_test.go
@@ -6,7 +6,7 @@
 	"path/filepath"
 )
 
-// A file that fails its expectations is told from one that is wrong, and neither from a good one by words alone.
+// The exit code distinguishes files whose expectations hold (0), invalid files (2) and expectations that fail (3).
 func ExampleMain_routes() {
 	dir, _ := os.MkdirTemp("", "routes")
 	defer os.RemoveAll(dir)
@@ -28,9 +28,9 @@
 	// 0 of 1 expectations hold over 1 routes, 2 endpoints
 	// 3 [{"expect":"one is left","destination":1,"what":"0 endpoints remain of 1 expected","lost":["a"],"route":"east"}]
 	// 2 flaxcove: wrong.toml:2: field route.nam: there is no such field
-	// 2 flaxcove: name at least one file
+	// 2 flaxcove: expected at least one argument: a file of routes
 	// 0 route: "east", open sets: 1, pinned by: ""
 	//   a  100.0%
 	// 0 route: "", open sets: 1, pinned by: ""
-	//   nowhere now: held until one is there
+	//   no allowed endpoint at present; the message is held until one is there
 }
--- a/cmd/flaxcove/serve.go
+++ b/cmd/flaxcove/serve.go
@@ -1,8 +1,8 @@
 package main
 
-// This file owns `flaxcove serve`: the order in which one sender's process sets its limits, catches its signals,
-// starts, joins a cluster where asked, and reads its configuration anew on SIGHUP. It must never decide anything about
-// a message, and the order of its steps is part of its behaviour: SIGHUP is caught before all else.
+// This file implements `flaxcove serve`: it sets the limits of the process, handles signals, starts the sender, joins a
+// cluster if --cluster is set, and reloads the configuration on SIGHUP. The order of the steps matters: SIGHUP must be caught
+// first. No decision about a message is made here.
 
 import (
 	"context"
@@ -22,26 +22,27 @@
 	"flaxcove/internal/sender"
 )
 
-// heapShare is the part of the memory limit that the heap may take; stacks, sockets and the program itself need the rest.
+// heapShare is the share of the memory limit that the heap may use. Stacks, sockets and the program itself need the rest.
 const heapShare = 0.6
 
-// How many threads run Go code: a sender is one loop on one thread; with a cluster, the cluster's part has another.
+// Values of GOMAXPROCS. A sender runs one event loop on one thread; in a cluster, the cluster code gets a second thread.
 const (
 	threadsAlone       = 1
 	threadsWithCluster = 2
 )
 
 func serveCommand() *cli.Command {
-	return &cli.Command{Name: "serve", Usage: "run one sender, as EDGE_CONFIG and the other EDGE_ variables say", Action: serve, Flags: []cli.Flag{
-		&cli.BoolFlag{Name: "notes", Usage: "tell other senders of limits met and hear them, where the configuration allows it"},
+	return &cli.Command{Name: "serve", Usage: "run one sender, configured by EDGE_CONFIG and the other EDGE_ variables", Action: serve, Flags: []cli.Flag{
+		&cli.BoolFlag{Name: "notes", Usage: "exchange notes about rate limits with other senders, if the configuration allows it"},
 		&cli.StringFlag{Name: "profile", Usage: "write a CPU profile of the whole run to this file"},
-		&cli.StringFlag{Name: "cluster", Usage: "join the processes around this one, as this file says"},
-		&cli.BoolFlag{Name: "trace", Usage: "log each step of each notice too, by its id, and the settings once"}}}
+		&cli.StringFlag{Name: "cluster", Usage: "join the cluster that this file describes"},
+		&cli.BoolFlag{Name: "trace", Usage: "also log each step of each message, by its id, and the settings once"}}}
 }
 
 // serve runs one sender until it has drained.
 func serve(_ context.Context, c *cli.Command) error {
-	// Before all else: SIGHUP asks for the file to be read anew, and must never end the process.
+	// This comes first: SIGHUP requests a reload of the configuration, and must never terminate the process, as it does until
+	// it is caught.
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	cfg, clusterSettings, err := serveConfig(c.String("cluster"))
@@ -57,7 +58,7 @@
 	notes := c.Bool("notes")
 	if notes {
 		if err := cfg.EnableGossip(); err != nil {
-			log.Warn("notes stay off", zap.Error(err))
+			log.Warn("notes not enabled", zap.Error(err))
 		}
 	}
 	signalledAt := catchStopSignals()
@@ -69,8 +70,8 @@
 	return runSender(cfg, clusterSettings, log, hangups, signalledAt, notes)
 }
 
-// serveConfig reads the configuration and, for a sender that joins a cluster, its cluster settings; it also sets how
-// many threads run Go code, which depends on whether a cluster is joined.
+// serveConfig reads the configuration and, if clusterFile is not "", the cluster settings. It also sets GOMAXPROCS, which
+// depends on whether the sender joins a cluster.
 func serveConfig(clusterFile string) (*config.Config, *settings.Settings, error) {
 	cfg, err := config.Load(os.Getenv)
 	if err != nil {
@@ -91,17 +92,17 @@
 	return cfg, clusterSettings, nil
 }
 
-// catchStopSignals ignores SIGPIPE and says when the first SIGTERM or SIGINT came.
+// catchStopSignals ignores SIGPIPE, and catches SIGTERM and SIGINT. The channel receives the time of the first of them.
 func catchStopSignals() <-chan time.Time {
-	// A log that nobody reads any more must not end the process.
+	// Without this, a write to the log would terminate the process once the reader of the log has ended.
 	signal.Ignore(syscall.SIGPIPE)
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	return firstSignalTime(signals)
 }
 
-// startProfile writes a CPU profile of the whole run to the file, where one is named; what it returns ends the
-// profile and closes the file.
+// startProfile starts a CPU profile that is written to a file; it does nothing if path is "". Stop ends the profile and
+// closes the file.
 func startProfile(path string) (stop func(), err error) {
 	if path == "" {
 		return func() {}, nil
@@ -120,8 +121,8 @@
 	}, nil
 }
 
-// runSender starts the sender, joins it to the cluster where settings for one are given, drains it from the first
-// stop signal on, reads the configuration anew on each SIGHUP, and serves until the sender has drained.
+// runSender starts the sender, joins it to a cluster if clusterSettings is not nil, and serves until the sender has drained.
+// The drain starts at the time received from signalledAt. Each signal on hangups reloads the configuration.
 func runSender(cfg *config.Config, clusterSettings *settings.Settings, log *zap.Logger, hangups <-chan os.Signal, signalledAt <-chan time.Time, notes bool) error {
 	s, err := sender.Start(cfg, log)
 	if err != nil {
@@ -143,18 +144,19 @@
 	return nil
 }
 
-// reloadOnHangup reads the configuration anew on each SIGHUP and hands it, or what is wrong with it, to the sender.
+// reloadOnHangup reloads the configuration on each SIGHUP, and passes it or the error to the sender.
 func reloadOnHangup(s *sender.Sender, hangups <-chan os.Signal, notes bool) {
 	for range hangups {
 		fresh, err := config.Reload(os.Getenv)
 		if notes && err == nil {
-			_ = fresh.EnableGossip() // why not was logged at the start
+			_ = fresh.EnableGossip() // an error was logged at the start
 		}
 		s.Reload(fresh, err)
 	}
 }
 
-// firstSignalTime says when the first signal came. The kill counts from then, and the start may take a while yet.
+// firstSignalTime returns a channel that receives the time of the first signal. The supervisor's grace period before it kills
+// the process counts from that time, which may be long before the end of the start.
 func firstSignalTime(signals <-chan os.Signal) <-chan time.Time {
 	signalledAt := make(chan time.Time, 1)
 	go func() {
--- a/cmd/flaxcove/serve_cluster.go
+++ b/cmd/flaxcove/serve_cluster.go
@@ -1,7 +1,6 @@
 package main
 
-// This file joins a sender to the processes around it, where `serve --cluster FILE` asks for that. Without the flag
-// nothing of it runs.
+// This file joins a sender to a cluster if `serve --cluster FILE` is used. Without the flag none of it runs.
 
 import (
 	"encoding/json"
@@ -19,9 +18,10 @@
 	"flaxcove/internal/sender/clusterapi"
 )
 
-// withCachedSettings is a configuration with the settings that all senders share, where an earlier incarnation of this process cached a
-// version of them. What cannot be read or run with ends the start, named by its file, as a wrong configuration file does:
-// the file's own settings are older, and no process runs an older version after a newer one.
+// withCachedSettings returns cfg with the newest version of the shared settings that an earlier incarnation of this process
+// has cached, or cfg itself if none is cached. If the cached version cannot be read or applied, it returns an error that names
+// the file, and the process must not start: the settings of its own configuration file are older, and no process may run an
+// older version after a newer one.
 func withCachedSettings(cfg *config.Config, clusterSettings *settings.Settings) (*config.Config, error) {
 	if !clusterSettings.Features.Configuration {
 		return cfg, nil
@@ -42,7 +42,8 @@
 	return with, nil
 }
 
-// runningConfiguration is the shared version that a sender starts with; version 0 for its own file.
+// runningConfiguration returns the version of the shared settings that the sender starts with, or the zero value (version 0)
+// if it starts with the settings of its own configuration file.
 func runningConfiguration(cfg *config.Config) clusterapi.Configuration {
 	if cfg.Version == 0 {
 		return clusterapi.Configuration{}
@@ -50,7 +51,8 @@
 	return clusterapi.Configuration{Version: cfg.Version, Settings: cfg.SettingsInForce()}
 }
 
-// settingsCheck checks proposed settings against those in force; against those of the sender's own file where none are given.
+// settingsCheck returns a function that checks proposed settings against those in force. If inForce is empty, it checks them
+// against the settings of the sender's own configuration file.
 func settingsCheck(cfg *config.Config) func(inForce, proposed json.RawMessage) error {
 	return func(inForce, proposed json.RawMessage) error {
 		if len(inForce) == 0 {
@@ -60,8 +62,8 @@
 	}
 }
 
-// startCluster is called between the sender's start and its Run: it joins the sender (sender.Join), and its orders
-// (sender.Orders) may be given from then on. What it returns is called once Run has returned.
+// startCluster starts the cluster code and joins the sender to it. It must be called after sender.Start and before
+// Sender.Run; from then on the cluster may use Sender.Orders. Leave must be called after Run has returned.
 func startCluster(clusterSettings *settings.Settings, cfg *config.Config, s *sender.Sender, log *zap.Logger) (leave func(), err error) {
 	node, err := cluster.Start(cluster.Options{Settings: clusterSettings, Log: log.Named("cluster"), Orders: s.Orders(), Zones: cfg.Zones,
 		LongestDeadline: duration(longestDeadline(cfg.Settings.Classes)), SlowStart: duration(cfg.Settings.SlowStart), SlowStartFrom: cfg.Settings.SlowStartFrom,
@@ -78,7 +80,7 @@
 	}, nil
 }
 
-// longestDeadline is how long a message of any class may be owed.
+// longestDeadline returns the longest deadline of all classes, which is the longest time that a message can be pending.
 func longestDeadline(classes []choice.Class) choice.Time {
 	longest := choice.Time(0)
 	for _, class := range classes {
@@ -87,5 +89,5 @@
 	return longest
 }
 
-// duration converts a time of the decision package, which counts microseconds, to one of the standard library.
+// duration converts a time of package choice, which counts tenths of a millisecond, to a time.Duration.
 func duration(t choice.Time) time.Duration { return time.Duration(config.Nanoseconds(t)) }
--- a/cmd/flaxcove/serve_cluster_test.go
+++ b/cmd/flaxcove/serve_cluster_test.go
@@ -17,16 +17,17 @@
 	"flaxcove/internal/sender/clusterapi"
 )
 
-// singleProcessCluster is one process that is its own cluster; its folders outlive the process.
+// singleProcessCluster is a cluster of one process, which can be started several times with the same folders.
 type singleProcessCluster struct {
 	t                              *testing.T
 	dir, listen, http              string
 	gossip, consensus              string
-	program                        *exec.Cmd
-	log                            bytes.Buffer
+	program                        *exec.Cmd    // the process that was started last
+	log                            bytes.Buffer // its standard error
 	clusterFile, configurationFile string
 }
 
+// oneClassSettings is a settings object with a single class, "a".
 const oneClassSettings = `{"classes":[{"name":"a","idempotency":"pure","deadline":60000000000}],"extra":{"callsOut":4}}`
 
 func newSingleProcessCluster(t *testing.T) *singleProcessCluster {
@@ -54,7 +55,7 @@
 		a.listen, filepath.Join(a.dir, "state"), oneClassSettings))
 	t.Cleanup(func() {
 		if t.Failed() {
-			t.Logf("the last process's log:\n%s", a.log.String())
+			t.Logf("log of the last process:\n%s", a.log.String())
 		}
 	})
 	return a
@@ -62,7 +63,7 @@
 
 func (a *singleProcessCluster) folder() string { return filepath.Join(a.dir, "cluster") }
 
-// start starts the process, with an empty log.
+// start clears the log and starts the process.
 func (a *singleProcessCluster) start() {
 	a.t.Helper()
 	a.log.Reset()
@@ -72,7 +73,8 @@
 	startProgram(a.t, a.program)
 }
 
-// servesVersion is the condition that the sender runs this version of the shared settings; 0 for its own file.
+// servesVersion returns the condition that the sender runs a version of the shared settings. Version 0 means the settings of
+// its own configuration file.
 func (a *singleProcessCluster) servesVersion(version int) func() bool {
 	return func() bool {
 		text, err := sendCommand(a.listen, "INFO")
@@ -80,11 +82,12 @@
 	}
 }
 
-// change orders a change of the settings and returns the answer.
-func (a *singleProcessCluster) change(id string, base int, settings string) (status int, answer string) {
+// proposeSettings proposes new shared settings on top of version base, waits until they are in force or rejected, and returns
+// the HTTP status and the body of the response.
+func (a *singleProcessCluster) proposeSettings(id string, base int, settings string) (status int, answer string) {
 	body := fmt.Sprintf(`{"id":%q,"base":%d,"settings":%s,"who":"test","why":"test"}`, id, base, settings)
 	a.t.Helper()
-	eventually(a.t, "an answer to the order", func() bool {
+	eventually(a.t, "a response to the proposal", func() bool {
 		r, err := http.Post("http://"+a.http+"/v1/configuration?wait=in_force&for=10s", "application/json", strings.NewReader(body))
 		if err != nil {
 			return false
@@ -97,33 +100,34 @@
 	return status, answer
 }
 
-// A process applies a version that was decided, rejects one that no sender can run, and starts again with the version it
-// stored after a kill. It does not start at all where the stored version cannot be read or run with: its own file is older.
+// TestServeWithSharedSettings checks that a process applies a committed version of the shared settings, rejects a version that
+// removes a class, and starts with the cached version after it was killed. It must not start if the cached version cannot be
+// read or applied, because the settings of its own configuration file are older.
 func TestServeWithSharedSettings(t *testing.T) {
 	a := newSingleProcessCluster(t)
 	a.start()
-	eventually(t, "it serves by its own file", a.servesVersion(0))
+	eventually(t, "the sender runs the settings of its own file", a.servesVersion(0))
 	if text, err := sendCommand(a.listen, "OUT.ADD", "0", "early", "c=b,d=60000,dest=1", "x"); err == nil {
-		t.Errorf("a class that is not there yet: %s", text)
+		t.Errorf("a message of a class that does not exist yet was accepted: %s", text)
 	}
 	two := strings.Replace(oneClassSettings, `],"extra"`, `,{"name":"b","idempotency":"pure","deadline":60000000000}],"extra"`, 1)
-	if status, answer := a.change("one", 0, two); status != http.StatusOK {
+	if status, answer := a.proposeSettings("one", 0, two); status != http.StatusOK {
 		t.Fatal(status, answer)
 	}
 	eventually(t, "version 1 is in force", a.servesVersion(1))
-	if status, answer := a.change("two", 1, oneClassSettings); status != http.StatusBadRequest || !strings.Contains(answer, "classes[1].name") {
-		t.Error("a class is taken out: ", status, answer)
+	if status, answer := a.proposeSettings("two", 1, oneClassSettings); status != http.StatusBadRequest || !strings.Contains(answer, "classes[1].name") {
+		t.Error("response to settings that remove a class: ", status, answer)
 	}
 	if text, err := sendCommand(a.listen, "OUT.ADD", "0", "owed", "c=b,d=60000,dest=1", "x"); err != nil || text != "OK" {
-		t.Errorf("the new class: %s %v", text, err)
+		t.Errorf("answer to a message of the new class: %s %v", text, err)
 	}
 	a.program.Process.Kill()
 	a.program.Wait()
 
 	a.start()
-	eventually(t, "it serves again by the stored version", a.servesVersion(1))
+	eventually(t, "the restarted sender runs the cached version", a.servesVersion(1))
 	if text, err := sendCommand(a.listen, "OUT.ADD", "0", "later", "c=b,d=60000,dest=1", "x"); err != nil || text != "OK" {
-		t.Errorf("the new class after a restart: %s %v", text, err)
+		t.Errorf("answer to a message of the new class after a restart: %s %v", text, err)
 	}
 	a.program.Process.Signal(syscall.SIGTERM)
 	if err := a.program.Wait(); err != nil {
@@ -147,10 +151,10 @@
 			return "version 9: field settings: classes: missing"
 		},
 	} {
-		why := damaged()
+		expected := damaged()
 		a.start()
-		if err := a.program.Wait(); err == nil || !strings.Contains(a.log.String(), path) || !strings.Contains(a.log.String(), why) {
-			t.Errorf("%s: %v\n%s", why, err, a.log.String())
+		if err := a.program.Wait(); err == nil || !strings.Contains(a.log.String(), path) || !strings.Contains(a.log.String(), expected) {
+			t.Errorf("want an error that contains %q and %s: %v\n%s", expected, path, err, a.log.String())
 		}
 	}
 }
--- a/cmd/flaxcove/serve_test.go
+++ b/cmd/flaxcove/serve_test.go
@@ -11,7 +11,8 @@
 	"time"
 )
 
-// SIGHUP must never end the process, whatever the file holds by then, and what is wrong with the file is logged.
+// TestHangUp checks that SIGHUP reloads the configuration and never terminates the process, even if the file is invalid by
+// then; that error is logged.
 func TestHangUp(t *testing.T) {
 	listen, dir := freeAddr(t), t.TempDir()
 	configFile := filepath.Join(dir, "config.json")
@@ -27,7 +28,7 @@
 	program.Env = append(os.Environ(), "EDGE_CONFIG="+configFile)
 	program.Stderr = logFile
 	startProgram(t, program)
-	eventually(t, "the program answers", func() bool {
+	eventually(t, "the sender answers PING", func() bool {
 		text, err := sendCommand(listen, "PING")
 		return err == nil && text == "PONG"
 	})
@@ -38,16 +39,16 @@
 		}
 	}
 	for _, step := range []struct {
-		config, what string
-		done         func() bool
+		config, expected string
+		done             func() bool
 	}{
-		{good, "the first reload", reloads(1)},
+		{good, "the first reload is counted", reloads(1)},
 		{"{", "an error is logged", func() bool { return strings.Contains(readFile(t, logFile.Name()), `"level":"error"`) }},
-		{good, "the second reload", reloads(2)},
+		{good, "the second reload is counted", reloads(2)},
 	} {
 		writeFile(t, configFile, step.config)
 		program.Process.Signal(syscall.SIGHUP)
-		eventually(t, step.what, step.done)
+		eventually(t, step.expected, step.done)
 	}
 	program.Process.Signal(syscall.SIGTERM)
 	if err := program.Wait(); err != nil {
@@ -55,14 +56,15 @@
 	}
 }
 
-// A signal that comes during the start counts from then, not from when the start is over.
+// TestSignalDuringTheStart checks that firstSignalTime returns the time at which a signal was received, not the later time at
+// which the start of the process has finished and the result is read.
 func TestSignalDuringTheStart(t *testing.T) {
-	signals := make(chan os.Signal) // unbuffered: once it is sent, it is received
+	signals := make(chan os.Signal) // unbuffered, so that a signal is received as soon as the send returns
 	signalledAt := firstSignalTime(signals)
 	signals <- syscall.SIGTERM
-	eventually(t, "the time of the signal is there", func() bool { return len(signalledAt) > 0 })
-	startOver := time.Now()
-	if at := <-signalledAt; at.After(startOver) {
-		t.Errorf("the signal counts from %v, after %v", at, startOver)
+	eventually(t, "the time of the signal is available", func() bool { return len(signalledAt) > 0 })
+	startFinished := time.Now()
+	if at := <-signalledAt; at.After(startFinished) {
+		t.Errorf("time of the signal: %v, which is after the end of the start at %v", at, startFinished)
 	}
 }
--- a/lab/baseline/baseline.go
+++ b/lab/baseline/baseline.go
@@ -74,8 +74,8 @@
 	windowMargin  = choice.Second / 10
 )
 
-// maxTickDoublings bounds the backoff of all_seen: one tick, doubled with each attempt.
-const maxTickDoublings = 6
+// maxTurnDoublings bounds the backoff of all_seen: one tick, doubled with each attempt.
+const maxTurnDoublings = 6
 
 // policy implements all baselines; kind says which.
 type policy struct {
@@ -112,9 +112,9 @@
 
 // keyQueue holds the messages of an ordering key; only the first may be sent.
 type keyQueue struct {
-	key       choice.OrderKey
-	messages  []*message
-	restUntil choice.Time
+	key         choice.OrderKey
+	messages    []*message
+	pausedUntil choice.Time
 }
 
 // destination is a destination.
--- a/lab/baseline/messages.go
+++ b/lab/baseline/messages.go
@@ -49,7 +49,7 @@
 		p.finish(n)
 		return
 	}
-	p.after(p.lastCall(n)-p.host.Now(), func() {
+	p.after(p.cutoff(n)-p.host.Now(), func() {
 		if p.messages[n.ID] == n && n.sentTo == nil {
 			p.finish(n)
 		}
@@ -65,8 +65,8 @@
 	return p.keyQueues[key]
 }
 
-// lastCall is when a message without an attempt in flight is ended.
-func (p *policy) lastCall(n *message) choice.Time {
+// cutoff is when a message without an attempt in flight is ended.
+func (p *policy) cutoff(n *message) choice.Time {
 	return n.Deadline - p.shortest/4 - 4*p.settings.TurnInterval
 }
 
@@ -82,8 +82,8 @@
 	if p.messages[n.ID] != n || n.queued || n.sentTo != nil || n.keyQueue != nil && n.keyQueue.messages[0] != n {
 		return
 	}
-	if n.keyQueue != nil && n.attempts == 0 && p.host.Now() < n.keyQueue.restUntil {
-		p.after(n.keyQueue.restUntil-p.host.Now(), func() { p.enqueue(n) })
+	if n.keyQueue != nil && n.attempts == 0 && p.host.Now() < n.keyQueue.pausedUntil {
+		p.after(n.keyQueue.pausedUntil-p.host.Now(), func() { p.enqueue(n) })
 		return
 	}
 	n.queued = true
@@ -115,7 +115,7 @@
 		p.enqueue(l.messages[0])
 		return
 	}
-	if p.host.Now() >= l.restUntil {
+	if p.host.Now() >= l.pausedUntil {
 		delete(p.keyQueues, l.key)
 	}
 }
--- a/lab/baseline/outcome.go
+++ b/lab/baseline/outcome.go
@@ -54,7 +54,7 @@
 	}
 	answered := result == choice.Errored || result == choice.Unreadable
 	if n.keyQueue != nil && !answered {
-		n.keyQueue.restUntil = p.host.Now() + p.settings.KeyPause
+		n.keyQueue.pausedUntil = p.host.Now() + p.settings.KeyPause
 	}
 }
 
@@ -69,7 +69,7 @@
 	if p.kind == least && !p.takeFromBudget() {
 		spent = true
 	}
-	if spent || n.attempts >= p.settings.MaxAttempts || p.host.Now()+wait >= p.lastCall(n) {
+	if spent || n.attempts >= p.settings.MaxAttempts || p.host.Now()+wait >= p.cutoff(n) {
 		p.finish(n)
 		return
 	}
@@ -85,7 +85,7 @@
 		ceiling := min(2*p.shortest, p.shortest/4<<min(n.attempts-1, maxDoublings))
 		return 1 + choice.Time(p.rng.Int64N(int64(max(1, ceiling))))
 	case allSeen:
-		return p.settings.TurnInterval << min(n.attempts, maxTickDoublings)
+		return p.settings.TurnInterval << min(n.attempts, maxTurnDoublings)
 	}
 	return 0
 }
--- a/lab/capacity/bench/bench.go
+++ b/lab/capacity/bench/bench.go
@@ -12,24 +12,24 @@
 	"testing"
 )
 
-// MostVariable names the environment variable that lifts the bound on sizes for the long runs of docs/CAPACITY.md.
-const MostVariable = "CAPACITY_MOST"
+// MaxSizeVariable names the environment variable that lifts the bound on sizes for the long runs of docs/CAPACITY.md.
+const MaxSizeVariable = "CAPACITY_MOST"
 
-// usualMost keeps a plain `go test -bench .` short.
-const usualMost = 100_000
+// defaultMaxSize keeps a plain `go test -bench .` short.
+const defaultMaxSize = 100_000
 
-// most returns the largest size that is run.
-func most() int {
-	if n, err := strconv.Atoi(os.Getenv(MostVariable)); err == nil && n > 0 {
+// maxSize returns the largest size that is run.
+func maxSize() int {
+	if n, err := strconv.Atoi(os.Getenv(MaxSizeVariable)); err == nil && n > 0 {
 		return n
 	}
-	return usualMost
+	return defaultMaxSize
 }
 
 // Sizes runs f as a sub-benchmark for each size within the bound, named AXIS=SIZE as lab/capacity reads it.
 func Sizes(b *testing.B, axis string, sizes []int, f func(b *testing.B, n int)) {
 	for _, n := range sizes {
-		if n > most() {
+		if n > maxSize() {
 			continue
 		}
 		b.Run(fmt.Sprintf("%s=%d", axis, n), func(b *testing.B) { f(b, n) })
@@ -38,14 +38,14 @@
 
 // Heap returns the bytes of live heap that the result of build holds. Other goroutines should be idle.
 func Heap(build func() any) float64 {
-	before := live()
+	before := liveHeap()
 	built := build()
-	after := live()
+	after := liveHeap()
 	runtime.KeepAlive(built)
 	return float64(after) - float64(before)
 }
 
-func live() uint64 {
+func liveHeap() uint64 {
 	// Twice: the second collection frees what finalizers and pools still held.
 	runtime.GC()
 	runtime.GC()
--- a/lab/capacity/capacity_test.go
+++ b/lab/capacity/capacity_test.go
@@ -82,7 +82,7 @@
 func TestFigures(t *testing.T) {
 	s := read(t, raw)
 	all := Figures(s)
-	if len(all) != 2 || all[1].Metric != "ns/op" || math.Abs(all[1].Planned-(100+10*OpenEach)) > 1 || math.Abs(all[1].Beyond-OpenEach/1000) > 1e-6 {
+	if len(all) != 2 || all[1].Metric != "ns/op" || math.Abs(all[1].Planned-(100+10*OpenPerSender)) > 1 || math.Abs(all[1].Beyond-OpenPerSender/1000) > 1e-6 {
 		t.Fatal(all)
 	}
 	text := Markdown(s)
--- a/lab/capacity/fit.go
+++ b/lab/capacity/fit.go
@@ -7,8 +7,8 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// leastPoints is the smallest number of sizes for a fit.
-const leastPoints = 3
+// minPoints is the smallest number of sizes for a fit.
+const minPoints = 3
 
 // Point is a figure measured at a size.
 type Point struct {
@@ -30,7 +30,7 @@
 // Line fits points by least squares of the relative distances: over three decades, absolute distances would be dominated by
 // the largest size.
 func Line(points []Point) (Fit, error) {
-	if len(points) < leastPoints {
+	if len(points) < minPoints {
 		return Fit{}, errors.New("a line needs three sizes")
 	}
 	var x, y, weights []float64
--- a/lab/capacity/parse.go
+++ b/lab/capacity/parse.go
@@ -27,8 +27,8 @@
 
 var (
 	benchmarkName = regexp.MustCompile(`^Benchmark(?:Capacity)?(\w+)/(?:([\w-]+)[=/])?(\d+)(-\d+)?$`)
-	// gossiped is the line of the traffic test of internal/cluster/member, which measures over three minutes.
-	gossiped = regexp.MustCompile(`(\d+) processes, each: ([\d.]+) B/s, ([\d.]+) packets/s .*, ([\d.]+)% of a core`)
+	// trafficLine is the line of the traffic test of internal/cluster/member, which measures over three minutes.
+	trafficLine = regexp.MustCompile(`(\d+) processes, each: ([\d.]+) B/s, ([\d.]+) packets/s .*, ([\d.]+)% of a core`)
 )
 
 // Read reads the output of `go test -bench` or of the traffic test. Other lines are ignored.
@@ -40,7 +40,7 @@
 			pkg = strings.TrimPrefix(after, modulePrefix)
 			continue
 		}
-		if m := gossiped.FindStringSubmatch(line); m != nil {
+		if m := trafficLine.FindStringSubmatch(line); m != nil {
 			for i, metric := range []string{"wire-B/s", "packets/s", "core-%"} {
 				if err := s.add(Key{"internal/cluster/member", "Gossip", "members", metric}, m[1], m[2+i]); err != nil {
 					return err
@@ -48,15 +48,15 @@
 			}
 			continue
 		}
-		if err := s.result(pkg, strings.Fields(line)); err != nil {
+		if err := s.addResult(pkg, strings.Fields(line)); err != nil {
 			return fmt.Errorf("%q: %w", line, err)
 		}
 	}
 	return lines.Err()
 }
 
-// result is one benchmark's line: its name, the rounds, and pairs of value and metric.
-func (s Samples) result(pkg string, fields []string) error {
+// addResult is one benchmark's line: its name, the rounds, and pairs of value and metric.
+func (s Samples) addResult(pkg string, fields []string) error {
 	if len(fields) < 4 {
 		return nil
 	}
--- a/lab/capacity/report.go
+++ b/lab/capacity/report.go
@@ -17,9 +17,9 @@
 	Beyond  float64 `json:"beyond"`
 }
 
-// noLine are series without a figure at the planned size: a bound cuts them off, their axis is not the plan's, or another
+// excluded are series without a figure at the planned size: a bound cuts them off, their axis is not the plan's, or another
 // metric of the same benchmark has the figure.
-var noLine = map[string]bool{
+var excluded = map[string]bool{
 	"DigestList rows": true, "Turn routes": true, "Turn wire-B": true, "Derive most-children": true,
 	"Reported rows/s": true, "Reported messages/s": true, "Reported ns/op": true,
 	"Told rows/s": true, "Told messages/s": true, "Told ns/op": true, // the name of Reported in earlier runs
@@ -35,7 +35,7 @@
 		points := s.Points(k)
 		target, planned := targets[k.Axis]
 		fit, err := Line(points)
-		if err != nil || !planned || noLine[k.Benchmark+" "+k.Metric] {
+		if err != nil || !planned || excluded[k.Benchmark+" "+k.Metric] {
 			continue
 		}
 		all = append(all, Figure{Key: k, Points: points, Fit: fit, Target: target, Planned: Planned(points, target.Size),
@@ -57,29 +57,29 @@
 			beyond = fmt.Sprintf("%.3g times", f.Beyond)
 		}
 		fmt.Fprintf(&b, "| `%s` %s | %s | %s | %s + %s x n | %.0f%% | %.2f | %s %s | %s | %s |\n", f.Package, f.Benchmark, f.Metric,
-			list(f.Points), short(f.Fit.Fixed), short(f.Fit.Slope), 100*f.Fit.Residual, f.Fit.Power, short(f.Target.Size), f.Target.Name,
-			short(f.Planned), beyond)
+			formatPoints(f.Points), formatNumber(f.Fit.Fixed), formatNumber(f.Fit.Slope), 100*f.Fit.Residual, f.Fit.Power, formatNumber(f.Target.Size), f.Target.Name,
+			formatNumber(f.Planned), beyond)
 	}
 	b.WriteString("\nNo line (a bound cuts them off, there are too few sizes, or the axis is not the plan's):\n\n")
 	b.WriteString("| package, benchmark | axis | metric | sizes: value |\n| --- | --- | --- | --- |\n")
 	for _, k := range s.Keys() {
 		if points := s.Points(k); !reported[k] && len(points) > 0 && points[len(points)-1].Value != 0 {
-			fmt.Fprintf(&b, "| `%s` %s | %s | %s | %s |\n", k.Package, k.Benchmark, k.Axis, k.Metric, list(points))
+			fmt.Fprintf(&b, "| `%s` %s | %s | %s | %s |\n", k.Package, k.Benchmark, k.Axis, k.Metric, formatPoints(points))
 		}
 	}
 	return b.String()
 }
 
-func list(points []Point) string {
+func formatPoints(points []Point) string {
 	var all []string
 	for _, p := range points {
-		all = append(all, short(p.Size)+": "+short(p.Value))
+		all = append(all, formatNumber(p.Size)+": "+formatNumber(p.Value))
 	}
 	return strings.Join(all, ", ")
 }
 
-// short formats a number with three digits and the units k, M, G, T.
-func short(v float64) string {
+// formatNumber formats a number with three digits and the units k, M, G, T.
+func formatNumber(v float64) string {
 	for _, unit := range []struct {
 		over float64
 		name string
--- a/lab/capacity/run/main.go
+++ b/lab/capacity/run/main.go
@@ -75,7 +75,7 @@
 func measure(pkg string, most, rounds int) ([]byte, error) {
 	args := []string{"test", "-run", "^$", "-bench", ".", "-benchtime", "100ms", "-count", fmt.Sprint(rounds), "-timeout", timeOut, "./" + pkg}
 	command := exec.Command("go", args...)
-	set := []string{fmt.Sprintf("%s=%d", bench.MostVariable, most), "GOMAXPROCS=" + threads}
+	set := []string{fmt.Sprintf("%s=%d", bench.MaxSizeVariable, most), "GOMAXPROCS=" + threads}
 	command.Env = append(os.Environ(), set...)
 	text, err := command.CombinedOutput()
 	return append([]byte(strings.Join(append(set, command.Args...), " ")+"\n"), text...), err
--- a/lab/experiment/change.go
+++ b/lab/experiment/change.go
@@ -1,6 +1,6 @@
 package experiment
 
-// This file applies a variant or a size to a scenario. It must not add fields, nor change the given scenario.
+// This file applies the fields of a variant, or a size, to a scenario.
 
 import (
 	"errors"
@@ -14,7 +14,8 @@
 	"flaxcove/lab/world"
 )
 
-// Change returns a scenario with some fields set, by their names in its file.
+// Change returns a copy of a scenario with some fields set, and does not modify spec. The keys of set are dotted names of
+// fields as in the scenario's file, for example "load.rate". A field that does not exist is an error.
 func Change(spec *world.Spec, set map[string]any) (*world.Spec, error) {
 	text, err := scenario.Write(spec)
 	if err != nil {
@@ -33,9 +34,9 @@
 		return nil, err
 	}
 	s, err := scenario.Parse(spec.Name, text)
-	var wrong *tomlfile.Error
-	if errors.As(err, &wrong) {
-		wrong.Line = 0 // the line is of a text that the user has not seen
+	var fileError *tomlfile.Error
+	if errors.As(err, &fileError) {
+		fileError.Line = 0 // the line number refers to the generated text, which the user has not seen
 	}
 	if err != nil {
 		return nil, err
@@ -43,33 +44,34 @@
 	return s.Spec, nil
 }
 
-// setField sets an existing field by its dotted path.
+// setField sets a field by its dotted path. It returns an error if the field does not exist.
 func setField(tree map[string]any, path string, value any) error {
-	words := strings.Split(path, ".")
+	names := strings.Split(path, ".")
 	table := tree
-	for _, word := range words[:len(words)-1] {
-		next, ok := table[word].(map[string]any)
+	for _, name := range names[:len(names)-1] {
+		next, ok := table[name].(map[string]any)
 		if !ok {
-			return fmt.Errorf("%q: there is no table %q", path, word)
+			return fmt.Errorf("%q: there is no table %q", path, name)
 		}
 		table = next
 	}
-	last := words[len(words)-1]
-	if _, known := table[last]; !known {
+	last := names[len(names)-1]
+	if _, exists := table[last]; !exists {
 		return fmt.Errorf("%q: there is no such field", path)
 	}
 	table[last] = value
 	return nil
 }
 
-// Scale multiplies the size of a scenario: senders, partners and rate.
-func Scale(spec *world.Spec, by float64) {
-	if by == 1 {
+// Scale multiplies the numbers of senders and destinations and the message rate of a scenario, in place. Each number is
+// rounded, and is at least 1.
+func Scale(spec *world.Spec, factor float64) {
+	if factor == 1 {
 		return
 	}
-	spec.Senders = max(1, int(float64(spec.Senders)*by+0.5))
-	spec.Load.Rate *= by
+	spec.Senders = max(1, int(float64(spec.Senders)*factor+0.5))
+	spec.Load.Rate *= factor
 	for i := range spec.Partners {
-		spec.Partners[i].Count = max(1, int(float64(spec.Partners[i].Count)*by+0.5))
+		spec.Partners[i].Count = max(1, int(float64(spec.Partners[i].Count)*factor+0.5))
 	}
 }
--- a/lab/experiment/compare.go
+++ b/lab/experiment/compare.go
@@ -1,7 +1,7 @@
 package experiment
 
-// This file has the statistics: differences between variants on the same seeds, with confidence intervals. Void runs are
-// not compared.
+// This file computes the statistics: differences between variants on the same seeds, with confidence intervals. Void and
+// failed runs are left out.
 
 import (
 	"cmp"
@@ -16,35 +16,36 @@
 // confidence is the confidence level of all intervals.
 const confidence = 0.95
 
-// Difference is the difference of a variant from the base on the same seeds.
+// Difference is the difference of a variant's figure from that of the base, over pairs of runs with the same seed.
 type Difference struct {
-	Scenario string  `json:"scenario"` // "" for all together
-	Size     float64 `json:"size"`
-	Variant  string  `json:"variant"`
-	Pairs    int     `json:"pairs"`
-	Base     float64 `json:"base"`  // mean figure
-	Mean     float64 `json:"mean"`  // of the differences
-	Low      float64 `json:"low"`   // of the interval
-	High     float64 `json:"high"`  // likewise
-	Known    bool    `json:"known"` // there are enough pairs for an interval
-	Broken   int     `json:"broken"`
+	Scenario    string  `json:"scenario"` // "" for all scenarios of the size
+	Size        float64 `json:"size"`
+	Variant     string  `json:"variant"`
+	Pairs       int     `json:"pairs"`
+	Base        float64 `json:"base"`   // mean figure of the base
+	Mean        float64 `json:"mean"`   // mean of the differences
+	Low         float64 `json:"low"`    // lower end of the confidence interval
+	High        float64 `json:"high"`   // upper end of the confidence interval
+	HasInterval bool    `json:"known"`  // there are enough pairs to compute Low and High
+	Broken      int     `json:"broken"` // number of pairs in which the variant broke a rule
 }
 
-// Verdict says in words what the interval shows.
+// Verdict says whether the variant is better or worse than the base, or that the difference is not significant.
 func (d *Difference) Verdict() string {
 	switch {
 	case d.Pairs == 0:
 		return "no pairs"
-	case !d.Known || d.Low <= 0 && d.High >= 0:
-		return "cannot be told"
+	case !d.HasInterval || d.Low <= 0 && d.High >= 0:
+		return "not significant"
 	case d.Mean > 0:
 		return "better"
 	}
 	return "worse"
 }
 
-// Compare pairs each variant's runs with the base's of the same scenario, size and seed. There is a row for each scenario,
-// and one for all scenarios of a size, in which each scenario has the same weight.
+// Compare pairs the runs of each variant with those of the base at the same scenario, size and seed. It returns a row for
+// each variant, scenario and size. If several scenarios share a size, a further row covers all of them, each with the same
+// weight.
 func Compare(results []*Result, base string) (rows []Difference) {
 	c := newComparison(results, base)
 	for _, variant := range c.variants {
@@ -53,24 +54,24 @@
 	return rows
 }
 
-// cell is a scenario at a size.
+// cell identifies a scenario at a size.
 type cell struct {
 	scenario string
 	size     float64
 }
 
-// pairing identifies the runs that are compared with each other.
+// pairing identifies a pair of runs that are compared: the same scenario, size and seed.
 type pairing struct {
 	cell
 	seed uint64
 }
 
-// comparison holds the results that count, in their order.
+// comparison holds the results that are neither void nor failed. Slices are in the order of the results.
 type comparison struct {
 	results  []*Result
-	bases    map[pairing]*Result
+	bases    map[pairing]*Result // results of the base
 	cells    []cell
-	variants []string
+	variants []string // without the base
 }
 
 func newComparison(results []*Result, base string) *comparison {
@@ -93,31 +94,31 @@
 	return c
 }
 
-// rows returns a variant's differences, followed by one for each size at which several scenarios were played.
+// rows returns a variant's differences by cell, followed by one row for each size that several scenarios share.
 func (c *comparison) rows(variant string) (rows []Difference) {
-	sums := map[float64]*sizeSum{}
+	totals := map[float64]*sizeTotal{}
 	for _, at := range c.cells {
 		d, diffs := c.difference(at, variant)
 		if len(diffs) == 0 {
 			continue
 		}
 		rows = append(rows, d)
-		if sums[at.size] == nil {
-			sums[at.size] = &sizeSum{Difference: Difference{Size: at.size, Variant: variant}}
+		if totals[at.size] == nil {
+			totals[at.size] = &sizeTotal{Difference: Difference{Size: at.size, Variant: variant}}
 		}
-		sums[at.size].add(&d, diffs)
+		totals[at.size].add(&d, diffs)
 	}
-	for _, size := range slices.Sorted(maps.Keys(sums)) {
-		if sum := sums[size]; len(sum.groups) > 1 {
-			sum.Base /= float64(len(sum.groups))
-			sum.interval(sum.groups)
-			rows = append(rows, sum.Difference)
+	for _, size := range slices.Sorted(maps.Keys(totals)) {
+		if total := totals[size]; len(total.groups) > 1 {
+			total.Base /= float64(len(total.groups))
+			total.interval(total.groups)
+			rows = append(rows, total.Difference)
 		}
 	}
 	return rows
 }
 
-// difference compares a variant with the base at one cell. Diffs has one element for each seed.
+// difference compares a variant with the base at one cell. Diffs holds the difference of the figures for each pair of runs.
 func (c *comparison) difference(at cell, variant string) (d Difference, diffs []float64) {
 	d = Difference{Scenario: at.scenario, Size: at.size, Variant: variant}
 	for _, r := range c.results {
@@ -140,40 +141,42 @@
 	return d, diffs
 }
 
-// sizeSum collects the scenarios of one size.
-type sizeSum struct {
+// sizeTotal adds up the differences of all scenarios at one size.
+type sizeTotal struct {
 	Difference
-	groups [][]float64
+	groups [][]float64 // the differences by pair, one group for each scenario
 }
 
-func (s *sizeSum) add(d *Difference, diffs []float64) {
+func (s *sizeTotal) add(d *Difference, diffs []float64) {
 	s.Pairs += d.Pairs
 	s.Broken += d.Broken
 	s.Base += d.Base
 	s.groups = append(s.groups, diffs)
 }
 
-// interval is Student's confidence interval for the mean of the groups' means, each group with its own variance.
+// interval sets Mean to the mean of the groups' means, and Low and High to its Student's t confidence interval, to which each
+// group contributes its own variance. Without a group of two or more elements there is no interval, and HasInterval stays
+// false.
 func (d *Difference) interval(groups [][]float64) {
-	sum, variance, freedom := 0.0, 0.0, 0.0
+	mean, variance, degreesOfFreedom := 0.0, 0.0, 0.0
 	k := float64(len(groups))
 	for _, g := range groups {
-		mean, sd := stat.MeanStdDev(g, nil)
-		sum += mean / k
+		groupMean, sd := stat.MeanStdDev(g, nil)
+		mean += groupMean / k
 		if len(g) > 1 {
 			variance += sd * sd / float64(len(g)) / (k * k)
-			freedom += float64(len(g) - 1)
+			degreesOfFreedom += float64(len(g) - 1)
 		}
 	}
-	d.Mean = sum
-	if freedom < 1 {
+	d.Mean = mean
+	if degreesOfFreedom < 1 {
 		return
 	}
-	half := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: freedom}.Quantile(0.5+confidence/2) * math.Sqrt(variance)
-	d.Low, d.High, d.Known = sum-half, sum+half, true
+	half := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: degreesOfFreedom}.Quantile(0.5+confidence/2) * math.Sqrt(variance)
+	d.Low, d.High, d.HasInterval = mean-half, mean+half, true
 }
 
-// Mean holds the mean figures of one variant at one scenario and size.
+// Mean holds the mean figures of one variant at one scenario and size. Void and failed runs are left out.
 type Mean struct {
 	Scenario string
 	Size     float64
@@ -181,15 +184,16 @@
 	Figure   float64
 	Service  float64
 	Runs     int
-	Broken   int
-	WallS    float64
-	MemoryMB float64
+	Broken   int     // number of runs in which a rule was broken
+	WallS    float64 // mean wall time of a run, in seconds
+	MemoryMB float64 // highest memory use of a run
 	Senders  int
 }
 
-// Averages returns the means, sorted by size; scenarios and variants keep their order.
+// Averages returns the means of all variants, sorted by size. Within a size, scenarios and variants keep the order of the
+// results.
 func Averages(results []*Result) (all []Mean) {
-	at := func(r *Result) *Mean {
+	meanOf := func(r *Result) *Mean {
 		for i := range all {
 			if m := &all[i]; m.Scenario == r.Scenario && m.Size == r.Size && m.Variant == r.Variant {
 				return m
@@ -202,7 +206,7 @@
 		if r.Error != "" || r.Void != "" {
 			continue
 		}
-		m := at(r)
+		m := meanOf(r)
 		m.Runs++
 		m.Figure += r.Figure
 		m.Service += r.Service
--- a/lab/experiment/experiment.go
+++ b/lab/experiment/experiment.go
@@ -1,8 +1,9 @@
-// Package experiment plays scenarios with several variants of a sender, on the same seeds, and reports whether they differ.
+// Package experiment runs scenarios with several variants of a sender, on the same seeds, and computes how the variants
+// differ.
 //
-// It reads plans (plan.go), plays their runs (run.go), keeps the file of results (results.go) and has the statistics
-// (compare.go). Each result is written as a line of JSON at once, so that an interrupted plan continues where it stopped.
-// Results must not depend on the order in which runs end.
+// It reads plans (plan.go), executes their runs (run.go and single.go), stores the results (results.go) and computes the
+// statistics (compare.go). Each result is written at once as a line of JSON, so that an interrupted plan can resume where it
+// stopped. Results must not depend on the order in which runs end.
 package experiment
 
 import (
@@ -11,44 +12,44 @@
 	"flaxcove/lab/world"
 )
 
-// Plan is an experiment, as its file describes it.
+// Plan is an experiment, as described by its TOML file.
 type Plan struct {
 	Name      string    `toml:"name"`
 	About     string    `toml:"about"`
 	Engine    string    `toml:"engine"` // simulated (the default) or sockets
 	Scenarios []string  `toml:"scenarios"`
-	Seeds     int       `toml:"seeds"`
-	FirstSeed uint64    `toml:"first_seed"`
-	Sizes     []float64 `toml:"sizes"` // factors on the senders, partners and rate of each scenario
-	Base      string    `toml:"base"`  // the variant that others are compared with; the first by default
+	Seeds     int       `toml:"seeds"`      // number of runs of each scenario, size and variant
+	FirstSeed uint64    `toml:"first_seed"` // further seeds follow one by one; 1 by default
+	Sizes     []float64 `toml:"sizes"`      // factors on each scenario's numbers of senders and destinations and its rate
+	Base      string    `toml:"base"`       // the variant with which the others are compared; the first by default
 	Variants  []Variant `toml:"variant"`
 
 	path  string
-	lines map[string]int // of the file, by field
+	lines map[string]int // line numbers in the file, by field
 }
 
-// Variant is one way to run senders.
+// Variant is one of the sender configurations that an experiment compares.
 type Variant struct {
 	Name   string         `toml:"name"`
-	Policy string         `toml:"policy"` // simulated only: see lab/baseline
-	Binary string         `toml:"binary"` // another build of this program
-	Set    map[string]any `toml:"set"`    // fields of the scenario, as in "sender.slots" = 4
+	Policy string         `toml:"policy"` // see lab/baseline; engine simulated only
+	Binary string         `toml:"binary"` // path of another build of this program; "" for this one
+	Set    map[string]any `toml:"set"`    // fields of the scenario to change, for example "sender.slots" = 4
 }
 
-// Job is one run.
+// Job is one run of a plan.
 type Job struct {
 	Scenario string  `json:"scenario"`
 	Size     float64 `json:"size"`
 	Variant  string  `json:"variant"`
 	Seed     uint64  `json:"seed"`
-	Key      string  `json:"key"` // hash of everything that the run depends on
+	Key      string  `json:"key"` // hash of the scenario, engine, policy and binary; with Seed it identifies the run
 
 	spec    *world.Spec
 	variant *Variant
 	loaded  *scenario.Scenario
 }
 
-// Result is one line of the file of results.
+// Result is the result of one run, stored as one line of the results file. Its figures are those of the run's verdict.
 type Result struct {
 	Job
 	Engine    string                 `json:"engine"`
@@ -67,9 +68,9 @@
 	Sizes     Sizes                  `json:"sizes"`
 }
 
-// Sizes are how large a run was.
+// Sizes holds the size of a run.
 type Sizes struct {
 	Senders  int `json:"S"`
-	Partners int `json:"E"`
-	Rate     int `json:"R"` // messages a second
+	Partners int `json:"E"` // number of destinations
+	Rate     int `json:"R"` // messages per second
 }
--- a/lab/experiment/experiment_test.go
+++ b/lab/experiment/experiment_test.go
@@ -13,7 +13,8 @@
 	"flaxcove/lab/scenario"
 )
 
-const tiny = `seconds = 3
+// tinyScenario is a scenario that runs fast: one sender, and a kind of destination at which 30% of calls fail.
+const tinyScenario = `seconds = 3
 senders = 1
 [load]
 rate = 20
@@ -27,10 +28,11 @@
 errors = 0.3
 `
 
-func folder(t *testing.T, plan string) string {
+// writePlan writes tinyScenario as tiny.toml and the plan as plan.toml to a temporary folder, and returns the folder.
+func writePlan(t *testing.T, plan string) string {
 	t.Helper()
 	dir := t.TempDir()
-	for name, text := range map[string]string{"tiny.toml": tiny, "plan.toml": plan} {
+	for name, text := range map[string]string{"tiny.toml": tinyScenario, "plan.toml": plan} {
 		if err := os.WriteFile(filepath.Join(dir, name), []byte(text), 0o644); err != nil {
 			t.Fatal(err)
 		}
@@ -38,6 +40,7 @@
 	return dir
 }
 
+// plan has three variants and five seeds, so that it consists of 15 runs.
 const plan = `scenarios = ["tiny.toml"]
 seeds = 5
 [[variant]]
@@ -50,22 +53,22 @@
 set = {"load.rate" = 40}
 `
 
-// A plan that is cut off goes on where it stopped, also past a line that was not written whole, and ends as if it had
-// not been.
+// TestPlanResumesAfterInterruption checks that an interrupted plan resumes where it stopped, even if the last line of the
+// results file is incomplete, and that it gives the same results as a plan without interruption.
 func TestPlanResumesAfterInterruption(t *testing.T) {
-	dir := folder(t, plan)
+	dir := writePlan(t, plan)
 	out := filepath.Join(dir, "out.jsonl")
 	p, jobs, err := Load(filepath.Join(dir, "plan.toml"), scenario.Find)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if len(jobs) != 15 {
-		t.Fatalf("%d jobs", len(jobs))
+		t.Fatalf("%d jobs, want 15", len(jobs))
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	played := 0
+	runsBefore := 0
 	_, err = Run(ctx, p, jobs, Options{Cores: 2, Out: out, Progress: func(done, _ int, _ time.Duration, _ *Result) {
-		if played++; done == 6 {
+		if runsBefore++; done == 6 {
 			cancel()
 		}
 	}})
@@ -78,26 +81,27 @@
 	}
 	file.WriteString(`{"scenario":"tiny","va`)
 	file.Close()
-	again := 0
-	results, err := Run(context.Background(), p, jobs, Options{Cores: 2, Out: out, Progress: func(int, int, time.Duration, *Result) { again++ }})
-	if err != nil || len(results) != 15 || played+again != 15 {
-		t.Fatalf("%d results after %d and %d runs: %v", len(results), played, again, err)
+	runsAfter := 0
+	results, err := Run(context.Background(), p, jobs, Options{Cores: 2, Out: out, Progress: func(int, int, time.Duration, *Result) { runsAfter++ }})
+	if err != nil || len(results) != 15 || runsBefore+runsAfter != 15 {
+		t.Fatalf("%d results, %d runs before the interruption and %d after it: %v", len(results), runsBefore, runsAfter, err)
 	}
-	whole, err := Run(context.Background(), p, jobs, Options{Cores: 1, Out: filepath.Join(dir, "whole.jsonl")})
+	uninterrupted, err := Run(context.Background(), p, jobs, Options{Cores: 1, Out: filepath.Join(dir, "whole.jsonl")})
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i, r := range results {
-		if r.Error != "" || r.Figure != whole[i].Figure || r.Variant != whole[i].Variant || r.Seed != whole[i].Seed {
-			t.Errorf("%+v differs from %+v", r, whole[i])
+		if r.Error != "" || r.Figure != uninterrupted[i].Figure || r.Variant != uninterrupted[i].Variant || r.Seed != uninterrupted[i].Seed {
+			t.Errorf("result %+v, without interruption %+v", r, uninterrupted[i])
 		}
 	}
 	rows := Compare(results, p.Base)
 	if len(rows) != 2 || rows[0].Variant != "one try" || rows[0].Verdict() != "worse" {
-		t.Errorf("%+v", rows)
+		t.Errorf("comparison: %+v", rows)
 	}
 }
 
+// Each invalid plan is rejected with an error that names the line and the field.
 func ExampleLoad() {
 	dir, _ := os.MkdirTemp("", "plan")
 	defer os.RemoveAll(dir)
@@ -115,22 +119,23 @@
 		_, _, err := Load(path, scenario.Find)
 		e, ok := err.(*tomlfile.Error)
 		if !ok {
-			fmt.Println("no message:", err)
+			fmt.Println("not a tomlfile.Error:", err)
 			continue
 		}
 		fmt.Printf("line %d, field %s: %.48s\n", e.Line, e.Field, e.What)
 	}
 	// Output:
-	// line 1, field scenarios: scenario 0: no scenario is called "nowhere"; the
+	// line 1, field scenarios: scenario 0: unknown scenario "nowhere"; the buil
 	// line 2, field seeds: -1 is not within 1 and 10000
-	// line 4, field variant[0].policy: no policy is called "none"
-	// line 5, field variant[1].name: "a" is taken
-	// line 2, field base: no variant is called "b"
+	// line 4, field variant[0].policy: unknown policy "none"
+	// line 5, field variant[1].name: another variant is already named "a"
+	// line 2, field base: there is no variant "b"
 	// line 4, field variant[0].set: "sender.slot": there is no such field
 	// line 2, field variants: there is no such field
 }
 
-// Differences are paired by seed; void and failed runs are left out; each scenario weighs the same in the whole.
+// Differences are computed over pairs of runs with the same seed, and void runs are left out. In the row for all scenarios
+// each scenario has the same weight.
 func ExampleCompare() {
 	var results []*Result
 	add := func(scenario, variant string, seed uint64, figure float64, void string) {
@@ -141,9 +146,9 @@
 		results = append(results, r)
 	}
 	for seed := range uint64(6) {
-		luck := float64(seed) / 10
-		add("a", "base", seed, 0.3+luck, "")
-		add("a", "up", seed, 0.35+luck+float64(seed%2)/100, "")
+		offset := float64(seed) / 10 // common to both runs of a pair
+		add("a", "base", seed, 0.3+offset, "")
+		add("a", "up", seed, 0.35+offset+float64(seed%2)/100, "")
 		add("b", "base", seed, 0.8, "")
 		add("b", "up", seed, 0.8+float64(int(seed%3)-1)/10, "")
 	}
@@ -155,6 +160,6 @@
 	}
 	// Output:
 	// "a" up: 6 pairs, +0.055 in +0.049 to +0.061, better
-	// "b" up: 6 pairs, +0.000 in -0.094 to +0.094, cannot be told
-	// "" up: 12 pairs, +0.027 in -0.013 to +0.068, cannot be told
+	// "b" up: 6 pairs, +0.000 in -0.094 to +0.094, not significant
+	// "" up: 12 pairs, +0.027 in -0.013 to +0.068, not significant
 }
--- a/lab/experiment/plan.go
+++ b/lab/experiment/plan.go
@@ -1,6 +1,6 @@
 package experiment
 
-// This file reads a plan and lists its runs. A plan with an invalid field is refused.
+// This file reads a plan and lists its runs. A plan with an invalid field is rejected.
 
 import (
 	"cmp"
@@ -16,7 +16,7 @@
 	"flaxcove/lab/scenario"
 )
 
-// Finder looks up a scenario by its name or path; from is the file that names it.
+// Finder looks up a scenario by its name or path. From is the path of the file that names it.
 type Finder func(name, from string) (*scenario.Scenario, error)
 
 const (
@@ -27,7 +27,7 @@
 	maxSeeds     = 10000
 )
 
-// Load reads a plan and lists its runs.
+// Load reads the plan at path and returns it with its runs. An invalid field is reported as a *tomlfile.Error.
 func Load(path string, find Finder) (*Plan, []*Job, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -53,11 +53,12 @@
 	return p, jobs, nil
 }
 
-// wrong returns an error for a field of the plan's file.
-func (p *Plan) wrong(field, format string, args ...any) error {
+// fieldError returns a *tomlfile.Error for a field of the plan's file.
+func (p *Plan) fieldError(field, format string, args ...any) error {
 	return &tomlfile.Error{File: p.path, Line: p.lines[field], Field: field, What: fmt.Sprintf(format, args...)}
 }
 
+// defaults sets the fields that the file leaves out.
 func (p *Plan) defaults() {
 	p.Engine = cmp.Or(p.Engine, engineSimulated)
 	p.Seeds = cmp.Or(p.Seeds, defaultSeeds)
@@ -70,35 +71,37 @@
 	}
 }
 
+// check returns an error for the first invalid field outside the variants.
 func (p *Plan) check() error {
 	switch {
 	case p.Engine != engineSimulated && p.Engine != engineSockets:
-		return p.wrong("engine", "%q is neither simulated nor sockets", p.Engine)
+		return p.fieldError("engine", "%q is neither simulated nor sockets", p.Engine)
 	case len(p.Scenarios) == 0:
-		return p.wrong("scenarios", "missing")
+		return p.fieldError("scenarios", "missing")
 	case len(p.Variants) == 0:
-		return p.wrong("variant", "missing")
+		return p.fieldError("variant", "missing")
 	case p.Seeds < 1 || p.Seeds > maxSeeds:
-		return p.wrong("seeds", "%d is not within 1 and %d", p.Seeds, maxSeeds)
+		return p.fieldError("seeds", "%d is not within 1 and %d", p.Seeds, maxSeeds)
 	case !slices.ContainsFunc(p.Variants, func(v Variant) bool { return v.Name == p.Base }):
-		return p.wrong("base", "no variant is called %q", p.Base)
+		return p.fieldError("base", "there is no variant %q", p.Base)
 	}
 	return nil
 }
 
-// checkVariant checks one variant, and resolves the path of its binary from the plan's folder.
+// checkVariant returns an error for the first invalid field of one variant. It also makes the path of the variant's binary,
+// which is relative to the plan's folder, relative to the working directory.
 func (p *Plan) checkVariant(i int) error {
 	v, at := &p.Variants[i], fmt.Sprintf("variant[%d].", i)
 	baselinePolicy := v.Policy != "" && v.Policy != "choice"
 	switch {
 	case v.Name == "":
-		return p.wrong(at+"name", "missing")
+		return p.fieldError(at+"name", "missing")
 	case slices.ContainsFunc(p.Variants[:i], func(o Variant) bool { return o.Name == v.Name }):
-		return p.wrong(at+"name", "%q is taken", v.Name)
+		return p.fieldError(at+"name", "another variant is already named %q", v.Name)
 	case v.Policy != "" && baseline.Named(v.Policy) == nil:
-		return p.wrong(at+"policy", "no policy is called %q", v.Policy)
+		return p.fieldError(at+"policy", "unknown policy %q", v.Policy)
 	case baselinePolicy && (p.Engine != engineSimulated || v.Binary != ""):
-		return p.wrong(at+"policy", "baselines play in simulated time, in this program")
+		return p.fieldError(at+"policy", "a baseline needs the engine simulated, and cannot be combined with another binary")
 	case v.Binary == "":
 		return nil
 	}
@@ -106,22 +109,22 @@
 		v.Binary = filepath.Join(filepath.Dir(p.path), v.Binary)
 	}
 	if _, err := os.Stat(v.Binary); err != nil {
-		return p.wrong(at+"binary", "%v", err)
+		return p.fieldError(at+"binary", "%v", err)
 	}
 	return nil
 }
 
-// jobs lists all runs, sorted by seed, so that an interrupted plan has complete pairs to compare.
+// jobs returns all runs, sorted by seed, so that the results of an interrupted plan consist mostly of complete pairs.
 func (p *Plan) jobs(find Finder) ([]*Job, error) {
 	var jobs []*Job
 	for i, name := range p.Scenarios {
 		s, err := find(name, p.path)
 		if err != nil {
-			return nil, p.wrong("scenarios", "scenario %d: %v", i, err)
+			return nil, p.fieldError("scenarios", "scenario %d: %v", i, err)
 		}
 		for _, size := range p.Sizes {
 			for no := range p.Variants {
-				more, err := p.jobsOf(s, size, no)
+				more, err := p.jobsFor(s, size, no)
 				if err != nil {
 					return nil, err
 				}
@@ -133,20 +136,20 @@
 	return jobs, nil
 }
 
-// jobsOf lists the runs of one variant of one scenario at one size, one for each seed.
-func (p *Plan) jobsOf(s *scenario.Scenario, size float64, no int) ([]*Job, error) {
+// jobsFor returns the runs of one scenario at one size with variant number no, one run for each seed.
+func (p *Plan) jobsFor(s *scenario.Scenario, size float64, no int) ([]*Job, error) {
 	v := &p.Variants[no]
 	spec, err := Change(s.Spec, v.Set)
 	if err != nil {
-		return nil, p.wrong(fmt.Sprintf("variant[%d].set", no), "%v", err)
+		return nil, p.fieldError(fmt.Sprintf("variant[%d].set", no), "%v", err)
 	}
 	Scale(spec, size)
 	text, err := scenario.Write(spec)
 	if err != nil {
 		return nil, err
 	}
-	all := fmt.Sprint(string(text), p.Engine, v.Policy, v.Binary, stamp(v.Binary))
-	key := fmt.Sprintf("%016x", xxhash.Sum64String(all))
+	inputs := fmt.Sprint(string(text), p.Engine, v.Policy, v.Binary, buildID(v.Binary))
+	key := fmt.Sprintf("%016x", xxhash.Sum64String(inputs))
 	var jobs []*Job
 	for i := range p.Seeds {
 		jobs = append(jobs, &Job{
@@ -163,8 +166,9 @@
 	return jobs, nil
 }
 
-// stamp identifies a build of a binary by its size and time.
-func stamp(path string) string {
+// buildID identifies a build of a binary by its size and modification time. It returns "" if path is "" or the file cannot be
+// read.
+func buildID(path string) string {
 	if path == "" {
 		return ""
 	}
--- a/lab/experiment/results.go
+++ b/lab/experiment/results.go
@@ -1,6 +1,6 @@
 package experiment
 
-// This file reads and writes the file of results: a line of JSON for each run. A torn last line is not a result.
+// This file reads and writes the results file, which holds a line of JSON for each run.
 
 import (
 	"bufio"
@@ -12,7 +12,8 @@
 	"os"
 )
 
-// ReadResults reads a file of results. A torn last line, left by a killed process, is ignored.
+// ReadResults reads a results file. It ignores a last line without a line end, which a killed process may leave, and returns
+// no results if the file does not exist.
 func ReadResults(path string) ([]*Result, error) {
 	file, err := os.Open(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -40,7 +41,7 @@
 	}
 }
 
-// truncateTornLine removes a last line that is not terminated.
+// truncateTornLine removes a last line without a line end from a file. It does nothing if the file does not exist.
 func truncateTornLine(path string) error {
 	text, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) || len(text) == 0 {
@@ -55,20 +56,20 @@
 	return nil
 }
 
-// resultID identifies a run among the results of all plans in one file.
+// resultID identifies a run in a results file, which may hold the runs of several plans.
 type resultID struct {
 	key  string
 	seed uint64
 }
 
-// resultFile is a file of results that is open for more.
+// resultFile is a results file that is open for appending.
 type resultFile struct {
 	file  *os.File
-	known map[resultID]*Result
+	known map[resultID]*Result // the results in the file that need not be computed again
 }
 
-// openResults reads a file of results, removes a torn last line and opens the file for appending. Failed and void runs do
-// not count as known.
+// openResults reads a results file, removes a torn last line and opens the file for appending. Failed and void runs are not
+// known, so that they are run again.
 func openResults(path string) (*resultFile, error) {
 	old, err := ReadResults(path)
 	if err != nil {
@@ -90,7 +91,7 @@
 	return &resultFile{file: file, known: known}, nil
 }
 
-// add records a result and appends its line.
+// add records a result and appends it to the file.
 func (f *resultFile) add(r *Result) error {
 	f.known[resultID{r.Key, r.Seed}] = r
 	text, err := json.Marshal(r)
@@ -101,7 +102,7 @@
 	return err
 }
 
-// missing returns the runs without a result.
+// missing returns the runs that have no known result.
 func (f *resultFile) missing(jobs []*Job) (todo []*Job) {
 	for _, j := range jobs {
 		if f.known[resultID{j.Key, j.Seed}] == nil {
@@ -111,8 +112,9 @@
 	return todo
 }
 
-// of returns the results of a plan's runs, in their order.
-func (f *resultFile) of(jobs []*Job) (all []*Result) {
+// resultsOf returns the known results of a plan's runs, in the order of the runs. Scenario, Variant and Size are set to the
+// names in the plan, because another plan may have stored the result under other names.
+func (f *resultFile) resultsOf(jobs []*Job) (all []*Result) {
 	for _, j := range jobs {
 		if r := f.known[resultID{j.Key, j.Seed}]; r != nil {
 			r.Scenario, r.Variant, r.Size = j.Scenario, j.Variant, j.Size
--- a/lab/experiment/run.go
+++ b/lab/experiment/run.go
@@ -1,7 +1,7 @@
 package experiment
 
-// This file plays runs on workers. Runs on sockets must not be played concurrently, and the order of results must not depend
-// on which run ends first.
+// This file executes the runs of a plan on parallel workers. Runs on sockets must not be executed in parallel, because they
+// would delay each other. The order of results must not depend on which run ends first.
 
 import (
 	"context"
@@ -9,15 +9,18 @@
 	"time"
 )
 
-// Options are how a plan is played.
+// Options are the settings of an experiment's execution.
 type Options struct {
-	Cores    int
-	Out      string // the file of results
-	Self     string // this program, for runs on sockets
-	Progress func(done, all int, left time.Duration, r *Result)
+	Cores int    // number of runs to execute in parallel; engine simulated only
+	Out   string // path of the results file
+	Self  string // path of this program, which runs on sockets start as senders
+	// Progress, if not nil, is called after each run. Done includes results from earlier executions; remaining is an
+	// estimate of the time until all runs are done.
+	Progress func(done, all int, remaining time.Duration, r *Result)
 }
 
-// Run plays the runs that have no result yet, and returns all results of the plan in its order.
+// Run executes the runs that have no result yet, and returns all results of the plan in the order of jobs. If ctx ends, it
+// returns the error of ctx; the results of completed runs remain in the file.
 func Run(ctx context.Context, p *Plan, jobs []*Job, o Options) ([]*Result, error) {
 	file, err := openResults(o.Out)
 	if err != nil {
@@ -25,42 +28,43 @@
 	}
 	defer file.close()
 	todo := file.missing(jobs)
-	began, count := time.Now(), 0
-	var failed error
-	for r := range playAll(ctx, p, todo, o) {
+	startedAt, count := time.Now(), 0
+	var firstErr error
+	for r := range runAll(ctx, p, todo, o) {
 		if ctx.Err() != nil {
 			continue // drain the channel until all workers have ended
 		}
 		count++
-		if err := file.add(r); err != nil && failed == nil {
-			failed = err
+		if err := file.add(r); err != nil && firstErr == nil {
+			firstErr = err
 		}
 		if o.Progress != nil {
-			left := time.Since(began) / time.Duration(count) * time.Duration(len(todo)-count)
-			o.Progress(len(jobs)-len(todo)+count, len(jobs), left, r)
+			remaining := time.Since(startedAt) / time.Duration(count) * time.Duration(len(todo)-count)
+			o.Progress(len(jobs)-len(todo)+count, len(jobs), remaining, r)
 		}
 	}
-	if failed != nil {
-		return nil, failed
+	if firstErr != nil {
+		return nil, firstErr
 	}
 	if err := ctx.Err(); err != nil {
 		return nil, err
 	}
-	return file.of(jobs), nil
+	return file.resultsOf(jobs), nil
 }
 
-// playAll plays runs on as many workers as there are cores to use. The channel is closed when all workers have ended.
-func playAll(ctx context.Context, p *Plan, todo []*Job, o Options) <-chan *Result {
+// runAll executes runs on parallel workers and sends their results to the returned channel. The channel is closed when all
+// workers have ended.
+func runAll(ctx context.Context, p *Plan, todo []*Job, o Options) <-chan *Result {
 	workers := max(1, o.Cores)
 	if p.Engine == engineSockets {
-		workers = 1 // two at once would delay each other
+		workers = 1 // parallel runs would delay each other
 	}
 	work, done := make(chan *Job), make(chan *Result)
 	var running sync.WaitGroup
 	for range workers {
 		running.Go(func() {
 			for j := range work {
-				done <- play(ctx, p, j, o)
+				done <- runJob(ctx, p, j, o)
 			}
 		})
 	}
@@ -68,13 +72,13 @@
 		defer close(done)
 		defer running.Wait()
 		defer close(work)
-		handOut(ctx, todo, work)
+		dispatch(ctx, todo, work)
 	}()
 	return done
 }
 
-// handOut gives runs to free workers, until all are given out or ctx ends.
-func handOut(ctx context.Context, todo []*Job, work chan<- *Job) {
+// dispatch sends runs to the workers until all are sent or ctx ends.
+func dispatch(ctx context.Context, todo []*Job, work chan<- *Job) {
 	for _, j := range todo {
 		select {
 		case work <- j:
@@ -84,8 +88,8 @@
 	}
 }
 
-// play plays one run of a plan.
-func play(ctx context.Context, p *Plan, j *Job, o Options) *Result {
+// runJob executes one run of a plan. An error of the run is stored in Result.Error.
+func runJob(ctx context.Context, p *Plan, j *Job, o Options) *Result {
 	v, err := RunOnce(ctx, RunSpec{
 		Engine:   p.Engine,
 		Spec:     j.spec,
--- a/lab/experiment/single.go
+++ b/lab/experiment/single.go
@@ -1,6 +1,6 @@
 package experiment
 
-// This file plays a single run, with the engine and the build that it asks for.
+// This file executes a single run with the selected engine and build of the program.
 
 import (
 	"bytes"
@@ -21,30 +21,30 @@
 	"flaxcove/lab/world"
 )
 
-// RunSpec is one run.
+// RunSpec describes one run.
 type RunSpec struct {
-	Engine   string
+	Engine   string // simulated or sockets
 	Spec     *world.Spec
-	Scenario *scenario.Scenario // whose trace is played; may be nil
+	Scenario *scenario.Scenario // the scenario whose recorded trace is replayed; nil for none
 	Seed     uint64
-	Policy   string
-	Binary   string // another build, which plays simulated runs itself and is the sender on sockets
-	Self     string
-	Logs     string
+	Policy   string // see lab/baseline; "" for the project's own decisions; engine simulated only
+	Binary   string // path of another build: it executes simulated runs, or is the sender on sockets; "" for this build
+	Self     string // path of this program, which is the sender on sockets if Binary is ""
+	Logs     string // folder for the senders' logs, on sockets; "" for none
 }
 
-// RunOnce plays a run with the engine and the build that it asks for.
+// RunOnce executes a run with the selected engine and build, and returns its verdict.
 func RunOnce(ctx context.Context, s RunSpec) (*referee.Verdict, error) {
 	switch {
 	case s.Engine == engineSockets:
-		return onSockets(ctx, s)
+		return runOnSockets(ctx, s)
 	case s.Binary != "":
-		return onOtherBinary(ctx, s)
+		return runWithBinary(ctx, s)
 	}
-	return simulated(ctx, s)
+	return runSimulated(ctx, s)
 }
 
-// trace is the recorded load that replaces the spec's, or nil.
+// trace returns the recorded arrivals that replace the load of the spec, or nil if there are none.
 func (s *RunSpec) trace() []load.Arrival {
 	if s.Scenario == nil {
 		return nil
@@ -52,8 +52,8 @@
 	return s.Scenario.Trace
 }
 
-// onSockets plays with real senders.
-func onSockets(ctx context.Context, s RunSpec) (*referee.Verdict, error) {
+// runOnSockets executes a run with real senders on loopback sockets.
+func runOnSockets(ctx context.Context, s RunSpec) (*referee.Verdict, error) {
 	binary := s.Self
 	if s.Binary != "" {
 		binary = s.Binary
@@ -68,8 +68,8 @@
 	return r.Verdict, nil
 }
 
-// simulated plays in simulated time, in this program.
-func simulated(ctx context.Context, s RunSpec) (*referee.Verdict, error) {
+// runSimulated executes a run in simulated time, in this process.
+func runSimulated(ctx context.Context, s RunSpec) (*referee.Verdict, error) {
 	o := sim.Options{Spec: s.Spec, Seed: s.Seed, Trace: s.trace(), Until: func() bool { return ctx.Err() != nil }}
 	if s.Policy != "" {
 		o.Policy = baseline.Named(s.Policy)
@@ -77,30 +77,30 @@
 	return sim.Run(o)
 }
 
-// onOtherBinary has another build play a simulated run.
-func onOtherBinary(ctx context.Context, s RunSpec) (*referee.Verdict, error) {
-	path, err := temporaryScenario(s.Spec)
+// runWithBinary starts another build of the program to execute a simulated run, and reads the verdict from its output.
+func runWithBinary(ctx context.Context, s RunSpec) (*referee.Verdict, error) {
+	path, err := writeTemporaryScenario(s.Spec)
 	if err != nil {
 		return nil, err
 	}
 	defer os.Remove(path)
 	cmd := exec.CommandContext(ctx, s.Binary, "lab", "run", "--engine", engineSimulated, "--seed", fmt.Sprint(s.Seed), "--json", path)
-	var said bytes.Buffer
-	cmd.Stderr = &said
+	var stderr bytes.Buffer
+	cmd.Stderr = &stderr
 	out, err := cmd.Output()
-	// A run with a broken rule exits with code 3 and writes its verdict all the same.
+	// A run that broke a rule exits with code 3 and a void one with code 4, but both have written their verdict.
 	if len(out) == 0 {
-		return nil, fmt.Errorf("%s: %w: %s", s.Binary, err, strings.TrimSpace(said.String()))
+		return nil, fmt.Errorf("%s: no verdict: %w: %s", s.Binary, err, strings.TrimSpace(stderr.String()))
 	}
 	var v referee.Verdict
 	if err := json.Unmarshal(out, &v); err != nil {
-		return nil, fmt.Errorf("%s: %w", s.Binary, err)
+		return nil, fmt.Errorf("%s: cannot parse the verdict: %w", s.Binary, err)
 	}
 	return &v, nil
 }
 
-// temporaryScenario writes a scenario to a file that its caller removes.
-func temporaryScenario(spec *world.Spec) (path string, err error) {
+// writeTemporaryScenario writes a scenario to a temporary file and returns its path. The caller must remove the file.
+func writeTemporaryScenario(spec *world.Spec) (path string, err error) {
 	text, err := scenario.Write(spec)
 	if err != nil {
 		return "", err
--- a/lab/experiment/storeddata_test.go
+++ b/lab/experiment/storeddata_test.go
@@ -9,8 +9,9 @@
 	"flaxcove/lab/experiment"
 )
 
-// TestReadsStoredResults: a file of results of commit 485f0e4, with each field set in its first line and few in its second,
-// is read, and the same results are written as they were. The file is never written anew.
+// TestReadsStoredResults checks that a results file written by commit 485f0e4 can be read, and that its results are encoded
+// to the same bytes again. Its first line sets every field, its second line only the mandatory ones. The file must never be
+// regenerated.
 func TestReadsStoredResults(t *testing.T) {
 	const path = "testdata/stored/results.jsonl"
 	stored, err := os.ReadFile(path)
@@ -29,6 +30,6 @@
 		}
 	}
 	if !bytes.Equal(again.Bytes(), stored) {
-		t.Errorf("read and written again:\n%s\nstored:\n%s", again.Bytes(), stored)
+		t.Errorf("encoded again:\n%s\nstored:\n%s", again.Bytes(), stored)
 	}
 }
--- a/lab/hunt/draw.go
+++ b/lab/hunt/draw.go
@@ -1,6 +1,6 @@
 package hunt
 
-// This file draws random scenarios. Each must be valid, and depend on nothing but the given generator.
+// This file draws random scenarios. Each scenario must be valid and must depend only on the given random generator.
 
 import (
 	"fmt"
@@ -10,15 +10,16 @@
 	"flaxcove/lab/world"
 )
 
-// Kinds of fault that are drawn, sorted by name.
+// The kinds of fault that are drawn, each slice sorted by name: those that affect endpoints, and all others.
 var endpointFaults, otherFaults = faultKinds()
 
+// faultKinds returns the kinds of fault that have an effect in simulated time.
 func faultKinds() (endpoints, others []string) {
 	for name, kind := range world.FaultKinds {
 		switch {
 		case kind.Affects == "endpoints":
 			endpoints = append(endpoints, name)
-		case name != "hoard" && name != "rubbish" && name != "notes_lost": // they do nothing in simulated time
+		case name != "hoard" && name != "rubbish" && name != "notes_lost": // these have no effect in simulated time
 			others = append(others, name)
 		}
 	}
@@ -27,18 +28,18 @@
 	return endpoints, others
 }
 
-// drawer draws the parts of one scenario, always in the same order.
+// drawer draws one scenario, always with the same sequence of draws, so that a seed determines the scenario.
 type drawer struct {
 	rng   *rand.Rand
-	scale float64
+	scale float64 // factor on the numbers of senders, destinations and messages
 	spec  world.Spec
 }
 
-// Draw returns a random scenario. Scale sets its size; 1 is a handful of senders.
+// Draw returns a random scenario. Scale is a factor on its size; with 1 it has one to six senders.
 func Draw(rng *rand.Rand, scale float64) *world.Spec {
 	d := &drawer{rng: rng, scale: scale, spec: world.Base()}
 	d.spec.Name = "drawn"
-	d.drawWorld()
+	d.drawEnvironment()
 	for i := range 1 + rng.IntN(3) {
 		d.spec.Classes = append(d.spec.Classes, d.class(i))
 	}
@@ -55,25 +56,26 @@
 	return &d.spec
 }
 
-func (d *drawer) between(least, most float64) float64 { return least + (most-least)*d.rng.Float64() }
+// between draws a value from a range.
+func (d *drawer) between(low, high float64) float64 { return low + (high-low)*d.rng.Float64() }
 
-// figure draws a value between two, rounded to two decimal places.
-func (d *drawer) figure(least, most float64) float64 { return round(d.between(least, most)) }
+// roundedBetween draws a value from a range, rounded to two decimal places.
+func (d *drawer) roundedBetween(low, high float64) float64 { return round(d.between(low, high)) }
 
-// pair draws a range that begins in one range and ends in another.
-func (d *drawer) pair(low, high world.Pair) world.Pair {
-	from := d.figure(low[0], low[1])
-	return world.Pair{from, max(from, d.figure(high[0], high[1]))}
+// pairBetween draws a range: its lower end from the range low, its upper end from the range high.
+func (d *drawer) pairBetween(low, high world.Pair) world.Pair {
+	from := d.roundedBetween(low[0], low[1])
+	return world.Pair{from, max(from, d.roundedBetween(high[0], high[1]))}
 }
 
-// chance is true with probability p.
+// chance returns true with probability p.
 func (d *drawer) chance(p float64) bool { return d.rng.Float64() < p }
 
-// pick draws one of several values.
+// pick draws one of several values with equal probabilities.
 func pick[T any](d *drawer, from ...T) T { return from[d.rng.IntN(len(from))] }
 
-// drawWorld draws the size of the world, its load and its rules.
-func (d *drawer) drawWorld() {
+// drawEnvironment draws the scenario's size, load, senders and rules.
+func (d *drawer) drawEnvironment() {
 	s := &d.spec
 	s.Seconds = float64(20 + d.rng.IntN(25))
 	s.Senders = max(1, int(d.between(1, 6)*d.scale+0.5))
@@ -81,50 +83,52 @@
 	s.Halving = d.chance(0.5)
 	s.Load.Rate = round(d.between(20, 120) * d.scale)
 	s.Load.Shape = pick(d, "poisson", "poisson", "bursts")
-	s.Load.Zipf = d.figure(0, 1.3)
-	s.Load.SenderSkew = d.figure(0, 1)
-	s.Load.ClumpShare = d.figure(0, 0.3)
-	s.Load.Swing = d.figure(0, 0.4)
+	s.Load.Zipf = d.roundedBetween(0, 1.3)
+	s.Load.SenderSkew = d.roundedBetween(0, 1)
+	s.Load.ClumpShare = d.roundedBetween(0, 0.3)
+	s.Load.Swing = d.roundedBetween(0, 0.4)
 	s.Sender.Probing = d.chance(0.7)
 	s.Sender.Rating = pick(d, "off", "rough", "nominal")
 	s.Clients.OwnSender = d.chance(0.4)
 	s.Rules.DrainGraceMS = pick(d, 500.0, 1000, 2000)
-	s.Rules.FallMultiple = d.figure(1.8, 3)
-	s.Rules.FallS = d.figure(1, 2)
+	s.Rules.FallMultiple = d.roundedBetween(1.8, 3)
+	s.Rules.FallS = d.roundedBetween(1, 2)
 }
 
+// class draws class number no.
 func (d *drawer) class(no int) world.Class {
-	contract := float64(300 + d.rng.IntN(3000))
+	latencyObjectiveMS := float64(300 + d.rng.IntN(3000))
 	return world.Class{
 		Name:               fmt.Sprintf("w%d", no),
 		Repeat:             pick(d, world.Idempotent, world.Keyed, world.NonIdempotent),
-		Share:              d.figure(0.3, 3),
-		LatencyObjectiveMS: contract,
-		DeadlineMS:         contract * (2 + float64(d.rng.IntN(6))),
-		Value:              d.figure(0.5, 4),
-		LateValue:          d.figure(0, 0.6),
+		Share:              d.roundedBetween(0.3, 3),
+		LatencyObjectiveMS: latencyObjectiveMS,
+		DeadlineMS:         latencyObjectiveMS * (2 + float64(d.rng.IntN(6))),
+		Value:              d.roundedBetween(0.5, 4),
+		LateValue:          d.roundedBetween(0, 0.6),
 		Ordered:            d.chance(0.25),
 		ZoneGroup:          d.chance(0.3),
-		WindowS:            d.figure(0.5, 6),
+		WindowS:            d.roundedBetween(0.5, 6),
 	}
 }
 
+// partner draws kind number no of destinations.
 func (d *drawer) partner(no int) world.Kind {
 	k := world.Kind{
 		Name:            fmt.Sprintf("k%d", no),
 		Count:           max(1, int(d.between(1, 7)*d.scale+0.5)),
 		Endpoints:       world.Pair{1, float64(1 + d.rng.IntN(4))},
-		MeanMS:          d.pair(world.Pair{15, 100}, world.Pair{100, 350}),
-		Sigma:           d.figure(0.2, 1.2),
-		Headroom:        d.pair(world.Pair{1.05, 1.8}, world.Pair{1.8, 4}),
-		Queue:           d.figure(0.5, 6),
-		RetryAfterShare: d.figure(0, 1),
+		MeanMS:          d.pairBetween(world.Pair{15, 100}, world.Pair{100, 350}),
+		Sigma:           d.roundedBetween(0.2, 1.2),
+		Headroom:        d.pairBetween(world.Pair{1.05, 1.8}, world.Pair{1.8, 4}),
+		Queue:           d.roundedBetween(0.5, 6),
+		RetryAfterShare: d.roundedBetween(0, 1),
 		Reports:         d.chance(0.6),
-		SlowStartS:      d.figure(3, 15),
-		SlowStartFrom:   d.figure(0.1, 0.5),
-		IdleS:           d.figure(2, 15),
+		SlowStartS:      d.roundedBetween(3, 15),
+		SlowStartFrom:   d.roundedBetween(0.1, 0.5),
+		IdleS:           d.roundedBetween(2, 15),
 		HandshakeMS:     float64(d.rng.IntN(60)),
-		ErrorShare:      d.figure(0, 0.02),
+		ErrorShare:      d.roundedBetween(0, 0.02),
 	}
 	d.drawLimit(&k)
 	if d.chance(0.3) {
@@ -137,9 +141,10 @@
 	return k
 }
 
-// drawLimit gives a third of all kinds a rate limit, a third a limit of calls per span, and the rest none.
+// drawLimit sets the limit of a kind of destination: with equal probabilities a rate limit, a limit on the calls in a span of
+// time, or none.
 func (d *drawer) drawLimit(k *world.Kind) {
-	times := func() world.Pair { return d.pair(world.Pair{0.9, 1.5}, world.Pair{1.5, 3}) }
+	times := func() world.Pair { return d.pairBetween(world.Pair{0.9, 1.5}, world.Pair{1.5, 3}) }
 	switch d.rng.IntN(3) {
 	case 0:
 		k.Limit = "rate"
@@ -153,17 +158,18 @@
 	}
 }
 
+// fault draws a fault that ends before the scenario does. Three of four affect endpoints.
 func (d *drawer) fault() world.Fault {
 	t := world.Fault{
-		At:      d.figure(1, d.spec.Seconds*0.6),
-		Seconds: d.figure(2, d.spec.Seconds*0.35),
+		At:      d.roundedBetween(1, d.spec.Seconds*0.6),
+		Seconds: d.roundedBetween(2, d.spec.Seconds*0.35),
 	}
 	if d.chance(0.75) {
 		d.drawEndpoints(&t)
 	} else {
 		t.Kind = pick(d, otherFaults...)
 		if world.FaultKinds[t.Kind].Affects == "senders" {
-			t.Selector.Share = d.figure(0.2, 1)
+			t.Selector.Share = d.roundedBetween(0.2, 1)
 		}
 	}
 	if kind := world.FaultKinds[t.Kind]; kind.Amount != "" && d.chance(0.7) {
@@ -172,10 +178,10 @@
 	return t
 }
 
-// drawEndpoints draws a fault of endpoints and which ones it affects.
+// drawEndpoints draws the kind of a fault that affects endpoints, and the endpoints that it affects.
 func (d *drawer) drawEndpoints(t *world.Fault) {
 	t.Kind = pick(d, endpointFaults...)
-	t.Selector.Share = d.figure(0.1, 0.7)
+	t.Selector.Share = d.roundedBetween(0.1, 0.7)
 	if d.chance(0.3) {
 		t.Selector.Endpoint = 1
 	}
@@ -184,11 +190,12 @@
 	}
 }
 
+// change draws a change of the endpoint list.
 func (d *drawer) change() world.ListEvent {
 	return world.ListEvent{
 		Change:   pick(d, "drain", "remove", "move", "back"),
-		At:       d.figure(1, d.spec.Seconds),
-		Selector: world.Selector{Share: d.figure(0.1, 0.6), Endpoint: d.rng.IntN(3)},
+		At:       d.roundedBetween(1, d.spec.Seconds),
+		Selector: world.Selector{Share: d.roundedBetween(0.1, 0.6), Endpoint: d.rng.IntN(3)},
 		Restart:  d.chance(0.5),
 	}
 }
--- a/lab/hunt/hunt.go
+++ b/lab/hunt/hunt.go
@@ -1,7 +1,9 @@
-// Package hunt looks for scenarios on which a sender does badly, and shrinks them.
+// Package hunt searches for scenarios in which a sender breaks a rule or delivers much less value than is possible, and
+// shrinks them.
 //
-// It draws random scenarios (draw.go), shrinks those that show something (shrink.go) and stores them (saved.go). Runs are
-// played by a function that the caller gives. A find must show again in a second run of the same scenario and seed.
+// It draws random scenarios (draw.go), shrinks those that match the goal of the hunt (shrink.go) and saves them (saved.go).
+// Shrink executes runs with a function that its caller provides. A find must be reproducible: a second run of the same
+// scenario with the same seed must match the goal again.
 package hunt
 
 import (
@@ -9,36 +11,40 @@
 	"flaxcove/lab/world"
 )
 
-// Find says what a scenario shows.
+// Find describes what a run of a saved scenario shows.
 type Find struct {
-	Rule  referee.Rule `toml:"rule"` // the rule that is broken; "" if the find is a gap
-	Seed  uint64       `toml:"seed"`
-	Gap   float64      `toml:"gap"` // by which the sender's service is below that of the policy that sees the true state
-	Open  bool         `toml:"open"`
-	Cause string       `toml:"cause"` // if it is known
+	Rule  referee.Rule `toml:"rule"`  // the rule that is broken; "" if the find is a gap
+	Seed  uint64       `toml:"seed"`  // seed of the run
+	Gap   float64      `toml:"gap"`   // see Outcome
+	Open  bool         `toml:"open"`  // the fault is not fixed yet
+	Cause string       `toml:"cause"` // cause of the fault, "" if it is not known
 }
 
 // Outcome is the result of a run of one scenario.
 type Outcome struct {
-	Rules map[referee.Rule]int
-	Gap   float64
+	Rules map[referee.Rule]int // number of violations by rule
+	// Gap is the difference between the service of the bound and that of the sender, as a share of the bound's service. The
+	// bound is the policy all_seen of lab/baseline, which sees the true state of all endpoints. Gap is 0 if a rule was broken
+	// or the bound was not run.
+	Gap float64
 }
 
-// Play plays a scenario with the sender, and also with the bound if asked to.
-type Play func(spec *world.Spec, seed uint64, bound bool) (Outcome, error)
+// RunFunc runs a scenario with the sender. If bound is true, it also runs the bound and computes the gap.
+type RunFunc func(spec *world.Spec, seed uint64, bound bool) (Outcome, error)
 
 // Goal is what a hunt looks for.
 type Goal struct {
-	Rules bool    // broken rules only; else also a gap
-	Least float64 // smallest gap that counts
+	RulesOnly bool    // only broken rules match; otherwise gaps match, too
+	MinGap    float64 // smallest gap that matches
 }
 
-// Hit reports whether a run shows what the hunt looks for, and the first broken rule in the order of reports.
-func (g Goal) Hit(p Outcome) (rule referee.Rule, hit bool) {
+// Matches reports whether an outcome is what the hunt looks for. It also returns the first broken rule in the order of
+// referee.Rules, or "" if none is broken.
+func (g Goal) Matches(o Outcome) (rule referee.Rule, matches bool) {
 	for _, r := range referee.Rules {
-		if p.Rules[r] > 0 {
+		if o.Rules[r] > 0 {
 			return r, true
 		}
 	}
-	return "", !g.Rules && p.Gap >= g.Least
+	return "", !g.RulesOnly && o.Gap >= g.MinGap
 }
--- a/lab/hunt/play.go
+++ b/lab/hunt/play.go
@@ -1,6 +1,6 @@
 package hunt
 
-// This file plays a run of a hunt in simulated time and computes the gap to the policy that sees the true state.
+// This file executes the runs of a hunt in simulated time.
 
 import (
 	"flaxcove/lab/baseline"
@@ -8,21 +8,21 @@
 	"flaxcove/lab/world"
 )
 
-// Simulated plays a scenario in simulated time.
-func Simulated(spec *world.Spec, seed uint64, bound bool) (Outcome, error) {
+// RunSimulated is a RunFunc that runs a scenario in simulated time.
+func RunSimulated(spec *world.Spec, seed uint64, bound bool) (Outcome, error) {
 	v, err := sim.Run(sim.Options{Spec: spec, Seed: seed})
 	if err != nil {
 		return Outcome{}, err
 	}
-	p := Outcome{Rules: v.Rules}
+	o := Outcome{Rules: v.Rules}
 	if bound && !v.Broken() {
 		b, err := sim.Run(sim.Options{Spec: spec, Seed: seed, Policy: baseline.Named("all_seen")})
 		if err != nil {
-			return p, err
+			return o, err
 		}
 		if b.Service > 0 {
-			p.Gap = (b.Service - v.Service) / b.Service
+			o.Gap = (b.Service - v.Service) / b.Service
 		}
 	}
-	return p, nil
+	return o, nil
 }
--- a/lab/hunt/saved.go
+++ b/lab/hunt/saved.go
@@ -1,6 +1,6 @@
 package hunt
 
-// This file reads and writes files of finds, and holds those that the tests replay.
+// This file reads and writes the files of saved finds, and embeds those that the tests replay.
 
 import (
 	"bytes"
@@ -16,39 +16,40 @@
 	"flaxcove/lab/world"
 )
 
-// SavedFind is a find as its file stores it: the scenario with a table found.
+// SavedFind is a saved find. Its file is a scenario file with a further table, "found".
 type SavedFind struct {
 	Found Find `toml:"found"`
 	world.Spec
 }
 
-// Read reads a saved find.
+// Read parses a saved find. Name is the name of the file in errors; an invalid field is reported as a *tomlfile.Error.
 func Read(name string, text []byte) (*SavedFind, error) {
-	k := &SavedFind{Spec: world.Base()}
-	if err := tomlfile.Decode(name, text, k); err != nil {
+	find := &SavedFind{Spec: world.Base()}
+	if err := tomlfile.Decode(name, text, find); err != nil {
 		return nil, err
 	}
-	k.Defaults()
-	if problems := k.Check(); len(problems) > 0 {
+	find.Defaults()
+	if problems := find.Check(); len(problems) > 0 {
 		return nil, &tomlfile.Error{File: name, Line: tomlfile.Lines(text)[problems[0].Path], Field: problems[0].Path, What: problems[0].What}
 	}
-	return k, nil
+	return find, nil
 }
 
-// Save writes a find to a file in a folder, named after the scenario, and returns its path.
-func Save(folder string, k *SavedFind) (string, error) {
+// Save writes a find to a file in a folder, which it creates if necessary, and returns the path of the file. The file is named
+// after the scenario.
+func Save(folder string, find *SavedFind) (string, error) {
 	var out bytes.Buffer
-	if err := toml.NewEncoder(&out).Encode(k); err != nil {
+	if err := toml.NewEncoder(&out).Encode(find); err != nil {
 		return "", err
 	}
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return "", err
 	}
-	path := filepath.Join(folder, k.Name+".toml")
+	path := filepath.Join(folder, find.Name+".toml")
 	return path, os.WriteFile(path, out.Bytes(), 0o644)
 }
 
-// found holds the finds that the tests replay.
+// found holds the files of the finds that the tests replay.
 //
 //go:embed found/*.toml
 var found embed.FS
@@ -64,14 +65,14 @@
 		if err != nil {
 			return nil, err
 		}
-		k, err := Read(e.Name(), text)
+		find, err := Read(e.Name(), text)
 		if err != nil {
 			return nil, err
 		}
-		if k.Name != strings.TrimSuffix(e.Name(), ".toml") {
-			return nil, fmt.Errorf("%s calls itself %q", e.Name(), k.Name)
+		if find.Name != strings.TrimSuffix(e.Name(), ".toml") {
+			return nil, fmt.Errorf("found/%s: the scenario's name is %q, which differs from the name of the file", e.Name(), find.Name)
 		}
-		all = append(all, k)
+		all = append(all, find)
 	}
 	return all, nil
 }
--- a/lab/hunt/shrink.go
+++ b/lab/hunt/shrink.go
@@ -1,6 +1,6 @@
 package hunt
 
-// This file shrinks finds. A smaller one must show the same as the original.
+// This file shrinks the scenarios of finds. A smaller scenario must still show the same broken rule, or a similar gap.
 
 import (
 	"fmt"
@@ -9,48 +9,49 @@
 	"flaxcove/lab/world"
 )
 
-// leastGapShare is the share of its gap that a find must still have after shrinking.
-const leastGapShare = 0.7
+// minGapShare is the share of the original gap that a find must still have after shrinking.
+const minGapShare = 0.7
 
-// Shrink removes parts of a find's scenario as long as it still shows the same, and returns the smallest scenario found
-// within a number of runs.
-func Shrink(spec *world.Spec, seed uint64, goal Goal, play Play, runs int, say func(*world.Spec)) (*world.Spec, Outcome, error) {
-	found, err := play(spec, seed, !goal.Rules)
+// Shrink removes parts of a find's scenario as long as the find is still reproduced. It uses at most the given number of runs
+// after the first, and returns the smallest scenario with its outcome. OnSmaller, if not nil, is called with each smaller
+// scenario that reproduces the find.
+func Shrink(spec *world.Spec, seed uint64, goal Goal, run RunFunc, runs int, onSmaller func(*world.Spec)) (*world.Spec, Outcome, error) {
+	original, err := run(spec, seed, !goal.RulesOnly)
 	if err != nil {
-		return nil, found, err
+		return nil, original, err
 	}
-	rule, hit := goal.Hit(found)
-	if !hit {
-		return nil, found, fmt.Errorf("the find does not show again")
+	rule, matches := goal.Matches(original)
+	if !matches {
+		return nil, original, fmt.Errorf("the find was not reproduced by a second run of the scenario with seed %d", seed)
 	}
-	still := func(p Outcome) bool {
+	reproduces := func(o Outcome) bool {
 		if rule != "" {
-			return p.Rules[rule] > 0
+			return o.Rules[rule] > 0
 		}
-		return p.Gap >= max(goal.Least, leastGapShare*found.Gap)
+		return o.Gap >= max(goal.MinGap, minGapShare*original.Gap)
 	}
-	best, bestPlayed := spec, found
+	best, bestOutcome := spec, original
 	for runs > 0 {
-		smaller, p, err := firstSmaller(best, &runs, func(s *world.Spec) (Outcome, bool, error) {
-			p, err := play(s, seed, !goal.Rules)
-			return p, err == nil && still(p), err
+		smaller, o, err := firstSmaller(best, &runs, func(s *world.Spec) (Outcome, bool, error) {
+			o, err := run(s, seed, !goal.RulesOnly)
+			return o, err == nil && reproduces(o), err
 		})
 		if err != nil {
-			return nil, p, err
+			return nil, o, err
 		}
 		if smaller == nil {
 			break
 		}
-		best, bestPlayed = smaller, p
-		if say != nil {
-			say(best)
+		best, bestOutcome = smaller, o
+		if onSmaller != nil {
+			onSmaller(best)
 		}
 	}
-	return best, bestPlayed, nil
+	return best, bestOutcome, nil
 }
 
-// firstSmaller returns the first of the slightly smaller scenarios that still shows the find, or nil if none does within the
-// remaining runs. It counts runs down.
+// firstSmaller returns the first slightly smaller scenario that reproduces the find, or nil if none does within the remaining
+// runs. It decrements runs for each candidate. Try runs a scenario and reports whether it reproduces the find.
 func firstSmaller(s *world.Spec, runs *int, try func(*world.Spec) (Outcome, bool, error)) (*world.Spec, Outcome, error) {
 	for _, smaller := range smallerSpecs(s) {
 		if *runs--; *runs < 0 {
@@ -59,22 +60,23 @@
 		if len(smaller.Check()) > 0 {
 			continue
 		}
-		p, shows, err := try(smaller)
-		if err != nil || shows {
-			return smaller, p, err
+		o, reproduces, err := try(smaller)
+		if err != nil || reproduces {
+			return smaller, o, err
 		}
 	}
 	return nil, Outcome{}, nil
 }
 
-// candidates collects changed copies of a scenario.
+// candidates collects modified copies of a scenario.
 type candidates struct {
-	of  *world.Spec
-	all []*world.Spec
+	original *world.Spec
+	all      []*world.Spec
 }
 
+// add adds a copy of the original scenario after change was applied to it.
 func (s *candidates) add(change func(*world.Spec)) {
-	c := *s.of
+	c := *s.original
 	c.Classes = slices.Clone(c.Classes)
 	c.Partners = slices.Clone(c.Partners)
 	c.Faults = slices.Clone(c.Faults)
@@ -83,36 +85,39 @@
 	s.all = append(s.all, &c)
 }
 
-// smallerSpecs returns the scenarios that are slightly smaller than one, those with the most removed first.
-func smallerSpecs(of *world.Spec) []*world.Spec {
-	s := &candidates{of: of}
+// smallerSpecs returns the scenarios that are one step smaller than spec. Steps that usually shrink a scenario most come
+// first.
+func smallerSpecs(spec *world.Spec) []*world.Spec {
+	s := &candidates{original: spec}
 	s.withoutFaults()
 	s.withFewerSenders()
 	s.withoutKinds()
-	for i := range of.Partners {
+	for i := range spec.Partners {
 		s.withSimplerKind(i)
 	}
-	s.shorter()
-	if of.Load.Rate > 5 {
+	s.withShorterRun()
+	if spec.Load.Rate > 5 {
 		s.add(func(c *world.Spec) { c.Load.Rate = round(c.Load.Rate / 2) })
 	}
-	if of.Zones > 1 {
+	if spec.Zones > 1 {
 		s.add(func(c *world.Spec) { c.Zones = 1 })
 	}
 	return s.all
 }
 
+// withoutFaults removes one fault, or all changes of the endpoint list.
 func (s *candidates) withoutFaults() {
-	for i := range s.of.Faults {
+	for i := range s.original.Faults {
 		s.add(func(c *world.Spec) { c.Faults = slices.Delete(c.Faults, i, i+1) })
 	}
-	if len(s.of.Changes) > 0 {
+	if len(s.original.Changes) > 0 {
 		s.add(func(c *world.Spec) { c.Changes = nil })
 	}
 }
 
+// withFewerSenders halves the number of senders together with the rate, or removes one sender.
 func (s *candidates) withFewerSenders() {
-	if s.of.Senders <= 1 {
+	if s.original.Senders <= 1 {
 		return
 	}
 	s.add(func(c *world.Spec) {
@@ -122,23 +127,23 @@
 	s.add(func(c *world.Spec) { c.Senders-- })
 }
 
-// withoutKinds removes a kind of partner, or a class.
+// withoutKinds removes one kind of destination, or one class.
 func (s *candidates) withoutKinds() {
-	if len(s.of.Partners) > 1 {
-		for i := range s.of.Partners {
+	if len(s.original.Partners) > 1 {
+		for i := range s.original.Partners {
 			s.add(func(c *world.Spec) { c.Partners = slices.Delete(c.Partners, i, i+1) })
 		}
 	}
-	if len(s.of.Classes) > 1 {
-		for i := range s.of.Classes {
+	if len(s.original.Classes) > 1 {
+		for i := range s.original.Classes {
 			s.add(func(c *world.Spec) { c.Classes = slices.Delete(c.Classes, i, i+1) })
 		}
 	}
 }
 
-// withSimplerKind removes one special property of a kind of partner.
+// withSimplerKind halves the number of destinations of kind number no, or removes one special property of that kind.
 func (s *candidates) withSimplerKind(no int) {
-	k := &s.of.Partners[no]
+	k := &s.original.Partners[no]
 	try := func(change func(*world.Kind)) {
 		s.add(func(c *world.Spec) { change(&c.Partners[no]) })
 	}
@@ -159,16 +164,16 @@
 	}
 }
 
-// shorter ends the run soon after its last fault or change.
-func (s *candidates) shorter() {
+// withShorterRun ends the run about 6 s after its last fault or change.
+func (s *candidates) withShorterRun() {
 	latest := 0.0
-	for _, t := range s.of.Faults {
-		latest = max(latest, t.At+t.Seconds)
+	for _, f := range s.original.Faults {
+		latest = max(latest, f.At+f.Seconds)
 	}
-	for _, c := range s.of.Changes {
+	for _, c := range s.original.Changes {
 		latest = max(latest, c.At)
 	}
-	if end := float64(int(latest) + 6); end < s.of.Seconds {
+	if end := float64(int(latest) + 6); end < s.original.Seconds {
 		s.add(func(c *world.Spec) { c.Seconds = end })
 	}
 }
--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -100,7 +100,7 @@
 	rng               *rand.Rand
 	now               float64 // seconds
 	lastNumber        int64
-	clump             []Arrival // the rest of a clump, to come at once
+	batch             []Arrival // the rest of a clump, to come at once
 	peakRate          float64   // highest rate that may be due, in starts a second
 	senderTotal       float64
 	senderWeights     []float64
@@ -117,22 +117,22 @@
 	for _, b := range bends {
 		most *= max(1, b.Factor)
 	}
-	p.peakRate = s.Rate / p.messagesPerStart() * (1 + s.Swing) * most
+	p.peakRate = s.Rate / p.meanBatchSize() * (1 + s.Swing) * most
 	if s.Shape == "bursts" {
 		p.peakRate /= s.BurstShare
 	}
 	return p
 }
 
-// messagesPerStart is the mean number of messages of one start. All messages of a clump are one start.
-func (p *Plan) messagesPerStart() float64 {
+// meanBatchSize is the mean number of messages of one start. All messages of a clump are one start.
+func (p *Plan) meanBatchSize() float64 {
 	// Of all messages ClumpShare come in clumps of ClumpSize, so starts are rarer than messages.
 	return 1 / (1 - p.spec.ClumpShare + p.spec.ClumpShare/float64(p.spec.ClumpSize))
 }
 
 // rate is the rate at a time, in starts a second.
 func (p *Plan) rate(at float64) float64 {
-	r := p.spec.Rate / p.messagesPerStart()
+	r := p.spec.Rate / p.meanBatchSize()
 	r *= 1 + p.spec.Swing*math.Sin(2*math.Pi*at/p.spec.SwingS)
 	if p.spec.Shape == "bursts" {
 		if math.Mod(at, p.spec.BurstS) < p.spec.BurstS*p.spec.BurstShare {
@@ -161,22 +161,22 @@
 
 // Next draws the next arrival.
 func (p *Plan) Next() (Arrival, bool) {
-	if len(p.clump) > 0 {
-		a := p.clump[0]
-		p.clump = p.clump[1:]
+	if len(p.batch) > 0 {
+		a := p.batch[0]
+		p.batch = p.batch[1:]
 		return p.number(a), true
 	}
-	at, ok := p.nextStart()
+	at, ok := p.nextBatch()
 	if !ok {
 		return Arrival{}, false
 	}
 	a := p.draw(at)
-	p.drawClump(a)
+	p.drawBatch(a)
 	return p.number(a), true
 }
 
-// nextStart is the time of the next message, or of the next clump. It is false at the end of the plan.
-func (p *Plan) nextStart() (choice.Time, bool) {
+// nextBatch is the time of the next message, or of the next clump. It is false at the end of the plan.
+func (p *Plan) nextBatch() (choice.Time, bool) {
 	for {
 		if p.spec.Shape == "steady" {
 			p.now += 1 / max(p.rate(p.now), 1e-9)
@@ -194,8 +194,8 @@
 	}
 }
 
-// drawClump decides by chance whether an arrival begins a clump, and draws the rest of the clump.
-func (p *Plan) drawClump(first Arrival) {
+// drawBatch decides by chance whether an arrival begins a clump, and draws the rest of the clump.
+func (p *Plan) drawBatch(first Arrival) {
 	starts := p.spec.ClumpShare / float64(p.spec.ClumpSize)
 	if p.rng.Float64() >= starts/(starts+1-p.spec.ClumpShare) {
 		return
@@ -203,7 +203,7 @@
 	for range p.spec.ClumpSize - 1 {
 		more := p.draw(first.At)
 		more.Partner, more.Sender = first.Partner, first.Sender
-		p.clump = append(p.clump, more)
+		p.batch = append(p.batch, more)
 	}
 }
 
@@ -271,15 +271,15 @@
 // Replay plays recorded arrivals.
 type Replay struct {
 	arrivals []Arrival
-	at       int
+	next     int
 }
 
-var errTrace = errors.New("a trace holds no arrivals")
+var errEmptyTrace = errors.New("a trace holds no arrivals")
 
 // NewReplay sorts the arrivals by time and numbers them.
 func NewReplay(arrivals []Arrival) (*Replay, error) {
 	if len(arrivals) == 0 {
-		return nil, errTrace
+		return nil, errEmptyTrace
 	}
 	slices.SortStableFunc(arrivals, func(a, b Arrival) int { return cmp.Compare(a.At, b.At) })
 	for i := range arrivals {
@@ -290,9 +290,9 @@
 
 // Next returns the next recorded arrival.
 func (r *Replay) Next() (Arrival, bool) {
-	if r.at >= len(r.arrivals) {
+	if r.next >= len(r.arrivals) {
 		return Arrival{}, false
 	}
-	r.at++
-	return r.arrivals[r.at-1], true
+	r.next++
+	return r.arrivals[r.next-1], true
 }
--- a/lab/load/load_test.go
+++ b/lab/load/load_test.go
@@ -11,7 +11,7 @@
 	"flaxcove/choice"
 )
 
-func drawn(s Spec, seed uint64, until choice.Time, bends ...Change) (all []Arrival) {
+func drawArrivals(s Spec, seed uint64, until choice.Time, bends ...Change) (all []Arrival) {
 	p := New(s, seed, until, []float64{3, 1}, ZipfWeights(10, s.Zipf), ZipfWeights(4, s.SenderSkew), bends)
 	for a, ok := p.Next(); ok; a, ok = p.Next() {
 		all = append(all, a)
@@ -27,7 +27,7 @@
 		s.Defaults()
 		seed := rapid.Uint64().Draw(r, "seed")
 		const length = 60
-		all := drawn(s, seed, length*choice.Second)
+		all := drawArrivals(s, seed, length*choice.Second)
 		// A clump moves ten together, so the spread is that much wider; five spreads are allowed.
 		expect := s.Rate * length
 		spread := math.Sqrt(expect*(1+9*s.ClumpShare)) + 0.01*expect
@@ -39,7 +39,7 @@
 				r.Fatalf("arrival %d: %+v after %+v", i, a, all[i-1])
 			}
 		}
-		again := drawn(s, seed, length*choice.Second)
+		again := drawArrivals(s, seed, length*choice.Second)
 		if len(again) != len(all) || again[len(all)-1] != all[len(all)-1] {
 			r.Fatal("one seed, two plans")
 		}
@@ -57,7 +57,7 @@
 		}
 		return n
 	}
-	all := drawn(s, 1, 30*choice.Second, Change{From: 10 * choice.Second, To: 20 * choice.Second, Factor: 3, Sender: 2, Partner: -1},
+	all := drawArrivals(s, 1, 30*choice.Second, Change{From: 10 * choice.Second, To: 20 * choice.Second, Factor: 3, Sender: 2, Partner: -1},
 		Change{From: 20 * choice.Second, To: 30 * choice.Second, Factor: 1, Sender: -1, Partner: 7, Share: 0.5})
 	mine := func(a Arrival) bool { return a.Sender == 2 }
 	if before, in := count(all, 0, 10*choice.Second, mine), count(all, 10*choice.Second, 20*choice.Second, mine); in < 2*before || in > 4*before {
--- a/lab/report/comparison.go
+++ b/lab/report/comparison.go
@@ -14,24 +14,26 @@
 	"flaxcove/lab/experiment"
 )
 
-// errorBars are differences with their intervals.
+// errorBars holds mean differences as points, with their confidence intervals as error bars. It implements the interfaces of
+// gonum's plotter for both.
 type errorBars struct {
 	plotter.XYs
 	plotter.XErrors
 }
 
-// errorBarsOf returns the differences from bottom to top with the name of each.
+// errorBarsOf returns the differences from bottom to top, and the scenario's name for each. A difference without an interval
+// gets an error bar of length 0.
 func errorBarsOf(rows []experiment.Difference) (points errorBars, names []string) {
 	for i := range rows {
 		d := &rows[len(rows)-1-i]
 		name := d.Scenario
 		if name == "" {
-			name = "all together"
+			name = "all scenarios"
 		}
 		names = append(names, name)
 		points.XYs = append(points.XYs, plotter.XY{X: d.Mean, Y: float64(i)})
 		interval := struct{ Low, High float64 }{}
-		if d.Known {
+		if d.HasInterval {
 			interval.Low, interval.High = d.Mean-d.Low, d.High-d.Mean
 		}
 		points.XErrors = append(points.XErrors, interval)
@@ -39,9 +41,9 @@
 	return points, names
 }
 
-// differencePlot shows each scenario's difference and its interval for one variant and size.
+// differencePlot plots, for one variant and size, each scenario's difference with its confidence interval, as an SVG element.
 func differencePlot(rows []experiment.Difference) (string, error) {
-	p := newPlot("difference of the figure", "")
+	p := newPlot("difference of the figure from the base", "")
 	points, names := errorBarsOf(rows)
 	bars, err := plotter.NewXErrorBars(points)
 	if err != nil {
@@ -71,10 +73,10 @@
 	return svg(p, vg.Length(len(names)+3)*0.75*vg.Centimeter)
 }
 
-// figuresBySize are mean figures by variant and size, with variants and sizes in the order in which they were met.
+// figuresBySize holds mean figures, one for each scenario, by variant and size.
 type figuresBySize struct {
-	variants []string
-	sizes    []float64
+	variants []string  // in the order in which they first appear
+	sizes    []float64 // in the order in which they first appear
 	figures  map[string]map[float64][]float64
 }
 
@@ -93,7 +95,7 @@
 	return g
 }
 
-// points are a variant's mean figures by size, over all scenarios.
+// points returns a variant's mean figure over all scenarios, for each size.
 func (g *figuresBySize) points(variant string) (xys plotter.XYs) {
 	for _, size := range g.sizes {
 		figures := g.figures[variant][size]
@@ -109,13 +111,14 @@
 	return xys
 }
 
-// sizePlot shows the figure against size by variant, all scenarios together.
+// sizePlot plots the mean figure over all scenarios against size, with a line for each variant, as an SVG element. It returns
+// "" if there are fewer than two sizes.
 func sizePlot(means []experiment.Mean) (string, error) {
 	g := groupBySize(means)
 	if len(g.sizes) < 2 {
 		return "", nil
 	}
-	p := newPlot("size, in times of the scenario's", "figure")
+	p := newPlot("size, as a multiple of the scenario's", "figure")
 	for i, variant := range g.variants {
 		if err := line(p, variant, series[i%len(series)], g.points(variant)); err != nil {
 			return "", err
--- a/lab/report/html.go
+++ b/lab/report/html.go
@@ -1,7 +1,7 @@
 package report
 
-// This file has the page and its template, which names fields of verdicts. The page must not load anything, nor need a
-// script.
+// This file writes the HTML page. The template refers to fields of verdicts, results and the types below by their names. The
+// page must not load anything and must not need a script.
 
 import (
 	"cmp"
@@ -14,37 +14,39 @@
 	"flaxcove/lab/referee"
 )
 
-// Page is what a report shows. Any part may be empty.
+// Page is the content of a report. Any field may be empty.
 type Page struct {
 	Title    string
 	Verdicts []*referee.Verdict
 	Results  []*experiment.Result
-	Base     string // the variant that others are compared with
+	Base     string // the variant with which the others are compared; "" for the variant of the first result
 }
 
-// runPart is one run.
-type runPart struct {
+// runSection is the section of one run.
+type runSection struct {
 	V              *referee.Verdict
 	Rates, Latency template.HTML
 	Returns        template.HTML
-	BrokenRules    string
+	BrokenRules    string // "" if no rule was broken
 	Rows           []classRow
 }
 
-// classRow is one class of a run.
+// classRow is the table row of one class in a run.
 type classRow struct {
 	referee.Class
-	Share float64
+	ValueShare float64 // value delivered, as a share of the value requested
 }
 
-// variantPart is one variant beside the base, at one size.
-type variantPart struct {
+// variantSection is the section that compares one variant with the base, at one size.
+type variantSection struct {
 	Variant string
 	Size    float64
 	Plot    template.HTML
 	Rows    []experiment.Difference
 }
 
+// page is the template of the page. Its functions are f3 (three decimal places), d3 (the same, with a sign) and f1 (one
+// decimal place).
 var page = template.Must(template.New("page").Funcs(template.FuncMap{
 	"f3": func(v float64) string { return fmt.Sprintf("%.3f", v) },
 	"d3": func(v float64) string { return fmt.Sprintf("%+.3f", v) },
@@ -62,68 +64,68 @@
 </style></head><body>
 <h1>{{.Title}}</h1>
 {{if .Variants}}<h2>Differences from {{.Base}}</h2>
-<p class="dim">Pairs of runs share a seed. An interval holds the true mean difference with 95% confidence; one that includes 0 tells nothing.</p>
+<p class="dim">Runs are compared in pairs with the same seed. The interval is the 95% confidence interval of the mean difference; a difference whose interval includes 0 is not significant.</p>
 {{range .Variants}}<h3>{{.Variant}}{{if ne .Size 1.0}}, size {{.Size}}{{end}}</h3><div class="plot">{{.Plot}}</div>
-<div class="wide"><table><tr><th>scenario</th><th>pairs</th><th>base</th><th>difference</th><th>interval</th><th></th></tr>
-{{range .Rows}}<tr><td>{{if .Scenario}}{{.Scenario}}{{else}}all together{{end}}</td><td>{{.Pairs}}</td><td>{{f3 .Base}}</td><td>{{d3 .Mean}}</td>
-<td>{{if .Known}}{{d3 .Low}} to {{d3 .High}}{{end}}</td><td>{{.Verdict}}{{if .Broken}}, <span class="bad">rules broken in {{.Broken}}</span>{{end}}</td></tr>{{end}}</table></div>{{end}}{{end}}
+<div class="wide"><table><tr><th>scenario</th><th>pairs</th><th>base</th><th>difference</th><th>95% interval</th><th></th></tr>
+{{range .Rows}}<tr><td>{{if .Scenario}}{{.Scenario}}{{else}}all scenarios{{end}}</td><td>{{.Pairs}}</td><td>{{f3 .Base}}</td><td>{{d3 .Mean}}</td>
+<td>{{if .HasInterval}}{{d3 .Low}} to {{d3 .High}}{{end}}</td><td>{{.Verdict}}{{if .Broken}}, <span class="bad">rules broken in {{.Broken}}</span>{{end}}</td></tr>{{end}}</table></div>{{end}}{{end}}
 {{if .Means}}<h2>Means</h2>{{if .Sizes}}<h3>Figure against size</h3><div class="plot">{{.Sizes}}</div>{{end}}
-<div class="wide"><table><tr><th>scenario</th><th>size</th><th>variant</th><th>runs</th><th>figure</th><th>service</th><th>broken</th><th>wall s</th><th>MB</th></tr>
+<div class="wide"><table><tr><th>scenario</th><th>size</th><th>variant</th><th>runs</th><th>figure</th><th>service</th><th>rules broken in</th><th>wall time s</th><th>memory MB</th></tr>
 {{range .Means}}<tr><td>{{.Scenario}}</td><td>{{.Size}}</td><td>{{.Variant}}</td><td>{{.Runs}}</td><td>{{f3 .Figure}}</td><td>{{f3 .Service}}</td>
 <td>{{if .Broken}}<span class="bad">{{.Broken}}</span>{{else}}0{{end}}</td><td>{{f1 .WallS}}</td><td>{{f1 .MemoryMB}}</td></tr>{{end}}</table></div>{{end}}
-{{if .Left}}<p class="bad">{{.Left}} run(s) are left out: void, or not played to their end.</p>{{end}}
+{{if .LeftOut}}<p class="bad">{{.LeftOut}} run(s) are left out because they are void or failed.</p>{{end}}
 {{range .Runs}}<h2>{{.V.Scenario}} <span class="dim">{{.V.Engine}}, seed {{.V.Seed}}</span></h2>
-<p>Figure <b>{{f3 .V.Figure}}</b>; {{if .V.Void}}<span class="bad">void: {{.V.Void}}</span>{{else if .BrokenRules}}<span class="bad">{{.BrokenRules}}</span>{{else}}all rules kept{{end}}.
-Asked {{.V.Asked}}, delivered {{.V.Delivered}}, of these in contract time {{.V.InTime}}; shed {{.V.Shed}}, handed back {{.V.HandedBack}}, given up {{.V.Failed}}; {{.V.Calls}} calls, {{.V.Refusals}} refused, {{.V.FailedCalls}} failed.</p>
-<h3>What became of what was asked</h3><div class="plot">{{.Rates}}</div><h3>Time from first wanted to delivered</h3><div class="plot">{{.Latency}}</div>
-{{if .Returns}}<h3>Load on endpoints that came back</h3><div class="plot">{{.Returns}}</div>{{end}}
-{{if .V.Faults}}<p class="dim">Shaded: {{range $i, $t := .V.Faults}}{{if $i}}, {{end}}{{$t.Kind}} from {{f1 $t.From}} to {{f1 $t.To}} s ({{$t.Parts}} struck){{end}}.</p>{{end}}
-<div class="wide"><table><tr><th>workload</th><th>asked</th><th>delivered</th><th>gain kept</th><th>p50 ms</th><th>p99 ms</th><th>p99.9 ms</th></tr>
-{{range .Rows}}<tr><td>{{.Name}}</td><td>{{.Asked}}</td><td>{{.Delivered}}</td><td>{{f3 .Share}}</td><td>{{f1 .Delivery.P50}}</td><td>{{f1 .Delivery.P99}}</td><td>{{f1 .Delivery.P999}}</td></tr>{{end}}</table></div>
+<p>Figure <b>{{f3 .V.Figure}}</b>; {{if .V.Void}}<span class="bad">void: {{.V.Void}}</span>{{else if .BrokenRules}}<span class="bad">{{.BrokenRules}}</span>{{else}}no rule broken{{end}}.
+Messages: {{.V.Asked}} requested, {{.V.Delivered}} delivered, {{.V.InTime}} of these within the latency objective; {{.V.Shed}} rejected, {{.V.HandedBack}} shed after acceptance, {{.V.Failed}} failed. Calls: {{.V.Calls}}, {{.V.Refusals}} rejected, {{.V.FailedCalls}} failed.</p>
+<h3>Outcomes per second</h3><div class="plot">{{.Rates}}</div><h3>Time from request to delivery</h3><div class="plot">{{.Latency}}</div>
+{{if .Returns}}<h3>Load on endpoints after an outage</h3><div class="plot">{{.Returns}}</div>{{end}}
+{{if .V.Faults}}<p class="dim">Shaded: {{range $i, $t := .V.Faults}}{{if $i}}, {{end}}{{$t.Kind}} from {{f1 $t.From}} to {{f1 $t.To}} s ({{$t.Parts}} affected){{end}}.</p>{{end}}
+<div class="wide"><table><tr><th>class</th><th>requested</th><th>delivered</th><th>value share</th><th>p50 ms</th><th>p99 ms</th><th>p99.9 ms</th></tr>
+{{range .Rows}}<tr><td>{{.Name}}</td><td>{{.Asked}}</td><td>{{.Delivered}}</td><td>{{f3 .ValueShare}}</td><td>{{f1 .Delivery.P50}}</td><td>{{f1 .Delivery.P99}}</td><td>{{f1 .Delivery.P999}}</td></tr>{{end}}</table></div>
 {{if .V.Violations}}<h3>Broken rules</h3><ul>{{range .V.Violations}}<li>{{.Rule}} at {{f3 .At}} s: {{.What}}</li>{{end}}</ul>{{end}}
 {{end}}</body></html>
 `))
 
-// view is what the template shows.
+// view is the data of the template.
 type view struct {
 	Title, Base string
-	Variants    []variantPart
+	Variants    []variantSection
 	Means       []experiment.Mean
 	Sizes       template.HTML
-	Runs        []runPart
-	Left        int
+	Runs        []runSection
+	LeftOut     int // results of void or failed runs, which no table includes
 }
 
-// HTML writes a page.
+// HTML writes a page as one self-contained HTML document.
 func HTML(out io.Writer, p *Page) error {
 	v := view{Title: p.Title, Base: p.Base}
 	if err := v.addResults(p.Results); err != nil {
 		return err
 	}
 	for _, verdict := range p.Verdicts {
-		part, err := runPartOf(verdict)
+		section, err := newRunSection(verdict)
 		if err != nil {
 			return err
 		}
-		v.Runs = append(v.Runs, part)
+		v.Runs = append(v.Runs, section)
 	}
 	return page.Execute(out, v)
 }
 
-// addResults adds the parts that an experiment's results give.
+// addResults adds the sections of an experiment's results: the differences from the base, and the means.
 func (v *view) addResults(results []*experiment.Result) error {
 	if len(results) == 0 {
 		return nil
 	}
 	for _, r := range results {
 		if r.Void != "" || r.Error != "" {
-			v.Left++
+			v.LeftOut++
 		}
 	}
 	v.Base = cmp.Or(v.Base, results[0].Variant)
 	for _, d := range experiment.Compare(results, v.Base) {
-		part := v.variant(d.Variant, d.Size)
-		part.Rows = append(part.Rows, d)
+		section := v.variantSection(d.Variant, d.Size)
+		section.Rows = append(section.Rows, d)
 	}
 	for i := range v.Variants {
 		plot, err := differencePlot(v.Variants[i].Rows)
@@ -138,32 +140,32 @@
 	return err
 }
 
-// variant is the part of a variant at a size, a new one where it is the first time met.
-func (v *view) variant(name string, size float64) *variantPart {
+// variantSection returns the section of a variant at a size, and adds it if there is none yet.
+func (v *view) variantSection(name string, size float64) *variantSection {
 	for i := range v.Variants {
-		if part := &v.Variants[i]; part.Variant == name && part.Size == size {
-			return part
+		if section := &v.Variants[i]; section.Variant == name && section.Size == size {
+			return section
 		}
 	}
-	v.Variants = append(v.Variants, variantPart{Variant: name, Size: size})
+	v.Variants = append(v.Variants, variantSection{Variant: name, Size: size})
 	return &v.Variants[len(v.Variants)-1]
 }
 
-// runPartOf is what is shown of one run.
-func runPartOf(verdict *referee.Verdict) (runPart, error) {
+// newRunSection returns the section of one run, with its plots.
+func newRunSection(verdict *referee.Verdict) (runSection, error) {
 	rates, err := ratesPlot(verdict)
 	if err != nil {
-		return runPart{}, err
+		return runSection{}, err
 	}
 	latency, err := latencyPlot(verdict)
 	if err != nil {
-		return runPart{}, err
+		return runSection{}, err
 	}
 	returns, err := returnsPlot(verdict)
 	if err != nil {
-		return runPart{}, err
+		return runSection{}, err
 	}
-	part := runPart{
+	section := runSection{
 		V:           verdict,
 		Rates:       template.HTML(rates),
 		Latency:     template.HTML(latency),
@@ -173,14 +175,14 @@
 	for _, class := range verdict.Classes {
 		row := classRow{Class: class}
 		if class.ValueAsked > 0 {
-			row.Share = class.Value / class.ValueAsked
+			row.ValueShare = class.Value / class.ValueAsked
 		}
-		part.Rows = append(part.Rows, row)
+		section.Rows = append(section.Rows, row)
 	}
-	return part, nil
+	return section, nil
 }
 
-// brokenRules names the rules that were broken and how often, "" for none.
+// brokenRules lists the rules that were broken, each with the number of violations. It returns "" if none was broken.
 func brokenRules(v *referee.Verdict) string {
 	var broken []string
 	for _, rule := range referee.Rules {
--- a/lab/report/plots.go
+++ b/lab/report/plots.go
@@ -1,6 +1,6 @@
 package report
 
-// This file draws the plots of a run as SVG elements. A plot must not depend on the order of a map.
+// This file draws the plots of a run as SVG elements. A plot must not depend on the iteration order of a map.
 
 import (
 	"bytes"
@@ -17,7 +17,7 @@
 	"flaxcove/lab/referee"
 )
 
-// Colours that can be distinguished by readers who do not tell red from green.
+// Colours that readers with red-green colour blindness can distinguish.
 var (
 	blue   = color.RGBA{0x00, 0x72, 0xb2, 0xff}
 	orange = color.RGBA{0xd5, 0x5e, 0x00, 0xff}
@@ -33,7 +33,8 @@
 	plotHeight = 7 * vg.Centimeter
 )
 
-// svg draws a plot as an element of a page. It has proportions but no fixed size, so that it fits a narrow window.
+// svg draws a plot as an SVG element of a page. The element keeps the plot's proportions but has no fixed width and height,
+// so that it fits into a narrow window.
 func svg(p *plot.Plot, height vg.Length) (string, error) {
 	c := vgsvg.New(plotWidth, height)
 	p.Draw(draw.New(c))
@@ -58,6 +59,7 @@
 	return text, nil
 }
 
+// newPlot returns a plot with a grid and labelled axes.
 func newPlot(x, y string) *plot.Plot {
 	p := plot.New()
 	p.X.Label.Text, p.Y.Label.Text = x, y
@@ -67,6 +69,7 @@
 	return p
 }
 
+// line adds a line and its legend to a plot. It does nothing if there are no points.
 func line(p *plot.Plot, name string, c color.Color, xys plotter.XYs) error {
 	if len(xys) == 0 {
 		return nil
@@ -81,7 +84,8 @@
 	return nil
 }
 
-// shadeFaults marks the times of faults, behind everything else.
+// shadeFaults shades the times of faults up to the height top. It must be called first, so that the shading is behind the
+// lines.
 func shadeFaults(p *plot.Plot, spans []referee.Span, top float64) error {
 	for _, s := range spans {
 		area, err := plotter.NewPolygon(plotter.XYs{{X: s.From, Y: 0}, {X: s.To, Y: 0}, {X: s.To, Y: top}, {X: s.From, Y: top}})
@@ -94,25 +98,25 @@
 	return nil
 }
 
-// ratesPlot shows the outcomes of a run by second.
+// ratesPlot plots the numbers of requests, outcomes and failed calls of a run, by second.
 func ratesPlot(v *referee.Verdict) (string, error) {
 	curves := []struct {
 		name  string
 		color color.Color
 		count func(*referee.Second) int
 	}{
-		{"asked", grey, func(s *referee.Second) int { return s.Asked }},
+		{"requested", grey, func(s *referee.Second) int { return s.Asked }},
 		{"delivered", blue, func(s *referee.Second) int { return s.Delivered }},
-		{"shed", orange, func(s *referee.Second) int { return s.Shed }},
-		{"given up", purple, func(s *referee.Second) int { return s.Failed }},
-		{"calls refused or failed", green, func(s *referee.Second) int { return s.Refused + s.FailedCalls }},
+		{"rejected or shed", orange, func(s *referee.Second) int { return s.Shed }},
+		{"failed", purple, func(s *referee.Second) int { return s.Failed }},
+		{"calls rejected or failed", green, func(s *referee.Second) int { return s.Refused + s.FailedCalls }},
 	}
-	seconds := wholeSeconds(v)
+	seconds := secondsOfRun(v)
 	top := 1.0
 	for _, s := range seconds {
 		top = max(top, float64(s.Asked), float64(s.Delivered), float64(s.Refused+s.FailedCalls))
 	}
-	p := newPlot("seconds", "a second")
+	p := newPlot("seconds", "per second")
 	if err := shadeFaults(p, v.Faults, top); err != nil {
 		return "", err
 	}
@@ -125,15 +129,15 @@
 			return "", err
 		}
 	}
-	p.X.Min, p.Y.Min, p.Y.Max = 0, 0, top*1.7 // with space for the legend above the lines
+	p.X.Min, p.Y.Min, p.Y.Max = 0, 0, top*1.7 // leaves space for the legend above the lines
 	return svg(p, plotHeight)
 }
 
-// latencyPlot shows the time to delivery in a run by second.
+// latencyPlot plots the median and the 99th percentile of the time from request to delivery, by second of the run.
 func latencyPlot(v *referee.Verdict) (string, error) {
 	var p50, p99 plotter.XYs
 	topMS := 1.0
-	for i, s := range wholeSeconds(v) {
+	for i, s := range secondsOfRun(v) {
 		if s.Delivered == 0 {
 			continue
 		}
@@ -141,28 +145,29 @@
 		p50, p99 = append(p50, plotter.XY{X: x, Y: s.P50}), append(p99, plotter.XY{X: x, Y: s.P99})
 		topMS = max(topMS, s.P99)
 	}
-	p := newPlot("seconds", "ms to delivery")
+	p := newPlot("seconds", "latency, ms")
 	if err := shadeFaults(p, v.Faults, topMS*1.2); err != nil {
 		return "", err
 	}
-	if err := line(p, "half of them", blue, p50); err != nil {
+	if err := line(p, "p50", blue, p50); err != nil {
 		return "", err
 	}
-	if err := line(p, "all but one in a hundred", orange, p99); err != nil {
+	if err := line(p, "p99", orange, p99); err != nil {
 		return "", err
 	}
 	p.X.Min, p.Y.Min, p.Y.Max = 0, 0, topMS*1.4
 	return svg(p, plotHeight)
 }
 
-// wholeSeconds is the timeline without its last entry, which also holds what came after the end of the run.
-func wholeSeconds(v *referee.Verdict) []referee.Second {
+// secondsOfRun returns the figures by second without the last entry, which also counts the events after the end of the run.
+func secondsOfRun(v *referee.Verdict) []referee.Second {
 	return v.Seconds[:max(0, len(v.Seconds)-1)]
 }
 
-// returnsPlot shows the load on endpoints in slow start, as a multiple of the load above which they fall over.
+// returnsPlot plots the load on endpoints in slow start, as a multiple of the load above which they fall over. It shows at
+// most 40 endpoints, and returns "" if there are none.
 func returnsPlot(v *referee.Verdict) (string, error) {
-	p := newPlot("seconds", "load over bound")
+	p := newPlot("seconds", "load / bound")
 	top := 1.1
 	shown := 0
 	for _, r := range v.Returns {
@@ -188,11 +193,12 @@
 	bound := plotter.NewFunction(func(float64) float64 { return 1 })
 	bound.Color, bound.Width, bound.Dashes = color.Black, vg.Points(1), []vg.Length{vg.Points(4), vg.Points(3)}
 	p.Add(bound)
-	p.Legend.Add("pushed over above this", bound)
+	p.Legend.Add("falls over above this", bound)
 	p.Y.Min, p.Y.Max = 0, top*1.25
 	return svg(p, plotHeight)
 }
 
+// ticks returns an axis tick, labelled with its value, at each of the given values.
 func ticks(at []float64) (t []plot.Tick) {
 	for _, v := range at {
 		t = append(t, plot.Tick{Value: v, Label: fmt.Sprintf("%g", v)})
--- a/lab/report/report_test.go
+++ b/lab/report/report_test.go
@@ -11,7 +11,8 @@
 	"flaxcove/lab/sim"
 )
 
-// A page is self-contained, and says what is void, broken or not significant.
+// TestPageIsSelfContained checks that a page loads nothing from outside, and that it shows which runs are void, which rules
+// were broken and which differences are not significant. It also checks that Summary lists broken rules.
 func TestPageIsSelfContained(t *testing.T) {
 	s, err := scenario.Find("crash", "")
 	if err != nil {
@@ -41,19 +42,19 @@
 		t.Fatal(err)
 	}
 	page := out.String()
-	for _, must := range []string{"T &amp; T", "rules broken: waits 2", "a &lt;call&gt; left early", "void: too busy", "cannot be told", "1 run(s) are left out",
+	for _, must := range []string{"T &amp; T", "rules broken: waits 2", "a &lt;call&gt; left early", "void: too busy", "not significant", "1 run(s) are left out",
 		"<svg", "crash from 5.0 to 13.0 s"} {
 		if !strings.Contains(page, must) {
-			t.Errorf("the page does not say %q", must)
+			t.Errorf("the page does not contain %q", must)
 		}
 	}
 	for _, never := range []string{"<script", "src=", "@import", "url(http", "<link"} {
 		if strings.Contains(page, never) {
-			t.Errorf("the page holds %q", never)
+			t.Errorf("the page contains %q", never)
 		}
 	}
 	if n := strings.Count(page, "<svg"); n < 10 {
-		t.Errorf("%d plots", n)
+		t.Errorf("%d plots, want at least 10", n)
 	}
 	var text bytes.Buffer
 	if err := Summary(&text, &broken); err != nil || !strings.Contains(text.String(), "waits, 2 times") {
--- a/lab/report/summary.go
+++ b/lab/report/summary.go
@@ -1,8 +1,8 @@
-// Package report shows the results of runs and experiments: in a terminal, and as one HTML file with plots.
+// Package report presents the results of runs and experiments: as text for a terminal, and as one HTML file with plots.
 //
-// It reads verdicts, results and differences and computes nothing of its own but scales. A page is self-contained: no
-// script, font or picture comes from outside. A report must not leave out that a run was void, a rule was broken, or a
-// difference is not significant.
+// It formats verdicts, results and differences, and computes nothing but averages for plots and the scales of axes. A page is
+// self-contained: it loads no script, font or picture from outside. A report must always state that a run was void, that a
+// rule was broken, or that a difference is not significant.
 package report
 
 import (
@@ -15,7 +15,7 @@
 	"flaxcove/lab/referee"
 )
 
-// Summary writes a verdict for a terminal.
+// Summary writes a verdict as text: the figure, a table of classes, the counts, and the broken rules.
 func Summary(out io.Writer, v *referee.Verdict) error {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s, %s, seed %d: figure %.3f", v.Scenario, v.Engine, v.Seed, v.Figure)
@@ -25,7 +25,7 @@
 	case v.Broken():
 		fmt.Fprintf(&b, " (service %.3f, rules broken)", v.Service)
 	default:
-		b.WriteString(" (rules kept)")
+		b.WriteString(" (no rule broken)")
 	}
 	b.WriteString("\n\n")
 	if err := writeClasses(&b, v.Classes); err != nil {
@@ -39,41 +39,41 @@
 	return err
 }
 
-// writeClasses writes the table of classes.
+// writeClasses writes a table with a row for each class.
 func writeClasses(b *strings.Builder, classes []referee.Class) error {
 	t := tabwriter.NewWriter(b, 2, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(t, "workload\tasked\tdelivered\tgain\tp50 ms\tp99 ms\tp99.9 ms\t")
+	fmt.Fprintln(t, "class\trequested\tdelivered\tvalue share\tp50 ms\tp99 ms\tp99.9 ms\t")
 	for _, c := range classes {
-		value := 0.0
+		valueShare := 0.0
 		if c.ValueAsked > 0 {
-			value = c.Value / c.ValueAsked
+			valueShare = c.Value / c.ValueAsked
 		}
-		fmt.Fprintf(t, "%s\t%d\t%d\t%.3f\t%.1f\t%.1f\t%.1f\t\n", c.Name, c.Asked, c.Delivered, value, c.Delivery.P50, c.Delivery.P99, c.Delivery.P999)
+		fmt.Fprintf(t, "%s\t%d\t%d\t%.3f\t%.1f\t%.1f\t%.1f\t\n", c.Name, c.Asked, c.Delivered, valueShare, c.Delivery.P50, c.Delivery.P99, c.Delivery.P999)
 	}
 	return t.Flush()
 }
 
-// writeCounts writes the counts of the whole run.
+// writeCounts writes the counts and latencies of the whole run.
 func writeCounts(b *strings.Builder, v *referee.Verdict) {
-	fmt.Fprintf(b, "\nasked %d, in contract time %d, shed %d, handed back %d, given up %d\n", v.Asked, v.InTime, v.Shed, v.HandedBack, v.Failed)
-	fmt.Fprintf(b, "calls %d, refused %d, failed %d, probes %d, runs that were of no use %d\n", v.Calls, v.Refusals, v.FailedCalls, v.Probes, v.Wasted)
-	fmt.Fprintf(b, "answer to a hand-in: p50 %.1f ms, p99 %.1f ms, p99.9 %.1f ms\n", v.AcceptLatencyMS.P50, v.AcceptLatencyMS.P99, v.AcceptLatencyMS.P999)
+	fmt.Fprintf(b, "\nmessages: requested %d, delivered within the latency objective %d, rejected %d, shed after acceptance %d, failed %d\n", v.Asked, v.InTime, v.Shed, v.HandedBack, v.Failed)
+	fmt.Fprintf(b, "calls %d, rejected %d, failed %d, health probes %d, unnecessary executions %d\n", v.Calls, v.Refusals, v.FailedCalls, v.Probes, v.Wasted)
+	fmt.Fprintf(b, "latency of accepting a message: p50 %.1f ms, p99 %.1f ms, p99.9 %.1f ms\n", v.AcceptLatencyMS.P50, v.AcceptLatencyMS.P99, v.AcceptLatencyMS.P999)
 	if v.FalselyRefused > 0 {
-		fmt.Fprintf(b, "second effects of single-use notices whose first run a partner had denied: %d\n", v.FalselyRefused)
+		fmt.Fprintf(b, "repeated executions of non-idempotent messages after the destination had denied the first one: %d\n", v.FalselyRefused)
 	}
 	if n := len(v.Returns); n > 0 {
-		most := 0.0
+		highest := 0.0
 		for _, r := range v.Returns {
-			most = max(most, r.Most)
+			highest = max(highest, r.Most)
 		}
-		fmt.Fprintf(b, "endpoints back from an outage %d, most load on one %.2f of what would push it over, pushed over %d\n", n, most, v.PushedOver)
+		fmt.Fprintf(b, "endpoints returned after an outage %d, highest load %.2f of the load at which an endpoint falls over, fallen over %d\n", n, highest, v.PushedOver)
 	}
 }
 
-// maxShown is how many violations of a rule a summary shows.
+// maxShown is the maximum number of violations that a summary shows for each rule.
 const maxShown = 3
 
-// writeViolations writes the broken rules, each with its first violations.
+// writeViolations writes the broken rules, each with the number of violations and the first maxShown of them.
 func writeViolations(b *strings.Builder, v *referee.Verdict) {
 	b.WriteString("\nbroken rules:\n")
 	for _, rule := range referee.Rules {
@@ -92,7 +92,7 @@
 	}
 }
 
-// Differences writes a table of differences for a terminal.
+// Differences writes a table of differences from the variant base as text.
 func Differences(out io.Writer, rows []experiment.Difference, base string) error {
 	t := tabwriter.NewWriter(out, 2, 0, 2, ' ', 0)
 	fmt.Fprintf(t, "scenario\tsize\tvariant\tpairs\t%s\tdifference\t95%% interval\t\n", base)
@@ -101,7 +101,7 @@
 		if name == "" {
 			name = "all"
 		}
-		if d.Known {
+		if d.HasInterval {
 			interval = fmt.Sprintf("%+.3f to %+.3f", d.Low, d.High)
 		}
 		if d.Broken > 0 {
--- a/lab/scenario/library.go
+++ b/lab/scenario/library.go
@@ -1,6 +1,6 @@
 package scenario
 
-// This file has the built-in scenarios, and finds scenarios by name or path.
+// This file embeds the built-in scenarios, and finds scenarios by name or path.
 
 import (
 	"embed"
@@ -11,7 +11,7 @@
 	"strings"
 )
 
-// library holds the built-in scenarios.
+// library holds the files of the built-in scenarios.
 //
 //go:embed library/*.toml
 var library embed.FS
@@ -20,7 +20,7 @@
 func Names() (names []string) {
 	entries, err := library.ReadDir("library")
 	if err != nil {
-		return nil // it is part of the program
+		return nil // cannot happen: the folder is embedded in the program
 	}
 	for _, e := range entries {
 		names = append(names, strings.TrimSuffix(e.Name(), ".toml"))
@@ -29,19 +29,19 @@
 	return names
 }
 
-// Find reads a scenario from a file, which is first looked for beside the file from, or returns the built-in one of that
-// name.
+// Find returns a scenario. A name that ends in .toml is the path of a file: if it is relative and from is not "", it is first
+// looked up in the folder of the file from, and then in the working directory. Any other name is that of a built-in scenario.
 func Find(name, from string) (*Scenario, error) {
 	if !strings.HasSuffix(name, ".toml") {
 		text, err := library.ReadFile("library/" + name + ".toml")
 		if err != nil {
-			return nil, fmt.Errorf("no scenario is called %q; there are %s, and files that end in .toml", name, strings.Join(Names(), ", "))
+			return nil, fmt.Errorf("unknown scenario %q; the built-in ones are %s; the name of a file must end in .toml", name, strings.Join(Names(), ", "))
 		}
 		return Parse(name, text)
 	}
 	if from != "" && !filepath.IsAbs(name) {
-		if beside := filepath.Join(filepath.Dir(from), name); exists(beside) {
-			return Load(beside)
+		if sibling := filepath.Join(filepath.Dir(from), name); exists(sibling) {
+			return Load(sibling)
 		}
 	}
 	return Load(name)
--- a/lab/scenario/scenario_test.go
+++ b/lab/scenario/scenario_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-const whole = `name = "whole"
+const wholeScenario = `name = "whole"
 seconds = 10
 senders = 2
 
@@ -46,7 +46,7 @@
 		{"count = 4", "count = 4\n[[partner]]\nname = \"small\""},
 		{"seconds = 10", "seconds = "},
 	} {
-		_, err := Parse("s.toml", []byte(strings.Replace(whole, change[0], change[1], 1)))
+		_, err := Parse("s.toml", []byte(strings.Replace(wholeScenario, change[0], change[1], 1)))
 		fmt.Println(err)
 	}
 	// Output:
@@ -66,7 +66,7 @@
 
 // What is written can be read again and means the same.
 func TestScenariosRoundTrip(t *testing.T) {
-	s, err := Parse("s.toml", []byte(whole))
+	s, err := Parse("s.toml", []byte(wholeScenario))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/lab/yardstick/yardstick.go
+++ b/lab/yardstick/yardstick.go
@@ -46,7 +46,7 @@
 	accepted     atomic.Int64
 	sent         atomic.Int64
 	failed       atomic.Int64
-	overflow     atomic.Int64
+	rejected     atomic.Int64
 }
 
 // Run serves until ctx ends.
@@ -153,7 +153,7 @@
 		case d.work <- message{bytes.Clone(args[2]), bytes.Clone(args[4])}:
 			io.WriteString(out, "+OK\r\n")
 		default:
-			f.overflow.Add(1)
+			f.rejected.Add(1)
 			io.WriteString(out, "-BUSY 500\r\n")
 		}
 	case len(args) > 0 && strings.EqualFold(string(args[0]), "INFO"):
