--- a/lab/baseline/baseline.go
+++ b/lab/baseline/baseline.go
@@ -1,8 +1,9 @@
-// Package baseline holds policies that the laboratory compares the project's own with.
+// Package baseline implements simple policies with which the lab compares the project's own decisions.
 //
-// They act through choice.Host like package choice and keep the same rules: one end for each message, no repeat that could
-// have its effect twice, draining, Retry-After, order. Beyond that they are simple on purpose. One of them, all_seen, sees
-// the true state of the world and shows what can be reached. Code that serves must not import this package.
+// Like package choice they act through choice.Host, and they follow the same rules: a message has exactly one end, an attempt
+// whose effect could be repeated is not made, and draining, Retry-After and ordering keys are respected. Beyond that they are
+// simple on purpose. One of them, all_seen, sees the true state of the simulated environment; its result is an upper bound for
+// the others. The sender must not import this package.
 package baseline
 
 import (
@@ -13,17 +14,17 @@
 	"flaxcove/lab/world"
 )
 
-// Kinds are the policies by name, each with a description.
+// Kinds describes each policy, by name.
 var Kinds = map[string]string{
 	"choice": "the project's own decisions",
-	oneTry:   "each notice is sent once, in order of arrival",
-	fixed:    "retries after one second, always",
-	backoff:  "capped doubling waits with full jitter, no tiers, no lane",
-	least:    "least outstanding of two endpoints, retries within a budget of a tenth of first sends",
-	allSeen:  "sees the true state of all endpoints; a bound, not a policy",
+	oneTry:   "attempts each message once, in order of arrival",
+	fixed:    "always retries after one second",
+	backoff:  "retries with capped exponential backoff and full jitter, without priorities",
+	least:    "picks the less loaded of two random endpoints, with a retry budget of a tenth of the first attempts",
+	allSeen:  "sees the true state of all endpoints; an upper bound, not a realistic policy",
 }
 
-// Names of the baselines that decide something of their own.
+// The names of the policies of this package.
 const (
 	oneTry  = "one_try"
 	fixed   = "fixed"
@@ -32,7 +33,7 @@
 	allSeen = "all_seen"
 )
 
-// Named returns the policy of a name, or nil if there is none.
+// Named returns the constructor of the policy with a name, or nil if there is none.
 func Named(name string) sim.NewPolicy {
 	switch name {
 	case "choice":
@@ -45,6 +46,7 @@
 	return nil
 }
 
+// newPolicy returns the baseline with a name. The policy all_seen reads the state of w.
 func newPolicy(name string, h choice.Host, seed int64, set choice.Settings, w *world.World) *policy {
 	p := &policy{
 		host:         h,
@@ -59,76 +61,76 @@
 		destinations: map[choice.DestinationID]*destination{},
 		keyQueues:    map[choice.OrderKey]*keyQueue{},
 	}
-	for _, l := range set.Classes {
-		p.shortest = min(p.shortest, l.LatencyObjective)
+	for _, class := range set.Classes {
+		p.shortest = min(p.shortest, class.LatencyObjective)
 	}
 	return p
 }
 
 const (
-	fixedWait     = choice.Second
-	budgetPerSend = 0.1 // what a first attempt adds to the retry budget; a retry takes 1
-	maxBudget     = 20
-	maxDoublings  = 10 // of the backoff
-	slowShare     = 4  // the bound has at most one in this many of the in-flight limit at slow endpoints
-	windowMargin  = choice.Second / 10
+	fixedWait     = choice.Second      // the wait of the policy fixed
+	budgetPerSend = 0.1                // added to the retry budget by each first attempt; a retry takes 1
+	maxBudget     = 20                 // limit of the retry budget
+	maxDoublings  = 10                 // limit of the doublings of the backoff
+	slowShare     = 4                  // all_seen has at most 1/slowShare of the in-flight limit at slow endpoints
+	windowMargin  = choice.Second / 10 // time by which a repeat must arrive before the end of the idempotency window
 )
 
-// maxTurnDoublings bounds the backoff of all_seen: one tick, doubled with each attempt.
+// maxTurnDoublings bounds the backoff of all_seen, which is one turn, doubled with each attempt.
 const maxTurnDoublings = 6
 
-// policy implements all baselines; kind says which.
+// policy implements all baselines.
 type policy struct {
 	host         choice.Host
 	settings     choice.Settings
-	kind         string
-	world        *world.World
+	kind         string       // name of the baseline
+	world        *world.World // read by all_seen only
 	rng          *rand.Rand
-	shortest     choice.Time
-	budget       float64
-	inFlight     int
-	slowInFlight int // of them at slow endpoints, for all_seen
+	shortest     choice.Time // shortest latency objective of all classes
+	budget       float64     // retry budget, for the policy least
+	inFlight     int         // attempts in flight
+	slowInFlight int         // attempts in flight at slow endpoints, for all_seen
 	timerNo      choice.TimerID
 
-	messages     map[choice.MessageID]*message // emptied as messages end
-	timers       map[choice.TimerID]func()     // emptied as each fires
+	messages     map[choice.MessageID]*message // an entry is deleted when its message ends
+	timers       map[choice.TimerID]func()     // an entry is deleted when its timer fires
 	endpoints    map[choice.EndpointID]*endpoint
 	destinations map[choice.DestinationID]*destination
 	keyQueues    map[choice.OrderKey]*keyQueue
-	queue        []*message // in order of arrival
+	queue        []*message // messages that may be sent, in order of arrival
 }
 
-// message is a message that has not ended.
+// message is a pending message.
 type message struct {
 	choice.Message
 	attempts int
-	sentTo   *endpoint
+	sentTo   *endpoint // endpoint of the attempt in flight; nil if there is none
 	sentAt   choice.Time
-	queued   bool
-	keyQueue *keyQueue
-	rank     float64
-	slow     bool
+	queued   bool      // the message is in policy.queue
+	keyQueue *keyQueue // nil if the message is not ordered
+	rank     float64   // value per time in flight, for all_seen
+	slow     bool      // the attempt in flight counts in slowInFlight
 }
 
-// keyQueue holds the messages of an ordering key; only the first may be sent.
+// keyQueue holds the pending messages of an ordering key in order. Only the first may be sent.
 type keyQueue struct {
 	key         choice.OrderKey
 	messages    []*message
-	pausedUntil choice.Time
+	pausedUntil choice.Time // no first attempt before this time
 }
 
-// destination is a destination.
+// destination holds the endpoints of a destination.
 type destination struct {
 	endpoints    []*endpoint
-	blockedUntil choice.Time
+	blockedUntil choice.Time // end of a Retry-After that applies to the whole destination
 }
 
-// endpoint is an endpoint.
+// endpoint holds the state of an endpoint.
 type endpoint struct {
 	choice.Entry
 	destination  *destination
-	blockedUntil choice.Time
-	calls        int // messages in flight; which of them share a call is not known here
+	blockedUntil choice.Time // end of a Retry-After that applies to this endpoint only
+	calls        int         // messages in flight; several may share a bulk call
 
-	waiting float64 // until it would answer, as all_seen sees it
+	waiting float64 // time until the endpoint would answer a call, in tenths of a millisecond; set by all_seen
 }
--- a/lab/baseline/messages.go
+++ b/lab/baseline/messages.go
@@ -1,6 +1,6 @@
 package baseline
 
-// This file holds a policy's state: the endpoint list, the messages, the queues of ordering keys and the timers.
+// This file maintains a policy's state: the endpoint list, the messages, the queues of ordering keys and the timers.
 
 import (
 	"slices"
@@ -8,9 +8,9 @@
 	"flaxcove/choice"
 )
 
-// UpdateEndpoints takes an update of the endpoint list.
-func (p *policy) UpdateEndpoints(entries []choice.Entry, whole bool) {
-	if whole {
+// UpdateEndpoints applies an update of the endpoint list. If it is full, endpoints that it does not contain are gone.
+func (p *policy) UpdateEndpoints(entries []choice.Entry, full bool) {
+	if full {
 		for _, e := range p.endpoints {
 			e.Stage = choice.Gone
 		}
@@ -20,7 +20,7 @@
 	}
 }
 
-// endpointOf returns the endpoint of an entry, and adds it if it is new.
+// endpointOf returns the endpoint of an entry of the list, and adds it if it is new.
 func (p *policy) endpointOf(entry choice.Entry) *endpoint {
 	if e := p.endpoints[entry.Endpoint]; e != nil {
 		return e
@@ -36,28 +36,28 @@
 	return e
 }
 
-// Taken takes a message that the sender has accepted.
+// Taken receives a message that the sender has accepted.
 func (p *policy) Taken(in choice.Message) {
-	n := &message{Message: in}
-	p.messages[n.ID] = n
-	w := &p.settings.Classes[n.Class]
-	if w.Ordered && n.Key != choice.NoKey {
-		n.keyQueue = p.keyQueueOf(n.Key)
-		n.keyQueue.messages = append(n.keyQueue.messages, n)
-	}
-	if n.MayRun && w.Repeat == choice.NonIdempotent {
-		p.finish(n)
+	m := &message{Message: in}
+	p.messages[m.ID] = m
+	class := &p.settings.Classes[m.Class]
+	if class.Ordered && m.Key != choice.NoKey {
+		m.keyQueue = p.keyQueueOf(m.Key)
+		m.keyQueue.messages = append(m.keyQueue.messages, m)
+	}
+	if m.MayRun && class.Repeat == choice.NonIdempotent {
+		p.finish(m)
 		return
 	}
-	p.after(p.cutoff(n)-p.host.Now(), func() {
-		if p.messages[n.ID] == n && n.sentTo == nil {
-			p.finish(n)
+	p.after(p.cutoff(m)-p.host.Now(), func() {
+		if p.messages[m.ID] == m && m.sentTo == nil {
+			p.finish(m)
 		}
 	})
-	p.enqueue(n)
+	p.enqueue(m)
 }
 
-// keyQueueOf returns the queue of a key, and adds it if there is none.
+// keyQueueOf returns the queue of an ordering key, and adds it if there is none.
 func (p *policy) keyQueueOf(key choice.OrderKey) *keyQueue {
 	if p.keyQueues[key] == nil {
 		p.keyQueues[key] = &keyQueue{key: key}
@@ -65,76 +65,80 @@
 	return p.keyQueues[key]
 }
 
-// cutoff is when a message without an attempt in flight is ended.
-func (p *policy) cutoff(n *message) choice.Time {
-	return n.Deadline - p.shortest/4 - 4*p.settings.TurnInterval
+// cutoff returns the time from which a message without an attempt in flight is finished rather than sent. It is before the
+// deadline by a quarter of the shortest latency objective and four turns.
+func (p *policy) cutoff(m *message) choice.Time {
+	return m.Deadline - p.shortest/4 - 4*p.settings.TurnInterval
 }
 
-// after calls do after a time.
-func (p *policy) after(in choice.Time, do func()) {
+// after calls f after a time.
+func (p *policy) after(wait choice.Time, f func()) {
 	p.timerNo++
-	p.timers[p.timerNo] = do
-	p.host.Timer(max(1, in), p.timerNo)
+	p.timers[p.timerNo] = f
+	p.host.Timer(max(1, wait), p.timerNo)
 }
 
-// enqueue puts a message in the queue if it may be sent.
-func (p *policy) enqueue(n *message) {
-	if p.messages[n.ID] != n || n.queued || n.sentTo != nil || n.keyQueue != nil && n.keyQueue.messages[0] != n {
+// enqueue adds a message to the queue if it may be sent: it is pending, has no attempt in flight, and is the first of its
+// ordering key. A first attempt waits while the key is paused.
+func (p *policy) enqueue(m *message) {
+	if p.messages[m.ID] != m || m.queued || m.sentTo != nil || m.keyQueue != nil && m.keyQueue.messages[0] != m {
 		return
 	}
-	if n.keyQueue != nil && n.attempts == 0 && p.host.Now() < n.keyQueue.pausedUntil {
-		p.after(n.keyQueue.pausedUntil-p.host.Now(), func() { p.enqueue(n) })
+	if m.keyQueue != nil && m.attempts == 0 && p.host.Now() < m.keyQueue.pausedUntil {
+		p.after(m.keyQueue.pausedUntil-p.host.Now(), func() { p.enqueue(m) })
 		return
 	}
-	n.queued = true
-	p.queue = append(p.queue, n)
+	m.queued = true
+	p.queue = append(p.queue, m)
 }
 
-// Withdrawn drops a message without an attempt in flight.
+// Withdrawn removes a message that was withdrawn, unless it has an attempt in flight.
 func (p *policy) Withdrawn(id choice.MessageID) {
-	if n := p.messages[id]; n != nil && n.sentTo == nil {
-		p.release(n)
+	if m := p.messages[id]; m != nil && m.sentTo == nil {
+		p.release(m)
 	}
 }
 
-// release forgets a message; the next one of its key may be sent.
-func (p *policy) release(n *message) {
-	delete(p.messages, n.ID)
-	if n.queued {
-		n.queued = false
-		p.queue = slices.DeleteFunc(p.queue, func(other *message) bool { return other == n })
+// release removes a message from all state. The next message of its ordering key may then be sent.
+func (p *policy) release(m *message) {
+	delete(p.messages, m.ID)
+	if m.queued {
+		m.queued = false
+		p.queue = slices.DeleteFunc(p.queue, func(other *message) bool { return other == m })
 	}
-	if n.keyQueue != nil {
-		p.leaveKeyQueue(n, n.keyQueue)
+	if m.keyQueue != nil {
+		p.leaveKeyQueue(m, m.keyQueue)
 	}
 }
 
-func (p *policy) leaveKeyQueue(n *message, l *keyQueue) {
-	l.messages = slices.DeleteFunc(l.messages, func(other *message) bool { return other == n })
-	if len(l.messages) > 0 {
-		p.enqueue(l.messages[0])
+// leaveKeyQueue removes a message from the queue of its ordering key, and enqueues the next one. An empty queue is deleted
+// unless the key is still paused.
+func (p *policy) leaveKeyQueue(m *message, q *keyQueue) {
+	q.messages = slices.DeleteFunc(q.messages, func(other *message) bool { return other == m })
+	if len(q.messages) > 0 {
+		p.enqueue(q.messages[0])
 		return
 	}
-	if p.host.Now() >= l.pausedUntil {
-		delete(p.keyQueues, l.key)
+	if p.host.Now() >= q.pausedUntil {
+		delete(p.keyQueues, q.key)
 	}
 }
 
-// finish ends a message: it fails if it may have been executed, else it is shed.
-func (p *policy) finish(n *message) {
-	if n.MayRun {
-		p.host.Fail(n.ID)
+// finish ends a message: it fails if it may have been executed, and is shed otherwise.
+func (p *policy) finish(m *message) {
+	if m.MayRun {
+		p.host.Fail(m.ID)
 	} else {
-		p.host.Shed(n.ID, min(p.settings.MaxRetryAfter, choice.Second))
+		p.host.Shed(m.ID, min(p.settings.MaxRetryAfter, choice.Second))
 	}
-	p.release(n)
+	p.release(m)
 }
 
-// TimerDue calls what a timer was set for.
+// TimerDue calls the function of a timer that has fired.
 func (p *policy) TimerDue(id choice.TimerID) {
-	do := p.timers[id]
+	f := p.timers[id]
 	delete(p.timers, id)
-	if do != nil {
-		do()
+	if f != nil {
+		f()
 	}
 }
--- a/lab/baseline/outcome.go
+++ b/lab/baseline/outcome.go
@@ -1,38 +1,39 @@
 package baseline
 
-// This file handles the end of an attempt: whether and when the message is sent again. A message that may have been executed
-// must not be sent where its effect could come twice.
+// This file handles the end of an attempt, and decides whether and when the message is retried. A message that may have been
+// executed must not be retried if the retry could have its effect a second time.
 
 import (
 	"flaxcove/choice"
 )
 
-// Ended takes the end of an attempt.
+// Ended receives the end of an attempt. An outcome that does not belong to the attempt in flight is ignored.
 func (p *policy) Ended(o choice.Outcome) {
-	n := p.messages[o.Message]
-	if n == nil || n.sentTo == nil || o.Attempt != n.attempts-1 {
+	m := p.messages[o.Message]
+	if m == nil || m.sentTo == nil || o.Attempt != m.attempts-1 {
 		return
 	}
-	e := n.sentTo
-	n.sentTo = nil
+	e := m.sentTo
+	m.sentTo = nil
 	e.calls--
 	p.inFlight--
-	if n.slow {
-		n.slow = false
+	if m.slow {
+		m.slow = false
 		p.slowInFlight--
 	}
 	if o.RetryAfter > 0 {
 		p.applyRetryAfter(e, o.RetryAfter)
 	}
-	p.recordExecution(n, e, o.Result)
+	p.recordExecution(m, e, o.Result)
 	if o.Final {
-		p.release(n)
+		p.release(m)
 		return
 	}
-	p.retry(n)
+	p.retry(m)
 }
 
-// applyRetryAfter blocks an endpoint, or its whole destination, for the time that it named.
+// applyRetryAfter blocks an endpoint for the time of its Retry-After and up to 50 ms of jitter. It blocks the whole destination
+// unless each endpoint is a separate route.
 func (p *policy) applyRetryAfter(e *endpoint, wait choice.Time) {
 	until := p.host.Now() + wait + choice.Time(p.rng.Int64N(int64(50*choice.Millisecond)))
 	if p.settings.Kinds[e.Kind].SeparateRoutes {
@@ -42,69 +43,71 @@
 	}
 }
 
-// recordExecution records that an attempt may have been executed. Its ordering key rests if it may still be worked on.
-func (p *policy) recordExecution(n *message, e *endpoint, result choice.Result) {
+// recordExecution records that a message may have been executed if the result of the attempt does not rule it out. If the
+// attempt may still be running, its ordering key is paused.
+func (p *policy) recordExecution(m *message, e *endpoint, result choice.Result) {
 	switch result {
 	case choice.Errored, choice.TimedOut, choice.Reset, choice.Cancelled, choice.Unreadable:
 	default:
 		return
 	}
-	if !n.MayRun {
-		n.MayRun, n.RanAt, n.RanIn = true, n.sentAt, e.Zone
+	if !m.MayRun {
+		m.MayRun, m.RanAt, m.RanIn = true, m.sentAt, e.Zone
 	}
 	answered := result == choice.Errored || result == choice.Unreadable
-	if n.keyQueue != nil && !answered {
-		n.keyQueue.pausedUntil = p.host.Now() + p.settings.KeyPause
+	if m.keyQueue != nil && !answered {
+		m.keyQueue.pausedUntil = p.host.Now() + p.settings.KeyPause
 	}
 }
 
-// retry sends a message again after a backoff if that is allowed and there is time; else it ends the message.
-func (p *policy) retry(n *message) {
+// retry enqueues a message again after a backoff if the rules, the policy and the deadline allow it. Otherwise it finishes the
+// message.
+func (p *policy) retry(m *message) {
 	if p.kind == oneTry {
-		p.finish(n)
+		p.finish(m)
 		return
 	}
-	wait := p.backoff(n)
-	spent := p.mayNotRepeat(n, p.host.Now()+wait)
+	wait := p.backoff(m)
+	forbidden := p.mayNotRepeat(m, p.host.Now()+wait)
 	if p.kind == least && !p.takeFromBudget() {
-		spent = true
+		forbidden = true
 	}
-	if spent || n.attempts >= p.settings.MaxAttempts || p.host.Now()+wait >= p.cutoff(n) {
-		p.finish(n)
+	if forbidden || m.attempts >= p.settings.MaxAttempts || p.host.Now()+wait >= p.cutoff(m) {
+		p.finish(m)
 		return
 	}
-	p.after(wait, func() { p.enqueue(n) })
+	p.after(wait, func() { p.enqueue(m) })
 }
 
-// backoff is the time before a message's next attempt.
-func (p *policy) backoff(n *message) choice.Time {
+// backoff returns the time to wait before a message's next attempt.
+func (p *policy) backoff(m *message) choice.Time {
 	switch p.kind {
 	case fixed:
 		return fixedWait
 	case backoff, least:
-		ceiling := min(2*p.shortest, p.shortest/4<<min(n.attempts-1, maxDoublings))
+		ceiling := min(2*p.shortest, p.shortest/4<<min(m.attempts-1, maxDoublings))
 		return 1 + choice.Time(p.rng.Int64N(int64(max(1, ceiling))))
 	case allSeen:
-		return p.settings.TurnInterval << min(n.attempts, maxTurnDoublings)
+		return p.settings.TurnInterval << min(m.attempts, maxTurnDoublings)
 	}
 	return 0
 }
 
-// mayNotRepeat reports whether a message that is sent again at a time could have its effect twice.
-func (p *policy) mayNotRepeat(n *message, at choice.Time) bool {
-	w := &p.settings.Classes[n.Class]
+// mayNotRepeat reports whether a retry of a message at a time could have its effect a second time.
+func (p *policy) mayNotRepeat(m *message, at choice.Time) bool {
+	class := &p.settings.Classes[m.Class]
 	switch {
-	case !n.MayRun:
+	case !m.MayRun:
 		return false
-	case w.Repeat == choice.NonIdempotent:
+	case class.Repeat == choice.NonIdempotent:
 		return true
-	case w.Repeat == choice.Keyed:
-		return w.ZoneGroup || at > n.RanAt+w.RepeatWindow-2*p.settings.TurnInterval-windowMargin
+	case class.Repeat == choice.Keyed:
+		return class.ZoneGroup || at > m.RanAt+class.RepeatWindow-2*p.settings.TurnInterval-windowMargin
 	}
 	return false
 }
 
-// takeFromBudget takes a retry out of the retry budget. It is false if there is none left.
+// takeFromBudget takes one retry from the retry budget. It returns false if the budget is less than one retry.
 func (p *policy) takeFromBudget() bool {
 	if p.budget < 1 {
 		return false
@@ -113,5 +116,5 @@
 	return true
 }
 
-// Probed does nothing: baselines send no health probes.
+// Probed does nothing, because baselines send no health probes.
 func (p *policy) Probed(choice.EndpointID, choice.Result) {}
--- a/lab/baseline/send.go
+++ b/lab/baseline/send.go
@@ -1,6 +1,6 @@
 package baseline
 
-// This file sends messages at the end of a tick. Only all_seen may read the state of the world.
+// This file sends messages at the end of a turn. Only all_seen may read the true state of the simulated environment.
 
 import (
 	"cmp"
@@ -9,12 +9,13 @@
 	"flaxcove/choice"
 )
 
-// Open reports whether a call whose connection has just come up may still be sent.
+// Open reports whether a call to an endpoint may still be sent after its connection has come up: the endpoint is neither blocked
+// nor draining, and no retry among the messages is too late for its idempotency window.
 func (p *policy) Open(id choice.EndpointID, messages ...choice.MessageID) bool {
 	now := p.host.Now()
 	for _, id := range messages {
-		n := p.messages[id]
-		if n != nil && n.MayRun && now > n.RanAt+p.settings.Classes[n.Class].RepeatWindow-p.settings.TurnInterval {
+		m := p.messages[id]
+		if m != nil && m.MayRun && now > m.RanAt+p.settings.Classes[m.Class].RepeatWindow-p.settings.TurnInterval {
 			return false
 		}
 	}
@@ -22,66 +23,67 @@
 	return e != nil && e.Stage == choice.Ready && now >= max(e.blockedUntil, e.destination.blockedUntil)
 }
 
-// TurnEnd sends the queued messages in order of arrival, skipping those whose destination may not be called now.
+// TurnEnd sends the queued messages in order of arrival, or of rank for all_seen, up to the in-flight limit. It skips messages
+// whose destination may not be called now.
 func (p *policy) TurnEnd() {
 	if p.kind == allSeen {
 		p.sortByPriority()
 	}
-	rest := p.queue[:0]
-	for i, n := range p.queue {
+	unsent := p.queue[:0]
+	for i, m := range p.queue {
 		if p.inFlight >= p.settings.InFlightLimit {
-			rest = append(rest, p.queue[i:]...)
+			unsent = append(unsent, p.queue[i:]...)
 			break
 		}
-		if e := p.pickEndpoint(n); e != nil {
-			p.send(n, e)
+		if e := p.pickEndpoint(m); e != nil {
+			p.send(m, e)
 		} else {
-			rest = append(rest, n)
+			unsent = append(unsent, m)
 		}
 	}
-	p.queue = rest
+	p.queue = unsent
 }
 
-// sortByPriority puts those messages first that bring most value for the time in flight.
+// sortByPriority sorts the queue by rank, the value of a message per time in flight, highest first.
 func (p *policy) sortByPriority() {
-	for _, n := range p.queue {
-		n.rank = 0
-		if e := p.pickEndpoint(n); e != nil {
-			n.rank = p.priority(n) / max(1, e.waiting)
+	for _, m := range p.queue {
+		m.rank = 0
+		if e := p.pickEndpoint(m); e != nil {
+			m.rank = p.priority(m) / max(1, e.waiting)
 		}
 	}
 	slices.SortStableFunc(p.queue, func(a, b *message) int { return cmp.Compare(b.rank, a.rank) })
 }
 
-// send sends a message.
-func (p *policy) send(n *message, e *endpoint) {
-	n.queued = false
-	n.sentTo, n.sentAt = e, p.host.Now()
-	n.attempts++
+// send sends a message to an endpoint.
+func (p *policy) send(m *message, e *endpoint) {
+	m.queued = false
+	m.sentTo, m.sentAt = e, p.host.Now()
+	m.attempts++
 	e.calls++
 	p.inFlight++
-	if n.slow = e.waiting > float64(p.shortest); n.slow {
+	if m.slow = e.waiting > float64(p.shortest); m.slow {
 		p.slowInFlight++
 	}
-	if n.attempts == 1 {
+	if m.attempts == 1 {
 		p.budget = min(maxBudget, p.budget+budgetPerSend)
 	}
 	timeOut := p.shortest
 	if p.kind == allSeen {
 		timeOut = 4 * p.shortest
 	}
-	p.host.Attempt(n.ID, e.Endpoint, max(1, min(timeOut, n.Deadline-p.host.Now()-2*p.settings.TurnInterval)))
+	p.host.Attempt(m.ID, e.Endpoint, max(1, min(timeOut, m.Deadline-p.host.Now()-2*p.settings.TurnInterval)))
 }
 
-// priority is the value of a message if it were delivered now.
-func (p *policy) priority(n *message) float64 {
-	w := &p.settings.Classes[n.Class]
-	return w.Value * w.ValueShare(p.host.Now()-(n.Deadline-w.Deadline), p.settings.Halving)
+// priority returns the value of a message if it were delivered now.
+func (p *policy) priority(m *message) float64 {
+	class := &p.settings.Classes[m.Class]
+	return class.Value * class.ValueShare(p.host.Now()-(m.Deadline-class.Deadline), p.settings.Halving)
 }
 
-// pickEndpoint returns the endpoint that a message is sent to, or nil if none may be called.
-func (p *policy) pickEndpoint(n *message) *endpoint {
-	open := p.open(n.Destination)
+// pickEndpoint returns the endpoint for a message according to the policy, or nil if none may be called.
+func (p *policy) pickEndpoint(m *message) *endpoint {
+	open := p.open(m.Destination)
 	if len(open) == 0 {
 		return nil
 	}
@@ -111,7 +113,8 @@
 	return open
 }
 
-// bestSeen returns the endpoint that will answer first by the true state. Slow ones may not take up the whole in-flight limit.
+// bestSeen returns the endpoint that, by the true state, would answer first, or nil if none should be called. Endpoints slower
+// than the shortest latency objective may get at most 1/slowShare of the in-flight limit, so that they cannot use up all of it.
 func (p *policy) bestSeen(open []*endpoint) (best *endpoint) {
 	for _, e := range open {
 		well, waiting := p.world.WouldAnswer(e.Endpoint, e.calls)
--- a/lab/capacity/bench/bench.go
+++ b/lab/capacity/bench/bench.go
@@ -1,7 +1,8 @@
-// Package bench holds what the capacity benchmarks of all packages share: the sizes that they run and how heap is
-// measured.
+// Package bench provides the helpers that the capacity benchmarks of all packages share: the choice of sizes and the
+// measurement of heap memory.
 //
-// It imports nothing of the program, so that the tests of any package may use it. Code that serves must not import it.
+// It imports no other package of the module, so that the tests of every package can use it. Only tests and lab/capacity may
+// import it.
 package bench
 
 import (
@@ -12,13 +13,14 @@
 	"testing"
 )
 
-// MaxSizeVariable names the environment variable that lifts the bound on sizes for the long runs of docs/CAPACITY.md.
+// MaxSizeVariable is the name of the environment variable that sets the largest size to run. The long runs for docs/CAPACITY.md
+// use it to raise the default.
 const MaxSizeVariable = "CAPACITY_MOST"
 
-// defaultMaxSize keeps a plain `go test -bench .` short.
+// defaultMaxSize is the largest size to run by default, which keeps a plain `go test -bench .` short.
 const defaultMaxSize = 100_000
 
-// maxSize returns the largest size that is run.
+// maxSize returns the largest size to run.
 func maxSize() int {
 	if n, err := strconv.Atoi(os.Getenv(MaxSizeVariable)); err == nil && n > 0 {
 		return n
@@ -26,7 +28,7 @@
 	return defaultMaxSize
 }
 
-// Sizes runs f as a sub-benchmark for each size within the bound, named AXIS=SIZE as lab/capacity reads it.
+// Sizes runs f as a sub-benchmark for each size up to maxSize. The sub-benchmark is named AXIS=SIZE, as lab/capacity expects.
 func Sizes(b *testing.B, axis string, sizes []int, f func(b *testing.B, n int)) {
 	for _, n := range sizes {
 		if n > maxSize() {
@@ -36,7 +38,7 @@
 	}
 }
 
-// Heap returns the bytes of live heap that the result of build holds. Other goroutines should be idle.
+// Heap returns the size in bytes of the live heap that the result of build occupies. Other goroutines should be idle.
 func Heap(build func() any) float64 {
 	before := liveHeap()
 	built := build()
@@ -45,8 +47,9 @@
 	return float64(after) - float64(before)
 }
 
+// liveHeap returns the size of the live heap in bytes.
 func liveHeap() uint64 {
-	// Twice: the second collection frees what finalizers and pools still held.
+	// The second collection frees objects that finalizers and pools still referenced during the first.
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -54,7 +57,7 @@
 	return m.HeapAlloc
 }
 
-// Allocated returns the bytes of heap that f allocates.
+// Allocated returns the number of bytes that f allocates on the heap.
 func Allocated(f func()) float64 {
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
--- a/lab/capacity/capacity.go
+++ b/lab/capacity/capacity.go
@@ -1,9 +1,9 @@
-// Package capacity turns what the benchmarks of other packages measured into figures of the planned size: a line
-// through each series, its residual, and its product with the plan.
+// Package capacity extrapolates the results of the capacity benchmarks of other packages to the planned size. It fits a line
+// through each series of results, and computes the residual of the fit and the value at the planned size.
 //
-// It has the plan's numbers (plan.go), the fit (fit.go), the parser of raw output (parse.go) and the table of figures
-// (report.go). It is pure: lab/capacity/run runs benchmarks and writes files. Each figure comes with its largest measured
-// size, and a slope needs at least three sizes.
+// It contains the numbers of the plan (plan.go), the fit (fit.go), the parser of benchmark output (parse.go) and the table of
+// figures (report.go). It has no side effects: lab/capacity/run runs the benchmarks and writes the files. Each figure states
+// the largest measured size, and a fit needs at least three sizes.
 //
 // docs/CAPACITY.md explains the figures.
 package capacity
--- a/lab/capacity/capacity_test.go
+++ b/lab/capacity/capacity_test.go
@@ -8,6 +8,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
+// raw is output of benchmarks and of the traffic test, with lines that are not results.
 const raw = `goos: linux
 pkg: flaxcove/choice
 BenchmarkCapacityOpen/open=10-8 	 100	 210 ns/op	 1100 heap-B
@@ -21,6 +22,7 @@
 PASS
 `
 
+// read parses output into new samples.
 func read(t *testing.T, text string) Samples {
 	t.Helper()
 	s := Samples{}
@@ -30,7 +32,8 @@
 	return s
 }
 
-// Of times the shortest counts, of others the median; other lines are passed over.
+// TestRead checks that Points takes the shortest time and the median of other metrics for each size, and that Read ignores lines
+// that are not results.
 func TestRead(t *testing.T) {
 	s := read(t, raw)
 	for k, want := range map[Key][]Point{
@@ -45,40 +48,43 @@
 		}
 	}
 	if n := len(s.Keys()); n != 5 {
-		t.Error(n, "series")
+		t.Errorf("%d series, want 5", n)
 	}
 	if err := (Samples{}).Read(strings.NewReader("BenchmarkCapacityOpen/open=10-8 1 x ns/op")); err == nil {
-		t.Error("took a value that is no number")
+		t.Error("a value that is not a number was accepted")
 	}
 }
 
-// A line is found, and the residual tells of the point that lies off it.
+// TestLine checks the fit of points on a line, that points on a parabola give a large residual and the power 2, and that too few
+// points, or points that are not above 0, are rejected.
 func TestLine(t *testing.T) {
 	f, err := Line([]Point{{10, 200}, {100, 1100}, {1000, 10100}})
 	if err != nil || math.Abs(f.Slope-10) > 1e-6 || math.Abs(f.Fixed-100) > 1e-6 || f.Residual > 1e-9 || f.Largest.Size != 1000 {
 		t.Error(f, err)
 	}
 	if f, _ = Line([]Point{{10, 100}, {100, 10_000}, {1000, 1_000_000}}); math.Abs(f.Power-2) > 1e-9 || f.Residual < 0.5 {
-		t.Error("a square passes for a line:", f)
+		t.Error("fit of points on a parabola:", f)
 	}
 	for _, points := range [][]Point{{{1, 1}, {2, 2}}, {{1, 1}, {2, 0}, {3, 1}}, {{0, 1}, {2, 1}, {3, 1}}} {
 		if _, err := Line(points); err == nil {
-			t.Error("a line through", points)
+			t.Error("no error for the points", points)
 		}
 	}
 }
 
-// Between measured sizes the neighbours count, and beyond them the last slope.
+// TestPlanned checks the interpolation between neighbouring sizes, and the extrapolation beyond the largest size with the last
+// slope.
 func TestPlanned(t *testing.T) {
 	points := []Point{{10, 100}, {100, 200}, {1000, 10_000}}
 	for size, want := range map[float64]float64{10: 100, 55: 150, 100: 200, 1000: 10_000, 1900: 19_800} {
 		if got := Planned(points, size); math.Abs(got-want) > 1e-6 {
-			t.Errorf("%g at %g, not %g", got, size, want)
+			t.Errorf("value at size %g: %g, want %g", size, got, want)
 		}
 	}
 }
 
-// A figure is written with its product with the plan, and with the factor by which that lies beyond what was measured.
+// TestFigures checks that a figure states the value at the planned size and the ratio of that size to the largest measured one,
+// and that Markdown lists the series without a figure, too.
 func TestFigures(t *testing.T) {
 	s := read(t, raw)
 	all := Figures(s)
--- a/lab/capacity/fit.go
+++ b/lab/capacity/fit.go
@@ -10,28 +10,29 @@
 // minPoints is the smallest number of sizes for a fit.
 const minPoints = 3
 
-// Point is a figure measured at a size.
+// Point is a value measured at a size.
 type Point struct {
 	Size  float64 `json:"size"`
 	Value float64 `json:"value"`
 }
 
-// Fit is the line Fixed + Slope x size through points, with the distance of the points from it.
+// Fit is the line Fixed + Slope x size through points, with measures of how well the points fit it.
 type Fit struct {
 	Fixed float64 `json:"fixed"`
 	Slope float64 `json:"slope"`
-	// Residual is the largest distance of a point from the line, as a share of the point.
+	// Residual is the largest distance of a point from the line, as a share of the point's value.
 	Residual float64 `json:"residual"`
-	// Power is the exponent of the size over the upper half of the sizes: 1 for a figure that grows linearly.
+	// Power is the exponent of the size over the upper half of the sizes: 1 for a value that grows linearly.
 	Power   float64 `json:"power"`
-	Largest Point   `json:"largest"`
+	Largest Point   `json:"largest"` // the point with the largest size
 }
 
-// Line fits points by least squares of the relative distances: over three decades, absolute distances would be dominated by
-// the largest size.
+// Line fits a line to points, at least minPoints of them, by least squares of the relative distances. Over three decades of
+// sizes, the largest size would dominate a fit of absolute distances. It returns an error if there are too few points, or a
+// size or value is not above 0.
 func Line(points []Point) (Fit, error) {
 	if len(points) < minPoints {
-		return Fit{}, errors.New("a line needs three sizes")
+		return Fit{}, errors.New("a fit needs at least three sizes")
 	}
 	var x, y, weights []float64
 	f := Fit{}
@@ -52,11 +53,12 @@
 	return f, nil
 }
 
-// At is the value of the line at a size.
+// At returns the value of the line at a size.
 func (f Fit) At(size float64) float64 { return f.Fixed + f.Slope*size }
 
-// Planned is the figure at a size: interpolated between two measured sizes, and extrapolated with the slope of the last
-// decade beyond the largest. For a series that is not linear this is closer than the line through all points.
+// Planned returns the value at a size: interpolated between the two neighbouring points, or, beyond the largest size,
+// extrapolated with the slope of the last two points. For a series that is not linear this is more accurate than the line
+// through all points. Points must be sorted by size, and there must be at least two.
 func Planned(points []Point, size float64) float64 {
 	last := len(points) - 1
 	i := 1
@@ -68,7 +70,8 @@
 	return after.Value + slope*(size-after.Size)
 }
 
-// power is the slope of the logarithms over the upper half of the points, at least two.
+// power returns the slope of the logarithms of the values over those of the sizes, for the upper half of the points and at
+// least two of them.
 func power(points []Point) float64 {
 	upper := points[min(len(points)/2, len(points)-2):]
 	var x, y []float64
--- a/lab/capacity/report.go
+++ b/lab/capacity/report.go
@@ -6,29 +6,30 @@
 	"strings"
 )
 
-// Figure is one series with its fit and the value at the planned size.
+// Figure is one series with its fit and its value at the planned size.
 type Figure struct {
 	Key
 	Points []Point `json:"points"`
 	Fit    Fit     `json:"fit"`
 	Target Target  `json:"target"`
-	// Planned is the value at the target, see func Planned. Beyond is the target size over the largest measured size.
+	// Planned is the value at the target's size, see func Planned.
 	Planned float64 `json:"planned"`
-	Beyond  float64 `json:"beyond"`
+	// Beyond is the target's size over the largest measured size, at least 1.
+	Beyond float64 `json:"beyond"`
 }
 
-// excluded are series without a figure at the planned size: a bound cuts them off, their axis is not the plan's, or another
-// metric of the same benchmark has the figure.
+// excluded lists the series, by benchmark and metric, that have no figure at the planned size: a bound limits the value, the
+// axis is not part of the plan, or another metric of the same benchmark has the figure.
 var excluded = map[string]bool{
 	"DigestList rows": true, "Turn routes": true, "Turn wire-B": true, "Derive most-children": true,
 	"Reported rows/s": true, "Reported messages/s": true, "Reported ns/op": true,
-	"Told rows/s": true, "Told messages/s": true, "Told ns/op": true, // the name of Reported in earlier runs
+	"Told rows/s": true, "Told messages/s": true, "Told ns/op": true, // Told is the name of Reported in older output
 	"Sockets messages/s": true, "Sockets ns/op": true, "Narrow messages/s": true, "Narrow ns/op": true,
 	"Changes ns/op": true, "Changes wire-B": true, "Append ns/op": true,
 	"Gossip wire-B/s": true, "Gossip packets/s": true,
 }
 
-// Figures returns the figures of all series with at least three sizes along an axis of the plan.
+// Figures returns the figures of all series that have at least three sizes along an axis of the plan and are not excluded.
 func Figures(s Samples) []Figure {
 	var all []Figure
 	for _, k := range s.Keys() {
@@ -44,7 +45,7 @@
 	return all
 }
 
-// Markdown returns the table of figures, followed by the series without a figure at the planned size.
+// Markdown returns a table of the figures, followed by a table of the series that have none.
 func Markdown(s Samples) string {
 	var b strings.Builder
 	b.WriteString("| package, benchmark | metric | sizes: value | fixed + slope x size | residual | power | planned size | figure there | beyond measured |\n")
@@ -70,6 +71,7 @@
 	return b.String()
 }
 
+// formatPoints formats points as a list of "size: value".
 func formatPoints(points []Point) string {
 	var all []string
 	for _, p := range points {
@@ -78,7 +80,8 @@
 	return strings.Join(all, ", ")
 }
 
-// formatNumber formats a number with three digits and the units k, M, G, T.
+// formatNumber formats a number with three significant digits and the prefix k, M, G or T, or, below 10,000, with four
+// significant digits and no prefix.
 func formatNumber(v float64) string {
 	for _, unit := range []struct {
 		over float64
--- a/lab/hunt/shrink.go
+++ b/lab/hunt/shrink.go
@@ -22,7 +22,7 @@
 	}
 	rule, matches := goal.Matches(original)
 	if !matches {
-		return nil, original, fmt.Errorf("the find was not reproduced by a second run of the scenario with seed %d", seed)
+		return nil, original, fmt.Errorf("the find was not reproduced by a second run with the same seed")
 	}
 	reproduces := func(o Outcome) bool {
 		if rule != "" {
--- a/lab/load/search.go
+++ b/lab/load/search.go
@@ -1,26 +1,26 @@
 package load
 
-// This file searches the highest rate that a sender sustains. The caller plays the runs.
+// This file searches for the highest rate that a sender sustains. The caller executes the runs.
 
 import "math"
 
-// Search looks for the highest rate that a sender sustains: it doubles until one fails, then halves the gap. Next is the
-// rate to try, Record takes the result.
+// Search looks for the highest rate that a sender sustains. It doubles the rate until one is not sustained, and then tries the
+// geometric mean of the highest sustained and the lowest unsustained rate. The caller alternates Next and Record.
 type Search struct {
-	sustained, notSustained float64 // highest rate that was sustained, lowest that was not; 0 for none yet
+	sustained, notSustained float64 // highest rate that was sustained and lowest that was not; 0 for none yet
 	start                   float64
 	maxRate                 float64
-	tolerance               float64 // the gap, as a share of the good rate, at which the search ends
-	steps                   int
+	tolerance               float64 // gap between the two at which the search ends, as a share of the sustained rate
+	steps                   int     // number of rates tried
 	maxSteps                int
 }
 
-// NewSearch begins at a rate and never tries more than most, nor more than steps rates.
-func NewSearch(start, most float64, steps int) *Search {
-	return &Search{start: start, maxRate: most, tolerance: 0.05, maxSteps: steps}
+// NewSearch returns a search that starts at a rate, tries no rate above maxRate, and tries at most maxSteps rates.
+func NewSearch(start, maxRate float64, maxSteps int) *Search {
+	return &Search{start: start, maxRate: maxRate, tolerance: 0.05, maxSteps: maxSteps}
 }
 
-// Next is the rate to try, and false once the search is over.
+// Next returns the next rate to try, or false once the search has ended.
 func (s *Search) Next() (rate float64, more bool) {
 	if s.steps >= s.maxSteps || s.notSustained > 0 && s.sustained > 0 && s.notSustained/s.sustained < 1+s.tolerance || s.sustained >= s.maxRate ||
 		s.notSustained > 0 && s.sustained == 0 && s.notSustained < s.start/64 {
@@ -38,7 +38,7 @@
 	return math.Sqrt(s.sustained * s.notSustained), true
 }
 
-// Record takes the result at a rate.
+// Record records whether a rate was sustained.
 func (s *Search) Record(rate float64, sustained bool) {
 	if sustained {
 		s.sustained = max(s.sustained, rate)
@@ -47,5 +47,5 @@
 	}
 }
 
-// Best is the highest rate that was sustained, 0 for none, and the lowest that was not, 0 for none.
-func (s *Search) Best() (good, bad float64) { return s.sustained, s.notSustained }
+// Best returns the highest rate that was sustained and the lowest that was not. Each is 0 if there is none.
+func (s *Search) Best() (sustained, notSustained float64) { return s.sustained, s.notSustained }
--- a/lab/load/trace.go
+++ b/lab/load/trace.go
@@ -1,6 +1,6 @@
 package load
 
-// This file reads recorded traces. A field that is left out or wrong is an error, not a guess.
+// This file reads recorded traces. An invalid line is an error; it is neither skipped nor corrected.
 
 import (
 	"bufio"
@@ -12,21 +12,23 @@
 	"flaxcove/choice"
 )
 
-// maxTraceBytes is the largest body of a message in a trace.
+// maxTraceBytes is the maximum size of a message's body in a trace, in bytes.
 const maxTraceBytes = 60000
 
-// traceLine is one line of a recorded trace.
+// traceLine is one line of a recorded trace. Partner, the destination, and Sender are numbers that count from 0.
 type traceLine struct {
-	AtMS    *float64 `json:"at_ms"`
-	Class   string   `json:"workload"`
+	AtMS    *float64 `json:"at_ms"`    // from the start of the run; nil if it is missing
+	Class   string   `json:"workload"` // name of the class
 	Partner int      `json:"partner"`
 	Sender  int      `json:"sender"`
 	Key     int      `json:"key"`
-	Bytes   int      `json:"bytes"`
+	Bytes   int      `json:"bytes"` // size of the body; 0 counts as 1
 }
 
-// ReadTrace reads a recorded trace: one JSON object a line with at_ms, class (by name), partner, and, where it
-// matters, sender, key and bytes. An error names the line.
+// ReadTrace reads a recorded trace, which holds one JSON object on each line. The fields at_ms and workload (the name of a
+// class) are mandatory; partner (the number of a destination), sender, key and bytes are 0 if left out. Empty lines are
+// ignored. Name is the name of the trace in errors, which also give the line. Partners and senders are the numbers of
+// destinations and senders in the scenario.
 func ReadTrace(in io.Reader, name string, classes []string, partners, senders int) ([]Arrival, error) {
 	var all []Arrival
 	lines := bufio.NewScanner(in)
@@ -52,7 +54,8 @@
 	return all, nil
 }
 
-// classNo is the number of the class of a name, the last one if several have it; -1 for none.
+// classNo returns the number of the class with a name, or -1 if there is none. If several classes have the name, it returns
+// the last one.
 func classNo(classes []string, name string) int {
 	no := -1
 	for i, known := range classes {
@@ -63,17 +66,17 @@
 	return no
 }
 
-// check returns an error that names the first invalid field. Class is the number of the line's class, -1 for none.
+// check returns an error for the first invalid field of the line. Class is the number of the line's class, -1 if it is unknown.
 func (t *traceLine) check(class, partners, senders int) error {
 	switch {
 	case t.AtMS == nil || !(*t.AtMS >= 0 && *t.AtMS < 1e9):
 		return errors.New("field at_ms: missing, or not within 0 and 1e9")
 	case class < 0:
-		return fmt.Errorf("field workload: no workload %q", t.Class)
+		return fmt.Errorf("field workload: there is no class %q", t.Class)
 	case t.Partner < 0 || t.Partner >= partners:
-		return fmt.Errorf("field partner: %d of %d", t.Partner, partners)
+		return fmt.Errorf("field partner: there is no destination %d: the scenario has %d, counted from 0", t.Partner, partners)
 	case t.Sender < 0 || t.Sender >= senders:
-		return fmt.Errorf("field sender: %d of %d", t.Sender, senders)
+		return fmt.Errorf("field sender: there is no sender %d: the scenario has %d, counted from 0", t.Sender, senders)
 	case t.Bytes < 0 || t.Bytes > maxTraceBytes:
 		return fmt.Errorf("field bytes: %d is not within 0 and %d", t.Bytes, maxTraceBytes)
 	}
--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -1,7 +1,7 @@
-// Package scenario reads scenarios from TOML files and writes them.
+// Package scenario reads and writes scenarios as TOML files.
 //
-// The meaning and the valid values of fields are lab/world's, error messages belong
-// to internal/tomlfile.
+// Package lab/world defines the fields of a scenario and checks their values; internal/tomlfile formats the errors with file
+// and line.
 package scenario
 
 import (
@@ -17,15 +17,15 @@
 	"flaxcove/lab/world"
 )
 
-// Scenario is a spec with the trace that it names, if any.
+// Scenario is a scenario file with its recorded trace.
 type Scenario struct {
 	Spec  *world.Spec
-	Trace []load.Arrival
-	Path  string
-	Text  []byte
+	Trace []load.Arrival // nil if the spec names no trace
+	Path  string         // path of the file, or the name of a built-in scenario
+	Text  []byte         // contents of the file
 }
 
-// Load reads a scenario from a file.
+// Load reads a scenario from the file at path.
 func Load(path string) (*Scenario, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -34,7 +34,9 @@
 	return Parse(path, text)
 }
 
-// Parse reads a scenario; name is the file's name in error messages, and a trace is looked for in its folder.
+// Parse parses the text of a scenario file. Name is the path of the file: it is used in errors, it provides the scenario's name
+// if the text has none, and a relative path of a trace starts at its folder. An invalid field is reported as a
+// *tomlfile.Error.
 func Parse(name string, text []byte) (*Scenario, error) {
 	spec := world.Base()
 	if err := tomlfile.Decode(name, text, &spec); err != nil {
@@ -60,6 +62,7 @@
 	return s, nil
 }
 
+// readTrace reads the trace that the spec names. If the spec has no rate, it sets the trace's mean rate.
 func (s *Scenario) readTrace() error {
 	path := s.Spec.Load.Trace
 	if !filepath.IsAbs(path) {
@@ -87,7 +90,7 @@
 	return nil
 }
 
-// Write returns the text of a scenario file.
+// Write returns the text of a scenario file with all fields of spec.
 func Write(spec *world.Spec) ([]byte, error) {
 	var out bytes.Buffer
 	e := toml.NewEncoder(&out)
--- a/lab/scenario/scenario_test.go
+++ b/lab/scenario/scenario_test.go
@@ -8,6 +8,7 @@
 	"pgregory.net/rapid"
 )
 
+// wholeScenario is a valid scenario file with a table of each kind that the tests change.
 const wholeScenario = `name = "whole"
 seconds = 10
 senders = 2
@@ -31,6 +32,7 @@
 part = {share = 0.3}
 `
 
+// Each invalid change of a valid file is reported with the file, the line and the field.
 func ExampleParse() {
 	for _, change := range [][2]string{
 		{"", ""},
@@ -64,7 +66,7 @@
 	// s.toml:2: unexpected character U+000A at start of value
 }
 
-// What is written can be read again and means the same.
+// TestScenariosRoundTrip checks that a scenario that is written, read and written again gives the same text.
 func TestScenariosRoundTrip(t *testing.T) {
 	s, err := Parse("s.toml", []byte(wholeScenario))
 	if err != nil {
@@ -84,18 +86,19 @@
 			r.Fatalf("%v\n%s", err, text)
 		}
 		if again, _ := Write(back.Spec); string(again) != string(text) {
-			r.Fatalf("%s\nread back as\n%s", text, again)
+			r.Fatalf("written:\n%s\nwritten again after reading:\n%s", text, again)
 		}
 	})
 }
 
+// TestLibraryScenariosAreValid checks that each built-in scenario is valid, is named after its file and has a description.
 func TestLibraryScenariosAreValid(t *testing.T) {
 	for _, name := range Names() {
 		s, err := Find(name, "")
 		if err != nil {
 			t.Error(err)
 		} else if s.Spec.Name != name || s.Spec.About == "" {
-			t.Errorf("%s calls itself %q, about %q", name, s.Spec.Name, s.Spec.About)
+			t.Errorf("scenario %s has the name %q and the description %q", name, s.Spec.Name, s.Spec.About)
 		}
 	}
 }
--- a/lab/yardstick/yardstick.go
+++ b/lab/yardstick/yardstick.go
@@ -1,5 +1,5 @@
-// Package yardstick is a minimal forwarder: no journal, no decisions, no retries. The laboratory compares a sender's cost
-// with it. It keeps no rule and must not be deployed.
+// Package yardstick implements a minimal forwarder, without a journal, decisions or retries. The lab compares the cost of a
+// sender with its cost. It follows none of a sender's rules and must not be deployed.
 package yardstick
 
 import (
@@ -24,32 +24,34 @@
 )
 
 const (
-	maxQueued   = 4096 // messages that wait for one destination
+	maxQueued   = 4096 // messages queued for one destination
 	callTimeout = 10 * time.Second
 	dialTimeout = time.Second
 )
 
+// message is an accepted message.
 type message struct{ id, body []byte }
 
+// destination is a destination with its queue.
 type destination struct {
 	work  chan message
-	mu    sync.Mutex
-	addrs []string
+	mu    sync.Mutex // guards addrs
+	addrs []string   // addresses of its endpoints
 }
 
-// Forwarder accepts every message at once and forwards it once.
+// Forwarder accepts every message for which there is space in the queue, and forwards it once.
 type Forwarder struct {
 	cfg          *config.Config
-	mu           sync.Mutex
+	mu           sync.Mutex // guards destinations
 	destinations map[int64]*destination
-	workers      int
+	workers      int // number of workers for each destination
 	accepted     atomic.Int64
 	sent         atomic.Int64
 	failed       atomic.Int64
 	rejected     atomic.Int64
 }
 
-// Run serves until ctx ends.
+// Run serves clients until ctx ends.
 func Run(ctx context.Context, cfg *config.Config) error {
 	f := &Forwarder{cfg: cfg, destinations: map[int64]*destination{}, workers: max(1, cfg.Settings.InFlightLimit/4)}
 	f.updateEndpoints(cfg.Known)
@@ -76,6 +78,7 @@
 	}
 }
 
+// updateEndpoints applies an update of the endpoint list. It starts the workers of a new destination.
 func (f *Forwarder) updateEndpoints(l directory.List) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -103,27 +106,28 @@
 	}
 }
 
+// serveClient reads commands from a client's connection and answers them until the connection fails or a command is invalid.
 func (f *Forwarder) serveClient(conn net.Conn) {
 	defer conn.Close()
 	var in []byte
-	piece := make([]byte, 64<<10)
+	chunk := make([]byte, 64<<10)
 	out := bufio.NewWriter(conn)
 	for {
-		n, err := conn.Read(piece)
+		n, err := conn.Read(chunk)
 		if err != nil {
 			return
 		}
-		in = append(in, piece[:n]...)
+		in = append(in, chunk[:n]...)
 		for {
-			args, took, err := resp.Command(in, nil)
+			args, length, err := resp.Command(in, nil)
 			if err != nil {
 				return
 			}
-			if took == 0 {
+			if length == 0 {
 				break
 			}
 			f.command(out, args)
-			in = in[took:]
+			in = in[length:]
 		}
 		in = append([]byte(nil), in...)
 		if out.Flush() != nil {
@@ -132,6 +136,8 @@
 	}
 }
 
+// command executes one command and writes its answer: OUT.ADD, which is any command of five words, INFO, or PING for all
+// others.
 func (f *Forwarder) command(out io.Writer, args [][]byte) {
 	switch {
 	case len(args) == 5:
@@ -166,7 +172,8 @@
 	}
 }
 
-// worker keeps one connection to one of the endpoints and forwards messages, each once. Those that fail are reported.
+// worker forwards messages of a destination over one connection, which it opens again after a failure. It attempts each
+// message once, and reports those that fail. No is the worker's number, which selects the endpoint.
 func (f *Forwarder) worker(d *destination, no int) {
 	var conn net.Conn
 	buf := make([]byte, 16<<10)
@@ -192,7 +199,7 @@
 	}
 }
 
-// address is the endpoint of a destination that a worker sends to, "" if there is none.
+// address returns the address of the endpoint that a worker sends to, or "" if the destination has no endpoint.
 func (d *destination) address(worker int) string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -202,8 +209,8 @@
 	return d.addrs[worker%len(d.addrs)]
 }
 
-// forward sends a message and reads its answer. It reports whether the message was delivered, and whether the connection can
-// carry another one.
+// forward sends a message over a connection and reads the answer. It reports whether the message was delivered, and whether the
+// connection can be reused. Buf is a buffer for the answer.
 func forward(conn net.Conn, m message, buf []byte) (delivered, reusable bool) {
 	conn.SetDeadline(time.Now().Add(callTimeout))
 	call := http1.AppendRequest(nil, "POST", "/inbox", "yardstick", len(m.body), "X-Request-Id", string(m.id), "X-Deadline-Ms", "5000")
@@ -218,10 +225,11 @@
 	return err == nil && a.Status() == http.StatusOK, err == nil && !a.Close
 }
 
-// reportFailed reports to the platform that a message was not delivered.
-func (f *Forwarder) reportFailed(n message) {
+// reportFailed counts a message that was not delivered, and reports it to the platform by an outcome callback. An error of the
+// callback is ignored.
+func (f *Forwarder) reportFailed(m message) {
 	f.failed.Add(1)
-	line, _ := json.Marshal(map[string]string{"message": string(n.id), "outcome": "given_up"}) // strings always marshal
+	line, _ := json.Marshal(map[string]string{"message": string(m.id), "outcome": "given_up"}) // strings can always be encoded
 	r, err := http.Post("http://"+f.cfg.Discovery+"/v1/outcomes", "application/json", bytes.NewReader(line))
 	if err == nil {
 		r.Body.Close()
