--- a/cmd/flaxcove/lab.go
+++ b/cmd/flaxcove/lab.go
@@ -19,7 +19,7 @@
 const (
 	exitWrongInput = 2 // a file or a flag is invalid; nothing has run
 	exitRuleBroken = 3 // a rule was broken, an expectation failed, or a hunt saved a find
-	exitInvalidRun = 4 // the machine was too busy, so the result of the run is void
+	exitVoidRun    = 4 // the machine was too busy, so the result of the run is void
 )
 
 // The engines that can run a scenario, by their names in --engine.
@@ -34,8 +34,8 @@
 	flagEngine = &cli.StringFlag{Name: "engine", Usage: "simulated (in simulated time) or sockets (real senders on loopback sockets)", Value: engineSimulated}
 	flagSeed   = &cli.Uint64Flag{Name: "seed", Usage: "seed of all random draws", Value: 1}
 	flagJSON   = &cli.BoolFlag{Name: "json", Usage: "print JSON"}
-	flagBinary = &cli.StringFlag{Name: "binary", Usage: "run the senders with this other build of the program"}
-	flagLogs   = &cli.StringFlag{Name: "logs", Usage: "store the senders' logs in this folder (engine sockets only)"}
+	flagBinary = &cli.StringFlag{Name: "binary", Usage: "path of another build of this program to use for the run"}
+	flagLogs   = &cli.StringFlag{Name: "logs", Usage: "folder in which to store the logs of real senders"}
 )
 
 // flagCores returns the flag --cores, whose default is the number of CPUs. The usage text says what the command runs that
@@ -87,12 +87,12 @@
 // been printed.
 func exitSilently(code int) error { return cli.Exit("", code) }
 
-// verdictCode returns an error that makes the program exit with exitInvalidRun for a void run and with exitRuleBroken for a
+// verdictCode returns an error that makes the program exit with exitVoidRun for a void run and with exitRuleBroken for a
 // run that broke a rule. It returns nil for any other run.
 func verdictCode(v *referee.Verdict) error {
 	switch {
 	case v.Void != "":
-		return exitSilently(exitInvalidRun)
+		return exitSilently(exitVoidRun)
 	case v.Broken():
 		return exitSilently(exitRuleBroken)
 	}
--- a/cmd/flaxcove/lab_output.go
+++ b/cmd/flaxcove/lab_output.go
@@ -60,7 +60,7 @@
 	lastLine time.Time // when the last line was printed, if standard error is not a terminal
 }
 
-// newProgress returns a progress for standard error as it is now: a terminal or not.
+// newProgress returns a progress, and determines whether standard error is a terminal.
 func newProgress() *progress {
 	info, err := os.Stderr.Stat()
 	return &progress{terminal: err == nil && info.Mode()&os.ModeCharDevice != 0}
--- a/cmd/flaxcove/lab_scale.go
+++ b/cmd/flaxcove/lab_scale.go
@@ -46,7 +46,7 @@
 			&cli.IntFlag{Name: "real-destinations", Value: 60},
 			&cli.IntFlag{Name: "hosts", Usage: "number of processes that run the hollow members", Value: 6},
 			&cli.DurationFlag{Name: "calm", Usage: "duration of the measurement without faults", Value: 20 * time.Second},
-			&cli.DurationFlag{Name: "agree-within", Usage: "maximum time to wait until all members agree on the membership", Value: 3 * time.Minute},
+			&cli.DurationFlag{Name: "agree-within", Usage: "maximum time to wait until all members agree on the state of the cluster", Value: 3 * time.Minute},
 			&cli.IntFlag{Name: "purges", Usage: "number of purges to order and time while there are no faults", Value: 3},
 			&cli.IntFlag{Name: "changes", Usage: "number of configuration changes to order and time while there are no faults", Value: 3},
 			&cli.StringSliceFlag{Name: "schedule", Usage: "schedules of faults to run one after the other: paths of files, or built-in ones: calm, machine, leader, rack, zone, endpoints, region, restarts, rolling"},
--- a/cmd/flaxcove/serve.go
+++ b/cmd/flaxcove/serve.go
@@ -41,8 +41,7 @@
 
 // serve runs one sender until it has drained.
 func serve(_ context.Context, c *cli.Command) error {
-	// This comes first: SIGHUP requests a reload of the configuration, and must never terminate the process, as it does until
-	// it is caught.
+	// This must come first: SIGHUP requests a reload of the configuration, but terminates the process until it is caught.
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	cfg, clusterSettings, err := serveConfig(c.String("cluster"))
--- a/lab/experiment/compare.go
+++ b/lab/experiment/compare.go
@@ -60,8 +60,8 @@
 	size     float64
 }
 
-// pairing identifies a pair of runs that are compared: the same scenario, size and seed.
-type pairing struct {
+// pairKey identifies a pair of runs that are compared: the same scenario, size and seed.
+type pairKey struct {
 	cell
 	seed uint64
 }
@@ -69,13 +69,13 @@
 // comparison holds the results that are neither void nor failed. Slices are in the order of the results.
 type comparison struct {
 	results  []*Result
-	bases    map[pairing]*Result // results of the base
+	bases    map[pairKey]*Result // results of the base
 	cells    []cell
 	variants []string // without the base
 }
 
 func newComparison(results []*Result, base string) *comparison {
-	c := &comparison{bases: map[pairing]*Result{}}
+	c := &comparison{bases: map[pairKey]*Result{}}
 	for _, r := range results {
 		if r.Error != "" || r.Void != "" {
 			continue
@@ -86,7 +86,7 @@
 			c.cells = append(c.cells, at)
 		}
 		if r.Variant == base {
-			c.bases[pairing{at, r.Seed}] = r
+			c.bases[pairKey{at, r.Seed}] = r
 		} else if !slices.Contains(c.variants, r.Variant) {
 			c.variants = append(c.variants, r.Variant)
 		}
@@ -122,7 +122,7 @@
 func (c *comparison) difference(at cell, variant string) (d Difference, diffs []float64) {
 	d = Difference{Scenario: at.scenario, Size: at.size, Variant: variant}
 	for _, r := range c.results {
-		base := c.bases[pairing{at, r.Seed}]
+		base := c.bases[pairKey{at, r.Seed}]
 		if r.Variant != variant || (cell{r.Scenario, r.Size}) != at || base == nil {
 			continue
 		}
--- a/lab/experiment/experiment.go
+++ b/lab/experiment/experiment.go
@@ -70,7 +70,7 @@
 
 // Sizes holds the size of a run.
 type Sizes struct {
-	Senders  int `json:"S"`
-	Partners int `json:"E"` // number of destinations
-	Rate     int `json:"R"` // messages per second
+	Senders      int `json:"S"`
+	Destinations int `json:"E"` // number of destinations
+	Rate         int `json:"R"` // messages per second
 }
--- a/lab/experiment/run.go
+++ b/lab/experiment/run.go
@@ -109,7 +109,7 @@
 	r.Classes, r.Engines = v.Classes, v.EngineFigures
 	r.Sizes = Sizes{Senders: j.spec.Senders, Rate: int(j.spec.Load.Rate)}
 	for i := range j.spec.Partners {
-		r.Sizes.Partners += j.spec.Partners[i].Count
+		r.Sizes.Destinations += j.spec.Partners[i].Count
 	}
 	return r
 }
--- a/lab/experiment/single.go
+++ b/lab/experiment/single.go
@@ -21,7 +21,7 @@
 	"flaxcove/lab/world"
 )
 
-// RunSpec describes one run.
+// RunSpec holds the parameters of one run.
 type RunSpec struct {
 	Engine   string // simulated or sockets
 	Spec     *world.Spec
--- a/lab/hunt/draw.go
+++ b/lab/hunt/draw.go
@@ -44,7 +44,7 @@
 		d.spec.Classes = append(d.spec.Classes, d.class(i))
 	}
 	for i := range 1 + rng.IntN(3) {
-		d.spec.Partners = append(d.spec.Partners, d.partner(i))
+		d.spec.Partners = append(d.spec.Partners, d.kind(i))
 	}
 	for range 1 + rng.IntN(4) {
 		d.spec.Faults = append(d.spec.Faults, d.fault())
@@ -112,8 +112,8 @@
 	}
 }
 
-// partner draws kind number no of destinations.
-func (d *drawer) partner(no int) world.Kind {
+// kind draws kind number no of destinations.
+func (d *drawer) kind(no int) world.Kind {
 	k := world.Kind{
 		Name:            fmt.Sprintf("k%d", no),
 		Count:           max(1, int(d.between(1, 7)*d.scale+0.5)),
--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -94,25 +94,25 @@
 
 // Plan is a Source that draws arrivals at random. They come in batches, each of which is either a single message or a clump.
 type Plan struct {
-	spec              Spec
-	until             choice.Time
-	classes           picker
-	partners, senders picker
-	changes           []Change
-	rng               *rand.Rand
-	now               float64 // time of the last drawn batch, in seconds
-	lastNumber        int64
-	batch             []Arrival // the messages of the current batch that Next has not returned yet
-	peakRate          float64   // upper bound on the rate at any time, in batches per second
-	senderTotal       float64   // sum of senderWeights
-	senderWeights     []float64
+	spec                  Spec
+	until                 choice.Time
+	classes               picker
+	destinations, senders picker
+	changes               []Change
+	rng                   *rand.Rand
+	now                   float64 // time of the last drawn batch, in seconds
+	lastNumber            int64
+	batch                 []Arrival // the messages of the current batch that Next has not returned yet
+	peakRate              float64   // upper bound on the rate at any time, in batches per second
+	senderTotal           float64   // sum of senderWeights
+	senderWeights         []float64
 }
 
 // New returns a plan that ends at until. Classes, partners and senders hold the weights with which each is drawn; the weights
 // need not add up to 1.
 func New(s Spec, seed uint64, until choice.Time, classes, partners, senders []float64, changes []Change) *Plan {
 	p := &Plan{spec: s, until: until, changes: changes, rng: rand.New(rand.NewPCG(seed, 0x10ad)),
-		classes: newPicker(classes), partners: newPicker(partners), senders: newPicker(senders), senderWeights: senders}
+		classes: newPicker(classes), destinations: newPicker(partners), senders: newPicker(senders), senderWeights: senders}
 	for _, w := range senders {
 		p.senderTotal += w
 	}
@@ -170,7 +170,7 @@
 	if len(p.batch) > 0 {
 		a := p.batch[0]
 		p.batch = p.batch[1:]
-		return p.number(a), true
+		return p.assignNumber(a), true
 	}
 	at, ok := p.nextBatch()
 	if !ok {
@@ -178,7 +178,7 @@
 	}
 	a := p.draw(at)
 	p.drawBatch(a)
-	return p.number(a), true
+	return p.assignNumber(a), true
 }
 
 // nextBatch returns the time of the next batch, or false at the end of the plan.
@@ -213,8 +213,8 @@
 	}
 }
 
-// number assigns the next number to an arrival.
-func (p *Plan) number(a Arrival) Arrival {
+// assignNumber assigns the next number to an arrival.
+func (p *Plan) assignNumber(a Arrival) Arrival {
 	p.lastNumber++
 	a.Number = p.lastNumber
 	return a
@@ -222,7 +222,7 @@
 
 // draw draws an arrival at a time, without a number.
 func (p *Plan) draw(at choice.Time) Arrival {
-	a := Arrival{At: at, Class: p.classes.pick(p.rng.Float64()), Partner: p.partners.pick(p.rng.Float64()),
+	a := Arrival{At: at, Class: p.classes.pick(p.rng.Float64()), Partner: p.destinations.pick(p.rng.Float64()),
 		Sender: p.senders.pick(p.rng.Float64()), Key: p.rng.IntN(p.spec.Keys), Body: p.spec.BodyBytes}
 	partnerDraw, senderDraw := p.rng.Float64(), p.rng.Float64()
 	for _, c := range p.changes {
--- a/lab/report/comparison.go
+++ b/lab/report/comparison.go
@@ -120,7 +120,7 @@
 	}
 	p := newPlot("size, as a multiple of the scenario's", "figure")
 	for i, variant := range g.variants {
-		if err := line(p, variant, series[i%len(series)], g.points(variant)); err != nil {
+		if err := line(p, variant, lineColors[i%len(lineColors)], g.points(variant)); err != nil {
 			return "", err
 		}
 	}
--- a/lab/report/html.go
+++ b/lab/report/html.go
@@ -45,9 +45,9 @@
 	Rows    []experiment.Difference
 }
 
-// page is the template of the page. Its functions are f3 (three decimal places), d3 (the same, with a sign) and f1 (one
+// pageTemplate is the template of the page. Its functions are f3 (three decimal places), d3 (the same, with a sign) and f1 (one
 // decimal place).
-var page = template.Must(template.New("page").Funcs(template.FuncMap{
+var pageTemplate = template.Must(template.New("page").Funcs(template.FuncMap{
 	"f3": func(v float64) string { return fmt.Sprintf("%.3f", v) },
 	"d3": func(v float64) string { return fmt.Sprintf("%+.3f", v) },
 	"f1": func(v float64) string { return fmt.Sprintf("%.1f", v) },
@@ -86,8 +86,8 @@
 {{end}}</body></html>
 `))
 
-// view is the data of the template.
-type view struct {
+// pageData is the data of the template.
+type pageData struct {
 	Title, Base string
 	Variants    []variantSection
 	Means       []experiment.Mean
@@ -98,7 +98,7 @@
 
 // HTML writes a page as one self-contained HTML document.
 func HTML(out io.Writer, p *Page) error {
-	v := view{Title: p.Title, Base: p.Base}
+	v := pageData{Title: p.Title, Base: p.Base}
 	if err := v.addResults(p.Results); err != nil {
 		return err
 	}
@@ -109,11 +109,11 @@
 		}
 		v.Runs = append(v.Runs, section)
 	}
-	return page.Execute(out, v)
+	return pageTemplate.Execute(out, v)
 }
 
 // addResults adds the sections of an experiment's results: the differences from the base, and the means.
-func (v *view) addResults(results []*experiment.Result) error {
+func (v *pageData) addResults(results []*experiment.Result) error {
 	if len(results) == 0 {
 		return nil
 	}
@@ -141,7 +141,7 @@
 }
 
 // variantSection returns the section of a variant at a size, and adds it if there is none yet.
-func (v *view) variantSection(name string, size float64) *variantSection {
+func (v *pageData) variantSection(name string, size float64) *variantSection {
 	for i := range v.Variants {
 		if section := &v.Variants[i]; section.Variant == name && section.Size == size {
 			return section
--- a/lab/report/plots.go
+++ b/lab/report/plots.go
@@ -19,13 +19,13 @@
 
 // Colours that readers with red-green colour blindness can distinguish.
 var (
-	blue   = color.RGBA{0x00, 0x72, 0xb2, 0xff}
-	orange = color.RGBA{0xd5, 0x5e, 0x00, 0xff}
-	green  = color.RGBA{0x00, 0x9e, 0x73, 0xff}
-	purple = color.RGBA{0xa0, 0x4a, 0x84, 0xff}
-	grey   = color.RGBA{0x55, 0x55, 0x55, 0xff}
-	shade  = color.NRGBA{0xe0, 0x9f, 0x3e, 0x48}
-	series = []color.Color{blue, orange, green, purple, grey}
+	blue       = color.RGBA{0x00, 0x72, 0xb2, 0xff}
+	orange     = color.RGBA{0xd5, 0x5e, 0x00, 0xff}
+	green      = color.RGBA{0x00, 0x9e, 0x73, 0xff}
+	purple     = color.RGBA{0xa0, 0x4a, 0x84, 0xff}
+	grey       = color.RGBA{0x55, 0x55, 0x55, 0xff}
+	shade      = color.NRGBA{0xe0, 0x9f, 0x3e, 0x48}
+	lineColors = []color.Color{blue, orange, green, purple, grey}
 )
 
 const (
@@ -164,10 +164,10 @@
 	return v.Seconds[:max(0, len(v.Seconds)-1)]
 }
 
-// returnsPlot plots the load on endpoints in slow start, as a multiple of the load above which they fall over. It shows at
-// most 40 endpoints, and returns "" if there are none.
+// returnsPlot plots the load on endpoints in slow start, as a multiple of the overload bound, above which they go down again.
+// It shows at most 40 endpoints, and returns "" if there are none.
 func returnsPlot(v *referee.Verdict) (string, error) {
-	p := newPlot("seconds", "load / bound")
+	p := newPlot("seconds", "load / overload bound")
 	top := 1.1
 	shown := 0
 	for _, r := range v.Returns {
@@ -183,7 +183,7 @@
 		if err != nil {
 			return "", err
 		}
-		l.Color, l.Width = series[shown%len(series)], vg.Points(1)
+		l.Color, l.Width = lineColors[shown%len(lineColors)], vg.Points(1)
 		p.Add(l)
 		shown++
 	}
@@ -193,7 +193,7 @@
 	bound := plotter.NewFunction(func(float64) float64 { return 1 })
 	bound.Color, bound.Width, bound.Dashes = color.Black, vg.Points(1), []vg.Length{vg.Points(4), vg.Points(3)}
 	p.Add(bound)
-	p.Legend.Add("falls over above this", bound)
+	p.Legend.Add("overload bound", bound)
 	p.Y.Min, p.Y.Max = 0, top*1.25
 	return svg(p, plotHeight)
 }
--- a/lab/report/summary.go
+++ b/lab/report/summary.go
@@ -66,7 +66,7 @@
 		for _, r := range v.Returns {
 			highest = max(highest, r.Most)
 		}
-		fmt.Fprintf(b, "endpoints returned after an outage %d, highest load %.2f of the load at which an endpoint falls over, fallen over %d\n", n, highest, v.PushedOver)
+		fmt.Fprintf(b, "endpoints returned after an outage %d, highest load on one %.2f of its overload bound, overloaded again %d\n", n, highest, v.PushedOver)
 	}
 }
 
