--- a/lab/report/report_test.go
+++ b/lab/report/report_test.go
@@ -42,7 +42,7 @@
 		t.Fatal(err)
 	}
 	page := out.String()
-	for _, must := range []string{"T &amp; T", "rules broken: waits 2", "a &lt;call&gt; left early", "void: too busy", "not significant", "1 run(s) are left out",
+	for _, must := range []string{"T &amp; T", "rules broken: waits 2", "a &lt;call&gt; left early", "void: too busy", "<td>not significant", "1 run(s) are left out",
 		"<svg", "crash from 5.0 to 13.0 s"} {
 		if !strings.Contains(page, must) {
 			t.Errorf("the page does not contain %q", must)
