--- a/lab/capacity/bench/bench.go
+++ b/lab/capacity/bench/bench.go
@@ -1,7 +1,8 @@
-// Package bench holds what the capacity benchmarks of all packages share: the sizes that they run and how heap is
-// measured.
+// Package bench provides the helpers that the capacity benchmarks of all packages share: the choice of sizes and the
+// measurement of heap memory.
 //
-// It imports nothing of the program, so that the tests of any package may use it. Code that serves must not import it.
+// It imports no other package of the module, so that the tests of every package can use it. Only tests and lab/capacity may
+// import it.
 package bench
 
 import (
@@ -12,41 +13,43 @@
 	"testing"
 )
 
-// MostVariable names the environment variable that lifts the bound on sizes for the long runs of docs/CAPACITY.md.
-const MostVariable = "CAPACITY_MOST"
+// MaxSizeVariable is the name of the environment variable that sets the largest size to run. The long runs for docs/CAPACITY.md
+// use it to raise the default.
+const MaxSizeVariable = "CAPACITY_MOST"
 
-// usualMost keeps a plain `go test -bench .` short.
-const usualMost = 100_000
+// defaultMaxSize is the largest size to run by default, which keeps a plain `go test -bench .` short.
+const defaultMaxSize = 100_000
 
-// most returns the largest size that is run.
-func most() int {
-	if n, err := strconv.Atoi(os.Getenv(MostVariable)); err == nil && n > 0 {
+// maxSize returns the largest size to run.
+func maxSize() int {
+	if n, err := strconv.Atoi(os.Getenv(MaxSizeVariable)); err == nil && n > 0 {
 		return n
 	}
-	return usualMost
+	return defaultMaxSize
 }
 
-// Sizes runs f as a sub-benchmark for each size within the bound, named AXIS=SIZE as lab/capacity reads it.
+// Sizes runs f as a sub-benchmark for each size up to maxSize. The sub-benchmark is named AXIS=SIZE, as lab/capacity expects.
 func Sizes(b *testing.B, axis string, sizes []int, f func(b *testing.B, n int)) {
 	for _, n := range sizes {
-		if n > most() {
+		if n > maxSize() {
 			continue
 		}
 		b.Run(fmt.Sprintf("%s=%d", axis, n), func(b *testing.B) { f(b, n) })
 	}
 }
 
-// Heap returns the bytes of live heap that the result of build holds. Other goroutines should be idle.
+// Heap returns the size in bytes of the live heap that the result of build occupies. Other goroutines should be idle.
 func Heap(build func() any) float64 {
-	before := live()
+	before := liveHeap()
 	built := build()
-	after := live()
+	after := liveHeap()
 	runtime.KeepAlive(built)
 	return float64(after) - float64(before)
 }
 
-func live() uint64 {
-	// Twice: the second collection frees what finalizers and pools still held.
+// liveHeap returns the size of the live heap in bytes.
+func liveHeap() uint64 {
+	// The second collection frees objects that finalizers and pools still referenced during the first.
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -54,7 +57,7 @@
 	return m.HeapAlloc
 }
 
-// Allocated returns the bytes of heap that f allocates.
+// Allocated returns the number of bytes that f allocates on the heap.
 func Allocated(f func()) float64 {
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
--- a/lab/load/search.go
+++ b/lab/load/search.go
@@ -1,51 +1,51 @@
 package load
 
-// This file searches the highest rate that a sender sustains. The caller plays the runs.
+// This file searches for the highest rate that a sender sustains. The caller executes the runs.
 
 import "math"
 
-// Search looks for the highest rate that a sender sustains: it doubles until one fails, then halves the gap. Next is the
-// rate to try, Record takes the result.
+// Search looks for the highest rate that a sender sustains. It doubles the rate until one is not sustained, and then tries the
+// geometric mean of the highest sustained and the lowest unsustained rate. The caller alternates Next and Record.
 type Search struct {
-	good, bad float64 // highest rate that was sustained, lowest that was not; 0 for none yet
-	start     float64
-	maxRate   float64
-	tolerance float64 // the gap, as a share of the good rate, at which the search ends
-	steps     int
-	maxSteps  int
+	sustained, notSustained float64 // highest rate that was sustained and lowest that was not; 0 for none yet
+	start                   float64
+	maxRate                 float64
+	tolerance               float64 // gap between the two at which the search ends, as a share of the sustained rate
+	steps                   int     // number of rates tried
+	maxSteps                int
 }
 
-// NewSearch begins at a rate and never tries more than most, nor more than steps rates.
-func NewSearch(start, most float64, steps int) *Search {
-	return &Search{start: start, maxRate: most, tolerance: 0.05, maxSteps: steps}
+// NewSearch returns a search that starts at a rate, tries no rate above maxRate, and tries at most maxSteps rates.
+func NewSearch(start, maxRate float64, maxSteps int) *Search {
+	return &Search{start: start, maxRate: maxRate, tolerance: 0.05, maxSteps: maxSteps}
 }
 
-// Next is the rate to try, and false once the search is over.
+// Next returns the next rate to try, or false once the search has ended.
 func (s *Search) Next() (rate float64, more bool) {
-	if s.steps >= s.maxSteps || s.bad > 0 && s.good > 0 && s.bad/s.good < 1+s.tolerance || s.good >= s.maxRate ||
-		s.bad > 0 && s.good == 0 && s.bad < s.start/64 {
+	if s.steps >= s.maxSteps || s.notSustained > 0 && s.sustained > 0 && s.notSustained/s.sustained < 1+s.tolerance || s.sustained >= s.maxRate ||
+		s.notSustained > 0 && s.sustained == 0 && s.notSustained < s.start/64 {
 		return 0, false
 	}
 	s.steps++
 	switch {
-	case s.bad == 0 && s.good == 0:
+	case s.notSustained == 0 && s.sustained == 0:
 		return min(s.start, s.maxRate), true
-	case s.bad == 0:
-		return min(2*s.good, s.maxRate), true
-	case s.good == 0:
-		return s.bad / 2, true
+	case s.notSustained == 0:
+		return min(2*s.sustained, s.maxRate), true
+	case s.sustained == 0:
+		return s.notSustained / 2, true
 	}
-	return math.Sqrt(s.good * s.bad), true
+	return math.Sqrt(s.sustained * s.notSustained), true
 }
 
-// Record takes the result at a rate.
+// Record records whether a rate was sustained.
 func (s *Search) Record(rate float64, sustained bool) {
 	if sustained {
-		s.good = max(s.good, rate)
-	} else if s.bad == 0 || rate < s.bad {
-		s.bad = rate
+		s.sustained = max(s.sustained, rate)
+	} else if s.notSustained == 0 || rate < s.notSustained {
+		s.notSustained = rate
 	}
 }
 
-// Best is the highest rate that was sustained, 0 for none, and the lowest that was not, 0 for none.
-func (s *Search) Best() (good, bad float64) { return s.good, s.bad }
+// Best returns the highest rate that was sustained and the lowest that was not. Each is 0 if there is none.
+func (s *Search) Best() (sustained, notSustained float64) { return s.sustained, s.notSustained }
