--- a/internal/config/capacity_test.go
+++ b/internal/config/capacity_test.go
@@ -1,6 +1,7 @@
 package config
 
-// Benchmark behind docs/CAPACITY.md: the configuration file by accounts and by destinations of the known list.
+// This file holds the benchmarks for docs/CAPACITY.md: the time to load a configuration file and its size, by the number of
+// accounts and by the number of destinations in the known list.
 
 import (
 	"encoding/json"
@@ -14,6 +15,7 @@
 	"flaxcove/lab/capacity/bench"
 )
 
+// capacityLoad loads a configuration file with the given text once per iteration.
 func capacityLoad(b *testing.B, text string) {
 	path := filepath.Join(b.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -33,18 +35,19 @@
 	b.ReportMetric(float64(len(text)), "file-B")
 }
 
-// BenchmarkCapacityAccounts reads and checks a file by accounts.
+// BenchmarkCapacityAccounts reads and checks files with different numbers of accounts.
 func BenchmarkCapacityAccounts(b *testing.B) {
 	bench.Sizes(b, "accounts", []int{10, 100, 1_000, 10_000}, func(b *testing.B, n int) {
 		var all []string
 		for i := range n {
 			all = append(all, fmt.Sprintf(`{"name":"account-%05d","quotaRps":%d}`, i, 1+i))
 		}
-		capacityLoad(b, strings.Replace(good, `"settings":{`, `"settings":{"accounts":[`+strings.Join(all, ",")+`],`, 1))
+		capacityLoad(b, strings.Replace(validConfig, `"settings":{`, `"settings":{"accounts":[`+strings.Join(all, ",")+`],`, 1))
 	})
 }
 
-// BenchmarkCapacityKnown reads and checks a file by destinations, two endpoints each, of the list in it.
+// BenchmarkCapacityKnown reads and checks files with different numbers of destinations in the known list. Each destination
+// has two endpoints.
 func BenchmarkCapacityKnown(b *testing.B) {
 	bench.Sizes(b, "destinations", []int{610, 6_100, 61_000}, func(b *testing.B, n int) {
 		l := directory.List{Version: 1, Full: true}
@@ -56,6 +59,6 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		capacityLoad(b, strings.Replace(good, `"settings":{`, `"known":`+string(known)+`,"settings":{`, 1))
+		capacityLoad(b, strings.Replace(validConfig, `"settings":{`, `"known":`+string(known)+`,"settings":{`, 1))
 	})
 }
--- a/internal/config/checks.go
+++ b/internal/config/checks.go
@@ -8,16 +8,16 @@
 	"slices"
 )
 
-// maxSenders bounds products with the number of senders.
+// maxSenders bounds the number of senders, so that products with it do not overflow.
 const maxSenders = 1 << 20
 
-// namedNumber is a number of the settings object with its path.
+// namedNumber is a number of the settings object together with its path.
 type namedNumber struct {
-	path  string
+	path  string // in the settings object, as in bounds.maxOpen
 	value float64
 }
 
-// numbers are those of the settings object that must not be negative.
+// numbers returns the numbers of the settings object that must not be negative.
 func (b *Boot) numbers() []namedNumber {
 	all := []namedNumber{
 		{"balancers", float64(b.Senders)},
@@ -49,8 +49,8 @@
 	return all
 }
 
-// checkNumbers rejects negative numbers: a message with a negative priority weight would never be sent, and the others
-// mean nothing.
+// checkNumbers rejects negative numbers and more than maxSenders senders. A message with a negative priority weight would
+// never be sent, and the other numbers have no meaning below 0.
 func (b *Boot) checkNumbers() error {
 	for _, n := range b.numbers() {
 		if n.value < 0 {
@@ -63,15 +63,15 @@
 	return nil
 }
 
-// nameList is a list of the settings object whose names get their numbers by position.
+// nameList is a list of names in the settings object. The position of a name in the list is its number.
 type nameList struct {
-	pathFormat string // of an entry, with %d for its position
+	pathFormat string // path of an entry, with %d in place of its position
 	names      []string
 }
 
 func (l *nameList) path(i int) string { return fmt.Sprintf(l.pathFormat, i) }
 
-// checkNames rejects a class without a name and a name that is given twice. A name may contain any character.
+// checkNames rejects a class without a name and a name that occurs twice in its list. A name may contain any character.
 func (b *Boot) checkNames() error {
 	classes := nameList{"classes[%d].name", b.classNames()}
 	for i, name := range classes.names {
@@ -81,19 +81,19 @@
 	}
 	accounts := nameList{"accounts[%d].name", b.accountNames()}
 	for i, name := range accounts.names {
-		accounts.names[i] = cmp.Or(name, fmt.Sprint("without a name: ", i)) // any number of accounts may have none
+		accounts.names[i] = cmp.Or(name, fmt.Sprint("without a name: ", i)) // any number of accounts may be unnamed
 	}
 	for _, list := range []nameList{accounts, classes, {"zones[%d]", b.Zones}, {"machineTypes[%d]", b.MachineTypes}} {
 		for i, name := range list.names {
 			if first := slices.Index(list.names, name); first < i {
-				return settingError(list.path(i), "%q stands for %s already", name, list.path(first))
+				return settingError(list.path(i), "%q is already used by %s", name, list.path(first))
 			}
 		}
 	}
 	return nil
 }
 
-// classNames are the classes' names by class number, in a list of their own.
+// classNames returns a new list of the class names, indexed by class number.
 func (b *Boot) classNames() (names []string) {
 	for _, c := range b.Classes {
 		names = append(names, c.Name)
@@ -101,7 +101,7 @@
 	return names
 }
 
-// accountNames are the accounts' names by account number, in a list of their own.
+// accountNames returns a new list of the account names, indexed by account number.
 func (b *Boot) accountNames() (names []string) {
 	for _, a := range b.Accounts {
 		names = append(names, a.Name)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,8 +1,9 @@
-// Package config reads a sender's configuration: the environment, the configuration file and the settings object in it.
+// Package config reads a sender's configuration from the environment, the configuration file and the settings object in
+// that file.
 //
-// It owns the checks of both: a sender can run with whatever passes them. A value that is present but wrong is never
-// replaced by a guess; it is an error that names the field. settings.go converts the settings object, which the simulator
-// hands over too, for the deciding module choice.
+// It checks the file and the settings object: a sender can run with any configuration that passes the checks. A value that
+// is present but invalid is never replaced by a default; it is an error that names the field. settings.go converts the
+// settings object for package choice, which makes the decisions. The simulator uses the same settings object.
 package config
 
 import (
@@ -24,32 +25,32 @@
 // Config is the configuration of one sender.
 type Config struct {
 	Name             string
-	Listen           string
-	Discovery        string
-	StateDir         string // the folder that outlives the process
-	Seed             int64
-	Limits           Limits
-	Known            directory.List
-	ClassNumbers     map[string]choice.ClassNo // by name
-	Accounts         map[string]choice.AccountNo
-	Zones            map[string]choice.ZoneNo
-	Kinds            map[string]choice.KindNo
-	LoadReportFields []string // fields of load reports
-	Settings         choice.Settings
-
-	PeerListen string   // where gossip of other senders arrives; empty for nowhere
+	Listen           string                      // host:port at which clients connect
+	Discovery        string                      // host:port of service discovery
+	StateDir         string                      // folder whose files outlive the process
+	Seed             int64                       // of the random number generator; 0 if the file has none
+	Limits           Limits                      // of the process
+	Known            directory.List              // the endpoint list to start with
+	ClassNumbers     map[string]choice.ClassNo   // by name
+	Accounts         map[string]choice.AccountNo // by name, without unnamed accounts
+	Zones            map[string]choice.ZoneNo    // by name
+	Kinds            map[string]choice.KindNo    // by name of the machine type
+	LoadReportFields []string                    // names of the fields of load reports
+	Settings         choice.Settings             // converted from the settings object in force
+
+	PeerListen string   // UDP address that receives gossip from other senders; empty if there is none
 	Peers      []string // the address of each sender of the tier, by number
-	PeersAll   string   // the address that reaches all of them; empty for none
+	PeersAll   string   // an address that reaches all of them; empty if there is none
 
-	Version uint64 // of the settings that all senders of a cluster share; 0 for the file's own
+	Version uint64 // of the settings that all senders of a cluster share; 0 for the file's own settings
 
 	gossipAllowed   bool            // the settings allow gossip between senders
-	gossipWanted    bool            // TurnOnNotes has asked for it
+	gossipRequested bool            // EnableGossip has been called and succeeded
 	ownSettings     json.RawMessage // the settings object of the file
-	settingsInForce json.RawMessage // the settings object that Settings are made from
+	settingsInForce json.RawMessage // the settings object from which Settings was converted
 }
 
-// Limits bound the program's use of memory, sockets and disk.
+// Limits bounds the memory, sockets and disk space that the program uses.
 type Limits struct {
 	MemoryMB int64   `json:"memory_mb"`
 	Sockets  int     `json:"sockets"`
@@ -57,16 +58,16 @@
 }
 
 const (
-	// maxMB is far above any machine, and in bytes far below the highest number.
+	// maxMB is far above the size of any machine, and in bytes it is far below the highest int64.
 	maxMB       = 1 << 40
 	minMemoryMB = 16
 	minSockets  = 64
 )
 
-// defaultLimits hold where the file has no limits.
+// defaultLimits holds the limits that the configuration file leaves out.
 var defaultLimits = Limits{MemoryMB: 192, Sockets: 1024, DiskMB: 8}
 
-// configFile is the configuration file as written.
+// configFile is the configuration file as it is decoded, before any check.
 type configFile struct {
 	Name      string          `json:"name"`
 	Listen    string          `json:"listen"`
@@ -82,8 +83,8 @@
 	PeersAll   string   `json:"peers_all"`
 }
 
-// Reload reads the file again for a running sender. The environment still overrides it, except for EDGE_DISCOVERY: that
-// is the address at the start, and the file may have been replaced to give another one.
+// Reload reads the configuration again for a running sender. The environment overrides the file as in Load, except that
+// EDGE_DISCOVERY is ignored: it is the address at the start, and the file may have been replaced to change that address.
 func Reload(getenv func(string) string) (*Config, error) {
 	return Load(func(name string) string {
 		if name == "EDGE_DISCOVERY" {
@@ -93,9 +94,9 @@
 	})
 }
 
-// RestartOnlyChanges names the fields in which a configuration that was read again differs and which a running sender cannot change.
-// The seed and the known list matter only at a start; once shared settings are in force, the file's settings matter to
-// neither.
+// RestartOnlyChanges returns the names of the fields in which fresh differs from c and which a running sender cannot change.
+// It leaves out the seed and the known list, which are used only at the start. Once shared settings are in force it also
+// leaves out the file's settings, because neither a running sender nor a start uses them.
 func (c *Config) RestartOnlyChanges(fresh *Config) (fields []string) {
 	for _, f := range []struct {
 		name     string
@@ -123,26 +124,27 @@
 	return fields
 }
 
-// EnableGossip turns on gossip between senders if the settings allow it and the file says where it goes. Otherwise it
-// returns what is missing and changes nothing.
+// EnableGossip turns on gossip between senders. If the settings forbid it, or the file has no peer_listen or no peers, it
+// returns an error that names the field and changes nothing.
 func (c *Config) EnableGossip() error {
 	switch {
 	case !c.gossipAllowed:
-		return &fielderror.Error{Field: settingsField, Err: settingError("bounds.peers", "notes are not allowed")}
+		return &fielderror.Error{Field: settingsField, Err: settingError("bounds.peers", "gossip between senders is not allowed")}
 	case c.PeerListen == "":
 		return fielderror.New("peer_listen", "missing")
 	case len(c.Peers) == 0:
 		return fielderror.New("peers", "missing")
 	}
-	c.gossipWanted, c.Settings.Notes = true, true
+	c.gossipRequested, c.Settings.Notes = true, true
 	return nil
 }
 
-// Load reads the file that EDGE_CONFIG names; the other EDGE_ variables override it.
+// Load reads the configuration from the file that EDGE_CONFIG names. The other EDGE_ variables override fields of the file.
+// The error names the file and, for an invalid value, the field.
 func Load(getenv func(string) string) (*Config, error) {
 	path := getenv("EDGE_CONFIG")
 	if path == "" {
-		return nil, errors.New("EDGE_CONFIG: missing; it names the configuration file")
+		return nil, errors.New("EDGE_CONFIG is not set: it must name the configuration file")
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -152,22 +154,22 @@
 	if err := json.Unmarshal(text, &f); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, jsonError(err, ""))
 	}
-	c, err := f.config(getenv)
+	c, err := f.toConfig(getenv)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	return c, nil
 }
 
-// config checks the file and makes a configuration of it and the environment.
-func (f *configFile) config(getenv func(string) string) (*Config, error) {
+// toConfig checks the file and returns the configuration that follows from it and the environment.
+func (f *configFile) toConfig(getenv func(string) string) (*Config, error) {
 	c := &Config{Limits: f.Limits, Known: f.Known, PeerListen: f.PeerListen, Peers: f.Peers, PeersAll: f.PeersAll, ownSettings: f.Settings}
 	if err := f.setNamesAndAddresses(c, getenv); err != nil {
 		return nil, err
 	}
 	seed, err := strconv.ParseUint(f.Seed, 16, 64)
 	if err != nil && f.Seed != "" {
-		return nil, fielderror.New("seed", "%q is not a hexadecimal number of 64 bits", f.Seed)
+		return nil, fielderror.New("seed", "%q is not a 64-bit hexadecimal number", f.Seed)
 	}
 	c.Seed = int64(seed)
 	if err := f.Limits.check(); err != nil {
@@ -177,13 +179,14 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := c.useSettings(settings, f.Settings); err != nil {
+	if err := c.applySettings(settings, f.Settings); err != nil {
 		return nil, err
 	}
 	return c, nil
 }
 
-// setNamesAndAddresses sets the fields that the environment may override and that must not be empty.
+// setNamesAndAddresses sets the fields of c that the environment may override. None of them may be empty, and addresses must
+// have a port.
 func (f *configFile) setNamesAndAddresses(c *Config, getenv func(string) string) error {
 	for _, v := range []struct {
 		to                        *string
@@ -209,17 +212,17 @@
 	return nil
 }
 
-// check rejects limits that are too high to count with or too low to run with.
+// check rejects limits so high that sizes in bytes would overflow, and limits too low for a sender to run.
 func (l *Limits) check() error {
 	switch {
 	case l.MemoryMB > maxMB:
-		return fielderror.New("limits.memory_mb", "%d is above %d", l.MemoryMB, int64(maxMB))
+		return fielderror.New("limits.memory_mb", "%d is above the maximum of %d", l.MemoryMB, int64(maxMB))
 	case l.DiskMB > maxMB:
-		return fielderror.New("limits.disk_mb", "%g is above %d", l.DiskMB, int64(maxMB))
+		return fielderror.New("limits.disk_mb", "%g is above the maximum of %d", l.DiskMB, int64(maxMB))
 	case l.MemoryMB < minMemoryMB:
-		return fielderror.New("limits.memory_mb", "%d is under %d", l.MemoryMB, minMemoryMB)
+		return fielderror.New("limits.memory_mb", "%d is below the minimum of %d", l.MemoryMB, minMemoryMB)
 	case l.Sockets < minSockets:
-		return fielderror.New("limits.sockets", "%d is under %d", l.Sockets, minSockets)
+		return fielderror.New("limits.sockets", "%d is below the minimum of %d", l.Sockets, minSockets)
 	case l.DiskMB <= 0:
 		return fielderror.New("limits.disk_mb", "%g is not above 0", l.DiskMB)
 	}
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -1,6 +1,6 @@
 package config
 
-// This file defines the errors that name a value of the settings object. What they print is part of the commands' output.
+// This file defines the errors that name a value of the settings object. Commands print their texts.
 
 import (
 	"encoding/json"
@@ -11,26 +11,26 @@
 	"flaxcove/internal/fielderror"
 )
 
-// SettingError says which value of the settings object is wrong, by its path in the object, as in classes[0].deadline. In an
-// error of the configuration file it is the reason of the field settings.
+// SettingError reports an invalid value in the settings object. An error about the configuration file wraps it in a
+// *fielderror.Error whose field is settings.
 type SettingError struct {
-	Path   string
-	Reason string
+	Path   string // of the value in the settings object, as in classes[0].deadline
+	Reason string // why the value is invalid
 }
 
 func (e *SettingError) Error() string { return e.Path + ": " + e.Reason }
 
-// settingError is a SettingError with a formatted reason.
+// settingError returns a *SettingError with a formatted reason.
 func settingError(path, format string, args ...any) error {
 	return &SettingError{Path: path, Reason: fmt.Sprintf(format, args...)}
 }
 
-// jsonError turns an error of the JSON decoder about a value's type into a *fielderror.Error; the prefix is the path of the object
-// that was decoded. Other errors are returned as they are.
+// jsonError converts the JSON decoder's error about a value of the wrong type into a *fielderror.Error. The prefix is the
+// path of the decoded object, with a dot at its end, or empty. Other errors are returned unchanged.
 func jsonError(err error, prefix string) error {
 	var mismatch *json.UnmarshalTypeError
 	if !errors.As(err, &mismatch) {
 		return err
 	}
-	return fielderror.New(strings.TrimSuffix(prefix+mismatch.Field, "."), "%s does not fit", mismatch.Value)
+	return fielderror.New(strings.TrimSuffix(prefix+mismatch.Field, "."), "JSON %s does not fit the field's type", mismatch.Value)
 }
--- a/internal/config/reload_test.go
+++ b/internal/config/reload_test.go
@@ -9,15 +9,15 @@
 	"testing"
 )
 
-// A configuration that is read again takes discovery from the file, says which fields wait for the next start, and changes
-// nothing where it is wrong.
+// TestReloadOfExtremes checks that a reload takes the address of discovery from the file, returns an error for an invalid
+// file, and that RestartOnlyChanges names the changed fields that need a restart.
 func TestReloadOfExtremes(t *testing.T) {
 	t.Parallel()
 	path := filepath.Join(t.TempDir(), "config.json")
 	env := func(name string) string {
 		return map[string]string{"EDGE_CONFIG": path, "EDGE_DISCOVERY": "127.0.0.1:9", "EDGE_NAME": "other"}[name]
 	}
-	write := func(o object) {
+	write := func(o jsonObject) {
 		text, err := json.Marshal(o)
 		if err == nil {
 			err = os.WriteFile(path, text, 0o600)
@@ -36,7 +36,7 @@
 	set(o, "discovery", "127.0.0.1:3")
 	write(o)
 	if c, err := Reload(env); err == nil || c != nil || !strings.Contains(err.Error(), "classes[0].worth") {
-		t.Errorf("what is wrong brings %v, %v", c, err)
+		t.Errorf("reload of an invalid file returned %v, %v", c, err)
 	}
 	o = completeConfig()
 	set(o, "settings.bounds.maxOpen", 7)
--- a/internal/config/running.go
+++ b/internal/config/running.go
@@ -1,8 +1,8 @@
 package config
 
-// This file decides which settings object is in force: the configuration file's own or a shared one, and what a running
-// sender accepts in its place. An object that would fail at a start is rejected, and so is one that gives a name another
-// number, because messages, endpoints and quotas are stored by number.
+// This file puts a settings object in force, either the configuration file's own or one that all senders share, and checks
+// whether another one may replace it while senders run. A replacement that would fail at the start is rejected, and so is
+// one that changes the number of a name, because messages, endpoints and quotas are stored by number.
 
 import (
 	"encoding/json"
@@ -15,7 +15,7 @@
 // settingsField is the field of the configuration file that holds the settings object.
 const settingsField = "settings"
 
-// readSettings reads a settings object and makes all checks of it that Load makes.
+// readSettings decodes a settings object and makes the same checks of it as Load.
 func readSettings(raw json.RawMessage) (*Boot, error) {
 	var b *Boot
 	if len(raw) > 0 {
@@ -38,14 +38,14 @@
 	return b, nil
 }
 
-// useSettings puts a settings object in force, as read and as written.
-func (c *Config) useSettings(b *Boot, raw json.RawMessage) (err error) {
+// applySettings puts the settings object b in force; raw is the JSON text that b was decoded from.
+func (c *Config) applySettings(b *Boot, raw json.RawMessage) (err error) {
 	if c.Settings, err = b.Settings(true); err != nil {
 		return &fielderror.Error{Field: settingsField, Err: err}
 	}
-	// Gossip that the settings allow is off until TurnOnNotes asks for it.
+	// Gossip is off until EnableGossip requests it, even if the settings allow it.
 	c.gossipAllowed = c.Settings.Notes
-	c.Settings.Notes = c.gossipAllowed && c.gossipWanted
+	c.Settings.Notes = c.gossipAllowed && c.gossipRequested
 	c.ClassNumbers, c.Accounts = map[string]choice.ClassNo{}, map[string]choice.AccountNo{}
 	for i, class := range b.Classes {
 		c.ClassNumbers[class.Name] = choice.ClassNo(i)
@@ -66,14 +66,15 @@
 	return nil
 }
 
-// OwnSettings is the settings object of the file, as it stands there.
+// OwnSettings returns the settings object of the file, byte for byte.
 func (c *Config) OwnSettings() json.RawMessage { return c.ownSettings }
 
-// SettingsInForce is the settings object that Settings are made from: the file's own, or the one given to WithSettings.
+// SettingsInForce returns the settings object that c.Settings was converted from: the file's own, or the one given to
+// WithSettings.
 func (c *Config) SettingsInForce() json.RawMessage { return c.settingsInForce }
 
-// WithSettings is the same configuration with a settings object that all senders share in place of the file's own. The
-// values that belong to one process, slotNo and zone, stay as they are; the object's discovery is not read.
+// WithSettings returns a copy of c with raw, a settings object that all senders share, in force in place of the file's own.
+// The copy keeps slotNo and zone of c, which belong to one process, and ignores the discovery field of raw.
 func (c *Config) WithSettings(raw json.RawMessage) (*Config, error) {
 	b, err := readSettings(raw)
 	if err != nil {
@@ -81,14 +82,14 @@
 	}
 	b.SlotNo, b.Zone = int(c.Settings.Number), int(c.Settings.Zone)
 	with := *c
-	if err := with.useSettings(b, raw); err != nil {
+	if err := with.applySettings(b, raw); err != nil {
 		return nil, err
 	}
 	return &with, nil
 }
 
-// CheckSettings returns why the proposed settings cannot replace those in force while senders run, nil where they can. An
-// empty inForce stands for none yet.
+// CheckSettings checks whether the proposed settings object can replace the one in force while senders run. The error says
+// why it cannot. If inForce is empty, CheckSettings makes only the checks of a start.
 func CheckSettings(inForce, proposed json.RawMessage) error {
 	next, err := readSettings(proposed)
 	if err != nil || len(inForce) == 0 {
@@ -96,7 +97,7 @@
 	}
 	now, err := readSettings(inForce)
 	if err != nil {
-		return fmt.Errorf("in force: %w", err)
+		return fmt.Errorf("settings in force: %w", err)
 	}
 	if err := now.checkReplacement(next); err != nil {
 		return &fielderror.Error{Field: settingsField, Err: err}
@@ -104,7 +105,7 @@
 	return nil
 }
 
-// checkReplacement returns why a running sender cannot use next in place of b.
+// checkReplacement checks whether a running sender can use next in place of b. The error says why it cannot.
 func (b *Boot) checkReplacement(next *Boot) error {
 	for _, list := range []struct {
 		now  nameList
@@ -125,21 +126,21 @@
 	return b.checkKindReplacement(next)
 }
 
-// checkNumbersUnchanged rejects a new list in which a name is missing or has moved; further names may follow at the end.
+// checkNumbersUnchanged checks that every name has the same number in the list next. Names may be added only at the end.
 func (l *nameList) checkNumbersUnchanged(next []string) error {
 	for i, name := range l.names {
 		if i >= len(next) {
-			return settingError(l.path(i), "%q is gone; a name can't be taken out while senders run", name)
+			return settingError(l.path(i), "%q is missing: names cannot be removed while senders run", name)
 		}
 		if next[i] != name {
-			return settingError(l.path(i), "%q stands where %q is in force; new names go to the end", next[i], name)
+			return settingError(l.path(i), "%q replaces %q: new names must be added at the end", next[i], name)
 		}
 	}
 	return nil
 }
 
-// checkClassReplacement rejects changes of a class that messages already accepted depend on: whether a message may run
-// twice and whether its order is kept is recorded with it when it is accepted.
+// checkClassReplacement rejects a change of a class's idempotency or byArrival field. Whether a message may run twice and
+// whether its order is kept are recorded with the message when it is accepted.
 func (b *Boot) checkClassReplacement(next *Boot) error {
 	for i := range b.Classes {
 		now, new := &b.Classes[i], &next.Classes[i]
@@ -148,23 +149,23 @@
 				"%q cannot become %q while senders run; add a class", now.Idempotency, new.Idempotency)
 		}
 		if now.ByArrival != new.ByArrival {
-			return settingError(fmt.Sprintf("classes[%d].byArrival", i), "it cannot change while senders run; add a class")
+			return settingError(fmt.Sprintf("classes[%d].byArrival", i), "the value cannot change while senders run; add a class")
 		}
 	}
 	return nil
 }
 
-// checkKindReplacement rejects changes of a kind that known endpoints depend on: each got its route, with all that has been
-// learned about it, when it was listed.
+// checkKindReplacement rejects a removed kind and a change of a kind's separateRoutes. An endpoint gets its route, with
+// everything that has been learned about it, when it is first listed.
 func (b *Boot) checkKindReplacement(next *Boot) error {
 	now, new := b.kinds(), next.kinds()
 	if len(new) < len(now) {
 		return settingError("machineTypes",
-			"%d kinds, and %d are in force (machineTypes, extra.bundleMax or extra.separateRoutes, the longest)", len(new), len(now))
+			"%d kinds, fewer than the %d in force (the longest of machineTypes, extra.bundleMax and extra.separateRoutes counts)", len(new), len(now))
 	}
 	for i := range now {
 		if now[i].SeparateRoutes != new[i].SeparateRoutes {
-			return settingError(fmt.Sprintf("extra.separateRoutes[%d]", i), "it cannot change while senders run; add a machine type")
+			return settingError(fmt.Sprintf("extra.separateRoutes[%d]", i), "the value cannot change while senders run; add a machine type")
 		}
 	}
 	return nil
--- a/internal/config/running_test.go
+++ b/internal/config/running_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// settingsOf is the settings object of a configuration, with changes by path.
-func settingsOf(t *testing.T, change func(o object)) json.RawMessage {
+// settingsOf returns the settings object of completeConfig after a change.
+func settingsOf(t *testing.T, change func(o jsonObject)) json.RawMessage {
 	t.Helper()
 	o := completeConfig()
 	change(o)
@@ -20,19 +20,20 @@
 	return text
 }
 
-// Each field of the settings object has its row: a change that a running sender accepts, or the field that the rejection names.
+// runningRows has at least one row for each field of the settings object: a change that a running sender accepts, or one that
+// it rejects.
 var runningRows = []struct {
 	field    string // of Boot
 	path     string // below settings
 	value    any
-	rejected string // field named by the rejection; "" if accepted
+	rejected string // the path that the error names; "" if the change is accepted
 }{
 	{"Accounts", "accounts.0.quotaRps", 7.5, ""},
-	{"Accounts", "accounts", []any{object{"quotaRps": 5}, object{"name": "new", "quotaRps": 2}}, ""},
+	{"Accounts", "accounts", []any{jsonObject{"quotaRps": 5}, jsonObject{"name": "new", "quotaRps": 2}}, ""},
 	{"Accounts", "accounts.0.name", "renamed", "accounts[0].name"},
 	{"Accounts", "accounts", []any{}, "accounts[0].name"},
 	{"Senders", "balancers", 40, ""},
-	{"Bounds", "bounds", object{}, ""},
+	{"Bounds", "bounds", jsonObject{}, ""},
 	{"Bounds", "bounds.maxOpen", 5, ""},
 	{"Bounds", "bounds.maxOpen", -5, "bounds.maxOpen"},
 	{"Classes", "classes.0.name", "renamed", "classes[0].name"},
@@ -45,8 +46,8 @@
 	{"Classes", "classes.0.lateWorth", 0.9, ""},
 	{"Classes", "classes.0.repeatWindow", 3e9, ""},
 	{"Classes", "classes.0.worth", 12, ""},
-	{"Classes", "classes", []any{object{"name": "note", "idempotency": "pure", "deadline": 6e9}}, "classes[1].name"},
-	{"Deductions", "deductions", object{"handshake": 0.1}, ""},
+	{"Classes", "classes", []any{jsonObject{"name": "note", "idempotency": "pure", "deadline": 6e9}}, "classes[1].name"},
+	{"Deductions", "deductions", jsonObject{"handshake": 0.1}, ""},
 	{"Discovery", "discovery", "127.0.0.1:77", ""},
 	{"Extra", "extra.bundleMax", []any{4}, ""},
 	{"Extra", "extra.callsOut", 40, ""},
@@ -62,30 +63,31 @@
 	{"MachineTypes", "machineTypes", []any{}, "machineTypes[0]"},
 	{"OverQuotaPriorityWeight", "overShareWorth", 0.9, ""},
 	{"TickInterval", "quantum", 1e7, ""},
-	{"Rules", "rules", object{"cold": 9e9, "coldFrom": 0.1, "fall": 5e9, "fallMultiple": 1.5, "keyRest": 1e9}, ""},
+	{"Rules", "rules", jsonObject{"cold": 9e9, "coldFrom": 0.1, "fall": 5e9, "fallMultiple": 1.5, "keyRest": 1e9}, ""},
 	{"Rules", "rules.cold", -1, "rules.cold"},
 	{"SlotNo", "slotNo", 9, ""},
-	{"Stats", "stats", object{"fields": []any{"left"}}, ""},
+	{"Stats", "stats", jsonObject{"fields": []any{"left"}}, ""},
 	{"Weights", "weights", "rough", ""},
 	{"Weights", "weights", "heavy", "weights"},
 	{"Zone", "zone", 1, ""},
 	{"Zones", "zones", []any{"b", "a"}, "zones[0]"},
-	{"Zones", "zones", []any{"a"}, "extra.carriage"}, // as at a start; names are compared later
+	{"Zones", "zones", []any{"a"}, "extra.carriage"}, // the checks of a start come before the comparison of names
 }
 
+// TestCheckSettings checks each row of runningRows, and that each field of Boot has a row.
 func TestCheckSettings(t *testing.T) {
 	t.Parallel()
-	inForce := settingsOf(t, func(object) {})
+	inForce := settingsOf(t, func(jsonObject) {})
 	fields := map[string]bool{}
 	for _, row := range runningRows {
 		fields[row.field] = true
-		proposed := settingsOf(t, func(o object) { set(o, "settings."+row.path, row.value) })
+		proposed := settingsOf(t, func(o jsonObject) { set(o, "settings."+row.path, row.value) })
 		err := CheckSettings(inForce, proposed)
 		switch {
 		case row.rejected == "" && err != nil:
 			t.Errorf("%s %v: %v", row.path, row.value, err)
 		case row.rejected != "" && (err == nil || !strings.Contains(err.Error(), "field settings: "+row.rejected+":") || strings.Contains(err.Error(), "\n")):
-			t.Errorf("%s %v: the field %s is to be named: %v", row.path, row.value, row.rejected, err)
+			t.Errorf("%s %v: the error does not name the field %s: %v", row.path, row.value, row.rejected, err)
 		}
 	}
 	for i := range reflect.TypeFor[Boot]().NumField() {
@@ -95,29 +97,31 @@
 	}
 }
 
-// What would fail at a start is rejected with the field, and so is what is no object. Unknown fields are ignored.
+// TestCheckSettingsOfMalformedObject checks that settings that would fail at a start, and JSON that is not an object, are
+// rejected with the field named. Unknown fields are ignored.
 func TestCheckSettingsOfMalformedObject(t *testing.T) {
 	t.Parallel()
-	inForce := settingsOf(t, func(object) {})
-	for text, field := range map[string]string{"": "field settings: missing", "null": "field settings: missing", "5": "field settings: number does not fit",
-		`{"classes":5}`: "field settings.classes: number does not fit", "{": "unexpected end", `{}`: "field settings: classes: missing"} {
+	inForce := settingsOf(t, func(jsonObject) {})
+	for text, field := range map[string]string{"": "field settings: missing", "null": "field settings: missing", "5": "field settings: json number does not fit",
+		`{"classes":5}`: "field settings.classes: json number does not fit", "{": "unexpected end", `{}`: "field settings: classes: missing"} {
 		if err := CheckSettings(inForce, json.RawMessage(text)); err == nil || !strings.Contains(strings.ToLower(err.Error()), field) {
 			t.Errorf("%q: %v", text, err)
 		}
 	}
-	novel := settingsOf(t, func(o object) { set(o, "settings.novel", object{"deep": 1}) })
+	novel := settingsOf(t, func(o jsonObject) { set(o, "settings.novel", jsonObject{"deep": 1}) })
 	if err := CheckSettings(inForce, novel); err != nil {
 		t.Error(err)
 	}
 	if err := CheckSettings(nil, inForce); err != nil {
 		t.Error(err)
 	}
-	if err := CheckSettings(json.RawMessage("{}"), inForce); err == nil || !strings.Contains(err.Error(), "in force: ") {
+	if err := CheckSettings(json.RawMessage("{}"), inForce); err == nil || !strings.Contains(err.Error(), "settings in force: ") {
 		t.Error(err)
 	}
 }
 
-// A process keeps the values that belong to it; all else is as if its file had contained the shared settings.
+// TestWithSettings checks that WithSettings keeps the values that belong to one process. Everything else is as if the file had
+// contained the shared settings.
 func TestWithSettings(t *testing.T) {
 	t.Parallel()
 	o := completeConfig()
@@ -128,18 +132,18 @@
 		t.Fatal(err)
 	}
 	before := fmt.Sprintf("%+v", own)
-	shared := settingsOf(t, func(o object) {
+	shared := settingsOf(t, func(o jsonObject) {
 		set(o, "settings.slotNo", 9)
 		set(o, "settings.zone", 0)
 		set(o, "settings.classes.0.worth", 3)
-		set(o, "settings.accounts", []any{object{"quotaRps": 5}, object{"name": "new", "quotaRps": 2}})
+		set(o, "settings.accounts", []any{jsonObject{"quotaRps": 5}, jsonObject{"name": "new", "quotaRps": 2}})
 	})
 	with, err := own.WithSettings(shared)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if fmt.Sprintf("%+v", own) != before {
-		t.Error("the configuration itself has changed")
+		t.Error("WithSettings changed its receiver")
 	}
 	s := with.Settings
 	if s.Number != 4 || s.Zone != 1 || s.Classes[0].Value != 3 || len(s.Quotas) != 2 || with.Accounts["new"] != 1 {
@@ -150,22 +154,22 @@
 	}
 	if string(with.SettingsInForce()) != string(shared) || string(own.SettingsInForce()) != string(own.OwnSettings()) ||
 		string(with.OwnSettings()) != string(own.OwnSettings()) {
-		t.Error("the settings objects returned")
+		t.Error("OwnSettings or SettingsInForce returned a wrong settings object")
 	}
 	back, err := with.WithSettings(own.OwnSettings())
 	if err != nil || !reflect.DeepEqual(back.Settings, own.Settings) || !reflect.DeepEqual(back.Accounts, own.Accounts) {
-		t.Errorf("back to its own: %v %+v", err, back)
+		t.Errorf("WithSettings with the file's own settings: %v %+v", err, back)
 	}
 	if c, err := own.WithSettings(json.RawMessage(`{"classes":[]}`)); err == nil || c != nil {
-		t.Error("what fails at a start is accepted")
+		t.Error("settings without classes, which fail at a start, are accepted")
 	}
 }
 
-// Gossip continues with new settings where it is wanted, and stops where they forbid it.
+// TestWithSettingsNotes checks that gossip, once enabled, continues with new settings unless they forbid it.
 func TestWithSettingsNotes(t *testing.T) {
 	t.Parallel()
 	peers := func(allowed bool) json.RawMessage {
-		return settingsOf(t, func(o object) { set(o, "settings.bounds.peers", allowed) })
+		return settingsOf(t, func(o jsonObject) { set(o, "settings.bounds.peers", allowed) })
 	}
 	o := completeConfig()
 	set(o, "peer_listen", "127.0.0.1:3")
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -1,8 +1,8 @@
 package config
 
-// This file defines the settings object and converts it into choice.Settings: durations are rounded to choice.Time, and
-// words are looked up. A value that cannot be converted is an error that names its field; checks.go holds the checks of
-// numbers and names.
+// This file defines the settings object and converts it into choice.Settings. It rounds durations to choice.Time and
+// converts words into constants of package choice. A value that cannot be converted is an error that names its field.
+// checks.go checks numbers and names.
 
 import (
 	"fmt"
@@ -11,10 +11,10 @@
 	"flaxcove/choice"
 )
 
-// Boot is the settings object, the same for the simulator and for a sender on sockets. It lists the keys that are read;
-// other keys are ignored. The tags keep the published keys where a field has a standard name. Durations are in
-// nanoseconds. Where a value has the wrong type, the JSON decoder's error, which drill prints, names Boot and the Go type of
-// the field; it lists the fields of a nested struct.
+// Boot is the settings object. The simulator and a sender on sockets read the same one. Boot has a field for each key that
+// is read; other keys are ignored. Where the name of a field differs from its published key, a tag holds the key. Durations
+// are in nanoseconds. For a value of the wrong type the JSON decoder returns an error, which drill prints, with the name Boot
+// and the Go type of the field; the type of a nested struct lists its fields.
 type Boot struct {
 	Accounts []struct {
 		Name     string
@@ -70,24 +70,25 @@
 	Zones   []string
 }
 
-// idempotencies are the words of a class's idempotency field.
-var idempotencies = map[string]choice.Repeat{
+// repeatByWord maps the words of a class's idempotency field to constants of package choice.
+var repeatByWord = map[string]choice.Repeat{
 	"pure": choice.Idempotent, "token": choice.Keyed, "side_effect": choice.NonIdempotent,
 }
 
-// ratings are the words of the weights field.
-var ratings = map[string]choice.Rating{
+// ratingByWord maps the words of the weights field to constants of package choice.
+var ratingByWord = map[string]choice.Rating{
 	"": choice.RatingNone, "off": choice.RatingNone,
 	"rough": choice.RatingRough, "nominal": choice.RatingExact, "live": choice.RatingRough,
 }
 
-// Settings converts the settings object for the deciding module. connectionLimitAnswered says how an endpoint shows that
-// it takes no more connections: on sockets it answers so, on the simulator's wire the connection fails.
+// Settings converts the settings object for package choice. connectionLimitAnswered says how an endpoint rejects a
+// connection above its limit: true if it sends an answer that says so, as on sockets, and false if the connection fails, as
+// in the simulator. An error is a *SettingError.
 func (b *Boot) Settings(connectionLimitAnswered bool) (choice.Settings, error) {
 	s := b.plainSettings(connectionLimitAnswered)
 	var known bool
 	var err error
-	if s.Rating, known = ratings[b.Weights]; !known {
+	if s.Rating, known = ratingByWord[b.Weights]; !known {
 		return s, settingError("weights", "unknown word %q", b.Weights)
 	}
 	if err = b.checkNumbers(); err != nil {
@@ -105,7 +106,7 @@
 	return s, nil
 }
 
-// plainSettings are the settings that need no more than a conversion of their type.
+// plainSettings returns the settings for which converting the type is enough.
 func (b *Boot) plainSettings(connectionLimitAnswered bool) choice.Settings {
 	return choice.Settings{
 		Senders:              max(1, b.Senders),
@@ -119,24 +120,24 @@
 		Probing:              b.Bounds.Probing,
 		Notes:                b.Bounds.Peers,
 		Cancelling:           b.Bounds.Cancel,
-		DialTimeout:          atLeast(b.Bounds.DialTimeout),
-		ConnIdle:             atMost(b.Bounds.ConnIdle),
+		DialTimeout:          clampUp(b.Bounds.DialTimeout),
+		ConnIdle:             clampDown(b.Bounds.ConnIdle),
 		AnswersWhenTableFull: connectionLimitAnswered,
-		TurnInterval:         atLeast(b.TickInterval),
+		TurnInterval:         clampUp(b.TickInterval),
 		OverloadMultiple:     b.Rules.FallMultiple,
-		OverloadWindow:       atLeast(b.Rules.Fall),
+		OverloadWindow:       clampUp(b.Rules.Fall),
 		SlowStartFrom:        b.Rules.SlowStartFrom,
-		SlowStart:            atLeast(b.Rules.SlowStart),
-		KeyPause:             atLeast(b.Rules.KeyRest),
+		SlowStart:            clampUp(b.Rules.SlowStart),
+		KeyPause:             clampUp(b.Rules.KeyRest),
 		RejectedPrice:        b.Extra.RejectedPrice,
 		HandshakePrice:       b.Deductions.Handshake,
 	}
 }
 
-// classes converts the classes in their order; on an error, those before the wrong one come along.
+// classes converts the classes in order. With an error it also returns the classes before the invalid one.
 func (b *Boot) classes() (all []choice.Class, err error) {
 	for i, c := range b.Classes {
-		repeat, known := idempotencies[c.Idempotency]
+		repeat, known := repeatByWord[c.Idempotency]
 		if !known {
 			return all, settingError(fmt.Sprintf("classes[%d].idempotency", i), "unknown word %q", c.Idempotency)
 		}
@@ -145,14 +146,14 @@
 		}
 		objective := c.LatencyObjective
 		if objective == 0 {
-			objective = c.Deadline // none is set: with 0 each call would be given up within a millisecond
+			objective = c.Deadline // the file sets none; with 0 each call would be abandoned within a millisecond
 		}
 		all = append(all, choice.Class{
 			Repeat:           repeat,
 			ZoneGroup:        c.Group == "zone" || c.Group == "cell",
-			RepeatWindow:     atMost(c.RepeatWindow),
-			LatencyObjective: atMost(objective),
-			Deadline:         atMost(c.Deadline),
+			RepeatWindow:     clampDown(c.RepeatWindow),
+			LatencyObjective: clampDown(objective),
+			Deadline:         clampDown(c.Deadline),
 			Value:            c.PriorityWeight,
 			LateValue:        c.LatePriorityWeight,
 			Ordered:          c.ByArrival,
@@ -164,7 +165,8 @@
 	return all, nil
 }
 
-// routeFees are the fees for routes into each zone, one a zone or none at all, each a fraction from 0 to 1.
+// routeFees returns the fees for routes into each zone, by zone number. The list must be empty or have one fee for each
+// zone; each fee is a fraction from 0 to 1.
 func (b *Boot) routeFees() ([]float64, error) {
 	for i, fee := range b.Extra.RouteFees {
 		if !(fee >= 0 && fee <= 1) {
@@ -178,7 +180,7 @@
 	return fees, nil
 }
 
-// quotas are the accounts' quotas in requests a second, by account number.
+// quotas returns the accounts' quotas in requests per second, by account number.
 func (b *Boot) quotas() (all []float64) {
 	for _, a := range b.Accounts {
 		all = append(all, a.QuotaRps)
@@ -186,7 +188,8 @@
 	return all
 }
 
-// setBounds reads 0 as no bound, and takes the longest Retry-After only where Retry-After is honoured.
+// setBounds replaces a bound of 0 by the highest number, since 0 stands for no bound. It sets MaxRetryAfter only if the
+// settings honour Retry-After.
 func (b *Boot) setBounds(s *choice.Settings) {
 	if s.MaxOpen == 0 {
 		s.MaxOpen = math.MaxInt
@@ -195,11 +198,12 @@
 		s.MaxAttempts = math.MaxInt
 	}
 	if b.Bounds.RetryAfter {
-		s.MaxRetryAfter = atMost(b.Bounds.MaxRetryAfter)
+		s.MaxRetryAfter = clampDown(b.Bounds.MaxRetryAfter)
 	}
 }
 
-// kinds are as many as the longest of the three lists that describe them, and at least one.
+// kinds returns the kinds by kind number. There are as many as the longest of the lists machineTypes, extra.bundleMax and
+// extra.separateRoutes has entries, and at least one.
 func (b *Boot) kinds() (all []choice.Kind) {
 	for i := range max(1, len(b.MachineTypes), len(b.Extra.BulkMax), len(b.Extra.SeparateRoutes)) {
 		k := choice.Kind{BulkMax: 1}
--- a/internal/config/storeddata_test.go
+++ b/internal/config/storeddata_test.go
@@ -12,8 +12,8 @@
 	"flaxcove/internal/directory"
 )
 
-// storedConfig is a file with every field that commit 485f0e4 read. It is never written anew: a field that is not read any
-// more would be passed over without a word.
+// storedConfig is a configuration file with every field that commit 485f0e4 read. It must never be regenerated: then a field
+// that the program no longer reads would go unnoticed.
 const storedConfig = "testdata/stored/config.json"
 
 func loadStored(t *testing.T) *config.Config {
@@ -30,7 +30,7 @@
 	return c
 }
 
-// storedSettings is what the settings object of the file says.
+// storedSettings returns the settings that follow from the settings object of the file.
 func storedSettings() choice.Settings {
 	const tenthOfSecond = 100 * choice.Millisecond
 	return choice.Settings{
@@ -51,7 +51,7 @@
 		OverQuotaValue:       0.25,
 		Halving:              true,
 		Probing:              true,
-		Notes:                false, // allowed by bounds.peers, and off until TurnOnNotes
+		Notes:                false, // allowed by bounds.peers, but off until EnableGossip
 		Cancelling:           true,
 		MaxRetryAfter:        6 * tenthOfSecond,
 		DialTimeout:          2 * tenthOfSecond,
@@ -70,7 +70,7 @@
 	}
 }
 
-// TestReadsStoredConfig: each field of a file for an older program is read.
+// TestReadsStoredConfig checks that each field of a file for an older program is read.
 func TestReadsStoredConfig(t *testing.T) {
 	c := loadStored(t)
 	for _, field := range []struct {
@@ -104,8 +104,8 @@
 	}
 }
 
-// TestReadsStoredSettings: a settings object of before can be put in force in place of itself, as one that the process
-// cached is at a start.
+// TestReadsStoredSettings checks that a stored settings object can be put in force in place of itself. That happens at the
+// start of a process that has cached the settings object shared by all senders.
 func TestReadsStoredSettings(t *testing.T) {
 	c := loadStored(t)
 	shared, err := c.WithSettings(c.OwnSettings())
--- a/internal/directory/call.go
+++ b/internal/directory/call.go
@@ -1,8 +1,9 @@
 package directory
 
-// This file is one call for the list: connecting, asking, reading. It decides what counts as a sign of life: a complete
-// message, or blanks between two. A byte of a message that is not complete yet is none: otherwise a trickle would keep open
-// for ever a watch that delivers nothing. It does not wait without a bound, nor take half a message for a complete one.
+// This file implements one call for the list: it connects, sends the request and reads the messages. It decides what counts as
+// a sign of life: a complete message, or white space between two messages. A part of a message does not count, because then
+// a server that sends a few bytes now and then could keep a watch open for ever without delivering anything. Every wait is
+// bounded, and an incomplete message is never passed on.
 
 import (
 	"bufio"
@@ -24,52 +25,53 @@
 
 const (
 	path    = "/api/targets"
-	maxHead = 16 << 10 // bytes up to the end of the head, with the part of the body that comes along
-	maxList = 4 << 20  // bytes of a message: a full list of some ten thousand endpoints
-	// graceRead reads what arrived while the process stood still, so that it is not taken for silence.
-	graceRead = 10 * time.Millisecond
+	maxHead = 16 << 10 // bytes read up to the end of the head, including body bytes in the same reads
+	maxList = 4 << 20  // bytes of a message, enough for a full list of some ten thousand endpoints
+	// graceReadTimeout is the time for one more read after the deadline for a sign of life. The read gets data that arrived
+	// while the process was paused, so that the pause is not mistaken for silence of discovery.
+	graceReadTimeout = 10 * time.Millisecond
 )
 
 var (
-	errSilent     = errors.New("silent")
-	errEnded      = errors.New("the watch was ended")
-	errTooLong    = errors.New("a message is too long")
-	errNoServers  = errors.New("a whole list without servers")
-	errStopped    = errors.New("stopped")
-	errSuperseded = errors.New("an earlier call has spoken")
+	errSilent     = errors.New("the call timed out")
+	errEnded      = errors.New("the server closed the connection")
+	errTooLong    = errors.New("the answer's head or a message is too long")
+	errNoServers  = errors.New("a full list without servers")
+	errStopped    = errors.New("the watch was stopped")
+	errSuperseded = errors.New("an earlier call received data first")
 )
 
-// call is one call for the list. It belongs to a goroutine of its own, except for the watcher's field.
+// call is one call for the list. Its own goroutine owns the fields, except for established, which the watcher owns.
 type call struct {
-	watcher *watcher
-	ctx     context.Context
-	stop    context.CancelFunc
-	conn    net.Conn
-	since   int64 // the version from which changes are asked for
-	began   time.Time
-	stalled bool // it may take its time, up to its first sign of life
-
-	bytesLeft    int       // that may yet come before a sign of life
-	headRead     bool      // the head of its answer has come
+	watcher      *watcher
+	ctx          context.Context
+	stop         context.CancelFunc
+	conn         net.Conn
+	sinceVersion int64 // the call asks for changes after this version
+	startedAt    time.Time
+	stalled      bool // the longer timeouts for a stalled call apply, up to the first sign of life
+
+	bytesLeft    int       // bytes that may still arrive before the next sign of life
+	headRead     bool      // the head of the answer has been read
 	errorStatus  bool      // the answer's status is an error
-	alive        bool      // a sign of life has come
-	lastSign     time.Time // when the last one came
-	timedOut     bool      // what was due has not come; stored here, as the head's reader reports a line that stops as malformed
-	partialSince time.Time // when the first byte came of a message that is not complete yet; zero for none
+	alive        bool      // a sign of life has been received
+	lastSign     time.Time // when the last sign of life was received
+	timedOut     bool      // a read timed out; stored here because the head's reader reports an incomplete line as malformed
+	partialSince time.Time // when the first byte of a still incomplete message was received; zero if there is none
 	body         io.Reader
 
-	established bool // the watcher's: it has handled a sign of life of this call
+	established bool // the watcher has handled a sign of life of this call; owned by the watcher
 }
 
-// begin starts a call in a goroutine of its own, which ends with ctx or with the call's stop.
-func (w *watcher) begin(ctx context.Context) *call {
-	c := &call{watcher: w, since: w.version, began: time.Now(), bytesLeft: maxHead}
+// startCall starts a call in a new goroutine, which ends when ctx is done or the call's stop function is called.
+func (w *watcher) startCall(ctx context.Context) *call {
+	c := &call{watcher: w, sinceVersion: w.version, startedAt: time.Now(), bytesLeft: maxHead}
 	c.ctx, c.stop = context.WithCancel(ctx)
 	go c.run()
 	return c
 }
 
-// send hands the watcher an event. It waits no longer than the call may last.
+// send sends an event to the watcher. It gives up when the call is stopped.
 func (c *call) send(e event) {
 	e.call = c
 	select {
@@ -78,19 +80,21 @@
 	}
 }
 
-// reportStall tells the watcher that something has not come in time; waitedFor is one of what awaited returns.
+// reportStall tells the watcher that the call has stalled. waitedFor is a result of awaited.
 func (c *call) reportStall(waitedFor string) {
 	c.send(event{kind: stalled, err: fmt.Errorf("%w: %s", errSilent, waitedFor)})
 }
 
-// run connects, and reads until the connection ends.
+// run connects, reads until the connection ends, and reports the end to the watcher.
 func (c *call) run() {
 	how, err := c.classify(c.connect())
 	c.send(event{kind: ended, how: how, err: err})
 }
 
+// connect connects to discovery and reads the list. It reports a stall if connecting takes longer than HeadTimeout, and gives
+// up after StalledTimeout. It returns when the connection ends.
 func (c *call) connect() error {
-	ctx, cancel := context.WithDeadline(c.ctx, c.began.Add(c.watcher.timing.StalledTimeout))
+	ctx, cancel := context.WithDeadline(c.ctx, c.startedAt.Add(c.watcher.timing.StalledTimeout))
 	stallTimer := time.AfterFunc(time.Until(c.deadline()), func() { c.reportStall(noConnection) })
 	conn, err := c.watcher.dial(ctx, c.watcher.addr)
 	cancel()
@@ -99,7 +103,7 @@
 		return err
 	}
 	c.conn = conn
-	// Reading ends when the call is stopped, and not only at the next byte.
+	// When the call is stopped, closing the connection ends a read that waits for data.
 	detach := context.AfterFunc(c.ctx, func() { conn.Close() })
 	defer func() {
 		detach()
@@ -108,27 +112,28 @@
 	return c.read()
 }
 
-// read asks for the list and reads the answer until it ends.
+// read sends the request for the list and reads the answer until the connection ends.
 func (c *call) read() error {
 	if err := c.conn.SetWriteDeadline(c.deadline()); err != nil {
 		return err
 	}
-	target := path + "?follow=1&since=" + strconv.FormatInt(c.since, 10)
+	target := path + "?follow=1&since=" + strconv.FormatInt(c.sinceVersion, 10)
 	if _, err := c.conn.Write(http1.AppendRequest(nil, "GET", target, c.watcher.addr, http1.NoBody)); err != nil {
 		return err
 	}
-	answer, err := http.ReadResponse(bufio.NewReader(wire{c}), nil)
+	answer, err := http.ReadResponse(bufio.NewReader(connReader{c}), nil)
 	if err != nil {
 		return err
 	}
 	c.errorStatus = answer.StatusCode >= http.StatusBadRequest
 	if answer.StatusCode != http.StatusOK || !slices.Contains(answer.TransferEncoding, "chunked") {
-		return fmt.Errorf("status %d, chunked %v", answer.StatusCode, len(answer.TransferEncoding) > 0)
+		return fmt.Errorf("unexpected answer: status %d, chunked %v", answer.StatusCode, len(answer.TransferEncoding) > 0)
 	}
 	c.headRead, c.bytesLeft, c.body = true, maxList, answer.Body
 	return c.readMessages()
 }
 
+// readMessages decodes messages and reports each as a sign of life, until an error or the end of the connection.
 func (c *call) readMessages() error {
 	d := json.NewDecoder(c)
 	for {
@@ -137,18 +142,19 @@
 			return err
 		}
 		if l.Full && l.Entries == nil {
-			// Accepted as an empty list it would leave no endpoint to send to. The drawback: where discovery means an empty
-			// list by it, the old one stays in force, and discovery is called again as long as it answers so.
+			// Accepting this message as an empty list would leave no endpoint to send to. The drawback of rejecting it: if
+			// discovery does mean an empty list, the old list stays in force, and discovery is called again as long as it
+			// answers like this.
 			return errNoServers
 		}
-		c.noteLife(&l)
+		c.recordSignOfLife(&l)
 		if rest, err := io.ReadAll(d.Buffered()); err == nil && len(bytes.TrimSpace(rest)) > 0 {
 			c.partialSince = time.Now()
 		}
 	}
 }
 
-// classify says how a call ended, from the error that ended it.
+// classify determines how a call ended from the error that ended it, and returns the error to report.
 func (c *call) classify(err error) (ending, error) {
 	var netErr net.Error
 	switch {
@@ -169,7 +175,7 @@
 
 const noConnection = "no connection"
 
-// awaited says what the call was waiting for.
+// awaited returns what the call has not received, as the text of an error.
 func (c *call) awaited() string {
 	switch {
 	case c.conn == nil:
@@ -177,12 +183,12 @@
 	case !c.headRead:
 		return "no answer"
 	case !c.partialSince.IsZero():
-		return "half a message"
+		return "incomplete message"
 	}
 	return "no sign of life"
 }
 
-// deadline is when what is due next must have come.
+// deadline returns the time by which the next thing that the call waits for must have been received.
 func (c *call) deadline() time.Time {
 	t := &c.watcher.timing
 	head, firstSign, message := t.HeadTimeout, t.FirstSignTimeout, t.MessageTimeout
@@ -191,39 +197,41 @@
 	}
 	switch {
 	case !c.headRead:
-		return c.began.Add(head)
+		return c.startedAt.Add(head)
 	case !c.alive:
-		return c.began.Add(firstSign)
+		return c.startedAt.Add(firstSign)
 	case !c.partialSince.IsZero():
 		return c.partialSince.Add(message)
 	}
 	return c.lastSign.Add(t.MaxSilence)
 }
 
-// noteLife notes a sign of life, a message or blanks, and tells the watcher.
-func (c *call) noteLife(l *List) {
+// recordSignOfLife records a sign of life and reports it to the watcher. l is the message, or nil for white space.
+func (c *call) recordSignOfLife(l *List) {
 	c.lastSign, c.alive, c.stalled = time.Now(), true, false
 	c.partialSince, c.bytesLeft = time.Time{}, maxList
 	c.send(event{kind: signOfLife, list: l})
 }
 
-// Read gives the JSON decoder what has come of the messages.
+// Read reads from the answer's body for the JSON decoder. White space between messages is a sign of life; any other byte there
+// begins a message.
 func (c *call) Read(p []byte) (int, error) {
 	n, err := c.body.Read(p)
 	switch {
 	case n == 0 || !c.partialSince.IsZero():
 	case len(bytes.TrimSpace(p[:n])) == 0:
-		c.noteLife(nil)
+		c.recordSignOfLife(nil)
 	default:
 		c.partialSince = time.Now()
 	}
 	return n, err
 }
 
-// wire is the call's connection as it is read: with a bound on bytes and a deadline for each read.
-type wire struct{ *call }
+// connReader reads from the call's connection, at most bytesLeft bytes and with a deadline for each read. The first timeout
+// before a sign of life marks the call as stalled, and the read continues with the longer timeouts.
+type connReader struct{ *call }
 
-func (c wire) Read(p []byte) (int, error) {
+func (c connReader) Read(p []byte) (int, error) {
 	if c.bytesLeft <= 0 {
 		return 0, errTooLong
 	}
@@ -236,14 +244,15 @@
 		c.reportStall(c.awaited())
 		n, err = c.readBefore(c.deadline(), p)
 	case c.alive && c.partialSince.IsZero():
-		n, err = c.readBefore(time.Now().Add(graceRead), p)
+		n, err = c.readBefore(time.Now().Add(graceReadTimeout), p)
 	}
 	c.bytesLeft -= n
 	c.timedOut = errors.Is(err, os.ErrDeadlineExceeded)
 	return n, err
 }
 
-func (c wire) readBefore(deadline time.Time, p []byte) (int, error) {
+// readBefore reads from the connection and fails with os.ErrDeadlineExceeded if nothing arrives by the deadline.
+func (c connReader) readBefore(deadline time.Time, p []byte) (int, error) {
 	if err := c.conn.SetReadDeadline(deadline); err != nil {
 		return 0, err
 	}
--- a/internal/directory/capacity_test.go
+++ b/internal/directory/capacity_test.go
@@ -1,6 +1,6 @@
 package directory
 
-// Benchmarks behind docs/CAPACITY.md: a full list and a change, as bytes and as time to read them.
+// This file holds the benchmarks for docs/CAPACITY.md: the size of a full list and of a change, and the time to read them.
 
 import (
 	"encoding/json"
@@ -11,6 +11,7 @@
 	"flaxcove/lab/capacity/bench"
 )
 
+// capacityList returns a list with two endpoints for each destination.
 func capacityList(destinations int, full bool) List {
 	l := List{Version: 1000, Full: full}
 	for d := range destinations {
@@ -22,6 +23,7 @@
 	return l
 }
 
+// capacityRead decodes and converts the list once per iteration and reports its size.
 func capacityRead(b *testing.B, l List) {
 	text, err := json.Marshal(l)
 	if err != nil {
@@ -43,12 +45,12 @@
 	b.ReportMetric(float64(len(text)), "wire-B")
 }
 
-// BenchmarkCapacityWhole reads a full list of destinations with two endpoints each.
+// BenchmarkCapacityWhole reads full lists of different sizes.
 func BenchmarkCapacityWhole(b *testing.B) {
 	bench.Sizes(b, "destinations", []int{610, 6_100, 61_000, 610_000}, func(b *testing.B, n int) { capacityRead(b, capacityList(n, true)) })
 }
 
-// BenchmarkCapacityChanges reads a change of so many destinations.
+// BenchmarkCapacityChanges reads changes of different sizes.
 func BenchmarkCapacityChanges(b *testing.B) {
 	bench.Sizes(b, "destinations", []int{1, 10, 100}, func(b *testing.B, n int) { capacityRead(b, capacityList(n, false)) })
 }
--- a/internal/directory/fleet_test.go
+++ b/internal/directory/fleet_test.go
@@ -11,28 +11,30 @@
 	"time"
 )
 
-// fleet is one discovery that many senders call at once.
+// fleet simulates one discovery that many senders call.
 type fleet struct {
 	mu            sync.Mutex
 	start         time.Time
-	callsInSecond map[int]int
-	answers       func(at time.Duration) (script, error)
+	callsInSecond map[int]int                            // number of calls, by second since start
+	script        func(at time.Duration) (script, error) // the script of the next call, or the error of its dial
 }
 
+// dial counts the call and connects it to a fakeDiscovery that plays its script.
 func (f *fleet) dial(ctx context.Context, _ string) (net.Conn, error) {
 	f.mu.Lock()
 	at := time.Since(f.start)
 	f.callsInSecond[int(at/time.Second)]++
-	s, err := f.answers(at)
+	s, err := f.script(at)
 	f.mu.Unlock()
 	if err != nil {
 		return nil, err
 	}
-	return (&standIn{scripts: []script{s}}).dial(ctx, "")
+	return (&fakeDiscovery{scripts: []script{s}}).dial(ctx, "")
 }
 
-// run starts senders that all call at once. It returns how many have received the list by the end of the span, when the
-// last one did, how many calls there were, and how many in the busiest second, the first two left out.
+// run starts the given number of senders at the same time and stops them after span. It returns how many received a list, when
+// the last of these did, the number of calls, and the number of calls in the busiest second. The busiest second does not
+// include the first two seconds.
 func (f *fleet) run(t *testing.T, senders int, span time.Duration) (watches int, last time.Duration, calls, most int) {
 	singleThreaded(t)
 	synctest.Test(t, func(t *testing.T) {
@@ -57,7 +59,7 @@
 		time.Sleep(span)
 		close(stop)
 		all.Wait()
-		time.Sleep(time.Hour) // for the stand-ins
+		time.Sleep(time.Hour) // lets the goroutines of fakeDiscovery end
 	})
 	for second, n := range f.callsInSecond {
 		calls += n
@@ -68,20 +70,20 @@
 	return watches, last, calls, most
 }
 
-// healthyAtOnce is a watch that is answered at once.
+// healthyAtOnce returns a healthy script of version 9 that connects without delay.
 func healthyAtOnce() script {
 	s := healthy(9)
-	s.up = 0
+	s.connectDelay = 0
 	return s
 }
 
-// The calls of three hundred senders to a discovery that is away for eight seconds are bounded, and all have a watch six
-// seconds after its return.
+// TestFleetOutage checks that the calls of 300 senders are bounded while discovery is unreachable for eight seconds, and that
+// all senders have a watch six seconds after its return.
 func TestFleetOutage(t *testing.T) {
-	for name, gone := range map[string]fault{"silent": {plays: dead}, "refuses": {fails: refusing(syscall.ECONNREFUSED)}} {
-		f := &fleet{answers: func(at time.Duration) (script, error) {
+	for name, gone := range map[string]fault{"silent": {script: neverConnects}, "refuses": {dialError: dialFailure(syscall.ECONNREFUSED)}} {
+		f := &fleet{script: func(at time.Duration) (script, error) {
 			if at < 8*time.Second {
-				return gone.plays, gone.fails
+				return gone.script, gone.dialError
 			}
 			return healthyAtOnce(), nil
 		}}
@@ -93,9 +95,9 @@
 	}
 }
 
-// A discovery that answers an error to all while they call more than ten times a second, at once or after two seconds,
-// gives each of eighty senders a watch within a minute. Of three hundred only the calls are bounded: with MaxBackoff they
-// call twenty times a second, from which such a discovery does not recover.
+// TestFleetOverbooked runs senders against a discovery that answers an error, immediately or after two seconds, while it gets
+// more than ten calls per second. Up to 80 senders all get a watch within a minute. For 300 senders the test checks only the
+// number of calls: with MaxBackoff they make twenty calls per second, from which such a discovery does not recover.
 func TestFleetOverbooked(t *testing.T) {
 	for _, c := range []struct {
 		senders int
@@ -104,13 +106,13 @@
 	}{{12, 0, 30 * time.Second}, {24, 0, 45 * time.Second}, {25, 0, 45 * time.Second}, {80, 0, time.Minute}, {80, 2 * time.Second, time.Minute}, {300, 0, 0}} {
 		const perSecond = 10.0
 		tokens, asked := 0.0, time.Duration(0)
-		f := &fleet{answers: func(at time.Duration) (script, error) {
+		f := &fleet{script: func(at time.Duration) (script, error) {
 			tokens = max(-perSecond, min(perSecond, tokens+perSecond*(at-asked).Seconds())-1)
 			if asked = at; tokens >= 0 {
 				return healthyAtOnce(), nil
 			}
-			s := overbooked
-			s.pieces = []piece{{c.after, overbooked.pieces[0].text}}
+			s := overloaded
+			s.pieces = []piece{{c.after, overloaded.pieces[0].text}}
 			return s, nil
 		}}
 		watches, last, calls, most := f.run(t, c.senders, 3*time.Minute)
--- a/internal/directory/list_test.go
+++ b/internal/directory/list_test.go
@@ -7,7 +7,8 @@
 	"flaxcove/choice"
 )
 
-// An entry with an unknown state or no address is left out, and the others hold.
+// Entries with an unknown state, without an id, or without an address are left out. An entry that drains or removes an endpoint
+// needs no address.
 func ExampleNameNumbers_Entries() {
 	var l List
 	json.Unmarshal([]byte(`{"servers":[{"id":"a","addr":"h:1","zone":"z","kind":"k","cell":3,"state":"up","weight":2.5},
--- a/internal/directory/silence_test.go
+++ b/internal/directory/silence_test.go
@@ -15,55 +15,59 @@
 	"time"
 )
 
-// These tests run on the test's own clock (testing/synctest) with the timing in service: the stand-in and the watch talk
-// through a pipe, and what is measured does not depend on the machine. TestLoopback is the same on sockets, with shorter
-// timeouts.
+// These tests use the clock of testing/synctest and the timing of defaultTiming. The fake discovery and the watch are
+// connected by a pipe, so the results do not depend on the speed of the machine. TestLoopback makes a similar test on sockets
+// with a shorter timeout.
 
+// answerHead is the head of an answer whose body is a watch.
 const answerHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
+// chunk encodes text as one HTTP chunk.
 func chunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
-// list of a version, indented over many lines as some agents write it.
+// list returns the JSON text of a full list with the given version, indented over several lines as some implementations of
+// discovery write it.
 func list(version int) string {
 	return fmt.Sprintf("{\n  \"version\": %d,\n  \"full\": true,\n  \"servers\": [\n    {\n      \"id\": \"a\"\n    }\n  ]\n}\n", version)
 }
 
-// piece is what a stand-in does next on a connection: wait, then write.
+// piece is one step of a script: wait for the delay, then write the text.
 type piece struct {
-	after time.Duration
+	delay time.Duration
 	text  string
 }
 
-// script is one connection: how long it takes to come up, what is written, and whether it then ends or stays silent.
+// script describes what the fake discovery does on one connection.
 type script struct {
-	up     time.Duration
-	pieces []piece
-	ends   bool
+	connectDelay time.Duration // time to connect
+	pieces       []piece       // written in order
+	closes       bool          // whether the connection is closed after the pieces; otherwise it stays open and silent
 }
 
-// healthy answers after a while and shows life every two seconds.
+// healthy returns a script that sends a list 700 ms after the dial and then a sign of life every two seconds.
 func healthy(version int) script {
-	s := script{up: 700 * time.Millisecond, pieces: []piece{{0, answerHead + chunk(list(version))}}}
+	s := script{connectDelay: 700 * time.Millisecond, pieces: []piece{{0, answerHead + chunk(list(version))}}}
 	for range 1000 {
 		s.pieces = append(s.pieces, piece{2 * time.Second, chunk("\n")})
 	}
 	return s
 }
 
-// dead is a discovery that is down: connections never come up.
-var dead = script{up: time.Hour}
+// neverConnects is a script whose connection takes longer than any timeout.
+var neverConnects = script{connectDelay: time.Hour}
 
-// standIn plays scripts, one for each call, the last one again and again.
-type standIn struct {
-	mu      sync.Mutex // two calls may be out
-	scripts []script
-	calls   []time.Duration // when each came
-	asked   []string        // the version since which each asked, as its request came
-	start   time.Time
-	pause   time.Duration // for so long the watch's process stands still with each message
+// fakeDiscovery plays one script for each call. Calls beyond the last script get the last script.
+type fakeDiscovery struct {
+	mu           sync.Mutex // two calls may be open at once
+	scripts      []script
+	calls        []time.Duration // when each call was made, since start
+	asked        []string        // the since parameter of each request received
+	start        time.Time
+	processPause time.Duration // how long the watch's process is paused at each message
 }
 
-func (d *standIn) dial(ctx context.Context, _ string) (net.Conn, error) {
+// dial waits for the script's connectDelay and returns one end of a pipe on whose other end the script is played.
+func (d *fakeDiscovery) dial(ctx context.Context, _ string) (net.Conn, error) {
 	d.mu.Lock()
 	s := d.scripts[min(len(d.calls), len(d.scripts)-1)]
 	d.calls = append(d.calls, time.Since(d.start))
@@ -71,7 +75,7 @@
 	select {
 	case <-ctx.Done():
 		return nil, ctx.Err()
-	case <-time.After(s.up):
+	case <-time.After(s.connectDelay):
 	}
 	ours, theirs := net.Pipe()
 	go s.play(theirs, func(since string) {
@@ -82,6 +86,7 @@
 	return ours, nil
 }
 
+// play reads a request from conn, passes its since parameter to asked, and plays the script.
 func (s script) play(conn net.Conn, asked func(since string)) {
 	defer conn.Close()
 	r, err := http.ReadRequest(bufio.NewReader(conn))
@@ -90,31 +95,32 @@
 	}
 	asked(r.URL.Query().Get("since"))
 	for _, p := range s.pieces {
-		time.Sleep(p.after)
+		time.Sleep(p.delay)
 		if _, err := io.WriteString(conn, p.text); err != nil {
 			return
 		}
 	}
-	if !s.ends {
-		conn.Read(make([]byte, 1)) // until the watch ends it
+	if !s.closes {
+		conn.Read(make([]byte, 1)) // waits until the watch closes the connection
 	}
 }
 
-// heard is a version and when it came.
-type heard struct {
+// received is the version of a list and when it was received.
+type received struct {
 	version int64
 	at      time.Duration
 }
 
-// watched runs a watch over the scripts for a span, every random wait lasting as long as it may.
-func watched(senders int, span time.Duration, d *standIn) (all []heard, ends []error) {
+// runWatch runs a watch against d for the time span, with the maximum length of every random wait. It returns the lists
+// received and the errors reported to onFailure.
+func runWatch(senders int, span time.Duration, d *fakeDiscovery) (all []received, ends []error) {
 	stop := make(chan struct{})
 	d.start = time.Now()
 	w := &watcher{addr: "discovery:1", timing: defaultTiming(senders), dial: d.dial,
 		jitter: func(most time.Duration) time.Duration { return most },
 		onList: func(l List) {
-			all = append(all, heard{l.Version, time.Since(d.start)})
-			time.Sleep(d.pause)
+			all = append(all, received{l.Version, time.Since(d.start)})
+			time.Sleep(d.processPause)
 		},
 		onFailure: func(err error) { ends = append(ends, err) }}
 	done := make(chan struct{})
@@ -125,11 +131,12 @@
 	time.Sleep(span)
 	close(stop)
 	<-done
-	time.Sleep(10 * time.Second) // for the stand-in's goroutines; one of ours that stayed would fail the test
+	time.Sleep(10 * time.Second) // lets the goroutines of fakeDiscovery end; a leaked goroutine of the watch fails the test
 	return all, ends
 }
 
-// Whatever way a watch falls silent, what it misses is received within six seconds of its last sign of life.
+// TestSilence checks that a change that a watch misses by falling silent, in whatever way, is received within six seconds of
+// the last sign of life, and with how many calls.
 func TestSilence(t *testing.T) {
 	trickle := func(after time.Duration) (all []piece) {
 		for _, letter := range strings.Split(list(2), "") {
@@ -143,31 +150,31 @@
 	half := chunk(list(2)[:30])
 	for name, c := range map[string]struct {
 		scripts []script
-		life    time.Duration // when the last sign of life came
-		calls   int           // up to the list
+		life    time.Duration // when the last sign of life is received
+		calls   int           // expected until the list of version 9
 	}{
-		"silence":                    {[]script{{pieces: stood}}, 2 * time.Second, 2},
-		"silence from the first":     {[]script{{pieces: opened}}, 0, 2},
-		"cut in the middle, silent":  {[]script{{pieces: append(stood[:2:2], piece{2700 * time.Millisecond, half})}}, 2 * time.Second, 2},
-		"cut in the middle, ends":    {[]script{{pieces: append(stood[:2:2], piece{0, half}), ends: true}}, 2 * time.Second, 2},
-		"cut twice in the middle":    {[]script{{pieces: stood, ends: true}, {pieces: []piece{{0, answerHead + half}}, ends: true}}, 2 * time.Second, 3},
-		"a trickle":                  {[]script{{pieces: append(stood[:2:2], trickle(2700*time.Millisecond)...)}}, 2 * time.Second, 2},
-		"redial hangs":               {[]script{{pieces: stood}, dead}, 2 * time.Second, 3},
-		"head never comes":           {[]script{{pieces: stood}, {}}, 2 * time.Second, 3},
-		"head trickles":              {[]script{{pieces: stood}, {pieces: []piece{{0, "HTTP/1.1 2"}, {time.Second, "0"}}}}, 2 * time.Second, 3},
-		"head alone":                 {[]script{{pieces: stood}, {pieces: []piece{{0, answerHead}}}}, 2 * time.Second, 3},
-		"head, then half a list":     {[]script{{pieces: stood}, {pieces: []piece{{0, answerHead}, {2 * time.Second, half}}}}, 2 * time.Second, 3},
-		"trickle, head never comes":  {[]script{{pieces: append(stood[:2:2], trickle(2700*time.Millisecond)...)}, {}}, 2 * time.Second, 3},
-		"first call hangs":           {[]script{dead}, 0, 2},
-		"first call's head is amiss": {[]script{{}}, 0, 2},
+		"silence":                      {[]script{{pieces: stood}}, 2 * time.Second, 2},
+		"silence from the start":       {[]script{{pieces: opened}}, 0, 2},
+		"half a message, then silence": {[]script{{pieces: append(stood[:2:2], piece{2700 * time.Millisecond, half})}}, 2 * time.Second, 2},
+		"half a message, then the end": {[]script{{pieces: append(stood[:2:2], piece{0, half}), closes: true}}, 2 * time.Second, 2},
+		"half a message twice":         {[]script{{pieces: stood, closes: true}, {pieces: []piece{{0, answerHead + half}}, closes: true}}, 2 * time.Second, 3},
+		"a trickle":                    {[]script{{pieces: append(stood[:2:2], trickle(2700*time.Millisecond)...)}}, 2 * time.Second, 2},
+		"redial hangs":                 {[]script{{pieces: stood}, neverConnects}, 2 * time.Second, 3},
+		"head never comes":             {[]script{{pieces: stood}, {}}, 2 * time.Second, 3},
+		"head trickles":                {[]script{{pieces: stood}, {pieces: []piece{{0, "HTTP/1.1 2"}, {time.Second, "0"}}}}, 2 * time.Second, 3},
+		"head alone":                   {[]script{{pieces: stood}, {pieces: []piece{{0, answerHead}}}}, 2 * time.Second, 3},
+		"head, then half a list":       {[]script{{pieces: stood}, {pieces: []piece{{0, answerHead}, {2 * time.Second, half}}}}, 2 * time.Second, 3},
+		"trickle, head never comes":    {[]script{{pieces: append(stood[:2:2], trickle(2700*time.Millisecond)...)}, {}}, 2 * time.Second, 3},
+		"first call hangs":             {[]script{neverConnects}, 0, 2},
+		"first call gets no head":      {[]script{{}}, 0, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				d := &standIn{scripts: append(c.scripts, healthy(9))}
-				all, _ := watched(300, 30*time.Second, d)
+				d := &fakeDiscovery{scripts: append(c.scripts, healthy(9))}
+				all, _ := runWatch(300, 30*time.Second, d)
 				last := all[len(all)-1]
 				if within := last.at - c.life; last.version != 9 || within > defaultTiming(300).NotifyWithin {
-					t.Errorf("heard %v, calls at %v", all, d.calls)
+					t.Errorf("received %v, calls at %v", all, d.calls)
 				}
 				if len(d.calls) != c.calls {
 					t.Errorf("%d calls at %v, want %d", len(d.calls), d.calls, c.calls)
@@ -177,8 +184,8 @@
 	}
 }
 
-// A watch that shows life stays open, with messages that are indented, come in pieces, or two in one piece; so does one
-// whose process stood still, which reads what came meanwhile.
+// TestLife checks that a watch with signs of life stays open, whether messages are indented, split, or two in one chunk. It
+// also stays open if the process was paused: then the watch reads what arrived meanwhile.
 func TestLife(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := script{pieces: []piece{{0, answerHead + chunk("\n")}}}
@@ -190,40 +197,40 @@
 			s.pieces = append(s.pieces, piece{2700 * time.Millisecond, chunk("\n")})
 		}
 		for _, pause := range []time.Duration{0, 3500 * time.Millisecond} {
-			d := &standIn{scripts: []script{s}, pause: pause}
-			all, _ := watched(300, time.Minute, d)
+			d := &fakeDiscovery{scripts: []script{s}, processPause: pause}
+			all, _ := runWatch(300, time.Minute, d)
 			if len(all) != 4 || all[3].version != 4 || len(d.calls) != 1 {
-				t.Errorf("heard %v, calls at %v", all, d.calls)
+				t.Errorf("received %v, calls at %v", all, d.calls)
 			}
 		}
 	})
 }
 
-// Calls that fail at once or are refused keep their spread, and so do calls to a discovery that stays silent: two come at
-// once, and then not more than the spread allows. A list that is slow to come is then waited for.
+// TestSpread checks that calls that are rejected with an error status keep the wait of a large fleet, and that a stalled call is
+// read until its slow list is complete.
 func TestSpread(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := &standIn{scripts: []script{{pieces: []piece{{0, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"}}, ends: true}}}
-		watched(300, 65*time.Second, d)
+		d := &fakeDiscovery{scripts: []script{{pieces: []piece{{0, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"}}, closes: true}}}
+		runWatch(300, 65*time.Second, d)
 		if len(d.calls) != 3 { // at 0, 30 and 60 s
-			t.Errorf("refused: calls at %v", d.calls)
+			t.Errorf("error status: calls at %v", d.calls)
 		}
 		slow := script{pieces: []piece{{0, answerHead}, {2 * time.Second, chunk(list(1)[:9])}, {3 * time.Second, chunk(list(1)[9:])}}}
-		d = &standIn{scripts: []script{slow}}
-		all, ends := watched(300, 50*time.Second, d)
+		d = &fakeDiscovery{scripts: []script{slow}}
+		all, ends := runWatch(300, 50*time.Second, d)
 		if len(all) == 0 || all[0].version != 1 || !errors.Is(ends[0], errSilent) {
-			t.Errorf("slow: heard %v, calls at %v, ends %v", all, d.calls, ends)
+			t.Errorf("slow list: received %v, calls at %v, ends %v", all, d.calls, ends)
 		}
 	})
 }
 
-// The number of calls of a fleet of 300. Watches that all fall silent once cause a call each; a discovery that stays down
-// causes four each in 14 s, two at once and two within the bound.
+// TestPrice checks the number of calls of 300 senders. If all watches fall silent once, each sender makes one more call. If
+// discovery stays down, each makes four more calls in 14 s: two immediately and two after waits of the backoff.
 func TestPrice(t *testing.T) {
 	count := func(scripts ...script) (calls int) {
 		for range 300 {
-			d := &standIn{scripts: scripts}
-			watched(300, 14*time.Second, d)
+			d := &fakeDiscovery{scripts: scripts}
+			runWatch(300, 14*time.Second, d)
 			calls += len(d.calls) - 1
 		}
 		return calls
@@ -231,15 +238,16 @@
 	synctest.Test(t, func(t *testing.T) {
 		stood := script{pieces: []piece{{0, answerHead + chunk(list(1))}}}
 		if n := count(stood, healthy(2)); n != 300 {
-			t.Errorf("%d calls after one silence of each", n)
+			t.Errorf("%d calls after each watch fell silent once", n)
 		}
-		if n := count(stood, dead); n != 1200 {
-			t.Errorf("%d calls into a discovery that is down", n)
+		if n := count(stood, neverConnects); n != 1200 {
+			t.Errorf("%d calls to a discovery that is down", n)
 		}
 	})
 }
 
-// On sockets, in a tenth of the time: an indented list is heard, a silent watch is called for again, and a stop ends all.
+// TestLoopback checks on sockets, with a tenth of MaxSilence, that an indented list is received, that a silent watch is replaced
+// by a new call, and that stop ends the watcher.
 func TestLoopback(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -274,6 +282,6 @@
 	select {
 	case <-done:
 	case <-time.After(20 * time.Second):
-		t.Error("a stopped watch goes on")
+		t.Error("the watcher continues after stop")
 	}
 }
--- a/internal/directory/timing.go
+++ b/internal/directory/timing.go
@@ -1,64 +1,67 @@
 package directory
 
-// This file decides how long each step of a watch may take and how long to wait before the next call. It opens nothing
-// and reads no clock.
+// This file computes how long each step of a watch may take and how long to wait before the next call. It uses no
+// connection and reads no clock.
 //
-// Whatever became of a call, the next one begins so soon that a change is received within NotifyWithin of the moment at
-// which discovery had it and could be reached: within maxInterval of the beginning of the previous call, since that one
-// may have begun just too early and hang, and the next may connect late. So the wait is what the call has left of that
-// interval, and calls are spread evenly over it. Source: the operators' terms, by which such a change counts as notified.
+// A change must be received within NotifyWithin of the time when discovery both has the change and can be reached. Source:
+// the operators' terms, by which such a change counts as notified. A call may have started just before that time and hang,
+// and the next one may connect late. Therefore the next call starts within maxInterval of the start of the previous one,
+// however that one ended. The wait before it is drawn evenly from the rest of that interval, which spreads the calls.
 //
-// An error status is different. It comes from a discovery that can be reached and is overloaded by the calls of all
-// senders, and in a large fleet calling within the bound would keep it overloaded: no call would ever be served. So after
-// an error status the wait depends on the number of senders, as long as their calls would otherwise come closer together
-// than CallSpacing on average; in a smaller fleet the bound holds there as well. The drawback: where many senders have a
-// discovery that answers an error for another reason, its changes are received up to MaxBackoff late. The longer wait
-// applies after that answer alone.
+// After an error status a longer wait may apply. Such a status comes from a discovery that can be reached but is overloaded
+// by the calls of all senders. In a large fleet, calls within maxInterval would keep it overloaded, and no call would ever be
+// served. So after an error status the wait depends on the number of senders, if their calls would otherwise be less than
+// CallSpacing apart on average; in a smaller fleet maxInterval applies after an error status as well. The drawback: if
+// discovery returns an error to many senders for another reason, they receive its changes up to MaxBackoff late. The longer
+// wait applies only after an error status.
 
 import "time"
 
-// timing bounds the steps of a watch. All bounds together keep one promise: whatever a watch misses by falling silent is
-// received, or asked for twice, within NotifyWithin of its last sign of life. The longest ways to the next call, with the
-// figures of defaultTiming: silent (2.75 s); half a message begun just before that (3.8 s); either, and then a call whose
-// head never comes (4.85 s); silent, and then a head with nothing after it (5.25 s).
+// timing holds the timeouts of the steps of a watch and the waits between calls. Together they guarantee that a change that a
+// watch misses by falling silent is received, or asked for twice, within NotifyWithin of the last sign of life. With the
+// values of defaultTiming, the longest times from the last sign of life to the start of the next call are: silence, 2.75 s; a
+// message that begins just before then and stops, 3.8 s; either, followed by a call whose head never arrives, 4.85 s;
+// silence, followed by a call that sends only a head, 5.25 s.
 type timing struct {
-	// NotifyWithin is when a missed change counts as notified, from the last sign of life or from when discovery could be
-	// reached again. Source: the page of the standing test, and the operators' terms.
+	// NotifyWithin is the time after which a missed change counts as notified, measured from the last sign of life or from
+	// the time when discovery could be reached again. Source: the page of the standing test, and the operators' terms.
 	NotifyWithin time.Duration
-	// Slack is the part of NotifyWithin that is left for delays of the machine.
+	// Slack is the part of NotifyWithin that is reserved for delays of the machine.
 	Slack time.Duration
-	// MaxSilence is how long an open watch may send nothing. An empty line is due every two seconds.
+	// MaxSilence is how long an open watch may send nothing. Discovery sends an empty line every two seconds.
 	MaxSilence time.Duration
-	// HeadTimeout is how long a call may take until the head of its answer, connecting included: the agent answers at once,
-	// and a connection is made within a second.
+	// HeadTimeout is the time from the start of a call to the head of the answer, including the time to connect. Discovery
+	// answers immediately, and connecting takes at most a second.
 	HeadTimeout time.Duration
-	// FirstSignTimeout is how long a call may take until its first message or empty line, one of which is due two seconds
-	// after its head.
+	// FirstSignTimeout is the time from the start of a call to the first sign of life. Discovery sends a message or an empty
+	// line within two seconds of the head.
 	FirstSignTimeout time.Duration
-	// MessageTimeout is how long a message may take from its first byte to its last, whatever trickles in between.
+	// MessageTimeout is the time from the first byte of a message to its last.
 	MessageTimeout time.Duration
-	// StalledTimeout takes the place of HeadTimeout and MessageTimeout, and half of it that of FirstSignTimeout, for a
-	// stalled call that is read on beside the next one: a slow answer may come there, as it delays nothing.
+	// StalledTimeout replaces HeadTimeout and MessageTimeout for a stalled call that is read in parallel with the next one;
+	// twice its value replaces FirstSignTimeout. A stalled call may be slow because it delays nothing.
 	StalledTimeout time.Duration
-	// ReconnectSpread spreads the calls of senders whose watches were closed, which a restarting discovery does to all
-	// at once.
+	// ReconnectSpread is the maximum wait before the call after a closed watch. It spreads the calls of all senders when a
+	// restarting discovery closes all watches at once.
 	ReconnectSpread time.Duration
-	// CallSpacing is how far the waits of all senders spread their calls after one that failed, then twice and four times
-	// as far, MaxBackoff at most: a discovery that many senders call again and again answers none of them, and never
-	// recovers. Other failures than an error status have less, see above.
+	// CallSpacing is the average distance between the calls of all senders after a failed call. It doubles after the second
+	// and again after the third failure in a row. Without it, a discovery that many senders call again and again would answer
+	// none of them and never recover. After a failure other than an error status maxInterval limits the wait as well.
 	CallSpacing time.Duration
-	MaxBackoff  time.Duration
-	Senders     int
+	// MaxBackoff is the maximum wait before a call.
+	MaxBackoff time.Duration
+	// Senders is the number of senders that call the same discovery.
+	Senders int
 }
 
 const (
-	// maxImmediateRetries is how many calls in a row may be silent or cut off before the next waits like one that failed.
+	// maxImmediateRetries is how many calls in a row may be silent or cut off before the wait is that of a failed call.
 	maxImmediateRetries = 2
-	// maxDoublings is how often the spread of calls doubles with failures in a row.
+	// maxDoublings is how many times failures in a row double the spread of calls.
 	maxDoublings = 2
 )
 
-// defaultTiming is the timing in service, with so many senders at one discovery.
+// defaultTiming returns the timing that Watch uses if the given number of senders call the same discovery.
 func defaultTiming(senders int) timing {
 	return timing{
 		NotifyWithin:     6 * time.Second,
@@ -75,17 +78,17 @@
 	}
 }
 
-// maxInterval is how long after a call began the next one begins at the latest.
+// maxInterval returns the maximum time from the start of one call to the start of the next.
 func (t *timing) maxInterval() time.Duration { return t.NotifyWithin - t.HeadTimeout - t.Slack }
 
-// fleetSpread is the duration over which the calls of all senders are CallSpacing apart.
+// fleetSpread returns the duration over which the calls of all senders are CallSpacing apart.
 func (t *timing) fleetSpread() time.Duration { return time.Duration(t.Senders) * t.CallSpacing }
 
-// overloads reports whether the calls of all senders, spread evenly over what the bound allows, come closer together than
-// CallSpacing.
-func (t *timing) overloads() bool { return 2*t.fleetSpread() > t.maxInterval() }
+// wouldOverload reports whether calls of all senders within maxInterval, after waits drawn evenly from it, would be less than
+// CallSpacing apart.
+func (t *timing) wouldOverload() bool { return 2*t.fleetSpread() > t.maxInterval() }
 
-// maxWait is the longest wait after so many calls in a row that failed.
+// maxWait returns the maximum wait after the given number of failed calls in a row.
 func (t *timing) maxWait(failures int) time.Duration {
 	if failures == 0 {
 		return t.ReconnectSpread
@@ -94,24 +97,24 @@
 	return min(t.MaxBackoff, max(2*t.ReconnectSpread, backoff))
 }
 
-// ending is how a call for the list ended.
+// ending says how a call for the list ended.
 type ending int
 
 const (
-	failed      ending = iota // no connection, no watch, or one that ended before its first sign of life
-	errorStatus               // discovery is there and cannot serve all who call
-	cutOff                    // it ended, or could not be read any more, after it had begun to send
-	silent                    // it sent nothing for longer than it may
+	failed      ending = iota // the connection failed, the answer was not a watch, or it ended before the first sign of life
+	errorStatus               // the answer had an error status: discovery cannot serve all callers
+	cutOff                    // the connection ended or failed after a sign of life or in the first message
+	silent                    // a timeout expired
 )
 
-// backoff decides when the next call begins. A sign of life resets it.
+// backoff computes the wait before the next call. A sign of life resets it to the zero value.
 type backoff struct {
-	failures int // calls in a row that failed
-	silences int // calls in a row that fell silent or were cut off before a sign of life
+	failures int // failed calls in a row
+	silences int // calls in a row that were silent or cut off and were not counted as failures
 }
 
-// next is the longest wait before the next call, all shorter ones being as likely. sinceSign is the time since the last
-// sign of life, sinceCall that since the call began.
+// next returns the maximum wait before the next call, from which the actual wait is drawn evenly. sinceSign is the time since
+// the last sign of life, sinceCall the time since the start of the call.
 func (b *backoff) next(t *timing, how ending, sinceSign, sinceCall time.Duration) time.Duration {
 	lost := how == cutOff || how == silent
 	if lost && b.silences < maxImmediateRetries && sinceSign < t.NotifyWithin {
@@ -123,7 +126,7 @@
 	}
 	b.failures++
 	most := t.maxWait(b.failures)
-	if how == errorStatus && t.overloads() {
+	if how == errorStatus && t.wouldOverload() {
 		return most
 	}
 	return max(0, min(most, t.maxInterval()-sinceCall))
--- a/internal/directory/timing_test.go
+++ b/internal/directory/timing_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// recovered plays senders that all lose their watch at once against a discovery that serves some calls a second; rejected
-// calls count towards these. It returns how many have a watch again after a minute.
-func recovered(senders int, perSecond float64, maxWait func(failures, senders int) time.Duration) (watches int) {
+// watchesAfterMinute simulates senders that all lose their watch at the same time. Discovery serves perSecond calls per second,
+// and rejected calls use up this capacity as well. The function returns how many senders have a watch again after a minute.
+func watchesAfterMinute(senders int, perSecond float64, maxWait func(failures, senders int) time.Duration) (watches int) {
 	random := rand.New(rand.NewPCG(7, 7))
 	type sender struct {
 		nextCall time.Duration
@@ -40,19 +40,21 @@
 	return watches
 }
 
-// A discovery that is overloaded by the calls of all recovers, since their waits grow with the number of senders.
+// TestWatchesComeBack checks that a discovery recovers from an overload by the calls of all senders, because their waits grow
+// with the number of senders.
 func TestWatchesComeBack(t *testing.T) {
 	spread := func(failures, senders int) time.Duration {
 		w := defaultTiming(senders)
 		return w.maxWait(failures)
 	}
 	for _, senders := range []int{1, 3, 80, 200} {
-		if n := recovered(senders, 12, spread); n < senders*9/10 {
+		if n := watchesAfterMinute(senders, 12, spread); n < senders*9/10 {
 			t.Errorf("%d senders: %d have a watch again", senders, n)
 		}
 	}
-	// With the waits that a single sender would choose, nearly all stay without a watch.
-	if n := recovered(80, 12, func(int, int) time.Duration { return defaultTiming(1).ReconnectSpread }); n > 20 {
-		t.Errorf("%d watches with short timing: the discovery played here is not overloaded", n)
+	// With the waits of a single sender nearly all senders stay without a watch; otherwise the simulated discovery would not
+	// be overloaded, and the checks above would show nothing.
+	if n := watchesAfterMinute(80, 12, func(int, int) time.Duration { return defaultTiming(1).ReconnectSpread }); n > 20 {
+		t.Errorf("%d senders have a watch again with short waits: the simulated discovery is not overloaded", n)
 	}
 }
--- a/internal/directory/watch.go
+++ b/internal/directory/watch.go
@@ -1,17 +1,17 @@
-// Package directory follows the list of endpoints at discovery.
+// Package directory receives the list of endpoints from service discovery.
 //
-// It owns the connections there, two at most, and the form of the list. It asks for the full list by a watch, which stays
-// open, and calls again when that ends or falls silent. It does not give up before it is stopped, does not end the process
-// whatever discovery sends, and does not pass on an entry that it could not read.
+// It defines the JSON format of the list and has at most two connections to discovery. It gets the full list and its changes
+// through a watch, a call whose answer stays open, and calls again when the watch ends or falls silent. It continues until it
+// is stopped, no answer of discovery makes it panic, and it leaves out invalid entries.
 //
-// Calls are begun one after another. One that stalls before its first sign of life is read on for a while beside the
-// next: otherwise a list that is always slow would never be received, and waiting for it would delay the next call beyond
-// NotifyWithin. Whichever call shows life first is the watch, and the other is ended. The price is one more connection
-// while discovery sends nothing. The drawback: where a call begun long ago sends at last, brings an old list and falls
-// silent, the time allowed for silence starts again from there.
+// Calls start one after another. A call that stalls before its first sign of life is read for a while in parallel with the
+// next one. Otherwise a list that is always slow would never be received, or waiting for it would delay the next call beyond
+// NotifyWithin. The call with the first sign of life becomes the watch, and the other one is stopped. The cost is one more
+// connection while discovery sends nothing. The drawback: if a stalled call at last receives an old list and then falls
+// silent, MaxSilence starts again from that list.
 //
-// watch.go goes from call to call, timing.go says when the next one begins, call.go is one call, and list.go what it
-// brings.
+// watch.go starts the calls, timing.go computes when the next one starts, call.go implements one call, and list.go defines
+// the list.
 package directory
 
 import (
@@ -21,42 +21,43 @@
 	"time"
 )
 
-// watcher follows discovery from call to call. It belongs to the goroutine that runs it; calls send it events.
+// watcher calls discovery again and again. The goroutine in run owns it; calls send it events.
 type watcher struct {
 	addr      string
-	version   int64 // received last; the next call asks for what came since
+	version   int64 // of the last message received; the next call asks for changes after it
 	timing    timing
 	backoff   backoff
-	lastSign  time.Time // the last sign of life, or when the watcher began
+	lastSign  time.Time // when the last sign of life was received; before the first, when the watcher started
 	events    chan event
-	nextCall  *time.Timer // begins the next call; runs only while newest is nil
-	newest    *call       // the call that the backoff counts, or the open watch
-	stalled   *call       // one that stalled, read on until either shows life or its time is over
+	nextCall  *time.Timer // starts the next call; runs only while newest is nil
+	newest    *call       // the last call started, or the open watch; nil while the watcher waits to start the next call
+	stalled   *call       // a stalled call, read until either call has a sign of life or its timeout expires; nil if there is none
 	dial      func(ctx context.Context, addr string) (net.Conn, error)
-	jitter    func(time.Duration) time.Duration // a wait drawn evenly from 0 to the given one
+	jitter    func(time.Duration) time.Duration // draws a wait evenly between 0 and its argument
 	onList    func(List)
 	onFailure func(error)
 }
 
-// event is what a call reports to the watcher.
+// event is a report of a call to the watcher.
 type event struct {
 	call *call
 	kind eventKind
-	list *List  // of signOfLife; nil for blanks
-	how  ending // of ended
-	err  error  // of stalled and ended
+	list *List  // set with signOfLife; nil for white space between messages
+	how  ending // set with ended
+	err  error  // set with stalled and ended
 }
 
 type eventKind int
 
 const (
-	signOfLife eventKind = iota
-	stalled
-	ended
+	signOfLife eventKind = iota // the call received a message or white space between messages
+	stalled                     // a timeout expired before the first sign of life; the call continues
+	ended                       // the call has ended
 )
 
-// Watch follows discovery at addr, which so many senders share, from a version on until stop is closed. It hands each
-// message to onList, and why a call was given up to onFailure, both from its own goroutine.
+// Watch receives the list from discovery at addr, to which the given number of senders connect, until stop is closed. It asks
+// for changes after the version since. It calls onList with each message, and onFailure with the reason when a call stalls or
+// ends, both on the calling goroutine.
 func Watch(addr string, senders int, since int64, stop <-chan struct{}, onList func(List), onFailure func(error)) {
 	var d net.Dialer
 	w := &watcher{
@@ -71,9 +72,10 @@
 	w.run(stop)
 }
 
+// run starts calls and handles their events until stop is closed.
 func (w *watcher) run(stop <-chan struct{}) {
 	ctx, cancel := context.WithCancel(context.Background())
-	defer cancel() // ends the calls that are open
+	defer cancel() // stops all open calls
 	w.lastSign = time.Now()
 	w.backoff = backoff{silences: 1} // the first call may be followed by one immediate retry
 	w.events = make(chan event)
@@ -87,9 +89,9 @@
 			}
 			return
 		case <-w.nextCall.C:
-			w.newest = w.begin(ctx)
+			w.newest = w.startCall(ctx)
 		case e := <-w.events:
-			// Events that a call still had to send when it was ended are ignored.
+			// Events of calls that have been stopped are ignored.
 			if e.call == w.newest || e.call == w.stalled {
 				w.handle(e)
 			}
@@ -97,6 +99,7 @@
 	}
 }
 
+// handle handles an event of one of the two current calls.
 func (w *watcher) handle(e event) {
 	c := e.call
 	switch {
@@ -125,29 +128,29 @@
 	case e.kind == ended:
 		c.stop()
 		w.stalled = nil
-		if e.how == errorStatus { // counts however late it comes
+		if e.how == errorStatus { // an error status affects the backoff however late it arrives
 			w.onFailure(e.err)
 			w.scheduleNext(errorStatus, c)
 		}
 	}
 }
 
-// establish makes a call the watch, and ends the other one.
+// establish makes c the watch, stops the other call, and stops the timer of the next one.
 func (w *watcher) establish(c *call) {
 	if w.newest != nil && w.newest != c {
 		w.newest.stop()
 		w.onFailure(errSuperseded)
 	}
 	if w.stalled != nil && w.stalled != c {
-		w.stalled.stop() // why it was given up has been reported
+		w.stalled.stop() // its stall has been reported to onFailure
 	}
 	w.newest, w.stalled = c, nil
 	w.nextCall.Stop()
 }
 
-// scheduleNext has the next call begin when the backoff says, unless one is open.
+// scheduleNext updates the backoff after a call ended or stalled, and sets the timer of the next call unless one is open.
 func (w *watcher) scheduleNext(how ending, c *call) {
-	most := w.backoff.next(&w.timing, how, time.Since(w.lastSign), time.Since(c.began))
+	most := w.backoff.next(&w.timing, how, time.Since(w.lastSign), time.Since(c.startedAt))
 	if w.newest != nil {
 		return
 	}
--- a/internal/directory/watch_test.go
+++ b/internal/directory/watch_test.go
@@ -10,8 +10,8 @@
 	"strings"
 )
 
-// A watch goes on from the version received last, whatever ended the one before: its end, an error, or malformed text. A
-// message may take one line or several.
+// A watch continues from the version received last, whether the previous call ended normally, with an error status, or with
+// malformed text. A message may take one line or several.
 func ExampleWatch() {
 	answers := []string{`{"version":5,"full":true,"servers":[]}` + "\n\n" + `{"version":6}` + "\n", "", "{nonsense\n", "{\n  \"version\": 7\n}\n"}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -41,7 +41,7 @@
 		func(err error) {
 			select {
 			case <-stop:
-				return // stopped, or ended by the server, whichever is seen first
+				return // the reported error is that of the stop or of the server's end, whichever comes first
 			default:
 			}
 			var syntax *json.SyntaxError
@@ -51,17 +51,17 @@
 	// GET /api/targets?follow=1&since=4
 	// version 5
 	// version 6
-	// ended: the watch was ended false
+	// ended: the server closed the connection false
 	// GET /api/targets?follow=1&since=6
-	// ended: status 503, chunked false false
+	// ended: unexpected answer: status 503, chunked false false
 	// GET /api/targets?follow=1&since=6
 	// ended: invalid character 'n' looking for beginning of object key string true
 	// GET /api/targets?follow=1&since=6
 	// version 7
 }
 
-// Half a list is not passed on when discovery breaks off in the middle, and the version stays. A list without endpoints, or
-// with unknown zones and kinds, does not end the watch.
+// An incomplete list is not passed on, and the next call asks for the same version. A list without endpoints, or with unknown
+// zones and kinds, does not end the watch.
 func ExampleWatch_half() {
 	answers := []string{`{"version":8,"full":true,"servers":[{"id":"a","addr":"h:1","sta`, `{"version":8,"full":true,"servers":[]}` + "\n" +
 		`{"version":9,"full":true,"servers":[{"id":"a","addr":"h:1","zone":"nowhere","kind":"unheard","state":"up"}]}` + "\n"}
@@ -91,7 +91,7 @@
 		})
 	// Output:
 	// since 7
-	// ended: the watch was ended in the middle of a message
+	// ended: the server closed the connection in the middle of a message
 	// since 7
 	// version 8 entries 0 unread 0
 	// version 9 entries 1 unread 0
--- a/internal/http1/answer.go
+++ b/internal/http1/answer.go
@@ -9,7 +9,7 @@
 	buf      []byte
 	status   int
 	headSize int // in bytes, 0 while the head is not complete
-	at       int // bytes of buf read so far
+	parsed   int // bytes of buf read so far
 	chunks   Chunks
 	decoded  []byte // data of the chunks read so far
 }
@@ -68,7 +68,7 @@
 			a.buf, a.headSize, a.status = a.buf[a.headSize:], 0, 0
 			continue
 		}
-		a.at = a.headSize
+		a.parsed = a.headSize
 	}
 	return nil
 }
@@ -79,7 +79,7 @@
 
 func (a *Answer) readChunks() error {
 	for !a.Done {
-		data, took, done, err := a.chunks.Next(a.buf[a.at:])
+		data, took, done, err := a.chunks.Next(a.buf[a.parsed:])
 		if err != nil {
 			return err
 		}
@@ -87,10 +87,10 @@
 		if len(a.decoded) > MaxBody {
 			return ErrSize
 		}
-		a.at += took
+		a.parsed += took
 		switch {
 		case done:
-			a.finish(a.decoded, a.at)
+			a.finish(a.decoded, a.parsed)
 		case len(data) == 0:
 			return nil
 		}
@@ -99,7 +99,7 @@
 }
 
 // finish ends the answer with its body; the next bytes of buf come after it.
-func (a *Answer) finish(body []byte, at int) { a.Body, a.at, a.Done = body, at, true }
+func (a *Answer) finish(body []byte, at int) { a.Body, a.parsed, a.Done = body, at, true }
 
 // BytesAfter is how many bytes have come after the answer, which were not asked for.
-func (a *Answer) BytesAfter() int { return len(a.buf) - a.at }
+func (a *Answer) BytesAfter() int { return len(a.buf) - a.parsed }
--- a/internal/loopback/pair.go
+++ b/internal/loopback/pair.go
@@ -9,8 +9,8 @@
 	"syscall"
 )
 
-// maxDraws is how many ports drawn by the system are tried before ListenPair gives up.
-const maxDraws = 32
+// maxBindAttempts is how many ports drawn by the system are tried before ListenPair gives up.
+const maxBindAttempts = 32
 
 // ListenPair listens at addr with TCP and UDP at the same port. With port 0 the system draws one that is free for
 // TCP; where it is taken for UDP another one is drawn. An error of a port that was named is returned as it is.
@@ -36,7 +36,7 @@
 			return tcp, udp, nil
 		}
 		err = errors.Join(err, tcp.Close())
-		if !drawn || draw == maxDraws || !errors.Is(err, syscall.EADDRINUSE) {
+		if !drawn || draw == maxBindAttempts || !errors.Is(err, syscall.EADDRINUSE) {
 			return nil, nil, err
 		}
 	}
--- a/internal/loopback/pair_test.go
+++ b/internal/loopback/pair_test.go
@@ -23,8 +23,8 @@
 	return &net.TCPAddr{IP: at.IP, Port: at.Port}
 }
 
-// draws hands out a port that UDP has at first, so many times, and then whatever the system draws.
-func draws(t *testing.T, taken int) (draw func() (*net.TCPListener, error), drawn *int) {
+// drawPorts hands out a port that UDP has at first, so many times, and then whatever the system draws.
+func drawPorts(t *testing.T, taken int) (draw func() (*net.TCPListener, error), drawn *int) {
 	t.Helper()
 	at := occupied(t)
 	drawn = new(int)
@@ -39,7 +39,7 @@
 
 // A port that is free for TCP may be taken for UDP: CI once failed on "listen udp: address already in use".
 func TestDrawsAgainWhereUDPIsTaken(t *testing.T) {
-	draw, drawn := draws(t, 2)
+	draw, drawn := drawPorts(t, 2)
 	streams, packets, err := listenPair(true, draw)
 	if err != nil {
 		t.Fatalf("after %d draws: %v", *drawn, err)
@@ -55,9 +55,9 @@
 }
 
 func TestGivesUpAfterMaxDraws(t *testing.T) {
-	draw, drawn := draws(t, maxDraws)
-	if _, _, err := listenPair(true, draw); !errors.Is(err, syscall.EADDRINUSE) || *drawn != maxDraws {
-		t.Errorf("%v after %d draws, want %v after %d", err, *drawn, syscall.EADDRINUSE, maxDraws)
+	draw, drawn := drawPorts(t, maxBindAttempts)
+	if _, _, err := listenPair(true, draw); !errors.Is(err, syscall.EADDRINUSE) || *drawn != maxBindAttempts {
+		t.Errorf("%v after %d draws, want %v after %d", err, *drawn, syscall.EADDRINUSE, maxBindAttempts)
 	}
 }
 
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -106,11 +106,13 @@
 	if err != nil {
 		return a, &fielderror.Error{Field: field, Err: err}
 	}
-	return unmapped(a), nil
+	return unmapIPv4(a), nil
 }
 
-// unmapped is an address in its IPv4 form, in which addresses are compared.
-func unmapped(a netip.AddrPort) netip.AddrPort { return netip.AddrPortFrom(a.Addr().Unmap(), a.Port()) }
+// unmapIPv4 is an address in its IPv4 form, in which addresses are compared.
+func unmapIPv4(a netip.AddrPort) netip.AddrPort {
+	return netip.AddrPortFrom(a.Addr().Unmap(), a.Port())
+}
 
 // Addr is where the socket is bound.
 func (p *Peers) Addr() string { return p.conn.LocalAddr().String() }
@@ -195,7 +197,7 @@
 		if err != nil {
 			continue // the error is of one datagram, such as that nobody listens where the last one went
 		}
-		if note := p.accept(buf[:n], unmapped(from)); note != nil {
+		if note := p.accept(buf[:n], unmapIPv4(from)); note != nil {
 			p.received.Add(1)
 			onNote(note)
 		}
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -22,10 +22,10 @@
 
 // Marks of RESP2, the first byte of each element.
 const (
-	markArray  = '*'
-	markBulk   = '$'
-	markSimple = '+'
-	markError  = '-'
+	typeArray        = '*'
+	typeBulk         = '$'
+	typeSimpleString = '+'
+	typeError        = '-'
 )
 
 const lineEnd = "\r\n"
@@ -41,13 +41,13 @@
 // Command reads one command from the start of buf. It returns its arguments, in args, and how many bytes it took; 0 bytes
 // with no error means that the command is not complete yet.
 func Command(buf []byte, args [][]byte) ([][]byte, int, error) {
-	count, at, err := parseLength(buf, 0, markArray, MaxArgs, ErrNoArray)
+	count, at, err := parseLength(buf, 0, typeArray, MaxArgs, ErrNoArray)
 	if at == 0 || err != nil {
 		return nil, 0, err
 	}
 	args = args[:0]
 	for range count {
-		size, from, err := parseLength(buf, at, markBulk, MaxBulk, ErrNoBulk)
+		size, from, err := parseLength(buf, at, typeBulk, MaxBulk, ErrNoBulk)
 		if from == 0 || err != nil {
 			return nil, 0, err
 		}
@@ -108,7 +108,7 @@
 		return 0, nil, 0, nil
 	}
 	switch mark = buf[0]; mark {
-	case markSimple, markError:
+	case typeSimpleString, typeError:
 		end := bytes.Index(buf, []byte(lineEnd))
 		if end < 0 {
 			if len(buf) > MaxBulk {
@@ -117,8 +117,8 @@
 			return 0, nil, 0, nil
 		}
 		return mark, buf[1:end], end + len(lineEnd), nil
-	case markBulk:
-		size, from, err := parseLength(buf, 0, markBulk, MaxBulk, ErrNoBulk)
+	case typeBulk:
+		size, from, err := parseLength(buf, 0, typeBulk, MaxBulk, ErrNoBulk)
 		end := from + size + len(lineEnd)
 		if from == 0 || err != nil || len(buf) < end {
 			return 0, nil, 0, err
@@ -130,14 +130,14 @@
 
 // AppendSimple appends a simple string, which must not contain a line end.
 func AppendSimple(out []byte, text string) []byte {
-	out = append(out, markSimple)
+	out = append(out, typeSimpleString)
 	out = append(out, text...)
 	return append(out, lineEnd...)
 }
 
 // AppendError appends an error; line ends in text would break the stream and become blanks.
 func AppendError(out []byte, text string) []byte {
-	out = append(out, markError)
+	out = append(out, typeError)
 	for i := range len(text) {
 		if c := text[i]; c == '\r' || c == '\n' {
 			out = append(out, ' ')
@@ -150,14 +150,14 @@
 
 // AppendBulk appends a bulk string.
 func AppendBulk(out, data []byte) []byte {
-	out = appendLength(out, markBulk, len(data))
+	out = appendLength(out, typeBulk, len(data))
 	out = append(out, data...)
 	return append(out, lineEnd...)
 }
 
 // AppendCommand appends a command, as a client sends it.
 func AppendCommand(out []byte, args ...[]byte) []byte {
-	out = appendLength(out, markArray, len(args))
+	out = appendLength(out, typeArray, len(args))
 	for _, arg := range args {
 		out = AppendBulk(out, arg)
 	}
--- a/internal/routes/expect.go
+++ b/internal/routes/expect.go
@@ -46,10 +46,10 @@
 func (f *Failure) String() string {
 	text := fmt.Sprintf("%s: at destination %d, %s", f.Expect, f.Destination, f.What)
 	if len(f.Lost) > 0 {
-		text += fmt.Sprintf("; once drained: %s", join(f.Lost))
+		text += fmt.Sprintf("; once drained: %s", joinIDs(f.Lost))
 	}
 	if len(f.Overrides) > 0 {
-		text += fmt.Sprintf("; with override %s", join(f.Overrides))
+		text += fmt.Sprintf("; with override %s", joinIDs(f.Overrides))
 	}
 	if f.Route.Rule != "" {
 		return text + fmt.Sprintf("; decided by route %q", f.Route.Rule)
@@ -57,7 +57,7 @@
 	return text + "; no route matches it"
 }
 
-func join[T ~string](ids []T) string {
+func joinIDs[T ~string](ids []T) string {
 	var parts []string
 	for _, id := range ids {
 		parts = append(parts, string(id))
@@ -120,7 +120,7 @@
 		for _, d := range destinations {
 			message := Message{Destination: d, Class: x.Class, Tenant: x.Tenant, Key: x.Key}
 			search := failureSearch{table: t, expectation: x, message: message, endpoints: byDestination[d]}
-			if f, fails := search.smallest(o); fails {
+			if f, fails := search.smallestFailure(o); fails {
 				failures = append(failures, f)
 				break
 			}
@@ -137,8 +137,8 @@
 	endpoints   []Endpoint // of the destination
 }
 
-// try resolves the message with some endpoints lost and returns what the expectation misses, "" for nothing.
-func (s *failureSearch) try(o *Overrides, lost []int) (Route, string) {
+// evaluate resolves the message with some endpoints lost and returns what the expectation misses, "" for nothing.
+func (s *failureSearch) evaluate(o *Overrides, lost []int) (Route, string) {
 	endpoints := slices.Clone(s.endpoints)
 	for _, i := range lost {
 		endpoints[i].Ready = false
@@ -147,10 +147,10 @@
 	return r, s.expectation.unmet(&r)
 }
 
-// smallest is the failure with the fewest losses, and among these one without overrides that have no part in it.
-func (s *failureSearch) smallest(o *Overrides) (f Failure, fails bool) {
+// smallestFailure is the failure with the fewest losses, and among these one without overrides that have no part in it.
+func (s *failureSearch) smallestFailure(o *Overrides) (f Failure, fails bool) {
 	for _, lost := range lossSets(s.endpoints, s.expectation.Losses) {
-		r, what := s.try(o, lost)
+		r, what := s.evaluate(o, lost)
 		if what == "" {
 			continue
 		}
@@ -170,7 +170,7 @@
 	needed := &Overrides{active: slices.Clone(o.active)}
 	for i := len(needed.active) - 1; i >= 0; i-- {
 		fewer := &Overrides{active: slices.Delete(slices.Clone(needed.active), i, i+1)}
-		if r, what := s.try(fewer, lost); what != "" {
+		if r, what := s.evaluate(fewer, lost); what != "" {
 			needed, f.Route, f.What = fewer, r, what
 		}
 	}
--- a/internal/routes/expect_test.go
+++ b/internal/routes/expect_test.go
@@ -11,7 +11,7 @@
 )
 
 func orders() []Rule {
-	return []Rule{{Name: "orders", Match: Match{Destination: to(1), Class: "order"},
+	return []Rule{{Name: "orders", Match: Match{Destination: destinationPointer(1), Class: "order"},
 		Sets: []Set{{Targets: []Target{{Zone: "east", Weight: 3}}}, {Under: 0.6, Targets: []Target{{Zone: "west", Weight: 1}}}}}}
 }
 
@@ -23,7 +23,7 @@
 		v.Lifetime = time.Hour
 		o.Add(v, time.Time{}, 0)
 	}
-	order := Expectation{Destination: to(1), Class: "order"}
+	order := Expectation{Destination: destinationPointer(1), Class: "order"}
 	with := func(change func(*Expectation)) Expectation { x := order; change(&x); return x }
 	failures := CheckExpectations(Compile(orders()), o, list("abcd"), []Expectation{
 		with(func(x *Expectation) { x.Name, x.Only = "only the east", []choice.EndpointID{"a", "b"} }),
@@ -34,9 +34,9 @@
 		with(func(x *Expectation) {
 			x.Name, x.Shares, x.Within = "even shares", map[choice.EndpointID]float64{"a": 0.5, "b": 0.5}, 0.05
 		}),
-		{Name: "status never to d", Destination: to(1), Class: "status", Never: []choice.EndpointID{"d"}},
+		{Name: "status never to d", Destination: destinationPointer(1), Class: "status", Never: []choice.EndpointID{"d"}},
 		{Name: "everybody has one", AtLeast: 1},
-		{Name: "somebody at 7", Destination: to(7), AtLeast: 1},
+		{Name: "somebody at 7", Destination: destinationPointer(7), AtLeast: 1},
 	})
 	for i := range failures {
 		fmt.Println(&failures[i])
@@ -66,7 +66,7 @@
 // fails does so in its counter-example, and in none with fewer losses.
 func TestVerdictsAreTrue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		rules := someRules(t)
+		rules := drawRules(t)
 		for i := range rules {
 			rules[i].Sets = []Set{{Targets: []Target{{Zone: rapid.SampledFrom([]string{"east", "west", ""}).Draw(t, "zone"), Weight: 1}}},
 				{Under: 0.5, Targets: []Target{{Weight: 1}}}}
@@ -75,7 +75,7 @@
 		if rapid.Bool().Draw(t, "an override") {
 			o.Add(Override{ID: "o", Kind: OutOfService, Destination: 1, Endpoints: []choice.EndpointID{"a"}, Lifetime: time.Hour}, time.Time{}, 0)
 		}
-		x := Expectation{Name: "x", Destination: to(1), Class: rapid.SampledFrom([]string{"order", "status"}).Draw(t, "w"),
+		x := Expectation{Name: "x", Destination: destinationPointer(1), Class: rapid.SampledFrom([]string{"order", "status"}).Draw(t, "w"),
 			Losses: rapid.IntRange(0, 2).Draw(t, "losses"), AtLeast: rapid.IntRange(0, 3).Draw(t, "at least"),
 			Never: []choice.EndpointID{choice.EndpointID(rapid.SampledFrom([]string{"a", "c"}).Draw(t, "never"))}}
 		fails := func(lost ...choice.EndpointID) bool {
@@ -116,7 +116,7 @@
 			ends = append(ends, Endpoint{ID: choice.EndpointID(fmt.Sprintf("%d-%d", d, i)), Destination: choice.DestinationID(d), Zone: []string{"east", "west"}[i], Ready: true})
 		}
 	}
-	rules := []Rule{{Name: "one is narrow", Match: Match{Destination: to(777)}, Sets: []Set{{Targets: []Target{{Zone: "west", Weight: 1}}}}}}
+	rules := []Rule{{Name: "one is narrow", Match: Match{Destination: destinationPointer(777)}, Sets: []Set{{Targets: []Target{{Zone: "west", Weight: 1}}}}}}
 	f := CheckExpectations(Compile(rules), &Overrides{}, ends, []Expectation{{Name: "any one may go", AtLeast: 1, Losses: 1}})
 	if len(f) != 1 || f[0].Destination != 777 || len(f[0].Lost) != 1 || f[0].Lost[0] != "777-1" {
 		t.Fatalf("%+v", f)
--- a/internal/routes/file/convert.go
+++ b/internal/routes/file/convert.go
@@ -13,7 +13,7 @@
 
 // converter converts the tables of one file.
 type converter struct {
-	into     *Routing
+	routing  *Routing
 	problems []tomlfile.Problem
 }
 
@@ -45,7 +45,7 @@
 	}
 	c.addProblems(routes.Check(rules))
 	for i := range rules {
-		if c.into.hasRule(rules[i].Name) {
+		if c.routing.hasRule(rules[i].Name) {
 			c.problem(fmt.Sprintf("route[%d].name", i), "%q stands in a file before this one", rules[i].Name)
 		}
 	}
@@ -106,7 +106,7 @@
 			expectation.Shares[choice.EndpointID(id)] = share
 		}
 		c.addProblems(routes.CheckExpectation(fmt.Sprintf("expect[%d].", i), &expectation))
-		c.into.Expects = append(c.into.Expects, expectation)
+		c.routing.Expects = append(c.routing.Expects, expectation)
 	}
 }
 
@@ -127,7 +127,7 @@
 		if len(c.problems) > 0 {
 			continue
 		}
-		c.into.Overrides.Add(routes.Override{
+		c.routing.Overrides.Add(routes.Override{
 			ID:          routes.OverrideID(table.ID),
 			Kind:        kind,
 			Destination: choice.DestinationID(table.Destination),
@@ -163,10 +163,10 @@
 			c.problem(path+"id", "%q is missing or taken by endpoint[%d]", table.ID, j)
 		}
 		seen[table.ID] = i
-		if c.problems == nil && c.into.hasEndpoint(table.ID) {
+		if c.problems == nil && c.routing.hasEndpoint(table.ID) {
 			c.problem(path+"id", "%q stands in a file before this one", table.ID)
 		}
-		c.into.List = append(c.into.List, routes.Endpoint{
+		c.routing.List = append(c.routing.List, routes.Endpoint{
 			ID:          choice.EndpointID(table.ID),
 			Destination: choice.DestinationID(table.Destination),
 			Zone:        table.Zone,
--- a/internal/routes/file/file.go
+++ b/internal/routes/file/file.go
@@ -62,7 +62,7 @@
 	if err := tomlfile.Decode(name, text, &f); err != nil {
 		return err
 	}
-	c := converter{into: r}
+	c := converter{routing: r}
 	rules := c.rules(f.Routes)
 	c.expectations(f.Expects)
 	c.overrides(f.Overrides)
--- a/internal/routes/override.go
+++ b/internal/routes/override.go
@@ -108,8 +108,8 @@
 // OverrideStatus is an active override with what is left of it and the override that it yields to, "" for none.
 type OverrideStatus struct {
 	Override
-	Left     time.Duration
-	YieldsTo OverrideID
+	Left         time.Duration
+	SupersededBy OverrideID
 }
 
 // Status lists the active overrides, winners first.
@@ -117,8 +117,8 @@
 	for i, v := range o.active {
 		status := OverrideStatus{Override: v.Override, Left: v.expires - elapsed}
 		for j := range i {
-			if yields(&v.Override, &o.active[j].Override) {
-				status.YieldsTo = o.active[j].ID
+			if hasNoEffectBeside(&v.Override, &o.active[j].Override) {
+				status.SupersededBy = o.active[j].ID
 				break
 			}
 		}
@@ -127,8 +127,8 @@
 	return all
 }
 
-// yields reports whether an override has no effect while another one, which wins over it, is active.
-func yields(loser, winner *Override) bool {
+// hasNoEffectBeside reports whether an override has no effect while another one, which wins over it, is active.
+func hasNoEffectBeside(loser, winner *Override) bool {
 	if loser.Destination != winner.Destination {
 		return false
 	}
--- a/internal/routes/resolve.go
+++ b/internal/routes/resolve.go
@@ -65,7 +65,7 @@
 			if _, named := weights[e.ID]; named || e.Destination != m.Destination {
 				continue
 			}
-			target := slices.IndexFunc(sets[i].Targets, func(t Target) bool { return t.names(e) })
+			target := slices.IndexFunc(sets[i].Targets, func(t Target) bool { return t.matches(e) })
 			if target < 0 {
 				continue
 			}
--- a/internal/routes/routes_test.go
+++ b/internal/routes/routes_test.go
@@ -11,7 +11,7 @@
 	"flaxcove/choice"
 )
 
-func to(d choice.DestinationID) *choice.DestinationID { return &d }
+func destinationPointer(d choice.DestinationID) *choice.DestinationID { return &d }
 
 func list(ready string) (all []Endpoint) {
 	for i, id := range []choice.EndpointID{"a", "b", "c", "d"} {
@@ -33,7 +33,7 @@
 
 // Orders go to the east, to the west only while under half of the east is ready, and nowhere else ever.
 func ExampleResolve() {
-	rules := []Rule{{Name: "orders", Match: Match{Destination: to(1), Class: "order"}, NoEndpoint: HandBack,
+	rules := []Rule{{Name: "orders", Match: Match{Destination: destinationPointer(1), Class: "order"}, NoEndpoint: HandBack,
 		Sets: []Set{{Targets: []Target{{Zone: "east", Weight: 2}}}, {Under: 0.5, Targets: []Target{{Endpoints: []choice.EndpointID{"c"}, Weight: 1}}}}}}
 	t, o, m := Compile(rules), &Overrides{}, &Message{Destination: 1, Class: "order"}
 	for _, ready := range []string{"abcd", "bcd", "cd", "d", ""} {
@@ -67,8 +67,8 @@
 		over, _, _ := o.Expire(now)
 		fmt.Printf("minute %d, lapsed %d: %s\n", minute, len(over), show(Resolve(t, o, m, list("abc"))))
 		for _, s := range o.Status(now) {
-			if s.YieldsTo != "" {
-				fmt.Printf("   %s yields to %s\n", s.ID, s.YieldsTo)
+			if s.SupersededBy != "" {
+				fmt.Printf("   %s yields to %s\n", s.ID, s.SupersededBy)
 			}
 		}
 	}
@@ -127,11 +127,11 @@
 	// route[2].set: missing; a rule leads to at least one set
 }
 
-func someRules(t *rapid.T) (rules []Rule) {
+func drawRules(t *rapid.T) (rules []Rule) {
 	for i := range rapid.IntRange(0, 40).Draw(t, "rules") {
 		r := Rule{Name: fmt.Sprint(i)}
 		if rapid.Bool().Draw(t, "by destination") {
-			r.Match.Destination = to(choice.DestinationID(rapid.IntRange(1, 3).Draw(t, "destination")))
+			r.Match.Destination = destinationPointer(choice.DestinationID(rapid.IntRange(1, 3).Draw(t, "destination")))
 		}
 		r.Match.Class = rapid.SampledFrom([]string{"", "order", "status"}).Draw(t, "workload")
 		r.Match.Tenant = rapid.SampledFrom([]string{"", "x", "y"}).Draw(t, "tenant")
@@ -144,7 +144,7 @@
 // The compiled table finds what reading the rules one by one finds.
 func TestTableFindsTheFirstMatch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		rules := someRules(t)
+		rules := drawRules(t)
 		table := Compile(rules)
 		message := &Message{Destination: choice.DestinationID(rapid.IntRange(1, 4).Draw(t, "to")),
 			Class:  rapid.SampledFrom([]string{"order", "status", "other"}).Draw(t, "w"),
@@ -172,7 +172,7 @@
 // while a pin stands nothing but what it names.
 func TestNothingIsEverWidened(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		rules := someRules(t)
+		rules := drawRules(t)
 		for i := range rules {
 			rules[i].Sets = []Set{{Targets: []Target{{Zone: rapid.SampledFrom([]string{"", "east", "west", "north"}).Draw(t, "zone"),
 				Weight: rapid.SampledFrom([]float64{0, 1, 3}).Draw(t, "weight")}}}}
@@ -204,7 +204,7 @@
 	for _, size := range []int{10, 1000, 10000} {
 		var rules []Rule
 		for i := range size {
-			rules = append(rules, Rule{Name: fmt.Sprint(i), Match: Match{Destination: to(choice.DestinationID(i)), Class: "order", KeyPrefix: fmt.Sprint("k", i%7)}})
+			rules = append(rules, Rule{Name: fmt.Sprint(i), Match: Match{Destination: destinationPointer(choice.DestinationID(i)), Class: "order", KeyPrefix: fmt.Sprint("k", i%7)}})
 		}
 		t := Compile(rules)
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
--- a/internal/routes/table.go
+++ b/internal/routes/table.go
@@ -192,8 +192,8 @@
 	return values
 }
 
-// names reports whether a target names an endpoint.
-func (t *Target) names(e *Endpoint) bool {
+// matches reports whether a target names an endpoint.
+func (t *Target) matches(e *Endpoint) bool {
 	switch {
 	case len(t.Endpoints) > 0 && !slices.Contains(t.Endpoints, e.ID),
 		t.Zone != "" && t.Zone != e.Zone,
--- a/internal/tomlfile/lines.go
+++ b/internal/tomlfile/lines.go
@@ -31,10 +31,10 @@
 	key, line := f.key(e)
 	switch e.Kind {
 	case unstable.Table:
-		f.beginTable(numbered(key, f.counts), line)
+		f.beginTable(numberedKey(key, f.counts), line)
 	case unstable.ArrayTable:
 		if i := strings.LastIndex(key, "."); i >= 0 {
-			key = numbered(key[:i], f.counts) + key[i:]
+			key = numberedKey(key[:i], f.counts) + key[i:]
 		}
 		number := f.counts[key]
 		f.counts[key]++
@@ -77,8 +77,8 @@
 	}
 }
 
-// numbered puts the number of the newest table of a list after the first part of a key.
-func numbered(key string, counts map[string]int) string {
+// numberedKey puts the number of the newest table of a list after the first part of a key.
+func numberedKey(key string, counts map[string]int) string {
 	first, rest, more := strings.Cut(key, ".")
 	if n := counts[first]; n > 0 {
 		first = fmt.Sprintf("%s[%d]", first, n-1)
