--- a/internal/fielderror/fielderror_test.go
+++ b/internal/fielderror/fielderror_test.go
@@ -7,6 +7,7 @@
 	"testing"
 )
 
+// TestError checks the text of an Error and that errors.As and errors.Is find the Error and its reason.
 func TestError(t *testing.T) {
 	err := fmt.Errorf("config.json: %w", New("listen", "%w", fs.ErrNotExist))
 	var field *Error
--- a/internal/http1/answer.go
+++ b/internal/http1/answer.go
@@ -1,35 +1,36 @@
 package http1
 
-// Answer reads one answer from pieces of any size. The zero value is ready; what comes after the answer is only counted.
+// Answer parses one answer from data that arrives in pieces of any size. The zero value is ready to use. Bytes after the end of
+// the answer are counted but not parsed.
 type Answer struct {
 	Head
-	Body []byte // complete once Done; lies in the buffer
-	Done bool
+	Body []byte // valid only when Done is true; refers to an internal buffer
+	Done bool   // the answer is complete
 
-	buf      []byte
+	buf      []byte // data received, without interim answers
 	status   int
-	headSize int // in bytes, 0 while the head is not complete
-	parsed   int // bytes of buf read so far
+	headSize int // in bytes; 0 while the head is not complete
+	parsed   int // number of bytes of buf that have been parsed
 	chunks   Chunks
-	decoded  []byte // data of the chunks read so far
+	decoded  []byte // data of the chunks parsed so far
 }
 
-// Status is that of the status line, 0 while it is not complete.
+// Status returns the status code, which is known as soon as the status line is complete. It is 0 before.
 func (a *Answer) Status() int { return a.status }
 
-// Started reports whether anything has come.
+// Started reports whether any data has been received.
 func (a *Answer) Started() bool { return len(a.buf) > 0 }
 
-// Feed adds a piece and reads as far as possible. Interim answers are skipped.
+// Feed adds a piece of data and parses as far as possible. It skips interim answers. An error is ErrHead, ErrSize or ErrBody.
 func (a *Answer) Feed(piece []byte) error {
 	a.buf = append(a.buf, piece...)
 	return a.read(false)
 }
 
-// End says that the connection has ended, which ends some bodies.
+// End tells the Answer that the connection has ended. This completes a body that has neither a length nor chunks.
 func (a *Answer) End() error { return a.read(true) }
 
-// read reads on; ended says that nothing more will come.
+// read parses as far as possible. ended says that no more data will arrive.
 func (a *Answer) read(ended bool) error {
 	if a.Done {
 		return nil
@@ -49,12 +50,12 @@
 	case ended:
 		a.finish(a.buf[a.headSize:], len(a.buf))
 	default:
-		a.Close = true // the body ends with the connection
+		a.Close = true // the end of the connection ends the body
 	}
 	return nil
 }
 
-// readHead reads the head unless it has been read, and skips interim answers.
+// readHead parses the head unless that has been done, and skips interim answers.
 func (a *Answer) readHead() error {
 	for a.headSize == 0 {
 		var err error
@@ -73,10 +74,12 @@
 	return nil
 }
 
+// tooLarge reports whether the body exceeds MaxBody, as far as is known.
 func (a *Answer) tooLarge() bool {
 	return a.Length > MaxBody || len(a.decoded) > MaxBody || !a.Chunked && len(a.buf)-a.headSize > MaxBody+MaxHead
 }
 
+// readChunks decodes the chunks received so far.
 func (a *Answer) readChunks() error {
 	for !a.Done {
 		data, took, done, err := a.chunks.Next(a.buf[a.parsed:])
@@ -98,8 +101,8 @@
 	return nil
 }
 
-// finish ends the answer with its body; the next bytes of buf come after it.
+// finish completes the answer with its body. at is the position in buf after the answer.
 func (a *Answer) finish(body []byte, at int) { a.Body, a.parsed, a.Done = body, at, true }
 
-// BytesAfter is how many bytes have come after the answer, which were not asked for.
+// BytesAfter returns the number of bytes received after the end of the answer, which belong to no request.
 func (a *Answer) BytesAfter() int { return len(a.buf) - a.parsed }
--- a/internal/http1/chunks.go
+++ b/internal/http1/chunks.go
@@ -5,25 +5,26 @@
 	"strconv"
 )
 
-// Chunks decodes the chunked transfer coding, fed piece by piece. The zero value is ready.
+// Chunks decodes the chunked transfer coding from data that arrives in pieces. The zero value is ready to use.
 type Chunks struct {
-	left  int64 // bytes of the current chunk
+	left  int64 // bytes of the current chunk that are still to come
 	state chunkState
 }
 
-// chunkState is what comes next.
+// chunkState says what the decoder expects next.
 type chunkState int
 
 const (
 	chunkSize    chunkState = iota // the line with a chunk's size
 	chunkData                      // data of a chunk
 	chunkEnd                       // the line end after a chunk's data
-	chunkTrailer                   // a line of the trailer, which ends with an empty one
-	chunkDone                      // nothing
+	chunkTrailer                   // a line of the trailer, which ends with an empty line
+	chunkDone                      // nothing; the body is complete
 )
 
-// Next reads on from buf. It returns data, which lies in buf, the bytes it took, and whether the last chunk and its trailer
-// are over; no data and 0 bytes mean that more is needed.
+// Next decodes from the start of buf, which must continue where the last call stopped. It returns the next data, a part of buf,
+// the number of bytes of buf that it took, and whether the last chunk and its trailer are complete. If it returns neither data
+// nor done, it needs more input. The error is ErrBody.
 func (c *Chunks) Next(buf []byte) (data []byte, took int, done bool, err error) {
 	for {
 		rest := buf[took:]
@@ -48,7 +49,7 @@
 	}
 }
 
-// takeData takes what has come of the current chunk.
+// takeData returns the part of the current chunk that is at the start of rest.
 func (c *Chunks) takeData(rest []byte) []byte {
 	n := min(c.left, int64(len(rest)))
 	c.left -= n
@@ -58,7 +59,7 @@
 	return rest[:n]
 }
 
-// takeLine takes a line, without its end, and returns the bytes it took, 0 while it is not complete.
+// takeLine returns the first line without its line end and the number of bytes it took, which is 0 if the line is incomplete.
 func (c *Chunks) takeLine(rest []byte) (line []byte, size int, err error) {
 	end := bytes.IndexByte(rest[:min(len(rest), MaxHead)], '\n')
 	if end < 0 {
@@ -70,7 +71,7 @@
 	return bytes.TrimSuffix(rest[:end], []byte{'\r'}), end + 1, nil
 }
 
-// readLine reads a line outside the data of chunks.
+// readLine parses a line that is not data of a chunk.
 func (c *Chunks) readLine(line []byte) error {
 	switch c.state {
 	case chunkEnd:
--- a/internal/http1/head.go
+++ b/internal/http1/head.go
@@ -6,30 +6,31 @@
 	"strconv"
 )
 
-// Head is the head of one answer.
+// Head is the head of one answer. Its fields refer to the buffer that Parse got.
 type Head struct {
-	Status     int
+	Status     int   // status code
 	Close      bool  // the connection ends after this answer
-	Length     int64 // of the body; lengthUnknown where it follows from chunks or from the connection's end
-	Chunked    bool
+	Length     int64 // of the body in bytes; lengthUnknown if chunks or the end of the connection determine it
+	Chunked    bool  // the body has the chunked transfer coding
 	fields     [maxFields]field
 	fieldCount int
 }
 
-// lengthUnknown is the Length of a head that does not say it.
+// lengthUnknown is the Length of a head that does not state the length of the body.
 const lengthUnknown = -1
 
 const (
 	versionPrefix = "HTTP/1."
-	minorVersion  = len(versionPrefix) // where in a status line the digit of the minor version stands
-	statusAt      = len("HTTP/1.1 ")   // where the status stands
+	minorVersion  = len(versionPrefix) // position of the minor version's digit in a status line
+	statusAt      = len("HTTP/1.1 ")   // position of the status code
 	statusEnd     = statusAt + 3
-	firstFinal    = 200 // statuses below belong to interim answers
+	firstFinal    = 200 // lower status codes are those of interim answers
 )
 
+// field is one header field.
 type field struct{ name, value []byte }
 
-// Get returns a field's first value, nil if there is none.
+// Get returns the value of the first field with the given name, in any case, or nil if there is none.
 func (h *Head) Get(name string) []byte {
 	for _, f := range h.fields[:h.fieldCount] {
 		if bytes.EqualFold(f.name, []byte(name)) {
@@ -39,7 +40,7 @@
 	return nil
 }
 
-// parseStatus reads the status line alone from the start of buf; 0 while it is not complete.
+// parseStatus returns the status code of the status line at the start of buf, or 0 if the line is incomplete.
 func parseStatus(buf []byte) (int, error) {
 	end := bytes.IndexByte(buf, '\n')
 	if end < 0 {
@@ -60,8 +61,8 @@
 	return n, nil
 }
 
-// checkStatusStart checks a status line that is not complete, so that a peer that sends something else without a line end
-// is not waited for.
+// checkStatusStart checks an incomplete status line, so that the caller does not wait for the line end of a peer that sends
+// something else.
 func checkStatusStart(buf []byte) error {
 	n := min(len(buf), len(versionPrefix))
 	switch {
@@ -73,7 +74,8 @@
 	return nil
 }
 
-// Parse reads a head from the start of buf and returns the bytes it took, 0 while it is not complete.
+// Parse parses the head at the start of buf and returns its size in bytes, or 0 if it is incomplete. An error is ErrHead or
+// ErrSize.
 func (h *Head) Parse(buf []byte) (int, error) {
 	status, err := parseStatus(buf)
 	if status == 0 || err != nil {
@@ -100,6 +102,7 @@
 	}
 }
 
+// addField parses the line of one field and adds it.
 func (h *Head) addField(line []byte) error {
 	name, value, found := bytes.Cut(line, []byte{':'})
 	if !found || len(name) == 0 || bytes.ContainsAny(name, " \t") {
@@ -113,7 +116,7 @@
 	return nil
 }
 
-// setFraming sets, from the fields, how the end of the answer is found.
+// setFraming sets Close, Chunked and Length, which determine the end of the answer, from the fields and the status.
 func (h *Head) setFraming() error {
 	if v := h.Get("Connection"); v != nil {
 		h.Close = bytes.EqualFold(v, []byte("close")) || h.Close && !bytes.EqualFold(v, []byte("keep-alive"))
@@ -127,7 +130,7 @@
 			h.Chunked = true
 		case bytes.EqualFold(f.name, []byte("Content-Length")):
 			n, err := strconv.ParseUint(string(f.value), 10, 62)
-			// With two lengths that differ it is unknown where the answer ends.
+			// Two different lengths leave the end of the answer unknown.
 			if err != nil || h.Length >= 0 && h.Length != int64(n) {
 				return ErrHead
 			}
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -1,10 +1,10 @@
-// Package http1 writes the requests that a sender makes and reads the answers, in HTTP/1.1.
+// Package http1 formats HTTP/1.1 requests of a sender and parses the answers.
 //
-// It owns the form of both: heads, lengths and chunks. Heads are parsed in place; what it returns lies in the caller's
-// buffer. It opens no connection, retries nothing and follows no redirect. It does not take a part of an answer for a
-// complete one, nor hold more of it than the limits below.
+// Heads are parsed in place: the results refer to the caller's buffer. The package opens no connection, retries nothing and
+// follows no redirect. It never reports an incomplete answer as complete, and it stores no more of an answer than the limits
+// below allow.
 //
-// head.go reads the head of an answer, chunks.go a chunked body, and answer.go a whole answer from pieces.
+// head.go parses the head of an answer, chunks.go a chunked body, and answer.go a whole answer from pieces.
 package http1
 
 import (
@@ -12,28 +12,28 @@
 	"strconv"
 )
 
-// Limits of an answer in bytes. MaxHead bounds its head, MaxBody its body: that of a bulk call or the list of endpoints,
-// far above what either needs.
+// Limits of an answer in bytes. MaxHead bounds the head, and MaxBody the body. The largest bodies are those of bulk calls and
+// lists of endpoints; both are far below MaxBody.
 const (
 	MaxHead = 8 << 10
 	MaxBody = 256 << 10
 
-	maxChunkLine = 64  // a chunk's length with its extensions
-	maxFields    = 128 // of a head
+	maxChunkLine = 64  // bytes of the line with a chunk's length and extensions
+	maxFields    = 128 // number of fields of a head
 )
 
-// What is wrong with an answer; each ends its connection.
+// Errors in an answer. After each of them the connection must be closed.
 var (
-	ErrHead = errors.New("broken answer head")
+	ErrHead = errors.New("malformed answer head")
 	ErrSize = errors.New("answer too large")
-	ErrBody = errors.New("broken answer body")
+	ErrBody = errors.New("malformed answer body")
 )
 
-// NoBody is the size of the body of a request without one.
+// NoBody is the size that AppendRequest takes for a request without a body.
 const NoBody = -1
 
-// AppendRequest appends a request's head. Fields come as name, value, name, value; a body of size bytes follows, and no
-// body where size is below 0.
+// AppendRequest appends the head of a request to out. fields holds name, value, name, value. size is the length of the body in
+// bytes, which the caller sends after the head; NoBody, or any other value below 0, stands for a request without a body.
 func AppendRequest(out []byte, method, path, host string, size int, fields ...string) []byte {
 	out = append(out, method...)
 	out = append(out, ' ')
@@ -51,6 +51,7 @@
 	return append(out, "\r\n"...)
 }
 
+// appendField appends the line of one header field.
 func appendField(out []byte, name, value string) []byte {
 	out = append(out, name...)
 	out = append(out, ": "...)
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// feed gives an answer in pieces of one size, and then its connection's end.
+// feed parses text in pieces of the given size, followed by the end of the connection.
 func feed(text string, size int) (a Answer, err error) {
 	for i := 0; i < len(text) && err == nil; i += size {
 		err = a.Feed([]byte(text[i:min(i+size, len(text))]))
@@ -49,19 +49,19 @@
 	// 503 done=true close=true "" <nil>
 	// 200 done=false close=false "" <nil>
 	// 0 done=false close=false "" <nil>
-	// 200 done=false close=false "" broken answer head
-	// 200 done=false close=false "" broken answer head
-	// 200 done=false close=false "" broken answer head
-	// 200 done=false close=false "" broken answer body
-	// 200 done=false close=false "" broken answer body
+	// 200 done=false close=false "" malformed answer head
+	// 200 done=false close=false "" malformed answer head
+	// 200 done=false close=false "" malformed answer head
+	// 200 done=false close=false "" malformed answer body
+	// 200 done=false close=false "" malformed answer body
 	// 200 done=false close=false "" answer too large
-	// 0 done=false close=false "" broken answer head
-	// 200 done=false close=false "" broken answer head
-	// 0 done=false close=false "" broken answer head
+	// 0 done=false close=false "" malformed answer head
+	// 200 done=false close=false "" malformed answer head
+	// 0 done=false close=false "" malformed answer head
 }
 
-// A head of the greatest size is read and one above is not, in whatever pieces it comes. The same holds for a status
-// line alone, and for what comes behind interim answers.
+// TestGreatestHead checks that a head of MaxHead bytes is accepted and one of a byte more is rejected, in pieces of any size. The
+// same must hold for a head that consists mostly of the status line, and after an interim answer.
 func TestGreatestHead(t *testing.T) {
 	for _, interim := range []string{"", "HTTP/1.1 100 On\r\n\r\n"} {
 		for _, of := range []struct{ start, end string }{
@@ -80,7 +80,8 @@
 	}
 }
 
-// A body of the greatest size is read and one above is not, with a length and in chunks.
+// TestGreatestBody checks that a body of MaxBody bytes is accepted and one of a byte more is rejected, with a length and in
+// chunks.
 func TestGreatestBody(t *testing.T) {
 	for _, above := range []int{0, 1} {
 		body := strings.Repeat("x", MaxBody+above)
@@ -111,7 +112,8 @@
 	// "GET / HTTP/1.1\r\nHost: h:1\r\n\r\n"
 }
 
-// FuzzAnswer: wherever the pieces are cut, the same answer comes out, and no input crashes or grows past the limits.
+// FuzzAnswer checks that the result does not depend on the size of the pieces, that no input causes a panic, and that the body
+// stays within the limits.
 func FuzzAnswer(f *testing.F) {
 	f.Add("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n", 2)
 	f.Add("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", 5)
--- a/internal/journal/capacity_test.go
+++ b/internal/journal/capacity_test.go
@@ -1,6 +1,7 @@
 package journal
 
-// Benchmarks behind docs/CAPACITY.md: the file by records of a message as a sender writes it.
+// This file holds the benchmarks for docs/CAPACITY.md: the cost of the journal by the number of records, with the size of a
+// message's record in a sender.
 
 import (
 	"bytes"
@@ -11,10 +12,11 @@
 )
 
 const (
-	capacityRecord = 250 // bytes: an id, a class, times and a body of 200
+	capacityRecord = 250 // bytes of a record: an id, a class, times and a body of 200 bytes
 	capacityLimit  = int64(1) << 40
 )
 
+// capacityRecords writes a journal with n records and returns its folder.
 func capacityRecords(b *testing.B, n int) string {
 	dir := b.TempDir()
 	j, _, err := Open(dir, capacityLimit, func([]byte) {})
@@ -37,7 +39,8 @@
 
 var capacityRecordCounts = []int{1_000, 10_000, 100_000, 1_000_000}
 
-// BenchmarkCapacityOpen reads a file; alloc-B is what one opening allocates, which all lives at once: the whole file.
+// BenchmarkCapacityOpen opens and replays files. alloc-B is the number of bytes that one Open allocates; they are all in use at
+// the same time, because Open reads the whole file into memory.
 func BenchmarkCapacityOpen(b *testing.B) {
 	bench.Sizes(b, "records", capacityRecordCounts, func(b *testing.B, n int) {
 		dir := capacityRecords(b, n)
@@ -62,7 +65,7 @@
 	})
 }
 
-// BenchmarkCapacityRewrite writes the whole file anew, as a sender's loop does when it nears its limit.
+// BenchmarkCapacityRewrite rewrites the whole file, as a sender does when the file is near its limit.
 func BenchmarkCapacityRewrite(b *testing.B) {
 	bench.Sizes(b, "records", capacityRecordCounts, func(b *testing.B, n int) {
 		j, _, err := Open(capacityRecords(b, n), capacityLimit, func([]byte) {})
@@ -89,7 +92,7 @@
 	})
 }
 
-// BenchmarkCapacityAppend is one tick's flush by records in it.
+// BenchmarkCapacityAppend measures the flush of one tick by the number of records in it.
 func BenchmarkCapacityAppend(b *testing.B) {
 	bench.Sizes(b, "records", []int{1, 10, 100, 1000}, func(b *testing.B, n int) {
 		j, _, err := Open(b.TempDir(), capacityLimit, func([]byte) {})
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -1,8 +1,8 @@
-// Package journal stores the records of a sender in one file of the folder that outlives its process.
+// Package journal stores the records of a sender in one file of its state folder, so that they outlive the process.
 //
-// It owns that folder: the file's frames, its size and its rewriting. It knows nothing of what the records mean. It does not
-// fail on what a killed process left behind (an incomplete record at the end is dropped), does not grow beyond its limit, and
-// does not replace a good file by an incomplete one.
+// It defines the format of the file, and it bounds and rewrites the file; it does not interpret the records. A file that a
+// killed process left behind can always be opened: an incomplete record at its end is dropped. A rewrite never makes the files
+// exceed the limit and never replaces a valid file by an incomplete one.
 package journal
 
 import (
@@ -18,33 +18,34 @@
 const (
 	magic         = "flaxcove journal 1\n" // at the start of the file
 	checksumAt    = 4                      // in a frame, after the record's length
-	frameHeadSize = 8                      // length and checksum
-	maxRecord     = 1 << 20                // far above a message with the largest body
-	blockSize     = 512                    // files count against the limit in blocks
+	frameHeadSize = 8                      // bytes of the length and the checksum
+	maxRecord     = 1 << 20                // bytes of a record; a message with the largest body is far smaller
+	blockSize     = 512                    // bytes; the size of a file counts against the limit rounded up to blocks
 
 	currentFile = "notices.log"
-	rewriteFile = "notices.new" // the file that a rewriting prepares
+	rewriteFile = "notices.new" // written by Rewrite and then renamed to currentFile
 
 	folderMode = 0o700
 	fileMode   = 0o600
 )
 
-// ErrFull says that a rewritten file does not fit under the limit.
+// ErrFull is returned by Rewrite if the old and the new file together would exceed the limit.
 var ErrFull = errors.New("the journal is full")
 
 var checksumTable = crc32.MakeTable(crc32.Castagnoli)
 
-// Journal is an open file of records. It is for one goroutine.
+// Journal is an open file of records. It must not be used by more than one goroutine at a time.
 type Journal struct {
 	dir   string
 	file  *os.File
-	size  int64  // of the file
-	limit int64  // of the sizes of all files in dir that hold records
-	batch []byte // added and not yet written
+	size  int64  // of the file in bytes
+	limit int64  // in bytes, for all files in dir that hold records
+	batch []byte // frames that were added since the last Flush
 }
 
-// Open reads the file in dir, if there is one, and hands each complete record to replay, in order. It drops what comes
-// after the first damaged record and returns how many bytes that was.
+// Open opens the file in dir and creates it, and dir, if they do not exist. It calls replay with each valid record, in order; the
+// records are slices of one buffer with the whole file. Open cuts the file off at the first damaged or incomplete record and
+// returns the number of dropped bytes. limit is in bytes.
 func Open(dir string, limit int64, replay func(record []byte)) (j *Journal, dropped int64, err error) {
 	j = &Journal{dir: dir, limit: limit}
 	dropped, err = j.open(replay)
@@ -60,12 +61,12 @@
 	return j, dropped, nil
 }
 
-// open replays the file and opens it for writing after its last good record.
+// open replays the file and opens it for writing after the last valid record.
 func (j *Journal) open(replay func(record []byte)) (dropped int64, err error) {
 	if err := os.MkdirAll(j.dir, folderMode); err != nil {
 		return 0, err
 	}
-	// The file of a rewriting that was cut off counts against the limit and has no record that the current file lacks.
+	// A file left by an interrupted rewrite would count against the limit, and all its records are in the current file too.
 	if err := os.Remove(j.path(rewriteFile)); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return 0, err
 	}
@@ -83,7 +84,8 @@
 	return int64(len(data)) - j.size, nil
 }
 
-// replayAll hands each record of a file to replay, up to the first damaged one, and returns the size of the good part.
+// replayAll calls replay with each record of a file up to the first damaged or incomplete one, and returns the size in bytes of
+// the valid part. Without the magic text at the start no part is valid.
 func replayAll(data []byte, replay func(record []byte)) (good int64) {
 	if !bytes.HasPrefix(data, []byte(magic)) {
 		return 0
@@ -98,7 +100,7 @@
 
 func (j *Journal) path(name string) string { return filepath.Join(j.dir, name) }
 
-// firstRecord is the record at the start of data, nil if there is no complete one.
+// firstRecord returns the record at the start of data, or nil if it is incomplete or damaged.
 func firstRecord(data []byte) []byte {
 	if len(data) < frameHeadSize {
 		return nil
@@ -114,28 +116,30 @@
 	return record
 }
 
+// appendFrame appends a record with its length and checksum to out.
 func appendFrame(out, record []byte) []byte {
 	out = binary.LittleEndian.AppendUint32(out, uint32(len(record)))
 	out = binary.LittleEndian.AppendUint32(out, crc32.Checksum(record, checksumTable))
 	return append(out, record...)
 }
 
-// Size is the size in bytes of the records written and of those added since the last Flush.
+// Size returns the size of the file in bytes, including the records added since the last Flush.
 func (j *Journal) Size() int64 { return j.size + int64(len(j.batch)) }
 
-// Limit is the limit given to Open, in bytes.
+// Limit returns the limit that was passed to Open, in bytes.
 func (j *Journal) Limit() int64 { return j.limit }
 
-// Framed is how many bytes a record of n bytes adds to the file.
+// Framed returns the number of bytes that a record of n bytes adds to the file.
 func Framed(n int) int64 { return int64(n) + frameHeadSize }
 
-// inBlocks is a file's size in complete blocks.
+// inBlocks returns the size of a file rounded up to whole blocks, in bytes.
 func inBlocks(size int64) int64 { return (size + blockSize - 1) / blockSize * blockSize }
 
-// Add adds a record to the batch that the next Flush writes.
+// Add adds a record, which the next Flush writes. It copies the record.
 func (j *Journal) Add(record []byte) { j.batch = appendFrame(j.batch, record) }
 
-// Flush writes all that was added by one call. What the operating system has accepted outlives the process without a sync.
+// Flush writes all added records with a single write. It does not sync: data that the operating system has accepted outlives
+// the process. After an error the records remain to be written by the next Flush.
 func (j *Journal) Flush() error {
 	if len(j.batch) == 0 {
 		return nil
@@ -152,9 +156,9 @@
 	return nil
 }
 
-// Rewrite replaces the file by one that holds just the records that all adds; what was added since the last Flush must be
-// among them. While both files exist both count against the limit, so a rewriting that would exceed it is not begun. If it
-// fails, the old file and what waits for Flush are unchanged.
+// Rewrite replaces the file by one that holds only the records that all passes to add. They must include the records added since
+// the last Flush, which are otherwise lost. Both files exist for a while and count against the limit; if they would exceed it,
+// Rewrite returns ErrFull. After an error the old file and the records to be flushed are unchanged.
 func (j *Journal) Rewrite(all func(add func(record []byte))) error {
 	fresh := []byte(magic)
 	all(func(record []byte) { fresh = appendFrame(fresh, record) })
@@ -176,8 +180,8 @@
 	return nil
 }
 
-// Put replaces a small file beside the records, completely or not at all. Its owner bounds its size: it does not count
-// against the limit here.
+// Put atomically replaces the small file name in the folder of the journal. The file does not count against the limit; the
+// caller must bound its size.
 func (j *Journal) Put(name string, data []byte) error {
 	path := filepath.Join(j.dir, name)
 	if err := os.WriteFile(path+".new", data, fileMode); err != nil {
@@ -186,8 +190,8 @@
 	return os.Rename(path+".new", path)
 }
 
-// Get reads what Put wrote.
+// Get reads a file that was written by Put into the folder dir.
 func Get(dir, name string) ([]byte, error) { return os.ReadFile(filepath.Join(dir, name)) }
 
-// Close writes what was added and closes the file.
+// Close flushes the added records and closes the file.
 func (j *Journal) Close() error { return errors.Join(j.Flush(), j.file.Close()) }
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -9,6 +9,7 @@
 	"testing"
 )
 
+// open opens the journal in dir, prints an error, and returns the records in the file.
 func open(dir string, limit int64) (j *Journal, records []string, dropped int64) {
 	j, dropped, err := Open(dir, limit, func(r []byte) { records = append(records, string(r)) })
 	if err != nil {
@@ -17,6 +18,7 @@
 	return j, records, dropped
 }
 
+// write adds records to the journal in dir and closes it.
 func write(dir string, records ...string) {
 	j, _, _ := open(dir, 1<<20)
 	for _, r := range records {
@@ -25,8 +27,8 @@
 	j.Close()
 }
 
-// A process killed while it writes leaves an incomplete record, which is cut off; the records before it stay, and further
-// ones follow them.
+// A process that is killed while it writes leaves an incomplete record. Open cuts that record off and keeps the records before
+// it, and new records follow them. A damaged record is cut off with all records after it.
 func Example_incompleteTail() {
 	dir, _ := os.MkdirTemp("", "journal")
 	defer os.RemoveAll(dir)
@@ -57,8 +59,8 @@
 	// flipped [] 22
 }
 
-// While a rewriting is under way both files count, so one that would exceed the limit is not begun; a file that a killed
-// rewriting left is removed.
+// During a rewrite both files count against the limit, so a rewrite that would exceed it is rejected. Open removes a file left by
+// an interrupted rewrite.
 func Example_rewrite() {
 	dir, _ := os.MkdirTemp("", "journal")
 	defer os.RemoveAll(dir)
@@ -67,7 +69,7 @@
 		j.Add([]byte("a record of some length"))
 	}
 	fmt.Println(j.Flush(), j.Size(), j.Rewrite(func(add func([]byte)) { add(make([]byte, 600)) }))
-	j.Add([]byte("waits, and is among what is kept"))
+	j.Add([]byte("added since the last Flush"))
 	fmt.Println(j.Rewrite(func(add func([]byte)) { add([]byte("kept")) }), j.Size())
 	j.Add([]byte("later"))
 	j.Close()
@@ -81,7 +83,8 @@
 	// [kept later] 1
 }
 
-// FuzzOpen: no file crashes a start, and what is read back is what a second start reads.
+// FuzzOpen checks that Open fails for no content of the file, and that opening the file again returns the same number of records
+// and the one added.
 func FuzzOpen(f *testing.F) {
 	f.Add([]byte(magic + "\x03\x00\x00\x00aaaaone"))
 	f.Fuzz(func(t *testing.T, data []byte) {
--- a/internal/journal/storeddata_test.go
+++ b/internal/journal/storeddata_test.go
@@ -9,11 +9,11 @@
 	"flaxcove/internal/journal"
 )
 
-// storedLimit is far above the stored file's size.
+// storedLimit is the limit in bytes. It is far above the size of the stored file.
 const storedLimit = 1 << 20
 
-// storedFolder copies the folder that commit 485f0e4 wrote. It is never written anew: an older program's files have to
-// stay readable.
+// storedFolder returns a copy of the folder testdata/stored, which commit 485f0e4 wrote. The folder must never be regenerated:
+// files of an older program have to stay readable.
 func storedFolder(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -36,12 +36,13 @@
 	return records, dropped
 }
 
+// storedRecords returns the records in the stored file.
 func storedRecords() [][]byte {
 	return [][]byte{[]byte("first"), {0}, bytes.Repeat([]byte("wide "), 60)}
 }
 
-// TestReadsStoredJournal: an older program's records are read as they were, whole or with the end torn off, and its
-// bytes are those that this program writes.
+// TestReadsStoredJournal checks that the records of an older program are read unchanged, both from its complete file and from
+// one that is cut off in the last record.
 func TestReadsStoredJournal(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -67,7 +68,8 @@
 	}
 }
 
-// TestWritesStoredJournal: the same records give the same file, which an older program can read after a step back.
+// TestWritesStoredJournal checks that the same records give the same file, so that an older program can read it after a
+// downgrade.
 func TestWritesStoredJournal(t *testing.T) {
 	dir := t.TempDir()
 	j, _, err := journal.Open(dir, storedLimit, func([]byte) {})
@@ -93,7 +95,7 @@
 	}
 }
 
-// TestReadsStoredFileBeside: a file that stands beside the journal keeps its name.
+// TestReadsStoredFileBeside checks that Get reads a file that an older program stored with Put.
 func TestReadsStoredFileBeside(t *testing.T) {
 	got, err := journal.Get(storedFolder(t), "beside.json")
 	if err != nil || string(got) != `{"beside":1}` {
--- a/internal/loopback/pair.go
+++ b/internal/loopback/pair.go
@@ -1,6 +1,5 @@
-// Package loopback opens listeners for tests and laboratories that speak TCP and UDP at one port.
-//
-// The caller closes both. A serving sender must not use it.
+// Package loopback opens a TCP and a UDP socket on the same port, for tests and laboratories. A production sender must not use
+// it.
 package loopback
 
 import (
@@ -9,11 +8,11 @@
 	"syscall"
 )
 
-// maxBindAttempts is how many ports drawn by the system are tried before ListenPair gives up.
+// maxBindAttempts is the number of ephemeral ports that ListenPair tries before it gives up.
 const maxBindAttempts = 32
 
-// ListenPair listens at addr with TCP and UDP at the same port. With port 0 the system draws one that is free for
-// TCP; where it is taken for UDP another one is drawn. An error of a port that was named is returned as it is.
+// ListenPair listens on addr with TCP and with UDP on the same port. If the port is 0, it chooses an ephemeral port that is free
+// for both. If another port is in use, ListenPair returns the error and tries no other port. The caller must close both sockets.
 func ListenPair(addr string) (*net.TCPListener, *net.UDPConn, error) {
 	at, err := net.ResolveTCPAddr("tcp", addr)
 	if err != nil {
@@ -22,10 +21,11 @@
 	return listenPair(at.Port == 0, func() (*net.TCPListener, error) { return net.ListenTCP("tcp", at) })
 }
 
-// listenPair listens with UDP at the port at which listenTCP listens. Where that port was drawn and is taken for UDP, it
-// draws again: the system draws TCP ports regardless of UDP, so a busy machine hands out ports that are free for TCP only.
-func listenPair(drawn bool, listenTCP func() (*net.TCPListener, error)) (*net.TCPListener, *net.UDPConn, error) {
-	for draw := 1; ; draw++ {
+// listenPair calls listenTCP and listens with UDP on the same port. If that port is ephemeral and in use for UDP, it closes the
+// TCP listener and calls listenTCP again: the system chooses an ephemeral TCP port without regard to UDP, so on a busy machine
+// it may be free for TCP only.
+func listenPair(ephemeral bool, listenTCP func() (*net.TCPListener, error)) (*net.TCPListener, *net.UDPConn, error) {
+	for attempt := 1; ; attempt++ {
 		tcp, err := listenTCP()
 		if err != nil {
 			return nil, nil, err
@@ -36,7 +36,7 @@
 			return tcp, udp, nil
 		}
 		err = errors.Join(err, tcp.Close())
-		if !drawn || draw == maxBindAttempts || !errors.Is(err, syscall.EADDRINUSE) {
+		if !ephemeral || attempt == maxBindAttempts || !errors.Is(err, syscall.EADDRINUSE) {
 			return nil, nil, err
 		}
 	}
--- a/internal/loopback/pair_test.go
+++ b/internal/loopback/pair_test.go
@@ -7,11 +7,11 @@
 	"testing"
 )
 
-// ownIP is a loopback address that nothing but these tests binds. On 127.0.0.1 other tests that run beside these take ports
-// for TCP, too: a port that UDP had was once in use there, and the first draw failed.
+// ownIP is a loopback address that only these tests use. On 127.0.0.1 tests of other packages, which run at the same time, use
+// TCP ports too: the port that occupied chose was once in use there for TCP, and the first attempt failed.
 var ownIP = net.IPv4(127, 73, 0, 1)
 
-// occupied is a port of ownIP that UDP has and TCP does not.
+// occupied returns a port of ownIP that is in use for UDP but free for TCP.
 func occupied(t *testing.T) *net.TCPAddr {
 	t.Helper()
 	packets, err := net.ListenUDP("udp", &net.UDPAddr{IP: ownIP})
@@ -23,45 +23,49 @@
 	return &net.TCPAddr{IP: at.IP, Port: at.Port}
 }
 
-// drawPorts hands out a port that UDP has at first, so many times, and then whatever the system draws.
-func drawPorts(t *testing.T, taken int) (draw func() (*net.TCPListener, error), drawn *int) {
+// drawPorts returns a function that listens with TCP on a port that is in use for UDP the first taken times, and then on an
+// ephemeral port. attempts counts its calls.
+func drawPorts(t *testing.T, taken int) (listenTCP func() (*net.TCPListener, error), attempts *int) {
 	t.Helper()
 	at := occupied(t)
-	drawn = new(int)
+	attempts = new(int)
 	return func() (*net.TCPListener, error) {
-		*drawn++
-		if *drawn <= taken {
+		*attempts++
+		if *attempts <= taken {
 			return net.ListenTCP("tcp", at)
 		}
 		return net.ListenTCP("tcp", &net.TCPAddr{IP: at.IP})
-	}, drawn
+	}, attempts
 }
 
-// A port that is free for TCP may be taken for UDP: CI once failed on "listen udp: address already in use".
+// TestDrawsAgainWhereUDPIsTaken checks that ListenPair tries another ephemeral port if the first is in use for UDP. Without the
+// retry, tests failed occasionally with "listen udp: address already in use".
 func TestDrawsAgainWhereUDPIsTaken(t *testing.T) {
-	draw, drawn := drawPorts(t, 2)
-	streams, packets, err := listenPair(true, draw)
+	listenTCP, attempts := drawPorts(t, 2)
+	streams, packets, err := listenPair(true, listenTCP)
 	if err != nil {
-		t.Fatalf("after %d draws: %v", *drawn, err)
+		t.Fatalf("after %d attempts: %v", *attempts, err)
 	}
 	defer streams.Close()
 	defer packets.Close()
-	if *drawn != 3 {
-		t.Errorf("%d draws, want 3", *drawn)
+	if *attempts != 3 {
+		t.Errorf("%d attempts, want 3", *attempts)
 	}
 	if tcp, udp := streams.Addr().(*net.TCPAddr).Port, packets.LocalAddr().(*net.UDPAddr).Port; tcp != udp {
-		t.Errorf("TCP at port %d and UDP at %d", tcp, udp)
+		t.Errorf("TCP on port %d and UDP on port %d", tcp, udp)
 	}
 }
 
+// TestGivesUpAfterMaxDraws checks that ListenPair returns the error of UDP after maxBindAttempts ports.
 func TestGivesUpAfterMaxDraws(t *testing.T) {
-	draw, drawn := drawPorts(t, maxBindAttempts)
-	if _, _, err := listenPair(true, draw); !errors.Is(err, syscall.EADDRINUSE) || *drawn != maxBindAttempts {
-		t.Errorf("%v after %d draws, want %v after %d", err, *drawn, syscall.EADDRINUSE, maxBindAttempts)
+	listenTCP, attempts := drawPorts(t, maxBindAttempts)
+	if _, _, err := listenPair(true, listenTCP); !errors.Is(err, syscall.EADDRINUSE) || *attempts != maxBindAttempts {
+		t.Errorf("%v after %d attempts, want %v after %d", err, *attempts, syscall.EADDRINUSE, maxBindAttempts)
 	}
 }
 
-// A port that was named must not be changed for another, and its TCP half must not stay taken.
+// TestNamedPortIsNotDrawnAgain checks that a given port is not replaced by another one, and that after the error it is free for
+// TCP again.
 func TestNamedPortIsNotDrawnAgain(t *testing.T) {
 	at := occupied(t)
 	if _, _, err := ListenPair(at.String()); !errors.Is(err, syscall.EADDRINUSE) {
@@ -69,11 +73,12 @@
 	}
 	streams, err := net.ListenTCP("tcp", at)
 	if err != nil {
-		t.Fatalf("the TCP half is still taken: %v", err)
+		t.Fatalf("the port is still in use for TCP: %v", err)
 	}
 	streams.Close()
 }
 
+// TestUnknownAddress checks that an address whose port is not valid is an error.
 func TestUnknownAddress(t *testing.T) {
 	if _, _, err := ListenPair("127.0.0.1:none"); err == nil {
 		t.Error("no error")
--- a/internal/peers/frame.go
+++ b/internal/peers/frame.go
@@ -1,7 +1,7 @@
 package peers
 
-// This file defines the form of a datagram: a byte for the form's version, the note, and a checksum of both, so that a note
-// that was damaged on its way has no effect on an endpoint that it does not mean. What the note says is up to its reader.
+// This file defines the format of a datagram: a byte for the version of the format, the note, and a checksum of both. Without the
+// checksum a note damaged in transit could affect an endpoint that it is not about. The receiver interprets the note.
 
 import (
 	"encoding/binary"
@@ -10,18 +10,18 @@
 )
 
 const (
-	formVersion     = 'n' // changes with the form, so that senders of two versions ignore each other's notes
+	formVersion     = 'n' // changes with the format, so that senders of different versions ignore each other's notes
 	formVersionSize = 1
 	checksumSize    = 4
 )
 
-// frame is the datagram of a note.
+// frame returns the datagram for a note.
 func frame(note []byte) []byte {
 	datagram := append([]byte{formVersion}, note...)
 	return binary.LittleEndian.AppendUint32(datagram, crc32.ChecksumIEEE(datagram))
 }
 
-// unframe returns a copy of a datagram's note, nil if the datagram has another form, is damaged or has no note.
+// unframe returns a copy of the note in a datagram, or nil if the datagram has another format, is damaged or has an empty note.
 func unframe(datagram []byte) []byte {
 	end := len(datagram) - checksumSize
 	switch {
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -1,9 +1,9 @@
-// Package peers carries gossip between senders: short notes, in datagrams from this sender's own address to all others.
+// Package peers sends and receives gossip between senders: short notes in UDP datagrams, each from one sender to all others.
 //
-// It owns one UDP socket, the form of a datagram and the bound on the notes that wait to be sent. A note may be lost, late or
-// duplicated; its receiver has to allow for that. The package does not have its caller wait, does not send a datagram longer
-// than MostBytes, which the platform forbids, and does not pass on what came from an address that is no peer's, is too long
-// or was damaged.
+// It uses one socket, defines the format of a datagram, and bounds the queue of notes to be sent. A note may be lost, delayed or
+// duplicated, and its receiver must allow for that. Sending never blocks the caller. The package sends no datagram longer than
+// MostBytes, which the platform forbids. It drops received datagrams that come from an address that is not a peer's, are too
+// long, or are damaged.
 package peers
 
 import (
@@ -18,39 +18,42 @@
 )
 
 const (
-	// MostBytes is the longest datagram. Source: the protocol's page, between senders; a longer one voids the run.
+	// MostBytes is the maximum size of a datagram. Source: the section of the protocol's page about traffic between senders; a
+	// longer datagram makes a run invalid.
 	MostBytes = 256
-	// queueLength is how many notes wait to be sent at most. A note that waits behind more would be out of date.
+	// queueLength is the maximum number of notes that wait to be sent. In a longer queue a note would be outdated when it is
+	// sent.
 	queueLength = 64
 )
 
-// Options are what a configuration says about peers.
+// Options is the part of a sender's configuration that concerns peers. Addresses are IPv4 addresses with a port.
 type Options struct {
-	Listen string   // address of this sender's socket, from which it sends as well: the others know it by this address
-	Peers  []string // one address for each sender of the tier, with this one's own, in the order of their numbers
+	Listen string   // address of this sender's socket; datagrams are sent from it too, and the peers identify the sender by it
+	Peers  []string // address of each sender of the tier, including this one, in the order of their numbers
 	Own    int      // this sender's number
-	All    string   // reaches every sender of the tier; empty where each must be addressed alone
+	All    string   // an address that reaches every sender of the tier; empty if a note must be sent to each of Peers
 }
 
-// Counts are what has become of datagrams since the start.
+// Counts holds the numbers of notes and datagrams since Open.
 type Counts struct {
 	Sent    int64 // notes sent
-	Unsent  int64 // notes dropped: too long, too many waiting, or rejected by the socket
-	Heard   int64 // notes received and handed on
-	Strange int64 // datagrams dropped because they came from an address that is no peer's
-	Own     int64 // datagrams dropped because they came from this sender itself
-	TooLong int64 // datagrams dropped because they are longer than MostBytes
-	Spoilt  int64 // datagrams dropped because they are malformed or damaged
+	Unsent  int64 // notes dropped: too long, queue full, or rejected by the socket
+	Heard   int64 // notes received and passed on
+	Strange int64 // received datagrams dropped because their source is not the address of a peer
+	Own     int64 // received datagrams dropped because this sender sent them
+	TooLong int64 // received datagrams dropped because they are longer than MostBytes
+	Spoilt  int64 // received datagrams dropped because they are malformed or damaged
 }
 
-// Peers is the socket with its two goroutines, one of which sends and one receives.
+// Peers is a socket with two goroutines, one that sends and one that receives. Tell and Counts may be called at any time from
+// any goroutine.
 type Peers struct {
 	conn         *net.UDPConn
-	destinations []netip.AddrPort // where each note goes
-	known        map[netip.AddrPort]struct{}
-	own          netip.AddrPort // not valid where Options.Own is beyond the list
-	queue        chan []byte    // datagrams to be sent
-	stop         chan struct{}
+	destinations []netip.AddrPort            // each note is sent to all of them
+	known        map[netip.AddrPort]struct{} // the addresses in Options.Peers
+	own          netip.AddrPort              // this sender's address; invalid if Options.Own is not a position in Options.Peers
+	queue        chan []byte                 // datagrams to be sent
+	stop         chan struct{}               // closed by Close
 	goroutines   sync.WaitGroup
 
 	sent, unsent, received, unknownSender, fromSelf, tooLong, malformed atomic.Int64
@@ -61,7 +64,8 @@
 	errNotIPv4 = errors.New("not an IPv4 address")
 )
 
-// Open binds the socket. An error is a *fielderror.Error with the field of the configuration. Datagrams that arrive wait in the socket until Start.
+// Open binds the socket. The error is a *fielderror.Error with the field of the configuration. Until Start, received datagrams
+// wait in the socket.
 func Open(o Options) (*Peers, error) {
 	p := &Peers{known: map[netip.AddrPort]struct{}{}, queue: make(chan []byte, queueLength), stop: make(chan struct{})}
 	listen, err := parseAddress("peer_listen", o.Listen)
@@ -97,7 +101,7 @@
 	return p, nil
 }
 
-// parseAddress reads an IPv4 address with a port; names are not resolved.
+// parseAddress parses an IPv4 address with a port. It does not resolve host names. The error names the field.
 func parseAddress(field, text string) (netip.AddrPort, error) {
 	a, err := netip.ParseAddrPort(text)
 	if err == nil && !a.Addr().Unmap().Is4() {
@@ -109,22 +113,23 @@
 	return unmapIPv4(a), nil
 }
 
-// unmapIPv4 is an address in its IPv4 form, in which addresses are compared.
+// unmapIPv4 converts an IPv4-mapped IPv6 address to IPv4, so that equal addresses compare equal.
 func unmapIPv4(a netip.AddrPort) netip.AddrPort {
 	return netip.AddrPortFrom(a.Addr().Unmap(), a.Port())
 }
 
-// Addr is where the socket is bound.
+// Addr returns the local address of the socket.
 func (p *Peers) Addr() string { return p.conn.LocalAddr().String() }
 
-// Start begins to send and to receive. onNote is called for each note from the receiving goroutine, one at a time, and may
-// retain the note; while it waits, datagrams are lost once the socket is full.
+// Start starts sending and receiving. The receiving goroutine calls onNote with each note, which onNote may keep. While onNote
+// blocks, datagrams are lost once the socket's buffer is full.
 func (p *Peers) Start(onNote func(note []byte)) {
 	p.goroutines.Go(p.sendQueued)
 	p.goroutines.Go(func() { p.receive(onNote) })
 }
 
-// Tell queues a note for all others, and drops it if the queue is full. It never waits.
+// Tell queues a note for all other senders. It never blocks: if the note is too long or the queue is full, the note is dropped
+// and counted.
 func (p *Peers) Tell(note []byte) {
 	datagram := frame(note)
 	if len(datagram) > MostBytes {
@@ -138,7 +143,7 @@
 	}
 }
 
-// Close ends both goroutines and waits for them, so onNote must return.
+// Close closes the socket, stops both goroutines and waits until they have ended. It blocks while onNote does.
 func (p *Peers) Close() error {
 	close(p.stop)
 	err := p.conn.Close()
@@ -146,7 +151,7 @@
 	return err
 }
 
-// Counts may be asked for at any time.
+// Counts returns the current counts. They are not a consistent snapshot: notes may be counted while it reads.
 func (p *Peers) Counts() Counts {
 	return Counts{
 		Sent:    p.sent.Load(),
@@ -159,7 +164,7 @@
 	}
 }
 
-// sendQueued sends what is queued until Close.
+// sendQueued sends the queued datagrams until Close.
 func (p *Peers) sendQueued() {
 	for {
 		select {
@@ -171,7 +176,8 @@
 	}
 }
 
-// send counts a note as sent where one of its datagrams was sent; whether that arrives is not known.
+// send sends a datagram to all destinations. It counts the note as sent if the socket accepted the datagram for at least one
+// of them; whether it arrives is unknown.
 func (p *Peers) send(datagram []byte) {
 	anySent := false
 	for _, to := range p.destinations {
@@ -186,16 +192,16 @@
 	}
 }
 
-// receive hands on notes until Close.
+// receive passes received notes to onNote until Close.
 func (p *Peers) receive(onNote func(note []byte)) {
-	buf := make([]byte, MostBytes+1) // one byte more shows that a datagram is too long
+	buf := make([]byte, MostBytes+1) // the additional byte reveals a datagram that is too long
 	for {
 		n, from, err := p.conn.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			continue // the error is of one datagram, such as that nobody listens where the last one went
+			continue // the error concerns one datagram only, for example one sent to a port on which nobody listens
 		}
 		if note := p.accept(buf[:n], unmapIPv4(from)); note != nil {
 			p.received.Add(1)
@@ -204,7 +210,8 @@
 	}
 }
 
-// accept returns a copy of the note in a datagram; nil, with the reason counted, if the datagram is dropped.
+// accept returns a copy of the note in a datagram received from the address from. If the datagram must be dropped, accept
+// counts the reason and returns nil.
 func (p *Peers) accept(datagram []byte, from netip.AddrPort) []byte {
 	if _, known := p.known[from]; !known {
 		p.unknownSender.Add(1)
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -16,7 +16,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// socket is a peer played by the test.
+// socket returns a UDP socket that plays the role of a peer.
 func socket(t *testing.T) *net.UDPConn {
 	t.Helper()
 	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(mustAddr(t, "127.0.0.1:0")))
@@ -27,7 +27,7 @@
 	return conn
 }
 
-// started is a sender's socket with the given peers, and the notes that it receives.
+// started opens and starts Peers on a free port with the given options, and returns it with the notes that it receives.
 func started(t *testing.T, o Options) (*Peers, chan []byte) {
 	t.Helper()
 	o.Listen = "127.0.0.1:0"
@@ -41,6 +41,7 @@
 	return p, notes
 }
 
+// send sends one datagram.
 func send(t *testing.T, from *net.UDPConn, to string, text []byte) {
 	t.Helper()
 	if _, err := from.WriteToUDPAddrPort(text, mustAddr(t, to)); err != nil {
@@ -48,8 +49,8 @@
 	}
 }
 
-// What comes from a peer is received, each time that it comes; what comes from a stranger, is damaged, too long or the
-// sender's own is dropped and counted.
+// TestHeard checks that notes of a peer are received, duplicates included. Datagrams from an unknown address or the sender itself,
+// and damaged or too long ones, are dropped and counted.
 func TestHeard(t *testing.T) {
 	peer, own, stranger := socket(t), socket(t), socket(t)
 	p, notes := started(t, Options{Peers: []string{own.LocalAddr().String(), peer.LocalAddr().String()}, Own: 0})
@@ -76,7 +77,7 @@
 	send(t, peer, p.Addr(), frame(longest))
 	for _, want := range []string{"abc", "abc", string(longest)} {
 		if got := string(<-notes); got != want {
-			t.Errorf("heard %q", got)
+			t.Errorf("received %q, want %q", got, want)
 		}
 	}
 	want := Counts{Heard: 3, Strange: 1, Own: 1, Spoilt: int64(damaged) + 2, TooLong: 2}
@@ -85,8 +86,8 @@
 	}
 }
 
-// A note leaves from the socket that the others know, once to the address of all, or to each but the sender itself; a peer
-// that is gone does not affect the others.
+// TestTell checks that a note is sent from the listening socket, either once to the address that reaches all senders or to each
+// sender except itself, and that a peer that is gone does not affect the others.
 func TestTell(t *testing.T) {
 	a, b, all, gone := socket(t), socket(t), socket(t), socket(t)
 	gone.Close()
@@ -111,7 +112,7 @@
 	hears(all, once.Addr())
 	a.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 	if n, _, err := a.ReadFromUDPAddrPort(make([]byte, 300)); err == nil {
-		t.Errorf("%d bytes to each as well as to all", n)
+		t.Errorf("%d bytes sent to a single sender in addition to the address of all", n)
 	}
 	once.Tell(make([]byte, MostBytes))
 	if got := once.Counts(); got.Sent != 1 || got.Unsent != 1 {
@@ -119,7 +120,7 @@
 	}
 }
 
-// Where nothing is sent any more, Tell drops and counts; it does not wait.
+// TestTellNeverWaits checks that Tell drops and counts notes, instead of blocking, if the queue is full because nothing is sent.
 func TestTellNeverWaits(t *testing.T) {
 	p, err := Open(Options{Listen: "127.0.0.1:0", Peers: []string{"127.0.0.1:9"}, Own: 1})
 	if err != nil {
@@ -136,7 +137,7 @@
 	}
 }
 
-// What is wrong is named by its field.
+// TestOpenNamesTheField checks that the error of Open for invalid options names the field, and that a port in use is an error.
 func TestOpenNamesTheField(t *testing.T) {
 	for _, o := range []Options{{}, {Listen: "127.0.0.1:0"}, {Listen: "host:1", Peers: []string{"127.0.0.1:1"}},
 		{Listen: "127.0.0.1:0", Peers: []string{"127.0.0.1:1", "[::1]:1"}},
@@ -149,10 +150,11 @@
 	}
 	taken := socket(t)
 	if _, err := Open(Options{Listen: fmt.Sprint(taken.LocalAddr()), Peers: []string{"127.0.0.1:1"}}); err == nil {
-		t.Error("an address in use was taken")
+		t.Error("Open returned no error for an address in use")
 	}
 }
 
+// mustAddr parses an IP address with a port.
 func mustAddr(t *testing.T, text string) netip.AddrPort {
 	t.Helper()
 	a, err := netip.ParseAddrPort(text)
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -1,8 +1,8 @@
-// Package resp reads the commands that clients send and writes the answers, in RESP2.
+// Package resp parses the commands of clients and formats the answers, in the protocol RESP2.
 //
-// It owns the form of both and nothing else: it knows no command by name. It parses in place, so what it returns lies in the
-// caller's buffer and is valid until that changes. It does not read past the limits below, whatever lengths a client claims,
-// and does not take a part of a command for a complete one.
+// It knows no command by name. It parses in place: the results refer to the caller's buffer and are valid until the buffer
+// changes. It reads no more than the limits below allow, whatever length a client declares, and never returns an incomplete
+// command.
 package resp
 
 import (
@@ -11,16 +11,16 @@
 	"strconv"
 )
 
-// Limits of a command: how many arguments it has, and how many bytes an argument has. The longest argument is a message's
-// body; no other one comes near MaxBulk.
+// Limits of a command: the number of arguments, and the number of bytes of an argument. The longest argument is the body of a
+// message; all others are far shorter than MaxBulk.
 const (
 	MaxArgs = 64
 	MaxBulk = 64 << 10
 
-	maxLengthLine = 32 // digits and line end of a length
+	maxLengthLine = 32 // bytes of the digits and the line end of a length
 )
 
-// Marks of RESP2, the first byte of each element.
+// Types of RESP2 elements. The type is the first byte of an element.
 const (
 	typeArray        = '*'
 	typeBulk         = '$'
@@ -30,7 +30,8 @@
 
 const lineEnd = "\r\n"
 
-// What is wrong with a command; each ends its connection, since it is unknown where the next one begins.
+// Errors in a command. After each of them the connection must be closed, because it is unknown where the next command begins.
+// The texts are sent to clients.
 var (
 	ErrNoArray = errors.New("a command is an array of bulk strings")
 	ErrNoBulk  = errors.New("an argument is a bulk string")
@@ -38,8 +39,8 @@
 	ErrEnd     = errors.New("a bulk string does not end where its length says")
 )
 
-// Command reads one command from the start of buf. It returns its arguments, in args, and how many bytes it took; 0 bytes
-// with no error means that the command is not complete yet.
+// Command parses the command at the start of buf. It returns the arguments, reusing the memory of args, and the size of the
+// command in bytes. A size of 0 without an error means that the command is incomplete.
 func Command(buf []byte, args [][]byte) ([][]byte, int, error) {
 	count, at, err := parseLength(buf, 0, typeArray, MaxArgs, ErrNoArray)
 	if at == 0 || err != nil {
@@ -53,7 +54,7 @@
 		}
 		end := from + size
 		if len(buf) < end+len(lineEnd) {
-			// Reported early, so that a client that sent a wrong length is not waited for.
+			// The error is returned before the line end is complete: with a wrong length it may never be.
 			if len(buf) > end && buf[end] != lineEnd[0] {
 				return nil, 0, ErrEnd
 			}
@@ -68,14 +69,15 @@
 	return args, at, nil
 }
 
-// parseLength reads a line of a mark and a number, which is at most maximum. It returns the number and where the next line
-// starts, 0 while the line is not complete.
-func parseLength(buf []byte, at int, mark byte, maximum int, wrongMark error) (number, next int, err error) {
+// parseLength parses the line at position at, which holds a type and a number. It returns the number and the position of the
+// next line, or 0 for both if the line is incomplete. The error is wrongType if the line has another type, and ErrLength if it
+// has no number or one above maximum.
+func parseLength(buf []byte, at int, elementType byte, maximum int, wrongType error) (number, next int, err error) {
 	if len(buf) <= at {
 		return 0, 0, nil
 	}
-	if buf[at] != mark {
-		return 0, 0, wrongMark
+	if buf[at] != elementType {
+		return 0, 0, wrongType
 	}
 	line := buf[at+1:]
 	end := bytes.IndexByte(line[:min(len(line), maxLengthLine)], '\n')
@@ -101,13 +103,13 @@
 	return number, at + 1 + end + 1, nil
 }
 
-// Reply reads one answer from the start of buf: a simple string, an error or a bulk string; its mark tells which. It took 0
-// bytes while the answer is not complete.
-func Reply(buf []byte) (mark byte, text []byte, took int, err error) {
+// Reply parses the answer at the start of buf, which is a simple string, an error or a bulk string. It returns the answer's
+// type, its text, and its size in bytes, which is 0 if the answer is incomplete.
+func Reply(buf []byte) (elementType byte, text []byte, took int, err error) {
 	if len(buf) == 0 {
 		return 0, nil, 0, nil
 	}
-	switch mark = buf[0]; mark {
+	switch elementType = buf[0]; elementType {
 	case typeSimpleString, typeError:
 		end := bytes.Index(buf, []byte(lineEnd))
 		if end < 0 {
@@ -116,26 +118,27 @@
 			}
 			return 0, nil, 0, nil
 		}
-		return mark, buf[1:end], end + len(lineEnd), nil
+		return elementType, buf[1:end], end + len(lineEnd), nil
 	case typeBulk:
 		size, from, err := parseLength(buf, 0, typeBulk, MaxBulk, ErrNoBulk)
 		end := from + size + len(lineEnd)
 		if from == 0 || err != nil || len(buf) < end {
 			return 0, nil, 0, err
 		}
-		return mark, buf[from : from+size], end, nil
+		return elementType, buf[from : from+size], end, nil
 	}
 	return 0, nil, 0, ErrNoBulk
 }
 
-// AppendSimple appends a simple string, which must not contain a line end.
+// AppendSimple appends text to out as a simple string. The text must not contain a carriage return or line feed.
 func AppendSimple(out []byte, text string) []byte {
 	out = append(out, typeSimpleString)
 	out = append(out, text...)
 	return append(out, lineEnd...)
 }
 
-// AppendError appends an error; line ends in text would break the stream and become blanks.
+// AppendError appends text to out as an error. It replaces carriage returns and line feeds in the text by spaces, because they
+// would end the error early.
 func AppendError(out []byte, text string) []byte {
 	out = append(out, typeError)
 	for i := range len(text) {
@@ -148,14 +151,14 @@
 	return append(out, lineEnd...)
 }
 
-// AppendBulk appends a bulk string.
+// AppendBulk appends data to out as a bulk string.
 func AppendBulk(out, data []byte) []byte {
 	out = appendLength(out, typeBulk, len(data))
 	out = append(out, data...)
 	return append(out, lineEnd...)
 }
 
-// AppendCommand appends a command, as a client sends it.
+// AppendCommand appends a command with the given arguments to out, in the form that a client sends.
 func AppendCommand(out []byte, args ...[]byte) []byte {
 	out = appendLength(out, typeArray, len(args))
 	for _, arg := range args {
@@ -164,9 +167,9 @@
 	return out
 }
 
-// appendLength appends a line of a mark and a number.
-func appendLength(out []byte, mark byte, number int) []byte {
-	out = append(out, mark)
+// appendLength appends a line with a type and a number.
+func appendLength(out []byte, elementType byte, number int) []byte {
+	out = append(out, elementType)
 	out = strconv.AppendInt(out, int64(number), 10)
 	return append(out, lineEnd...)
 }
--- a/internal/routes/expect.go
+++ b/internal/routes/expect.go
@@ -10,39 +10,40 @@
 	"flaxcove/choice"
 )
 
-// Expectation is what operators expect of routing, beside their rules. What is left empty or 0 is not expected.
+// Expectation is a statement of operators about where one message may go, which the rules and overrides have to fulfil. A
+// requirement that is empty or 0 is not checked.
 type Expectation struct {
 	Name        string
-	Destination *choice.DestinationID // nil for each destination of the list
-	Class       string
-	Tenant      string
-	Key         string
-
-	Only    []choice.EndpointID           // the message reaches these and no others
-	Never   []choice.EndpointID           // the message never reaches these
-	AtLeast int                           // at least so many endpoints remain
-	Shares  map[choice.EndpointID]float64 // each endpoint gets this fraction of the messages,
-	Within  float64                       // give or take so much: 0.05 for five percentage points
-	Losses  int                           // all of that holds after the loss of any so many endpoints, two at most
+	Destination *choice.DestinationID // of the message; nil for every destination of the list in turn
+	Class       string                // of the message
+	Tenant      string                // of the message
+	Key         string                // of the message
+
+	Only    []choice.EndpointID           // the message may go to no other endpoints
+	Never   []choice.EndpointID           // the message may not go to these endpoints
+	AtLeast int                           // minimum number of endpoints that the message may go to
+	Shares  map[choice.EndpointID]float64 // fraction of the messages for each endpoint, from 0 to 1
+	Within  float64                       // allowed difference from Shares: 0.05 for five percentage points
+	Losses  int                           // the requirements also hold after any so many endpoints are lost, at most two
 }
 
-// maxLosses bounds Losses, with which the cost of a test grows exponentially.
+// maxLosses is the highest value of Losses. The cost of a check grows exponentially with Losses.
 const maxLosses = 2
 
-// sumTolerance is what shares may add up to above 1, for rounding.
+// sumTolerance is how far the sum of the shares may exceed 1 because of rounding.
 const sumTolerance = 1e-9
 
-// Failure is an expectation that does not hold, with the smallest case in which it fails.
+// Failure reports an expectation that is not fulfilled, with the smallest case in which it fails.
 type Failure struct {
-	Expect      string // its name
-	Destination choice.DestinationID
-	Lost        []choice.EndpointID // drained beside what the list says; none where it fails without a loss
-	Overrides   []OverrideID        // without which it would not fail
-	Route       Route               // as it is then
-	What        string
+	Expect      string               // name of the expectation
+	Destination choice.DestinationID // of the message
+	Lost        []choice.EndpointID  // endpoints lost in this case; empty if the expectation fails without a loss
+	Overrides   []OverrideID         // the overrides that the failure depends on
+	Route       Route                // of the message in this case
+	What        string               // the requirement that is not met
 }
 
-// String says on one line what fails and in which case.
+// String returns the failure and its case on one line.
 func (f *Failure) String() string {
 	text := fmt.Sprintf("%s: at destination %d, %s", f.Expect, f.Destination, f.What)
 	if len(f.Lost) > 0 {
@@ -57,6 +58,7 @@
 	return text + "; no route matches it"
 }
 
+// joinIDs returns the ids in order, separated by commas.
 func joinIDs[T ~string](ids []T) string {
 	var parts []string
 	for _, id := range ids {
@@ -65,42 +67,44 @@
 	return strings.Join(parts, ", ")
 }
 
-// CheckExpectation returns all that is wrong with an expectation itself; its fields' paths begin with path.
+// CheckExpectation returns all problems of the expectation x itself, without checking whether it is fulfilled. The paths of the
+// problems begin with path.
 func CheckExpectation(path string, x *Expectation) []Problem {
 	var found problems
 	if x.Name == "" {
 		found.add(path+"name", "missing")
 	}
 	if len(x.Only) == 0 && len(x.Never) == 0 && x.AtLeast == 0 && len(x.Shares) == 0 {
-		found.add(path+"name", "%q expects nothing: it takes only, never, at_least or shares", x.Name)
+		found.add(path+"name", "%q expects nothing: set only, never, at_least or shares", x.Name)
 	}
 	if x.Losses < 0 || x.Losses > maxLosses {
-		found.add(path+"losses", "%d is not within 0 and %d", x.Losses, maxLosses)
+		found.add(path+"losses", "%d is not between 0 and %d", x.Losses, maxLosses)
 	}
 	if len(x.Shares) > 0 && !(x.Within > 0 && x.Within < 1) {
-		found.add(path+"within", "%g is not above 0 and under 1", x.Within)
+		found.add(path+"within", "%g is not above 0 and below 1", x.Within)
 	}
 	sum := 0.0
 	for _, share := range x.Shares {
 		sum += share
 		if !(share >= 0 && share <= 1) {
-			found.add(path+"shares", "%g is not within 0 and 1", share)
+			found.add(path+"shares", "%g is not between 0 and 1", share)
 		}
 	}
 	if sum > 1+sumTolerance {
-		found.add(path+"shares", "they add up to %g, above 1", sum)
+		found.add(path+"shares", "the shares add up to %g, which is above 1", sum)
 	}
 	for _, id := range x.Only {
 		if slices.Contains(x.Never, id) {
-			found.add(path+"never", "%s is among only, too", id)
+			found.add(path+"never", "%s is also listed in only", id)
 		}
 	}
 	return found
 }
 
-// CheckExpectations checks expectations against rules, overrides and a list, without traffic. It returns each expectation that fails
-// once, with the smallest case: fewest endpoints lost, then fewest overrides. Its cost grows with the endpoints of one
-// destination to the power of the losses, and linearly with the number of destinations.
+// CheckExpectations checks expectations against rules, overrides and a list of endpoints; no messages are sent. It returns at
+// most one failure for each expectation, for the first destination at which it fails, with the fewest lost endpoints and
+// without overrides that the failure does not depend on. The cost grows with the number of endpoints of a destination to the
+// power of Losses, and linearly with the number of destinations.
 func CheckExpectations(t *Table, o *Overrides, list []Endpoint, expectations []Expectation) (failures []Failure) {
 	byDestination := map[choice.DestinationID][]Endpoint{}
 	var all []choice.DestinationID
@@ -129,7 +133,7 @@
 	return failures
 }
 
-// failureSearch looks for the smallest case in which an expectation fails at one destination.
+// failureSearch searches for the smallest case in which an expectation fails at one destination.
 type failureSearch struct {
 	table       *Table
 	expectation *Expectation
@@ -137,7 +141,8 @@
 	endpoints   []Endpoint // of the destination
 }
 
-// evaluate resolves the message with some endpoints lost and returns what the expectation misses, "" for nothing.
+// evaluate resolves the message with some endpoints lost, given by their positions. It returns the route and the requirement
+// that the route does not meet, or "" if it meets all.
 func (s *failureSearch) evaluate(o *Overrides, lost []int) (Route, string) {
 	endpoints := slices.Clone(s.endpoints)
 	for _, i := range lost {
@@ -147,7 +152,8 @@
 	return r, s.expectation.unmet(&r)
 }
 
-// smallestFailure is the failure with the fewest losses, and among these one without overrides that have no part in it.
+// smallestFailure returns the failure with the fewest lost endpoints, without overrides that it does not depend on. It returns
+// false if there is no failure.
 func (s *failureSearch) smallestFailure(o *Overrides) (f Failure, fails bool) {
 	for _, lost := range lossSets(s.endpoints, s.expectation.Losses) {
 		r, what := s.evaluate(o, lost)
@@ -164,8 +170,8 @@
 	return f, false
 }
 
-// reduceOverrides leaves out, one after another, overrides without which the failure occurs as well, and sets the failure to
-// what remains.
+// reduceOverrides removes, one after another, each override without which the expectation still fails, and stores the
+// remaining overrides and the resulting route in the failure.
 func (s *failureSearch) reduceOverrides(f *Failure, o *Overrides, lost []int) {
 	needed := &Overrides{active: slices.Clone(o.active)}
 	for i := len(needed.active) - 1; i >= 0; i-- {
@@ -179,10 +185,10 @@
 	}
 }
 
-// lossSets are all sets of at most so many ready endpoints, by position, smaller sets first.
+// lossSets returns all sets of at most most ready endpoints, smaller sets first. A set holds the positions of its endpoints.
 func lossSets(endpoints []Endpoint, most int) (all [][]int) {
 	all = append(all, nil)
-	from := 0 // of the sets of the size before
+	from := 0 // position of the first set of the previous size
 	for range most {
 		end := len(all)
 		for _, set := range all[from:end] {
@@ -201,7 +207,7 @@
 	return all
 }
 
-// unmet says what of an expectation a route does not meet, "" for nothing.
+// unmet describes the first requirement that a route does not meet, or returns "" if it meets all.
 func (x *Expectation) unmet(r *Route) string {
 	total := 0.0
 	for _, a := range r.Allowed {
--- a/internal/routes/expect_test.go
+++ b/internal/routes/expect_test.go
@@ -10,12 +10,14 @@
 	"flaxcove/choice"
 )
 
+// orders returns one rule: messages of class order for destination 1 go to the east, and also to the west while under 60% of
+// the endpoints in the east are ready.
 func orders() []Rule {
 	return []Rule{{Name: "orders", Match: Match{Destination: destinationPointer(1), Class: "order"},
 		Sets: []Set{{Targets: []Target{{Zone: "east", Weight: 3}}}, {Under: 0.6, Targets: []Target{{Zone: "west", Weight: 1}}}}}}
 }
 
-// Each failure names the smallest case: what is drained, which override is active, which rule decided.
+// Each failure is printed with its smallest case: the lost endpoints, the overrides and the rule.
 func ExampleCheckExpectations() {
 	o := &Overrides{}
 	for _, v := range []Override{{ID: "pin-d", Kind: Sticky, Destination: 1, Class: "status", Endpoints: []choice.EndpointID{"d"}},
@@ -55,15 +57,15 @@
 	}
 	fmt.Println(CheckExpectation("expect[1].", &Expectation{Name: "nothing"}))
 	// Output:
-	// expect[0].losses: 3 is not within 0 and 2
-	// expect[0].within: 0 is not above 0 and under 1
-	// expect[0].shares: they add up to 1.4, above 1
-	// expect[0].never: a is among only, too
-	// [expect[1].name: "nothing" expects nothing: it takes only, never, at_least or shares]
+	// expect[0].losses: 3 is not between 0 and 2
+	// expect[0].within: 0 is not above 0 and below 1
+	// expect[0].shares: the shares add up to 1.4, which is above 1
+	// expect[0].never: a is also listed in only
+	// [expect[1].name: "nothing" expects nothing: set only, never, at_least or shares]
 }
 
-// A verdict is true both ways: one that holds cannot be made to fail by any loss it was asked to survive, and one that
-// fails does so in its counter-example, and in none with fewer losses.
+// TestVerdictsAreTrue checks the results of CheckExpectations against a search of all cases. An expectation without a failure
+// holds after every allowed loss. A reported failure occurs in its case, and no case with fewer losses fails.
 func TestVerdictsAreTrue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rules := drawRules(t)
@@ -101,14 +103,14 @@
 		}
 		switch {
 		case len(failures) == 0 && least >= 0:
-			t.Fatalf("it holds, but fails with %d lost", least)
+			t.Fatalf("no failure reported, but the expectation fails with %d lost", least)
 		case len(failures) > 0 && (least != len(failures[0].Lost) || !fails(failures[0].Lost...)):
-			t.Fatalf("fails with %v lost, in truth with %d", failures[0].Lost, least)
+			t.Fatalf("failure reported with %v lost, but the smallest case has %d lost", failures[0].Lost, least)
 		}
 	})
 }
 
-// One endpoint of thousands, drained, is found.
+// TestOneOfThousands checks that a failure caused by the loss of one endpoint among thousands is found.
 func TestOneOfThousands(t *testing.T) {
 	var ends []Endpoint
 	for d := range 1000 {
@@ -123,6 +125,7 @@
 	}
 }
 
+// BenchmarkLosses measures CheckExpectations by the size of the list and the number of losses.
 func BenchmarkLosses(b *testing.B) {
 	for _, size := range []int{500, 1000, 2000} {
 		var ends []Endpoint
--- a/internal/routes/file/convert.go
+++ b/internal/routes/file/convert.go
@@ -1,6 +1,6 @@
 package file
 
-// This file converts the tables of one file into those of package routes and collects what is wrong with them.
+// This file converts the tables of one file into the types of package routes and collects the problems of the tables.
 
 import (
 	"fmt"
@@ -13,21 +13,23 @@
 
 // converter converts the tables of one file.
 type converter struct {
-	routing  *Routing
-	problems []tomlfile.Problem
+	routing  *Routing           // holds the results of earlier files; the converter adds to it
+	problems []tomlfile.Problem // found so far
 }
 
+// problem records a problem with the field at path.
 func (c *converter) problem(path, format string, args ...any) {
 	c.problems = append(c.problems, tomlfile.Problem{Path: path, What: fmt.Sprintf(format, args...)})
 }
 
+// addProblems records problems found by package routes.
 func (c *converter) addProblems(problems []routes.Problem) {
 	for _, p := range problems {
 		c.problems = append(c.problems, tomlfile.Problem(p))
 	}
 }
 
-// rules converts routes. They are added to the routing when the whole file has been converted.
+// rules converts and checks the routes. It does not add them to the routing.
 func (c *converter) rules(tables []route) (rules []routes.Rule) {
 	for i := range tables {
 		table := &tables[i]
@@ -46,12 +48,13 @@
 	c.addProblems(routes.Check(rules))
 	for i := range rules {
 		if c.routing.hasRule(rules[i].Name) {
-			c.problem(fmt.Sprintf("route[%d].name", i), "%q stands in a file before this one", rules[i].Name)
+			c.problem(fmt.Sprintf("route[%d].name", i), "%q is already defined in an earlier file", rules[i].Name)
 		}
 	}
 	return rules
 }
 
+// noEndpointPolicy converts the word of the field nowhere.
 func (c *converter) noEndpointPolicy(path, word string) routes.NoEndpointPolicy {
 	switch word {
 	case "", "hold":
@@ -63,6 +66,7 @@
 	return routes.Hold
 }
 
+// ruleSets converts the sets of a route. A target without a weight gets the weight 1.
 func ruleSets(tables []set) (sets []routes.Set) {
 	for _, table := range tables {
 		ruleSet := routes.Set{Under: table.Under}
@@ -84,6 +88,7 @@
 	return sets
 }
 
+// expectations converts and checks expectations and adds them to the routing.
 func (c *converter) expectations(tables []expect) {
 	for i := range tables {
 		table := &tables[i]
@@ -110,19 +115,19 @@
 	}
 }
 
-// overrideKinds are the words of an override's kind.
+// overrideKinds maps the words of an override's field kind to constants of package routes.
 var overrideKinds = map[string]routes.OverrideKind{"out": routes.OutOfService, "pin": routes.Sticky, "weight": routes.FixedWeight}
 
-// overrides converts overrides and adds them, as long as nothing is wrong with the file.
+// overrides converts and checks overrides. It adds them to the routing while no problem with the file has been found.
 func (c *converter) overrides(tables []override) {
 	for i := range tables {
 		table, path := &tables[i], fmt.Sprintf("override[%d].", i)
 		kind := c.overrideKind(path, table)
 		if table.ID == "" || table.By == "" || table.Why == "" {
-			c.problem(path+"id", "id, by and why must be given")
+			c.problem(path+"id", "id, by and why must be set")
 		}
 		if !(table.Minutes > 0) {
-			c.problem(path+"minutes", "missing; an override ends")
+			c.problem(path+"minutes", "not above 0; every override expires")
 		}
 		if len(c.problems) > 0 {
 			continue
@@ -141,30 +146,31 @@
 	}
 }
 
-// overrideKind reads an override's kind and checks the fields that depend on it.
+// overrideKind converts an override's kind and checks the fields that depend on it.
 func (c *converter) overrideKind(path string, table *override) routes.OverrideKind {
 	kind, known := overrideKinds[table.Kind]
 	switch {
 	case !known:
-		c.problem(path+"kind", "%q is none of out, pin, weight", table.Kind)
+		c.problem(path+"kind", "%q is not one of out, pin and weight", table.Kind)
 	case len(table.Endpoints) == 0 || kind != routes.Sticky && len(table.Endpoints) != 1:
-		c.problem(path+"endpoints", "%d named; an out or a weight takes one, a pin one or more", len(table.Endpoints))
+		c.problem(path+"endpoints", "there are %d; the kinds out and weight need exactly one, and pin at least one", len(table.Endpoints))
 	case table.Class != "" && kind != routes.Sticky:
-		c.problem(path+"workload", "only a pin may be for one workload")
+		c.problem(path+"workload", "allowed only with kind pin")
 	}
 	return kind
 }
 
+// endpoints converts and checks the endpoints of a saved list and adds them to the routing.
 func (c *converter) endpoints(tables []endpoint) {
 	seen := map[string]int{}
 	for i := range tables {
 		table, path := &tables[i], fmt.Sprintf("endpoint[%d].", i)
 		if j, taken := seen[table.ID]; taken || table.ID == "" {
-			c.problem(path+"id", "%q is missing or taken by endpoint[%d]", table.ID, j)
+			c.problem(path+"id", "%q is empty or already used by endpoint[%d]", table.ID, j)
 		}
 		seen[table.ID] = i
 		if c.problems == nil && c.routing.hasEndpoint(table.ID) {
-			c.problem(path+"id", "%q stands in a file before this one", table.ID)
+			c.problem(path+"id", "%q is already defined in an earlier file", table.ID)
 		}
 		c.routing.List = append(c.routing.List, routes.Endpoint{
 			ID:          choice.EndpointID(table.ID),
@@ -177,6 +183,7 @@
 	}
 }
 
+// destinationID converts an optional destination. It returns nil for nil.
 func destinationID(v *int64) *choice.DestinationID {
 	if v == nil {
 		return nil
@@ -185,6 +192,7 @@
 	return &d
 }
 
+// endpointIDs converts a list of endpoint ids.
 func endpointIDs(names []string) (all []choice.EndpointID) {
 	for _, name := range names {
 		all = append(all, choice.EndpointID(name))
--- a/internal/routes/file/file.go
+++ b/internal/routes/file/file.go
@@ -1,7 +1,8 @@
-// Package file reads routes, expectations, overrides to assume and a saved list from TOML.
+// Package file reads routing from TOML files: routes, expectations, overrides that are assumed to be active, and a saved list of
+// endpoints.
 //
-// It owns the form of these files and the checks of their values; every problem is reported at once, with file, line and
-// field. A file with a problem is not used in part. Where a message goes is decided by internal/routes.
+// It defines the format of these files and checks their values. It reports all problems together, each with its file, line and
+// field. If a file has a problem, nothing of it may be used. Package internal/routes decides where a message goes.
 package file
 
 import (
@@ -13,16 +14,16 @@
 	"flaxcove/internal/tomlfile"
 )
 
-// Routing is what files say together.
+// Routing is the combined content of one or more files.
 type Routing struct {
-	Rules     []routes.Rule
-	Expects   []routes.Expectation
-	Overrides *routes.Overrides
-	List      []routes.Endpoint
+	Rules     []routes.Rule        // in the order in which they are tried
+	Expects   []routes.Expectation // to be checked against Rules, Overrides and List
+	Overrides *routes.Overrides    // assumed to be active
+	List      []routes.Endpoint    // a saved list of endpoints
 }
 
-// Load reads files in order; each adds to those before it, and all that is wrong with any of them is reported. The error is
-// tomlfile.Errors, unless a file cannot be read.
+// Load reads files in order and combines their contents. It reports the problems of all files: the error is a tomlfile.Errors,
+// or the error of a file that cannot be read.
 func Load(paths ...string) (*Routing, error) {
 	r := &Routing{Overrides: &routes.Overrides{}}
 	var all tomlfile.Errors
@@ -50,13 +51,14 @@
 	return r, nil
 }
 
-// Parse reads one file's text; name stands for it in messages.
+// Parse reads the text of one file. name is the name of the file in errors. With an error the routing is incomplete and must
+// not be used.
 func Parse(name string, text []byte) (*Routing, error) {
 	r := &Routing{Overrides: &routes.Overrides{}}
 	return r, r.add(name, text)
 }
 
-// add reads one more file's text into the routing.
+// add reads the text of one more file and adds its content to the routing.
 func (r *Routing) add(name string, text []byte) error {
 	var f form
 	if err := tomlfile.Decode(name, text, &f); err != nil {
@@ -71,12 +73,12 @@
 	return tomlfile.At(name, text, c.problems)
 }
 
-// hasRule reports whether an earlier file has a rule of that name.
+// hasRule reports whether an earlier file has a rule with the given name.
 func (r *Routing) hasRule(name string) bool {
 	return slices.ContainsFunc(r.Rules, func(rule routes.Rule) bool { return rule.Name == name })
 }
 
-// hasEndpoint reports whether the list has an endpoint with that id.
+// hasEndpoint reports whether the list already has an endpoint with the given id.
 func (r *Routing) hasEndpoint(id string) bool {
 	return slices.ContainsFunc(r.List, func(e routes.Endpoint) bool { return string(e.ID) == id })
 }
--- a/internal/routes/file/file_test.go
+++ b/internal/routes/file/file_test.go
@@ -10,7 +10,7 @@
 	"flaxcove/internal/routes"
 )
 
-// All that is wrong is reported at once, each problem with its line.
+// All problems of a file are reported together, each with its line.
 func ExampleParse() {
 	r, err := Parse("bad.toml", []byte(`[[route]]
 name = "x"
@@ -41,19 +41,20 @@
 	fmt.Println(err)
 	// Output:
 	// bad.toml:3: field route[0].nowhere: "away" is neither hold nor hand_back
-	// bad.toml:6: field route[0].set[0].to: missing; a set names endpoints
-	// bad.toml:7: field route[0].set[0].under: the first set of a rule is always open
-	// bad.toml:10: field override[0].id: id, by and why must be given
-	// bad.toml:11: field override[0].kind: "gone" is none of out, pin, weight
-	// bad.toml:15: field expect[0].name: "nothing" expects nothing: it takes only, never, at_least or shares
-	// bad.toml:16: field expect[0].losses: 4 is not within 0 and 2
-	// bad.toml:22: field endpoint[1].id: "a" is missing or taken by endpoint[0]
+	// bad.toml:6: field route[0].set[0].to: missing; a set needs at least one target
+	// bad.toml:7: field route[0].set[0].under: not allowed in the first set of a route, which is always open
+	// bad.toml:10: field override[0].id: id, by and why must be set
+	// bad.toml:11: field override[0].kind: "gone" is not one of out, pin and weight
+	// bad.toml:15: field expect[0].name: "nothing" expects nothing: set only, never, at_least or shares
+	// bad.toml:16: field expect[0].losses: 4 is not between 0 and 2
+	// bad.toml:22: field endpoint[1].id: "a" is empty or already used by endpoint[0]
 	// false
 	// typo.toml:2: field route.nam: there is no such field
 	// typo.toml:5: field expect.only_: there is no such field
 }
 
-// The example under deploy holds, and stops holding as soon as its east is pinned to what it must never reach.
+// TestTheExampleHolds checks that the expectations of deploy/routes-example.toml are fulfilled, and that three of them fail with
+// an override that makes its messages sticky to an endpoint that orders must never reach.
 func TestTheExampleHolds(t *testing.T) {
 	path := filepath.Join("..", "..", "..", "deploy", "routes-example.toml")
 	r, err := Load(path)
@@ -77,7 +78,8 @@
 	}
 }
 
-// Every file's problems are reported, those of the second too.
+// TestProblemsOfAllFiles checks that Load reports the problems of every file, an endpoint that two files define, and a file that
+// does not exist.
 func TestProblemsOfAllFiles(t *testing.T) {
 	dir := t.TempDir()
 	var paths []string
@@ -96,14 +98,15 @@
 	if err := os.WriteFile(twice, []byte("[[endpoint]]\nid = \"a\"\n"), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Load(twice, twice); err == nil || !strings.Contains(err.Error(), "stands in a file before") {
+	if _, err := Load(twice, twice); err == nil || !strings.Contains(err.Error(), "is already defined in an earlier file") {
 		t.Fatal(err)
 	}
 	if _, err := Load(filepath.Join(dir, "none.toml")); err == nil {
-		t.Fatal("a file that is not there was read")
+		t.Fatal("Load returned no error for a file that does not exist")
 	}
 }
 
+// FuzzParse checks that no text makes Parse panic, and no valid file CheckExpectations.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte("[[route]]\nname = \"x\"\n[[route.set]]\nto = [{zone = \"z\"}]\n"))
 	f.Add([]byte("[[expect]]\nname = \"x\"\nat_least = 1\nlosses = 2\n[[endpoint]]\nid = \"a\"\n"))
--- a/internal/routes/file/forms.go
+++ b/internal/routes/file/forms.go
@@ -1,9 +1,9 @@
 package file
 
-// This file defines the tables of the TOML files as they are written. The decoder prints the names of these types and of
-// their fields in its errors, so they stay as they are.
+// This file defines the types into which the TOML files are decoded. The decoder prints the names of these types and fields in
+// its errors, so renaming them changes error texts.
 
-// form is a file as it is written.
+// form is a whole file.
 type form struct {
 	Routes    []route    `toml:"route"`
 	Expects   []expect   `toml:"expect"`
@@ -11,6 +11,7 @@
 	Endpoints []endpoint `toml:"endpoint"`
 }
 
+// route is a table [[route]].
 type route struct {
 	Name    string `toml:"name"`
 	Match   match  `toml:"match"`
@@ -18,6 +19,7 @@
 	Nowhere string `toml:"nowhere"` // hold (the default) or hand_back
 }
 
+// match is the field match of a route. A field that is left out matches every message.
 type match struct {
 	Destination *int64 `toml:"destination"`
 	Class       string `toml:"workload"`
@@ -25,11 +27,13 @@
 	KeyPrefix   string `toml:"key_prefix"`
 }
 
+// set is a table [[route.set]].
 type set struct {
 	Under float64  `toml:"under"`
 	To    []target `toml:"to"`
 }
 
+// target is an element of the field to of a set. A field that is left out matches every endpoint.
 type target struct {
 	Endpoints []string          `toml:"endpoints"`
 	Zone      string            `toml:"zone"`
@@ -38,6 +42,7 @@
 	Weight    *float64          `toml:"weight"` // 1 if left out
 }
 
+// expect is a table [[expect]].
 type expect struct {
 	Name        string             `toml:"name"`
 	Destination *int64             `toml:"destination"`
@@ -52,6 +57,7 @@
 	Losses      int                `toml:"losses"`
 }
 
+// override is a table [[override]].
 type override struct {
 	ID          string   `toml:"id"`
 	Kind        string   `toml:"kind"` // out, pin or weight
@@ -61,9 +67,10 @@
 	Weight      float64  `toml:"weight"`
 	By          string   `toml:"by"`
 	Why         string   `toml:"why"`
-	Minutes     float64  `toml:"minutes"`
+	Minutes     float64  `toml:"minutes"` // until the override expires
 }
 
+// endpoint is a table [[endpoint]].
 type endpoint struct {
 	ID          string            `toml:"id"`
 	Destination int64             `toml:"destination"`
--- a/internal/routes/file/storeddata_test.go
+++ b/internal/routes/file/storeddata_test.go
@@ -11,8 +11,8 @@
 	"flaxcove/internal/routes/file"
 )
 
-// storedRouting is what testdata/stored/routes.toml says: each field that commit 485f0e4 read. The file is never written
-// anew.
+// storedRouting returns the content of testdata/stored/routes.toml, which has each field that commit 485f0e4 read. The file must
+// never be regenerated.
 func storedRouting() (rules []routes.Rule, expects []routes.Expectation, overrides []routes.Override, list []routes.Endpoint) {
 	destination := new(choice.DestinationID(-7))
 	rules = []routes.Rule{
@@ -40,7 +40,7 @@
 	return rules, expects, overrides, list
 }
 
-// TestReadsStoredRoutes: each field of a file for an older program is read.
+// TestReadsStoredRoutes checks that each field of a file for an older program is read.
 func TestReadsStoredRoutes(t *testing.T) {
 	r, err := file.Load("testdata/stored/routes.toml")
 	if err != nil {
--- a/internal/routes/override.go
+++ b/internal/routes/override.go
@@ -11,48 +11,50 @@
 // OverrideID identifies one override.
 type OverrideID string
 
-// OverrideKind is what an override does.
+// OverrideKind says what an override does.
 type OverrideKind int
 
-// The kinds, in the order in which they win: an endpoint out of service stays so even if messages are made sticky to it.
+// The kinds of overrides, in order of precedence. OutOfService comes first: an endpoint that is out of service gets no
+// messages even if a sticky override names it.
 const (
-	OutOfService OverrideKind = iota // its endpoint gets no messages
-	Sticky                           // the messages that it covers go to its endpoints and no others
-	FixedWeight                      // its endpoint has the given weight
+	OutOfService OverrideKind = iota // the endpoint gets no messages
+	Sticky                           // the messages go to the override's endpoints and no others
+	FixedWeight                      // the endpoint has the override's weight
 )
 
-// String is the kind's word in files and output.
+// String returns the word for the kind in files and output.
 func (k OverrideKind) String() string { return [...]string{"out", "pin", "weight"}[k] }
 
-// Override is set by an operator for a time.
+// Override is a temporary change of routing at one destination, set by an operator.
 type Override struct {
 	ID          OverrideID
 	Kind        OverrideKind
 	Destination choice.DestinationID
-	Class       string              // of a sticky override; "" for all
-	Endpoints   []choice.EndpointID // exactly one, but for a sticky override
-	Weight      float64
-	SetBy       string
+	Class       string              // class of the messages that a sticky override applies to; "" for all classes
+	Endpoints   []choice.EndpointID // at least one for a sticky override, exactly one for the other kinds
+	Weight      float64             // of a FixedWeight override
+	SetBy       string              // the operator
 	Reason      string
-	SetAt       time.Time     // wall time
-	Lifetime    time.Duration // from SetAt
+	SetAt       time.Time     // wall-clock time
+	Lifetime    time.Duration // from SetAt until the override expires
 }
 
 // activeOverride is an override that has not expired.
 type activeOverride struct {
 	Override
-	expires time.Duration // on the process's own clock
+	expires time.Duration // on the monotonic clock of the process
 }
 
-// Overrides are those of one sender. Their clock is the process's own, which does not step; wall time counts only for
-// overrides that were set in an earlier process.
+// Overrides holds the active overrides of one sender. They expire by the monotonic clock of the process. The wall clock is used
+// only for overrides that were set in an earlier process. The zero value is empty and ready to use.
 type Overrides struct {
-	active []activeOverride // winners first
+	active []activeOverride // in order of precedence
 }
 
-// Add adds an override that is set or, at a start, read back. Wall is the wall time now, elapsed the time on the process's
-// clock. It returns false if the override has expired. A wall clock that stepped back extends no override beyond its
-// lifetime, and one that stepped forward ends none that was set in this process.
+// Add adds an override that was just set or, at the start of a process, read back. It replaces one with the same ID. wall is the
+// current wall-clock time, and elapsed the current time on the monotonic clock of the process. Add returns false if the
+// override has already expired. If the wall clock steps back, no override lasts longer than its lifetime; if it steps forward,
+// no override that was set in this process expires early.
 func (o *Overrides) Add(v Override, wall time.Time, elapsed time.Duration) bool {
 	left := min(v.Lifetime, v.SetAt.Add(v.Lifetime).Sub(wall))
 	o.Clear(v.ID)
@@ -64,8 +66,9 @@
 	return true
 }
 
-// compareOverrides orders overrides, winners first: by kind, then the narrower before the wider, then the later before the
-// earlier, then by id.
+// compareOverrides compares the precedence of two overrides and returns a negative number if a takes precedence. The order is
+// by kind; then overrides for one class come before those for all classes, later ones before earlier ones, and lower IDs
+// before higher ones.
 func compareOverrides(a, b *Override) int {
 	breadth := func(v *Override) int {
 		if v.Class != "" {
@@ -81,15 +84,15 @@
 	)
 }
 
-// Clear removes an override before its time and reports whether it was there.
+// Clear removes an override before it expires and reports whether it was active.
 func (o *Overrides) Clear(id OverrideID) bool {
 	before := len(o.active)
 	o.active = slices.DeleteFunc(o.active, func(v activeOverride) bool { return v.ID == id })
 	return len(o.active) < before
 }
 
-// Expire removes the overrides that are over and returns them, and when the next one will be; ok is false where none is
-// left.
+// Expire removes the overrides that have expired at the time elapsed and returns them, together with the time when the next one
+// expires. ok is false if no override is left.
 func (o *Overrides) Expire(elapsed time.Duration) (over []Override, next time.Duration, ok bool) {
 	o.active = slices.DeleteFunc(o.active, func(v activeOverride) bool {
 		if v.expires <= elapsed {
@@ -105,14 +108,14 @@
 	return over, next, ok
 }
 
-// OverrideStatus is an active override with what is left of it and the override that it yields to, "" for none.
+// OverrideStatus describes an active override.
 type OverrideStatus struct {
 	Override
-	Left         time.Duration
-	SupersededBy OverrideID
+	Left         time.Duration // until the override expires
+	SupersededBy OverrideID    // the first override because of which this one has no effect; "" if it has one
 }
 
-// Status lists the active overrides, winners first.
+// Status returns the active overrides in order of precedence. elapsed is the current time on the monotonic clock of the process.
 func (o *Overrides) Status(elapsed time.Duration) (all []OverrideStatus) {
 	for i, v := range o.active {
 		status := OverrideStatus{Override: v.Override, Left: v.expires - elapsed}
@@ -127,7 +130,7 @@
 	return all
 }
 
-// hasNoEffectBeside reports whether an override has no effect while another one, which wins over it, is active.
+// hasNoEffectBeside reports whether an override has no effect while winner, which takes precedence over it, is active.
 func hasNoEffectBeside(loser, winner *Override) bool {
 	if loser.Destination != winner.Destination {
 		return false
@@ -137,21 +140,23 @@
 	case winner.Kind == OutOfService && loser.Kind == Sticky:
 		return len(loser.Endpoints) == 1 && covered(loser.Endpoints[0])
 	case winner.Kind == Sticky && loser.Kind == Sticky:
-		return winner.Class == loser.Class // a wider one still holds for other classes
+		return winner.Class == loser.Class // an override for all classes still has an effect on the other classes
 	case winner.Kind == Sticky:
 		return loser.Kind == FixedWeight && winner.Class == "" && !covered(loser.Endpoints[0])
 	}
 	return covered(loser.Endpoints[0])
 }
 
-// overrideEffect is what the active overrides do to one message.
+// overrideEffect is the combined effect of the active overrides on one message.
 type overrideEffect struct {
 	outOfService []choice.EndpointID
-	stickyBy     OverrideID          // "" for none
-	stickyTo     []choice.EndpointID // of stickyBy
+	stickyBy     OverrideID          // the sticky override in effect; "" if there is none
+	stickyTo     []choice.EndpointID // the endpoints of stickyBy
 	weights      map[choice.EndpointID]float64
 }
 
+// effectOn returns the effect of the active overrides on a message. A sticky override whose endpoints are all out of service has
+// no effect.
 func (o *Overrides) effectOn(m *Message) overrideEffect {
 	effect := overrideEffect{weights: map[choice.EndpointID]float64{}}
 	for i := range o.active {
@@ -175,11 +180,12 @@
 	return effect
 }
 
-// inService reports whether an endpoint is ready and no override has taken it out of service.
+// inService reports whether an endpoint is ready and no override takes it out of service.
 func (effect *overrideEffect) inService(e *Endpoint) bool {
 	return e.Ready && !slices.Contains(effect.outOfService, e.ID)
 }
 
+// containsAll reports whether all contains every element of some.
 func containsAll(all, some []choice.EndpointID) bool {
 	return !slices.ContainsFunc(some, func(id choice.EndpointID) bool { return !slices.Contains(all, id) })
 }
--- a/internal/routes/resolve.go
+++ b/internal/routes/resolve.go
@@ -7,27 +7,28 @@
 	"flaxcove/choice"
 )
 
-// Allowed is one endpoint that a message may use now.
+// Allowed is an endpoint that a message may go to now. Its JSON form is printed by `routes explain --json`.
 type Allowed struct {
 	Endpoint choice.EndpointID
-	Weight   float64 // above 0; shares follow from the weights of all that are allowed
+	Weight   float64 // above 0; the endpoint's share is its weight divided by the sum over all allowed endpoints
 }
 
-// Route is where a message may go, and why.
+// Route says which endpoints a message may go to, and which rule and override decided that.
 type Route struct {
-	Rule       string     // "" where none matched
-	Sets       int        // how many of the rule's sets are open
-	StickyBy   OverrideID // of the override that makes the message sticky; "" for none
-	Allowed    []Allowed  // sorted by endpoint; empty where it may go nowhere now
-	NoEndpoint NoEndpointPolicy
+	Rule       string           // name of the matching rule; "" if none matches
+	Sets       int              // number of open sets of the rule
+	StickyBy   OverrideID       // the sticky override in effect; "" if there is none
+	Allowed    []Allowed        // sorted by endpoint; empty if no endpoint is allowed now
+	NoEndpoint NoEndpointPolicy // what happens to the message if Allowed is empty
 }
 
-// Resolve returns where a message may go: the first rule that matches names the endpoints, overrides narrow them, and what
-// is draining, gone or out of service is left out. It is never widened: where nothing is left the message waits or is handed
-// back, as its rule says. Endpoints are those of the message's destination, in any order.
+// Resolve returns the route of a message. The first matching rule selects endpoints; if no rule matches, all endpoints of the
+// destination are selected with the same weight. A sticky override replaces this selection. Endpoints that are draining, gone
+// or out of service are left out. Resolve never adds other endpoints: if none is left, the rule's NoEndpointPolicy applies. The
+// endpoints may be in any order; those of other destinations are ignored.
 func Resolve(t *Table, o *Overrides, m *Message, endpoints []Endpoint) Route {
 	r := Route{}
-	sets := []Set{{Targets: []Target{{Weight: 1}}}} // without a rule all endpoints are allowed alike
+	sets := []Set{{Targets: []Target{{Weight: 1}}}} // without a rule all endpoints are allowed with the same weight
 	if rule := t.Rule(m); rule != nil {
 		r.Rule, r.NoEndpoint, sets = rule.Name, rule.NoEndpoint, rule.Sets
 	}
@@ -39,7 +40,7 @@
 		e := &endpoints[i]
 		weight, named := weights[e.ID]
 		if r.StickyBy != "" {
-			// A sticky override goes before the rule: it is what an operator wants now.
+			// A sticky override takes precedence over the rule, because it states what an operator wants now.
 			named, weight = slices.Contains(effect.stickyTo, e.ID) && e.Destination == m.Destination, 1
 		}
 		if named && weight > 0 && effect.inService(e) {
@@ -50,8 +51,9 @@
 	return r
 }
 
-// openSets opens sets in order, each while too few endpoints of those before it are ready. It returns the weights of the
-// endpoints that the open sets name and how many sets are open.
+// openSets opens sets in order. It opens a set only if the fraction of ready endpoints in the open sets before it is less than
+// the set's Under, or if those sets select no endpoints. It returns the weights of the endpoints that the open sets select,
+// including those that are not in service, and the number of open sets.
 func openSets(sets []Set, effect *overrideEffect, m *Message, endpoints []Endpoint) (weights map[choice.EndpointID]float64, open int) {
 	weights = map[choice.EndpointID]float64{}
 	ready := 0
--- a/internal/routes/routes_test.go
+++ b/internal/routes/routes_test.go
@@ -11,8 +11,11 @@
 	"flaxcove/choice"
 )
 
+// destinationPointer returns a pointer to d.
 func destinationPointer(d choice.DestinationID) *choice.DestinationID { return &d }
 
+// list returns four endpoints of destination 1: a and b in the east, c and d in the west. Those whose ids are in ready are
+// ready.
 func list(ready string) (all []Endpoint) {
 	for i, id := range []choice.EndpointID{"a", "b", "c", "d"} {
 		all = append(all, Endpoint{ID: id, Destination: 1, Zone: []string{"east", "west"}[i/2], Kind: "small", Ready: strings.Contains(ready, string(id))})
@@ -20,6 +23,7 @@
 	return all
 }
 
+// show formats a route on one line.
 func show(r Route) string {
 	var parts []string
 	for _, a := range r.Allowed {
@@ -31,7 +35,8 @@
 	return fmt.Sprintf("rule %q, sets %d, pin %q: %s", r.Rule, r.Sets, r.StickyBy, strings.Join(parts, ", "))
 }
 
-// Orders go to the east, to the west only while under half of the east is ready, and nowhere else ever.
+// Orders go to the east, and to endpoint c in the west only while less than half of the endpoints in the east are ready. They
+// never go to another endpoint.
 func ExampleResolve() {
 	rules := []Rule{{Name: "orders", Match: Match{Destination: destinationPointer(1), Class: "order"}, NoEndpoint: HandBack,
 		Sets: []Set{{Targets: []Target{{Zone: "east", Weight: 2}}}, {Under: 0.5, Targets: []Target{{Endpoints: []choice.EndpointID{"c"}, Weight: 1}}}}}}
@@ -49,7 +54,8 @@
 	// rule "", sets 1, pin "": a x1, b x1, c x1, d x1
 }
 
-// Conflicts have one order; who loses is shown as such, and takes effect again when the winner lapses.
+// Overrides have an order of precedence. An override that has no effect because of another one takes effect again when that
+// other one expires.
 func ExampleOverrides() {
 	t, o, m := Compile(nil), &Overrides{}, &Message{Destination: 1, Class: "order"}
 	day := time.Date(2026, 5, 9, 8, 0, 0, 0, time.UTC)
@@ -89,7 +95,8 @@
 	// minute 60, lapsed 1: rule "", sets 1, pin "": a x1, b x1, c x1
 }
 
-// Wall clocks that step neither end an override early in the process that set it nor lengthen it in the next.
+// A step of the wall clock neither ends an override early in the process that set it nor makes it last longer in the next
+// process.
 func ExampleOverrides_clockSteps() {
 	day := time.Date(2026, 5, 9, 8, 0, 0, 0, time.UTC)
 	v := Override{ID: "x", Kind: OutOfService, Destination: 1, Endpoints: []choice.EndpointID{"a"}, SetAt: day, Lifetime: time.Hour}
@@ -101,7 +108,7 @@
 	}
 	left(day)
 	left(day.Add(20 * time.Minute))
-	left(day.Add(-time.Hour)) // stepped back: it was set for an hour, and gets no more
+	left(day.Add(-time.Hour)) // after a step back the override still lasts no longer than its lifetime of an hour
 	left(day.Add(2 * time.Hour))
 	// Output:
 	// true 1h0m5s
@@ -118,15 +125,16 @@
 		fmt.Println(p)
 	}
 	// Output:
-	// route[1].set[0].under: the first set of a rule is always open
-	// route[1].set[0].to[0].weight: -1 is not within 0 and 1e+06
+	// route[1].set[0].under: not allowed in the first set of a route, which is always open
+	// route[1].set[0].to[0].weight: -1 is not between 0 and 1e+06
 	// route[1].set[1].under: 0 is not above 0 and at most 1
-	// route[1].set[1].to: missing; a set names endpoints
-	// route[1].match: never reached: all that it matches is matched by route[0] "wide"
-	// route[2].name: "wide" is taken by route[0]
-	// route[2].set: missing; a rule leads to at least one set
+	// route[1].set[1].to: missing; a set needs at least one target
+	// route[1].match: unreachable: route[0] "wide" matches all messages that it matches
+	// route[2].name: "wide" is already used by route[0]
+	// route[2].set: missing; a route needs at least one set
 }
 
+// drawRules draws up to 40 rules without sets.
 func drawRules(t *rapid.T) (rules []Rule) {
 	for i := range rapid.IntRange(0, 40).Draw(t, "rules") {
 		r := Rule{Name: fmt.Sprint(i)}
@@ -141,7 +149,7 @@
 	return rules
 }
 
-// The compiled table finds what reading the rules one by one finds.
+// TestTableFindsTheFirstMatch checks that the compiled table finds the same rule as a search through the rules in order.
 func TestTableFindsTheFirstMatch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rules := drawRules(t)
@@ -168,8 +176,8 @@
 	})
 }
 
-// Whatever rules and overrides say, nothing that is away, out of service or of another destination is ever allowed, and
-// while a pin stands nothing but what it names.
+// TestNothingIsEverWidened checks that, with any rules and overrides, no endpoint is allowed that is not ready, out of service or
+// of another destination, and that a sticky override in effect allows only the endpoints that it names.
 func TestNothingIsEverWidened(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rules := drawRules(t)
@@ -200,6 +208,7 @@
 	})
 }
 
+// BenchmarkTable measures the search for a rule in tables of different sizes.
 func BenchmarkTable(b *testing.B) {
 	for _, size := range []int{10, 1000, 10000} {
 		var rules []Rule
--- a/internal/routes/table.go
+++ b/internal/routes/table.go
@@ -1,10 +1,10 @@
-// Package routes decides which endpoints a message may use at all, and with what weight: by rules in the order of their
-// file, and by overrides that operators set for a time. Package choice decides which of the allowed ones is used, whether
-// there is a retry, and what is rejected.
+// Package routes decides which endpoints a message may go to, and with which weights. It applies rules, in the order of their
+// file, and temporary overrides set by operators. Package choice then selects one of the allowed endpoints and decides about
+// retries and rejections.
 //
-// It owns the compiled table of rules, the order in which overrides win, and the explanation why a message may go where. It
-// does not look at a clock, a file or a socket, does not depend on the order of a map, and does not send a message
-// elsewhere because the allowed endpoints are away.
+// Package routes compiles rules into a table, defines the precedence of overrides, and reports which rule and override decided
+// a route. It uses no clock, file or socket, and its results do not depend on the iteration order of maps. It never sends a
+// message to another endpoint because the allowed ones are unavailable.
 package routes
 
 import (
@@ -13,7 +13,7 @@
 	"flaxcove/choice"
 )
 
-// Endpoint is what routing sees of one endpoint of the list.
+// Endpoint holds the properties of a listed endpoint that routing uses.
 type Endpoint struct {
 	ID          choice.EndpointID
 	Destination choice.DestinationID
@@ -22,7 +22,7 @@
 	Ready       bool // neither draining nor gone
 }
 
-// Message is what routing sees of one message.
+// Message holds the properties of a message that routing uses.
 type Message struct {
 	Destination choice.DestinationID
 	Class       string
@@ -30,7 +30,7 @@
 	Key         string
 }
 
-// Match is what a message must be for a rule; what is left empty matches all.
+// Match is the condition of a rule. A message matches if it matches every field; an empty field matches every message.
 type Match struct {
 	Destination *choice.DestinationID
 	Class       string
@@ -38,54 +38,55 @@
 	KeyPrefix   string
 }
 
-// Target names endpoints of the message's destination. What is left empty does not narrow it.
+// Target selects endpoints of the message's destination that match every field. An empty field matches every endpoint.
 type Target struct {
 	Endpoints []choice.EndpointID
 	Zone      string
 	Kind      string
-	Labels    map[string]string
-	Weight    float64 // of each endpoint it names; the first target that names one counts
+	Labels    map[string]string // the endpoint must have all of them
+	Weight    float64           // of each selected endpoint; the first target that selects an endpoint sets its weight
 }
 
-// Set is a set of endpoints that opens while the fraction of ready endpoints in the sets before it is less than Under. The
-// first of a rule is always open.
+// Set is a set of endpoints. It is open while the fraction of ready endpoints in the open sets before it is less than Under, or
+// while those sets select no endpoints. The first set of a rule is always open.
 type Set struct {
-	Under   float64
-	Targets []Target
+	Under   float64  // above 0 and at most 1; 0 in the first set
+	Targets []Target // the set holds every endpoint that one of them selects
 }
 
-// NoEndpointPolicy is what becomes of a message whose rule leads to no endpoint that is ready.
+// NoEndpointPolicy says what happens to a message while no endpoint is allowed for it.
 type NoEndpointPolicy int
 
 const (
-	// Hold stores the message until an endpoint is ready or its deadline nears.
+	// Hold stores the message until an endpoint is allowed or its deadline is near.
 	Hold NoEndpointPolicy = iota
-	// HandBack answers the client at once with a time to return.
+	// HandBack answers the client immediately with a time after which to send the message again.
 	HandBack
 )
 
-// Rule leads what it matches to its sets.
+// Rule determines the endpoints for the messages that match it. Of several matching rules the first one applies.
 type Rule struct {
 	Name       string
 	Match      Match
-	Sets       []Set
+	Sets       []Set // in the order in which they open; at least one
 	NoEndpoint NoEndpointPolicy
 }
 
-// fieldValues are the values of the fields that a rule matches exactly; the others are empty.
+// fieldValues holds the values of the fields that a rule matches exactly. Fields that it does not match are empty.
 type fieldValues struct {
 	destination   choice.DestinationID
 	class, tenant string
 }
 
-// Bits of a mask that says which fields a rule matches exactly.
+// Bits of the mask that says which fields a rule matches exactly.
 const (
 	byDestination = 1 << iota
 	byClass
 	byTenant
-	maskCount
+	maskCount // the number of masks
 )
 
+// mask returns the mask of the fields that m matches exactly.
 func (m *Match) mask() (mask int) {
 	if m.Destination != nil {
 		mask |= byDestination
@@ -99,12 +100,13 @@
 	return mask
 }
 
-// prefixIndex holds the rules that match the same fields by the same values.
+// prefixIndex holds the rules that match the same values of the same fields, by their key prefix.
 type prefixIndex struct {
-	lengths []int          // of key prefixes in use, in ascending order
-	first   map[string]int // by key prefix, the number of the first rule
+	lengths []int          // the different lengths of key prefixes, in ascending order
+	first   map[string]int // number of the first rule with a key prefix
 }
 
+// add adds the rule with the given number. Rules must be added in order.
 func (p *prefixIndex) add(prefix string, rule int) {
 	if _, taken := p.first[prefix]; !taken {
 		p.first[prefix] = rule
@@ -115,7 +117,8 @@
 	}
 }
 
-// find returns the number of the first rule whose prefix the key has, none if there is no such rule.
+// find returns the number of the first rule whose key prefix is a prefix of key, or none if there is no such rule. none must be
+// above all rule numbers.
 func (p *prefixIndex) find(key string, none int) int {
 	first := none
 	for _, length := range p.lengths {
@@ -129,15 +132,15 @@
 	return first
 }
 
-// Table finds the first rule that matches, at a cost that does not grow with the rules that cannot: at most eight
-// look-ups for each length of key prefix in use beside the matched fields.
+// Table is a compiled list of rules that finds the first match for a message. The cost depends on the number of different
+// lengths of key prefixes and not on the number of rules: a search makes at most eight look-ups for each length.
 type Table struct {
 	rules   []Rule
-	indexes [maskCount]map[fieldValues]*prefixIndex
+	indexes [maskCount]map[fieldValues]*prefixIndex // by the mask of the rules and the values that they match
 }
 
-// Compile makes a table of rules, which must have been checked. A message that matches none may use all endpoints of its
-// destination alike.
+// Compile returns a table of rules for which Check reports no problems. The table refers to the slice, which must not change
+// afterwards.
 func Compile(rules []Rule) *Table {
 	t := &Table{rules: rules}
 	for i := range rules {
@@ -160,7 +163,7 @@
 	return t
 }
 
-// Rule is the first that matches, nil for none.
+// Rule returns the first rule that matches a message, or nil if none does.
 func (t *Table) Rule(m *Message) *Rule {
 	none := len(t.rules)
 	first := none
@@ -178,7 +181,7 @@
 	return &t.rules[first]
 }
 
-// values are the message's values of the fields in the mask.
+// values returns the message's values of the fields in the mask.
 func (m *Message) values(mask int) (values fieldValues) {
 	if mask&byDestination != 0 {
 		values.destination = m.Destination
@@ -192,7 +195,7 @@
 	return values
 }
 
-// matches reports whether a target names an endpoint.
+// matches reports whether the target selects an endpoint. It does not compare destinations.
 func (t *Target) matches(e *Endpoint) bool {
 	switch {
 	case len(t.Endpoints) > 0 && !slices.Contains(t.Endpoints, e.ID),
--- a/internal/tomlfile/lines.go
+++ b/internal/tomlfile/lines.go
@@ -1,6 +1,6 @@
 package tomlfile
 
-// This file finds on which line each field of a file stands.
+// This file finds the line of each field of a file.
 
 import (
 	"fmt"
@@ -9,7 +9,8 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Lines maps each field to the line on which it stands. Tables of a list are numbered, as in route[2].set.under.
+// Lines returns the line number of each field and table of a TOML file, by its path. Paths number the tables of an array of
+// tables from 0, as in route[2].set[0].under. In invalid TOML, Lines stops at the first syntax error.
 func Lines(text []byte) map[string]int {
 	f := lineFinder{lines: map[string]int{}, counts: map[string]int{}}
 	f.parser.Reset(text)
@@ -19,14 +20,15 @@
 	return f.lines
 }
 
-// lineFinder goes through the expressions of a file.
+// lineFinder collects the lines of the expressions of a file.
 type lineFinder struct {
 	parser unstable.Parser
-	lines  map[string]int
-	prefix string         // of the fields of the current table, with a dot at its end
-	counts map[string]int // tables so far, by the path of their list
+	lines  map[string]int // the result, by path
+	prefix string         // path of the current table, with a dot at its end; empty at the top level
+	counts map[string]int // number of tables so far, by the path of their array
 }
 
+// add adds the lines of one expression.
 func (f *lineFinder) add(e *unstable.Node) {
 	key, line := f.key(e)
 	switch e.Kind {
@@ -45,7 +47,7 @@
 	}
 }
 
-// key is an expression's key in dots, and its line.
+// key returns the key of an expression, with dots between its parts, and the line of its first part that is not empty.
 func (f *lineFinder) key(e *unstable.Node) (key string, line int) {
 	for parts := e.Key(); parts.Next(); {
 		part := parts.Node()
@@ -60,12 +62,14 @@
 	return key, line
 }
 
+// beginTable adds the line of a table and makes it the current table.
 func (f *lineFinder) beginTable(path string, line int) {
 	f.lines[path] = line
 	f.prefix = path + "."
 }
 
-// addInlineTable adds the fields of an inline table, which stand on the line of its field.
+// addInlineTable adds the fields of an inline table, all with the line of the field that the table is the value of. It does
+// nothing for another kind of value.
 func (f *lineFinder) addInlineTable(path string, value *unstable.Node, line int) {
 	if value.Kind != unstable.InlineTable {
 		return
@@ -77,7 +81,8 @@
 	}
 }
 
-// numberedKey puts the number of the newest table of a list after the first part of a key.
+// numberedKey returns a key with the number of the last table after its first part, as in route[2].set for route.set. It returns
+// the key unchanged if the first part is not an array of tables.
 func numberedKey(key string, counts map[string]int) string {
 	first, rest, more := strings.Cut(key, ".")
 	if n := counts[first]; n > 0 {
@@ -89,7 +94,8 @@
 	return first
 }
 
-// LineOf is the line of a field, or of the nearest table that contains it; 0 if there is none.
+// LineOf returns the line of a field, or of the innermost table with a known line that contains it. It returns 0 if there is
+// none. lines is a result of Lines.
 func LineOf(lines map[string]int, path string) int {
 	for path != "" {
 		if line, known := lines[path]; known {
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -1,7 +1,7 @@
-// Package tomlfile reads TOML strictly and finds on which line of a file a field stands.
+// Package tomlfile decodes TOML strictly and finds the line of a field in a file.
 //
-// It owns the form of the messages: file, line, field, and what is wrong. What a field means and which values it may have is
-// up to its callers. It does not guess at a value that is there but wrong, and does not open files. lines.go finds the lines.
+// It defines the form of the errors: file, line, field, and what is wrong. Its callers define the fields and check their
+// values. It never replaces an invalid value by a default, and it does not open files. lines.go finds the lines.
 package tomlfile
 
 import (
@@ -15,12 +15,12 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Error is what is wrong with a file.
+// Error is one error in a file.
 type Error struct {
-	File  string
-	Line  int // 0 where the whole file is meant
-	Field string
-	What  string
+	File  string // name
+	Line  int    // from 1; 0 if the error has no line
+	Field string // path, as in route[2].name; empty if the error is not about a field
+	What  string // what is wrong
 }
 
 func (e *Error) Error() string {
@@ -34,7 +34,7 @@
 	return at + ": " + e.What
 }
 
-// Errors are all that is wrong with a file, printed one a line.
+// Errors holds several errors in one or more files. Its text has one line for each error.
 type Errors []*Error
 
 func (all Errors) Error() string {
@@ -45,7 +45,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Unwrap returns each of the errors.
+// Unwrap returns the errors as a list, for errors.Is and errors.As.
 func (all Errors) Unwrap() (each []error) {
 	for _, e := range all {
 		each = append(each, e)
@@ -53,7 +53,7 @@
 	return each
 }
 
-// asError is the only error, or all.
+// asError returns the error itself if there is exactly one, and otherwise the list.
 func (all Errors) asError() error {
 	if len(all) == 1 {
 		return all[0]
@@ -61,10 +61,12 @@
 	return all
 }
 
-// Problem is one thing wrong with a value: the path of its field, as in route[2].name, and what is wrong.
+// Problem reports an invalid value before its line is known. Path is the path of the field, as in route[2].name, and What says
+// what is wrong with the value.
 type Problem struct{ Path, What string }
 
-// At turns problems with a file's text into errors with their lines, sorted by line; nil for none.
+// At converts problems with the text of the file name into errors with line numbers, sorted by line. It returns nil if there are
+// none, an *Error for a single problem, and Errors for several.
 func At(name string, text []byte, problems []Problem) error {
 	if len(problems) == 0 {
 		return nil
@@ -77,7 +79,8 @@
 	return all.asError()
 }
 
-// Decode reads TOML strictly into a value: a field that is not known is an error, with its line.
+// Decode decodes TOML into the value that to points to. A field that the value does not have is an error. name is the name of
+// the file in errors. The error is an *Error or, for several unknown fields, Errors.
 func Decode(name string, text []byte, to any) error {
 	err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(to)
 	var unknown *toml.StrictMissingError
@@ -97,7 +100,7 @@
 	return &Error{File: name, What: err.Error()}
 }
 
-// decodeError is the decoder's error with its line and field.
+// decodeError returns an *Error with the line and field of the decoder's error and the given text.
 func decodeError(name string, err *toml.DecodeError, what string) *Error {
 	line, _ := err.Position()
 	return &Error{File: name, Line: line, Field: strings.Join(err.Key(), "."), What: what}
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -6,6 +6,7 @@
 	"testing"
 )
 
+// text is a file with an array of tables, nested arrays, an inline table and a dotted key.
 const text = `title = "x"
 
 [[route]]
@@ -45,14 +46,14 @@
 	// none 0
 }
 
-// A field that is missing stands where its table does.
+// A missing field gets the line of the innermost table that contains it.
 func ExampleLineOf() {
 	lines := Lines([]byte(text))
 	fmt.Println(LineOf(lines, "route[1].set[0].under"), LineOf(lines, "route[1].match.tenant"), LineOf(lines, "none.at.all"))
 	// Output: 13 10 0
 }
 
-// Problems are sorted by line; one alone is an *Error.
+// The errors are sorted by line. An error whose field has no line comes first.
 func ExampleAt() {
 	fmt.Println(At("f.toml", []byte(text), nil))
 	fmt.Println(At("f.toml", []byte(text), []Problem{{"limits.disk.mb", "too much"}, {"route[0].name", "taken"}, {"none", "missing"}}))
@@ -63,6 +64,7 @@
 	// f.toml:19: field limits.disk.mb: too much
 }
 
+// TestDecode checks the text and the type of the errors for invalid files.
 func TestDecode(t *testing.T) {
 	type form struct {
 		Name  string `toml:"name"`
