--- a/internal/config/running.go
+++ b/internal/config/running.go
@@ -133,7 +133,7 @@
 			return settingError(l.path(i), "%q is missing: names cannot be removed while senders run", name)
 		}
 		if next[i] != name {
-			return settingError(l.path(i), "%q replaces %q: new names must be added at the end", next[i], name)
+			return settingError(l.path(i), "%q stands in the place of %q: new names must be added at the end", next[i], name)
 		}
 	}
 	return nil
