--- a/internal/config/capacity_test.go
+++ b/internal/config/capacity_test.go
@@ -1,7 +1,7 @@
 package config
 
-// This file holds the benchmarks for docs/CAPACITY.md: the time to load a configuration file and its size, by the number of
-// accounts and by the number of destinations in the known list.
+// This file holds the benchmarks for docs/CAPACITY.md: the time to load a configuration file and its size, by the number
+// of accounts and by the number of destinations in the known list.
 
 import (
 	"encoding/json"
@@ -46,8 +46,8 @@
 	})
 }
 
-// BenchmarkCapacityKnown reads and checks files with different numbers of destinations in the known list. Each destination
-// has two endpoints.
+// BenchmarkCapacityKnown reads and checks files with different numbers of destinations in the known list. Each
+// destination has two endpoints.
 func BenchmarkCapacityKnown(b *testing.B) {
 	bench.Sizes(b, "destinations", []int{610, 6_100, 61_000}, func(b *testing.B, n int) {
 		l := directory.List{Version: 1, Full: true}
--- a/internal/config/checks.go
+++ b/internal/config/checks.go
@@ -49,8 +49,8 @@
 	return all
 }
 
-// checkNumbers rejects negative numbers and more than maxSenders senders. A message with a negative priority weight would
-// never be sent, and the other numbers have no meaning below 0.
+// checkNumbers rejects negative numbers and more than maxSenders senders. A message with a negative priority weight
+// would never be sent, and the other numbers have no meaning below 0.
 func (b *Boot) checkNumbers() error {
 	for _, n := range b.numbers() {
 		if n.value < 0 {
@@ -69,6 +69,7 @@
 	names      []string
 }
 
+// path returns the path of the name with number i.
 func (l *nameList) path(i int) string { return fmt.Sprintf(l.pathFormat, i) }
 
 // checkNames rejects a class without a name and a name that occurs twice in its list. A name may contain any character.
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,9 +1,9 @@
 // Package config reads a sender's configuration from the environment, the configuration file and the settings object in
 // that file.
 //
-// It checks the file and the settings object: a sender can run with any configuration that passes the checks. A value that
-// is present but invalid is never replaced by a default; it is an error that names the field. settings.go converts the
-// settings object for package choice, which makes the decisions. The simulator uses the same settings object.
+// It checks the file and the settings object: a sender can run with any configuration that passes the checks. A value
+// that is present but invalid is never replaced by a default; it is an error that names the field. settings.go converts
+// the settings object for package choice, which makes the decisions. The simulator uses the same settings object.
 package config
 
 import (
@@ -45,7 +45,7 @@
 	Version uint64 // of the settings that all senders of a cluster share; 0 for the file's own settings
 
 	gossipAllowed   bool            // the settings allow gossip between senders
-	gossipRequested bool            // EnableGossip has been called and succeeded
+	gossipRequested bool            // EnableGossip has succeeded
 	ownSettings     json.RawMessage // the settings object of the file
 	settingsInForce json.RawMessage // the settings object from which Settings was converted
 }
@@ -94,9 +94,9 @@
 	})
 }
 
-// RestartOnlyChanges returns the names of the fields in which fresh differs from c and which a running sender cannot change.
-// It leaves out the seed and the known list, which are used only at the start. Once shared settings are in force it also
-// leaves out the file's settings, because neither a running sender nor a start uses them.
+// RestartOnlyChanges returns the names of the fields in which fresh differs from c and which a running sender cannot
+// change. It leaves out the seed and the known list, which are used only at the start. Once shared settings are in force
+// it also leaves out the file's settings, because neither a running sender nor a start uses them.
 func (c *Config) RestartOnlyChanges(fresh *Config) (fields []string) {
 	for _, f := range []struct {
 		name     string
@@ -124,8 +124,8 @@
 	return fields
 }
 
-// EnableGossip turns on gossip between senders. If the settings forbid it, or the file has no peer_listen or no peers, it
-// returns an error that names the field and changes nothing.
+// EnableGossip turns on gossip between senders. If the settings forbid it, or the file has no peer_listen or no peers,
+// it returns an error that names the field and changes nothing.
 func (c *Config) EnableGossip() error {
 	switch {
 	case !c.gossipAllowed:
@@ -139,8 +139,8 @@
 	return nil
 }
 
-// Load reads the configuration from the file that EDGE_CONFIG names. The other EDGE_ variables override fields of the file.
-// The error names the file and, for an invalid value, the field.
+// Load reads the configuration from the file that EDGE_CONFIG names. The other EDGE_ variables override fields of the
+// file. The error names the file and, for an invalid value, the field.
 func Load(getenv func(string) string) (*Config, error) {
 	path := getenv("EDGE_CONFIG")
 	if path == "" {
@@ -185,8 +185,8 @@
 	return c, nil
 }
 
-// setNamesAndAddresses sets the fields of c that the environment may override. None of them may be empty, and addresses must
-// have a port.
+// setNamesAndAddresses sets the fields of c that the environment may override. None of them may be empty, and addresses
+// must have a port.
 func (f *configFile) setNamesAndAddresses(c *Config, getenv func(string) string) error {
 	for _, v := range []struct {
 		to                        *string
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -12,8 +12,8 @@
 "settings":{"classes":[{"name":"status","idempotency":"pure","deadline":6000000000,"worth":1}],"extra":{"callsOut":4},
 "machineTypes":["one"],"zones":["z"],"novel":1},"novel":{}}`
 
-// load loads a configuration file with the given text and prints the configuration or the error. The environment is given as
-// name, value, name, value.
+// load loads a configuration file with the given text and prints the configuration or the error. The environment is
+// given as name, value, name, value.
 func load(text string, env ...string) {
 	file, _ := os.CreateTemp("", "config")
 	defer os.Remove(file.Name())
--- a/internal/config/durations.go
+++ b/internal/config/durations.go
@@ -7,8 +7,8 @@
 // nanosecondsPerUnit is the number of nanoseconds in one unit of choice.Time, a tenth of a millisecond.
 const nanosecondsPerUnit = 100_000
 
-// maxDuration is ten years in nanoseconds. A longer duration in the settings is shortened to it. Some operators write the
-// highest number for "no end"; a sum with it would overflow and give a timer in the past, which fires at once.
+// maxDuration is ten years in nanoseconds. A longer duration in the settings is shortened to it. Some operators write
+// the highest number for "no end"; a sum with it would overflow and give a timer in the past, which fires at once.
 const maxDuration = 10 * 365 * 24 * 3600 * 1_000_000_000
 
 // RoundDown converts nanoseconds to choice.Time and rounds down. It is for durations that must not be exceeded.
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -25,8 +25,8 @@
 	return &SettingError{Path: path, Reason: fmt.Sprintf(format, args...)}
 }
 
-// jsonError converts the JSON decoder's error about a value of the wrong type into a *fielderror.Error. The prefix is the
-// path of the decoded object, with a dot at its end, or empty. Other errors are returned unchanged.
+// jsonError converts the JSON decoder's error about a value of the wrong type into a *fielderror.Error. The prefix is
+// the path of the decoded object, with a dot at its end, or empty. Other errors are returned unchanged.
 func jsonError(err error, prefix string) error {
 	var mismatch *json.UnmarshalTypeError
 	if !errors.As(err, &mismatch) {
--- a/internal/config/extremes_test.go
+++ b/internal/config/extremes_test.go
@@ -79,8 +79,8 @@
 	return c, err
 }
 
-// TestInvalidSettingIsRejected checks that an invalid number, and a name that is empty or occurs twice, is rejected with an
-// error on one line that has the file, the field and the reason.
+// TestInvalidSettingIsRejected checks that an invalid number, and a name that is empty or occurs twice, is rejected with
+// an error on one line that has the file, the field and the reason.
 func TestInvalidSettingIsRejected(t *testing.T) {
 	t.Parallel()
 	class := "settings.classes.0."
@@ -133,8 +133,8 @@
 // highest is the highest integer that JSON can decode into a field of the settings.
 const highest = 1<<63 - 1
 
-// numberPaths are the paths of fields that hold numbers. Each may be absent, 0 or the highest number, with the exceptions in
-// accepts.
+// numberPaths are the paths of fields that hold numbers. Each may be absent, 0 or the highest number, with the
+// exceptions in accepts.
 var numberPaths = []string{"settings.quantum", "settings.bounds.connIdle", "settings.bounds.dialTimeout",
 	"settings.bounds.maxRetryAfter", "settings.rules.cold", "settings.rules.fall", "settings.rules.keyRest", "settings.classes.0.aim",
 	"settings.classes.0.deadline", "settings.classes.0.repeatWindow", "settings.bounds.maxOpen", "settings.bounds.maxAttempts",
@@ -145,8 +145,8 @@
 var objectPaths = []string{"settings.bounds", "settings.rules", "settings.accounts", "settings.zones", "settings.machineTypes",
 	"settings.extra.carriage", "limits"}
 
-// accepts reports whether the number field at path may have an extreme value. Two fields have exceptions: a class must have a
-// deadline, and the number of senders is bounded.
+// accepts reports whether the number field at path may have an extreme value. Two fields have exceptions: a class must
+// have a deadline, and the number of senders is bounded.
 func accepts(path string, value any) bool {
 	switch path {
 	case "settings.classes.0.deadline":
@@ -157,8 +157,8 @@
 	return true
 }
 
-// TestExtremeSettingIsAccepted checks that a field may be absent, zero or the highest number, and that no duration in the
-// resulting settings is so long that a sum with it overflows.
+// TestExtremeSettingIsAccepted checks that a field may be absent, zero or the highest number, and that no duration in
+// the resulting settings is so long that a sum with it overflows.
 func TestExtremeSettingIsAccepted(t *testing.T) {
 	t.Parallel()
 	for _, path := range numberPaths {
@@ -220,8 +220,8 @@
 	}
 }
 
-// TestAnyMixOfClassesIsAccepted checks that classes are accepted in any number, with any mix of idempotency words and any
-// names.
+// TestAnyMixOfClassesIsAccepted checks that classes are accepted in any number, with any mix of idempotency words and
+// any names.
 func TestAnyMixOfClassesIsAccepted(t *testing.T) {
 	t.Parallel()
 	for _, classes := range [][]string{{"pure"}, {"side_effect"}, {"token"}, {"pure", "token"}, {"side_effect", "side_effect"},
@@ -249,7 +249,8 @@
 	}
 }
 
-// TestErrorsAreTyped checks that callers can get the invalid field and the path of the invalid setting from the error's type.
+// TestErrorsAreTyped checks that callers can get the invalid field and the path of the invalid setting from the error's
+// type.
 func TestErrorsAreTyped(t *testing.T) {
 	t.Parallel()
 	o := completeConfig()
--- a/internal/config/reload_test.go
+++ b/internal/config/reload_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// TestReloadOfExtremes checks that a reload takes the address of discovery from the file, returns an error for an invalid
-// file, and that RestartOnlyChanges names the changed fields that need a restart.
+// TestReloadOfExtremes checks that a reload takes the address of discovery from the file, returns an error for an
+// invalid file, and that RestartOnlyChanges names the changed fields that need a restart.
 func TestReloadOfExtremes(t *testing.T) {
 	t.Parallel()
 	path := filepath.Join(t.TempDir(), "config.json")
--- a/internal/config/running.go
+++ b/internal/config/running.go
@@ -1,8 +1,8 @@
 package config
 
-// This file puts a settings object in force, either the configuration file's own or one that all senders share, and checks
-// whether another one may replace it while senders run. A replacement that would fail at the start is rejected, and so is
-// one that changes the number of a name, because messages, endpoints and quotas are stored by number.
+// This file puts a settings object in force, either the configuration file's own or one that all senders share, and
+// checks whether another one may replace it while senders run. A replacement that would fail at the start is rejected,
+// and so is one that changes the number of a name, because messages, endpoints and quotas are stored by number.
 
 import (
 	"encoding/json"
@@ -73,8 +73,8 @@
 // WithSettings.
 func (c *Config) SettingsInForce() json.RawMessage { return c.settingsInForce }
 
-// WithSettings returns a copy of c with raw, a settings object that all senders share, in force in place of the file's own.
-// The copy keeps slotNo and zone of c, which belong to one process, and ignores the discovery field of raw.
+// WithSettings returns a copy of c with raw, a settings object that all senders share, in force in place of the file's
+// own. The copy keeps slotNo and zone of c, which belong to one process, and ignores the discovery field of raw.
 func (c *Config) WithSettings(raw json.RawMessage) (*Config, error) {
 	b, err := readSettings(raw)
 	if err != nil {
@@ -88,8 +88,8 @@
 	return &with, nil
 }
 
-// CheckSettings checks whether the proposed settings object can replace the one in force while senders run. The error says
-// why it cannot. If inForce is empty, CheckSettings makes only the checks of a start.
+// CheckSettings checks whether the proposed settings object can replace the one in force while senders run. The error
+// says why it cannot. If inForce is empty, CheckSettings makes only the checks of a start.
 func CheckSettings(inForce, proposed json.RawMessage) error {
 	next, err := readSettings(proposed)
 	if err != nil || len(inForce) == 0 {
@@ -139,16 +139,16 @@
 	return nil
 }
 
-// checkClassReplacement rejects a change of a class's idempotency or byArrival field. Whether a message may run twice and
-// whether its order is kept are recorded with the message when it is accepted.
+// checkClassReplacement rejects a change of a class's idempotency or byArrival field. Whether a message may run twice
+// and whether its order is kept are recorded with the message when it is accepted.
 func (b *Boot) checkClassReplacement(next *Boot) error {
 	for i := range b.Classes {
-		now, new := &b.Classes[i], &next.Classes[i]
-		if now.Idempotency != new.Idempotency {
+		oldClass, newClass := &b.Classes[i], &next.Classes[i]
+		if oldClass.Idempotency != newClass.Idempotency {
 			return settingError(fmt.Sprintf("classes[%d].idempotency", i),
-				"%q cannot become %q while senders run; add a class", now.Idempotency, new.Idempotency)
+				"%q cannot become %q while senders run; add a class", oldClass.Idempotency, newClass.Idempotency)
 		}
-		if now.ByArrival != new.ByArrival {
+		if oldClass.ByArrival != newClass.ByArrival {
 			return settingError(fmt.Sprintf("classes[%d].byArrival", i), "the value cannot change while senders run; add a class")
 		}
 	}
@@ -158,13 +158,13 @@
 // checkKindReplacement rejects a removed kind and a change of a kind's separateRoutes. An endpoint gets its route, with
 // everything that has been learned about it, when it is first listed.
 func (b *Boot) checkKindReplacement(next *Boot) error {
-	now, new := b.kinds(), next.kinds()
-	if len(new) < len(now) {
+	oldKinds, newKinds := b.kinds(), next.kinds()
+	if len(newKinds) < len(oldKinds) {
 		return settingError("machineTypes",
-			"%d kinds, fewer than the %d in force (the longest of machineTypes, extra.bundleMax and extra.separateRoutes counts)", len(new), len(now))
+			"%d kinds, fewer than the %d in force (the longest of machineTypes, extra.bundleMax and extra.separateRoutes counts)", len(newKinds), len(oldKinds))
 	}
-	for i := range now {
-		if now[i].SeparateRoutes != new[i].SeparateRoutes {
+	for i := range oldKinds {
+		if oldKinds[i].SeparateRoutes != newKinds[i].SeparateRoutes {
 			return settingError(fmt.Sprintf("extra.separateRoutes[%d]", i), "the value cannot change while senders run; add a machine type")
 		}
 	}
--- a/internal/config/running_test.go
+++ b/internal/config/running_test.go
@@ -20,8 +20,8 @@
 	return text
 }
 
-// runningRows has at least one row for each field of the settings object: a change that a running sender accepts, or one that
-// it rejects.
+// runningRows has at least one row for each field of the settings object: a change that a running sender accepts, or one
+// that it rejects.
 var runningRows = []struct {
 	field    string // of Boot
 	path     string // below settings
@@ -97,8 +97,8 @@
 	}
 }
 
-// TestCheckSettingsOfMalformedObject checks that settings that would fail at a start, and JSON that is not an object, are
-// rejected with the field named. Unknown fields are ignored.
+// TestCheckSettingsOfMalformedObject checks that settings that would fail at a start, and JSON that is not an object,
+// are rejected with the field named. Unknown fields are ignored.
 func TestCheckSettingsOfMalformedObject(t *testing.T) {
 	t.Parallel()
 	inForce := settingsOf(t, func(jsonObject) {})
@@ -120,8 +120,8 @@
 	}
 }
 
-// TestWithSettings checks that WithSettings keeps the values that belong to one process. Everything else is as if the file had
-// contained the shared settings.
+// TestWithSettings checks that WithSettings keeps the values that belong to one process. Everything else is as if the
+// file had contained the shared settings.
 func TestWithSettings(t *testing.T) {
 	t.Parallel()
 	o := completeConfig()
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -11,10 +11,10 @@
 	"flaxcove/choice"
 )
 
-// Boot is the settings object. The simulator and a sender on sockets read the same one. Boot has a field for each key that
-// is read; other keys are ignored. Where the name of a field differs from its published key, a tag holds the key. Durations
-// are in nanoseconds. For a value of the wrong type the JSON decoder returns an error, which drill prints, with the name Boot
-// and the Go type of the field; the type of a nested struct lists its fields.
+// Boot is the settings object. The simulator and a sender on sockets read the same one. Boot has a field for each key
+// that is read; other keys are ignored. Where the name of a field differs from its published key, a tag holds the key.
+// Durations are in nanoseconds. For a value of the wrong type the JSON decoder returns an error, which drill prints,
+// with the name Boot and the Go type of the field; the type of a nested struct lists its fields.
 type Boot struct {
 	Accounts []struct {
 		Name     string
@@ -82,8 +82,8 @@
 }
 
 // Settings converts the settings object for package choice. connectionLimitAnswered says how an endpoint rejects a
-// connection above its limit: true if it sends an answer that says so, as on sockets, and false if the connection fails, as
-// in the simulator. An error is a *SettingError.
+// connection above its limit: true if it sends an answer that says so, as on sockets, and false if the connection fails,
+// as in the simulator. An error is a *SettingError.
 func (b *Boot) Settings(connectionLimitAnswered bool) (choice.Settings, error) {
 	s := b.plainSettings(connectionLimitAnswered)
 	var known bool
@@ -202,8 +202,8 @@
 	}
 }
 
-// kinds returns the kinds by kind number. There are as many as the longest of the lists machineTypes, extra.bundleMax and
-// extra.separateRoutes has entries, and at least one.
+// kinds returns the kinds by kind number. There are as many as the longest of the lists machineTypes, extra.bundleMax
+// and extra.separateRoutes has entries, and at least one.
 func (b *Boot) kinds() (all []choice.Kind) {
 	for i := range max(1, len(b.MachineTypes), len(b.Extra.BulkMax), len(b.Extra.SeparateRoutes)) {
 		k := choice.Kind{BulkMax: 1}
--- a/internal/config/storeddata_test.go
+++ b/internal/config/storeddata_test.go
@@ -12,10 +12,11 @@
 	"flaxcove/internal/directory"
 )
 
-// storedConfig is a configuration file with every field that commit 485f0e4 read. It must never be regenerated: then a field
-// that the program no longer reads would go unnoticed.
+// storedConfig is a configuration file with every field that commit 485f0e4 read. It must never be regenerated, because
+// then a field that the program no longer reads would go unnoticed.
 const storedConfig = "testdata/stored/config.json"
 
+// loadStored loads the stored configuration file.
 func loadStored(t *testing.T) *config.Config {
 	t.Helper()
 	c, err := config.Load(func(variable string) string {
@@ -104,8 +105,8 @@
 	}
 }
 
-// TestReadsStoredSettings checks that a stored settings object can be put in force in place of itself. That happens at the
-// start of a process that has cached the settings object shared by all senders.
+// TestReadsStoredSettings checks that a stored settings object can be put in force in place of itself. That happens at
+// the start of a process that has cached the settings object shared by all senders.
 func TestReadsStoredSettings(t *testing.T) {
 	c := loadStored(t)
 	shared, err := c.WithSettings(c.OwnSettings())
--- a/internal/directory/call.go
+++ b/internal/directory/call.go
@@ -1,9 +1,9 @@
 package directory
 
-// This file implements one call for the list: it connects, sends the request and reads the messages. It decides what counts as
-// a sign of life: a complete message, or white space between two messages. A part of a message does not count, because then
-// a server that sends a few bytes now and then could keep a watch open for ever without delivering anything. Every wait is
-// bounded, and an incomplete message is never passed on.
+// This file implements one call for the list: it connects, sends the request and reads the messages. It decides what
+// counts as a sign of life: a complete message, or white space between two messages. A part of a message does not count,
+// because then a server that sends a few bytes now and then could keep a watch open for ever without delivering
+// anything. Every wait is bounded, and an incomplete message is never passed on.
 
 import (
 	"bufio"
@@ -27,8 +27,8 @@
 	path    = "/api/targets"
 	maxHead = 16 << 10 // bytes read up to the end of the head, including body bytes in the same reads
 	maxList = 4 << 20  // bytes of a message, enough for a full list of some ten thousand endpoints
-	// graceReadTimeout is the time for one more read after the deadline for a sign of life. The read gets data that arrived
-	// while the process was paused, so that the pause is not mistaken for silence of discovery.
+	// graceReadTimeout is the time for one more read after the deadline for a sign of life. The read gets data that
+	// arrived while the process was paused, so that the pause is not mistaken for silence of discovery.
 	graceReadTimeout = 10 * time.Millisecond
 )
 
@@ -91,8 +91,8 @@
 	c.send(event{kind: ended, how: how, err: err})
 }
 
-// connect connects to discovery and reads the list. It reports a stall if connecting takes longer than HeadTimeout, and gives
-// up after StalledTimeout. It returns when the connection ends.
+// connect connects to discovery and reads the list. It reports a stall if connecting takes longer than HeadTimeout, and
+// gives up after StalledTimeout. It returns when the connection ends.
 func (c *call) connect() error {
 	ctx, cancel := context.WithDeadline(c.ctx, c.startedAt.Add(c.watcher.timing.StalledTimeout))
 	stallTimer := time.AfterFunc(time.Until(c.deadline()), func() { c.reportStall(noConnection) })
@@ -142,9 +142,9 @@
 			return err
 		}
 		if l.Full && l.Entries == nil {
-			// Accepting this message as an empty list would leave no endpoint to send to. The drawback of rejecting it: if
-			// discovery does mean an empty list, the old list stays in force, and discovery is called again as long as it
-			// answers like this.
+			// Accepting this message as an empty list would leave no endpoint to send to. The drawback of rejecting it:
+			// if discovery does mean an empty list, the old list stays in force, and discovery is called again as long
+			// as it answers like this.
 			return errNoServers
 		}
 		c.recordSignOfLife(&l)
@@ -213,8 +213,8 @@
 	c.send(event{kind: signOfLife, list: l})
 }
 
-// Read reads from the answer's body for the JSON decoder. White space between messages is a sign of life; any other byte there
-// begins a message.
+// Read reads from the answer's body for the JSON decoder. White space between messages is a sign of life; any other byte
+// there begins a message.
 func (c *call) Read(p []byte) (int, error) {
 	n, err := c.body.Read(p)
 	switch {
@@ -227,10 +227,11 @@
 	return n, err
 }
 
-// connReader reads from the call's connection, at most bytesLeft bytes and with a deadline for each read. The first timeout
-// before a sign of life marks the call as stalled, and the read continues with the longer timeouts.
+// connReader reads from the call's connection, at most bytesLeft bytes and with a deadline for each read. The first
+// timeout before a sign of life marks the call as stalled, and the read continues with the longer timeouts.
 type connReader struct{ *call }
 
+// Read reads from the connection and records in timedOut whether the read timed out.
 func (c connReader) Read(p []byte) (int, error) {
 	if c.bytesLeft <= 0 {
 		return 0, errTooLong
--- a/internal/directory/capacity_test.go
+++ b/internal/directory/capacity_test.go
@@ -1,6 +1,7 @@
 package directory
 
-// This file holds the benchmarks for docs/CAPACITY.md: the size of a full list and of a change, and the time to read them.
+// This file holds the benchmarks for docs/CAPACITY.md: the size of a full list and of a change, and the time to read
+// them.
 
 import (
 	"encoding/json"
--- a/internal/directory/fleet_test.go
+++ b/internal/directory/fleet_test.go
@@ -32,9 +32,9 @@
 	return (&fakeDiscovery{scripts: []script{s}}).dial(ctx, "")
 }
 
-// run starts the given number of senders at the same time and stops them after span. It returns how many received a list, when
-// the last of these did, the number of calls, and the number of calls in the busiest second. The busiest second does not
-// include the first two seconds.
+// run starts the given number of senders at the same time and stops them after span. It returns how many received a
+// list, when the last of these did, the number of calls, and the number of calls in the busiest second. The busiest
+// second does not include the first two seconds.
 func (f *fleet) run(t *testing.T, senders int, span time.Duration) (watches int, last time.Duration, calls, most int) {
 	singleThreaded(t)
 	synctest.Test(t, func(t *testing.T) {
@@ -77,8 +77,8 @@
 	return s
 }
 
-// TestFleetOutage checks that the calls of 300 senders are bounded while discovery is unreachable for eight seconds, and that
-// all senders have a watch six seconds after its return.
+// TestFleetOutage checks that the calls of 300 senders are bounded while discovery is unreachable for eight seconds, and
+// that all senders have a watch six seconds after its return.
 func TestFleetOutage(t *testing.T) {
 	for name, gone := range map[string]fault{"silent": {script: neverConnects}, "refuses": {dialError: dialFailure(syscall.ECONNREFUSED)}} {
 		f := &fleet{script: func(at time.Duration) (script, error) {
@@ -95,9 +95,10 @@
 	}
 }
 
-// TestFleetOverbooked runs senders against a discovery that answers an error, immediately or after two seconds, while it gets
-// more than ten calls per second. Up to 80 senders all get a watch within a minute. For 300 senders the test checks only the
-// number of calls: with MaxBackoff they make twenty calls per second, from which such a discovery does not recover.
+// TestFleetOverbooked runs senders against a discovery that answers an error, immediately or after two seconds, while it
+// gets more than ten calls per second. Up to 80 senders all get a watch within a minute. For 300 senders the test checks
+// only the number of calls: with MaxBackoff they make twenty calls per second, from which such a discovery does not
+// recover.
 func TestFleetOverbooked(t *testing.T) {
 	for _, c := range []struct {
 		senders int
--- a/internal/directory/list.go
+++ b/internal/directory/list.go
@@ -1,6 +1,7 @@
 package directory
 
-// This file defines the JSON format of the list and converts its entries for package choice. Invalid entries are left out.
+// This file defines the JSON format of the list and converts its entries for package choice. Invalid entries are left
+// out.
 
 import (
 	"hash/crc32"
@@ -32,9 +33,9 @@
 	Kinds map[string]choice.KindNo
 }
 
-// Zone returns the number of a zone. A zone that the settings do not name gets a negative number computed from its name, so
-// that it is not mistaken for another zone: an idempotency key that is known in one zone only must not be sent again in
-// another. The number is 0 for an empty name, and for every name if the settings name no zone.
+// Zone returns the number of a zone. A zone that the settings do not name gets a negative number computed from its name,
+// so that it is not mistaken for another zone: an idempotency key that is known in one zone only must not be sent again
+// in another. The number is 0 for an empty name, and for every name if the settings name no zone.
 func (n *NameNumbers) Zone(name string) choice.ZoneNo {
 	no, known := n.Zones[name]
 	if !known && name != "" && len(n.Zones) > 0 {
@@ -46,9 +47,10 @@
 // stageByState maps the words of an entry's state field to constants of package choice.
 var stageByState = map[string]choice.Stage{"up": choice.Ready, "draining": choice.Draining, "removed": choice.Gone}
 
-// Complete returns a copy of l in which entries that drain or remove an endpoint and give only its id have all fields. The
-// other fields come from an earlier entry of the list or from the entry that known returns. Without them the entry would name
-// a destination that the endpoint was never listed for. Such an entry of an unknown endpoint has no effect and is left out.
+// Complete returns a copy of l in which entries that drain or remove an endpoint and give only its id have all fields.
+// The other fields come from an earlier entry of the list or from the entry that known returns. Without them the entry
+// would name a destination that the endpoint was never listed for. Such an entry of an unknown endpoint has no effect
+// and is left out.
 func (l List) Complete(known func(id string) (Entry, bool)) List {
 	earlier := map[string]Entry{}
 	filled := make([]Entry, 0, len(l.Entries))
@@ -77,8 +79,8 @@
 	return known && stage != choice.Ready && e.Addr == "" && e.ID != ""
 }
 
-// Entries converts the entries of a list for package choice. It leaves out entries with an unknown state, without an id, or
-// without an address if the state is up, and returns their number as unread.
+// Entries converts the entries of a list for package choice. It leaves out entries with an unknown state, without an id,
+// or without an address if the state is up, and returns their number as unread.
 func (n *NameNumbers) Entries(l List) (entries []choice.Entry, unread int) {
 	for _, e := range l.Entries {
 		stage, known := stageByState[e.State]
--- a/internal/directory/list_test.go
+++ b/internal/directory/list_test.go
@@ -7,8 +7,8 @@
 	"flaxcove/choice"
 )
 
-// Entries with an unknown state, without an id, or without an address are left out. An entry that drains or removes an endpoint
-// needs no address.
+// Entries with an unknown state, without an id, or without an address are left out. An entry that drains or removes an
+// endpoint needs no address.
 func ExampleNameNumbers_Entries() {
 	var l List
 	json.Unmarshal([]byte(`{"servers":[{"id":"a","addr":"h:1","zone":"z","kind":"k","cell":3,"state":"up","weight":2.5},
--- a/internal/directory/malformed_test.go
+++ b/internal/directory/malformed_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// TestCutAnywhere checks that a list is read correctly if it is split at any byte, into two chunks or into two writes of one
-// chunk.
+// TestCutAnywhere checks that a list is read correctly if it is split at any byte, into two chunks or into two writes of
+// one chunk.
 func TestCutAnywhere(t *testing.T) {
 	for _, text := range []string{list(1) + "\n" + list(2), `{"version":1,"full":true,"servers":[{"id":"a"}]}` + "\n\n" + `{"version":2,"servers":[{"id":"b\"}{","addr":"ü"}]}` + "\n"} {
 		whole := answerHead + chunk(text)
@@ -34,8 +34,9 @@
 	}
 }
 
-// TestListWithoutServers checks that a full list without servers, or with null for them, is rejected: it is not passed on, and
-// the list is requested again. An empty list is accepted, and so are a change without servers and a lower version.
+// TestListWithoutServers checks that a full list without servers, or with null for them, is rejected: it is not passed
+// on, and the list is requested again. An empty list is accepted, and so are a change without servers and a lower
+// version.
 func TestListWithoutServers(t *testing.T) {
 	for text, heard := range map[string]bool{
 		`{"version":5,"full":true}`:                 false,
@@ -64,8 +65,8 @@
 	}
 }
 
-// TestVersionGoesBack checks that the next call asks for changes after the version received last, even if that is lower than
-// the one before: discovery may restart its numbering.
+// TestVersionGoesBack checks that the next call asks for changes after the version received last, even if that is lower
+// than the one before: discovery may restart its numbering.
 func TestVersionGoesBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := &fakeDiscovery{scripts: []script{{pieces: []piece{{0, answerHead + chunk(list(41)+"\n"+list(3))}}, closes: true}, healthy(4)}}
--- a/internal/directory/outage_test.go
+++ b/internal/directory/outage_test.go
@@ -13,9 +13,9 @@
 	"time"
 )
 
-// These tests make discovery unreachable in every known way, with several faults in a row. They measure the time from when
-// discovery can be reached again until its list is received. Calls that are open at that time keep their fault; later calls
-// connect after a second.
+// These tests make discovery unreachable in every known way, with several faults in a row. They measure the time from
+// when discovery can be reached again until its list is received. Calls that are open at that time keep their fault;
+// later calls connect after a second.
 
 // fault is how a call fails while discovery is unreachable.
 type fault struct {
@@ -52,8 +52,8 @@
 	}
 }
 
-// outage simulates an unreachable discovery. Each call meets the next of the faults, and further calls meet the last one, until
-// discovery is reachable again.
+// outage simulates an unreachable discovery. Each call meets the next of the faults, and further calls meet the last
+// one, until discovery is reachable again.
 type outage struct {
 	mu          sync.Mutex
 	faults      []fault
@@ -83,8 +83,8 @@
 	return (&fakeDiscovery{scripts: []script{f.script}}).dial(ctx, "")
 }
 
-// recoveryTime runs a watch during the outage and returns the time from reachableAt until the list of the healthy script was
-// received. It gives up after five minutes.
+// recoveryTime runs a watch during the outage and returns the time from reachableAt until the list of the healthy script
+// was received. It gives up after five minutes.
 func (o *outage) recoveryTime(senders int, jitter func(time.Duration) time.Duration) time.Duration {
 	heard, stop, done := make(chan time.Time, 1), make(chan struct{}), make(chan struct{})
 	w := &watcher{addr: "discovery:1", timing: defaultTiming(senders), dial: o.dial, jitter: jitter, onFailure: func(error) {},
@@ -123,10 +123,10 @@
 	return all
 }
 
-// longestRecoveries plays all sequences of faults, in batches that share a synctest clock. Discovery returns a millisecond
-// after a call starts, which is just too late for that call, and every wait has its maximum length. For every second sequence
-// of a batch, the waits and the time of return are drawn instead; a batch of 1 has no second sequence. It returns the longest
-// recovery time by the name of the last fault.
+// longestRecoveries plays all sequences of faults, in batches that share a synctest clock. Discovery returns a
+// millisecond after a call starts, which is just too late for that call, and every wait has its maximum length. For
+// every second sequence of a batch, the waits and the time of return are drawn instead; a batch of 1 has no second
+// sequence. It returns the longest recovery time by the name of the last fault.
 func longestRecoveries(t *testing.T, senders, faults int) map[string]time.Duration {
 	const batch = 1
 	random := rand.New(rand.NewPCG(3, uint64(senders)))
@@ -159,16 +159,16 @@
 	return longest
 }
 
-// singleThreaded makes the goroutines of a test run one at a time. With Go 1.26 the race detector crashes in its own code if
-// several threads fire many timers of one synctest clock.
+// singleThreaded makes the goroutines of a test run one at a time. With Go 1.26 the race detector crashes in its own
+// code if several threads fire many timers of one synctest clock.
 func singleThreaded(t *testing.T) {
 	before := runtime.GOMAXPROCS(1)
 	t.Cleanup(func() { runtime.GOMAXPROCS(before) })
 }
 
-// TestOutage checks that the list is received within six seconds after discovery can be reached again, whatever faults the
-// calls before met, up to four in a row. The exception is an error status to a large fleet, whose calls are spread further.
-// With -short the test plays up to two faults in a row.
+// TestOutage checks that the list is received within six seconds after discovery can be reached again, whatever faults
+// the calls before met, up to four in a row. The exception is an error status to a large fleet, whose calls are spread
+// further. With -short the test plays up to two faults in a row.
 func TestOutage(t *testing.T) {
 	for senders, faults := range map[int]int{1: 3, 24: 3, 80: 3, 300: 4} {
 		if testing.Short() {
@@ -188,8 +188,8 @@
 	}
 }
 
-// TestNoDescriptors checks that a dial that fails for lack of file descriptors, buffers or ports counts as a failed call, which
-// is repeated in time.
+// TestNoDescriptors checks that a dial that fails for lack of file descriptors, buffers or ports counts as a failed
+// call, which is repeated in time.
 func TestNoDescriptors(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, errno := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.EADDRNOTAVAIL} {
@@ -203,8 +203,8 @@
 	})
 }
 
-// TestSlowThenHalf checks that a call with a slow first list is a normal watch from then on: an incomplete message ends it, and
-// a missed change is received within six seconds of the last sign of life.
+// TestSlowThenHalf checks that a call with a slow first list is a normal watch from then on: an incomplete message ends
+// it, and a missed change is received within six seconds of the last sign of life.
 func TestSlowThenHalf(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		slow := script{pieces: []piece{{0, answerHead}, {3 * time.Second, chunk(list(1))}, {2 * time.Second, chunk(list(2)[:30])}}}
--- a/internal/directory/silence_test.go
+++ b/internal/directory/silence_test.go
@@ -16,8 +16,8 @@
 )
 
 // These tests use the clock of testing/synctest and the timing of defaultTiming. The fake discovery and the watch are
-// connected by a pipe, so the results do not depend on the speed of the machine. TestLoopback makes a similar test on sockets
-// with a shorter timeout.
+// connected by a pipe, so the results do not depend on the speed of the machine. TestLoopback makes a similar test on
+// sockets with a shorter timeout.
 
 // answerHead is the head of an answer whose body is a watch.
 const answerHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -25,8 +25,8 @@
 // chunk encodes text as one HTTP chunk.
 func chunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
-// list returns the JSON text of a full list with the given version, indented over several lines as some implementations of
-// discovery write it.
+// list returns the JSON text of a full list with the given version, indented over several lines as some implementations
+// of discovery write it.
 func list(version int) string {
 	return fmt.Sprintf("{\n  \"version\": %d,\n  \"full\": true,\n  \"servers\": [\n    {\n      \"id\": \"a\"\n    }\n  ]\n}\n", version)
 }
@@ -135,8 +135,8 @@
 	return all, ends
 }
 
-// TestSilence checks that a change that a watch misses by falling silent, in whatever way, is received within six seconds of
-// the last sign of life, and with how many calls.
+// TestSilence checks that a change that a watch misses by falling silent, in whatever way, is received within six
+// seconds of the last sign of life, and with how many calls.
 func TestSilence(t *testing.T) {
 	trickle := func(after time.Duration) (all []piece) {
 		for _, letter := range strings.Split(list(2), "") {
@@ -145,26 +145,26 @@
 		}
 		return all
 	}
-	opened := []piece{{0, answerHead + chunk(list(1))}}
-	stood := append(opened[:1:1], piece{2 * time.Second, chunk("\n")})
+	listOnly := []piece{{0, answerHead + chunk(list(1))}}
+	listThenBlank := append(listOnly[:1:1], piece{2 * time.Second, chunk("\n")})
 	half := chunk(list(2)[:30])
 	for name, c := range map[string]struct {
 		scripts []script
 		life    time.Duration // when the last sign of life is received
 		calls   int           // expected until the list of version 9
 	}{
-		"silence":                      {[]script{{pieces: stood}}, 2 * time.Second, 2},
-		"silence from the start":       {[]script{{pieces: opened}}, 0, 2},
-		"half a message, then silence": {[]script{{pieces: append(stood[:2:2], piece{2700 * time.Millisecond, half})}}, 2 * time.Second, 2},
-		"half a message, then the end": {[]script{{pieces: append(stood[:2:2], piece{0, half}), closes: true}}, 2 * time.Second, 2},
-		"half a message twice":         {[]script{{pieces: stood, closes: true}, {pieces: []piece{{0, answerHead + half}}, closes: true}}, 2 * time.Second, 3},
-		"a trickle":                    {[]script{{pieces: append(stood[:2:2], trickle(2700*time.Millisecond)...)}}, 2 * time.Second, 2},
-		"redial hangs":                 {[]script{{pieces: stood}, neverConnects}, 2 * time.Second, 3},
-		"head never comes":             {[]script{{pieces: stood}, {}}, 2 * time.Second, 3},
-		"head trickles":                {[]script{{pieces: stood}, {pieces: []piece{{0, "HTTP/1.1 2"}, {time.Second, "0"}}}}, 2 * time.Second, 3},
-		"head alone":                   {[]script{{pieces: stood}, {pieces: []piece{{0, answerHead}}}}, 2 * time.Second, 3},
-		"head, then half a list":       {[]script{{pieces: stood}, {pieces: []piece{{0, answerHead}, {2 * time.Second, half}}}}, 2 * time.Second, 3},
-		"trickle, head never comes":    {[]script{{pieces: append(stood[:2:2], trickle(2700*time.Millisecond)...)}, {}}, 2 * time.Second, 3},
+		"silence":                      {[]script{{pieces: listThenBlank}}, 2 * time.Second, 2},
+		"silence from the start":       {[]script{{pieces: listOnly}}, 0, 2},
+		"half a message, then silence": {[]script{{pieces: append(listThenBlank[:2:2], piece{2700 * time.Millisecond, half})}}, 2 * time.Second, 2},
+		"half a message, then the end": {[]script{{pieces: append(listThenBlank[:2:2], piece{0, half}), closes: true}}, 2 * time.Second, 2},
+		"half a message twice":         {[]script{{pieces: listThenBlank, closes: true}, {pieces: []piece{{0, answerHead + half}}, closes: true}}, 2 * time.Second, 3},
+		"a trickle":                    {[]script{{pieces: append(listThenBlank[:2:2], trickle(2700*time.Millisecond)...)}}, 2 * time.Second, 2},
+		"redial hangs":                 {[]script{{pieces: listThenBlank}, neverConnects}, 2 * time.Second, 3},
+		"head never comes":             {[]script{{pieces: listThenBlank}, {}}, 2 * time.Second, 3},
+		"head trickles":                {[]script{{pieces: listThenBlank}, {pieces: []piece{{0, "HTTP/1.1 2"}, {time.Second, "0"}}}}, 2 * time.Second, 3},
+		"head alone":                   {[]script{{pieces: listThenBlank}, {pieces: []piece{{0, answerHead}}}}, 2 * time.Second, 3},
+		"head, then half a list":       {[]script{{pieces: listThenBlank}, {pieces: []piece{{0, answerHead}, {2 * time.Second, half}}}}, 2 * time.Second, 3},
+		"trickle, head never comes":    {[]script{{pieces: append(listThenBlank[:2:2], trickle(2700*time.Millisecond)...)}, {}}, 2 * time.Second, 3},
 		"first call hangs":             {[]script{neverConnects}, 0, 2},
 		"first call gets no head":      {[]script{{}}, 0, 2},
 	} {
@@ -184,8 +184,8 @@
 	}
 }
 
-// TestLife checks that a watch with signs of life stays open, whether messages are indented, split, or two in one chunk. It
-// also stays open if the process was paused: then the watch reads what arrived meanwhile.
+// TestLife checks that a watch with signs of life stays open, whether messages are indented, split, or two in one chunk.
+// It also stays open if the process was paused: then the watch reads what arrived meanwhile.
 func TestLife(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := script{pieces: []piece{{0, answerHead + chunk("\n")}}}
@@ -206,8 +206,8 @@
 	})
 }
 
-// TestSpread checks that calls that are rejected with an error status keep the wait of a large fleet, and that a stalled call is
-// read until its slow list is complete.
+// TestSpread checks that calls that are rejected with an error status keep the wait of a large fleet, and that a stalled
+// call is read until its slow list is complete.
 func TestSpread(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := &fakeDiscovery{scripts: []script{{pieces: []piece{{0, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"}}, closes: true}}}
@@ -224,8 +224,8 @@
 	})
 }
 
-// TestPrice checks the number of calls of 300 senders. If all watches fall silent once, each sender makes one more call. If
-// discovery stays down, each makes four more calls in 14 s: two immediately and two after waits of the backoff.
+// TestPrice checks the number of calls of 300 senders. If all watches fall silent once, each sender makes one more call.
+// If discovery stays down, each makes four more calls in 14 s: two immediately and two after waits of the backoff.
 func TestPrice(t *testing.T) {
 	count := func(scripts ...script) (calls int) {
 		for range 300 {
@@ -236,18 +236,18 @@
 		return calls
 	}
 	synctest.Test(t, func(t *testing.T) {
-		stood := script{pieces: []piece{{0, answerHead + chunk(list(1))}}}
-		if n := count(stood, healthy(2)); n != 300 {
+		listOnly := script{pieces: []piece{{0, answerHead + chunk(list(1))}}}
+		if n := count(listOnly, healthy(2)); n != 300 {
 			t.Errorf("%d calls after each watch fell silent once", n)
 		}
-		if n := count(stood, neverConnects); n != 1200 {
+		if n := count(listOnly, neverConnects); n != 1200 {
 			t.Errorf("%d calls to a discovery that is down", n)
 		}
 	})
 }
 
-// TestLoopback checks on sockets, with a tenth of MaxSilence, that an indented list is received, that a silent watch is replaced
-// by a new call, and that stop ends the watcher.
+// TestLoopback checks on sockets, with a tenth of MaxSilence, that an indented list is received, that a silent watch is
+// replaced by a new call, and that stop ends the watcher.
 func TestLoopback(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/directory/timing.go
+++ b/internal/directory/timing.go
@@ -3,50 +3,53 @@
 // This file computes how long each step of a watch may take and how long to wait before the next call. It uses no
 // connection and reads no clock.
 //
-// A change must be received within NotifyWithin of the time when discovery both has the change and can be reached. Source:
-// the operators' terms, by which such a change counts as notified. A call may have started just before that time and hang,
-// and the next one may connect late. Therefore the next call starts within maxInterval of the start of the previous one,
-// however that one ended. The wait before it is drawn evenly from the rest of that interval, which spreads the calls.
+// A change must be received within NotifyWithin of the time when discovery both has the change and can be reached.
+// Source: the operators' terms, by which such a change counts as notified. A call may have started just before that time
+// and hang, and the next one may connect late. Therefore the next call starts within maxInterval of the start of the
+// previous one, however that one ended. The wait before it is drawn evenly from the rest of that interval, which spreads
+// the calls.
 //
-// After an error status a longer wait may apply. Such a status comes from a discovery that can be reached but is overloaded
-// by the calls of all senders. In a large fleet, calls within maxInterval would keep it overloaded, and no call would ever be
-// served. So after an error status the wait depends on the number of senders, if their calls would otherwise be less than
-// CallSpacing apart on average; in a smaller fleet maxInterval applies after an error status as well. The drawback: if
-// discovery returns an error to many senders for another reason, they receive its changes up to MaxBackoff late. The longer
-// wait applies only after an error status.
+// After an error status a longer wait may apply. Such a status comes from a discovery that can be reached but is
+// overloaded by the calls of all senders. In a large fleet, calls within maxInterval would keep it overloaded, and no
+// call would ever be served. So after an error status the wait depends on the number of senders, if their calls would
+// otherwise be less than CallSpacing apart on average; in a smaller fleet maxInterval applies after an error status as
+// well. The drawback: if discovery returns an error to many senders for another reason, they receive its changes up to
+// MaxBackoff late. The longer wait applies only after an error status.
 
 import "time"
 
-// timing holds the timeouts of the steps of a watch and the waits between calls. Together they guarantee that a change that a
-// watch misses by falling silent is received, or asked for twice, within NotifyWithin of the last sign of life. With the
-// values of defaultTiming, the longest times from the last sign of life to the start of the next call are: silence, 2.75 s; a
-// message that begins just before then and stops, 3.8 s; either, followed by a call whose head never arrives, 4.85 s;
-// silence, followed by a call that sends only a head, 5.25 s.
+// timing holds the timeouts of the steps of a watch and the waits between calls. Together they guarantee that a change
+// that a watch misses by falling silent is received, or asked for twice, within NotifyWithin of the last sign of life.
+// With the values of defaultTiming, the longest times from the last sign of life to the start of the next call are:
+// silence, 2.75 s; a message that begins just before then and stops, 3.8 s; either, followed by a call whose head never
+// arrives, 4.85 s; silence, followed by a call that sends only a head, 5.25 s.
 type timing struct {
-	// NotifyWithin is the time after which a missed change counts as notified, measured from the last sign of life or from
-	// the time when discovery could be reached again. Source: the page of the standing test, and the operators' terms.
+	// NotifyWithin is the time after which a missed change counts as notified, measured from the last sign of life or
+	// from the time when discovery could be reached again. Source: the page of the standing test, and the operators'
+	// terms.
 	NotifyWithin time.Duration
 	// Slack is the part of NotifyWithin that is reserved for delays of the machine.
 	Slack time.Duration
 	// MaxSilence is how long an open watch may send nothing. Discovery sends an empty line every two seconds.
 	MaxSilence time.Duration
-	// HeadTimeout is the time from the start of a call to the head of the answer, including the time to connect. Discovery
-	// answers immediately, and connecting takes at most a second.
+	// HeadTimeout is the time from the start of a call to the head of the answer, including the time to connect.
+	// Discovery answers immediately, and connecting takes at most a second.
 	HeadTimeout time.Duration
-	// FirstSignTimeout is the time from the start of a call to the first sign of life. Discovery sends a message or an empty
-	// line within two seconds of the head.
+	// FirstSignTimeout is the time from the start of a call to the first sign of life. Discovery sends a message or an
+	// empty line within two seconds of the head.
 	FirstSignTimeout time.Duration
 	// MessageTimeout is the time from the first byte of a message to its last.
 	MessageTimeout time.Duration
-	// StalledTimeout replaces HeadTimeout and MessageTimeout for a stalled call that is read in parallel with the next one;
-	// twice its value replaces FirstSignTimeout. A stalled call may be slow because it delays nothing.
+	// StalledTimeout replaces HeadTimeout and MessageTimeout for a stalled call that is read in parallel with the next
+	// one; twice its value replaces FirstSignTimeout. A stalled call may be slow because it delays nothing.
 	StalledTimeout time.Duration
-	// ReconnectSpread is the maximum wait before the call after a closed watch. It spreads the calls of all senders when a
-	// restarting discovery closes all watches at once.
+	// ReconnectSpread is the maximum wait before the call after a closed watch. It spreads the calls of all senders when
+	// a restarting discovery closes all watches at once.
 	ReconnectSpread time.Duration
-	// CallSpacing is the average distance between the calls of all senders after a failed call. It doubles after the second
-	// and again after the third failure in a row. Without it, a discovery that many senders call again and again would answer
-	// none of them and never recover. After a failure other than an error status maxInterval limits the wait as well.
+	// CallSpacing is the average time between two calls of all senders after a failed call. The time doubles after the
+	// second failure in a row and again after the third, as long as the wait stays below MaxBackoff. Without
+	// CallSpacing, a discovery that many senders call again and again would answer none of them and never recover. After
+	// a failure other than an error status, maxInterval limits the wait as well.
 	CallSpacing time.Duration
 	// MaxBackoff is the maximum wait before a call.
 	MaxBackoff time.Duration
@@ -84,8 +87,8 @@
 // fleetSpread returns the duration over which the calls of all senders are CallSpacing apart.
 func (t *timing) fleetSpread() time.Duration { return time.Duration(t.Senders) * t.CallSpacing }
 
-// wouldOverload reports whether calls of all senders within maxInterval, after waits drawn evenly from it, would be less than
-// CallSpacing apart.
+// wouldOverload reports whether calls of all senders within maxInterval, after waits drawn evenly from it, would be less
+// than CallSpacing apart.
 func (t *timing) wouldOverload() bool { return 2*t.fleetSpread() > t.maxInterval() }
 
 // maxWait returns the maximum wait after the given number of failed calls in a row.
@@ -113,8 +116,8 @@
 	silences int // calls in a row that were silent or cut off and were not counted as failures
 }
 
-// next returns the maximum wait before the next call, from which the actual wait is drawn evenly. sinceSign is the time since
-// the last sign of life, sinceCall the time since the start of the call.
+// next returns the maximum wait before the next call, from which the actual wait is drawn evenly. sinceSign is the time
+// since the last sign of life, sinceCall the time since the start of the call.
 func (b *backoff) next(t *timing, how ending, sinceSign, sinceCall time.Duration) time.Duration {
 	lost := how == cutOff || how == silent
 	if lost && b.silences < maxImmediateRetries && sinceSign < t.NotifyWithin {
--- a/internal/directory/timing_test.go
+++ b/internal/directory/timing_test.go
@@ -8,8 +8,9 @@
 	"time"
 )
 
-// watchesAfterMinute simulates senders that all lose their watch at the same time. Discovery serves perSecond calls per second,
-// and rejected calls use up this capacity as well. The function returns how many senders have a watch again after a minute.
+// watchesAfterMinute simulates senders that all lose their watch at the same time. Discovery serves perSecond calls per
+// second, and rejected calls use up this capacity as well. The function returns how many senders have a watch again
+// after a minute.
 func watchesAfterMinute(senders int, perSecond float64, maxWait func(failures, senders int) time.Duration) (watches int) {
 	random := rand.New(rand.NewPCG(7, 7))
 	type sender struct {
@@ -40,8 +41,8 @@
 	return watches
 }
 
-// TestWatchesComeBack checks that a discovery recovers from an overload by the calls of all senders, because their waits grow
-// with the number of senders.
+// TestWatchesComeBack checks that a discovery recovers from an overload by the calls of all senders, because their waits
+// grow with the number of senders.
 func TestWatchesComeBack(t *testing.T) {
 	spread := func(failures, senders int) time.Duration {
 		w := defaultTiming(senders)
@@ -52,8 +53,8 @@
 			t.Errorf("%d senders: %d have a watch again", senders, n)
 		}
 	}
-	// With the waits of a single sender nearly all senders stay without a watch; otherwise the simulated discovery would not
-	// be overloaded, and the checks above would show nothing.
+	// With the waits of a single sender nearly all senders stay without a watch; otherwise the simulated discovery would
+	// not be overloaded, and the checks above would show nothing.
 	if n := watchesAfterMinute(80, 12, func(int, int) time.Duration { return defaultTiming(1).ReconnectSpread }); n > 20 {
 		t.Errorf("%d senders have a watch again with short waits: the simulated discovery is not overloaded", n)
 	}
--- a/internal/directory/watch.go
+++ b/internal/directory/watch.go
@@ -1,17 +1,17 @@
 // Package directory receives the list of endpoints from service discovery.
 //
-// It defines the JSON format of the list and has at most two connections to discovery. It gets the full list and its changes
-// through a watch, a call whose answer stays open, and calls again when the watch ends or falls silent. It continues until it
-// is stopped, no answer of discovery makes it panic, and it leaves out invalid entries.
+// It defines the JSON format of the list and has at most two connections to discovery. It gets the full list and its
+// changes through a watch, a call whose answer stays open, and calls again when the watch ends or falls silent. It
+// continues until it is stopped, no answer of discovery makes it panic, and it leaves out invalid entries.
 //
-// Calls start one after another. A call that stalls before its first sign of life is read for a while in parallel with the
-// next one. Otherwise a list that is always slow would never be received, or waiting for it would delay the next call beyond
-// NotifyWithin. The call with the first sign of life becomes the watch, and the other one is stopped. The cost is one more
-// connection while discovery sends nothing. The drawback: if a stalled call at last receives an old list and then falls
-// silent, MaxSilence starts again from that list.
+// Calls start one after another. A call that stalls before its first sign of life is read for a while in parallel with
+// the next one. Otherwise a list that is always slow would never be received, or waiting for it would delay the next
+// call beyond NotifyWithin. The call with the first sign of life becomes the watch, and the other one is stopped. The
+// cost is one more connection while discovery sends nothing. The drawback: if a stalled call at last receives an old
+// list and then falls silent, MaxSilence starts again from that list.
 //
-// watch.go starts the calls, timing.go computes when the next one starts, call.go implements one call, and list.go defines
-// the list.
+// watch.go starts the calls, timing.go computes when the next one starts, call.go implements one call, and list.go
+// defines the list.
 package directory
 
 import (
@@ -47,6 +47,7 @@
 	err  error  // set with stalled and ended
 }
 
+// eventKind says what a call reports.
 type eventKind int
 
 const (
@@ -55,9 +56,9 @@
 	ended                       // the call has ended
 )
 
-// Watch receives the list from discovery at addr, to which the given number of senders connect, until stop is closed. It asks
-// for changes after the version since. It calls onList with each message, and onFailure with the reason when a call stalls or
-// ends, both on the calling goroutine.
+// Watch receives the list from discovery at addr, to which the given number of senders connect, until stop is closed. It
+// asks for changes after the version since. It calls onList with each message, and onFailure with the reason when a call
+// stalls or ends, both on the calling goroutine.
 func Watch(addr string, senders int, since int64, stop <-chan struct{}, onList func(List), onFailure func(error)) {
 	var d net.Dialer
 	w := &watcher{
@@ -148,7 +149,8 @@
 	w.nextCall.Stop()
 }
 
-// scheduleNext updates the backoff after a call ended or stalled, and sets the timer of the next call unless one is open.
+// scheduleNext updates the backoff after a call ended or stalled, and sets the timer of the next call unless one is
+// open.
 func (w *watcher) scheduleNext(how ending, c *call) {
 	most := w.backoff.next(&w.timing, how, time.Since(w.lastSign), time.Since(c.startedAt))
 	if w.newest != nil {
--- a/internal/directory/watch_test.go
+++ b/internal/directory/watch_test.go
@@ -10,8 +10,8 @@
 	"strings"
 )
 
-// A watch continues from the version received last, whether the previous call ended normally, with an error status, or with
-// malformed text. A message may take one line or several.
+// A watch continues from the version received last, whether the previous call ended normally, with an error status, or
+// with malformed text. A message may take one line or several.
 func ExampleWatch() {
 	answers := []string{`{"version":5,"full":true,"servers":[]}` + "\n\n" + `{"version":6}` + "\n", "", "{nonsense\n", "{\n  \"version\": 7\n}\n"}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -60,8 +60,8 @@
 	// version 7
 }
 
-// An incomplete list is not passed on, and the next call asks for the same version. A list without endpoints, or with unknown
-// zones and kinds, does not end the watch.
+// An incomplete list is not passed on, and the next call asks for the same version. A list without endpoints, or with
+// unknown zones and kinds, does not end the watch.
 func ExampleWatch_half() {
 	answers := []string{`{"version":8,"full":true,"servers":[{"id":"a","addr":"h:1","sta`, `{"version":8,"full":true,"servers":[]}` + "\n" +
 		`{"version":9,"full":true,"servers":[{"id":"a","addr":"h:1","zone":"nowhere","kind":"unheard","state":"up"}]}` + "\n"}
--- a/internal/fielderror/fielderror.go
+++ b/internal/fielderror/fielderror.go
@@ -1,5 +1,5 @@
-// Package fielderror defines the error that names an invalid field of a configuration file or of a line of a protocol. The
-// package has no state, so docs/CAPACITY.md counts no memory for it.
+// Package fielderror defines the error that names an invalid field of a configuration file or of a line of a protocol.
+// The package has no state, so docs/CAPACITY.md counts no memory for it.
 package fielderror
 
 import "fmt"
--- a/internal/http1/answer.go
+++ b/internal/http1/answer.go
@@ -1,7 +1,7 @@
 package http1
 
-// Answer parses one answer from data that arrives in pieces of any size. The zero value is ready to use. Bytes after the end of
-// the answer are counted but not parsed.
+// Answer parses one answer from data that arrives in pieces of any size. The zero value is ready to use. Bytes after the
+// end of the answer are counted but not parsed.
 type Answer struct {
 	Head
 	Body []byte // valid only when Done is true; refers to an internal buffer
@@ -21,7 +21,8 @@
 // Started reports whether any data has been received.
 func (a *Answer) Started() bool { return len(a.buf) > 0 }
 
-// Feed adds a piece of data and parses as far as possible. It skips interim answers. An error is ErrHead, ErrSize or ErrBody.
+// Feed adds a piece of data and parses as far as possible. It skips interim answers. An error is ErrHead, ErrSize or
+// ErrBody.
 func (a *Answer) Feed(piece []byte) error {
 	a.buf = append(a.buf, piece...)
 	return a.read(false)
--- a/internal/http1/chunks.go
+++ b/internal/http1/chunks.go
@@ -22,9 +22,9 @@
 	chunkDone                      // nothing; the body is complete
 )
 
-// Next decodes from the start of buf, which must continue where the last call stopped. It returns the next data, a part of buf,
-// the number of bytes of buf that it took, and whether the last chunk and its trailer are complete. If it returns neither data
-// nor done, it needs more input. The error is ErrBody.
+// Next decodes from the start of buf, which must continue where the last call stopped. It returns the next data, a part
+// of buf, the number of bytes of buf that it took, and whether the last chunk and its trailer are complete. If it
+// returns neither data nor done, it needs more input; took is 0 if no part of buf could be decoded. The error is ErrBody.
 func (c *Chunks) Next(buf []byte) (data []byte, took int, done bool, err error) {
 	for {
 		rest := buf[took:]
@@ -59,7 +59,8 @@
 	return rest[:n]
 }
 
-// takeLine returns the first line without its line end and the number of bytes it took, which is 0 if the line is incomplete.
+// takeLine returns the first line without its line end and the number of bytes it took, which is 0 if the line is
+// incomplete.
 func (c *Chunks) takeLine(rest []byte) (line []byte, size int, err error) {
 	end := bytes.IndexByte(rest[:min(len(rest), MaxHead)], '\n')
 	if end < 0 {
--- a/internal/http1/head.go
+++ b/internal/http1/head.go
@@ -61,8 +61,8 @@
 	return n, nil
 }
 
-// checkStatusStart checks an incomplete status line, so that the caller does not wait for the line end of a peer that sends
-// something else.
+// checkStatusStart checks an incomplete status line, so that the caller does not wait for the line end of a peer that
+// sends something else.
 func checkStatusStart(buf []byte) error {
 	n := min(len(buf), len(versionPrefix))
 	switch {
@@ -74,8 +74,8 @@
 	return nil
 }
 
-// Parse parses the head at the start of buf and returns its size in bytes, or 0 if it is incomplete. An error is ErrHead or
-// ErrSize.
+// Parse parses the head at the start of buf and returns its size in bytes, or 0 if it is incomplete. An error is ErrHead
+// or ErrSize.
 func (h *Head) Parse(buf []byte) (int, error) {
 	status, err := parseStatus(buf)
 	if status == 0 || err != nil {
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -1,8 +1,8 @@
 // Package http1 formats HTTP/1.1 requests of a sender and parses the answers.
 //
-// Heads are parsed in place: the results refer to the caller's buffer. The package opens no connection, retries nothing and
-// follows no redirect. It never reports an incomplete answer as complete, and it stores no more of an answer than the limits
-// below allow.
+// Heads are parsed in place: the results refer to the caller's buffer. The package opens no connection, retries nothing
+// and follows no redirect. It never reports an incomplete answer as complete, and it stores no more of an answer than
+// the limits below allow.
 //
 // head.go parses the head of an answer, chunks.go a chunked body, and answer.go a whole answer from pieces.
 package http1
@@ -12,8 +12,8 @@
 	"strconv"
 )
 
-// Limits of an answer in bytes. MaxHead bounds the head, and MaxBody the body. The largest bodies are those of bulk calls and
-// lists of endpoints; both are far below MaxBody.
+// Limits of an answer in bytes. MaxHead bounds the head, and MaxBody the body. The largest bodies are those of bulk
+// calls and lists of endpoints; both are far below MaxBody.
 const (
 	MaxHead = 8 << 10
 	MaxBody = 256 << 10
@@ -32,8 +32,9 @@
 // NoBody is the size that AppendRequest takes for a request without a body.
 const NoBody = -1
 
-// AppendRequest appends the head of a request to out. fields holds name, value, name, value. size is the length of the body in
-// bytes, which the caller sends after the head; NoBody, or any other value below 0, stands for a request without a body.
+// AppendRequest appends the head of a request to out. fields holds name, value, name, value. size is the length of the
+// body in bytes, which the caller sends after the head; NoBody, or any other value below 0, stands for a request without
+// a body.
 func AppendRequest(out []byte, method, path, host string, size int, fields ...string) []byte {
 	out = append(out, method...)
 	out = append(out, ' ')
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -60,8 +60,8 @@
 	// 0 done=false close=false "" malformed answer head
 }
 
-// TestGreatestHead checks that a head of MaxHead bytes is accepted and one of a byte more is rejected, in pieces of any size. The
-// same must hold for a head that consists mostly of the status line, and after an interim answer.
+// TestGreatestHead checks that a head of MaxHead bytes is accepted and one of a byte more is rejected, in pieces of any
+// size. The same must hold for a head that consists mostly of the status line, and after an interim answer.
 func TestGreatestHead(t *testing.T) {
 	for _, interim := range []string{"", "HTTP/1.1 100 On\r\n\r\n"} {
 		for _, of := range []struct{ start, end string }{
@@ -80,8 +80,8 @@
 	}
 }
 
-// TestGreatestBody checks that a body of MaxBody bytes is accepted and one of a byte more is rejected, with a length and in
-// chunks.
+// TestGreatestBody checks that a body of MaxBody bytes is accepted and one of a byte more is rejected, with a length and
+// in chunks.
 func TestGreatestBody(t *testing.T) {
 	for _, above := range []int{0, 1} {
 		body := strings.Repeat("x", MaxBody+above)
@@ -112,8 +112,8 @@
 	// "GET / HTTP/1.1\r\nHost: h:1\r\n\r\n"
 }
 
-// FuzzAnswer checks that the result does not depend on the size of the pieces, that no input causes a panic, and that the body
-// stays within the limits.
+// FuzzAnswer checks that the result does not depend on the size of the pieces, that no input causes a panic, and that
+// the body stays within the limits.
 func FuzzAnswer(f *testing.F) {
 	f.Add("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n", 2)
 	f.Add("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", 5)
--- a/internal/journal/capacity_test.go
+++ b/internal/journal/capacity_test.go
@@ -1,7 +1,7 @@
 package journal
 
-// This file holds the benchmarks for docs/CAPACITY.md: the cost of the journal by the number of records, with the size of a
-// message's record in a sender.
+// This file holds the benchmarks for docs/CAPACITY.md: the cost of the journal by the number of records, with the size
+// of a message's record in a sender.
 
 import (
 	"bytes"
@@ -39,8 +39,8 @@
 
 var capacityRecordCounts = []int{1_000, 10_000, 100_000, 1_000_000}
 
-// BenchmarkCapacityOpen opens and replays files. alloc-B is the number of bytes that one Open allocates; they are all in use at
-// the same time, because Open reads the whole file into memory.
+// BenchmarkCapacityOpen opens and replays files. alloc-B is the number of bytes that one Open allocates; they are all in
+// use at the same time, because Open reads the whole file into memory.
 func BenchmarkCapacityOpen(b *testing.B) {
 	bench.Sizes(b, "records", capacityRecordCounts, func(b *testing.B, n int) {
 		dir := capacityRecords(b, n)
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -1,8 +1,8 @@
 // Package journal stores the records of a sender in one file of its state folder, so that they outlive the process.
 //
-// It defines the format of the file, and it bounds and rewrites the file; it does not interpret the records. A file that a
-// killed process left behind can always be opened: an incomplete record at its end is dropped. A rewrite never makes the files
-// exceed the limit and never replaces a valid file by an incomplete one.
+// It defines the format of the file, and it bounds and rewrites the file; it does not interpret the records. A file that
+// a killed process left behind can always be opened: an incomplete record at its end is dropped. A rewrite never makes
+// the files exceed the limit and never replaces a valid file by an incomplete one.
 package journal
 
 import (
@@ -43,9 +43,9 @@
 	batch []byte // frames that were added since the last Flush
 }
 
-// Open opens the file in dir and creates it, and dir, if they do not exist. It calls replay with each valid record, in order; the
-// records are slices of one buffer with the whole file. Open cuts the file off at the first damaged or incomplete record and
-// returns the number of dropped bytes. limit is in bytes.
+// Open opens the file in dir and creates it, and dir, if they do not exist. It calls replay with each valid record, in
+// order; the records are slices of one buffer with the whole file. Open cuts the file off at the first damaged or
+// incomplete record and returns the number of dropped bytes. limit is in bytes.
 func Open(dir string, limit int64, replay func(record []byte)) (j *Journal, dropped int64, err error) {
 	j = &Journal{dir: dir, limit: limit}
 	dropped, err = j.open(replay)
@@ -66,7 +66,8 @@
 	if err := os.MkdirAll(j.dir, folderMode); err != nil {
 		return 0, err
 	}
-	// A file left by an interrupted rewrite would count against the limit, and all its records are in the current file too.
+	// A file left by an interrupted rewrite would count against the limit, and all its records are in the current file
+	// too.
 	if err := os.Remove(j.path(rewriteFile)); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return 0, err
 	}
@@ -84,8 +85,8 @@
 	return int64(len(data)) - j.size, nil
 }
 
-// replayAll calls replay with each record of a file up to the first damaged or incomplete one, and returns the size in bytes of
-// the valid part. Without the magic text at the start no part is valid.
+// replayAll calls replay with each record of a file up to the first damaged or incomplete one, and returns the size in
+// bytes of the valid part. Without the magic text at the start no part is valid.
 func replayAll(data []byte, replay func(record []byte)) (good int64) {
 	if !bytes.HasPrefix(data, []byte(magic)) {
 		return 0
@@ -98,6 +99,7 @@
 	return int64(len(data) - len(rest))
 }
 
+// path returns the path of a file in the folder of the journal.
 func (j *Journal) path(name string) string { return filepath.Join(j.dir, name) }
 
 // firstRecord returns the record at the start of data, or nil if it is incomplete or damaged.
@@ -138,8 +140,8 @@
 // Add adds a record, which the next Flush writes. It copies the record.
 func (j *Journal) Add(record []byte) { j.batch = appendFrame(j.batch, record) }
 
-// Flush writes all added records with a single write. It does not sync: data that the operating system has accepted outlives
-// the process. After an error the records remain to be written by the next Flush.
+// Flush writes all added records with a single write. It does not sync: data that the operating system has accepted
+// outlives the process. After an error the records remain to be written by the next Flush.
 func (j *Journal) Flush() error {
 	if len(j.batch) == 0 {
 		return nil
@@ -156,9 +158,10 @@
 	return nil
 }
 
-// Rewrite replaces the file by one that holds only the records that all passes to add. They must include the records added since
-// the last Flush, which are otherwise lost. Both files exist for a while and count against the limit; if they would exceed it,
-// Rewrite returns ErrFull. After an error the old file and the records to be flushed are unchanged.
+// Rewrite replaces the file by one that holds only the records that all passes to add. They must include the records
+// added since the last Flush, which are otherwise lost. Both files exist for a while and count against the limit; if
+// they would exceed it, Rewrite returns ErrFull. After an error the old file and the records to be flushed are
+// unchanged.
 func (j *Journal) Rewrite(all func(add func(record []byte))) error {
 	fresh := []byte(magic)
 	all(func(record []byte) { fresh = appendFrame(fresh, record) })
@@ -180,8 +183,8 @@
 	return nil
 }
 
-// Put atomically replaces the small file name in the folder of the journal. The file does not count against the limit; the
-// caller must bound its size.
+// Put atomically replaces the small file name in the folder of the journal. The file does not count against the limit;
+// the caller must bound its size.
 func (j *Journal) Put(name string, data []byte) error {
 	path := filepath.Join(j.dir, name)
 	if err := os.WriteFile(path+".new", data, fileMode); err != nil {
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -27,8 +27,8 @@
 	j.Close()
 }
 
-// A process that is killed while it writes leaves an incomplete record. Open cuts that record off and keeps the records before
-// it, and new records follow them. A damaged record is cut off with all records after it.
+// A process that is killed while it writes leaves an incomplete record. Open cuts that record off and keeps the records
+// before it, and new records follow them. A damaged record is cut off with all records after it.
 func Example_incompleteTail() {
 	dir, _ := os.MkdirTemp("", "journal")
 	defer os.RemoveAll(dir)
@@ -59,8 +59,8 @@
 	// flipped [] 22
 }
 
-// During a rewrite both files count against the limit, so a rewrite that would exceed it is rejected. Open removes a file left by
-// an interrupted rewrite.
+// During a rewrite both files count against the limit, so a rewrite that would exceed it is rejected. Open removes a
+// file left by an interrupted rewrite.
 func Example_rewrite() {
 	dir, _ := os.MkdirTemp("", "journal")
 	defer os.RemoveAll(dir)
@@ -83,8 +83,8 @@
 	// [kept later] 1
 }
 
-// FuzzOpen checks that Open fails for no content of the file, and that opening the file again returns the same number of records
-// and the one added.
+// FuzzOpen checks that Open fails for no content of the file, and that opening the file again returns the same number of
+// records and the one added.
 func FuzzOpen(f *testing.F) {
 	f.Add([]byte(magic + "\x03\x00\x00\x00aaaaone"))
 	f.Fuzz(func(t *testing.T, data []byte) {
--- a/internal/journal/storeddata_test.go
+++ b/internal/journal/storeddata_test.go
@@ -12,8 +12,8 @@
 // storedLimit is the limit in bytes. It is far above the size of the stored file.
 const storedLimit = 1 << 20
 
-// storedFolder returns a copy of the folder testdata/stored, which commit 485f0e4 wrote. The folder must never be regenerated:
-// files of an older program have to stay readable.
+// storedFolder returns a copy of the folder testdata/stored, which commit 485f0e4 wrote. The folder must never be
+// regenerated: files of an older program have to stay readable.
 func storedFolder(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -41,8 +41,8 @@
 	return [][]byte{[]byte("first"), {0}, bytes.Repeat([]byte("wide "), 60)}
 }
 
-// TestReadsStoredJournal checks that the records of an older program are read unchanged, both from its complete file and from
-// one that is cut off in the last record.
+// TestReadsStoredJournal checks that the records of an older program are read unchanged, both from its complete file and
+// from one that is cut off in the last record.
 func TestReadsStoredJournal(t *testing.T) {
 	for _, c := range []struct {
 		name    string
--- a/internal/loopback/pair_test.go
+++ b/internal/loopback/pair_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// ownIP is a loopback address that only these tests use. On 127.0.0.1 tests of other packages, which run at the same time, use
-// TCP ports too: the port that occupied chose was once in use there for TCP, and the first attempt failed.
+// ownIP is a loopback address that only these tests use. On 127.0.0.1 tests of other packages, which run at the same
+// time, use TCP ports too: the port that occupied chose was once in use there for TCP, and the first attempt failed.
 var ownIP = net.IPv4(127, 73, 0, 1)
 
 // occupied returns a port of ownIP that is in use for UDP but free for TCP.
@@ -23,8 +23,8 @@
 	return &net.TCPAddr{IP: at.IP, Port: at.Port}
 }
 
-// drawPorts returns a function that listens with TCP on a port that is in use for UDP the first taken times, and then on an
-// ephemeral port. attempts counts its calls.
+// drawPorts returns a function that listens with TCP on a port that is in use for UDP the first taken times, and then on
+// an ephemeral port. attempts counts its calls.
 func drawPorts(t *testing.T, taken int) (listenTCP func() (*net.TCPListener, error), attempts *int) {
 	t.Helper()
 	at := occupied(t)
@@ -38,8 +38,8 @@
 	}, attempts
 }
 
-// TestDrawsAgainWhereUDPIsTaken checks that ListenPair tries another ephemeral port if the first is in use for UDP. Without the
-// retry, tests failed occasionally with "listen udp: address already in use".
+// TestDrawsAgainWhereUDPIsTaken checks that ListenPair tries another ephemeral port if the first is in use for UDP.
+// Without the retry, tests failed occasionally with "listen udp: address already in use".
 func TestDrawsAgainWhereUDPIsTaken(t *testing.T) {
 	listenTCP, attempts := drawPorts(t, 2)
 	streams, packets, err := listenPair(true, listenTCP)
@@ -64,8 +64,8 @@
 	}
 }
 
-// TestNamedPortIsNotDrawnAgain checks that a given port is not replaced by another one, and that after the error it is free for
-// TCP again.
+// TestNamedPortIsNotDrawnAgain checks that a given port is not replaced by another one, and that after the error it is
+// free for TCP again.
 func TestNamedPortIsNotDrawnAgain(t *testing.T) {
 	at := occupied(t)
 	if _, _, err := ListenPair(at.String()); !errors.Is(err, syscall.EADDRINUSE) {
--- a/internal/peers/frame.go
+++ b/internal/peers/frame.go
@@ -1,7 +1,8 @@
 package peers
 
-// This file defines the format of a datagram: a byte for the version of the format, the note, and a checksum of both. Without the
-// checksum a note damaged in transit could affect an endpoint that it is not about. The receiver interprets the note.
+// This file defines the format of a datagram: a byte for the version of the format, the note, and a checksum of both.
+// Without the checksum a note damaged in transit could affect an endpoint that it is not about. The receiver interprets
+// the note.
 
 import (
 	"encoding/binary"
@@ -21,7 +22,8 @@
 	return binary.LittleEndian.AppendUint32(datagram, crc32.ChecksumIEEE(datagram))
 }
 
-// unframe returns a copy of the note in a datagram, or nil if the datagram has another format, is damaged or has an empty note.
+// unframe returns a copy of the note in a datagram, or nil if the datagram has another format, is damaged or has an
+// empty note.
 func unframe(datagram []byte) []byte {
 	end := len(datagram) - checksumSize
 	switch {
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -1,9 +1,10 @@
-// Package peers sends and receives gossip between senders: short notes in UDP datagrams, each from one sender to all others.
+// Package peers sends and receives gossip between senders: short notes in UDP datagrams, each from one sender to all
+// others.
 //
-// It uses one socket, defines the format of a datagram, and bounds the queue of notes to be sent. A note may be lost, delayed or
-// duplicated, and its receiver must allow for that. Sending never blocks the caller. The package sends no datagram longer than
-// MostBytes, which the platform forbids. It drops received datagrams that come from an address that is not a peer's, are too
-// long, or are damaged.
+// It uses one socket, defines the format of a datagram, and bounds the queue of notes to be sent. A note may be lost,
+// delayed or duplicated, and its receiver must allow for that. Sending never blocks the caller. The package sends no
+// datagram longer than MostBytes, which the platform forbids. It drops received datagrams that come from an address that
+// is not a peer's, are too long, or are damaged.
 package peers
 
 import (
@@ -18,11 +19,11 @@
 )
 
 const (
-	// MostBytes is the maximum size of a datagram. Source: the section of the protocol's page about traffic between senders; a
-	// longer datagram makes a run invalid.
+	// MostBytes is the maximum size of a datagram. Source: the section of the protocol's page about traffic between
+	// senders; a longer datagram makes a run invalid.
 	MostBytes = 256
-	// queueLength is the maximum number of notes that wait to be sent. In a longer queue a note would be outdated when it is
-	// sent.
+	// queueLength is the maximum number of notes that wait to be sent. In a longer queue a note would be outdated when
+	// it is sent.
 	queueLength = 64
 )
 
@@ -45,8 +46,8 @@
 	Spoilt  int64 // received datagrams dropped because they are malformed or damaged
 }
 
-// Peers is a socket with two goroutines, one that sends and one that receives. Tell and Counts may be called at any time from
-// any goroutine.
+// Peers is a socket with two goroutines, one that sends and one that receives. Tell and Counts may be called at any time
+// from any goroutine.
 type Peers struct {
 	conn         *net.UDPConn
 	destinations []netip.AddrPort            // each note is sent to all of them
@@ -64,8 +65,8 @@
 	errNotIPv4 = errors.New("not an IPv4 address")
 )
 
-// Open binds the socket. The error is a *fielderror.Error with the field of the configuration. Until Start, received datagrams
-// wait in the socket.
+// Open binds the socket. The error is a *fielderror.Error with the field of the configuration. Until Start, received
+// datagrams wait in the socket.
 func Open(o Options) (*Peers, error) {
 	p := &Peers{known: map[netip.AddrPort]struct{}{}, queue: make(chan []byte, queueLength), stop: make(chan struct{})}
 	listen, err := parseAddress("peer_listen", o.Listen)
@@ -121,15 +122,15 @@
 // Addr returns the local address of the socket.
 func (p *Peers) Addr() string { return p.conn.LocalAddr().String() }
 
-// Start starts sending and receiving. The receiving goroutine calls onNote with each note, which onNote may keep. While onNote
-// blocks, datagrams are lost once the socket's buffer is full.
+// Start starts sending and receiving. The receiving goroutine calls onNote with each note, which onNote may keep. While
+// onNote blocks, datagrams are lost once the socket's buffer is full.
 func (p *Peers) Start(onNote func(note []byte)) {
 	p.goroutines.Go(p.sendQueued)
 	p.goroutines.Go(func() { p.receive(onNote) })
 }
 
-// Tell queues a note for all other senders. It never blocks: if the note is too long or the queue is full, the note is dropped
-// and counted.
+// Tell queues a note for all other senders. It never blocks: if the note is too long or the queue is full, the note is
+// dropped and counted.
 func (p *Peers) Tell(note []byte) {
 	datagram := frame(note)
 	if len(datagram) > MostBytes {
@@ -176,8 +177,8 @@
 	}
 }
 
-// send sends a datagram to all destinations. It counts the note as sent if the socket accepted the datagram for at least one
-// of them; whether it arrives is unknown.
+// send sends a datagram to all destinations. It counts the note as sent if the socket accepted the datagram for at least
+// one of them; whether it arrives is unknown.
 func (p *Peers) send(datagram []byte) {
 	anySent := false
 	for _, to := range p.destinations {
@@ -210,8 +211,8 @@
 	}
 }
 
-// accept returns a copy of the note in a datagram received from the address from. If the datagram must be dropped, accept
-// counts the reason and returns nil.
+// accept returns a copy of the note in a datagram received from the address from. If the datagram must be dropped,
+// accept counts the reason and returns nil.
 func (p *Peers) accept(datagram []byte, from netip.AddrPort) []byte {
 	if _, known := p.known[from]; !known {
 		p.unknownSender.Add(1)
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -14,6 +14,7 @@
 	"flaxcove/internal/fielderror"
 )
 
+// TestMain fails if a goroutine is still running after the tests.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // socket returns a UDP socket that plays the role of a peer.
@@ -49,8 +50,8 @@
 	}
 }
 
-// TestHeard checks that notes of a peer are received, duplicates included. Datagrams from an unknown address or the sender itself,
-// and damaged or too long ones, are dropped and counted.
+// TestHeard checks that notes of a peer are received, duplicates included. Datagrams from an unknown address or the
+// sender itself, and damaged or too long ones, are dropped and counted.
 func TestHeard(t *testing.T) {
 	peer, own, stranger := socket(t), socket(t), socket(t)
 	p, notes := started(t, Options{Peers: []string{own.LocalAddr().String(), peer.LocalAddr().String()}, Own: 0})
@@ -86,8 +87,8 @@
 	}
 }
 
-// TestTell checks that a note is sent from the listening socket, either once to the address that reaches all senders or to each
-// sender except itself, and that a peer that is gone does not affect the others.
+// TestTell checks that a note is sent from the listening socket, either once to the address that reaches all senders or
+// to each sender except itself, and that a peer that is gone does not affect the others.
 func TestTell(t *testing.T) {
 	a, b, all, gone := socket(t), socket(t), socket(t), socket(t)
 	gone.Close()
@@ -120,7 +121,8 @@
 	}
 }
 
-// TestTellNeverWaits checks that Tell drops and counts notes, instead of blocking, if the queue is full because nothing is sent.
+// TestTellNeverWaits checks that Tell drops and counts notes, instead of blocking, if the queue is full because nothing
+// is sent.
 func TestTellNeverWaits(t *testing.T) {
 	p, err := Open(Options{Listen: "127.0.0.1:0", Peers: []string{"127.0.0.1:9"}, Own: 1})
 	if err != nil {
@@ -137,7 +139,8 @@
 	}
 }
 
-// TestOpenNamesTheField checks that the error of Open for invalid options names the field, and that a port in use is an error.
+// TestOpenNamesTheField checks that the error of Open for invalid options names the field, and that a port in use is an
+// error.
 func TestOpenNamesTheField(t *testing.T) {
 	for _, o := range []Options{{}, {Listen: "127.0.0.1:0"}, {Listen: "host:1", Peers: []string{"127.0.0.1:1"}},
 		{Listen: "127.0.0.1:0", Peers: []string{"127.0.0.1:1", "[::1]:1"}},
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -1,8 +1,8 @@
 // Package resp parses the commands of clients and formats the answers, in the protocol RESP2.
 //
-// It knows no command by name. It parses in place: the results refer to the caller's buffer and are valid until the buffer
-// changes. It reads no more than the limits below allow, whatever length a client declares, and never returns an incomplete
-// command.
+// It knows no command by name. It parses in place: the results refer to the caller's buffer and are valid until the
+// buffer changes. It reads no more than the limits below allow, whatever length a client declares, and never returns an
+// incomplete command.
 package resp
 
 import (
@@ -11,8 +11,8 @@
 	"strconv"
 )
 
-// Limits of a command: the number of arguments, and the number of bytes of an argument. The longest argument is the body of a
-// message; all others are far shorter than MaxBulk.
+// Limits of a command: the number of arguments, and the number of bytes of an argument. The longest argument is the body
+// of a message; all others are far shorter than MaxBulk.
 const (
 	MaxArgs = 64
 	MaxBulk = 64 << 10
@@ -30,8 +30,8 @@
 
 const lineEnd = "\r\n"
 
-// Errors in a command. After each of them the connection must be closed, because it is unknown where the next command begins.
-// The texts are sent to clients.
+// Errors in a command. After each of them the connection must be closed, because it is unknown where the next command
+// begins. The texts are sent to clients.
 var (
 	ErrNoArray = errors.New("a command is an array of bulk strings")
 	ErrNoBulk  = errors.New("an argument is a bulk string")
@@ -39,8 +39,8 @@
 	ErrEnd     = errors.New("a bulk string does not end where its length says")
 )
 
-// Command parses the command at the start of buf. It returns the arguments, reusing the memory of args, and the size of the
-// command in bytes. A size of 0 without an error means that the command is incomplete.
+// Command parses the command at the start of buf. It returns the arguments, reusing the memory of args, and the size of
+// the command in bytes. A size of 0 without an error means that the command is incomplete.
 func Command(buf []byte, args [][]byte) ([][]byte, int, error) {
 	count, at, err := parseLength(buf, 0, typeArray, MaxArgs, ErrNoArray)
 	if at == 0 || err != nil {
@@ -69,9 +69,9 @@
 	return args, at, nil
 }
 
-// parseLength parses the line at position at, which holds a type and a number. It returns the number and the position of the
-// next line, or 0 for both if the line is incomplete. The error is wrongType if the line has another type, and ErrLength if it
-// has no number or one above maximum.
+// parseLength parses the line at position at, which holds a type and a number. It returns the number and the position of
+// the next line, or 0 for both if the line is incomplete. The error is wrongType if the line has another type, and
+// ErrLength if it has no number or one above maximum.
 func parseLength(buf []byte, at int, elementType byte, maximum int, wrongType error) (number, next int, err error) {
 	if len(buf) <= at {
 		return 0, 0, nil
@@ -103,8 +103,8 @@
 	return number, at + 1 + end + 1, nil
 }
 
-// Reply parses the answer at the start of buf, which is a simple string, an error or a bulk string. It returns the answer's
-// type, its text, and its size in bytes, which is 0 if the answer is incomplete.
+// Reply parses the answer at the start of buf, which is a simple string, an error or a bulk string. It returns the
+// answer's type, its text, and its size in bytes, which is 0 if the answer is incomplete.
 func Reply(buf []byte) (elementType byte, text []byte, took int, err error) {
 	if len(buf) == 0 {
 		return 0, nil, 0, nil
@@ -137,8 +137,8 @@
 	return append(out, lineEnd...)
 }
 
-// AppendError appends text to out as an error. It replaces carriage returns and line feeds in the text by spaces, because they
-// would end the error early.
+// AppendError appends text to out as an error. It replaces carriage returns and line feeds in the text by spaces,
+// because they would end the error early.
 func AppendError(out []byte, text string) []byte {
 	out = append(out, typeError)
 	for i := range len(text) {
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -49,8 +49,8 @@
 	// "*2\r\n$4\r\nPING\r\n$2\r\n\r\n\r\n"
 }
 
-// FuzzCommand checks that an incomplete command is never returned, that the beginning of a text is rejected only if the whole
-// text is, and that AppendCommand and Command agree.
+// FuzzCommand checks that an incomplete command is never returned, that the beginning of a text is rejected only if the
+// whole text is, and that AppendCommand and Command agree.
 func FuzzCommand(f *testing.F) {
 	f.Add([]byte("*2\r\n$1\r\na\r\n$2\r\n\r\n\r\nrest"), 7)
 	f.Add([]byte("*1\r\n$x\r\n"), 3)
--- a/internal/routes/check.go
+++ b/internal/routes/check.go
@@ -19,12 +19,13 @@
 // problems collects the problems that a check finds.
 type problems []Problem
 
+// add adds a problem with a formatted text.
 func (all *problems) add(path, format string, args ...any) {
 	*all = append(*all, Problem{path, fmt.Sprintf(format, args...)})
 }
 
-// Check returns all problems of rules: values out of range, missing or duplicate names, and rules that no message reaches
-// because an earlier rule matches all their messages.
+// Check returns all problems of rules: values out of range, missing or duplicate names, and rules that no message
+// reaches because an earlier rule matches all their messages.
 func Check(rules []Rule) []Problem {
 	var found problems
 	byName := map[string]int{}
--- a/internal/routes/expect.go
+++ b/internal/routes/expect.go
@@ -10,8 +10,8 @@
 	"flaxcove/choice"
 )
 
-// Expectation is a statement of operators about where one message may go, which the rules and overrides have to fulfil. A
-// requirement that is empty or 0 is not checked.
+// Expectation is a statement of operators about where one message may go, which the rules and overrides have to fulfil.
+// A requirement that is empty or 0 is not checked.
 type Expectation struct {
 	Name        string
 	Destination *choice.DestinationID // of the message; nil for every destination of the list in turn
@@ -67,8 +67,8 @@
 	return strings.Join(parts, ", ")
 }
 
-// CheckExpectation returns all problems of the expectation x itself, without checking whether it is fulfilled. The paths of the
-// problems begin with path.
+// CheckExpectation returns all problems of the expectation x itself, without checking whether it is fulfilled. The paths
+// of the problems begin with path.
 func CheckExpectation(path string, x *Expectation) []Problem {
 	var found problems
 	if x.Name == "" {
@@ -101,10 +101,10 @@
 	return found
 }
 
-// CheckExpectations checks expectations against rules, overrides and a list of endpoints; no messages are sent. It returns at
-// most one failure for each expectation, for the first destination at which it fails, with the fewest lost endpoints and
-// without overrides that the failure does not depend on. The cost grows with the number of endpoints of a destination to the
-// power of Losses, and linearly with the number of destinations.
+// CheckExpectations checks expectations against rules, overrides and a list of endpoints; no messages are sent. It
+// returns at most one failure for each expectation, for the first destination at which it fails, with the fewest lost
+// endpoints and without overrides that the failure does not depend on. The cost grows with the number of endpoints of a
+// destination to the power of Losses, and linearly with the number of destinations.
 func CheckExpectations(t *Table, o *Overrides, list []Endpoint, expectations []Expectation) (failures []Failure) {
 	byDestination := map[choice.DestinationID][]Endpoint{}
 	var all []choice.DestinationID
@@ -141,8 +141,8 @@
 	endpoints   []Endpoint // of the destination
 }
 
-// evaluate resolves the message with some endpoints lost, given by their positions. It returns the route and the requirement
-// that the route does not meet, or "" if it meets all.
+// evaluate resolves the message with some endpoints lost, given by their positions. It returns the route and the
+// requirement that the route does not meet, or "" if it meets all.
 func (s *failureSearch) evaluate(o *Overrides, lost []int) (Route, string) {
 	endpoints := slices.Clone(s.endpoints)
 	for _, i := range lost {
@@ -152,8 +152,8 @@
 	return r, s.expectation.unmet(&r)
 }
 
-// smallestFailure returns the failure with the fewest lost endpoints, without overrides that it does not depend on. It returns
-// false if there is no failure.
+// smallestFailure returns the failure with the fewest lost endpoints, without overrides that it does not depend on. It
+// returns false if there is no failure.
 func (s *failureSearch) smallestFailure(o *Overrides) (f Failure, fails bool) {
 	for _, lost := range lossSets(s.endpoints, s.expectation.Losses) {
 		r, what := s.evaluate(o, lost)
@@ -185,7 +185,8 @@
 	}
 }
 
-// lossSets returns all sets of at most most ready endpoints, smaller sets first. A set holds the positions of its endpoints.
+// lossSets returns all sets of at most most ready endpoints, smaller sets first. A set holds the positions of its
+// endpoints.
 func lossSets(endpoints []Endpoint, most int) (all [][]int) {
 	all = append(all, nil)
 	from := 0 // position of the first set of the previous size
@@ -213,7 +214,7 @@
 	for _, a := range r.Allowed {
 		total += a.Weight
 		if len(x.Only) > 0 && !slices.Contains(x.Only, a.Endpoint) {
-			return fmt.Sprintf("it reaches %s, which is not among those expected", a.Endpoint)
+			return fmt.Sprintf("it reaches %s, which is not listed in only", a.Endpoint)
 		}
 		if slices.Contains(x.Never, a.Endpoint) {
 			return fmt.Sprintf("it reaches %s", a.Endpoint)
@@ -230,7 +231,7 @@
 			}
 		}
 		if math.Abs(share-x.Shares[id]) > x.Within {
-			return fmt.Sprintf("%s gets %.2f of it, not %.2f", id, share, x.Shares[id])
+			return fmt.Sprintf("the share of %s is %.2f, not %.2f", id, share, x.Shares[id])
 		}
 	}
 	return ""
--- a/internal/routes/expect_test.go
+++ b/internal/routes/expect_test.go
@@ -10,8 +10,8 @@
 	"flaxcove/choice"
 )
 
-// orders returns one rule: messages of class order for destination 1 go to the east, and also to the west while under 60% of
-// the endpoints in the east are ready.
+// orders returns one rule: messages of class order for destination 1 go to the east, and also to the west while under
+// 60% of the endpoints in the east are ready.
 func orders() []Rule {
 	return []Rule{{Name: "orders", Match: Match{Destination: destinationPointer(1), Class: "order"},
 		Sets: []Set{{Targets: []Target{{Zone: "east", Weight: 3}}}, {Under: 0.6, Targets: []Target{{Zone: "west", Weight: 1}}}}}}
@@ -44,8 +44,8 @@
 		fmt.Println(&failures[i])
 	}
 	// Output:
-	// only the east, whatever is lost: at destination 1, it reaches c, which is not among those expected; once drained: a; decided by route "orders"
-	// even shares: at destination 1, a gets 0.75 of it, not 0.50; with override a-heavy; decided by route "orders"
+	// only the east, whatever is lost: at destination 1, it reaches c, which is not listed in only; once drained: a; decided by route "orders"
+	// even shares: at destination 1, the share of a is 0.75, not 0.50; with override a-heavy; decided by route "orders"
 	// status never to d: at destination 1, it reaches d; no route matches it
 	// somebody at 7: at destination 7, 0 endpoints remain of 1 expected; no route matches it
 }
@@ -64,8 +64,8 @@
 	// [expect[1].name: "nothing" expects nothing: set only, never, at_least or shares]
 }
 
-// TestVerdictsAreTrue checks the results of CheckExpectations against a search of all cases. An expectation without a failure
-// holds after every allowed loss. A reported failure occurs in its case, and no case with fewer losses fails.
+// TestVerdictsAreTrue checks the results of CheckExpectations against a search of all cases. An expectation without a
+// failure holds after every allowed loss. A reported failure occurs in its case, and no case with fewer losses fails.
 func TestVerdictsAreTrue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rules := drawRules(t)
--- a/internal/routes/file/file.go
+++ b/internal/routes/file/file.go
@@ -1,8 +1,9 @@
-// Package file reads routing from TOML files: routes, expectations, overrides that are assumed to be active, and a saved list of
-// endpoints.
+// Package file reads routing from TOML files: routes, expectations, overrides that are assumed to be active, and a saved
+// list of endpoints.
 //
-// It defines the format of these files and checks their values. It reports all problems together, each with its file, line and
-// field. If a file has a problem, nothing of it may be used. Package internal/routes decides where a message goes.
+// It defines the format of these files and checks their values. It reports all problems together, each with its file,
+// line and field. If a file has a problem, nothing of it may be used. Package internal/routes decides where a message
+// goes.
 package file
 
 import (
@@ -22,8 +23,8 @@
 	List      []routes.Endpoint    // a saved list of endpoints
 }
 
-// Load reads files in order and combines their contents. It reports the problems of all files: the error is a tomlfile.Errors,
-// or the error of a file that cannot be read.
+// Load reads files in order and combines their contents. It reports the problems of all files: the error is a
+// tomlfile.Errors, or the error of a file that cannot be read.
 func Load(paths ...string) (*Routing, error) {
 	r := &Routing{Overrides: &routes.Overrides{}}
 	var all tomlfile.Errors
@@ -51,8 +52,8 @@
 	return r, nil
 }
 
-// Parse reads the text of one file. name is the name of the file in errors. With an error the routing is incomplete and must
-// not be used.
+// Parse reads the text of one file. name is the name of the file in errors. With an error the routing is incomplete and
+// must not be used.
 func Parse(name string, text []byte) (*Routing, error) {
 	r := &Routing{Overrides: &routes.Overrides{}}
 	return r, r.add(name, text)
--- a/internal/routes/file/file_test.go
+++ b/internal/routes/file/file_test.go
@@ -53,8 +53,8 @@
 	// typo.toml:5: field expect.only_: there is no such field
 }
 
-// TestTheExampleHolds checks that the expectations of deploy/routes-example.toml are fulfilled, and that three of them fail with
-// an override that makes its messages sticky to an endpoint that orders must never reach.
+// TestTheExampleHolds checks that the expectations of deploy/routes-example.toml are fulfilled, and that three of them
+// fail with an override that makes its messages sticky to an endpoint that orders must never reach.
 func TestTheExampleHolds(t *testing.T) {
 	path := filepath.Join("..", "..", "..", "deploy", "routes-example.toml")
 	r, err := Load(path)
@@ -78,8 +78,8 @@
 	}
 }
 
-// TestProblemsOfAllFiles checks that Load reports the problems of every file, an endpoint that two files define, and a file that
-// does not exist.
+// TestProblemsOfAllFiles checks that Load reports the problems of every file, an endpoint that two files define, and a
+// file that does not exist.
 func TestProblemsOfAllFiles(t *testing.T) {
 	dir := t.TempDir()
 	var paths []string
--- a/internal/routes/file/forms.go
+++ b/internal/routes/file/forms.go
@@ -1,7 +1,7 @@
 package file
 
-// This file defines the types into which the TOML files are decoded. The decoder prints the names of these types and fields in
-// its errors, so renaming them changes error texts.
+// This file defines the types into which the TOML files are decoded. The decoder prints the names of these types and
+// fields in its errors, so renaming them changes error texts.
 
 // form is a whole file.
 type form struct {
--- a/internal/routes/file/storeddata_test.go
+++ b/internal/routes/file/storeddata_test.go
@@ -11,8 +11,8 @@
 	"flaxcove/internal/routes/file"
 )
 
-// storedRouting returns the content of testdata/stored/routes.toml, which has each field that commit 485f0e4 read. The file must
-// never be regenerated.
+// storedRouting returns the content of testdata/stored/routes.toml, which has each field that commit 485f0e4 read. The
+// file must never be regenerated.
 func storedRouting() (rules []routes.Rule, expects []routes.Expectation, overrides []routes.Override, list []routes.Endpoint) {
 	destination := new(choice.DestinationID(-7))
 	rules = []routes.Rule{
--- a/internal/routes/override.go
+++ b/internal/routes/override.go
@@ -45,16 +45,16 @@
 	expires time.Duration // on the monotonic clock of the process
 }
 
-// Overrides holds the active overrides of one sender. They expire by the monotonic clock of the process. The wall clock is used
-// only for overrides that were set in an earlier process. The zero value is empty and ready to use.
+// Overrides holds the active overrides of one sender. They expire by the monotonic clock of the process. The wall clock
+// is used only for overrides that were set in an earlier process. The zero value is empty and ready to use.
 type Overrides struct {
 	active []activeOverride // in order of precedence
 }
 
-// Add adds an override that was just set or, at the start of a process, read back. It replaces one with the same ID. wall is the
-// current wall-clock time, and elapsed the current time on the monotonic clock of the process. Add returns false if the
-// override has already expired. If the wall clock steps back, no override lasts longer than its lifetime; if it steps forward,
-// no override that was set in this process expires early.
+// Add adds an override that was just set or, at the start of a process, read back. It replaces one with the same ID.
+// wall is the current wall-clock time, and elapsed the current time on the monotonic clock of the process. Add returns
+// false if the override has already expired. If the wall clock steps back, no override lasts longer than its lifetime;
+// if it steps forward, no override that was set in this process expires early.
 func (o *Overrides) Add(v Override, wall time.Time, elapsed time.Duration) bool {
 	left := min(v.Lifetime, v.SetAt.Add(v.Lifetime).Sub(wall))
 	o.Clear(v.ID)
@@ -66,9 +66,9 @@
 	return true
 }
 
-// compareOverrides compares the precedence of two overrides and returns a negative number if a takes precedence. The order is
-// by kind; then overrides for one class come before those for all classes, later ones before earlier ones, and lower IDs
-// before higher ones.
+// compareOverrides compares the precedence of two overrides and returns a negative number if a takes precedence. The
+// order is by kind; then overrides for one class come before those for all classes, later ones before earlier ones, and
+// lower IDs before higher ones.
 func compareOverrides(a, b *Override) int {
 	breadth := func(v *Override) int {
 		if v.Class != "" {
@@ -91,8 +91,8 @@
 	return len(o.active) < before
 }
 
-// Expire removes the overrides that have expired at the time elapsed and returns them, together with the time when the next one
-// expires. ok is false if no override is left.
+// Expire removes the overrides that have expired at the time elapsed and returns them, together with the time when the
+// next one expires. ok is false if no override is left.
 func (o *Overrides) Expire(elapsed time.Duration) (over []Override, next time.Duration, ok bool) {
 	o.active = slices.DeleteFunc(o.active, func(v activeOverride) bool {
 		if v.expires <= elapsed {
@@ -112,10 +112,11 @@
 type OverrideStatus struct {
 	Override
 	Left         time.Duration // until the override expires
-	SupersededBy OverrideID    // the first override because of which this one has no effect; "" if it has one
+	SupersededBy OverrideID    // the first override that leaves this one without effect; "" if there is none
 }
 
-// Status returns the active overrides in order of precedence. elapsed is the current time on the monotonic clock of the process.
+// Status returns the active overrides in order of precedence. elapsed is the current time on the monotonic clock of the
+// process.
 func (o *Overrides) Status(elapsed time.Duration) (all []OverrideStatus) {
 	for i, v := range o.active {
 		status := OverrideStatus{Override: v.Override, Left: v.expires - elapsed}
@@ -155,8 +156,8 @@
 	weights      map[choice.EndpointID]float64
 }
 
-// effectOn returns the effect of the active overrides on a message. A sticky override whose endpoints are all out of service has
-// no effect.
+// effectOn returns the effect of the active overrides on a message. A sticky override whose endpoints are all out of
+// service has no effect.
 func (o *Overrides) effectOn(m *Message) overrideEffect {
 	effect := overrideEffect{weights: map[choice.EndpointID]float64{}}
 	for i := range o.active {
--- a/internal/routes/resolve.go
+++ b/internal/routes/resolve.go
@@ -22,10 +22,10 @@
 	NoEndpoint NoEndpointPolicy // what happens to the message if Allowed is empty
 }
 
-// Resolve returns the route of a message. The first matching rule selects endpoints; if no rule matches, all endpoints of the
-// destination are selected with the same weight. A sticky override replaces this selection. Endpoints that are draining, gone
-// or out of service are left out. Resolve never adds other endpoints: if none is left, the rule's NoEndpointPolicy applies. The
-// endpoints may be in any order; those of other destinations are ignored.
+// Resolve returns the route of a message. The first matching rule selects endpoints; if no rule matches, all endpoints
+// of the destination are selected with the same weight. A sticky override replaces this selection. Endpoints that are
+// draining, gone or out of service are left out. Resolve never adds other endpoints: if none is left, the rule's
+// NoEndpointPolicy applies. The endpoints may be in any order; those of other destinations are ignored.
 func Resolve(t *Table, o *Overrides, m *Message, endpoints []Endpoint) Route {
 	r := Route{}
 	sets := []Set{{Targets: []Target{{Weight: 1}}}} // without a rule all endpoints are allowed with the same weight
@@ -51,9 +51,9 @@
 	return r
 }
 
-// openSets opens sets in order. It opens a set only if the fraction of ready endpoints in the open sets before it is less than
-// the set's Under, or if those sets select no endpoints. It returns the weights of the endpoints that the open sets select,
-// including those that are not in service, and the number of open sets.
+// openSets opens sets in order. It opens a set only if the fraction of ready endpoints in the open sets before it is
+// less than the set's Under, or if those sets select no endpoints. It returns the weights of the endpoints that the open
+// sets select, including those that are not in service, and the number of open sets.
 func openSets(sets []Set, effect *overrideEffect, m *Message, endpoints []Endpoint) (weights map[choice.EndpointID]float64, open int) {
 	weights = map[choice.EndpointID]float64{}
 	ready := 0
--- a/internal/routes/routes_test.go
+++ b/internal/routes/routes_test.go
@@ -14,8 +14,8 @@
 // destinationPointer returns a pointer to d.
 func destinationPointer(d choice.DestinationID) *choice.DestinationID { return &d }
 
-// list returns four endpoints of destination 1: a and b in the east, c and d in the west. Those whose ids are in ready are
-// ready.
+// list returns four endpoints of destination 1: a and b in the east, c and d in the west. Those whose ids are in ready
+// are ready.
 func list(ready string) (all []Endpoint) {
 	for i, id := range []choice.EndpointID{"a", "b", "c", "d"} {
 		all = append(all, Endpoint{ID: id, Destination: 1, Zone: []string{"east", "west"}[i/2], Kind: "small", Ready: strings.Contains(ready, string(id))})
@@ -35,8 +35,8 @@
 	return fmt.Sprintf("rule %q, sets %d, pin %q: %s", r.Rule, r.Sets, r.StickyBy, strings.Join(parts, ", "))
 }
 
-// Orders go to the east, and to endpoint c in the west only while less than half of the endpoints in the east are ready. They
-// never go to another endpoint.
+// Orders go to the east, and to endpoint c in the west only while less than half of the endpoints in the east are ready.
+// They never go to another endpoint.
 func ExampleResolve() {
 	rules := []Rule{{Name: "orders", Match: Match{Destination: destinationPointer(1), Class: "order"}, NoEndpoint: HandBack,
 		Sets: []Set{{Targets: []Target{{Zone: "east", Weight: 2}}}, {Under: 0.5, Targets: []Target{{Endpoints: []choice.EndpointID{"c"}, Weight: 1}}}}}}
@@ -54,8 +54,8 @@
 	// rule "", sets 1, pin "": a x1, b x1, c x1, d x1
 }
 
-// Overrides have an order of precedence. An override that has no effect because of another one takes effect again when that
-// other one expires.
+// Overrides have an order of precedence. An override that has no effect because of another one takes effect again when
+// that other one expires.
 func ExampleOverrides() {
 	t, o, m := Compile(nil), &Overrides{}, &Message{Destination: 1, Class: "order"}
 	day := time.Date(2026, 5, 9, 8, 0, 0, 0, time.UTC)
@@ -95,8 +95,8 @@
 	// minute 60, lapsed 1: rule "", sets 1, pin "": a x1, b x1, c x1
 }
 
-// A step of the wall clock neither ends an override early in the process that set it nor makes it last longer in the next
-// process.
+// A step of the wall clock neither ends an override early in the process that set it nor makes it last longer in the
+// next process.
 func ExampleOverrides_clockSteps() {
 	day := time.Date(2026, 5, 9, 8, 0, 0, 0, time.UTC)
 	v := Override{ID: "x", Kind: OutOfService, Destination: 1, Endpoints: []choice.EndpointID{"a"}, SetAt: day, Lifetime: time.Hour}
@@ -176,8 +176,8 @@
 	})
 }
 
-// TestNothingIsEverWidened checks that, with any rules and overrides, no endpoint is allowed that is not ready, out of service or
-// of another destination, and that a sticky override in effect allows only the endpoints that it names.
+// TestNothingIsEverWidened checks that, with any rules and overrides, no endpoint is allowed that is not ready, out of
+// service or of another destination, and that a sticky override in effect allows only the endpoints that it names.
 func TestNothingIsEverWidened(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rules := drawRules(t)
--- a/internal/routes/storeddata_test.go
+++ b/internal/routes/storeddata_test.go
@@ -7,7 +7,8 @@
 	"flaxcove/internal/routes"
 )
 
-// TestWritesStoredAllowed checks that `routes explain --json` prints an allowed endpoint in the same form as commit 485f0e4.
+// TestWritesStoredAllowed checks that `routes explain --json` prints an allowed endpoint in the same form as commit
+// 485f0e4.
 func TestWritesStoredAllowed(t *testing.T) {
 	const stored = `{"Endpoint":"a","Weight":2.5}`
 	text, err := json.Marshal(routes.Allowed{Endpoint: "a", Weight: 2.5})
--- a/internal/routes/table.go
+++ b/internal/routes/table.go
@@ -1,10 +1,10 @@
-// Package routes decides which endpoints a message may go to, and with which weights. It applies rules, in the order of their
-// file, and temporary overrides set by operators. Package choice then selects one of the allowed endpoints and decides about
-// retries and rejections.
+// Package routes decides which endpoints a message may go to, and with which weights. It applies rules, in the order of
+// their file, and temporary overrides set by operators. Package choice then selects one of the allowed endpoints and
+// decides about retries and rejections.
 //
-// Package routes compiles rules into a table, defines the precedence of overrides, and reports which rule and override decided
-// a route. It uses no clock, file or socket, and its results do not depend on the iteration order of maps. It never sends a
-// message to another endpoint because the allowed ones are unavailable.
+// Package routes compiles rules into a table, defines the precedence of overrides, and reports which rule and override
+// decided a route. It uses no clock, file or socket, and its results do not depend on the iteration order of maps. It
+// never sends a message to another endpoint because the allowed ones are unavailable.
 package routes
 
 import (
@@ -47,8 +47,8 @@
 	Weight    float64           // of each selected endpoint; the first target that selects an endpoint sets its weight
 }
 
-// Set is a set of endpoints. It is open while the fraction of ready endpoints in the open sets before it is less than Under, or
-// while those sets select no endpoints. The first set of a rule is always open.
+// Set is a set of endpoints. It is open while the fraction of ready endpoints in the open sets before it is less than
+// Under, or while those sets select no endpoints. The first set of a rule is always open.
 type Set struct {
 	Under   float64  // above 0 and at most 1; 0 in the first set
 	Targets []Target // the set holds every endpoint that one of them selects
@@ -117,8 +117,8 @@
 	}
 }
 
-// find returns the number of the first rule whose key prefix is a prefix of key, or none if there is no such rule. none must be
-// above all rule numbers.
+// find returns the number of the first rule whose key prefix is a prefix of key, or none if there is no such rule. none
+// must be above all rule numbers.
 func (p *prefixIndex) find(key string, none int) int {
 	first := none
 	for _, length := range p.lengths {
@@ -132,15 +132,16 @@
 	return first
 }
 
-// Table is a compiled list of rules that finds the first match for a message. The cost depends on the number of different
-// lengths of key prefixes and not on the number of rules: a search makes at most eight look-ups for each length.
+// Table is a compiled list of rules that finds the first match for a message. The cost depends on the number of
+// different lengths of key prefixes and not on the number of rules: a search makes at most eight look-ups for each
+// length.
 type Table struct {
 	rules   []Rule
 	indexes [maskCount]map[fieldValues]*prefixIndex // by the mask of the rules and the values that they match
 }
 
-// Compile returns a table of rules for which Check reports no problems. The table refers to the slice, which must not change
-// afterwards.
+// Compile returns a table of rules for which Check reports no problems. The table refers to the slice, which must not
+// change afterwards.
 func Compile(rules []Rule) *Table {
 	t := &Table{rules: rules}
 	for i := range rules {
--- a/internal/tomlfile/lines.go
+++ b/internal/tomlfile/lines.go
@@ -9,8 +9,8 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Lines returns the line number of each field and table of a TOML file, by its path. Paths number the tables of an array of
-// tables from 0, as in route[2].set[0].under. In invalid TOML, Lines stops at the first syntax error.
+// Lines returns the line number of each field and table of a TOML file, by its path. Paths number the tables of an array
+// of tables from 0, as in route[2].set[0].under. In invalid TOML, Lines stops at the first syntax error.
 func Lines(text []byte) map[string]int {
 	f := lineFinder{lines: map[string]int{}, counts: map[string]int{}}
 	f.parser.Reset(text)
@@ -68,8 +68,8 @@
 	f.prefix = path + "."
 }
 
-// addInlineTable adds the fields of an inline table, all with the line of the field that the table is the value of. It does
-// nothing for another kind of value.
+// addInlineTable adds the fields of an inline table, all with the line of the field that the table is the value of. It
+// does nothing for another kind of value.
 func (f *lineFinder) addInlineTable(path string, value *unstable.Node, line int) {
 	if value.Kind != unstable.InlineTable {
 		return
@@ -81,8 +81,8 @@
 	}
 }
 
-// numberedKey returns a key with the number of the last table after its first part, as in route[2].set for route.set. It returns
-// the key unchanged if the first part is not an array of tables.
+// numberedKey returns a key with the number of the last table after its first part, as in route[2].set for route.set. It
+// returns the key unchanged if the first part is not an array of tables.
 func numberedKey(key string, counts map[string]int) string {
 	first, rest, more := strings.Cut(key, ".")
 	if n := counts[first]; n > 0 {
@@ -94,8 +94,8 @@
 	return first
 }
 
-// LineOf returns the line of a field, or of the innermost table with a known line that contains it. It returns 0 if there is
-// none. lines is a result of Lines.
+// LineOf returns the line of a field, or of the innermost table with a known line that contains it. It returns 0 if
+// there is none. lines is a result of Lines.
 func LineOf(lines map[string]int, path string) int {
 	for path != "" {
 		if line, known := lines[path]; known {
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -61,12 +61,12 @@
 	return all
 }
 
-// Problem reports an invalid value before its line is known. Path is the path of the field, as in route[2].name, and What says
-// what is wrong with the value.
+// Problem reports an invalid value before its line is known. Path is the path of the field, as in route[2].name, and
+// What says what is wrong with the value.
 type Problem struct{ Path, What string }
 
-// At converts problems with the text of the file name into errors with line numbers, sorted by line. It returns nil if there are
-// none, an *Error for a single problem, and Errors for several.
+// At converts problems with the text of the file name into errors with line numbers, sorted by line. It returns nil if
+// there are none, an *Error for a single problem, and Errors for several.
 func At(name string, text []byte, problems []Problem) error {
 	if len(problems) == 0 {
 		return nil
@@ -79,8 +79,8 @@
 	return all.asError()
 }
 
-// Decode decodes TOML into the value that to points to. A field that the value does not have is an error. name is the name of
-// the file in errors. The error is an *Error or, for several unknown fields, Errors.
+// Decode decodes TOML into the value that to points to. A field that the value does not have is an error. name is the
+// name of the file in errors. The error is an *Error or, for several unknown fields, Errors.
 func Decode(name string, text []byte, to any) error {
 	err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(to)
 	var unknown *toml.StrictMissingError
