--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -3,7 +3,7 @@
 //
 // It uses one socket, defines the format of a datagram, and bounds the queue of notes to be sent. A note may be lost,
 // delayed or duplicated, and its receiver must allow for that. Sending never blocks the caller. The package sends no
-// datagram longer than MostBytes, which the platform forbids. It drops received datagrams that come from an address that
+// datagram longer than MaxDatagramSize, which the platform forbids. It drops received datagrams that come from an address that
 // is not a peer's, are too long, or are damaged.
 package peers
 
@@ -19,9 +19,9 @@
 )
 
 const (
-	// MostBytes is the maximum size of a datagram. Source: the section of the protocol's page about traffic between
+	// MaxDatagramSize is the maximum size of a datagram in bytes. Source: the section of the protocol's page about traffic between
 	// senders; a longer datagram makes a run invalid.
-	MostBytes = 256
+	MaxDatagramSize = 256
 	// queueLength is the maximum number of notes that wait to be sent. In a longer queue a note would be outdated when
 	// it is sent.
 	queueLength = 64
@@ -42,7 +42,7 @@
 	Heard   int64 // notes received and passed on
 	Strange int64 // received datagrams dropped because their source is not the address of a peer
 	Own     int64 // received datagrams dropped because this sender sent them
-	TooLong int64 // received datagrams dropped because they are longer than MostBytes
+	TooLong int64 // received datagrams dropped because they are longer than MaxDatagramSize
 	Spoilt  int64 // received datagrams dropped because they are malformed or damaged
 }
 
@@ -133,7 +133,7 @@
 // dropped and counted.
 func (p *Peers) Tell(note []byte) {
 	datagram := frame(note)
-	if len(datagram) > MostBytes {
+	if len(datagram) > MaxDatagramSize {
 		p.unsent.Add(1)
 		return
 	}
@@ -195,7 +195,7 @@
 
 // receive passes received notes to onNote until Close.
 func (p *Peers) receive(onNote func(note []byte)) {
-	buf := make([]byte, MostBytes+1) // the additional byte reveals a datagram that is too long
+	buf := make([]byte, MaxDatagramSize+1) // the additional byte reveals a datagram that is too long
 	for {
 		n, from, err := p.conn.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
@@ -222,7 +222,7 @@
 		p.fromSelf.Add(1)
 		return nil
 	}
-	if len(datagram) > MostBytes {
+	if len(datagram) > MaxDatagramSize {
 		p.tooLong.Add(1)
 		return nil
 	}
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -71,10 +71,10 @@
 	}
 	send(t, peer, p.Addr(), frame(nil))
 	send(t, peer, p.Addr(), append(good, 0))
-	for _, size := range []int{MostBytes + 1, 9000} {
+	for _, size := range []int{MaxDatagramSize + 1, 9000} {
 		send(t, peer, p.Addr(), frame(make([]byte, size-1-checksumSize)))
 	}
-	longest := make([]byte, MostBytes-1-checksumSize)
+	longest := make([]byte, MaxDatagramSize-1-checksumSize)
 	send(t, peer, p.Addr(), frame(longest))
 	for _, want := range []string{"abc", "abc", string(longest)} {
 		if got := string(<-notes); got != want {
@@ -115,7 +115,7 @@
 	if n, _, err := a.ReadFromUDPAddrPort(make([]byte, 300)); err == nil {
 		t.Errorf("%d bytes sent to a single sender in addition to the address of all", n)
 	}
-	once.Tell(make([]byte, MostBytes))
+	once.Tell(make([]byte, MaxDatagramSize))
 	if got := once.Counts(); got.Sent != 1 || got.Unsent != 1 {
 		t.Errorf("%+v", got)
 	}
