--- a/internal/sender/answer.go
+++ b/internal/sender/answer.go
@@ -1,6 +1,6 @@
 package sender
 
-// This file reads what an endpoint's answer says of a call.
+// This file interprets the answers of endpoints.
 
 import (
 	"bytes"
@@ -15,27 +15,28 @@
 )
 
 const (
-	// maxReportedLimit is the highest limit, in calls a second, that a load report is believed.
+	// maxReportedLimit is the highest plausible limit in a load report, in calls a second.
 	maxReportedLimit = 1e6
-	maxRetryAfter    = 1e6 // seconds
-	// The fields of a load report that are read: the part of the capacity that is left, and the limit in calls a second.
+	// maxRetryAfter is the highest plausible Retry-After, in seconds.
+	maxRetryAfter = 1e6
+	// The fields of a load report that are used: the fraction of the capacity that is left, and the limit in calls a second.
 	reportLeft  = "x0"
 	reportLimit = "x1"
 )
 
-// answer is what an endpoint's answer says of a call.
+// answer is the interpretation of an endpoint's answer to a call.
 type answer struct {
 	result       choice.Result
-	final        bool
-	noSlot       bool
-	wait         choice.Time // of Retry-After
-	report       []float64   // values of the load report, in the order of reportFields
-	reportFields []string
-	states       map[choice.MessageID]string // of a bulk call's messages; nil where the answer has none
-	close        bool                        // the connection carries no other call
+	final        bool                        // nothing more is to be done for the message
+	noSlot       bool                        // a 503 with the header X-No-Slot: 1
+	retryAfter   choice.Time                 // of the header Retry-After; 0 for none
+	report       []float64                   // values of the load report, in the order of reportFields
+	reportFields []string                    // names of the load report's fields
+	states       map[choice.MessageID]string // states of a bulk call's messages; nil if the answer has none
+	close        bool                        // the connection must not carry another call
 }
 
-// resultOf is the result of an HTTP status. A call with a status that has no meaning here may have run.
+// resultOf returns the result for an HTTP status. A call answered with any other status may have run.
 func resultOf(status int) (result choice.Result, final bool) {
 	switch status {
 	case http.StatusOK:
@@ -50,7 +51,7 @@
 	return choice.Errored, false
 }
 
-// bulkStates are the states of a message in the answer to a bulk call, as the status that each stands for.
+// bulkStates maps each state of a message in the answer to a bulk call to the HTTP status of the same meaning.
 var bulkStates = map[string]int{
 	"ok":        http.StatusOK,
 	"error":     http.StatusInternalServerError,
@@ -59,12 +60,12 @@
 	"exhausted": http.StatusGatewayTimeout,
 }
 
-// readAnswer copies all that is needed of an answer, since its buffer is used for the next one.
+// readAnswer interprets a complete answer. It copies everything it needs, since the parser's buffer is reused.
 func readAnswer(h *http1.Answer) answer {
 	a := answer{close: h.Close}
 	a.result, a.final = resultOf(h.Head.Status)
 	if v := h.Get("Retry-After"); v != nil {
-		a.wait = parseRetryAfter(v)
+		a.retryAfter = parseRetryAfter(v)
 	}
 	a.noSlot = h.Head.Status == http.StatusServiceUnavailable && bytes.Equal(h.Get("X-No-Slot"), []byte("1"))
 	if a.noSlot {
@@ -77,7 +78,7 @@
 	return a
 }
 
-// parseBulkStates reads the states of a bulk call's messages; nil where the body is no JSON array of such.
+// parseBulkStates returns the states of a bulk call's messages; nil if the body is not a JSON array of them.
 func parseBulkStates(body []byte) map[choice.MessageID]string {
 	if !bytes.HasPrefix(bytes.TrimLeft(body, " \r\n\t"), []byte("[")) {
 		return nil
@@ -93,7 +94,8 @@
 	return states
 }
 
-// parseRetryAfter reads seconds with decimals, rounded up, since a wait must not end early; 0 for what makes no sense.
+// parseRetryAfter parses decimal seconds. It rounds up, since a wait must not end early, and returns 0 for an invalid or
+// implausible value.
 func parseRetryAfter(text []byte) choice.Time {
 	v, err := strconv.ParseFloat(string(text), 64)
 	if err != nil || !(v > 0) || v > maxRetryAfter {
@@ -102,7 +104,7 @@
 	return choice.Time(math.Ceil(v*float64(choice.Second))) + 1
 }
 
-// parseReport reads name=number pairs, separated by commas, and leaves out those whose value is no finite number.
+// parseReport parses a load report: name=number pairs separated by commas. It skips pairs whose value is not a finite number.
 func parseReport(text []byte) (fields []string, values []float64) {
 	for len(text) > 0 {
 		var pair []byte
@@ -117,7 +119,8 @@
 	return fields, values
 }
 
-// loadReport is the report of the answer where it is complete and plausible. Half of one would say that there is no limit.
+// loadReport returns the load report of the answer if it is complete and plausible, else the zero Report. A report without
+// one of its fields would be read as one without a limit.
 func (a *answer) loadReport() choice.Report {
 	left, limit := slices.Index(a.reportFields, reportLeft), slices.Index(a.reportFields, reportLimit)
 	if left < 0 || limit < 0 {
@@ -130,20 +133,21 @@
 	return r
 }
 
-// lacksStates reports whether the answer to a bulk call does not say what became of its messages.
+// lacksStates reports whether the answer is a 200 to a bulk call without the states of its messages.
 func (a *answer) lacksStates(c *call) bool {
 	return len(c.messages) > 1 && a.result == choice.Done && a.states == nil
 }
 
-// cutOffAnswer is what is known of a call whose link ended before its answer was complete. The first line of an answer
-// says that a call with one message is delivered; any other part proves nothing.
-func cutOffAnswer(c *call, unsent bool, end *partialAnswer) answer {
+// cutOffAnswer returns the answer to assume for a call whose link ended before its answer was complete. A complete first
+// line with status 200 proves that a call with one message was delivered; any other part proves nothing. unsent says that
+// the call's last byte was not sent.
+func cutOffAnswer(c *call, unsent bool, part *partialAnswer) answer {
 	switch {
-	case end.status == http.StatusOK && len(c.messages) == 1:
+	case part.status == http.StatusOK && len(c.messages) == 1:
 		return answer{result: choice.Done, final: true}
 	case unsent:
 		return answer{result: choice.ConnectFailed}
-	case end.begun:
+	case part.begun:
 		return answer{result: choice.Unreadable}
 	}
 	return answer{result: choice.Reset}
--- a/internal/sender/call.go
+++ b/internal/sender/call.go
@@ -1,8 +1,8 @@
 package sender
 
-// This file owns the calls of a turn, from their begin to an answer, an end or a time-out. The sender never sends a call
-// again by itself (package choice decides that), never leaves an abandoned call on an open connection, and never takes a
-// call of which a byte may be missing for one that ran.
+// This file manages calls from their beginning to an answer, the end of their link or a timeout. The sender never retries a
+// call by itself (package choice decides about retries), never leaves an abandoned call on an open connection, and never
+// reports a call that may be incomplete at the endpoint as one that has run.
 
 import (
 	"slices"
@@ -13,34 +13,35 @@
 )
 
 const (
-	probeTimeout = 1500 * choice.Millisecond // for the answer to a probe, beside DialTimeout
-	// abandonSettleTime lies between the end of an abandoned call's connection and its outcome: the endpoint must see the
-	// end before a new call with the same message comes, or it counts two at once.
+	// probeTimeout limits the time for the answer to a probe. The dial of a probe may take DialTimeout in addition.
+	probeTimeout = 1500 * choice.Millisecond
+	// abandonSettleTime is the time between the close of an abandoned call's connection and the report of its outcome: the
+	// endpoint must see the close before a new call with the same message arrives, or it counts two at once.
 	abandonSettleTime = 10 * time.Millisecond
-	// capacityRecheck lies between two checks whether this process can open one more connection.
+	// capacityRecheck is the time between two checks whether this process can open one more connection.
 	capacityRecheck = 20 * time.Millisecond
 )
 
-// call is one request: the messages it carries, or a health probe.
+// call is one request to an endpoint: for the messages it carries, or a health probe. The loop owns it.
 type call struct {
 	endpoint *endpoint
-	messages []*message
+	messages []*message // nil for a probe
 	probe    bool
-	reused   bool // its link had carried a call before
-	beganAt  choice.Time
-	timeout  choice.Time // the longest one of its messages
-	addr     string      // that is dialled for it
+	reused   bool        // its link had carried a call before
+	beganAt  choice.Time // on the clock of Sender.Now
+	timeout  choice.Time // the longest timeout of its messages
+	addr     string      // the address that is dialled for it
 	link     *link       // nil until its write begins
-	timers   []*timer    // its time-out, and the ends of messages before that; cancelled once it is done
-	done     bool
-	// recorded says that it is on record as one that may have run. It is not while it waits for a connection: a process
-	// that is killed then has sent nothing, and a message that must not run twice need not be given up.
+	timers   []*timer    // its timeout, and earlier deadlines of its messages; cancelled once it is done
+	done     bool        // its outcome is decided
+	// recorded reports that the journal has the call as one that may have run. It is false while the call waits for a
+	// connection: a process that is killed then has sent nothing, and a non-idempotent message need not fail.
 	recorded         bool
 	localFailure     bool // it was never sent, for a reason of this process
 	awaitingCapacity bool // this process could not open a connection for it at the last check
 }
 
-// startCalls begins the calls of this turn, and sends those whose connection came up in it.
+// startCalls begins the calls of this turn, and sends the calls whose connection was established in it.
 func (s *Sender) startCalls() {
 	s.sendConnected()
 	for _, c := range s.starting {
@@ -51,6 +52,7 @@
 	s.starting = s.starting[:0]
 }
 
+// beginCall sets the timers of a call and looks for a link for it.
 func (s *Sender) beginCall(c *call) {
 	if !c.probe && !s.boundCall(c) {
 		return
@@ -59,9 +61,9 @@
 	s.findLink(c)
 }
 
-// boundCall bounds a call by the longest time that one of its messages has left, and sets timers that cancel those with
-// less time alone: ending the call for one message would time out the others, and lose those that must not run twice. It
-// reports whether any message is left to send.
+// boundCall limits a call's timeout to the longest time that one of its messages has left. For each message with less time
+// it sets a timer that cancels that message alone: ending the whole call would time out the other messages, and those that
+// are non-idempotent would fail. It reports whether any message is left to send.
 func (s *Sender) boundCall(c *call) bool {
 	longest := choice.Time(0)
 	for _, m := range slices.Clone(c.messages) {
@@ -80,14 +82,14 @@
 	return len(c.messages) > 0
 }
 
-// timeLeft is the time until a message's deadline, less the turn in which its end is handled.
+// timeLeft returns the time until a message's deadline, less the turn interval within which its end is handled.
 func (s *Sender) timeLeft(m *message) choice.Time {
 	return m.Deadline - s.Now() - s.cfg.Settings.TurnInterval
 }
 
-// findLink sends a call on an idle link, or dials. Where this process can't open one more connection the call stays in
-// flight, so that no more are queued behind it, and is tried again until its time is over: a local shortage says nothing
-// of the endpoint, and must not use up the attempts of its messages.
+// findLink sends a call on an idle link, or dials a new one. If this process cannot open one more connection, the call
+// stays in flight, so that it counts towards the in-flight limit, and the search is repeated until the call's timeout: a
+// local shortage says nothing about the endpoint and must not use up the attempts of its messages.
 func (s *Sender) findLink(c *call) {
 	if c.done {
 		return
@@ -115,7 +117,7 @@
 	s.dial(c)
 }
 
-// awaitCapacity looks for a link again after a pause; expireCall bounds how often.
+// awaitCapacity calls findLink again after capacityRecheck. This is repeated until expireCall ends the call.
 func (s *Sender) awaitCapacity(c *call) {
 	if !c.awaitingCapacity {
 		s.logConnEnded("endpoint", string(c.endpoint.id), displaced, nil)
@@ -124,8 +126,8 @@
 	s.after(capacityRecheck, func() { s.findLink(c) })
 }
 
-// cancelMessage ends one message of a call whose time is over before that of the call. It is not sent any more where it
-// has not been; else it may have run, and what the answer still says of it comes too late.
+// cancelMessage ends one message of a call at the message's own deadline, while the call goes on. A message whose call is
+// not written yet is removed from the call and has not run. Otherwise it may have run, and the answer comes too late for it.
 func (s *Sender) cancelMessage(c *call, m *message) {
 	if c.done || m.inFlight != c {
 		return
@@ -139,7 +141,7 @@
 	s.reportOutcome(c, m, o, nil)
 }
 
-// ids are the messages that a call carries.
+// ids returns the ids of the messages that a call carries.
 func (c *call) ids() (all []choice.MessageID) {
 	for _, m := range c.messages {
 		all = append(all, m.ID)
@@ -147,8 +149,8 @@
 	return all
 }
 
-// expireCall abandons a call whose time is over. Its connection is closed, and its outcome reported once the endpoint has
-// had time to see that.
+// expireCall abandons a call at its timeout. It closes the call's connection; the outcome is reported once the endpoint
+// has had time to see the close.
 func (s *Sender) expireCall(c *call) {
 	if c.done {
 		return
@@ -159,14 +161,14 @@
 		return
 	}
 	if c.link == nil {
-		// Where the message had less than any contract time, it was short of time, and the endpoint not slow to connect.
-		c.localFailure = s.Now()-c.beganAt < s.shortestContract
+		// A call that had less time than every latency objective was begun too late; that is no sign of a slow endpoint.
+		c.localFailure = s.Now()-c.beganAt < s.shortestObjective
 		s.connectFailed(c)
 		return
 	}
 	l := c.link
 	if l.answeringCall == c {
-		s.closeLink(l, badAnswer) // onLinkCutOff reads the outcome from the part of the answer that has come
+		s.closeLink(l, badAnswer) // onLinkCutOff derives the outcome from the received part of the answer
 		return
 	}
 	l.call = nil
@@ -175,10 +177,10 @@
 	s.after(abandonSettleTime, func() { s.settleAbandoned(c, l) })
 }
 
-// settleAbandoned reports an abandoned call. One whose last byte was not sent has not run.
+// settleAbandoned reports the outcome of an abandoned call. A call whose last byte was not sent has not run.
 func (s *Sender) settleAbandoned(c *call, l *link) {
 	switch {
-	case l.writing: // the write ends with its connection
+	case l.writing: // the write ends soon, as its connection is closed
 		s.after(abandonSettleTime, func() { s.settleAbandoned(c, l) })
 	case l.lastByteUnsent:
 		s.finishCall(c, answer{result: choice.ConnectFailed})
@@ -187,6 +189,7 @@
 	}
 }
 
+// connectFailed ends a call for which no connection was established.
 func (s *Sender) connectFailed(c *call) {
 	if !c.done {
 		c.done = true
@@ -194,8 +197,8 @@
 	}
 }
 
-// endUnsent ends a call that was never sent for a reason of this process. Its endpoint has no part in that: reported as
-// failed connections, two of them would eject a healthy endpoint.
+// endUnsent ends a call that was not sent, for a reason of this process. It is not reported as a failed connection: two
+// of those would eject a healthy endpoint.
 func (s *Sender) endUnsent(c *call) {
 	if c.done {
 		return
@@ -203,7 +206,7 @@
 	c.done, c.localFailure = true, true
 	result := choice.NotRun
 	if c.probe {
-		result = choice.Cancelled // Moot is also what an answer to a probe can mean
+		result = choice.Cancelled // NotRun can also be the result of an answered probe
 	}
 	s.finishCall(c, answer{result: result})
 }
--- a/internal/sender/counters.go
+++ b/internal/sender/counters.go
@@ -1,6 +1,6 @@
 package sender
 
-// This file holds the counters that INFO answers with.
+// This file holds the counters that the command INFO returns.
 
 import (
 	"fmt"
@@ -20,16 +20,16 @@
 	outcomes                                                  [choice.Unreadable + 1]int64
 }
 
-// counter is one line of INFO. Names are part of the protocol, and so is their order.
+// counter is one line of INFO. The names and their order are part of the protocol.
 type counter struct {
 	name  string
 	value int64
 }
 
-// resultNames name the outcomes of calls in counters and in the log.
+// resultNames holds the name of each choice.Result in counters and in the log.
 var resultNames = [choice.Unreadable + 1]string{"done", "errored", "full", "timed_out", "connect_failed", "reset", "cancelled", "moot", "spoilt"}
 
-// Counters are the lines of INFO, name:value.
+// Counters returns the lines of INFO, each in the form name:value. It is called on the loop.
 func (s *Sender) Counters() (lines []string) {
 	for _, c := range slices.Concat(s.messageCounters(), s.callCounters(), s.stateCounters(), s.gossipCounters(), s.clusterCounters()) {
 		lines = append(lines, fmt.Sprintf("%s:%d", c.name, c.value))
@@ -37,6 +37,7 @@
 	return lines
 }
 
+// messageCounters returns the counters of commands and accepted messages.
 func (s *Sender) messageCounters() []counter {
 	n := &s.counts
 	return []counter{
@@ -48,6 +49,7 @@
 	}
 }
 
+// callCounters returns the counters of calls and of the endings of messages.
 func (s *Sender) callCounters() []counter {
 	n := &s.counts
 	all := []counter{{"dispatches", n.attempts}}
@@ -67,6 +69,7 @@
 	}...)
 }
 
+// stateCounters returns the counters of connections, the journal and pending work.
 func (s *Sender) stateCounters() []counter {
 	n := &s.counts
 	return []counter{
@@ -83,7 +86,7 @@
 	}
 }
 
-// gossipCounters are there only where gossip is sent.
+// gossipCounters returns the counters of gossip; nil if gossip is off.
 func (s *Sender) gossipCounters() []counter {
 	if s.peers == nil {
 		return nil
@@ -100,7 +103,7 @@
 	}
 }
 
-// clusterCounters are there only in a sender that has joined a cluster.
+// clusterCounters returns the counters of a sender that has joined a cluster; nil for any other sender.
 func (s *Sender) clusterCounters() []counter {
 	if s.cluster == nil {
 		return nil
@@ -109,7 +112,7 @@
 	return []counter{
 		{"configuration_version", int64(s.cfg.Version)},
 		{"purges", n.purges},
-		{"withdrawn", n.withdrawn}, // apart from given_up, though the platform gets the same report
+		{"withdrawn", n.withdrawn}, // not included in given_up, though the platform gets the same report for both
 		{"withdrawn_while_out", n.withdrawnInFlight},
 		{"evicted", n.evicted},
 		{"taught", n.taught},
--- a/internal/sender/digest.go
+++ b/internal/sender/digest.go
@@ -1,8 +1,8 @@
 package sender
 
-// This file counts what a sender reports to its cluster twice a second: calls and their results by destination and zone,
-// messages by destination and client. Nothing of it runs in a sender that has not joined one. Each table is emptied by the
-// digest and bounded until then.
+// This file collects the digests that a sender reports to its cluster twice a second: calls and their results by
+// destination and zone, and messages by destination and client. A sender that has not joined a cluster collects none. Each
+// table has a size limit and is emptied with each digest.
 
 import (
 	"cmp"
@@ -17,37 +17,38 @@
 
 const (
 	digestInterval = 500 * time.Millisecond
-	// fullDigestEvery is in how many digests each listed row is sent once. Others are sent where calls ended, messages
-	// wait, or the endpoint list has changed.
+	// fullDigestEvery is the number of digests in which each row of the endpoint list is sent at least once. A row is also
+	// sent if calls ended, messages wait, or its part of the endpoint list has changed.
 	fullDigestEvery = 10
-	// Rows and counts beyond these are left out until the next digest, and counted (digest_left_out).
+	// Limits of the rows and counts of one digest. Those beyond the limits are left out until the next digest, and
+	// counted (digest_left_out).
 	maxDigestRows   = 8192
 	maxDigestCounts = 4096
 )
 
-// destinationZone names the endpoints of a destination in a zone.
+// destinationZone is the key of a row: the endpoints of a destination in one zone.
 type destinationZone struct {
 	destination choice.DestinationID
 	zone        string
 }
 
-// submitter names the messages that one client host submits for a destination.
+// submitter is the key of a count: the messages that one client host submits for a destination.
 type submitter struct {
 	destination choice.DestinationID
 	host        string
 }
 
-// digestState is the part of a Sender that holds the next digest.
+// digestState is the part of a Sender that collects the next digest.
 type digestState struct {
-	rows             map[destinationZone]*clusterapi.Row // since the last digest
-	submissions      map[submitter]uint64                // since the last digest
-	listings         map[destinationZone]*listing
-	firstZone        map[choice.DestinationID]string // the zone in whose row the waiting messages are counted
-	digests          uint64
-	listChanged      bool        // since listings was made
-	longestDeadline  choice.Time // from acceptance, of all classes and messages so far
-	shortestContract choice.Time // contract time of all classes so far
-	leftOut          int64
+	rows              map[destinationZone]*clusterapi.Row // since the last digest
+	submissions       map[submitter]uint64                // messages since the last digest
+	listings          map[destinationZone]*listing
+	firstZone         map[choice.DestinationID]string // the zone in whose row the waiting messages are counted
+	digests           uint64                          // number of digests so far
+	listChanged       bool                            // the endpoint list has changed since listings was built
+	longestDeadline   choice.Time                     // longest time from acceptance to deadline, of all classes and messages so far
+	shortestObjective choice.Time                     // shortest latency objective of all classes so far
+	leftOut           int64                           // rows and counts left out so far
 }
 
 func (d *digestState) init(s *Sender) {
@@ -58,24 +59,24 @@
 	}
 }
 
-// includeClasses takes the times of classes into account. Those of earlier settings still count, as their messages may be
-// pending.
+// includeClasses updates longestDeadline and shortestObjective for new settings. The classes of earlier settings still
+// count, as their messages may be pending.
 func (d *digestState) includeClasses(classes []choice.Class) {
 	for i, class := range classes {
 		d.longestDeadline = max(d.longestDeadline, class.Deadline)
-		if i == 0 || class.LatencyObjective < d.shortestContract {
-			d.shortestContract = class.LatencyObjective
+		if i == 0 || class.LatencyObjective < d.shortestObjective {
+			d.shortestObjective = class.LatencyObjective
 		}
 	}
 }
 
-// includeMessage takes a message's deadline into account: clients may ask for more than their class's.
+// includeMessage updates longestDeadline for a message: clients may ask for a longer deadline than that of the class.
 func (d *digestState) includeMessage(m *message, now choice.Time) {
 	d.longestDeadline = max(d.longestDeadline, m.Deadline-cmp.Or(m.acceptedAt, now))
 }
 
-// countCall counts how a call ended, once however many messages it carried. A call that was not sent for a reason of this
-// process says nothing of its endpoint.
+// countCall counts the end of a call in its row, once for all its messages. It does not count a call that was not sent for
+// a reason of this process, as that says nothing about the endpoint.
 func (s *Sender) countCall(c *call, a answer) {
 	now := s.Now()
 	if s.cluster == nil || c.localFailure {
@@ -102,13 +103,13 @@
 	case choice.ConnectFailed:
 		r.Failed, r.Unanswered = r.Failed+1, r.Unanswered+1
 	case choice.TimedOut:
-		if now-c.beganAt >= s.shortestContract { // else the message's own deadline cut it short
+		if now-c.beganAt >= s.shortestObjective { // else the deadline of its messages was too close
 			r.Failed, r.Unanswered = r.Failed+1, r.Unanswered+1
 		}
 	}
 }
 
-// row returns the row of a destination and zone, nil where the table is full.
+// row returns the row of a destination and zone, adding it if needed; nil if the table is full.
 func (d *digestState) row(at destinationZone) *clusterapi.Row {
 	r := d.rows[at]
 	if r == nil {
@@ -122,9 +123,9 @@
 	return r
 }
 
-// countSubmission counts a message as its client is answered +OK, and so once: a rejected one was not counted before, and
-// one that is pending or has ended is not accepted again. Clients are told apart by their address without the port: all of
-// one machine, or behind one proxy, are one.
+// countSubmission counts a message when its client is answered +OK, and therefore once: a rejected message is not counted,
+// and one that is pending or has ended is not accepted again. Clients are distinguished by address without the port, so
+// all clients of one machine, or behind one proxy, count as one.
 func (s *Sender) countSubmission(m *message) {
 	if s.cluster == nil {
 		return
@@ -142,7 +143,7 @@
 	s.submissions[from]++
 }
 
-// sendDigest hands over what was counted, and begins anew.
+// sendDigest passes the collected digest to the cluster, empties the tables, and sets the timer for the next digest.
 func (s *Sender) sendDigest() {
 	s.after(digestInterval, s.sendDigest)
 	if s.listChanged {
@@ -160,7 +161,7 @@
 	s.cluster.Digest(d)
 }
 
-// addDueRows adds rows for a part of the listed destinations, so that all are sent within fullDigestEvery digests.
+// addDueRows adds the rows of some listed destinations, so that all rows are sent within fullDigestEvery digests.
 func (d *digestState) addDueRows() {
 	d.digests++
 	for at := range d.listings {
@@ -170,7 +171,8 @@
 	}
 }
 
-// addWaiting counts the messages that wait: pending, with no call in flight.
+// addWaiting adds the number of waiting messages, which are pending and have no call in flight, to one row of each
+// destination.
 func (s *Sender) addWaiting() {
 	waiting := map[choice.DestinationID]int{}
 	for _, m := range s.pending {
@@ -185,7 +187,7 @@
 	}
 }
 
-// digestRows are the rows with what the endpoint list says, in order.
+// digestRows returns the rows, completed from the endpoint list and sorted by destination and zone.
 func (d *digestState) digestRows(kinds []choice.Kind) (rows []clusterapi.Row) {
 	for at, r := range d.rows {
 		if l := d.listings[at]; l != nil {
@@ -200,7 +202,7 @@
 	return rows
 }
 
-// digestCounts are the counts of messages, in order.
+// digestCounts returns the counts of submitted messages, sorted by destination and client.
 func (d *digestState) digestCounts() (counts []clusterapi.Count) {
 	for from, n := range d.submissions {
 		counts = append(counts, clusterapi.Count{Destination: from.destination, Client: from.host, Messages: n})
--- a/internal/sender/digest_listing.go
+++ b/internal/sender/digest_listing.go
@@ -1,6 +1,6 @@
 package sender
 
-// This file works out what the endpoint list says of each destination and zone, for the rows of digests.
+// This file summarizes the endpoint list by destination and zone, for the rows of digests.
 
 import (
 	"maps"
@@ -9,16 +9,16 @@
 	"flaxcove/choice"
 )
 
-// listing is what the endpoint list says of a destination in a zone. Endpoints that drain or are gone are left out, as
-// they get nothing new.
+// listing summarizes the listed endpoints of a destination in a zone. It excludes endpoints that drain or are gone, as they
+// get no new messages.
 type listing struct {
-	kind      choice.KindNo
-	endpoints []*endpoint // by id
-	rating    float64     // sum of theirs
+	kind      choice.KindNo // of the last endpoint by id
+	endpoints []*endpoint   // sorted by id
+	rating    float64       // sum of the endpoints' ratings
 }
 
-// readEndpointList makes the listings anew after a change of the list, and adds rows for those that differ from before or
-// are gone.
+// readEndpointList rebuilds the listings after a change of the endpoint list, and adds rows for the listings that have
+// changed or are gone.
 func (s *Sender) readEndpointList() {
 	s.listChanged = false
 	before := s.listings
@@ -57,18 +57,18 @@
 	}
 }
 
-// equal reports whether rows of both listings would say the same.
+// equal reports whether both listings yield the same row. other may be nil.
 func (l *listing) equal(other *listing) bool {
 	return other != nil && l.kind == other.kind && len(l.endpoints) == len(other.endpoints) && l.rating == other.rating
 }
 
-// limit is the latest limit that any of the endpoints reported; where endpoints of the kind are routes of their own, it is
-// the sum of their limits.
+// limit returns the most recent limit reported by any of the endpoints, in calls a second. If each endpoint of the kind is
+// a route of its own, it returns the sum of their limits.
 func (l *listing) limit(kinds []choice.Kind) (limit float64) {
 	latest := choice.Time(-1)
-	apart := kindOf(kinds, l.kind).SeparateRoutes
+	separate := kindOf(kinds, l.kind).SeparateRoutes
 	for _, e := range l.endpoints {
-		if apart {
+		if separate {
 			limit += e.reportedLimit
 		} else if e.reportedLimitAt > latest {
 			latest, limit = e.reportedLimitAt, e.reportedLimit
--- a/internal/sender/discovery.go
+++ b/internal/sender/discovery.go
@@ -1,6 +1,6 @@
 package sender
 
-// This file follows the endpoint list of discovery, and changes to another address of discovery on reload.
+// This file watches the endpoint list of discovery, and switches to another address of discovery on reload.
 
 import (
 	"slices"
@@ -12,27 +12,29 @@
 	"flaxcove/internal/directory"
 )
 
-// firstListTimeout is how long a start waits for discovery. What discovery's agent has counts as known to the process from
-// its first moment, and the agent answers at once: so long nothing is sent by the list of the configuration, which may be
-// out of date. Clients wait 400 ms for an answer.
+// firstListTimeout is how long a start waits for the first list of discovery. Until then nothing is sent by the list of the
+// configuration, which may be out of date: a process is expected to know the list of discovery's agent from its first
+// moment, and the agent answers at once. The timeout is below the 400 ms for which clients wait for an answer.
 const firstListTimeout = 150 * time.Millisecond
 
+// watchEnded is the reason logged when a watch of discovery ends.
 const watchEnded reason = "watch_over"
 
-// awaitFirstList handles what comes in until the list has come or late is closed. The loop does not run yet.
-func (s *Sender) awaitFirstList(late <-chan time.Time) {
+// awaitFirstList handles events until a list of discovery has been applied or timeout fires. It is called before the loop
+// runs.
+func (s *Sender) awaitFirstList(timeout <-chan time.Time) {
 	for s.eventsPending = true; !s.listReceived; {
 		select {
 		case f := <-s.inbox:
 			f()
-		case <-late:
+		case <-timeout:
 			return
 		}
 	}
 }
 
-// watch follows the list at the present address. Earlier watches go on until this one first hears: a new address that
-// never answers must not leave the sender without any.
+// watch watches the list at the current address from version since on. Earlier watches continue until this one receives
+// its first list: a new address that never answers must not leave the sender without a watch.
 func (s *Sender) watch(since int64) {
 	addr, stop := s.discovery, make(chan struct{})
 	s.watches = append(s.watches, stop)
@@ -53,7 +55,7 @@
 	go directory.Watch(addr, s.cfg.Settings.Senders, since, stop, onList, onEnd)
 }
 
-// endWatches ends the oldest watches.
+// endWatches ends the count oldest watches.
 func (s *Sender) endWatches(count int) {
 	for _, stop := range s.watches[:count] {
 		close(stop)
@@ -61,22 +63,24 @@
 	s.watches = slices.Delete(s.watches, 0, count)
 }
 
-// Reload takes a configuration that was read again while the sender runs, or why it could not be read. Only the address
-// of discovery changes under a running sender; the process goes on in any case.
+// Reload applies a configuration that was read again while the sender runs; err says why it could not be read. Only the
+// address of discovery changes in a running sender. The sender continues in any case. Reload may be called from any
+// goroutine except the loop.
 func (s *Sender) Reload(cfg *config.Config, err error) { s.post(func() { s.reload(cfg, err) }) }
 
+// reload implements Reload on the loop.
 func (s *Sender) reload(cfg *config.Config, err error) {
 	if err != nil {
-		s.log.Error("configuration rejected", zap.Error(err))
+		s.log.Error("reload: configuration rejected, the current one stays in force", zap.Error(err))
 		return
 	}
 	s.counts.reloads++
-	fixed := s.cfg.RestartOnlyChanges(cfg)
-	s.log.Info("configuration read", zap.String("discovery", cfg.Discovery), zap.String("before", s.discovery),
-		zap.Strings("at_the_next_start", fixed))
+	restartOnly := s.cfg.RestartOnlyChanges(cfg)
+	s.log.Info("reload: configuration read", zap.String("discovery", cfg.Discovery), zap.String("before", s.discovery),
+		zap.Strings("at_the_next_start", restartOnly))
 	if cfg.Discovery == s.discovery {
 		return
 	}
 	s.discovery, s.retryPause = cfg.Discovery, minPostRetryPause
-	s.watch(0) // from version 0, as another address may number its versions otherwise
+	s.watch(0) // from version 0, as another address may number its versions differently
 }
--- a/internal/sender/endpoint_input.go
+++ b/internal/sender/endpoint_input.go
@@ -1,7 +1,7 @@
 package sender
 
-// This file reads the input of links into answers. Bytes that nobody asked for are never taken for an answer, and the
-// reader does not wait for the loop while the loop may wait for it.
+// This file reads the input of links and parses it into answers. Unsolicited bytes are never taken for an answer, and a
+// reader never waits for the loop while it holds a lock that the loop may be waiting for.
 
 import (
 	"context"
@@ -13,30 +13,31 @@
 	"flaxcove/internal/http1"
 )
 
-// answerRestTimeout is how long the rest of an answer may take. Endpoints write an answer at once; one that stops in the
-// middle would take up the in-flight limit until the call's time-out.
+// answerRestTimeout is the time within which the rest of an answer must follow its first byte. Endpoints write an answer
+// at once; one that stops in the middle would occupy a place of the in-flight limit until the call's timeout.
 const answerRestTimeout = 250 * time.Millisecond
 
-var errUnsolicited = errors.New("bytes that nobody asked for")
+var errUnsolicited = errors.New("unsolicited input from the endpoint: no call awaits an answer on the connection")
 
-// onEndpointInput reads what has come and hands a complete answer to the loop.
+// onEndpointInput reads the input of a link and posts the beginning or the end of an answer to the loop. It is netpoll's
+// callback for input and closes the connection after bad input.
 func (l *link) onEndpointInput(_ context.Context, conn netpoll.Connection) error {
 	event, err := l.read(conn)
 	if event != nil {
 		l.sender.post(event)
 	}
 	if err != nil {
-		err = errors.Join(err, conn.Close()) // at once: bad input may go on for gigabytes
+		err = errors.Join(err, conn.Close()) // at once, as bad input may go on for gigabytes
 	}
 	return err
 }
 
-// read parses what has come and returns what the loop is to do about it, nil for nothing. It does not post that itself,
-// since the loop may be waiting for the lock.
+// read parses the available input and returns an event to post to the loop; nil if there is none. It does not post the
+// event itself, since the loop may be waiting for inputLock.
 func (l *link) read(conn netpoll.Connection) (event func(), err error) {
 	l.inputLock.Lock()
 	defer l.inputLock.Unlock()
-	// Under the lock, so that no call is sent on the link between here and its end.
+	// Set under the lock, so that no call is sent on the link after bad input and before its close.
 	defer func() { l.badInput.Store(l.badInput.Load() || err != nil) }()
 	if err := l.feedAnswer(conn.Reader()); err != nil {
 		return nil, err
@@ -44,19 +45,19 @@
 	switch {
 	case l.answer.Done:
 		a := readAnswer(&l.answer)
-		a.close = a.close || l.answer.BytesAfter() > 0 // bytes behind an answer would be read as the start of the next one
+		a.close = a.close || l.answer.BytesAfter() > 0 // bytes after an answer would be read as the start of the next one
 		l.answer = http1.Answer{}
 		l.awaitingAnswer.Store(false)
 		l.answerBegun = false
 		return func() { l.sender.onAnswer(l, a) }, nil
-	case !l.answerBegun && l.answer.Started(): // not by interim answers, which come because the call will take long
+	case !l.answerBegun && l.answer.Started(): // false for interim answers, which announce that the call takes long
 		l.answerBegun = true
 		return func() { l.sender.onAnswerBegun(l) }, nil
 	}
 	return nil, nil
 }
 
-// feedAnswer hands all that has come to the parser of the answer.
+// feedAnswer passes all available input to the parser of the answer. It returns errUnsolicited if no call awaits one.
 func (l *link) feedAnswer(r netpoll.Reader) error {
 	piece, err := r.Next(r.Len())
 	if err != nil {
@@ -71,8 +72,8 @@
 	return err
 }
 
-// onAnswerBegun bounds the time for the rest of an answer. Where it does not come, the part that has come decides the
-// outcome.
+// onAnswerBegun limits the time for the rest of an answer to answerRestTimeout. If the rest does not come in time, the
+// received part decides the outcome.
 func (s *Sender) onAnswerBegun(l *link) {
 	c := l.call
 	l.answeringCall = c
--- a/internal/sender/endpoints.go
+++ b/internal/sender/endpoints.go
@@ -1,6 +1,6 @@
 package sender
 
-// This file owns the endpoints as discovery lists them.
+// This file maintains the endpoints that discovery lists.
 
 import (
 	"time"
@@ -11,44 +11,46 @@
 	"flaxcove/internal/directory"
 )
 
-// emptyDestinationGrace is how long messages for a destination without endpoints are still accepted.
+// emptyDestinationGrace is how long messages are still accepted for a destination that has lost its last endpoint.
 const emptyDestinationGrace = time.Minute
 
-// endpoint is one of the list; it is dropped once it is gone and has no links.
+// endpoint is an endpoint of the list at one address and for one destination. It is dropped once it is gone and has no
+// links. The loop owns it.
 type endpoint struct {
 	id          choice.EndpointID
-	addr        string
+	addr        string // host:port; "" if the list names none
 	destination choice.DestinationID
 	zone        choice.ZoneNo
-	zoneName    string          // stays where other settings number zones anew
+	zoneName    string          // unlike zone, it stays valid when new settings renumber the zones
 	listed      directory.Entry // its latest entry
-	bulkMax     int             // messages of one call
-	gone        bool            // not listed any more, at this address and for this destination
+	bulkMax     int             // most messages of one call
+	gone        bool            // no longer listed at this address and for this destination
 
-	// Of its entry, for digests.
+	// Values of its entry, for digests.
 	kind   choice.KindNo
 	rating float64
-	ready  bool
+	ready  bool // it takes new messages
 
-	// Counted for digests: when a call last ended with an answer, and the limit last reported.
+	// Measured for digests: when a call last ended with an answer, and the limit in the latest load report, in calls a
+	// second.
 	lastAnswerAt, reportedLimitAt choice.Time
 	reportedLimit                 float64
 
-	turnCall  *call // the one that this turn's messages share
-	idle      []*link
-	linkCount int // idle, busy and coming up
+	turnCall  *call   // the call that collects this turn's messages; nil for none
+	idle      []*link // the link used last is at the end
+	linkCount int     // idle links, busy links and dials in progress
 }
 
-// routing is the part of a Sender that holds endpoints and what package choice has asked for.
+// routing is the part of a Sender that holds the endpoints and the pending requests of package choice.
 type routing struct {
 	endpoints    map[choice.EndpointID]*endpoint
 	starting     []*call                   // calls that begin at the end of this turn
 	connected    []connectedCall           // calls that are sent at the end of this turn
-	choiceTimers map[choice.TimerID]*timer // of package choice; each is removed as it fires or is forgotten
-	// destinationSeen is when a destination last had an endpoint, as of the last update. It is removed after
-	// emptyDestinationGrace.
+	choiceTimers map[choice.TimerID]*timer // timers of package choice; each is removed when it fires or is cancelled
+	// destinationSeen holds when each destination last had an endpoint, as of the last update and since the start. An entry
+	// is removed after emptyDestinationGrace.
 	destinationSeen map[choice.DestinationID]time.Duration
-	listReceived    bool // discovery has answered this process
+	listReceived    bool // this process has received a list from discovery
 }
 
 func (r *routing) init() {
@@ -57,7 +59,8 @@
 	r.choiceTimers = map[choice.TimerID]*timer{}
 }
 
-// updateEndpoints applies a list, or a change of the list. A stale one is from the configuration, not from discovery.
+// updateEndpoints applies a full endpoint list or an update of it. stale says that the list comes from the configuration,
+// not from discovery.
 func (s *Sender) updateEndpoints(l directory.List, stale bool) {
 	l = l.Complete(func(id string) (directory.Entry, bool) {
 		e := s.endpoints[choice.EndpointID(id)]
@@ -68,10 +71,10 @@
 	})
 	entries, unread := s.numbering.Entries(l)
 	if unread > 0 {
-		s.log.Warn("list: entries left out", zap.Int("unread", unread), zap.Int64("version", l.Version))
+		s.log.Warn("endpoint list has unreadable entries, which are ignored", zap.Int("unread", unread), zap.Int64("version", l.Version))
 	}
 	if l.Full && unread > 0 && len(entries) == 0 {
-		return // nothing in it could be read: to apply it would leave no endpoint
+		return // no entry is readable: applying the list would remove all endpoints
 	}
 	if l.Full {
 		for _, e := range s.endpoints {
@@ -87,18 +90,19 @@
 	}
 	s.listChanged = true
 	s.dropGone()
-	s.log.Debug("list", zap.Bool("full", l.Full), zap.Bool("stale", stale), zap.Any("entries", l.Entries))
+	s.log.Debug("endpoint list applied", zap.Bool("full", l.Full), zap.Bool("stale", stale), zap.Any("entries", l.Entries))
 	s.listReceived = s.listReceived || !stale
 	s.choice.UpdateEndpoints(entries, l.Full)
 }
 
-// updateEndpoint applies one entry, and adds to it what an earlier process learned of the endpoint.
+// updateEndpoint applies one entry, and adds to it the learned state of an earlier process. listed is the same entry as
+// discovery sent it.
 func (s *Sender) updateEndpoint(entry *choice.Entry, listed directory.Entry) {
 	entry.LearnedState = s.takeLearned(*entry, listed.Addr)
 	e := s.endpoints[entry.Endpoint]
 	if e != nil && (listed.Addr != e.addr || entry.Destination != e.destination) {
-		// It is another endpoint of the same id. Connections to the one before, and calls that wait for one, would reach
-		// its old address or be for its old destination: they stay with it, and it is dropped after them.
+		// The entry describes another endpoint with the same id. Connections to the old endpoint, and calls that wait for
+		// one, belong to its old address or destination: they stay with the old endpoint, which is dropped after them.
 		e.gone = true
 		s.closeIdleLinks(e, endpointMoved)
 		e = nil
@@ -116,7 +120,7 @@
 	e.kind, e.rating, e.ready = entry.Kind, entry.Rating, entry.Stage == choice.Ready
 }
 
-// dropGone drops endpoints that are gone, and destinations that have had none for emptyDestinationGrace.
+// dropGone drops endpoints that are gone, and destinations that have had no endpoint for emptyDestinationGrace.
 func (s *Sender) dropGone() {
 	now := s.sinceStart()
 	for _, e := range s.endpoints {
@@ -134,18 +138,19 @@
 	}
 }
 
+// dropIfUnused drops an endpoint that is gone and has no links.
 func (s *Sender) dropIfUnused(e *endpoint) {
 	if e.gone && e.linkCount == 0 && s.endpoints[e.id] == e {
 		delete(s.endpoints, e.id)
 	}
 }
 
-// bulkMaxOf is how many messages one call to a kind of endpoint may carry.
+// bulkMaxOf returns how many messages one call to a kind of endpoint may carry.
 func (s *Sender) bulkMaxOf(kind choice.KindNo) int {
 	return kindOf(s.cfg.Settings.Kinds, kind).BulkMax
 }
 
-// kindOf is a kind of endpoint by number; the nearest one for a number that the settings do not have.
+// kindOf returns the kind of endpoint with a number, or the one with the nearest number if kinds has no such number.
 func kindOf(kinds []choice.Kind, no choice.KindNo) choice.Kind {
 	return kinds[max(0, min(int(no), len(kinds)-1))]
 }
--- a/internal/sender/eviction.go
+++ b/internal/sender/eviction.go
@@ -1,8 +1,9 @@
 package sender
 
-// This file owns what a sender holds of destinations, learned state and idle links, as the cluster has it handed over,
-// evicted and taught again. Which destination is evicted is decided elsewhere. None is evicted while anything of it is
-// open or package choice says that it must stay, and what others know never replaces what was learned here.
+// This file evicts what a sender holds of a destination (learned state and idle links) on orders of the cluster, and passes
+// learned state to and from other senders. The cluster decides which destinations are evicted. A destination stays while it
+// has pending messages or busy links, or while package choice needs it. Learned state of other senders never replaces what
+// this sender has learned.
 
 import (
 	"maps"
@@ -16,32 +17,32 @@
 )
 
 const (
-	// What one endpoint and one idle link take, about: the endpoint here and in package choice with its places in tables;
-	// a link with its buffers (netpoll's first blocks for reading and writing). Estimates to weigh destinations against
-	// each other by, not an account of the heap.
+	// Estimated memory of one endpoint and one link, in bytes. An endpoint counts with its entries in the tables here and in
+	// package choice, a link with its buffers (netpoll's first blocks for reading and writing). The estimates serve to
+	// compare destinations, not to account for the heap.
 	endpointBytesEstimate = 1 << 10
 	linkBytesEstimate     = 8 << 10
-	// maxRememberedEvicted bounds the destinations that are known to have been evicted. Beyond it all are forgotten at
-	// once: one of them that is used again then learns anew, as without a cluster.
+	// maxRememberedEvicted limits the number of destinations remembered as evicted. When it is reached, all are forgotten
+	// at once: a forgotten destination that is used again is learned from scratch, as without a cluster.
 	maxRememberedEvicted = 8192
 )
 
-// evictionState is the part of a Sender that remembers what was evicted.
+// evictionState is the part of a Sender that remembers which destinations were evicted.
 type evictionState struct {
-	evicted map[choice.DestinationID]struct{}
+	evicted map[choice.DestinationID]struct{} // nil until the first eviction
 }
 
-// endpointsOf are the endpoints of some destinations, by id.
-func (s *Sender) endpointsOf(of func(choice.DestinationID) bool) (all []*endpoint) {
+// endpointsOf returns the endpoints of the matching destinations, sorted by id.
+func (s *Sender) endpointsOf(matches func(choice.DestinationID) bool) (all []*endpoint) {
 	for _, id := range slices.Sorted(maps.Keys(s.endpoints)) {
-		if e := s.endpoints[id]; of(e.destination) {
+		if e := s.endpoints[id]; matches(e.destination) {
 			all = append(all, e)
 		}
 	}
 	return all
 }
 
-// inSet is whether a destination is one of these.
+// inSet returns a function that reports whether a destination is one of all.
 func inSet(all []choice.DestinationID) func(choice.DestinationID) bool {
 	set := map[choice.DestinationID]struct{}{}
 	for _, d := range all {
@@ -53,49 +54,49 @@
 	}
 }
 
-// holdings lists the destinations of which anything is held, by number.
+// holdings returns what this sender holds of each destination with links or learned state, sorted by destination.
 func (s *Sender) holdings() (all []clusterapi.Held) {
-	by := map[choice.DestinationID]*clusterapi.Held{}
+	held := map[choice.DestinationID]*clusterapi.Held{}
 	for _, e := range s.endpoints {
-		if e.linkCount == 0 && !isKnown(s.choice.LearnedState(e.id)) {
+		if e.linkCount == 0 && !hasLearned(s.choice.LearnedState(e.id)) {
 			continue
 		}
-		h := by[e.destination]
+		h := held[e.destination]
 		if h == nil {
 			h = &clusterapi.Held{Destination: e.destination}
 			h.Calls, h.InUse = s.learnedStore.Holds(e.destination)
-			by[e.destination] = h
+			held[e.destination] = h
 		}
 		h.Bytes += endpointBytesEstimate + e.linkCount*linkBytesEstimate
 		h.InUse = h.InUse || e.hasBusyLinks()
 	}
 	for _, m := range s.pending {
-		if h := by[m.Destination]; h != nil {
+		if h := held[m.Destination]; h != nil {
 			h.InUse = true
 		}
 	}
-	for _, d := range slices.Sorted(maps.Keys(by)) {
-		all = append(all, *by[d])
+	for _, d := range slices.Sorted(maps.Keys(held)) {
+		all = append(all, *held[d])
 	}
 	return all
 }
 
-// hasBusyLinks reports whether a link carries a call or is coming up.
+// hasBusyLinks reports whether a link carries a call or is being dialled.
 func (e *endpoint) hasBusyLinks() bool { return e.linkCount > len(e.idle) }
 
-// evictDestinations evicts destinations, and returns those that stay.
+// evictDestinations evicts destinations, and returns those that it retains because they are in use.
 func (s *Sender) evictDestinations(all []choice.DestinationID) (retained []choice.DestinationID) {
-	open := map[choice.DestinationID]bool{} // with pending messages or busy links
+	busy := map[choice.DestinationID]bool{} // with pending messages or busy links
 	for _, m := range s.pending {
-		open[m.Destination] = true
+		busy[m.Destination] = true
 	}
 	endpoints := map[choice.DestinationID][]*endpoint{}
 	for _, e := range s.endpointsOf(inSet(all)) {
 		endpoints[e.destination] = append(endpoints[e.destination], e)
-		open[e.destination] = open[e.destination] || e.hasBusyLinks()
+		busy[e.destination] = busy[e.destination] || e.hasBusyLinks()
 	}
 	for _, d := range all {
-		if _, mustStay := s.learnedStore.Holds(d); mustStay || open[d] {
+		if _, inUse := s.learnedStore.Holds(d); inUse || busy[d] {
 			retained = append(retained, d)
 			continue
 		}
@@ -104,6 +105,7 @@
 	return retained
 }
 
+// evictDestination drops the learned state and the idle links of a destination's endpoints, and remembers the eviction.
 func (s *Sender) evictDestination(d choice.DestinationID, endpoints []*endpoint) {
 	for _, e := range endpoints {
 		s.dropLearned(e)
@@ -116,14 +118,14 @@
 	s.counts.evicted++
 }
 
-// dropLearned drops what was learned of an endpoint, and closes its idle links.
+// dropLearned drops the learned state of an endpoint, and closes its idle links.
 func (s *Sender) dropLearned(e *endpoint) {
 	s.learnedStore.Void(e.id, nil)
 	s.closeIdleLinks(e, endpointEvicted)
 	e.lastAnswerAt, e.reportedLimit, e.reportedLimitAt = 0, 0, 0
 }
 
-// purgeLearned applies a purge of learned state, in memory and on disk, and counts the endpoints.
+// purgeLearned applies a purge of learned state, in memory and on disk, and returns the number of endpoints affected.
 func (s *Sender) purgeLearned(o *withdrawal.Order) (int, error) {
 	purged := map[choice.EndpointID]struct{}{}
 	onDisk, err := s.deleteLearned(o.DropsLearned)
@@ -141,29 +143,30 @@
 	return len(purged), nil
 }
 
-// wakeDestination asks the region about an evicted destination when the first message for it comes.
+// wakeDestination asks the region for the learned state of an evicted destination when the first message for it is
+// submitted. It does nothing if the destination was not evicted.
 func (s *Sender) wakeDestination(d choice.DestinationID) {
-	if _, was := s.evicted[d]; was {
+	if _, evicted := s.evicted[d]; evicted {
 		delete(s.evicted, d)
 		s.cluster.Woke(d)
 	}
 }
 
-// learnedLessons are what was learned of some destinations, or of all if none is named, each with the age of the last
-// answer that it rests on.
-func (s *Sender) learnedLessons(of []choice.DestinationID) (all []clusterapi.LearnedEndpoint) {
+// learnedLessons returns the learned state of the endpoints of some destinations, or of all if none is named. The age of
+// each is that of the last answer it is based on.
+func (s *Sender) learnedLessons(destinations []choice.DestinationID) (all []clusterapi.LearnedEndpoint) {
 	now := s.Now()
-	which := inSet(of)
-	if len(of) == 0 {
-		which = func(choice.DestinationID) bool { return true }
+	matches := inSet(destinations)
+	if len(destinations) == 0 {
+		matches = func(choice.DestinationID) bool { return true }
 	}
-	for _, e := range s.endpointsOf(which) {
+	for _, e := range s.endpointsOf(matches) {
 		l := s.choice.LearnedState(e.id)
-		if !isKnown(l) {
+		if !hasLearned(l) {
 			continue
 		}
 		answeredAt := e.lastAnswerAt
-		if answeredAt == 0 { // before this sender joined; at its start at the earliest
+		if answeredAt == 0 { // the answer came before this sender joined; the start is the earliest time for it
 			answeredAt = now - config.RoundDown(int64(s.sinceStart()))
 		}
 		age := max(0, config.Nanoseconds(now-answeredAt))
@@ -172,12 +175,12 @@
 	return all
 }
 
-// adoptLessons takes over what others learned of endpoints of which nothing is known here. A wait is shorter by the
-// lesson's age.
+// adoptLessons adopts learned state of other senders for endpoints that have no learned state here. The wait of each is
+// reduced by its age.
 func (s *Sender) adoptLessons(lessons []clusterapi.LearnedEndpoint) {
 	for _, l := range lessons {
 		e := s.endpoints[l.Endpoint]
-		if e == nil || e.gone || !isPlausible(l.LearnedState) || l.Age < 0 || isKnown(s.choice.LearnedState(e.id)) {
+		if e == nil || e.gone || !isPlausible(l.LearnedState) || l.Age < 0 || hasLearned(s.choice.LearnedState(e.id)) {
 			continue
 		}
 		age := config.RoundUp(int64(l.Age))
--- a/internal/sender/gossip.go
+++ b/internal/sender/gossip.go
@@ -1,7 +1,7 @@
 package sender
 
-// This file carries the gossip of package choice to and from other senders (package peers). The loop does not wait for a
-// socket, and a sender serves without gossip where it cannot be sent.
+// This file exchanges the gossip of package choice with other senders (package peers). The loop never waits for the socket,
+// and a sender that cannot open it serves without gossip.
 
 import (
 	"go.uber.org/zap"
@@ -10,20 +10,20 @@
 	"flaxcove/internal/peers"
 )
 
-// gossip is the part of a Sender that talks to its peers.
+// gossip is the part of a Sender that exchanges gossip with its peers.
 type gossip struct {
-	peers *peers.Peers // nil where no gossip is sent
+	peers *peers.Peers // nil if gossip is off
 }
 
-// openGossip binds the socket for gossip where the settings ask for it. Where that fails it returns a configuration
-// without gossip.
+// openGossip binds the socket for gossip if the settings enable it. If that fails it logs the error and returns a
+// configuration without gossip.
 func openGossip(cfg *config.Config, log *zap.Logger) (*config.Config, *peers.Peers) {
 	if !cfg.Settings.Notes {
 		return cfg, nil
 	}
 	p, err := peers.Open(peers.Options{Listen: cfg.PeerListen, Peers: cfg.Peers, Own: int(cfg.Settings.Number), All: cfg.PeersAll})
 	if err != nil {
-		log.Error("notes stay off", zap.Error(err))
+		log.Error("gossip socket cannot be opened; gossip stays off", zap.Error(err))
 		without := *cfg
 		without.Settings.Notes = false
 		return &without, nil
@@ -31,6 +31,7 @@
 	return cfg, p
 }
 
+// closeGossip closes the socket and waits for the goroutines of p, which may be nil.
 func closeGossip(p *peers.Peers) error {
 	if p == nil {
 		return nil
@@ -38,7 +39,7 @@
 	return p.Close()
 }
 
-// startGossip begins to receive.
+// startGossip starts to receive gossip; p may be nil.
 func (s *Sender) startGossip(p *peers.Peers) {
 	s.peers = p
 	if p != nil {
@@ -46,9 +47,10 @@
 	}
 }
 
-// stopGossip waits for the receiver, whose post returns once s.stop is closed.
+// stopGossip closes the socket and waits for the receiver. It is called after s.stop is closed, or the receiver could block
+// in post.
 func (s *Sender) stopGossip() {
 	if err := closeGossip(s.peers); err != nil {
-		s.log.Error("notes", zap.Error(err))
+		s.log.Error("closing the gossip socket failed", zap.Error(err))
 	}
 }
--- a/internal/sender/host.go
+++ b/internal/sender/host.go
@@ -1,7 +1,7 @@
 package sender
 
-// This file is the choice.Host of a Sender: it does what package choice decides. It decides nothing of where or when a
-// message goes, and nothing is sent before the end of the turn.
+// This file implements choice.Host: it carries out the decisions of package choice. It makes no decision about where or
+// when a message is sent, and nothing is sent before the end of the turn.
 
 import (
 	"math"
@@ -13,13 +13,13 @@
 	"flaxcove/internal/config"
 )
 
-// Now is the wall clock at the start, advanced by the monotonic clock.
+// Now returns the wall-clock time of the start plus the monotonic time since then.
 func (s *Sender) Now() choice.Time {
 	return config.RoundDown(s.start.UnixNano() + int64(s.sinceStart()))
 }
 
-// Allowed reports whether a message may go to an endpoint as the cluster's routing plan stands. An endpoint that is not
-// listed any more has no zone that could be closed.
+// Allowed reports whether the cluster's current routing plan lets a message use an endpoint. An endpoint that is no longer
+// listed is allowed, as its zone is unknown.
 func (s *Sender) Allowed(id choice.MessageID, to choice.EndpointID) bool {
 	if s.routingPlan == nil {
 		return true
@@ -28,11 +28,11 @@
 	return e == nil || s.routingPlan.Allowed(id, e.destination, e.zone)
 }
 
-// Attempt adds a message to a call that begins at the end of this turn. Messages to one endpoint share a call, up to what
-// its kind takes.
-func (s *Sender) Attempt(id choice.MessageID, to choice.EndpointID, timeOut choice.Time) {
+// Attempt adds a message to a call that begins at the end of this turn. Messages to one endpoint share a call, up to the
+// largest bulk call of its kind. The call lasts for the longest timeout of its messages.
+func (s *Sender) Attempt(id choice.MessageID, to choice.EndpointID, timeout choice.Time) {
 	m, e := s.pending[id], s.endpoints[to]
-	if e == nil { // dropped with its last link while choice still knew it; the call fails to connect
+	if e == nil { // dropped with its last link while package choice still knew it; the call fails to connect
 		e = &endpoint{id: to, gone: true, bulkMax: 1}
 	}
 	c := e.turnCall
@@ -44,21 +44,21 @@
 		s.starting = append(s.starting, c)
 	}
 	c.messages = append(c.messages, m)
-	c.timeout = max(c.timeout, timeOut)
+	c.timeout = max(c.timeout, timeout)
 	m.inFlight = c
 	m.attempts++
 	s.counts.attempts++
-	s.log.Debug("attempt", zap.String("id", string(id)), zap.String("to", string(to)), zap.Int("try", m.attempts),
-		zap.Float64("within_ms", float64(timeOut)/float64(choice.Millisecond)))
+	s.log.Debug("message attempted", zap.String("id", string(id)), zap.String("to", string(to)), zap.Int("try", m.attempts),
+		zap.Float64("within_ms", float64(timeout)/float64(choice.Millisecond)))
 }
 
-// Shed ends a message that has never run, with a time to submit it again if that is not 0.
-func (s *Sender) Shed(id choice.MessageID, comeBackIn choice.Time) {
-	ms := int64(math.Ceil(float64(comeBackIn) / float64(choice.Millisecond)))
+// Shed ends a message that has certainly not run. Its client may submit it again after retryAfter; 0 names no time.
+func (s *Sender) Shed(id choice.MessageID, retryAfter choice.Time) {
+	ms := int64(math.Ceil(float64(retryAfter) / float64(choice.Millisecond)))
 	s.endMessage(s.pending[id], ending{kind: endShed, retryMS: ms})
 }
 
-// Fail ends a message that was not delivered and may not be attempted elsewhere.
+// Fail ends a message that was not delivered and must not be attempted elsewhere.
 func (s *Sender) Fail(id choice.MessageID) { s.endMessage(s.pending[id], ending{kind: endFailed}) }
 
 // Probe begins a health probe at the end of this turn.
@@ -78,16 +78,16 @@
 	}
 }
 
-// Tell sends gossip to all other senders.
+// Tell sends a note to all other senders; it does nothing if gossip is off.
 func (s *Sender) Tell(note []byte) {
 	if s.peers != nil {
 		s.peers.Tell(note)
 	}
 }
 
-// Timer sets a timer of package choice.
-func (s *Sender) Timer(in choice.Time, id choice.TimerID) {
-	s.choiceTimers[id] = s.after(time.Duration(config.Nanoseconds(in)), func() {
+// Timer sets a timer of package choice, which is due after delay.
+func (s *Sender) Timer(delay choice.Time, id choice.TimerID) {
+	s.choiceTimers[id] = s.after(time.Duration(config.Nanoseconds(delay)), func() {
 		delete(s.choiceTimers, id)
 		s.choice.TimerDue(id)
 	})
--- a/internal/sender/learned_state.go
+++ b/internal/sender/learned_state.go
@@ -1,8 +1,8 @@
 package sender
 
-// This file carries what was learned of endpoints from one process to the next, in a file of the state folder: a graceful
-// shutdown writes it, a start reads it. What it holds is decided by package choice (choice.LearnedState). It never keeps a start
-// from happening, and what was learned of one machine is never used for another one with the same id.
+// This file carries learned state of endpoints (choice.LearnedState) from one process to the next, in a file of the state
+// folder: a graceful shutdown writes it, a start reads it. A broken file never prevents a start, and the learned state of
+// one endpoint is never used for another endpoint with the same id.
 
 import (
 	"encoding/json"
@@ -19,19 +19,20 @@
 
 const (
 	learnedFileName  = "learnt.json"
-	learnedFileShare = 0.02 // of the disk, beside what the journal may fill
-	// learnedFileFrame is what stands around the entries.
+	learnedFileShare = 0.02 // of the journal's size limit, on disk in addition to the journal
+	// learnedFileFrame is the number of bytes reserved for the JSON around the entries.
 	learnedFileFrame = 64
 )
 
-// What is learned is believed up to these bounds. Beyond them a time-out computed of it would overflow, and calls would be
-// abandoned as they begin.
+// Learned state beyond these bounds is not plausible: a timeout computed from it would overflow, and calls would be
+// abandoned as soon as they begin.
 const (
-	maxLearnedTime  = 24 * 3600 * choice.Second // of a call, and of a Retry-After
+	maxLearnedTime  = 24 * 3600 * choice.Second // duration of a call or a pause
 	maxLearnedCalls = 1e15
 )
 
-// learnedEntry is what the file holds of one endpoint. It applies to an endpoint of the same id, destination and address.
+// learnedEntry is the learned state of one endpoint in the file. It applies to an endpoint of the same id, destination and
+// address.
 type learnedEntry struct {
 	Endpoint    choice.EndpointID    `json:"endpoint"`
 	Destination choice.DestinationID `json:"destination"`
@@ -39,14 +40,13 @@
 	choice.LearnedState
 }
 
-// learnedFile is the whole file. Waits count from At, by the wall clock.
+// learnedFile is the content of the file. At is the wall-clock time at which it was written; the waits in it count from At.
 type learnedFile struct {
 	At        choice.Time    `json:"at"`
 	Endpoints []learnedEntry `json:"endpoints"`
 }
 
-// loadLearned reads what an earlier process wrote. A file that cannot be read, and entries that are not plausible, are
-// logged and left out.
+// loadLearned reads the file of an earlier process. An unreadable file and implausible entries are logged and ignored.
 func (s *Sender) loadLearned() {
 	var file learnedFile
 	text, err := journal.Get(s.cfg.StateDir, learnedFileName)
@@ -57,7 +57,7 @@
 		err = json.Unmarshal(text, &file)
 	}
 	if err != nil {
-		s.log.Warn("learned state: not read, every endpoint starts afresh", zap.String("file", learnedFileName), zap.Error(err))
+		s.log.Warn("learned state: file is unreadable, all endpoints start without learned state", zap.String("file", learnedFileName), zap.Error(err))
 		return
 	}
 	s.learned, s.learnedAt = map[choice.EndpointID]learnedEntry{}, file.At
@@ -66,26 +66,27 @@
 			s.learned[entry.Endpoint] = entry
 		}
 	}
-	s.log.Info("learned state", zap.Int("endpoints", len(s.learned)), zap.Int("left_out", len(file.Endpoints)-len(s.learned)))
+	s.log.Info("learned state read", zap.Int("endpoints", len(s.learned)), zap.Int("left_out", len(file.Endpoints)-len(s.learned)))
 }
 
-// isPlausible reports whether learned state from elsewhere can be believed.
+// isPlausible reports whether learned state of another process is within the bounds.
 func isPlausible(l choice.LearnedState) bool {
-	within := func(v, least, most float64) bool { return v >= least && v <= most }
-	const most = float64(maxLearnedTime)
-	return l.Mean > 0 && within(l.Mean, 0, most) &&
-		within(l.Dev, 0, most) &&
-		l.Past > 0 && within(l.Past, 0, most) &&
+	within := func(v, lowest, highest float64) bool { return v >= lowest && v <= highest }
+	const maxTime = float64(maxLearnedTime)
+	return l.Mean > 0 && within(l.Mean, 0, maxTime) &&
+		within(l.Dev, 0, maxTime) &&
+		l.Past > 0 && within(l.Past, 0, maxTime) &&
 		within(l.Seen, 0, maxLearnedCalls) &&
 		within(l.Limit, 0, maxReportedLimit) &&
 		l.Wait >= 0 && l.Wait <= maxLearnedTime
 }
 
-// isKnown reports whether anything has been learned of an endpoint.
-func isKnown(l choice.LearnedState) bool { return l.Seen > 0 || l.Wait > 0 || l.Limit > 0 }
+// hasLearned reports whether l holds anything that was learned.
+func hasLearned(l choice.LearnedState) bool { return l.Seen > 0 || l.Wait > 0 || l.Limit > 0 }
 
-// takeLearned gives what was learned of an endpoint to its first entry in the list, and once: later it is out of date. A
-// wait is shorter by the time since.
+// takeLearned removes and returns the learned state of an earlier process for an endpoint; nil if there is none for this
+// address and destination. It is used for the endpoint's first entry only, as it is out of date later. Its wait is reduced
+// by the time since it was written.
 func (s *Sender) takeLearned(e choice.Entry, addr string) *choice.LearnedState {
 	entry, known := s.learned[e.Endpoint]
 	delete(s.learned, e.Endpoint)
@@ -96,9 +97,9 @@
 	return &entry.LearnedState
 }
 
-// deleteLearned takes destinations out of the file, from where they would come back with a start after a kill, and returns
-// the endpoints that were in it. A file that is no JSON is left as it is, as no start reads it.
-func (s *Sender) deleteLearned(of func(choice.DestinationID) bool) (deleted []choice.EndpointID, err error) {
+// deleteLearned deletes the matching destinations from the file, or a start after a kill would load them again. It returns
+// the endpoints it deleted. A file that is not JSON stays as it is, since loadLearned ignores it.
+func (s *Sender) deleteLearned(matches func(choice.DestinationID) bool) (deleted []choice.EndpointID, err error) {
 	var file learnedFile
 	text, err := journal.Get(s.cfg.StateDir, learnedFileName)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -112,7 +113,7 @@
 	}
 	remaining := learnedFile{At: file.At}
 	for _, entry := range file.Endpoints {
-		if of(entry.Destination) {
+		if matches(entry.Destination) {
 			deleted = append(deleted, entry.Endpoint)
 		} else {
 			remaining.Endpoints = append(remaining.Endpoints, entry)
@@ -124,6 +125,7 @@
 	return deleted, s.writeLearned(remaining)
 }
 
+// writeLearned replaces the file.
 func (s *Sender) writeLearned(file learnedFile) error {
 	text, err := json.Marshal(file)
 	if err != nil {
@@ -132,7 +134,7 @@
 	return s.journal.Put(learnedFileName, text)
 }
 
-// saveLearned writes what the next process may use, of as many endpoints as fit.
+// saveLearned writes the learned state for the next process, of as many endpoints as fit into the file. It logs an error.
 func (s *Sender) saveLearned() {
 	file := learnedFile{At: s.Now()}
 	capacity := int(learnedFileShare*float64(s.journal.Limit())) - learnedFileFrame
@@ -150,6 +152,6 @@
 		file.Endpoints = append(file.Endpoints, entry)
 	}
 	if err := s.writeLearned(file); err != nil {
-		s.log.Error("learned state: not written", zap.Error(err))
+		s.log.Error("learned state: writing the file failed", zap.Error(err))
 	}
 }
--- a/internal/sender/links.go
+++ b/internal/sender/links.go
@@ -1,7 +1,7 @@
 package sender
 
-// This file owns the connections to endpoints (links): how they come up, idle and end. Each carries one call at a time,
-// and a link whose end has come is never handed out.
+// This file manages the connections to endpoints (links): dialling, idling and closing. A link carries one call at a time,
+// and no call gets a link that is known to have ended.
 
 import (
 	"container/list"
@@ -18,10 +18,10 @@
 	"flaxcove/internal/http1"
 )
 
-// idleMargin is how long before its endpoint would this sender closes an idle link.
+// idleMargin is how much earlier than its endpoint this sender closes an idle link.
 const idleMargin = 500 * time.Millisecond
 
-// Why a connection to an endpoint or to the platform ended, as the log reports it.
+// Reasons for the end of a connection to an endpoint or to the platform.
 const (
 	idleTimeout      reason = "idle"
 	endpointUnlisted reason = "endpoint_unlisted"
@@ -36,49 +36,50 @@
 	writeFailed      reason = "write_failed"
 )
 
-// link is one connection to an endpoint. The parser of its answer belongs to netpoll's one running callback.
+// link is one connection to an endpoint.
 type link struct {
 	sender   *Sender
 	endpoint *endpoint
-	addr     string // that was dialled; its endpoint may have moved since
+	addr     string // the address that was dialled; the endpoint may have moved since
 	conn     netpoll.Connection
-	answer   http1.Answer
+	answer   http1.Answer // parser of the answer; owned by netpoll's callback, of which only one runs at a time
 
-	awaitingAnswer atomic.Bool // a call was written and its answer is not complete; shared with the loop
-	badInput       atomic.Bool // what came cannot be an answer
-	// inputLock is held from reading bytes until it is clear whether they were asked for, so that unsolicited bytes are
-	// never taken for the begin of the answer to a call that is written at that moment.
+	// These two are shared by netpoll's callback, the writer and the loop.
+	awaitingAnswer atomic.Bool // a call was written and its answer is not complete
+	badInput       atomic.Bool // the input cannot be an answer
+	// inputLock is held from reading bytes until it is decided whether they are unsolicited, so that unsolicited bytes are
+	// never taken for the beginning of the answer to a call that is written at the same moment.
 	inputLock   sync.Mutex
-	answerBegun bool // of netpoll's callback: the loop knows that the answer has begun
+	answerBegun bool // owned by netpoll's callback: the loop was told that the answer has begun
 
-	// bufferLock is held by who writes to the connection or looks at its socket off the loop. It is taken after inputLock.
-	// netpoll closes the descriptor and drops the buffers of a connection that has ended, and the descriptor's number may
-	// be another connection's at once.
+	// bufferLock is held to write to the connection or to inspect its socket outside the loop. It is taken after inputLock.
+	// netpoll closes the descriptor and releases the buffers of a connection that has ended, and the descriptor's number
+	// may be reused for another connection immediately.
 	bufferLock      sync.Mutex
 	buffersReleased bool
 
-	// Of the loop.
-	call           *call // that it carries
-	answeringCall  *call // the one whose answer has begun
-	writing        bool
-	answeredEarly  *call          // the one that was answered before its write had ended
+	// The loop owns the fields below.
+	call           *call          // the call in flight on it; nil for none
+	answeringCall  *call          // the call whose answer has begun
+	writing        bool           // a goroutine writes a call
+	answeredEarly  *call          // the call that was answered before its write had ended
 	used           bool           // it has carried a call
 	lastByteUnsent bool           // the last write ended before its last byte
 	partialAnswer  *partialAnswer // set once the link has ended
-	idleSince      time.Duration
-	idleTimer      *timer        // set while it is idle
-	idleElement    *list.Element // of linkPool.idleOrder, set while it is idle
+	idleSince      time.Duration  // since the start
+	idleTimer      *timer         // set while it is idle
+	idleElement    *list.Element  // its element of linkPool.idleOrder, set while it is idle
 	closeReason    reason
 	closing        bool
 }
 
-// partialAnswer is the part of an answer that had come when its connection ended.
+// partialAnswer describes the part of an answer that was received before the connection ended.
 type partialAnswer struct {
-	status int // 0 before a complete first line
-	begun  bool
+	status int  // 0 if the first line is not complete
+	begun  bool // at least one byte of the answer was received
 }
 
-// connectedCall is a call whose connection came up in this turn.
+// connectedCall is a call whose connection was established in this turn.
 type connectedCall struct {
 	call *call
 	link *link
@@ -86,11 +87,11 @@
 
 // linkPool is the part of a Sender that holds its links.
 type linkPool struct {
-	openLinks int // idle, busy and coming up
-	maxLinks  int
-	dial      func(*call) // tests replace it
+	openLinks int         // idle links, busy links and dials in progress
+	maxLinks  int         // limit of openLinks
+	dial      func(*call) // opens a connection for a call; tests replace it
 	// idleOrder holds all idle links, the one idle longest first. With more endpoints than sockets each call closes that
-	// one; a search among all endpoints would take most of the loop's time.
+	// link; a search among all endpoints would take most of the loop's time.
 	idleOrder list.List
 }
 
@@ -98,20 +99,22 @@
 	p.maxLinks = max(cfg.Settings.InFlightLimit+1, cfg.Limits.Sockets-clients-reservedDescriptors)
 }
 
-// dialEndpoint opens a connection for a call, within DialTimeout if that is set, and within the call's time.
+// dialEndpoint opens a connection for a call in a goroutine of its own. It takes at most the call's timeout, and at most
+// DialTimeout if that is set.
 func (s *Sender) dialEndpoint(c *call) {
-	addr, within := c.endpoint.addr, c.timeout
+	addr, timeout := c.endpoint.addr, c.timeout
 	if s.cfg.Settings.DialTimeout != 0 {
-		within = min(s.cfg.Settings.DialTimeout, c.timeout)
+		timeout = min(s.cfg.Settings.DialTimeout, c.timeout)
 	}
 	go func() {
-		conn, err := netpoll.DialConnection("tcp", addr, time.Duration(config.Nanoseconds(max(1, within))))
+		conn, err := netpoll.DialConnection("tcp", addr, time.Duration(config.Nanoseconds(max(1, timeout))))
 		s.post(func() { s.onDialed(c, conn, err) })
 	}()
 }
 
-// takeIdle takes the idle link that was used last, so that the others can time out; nil for none. A call that is sent on a
-// link whose end has come, but is not handled yet, may count as one that has run, so the socket itself is asked.
+// takeIdle removes and returns the idle link that was used last, so that the others can time out; nil if there is none. It
+// checks the socket itself: a call sent on a link that has ended, but whose end is not handled yet, may count as one that
+// has run.
 func (s *Sender) takeIdle(e *endpoint) *link {
 	for len(e.idle) > 0 {
 		l := e.idle[len(e.idle)-1]
@@ -124,13 +127,13 @@
 	return nil
 }
 
-// isResourceShortage reports whether a dial failed for want of a resource of this process or machine.
+// isResourceShortage reports whether a dial failed because this process or machine is out of a resource.
 func isResourceShortage(err error) bool {
 	shortages := []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL}
-	return slices.ContainsFunc(shortages, func(want error) bool { return errors.Is(err, want) })
+	return slices.ContainsFunc(shortages, func(shortage error) bool { return errors.Is(err, shortage) })
 }
 
-// onDialed is called when a dial has ended. The call is sent at the end of the turn, once it is on record.
+// onDialed handles the end of a dial. The call is sent at the end of the turn, once its attempt is on record.
 func (s *Sender) onDialed(c *call, conn netpoll.Connection, err error) {
 	if err != nil {
 		s.onDialFailed(c, err)
@@ -138,7 +141,7 @@
 	}
 	l := &link{sender: s, endpoint: c.endpoint, addr: c.addr, conn: conn}
 	conn.AddCloseCallback(func(netpoll.Connection) error {
-		// No waiting for the loop here: it may be the loop that closes.
+		// This must not wait for the loop, which may be the one that closes the connection.
 		l.bufferLock.Lock()
 		l.buffersReleased = true
 		l.bufferLock.Unlock()
@@ -154,6 +157,7 @@
 	s.connected = append(s.connected, connectedCall{c, l})
 }
 
+// onDialFailed ends the call, or lets it wait for capacity if this process is short of a resource.
 func (s *Sender) onDialFailed(c *call, err error) {
 	s.openLinks--
 	c.endpoint.linkCount--
@@ -168,11 +172,11 @@
 	s.connectFailed(c)
 }
 
-// leadsElsewhere reports whether a link's endpoint is gone or has moved: at its old address there may be another one, of
-// another destination.
-func (l *link) leadsElsewhere() bool { return l.endpoint.gone || l.addr != l.endpoint.addr }
+// isObsolete reports whether a link's endpoint is gone or has moved. Another endpoint, of another destination, may now
+// serve at the link's address.
+func (l *link) isObsolete() bool { return l.endpoint.gone || l.addr != l.endpoint.addr }
 
-// makeIdle keeps a link for later calls, or closes it where its endpoint is gone or has moved.
+// makeIdle keeps a link for later calls, or closes it if its endpoint is gone or has moved.
 func (s *Sender) makeIdle(l *link) {
 	l.call = nil
 	switch {
@@ -181,7 +185,7 @@
 	case l.endpoint.gone:
 		s.closeLink(l, endpointUnlisted)
 		return
-	case l.leadsElsewhere():
+	case l.isObsolete():
 		s.closeLink(l, endpointMoved)
 		return
 	}
@@ -191,7 +195,7 @@
 	s.startIdleTimer(l)
 }
 
-// removeIdle takes a link out of the idle ones, if it is one.
+// removeIdle removes a link from the idle links. It does nothing if the link is not idle.
 func (s *Sender) removeIdle(l *link) {
 	l.endpoint.idle = slices.DeleteFunc(l.endpoint.idle, func(other *link) bool { return other == l })
 	if l.idleElement != nil {
@@ -201,18 +205,20 @@
 	s.cancelTimer(l.idleTimer)
 }
 
+// closeIdleLink closes an idle link.
 func (s *Sender) closeIdleLink(l *link, why reason) {
 	s.removeIdle(l)
 	s.closeLink(l, why)
 }
 
+// closeIdleLinks closes all idle links to an endpoint.
 func (s *Sender) closeIdleLinks(e *endpoint, why reason) {
 	for len(e.idle) > 0 {
 		s.closeIdleLink(e.idle[len(e.idle)-1], why)
 	}
 }
 
-// closeOldestIdle closes the link that has been idle longest, and reports whether there was one.
+// closeOldestIdle closes the link that has been idle longest, and reports whether there was an idle link.
 func (s *Sender) closeOldestIdle() bool {
 	oldest := s.idleOrder.Front()
 	if oldest == nil {
@@ -222,6 +228,7 @@
 	return true
 }
 
+// closeLink closes a link unless that was done before. onLinkEnded is called afterwards.
 func (s *Sender) closeLink(l *link, why reason) {
 	if l.closing {
 		return
@@ -230,7 +237,7 @@
 	l.conn.Close()
 }
 
-// onLinkEnded is called once for each link, whoever has closed it.
+// onLinkEnded handles the end of a link. It is called once for each link, whichever side has closed it.
 func (s *Sender) onLinkEnded(l *link, end *partialAnswer) {
 	if !l.closing {
 		l.closing, l.closeReason = true, peerClosed
@@ -245,7 +252,7 @@
 	s.logConnEnded("endpoint", string(l.endpoint.id), l.closeReason, nil)
 	s.dropIfUnused(l.endpoint)
 	l.partialAnswer = end
-	if !l.writing { // else onWritten does, as the outcome depends on whether the last byte was sent
+	if !l.writing { // else onWritten calls onLinkCutOff, as the outcome depends on whether the last byte was sent
 		s.onLinkCutOff(l)
 	}
 }
--- a/internal/sender/loop.go
+++ b/internal/sender/loop.go
@@ -1,6 +1,6 @@
 package sender
 
-// This file owns the loop and its turns.
+// This file implements the loop and its turns.
 
 import (
 	"container/heap"
@@ -9,10 +9,11 @@
 	"flaxcove/internal/config"
 )
 
-// journalRetryPause lies between two turns while the journal cannot be written.
+// journalRetryPause is the time between two turns while the journal cannot be written.
 const journalRetryPause = 20 * time.Millisecond
 
-// post hands a function to the loop. It may be called from any goroutine but the loop's own, and may wait for the loop.
+// post queues f for the loop and blocks while the queue is full. It drops f once the sender has stopped. It may be called
+// from any goroutine except the loop, which would deadlock on a full queue.
 func (s *Sender) post(f func()) {
 	select {
 	case s.inbox <- f:
@@ -20,7 +21,7 @@
 	}
 }
 
-// Run is the loop. It returns at the end of a graceful shutdown.
+// Run runs the loop. It returns at the end of a graceful shutdown.
 func (s *Sender) Run() {
 	wake := time.NewTimer(0)
 	for !s.ended {
@@ -41,8 +42,8 @@
 	s.shutDown()
 }
 
-// sleepUntil is when the loop has something to do unless more comes in. It is never before the next turn: a timer that is
-// due by then would wake the loop again and again with nothing to do, which takes up the sender's core.
+// sleepUntil returns the time until which the loop sleeps if there is no input. It is never before the next turn: a timer
+// that is due earlier would wake the loop again and again with nothing to do, which takes up a whole core.
 func (s *Sender) sleepUntil() time.Duration {
 	if s.eventsPending {
 		return s.nextTurn()
@@ -50,16 +51,17 @@
 	return max(s.timers.next(), s.nextTurn())
 }
 
-// runQueued handles what else is in the inbox, but nothing that comes meanwhile, or timers would starve.
+// runQueued handles the events that are queued now. Events that are posted meanwhile wait, or timers would starve.
 func (s *Sender) runQueued() {
 	for range len(s.inbox) {
 		(<-s.inbox)()
 	}
 }
 
+// sinceStart returns the time since the start, by the monotonic clock.
 func (s *Sender) sinceStart() time.Duration { return s.clock() }
 
-// nextTurn is the earliest time of the next turn.
+// nextTurn returns the earliest time of the next turn.
 func (s *Sender) nextTurn() time.Duration {
 	gap := time.Duration(config.Nanoseconds(s.cfg.Settings.TurnInterval))
 	if s.journalFailing {
@@ -68,7 +70,8 @@
 	return s.lastTurn + gap
 }
 
-// turn completes what has come in: package choice decides, one append makes it durable, and only then is anything sent.
+// turn fires the timers that are due, lets package choice decide, makes the decisions durable with one append, and only
+// then sends answers, reports and calls.
 func (s *Sender) turn() {
 	s.lastTurn, s.eventsPending = s.sinceStart(), false
 	s.turns++
@@ -89,7 +92,7 @@
 	}
 	s.postEndings()
 	if !s.journalFailing {
-		s.startCalls() // after postEndings: what ends as its call begins is on record only with the next turn
+		s.startCalls() // after postEndings: a message that ends here is on record only after the next turn
 	}
 	s.checkDrain()
 }
--- a/internal/sender/outcome_reporter.go
+++ b/internal/sender/outcome_reporter.go
@@ -1,7 +1,7 @@
 package sender
 
-// This file reports to the platform how messages ended that were not delivered. No ending is dropped before the platform
-// has answered 204, and no two posts are under way at once.
+// This file reports the endings of undelivered messages to the platform. No ending is dropped before the platform has
+// answered 204, and only one post is in flight at a time.
 
 import (
 	"encoding/json"
@@ -13,26 +13,27 @@
 	"flaxcove/choice"
 )
 
+// Each failed post doubles the pause before the next one, from minPostRetryPause to maxPostRetryPause.
 const (
 	maxEndingsPerPost = 256
 	minPostRetryPause = 20 * time.Millisecond
 	maxPostRetryPause = 250 * time.Millisecond
 )
 
-// outcomeReporter is the part of a Sender that posts endings.
+// outcomeReporter is the part of a Sender that posts endings to the platform.
 type outcomeReporter struct {
-	endings        []*message // to be reported; each is removed with its 204
-	posting        bool
-	retryPause     time.Duration
-	oneAtATime     bool // the last post was rejected: one ending a post until one is accepted
+	endings        []*message    // messages whose ending is to be reported; each is removed after its 204
+	posting        bool          // a post is in flight, or the pause after a failed one
+	retryPause     time.Duration // pause after the next failed post
+	oneAtATime     bool          // the last post was rejected: each post carries one ending until one is accepted
 	platform       platformConn
-	postToPlatform func(addr string, body []byte) (status int, err error) // tests replace it
+	postToPlatform func(addr string, body []byte) (status int, err error) // posts endings; tests replace it
 }
 
 func (r *outcomeReporter) init() { r.retryPause = minPostRetryPause }
 
-// postEndings starts a post of endings unless one is under way. It is called after the turn's append, so that what is
-// reported is on record.
+// postEndings starts a post of endings unless one is in flight. It is called after the turn's append, so that every
+// reported ending is on record.
 func (s *Sender) postEndings() {
 	if s.posting || len(s.endings) == 0 {
 		return
@@ -53,7 +54,7 @@
 	}()
 }
 
-// line is the ending of one message in the body of a post.
+// line returns the ending of one message as a line of JSON for the body of a post.
 func (e ending) line(id choice.MessageID) []byte {
 	line := struct {
 		Message string `json:"message"`
@@ -65,12 +66,12 @@
 	}
 	text, err := json.Marshal(line)
 	if err != nil {
-		return nil // can't be: two strings and a number always marshal
+		return nil // cannot happen: two strings and a number always marshal
 	}
 	return append(text, '\n')
 }
 
-// onPosted is called when the post of the first endings has ended. A failed one is repeated after a backoff.
+// onPosted handles the end of a post of the first count endings. A failed post is repeated after a backoff.
 func (s *Sender) onPosted(count, status int, err error) {
 	batch := s.endings[:count]
 	if err == nil && status == http.StatusNoContent {
@@ -83,9 +84,9 @@
 		return
 	}
 	s.counts.postsFailed++
-	s.log.Warn("platform not notified", zap.Int("status", status), zap.Int("endings", count), zap.Error(err))
+	s.log.Warn("platform did not accept a post of endings; it is repeated", zap.Int("status", status), zap.Int("endings", count), zap.Error(err))
 	if err == nil {
-		// One ending that the platform rejects must not hold up the others.
+		// An ending that the platform rejects must not hold up the others.
 		s.oneAtATime = true
 		s.endings = append(append([]*message(nil), s.endings[count:]...), batch...)
 	}
--- a/internal/sender/outcomes.go
+++ b/internal/sender/outcomes.go
@@ -1,27 +1,28 @@
 package sender
 
-// This file reports the outcome of each call to package choice. No attempt is reported twice, and none is said not to
-// have run where that is not certain.
+// This file reports the outcome of each call to package choice. No attempt is reported twice, and an attempt is reported
+// as not run only if that is certain.
 //
-// What the end of a call says of its message (send.go and call.go find out which end it was; TestEnds has the rows):
+// The table lists the ends of a call, the result of each, and whether its message has run. "The last byte" is the last
+// byte of the request. send.go and call.go detect which end it was; TestCallOutcomes tests the rows.
 //
-//	how it ended                                                        result          has it run?
-//	connection refused or never up, no address                          ConnectFailed   never
-//	no capacity for a connection in this process until its time is over Moot            never
-//	up too late: call over, endpoint moved, drained or to be waited for Moot            never
-//	one message's time or window over before the first byte             Moot            never
-//	link ended, or bytes came, before the first byte, on any link       ConnectFailed   never
-//	reset, closed or abandoned before the last byte, whatever had come  ConnectFailed   never, but for a 200 below
-//	reset or closed after it, nothing had come but interim answers      Reset           may have
-//	its time over after it, likewise                                    TimedOut        may have; may yet run
-//	one message's time over in a bulk call that was written             Cancelled       may have; may yet run
-//	a complete first line with 200, of a call with one message          Done            yes, whatever followed
-//	any other beginning of an answer, and noise                         Spoilt          may have
-//	a complete answer: 200                                              Done            yes; a bulk call as it says
-//	429, 503                                                            Full            never
-//	503 with X-No-Slot, 400, 404, 410, 413, 504                         Moot            never
-//	any other status                                                    Errored         may have
-//	a bulk call's 200 that leaves a message out, or has no states       Spoilt          may have
+//	how the call ended                                                  result          has it run?
+//	connection refused or never established, or no address              ConnectFailed   no
+//	no capacity for a connection in this process until the timeout      NotRun          no
+//	connected too late: timed out, endpoint moved, drained or paused    NotRun          no
+//	deadline or repeat window of a message over before the first byte   NotRun          no
+//	link ended or had input before the first byte, on any link          ConnectFailed   no
+//	reset, closed or abandoned before the last byte, whatever the input ConnectFailed   no, except for a 200 below
+//	reset or closed after the last byte, at most interim answers        Reset           maybe
+//	timed out after the last byte, at most interim answers              TimedOut        maybe, now or later
+//	deadline of one message of a bulk call that was written             Cancelled       maybe, now or later
+//	complete first line with 200, call with one message                 Done            yes, whatever followed
+//	any other beginning of an answer, or noise                          Unreadable      maybe
+//	complete answer with 200                                            Done            yes; bulk call: by its states
+//	429, 503                                                            Rejected        no
+//	503 with X-No-Slot, 400, 404, 410, 413, 504                         NotRun          no
+//	any other status                                                    Errored         maybe
+//	200 to a bulk call without the message's state, or without any      Unreadable      maybe
 
 import (
 	"go.uber.org/zap"
@@ -30,11 +31,11 @@
 	"flaxcove/internal/sender/withdrawal"
 )
 
-// onAnswer is called for a complete answer on a link.
+// onAnswer handles a complete answer on a link.
 func (s *Sender) onAnswer(l *link, a answer) {
 	c := l.call
 	if c == nil || c.done {
-		s.closeLink(l, badAnswer) // its call was abandoned a moment ago, or nothing was asked
+		s.closeLink(l, badAnswer) // the call was abandoned a moment ago, or there was none
 		return
 	}
 	c.done = true
@@ -50,9 +51,9 @@
 	s.finishCall(c, a)
 }
 
-// finishCall reports how a call ended, message by message.
+// finishCall cancels a call's timers and reports the outcome of each of its messages, or of the probe.
 func (s *Sender) finishCall(c *call, a answer) {
-	s.eventsPending = true // what choice makes of it is for the next turn, if not for this one
+	s.eventsPending = true // package choice may act on the outcome, in this turn or the next
 	for _, t := range c.timers {
 		s.cancelTimer(t)
 	}
@@ -63,16 +64,16 @@
 	s.countCall(c, a)
 	took := s.Now() - c.beganAt
 	for _, m := range c.messages {
-		if m.inFlight == c { // else it was cancelled before
+		if m.inFlight == c { // else the message was cancelled before
 			s.reportOutcome(c, m, c.outcome(m, a, took), a.report)
 		}
 	}
 }
 
-// outcome is what the answer to a call says of one of its messages.
+// outcome returns the outcome of one message of a call that was answered with a.
 func (c *call) outcome(m *message, a answer, took choice.Time) choice.Outcome {
 	o := choice.Outcome{Message: m.ID, Attempt: m.attempts - 1, Endpoint: c.endpoint.id, Took: took, Result: a.result,
-		Final: a.final, RetryAfter: a.wait, NoSlot: a.noSlot, Report: a.loadReport(), Reused: c.reused, Closed: a.close}
+		Final: a.final, RetryAfter: a.retryAfter, NoSlot: a.noSlot, Report: a.loadReport(), Reused: c.reused, Closed: a.close}
 	if len(c.messages) > 1 && a.result == choice.Done {
 		o.Result, o.Final = choice.Unreadable, false // unless the answer has its state
 		if status, known := bulkStates[a.states[m.ID]]; known {
@@ -80,15 +81,16 @@
 		}
 	}
 	if len(c.messages) == 1 && o.Result != choice.Rejected {
-		o.RetryAfter = 0 // Retry-After counts with a rejection only, but with any answer to a bulk call
+		o.RetryAfter = 0 // Retry-After counts with every answer to a bulk call, but for one message only with a rejection
 	}
 	return o
 }
 
-// reportOutcome reports the outcome of an attempt to package choice, and ends the message where nothing more is to be done.
+// reportOutcome reports the outcome of an attempt to package choice, and closes the message if the outcome is final. report
+// holds the values of the load report for the log.
 func (s *Sender) reportOutcome(c *call, m *message, o choice.Outcome, report []float64) {
 	m.inFlight = nil
-	s.log.Debug("outcome", zap.String("id", string(m.ID)), zap.String("to", string(c.endpoint.id)),
+	s.log.Debug("attempt ended", zap.String("id", string(m.ID)), zap.String("to", string(c.endpoint.id)),
 		zap.String("result", resultNames[o.Result]), zap.Float64("took_ms", float64(o.Took)/float64(choice.Millisecond)),
 		zap.Float64("wait_ms", float64(o.RetryAfter)/float64(choice.Millisecond)), zap.Float64s("report", report))
 	mayRunBefore := m.MayRun
@@ -101,8 +103,8 @@
 	}
 }
 
-// recordOutcome notes whether an attempt may have run, and records it where an earlier record says that it may have and
-// it has not.
+// recordOutcome counts an outcome and remembers in m whether the attempt may have run. If it has not run, but the journal
+// says that it may have, a record that corrects this is added.
 func (s *Sender) recordOutcome(m *message, c *call, o choice.Outcome) {
 	s.counts.outcomes[o.Result]++
 	switch o.Result {
--- a/internal/sender/platform_conn.go
+++ b/internal/sender/platform_conn.go
@@ -1,6 +1,6 @@
 package sender
 
-// This file owns the connection to the platform, on which endings are posted.
+// This file implements the connection to the platform, on which endings are posted.
 
 import (
 	"time"
@@ -12,22 +12,23 @@
 
 const (
 	outcomesPath = "/v1/outcomes"
-	// postTimeout bounds each step of a post. The platform's agent answers at once; while one post waits all later
-	// endings do, and a message whose end is not reported 300 ms past its deadline counts as lost.
+	// postTimeout limits each step of a post: the dial, each write and each read. The platform's agent answers at once; all
+	// later endings wait for the post in flight, and a message whose ending is not reported 300 ms after its deadline
+	// counts as lost.
 	postTimeout = 250 * time.Millisecond
 )
 
 const postFailed reason = "post_failed"
 
-// platformConn is the connection to the platform. Only the goroutine of the one post that is under way uses it.
+// platformConn is the connection to the platform. It is owned by the goroutine of the one post in flight.
 type platformConn struct {
-	conn netpoll.Connection // nil for none
-	addr string             // of conn
-	log  func(addr string, why reason, err error)
+	conn netpoll.Connection                       // nil for none
+	addr string                                   // address of conn
+	log  func(addr string, why reason, err error) // logs the end of a connection
 }
 
-// post sends one request and returns the status of its answer. It is repeated on a new connection where a reused one
-// fails, as that may have ended before; an ending that is reported twice does no harm.
+// post sends one request and returns the status of its answer. If it fails on a reused connection, which may have ended
+// before, it is repeated on a new one; an ending that is reported twice does no harm.
 func (p *platformConn) post(addr string, body []byte) (status int, err error) {
 	if addr != p.addr {
 		p.disconnect(notNeeded, nil)
@@ -41,6 +42,7 @@
 	return status, err
 }
 
+// postOnce sends one request, and closes the connection if that fails.
 func (p *platformConn) postOnce(addr string, body []byte) (status int, err error) {
 	if err := p.connect(addr); err != nil {
 		return 0, err
@@ -52,7 +54,7 @@
 	return status, err
 }
 
-// connect opens a connection unless there is one.
+// connect opens a connection unless an active one is open.
 func (p *platformConn) connect(addr string) error {
 	if p.conn != nil && p.conn.IsActive() {
 		return nil
@@ -87,7 +89,7 @@
 	return answer.Status(), nil
 }
 
-// readPiece waits for bytes and hands all that have come to the parser of an answer.
+// readPiece waits for input and passes all that is available to the parser of an answer.
 func readPiece(r netpoll.Reader, answer *http1.Answer) error {
 	if _, err := r.Peek(1); err != nil {
 		return err
@@ -100,6 +102,7 @@
 	return err
 }
 
+// disconnect closes the connection, if there is one, and logs why.
 func (p *platformConn) disconnect(why reason, err error) {
 	if p.conn != nil {
 		p.log(p.addr, why, err)
--- a/internal/sender/request.go
+++ b/internal/sender/request.go
@@ -18,7 +18,7 @@
 	bulkPath   = "/inbox/bulk"
 )
 
-// request is the request of a call: for one message alone, for several as a bulk call, or for none as a probe.
+// request returns the HTTP request of a call: a single request for one message, a bulk request for several, or a probe.
 func (s *Sender) request(c *call) (head, body []byte) {
 	switch {
 	case c.probe:
@@ -29,12 +29,13 @@
 	return c.bulkRequest(s.deadlineMS(c))
 }
 
-// deadlineMS is the time that a call has left, in milliseconds, rounded up.
+// deadlineMS returns the time that a call has left, in milliseconds, rounded up, and at least 1.
 func (s *Sender) deadlineMS(c *call) string {
 	left := c.beganAt + c.timeout - s.Now()
 	return strconv.FormatInt(int64(max(1, (left+choice.Millisecond-1)/choice.Millisecond)), 10)
 }
 
+// singleRequest returns the request of a call with one message.
 func (c *call) singleRequest(deadlineMS string) (head, body []byte) {
 	m := c.messages[0]
 	fields := []string{"X-Request-Id", string(m.ID), "X-Deadline-Ms", deadlineMS}
@@ -44,8 +45,9 @@
 	return http1.AppendRequest(nil, "POST", singlePath, c.endpoint.addr, len(m.body), fields...), m.body
 }
 
-// bulkRequest puts the message with the latest deadline first: an endpoint may measure the whole call by the time of its
-// first message, and an answer that came after that counted for none of the others, though it named each as done.
+// bulkRequest returns the request of a call with several messages. The message with the latest deadline comes first: an
+// endpoint may apply the deadline of the first message to the whole call, and an answer after that deadline counted for
+// none of the other messages, though it reported each as done.
 func (c *call) bulkRequest(deadlineMS string) (head, body []byte) {
 	slices.SortStableFunc(c.messages, func(a, b *message) int { return cmp.Compare(b.Deadline, a.Deadline) })
 	body = append(body, '[')
@@ -60,7 +62,8 @@
 		"Content-Type", "application/json", "X-Deadline-Ms", deadlineMS), body
 }
 
-// appendBulkItem appends a message as JSON. Ids and keys are visible characters without quotes, so they need no escapes.
+// appendBulkItem appends a message as JSON. Ids and keys consist of visible characters without quotes, so they need no
+// escaping.
 func (m *message) appendBulkItem(out []byte) []byte {
 	out = append(out, `{"id":"`...)
 	out = append(out, m.ID...)
--- a/internal/sender/send.go
+++ b/internal/sender/send.go
@@ -1,8 +1,8 @@
 package sender
 
-// This file sends calls on links that are up: the last check of a call, and its write. No byte is sent once a call's time
-// or a window for repeats is over, no call is sent behind input that nobody asked for, and a call of which no byte was
-// sent is never said to have run.
+// This file sends calls on established links: the last check of a call, and its write. No byte is sent after a call's
+// timeout or after the repeat window of one of its messages, no call is sent on a link with unsolicited input, and a call
+// of which no byte was sent is never reported as one that may have run.
 
 import (
 	"errors"
@@ -15,21 +15,21 @@
 	"flaxcove/choice"
 )
 
-// Between two writes to an endpoint that reads slowly, with a backoff. netpoll's own write would go on whenever the
-// endpoint reads: also after a window for repeats, where the process was stopped meanwhile.
+// The pause between two writes to an endpoint that reads slowly, with a backoff. netpoll's own write is not used, because
+// it continues whenever the endpoint reads, even after a repeat window that ended while the process was stopped.
 const (
 	minWritePause = time.Millisecond
 	maxWritePause = 8 * time.Millisecond
 )
 
-// How a write ends early. In each case the call's last byte was not sent.
+// Errors of a write that ends early. In each case the call's last byte was not sent.
 var (
-	errBeforeFirstByte = errors.New("its time was over before its first byte")
-	errBeforeLastByte  = errors.New("its time was over before its last byte")
-	errLinkEnded       = errors.New("the connection had ended, or something had come on it")
+	errBeforeFirstByte = errors.New("time to send the call ran out before its first byte was written")
+	errBeforeLastByte  = errors.New("time to send the call ran out before its last byte was written")
+	errLinkEnded       = errors.New("connection to the endpoint has ended or has unsolicited input; call not written")
 )
 
-// sendConnected sends the calls whose connection came up in this turn; they are on record by now.
+// sendConnected sends the calls whose connection was established in this turn. Their attempts are on record by now.
 func (s *Sender) sendConnected() {
 	for _, connected := range s.connected {
 		s.sendCall(connected.call, connected.link)
@@ -38,8 +38,8 @@
 	s.connected = s.connected[:0]
 }
 
-// sendCall sends a call on a link that is up, without the messages that may not be sent any more. Where none may, the call
-// ends and the link is idle.
+// sendCall sends a call on an established link, without the messages that may no longer be sent. If no message is left,
+// the call ends and the link becomes idle.
 func (s *Sender) sendCall(c *call, l *link) {
 	if s.maySend(c, l) {
 		s.startWrite(c, l)
@@ -49,14 +49,15 @@
 	s.endUnsent(c)
 }
 
-// maySend checks again what was checked when the call began: since then its endpoint may have sent Retry-After, drained or
-// moved, its time may be over, or a window for repeats. Connections come up late, the journal may be slow, and a process
-// that was stopped hears of its connections before its timers fire.
+// maySend reports whether a call may still be sent, and removes the messages that may not. It repeats the checks made when
+// the call began: since then its endpoint may have sent Retry-After, drained or moved, and the call's timeout or a repeat
+// window may be over. Connections may be established late, the journal may be slow, and a process that was stopped handles
+// its connections before its timers fire.
 func (s *Sender) maySend(c *call, l *link) bool {
-	if c.done || s.Now() >= c.beganAt+c.timeout || l.leadsElsewhere() || !s.choice.Open(c.endpoint.id) {
+	if c.done || s.Now() >= c.beganAt+c.timeout || l.isObsolete() || !s.choice.Open(c.endpoint.id) {
 		return false
 	}
-	// Messages that were cancelled meanwhile are reported already.
+	// The outcome of messages that were cancelled meanwhile is already reported.
 	c.messages = slices.DeleteFunc(c.messages, func(m *message) bool { return m.inFlight != c })
 	for _, m := range slices.Clone(c.messages) {
 		if !s.choice.Open(c.endpoint.id, m.ID) {
@@ -66,8 +67,8 @@
 	return c.probe || len(c.messages) > 0
 }
 
-// startWrite writes a call on a link, in a goroutine of its own, since an endpoint may read slowly. The write ends with the
-// call's time at the latest.
+// startWrite writes a call on a link. The write runs in a goroutine of its own, since an endpoint may read slowly, and ends
+// at the latest with the call's timeout.
 func (s *Sender) startWrite(c *call, l *link) {
 	c.link, c.reused, l.call, l.writing = l, l.used, c, true
 	until := c.beganAt + c.timeout - 1
@@ -81,16 +82,16 @@
 	}()
 }
 
-// writeAll writes a request, until its time is over at the latest. An error says that the last byte was not sent.
+// writeAll writes a request and gives up after until. If it returns an error, the last byte was not sent.
 func (l *link) writeAll(text []byte, until choice.Time) error {
 	if !l.expectAnswer() {
 		return errLinkEnded
 	}
-	all := len(text)
+	total := len(text)
 	for pause := minWritePause; ; pause = min(2*pause, maxWritePause) {
 		n, err := l.writeSome(text, until)
 		text = text[n:]
-		if errors.Is(err, errBeforeLastByte) && len(text) == all {
+		if errors.Is(err, errBeforeLastByte) && len(text) == total {
 			return errBeforeFirstByte
 		}
 		if err != nil || len(text) == 0 {
@@ -100,10 +101,10 @@
 	}
 }
 
-// expectAnswer makes input from now on count as the answer, and reports whether the request may be written: not after
-// other input or the link's end. It is called right before the first byte, as an idle link may get input at any moment
-// until then. Input that netpoll is just moving from the socket to its buffer is not seen: a gap as short as that between
-// here and the first byte.
+// expectAnswer reports whether the request may be written, and if so, makes all further input count as its answer. The
+// request may not be written if the link has ended or has other input. expectAnswer is called right before the first byte
+// is written, as an idle link may receive input at any moment until then. It does not see input that netpoll is just
+// moving from the socket to its buffer; that gap is as short as the one between this check and the first byte.
 func (l *link) expectAnswer() bool {
 	l.inputLock.Lock()
 	defer l.inputLock.Unlock()
@@ -114,33 +115,33 @@
 	return quiet
 }
 
-// writeSome writes what the socket takes. The clock is read right before the write, so that nothing but a stop of the
-// process between the two lets a byte be sent late.
+// writeSome writes as much as the socket accepts and returns the number of bytes. It returns errBeforeLastByte after
+// until. The clock is read right before the write, so that a byte is sent late only if the process is stopped in between.
 func (l *link) writeSome(text []byte, until choice.Time) (int, error) {
 	l.bufferLock.Lock()
 	defer l.bufferLock.Unlock()
-	fd, known := l.conn.(netpoll.Conn)
-	if l.buffersReleased || !known || !l.conn.IsActive() {
+	conn, ok := l.conn.(netpoll.Conn)
+	if l.buffersReleased || !ok || !l.conn.IsActive() {
 		return 0, errLinkEnded
 	}
 	if l.sender.Now() > until {
 		return 0, errBeforeLastByte
 	}
-	n, err := syscall.SendmsgN(fd.Fd(), text, nil, nil, 0)
+	n, err := syscall.SendmsgN(conn.Fd(), text, nil, nil, 0)
 	if errors.Is(err, syscall.EAGAIN) || errors.Is(err, syscall.EINTR) {
 		return 0, nil
 	}
 	return max(0, n), err
 }
 
-// onWritten is called when a write has ended.
+// onWritten handles the end of a write.
 func (s *Sender) onWritten(l *link, err error) {
 	l.writing = false
 	early := l.answeredEarly
 	l.answeredEarly = nil
 	switch {
 	case errors.Is(err, errBeforeFirstByte) && l.call != nil && !l.closing:
-		// The process was stopped, or a window for repeats ended just now. Messages that are in time are sent.
+		// The process was stopped, or a repeat window ended just now. The messages that are still in time are sent.
 		c := l.call
 		l.call, c.link = nil, nil
 		l.awaitingAnswer.Store(false)
@@ -159,8 +160,8 @@
 	}
 }
 
-// boundEarlyWrite bounds the rest of a write whose call is answered already. Until its end the link carries no other call,
-// or the bytes of two would mix.
+// boundEarlyWrite limits the rest of a write whose call is already answered to answerRestTimeout. The link carries no other
+// call until the write ends, or the bytes of two calls would mix.
 func (s *Sender) boundEarlyWrite(l *link, c *call) {
 	l.call, l.answeredEarly = nil, c
 	s.after(answerRestTimeout, func() {
--- a/internal/sender/sender.go
+++ b/internal/sender/sender.go
@@ -1,24 +1,24 @@
-// Package sender is the gateway on sockets: it accepts messages from clients, keeps them in a journal, and carries out
-// what package choice decides about their delivery.
+// Package sender implements the gateway on sockets: it accepts messages from clients, keeps them in a journal, and
+// carries out the delivery decisions of package choice.
 //
 // One goroutine, the loop, owns all tables, the timers and the decisions (loop.go). Other goroutines wait on sockets and
-// post to the loop what they have parsed; they never touch a table, and the loop never waits on a socket. All that has
-// come in is acted on in turns: package choice decides, one append makes the turn durable, and only then are answers,
+// post parsed input to the loop; they never access a table, and the loop never waits on a socket. The loop handles its
+// input in turns: package choice decides, one append to the journal makes the turn durable, and only then are answers,
 // reports and calls sent.
 //
-// A message passes these files:
+// The files in the order in which a message passes through them:
 //
 //   - accept.go, clients.go, client_input.go, client_timeouts.go, lingering_close.go, replies.go: connections of clients
 //   - command.go, message_parse.go, message.go, admission.go: checks, admission, the end of a message
-//   - records.go, replay.go: the journal's records, and the start from them
-//   - endpoints.go, host.go: the endpoint list, and the choice.Host
+//   - records.go, replay.go: the records of the journal, and their replay at the start
+//   - endpoints.go, host.go: the endpoint list, and the implementation of choice.Host
 //   - call.go, request.go, send.go, links.go, endpoint_input.go: calls and connections to endpoints
 //   - answer.go, outcomes.go: from an endpoint's answer to the outcome of a call
 //   - outcome_reporter.go, platform_conn.go: reports to the platform
 //
-// Around it stand discovery.go (watch of the endpoint list, reload), configure.go (change of settings), drain.go (graceful
-// shutdown), learned_state.go, gossip.go and counters.go. Where a sender has joined a cluster (cluster.go), digest.go
-// reports what it saw, purge.go withdraws messages, and eviction.go evicts learned state.
+// The other files are discovery.go (watch of the endpoint list, reload), configure.go (change of settings), drain.go
+// (graceful shutdown), learned_state.go, gossip.go and counters.go. In a sender that has joined a cluster (cluster.go),
+// digest.go reports its calls and messages, purge.go withdraws messages, and eviction.go evicts learned state.
 package sender
 
 import (
@@ -33,36 +33,36 @@
 	"flaxcove/internal/directory"
 )
 
-// inboxSize is how many events wait for the loop before who posts one has to wait.
+// inboxSize is the number of events that can be queued for the loop; post blocks beyond it.
 const inboxSize = 1024
 
-// Sender is one running sender. All fields belong to the loop unless said otherwise.
+// Sender is one running sender. The loop owns all fields unless a comment names another owner.
 type Sender struct {
 	cfg       *config.Config
 	log       *zap.Logger
 	choice    *choice.Sender                     // decides about deliveries
-	learned   map[choice.EndpointID]learnedEntry // by an earlier process; each is removed as the list names it
-	learnedAt choice.Time                        // when that process wrote them
+	learned   map[choice.EndpointID]learnedEntry // from an earlier process; an entry is removed when a list names its endpoint
+	learnedAt choice.Time                        // when the earlier process wrote the learned state
 	numbering directory.NameNumbers
-	start     time.Time            // Now counts from here by the monotonic clock, so that it never steps back
-	clock     func() time.Duration // time since start; called from any goroutine
-	inbox     chan func()
-	stop      chan struct{} // closed at the end
+	start     time.Time            // base of Now, which adds the monotonic clock to it and so never steps back
+	clock     func() time.Duration // returns the time since start; called from any goroutine
+	inbox     chan func()          // events for the loop
+	stop      chan struct{}        // closed when the sender shuts down
 
 	timers         timers
 	timerSeq       uint64
-	lastTurn       time.Duration
-	eventsPending  bool // something has come in since the last turn
+	lastTurn       time.Duration // when the last turn began, since the start
+	eventsPending  bool          // there has been input since the last turn
 	turns          int64
-	wakeups        int64 // by the clock; each is to lead to a turn
+	wakeups        int64 // wake-ups of the loop by its timer; each should lead to a turn
 	journalFailing bool  // the last append failed
-	ended          bool
+	ended          bool  // the loop returns
 
 	draining   bool
-	drainSince time.Duration // when the signal came
+	drainSince time.Duration // when the signal to shut down came, since the start
 
-	discovery string          // the address of the list and the platform now; cfg.Discovery is that at the start
-	watches   []chan struct{} // each ends a watch; the newest is last, and ends those before when it first hears
+	discovery string          // current address of discovery and the platform; cfg.Discovery is the one at the start
+	watches   []chan struct{} // closing one ends its watch; the newest is last and ends the others with its first list
 
 	clientFrontend
 	admission
@@ -74,7 +74,7 @@
 	counts counts
 }
 
-// Start replays the journal and returns once clients are served.
+// Start opens a sender, replays its journal, and returns once it serves clients. Run must be called next.
 func Start(cfg *config.Config, log *zap.Logger) (*Sender, error) {
 	start := time.Now()
 	cfg, p := openGossip(cfg, log)
@@ -91,7 +91,7 @@
 	return s, nil
 }
 
-// openSender makes a sender that has replayed its journal and has opened no socket yet.
+// openSender creates a sender and replays its journal. It opens no socket.
 func openSender(cfg *config.Config, log *zap.Logger, start time.Time, clock func() time.Duration) (*Sender, error) {
 	s := &Sender{cfg: cfg, log: log, start: start, clock: clock, inbox: make(chan func(), inboxSize), stop: make(chan struct{})}
 	s.numbering = directory.NameNumbers{Zones: cfg.Zones, Kinds: cfg.Kinds}
@@ -118,9 +118,11 @@
 	return s, nil
 }
 
-// reason is why a connection ended, as the log reports it.
+// reason says why a connection ended. It is the value of the log key reason.
 type reason string
 
+// logConnEnded logs the end of a connection to peer. The side is "client", "endpoint", "platform" or "discovery"; err may
+// be nil.
 func (s *Sender) logConnEnded(side, peer string, why reason, err error) {
 	fields := []zap.Field{zap.String("side", side), zap.String("peer", peer), zap.String("reason", string(why))}
 	if err != nil {
--- a/internal/sender/timers.go
+++ b/internal/sender/timers.go
@@ -1,16 +1,16 @@
 package sender
 
-// This file owns the loop's timers. They fire on the loop, at the begin of a turn.
+// This file implements the timers of the loop. They fire on the loop, at the beginning of a turn.
 
 import (
 	"container/heap"
 	"time"
 )
 
-// noTimer is timers.next where no timer is set, in time since the start.
+// noTimer is the value of timers.next if no timer is set, as time since the start.
 const noTimer = time.Hour
 
-// after makes the loop call fire once a time is over, unless the timer is cancelled.
+// after sets a timer: the loop calls fire in the first turn after d, unless the timer is cancelled.
 func (s *Sender) after(d time.Duration, fire func()) *timer {
 	s.timerSeq++
 	t := &timer{at: s.sinceStart() + d, seq: s.timerSeq, fire: fire}
@@ -18,22 +18,23 @@
 	return t
 }
 
-// cancelTimer removes a timer, if it is set. What its function refers to would otherwise be held until it is due: a call's
-// messages for a whole deadline, though the call was answered in a millisecond.
+// cancelTimer removes t, which may be nil, removed or fired. A timer keeps everything its function refers to in memory
+// until it is due: without the removal, a call answered in a millisecond would hold its messages for a whole deadline.
 func (s *Sender) cancelTimer(t *timer) {
 	if t != nil && t.index >= 0 {
 		heap.Remove(&s.timers, t.index)
 	}
 }
 
+// timer is one timer of the loop.
 type timer struct {
-	at    time.Duration
-	seq   uint64 // timers of the same time fire in the order they were set
+	at    time.Duration // when it fires, since the start
+	seq   uint64        // timers of the same time fire in the order in which they were set
 	fire  func()
 	index int // in the heap; -1 once it is removed
 }
 
-// timers are a heap by time, for container/heap.
+// timers is a heap of timers ordered by time. It implements heap.Interface.
 type timers []*timer
 
 // Len implements heap.Interface.
@@ -66,7 +67,7 @@
 	return x
 }
 
-// next is when the first timer fires.
+// next returns when the first timer fires, or noTimer if there is none.
 func (t timers) next() time.Duration {
 	if len(t) == 0 {
 		return noTimer
