--- a/internal/sender/bundle_test.go
+++ b/internal/sender/bundle_test.go
@@ -8,9 +8,9 @@
 	"flaxcove/internal/http1"
 )
 
-// Messages of one turn to one endpoint share a call, up to what its kind takes, and each ends as its own state in the answer
-// says; one that the answer leaves out may have run.
-func Example_bundle() {
+// Messages of one turn to one endpoint share a bulk call, up to the largest one of its kind. Each message ends by its own
+// state in the answer; a message without a state may have run.
+func Example_bulkCall() {
 	h := start("", 100).submit("OUT.ADD 0a o1 c=order,d=20000,dest=2 x", "OUT.ADD 0b o2 c=order,d=20000,dest=2 x",
 		"OUT.ADD 0c o3 c=order,d=20000,dest=2 x")
 	_, body := h.s.request(h.calls[0])
@@ -31,9 +31,9 @@
 	// owed: 1 to the platform: 0
 }
 
-// A message of a bulk call whose time is over ends alone: one that was not sent yet is shed and not sent any more, one that
-// was may have run. The call goes on for the other message, and ends none a second time.
-func Example_bundleOutlivesOne() {
+// A message of a bulk call that reaches its deadline ends alone: it is shed and not sent if the call is not written yet,
+// else it may have run. The call continues for the other message, and no message ends twice.
+func Example_bulkCallOutlivesOne() {
 	for _, written := range []bool{false, true} {
 		h := start("", 100).submit("OUT.ADD 0 order c=order,d=20000,dest=2 x", "OUT.ADD 0 late c=status,d=500,dest=2 x")
 		c := h.calls[0]
@@ -70,8 +70,8 @@
 	// delivered: 1
 }
 
-// A Retry-After in the answer to a bulk call counts whatever became of its messages.
-func Example_bundleWait() {
+// A Retry-After in the answer to a bulk call counts whatever the states of its messages are.
+func Example_bulkCallRetryAfter() {
 	h := start("", 100).submit("OUT.ADD 0 s1 c=status,d=6000,dest=2 x", "OUT.ADD 0 s2 c=status,d=6000,dest=2 x")
 	h.endpointAnswers("HTTP/1.1 200 OK\nRetry-After: 0.7\nContent-Length: 54\n\n" + `[{"id":"s1","state":"ok"},{"id":"s2","state":"error"}]`)
 	h.advance(690 * time.Millisecond)
@@ -89,7 +89,7 @@
 }
 
 // A bulk call whose answer cannot be parsed may have run, and its link is not reused.
-func Example_spoiltBundle() {
+func Example_unreadableBulkAnswer() {
 	for _, body := range []string{`[{"id":"o1","state":"ok"},{"id":"o2","sta`, "nothing", `[{"id":"o1","state":"ok"}]`} {
 		h := start("", 100).submit("OUT.ADD 0 o1 c=order,d=20000,dest=2 x", "OUT.ADD 0 o2 c=order,d=20000,dest=2 x")
 		var a http1.Answer
--- a/internal/sender/call_ends_test.go
+++ b/internal/sender/call_ends_test.go
@@ -9,17 +9,18 @@
 	"flaxcove/choice"
 )
 
-// The rows of the table at the head of outcomes.go, over loopback sockets: what each end of a call tells of its message.
-func TestEnds(t *testing.T) {
-	const no, may, over = "has not run", "may have run", "is over"
-	says := func(text string) func(*testing.T, *harness, *call, *net.TCPConn) {
+// TestCallOutcomes tests the rows of the table at the head of outcomes.go over loopback sockets: the result that each end of
+// a call has, and whether its message may have run.
+func TestCallOutcomes(t *testing.T) {
+	const notRun, mayHaveRun, closed = "has not run", "may have run", "is closed"
+	answers := func(text string) func(*testing.T, *harness, *call, *net.TCPConn) {
 		return func(t *testing.T, h *harness, c *call, peer *net.TCPConn) {
 			readUntilSuffix(t, peer, "xyz")
 			peer.Write([]byte(strings.ReplaceAll(text, "\n", "\r\n")))
 			peer.Close()
 		}
 	}
-	begins := func(text string, then func(*harness, *call, *net.TCPConn)) func(*testing.T, *harness, *call, *net.TCPConn) {
+	beginsAnswer := func(text string, then func(*harness, *call, *net.TCPConn)) func(*testing.T, *harness, *call, *net.TCPConn) {
 		return func(t *testing.T, h *harness, c *call, peer *net.TCPConn) {
 			if m := c.messages[0]; len(m.body) == 3 {
 				readUntilSuffix(t, peer, string(m.body))
@@ -30,53 +31,53 @@
 		}
 	}
 	resets := func(_ *harness, _ *call, peer *net.TCPConn) { resetConn(peer) }
-	ends := func(h *harness, c *call, _ *net.TCPConn) { h.s.expireCall(c) }
+	expires := func(h *harness, c *call, _ *net.TCPConn) { h.s.expireCall(c) }
 	for _, row := range []struct {
-		name   string
-		narrow bool // its last byte is not sent
-		does   func(*testing.T, *harness, *call, *net.TCPConn)
-		result choice.Result
-		tells  string
+		name    string
+		narrow  bool // the last byte is not sent
+		end     func(*testing.T, *harness, *call, *net.TCPConn)
+		result  choice.Result
+		message string // state of the message afterwards
 	}{
-		{"reset before the last byte", true, func(_ *testing.T, h *harness, c *call, peer *net.TCPConn) { resetConn(peer) }, choice.ConnectFailed, no},
-		{"reset before it, behind half an answer", true, begins("HTTP/1.1 503 Full\nCont", resets), choice.ConnectFailed, no},
-		{"given up before it", true, func(_ *testing.T, h *harness, c *call, _ *net.TCPConn) { h.s.expireCall(c) }, choice.ConnectFailed, no},
-		{"given up before it, behind half an answer", true, begins("HTTP/1.1 503 Full\nCont", ends), choice.ConnectFailed, no},
-		{"200 before it, then reset", true, begins("HTTP/1.1 200 OK\nCont", resets), choice.Done, over},
-		{"reset after it", false, func(t *testing.T, _ *harness, _ *call, peer *net.TCPConn) {
+		{"reset before the last byte", true, func(_ *testing.T, h *harness, c *call, peer *net.TCPConn) { resetConn(peer) }, choice.ConnectFailed, notRun},
+		{"reset before the last byte, after half an answer", true, beginsAnswer("HTTP/1.1 503 Full\nCont", resets), choice.ConnectFailed, notRun},
+		{"abandoned before the last byte", true, func(_ *testing.T, h *harness, c *call, _ *net.TCPConn) { h.s.expireCall(c) }, choice.ConnectFailed, notRun},
+		{"abandoned before the last byte, after half an answer", true, beginsAnswer("HTTP/1.1 503 Full\nCont", expires), choice.ConnectFailed, notRun},
+		{"200 before the last byte, then reset", true, beginsAnswer("HTTP/1.1 200 OK\nCont", resets), choice.Done, closed},
+		{"reset after the last byte", false, func(t *testing.T, _ *harness, _ *call, peer *net.TCPConn) {
 			readUntilSuffix(t, peer, "xyz")
 			resetConn(peer)
-		}, choice.Reset, may},
-		{"closed after it", false, says(""), choice.Reset, may},
-		{"time over", false, func(t *testing.T, h *harness, c *call, peer *net.TCPConn) {
+		}, choice.Reset, mayHaveRun},
+		{"closed after the last byte", false, answers(""), choice.Reset, mayHaveRun},
+		{"timed out", false, func(t *testing.T, h *harness, c *call, peer *net.TCPConn) {
 			readUntilSuffix(t, peer, "xyz")
-			h.runUntil(t, "it is written", func() bool { return !c.link.writing })
+			h.runUntil(t, "the call is written", func() bool { return !c.link.writing })
 			h.s.expireCall(c)
-		}, choice.TimedOut, may},
-		{"time over behind a first line with 200", false, begins("HTTP/1.1 200 OK\nContent-Length: 9\n\nok", ends), choice.Done, over},
-		{"time over behind half a first line", false, begins("HTTP/1.1 2", ends), choice.Unreadable, may},
-		{"half a first line", false, says("HTTP/1.1 2"), choice.Unreadable, may},
-		{"a first line with 200 but for its end", false, says("HTTP/1.1 200 OK"), choice.Unreadable, may},
-		{"a first line with 503, cut", false, says("HTTP/1.1 503 Full\nCont"), choice.Unreadable, may},
-		{"a first line with 200, cut", false, says("HTTP/1.1 200 OK\nCont"), choice.Done, over},
-		{"a first line with 200, then noise", false, says("HTTP/1.1 200 OK\nnoise\x00\n\n"), choice.Done, over},
-		{"a first line with 200, two lengths", false, says("HTTP/1.1 200 OK\nContent-Length: 1\nContent-Length: 2\n\nok"), choice.Done, over},
-		{"noise", false, says("\x00\xff\x01"), choice.Unreadable, may},
-		{"an interim answer alone", false, says("HTTP/1.1 102 On\n\n"), choice.Reset, may},
-		{"an interim answer, then half a first line", false, says("HTTP/1.1 102 On\n\nHTTP/1.1 20"), choice.Unreadable, may},
-		{"an interim answer, then 200", false, says("HTTP/1.1 100 On\n\n" + answerOK), choice.Done, over},
-		{"two answers at once", false, says(answerOK + answerError), choice.Done, over},
-		{"two answers at once, the other way", false, says(answerError + answerOK), choice.Errored, may},
-		{"200", false, says(answerOK), choice.Done, over},
-		{"410", false, says("HTTP/1.1 410 Gone\nContent-Length: 0\n\n"), choice.NotRun, over},
-		{"429", false, says(answerFull), choice.Rejected, no},
-		{"503", false, says("HTTP/1.1 503 Full\nContent-Length: 0\n\n"), choice.Rejected, no},
-		{"503, no slot", false, says("HTTP/1.1 503 Full\nX-No-Slot: 1\nContent-Length: 0\n\n"), choice.NotRun, no},
-		{"504", false, says("HTTP/1.1 504 Out\nContent-Length: 0\n\n"), choice.NotRun, no},
-		{"413", false, says("HTTP/1.1 413 Large\nContent-Length: 0\n\n"), choice.NotRun, no},
-		{"500", false, says(answerError), choice.Errored, may},
-		{"204", false, says("HTTP/1.1 204 None\n\n"), choice.Errored, may},
-		{"202", false, says("HTTP/1.1 202 Later\nContent-Length: 0\n\n"), choice.Errored, may},
+		}, choice.TimedOut, mayHaveRun},
+		{"timed out after a first line with 200", false, beginsAnswer("HTTP/1.1 200 OK\nContent-Length: 9\n\nok", expires), choice.Done, closed},
+		{"timed out after half a first line", false, beginsAnswer("HTTP/1.1 2", expires), choice.Unreadable, mayHaveRun},
+		{"half a first line", false, answers("HTTP/1.1 2"), choice.Unreadable, mayHaveRun},
+		{"a first line with 200 without its line break", false, answers("HTTP/1.1 200 OK"), choice.Unreadable, mayHaveRun},
+		{"a first line with 503, then cut off", false, answers("HTTP/1.1 503 Full\nCont"), choice.Unreadable, mayHaveRun},
+		{"a first line with 200, then cut off", false, answers("HTTP/1.1 200 OK\nCont"), choice.Done, closed},
+		{"a first line with 200, then noise", false, answers("HTTP/1.1 200 OK\nnoise\x00\n\n"), choice.Done, closed},
+		{"a first line with 200, two lengths", false, answers("HTTP/1.1 200 OK\nContent-Length: 1\nContent-Length: 2\n\nok"), choice.Done, closed},
+		{"noise", false, answers("\x00\xff\x01"), choice.Unreadable, mayHaveRun},
+		{"an interim answer alone", false, answers("HTTP/1.1 102 On\n\n"), choice.Reset, mayHaveRun},
+		{"an interim answer, then half a first line", false, answers("HTTP/1.1 102 On\n\nHTTP/1.1 20"), choice.Unreadable, mayHaveRun},
+		{"an interim answer, then 200", false, answers("HTTP/1.1 100 On\n\n" + answerOK), choice.Done, closed},
+		{"two answers at once", false, answers(answerOK + answerError), choice.Done, closed},
+		{"two answers at once, the other way", false, answers(answerError + answerOK), choice.Errored, mayHaveRun},
+		{"200", false, answers(answerOK), choice.Done, closed},
+		{"410", false, answers("HTTP/1.1 410 Gone\nContent-Length: 0\n\n"), choice.NotRun, closed},
+		{"429", false, answers(answerFull), choice.Rejected, notRun},
+		{"503", false, answers("HTTP/1.1 503 Full\nContent-Length: 0\n\n"), choice.Rejected, notRun},
+		{"503, no slot", false, answers("HTTP/1.1 503 Full\nX-No-Slot: 1\nContent-Length: 0\n\n"), choice.NotRun, notRun},
+		{"504", false, answers("HTTP/1.1 504 Out\nContent-Length: 0\n\n"), choice.NotRun, notRun},
+		{"413", false, answers("HTTP/1.1 413 Large\nContent-Length: 0\n\n"), choice.NotRun, notRun},
+		{"500", false, answers(answerError), choice.Errored, mayHaveRun},
+		{"204", false, answers("HTTP/1.1 204 None\n\n"), choice.Errored, mayHaveRun},
+		{"202", false, answers("HTTP/1.1 202 Later\nContent-Length: 0\n\n"), choice.Errored, mayHaveRun},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			conn, peer := connPair(t, row.narrow)
@@ -93,48 +94,49 @@
 					t.Fatal(err)
 				}
 			}
-			row.does(t, h, c, peer)
+			row.end(t, h, c, peer)
 			h.runUntil(t, "the write ends", func() bool { return !c.link.writing })
 			if m.inFlight != nil && c.done {
-				h.advance(3 * abandonSettleTime) // it was abandoned
+				h.advance(3 * abandonSettleTime) // the call was abandoned
 			}
 			h.runUntil(t, "the call ends", func() bool { return m.inFlight == nil })
 			if row.narrow {
 				if s := readToEnd(peer); strings.Count(s, "x") >= len(body) {
-					t.Fatal("the row's last byte has left")
+					t.Fatal("the request's last byte was sent, contrary to the row")
 				}
 			}
 			if h.s.counts.outcomes[row.result] != 1 {
 				t.Errorf("outcomes %v, want one %s", h.s.counts.outcomes, resultNames[row.result])
 			}
-			tells := no
+			state := notRun
 			if m.MayRun {
-				tells = may
+				state = mayHaveRun
 			} else if h.s.pending["id"] == nil {
-				tells = over
+				state = closed
 			}
-			if tells != row.tells {
-				t.Errorf("its message %s, want: %s", tells, row.tells)
+			if state != row.message {
+				t.Errorf("the message %s, want: %s", state, row.message)
 			}
 		})
 	}
 }
 
-// The rows without a connection: refused, never up, no address. TestNoCapacityForAConnection has the one without capacity.
-func TestEndsUnconnected(t *testing.T) {
+// TestCallOutcomesUnconnected tests the rows without a connection: refused, never established, no address.
+// TestNoCapacityForAConnection tests the row without capacity.
+func TestCallOutcomesUnconnected(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	closed := ln.Addr().String()
+	closedAddr := ln.Addr().String()
 	ln.Close()
-	for name, sets := range map[string]func(*harness){
-		"refused":    func(h *harness) { h.s.endpoints["a"].addr = closed },
+	for name, setUp := range map[string]func(*harness){
+		"refused":    func(h *harness) { h.s.endpoints["a"].addr = closedAddr },
 		"no address": func(h *harness) { h.s.endpoints["a"].addr = "" },
 	} {
 		h := start(t.TempDir(), 100)
 		h.s.dial = h.s.dialEndpoint
-		sets(h)
+		setUp(h)
 		h.submit("OUT.ADD 00 id c=order,d=20000,dest=1 x")
 		m := h.s.pending["id"]
 		h.runUntil(t, name, func() bool { return m.inFlight == nil })
@@ -146,12 +148,12 @@
 	h.submit("OUT.ADD 00 id c=order,d=20000,dest=1 x")
 	h.s.expireCall(h.calls[0])
 	if m := h.s.pending["id"]; m.MayRun || m.inFlight != nil || h.s.counts.outcomes[choice.ConnectFailed] != 1 {
-		t.Errorf("never up: may run %v, out %v", m.MayRun, m.inFlight != nil)
+		t.Errorf("never established: may run %v, in flight %v", m.MayRun, m.inFlight != nil)
 	}
 }
 
-// The rows of a bulk call: only its complete answer counts.
-func TestEndsBundle(t *testing.T) {
+// TestCallOutcomesBulk tests the rows of bulk calls, of which only a complete answer counts.
+func TestCallOutcomesBulk(t *testing.T) {
 	const states = `[{"id":"o1","state":"ok"},{"id":"o2","state":"later"}]`
 	for _, row := range []struct {
 		name, text string
@@ -167,12 +169,12 @@
 		conn, peer := connPair(t, false)
 		h := start(t.TempDir(), 100)
 		h.submit("OUT.ADD 0 o1 c=order,d=20000,dest=2 xyz", "OUT.ADD 0 o2 c=order,d=20000,dest=2 xyz")
-		c, n1, n2 := h.calls[0], h.s.pending["o1"], h.s.pending["o2"]
+		c, m1, m2 := h.calls[0], h.s.pending["o1"], h.s.pending["o2"]
 		h.connectionUp(c, conn)
 		readUntilSuffix(t, peer, "]")
 		peer.Write([]byte(row.text))
 		peer.Close()
-		h.runUntil(t, row.name, func() bool { return n1.inFlight == nil && n2.inFlight == nil })
+		h.runUntil(t, row.name, func() bool { return m1.inFlight == nil && m2.inFlight == nil })
 		var want [choice.Unreadable + 1]int64
 		want[row.o1]++
 		want[row.o2]++
@@ -182,8 +184,9 @@
 	}
 }
 
-// An answer may come before the request's end. Its link carries no other call until then, or the bytes of both would mix, and
-// is closed if the endpoint does not read the rest soon.
+// TestAnswerBeforeRequestEnds checks a call that is answered before its request is written completely. Its link carries no
+// other call until the write ends, or the bytes of both calls would mix, and is closed if the endpoint does not read the
+// rest within answerRestTimeout.
 func TestAnswerBeforeRequestEnds(t *testing.T) {
 	for _, reads := range []bool{true, false} {
 		conn, peer := connPair(t, true)
@@ -199,11 +202,11 @@
 		peer.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
 		h.runUntil(t, "the call ends", func() bool { return c.done })
 		if len(e.idle) != 0 || h.s.pending["first"] != nil {
-			t.Errorf("idle %d while a request is written, delivered %v", len(e.idle), h.s.pending["first"] == nil)
+			t.Errorf("%d idle links while a request is written, delivered %v", len(e.idle), h.s.pending["first"] == nil)
 		}
 		if reads {
 			if text := readUntilSuffix(t, peer, body); !strings.HasPrefix(text, "OST /inbox") {
-				t.Errorf("heard %.20q", text)
+				t.Errorf("received a request that begins with %.20q", text)
 			}
 			h.runUntil(t, "the write ends", func() bool { return !l.writing })
 		} else {
@@ -219,7 +222,7 @@
 	}
 }
 
-// Interim answers do not start the time within which the rest of an answer is due.
+// TestInterimAnswer checks that interim answers do not start the time limit for the rest of an answer.
 func TestInterimAnswer(t *testing.T) {
 	conn, peer := connPair(t, false) // read by the test alone
 	l := &link{conn: conn}
@@ -233,8 +236,8 @@
 		if _, err := conn.Reader().Peek(len(piece.text)); err != nil {
 			t.Fatal(err)
 		}
-		if tell, err := l.read(conn); (tell != nil) != piece.event || err != nil {
-			t.Errorf("%q: event %v, %v", piece.text, tell != nil, err)
+		if event, err := l.read(conn); (event != nil) != piece.event || err != nil {
+			t.Errorf("%q: event %v, want %v; error %v", piece.text, event != nil, piece.event, err)
 		}
 	}
 	if l.answer.Status() != 200 {
--- a/internal/sender/capacity_sockets_test.go
+++ b/internal/sender/capacity_sockets_test.go
@@ -1,7 +1,7 @@
 package sender
 
-// The benchmark of docs/CAPACITY.md on real sockets: a sender in a process of its own, so that its processor time can be
-// told from that of the clients and endpoints around it.
+// This file holds the benchmarks of docs/CAPACITY.md on real sockets. The sender runs in a process of its own, so that its
+// processor time is measured without that of its clients and endpoints.
 
 import (
 	"bufio"
@@ -25,27 +25,28 @@
 )
 
 const (
-	capacityEnv = "FLAXCOVE_TEST_CAPACITY"
-	// capacityHosts are loopback addresses that endpoints are spread over: one alone has too few ports for as many
-	// connections as end in a minute.
-	capacityHosts    = 16
-	capacityMessages = 20_000
-	capacityAhead    = 500              // messages that may be under way at once
-	capacityWithin   = 30 * time.Second // of sending, whatever has been delivered by then
-	capacitySockets  = 16_384
-	// usualSockets is what a configuration file that says nothing gives.
-	usualSockets = 1024
+	capacityEnv = "FLAXCOVE_TEST_CAPACITY" // environment variable with a capacityChild as JSON
+	// capacityHosts is the number of loopback addresses over which endpoints are spread: a single address has too few ports
+	// for the connections that end within a minute.
+	capacityHosts       = 16
+	capacityMessages    = 20_000           // messages of one iteration
+	capacityMaxInFlight = 500              // messages that may be in flight at once
+	capacityDuration    = 30 * time.Second // after which no more messages are sent
+	capacitySockets     = 16_384
+	// defaultSockets is the default of limits.sockets in a configuration file.
+	defaultSockets = 1024
 )
 
-// capacityChild configures the sender's process.
+// capacityChild is the configuration of the sender's process.
 type capacityChild struct {
-	Discovery, Dir string
+	Discovery, Dir string   // address of discovery and the platform; state folder
 	Endpoints      []string // addresses
 	Destinations   int
 	Sockets        int
 }
 
-// TestCapacityProcess is no test: it is the sender in a process of its own, until its standard input ends.
+// TestCapacityProcess is not a test: it runs the sender in the process that capacityStart starts, until the end of its
+// standard input.
 func TestCapacityProcess(t *testing.T) {
 	text := os.Getenv(capacityEnv)
 	if text == "" {
@@ -70,15 +71,16 @@
 	<-done
 }
 
-// capacityServer is discovery that lists nothing, all endpoints, and the platform.
+// capacityServer serves as discovery, which never sends a list, as all endpoints, and as the platform. It counts the
+// messages delivered, those rejected with an error to the client, and the endings reported.
 type capacityServer struct{ delivered, rejected, ended atomic.Int64 }
 
-// finished is how many messages have ended.
+// finished returns how many messages were delivered, rejected or ended otherwise.
 func (w *capacityServer) finished() int64 {
 	return w.delivered.Load() + w.rejected.Load() + w.ended.Load()
 }
 
-// countRejections counts the errors that a client reads.
+// countRejections counts the errors among the replies to a client, until the end of its connection.
 func (w *capacityServer) countRejections(from io.Reader) {
 	for lines := bufio.NewScanner(from); lines.Scan(); {
 		if strings.HasPrefix(lines.Text(), "-") {
@@ -100,7 +102,7 @@
 	}
 }
 
-// capacityServers listens on loopback addresses.
+// capacityServers serves w on capacityHosts loopback addresses, and returns them.
 func capacityServers(b *testing.B, w http.Handler) (addrs []string) {
 	for i := range capacityHosts {
 		l, err := net.Listen("tcp", fmt.Sprintf("127.0.0.%d:0", i+1))
@@ -118,6 +120,7 @@
 	return addrs
 }
 
+// capacityStart starts the sender's process and waits until it serves.
 func capacityStart(b *testing.B, child capacityChild) (addr string, pid int) {
 	text, err := json.Marshal(child)
 	if err != nil {
@@ -142,15 +145,15 @@
 		p.Wait()
 	})
 	for lines := bufio.NewScanner(output); lines.Scan(); {
-		if rest, does := strings.CutPrefix(lines.Text(), "serves at "); does {
-			return rest, p.Process.Pid
+		if addr, found := strings.CutPrefix(lines.Text(), "serves at "); found {
+			return addr, p.Process.Pid
 		}
 	}
-	b.Fatal("the sender does not serve")
+	b.Fatal("the sender's process ended before it served")
 	return "", 0
 }
 
-// capacityUsed is a process's processor time, and the most memory that it ever had.
+// capacityUsed returns the processor time of a process, and its peak resident memory in bytes.
 func capacityUsed(b *testing.B, pid int) (cpu time.Duration, bytes float64) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -164,26 +167,27 @@
 		b.Fatal(err)
 	}
 	for line := range strings.Lines(string(text)) {
-		if rest, is := strings.CutPrefix(line, "VmHWM:"); is {
-			kb, _ := strconv.ParseFloat(strings.Fields(rest)[0], 64)
+		if value, found := strings.CutPrefix(line, "VmHWM:"); found {
+			kb, _ := strconv.ParseFloat(strings.Fields(value)[0], 64)
 			bytes = 1024 * kb
 		}
 	}
 	return time.Duration(user+system) * 10 * time.Millisecond, bytes
 }
 
-// BenchmarkCapacitySockets delivers messages spread evenly over so many destinations, as fast as the sender takes them
-// with 500 under way. With many destinations hardly any message finds a connection to reuse.
+// BenchmarkCapacitySockets delivers messages spread evenly over so many destinations, as fast as the sender accepts them
+// with 500 in flight. With many destinations hardly any message finds a connection to reuse.
 func BenchmarkCapacitySockets(b *testing.B) {
 	bench.Sizes(b, "destinations", []int{610, 6_100, 61_000}, func(b *testing.B, n int) { deliver(b, n, capacitySockets) })
 }
 
-// BenchmarkCapacityNarrow is the same with the sockets that a configuration gives that says nothing: links are closed
-// to open the next. A slow one is ended after half a minute.
+// BenchmarkCapacityNarrow is like BenchmarkCapacitySockets, but with the default number of sockets: links are closed to
+// open others. A slow run ends after half a minute.
 func BenchmarkCapacityNarrow(b *testing.B) {
-	bench.Sizes(b, "destinations", []int{610, 6_100, 61_000}, func(b *testing.B, n int) { deliver(b, n, usualSockets) })
+	bench.Sizes(b, "destinations", []int{610, 6_100, 61_000}, func(b *testing.B, n int) { deliver(b, n, defaultSockets) })
 }
 
+// deliver runs a sender with so many destinations and sockets, and submits messages to it.
 func deliver(b *testing.B, destinations, sockets int) {
 	w := &capacityServer{}
 	addrs := capacityServers(b, w)
@@ -194,13 +198,13 @@
 	}
 	defer conn.Close()
 	go w.countRejections(conn)
-	body := []byte(strings.Repeat("x", capacityBody))
+	body := []byte(strings.Repeat("x", capacityBodySize))
 	began, sent := time.Now(), int64(0)
 	before, _ := capacityUsed(b, pid)
-	late := func() bool { return time.Since(began) > capacityWithin }
+	timeIsUp := func() bool { return time.Since(began) > capacityDuration }
 	for b.Loop() {
-		for end := sent + capacityMessages; sent < end && !late(); sent++ {
-			for sent-w.finished() >= capacityAhead && !late() {
+		for end := sent + capacityMessages; sent < end && !timeIsUp(); sent++ {
+			for sent-w.finished() >= capacityMaxInFlight && !timeIsUp() {
 				time.Sleep(time.Millisecond)
 			}
 			command := resp.AppendCommand(nil, []byte("OUT.ADD"), []byte("0"), fmt.Appendf(nil, "message-%012d", sent),
@@ -210,10 +214,10 @@
 			}
 		}
 	}
-	after, most := capacityUsed(b, pid)
+	after, peak := capacityUsed(b, pid)
 	b.ReportMetric(float64(after-before)/float64(w.delivered.Load()), "ns/message")
 	b.ReportMetric(float64(w.delivered.Load())/time.Since(began).Seconds(), "messages/s")
 	b.ReportMetric(float64(w.rejected.Load())/float64(sent), "refused/sent")
 	b.ReportMetric(float64(w.ended.Load())/float64(sent), "ended/sent")
-	b.ReportMetric(most, "rss-B")
+	b.ReportMetric(peak, "rss-B")
 }
--- a/internal/sender/capacity_test.go
+++ b/internal/sender/capacity_test.go
@@ -1,7 +1,7 @@
 package sender
 
-// Benchmarks behind docs/CAPACITY.md: what one sender holds and how long its loop takes, by destinations and by messages
-// that are pending. Sockets are left out; calls end as a test says.
+// This file holds benchmarks for docs/CAPACITY.md: the memory and disk space of one sender, and the time its loop takes, by
+// number of destinations and of pending messages. They use no sockets; the test decides how calls end.
 
 import (
 	"fmt"
@@ -18,13 +18,13 @@
 )
 
 const (
-	capacityZones = 8
-	capacityDown  = 1647 // 2.7% of 61,000 destinations
-	capacityBody  = 200  // bytes
-	capacityTurn  = 1000 // messages handed in between two turns of a fill
+	capacityZones        = 8
+	capacityDestinations = 1647 // destinations that are down: 2.7% of 61,000
+	capacityBodySize     = 200  // bytes of a message's body
+	capacityTurnSize     = 1000 // messages submitted between two turns of a fill
 )
 
-// capacityList is a full list with two endpoints a destination, in two of the zones.
+// capacityList returns a full list with two endpoints for each destination, in two of the zones.
 func capacityList(destinations int) directory.List {
 	l := directory.List{Version: 1, Full: true}
 	for d := range destinations {
@@ -36,7 +36,7 @@
 	return l
 }
 
-// capacityConfig has capacity for all that is submitted.
+// capacityConfig returns a configuration with so many destinations and enough capacity for so many open messages.
 func capacityConfig(b *testing.B, destinations, open int) *config.Config {
 	settings := strings.Replace(fmt.Sprintf(twoClassSettings, 10*open+1000), `"balancers":2`, `"balancers":660`, 1)
 	c := testConfigWith(b.TempDir(), settings, `{"version":1,"full":true}`)
@@ -45,7 +45,7 @@
 	return c
 }
 
-// capacityHarness starts a sender whose calls hang.
+// capacityHarness starts a sender whose dials never end.
 func capacityHarness(c *config.Config) *harness {
 	h := startWith(c)
 	h.s.dial = func(*call) {}
@@ -53,17 +53,19 @@
 	return h
 }
 
+// submitNumbered submits the message with number i. Numbers are spread evenly over the destinations.
 func (h *harness) submitNumbered(c *client, i, destinations int, body []byte) {
 	c.window <- struct{}{}
 	h.s.handleCommand(c, [][]byte{[]byte("OUT.ADD"), []byte("0"), fmt.Appendf(nil, "message-%012d", i),
 		fmt.Appendf(nil, "c=status,d=3600000,dest=%d", i%destinations), body})
 }
 
+// capacityClient returns a client for submitNumbered, whose replies stay in its output until discardReplies.
 func capacityClient() *client {
-	return &client{window: make(chan struct{}, 2*capacityTurn), writingReplies: 1}
+	return &client{window: make(chan struct{}, 2*capacityTurnSize), writingReplies: 1}
 }
 
-// discardReplies empties a client that nobody reads.
+// discardReplies empties the output and the window of a client without a reader.
 func (c *client) discardReplies() {
 	c.output = c.output[:0]
 	for len(c.window) > 0 {
@@ -71,12 +73,12 @@
 	}
 }
 
-// submitMany submits so many messages.
-func (h *harness) submitMany(open, destinations int) {
-	c, body := capacityClient(), []byte(strings.Repeat("x", capacityBody))
-	for i := range open {
+// submitMany submits count messages, with a turn after each capacityTurnSize of them.
+func (h *harness) submitMany(count, destinations int) {
+	c, body := capacityClient(), []byte(strings.Repeat("x", capacityBodySize))
+	for i := range count {
 		h.submitNumbered(c, i, destinations, body)
-		if (i+1)%capacityTurn == 0 || i+1 == open {
+		if (i+1)%capacityTurnSize == 0 || i+1 == count {
 			h.clock += 5 * time.Millisecond
 			h.s.turn()
 			c.discardReplies()
@@ -84,34 +86,36 @@
 	}
 }
 
+// filledHarness starts a sender with so many pending messages.
 func filledHarness(b *testing.B, open int) *harness {
-	h := capacityHarness(capacityConfig(b, capacityDown, open))
-	h.submitMany(open, capacityDown)
+	h := capacityHarness(capacityConfig(b, capacityDestinations, open))
+	h.submitMany(open, capacityDestinations)
 	if len(h.s.pending) != open {
-		b.Fatalf("%d are owed, not %d", len(h.s.pending), open)
+		b.Fatalf("%d messages are pending, want %d", len(h.s.pending), open)
 	}
 	return h
 }
 
-var capacityOpen = []int{1_000, 10_000, 100_000, 1_000_000}
+// capacityOpenSizes are the numbers of pending messages that are measured.
+var capacityOpenSizes = []int{1_000, 10_000, 100_000, 1_000_000}
 
-// BenchmarkCapacityOwed is a message accepted while its destination takes none, and what those that wait take in
-// memory (sender and module) and on disk.
+// BenchmarkCapacityOwed measures how long it takes to accept messages while their destinations are down, and how much
+// memory (sender and package choice) and disk space the waiting messages take.
 func BenchmarkCapacityOwed(b *testing.B) {
-	bench.Sizes(b, "open", capacityOpen, func(b *testing.B, n int) {
+	bench.Sizes(b, "open", capacityOpenSizes, func(b *testing.B, n int) {
 		var h *harness
 		var took time.Duration
-		cfg := capacityConfig(b, capacityDown, n)
+		cfg := capacityConfig(b, capacityDestinations, n)
 		heap := bench.Heap(func() any {
 			h = capacityHarness(cfg)
 			began := time.Now()
-			h.submitMany(n, capacityDown)
+			h.submitMany(n, capacityDestinations)
 			took = time.Since(began)
 			return h
 		})
 		for b.Loop() {
 		}
-		b.ReportMetric(0, "ns/op") // the work is done once, in the fill
+		b.ReportMetric(0, "ns/op") // the work is done once, when the sender is filled
 		b.ReportMetric(float64(took), "fill-ns")
 		b.ReportMetric(heap, "heap-B")
 		b.ReportMetric(float64(h.s.journal.Size()), "disk-B")
@@ -119,26 +123,26 @@
 	})
 }
 
-// BenchmarkCapacityReplay is a start on the folder of a sender that owes so many messages.
+// BenchmarkCapacityReplay measures a start on the state folder of a sender with so many pending messages.
 func BenchmarkCapacityReplay(b *testing.B) {
-	bench.Sizes(b, "open", capacityOpen, func(b *testing.B, n int) {
+	bench.Sizes(b, "open", capacityOpenSizes, func(b *testing.B, n int) {
 		h := filledHarness(b, n)
 		h.s.journal.Close()
 		cfg := h.s.cfg
 		h = nil
 		for b.Loop() {
-			again := startWith(cfg)
-			if len(again.s.pending) != n {
-				b.Fatalf("%d are owed, not %d", len(again.s.pending), n)
+			restarted := startWith(cfg)
+			if len(restarted.s.pending) != n {
+				b.Fatalf("%d messages are pending, want %d", len(restarted.s.pending), n)
 			}
-			again.s.journal.Close()
+			restarted.s.journal.Close()
 		}
 	})
 }
 
-// BenchmarkCapacityRewrite writes the journal anew with all that is pending, on the loop.
+// BenchmarkCapacityRewrite measures a rewrite of the journal with all pending messages, which runs on the loop.
 func BenchmarkCapacityRewrite(b *testing.B) {
-	bench.Sizes(b, "open", capacityOpen, func(b *testing.B, n int) {
+	bench.Sizes(b, "open", capacityOpenSizes, func(b *testing.B, n int) {
 		h := filledHarness(b, n)
 		for b.Loop() {
 			if err := h.s.journal.Rewrite(h.s.records); err != nil {
@@ -149,16 +153,18 @@
 	})
 }
 
-// silentCluster takes digests and decides nothing.
-type silentCluster struct{ rows int }
+// silentCluster is a Cluster that receives digests and makes no decisions.
+type silentCluster struct {
+	rows int // of the last digest
+}
 
 func (c *silentCluster) Digest(d clusterapi.Digest) { c.rows = len(d.Rows) }
 func (c *silentCluster) Guide() clusterapi.Guide    { return nil }
 func (c *silentCluster) Woke(choice.DestinationID)  {}
 
-// BenchmarkCapacityDigest is a digest, of which there are two a second, beside so many messages that wait.
+// BenchmarkCapacityDigest measures one digest, of which two are sent each second, with so many waiting messages.
 func BenchmarkCapacityDigest(b *testing.B) {
-	bench.Sizes(b, "open", capacityOpen, func(b *testing.B, n int) {
+	bench.Sizes(b, "open", capacityOpenSizes, func(b *testing.B, n int) {
 		h := filledHarness(b, n)
 		h.s.Join(&silentCluster{}, Joining{})
 		for b.Loop() {
@@ -168,7 +174,8 @@
 	})
 }
 
-// BenchmarkCapacityDigestList is a digest of a sender at rest, by destinations; metric rows is what the last one told.
+// BenchmarkCapacityDigestList measures one digest of an idle sender, by number of destinations. The metric rows is the
+// number of rows in the last digest.
 func BenchmarkCapacityDigestList(b *testing.B) {
 	bench.Sizes(b, "destinations", []int{610, 6_100, 61_000}, func(b *testing.B, n int) {
 		h := capacityHarness(capacityConfig(b, n, 1))
@@ -183,7 +190,7 @@
 	})
 }
 
-// BenchmarkCapacityListFull applies a full list again, and measures what a sender holds for it.
+// BenchmarkCapacityListFull measures the repeated application of a full list, and the heap that a sender needs for the list.
 func BenchmarkCapacityListFull(b *testing.B) {
 	bench.Sizes(b, "destinations", []int{610, 6_100, 61_000, 610_000}, func(b *testing.B, n int) {
 		cfg := capacityConfig(b, n, 1)
@@ -200,7 +207,7 @@
 	})
 }
 
-// BenchmarkCapacityListChange is one destination's change told to a sender that holds so many.
+// BenchmarkCapacityListChange measures a list update for one destination, applied by a sender with so many destinations.
 func BenchmarkCapacityListChange(b *testing.B) {
 	bench.Sizes(b, "destinations", []int{610, 6_100, 61_000}, func(b *testing.B, n int) {
 		h := capacityHarness(capacityConfig(b, n, 1))
@@ -212,11 +219,11 @@
 	})
 }
 
-// BenchmarkCapacityMessage is a message from its command to its end, four a turn, spread over so many destinations, on
-// the loop alone: no socket.
+// BenchmarkCapacityMessage measures messages from their command to their end, four a turn, spread over so many destinations.
+// It runs on the loop alone, without sockets.
 func BenchmarkCapacityMessage(b *testing.B) {
 	bench.Sizes(b, "destinations", []int{610, 6_100, 61_000}, func(b *testing.B, n int) {
-		const aTurn = 4
+		const perTurn = 4
 		h := capacityHarness(capacityConfig(b, n, 1000))
 		h.s.dial = func(c *call) {
 			h.s.recordAttempt(c)
@@ -225,31 +232,31 @@
 		}
 		var ok200 http1.Answer
 		if err := ok200.Feed([]byte(strings.ReplaceAll(answerOK, "\n", "\r\n"))); err != nil || !ok200.Done {
-			b.Fatal(err, "the answer is not whole")
+			b.Fatal(err, "the answer is not complete")
 		}
-		c, body := capacityClient(), []byte(strings.Repeat("x", capacityBody))
+		c, body := capacityClient(), []byte(strings.Repeat("x", capacityBodySize))
 		i := 0
 		for b.Loop() {
-			for range aTurn {
+			for range perTurn {
 				h.submitNumbered(c, i, n, body)
 				i++
 			}
 			h.clock += 5 * time.Millisecond
 			h.s.turn()
 			c.discardReplies()
-			for _, out := range h.calls {
-				out.done = true
-				h.s.finishCall(out, readAnswer(&ok200))
-				h.s.openLinks-- // its link, which no socket ends
-				out.endpoint.linkCount--
+			for _, sent := range h.calls {
+				sent.done = true
+				h.s.finishCall(sent, readAnswer(&ok200))
+				h.s.openLinks-- // the call's link, which has no socket that could end
+				sent.endpoint.linkCount--
 			}
 			clear(h.calls)
 			h.calls = h.calls[:0]
 		}
 		b.ReportMetric(float64(b.Elapsed())/float64(i), "ns/message")
 		b.ReportMetric(float64(h.s.journal.Size())/float64(i), "disk-B/message")
-		if late := len(h.s.pending); late > 2*aTurn*8 {
-			b.Fatalf("%d are owed still", late)
+		if pending := len(h.s.pending); pending > 2*perTurn*8 {
+			b.Fatalf("%d messages are still pending, want at most %d", pending, 2*perTurn*8)
 		}
 		h.s.journal.Close()
 	})
--- a/internal/sender/connecting_test.go
+++ b/internal/sender/connecting_test.go
@@ -18,15 +18,16 @@
 	"flaxcove/internal/journal"
 )
 
-// A process that is killed while a call waits for its connection has sent nothing: the next one still attempts a
-// non-idempotent message. Once the connection is up the call may have been sent, and the message is given up.
+// TestKilledWhileConnecting checks that after a kill while a call waits for its connection, and so nothing was sent, the
+// next process still attempts a non-idempotent message. Once the connection is established, the call may have been sent,
+// and the message fails.
 func TestKilledWhileConnecting(t *testing.T) {
 	t.Parallel()
-	for _, up := range []bool{false, true} {
+	for _, connected := range []bool{false, true} {
 		dir := t.TempDir()
 		l := recordCalls(t, startWith(fourClassConfig(dir, 100)))
 		l.s.dial = func(c *call) {
-			if up {
+			if connected {
 				l.s.recordAttempt(c)
 				l.s.commit()
 			}
@@ -37,28 +38,28 @@
 		}
 		l.advanceAnswering(5*time.Millisecond, time.Hour)
 		if l.s.counts.accepted != 4 || l.s.counts.attempts == 0 {
-			t.Fatalf("taken on %d, dispatches %d", l.s.counts.accepted, l.s.counts.attempts)
+			t.Fatalf("%d messages accepted, want 4; %d attempts, want some", l.s.counts.accepted, l.s.counts.attempts)
 		}
-		sent := map[choice.MessageID]bool{}
+		inFlight := map[choice.MessageID]bool{}
 		for id, m := range l.s.pending {
-			sent[id] = m.inFlight != nil
+			inFlight[id] = m.inFlight != nil
 		}
-		again := recordCalls(t, startAt(fourClassConfig(dir, 100), l.clock+600*time.Millisecond))
-		again.advanceAnswering(9*time.Second, 20*time.Millisecond)
-		for id := range sent {
-			single := id == "single" || id == "line"
-			if called := again.calls[id] == 1; called == (single && sent[id] && up) {
-				t.Errorf("connection up: %v; %s, out: %v, called again: %v", up, id, sent[id], called)
+		restarted := recordCalls(t, startAt(fourClassConfig(dir, 100), l.clock+600*time.Millisecond))
+		restarted.advanceAnswering(9*time.Second, 20*time.Millisecond)
+		for id := range inFlight {
+			nonIdempotent := id == "single" || id == "line"
+			if called := restarted.calls[id] == 1; called == (nonIdempotent && inFlight[id] && connected) {
+				t.Errorf("connected %v, message %s in flight %v: called again %v", connected, id, inFlight[id], called)
 			}
 		}
 	}
 }
 
-// recordChecker is an endpoint that looks, with the first byte of each call, whether the call is on record.
+// recordChecker is an endpoint that checks, when the first byte of a call arrives, whether the call is on record.
 type recordChecker struct {
-	dir string // of the sender's journal
+	dir string // folder of the sender's journal
 	sync.Mutex
-	seen, missing []string // ids
+	seen, missing []string // ids of all messages, and of those not on record
 }
 
 // serve answers all calls until the listener is closed.
@@ -72,25 +73,27 @@
 	}
 }
 
+// answerCalls checks and answers the calls on one connection until it is closed.
 func (r *recordChecker) answerCalls(conn net.Conn) {
 	defer conn.Close()
 	for in := bufio.NewReader(conn); ; {
 		if _, err := in.Peek(1); err != nil {
 			return
 		}
-		// The file as it is with the first byte; hasAttempt reads a copy, as opening a journal writes to it.
+		// The content of the journal when the first byte arrives. hasAttempt reads a copy, as opening a journal writes to it.
 		text, _ := os.ReadFile(filepath.Join(r.dir, "notices.log"))
 		request, err := http.ReadRequest(in)
 		if err != nil {
 			return
 		}
 		io.Copy(io.Discard, request.Body)
-		r.note(request.Header.Get("X-Request-Id"), text)
+		r.check(request.Header.Get("X-Request-Id"), text)
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	}
 }
 
-func (r *recordChecker) note(id string, text []byte) {
+// check records whether the journal with content text has an attempt of a message.
+func (r *recordChecker) check(id string, text []byte) {
 	r.Lock()
 	defer r.Unlock()
 	r.seen = append(r.seen, id)
@@ -105,7 +108,8 @@
 	return len(r.seen)
 }
 
-// Whatever an endpoint sees of a call, it is on record by then: on a new connection and on a reused one.
+// TestOnRecordBeforeFirstByte checks that a call is on record before its endpoint receives the first byte of it, on a new
+// connection and on a reused one.
 func TestOnRecordBeforeFirstByte(t *testing.T) {
 	t.Parallel()
 	endpoint, err := net.Listen("tcp", "127.0.0.1:0")
@@ -124,8 +128,8 @@
 	for i := range all {
 		class := []string{"single", "token"}[i%2]
 		client.mustSubmit(t, "0", fmt.Sprint("n", i), fmt.Sprintf("c=%s,d=8000,dest=1", class), "x")
-		if i%4 == 3 { // some one by one on reused connections, some at once on new ones
-			waitUntil(t, "all calls so far have come", func() bool { return checker.count() == i+1 })
+		if i%4 == 3 { // so that some calls reuse a connection, and calls at the same time open new ones
+			waitUntil(t, "all calls so far have arrived", func() bool { return checker.count() == i+1 })
 		}
 	}
 	client.Close()
@@ -134,12 +138,12 @@
 	checker.Lock()
 	defer checker.Unlock()
 	if len(checker.seen) != all || len(checker.missing) > 0 {
-		t.Errorf("seen %d of %d, not on record by then: %v", len(checker.seen), all, checker.missing)
+		t.Errorf("%d of %d calls arrived; not on record at the first byte: %v", len(checker.seen), all, checker.missing)
 	}
 }
 
-// hasAttempt reports whether a journal's text holds a record of an attempt of a message.
-func hasAttempt(text []byte, id string) (is bool) {
+// hasAttempt reports whether a journal with content text holds a record of an attempt of a message.
+func hasAttempt(text []byte, id string) (found bool) {
 	dir, err := os.MkdirTemp("", "copy")
 	if err != nil {
 		return false
@@ -149,10 +153,10 @@
 		return false
 	}
 	j, _, err := journal.Open(dir, 1<<20, func(record []byte) {
-		is = is || record[0] == recAttempt && strings.HasPrefix(string(record), string(idRecord(recAttempt, choice.MessageID(id))))
+		found = found || record[0] == recAttempt && strings.HasPrefix(string(record), string(idRecord(recAttempt, choice.MessageID(id))))
 	})
 	if err == nil {
 		j.Close()
 	}
-	return is
+	return found
 }
--- a/internal/sender/endpoints_test.go
+++ b/internal/sender/endpoints_test.go
@@ -16,7 +16,7 @@
 	"flaxcove/internal/directory"
 )
 
-// endpointsAfterLists applies lists and describes the endpoints that the sender then has.
+// endpointsAfterLists applies lists to a new sender and returns a description of each of its endpoints.
 func endpointsAfterLists(t *testing.T, lists ...string) (*harness, map[choice.EndpointID]string) {
 	h := start("", 100)
 	t.Cleanup(func() { os.RemoveAll(h.dir) })
@@ -30,7 +30,8 @@
 	return h, all
 }
 
-// Unusual lists: one that lacks an endpoint is applied, and one that cannot be read changes nothing.
+// TestUnusualLists checks that a full list without a known endpoint removes it, that a list without a readable entry
+// changes nothing, and how lists with repeated, partial or unknown entries are applied.
 func TestUnusualLists(t *testing.T) {
 	const (
 		a     = "127.0.0.1:1 dest 1 kind 0 ready true gone false"
@@ -45,52 +46,53 @@
 		lists []string
 		want  map[choice.EndpointID]string
 	}{
-		"whole and empty":       {[]string{`{"version":2,"full":true,"servers":[]}`}, nil},
-		"whole, without a":      {[]string{`{"version":2,"full":true,"servers":[` + fmt.Sprintf(entry, "q", "h:3", 2, "up") + `]}`}, map[choice.EndpointID]string{"q": "h:3 dest 2 kind 0 ready true gone false"}},
-		"whole, none read":      {[]string{`{"version":2,"full":true,"servers":[{"id":"a","state":"odd"},{"name":"b"}]}`}, map[choice.EndpointID]string{"a": a, "b": b, "z": z}},
-		"a change without any":  {[]string{`{"version":2}`, `{"version":3,"servers":null}`}, map[choice.EndpointID]string{"a": a, "b": b, "z": z}},
-		"a version goes back":   {[]string{delta(9, fmt.Sprintf(entry, "a", "127.0.0.1:1", 1, "draining")), delta(1, fmt.Sprintf(entry, "a", "127.0.0.1:1", 1, "up"))}, map[choice.EndpointID]string{"a": a, "b": b, "z": z}},
-		"a stranger is removed": {[]string{delta(2, `{"id":"q","state":"removed"}`)}, map[choice.EndpointID]string{"a": a, "b": b, "z": z}},
-		"a stranger is up":      {[]string{delta(2, fmt.Sprintf(entry, "q", "h:3", 2, "up"))}, map[choice.EndpointID]string{"a": a, "b": b, "z": z, "q": "h:3 dest 2 kind 0 ready true gone false"}},
-		"drains, by its id":     {[]string{delta(2, `{"id":"b","state":"draining"}`)}, map[choice.EndpointID]string{"a": a, "z": z, "b": "127.0.0.1:2 dest 2 kind 1 ready false gone false"}},
-		"removed, by its id":    {[]string{delta(2, `{"id":"b","state":"removed"}`)}, map[choice.EndpointID]string{"a": a, "z": z}},
-		"elsewhere":             {[]string{delta(2, fmt.Sprintf(entry, "a", "h:3", 2, "up"))}, map[choice.EndpointID]string{"a": "h:3 dest 2 kind 0 ready true gone false", "b": b, "z": z}},
-		"twice, elsewhere":      {[]string{delta(2, fmt.Sprintf(entry, "a", "h:3", 1, "up")+","+fmt.Sprintf(entry, "a", "h:4", 2, "up"))}, map[choice.EndpointID]string{"a": "h:4 dest 2 kind 0 ready true gone false", "b": b, "z": z}},
-		"twice, drains by id":   {[]string{delta(2, fmt.Sprintf(entry, "q", "h:3", 2, "up")+`,{"id":"q","state":"draining"}`)}, map[choice.EndpointID]string{"a": a, "b": b, "z": z, "q": "h:3 dest 2 kind 0 ready false gone false"}},
-		"twice, removed and up": {[]string{delta(2, `{"id":"a","state":"removed"},`+fmt.Sprintf(entry, "a", "127.0.0.1:1", 1, "up"))}, map[choice.EndpointID]string{"a": a, "b": b, "z": z}},
+		"full and empty":            {[]string{`{"version":2,"full":true,"servers":[]}`}, nil},
+		"full, without a":           {[]string{`{"version":2,"full":true,"servers":[` + fmt.Sprintf(entry, "q", "h:3", 2, "up") + `]}`}, map[choice.EndpointID]string{"q": "h:3 dest 2 kind 0 ready true gone false"}},
+		"full, none readable":       {[]string{`{"version":2,"full":true,"servers":[{"id":"a","state":"odd"},{"name":"b"}]}`}, map[choice.EndpointID]string{"a": a, "b": b, "z": z}},
+		"an update without entries": {[]string{`{"version":2}`, `{"version":3,"servers":null}`}, map[choice.EndpointID]string{"a": a, "b": b, "z": z}},
+		"a version decreases":       {[]string{delta(9, fmt.Sprintf(entry, "a", "127.0.0.1:1", 1, "draining")), delta(1, fmt.Sprintf(entry, "a", "127.0.0.1:1", 1, "up"))}, map[choice.EndpointID]string{"a": a, "b": b, "z": z}},
+		"an unknown one is removed": {[]string{delta(2, `{"id":"q","state":"removed"}`)}, map[choice.EndpointID]string{"a": a, "b": b, "z": z}},
+		"an unknown one is up":      {[]string{delta(2, fmt.Sprintf(entry, "q", "h:3", 2, "up"))}, map[choice.EndpointID]string{"a": a, "b": b, "z": z, "q": "h:3 dest 2 kind 0 ready true gone false"}},
+		"drains, id alone":          {[]string{delta(2, `{"id":"b","state":"draining"}`)}, map[choice.EndpointID]string{"a": a, "z": z, "b": "127.0.0.1:2 dest 2 kind 1 ready false gone false"}},
+		"removed, id alone":         {[]string{delta(2, `{"id":"b","state":"removed"}`)}, map[choice.EndpointID]string{"a": a, "z": z}},
+		"moved":                     {[]string{delta(2, fmt.Sprintf(entry, "a", "h:3", 2, "up"))}, map[choice.EndpointID]string{"a": "h:3 dest 2 kind 0 ready true gone false", "b": b, "z": z}},
+		"twice, moved":              {[]string{delta(2, fmt.Sprintf(entry, "a", "h:3", 1, "up")+","+fmt.Sprintf(entry, "a", "h:4", 2, "up"))}, map[choice.EndpointID]string{"a": "h:4 dest 2 kind 0 ready true gone false", "b": b, "z": z}},
+		"twice, drains, id alone":   {[]string{delta(2, fmt.Sprintf(entry, "q", "h:3", 2, "up")+`,{"id":"q","state":"draining"}`)}, map[choice.EndpointID]string{"a": a, "b": b, "z": z, "q": "h:3 dest 2 kind 0 ready false gone false"}},
+		"twice, removed and up":     {[]string{delta(2, `{"id":"a","state":"removed"},`+fmt.Sprintf(entry, "a", "127.0.0.1:1", 1, "up"))}, map[choice.EndpointID]string{"a": a, "b": b, "z": z}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h, got := endpointsAfterLists(t, c.lists...)
 			if fmt.Sprint(got) != fmt.Sprint(c.want) {
 				t.Errorf("%v\nwant %v", got, c.want)
 			}
-			if _, taken := h.s.destinationSeen[0]; taken {
-				t.Error("a destination that no list names is known")
+			if _, known := h.s.destinationSeen[0]; known {
+				t.Error("destination 0 is known, though no list names it")
 			}
 		})
 	}
 }
 
-// blockingEndpoint is an endpoint that reports each message and answers once let is closed.
-func blockingEndpoint(t *testing.T) (addr string, came chan string, let chan struct{}) {
-	came, let = make(chan string, 10), make(chan struct{})
+// blockingEndpoint starts an endpoint that sends the id of each message to received, and answers once release is closed.
+func blockingEndpoint(t *testing.T) (addr string, received chan string, release chan struct{}) {
+	received, release = make(chan string, 10), make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/inbox" {
 			return // a probe
 		}
 		io.Copy(io.Discard, r.Body)
-		came <- r.Header.Get("X-Request-Id")
+		received <- r.Header.Get("X-Request-Id")
 		select {
-		case <-let:
+		case <-release:
 		case <-r.Context().Done():
 		}
 	}))
 	t.Cleanup(server.Close)
-	return server.Listener.Addr().String(), came, let
+	return server.Listener.Addr().String(), received, release
 }
 
-// startMovable starts a sender with one endpoint, e, for destination 1. tell applies a change of the list.
-func startMovable(t *testing.T, addr string) (s *Sender, hand func(id string), tell func(entry directory.Entry)) {
+// startMovable starts a sender with one endpoint, e, at addr for destination 1. submit submits a message for destination 1,
+// and update applies a list update with one entry.
+func startMovable(t *testing.T, addr string) (s *Sender, submit func(id string), update func(entry directory.Entry)) {
 	discovery := httptest.NewServer(http.HandlerFunc(rejectAll))
 	t.Cleanup(discovery.CloseClientConnections)
 	cfg := testConfig(t.TempDir(), 100)
@@ -105,73 +107,75 @@
 	return s, func(id string) {
 			conn.Write(outAdd("0", id, "c=order,d=20000,dest=1", "x"))
 		}, func(entry directory.Entry) {
-			heard := make(chan struct{})
+			applied := make(chan struct{})
 			s.post(func() {
 				s.updateEndpoints(directory.List{Version: 2, Entries: []directory.Entry{entry}}, false)
-				close(heard)
+				close(applied)
 			})
-			<-heard
+			<-applied
 		}
 }
 
-func mustReceive(t *testing.T, came <-chan string, where, want string) {
+// mustReceive checks that the next message that an endpoint receives is want.
+func mustReceive(t *testing.T, received <-chan string, endpoint, want string) {
 	t.Helper()
 	select {
-	case got := <-came:
+	case got := <-received:
 		if got != want {
-			t.Fatalf("%s got %s, want %s", where, got, want)
+			t.Fatalf("%s received %s, want %s", endpoint, got, want)
 		}
 	case <-time.After(20 * time.Second):
-		t.Fatalf("%s never got %s", where, want)
+		t.Fatalf("%s did not receive %s within 20 s", endpoint, want)
 	}
 }
 
-// An endpoint that moves while a call to it is out: its old connection carries no other call, though it ends well.
-func TestMovedUnderCall(t *testing.T) {
-	first, atFirst, letFirst := blockingEndpoint(t)
-	second, atSecond, letSecond := blockingEndpoint(t)
-	close(letSecond)
-	s, hand, tell := startMovable(t, first)
-	hand("one")
-	mustReceive(t, atFirst, "the first place", "one")
-	tell(readyEntry("e", second, 1))
-	close(letFirst)
-	for over, end := false, time.Now().Add(20*time.Second); !over; {
+// TestMovedDuringCall checks that the old connection to an endpoint that moves while a call is in flight carries no other
+// call, though the call is answered on it.
+func TestMovedDuringCall(t *testing.T) {
+	first, atFirst, releaseFirst := blockingEndpoint(t)
+	second, atSecond, releaseSecond := blockingEndpoint(t)
+	close(releaseSecond)
+	s, submit, update := startMovable(t, first)
+	submit("one")
+	mustReceive(t, atFirst, "the first address", "one")
+	update(readyEntry("e", second, 1))
+	close(releaseFirst)
+	for done, end := false, time.Now().Add(20*time.Second); !done; {
 		if time.Now().After(end) {
-			t.Fatal("the call to the first place never ends")
+			t.Fatal("the call to the first address has not ended after 20 s")
 		}
-		owed := make(chan int)
-		s.post(func() { owed <- len(s.pending) })
-		over = <-owed == 0
+		pending := make(chan int)
+		s.post(func() { pending <- len(s.pending) })
+		done = <-pending == 0
 	}
-	hand("two")
+	submit("two")
 	select {
 	case id := <-atFirst:
-		t.Errorf("%s went to the place that was left", id)
+		t.Errorf("message %s was sent to the old address", id)
 	case id := <-atSecond:
 		if id != "two" {
-			t.Errorf("%s went to the second place", id)
+			t.Errorf("message %s was sent to the second address, want two", id)
 		}
 	case <-time.After(20 * time.Second):
-		t.Error("nothing came")
+		t.Error("message two was not sent within 20 s")
 	}
 }
 
-// An endpoint that moves, or turns to another destination, while a connection to it comes up: the call does not leave
-// on it. Where the endpoint still serves its destination it goes to the new place.
-func TestMovedUnderDial(t *testing.T) {
+// TestMovedDuringDial checks that a call is not sent on a connection whose endpoint moved, or changed to another
+// destination, during the dial. If the endpoint still serves the destination, the call is sent to its new address.
+func TestMovedDuringDial(t *testing.T) {
 	for _, cell := range []float64{1, 2} {
 		t.Run(fmt.Sprint("cell ", cell), func(t *testing.T) {
-			first, atFirst, letFirst := blockingEndpoint(t)
-			second, atSecond, letSecond := blockingEndpoint(t)
-			close(letFirst)
-			close(letSecond)
-			s, hand, tell := startMovable(t, first)
-			up, dialed := make(chan net.Addr, 10), make(chan struct{})
+			first, atFirst, releaseFirst := blockingEndpoint(t)
+			second, atSecond, releaseSecond := blockingEndpoint(t)
+			close(releaseFirst)
+			close(releaseSecond)
+			s, submit, update := startMovable(t, first)
+			connected, release := make(chan net.Addr, 10), make(chan struct{})
 			s.post(func() {
 				dial := s.dial
 				s.dial = func(c *call) {
-					s.dial = dial // the later ones
+					s.dial = dial // for all later calls
 					addr := c.endpoint.addr
 					go func() {
 						conn, err := netpoll.DialConnection("tcp", addr, 10*time.Second)
@@ -179,51 +183,51 @@
 							t.Error(err)
 							return
 						}
-						up <- conn.RemoteAddr()
-						<-dialed
+						connected <- conn.RemoteAddr()
+						<-release
 						s.post(func() { s.onDialed(c, conn, err) })
 					}()
 				}
 			})
-			hand("one")
-			<-up
-			tell(directory.Entry{ID: "e", Addr: second, Zone: "z", Kind: "one", Destination: cell, State: "up", Weight: 100})
-			close(dialed)
+			submit("one")
+			<-connected
+			update(directory.Entry{ID: "e", Addr: second, Zone: "z", Kind: "one", Destination: cell, State: "up", Weight: 100})
+			close(release)
 			if cell == 1 {
-				mustReceive(t, atSecond, "the second place", "one")
+				mustReceive(t, atSecond, "the second address", "one")
 			} else {
-				// Nobody serves its destination any more; the next to come to the second place is for the new one.
-				tell(readyEntry("f", second, 1))
-				mustReceive(t, atSecond, "the second place", "one")
+				// Endpoint e no longer serves destination 1. Endpoint f does so at the second address.
+				update(readyEntry("f", second, 1))
+				mustReceive(t, atSecond, "the second address", "one")
 			}
 			select {
 			case id := <-atFirst:
-				t.Errorf("cell %v: %s went to the place that was left", cell, id)
+				t.Errorf("cell %v: message %s was sent to the old address", cell, id)
 			default:
 			}
 		})
 	}
 }
 
-// Nothing is laid up between turns, where lists come; and a call that were does not leave for an endpoint that has since
-// turned to another destination.
-func TestDrainedBeforeSending(t *testing.T) {
+// TestDestinationChangedBeforeSending checks that no call is queued between turns, when list updates are applied, and that
+// a queued call is not sent to an endpoint that has changed to another destination since.
+func TestDestinationChangedBeforeSending(t *testing.T) {
 	h := start("", 100)
 	defer os.RemoveAll(h.dir)
 	c := newClient()
 	h.handle(c, "OUT.ADD k one c=order,d=20000,dest=1 x")
 	if len(h.s.starting) != 0 {
-		t.Errorf("%d calls laid up before the turn", len(h.s.starting))
+		t.Errorf("%d calls queued before the turn, want none", len(h.s.starting))
 	}
 	h.s.turn()
 	if len(h.calls) != 1 {
-		t.Fatalf("%d calls, want the one", len(h.calls))
+		t.Fatalf("%d calls, want 1", len(h.calls))
 	}
 	first := h.calls[0]
 	h.calls, h.s.starting = nil, []*call{first}
 	h.updateList(`{"version":2,"servers":[{"id":"a","addr":"127.0.0.1:3","zone":"z","kind":"one","cell":2,"state":"up","weight":100}]}`)
 	h.s.startCalls()
 	if len(h.calls) != 0 {
-		t.Errorf("a call for destination 1 leaves for %d at %s", h.calls[0].endpoint.destination, h.calls[0].endpoint.addr)
+		t.Errorf("a call for destination 1 was sent to an endpoint of destination %d at %s", h.calls[0].endpoint.destination, h.calls[0].endpoint.addr)
 	}
 }
--- a/internal/sender/gossip_test.go
+++ b/internal/sender/gossip_test.go
@@ -17,8 +17,8 @@
 	"flaxcove/internal/directory"
 )
 
-// udp is a socket of the test's own.
-func udp(t *testing.T) net.PacketConn {
+// listenUDP opens a UDP socket on loopback, which is closed at the end of the test.
+func listenUDP(t *testing.T) net.PacketConn {
 	t.Helper()
 	conn, err := net.ListenPacket("udp4", "127.0.0.1:0")
 	if err != nil {
@@ -28,7 +28,8 @@
 	return conn
 }
 
-// rejectAll rejects every message with a Retry-After, and its list never changes.
+// rejectAll serves as endpoint, platform and discovery: it rejects every message with a Retry-After, accepts all endings,
+// and never answers a request for the endpoint list.
 func rejectAll(out http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/inbox" {
 		io.Copy(io.Discard, r.Body)
@@ -43,25 +44,26 @@
 	<-r.Context().Done()
 }
 
-// gossipRun is two senders of a fleet whose third peer is the test.
+// gossipRun runs senders of a fleet. The test itself acts as one of the three peers.
 type gossipRun struct {
-	platform *httptest.Server
-	peers    [3]string // addresses, by number
+	platform *httptest.Server // also discovery and the endpoint
+	peers    [3]string        // addresses of the peers, by number
 }
 
+// startGossipRun starts the platform and reserves the addresses of the peers.
 func startGossipRun(t *testing.T) *gossipRun {
 	t.Helper()
 	r := &gossipRun{platform: httptest.NewServer(http.HandlerFunc(rejectAll))}
 	t.Cleanup(r.platform.CloseClientConnections)
 	for i := range r.peers {
-		conn := udp(t)
+		conn := listenUDP(t)
 		r.peers[i] = conn.LocalAddr().String()
 		conn.Close()
 	}
 	return r
 }
 
-// start starts the sender of a number.
+// start starts the sender with a number, with gossip on or off.
 func (r *gossipRun) start(t *testing.T, number int, on bool) (*Sender, net.Conn, <-chan struct{}) {
 	t.Helper()
 	addr := r.platform.Listener.Addr().String()
@@ -73,23 +75,23 @@
 	return startServing(t, cfg)
 }
 
-// sendBroken sends a packet of gossip as a stranger would, and broken ones, and then as it is.
+// sendBroken sends a packet of gossip to peer 1: from an unknown address, then broken from the address of peer, then intact.
 func (r *gossipRun) sendBroken(t *testing.T, peer net.PacketConn, packet []byte) {
 	t.Helper()
 	to, err := net.ResolveUDPAddr("udp4", r.peers[1])
 	if err != nil {
 		t.Fatal(err)
 	}
-	stranger := udp(t)
+	stranger := listenUDP(t)
 	for range 3 {
 		stranger.WriteTo(packet, to)
 	}
 	peer.WriteTo(packet[:len(packet)-1], to)          // cut short
 	peer.WriteTo(bytes.Repeat([]byte("n"), 4000), to) // too long
-	peer.WriteTo(packet, to)                          // once more, and late
+	peer.WriteTo(packet, to)                          // intact, and late
 }
 
-// hasCounters reports whether INFO has all of these lines.
+// hasCounters reports whether INFO has all lines of want.
 func hasCounters(s *Sender, want ...string) bool {
 	lines := s.Counters()
 	for _, counter := range want {
@@ -100,19 +102,20 @@
 	return true
 }
 
-// A Retry-After that one sender gets holds back the other one too, though it sent nothing there. Packets of strangers, and
-// those that are broken or no gossip of package choice, change nothing. Where gossip is off no socket is bound.
+// TestGossip checks that a Retry-After to one sender also pauses the other one, which sent nothing to the endpoint. Packets
+// from unknown addresses, and packets that are broken or not gossip of package choice, change nothing. If gossip is off, no
+// socket is bound.
 func TestGossip(t *testing.T) {
 	r := startGossipRun(t)
-	sending, client, ended := r.start(t, 0, true)
-	hearing, client2, ended2 := r.start(t, 1, true)
+	first, client, done := r.start(t, 0, true)
+	second, client2, done2 := r.start(t, 1, true)
 	peer, err := net.ListenPacket("udp4", r.peers[2])
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer peer.Close()
 	client.Write(outAdd("0", "id", "c=status,d=1500,dest=1", ""))
-	waitOnLoop(t, hearing, "a Retry-After to one sender reaches the other", func() bool { return hearing.choice.LearnedState("full").Wait > 0 })
+	waitOnLoop(t, second, "a Retry-After to one sender reaches the other", func() bool { return second.choice.LearnedState("full").Wait > 0 })
 	packet := make([]byte, 300)
 	peer.SetReadDeadline(time.Now().Add(10 * time.Second))
 	n, _, err := peer.ReadFrom(packet)
@@ -120,22 +123,22 @@
 		t.Fatal(err)
 	}
 	r.sendBroken(t, peer, packet[:n])
-	waitOnLoop(t, hearing, "all packets are counted", func() bool {
-		return hasCounters(hearing, "notes_from_strangers:3", "notes_spoilt:1", "notes_too_long:1") && hearing.peers.Counts().Heard >= 2
+	waitOnLoop(t, second, "all packets are counted", func() bool {
+		return hasCounters(second, "notes_from_strangers:3", "notes_spoilt:1", "notes_too_long:1") && second.peers.Counts().Heard >= 2
 	})
 	for _, invalid := range [][]byte{{}, {1}, {1, 2}, {1, 2, 3}, {1, 2, 3, 4}} {
-		hearing.post(func() { hearing.choice.Heard(invalid) })
+		second.post(func() { second.choice.Heard(invalid) })
 	}
-	off, client3, ended3 := r.start(t, 2, false)
-	if off.peers != nil {
+	third, client3, done3 := r.start(t, 2, false)
+	if third.peers != nil {
 		t.Error("a socket is bound though gossip is off")
 	}
 	for _, conn := range []net.Conn{client, client2, client3} {
 		conn.Close()
 	}
-	for s, done := range map[*Sender]<-chan struct{}{sending: ended, hearing: ended2, off: ended3} {
+	for s, ended := range map[*Sender]<-chan struct{}{first: done, second: done2, third: done3} {
 		s.Drain()
-		<-done // the socket's goroutines have ended with it
+		<-ended // the goroutines of the socket have ended too
 	}
 	if conn, err := net.ListenPacket("udp4", r.peers[0]); err != nil {
 		t.Error("the socket is still bound: ", err)
@@ -144,30 +147,32 @@
 	}
 }
 
-// A socket that cannot be bound keeps no sender from serving: it runs without gossip, and package choice knows.
+// TestGossipUnavailable checks that a sender that cannot bind its gossip socket runs without gossip, with settings that say
+// so to package choice.
 func TestGossipUnavailable(t *testing.T) {
 	cfg := testConfig(t.TempDir(), 100)
-	cfg.Settings.Notes, cfg.Peers, cfg.PeerListen = true, []string{"127.0.0.1:1"}, fmt.Sprint(udp(t).LocalAddr())
+	cfg.Settings.Notes, cfg.Peers, cfg.PeerListen = true, []string{"127.0.0.1:1"}, fmt.Sprint(listenUDP(t).LocalAddr())
 	without, p := openGossip(cfg, zap.NewNop())
 	if p != nil || without.Settings.Notes || !cfg.Settings.Notes {
-		t.Errorf("%v, notes %v", p, without.Settings.Notes)
+		t.Errorf("peers %v, gossip %v in the new configuration and %v in the old one, want none, false and true", p, without.Settings.Notes, cfg.Settings.Notes)
 	}
 }
 
-// Before the loop runs, what comes in is done until discovery has spoken, or for as long as it may take.
+// TestAwaitFirstList checks that before the loop runs, events are handled until a list of discovery has been applied, or
+// until the timeout.
 func TestAwaitFirstList(t *testing.T) {
 	s := start(t.TempDir(), 100).s
 	s.inbox <- func() {}
 	s.inbox <- func() { s.updateEndpoints(directory.List{Version: 2}, false) }
-	s.inbox <- func() { t.Error("done before its turn") }
+	s.inbox <- func() { t.Error("an event after the first list was handled before the loop runs") }
 	s.awaitFirstList(nil)
 	if !s.listReceived {
-		t.Error("no list")
+		t.Error("awaitFirstList returned before the first list")
 	}
 	s = start(t.TempDir(), 100).s
-	late := make(chan time.Time)
-	close(late)
-	if s.awaitFirstList(late); s.listReceived {
-		t.Error("a list from nowhere")
+	timeout := make(chan time.Time)
+	close(timeout)
+	if s.awaitFirstList(timeout); s.listReceived {
+		t.Error("a list counts as received though none was sent")
 	}
 }
--- a/internal/sender/harness_test.go
+++ b/internal/sender/harness_test.go
@@ -16,40 +16,44 @@
 	"flaxcove/internal/http1"
 )
 
+// Answers of endpoints, for endpointAnswers.
 const (
 	answerOK    = "HTTP/1.1 200 OK\nContent-Length: 0\n\n"
 	answerFull  = "HTTP/1.1 429 Wait\nRetry-After: 0.4\nContent-Length: 0\n\n"
 	answerError = "HTTP/1.1 500 Error\nContent-Length: 0\n\n"
 
-	lastByteUnsent = "its last byte was not written"
+	lastByteUnsent = "its last byte was not written" // no answer: the end of a call whose last byte was not sent
 )
 
-// harness is a sender without sockets: its clock moves as a test says, its calls go nowhere, and its platform accepts all
-// while platformUp is set.
+// harness runs a sender without sockets. The test advances its clock and answers its calls, and its platform accepts all
+// endings while platformUp is set.
 type harness struct {
 	s          *Sender
-	dir        string
-	clock      time.Duration
-	calls      []*call
+	dir        string        // state folder
+	clock      time.Duration // time since the start
+	calls      []*call       // calls sent that the test has not answered
 	platformUp bool
 }
 
-// twoClassSettings is a settings object: class status is idempotent, order is not; kind many takes bulk calls.
+// twoClassSettings is a settings object with a verb for maxOpen. Class status is idempotent, class order is not. Endpoints
+// of kind many accept bulk calls.
 const twoClassSettings = `{"balancers":2,"quantum":5000000,"machineTypes":["one","many"],"zones":["z"],
 "bounds":{"maxAttempts":9,"maxOpen":%d,"connIdle":10000000000,"dialTimeout":1000000000,"probing":true,"retryAfter":true,"maxRetryAfter":2000000000},
 "classes":[{"name":"status","idempotency":"pure","aim":800000000,"deadline":6000000000,"worth":1},
 {"name":"order","idempotency":"side_effect","aim":4000000000,"deadline":20000000000,"worth":3}],
 "extra":{"bundleMax":[1,3],"callsOut":8},"rules":{"cold":1000000000,"coldFrom":0.5,"fallMultiple":2},"stats":{"fields":["x0","x1"]}}`
 
+// twoEndpointList is an endpoint list: a serves destination 1, b serves destination 2 with bulk calls, and z drains.
 const twoEndpointList = `{"version":1,"full":true,"servers":[{"id":"a","addr":"127.0.0.1:1","zone":"z","kind":"one","cell":1,"state":"up","weight":100},
 {"id":"b","addr":"127.0.0.1:2","zone":"z","kind":"many","cell":2,"state":"up","weight":100},
 {"id":"z","addr":"127.0.0.1:9","zone":"z","kind":"one","cell":9,"state":"draining","weight":100}]}`
 
+// testConfig returns a configuration with twoClassSettings and twoEndpointList.
 func testConfig(dir string, maxOpen int) *config.Config {
 	return testConfigWith(dir, fmt.Sprintf(twoClassSettings, maxOpen), twoEndpointList)
 }
 
-// testConfigWith is a configuration of a settings object and an endpoint list.
+// testConfigWith returns a configuration with a settings object and an endpoint list, both as JSON.
 func testConfigWith(dir, settings, list string) *config.Config {
 	var b config.Boot
 	c := &config.Config{Name: "s", StateDir: dir, Limits: config.Limits{MemoryMB: 192, Sockets: 256, DiskMB: 0.25},
@@ -76,12 +80,13 @@
 	return c
 }
 
-// readyEntry is an endpoint of a list that takes calls.
+// readyEntry returns the list entry of an endpoint that accepts calls.
 func readyEntry(id, addr string, destination int) directory.Entry {
 	return directory.Entry{ID: id, Addr: addr, Zone: "z", Kind: "one", Destination: float64(destination), State: "up", Weight: 100}
 }
 
-// start opens a sender on a folder; "" makes one. Another start on the same folder is a start after a kill.
+// start opens a sender on a state folder; for "" it creates a folder. Another start on the same folder acts as a start
+// after a kill.
 func start(dir string, maxOpen int) *harness {
 	if dir == "" {
 		dir, _ = os.MkdirTemp("", "sender")
@@ -89,9 +94,11 @@
 	return startWith(testConfig(dir, maxOpen))
 }
 
+// startWith opens a sender with a configuration.
 func startWith(cfg *config.Config) *harness { return startAt(cfg, time.Minute) }
 
-// startAt is a start with the clock at another time.
+// startAt opens a sender with a configuration whose clock begins at another time. If that fails it prints the error, and
+// the harness has no sender.
 func startAt(cfg *config.Config, at time.Duration) *harness {
 	dir := cfg.StateDir
 	h := &harness{dir: dir, clock: at, platformUp: true}
@@ -100,7 +107,7 @@
 		fmt.Println(strings.ReplaceAll(err.Error(), dir, "DIR"))
 		return h
 	}
-	s.dial = func(c *call) { // its connection is up at once, and it is sent
+	s.dial = func(c *call) { // the call counts as connected and sent at once
 		s.recordAttempt(c)
 		s.commit()
 		h.calls = append(h.calls, c)
@@ -116,23 +123,23 @@
 	return h
 }
 
-// newClient is a client whose answers stay in output.
+// newClient returns a client whose replies stay in its output.
 func newClient() *client {
 	return &client{window: make(chan struct{}, windowSize), writingReplies: 1}
 }
 
-// newUnreadClient is a client that is gone: its answers are dropped.
+// newUnreadClient returns a client that has disconnected; its replies are dropped.
 func newUnreadClient() *client {
 	return &client{window: make(chan struct{}, windowSize), disconnected: true}
 }
 
-// handle has the loop handle a command, whose arguments are separated by spaces.
+// handle handles a command of a client. Its arguments are separated by spaces.
 func (h *harness) handle(c *client, command string) {
 	c.window <- struct{}{}
 	h.s.handleCommand(c, splitArgs(command))
 }
 
-// submit handles commands and prints what is answered by the end of the turn.
+// submit handles commands of a new client, ends the turn, and prints the replies.
 func (h *harness) submit(commands ...string) *harness {
 	c := newClient()
 	for _, text := range commands {
@@ -145,6 +152,7 @@
 	return h
 }
 
+// splitArgs splits a command at its spaces.
 func splitArgs(text string) (args [][]byte) {
 	for _, word := range strings.Split(text, " ") {
 		args = append(args, []byte(word))
@@ -152,14 +160,14 @@
 	return args
 }
 
-// connectionUp lets a connection come up that a call waits for, and ends the turn.
+// connectionUp establishes the connection that a call waits for, and ends the turn.
 func (h *harness) connectionUp(c *call, conn netpoll.Connection) {
 	h.s.onDialed(c, conn, nil)
 	h.s.commit()
 	h.s.sendConnected()
 }
 
-// client is a client that has just connected.
+// client returns a client that has just connected.
 func (h *harness) client(conn netpoll.Connection) *client {
 	c := &client{conn: conn, connectedAt: h.clock, window: make(chan struct{}, windowSize)}
 	h.s.clients.all[c] = struct{}{}
@@ -167,7 +175,7 @@
 	return c
 }
 
-// advance lets time pass in turns, and prints the calls that are in flight then.
+// advance lets time pass in turns, and prints the calls that are in flight at the end.
 func (h *harness) advance(after time.Duration) *harness {
 	for end := h.clock + after; h.clock < end; {
 		h.clock = max(h.clock+5*time.Millisecond, min(end, h.s.timers.next()))
@@ -188,7 +196,7 @@
 	return h
 }
 
-// endpointAnswers ends the last call in flight with an answer, which may be cut off, or with lastByteUnsent.
+// endpointAnswers ends the last of calls with an answer, which may be cut off, or with lastByteUnsent.
 func (h *harness) endpointAnswers(text string) *harness {
 	c := h.calls[len(h.calls)-1]
 	h.calls = h.calls[:len(h.calls)-1]
@@ -206,7 +214,7 @@
 	return h
 }
 
-// updateList applies a list as from discovery.
+// updateList applies a list, given as JSON, as if discovery had sent it.
 func (h *harness) updateList(text string) *harness {
 	var l directory.List
 	json.Unmarshal([]byte(text), &l)
@@ -214,7 +222,7 @@
 	return h
 }
 
-// printPending prints how many messages are pending, and how many endings are to be reported.
+// printPending prints the number of pending messages and of endings to be reported.
 func (h *harness) printPending() *harness {
 	fmt.Println("owed:", len(h.s.pending), "to the platform:", len(h.s.endings))
 	return h
--- a/internal/sender/late_connection_test.go
+++ b/internal/sender/late_connection_test.go
@@ -9,7 +9,7 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// silentConn is a connection to a server that sends nothing.
+// silentConn returns a connection to a server that sends nothing.
 func silentConn(t *testing.T) netpoll.Connection {
 	t.Helper()
 	server := httptest.NewServer(http.NotFoundHandler())
@@ -21,14 +21,14 @@
 	return conn
 }
 
-// A link that ends between the loop's decision and the write fails its call, and does not crash the process: netpoll has
-// dropped its buffers by then.
+// TestWriteAfterEnd checks that a link that ends between the loop's decision and the write fails its call, and does not
+// crash the process. netpoll has released the link's buffers by then.
 func TestWriteAfterEnd(t *testing.T) {
 	conn := silentConn(t)
 	h := start(t.TempDir(), 100)
 	h.submit("OUT.ADD 00 id c=order,d=20000,dest=1 x")
 	c := h.calls[0]
-	c.done = true // so that the link comes up idle
+	c.done = true // so that the link becomes idle
 	h.connectionUp(c, conn)
 	l := c.endpoint.idle[0]
 	l.conn.Close()
@@ -38,12 +38,12 @@
 		(<-h.s.inbox)()
 	}
 	if m := h.s.pending["id"]; m == nil || m.MayRun {
-		t.Error("what never left is taken for one that may have run")
+		t.Error("a message that was never sent has ended or counts as one that may have run")
 	}
 }
 
-// A process that was stopped hears that a connection is up before its timers fire: a call whose time is over by then must
-// not be sent on it.
+// TestLateConnectionCarriesNothing checks that a call is not sent on a connection that is established after the call's
+// timeout. After a process was stopped, it handles the connection before its timers fire.
 func TestLateConnectionCarriesNothing(t *testing.T) {
 	conn := silentConn(t)
 	h := start(t.TempDir(), 100)
@@ -52,6 +52,6 @@
 	h.clock += 7 * time.Second
 	h.connectionUp(c, conn)
 	if !c.done || c.link != nil {
-		t.Errorf("the call left after its time: over %v", c.done)
+		t.Errorf("call done %v, sent %v, want it done and not sent after its timeout", c.done, c.link != nil)
 	}
 }
--- a/internal/sender/link_harness_test.go
+++ b/internal/sender/link_harness_test.go
@@ -14,17 +14,19 @@
 	"flaxcove/choice"
 )
 
-// What the tests of single connections share: an endpoint that a test speaks for, byte by byte.
+// This file holds helpers for tests of single connections, in which the test writes the endpoint's bytes itself.
 
-const connTestTimeout = 5 * time.Second // more than any step of these tests takes
+// connTestTimeout limits each step of these tests. It is longer than any step takes.
+const connTestTimeout = 5 * time.Second
 
-// keyed is a settings object whose first class may be repeated for a second after its first call.
+// idempotencyKeySettings returns a settings object whose first class may be repeated for a second after its first call.
 func idempotencyKeySettings() string {
 	text := strings.Replace(twoClassSettings, `"idempotency":"pure"`, `"idempotency":"token","repeatWindow":1000000000`, 1)
 	return strings.Replace(text, "%d", "100", 1)
 }
 
-// connPair is a connection as the sender dials it, and its endpoint's side. A narrow one holds a few kilobytes on its way.
+// connPair returns a connection as the sender dials it, and the endpoint's side of it. A narrow connection has small socket
+// buffers, which hold a few kilobytes in transit.
 func connPair(t *testing.T, narrow bool) (netpoll.Connection, *net.TCPConn) {
 	t.Helper()
 	lc := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) (err error) {
@@ -56,7 +58,7 @@
 	return conn, peer.(*net.TCPConn)
 }
 
-// idleLink brings up a link that idles at an endpoint.
+// idleLink adds conn to an endpoint's idle links and returns the link.
 func (h *harness) idleLink(t *testing.T, to choice.EndpointID, conn netpoll.Connection) *link {
 	t.Helper()
 	c := &call{endpoint: h.s.endpoints[to], beganAt: h.s.Now(), timeout: choice.Second, probe: true}
@@ -65,44 +67,44 @@
 	c.done = true
 	h.connectionUp(c, conn)
 	if len(c.endpoint.idle) != 1 {
-		t.Fatalf("%d idle links", len(c.endpoint.idle))
+		t.Fatalf("%d idle links, want 1", len(c.endpoint.idle))
 	}
 	return c.endpoint.idle[0]
 }
 
-// runUntil does what is posted until something holds.
-func (h *harness) runUntil(t *testing.T, what string, holds func() bool) {
+// runUntil handles posted events until condition holds. description names the condition in the failure.
+func (h *harness) runUntil(t *testing.T, description string, condition func() bool) {
 	t.Helper()
-	for late := time.After(connTestTimeout); !holds(); {
+	for timeout := time.After(connTestTimeout); !condition(); {
 		select {
 		case f := <-h.s.inbox:
 			f()
-		case <-late:
-			t.Fatalf("it did not come to pass: %s", what)
+		case <-timeout:
+			t.Fatalf("timed out after %v waiting until %s", connTestTimeout, description)
 		}
 	}
 }
 
-// readUntilSuffix reads a whole request head and body, which ends as the last byte of body has come.
-func readUntilSuffix(t *testing.T, peer net.Conn, last string) string {
+// readUntilSuffix reads a request until it ends with suffix, which is the end of its body, and returns it.
+func readUntilSuffix(t *testing.T, peer net.Conn, suffix string) string {
 	t.Helper()
 	var all []byte
-	for piece := make([]byte, 65536); !strings.HasSuffix(string(all), last); {
+	for piece := make([]byte, 65536); !strings.HasSuffix(string(all), suffix); {
 		n, err := peer.Read(piece)
 		if all = append(all, piece[:n]...); err != nil {
-			t.Fatalf("after %q: %v", all, err)
+			t.Fatalf("reading the request failed after %q: %v", all, err)
 		}
 	}
 	return string(all)
 }
 
-// readToEnd reads to the end of a connection, however it ends.
+// readToEnd reads until the connection is closed or reset, and returns the bytes read.
 func readToEnd(peer net.Conn) string {
 	text, _ := io.ReadAll(peer)
 	return string(text)
 }
 
-// resetConn ends a connection without a word.
+// resetConn closes a connection with a reset.
 func resetConn(peer *net.TCPConn) {
 	peer.SetLinger(0)
 	peer.Close()
--- a/internal/sender/no_delay_test.go
+++ b/internal/sender/no_delay_test.go
@@ -13,16 +13,16 @@
 	"flaxcove/internal/directory"
 )
 
-// inetPort is the port of an IPv4 socket's address, 0 for any other.
+// inetPort returns the port of an IPv4 socket's address, or 0 for any other address.
 func inetPort(addr syscall.Sockaddr, err error) int {
-	if inet, is := addr.(*syscall.SockaddrInet4); is && err == nil {
+	if inet, ok := addr.(*syscall.SockaddrInet4); ok && err == nil {
 		return inet.Port
 	}
 	return 0
 }
 
-// No socket delays small writes (Nagle): neither accepted ones, nor those to discovery, endpoints and the platform. What the
-// system delays is lost with a connection that is reset.
+// TestNoDelay checks that no socket delays small writes (Nagle's algorithm): neither accepted connections, nor those to
+// discovery, endpoints and the platform. Bytes that the system delays are lost when the connection is reset.
 func TestNoDelay(t *testing.T) {
 	p := &fakePartner{}
 	p.up.Store(true)
@@ -38,13 +38,13 @@
 		conn.Write(outAdd("0", id, list, ""))
 		mustRead(t, conn, "+OK\r\n")
 	}
-	waitUntil(t, "one is delivered, and the other's end told", func() bool { return p.inbox.Load() > 0 && p.outcome.Load() > 0 })
-	off := func(fd int) bool {
+	waitUntil(t, "one message is delivered, and the other's ending reported", func() bool { return p.inbox.Load() > 0 && p.outcome.Load() > 0 })
+	delaysWrites := func(fd int) bool {
 		on, err := syscall.GetsockoptInt(fd, syscall.IPPROTO_TCP, syscall.TCP_NODELAY)
 		return err != nil || on == 0
 	}
-	if off(clientOf(t, s, conn).conn.(netpoll.Conn).Fd()) {
-		t.Error("an accepted connection may hold writes back")
+	if delaysWrites(clientOf(t, s, conn).conn.(netpoll.Conn).Fd()) {
+		t.Error("an accepted connection may delay writes")
 	}
 	port, found := p.Listener.Addr().(*net.TCPAddr).Port, 0
 	files, _ := os.ReadDir("/proc/self/fd")
@@ -54,12 +54,12 @@
 			continue
 		}
 		found++
-		if off(fd) {
-			t.Error("a connection of ours may hold writes back")
+		if delaysWrites(fd) {
+			t.Error("a connection that the sender opened may delay writes")
 		}
 	}
 	if found < 3 {
-		t.Errorf("%d connections to discovery, an endpoint and the platform", found)
+		t.Errorf("%d connections to discovery, an endpoint and the platform, want at least 3", found)
 	}
 	conn.Close()
 	s.Drain()
--- a/internal/sender/outcome_reporter_test.go
+++ b/internal/sender/outcome_reporter_test.go
@@ -12,13 +12,13 @@
 	"flaxcove/internal/config"
 )
 
-// fakePlatform collects outcomes, but never answers on the first connection that it gets.
+// fakePlatform collects outcomes, but never answers on its first connection.
 type fakePlatform struct {
 	sync.Mutex
-	first    string // the address that the first connection came from
-	outcomes map[string]string
-	want     int
-	complete chan struct{} // closed when the wanted number of outcomes has come
+	first    string            // remote address of the first connection
+	outcomes map[string]string // by message id
+	want     int               // number of outcomes expected
+	complete chan struct{}     // closed when the expected number of outcomes has arrived
 }
 
 func (p *fakePlatform) ServeHTTP(out http.ResponseWriter, r *http.Request) {
@@ -26,7 +26,7 @@
 		<-r.Context().Done()
 		return
 	}
-	body, _ := io.ReadAll(r.Body) // before it waits: else the server does not see the connection's end
+	body, _ := io.ReadAll(r.Body) // first, as the server detects the connection's end only after the body is read
 	if p.isFirst(r.RemoteAddr) {
 		<-r.Context().Done()
 		return
@@ -41,6 +41,7 @@
 	out.WriteHeader(http.StatusNoContent)
 }
 
+// isFirst reports whether addr is the remote address of the first connection.
 func (p *fakePlatform) isFirst(addr string) bool {
 	p.Lock()
 	defer p.Unlock()
@@ -50,14 +51,15 @@
 	return p.first == addr
 }
 
-func (p *fakePlatform) outcome(id string, no int) string {
+// outcome returns the outcome of the message with an id of prefix and number; "" for none.
+func (p *fakePlatform) outcome(prefix string, number int) string {
 	p.Lock()
 	defer p.Unlock()
-	return p.outcomes[fmt.Sprint(id, no)]
+	return p.outcomes[fmt.Sprint(prefix, number)]
 }
 
-// writeEndings writes the journal of a process with endings to be reported, messages whose time is over, and messages that
-// may have run, so many of each.
+// writeEndings writes the journal of a process with endings to be reported, messages past their deadline, and messages that
+// may have run, each of them as many times as each says.
 func writeEndings(t *testing.T, dir string, each int) {
 	t.Helper()
 	now := config.RoundDown(time.Now().UnixNano())
@@ -67,14 +69,15 @@
 		m.ending = ending{kind: []endKind{endFailed, endShed}[i%2], retryMS: 50}
 		records = append(records, m.acceptedRecord(), endRecord(m.ID, m.ending))
 		records = append(records, acceptedMessage(fmt.Sprint("late", i), "0", "pure", 1, now-9*second, 8*second).acceptedRecord())
-		out := acceptedMessage(fmt.Sprint("out", i), "0", "single", 1, now-second, 8*second)
-		records = append(records, out.acceptedRecord(), attemptRecord(out.ID, now-second, 0, "z"))
+		attempted := acceptedMessage(fmt.Sprint("out", i), "0", "single", 1, now-second, 8*second)
+		records = append(records, attempted.acceptedRecord(), attemptRecord(attempted.ID, now-second, 0, "z"))
 	}
 	writeJournal(t, dir, records...)
 }
 
-// Endings that an earlier process had to report, and those of messages whose time was over by the start, are with the
-// platform soon after it, also where its first connection is never answered; and a third process has none to report.
+// TestEndingsAfterRestart checks that the endings that an earlier process had to report, and those of messages whose
+// deadline passed before the start, reach the platform soon after the start, even if the platform never answers on the
+// first connection. The next process has none to report.
 func TestEndingsAfterRestart(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
@@ -92,19 +95,19 @@
 	select {
 	case <-platform.complete:
 	case <-time.After(20 * time.Second):
-		t.Error("not all are reported after 20 s")
+		t.Error("not all endings are reported after 20 s")
 	}
-	t.Logf("ready after %v, all reported %v later", ready.Sub(began).Round(time.Millisecond), time.Since(ready).Round(time.Millisecond))
+	t.Logf("ready after %v, all endings reported %v later", ready.Sub(began).Round(time.Millisecond), time.Since(ready).Round(time.Millisecond))
 	for i := range each {
-		ended, late, out := platform.outcome("ended", i), platform.outcome("late", i), platform.outcome("out", i)
-		if ended != []string{"given_up", "handed_back"}[i%2] || late != "handed_back" || out != "given_up" {
-			t.Fatalf("%d: ended %q, late %q, out %q", i, ended, late, out)
+		ended, late, attempted := platform.outcome("ended", i), platform.outcome("late", i), platform.outcome("out", i)
+		if ended != []string{"given_up", "handed_back"}[i%2] || late != "handed_back" || attempted != "given_up" {
+			t.Fatalf("message %d: outcome if ended %q, if past its deadline %q, if attempted %q", i, ended, late, attempted)
 		}
 	}
 	conn.Close()
 	s.Drain()
 	<-done
-	if again := startAt(cfg, time.Minute); len(again.s.pending) > 0 || len(again.s.endings) > 0 {
-		t.Errorf("the next process has %d messages and %d endings", len(again.s.pending), len(again.s.endings))
+	if next := startAt(cfg, time.Minute); len(next.s.pending) > 0 || len(next.s.endings) > 0 {
+		t.Errorf("the next process has %d messages and %d endings, want none", len(next.s.pending), len(next.s.endings))
 	}
 }
--- a/internal/sender/outcomes_test.go
+++ b/internal/sender/outcomes_test.go
@@ -9,7 +9,8 @@
 	"flaxcove/choice"
 )
 
-// A load report counts where it is complete and plausible; half of one would say that there is no limit.
+// A load report counts if it is complete and plausible. A report without one of its fields would be read as one without a
+// limit.
 func Example_reports() {
 	for _, text := range []string{"x0=0.4,x1=25", "x1=0, x0=1", "x0=0.4", "x0=0.4,x1=", "x0=7,x1=25", "x0=0.4,x1=-1", "x0=NaN,x1=1", ";;\xff"} {
 		a := answer{}
@@ -27,9 +28,9 @@
 	// ";;\xff" {Known:false Left:0 Limit:0}
 }
 
-// A 503 after which the endpoint closes a new link means that it had no capacity for the link, and its messages are attempted
-// again; a rejection by a limit, on a link that stays open, pauses the route.
-func Example_fullTable() {
+// A 503 after which the endpoint closes a new link means that it had no capacity for the link, and the message is attempted
+// again. A rejection by a limit, on a link that stays open, pauses the route.
+func Example_noCapacityForLink() {
 	for _, head := range []string{"Connection: close\n", ""} {
 		h := start("", 100)
 		for _, id := range []string{"s1", "s2"} {
@@ -63,7 +64,7 @@
 	//    s2
 }
 
-// How the call of a non-idempotent message ended decides whether it may be sent again.
+// The end of the call of a non-idempotent message decides whether the message may be sent again.
 func Example_outcomes() {
 	for _, text := range []string{answerOK, answerError, answerFull, "HTTP/1.1 503 Full\nContent-Length: 0\n\n", "HTTP/1.1 503 Full\nX-No-Slot: 1\nContent-Length: 0\n\n",
 		"HTTP/1.1 410 Gone\nContent-Length: 0\n\n", "HTTP/1.1 504 Out\nContent-Length: 0\n\n", "HTTP/1.1 200 OK\nContent-", "HTTP/1.1 429 Wait\nCont", "HTTP/1.", "", lastByteUnsent, "nonsense\n"} {
@@ -93,7 +94,7 @@
 	// "nonsense\n"         may have run: true  owed: false
 }
 
-// When a list drops or moves an endpoint, its connections are closed; entries that cannot be read are left out.
+// A list update removes an endpoint and adds another one; its unreadable entry is ignored.
 func Example_list() {
 	h := start("", 100)
 	h.updateList(`{"version":2,"full":false,"servers":[{"id":"a","addr":"","cell":1,"state":"removed"},{"id":"b","cell":2,"state":"odd"},
@@ -108,7 +109,7 @@
 	// 3 true
 }
 
-// FuzzEndpoint: whatever an endpoint says to a bulk call, each message has one outcome and none is lost.
+// FuzzEndpoint checks that after any answer to a bulk call each message has one outcome and none stays in flight.
 func FuzzEndpoint(f *testing.F) {
 	f.Add(answerOK)
 	f.Add("HTTP/1.1 200 OK\nRetry-After: 1e9\nX-Load: x0=NaN,x1=-1,=,\nContent-Length: 29\n\n" + `[{"id":"s1","state":"later"}]`)
@@ -121,9 +122,9 @@
 		}
 		h.s.turn()
 		h.endpointAnswers(text)
-		for _, n := range []choice.MessageID{"s1", "s2"} {
-			if m := h.s.pending[n]; m != nil && m.inFlight != nil {
-				t.Fatalf("%s: still out", m.ID)
+		for _, id := range []choice.MessageID{"s1", "s2"} {
+			if m := h.s.pending[id]; m != nil && m.inFlight != nil {
+				t.Fatalf("%s: still in flight after the answer", m.ID)
 			}
 		}
 	})
--- a/internal/sender/ready_test.go
+++ b/internal/sender/ready_test.go
@@ -17,68 +17,69 @@
 	"flaxcove/internal/journal"
 )
 
-// readyWithin is the bound of the test: nine in ten have 10 s, and the machine may be a busy one.
+// readyWithin is the time within which each start of the test must be ready. The target is 10 s for nine in ten starts; the
+// machine that runs the test may be busy.
 const readyWithin = 10 * time.Second
 
-// writeFullJournal writes a journal as full as a process lets it get: what it owes, each with its call out if so, and what has
-// ended before that. It returns how many are pending.
-func writeFullJournal(t *testing.T, dir string, limit int64, body int, make func(i int) *message, out bool) (owed int) {
+// writeFullJournal writes a journal as full as a process lets it become, with messages that have ended and messages that
+// are pending. With inFlight each pending message has an attempt on record. It returns the number of pending messages.
+func writeFullJournal(t *testing.T, dir string, limit int64, bodySize int, make func(i int) *message, inFlight bool) (pending int) {
 	t.Helper()
 	j, _, err := journal.Open(dir, limit, func([]byte) {})
 	if err != nil {
 		t.Fatal(err)
 	}
-	text := []byte(strings.Repeat("x", body))
-	share := func(part float64) int64 { return int64(part * float64(limit)) }
+	body := []byte(strings.Repeat("x", bodySize))
+	share := func(fraction float64) int64 { return int64(fraction * float64(limit)) }
 	for i := 0; j.Size() < share(rewriteThreshold-maxLiveShare); i++ {
 		m := make(-1 - i)
-		m.body = text
+		m.body = body
 		j.Add(m.acceptedRecord())
 		j.Add(idRecord(recClosed, m.ID))
 	}
-	for live := int64(0); live < share(maxLiveShare) && j.Size() < share(rewriteThreshold); owed++ {
-		m := make(owed)
-		m.body = text
+	for live := int64(0); live < share(maxLiveShare) && j.Size() < share(rewriteThreshold); pending++ {
+		m := make(pending)
+		m.body = body
 		j.Add(m.acceptedRecord())
-		if live += journal.Framed(len(m.acceptedRecord())) + laterRecordBytes; out {
+		if live += journal.Framed(len(m.acceptedRecord())) + laterRecordBytes; inFlight {
 			j.Add(attemptRecord(m.ID, m.acceptedAt, 0, "z"))
 		}
 	}
 	if err := j.Close(); err != nil {
 		t.Fatal(err)
 	}
-	return owed
+	return pending
 }
 
-// readyCase is what a process finds at its start.
+// readyCase describes the state folder and the discovery that a process finds at its start.
 type readyCase struct {
-	name   string
-	disk   float64 // megabytes
-	body   int
-	make   func(i int) *message
-	out    bool // each pending message has a call in flight
-	list   directory.List
-	torn   bool // the journal ends in the middle of a record
-	silent bool // discovery never answers
+	name     string
+	disk     float64              // size limit of the journal in megabytes
+	bodySize int                  // bytes of a message's body
+	make     func(i int) *message // makes the message with number i; nil for an empty journal
+	inFlight bool                 // each pending message has an attempt on record
+	list     directory.List       // list of the configuration
+	torn     bool                 // the journal ends in the middle of a record
+	silent   bool                 // discovery never answers
 }
 
-// A process answers PING in time, whatever its folder holds and whatever discovery does.
+// TestReady checks that a process answers PING in time whatever its state folder holds and whatever discovery does.
 func TestReady(t *testing.T) {
 	if testing.Short() {
-		t.Skip("it fills journals")
+		t.Skip("fills journals up to their size limit")
 	}
 	for _, c := range []readyCase{
-		{name: "nothing"},
+		{name: "empty folder"},
 		{name: "smallest", disk: 8, make: messagesOf("pure", "0", 1, second)},
 		{name: "smallest on a large disk", disk: 64, make: messagesOf("pure", "0", 1, second)},
-		{name: "largest", disk: 64, body: 64 << 10, make: messagesOf("pure", "0", 1, second)},
-		{name: "all out", disk: 64, make: messagesOf("single", "%x", 1, second), out: true},
+		{name: "largest", disk: 64, bodySize: 64 << 10, make: messagesOf("pure", "0", 1, second)},
+		{name: "all in flight", disk: 64, make: messagesOf("single", "%x", 1, second), inFlight: true},
 		{name: "one key", disk: 64, make: messagesOf("line", "5", 1, second)},
-		{name: "one key, all out", disk: 64, make: messagesOf("line", "5", 1, second), out: true},
-		{name: "all too late", disk: 64, make: messagesOf("token", "0", 1, 3601*second)},
-		{name: "nobody there", disk: 64, make: messagesOf("token", "0", 77, second)},
+		{name: "one key, all in flight", disk: 64, make: messagesOf("line", "5", 1, second), inFlight: true},
+		{name: "all past their deadline", disk: 64, make: messagesOf("token", "0", 1, 3601*second)},
+		{name: "no endpoint", disk: 64, make: messagesOf("token", "0", 77, second)},
 		{name: "torn", disk: 8, make: messagesOf("pure", "0", 1, second), torn: true},
-		{name: "silent agent", disk: 8, make: messagesOf("pure", "0", 1, second), silent: true},
+		{name: "silent discovery", disk: 8, make: messagesOf("pure", "0", 1, second), silent: true},
 		{name: "10000 endpoints of one destination", disk: 8, make: messagesOf("pure", "0", 1, second), list: tenThousand(false)},
 		{name: "10000 destinations", disk: 8, make: messagesOf("pure", "0", 1, second), list: tenThousand(true), silent: true},
 	} {
@@ -86,7 +87,8 @@
 	}
 }
 
-// messagesOf makes messages of a class that were accepted some time ago; key may hold a verb for their number.
+// messagesOf returns a function that makes messages of a class that were accepted the time ago earlier. key may contain a
+// formatting verb for the message's number.
 func messagesOf(class, key string, dest choice.DestinationID, ago choice.Time) func(i int) *message {
 	return func(i int) *message {
 		now := config.RoundDown(time.Now().UnixNano())
@@ -94,26 +96,26 @@
 	}
 }
 
-// tenThousand is a list of as many endpoints, of one destination or of one each.
-func tenThousand(apart bool) directory.List {
+// tenThousand returns a full list of 10,000 endpoints, which serve one destination together or one each.
+func tenThousand(separate bool) directory.List {
 	l := directory.List{Version: 5, Full: true}
 	for i := range 10000 {
 		l.Entries = append(l.Entries, directory.Entry{ID: fmt.Sprint("e", i), Addr: "127.0.0.1:1", Zone: "z", Kind: "one", State: "up", Weight: 1})
-		if apart {
+		if separate {
 			l.Entries[i].Destination = float64(i)
 		}
 	}
 	return l
 }
 
-// prepare fills the state folder, and makes a configuration for it. It returns how many messages are pending.
+// prepare fills a state folder, and returns a configuration for it and the number of pending messages.
 func (c *readyCase) prepare(t *testing.T) (cfg *config.Config, pending int) {
 	t.Helper()
 	dir := t.TempDir()
 	cfg = fourClassConfig(dir, 0)
-	cfg.Limits.DiskMB, cfg.Listen, cfg.Discovery = max(1, c.disk), "127.0.0.1:0", "127.0.0.1:1" // refused
+	cfg.Limits.DiskMB, cfg.Listen, cfg.Discovery = max(1, c.disk), "127.0.0.1:0", "127.0.0.1:1" // refuses connections
 	if c.make != nil {
-		pending = writeFullJournal(t, dir, int64(c.disk*1e6), c.body, c.make, c.out)
+		pending = writeFullJournal(t, dir, int64(c.disk*1e6), c.bodySize, c.make, c.inFlight)
 	}
 	if c.torn {
 		file, err := os.OpenFile(filepath.Join(dir, "notices.log"), os.O_APPEND|os.O_WRONLY, 0)
@@ -137,6 +139,7 @@
 	return cfg, pending
 }
 
+// run starts a sender and measures the time until it answers PING.
 func (c readyCase) run(t *testing.T) {
 	cfg, pending := c.prepare(t)
 	began := time.Now()
@@ -147,12 +150,12 @@
 	_, err := io.ReadFull(conn, answer[:])
 	took := time.Since(began)
 	if err != nil || string(answer[:]) != pongText || took > readyWithin {
-		t.Errorf("%q %v after %v", answer, err, took)
+		t.Errorf("reply to PING %q, error %v, after %v; want it within %v", answer, err, took, readyWithin)
 	}
 	if s.counts.replayed != int64(pending) {
-		t.Errorf("%d owed, %d found", pending, s.counts.replayed)
+		t.Errorf("%d messages pending, %d replayed", pending, s.counts.replayed)
 	}
-	t.Logf("%d owed, ready after %v", pending, took.Round(time.Millisecond))
+	t.Logf("%d messages pending, ready after %v", pending, took.Round(time.Millisecond))
 	conn.Close()
 	s.post(func() { s.ended = true })
 	<-done
--- a/internal/sender/send_test.go
+++ b/internal/sender/send_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// holdWrites blocks writes on a link until it is released, or the test ends.
+// holdWrites blocks writes on a link until release is called or the test ends.
 func holdWrites(t *testing.T, l *link) (release func()) {
 	l.bufferLock.Lock()
 	release = sync.OnceFunc(l.bufferLock.Unlock)
@@ -15,14 +15,15 @@
 	return release
 }
 
-// Bytes that come on an idle link while a call is about to be sent on it are not taken for the call's answer, and a call whose
-// link ends then does not count as one that may have run, as no byte of it was sent.
+// TestInputOnIdleLink checks that bytes that arrive on an idle link while a call is about to be sent on it are not taken
+// for the call's answer. If the link ends at that moment, the call does not count as one that may have run, as no byte of
+// it was sent.
 func TestInputOnIdleLink(t *testing.T) {
-	for _, of := range []struct {
+	for _, tc := range []struct {
 		name  string
-		comes func(peer interface{ Write([]byte) (int, error) }, end func())
+		event func(peer interface{ Write([]byte) (int, error) }, end func())
 	}{
-		{"answer unasked for", func(peer interface{ Write([]byte) (int, error) }, _ func()) {
+		{"unsolicited answer", func(peer interface{ Write([]byte) (int, error) }, _ func()) {
 			peer.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
 		}},
 		{"half a line", func(peer interface{ Write([]byte) (int, error) }, _ func()) { peer.Write([]byte("HTT")) }},
@@ -31,36 +32,36 @@
 		conn, peer := connPair(t, false)
 		h := start(t.TempDir(), 100)
 		l := h.idleLink(t, "a", conn)
-		release := holdWrites(t, l) // the call waits here, after the link was found to be idle
+		release := holdWrites(t, l) // the call waits for its write, after the link was found to be idle
 		h.submit("OUT.ADD 00 id c=order,d=20000,dest=1 xyz")
 		c := l.call
 		if c == nil {
 			t.Fatal("no call on the link")
 		}
-		of.comes(peer, func() { peer.Close() })
+		tc.event(peer, func() { peer.Close() })
 		for end := time.Now().Add(connTestTimeout); conn.Reader().Len() == 0 && !l.badInput.Load() && conn.IsActive() && time.Now().Before(end); {
 			time.Sleep(time.Millisecond)
 		}
 		release()
-		h.runUntil(t, of.name+": the call ends", func() bool { return c.done && !l.writing })
+		h.runUntil(t, tc.name+": the call ends", func() bool { return c.done && !l.writing })
 		if m := h.s.pending["id"]; m == nil || m.MayRun {
-			t.Errorf("%s: delivered %v, though no byte has left", of.name, m == nil)
+			t.Errorf("%s: message ended %v or may have run, though no byte was sent", tc.name, m == nil)
 		}
 		peer.CloseWrite()
 		if text := readToEnd(peer); text != "" {
-			t.Errorf("%s: heard %q", of.name, text)
+			t.Errorf("%s: the endpoint received %q", tc.name, text)
 		}
 	}
 }
 
-// No call is sent on a link on which something has come, whether it is in the socket's buffers, or was read and found to be
-// unsolicited and the link's end is yet to come.
-func TestExpectAnswerSeesWhatCame(t *testing.T) {
+// TestExpectAnswerAfterInput checks that no call is sent on a link with unsolicited input, whether the input is still in
+// the buffers, or was already read and the link is about to be closed for it.
+func TestExpectAnswerAfterInput(t *testing.T) {
 	conn, peer := connPair(t, false) // read by the test alone
 	conn.SetReadTimeout(connTestTimeout)
 	l := &link{conn: conn}
 	if !l.expectAnswer() {
-		t.Error("a quiet link takes no call")
+		t.Error("a call may not be sent on a link without input")
 	}
 	l.awaitingAnswer.Store(false)
 	peer.Write([]byte("HTTP"))
@@ -68,21 +69,21 @@
 		t.Fatal(err)
 	}
 	if l.expectAnswer() {
-		t.Error("a call leaves behind bytes that nobody asked for")
+		t.Error("a call may be sent after unsolicited input")
 	}
 	if _, err := l.read(conn); err == nil {
-		t.Error("bytes that nobody asked for are taken")
+		t.Error("reading unsolicited input returned no error")
 	}
 	if l.expectAnswer() {
-		t.Error("a call leaves between the bytes that nobody asked for and the end of their link")
+		t.Error("a call may be sent between unsolicited input and the close of its link")
 	}
 }
 
-// submitWithOneReset submits messages whose first call is reset, and lets the time of the next attempt come while the gate
-// holds all attempts back.
+// submitWithOneReset submits messages whose first call ends with a partial answer, and lets the time of their next attempt
+// come while no attempts are allowed.
 func submitWithOneReset(t *testing.T, h *harness, commands ...string) {
 	t.Helper()
-	for _, dest := range []string{"1", "2"} { // so that its endpoint does not count as out for one spoilt answer
+	for _, dest := range []string{"1", "2"} { // so that one unreadable answer does not eject the endpoint
 		h.submit("OUT.ADD 00 before" + dest + " c=order,d=20000,dest=" + dest + " x").endpointAnswers(answerOK)
 	}
 	h.submit(commands...)
@@ -92,13 +93,13 @@
 	h.s.gated = false
 	for id, m := range h.s.pending {
 		if !m.MayRun || m.ending.kind != endNone {
-			t.Fatalf("%s: may run %v, ends %v", id, m.MayRun, m.ending.kind)
+			t.Fatalf("%s: may have run %v, want true; ending %v, want none", id, m.MayRun, m.ending.kind)
 		}
 	}
 }
 
-// The window for repeats may end between the last check of the link and the write, as where the process was stopped. No byte
-// of the repeat is sent then.
+// TestWindowEndsBeforeWrite checks that no byte of a repeat is sent if the repeat window ends between the last check of the
+// link and the write, as happens when the process is stopped in between.
 func TestWindowEndsBeforeWrite(t *testing.T) {
 	conn, peer := connPair(t, false)
 	h := startWith(testConfigWith(t.TempDir(), idempotencyKeySettings(), twoEndpointList))
@@ -108,19 +109,20 @@
 	h.advance(5 * time.Millisecond)
 	c := l.call
 	if c == nil {
-		t.Fatal("no repeat")
+		t.Fatal("the message was not repeated")
 	}
 	h.clock += time.Second
 	release()
-	h.runUntil(t, "the repeat is held back", func() bool { return c.done && !l.writing })
+	h.runUntil(t, "the repeat ends unsent", func() bool { return c.done && !l.writing })
 	peer.CloseWrite()
 	if text := readToEnd(peer); text != "" {
-		t.Errorf("left outside of its window: %q", text)
+		t.Errorf("sent after the repeat window: %q", text)
 	}
 }
 
-// Of a bulk call whose connection comes up late, only messages that are out of their window are not sent.
-func TestWindowInBundle(t *testing.T) {
+// TestWindowInBulkCall checks that a bulk call whose connection is established late is sent without the messages whose
+// repeat window is over, and with all others.
+func TestWindowInBulkCall(t *testing.T) {
 	conn, peer := connPair(t, false)
 	settings := strings.Replace(idempotencyKeySettings(), `"side_effect"`, `"pure"`, 1)
 	h := startWith(testConfigWith(t.TempDir(), settings, twoEndpointList))
@@ -128,20 +130,21 @@
 	h.advance(5 * time.Millisecond)
 	c := h.calls[0]
 	if len(c.messages) != 2 {
-		t.Fatalf("%d messages in the bundle", len(c.messages))
+		t.Fatalf("%d messages in the bulk call, want 2", len(c.messages))
 	}
 	h.clock += time.Second
 	h.connectionUp(c, conn)
 	if c.done {
-		t.Fatal("none of the bundle left")
+		t.Fatal("the bulk call was not sent at all")
 	}
 	text := readUntilSuffix(t, peer, "x")
 	if strings.Contains(text, "short") || !strings.Contains(text, "order") {
-		t.Errorf("heard %q", text)
+		t.Errorf("the endpoint received %q, want message order alone", text)
 	}
 }
 
-// The window may end while a call is half written, to an endpoint that reads slowly: its last byte is not sent.
+// TestWindowEndsInWrite checks that the last byte of a repeat is not sent if the repeat window ends while the repeat is
+// being written to an endpoint that reads slowly.
 func TestWindowEndsInWrite(t *testing.T) {
 	conn, peer := connPair(t, true)
 	h := startWith(testConfigWith(t.TempDir(), idempotencyKeySettings(), twoEndpointList))
@@ -151,15 +154,15 @@
 	h.advance(5 * time.Millisecond)
 	c := l.call
 	if c == nil {
-		t.Fatal("no repeat")
+		t.Fatal("the message was not repeated")
 	}
-	heardSome := make([]byte, 1)
-	peer.Read(heardSome) // some of it has left
+	firstByte := make([]byte, 1)
+	peer.Read(firstByte) // a part of the request was sent
 	l.bufferLock.Lock()
 	h.clock += time.Second
 	l.bufferLock.Unlock()
 	h.runUntil(t, "the repeat ends", func() bool { return c.done && !l.writing })
 	if strings.Count(readToEnd(peer), "x") >= len(body) {
-		t.Error("the last byte left outside of the window")
+		t.Error("the last byte was sent after the repeat window")
 	}
 }
--- a/internal/sender/sockets_test.go
+++ b/internal/sender/sockets_test.go
@@ -19,12 +19,13 @@
 	"flaxcove/internal/config"
 )
 
-// fakeServer stands in for discovery, endpoints and the platform, and keeps what it received for each message.
+// fakeServer serves as discovery, as all endpoints and as the platform. It records what it receives for each message.
 type fakeServer struct {
 	sync.Mutex
-	received map[string][]string
+	received map[string][]string // bodies and reported outcomes, by message id
 }
 
+// startFakeServer starts a fakeServer for the duration of the test.
 func startFakeServer(t *testing.T) (w *fakeServer, addr string) {
 	t.Helper()
 	w = &fakeServer{received: map[string][]string{}}
@@ -33,25 +34,28 @@
 	return w, server.Listener.Addr().String()
 }
 
-// record adds what was received for a message, or what became of it.
-func (w *fakeServer) record(id, what string) {
+// record adds a body received for a message, or its outcome.
+func (w *fakeServer) record(id, text string) {
 	w.Lock()
 	defer w.Unlock()
-	w.received[id] = append(w.received[id], what)
+	w.received[id] = append(w.received[id], text)
 }
 
+// receivedFor returns all bodies and outcomes of a message, separated by ", ".
 func (w *fakeServer) receivedFor(id string) string {
 	w.Lock()
 	defer w.Unlock()
 	return strings.Join(w.received[id], ", ")
 }
 
+// count returns the number of bodies and outcomes of a message.
 func (w *fakeServer) count(id string) int {
 	w.Lock()
 	defer w.Unlock()
 	return len(w.received[id])
 }
 
+// ServeHTTP answers a message with its own body, as raw bytes on the connection.
 func (w *fakeServer) ServeHTTP(out http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	switch r.URL.Path {
@@ -73,12 +77,12 @@
 		defer conn.Close()
 		conn.Write(body)
 		if strings.HasPrefix(id, "slow") || strings.HasPrefix(id, "open") {
-			conn.(*net.TCPConn).Read(make([]byte, 1)) // until the sender ends it
+			conn.(*net.TCPConn).Read(make([]byte, 1)) // until the sender closes the connection
 		}
 	}
 }
 
-// startRunning starts a sender on sockets. done is closed when it has ended.
+// startRunning starts a sender on sockets and runs its loop. done is closed when the sender has ended.
 func startRunning(t testing.TB, cfg *config.Config) (s *Sender, done <-chan struct{}) {
 	t.Helper()
 	s, err := Start(cfg, zap.NewNop())
@@ -88,17 +92,17 @@
 	return s, run(s)
 }
 
-// run runs the loop of a sender in a goroutine.
+// run runs the loop of a sender in a goroutine. done is closed when the loop has ended.
 func run(s *Sender) (done <-chan struct{}) {
-	over := make(chan struct{})
+	ended := make(chan struct{})
 	go func() {
 		s.Run()
-		close(over)
+		close(ended)
 	}()
-	return over
+	return ended
 }
 
-// startServing starts a sender on sockets and connects a client.
+// startServing starts a sender on sockets, runs its loop, and connects a client.
 func startServing(t *testing.T, cfg *config.Config) (s *Sender, conn net.Conn, done <-chan struct{}) {
 	t.Helper()
 	s, done = startRunning(t, cfg)
@@ -109,8 +113,9 @@
 	return s, conn, done
 }
 
-// Over real sockets, each message ends as its endpoint's answer says, wherever the connection then breaks; a broken
-// command is answered once and its client closed; and a graceful shutdown leaves nothing pending.
+// TestSockets checks, over real sockets, that each message ends as its endpoint's answer says, wherever the connection
+// breaks afterwards, that an invalid command is answered once and closes the client's connection, and that a graceful
+// shutdown leaves no message pending.
 func TestSockets(t *testing.T) {
 	w, addr := startFakeServer(t)
 	answers := []struct{ id, body, ends string }{
@@ -141,11 +146,11 @@
 	s, conn, done := startServing(t, cfg)
 	in := bufio.NewReader(conn)
 	for i, a := range answers {
-		hold := "20000"
+		deadline := "20000"
 		if a.id == "slow" {
-			hold = "1500"
+			deadline = "1500"
 		}
-		text := outAdd("0", a.id, fmt.Sprintf("c=order,d=%s,dest=%d", hold, i), a.body)
+		text := outAdd("0", a.id, fmt.Sprintf("c=order,d=%s,dest=%d", deadline, i), a.body)
 		conn.Write(text[:20])
 		time.Sleep(time.Millisecond)
 		conn.Write(text[20:])
@@ -168,19 +173,19 @@
 	io.WriteString(conn, "*1\r\n$4\r\nPING\r\nnonsense\r\n*1\r\n$4\r\nPING\r\n")
 	rest, _ := io.ReadAll(in)
 	if got := string(rest); got != "+PONG\r\n-ERR protocol: a command is an array of bulk strings\r\n" {
-		t.Errorf("after a broken command: %q", got)
+		t.Errorf("replies to PING and an invalid command: %q", got)
 	}
 	s.Drain()
 	<-done
 	for _, a := range answers {
 		if got := w.receivedFor(a.id); a.ends == "" && got != a.body {
-			t.Errorf("%s: %q in the end", a.id, got)
+			t.Errorf("%s: %q after the shutdown, want %q", a.id, got, a.body)
 		}
 	}
 	if len(s.pending) != 0 {
-		t.Errorf("%d notices owed at the end", len(s.pending))
+		t.Errorf("%d messages pending after the shutdown, want none", len(s.pending))
 	}
 	if files, _ := os.ReadDir(cfg.StateDir); len(files) != 2 { // the journal, and the learned state
-		t.Errorf("%d files in the state folder", len(files))
+		t.Errorf("%d files in the state folder, want 2", len(files))
 	}
 }
--- a/internal/sender/timers_test.go
+++ b/internal/sender/timers_test.go
@@ -9,19 +9,19 @@
 	"go.uber.org/zap"
 )
 
-// A timer that falls due between two turns must not wake the loop before the next turn may come: it would wake at
-// once, again and again, with nothing that it may do.
+// TestEveryWakeUpLeadsToATurn checks that a timer that is due between two turns does not wake the loop before the next
+// turn. The loop would wake again and again at once, with nothing to do.
 func TestEveryWakeUpLeadsToATurn(t *testing.T) {
-	// On the test's own clock: on the machine's, a turn that a busy one holds up for a millisecond fires two timers.
+	// With the real clock, a turn that is delayed by a millisecond on a busy machine would fire two timers.
 	synctest.Test(t, everyWakeUpLeadsToATurn)
 }
 
 func everyWakeUpLeadsToATurn(t *testing.T) {
 	start := time.Now()
-	asked := 0
+	clockReads := 0
 	var s *Sender
 	s, err := openSender(testConfig(t.TempDir(), 10), zap.NewNop(), start, func() time.Duration {
-		if asked++; asked > 10_000 { // a loop that wakes for nothing stands in one moment of this clock
+		if clockReads++; clockReads > 10_000 { // a loop that wakes without a turn never lets this clock advance
 			s.ended = true
 		}
 		return time.Since(start)
@@ -30,25 +30,26 @@
 		t.Fatal(err)
 	}
 	fired := 0
-	var again func()
-	again = func() {
+	var onTimer func()
+	onTimer = func() {
 		if fired++; fired < 40 {
-			s.after(time.Millisecond, again) // due long before the next turn
+			s.after(time.Millisecond, onTimer) // due long before the next turn
 		} else {
 			s.ended = true
 		}
 	}
-	s.after(time.Millisecond, again)
+	s.after(time.Millisecond, onTimer)
 	s.Run()
 	if s.wakeups > s.turns+1 {
-		t.Errorf("%d wake-ups for %d turns", s.wakeups, s.turns)
+		t.Errorf("%d wake-ups for %d turns, want at most one more than turns", s.wakeups, s.turns)
 	}
 	if s.turns < 40 {
-		t.Errorf("%d turns for 40 timers that each are due after the turn before", s.turns)
+		t.Errorf("%d turns for 40 timers, each set in the previous turn, want at least 40", s.turns)
 	}
 }
 
-// Timers of a call or link are cancelled with its end: memory depends on what is open, not on the rate times the deadline.
+// The timers of a call or link are cancelled when it ends, so that memory grows with the number of open messages, not with
+// their rate times the deadline.
 func Example_cancelTimer() {
 	h := start("", 100)
 	before := len(h.s.timers)
@@ -67,7 +68,7 @@
 	// owed 1 timers more than before 2
 }
 
-// submitQuietly handles a command and ends the turn, and prints nothing.
+// submitQuietly handles a command and ends the turn without printing.
 func (h *harness) submitQuietly(text string) {
 	c := newClient()
 	h.handle(c, text)
--- a/internal/sender/untried_test.go
+++ b/internal/sender/untried_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// A message that an earlier process accepted and never attempted is attempted, whatever the start finds: no destination yet,
-// unknown rates and times, a share that is used up, ordering keys, a backlog that fills all of MaxOpen, and a message that was
-// submitted with less time than its class allows.
-func TestUntriedIsTried(t *testing.T) {
+// TestUnattemptedIsAttempted checks that a message that an earlier process accepted and never attempted is attempted after
+// the start in all circumstances: no destination yet, unknown rates and times, a used-up share, ordering keys, a backlog
+// that fills all of MaxOpen, and a message submitted with less time than its class allows.
+func TestUnattemptedIsAttempted(t *testing.T) {
 	t.Parallel()
 	now := clockAt(time.Minute)
 	many := func(n int, make func(i int) *message) (all []*message) {
@@ -20,10 +20,10 @@
 	}
 	class := []string{"pure", "token", "single"}
 	for _, c := range []struct {
-		name    string
-		maxOpen int
-		left    []*message
-		update  string // a list that comes 300 ms later
+		name     string
+		maxOpen  int
+		accepted []*message // by the earlier process
+		update   string     // a list that arrives 300 ms after the start
 	}{
 		{"usual", 100, many(9, func(i int) *message {
 			return acceptedMessage(fmt.Sprint(i), "0", class[i%3], 1, now-4*second, 8*second)
@@ -32,11 +32,11 @@
 			return acceptedMessage(fmt.Sprint(i), "0", class[i%3], 7, now-4*second, 8*second)
 		}),
 			`{"version":2,"servers":[{"id":"n","addr":"127.0.0.1:7","zone":"z","kind":"one","cell":7,"state":"up"}]}`},
-		{"key", 100, many(9, func(i int) *message { return acceptedMessage(fmt.Sprint(i), "5", "line", 1, now-4*second, 8*second) }), ""},
-		{"full", 60, many(60, func(i int) *message {
+		{"ordering key", 100, many(9, func(i int) *message { return acceptedMessage(fmt.Sprint(i), "5", "line", 1, now-4*second, 8*second) }), ""},
+		{"MaxOpen reached", 60, many(60, func(i int) *message {
 			return acceptedMessage(fmt.Sprint(i), "0", class[i%3], 1, now-4*second, 8*second)
 		}), ""},
-		{"fuller than now allowed", 30, many(60, func(i int) *message {
+		{"MaxOpen exceeded", 30, many(60, func(i int) *message {
 			return acceptedMessage(fmt.Sprint(i), "0", class[i%3], 1, now-4*second, 8*second)
 		}), ""},
 		{"half of a short time left", 100, many(6, func(i int) *message { return acceptedMessage(fmt.Sprint(i), "0", class[i%3], 1, now-second, 2*second) }), ""},
@@ -47,7 +47,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			dir := t.TempDir()
 			var records [][]byte
-			for _, m := range c.left {
+			for _, m := range c.accepted {
 				records = append(records, m.acceptedRecord())
 			}
 			writeJournal(t, dir, records...)
@@ -57,22 +57,22 @@
 				l.updateList(c.update)
 			}
 			l.advanceAnswering(9*time.Second, 20*time.Millisecond)
-			untried := 0
-			for _, m := range c.left {
+			unattempted := 0
+			for _, m := range c.accepted {
 				if l.calls[m.ID] != 1 {
-					untried++
+					unattempted++
 				}
 			}
-			if untried > 0 || len(l.endings) > 0 || len(l.s.pending) > 0 {
-				t.Errorf("of %d, %d not called once; the platform was told of %d, %d are owed still", len(c.left), untried, len(l.endings), len(l.s.pending))
+			if unattempted > 0 || len(l.endings) > 0 || len(l.s.pending) > 0 {
+				t.Errorf("of %d messages, %d were not attempted exactly once, %d were reported to the platform, %d are pending", len(c.accepted), unattempted, len(l.endings), len(l.s.pending))
 			}
 		})
 	}
 }
 
-// A new message never displaces one that an earlier process accepted and that is not attempted yet: it is rejected itself,
-// which costs its client a wait and no one a message.
-func TestNewDoesNotDisplaceUntried(t *testing.T) {
+// TestNewDoesNotDisplaceUnattempted checks that a new message never displaces a message that an earlier process accepted
+// and that was not attempted yet. The new message is rejected, which costs its client a wait, but no message is lost.
+func TestNewDoesNotDisplaceUnattempted(t *testing.T) {
 	t.Parallel()
 	now, dir := clockAt(time.Minute), t.TempDir()
 	var records [][]byte
@@ -87,9 +87,9 @@
 		l.advanceAnswering(10*time.Millisecond, 0)
 	}
 	if len(l.endings) > 0 {
-		t.Errorf("of 17 untried ones %d were handed back for new ones", len(l.endings))
+		t.Errorf("%d of 17 unattempted messages were ended for new ones", len(l.endings))
 	}
 	if l.s.counts.rejected == 0 || l.s.counts.accepted == 0 {
-		t.Errorf("refused %d, taken on %d: no room was asked for", l.s.counts.rejected, l.s.counts.accepted)
+		t.Errorf("%d messages rejected and %d accepted, want some of both", l.s.counts.rejected, l.s.counts.accepted)
 	}
 }
