--- a/internal/sender/answer.go
+++ b/internal/sender/answer.go
@@ -36,7 +36,8 @@
 	close        bool                        // the connection must not carry another call
 }
 
-// resultOf returns the result for an HTTP status. A call answered with any other status may have run.
+// resultOf returns the result for an HTTP status, and whether it is final. A call answered with a status that is not listed
+// here may have run.
 func resultOf(status int) (result choice.Result, final bool) {
 	switch status {
 	case http.StatusOK:
@@ -104,7 +105,8 @@
 	return choice.Time(math.Ceil(v*float64(choice.Second))) + 1
 }
 
-// parseReport parses a load report: name=number pairs separated by commas. It skips pairs whose value is not a finite number.
+// parseReport parses a load report: name=number pairs separated by commas. It skips a pair if its value is not a finite
+// number.
 func parseReport(text []byte) (fields []string, values []float64) {
 	for len(text) > 0 {
 		var pair []byte
--- a/internal/sender/bundle_test.go
+++ b/internal/sender/bundle_test.go
@@ -75,7 +75,7 @@
 	h := start("", 100).submit("OUT.ADD 0 s1 c=status,d=6000,dest=2 x", "OUT.ADD 0 s2 c=status,d=6000,dest=2 x")
 	h.endpointAnswers("HTTP/1.1 200 OK\nRetry-After: 0.7\nContent-Length: 54\n\n" + `[{"id":"s1","state":"ok"},{"id":"s2","state":"error"}]`)
 	h.advance(690 * time.Millisecond)
-	fmt.Println("the wait is over")
+	fmt.Println("the Retry-After is nearly over")
 	h.advance(300 * time.Millisecond)
 	os.RemoveAll(h.dir)
 	// Output:
@@ -84,7 +84,7 @@
 	//    s1
 	// client: +OK
 	// client: +OK
-	// the wait is over
+	// the Retry-After is nearly over
 	// call b: GET /-/healthy
 }
 
@@ -95,7 +95,7 @@
 		var a http1.Answer
 		a.Feed(fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body))
 		answer := readAnswer(&a)
-		fmt.Println("spoilt:", answer.lacksStates(h.calls[0]))
+		fmt.Println("lacks states:", answer.lacksStates(h.calls[0]))
 		h.calls[0].done = true
 		h.s.finishCall(h.calls[0], answer)
 		h.advance(5 * time.Millisecond)
@@ -107,7 +107,7 @@
 	//    o1
 	// client: +OK
 	// client: +OK
-	// spoilt: true
+	// lacks states: true
 	// platform: {"message":"o2","outcome":"given_up"}
 	// {"message":"o1","outcome":"given_up"}
 	// call b: POST /inbox/bulk
@@ -115,7 +115,7 @@
 	//    o1
 	// client: +OK
 	// client: +OK
-	// spoilt: true
+	// lacks states: true
 	// platform: {"message":"o2","outcome":"given_up"}
 	// {"message":"o1","outcome":"given_up"}
 	// call b: POST /inbox/bulk
@@ -123,6 +123,6 @@
 	//    o1
 	// client: +OK
 	// client: +OK
-	// spoilt: false
+	// lacks states: false
 	// platform: {"message":"o2","outcome":"given_up"}
 }
--- a/internal/sender/call.go
+++ b/internal/sender/call.go
@@ -126,8 +126,9 @@
 	s.after(capacityRecheck, func() { s.findLink(c) })
 }
 
-// cancelMessage ends one message of a call at the message's own deadline, while the call goes on. A message whose call is
-// not written yet is removed from the call and has not run. Otherwise it may have run, and the answer comes too late for it.
+// cancelMessage ends one message of a call at the message's own deadline, while the call goes on. If the write of the call
+// has not begun, the message is removed from the call and has not run. Otherwise it may have run, and the answer comes too
+// late for it.
 func (s *Sender) cancelMessage(c *call, m *message) {
 	if c.done || m.inFlight != c {
 		return
--- a/internal/sender/call_ends_test.go
+++ b/internal/sender/call_ends_test.go
@@ -9,8 +9,8 @@
 	"flaxcove/choice"
 )
 
-// TestCallOutcomes tests the rows of the table at the head of outcomes.go over loopback sockets: the result that each end of
-// a call has, and whether its message may have run.
+// TestCallOutcomes tests the rows of the table at the head of outcomes.go over loopback sockets: the result of each end of a
+// call, and whether its message may have run.
 func TestCallOutcomes(t *testing.T) {
 	const notRun, mayHaveRun, closed = "has not run", "may have run", "is closed"
 	answers := func(text string) func(*testing.T, *harness, *call, *net.TCPConn) {
@@ -66,8 +66,8 @@
 		{"an interim answer alone", false, answers("HTTP/1.1 102 On\n\n"), choice.Reset, mayHaveRun},
 		{"an interim answer, then half a first line", false, answers("HTTP/1.1 102 On\n\nHTTP/1.1 20"), choice.Unreadable, mayHaveRun},
 		{"an interim answer, then 200", false, answers("HTTP/1.1 100 On\n\n" + answerOK), choice.Done, closed},
-		{"two answers at once", false, answers(answerOK + answerError), choice.Done, closed},
-		{"two answers at once, the other way", false, answers(answerError + answerOK), choice.Errored, mayHaveRun},
+		{"two answers in one write, 200 first", false, answers(answerOK + answerError), choice.Done, closed},
+		{"two answers in one write, 500 first", false, answers(answerError + answerOK), choice.Errored, mayHaveRun},
 		{"200", false, answers(answerOK), choice.Done, closed},
 		{"410", false, answers("HTTP/1.1 410 Gone\nContent-Length: 0\n\n"), choice.NotRun, closed},
 		{"429", false, answers(answerFull), choice.Rejected, notRun},
@@ -139,16 +139,16 @@
 		setUp(h)
 		h.submit("OUT.ADD 00 id c=order,d=20000,dest=1 x")
 		m := h.s.pending["id"]
-		h.runUntil(t, name, func() bool { return m.inFlight == nil })
+		h.runUntil(t, name+": the call ends", func() bool { return m.inFlight == nil })
 		if m.MayRun || h.s.counts.outcomes[choice.ConnectFailed] != 1 || h.s.openLinks != 0 {
-			t.Errorf("%s: may run %v, outcomes %v, open %d", name, m.MayRun, h.s.counts.outcomes, h.s.openLinks)
+			t.Errorf("%s: message may have run %v, outcomes %v, %d open links", name, m.MayRun, h.s.counts.outcomes, h.s.openLinks)
 		}
 	}
 	h := start(t.TempDir(), 100)
 	h.submit("OUT.ADD 00 id c=order,d=20000,dest=1 x")
 	h.s.expireCall(h.calls[0])
 	if m := h.s.pending["id"]; m.MayRun || m.inFlight != nil || h.s.counts.outcomes[choice.ConnectFailed] != 1 {
-		t.Errorf("never established: may run %v, in flight %v", m.MayRun, m.inFlight != nil)
+		t.Errorf("never established: message may have run %v, in flight %v", m.MayRun, m.inFlight != nil)
 	}
 }
 
@@ -174,7 +174,7 @@
 		readUntilSuffix(t, peer, "]")
 		peer.Write([]byte(row.text))
 		peer.Close()
-		h.runUntil(t, row.name, func() bool { return m1.inFlight == nil && m2.inFlight == nil })
+		h.runUntil(t, row.name+": the call ends", func() bool { return m1.inFlight == nil && m2.inFlight == nil })
 		var want [choice.Unreadable + 1]int64
 		want[row.o1]++
 		want[row.o2]++
@@ -202,7 +202,7 @@
 		peer.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
 		h.runUntil(t, "the call ends", func() bool { return c.done })
 		if len(e.idle) != 0 || h.s.pending["first"] != nil {
-			t.Errorf("%d idle links while a request is written, delivered %v", len(e.idle), h.s.pending["first"] == nil)
+			t.Errorf("%d idle links while a request is written, want none; delivered %v, want true", len(e.idle), h.s.pending["first"] == nil)
 		}
 		if reads {
 			if text := readUntilSuffix(t, peer, body); !strings.HasPrefix(text, "OST /inbox") {
@@ -217,7 +217,7 @@
 			h.runUntil(t, "the link ends", func() bool { return h.s.openLinks == 0 && !l.writing })
 		}
 		if idle := len(e.idle) == 1; idle != reads || l.closing == reads {
-			t.Errorf("rest read %v: idle %v, closing %v", reads, idle, l.closing)
+			t.Errorf("rest of the request read %v: link idle %v, closing %v", reads, idle, l.closing)
 		}
 	}
 }
@@ -241,6 +241,6 @@
 		}
 	}
 	if l.answer.Status() != 200 {
-		t.Errorf("status %d", l.answer.Status())
+		t.Errorf("status of the answer %d, want 200", l.answer.Status())
 	}
 }
--- a/internal/sender/capacity_sockets_test.go
+++ b/internal/sender/capacity_sockets_test.go
@@ -89,6 +89,7 @@
 	}
 }
 
+// ServeHTTP answers messages and endings, and never answers a request for the endpoint list.
 func (w *capacityServer) ServeHTTP(out http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	switch r.URL.Path {
@@ -175,8 +176,8 @@
 	return time.Duration(user+system) * 10 * time.Millisecond, bytes
 }
 
-// BenchmarkCapacitySockets delivers messages spread evenly over so many destinations, as fast as the sender accepts them
-// with 500 in flight. With many destinations hardly any message finds a connection to reuse.
+// BenchmarkCapacitySockets delivers messages spread evenly over n destinations, as fast as the sender accepts them with 500
+// in flight. With many destinations hardly any message finds a connection to reuse.
 func BenchmarkCapacitySockets(b *testing.B) {
 	bench.Sizes(b, "destinations", []int{610, 6_100, 61_000}, func(b *testing.B, n int) { deliver(b, n, capacitySockets) })
 }
@@ -187,7 +188,7 @@
 	bench.Sizes(b, "destinations", []int{610, 6_100, 61_000}, func(b *testing.B, n int) { deliver(b, n, defaultSockets) })
 }
 
-// deliver runs a sender with so many destinations and sockets, and submits messages to it.
+// deliver runs a sender with the given numbers of destinations and sockets, and submits messages to it.
 func deliver(b *testing.B, destinations, sockets int) {
 	w := &capacityServer{}
 	addrs := capacityServers(b, w)
--- a/internal/sender/capacity_test.go
+++ b/internal/sender/capacity_test.go
@@ -36,7 +36,8 @@
 	return l
 }
 
-// capacityConfig returns a configuration with so many destinations and enough capacity for so many open messages.
+// capacityConfig returns a configuration with the given number of destinations, and with more than enough capacity for the
+// given number of open messages.
 func capacityConfig(b *testing.B, destinations, open int) *config.Config {
 	settings := strings.Replace(fmt.Sprintf(twoClassSettings, 10*open+1000), `"balancers":2`, `"balancers":660`, 1)
 	c := testConfigWith(b.TempDir(), settings, `{"version":1,"full":true}`)
@@ -86,7 +87,7 @@
 	}
 }
 
-// filledHarness starts a sender with so many pending messages.
+// filledHarness starts a sender and submits messages to it until the given number is open.
 func filledHarness(b *testing.B, open int) *harness {
 	h := capacityHarness(capacityConfig(b, capacityDestinations, open))
 	h.submitMany(open, capacityDestinations)
@@ -123,7 +124,7 @@
 	})
 }
 
-// BenchmarkCapacityReplay measures a start on the state folder of a sender with so many pending messages.
+// BenchmarkCapacityReplay measures a start on the state folder of a sender with n pending messages.
 func BenchmarkCapacityReplay(b *testing.B) {
 	bench.Sizes(b, "open", capacityOpenSizes, func(b *testing.B, n int) {
 		h := filledHarness(b, n)
@@ -162,7 +163,7 @@
 func (c *silentCluster) Guide() clusterapi.Guide    { return nil }
 func (c *silentCluster) Woke(choice.DestinationID)  {}
 
-// BenchmarkCapacityDigest measures one digest, of which two are sent each second, with so many waiting messages.
+// BenchmarkCapacityDigest measures one digest, of which two are sent each second, with n waiting messages.
 func BenchmarkCapacityDigest(b *testing.B) {
 	bench.Sizes(b, "open", capacityOpenSizes, func(b *testing.B, n int) {
 		h := filledHarness(b, n)
@@ -190,7 +191,7 @@
 	})
 }
 
-// BenchmarkCapacityListFull measures the repeated application of a full list, and the heap that a sender needs for the list.
+// BenchmarkCapacityListFull measures the repeated application of a full list, and the heap that a sender needs for it.
 func BenchmarkCapacityListFull(b *testing.B) {
 	bench.Sizes(b, "destinations", []int{610, 6_100, 61_000, 610_000}, func(b *testing.B, n int) {
 		cfg := capacityConfig(b, n, 1)
@@ -207,7 +208,7 @@
 	})
 }
 
-// BenchmarkCapacityListChange measures a list update for one destination, applied by a sender with so many destinations.
+// BenchmarkCapacityListChange measures a list update for one destination, applied by a sender with n destinations.
 func BenchmarkCapacityListChange(b *testing.B) {
 	bench.Sizes(b, "destinations", []int{610, 6_100, 61_000}, func(b *testing.B, n int) {
 		h := capacityHarness(capacityConfig(b, n, 1))
@@ -219,8 +220,8 @@
 	})
 }
 
-// BenchmarkCapacityMessage measures messages from their command to their end, four a turn, spread over so many destinations.
-// It runs on the loop alone, without sockets.
+// BenchmarkCapacityMessage measures messages from their command to their end, four a turn, spread over n destinations. It
+// runs on the loop alone, without sockets.
 func BenchmarkCapacityMessage(b *testing.B) {
 	bench.Sizes(b, "destinations", []int{610, 6_100, 61_000}, func(b *testing.B, n int) {
 		const perTurn = 4
--- a/internal/sender/connecting_test.go
+++ b/internal/sender/connecting_test.go
@@ -102,6 +102,7 @@
 	}
 }
 
+// count returns how many calls have arrived.
 func (r *recordChecker) count() int {
 	r.Lock()
 	defer r.Unlock()
--- a/internal/sender/counters.go
+++ b/internal/sender/counters.go
@@ -9,7 +9,7 @@
 	"flaxcove/choice"
 )
 
-// counts are the counters of a Sender.
+// counts holds the counters of a Sender, which begin at 0 with each process. The loop owns them.
 type counts struct {
 	submitted, accepted, rejected, badCommands, replayed      int64
 	attempts, probes, connects, connectsFailed, callsTimedOut int64
--- a/internal/sender/digest.go
+++ b/internal/sender/digest.go
@@ -42,15 +42,16 @@
 type digestState struct {
 	rows              map[destinationZone]*clusterapi.Row // since the last digest
 	submissions       map[submitter]uint64                // messages since the last digest
-	listings          map[destinationZone]*listing
-	firstZone         map[choice.DestinationID]string // the zone in whose row the waiting messages are counted
-	digests           uint64                          // number of digests so far
-	listChanged       bool                            // the endpoint list has changed since listings was built
-	longestDeadline   choice.Time                     // longest time from acceptance to deadline, of all classes and messages so far
-	shortestObjective choice.Time                     // shortest latency objective of all classes so far
-	leftOut           int64                           // rows and counts left out so far
+	listings          map[destinationZone]*listing        // summary of the endpoint list
+	firstZone         map[choice.DestinationID]string     // the zone in whose row the waiting messages are counted
+	digests           uint64                              // number of digests so far
+	listChanged       bool                                // the endpoint list has changed since listings was built
+	longestDeadline   choice.Time                         // longest time from acceptance to deadline so far
+	shortestObjective choice.Time                         // shortest latency objective of a class so far
+	leftOut           int64                               // rows and counts left out so far
 }
 
+// init prepares the first digest of a sender that joins a cluster.
 func (d *digestState) init(s *Sender) {
 	d.rows, d.submissions, d.listChanged = map[destinationZone]*clusterapi.Row{}, map[submitter]uint64{}, true
 	d.includeClasses(s.cfg.Settings.Classes)
@@ -110,15 +111,15 @@
 }
 
 // row returns the row of a destination and zone, adding it if needed; nil if the table is full.
-func (d *digestState) row(at destinationZone) *clusterapi.Row {
-	r := d.rows[at]
+func (d *digestState) row(key destinationZone) *clusterapi.Row {
+	r := d.rows[key]
 	if r == nil {
 		if len(d.rows) >= maxDigestRows {
 			d.leftOut++
 			return nil
 		}
-		r = &clusterapi.Row{Destination: at.destination, Zone: at.zone}
-		d.rows[at] = r
+		r = &clusterapi.Row{Destination: key.destination, Zone: key.zone}
+		d.rows[key] = r
 	}
 	return r
 }
@@ -164,9 +165,9 @@
 // addDueRows adds the rows of some listed destinations, so that all rows are sent within fullDigestEvery digests.
 func (d *digestState) addDueRows() {
 	d.digests++
-	for at := range d.listings {
-		if (uint64(at.destination)+d.digests)%fullDigestEvery == 0 {
-			d.row(at)
+	for key := range d.listings {
+		if (uint64(key.destination)+d.digests)%fullDigestEvery == 0 {
+			d.row(key)
 		}
 	}
 }
@@ -189,8 +190,8 @@
 
 // digestRows returns the rows, completed from the endpoint list and sorted by destination and zone.
 func (d *digestState) digestRows(kinds []choice.Kind) (rows []clusterapi.Row) {
-	for at, r := range d.rows {
-		if l := d.listings[at]; l != nil {
+	for key, r := range d.rows {
+		if l := d.listings[key]; l != nil {
 			r.Kind, r.Endpoints, r.Rating = l.kind, len(l.endpoints), l.rating
 			r.Limit = l.limit(kinds)
 		}
--- a/internal/sender/digest_listing.go
+++ b/internal/sender/digest_listing.go
@@ -28,28 +28,28 @@
 			s.addListed(e)
 		}
 	}
-	for at, l := range s.listings {
-		if !l.equal(before[at]) {
-			s.row(at)
+	for key, l := range s.listings {
+		if !l.equal(before[key]) {
+			s.row(key)
 		}
 	}
-	for at := range before {
-		if s.listings[at] == nil {
-			s.row(at)
+	for key := range before {
+		if s.listings[key] == nil {
+			s.row(key)
 		}
 	}
 }
 
 // addListed adds an endpoint to the listings, unless they are full.
 func (d *digestState) addListed(e *endpoint) {
-	at := destinationZone{e.destination, e.zoneName}
-	l := d.listings[at]
+	key := destinationZone{e.destination, e.zoneName}
+	l := d.listings[key]
 	if l == nil {
 		if len(d.listings) >= maxDigestRows {
 			return
 		}
 		l = &listing{}
-		d.listings[at] = l
+		d.listings[key] = l
 	}
 	l.kind, l.endpoints, l.rating = e.kind, append(l.endpoints, e), l.rating+e.rating
 	if zone, known := d.firstZone[e.destination]; !known || e.zoneName < zone {
--- a/internal/sender/endpoints.go
+++ b/internal/sender/endpoints.go
@@ -53,6 +53,7 @@
 	listReceived    bool // this process has received a list from discovery
 }
 
+// init makes the tables.
 func (r *routing) init() {
 	r.endpoints = map[choice.EndpointID]*endpoint{}
 	r.destinationSeen = map[choice.DestinationID]time.Duration{}
--- a/internal/sender/gossip_test.go
+++ b/internal/sender/gossip_test.go
@@ -75,7 +75,8 @@
 	return startServing(t, cfg)
 }
 
-// sendBroken sends a packet of gossip to peer 1: from an unknown address, then broken from the address of peer, then intact.
+// sendBroken sends a packet of gossip to peer 1: from an unknown address, then broken from the address of peer, and last
+// intact from there.
 func (r *gossipRun) sendBroken(t *testing.T, peer net.PacketConn, packet []byte) {
 	t.Helper()
 	to, err := net.ResolveUDPAddr("udp4", r.peers[1])
--- a/internal/sender/links.go
+++ b/internal/sender/links.go
@@ -95,8 +95,10 @@
 	idleOrder list.List
 }
 
-func (p *linkPool) init(cfg *config.Config, clients int) {
-	p.maxLinks = max(cfg.Settings.InFlightLimit+1, cfg.Limits.Sockets-clients-reservedDescriptors)
+// init sets maxLinks: the sockets that clients and the process itself leave over, but at least one more than the in-flight
+// limit. maxClients is the limit of clients' connections.
+func (p *linkPool) init(cfg *config.Config, maxClients int) {
+	p.maxLinks = max(cfg.Settings.InFlightLimit+1, cfg.Limits.Sockets-maxClients-reservedDescriptors)
 }
 
 // dialEndpoint opens a connection for a call in a goroutine of its own. It takes at most the call's timeout, and at most
--- a/internal/sender/links_test.go
+++ b/internal/sender/links_test.go
@@ -98,7 +98,7 @@
 	h := start(t.TempDir(), 100)
 	l := h.idleLink(t, "a", conn)
 	if on, err := syscall.GetsockoptInt(l.conn.(netpoll.Conn).Fd(), syscall.IPPROTO_TCP, syscall.TCP_NODELAY); on != 1 || err != nil {
-		t.Errorf("TCP_NODELAY: %d, %v", on, err)
+		t.Errorf("TCP_NODELAY is %d, error %v, want 1 and none", on, err)
 	}
 }
 
--- a/internal/sender/outcome_reporter.go
+++ b/internal/sender/outcome_reporter.go
@@ -30,6 +30,7 @@
 	postToPlatform func(addr string, body []byte) (status int, err error) // posts endings; tests replace it
 }
 
+// init sets the pause after the first failed post.
 func (r *outcomeReporter) init() { r.retryPause = minPostRetryPause }
 
 // postEndings starts a post of endings unless one is in flight. It is called after the turn's append, so that every
--- a/internal/sender/outcome_reporter_test.go
+++ b/internal/sender/outcome_reporter_test.go
@@ -21,6 +21,7 @@
 	complete chan struct{}     // closed when the expected number of outcomes has arrived
 }
 
+// ServeHTTP stores the outcomes of a post and answers 204, except on the first connection. It never answers other requests.
 func (p *fakePlatform) ServeHTTP(out http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != outcomesPath {
 		<-r.Context().Done()
--- a/internal/sender/outcomes_test.go
+++ b/internal/sender/outcomes_test.go
@@ -75,23 +75,23 @@
 		h.s.turn()
 		m := h.s.pending["id"]
 		h.endpointAnswers(text)
-		fmt.Printf("%-20.20q may have run: %-5v owed: %v\n", text, m.MayRun, h.s.pending["id"] != nil && m.ending.kind == endNone)
+		fmt.Printf("%-20.20q may have run: %-5v pending: %v\n", text, m.MayRun, h.s.pending["id"] != nil && m.ending.kind == endNone)
 		os.RemoveAll(h.dir)
 	}
 	// Output:
-	// "HTTP/1.1 200 OK\nCont" may have run: false owed: false
-	// "HTTP/1.1 500 Error\nC" may have run: true  owed: false
-	// "HTTP/1.1 429 Wait\nRe" may have run: false owed: true
-	// "HTTP/1.1 503 Full\nCo" may have run: false owed: true
-	// "HTTP/1.1 503 Full\nX-" may have run: false owed: true
-	// "HTTP/1.1 410 Gone\nCo" may have run: false owed: false
-	// "HTTP/1.1 504 Out\nCon" may have run: false owed: true
-	// "HTTP/1.1 200 OK\nCont" may have run: false owed: false
-	// "HTTP/1.1 429 Wait\nCo" may have run: true  owed: false
-	// "HTTP/1."            may have run: true  owed: false
-	// ""                   may have run: true  owed: false
-	// "its last byte was no" may have run: false owed: true
-	// "nonsense\n"         may have run: true  owed: false
+	// "HTTP/1.1 200 OK\nCont" may have run: false pending: false
+	// "HTTP/1.1 500 Error\nC" may have run: true  pending: false
+	// "HTTP/1.1 429 Wait\nRe" may have run: false pending: true
+	// "HTTP/1.1 503 Full\nCo" may have run: false pending: true
+	// "HTTP/1.1 503 Full\nX-" may have run: false pending: true
+	// "HTTP/1.1 410 Gone\nCo" may have run: false pending: false
+	// "HTTP/1.1 504 Out\nCon" may have run: false pending: true
+	// "HTTP/1.1 200 OK\nCont" may have run: false pending: false
+	// "HTTP/1.1 429 Wait\nCo" may have run: true  pending: false
+	// "HTTP/1."            may have run: true  pending: false
+	// ""                   may have run: true  pending: false
+	// "its last byte was no" may have run: false pending: true
+	// "nonsense\n"         may have run: true  pending: false
 }
 
 // A list update removes an endpoint and adds another one; its unreadable entry is ignored.
--- a/internal/sender/send_test.go
+++ b/internal/sender/send_test.go
@@ -45,7 +45,7 @@
 		release()
 		h.runUntil(t, tc.name+": the call ends", func() bool { return c.done && !l.writing })
 		if m := h.s.pending["id"]; m == nil || m.MayRun {
-			t.Errorf("%s: message ended %v or may have run, though no byte was sent", tc.name, m == nil)
+			t.Errorf("%s: message has ended (%v) or may have run, though no byte was sent", tc.name, m == nil)
 		}
 		peer.CloseWrite()
 		if text := readToEnd(peer); text != "" {
--- a/internal/sender/sender.go
+++ b/internal/sender/sender.go
@@ -43,11 +43,11 @@
 	choice    *choice.Sender                     // decides about deliveries
 	learned   map[choice.EndpointID]learnedEntry // from an earlier process; an entry is removed when a list names its endpoint
 	learnedAt choice.Time                        // when the earlier process wrote the learned state
-	numbering directory.NameNumbers
-	start     time.Time            // base of Now, which adds the monotonic clock to it and so never steps back
-	clock     func() time.Duration // returns the time since start; called from any goroutine
-	inbox     chan func()          // events for the loop
-	stop      chan struct{}        // closed when the sender shuts down
+	numbering directory.NameNumbers              // numbers of the names of zones and kinds
+	start     time.Time                          // base of Now, which adds the monotonic clock to it and so never steps back
+	clock     func() time.Duration               // returns the time since start; called from any goroutine
+	inbox     chan func()                        // events for the loop
+	stop      chan struct{}                      // closed when the sender shuts down
 
 	timers         timers
 	timerSeq       uint64
@@ -56,7 +56,7 @@
 	turns          int64
 	wakeups        int64 // wake-ups of the loop by its timer; each should lead to a turn
 	journalFailing bool  // the last append failed
-	ended          bool  // the loop returns
+	ended          bool  // set to make the loop return
 
 	draining   bool
 	drainSince time.Duration // when the signal to shut down came, since the start
--- a/internal/sender/sockets_test.go
+++ b/internal/sender/sockets_test.go
@@ -155,7 +155,7 @@
 		time.Sleep(time.Millisecond)
 		conn.Write(text[20:])
 		if line, err := in.ReadString('\n'); line != "+OK\r\n" {
-			t.Fatalf("%s: %q %v", a.id, line, err)
+			t.Fatalf("%s: reply %q, error %v, want +OK", a.id, line, err)
 		}
 	}
 	for _, a := range answers {
--- a/internal/sender/timers_test.go
+++ b/internal/sender/timers_test.go
@@ -16,6 +16,7 @@
 	synctest.Test(t, everyWakeUpLeadsToATurn)
 }
 
+// everyWakeUpLeadsToATurn is the body of TestEveryWakeUpLeadsToATurn, on the clock of the test.
 func everyWakeUpLeadsToATurn(t *testing.T) {
 	start := time.Now()
 	clockReads := 0
@@ -60,12 +61,12 @@
 		}
 	}
 	h.s.turn()
-	fmt.Println("owed", len(h.s.pending), "timers more than before", len(h.s.timers)-before, "module's", len(h.s.choiceTimers))
+	fmt.Println("pending", len(h.s.pending), "additional timers", len(h.s.timers)-before, "timers of package choice", len(h.s.choiceTimers))
 	h.submitQuietly("OUT.ADD 0000000000000000 last c=order,d=20000,dest=1 x")
-	fmt.Println("owed", len(h.s.pending), "timers more than before", len(h.s.timers)-before)
+	fmt.Println("pending", len(h.s.pending), "additional timers", len(h.s.timers)-before)
 	// Output:
-	// owed 0 timers more than before 0 module's 1
-	// owed 1 timers more than before 2
+	// pending 0 additional timers 0 timers of package choice 1
+	// pending 1 additional timers 2
 }
 
 // submitQuietly handles a command and ends the turn without printing.
