--- a/internal/sender/connecting_test.go
+++ b/internal/sender/connecting_test.go
@@ -18,9 +18,9 @@
 	"flaxcove/internal/journal"
 )
 
-// TestKilledWhileConnecting checks that after a kill while a call waits for its connection, and so nothing was sent, the
-// next process still attempts a non-idempotent message. Once the connection is established, the call may have been sent,
-// and the message fails.
+// TestKilledWhileConnecting checks that the next process still attempts a non-idempotent message if its process was killed
+// while the call waited for a connection: nothing was sent. Once the connection is established, the call may have been
+// sent, and the message fails.
 func TestKilledWhileConnecting(t *testing.T) {
 	t.Parallel()
 	for _, connected := range []bool{false, true} {
