--- a/lab/live/addresses.go
+++ b/lab/live/addresses.go
@@ -23,21 +23,21 @@
 		for _, l := range e.listeners {
 			l.close()
 		}
-		for _, d := range e.directories {
+		for _, d := range e.discoveries {
 			d.close()
 		}
-		e.listeners, e.directories = map[listenerKey]*listener{}, nil
+		e.listeners, e.discoveries = map[listenerKey]*listener{}, nil
 	}
 	return err
 }
 
 func (e *engine) listenAll() error {
 	for s := range e.o.Spec.Senders {
-		d, err := e.newDirectory(world.SenderNo(s))
+		d, err := e.newDiscovery(world.SenderNo(s))
 		if err != nil {
 			return err
 		}
-		e.directories = append(e.directories, d)
+		e.discoveries = append(e.discoveries, d)
 		// The sender's own address must be free too.
 		ln, err := net.Listen("tcp", e.senderAddr(world.SenderNo(s)))
 		if err != nil {
@@ -59,22 +59,22 @@
 	return fmt.Sprintf("127.8.%d.%d:%d", int(s)/250, 1+int(s)%250, e.port)
 }
 
-func (e *engine) directoryAddr(s world.SenderNo) string {
+func (e *engine) discoveryAddr(s world.SenderNo) string {
 	// Each move of discovery takes the next address.
-	return fmt.Sprintf("127.%d.%d.%d:%d", 9+e.directoryMoves[s]%2*2, int(s)/250+e.directoryMoves[s]/2*4, 1+int(s)%250, e.port)
+	return fmt.Sprintf("127.%d.%d.%d:%d", 9+e.discoveryMoves[s]%2*2, int(s)/250+e.discoveryMoves[s]/2*4, 1+int(s)%250, e.port)
 }
 
-// oldDirectoryPeriod is how long discovery still answers at the address that it left: a sender keeps its watch there until
+// oldDiscoveryPeriod is how long discovery still answers at the address that it left: a sender keeps its watch there until
 // it has a list from the new address.
-const oldDirectoryPeriod = 2 * choice.Second
+const oldDiscoveryPeriod = 2 * choice.Second
 
-// moveDirectory moves a sender's discovery and platform to another address, and has its process reload its configuration.
-func (e *engine) moveDirectory(s world.SenderNo) {
-	p, old := e.senders[s], e.directories[s]
-	e.directoryMoves[s]++
-	d, err := e.newDirectory(s)
+// moveDiscovery moves a sender's discovery and platform to another address, and has its process reload its configuration.
+func (e *engine) moveDiscovery(s world.SenderNo) {
+	p, old := e.senders[s], e.discoveries[s]
+	e.discoveryMoves[s]++
+	d, err := e.newDiscovery(s)
 	if err == nil {
-		e.directories[s] = d
+		e.discoveries[s] = d
 		var text []byte
 		if text, err = p.configuration(); err == nil {
 			p.reload(text)
@@ -84,7 +84,7 @@
 		e.failure = fmt.Sprintf("discovery of sender %d cannot move: %v", s, err)
 		return
 	}
-	e.w.After(oldDirectoryPeriod, old.close)
+	e.w.After(oldDiscoveryPeriod, old.close)
 }
 
 func (e *engine) endpointAddr(s world.SenderNo, end world.EndpointNo, addr int) string {
@@ -94,7 +94,7 @@
 // makeFolder creates a folder below the given one, or below the run's own temporary folder.
 func (e *engine) makeFolder(under, name string) (string, error) {
 	if under == "" {
-		under = e.dir
+		under = e.tempDir
 	}
 	path := filepath.Join(under, name)
 	return path, os.MkdirAll(path, 0o755)
--- a/lab/live/answer.go
+++ b/lab/live/answer.go
@@ -32,9 +32,9 @@
 // answerBytes is an answer in HTTP, or what a fault makes of it.
 func answerBytes(call *world.Call, a world.Answer) []byte {
 	switch {
-	case a.Half:
+	case a.Incomplete:
 		return []byte("HTTP/1.")
-	case a.Spoilt:
+	case a.Malformed:
 		return []byte("HTTP/1.1 gone wrong\r\nContent-Length: -7\r\n\r\n{{{")
 	}
 	var body []byte
--- a/lab/live/clients.go
+++ b/lab/live/clients.go
@@ -31,11 +31,11 @@
 	sender world.SenderNo
 	idle   []*client
 
-	mu          sync.Mutex
-	closed      bool
-	open        map[net.Conn]struct{}
-	hoarded     []net.Conn
-	stopRubbish chan struct{} // closed to stop sending rubbish; nil if none is sent
+	mu            sync.Mutex
+	closed        bool
+	open          map[net.Conn]struct{}
+	heldConns     []net.Conn
+	malformedStop chan struct{} // closed to stop sending rubbish; nil if none is sent
 }
 
 // client is one connection with a goroutine, which hands in one message at a time.
@@ -51,8 +51,8 @@
 }
 
 func (p *pool) close() {
-	p.releaseHoard()
-	p.endRubbish()
+	p.releaseConnections()
+	p.stopMalformed()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closed = true
@@ -190,8 +190,8 @@
 	return world.HandInError, 0
 }
 
-// hoard opens connections and sends nothing on them.
-func (p *pool) hoard(amount float64) {
+// holdConnections opens connections and sends nothing on them.
+func (p *pool) holdConnections(amount float64) {
 	for range int(amount) {
 		p.e.wg.Add(1)
 		go func() {
@@ -201,16 +201,16 @@
 				return
 			}
 			p.mu.Lock()
-			p.hoarded = append(p.hoarded, conn)
+			p.heldConns = append(p.heldConns, conn)
 			p.mu.Unlock()
 		}()
 	}
 }
 
-func (p *pool) releaseHoard() {
+func (p *pool) releaseConnections() {
 	p.mu.Lock()
-	all := p.hoarded
-	p.hoarded = nil
+	all := p.heldConns
+	p.heldConns = nil
 	p.mu.Unlock()
 	for _, conn := range all {
 		p.drop(conn)
@@ -221,14 +221,14 @@
 var malformedInput = []string{"GET / HTTP/1.1\r\n\r\n", "*5\r\n$99999999999\r\n", "*-7\r\n", "*2\r\n$4\r\nPING", "*1\r\n$3\r\nNOT\r\n",
 	"*5\r\n$7\r\nOUT.ADD\r\n$1\r\n0\r\n$1\r\nx\r\n$9\r\nc=nothing\r\n$1\r\nb\r\n", "\x00\x01\x02\x03\r\n"}
 
-func (p *pool) rubbish(perSecond float64) {
+func (p *pool) sendMalformed(perSecond float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.stopRubbish != nil || p.closed {
+	if p.malformedStop != nil || p.closed {
 		return
 	}
 	stop := make(chan struct{})
-	p.stopRubbish = stop
+	p.malformedStop = stop
 	p.e.wg.Add(1)
 	go func() {
 		defer p.e.wg.Done()
@@ -254,11 +254,11 @@
 	}()
 }
 
-func (p *pool) endRubbish() {
+func (p *pool) stopMalformed() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.stopRubbish != nil {
-		close(p.stopRubbish)
-		p.stopRubbish = nil
+	if p.malformedStop != nil {
+		close(p.malformedStop)
+		p.malformedStop = nil
 	}
 }
--- a/lab/live/directory.go
+++ b/lab/live/directory.go
@@ -24,8 +24,8 @@
 // heartbeatEvery is how often a watch without updates sends an empty line.
 const heartbeatEvery = 2 * time.Second
 
-// directory serves discovery and the platform's outcome callback to one sender.
-type directory struct {
+// discoveryServer serves discovery and the platform's outcome callback to one sender.
+type discoveryServer struct {
 	e      *engine
 	sender world.SenderNo
 	server *http.Server
@@ -52,12 +52,12 @@
 	Servers []listed `json:"servers"`
 }
 
-func (e *engine) newDirectory(s world.SenderNo) (*directory, error) {
-	ln, err := net.Listen("tcp", e.directoryAddr(s))
+func (e *engine) newDiscovery(s world.SenderNo) (*discoveryServer, error) {
+	ln, err := net.Listen("tcp", e.discoveryAddr(s))
 	if err != nil {
 		return nil, err
 	}
-	d := &directory{e: e, sender: s}
+	d := &discoveryServer{e: e, sender: s}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /api/targets", d.serveTargets)
 	mux.HandleFunc("POST /v1/outcomes", d.serveOutcomes)
@@ -70,10 +70,10 @@
 	return d, nil
 }
 
-func (d *directory) close() { d.server.Close() }
+func (d *discoveryServer) close() { d.server.Close() }
 
 // message is a list in discovery's format, with the addresses for this sender.
-func (d *directory) message(l world.List) listMessage {
+func (d *discoveryServer) message(l world.List) listMessage {
 	states := map[choice.Stage]string{choice.Ready: "up", choice.Draining: "draining", choice.Gone: "removed"}
 	m := listMessage{Version: l.Version, Full: l.Full, Servers: []listed{}}
 	for _, entry := range l.Entries {
@@ -85,7 +85,7 @@
 	return m
 }
 
-func (d *directory) sendUpdate(l world.List) {
+func (d *discoveryServer) sendUpdate(l world.List) {
 	text, err := json.Marshal(d.message(l))
 	if err != nil {
 		return // strings and numbers always marshal
@@ -103,20 +103,20 @@
 	}
 }
 
-func (d *directory) silence() {
+func (d *discoveryServer) silence() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.silent = true
 }
 
-func (d *directory) isSilent() bool {
+func (d *discoveryServer) isSilent() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.silent
 }
 
 // serveTargets answers a sender's question for the endpoint list: at once, or with a watch that follows its changes.
-func (d *directory) serveTargets(out http.ResponseWriter, r *http.Request) {
+func (d *discoveryServer) serveTargets(out http.ResponseWriter, r *http.Request) {
 	if r.URL.Query().Get("follow") != "1" {
 		d.writeFullList(out)
 		return
@@ -151,7 +151,7 @@
 }
 
 // writeFullList answers with the current list.
-func (d *directory) writeFullList(out http.ResponseWriter) {
+func (d *discoveryServer) writeFullList(out http.ResponseWriter) {
 	list := make(chan listMessage, 1)
 	d.e.post(func() { list <- d.message(d.e.w.FullList()) })
 	select {
@@ -163,7 +163,7 @@
 
 // nextLine waits for the next line of a watch: an update, or a heartbeat unless a fault silences discovery. It is false
 // once the watch is over.
-func (d *directory) nextLine(r *http.Request, lines <-chan []byte, heartbeat <-chan time.Time) ([]byte, bool) {
+func (d *discoveryServer) nextLine(r *http.Request, lines <-chan []byte, heartbeat <-chan time.Time) ([]byte, bool) {
 	for {
 		select {
 		case line, open := <-lines:
@@ -188,7 +188,7 @@
 }
 
 // serveOutcomes is the platform's end of the outcome callback. One from a sender that is isolated gets no answer.
-func (d *directory) serveOutcomes(out http.ResponseWriter, r *http.Request) {
+func (d *discoveryServer) serveOutcomes(out http.ResponseWriter, r *http.Request) {
 	lines, err := readOutcomes(r.Body)
 	if err != nil {
 		http.Error(out, "line", http.StatusBadRequest)
@@ -228,7 +228,7 @@
 }
 
 // reportEnds passes the ends to the world, on its goroutine. It is false if the sender is isolated.
-func (d *directory) reportEnds(lines []outcomeLine) bool {
+func (d *discoveryServer) reportEnds(lines []outcomeLine) bool {
 	if d.e.w.Isolated(d.sender) {
 		return false
 	}
--- a/lab/live/live.go
+++ b/lab/live/live.go
@@ -23,11 +23,11 @@
 const (
 	// slack is how much later than in truth the world may see what a sender does.
 	slack = 60 * choice.Millisecond
-	// An event of the world is late if it runs lateAt after its time. A run is void if the share of late events is above
-	// lateShare, or one is later than worstLate: then delays are the machine's and not the senders'.
-	lateAt    = 40 * time.Millisecond
-	lateShare = 0.01
-	worstLate = 400 * time.Millisecond
+	// An event of the world is late if it runs lateThreshold after its time. A run is void if the share of late events is above
+	// lateShare, or one is later than maxLateness: then delays are the machine's and not the senders'.
+	lateThreshold = 40 * time.Millisecond
+	lateShare     = 0.01
+	maxLateness   = 400 * time.Millisecond
 
 	readyWithin  = 20 * time.Second
 	maxSenders   = 120
@@ -40,21 +40,21 @@
 var ErrTooLarge = errors.New("too large for sockets")
 
 type engine struct {
-	o         Options
-	ctx       context.Context
-	w         *world.World
-	judge     *referee.Referee
-	dir       string
-	startedAt time.Time
-	began     bool
-	tasks     chan func()
-	done      chan struct{}
-	wg        sync.WaitGroup
+	o          Options
+	ctx        context.Context
+	w          *world.World
+	judge      *referee.Referee
+	tempDir    string
+	startedAt  time.Time
+	worldBegan bool
+	tasks      chan func()
+	done       chan struct{}
+	wg         sync.WaitGroup
 
 	port           int
 	listeners      map[listenerKey]*listener
-	directories    []*directory
-	directoryMoves []int // of each sender's discovery
+	discoveries    []*discoveryServer
+	discoveryMoves []int // of each sender's discovery
 	senders        []*process
 	pools          []*pool
 	bodies         []byte
@@ -72,10 +72,10 @@
 	if err != nil {
 		return nil, err
 	}
-	if e.dir, err = os.MkdirTemp("", "flaxcove-lab-"); err != nil {
+	if e.tempDir, err = os.MkdirTemp("", "flaxcove-lab-"); err != nil {
 		return nil, err
 	}
-	defer os.RemoveAll(e.dir)
+	defer os.RemoveAll(e.tempDir)
 	defer e.wg.Wait()
 	defer e.close()
 	if err := e.open(); err != nil {
@@ -105,7 +105,7 @@
 	e := &engine{
 		o:              o,
 		ctx:            ctx,
-		directoryMoves: make([]int, o.Spec.Senders),
+		discoveryMoves: make([]int, o.Spec.Senders),
 		tasks:          make(chan func(), maxTasks),
 		done:           make(chan struct{}),
 		listeners:      map[listenerKey]*listener{},
@@ -136,9 +136,9 @@
 	v := e.judge.Verdict()
 	v.Engine, v.Seed = "sockets", e.o.Seed
 	share := float64(e.lateEvents) / float64(max(1, e.events))
-	if share > lateShare || e.worstDelay > worstLate {
+	if share > lateShare || e.worstDelay > maxLateness {
 		v.Void = fmt.Sprintf("the machine was too busy: %.1f%% of the world's events came over %v late, the worst by %v",
-			100*share, lateAt, e.worstDelay.Round(time.Millisecond))
+			100*share, lateThreshold, e.worstDelay.Round(time.Millisecond))
 	}
 	e.figures.LateShare, e.figures.WorstLateMS = share, float64(e.worstDelay)/1e6
 	v.EngineFigures = &referee.EngineFigures{WallS: time.Since(began).Seconds(), CPUS: e.figures.CPUS, MemoryMB: e.figures.PeakMB,
@@ -166,8 +166,8 @@
 		e.stopAll()
 		return err
 	}
-	e.awaitCaller()
-	e.startedAt, e.began = time.Now(), true
+	e.awaitReady()
+	e.startedAt, e.worldBegan = time.Now(), true
 	e.w.Begin()
 	if e.o.OnBegin != nil {
 		e.o.OnBegin(&RunControl{e})
@@ -191,7 +191,7 @@
 	allReady := func() bool {
 		return !slices.ContainsFunc(e.senders, func(p *process) bool { return !p.ready })
 	}
-	if !e.until(within, allReady) && e.failure == "" && e.ctx.Err() == nil {
+	if !e.runUntil(within, allReady) && e.failure == "" && e.ctx.Err() == nil {
 		e.failure = "not all senders were ready in time"
 	}
 	if e.failure != "" {
@@ -200,8 +200,8 @@
 	return e.ctx.Err()
 }
 
-// awaitCaller waits for Options.AwaitReady, for readyWithin at most.
-func (e *engine) awaitCaller() {
+// awaitReady waits for Options.AwaitReady, for readyWithin at most.
+func (e *engine) awaitReady() {
 	if e.o.AwaitReady == nil {
 		return
 	}
@@ -214,7 +214,7 @@
 		e.o.AwaitReady(ctx)
 		e.post(func() { ready = true })
 	}()
-	e.until(readyWithin, func() bool { return ready })
+	e.runUntil(readyWithin, func() bool { return ready })
 }
 
 // stopAll records the senders' figures and stops them, by force if they do not end in time.
@@ -236,7 +236,7 @@
 	for _, l := range e.listeners {
 		l.close()
 	}
-	for _, d := range e.directories {
+	for _, d := range e.discoveries {
 		d.close()
 	}
 	for _, p := range e.pools {
--- a/lab/live/live_test.go
+++ b/lab/live/live_test.go
@@ -13,8 +13,8 @@
 	"flaxcove/lab/world"
 )
 
-// built makes the sender once for all tests.
-func built(t *testing.T) string {
+// buildSender makes the sender once for all tests.
+func buildSender(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "flaxcove")
 	build := exec.Command("go", "build", "-buildvcs=false", "-o", path, "flaxcove/cmd/flaxcove")
@@ -24,7 +24,7 @@
 	return path
 }
 
-func short() *world.Spec {
+func shortSpec() *world.Spec {
 	s := world.Base()
 	s.Name, s.Seconds, s.Senders = "short", 5, 2
 	s.Load.Rate = 40
@@ -43,8 +43,8 @@
 	return &s
 }
 
-// left are the folders of runs that were not taken away.
-func left(t *testing.T) int {
+// leftoverFolders are the folders of runs that were not taken away.
+func leftoverFolders(t *testing.T) int {
 	t.Helper()
 	all, err := filepath.Glob(filepath.Join(os.TempDir(), "flaxcove-lab-*"))
 	if err != nil {
@@ -57,11 +57,11 @@
 	if testing.Short() {
 		t.Skip("it plays in real time")
 	}
-	binary := built(t)
+	binary := buildSender(t)
 	t.Setenv("TMPDIR", t.TempDir())
 
 	t.Run("troubles are played and rules are kept", func(t *testing.T) {
-		spec := short()
+		spec := shortSpec()
 		if p := spec.Check(); p != nil {
 			t.Fatal(p)
 		}
@@ -84,13 +84,13 @@
 	})
 	t.Run("a sender that does not start", func(t *testing.T) {
 		began := time.Now()
-		_, err := Run(context.Background(), Options{Spec: short(), Seed: 1, Command: []string{binary, "serv"}})
+		_, err := Run(context.Background(), Options{Spec: shortSpec(), Seed: 1, Command: []string{binary, "serv"}})
 		if err == nil || !strings.Contains(err.Error(), "ended by itself") || time.Since(began) > 10*time.Second {
 			t.Errorf("after %v: %v", time.Since(began), err)
 		}
 	})
 	t.Run("a sender that dies", func(t *testing.T) {
-		spec := short()
+		spec := shortSpec()
 		spec.Faults = nil
 		r, err := Run(context.Background(), Options{Spec: spec, Seed: 1,
 			Command: []string{"/bin/sh", "-c", binary + " serve & pid=$!; sleep 1.5; kill -9 $pid; exit 7"}})
@@ -102,7 +102,7 @@
 		}
 	})
 	t.Run("a sender that hangs", func(t *testing.T) {
-		spec := short()
+		spec := shortSpec()
 		spec.Seconds, spec.Faults, spec.Changes = 2, nil, nil
 		r, err := Run(context.Background(), Options{Spec: spec, Seed: 1,
 			Command: []string{"/bin/sh", "-c", binary + " serve & pid=$!; sleep 1.2; while kill -STOP $pid 2>/dev/null; do sleep 0.02; done"}})
@@ -114,13 +114,13 @@
 		}
 	})
 	t.Run("a machine that is too busy", func(t *testing.T) {
-		spec := short()
+		spec := shortSpec()
 		spec.Seconds, spec.Faults, spec.Changes = 3, nil, nil
 		stopped := false
 		r, err := Run(context.Background(), Options{Spec: spec, Seed: 1, Command: []string{binary, "serve"}, Watch: func(choice.Time) {
 			if !stopped {
 				stopped = true
-				time.Sleep(2 * worstLate) // the world's own goroutine stands still, as it does where it gets no core
+				time.Sleep(2 * maxLateness) // the world's own goroutine stands still, as it does where it gets no core
 			}
 		}})
 		if err != nil {
@@ -134,11 +134,11 @@
 		ctx, cancel := context.WithTimeout(context.Background(), 1500*time.Millisecond)
 		defer cancel()
 		began := time.Now()
-		if _, err := Run(ctx, Options{Spec: short(), Seed: 1, Command: []string{binary, "serve"}}); err == nil || time.Since(began) > 9*time.Second {
+		if _, err := Run(ctx, Options{Spec: shortSpec(), Seed: 1, Command: []string{binary, "serve"}}); err == nil || time.Since(began) > 9*time.Second {
 			t.Errorf("after %v: %v", time.Since(began), err)
 		}
 	})
-	if n := left(t); n > 0 {
+	if n := leftoverFolders(t); n > 0 {
 		t.Errorf("%d folders are left", n)
 	}
 	if out, _ := exec.Command("pgrep", "-f", binary).Output(); len(out) > 0 {
--- a/lab/live/loop.go
+++ b/lab/live/loop.go
@@ -18,7 +18,7 @@
 
 // now is the time of the world by the machine's clock.
 func (e *engine) now() choice.Time {
-	if !e.began {
+	if !e.worldBegan {
 		return 0
 	}
 	return choice.Time(time.Since(e.startedAt) / (100 * time.Microsecond))
@@ -34,8 +34,8 @@
 			return
 		}
 		e.events++
-		if behind := time.Duration(now-at) * 100 * time.Microsecond; behind > 0 && e.began {
-			if behind > lateAt {
+		if behind := time.Duration(now-at) * 100 * time.Microsecond; behind > 0 && e.worldBegan {
+			if behind > lateThreshold {
 				e.lateEvents++
 			}
 			e.worstDelay = max(e.worstDelay, behind)
@@ -67,7 +67,7 @@
 			return
 		}
 		in := time.Second / 4
-		if at, more := e.w.Next(); more && e.began {
+		if at, more := e.w.Next(); more && e.worldBegan {
 			in = min(in, time.Until(e.startedAt.Add(time.Duration(at)*100*time.Microsecond)))
 		}
 		wake.Reset(max(0, in))
@@ -85,8 +85,8 @@
 	}
 }
 
-// until runs posted tasks before the world begins, until cond holds. It is false if the run failed or the time is over.
-func (e *engine) until(within time.Duration, cond func() bool) bool {
+// runUntil runs posted tasks before the world begins, until cond holds. It is false if the run failed or the time is over.
+func (e *engine) runUntil(within time.Duration, cond func() bool) bool {
 	deadline := time.After(within)
 	for !cond() {
 		if e.failure != "" {
--- a/lab/live/process.go
+++ b/lab/live/process.go
@@ -75,10 +75,10 @@
 		return nil, err
 	}
 	object["zone"], object["slotNo"] = e.w.Zone(s), int(s)
-	known := e.directories[s].message(e.w.InitialList())
+	known := e.discoveries[s].message(e.w.InitialList())
 	spec := &e.o.Spec.Sender
 	return json.MarshalIndent(map[string]any{
-		"name": fmt.Sprintf("s%d", s), "listen": e.senderAddr(s), "discovery": e.directoryAddr(s), "state": p.state,
+		"name": fmt.Sprintf("s%d", s), "listen": e.senderAddr(s), "discovery": e.discoveryAddr(s), "state": p.state,
 		"seed":   fmt.Sprintf("%x", e.o.Seed*1_000_003+uint64(s)),
 		"limits": map[string]any{"memory_mb": spec.MemoryMB, "sockets": spec.Sockets, "disk_mb": spec.DiskMB},
 		"known":  known, "settings": object,
@@ -145,7 +145,7 @@
 func (p *process) spawn() error {
 	logs := p.e.o.Logs
 	if logs == "" {
-		logs = p.e.dir
+		logs = p.e.tempDir
 	}
 	if err := os.MkdirAll(logs, 0o755); err != nil {
 		return err
--- a/lab/live/wire.go
+++ b/lab/live/wire.go
@@ -27,22 +27,22 @@
 		p.term()
 	case world.Pause, world.Continue:
 		p.pause(what == world.Pause)
-	case world.Break:
+	case world.BreakConfig:
 		p.reload([]byte("{"))
-	case world.Reload:
-		e.moveDirectory(on)
-	case world.HoardOn:
-		e.pools[on].hoard(e.amount("hoard"))
-	case world.HoardOff:
-		e.pools[on].releaseHoard()
-	case world.RubbishOn:
-		e.pools[on].rubbish(e.amount("rubbish"))
-	case world.RubbishOff:
-		e.pools[on].endRubbish()
+	case world.ReloadConfig:
+		e.moveDiscovery(on)
+	case world.IdleConnectionsOn:
+		e.pools[on].holdConnections(e.faultAmount("hoard"))
+	case world.IdleConnectionsOff:
+		e.pools[on].releaseConnections()
+	case world.MalformedCommandsOn:
+		e.pools[on].sendMalformed(e.faultAmount("rubbish"))
+	case world.MalformedCommandsOff:
+		e.pools[on].stopMalformed()
 	}
 }
 
-func (e *engine) amount(kind string) float64 {
+func (e *engine) faultAmount(kind string) float64 {
 	for i := range e.o.Spec.Faults {
 		if t := &e.o.Spec.Faults[i]; t.Kind == kind {
 			return t.Amount
@@ -53,6 +53,6 @@
 
 func (e *engine) HandIn(h *world.HandIn) { e.pools[h.Sender].handIn(h) }
 
-func (e *engine) ListUpdate(to world.SenderNo, l world.List) { e.directories[to].sendUpdate(l) }
+func (e *engine) ListUpdate(to world.SenderNo, l world.List) { e.discoveries[to].sendUpdate(l) }
 
-func (e *engine) ListFailed(to world.SenderNo) { e.directories[to].silence() }
+func (e *engine) ListFailed(to world.SenderNo) { e.discoveries[to].silence() }
--- a/lab/referee/clients.go
+++ b/lab/referee/clients.go
@@ -1,7 +1,7 @@
 package referee
 
-// This file judges the clients' side: what was requested, what answers the client and the platform got, and the value of a
-// delivery. calls.go judges calls.
+// This file judges the clients' side: the requests, the answers that clients and the platform got, and the value of
+// deliveries. calls.go judges calls.
 
 import (
 	"container/heap"
@@ -10,12 +10,12 @@
 	"flaxcove/lab/world"
 )
 
-// Requested receives that a client wants a message delivered.
+// Requested records that a client wants a message delivered.
 func (r *Referee) Requested(a *world.Request) {
-	r.judgeDue()
+	r.checkDue()
 	r.requests[a] = &requestState{}
 	r.requestsByClass[a.Arrival.Class] = append(r.requestsByClass[a.Arrival.Class], a)
-	r.second(a.At).Asked++
+	r.timelineEntry(a.At).Asked++
 	r.v.Asked++
 	if isCounted(a) {
 		w := &r.v.Classes[a.Arrival.Class]
@@ -24,14 +24,14 @@
 	}
 }
 
-// isCounted reports whether a request counts for the service figure. Those of the first second do not.
+// isCounted reports whether a request counts for the service figure. Requests of the first second do not.
 func isCounted(a *world.Request) bool { return a.At >= choice.Second }
 
-// HandedIn receives that a client hands a message in to a sender.
+// HandedIn records that a client hands a message in to a sender.
 func (r *Referee) HandedIn(h *world.HandIn) {
-	r.judgeDue()
+	r.checkDue()
 	r.v.HandedIn++
-	n := &message{handIn: h, dueAt: h.Deadline + r.late()}
+	n := &message{handIn: h, dueAt: h.Deadline + r.lateTolerance()}
 	r.messages[h] = n
 	heap.Push(&r.due, n)
 	if key, ordered := r.orderKeyOf(h); ordered {
@@ -39,12 +39,12 @@
 	}
 }
 
-// late is how long after its deadline a message is judged.
-func (r *Referee) late() Time { return milliseconds(r.spec.Rules.LateMS) + r.slack }
+// lateTolerance returns the time after its deadline by which a message must have ended.
+func (r *Referee) lateTolerance() Time { return milliseconds(r.spec.Rules.LateMS) + r.slack }
 
-// HandInAnswered receives the answer to a hand-in as its client sees it.
+// HandInAnswered records the answer to a hand-in as its client sees it.
 func (r *Referee) HandInAnswered(h *world.HandIn, what world.HandInAnswer) {
-	r.judgeDue()
+	r.checkDue()
 	n := r.messages[h]
 	if n == nil {
 		return
@@ -60,17 +60,19 @@
 	r.leaveKeyQueue(n)
 }
 
+// accept records that a sender accepted a message.
 func (r *Referee) accept(n *message) {
 	n.accepted = true
 	r.v.Accepted++
-	record(r.acceptLatency, r.clock()-n.handIn.At)
+	recordTime(r.acceptLatency, r.clock()-n.handIn.At)
 	if n.delivered {
 		r.creditDelivery(n)
 	}
 }
 
+// countRejection counts an answer to a hand-in other than HandInAccepted.
 func (r *Referee) countRejection(what world.HandInAnswer) {
-	line := r.second(r.clock())
+	line := r.timelineEntry(r.clock())
 	switch what {
 	case world.HandInBusy:
 		r.v.Shed++
@@ -85,9 +87,9 @@
 	}
 }
 
-// Delivered receives that an endpoint answered a message with success.
+// Delivered records that an endpoint answered a message with success.
 func (r *Referee) Delivered(h *world.HandIn, e *world.Endpoint) {
-	r.judgeDue()
+	r.checkDue()
 	n := r.messages[h]
 	if n == nil || n.delivered {
 		return
@@ -98,39 +100,42 @@
 	}
 }
 
-// Ended receives an outcome callback for a message that was not delivered.
+// Ended records the outcome callback of a message that was not delivered, and checks that it agrees with earlier ones.
 func (r *Referee) Ended(h *world.HandIn, what world.End) {
-	r.judgeDue()
+	r.checkDue()
 	n := r.messages[h]
 	switch {
 	case n == nil:
 		return
 	case n.ended && n.end != what:
-		r.violated(Lost, h.Sender, "%s was told to the platform as handed back and as given up", h.ID)
+		r.addViolation(Lost, h.Sender, "%s was told to the platform as handed back and as given up", h.ID)
 		return
 	case n.ended:
 		return
 	}
 	n.ended, n.end = true, what
 	if what == world.EndHandedBack {
-		r.handedBack(n)
+		r.recordHandBack(n)
 	} else {
 		r.v.Failed++
-		r.second(r.clock()).Failed++
+		r.timelineEntry(r.clock()).Failed++
 	}
 	r.leaveKeyQueue(n)
 }
 
-func (r *Referee) handedBack(n *message) {
+// recordHandBack counts a message that its sender handed back, and checks that a non-idempotent one cannot have been
+// executed.
+func (r *Referee) recordHandBack(n *message) {
 	r.v.HandedBack++
-	r.second(r.clock()).Shed++
+	r.timelineEntry(r.clock()).Shed++
 	h := n.handIn
 	if n.mayRun && nonIdempotent(h) {
-		r.violated(Twice, h.Sender, "%s is single-use, may have run, and was handed back", h.ID)
+		r.addViolation(Twice, h.Sender, "%s is single-use, may have run, and was handed back", h.ID)
 	}
 }
 
-// creditDelivery adds a message's value to the service figure, once for all its hand-ins, by the time since the first.
+// creditDelivery adds a message's value to the service figure, by the time since its first hand-in. A request is credited
+// once, whatever the number of its hand-ins.
 func (r *Referee) creditDelivery(n *message) {
 	state, request := r.requests[n.handIn.Request], n.handIn.Request
 	if state == nil || state.credited {
@@ -139,7 +144,7 @@
 	state.credited = true
 	took := r.clock() - request.At
 	r.v.Delivered++
-	r.second(r.clock()).Delivered++
+	r.timelineEntry(r.clock()).Delivered++
 	r.recordDelivery(request, took)
 	if took <= milliseconds(request.Class.LatencyObjectiveMS) {
 		r.v.InTime++
@@ -147,12 +152,13 @@
 	if isCounted(request) {
 		w := &r.v.Classes[request.Arrival.Class]
 		w.Delivered++
-		w.Value += request.Class.Value * Fade(r.spec, request.Class, took)
+		w.Value += request.Class.Value * ValueShare(r.spec, request.Class, took)
 	}
 }
 
+// recordDelivery records the latency of a delivery, by class and by second of the run.
 func (r *Referee) recordDelivery(a *world.Request, took Time) {
-	record(r.delivery[a.Arrival.Class], took)
+	recordTime(r.delivery[a.Arrival.Class], took)
 	second := int(r.clock() / choice.Second)
 	if second >= len(r.bySecond) {
 		return
@@ -160,11 +166,11 @@
 	if r.bySecond[second] == nil {
 		r.bySecond[second] = newHistogram()
 	}
-	record(r.bySecond[second], took)
+	recordTime(r.bySecond[second], took)
 }
 
-// Fade is the share of a class's value that is left at a delivery this long after the first hand-in.
-func Fade(spec *world.Spec, w *world.Class, took Time) float64 {
+// ValueShare returns the share of a class's value that remains at a delivery the time took after the first hand-in.
+func ValueShare(spec *world.Spec, w *world.Class, took Time) float64 {
 	c := choice.Class{LatencyObjective: milliseconds(w.LatencyObjectiveMS), Deadline: milliseconds(w.DeadlineMS), LateValue: w.LateValue}
 	return c.ValueShare(took, spec.Halving)
 }
--- a/lab/referee/endpoints.go
+++ b/lab/referee/endpoints.go
@@ -1,8 +1,7 @@
 package referee
 
-// This file keeps what endpoints and senders go through: stages and Retry-After that reached a sender, outages and
-// returns, faults, and the times in which a sender could not act. It must not blame a sender for an update that did not
-// reach it.
+// This file records the events of endpoints and senders: stages and Retry-After that reached a sender, outages and returns,
+// faults, and the times in which a sender could not act. A sender must not be blamed for an update that did not reach it.
 
 import (
 	"flaxcove/choice"
@@ -10,18 +9,19 @@
 )
 
 const (
-	blameShare = 2.0 / 3 // senders are blamed if this share of the load came from those that had seen the endpoint fail
-	maxLoads   = 200     // how many seconds of a return the verdict lists
+	blameShare = 2.0 / 3 // least share of the load from senders that had seen the endpoint fail, at which senders are blamed
+	maxLoads   = 200     // most seconds of slow start that the verdict lists for an endpoint
 )
 
-// senderState says whether a sender can act.
+// senderState records whether a sender can act.
 type senderState struct {
-	up   bool
-	upAt Time // when it began to serve, or became available again
-	away int  // number of faults that keep it from acting
+	up          bool // the sender's process serves
+	upAt        Time // when the process began to serve, or became available again
+	unavailable int  // number of active faults that pause or isolate the process
 }
 
-// StageAnnounced receives that an endpoint's stage was announced to a sender.
+// StageAnnounced records that discovery announced an endpoint's stage to a sender. The time of the first announcement that
+// the endpoint drains or is gone is kept until the endpoint is ready again.
 func (r *Referee) StageAnnounced(s world.SenderNo, e *world.Endpoint, stage choice.Stage) {
 	at := senderView{s, int(e.No)}
 	if stage == choice.Ready {
@@ -31,7 +31,7 @@
 	}
 }
 
-// RetryAfterReceived receives that a refusal with a Retry-After reached a sender.
+// RetryAfterReceived records that a refusal with a Retry-After reached a sender.
 func (r *Referee) RetryAfterReceived(s world.SenderNo, e *world.Endpoint, until Time) {
 	at := senderView{s, routeNo(e)}
 	if now := r.clock(); until > r.retryAfterUntil[at] {
@@ -42,7 +42,7 @@
 	}
 }
 
-// Outage receives that an endpoint went down, or came back.
+// Outage records that an endpoint went down, or came back.
 func (r *Referee) Outage(e *world.Endpoint, down bool) {
 	if down {
 		r.v.Outages++
@@ -52,11 +52,11 @@
 		r.returns[e] = &Return{Endpoint: string(e.ID), Bound: e.Bound()}
 	}
 	r.returns[e].Times++
-	r.returns[e].At = append(r.returns[e].At, sec(r.clock()))
+	r.returns[e].At = append(r.returns[e].At, inSeconds(r.clock()))
 }
 
-// Returning receives the load on an endpoint in slow start, and the load above which it falls over.
-func (r *Referee) Returning(e *world.Endpoint, load, bound float64) {
+// LoadInSlowStart records the load on an endpoint in slow start, and the load above which the endpoint goes down again.
+func (r *Referee) LoadInSlowStart(e *world.Endpoint, load, bound float64) {
 	ret := r.returns[e]
 	if ret == nil {
 		return
@@ -73,38 +73,40 @@
 	ret.Loads = append(ret.Loads, [2]float64{float64(second), load / bound})
 }
 
-// PushedOver receives that an endpoint fell over in slow start, and the share of its load from senders that had seen it fail.
-func (r *Referee) PushedOver(e *world.Endpoint, knowing float64) {
+// OverloadedInSlowStart records that an endpoint in slow start went down again under its load. The parameter knowing is the
+// share of that load from senders that had seen the endpoint fail.
+func (r *Referee) OverloadedInSlowStart(e *world.Endpoint, knowing float64) {
 	r.v.PushedOver++
 	if knowing >= blameShare {
-		r.violated(Returns, -1, "%s was pushed over when it returned, %.0f%% of the load from senders that had seen it fail", e.ID, 100*knowing)
+		r.addViolation(Returns, -1, "%s was pushed over when it returned, %.0f%% of the load from senders that had seen it fail", e.ID, 100*knowing)
 	}
 }
 
-// Fault receives that a fault begins or ends.
+// Fault records that a fault begins or ends.
 func (r *Referee) Fault(t *world.Fault, on bool, parts int) {
-	now := sec(r.clock())
+	now := inSeconds(r.clock())
 	if on {
-		r.v.Faults = append(r.v.Faults, Span{Kind: t.Kind, From: now, To: r.spec.Seconds, Parts: parts, no: t})
+		r.v.Faults = append(r.v.Faults, Span{Kind: t.Kind, From: now, To: r.spec.Seconds, Parts: parts, fault: t})
 		return
 	}
 	for i := range r.v.Faults {
-		if r.v.Faults[i].no == t {
+		if r.v.Faults[i].fault == t {
 			r.v.Faults[i].To = now
 		}
 	}
 }
 
-// Sender receives that a sender's process serves, or no longer does.
+// Sender records that a sender's process serves, or no longer does.
 func (r *Referee) Sender(s world.SenderNo, up bool) {
-	r.judgeDue()
+	r.checkDue()
 	r.senders[s].up, r.senders[s].upAt = up, r.clock()
 	if !up {
 		r.forgetAnnouncements(s)
 	}
 }
 
-// forgetAnnouncements drops what a process knew of waits and stages; the next incarnation learns them anew.
+// forgetAnnouncements drops the Retry-After and the stages that reached a process which has ended. The next incarnation does
+// not know them.
 func (r *Referee) forgetAnnouncements(s world.SenderNo) {
 	for at := range r.retryAfterUntil {
 		if at.sender == s {
@@ -119,13 +121,13 @@
 	}
 }
 
-// Unavailable receives that a sender's process is paused or isolated, or no longer is.
+// Unavailable records that a sender's process is paused or isolated, or no longer is.
 func (r *Referee) Unavailable(s world.SenderNo, away bool) {
-	r.judgeDue()
+	r.checkDue()
 	if away {
-		r.senders[s].away++
+		r.senders[s].unavailable++
 		return
 	}
-	r.senders[s].away--
+	r.senders[s].unavailable--
 	r.senders[s].upAt = r.clock()
 }
--- a/lab/referee/histogram.go
+++ b/lab/referee/histogram.go
@@ -1,6 +1,6 @@
 package referee
 
-// This file converts units: tenths of a millisecond in histograms, seconds in text and in the timeline.
+// This file converts units of time: histograms hold tenths of a millisecond, texts and the timeline hold seconds.
 
 import (
 	"math"
@@ -11,25 +11,27 @@
 )
 
 const (
-	longestRecorded = 9_000_000 // tenths of a millisecond: a quarter of an hour
-	figuresRecorded = 2
+	longestRecorded   = 9_000_000 // highest value of a histogram, in tenths of a millisecond: a quarter of an hour
+	significantDigits = 2
 )
 
 func newHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(1, longestRecorded, figuresRecorded)
+	return hdrhistogram.New(1, longestRecorded, significantDigits)
 }
 
-func record(h *hdrhistogram.Histogram, t Time) {
-	_ = h.RecordValue(int64(max(1, min(t, longestRecorded-1)))) // always within
+// recordTime adds a time to a histogram. Times beyond longestRecorded count as the longest one.
+func recordTime(h *hdrhistogram.Histogram, t Time) {
+	_ = h.RecordValue(int64(max(1, min(t, longestRecorded-1)))) // cannot fail, since the value is within the histogram's range
 }
 
-func sec(t Time) float64 { return float64(t) / float64(choice.Second) }
+func inSeconds(t Time) float64 { return float64(t) / float64(choice.Second) }
 
 func milliseconds(v float64) Time { return Time(v * float64(choice.Millisecond)) }
 
+// round rounds to four decimal places.
 func round(v float64) float64 { return math.Round(v*1e4) / 1e4 }
 
-// second is the entry of the timeline for a time; what comes after the end belongs to the last second.
-func (r *Referee) second(at Time) *Second {
+// timelineEntry returns the timeline's entry for a time. Times after the end of the run belong to the last second.
+func (r *Referee) timelineEntry(at Time) *Second {
 	return &r.seconds[max(0, min(int(at/choice.Second), len(r.seconds)-1))]
 }
--- a/lab/referee/message.go
+++ b/lab/referee/message.go
@@ -1,7 +1,7 @@
 package referee
 
-// This file holds the state of a message from its hand-in until it is judged: when that is due, and its place in the queue
-// of its ordering key. A message must be dropped once it is judged.
+// This file holds the state of messages from their hand-in until they are judged: the time by which each must have ended,
+// and the queues of ordering keys. A message must be dropped once it is judged.
 
 import (
 	"container/heap"
@@ -12,47 +12,47 @@
 )
 
 const (
-	lateDeliveryPeriod = 10 * choice.Second        // a delivery this long after the deadline still counts
-	returnGrace        = 1500 * choice.Millisecond // for overdue messages after their sender is back
-	awayRecheck        = 500 * choice.Millisecond  // interval of checks for overdue messages of an unavailable sender
+	lateDeliveryPeriod = 10 * choice.Second        // deliveries until this long after the deadline count
+	returnGrace        = 1500 * choice.Millisecond // time that a sender has for overdue messages after it is back
+	unavailableRecheck = 500 * choice.Millisecond  // interval of the checks of overdue messages of an unavailable sender
 )
 
 // message is the state of one hand-in.
 type message struct {
 	handIn    *world.HandIn
-	dueAt     Time // when it must have ended
+	dueAt     Time // when the message must have ended
 	accepted  bool
-	refused   bool
+	refused   bool // the sender shed the message or answered the hand-in with an error
 	delivered bool
-	ended     bool
+	ended     bool // an outcome callback reported the end
 	end       world.End
-	runs      int
-	inFlight  int  // attempts in flight
+	runs      int  // number of executions
+	inFlight  int  // number of attempts in flight
 	mayRun    bool // an attempt that is no longer in flight may have been executed
 	mayRunAt  Time // when the first such attempt left
-	mayRunIn  int  // the zone it went to
+	mayRunIn  int  // zone of the endpoint that the first such attempt went to
 }
 
-// over reports whether the message has ended.
-func (n *message) over() bool { return n.delivered || n.ended || n.refused }
+// hasEnded reports whether the message was delivered, rejected, or ended by an outcome callback.
+func (n *message) hasEnded() bool { return n.delivered || n.ended || n.refused }
 
-// owed reports whether its sender accepted it and it has not ended.
-func (n *message) owed() bool { return n.accepted && !n.delivered && !n.ended }
+// outstanding reports whether the sender accepted the message and has not ended it.
+func (n *message) outstanding() bool { return n.accepted && !n.delivered && !n.ended }
 
-// dues is a heap of messages by the time they are due.
-type dues []*message
+// dueHeap is a heap of messages by the time at which they must have ended.
+type dueHeap []*message
 
-func (d dues) Len() int { return len(d) }
+func (d dueHeap) Len() int { return len(d) }
 
-func (d dues) Less(i, j int) bool {
+func (d dueHeap) Less(i, j int) bool {
 	return d[i].dueAt < d[j].dueAt || d[i].dueAt == d[j].dueAt && d[i].handIn.ID < d[j].handIn.ID
 }
 
-func (d dues) Swap(i, j int) { d[i], d[j] = d[j], d[i] }
+func (d dueHeap) Swap(i, j int) { d[i], d[j] = d[j], d[i] }
 
-func (d *dues) Push(x any) { *d = append(*d, x.(*message)) }
+func (d *dueHeap) Push(x any) { *d = append(*d, x.(*message)) }
 
-func (d *dues) Pop() any {
+func (d *dueHeap) Pop() any {
 	last := len(*d) - 1
 	x := (*d)[last]
 	(*d)[last] = nil
@@ -60,7 +60,7 @@
 	return x
 }
 
-// requestState is the state of one request of a client, which may be handed in several times.
+// requestState is the state of one request of a client. It is credited once one of its hand-ins was delivered and accepted.
 type requestState struct{ credited bool }
 
 // orderKey identifies an ordering key at one sender.
@@ -70,40 +70,40 @@
 	key     int
 }
 
-// judgeDue judges the messages that are due by now.
-func (r *Referee) judgeDue() {
+// checkDue judges and drops the messages that must have ended by now.
+func (r *Referee) checkDue() {
 	r.forgetRequests()
 	now := r.clock()
 	for len(r.due) > 0 && r.due[0].dueAt < now {
 		n := r.due[0]
-		if n.owed() {
+		if n.outstanding() {
 			if later, excused := r.excused(n.handIn.Sender); excused {
 				n.dueAt = later
 				heap.Fix(&r.due, 0)
 				continue
 			}
-			r.violated(Lost, n.handIn.Sender, "%s was taken on at %.3f s and had no final answer by its hard stop at %.3f s",
-				n.handIn.ID, sec(n.handIn.At), sec(n.handIn.Deadline))
+			r.addViolation(Lost, n.handIn.Sender, "%s was taken on at %.3f s and had no final answer by its hard stop at %.3f s",
+				n.handIn.ID, inSeconds(n.handIn.At), inSeconds(n.handIn.Deadline))
 		}
 		heap.Pop(&r.due)
 		r.drop(n)
 	}
 }
 
-// excused reports whether a sender is not to blame for overdue messages, and until when: it gets returnGrace after its
-// return.
+// excused reports whether a sender is excused for overdue messages, and until when. It is excused while it is down or
+// unavailable, and for returnGrace after that.
 func (r *Referee) excused(no world.SenderNo) (until Time, excused bool) {
 	now, s := r.clock(), &r.senders[no]
 	switch {
-	case !s.up || s.away > 0:
-		return now + awayRecheck, true
+	case !s.up || s.unavailable > 0:
+		return now + unavailableRecheck, true
 	case now < s.upAt+returnGrace:
 		return s.upAt + returnGrace, true
 	}
 	return 0, false
 }
 
-// forgetRequests drops the requests that no delivery can count for any more.
+// forgetRequests drops the requests for which a delivery no longer counts.
 func (r *Referee) forgetRequests() {
 	now := r.clock()
 	for i, line := range r.requestsByClass {
@@ -116,18 +116,18 @@
 	}
 }
 
-// drop forgets a message after it is judged.
+// drop forgets a message that is judged.
 func (r *Referee) drop(n *message) {
 	delete(r.messages, n.handIn)
 	r.leaveKeyQueue(n)
 }
 
-// orderKeyOf is the ordering key of a hand-in, and whether its class is ordered.
+// orderKeyOf returns the ordering key of a hand-in, and whether its class is ordered.
 func (r *Referee) orderKeyOf(h *world.HandIn) (orderKey, bool) {
 	return orderKey{h.Sender, h.Request.Partner, h.Request.Key}, h.Request.Class.Ordered
 }
 
-// leaveKeyQueue removes a message from the queue of its ordering key.
+// leaveKeyQueue removes a message from the queue of its ordering key, and forgets the key if that was its last message.
 func (r *Referee) leaveKeyQueue(n *message) {
 	key, ordered := r.orderKeyOf(n.handIn)
 	if !ordered {
@@ -139,15 +139,15 @@
 		return
 	}
 	delete(r.keyQueues, key)
-	if r.keyRestUntil[key] < r.clock() {
-		delete(r.keyRestUntil, key)
+	if r.keyPausedUntil[key] < r.clock() {
+		delete(r.keyPausedUntil, key)
 	}
 }
 
-// Pending is the number of messages that have not ended or have an attempt in flight.
+// Pending returns the number of accepted messages that have not ended, plus those that have an attempt in flight.
 func (r *Referee) Pending() (count int) {
 	for _, n := range r.messages {
-		if n.owed() || n.inFlight > 0 {
+		if n.outstanding() || n.inFlight > 0 {
 			count++
 		}
 	}
--- a/lab/referee/referee.go
+++ b/lab/referee/referee.go
@@ -1,11 +1,11 @@
-// Package referee judges a run by what happened in the world.
+// Package referee judges a run by the events of the world.
 //
-// It checks the rules and computes the figures of service. Its only input is the world's ledger, never a sender's log or
-// counters. It must not depend on the engine that played the run, read a clock, or depend on the order of a map. The state
-// of a message is dropped once it is judged, so that memory is bounded in a long run.
+// It checks the rules for senders and computes the figures of a run. Its only input are the events that the world reports,
+// never a sender's log or counters. The package must not depend on the engine that played the run, read a clock, or depend
+// on the order of a map. The state of a message is dropped once it is judged, so that memory is bounded in a long run.
 //
-// Events of the same instant count in the order in which they left their cause: an answer that left before its call was
-// abandoned is a delivery; a +OK that left before the process was killed is binding; a call that left at the moment when
+// Events at the same time count in the order in which they left their origin. An answer that left before its call was
+// abandoned is a delivery. A +OK that left before the process was killed is binding. A call that left at the moment when
 // its endpoint's drain was announced is in time, since the grace period has just begun.
 package referee
 
@@ -21,30 +21,32 @@
 // Time is choice.Time, counted from the start of the run.
 type Time = choice.Time
 
-// Rule is one of the six rules, or the rule that a message goes to its own partner only.
+// Rule is the name of a rule for senders. There are six rules of delivery, and the rule that a message goes to its own
+// partner only.
 type Rule string
 
+// Names of the rules. The comments say when a sender breaks each.
 const (
-	Lost      Rule = "lost"    // no end in time, two different ends, or an attempt after the end
-	Twice     Rule = "twice"   // an effect may have come twice that must not, or two attempts were in flight at once
-	Drains    Rule = "drains"  // a call went to an endpoint that drains or is gone
-	Returns   Rule = "returns" // an endpoint fell over in slow start by the load of senders that had seen it fail
-	Order     Rule = "order"
-	Waits     Rule = "waits"
-	Elsewhere Rule = "elsewhere" // a message went to another partner than its own
+	Lost      Rule = "lost"      // an accepted message has no end in time or two different ends, or is sent after its end
+	Twice     Rule = "twice"     // a message may have been executed twice that must not, or two attempts are in flight at once
+	Drains    Rule = "drains"    // a call goes to an endpoint that drains or is gone
+	Returns   Rule = "returns"   // an endpoint in slow start goes down under the load of senders that had seen it fail
+	Order     Rule = "order"     // a message is sent before an earlier one of its ordering key has ended, or while the key is paused
+	Waits     Rule = "waits"     // a call uses a route before the end of a Retry-After
+	Elsewhere Rule = "elsewhere" // a message goes to another partner than its own
 )
 
-// Rules are all rules, in the order of reports.
+// Rules lists all rules, in the order of reports.
 var Rules = []Rule{Lost, Twice, Drains, Returns, Order, Waits, Elsewhere}
 
-// maxViolationsListed is how many violations of each rule the verdict describes.
+// maxViolationsListed is the highest number of violations of each rule that the verdict describes.
 const maxViolationsListed = 20
 
-// Violation is one violation of a rule.
+// Violation is one violation of a rule. The text What begins with the message's id if the violation concerns a message.
 type Violation struct {
 	Rule   Rule    `json:"rule"`
 	At     float64 `json:"at_s"`
-	Sender int     `json:"sender"`
+	Sender int     `json:"sender"` // -1 if no single sender broke the rule
 	What   string  `json:"what"`
 }
 
@@ -52,19 +54,19 @@
 type Referee struct {
 	spec  *world.Spec
 	clock func() Time
-	slack Time // how much later than in truth the engine may report an event
+	slack Time // longest delay with which the engine reports an event
 
-	messages        map[*world.HandIn]*message // emptied as each is judged
-	due             dues
-	keyQueues       map[orderKey][]*message // emptied likewise
-	keyRestUntil    map[orderKey]Time
-	stages          map[senderView]announcedStage // by sender and endpoint; those that drain or are gone
-	retryAfterUntil map[senderView]Time           // until, by sender and route; emptied as each ends
-	retryAfterSince map[senderView]Time           // when the Retry-After arrived
+	messages        map[*world.HandIn]*message // messages that are not yet judged
+	due             dueHeap
+	keyQueues       map[orderKey][]*message       // messages of each key that are not judged or rejected, in the order of their hand-ins
+	keyPausedUntil  map[orderKey]Time             // keys with a call that got no answer
+	stages          map[senderView]announcedStage // by sender and endpoint: those that drain or are gone
+	retryAfterUntil map[senderView]Time           // by sender and route: end of the Retry-After, dropped at the next call after it
+	retryAfterSince map[senderView]Time           // by sender and route: arrival of the Retry-After
 	requests        map[*world.Request]*requestState
-	requestsByClass [][]*world.Request // by class, in order of time; each is dropped lateDeliveryPeriod after its deadline
+	requestsByClass [][]*world.Request // by class, in order of time; a request is dropped lateDeliveryPeriod after its deadline
 	senders         []senderState
-	calls           map[*world.Call]*callState // emptied as calls are resolved
+	calls           map[*world.Call]*callState // calls in flight
 
 	v             Verdict
 	seconds       []Second
@@ -74,8 +76,8 @@
 	returns       map[*world.Endpoint]*Return
 }
 
-// New creates a referee; clock is the world's. Slack is how much later than in truth the engine may report what a sender
-// does, 0 in simulated time.
+// New creates a referee. The function clock returns the world's time. The parameter slack is the longest delay with which
+// the engine reports an action of a sender; it is 0 in simulated time.
 func New(spec *world.Spec, clock func() Time, slack Time) *Referee {
 	r := &Referee{
 		spec:            spec,
@@ -83,7 +85,7 @@
 		slack:           slack,
 		messages:        map[*world.HandIn]*message{},
 		keyQueues:       map[orderKey][]*message{},
-		keyRestUntil:    map[orderKey]Time{},
+		keyPausedUntil:  map[orderKey]Time{},
 		stages:          map[senderView]announcedStage{},
 		retryAfterUntil: map[senderView]Time{},
 		retryAfterSince: map[senderView]Time{},
@@ -105,11 +107,12 @@
 	return r
 }
 
-// violated counts a violation, and describes the first ones of each rule.
-func (r *Referee) violated(rule Rule, s world.SenderNo, format string, args ...any) {
+// addViolation counts a violation, and adds its description to the verdict if it is among the first maxViolationsListed of
+// its rule.
+func (r *Referee) addViolation(rule Rule, s world.SenderNo, format string, args ...any) {
 	r.v.Rules[rule]++
 	if r.v.Rules[rule] <= maxViolationsListed {
 		what := fmt.Sprintf(format, args...)
-		r.v.Violations = append(r.v.Violations, Violation{Rule: rule, At: sec(r.clock()), Sender: int(s), What: what})
+		r.v.Violations = append(r.v.Violations, Violation{Rule: rule, At: inSeconds(r.clock()), Sender: int(s), What: what})
 	}
 }
--- a/lab/referee/referee_test.go
+++ b/lab/referee/referee_test.go
@@ -11,8 +11,8 @@
 	"flaxcove/lab/world"
 )
 
-// rough is a world with some of each fault that tempts a sender to break a rule.
-func rough() *world.Spec {
+// faultySpec returns a world with faults, limits and a drain, under which a sender with a defect breaks a rule.
+func faultySpec() *world.Spec {
 	s := world.Base()
 	s.Name, s.Seconds, s.Senders, s.Zones = "rough", 25, 3, 2
 	s.Load.Rate, s.Load.Zipf = 60, 0.6
@@ -38,64 +38,66 @@
 	return &s
 }
 
-// wrong is a sender's policy that goes wrong in one way.
-type wrong struct {
+// faultyPolicy is the project's own policy with one defect.
+type faultyPolicy struct {
 	sim.Policy
-	h   *host
-	how string
+	host   *faultyHost
+	defect string
 }
 
-type host struct {
+// faultyHost is the host of a faultyPolicy. It has those defects that concern the calls of the policy to its host.
+type faultyHost struct {
 	choice.Host
-	how  string
-	w    *world.World
-	out  map[choice.MessageID]sent
-	over map[choice.MessageID]bool // done, though its policy may not have heard
-	last choice.EndpointID
+	defect       string
+	w            *world.World
+	inFlight     map[choice.MessageID]sent
+	ended        map[choice.MessageID]bool // delivered, even if the policy has been told of another result
+	lastEndpoint choice.EndpointID
 }
 
+// sent is the last attempt to deliver a message.
 type sent struct {
-	to    choice.EndpointID
-	at    choice.Time
-	tries int
+	to       choice.EndpointID
+	at       choice.Time
+	attempts int
 }
 
-func (h *host) Fail(n choice.MessageID) {
-	if h.how != "forgets ends" {
+func (h *faultyHost) Fail(n choice.MessageID) {
+	if h.defect != "reports no ends" {
 		h.Host.Fail(n)
 	}
 }
 
-func (h *host) Shed(n choice.MessageID, in choice.Time) {
-	if h.how != "forgets ends" {
+func (h *faultyHost) Shed(n choice.MessageID, in choice.Time) {
+	if h.defect != "reports no ends" {
 		h.Host.Shed(n, in)
 	}
 }
 
-func (h *host) Attempt(n choice.MessageID, to choice.EndpointID, timeOut choice.Time) {
-	if h.how == "sends elsewhere" && h.last != "" {
-		to, h.last = h.last, to
+func (h *faultyHost) Attempt(n choice.MessageID, to choice.EndpointID, timeOut choice.Time) {
+	if h.defect == "sends to another partner" && h.lastEndpoint != "" {
+		to, h.lastEndpoint = h.lastEndpoint, to
 	} else {
-		h.last = to
+		h.lastEndpoint = to
 	}
-	if h.over[n] {
+	if h.ended[n] {
 		return
 	}
-	s := h.out[n]
-	h.out[n] = sent{to, h.Now(), s.tries + 1}
+	s := h.inFlight[n]
+	h.inFlight[n] = sent{to, h.Now(), s.attempts + 1}
 	h.Host.Attempt(n, to, timeOut)
 }
 
-func (p *wrong) Ended(o choice.Outcome) {
+func (p *faultyPolicy) Ended(o choice.Outcome) {
 	if o.Final {
-		p.h.over[o.Message] = true
+		p.host.ended[o.Message] = true
 	}
-	switch p.how {
-	case "repeats what may have run":
+	switch p.defect {
+	case "repeats uncertain attempts":
 		if o.Result == choice.Errored || o.Result == choice.Reset || o.Result == choice.TimedOut {
 			o.Result = choice.Rejected
 		}
-	case "passes over waits":
+	case "ignores Retry-After":
 		if o.Result == choice.Rejected {
 			o.RetryAfter, o.Result = 0, choice.Errored
 		}
@@ -103,15 +105,15 @@
 	p.Policy.Ended(o)
 }
 
-func (p *wrong) Taken(n choice.Message) {
-	if p.how == "forgets keys" {
+func (p *faultyPolicy) Taken(n choice.Message) {
+	if p.defect == "ignores ordering keys" {
 		n.Key = choice.NoKey
 	}
 	p.Policy.Taken(n)
 }
 
-func (p *wrong) UpdateEndpoints(entries []choice.Entry, whole bool) {
-	if p.how == "passes over drains" {
+func (p *faultyPolicy) UpdateEndpoints(entries []choice.Entry, whole bool) {
+	if p.defect == "ignores drains" {
 		entries = append([]choice.Entry(nil), entries...)
 		for i := range entries {
 			entries[i].Stage = choice.Ready
@@ -120,26 +122,27 @@
 	p.Policy.UpdateEndpoints(entries, whole)
 }
 
-func (p *wrong) TurnEnd() {
-	if p.how == "sends twice at once" {
-		for id, s := range p.h.out {
-			if p.h.Now()-s.at > 60*choice.Millisecond {
-				delete(p.h.out, id)
-				p.Policy.Ended(choice.Outcome{Message: id, Attempt: s.tries - 1, Endpoint: s.to, Took: 1, Result: choice.ConnectFailed})
+func (p *faultyPolicy) TurnEnd() {
+	if p.defect == "makes two attempts at once" {
+		for id, s := range p.host.inFlight {
+			if p.host.Now()-s.at > 60*choice.Millisecond {
+				delete(p.host.inFlight, id)
+				p.Policy.Ended(choice.Outcome{Message: id, Attempt: s.attempts - 1, Endpoint: s.to, Took: 1, Result: choice.ConnectFailed})
 			}
 		}
 	}
 	p.Policy.TurnEnd()
 }
 
-func play(t *testing.T, spec *world.Spec, how string) *referee.Verdict {
+// runWithDefect plays a spec with senders that have the defect, and returns the verdict.
+func runWithDefect(t *testing.T, spec *world.Spec, defect string) *referee.Verdict {
 	t.Helper()
 	make := func(h choice.Host, id choice.SenderID, seed int64, set choice.Settings, w *world.World) sim.Policy {
-		if how == "pushes over" {
+		if defect == "overloads in slow start" {
 			return baseline.Named("one_try")(h, id, seed, set, w)
 		}
-		mine := &host{Host: h, how: how, w: w, out: map[choice.MessageID]sent{}, over: map[choice.MessageID]bool{}}
-		return &wrong{sim.ChoicePolicy(mine, id, seed, set, w), mine, how}
+		mine := &faultyHost{Host: h, defect: defect, w: w, inFlight: map[choice.MessageID]sent{}, ended: map[choice.MessageID]bool{}}
+		return &faultyPolicy{sim.ChoicePolicy(mine, id, seed, set, w), mine, defect}
 	}
 	v, err := sim.Run(sim.Options{Spec: spec, Seed: 3, Policy: make})
 	if err != nil {
@@ -148,47 +151,47 @@
 	return v
 }
 
-// Each rule has a sender that breaks it, and is caught; the same sender with nothing wrong breaks none.
+// For each rule, the referee detects a sender with a defect that breaks it. The same sender without a defect breaks no rule.
 func TestRulesDetectViolations(t *testing.T) {
-	if v := play(t, rough(), "not at all"); v.Broken() {
-		t.Fatalf("a sender that is right breaks %v: %v", v.Rules, v.Violations)
+	if v := runWithDefect(t, faultySpec(), "none"); v.Broken() {
+		t.Fatalf("a sender without a defect breaks %v: %v", v.Rules, v.Violations)
 	}
-	for how, rule := range map[string]referee.Rule{
-		"forgets ends":              referee.Lost,
-		"repeats what may have run": referee.Twice,
-		"sends twice at once":       referee.Twice,
-		"passes over drains":        referee.Drains,
-		"pushes over":               referee.Returns,
-		"forgets keys":              referee.Order,
-		"passes over waits":         referee.Waits,
-		"sends elsewhere":           referee.Elsewhere,
+	for defect, rule := range map[string]referee.Rule{
+		"reports no ends":            referee.Lost,
+		"repeats uncertain attempts": referee.Twice,
+		"makes two attempts at once": referee.Twice,
+		"ignores drains":             referee.Drains,
+		"overloads in slow start":    referee.Returns,
+		"ignores ordering keys":      referee.Order,
+		"ignores Retry-After":        referee.Waits,
+		"sends to another partner":   referee.Elsewhere,
 	} {
-		t.Run(how, func(t *testing.T) {
-			spec := rough()
-			if how == "pushes over" {
+		t.Run(defect, func(t *testing.T) {
+			spec := faultySpec()
+			if defect == "overloads in slow start" {
 				spec.Load.Rate = 200
 				spec.Partners[0].Headroom = world.Pair{1, 1}
 				spec.Faults = spec.Faults[:1]
 				spec.Defaults()
 			}
-			v := play(t, spec, how)
+			v := runWithDefect(t, spec, defect)
 			if v.Rules[rule] == 0 || v.Figure != 0 {
-				t.Errorf("not caught: %v, figure %g", v.Rules, v.Figure)
+				t.Errorf("rule %s: violations %v, want at least one of it; figure %g, want 0", rule, v.Rules, v.Figure)
 			}
 		})
 	}
 }
 
-// ledger reports events to a referee one at a time, to show how events of the same instant count.
+// ledger reports events to a referee one at a time. It shows how the referee counts events at the same time.
 type ledger struct {
-	r       *referee.Referee
-	now     choice.Time
-	request *world.Request
-	end     *world.Endpoint
+	r        *referee.Referee
+	now      choice.Time
+	request  *world.Request
+	endpoint *world.Endpoint
 }
 
 func newLedger(repeat string) *ledger {
-	s := rough()
+	s := faultySpec()
 	l := &ledger{}
 	l.r = referee.New(s, func() choice.Time { return l.now }, 0)
 	w := s.Classes[0]
@@ -196,7 +199,7 @@
 	l.request = &world.Request{No: 1, Class: &w, Deadline: 50000}
 	l.request.At = 20000
 	kind := s.Partners[0]
-	l.end = &world.Endpoint{ID: "e", Partner: &world.Partner{Kind: &kind}}
+	l.endpoint = &world.Endpoint{ID: "e", Partner: &world.Partner{Kind: &kind}}
 	l.now = 20000
 	l.r.Sender(0, true)
 	l.r.Requested(l.request)
@@ -210,13 +213,13 @@
 }
 
 func (l *ledger) call(h *world.HandIn) *world.Call {
-	c := &world.Call{Conn: &world.Conn{Endpoint: l.end}, Messages: []*world.HandIn{h}, SentAt: l.now}
+	c := &world.Call{Conn: &world.Conn{Endpoint: l.endpoint}, Messages: []*world.HandIn{h}, SentAt: l.now}
 	l.r.CallSent(c)
 	l.r.InFlightChanged(c, true)
 	return c
 }
 
-// Two things at one instant count in the order in which they left whoever caused them.
+// Events at the same time count in the order in which they left their origin.
 func ExampleReferee() {
 	show := func(what string, l *ledger) {
 		l.now = 60000
@@ -230,14 +233,14 @@
 	c := l.call(h)
 	l.r.Outcome(c, 200)
 	l.r.InFlightChanged(c, false)
-	l.r.Delivered(h, l.end)
-	l.r.Ended(h, world.EndFailed) // its sender gave up at the instant of the answer
-	show("answer, then time-out", l)
+	l.r.Delivered(h, l.endpoint)
+	l.r.Ended(h, world.EndFailed) // the sender fails the message at the time of the answer
+	show("answer, then timeout", l)
 
 	l = newLedger("single-use")
 	h = l.handIn()
 	l.r.HandInAnswered(h, world.HandInAccepted)
-	l.r.Sender(0, false) // killed at the instant of its +OK
+	l.r.Sender(0, false) // the process is killed at the time of its +OK
 	l.now += 10
 	l.r.Sender(0, true)
 	show("+OK, then kill", l)
@@ -251,24 +254,24 @@
 	l = newLedger("replayable")
 	h = l.handIn()
 	l.r.HandInAnswered(h, world.HandInAccepted)
-	l.r.StageAnnounced(0, l.end, choice.Draining)
-	l.now += 5000 // the grace of 500 ms to the tenth
+	l.r.StageAnnounced(0, l.endpoint, choice.Draining)
+	l.now += 5000 // exactly the grace period of 500 ms
 	c = l.call(h)
 	l.r.Outcome(c, 200)
 	l.r.InFlightChanged(c, false)
-	l.r.Delivered(h, l.end)
-	show("drain, then a call as the grace ends", l)
+	l.r.Delivered(h, l.endpoint)
+	show("drain, then a call at the end of the grace period", l)
 
 	l = newLedger("replayable")
 	h = l.handIn()
 	l.r.HandInAnswered(h, world.HandInAccepted)
-	l.r.StageAnnounced(0, l.end, choice.Draining)
+	l.r.StageAnnounced(0, l.endpoint, choice.Draining)
 	l.now += 5001
 	c = l.call(h)
 	l.r.Outcome(c, 200)
 	l.r.InFlightChanged(c, false)
-	l.r.Delivered(h, l.end)
-	show("drain, then a call a tenth later", l)
+	l.r.Delivered(h, l.endpoint)
+	show("drain, then a call 0.1 ms after the grace period", l)
 
 	l = newLedger("replayable")
 	h = l.handIn()
@@ -276,16 +279,16 @@
 	c = l.call(h)
 	l.r.Outcome(c, 503)
 	l.r.InFlightChanged(c, false)
-	c = l.call(h) // at the instant of the refusal: the first is over
+	c = l.call(h) // at the time of the refusal, when the first call has ended
 	l.r.Outcome(c, 200)
 	l.r.InFlightChanged(c, false)
-	l.r.Delivered(h, l.end)
+	l.r.Delivered(h, l.endpoint)
 	show("refusal, then the next call", l)
 	// Output:
-	// answer, then time-out: delivered 1, broken map[]
+	// answer, then timeout: delivered 1, broken map[]
 	// +OK, then kill: delivered 0, broken map[lost:1]
 	// kill, then no +OK: delivered 0, broken map[]
-	// drain, then a call as the grace ends: delivered 1, broken map[]
-	// drain, then a call a tenth later: delivered 1, broken map[drains:1]
+	// drain, then a call at the end of the grace period: delivered 1, broken map[]
+	// drain, then a call 0.1 ms after the grace period: delivered 1, broken map[drains:1]
 	// refusal, then the next call: delivered 1, broken map[]
 }
--- a/lab/referee/storeddata_test.go
+++ b/lab/referee/storeddata_test.go
@@ -9,8 +9,8 @@
 	"flaxcove/lab/referee"
 )
 
-// TestReadsStoredVerdict: a verdict of commit 485f0e4 with each field set is read, and written as it was. The file is never
-// written anew.
+// TestReadsStoredVerdict checks that a stored verdict in which every field is set is read, and is written again byte for
+// byte. The file was written at commit 485f0e4 and must not be replaced by a newer one.
 func TestReadsStoredVerdict(t *testing.T) {
 	stored, err := os.ReadFile("testdata/stored/verdict.json")
 	if err != nil {
@@ -25,6 +25,6 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(again, bytes.TrimSpace(stored)) {
-		t.Errorf("read and written again:\n%s\nstored:\n%s", again, stored)
+		t.Errorf("stored verdict after reading and writing:\n%s\nwant:\n%s", again, stored)
 	}
 }
--- a/lab/referee/verdict.go
+++ b/lab/referee/verdict.go
@@ -1,6 +1,6 @@
 package referee
 
-// This file declares the verdict, with its form in JSON, and computes its figures from what was counted.
+// This file declares the verdict with its JSON keys, and computes its figures from the referee's counts.
 
 import (
 	"cmp"
@@ -11,8 +11,9 @@
 	"flaxcove/lab/world"
 )
 
-// Verdict is the result of a run. Service is the value delivered as a share of the value requested, without the first
-// second; Figure is Service less the scenario's prices for refused calls and useless executions, or 0 if a rule was broken.
+// Verdict is the result of a run. Service is the value delivered as a share of the value requested, without the requests of
+// the first second. Figure is Service less the scenario's prices for refused calls and useless executions, or 0 if a rule
+// was broken.
 type Verdict struct {
 	Scenario   string       `json:"scenario"`
 	Engine     string       `json:"engine"`
@@ -21,7 +22,7 @@
 	Service    float64      `json:"service"`
 	Rules      map[Rule]int `json:"rules"`
 	Violations []Violation  `json:"breaks,omitempty"`
-	Void       string       `json:"void,omitempty"` // why the run says nothing of the senders
+	Void       string       `json:"void,omitempty"` // reason why the run cannot be judged; "" if it can
 
 	Asked          int `json:"asked"`
 	HandedIn       int `json:"handed_in"`
@@ -40,10 +41,10 @@
 	Refusals       int `json:"refusals"`
 	FailedCalls    int `json:"failures"`
 	Runs           int `json:"runs"`
-	Wasted         int `json:"wasted"` // runs beyond one for each message delivered
+	Wasted         int `json:"wasted"` // executions beyond one for each message delivered
 	Outages        int `json:"outages"`
 	PushedOver     int `json:"pushed_over"`
-	FalselyRefused int `json:"lied,omitempty"` // second effects of single-use messages whose first a partner had denied
+	FalselyRefused int `json:"lied,omitempty"` // executions of single-use messages again, after their partner had executed and yet refused them
 
 	Classes         []Class        `json:"workloads"`
 	AcceptLatencyMS Latency        `json:"taken_on_ms"`
@@ -53,13 +54,13 @@
 	EngineFigures   *EngineFigures `json:"engine_figures,omitempty"`
 }
 
-// EngineFigures are figures of the machine that played a run.
+// EngineFigures holds the resources that the engine used to play a run.
 type EngineFigures struct {
 	WallS    float64 `json:"wall_s"`
 	CPUS     float64 `json:"cpu_s"`
 	MemoryMB float64 `json:"memory_mb"`
 	Events   int64   `json:"events"`
-	LateMS   float64 `json:"late_ms,omitempty"` // the most that the world was behind real time
+	LateMS   float64 `json:"late_ms,omitempty"` // largest delay of the world's events behind real time
 }
 
 // Class holds the figures of one class.
@@ -69,7 +70,7 @@
 	Delivered  int     `json:"delivered"`
 	ValueAsked float64 `json:"gain_asked"`
 	Value      float64 `json:"gain"`
-	Delivery   Latency `json:"delivery_ms"` // from the request to the delivery
+	Delivery   Latency `json:"delivery_ms"` // time from the request to the delivery
 }
 
 // Latency holds quantiles of a histogram, in milliseconds.
@@ -94,27 +95,28 @@
 	P99         float64 `json:"p99_ms"`
 }
 
-// Span is a fault as it happened.
+// Span is the period in which a fault was active.
 type Span struct {
 	Kind  string  `json:"kind"`
 	From  float64 `json:"from_s"`
 	To    float64 `json:"to_s"`
-	Parts int     `json:"parts"`
+	Parts int     `json:"parts"` // number of endpoints or senders affected
 
-	no *world.Fault
+	fault *world.Fault
 }
 
-// Return is the load on an endpoint after its outages, as a multiple of the load above which it falls over.
+// Return describes the returns of an endpoint from outages, and its load in slow start. Loads are multiples of the load
+// above which the endpoint goes down again.
 type Return struct {
 	Endpoint string       `json:"endpoint"`
-	Bound    float64      `json:"bound"` // calls a second when warm
-	Times    int          `json:"times"`
-	At       []float64    `json:"at_s"`
-	Most     float64      `json:"most"`
-	Loads    [][2]float64 `json:"loads"` // pairs of a second and the highest load in it
+	Bound    float64      `json:"bound"` // calls a second that the endpoint accepts after slow start
+	Times    int          `json:"times"` // number of returns
+	At       []float64    `json:"at_s"`  // time of each return
+	Most     float64      `json:"most"`  // highest load
+	Loads    [][2]float64 `json:"loads"` // pairs of a second of the run and the highest load in it
 }
 
-// LatencyOf reads the quantiles of a histogram of tenths of a millisecond.
+// LatencyOf returns the quantiles of a histogram that holds tenths of a millisecond.
 func LatencyOf(h *hdrhistogram.Histogram) Latency {
 	at := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 10 }
 	if h.TotalCount() == 0 {
@@ -123,9 +125,9 @@
 	return Latency{at(50), at(90), at(99), at(99.9), float64(h.Max()) / 10}
 }
 
-// Verdict computes the verdict after the run. The world must have run past the last deadline.
+// Verdict computes the verdict of the run. The world must have run past the last deadline.
 func (r *Referee) Verdict() *Verdict {
-	r.judgeDue()
+	r.checkDue()
 	v := &r.v
 	asked, got := 0.0, 0.0
 	for i := range v.Classes {
@@ -170,7 +172,7 @@
 	return false
 }
 
-// sortedReturns returns the returns sorted by endpoint, so that the order does not depend on the map.
+// sortedReturns lists the returns sorted by endpoint, so that the order does not depend on the map.
 func (r *Referee) sortedReturns() (all []Return) {
 	for _, ret := range r.returns {
 		all = append(all, *ret)
--- a/lab/sim/answers.go
+++ b/lab/sim/answers.go
@@ -7,8 +7,8 @@
 	"flaxcove/lab/world"
 )
 
-// onLink calls do with the link of a connection once the process runs, unless the link is closed by then.
-func (n *node) onLink(wc *world.Conn, do func(l *link)) {
+// withLink calls do with the link of a connection once the process runs, unless the link is closed by then.
+func (n *node) withLink(wc *world.Conn, do func(l *link)) {
 	l, ok := wc.Engine.(*link)
 	if !ok {
 		return
@@ -22,7 +22,7 @@
 
 // connDown handles a connection that was refused, or closed by the endpoint.
 func (n *node) connDown(wc *world.Conn, why world.ConnEnd) {
-	n.onLink(wc, func(l *link) {
+	n.withLink(wc, func(l *link) {
 		c := l.call
 		n.dropIdle(l)
 		n.e.w.CloseBySender(wc)
@@ -30,32 +30,32 @@
 			return
 		}
 		if why == world.ConnRefused {
-			n.finish(c, choice.ConnectFailed, world.Answer{})
+			n.endCall(c, choice.ConnectFailed, world.Answer{})
 		} else {
-			n.finish(c, choice.Reset, world.Answer{})
+			n.endCall(c, choice.Reset, world.Answer{})
 		}
 	})
 }
 
 // answered handles an answer, or the first half of one.
 func (n *node) answered(wc *world.Conn, a world.Answer) {
-	n.onLink(wc, func(l *link) {
+	n.withLink(wc, func(l *link) {
 		c := l.call
 		if c == nil || c.over {
 			return
 		}
-		if a.Half {
+		if a.Incomplete {
 			n.waitForRest(c)
 			return
 		}
 		l.call = nil
-		if a.Spoilt || a.Close {
+		if a.Malformed || a.Close {
 			l.closed = true
 			n.e.w.CloseBySender(wc)
 		} else {
 			n.makeIdle(l)
 		}
-		n.finish(c, resultOf(a), a)
+		n.endCall(c, resultOf(a), a)
 	})
 }
 
@@ -77,7 +77,7 @@
 // resultOf is the result that a complete answer stands for.
 func resultOf(a world.Answer) choice.Result {
 	switch {
-	case a.Spoilt:
+	case a.Malformed:
 		return choice.Unreadable
 	case a.Status == 200:
 		return choice.Done
@@ -87,8 +87,8 @@
 	return choice.Errored
 }
 
-// finish ends a call with a result, once.
-func (n *node) finish(c *call, result choice.Result, a world.Answer) {
+// endCall ends a call with a result, once.
+func (n *node) endCall(c *call, result choice.Result, a world.Answer) {
 	if c.over {
 		return
 	}
--- a/lab/sim/calls.go
+++ b/lab/sim/calls.go
@@ -17,7 +17,7 @@
 	e.idle = nil
 }
 
-func (n *node) begin(c *call) {
+func (n *node) startCall(c *call) {
 	if !c.probe && !n.limitCallTime(c) {
 		return
 	}
@@ -91,13 +91,13 @@
 	}
 	c.link.closed = true
 	n.e.w.CloseBySender(c.link.conn)
-	n.finish(c, choice.ConnectFailed, world.Answer{})
+	n.endCall(c, choice.ConnectFailed, world.Answer{})
 }
 
 // connUp handles a connection that is established. Meanwhile the policy may have closed the route to the endpoint, since
 // it drains or named a Retry-After.
 func (n *node) connUp(wc *world.Conn) {
-	n.onLink(wc, func(l *link) {
+	n.withLink(wc, func(l *link) {
 		l.up = true
 		c := l.call
 		if c == nil || c.over {
@@ -108,7 +108,7 @@
 		if n.Now() >= c.startedAt+c.timeout || !c.probe && !n.policy.Open(c.endpoint.id, c.ids()...) {
 			l.call = nil
 			n.makeIdle(l)
-			n.finish(c, choice.ConnectFailed, world.Answer{})
+			n.endCall(c, choice.ConnectFailed, world.Answer{})
 			return
 		}
 		n.send(c, l)
@@ -125,7 +125,7 @@
 // send sends a call on a link.
 func (n *node) send(c *call, l *link) {
 	c.link, c.reused, l.call, l.used = l, l.used, c, true
-	l.useNo++
+	l.useCount++
 	n.inFlight[c] = struct{}{}
 	n.e.w.Send(l.conn, c.ids(), c.probe)
 }
@@ -141,13 +141,13 @@
 		return
 	}
 	l.endpoint.idle = append(l.endpoint.idle, l)
-	l.useNo++
+	l.useCount++
 	keep := n.settings.ConnIdle
 	if keep <= 0 {
 		return
 	}
-	no, incarnation := l.useNo, n.incarnation
-	still := func() bool { return !l.closed && l.call == nil && l.useNo == no }
+	no, incarnation := l.useCount, n.incarnation
+	still := func() bool { return !l.closed && l.call == nil && l.useCount == no }
 	n.e.w.After(max(keep/2, keep-idleMargin), func() {
 		if n.incarnation != incarnation || !still() {
 			return
@@ -177,7 +177,7 @@
 			c.link.closed = true
 			n.e.w.CloseBySender(c.link.conn)
 		}
-		n.finish(c, choice.ConnectFailed, world.Answer{})
+		n.endCall(c, choice.ConnectFailed, world.Answer{})
 		return
 	}
 	n.abandon(c, choice.TimedOut)
--- a/lab/sim/fleet_test.go
+++ b/lab/sim/fleet_test.go
@@ -40,7 +40,7 @@
 			for seed := range uint64(2) {
 				v := run(t, sim.Options{Spec: s.Spec, Seed: seed + 1})
 				if v.Broken() || v.Figure < want.figure || !want.felt(v) {
-					t.Errorf("seed %d, at least %.2f wanted: %s", seed+1, want.figure, brief(v))
+					t.Errorf("seed %d, at least %.2f wanted: %s", seed+1, want.figure, summary(v))
 				}
 			}
 		})
--- a/lab/sim/host.go
+++ b/lab/sim/host.go
@@ -20,11 +20,11 @@
 	if e == nil {
 		e = &endpoint{id: to, gone: true, bulkMax: 1}
 	}
-	c := e.nextCall
+	c := e.bulkCall
 	if c == nil || len(c.messages) >= e.bulkMax {
 		c = &call{n: n, endpoint: e, startedAt: n.Now()}
-		if e.nextCall == nil || e.bulkMax > 1 {
-			e.nextCall = c
+		if e.bulkCall == nil || e.bulkMax > 1 {
+			e.bulkCall = c
 		}
 		n.newCalls = append(n.newCalls, c)
 	}
--- a/lab/sim/node.go
+++ b/lab/sim/node.go
@@ -63,7 +63,7 @@
 	zone     choice.ZoneNo
 	bulkMax  int
 	gone     bool
-	nextCall *call
+	bulkCall *call
 	idle     []*link
 }
 
@@ -74,7 +74,7 @@
 	up       bool
 	used     bool
 	closed   bool
-	useNo    int64
+	useCount int64
 }
 
 type call struct {
@@ -111,15 +111,15 @@
 	n.lastTickAt = w.Now() - settings.TurnInterval + settings.TurnInterval*choice.Time(int64(n.no)%7)/7 // senders' ticks do not coincide
 	n.policy = n.e.o.Policy(n, choice.SenderID(fmt.Sprintf("s%d", n.no)), int64(n.e.o.Seed)*1_000_003+n.incarnation, settings, w)
 	n.updateEndpoints(known)
-	n.takeOverRecorded()
+	n.restoreRecorded()
 	n.scheduleTick()
 	w.SetServing(n.no, true)
 	w.Watch(n.no, known.Version)
 	return nil
 }
 
-// takeOverRecorded hands the policy the messages that an earlier incarnation accepted, in the order of acceptance.
-func (n *node) takeOverRecorded() {
+// restoreRecorded hands the policy the messages that an earlier incarnation accepted, in the order of acceptance.
+func (n *node) restoreRecorded() {
 	var open []choice.MessageID
 	for _, id := range n.acceptedOrder {
 		if o := n.messages[id]; o != nil {
@@ -165,8 +165,8 @@
 	starting := n.newCalls
 	n.newCalls = nil
 	for _, c := range starting {
-		c.endpoint.nextCall = nil
-		n.begin(c)
+		c.endpoint.bulkCall = nil
+		n.startCall(c)
 	}
 	if len(n.acceptedOrder) > 2*len(n.messages)+1024 {
 		n.acceptedOrder = slices.DeleteFunc(n.acceptedOrder, func(id choice.MessageID) bool { return n.messages[id] == nil })
--- a/lab/sim/replay_test.go
+++ b/lab/sim/replay_test.go
@@ -19,9 +19,9 @@
 
 var update = flag.Bool("update", false, "write testdata/replay.json anew: only where decisions were meant to change")
 
-// days are replayed call by call. The last three have what no scenario has: notes, shares of accounts, route fees,
+// recordedRuns are replayed call by call. The last three have what no scenario has: notes, shares of accounts, route fees,
 // learned state of an earlier incarnation, and purged messages.
-var days = []struct {
+var recordedRuns = []struct {
 	name, scenario string
 	adjust         func(*choice.Settings)
 	spec           func(*world.Spec)
@@ -67,13 +67,13 @@
 		t.Fatal(err)
 	}
 	t.Run("days", func(t *testing.T) {
-		results := make([]string, len(days))
+		results := make([]string, len(recordedRuns))
 		t.Cleanup(func() {
-			for i, day := range days {
+			for i, day := range recordedRuns {
 				seen[day.name] = results[i]
 			}
 		})
-		for i, day := range days {
+		for i, day := range recordedRuns {
 			t.Run(day.name, func(t *testing.T) {
 				t.Parallel()
 				if day.scenario == "" {
@@ -87,7 +87,7 @@
 					day.spec(s.Spec)
 					s.Spec.Defaults()
 				}
-				r := &record{sum: sha256.New(), live: map[choice.SenderID]*recorder{}, odd: day.name == "odd ones"}
+				r := &callLog{sum: sha256.New(), live: map[choice.SenderID]*recorder{}, specialCases: day.name == "odd ones"}
 				run(t, sim.Options{Spec: s.Spec, Seed: 3, Adjust: day.adjust, Policy: r.start})
 				results[i] = fmt.Sprintf("%d calls %x", r.calls, r.sum.Sum(nil)[:8])
 				if !*update && results[i] != want[day.name] {
@@ -107,26 +107,26 @@
 	}
 }
 
-// record holds all calls of the senders of a run to their hosts, in order.
-type record struct {
-	sum   hash.Hash
-	calls int
-	odd   bool
-	ids   []choice.SenderID
-	live  map[choice.SenderID]*recorder
+// callLog holds all calls of the senders of a run to their hosts, in order.
+type callLog struct {
+	sum          hash.Hash
+	calls        int
+	specialCases bool
+	ids          []choice.SenderID
+	live         map[choice.SenderID]*recorder
 }
 
 // recorder stands between one incarnation of a sender and its host.
 type recorder struct {
 	choice.Host
 	*choice.Sender
-	r         *record
+	r         *callLog
 	id        choice.SenderID
 	w         *world.World
 	withdrawn []choice.MessageID // at the next tick
 }
 
-func (r *record) start(h choice.Host, id choice.SenderID, seed int64, set choice.Settings, w *world.World) sim.Policy {
+func (r *callLog) start(h choice.Host, id choice.SenderID, seed int64, set choice.Settings, w *world.World) sim.Policy {
 	rec := &recorder{Host: h, r: r, id: id, w: w}
 	if r.live[id] == nil {
 		r.ids = append(r.ids, id)
@@ -136,39 +136,39 @@
 	return rec
 }
 
-func (r *recorder) say(format string, args ...any) {
+func (r *recorder) logCall(format string, args ...any) {
 	r.r.calls++
 	fmt.Fprintf(r.r.sum, "%s %d "+format+"\n", append([]any{r.id, r.Now()}, args...)...)
 }
 
 func (r *recorder) Attempt(n choice.MessageID, to choice.EndpointID, timeOut choice.Time) {
-	r.say("dispatch %s %s %d", n, to, timeOut)
+	r.logCall("dispatch %s %s %d", n, to, timeOut)
 	r.Host.Attempt(n, to, timeOut)
 }
 
 func (r *recorder) Shed(n choice.MessageID, in choice.Time) {
-	r.say("shed %s %d", n, in)
+	r.logCall("shed %s %d", n, in)
 	r.Host.Shed(n, in)
 }
 
 func (r *recorder) Fail(n choice.MessageID) {
-	r.say("give up %s", n)
+	r.logCall("give up %s", n)
 	r.Host.Fail(n)
 }
 
 func (r *recorder) Probe(e choice.EndpointID) {
-	r.say("probe %s", e)
+	r.logCall("probe %s", e)
 	r.Host.Probe(e)
 }
 
 func (r *recorder) CloseIdle(e choice.EndpointID) {
-	r.say("close %s", e)
+	r.logCall("close %s", e)
 	r.Host.CloseIdle(e)
 }
 
 // Tell delivers a gossip datagram to all other senders, 2 ms later.
 func (r *recorder) Tell(note []byte) {
-	r.say("tell %x", note)
+	r.logCall("tell %x", note)
 	r.w.After(2*choice.Millisecond, func() {
 		for _, id := range r.r.ids {
 			if id != r.id {
@@ -179,23 +179,23 @@
 }
 
 func (r *recorder) Timer(in choice.Time, id choice.TimerID) {
-	r.say("timer %d %d", in, id)
+	r.logCall("timer %d %d", in, id)
 	r.Host.Timer(in, id)
 }
 
 func (r *recorder) Forget(id choice.TimerID) {
-	r.say("forget %d", id)
+	r.logCall("forget %d", id)
 	r.Host.Forget(id)
 }
 
 // one in n, by an id.
-func (r *recorder) oneIn(n uint32, id string) bool {
-	return r.r.odd && crc32.ChecksumIEEE([]byte(id))%n == 0
+func (r *recorder) isOneIn(n uint32, id string) bool {
+	return r.r.specialCases && crc32.ChecksumIEEE([]byte(id))%n == 0
 }
 
 func (r *recorder) UpdateEndpoints(entries []choice.Entry, whole bool) {
 	for i, e := range entries {
-		if r.oneIn(3, string(e.Endpoint)) {
+		if r.isOneIn(3, string(e.Endpoint)) {
 			entries[i].LearnedState = &choice.LearnedState{Mean: 900, Dev: 300, Past: 800, Seen: 12, Limit: 6, Wait: choice.Second}
 		}
 	}
@@ -204,14 +204,14 @@
 
 func (r *recorder) Taken(n choice.Message) {
 	r.Sender.Taken(n)
-	if r.oneIn(20, string(n.ID)) {
+	if r.isOneIn(20, string(n.ID)) {
 		r.withdrawn = append(r.withdrawn, n.ID)
 	}
 }
 
 func (r *recorder) Ended(o choice.Outcome) {
 	r.Sender.Ended(o)
-	if r.oneIn(7, string(o.Message)) {
+	if r.isOneIn(7, string(o.Message)) {
 		r.withdrawn = append(r.withdrawn, o.Message)
 	}
 }
@@ -233,6 +233,6 @@
 
 func (r *recorder) Open(e choice.EndpointID, ids ...choice.MessageID) bool {
 	is := r.Sender.Open(e, ids...)
-	r.say("open %s %s %t", e, ids, is)
+	r.logCall("open %s %s %t", e, ids, is)
 	return is
 }
--- a/lab/sim/sim.go
+++ b/lab/sim/sim.go
@@ -200,7 +200,7 @@
 		n.pause(true)
 	case world.Continue:
 		n.pause(false)
-	case world.HoardOn, world.HoardOff, world.RubbishOn, world.RubbishOff, world.Break, world.Reload:
+	case world.IdleConnectionsOn, world.IdleConnectionsOff, world.MalformedCommandsOn, world.MalformedCommandsOff, world.BreakConfig, world.ReloadConfig:
 		// Clients' connections and configuration files are not modelled here; package live plays these faults.
 	}
 }
--- a/lab/sim/sim_test.go
+++ b/lab/sim/sim_test.go
@@ -12,8 +12,8 @@
 	"flaxcove/lab/world"
 )
 
-// small is a world without faults.
-func small() *world.Spec {
+// specWithoutFaults is a world without faults.
+func specWithoutFaults() *world.Spec {
 	s := world.Base()
 	s.Name, s.Seconds, s.Senders, s.Zones = "small", 20, 3, 2
 	s.Load.Rate, s.Load.Zipf, s.Load.ClumpShare = 50, 0.8, 0.1
@@ -40,7 +40,7 @@
 	return v
 }
 
-func brief(v *referee.Verdict) string {
+func summary(v *referee.Verdict) string {
 	c := *v
 	c.Seconds, c.EngineFigures = nil, nil
 	text, _ := json.Marshal(c)
@@ -48,15 +48,15 @@
 }
 
 func TestNoFaultsKeepsRulesAndDeliversNearlyAll(t *testing.T) {
-	v := run(t, sim.Options{Spec: small(), Seed: 1})
+	v := run(t, sim.Options{Spec: specWithoutFaults(), Seed: 1})
 	if v.Broken() || v.Service < 0.98 || v.Asked < 800 {
-		t.Error(brief(v))
+		t.Error(summary(v))
 	}
 }
 
 // The same seed replays a run exactly, with every kind of fault in it.
 func TestSameSeedReplaysRun(t *testing.T) {
-	spec := small()
+	spec := specWithoutFaults()
 	spec.Seconds = 40
 	at := 1.0
 	var kinds []string
@@ -73,10 +73,10 @@
 		{Change: "back", At: 15, Restart: true, Selector: world.Selector{Partners: []int{1}}}, {Change: "move", At: 20, Selector: world.Selector{Partners: []int{2}}}}
 	spec.Defaults()
 	first, again := run(t, sim.Options{Spec: spec, Seed: 7}), run(t, sim.Options{Spec: spec, Seed: 7})
-	if brief(first) != brief(again) {
-		t.Errorf("one seed, two runs:\n%s\n%s", brief(first), brief(again))
+	if summary(first) != summary(again) {
+		t.Errorf("one seed, two runs:\n%s\n%s", summary(first), summary(again))
 	}
-	if other := run(t, sim.Options{Spec: spec, Seed: 8}); brief(first) == brief(other) {
+	if other := run(t, sim.Options{Spec: spec, Seed: 8}); summary(first) == summary(other) {
 		t.Error("another seed gives the same run")
 	}
 	if first.Broken() {
@@ -86,7 +86,7 @@
 
 // Every kind of fault has the intended effect, by what the world counts.
 func TestEachFaultHasEffect(t *testing.T) {
-	calm := run(t, sim.Options{Spec: small(), Seed: 2})
+	calm := run(t, sim.Options{Spec: specWithoutFaults(), Seed: 2})
 	for kind, felt := range map[string]func(v *referee.Verdict) bool{
 		"crash":           func(v *referee.Verdict) bool { return v.Outages > 0 && v.Delivered < calm.Delivered },
 		"shut":            func(v *referee.Verdict) bool { return v.Refusals > calm.Refusals+10 },
@@ -111,7 +111,7 @@
 		"impatient":       func(v *referee.Verdict) bool { return v.Unanswered > calm.Unanswered },
 	} {
 		t.Run(kind, func(t *testing.T) {
-			spec := small()
+			spec := specWithoutFaults()
 			fault := world.Fault{Kind: kind, At: 5, Seconds: 8}
 			switch world.FaultKinds[kind].Affects {
 			case "senders":
@@ -127,7 +127,7 @@
 			spec.Defaults()
 			v := run(t, sim.Options{Spec: spec, Seed: 2})
 			if !felt(v) {
-				t.Errorf("not felt: %s\ncalm: %s", brief(v), brief(calm))
+				t.Errorf("not felt: %s\ncalm: %s", summary(v), summary(calm))
 			}
 			if v.Broken() {
 				t.Errorf("rules broken: %v", v.Violations)
@@ -142,7 +142,7 @@
 	barred := func(n choice.MessageID, e choice.EndpointID) bool {
 		return n[7]&1 == 1 && e[len(e)-1]&1 == 0
 	}
-	spec := small()
+	spec := specWithoutFaults()
 	spec.Partners[0].Endpoints = world.Pair{2, 2}
 	spec.Faults = []world.Fault{{Kind: "crash", At: 5, Seconds: 5, Selector: world.Selector{Share: 0.2}}}
 	spec.Defaults()
@@ -156,19 +156,19 @@
 	}}
 	v := run(t, o)
 	if used > 0 || v.Broken() || v.Service < 0.8 {
-		t.Error(used, brief(v))
+		t.Error(used, summary(v))
 	}
 	bars = false
 	v = run(t, o)
 	o.Allowed = nil
-	if other := run(t, o); used == 0 || brief(v) != brief(other) {
-		t.Errorf("%d used where nothing is barred:\n%s\n%s", used, brief(v), brief(other))
+	if other := run(t, o); used == 0 || summary(v) != summary(other) {
+		t.Errorf("%d used where nothing is barred:\n%s\n%s", used, summary(v), summary(other))
 	}
 }
 
 // All policies play in the same world: all_seen gets the highest figure and one_try the lowest of those that keep the rules.
 func TestBaselinesRankAsExpected(t *testing.T) {
-	spec := small()
+	spec := specWithoutFaults()
 	spec.Seconds = 40
 	spec.Partners[0].ErrorShare, spec.Partners[1].ErrorShare = 0.05, 0.05
 	spec.Faults = []world.Fault{{Kind: "crash", At: 5, Seconds: 10, Selector: world.Selector{Share: 0.3, Endpoint: 1}},
@@ -179,7 +179,7 @@
 		v := run(t, sim.Options{Spec: spec, Seed: 5, Policy: baseline.Named(name)})
 		service[name] = v.Service
 		if v.Asked < 1500 {
-			t.Errorf("%s: %s", name, brief(v))
+			t.Errorf("%s: %s", name, summary(v))
 		}
 	}
 	if !(service["all_seen"] > service["choice"] && service["choice"] > service["one_try"] && service["backoff"] > service["one_try"]) {
--- a/lab/world/clients.go
+++ b/lab/world/clients.go
@@ -1,7 +1,7 @@
 package world
 
-// This file models the clients: what they want delivered, how they hand it in, what answer they get and when they try
-// again. It must not read the state of a sender.
+// This file models the clients: their requests, the hand-ins to senders, the answers to these, and retries. It must not
+// depend on the internal state of a sender.
 
 import (
 	"fmt"
@@ -14,52 +14,53 @@
 type HandInAnswer int
 
 const (
-	HandInUnanswered HandInAnswer = iota
+	HandInUnanswered HandInAnswer = iota // no answer within the client's patience
 	HandInAccepted
-	HandInBusy
-	HandInError
-	HandInNoSender // the connection was refused or ended
+	HandInBusy     // the sender shed the message
+	HandInError    // the sender answered with an error, after which the client does not try again
+	HandInNoSender // the connection was refused, or broke before the answer
 )
 
-// End is how a message ended according to the outcome callback, which the platform receives.
+// End is the end of an accepted message that was not delivered, as the outcome callback reports it to the platform.
 type End int
 
 const (
-	EndHandedBack End = iota
-	EndFailed
+	EndHandedBack End = iota // the sender shed the message
+	EndFailed                // the sender failed the message
 )
 
-// Request is one message that a client wants delivered. It may be handed in several times; its value counts once.
+// Request is one message that a client wants delivered. It may be handed in several times, but its value counts once.
 type Request struct {
 	load.Arrival
 	No       RequestNo
 	Class    *Class
 	Deadline Time
-	HandIns  int // number of hand-ins
-	retries  int // hand-ins after the sender shed the message
-	over     bool
+	HandIns  int  // number of hand-ins
+	retries  int  // number of hand-ins after a sender shed the message
+	done     bool // the client hands the message in no more
 }
 
-// HandIn is one hand-in of a Request to one sender. Each has a message id of its own.
+// HandIn is one submission of a Request to one sender. Each hand-in has a message id of its own.
 type HandIn struct {
 	ID             choice.MessageID
 	Request        *Request
 	Sender         SenderNo
 	At             Time
 	Deadline       Time
-	Unknown        bool // no client handed it in
-	FalselyRefused int  // runs that its partner answered with a refusal
+	Unknown        bool // no client handed in a message with this id, or the world has forgotten it
+	FalselyRefused int  // number of executions that the partner answered with a refusal
 
 	answer   HandInAnswer
-	settled  bool // answered, or the client's patience is over
-	ended    bool
-	attempts int
+	settled  bool // the hand-in was answered, or the client's patience is over
+	ended    bool // the message was delivered, or an outcome callback reported its end
+	attempts int  // number of calls that carried the message
 }
 
-// Left is the time to the deadline in milliseconds, rounded down.
+// Left returns the time from the hand-in to the deadline, in milliseconds, rounded down.
 func (h *HandIn) Left() int64 { return int64((h.Deadline - h.At) / Millisecond) }
 
-// planLoad sets up the arrivals: the given trace, or the spec's load with the faults that change it.
+// planLoad sets up the arrivals of requests: those of the trace, or if it is nil the spec's load with the faults that
+// change it.
 func (w *World) planLoad(trace []load.Arrival) error {
 	if trace != nil {
 		replay, err := load.NewReplay(trace)
@@ -79,25 +80,25 @@
 }
 
 // loadChanges returns the changes of the load by faults of the kinds surge and fixed.
-func (w *World) loadChanges() (bends []load.Change) {
+func (w *World) loadChanges() (changes []load.Change) {
 	for i := range w.Spec.Faults {
 		t := &w.Spec.Faults[i]
-		bend := load.Change{From: seconds(t.At), To: seconds(t.At + t.Seconds), Factor: 1, Sender: -1, Partner: -1}
+		change := load.Change{From: seconds(t.At), To: seconds(t.At + t.Seconds), Factor: 1, Sender: -1, Partner: -1}
 		switch t.Kind {
 		case "surge":
-			bend.Factor = t.Amount
+			change.Factor = t.Amount
 		case "fixed":
-			bend.Share = t.Amount
-			bend.Partner = int(w.partnersOf(&t.Selector, int64(i))[0].No)
+			change.Share = t.Amount
+			change.Partner = int(w.partnersOf(&t.Selector, int64(i))[0].No)
 		default:
 			continue
 		}
 		if len(t.Selector.Senders) > 0 {
-			bend.Sender = t.Selector.Senders[0]
+			change.Sender = t.Selector.Senders[0]
 		}
-		bends = append(bends, bend)
+		changes = append(changes, change)
 	}
-	return bends
+	return changes
 }
 
 // nextArrival schedules the next arrival, which schedules the one after it.
@@ -112,7 +113,7 @@
 	})
 }
 
-// requestArrived begins a new Request and hands its message in for the first time.
+// requestArrived creates a Request and hands its message in for the first time.
 func (w *World) requestArrived(a load.Arrival) {
 	class := &w.Spec.Classes[a.Class]
 	request := &Request{Arrival: a, No: RequestNo(a.Number), Class: class, Deadline: a.At + ms(class.DeadlineMS)}
@@ -120,10 +121,11 @@
 	w.handIn(request, SenderNo(a.Sender))
 }
 
-// handIn hands a message in to a sender, or to the next one that serves.
+// handIn hands a message in to a sender. If that sender does not serve, the next one that does takes its place, unless
+// Clients.OwnSender is set.
 func (w *World) handIn(a *Request, to SenderNo) {
-	if a.over || w.now >= a.Deadline-Millisecond {
-		a.over = true
+	if a.done || w.now >= a.Deadline-Millisecond {
+		a.done = true
 		return
 	}
 	for range w.senders {
@@ -153,11 +155,12 @@
 	})
 }
 
-// forgetAfter is how long after its deadline a hand-in is still known, for answers and callbacks that come late.
+// forgetAfter is how long a hand-in is still known after its deadline and Rules.LateMS, so that late answers and callbacks
+// find it.
 const forgetAfter = 4 * Second
 
-// forget drops a hand-in once no more events can concern it. One that was accepted and has no end yet is kept until the
-// run is over: its sender may be down for long and end it when it is back.
+// forget drops a hand-in once no more events can concern it. An accepted message that has not ended is kept until the run
+// is over, since its sender may be down for a long time and end the message after its restart.
 func (w *World) forget(h *HandIn) {
 	if h.answer == HandInAccepted && !h.ended && w.now < w.end+forgetAfter {
 		w.After(forgetAfter, func() { w.forget(h) })
@@ -166,20 +169,22 @@
 	delete(w.byMessage, h.ID)
 }
 
-// Abandoned reports whether the client stopped waiting for the answer. What the sender does with the message from then
-// on does not count.
+// Abandoned reports whether the client stopped waiting for the answer. From then on the referee judges neither the end of
+// the message nor the order in which it is sent.
 func (h *HandIn) Abandoned() bool { return h.answer == HandInUnanswered && h.settled }
 
-// handInElsewhere hands a message in to another sender after a pause, since the first one was down or did not answer.
+// handInElsewhere hands a message in to another sender after a wait, because the first one was down or did not answer. With
+// Clients.OwnSender the message goes to the client's own sender again.
 func (w *World) handInElsewhere(a *Request, to SenderNo) {
 	if w.Spec.Clients.OwnSender {
 		to = SenderNo(a.Sender)
 	}
-	wait := ms(w.within(w.Spec.Clients.RetryMS, "again", int64(a.No), int64(a.HandIns)))
+	wait := ms(w.drawWithin(w.Spec.Clients.RetryMS, "again", int64(a.No), int64(a.HandIns)))
 	w.After(wait, func() { w.handIn(a, to) })
 }
 
-// settle records the answer to a hand-in, once. It is false if the hand-in was settled before.
+// settle records the answer to a hand-in and reports true; if the hand-in was settled before, it changes nothing and
+// reports false.
 func (w *World) settle(h *HandIn, what HandInAnswer) bool {
 	if h.settled {
 		return false
@@ -189,44 +194,47 @@
 	return true
 }
 
-// Answered takes a sender's answer to a hand-in. With HandInBusy, comeBackMS is the wait that the sender asks for, or 0.
-func (w *World) Answered(h *HandIn, what HandInAnswer, comeBackMS int64) {
+// Answered records a sender's answer to a hand-in and schedules the client's reaction. For HandInBusy, retryAfterMS is the
+// wait in milliseconds that the sender asks for, or 0 if it names none.
+func (w *World) Answered(h *HandIn, what HandInAnswer, retryAfterMS int64) {
 	if !w.settle(h, what) {
 		return
 	}
 	switch what {
 	case HandInBusy:
-		w.handInAgain(h, comeBackMS)
+		w.handInAgain(h, retryAfterMS)
 	case HandInNoSender:
 		w.handInElsewhere(h.Request, (h.Sender+1)%SenderNo(len(w.senders)))
 	case HandInError:
-		h.Request.over = true
+		h.Request.done = true
 	}
 }
 
-// handInAgain hands a message in to the same sender after it was shed, if the client has retries left.
-func (w *World) handInAgain(h *HandIn, comeBackMS int64) {
+// handInAgain hands a message in to the same sender again after it was shed, unless the client has no retries left. If
+// retryAfterMS is above 0, Clients.HonourRetryAfter of the clients wait for that long.
+func (w *World) handInAgain(h *HandIn, retryAfterMS int64) {
 	a, c := h.Request, &w.Spec.Clients
-	if a.over {
+	if a.done {
 		return
 	}
 	if a.retries >= c.Retries {
-		a.over = true
+		a.done = true
 		return
 	}
 	a.retries++
-	wait := ms(w.within(c.BackoffMS, "backoff", int64(a.No), int64(a.retries)))
-	if comeBackMS > 0 && w.draw("honour", int64(a.No)) < c.HonourRetryAfter {
-		wait = Time(comeBackMS) * Millisecond
+	wait := ms(w.drawWithin(c.BackoffMS, "backoff", int64(a.No), int64(a.retries)))
+	if retryAfterMS > 0 && w.draw("honour", int64(a.No)) < c.HonourRetryAfter {
+		wait = Time(retryAfterMS) * Millisecond
 	}
 	w.After(wait, func() { w.handIn(a, h.Sender) })
 }
 
-// ReportEnd takes one line of an outcome callback: a message ended without being delivered.
-func (w *World) ReportEnd(id choice.MessageID, what End, comeBackMS int64) {
+// ReportEnd records one line of an outcome callback: a message ended without being delivered. For EndHandedBack,
+// retryAfterMS is the wait in milliseconds that the sender asks for, or 0 if it names none.
+func (w *World) ReportEnd(id choice.MessageID, what End, retryAfterMS int64) {
 	h := w.byMessage[id]
 	if h == nil {
-		return // forgotten since; a late callback does no harm
+		return // the hand-in has been forgotten, and a callback this late changes nothing
 	}
 	w.ledger.Ended(h, what)
 	if h.ended {
@@ -236,21 +244,23 @@
 	// A client that abandoned the hand-in no longer knows its id and does not react.
 	if h.answer == HandInAccepted {
 		if what == EndHandedBack {
-			w.handInAgain(h, comeBackMS)
+			w.handInAgain(h, retryAfterMS)
 		} else {
-			h.Request.over = true
+			h.Request.done = true
 		}
 	}
 }
 
-// delivered ends a hand-in whose message was delivered.
-func (w *World) delivered(h *HandIn) {
+// markDelivered ends a hand-in whose message was delivered. The request stays open until a hand-in is accepted, since its
+// client does not know of the delivery before that.
+func (w *World) markDelivered(h *HandIn) {
 	h.ended = true
-	h.Request.over = h.Request.over || h.answer == HandInAccepted
+	h.Request.done = h.Request.done || h.answer == HandInAccepted
 }
 
-// senderGone answers the open hand-ins of a sender whose process ended: their connections break.
-func (w *World) senderGone(s SenderNo) {
+// failOpenHandIns settles the open hand-ins of a sender whose process ended with HandInNoSender, since their connections
+// break.
+func (w *World) failOpenHandIns(s SenderNo) {
 	var cut []*HandIn
 	for _, h := range w.byMessage {
 		if h.Sender == s && !h.settled {
--- a/lab/world/connections.go
+++ b/lab/world/connections.go
@@ -1,12 +1,13 @@
 package world
 
-// This file models connections to endpoints.
+// This file models connections from senders to endpoints.
 
 import (
 	"flaxcove/choice"
 )
 
-// Dial begins a connection to an endpoint at the address that its sender got from discovery.
+// Dial opens a connection to an endpoint, at the address that the sender got from discovery. Wire.ConnUp or Wire.ConnDown
+// reports the result after a round trip.
 func (w *World) Dial(s SenderNo, id choice.EndpointID, addr int) *Conn {
 	w.conns++
 	c := &Conn{No: w.conns, Sender: s}
@@ -32,7 +33,7 @@
 	return c
 }
 
-// Accept is Dial for an engine with real connections, where the connection is up already.
+// Accept records a connection that an engine with real sockets has established. Such an engine uses it in place of Dial.
 func (w *World) Accept(s SenderNo, e *Endpoint) *Conn {
 	w.conns++
 	c := &Conn{No: w.conns, Sender: s, Endpoint: e}
@@ -45,6 +46,7 @@
 	return addr == e.Addr && e.Stage != choice.Gone && e.accepts(w.now)
 }
 
+// admit records that an endpoint has accepted a connection.
 func (w *World) admit(c *Conn) {
 	e := c.Endpoint
 	c.up = true
@@ -53,7 +55,7 @@
 	w.watchIdle(c)
 }
 
-// watchIdle has the endpoint close a connection that stays idle for too long.
+// watchIdle schedules the endpoint's close of a connection if it stays idle for Kind.IdleS.
 func (w *World) watchIdle(c *Conn) {
 	c.idleAt = w.now
 	at := w.now
@@ -64,7 +66,8 @@
 	})
 }
 
-// closeAtEndpoint closes a connection from the endpoint's side. If notify is set, the sender sees the reset.
+// closeAtEndpoint closes a connection from the endpoint's side. If notify is set, the sender sees the reset after the delay
+// of the network.
 func (w *World) closeAtEndpoint(c *Conn, notify bool) {
 	if c.closedAtEndpoint {
 		return
@@ -72,7 +75,7 @@
 	c.closedAtEndpoint = true
 	delete(c.Endpoint.conns, c)
 	if call := c.call; call != nil {
-		w.unqueue(call)
+		w.removeFromQueue(call)
 		w.setInFlight(call, false)
 	}
 	if notify && !c.closedBySender {
@@ -92,7 +95,9 @@
 	}
 	c.closedBySender = true
 	if call := c.call; call != nil {
-		w.setInFlight(call, false) // at once: a later call of this sender leaves after the close, whatever delay each has
+		// The call ends now and not when the close reaches the endpoint: a later call of this sender leaves after the close,
+		// though it may arrive before it.
+		w.setInFlight(call, false)
 	}
 	e := c.Endpoint
 	if e == nil || c.closedAtEndpoint {
@@ -103,11 +108,11 @@
 			c.closedAtEndpoint = true
 			delete(e.conns, c)
 			if c.call != nil {
-				w.noteFailureSeen(e, c.Sender) // a sender that abandoned a call there has seen it fail
+				w.noteFailureSeen(e, c.Sender) // the sender abandoned a call, and so has seen the endpoint fail
 			}
 		}
 	})
-	if c.call != nil && e.out {
+	if c.call != nil && e.inOutage {
 		w.noteFailureSeen(e, c.Sender)
 	}
 }
--- a/lab/world/defaults.go
+++ b/lab/world/defaults.go
@@ -1,13 +1,13 @@
 package world
 
-// This file holds the default values of a scenario. It must not change a value that the scenario gives.
+// This file holds the default values of a scenario. They must not replace a value that the scenario sets.
 
 import (
 	"cmp"
 	"fmt"
 )
 
-// Base returns the spec that a scenario starts from. Values that the scenario gives override it.
+// Base returns the spec that a scenario starts from. The scenario's own values override it.
 func Base() Spec {
 	return Spec{
 		Name: "unnamed", Seconds: 30, Senders: 2, Zones: 1, Halving: true,
@@ -21,7 +21,7 @@
 	}
 }
 
-// Defaults fills in the fields that the entries of lists left out.
+// Defaults replaces zero values in the load and in the entries of lists (classes, partners and faults) by their defaults.
 func (s *Spec) Defaults() {
 	s.Load.Defaults()
 	for i := range s.Classes {
--- a/lab/world/directory.go
+++ b/lab/world/directory.go
@@ -1,7 +1,7 @@
 package world
 
-// This file models discovery: the endpoint list, its changes and which version each sender has. It must not send a
-// sender updates out of order.
+// This file models discovery: the endpoint list, its changes and the version that each sender has. A sender must get its
+// updates in order.
 
 import (
 	"cmp"
@@ -10,11 +10,12 @@
 	"flaxcove/choice"
 )
 
-// List is an update that discovery sends, sorted by endpoint. A full list names all endpoints, another only changes.
+// List is a version of the endpoint list, or an update to it. Entries are sorted by endpoint in a full list, and by time in
+// an update that holds only changes.
 type List struct {
 	Version int64
-	Full    bool
-	Stale   bool // it is what an earlier incarnation of the sender knew
+	Full    bool // Entries holds all endpoints; an endpoint without an entry is gone
+	Stale   bool // the list is the one that an earlier incarnation of the sender knew
 	Entries []ListEntry
 }
 
@@ -27,24 +28,27 @@
 
 // listState is the state of discovery.
 type listState struct {
-	version int64
-	first   []ListEntry  // the list at the start of the run
-	changes []listChange // in order of version
-	late    Time
-	stale   int // number of active faults that withhold changes
-	silent  int // number of active faults in which discovery does not answer
+	version    int64
+	initial    []ListEntry  // the list at the start of the run
+	changes    []listChange // all changes since the start of the run, in order of version
+	extraDelay Time         // delay that active faults add to each update
+	stale      int          // number of active faults that withhold changes
+	silent     int          // number of active faults in which discovery does not answer
 }
 
+// listChange is the change of one entry that made a version of the list.
 type listChange struct {
 	version int64
 	entry   ListEntry
 }
 
+// sortHandIns sorts hand-ins by message id.
 func sortHandIns(h []*HandIn) {
 	slices.SortFunc(h, func(a, b *HandIn) int { return cmp.Compare(a.ID, b.ID) })
 }
 
-// Rating is the weight in the endpoint list: the rate that an endpoint takes, exact, rough or 0 for unknown.
+// Rating returns an endpoint's weight in the endpoint list. It is the rate of Bound if SenderSpec.Rating is nominal, that
+// rate with an error of up to a quarter if it is rough, else 0 for an unknown rate.
 func (w *World) Rating(e *Endpoint) float64 {
 	switch w.Spec.Sender.Rating {
 	case "nominal":
@@ -55,7 +59,7 @@
 	return 0
 }
 
-// FullList returns the current list.
+// FullList returns the current list, without endpoints that are gone.
 func (w *World) FullList() List {
 	l := List{Version: w.list.version, Full: true}
 	for _, e := range w.Endpoints {
@@ -66,12 +70,13 @@
 	return l
 }
 
-// InitialList returns the list at the start of the run, which is what a restarted sender may still know.
+// InitialList returns the list at the start of the run, which a restarted sender may still have in its configuration.
 func (w *World) InitialList() List {
-	return List{Version: 0, Full: true, Stale: true, Entries: w.list.first}
+	return List{Version: 0, Full: true, Stale: true, Entries: w.list.initial}
 }
 
-// Watch begins a sender's watch from a version on. The first update has the changes since, or the full list for version 0.
+// Watch begins a sender's watch of the list. The first update holds the changes after the version since, or the full list
+// if since is 0.
 func (w *World) Watch(s SenderNo, since int64) {
 	st := w.senders[s]
 	st.watching = true
@@ -83,19 +88,20 @@
 	w.After(w.updateDelay(s, 0), func() { w.pushUpdate(s) })
 }
 
-// updateDelay draws when an update reaches a sender.
+// updateDelay draws the delay until a version reaches a sender. Version 0 stands for the answer to a new watch.
 func (w *World) updateDelay(s SenderNo, version int64) Time {
-	late := ms(w.within(w.Spec.Discovery.DelayMS, "news", int64(s), version))
+	late := ms(w.drawWithin(w.Spec.Discovery.DelayMS, "news", int64(s), version))
 	if version == 0 {
-		late = Millisecond // the agent beside the sender answers at once from its copy
+		late = Millisecond // the discovery agent on the sender's machine answers at once from its copy
 	}
-	return late + w.list.late
+	return late + w.list.extraDelay
 }
 
-// pushUpdate sends a sender all changes since its version, unless a fault withholds them.
+// pushUpdate sends a sender all changes after its version, unless there are none, a fault withholds them, or the sender has
+// no watch.
 func (w *World) pushUpdate(s SenderNo) {
 	st := w.senders[s]
-	if !st.watching || st.isolated || st.updatesHeld || w.list.stale > 0 || w.list.silent > 0 {
+	if !st.watching || st.isolated || st.updatesWithheld || w.list.stale > 0 || w.list.silent > 0 {
 		return
 	}
 	l := w.changesSince(st.version)
@@ -107,7 +113,7 @@
 	w.wire.ListUpdate(s, l)
 }
 
-// changesSince is the full list for version 0, else the changes after a version.
+// changesSince returns the changes after a version, or the full list for version 0.
 func (w *World) changesSince(version int64) List {
 	if version == 0 {
 		return w.FullList()
@@ -121,10 +127,10 @@
 	return l
 }
 
-// announceStages reports to the ledger the stages that an update tells a sender.
+// announceStages reports to the ledger the stages that an update announces to a sender.
 func (w *World) announceStages(s SenderNo, l List) {
 	if l.Full {
-		// An endpoint that a full list does not name is gone.
+		// An endpoint without an entry in a full list is gone.
 		listed := map[*Endpoint]bool{}
 		for _, entry := range l.Entries {
 			listed[entry.Endpoint] = true
@@ -140,7 +146,7 @@
 	}
 }
 
-// changeStage changes an endpoint's stage on the list and schedules the update for every sender.
+// changeStage changes an endpoint's stage on the list and schedules an update to every sender.
 func (w *World) changeStage(e *Endpoint, stage choice.Stage) {
 	e.Stage = stage
 	w.list.version++
@@ -158,7 +164,7 @@
 func (w *World) planChanges() {
 	w.list.version = 1
 	for _, e := range w.Endpoints {
-		w.list.first = append(w.list.first, ListEntry{e, e.Stage, e.Addr})
+		w.list.initial = append(w.list.initial, ListEntry{e, e.Stage, e.Addr})
 	}
 	for i := range w.Spec.Changes {
 		c := &w.Spec.Changes[i]
--- a/lab/world/effects.go
+++ b/lab/world/effects.go
@@ -1,71 +1,73 @@
 package world
 
-// This file holds what faults do to one endpoint. When they begin and end is up to fault.go.
+// This file holds the effects of faults on one endpoint. fault.go decides when faults begin and end.
 
-// effects is the sum of what the active faults do to one endpoint.
+// effects is the combined effect of the active faults on one endpoint. Its zero value is no effect.
 type effects struct {
-	crash      bool
-	shut       bool
-	silent     bool
-	hung       bool
-	cut        bool
-	neverReads bool
-	refuse     bool // new connections
-
-	// Shares of calls, from 0 to 1.
-	failing  float64
-	refusing float64
-	resets   float64
-	spoilt   float64
-	lying    float64
-
-	slow  float64 // factor on the duration of a call; 0 for none
-	shake float64 // additional milliseconds for a handshake
-	limit float64 // share of the limit that is left; 0 for all of it
-
-	pauseFor   Time
-	pauseEvery Time
-	pauseFrom  Time
-	shutUntil  Time
-	burst      cycle
-	swing      cycle
-	firstCalls float64 // so many calls are refused after a pause of firstPause
-	firstPause Time
+	crash        bool
+	shut         bool
+	silent       bool
+	hung         bool
+	isolated     bool
+	neverReads   bool
+	refusesConns bool // new connections are refused
+
+	// Shares of the calls that the faults affect, from 0 to 1.
+	failing   float64
+	refusing  float64
+	resets    float64
+	malformed float64
+	lying     float64
+
+	slowFactor  float64 // factor on the duration of a call; 0 if no fault changes it
+	handshakeMS float64 // additional milliseconds for a handshake
+	limitShare  float64 // remaining share of the rate limit; 0 if no fault changes it
+
+	pauseFor     Time // length of each pause of the process; 0 for no pauses
+	pauseEvery   Time // time from the start of one pause to the start of the next
+	pauseFrom    Time // start of the first pause
+	shutUntil    Time // end of the fault shut, which sets the Retry-After
+	refusedBurst cycle
+	limitSwing   cycle
+	firstCalls   float64 // number of calls that are refused after a pause
+	firstPause   Time    // length of a pause in calls after which firstCalls are refused
 }
 
-// cycle is a condition that recurs in each period of the length every, for a share of it, counted from the fault's start.
+// cycle is a periodic effect. Periods have the length every and are counted from the start of the fault. For
+// refusing_bursts, share is the part of the period in which calls are refused; for limit_swings, the part of the limit
+// that remains in the second half. A cycle is off if every is 0.
 type cycle struct {
 	share float64
 	every Time
 	from  Time
 }
 
-// cycleOf is the cycle that a fault describes.
+// cycleOf returns the cycle of a fault, from its amount, period and start.
 func cycleOf(t *Fault) cycle {
 	return cycle{share: t.Amount, every: seconds(t.Every), from: seconds(t.At)}
 }
 
-// phase is the part of the current period that is over, from 0 to 1.
+// phase returns the elapsed part of the current period, from 0 to 1.
 func (c cycle) phase(now Time) float64 {
 	return float64((now-c.from)%c.every) / float64(c.every)
 }
 
-// slowness is the factor on the duration of a call.
-func (f *effects) slowness() float64 { return max(1, f.slow) }
+// durationFactor returns the factor on the duration of a call, at least 1.
+func (f *effects) durationFactor() float64 { return max(1, f.slowFactor) }
 
-// limitLeft is the share of an endpoint's limit that is left.
+// limitLeft returns the share of an endpoint's rate limit that the active faults leave, from 0 to 1.
 func (f *effects) limitLeft(now Time) float64 {
 	left := 1.0
-	if f.limit > 0 {
-		left = f.limit
+	if f.limitShare > 0 {
+		left = f.limitShare
 	}
-	if f.swing.every > 0 && f.swing.phase(now) >= 0.5 {
-		left *= f.swing.share
+	if f.limitSwing.every > 0 && f.limitSwing.phase(now) >= 0.5 {
+		left *= f.limitSwing.share
 	}
 	return left
 }
 
-// pausedUntil is when an endpoint that is paused continues, or 0 if it is not paused.
+// pausedUntil returns the time at which a paused endpoint continues, or 0 if the endpoint is not paused.
 func (w *World) pausedUntil(e *Endpoint) Time {
 	if e.effects.pauseFor == 0 {
 		return 0
@@ -77,33 +79,33 @@
 	return 0
 }
 
-// add adds the effect of a fault.
+// add adds the effect of a fault of any kind in effectOfKind.
 func (f *effects) add(t *Fault) {
 	if apply := effectOfKind[t.Kind]; apply != nil {
 		apply(f, t)
 	}
 }
 
-// effectOfKind says what each kind of fault of endpoints adds to the effects of others.
+// effectOfKind maps each kind of fault of endpoints to the function that adds its effect to those of other faults.
 var effectOfKind = map[string]func(*effects, *Fault){
 	"crash":          func(f *effects, _ *Fault) { f.crash = true },
 	"silent":         func(f *effects, _ *Fault) { f.silent = true },
 	"hung":           func(f *effects, _ *Fault) { f.hung = true },
-	"cut_off":        func(f *effects, _ *Fault) { f.cut = true },
+	"cut_off":        func(f *effects, _ *Fault) { f.isolated = true },
 	"never_reads":    func(f *effects, _ *Fault) { f.neverReads = true },
-	"no_connections": func(f *effects, _ *Fault) { f.refuse = true },
+	"no_connections": func(f *effects, _ *Fault) { f.refusesConns = true },
 	"shut": func(f *effects, t *Fault) {
 		f.shut, f.shutUntil = true, max(f.shutUntil, seconds(t.At+t.Seconds))
 	},
 
-	"failing":  func(f *effects, t *Fault) { f.failing = either(f.failing, t.Amount) },
-	"refusing": func(f *effects, t *Fault) { f.refusing = either(f.refusing, t.Amount) },
-	"lying":    func(f *effects, t *Fault) { f.lying = either(f.lying, t.Amount) },
-	"resets":   func(f *effects, t *Fault) { f.resets = either(f.resets, t.Amount) },
-	"spoilt":   func(f *effects, t *Fault) { f.spoilt = either(f.spoilt, t.Amount) },
+	"failing":  func(f *effects, t *Fault) { f.failing = combineShares(f.failing, t.Amount) },
+	"refusing": func(f *effects, t *Fault) { f.refusing = combineShares(f.refusing, t.Amount) },
+	"lying":    func(f *effects, t *Fault) { f.lying = combineShares(f.lying, t.Amount) },
+	"resets":   func(f *effects, t *Fault) { f.resets = combineShares(f.resets, t.Amount) },
+	"spoilt":   func(f *effects, t *Fault) { f.malformed = combineShares(f.malformed, t.Amount) },
 
-	"refusing_bursts": func(f *effects, t *Fault) { f.burst = cycleOf(t) },
-	"limit_swings":    func(f *effects, t *Fault) { f.swing = cycleOf(t) },
+	"refusing_bursts": func(f *effects, t *Fault) { f.refusedBurst = cycleOf(t) },
+	"limit_swings":    func(f *effects, t *Fault) { f.limitSwing = cycleOf(t) },
 	"refusing_first": func(f *effects, t *Fault) {
 		f.firstCalls, f.firstPause = max(f.firstCalls, t.Amount), seconds(t.Every)
 	},
@@ -111,15 +113,15 @@
 		f.pauseFor, f.pauseEvery, f.pauseFrom = max(f.pauseFor, ms(t.Amount)), seconds(t.Every), seconds(t.At)
 	},
 
-	"slow":            func(f *effects, t *Fault) { f.slow = f.slowness() * t.Amount },
-	"slow_handshakes": func(f *effects, t *Fault) { f.shake += t.Amount },
+	"slow":            func(f *effects, t *Fault) { f.slowFactor = f.durationFactor() * t.Amount },
+	"slow_handshakes": func(f *effects, t *Fault) { f.handshakeMS += t.Amount },
 	"throttled": func(f *effects, t *Fault) {
-		if f.limit == 0 {
-			f.limit = 1
+		if f.limitShare == 0 {
+			f.limitShare = 1
 		}
-		f.limit *= max(t.Amount, 1e-6)
+		f.limitShare *= max(t.Amount, 1e-6)
 	},
 }
 
-// either is the share of calls that at least one of two independent faults affects.
-func either(one, other float64) float64 { return 1 - (1-one)*(1-other) }
+// combineShares returns the share of calls that at least one of two independent faults affects, from the share of each.
+func combineShares(one, other float64) float64 { return 1 - (1-one)*(1-other) }
--- a/lab/world/events.go
+++ b/lab/world/events.go
@@ -1,6 +1,6 @@
 package world
 
-// This file is the event queue. Events of the same time must run in the order in which they were added.
+// This file holds the event queue. Events of the same time must run in the order in which they were added.
 
 import (
 	"container/heap"
@@ -32,7 +32,7 @@
 	return x
 }
 
-// Next is the time of the next event; it is false if there is none.
+// Next returns the time of the next event, or false if the queue is empty.
 func (w *World) Next() (Time, bool) {
 	if len(w.events) == 0 {
 		return 0, false
@@ -40,7 +40,7 @@
 	return w.events[0].at, true
 }
 
-// Advance runs all events up to a time and sets the clock to it.
+// Advance runs all events up to and including a time, and sets the world's time to it.
 func (w *World) Advance(to Time) {
 	for len(w.events) > 0 && w.events[0].at <= to {
 		e := heap.Pop(&w.events).(event)
@@ -50,11 +50,12 @@
 	w.now = max(w.now, to)
 }
 
-// At runs do at a time. The simulated engine schedules its senders' ticks and timers here too.
+// At schedules do for a time, or for now if that time is over. The engine in simulated time schedules its senders' ticks
+// and timers here too.
 func (w *World) At(at Time, do func()) {
 	w.eventNo++
 	heap.Push(&w.events, event{max(at, w.now), w.eventNo, do})
 }
 
-// After runs do after a delay.
+// After schedules do after a delay.
 func (w *World) After(in Time, do func()) { w.At(w.now+in, do) }
--- a/lab/world/fault.go
+++ b/lab/world/fault.go
@@ -1,7 +1,7 @@
 package world
 
-// This file plans when faults begin and end, and switches faults of endpoints and of discovery. The end of one fault must
-// not lift another.
+// This file schedules the begin and the end of all faults, and applies those of endpoints and of discovery. The end of one
+// fault must not end the effect of another that is still active.
 
 import (
 	"slices"
@@ -25,18 +25,18 @@
 			w.At(from, func() { w.switchFault(t, affected, true) })
 			w.At(to, func() { w.switchFault(t, affected, false) })
 		case "senders":
-			w.planSenders(t, w.sendersOf(&t.Selector, no), from, to)
+			w.planSenderFault(t, w.sendersOf(&t.Selector, no), from, to)
 		case "discovery":
 			w.At(from, func() { w.switchDiscoveryFault(t, true) })
 			w.At(to, func() { w.switchDiscoveryFault(t, false) })
 		case "clients":
-			w.planClients(t, w.sendersOf(&Selector{Zone: t.Selector.Zone, Senders: t.Selector.Senders}, no), from, to)
+			w.planClientFault(t, w.sendersOf(&Selector{Zone: t.Selector.Zone, Senders: t.Selector.Senders}, no), from, to)
 		}
 	}
 }
 
-// switchFault begins or ends a fault of endpoints. Faults may overlap: the effects on an endpoint are computed anew from
-// all active faults, so that the end of one does not lift another.
+// switchFault begins or ends a fault of endpoints. Faults may overlap: the effects on an endpoint are recomputed from all
+// active faults, so that the end of one does not end the effect of another.
 func (w *World) switchFault(t *Fault, affected []*Endpoint, on bool) {
 	if on {
 		w.active = append(w.active, t)
@@ -50,15 +50,15 @@
 		if e.effects.crash && !was.crash {
 			w.crashProcess(e)
 		}
-		if was.cut && !e.effects.cut || was.neverReads && !e.effects.neverReads {
-			// Connections that were open all along are reset now that both sides hear each other again.
+		if was.isolated && !e.effects.isolated || was.neverReads && !e.effects.neverReads {
+			// The connections that stayed open during the fault are reset when traffic resumes.
 			w.crashProcess(e)
 		}
 		w.updateOutage(e)
 	}
 }
 
-// effectsOn is the sum of the effects of all active faults on an endpoint.
+// effectsOn returns the combined effects of all active faults on an endpoint.
 func (w *World) effectsOn(e *Endpoint) (all effects) {
 	for i := range w.Spec.Faults {
 		t := &w.Spec.Faults[i]
@@ -78,7 +78,7 @@
 	}
 	switch t.Kind {
 	case "discovery_late":
-		w.list.late += Time(more) * seconds(t.Amount)
+		w.list.extraDelay += Time(more) * seconds(t.Amount)
 		return
 	case "discovery_stale":
 		w.list.stale += more
--- a/lab/world/partners.go
+++ b/lab/world/partners.go
@@ -14,21 +14,21 @@
 
 // makePartners creates all partners of a spec, in the order of kinds.
 func (w *World) makePartners() {
-	shares := w.dealShares()
+	shares := w.drawTrafficShares()
 	for i := range w.Spec.Partners {
 		for range w.Spec.Partners[i].Count {
 			no := len(w.Partners)
 			p := &Partner{No: PartnerNo(no), Kind: &w.Spec.Partners[i], KindNo: i, Share: shares[no]}
 			w.Partners = append(w.Partners, p)
-			w.rate(p)
+			w.drawCapacity(p)
 			w.makeEndpoints(p)
 		}
 	}
 }
 
-// dealShares draws the partners' shares of the traffic. Partners of all kinds are mixed by chance over the order of size,
-// so that no kind gets all the large shares.
-func (w *World) dealShares() []float64 {
+// drawTrafficShares draws the partners' shares of the traffic. The ranks by size are assigned to partners of all kinds by
+// chance, so that no kind gets all the large shares.
+func (w *World) drawTrafficShares() []float64 {
 	total := 0
 	for i := range w.Spec.Partners {
 		total += w.Spec.Partners[i].Count
@@ -52,13 +52,13 @@
 	return shares
 }
 
-// limitHeadroom is a partner's capacity as a multiple of its limit at least, unless the limit may lie above the capacity.
+// limitHeadroom is the least ratio of a partner's capacity to its rate limit, unless Kind.LimitAbove is set.
 const limitHeadroom = 1.25
 
-// rate draws a partner's capacity and its limit.
-func (w *World) rate(p *Partner) {
+// drawCapacity draws a partner's capacity and its rate limit.
+func (w *World) drawCapacity(p *Partner) {
 	kind := p.Kind
-	p.Rate = max(kind.LeastRate, w.Spec.Load.Rate*p.Share*w.within(kind.Headroom, "headroom", int64(p.No)))
+	p.Rate = max(kind.LeastRate, w.Spec.Load.Rate*p.Share*w.drawWithin(kind.Headroom, "headroom", int64(p.No)))
 	if kind.Limit == "none" {
 		return
 	}
@@ -71,11 +71,12 @@
 	}
 }
 
-// makeEndpoints creates a partner's endpoints and sets its rate to the sum of theirs.
+// makeEndpoints creates a partner's endpoints and sets the partner's rate to the sum of theirs.
 func (w *World) makeEndpoints(p *Partner) {
-	// Half a unit more on both sides: else the ends of the range would be drawn half as often as the numbers between.
+	// The range is widened by almost half a unit on both sides, since rounding would otherwise make its ends half as likely
+	// as the numbers between them.
 	counts := Pair{p.Kind.Endpoints[0] - 0.499, p.Kind.Endpoints[1] + 0.499}
-	count := max(1, int(math.Round(w.within(counts, "endpoints", int64(p.No)))))
+	count := max(1, int(math.Round(w.drawWithin(counts, "endpoints", int64(p.No)))))
 	rate := 0.0
 	for i := range count {
 		e := w.makeEndpoint(p, i, count)
@@ -87,23 +88,24 @@
 	p.Rate = rate
 }
 
-// makeEndpoint creates one of count endpoints of a partner. Its rate is that of a whole number of slots.
+// makeEndpoint creates the endpoint with index i of a partner that has count endpoints. Its slots are the partner's rate
+// divided by count, rounded up to a whole number, and its rate is what these slots can process.
 func (w *World) makeEndpoint(p *Partner, i, count int) *Endpoint {
 	kind, no := p.Kind, len(w.Endpoints)
 	e := &Endpoint{
-		No:         EndpointNo(no),
-		ID:         choice.EndpointID(fmt.Sprintf("p%d-%d", p.No, i)),
-		Partner:    p,
-		Zone:       (int(p.No) + i) % w.Spec.Zones,
-		sameMS:     w.within(w.Spec.Network.SameMS, "same", int64(no)),
-		crossMS:    w.within(w.Spec.Network.CrossMS, "cross", int64(no)),
-		mean:       w.within(kind.MeanMS, "mean", int64(no)) * float64(Millisecond),
-		warmFrom:   -seconds(kind.SlowStartS),
-		conns:      map[*Conn]struct{}{},
-		sawFailure: map[SenderNo]struct{}{},
+		No:             EndpointNo(no),
+		ID:             choice.EndpointID(fmt.Sprintf("p%d-%d", p.No, i)),
+		Partner:        p,
+		Zone:           (int(p.No) + i) % w.Spec.Zones,
+		sameMS:         w.drawWithin(w.Spec.Network.SameMS, "same", int64(no)),
+		crossMS:        w.drawWithin(w.Spec.Network.CrossMS, "cross", int64(no)),
+		meanDuration:   w.drawWithin(kind.MeanMS, "mean", int64(no)) * float64(Millisecond),
+		slowStartBegan: -seconds(kind.SlowStartS),
+		conns:          map[*Conn]struct{}{},
+		sawFailure:     map[SenderNo]struct{}{},
 	}
-	e.slots = max(1, int(math.Ceil(p.Rate/float64(count)*e.mean/float64(Second))))
-	e.Rate = float64(e.slots) * float64(Second) / e.mean
+	e.slots = max(1, int(math.Ceil(p.Rate/float64(count)*e.meanDuration/float64(Second))))
+	e.Rate = float64(e.slots) * float64(Second) / e.meanDuration
 	e.queueMax = int(math.Ceil(kind.Queue * float64(e.slots)))
 	if kind.Limit != "none" && kind.SeparateRoutes {
 		e.limit = w.newLimit(kind, p, float64(count))
--- a/lab/world/reply.go
+++ b/lab/world/reply.go
@@ -1,21 +1,22 @@
 package world
 
-// This file handles answers: what they deliver, what they report of a limit, and when they reach the sender. An answer
-// must not count as a delivery if its sender can no longer receive it.
+// This file handles answers: the messages they deliver, their load report, and the time at which they reach the sender. An
+// answer must not count as a delivery if the sender can no longer receive it.
 
 import (
 	"flaxcove/choice"
 )
 
-// endAtEndpoint ends the endpoint's part in a call, with the status it answers or 0 for none.
+// endAtEndpoint ends the endpoint's part in a call. The status is 0 if the endpoint does not answer.
 func (w *World) endAtEndpoint(call *Call, status int) {
-	if !call.over {
-		call.over = true
+	if !call.ended {
+		call.ended = true
 		w.ledger.Outcome(call, status)
 	}
 }
 
-// reply sends an answer. From here on the call is no longer in flight, and its messages count as delivered.
+// reply sends an answer. Unless the answer is incomplete, the call is no longer in flight from this moment, and the
+// messages that succeeded count as delivered.
 func (w *World) reply(call *Call, a Answer) {
 	c := call.Conn
 	e := c.Endpoint
@@ -32,7 +33,7 @@
 	if e.Partner.Kind.Reports {
 		a.Report = w.reportOf(e)
 	}
-	if !a.Half {
+	if !a.Incomplete {
 		w.setInFlight(call, false)
 		c.call = nil
 		w.deliver(call, &a)
@@ -45,8 +46,8 @@
 	w.sendAnswer(call, a)
 }
 
-// sendAnswer has an answer reach its sender after the delay of the network. If the sender closed before, the answer is not
-// received, and its Retry-After does not count.
+// sendAnswer delivers an answer to its sender after the delay of the network. If the sender has closed the connection by
+// then, it does not receive the answer and is not bound by its Retry-After.
 func (w *World) sendAnswer(call *Call, a Answer) {
 	c := call.Conn
 	delay, sentAt := w.oneWayDelay(c.Sender, c.Endpoint, -int64(call.No)), w.now
@@ -61,26 +62,26 @@
 	})
 }
 
-// deliver reports the messages that an answer delivers.
+// deliver reports the messages of a call that an answer delivers to the ledger.
 func (w *World) deliver(call *Call, a *Answer) {
-	if a.Spoilt || a.Status != 200 || call.Conn.closedBySender {
+	if a.Malformed || a.Status != 200 || call.Conn.closedBySender {
 		return
 	}
 	for i, h := range call.Messages {
 		if (a.Statuses == nil || a.Statuses[i] == 200) && !h.Unknown {
 			w.ledger.Delivered(h, call.Conn.Endpoint)
-			w.delivered(h)
+			w.markDelivered(h)
 		}
 	}
 }
 
-// reportOf is an endpoint's load report, which may be up to ReportMS old.
+// reportOf returns an endpoint's load report, which may be up to Kind.ReportMS old.
 func (w *World) reportOf(e *Endpoint) choice.Report {
 	if w.now >= e.reportAt {
 		e.reportAt = w.now + ms(e.Partner.Kind.ReportMS)
 		e.report = choice.Report{Known: true, Left: 1}
 		if l := e.limitOf(); l != nil {
-			e.report.Left, e.report.Limit = l.left(w.now, e.effects.limitLeft(w.now)), l.perSecond*e.effects.limitLeft(w.now)
+			e.report.Left, e.report.Limit = l.unusedShare(w.now, e.effects.limitLeft(w.now)), l.perSecond*e.effects.limitLeft(w.now)
 		}
 	}
 	return e.report
--- a/lab/world/selector.go
+++ b/lab/world/selector.go
@@ -1,14 +1,15 @@
 package world
 
-// This file resolves selectors to partners, endpoints and senders. The same selector must always give the same ones.
+// This file resolves selectors to partners, endpoints and senders. A selector must always resolve to the same ones in runs
+// with the same seed.
 
 import (
 	"cmp"
 	"slices"
 )
 
-// partnersOf returns the partners that a selector matches. If it names a share of the traffic, partners are drawn by
-// chance until they have that share.
+// partnersOf returns the partners that a selector matches, sorted by number. If it names a share of the traffic, partners
+// are drawn by chance until they have that share. The parameter no identifies the draw.
 func (w *World) partnersOf(p *Selector, no int64) (all []*Partner) {
 	for _, partner := range w.Partners {
 		if p.Kind != "" && partner.Kind.Name != p.Kind {
@@ -25,7 +26,8 @@
 	return w.drawPartners(all, p.Share, no)
 }
 
-// drawPartners draws partners by chance until they have a share of the traffic.
+// drawPartners draws partners by chance until they have about the given share of the traffic, and at least one. It reorders
+// the slice all.
 func (w *World) drawPartners(all []*Partner, share float64, no int64) []*Partner {
 	slices.SortFunc(all, func(a, b *Partner) int {
 		return cmp.Compare(w.draw("part", no, int64(a.No)), w.draw("part", no, int64(b.No)))
@@ -42,7 +44,7 @@
 	return chosen
 }
 
-// endpointsOf returns the endpoints that a selector matches.
+// endpointsOf returns the endpoints that a selector matches, sorted by number. The parameter no identifies the draw.
 func (w *World) endpointsOf(p *Selector, no int64) (all []*Endpoint) {
 	for _, partner := range w.partnersOf(p, no) {
 		for i, e := range partner.Endpoints {
@@ -54,7 +56,8 @@
 	return all
 }
 
-// sendersOf returns the senders that a selector matches.
+// sendersOf returns the senders that a selector matches, sorted by number. If it names a share of the senders, they are
+// drawn by chance. The parameter no identifies the draw.
 func (w *World) sendersOf(p *Selector, no int64) (all []SenderNo) {
 	for i, s := range w.senders {
 		if (p.Zone == 0 || p.Zone == s.zone+1) && (len(p.Senders) == 0 || slices.Contains(p.Senders, i)) {
--- a/lab/world/work.go
+++ b/lab/world/work.go
@@ -1,7 +1,7 @@
 package world
 
-// This file models a call at its endpoint: it is refused, or waits for a slot, is worked on and answered. It must not
-// depend on what the sender makes of it.
+// This file models the processing of a call at its endpoint: the call is refused, or it waits for a slot, is worked on and
+// answered. The outcome must not depend on the sender's view of the call.
 
 import (
 	"slices"
@@ -9,7 +9,7 @@
 	"flaxcove/choice"
 )
 
-// minRetryAfter is the shortest Retry-After of a random refusal; the longest is twice that.
+// minRetryAfter is the shortest Retry-After of a refusal that a fault draws by chance. The longest is twice that.
 const minRetryAfter = 300 * Millisecond
 
 // arrive handles a call that reaches its endpoint.
@@ -20,9 +20,9 @@
 		w.arriveTooLate(call)
 		return
 	}
-	if e.effects.cut || e.effects.neverReads || e.effects.silent || w.senders[c.Sender].isolated {
+	if e.effects.isolated || e.effects.neverReads || e.effects.silent || w.senders[c.Sender].isolated {
 		w.noteFailureSeen(e, c.Sender)
-		w.endAtEndpoint(call, 0) // it is not received, and nothing is executed
+		w.endAtEndpoint(call, 0) // the call is not received, and nothing is executed
 		return
 	}
 	if e.inSlowStart(w.now) && !e.effects.shut {
@@ -42,8 +42,8 @@
 	w.enqueue(call)
 }
 
-// arriveTooLate handles a call whose connection had closed. The sender sees a reset and cannot know whether the call was
-// executed.
+// arriveTooLate handles a call whose connection was closed before the call arrived. The sender sees a reset and cannot know
+// whether the call was executed.
 func (w *World) arriveTooLate(call *Call) {
 	c := call.Conn
 	w.endAtEndpoint(call, 0)
@@ -59,7 +59,7 @@
 	})
 }
 
-// answerProbe handles a health probe.
+// answerProbe handles a health probe: it fails if the endpoint is shut or gone, else it is worked on like a call.
 func (w *World) answerProbe(call *Call) {
 	if e := call.Conn.Endpoint; e.effects.shut || e.Stage == choice.Gone {
 		w.reply(call, Answer{Status: 503})
@@ -68,7 +68,7 @@
 	w.enqueue(call)
 }
 
-// refusal reports whether an endpoint refuses a call, and the Retry-After.
+// refusal reports whether an endpoint refuses a call, and the wait until it would accept one, or 0 if that is unknown.
 func (w *World) refusal(call *Call) (wait Time, refused bool) {
 	e := call.Conn.Endpoint
 	switch {
@@ -80,7 +80,7 @@
 	case w.draw("lying", int64(call.No)) < e.effects.lying:
 		for _, h := range call.Messages {
 			h.FalselyRefused++
-			w.executed(h, e)
+			w.reportExecuted(h, e)
 		}
 		return 0, true
 	case w.inRefusedBurst(e), w.isFirstAfterPause(e), w.draw("refusing", int64(call.No)) < e.effects.refusing:
@@ -93,7 +93,7 @@
 	return 0, false
 }
 
-// refuse answers a refused call. A share of the answers names the wait as Retry-After.
+// refuse answers a call with a refusal. Kind.RetryAfterShare of the refusals carry the wait as Retry-After.
 func (w *World) refuse(call *Call, wait Time) {
 	if w.draw("told", int64(call.No)) >= call.Conn.Endpoint.Partner.Kind.RetryAfterShare {
 		wait = 0
@@ -101,19 +101,20 @@
 	w.reply(call, Answer{Status: 503, Wait: wait, Close: call.Conn.overLimit})
 }
 
-// inRefusedBurst reports whether an endpoint refuses all calls at the moment.
+// inRefusedBurst reports whether a fault of the kind refusing_bursts has an endpoint refuse all calls now.
 func (w *World) inRefusedBurst(e *Endpoint) bool {
-	return e.effects.burst.every > 0 && e.effects.burst.phase(w.now) < e.effects.burst.share
+	return e.effects.refusedBurst.every > 0 && e.effects.refusedBurst.phase(w.now) < e.effects.refusedBurst.share
 }
 
-// isFirstAfterPause reports whether a call is one of the first after a pause, at an endpoint that refuses these.
+// isFirstAfterPause counts a call, and reports whether it is one of the first calls after a pause in calls, which a fault
+// of the kind refusing_first refuses.
 func (w *World) isFirstAfterPause(e *Endpoint) bool {
 	if w.now-e.lastCall > e.effects.firstPause {
-		e.sincePause = 0
+		e.callsSincePause = 0
 	}
 	e.lastCall = w.now
-	e.sincePause++
-	return e.sincePause <= e.effects.firstCalls
+	e.callsSincePause++
+	return e.callsSincePause <= e.effects.firstCalls
 }
 
 // enqueue starts work on a call if a slot is free, queues it, or refuses it if the queue is full.
@@ -129,33 +130,33 @@
 	}
 }
 
-// unqueue removes a call from the queue.
-func (w *World) unqueue(call *Call) {
+// removeFromQueue removes a call from the queue.
+func (w *World) removeFromQueue(call *Call) {
 	e := call.Conn.Endpoint
 	e.queue = slices.DeleteFunc(e.queue, func(other *Call) bool { return other == call })
 }
 
-// startWork begins the work on a call.
+// startWork takes a slot for a call and schedules the end of the work.
 func (w *World) startWork(call *Call) {
 	e := call.Conn.Endpoint
 	e.busy++
 	call.running = true
 	restart := e.restarts
-	work := logNormal(e.mean, e.Partner.Kind.Sigma, w.draw("work", w.drawKey(call)...))
+	work := logNormal(e.meanDuration, e.Partner.Kind.Sigma, w.draw("work", w.drawKey(call)...))
 	if call.Probe {
-		work = e.mean / 8
+		work = e.meanDuration / 8
 	} else {
 		work *= 1 + bulkMessageWork*float64(len(call.Messages)-1)
 	}
-	work *= e.effects.slowness() / w.capacityShare(e)
-	if call.fresh {
-		work += (e.Partner.Kind.HandshakeMS + e.effects.shake) * float64(Millisecond)
+	work *= e.effects.durationFactor() / w.capacityShare(e)
+	if call.firstOnConn {
+		work += (e.Partner.Kind.HandshakeMS + e.effects.handshakeMS) * float64(Millisecond)
 	}
 	w.After(max(1, Time(work)), func() { w.workDone(call, restart) })
 }
 
-// drawKey is the key of a call's random draws: the message and the number of the attempt. So variants of a run draw the
-// same numbers for the same message.
+// drawKey returns the numbers that identify a call in random draws: the request, the attempt and the number of messages. It
+// does not use the number of the call, so that variants of a run draw the same for the same message.
 func (w *World) drawKey(call *Call) []int64 {
 	if len(call.Messages) == 0 || call.Messages[0].Unknown {
 		return []int64{int64(call.No)}
@@ -164,12 +165,13 @@
 	return []int64{int64(h.Request.No), int64(h.attempts), int64(len(call.Messages))}
 }
 
-// workDone ends the work on a call.
+// workDone ends the work on a call and answers it. The parameter restart is the value of Endpoint.restarts when the work
+// began.
 func (w *World) workDone(call *Call, restart int64) {
 	c := call.Conn
 	e := c.Endpoint
 	if e.restarts != restart {
-		return // the process crashed meanwhile, and the work is lost
+		return // the process crashed after the work began, and the work is lost
 	}
 	if until := w.pausedUntil(e); until > w.now {
 		w.At(until, func() { w.workDone(call, restart) })
@@ -194,14 +196,14 @@
 	w.reply(call, Answer{Status: 500})
 }
 
-// failedButExecutedShare is the share of failed messages that were executed all the same.
+// failedButExecutedShare is the share of failed messages that were nevertheless executed.
 const failedButExecutedShare = 0.5
 
-// execute executes the messages of a call. It is false if the call has one message and that fails.
+// execute executes the messages of a call and returns the answer. ok is false if the call has only one message and it fails.
 func (w *World) execute(call *Call) (a Answer, ok bool) {
 	e := call.Conn.Endpoint
 	name := w.drawKey(call)
-	fail := either(e.Partner.Kind.ErrorShare, e.effects.failing)
+	fail := combineShares(e.Partner.Kind.ErrorShare, e.effects.failing)
 	a.Status = 200
 	if len(call.Messages) == 1 {
 		return a, w.executeOne(call.Messages[0], e, fail, name)
@@ -216,16 +218,16 @@
 	return a, true
 }
 
-// executeOne executes a message. It is false if the message fails, which may have had its effect all the same.
+// executeOne executes a message and reports whether it succeeds. A message that fails may have been executed nevertheless.
 func (w *World) executeOne(h *HandIn, e *Endpoint, fail float64, name []int64) bool {
 	done := w.draw("fail", name...) >= fail
 	if done || w.draw("fail ran", name...) < failedButExecutedShare {
-		w.executed(h, e)
+		w.reportExecuted(h, e)
 	}
 	return done
 }
 
-// answerWork answers a call, unless a fault withholds, cuts or garbles the answer.
+// answerWork answers a call. Faults may cut the answer off, make it malformed, or reset the connection in its place.
 func (w *World) answerWork(call *Call, a Answer) {
 	c := call.Conn
 	e := c.Endpoint
@@ -233,16 +235,16 @@
 	switch {
 	case e.effects.hung:
 		w.noteFailureSeen(e, c.Sender)
-		a.Half = true
-	case !call.fresh && w.draw("reset", name...) < e.effects.resets:
+		a.Incomplete = true
+	case !call.firstOnConn && w.draw("reset", name...) < e.effects.resets:
 		w.endAtEndpoint(call, 0)
 		w.closeAtEndpoint(c, true)
 		return
-	case w.draw("spoilt", name...) < e.effects.spoilt:
-		a.Spoilt = true
+	case w.draw("spoilt", name...) < e.effects.malformed:
+		a.Malformed = true
 	}
 	w.reply(call, a)
 }
 
-// executed reports that a message had its effect.
-func (w *World) executed(h *HandIn, e *Endpoint) { w.ledger.Executed(h, e, w.now) }
+// reportExecuted reports to the ledger that a message was executed.
+func (w *World) reportExecuted(h *HandIn, e *Endpoint) { w.ledger.Executed(h, e, w.now) }
--- a/lab/world/world.go
+++ b/lab/world/world.go
@@ -1,14 +1,15 @@
 // Package world is the laboratory's model of everything outside a sender: partner systems and the network to them,
 // discovery, the clients that hand messages in, the platform that receives outcome callbacks, and faults in all of them.
 //
-// Its state is the truth of a run. Two engines drive it: package sim by events in simulated time, package live by sockets
-// in real time. It sends what reaches a sender through Wire, and reports everything that happens to a Ledger, from which
-// the referee judges. It must not read a clock, open a socket, start a goroutine, log, or rely on what a sender says.
-// Random numbers depend on the seed and on the name of what is drawn, so that two variants of a run see the same world as
-// far as they act alike. Times are tenths of a millisecond from the start of the run.
+// The model holds the true state of a run. Two engines drive it: package sim by events in simulated time, package live by
+// sockets in real time. It reaches senders through a Wire and reports every event to a Ledger, which the referee
+// implements. The package must not read a clock, open a socket, start a goroutine, log, or rely on a sender's own reports.
+// Random numbers depend only on the seed and on the name of the draw, so that two variants of a run see the same world
+// for as long as they act alike. Times are tenths of a millisecond from the start of the run.
 //
-// spec.go and kinds.go declare what a scenario may say. endpoint.go holds the partners, clients.go the clients,
-// directory.go discovery, fault.go the faults, events.go the event queue. This file has the interfaces Wire and Ledger.
+// spec.go and kinds.go declare the parts of a scenario. endpoint.go holds the partners, clients.go the clients,
+// directory.go discovery, fault.go the faults, and events.go the event queue. This file holds the interfaces Wire and
+// Ledger.
 package world
 
 import (
@@ -19,13 +20,13 @@
 // Time is choice.Time, counted from the start of the run.
 type Time = choice.Time
 
-// Spans of Time.
+// Units of Time.
 const (
 	Millisecond = choice.Millisecond
 	Second      = choice.Second
 )
 
-// Numbers of senders, partners and so on, each with a type of its own. All count from 0.
+// Identifying numbers, each with a type of its own. Senders, partners and endpoints count from 0.
 type (
 	SenderNo   int
 	PartnerNo  int
@@ -34,36 +35,37 @@
 	RequestNo  int64
 )
 
-// ConnEnd is how a connection ends as its sender sees it.
+// ConnEnd is the way in which a connection ended, as its sender sees it.
 type ConnEnd int
 
 const (
-	ConnRefused ConnEnd = iota + 1 // the connection did not come up
-	ConnReset                      // it was closed before the answer was complete
+	ConnRefused ConnEnd = iota + 1 // the connection was not established
+	ConnReset                      // the connection was closed before the answer was complete
 )
 
 // Answer is an endpoint's answer to a call.
 type Answer struct {
-	Status   int
-	Wait     Time // Retry-After; 0 for none
-	Report   choice.Report
-	Spoilt   bool  // it is not valid HTTP
-	Half     bool  // it is cut off in the middle
-	Close    bool  // the endpoint closes the connection after it
-	Statuses []int // of each message of a bulk call, if they differ
+	Status     int
+	Wait       Time // value of Retry-After; 0 if the answer has none
+	Report     choice.Report
+	Malformed  bool  // the answer is not valid HTTP
+	Incomplete bool  // the answer breaks off in the middle
+	Close      bool  // the endpoint closes the connection after the answer
+	Statuses   []int // status of each message of a bulk call; nil if Status holds for all
 }
 
-// Wire is how the world reaches senders. Its methods are called when something reaches them, and may call the world back.
+// Wire delivers the world's events to senders; each engine implements it. The world calls a method at the time when the
+// event reaches the sender. A method may call the world back.
 type Wire interface {
 	ConnUp(c *Conn)                // the connection is established
-	ConnDown(c *Conn, why ConnEnd) // it was refused, or closed by the endpoint
+	ConnDown(c *Conn, why ConnEnd) // the connection was refused, or closed by the endpoint
 	Answered(c *Conn, call *Call, a Answer)
-	ListUpdate(to SenderNo, list List)     // an update of the endpoint list
+	ListUpdate(to SenderNo, list List)     // an update of the endpoint list arrives
 	ListFailed(to SenderNo)                // the watch ended, or was silent for too long
 	HandIn(h *HandIn)                      // a client hands a message in
-	AcceptingChanged(e *Endpoint, on bool) // whether the endpoint accepts connections
+	AcceptingChanged(e *Endpoint, on bool) // the endpoint begins or ceases to accept connections
 	Datagram(from, to SenderNo, text []byte)
-	Act(on SenderNo, what Act) // an action on its process or its clients
+	Act(on SenderNo, what Act) // a fault acts on the sender's process or on its clients
 }
 
 // Act is an action of a fault on a sender's process, or on the behaviour of its clients.
@@ -75,36 +77,36 @@
 	Term
 	Pause
 	Continue
-	Break   // its configuration file becomes unreadable, and it gets SIGHUP
-	Reload  // its configuration file names another discovery address, and it gets SIGHUP
-	HoardOn // clients hold connections open without using them
-	HoardOff
-	RubbishOn // clients send malformed commands
-	RubbishOff
+	BreakConfig       // the configuration file becomes unreadable, and the process gets SIGHUP
+	ReloadConfig      // the configuration file names another discovery address, and the process gets SIGHUP
+	IdleConnectionsOn // clients hold connections open without using them
+	IdleConnectionsOff
+	MalformedCommandsOn // clients send malformed commands
+	MalformedCommandsOff
 )
 
-// Ledger receives everything that happens in the world, in order of time.
+// Ledger receives every event of the world, in order of time.
 type Ledger interface {
 	Requested(a *Request)
 	HandedIn(h *HandIn)
 	HandInAnswered(h *HandIn, what HandInAnswer) // as the client sees it
 	CallSent(c *Call)                            // the call left its sender
-	InFlightChanged(c *Call, inFlight bool)      // whether the sender may still get an answer
+	InFlightChanged(c *Call, inFlight bool)      // inFlight: the sender may still get an answer
 	Executed(h *HandIn, e *Endpoint, at Time)
 	Delivered(h *HandIn, e *Endpoint)
 	Ended(h *HandIn, what End)
 	StageAnnounced(s SenderNo, e *Endpoint, stage choice.Stage)
 	RetryAfterReceived(s SenderNo, e *Endpoint, until Time)
-	Outcome(c *Call, status int) // as the endpoint saw it, 0 for none
+	Outcome(c *Call, status int) // the status that the endpoint answered, or 0 for no answer
 	Outage(e *Endpoint, down bool)
-	Returning(e *Endpoint, load, bound float64)
-	PushedOver(e *Endpoint, knowing float64) // knowing: share of the load from senders that saw it fail
+	LoadInSlowStart(e *Endpoint, load, bound float64)
+	OverloadedInSlowStart(e *Endpoint, knowing float64) // knowing: share of the load from senders that saw it fail
 	Fault(t *Fault, on bool, parts int)
 	Sender(s SenderNo, up bool)
-	Unavailable(s SenderNo, on bool) // its process is paused or isolated; these may overlap
+	Unavailable(s SenderNo, on bool) // the sender's process is paused or isolated; such periods may overlap
 }
 
-// World is everything outside the senders in one run. It belongs to one goroutine.
+// World is the state of everything outside the senders in one run. It must be used by one goroutine only.
 type World struct {
 	Spec    *Spec
 	wire    Wire
@@ -121,27 +123,28 @@
 	Endpoints    []*Endpoint
 	byID         map[choice.EndpointID]*Endpoint
 	senders      []*senderState
-	byMessage    map[choice.MessageID]*HandIn // forget removes each some time after its deadline
+	byMessage    map[choice.MessageID]*HandIn // forget removes each hand-in some time after its deadline
 	arrivals     load.Source
 	active       []*Fault
-	affected     []map[*Endpoint]bool // by the fault's number in the spec
+	affected     []map[*Endpoint]bool // endpoints of each fault, by the fault's index in the spec
 	list         listState
 	datagramLoss float64
 }
 
-// senderState is what the world knows of one sender.
+// senderState is the world's state of one sender.
 type senderState struct {
-	zone         int
-	serving      bool // it accepts hand-ins
-	isolated     bool
-	lastUpdateAt Time // when the last scheduled update reaches it: a watch keeps its order
-	updatesHeld  bool // updates are withheld by the fault old_list
-	watching     bool // it has a watch on the list
-	patience     Time
-	version      int64
+	zone            int
+	serving         bool // it accepts hand-ins
+	isolated        bool
+	lastUpdateAt    Time // when the last scheduled update reaches it: a watch keeps its order
+	updatesWithheld bool // updates are withheld by the fault old_list
+	watching        bool // it has a watch on the list
+	patience        Time
+	version         int64
 }
 
-// New creates a world; Begin starts it. A trace that is not nil replaces the spec's load.
+// New creates a world; Begin starts it. If trace is not nil, its arrivals replace the spec's load. New fails if the trace
+// cannot be replayed.
 func New(spec *Spec, seed uint64, wire Wire, ledger Ledger, trace []load.Arrival) (*World, error) {
 	w := &World{Spec: spec, wire: wire, ledger: ledger, seed: seed, end: seconds(spec.Seconds),
 		byID: map[choice.EndpointID]*Endpoint{}, byMessage: map[choice.MessageID]*HandIn{}}
@@ -157,22 +160,22 @@
 	return w, nil
 }
 
-// Begin starts the clients. Senders should be serving by then.
+// Begin schedules the clients' first arrival. Senders should be serving by then.
 func (w *World) Begin() { w.nextArrival() }
 
 // Now is the current time of the world.
 func (w *World) Now() Time { return w.now }
 
-// End is when the last message is handed in for the first time.
+// End is the time after which clients request no new messages. Messages requested before may still be handed in again.
 func (w *World) End() Time { return w.end }
 
-// Isolated reports whether a sender is cut off from everything else.
+// Isolated reports whether a fault has cut a sender off from the network.
 func (w *World) Isolated(s SenderNo) bool { return w.senders[s].isolated }
 
 // ClosedAtEndpoint reports whether a connection is closed at its endpoint.
 func (w *World) ClosedAtEndpoint(c *Conn) bool { return c.closedAtEndpoint }
 
-// NeverReads reports whether a fault has an endpoint read nothing.
+// NeverReads reports whether a fault keeps an endpoint from reading its connections.
 func (w *World) NeverReads(e *Endpoint) bool { return e.effects.neverReads }
 
 // Senders is the number of senders.
@@ -181,13 +184,14 @@
 // Zone is the zone of a sender.
 func (w *World) Zone(s SenderNo) int { return w.senders[s].zone }
 
-// SetServing records whether a sender's process accepts hand-ins. The open ones of a process that ended get no answer.
+// SetServing records whether a sender's process accepts hand-ins. When it stops, the clients of open hand-ins see their
+// connections break.
 func (w *World) SetServing(s SenderNo, up bool) {
 	if st := w.senders[s]; st.serving != up {
 		st.serving = up
 		w.ledger.Sender(s, up)
 		if !up {
-			w.senderGone(s)
+			w.failOpenHandIns(s)
 		}
 	}
 }
@@ -195,7 +199,7 @@
 // Serving reports whether a sender accepts hand-ins.
 func (w *World) Serving(s SenderNo) bool { return w.senders[s].serving }
 
-// oneWayDelay draws the network delay between a sender and an endpoint for the use numbered n.
+// oneWayDelay draws the network delay between a sender and an endpoint; n identifies the draw.
 func (w *World) oneWayDelay(s SenderNo, e *Endpoint, n int64) Time {
 	mean := e.sameMS
 	if w.senders[s].zone != e.Zone {
@@ -205,13 +209,14 @@
 	return max(1, ms(mean*(1-j+2*j*w.draw("way", int64(s), int64(e.No), n))))
 }
 
-// SendDatagram carries a datagram between senders; it may be lost.
+// SendDatagram carries a datagram from one sender to another. It is lost if either is isolated, if the receiver does not
+// serve, or by chance under a fault of the kind notes_lost.
 func (w *World) SendDatagram(from, to SenderNo, text []byte) {
 	w.calls++
 	if w.draw("note lost", int64(w.calls)) < w.datagramLoss || w.senders[from].isolated {
 		return
 	}
-	late := ms(w.within(w.Spec.Network.CrossMS, "note", int64(w.calls)))
+	late := ms(w.drawWithin(w.Spec.Network.CrossMS, "note", int64(w.calls)))
 	w.After(late, func() {
 		if !w.senders[to].isolated && w.senders[to].serving {
 			w.wire.Datagram(from, to, text)
