--- a/lab/live/addresses.go
+++ b/lab/live/addresses.go
@@ -34,7 +34,7 @@
 
 // listenAll listens at all addresses of discovery and endpoints, and checks that the senders' own addresses are free.
 func (e *engine) listenAll() error {
-	for s := range e.o.Spec.Senders {
+	for s := range e.opts.Spec.Senders {
 		d, err := e.newDiscovery(world.SenderNo(s))
 		if err != nil {
 			return err
--- a/lab/live/clients.go
+++ b/lab/live/clients.go
@@ -164,14 +164,14 @@
 
 // addCommand returns the command that hands a message in.
 func (e *engine) addCommand(h *world.HandIn) []byte {
-	body := e.bodies[:min(len(e.bodies), max(1, h.Request.Body))]
+	body := e.bodyText[:min(len(e.bodyText), max(1, h.Request.Body))]
 	key := "0000000000000000"
 	if h.Request.Class.Ordered {
 		key = fmt.Sprintf("%016x", uint64(h.Request.Partner*1_000_000+h.Request.Key+1))
 	}
 	// The command holds the time until the request's deadline, from which the time of earlier hand-ins is already deducted.
 	return resp.AppendCommand(nil, []byte("OUT.ADD"), []byte(key), []byte(h.ID),
-		fmt.Appendf(nil, "c=%s,d=%d,dest=%d", h.Request.Class.Name, max(1, h.Left()), h.Request.Partner), body)
+		fmt.Appendf(nil, "c=%s,d=%d,dest=%d", h.Request.Class.Name, max(1, h.RemainingMS()), h.Request.Partner), body)
 }
 
 // exchange writes a command and reads the line of its answer.
--- a/lab/live/directory.go
+++ b/lab/live/directory.go
@@ -108,8 +108,8 @@
 	}
 }
 
-// silence stops the heartbeats of watches until the next update or watch.
-func (d *discoveryServer) silence() {
+// stopHeartbeats stops the heartbeats of watches until the next update or watch.
+func (d *discoveryServer) stopHeartbeats() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.silent = true
--- a/lab/live/endpoints.go
+++ b/lab/live/endpoints.go
@@ -92,7 +92,7 @@
 // AcceptingChanged opens or closes an endpoint's current address for each sender, and closes its former ones. The operating
 // system refuses connections to a closed address.
 func (e *engine) AcceptingChanged(end *world.Endpoint, on bool) {
-	for s := range e.o.Spec.Senders {
+	for s := range e.opts.Spec.Senders {
 		// An endpoint that has moved accepts no connections at its former addresses.
 		for addr := range end.Addr {
 			if l := e.listeners[listenerKey{world.SenderNo(s), end.No, addr}]; l != nil {
--- a/lab/live/live.go
+++ b/lab/live/live.go
@@ -43,7 +43,7 @@
 
 // engine implements world.Wire for sender processes. Its fields belong to the world's goroutine, except tasks, done and wg.
 type engine struct {
-	o          Options
+	opts       Options
 	ctx        context.Context
 	w          *world.World
 	judge      *referee.Referee
@@ -60,7 +60,7 @@
 	discoveryMoves []int // number of moves of each sender's discovery
 	senders        []*process
 	pools          []*pool
-	bodies         []byte
+	bodyText       []byte
 	failure        string
 	slowEnd        bool // failure says only that a sender took too long to end
 	events         int64
@@ -107,16 +107,16 @@
 		return nil, fmt.Errorf("%w: it has %d senders, and at most %d are supported", ErrTooLarge, o.Spec.Senders, maxSenders)
 	}
 	e := &engine{
-		o:              o,
+		opts:           o,
 		ctx:            ctx,
 		discoveryMoves: make([]int, o.Spec.Senders),
 		tasks:          make(chan func(), maxTasks),
 		done:           make(chan struct{}),
 		listeners:      map[listenerKey]*listener{},
-		bodies:         make([]byte, maxBody),
+		bodyText:       make([]byte, maxBody),
 	}
-	for i := range e.bodies {
-		e.bodies[i] = 'a' + byte(i%26)
+	for i := range e.bodyText {
+		e.bodyText[i] = 'a' + byte(i%26)
 	}
 	events := &ledger{}
 	w, err := world.New(o.Spec, o.Seed, e, events, o.Trace)
@@ -139,7 +139,7 @@
 // that failed is 0.
 func (e *engine) result(began time.Time) *Result {
 	v := e.judge.Verdict()
-	v.Engine, v.Seed = "sockets", e.o.Seed
+	v.Engine, v.Seed = "sockets", e.opts.Seed
 	share := float64(e.lateEvents) / float64(max(1, e.events))
 	if share > lateShare || e.worstDelay > maxLateness {
 		v.Void = fmt.Sprintf("the machine was too busy: %.1f%% of the world's events came over %v late, the worst by %v",
@@ -160,7 +160,7 @@
 
 // startAll starts the senders, waits until all of them serve, and then begins the world.
 func (e *engine) startAll() error {
-	for s := range e.o.Spec.Senders {
+	for s := range e.opts.Spec.Senders {
 		e.pools = append(e.pools, newPool(e, world.SenderNo(s)))
 		p, err := e.newProcess(world.SenderNo(s))
 		if err != nil {
@@ -175,8 +175,8 @@
 	e.awaitReady()
 	e.startedAt, e.worldBegan = time.Now(), true
 	e.w.Begin()
-	if e.o.OnBegin != nil {
-		e.o.OnBegin(&RunControl{e})
+	if e.opts.OnBegin != nil {
+		e.opts.OnBegin(&RunControl{e})
 	}
 	return nil
 }
@@ -185,11 +185,11 @@
 // them instead.
 func (e *engine) startSenders() error {
 	within := readyWithin
-	if e.o.WorldOnlyFolder != "" {
+	if e.opts.WorldOnlyFolder != "" {
 		within = 24 * time.Hour
-		e.o.Say("waiting for %d sender(s); start each with its configuration:", len(e.senders))
+		e.opts.Say("waiting for %d sender(s); start each with its configuration:", len(e.senders))
 		for _, p := range e.senders {
-			e.o.Say("  EDGE_CONFIG=%s flaxcove serve", p.config)
+			e.opts.Say("  EDGE_CONFIG=%s flaxcove serve", p.config)
 		}
 	}
 	for _, p := range e.senders {
@@ -209,7 +209,7 @@
 
 // awaitReady waits until Options.AwaitReady returns, for readyWithin at most.
 func (e *engine) awaitReady() {
-	if e.o.AwaitReady == nil {
+	if e.opts.AwaitReady == nil {
 		return
 	}
 	ctx, cancel := context.WithTimeout(e.ctx, readyWithin)
@@ -218,7 +218,7 @@
 	e.wg.Add(1)
 	go func() {
 		defer e.wg.Done()
-		e.o.AwaitReady(ctx)
+		e.opts.AwaitReady(ctx)
 		e.post(func() { ready = true })
 	}()
 	e.runUntil(readyWithin, func() bool { return ready })
--- a/lab/live/loop.go
+++ b/lab/live/loop.go
@@ -48,22 +48,22 @@
 func (e *engine) loop() {
 	wake := time.NewTimer(0)
 	longest := 0.0
-	for i := range e.o.Spec.Classes {
-		longest = max(longest, e.o.Spec.Classes[i].DeadlineMS)
+	for i := range e.opts.Spec.Classes {
+		longest = max(longest, e.opts.Spec.Classes[i].DeadlineMS)
 	}
-	end := e.w.End() + choice.Time((longest+e.o.Spec.Rules.LateMS+2000)*float64(choice.Millisecond))
+	end := e.w.End() + choice.Time((longest+e.opts.Spec.Rules.LateMS+2000)*float64(choice.Millisecond))
 	second := choice.Time(0)
 	for e.failure == "" {
 		e.advance()
 		now := e.w.Now()
 		if now/choice.Second > second {
 			second = now / choice.Second
-			if e.o.Watch != nil {
-				e.o.Watch(now)
+			if e.opts.Watch != nil {
+				e.opts.Watch(now)
 			}
 		}
 		over := now > end || now > e.w.End()+choice.Second/2 && e.judge.Pending() == 0
-		if over && (e.o.KeepRunning == nil || !e.o.KeepRunning()) {
+		if over && (e.opts.KeepRunning == nil || !e.opts.KeepRunning()) {
 			return
 		}
 		in := time.Second / 4
--- a/lab/live/process.go
+++ b/lab/live/process.go
@@ -42,7 +42,7 @@
 // newProcess creates a sender's folder and configuration file. It starts no process.
 func (e *engine) newProcess(s world.SenderNo) (*process, error) {
 	p := &process{e: e, no: s}
-	under := e.o.WorldOnlyFolder
+	under := e.opts.WorldOnlyFolder
 	home, err := e.makeFolder(under, fmt.Sprintf("s%d", s))
 	if err != nil {
 		return nil, err
@@ -52,8 +52,8 @@
 	}
 	p.config = filepath.Join(home, "config.json")
 	p.folder = home
-	if e.o.SenderArgs != nil {
-		if p.args, err = e.o.SenderArgs(s, home); err != nil {
+	if e.opts.SenderArgs != nil {
+		if p.args, err = e.opts.SenderArgs(s, home); err != nil {
 			return nil, err
 		}
 	}
@@ -68,8 +68,8 @@
 func (p *process) configuration() ([]byte, error) {
 	e, s := p.e, p.no
 	settings := sim.SettingsJSON(e.w)
-	if e.o.Settings != nil {
-		settings = e.o.Settings(settings)
+	if e.opts.Settings != nil {
+		settings = e.opts.Settings(settings)
 	}
 	var object map[string]any
 	if err := json.Unmarshal(settings, &object); err != nil {
@@ -77,10 +77,10 @@
 	}
 	object["zone"], object["slotNo"] = e.w.Zone(s), int(s)
 	known := e.discoveries[s].message(e.w.InitialList())
-	spec := &e.o.Spec.Sender
+	spec := &e.opts.Spec.Sender
 	return json.MarshalIndent(map[string]any{
 		"name": fmt.Sprintf("s%d", s), "listen": e.senderAddr(s), "discovery": e.discoveryAddr(s), "state": p.state,
-		"seed":   fmt.Sprintf("%x", e.o.Seed*1_000_003+uint64(s)),
+		"seed":   fmt.Sprintf("%x", e.opts.Seed*1_000_003+uint64(s)),
 		"limits": map[string]any{"memory_mb": spec.MemoryMB, "sockets": spec.Sockets, "disk_mb": spec.DiskMB},
 		"known":  known, "settings": object,
 	}, "", "  ")
@@ -104,7 +104,7 @@
 func (p *process) start() {
 	p.ready, p.endExpected = false, false
 	p.incarnation++
-	if p.e.o.WorldOnlyFolder == "" {
+	if p.e.opts.WorldOnlyFolder == "" {
 		if err := p.spawn(); err != nil {
 			p.e.failure = fmt.Sprintf("the process of sender %d cannot be started: %v", p.no, err)
 			return
@@ -144,7 +144,7 @@
 
 // spawn starts the sender's command and appends its output to a log file.
 func (p *process) spawn() error {
-	logs := p.e.o.Logs
+	logs := p.e.opts.Logs
 	if logs == "" {
 		logs = p.e.tempDir
 	}
@@ -173,9 +173,9 @@
 
 // command returns the sender's command. It runs in a process group of its own, and is killed if this process ends.
 func (p *process) command() *exec.Cmd {
-	cmd := exec.Command(p.e.o.Command[0], slices.Concat(p.e.o.Command[1:], p.args)...)
+	cmd := exec.Command(p.e.opts.Command[0], slices.Concat(p.e.opts.Command[1:], p.args)...)
 	cmd.Env = append(os.Environ(), "EDGE_CONFIG="+p.config, "EDGE_NAME=", "EDGE_LISTEN=", "EDGE_DISCOVERY=", "EDGE_STATE=")
-	for name, value := range p.e.o.Env {
+	for name, value := range p.e.opts.Env {
 		cmd.Env = append(cmd.Env, name+"="+value)
 	}
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
@@ -244,9 +244,9 @@
 	}
 }
 
-// term begins a graceful shutdown. Clients use the sender for another 0.3 s, since on the platform too they learn of a
-// shutdown with a delay.
-func (p *process) term() {
+// beginShutdown begins a graceful shutdown. Clients use the sender for another 0.3 s, since on the platform too they learn
+// of a shutdown with a delay.
+func (p *process) beginShutdown() {
 	p.endExpected = true
 	p.signal(syscall.SIGTERM)
 	p.e.w.After(3*world.Second/10, func() { p.e.w.SetServing(p.no, false) })
--- a/lab/live/wire.go
+++ b/lab/live/wire.go
@@ -26,7 +26,7 @@
 			p.start()
 		}
 	case world.Term:
-		p.term()
+		p.beginShutdown()
 	case world.Pause, world.Continue:
 		p.pause(what == world.Pause)
 	case world.BreakConfig:
@@ -46,8 +46,8 @@
 
 // faultAmount returns the amount of the first fault of a kind, or the kind's default if the scenario has none.
 func (e *engine) faultAmount(kind string) float64 {
-	for i := range e.o.Spec.Faults {
-		if t := &e.o.Spec.Faults[i]; t.Kind == kind {
+	for i := range e.opts.Spec.Faults {
+		if t := &e.opts.Spec.Faults[i]; t.Kind == kind {
 			return t.Amount
 		}
 	}
@@ -61,4 +61,4 @@
 func (e *engine) ListUpdate(to world.SenderNo, l world.List) { e.discoveries[to].sendUpdate(l) }
 
 // ListFailed stops the heartbeats of a sender's watch, so that the sender takes the watch for dead.
-func (e *engine) ListFailed(to world.SenderNo) { e.discoveries[to].silence() }
+func (e *engine) ListFailed(to world.SenderNo) { e.discoveries[to].stopHeartbeats() }
--- a/lab/referee/calls.go
+++ b/lab/referee/calls.go
@@ -45,11 +45,11 @@
 // CallSent records that a call left its sender and checks it.
 func (r *Referee) CallSent(c *world.Call) {
 	r.checkDue()
-	r.v.Calls++
+	r.verdict.Calls++
 	r.timelineEntry(r.clock()).Calls++
 	r.calls[c] = &callState{}
 	if c.Probe {
-		r.v.Probes++
+		r.verdict.Probes++
 	}
 	r.checkDrain(c)
 	r.checkRetryAfter(c)
@@ -105,7 +105,7 @@
 
 // checkAttempt records an attempt to deliver a message and checks it.
 func (r *Referee) checkAttempt(c *world.Call, n *message) {
-	r.v.Attempts++
+	r.verdict.Attempts++
 	r.checkTime(c, n)
 	if n.inFlight > 0 {
 		r.addViolation(Twice, c.Conn.Sender, "%s was sent to %s while a dispatch of it was out", n.handIn.ID, c.Conn.Endpoint.ID)
@@ -212,17 +212,17 @@
 	switch {
 	case c.Probe:
 	case state.refused:
-		r.v.Refusals++
+		r.verdict.Refusals++
 		second.Refused++
 	case status == 0 || status >= 500:
-		r.v.FailedCalls++
+		r.verdict.FailedCalls++
 		second.FailedCalls++
 	}
 }
 
 // Executed records that a message was executed and checks that a non-idempotent one was not executed before.
 func (r *Referee) Executed(h *world.HandIn, e *world.Endpoint, at Time) {
-	r.v.Runs++
+	r.verdict.Runs++
 	n := r.messages[h]
 	if n == nil || h.Unknown {
 		return
@@ -231,7 +231,7 @@
 	switch {
 	case n.runs == 1 || !nonIdempotent(h):
 	case n.runs <= 1+h.FalselyRefused:
-		r.v.FalselyRefused++ // the partner had answered a former execution with a refusal, so the sender may send it again
+		r.verdict.FalselyRefused++ // the partner had answered a former execution with a refusal, so the sender may send it again
 	default:
 		r.addViolation(Twice, h.Sender, "%s is single-use and has run %d times", h.ID, n.runs)
 	}
--- a/lab/referee/clients.go
+++ b/lab/referee/clients.go
@@ -16,9 +16,9 @@
 	r.requests[a] = &requestState{}
 	r.requestsByClass[a.Arrival.Class] = append(r.requestsByClass[a.Arrival.Class], a)
 	r.timelineEntry(a.At).Asked++
-	r.v.Asked++
+	r.verdict.Asked++
 	if isCounted(a) {
-		w := &r.v.Classes[a.Arrival.Class]
+		w := &r.verdict.Classes[a.Arrival.Class]
 		w.Asked++
 		w.ValueAsked += a.Class.Value
 	}
@@ -30,7 +30,7 @@
 // HandedIn records that a client hands a message in to a sender.
 func (r *Referee) HandedIn(h *world.HandIn) {
 	r.checkDue()
-	r.v.HandedIn++
+	r.verdict.HandedIn++
 	n := &message{handIn: h, dueAt: h.Deadline + r.lateTolerance()}
 	r.messages[h] = n
 	heap.Push(&r.due, n)
@@ -63,7 +63,7 @@
 // accept records that a sender accepted a message.
 func (r *Referee) accept(n *message) {
 	n.accepted = true
-	r.v.Accepted++
+	r.verdict.Accepted++
 	recordTime(r.acceptLatency, r.clock()-n.handIn.At)
 	if n.delivered {
 		r.creditDelivery(n)
@@ -75,15 +75,15 @@
 	second := r.timelineEntry(r.clock())
 	switch what {
 	case world.HandInBusy:
-		r.v.Shed++
+		r.verdict.Shed++
 		second.Shed++
 	case world.HandInError:
-		r.v.Errors++
+		r.verdict.Errors++
 		second.Failed++
 	case world.HandInUnanswered:
-		r.v.Unanswered++
+		r.verdict.Unanswered++
 	case world.HandInNoSender:
-		r.v.NoSender++
+		r.verdict.NoSender++
 	}
 }
 
@@ -117,7 +117,7 @@
 	if what == world.EndHandedBack {
 		r.recordHandBack(n)
 	} else {
-		r.v.Failed++
+		r.verdict.Failed++
 		r.timelineEntry(r.clock()).Failed++
 	}
 	r.leaveKeyQueue(n)
@@ -126,7 +126,7 @@
 // recordHandBack counts a message that its sender handed back, and checks that a non-idempotent one cannot have been
 // executed.
 func (r *Referee) recordHandBack(n *message) {
-	r.v.HandedBack++
+	r.verdict.HandedBack++
 	r.timelineEntry(r.clock()).Shed++
 	h := n.handIn
 	if n.mayRun && nonIdempotent(h) {
@@ -143,14 +143,14 @@
 	}
 	state.credited = true
 	took := r.clock() - request.At
-	r.v.Delivered++
+	r.verdict.Delivered++
 	r.timelineEntry(r.clock()).Delivered++
 	r.recordDelivery(request, took)
 	if took <= milliseconds(request.Class.LatencyObjectiveMS) {
-		r.v.InTime++
+		r.verdict.InTime++
 	}
 	if isCounted(request) {
-		w := &r.v.Classes[request.Arrival.Class]
+		w := &r.verdict.Classes[request.Arrival.Class]
 		w.Delivered++
 		w.Value += request.Class.Value * ValueShare(r.spec, request.Class, took)
 	}
--- a/lab/referee/endpoints.go
+++ b/lab/referee/endpoints.go
@@ -45,7 +45,7 @@
 // Outage records that an endpoint went down, or came back.
 func (r *Referee) Outage(e *world.Endpoint, down bool) {
 	if down {
-		r.v.Outages++
+		r.verdict.Outages++
 		return
 	}
 	if r.returns[e] == nil {
@@ -76,7 +76,7 @@
 // OverloadedInSlowStart records that an endpoint in slow start went down again under its load. The parameter knowing is the
 // share of that load from senders that had seen the endpoint fail.
 func (r *Referee) OverloadedInSlowStart(e *world.Endpoint, knowing float64) {
-	r.v.PushedOver++
+	r.verdict.PushedOver++
 	if knowing >= blameShare {
 		r.addViolation(Returns, -1, "%s was pushed over when it returned, %.0f%% of the load from senders that had seen it fail", e.ID, 100*knowing)
 	}
@@ -86,12 +86,12 @@
 func (r *Referee) Fault(t *world.Fault, on bool, parts int) {
 	now := inSeconds(r.clock())
 	if on {
-		r.v.Faults = append(r.v.Faults, Span{Kind: t.Kind, From: now, To: r.spec.Seconds, Parts: parts, fault: t})
+		r.verdict.Faults = append(r.verdict.Faults, Span{Kind: t.Kind, From: now, To: r.spec.Seconds, Parts: parts, fault: t})
 		return
 	}
-	for i := range r.v.Faults {
-		if r.v.Faults[i].fault == t {
-			r.v.Faults[i].To = now
+	for i := range r.verdict.Faults {
+		if r.verdict.Faults[i].fault == t {
+			r.verdict.Faults[i].To = now
 		}
 	}
 }
--- a/lab/referee/referee.go
+++ b/lab/referee/referee.go
@@ -68,7 +68,7 @@
 	senders         []senderState
 	calls           map[*world.Call]*callState // calls in flight
 
-	v             Verdict
+	verdict       Verdict
 	seconds       []Second
 	delivery      []*hdrhistogram.Histogram // by class, in tenths of a millisecond
 	acceptLatency *hdrhistogram.Histogram
@@ -96,12 +96,12 @@
 		bySecond:        make([]*hdrhistogram.Histogram, int(spec.Seconds)+1),
 		returns:         map[*world.Endpoint]*Return{},
 	}
-	r.v.Rules = map[Rule]int{}
-	r.v.Classes = make([]Class, len(spec.Classes))
+	r.verdict.Rules = map[Rule]int{}
+	r.verdict.Classes = make([]Class, len(spec.Classes))
 	r.requestsByClass = make([][]*world.Request, len(spec.Classes))
 	r.acceptLatency = newHistogram()
 	for i := range spec.Classes {
-		r.v.Classes[i].Name = spec.Classes[i].Name
+		r.verdict.Classes[i].Name = spec.Classes[i].Name
 		r.delivery = append(r.delivery, newHistogram())
 	}
 	return r
@@ -110,9 +110,9 @@
 // addViolation counts a violation, and adds its description to the verdict if it is among the first maxViolationsListed of
 // its rule.
 func (r *Referee) addViolation(rule Rule, s world.SenderNo, format string, args ...any) {
-	r.v.Rules[rule]++
-	if r.v.Rules[rule] <= maxViolationsListed {
+	r.verdict.Rules[rule]++
+	if r.verdict.Rules[rule] <= maxViolationsListed {
 		what := fmt.Sprintf(format, args...)
-		r.v.Violations = append(r.v.Violations, Violation{Rule: rule, At: inSeconds(r.clock()), Sender: int(s), What: what})
+		r.verdict.Violations = append(r.verdict.Violations, Violation{Rule: rule, At: inSeconds(r.clock()), Sender: int(s), What: what})
 	}
 }
--- a/lab/referee/verdict.go
+++ b/lab/referee/verdict.go
@@ -128,7 +128,7 @@
 // Verdict computes the verdict of the run. The world must have run past the last deadline.
 func (r *Referee) Verdict() *Verdict {
 	r.checkDue()
-	v := &r.v
+	v := &r.verdict
 	asked, got := 0.0, 0.0
 	for i := range v.Classes {
 		w := &v.Classes[i]
--- a/lab/sim/answers.go
+++ b/lab/sim/answers.go
@@ -25,7 +25,7 @@
 func (n *node) connDown(wc *world.Conn, why world.ConnEnd) {
 	n.withLink(wc, func(l *link) {
 		c := l.call
-		n.dropIdle(l)
+		n.dropLink(l)
 		n.e.w.CloseBySender(wc)
 		if c == nil || c.over {
 			return
--- a/lab/sim/calls.go
+++ b/lab/sim/calls.go
@@ -9,8 +9,8 @@
 	"flaxcove/lab/world"
 )
 
-// closeIdle closes all idle links to an endpoint.
-func (n *node) closeIdle(e *endpoint) {
+// closeIdleLinks closes all idle links to an endpoint.
+func (n *node) closeIdleLinks(e *endpoint) {
 	for _, l := range e.idle {
 		l.closed = true
 		n.e.w.CloseBySender(l.conn)
@@ -158,15 +158,15 @@
 		}
 		n.whenRunning(func() {
 			if still() {
-				n.dropIdle(l)
+				n.dropLink(l)
 				n.e.w.CloseBySender(l.conn)
 			}
 		})
 	})
 }
 
-// dropIdle marks a link as closed and removes it from the idle links.
-func (n *node) dropIdle(l *link) {
+// dropLink marks a link as closed and removes it from the idle links.
+func (n *node) dropLink(l *link) {
 	l.closed = true
 	l.endpoint.idle = slices.DeleteFunc(l.endpoint.idle, func(other *link) bool { return other == l })
 }
--- a/lab/sim/endpoints.go
+++ b/lab/sim/endpoints.go
@@ -22,7 +22,7 @@
 		for _, entry := range l.Entries {
 			entries = append(entries, n.updateEndpoint(entry))
 		}
-		n.closeIdleOfGone()
+		n.closeIdleLinksOfGone()
 		n.policy.UpdateEndpoints(entries, l.Full)
 		n.scheduleTick()
 	})
@@ -37,7 +37,7 @@
 		n.endpoints[e.id] = e
 	}
 	if e.addr != entry.Address {
-		n.closeIdle(e)
+		n.closeIdleLinks(e)
 		e.addr = entry.Address
 	}
 	e.gone = entry.Stage == choice.Gone
@@ -46,9 +46,9 @@
 		Kind: choice.KindNo(listed.Partner.KindNo), Zone: choice.ZoneNo(listed.Zone), Rating: n.e.w.Rating(listed), Stage: entry.Stage}
 }
 
-// closeIdleOfGone closes the idle links to endpoints that are off the list, in the order of the endpoints' ids, so that the
-// order does not depend on the map.
-func (n *node) closeIdleOfGone() {
+// closeIdleLinksOfGone closes the idle links to endpoints that are off the list, in the order of the endpoints' ids, so that
+// the order does not depend on the map.
+func (n *node) closeIdleLinksOfGone() {
 	var gone []*endpoint
 	for _, e := range n.endpoints {
 		if e.gone && len(e.idle) > 0 {
@@ -57,6 +57,6 @@
 	}
 	slices.SortFunc(gone, func(a, b *endpoint) int { return cmp.Compare(a.id, b.id) })
 	for _, e := range gone {
-		n.closeIdle(e)
+		n.closeIdleLinks(e)
 	}
 }
--- a/lab/sim/host.go
+++ b/lab/sim/host.go
@@ -12,7 +12,7 @@
 func (n *node) Now() choice.Time { return n.e.w.Now() }
 
 func (n *node) Allowed(id choice.MessageID, e choice.EndpointID) bool {
-	return n.e.o.Allowed == nil || n.e.o.Allowed(n.Now(), n.no, id, e)
+	return n.e.opts.Allowed == nil || n.e.opts.Allowed(n.Now(), n.no, id, e)
 }
 
 func (n *node) Attempt(id choice.MessageID, to choice.EndpointID, timeOut choice.Time) {
@@ -83,7 +83,7 @@
 
 func (n *node) CloseIdle(id choice.EndpointID) {
 	if e := n.endpoints[id]; e != nil {
-		n.closeIdle(e)
+		n.closeIdleLinks(e)
 	}
 }
 
--- a/lab/sim/life.go
+++ b/lab/sim/life.go
@@ -42,13 +42,13 @@
 	return all
 }
 
-// term begins a graceful shutdown, as SIGTERM does. Clients use other senders from now on. After drainTimeout the process
-// ends, and the next incarnation takes over the messages that have not ended.
-func (n *node) term() {
+// beginShutdown begins a graceful shutdown, as SIGTERM does. Clients use other senders from now on. After drainTimeout the
+// process ends, and the next incarnation takes over the messages that have not ended.
+func (n *node) beginShutdown() {
 	if !n.alive {
 		return
 	}
-	n.ending, n.endingSince = true, n.e.w.Now()
+	n.shuttingDown, n.shutdownAt = true, n.e.w.Now()
 	n.e.w.SetServing(n.no, false)
 	incarnation := n.incarnation
 	n.e.w.After(drainTimeout, func() {
--- a/lab/sim/node.go
+++ b/lab/sim/node.go
@@ -22,14 +22,14 @@
 
 // node is one sender: the state of its current process, and the recorded messages that survive the process.
 type node struct {
-	e           *engine
-	no          world.SenderNo
-	incarnation int64
-	alive       bool
-	paused      bool
-	ending      bool // SIGTERM was received
-	endingSince choice.Time
-	deferred    []func() // events that reached the process while it was paused
+	e            *engine
+	no           world.SenderNo
+	incarnation  int64
+	alive        bool
+	paused       bool
+	shuttingDown bool        // SIGTERM was received and the process has not ended
+	shutdownAt   choice.Time // when SIGTERM was received
+	deferred     []func()    // events that reached the process while it was paused
 
 	policy     Policy
 	settings   choice.Settings
@@ -95,15 +95,15 @@
 // start starts a new incarnation of the sender. The endpoint list known is the one in its configuration.
 func (n *node) start(known world.List) error {
 	n.incarnation++
-	n.alive, n.paused, n.ending = true, false, false
+	n.alive, n.paused, n.shuttingDown = true, false, false
 	n.deferred = nil
 	w := n.e.w
 	settings, err := Settings(w, n.no)
 	if err != nil {
 		return err
 	}
-	if n.e.o.Adjust != nil {
-		n.e.o.Adjust(&settings)
+	if n.e.opts.Adjust != nil {
+		n.e.opts.Adjust(&settings)
 	}
 	n.settings = settings
 	n.endpoints, n.timers, n.inFlight = map[choice.EndpointID]*endpoint{}, map[choice.TimerID]bool{}, map[*call]struct{}{}
@@ -113,7 +113,7 @@
 	}
 	// The offset by the sender's number spreads the ticks of the senders over the interval.
 	n.lastTickAt = w.Now() - settings.TurnInterval + settings.TurnInterval*choice.Time(int64(n.no)%7)/7
-	n.policy = n.e.o.Policy(n, choice.SenderID(fmt.Sprintf("s%d", n.no)), int64(n.e.o.Seed)*1_000_003+n.incarnation, settings, w)
+	n.policy = n.e.opts.Policy(n, choice.SenderID(fmt.Sprintf("s%d", n.no)), int64(n.e.opts.Seed)*1_000_003+n.incarnation, settings, w)
 	n.updateEndpoints(known)
 	n.restoreRecorded()
 	n.scheduleTick()
@@ -155,7 +155,7 @@
 // and calls leave. So a crash cannot lose a message whose acceptance a client knows.
 func (n *node) tick() {
 	n.lastTickAt = n.e.w.Now()
-	if !n.ending || n.e.w.Now()-n.endingSince < drainSendPeriod {
+	if !n.shuttingDown || n.e.w.Now()-n.shutdownAt < drainSendPeriod {
 		n.policy.TurnEnd()
 	}
 	n.record()
--- a/lab/sim/sim.go
+++ b/lab/sim/sim.go
@@ -85,9 +85,9 @@
 
 // newEngine creates the world, its referee and the senders. It starts none of the senders.
 func newEngine(o Options) (*engine, *referee.Referee, error) {
-	e := &engine{o: o}
+	e := &engine{opts: o}
 	if o.Policy == nil {
-		e.o.Policy = ChoicePolicy
+		e.opts.Policy = ChoicePolicy
 	}
 	events := &ledger{}
 	w, err := world.New(o.Spec, o.Seed, e, events, o.Trace)
@@ -109,7 +109,7 @@
 // play runs the world's events until every message has been judged, and returns the number of events.
 func (e *engine) play() (events int64, err error) {
 	w, second := e.w, choice.Time(0)
-	end := w.End() + timeAfterEnd(e.o.Spec)
+	end := w.End() + timeAfterEnd(e.opts.Spec)
 	for {
 		at, more := w.Next()
 		if !more || at > end {
@@ -119,11 +119,11 @@
 		events++
 		if at/choice.Second > second {
 			second = at / choice.Second
-			if e.o.Until != nil && e.o.Until() {
+			if e.opts.Until != nil && e.opts.Until() {
 				return events, ErrStopped
 			}
-			if e.o.Watch != nil {
-				e.o.Watch(at)
+			if e.opts.Watch != nil {
+				e.opts.Watch(at)
 			}
 		}
 	}
@@ -166,7 +166,7 @@
 
 // engine implements world.Wire for senders in simulated time.
 type engine struct {
-	o     Options
+	opts  Options
 	w     *world.World
 	nodes []*node
 }
@@ -201,7 +201,7 @@
 			panic(err) // cannot fail, since the same settings were parsed at the start of the run
 		}
 	case world.Term:
-		n.term()
+		n.beginShutdown()
 	case world.Pause:
 		n.pause(true)
 	case world.Continue:
--- a/lab/world/clients.go
+++ b/lab/world/clients.go
@@ -56,8 +56,8 @@
 	attempts int  // number of calls that carried the message
 }
 
-// Left returns the time from the hand-in to the deadline, in milliseconds, rounded down.
-func (h *HandIn) Left() int64 { return int64((h.Deadline - h.At) / Millisecond) }
+// RemainingMS returns the time from the hand-in to the deadline, in milliseconds, rounded down.
+func (h *HandIn) RemainingMS() int64 { return int64((h.Deadline - h.At) / Millisecond) }
 
 // planLoad sets up the arrivals of requests: those of the trace, or if it is nil the spec's load with the faults that
 // change it.
