--- a/lab/live/directory.go
+++ b/lab/live/directory.go
@@ -89,7 +89,7 @@
 	return m
 }
 
-// sendUpdate passes an update to the newest watch, if there is one, and ends the silence.
+// sendUpdate passes an update to the newest watch, if there is one, and enables the heartbeats again.
 func (d *discoveryServer) sendUpdate(l world.List) {
 	text, err := json.Marshal(d.message(l))
 	if err != nil {
--- a/lab/referee/calls.go
+++ b/lab/referee/calls.go
@@ -42,7 +42,7 @@
 // nonIdempotent reports whether a message must not be executed twice.
 func nonIdempotent(h *world.HandIn) bool { return h.Request.Class.Repeat == world.NonIdempotent }
 
-// CallSent records that a call left its sender and checks it.
+// CallSent records that a call left its sender, and checks the call against the rules.
 func (r *Referee) CallSent(c *world.Call) {
 	r.checkDue()
 	r.verdict.Calls++
@@ -103,7 +103,7 @@
 	return n
 }
 
-// checkAttempt records an attempt to deliver a message and checks it.
+// checkAttempt records that a message leaves in a call, and checks this attempt against the rules.
 func (r *Referee) checkAttempt(c *world.Call, n *message) {
 	r.verdict.Attempts++
 	r.checkTime(c, n)
--- a/lab/referee/referee.go
+++ b/lab/referee/referee.go
@@ -1,8 +1,9 @@
 // Package referee judges a run by the events of the world.
 //
 // It checks the rules for senders and computes the figures of a run. Its only input is the sequence of events that the
-// world reports, never a sender's log or counters. The package must not depend on the engine that played the run, read a clock, or depend
-// on the order of a map. The state of a message is dropped once it is judged, so that memory is bounded in a long run.
+// world reports, never a sender's log or counters. The package must not depend on the engine that played the run, read a
+// clock, or depend on the order of a map. The state of a message is dropped once it is judged, so that memory is bounded in
+// a long run.
 //
 // Events at the same time count in the order in which they left their origin. An answer that left before its call was
 // abandoned is a delivery. A +OK that left before the process was killed is binding. A call that left at the moment when
