--- a/lab/live/directory.go
+++ b/lab/live/directory.go
@@ -1,7 +1,7 @@
 package live
 
-// This file serves discovery's watch and the platform's outcome callback to one sender. What is on the list is up to the
-// world.
+// This file serves discovery's endpoint list and the platform's outcome callback to one sender. The world decides the
+// content of the list and the time of updates.
 
 import (
 	"encoding/json"
@@ -18,23 +18,25 @@
 	"flaxcove/lab/world"
 )
 
-// maxUpdates is how many updates may wait for a watch that does not read them; then the watch is closed.
+// maxUpdates is the highest number of updates that wait for a watch whose sender does not read. At one more the watch is
+// closed.
 const maxUpdates = 4096
 
-// heartbeatEvery is how often a watch without updates sends an empty line.
+// heartbeatEvery is the interval at which a watch sends an empty line.
 const heartbeatEvery = 2 * time.Second
 
-// directory serves discovery and the platform's outcome callback to one sender.
-type directory struct {
+// discoveryServer is the HTTP server that serves discovery and the platform's outcome callback to one sender.
+type discoveryServer struct {
 	e      *engine
 	sender world.SenderNo
 	server *http.Server
 
-	mu     sync.Mutex
-	lines  chan []byte // updates for the newest watch
-	silent bool
+	mu     sync.Mutex  // protects the fields below
+	lines  chan []byte // updates for the newest watch; nil if there is none or it was closed
+	silent bool        // a fault keeps discovery from sending heartbeats
 }
 
+// listed is one endpoint in discovery's JSON format.
 type listed struct {
 	ID      string  `json:"id"`
 	Addr    string  `json:"addr"`
@@ -46,18 +48,20 @@
 	Started int64   `json:"started_ms"`
 }
 
+// listMessage is a list, or an update to one, in discovery's JSON format.
 type listMessage struct {
 	Version int64    `json:"version"`
 	Full    bool     `json:"full"`
 	Servers []listed `json:"servers"`
 }
 
-func (e *engine) newDirectory(s world.SenderNo) (*directory, error) {
-	ln, err := net.Listen("tcp", e.directoryAddr(s))
+// newDiscovery starts a sender's discovery server at its current address.
+func (e *engine) newDiscovery(s world.SenderNo) (*discoveryServer, error) {
+	ln, err := net.Listen("tcp", e.discoveryAddr(s))
 	if err != nil {
 		return nil, err
 	}
-	d := &directory{e: e, sender: s}
+	d := &discoveryServer{e: e, sender: s}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /api/targets", d.serveTargets)
 	mux.HandleFunc("POST /v1/outcomes", d.serveOutcomes)
@@ -70,10 +74,10 @@
 	return d, nil
 }
 
-func (d *directory) close() { d.server.Close() }
+func (d *discoveryServer) close() { d.server.Close() }
 
-// message is a list in discovery's format, with the addresses for this sender.
-func (d *directory) message(l world.List) listMessage {
+// message converts a list to discovery's format, with the endpoints' addresses for this sender.
+func (d *discoveryServer) message(l world.List) listMessage {
 	states := map[choice.Stage]string{choice.Ready: "up", choice.Draining: "draining", choice.Gone: "removed"}
 	m := listMessage{Version: l.Version, Full: l.Full, Servers: []listed{}}
 	for _, entry := range l.Entries {
@@ -85,10 +89,11 @@
 	return m
 }
 
-func (d *directory) sendUpdate(l world.List) {
+// sendUpdate passes an update to the newest watch, if there is one, and enables the heartbeats again.
+func (d *discoveryServer) sendUpdate(l world.List) {
 	text, err := json.Marshal(d.message(l))
 	if err != nil {
-		return // strings and numbers always marshal
+		return // cannot happen, since a list holds only strings and numbers
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -96,27 +101,29 @@
 	if d.lines != nil {
 		select {
 		case d.lines <- append(text, '\n'):
-		default: // the sender does not read its watch and has to open a new one
+		default: // the sender does not read its watch, and has to open a new one
 			close(d.lines)
 			d.lines = nil
 		}
 	}
 }
 
-func (d *directory) silence() {
+// stopHeartbeats stops the heartbeats of watches until the next update or watch.
+func (d *discoveryServer) stopHeartbeats() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.silent = true
 }
 
-func (d *directory) isSilent() bool {
+func (d *discoveryServer) isSilent() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.silent
 }
 
-// serveTargets answers a sender's question for the endpoint list: at once, or with a watch that follows its changes.
-func (d *directory) serveTargets(out http.ResponseWriter, r *http.Request) {
+// serveTargets answers a request for the endpoint list: with the current list, or with a watch that follows its changes if
+// the request has follow=1.
+func (d *discoveryServer) serveTargets(out http.ResponseWriter, r *http.Request) {
 	if r.URL.Query().Get("follow") != "1" {
 		d.writeFullList(out)
 		return
@@ -151,7 +158,7 @@
 }
 
 // writeFullList answers with the current list.
-func (d *directory) writeFullList(out http.ResponseWriter) {
+func (d *discoveryServer) writeFullList(out http.ResponseWriter) {
 	list := make(chan listMessage, 1)
 	d.e.post(func() { list <- d.message(d.e.w.FullList()) })
 	select {
@@ -161,9 +168,9 @@
 	}
 }
 
-// nextLine waits for the next line of a watch: an update, or a heartbeat unless a fault silences discovery. It is false
-// once the watch is over.
-func (d *directory) nextLine(r *http.Request, lines <-chan []byte, heartbeat <-chan time.Time) ([]byte, bool) {
+// nextLine waits for the next line of a watch: an update, or a heartbeat unless a fault silences discovery. The bool is
+// false once the watch has ended.
+func (d *discoveryServer) nextLine(r *http.Request, lines <-chan []byte, heartbeat <-chan time.Time) ([]byte, bool) {
 	for {
 		select {
 		case line, open := <-lines:
@@ -180,15 +187,15 @@
 	}
 }
 
-// outcomeLine is one message's end in an outcome callback.
+// outcomeLine is one line of an outcome callback: the end of one message.
 type outcomeLine struct {
 	Message   string `json:"message"`
 	Outcome   string `json:"outcome"`
 	RetryInMS int64  `json:"retry_in_ms"`
 }
 
-// serveOutcomes is the platform's end of the outcome callback. One from a sender that is isolated gets no answer.
-func (d *directory) serveOutcomes(out http.ResponseWriter, r *http.Request) {
+// serveOutcomes handles an outcome callback as the platform does. A callback from an isolated sender gets no answer.
+func (d *discoveryServer) serveOutcomes(out http.ResponseWriter, r *http.Request) {
 	lines, err := readOutcomes(r.Body)
 	if err != nil {
 		http.Error(out, "line", http.StatusBadRequest)
@@ -210,9 +217,9 @@
 	}
 }
 
-var errOutcome = errors.New("unknown outcome")
+var errOutcome = errors.New("outcome callback: the outcome is neither given_up nor handed_back")
 
-// readOutcomes reads the lines of an outcome callback.
+// readOutcomes parses the lines of an outcome callback. It fails with errOutcome for an unknown outcome.
 func readOutcomes(body io.Reader) (lines []outcomeLine, err error) {
 	for in := json.NewDecoder(body); in.More(); {
 		var line outcomeLine
@@ -227,8 +234,9 @@
 	return lines, nil
 }
 
-// reportEnds passes the ends to the world, on its goroutine. It is false if the sender is isolated.
-func (d *directory) reportEnds(lines []outcomeLine) bool {
+// reportEnds reports the ends of messages to the world, unless the sender is isolated, and returns whether it did. It must
+// be called on the world's goroutine.
+func (d *discoveryServer) reportEnds(lines []outcomeLine) bool {
 	if d.e.w.Isolated(d.sender) {
 		return false
 	}
--- a/lab/live/loop.go
+++ b/lab/live/loop.go
@@ -1,6 +1,6 @@
 package live
 
-// This file has the loop of the world's goroutine, which keeps the world in step with the machine's clock.
+// This file holds the loop of the world's goroutine, which advances the world in real time.
 
 import (
 	"time"
@@ -8,7 +8,7 @@
 	"flaxcove/choice"
 )
 
-// post has the loop call do, unless the run has ended.
+// post queues do for the world's goroutine. It waits while the queue is full, and drops do if the run has ended.
 func (e *engine) post(do func()) {
 	select {
 	case e.tasks <- do:
@@ -16,15 +16,15 @@
 	}
 }
 
-// now is the time of the world by the machine's clock.
+// now returns the time of the world that corresponds to the current real time, or 0 before the world begins.
 func (e *engine) now() choice.Time {
-	if !e.began {
+	if !e.worldBegan {
 		return 0
 	}
 	return choice.Time(time.Since(e.startedAt) / (100 * time.Microsecond))
 }
 
-// advance runs the world's events that are due and counts those that are late.
+// advance runs the world's events that are due, and counts those that run late.
 func (e *engine) advance() {
 	for {
 		now := e.now()
@@ -34,8 +34,8 @@
 			return
 		}
 		e.events++
-		if behind := time.Duration(now-at) * 100 * time.Microsecond; behind > 0 && e.began {
-			if behind > lateAt {
+		if behind := time.Duration(now-at) * 100 * time.Microsecond; behind > 0 && e.worldBegan {
+			if behind > lateThreshold {
 				e.lateEvents++
 			}
 			e.worstDelay = max(e.worstDelay, behind)
@@ -44,30 +44,30 @@
 	}
 }
 
-// loop plays the world until nothing more can be judged.
+// loop plays the world until every message has been judged, the run fails or ctx ends.
 func (e *engine) loop() {
 	wake := time.NewTimer(0)
-	tail := 0.0
-	for i := range e.o.Spec.Classes {
-		tail = max(tail, e.o.Spec.Classes[i].DeadlineMS)
+	longest := 0.0
+	for i := range e.opts.Spec.Classes {
+		longest = max(longest, e.opts.Spec.Classes[i].DeadlineMS)
 	}
-	end := e.w.End() + choice.Time((tail+e.o.Spec.Rules.LateMS+2000)*float64(choice.Millisecond))
+	end := e.w.End() + choice.Time((longest+e.opts.Spec.Rules.LateMS+2000)*float64(choice.Millisecond))
 	second := choice.Time(0)
 	for e.failure == "" {
 		e.advance()
 		now := e.w.Now()
 		if now/choice.Second > second {
 			second = now / choice.Second
-			if e.o.Watch != nil {
-				e.o.Watch(now)
+			if e.opts.Watch != nil {
+				e.opts.Watch(now)
 			}
 		}
 		over := now > end || now > e.w.End()+choice.Second/2 && e.judge.Pending() == 0
-		if over && (e.o.KeepRunning == nil || !e.o.KeepRunning()) {
+		if over && (e.opts.KeepRunning == nil || !e.opts.KeepRunning()) {
 			return
 		}
 		in := time.Second / 4
-		if at, more := e.w.Next(); more && e.began {
+		if at, more := e.w.Next(); more && e.worldBegan {
 			in = min(in, time.Until(e.startedAt.Add(time.Duration(at)*100*time.Microsecond)))
 		}
 		wake.Reset(max(0, in))
@@ -85,8 +85,9 @@
 	}
 }
 
-// until runs posted tasks before the world begins, until cond holds. It is false if the run failed or the time is over.
-func (e *engine) until(within time.Duration, cond func() bool) bool {
+// runUntil runs posted tasks until cond holds. It serves to wait before the world begins. It returns false if the run
+// fails, ctx ends, or cond does not hold in time.
+func (e *engine) runUntil(within time.Duration, cond func() bool) bool {
 	deadline := time.After(within)
 	for !cond() {
 		if e.failure != "" {
--- a/lab/sim/answers.go
+++ b/lab/sim/answers.go
@@ -1,14 +1,15 @@
 package sim
 
-// This file handles what comes back to a sender: answers, and closed connections.
+// This file handles the answers and the closed connections that reach a sender.
 
 import (
 	"flaxcove/choice"
 	"flaxcove/lab/world"
 )
 
-// onLink calls do with the link of a connection once the process runs, unless the link is closed by then.
-func (n *node) onLink(wc *world.Conn, do func(l *link)) {
+// withLink calls do with the link of a connection. If the process is paused, do is called when it
+// continues. It is not called if the link is closed by then.
+func (n *node) withLink(wc *world.Conn, do func(l *link)) {
 	l, ok := wc.Engine.(*link)
 	if !ok {
 		return
@@ -22,44 +23,44 @@
 
 // connDown handles a connection that was refused, or closed by the endpoint.
 func (n *node) connDown(wc *world.Conn, why world.ConnEnd) {
-	n.onLink(wc, func(l *link) {
+	n.withLink(wc, func(l *link) {
 		c := l.call
-		n.dropIdle(l)
+		n.dropLink(l)
 		n.e.w.CloseBySender(wc)
 		if c == nil || c.over {
 			return
 		}
 		if why == world.ConnRefused {
-			n.finish(c, choice.ConnectFailed, world.Answer{})
+			n.endCall(c, choice.ConnectFailed, world.Answer{})
 		} else {
-			n.finish(c, choice.Reset, world.Answer{})
+			n.endCall(c, choice.Reset, world.Answer{})
 		}
 	})
 }
 
 // answered handles an answer, or the first half of one.
 func (n *node) answered(wc *world.Conn, a world.Answer) {
-	n.onLink(wc, func(l *link) {
+	n.withLink(wc, func(l *link) {
 		c := l.call
 		if c == nil || c.over {
 			return
 		}
-		if a.Half {
+		if a.Incomplete {
 			n.waitForRest(c)
 			return
 		}
 		l.call = nil
-		if a.Spoilt || a.Close {
+		if a.Malformed || a.Close {
 			l.closed = true
 			n.e.w.CloseBySender(wc)
 		} else {
 			n.makeIdle(l)
 		}
-		n.finish(c, resultOf(a), a)
+		n.endCall(c, resultOf(a), a)
 	})
 }
 
-// waitForRest abandons a call if the other half of its answer does not come.
+// waitForRest abandons a call after answerRestTimeout, since the rest of an incomplete answer never comes.
 func (n *node) waitForRest(c *call) {
 	incarnation := n.incarnation
 	n.e.w.After(answerRestTimeout, func() {
@@ -74,10 +75,10 @@
 	})
 }
 
-// resultOf is the result that a complete answer stands for.
+// resultOf returns the result of a call that got a complete answer.
 func resultOf(a world.Answer) choice.Result {
 	switch {
-	case a.Spoilt:
+	case a.Malformed:
 		return choice.Unreadable
 	case a.Status == 200:
 		return choice.Done
@@ -87,8 +88,8 @@
 	return choice.Errored
 }
 
-// finish ends a call with a result, once.
-func (n *node) finish(c *call, result choice.Result, a world.Answer) {
+// endCall ends a call with a result. It does nothing if the call has ended before.
+func (n *node) endCall(c *call, result choice.Result, a world.Answer) {
 	if c.over {
 		return
 	}
@@ -97,20 +98,20 @@
 	n.reportCall(c, result, a)
 }
 
-// reportCall reports the end of a call to the policy, message by message.
+// reportCall reports the end of a call to the policy, for each of its messages.
 func (n *node) reportCall(c *call, result choice.Result, a world.Answer) {
 	n.scheduleTick()
 	if c.probe {
 		n.policy.Probed(c.endpoint.id, result)
 		return
 	}
-	wait := a.Wait
+	wait := a.RetryAfter
 	if wait > 0 {
-		wait++ // the endpoint's clock may be ahead of ours by part of a tenth of a millisecond
+		wait++ // the endpoint's clock may be ahead of the sender's by a fraction of a tenth of a millisecond
 	}
 	for i, o := range c.messages {
 		if o.call != c {
-			continue // it was detached before
+			continue // the message was detached from the call before
 		}
 		out := choice.Outcome{Message: o.ID, Attempt: o.attempts - 1, Endpoint: c.endpoint.id, Took: n.Now() - c.startedAt, Result: result,
 			Final: result == choice.Done, RetryAfter: wait, Report: a.Report, Reused: c.reused, Closed: a.Close}
@@ -124,7 +125,7 @@
 	}
 }
 
-// attemptEnded reports the end of an attempt to the policy.
+// attemptEnded reports the end of an attempt to the policy, and records whether the message may have been executed.
 func (n *node) attemptEnded(c *call, o *openMessage, out choice.Outcome) {
 	o.call = nil
 	switch out.Result {
--- a/lab/sim/host.go
+++ b/lab/sim/host.go
@@ -1,6 +1,6 @@
 package sim
 
-// This file implements choice.Host for a simulated sender.
+// This file implements choice.Host, which a policy calls to act, for a simulated sender.
 
 import (
 	"math"
@@ -12,7 +12,7 @@
 func (n *node) Now() choice.Time { return n.e.w.Now() }
 
 func (n *node) Allowed(id choice.MessageID, e choice.EndpointID) bool {
-	return n.e.o.Allowed == nil || n.e.o.Allowed(n.Now(), n.no, id, e)
+	return n.e.opts.Allowed == nil || n.e.opts.Allowed(n.Now(), n.no, id, e)
 }
 
 func (n *node) Attempt(id choice.MessageID, to choice.EndpointID, timeOut choice.Time) {
@@ -20,11 +20,11 @@
 	if e == nil {
 		e = &endpoint{id: to, gone: true, bulkMax: 1}
 	}
-	c := e.nextCall
+	c := e.bulkCall
 	if c == nil || len(c.messages) >= e.bulkMax {
 		c = &call{n: n, endpoint: e, startedAt: n.Now()}
-		if e.nextCall == nil || e.bulkMax > 1 {
-			e.nextCall = c
+		if e.bulkCall == nil || e.bulkMax > 1 {
+			e.bulkCall = c
 		}
 		n.newCalls = append(n.newCalls, c)
 	}
@@ -78,12 +78,12 @@
 	n.scheduleTick()
 }
 
-// Tell does nothing: Settings.Notes, gossip between senders, is off, as on sockets.
+// Tell does nothing: gossip between senders (Settings.Notes) is off in both engines.
 func (n *node) Tell([]byte) {}
 
 func (n *node) CloseIdle(id choice.EndpointID) {
 	if e := n.endpoints[id]; e != nil {
-		n.closeIdle(e)
+		n.closeIdleLinks(e)
 	}
 }
 
