--- a/internal/sender/accept.go
+++ b/internal/sender/accept.go
@@ -1,7 +1,7 @@
 package sender
 
-// This file accepts client connections. Clients that say nothing, or nothing that can be parsed, must never keep places
-// from the others.
+// This file accepts client connections. Clients that send nothing, or only input that cannot be parsed, must never keep
+// other clients from being served.
 
 import (
 	"cmp"
@@ -15,8 +15,9 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// descriptorLimit is how many descriptors the system gives this process. Settings that allow more would let clients use
-// up those of the journal, the platform and discovery.
+// descriptorLimit returns the maximum number of file descriptors that the system allows this process, math.MaxInt32 if the
+// limit is unknown or larger. A setting above it would let clients use up the descriptors that the journal, the platform
+// and discovery need.
 func descriptorLimit() int {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil || limit.Cur > math.MaxInt32 {
@@ -25,7 +26,7 @@
 	return int(limit.Cur)
 }
 
-// listen opens the port for clients and begins to serve them.
+// listen opens the listening socket for clients and starts to serve them.
 func (s *Sender) listen() error {
 	ln, err := netpoll.CreateListener("tcp", s.cfg.Listen)
 	if err != nil {
@@ -37,18 +38,18 @@
 	}
 	s.listener = ln
 	s.after(sweepInterval, s.sweepClients)
-	// The listener is never closed but lives as long as the process: netpoll would close its descriptor twice.
+	// The listener stays open until the process ends, because netpoll would close its descriptor twice.
 	go loop.Serve(ln)
 	return nil
 }
 
-// Addr is the address that clients are served at.
+// Addr returns the address on which the sender listens for clients.
 func (s *Sender) Addr() string { return s.listener.Addr().String() }
 
-// clientKey is the context key of a connection's *client.
+// clientKey is the context key under which a connection's *client is stored.
 type clientKey struct{}
 
-// onAccept is called by netpoll for each new connection, before anything is read from it.
+// onAccept registers a new connection in the client table. netpoll calls it before it reads from the connection.
 func (s *Sender) onAccept(conn netpoll.Connection) context.Context {
 	c := &client{conn: conn, connectedAt: s.clock(), peer: conn.RemoteAddr().String(), window: make(chan struct{}, windowSize)}
 	conn.SetWriteTimeout(clientWriteTimeout)
@@ -67,9 +68,10 @@
 	return context.WithValue(context.Background(), clientKey{}, c)
 }
 
-// add puts a new client into the table. Where all places are taken another client gives its place up, or the new one is
-// rejected itself: lingers is which of them. Beyond maxConns the one that has been lingering longest is dropped, and the
-// caller closes its connection.
+// add puts a new client into the table. If maxServed clients are served already, another client is displaced, or the new
+// client is rejected if none can be displaced; the displaced or rejected client is returned as lingers. If the table holds
+// maxConns connections, the client that has been lingering longest is removed and returned as dropped, and the caller
+// closes its connection.
 func (t *clientTable) add(c *client) (lingers, dropped *client) {
 	t.Lock()
 	defer t.Unlock()
@@ -93,8 +95,9 @@
 	return lingers, dropped
 }
 
-// displaceOne takes the place of one client for a new one and returns it, nil where none can give its place up. A client
-// that has said nothing yet is rejected instead of closed, as its first command may be on its way. The table is locked.
+// displaceOne releases the place of one client for a new client and returns the displaced client, or nil if no client can
+// be displaced. A client that has not been answered yet is rejected instead of closed, because its first command may be on
+// its way. The caller holds the table's lock.
 func (t *clientTable) displaceOne(now time.Duration) *client {
 	for _, c := range t.displacementOrder(now) {
 		if c.idleSince.Load() != 0 && t.halfClose(c, now, displaced, false) {
@@ -107,10 +110,11 @@
 	return nil
 }
 
-// displacementOrder lists the clients that may be displaced. The one idle longest is first where it has been idle for
-// minIdleTime, else the one that has been silent longest since it connected, if that is firstInputTimeout. Where neither
-// has lasted that long, the one idle longest is first all the same: it has its answers and connects again. The table is
-// locked.
+// displacementOrder returns the clients that may be displaced, the first to displace first. Idle clients, whose commands
+// are answered, come before silent clients, which have not been answered since they connected; in each group the longest
+// idle or silent client comes first. Silent clients come first only if one of them has been silent for at least
+// firstInputTimeout and no client has been idle for minIdleTime. In all other cases an idle client is the better choice,
+// because it has its answers and can connect again. The caller holds the table's lock.
 func (t *clientTable) displacementOrder(now time.Duration) []*client {
 	var idle, silent []*client
 	for c := range t.all {
@@ -131,8 +135,9 @@
 	return append(idle, silent...)
 }
 
-// longestLingering is the client that has been lingering longest; rejected ones, which may still send, come last. The
-// table is locked.
+// longestLingering returns the client that has been lingering longest, or nil if none is lingering. Rejected clients, whose
+// first input is still to be answered, are returned only if no other client is lingering. The caller holds the table's
+// lock.
 func (t *clientTable) longestLingering() *client {
 	var writeClosed, rejected *client
 	for c := range t.all {
--- a/internal/sender/admission.go
+++ b/internal/sender/admission.go
@@ -1,8 +1,8 @@
 package sender
 
-// This file admits messages: it owns the table of pending messages, what a turn writes to the journal, and the answers
-// that wait for that. No +OK is answered before the message's record is written, no id gets two records, and no message
-// that has ended is accepted again.
+// This file admits messages. It owns the table of pending messages, the records that a turn writes to the journal, and the
+// answers that wait for this write. +OK is sent only after the message's record is written, an id gets at most one accepted
+// record, and a message that has ended is never accepted again.
 
 import (
 	"go.uber.org/zap"
@@ -13,35 +13,38 @@
 )
 
 const (
-	// The journal is rewritten before it fills rewriteThreshold of the disk, into a file of the pending messages, which
-	// may take maxLiveShare; while both files exist both count. The gap between the two shares keeps rewritings rare.
+	// rewriteThreshold and maxLiveShare are fractions of the journal's size limit. A journal larger than rewriteThreshold
+	// is rewritten into a new file that holds the pending messages and is no larger than maxLiveShare. The sum of the two
+	// is below 1 because both files exist during a rewriting. The gap between them keeps rewritings rare.
 	rewriteThreshold = 0.58
 	maxLiveShare     = 0.38
-	// laterRecordBytes bounds the later records of one message.
+	// laterRecordBytes is the maximum size in bytes of all records of one message after its accepted record.
 	laterRecordBytes = 3 * (maxID + 64)
-	// maxRememberedEnded bounds the ids of ended messages that are remembered, so that one that is submitted once more
-	// does not run again. At three times the usual rate that is longer than a message may be pending.
+	// maxRememberedEnded is the maximum number of ended messages whose ids are remembered, so that a message that is
+	// submitted again after its end does not run again. At three times the usual rate of messages, an id is remembered for
+	// longer than a message may be pending.
 	maxRememberedEnded = 8192
-	// maxEndedInOrder bounds the ended messages in admission.accepted, beside as many as are pending.
+	// maxEndedInOrder is the maximum number of ended messages in admission.accepted beyond the number of pending messages.
 	maxEndedInOrder = 1024
 )
 
-// admission is the part of a Sender that holds its messages and its journal.
+// admission is the part of a Sender that holds its messages and its journal. The loop owns it.
 type admission struct {
 	journal        *journal.Journal
 	pending        map[choice.MessageID]*message
-	accepted       []*message  // pending ones in the order accepted, with ended ones among them until a rewriting
-	admitted       []*message  // of this turn
-	liveBytes      int64       // what a rewriting would keep, at most
-	reservedBytes  int64       // what this turn's messages will add to that
-	latestRecorded choice.Time // latest time of the records read so far, while the journal is replayed
-	zoneUnnamed    []*message  // replayed with a record that has a zone's number alone, until its name is written
-
-	recentlyEnded map[choice.MessageID]struct{} // accepted and ended
-	endedRing     []choice.MessageID            // the same ids; the oldest gives way to the newest
-	endedNext     int                           // the oldest of a full ring
+	accepted       []*message  // pending messages in the order of acceptance; ended ones are removed from time to time
+	admitted       []*message  // messages admitted in this turn
+	liveBytes      int64       // upper bound of the size of the journal after a rewriting
+	reservedBytes  int64       // bytes that the messages admitted in this turn will add to liveBytes
+	latestRecorded choice.Time // latest time in the records read so far, while the journal is replayed
+	zoneUnnamed    []*message  // replayed messages whose attempt record has a zone number only, until the name is recorded
+
+	recentlyEnded map[choice.MessageID]struct{} // ids of messages that were accepted and have ended
+	endedRing     []choice.MessageID            // the ids in recentlyEnded; once full, the newest replaces the oldest
+	endedNext     int                           // index of the oldest id in endedRing once it is full
 }
 
+// rememberEnded adds the id of an ended message to recentlyEnded. Beyond maxRememberedEnded ids the oldest is forgotten.
 func (a *admission) rememberEnded(id choice.MessageID) {
 	if _, known := a.recentlyEnded[id]; known {
 		return
@@ -56,31 +59,32 @@
 	a.recentlyEnded[id] = struct{}{}
 }
 
-// hasJournalCapacity reports whether the journal can hold one more message together with its later records. What was
-// admitted in the same turn counts: a burst beyond the limit could not be written at all, and no client would be answered.
+// hasJournalCapacity reports whether the journal can hold m and its later records. Messages admitted in the same turn count
+// too: a burst beyond the limit could not be written at all, and then no client would be answered.
 func (s *Sender) hasJournalCapacity(m *message) bool {
 	return s.liveBytes+s.reservedBytes+m.size+laterRecordBytes <= int64(maxLiveShare*float64(s.journal.Limit()))
 }
 
-// admit makes a message pending. Its client is answered at the end of the turn.
+// admit makes m pending. Its client is answered at the end of the turn, when its record is written.
 func (s *Sender) admit(m *message) {
 	s.pending[m.ID] = m
 	s.admitted = append(s.admitted, m)
 	s.reservedBytes += m.size + laterRecordBytes
 }
 
-// commit writes the records of the turn, and reports whether answers, reports and calls may be sent.
+// commit writes the records of the turn to the journal. It reports whether they are written, and so whether answers,
+// reports and calls may be sent.
 func (s *Sender) commit() bool {
 	s.recordAdmitted()
 	s.recordCalls()
 	if err := s.writeJournal(); err != nil {
-		s.log.Error("journal", zap.Error(err))
+		s.log.Error("cannot write the journal; no answer, report or call is sent in this turn", zap.Error(err))
 		return false
 	}
 	return true
 }
 
-// recordAdmitted adds the records of the turn's messages, but for those that have ended already.
+// recordAdmitted adds an accepted record for each message admitted in this turn that has not ended yet.
 func (s *Sender) recordAdmitted() {
 	for _, m := range s.admitted {
 		if m.reply != nil && !m.journaled {
@@ -93,7 +97,7 @@
 	s.reservedBytes = 0
 }
 
-// recordCalls adds the records of calls that may be sent after this commit: on idle links, or on new ones.
+// recordCalls adds attempt records for the calls that may be sent after this commit, on idle links or on new ones.
 func (s *Sender) recordCalls() {
 	for _, c := range s.starting {
 		if len(c.endpoint.idle) > 0 {
@@ -105,7 +109,8 @@
 	}
 }
 
-// recordAttempt adds a record that a call may have run, for each message where that matters.
+// recordAttempt adds an attempt record, which says that the call may have run, for each message of the call for which
+// limitsRepeat holds.
 func (s *Sender) recordAttempt(c *call) {
 	c.recorded = true
 	for _, m := range c.messages {
@@ -116,15 +121,16 @@
 	}
 }
 
-// limitsRepeat reports whether an attempt forbids or limits another one, or holds up the next message of its key.
+// limitsRepeat reports whether an attempt of m forbids or limits another attempt, or delays the next message of its
+// ordering key.
 func (s *Sender) limitsRepeat(m *message) bool {
 	class := &s.cfg.Settings.Classes[m.Class]
 	return class.Repeat != choice.Idempotent || class.Ordered && m.Key != choice.NoKey
 }
 
-// writeJournal writes the added records, or the whole file anew where it has grown too large.
+// writeJournal appends the added records to the journal's file, or rewrites the file if it is larger than rewriteThreshold.
 func (s *Sender) writeJournal() error {
-	if len(s.accepted) > 2*len(s.pending)+maxEndedInOrder { // on a large disk a rewriting may be long in coming
+	if len(s.accepted) > 2*len(s.pending)+maxEndedInOrder { // with a large limit, rewritings are too rare to rely on
 		s.accepted = withoutEnded(s.accepted)
 	}
 	if s.journal.Size() <= int64(rewriteThreshold*float64(s.journal.Limit())) {
@@ -135,7 +141,7 @@
 	return s.journal.Rewrite(s.records)
 }
 
-// withoutEnded removes closed messages from a list, in place.
+// withoutEnded removes closed messages from order in place and returns the shortened list.
 func withoutEnded(order []*message) []*message {
 	open := order[:0]
 	for _, m := range order {
@@ -147,7 +153,7 @@
 	return open
 }
 
-// answerAdmitted answers the clients whose messages are on record now.
+// answerAdmitted answers +OK for the messages admitted in this turn, whose records are written now.
 func (s *Sender) answerAdmitted() {
 	for _, m := range s.admitted {
 		if m.reply != nil {
--- a/internal/sender/client_input.go
+++ b/internal/sender/client_input.go
@@ -1,7 +1,8 @@
 package sender
 
-// This file parses the input of clients into commands. At most one incomplete command and one window of complete ones is
-// held for a client, and nothing is parsed behind a broken command, as nothing says where the next one begins.
+// This file parses the input of clients into commands. For each client, at most one incomplete command and one window of
+// complete commands are held. Input after a malformed command is not parsed, because the start of the next command is
+// unknown.
 
 import (
 	"context"
@@ -13,16 +14,18 @@
 )
 
 const (
-	maxInput = resp.MaxBulk + 8<<10 // bytes of one command
-	// maxBufferedInput is what netpoll may have read while a client's window was full.
+	maxInput = resp.MaxBulk + 8<<10 // maximum size of one command in bytes
+	// maxBufferedInput is the maximum number of bytes that netpoll may have read while a client's window was full.
 	maxBufferedInput = windowSize * maxInput
-	// maxIdleBuffer is the largest input buffer that a client keeps while no command is incomplete.
+	// maxIdleBuffer is the capacity in bytes of the largest input buffer that a client keeps while it has no incomplete
+	// command.
 	maxIdleBuffer = maxInput / 8
 )
 
 var errTooMuchUnparsed = errors.New("too many commands are unfinished")
 
-// onClientInput parses all that has come; netpoll calls it again only for more.
+// onClientInput parses all input that has arrived on a connection. netpoll calls it, and calls it again only when more
+// input arrives. It is the reader of the client: at most one call runs for a connection at a time.
 func (s *Sender) onClientInput(ctx context.Context, conn netpoll.Connection) error {
 	c, known := ctx.Value(clientKey{}).(*client)
 	if !known {
@@ -45,7 +48,8 @@
 	return nil
 }
 
-// takeInput moves what netpoll has read to the client's input, or discards it.
+// takeInput moves the bytes that netpoll has read to the client's input, or discards them if the client is lingering or its
+// input is ignored.
 func (s *Sender) takeInput(c *client, r netpoll.Reader) error {
 	piece, err := r.Next(r.Len())
 	if err != nil {
@@ -63,14 +67,14 @@
 	return nil
 }
 
-// postCommands hands all complete commands of the input to the loop. It returns how many bytes they were, and whether
-// what follows them is to be read.
+// postCommands posts all complete commands of the input to the loop. It returns how many bytes these commands took, and
+// whether the reader keeps the rest of the input and goes on reading.
 func (s *Sender) postCommands(c *client) (parsed int, readOn bool) {
 	for {
 		took, err := s.nextCommand(c, c.input[parsed:])
 		if err != nil {
 			s.stopReading(c)
-			// The loop closes the client, behind all answers; what comes until then is discarded.
+			// The loop closes the client after all answers are written. Input that arrives until then is discarded.
 			if s.acquireWindow(c) {
 				s.post(func() { s.protocolError(c, err) })
 			}
@@ -79,7 +83,7 @@
 		if took == 0 {
 			return parsed, true
 		}
-		text := append([]byte(nil), c.input[parsed:parsed+took]...) // the input's buffer is used again
+		text := append([]byte(nil), c.input[parsed:parsed+took]...) // a copy, because c.input is reused
 		command, _, _ := resp.Command(text, nil)
 		parsed += took
 		if !s.acquireWindow(c) {
@@ -94,8 +98,9 @@
 	}
 }
 
-// nextCommand parses one command into c.args and returns its length, 0 while it is incomplete. An incomplete one is an
-// error where it is longer than any command, or where all clients together hold too much of incomplete commands.
+// nextCommand parses one command from the start of text into c.args and returns its length in bytes, or 0 if it is
+// incomplete. An incomplete command is an error if it is longer than maxInput, or if the incomplete commands of all clients
+// take more than maxUnparsedBytes.
 func (s *Sender) nextCommand(c *client, text []byte) (took int, err error) {
 	args, took, err := resp.Command(text, c.args)
 	switch {
@@ -111,7 +116,7 @@
 	return took, nil
 }
 
-// keepIncomplete keeps what follows the parsed commands, and since when there is an incomplete one.
+// keepIncomplete keeps the input after the parsed commands, and the time since which that command is incomplete.
 func (s *Sender) keepIncomplete(c *client, parsed int) {
 	rest := c.input[parsed:]
 	if len(rest) == 0 {
@@ -128,14 +133,15 @@
 	c.input = append(c.input[:0], rest...)
 }
 
-// stopReading drops the input and ignores all that follows. It is called by the reader.
+// stopReading drops the client's input and makes the reader ignore all further input. Only the reader calls it.
 func (s *Sender) stopReading(c *client) {
 	c.input = nil
 	c.ignoreInput.Store(true)
 	c.partialSince.Store(0)
 }
 
-// countUnparsed counts what the client holds of an incomplete command. It is called by the reader.
+// countUnparsed updates clientFrontend.unparsedBytes by the bytes that the client holds of an incomplete command. Only the
+// reader calls it.
 func (s *Sender) countUnparsed(c *client) {
 	now := int64(len(c.input))
 	s.unparsedBytes.Add(now - c.unparsed)
--- a/internal/sender/client_timeouts.go
+++ b/internal/sender/client_timeouts.go
@@ -1,7 +1,8 @@
 package sender
 
-// This file closes client connections by time: those that say nothing, leave a command incomplete, idle where places run
-// short, or are idle at a graceful shutdown. None is closed while a command waits for its answer.
+// This file closes client connections after timeouts: clients that send nothing, that leave a command incomplete, that are
+// idle while there are many connections, or that are idle at a graceful shutdown. No connection is closed while a command
+// waits for its answer.
 
 import (
 	"cmp"
@@ -10,15 +11,16 @@
 )
 
 const (
-	// A client that sends nothing, or an incomplete command, is to be closed within 3 s. One that has been served may
-	// stay until places run short, and is not closed within minIdleTime of its last answer.
+	// silentTimeout and partialCommandTimeout limit how long a client may send nothing or leave a command incomplete.
+	// Such a client has to be closed within 3 s, sweepInterval and the lingering close included. A client that has been
+	// served is closed for being idle only if there are many connections, and not within minIdleTime of its last answer.
 	silentTimeout         = 2200 * time.Millisecond
 	partialCommandTimeout = 2200 * time.Millisecond
 	sweepInterval         = 200 * time.Millisecond
 )
 
-// sweepClients closes clients that send nothing or leave a command incomplete, and, where there are many clients, those
-// that have been idle longest.
+// sweepClients closes clients that have sent nothing or have left a command incomplete for too long. If there are more than
+// idleCloseThreshold connections, it also closes the clients that have been idle longest. It runs every sweepInterval.
 func (s *Sender) sweepClients() {
 	s.after(sweepInterval, s.sweepClients)
 	late, idle, surplus := s.clients.dueForClosing(s.sinceStart())
@@ -37,8 +39,9 @@
 	}
 }
 
-// dueForClosing lists the clients whose time for a command is over, those idle long enough to be closed, and how many
-// clients there are beyond idleCloseThreshold, not counting those that are closing already.
+// dueForClosing returns the clients whose timeout for a command has passed (late), the clients that have been idle long
+// enough to be closed (idle), and by how many the clients that are not closing yet exceed idleCloseThreshold (surplus,
+// negative if they are fewer).
 func (t *clientTable) dueForClosing(now time.Duration) (late, idle []*client, surplus int) {
 	t.Lock()
 	defer t.Unlock()
@@ -61,7 +64,8 @@
 	return late, idle, surplus
 }
 
-// closeClient closes a connection as soon as all its answers are written.
+// closeClient closes a client's connection once all its answers are written. It does nothing if the client is closing
+// already.
 func (s *Sender) closeClient(c *client, why reason) {
 	if c.closing || c.disconnected {
 		return
@@ -70,7 +74,7 @@
 	s.flushReplies(c)
 }
 
-// onClientEnded removes a client whose connection has ended.
+// onClientEnded removes a client from the table after its connection has ended.
 func (s *Sender) onClientEnded(c *client) {
 	s.clients.Lock()
 	delete(s.clients.all, c)
@@ -78,26 +82,27 @@
 	s.clients.Unlock()
 	c.disconnected = true
 	s.flushReplies(c)
-	s.unparsedBytes.Add(-c.unparsed) // its reader has ended before
+	s.unparsedBytes.Add(-c.unparsed) // the reader no longer runs, so it cannot change c.unparsed
 	s.counts.clientsEnded++
 	s.logConnEnded("client", c.peer, c.closeReason, nil)
 }
 
-// closeIdleClients closes idle clients at a graceful shutdown, so that they go elsewhere. A new one may first send the
-// command that it connected for, or its client would find a closed connection twice in a row.
+// closeIdleClients closes idle clients at a graceful shutdown, so that they connect to another sender. A client that has
+// just connected may first send the command that it connected for; otherwise it would find two connections in a row closed.
 func (s *Sender) closeIdleClients() {
 	for _, c := range s.idleClients(s.sinceDrain() >= drainReadTime) {
 		s.closeClient(c, drained)
 	}
 }
 
-// idleClients lists the clients that may be closed at a graceful shutdown; in a hurry, all that are not closing yet.
+// idleClients returns the clients that may be closed at a graceful shutdown. With hurry these are all clients that are not
+// closing yet.
 func (s *Sender) idleClients(hurry bool) (idle []*client) {
 	s.clients.Lock()
 	defer s.clients.Unlock()
 	for c := range s.clients.all {
 		if c.closing || c.lingering {
-			continue // noInputPending is a system call
+			continue // avoids the system call in noInputPending
 		}
 		isNew := !c.served && s.clock()-c.connectedAt < drainAcceptTime
 		if hurry || c.idle() && !isNew && noInputPending(c.conn) {
--- a/internal/sender/clients.go
+++ b/internal/sender/clients.go
@@ -1,7 +1,7 @@
 package sender
 
-// This file holds the table of client connections and what is kept of each of them. accept.go fills the table,
-// lingering_close.go and client_timeouts.go empty it.
+// This file holds the table of client connections and the state of each connection. accept.go adds clients to the table;
+// lingering_close.go and client_timeouts.go remove them.
 
 import (
 	"sync"
@@ -15,16 +15,16 @@
 )
 
 const (
-	windowSize          = 64              // commands of one client without an answer
-	clientWriteTimeout  = 5 * time.Second // for one write of answers
-	reservedDescriptors = 48              // for the process itself, discovery, the platform and the journal
-	// firstInputTimeout is by when an ordinary client has sent its first bytes.
+	windowSize          = 64              // maximum number of commands of one client that are not answered yet
+	clientWriteTimeout  = 5 * time.Second // timeout for one write of answers
+	reservedDescriptors = 48              // descriptors kept for the process itself, discovery, the platform and the journal
+	// firstInputTimeout is the time after connecting within which an ordinary client has sent its first bytes.
 	firstInputTimeout = 200 * time.Millisecond
-	// minIdleTime is how long a client that has been served may stay after its last answer.
+	// minIdleTime is how long a served client may stay idle after its last answer before it may be closed for being idle.
 	minIdleTime = 2 * time.Second
 )
 
-// Why a client connection ended, as the log reports it.
+// These are the reasons for the end of a client connection, as the log reports them.
 const (
 	peerClosed     reason = "peer_closed"
 	badCommand     reason = "bad_command"
@@ -40,70 +40,72 @@
 type clientFrontend struct {
 	clients          clientTable
 	listener         netpoll.Listener
-	unparsedBytes    atomic.Int64 // bytes of incomplete commands, of all clients
-	maxUnparsedBytes int64        // bound of unparsedBytes
+	unparsedBytes    atomic.Int64 // bytes of incomplete commands held for all clients
+	maxUnparsedBytes int64        // upper bound of unparsedBytes
 }
 
-// clientTable holds the open clients; each is removed when its connection has ended. The loop and netpoll's pollers share
-// its lock, since a connection must be counted before it is read. A client's stateLock may be taken while the table is
-// locked, never the other way round, and no connection is closed under either lock.
+// clientTable holds the connected clients. A client is removed when its connection has ended. The loop and netpoll's poller
+// goroutines share its lock, because a connection must be counted before anything is read from it. A goroutine that holds
+// the table's lock may take a client's stateLock, but not the reverse. No connection may be closed under either lock.
 type clientTable struct {
 	sync.Mutex
 	all                map[*client]struct{}
-	maxConns           int                    // bound of connections, lingering ones included
-	maxServed          int                    // bound of served clients; the rest is for those that linger
-	served             int                    // clients that neither linger nor have ended
-	idleCloseThreshold int                    // up to this many connections none is closed for being idle
-	stopped            bool                   // no new client is served any more
-	busyReply          atomic.Pointer[[]byte] // the answer for clients that find no place; pollers read it too
+	maxConns           int                    // maximum number of connections, lingering ones included
+	maxServed          int                    // maximum number of served clients; the rest of maxConns is for lingering ones
+	served             int                    // number of clients that are neither lingering nor disconnected
+	idleCloseThreshold int                    // number of connections up to which none is closed for being idle
+	stopped            bool                   // new clients are rejected
+	busyReply          atomic.Pointer[[]byte] // the answer to rejected clients; the loop replaces it, readers load it
 }
 
-// client is one connection from a client. A group of its fields belongs to the reader (netpoll's one running callback), a
-// group to the loop; stateLock guards what both use.
+// client is one connection from a client. Some fields belong to the reader, which is the callback that netpoll runs for the
+// connection, one at a time; others belong to the loop. Fields that both use are atomic or guarded by stateLock.
 type client struct {
 	conn         netpoll.Connection
-	peer         string
-	window       chan struct{} // one element for each command without an answer, from before the loop gets it
-	readerBusy   atomic.Bool   // the reader is at work
-	partialSince atomic.Int64  // since when a command is incomplete, by the sender's clock; 0 for none
-	idleSince    atomic.Int64  // since when all its commands are answered, by the same clock; 0 before the first
-	ignoreInput  atomic.Bool   // nothing more is parsed: after a broken command nothing says where the next begins
-
-	// stateLock is taken last. Who changes a field of this group also holds the table's lock, except for writeClosed.
+	peer         string        // remote address
+	window       chan struct{} // one element for each unanswered command, added before the command is posted to the loop
+	readerBusy   atomic.Bool   // the reader is running
+	partialSince atomic.Int64  // time on the sender's clock since which a command is incomplete; 0 if none is
+	idleSince    atomic.Int64  // time on the sender's clock of the last answer written; 0 before the first answer
+	ignoreInput  atomic.Bool   // input is no longer parsed, for example after a malformed command
+
+	// stateLock guards this group of fields. It is taken after all other locks. A goroutine that changes one of these
+	// fields also holds the table's lock, except for writeClosed.
 	stateLock        sync.Mutex
-	writeClosed      bool // our side has ended its sending: nothing that is read from here on is accepted
-	rejected         bool // it has lost its place, but our side still sends: its first input is answered with -BUSY
-	lingering        bool // writeClosed or rejected
-	descriptorClosed bool // the descriptor is given back, and may be another connection's by now
-	lingeringSince   time.Duration
+	writeClosed      bool          // the sender has shut down its sending side; commands that are read from now on are discarded
+	rejected         bool          // the client has lost its place; its first input is still answered with -BUSY
+	lingering        bool          // writeClosed or rejected
+	descriptorClosed bool          // the descriptor is closed, and its number may belong to another connection
+	lingeringSince   time.Duration // time on the sender's clock
 	lingerReason     reason
 
-	// Of the reader.
-	input     []byte
-	args      [][]byte
-	unparsed  int64 // its part of clientFrontend.unparsedBytes
-	discarded int   // bytes that came once it was lingering
-
-	// Of the loop.
-	connectedAt      time.Duration // since the sender's start
-	replies          []*reply      // answers to come, in the order of the commands
-	served           bool          // it has sent a command
-	badCommands      int
-	output           []byte
-	outputReplies    int // answers in output
-	writingReplies   int // answers that are being written
+	// The reader owns this group of fields.
+	input     []byte   // input that is not parsed yet
+	args      [][]byte // arguments of the last command, reused by the next one
+	unparsed  int64    // the client's part of clientFrontend.unparsedBytes
+	discarded int      // bytes discarded while the client was lingering
+
+	// The loop owns this group of fields.
+	connectedAt      time.Duration // time on the sender's clock; set once, before the client is in the table
+	replies          []*reply      // replies that are not in output yet, in the order of the commands
+	served           bool          // the client has sent a command
+	badCommands      int           // number of invalid commands
+	output           []byte        // answers that are ready and not being written yet
+	outputReplies    int           // number of answers in output
+	writingReplies   int           // number of answers that are being written
 	closeReason      reason
-	closing          bool // to be closed as soon as all answers are written
-	recheckScheduled bool // a timer looks again whether it can be closed
-	disconnected     bool
+	closing          bool // the connection is closed once all answers are written
+	recheckScheduled bool // a timer will check again whether the connection can be closed
+	disconnected     bool // the connection has ended or is being closed; nothing more is written
 }
 
-// reply is the place of one answer among those of its client.
+// reply reserves the position of one answer among the answers to its client.
 type reply struct {
 	client *client
-	text   []byte // nil until it is known
+	text   []byte // nil until the answer is known
 }
 
+// init sets the limits of the table from the configuration. Half of the sockets are for clients.
 func (f *clientFrontend) init(cfg *config.Config) {
 	f.clients.all = map[*client]struct{}{}
 	f.clients.maxConns = cfg.Limits.Sockets / 2
@@ -113,24 +115,26 @@
 	f.maxUnparsedBytes = max(4*maxInput, cfg.Limits.MemoryMB<<20/16)
 }
 
-// setBusyReply makes the answer for clients that find no place from the settings' longest time to come back.
+// setBusyReply sets the answer to rejected clients. It asks them to wait for the longest retry time in the settings.
 func (t *clientTable) setBusyReply(set *choice.Settings) {
 	text := busyText(int64(set.MaxRetryAfter / choice.Millisecond))
 	t.busyReply.Store(&text)
 }
 
+// count returns the number of connected clients.
 func (t *clientTable) count() int {
 	t.Lock()
 	defer t.Unlock()
 	return len(t.all)
 }
 
-// idle reports whether nothing that the client has sent is being read, handled or answered. A connection that is closed
-// while it is not idle leaves a command without an answer, which counts as lost.
+// idle reports whether no input of the client is being read, handled or answered. Closing a connection that is not idle
+// leaves a command without an answer, which counts as lost.
 func (c *client) idle() bool {
 	return len(c.window) == 0 && (c.ignoreInput.Load() || !c.readerBusy.Load() && c.partialSince.Load() == 0)
 }
 
+// isWriteClosed reports whether the sender has shut down its sending side of the connection.
 func (c *client) isWriteClosed() bool {
 	c.stateLock.Lock()
 	defer c.stateLock.Unlock()
--- a/internal/sender/cluster.go
+++ b/internal/sender/cluster.go
@@ -1,8 +1,8 @@
 package sender
 
-// This file ties a sender to the processes around it (package together): how it joins them, the orders that they post, and
-// the gate that holds attempts back until missed purges are applied. A sender that never joins counts nothing, sets no
-// timer and starts no goroutine for any of it. The loop never waits for the cluster.
+// This file connects a sender to its cluster: joining it, the orders that the cluster posts to the sender's loop, and the
+// gate that holds attempts back until missed purges are applied. A sender that never joins a cluster collects no counts,
+// sets no timers and starts no goroutines for it. The loop never waits for the cluster.
 
 import (
 	"cmp"
@@ -13,41 +13,43 @@
 	"flaxcove/internal/sender/clusterapi"
 )
 
-// gateTimeout bounds how long a gate that is never closed holds attempts back, unless Joining.For is set: far less than
-// the contract time of any class seen (0.8 s upwards), longer than missed purges take over loopback.
+// gateTimeout is the longest time that a gate holds attempts back, unless Joining.For is set. It is longer than fetching and
+// applying missed purges takes over loopback. The latency objectives of the classes seen are 0.8 s and longer.
 const gateTimeout = 2 * time.Second
 
-// Joining is what Join takes besides the cluster.
+// Joining holds the options of Join.
 type Joining struct {
-	// Gate holds all attempts back until it is closed, or For is over, so that purges that this process missed are
-	// applied first (Orders.Purge). Messages are accepted and answered meanwhile, and end by their own time. nil holds
-	// nothing back. Harm: messages wait so long at a start; where For is over first, purged messages may be sent.
+	// Gate holds all attempts back until it is closed or For has passed, so that purges that this process missed are
+	// applied first (Orders.Purge). Meanwhile messages are accepted and answered, and end at their deadlines. A nil Gate
+	// holds nothing back. The cost is that messages wait at a start. If For passes first, purged messages may be sent.
 	Gate <-chan struct{}
-	For  time.Duration // 0 for gateTimeout
+	// For is the longest time that Gate holds attempts back, counted from Join; 0 means gateTimeout.
+	For time.Duration
 }
 
-// clusterMember is the part of a Sender that belongs to its cluster.
+// clusterMember is the part of a Sender that belongs to its cluster. The loop owns it, except for orderQueue.
 type clusterMember struct {
-	cluster      clusterapi.Cluster // nil for none
-	routingPlan  clusterapi.Guide   // as of the start of this turn
+	cluster      clusterapi.Cluster // nil if the sender has not joined a cluster
+	routingPlan  clusterapi.Guide   // the routing plan at the start of this turn; nil allows all
 	learnedStore learnedStore
-	gated        bool
+	gated        bool // the gate holds attempts back
 	orderQueue   orderQueue
-	orderAnswers []func() // answers to orders, given once the turn's append is on disk
+	orderAnswers []func() // answers to orders, called once the turn's append is on disk
 	purgeState
 	digestState
 	evictionState
 }
 
-// learnedStore is how package choice hands out and takes back learned state. Tests replace it.
+// learnedStore is the part of choice.Sender that manages learned state. Tests replace it.
 type learnedStore interface {
-	// Void drops what was learned of an endpoint, or replaces it.
+	// Void drops the learned state of an endpoint, or replaces it if the state given is not nil.
 	Void(choice.EndpointID, *choice.LearnedState)
-	// Holds returns how many answers rest on a destination, and whether it must not be evicted.
+	// Holds returns how many answers the learned state of a destination is based on, and whether the destination must not
+	// be evicted.
 	Holds(choice.DestinationID) (calls float64, mustStay bool)
 }
 
-// Join ties the sender to a cluster. It is called at most once, before Run.
+// Join connects the sender to a cluster. It must be called at most once, before Run.
 func (s *Sender) Join(c clusterapi.Cluster, j Joining) {
 	s.cluster = c
 	s.digestState.init(s)
@@ -71,9 +73,10 @@
 	}()
 }
 
+// openGate lets attempts begin.
 func (s *Sender) openGate() { s.gated = false }
 
-// readCluster reads the routing plan, once a turn, and applies purges.
+// readCluster reads the routing plan and applies waiting purges. It runs once a turn.
 func (s *Sender) readCluster() {
 	if s.cluster == nil {
 		return
@@ -84,11 +87,12 @@
 	}
 }
 
-// Orders are what a cluster may ask of this sender. Purges are applied once it has joined.
+// Orders returns the interface through which a cluster gives orders to this sender. Purges are applied only after Join.
 func (s *Sender) Orders() clusterapi.Orders { return orders{s} }
 
-// orders hands each order to the loop, in the order given. None of them waits, so that they may be called on the loop
-// too. None is dropped: the caller waits for an answer before it gives many more. After the sender's end none is answered.
+// orders implements clusterapi.Orders. Each method queues an order for the loop, and the loop carries the orders out in the
+// order in which they were given. The methods never block, so they may also be called on the loop. The queue has no limit:
+// the caller waits for an answer before it gives many more orders. After the sender has ended, orders are not answered.
 type orders struct{ s *Sender }
 
 // Applied implements clusterapi.Orders.
@@ -96,7 +100,7 @@
 
 // Purge implements clusterapi.Orders.
 func (o orders) Purge(all []clusterapi.Purge, done func(uint64, []clusterapi.Found)) {
-	at := o.s.Now() // the purges grow older while they wait for the loop
+	at := o.s.Now() // the age of a purge counts from here, not from when the loop applies it
 	o.s.enqueueOrder(func() { o.s.purge(all, at, done) })
 }
 
@@ -129,13 +133,13 @@
 	})
 }
 
-// orderQueue holds orders until the loop takes them. Its lock is held for an append or a swap.
+// orderQueue holds orders until the loop takes them. Its lock is held only for an append or a swap.
 type orderQueue struct {
 	sync.Mutex
 	waiting []func()
 }
 
-// enqueueOrder hands a function to the loop without ever waiting for it.
+// enqueueOrder queues f for the loop without blocking. Any goroutine may call it.
 func (s *Sender) enqueueOrder(f func()) {
 	s.orderQueue.Lock()
 	defer s.orderQueue.Unlock()
@@ -150,6 +154,7 @@
 	}
 }
 
+// takeOrders carries out all queued orders on the loop.
 func (s *Sender) takeOrders() {
 	s.orderQueue.Lock()
 	all := s.orderQueue.waiting
@@ -161,9 +166,10 @@
 	s.eventsPending = true
 }
 
-// afterAppend delays an answer to an order until the turn's records are on disk.
+// afterAppend delays f, the answer to an order, until the turn's records are on disk.
 func (s *Sender) afterAppend(f func()) { s.orderAnswers = append(s.orderAnswers, f) }
 
+// answerOrders calls the answers that afterAppend has delayed.
 func (s *Sender) answerOrders() {
 	all := s.orderAnswers
 	s.orderAnswers = nil
--- a/internal/sender/clusterapi/clusterapi.go
+++ b/internal/sender/clusterapi/clusterapi.go
@@ -1,9 +1,10 @@
-// Package clusterapi holds what a sender and the processes around it hand each other. The sender declares it; what stands
-// behind it is internal/cluster, or nothing.
+// Package clusterapi defines the interfaces between a sender and its cluster, and the types that they exchange. Package
+// internal/cluster implements Cluster; a sender that belongs to no cluster runs without it.
 //
-// All of it is called on the sender's loop and must return at once: no lock that is held over I/O, no wait. What the
-// cluster wants of the sender it posts to the loop (Orders). The answer comes by a function that is handed along, called on
-// the loop after the append of that turn: what it says is on disk by then.
+// The sender calls the methods of Cluster and Guide on its loop, so they must return at once: they must not block, and must
+// not take a lock that is held during I/O. The cluster calls the methods of Orders, which post an order to the sender's
+// loop. The answer to an order comes through its done function, which is called on the loop after the append of that turn,
+// so its content is on disk by then.
 package clusterapi
 
 import (
@@ -12,57 +13,59 @@
 	"flaxcove/choice"
 )
 
-// Row is what one sender saw of a destination's endpoints in one zone since its last digest.
+// Row counts what one sender observed at a destination's endpoints in one zone since its last digest.
 type Row struct {
 	Destination choice.DestinationID `json:"d"`
 	Kind        choice.KindNo        `json:"k,omitempty"`
 	Zone        string               `json:"z"`
-	Sent        uint64               `json:"s,omitempty"` // calls
-	Done        uint64               `json:"o,omitempty"`
-	Failed      uint64               `json:"f,omitempty"` // errored, timed out, not connected, reset
-	Unanswered  uint64               `json:"q,omitempty"` // of these: timed out or not connected
-	Rejected    uint64               `json:"r,omitempty"` // rejected by the endpoint
-	Endpoints   int                  `json:"e,omitempty"` // listed there
-	Limit       float64              `json:"l,omitempty"` // calls a second, of all senders, as last reported there; 0 for none
-	Rating      float64              `json:"w,omitempty"` // summed over the endpoints, as the list gives it
-	Waiting     int                  `json:"h,omitempty"` // messages waiting for the destination (in one row of it)
+	Sent        uint64               `json:"s,omitempty"` // calls sent
+	Done        uint64               `json:"o,omitempty"` // calls whose messages the endpoint has handled
+	Failed      uint64               `json:"f,omitempty"` // calls that errored, timed out, were reset or could not connect
+	Unanswered  uint64               `json:"q,omitempty"` // part of Failed: calls that timed out or could not connect
+	Rejected    uint64               `json:"r,omitempty"` // calls rejected by the endpoint
+	Endpoints   int                  `json:"e,omitempty"` // endpoints in the endpoint list
+	Limit       float64              `json:"l,omitempty"` // calls per second of all senders, as last reported there; 0 if there is no limit
+	Rating      float64              `json:"w,omitempty"` // sum of the endpoints' ratings in the endpoint list
+	Waiting     int                  `json:"h,omitempty"` // messages waiting for the destination; set in only one of its rows
 }
 
-// Count is how many messages one client host submitted for a destination since the last digest, each message once.
+// Count is the number of messages that one client host submitted for a destination since the last digest. Each message is
+// counted once.
 type Count struct {
 	Destination choice.DestinationID `json:"d"`
-	Client      string               `json:"p"` // the client's host, as the sender tells clients apart
+	Client      string               `json:"p"` // the client's host, by which the sender tells clients apart
 	Messages    uint64               `json:"n"`
 }
 
-// Digest is what a sender hands over, twice a second. The receiver owns it.
+// Digest is a sender's summary of its traffic since the digest before. A sender passes one to Cluster.Digest twice a second,
+// and the receiver owns it.
 type Digest struct {
 	Rows   []Row
 	Counts []Count
-	// Longest is the longest deadline of any class and message: what was accepted longer ago has ended.
+	// Longest is the longest time to the deadline of any class and message. Messages accepted longer ago have ended.
 	Longest time.Duration
 }
 
-// Guide is the routing plan that the cluster has decided, as it stands now. It is immutable, and read without a lock at
-// each attempt.
+// Guide is a routing plan that the cluster has decided. It is immutable and is read without a lock at each attempt.
 type Guide interface {
-	// Allowed reports whether a message may go to an endpoint of a destination in a zone. It depends on nothing but its
-	// arguments and the plan, and takes nanoseconds.
+	// Allowed reports whether message n may be sent to an endpoint of destination d in a zone. The result depends only on
+	// the arguments and the plan. The call takes nanoseconds.
 	Allowed(n choice.MessageID, d choice.DestinationID, zone choice.ZoneNo) bool
 }
 
-// Cluster is what a sender knows of the processes around it.
+// Cluster is the cluster that a sender has joined, as the sender uses it.
 type Cluster interface {
 	// Digest takes the sender's next digest.
 	Digest(Digest)
-	// Guide returns the routing plan; nil for none, which allows all.
+	// Guide returns the current routing plan, or nil if there is none; then every endpoint is allowed.
 	Guide() Guide
-	// Woke asks for what the region knows of a destination that this sender has evicted. The answer comes by
+	// Woke asks for the region's learned state of a destination that this sender has evicted. The answer comes through
 	// Orders.Teach, or never.
 	Woke(d choice.DestinationID)
 }
 
-// Match names messages, or learned state. Empty fields match all; at least one must be set.
+// Match selects messages or learned state. A message must match all fields that are set; an empty field matches everything.
+// At least one field must be set.
 type Match struct {
 	Destination *choice.DestinationID `json:"destination,omitempty"`
 	Class       string                `json:"workload,omitempty"`
@@ -70,56 +73,58 @@
 	KeyPrefix   string                `json:"key_prefix,omitempty"`
 }
 
-// Found is what a purge met at one process.
+// Found counts the messages or endpoints that a purge matched at one process.
 type Found struct {
-	NotBegun     int `json:"not_begun"` // ended here and now, and answered so
-	MayRun       int `json:"may_run"`   // a call is or was in flight: reported so, and not sent again
-	Delivered    int `json:"delivered"` // ended before the purge came, as far as is remembered
+	NotBegun     int `json:"not_begun"` // messages that had not run: ended by the purge, and reported as failed
+	MayRun       int `json:"may_run"`   // messages whose call is or was in flight: they may have run, and are not sent again
+	Delivered    int `json:"delivered"` // messages that ended before the purge, as far as they are remembered
 	LearnedState int `json:"learnt"`    // endpoints whose learned state was dropped
 }
 
-// Purge is one order to withdraw messages, or to drop learned state.
+// Purge is an order to withdraw messages or to drop learned state.
 type Purge struct {
-	Seq          uint64 // of the ledger; a process applies purges in this order, each once
+	Seq          uint64 // sequence number in the purge ledger; a process applies purges in this order, each once
 	ID           string
-	LearnedState bool `json:"Learnt"` // it is about learned state, not messages
+	LearnedState bool `json:"Learnt"` // the purge drops learned state and does not withdraw messages
 	Match        Match
-	// Age is for how long the purge has been in force: what was accepted since is not touched.
+	// Age is the time since the purge was put in force. Messages accepted since then are not withdrawn.
 	Age time.Duration
 }
 
-// LearnedEndpoint is learned state of an endpoint from elsewhere, and how old it is.
+// LearnedEndpoint is the learned state of an endpoint at another process, and the age of that state.
 type LearnedEndpoint struct {
 	Endpoint     choice.EndpointID
 	LearnedState choice.LearnedState
 	Age          time.Duration
 }
 
-// Orders is what a cluster asks of its sender. Each may be called from any goroutine; done is called on the loop.
+// Orders are the orders that a cluster gives to its sender. The methods may be called from any goroutine; done is called on
+// the sender's loop.
 type Orders interface {
-	// Purge applies purges in the order given and makes that durable; one of a Seq that was applied before is answered
-	// again as it was. applied is the highest Seq that is on disk.
+	// Purge applies purges in the order given and records them on disk. A purge whose Seq was applied before is not applied
+	// again, and is answered as it was the first time. applied is the highest Seq on disk.
 	Purge(all []Purge, done func(applied uint64, found []Found))
-	// Applied returns the highest Seq on disk; it is asked at the start, before the loop runs.
+	// Applied returns the highest Seq on disk. It may be called before the loop runs.
 	Applied() uint64
-	// Evict makes the sender drop what it holds of destinations, but for those that must stay, which it returns.
+	// Evict makes the sender drop its state of the given destinations. Destinations that are in use stay, and are passed to
+	// done.
 	Evict(all []choice.DestinationID, done func(retained []choice.DestinationID))
-	// Holding lists the destinations of which something is held, with bytes and what would be lost, for eviction.
+	// Holding lists the destinations of which the sender holds state, for the choice of destinations to evict.
 	Holding(done func([]Held))
-	// Teach hands over learned state from elsewhere, for endpoints of which nothing is known here.
+	// Teach passes learned state from other processes, for endpoints of which this sender has learned nothing.
 	Teach(lessons []LearnedEndpoint)
-	// Know hands out what has been learned of these destinations, of all if none is named.
+	// Know passes to done what this sender has learned of the given destinations, or of all destinations if of is empty.
 	Know(of []choice.DestinationID, done func([]LearnedEndpoint))
-	// Configure puts a configuration in force in one turn, completely or not at all. done is called on the loop: with nil
-	// once it is in force, else with what is wrong, and the settings before stay in force. A version older than the one
-	// in force is rejected.
+	// Configure puts a configuration in force in one turn, completely or not at all. done gets nil once the configuration is
+	// in force; otherwise it gets the error, and the previous settings stay in force. A version older than the one in force
+	// is rejected.
 	Configure(c Configuration, done func(error))
 }
 
-// Held is one destination at one sender.
+// Held is the state that one sender holds of a destination.
 type Held struct {
 	Destination choice.DestinationID
-	Bytes       int
-	Calls       float64 // answers that the learned state rests on: what it would cost to learn it again
-	InUse       bool    // it must stay: a Retry-After, an outage, a slow start, a drain, an ordered key, or anything open
+	Bytes       int     // estimated size in memory
+	Calls       float64 // number of answers that the learned state is based on, so the cost of learning it again
+	InUse       bool    // must not be evicted: a Retry-After, an outage, a slow start, a drain, an ordered key or pending messages
 }
--- a/internal/sender/command.go
+++ b/internal/sender/command.go
@@ -1,7 +1,7 @@
 package sender
 
-// This file handles the commands of clients. A message that is pending or has ended is never accepted a second time, and
-// one that was accepted is never rejected when it is submitted again.
+// This file handles the commands of clients. A message that is pending or has ended is never accepted a second time. A
+// message that was accepted is never rejected when it is submitted again.
 
 import (
 	"strings"
@@ -12,7 +12,8 @@
 	"flaxcove/internal/resp"
 )
 
-// handleCommand answers one command.
+// handleCommand carries out one command of a client and sets its answer, or has addMessage set it later. It runs on the
+// loop.
 func (s *Sender) handleCommand(c *client, args [][]byte) {
 	r := s.expectReply(c)
 	name := ""
@@ -38,7 +39,8 @@
 	}
 }
 
-// addMessage admits a message, or answers why not. An admitted one is answered once its record is written.
+// addMessage handles OUT.ADD: it admits the message, or answers with the reason for which it does not. The client of an
+// admitted message is answered once the message's record is written.
 func (s *Sender) addMessage(r *reply, args [][]byte) {
 	s.counts.submitted++
 	m, err := s.parseMessage(args)
@@ -54,15 +56,15 @@
 		return
 	}
 	m.reply = r
-	s.log.Debug("accepted", zap.String("id", string(m.ID)), zap.String("workload", m.className),
+	s.log.Debug("message admitted", zap.String("id", string(m.ID)), zap.String("workload", m.className),
 		zap.Int64("dest", int64(m.Destination)), zap.Int64("hard_stop_ms", int64((m.Deadline-s.Now())/choice.Millisecond)))
 	s.admit(m)
 	s.choice.Taken(m.Message)
 	s.wakeDestination(m.Destination)
 }
 
-// answerResubmission answers a message that is pending or has ended, and reports whether it is one: a client that saw its
-// connection end submits the same message once more.
+// answerResubmission answers a submission whose id is that of a message that is pending or has ended, and reports whether
+// it did so. Clients submit a message again after their connection ended without an answer.
 func (s *Sender) answerResubmission(r *reply, id choice.MessageID) bool {
 	earlier := s.pending[id]
 	_, ended := s.recentlyEnded[id]
@@ -77,8 +79,8 @@
 	return true
 }
 
-// checkDestination reports whether a destination is known, and answers the message if it is not. Until discovery has
-// answered that may be for a list that is out of date, so the client is to come again.
+// checkDestination reports whether a destination is known, and answers the message if it is not. Until discovery has sent a
+// list, the known list may be out of date, so the answer is -BUSY and the client may submit the message again.
 func (s *Sender) checkDestination(r *reply, d choice.DestinationID) bool {
 	_, known := s.destinationSeen[d]
 	switch {
@@ -92,7 +94,8 @@
 	return false
 }
 
-// longestReturnMS is when a client is to come again, in milliseconds, where no message of any kind can be accepted.
+// longestReturnMS returns the time in milliseconds after which a client may submit a message again while the sender can
+// accept no message at all.
 func (s *Sender) longestReturnMS() int64 {
 	return int64(s.cfg.Settings.MaxRetryAfter / choice.Millisecond)
 }
--- a/internal/sender/configure.go
+++ b/internal/sender/configure.go
@@ -1,8 +1,9 @@
 package sender
 
-// This file changes the settings of a running sender: a configuration that the cluster has decided comes as an order and is
-// put in force between two turns. An older version is never put in force after a newer one, nor part of one: all checks
-// are made before anything changes. Accepted messages keep their deadline, the number of their class and their records.
+// This file changes the settings of a running sender. A configuration that the cluster has decided arrives as an order and
+// is put in force between two turns. All checks are made before anything changes, so a configuration is put in force
+// completely or not at all, and an older version never replaces a newer one. Accepted messages keep their deadline, the
+// number of their class and their records.
 
 import (
 	"bytes"
@@ -18,7 +19,7 @@
 	"flaxcove/internal/sender/clusterapi"
 )
 
-// Configure puts a configuration in force, or says why not.
+// Configure implements clusterapi.Orders.
 func (o orders) Configure(c clusterapi.Configuration, done func(error)) {
 	o.s.enqueueOrder(func() {
 		err := o.s.configure(c)
@@ -26,28 +27,30 @@
 	})
 }
 
+// configure puts a configuration in force, or returns an error that says why it was rejected. It does nothing if the
+// configuration is in force already.
 func (s *Sender) configure(c clusterapi.Configuration) error {
 	if s.inForce(c) {
 		return nil
 	}
 	next, err := s.checkConfiguration(c)
 	if err != nil {
-		s.log.Warn("configuration rejected", zap.Uint64("version", c.Version), zap.Uint64("in_force", s.cfg.Version), zap.Error(err))
+		s.log.Warn("configuration rejected; the previous one stays in force", zap.Uint64("version", c.Version), zap.Uint64("in_force", s.cfg.Version), zap.Error(err))
 		return err
 	}
 	before := s.cfg.Version
 	s.apply(next)
-	s.log.Info("configuration in force", zap.Uint64("version", c.Version), zap.Uint64("before", before))
-	s.log.Debug("configuration", zap.Any("settings", next.Settings))
+	s.log.Info("configuration put in force", zap.Uint64("version", c.Version), zap.Uint64("before", before))
+	s.log.Debug("settings of the configuration in force", zap.Any("settings", next.Settings))
 	return nil
 }
 
-// inForce reports whether an order has been carried out already.
+// inForce reports whether c is the configuration that is in force.
 func (s *Sender) inForce(c clusterapi.Configuration) bool {
 	return c.Version == s.cfg.Version && bytes.Equal(c.Settings, s.cfg.SettingsInForce())
 }
 
-// checkConfiguration returns the configuration that an order leads to, or what is wrong with it.
+// checkConfiguration returns the sender's configuration with the settings of c, or an error if c is not newer or not valid.
 func (s *Sender) checkConfiguration(c clusterapi.Configuration) (*config.Config, error) {
 	switch {
 	case c.Version < s.cfg.Version:
@@ -63,12 +66,12 @@
 		return nil, err
 	}
 	next.Version = c.Version
-	next.Settings.Notes = next.Settings.Notes && s.peers != nil // gossip stays off where it could not be started
+	next.Settings.Notes = next.Settings.Notes && s.peers != nil // gossip stays off if it was not started
 	return next, nil
 }
 
-// apply makes all that reads settings, or holds something derived of them, go by the new ones. The watch of the endpoint
-// list goes on with the number of senders that it began with, which only spaces its calls after an error.
+// apply replaces the configuration and updates everything that is derived from the settings. The running watch of the
+// endpoint list keeps the number of senders with which it started; this number only spaces its calls after an error.
 func (s *Sender) apply(next *config.Config) {
 	previous := s.cfg
 	s.cfg = next
@@ -79,7 +82,8 @@
 		s.digestState.includeClasses(next.Settings.Classes)
 	}
 	s.choice.Configure(next.Settings)
-	// Only what changed is worked through: with a large list each pass over it blocks the loop for tens of milliseconds.
+	// Each pass over a large endpoint list blocks the loop for tens of milliseconds, so a pass is made only if its settings
+	// have changed.
 	if !slices.Equal(previous.Settings.Kinds, next.Settings.Kinds) {
 		for _, e := range s.endpoints {
 			e.bulkMax = s.bulkMaxOf(e.kind)
@@ -95,14 +99,15 @@
 	}
 }
 
-// withSystemLimits is a configuration whose sockets are no more than the system gives.
+// withSystemLimits returns a copy of cfg whose limit of sockets is at most the descriptor limit of the process.
 func (s *Sender) withSystemLimits(cfg *config.Config) *config.Config {
 	given := *cfg
 	given.Limits.Sockets = min(given.Limits.Sockets, descriptorLimit())
 	return &given
 }
 
-// restartIdleTimers closes idle links by the new ConnIdle, counted from when each became idle, as their endpoints do.
+// restartIdleTimers restarts the timers of an endpoint's idle links with the new ConnIdle, counted from the time at which
+// each link became idle, because the endpoint counts from there too.
 func (s *Sender) restartIdleTimers(e *endpoint) {
 	for _, l := range e.idle {
 		s.cancelTimer(l.idleTimer)
@@ -110,7 +115,7 @@
 	}
 }
 
-// startIdleTimer closes an idle link before its endpoint would.
+// startIdleTimer starts the timer that closes an idle link shortly before its endpoint would close it.
 func (s *Sender) startIdleTimer(l *link) {
 	l.idleTimer = nil
 	if keep := time.Duration(config.Nanoseconds(s.cfg.Settings.ConnIdle)); keep > 0 {
@@ -119,7 +124,7 @@
 	}
 }
 
-// renumberEndpoints applies the list's entries again of endpoints whose zone or kind has got another number.
+// renumberEndpoints applies the list entries again for all endpoints whose zone or kind has a different number now.
 func (s *Sender) renumberEndpoints() {
 	var named []directory.Entry
 	for _, e := range s.endpoints {
--- a/internal/sender/drain.go
+++ b/internal/sender/drain.go
@@ -1,7 +1,7 @@
 package sender
 
-// This file owns the graceful shutdown: what is still begun after the signal, and when the process may end. Messages that
-// are pending by then stay in the journal.
+// This file implements the graceful shutdown: which work may still begin after the signal, and when the process may end.
+// Messages that are pending at the end stay in the journal.
 
 import (
 	"strings"
@@ -10,43 +10,47 @@
 	"go.uber.org/zap"
 )
 
-// The steps of a graceful shutdown, from the signal. A planned restart leaves 3.7 s until the kill. New calls stop early,
-// so that those in flight can end before the process does: one that is cut off may have run, and a message that must not
-// run twice is lost with it.
+// These are the steps of a graceful shutdown, as times since the signal. A planned restart leaves 3.7 s until the kill. New
+// calls stop early, so that calls in flight can end before the process does: a call that is cut off may have run, and a
+// message that must not run twice is lost with it.
 const (
-	drainAcceptTime = 500 * time.Millisecond  // clients still connect, and their messages are accepted
-	drainSendTime   = 2500 * time.Millisecond // calls still begin
-	drainReadTime   = 3100 * time.Millisecond // clients are waited for; then only what was read is answered
-	drainEndTime    = 3300 * time.Millisecond // nothing is accepted any more, and the process ends with its last client
+	drainAcceptTime = 500 * time.Millisecond  // the process ends no earlier; also the time that a new client has for its first command
+	drainSendTime   = 2500 * time.Millisecond // until then calls begin and messages are accepted
+	drainReadTime   = 3100 * time.Millisecond // until then busy clients are waited for; then only input already read is answered
+	drainEndTime    = 3300 * time.Millisecond // from then on no input is accepted, and the process ends with its last client
 	drainHardEnd    = 3500 * time.Millisecond // the process ends
 )
 
-// Drain begins a graceful shutdown; Run returns when it is over.
+// Drain starts a graceful shutdown now. Run returns when it is over.
 func (s *Sender) Drain() { s.DrainSince(time.Now()) }
 
-// DrainSince is Drain for a signal that came before now: the kill comes at a time that counts from the signal, however
-// long the start took or the loop, which may be writing the journal.
+// DrainSince starts a graceful shutdown whose steps count from signal, the time at which the process received the signal.
+// The kill comes a fixed time after the signal, even if the start of the process took long or the loop is busy writing the
+// journal.
 func (s *Sender) DrainSince(signal time.Time) {
 	at := signal.Sub(s.start)
 	s.post(func() { s.startDrain(at) })
 }
 
-// sinceDrain is the time since the signal.
+// sinceDrain returns the time since the signal.
 func (s *Sender) sinceDrain() time.Duration { return s.clock() - s.drainSince }
 
+// startDrain starts the graceful shutdown for a signal received at the time at on the sender's clock. A second signal has no
+// effect.
 func (s *Sender) startDrain(at time.Duration) {
 	if s.draining {
 		return
 	}
 	s.draining, s.drainSince = true, at
-	s.log.Info("draining", zap.Int("owed", len(s.pending)))
+	s.log.Info("graceful shutdown started", zap.Int("owed", len(s.pending)))
 	s.closeIdleClients()
 	for _, step := range []time.Duration{drainAcceptTime, drainReadTime, drainEndTime, drainHardEnd} {
-		s.after(step-s.sinceDrain(), func() {}) // checkDrain runs in its turn
+		s.after(step-s.sinceDrain(), func() {}) // the timer only causes a turn, in which checkDrain runs
 	}
 }
 
-// checkDrain closes clients, and ends the loop when it is time.
+// checkDrain closes clients and ends the loop as the steps of the graceful shutdown require. It does nothing before a
+// graceful shutdown.
 func (s *Sender) checkDrain() {
 	if !s.draining {
 		return
@@ -57,7 +61,7 @@
 	}
 	s.closeIdleClients()
 	if since >= drainHardEnd {
-		// The process's end resets each connection with unread input, so our sending ends before.
+		// The end of the process resets connections that have unread input, so the sending side is shut down first.
 		s.clients.halfCloseAll(s.clock())
 		s.ended = true
 		return
@@ -68,17 +72,18 @@
 	}
 }
 
-// shutDown ends what belongs to the loop; what is pending stays in the journal.
+// shutDown stops everything that belongs to the loop: watches, gossip, learned state and the journal. Pending messages stay
+// in the journal.
 func (s *Sender) shutDown() {
 	close(s.stop)
 	s.endWatches(len(s.watches))
 	s.stopGossip()
 	s.saveLearned()
 	if err := s.journal.Close(); err != nil {
-		s.log.Error("journal", zap.Error(err))
+		s.log.Error("cannot close the journal", zap.Error(err))
 	}
-	s.log.Info("ended", zap.Int("owed", len(s.pending)), zap.String("counters", strings.Join(s.Counters(), " ")))
+	s.log.Info("graceful shutdown ended", zap.Int("owed", len(s.pending)), zap.String("counters", strings.Join(s.Counters(), " ")))
 }
 
-// pastSendTime reports whether it is too late in a graceful shutdown to begin a call.
+// pastSendTime reports whether a graceful shutdown has passed drainSendTime, so that no call may begin.
 func (s *Sender) pastSendTime() bool { return s.draining && s.sinceDrain() >= drainSendTime }
--- a/internal/sender/lingering_close.go
+++ b/internal/sender/lingering_close.go
@@ -1,9 +1,10 @@
 package sender
 
-// This file closes client connections in order (a lingering close): our side ends its sending first; what still comes is
-// read and discarded until the client has ended its side, or until a bound. Closing a socket with unread bytes would reset
-// the connection, and an answer on its way would be lost with it. Our sending must never end while a command that was read
-// waits for its answer, and no command that is read later may be accepted: its client submits that elsewhere.
+// This file implements the lingering close of client connections. The sender first shuts down its sending side (half-close)
+// and then reads and discards input until the client has closed its side, or until a limit of time or bytes. Closing a
+// socket with unread bytes would reset the connection, and an answer on its way would be lost with it. The sending side
+// must never be shut down while a command that was read waits for its answer. A command that is read after the half-close
+// must not be accepted, because its client submits it elsewhere.
 
 import (
 	"errors"
@@ -14,15 +15,17 @@
 )
 
 const (
-	// lingerTimeout is by when, after firstInputTimeout, a client that has not ended its side is cut off. Silent clients
-	// are to be closed within 3 s, this included.
+	// lingerTimeout is the time after firstInputTimeout at which the connection of a lingering client is closed, even if
+	// the client has not closed its side. It is part of the 3 s within which a silent client has to be closed.
 	lingerTimeout = 300 * time.Millisecond
-	// maxDiscarded is what a lingering client may still send: some full windows of usual commands. Reading one that sends
-	// without end would cost a core.
+	// maxDiscarded is the maximum number of bytes that a lingering client may still send, enough for several full windows
+	// of usual commands. Without a limit, a client that sends all the time would keep one core busy.
 	maxDiscarded = 4 * maxInput
 )
 
-// halfCloseClient ends our sending to a client if nothing is pending, and reports whether the client lingers now.
+// halfCloseClient starts the lingering close of a client unless input or commands are pending, and reports whether the
+// client is lingering now. After drainReadTime of a graceful shutdown, a client from which no complete command has been read
+// is rejected instead.
 func (s *Sender) halfCloseClient(c *client) bool {
 	hurry := s.draining && s.sinceDrain() >= drainReadTime
 	s.clients.Lock()
@@ -39,19 +42,21 @@
 	return true
 }
 
-// boundLingering closes a client that does not end its side in time. A rejected one may send its first command before.
+// boundLingering starts the timers that close the connection of a lingering client. A rejected client has firstInputTimeout
+// to send its first command before its connection is half-closed.
 func (s *Sender) boundLingering(c *client) {
 	s.after(firstInputTimeout, func() {
 		s.clients.Lock()
 		defer s.clients.Unlock()
-		s.clients.halfClose(c, s.clock(), c.lingerReason, false) // where input has come, the reader does it
+		s.clients.halfClose(c, s.clock(), c.lingerReason, false) // if input has arrived, the reader half-closes instead
 	})
 	s.after(firstInputTimeout+lingerTimeout, func() { c.conn.Close() })
 }
 
-// halfClose ends our sending unless something is pending, and reports whether it has ended. It is the step that decides:
-// a command that the reader has counted before is answered, and one that it counts later is discarded. In a hurry, input
-// that is still in the socket and incomplete commands are not waited for. The table is locked.
+// halfClose shuts down the sending side unless input or commands are pending, and reports whether it is shut down. This call
+// decides which commands are handled: a command that the reader has counted before it is answered, and a command counted
+// later is discarded. With hurry, halfClose does not wait for input in the socket or for incomplete commands. The caller
+// holds the table's lock.
 func (t *clientTable) halfClose(c *client, now time.Duration, why reason, hurry bool) bool {
 	c.stateLock.Lock()
 	defer c.stateLock.Unlock()
@@ -60,9 +65,9 @@
 		return true
 	case c.descriptorClosed || len(c.window) > 0:
 		return false
-	case c.ignoreInput.Load(): // what follows is not answered, so nothing is waited for
-	// What has left the socket is in netpoll's buffer or with the reader, which is busy until it has counted a command
-	// or has noted an incomplete one. So they are checked in this order.
+	case c.ignoreInput.Load(): // further input is not answered, so it is not waited for
+	// Input moves from the socket to netpoll's buffer and then to the reader. The reader is busy until it has counted a
+	// command or set partialSince. The checks follow the same order, so that they cannot miss input on its way.
 	case !hurry && !noInputPending(c.conn) || c.conn.Reader().Len() > 0 || c.readerBusy.Load():
 		return false
 	case !hurry && c.partialSince.Load() != 0 || len(c.window) > 0:
@@ -73,9 +78,10 @@
 	return true
 }
 
-// reject takes a client's place, but does not close its connection yet: a command whose new connection is closed without
-// an answer has failed, so the first input is answered with -BUSY. It reports whether that was possible, which it is not
-// while the reader has input in hand: of several commands only the first would be answered. The table is locked.
+// reject releases the place of a client whose first input is then answered with -BUSY. Its connection stays open for that,
+// because a command that meets a closed new connection counts as failed. It reports whether the client was rejected. This
+// is not possible while the reader is handling input, because only the first of several commands would be answered. The
+// caller holds the table's lock.
 func (t *clientTable) reject(c *client, now time.Duration, why reason) bool {
 	c.stateLock.Lock()
 	defer c.stateLock.Unlock()
@@ -87,7 +93,8 @@
 	return true
 }
 
-// releasePlace gives back a client's place. The table and the client's stateLock are locked.
+// releasePlace marks a client as lingering, so that it no longer counts as served. The caller holds the table's lock and the
+// client's stateLock.
 func (t *clientTable) releasePlace(c *client, now time.Duration, why reason) {
 	if !c.lingering && !c.descriptorClosed {
 		c.lingering, c.lingeringSince, c.lingerReason = true, now, why
@@ -95,7 +102,7 @@
 	}
 }
 
-// closeWrite writes a last answer, if there is one, and ends our sending. The client's stateLock is locked.
+// closeWrite writes last, if it is not empty, and shuts down the sending side. The caller holds the client's stateLock.
 func (c *client) closeWrite(last []byte) {
 	c.writeClosed = true
 	conn, known := c.conn.(netpoll.Conn)
@@ -103,12 +110,12 @@
 		return
 	}
 	if len(last) > 0 {
-		_, _ = syscall.Write(conn.Fd(), last) // nothing else was written before, and one that has gone misses nothing
+		_, _ = syscall.Write(conn.Fd(), last) // the first write on this connection; an error means that the client has gone
 	}
 	_ = syscall.Shutdown(conn.Fd(), syscall.SHUT_WR)
 }
 
-// connEnded is called before netpoll gives the descriptor back.
+// connEnded marks a client's descriptor as closed. It is called before netpoll closes the descriptor.
 func (t *clientTable) connEnded(c *client) {
 	t.Lock()
 	defer t.Unlock()
@@ -120,7 +127,7 @@
 	c.descriptorClosed = true
 }
 
-// stopIfEmpty rejects all new clients from now on if there are none left, and reports whether that is so.
+// stopIfEmpty reports whether no client is connected. If none is, all new clients are rejected from then on.
 func (t *clientTable) stopIfEmpty() bool {
 	t.Lock()
 	defer t.Unlock()
@@ -128,7 +135,7 @@
 	return len(t.all) == 0
 }
 
-// ignoreAllInput makes sure that nothing more is accepted, from present clients and from new ones.
+// ignoreAllInput makes the readers ignore all further input of connected clients, and rejects new clients.
 func (t *clientTable) ignoreAllInput() {
 	t.Lock()
 	defer t.Unlock()
@@ -138,7 +145,7 @@
 	}
 }
 
-// halfCloseAll ends our sending to all clients at the last moment; rejected ones may have had time to send until then.
+// halfCloseAll half-closes the connections of all clients, rejected ones included, just before the process ends.
 func (t *clientTable) halfCloseAll(now time.Duration) {
 	t.Lock()
 	defer t.Unlock()
@@ -147,8 +154,9 @@
 	}
 }
 
-// acquireWindow counts a command, and waits while the window of commands without an answer is full. It reports whether the
-// command is to be handled: once our sending has ended, its client submits it elsewhere.
+// acquireWindow counts a command in the client's window of unanswered commands, and blocks while the window is full. It
+// reports whether the command is to be handled. A command that is read after the half-close is not: its client submits it
+// elsewhere. Only the reader calls acquireWindow.
 func (s *Sender) acquireWindow(c *client) bool {
 	c.window <- struct{}{}
 	if s.discardsInput(c) {
@@ -158,8 +166,8 @@
 	return true
 }
 
-// discardsInput reports to the reader whether input is to be discarded, as our sending has ended. The first input of a
-// rejected client is answered here.
+// discardsInput reports whether the reader has to discard input because the sending side is shut down. If c is a rejected
+// client with its first input, discardsInput answers it with -BUSY and half-closes the connection.
 func (s *Sender) discardsInput(c *client) bool {
 	c.stateLock.Lock()
 	defer c.stateLock.Unlock()
@@ -169,7 +177,8 @@
 	return c.writeClosed
 }
 
-// discardIfLingering counts input that is to be discarded, and reports whether it is. It closes a client that sends on.
+// discardIfLingering reports whether more bytes of new input are to be discarded, and counts them if so. It closes the
+// connection once more than maxDiscarded bytes have been discarded.
 func (s *Sender) discardIfLingering(c *client, more int) bool {
 	if !s.discardsInput(c) {
 		return false
@@ -180,8 +189,8 @@
 	return true
 }
 
-// noInputPending reports whether a connection is open and nothing has come on it that is not read yet. It asks the socket
-// itself first and netpoll's buffer after it: the other way round, bytes that move from one to the other would be missed.
+// noInputPending reports whether a connection is open and has no unread input. It checks the socket first and netpoll's
+// buffer second. In the reverse order it would miss bytes that move from the socket to the buffer in between.
 func noInputPending(conn netpoll.Connection) bool {
 	fd, known := conn.(netpoll.Conn)
 	if !known || !conn.IsActive() {
--- a/internal/sender/message.go
+++ b/internal/sender/message.go
@@ -1,7 +1,7 @@
 package sender
 
-// This file holds what a sender keeps of a message, and how a message ends. Once a message is accepted, only endMessage
-// and closeMessage may end it.
+// This file defines the state that a sender keeps of a message, and how a message ends. Once a message is accepted, only
+// endMessage and closeMessage may end it.
 
 import (
 	"go.uber.org/zap"
@@ -9,45 +9,46 @@
 	"flaxcove/choice"
 )
 
-// message is one that was submitted and has not ended. It is removed from admission.pending when nothing more is to be
-// done for it.
+// message is a submitted message. It stays in admission.pending until it is closed (endClosed). The loop owns it.
 type message struct {
 	choice.Message
-	key string // the ordering key; in a bulk call it stands in for a missing idempotency key
-	// idempotencyKey and tenant are as the client gave them. Endpoints know a repeat by the key, whatever id it has.
+	key string // ordering key; a bulk call uses it in place of a missing idempotency key
+	// idempotencyKey and tenant are the client's values, or empty. Endpoints recognise a repeat by idempotencyKey, whatever
+	// the id of the message is.
 	idempotencyKey, tenant string
 	className              string
 	body                   []byte
-	reply                  *reply // nil once the client has its answer
-	journaled              bool   // its record is written, or waits in the batch
-	attempts               int    // by this process
-	inFlight               *call
-	acceptedAt             choice.Time // by the wall clock of its process; 0 where an older record does not say
-	attemptOnRecord        bool        // an attempt that may have run is on record
-	ranInZoneName          string      // where an attempt may have run; zones' numbers change with the settings
+	reply                  *reply      // the client's reply; nil once it is set
+	journaled              bool        // the accepted record is written, or added to the next append
+	attempts               int         // attempts of this process
+	inFlight               *call       // nil if no call carries the message
+	acceptedAt             choice.Time // on the wall clock of the accepting process; 0 if an old record does not contain it
+	attemptOnRecord        bool        // the journal has an attempt record that is not revoked
+	ranInZoneName          string      // zone in which an attempt may have run; a zone's number changes with the settings
 	ending                 ending
-	// withdrawn says that a purge has matched it. While its call is out, its end is on record but waits for the answer.
+	// withdrawn is set when a purge has matched the message. If a call is in flight then, the message's end is on record,
+	// but is reported only when the call has ended.
 	withdrawn bool
-	size      int64 // of its first record in the journal
+	size      int64 // size in bytes of the accepted record in the journal
 }
 
-// endKind is written to the journal.
+// endKind says whether and how a message has ended. Its values are stored in the journal.
 type endKind byte
 
 const (
-	endNone   endKind = iota // it has not ended
-	endShed                  // not delivered, never run: its client may submit it again
-	endFailed                // not delivered, and not to be attempted elsewhere
-	endClosed                // nothing more is to be done: delivered, or its end is reported
+	endNone   endKind = iota // has not ended
+	endShed                  // not delivered and never run: the client may submit it again
+	endFailed                // not delivered, and must not be attempted elsewhere
+	endClosed                // closed: delivered, or its end is reported
 )
 
-// ending is how a message ends that was not delivered.
+// ending is the end of a message that was not delivered. The zero value means that the message has not ended.
 type ending struct {
 	kind    endKind
-	retryMS int64 // of endShed: when to submit it again, 0 for no time
+	retryMS int64 // for endShed: milliseconds after which the client may submit the message again; 0 if not known
 }
 
-// closeMessage ends a message for which nothing more is to be done.
+// closeMessage closes a message: nothing more has to be done for it. A message without an ending counts as delivered.
 func (s *Sender) closeMessage(m *message) {
 	if m.ending.kind == endClosed {
 		return
@@ -65,13 +66,13 @@
 	m.body = nil
 }
 
-// endMessage ends a message undelivered. A client that still waits for its answer gets it now; else the end is recorded
-// and reported to the platform.
+// endMessage ends a message that was not delivered. If the client still waits for its answer, the answer says so and the
+// message is closed. Otherwise the end is recorded and reported to the platform. It does nothing for a nil or ended message.
 func (s *Sender) endMessage(m *message, how ending) {
 	if m == nil || m.ending.kind != endNone {
 		return
 	}
-	s.log.Debug("ends undelivered", zap.String("id", string(m.ID)), zap.Bool("handed_back", how.kind == endShed),
+	s.log.Debug("message ended without delivery", zap.String("id", string(m.ID)), zap.Bool("handed_back", how.kind == endShed),
 		zap.Int64("retry_ms", how.retryMS), zap.Int("tries", m.attempts), zap.Bool("may_have_run", m.MayRun),
 		zap.Bool("client_waits", m.reply != nil))
 	s.countEnding(m, how)
@@ -91,6 +92,7 @@
 	s.closeMessage(m)
 }
 
+// countEnding counts the end of a message that was not delivered.
 func (s *Sender) countEnding(m *message, how ending) {
 	switch {
 	case how.kind == endShed:
--- a/internal/sender/message_parse.go
+++ b/internal/sender/message_parse.go
@@ -14,18 +14,19 @@
 )
 
 const (
-	maxID          = 128                 // bytes of an id, and of each kind of key
-	maxHoldMS      = 24 * 60 * 60 * 1000 // until its deadline, that a message may ask for
-	maxDestination = 1 << 53             // up to here each whole number is a float64
+	maxID          = 128                 // maximum length in bytes of an id, and of each kind of key
+	maxHoldMS      = 24 * 60 * 60 * 1000 // longest time in milliseconds to the deadline that a message may ask for
+	maxDestination = 1 << 53             // every whole number up to here is exact in a float64
 )
 
-// messageFields are the parts of the list of OUT.ADD that are numbers.
+// messageFields holds the numeric fields in the list of OUT.ADD; a missing or invalid one is -1.
 type messageFields struct {
-	holdMS      float64 // d
-	destination float64 // dest
+	holdMS      float64 // field d: milliseconds to the deadline
+	destination float64 // field dest
 }
 
-// parseMessage makes a message of the arguments of OUT.ADD, accepted now.
+// parseMessage parses the arguments of OUT.ADD, the command's name included, into a message that is accepted now. The text
+// of an error is sent to the client.
 func (s *Sender) parseMessage(args [][]byte) (*message, error) {
 	if len(args) != 5 {
 		return nil, fmt.Errorf("OUT.ADD takes a key, an id, a list and a body, not %d arguments", len(args)-1)
@@ -54,8 +55,8 @@
 	return m, nil
 }
 
-// parseFields reads name=value pairs, separated by commas. Names that are not known are passed over, and numbers that
-// are missing are -1.
+// parseFields parses name=value pairs separated by commas. It sets the string fields of m and returns the numeric ones.
+// Unknown names are ignored.
 func (m *message) parseFields(list string) messageFields {
 	f := messageFields{holdMS: -1, destination: -1}
 	for pair := range strings.SplitSeq(list, ",") {
@@ -75,7 +76,7 @@
 	return f
 }
 
-// account is the account whose share a message counts to, -1 for a tenant that the settings do not name.
+// account returns the account of a tenant, whose share its messages use, or -1 if the settings do not name the tenant.
 func (s *Sender) account(tenant string) choice.AccountNo {
 	if no, known := s.cfg.Accounts[tenant]; known {
 		return no
@@ -83,8 +84,8 @@
 	return -1
 }
 
-// parseDecimal reads digits with decimals at most, and is -1 for any other text: names like Infinity, exponents and
-// hexadecimal numbers, which strconv reads too, are not meant.
+// parseDecimal parses a number of digits with an optional decimal point. It returns -1 for any other text, also for forms
+// that strconv accepts but OUT.ADD does not: names such as Infinity, exponents and hexadecimal numbers.
 func parseDecimal(text string) float64 {
 	v, err := strconv.ParseFloat(text, 64)
 	if err != nil || strings.Trim(text, "0123456789.") != "" {
@@ -93,7 +94,8 @@
 	return v
 }
 
-// isVisible reports whether an id or key can stand in a header field: nothing in it may end a line, a field or a string.
+// isVisible reports whether an id or key can be used in a header field: it is not empty, has at most maxID bytes, and has no
+// character that would end a line, a field or a quoted string.
 func isVisible(id []byte) bool {
 	for _, c := range id {
 		if c <= ' ' || c >= 0x7f || c == '"' || c == '\\' {
@@ -103,8 +105,8 @@
 	return len(id) > 0 && len(id) <= maxID
 }
 
-// orderKey is a client's ordering key as package choice takes it: zeros stand for none, and text that is no hexadecimal
-// number is hashed.
+// orderKey converts a client's ordering key to the form of package choice. Zeros mean no key. A text that is not a
+// hexadecimal number is hashed.
 func orderKey(text string) choice.OrderKey {
 	k, err := strconv.ParseUint(text, 16, 64)
 	if err != nil {
--- a/internal/sender/move_test.go
+++ b/internal/sender/move_test.go
@@ -123,7 +123,7 @@
 	// call a: POST /inbox
 	//    of
 	// client: +OK
-	// field state: DIR owes 1 notices of workload "offer", which field settings.classes does not name; end them under the settings that they came with
+	// field state: DIR holds 1 unfinished messages of workload "offer", which field settings.classes does not name; run the process with the settings under which they were accepted until they have ended
 	// owed: 1 to the platform: 0
 }
 
--- a/internal/sender/purge.go
+++ b/internal/sender/purge.go
@@ -1,13 +1,14 @@
 package sender
 
-// This file applies purges, which withdraw messages: it owns those that wait for the loop, the last ones applied, and what
-// becomes of each message that one matches. No purge is answered before its effect is on disk, applied twice or out of
-// order, touches what was accepted after it, or reports a message as not begun that may have run.
+// This file applies purges, which withdraw messages or drop learned state. It owns the purges that wait to be applied, the
+// last purges that were applied, and the handling of each message that a purge matches. A purge is answered only after its
+// effect is on disk. It is applied once, in the order of Seq. It does not withdraw messages that were accepted after it, and
+// does not report a message as not begun if the message may have run.
 //
-// The journal holds one record a purge, beside the usual ones of each message's end, in the append of one turn. A message
-// whose call is in flight has its end (failed) recorded at once and reported when the call is over: delivered where the
-// answer says so, else failed. A process that is killed in between reports it failed at its next start and never sends it
-// again. Where no time is left for the call's answer, its time-out or the message's deadline ends the wait.
+// One append of one turn holds the purge's own record and the records of the ends of its messages. If a call of a matched
+// message is in flight, the message's end (failed) is recorded at once and reported when the call has ended: delivered if
+// the answer says so, otherwise failed. The wait ends at the latest with the call's timeout or the message's deadline. If
+// the process is killed in between, the next start reports the message as failed and never sends it again.
 
 import (
 	"encoding/binary"
@@ -23,40 +24,41 @@
 )
 
 const (
-	// The work of a turn is bounded, or ten thousand purges over a full table would block the loop for a second:
-	// comparisons, of some 10 ns each, and records.
+	// purgeWorkPerTurn limits the comparisons of messages with purges in one turn, about 10 ns each, and purgesPerTurn the
+	// records of purges. Without these limits, ten thousand purges over a full table would block the loop for a second.
 	purgeWorkPerTurn = 50_000
 	purgesPerTurn    = 256
-	learnedPurgeWork = 5_000 // of a purge of learned state, which reads a file
-	// maxRememberedPurges bounds the purges that are answered again as they were, after a restart too; older ones are
-	// answered with nothing found. A record has 40 bytes at most.
+	learnedPurgeWork = 5_000 // the work, in comparisons, of a purge of learned state, which reads a file
+	// maxRememberedPurges is the number of purges whose result is remembered, also after a restart, so that a repeated
+	// purge gets the same answer. Older purges are answered with nothing found. A record has at most 40 bytes.
 	maxRememberedPurges = 256
 )
 
-// purgeState is the part of a Sender that holds purges.
+// purgeState is the part of a Sender that holds purges. The loop owns it, except for applied.
 type purgeState struct {
 	waiting []purgeOrder
-	applied atomic.Uint64  // the highest Seq on disk; only the loop writes it
-	seq     uint64         // the highest Seq applied
-	past    []appliedPurge // the last ones, by Seq
+	applied atomic.Uint64  // highest Seq on disk; written by the loop, read by any goroutine
+	seq     uint64         // highest Seq applied
+	past    []appliedPurge // the last maxRememberedPurges applied purges, in the order of Seq
 }
 
 // purgeOrder is one call of Orders.Purge.
 type purgeOrder struct {
 	all   []withdrawal.Order
-	found []clusterapi.Found // of those that are applied
+	found []clusterapi.Found // results of the purges applied so far, in the order of all
 	done  func(uint64, []clusterapi.Found)
 }
 
+// complete reports whether all purges of the order are applied.
 func (o *purgeOrder) complete() bool { return len(o.found) == len(o.all) }
 
-// appliedPurge is what is remembered of a purge.
+// appliedPurge is the remembered result of an applied purge.
 type appliedPurge struct {
 	seq   uint64
 	found clusterapi.Found
 }
 
-// purge queues purges for the next turns.
+// purge queues the purges of an order that arrived at the time at. The next turns apply them.
 func (s *Sender) purge(all []clusterapi.Purge, at choice.Time, done func(uint64, []clusterapi.Found)) {
 	o := purgeOrder{done: done}
 	for _, p := range all {
@@ -65,14 +67,14 @@
 	s.purgeState.waiting = append(s.purgeState.waiting, o)
 }
 
-// applyPurges goes on with the waiting purges, as far as this turn's work allows.
+// applyPurges applies waiting purges up to this turn's limits of work and records.
 func (s *Sender) applyPurges() {
 	work := 0
 	for len(s.purgeState.waiting) > 0 && work < purgeWorkPerTurn {
 		o := &s.purgeState.waiting[0]
 		var err error
 		if work, err = s.applySome(o, work); err != nil {
-			s.after(journalRetryPause, func() {}) // readCluster runs in its turn
+			s.after(journalRetryPause, func() {}) // the timer only causes a turn, which calls applyPurges again
 			return
 		}
 		if !o.complete() {
@@ -89,14 +91,14 @@
 	s.eventsPending = s.eventsPending || len(s.purgeState.waiting) > 0
 }
 
-// applySome applies purges of an order until it is complete, or the work or the records of the turn are at their bound. It
-// returns the work so far, including what was done before.
+// applySome applies purges of an order until it is complete or reaches a limit of the turn. work is the work done in this
+// turn before the call; the result includes it.
 func (s *Sender) applySome(o *purgeOrder, work int) (int, error) {
 	for records := 0; !o.complete() && work < purgeWorkPerTurn && records < purgesPerTurn; records++ {
 		order := &o.all[len(o.found)]
 		f, err := s.applyOnce(order)
 		if err != nil {
-			s.log.Error("purge not applied yet", zap.Uint64("seq", order.Seq), zap.Error(err))
+			s.log.Error("cannot apply a purge yet; it is tried again after a pause", zap.Uint64("seq", order.Seq), zap.Error(err))
 			return work, err
 		}
 		o.found = append(o.found, f)
@@ -108,7 +110,8 @@
 	return work, nil
 }
 
-// applyOnce applies a purge, unless that was done: then it is answered as it was.
+// applyOnce applies a purge and returns its result. A purge that was applied before is not applied again; its result is the
+// remembered one, or the zero value if it is no longer remembered.
 func (s *Sender) applyOnce(order *withdrawal.Order) (f clusterapi.Found, err error) {
 	if order.Seq <= s.seq {
 		if i := slices.IndexFunc(s.past, func(p appliedPurge) bool { return p.seq == order.Seq }); i >= 0 {
@@ -126,16 +129,16 @@
 	s.rememberPurge(done)
 	s.journal.Add(done.record())
 	s.counts.purges++
-	level := zap.DebugLevel // a process that was away for long applies thousands
+	level := zap.DebugLevel // a process that was down for a long time applies thousands of purges that match nothing
 	if f != (clusterapi.Found{}) {
 		level = zap.InfoLevel
 	}
-	s.log.Log(level, "purge", zap.Uint64("seq", order.Seq), zap.String("id", order.ID), zap.Bool("learnt", order.LearnedState),
+	s.log.Log(level, "purge applied", zap.Uint64("seq", order.Seq), zap.String("id", order.ID), zap.Bool("learnt", order.LearnedState),
 		zap.Any("found", f))
 	return f, nil
 }
 
-// withdrawMatching withdraws the messages that a purge matches, in the order they were accepted.
+// withdrawMatching withdraws the messages that a purge matches, in the order of their acceptance, and counts them in found.
 func (s *Sender) withdrawMatching(order *withdrawal.Order, found *clusterapi.Found) {
 	for _, list := range [][]*message{s.accepted, s.admitted} {
 		for _, m := range list {
@@ -148,8 +151,8 @@
 	}
 }
 
-// withdrawalState is the state of a message as a purge meets it. A closed one stays in admission.accepted for a while, and
-// counts as Ended however it ended.
+// withdrawalState returns the state of a message for a purge. Closed messages stay in admission.accepted for a while; their
+// state is Ended, however they ended.
 func (m *message) withdrawalState() withdrawal.State {
 	switch {
 	case m.withdrawn:
@@ -166,7 +169,7 @@
 	return withdrawal.Waiting
 }
 
-// withdraw ends a message, or makes sure that it ends with the call that is in flight.
+// withdraw ends a message, or, with the fate Hold, makes sure that it ends with the call that is in flight.
 func (s *Sender) withdraw(m *message, fate withdrawal.Fate) {
 	if fate == withdrawal.Untouched || fate == withdrawal.Report {
 		return
@@ -178,25 +181,25 @@
 		s.journal.Add(endRecord(m.ID, ending{kind: endFailed}))
 		return
 	}
-	if c := m.inFlight; c != nil { // it waits for its connection: nothing was sent
+	if c := m.inFlight; c != nil { // the call waits for its connection, so nothing was sent
 		s.cancelMessage(c, m)
 		s.endIfEmpty(c)
 	}
 	s.endMessage(m, ending{kind: endFailed})
 }
 
-// endWithdrawn ends a withdrawn message whose call has ended.
+// endWithdrawn ends a withdrawn message whose call has ended as how says.
 func (s *Sender) endWithdrawn(m *message, how withdrawal.CallEnd) {
 	if how == withdrawal.AsAnswered {
 		s.closeMessage(m)
 		return
 	}
-	s.log.Debug("withdrawn while in flight", zap.String("id", string(m.ID)), zap.Bool("may_have_run", how == withdrawal.AsMayRun))
+	s.log.Debug("call of a withdrawn message ended without delivery", zap.String("id", string(m.ID)), zap.Bool("may_have_run", how == withdrawal.AsMayRun))
 	s.endMessage(m, ending{kind: endFailed})
 }
 
-// endIfEmpty ends a call that waits for its connection when it carries no message any more. One that has no timers has not
-// begun yet, and ends as it would begin.
+// endIfEmpty ends a call that waits for its connection if it carries no message any more. A call without timers has not
+// begun yet; it ends when it would begin.
 func (s *Sender) endIfEmpty(c *call) {
 	if len(c.messages) > 0 || len(c.timers) == 0 || c.done {
 		return
@@ -207,7 +210,8 @@
 	}
 }
 
-// remember keeps the newest purges, and returns by how many bytes the records that a rewriting keeps have grown.
+// remember adds an applied purge to past, and drops the oldest beyond maxRememberedPurges. It returns by how many bytes the
+// purge records in a rewritten journal have grown.
 func (p *purgeState) remember(done appliedPurge) (bytes int64) {
 	if done.seq <= p.seq {
 		return 0
@@ -221,8 +225,10 @@
 	return bytes + journal.Framed(len(done.record()))
 }
 
+// rememberPurge remembers an applied purge and updates liveBytes.
 func (s *Sender) rememberPurge(done appliedPurge) { s.liveBytes += s.purgeState.remember(done) }
 
+// record returns the purge's journal record.
 func (p appliedPurge) record() []byte {
 	out := binary.AppendUvarint([]byte{recPurge}, p.seq)
 	for _, n := range []int{p.found.NotBegun, p.found.MayRun, p.found.Delivered, p.found.LearnedState} {
@@ -231,7 +237,7 @@
 	return out
 }
 
-// readPurged reads a record of a purge, and reports whether it is complete.
+// readPurged parses a purge's journal record, and reports whether the record is complete.
 func readPurged(record []byte) (p appliedPurge, complete bool) {
 	seq, used := binary.Uvarint(record[1:])
 	if used <= 0 {
--- a/internal/sender/records.go
+++ b/internal/sender/records.go
@@ -1,6 +1,6 @@
 package sender
 
-// This file owns the format of the journal's records. What an older version wrote must stay readable.
+// This file defines the format of the journal's records. Records of older versions must stay readable.
 
 import (
 	"encoding/binary"
@@ -8,24 +8,27 @@
 	"flaxcove/choice"
 )
 
-// Kinds of record, each the first byte of one. The id follows it in all but recPurge and recClock.
+// These are the kinds of records. The kind is the first byte of a record; except in recPurge and recClock, the message's id
+// follows.
 const (
-	recAccepted = 'T' // the message, with its deadline by the wall clock, and how long before that it was accepted
-	recAttempt  = 'O' // an attempt that may run: when, and in which zone, by number (older records end there) and name
-	recNotRun   = 'B' // it is proven that no attempt has run
-	recEnding   = 'E' // an ending that is to be reported to the platform
-	recClosed   = 'X' // nothing more is to be done for the message
-	recPurge    = 'P' // a purge was applied: its Seq, and what it found
-	recClock    = 'C' // the wall clock was put back: by how much, at least; times of the records before are earlier
+	recAccepted = 'T' // a message, with its deadline on the wall clock and the time from its acceptance to its deadline
+	recAttempt  = 'O' // an attempt that may have run: its time, its zone's number, and its zone's name (not in older records)
+	recNotRun   = 'B' // no attempt of the message has run, so attempt records before this one do not count
+	recEnding   = 'E' // an ending that has to be reported to the platform
+	recClosed   = 'X' // the message is closed
+	recPurge    = 'P' // an applied purge: its Seq and the counts of what it found
+	recClock    = 'C' // the wall clock was put back by at least this time; the times in earlier records are reduced by it
 )
 
+// appendString appends text to out, preceded by its length.
 func appendString(out []byte, text string) []byte {
 	return append(binary.AppendUvarint(out, uint64(len(text))), text...)
 }
 
-// idRecord is a record of nothing but an id, or the begin of a longer one.
+// idRecord returns a record that holds only a message's id. Longer records start with it.
 func idRecord(kind byte, id choice.MessageID) []byte { return appendString([]byte{kind}, string(id)) }
 
+// acceptedRecord returns the message's record of the kind recAccepted.
 func (m *message) acceptedRecord() []byte {
 	out := idRecord(recAccepted, m.ID)
 	out = appendString(out, m.key)
@@ -34,16 +37,17 @@
 	out = binary.AppendVarint(out, int64(m.Destination))
 	out = appendString(out, string(m.body))
 	if m.acceptedAt == 0 {
-		return out // as records of the oldest versions
+		return out // the oldest versions wrote records that end here
 	}
 	out = binary.AppendVarint(out, int64(m.Deadline-m.acceptedAt))
 	if m.idempotencyKey == "" && m.tenant == "" {
 		return out
 	}
-	out = appendString(out, m.idempotencyKey) // older versions ignore what follows
+	out = appendString(out, m.idempotencyKey) // older versions ignore the rest of the record
 	return appendString(out, m.tenant)
 }
 
+// attemptRecord returns a record of an attempt that began at the time at in the zone with this number and name.
 func attemptRecord(id choice.MessageID, at choice.Time, zone choice.ZoneNo, name string) []byte {
 	out := idRecord(recAttempt, id)
 	out = binary.AppendVarint(out, int64(at))
@@ -51,13 +55,15 @@
 	return appendString(out, name)
 }
 
+// endRecord returns a record of the ending of a message.
 func endRecord(id choice.MessageID, how ending) []byte {
 	return binary.AppendVarint(append(idRecord(recEnding, id), byte(how.kind)), how.retryMS)
 }
 
+// clockRecord returns a record that the wall clock was put back by the time back.
 func clockRecord(back choice.Time) []byte { return binary.AppendVarint([]byte{recClock}, int64(back)) }
 
-// records are all that a rewriting keeps.
+// records passes to add all records that a rewritten journal holds.
 func (s *Sender) records(add func([]byte)) {
 	for _, m := range s.accepted {
 		m.records(add)
@@ -67,7 +73,7 @@
 	}
 }
 
-// records are all that a rewriting keeps of a message.
+// records passes to add the records of a message that a rewritten journal holds.
 func (m *message) records(add func([]byte)) {
 	add(m.acceptedRecord())
 	if m.attemptOnRecord && m.MayRun {
@@ -82,12 +88,13 @@
 	}
 }
 
-// recordReader reads the parts of a record in order. A part that cannot be read is zero, and marks the record invalid.
+// recordReader reads the fields of a record in order. A field that cannot be read is zero and sets invalid.
 type recordReader struct {
-	rest    []byte
+	rest    []byte // the part of the record that is not read yet
 	invalid bool
 }
 
+// readString reads a string with its length.
 func (r *recordReader) readString() string {
 	n, used := binary.Uvarint(r.rest)
 	if used <= 0 || n > uint64(len(r.rest)-used) {
@@ -99,6 +106,7 @@
 	return text
 }
 
+// readNumber reads a signed varint.
 func (r *recordReader) readNumber() int64 {
 	v, used := binary.Varint(r.rest)
 	if used <= 0 {
--- a/internal/sender/replay.go
+++ b/internal/sender/replay.go
@@ -1,7 +1,7 @@
 package sender
 
-// This file rebuilds the pending messages from the journal of an earlier process. A record that cannot be read never
-// keeps the start from happening, and the start fails where messages would be lost.
+// This file restores the pending messages from the journal of an earlier process. A record that cannot be read does not make
+// the start fail. The start fails if messages would be lost because their class is unknown.
 
 import (
 	"errors"
@@ -15,7 +15,7 @@
 	"flaxcove/internal/journal"
 )
 
-// openJournal replays the journal and returns the messages to go on with, in the order they were accepted.
+// openJournal opens and replays the journal. It returns the messages that have not ended, in the order of their acceptance.
 func (s *Sender) openJournal() (unfinished []*message, err error) {
 	s.pending, s.recentlyEnded = map[choice.MessageID]*message{}, map[choice.MessageID]struct{}{}
 	limit := int64(s.cfg.Limits.DiskMB * 1e6)
@@ -26,9 +26,9 @@
 	s.journal = j
 	s.accepted = withoutEnded(s.accepted)
 	if back := s.latestRecorded - s.Now(); back > 0 {
-		s.log.Warn("journal: the wall clock was put back", zap.Float64("seconds", float64(back)/float64(choice.Second)))
+		s.log.Warn("the wall clock was put back; the times in the journal records are shifted back", zap.Float64("seconds", float64(back)/float64(choice.Second)))
 		s.shiftBack(back)
-		j.Add(clockRecord(back)) // records from here on have the new clock's times
+		j.Add(clockRecord(back)) // the records after this one have times of the new clock
 	}
 	unfinished, err = s.sortReplayed()
 	if err == nil {
@@ -39,13 +39,13 @@
 		return nil, errors.Join(err, j.Close())
 	}
 	s.counts.replayed = int64(len(s.accepted))
-	s.log.Info("journal open", zap.Int("owed", len(s.accepted)), zap.Int64("bytes", j.Size()), zap.Int64("dropped", dropped))
+	s.log.Info("journal opened", zap.Int("owed", len(s.accepted)), zap.Int64("bytes", j.Size()), zap.Int64("dropped", dropped))
 	return unfinished, nil
 }
 
-// sortReplayed tells replayed messages whose end is to be reported from those that are unfinished. It fails where the
-// settings do not name the class of an unfinished one: nothing would be known of how long it may take and of what a repeat
-// does, so that going on would lose it.
+// sortReplayed adds the replayed messages that have ended to the endings to report, and returns the unfinished ones. It
+// fails if the settings do not name the class of an unfinished message, because the message's deadline and the effect of a
+// repeat would then be unknown and the message would be lost.
 func (s *Sender) sortReplayed() (unfinished []*message, err error) {
 	unknownClasses := map[string]int{}
 	for _, m := range s.accepted {
@@ -65,13 +65,13 @@
 		unfinished = append(unfinished, m)
 	}
 	for _, className := range slices.Sorted(maps.Keys(unknownClasses)) {
-		return nil, fmt.Errorf("field state: %s owes %d notices of workload %q, which field settings.classes does not name; "+
-			"end them under the settings that they came with", s.cfg.StateDir, unknownClasses[className], className)
+		return nil, fmt.Errorf("field state: %s holds %d unfinished messages of workload %q, which field settings.classes does not name; "+
+			"run the process with the settings under which they were accepted until they have ended", s.cfg.StateDir, unknownClasses[className], className)
 	}
 	return unfinished, nil
 }
 
-// recordZoneNames writes the names of zones to the journal that older records have by number alone.
+// recordZoneNames adds attempt records with the name of the zone for the messages whose attempt record has only its number.
 func (s *Sender) recordZoneNames() {
 	for _, m := range s.zoneUnnamed {
 		if m.MayRun && s.pending[m.ID] == m {
@@ -81,7 +81,7 @@
 	s.zoneUnnamed = nil
 }
 
-// replayRecord applies one record. One that cannot be read, or names an unknown id, is ignored.
+// replayRecord applies one record of the journal. It ignores a record that cannot be read or that names an unknown id.
 func (s *Sender) replayRecord(record []byte) {
 	r := recordReader{rest: record[1:]}
 	switch kind := record[0]; kind {
@@ -102,6 +102,7 @@
 	}
 }
 
+// replayPurge remembers the result of a purge from its record.
 func (s *Sender) replayPurge(record []byte) {
 	if p, complete := readPurged(record); complete {
 		s.rememberPurge(p)
@@ -109,7 +110,7 @@
 	}
 }
 
-// replayAccepted makes a message pending again.
+// replayAccepted makes a message pending from its accepted record, which has the given size in bytes.
 func (s *Sender) replayAccepted(id choice.MessageID, r *recordReader, bytes int) {
 	m := &message{journaled: true, size: journal.Framed(bytes)}
 	m.ID, m.key, m.className = id, r.readString(), r.readString()
@@ -117,22 +118,22 @@
 	m.body = []byte(r.readString())
 	if !r.invalid && len(r.rest) > 0 { // the oldest records end here
 		m.acceptedAt = m.Deadline - choice.Time(r.readNumber())
-		if len(r.rest) > 0 { // those of messages without key and tenant here
+		if len(r.rest) > 0 { // records of messages without idempotency key and tenant end here
 			m.idempotencyKey, m.tenant = r.readString(), r.readString()
 		}
 	}
 	if r.invalid {
-		s.log.Warn("journal: a message cannot be read", zap.String("id", string(id)), zap.String("workload", m.className))
+		s.log.Warn("cannot read the journal record of an accepted message; the record is ignored", zap.String("id", string(id)), zap.String("workload", m.className))
 		return
 	}
-	m.Class = s.cfg.ClassNumbers[m.className] // sortReplayed looks for unknown ones
+	m.Class = s.cfg.ClassNumbers[m.className] // 0 for an unknown class, which sortReplayed rejects
 	m.Key, m.Account = orderKey(m.key), s.account(m.tenant)
 	s.latestRecorded = max(s.latestRecorded, m.acceptedAt)
 	s.pending[id] = m
 	s.accepted = append(s.accepted, m)
 }
 
-// replayLater applies a later record of a message.
+// replayLater applies a record of a message that is pending already.
 func (s *Sender) replayLater(kind byte, m *message, r *recordReader) {
 	switch kind {
 	case recAttempt:
@@ -152,6 +153,7 @@
 	}
 }
 
+// replayAttempt applies an attempt record: the message may have run.
 func (s *Sender) replayAttempt(m *message, r *recordReader) {
 	m.attemptOnRecord, m.MayRun = true, true
 	m.RanAt, m.RanIn = choice.Time(r.readNumber()), choice.ZoneNo(r.readNumber())
@@ -161,7 +163,8 @@
 		m.RanIn = s.numbering.Zone(m.ranInZoneName)
 		return
 	}
-	// The record is older than names in records, so that its number is that of the present settings.
+	// An old record without the zone's name: the settings have not changed since, so the number is that of the present
+	// settings.
 	for name, no := range s.cfg.Zones {
 		if no == m.RanIn {
 			m.ranInZoneName = name
@@ -170,9 +173,10 @@
 	s.zoneUnnamed = append(s.zoneUnnamed, m)
 }
 
-// shiftBack makes all that was read so far count by a wall clock that was put back by so much, at least: a record has a
-// later time than now. No message gets more time than it was accepted with, and none counts as accepted later than now.
-// How long ago an attempt began is not known any more, so the window for its repeats counts as over.
+// shiftBack reduces the times of all messages read so far by back, because the wall clock was put back by at least that
+// time: otherwise a record would be later than now. No message gets more time than it had when it was accepted, and none
+// counts as accepted later than now. How long ago an attempt began is then unknown, so its window for repeats counts as
+// over.
 func (s *Sender) shiftBack(back choice.Time) {
 	for _, m := range s.accepted {
 		m.Deadline -= back
--- a/internal/sender/replies.go
+++ b/internal/sender/replies.go
@@ -1,6 +1,6 @@
 package sender
 
-// This file writes answers to clients, in the order of their commands, without ever waiting for a slow reader.
+// This file writes answers to clients in the order of their commands. The loop never waits for a client that reads slowly.
 
 import (
 	"strconv"
@@ -10,13 +10,13 @@
 )
 
 const (
-	maxUnreadOutput = 256 << 10 // bytes of answers that a client has not read, before it is closed
-	maxBadCommands  = 8         // invalid commands of one client, before it is closed
-	// closeRecheck is how often it is looked again whether a client that is closing has anything pending.
+	maxUnreadOutput = 256 << 10 // a client with more bytes of unwritten answers than this is disconnected
+	maxBadCommands  = 8         // a client is closed after this many invalid commands
+	// closeRecheck is the interval at which a closing client is checked again for pending input and commands.
 	closeRecheck = 10 * time.Millisecond
 )
 
-// expectReply adds the place of the next answer.
+// expectReply reserves the next reply to a client, for a command that is being handled.
 func (s *Sender) expectReply(c *client) *reply {
 	c.served = true
 	r := &reply{client: c}
@@ -24,7 +24,7 @@
 	return r
 }
 
-// setReply sets an answer and writes all answers that no earlier one is waited for.
+// setReply sets the text of a reply, and starts to write all replies that are set and have no unset reply before them.
 func (s *Sender) setReply(r *reply, text []byte) {
 	r.text = text
 	c := r.client
@@ -37,7 +37,8 @@
 	s.flushReplies(c)
 }
 
-// badCommand answers an invalid command. A client that sends many is closed, or it would take up the loop's time.
+// badCommand answers an invalid command with -ERR. A client that has sent maxBadCommands of them is closed, because invalid
+// commands cost the loop time.
 func (s *Sender) badCommand(r *reply, why string) {
 	s.counts.badCommands++
 	c := r.client
@@ -48,19 +49,20 @@
 	s.setReply(r, resp.AppendError(nil, "ERR "+why))
 }
 
-// protocolError answers input that cannot be parsed, and closes the client.
+// protocolError answers input that cannot be parsed with -ERR, and closes the client.
 func (s *Sender) protocolError(c *client, err error) {
 	s.counts.badCommands++
 	s.setReply(s.expectReply(c), resp.AppendError(nil, "ERR protocol: "+err.Error()))
 	s.closeClient(c, badCommand)
 }
 
-// answerBusy rejects a message: its client may submit it again, in ms milliseconds if that is not 0.
+// answerBusy rejects a message with -BUSY: the client may submit it again, after ms milliseconds if ms is not 0.
 func (s *Sender) answerBusy(r *reply, ms int64) {
 	s.counts.rejected++
 	s.setReply(r, busyText(ms))
 }
 
+// busyText returns the -BUSY answer; ms is left out if it is 0.
 func busyText(ms int64) []byte {
 	text := "BUSY"
 	if ms > 0 {
@@ -69,21 +71,21 @@
 	return resp.AppendError(nil, text)
 }
 
-// releaseWindow removes answers from the window that are written, or can't be written any more.
+// releaseWindow removes count commands from the window, whose answers are written or can no longer be written.
 func (c *client) releaseWindow(count int) {
 	for range count {
 		<-c.window
 	}
 }
 
-// flushReplies starts to write what is to be written, or goes on with closing the client. A goroutine of its own writes,
-// since netpoll's Write waits for a slow reader.
+// flushReplies starts to write the client's output, or, if there is none, continues to close a closing client. Each write
+// runs in its own goroutine, because netpoll's Write blocks while a client reads slowly.
 func (s *Sender) flushReplies(c *client) {
 	switch {
 	case c.disconnected:
 		c.releaseWindow(c.outputReplies)
 		c.output, c.outputReplies = nil, 0
-	case c.writingReplies > 0: // onFlushed calls again
+	case c.writingReplies > 0: // onFlushed calls flushReplies again
 	case len(c.output) > 0:
 		text := c.output
 		c.output, c.writingReplies, c.outputReplies = nil, c.outputReplies, 0
@@ -105,7 +107,7 @@
 	}
 }
 
-// onFlushed is called when a write of answers has ended.
+// onFlushed handles the end of a write of answers. It runs on the loop.
 func (s *Sender) onFlushed(c *client, err error) {
 	c.idleSince.Store(max(1, int64(s.sinceStart())))
 	c.releaseWindow(c.writingReplies)
--- a/internal/sender/withdrawal/withdrawal.go
+++ b/internal/sender/withdrawal/withdrawal.go
@@ -1,9 +1,9 @@
-// Package withdrawal decides what becomes of one message, or of the learned state of one endpoint, under a purge.
+// Package withdrawal decides the effect of a purge on one message, or on the learned state of one destination.
 //
-// It owns which messages a purge names, whether a message was there before the purge, and how each state of a message
-// ends under it. The sender asks it message by message and does what it says; the model of a fleet that spreads purges
-// (internal/cluster/purge/spread) asks the same code, so that its random runs are about what a sender really does. It
-// knows no clock, and nothing of how messages are stored, sent or answered.
+// It decides which messages a purge matches, whether a message was accepted before the purge, and how a message ends under
+// the purge, depending on its state. The sender calls it for each message and carries out the decision. The model of a fleet
+// that spreads purges (internal/cluster/purge/spread) calls the same code, so that its random runs test the decisions of a
+// real sender. The package uses no clock, and does not depend on how messages are stored, sent or answered.
 package withdrawal
 
 import (
@@ -14,29 +14,31 @@
 	"flaxcove/internal/sender/clusterapi"
 )
 
-// Order is a purge as one process applies it: what was accepted after Cut is not touched.
+// Order is a purge as one process applies it. Messages accepted after Cut are not withdrawn.
 type Order struct {
 	clusterapi.Purge
 	Cut choice.Time
 }
 
-// Since computes the cut from the time at which a purge came and its age.
+// Since returns the order for a purge that arrived at the time at. Its cut is at minus the purge's age.
 //
-// An age is a lower bound of the true one (the time on the way is not in it), and it is rounded towards a later cut. So all
-// that was there at the commit is matched; what came while the purge was on its way may be matched too.
+// The age is a lower bound of the time since the purge was committed, because it does not include the time for its transfer,
+// and the cut is rounded up. So every message accepted before the commit is matched, and a message accepted during the
+// transfer may be matched too.
 func Since(p clusterapi.Purge, at choice.Time) Order {
 	age := max(0, p.Age)
 	return Order{Purge: p, Cut: at - config.RoundDown(age.Nanoseconds())}
 }
 
-// Matches reports whether an order matches a message with these properties that was accepted at a time, on the clock of the
-// cut; 0 stands for long ago. Keys are compared as the client writes them, not as the numbers that they stand for.
+// Matches reports whether the order matches a message with these properties. acceptedAt is on the same clock as Cut; 0 means
+// that the time is unknown and counts as before the cut. Keys are compared as the text that the client wrote, not as parsed
+// numbers.
 func (o *Order) Matches(d choice.DestinationID, class, key string, acceptedAt choice.Time) bool {
 	return !o.LearnedState && acceptedAt <= o.Cut && matches(&o.Match, d, class, key)
 }
 
-// matches reports whether a match names a message with these properties. Fields that are set must all agree. An empty
-// match names nothing: withdrawing everything by an empty form would be a mistake, and no ledger takes one.
+// matches reports whether m matches a message with these properties. All fields that are set must agree. An empty match
+// matches nothing, because withdrawing everything by an empty form would be a mistake; the ledger rejects an empty match.
 func matches(m *clusterapi.Match, d choice.DestinationID, class, key string) bool {
 	if *m == (clusterapi.Match{}) {
 		return false
@@ -47,8 +49,8 @@
 		strings.HasPrefix(key, m.KeyPrefix)
 }
 
-// DropsLearned reports whether the learned state of a destination is to be dropped. Learned state depends on endpoints alone, so
-// an order that also names a class or a key drops nothing.
+// DropsLearned reports whether the order drops the learned state of a destination. Learned state depends on endpoints alone,
+// so an order that also names a class or a key drops nothing.
 func (o *Order) DropsLearned(d choice.DestinationID) bool {
 	m := &o.Match
 	return o.LearnedState && m.Destination != nil && *m.Destination == d && m.Class == "" && m.Key == "" && m.KeyPrefix == ""
@@ -58,27 +60,27 @@
 type State uint8
 
 const (
-	Waiting   State = iota // no call of it can have run: never sent, or every call was certainly rejected
+	Waiting   State = iota // no call can have run: none was sent, or each was certainly rejected
 	InFlight               // a call is in flight
-	MayRun                 // no call is in flight, but one of this process or an earlier one may have run
+	MayRun                 // no call is in flight, but a call of this process or an earlier one may have run
 	Delivered              // ended with its delivery
-	Ended                  // ended otherwise, before the purge came
-	Withdrawn              // ended by an earlier purge: counted there
-	Rejected               // answered so at once: it was never accepted, and nothing is known of it
+	Ended                  // ended in another way before the purge arrived
+	Withdrawn              // withdrawn by an earlier purge, which has counted it
+	Rejected               // rejected at once in the answer to its client, so never accepted
 )
 
-// Fate is what becomes of a message under a purge.
+// Fate is the effect of a purge on a message.
 type Fate uint8
 
 const (
-	Untouched Fate = iota
-	End            // now, with its one final answer: withdrawn, never begun
-	Hold           // its call stays in flight and is the last (see Ends); reported as may-have-run
-	Close          // now, with its one final answer: may have run; not sent again
-	Report         // nothing to do: it had ended
+	Untouched Fate = iota // no effect, and not counted
+	End                   // the message ends now with its one final answer; it has not run
+	Hold                  // the call in flight is the last one, and the message ends with it (see Ends); it may have run
+	Close                 // the message ends now with its one final answer and is not sent again; it may have run
+	Report                // the message had ended before the purge; it is only counted
 )
 
-// Fate returns what becomes of a message that an order matches.
+// Fate returns the effect of a purge on a message in state s that the purge's order matches.
 func (s State) Fate() Fate {
 	switch s {
 	case Waiting:
@@ -93,7 +95,8 @@
 	return Untouched
 }
 
-// Add counts a fate in what a purge found. A message is withdrawn once: a second purge that matches it finds it Withdrawn.
+// Add counts a message with this fate in found. A message is counted as withdrawn only once, because a second purge that
+// matches it finds it in the state Withdrawn.
 func (f Fate) Add(found *clusterapi.Found) {
 	switch f {
 	case End:
@@ -105,17 +108,17 @@
 	}
 }
 
-// CallEnd is how a message with the fate Hold ends once its last call has ended.
+// CallEnd says how a message with the fate Hold ends after its last call has ended.
 type CallEnd uint8
 
 const (
-	AsAnswered  CallEnd = iota // delivered, or its endpoint wants it no more
-	AsWithdrawn                // the call has certainly not run
-	AsMayRun                   // it may have run
+	AsAnswered  CallEnd = iota // as the final answer says: delivered, or no longer wanted by its endpoint
+	AsWithdrawn                // withdrawn: no call has run
+	AsMayRun                   // withdrawn, but a call may have run
 )
 
-// Ends returns how a message with the fate Hold ends. earlierMayRun says that a call before the last one may have run too:
-// then a rejection of the last one proves nothing.
+// Ends returns how a message with the fate Hold ends. last is the outcome of its last call. earlierMayRun says that an
+// earlier call may have run; then a rejection of the last call does not prove that the message has not run.
 func Ends(last choice.Outcome, earlierMayRun bool) CallEnd {
 	if last.Final {
 		return AsAnswered
