--- a/internal/sender/classes_test.go
+++ b/internal/sender/classes_test.go
@@ -9,8 +9,8 @@
 	"flaxcove/choice"
 )
 
-// Twenty classes of unusual names are distinct, also after a kill, and one without a contract time has calls that last long
-// enough for an answer.
+// TestUnusualClasses checks that twenty classes with unusual names are told apart, also after a kill, and that calls of
+// classes without a latency objective have a timeout long enough for an answer.
 func TestUnusualClasses(t *testing.T) {
 	t.Parallel()
 	var names, classes []string
@@ -32,22 +32,22 @@
 	}
 	l.advanceAnswering(5*time.Millisecond, time.Hour)
 	if got := strings.Count(string(c.output), "+OK"); got != len(names) {
-		t.Fatalf("%d of %d taken on: %.300s", got, len(names), c.output)
+		t.Fatalf("%d of %d messages accepted; answers: %.300s", got, len(names), c.output)
 	}
 	l = recordCalls(t, startAt(testConfigWith(dir, settings, strings.ReplaceAll(oneEndpointList, `"cell":1`, `"cell":7`)), l.clock))
 	for i, name := range names {
 		m := l.s.pending[choice.MessageID(fmt.Sprint("n", i))]
 		if m == nil || m.className != name || m.Class != choice.ClassNo(i) {
-			t.Errorf("class %q: %v", name, m)
+			t.Errorf("message of class %q after the restart: %v", name, m)
 		}
 	}
 	l.advanceAnswering(5*time.Millisecond, time.Hour)
 	if len(l.openCalls) == 0 {
-		t.Fatal("nothing is called")
+		t.Fatal("no call was made after the restart")
 	}
 	for _, c := range l.openCalls {
 		if c.timeout < second {
-			t.Errorf("a call to what nothing is known of may take %.1f ms", float64(c.timeout)/float64(choice.Millisecond))
+			t.Errorf("a call to an endpoint without learned state times out after %.1f ms", float64(c.timeout)/float64(choice.Millisecond))
 		}
 	}
 }
--- a/internal/sender/client_harness_test.go
+++ b/internal/sender/client_harness_test.go
@@ -20,11 +20,11 @@
 	"flaxcove/internal/resp"
 )
 
-// States of a connection, as the kernel reports them of a client's socket.
+// These are states of a client's connection, with the kernel's numbers of TCP states.
 const (
 	stateOpen      = 1
 	stateClosed    = 7
-	stateCloseWait = 8 // the other end has ended its sending
+	stateCloseWait = 8 // the sender has shut down its sending side
 )
 
 const (
@@ -32,12 +32,12 @@
 	pongText = "+PONG\r\n"
 )
 
-// outAdd is an OUT.ADD command.
+// outAdd returns an OUT.ADD command as it is sent.
 func outAdd(key, id, list, body string) []byte {
 	return resp.AppendCommand(nil, []byte("OUT.ADD"), []byte(key), []byte(id), []byte(list), []byte(body))
 }
 
-// addText is an OUT.ADD command that any sender of these tests accepts.
+// addText returns an OUT.ADD command that every sender of these tests accepts.
 func addText(id string) string { return string(outAdd("0", id, "c=status,d=6000,dest=1", "x")) }
 
 // testClient is a client's connection to a sender.
@@ -46,7 +46,7 @@
 	answers *bufio.Reader
 }
 
-// connectClient connects a client.
+// connectClient connects a client to a sender.
 func connectClient(t *testing.T, s *Sender) *testClient {
 	t.Helper()
 	conn, err := net.Dial("tcp", s.Addr())
@@ -57,7 +57,7 @@
 	return &testClient{conn, bufio.NewReader(conn)}
 }
 
-// submit sends a message and returns the line that answers it.
+// submit sends a message and returns the answer without its line end.
 func (c *testClient) submit(key, id, list, body string) (answer string, err error) {
 	if _, err := c.Write(outAdd(key, id, list, body)); err != nil {
 		return "", err
@@ -66,15 +66,15 @@
 	return strings.TrimSpace(line), err
 }
 
-// mustSubmit sends a message that is to be accepted.
+// mustSubmit sends a message and fails the test unless it is accepted.
 func (c *testClient) mustSubmit(t *testing.T, key, id, list, body string) {
 	t.Helper()
 	if answer, err := c.submit(key, id, list, body); answer != "+OK" || err != nil {
-		t.Fatalf("%s: %q %v", id, answer, err)
+		t.Fatalf("submitting message %s: answer %q, error %v", id, answer, err)
 	}
 }
 
-// onSocket calls f with a connection's descriptor.
+// onSocket calls f with the descriptor of a connection.
 func onSocket(t *testing.T, conn net.Conn, f func(fd int)) {
 	t.Helper()
 	raw, err := conn.(*net.TCPConn).SyscallConn()
@@ -86,16 +86,17 @@
 	}
 }
 
+// state returns the TCP state of a connection.
 func state(t *testing.T, conn net.Conn) (state int) {
 	t.Helper()
 	onSocket(t, conn, func(fd int) {
 		info, _ := syscall.GetsockoptInt(fd, syscall.IPPROTO_TCP, syscall.TCP_INFO)
-		state = info & 0xff // the first byte of what the kernel tells
+		state = info & 0xff // the state is the first byte of struct tcp_info
 	})
 	return state
 }
 
-// allAcknowledged reports whether all that was written has come to the other end's system.
+// allAcknowledged reports whether the other end's kernel has received all that was written.
 func allAcknowledged(t *testing.T, conn net.Conn) bool {
 	t.Helper()
 	left := int32(0)
@@ -105,17 +106,17 @@
 	return left == 0
 }
 
-// waitUntil waits for a condition, within a bound that no working machine reaches.
+// waitUntil waits until f returns true, and fails the test after 20 s, far more than any of the conditions needs.
 func waitUntil(t *testing.T, what string, f func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !f(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("never:", what)
+			t.Fatal("condition not met within 20 s:", what)
 		}
 	}
 }
 
-// onLoop calls f on the loop and waits for it.
+// onLoop calls f on the sender's loop and waits until it returns.
 func onLoop(t *testing.T, s *Sender, f func()) {
 	t.Helper()
 	done := make(chan struct{})
@@ -123,11 +124,11 @@
 	select {
 	case <-done:
 	case <-time.After(20 * time.Second):
-		t.Fatal("the loop does nothing")
+		t.Fatal("the loop did not run a posted function within 20 s")
 	}
 }
 
-// waitOnLoop waits for a condition that is read on the loop.
+// waitOnLoop is waitUntil for a condition that must be evaluated on the loop.
 func waitOnLoop(t *testing.T, s *Sender, what string, f func() bool) {
 	t.Helper()
 	waitUntil(t, what, func() (holds bool) {
@@ -136,7 +137,7 @@
 	})
 }
 
-// clientOf is the sender's side of a connection.
+// clientOf returns the sender's client for the connection conn of a test, once it is in the table.
 func clientOf(t *testing.T, s *Sender, conn net.Conn) (c *client) {
 	t.Helper()
 	waitUntil(t, "the client is in the table", func() bool {
@@ -152,7 +153,7 @@
 	return c
 }
 
-// serving starts a sender without discovery. dial connects a client that sends a text.
+// serving starts a sender without discovery and with a limit of sockets. dial connects a client and sends a text.
 func serving(t *testing.T, sockets int) (s *Sender, dial func(string) net.Conn, done <-chan struct{}) {
 	t.Helper()
 	cfg := testConfig(t.TempDir(), 100)
@@ -173,7 +174,8 @@
 	}, done
 }
 
-// expectToEnd reads a connection to its end, which is not to be a reset, and compares what was read.
+// expectToEnd reads a connection to its end and reports an error if the content differs from want or the connection was
+// reset.
 func expectToEnd(t *testing.T, who string, conn net.Conn, want string) {
 	t.Helper()
 	if text, err := io.ReadAll(conn); string(text) != want || err != nil {
@@ -181,7 +183,7 @@
 	}
 }
 
-// mustRead reads as many bytes as it wants, and ends the test where they are others.
+// mustRead reads len(want) bytes and fails the test if they are not want.
 func mustRead(t *testing.T, conn net.Conn, want string) {
 	t.Helper()
 	text := make([]byte, len(want))
@@ -190,11 +192,11 @@
 	}
 }
 
-// waitUntilAnswered waits until all commands are answered that were read from clients that keep their places. Who must know
-// that no command is still unread reads the answers first.
+// waitUntilAnswered waits until all commands that the sender has read are answered, except those of lingering clients. A
+// command may still be unread in a socket; a caller to whom this matters reads the answers first.
 func waitUntilAnswered(t *testing.T, s *Sender) {
 	t.Helper()
-	waitUntil(t, "what was read is answered", func() bool {
+	waitUntil(t, "all commands that were read are answered", func() bool {
 		s.clients.Lock()
 		defer s.clients.Unlock()
 		for c := range s.clients.all {
@@ -206,25 +208,26 @@
 	})
 }
 
-// expectFloodAnswers reads what clients are told that sent a PING without waiting for each other: they are served, or
-// rejected while no other client could be displaced. A lingering one may be closed for others before its bytes are read.
+// expectFloodAnswers checks the answers to clients that each sent a PING without waiting for the others. Each is served, or
+// rejected if no other client could be displaced. A lingering client may be closed without an answer, before its input is
+// read.
 func expectFloodAnswers(t *testing.T, asking []net.Conn) {
 	t.Helper()
 	for i, conn := range asking {
 		line, err := bufio.NewReader(conn).ReadString('\n')
 		if line != pongText && line != busyAnswer && line != "" || errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Errorf("of those who ask the %dth was told %q, %v", i, line, err)
+			t.Errorf("client %d of the flood: answer %q, error %v", i, line, err)
 		}
 	}
 }
 
-// stallPollers keeps netpoll from reading anything, so that input stays in the sockets, until letGo is called.
-func stallPollers(t *testing.T) (letGo func()) {
+// stallPollers blocks all pollers of netpoll, so that input stays in the sockets, until resume is called or the test ends.
+func stallPollers(t *testing.T) (resume func()) {
 	t.Helper()
 	held := make(chan struct{})
-	letGo = sync.OnceFunc(func() { close(held) })
-	t.Cleanup(letGo)
-	for range runtime.GOMAXPROCS(0)/20 + 1 { // so many has netpoll, and each listener takes the next one
+	resume = sync.OnceFunc(func() { close(held) })
+	t.Cleanup(resume)
+	for range runtime.GOMAXPROCS(0)/20 + 1 { // the number of netpoll's pollers; each new listener uses the next poller
 		ln, err := netpoll.CreateListener("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
@@ -239,7 +242,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		go loop.Serve(ln) // until the process ends, as the sender's own
+		go loop.Serve(ln) // until the process ends, like the sender's own listener
 		conn, err := net.Dial("tcp", ln.Addr().String())
 		if err != nil {
 			t.Fatal(err)
@@ -248,8 +251,8 @@
 		select {
 		case <-stalled:
 		case <-time.After(20 * time.Second):
-			t.Fatal("netpoll does not come to a stand")
+			t.Fatal("a poller of netpoll was not blocked within 20 s")
 		}
 	}
-	return letGo
+	return resume
 }
--- a/internal/sender/clock_test.go
+++ b/internal/sender/clock_test.go
@@ -8,21 +8,22 @@
 	"flaxcove/choice"
 )
 
-// The window for repeats, 1 s here, runs from the first call's begin, through a restart: a message whose call may have run is
-// sent again only within it, and given up where it is over, or may be over as far as the clock can tell.
-func TestWindowThroughRestart(t *testing.T) {
+// TestRepeatWindowAfterRestart checks that the window for repeats, 1 s here, counts from the start of the first call, also
+// after a restart. A message whose call may have run is sent again only within the window. It fails if the window has
+// passed, or if it may have passed because the wall clock was put back.
+func TestRepeatWindowAfterRestart(t *testing.T) {
 	t.Parallel()
 	const began = time.Minute
 	for _, c := range []struct {
-		name    string
-		starts  time.Duration // by the wall clock, after the call began
-		silent  time.Duration // so long after the start the endpoint is not in the list
-		repeats bool
+		name     string
+		starts   time.Duration // time on the wall clock from the start of the call to the restart
+		unlisted time.Duration // time after the restart during which the endpoint is not in the list
+		repeats  bool          // whether the message is sent again
 	}{
-		{"restarted within it", 600 * time.Millisecond, 0, true},
-		{"restarted behind it", 1010 * time.Millisecond, 0, false},
-		{"no endpoint within it", 600 * time.Millisecond, 600 * time.Millisecond, false},
-		{"clock put on by 3 s", 3600 * time.Millisecond, 0, false},
+		{"restart within the window", 600 * time.Millisecond, 0, true},
+		{"restart after the window", 1010 * time.Millisecond, 0, false},
+		{"no endpoint within the window", 600 * time.Millisecond, 600 * time.Millisecond, false},
+		{"clock put forward by 3 s", 3600 * time.Millisecond, 0, false},
 		{"clock put back by 3 s", -2400 * time.Millisecond, 0, false},
 		{"clock put back to just before the call", -10 * time.Millisecond, 0, false},
 	} {
@@ -31,24 +32,24 @@
 			m := acceptedMessage("of", "0", "token", 1, clockAt(began), 8*second)
 			writeJournal(t, dir, m.acceptedRecord(), attemptRecord("of", clockAt(began), 0, "z"))
 			cfg := fourClassConfig(dir, 100)
-			if c.silent > 0 {
+			if c.unlisted > 0 {
 				cfg.Known.Entries = nil
 			}
 			l := recordCalls(t, startAt(cfg, began+c.starts))
-			if c.silent > 0 {
-				l.advanceAnswering(c.silent, 0)
+			if c.unlisted > 0 {
+				l.advanceAnswering(c.unlisted, 0)
 				l.updateList(oneEndpointList)
 			}
 			l.advanceAnswering(9*time.Second, 20*time.Millisecond)
 			if got := l.calls["of"] > 0; got != c.repeats || len(l.s.pending) > 0 || c.repeats == (l.endings["of"] != "") {
-				t.Errorf("called %d times, ended %q, owed %d", l.calls["of"], l.endings["of"], len(l.s.pending))
+				t.Errorf("calls %d, reported ending %q, pending messages %d", l.calls["of"], l.endings["of"], len(l.s.pending))
 			}
 		})
 	}
 }
 
-// A wall clock that is put back between two processes gives nobody more time than it was accepted with, nor to what a
-// third process finds that the second accepted by the new clock.
+// TestClockPutBack checks that no message gets more time than it had when it was accepted if the wall clock is put back
+// between two processes. This also holds in a third process, which finds messages accepted before and after the change.
 func TestClockPutBack(t *testing.T) {
 	t.Parallel()
 	now, dir := clockAt(time.Minute), t.TempDir()
@@ -57,7 +58,7 @@
 		records = append(records, acceptedMessage(fmt.Sprint("old", i), "0", "pure", 7, now-choice.Time(i)*second, 8*second).acceptedRecord())
 	}
 	writeJournal(t, dir, records...)
-	// A minute back, and another process by that clock.
+	// The second process starts with a clock that was put back by about a minute.
 	cfg := fourClassConfig(dir, 100)
 	h := startAt(cfg, time.Second)
 	recordCalls(t, h)
@@ -68,16 +69,16 @@
 
 	l := recordCalls(t, startAt(fourClassConfig(dir, 100), 2*time.Second))
 	if len(l.s.pending) != 4 {
-		t.Fatalf("owed: %d", len(l.s.pending))
+		t.Fatalf("%d messages are pending, want 4", len(l.s.pending))
 	}
 	l.advanceAnswering(12*time.Second, 0)
-	// They had 8, 7 and 6 s left, and the new one 8, at the start of the second process.
+	// At the start of the second process the old messages had 8, 7 and 6 s left, and the new one 8 s.
 	for id, due := range map[string]choice.Time{"old0": 8 * second, "old1": 7 * second, "old2": 6 * second, "new": 8 * second} {
 		due += clockAt(time.Second)
 		if end := l.endedAt[id]; end == 0 || end > due+second/2 {
-			t.Errorf("%s: ended %.1f s after its time", id, float64(end-due)/float64(second))
+			t.Errorf("%s: ended %.1f s after its deadline", id, float64(end-due)/float64(second))
 		} else if end < due-3*second {
-			t.Errorf("%s: ended %.1f s before its time", id, float64(due-end)/float64(second))
+			t.Errorf("%s: ended %.1f s before its deadline", id, float64(due-end)/float64(second))
 		}
 	}
 }
--- a/internal/sender/cluster_test.go
+++ b/internal/sender/cluster_test.go
@@ -9,11 +9,11 @@
 	"flaxcove/internal/sender/clusterapi"
 )
 
-// fakeCluster stands in for the processes around a sender.
+// fakeCluster is a clusterapi.Cluster that records its calls, and a routing plan that closes one zone.
 type fakeCluster struct {
-	last       clusterapi.Digest
-	closedZone choice.ZoneNo // a zone to which nothing may go; -1 for none
-	woke       []choice.DestinationID
+	last       clusterapi.Digest      // the last digest received
+	closedZone choice.ZoneNo          // a zone to which no message may be sent; -1 for none
+	woke       []choice.DestinationID // the destinations passed to Woke
 }
 
 func (c *fakeCluster) Digest(d clusterapi.Digest)  { c.last = d }
@@ -23,10 +23,10 @@
 	return zone != c.closedZone
 }
 
-// fakeLearnedStore stands in for the learned state of package choice.
+// fakeLearnedStore is a learnedStore that records what is voided.
 type fakeLearnedStore struct {
-	mustStay choice.DestinationID
-	voided   []string
+	mustStay choice.DestinationID // the one destination that must not be evicted
+	voided   []string             // endpoint and new state of each call of Void
 }
 
 func (m *fakeLearnedStore) Void(id choice.EndpointID, l *choice.LearnedState) {
@@ -41,14 +41,14 @@
 	return c
 }
 
-// runNext handles the next event, which takes the orders that were given.
+// runNext waits for the next event in the sender's inbox and handles it. It carries out the orders given before.
 func (h *harness) runNext() *harness {
 	(<-h.s.inbox)()
 	return h
 }
 
-// While the gate holds attempts back, messages are accepted and answered and none is sent. Attempts begin when the channel
-// is closed, or once the gate's time is over.
+// While the gate holds attempts back, messages are accepted and answered, but not sent. Attempts begin when the gate's
+// channel is closed or its time has passed.
 func Example_gate() {
 	for _, opens := range []bool{true, false} {
 		gate := make(chan struct{})
@@ -74,7 +74,8 @@
 	//    id
 }
 
-// A routing plan lets nothing go to a closed zone, as soon as it changes; without a plan all is allowed.
+// A change of the routing plan takes effect in the next turn: no message may be sent to a closed zone. An unknown endpoint is
+// allowed.
 func Example_routingPlan() {
 	h := start("", 100)
 	c := h.joinCluster(Joining{})
@@ -88,8 +89,9 @@
 	// false true
 }
 
-// A digest counts each call once however many messages it carries, and each message once, when its client gets +OK: not
-// a rejected one, nor the same id again. Waiting messages are counted in one row of their destination.
+// A digest counts each call once, however many messages it carries, and each message once, when its client gets +OK. It
+// does not count rejected messages or an id that is submitted again. Waiting messages are counted in one row of their
+// destination.
 func Example_digest() {
 	h := start("", 4)
 	c := h.joinCluster(Joining{})
@@ -129,9 +131,9 @@
 	// counts [{2  2} {9  2}] longest 1m30s
 }
 
-// Eviction drops learned state and idle links, unless the destination must stay or anything is open. A message for an
-// evicted destination asks the region once, and what the region knows is adopted where nothing is known here, its wait
-// shorter by its age.
+// Eviction drops learned state and idle links, unless the destination must stay or has a call in flight. The first message
+// for an evicted destination makes the sender ask the region for learned state. The answer is adopted for endpoints without
+// learned state, and its wait is reduced by its age.
 func Example_evict() {
 	h := start("", 100)
 	c, m := h.joinCluster(Joining{}), &fakeLearnedStore{mustStay: 2}
@@ -150,7 +152,7 @@
 		h.runNext().advance(5 * time.Millisecond)
 	}
 	evict()
-	h.calls[0].endpoint.linkCount-- // the harness has none
+	h.calls[0].endpoint.linkCount-- // the harness has no link that could end
 	h.endpointAnswers(answerOK).advance(5 * time.Millisecond)
 	o.Know([]choice.DestinationID{1}, func(all []clusterapi.LearnedEndpoint) { fmt.Printf("known %+v\n", all) })
 	h.runNext().advance(20 * time.Millisecond)
--- a/internal/sender/command_test.go
+++ b/internal/sender/command_test.go
@@ -10,14 +10,15 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// An invalid command is answered with what is wrong, and accepts nothing; a repeated id is answered +OK once more.
+// An invalid command is answered with an error that says what is wrong, and no message is accepted. An id that is submitted
+// again is answered +OK.
 func Example_commands() {
 	h := start("", 3).submit("PING", "ping hello", "FLUSHALL", "OUT.ADD 00 a", "OUT.ADD 00 a c=nil,d=1,dest=1 x",
 		"OUT.ADD 00 a c=status,d=-1,dest=1 x", "OUT.ADD 00 a c=status,d=1e99,dest=1 x", "OUT.ADD 00 a c=status,d=0x10,dest=1 x",
 		"OUT.ADD 00 a c=status,d=900,dest=1.5 x", "OUT.ADD 00 \"a c=status,d=900,dest=1 x", "OUT.ADD 00 new c=status,d=900,dest=9,x=y,r=1 x")
 	h.submit("OUT.ADD 00 new c=status,d=900,dest=9 x", "OUT.ADD 00 soon c=status,d=1,dest=9 x")
 	h.submit("OUT.ADD 00 two c=status,d=6000,dest=9 x", "OUT.ADD 00 three c=status,d=6000,dest=9 x", "OUT.ADD 00 four c=status,d=6000,dest=9 x")
-	// Where the list is from before the start, an unknown destination may be a new one.
+	// Until discovery has sent a list, an unknown destination may be a new one and is answered -BUSY.
 	h.submit("OUT.ADD 00 five c=status,d=6000,dest=77 x").updateList(`{"version":2}`).submit("OUT.ADD 00 five c=status,d=6000,dest=77 x")
 	os.RemoveAll(h.dir)
 	// Output:
@@ -43,7 +44,7 @@
 	// client: -ERR dest: no such destination
 }
 
-// At a graceful shutdown no call begins late, pending messages stay in the journal, and late ones are rejected.
+// Late in a graceful shutdown no call begins and messages are rejected. Pending messages stay in the journal.
 func Example_drain() {
 	h := start("", 100)
 	h.s.startDrain(h.clock)
@@ -64,7 +65,7 @@
 	// owed: 1 to the platform: 0
 }
 
-// At a graceful shutdown idle clients are closed; one that connects after the signal may send one command.
+// At a graceful shutdown idle clients are closed. A client that connects after the signal may still send one command.
 func Example_drainClients() {
 	h := start("", 100)
 	connect := func() *client {
@@ -73,7 +74,7 @@
 		return h.client(conn)
 	}
 	idle, half, asked, queued := connect(), connect(), connect(), connect()
-	queued.window <- struct{}{} // its command waits in the inbox
+	queued.window <- struct{}{} // as if a command of this client waited in the inbox
 	half.partialSince.Store(int64(h.clock))
 	asked.window <- struct{}{}
 	h.s.addMessage(h.s.expectReply(asked), [][]byte{nil, []byte("0"), []byte("id"), []byte("c=status,d=6000,dest=1"), nil})
@@ -86,7 +87,7 @@
 	show()
 	late.served = true
 	h.advance(5 * time.Millisecond)
-	(<-h.s.inbox)() // the answer is written
+	(<-h.s.inbox)() // handles the end of the write of the answer
 	h.advance(5 * time.Millisecond)
 	show()
 	h.advance(drainAcceptTime)
--- a/internal/sender/configure_bench_test.go
+++ b/internal/sender/configure_bench_test.go
@@ -9,7 +9,8 @@
 	"flaxcove/internal/sender/clusterapi"
 )
 
-// BenchmarkConfigure is how long the loop stands for a change of settings, by what it holds.
+// BenchmarkConfigure measures how long a change of settings blocks the loop, by the kind of change and by the number of
+// destinations and pending messages.
 func BenchmarkConfigure(b *testing.B) {
 	changes := map[string][2][]string{
 		"gain":     {{`"worth":3}`, `"worth":5}`}, {`"worth":3}`, `"worth":6}`}},
@@ -29,7 +30,7 @@
 					return settingsWith(b, append([]string{`"maxOpen":100`, `"maxOpen":1000000`}, change...)...)
 				}
 				h := startWith(loadedConfig(b, b.TempDir(), settings(nil), list))
-				h.s.maxLinks = 0 // no call leaves
+				h.s.maxLinks = 0 // so that no call is sent
 				for i := range open {
 					m, err := h.s.parseMessage(splitArgs(fmt.Sprintf("OUT.ADD 0 id%d c=status,d=6000,dest=%d x", i, i%destinations)))
 					if err != nil {
--- a/internal/sender/configure_sockets_test.go
+++ b/internal/sender/configure_sockets_test.go
@@ -14,8 +14,9 @@
 	"flaxcove/internal/sender/clusterapi"
 )
 
-// Over sockets, with clients that submit without a pause while settings change many times: each accepted message is
-// delivered once, or shed once where capacity became scarce, and a new class is served from its version on.
+// TestConfigureUnderTraffic changes the settings many times while clients submit messages over sockets without a pause. Each
+// accepted message must be delivered once, or shed once if capacity became scarce. Messages of a new class must be accepted
+// as soon as the version that adds it is in force.
 func TestConfigureUnderTraffic(t *testing.T) {
 	w, addr := startFakeServer(t)
 	list := directory.List{Version: 1, Full: true}
@@ -37,24 +38,24 @@
 	client := connectClient(t, s)
 	defer client.Close()
 	if answer, _ := client.submit("0", "early", "c=offer,d=15000,dest=1", deliveredBody); !strings.HasPrefix(answer, "-ERR") {
-		t.Errorf("a class that is not there yet: %s", answer)
+		t.Errorf("a message of a class that does not exist yet was answered %s", answer)
 	}
 	versions := traffic.changeSettings(t, client)
 	close(over)
 	clients.Wait()
-	waitOnLoop(t, s, "all has ended", func() bool { return len(s.pending) == 0 })
+	waitOnLoop(t, s, "no message is pending", func() bool { return len(s.pending) == 0 })
 	traffic.check(t, w)
 	if s.cfg.Version != uint64(versions) {
-		t.Errorf("version %d", s.cfg.Version)
+		t.Errorf("version %d is in force, want %d", s.cfg.Version, versions)
 	}
 	s.Drain()
 	waitEnded(t, done)
 }
 
-// deliveredBody has a fakeServer answer that the message is delivered.
+// deliveredBody is the body of a message that a fakeServer answers as delivered.
 const deliveredBody = "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 
-// settingsForms are changes of twoClassSettings, for settingsWith.
+// settingsForms are lists of changes to twoClassSettings, for settingsWith.
 var settingsForms = [][]string{
 	{`"maxOpen":100`, `"maxOpen":20`},
 	{`"worth":3}`, `"worth":30}`, `"aim":800000000`, `"aim":400000000`},
@@ -64,13 +65,13 @@
 	{},
 }
 
-// traffic is what clients submit to a sender, and which messages it has accepted.
+// traffic submits messages to a sender and records which were accepted.
 type traffic struct {
 	s        *Sender
-	accepted sync.Map // by id
+	accepted sync.Map // the ids of accepted messages
 }
 
-// submit sends a message, which may be answered -BUSY.
+// submit sends a message and records it if it was accepted. The answer -BUSY is allowed.
 func (f *traffic) submit(t *testing.T, client *testClient, id, class string, dest int) {
 	answer, err := client.submit("0", id, fmt.Sprintf("c=%s,d=15000,dest=%d", class, dest), deliveredBody)
 	switch {
@@ -79,11 +80,11 @@
 	case answer == "+OK":
 		f.accepted.Store(id, true)
 	case !strings.HasPrefix(answer, "-BUSY"):
-		t.Errorf("%s: %s", id, answer)
+		t.Errorf("message %s was answered %s", id, answer)
 	}
 }
 
-// flow submits without a pause until over is closed.
+// flow submits messages without a pause until over is closed. no is the number of the client.
 func (f *traffic) flow(t *testing.T, client *testClient, no int, over <-chan struct{}) {
 	defer client.Close()
 	for i := 0; ; i++ {
@@ -96,25 +97,25 @@
 	}
 }
 
-// changeSettings puts many versions in force, each with a new class of which a message is submitted.
+// changeSettings puts many versions in force, one after the other. Each has the class offer, of which a message is submitted.
 func (f *traffic) changeSettings(t *testing.T, client *testClient) (versions int) {
 	t.Helper()
 	versions = 4 * len(settingsForms)
 	for version := range versions {
 		form := append([]string{classEnd, withNew}, settingsForms[version%len(settingsForms)]...)
-		if version%len(settingsForms) == 1 { // the text of the class's end is changed already
+		if version%len(settingsForms) == 1 { // this form changes the text that classEnd would match
 			form = append([]string{classEnd, `"worth":30},` + offer + `],`}, settingsForms[1][2:]...)
 		}
 		if err := f.order(clusterapi.Configuration{Version: uint64(version + 1), Settings: settingsWith(t, form...)}); err != nil {
 			t.Fatalf("version %d: %v", version+1, err)
 		}
 		f.submit(t, client, fmt.Sprint("new", version), "offer", version%4)
-		time.Sleep(20 * time.Millisecond) // for the clients, who submit meanwhile
+		time.Sleep(20 * time.Millisecond) // so that the clients submit messages under this version
 	}
 	return versions
 }
 
-// order gives an order to change the settings, and waits for the answer.
+// order gives the order to put a configuration in force, and waits for the answer.
 func (f *traffic) order(c clusterapi.Configuration) error {
 	answer := make(chan error, 1)
 	f.s.Orders().Configure(c, func(err error) { answer <- err })
@@ -126,29 +127,30 @@
 	}
 }
 
-// check compares what was accepted with what the endpoints and the platform received.
+// check compares the accepted messages with what the endpoints and the platform received.
 func (f *traffic) check(t *testing.T, w *fakeServer) {
 	t.Helper()
-	delivered, ofNew := 0, 0
+	delivered, newClass := 0, 0
 	f.accepted.Range(func(id, _ any) bool {
 		if strings.HasPrefix(id.(string), "new") {
-			ofNew++
+			newClass++
 		}
 		switch received := w.receivedFor(id.(string)); received {
 		case deliveredBody:
 			delivered++
-		case "handed_back": // where capacity became scarce
+		case "handed_back": // shed because capacity became scarce
 		default:
-			t.Errorf("%v met %q", id, received)
+			t.Errorf("message %v: the server received %q", id, received)
 		}
 		return true
 	})
-	if delivered < 100 || ofNew == 0 {
-		t.Errorf("%d delivered, %d of the new class", delivered, ofNew)
+	if delivered < 100 || newClass == 0 {
+		t.Errorf("%d messages delivered, %d accepted of the new class", delivered, newClass)
 	}
 }
 
-// Links that idle as the time for that becomes shorter end by the new one, counted from when they became idle.
+// TestConfigureEndsIdleLinksSooner checks that a shorter connIdle also applies to links that are idle already, counted from
+// when they became idle.
 func TestConfigureEndsIdleLinksSooner(t *testing.T) {
 	endpoint := httptest.NewServer(http.HandlerFunc(func(out http.ResponseWriter, _ *http.Request) { out.WriteHeader(http.StatusOK) }))
 	defer endpoint.Close()
@@ -157,20 +159,20 @@
 	s, conn, done := startServing(t, loadedConfig(t, t.TempDir(), settingsWith(t, `"connIdle":10000000000`, `"connIdle":600000000000`), list))
 	defer conn.Close()
 	conn.Write(outAdd("0", "id", "c=status,d=6000,dest=1", ""))
-	idle := func(want int) func() bool {
+	idleLinks := func(want int) func() bool {
 		return func() (is bool) {
 			onLoop(t, s, func() { is = s.openLinks == want && len(s.endpoints["e"].idle) == want && len(s.pending) == 0 })
 			return is
 		}
 	}
-	waitUntil(t, "a link idles", idle(1))
+	waitUntil(t, "one link is open and idle", idleLinks(1))
 	answer := make(chan error, 1)
 	s.Orders().Configure(clusterapi.Configuration{Version: 1, Settings: settingsWith(t, `"connIdle":10000000000`, `"connIdle":20000000`)},
 		func(err error) { answer <- err })
 	if err := <-answer; err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(t, "the link has ended", idle(0))
+	waitUntil(t, "the link is closed", idleLinks(0))
 	s.Drain()
 	waitEnded(t, done)
 }
--- a/internal/sender/configure_test.go
+++ b/internal/sender/configure_test.go
@@ -17,22 +17,22 @@
 	"flaxcove/internal/sender/clusterapi"
 )
 
-// Tests of settings that change under a running sender.
+// This file tests changes of the settings of a running sender.
 
-// settingsWith is twoClassSettings with changes, each of a text that stands in it to another one.
+// settingsWith returns twoClassSettings with changes, given as pairs of a text in the settings and its replacement.
 func settingsWith(t testing.TB, changes ...string) json.RawMessage {
 	t.Helper()
 	text := fmt.Sprintf(twoClassSettings, 100)
 	for i := 0; i < len(changes); i += 2 {
 		if !strings.Contains(text, changes[i]) {
-			t.Fatalf("%s is not in the settings", changes[i])
+			t.Fatalf("the settings do not contain %s", changes[i])
 		}
 		text = strings.Replace(text, changes[i], changes[i+1], 1)
 	}
 	return json.RawMessage(text)
 }
 
-// loadedConfig is a configuration that is loaded from a file.
+// loadedConfig writes a configuration file and loads it.
 func loadedConfig(t testing.TB, dir string, settings json.RawMessage, list directory.List) *config.Config {
 	t.Helper()
 	text, err := json.Marshal(map[string]any{"name": "s", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "state": dir,
@@ -51,6 +51,7 @@
 	return cfg
 }
 
+// knownList returns twoEndpointList.
 func knownList(t testing.TB) (l directory.List) {
 	t.Helper()
 	if err := json.Unmarshal([]byte(twoEndpointList), &l); err != nil {
@@ -59,7 +60,7 @@
 	return l
 }
 
-// configure gives an order to change the settings, and returns the answer, which comes at the end of the turn.
+// configure gives the order to put a configuration in force, runs a turn, and returns the answer.
 func (h *harness) configure(c clusterapi.Configuration) (answer error) {
 	answer = errors.New("no answer")
 	h.s.Orders().Configure(c, func(err error) { answer = err })
@@ -68,15 +69,16 @@
 	return answer
 }
 
+// offer is the class that the tests add to the settings; replacing classEnd by withNew adds it.
 const (
 	offer    = `{"name":"offer","idempotency":"token","aim":800000000,"deadline":6000000000,"worth":2,"repeatWindow":3000000000}`
 	classEnd = `"worth":3}],`
 	withNew  = `"worth":3},` + offer + `],`
 )
 
-// Invalid settings are rejected by one line that names the field, and all stays as it was; so is an older version. The one
-// that is in force is accepted and changes nothing.
-func TestConfigureRefuses(t *testing.T) {
+// TestConfigureRejects checks that invalid settings and older versions are rejected with an error of one line, which names
+// the field, and change nothing. The configuration that is in force is accepted again and changes nothing.
+func TestConfigureRejects(t *testing.T) {
 	h := startWith(loadedConfig(t, t.TempDir(), settingsWith(t), knownList(t)))
 	two := clusterapi.Configuration{Version: 2, Settings: settingsWith(t, `"maxOpen":100`, `"maxOpen":50`)}
 	if err := h.configure(two); err != nil {
@@ -95,29 +97,29 @@
 		before := h.s.cfg
 		err := h.configure(c)
 		if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q is wanted: %v", want, err)
+			t.Errorf("got error %v, want one line with %q", err, want)
 		}
 		if h.s.cfg != before || h.s.cfg.Settings.MaxOpen != 50 {
-			t.Errorf("%s: the settings have changed", want)
+			t.Errorf("the settings have changed despite the error %q", want)
 		}
 	}
 	if err := h.configure(two); err != nil {
-		t.Errorf("what is in force: %v", err)
+		t.Errorf("the configuration in force is rejected: %v", err)
 	}
 	if err := h.configure(clusterapi.Configuration{Version: 7, Settings: settingsWith(t)}); err != nil || h.s.cfg.Version != 7 {
-		t.Errorf("a later one: %v", err)
+		t.Errorf("a later configuration: error %v, version %d in force", err, h.s.cfg.Version)
 	}
 }
 
-// Limits, the time to come back, bulk calls and the list's names are the new ones from the next command on, and after a change
-// back the old ones; accepted messages stay.
-func TestConfigureHolds(t *testing.T) {
+// TestConfigureTakesEffect checks that new limits, the retry time of -BUSY, the limits of bulk calls, and the names in the
+// endpoint list apply from the next command on, and that a later change back restores the old ones. Accepted messages stay.
+func TestConfigureTakesEffect(t *testing.T) {
 	list := knownList(t)
-	list.Entries[0].Zone, list.Entries[0].Kind = "new", "newer" // of settings to come
+	list.Entries[0].Zone, list.Entries[0].Kind = "new", "newer" // names that only the changed settings have
 	h := startWith(loadedConfig(t, t.TempDir(), settingsWith(t), list))
 	h.submit("OUT.ADD 0 first c=status,d=6000,dest=9 x")
 	if e := h.s.endpoints["a"]; e.zone >= 0 || e.kind != 0 {
-		t.Fatalf("what the settings don't name has numbers: %+v", e)
+		t.Fatalf("a zone and a kind that the settings do not name have numbers: %+v", e)
 	}
 	changed := clusterapi.Configuration{Version: 1, Settings: settingsWith(t, `"maxOpen":100`, `"maxOpen":1`, `"zones":["z"]`, `"zones":["z","new"]`,
 		`"maxRetryAfter":2000000000`, `"maxRetryAfter":700000000`, `"machineTypes":["one","many"]`, `"machineTypes":["one","many","newer"]`,
@@ -127,10 +129,10 @@
 	}
 	a, b := h.s.endpoints["a"], h.s.endpoints["b"]
 	if a.zone != 1 || a.kind != 2 || a.bulkMax != 7 || b.bulkMax != 5 || h.s.maxLinks != 301 {
-		t.Errorf("a %+v, bundles to b %d, links %d", a, b.bulkMax, h.s.maxLinks)
+		t.Errorf("endpoint a %+v, bulkMax of b %d, maxLinks %d", a, b.bulkMax, h.s.maxLinks)
 	}
 	if busy := string(*h.s.clients.busyReply.Load()); busy != "-BUSY 700\r\n" {
-		t.Errorf("who finds no place is told %q", busy)
+		t.Errorf("rejected clients are answered %q", busy)
 	}
 	answer := func(command string) string {
 		c := newClient()
@@ -139,17 +141,17 @@
 		return strings.TrimSpace(string(c.output))
 	}
 	if text := answer("OUT.ADD 0 full c=status,d=6000,dest=9 x"); text != "-BUSY 700" {
-		t.Errorf("beyond the new limit: %s", text)
+		t.Errorf("a message beyond the new limit is answered %s", text)
 	}
 	if len(h.s.pending) != 1 {
-		t.Error("what was taken on is gone")
+		t.Error("the accepted message is no longer pending")
 	}
 	if err := h.configure(clusterapi.Configuration{Version: 2, Settings: settingsWith(t, classEnd, withNew,
 		`"zones":["z"]`, `"zones":["z","new"]`, `"machineTypes":["one","many"]`, `"machineTypes":["one","many","newer"]`)}); err != nil {
 		t.Fatal(err)
 	}
 	if text := answer("OUT.ADD 0 again c=offer,d=6000,dest=9 x"); text != "+OK" {
-		t.Errorf("back under the old limit, and of the new class: %s", text)
+		t.Errorf("a message of the new class under the old limit is answered %s", text)
 	}
 	h.joinCluster(Joining{})
 	if counters := strings.Join(h.s.Counters(), " "); !strings.Contains(counters, "configuration_version:2") {
@@ -157,8 +159,9 @@
 	}
 }
 
-// A start with the version that an earlier process stored goes on with its pending messages, and accepts no older one. The
-// file's own settings, which lack the class of a pending message, are rejected by the start itself.
+// TestRestartWithStoredVersion checks that a start with the version that an earlier process stored continues with its
+// pending messages and rejects older versions. A start with the file's own settings, which lack the class of a pending
+// message, fails.
 func TestRestartWithStoredVersion(t *testing.T) {
 	dir := t.TempDir()
 	own := loadedConfig(t, dir, settingsWith(t), knownList(t))
@@ -170,29 +173,29 @@
 	h.submit("OUT.ADD 0 owed c=offer,d=60000,dest=9 x")
 	if _, err := openSender(own, zap.NewNop(), time.Unix(1e9, 0), func() time.Duration { return time.Minute }); err == nil ||
 		!strings.Contains(err.Error(), `workload "offer", which field settings.classes does not name`) {
-		t.Errorf("a start with the file's own settings: %v", err)
+		t.Errorf("a start with the file's own settings returned %v", err)
 	}
-	with, err := own.WithSettings(stored.Settings)
+	storedConfig, err := own.WithSettings(stored.Settings)
 	if err != nil {
 		t.Fatal(err)
 	}
-	with.Version = stored.Version
-	again := startWith(with)
+	storedConfig.Version = stored.Version
+	again := startWith(storedConfig)
 	if again.s == nil || again.s.pending["owed"] == nil || again.s.pending["owed"].Class != 2 {
-		t.Fatal("what was owed is not")
+		t.Fatal("the message of the earlier process is not pending, or has another class")
 	}
 	if err := again.configure(clusterapi.Configuration{Version: 4, Settings: settingsWith(t, classEnd, withNew)}); err == nil {
-		t.Error("an older version is taken")
+		t.Error("an older version is accepted")
 	}
 	if err := again.configure(stored); err != nil {
-		t.Errorf("the version that it runs: %v", err)
+		t.Errorf("the version in force is rejected: %v", err)
 	}
-	// A file that says otherwise by now is of no account while shared settings are in force.
+	// Changed settings in the file have no effect while shared settings are in force.
 	other := loadedConfig(t, dir, settingsWith(t, `"maxOpen":100`, `"maxOpen":7`), knownList(t))
-	if fixed := again.s.cfg.RestartOnlyChanges(other); len(fixed) > 0 {
-		t.Errorf("at the next start: %v", fixed)
+	if changes := again.s.cfg.RestartOnlyChanges(other); len(changes) > 0 {
+		t.Errorf("changes that need a restart, with shared settings in force: %v", changes)
 	}
-	if fixed := fmt.Sprint(own.RestartOnlyChanges(other)); fixed != "[settings]" {
-		t.Errorf("at the next start: %v", fixed)
+	if changes := fmt.Sprint(own.RestartOnlyChanges(other)); changes != "[settings]" {
+		t.Errorf("changes that need a restart, without shared settings: %v", changes)
 	}
 }
--- a/internal/sender/descriptors_test.go
+++ b/internal/sender/descriptors_test.go
@@ -20,22 +20,23 @@
 	"flaxcove/internal/directory"
 )
 
-// descriptorLimits configures a sender in a process of its own: where discovery is, and how many descriptors the settings and the
-// system give it.
+// descriptorLimits configures a sender in a process of its own: the address of discovery, the state folder, and the limits of
+// descriptors in the settings and in the system.
 type descriptorLimits struct {
 	Discovery, Dir   string
 	Settings, System uint64
 }
 
 const (
-	descriptorLimitsEnv = "FLAXCOVE_TEST_NARROW"
-	// answeredLine asks the process to say the same once all commands that it has read are answered.
+	// descriptorLimitsEnv is the environment variable that passes descriptorLimits, as JSON, to TestLimitedProcess.
+	descriptorLimitsEnv = "FLAXCOVE_TEST_DESCRIPTOR_LIMITS"
+	// answeredLine is a line that the process echoes once all commands that it has read are answered.
 	answeredLine = "answered"
 )
 
-// TestNarrowProcess is no test: it is the sender in a process of its own, until its standard input ends. Each line of input
-// is answeredLine, or the number of descriptors that the system gives from then on.
-func TestNarrowProcess(t *testing.T) {
+// TestLimitedProcess is not a test. It runs a sender in a process of its own, for startLimited, until its standard input
+// ends. Each line of input is answeredLine or a new descriptor limit.
+func TestLimitedProcess(t *testing.T) {
 	text := os.Getenv(descriptorLimitsEnv)
 	if text == "" {
 		return
@@ -70,7 +71,7 @@
 	fmt.Println("was handed", s.counts.submitted)
 }
 
-// limitedProcess is a sender in a process of its own.
+// limitedProcess is a sender in a process of its own, with a limit of descriptors.
 type limitedProcess struct {
 	*exec.Cmd
 	addr  string
@@ -78,10 +79,11 @@
 	lines *bufio.Scanner
 }
 
+// startLimited starts a limitedProcess and waits until it serves clients.
 func startLimited(t *testing.T, n descriptorLimits) *limitedProcess {
 	t.Helper()
 	text, _ := json.Marshal(n)
-	p := &limitedProcess{Cmd: exec.Command(os.Args[0], "-test.run=^TestNarrowProcess$")}
+	p := &limitedProcess{Cmd: exec.Command(os.Args[0], "-test.run=^TestLimitedProcess$")}
 	p.Env = append(os.Environ(), descriptorLimitsEnv+"="+string(text))
 	p.input, _ = p.StdinPipe()
 	output, _ := p.StdoutPipe()
@@ -94,17 +96,19 @@
 	return p
 }
 
-func (p *limitedProcess) waitForLine(t *testing.T, what string) string {
+// waitForLine reads the process's output up to a line that starts with prefix, and returns the rest of that line.
+func (p *limitedProcess) waitForLine(t *testing.T, prefix string) string {
 	t.Helper()
 	for p.lines.Scan() {
-		if rest, does := strings.CutPrefix(p.lines.Text(), what); does {
+		if rest, does := strings.CutPrefix(p.lines.Text(), prefix); does {
 			return rest
 		}
 	}
-	t.Fatal("the process never says:", what)
+	t.Fatal("the process has ended without printing a line that starts with", prefix)
 	return ""
 }
 
+// limit sets the process's descriptor limit.
 func (p *limitedProcess) limit(t *testing.T, descriptors int) {
 	t.Helper()
 	fmt.Fprintln(p.input, descriptors)
@@ -118,7 +122,7 @@
 	p.waitForLine(t, answeredLine)
 }
 
-// dialPing connects a client and sends a PING.
+// dialPing connects a client to the process and sends a PING.
 func (p *limitedProcess) dialPing(t *testing.T) net.Conn {
 	t.Helper()
 	conn := p.dial(t)
@@ -126,6 +130,7 @@
 	return conn
 }
 
+// dial connects a client to the process.
 func (p *limitedProcess) dial(t *testing.T) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", p.addr)
@@ -136,22 +141,23 @@
 	return conn
 }
 
+// end closes the process's standard input, so that it shuts down gracefully, and waits until it has ended.
 func (p *limitedProcess) end(t *testing.T) {
 	t.Helper()
 	p.input.Close()
-	for p.lines.Scan() { // to the end of what it says
+	for p.lines.Scan() { // until the output ends
 	}
 	if err := p.Wait(); err != nil {
 		t.Error(err)
 	}
 }
 
-// fakePartner is discovery, which does not answer before it is up, an endpoint and the platform in one.
+// fakePartner is discovery, an endpoint and the platform in one server.
 type fakePartner struct {
 	*httptest.Server
-	up             atomic.Bool
-	asked          atomic.Int64
-	inbox, outcome atomic.Int64
+	up             atomic.Bool  // discovery answers; before, it closes each connection
+	asked          atomic.Int64 // requests to discovery
+	inbox, outcome atomic.Int64 // calls to the endpoint, and reports to the platform
 }
 
 func (p *fakePartner) ServeHTTP(out http.ResponseWriter, r *http.Request) {
@@ -177,7 +183,7 @@
 	}
 }
 
-// cpuTime is what a process has used up so far.
+// cpuTime returns the CPU time that a process has used, in user and system mode, to 10 ms.
 func cpuTime(t *testing.T, pid int) time.Duration {
 	t.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
@@ -190,9 +196,9 @@
 	return time.Duration(user+system) * 10 * time.Millisecond
 }
 
-// floodWithIdle connects clients that send a PING and stay: first many that wait for nothing, some of which may be rejected,
-// then more than there are places, one after the other. Each of these comes when all commands are answered, and so must be
-// served at once.
+// floodWithIdle connects clients that send a PING and stay connected. First many connect without waiting, and some of them
+// may be rejected. Then more clients than there are places connect one after the other, each when all commands are answered,
+// so that each must be served at once.
 func floodWithIdle(t *testing.T, program *limitedProcess) (idle []net.Conn) {
 	t.Helper()
 	const flood, oneByOne = 240, 60
@@ -209,9 +215,9 @@
 	return idle
 }
 
-// While discovery is down idle clients take all descriptors that clients may have; discovery, calls, reports to the platform
-// and the journal still get theirs, and so do new clients. Where the system gives fewer than the settings allow, the process
-// neither ends nor spins.
+// TestFewDescriptors checks that discovery, calls, reports to the platform, the journal and new clients still get descriptors
+// while idle clients hold all those that clients may have. Discovery is down when the idle clients connect. If the system's
+// limit is lower than that of the settings, the process must neither end nor use CPU time in a busy loop.
 func TestFewDescriptors(t *testing.T) {
 	for _, n := range []descriptorLimits{{Settings: 128, System: 128}, {Settings: 512, System: 96}} {
 		t.Run(fmt.Sprintf("%d of %d", n.System, n.Settings), func(t *testing.T) {
@@ -225,9 +231,9 @@
 			idle := floodWithIdle(t, program)
 			used := cpuTime(t, pid)
 			asked, since := p.asked.Load(), time.Now()
-			waitUntil(t, "discovery is asked while clients hold all", func() bool { return p.asked.Load() >= asked+2 })
+			waitUntil(t, "discovery is asked twice while idle clients hold all descriptors", func() bool { return p.asked.Load() >= asked+2 })
 			if used, took := cpuTime(t, pid)-used, time.Since(since); used > took/2 {
-				t.Errorf("%v used of %v with nothing to do", used, took)
+				t.Errorf("the process used %v of CPU time within %v while it had nothing to do", used, took)
 			}
 			p.up.Store(true)
 			conn := dial(t)
@@ -235,7 +241,7 @@
 			send := func(id, list string, size int) {
 				t.Helper()
 				text := outAdd("0", id, list, strings.Repeat("\x00", size))
-				waitUntil(t, "it is taken on", func() bool { // there is capacity for some at a time
+				waitUntil(t, "the message is accepted", func() bool { // the journal has capacity for a few at a time
 					conn.Write(text)
 					line, err := answers.ReadString('\n')
 					if err != nil {
@@ -248,7 +254,7 @@
 				send(fmt.Sprint("many", i), "c=status,d=6000,dest=1", 4<<10)
 			}
 			send("nowhere", "c=status,d=1200,dest=9", 4<<10)
-			waitUntil(t, "all is delivered, and the end told", func() bool { return p.inbox.Load() >= 60 && p.outcome.Load() >= 1 })
+			waitUntil(t, "60 messages are delivered and one end is reported", func() bool { return p.inbox.Load() >= 60 && p.outcome.Load() >= 1 })
 			waitUntil(t, "the journal is rewritten", func() bool {
 				io.WriteString(conn, "*1\r\n$4\r\nINFO\r\n")
 				line, _ := answers.ReadString('\n')
@@ -269,20 +275,20 @@
 	}
 }
 
-// An accept that finds no descriptor is repeated after a pause: the process neither ends nor spins, and the client that waits
-// is served once there is one.
+// TestAcceptWithoutDescriptors checks that an accept without a free descriptor is repeated after a pause. The process must
+// neither end nor use CPU time in a busy loop, and the waiting client is served once there is a descriptor.
 func TestAcceptWithoutDescriptors(t *testing.T) {
 	program := startLimited(t, descriptorLimits{Discovery: "127.0.0.1:1", Dir: t.TempDir(), Settings: 128, System: 128})
 	program.limit(t, 3)
-	waits := program.dial(t)
-	io.WriteString(waits, pingText)
-	used, rest := cpuTime(t, program.Process.Pid), 2*time.Second
-	time.Sleep(rest) // in which nothing can come: what it takes is measured
-	if used := cpuTime(t, program.Process.Pid) - used; used > rest/2 {
-		t.Errorf("%v used of %v", used, rest)
+	waiting := program.dial(t)
+	io.WriteString(waiting, pingText)
+	used, pause := cpuTime(t, program.Process.Pid), 2*time.Second
+	time.Sleep(pause) // nothing can be accepted meanwhile, so the CPU time measured is that of repeated accepts
+	if used := cpuTime(t, program.Process.Pid) - used; used > pause/2 {
+		t.Errorf("the process used %v of CPU time within %v while it could not accept", used, pause)
 	}
 	program.limit(t, 128)
-	mustRead(t, waits, pongText)
-	waits.Close()
+	mustRead(t, waiting, pongText)
+	waiting.Close()
 	program.end(t)
 }
--- a/internal/sender/drain_test.go
+++ b/internal/sender/drain_test.go
@@ -13,17 +13,17 @@
 	"flaxcove/internal/resp"
 )
 
-// waitEnded waits until the loop has ended.
+// waitEnded waits until done is closed, which means that the loop has ended.
 func waitEnded(t *testing.T, done <-chan struct{}) {
 	t.Helper()
 	select {
 	case <-done:
 	case <-time.After(20 * time.Second):
-		t.Fatal("the graceful shutdown does not end")
+		t.Fatal("the graceful shutdown has not ended within 20 s")
 	}
 }
 
-// drainFrom begins a graceful shutdown as if its signal had come a time before, and makes the loop check it at once.
+// drainFrom starts a graceful shutdown as if its signal had come the time before ago, and runs checkDrain at once.
 func drainFrom(t *testing.T, s *Sender, before time.Duration) {
 	t.Helper()
 	onLoop(t, s, func() {
@@ -32,33 +32,34 @@
 	})
 }
 
-// The process's end resets its open connections, so by then our sending to each client has ended: also to one whose input
-// was not read, one whose command is incomplete, and one that has just connected and sent nothing.
+// TestDrainHalfClosesAll checks that all connections are half-closed when the process ends, because the end of the process
+// resets connections that have unread input. This includes a client with unread input, a client with an incomplete command,
+// and a client that has just connected and has sent nothing.
 func TestDrainHalfClosesAll(t *testing.T) {
 	s, dial, done := serving(t, 64)
-	unread, half, rests, fresh := dial(pingText), dial("*2\r\n$4\r\nPI"), dial(pingText), dial("")
+	unread, partial, idle, fresh := dial(pingText), dial("*2\r\n$4\r\nPI"), dial(pingText), dial("")
 	mustRead(t, unread, pongText)
-	mustRead(t, rests, pongText)
-	c := clientOf(t, s, half)
-	waitUntil(t, "half a command is read", func() bool { return c.partialSince.Load() != 0 })
+	mustRead(t, idle, pongText)
+	c := clientOf(t, s, partial)
+	waitUntil(t, "the incomplete command is read", func() bool { return c.partialSince.Load() != 0 })
 	clientOf(t, s, fresh)
 	stallPollers(t) // until the test ends
 	io.WriteString(unread, addText("unread"))
-	waitUntil(t, "the command has come", func() bool { return allAcknowledged(t, unread) })
+	waitUntil(t, "the command has arrived in the sender's socket", func() bool { return allAcknowledged(t, unread) })
 	drainFrom(t, s, drainEndTime)
 	waitEnded(t, done)
-	for name, conn := range map[string]net.Conn{"unread": unread, "half": half, "rests": rests, "fresh": fresh} {
+	for name, conn := range map[string]net.Conn{"unread": unread, "partial": partial, "idle": idle, "fresh": fresh} {
 		if got := state(t, conn); got != stateCloseWait {
-			t.Errorf("%s: state %d as the process ends, which resets it", name, got)
+			t.Errorf("client %s: TCP state %d when the process ends, which would reset the connection", name, got)
 		}
 	}
 	if s.counts.submitted != 0 {
-		t.Error("a command was taken on after the end")
+		t.Error("a command was accepted after the half-close")
 	}
 }
 
-// All that was read is answered before the process ends, also more than a window of commands, and then the process does not
-// wait for its hard end.
+// TestDrainAnswersWhatWasRead checks that all commands that were read are answered before the process ends, even if they are
+// more than a window. The process then ends before drainHardEnd.
 func TestDrainAnswersWhatWasRead(t *testing.T) {
 	s, dial, done := serving(t, 64)
 	conn := dial("")
@@ -66,7 +67,7 @@
 	const commands = 3 * windowSize
 	onLoop(t, s, func() {
 		io.WriteString(conn, strings.Repeat(pingText, commands))
-		waitUntil(t, "a window of commands is taken, and the rest read", func() bool { return allAcknowledged(t, conn) && len(c.window) == windowSize })
+		waitUntil(t, "the window is full and the other commands have arrived", func() bool { return allAcknowledged(t, conn) && len(c.window) == windowSize })
 		s.startDrain(s.clock() - drainReadTime)
 	})
 	if text, err := io.ReadAll(conn); string(text) != strings.Repeat(pongText, commands) || err != nil {
@@ -75,11 +76,12 @@
 	conn.Close()
 	waitEnded(t, done)
 	if s.sinceDrain() >= drainHardEnd {
-		t.Error("the process waited for nobody")
+		t.Error("the process waited for its hard end without any client")
 	}
 }
 
-// A client that sends without end, and so is never idle, is closed too, and answers to a slow reader arrive completely.
+// TestDrainWithBusyClients checks that a graceful shutdown also closes a client that sends without a pause and so is never
+// idle, and that a client that reads slowly gets all its answers.
 func TestDrainWithBusyClients(t *testing.T) {
 	s, dial, done := serving(t, 64)
 	pump, slow := dial(""), dial("")
@@ -95,9 +97,9 @@
 	go io.Copy(io.Discard, pump)
 	c := clientOf(t, s, slow)
 	syscall.SetsockoptInt(c.conn.(netpoll.Conn).Fd(), syscall.SOL_SOCKET, syscall.SO_SNDBUF, 4<<10)
-	const commands = 3 // more than the system buffers for a client that does not read, and less than the sender's own bound
+	const commands = 3 // more than the kernel buffers for a client that does not read, and less than maxUnreadOutput
 	io.WriteString(slow, strings.Repeat(string(resp.AppendCommand(nil, []byte("PING"), make([]byte, resp.MaxBulk))), commands))
-	waitUntil(t, "the answers wait for their reader", func() (wait bool) {
+	waitUntil(t, "the answers wait because the client does not read", func() (wait bool) {
 		onLoop(t, s, func() {
 			wait = c.writingReplies > 0 && len(c.window) > 0 && c.partialSince.Load() == 0 && c.writingReplies+c.outputReplies == len(c.window)
 		})
@@ -109,32 +111,32 @@
 		t.Errorf("%d of %d bytes of answers, %v", len(text), len(want), err)
 	}
 	slow.Close()
-	waitUntil(t, "the pump is parted from", func() bool { return state(t, pump) != stateOpen })
+	waitUntil(t, "the connection of the busy client is closed", func() bool { return state(t, pump) != stateOpen })
 	waitEnded(t, done)
 	pump.Close()
 	<-stop
 }
 
-// The steps of a graceful shutdown count from the signal, not from when the loop has time to handle it, and a second signal
-// changes nothing.
+// TestDrainCountsFromTheSignal checks that the steps of a graceful shutdown count from the signal, even if the loop handles
+// it later, and that a second signal or a reload changes nothing.
 func TestDrainCountsFromTheSignal(t *testing.T) {
 	s, dial, done := serving(t, 64)
-	var heardAt time.Duration
+	var postedBy time.Duration // a time after the signal and before the loop handles it
 	onLoop(t, s, func() {
 		go s.Drain()
 		waitUntil(t, "the signal waits for the loop", func() bool { return len(s.inbox) > 0 })
-		heardAt = s.clock()
+		postedBy = s.clock()
 	})
 	onLoop(t, s, func() {
 		first := s.drainSince
-		if !s.draining || first >= heardAt {
-			t.Errorf("counts from %v, which is after %v", first, heardAt)
+		if !s.draining || first >= postedBy {
+			t.Errorf("draining %v, counted from %v, want a time before %v", s.draining, first, postedBy)
 		}
 		s.startDrain(s.clock())
 		if s.drainSince != first {
-			t.Error("a second signal begins anew")
+			t.Error("a second signal has restarted the steps")
 		}
-		s.reload(s.cfg, nil) // a SIGHUP in between changes nothing either
+		s.reload(s.cfg, nil) // as for SIGHUP
 	})
 	s.Drain()
 	conn := dial(pingText)
@@ -143,25 +145,26 @@
 	waitEnded(t, done)
 }
 
-// A client that connected just before the signal has its first command answered; a command that is half read is waited for,
-// and answered.
+// TestCommandsAroundTheSignal checks that the first command of a client that connected just before the signal is answered,
+// and that an incomplete command is waited for and answered.
 func TestCommandsAroundTheSignal(t *testing.T) {
 	s, dial, done := serving(t, 64)
-	fresh, half := dial(""), dial(pingText[:7])
+	fresh, partial := dial(""), dial(pingText[:7])
 	clientOf(t, s, fresh)
-	c := clientOf(t, s, half)
-	waitUntil(t, "half a command is read", func() bool { return c.partialSince.Load() != 0 })
+	c := clientOf(t, s, partial)
+	waitUntil(t, "the incomplete command is read", func() bool { return c.partialSince.Load() != 0 })
 	drainFrom(t, s, 0)
 	io.WriteString(fresh, pingText)
-	io.WriteString(half, pingText[7:])
-	for name, conn := range map[string]net.Conn{"fresh": fresh, "half": half} {
+	io.WriteString(partial, pingText[7:])
+	for name, conn := range map[string]net.Conn{"fresh": fresh, "partial": partial} {
 		expectToEnd(t, name, conn, pongText)
 		conn.Close()
 	}
 	waitEnded(t, done)
 }
 
-// A client that has connected and sent nothing by the end is not closed before its first command is answered.
+// TestNewClientAtTheEnd checks that a client that has sent nothing by drainReadTime is rejected and gets an answer to its
+// first command before its connection is closed.
 func TestNewClientAtTheEnd(t *testing.T) {
 	s, dial, done := serving(t, 64)
 	conn := dial("")
@@ -169,7 +172,7 @@
 	drainFrom(t, s, drainReadTime)
 	onLoop(t, s, func() {
 		if !c.lingering || c.isWriteClosed() {
-			t.Errorf("leaving %v, its connection closed with no answer %v", c.lingering, c.isWriteClosed())
+			t.Errorf("lingering %v, half-closed without an answer %v, want true and false", c.lingering, c.isWriteClosed())
 		}
 		io.WriteString(conn, addText("late"))
 	})
@@ -178,7 +181,8 @@
 	waitEnded(t, done)
 }
 
-// Our sending to a client that was rejected a moment before the hard end has ended by then, whichever timer fires first.
+// TestRejectedAtTheVeryEnd checks that a client that was rejected just before drainHardEnd is half-closed by drainHardEnd,
+// whichever timer fires first.
 func TestRejectedAtTheVeryEnd(t *testing.T) {
 	s, dial, done := serving(t, 64)
 	conn := dial("")
@@ -186,18 +190,19 @@
 	onLoop(t, s, func() {
 		s.startDrain(s.clock() - drainReadTime)
 		if !c.lingering || c.isWriteClosed() {
-			t.Errorf("leaving %v, shut %v", c.lingering, c.isWriteClosed())
+			t.Errorf("lingering %v, half-closed %v, want true and false", c.lingering, c.isWriteClosed())
 		}
 		s.drainSince -= drainHardEnd - drainReadTime
 		s.checkDrain()
 	})
 	waitEnded(t, done)
 	if got := state(t, conn); got != stateCloseWait {
-		t.Errorf("state %d as the process ends", got)
+		t.Errorf("TCP state %d when the process ends", got)
 	}
 }
 
-// A client that connects as the process is about to end, when no other is left, is answered.
+// TestLastClient checks that a client that connects after the last client has gone, just before the process ends, is
+// answered.
 func TestLastClient(t *testing.T) {
 	s, dial, done := serving(t, 64)
 	drainFrom(t, s, drainAcceptTime)
--- a/internal/sender/earlier_process_test.go
+++ b/internal/sender/earlier_process_test.go
@@ -14,8 +14,8 @@
 	"flaxcove/internal/journal"
 )
 
-// fourClassSettings has a class of each kind of repeat, and one in order of arrival. An endpoint of which nothing is known is
-// taken to need half the shortest contract time, 1.5 s.
+// fourClassSettings has an idempotent, a keyed and a non-idempotent class, and a non-idempotent class in order of arrival.
+// An endpoint without learned state is assumed to take half the shortest latency objective, 1.5 s.
 const fourClassSettings = `{"balancers":2,"quantum":5000000,"machineTypes":["one"],"zones":["z"],
 "accounts":[{"quotaRps":0.001}],"overShareWorth":0.1,
 "bounds":{"maxAttempts":9,"maxOpen":%d,"connIdle":10000000000,"dialTimeout":1000000000,"retryAfter":true,"maxRetryAfter":2000000000},
@@ -27,6 +27,7 @@
 
 const oneEndpointList = `{"version":1,"full":true,"servers":[{"id":"a","addr":"127.0.0.1:1","zone":"z","kind":"one","cell":1,"state":"up","weight":100}]}`
 
+// fourClassConfig returns a configuration with fourClassSettings and oneEndpointList.
 func fourClassConfig(dir string, maxOpen int) *config.Config {
 	return testConfigWith(dir, fmt.Sprintf(fourClassSettings, maxOpen), oneEndpointList)
 }
@@ -34,12 +35,12 @@
 // second is a second in choice.Time.
 const second = choice.Second
 
-// clockAt is the time of a sender whose harness clock is at d.
+// clockAt returns the time of a sender whose harness clock is at d.
 func clockAt(d time.Duration) choice.Time {
 	return config.RoundDown(time.Unix(1e9, 0).UnixNano() + int64(d))
 }
 
-// acceptedMessage is a message that was accepted at a time, with a deadline that much later.
+// acceptedMessage returns a message that was accepted at the time when, with its deadline at when+hold.
 func acceptedMessage(id, key, className string, dest choice.DestinationID, when, hold choice.Time) *message {
 	m := &message{key: key, className: className, acceptedAt: when, body: []byte("x")}
 	m.ID, m.Deadline, m.Destination = choice.MessageID(id), when+hold, dest
@@ -61,21 +62,21 @@
 	}
 }
 
-// callRecorder is what became of messages after a start.
+// callRecorder records the calls and the reported endings of messages after a start.
 type callRecorder struct {
 	*harness
-	sync.Mutex
-	calls     map[choice.MessageID]int
-	endings   map[string]string      // what the platform received
-	endedAt   map[string]choice.Time // and when
-	openCalls []*call
+	sync.Mutex                          // guards endings and endedAt
+	calls      map[choice.MessageID]int // number of calls of each message
+	endings    map[string]string        // the outcome that the platform received, by message
+	endedAt    map[string]choice.Time   // the time at which the platform received it
+	openCalls  []*call                  // calls that are not answered yet, in the order of their start
 }
 
-// recordCalls makes endpoints take each call, and the platform accept all.
+// recordCalls makes every call connect and every report to the platform succeed, and records both.
 func recordCalls(t *testing.T, h *harness) *callRecorder {
 	t.Helper()
 	if h.s == nil {
-		t.Fatal("the start was refused")
+		t.Fatal("the sender has not started")
 	}
 	l := &callRecorder{harness: h, calls: map[choice.MessageID]int{}, endings: map[string]string{}, endedAt: map[string]choice.Time{}}
 	h.s.dial = func(c *call) {
@@ -95,7 +96,8 @@
 	return l
 }
 
-// advanceAnswering lets time pass in turns of 5 ms; each call is answered ok a time after it began.
+// advanceAnswering advances the clock by span, with a turn every 5 ms. Each call gets a 200 answer the time answer after it
+// began.
 func (l *callRecorder) advanceAnswering(span, answer time.Duration) {
 	for end := l.clock + span; l.clock < end; {
 		l.clock += 5 * time.Millisecond
@@ -120,9 +122,10 @@
 	}
 }
 
-// platformLine is one ending as the platform reads it.
+// platformLine is one reported ending, as the platform reads it.
 type platformLine struct{ Message, Outcome string }
 
+// parseEndings parses the body of a report to the platform.
 func parseEndings(body []byte) (all []platformLine) {
 	var line platformLine
 	for d := json.NewDecoder(bytes.NewReader(body)); d.Decode(&line) == nil; {
--- a/internal/sender/journal_capacity_test.go
+++ b/internal/sender/journal_capacity_test.go
@@ -10,8 +10,8 @@
 	"flaxcove/choice"
 )
 
-// What comes within one turn counts against the disk like what came before it: of a burst as much is accepted as
-// fits, the rest is rejected, and the journal is still written.
+// TestJournalCapacityWithinOneTurn checks that messages of the same turn count against the journal's limit. Of a burst within
+// one turn, as many messages are accepted as fit, the others are rejected, and the journal can still be written.
 func TestJournalCapacityWithinOneTurn(t *testing.T) {
 	t.Parallel()
 	l := recordCalls(t, startWith(fourClassConfig(t.TempDir(), 1000)))
@@ -26,16 +26,16 @@
 		t.Fatal(err)
 	}
 	if l.s.journalFailing || info.Size() > l.s.journal.Limit() {
-		t.Errorf("failing: %v, the file holds %d of %d bytes", l.s.journalFailing, info.Size(), l.s.journal.Limit())
+		t.Errorf("journal failing: %v, its file has %d of at most %d bytes", l.s.journalFailing, info.Size(), l.s.journal.Limit())
 	}
 	if l.s.counts.accepted == 0 || l.s.counts.accepted+l.s.counts.rejected != 40 {
-		t.Errorf("of 40, %d taken on and %d refused", l.s.counts.accepted, l.s.counts.rejected)
+		t.Errorf("%d messages accepted and %d rejected, want 40 in total", l.s.counts.accepted, l.s.counts.rejected)
 	}
-	// All that was accepted is pending in the next process.
+	// All accepted messages are pending in the next process.
 	if again := startWith(fourClassConfig(l.dir, 1000)); int64(len(again.s.pending)) != l.s.counts.accepted {
-		t.Errorf("taken on %d, owed after a kill %d", l.s.counts.accepted, len(again.s.pending))
+		t.Errorf("%d messages accepted, %d pending after a kill", l.s.counts.accepted, len(again.s.pending))
 	}
-	// What has ended takes up no capacity any more.
+	// Messages that have ended take up no capacity.
 	for id := range l.s.pending {
 		l.s.closeMessage(l.s.pending[choice.MessageID(id)])
 	}
@@ -43,6 +43,6 @@
 	l.handle(c, "OUT.ADD 0 last c=pure,d=8000,dest=1 "+body)
 	l.advanceAnswering(5*time.Millisecond, time.Hour)
 	if l.s.counts.accepted != before+1 {
-		t.Error("nothing is taken on once the room is free again")
+		t.Error("no message is accepted although all others have ended")
 	}
 }
--- a/internal/sender/long_day_test.go
+++ b/internal/sender/long_day_test.go
@@ -11,22 +11,22 @@
 	"flaxcove/choice"
 )
 
-// Over a long run nothing grows: all tables, the journal's file and the heap stay where an hour left them, whatever
-// became of the messages, and after a kill late in the day only what is pending comes back.
+// TestLongDay checks that the tables, the journal's file and the heap do not grow over a long run in which messages end in
+// all ways, and that only the pending message is restored after a kill at its end.
 func TestLongDay(t *testing.T) {
-	quiet := os.Stdout // the harness prints for examples
+	stdout := os.Stdout // replaced, because the harness prints for examples
 	null, err := os.OpenFile(os.DevNull, os.O_WRONLY, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	os.Stdout = null
-	defer func() { os.Stdout = quiet; null.Close() }()
+	defer func() { os.Stdout = stdout; null.Close() }()
 
 	h := start(t.TempDir(), 100)
-	bad := map[int]string{7: answerFull, 13: answerError, 21: "HTTP/1.1 503 Full\nConnection: close\nContent-Length: 0\n\n", 33: "HTTP/1.1 2"}
+	badAnswers := map[int]string{7: answerFull, 13: answerError, 21: "HTTP/1.1 503 Full\nConnection: close\nContent-Length: 0\n\n", 33: "HTTP/1.1 2"}
 	answer := func(text string) {
 		c := h.calls[len(h.calls)-1]
-		if c.done { // its time ran out
+		if c.done { // the call has timed out
 			h.calls = h.calls[:len(h.calls)-1]
 		} else {
 			h.endpointAnswers(text)
@@ -40,7 +40,7 @@
 			h.submit(fmt.Sprintf("OUT.ADD %x n%d-%d c=%s,d=6000,dest=%d body", i, no, i, class, 1+i%2))
 			h.advance(40 * time.Millisecond)
 			for len(h.calls) > 0 {
-				answer(cmp.Or(bad[(i+len(h.calls))%40], answerOK))
+				answer(cmp.Or(badAnswers[(i+len(h.calls))%40], answerOK))
 			}
 		}
 		h.advance(20 * time.Second)
@@ -60,26 +60,26 @@
 	for no := range 6 {
 		last = hour(3 + no)
 		if size, limit := h.s.journal.Size(), h.s.journal.Limit(); size > limit {
-			t.Errorf("hour %d: the journal holds %d of %d bytes", no, size, limit)
+			t.Errorf("hour %d: the journal has %d of at most %d bytes", no, size, limit)
 		}
 		if len(h.s.pending) > 0 || len(h.s.endings) > 0 || len(h.s.choiceTimers) > 4 || len(h.s.timers) > 16 ||
 			len(h.s.admission.recentlyEnded) > maxRememberedEnded || len(h.s.accepted) > 2*len(h.s.pending)+maxEndedInOrder+1 {
-			t.Errorf("hour %d: owed %d, endings %d, the module's timers %d, timers %d, ended %d, in order %d", no, len(h.s.pending),
+			t.Errorf("hour %d: pending %d, endings %d, choiceTimers %d, timers %d, recentlyEnded %d, accepted %d", no, len(h.s.pending),
 				len(h.s.endings), len(h.s.choiceTimers), len(h.s.timers), len(h.s.admission.recentlyEnded), len(h.s.accepted))
 		}
 	}
 	if last > first+first/4 {
 		t.Errorf("heap: %d bytes after three hours, %d after nine", first, last)
 	}
-	t.Logf("heap %d, then %d; rewritings %d, delivered %d, handed back %d, given up %d", first, last, h.s.counts.rewritings,
+	t.Logf("heap %d bytes, then %d; rewritings %d, delivered %d, shed %d, failed %d", first, last, h.s.counts.rewritings,
 		h.s.counts.delivered, h.s.counts.shed, h.s.counts.failed)
 	if h.s.counts.rewritings < 3 {
-		t.Errorf("only %d rewritings: the day was too short for the journal", h.s.counts.rewritings)
+		t.Errorf("%d rewritings of the journal, want at least 3", h.s.counts.rewritings)
 	}
 
 	h.submit("OUT.ADD 0 kept c=status,d=6000,dest=1 body").advance(5 * time.Millisecond)
 	again := start(h.dir, 100)
 	if len(again.s.pending) != 1 || again.s.pending[choice.MessageID("kept")] == nil {
-		t.Errorf("owed after a kill: %d", len(again.s.pending))
+		t.Errorf("%d messages are pending after a kill, want only the message kept", len(again.s.pending))
 	}
 }
--- a/internal/sender/many_clients_test.go
+++ b/internal/sender/many_clients_test.go
@@ -14,31 +14,32 @@
 
 const busyAnswer = "-BUSY 2000\r\n"
 
-// Where all places are taken and none can be given up, a new client is answered -BUSY. One that sends nothing gets no
-// answer, and is closed.
+// TestRejectedIsAnswered checks that a new client is answered -BUSY if no other client can be displaced. A new client that
+// sends nothing gets no answer and is closed.
 func TestRejectedIsAnswered(t *testing.T) {
 	s, dial, done := serving(t, 64)
 	s.clients.Lock()
-	most := s.clients.maxConns
+	maxConns := s.clients.maxConns
 	s.clients.Unlock()
-	for range most { // some of which may be for lingering clients
+	for range maxConns { // more than maxServed, so some may be rejected
 		conn := dial("*2\r\n$4\r\nPI")
-		waitUntil(t, "half a command is read, or refused", func() bool {
+		waitUntil(t, "the incomplete command is read, or the client is rejected", func() bool {
 			c := clientOf(t, s, conn)
 			return c.partialSince.Load() != 0 || c.readerBusy.Load() || state(t, conn) != stateOpen
 		})
 	}
-	asks, says := dial(addText("new")), dial("")
-	expectToEnd(t, "a new client", asks, busyAnswer)
-	expectToEnd(t, "a silent client", says, "")
+	submitting, silent := dial(addText("new")), dial("")
+	expectToEnd(t, "a new client", submitting, busyAnswer)
+	expectToEnd(t, "a silent client", silent, "")
 	s.Drain()
 	<-done
 	if s.counts.submitted != 0 {
-		t.Error("what was refused was taken on")
+		t.Error("the command of a rejected client was handled")
 	}
 }
 
-// A client that has sent nothing yet may lose its place to another one; its first command is then answered.
+// TestDisplacedIsAnswered checks that a client that has sent nothing yet may be displaced, and that its first command is then
+// answered.
 func TestDisplacedIsAnswered(t *testing.T) {
 	s, dial, done := serving(t, 64)
 	first := dial("")
@@ -48,7 +49,7 @@
 	}
 	mustRead(t, dial(pingText), pongText)
 	if got := state(t, first); got != stateOpen {
-		t.Errorf("the one silent longest is in state %d, closed with no answer", got)
+		t.Errorf("the client that has been silent longest was closed without an answer: TCP state %d", got)
 	}
 	io.WriteString(first, addText("new"))
 	expectToEnd(t, "the displaced client", first, busyAnswer)
@@ -56,49 +57,50 @@
 	<-done
 }
 
-// A client that has sent its first bytes keeps its place, also before they are read; where all have, the new one is rejected.
+// TestFirstBytesKeepThePlace checks that a client that has sent its first bytes is not displaced, even if they are not read
+// yet. If all clients have sent bytes, the new client is rejected.
 func TestFirstBytesKeepThePlace(t *testing.T) {
-	stallPollers(t) // what comes stays in the sockets
+	stallPollers(t) // input stays in the sockets
 	h := start("", 100)
 	defer os.RemoveAll(h.dir)
-	connect := func(says string) *client {
+	connect := func(input string) *client {
 		pair, _ := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM, 0)
 		conn, _ := netpoll.NewFDConnection(pair[0])
-		syscall.Write(pair[1], []byte(says))
+		syscall.Write(pair[1], []byte(input))
 		h.clock += time.Second
 		return &client{conn: conn, connectedAt: h.clock, window: make(chan struct{}, windowSize)}
 	}
 	table := &h.s.clients
 	table.maxServed = 2
-	spoke, silent, third, fourth := connect("*"), connect(""), connect("*"), connect("*")
-	for _, c := range []*client{spoke, silent} {
-		if leaves, cut := table.add(c); leaves != nil || cut != nil {
-			t.Fatal("a client had to leave while there were places")
+	first, silent, third, fourth := connect("*"), connect(""), connect("*"), connect("*")
+	for _, c := range []*client{first, silent} {
+		if lingers, dropped := table.add(c); lingers != nil || dropped != nil {
+			t.Fatal("a client was displaced while there were free places")
 		}
 	}
-	if leaves, _ := table.add(third); leaves != silent || silent.writeClosed {
-		t.Errorf("silent: leaving %v, shut %v; spoke: leaving %v", silent.lingering, silent.writeClosed, spoke.lingering)
+	if lingers, _ := table.add(third); lingers != silent || silent.writeClosed {
+		t.Errorf("after the third client: silent is lingering %v, half-closed %v; first is lingering %v", silent.lingering, silent.writeClosed, first.lingering)
 	}
-	if leaves, _ := table.add(fourth); leaves != fourth || fourth.writeClosed {
-		t.Errorf("fourth: leaving %v, shut %v; spoke: leaving %v", fourth.lingering, fourth.writeClosed, spoke.lingering)
+	if lingers, _ := table.add(fourth); lingers != fourth || fourth.writeClosed {
+		t.Errorf("after the fourth client: fourth is lingering %v, half-closed %v; first is lingering %v", fourth.lingering, fourth.writeClosed, first.lingering)
 	}
-	spoke.readerBusy.Store(true)
-	if table.reject(spoke, h.clock, drained) || spoke.lingering {
-		t.Error("one whose commands the reader has in hand was turned away")
+	first.readerBusy.Store(true)
+	if table.reject(first, h.clock, drained) || first.lingering {
+		t.Error("a client was rejected while the reader was handling its input")
 	}
 	if table.served != 2 {
-		t.Errorf("%d are served", table.served)
+		t.Errorf("%d clients are served, want 2", table.served)
 	}
 }
 
-// A client whose command is read but not answered keeps its place, as its command would be lost otherwise. Where that holds
-// for all, a new client is rejected; once they are answered, a new one finds a place again.
+// TestUnansweredKeepTheirPlaces checks that a client with an unanswered command is not displaced, because its command would be
+// lost. While all clients have one, a new client is rejected. Once they are answered, a new client is served again.
 func TestUnansweredKeepTheirPlaces(t *testing.T) {
 	s, dial, done := serving(t, 64)
-	goOn := make(chan struct{})
-	letGo := sync.OnceFunc(func() { close(goOn) })
-	defer letGo()
-	s.post(func() { <-goOn }) // nothing is answered
+	blocked := make(chan struct{})
+	unblock := sync.OnceFunc(func() { close(blocked) })
+	defer unblock()
+	s.post(func() { <-blocked }) // blocks the loop, so that no command is answered
 	var asking []net.Conn
 	for range s.clients.maxServed {
 		conn := dial(pingText)
@@ -107,7 +109,7 @@
 		asking = append(asking, conn)
 	}
 	expectToEnd(t, "a new client", dial(pingText), busyAnswer)
-	letGo()
+	unblock()
 	for _, conn := range asking {
 		mustRead(t, conn, pongText)
 	}
@@ -117,9 +119,9 @@
 	<-done
 }
 
-// However many clients connect and stay, all connections stay within maxConns, and the served ones within maxServed; a client
-// that connects once all commands are answered finds a place. Before that it may be answered -BUSY, as clients whose command
-// is unread or unanswered keep their places: on a busy machine the last one once was.
+// TestFloodOfClients checks that connections stay within maxConns and served clients within maxServed, however many clients
+// connect and stay. A client that connects once all commands are answered is served. Before that it may be answered -BUSY,
+// as clients with unread or unanswered commands keep their places: this has happened to the last client on a busy machine.
 func TestFloodOfClients(t *testing.T) {
 	s, dial, done := serving(t, 64)
 	var held, asking []net.Conn
--- a/internal/sender/misbehaving_clients_test.go
+++ b/internal/sender/misbehaving_clients_test.go
@@ -9,17 +9,17 @@
 	"time"
 )
 
-// Clients that send nothing, leave a command incomplete, hold their places or send what can't be parsed must not keep the
-// others out, and each gets an error or is closed within 3 s.
+// TestMisbehavingClients checks that other clients are still served while some clients send nothing, leave a command
+// incomplete, stay idle, or send input that cannot be parsed. Each of these clients gets an error or is closed within 3 s.
 func TestMisbehavingClients(t *testing.T) {
 	s, dial, done := serving(t, 64)
 	t.Run("silent", func(t *testing.T) { silentClients(t, dial) })
-	t.Run("too much", func(t *testing.T) { excessiveClients(t, dial) })
+	t.Run("excessive", func(t *testing.T) { excessiveClients(t, dial) })
 	t.Run("idle", func(t *testing.T) { idleClients(t, dial) })
 	s.Drain()
 	<-done
 	if n := s.unparsedBytes.Load(); n != 0 {
-		t.Errorf("%d bytes are counted that nobody holds", n)
+		t.Errorf("unparsedBytes is %d after all clients have gone", n)
 	}
 }
 
@@ -30,6 +30,7 @@
 	return err == nil && string(text) == pongText
 }
 
+// silentClients checks that clients that send nothing or an incomplete command are closed without an answer.
 func silentClients(t *testing.T, dial func(string) net.Conn) {
 	start := time.Now()
 	var silent []net.Conn
@@ -37,12 +38,12 @@
 		silent = append(silent, dial(""))
 	}
 	if !isServed(dial(pingText)) {
-		t.Error("silent clients keep a usual one out")
+		t.Error("a client was not served while 100 silent clients were connected")
 	}
 	partial := dial("*2\r\n$4\r\nPI")
 	for _, conn := range append(silent, partial) {
 		if text, err := io.ReadAll(conn); len(text) > 0 || os.IsTimeout(err) {
-			t.Errorf("a silent client got %q, %v", text, err)
+			t.Errorf("a silent client read %q, %v, want an end without an answer", text, err)
 		}
 	}
 	if took := time.Since(start); took > 3*time.Second && testing.CoverMode() == "" {
@@ -50,18 +51,19 @@
 	}
 }
 
+// excessiveClients checks that a client that announces too large an argument, or sends many invalid commands, is closed.
 func excessiveClients(t *testing.T, dial func(string) net.Conn) {
 	huge := dial("*5\r\n$7\r\nOUT.ADD\r\n$60000000\r\n")
 	if _, err := io.Copy(huge, io.LimitReader(zeros{}, 60e6)); err == nil {
-		t.Error("60 MB were read to the end")
+		t.Error("the sender has read all 60 MB")
 	}
 	invalid := dial(strings.Repeat("*1\r\n$4\r\nNONE\r\n", 300))
 	if text, _ := io.ReadAll(invalid); strings.Count(string(text), "-ERR") > windowSize+maxBadCommands {
-		t.Errorf("%d errors for one client", strings.Count(string(text), "-ERR"))
+		t.Errorf("%d errors were answered to one client", strings.Count(string(text), "-ERR"))
 	}
 }
 
-// idleClients has served clients that stay connected give their places up to new ones.
+// idleClients checks that idle clients that have been served are displaced by new clients.
 func idleClients(t *testing.T, dial func(string) net.Conn) {
 	time.Sleep(minIdleTime)
 	var idle []net.Conn
@@ -74,14 +76,14 @@
 	}
 	time.Sleep(minIdleTime + 2*sweepInterval)
 	if !isServed(dial(pingText)) {
-		t.Error("idle clients keep a usual one out")
+		t.Error("a client was not served while 100 idle clients were connected")
 	}
 	for _, conn := range idle {
 		conn.Close()
 	}
 }
 
-// zeros is an endless reader.
+// zeros is an io.Reader without an end. Read leaves p as it is.
 type zeros struct{}
 
 func (zeros) Read(p []byte) (int, error) { return len(p), nil }
--- a/internal/sender/move_test.go
+++ b/internal/sender/move_test.go
@@ -13,8 +13,8 @@
 	"flaxcove/internal/directory"
 )
 
-// oldSettings and newSettings are those of a deployment before and after a move: the new ones have the classes in another
-// order, other numbers for the zones, and fees for separate routes.
+// oldSettings and newSettings are the settings of a deployment before and after a move of its state folder. The new settings
+// have the classes in another order, other numbers for the zones, and fees for separate routes.
 const (
 	oldSettings = `{"balancers":2,"quantum":5000000,"machineTypes":["one"],"zones":["z"],
 "bounds":{"maxAttempts":9,"maxOpen":50,"connIdle":10000000000,"dialTimeout":1000000000,"retryAfter":true,"maxRetryAfter":2000000000},
@@ -32,9 +32,10 @@
 	`"classes":[{"name":"change","idempotency":"side_effect","byArrival":true,"aim":2500000000,"deadline":20000000000,"worth":1},
 {"name":"offer","idempotency":"token","group":"zone","repeatWindow":10000000000,"aim":3000000000,"deadline":20000000000,"worth":2}]`).Replace(oldSettings)
 
-// An old state folder under new settings: a keyed message that may have run in zone z is sent again to zone z, whatever its
-// number is now; where z is not known any more it is not sent; a non-idempotent one that was in flight is given up. The
-// pending messages of an ordering key go on in the order they were accepted. A switch back finds the same.
+// An old state folder is used under new settings. A keyed message that may have run in zone z is sent again only to zone z,
+// whatever number the zone has now, and is not sent while the settings do not name z. A non-idempotent message that was in
+// flight fails. The pending messages of an ordering key continue in the order of their acceptance. After a switch back to
+// the old settings the same messages are pending.
 func Example_moveOfFolder() {
 	dir, _ := os.MkdirTemp("", "sender")
 	h := startWith(testConfigWith(dir, oldSettings, oldList)).submit("OUT.ADD k of c=offer,d=20000,dest=1 x").endpointAnswers(answerError)
@@ -76,8 +77,9 @@
 	//    last
 }
 
-// A record that is older than names of zones has a number of the settings it was written under. The first start after the
-// update reads it under these and writes the name, so that a later move finds the zone, also after a kill.
+// An attempt record of an older version has only the number of the zone in the settings of that time. The first start after
+// the update still has these settings and records the zone's name, so that a later start under new settings finds the zone,
+// even if the process is killed in between.
 func Example_zoneOfOldRecord() {
 	dir, _ := os.MkdirTemp("", "sender")
 	two := strings.Replace(oldSettings, `["z"]`, `["q","r","z"]`, 1)
@@ -96,7 +98,8 @@
 	// may have run: true in z which is 1
 }
 
-// What an earlier process learned is used for the first entry of an endpoint: one that comes back to the list later is new.
+// The learned state of an earlier process is used only once, for the first entry of an endpoint in the list. An endpoint that
+// leaves the list and returns starts without learned state.
 func Example_learnedStateUsedOnce() {
 	dir, _ := os.MkdirTemp("", "sender")
 	h := startWith(testConfigWith(dir, oldSettings, oldList)).submit("OUT.ADD k of c=offer,d=20000,dest=1 x")
@@ -111,8 +114,8 @@
 	// waits on: true kept for later: 0
 }
 
-// Messages of a class that the new settings do not name would be lost: the start fails and names the class, the folder stays
-// as it is, and a start under the old settings still works.
+// A start fails if the settings do not name the class of a pending message, because the message would be lost. The error
+// names the class, the state folder stays as it is, and a start under the old settings still works.
 func Example_moveWithoutClass() {
 	dir, _ := os.MkdirTemp("", "sender")
 	h := startWith(testConfigWith(dir, oldSettings, oldList)).submit("OUT.ADD k of c=offer,d=20000,dest=1 x")
@@ -127,8 +130,8 @@
 	// owed: 1 to the platform: 0
 }
 
-// Learned state that a graceful shutdown wrote is used for an endpoint of the same id, address and destination, and for no
-// other; a file that cannot be read, or is not plausible, is ignored.
+// Learned state that a graceful shutdown wrote is used only for an endpoint with the same id, address and destination. A
+// file that cannot be read, or whose values are not plausible, is ignored.
 func Example_learnedState() {
 	dir, _ := os.MkdirTemp("", "sender")
 	show := func(list string) {
@@ -157,9 +160,9 @@
 	// a: {Mean:12500 Dev:12500 Past:12500 Seen:0 Limit:0 Wait:0}
 }
 
-// TestMove makes the move over loopback sockets: in the first seconds after it a Retry-After to the old process still holds,
-// what that learned of an endpoint that stays is known, a new endpoint starts afresh, and a switch back finds the pending
-// messages.
+// TestMove moves a state folder to new settings over loopback sockets. In the first seconds after the move, a Retry-After
+// given to the old process still holds, the learned state of an endpoint that stays is known, and a new endpoint has none. A
+// switch back to the old settings finds the pending messages.
 func TestMove(t *testing.T) {
 	t.Parallel()
 	w, addr := startFakeServer(t)
@@ -167,26 +170,28 @@
 	entry := func(id, zone string, cell float64) directory.Entry {
 		return directory.Entry{ID: id, Addr: addr, Zone: zone, Kind: "one", Destination: cell, State: "up", Weight: 9}
 	}
-	run := func(settings string, entries ...directory.Entry) (s *Sender, hand func(id, dest, body string), end func()) {
+	run := func(settings string, entries ...directory.Entry) (s *Sender, submit func(id, dest, body string), end func()) {
 		cfg := testConfigWith(dir, settings, `{"version":1,"full":true}`)
 		cfg.Listen, cfg.Discovery, cfg.Known.Entries = "127.0.0.1:0", addr, entries
 		s, done := startRunning(t, cfg)
 		client := connectClient(t, s)
-		hand = func(id, dest, body string) {
+		submit = func(id, dest, body string) {
 			t.Helper()
 			client.mustSubmit(t, "k", id, "c=offer,d=20000,dest="+dest, body)
 		}
-		return s, hand, func() {
+		return s, submit, func() {
 			client.Close()
 			s.Drain()
 			<-done
 		}
 	}
+	// seen returns how many answers the learned state of an endpoint is based on.
 	seen := func(s *Sender, id choice.EndpointID) (calls float64) {
 		onLoop(t, s, func() { calls = s.choice.LearnedState(id).Seen })
 		return calls
 	}
-	meets := func(id string, times int) bool {
+	// received waits until the server has received a message so many times, and reports whether it has within 10 s.
+	received := func(id string, times int) bool {
 		for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 			if w.count(id) >= times {
 				return true
@@ -196,43 +201,43 @@
 	}
 	const done = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 
-	_, hand, end := run(oldSettings, entry("stays", "z", 1), entry("shut", "z", 2), entry("old", "z", 3))
-	hand("one", "1", done)
-	hand("waits", "2", "HTTP/1.1 429 Wait\r\nRetry-After: 6\r\nContent-Length: 0\r\n\r\n")
-	if !meets("one", 1) || !meets("waits", 1) {
-		t.Fatal("nothing left before the move")
+	_, submit, end := run(oldSettings, entry("stays", "z", 1), entry("shut", "z", 2), entry("old", "z", 3))
+	submit("one", "1", done)
+	submit("waits", "2", "HTTP/1.1 429 Wait\r\nRetry-After: 6\r\nContent-Length: 0\r\n\r\n")
+	if !received("one", 1) || !received("waits", 1) {
+		t.Fatal("the messages were not sent before the move")
 	}
-	refusedAt := time.Now()
+	rejectedAt := time.Now()
 	end()
 
-	s, hand, end := run(newSettings, entry("stays", "z", 1), entry("shut", "z", 2), entry("new", "y", 3))
+	s, submit, end := run(newSettings, entry("stays", "z", 1), entry("shut", "z", 2), entry("new", "y", 3))
 	if old, fresh := seen(s, "stays"), seen(s, "new"); old != 1 || fresh != 0 {
-		t.Errorf("known of the endpoint that stays: %v calls, of the new one: %v", old, fresh)
+		t.Errorf("answers seen of the endpoint that stays: %v, of the new endpoint: %v, want 1 and 0", old, fresh)
 	}
-	hand("two", "3", done)
-	if !meets("two", 1) {
-		t.Error("nothing is delivered after the move")
+	submit("two", "3", done)
+	if !received("two", 1) {
+		t.Error("no message is delivered after the move")
 	}
-	if !meets("waits", 2) {
-		t.Error("what was owed is not tried again")
-	} else if early := time.Since(refusedAt); early < 5900*time.Millisecond {
-		t.Errorf("the wait told before the move was over after %v", early)
+	if !received("waits", 2) {
+		t.Error("the pending message is not sent again after the move")
+	} else if early := time.Since(rejectedAt); early < 5900*time.Millisecond {
+		t.Errorf("a message was sent %v after a Retry-After of 6 s that was received before the move", early)
 	}
 	end()
 
 	s, _, end = run(oldSettings, entry("stays", "z", 1), entry("shut", "z", 2), entry("old", "z", 3))
 	if old := seen(s, "stays"); old != 1 {
-		t.Errorf("after the switch back %v calls are known of the endpoint that stays", old)
+		t.Errorf("answers seen of the endpoint that stays, after the switch back: %v, want 1", old)
 	}
 	onLoop(t, s, func() {
 		if s.pending["waits"] == nil {
-			t.Error("after the switch back what waits is not pending")
+			t.Error("after the switch back the waiting message is not pending")
 		}
 	})
 	end()
 }
 
-// Invalid settings are rejected by one message that names the field, at a start as at a reload.
+// Invalid settings are rejected with one error that names the field. A start and a reload load them in the same way.
 func Example_moveSettings() {
 	for _, change := range [][2]string{{`"carriage":[0.01,0.04]`, `"carriage":[0.01]`}, {`"carriage":[0.01,0.04]`, `"carriage":[0.01,-1]`},
 		{`"keyRest":300000000`, `"keyRest":-1`}, {`"cold":1000000000`, `"cold":-5`}} {
--- a/internal/sender/process_end_test.go
+++ b/internal/sender/process_end_test.go
@@ -14,9 +14,9 @@
 	"time"
 )
 
-// A process ends while clients send on every connection that stays open, some of them several commands at once. No
-// connection is reset, each command that was handled has its answer, and all is over before the kill may come.
-func TestProcessEndsInOrder(t *testing.T) {
+// TestProcessEndsWithoutReset ends a process while clients send commands on all connections, some of them several at once. No
+// connection may be reset, each command that was handled must be answered, and the process must end before the kill comes.
+func TestProcessEndsWithoutReset(t *testing.T) {
 	const clients, beforeKill = 24, 3700 * time.Millisecond
 	program := startLimited(t, descriptorLimits{Discovery: "127.0.0.1:1", Dir: t.TempDir(), Settings: 256, System: 256})
 	var wait sync.WaitGroup
@@ -27,7 +27,7 @@
 		wait.Go(func() {
 			defer conn.Close()
 			in := bufio.NewReader(conn)
-			if i%6 == 5 { // this one is idle, and sends when its connection ends
+			if i%6 == 5 { // this client is idle until the signal
 				<-signal
 			}
 			for round := 0; ; round++ {
@@ -36,15 +36,15 @@
 					text.WriteString(addText(fmt.Sprint("c", i, "-", round, "-", j)))
 				}
 				if _, err := io.WriteString(conn, text.String()); err != nil {
-					t.Errorf("client %d writes: %v", i, err)
+					t.Errorf("client %d: write: %v", i, err)
 					return
 				}
 				for j := range atOnce {
 					if _, err := in.ReadString('\n'); errors.Is(err, io.EOF) {
-						crossed.Add(int64(atOnce - j)) // which go elsewhere
+						crossed.Add(int64(atOnce - j)) // commands without an answer, which a client submits elsewhere
 						return
 					} else if err != nil {
-						t.Errorf("client %d reads: %v, reset %v", i, err, errors.Is(err, syscall.ECONNRESET))
+						t.Errorf("client %d: read: %v, connection reset: %v", i, err, errors.Is(err, syscall.ECONNRESET))
 						return
 					}
 					answers.Add(1)
@@ -52,17 +52,17 @@
 			}
 		})
 	}
-	waitUntil(t, "all are at work", func() bool { return answers.Load() > 10*clients })
+	waitUntil(t, "more than 10 commands per client are answered", func() bool { return answers.Load() > 10*clients })
 	start := time.Now()
 	program.input.Close()
 	close(signal)
-	handed, _ := strconv.ParseInt(program.waitForLine(t, "was handed "), 10, 64)
+	handled, _ := strconv.ParseInt(program.waitForLine(t, "was handed "), 10, 64)
 	if took := time.Since(start); took >= beforeKill {
-		t.Errorf("the end took %v", took)
+		t.Errorf("the graceful shutdown took %v, want less than %v", took, beforeKill)
 	}
 	wait.Wait()
 	program.end(t)
-	if handed != answers.Load() {
-		t.Errorf("%d commands were taken, %d answered; %d went elsewhere", handed, answers.Load(), crossed.Load())
+	if handled != answers.Load() {
+		t.Errorf("%d commands were handled and %d answered; %d had no answer", handled, answers.Load(), crossed.Load())
 	}
 }
--- a/internal/sender/purge_sockets_test.go
+++ b/internal/sender/purge_sockets_test.go
@@ -16,12 +16,13 @@
 	"flaxcove/internal/sender/clusterapi"
 )
 
-// recordingCluster keeps what a sender hands over, under a lock, as the loop calls it while the test looks.
+// recordingCluster is a clusterapi.Cluster that sums up the digests of a sender. The lock is needed because the sender's loop
+// and the test use it at the same time.
 type recordingCluster struct {
 	sync.Mutex
-	messages map[string]uint64
-	sent     uint64
-	done     uint64
+	messages map[string]uint64 // submitted messages by client host
+	sent     uint64            // calls sent
+	done     uint64            // calls done
 	digests  int
 }
 
@@ -46,11 +47,12 @@
 	s       *Sender
 	client  *testClient
 	cluster *recordingCluster
-	gate    chan struct{}
-	release chan struct{} // closed to end the call of the message "slow" without an answer
-	done    <-chan struct{}
+	gate    chan struct{}   // Joining.Gate of the sender
+	release chan struct{}   // closed to end the call of the message "slow" without an answer
+	done    <-chan struct{} // closed when the sender has ended
 }
 
+// startPurgeRun starts the server and a sender whose gate is closed.
 func startPurgeRun(t *testing.T) *purgeRun {
 	t.Helper()
 	r := &purgeRun{T: t, w: &fakeServer{received: map[string][]string{}}, gate: make(chan struct{}), release: make(chan struct{}),
@@ -59,7 +61,7 @@
 		if req.Header.Get("X-Request-Id") == "slow" {
 			r.w.record("slow", "")
 			<-r.release
-			panic(http.ErrAbortHandler) // ends the link without an answer: what may be repeated would be sent again
+			panic(http.ErrAbortHandler) // ends the link without an answer, so that an idempotent message would be sent again
 		}
 		r.w.ServeHTTP(out, req)
 	}))
@@ -81,12 +83,13 @@
 	return r
 }
 
+// submit submits a message, which must be accepted. The server answers with its body.
 func (r *purgeRun) submit(id, class string, dest int, body string) {
 	r.Helper()
 	r.client.mustSubmit(r.T, "key", id, fmt.Sprintf("c=%s,d=20000,dest=%d", class, dest), body)
 }
 
-// await waits for a condition; what says that it does not hold.
+// await waits until holds returns true, and fails the test after 15 s. what says that the condition does not hold.
 func (r *purgeRun) await(what string, holds func() bool) {
 	r.Helper()
 	for end := time.Now().Add(15 * time.Second); !holds(); time.Sleep(5 * time.Millisecond) {
@@ -94,11 +97,12 @@
 			r.w.Lock()
 			received := maps.Clone(r.w.received)
 			r.w.Unlock()
-			r.Fatalf("%s; met so far: %q", what, received)
+			r.Fatalf("after 15 s: %s; received so far: %q", what, received)
 		}
 	}
 }
 
+// purge orders a purge of all messages with the key "key" and returns its result.
 func (r *purgeRun) purge(seq uint64) clusterapi.Found {
 	answer := make(chan clusterapi.Found, 1)
 	all := []clusterapi.Purge{{Seq: seq, Match: clusterapi.Match{Key: "key"}}}
@@ -106,13 +110,13 @@
 	return <-answer
 }
 
-// rejections is how many calls endpoints have rejected.
+// rejections returns how many calls endpoints have rejected.
 func (r *purgeRun) rejections() (n int64) {
 	onLoop(r.T, r.s, func() { n = r.s.counts.outcomes[choice.Rejected] })
 	return n
 }
 
-// giveOrders gives orders from several goroutines and waits for all answers.
+// giveOrders starts several goroutines that give orders and wait for the answers. wait returns when all have ended.
 func (r *purgeRun) giveOrders() (wait func()) {
 	var others sync.WaitGroup
 	for range 4 {
@@ -129,9 +133,9 @@
 	return others.Wait
 }
 
-// Over real sockets: a message that is withdrawn while its call is in flight is delivered or given up as the call ends, and
-// never sent again; one that waits ends at once; one that comes after is delivered. Orders come from several goroutines
-// meanwhile.
+// TestPurgeOnSockets purges messages over sockets while several goroutines give orders. A message whose call is in flight
+// must be delivered or fail, depending on the end of the call, and must never be sent again. A waiting message must end at
+// once. A message submitted after the purge must be delivered.
 func TestPurgeOnSockets(t *testing.T) {
 	t.Parallel()
 	r := startPurgeRun(t)
@@ -139,44 +143,44 @@
 	const done = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 	r.submit("first", "status", 0, done)
 	if n := w.count("first"); n != 0 {
-		t.Errorf("met %d times behind the gate", n)
+		t.Errorf("the server received a message %d times although the gate held attempts back", n)
 	}
 	close(r.gate)
-	r.await("not delivered", func() bool { return w.count("first") == 1 })
+	r.await("the first message is not delivered", func() bool { return w.count("first") == 1 })
 	r.submit("slow", "status", 1, "")
 	r.submit("open", "status", 2, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n")
 	r.submit("waits", "order", 3, "HTTP/1.1 429 Wait\r\nRetry-After: 9\r\nContent-Length: 0\r\n\r\n")
-	r.await("not out", func() bool { return w.count("slow") == 1 && w.count("open") == 1 && w.count("waits") == 1 })
-	r.await("not rejected", func() bool { return r.rejections() == 1 })
+	r.await("not all messages have been sent", func() bool { return w.count("slow") == 1 && w.count("open") == 1 && w.count("waits") == 1 })
+	r.await("no call was rejected", func() bool { return r.rejections() == 1 })
 	wait := r.giveOrders()
 	if f := r.purge(5); f.NotBegun != 1 || f.MayRun < 1 || f.MayRun > 2 {
-		t.Errorf("found %+v", f)
+		t.Errorf("the purge found %+v", f)
 	}
 	close(r.release)
 	r.submit("after", "status", 0, done)
-	r.await("something is owed yet", func() bool {
+	r.await("not all messages have ended", func() bool {
 		return w.count("after") == 1 && w.count("slow") == 2 && w.count("waits") == 2
 	})
 	wait()
 	if f := r.purge(5); f.NotBegun != 1 {
-		t.Errorf("answered again otherwise: %+v", f)
+		t.Errorf("the same purge, given again, found %+v", f)
 	}
-	time.Sleep(2 * digestInterval) // for the digests, and for what must not be sent again
+	time.Sleep(2 * digestInterval) // for the last digests, and to see whether a message is sent again
 	for id, want := range map[string]string{"slow": ", given_up", "after": done, "first": done} {
 		if got := w.receivedFor(id); got != want {
-			t.Errorf("%s: %q", id, got)
+			t.Errorf("message %s: the server received %q, want %q", id, got, want)
 		}
 	}
 	if got := w.receivedFor("waits"); !strings.HasSuffix(got, ", given_up") || w.count("open") != 1 {
-		t.Errorf("waits: %q, open met %q", got, w.receivedFor("open"))
+		t.Errorf("the server received %q for message waits, and %q for message open", got, w.receivedFor("open"))
 	}
 	r.client.Close()
 	r.s.Drain()
 	<-r.done
 	if len(r.s.pending) > 0 || r.s.Orders().Applied() != 5 {
-		t.Errorf("owed %d, applied %d", len(r.s.pending), r.s.Orders().Applied())
+		t.Errorf("%d messages are pending, and the last applied purge is %d, want 0 and 5", len(r.s.pending), r.s.Orders().Applied())
 	}
 	if c := r.cluster; c.messages["127.0.0.1"] != 5 || c.sent < 5 || c.done < 3 {
-		t.Errorf("digests %d: notices %v, sent %d, done %d", c.digests, c.messages, c.sent, c.done)
+		t.Errorf("%d digests: messages %v, calls sent %d, done %d", c.digests, c.messages, c.sent, c.done)
 	}
 }
--- a/internal/sender/purge_test.go
+++ b/internal/sender/purge_test.go
@@ -10,7 +10,7 @@
 	"flaxcove/internal/sender/clusterapi"
 )
 
-// purge orders a purge and prints what was found, once it is answered.
+// purge orders a purge and prints the result once it is answered. It handles the order, but runs no turn.
 func (h *harness) purge(age time.Duration, seq uint64, m clusterapi.Match) *harness {
 	h.s.Orders().Purge([]clusterapi.Purge{{Seq: seq, Match: m, Age: age}}, func(applied uint64, found []clusterapi.Found) {
 		fmt.Printf("applied %d: %+v\n", applied, found)
@@ -18,8 +18,9 @@
 	return h.runNext()
 }
 
-// A message that waits for its call's connection, for the in-flight limit or for an endpoint ends at once, and a bulk call
-// goes on for its other messages. What the purge does not match, or was accepted after it, is not touched.
+// A purge ends a message at once if the message waits for its call's connection, for the in-flight limit or for an endpoint.
+// A bulk call continues with its other messages. Messages that the purge does not match, or that were accepted after it,
+// stay pending.
 func Example_purgeNotBegun() {
 	h := start("", 100)
 	h.joinCluster(Joining{})
@@ -55,30 +56,32 @@
 	// owed: 1 to the platform: 0
 }
 
-// In each state a message ends once: at once where no call of it is in flight, else with the call, as its answer says. It is
-// never sent again, not after a kill either, and what was found is reported.
+// TestPurgeFindsMessage checks that a purge ends a message exactly once in each state: at once if no call is in flight,
+// otherwise with the call, as its answer says. The message is never sent again, not even after a kill, and the purge's
+// result counts it.
 func TestPurgeFindsMessage(t *testing.T) {
 	stdout := os.Stdout
 	os.Stdout, _ = os.OpenFile(os.DevNull, os.O_WRONLY, 0)
 	defer func() { os.Stdout = stdout }()
 	for _, c := range []struct {
-		stands, before, after string
-		dest                  int
-		found                 clusterapi.Found
-		reported              string
+		state         string
+		before, after string // the answer to the call before the purge, or after it; "kill" for a kill instead
+		dest          int
+		found         clusterapi.Found
+		reported      string // the outcome reported to the platform, if any
 	}{
-		{stands: "waits for an endpoint", dest: 9, found: clusterapi.Found{NotBegun: 1}, reported: "given_up"},
-		{stands: "waits for its connection", found: clusterapi.Found{NotBegun: 1}, reported: "given_up"},
-		{stands: "waits after a refusal", before: answerFull, found: clusterapi.Found{NotBegun: 1}, reported: "given_up"},
-		{stands: "waits after an error", before: answerError, found: clusterapi.Found{MayRun: 1}, reported: "given_up"},
-		{stands: "out, then done", after: answerOK, found: clusterapi.Found{MayRun: 1}},
-		{stands: "out, then refused", after: answerFull, found: clusterapi.Found{MayRun: 1}, reported: "given_up"},
-		{stands: "out, then an error", after: answerError, found: clusterapi.Found{MayRun: 1}, reported: "given_up"},
-		{stands: "out, then killed", after: "kill", found: clusterapi.Found{MayRun: 1}, reported: "given_up"},
-		{stands: "done", before: answerOK, found: clusterapi.Found{Delivered: 1}},
+		{state: "waits for an endpoint", dest: 9, found: clusterapi.Found{NotBegun: 1}, reported: "given_up"},
+		{state: "waits for its connection", found: clusterapi.Found{NotBegun: 1}, reported: "given_up"},
+		{state: "waits after a rejection", before: answerFull, found: clusterapi.Found{NotBegun: 1}, reported: "given_up"},
+		{state: "waits after an error", before: answerError, found: clusterapi.Found{MayRun: 1}, reported: "given_up"},
+		{state: "in flight, then delivered", after: answerOK, found: clusterapi.Found{MayRun: 1}},
+		{state: "in flight, then rejected", after: answerFull, found: clusterapi.Found{MayRun: 1}, reported: "given_up"},
+		{state: "in flight, then an error", after: answerError, found: clusterapi.Found{MayRun: 1}, reported: "given_up"},
+		{state: "in flight, then killed", after: "kill", found: clusterapi.Found{MayRun: 1}, reported: "given_up"},
+		{state: "delivered", before: answerOK, found: clusterapi.Found{Delivered: 1}},
 	} {
 		posted := ""
-		watch := func(h *harness) *harness {
+		recordPosts := func(h *harness) *harness {
 			h.joinCluster(Joining{})
 			h.s.postToPlatform = func(_ string, body []byte) (int, error) {
 				posted += string(body)
@@ -86,7 +89,7 @@
 			}
 			return h
 		}
-		h := watch(start(t.TempDir(), 100))
+		h := recordPosts(start(t.TempDir(), 100))
 		h.submit(fmt.Sprintf("OUT.ADD 0 id c=status,d=6000,dest=%d x", max(1, c.dest)))
 		if c.before != "" {
 			h.endpointAnswers(c.before)
@@ -98,25 +101,25 @@
 			func(_ uint64, f []clusterapi.Found) { found = f })
 		h.runNext().advance(5 * time.Millisecond)
 		if c.after == "kill" {
-			h = watch(start(h.dir, 100))
+			h = recordPosts(start(h.dir, 100))
 		} else if c.after != "" {
 			h.endpointAnswers(c.after)
 		}
 		h.advance(7 * time.Second)
 		for _, out := range h.calls {
 			if !out.done && !out.probe {
-				t.Errorf("%s: sent again", c.stands)
+				t.Errorf("%s: the message is sent again", c.state)
 			}
 		}
 		if len(found) != 1 || found[0] != c.found || strings.Count(posted, "message") > 1 || !strings.Contains(posted, c.reported) ||
 			(posted == "") != (c.reported == "") || len(h.s.pending)+len(start(h.dir, 100).s.pending) > 0 {
-			t.Errorf("%s: found %+v, reported %q, owed %d", c.stands, found, posted, len(h.s.pending))
+			t.Errorf("%s: found %+v, reported %q, %d messages pending", c.state, found, posted, len(h.s.pending))
 		}
 	}
 }
 
-// The messages of an ordering key end behind the first one, whose call is in flight; one that comes after the purge is sent.
-// A second purge that matches the same messages counts none a second time.
+// A purge of an ordering key ends the waiting messages at once, while the first one ends with its call in flight. A message
+// submitted after the purge is sent. A second purge that matches the same messages does not count them again.
 func Example_purgeOrderedKey() {
 	dir, _ := os.MkdirTemp("", "sender")
 	h := startWith(testConfigWith(dir, oldSettings, oldList))
@@ -158,9 +161,9 @@
 	// owed: 1 to the platform: 0
 }
 
-// A purge that comes between a submission and the end of its turn: the client gets the answer itself, nothing is reported to
-// the platform, and nothing is on record.
-func Example_purgeCrossesHandIn() {
+// A purge arrives between a submission and the end of its turn. The client's answer says that the message has failed, so
+// nothing is reported to the platform and nothing is recorded.
+func Example_purgeBeforeAnswer() {
 	h := start("", 100)
 	h.joinCluster(Joining{})
 	c := newClient()
@@ -176,9 +179,9 @@
 	// owed: 0 to the platform: 0
 }
 
-// A process that is killed between the effect of a purge and its acknowledgement answers it again as it was, applies it to
-// nothing that came later, and reports to the platform what it has not reported. When a message was accepted is known after
-// the kill; of an older record it is not, and counts as long ago.
+// A process is killed after a purge has taken effect and before the cluster has got its answer. The next process answers the
+// purge in the same way, does not apply it to later messages, and reports the ends that were not reported yet. The times of
+// acceptance are known after the kill, except from older records, which count as accepted long ago.
 func Example_purgeRestart() {
 	h := start("", 100)
 	h.joinCluster(Joining{})
@@ -186,8 +189,8 @@
 	h.submit("OUT.ADD 0 old c=order,d=20000,dest=9 x")
 	h.purge(0, 7, clusterapi.Match{Class: "order"}).advance(100 * time.Millisecond)
 	h.submit("OUT.ADD 0 new c=order,d=900000,dest=9 x")
-	takenAt := h.s.pending["new"].acceptedAt
-	again := func(at time.Duration) {
+	acceptedAt := h.s.pending["new"].acceptedAt
+	restart := func(at time.Duration) {
 		fmt.Println("killed")
 		h = startAt(testConfig(h.dir, 100), at)
 		h.joinCluster(Joining{})
@@ -196,17 +199,17 @@
 		h.s.accepted = withoutEnded(h.s.accepted)
 		h.s.journal.Rewrite(h.s.records)
 	}
-	again(2 * time.Minute)
-	fmt.Println("applied:", h.s.Orders().Applied(), "taken on then:", h.s.pending["new"].acceptedAt == takenAt)
+	restart(2 * time.Minute)
+	fmt.Println("applied:", h.s.Orders().Applied(), "same time of acceptance:", h.s.pending["new"].acceptedAt == acceptedAt)
 	h.purge(0, 7, clusterapi.Match{Class: "order"}).advance(5 * time.Millisecond).printPending()
 	rewrite()
-	again(2 * time.Minute)
+	restart(2 * time.Minute)
 	h.purge(time.Minute, 8, clusterapi.Match{Class: "order"}).advance(5 * time.Millisecond).printPending()
-	again(time.Minute)
+	restart(time.Minute)
 	fmt.Println("the wall clock was put back:", h.s.pending["new"].acceptedAt == h.s.Now())
 	h.s.pending["new"].acceptedAt = 0
 	rewrite()
-	again(2 * time.Minute)
+	restart(2 * time.Minute)
 	h.purge(time.Hour, 9, clusterapi.Match{Class: "order"}).advance(5 * time.Millisecond).printPending()
 	os.RemoveAll(h.dir)
 	// Output:
@@ -214,7 +217,7 @@
 	// applied 7: [{NotBegun:1 MayRun:0 Delivered:0 LearnedState:0}]
 	// client: +OK
 	// killed
-	// applied: 7 taken on then: true
+	// applied: 7 same time of acceptance: true
 	// applied 7: [{NotBegun:1 MayRun:0 Delivered:0 LearnedState:0}]
 	// platform: {"message":"old","outcome":"given_up"}
 	// owed: 1 to the platform: 0
@@ -229,49 +232,49 @@
 	// owed: 0 to the platform: 0
 }
 
-// Ten thousand purges are applied over many turns, in order, none of which takes long; the journal stays within its
-// bound, and the last ones are still answered as they were after a restart.
+// TestManyPurges checks that ten thousand purges are applied in order over many turns, so that no turn takes long, that the
+// journal stays within its limit, and that the last purges get the same answer after a restart.
 func TestManyPurges(t *testing.T) {
 	stdout := os.Stdout
 	os.Stdout, _ = os.OpenFile(os.DevNull, os.O_WRONLY, 0)
 	defer func() { os.Stdout = stdout }()
-	const many = 10_000
+	const purges = 10_000
 	h := start(t.TempDir(), 1000)
 	h.joinCluster(Joining{})
 	for i := range 100 {
 		h.submit(fmt.Sprintf("OUT.ADD key-%d n%d c=order,d=20000,dest=9 x", i*100, i))
 	}
 	var all []clusterapi.Purge
-	for i := range many {
+	for i := range purges {
 		all = append(all, clusterapi.Purge{Seq: uint64(i + 1), Match: clusterapi.Match{Key: fmt.Sprintf("key-%d", i)}})
 	}
-	ask := func(all []clusterapi.Purge) (found []clusterapi.Found, turns int) {
+	purge := func(all []clusterapi.Purge) (found []clusterapi.Found, turns int) {
 		h.s.Orders().Purge(all, func(_ uint64, f []clusterapi.Found) { found = f })
 		for h.runNext(); found == nil; turns++ {
-			if h.advance(5 * time.Millisecond); turns > many {
-				t.Fatal("never answered")
+			if h.advance(5 * time.Millisecond); turns > purges {
+				t.Fatalf("the purges are not answered after %d turns", turns)
 			}
 		}
 		return found, turns
 	}
-	found, turns := ask(all)
+	found, turns := purge(all)
 	for i, f := range found {
 		if want := (clusterapi.Found{NotBegun: map[bool]int{true: 1}[i%100 == 0]}); f != want {
 			t.Fatalf("purge %d found %+v", i, f)
 		}
 	}
-	if turns < many/purgesPerTurn || len(h.s.past) > maxRememberedPurges {
-		t.Errorf("%d turns, %d kept", turns, len(h.s.past))
+	if turns < purges/purgesPerTurn || len(h.s.past) > maxRememberedPurges {
+		t.Errorf("the purges took %d turns, and %d are remembered", turns, len(h.s.past))
 	}
 	if size, limit := h.s.journal.Size(), h.s.journal.Limit(); size > limit {
-		t.Errorf("the journal holds %d of %d bytes", size, limit)
+		t.Errorf("the journal has %d of at most %d bytes", size, limit)
 	}
 	h = start(h.dir, 1000)
 	h.joinCluster(Joining{})
-	if got := h.s.Orders().Applied(); got != many {
-		t.Fatalf("applied %d after a restart", got)
+	if got := h.s.Orders().Applied(); got != purges {
+		t.Fatalf("after a restart the last applied purge is %d, want %d", got, purges)
 	}
-	if again, _ := ask(all[many-maxRememberedPurges:]); again[many-100-(many-maxRememberedPurges)].NotBegun != 1 {
-		t.Errorf("answered again otherwise: %+v", again)
+	if again, _ := purge(all[purges-maxRememberedPurges:]); again[purges-100-(purges-maxRememberedPurges)].NotBegun != 1 {
+		t.Errorf("the last purges, given again after a restart, found %+v", again)
 	}
 }
--- a/internal/sender/reload_test.go
+++ b/internal/sender/reload_test.go
@@ -8,8 +8,9 @@
 	"testing"
 )
 
-// A reload moves the watch and the reports to the platform, an unanswered one too, to the new address. The old watch and
-// the list stay until the new one has answered, and a configuration that cannot be read changes nothing.
+// TestReload checks that a reload moves the watch of the endpoint list and the reports to the platform to the new address,
+// an unanswered report too. The old watch and the list stay until the new watch has been answered. A configuration that
+// cannot be read changes nothing.
 func TestReload(t *testing.T) {
 	var places []*fakeDiscovery
 	for i := range 3 {
@@ -24,7 +25,7 @@
 	client := connectClient(t, s)
 	client.Write(outAdd("0", "late", "c=status,d=1200,dest=1", ""))
 	if line := <-places[0].outcomes; !strings.Contains(line, `"late"`) {
-		t.Errorf("the first platform heard %q", line)
+		t.Errorf("the first platform received %q", line)
 	}
 	s.Reload(nil, io.ErrUnexpectedEOF)
 	for _, p := range places[1:] {
@@ -34,9 +35,9 @@
 		<-p.asked
 	}
 	if line := <-places[2].outcomes; !strings.Contains(line, `"late"`) {
-		t.Errorf("the last platform heard %q", line)
+		t.Errorf("the last platform received %q", line)
 	}
-	waitOnLoop(t, s, "no ending is left, one watch runs, and its endpoint is listed", func() bool {
+	waitOnLoop(t, s, "all endings are reported, one watch runs, and its endpoint is listed", func() bool {
 		return len(s.endings) == 0 && len(s.watches) == 1 && s.endpoints["new"] != nil
 	})
 	client.Close()
@@ -44,12 +45,13 @@
 	<-done
 }
 
-// fakeDiscovery is one address of discovery: its watch may list an endpoint, and its platform may answer.
+// fakeDiscovery is the discovery and the platform at one address.
 type fakeDiscovery struct {
 	*httptest.Server
-	outcomes         chan string
-	asked            chan struct{}
-	updates, answers bool
+	outcomes chan string   // the bodies of the reports received
+	asked    chan struct{} // one element for each watch
+	updates  bool          // each watch gets a list with one endpoint
+	answers  bool          // reports are answered
 }
 
 func (p *fakeDiscovery) addr() string { return p.Listener.Addr().String() }
--- a/internal/sender/restart_test.go
+++ b/internal/sender/restart_test.go
@@ -11,8 +11,9 @@
 	"flaxcove/internal/journal"
 )
 
-// After a kill all accepted messages are pending: an idempotent one is sent again, and a non-idempotent one with an attempt in
-// flight, which may have run, is given up and never sent. Once ended, none comes back at a third start.
+// After a kill all accepted messages are pending. An idempotent message is sent again. A non-idempotent message with an
+// attempt in flight may have run, so it fails and is never sent again. Messages that have ended are not pending at a third
+// start.
 func Example_restart() {
 	h := start("", 100).submit("OUT.ADD 00 st c=status,d=6000,dest=1 x", "OUT.ADD 00 or c=order,d=20000,dest=1 x")
 	fmt.Println("killed")
@@ -38,9 +39,9 @@
 	// owed: 0 to the platform: 0
 }
 
-// A rejection proves that a non-idempotent message has not run, so after a kill it is sent again. A Retry-After ends with a
-// restart.
-func Example_restartAfterRefusal() {
+// A rejection proves that a non-idempotent message has not run, so after a kill it is sent again. The wait of a Retry-After
+// does not outlast a kill.
+func Example_restartAfterRejection() {
 	h := start("", 100).submit("OUT.ADD 00 or c=order,d=20000,dest=1 x").endpointAnswers(answerFull).advance(5 * time.Millisecond)
 	fmt.Println("killed")
 	start(h.dir, 100).printPending().advance(5 * time.Millisecond)
@@ -55,8 +56,8 @@
 	//    or
 }
 
-// An ending is to be reported until the platform has answered, through a kill too, and so is that of a message whose time ran
-// out meanwhile.
+// An ending is reported until the platform has answered, also after a kill. This includes the ending of a message whose
+// deadline has passed.
 func Example_platformSilent() {
 	h := start("", 100)
 	h.platformUp = false
@@ -79,15 +80,15 @@
 	// owed: 0 to the platform: 0
 }
 
-// A message that ends while the turn's calls begin is not reported to the platform before the next turn has recorded its end:
-// after a kill in between it would be sent again, though its client was told to submit it again.
+// A message that ends while the turn's calls begin is reported to the platform only after the next turn has recorded its end.
+// Otherwise a kill in between would make the next process send it, although its client was told to submit it again.
 func Example_endedAsItsCallBegins() {
 	h := start("", 100)
-	h.submit("OUT.ADD 00 or c=order,d=20000,dest=9 x") // nobody serves 9 yet
+	h.submit("OUT.ADD 00 or c=order,d=20000,dest=9 x") // destination 9 has no ready endpoint yet
 	h.s.dial = func(c *call) { h.s.endMessage(c.messages[0], ending{kind: endShed}) }
 	h.updateList(`{"version":2,"servers":[{"id":"new","addr":"127.0.0.1:3","zone":"z","kind":"one","cell":9,"state":"up"}]}`)
-	release, tell := make(chan struct{}), h.s.postToPlatform // the post has a goroutine of its own: what it prints comes last
-	h.s.postToPlatform = func(addr string, body []byte) (int, error) { <-release; return tell(addr, body) }
+	release, post := make(chan struct{}), h.s.postToPlatform // the post runs in its own goroutine; release lets it print last
+	h.s.postToPlatform = func(addr string, body []byte) (int, error) { <-release; return post(addr, body) }
 	for range 2 {
 		h.clock += 5 * time.Millisecond
 		h.s.turn()
@@ -103,7 +104,7 @@
 	// platform: {"message":"or","outcome":"handed_back"}
 }
 
-// The journal stays within its share of the disk, messages that do not fit are rejected, and it is read back completely.
+// The journal stays within its limit, messages that do not fit are rejected, and a restart reads all pending messages.
 func Example_journalFull() {
 	h := start("", 1000)
 	body := strings.Repeat("x", 20000)
@@ -138,8 +139,8 @@
 	// owed: 4 to the platform: 0
 }
 
-// An id that is submitted again after its end is answered +OK, through a kill too, and a non-idempotent message never runs
-// again.
+// An id that is submitted again after its end is answered +OK, also after a kill, and a non-idempotent message never runs
+// again. At most maxRememberedEnded ids are remembered.
 func Example_endedID() {
 	const text = "OUT.ADD 00 or c=order,d=20000,dest=1 x"
 	h := start("", 100).submit(text).endpointAnswers(answerOK).submit(text).printPending()
@@ -163,7 +164,7 @@
 	// true true
 }
 
-// FuzzReplay: no record crashes a start, and what is pending after it can be written and read again.
+// FuzzReplay checks that no record crashes a start, and that the messages pending after it can be written and read again.
 func FuzzReplay(f *testing.F) {
 	m := &message{key: "0", className: "order"}
 	m.ID, m.Deadline = "id", 9e13
@@ -180,16 +181,16 @@
 		j.Close()
 		a := start(dir, 100)
 		if a.s == nil {
-			return // of a class that the settings do not name
+			return // the settings do not name the class of a message
 		}
-		owed := len(a.s.pending)
+		pending := len(a.s.pending)
 		a.s.journal.Rewrite(func(add func([]byte)) {
 			for _, m := range a.s.accepted {
 				m.records(add)
 			}
 		})
-		if b := start(dir, 100); len(b.s.pending) != owed {
-			t.Fatalf("%d owed, then %d", owed, len(b.s.pending))
+		if b := start(dir, 100); len(b.s.pending) != pending {
+			t.Fatalf("%d messages pending after the first start, %d after the second", pending, len(b.s.pending))
 		}
 	})
 }
--- a/internal/sender/storeddata_test.go
+++ b/internal/sender/storeddata_test.go
@@ -1,7 +1,7 @@
 package sender
 
-// These tests hold a start to the folder that commit 485f0e4 wrote (testdata/stored): a journal with each kind of record
-// and a file of learned state. The folder is never written anew.
+// These tests check that the state folder written by commit 485f0e4 (testdata/stored) can still be read. It has a journal
+// with each kind of record and a file of learned state. The folder must never be regenerated.
 
 import (
 	"bytes"
@@ -16,44 +16,44 @@
 	"flaxcove/internal/sender/clusterapi"
 )
 
-// storedEnding is how a message ends, by the byte in its record.
+// storedEnding is the byte in an ending record that says how the message ended.
 type storedEnding byte
 
 const (
-	storedOwed       storedEnding = 0
+	storedPending    storedEnding = 0
 	storedHandedBack storedEnding = 1
 	storedFailed     storedEnding = 2
 )
 
-// storedMessage is all that a start knows of an owed message. Times are spans of choice.Time since the rig's day began.
+// storedMessage is the state of a pending message that a start restores. Times count from clockAt(0).
 type storedMessage struct {
 	ID, Key, IdempotencyKey, Tenant, Class, Body string
 
 	Destination     choice.DestinationID
-	Accepted        choice.Time // 0 where the record does not tell
+	Accepted        choice.Time // 0 if the record does not contain it
 	Deadline        choice.Time
 	MayHaveRun      bool
-	RanAt           choice.Time // of one that may have run; 0 for not known
-	RanIn           string      // of one that may have run
+	RanAt           choice.Time // if MayHaveRun: the time of the attempt; 0 if not known
+	RanIn           string      // if MayHaveRun: the zone of the attempt
 	Ending          storedEnding
 	RetryAfterMilli int64
 }
 
-// storedStart is all that a start reads of a folder.
+// storedStart is all that a start reads from a state folder.
 type storedStart struct {
-	Messages     []storedMessage
-	EndingsOwed  int
-	Ended        bool // the id of the message that is over is known again
-	Purges       map[uint64]clusterapi.Found
-	HighestPurge uint64
-	Learned      choice.LearnedState // of an endpoint that is listed; its wait has run on
-	Unlisted     choice.LearnedState // of one that is not
-	UnlistedAt   string
-	UnlistedOf   choice.DestinationID
-	LearnedAt    choice.Time
+	Messages      []storedMessage
+	EndingsToPost int
+	Ended         bool // the id of the ended message "over" is remembered
+	Purges        map[uint64]clusterapi.Found
+	HighestPurge  uint64
+	Learned       choice.LearnedState // of a listed endpoint, with its wait reduced by the time since it was written
+	Unlisted      choice.LearnedState // of an endpoint that is not listed
+	UnlistedAt    string
+	UnlistedOf    choice.DestinationID
+	LearnedAt     choice.Time
 }
 
-// sinceDay is a time as a span since the rig's day began; 0 stays 0.
+// sinceDay returns t as the time since clockAt(0); 0 stays 0.
 func sinceDay(t choice.Time) choice.Time {
 	if t == 0 {
 		return 0
@@ -61,11 +61,12 @@
 	return t - clockAt(0)
 }
 
-// readStart is the one place that names what a sender holds.
+// readStart collects the restored state from a sender. Only this function uses the sender's fields, so that the tests stay
+// the same when fields are renamed.
 func readStart(s *Sender) storedStart {
 	unlisted := s.learned["unlisted"]
 	_, ended := s.admission.recentlyEnded["over"]
-	start := storedStart{EndingsOwed: len(s.endings), Ended: ended, Purges: map[uint64]clusterapi.Found{}, HighestPurge: s.applied.Load(),
+	start := storedStart{EndingsToPost: len(s.endings), Ended: ended, Purges: map[uint64]clusterapi.Found{}, HighestPurge: s.applied.Load(),
 		Learned: s.choice.LearnedState("a"), Unlisted: unlisted.LearnedState, UnlistedAt: unlisted.Addr,
 		UnlistedOf: unlisted.Destination, LearnedAt: sinceDay(s.learnedAt)}
 	for _, n := range s.accepted {
@@ -83,8 +84,9 @@
 	return start
 }
 
-// storedWant is what the folder tells. "early" was accepted before its wall clock was put back by 30 s. What may have run
-// and may not run again fails at the start: "ran" and "old", as their windows for repeats are over, and "far".
+// storedWant returns the state that a start has to restore from the stored folder. "early" was accepted before the wall clock
+// was put back by 30 s. Messages that may have run and must not run again fail at the start: "ran" and "old", whose windows
+// for repeats have passed, and "far".
 func storedWant() storedStart {
 	return storedStart{
 		Messages: []storedMessage{
@@ -104,18 +106,19 @@
 			{ID: "old", Class: "token", Body: "old", Destination: 1, Deadline: 150 * second,
 				MayHaveRun: true, RanAt: 56 * second, RanIn: "z", Ending: storedFailed},
 		},
-		EndingsOwed:  5,
-		Ended:        true,
-		Purges:       map[uint64]clusterapi.Found{3: {NotBegun: 1, MayRun: 2, Delivered: 3, LearnedState: 4}, 9: {}},
-		HighestPurge: 9,
-		Learned:      choice.LearnedState{Mean: 900, Dev: 300, Past: 950, Seen: 9, Limit: 7, Wait: 4 * second},
-		Unlisted:     choice.LearnedState{Mean: 1.5, Dev: 0.5, Past: 2.5, Seen: 3, Limit: 0.25, Wait: 4},
-		UnlistedAt:   "127.0.0.2:2",
-		UnlistedOf:   -2,
-		LearnedAt:    59 * second,
+		EndingsToPost: 5,
+		Ended:         true,
+		Purges:        map[uint64]clusterapi.Found{3: {NotBegun: 1, MayRun: 2, Delivered: 3, LearnedState: 4}, 9: {}},
+		HighestPurge:  9,
+		Learned:       choice.LearnedState{Mean: 900, Dev: 300, Past: 950, Seen: 9, Limit: 7, Wait: 4 * second},
+		Unlisted:      choice.LearnedState{Mean: 1.5, Dev: 0.5, Past: 2.5, Seen: 3, Limit: 0.25, Wait: 4},
+		UnlistedAt:    "127.0.0.2:2",
+		UnlistedOf:    -2,
+		LearnedAt:     59 * second,
 	}
 }
 
+// copyStored copies the stored folder to a temporary one.
 func copyStored(t *testing.T) (dir string) {
 	t.Helper()
 	dir = t.TempDir()
@@ -125,12 +128,12 @@
 	return dir
 }
 
-// startStored starts a sender on a folder, a minute after the rig's day began.
+// startStored starts a sender on a copy of the stored folder, at clockAt(time.Minute).
 func startStored(t *testing.T, dir string) *Sender {
 	t.Helper()
 	r := startAt(fourClassConfig(dir, 100), time.Minute)
 	if r.s == nil {
-		t.Fatal("the start was refused")
+		t.Fatal("the sender has not started")
 	}
 	t.Cleanup(func() {
 		if err := r.s.journal.Close(); err != nil {
@@ -140,8 +143,8 @@
 	return r.s
 }
 
-// TestReadsStoredFolder: a start reads all that an older program left. Once more after the journal was written anew, the
-// way this program writes it: all that a sender holds is in that, and reads the same.
+// TestReadsStoredFolder checks that a start reads everything that the older version stored, and that it reads the same again
+// after the journal was rewritten by the present version.
 func TestReadsStoredFolder(t *testing.T) {
 	dir := copyStored(t)
 	s := startStored(t, dir)
@@ -152,14 +155,14 @@
 	if err := s.journal.Rewrite(s.records); err != nil {
 		t.Fatal(err)
 	}
-	want.Ended = false // what is over is not kept in a journal that was written anew
+	want.Ended = false // a rewritten journal does not hold the ids of ended messages
 	if diff := cmp.Diff(want, readStart(startStored(t, dir))); diff != "" {
 		t.Errorf("after a rewriting (-stored +read):\n%s", diff)
 	}
 }
 
-// TestWritesStoredRecords: records are written as an older program wrote them, byte for byte, so that it can go on from them
-// after a step back.
+// TestWritesStoredRecords checks that records are written byte for byte as by the older version, so that it can read them
+// after a downgrade.
 func TestWritesStoredRecords(t *testing.T) {
 	dir := copyStored(t)
 	var stored [][]byte
@@ -180,17 +183,17 @@
 	}
 	s := startStored(t, dir)
 	if want := storedWant(); len(s.accepted) != len(want.Messages) || len(s.past) != len(want.Purges) {
-		t.Errorf("%d messages and %d purges are held", len(s.accepted), len(s.past))
+		t.Errorf("%d messages and %d purges are restored, want %d and %d", len(s.accepted), len(s.past), len(want.Messages), len(want.Purges))
 	}
 	for _, n := range s.accepted {
-		// The times of "early" are of the clock before it was put back.
+		// The stored times of "early" are on the clock before it was put back.
 		if record := n.acceptedRecord(); n.ID != "early" && !contains(record) {
-			t.Errorf("%q: %q is not as it was stored", n.ID, record)
+			t.Errorf("message %q: the record %q is not in the stored journal", n.ID, record)
 		}
 	}
 	for _, p := range s.past {
 		if !contains(p.record()) {
-			t.Errorf("purge %d: %q is not as it was stored", p.seq, p.record())
+			t.Errorf("purge %d: the record %q is not in the stored journal", p.seq, p.record())
 		}
 	}
 	for _, c := range []struct {
@@ -199,14 +202,14 @@
 	}{
 		{"the clock", clockRecord(30 * second)},
 		{"an attempt", attemptRecord("ran", clockAt(53*time.Second), 0, "z")},
-		{"an attempt to a zone of other settings", attemptRecord("far", clockAt(54*time.Second), 7, "far")},
-		{"proof that none ran", idRecord(recNotRun, "proven")},
-		{"an end", idRecord(recClosed, "over")},
-		{"handed back", endRecord("handed", ending{kind: endShed, retryMS: 250})},
-		{"a failure", endRecord("failed", ending{kind: endFailed})},
+		{"an attempt in a zone that the settings do not name", attemptRecord("far", clockAt(54*time.Second), 7, "far")},
+		{"proof that no attempt ran", idRecord(recNotRun, "proven")},
+		{"a closed message", idRecord(recClosed, "over")},
+		{"a shed message", endRecord("handed", ending{kind: endShed, retryMS: 250})},
+		{"a failed message", endRecord("failed", ending{kind: endFailed})},
 	} {
 		if !contains(c.record) {
-			t.Errorf("%s: %q is not as it was stored", c.what, c.record)
+			t.Errorf("%s: the record %q is not in the stored journal", c.what, c.record)
 		}
 	}
 }
--- a/internal/sender/withdrawal/withdrawal_test.go
+++ b/internal/sender/withdrawal/withdrawal_test.go
@@ -8,14 +8,15 @@
 	"flaxcove/internal/sender/clusterapi"
 )
 
-func TestTakes(t *testing.T) {
+// TestMatches checks which messages a match selects, and which destinations' learned state it drops.
+func TestMatches(t *testing.T) {
 	five := choice.DestinationID(5)
 	for _, c := range []struct {
 		name string
 		m    clusterapi.Match
 		want bool
 	}{
-		{"empty names nothing", clusterapi.Match{}, false},
+		{"empty matches nothing", clusterapi.Match{}, false},
 		{"destination", clusterapi.Match{Destination: &five}, true},
 		{"workload", clusterapi.Match{Class: "orders"}, true},
 		{"other workload", clusterapi.Match{Destination: &five, Class: "mail"}, false},
@@ -27,30 +28,30 @@
 	} {
 		order := Order{Purge: clusterapi.Purge{Match: c.m}}
 		if got := order.Matches(5, "orders", "order-17", 0); got != c.want {
-			t.Errorf("%s: %v", c.name, got)
+			t.Errorf("%s: Matches returned %v, want %v", c.name, got, c.want)
 		}
 		if order.LearnedState = true; order.Matches(5, "orders", "order-17", 0) {
-			t.Errorf("%s: a purge of what was learnt takes no message", c.name)
+			t.Errorf("%s: a purge of learned state matches a message", c.name)
 		}
 	}
-	forgets := func(m clusterapi.Match, d choice.DestinationID) bool {
+	drops := func(m clusterapi.Match, d choice.DestinationID) bool {
 		return (&Order{Purge: clusterapi.Purge{Match: m, LearnedState: true}}).DropsLearned(d)
 	}
-	if !forgets(clusterapi.Match{Destination: &five}, 5) || forgets(clusterapi.Match{Destination: &five}, 6) ||
-		forgets(clusterapi.Match{Destination: &five, Key: "k"}, 5) || forgets(clusterapi.Match{Class: "orders"}, 5) {
-		t.Error("what was learnt is named by its destination alone")
+	if !drops(clusterapi.Match{Destination: &five}, 5) || drops(clusterapi.Match{Destination: &five}, 6) ||
+		drops(clusterapi.Match{Destination: &five, Key: "k"}, 5) || drops(clusterapi.Match{Class: "orders"}, 5) {
+		t.Error("learned state must be dropped only by a match of its destination alone")
 	}
 	if (&Order{Purge: clusterapi.Purge{Match: clusterapi.Match{Destination: &five}}}).DropsLearned(5) {
-		t.Error("a purge of messages forgets nothing")
+		t.Error("a purge of messages drops learned state")
 	}
 }
 
-// Two purges overlap: each message gets one final answer, and none is counted as withdrawn twice.
+// TestOverlap checks that of two overlapping purges only one ends each message and counts it as withdrawn.
 func TestOverlap(t *testing.T) {
 	var first, second clusterapi.Found
 	order := Order{Purge: clusterapi.Purge{Match: clusterapi.Match{Key: "k"}}, Cut: 10}
-	fate := func(s State, takenAt choice.Time) Fate {
-		if !order.Matches(5, "orders", "k", takenAt) {
+	fate := func(s State, acceptedAt choice.Time) Fate {
+		if !order.Matches(5, "orders", "k", acceptedAt) {
 			return Untouched
 		}
 		return s.Fate()
@@ -60,42 +61,44 @@
 		fate(s, 10).Add(&first)
 		fate(after[s], 10).Add(&second)
 		if f := fate(s, 11); f != Untouched {
-			t.Errorf("state %d taken on after the purge: %d", s, f)
+			t.Errorf("message in state %d accepted after the purge: fate %d, want Untouched", s, f)
 		}
 	}
 	if first != (clusterapi.Found{NotBegun: 1, MayRun: 2, Delivered: 2}) {
-		t.Errorf("first: %+v", first)
+		t.Errorf("the first purge found %+v", first)
 	}
 	if second != (clusterapi.Found{MayRun: 1, Delivered: 2}) {
-		t.Errorf("second: %+v", second)
+		t.Errorf("the second purge found %+v", second)
 	}
 }
 
+// TestCutAndLastCall checks the cut that Since computes, and the end of a message for each outcome of its last call.
 func TestCutAndLastCall(t *testing.T) {
-	const tick = 100 * time.Microsecond // of choice.Time
-	before := func(held, age time.Duration) bool {
+	const tick = 100 * time.Microsecond // the unit of choice.Time
+	// matched reports whether a purge of this age matches a message that was accepted the time held ago.
+	matched := func(held, age time.Duration) bool {
 		now := time.Hour
 		order := Since(clusterapi.Purge{Match: clusterapi.Match{Key: "k"}, Age: age}, choice.Time(now/tick))
 		return order.Matches(5, "orders", "k", choice.Time((now-held)/tick))
 	}
-	if !before(3*time.Second, 2*time.Second) || before(time.Second, 2*time.Second) || !before(0, -time.Second) {
-		t.Error("the cut is at the purge's age")
+	if !matched(3*time.Second, 2*time.Second) || matched(time.Second, 2*time.Second) || !matched(0, -time.Second) {
+		t.Error("the cut is not at the purge's age")
 	}
-	if !before(2*time.Second, 2*time.Second+tick/2) {
-		t.Error("an age that is no whole number of ticks spares what was there")
+	if !matched(2*time.Second, 2*time.Second+tick/2) {
+		t.Error("a purge whose age is not a whole number of ticks does not match a message accepted before it")
 	}
 	for r, want := range map[choice.Result]CallEnd{choice.Done: AsAnswered, choice.Rejected: AsWithdrawn,
 		choice.ConnectFailed: AsWithdrawn, choice.TimedOut: AsMayRun, choice.Reset: AsMayRun, choice.Unreadable: AsMayRun,
 		choice.Cancelled: AsMayRun, choice.Errored: AsMayRun, choice.NotRun: AsWithdrawn} {
 		last := choice.Outcome{Result: r, Final: r == choice.Done}
 		if got := Ends(last, false); got != want {
-			t.Errorf("result %d: %d", r, got)
+			t.Errorf("last call with result %d: the message ends %d, want %d", r, got, want)
 		}
 		if got := Ends(last, true); r != choice.Done && got != AsMayRun {
-			t.Errorf("result %d after a call that may have run: %d", r, got)
+			t.Errorf("last call with result %d after a call that may have run: the message ends %d, want AsMayRun", r, got)
 		}
 	}
 	if got := Ends(choice.Outcome{Result: choice.NotRun, Final: true}, true); got != AsAnswered {
-		t.Errorf("an endpoint that wants it no more: %d", got)
+		t.Errorf("endpoint that no longer wants the message: the message ends %d, want AsAnswered", got)
 	}
 }
