--- a/internal/sender/accept.go
+++ b/internal/sender/accept.go
@@ -63,7 +63,7 @@
 		dropped.conn.Close()
 	}
 	if lingers != nil {
-		s.post(func() { s.boundLingering(lingers) })
+		s.post(func() { s.startLingerTimers(lingers) })
 	}
 	return context.WithValue(context.Background(), clientKey{}, c)
 }
--- a/internal/sender/admission.go
+++ b/internal/sender/admission.go
@@ -24,24 +24,24 @@
 	// submitted again after its end does not run again. At three times the usual rate of messages, an id is remembered for
 	// longer than a message may be pending.
 	maxRememberedEnded = 8192
-	// maxEndedInOrder is the maximum number of ended messages in admission.accepted beyond the number of pending messages.
-	maxEndedInOrder = 1024
+	// maxEndedInAccepted is the maximum number of ended messages in admission.accepted beyond the number of pending messages.
+	maxEndedInAccepted = 1024
 )
 
 // admission is the part of a Sender that holds its messages and its journal. The loop owns it.
 type admission struct {
-	journal        *journal.Journal
-	pending        map[choice.MessageID]*message
-	accepted       []*message  // pending messages in the order of acceptance; ended ones are removed from time to time
-	admitted       []*message  // messages admitted in this turn
-	liveBytes      int64       // upper bound of the size of the journal after a rewriting
-	reservedBytes  int64       // bytes that the messages admitted in this turn will add to liveBytes
-	latestRecorded choice.Time // latest time in the records read so far, while the journal is replayed
-	zoneUnnamed    []*message  // replayed messages whose attempt record has a zone number only, until the name is recorded
+	journal         *journal.Journal
+	pending         map[choice.MessageID]*message
+	accepted        []*message  // pending messages in the order of acceptance; ended ones are removed from time to time
+	admitted        []*message  // messages admitted in this turn
+	liveBytes       int64       // upper bound of the size of the journal after a rewriting
+	reservedBytes   int64       // bytes that the messages admitted in this turn will add to liveBytes
+	latestRecorded  choice.Time // latest time in the records read so far, while the journal is replayed
+	missingZoneName []*message  // replayed messages whose attempt record has a zone number only, until the name is recorded
 
 	recentlyEnded map[choice.MessageID]struct{} // ids of messages that were accepted and have ended
 	endedRing     []choice.MessageID            // the ids in recentlyEnded; once full, the newest replaces the oldest
-	endedNext     int                           // index of the oldest id in endedRing once it is full
+	endedOldest   int                           // index of the oldest id in endedRing once it is full
 }
 
 // rememberEnded adds the id of an ended message to recentlyEnded. Beyond maxRememberedEnded ids the oldest is forgotten.
@@ -52,9 +52,9 @@
 	if len(a.endedRing) < maxRememberedEnded {
 		a.endedRing = append(a.endedRing, id)
 	} else {
-		delete(a.recentlyEnded, a.endedRing[a.endedNext])
-		a.endedRing[a.endedNext] = id
-		a.endedNext = (a.endedNext + 1) % maxRememberedEnded
+		delete(a.recentlyEnded, a.endedRing[a.endedOldest])
+		a.endedRing[a.endedOldest] = id
+		a.endedOldest = (a.endedOldest + 1) % maxRememberedEnded
 	}
 	a.recentlyEnded[id] = struct{}{}
 }
@@ -110,27 +110,27 @@
 }
 
 // recordAttempt adds an attempt record, which says that the call may have run, for each message of the call for which
-// limitsRepeat holds.
+// needsAttemptRecord holds.
 func (s *Sender) recordAttempt(c *call) {
 	c.recorded = true
 	for _, m := range c.messages {
-		if s.limitsRepeat(m) && !m.attemptOnRecord && m.inFlight == c {
+		if s.needsAttemptRecord(m) && !m.attemptOnRecord && m.inFlight == c {
 			m.attemptOnRecord = true
 			s.journal.Add(attemptRecord(m.ID, c.beganAt, c.endpoint.zone, c.endpoint.zoneName))
 		}
 	}
 }
 
-// limitsRepeat reports whether an attempt of m forbids or limits another attempt, or delays the next message of its
+// needsAttemptRecord reports whether an attempt of m forbids or limits another attempt, or delays the next message of its
 // ordering key.
-func (s *Sender) limitsRepeat(m *message) bool {
+func (s *Sender) needsAttemptRecord(m *message) bool {
 	class := &s.cfg.Settings.Classes[m.Class]
 	return class.Repeat != choice.Idempotent || class.Ordered && m.Key != choice.NoKey
 }
 
 // writeJournal appends the added records to the journal's file, or rewrites the file if it is larger than rewriteThreshold.
 func (s *Sender) writeJournal() error {
-	if len(s.accepted) > 2*len(s.pending)+maxEndedInOrder { // with a large limit, rewritings are too rare to rely on
+	if len(s.accepted) > 2*len(s.pending)+maxEndedInAccepted { // with a large limit, rewritings are too rare to rely on
 		s.accepted = withoutEnded(s.accepted)
 	}
 	if s.journal.Size() <= int64(rewriteThreshold*float64(s.journal.Limit())) {
--- a/internal/sender/client_timeouts.go
+++ b/internal/sender/client_timeouts.go
@@ -95,9 +95,9 @@
 	}
 }
 
-// idleClients returns the clients that may be closed at a graceful shutdown. With hurry these are all clients that are not
+// idleClients returns the clients that may be closed at a graceful shutdown. With force these are all clients that are not
 // closing yet.
-func (s *Sender) idleClients(hurry bool) (idle []*client) {
+func (s *Sender) idleClients(force bool) (idle []*client) {
 	s.clients.Lock()
 	defer s.clients.Unlock()
 	for c := range s.clients.all {
@@ -105,7 +105,7 @@
 			continue // avoids the system call in noInputPending
 		}
 		isNew := !c.served && s.clock()-c.connectedAt < drainAcceptTime
-		if hurry || c.idle() && !isNew && noInputPending(c.conn) {
+		if force || c.idle() && !isNew && noInputPending(c.conn) {
 			idle = append(idle, c)
 		}
 	}
--- a/internal/sender/clients.go
+++ b/internal/sender/clients.go
@@ -36,7 +36,8 @@
 	silentClient   reason = "said_nothing"
 )
 
-// clientFrontend is the part of a Sender that serves clients.
+// clientFrontend is the part of a Sender that serves clients. Its fields do their own locking, except for listener and
+// maxUnparsedBytes, which are set before clients are served.
 type clientFrontend struct {
 	clients          clientTable
 	listener         netpoll.Listener
--- a/internal/sender/cluster.go
+++ b/internal/sender/cluster.go
@@ -96,7 +96,7 @@
 type orders struct{ s *Sender }
 
 // Applied implements clusterapi.Orders.
-func (o orders) Applied() uint64 { return o.s.applied.Load() }
+func (o orders) Applied() uint64 { return o.s.durableSeq.Load() }
 
 // Purge implements clusterapi.Orders.
 func (o orders) Purge(all []clusterapi.Purge, done func(uint64, []clusterapi.Found)) {
--- a/internal/sender/cluster_test.go
+++ b/internal/sender/cluster_test.go
@@ -59,17 +59,17 @@
 			close(gate)
 			h.runNext()
 		}
-		fmt.Println("out:", len(h.calls))
+		fmt.Println("calls:", len(h.calls))
 		h.advance(110 * time.Millisecond)
 		os.RemoveAll(h.dir)
 	}
 	// Output:
 	// client: +OK
-	// out: 0
+	// calls: 0
 	// call a: POST /inbox
 	//    id
 	// client: +OK
-	// out: 0
+	// calls: 0
 	// call a: POST /inbox
 	//    id
 }
@@ -131,9 +131,9 @@
 	// counts [{2  2} {9  2}] longest 1m30s
 }
 
-// Eviction drops learned state and idle links, unless the destination must stay or has a call in flight. The first message
-// for an evicted destination makes the sender ask the region for learned state. The answer is adopted for endpoints without
-// learned state, and its wait is reduced by its age.
+// Eviction drops learned state and idle links, unless the destination must stay, or has pending messages or busy links. The
+// first message for an evicted destination makes the sender ask the region for learned state. The answer is adopted for
+// endpoints without learned state, and its wait is reduced by its age.
 func Example_evict() {
 	h := start("", 100)
 	c, m := h.joinCluster(Joining{}), &fakeLearnedStore{mustStay: 2}
--- a/internal/sender/clusterapi/clusterapi.go
+++ b/internal/sender/clusterapi/clusterapi.go
@@ -19,7 +19,7 @@
 	Kind        choice.KindNo        `json:"k,omitempty"`
 	Zone        string               `json:"z"`
 	Sent        uint64               `json:"s,omitempty"` // calls sent
-	Done        uint64               `json:"o,omitempty"` // calls whose messages the endpoint has handled
+	Done        uint64               `json:"o,omitempty"` // calls with the result choice.Done
 	Failed      uint64               `json:"f,omitempty"` // calls that errored, timed out, were reset or could not connect
 	Unanswered  uint64               `json:"q,omitempty"` // part of Failed: calls that timed out or could not connect
 	Rejected    uint64               `json:"r,omitempty"` // calls rejected by the endpoint
@@ -126,5 +126,5 @@
 	Destination choice.DestinationID
 	Bytes       int     // estimated size in memory
 	Calls       float64 // number of answers that the learned state is based on, so the cost of learning it again
-	InUse       bool    // must not be evicted: a Retry-After, an outage, a slow start, a drain, an ordered key or pending messages
+	InUse       bool    // must not be evicted: a Retry-After, an outage, a slow start, a drain, an ordered key, pending messages or busy links
 }
--- a/internal/sender/command.go
+++ b/internal/sender/command.go
@@ -15,7 +15,7 @@
 // handleCommand carries out one command of a client and sets its answer, or has addMessage set it later. It runs on the
 // loop.
 func (s *Sender) handleCommand(c *client, args [][]byte) {
-	r := s.expectReply(c)
+	r := s.reserveReply(c)
 	name := ""
 	if len(args) > 0 {
 		name = string(args[0])
@@ -35,7 +35,7 @@
 		}
 		s.setReply(r, resp.AppendBulk(nil, text))
 	default:
-		s.badCommand(r, "unknown command")
+		s.answerInvalidCommand(r, "unknown command")
 	}
 }
 
@@ -45,7 +45,7 @@
 	s.counts.submitted++
 	m, err := s.parseMessage(args)
 	if err != nil {
-		s.badCommand(r, err.Error())
+		s.answerInvalidCommand(r, err.Error())
 		return
 	}
 	if s.answerResubmission(r, m.ID) || !s.checkDestination(r, m.Destination) {
@@ -87,7 +87,7 @@
 	case known:
 		return true
 	case s.listReceived:
-		s.badCommand(r, "dest: no such destination")
+		s.answerInvalidCommand(r, "dest: no such destination")
 	default:
 		s.answerBusy(r, s.longestReturnMS())
 	}
--- a/internal/sender/command_test.go
+++ b/internal/sender/command_test.go
@@ -73,16 +73,16 @@
 		conn, _ := netpoll.NewFDConnection(pair[0])
 		return h.client(conn)
 	}
-	idle, half, asked, queued := connect(), connect(), connect(), connect()
+	idle, partial, asked, queued := connect(), connect(), connect(), connect()
 	queued.window <- struct{}{} // as if a command of this client waited in the inbox
-	half.partialSince.Store(int64(h.clock))
+	partial.partialSince.Store(int64(h.clock))
 	asked.window <- struct{}{}
-	h.s.addMessage(h.s.expectReply(asked), [][]byte{nil, []byte("0"), []byte("id"), []byte("c=status,d=6000,dest=1"), nil})
+	h.s.addMessage(h.s.reserveReply(asked), [][]byte{nil, []byte("0"), []byte("id"), []byte("c=status,d=6000,dest=1"), nil})
 	h.clock += time.Second
 	h.s.startDrain(h.clock)
 	late, silent := connect(), connect()
 	show := func() {
-		fmt.Println(idle.closing, half.closing, asked.closing, queued.closing, late.closing, silent.closing)
+		fmt.Println(idle.closing, partial.closing, asked.closing, queued.closing, late.closing, silent.closing)
 	}
 	show()
 	late.served = true
@@ -94,7 +94,7 @@
 	show()
 	h.clock += partialCommandTimeout
 	h.s.sweepClients()
-	fmt.Println("half a command:", half.closing, half.writeClosed)
+	fmt.Println("client with an incomplete command:", partial.closing, partial.writeClosed)
 	os.RemoveAll(h.dir)
 	// Output:
 	// true false false false false false
@@ -106,5 +106,5 @@
 	// call a: POST /inbox
 	//    id
 	// true false true false true true
-	// half a command: true true
+	// client with an incomplete command: true true
 }
--- a/internal/sender/configure_sockets_test.go
+++ b/internal/sender/configure_sockets_test.go
@@ -15,7 +15,7 @@
 )
 
 // TestConfigureUnderTraffic changes the settings many times while clients submit messages over sockets without a pause. Each
-// accepted message must be delivered once, or shed once if capacity became scarce. Messages of a new class must be accepted
+// accepted message must be delivered once, or shed once if capacity became scarce. Messages of a new class must be known
 // as soon as the version that adds it is in force.
 func TestConfigureUnderTraffic(t *testing.T) {
 	w, addr := startFakeServer(t)
@@ -28,12 +28,12 @@
 	cfg := loadedConfig(t, t.TempDir(), settingsWith(t, `"connIdle":10000000000`, `"connIdle":9000000000`), list)
 	cfg.Discovery = addr
 	s, done := startRunning(t, cfg)
-	traffic := &traffic{s: s}
+	traffic := &traffic{sender: s}
 	over := make(chan struct{})
 	var clients sync.WaitGroup
 	for no := range 4 {
 		client := connectClient(t, s)
-		clients.Go(func() { traffic.flow(t, client, no, over) })
+		clients.Go(func() { traffic.submitUntil(t, client, no, over) })
 	}
 	client := connectClient(t, s)
 	defer client.Close()
@@ -67,7 +67,7 @@
 
 // traffic submits messages to a sender and records which were accepted.
 type traffic struct {
-	s        *Sender
+	sender   *Sender
 	accepted sync.Map // the ids of accepted messages
 }
 
@@ -84,8 +84,8 @@
 	}
 }
 
-// flow submits messages without a pause until over is closed. no is the number of the client.
-func (f *traffic) flow(t *testing.T, client *testClient, no int, over <-chan struct{}) {
+// submitUntil submits messages without a pause until over is closed. no is the number of the client.
+func (f *traffic) submitUntil(t *testing.T, client *testClient, no int, over <-chan struct{}) {
 	defer client.Close()
 	for i := 0; ; i++ {
 		select {
@@ -118,7 +118,7 @@
 // order gives the order to put a configuration in force, and waits for the answer.
 func (f *traffic) order(c clusterapi.Configuration) error {
 	answer := make(chan error, 1)
-	f.s.Orders().Configure(c, func(err error) { answer <- err })
+	f.sender.Orders().Configure(c, func(err error) { answer <- err })
 	select {
 	case err := <-answer:
 		return err
--- a/internal/sender/descriptors_test.go
+++ b/internal/sender/descriptors_test.go
@@ -23,8 +23,8 @@
 // descriptorLimits configures a sender in a process of its own: the address of discovery, the state folder, and the limits of
 // descriptors in the settings and in the system.
 type descriptorLimits struct {
-	Discovery, Dir   string
-	Settings, System uint64
+	Discovery, Dir             string
+	SettingsLimit, SystemLimit uint64
 }
 
 const (
@@ -45,11 +45,11 @@
 	if err := json.Unmarshal([]byte(text), &n); err != nil {
 		t.Fatal(err)
 	}
-	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: n.System, Max: n.System}); err != nil {
+	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: n.SystemLimit, Max: n.SystemLimit}); err != nil {
 		t.Fatal(err)
 	}
 	cfg := testConfig(n.Dir, 1000)
-	cfg.Listen, cfg.Discovery, cfg.Limits.Sockets = "127.0.0.1:0", n.Discovery, int(n.Settings)
+	cfg.Listen, cfg.Discovery, cfg.Limits.Sockets = "127.0.0.1:0", n.Discovery, int(n.SettingsLimit)
 	s, conn, done := startServing(t, cfg)
 	conn.Close()
 	fmt.Println("serves at", s.Addr())
@@ -59,7 +59,7 @@
 			fmt.Println(answeredLine)
 			continue
 		}
-		limit := syscall.Rlimit{Max: n.System}
+		limit := syscall.Rlimit{Max: n.SystemLimit}
 		limit.Cur, _ = strconv.ParseUint(lines.Text(), 10, 64)
 		if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 			t.Fatal(err)
@@ -68,7 +68,7 @@
 	}
 	s.Drain()
 	<-done
-	fmt.Println("was handed", s.counts.submitted)
+	fmt.Println("submitted", s.counts.submitted)
 }
 
 // limitedProcess is a sender in a process of its own, with a limit of descriptors.
@@ -219,8 +219,8 @@
 // while idle clients hold all those that clients may have. Discovery is down when the idle clients connect. If the system's
 // limit is lower than that of the settings, the process must neither end nor use CPU time in a busy loop.
 func TestFewDescriptors(t *testing.T) {
-	for _, n := range []descriptorLimits{{Settings: 128, System: 128}, {Settings: 512, System: 96}} {
-		t.Run(fmt.Sprintf("%d of %d", n.System, n.Settings), func(t *testing.T) {
+	for _, n := range []descriptorLimits{{SettingsLimit: 128, SystemLimit: 128}, {SettingsLimit: 512, SystemLimit: 96}} {
+		t.Run(fmt.Sprintf("%d of %d", n.SystemLimit, n.SettingsLimit), func(t *testing.T) {
 			p := &fakePartner{}
 			p.Server = httptest.NewServer(p)
 			defer p.Server.Close()
@@ -278,7 +278,7 @@
 // TestAcceptWithoutDescriptors checks that an accept without a free descriptor is repeated after a pause. The process must
 // neither end nor use CPU time in a busy loop, and the waiting client is served once there is a descriptor.
 func TestAcceptWithoutDescriptors(t *testing.T) {
-	program := startLimited(t, descriptorLimits{Discovery: "127.0.0.1:1", Dir: t.TempDir(), Settings: 128, System: 128})
+	program := startLimited(t, descriptorLimits{Discovery: "127.0.0.1:1", Dir: t.TempDir(), SettingsLimit: 128, SystemLimit: 128})
 	program.limit(t, 3)
 	waiting := program.dial(t)
 	io.WriteString(waiting, pingText)
--- a/internal/sender/drain.go
+++ b/internal/sender/drain.go
@@ -14,7 +14,7 @@
 // calls stop early, so that calls in flight can end before the process does: a call that is cut off may have run, and a
 // message that must not run twice is lost with it.
 const (
-	drainAcceptTime = 500 * time.Millisecond  // the process ends no earlier; also the time that a new client has for its first command
+	drainAcceptTime = 500 * time.Millisecond  // the process ends no earlier, and a new client has this long to send its first command
 	drainSendTime   = 2500 * time.Millisecond // until then calls begin and messages are accepted
 	drainReadTime   = 3100 * time.Millisecond // until then busy clients are waited for; then only input already read is answered
 	drainEndTime    = 3300 * time.Millisecond // from then on no input is accepted, and the process ends with its last client
--- a/internal/sender/drain_test.go
+++ b/internal/sender/drain_test.go
@@ -23,8 +23,9 @@
 	}
 }
 
-// drainFrom starts a graceful shutdown as if its signal had come the time before ago, and runs checkDrain at once.
-func drainFrom(t *testing.T, s *Sender, before time.Duration) {
+// drainSignalledBefore starts a graceful shutdown as if its signal had come earlier by the time before, and runs
+// checkDrain at once.
+func drainSignalledBefore(t *testing.T, s *Sender, before time.Duration) {
 	t.Helper()
 	onLoop(t, s, func() {
 		s.startDrain(s.clock() - before)
@@ -46,7 +47,7 @@
 	stallPollers(t) // until the test ends
 	io.WriteString(unread, addText("unread"))
 	waitUntil(t, "the command has arrived in the sender's socket", func() bool { return allAcknowledged(t, unread) })
-	drainFrom(t, s, drainEndTime)
+	drainSignalledBefore(t, s, drainEndTime)
 	waitEnded(t, done)
 	for name, conn := range map[string]net.Conn{"unread": unread, "partial": partial, "idle": idle, "fresh": fresh} {
 		if got := state(t, conn); got != stateCloseWait {
@@ -84,17 +85,17 @@
 // idle, and that a client that reads slowly gets all its answers.
 func TestDrainWithBusyClients(t *testing.T) {
 	s, dial, done := serving(t, 64)
-	pump, slow := dial(""), dial("")
+	busy, slow := dial(""), dial("")
 	stop := make(chan struct{})
 	go func() {
 		defer close(stop)
 		for { // until the connection ends
-			if _, err := io.WriteString(pump, strings.Repeat(pingText, 8)); err != nil {
+			if _, err := io.WriteString(busy, strings.Repeat(pingText, 8)); err != nil {
 				return
 			}
 		}
 	}()
-	go io.Copy(io.Discard, pump)
+	go io.Copy(io.Discard, busy)
 	c := clientOf(t, s, slow)
 	syscall.SetsockoptInt(c.conn.(netpoll.Conn).Fd(), syscall.SOL_SOCKET, syscall.SO_SNDBUF, 4<<10)
 	const commands = 3 // more than the kernel buffers for a client that does not read, and less than maxUnreadOutput
@@ -105,15 +106,15 @@
 		})
 		return wait && allAcknowledged(t, slow)
 	})
-	drainFrom(t, s, drainSendTime)
+	drainSignalledBefore(t, s, drainSendTime)
 	want := strings.Repeat(string(resp.AppendBulk(nil, make([]byte, resp.MaxBulk))), commands)
 	if text, err := io.ReadAll(slow); string(text) != want || err != nil {
 		t.Errorf("%d of %d bytes of answers, %v", len(text), len(want), err)
 	}
 	slow.Close()
-	waitUntil(t, "the connection of the busy client is closed", func() bool { return state(t, pump) != stateOpen })
+	waitUntil(t, "the connection of the busy client is closed", func() bool { return state(t, busy) != stateOpen })
 	waitEnded(t, done)
-	pump.Close()
+	busy.Close()
 	<-stop
 }
 
@@ -153,7 +154,7 @@
 	clientOf(t, s, fresh)
 	c := clientOf(t, s, partial)
 	waitUntil(t, "the incomplete command is read", func() bool { return c.partialSince.Load() != 0 })
-	drainFrom(t, s, 0)
+	drainSignalledBefore(t, s, 0)
 	io.WriteString(fresh, pingText)
 	io.WriteString(partial, pingText[7:])
 	for name, conn := range map[string]net.Conn{"fresh": fresh, "partial": partial} {
@@ -169,7 +170,7 @@
 	s, dial, done := serving(t, 64)
 	conn := dial("")
 	c := clientOf(t, s, conn)
-	drainFrom(t, s, drainReadTime)
+	drainSignalledBefore(t, s, drainReadTime)
 	onLoop(t, s, func() {
 		if !c.lingering || c.isWriteClosed() {
 			t.Errorf("lingering %v, half-closed without an answer %v, want true and false", c.lingering, c.isWriteClosed())
@@ -181,9 +182,9 @@
 	waitEnded(t, done)
 }
 
-// TestRejectedAtTheVeryEnd checks that a client that was rejected just before drainHardEnd is half-closed by drainHardEnd,
+// TestRejectedAtHardEnd checks that a client that was rejected just before drainHardEnd is half-closed by drainHardEnd,
 // whichever timer fires first.
-func TestRejectedAtTheVeryEnd(t *testing.T) {
+func TestRejectedAtHardEnd(t *testing.T) {
 	s, dial, done := serving(t, 64)
 	conn := dial("")
 	c := clientOf(t, s, conn)
@@ -205,7 +206,7 @@
 // answered.
 func TestLastClient(t *testing.T) {
 	s, dial, done := serving(t, 64)
-	drainFrom(t, s, drainAcceptTime)
+	drainSignalledBefore(t, s, drainAcceptTime)
 	waitEnded(t, done)
 	conn := dial(addText("last"))
 	expectToEnd(t, "the client", conn, busyAnswer)
--- a/internal/sender/lingering_close.go
+++ b/internal/sender/lingering_close.go
@@ -24,27 +24,27 @@
 )
 
 // halfCloseClient starts the lingering close of a client unless input or commands are pending, and reports whether the
-// client is lingering now. After drainReadTime of a graceful shutdown, a client from which no complete command has been read
-// is rejected instead.
+// client is lingering now. After drainReadTime of a graceful shutdown, a client that has sent no command, or whose last
+// command is incomplete, is rejected instead.
 func (s *Sender) halfCloseClient(c *client) bool {
-	hurry := s.draining && s.sinceDrain() >= drainReadTime
+	force := s.draining && s.sinceDrain() >= drainReadTime
 	s.clients.Lock()
 	defer s.clients.Unlock()
 	if c.lingering {
 		return true
 	}
 	unanswered := !c.ignoreInput.Load() && (!c.served || c.partialSince.Load() != 0)
-	rejected := hurry && unanswered && s.clients.reject(c, s.clock(), c.closeReason)
-	if !rejected && !s.clients.halfClose(c, s.clock(), c.closeReason, hurry) {
+	rejected := force && unanswered && s.clients.reject(c, s.clock(), c.closeReason)
+	if !rejected && !s.clients.halfClose(c, s.clock(), c.closeReason, force) {
 		return false
 	}
-	s.boundLingering(c)
+	s.startLingerTimers(c)
 	return true
 }
 
-// boundLingering starts the timers that close the connection of a lingering client. A rejected client has firstInputTimeout
-// to send its first command before its connection is half-closed.
-func (s *Sender) boundLingering(c *client) {
+// startLingerTimers starts the timers that close the connection of a lingering client. A rejected client has
+// firstInputTimeout to send its first command before its connection is half-closed.
+func (s *Sender) startLingerTimers(c *client) {
 	s.after(firstInputTimeout, func() {
 		s.clients.Lock()
 		defer s.clients.Unlock()
@@ -55,9 +55,9 @@
 
 // halfClose shuts down the sending side unless input or commands are pending, and reports whether it is shut down. This call
 // decides which commands are handled: a command that the reader has counted before it is answered, and a command counted
-// later is discarded. With hurry, halfClose does not wait for input in the socket or for incomplete commands. The caller
+// later is discarded. With force, halfClose does not wait for input in the socket or for incomplete commands. The caller
 // holds the table's lock.
-func (t *clientTable) halfClose(c *client, now time.Duration, why reason, hurry bool) bool {
+func (t *clientTable) halfClose(c *client, now time.Duration, why reason, force bool) bool {
 	c.stateLock.Lock()
 	defer c.stateLock.Unlock()
 	switch {
@@ -68,9 +68,9 @@
 	case c.ignoreInput.Load(): // further input is not answered, so it is not waited for
 	// Input moves from the socket to netpoll's buffer and then to the reader. The reader is busy until it has counted a
 	// command or set partialSince. The checks follow the same order, so that they cannot miss input on its way.
-	case !hurry && !noInputPending(c.conn) || c.conn.Reader().Len() > 0 || c.readerBusy.Load():
+	case !force && !noInputPending(c.conn) || c.conn.Reader().Len() > 0 || c.readerBusy.Load():
 		return false
-	case !hurry && c.partialSince.Load() != 0 || len(c.window) > 0:
+	case !force && c.partialSince.Load() != 0 || len(c.window) > 0:
 		return false
 	}
 	t.releasePlace(c, now, why)
@@ -110,7 +110,7 @@
 		return
 	}
 	if len(last) > 0 {
-		_, _ = syscall.Write(conn.Fd(), last) // the first write on this connection; an error means that the client has gone
+		_, _ = syscall.Write(conn.Fd(), last) // usually the first write to the client; an error means that it has gone
 	}
 	_ = syscall.Shutdown(conn.Fd(), syscall.SHUT_WR)
 }
--- a/internal/sender/long_day_test.go
+++ b/internal/sender/long_day_test.go
@@ -11,9 +11,9 @@
 	"flaxcove/choice"
 )
 
-// TestLongDay checks that the tables, the journal's file and the heap do not grow over a long run in which messages end in
-// all ways, and that only the pending message is restored after a kill at its end.
-func TestLongDay(t *testing.T) {
+// TestLongRunStaysBounded checks that the tables, the journal's file and the heap do not grow over a long run in which
+// messages end in all ways, and that only the pending message is restored after a kill at its end.
+func TestLongRunStaysBounded(t *testing.T) {
 	stdout := os.Stdout // replaced, because the harness prints for examples
 	null, err := os.OpenFile(os.DevNull, os.O_WRONLY, 0)
 	if err != nil {
@@ -63,7 +63,7 @@
 			t.Errorf("hour %d: the journal has %d of at most %d bytes", no, size, limit)
 		}
 		if len(h.s.pending) > 0 || len(h.s.endings) > 0 || len(h.s.choiceTimers) > 4 || len(h.s.timers) > 16 ||
-			len(h.s.admission.recentlyEnded) > maxRememberedEnded || len(h.s.accepted) > 2*len(h.s.pending)+maxEndedInOrder+1 {
+			len(h.s.admission.recentlyEnded) > maxRememberedEnded || len(h.s.accepted) > 2*len(h.s.pending)+maxEndedInAccepted+1 {
 			t.Errorf("hour %d: pending %d, endings %d, choiceTimers %d, timers %d, recentlyEnded %d, accepted %d", no, len(h.s.pending),
 				len(h.s.endings), len(h.s.choiceTimers), len(h.s.timers), len(h.s.admission.recentlyEnded), len(h.s.accepted))
 		}
--- a/internal/sender/many_clients_test.go
+++ b/internal/sender/many_clients_test.go
@@ -93,8 +93,8 @@
 	}
 }
 
-// TestUnansweredKeepTheirPlaces checks that a client with an unanswered command is not displaced, because its command would be
-// lost. While all clients have one, a new client is rejected. Once they are answered, a new client is served again.
+// TestUnansweredKeepTheirPlaces checks that a client with an unanswered command is not displaced, because its command
+// would be lost. While all clients have one, a new client is rejected. Once they are answered, a new client is served again.
 func TestUnansweredKeepTheirPlaces(t *testing.T) {
 	s, dial, done := serving(t, 64)
 	blocked := make(chan struct{})
--- a/internal/sender/message_parse.go
+++ b/internal/sender/message_parse.go
@@ -15,13 +15,13 @@
 
 const (
 	maxID          = 128                 // maximum length in bytes of an id, and of each kind of key
-	maxHoldMS      = 24 * 60 * 60 * 1000 // longest time in milliseconds to the deadline that a message may ask for
+	maxDeadlineMS  = 24 * 60 * 60 * 1000 // longest time in milliseconds to the deadline that a message may ask for
 	maxDestination = 1 << 53             // every whole number up to here is exact in a float64
 )
 
 // messageFields holds the numeric fields in the list of OUT.ADD; a missing or invalid one is -1.
 type messageFields struct {
-	holdMS      float64 // field d: milliseconds to the deadline
+	deadlineMS  float64 // field d: milliseconds to the deadline
 	destination float64 // field dest
 }
 
@@ -41,7 +41,7 @@
 	switch {
 	case !known:
 		return nil, fmt.Errorf("c: no class %q", m.className)
-	case f.holdMS <= 0 || f.holdMS > maxHoldMS:
+	case f.deadlineMS <= 0 || f.deadlineMS > maxDeadlineMS:
 		return nil, errors.New("d: milliseconds, above 0 and within a day")
 	case m.idempotencyKey != "" && !isVisible([]byte(m.idempotencyKey)):
 		return nil, errors.New("k: up to 128 visible characters")
@@ -50,7 +50,7 @@
 	}
 	m.Class, m.Destination, m.Account = class, choice.DestinationID(f.destination), s.account(m.tenant)
 	m.acceptedAt = s.Now()
-	m.Deadline = m.acceptedAt + choice.Time(f.holdMS*float64(choice.Millisecond))
+	m.Deadline = m.acceptedAt + choice.Time(f.deadlineMS*float64(choice.Millisecond))
 	m.size = journal.Framed(len(m.acceptedRecord()))
 	return m, nil
 }
@@ -58,7 +58,7 @@
 // parseFields parses name=value pairs separated by commas. It sets the string fields of m and returns the numeric ones.
 // Unknown names are ignored.
 func (m *message) parseFields(list string) messageFields {
-	f := messageFields{holdMS: -1, destination: -1}
+	f := messageFields{deadlineMS: -1, destination: -1}
 	for pair := range strings.SplitSeq(list, ",") {
 		switch name, value, _ := strings.Cut(pair, "="); name {
 		case "c":
@@ -68,7 +68,7 @@
 		case "t":
 			m.tenant = value
 		case "d":
-			f.holdMS = parseDecimal(value)
+			f.deadlineMS = parseDecimal(value)
 		case "dest":
 			f.destination = parseDecimal(value)
 		}
--- a/internal/sender/misbehaving_clients_test.go
+++ b/internal/sender/misbehaving_clients_test.go
@@ -13,9 +13,9 @@
 // incomplete, stay idle, or send input that cannot be parsed. Each of these clients gets an error or is closed within 3 s.
 func TestMisbehavingClients(t *testing.T) {
 	s, dial, done := serving(t, 64)
-	t.Run("silent", func(t *testing.T) { silentClients(t, dial) })
-	t.Run("excessive", func(t *testing.T) { excessiveClients(t, dial) })
-	t.Run("idle", func(t *testing.T) { idleClients(t, dial) })
+	t.Run("silent", func(t *testing.T) { checkSilentClients(t, dial) })
+	t.Run("excessive", func(t *testing.T) { checkExcessiveClients(t, dial) })
+	t.Run("idle", func(t *testing.T) { checkIdleClients(t, dial) })
 	s.Drain()
 	<-done
 	if n := s.unparsedBytes.Load(); n != 0 {
@@ -30,8 +30,8 @@
 	return err == nil && string(text) == pongText
 }
 
-// silentClients checks that clients that send nothing or an incomplete command are closed without an answer.
-func silentClients(t *testing.T, dial func(string) net.Conn) {
+// checkSilentClients checks that clients that send nothing or an incomplete command are closed without an answer.
+func checkSilentClients(t *testing.T, dial func(string) net.Conn) {
 	start := time.Now()
 	var silent []net.Conn
 	for range 100 {
@@ -51,8 +51,8 @@
 	}
 }
 
-// excessiveClients checks that a client that announces too large an argument, or sends many invalid commands, is closed.
-func excessiveClients(t *testing.T, dial func(string) net.Conn) {
+// checkExcessiveClients checks that a client that announces too large an argument, or sends many invalid commands, is closed.
+func checkExcessiveClients(t *testing.T, dial func(string) net.Conn) {
 	huge := dial("*5\r\n$7\r\nOUT.ADD\r\n$60000000\r\n")
 	if _, err := io.Copy(huge, io.LimitReader(zeros{}, 60e6)); err == nil {
 		t.Error("the sender has read all 60 MB")
@@ -63,8 +63,8 @@
 	}
 }
 
-// idleClients checks that idle clients that have been served are displaced by new clients.
-func idleClients(t *testing.T, dial func(string) net.Conn) {
+// checkIdleClients checks that idle clients that have been served are displaced by new clients.
+func checkIdleClients(t *testing.T, dial func(string) net.Conn) {
 	time.Sleep(minIdleTime)
 	var idle []net.Conn
 	for i := range 100 {
--- a/internal/sender/move_test.go
+++ b/internal/sender/move_test.go
@@ -43,7 +43,7 @@
 	fmt.Println("killed, moved")
 	h = startAt(testConfigWith(dir, newSettings, newList), h.clock).advance(400 * time.Millisecond)
 	for _, c := range h.calls {
-		fmt.Println("out:", c.endpoint.id, c.messages[0].ID)
+		fmt.Println("in flight:", c.endpoint.id, c.messages[0].ID)
 	}
 	fmt.Println("killed, moved to where z is not known")
 	h = startAt(testConfigWith(dir, strings.Replace(newSettings, `["y","z"]`, `["y","x"]`, 1), strings.Replace(newList, `"zone":"z"`, `"zone":"x"`, 1)), h.clock)
@@ -63,8 +63,8 @@
 	//    of
 	// call n: POST /inbox
 	//    out
-	// out: a of
-	// out: n out
+	// in flight: a of
+	// in flight: n out
 	// killed, moved to where z is not known
 	// platform: {"message":"out","outcome":"given_up"}
 	// call n: POST /inbox
@@ -105,13 +105,13 @@
 	h := startWith(testConfigWith(dir, oldSettings, oldList)).submit("OUT.ADD k of c=offer,d=20000,dest=1 x")
 	h.endpointAnswers("HTTP/1.1 429 Wait\nRetry-After: 9\nContent-Length: 0\n\n").s.shutDown()
 	h = startWith(testConfigWith(dir, oldSettings, oldList))
-	fmt.Println("waits on:", h.s.choice.LearnedState("a").Wait > 8*choice.Second, "kept for later:", len(h.s.learned))
+	fmt.Println("still waits:", h.s.choice.LearnedState("a").Wait > 8*choice.Second, "unused learned entries:", len(h.s.learned))
 	os.RemoveAll(dir)
 	// Output:
 	// call a: POST /inbox
 	//    of
 	// client: +OK
-	// waits on: true kept for later: 0
+	// still waits: true unused learned entries: 0
 }
 
 // A start fails if the settings do not name the class of a pending message, because the message would be lost. The error
--- a/internal/sender/process_end_test.go
+++ b/internal/sender/process_end_test.go
@@ -18,9 +18,9 @@
 // connection may be reset, each command that was handled must be answered, and the process must end before the kill comes.
 func TestProcessEndsWithoutReset(t *testing.T) {
 	const clients, beforeKill = 24, 3700 * time.Millisecond
-	program := startLimited(t, descriptorLimits{Discovery: "127.0.0.1:1", Dir: t.TempDir(), Settings: 256, System: 256})
+	program := startLimited(t, descriptorLimits{Discovery: "127.0.0.1:1", Dir: t.TempDir(), SettingsLimit: 256, SystemLimit: 256})
 	var wait sync.WaitGroup
-	var answers, crossed atomic.Int64
+	var answers, unanswered atomic.Int64
 	signal := make(chan struct{})
 	for i := range clients {
 		conn, atOnce := program.dial(t), 1+i%4*3
@@ -41,7 +41,7 @@
 				}
 				for j := range atOnce {
 					if _, err := in.ReadString('\n'); errors.Is(err, io.EOF) {
-						crossed.Add(int64(atOnce - j)) // commands without an answer, which a client submits elsewhere
+						unanswered.Add(int64(atOnce - j)) // commands without an answer, which a client submits elsewhere
 						return
 					} else if err != nil {
 						t.Errorf("client %d: read: %v, connection reset: %v", i, err, errors.Is(err, syscall.ECONNRESET))
@@ -56,13 +56,13 @@
 	start := time.Now()
 	program.input.Close()
 	close(signal)
-	handled, _ := strconv.ParseInt(program.waitForLine(t, "was handed "), 10, 64)
+	handled, _ := strconv.ParseInt(program.waitForLine(t, "submitted "), 10, 64)
 	if took := time.Since(start); took >= beforeKill {
 		t.Errorf("the graceful shutdown took %v, want less than %v", took, beforeKill)
 	}
 	wait.Wait()
 	program.end(t)
 	if handled != answers.Load() {
-		t.Errorf("%d commands were handled and %d answered; %d had no answer", handled, answers.Load(), crossed.Load())
+		t.Errorf("%d commands were handled and %d answered; %d had no answer", handled, answers.Load(), unanswered.Load())
 	}
 }
--- a/internal/sender/purge.go
+++ b/internal/sender/purge.go
@@ -34,12 +34,12 @@
 	maxRememberedPurges = 256
 )
 
-// purgeState is the part of a Sender that holds purges. The loop owns it, except for applied.
+// purgeState is the part of a Sender that holds purges. The loop owns it, except for durableSeq.
 type purgeState struct {
-	waiting []purgeOrder
-	applied atomic.Uint64  // highest Seq on disk; written by the loop, read by any goroutine
-	seq     uint64         // highest Seq applied
-	past    []appliedPurge // the last maxRememberedPurges applied purges, in the order of Seq
+	waiting     []purgeOrder
+	durableSeq  atomic.Uint64  // highest Seq on disk; written by the loop, read by any goroutine
+	appliedSeq  uint64         // highest Seq applied
+	lastApplied []appliedPurge // the last maxRememberedPurges applied purges, in the order of Seq
 }
 
 // purgeOrder is one call of Orders.Purge.
@@ -73,7 +73,7 @@
 	for len(s.purgeState.waiting) > 0 && work < purgeWorkPerTurn {
 		o := &s.purgeState.waiting[0]
 		var err error
-		if work, err = s.applySome(o, work); err != nil {
+		if work, err = s.applyPurgeOrder(o, work); err != nil {
 			s.after(journalRetryPause, func() {}) // the timer only causes a turn, which calls applyPurges again
 			return
 		}
@@ -84,16 +84,16 @@
 		done, found := o.done, o.found
 		s.purgeState.waiting = slices.Delete(s.purgeState.waiting, 0, 1)
 		s.afterAppend(func() {
-			s.applied.Store(s.seq)
-			done(s.seq, found)
+			s.durableSeq.Store(s.appliedSeq)
+			done(s.appliedSeq, found)
 		})
 	}
 	s.eventsPending = s.eventsPending || len(s.purgeState.waiting) > 0
 }
 
-// applySome applies purges of an order until it is complete or reaches a limit of the turn. work is the work done in this
-// turn before the call; the result includes it.
-func (s *Sender) applySome(o *purgeOrder, work int) (int, error) {
+// applyPurgeOrder applies purges of an order until it is complete or reaches a limit of the turn. work is the work done in
+// this turn before the call; the result includes it.
+func (s *Sender) applyPurgeOrder(o *purgeOrder, work int) (int, error) {
 	for records := 0; !o.complete() && work < purgeWorkPerTurn && records < purgesPerTurn; records++ {
 		order := &o.all[len(o.found)]
 		f, err := s.applyOnce(order)
@@ -113,9 +113,9 @@
 // applyOnce applies a purge and returns its result. A purge that was applied before is not applied again; its result is the
 // remembered one, or the zero value if it is no longer remembered.
 func (s *Sender) applyOnce(order *withdrawal.Order) (f clusterapi.Found, err error) {
-	if order.Seq <= s.seq {
-		if i := slices.IndexFunc(s.past, func(p appliedPurge) bool { return p.seq == order.Seq }); i >= 0 {
-			f = s.past[i].found
+	if order.Seq <= s.appliedSeq {
+		if i := slices.IndexFunc(s.lastApplied, func(p appliedPurge) bool { return p.seq == order.Seq }); i >= 0 {
+			f = s.lastApplied[i].found
 		}
 		return f, nil
 	}
@@ -210,23 +210,23 @@
 	}
 }
 
-// remember adds an applied purge to past, and drops the oldest beyond maxRememberedPurges. It returns by how many bytes the
+// add adds an applied purge to lastApplied, and drops the oldest beyond maxRememberedPurges. It returns by how many bytes the
 // purge records in a rewritten journal have grown.
-func (p *purgeState) remember(done appliedPurge) (bytes int64) {
-	if done.seq <= p.seq {
+func (p *purgeState) add(done appliedPurge) (bytes int64) {
+	if done.seq <= p.appliedSeq {
 		return 0
 	}
-	p.seq = done.seq
-	if len(p.past) == maxRememberedPurges {
-		bytes -= journal.Framed(len(p.past[0].record()))
-		p.past = slices.Delete(p.past, 0, 1)
+	p.appliedSeq = done.seq
+	if len(p.lastApplied) == maxRememberedPurges {
+		bytes -= journal.Framed(len(p.lastApplied[0].record()))
+		p.lastApplied = slices.Delete(p.lastApplied, 0, 1)
 	}
-	p.past = append(p.past, done)
+	p.lastApplied = append(p.lastApplied, done)
 	return bytes + journal.Framed(len(done.record()))
 }
 
 // rememberPurge remembers an applied purge and updates liveBytes.
-func (s *Sender) rememberPurge(done appliedPurge) { s.liveBytes += s.purgeState.remember(done) }
+func (s *Sender) rememberPurge(done appliedPurge) { s.liveBytes += s.purgeState.add(done) }
 
 // record returns the purge's journal record.
 func (p appliedPurge) record() []byte {
--- a/internal/sender/purge_sockets_test.go
+++ b/internal/sender/purge_sockets_test.go
@@ -43,7 +43,7 @@
 // purgeRun is a sender on sockets whose messages are purged, with the fakeServer that receives them.
 type purgeRun struct {
 	*testing.T
-	w       *fakeServer
+	server  *fakeServer
 	s       *Sender
 	client  *testClient
 	cluster *recordingCluster
@@ -55,15 +55,15 @@
 // startPurgeRun starts the server and a sender whose gate is closed.
 func startPurgeRun(t *testing.T) *purgeRun {
 	t.Helper()
-	r := &purgeRun{T: t, w: &fakeServer{received: map[string][]string{}}, gate: make(chan struct{}), release: make(chan struct{}),
+	r := &purgeRun{T: t, server: &fakeServer{received: map[string][]string{}}, gate: make(chan struct{}), release: make(chan struct{}),
 		cluster: &recordingCluster{messages: map[string]uint64{}}}
 	server := httptest.NewServer(http.HandlerFunc(func(out http.ResponseWriter, req *http.Request) {
 		if req.Header.Get("X-Request-Id") == "slow" {
-			r.w.record("slow", "")
+			r.server.record("slow", "")
 			<-r.release
 			panic(http.ErrAbortHandler) // ends the link without an answer, so that an idempotent message would be sent again
 		}
-		r.w.ServeHTTP(out, req)
+		r.server.ServeHTTP(out, req)
 	}))
 	t.Cleanup(server.Close)
 	addr := server.Listener.Addr().String()
@@ -94,9 +94,9 @@
 	r.Helper()
 	for end := time.Now().Add(15 * time.Second); !holds(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			r.w.Lock()
-			received := maps.Clone(r.w.received)
-			r.w.Unlock()
+			r.server.Lock()
+			received := maps.Clone(r.server.received)
+			r.server.Unlock()
 			r.Fatalf("after 15 s: %s; received so far: %q", what, received)
 		}
 	}
@@ -139,7 +139,7 @@
 func TestPurgeOnSockets(t *testing.T) {
 	t.Parallel()
 	r := startPurgeRun(t)
-	w := r.w
+	w := r.server
 	const done = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 	r.submit("first", "status", 0, done)
 	if n := w.count("first"); n != 0 {
--- a/internal/sender/purge_test.go
+++ b/internal/sender/purge_test.go
@@ -30,7 +30,7 @@
 	h.purge(7*time.Millisecond, 3, clusterapi.Match{Class: "order"}).advance(5 * time.Millisecond)
 	c := h.calls[0]
 	h.purge(0, 4, clusterapi.Match{Class: "status"}).advance(5 * time.Millisecond)
-	fmt.Println("the call is over:", c.done, "timers:", len(h.s.timers))
+	fmt.Println("call done:", c.done, "timers:", len(h.s.timers))
 	h.purge(time.Hour, 5, clusterapi.Match{}).advance(5 * time.Millisecond).printPending()
 	os.RemoveAll(h.dir)
 	// Output:
@@ -51,7 +51,7 @@
 	//    s1
 	// applied 4: [{NotBegun:1 MayRun:0 Delivered:0 LearnedState:0}]
 	// platform: {"message":"s1","outcome":"given_up"}
-	// the call is over: true timers: 3
+	// call done: true timers: 3
 	// applied 5: [{NotBegun:0 MayRun:0 Delivered:0 LearnedState:0}]
 	// owed: 1 to the platform: 0
 }
@@ -263,8 +263,8 @@
 			t.Fatalf("purge %d found %+v", i, f)
 		}
 	}
-	if turns < purges/purgesPerTurn || len(h.s.past) > maxRememberedPurges {
-		t.Errorf("the purges took %d turns, and %d are remembered", turns, len(h.s.past))
+	if turns < purges/purgesPerTurn || len(h.s.lastApplied) > maxRememberedPurges {
+		t.Errorf("the purges took %d turns, and %d are remembered", turns, len(h.s.lastApplied))
 	}
 	if size, limit := h.s.journal.Size(), h.s.journal.Limit(); size > limit {
 		t.Errorf("the journal has %d of at most %d bytes", size, limit)
--- a/internal/sender/records.go
+++ b/internal/sender/records.go
@@ -16,7 +16,7 @@
 	recNotRun   = 'B' // no attempt of the message has run, so attempt records before this one do not count
 	recEnding   = 'E' // an ending that has to be reported to the platform
 	recClosed   = 'X' // the message is closed
-	recPurge    = 'P' // an applied purge: its Seq and the counts of what it found
+	recPurge    = 'P' // an applied purge: its Seq and its result
 	recClock    = 'C' // the wall clock was put back by at least this time; the times in earlier records are reduced by it
 )
 
@@ -68,7 +68,7 @@
 	for _, m := range s.accepted {
 		m.records(add)
 	}
-	for _, p := range s.past {
+	for _, p := range s.lastApplied {
 		add(p.record())
 	}
 }
--- a/internal/sender/replay.go
+++ b/internal/sender/replay.go
@@ -73,12 +73,12 @@
 
 // recordZoneNames adds attempt records with the name of the zone for the messages whose attempt record has only its number.
 func (s *Sender) recordZoneNames() {
-	for _, m := range s.zoneUnnamed {
+	for _, m := range s.missingZoneName {
 		if m.MayRun && s.pending[m.ID] == m {
 			s.journal.Add(attemptRecord(m.ID, m.RanAt, m.RanIn, m.ranInZoneName))
 		}
 	}
-	s.zoneUnnamed = nil
+	s.missingZoneName = nil
 }
 
 // replayRecord applies one record of the journal. It ignores a record that cannot be read or that names an unknown id.
@@ -106,7 +106,7 @@
 func (s *Sender) replayPurge(record []byte) {
 	if p, complete := readPurged(record); complete {
 		s.rememberPurge(p)
-		s.applied.Store(s.seq)
+		s.durableSeq.Store(s.appliedSeq)
 	}
 }
 
@@ -170,7 +170,7 @@
 			m.ranInZoneName = name
 		}
 	}
-	s.zoneUnnamed = append(s.zoneUnnamed, m)
+	s.missingZoneName = append(s.missingZoneName, m)
 }
 
 // shiftBack reduces the times of all messages read so far by back, because the wall clock was put back by at least that
--- a/internal/sender/replies.go
+++ b/internal/sender/replies.go
@@ -16,8 +16,8 @@
 	closeRecheck = 10 * time.Millisecond
 )
 
-// expectReply reserves the next reply to a client, for a command that is being handled.
-func (s *Sender) expectReply(c *client) *reply {
+// reserveReply reserves the next reply to a client, for a command that is being handled.
+func (s *Sender) reserveReply(c *client) *reply {
 	c.served = true
 	r := &reply{client: c}
 	c.replies = append(c.replies, r)
@@ -37,9 +37,9 @@
 	s.flushReplies(c)
 }
 
-// badCommand answers an invalid command with -ERR. A client that has sent maxBadCommands of them is closed, because invalid
-// commands cost the loop time.
-func (s *Sender) badCommand(r *reply, why string) {
+// answerInvalidCommand answers an invalid command with -ERR. A client that has sent maxBadCommands of them is closed, because
+// invalid commands cost the loop time.
+func (s *Sender) answerInvalidCommand(r *reply, why string) {
 	s.counts.badCommands++
 	c := r.client
 	if c.badCommands++; c.badCommands >= maxBadCommands && !c.closing {
@@ -52,7 +52,7 @@
 // protocolError answers input that cannot be parsed with -ERR, and closes the client.
 func (s *Sender) protocolError(c *client, err error) {
 	s.counts.badCommands++
-	s.setReply(s.expectReply(c), resp.AppendError(nil, "ERR protocol: "+err.Error()))
+	s.setReply(s.reserveReply(c), resp.AppendError(nil, "ERR protocol: "+err.Error()))
 	s.closeClient(c, badCommand)
 }
 
--- a/internal/sender/storeddata_test.go
+++ b/internal/sender/storeddata_test.go
@@ -41,20 +41,20 @@
 
 // storedStart is all that a start reads from a state folder.
 type storedStart struct {
-	Messages      []storedMessage
-	EndingsToPost int
-	Ended         bool // the id of the ended message "over" is remembered
-	Purges        map[uint64]clusterapi.Found
-	HighestPurge  uint64
-	Learned       choice.LearnedState // of a listed endpoint, with its wait reduced by the time since it was written
-	Unlisted      choice.LearnedState // of an endpoint that is not listed
-	UnlistedAt    string
-	UnlistedOf    choice.DestinationID
-	LearnedAt     choice.Time
+	Messages            []storedMessage
+	EndingsToPost       int
+	Ended               bool // the id of the ended message "over" is remembered
+	Purges              map[uint64]clusterapi.Found
+	HighestPurge        uint64
+	Learned             choice.LearnedState // of a listed endpoint, with its wait reduced by the time since it was written
+	Unlisted            choice.LearnedState // of an endpoint that is not listed
+	UnlistedAddr        string
+	UnlistedDestination choice.DestinationID
+	LearnedAt           choice.Time
 }
 
-// sinceDay returns t as the time since clockAt(0); 0 stays 0.
-func sinceDay(t choice.Time) choice.Time {
+// sinceClockStart returns t as the time since clockAt(0); 0 stays 0.
+func sinceClockStart(t choice.Time) choice.Time {
 	if t == 0 {
 		return 0
 	}
@@ -66,19 +66,19 @@
 func readStart(s *Sender) storedStart {
 	unlisted := s.learned["unlisted"]
 	_, ended := s.admission.recentlyEnded["over"]
-	start := storedStart{EndingsToPost: len(s.endings), Ended: ended, Purges: map[uint64]clusterapi.Found{}, HighestPurge: s.applied.Load(),
-		Learned: s.choice.LearnedState("a"), Unlisted: unlisted.LearnedState, UnlistedAt: unlisted.Addr,
-		UnlistedOf: unlisted.Destination, LearnedAt: sinceDay(s.learnedAt)}
+	start := storedStart{EndingsToPost: len(s.endings), Ended: ended, Purges: map[uint64]clusterapi.Found{}, HighestPurge: s.durableSeq.Load(),
+		Learned: s.choice.LearnedState("a"), Unlisted: unlisted.LearnedState, UnlistedAddr: unlisted.Addr,
+		UnlistedDestination: unlisted.Destination, LearnedAt: sinceClockStart(s.learnedAt)}
 	for _, n := range s.accepted {
 		m := storedMessage{ID: string(n.ID), Key: n.key, IdempotencyKey: n.idempotencyKey, Tenant: n.tenant, Class: n.className,
-			Body: string(n.body), Destination: n.Destination, Accepted: sinceDay(n.acceptedAt), Deadline: sinceDay(n.Deadline),
+			Body: string(n.body), Destination: n.Destination, Accepted: sinceClockStart(n.acceptedAt), Deadline: sinceClockStart(n.Deadline),
 			MayHaveRun: n.MayRun, Ending: storedEnding(n.ending.kind), RetryAfterMilli: n.ending.retryMS}
 		if n.MayRun {
-			m.RanAt, m.RanIn = sinceDay(n.RanAt), n.ranInZoneName
+			m.RanAt, m.RanIn = sinceClockStart(n.RanAt), n.ranInZoneName
 		}
 		start.Messages = append(start.Messages, m)
 	}
-	for _, p := range s.past {
+	for _, p := range s.lastApplied {
 		start.Purges[p.seq] = p.found
 	}
 	return start
@@ -106,15 +106,15 @@
 			{ID: "old", Class: "token", Body: "old", Destination: 1, Deadline: 150 * second,
 				MayHaveRun: true, RanAt: 56 * second, RanIn: "z", Ending: storedFailed},
 		},
-		EndingsToPost: 5,
-		Ended:         true,
-		Purges:        map[uint64]clusterapi.Found{3: {NotBegun: 1, MayRun: 2, Delivered: 3, LearnedState: 4}, 9: {}},
-		HighestPurge:  9,
-		Learned:       choice.LearnedState{Mean: 900, Dev: 300, Past: 950, Seen: 9, Limit: 7, Wait: 4 * second},
-		Unlisted:      choice.LearnedState{Mean: 1.5, Dev: 0.5, Past: 2.5, Seen: 3, Limit: 0.25, Wait: 4},
-		UnlistedAt:    "127.0.0.2:2",
-		UnlistedOf:    -2,
-		LearnedAt:     59 * second,
+		EndingsToPost:       5,
+		Ended:               true,
+		Purges:              map[uint64]clusterapi.Found{3: {NotBegun: 1, MayRun: 2, Delivered: 3, LearnedState: 4}, 9: {}},
+		HighestPurge:        9,
+		Learned:             choice.LearnedState{Mean: 900, Dev: 300, Past: 950, Seen: 9, Limit: 7, Wait: 4 * second},
+		Unlisted:            choice.LearnedState{Mean: 1.5, Dev: 0.5, Past: 2.5, Seen: 3, Limit: 0.25, Wait: 4},
+		UnlistedAddr:        "127.0.0.2:2",
+		UnlistedDestination: -2,
+		LearnedAt:           59 * second,
 	}
 }
 
@@ -182,8 +182,8 @@
 		return false
 	}
 	s := startStored(t, dir)
-	if want := storedWant(); len(s.accepted) != len(want.Messages) || len(s.past) != len(want.Purges) {
-		t.Errorf("%d messages and %d purges are restored, want %d and %d", len(s.accepted), len(s.past), len(want.Messages), len(want.Purges))
+	if want := storedWant(); len(s.accepted) != len(want.Messages) || len(s.lastApplied) != len(want.Purges) {
+		t.Errorf("%d messages and %d purges are restored, want %d and %d", len(s.accepted), len(s.lastApplied), len(want.Messages), len(want.Purges))
 	}
 	for _, n := range s.accepted {
 		// The stored times of "early" are on the clock before it was put back.
@@ -191,7 +191,7 @@
 			t.Errorf("message %q: the record %q is not in the stored journal", n.ID, record)
 		}
 	}
-	for _, p := range s.past {
+	for _, p := range s.lastApplied {
 		if !contains(p.record()) {
 			t.Errorf("purge %d: the record %q is not in the stored journal", p.seq, p.record())
 		}
--- a/internal/sender/torn_journal_test.go
+++ b/internal/sender/torn_journal_test.go
@@ -212,9 +212,9 @@
 	}
 }
 
-// TestRewriteKeepsTheSame checks that a rewritten journal restores the same pending messages, with everything that forbids or
-// limits another call.
-func TestRewriteKeepsTheSame(t *testing.T) {
+// TestRewriteKeepsPendingMessages checks that a rewritten journal restores the same pending messages, with everything
+// that forbids or limits another call.
+func TestRewriteKeepsPendingMessages(t *testing.T) {
 	t.Parallel()
 	file, _, end := recordRun(t)
 	dir := t.TempDir()
--- a/internal/sender/withdrawal/withdrawal_test.go
+++ b/internal/sender/withdrawal/withdrawal_test.go
@@ -46,7 +46,8 @@
 	}
 }
 
-// TestOverlap checks that of two overlapping purges only one ends each message and counts it as withdrawn.
+// TestOverlap checks two purges that match the same messages. Each message gets one final answer, and the second purge does
+// not count the messages that the first has ended. Both count a message whose call is in flight as one that may have run.
 func TestOverlap(t *testing.T) {
 	var first, second clusterapi.Found
 	order := Order{Purge: clusterapi.Purge{Match: clusterapi.Match{Key: "k"}}, Cut: 10}
