--- a/lab/cluster/judge/judge.go
+++ b/lab/cluster/judge/judge.go
@@ -1,8 +1,8 @@
-// Package judge checks whether a cluster of processes kept its promises, by what was observed from outside.
+// Package judge checks from external observations whether a cluster of processes kept its promises.
 //
-// Its inputs are the status of each process, when purges were ordered and reported complete, and, from the world's ledger,
-// when calls left. It must not rely on a process's word for what an endpoint saw, read a clock, or depend on the order of a
-// map. Times are the laboratory's.
+// Its inputs are the status of each process, the times at which purges were ordered and reported complete, and the times at
+// which calls were sent, which the world's ledger records. It must not rely on a process's own report of what an endpoint
+// received, read a clock, or depend on the iteration order of a map. Times are times of the run.
 package judge
 
 import (
@@ -16,205 +16,206 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// Promise names a promise of the cluster that a run may break.
+// Promise names a property that the cluster guarantees and that a run may find violated.
 type Promise string
 
 const (
-	Fork   Promise = "fork"   // two plans of one epoch, an epoch that goes back in one incarnation, or two contents of a version
-	Purged Promise = "purged" // a call with a purged message left after the purge was reported complete
-	Untold Promise = "untold" // long after the last fault a purge was not reported complete or lapsed, or a change not decided
-	Parted Promise = "parted" // long after the last fault processes still disagreed
-	Older  Promise = "older"  // a process ran an older version of the settings after a newer one
+	Forked           Promise = "fork"   // one epoch has two plans, the epoch of one incarnation decreases, or one version has two contents
+	SentAfterPurge   Promise = "purged" // a call with a purged message was sent after the purge was reported complete
+	Unreported       Promise = "untold" // long after the last fault, a purge is not reported complete or lapsed, or a change not reported decided
+	Disagreement     Promise = "parted" // long after the last fault, processes still disagree
+	VersionRegressed Promise = "older"  // a process ran a version of the settings that is older than one it ran before
 )
 
-// Breach is one breach of a promise.
+// Breach is one observed violation of a promise. Detail describes the observation.
 type Breach struct {
 	Promise Promise
-	What    string
+	Detail  string
 }
 
-// Judge collects observations and judges them. It belongs to one goroutine.
+// Judge collects the observations of one run and checks them. It must be used from one goroutine only.
 type Judge struct {
-	sums     map[view.Epoch]uint32
-	last     map[view.Life]view.Epoch
-	purges   []*purge
-	accepted map[choice.MessageID]choice.Time // when; grows with the run
-	breaches []Breach
-	begun    int
-
-	versions  map[uint64]configuration.Sum
-	newestRun map[folder]uint64 // the newest version that was in force, by the folder it is stored in
-	changes   map[string]uint64 // by id, the version that each became; 0 until that is reported
-	newest    uint64
+	planSums   map[view.Epoch]uint32
+	lastEpochs map[view.Life]view.Epoch
+	purges     []*purge
+	accepted   map[choice.MessageID]choice.Time // time of acceptance; grows with the run
+	breaches   []Breach
+	callsSent  int
+
+	versions       map[uint64]configuration.Sum
+	newestByFolder map[folder]uint64 // the highest version that was in force, by the folder that stores it
+	changes        map[string]uint64 // version that each change became, by id; 0 until it is reported
+	newest         uint64
 }
 
-// folder identifies a process's folder. One that was emptied counts as another.
+// folder identifies the state folder of a process. A folder that was emptied has another id.
 type folder struct {
 	name view.Name
 	id   string
 }
 
 type purge struct {
-	id       string
-	matches  func(message choice.MessageID) bool
-	opened   choice.Time
-	complete choice.Time // 0 until that is reported
-	lapsed   bool
+	id          string
+	matches     func(message choice.MessageID) bool
+	orderedAt   choice.Time
+	completedAt choice.Time // 0 until it is reported
+	lapsed      bool
 }
 
-// New creates the judge of one run.
+// New returns a Judge without observations.
 func New() *Judge {
-	return &Judge{sums: map[view.Epoch]uint32{}, last: map[view.Life]view.Epoch{}, accepted: map[choice.MessageID]choice.Time{},
-		versions: map[uint64]configuration.Sum{}, newestRun: map[folder]uint64{}, changes: map[string]uint64{}}
+	return &Judge{planSums: map[view.Epoch]uint32{}, lastEpochs: map[view.Life]view.Epoch{}, accepted: map[choice.MessageID]choice.Time{},
+		versions: map[uint64]configuration.Sum{}, newestByFolder: map[folder]uint64{}, changes: map[string]uint64{}}
 }
 
-func (j *Judge) breach(p Promise, format string, args ...any) {
+// addBreach records a breach. It keeps the first 50.
+func (j *Judge) addBreach(p Promise, format string, args ...any) {
 	if len(j.breaches) < 50 {
 		j.breaches = append(j.breaches, Breach{p, fmt.Sprintf(format, args...)})
 	}
 }
 
-// Status takes the status that a process reported.
-func (j *Judge) Status(s *status.Status) {
-	j.judgeConfiguration(s)
+// ObserveStatus records a status that a process reported.
+func (j *Judge) ObserveStatus(s *status.Status) {
+	j.checkConfiguration(s)
 	if s.Epoch == 0 {
 		return
 	}
-	if sum, known := j.sums[s.Epoch]; !known {
-		j.sums[s.Epoch] = s.PlanSum
+	if sum, known := j.planSums[s.Epoch]; !known {
+		j.planSums[s.Epoch] = s.PlanSum
 	} else if sum != s.PlanSum {
-		j.breach(Fork, "%s has another plan of epoch %d", s.Self.Name, s.Epoch)
+		j.addBreach(Forked, "%s has a different plan of epoch %d", s.Self.Name, s.Epoch)
 	}
-	if last := j.last[s.Self.Life]; s.Epoch < last {
-		j.breach(Fork, "%s went from epoch %d back to %d", s.Self.Name, last, s.Epoch)
+	if last := j.lastEpochs[s.Self.Life]; s.Epoch < last {
+		j.addBreach(Forked, "%s went from epoch %d back to %d", s.Self.Name, last, s.Epoch)
 	}
-	j.last[s.Self.Life] = s.Epoch
+	j.lastEpochs[s.Self.Life] = s.Epoch
 }
 
-// judgeConfiguration compares the version that a process has in force with earlier ones.
-func (j *Judge) judgeConfiguration(s *status.Status) {
+// checkConfiguration compares the version that a process has in force with the versions observed before.
+func (j *Judge) checkConfiguration(s *status.Status) {
 	c := s.Configuration
 	if c == nil {
 		return
 	}
-	ranIn := folder{s.Self.Name, s.Self.Folder}
-	if c.Version < j.newestRun[ranIn] {
-		j.breach(Older, "%s runs version %d after %d", s.Self.Name, c.Version, j.newestRun[ranIn])
+	storedIn := folder{s.Self.Name, s.Self.Folder}
+	if c.Version < j.newestByFolder[storedIn] {
+		j.addBreach(VersionRegressed, "%s runs version %d after version %d", s.Self.Name, c.Version, j.newestByFolder[storedIn])
 	}
-	j.newestRun[ranIn] = max(j.newestRun[ranIn], c.Version)
-	j.version(c.Version, c.Sum, string(s.Self.Name))
+	j.newestByFolder[storedIn] = max(j.newestByFolder[storedIn], c.Version)
+	j.checkVersion(c.Version, c.Sum, string(s.Self.Name))
 }
 
-// version checks that a version has one content everywhere.
-func (j *Judge) version(version uint64, sum configuration.Sum, by string) {
-	if had, known := j.versions[version]; !known {
+// checkVersion checks that every process reports the same content of a version.
+func (j *Judge) checkVersion(version uint64, sum configuration.Sum, by string) {
+	if earlier, known := j.versions[version]; !known {
 		j.versions[version] = sum
-	} else if had != sum {
-		j.breach(Fork, "%s has other settings of version %d", by, version)
+	} else if earlier != sum {
+		j.addBreach(Forked, "%s has different settings of version %d", by, version)
 	}
 }
 
-// ChangeOrdered takes that a change is about to be ordered.
+// ChangeOrdered records that a change is about to be ordered.
 func (j *Judge) ChangeOrdered(id string) { j.changes[id] = 0 }
 
-// ChangeDecided takes the version that a change was reported to be. Two changes must not be the same version.
+// ChangeDecided records the version that a change was reported to have become. Two changes must not become the same version.
 func (j *Judge) ChangeDecided(id string, version uint64, sum configuration.Sum) {
-	for other, had := range j.changes {
-		if had == version && other != id {
-			j.breach(Fork, "%s and %s are both told to be version %d", id, other, version)
+	for other, decided := range j.changes {
+		if decided == version && other != id {
+			j.addBreach(Forked, "changes %s and %s are both reported as version %d", id, other, version)
 		}
 	}
 	j.changes[id], j.newest = version, max(j.newest, version)
-	j.version(version, sum, id)
+	j.checkVersion(version, sum, id)
 }
 
-// Newest is the highest version that was reported as decided.
+// Newest returns the highest version that was reported as decided.
 func (j *Judge) Newest() uint64 { return j.newest }
 
-// Epochs is how many plans were observed.
-func (j *Judge) Epochs() int { return len(j.sums) }
+// Epochs returns the number of epochs of which a plan was observed.
+func (j *Judge) Epochs() int { return len(j.planSums) }
 
-// PurgeOrdered takes that a purge is about to be ordered: matching messages that were accepted before now must not be sent
-// once it is complete.
+// PurgeOrdered records that a purge is about to be ordered: once it is complete, matching messages that were accepted before
+// now must not be sent.
 func (j *Judge) PurgeOrdered(id string, now choice.Time, matches func(choice.MessageID) bool) {
-	j.purges = append(j.purges, &purge{id: id, matches: matches, opened: now})
+	j.purges = append(j.purges, &purge{id: id, matches: matches, orderedAt: now})
 }
 
-// PurgeComplete takes that a purge was reported complete, or complete except for what lapsed.
+// PurgeComplete records that a purge was reported complete; lapsed says that it is complete except for what lapsed.
 func (j *Judge) PurgeComplete(id string, now choice.Time, lapsed bool) {
 	for _, p := range j.purges {
-		if p.id == id && p.complete == 0 {
-			p.complete, p.lapsed = now, lapsed
+		if p.id == id && p.completedAt == 0 {
+			p.completedAt, p.lapsed = now, lapsed
 		}
 	}
 }
 
-// Accepted takes that a message was accepted.
+// Accepted records that a sender accepted a message.
 func (j *Judge) Accepted(n choice.MessageID, now choice.Time) { j.accepted[n] = now }
 
-// CallSent takes from the world's ledger that a call with a message left its sender.
+// CallSent records that a sender sent a call with a message, as the world's ledger reports it.
 func (j *Judge) CallSent(n choice.MessageID, now choice.Time) {
-	j.begun++
+	j.callsSent++
 	at, known := j.accepted[n]
 	for _, p := range j.purges {
-		if known && p.complete > 0 && now > p.complete && at < p.opened && p.matches(n) {
-			j.breach(Purged, "%s, taken on at %d, began at %d; %s was given at %d and complete at %d", n, at, now, p.id, p.opened, p.complete)
+		if known && p.completedAt > 0 && now > p.completedAt && at < p.orderedAt && p.matches(n) {
+			j.addBreach(SentAfterPurge, "message %s, accepted at %d, was sent at %d; purge %s was ordered at %d and complete at %d", n, at, now, p.id, p.orderedAt, p.completedAt)
 		}
 	}
 }
 
-// Differences returns what the processes still disagree about, by their latest statuses. Want is how many there should be;
-// those that did not answer are missing.
+// Differences describes where the latest statuses of the processes disagree. want is the number of processes; all holds the
+// statuses of those that answered.
 func Differences(all []*status.Status, want int, failover bool) (why []string) {
 	if len(all) < want {
-		why = append(why, fmt.Sprintf("%d of %d processes answer", len(all), want))
+		why = append(why, fmt.Sprintf("%d of %d processes answered", len(all), want))
 	}
 	if len(all) == 0 {
 		return why
 	}
 	first := all[0]
 	for _, s := range all {
-		here := 0
+		alive := 0
 		for _, m := range s.Members {
 			if m.State == view.Alive {
-				here++
+				alive++
 			}
 		}
-		if here != want {
-			why = append(why, fmt.Sprintf("%s sees %d of %d", s.Self.Name, here, want))
+		if alive != want {
+			why = append(why, fmt.Sprintf("%s sees %d of %d processes alive", s.Self.Name, alive, want))
 		}
 		if s.Leader == "" || s.Leader != first.Leader {
-			why = append(why, fmt.Sprintf("%s knows %q as the leader, %s %q", s.Self.Name, s.Leader, first.Self.Name, first.Leader))
+			why = append(why, fmt.Sprintf("%s reports %q as the leader, %s reports %q", s.Self.Name, s.Leader, first.Self.Name, first.Leader))
 		}
 		if s.Root != first.Root {
-			why = append(why, fmt.Sprintf("%s takes %s for the root, %s %s", s.Self.Name, s.Root, first.Self.Name, first.Root))
+			why = append(why, fmt.Sprintf("%s reports %s as the root, %s reports %s", s.Self.Name, s.Root, first.Self.Name, first.Root))
 		}
 		if failover && (s.Epoch == 0 || s.Epoch != first.Epoch) {
-			why = append(why, fmt.Sprintf("%s is at epoch %d, %s at %d", s.Self.Name, s.Epoch, first.Self.Name, first.Epoch))
+			why = append(why, fmt.Sprintf("%s is at epoch %d, %s is at epoch %d", s.Self.Name, s.Epoch, first.Self.Name, first.Epoch))
 		}
 		if s.LastPurge != first.LastPurge {
-			why = append(why, fmt.Sprintf("%s has purged up to %d, %s to %d", s.Self.Name, s.LastPurge, first.Self.Name, first.LastPurge))
+			why = append(why, fmt.Sprintf("%s has applied purges up to %d, %s up to %d", s.Self.Name, s.LastPurge, first.Self.Name, first.LastPurge))
 		}
 		if one, other := s.Configuration, first.Configuration; one != nil && other != nil && (one.Version != other.Version || one.Sum != other.Sum) {
-			why = append(why, fmt.Sprintf("%s runs version %d of the settings, %s %d", s.Self.Name, one.Version, first.Self.Name, other.Version))
+			why = append(why, fmt.Sprintf("%s runs version %d of the settings, %s runs version %d", s.Self.Name, one.Version, first.Self.Name, other.Version))
 		}
 	}
 	return why
 }
 
-// End judges what is still open at the end of a run and returns all breaches. Apart is the last result of Differences.
+// End checks what is still open at the end of a run and returns all breaches. apart is the last result of Differences.
 func (j *Judge) End(apart []string) []Breach {
 	for _, what := range apart {
-		j.breach(Parted, "%s", what)
+		j.addBreach(Disagreement, "%s", what)
 	}
 	for _, p := range j.purges {
-		if p.complete == 0 {
-			j.breach(Untold, "%s, given at %d", p.id, p.opened)
+		if p.completedAt == 0 {
+			j.addBreach(Unreported, "purge %s, ordered at %d, was not reported complete", p.id, p.orderedAt)
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(j.changes)) {
 		if j.changes[id] == 0 {
-			j.breach(Untold, "change %s was not told decided", id)
+			j.addBreach(Unreported, "change %s was not reported decided", id)
 		}
 	}
 	return slices.Clone(j.breaches)
--- a/lab/cluster/judge/judge_test.go
+++ b/lab/cluster/judge/judge_test.go
@@ -28,9 +28,9 @@
 	} {
 		j := New()
 		for _, s := range c.saw {
-			j.Status(s)
+			j.ObserveStatus(s)
 		}
-		if b := j.End(nil); len(b) != c.want || c.want > 0 && b[0].Promise != Fork {
+		if b := j.End(nil); len(b) != c.want || c.want > 0 && b[0].Promise != Forked {
 			t.Errorf("%s: %v", c.what, b)
 		}
 	}
@@ -57,7 +57,7 @@
 	for _, one := range b {
 		got = append(got, one.Promise)
 	}
-	if len(got) != 3 || got[0] != Purged || got[1] != Parted || got[2] != Untold {
+	if len(got) != 3 || got[0] != SentAfterPurge || got[1] != Disagreement || got[2] != Unreported {
 		t.Errorf("broken: %v", b)
 	}
 }
@@ -75,12 +75,12 @@
 		want []Promise
 	}{
 		{"all rise, one with an emptied folder begins anew", []*status.Status{runs("a", "f", 1, "x"), runs("a", "f", 3, "z"), runs("a", "g", 0, ""), runs("b", "h", 1, "x")}, nil},
-		{"an older one in the next life", []*status.Status{runs("a", "f", 3, "z"), runs("a", "f", 2, "y")}, []Promise{Older}},
-		{"two contents", []*status.Status{runs("a", "f", 3, "z"), runs("b", "g", 3, "y")}, []Promise{Fork}},
+		{"an older one in the next life", []*status.Status{runs("a", "f", 3, "z"), runs("a", "f", 2, "y")}, []Promise{VersionRegressed}},
+		{"two contents", []*status.Status{runs("a", "f", 3, "z"), runs("b", "g", 3, "y")}, []Promise{Forked}},
 	} {
 		j := New()
 		for _, s := range c.saw {
-			j.Status(s)
+			j.ObserveStatus(s)
 		}
 		var got []Promise
 		for _, b := range j.End(nil) {
@@ -96,7 +96,7 @@
 	j.ChangeOrdered("c3")
 	j.ChangeDecided("c1", 4, "x")
 	j.ChangeDecided("c2", 4, "x")
-	if b := j.End(nil); len(b) != 2 || b[0].Promise != Fork || b[1].Promise != Untold || j.Newest() != 4 {
+	if b := j.End(nil); len(b) != 2 || b[0].Promise != Forked || b[1].Promise != Unreported || j.Newest() != 4 {
 		t.Error(b)
 	}
 	if why := Differences([]*status.Status{runs("a", "f", 3, "z"), runs("b", "g", 2, "y")}, 1, false); len(why) != 1 {
--- a/lab/cluster/mesh/text.go
+++ b/lab/cluster/mesh/text.go
@@ -7,7 +7,8 @@
 	"strings"
 )
 
-func quoted(names []string) string {
+// quotedList returns names as the elements of a TOML array.
+func quotedList(names []string) string {
 	all := make([]string, len(names))
 	for i, n := range names {
 		all[i] = strconv.Quote(n)
@@ -15,4 +16,5 @@
 	return strings.Join(all, ", ")
 }
 
-func sorted(m map[string]int) []string { return slices.Sorted(maps.Keys(m)) }
+// sortedKeys returns the keys of a map in ascending order.
+func sortedKeys(m map[string]int) []string { return slices.Sorted(maps.Keys(m)) }
--- a/lab/cluster/play/change.go
+++ b/lab/cluster/play/change.go
@@ -13,23 +13,24 @@
 	"flaxcove/lab/live"
 )
 
-// This file orders changes of the shared settings, as an operator's tool would: based on the newest version, again under
-// the same id if no answer came, and anew if another change came first.
+// This file orders changes of the shared settings as an operator's tool does: based on the newest version, repeated under the
+// same id if no answer came, and based on the then newest version if another change was decided first.
 
 const changeTimeout = 40 * time.Second
 
-// ChangeReport says what became of a change that was ordered. Times are tenths of a millisecond of the run.
+// ChangeReport is the outcome of a change that was ordered. Times are times of the run, in tenths of a millisecond. Version
+// and Decided are 0 if the change was not reported decided.
 type ChangeReport struct {
-	ID             string
-	Given, Decided choice.Time
-	InForce        choice.Time // when all first reported it or a newer one in force; 0 for never
-	Version        uint64
-	Attempts       int
+	ID               string
+	Ordered, Decided choice.Time
+	InForce          choice.Time // when all processes had this or a newer version in force; 0 for never
+	Version          uint64
+	Attempts         int
 }
 
-// orderChange orders a change of the schedule and reports when it is decided.
+// orderChange orders change no of the schedule and records when it is decided.
 func (p *player) orderChange(ctx context.Context, run *live.RunControl, no int) {
-	report := &ChangeReport{ID: fmt.Sprintf("%s-change-%d", p.schedule.Name, no), Given: run.Now()}
+	report := &ChangeReport{ID: fmt.Sprintf("%s-change-%d", p.schedule.Name, no), Ordered: run.Now()}
 	p.judge.ChangeOrdered(report.ID)
 	p.changeReports = append(p.changeReports, report)
 	p.wg.Add(1)
@@ -41,22 +42,23 @@
 		run.Post(func() {
 			report.Attempts, report.Version = attempts, decided.version
 			if decided.version > 0 {
-				report.Decided = report.Given + tenths(took)
+				report.Decided = report.Ordered + tenths(took)
 				p.judge.ChangeDecided(report.ID, decided.version, decided.sum)
 			}
-			p.openOrders--
+			p.ordersInProgress--
 		})
 	}()
 }
 
-// decidedChange is the version that a change became; version 0 for none.
+// decidedChange is the version that a change became. Version 0 means that it was not decided.
 type decidedChange struct {
 	version uint64
 	sum     configuration.Sum
 }
 
-// decideChange hands a change to a process, and to the next one where that does not answer, until it is known to be
-// decided. Where another change came first, it is ordered anew upon the newest version.
+// decideChange orders a change at a process until it is reported decided or changeTimeout has passed. After a request without
+// success it turns to the next process. If another change was decided first, it orders the change again, based on the newest
+// version.
 func (p *player) decideChange(ctx context.Context, id string, no int, began time.Time) (decided decidedChange, attempts int) {
 	change := &p.schedule.Changes[no]
 	by := change.By
@@ -79,33 +81,35 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(retryEvery):
+		case <-time.After(retryInterval):
 		}
 	}
 	return decided, attempts
 }
 
-// newestVersion is the newest version of the settings according to a process. It is false if no answer came.
+// newestVersion returns the newest version of the settings that a process reports. It returns false if no answer came.
 func (p *player) newestVersion(ctx context.Context, by int) (uint64, bool) {
 	var shown struct {
 		Version uint64 `json:"version"`
 	}
-	code := p.ask(ctx, by, "GET", "/v1/configuration", nil, &shown)
+	code := p.request(ctx, by, "GET", "/v1/configuration", nil, &shown)
 	return shown.Version, code == http.StatusOK
 }
 
-// askShown asks the first process where the newest version is in force.
-func (p *player) askShown(ctx context.Context, h *live.RunControl) {
+// pollConfiguration asks the first process at which processes the newest version is in force, and passes its answer to
+// OnConfiguration.
+func (p *player) pollConfiguration(ctx context.Context, h *live.RunControl) {
 	var shown versions.ConfigurationStatus
-	if p.ask(ctx, 0, "GET", "/v1/configuration", nil, &shown) == http.StatusOK {
+	if p.request(ctx, 0, "GET", "/v1/configuration", nil, &shown) == http.StatusOK {
 		h.Post(func() {
-			p.shown = shown
+			p.configuration = shown
 			p.options.OnConfiguration(h.Now(), shown)
 		})
 	}
 }
 
-// postChange makes one attempt to order a change. It changes how long idle connections are kept, which affects no rule.
+// postChange makes one attempt to order a change and returns the HTTP status. The change sets how long idle connections are
+// kept, which affects no rule of the referee.
 func (p *player) postChange(ctx context.Context, by int, id string, base uint64, back bool, no int) (uint64, configuration.Sum, int) {
 	path, body := "/v1/configuration", map[string]any{"id": id, "base": base, "who": "laboratory", "why": "schedule " + p.schedule.Name}
 	if back && base > 0 {
@@ -118,23 +122,24 @@
 		Sum     configuration.Sum `json:"sum"`
 		Error   string            `json:"error"`
 	}
-	code := p.ask(ctx, by, "POST", path, body, &answer)
+	code := p.request(ctx, by, "POST", path, body, &answer)
 	if code/100 == 4 && code != http.StatusConflict {
-		p.refusedChange(id, answer.Error)
+		p.recordRejectedChange(id, answer.Error)
 	}
 	return answer.Version, answer.Sum, code
 }
 
-func (p *player) refusedChange(id, why string) {
+// recordRejectedChange records the first change that a process rejected.
+func (p *player) recordRejectedChange(id, why string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.refusal == "" {
-		p.refusal = fmt.Sprintf("change %s was refused: %s", id, why)
+	if p.rejectedChange == "" {
+		p.rejectedChange = fmt.Sprintf("change %s was rejected: %s", id, why)
 	}
 }
 
-// noteInForce records which changes are in force at all processes by now.
-func (p *player) noteInForce(now choice.Time, all []*status.Status) {
+// recordInForce sets InForce of the changes that are in force at all processes, once the statuses of all processes are there.
+func (p *player) recordInForce(now choice.Time, all []*status.Status) {
 	if len(all) < p.schedule.Processes {
 		return
 	}
@@ -151,16 +156,17 @@
 	}
 }
 
-// behind returns which processes do not run the newest settings, by their own statuses or by the first process's answer.
-func (p *player) behind(all []*status.Status) (why []string) {
+// laggingProcesses describes the processes that do not run the newest settings, according to their own statuses and to the
+// answer of the first process.
+func (p *player) laggingProcesses(all []*status.Status) (why []string) {
 	for _, s := range all {
 		if c := s.Configuration; c != nil && c.Version < p.judge.Newest() {
-			why = append(why, fmt.Sprintf("%s runs version %d of the settings, %d is decided (%d refused: %s)",
+			why = append(why, fmt.Sprintf("%s runs version %d of the settings, but version %d is decided (%d rejected: %s)",
 				s.Self.Name, c.Version, p.judge.Newest(), c.Rejected, c.Why))
 		}
 	}
-	if s := p.shown; p.options.OnConfiguration != nil && (s.Version < p.judge.Newest() || s.State != versions.InForce || len(s.Laggards)+len(s.Away) > 0) {
-		why = append(why, fmt.Sprintf("shown is version %d, %q, with laggards %v, away %v", s.Version, s.State, s.Laggards, s.Away))
+	if s := p.configuration; p.options.OnConfiguration != nil && (s.Version < p.judge.Newest() || s.State != versions.InForce || len(s.Laggards)+len(s.Away) > 0) {
+		why = append(why, fmt.Sprintf("the first process reports version %d in state %q, laggards %v, absent processes %v", s.Version, s.State, s.Laggards, s.Away))
 	}
 	return why
 }
--- a/lab/cluster/play/change_test.go
+++ b/lab/cluster/play/change_test.go
@@ -49,10 +49,10 @@
 		t.Fatal(err)
 	}
 	for _, b := range r.Breaches {
-		t.Errorf("%s: %s", b.Promise, b.What)
+		t.Errorf("%s: %s", b.Promise, b.Detail)
 	}
 	for _, c := range r.Changes {
-		t.Logf("%s given at %d ms, version %d in force everywhere at %d ms", c.ID, c.Given/10, c.Version, c.InForce/10)
+		t.Logf("%s given at %d ms, version %d in force everywhere at %d ms", c.ID, c.Ordered/10, c.Version, c.InForce/10)
 	}
 	if named == 0 {
 		t.Errorf("%s was never named", cut)
--- a/lab/cluster/play/falls.go
+++ b/lab/cluster/play/falls.go
@@ -12,44 +12,45 @@
 	"flaxcove/lab/cluster/schedule"
 )
 
-// This file measures how the cluster reacts to the fall of a zone, by the routing plans that the processes report in force.
-// The times depend on how often they are polled (askEvery); they are figures, not verdicts.
+// This file measures how the cluster reacts to the outage of a zone, from the routing plans that the processes report in
+// force. The times have the resolution of the polls (pollInterval). They are reported and not checked.
 
 const (
-	quorumShare = 0.95 // of the reachable processes; from issue 36
-	// nearTimeout is how long after the last fault routes may still lead away: three times what issue 36 allows, and the
-	// time that a plan holds.
-	nearTimeout = 55.0
+	quorumShare = 0.95 // share of the reachable processes at which a plan must be in force
+	// routeReturnTimeout is the time in seconds after the last fault until which routes may still lead away: three times the
+	// allowed return time, plus the time for which a plan holds.
+	routeReturnTimeout = 55.0
 )
 
-// Breaches of what a schedule expects.
+// Expectations of a schedule (schedule.Expect) that a run can fail to meet.
 const (
-	Unmoved  judge.Promise = "unmoved"  // a zone fell and no plan routed its messages away
-	Afar     judge.Promise = "afar"     // long after the last fault some routes still lead away
-	Restless judge.Promise = "restless" // more plans than expected
+	NotDiverted   judge.Promise = "unmoved"  // a zone had an outage and no plan that routes its messages away was in force
+	StillDiverted judge.Promise = "afar"     // long after the last fault, some routes still lead away from a zone
+	TooManyPlans  judge.Promise = "restless" // there were more plans than MostPlans allows
 )
 
-// Fall is one fall of a zone. Times are milliseconds; -1 for what was not observed.
-type Fall struct {
-	Zone      int
-	InForceMS int64 // from the fall until a plan that routes away from it is in force at enough processes
-	NearMS    int64 // from the zone's return until no process has a route that leads away
-	WithinMS  int64 // from the zone's return until its first routes are back
+// ZoneOutage is one outage of a zone. Its times are in milliseconds, or -1 if the event was not observed.
+type ZoneOutage struct {
+	Zone            int
+	InForceMS       int64 // from the start of the outage until a plan that routes away from the zone is in force at quorumShare of the processes
+	AllReturnedMS   int64 // from the end of the outage until no process has a route that leads away
+	FirstReturnedMS int64 // from the end of the outage until the number of diverted routes first decreases
 
-	from, to choice.Time
-	mostAway int
+	from, to    choice.Time
+	maxDiverted int // highest number of diverted routes that a process reported during the outage
 }
 
-func fallsOf(s *schedule.Schedule) (all []Fall) {
+// outagesOf returns the outages of a schedule's zones that do not flap.
+func outagesOf(s *schedule.Schedule) (all []ZoneOutage) {
 	for _, f := range s.Faults {
 		if f.Kind == "zone" && f.Every == 0 {
-			all = append(all, Fall{f.Zone, -1, -1, -1, seconds(f.At), seconds(f.At + f.Seconds), 0})
+			all = append(all, ZoneOutage{f.Zone, -1, -1, -1, seconds(f.At), seconds(f.At + f.Seconds), 0})
 		}
 	}
 	return all
 }
 
-// isCutOff reports whether the schedule has a process cut off or stopped at a time.
+// isCutOff reports whether a fault of the schedule cuts process i off or stops it at a time.
 func isCutOff(s *schedule.Schedule, i int, now choice.Time) bool {
 	return slices.ContainsFunc(s.Faults, func(f schedule.Fault) bool {
 		cuts := slices.Contains([]string{"cut", "one_way", "flap", "stall", "stop"}, f.Kind)
@@ -57,10 +58,10 @@
 	})
 }
 
-// measureFalls updates the falls by the statuses of a poll.
-func (p *player) measureFalls(now choice.Time, all []*status.Status) {
-	for i := range p.falls {
-		f := &p.falls[i]
+// measureOutages updates the measured times of all outages from the statuses of a poll.
+func (p *player) measureOutages(now choice.Time, all []*status.Status) {
+	for i := range p.outages {
+		f := &p.outages[i]
 		key := fmt.Sprintf("away_from_z%d", f.Zone-1)
 		away, reach, routes, most := 0, 0, 0, 0
 		for _, s := range all {
@@ -79,41 +80,41 @@
 			continue
 		}
 		if now <= f.to {
-			f.mostAway = max(f.mostAway, most)
+			f.maxDiverted = max(f.maxDiverted, most)
 		}
 		if f.InForceMS < 0 && now <= f.to && away > 0 && away >= int(math.Ceil(quorumShare*float64(reach))) {
 			f.InForceMS = int64((now - f.from) / choice.Millisecond)
 		}
-		if now > f.to && f.WithinMS < 0 && most < f.mostAway {
-			f.WithinMS = int64((now - f.to) / choice.Millisecond)
+		if now > f.to && f.FirstReturnedMS < 0 && most < f.maxDiverted {
+			f.FirstReturnedMS = int64((now - f.to) / choice.Millisecond)
 		}
-		if now > f.to && f.NearMS < 0 && routes == 0 && len(all) > 0 {
-			f.NearMS = int64((now - f.to) / choice.Millisecond)
+		if now > f.to && f.AllReturnedMS < 0 && routes == 0 && len(all) > 0 {
+			f.AllReturnedMS = int64((now - f.to) / choice.Millisecond)
 		}
 		if now > f.to && routes > 0 {
-			f.NearMS = -1
+			f.AllReturnedMS = -1
 		}
 	}
 }
 
-// awaitsNear reports whether the run has to go on because some routes still lead away.
-func (p *player) awaitsNear() bool {
+// awaitsRouteReturn reports whether the run must continue because routes that the schedule expects to return still lead away.
+func (p *player) awaitsRouteReturn() bool {
 	away := slices.ContainsFunc(p.lastStatuses, func(s *status.Status) bool { return s.Counts["plan_routes"] > 0 })
-	return p.schedule.Expect.Moves && away && p.now < seconds(p.schedule.LastFaultEnd()+nearTimeout)
+	return p.schedule.Expect.Moves && away && p.now < seconds(p.schedule.LastFaultEnd()+routeReturnTimeout)
 }
 
-// unexpected returns breaches of what the schedule expects.
-func (p *player) unexpected(epochs int) (breaks []judge.Breach) {
-	for _, f := range p.falls {
+// unmetExpectations returns the expectations of the schedule that the run did not meet.
+func (p *player) unmetExpectations(epochs int) (breaks []judge.Breach) {
+	for _, f := range p.outages {
 		if p.schedule.Expect.Moves && f.InForceMS < 0 {
-			breaks = append(breaks, judge.Breach{Promise: Unmoved, What: fmt.Sprintf("zone %d fell at %d", f.Zone, f.from)})
+			breaks = append(breaks, judge.Breach{Promise: NotDiverted, Detail: fmt.Sprintf("zone %d had an outage at %d, and no plan that routes away from it was in force at enough processes", f.Zone, f.from)})
 		}
-		if p.schedule.Expect.Moves && f.NearMS < 0 {
-			breaks = append(breaks, judge.Breach{Promise: Afar, What: fmt.Sprintf("zone %d was well at %d", f.Zone, f.to)})
+		if p.schedule.Expect.Moves && f.AllReturnedMS < 0 {
+			breaks = append(breaks, judge.Breach{Promise: StillDiverted, Detail: fmt.Sprintf("the outage of zone %d ended at %d, and routes still led away from it at the end of the run", f.Zone, f.to)})
 		}
 	}
 	if most := p.schedule.Expect.MostPlans; most > 0 && epochs > most+1 {
-		breaks = append(breaks, judge.Breach{Promise: Restless, What: fmt.Sprintf("%d plans, %d expected beyond the first", epochs, most)})
+		breaks = append(breaks, judge.Breach{Promise: TooManyPlans, Detail: fmt.Sprintf("%d plans observed: at most %d allowed after the first", epochs, most)})
 	}
 	return breaks
 }
--- a/lab/cluster/play/faults.go
+++ b/lab/cluster/play/faults.go
@@ -13,20 +13,22 @@
 	"flaxcove/lab/world"
 )
 
-// This file plays faults. Faults that overlap on a link are told apart by number: the link works again once none is left.
+// This file injects faults. Each active fault of a link is stored under its number in the schedule; the link forwards normally
+// once no fault is left.
 
-const leaderRestartDelay = 400 * choice.Millisecond // at least, for a leader that was killed
+const leaderRestartDelay = 400 * choice.Millisecond // shortest time for which a killed leader stays down
 
+// direction is one direction between two processes.
 type direction struct{ from, to int }
 
-// links holds the active faults in each direction between processes.
+// links applies faults to the relays. It holds the active faults of each direction by their number in the schedule.
 type links struct {
 	mesh   *mesh.Mesh
 	faults map[direction]map[int]relay.Fault
 }
 
-// set adds a fault to a direction under a number, or removes that number's if the fault is nil.
-func (l *links) set(w direction, no int, f *relay.Fault) {
+// setFault activates fault no in a direction, or ends it if f is nil, and applies the combination of all active faults.
+func (l *links) setFault(w direction, no int, f *relay.Fault) {
 	if l.faults[w] == nil {
 		l.faults[w] = map[int]relay.Fault{}
 	}
@@ -41,30 +43,31 @@
 	l.mesh.Set(w.from, w.to, all)
 }
 
-// setAll does what set does on several directions.
-func (l *links) setAll(directions []direction, no int, f *relay.Fault) {
+// setFaults calls setFault for each of several directions.
+func (l *links) setFaults(directions []direction, no int, f *relay.Fault) {
 	for _, d := range directions {
-		l.set(d, no, f)
+		l.setFault(d, no, f)
 	}
 }
 
+// seconds converts seconds to the unit of choice.Time.
 func seconds(s float64) choice.Time { return choice.Time(s * float64(choice.Second)) }
 
-// planFaults schedules all faults of the schedule that are not the world's.
-func (p *player) planFaults(run *live.RunControl) {
+// scheduleFaults schedules all faults that the world does not inject itself.
+func (p *player) scheduleFaults(run *live.RunControl) {
 	l := &links{p.mesh, map[direction]map[int]relay.Fault{}}
 	for no := range p.schedule.Faults {
 		f := &p.schedule.Faults[no]
 		from, to := seconds(f.At), seconds(f.At+f.Seconds)
 		switch f.Kind {
 		case "cut", "one_way":
-			p.planLinkFault(run, l, no, relay.Fault{Drop: true})
+			p.scheduleLinkFault(run, l, no, relay.Fault{Drop: true})
 		case "stall":
-			p.planLinkFault(run, l, no, relay.Fault{Stall: true})
+			p.scheduleLinkFault(run, l, no, relay.Fault{Stall: true})
 		case "late":
-			p.planLinkFault(run, l, no, relay.Fault{Delay: time.Duration(f.MS * float64(time.Millisecond))})
+			p.scheduleLinkFault(run, l, no, relay.Fault{Delay: time.Duration(f.MS * float64(time.Millisecond))})
 		case "flap":
-			p.planFlap(run, l, no)
+			p.scheduleFlap(run, l, no)
 		case "reset":
 			directions := p.directionsOf(f)
 			run.After(from, func() {
@@ -74,7 +77,7 @@
 			})
 		case "empty":
 			for _, s := range f.From {
-				p.restartEmptied(run, world.SenderNo(s), from, to)
+				p.scheduleEmptiedRestart(run, world.SenderNo(s), from, to)
 			}
 		case "leader":
 			run.After(from, func() { p.killLeader(run, to-from) })
@@ -82,29 +85,30 @@
 	}
 }
 
-// planLinkFault applies a fault to its links from its begin to its end.
-func (p *player) planLinkFault(run *live.RunControl, l *links, no int, fault relay.Fault) {
+// scheduleLinkFault applies fault no to its links from its start to its end.
+func (p *player) scheduleLinkFault(run *live.RunControl, l *links, no int, fault relay.Fault) {
 	f := &p.schedule.Faults[no]
 	directions := p.directionsOf(f)
-	run.After(seconds(f.At), func() { l.setAll(directions, no, &fault) })
-	run.After(seconds(f.At+f.Seconds), func() { l.setAll(directions, no, nil) })
+	run.After(seconds(f.At), func() { l.setFaults(directions, no, &fault) })
+	run.After(seconds(f.At+f.Seconds), func() { l.setFaults(directions, no, nil) })
 }
 
-// planFlap applies a cut that comes and goes.
-func (p *player) planFlap(run *live.RunControl, l *links, no int) {
+// scheduleFlap cuts the links of fault no and restores them, alternately, until the fault ends.
+func (p *player) scheduleFlap(run *live.RunControl, l *links, no int) {
 	f := &p.schedule.Faults[no]
 	directions := p.directionsOf(f)
-	for at, off := f.At, true; at < f.At+f.Seconds; at, off = at+f.Every, !off {
+	for at, isCut := f.At, true; at < f.At+f.Seconds; at, isCut = at+f.Every, !isCut {
 		var fault *relay.Fault
-		if off {
+		if isCut {
 			fault = &relay.Fault{Drop: true}
 		}
-		run.After(seconds(at), func() { l.setAll(directions, no, fault) })
+		run.After(seconds(at), func() { l.setFaults(directions, no, fault) })
 	}
-	run.After(seconds(f.At+f.Seconds), func() { l.setAll(directions, no, nil) })
+	run.After(seconds(f.At+f.Seconds), func() { l.setFaults(directions, no, nil) })
 }
 
-// directionsOf returns the directions that a fault affects: from its first group to its second, and back unless it is one way.
+// directionsOf returns the directions that a fault affects: from its first group to its second, and also the opposite ones
+// unless the kind is one_way.
 func (p *player) directionsOf(f *schedule.Fault) (all []direction) {
 	others := f.To
 	if len(others) == 0 {
@@ -127,13 +131,13 @@
 	return all
 }
 
-// restartEmptied kills a process and starts it again with empty folders.
-func (p *player) restartEmptied(h *live.RunControl, s world.SenderNo, from, to choice.Time) {
+// scheduleEmptiedRestart kills a process at from and starts it again with empty folders at to.
+func (p *player) scheduleEmptiedRestart(h *live.RunControl, s world.SenderNo, from, to choice.Time) {
 	h.After(from, func() {
 		if !h.Alive(s) {
 			return
 		}
-		p.emptied[s] = h.Now() // what it accepted before is lost
+		p.emptied[s] = h.Now() // the messages that it accepted before are lost
 		h.Act(s, world.Kill)
 		if err := h.EraseState(s); err == nil {
 			os.RemoveAll(p.folders[s])
@@ -142,15 +146,16 @@
 	})
 }
 
-// killLeader kills the process that most processes named as the leader in the last poll.
-func (p *player) killLeader(h *live.RunControl, gone choice.Time) {
+// killLeader kills the process that a majority reported as the leader, and starts it again after downFor or leaderRestartDelay,
+// whichever is longer.
+func (p *player) killLeader(h *live.RunControl, downFor choice.Time) {
 	p.mu.Lock()
 	leader := p.leader
 	p.mu.Unlock()
 	for i, one := range p.meshOptions.Processes {
 		if s := world.SenderNo(i); one.Name == leader && h.Alive(s) {
 			h.Act(s, world.Kill)
-			h.After(max(leaderRestartDelay, gone), func() { h.Act(s, world.Start) })
+			h.After(max(leaderRestartDelay, downFor), func() { h.Act(s, world.Start) })
 		}
 	}
 }
--- a/lab/cluster/play/partner_test.go
+++ b/lab/cluster/play/partner_test.go
@@ -72,7 +72,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Minute)
 	defer cancel()
 	r, err := Run(ctx, Options{Schedule: s, Command: []string{binary, "serve"},
-		File: func(s world.SenderNo, folder string, text []byte) []byte {
+		EditClusterFile: func(s world.SenderNo, folder string, text []byte) []byte {
 			if s == no {
 				inTheWay = configuration.Path(folder) + ".new"
 			}
@@ -96,7 +96,7 @@
 		t.Fatal(err)
 	}
 	for _, b := range r.Breaches {
-		t.Errorf("%s: %s", b.Promise, b.What)
+		t.Errorf("%s: %s", b.Promise, b.Detail)
 	}
 	if newest := uint64(len(s.Changes)); seen.others != newest || !slices.Equal(seen.versions, []uint64{0, 1, newest}) && !slices.Equal(seen.versions, []uint64{1, newest}) {
 		t.Errorf("%s ran %v, all others up to %d", struck, seen.versions, seen.others)
--- a/lab/cluster/play/play.go
+++ b/lab/cluster/play/play.go
@@ -1,8 +1,8 @@
-// Package play plays a schedule: real sender processes, a world of partners, and relays between the processes.
+// Package play plays a schedule with real sender processes, a world of partners, and relays between the processes.
 //
-// This file sets a run up. faults.go plays the faults of the cluster, watch.go polls the processes, purge.go and change.go
-// order purges and changes, falls.go measures the falls of zones. Package live runs the processes and the world, package
-// judge judges the cluster. No process, relay or file may be left behind.
+// This file sets a run up. faults.go injects the faults of the cluster, watch.go polls the processes, purge.go and change.go
+// order purges and changes, falls.go measures outages of zones. Package live runs the processes and the world; package judge
+// checks the cluster. A run must not leave a process, relay or file behind.
 package play
 
 import (
@@ -29,59 +29,61 @@
 // Options are the inputs of a run.
 type Options struct {
 	Schedule *schedule.Schedule
-	Command  []string // the program and its arguments, as in flaxcove serve
-	Port     int      // the first port that relays try; 0 for a range of the run's own
-	Uses     []string // parts of the cluster that are on; nil for what the schedule needs, empty for no cluster at all
-	Logs     string
-	// Spec changes the world before it begins; nil for no change.
-	Spec func(*world.Spec)
-	// File changes a process's cluster file before it is written, and gets the folder in which the process keeps the
-	// cluster's state; nil for no change.
-	File func(s world.SenderNo, folder string, text []byte) []byte
-	// Every is how often the processes are polled; 0 for askEvery. Their answers count as their traffic.
-	Every time.Duration
-	// OnStatuses is called with the processes' statuses after each poll; nil for nothing.
+	Command  []string // program and arguments that run a sender, as in flaxcove serve
+	Port     int      // first port that the relays try; 0 for a port range of this run
+	Uses     []string // enabled parts of the cluster; nil for those that the schedule needs, empty for no cluster
+	Logs     string   // folder for the logs of the processes; "" for none
+	// EditSpec changes the world before the run; nil for no change.
+	EditSpec func(*world.Spec)
+	// EditClusterFile returns the text to write as a process's cluster file; folder is where the process keeps the cluster's
+	// state. nil for no change.
+	EditClusterFile func(s world.SenderNo, folder string, text []byte) []byte
+	// PollInterval is the time between two polls of the processes; 0 for pollInterval. The answers add to the processes'
+	// measured traffic.
+	PollInterval time.Duration
+	// OnStatuses is called on the world's goroutine with the statuses of each poll; nil for no callback.
 	OnStatuses func(now choice.Time, all []*status.Status)
-	// OnConfiguration is called with the first process's answer on the shared settings after each poll; nil for nothing.
+	// OnConfiguration is called on the world's goroutine with the configuration status that the first process reports in
+	// each poll; nil for no callback.
 	OnConfiguration func(now choice.Time, s versions.ConfigurationStatus)
 }
 
-// maxProcesses is how many processes one machine can run with a relay between any two.
+// maxProcesses is the number of processes that one machine can run with relays between any two of them.
 const maxProcesses = 60
 
-// smallDestinations is of how many of the four destinations a small process keeps learned state.
+// smallDestinations is the number of destinations, of the four in the world, whose learned state a small process keeps.
 const smallDestinations = 2
 
-// Result is the result of a run.
+// Result is the result of a run: that of the senders, and that of the cluster.
 type Result struct {
 	*live.Result
-	Breaches     []judge.Breach // of the cluster's promises
-	Excused      int            // violations of the referee's rules that the schedule caused itself by emptying a folder
-	Epochs       int
+	Breaches     []judge.Breach // violated promises of the cluster and unmet expectations of the schedule
+	Excused      int            // violations of the referee's rules that are not counted, since the schedule caused them by emptying a folder
+	Epochs       int            // number of epochs of which a plan was observed
 	LastStatuses []*status.Status
 	Purges       []PurgeReport
-	Falls        []Fall
+	Outages      []ZoneOutage
 	Changes      []*ChangeReport
-	// SettledMS is how long after the last fault all processes agreed again.
+	// SettledMS is the time in milliseconds from the end of the last fault until all processes agreed.
 	SettledMS int64
 }
 
-// Each run looks for free ports in a range of its own: two runs that begin at once must not find the same ones free.
+// Each run looks for free ports in its own range: two runs that start at the same time must not find the same ports free.
 const (
 	firstPort   = 30000
 	portRange   = 25000 // a multiple of portsPerRun
-	portsPerRun = 500   // more than a mesh tries
+	portsPerRun = 500   // more than mesh.Open tries
 )
 
-var runs atomic.Int64
+var runCount atomic.Int64
 
-// Run plays a schedule.
+// Run plays a schedule. An error means that it could not be played; broken promises are in the result.
 func Run(ctx context.Context, o Options) (*Result, error) {
 	if err := o.Schedule.CheckNamesProcesses(); err != nil {
 		return nil, err
 	}
 	if n := o.Schedule.Processes; n > maxProcesses {
-		return nil, fmt.Errorf("%d processes, %d at most", n, maxProcesses)
+		return nil, fmt.Errorf("schedule with %d processes: at most %d can be played", n, maxProcesses)
 	}
 	if o.Uses == nil {
 		o.Uses = defaultUses(o.Schedule)
@@ -89,8 +91,8 @@
 	p := &player{options: o, schedule: o.Schedule, judge: judge.New(), accepted: map[choice.MessageID]acceptedMessage{},
 		emptied: map[world.SenderNo]choice.Time{}}
 	spec := worldOf(p.schedule)
-	if o.Spec != nil {
-		o.Spec(spec)
+	if o.EditSpec != nil {
+		o.EditSpec(spec)
 	}
 	if problems := spec.Check(); problems != nil {
 		return nil, problems[0]
@@ -111,7 +113,7 @@
 	return p.result(r), nil
 }
 
-// defaultUses are the parts of a cluster that a schedule needs.
+// defaultUses returns the parts of the cluster that a schedule needs.
 func defaultUses(s *schedule.Schedule) []string {
 	uses := []string{"failover", "purges"}
 	if len(s.Small) > 0 {
@@ -123,43 +125,45 @@
 	return uses
 }
 
-// result adds the verdict on the cluster to that on the senders.
+// result combines the verdict on the senders with the verdict on the cluster.
 func (p *player) result(r *live.Result) *Result {
-	out := &Result{Result: r, LastStatuses: p.lastStatuses, Epochs: p.judge.Epochs(), Purges: p.purgeReports, Falls: p.falls,
+	out := &Result{Result: r, LastStatuses: p.lastStatuses, Epochs: p.judge.Epochs(), Purges: p.purgeReports, Outages: p.outages,
 		Changes: p.changeReports, SettledMS: p.settledMS}
-	out.Excused = p.excuse(r.Verdict)
+	out.Excused = p.excuseLosses(r.Verdict)
 	if len(p.options.Uses) == 0 {
 		return out
 	}
 	out.Breaches = p.judge.End(p.differences)
-	if p.refusal != "" {
-		out.Breaches = append(out.Breaches, judge.Breach{Promise: judge.Untold, What: p.refusal})
+	if p.rejectedChange != "" {
+		out.Breaches = append(out.Breaches, judge.Breach{Promise: judge.Unreported, Detail: p.rejectedChange})
 	}
 	if r.Void == "" {
-		out.Breaches = append(out.Breaches, p.unexpected(out.Epochs)...)
+		out.Breaches = append(out.Breaches, p.unmetExpectations(out.Epochs)...)
 	}
 	return out
 }
 
-// excuse removes from a verdict the messages that a process lost because the schedule emptied its folder. It returns how
-// many these are.
-func (p *player) excuse(v *referee.Verdict) (n int) {
+// excuseLosses removes from a verdict the messages that a process lost because the schedule emptied its folder. It returns the
+// number of removed violations.
+func (p *player) excuseLosses(v *referee.Verdict) (n int) {
 	v.Violations = slices.DeleteFunc(v.Violations, func(b referee.Violation) bool {
-		at, is := p.emptied[world.SenderNo(b.Sender)]
-		// A violation is found when the message is judged, up to its deadline later; its text begins with the message's id.
+		at, emptied := p.emptied[world.SenderNo(b.Sender)]
+		// The referee finds the violation as late as the message's deadline. The text of a violation begins with the id of the
+		// message.
 		id, _, _ := strings.Cut(b.What, " ")
-		owed, known := p.accepted[choice.MessageID(id)]
-		out := is && b.Rule == referee.Lost && known && owed.by == world.SenderNo(b.Sender) && owed.at <= at
-		if out {
+		message, known := p.accepted[choice.MessageID(id)]
+		excused := emptied && b.Rule == referee.Lost && known && message.by == world.SenderNo(b.Sender) && message.at <= at
+		if excused {
 			v.Rules[b.Rule]--
 			n++
 		}
-		return out
+		return excused
 	})
 	return n
 }
 
-// worldOf is the world of a schedule: four partners with an endpoint in each of up to four zones.
+// worldOf returns the world of a schedule: four partners, each with an endpoint in each of up to four zones. The world
+// injects the faults of kinds zone, stop and kill.
 func worldOf(s *schedule.Schedule) *world.Spec {
 	spec := world.Base()
 	spec.Name, spec.Seconds, spec.Senders, spec.Zones = s.Name, s.Seconds, s.Processes, s.Zones
@@ -167,8 +171,8 @@
 	spec.Classes = []world.Class{
 		{Name: "status", Share: 3, LatencyObjectiveMS: 800, DeadlineMS: 4000},
 		{Name: "order", Repeat: "single-use", Share: 1, LatencyObjectiveMS: 1500, DeadlineMS: 5000, Value: 3}}
-	ends := float64(min(4, s.Zones))
-	spec.Partners = []world.Kind{{Name: "shop", Count: 4, Endpoints: world.Pair{ends, ends}, Headroom: world.Pair{3, 4}, LeastRate: 40, Reports: true}}
+	endpoints := float64(min(4, s.Zones))
+	spec.Partners = []world.Kind{{Name: "shop", Count: 4, Endpoints: world.Pair{endpoints, endpoints}, Headroom: world.Pair{3, 4}, LeastRate: 40, Reports: true}}
 	for _, f := range s.Faults {
 		t := world.Fault{At: f.At, Seconds: f.Seconds, Selector: world.Selector{Senders: f.From}}
 		switch f.Kind {
@@ -194,6 +198,7 @@
 	return &spec
 }
 
+// openMesh places the processes in zones and regions, chooses the founders and opens the relays.
 func (p *player) openMesh() (err error) {
 	all := mesh.Options{Cluster: "lab", Uses: p.options.Uses}
 	if len(p.schedule.Small) > 0 {
@@ -215,13 +220,14 @@
 	p.meshOptions = all
 	from := p.options.Port
 	if from == 0 {
-		from = firstPort + (os.Getpid()*37+int(runs.Add(1)))*portsPerRun%portRange
+		from = firstPort + (os.Getpid()*37+int(runCount.Add(1)))*portsPerRun%portRange
 	}
 	p.mesh, err = mesh.Open(all, from)
 	return err
 }
 
-// writeClusterFile writes a process's cluster file and returns the arguments that name it.
+// writeClusterFile writes the cluster file of a process into its folder home. It returns the arguments that name the file, or
+// none without a cluster.
 func (p *player) writeClusterFile(s world.SenderNo, home string) ([]string, error) {
 	if p.mesh == nil {
 		return nil, nil
@@ -232,8 +238,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if p.options.File != nil {
-		text = p.options.File(s, folder, text)
+	if p.options.EditClusterFile != nil {
+		text = p.options.EditClusterFile(s, folder, text)
 	}
 	path := filepath.Join(home, "cluster.toml")
 	return []string{"--cluster", path}, os.WriteFile(path, text, 0o644)
--- a/lab/cluster/play/play_test.go
+++ b/lab/cluster/play/play_test.go
@@ -63,26 +63,26 @@
 		logs = filepath.Join(logs, s.Name)
 		saw = timeline(t, logs, saw)
 	}
-	r, err := Run(ctx, Options{Schedule: s, Command: []string{binary, "serve"}, Logs: logs, OnStatuses: saw, Every: every})
+	r, err := Run(ctx, Options{Schedule: s, Command: []string{binary, "serve"}, Logs: logs, OnStatuses: saw, PollInterval: every})
 	if err != nil {
 		return nil, []string{err.Error()}
 	}
 	t.Logf("%s: figure %.3f, %d of %d delivered, %d epochs, all alike %d ms after the last fault, excused %d, void %q",
 		s.Name, r.Figure, r.Delivered, r.Asked, r.Epochs, r.SettledMS, r.Excused, r.Void)
-	for _, f := range r.Falls {
+	for _, f := range r.Outages {
 		t.Logf("%s: zone %d fell: plan in force %d ms later; well again: first step %d ms, all near %d ms later",
-			s.Name, f.Zone, f.InForceMS, f.WithinMS, f.NearMS)
+			s.Name, f.Zone, f.InForceMS, f.FirstReturnedMS, f.AllReturnedMS)
 	}
 	for _, p := range r.Purges {
-		t.Logf("%s: purge %s given at %d ms, decided %d ms and %q %d ms later, %d calls", s.Name, p.ID, p.Given/10,
-			(p.Decided-p.Given)/10, p.State, (p.Complete-p.Given)/10, p.Attempts)
+		t.Logf("%s: purge %s given at %d ms, decided %d ms and %q %d ms later, %d calls", s.Name, p.ID, p.Ordered/10,
+			(p.Decided-p.Ordered)/10, p.State, (p.Complete-p.Ordered)/10, p.Attempts)
 	}
 	for _, c := range r.Changes {
 		t.Logf("%s: change %s given at %d ms, decided as version %d %d ms and in force everywhere %d ms later, %d calls", s.Name, c.ID,
-			c.Given/10, c.Version, (c.Decided-c.Given)/10, (c.InForce-c.Given)/10, c.Attempts)
+			c.Ordered/10, c.Version, (c.Decided-c.Ordered)/10, (c.InForce-c.Ordered)/10, c.Attempts)
 	}
 	for _, b := range r.Breaches {
-		wrong = append(wrong, fmt.Sprintf("%s: %s", b.Promise, b.What))
+		wrong = append(wrong, fmt.Sprintf("%s: %s", b.Promise, b.Detail))
 	}
 	if r.Fault != "" {
 		wrong = append(wrong, r.Fault)
--- a/lab/cluster/play/watch.go
+++ b/lab/cluster/play/watch.go
@@ -20,15 +20,15 @@
 	"flaxcove/lab/world"
 )
 
-// This file polls the processes' statuses, from outside and past all relays.
+// This file polls the statuses of the processes directly, not through relays, and judges them.
 
 const (
-	askEvery      = 150 * time.Millisecond
-	askTimeout    = 700 * time.Millisecond
-	settleTimeout = 40 * time.Second // after the last fault, until a difference is a breach
+	pollInterval   = 150 * time.Millisecond
+	requestTimeout = 700 * time.Millisecond
+	settleTimeout  = 40 * time.Second // after the last fault; a difference that is left then is a breach
 )
 
-// acceptedMessage holds what a purge may match of a message that a process has accepted.
+// acceptedMessage holds the attributes by which a purge matches a message, and when a process accepted the message.
 type acceptedMessage struct {
 	destination int
 	class       string
@@ -36,7 +36,7 @@
 	at          choice.Time
 }
 
-// player plays one schedule.
+// player is the state of one run.
 type player struct {
 	options     Options
 	schedule    *schedule.Schedule
@@ -48,32 +48,33 @@
 	wg          sync.WaitGroup
 	stop        context.CancelFunc
 
-	// The fields up to mu belong to the world's goroutine.
-	judge         *judge.Judge
-	accepted      map[choice.MessageID]acceptedMessage
-	emptied       map[world.SenderNo]choice.Time
-	purgeReports  []PurgeReport
-	lastStatuses  []*status.Status
-	differences   []string
-	settled       bool
-	settledMS     int64
-	openOrders    int // purges and changes in progress
-	falls         []Fall
-	changeReports []*ChangeReport
-	shown         versions.ConfigurationStatus
-	now           choice.Time // of the last poll
-
-	mu      sync.Mutex
-	leader  string
-	refusal string // which change was refused, and why
+	// The fields up to mu must be used on the world's goroutine only.
+	judge            *judge.Judge
+	accepted         map[choice.MessageID]acceptedMessage
+	emptied          map[world.SenderNo]choice.Time // when the folder of a process was emptied
+	purgeReports     []PurgeReport
+	lastStatuses     []*status.Status
+	differences      []string
+	settled          bool
+	settledMS        int64
+	ordersInProgress int // number of purges and changes in progress
+	outages          []ZoneOutage
+	changeReports    []*ChangeReport
+	configuration    versions.ConfigurationStatus
+	now              choice.Time // time of the last poll
+
+	mu             sync.Mutex
+	leader         string
+	rejectedChange string // the first change that a process rejected, with the reason; "" for none
 }
 
-// ledgerTap passes the world's events on to the referee and to the judge.
+// ledgerTap is a ledger that passes the world's events to both the referee and the judge.
 type ledgerTap struct {
 	world.Ledger
 	player *player
 }
 
+// HandInAnswered records an accepted message and passes the event on.
 func (e *ledgerTap) HandInAnswered(h *world.HandIn, what world.HandInAnswer) {
 	if what == world.HandInAccepted {
 		e.player.accepted[h.ID] = acceptedMessage{int(h.Request.Partner), h.Request.Class.Name, h.Sender, h.At}
@@ -82,6 +83,7 @@
 	e.Ledger.HandInAnswered(h, what)
 }
 
+// CallSent records that the messages of a call were sent and passes the event on.
 func (e *ledgerTap) CallSent(c *world.Call) {
 	for _, h := range c.Messages {
 		e.player.judge.CallSent(h.ID, c.SentAt)
@@ -89,47 +91,49 @@
 	e.Ledger.CallSent(c)
 }
 
-// awaitLeader waits until all processes know the leader of the consensus group.
+// awaitLeader waits until all processes report a leader of the consensus group. It returns at once without a cluster or with
+// AtOnce, and when ctx ends.
 func (p *player) awaitLeader(ctx context.Context) {
 	for p.mesh != nil && !p.schedule.AtOnce && ctx.Err() == nil {
-		all := p.askAll(ctx)
+		all := p.pollStatuses(ctx)
 		if len(all) == p.schedule.Processes && !slices.ContainsFunc(all, func(s *status.Status) bool { return s.Leader == "" }) {
 			return
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(askEvery):
+		case <-time.After(pollInterval):
 		}
 	}
 }
 
-// onBegin schedules the faults, changes and purges, and begins to poll the processes.
+// onBegin schedules the faults, changes and purges and starts to poll the processes.
 func (p *player) onBegin(h *live.RunControl) {
-	p.spec, p.falls = h.World().Spec, fallsOf(p.schedule)
+	p.spec, p.outages = h.World().Spec, outagesOf(p.schedule)
 	if p.mesh == nil {
 		return
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	p.stop = stop
-	p.planFaults(h)
+	p.scheduleFaults(h)
 	p.wg.Add(1)
 	go p.watch(ctx, h)
 	for i := range p.schedule.Changes {
-		p.openOrders++
+		p.ordersInProgress++
 		h.After(seconds(p.schedule.Changes[i].At), func() { p.orderChange(ctx, h, i) })
 	}
 	for i := range p.schedule.Purges {
-		p.openOrders++
+		p.ordersInProgress++
 		h.After(seconds(p.schedule.Purges[i].At), func() { p.orderPurge(ctx, h, i) })
 	}
 }
 
-// keepRunning reports whether the run has to go on past its end: until all agree and all orders have ended.
+// keepRunning reports whether the run must continue past the end of the traffic: until all processes agree, all orders have
+// ended and all expected routes have returned, or until settleTimeout has passed with differences.
 func (p *player) keepRunning() bool {
-	return p.mesh != nil && (!p.settled || p.openOrders > 0 || p.awaitsNear()) && p.differences == nil
+	return p.mesh != nil && (!p.settled || p.ordersInProgress > 0 || p.awaitsRouteReturn()) && p.differences == nil
 }
 
-// wait stops polling and waits for all goroutines.
+// wait stops the polling and waits for all goroutines of the run.
 func (p *player) wait() {
 	if p.stop != nil {
 		p.stop()
@@ -138,24 +142,24 @@
 	p.client.CloseIdleConnections()
 }
 
-// watch polls all processes until ctx ends.
+// watch polls all processes every PollInterval until ctx ends.
 func (p *player) watch(ctx context.Context, h *live.RunControl) {
 	defer p.wg.Done()
 	for ctx.Err() == nil {
-		all := p.askAll(ctx)
+		all := p.pollStatuses(ctx)
 		h.Post(func() { p.judgeStatuses(h, all) })
 		if p.options.OnConfiguration != nil {
-			p.askShown(ctx, h)
+			p.pollConfiguration(ctx, h)
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(cmp.Or(p.options.Every, askEvery)):
+		case <-time.After(cmp.Or(p.options.PollInterval, pollInterval)):
 		}
 	}
 }
 
-// askAll polls all processes concurrently and returns the statuses of those that answered.
-func (p *player) askAll(ctx context.Context) (all []*status.Status) {
+// pollStatuses polls all processes concurrently and returns the statuses of those that answered.
+func (p *player) pollStatuses(ctx context.Context) (all []*status.Status) {
 	answers := make([]*status.Status, p.schedule.Processes)
 	var wg sync.WaitGroup
 	for i := range answers {
@@ -163,7 +167,7 @@
 		go func() {
 			defer wg.Done()
 			var s status.Status
-			if p.ask(ctx, i, "GET", "/v1/cluster", nil, &s) == http.StatusOK {
+			if p.request(ctx, i, "GET", "/v1/cluster", nil, &s) == http.StatusOK {
 				answers[i] = &s
 			}
 		}()
@@ -177,9 +181,10 @@
 	return all
 }
 
-// ask makes one request to a process's own listener. It returns the status, or 0 if no answer came.
-func (p *player) ask(ctx context.Context, i int, method, path string, in, out any) int {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+// request makes one HTTP request to the own listener of process i, with in as the JSON body, and decodes the answer into out.
+// It returns the HTTP status, or 0 if no answer came or it could not be decoded.
+func (p *player) request(ctx context.Context, i int, method, path string, in, out any) int {
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	body, _ := json.Marshal(in)
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+p.mesh.HTTP(i)+path, bytes.NewReader(body))
@@ -198,11 +203,12 @@
 	return resp.StatusCode
 }
 
-// judgeStatuses judges the statuses of a poll. It runs on the world's goroutine.
+// judgeStatuses processes the statuses of one poll: it updates the judge, the leader, the measurements, and whether all
+// processes agree. It runs on the world's goroutine.
 func (p *player) judgeStatuses(h *live.RunControl, all []*status.Status) {
 	votes := map[string]int{}
 	for _, s := range all {
-		p.judge.Status(s)
+		p.judge.ObserveStatus(s)
 		votes[string(s.Leader)]++
 	}
 	p.mu.Lock()
@@ -214,25 +220,26 @@
 	p.mu.Unlock()
 	p.lastStatuses = all
 	p.now = h.Now()
-	p.measureFalls(p.now, all)
-	p.noteInForce(p.now, all)
+	p.measureOutages(p.now, all)
+	p.recordInForce(p.now, all)
 	if p.options.OnStatuses != nil {
 		p.options.OnStatuses(h.Now(), all)
 	}
-	healed := seconds(p.schedule.LastFaultEnd())
-	if h.Now() <= healed || p.settled && len(p.behind(all)) == 0 {
+	faultsOver := seconds(p.schedule.LastFaultEnd())
+	if h.Now() <= faultsOver || p.settled && len(p.laggingProcesses(all)) == 0 {
 		return
 	}
-	p.settled = false // also for a change that was decided meanwhile
-	why := append(judge.Differences(all, p.schedule.Processes, p.uses("failover")), p.behind(all)...)
-	late := h.Now()-healed > choice.Time(settleTimeout/(100*time.Microsecond))
+	p.settled = false // a change may have been decided since the processes agreed
+	why := append(judge.Differences(all, p.schedule.Processes, p.uses("failover")), p.laggingProcesses(all)...)
+	late := h.Now()-faultsOver > choice.Time(settleTimeout/(100*time.Microsecond))
 	if len(why) == 0 {
-		p.settled, p.settledMS = true, int64((h.Now()-healed)/choice.Millisecond)
+		p.settled, p.settledMS = true, int64((h.Now()-faultsOver)/choice.Millisecond)
 	} else if late {
 		p.differences = why
 	}
 }
 
+// uses reports whether a part of the cluster is enabled.
 func (p *player) uses(what string) bool {
 	for _, use := range p.options.Uses {
 		if use == what {
--- a/lab/cluster/rate/change.go
+++ b/lab/cluster/rate/change.go
@@ -1,7 +1,7 @@
 package rate
 
-// This file changes the settings, as an operator's tool would, at one of the members that are not measured. Each change
-// must be in force everywhere before the next one is ordered.
+// This file changes the settings as an operator's tool does, at a member that is not measured. Each change must be in force
+// at all members before the next one is ordered.
 
 import (
 	"bytes"
@@ -16,12 +16,14 @@
 
 const (
 	changeTimeout = 16 * time.Second
-	// connIdle is the setting that is changed, by connIdleStep each time: how long an idle connection is kept.
+	// connIdle is the initial value of the setting that is changed, the time for which an idle connection is kept. Each change
+	// adds connIdleStep.
 	connIdle     = 10 * time.Second
 	connIdleStep = time.Millisecond
 )
 
-// changeLoop orders one change after the other until it is stopped.
+// changeLoop orders changes one after the other until it is stopped. Its fields inForce and err may be read once done is
+// closed.
 type changeLoop struct {
 	stop    context.CancelFunc
 	done    chan struct{}
@@ -29,10 +31,11 @@
 	err     error
 }
 
+// startChangeLoop starts a loop, or returns one that has ended if the options ask for no changes.
 func startChangeLoop(ctx context.Context, o Options, s *senders) *changeLoop {
 	ordering, stop := context.WithCancel(ctx)
 	all := &changeLoop{stop: stop, done: make(chan struct{})}
-	if s.mesh == nil || o.Plain || o.Every == 0 {
+	if s.mesh == nil || o.Plain || o.ChangeInterval == 0 {
 		close(all.done)
 		return all
 	}
@@ -45,7 +48,7 @@
 				return
 			}
 			all.inForce++
-			if sleep(ordering, o.Every) != nil {
+			if sleep(ordering, o.ChangeInterval) != nil {
 				return
 			}
 		}
@@ -53,14 +56,15 @@
 	return all
 }
 
-// end stops the loop and waits for the change in progress. It returns how many changes came into force, and why one did not.
+// end stops the loop and waits for the change in progress. It returns the number of changes that came into force, and the
+// error of a change that did not.
 func (all *changeLoop) end() (inForce int, err error) {
 	all.stop()
 	<-all.done
 	return all.inForce, all.err
 }
 
-// change orders a change based on a version and waits until it is in force in all processes.
+// change orders a change based on version base and waits until it is in force at all members. It returns the new version.
 func change(ctx context.Context, address string, base uint64) (version uint64, err error) {
 	ctx, stop := context.WithTimeout(ctx, changeTimeout)
 	defer stop()
@@ -89,7 +93,7 @@
 		return 0, err
 	}
 	if answer.StatusCode != http.StatusOK || changed.State != versions.InForce {
-		return 0, fmt.Errorf("a change upon version %d: status %d, state %q, %s", base, answer.StatusCode, changed.State, changed.Error)
+		return 0, fmt.Errorf("change based on version %d: HTTP status %d, state %q, error %q", base, answer.StatusCode, changed.State, changed.Error)
 	}
 	return changed.Version, nil
 }
--- a/lab/cluster/rate/client.go
+++ b/lab/cluster/rate/client.go
@@ -1,6 +1,6 @@
 package rate
 
-// This file plays the client: it hands the next message in once an earlier one has ended, so that the sender sets the rate.
+// This file implements the client. It keeps a fixed number of messages in progress, so that the sender determines the rate.
 
 import (
 	"bufio"
@@ -14,13 +14,13 @@
 )
 
 const (
-	window    = 500 // messages in progress
+	window    = 500 // number of messages in progress
 	bodyBytes = 200
-	// windowWait is how long the client waits if the window is full.
-	windowWait = 500 * time.Microsecond
+	// windowPollInterval is the time for which the client waits if the window is full.
+	windowPollInterval = 500 * time.Microsecond
 )
 
-// client is one connection that hands messages in until it is closed.
+// client is one connection that submits messages until it is closed.
 type client struct {
 	connection net.Conn
 	out        *environment
@@ -28,7 +28,8 @@
 	running    sync.WaitGroup
 }
 
-func handIn(address string, out *environment) (*client, error) {
+// startClient connects to a sender and starts to submit messages.
+func startClient(address string, out *environment) (*client, error) {
 	connection, err := net.Dial("tcp", address)
 	if err != nil {
 		return nil, err
@@ -39,13 +40,14 @@
 	return c, nil
 }
 
+// close closes the connection and waits for the goroutines.
 func (c *client) close() {
 	close(c.stop)
 	c.connection.Close()
 	c.running.Wait()
 }
 
-// read counts the messages that the sender did not accept.
+// read counts the messages that the sender did not accept, by its error replies.
 func (c *client) read() {
 	for lines := bufio.NewScanner(c.connection); lines.Scan(); {
 		if strings.HasPrefix(lines.Text(), "-") {
@@ -54,14 +56,15 @@
 	}
 }
 
+// write submits messages until the client is closed.
 func (c *client) write() {
 	body := []byte(strings.Repeat("x", bodyBytes))
 	for sent := int64(0); ; {
-		// A message that is delivered twice counts as two that have ended; hence the bound of one window at a time.
-		available := min(window, window-(sent-c.out.counts().over()))
+		// A message that is delivered twice counts as two ended messages, so that the difference alone may exceed the window.
+		available := min(window, window-(sent-c.out.counts().total()))
 		if available <= 0 {
 			select {
-			case <-time.After(windowWait):
+			case <-time.After(windowPollInterval):
 				continue
 			case <-c.stop:
 				return
--- a/lab/cluster/rate/environment.go
+++ b/lab/cluster/rate/environment.go
@@ -1,7 +1,7 @@
 package rate
 
-// This file serves what senders call: endpoints that accept every message, discovery without updates, and the platform. It
-// must be fast enough not to be the bottleneck.
+// This file serves the peers of the senders: endpoints that accept every message, service discovery without updates, and the
+// platform that receives outcome callbacks. It must be fast enough not to be the bottleneck.
 
 import (
 	"bytes"
@@ -18,48 +18,51 @@
 )
 
 const (
-	// outsideHosts is the number of loopback addresses over which endpoints are spread.
-	outsideHosts = 16
-	destinations = 610
-	// endpointsEach is how many endpoints a destination has.
+	// endpointHosts is the number of loopback addresses over which the endpoints are spread.
+	endpointHosts = 16
+	destinations  = 610
+	// endpointsEach is the number of endpoints of a destination.
 	endpointsEach = 2
-	// aliveEvery is how often discovery sends an empty line on a watch.
-	aliveEvery = time.Second
+	// keepAliveInterval is the time between the empty lines that discovery sends on a watch.
+	keepAliveInterval = time.Second
 )
 
-// environment serves everything that senders call.
+// environment holds the servers and counts the messages by how they ended.
 type environment struct {
-	addresses []string
+	addresses []string // of the servers; each serves all paths
 	servers   []*http.Server
 	stop      chan struct{}
 	serving   sync.WaitGroup
 
-	delivered, refused, ended atomic.Int64
+	delivered, refused, undelivered atomic.Int64
 }
 
-// counts are the numbers of messages by how they ended.
-type counts struct{ delivered, refused, ended int64 }
+// counts holds the numbers of messages by how they ended.
+type counts struct{ delivered, refused, undelivered int64 }
 
+// counts returns the current numbers.
 func (o *environment) counts() counts {
-	return counts{o.delivered.Load(), o.refused.Load(), o.ended.Load()}
+	return counts{o.delivered.Load(), o.refused.Load(), o.undelivered.Load()}
 }
 
-// over is how many messages have ended.
-func (c counts) over() int64 { return c.delivered + c.refused + c.ended }
+// total returns the number of messages that have ended.
+func (c counts) total() int64 { return c.delivered + c.refused + c.undelivered }
 
-// awaitFirst waits for the first delivery: a sender that joins a cluster sends nothing until it knows the newest settings.
-func (o *environment) awaitFirst(ctx context.Context) error {
+// awaitFirstDelivery waits for the first delivery. A sender that joins a cluster sends no message before it has the newest
+// settings.
+func (o *environment) awaitFirstDelivery(ctx context.Context) error {
 	for o.delivered.Load() == 0 {
-		if err := sleep(ctx, pollEvery); err != nil {
+		if err := sleep(ctx, pollInterval); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
+// openEnvironment starts a server on each loopback address.
 func openEnvironment() (*environment, error) {
 	o := &environment{stop: make(chan struct{})}
-	for i := range outsideHosts {
+	for i := range endpointHosts {
 		listener, err := net.Listen("tcp", fmt.Sprintf("127.0.0.%d:0", i+1))
 		if err != nil {
 			o.close()
@@ -73,6 +76,7 @@
 	return o, nil
 }
 
+// close closes the servers and waits for them.
 func (o *environment) close() {
 	close(o.stop)
 	for _, server := range o.servers {
@@ -81,6 +85,7 @@
 	o.serving.Wait()
 }
 
+// handler returns the handler of all paths that senders call.
 func (o *environment) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("/inbox", func(_ http.ResponseWriter, r *http.Request) {
@@ -89,16 +94,16 @@
 	})
 	mux.HandleFunc("/v1/outcomes", func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
-		o.ended.Add(int64(bytes.Count(body, []byte("\n"))))
+		o.undelivered.Add(int64(bytes.Count(body, []byte("\n"))))
 		w.WriteHeader(http.StatusNoContent)
 	})
-	mux.HandleFunc("/api/targets", o.follow)
+	mux.HandleFunc("/api/targets", o.serveWatch)
 	return mux
 }
 
-// follow serves a watch on discovery. Senders know the full list from their start, and nothing changes.
-func (o *environment) follow(w http.ResponseWriter, r *http.Request) {
-	alive := time.NewTicker(aliveEvery)
+// serveWatch serves a watch on discovery. It sends keep-alive lines only, since senders are configured with the full list.
+func (o *environment) serveWatch(w http.ResponseWriter, r *http.Request) {
+	alive := time.NewTicker(keepAliveInterval)
 	defer alive.Stop()
 	out := http.NewResponseController(w)
 	for {
@@ -115,7 +120,7 @@
 	}
 }
 
-// list is the endpoint list: all destinations, in the only zone.
+// list returns the endpoint list of all destinations, in the only zone.
 func (o *environment) list() directory.List {
 	list := directory.List{Version: 1, Full: true}
 	for destination := range destinations {
--- a/lab/cluster/rate/pairs.go
+++ b/lab/cluster/rate/pairs.go
@@ -7,25 +7,25 @@
 	"slices"
 )
 
-// Pair is a run without the cluster and the run with it that followed.
+// Pair holds two consecutive runs, one without the cluster and one with it.
 type Pair struct{ Without, With Figure }
 
-// Ratio is the rate with the cluster divided by the rate without.
+// Ratio returns the message rate with the cluster divided by the rate without it.
 func (p Pair) Ratio() float64 { return p.With.PerSecond() / p.Without.PerSecond() }
 
 // Summary describes a set of ratios.
 type Summary struct {
-	Mean, Deviation float64 // Deviation is the sample's standard deviation, 0 for fewer than two
-	Least, Most     float64
+	Mean, Deviation float64 // Deviation is the sample standard deviation, 0 for fewer than two ratios
+	Min, Max        float64
 }
 
-// Summarize describes ratios, of which there must be at least one.
+// Summarize returns the summary of ratios. There must be at least one.
 func Summarize(ratios []float64) Summary {
 	sum, squares := 0.0, 0.0
 	for _, ratio := range ratios {
 		sum += ratio
 	}
-	s := Summary{Mean: sum / float64(len(ratios)), Least: slices.Min(ratios), Most: slices.Max(ratios)}
+	s := Summary{Mean: sum / float64(len(ratios)), Min: slices.Min(ratios), Max: slices.Max(ratios)}
 	for _, ratio := range ratios {
 		squares += (ratio - s.Mean) * (ratio - s.Mean)
 	}
--- a/lab/cluster/rate/process.go
+++ b/lab/cluster/rate/process.go
@@ -1,7 +1,7 @@
 package rate
 
-// This file starts and stops the senders' processes, with their folders, configuration and cluster files. A process counts
-// as ready only once it has answered.
+// This file starts and stops the sender processes and writes their configuration and cluster files. A process counts as ready
+// only once it has answered a PING.
 
 import (
 	"context"
@@ -27,16 +27,17 @@
 const (
 	setUpTimeout = 40 * time.Second
 	endTimeout   = 5 * time.Second
-	pollEvery    = 50 * time.Millisecond
-	// tick is the unit of processor times in /proc, on every Linux that Go runs on.
-	tick = 10 * time.Millisecond
+	pollInterval = 50 * time.Millisecond
+	// clockTick is the unit of processor times in /proc. It has this value on every Linux that Go supports.
+	clockTick = 10 * time.Millisecond
 
 	class = "status"
 	kind  = "one"
 	zone  = "z0"
 )
 
-// settingsText is the settings object of all senders, with limits above what the client has in progress.
+// settingsText is the settings object of all senders. Its limits are above the number of messages that the client keeps in
+// progress.
 const settingsText = `{"balancers":1,"quantum":5000000,"machineTypes":["one"],"zones":["z0"],
 "bounds":{"maxOpen":100000,"maxAttempts":9,"connIdle":10000000000,"dialTimeout":1000000000,"probing":true,"retryAfter":true,
 "maxRetryAfter":2000000000},
@@ -44,19 +45,21 @@
 "extra":{"bundleMax":[1],"callsOut":256},
 "rules":{"cold":1000000000,"coldFrom":0.5,"fallMultiple":2},"stats":{"fields":["x0","x1"]}}`
 
-// sender is one process.
+// sender is one sender process.
 type sender struct {
-	listen  string // its address, "" until its log names it
-	log     string
+	listen  string // its listen address; "" until it is in the log
+	log     string // path of its log file
 	command *exec.Cmd
-	exited  chan struct{}
+	exited  chan struct{} // closed once the process has ended
 }
 
+// senders holds all sender processes of a run and the relays between them.
 type senders struct {
 	all  []*sender
 	mesh *mesh.Mesh // nil without a cluster
 }
 
+// startSenders starts all processes of a run in folders below home.
 func startSenders(ctx context.Context, o Options, home string, out *environment) (s *senders, err error) {
 	s = &senders{}
 	if o.Cluster {
@@ -73,6 +76,7 @@
 	return s, nil
 }
 
+// openMesh opens the relays between the processes of a cluster; all are founders in one zone.
 func openMesh(o Options) (*mesh.Mesh, error) {
 	all := mesh.Options{Cluster: "rate"}
 	if !o.Plain {
@@ -86,7 +90,7 @@
 	return mesh.Open(all, o.Port)
 }
 
-// start starts one process in a folder of its own.
+// start starts process no in the folder home, with a cluster file if there is a cluster.
 func (s *senders) start(ctx context.Context, o Options, no int, home string, out *environment) error {
 	if err := os.MkdirAll(filepath.Join(home, "state"), 0o755); err != nil {
 		return err
@@ -112,7 +116,7 @@
 	one.command = exec.CommandContext(ctx, o.Command[0], arguments...)
 	one.command.Env = append(os.Environ(), "EDGE_CONFIG="+path, "EDGE_NAME=", "EDGE_LISTEN=", "EDGE_DISCOVERY=", "EDGE_STATE=")
 	one.command.Stdout, one.command.Stderr = log, log
-	one.command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // it is killed with this process
+	one.command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // the kernel kills it when this process ends
 	if err := one.command.Start(); err != nil {
 		return err
 	}
@@ -132,12 +136,13 @@
 	return os.WriteFile(path, text, 0o644)
 }
 
+// writeConfiguration writes the configuration file of process no.
 func writeConfiguration(path string, no int, state string, out *environment) error {
 	var settings map[string]any
 	if err := json.Unmarshal([]byte(settingsText), &settings); err != nil {
 		return err
 	}
-	settings["zone"], settings["slotNo"] = 0, 0 // their numbers
+	settings["zone"], settings["slotNo"] = 0, 0 // numbers of the zone and of the slot
 	text, err := json.Marshal(map[string]any{
 		"name": fmt.Sprintf("s%d", no), "listen": "127.0.0.1:0", "discovery": out.addresses[0], "state": state, "seed": "1",
 		"limits": map[string]any{"memory_mb": 1024, "sockets": 16384, "disk_mb": 1024},
@@ -148,38 +153,39 @@
 	return os.WriteFile(path, text, 0o644)
 }
 
-// awaitReady waits until each process serves and, in a cluster, knows the leader.
+// awaitReady waits until each process answers and, in a cluster, reports a leader.
 func (s *senders) awaitReady(ctx context.Context) error {
 	for _, one := range s.all {
 		for !one.ready() {
 			select {
 			case <-one.exited:
 				text, _ := os.ReadFile(one.log)
-				return fmt.Errorf("a sender ended by itself: %s", text)
+				return fmt.Errorf("a sender process ended during start-up, with the log: %s", text)
 			case <-ctx.Done():
-				return errors.New("not all senders were ready in time")
-			case <-time.After(pollEvery):
+				return errors.New("not all senders answered within the time limit")
+			case <-time.After(pollInterval):
 			}
 		}
 	}
 	for no := 0; s.mesh != nil && no < len(s.all); {
 		if knowsLeader(ctx, s.mesh.HTTP(no)) {
 			no++
-		} else if sleep(ctx, pollEvery) != nil {
-			return errors.New("not all members knew who leads in time")
+		} else if sleep(ctx, pollInterval) != nil {
+			return errors.New("not all members reported a leader within the time limit")
 		}
 	}
 	return nil
 }
 
+// knowsLeader reports whether the member at an HTTP address reports a leader.
 func knowsLeader(ctx context.Context, address string) bool {
 	ctx, stop := context.WithTimeout(ctx, time.Second)
 	defer stop()
-	question, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/v1/cluster", nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/v1/cluster", nil)
 	if err != nil {
 		return false
 	}
-	answer, err := http.DefaultClient.Do(question)
+	answer, err := http.DefaultClient.Do(request)
 	if err != nil {
 		return false
 	}
@@ -188,10 +194,10 @@
 	return json.NewDecoder(answer.Body).Decode(&answered) == nil && answered.Leader != ""
 }
 
-// ready reports whether the sender answers at the address that its log names.
+// ready reports whether the sender answers a PING at the address in its log.
 func (one *sender) ready() bool {
 	if one.listen == "" {
-		one.listen = addressIn(one.log)
+		one.listen = loggedAddress(one.log)
 	}
 	if one.listen == "" {
 		return false
@@ -210,8 +216,8 @@
 	return err == nil && string(answer) == "+PONG"
 }
 
-// addressIn is the address that a sender's log names, or "" if it names none yet.
-func addressIn(path string) string {
+// loggedAddress returns the listen address in the sender's log at path, or "" if it is not logged yet.
+func loggedAddress(path string) string {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return ""
@@ -225,7 +231,7 @@
 	return ""
 }
 
-// end sends all processes SIGTERM and kills those that do not end in time.
+// end sends SIGTERM to all processes, kills those that do not end within endTimeout, and closes the relays.
 func (s *senders) end() {
 	for _, one := range s.all {
 		one.command.Process.Signal(syscall.SIGTERM)
@@ -246,7 +252,7 @@
 	}
 }
 
-// processorTime is the processor time of a process so far, in user and system mode.
+// processorTime returns the processor time that a process has used so far, in user and system mode.
 func processorTime(pid int) (time.Duration, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -255,12 +261,13 @@
 	return parseProcessorTime(string(text))
 }
 
-// parseProcessorTime reads fields 14 and 15 of /proc/PID/stat. Field 2 is a name that may contain any characters.
+// parseProcessorTime adds fields 14 and 15 of /proc/PID/stat. Field 2, the name of the program in parentheses, may contain any
+// character, so that fields are counted from its end.
 func parseProcessorTime(stat string) (time.Duration, error) {
-	const user, system = 14 - 3, 15 - 3 // counted from the field behind the name
+	const user, system = 14 - 3, 15 - 3 // indexes from the field after the name
 	fields := strings.Fields(stat[strings.LastIndexByte(stat, ')')+1:])
 	if len(fields) <= system {
-		return 0, fmt.Errorf("/proc/PID/stat has %d fields behind the name", len(fields))
+		return 0, fmt.Errorf("/proc/PID/stat has %d fields after the name, too few for the processor time", len(fields))
 	}
 	total := 0
 	for _, field := range []string{fields[user], fields[system]} {
@@ -270,5 +277,5 @@
 		}
 		total += ticks
 	}
-	return time.Duration(total) * tick, nil
+	return time.Duration(total) * clockTick, nil
 }
--- a/lab/cluster/rate/rate_test.go
+++ b/lab/cluster/rate/rate_test.go
@@ -52,7 +52,7 @@
 		t.Fatal(err)
 	}
 	t.Logf("cluster %t, plain %t: %.0f messages a second, %v of processor time each, %.2f cores; %d refused, %d ended, %d changes in force; load %s",
-		o.Cluster, o.Plain, figure.PerSecond(), figure.ProcessorPerMessage(), figure.Cores(), figure.Refused, figure.Ended, figure.Changes, load())
+		o.Cluster, o.Plain, figure.PerSecond(), figure.ProcessorPerMessage(), figure.Cores(), figure.Refused, figure.Undelivered, figure.Changes, load())
 	return figure
 }
 
@@ -66,7 +66,7 @@
 func TestAllWays(t *testing.T) {
 	for name, o := range map[string]Options{"cluster=false": {}, "cluster=true": {Cluster: true}, "plain cluster": {Cluster: true, Plain: true}} {
 		t.Run(name, func(t *testing.T) {
-			o.Warm, o.For, o.Every = time.Second, 2*time.Second, 300*time.Millisecond
+			o.WarmUp, o.MeasuredSpan, o.ChangeInterval = time.Second, 2*time.Second, 300*time.Millisecond
 			figure := run(t, o)
 			if figure.Delivered == 0 || figure.Refused > 0 {
 				t.Errorf("measured %+v", figure)
@@ -89,7 +89,7 @@
 // compare runs pairs, the order within a pair turning with each, so that a machine that calms down favours neither.
 func compare(b *testing.B, without, with Options) {
 	for _, o := range []*Options{&without, &with} {
-		o.Warm, o.For, o.Every = warm, time.Duration(*seconds*float64(time.Second)), *every
+		o.WarmUp, o.MeasuredSpan, o.ChangeInterval = warm, time.Duration(*seconds*float64(time.Second)), *every
 	}
 	var rates, processor []float64
 	for no := range *pairs {
@@ -112,8 +112,8 @@
 
 func TestSummarize(t *testing.T) {
 	got := Summarize([]float64{0.98, 1.00, 1.02})
-	want := Summary{Mean: 1, Deviation: 0.02, Least: 0.98, Most: 1.02}
-	if math.Abs(got.Mean-want.Mean) > 1e-12 || math.Abs(got.Deviation-want.Deviation) > 1e-12 || got.Least != want.Least || got.Most != want.Most {
+	want := Summary{Mean: 1, Deviation: 0.02, Min: 0.98, Max: 1.02}
+	if math.Abs(got.Mean-want.Mean) > 1e-12 || math.Abs(got.Deviation-want.Deviation) > 1e-12 || got.Min != want.Min || got.Max != want.Max {
 		t.Errorf("got %+v, want %+v", got, want)
 	}
 	if one := Summarize([]float64{0.9}); one != (Summary{0.9, 0, 0.9, 0.9}) {
--- a/lab/cluster/relay/datagram.go
+++ b/lab/cluster/relay/datagram.go
@@ -6,17 +6,19 @@
 	"time"
 )
 
-// This file forwards datagrams. Each sender is served from a port of its own, so that answers find their way back.
+// This file forwards datagrams. Each sender gets its own port towards the target, so that replies can be assigned to it.
 
+// maxDatagram is the size of the receive buffers in bytes.
 const maxDatagram = 64 << 10
 
-// flow is one sender of datagrams, with the port that it is served from.
+// flow is the forwarding state of one sender of datagrams: the port towards the target and the time of its last datagram.
 type flow struct {
-	out   *net.UDPConn
-	heard time.Time
+	out          *net.UDPConn
+	lastReceived time.Time
 }
 
-func (r *Relay) datagrams() {
+// forwardDatagrams forwards datagrams to the target until the port is closed.
+func (r *Relay) forwardDatagrams() {
 	defer r.wg.Done()
 	buf := make([]byte, maxDatagram)
 	for {
@@ -32,7 +34,8 @@
 	}
 }
 
-// send forwards a datagram, now or after a delay. Stalled ones are lost, as no network keeps datagrams.
+// send forwards a datagram, at once or after the fault's delay. A stalled direction loses datagrams, since no network stores
+// them.
 func (r *Relay) send(b []byte, d Direction, write func([]byte)) {
 	f, closed := r.fault(d)
 	if closed || f.Drop || f.Stall {
@@ -45,14 +48,14 @@
 	time.AfterFunc(f.Delay, func() { write(b) })
 }
 
-// flow is the flow of a sender, a new one if it has none. It is nil if the relay is closed, has too many flows or cannot
-// open one.
+// flow returns the flow of a sender and opens one if there is none. It returns nil if the relay is closed, has maxFlows flows,
+// or cannot open a port.
 func (r *Relay) flow(from *net.UDPAddr) *flow {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
 	if f := r.flows[from.String()]; f != nil {
-		f.heard = now
+		f.lastReceived = now
 		return f
 	}
 	r.closeIdleFlows(now)
@@ -72,29 +75,29 @@
 	r.wg.Add(1)
 	go func() {
 		defer r.wg.Done()
-		r.answers(out, from)
+		r.forwardReplies(out, from)
 	}()
 	return f
 }
 
-// closeIdleFlows closes the flows of senders that were not heard for flowIdleTimeout. The caller holds mu.
+// closeIdleFlows closes the flows that received no datagram for flowIdleTimeout. The caller holds mu.
 func (r *Relay) closeIdleFlows(now time.Time) {
 	for key, f := range r.flows {
-		if now.Sub(f.heard) > flowIdleTimeout {
+		if now.Sub(f.lastReceived) > flowIdleTimeout {
 			f.out.Close()
 			delete(r.flows, key)
 		}
 	}
 }
 
-// answers carries what comes back on a flow until it is closed.
-func (r *Relay) answers(out *net.UDPConn, to *net.UDPAddr) {
+// forwardReplies forwards the replies of a flow to its sender until the flow is closed.
+func (r *Relay) forwardReplies(out *net.UDPConn, to *net.UDPAddr) {
 	buf := make([]byte, maxDatagram)
 	for {
 		n, err := out.Read(buf)
 		if err != nil {
 			if err, is := err.(net.Error); is && !err.Timeout() && !isClosed(err) {
-				continue // the system reports that nobody listened for an earlier datagram
+				continue // an ICMP error: nothing listened at the target when an earlier datagram arrived
 			}
 			return
 		}
--- a/lab/cluster/relay/relay.go
+++ b/lab/cluster/relay/relay.go
@@ -1,8 +1,8 @@
-// Package relay forwards bytes between two processes of the laboratory and can be made to fail.
+// Package relay forwards TCP and UDP traffic between two processes of the laboratory and injects faults into it.
 //
-// A Relay is how one process reaches another: a TCP and a UDP port on loopback, forwarded to the other's real ones. Each
-// direction can fail by itself, so that a cut can be one way. A relay does not interpret what it carries, connects to
-// loopback only, and leaves no goroutine behind once it is closed.
+// A Relay listens on a TCP and a UDP port on loopback and forwards to the ports of the target process. Each direction has its
+// own fault, so that a cut can affect one direction only. A relay does not interpret the traffic, uses loopback addresses only,
+// and leaves no goroutine behind once it is closed.
 package relay
 
 import (
@@ -15,16 +15,16 @@
 	"flaxcove/internal/loopback"
 )
 
-// Fault is what a relay does to one direction. The zero Fault forwards everything.
+// Fault is the fault of one direction of a relay. The zero Fault forwards everything.
 type Fault struct {
-	// Drop loses datagrams, and bytes of streams, which stay open and silent as when a machine is cut off. New connections
-	// come up and stay silent, or are refused with Refuse.
+	// Drop discards datagrams and the bytes of streams. Streams stay open and silent, as when a machine is cut off. New
+	// connections are accepted and stay silent, unless Refuse is set as well.
 	Drop bool
-	// Stall holds the bytes of streams back until it is over, and then forwards them in order. Datagrams are lost.
+	// Stall holds the bytes of streams back until it is cleared, and then forwards them in order. Datagrams are lost.
 	Stall bool
-	// Refuse resets new connections at once; established ones go on.
+	// Refuse resets new connections at once. Established connections are not affected.
 	Refuse bool
-	// Delay is added to the latency of everything.
+	// Delay is added to the latency of all traffic.
 	Delay time.Duration
 }
 
@@ -32,25 +32,25 @@
 type Direction int
 
 const (
-	Forward Direction = iota // from the process that uses the relay to the other
+	Forward Direction = iota // from the process that connects to the relay to the target
 	Backward
 )
 
 const (
-	chunkBytes      = 16 << 10
-	dialTimeout     = time.Second
-	flowIdleTimeout = 30 * time.Second // after which a UDP sender is forgotten
-	maxFlows        = 64
-	pollEvery       = 5 * time.Millisecond // how often a stalled direction checks whether the fault is over
+	chunkBytes        = 16 << 10
+	dialTimeout       = time.Second
+	flowIdleTimeout   = 30 * time.Second // after which a UDP flow without datagrams is closed
+	maxFlows          = 64
+	stallPollInterval = 5 * time.Millisecond // time between two checks of a stalled direction's fault
 )
 
-// Relay forwards from one process to another, and what comes back. Its methods may be called from any goroutine.
+// Relay forwards traffic from one process to another, and the replies. Its methods may be called concurrently.
 type Relay struct {
 	target string
 	tcp    net.Listener
 	udp    *net.UDPConn
 
-	mu     sync.Mutex
+	mu     sync.Mutex // guards the fields below, except wg
 	faults [2]Fault
 	conns  map[net.Conn]struct{}
 	flows  map[string]*flow
@@ -58,23 +58,23 @@
 	wg     sync.WaitGroup
 }
 
-// Open listens at addr, TCP and UDP, and forwards to target.
+// Open listens at addr by TCP and UDP and forwards to target. It returns an error unless addr is on loopback.
 func Open(addr, target string) (*Relay, error) {
 	tcp, udp, err := loopback.ListenPair(addr)
 	if err != nil {
 		return nil, err
 	}
 	if at := tcp.Addr().(*net.TCPAddr); !at.IP.IsLoopback() {
-		return nil, errors.Join(fmt.Errorf("%s is not on loopback", addr), tcp.Close(), udp.Close())
+		return nil, errors.Join(fmt.Errorf("relay address %s is not on loopback", addr), tcp.Close(), udp.Close())
 	}
 	r := &Relay{target: target, tcp: tcp, udp: udp, conns: map[net.Conn]struct{}{}, flows: map[string]*flow{}}
 	r.wg.Add(2)
 	go r.accept()
-	go r.datagrams()
+	go r.forwardDatagrams()
 	return r, nil
 }
 
-// Addr is the address at which the relay listens.
+// Addr returns the address at which the relay listens.
 func (r *Relay) Addr() string { return r.tcp.Addr().String() }
 
 // Set replaces the fault of a direction.
@@ -84,7 +84,7 @@
 	r.mu.Unlock()
 }
 
-// Reset closes all connections through the relay with a TCP reset.
+// Reset closes all TCP connections through the relay with a reset.
 func (r *Relay) Reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -96,7 +96,7 @@
 	}
 }
 
-// Close closes the relay and waits for its goroutines.
+// Close closes the relay and all its connections and waits for its goroutines.
 func (r *Relay) Close() {
 	r.mu.Lock()
 	r.closed = true
@@ -112,28 +112,30 @@
 	r.wg.Wait()
 }
 
+// fault returns the current fault of a direction, and whether the relay is closed.
 func (r *Relay) fault(d Direction) (f Fault, closed bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.faults[d], r.closed
 }
 
-// waitForFault waits while a direction is stalled or delayed. It is false if what is to be forwarded is lost.
-func (r *Relay) waitForFault(d Direction) bool {
-	late := time.Time{}
+// applyFault waits while a direction is stalled or delayed. It returns false if the data is to be discarded, since the
+// direction drops it or the relay is closed.
+func (r *Relay) applyFault(d Direction) bool {
+	due := time.Time{}
 	for {
 		f, closed := r.fault(d)
 		switch {
 		case closed:
 			return false
 		case f.Stall:
-			time.Sleep(pollEvery)
+			time.Sleep(stallPollInterval)
 		case f.Drop:
 			return false
-		case f.Delay > 0 && late.IsZero():
-			late = time.Now().Add(f.Delay)
-		case !late.IsZero() && time.Now().Before(late):
-			time.Sleep(min(pollEvery, time.Until(late)))
+		case f.Delay > 0 && due.IsZero():
+			due = time.Now().Add(f.Delay)
+		case !due.IsZero() && time.Now().Before(due):
+			time.Sleep(min(stallPollInterval, time.Until(due)))
 		default:
 			return true
 		}
--- a/lab/cluster/relay/stream.go
+++ b/lab/cluster/relay/stream.go
@@ -7,6 +7,7 @@
 
 // This file forwards TCP connections.
 
+// accept accepts connections until the listener is closed. It resets them while Refuse is set.
 func (r *Relay) accept() {
 	defer r.wg.Done()
 	for {
@@ -24,7 +25,7 @@
 	}
 }
 
-// register has a connection closed with the relay. It is false if the relay is closed already.
+// register adds a connection to those that Reset and Close close. It returns false if the relay is closed.
 func (r *Relay) register(c net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -34,6 +35,7 @@
 	return !r.closed
 }
 
+// unregister removes a connection and closes it.
 func (r *Relay) unregister(c net.Conn) {
 	r.mu.Lock()
 	delete(r.conns, c)
@@ -41,11 +43,12 @@
 	c.Close()
 }
 
+// serve connects to the target and forwards both directions of a connection until it ends.
 func (r *Relay) serve(in net.Conn) {
 	defer r.wg.Done()
 	defer r.unregister(in)
-	if !r.waitForFault(Forward) {
-		io.Copy(io.Discard, in) // cut off: the caller gets no answer until it gives up
+	if !r.applyFault(Forward) {
+		io.Copy(io.Discard, in) // the direction is cut: keep the connection open and silent until the caller closes it
 		return
 	}
 	out, err := net.DialTimeout("tcp", r.target, dialTimeout)
@@ -69,8 +72,9 @@
 	<-done
 }
 
-// copyDirection forwards from one connection to another. Once bytes were lost the rest of the stream is useless: the stream
-// stays silent from then on, also after the cut, until an end gives up, as on a network that forgets a flow.
+// copyDirection forwards bytes from one connection to another until one of them ends. Once bytes were lost, the rest of the
+// stream is useless: the stream stays silent even after the fault ends, until an end closes it, as on a network that drops the
+// state of a flow.
 func (r *Relay) copyDirection(to, from net.Conn, d Direction) {
 	defer to.Close()
 	defer from.Close()
@@ -78,13 +82,13 @@
 	for {
 		n, err := from.Read(buf)
 		if err != nil {
-			if r.waitForFault(d) {
+			if r.applyFault(d) {
 				return
 			}
-			io.Copy(io.Discard, to) // the end of the connection is lost too
+			io.Copy(io.Discard, to) // the close is lost, too: the other end notices nothing
 			return
 		}
-		if !r.waitForFault(d) {
+		if !r.applyFault(d) {
 			io.Copy(io.Discard, from)
 			return
 		}
--- a/lab/cluster/schedule/draw.go
+++ b/lab/cluster/schedule/draw.go
@@ -8,23 +8,25 @@
 	"slices"
 )
 
-// Size is how large drawn schedules are.
+// Size bounds the schedules that Draw draws.
 type Size struct {
 	Processes, Zones, Regions int
 	Seconds, Rate             float64
-	Faults                    int // at most
+	Faults                    int // at most this many
 	Purges                    int
 	Changes                   int
 }
 
-// drawnKinds are the kinds of fault that are drawn; the order is part of what a seed means.
+// drawnKinds are the kinds of fault that Draw draws from. Their order determines the schedule that belongs to a seed.
 var drawnKinds = []string{"cut", "one_way", "flap", "stall", "late", "reset", "stop", "kill", "empty", "leader", "zone"}
 
-// settleSeconds is how long before the traffic ends the last fault does, so that no verdict depends on luck.
+// settleSeconds is the time in seconds between the end of the last fault and the end of the traffic. Without it the verdict
+// of a run would depend on chance.
 const settleSeconds = 2
 
-// Draw makes a schedule from a seed: the same one each time. What could make its verdict depend on luck is left out: all
-// faults end settleSeconds before the traffic does, and at most one process has its folder emptied, as what it owed is lost.
+// Draw returns a schedule that depends on the seed and the size only. It leaves out what would make the verdict of a run
+// depend on chance: all faults end settleSeconds before the traffic does, and at most one process has its folder emptied,
+// since the messages that it accepted are lost.
 func Draw(seed uint64, size Size) *Schedule {
 	r := rand.New(rand.NewPCG(seed, 0xc105))
 	s := &Schedule{Name: fmt.Sprintf("drawn-%d", seed), Seed: seed, Processes: size.Processes, Zones: size.Zones,
@@ -43,24 +45,25 @@
 		s.Faults = append(s.Faults, f)
 	}
 	for range size.Purges {
-		s.Purges = append(s.Purges, Purge{At: tenth(1 + r.Float64()*(last-1)), By: r.IntN(size.Processes), Subject: "notices",
+		s.Purges = append(s.Purges, Purge{At: truncateToTenth(1 + r.Float64()*(last-1)), By: r.IntN(size.Processes), Subject: "notices",
 			Destination: r.IntN(4), Class: []string{"", "status", "order"}[r.IntN(3)]})
 	}
 	for range size.Changes {
-		s.Changes = append(s.Changes, Change{At: tenth(1 + r.Float64()*(last-1)), By: r.IntN(size.Processes), Back: r.IntN(4) == 0})
+		s.Changes = append(s.Changes, Change{At: truncateToTenth(1 + r.Float64()*(last-1)), By: r.IntN(size.Processes), Back: r.IntN(4) == 0})
 	}
 	return s
 }
 
-// drawFault draws a fault that ends by last. It makes the same draws for every kind, whether or not the kind uses them.
+// drawFault draws a fault that ends by second last. It draws the same random numbers for every kind, whether or not the kind
+// uses them.
 func drawFault(r *rand.Rand, size Size, last float64) Fault {
 	f := Fault{
 		Kind:  drawnKinds[r.IntN(len(drawnKinds))],
-		At:    tenth(1 + r.Float64()*(last-2)),
+		At:    truncateToTenth(1 + r.Float64()*(last-2)),
 		MS:    float64(20 + r.IntN(300)),
 		Every: 0.5 + float64(r.IntN(4))/2,
 	}
-	f.Seconds = tenth(min(0.5+r.Float64()*4, last-f.At))
+	f.Seconds = truncateToTenth(min(0.5+r.Float64()*4, last-f.At))
 	group := 1 + r.IntN(max(1, (size.Processes-1)/2))
 	f.From = r.Perm(size.Processes)[:group]
 	slices.Sort(f.From)
@@ -68,7 +71,7 @@
 	return f
 }
 
-// clearUnusedFields drops what was drawn and means nothing for this kind of fault.
+// clearUnusedFields clears the drawn fields that this kind of fault does not use.
 func (f *Fault) clearUnusedFields() {
 	switch f.Kind {
 	case "stop", "kill":
@@ -89,4 +92,5 @@
 	}
 }
 
-func tenth(v float64) float64 { return float64(int(v*10)) / 10 }
+// truncateToTenth drops the digits after the first decimal place.
+func truncateToTenth(v float64) float64 { return float64(int(v*10)) / 10 }
--- a/lab/cluster/schedule/select.go
+++ b/lab/cluster/schedule/select.go
@@ -6,22 +6,22 @@
 	"slices"
 )
 
-// Selection chooses the processes that a fault affects, for fleets too large to name each. A field that is left out does
-// not narrow the choice; the zero Selection chooses none.
+// Selection selects the processes that a fault affects in fleets that are too large to list them. A zero field does not
+// restrict the selection; the zero Selection selects no process.
 type Selection struct {
-	Zone   int     `toml:"zone"`   // from 1
-	Region int     `toml:"region"` // from 1
-	Share  float64 `toml:"share"`  // of all processes
+	Zone   int     `toml:"zone"`   // number of a zone, from 1
+	Region int     `toml:"region"` // number of a region, from 1
+	Share  float64 `toml:"share"`  // fraction of all processes of the schedule
 	Count  int     `toml:"count"`
-	// OverS has the fault affect one process after the other, evenly over this many seconds.
+	// OverS spreads the fault over this many seconds: it affects one process after the other at even intervals.
 	OverS float64 `toml:"over_s"`
 }
 
-// Locations give the zone and the region of a process, counted from 1.
+// Locations returns the zone and the region of a process, counted from 1.
 type Locations struct{ Zone, Region func(process int) int }
 
-// Affected returns the processes that a fault affects: those it names, or else those that it selects, which are drawn from
-// the schedule's seed if they are only a part.
+// Affected returns the processes that a fault affects: those in From, or else those that Select matches. If Select asks for
+// fewer than match, they are drawn with the schedule's seed.
 func (s *Schedule) Affected(f *Fault, at Locations) []int {
 	if len(f.From) > 0 || f.Select == (Selection{}) {
 		return f.From
--- a/lab/cluster/schedule/shrink.go
+++ b/lab/cluster/schedule/shrink.go
@@ -1,11 +1,11 @@
 package schedule
 
-// Shrink removes from a failing schedule what is not needed to make it fail, one thing at a time. It calls fails at most
-// attempts times.
+// Shrink removes faults, purges, changes and affected processes from a failing schedule, one at a time, as long as it still
+// fails. It calls fails at most attempts times.
 func Shrink(s *Schedule, attempts int, fails func(*Schedule) bool) *Schedule {
 	for again := true; again; {
 		again = false
-		for _, smaller := range s.without() {
+		for _, smaller := range s.reductions() {
 			if attempts--; attempts < 0 {
 				return s
 			}
@@ -18,8 +18,8 @@
 	return s
 }
 
-// without returns all schedules that lack one thing: a purge, a change, a fault, or one of the processes of a fault.
-func (s *Schedule) without() (all []*Schedule) {
+// reductions returns all schedules that lack one element of s: a fault, a purge, a change, or one process of a fault.
+func (s *Schedule) reductions() (all []*Schedule) {
 	for i := range s.Faults {
 		c := *s
 		c.Faults = append(append([]Fault(nil), s.Faults[:i]...), s.Faults[i+1:]...)
--- a/lab/cluster/size/cases.go
+++ b/lab/cluster/size/cases.go
@@ -1,23 +1,23 @@
 package size
 
-// This file declares the worlds that are played and their faults. They must not depend on the mode.
+// This file declares the simulated worlds and their faults. They must not depend on the mode.
 
 import (
 	"flaxcove/lab/load"
 	"flaxcove/lab/world"
 )
 
-// Case is a world and the time of its faults.
+// Case is a world with faults. Region returns the region of a zone, both counted from 0.
 type Case struct {
 	Name     string
 	Spec     *world.Spec
 	Region   func(zone int) int
-	From, To float64 // seconds; the begin of the first fault and the end of the last
+	From, To float64 // start of the first fault and end of the last, in seconds
 }
 
-// calmWorld is a world without faults. Each partner has an endpoint in each of four consecutive zones, the most that a spec
-// can express: with four zones one in each; with twelve, where zones four apart form a region, one in each region. Of the
-// two kinds of partner one has a rate limit at each endpoint, the other only a capacity.
+// calmWorld returns a world without faults. Each partner has an endpoint in each of four consecutive zones, the most that a
+// spec can express. With four zones it has an endpoint in each zone; with twelve, where every fourth zone belongs to the same
+// region, it has one in each region. One kind of partner has a rate limit at each endpoint, the other only a capacity.
 func calmWorld(senders, zones, partners int, rate, seconds float64) *world.Spec {
 	s := world.Base()
 	s.Name, s.Seconds, s.Senders, s.Zones = "size", seconds, senders, zones
@@ -37,32 +37,34 @@
 	return &s
 }
 
+// silent returns a fault during which the endpoints of a zone, counted from 0, do not answer.
 func silent(zone int, at, seconds float64) world.Fault {
 	return world.Fault{Kind: "silent", At: at, Seconds: seconds, Selector: world.Selector{Zone: zone + 1}}
 }
 
+// newCase returns a case with the given world and faults.
 func newCase(name string, s *world.Spec, region func(int) int, from, to float64, all ...world.Fault) Case {
 	s.Faults = all
 	s.Defaults()
 	return Case{Name: name, Spec: s, Region: region, From: from, To: to}
 }
 
-func regionOfHalves(zone int) int    { return zone / 2 } // of four zones, two in each of two regions
-func regionByRemainder(zone int) int { return zone % 4 } // of any number of zones, four regions
+func regionOfHalves(zone int) int    { return zone / 2 } // two regions of two consecutive zones each, for four zones
+func regionByRemainder(zone int) int { return zone % 4 } // four regions, for any number of zones
 
 func sixtySenders(seconds float64) *world.Spec { return calmWorld(60, 4, 24, 1200, seconds) }
 
-// Small is a zone that hangs, small enough for the tests of every build.
+// Small returns an outage of a zone with 20 senders, which takes little enough time for regular test runs.
 func Small() Case {
 	return newCase("zone gone, small", calmWorld(20, 4, 6, 160, 34), regionOfHalves, 7, 15, silent(0, 7, 8))
 }
 
-// ZoneGone is the case of issue 36: zone 0 of four hangs for twelve seconds.
+// ZoneGone returns the main case: zone 0 of four does not answer for twelve seconds.
 func ZoneGone() Case {
 	return newCase("zone gone", sixtySenders(45), regionOfHalves, 10, 22, silent(0, 10, 12))
 }
 
-// Cases are all other cases with sixty senders.
+// Cases returns all other cases with sixty senders.
 func Cases() []Case {
 	failing := func(zone int, at, seconds float64) world.Fault {
 		return world.Fault{Kind: "failing", At: at, Seconds: seconds, Amount: 0.95, Selector: world.Selector{Zone: zone + 1}}
@@ -89,7 +91,7 @@
 	}
 }
 
-// Large is a short run with a zone that hangs, with many senders in twelve zones of four regions.
+// Large returns a short outage of a zone, with the given number of senders in twelve zones of four regions.
 func Large(senders int) Case {
 	return newCase("zone gone, 12 zones", calmWorld(senders, 12, 60, 5*float64(senders), 32), regionByRemainder, 8, 16, silent(0, 8, 8))
 }
--- a/lab/cluster/size/fleet.go
+++ b/lab/cluster/size/fleet.go
@@ -1,10 +1,11 @@
-// Package size plays many senders with the cluster between them in simulated time.
+// Package size simulates a fleet of senders with a cluster between them.
 //
-// It connects lab/sim's senders by the pure packages of internal/cluster, with drawn latencies: digests, reports up the
-// tree, the leader's planner, and plans down the tree. The same worlds are also played without the cluster, and with an
-// oracle. sender.go counts what a sender reports, process.go plays one process, fleet.go all of them with the leader,
-// cases.go has the worlds, measure.go the figures, table.go their table. The package must not read a clock, start a
-// goroutine or depend on the order of a map, so that one seed replays a run exactly.
+// It connects the simulated senders of lab/sim by the pure packages of internal/cluster and drawn latencies: senders produce
+// digests, reports go up the tree, the leader plans, and plans go down the tree. For comparison it also plays the same worlds
+// without the cluster and with an oracle. play.go plays one run, sender.go counts a sender's observations, process.go
+// simulates one process, fleet.go all processes and the leader, cases.go declares the worlds, measure.go computes the figures,
+// table.go formats them. The package must not read a clock, start a goroutine or depend on the iteration order of a map, so
+// that a seed always gives the same run.
 package size
 
 import (
@@ -24,28 +25,28 @@
 )
 
 const (
-	minHop         = 50 * time.Millisecond // bounds of the latency between two processes
+	minHop         = 50 * time.Millisecond // shortest latency between two processes; maxHop is the longest
 	maxHop         = 250 * time.Millisecond
-	consensusDelay = 100 * time.Millisecond
-	timeUnit       = 100 * time.Microsecond // of choice.Time
+	consensusDelay = 100 * time.Millisecond // until a plan is decided
+	timeUnit       = 100 * time.Microsecond // unit of choice.Time
 )
 
 func zoneName(no int) view.Zone { return view.Zone(fmt.Sprintf("z%02d", no)) }
 
-// fleet holds all processes of a run.
+// fleet holds all processes of a run and what they share: the network, the tree, the leader and the decided plans.
 type fleet struct {
-	w            *world.World
-	numbers      map[view.Zone]choice.ZoneNo
+	world        *world.World
+	zoneNumbers  map[view.Zone]choice.ZoneNo
 	regions      map[view.Zone]view.Region
 	processes    map[view.Name]*process
-	order        []*process
+	order        []*process // by number
 	tree         *tree.Tree
 	settings     plan.Settings
 	leader       *leader
 	inForce      plan.InForce
 	messagesSent uint32
-	countBytes   bool // bytes are counted
-	span         time.Duration
+	countBytes   bool // count the bytes of messages
+	digestSpan   time.Duration
 	prompt       bool
 
 	traffic map[view.Name]*Traffic
@@ -53,26 +54,29 @@
 	hash    uint64
 }
 
-// Traffic counts the messages of one process, and the bytes it sent.
+// Traffic counts the messages that one process sent and received, and the bytes that it sent.
 type Traffic struct{ Out, In, Bytes int }
 
-// epoch is one decided plan, and when it came into force at each process.
+// epoch is one decided plan, the time of the decision, and the times at which it came into force at each process.
 type epoch struct {
-	at      view.Uptime
-	plan    plan.Plan
-	reached map[view.Name]view.Uptime
+	at        view.Uptime
+	plan      plan.Plan
+	inForceAt map[view.Name]view.Uptime
 }
 
-func (f *fleet) now() view.Uptime { return view.Uptime(f.w.Now()) * timeUnit }
+func (f *fleet) now() view.Uptime { return view.Uptime(f.world.Now()) * timeUnit }
 
-func (f *fleet) after(in time.Duration, do func()) { f.w.After(max(1, choice.Time(in/timeUnit)), do) }
+func (f *fleet) after(in time.Duration, do func()) {
+	f.world.After(max(1, choice.Time(in/timeUnit)), do)
+}
 
-// spread draws a process's offset, so that processes' turns do not coincide.
-func (f *fleet) spread(name string) time.Duration {
+// startOffset derives a delay for the first turn from a process's name, so that the turns of processes do not coincide.
+func (f *fleet) startOffset(name string) time.Duration {
 	return time.Duration(crc32.ChecksumIEEE([]byte(name))%5000) * timeUnit
 }
 
-// send delivers a message after a latency of its own, so that messages may overtake each other.
+// send calls do after the latency of a message from one process to another. Each message has its own latency, so that
+// messages may overtake each other. A message to the sending process is delivered at once and not counted.
 func (f *fleet) send(from, to *process, body any, do func()) {
 	if from == to {
 		do()
@@ -88,7 +92,8 @@
 	f.after(minHop+(maxHop-minHop)*time.Duration(sum%1000)/1000, do)
 }
 
-// begin derives the tree once all senders have started, and starts all processes.
+// begin derives the tree and starts all processes. If the options ask for it, the leader fails at LeaderDies and the next
+// process leads after LeaderGone.
 func (f *fleet) begin(o *Options) {
 	var members []view.Member
 	for _, p := range f.order {
@@ -102,8 +107,8 @@
 		p.start()
 	}
 	if o.LeaderDies > 0 {
-		f.w.At(seconds(o.LeaderDies), func() {
-			f.leader = &leader{f: f}
+		f.world.At(seconds(o.LeaderDies), func() {
+			f.leader = &leader{fleet: f}
 			f.after(o.LeaderGone, func() {
 				f.leader = newLeader(f, next)
 				next.scheduleTurn()
@@ -112,79 +117,85 @@
 	}
 }
 
-func (f *fleet) reached(p *process, in *plan.Plan) {
+// recordInForce records that a plan came into force at a process.
+func (f *fleet) recordInForce(p *process, in *plan.Plan) {
 	if i := int(in.Epoch) - 1; i < len(f.epochs) {
-		f.epochs[i].reached[p.name] = f.now()
+		f.epochs[i].inForceAt[p.name] = f.now()
 	}
 }
 
-// leader is the leader of the consensus group: the planner, and the reports that reached it. at is nil while there is none.
+// leader is the state of the consensus group's leader: its planner and the reports that it received. process is nil while
+// there is no leader.
 type leader struct {
-	f        *fleet
-	at       *process
-	board    *assess.ReportTable
+	fleet    *fleet
+	process  *process
+	reports  *assess.ReportTable
 	planner  *plan.Planner
 	deciding bool
 }
 
+// newLeader returns a leader that knows only the plan in force.
 func newLeader(f *fleet, at *process) *leader {
-	l := &leader{f: f, at: at, board: assess.NewReportTable(assess.DefaultBounds()), planner: plan.New(f.settings)}
+	l := &leader{fleet: f, process: at, reports: assess.NewReportTable(assess.DefaultBounds()), planner: plan.New(f.settings)}
 	l.planner.PlanInForce(at.now(), f.inForce.Plan())
 	return l
 }
 
-func (l *leader) turn(now view.Uptime, weighs bool) {
-	l.renew(now)
-	if !weighs {
-		l.at.scheduleTurn()
+// turn renews the plan in force and, if evaluates is set, plans from the reports. A new plan is decided after consensusDelay.
+func (l *leader) turn(now view.Uptime, evaluates bool) {
+	l.renewPlan(now)
+	if !evaluates {
+		l.process.scheduleTurn()
 		return
 	}
-	l.board.Put(now, l.at.board.Fresh(now))
-	l.planner.SetRegions(l.f.regions)
-	l.planner.UpdateHealth(now, assess.Judge(l.board.Fresh(now), assess.DefaultBounds()))
+	l.reports.Put(now, l.process.reports.Fresh(now))
+	l.planner.SetRegions(l.fleet.regions)
+	l.planner.UpdateHealth(now, assess.Judge(l.reports.Fresh(now), assess.DefaultBounds()))
 	next, some := l.planner.Step(now)
 	if !some || l.deciding {
 		return
 	}
 	l.deciding = true
-	l.f.after(consensusDelay, func() { l.decide(next) })
+	l.fleet.after(consensusDelay, func() { l.decide(next) })
 }
 
-func (l *leader) renew(now view.Uptime) {
-	in := l.f.inForce.Plan()
+// renewPlan passes the plan in force to the planner and confirms it at the leader's own process.
+func (l *leader) renewPlan(now view.Uptime) {
+	in := l.fleet.inForce.Plan()
 	if in.Epoch == 0 {
 		return
 	}
 	if l.planner.Epoch() < in.Epoch {
 		l.planner.PlanInForce(now, in)
 	}
-	heard := apply.Announcement{Epoch: in.Epoch, Plan: &in}
-	if held, _ := l.at.holder.Plan(now); held != nil && held.Epoch == in.Epoch {
-		heard.Plan = nil
+	announced := apply.Announcement{Epoch: in.Epoch, Plan: &in}
+	if held, _ := l.process.holder.Plan(now); held != nil && held.Epoch == in.Epoch {
+		announced.Plan = nil
 	}
-	if _, err := l.at.holder.Receive(now, heard); err != nil {
-		panic(err) // plans are checked before they are decided
+	if _, err := l.process.holder.Receive(now, announced); err != nil {
+		panic(err) // unreachable: plans are checked before they are decided
 	}
 }
 
+// decide puts a plan in force unless the leader has changed.
 func (l *leader) decide(next plan.Plan) {
 	l.deciding = false
-	if l.f.leader != l {
-		return // the leader died meanwhile
+	if l.fleet.leader != l {
+		return // this leader failed in the meantime
 	}
 	body, err := json.Marshal(next)
 	if err != nil {
-		panic(err) // plain data
+		panic(err) // unreachable: a plan can always be encoded
 	}
-	_, err = l.f.inForce.Apply(uint64(next.Epoch), l.f.now(), plan.Kind, body)
-	l.planner.PlanInForce(l.at.now(), l.f.inForce.Plan())
+	_, err = l.fleet.inForce.Apply(uint64(next.Epoch), l.fleet.now(), plan.Kind, body)
+	l.planner.PlanInForce(l.process.now(), l.fleet.inForce.Plan())
 	if err == nil {
-		l.f.epochs = append(l.f.epochs, epoch{l.f.now(), l.f.inForce.Plan(), map[view.Name]view.Uptime{}})
+		l.fleet.epochs = append(l.fleet.epochs, epoch{l.fleet.now(), l.fleet.inForce.Plan(), map[view.Name]view.Uptime{}})
 		h := fnv.New64a()
-		fmt.Fprintf(h, "%d %v %s", l.f.hash, l.f.now(), body)
-		l.f.hash = h.Sum64()
+		fmt.Fprintf(h, "%d %v %s", l.fleet.hash, l.fleet.now(), body)
+		l.fleet.hash = h.Sum64()
 	}
-	l.at.scheduleTurn()
+	l.process.scheduleTurn()
 }
 
 func seconds(s float64) choice.Time { return choice.Time(s * float64(choice.Second)) }
--- a/lab/cluster/size/measure.go
+++ b/lab/cluster/size/measure.go
@@ -1,6 +1,6 @@
 package size
 
-// This file computes the figures of a run. The run must not depend on them.
+// This file computes the figures of a run. The measurement must not influence the run.
 
 import (
 	"fmt"
@@ -17,46 +17,48 @@
 )
 
 const (
-	calmShare      = 0.02 // share of calls that may leave their home without a fault, from issue 36
-	warmUp         = 4    // first seconds that do not count: there is no plan and no learned state yet
-	windowSeconds  = 2    // over which the share of calls that leave is averaged to find their return
-	overloadFactor = 1.1  // load over capacity that counts as overload, from issue 36
-	minJudgedRate  = 50.0 // capacity of a locality that is judged by itself: below it, chance alone exceeds overloadFactor
+	calmShare      = 0.02 // largest share of calls that may go away from home without a fault
+	warmUp         = 4    // seconds at the start that are not measured: there is no plan and no learned state yet
+	windowSeconds  = 2    // seconds over which the share of calls away from home is averaged to find their return
+	overloadFactor = 1.1  // load divided by capacity above which a receiver counts as overloaded
+	minJudgedRate  = 50.0 // lowest capacity, in calls a second, of a locality that is measured: below it, chance alone exceeds overloadFactor
 )
 
-// Figures are the figures of a run. Times are seconds.
+// Figures holds the figures of a run. A call goes away from home if isHome is false for its endpoint. Times are in seconds.
 type Figures struct {
 	*referee.Verdict
-	Value                 float64   // delivered of what was asked while something was wrong
-	Before, During, After float64   // share of calls that leave their home; After: of the last five seconds
-	Back                  float64   // from the end of the fault until no more leave than before; -1 for never
-	ZoneOver              Overload  // of all endpoints of a zone together, while calls are moved there
-	PlaceOver             Overload  // the same for the endpoints of one destination in a zone, of those with many calls
-	Plans                 int       // after the first, which moves nothing
-	PlansAMinute          int       // in the busiest minute
-	InForce               float64   // from the fall until a plan that moves something is in force at 95%; -1 for never
-	Messages, BytesS      float64   // sent by a process a second, on average
-	MostMessages          float64   // sent and received by the busiest process a second
-	Hash                  uint64    // of all that was decided, and when
-	Leaves                []float64 // share of calls that left their home, by second
+	Value                             float64   // delivered value of the messages that were submitted between the start of the first fault and the end of the last
+	AwayBefore, AwayDuring, AwayAfter float64   // share of calls away from home before and during the faults, and in the last five seconds
+	ReturnedAfter                     float64   // time from the end of the faults until the share of calls away from home stays as low as before them; -1 for never
+	ZoneOverload                      Overload  // of the endpoints of a zone together, while calls from elsewhere arrive there
+	LocalityOverload                  Overload  // of the endpoints of a locality with a capacity of at least minJudgedRate, likewise
+	Plans                             int       // number of plans after the first, which diverts nothing
+	PlansAMinute                      int       // largest number of plans within a minute
+	InForceAfter                      float64   // time from the first fault until a plan with diversions is in force at 95% of the processes; -1 for never
+	MessagesPerSecond, BytesPerSecond float64   // messages and bytes that a process sent per second, on average
+	MaxMessagesPerSecond              float64   // messages that the busiest process sent and received per second
+	Hash                              uint64    // of all decided plans and the times of their decisions
+	AwayBySecond                      []float64 // share of calls away from home, by second
 
-	values []float64
-	epochs []epoch
+	valueBySecond []float64
+	epochs        []epoch
 }
 
-// Overload is how far and for how long the load of a receiver was above its capacity.
+// Overload measures how far and for how long the load of receivers exceeded their capacity.
 type Overload struct {
-	Most    float64 // highest load over capacity
-	Seconds int     // longest run of seconds above overloadFactor
+	Peak    float64 // highest load divided by capacity
+	Seconds int     // largest number of consecutive seconds above overloadFactor
 }
 
-type values struct{ bySecond []float64 }
+// valueTally sums the delivered value by the second in which a message was submitted.
+type valueTally struct{ bySecond []float64 }
 
-func (g *values) delivered(asked choice.Time, value float64) {
-	add(&g.bySecond, asked, value)
+func (g *valueTally) delivered(asked choice.Time, value float64) {
+	addAt(&g.bySecond, asked, value)
 }
 
-func add(to *[]float64, at choice.Time, v float64) {
+// addAt adds v to the element for the second of at, and extends the slice as needed.
+func addAt(to *[]float64, at choice.Time, v float64) {
 	second := int(max(0, at) / choice.Second)
 	for len(*to) <= second {
 		*to = append(*to, 0)
@@ -64,81 +66,86 @@
 	(*to)[second] += v
 }
 
-func at(of []float64, second int) float64 {
+// valueAt returns an element, or 0 outside the slice.
+func valueAt(of []float64, second int) float64 {
 	if second < 0 || second >= len(of) {
 		return 0
 	}
 	return of[second]
 }
 
+// locality identifies the endpoints of a partner in a zone.
 type locality struct {
 	partner world.PartnerNo
 	zone    int
 }
 
+// measure collects the measurements of one run.
 type measure struct {
-	o      *Options
-	w      *world.World
-	values values
-	calls  []float64
-	away   []float64
-	zones  map[int]*received
-	place  map[locality]*received
+	options    *Options
+	world      *world.World
+	value      valueTally
+	calls      []float64
+	away       []float64
+	zones      map[int]*received
+	localities map[locality]*received
 }
 
-type received struct{ all, moved []float64 }
+// received counts the calls that a receiver ended, by second: all, and those away from home.
+type received struct{ all, away []float64 }
 
 func newMeasure(o *Options) *measure {
-	return &measure{o: o, zones: map[int]*received{}, place: map[locality]*received{}}
+	return &measure{options: o, zones: map[int]*received{}, localities: map[locality]*received{}}
 }
 
-// outcome counts a call when its endpoint ends it.
-func (m *measure) outcome(now choice.Time, c *world.Call, _ int) {
+// recordCall counts a call that an endpoint has ended. Health probes are not counted.
+func (m *measure) recordCall(now choice.Time, c *world.Call, _ int) {
 	e := c.Conn.Endpoint
 	if c.Probe {
 		return
 	}
-	from := m.w.Zone(c.Conn.Sender)
+	from := m.world.Zone(c.Conn.Sender)
 	moved := 0.0
-	if !m.home(from, e) {
+	if !m.isHome(from, e) {
 		moved = 1
 	}
-	add(&m.calls, now, 1)
-	add(&m.away, now, moved)
+	addAt(&m.calls, now, 1)
+	addAt(&m.away, now, moved)
 	k := locality{e.Partner.No, e.Zone}
 	if m.zones[e.Zone] == nil {
 		m.zones[e.Zone] = &received{}
 	}
-	if m.place[k] == nil {
-		m.place[k] = &received{}
+	if m.localities[k] == nil {
+		m.localities[k] = &received{}
 	}
-	for _, r := range []*received{m.zones[e.Zone], m.place[k]} {
-		add(&r.all, now, 1)
-		add(&r.moved, now, moved)
+	for _, r := range []*received{m.zones[e.Zone], m.localities[k]} {
+		addAt(&r.all, now, 1)
+		addAt(&r.away, now, moved)
 	}
 }
 
-// home reports whether an endpoint is where a zone's messages go without faults: in the zone if there is one, or else in its
-// region, or else anywhere.
-func (m *measure) home(from int, e *world.Endpoint) bool {
+// isHome reports whether an endpoint is at home for the messages of a zone, that is, where they go without faults: in the same
+// zone if the partner has an endpoint there, or else in the same region, or else anywhere.
+func (m *measure) isHome(from int, e *world.Endpoint) bool {
 	near, region := false, false
 	for _, other := range e.Partner.Endpoints {
 		near = near || other.Zone == from
-		region = region || m.o.Region(other.Zone) == m.o.Region(from)
+		region = region || m.options.Region(other.Zone) == m.options.Region(from)
 	}
 	switch {
 	case near:
 		return e.Zone == from
 	case region:
-		return m.o.Region(e.Zone) == m.o.Region(from)
+		return m.options.Region(e.Zone) == m.options.Region(from)
 	}
 	return true
 }
 
-func (m *measure) share(from, to int) float64 {
+// awayShare returns the share of calls away from home between two seconds.
+func (m *measure) awayShare(from, to int) float64 {
 	calls, away := 0.0, 0.0
 	for s := from; s < to; s++ {
-		calls, away = calls+at(m.calls, s), away+at(m.away, s)
+		calls, away = calls+valueAt(m.calls, s), away+valueAt(m.away, s)
 	}
 	if calls == 0 {
 		return 0
@@ -146,37 +153,38 @@
 	return away / calls
 }
 
+// figures computes the figures of a run that has ended.
 func (m *measure) figures(v *referee.Verdict, f *fleet) *Figures {
-	from, to, end := int(m.o.From), int(m.o.To), int(m.o.Spec.Seconds)
-	out := &Figures{Verdict: v, Before: m.share(warmUp, from), During: m.share(from, to), After: m.share(end-5, end), Back: -1,
-		InForce: -1, Hash: f.hash, epochs: f.epochs, values: m.values.bySecond}
+	from, to, end := int(m.options.From), int(m.options.To), int(m.options.Spec.Seconds)
+	out := &Figures{Verdict: v, AwayBefore: m.awayShare(warmUp, from), AwayDuring: m.awayShare(from, to), AwayAfter: m.awayShare(end-5, end), ReturnedAfter: -1,
+		InForceAfter: -1, Hash: f.hash, epochs: f.epochs, valueBySecond: m.value.bySecond}
 	for s := from; s < to; s++ {
-		out.Value += at(m.values.bySecond, s)
+		out.Value += valueAt(m.value.bySecond, s)
 	}
 	for s := range end {
-		out.Leaves = append(out.Leaves, m.share(s, s+1))
+		out.AwayBySecond = append(out.AwayBySecond, m.awayShare(s, s+1))
 	}
-	most := max(out.Before, calmShare)
-	for s := end - windowSeconds; s >= to && m.share(s, s+windowSeconds) <= most; s-- {
-		out.Back = float64(s) - m.o.To
+	most := max(out.AwayBefore, calmShare)
+	for s := end - windowSeconds; s >= to && m.awayShare(s, s+windowSeconds) <= most; s-- {
+		out.ReturnedAfter = float64(s) - m.options.To
 	}
 	for z, r := range m.zones {
-		out.ZoneOver.add(r, m.bound(func(e *world.Endpoint) bool { return e.Zone == z }), end)
+		out.ZoneOverload.add(r, m.capacity(func(e *world.Endpoint) bool { return e.Zone == z }), end)
 	}
-	for k, r := range m.place {
-		bound := m.bound(func(e *world.Endpoint) bool { return e.Zone == k.zone && e.Partner.No == k.partner })
+	for k, r := range m.localities {
+		bound := m.capacity(func(e *world.Endpoint) bool { return e.Zone == k.zone && e.Partner.No == k.partner })
 		if bound >= minJudgedRate {
-			out.PlaceOver.add(r, bound, end)
+			out.LocalityOverload.add(r, bound, end)
 		}
 	}
-	m.plans(out, f)
-	m.traffic(out, f)
+	m.addPlans(out, f)
+	m.addTraffic(out, f)
 	return out
 }
 
-// bound is the capacity of endpoints in calls a second, after slow start and without faults.
-func (m *measure) bound(of func(*world.Endpoint) bool) (sum float64) {
-	for _, e := range m.w.Endpoints {
+// capacity returns the total capacity of the endpoints that match, in calls a second, without faults and after slow start.
+func (m *measure) capacity(of func(*world.Endpoint) bool) (sum float64) {
+	for _, e := range m.world.Endpoints {
 		if of(e) {
 			sum += e.Bound()
 		}
@@ -184,17 +192,17 @@
 	return sum
 }
 
-// add adds a receiver's seconds. Only seconds in which at least a tenth of the load was moved there count: the rest comes
-// from its own zone, which no plan causes.
+// add includes the load of a receiver. It counts only seconds in which at least a tenth of the calls were away from home: all
+// other load comes from the receiver's own zone, and no plan causes it.
 func (o *Overload) add(r *received, bound float64, end int) {
 	run := 0
 	for s := range end {
-		over := at(r.all, s) / bound
-		if at(r.moved, s) < 0.1*at(r.all, s) {
+		over := valueAt(r.all, s) / bound
+		if valueAt(r.away, s) < 0.1*valueAt(r.all, s) {
 			run = 0
 			continue
 		}
-		o.Most = math.Max(o.Most, over)
+		o.Peak = math.Max(o.Peak, over)
 		if run++; over <= overloadFactor {
 			run = 0
 		}
@@ -202,7 +210,8 @@
 	}
 }
 
-func (m *measure) plans(out *Figures, f *fleet) {
+// addPlans sets the figures on plans.
+func (m *measure) addPlans(out *Figures, f *fleet) {
 	out.Plans = max(0, len(f.epochs)-1)
 	for i := range f.epochs {
 		n := 0
@@ -215,33 +224,34 @@
 	}
 	for _, e := range f.epochs {
 		moves := slices.ContainsFunc(e.plan.Routes, func(r plan.Route) bool { return r.Phase == plan.Diverted })
-		if fell := view.Uptime(m.o.From * float64(time.Second)); e.at < fell || !moves {
+		if fell := view.Uptime(m.options.From * float64(time.Second)); e.at < fell || !moves {
 			continue
-		} else if need := int(math.Ceil(0.95 * float64(len(f.order)))); len(e.reached) >= need {
+		} else if need := int(math.Ceil(0.95 * float64(len(f.order)))); len(e.inForceAt) >= need {
 			var all []view.Uptime
-			for _, when := range e.reached {
+			for _, when := range e.inForceAt {
 				all = append(all, when)
 			}
 			slices.Sort(all)
-			out.InForce = (all[need-1] - fell).Seconds()
+			out.InForceAfter = (all[need-1] - fell).Seconds()
 			return
 		}
 	}
 }
 
-func (m *measure) traffic(out *Figures, f *fleet) {
-	long := m.o.Spec.Seconds
+// addTraffic sets the figures on messages between processes.
+func (m *measure) addTraffic(out *Figures, f *fleet) {
+	long := m.options.Spec.Seconds
 	sum := Traffic{}
 	for _, p := range f.order {
 		t := f.traffic[p.name]
 		sum.Out, sum.In, sum.Bytes = sum.Out+t.Out, sum.In+t.In, sum.Bytes+t.Bytes
-		out.MostMessages = max(out.MostMessages, float64(t.Out+t.In)/long)
+		out.MaxMessagesPerSecond = max(out.MaxMessagesPerSecond, float64(t.Out+t.In)/long)
 	}
 	n := max(1, len(f.order))
-	out.Messages, out.BytesS = float64(sum.Out)/long/float64(n), float64(sum.Bytes)/long/float64(n)
+	out.MessagesPerSecond, out.BytesPerSecond = float64(sum.Out)/long/float64(n), float64(sum.Bytes)/long/float64(n)
 }
 
-// print writes the plans with their times, and the share of calls that left their home by second.
+// print writes the plans with their times, and the share of calls away from home by second.
 func (f *Figures) print(to io.Writer) {
 	for _, e := range f.epochs {
 		by := map[plan.Phase]int{}
@@ -252,7 +262,7 @@
 		}
 		fmt.Fprintf(to, "%6.2f epoch %d %v %v\n", e.at.Seconds(), e.plan.Epoch, by, moved)
 	}
-	for s, v := range f.Leaves {
+	for s, v := range f.AwayBySecond {
 		fmt.Fprintf(to, "%d:%.1f%% ", s, 100*v)
 	}
 	fmt.Fprintln(to)
--- a/lab/cluster/size/play.go
+++ b/lab/cluster/size/play.go
@@ -15,13 +15,13 @@
 	"flaxcove/lab/world"
 )
 
-// Mode says who decides.
+// Mode selects the policy of the senders.
 type Mode string
 
 const (
-	Alone    Mode = "alone"    // every sender by itself
-	Together Mode = "together" // the senders with the cluster
-	Oracle   Mode = "oracle"   // a policy that sees the true state of all endpoints
+	Alone    Mode = "alone"    // each sender decides by itself, without a cluster
+	Together Mode = "together" // senders with the cluster
+	Oracle   Mode = "oracle"   // a policy that knows the true state of all endpoints
 )
 
 // Options are the inputs of a run.
@@ -30,21 +30,21 @@
 	Seed       uint64
 	Mode       Mode
 	Leader     int           // number of the first leader; process i is in zone i modulo the number of zones
-	LeaderDies float64       // when, in seconds; 0 for never
-	LeaderGone time.Duration // until the next process leads, which knows only the plan in force
+	LeaderDies float64       // time in seconds at which the leader fails; 0 for never
+	LeaderGone time.Duration // time from the leader's failure until the next process leads, which knows only the plan in force
 	Bytes      bool          // count the bytes of messages
-	Escape     bool          // trial: a sender leaves a home that it sees fail without waiting for a plan
-	Prompt     bool          // trial: a zone's coordinator evaluates reports of failures at once
-	Span       time.Duration // trial: the span of digest.Window; 0 for its default
+	Escape     bool          // experiment: a sender uses endpoints away from home while those at home fail, before a plan allows it
+	Prompt     bool          // experiment: the coordinator of a zone evaluates reports of failures at once
+	Span       time.Duration // experiment: the span of digest.Window; 0 for its default
 }
 
-// Play plays a run and computes its figures.
+// Play simulates a run and returns its figures.
 func Play(o Options) (*Figures, error) {
 	m := newMeasure(&o)
-	f := &fleet{numbers: map[view.Zone]choice.ZoneNo{}, regions: map[view.Zone]view.Region{}, processes: map[view.Name]*process{},
+	f := &fleet{zoneNumbers: map[view.Zone]choice.ZoneNo{}, regions: map[view.Zone]view.Region{}, processes: map[view.Name]*process{},
 		traffic: map[view.Name]*Traffic{}, countBytes: o.Bytes, settings: planSettings(&o)}
 	for z := range o.Spec.Zones {
-		f.numbers[zoneName(z)] = choice.ZoneNo(z)
+		f.zoneNumbers[zoneName(z)] = choice.ZoneNo(z)
 		f.regions[zoneName(z)] = view.Region(fmt.Sprintf("r%d", o.Region(z)))
 	}
 	decide := sim.ChoicePolicy
@@ -53,32 +53,32 @@
 	}
 	started := 0
 	policy := func(h choice.Host, id choice.SenderID, seed int64, set choice.Settings, w *world.World) sim.Policy {
-		c := newCountingSender(h, set, &m.values)
+		c := newCountingSender(h, set, &m.value)
 		c.escape = o.Escape
 		c.policy = decide(c, id, seed, set, w)
-		f.w, m.w = w, w
+		f.world, m.world = w, w
 		if started++; o.Mode != Together || started > o.Spec.Senders {
-			return c // only Together has processes; no case restarts a sender
+			return c // only Together has processes; further senders would be restarted ones, which no case has
 		}
 		name := view.Name(fmt.Sprintf("p%04d", started-1))
-		c.proc = &process{fleet: f, name: name, zone: zoneName(int(set.Zone)), sender: c,
-			began: time.Duration(crc32.ChecksumIEEE([]byte(name))%7200) * time.Second}
-		f.processes[name], f.traffic[name] = c.proc, &Traffic{}
-		f.order = append(f.order, c.proc)
+		c.process = &process{fleet: f, name: name, zone: zoneName(int(set.Zone)), sender: c,
+			clockOffset: time.Duration(crc32.ChecksumIEEE([]byte(name))%7200) * time.Second}
+		f.processes[name], f.traffic[name] = c.process, &Traffic{}
+		f.order = append(f.order, c.process)
 		if started == o.Spec.Senders {
-			f.span, f.prompt = o.Span, o.Prompt
+			f.digestSpan, f.prompt = o.Span, o.Prompt
 			w.After(1, func() { f.begin(&o) })
 		}
 		return c
 	}
-	v, err := sim.Run(sim.Options{Spec: o.Spec, Seed: o.Seed, Policy: policy, Outcome: m.outcome})
+	v, err := sim.Run(sim.Options{Spec: o.Spec, Seed: o.Seed, Policy: policy, Outcome: m.recordCall})
 	if err != nil {
 		return nil, err
 	}
 	return m.figures(v, f), nil
 }
 
-// planSettings are the planner's settings as internal/cluster/uses.go fills them in.
+// planSettings returns the planner's settings as internal/cluster sets them.
 func planSettings(o *Options) plan.Settings {
 	set := plan.DefaultSettings()
 	set.RatingIsRate = o.Spec.Sender.Rating == "nominal"
--- a/lab/cluster/size/process.go
+++ b/lab/cluster/size/process.go
@@ -1,7 +1,7 @@
 package size
 
-// This file plays the control part of one process: digests and reports up, plans down. It must not read the state of
-// another process.
+// This file simulates the control part of one process: it sends digests and reports up the tree and plans down. It must not
+// read the state of another process.
 
 import (
 	"encoding/json"
@@ -21,27 +21,28 @@
 
 // Intervals and bounds as in internal/cluster and its package failover/run.
 const (
-	digestEvery     = 500 * time.Millisecond
-	turnEvery       = 500 * time.Millisecond
-	minTurn         = 50 * time.Millisecond
-	weighEvery      = 150 * time.Millisecond
-	calmReportEvery = 2 * time.Second
-	reportedFor     = 15 * time.Second
-	renewals        = 5
-	maxReports      = 3000
-	maxLocalities   = 40_000
-	keepFor         = time.Minute
+	digestEvery         = 500 * time.Millisecond
+	turnEvery           = 500 * time.Millisecond
+	minTurn             = 50 * time.Millisecond
+	evaluateEvery       = 150 * time.Millisecond
+	calmReportEvery     = 2 * time.Second
+	forgetReportedAfter = 15 * time.Second
+	renewalsPerHold     = 5
+	maxReports          = 3000
+	maxLocalities       = 40_000
+	maxRowAge           = time.Minute
 	// maxWitnesses is how many reporters internal/cluster/evidence keeps of a locality.
 	maxWitnesses = 32
 )
 
-// process is the control part beside one sender. It does in simulated time what cluster/feed.go and failover/run do with
-// goroutines and links. Each process has a clock of its own, hours apart from those of others.
+// process is the control part of one sender. It does in simulated time what internal/cluster/feed.go and
+// internal/cluster/failover/run do with goroutines and links. Each process has its own clock, which differs from the others by
+// up to two hours.
 type process struct {
 	fleet        *fleet
 	name         view.Name
 	zone         view.Zone
-	began        time.Duration // its clock at the start of the run
+	clockOffset  time.Duration // reading of its clock at the start of the run
 	sender       *countingSender
 	window       *digest.Window
 	ownSamples   []healthreport.Sample
@@ -49,10 +50,10 @@
 	reported     map[healthreport.Locality]lastReport
 	table        *table.Table
 
-	board     *assess.ReportTable
-	weighedAt view.Uptime
-	turnDue   bool
-	reportsTo view.Name
+	reports     *assess.ReportTable
+	evaluatedAt view.Uptime
+	turnDue     bool
+	reportsTo   view.Name
 
 	holder       apply.Holder
 	compiledPlan *plan.Plan
@@ -62,19 +63,23 @@
 	children     map[view.Name]*child
 }
 
+// lastReport is the time of the last report of a locality, and whether it reported failures.
 type lastReport struct {
 	at      view.Uptime
 	failing bool
 }
 
+// child is what a process knows of the plan at one of its children.
 type child struct {
-	epoch view.Epoch
-	fresh view.Uptime
-	out   bool
+	epoch     view.Epoch  // acknowledged epoch
+	renewedAt view.Uptime // time as of which the child last confirmed the plan
+	inFlight  bool        // an announcement is not acknowledged yet
 }
 
-func (p *process) now() view.Uptime { return p.fleet.now() + p.began }
+// now returns the time of the process's own clock.
+func (p *process) now() view.Uptime { return p.fleet.now() + p.clockOffset }
 
+// inForce returns the routing guide in force, or nil for none.
 func (p *process) inForce() *apply.Guide {
 	if p.guide == nil || p.now() >= p.guideUntil {
 		return nil
@@ -82,18 +87,20 @@
 	return p.guide
 }
 
+// start creates the state of the process and schedules its first digest and turn.
 func (p *process) start() {
-	p.window = digest.NewWindow(p.name, p.zone, p.fleet.span, maxLocalities, p.now())
+	p.window = digest.NewWindow(p.name, p.zone, p.fleet.digestSpan, maxLocalities, p.now())
 	p.reported, p.children = map[healthreport.Locality]lastReport{}, map[view.Name]*child{}
-	p.table = table.NewTable(table.Bounds{Rows: maxLocalities, Witnesses: maxWitnesses, MaxAge: keepFor})
-	p.board, p.weighedAt = assess.NewReportTable(assess.DefaultBounds()), p.now()-weighEvery
-	first := p.fleet.spread(string(p.name))
-	p.fleet.after(first, p.digest)
+	p.table = table.NewTable(table.Bounds{Rows: maxLocalities, Witnesses: maxWitnesses, MaxAge: maxRowAge})
+	p.reports, p.evaluatedAt = assess.NewReportTable(assess.DefaultBounds()), p.now()-evaluateEvery
+	first := p.fleet.startOffset(string(p.name))
+	p.fleet.after(first, p.takeDigest)
 	p.fleet.after(first+minTurn, p.tick)
 }
 
-func (p *process) digest() {
-	p.fleet.after(digestEvery, p.digest)
+// takeDigest takes the samples of a digest and reports them to the head of the zone.
+func (p *process) takeDigest() {
+	p.fleet.after(digestEvery, p.takeDigest)
 	now := p.now()
 	p.ownSamples, p.ownSampledAt = p.window.Take(now, p.sender.digest()), now
 	head := p.fleet.tree.ZoneHead(p.zone)
@@ -107,18 +114,22 @@
 	}
 }
 
+// samplesToReport returns the samples that are due: those with failures, those of localities that were not reported before or
+// just stopped failing, and the others every calmReportEvery.
 func (p *process) samplesToReport(now view.Uptime) (tell []healthreport.Sample) {
 	for _, s := range p.ownSamples {
-		last, ill := p.reported[s.Locality], s.Failed > 0
-		if ill || ill != last.failing || last.at == 0 || now-last.at >= calmReportEvery {
+		last, failing := p.reported[s.Locality], s.Failed > 0
+		if failing || failing != last.failing || last.at == 0 || now-last.at >= calmReportEvery {
 			tell = append(tell, s)
-			p.reported[s.Locality] = lastReport{now, ill}
+			p.reported[s.Locality] = lastReport{now, failing}
 		}
 	}
-	maps.DeleteFunc(p.reported, func(_ healthreport.Locality, t lastReport) bool { return now-t.at > reportedFor })
+	maps.DeleteFunc(p.reported, func(_ healthreport.Locality, t lastReport) bool { return now-t.at > forgetReportedAfter })
 	return tell
 }
 
+// takeSamples stores samples of the zone's processes. With the option Prompt, a sample in which most
+// calls failed schedules a turn.
 func (p *process) takeSamples(now view.Uptime, all []healthreport.Sample) {
 	if p.fleet.prompt && slices.ContainsFunc(all, func(s healthreport.Sample) bool { return s.Failed > s.Done+s.Rejected }) {
 		p.scheduleTurn()
@@ -128,12 +139,14 @@
 	}
 }
 
+// tick runs the periodic turn.
 func (p *process) tick() {
 	p.fleet.after(turnEvery, p.tick)
 	p.turn()
 }
 
-// scheduleTurn schedules a turn soon. What arrives until then is handled together.
+// scheduleTurn schedules a turn after minTurn, unless one is scheduled already. The turn handles everything that arrived until
+// then.
 func (p *process) scheduleTurn() {
 	if !p.turnDue {
 		p.turnDue = true
@@ -144,41 +157,45 @@
 	}
 }
 
+// turn evaluates the reports of the zone and plans, where this process has these roles, compiles the guide, and sends reports
+// and plans that are due.
 func (p *process) turn() {
 	now, t := p.now(), p.fleet.tree
-	weighs := now-p.weighedAt >= weighEvery
-	if weighs {
-		p.weighedAt = now
+	evaluates := now-p.evaluatedAt >= evaluateEvery
+	if evaluates {
+		p.evaluatedAt = now
 	}
-	if weighs && t.ZoneHead(p.zone) == p.name {
+	if evaluates && t.ZoneHead(p.zone) == p.name {
 		seen := p.table.Read(now)
 		slices.SortFunc(seen, func(a, b healthreport.Sample) int { return table.Order(&a, &b) })
-		p.board.Put(now, slices.DeleteFunc(assess.SummarizeZone(p.zone, seen, assess.DefaultBounds()), func(w assess.Report) bool {
+		p.reports.Put(now, slices.DeleteFunc(assess.SummarizeZone(p.zone, seen, assess.DefaultBounds()), func(w assess.Report) bool {
 			return w.Idle() && w.Zone != p.zone && t.ZoneHead(w.Zone) != ""
 		}))
 	}
-	if p.fleet.leader.at == p {
-		p.fleet.leader.turn(now, weighs)
+	if p.fleet.leader.process == p {
+		p.fleet.leader.turn(now, evaluates)
 	}
-	local := p.sender.local(p.fleet.numbers)
-	local.Failing = p.failingHere(now)
-	p.compile(now, local)
+	local := p.sender.local(p.fleet.zoneNumbers)
+	local.Failing = p.failingEndpoints(now)
+	p.compileGuide(now, local)
 	p.sendReports(now)
 	p.sendPlan(now)
 }
 
-func (p *process) failingHere(now view.Uptime) map[apply.Endpoints]bool {
-	ill := map[apply.Endpoints]bool{}
+// failingEndpoints returns the endpoints that fail according to the process's own samples.
+func (p *process) failingEndpoints(now view.Uptime) map[apply.Endpoints]bool {
+	failing := map[apply.Endpoints]bool{}
 	for _, s := range p.ownSamples {
 		s.Age += now - p.ownSampledAt
 		if assess.SeesFailure([]healthreport.Sample{s}, assess.DefaultBounds()) {
-			ill[apply.Endpoints{Destination: s.Destination, Zone: p.fleet.numbers[s.Zone]}] = true
+			failing[apply.Endpoints{Destination: s.Destination, Zone: p.fleet.zoneNumbers[s.Zone]}] = true
 		}
 	}
-	return ill
+	return failing
 }
 
-func (p *process) compile(now view.Uptime, local apply.Local) {
+// compileGuide compiles the routing guide from the held plan and the local state, if either has changed.
+func (p *process) compileGuide(now view.Uptime, local apply.Local) {
 	in, until := p.holder.Plan(now)
 	if in == nil {
 		p.guide, p.compiledPlan = nil, nil
@@ -190,17 +207,19 @@
 		return
 	}
 	if p.compiledPlan != in {
-		p.fleet.reached(p, in)
+		p.fleet.recordInForce(p, in)
 	}
 	p.compiledPlan, p.local = in, local
 	p.guide = apply.Compile(in, local)
 }
 
+// sendReports sends the reports that are due to the parent, or from the root to the leader. After a change of the receiver all
+// reports are due.
 func (p *process) sendReports(now view.Uptime) {
-	lead := p.fleet.leader.at
+	lead := p.fleet.leader.process
 	to, known := p.fleet.tree.Parent(p.name)
-	final := !known
-	if final {
+	toLeader := !known
+	if toLeader {
 		if lead == nil || lead == p {
 			return
 		}
@@ -208,49 +227,51 @@
 	}
 	if to != p.reportsTo {
 		p.reportsTo = to
-		p.board.MarkAllUnsent()
+		p.reports.MarkAllUnsent()
 	}
-	reports := p.board.TakeDue(now, maxReports)
+	reports := p.reports.TakeDue(now, maxReports)
 	if len(reports) == 0 {
 		return
 	}
 	above := p.fleet.processes[to]
 	p.fleet.send(p, above, reports, func() {
-		board := above.board
-		if final {
-			if p.fleet.leader.at != above {
+		received := above.reports
+		if toLeader {
+			if p.fleet.leader.process != above {
 				return
 			}
-			board = p.fleet.leader.board
+			received = p.fleet.leader.reports
 		}
-		if board.Put(above.now(), reports) {
+		if received.Put(above.now(), reports) {
 			above.scheduleTurn()
 		}
 	})
 }
 
+// sendPlan announces the held plan to the children, and from the leader to the root. It sends the plan itself only where the
+// acknowledged epoch is another one, and renews it renewalsPerHold times while a plan holds.
 func (p *process) sendPlan(now view.Uptime) {
 	targets := p.fleet.tree.Children(p.name)
-	if root := p.fleet.tree.Root(); p.fleet.leader.at == p && root != p.name {
+	if root := p.fleet.tree.Root(); p.fleet.leader.process == p && root != p.name {
 		targets = append(targets, root)
 	}
 	for _, name := range targets {
 		c := p.children[name]
 		if c == nil {
-			c = &child{fresh: now - time.Hour}
+			c = &child{renewedAt: now - time.Hour}
 			p.children[name] = c
 		}
 		in, some := p.holder.Announce(now, c.epoch != p.holder.Epoch())
-		if !some || c.out || c.epoch >= in.Epoch && now-in.Age-c.fresh < p.fleet.settings.Hold/renewals {
+		if !some || c.inFlight || c.epoch >= in.Epoch && now-in.Age-c.renewedAt < p.fleet.settings.Hold/renewalsPerHold {
 			continue
 		}
-		c.out = true
+		c.inFlight = true
 		to, asOf := p.fleet.processes[name], now-in.Age
 		p.fleet.send(p, to, in, func() {
 			to.takePlan(in)
 			epoch := to.holder.Epoch()
 			p.fleet.send(to, p, epoch, func() {
-				c.out, c.epoch, c.fresh = false, epoch, asOf
+				c.inFlight, c.epoch, c.renewedAt = false, epoch, asOf
 				if p.holder.Epoch() > epoch {
 					p.scheduleTurn()
 				}
@@ -259,25 +280,26 @@
 	}
 }
 
+// takePlan handles an announcement of a plan.
 func (p *process) takePlan(in apply.Announcement) {
 	changed, err := p.holder.Receive(p.now(), in)
 	if err != nil {
-		panic(err) // plans are checked before they are decided
+		panic(err) // unreachable: plans are checked before they are decided
 	}
 	local := p.local
 	if changed {
-		local = p.sender.local(p.fleet.numbers)
+		local = p.sender.local(p.fleet.zoneNumbers)
 		local.Failing = p.local.Failing
 	}
-	p.compile(p.now(), local)
+	p.compileGuide(p.now(), local)
 	p.scheduleTurn()
 }
 
-// bytesOf is the length of a message's body.
+// bytesOf returns the length of a message's body in bytes.
 func bytesOf(v any) int {
 	b, err := json.Marshal(v)
 	if err != nil {
-		panic(err) // plain data
+		panic(err) // unreachable: every body can be encoded
 	}
 	return len(b)
 }
--- a/lab/cluster/size/sender.go
+++ b/lab/cluster/size/sender.go
@@ -1,6 +1,7 @@
 package size
 
-// This file counts what a sender reports in its digests, and applies the routing guide. Decisions are the policy's.
+// This file counts the observations that a sender reports in its digests and enforces the routing guide. It leaves all other
+// decisions to the policy.
 
 import (
 	"cmp"
@@ -14,89 +15,96 @@
 	"flaxcove/lab/sim"
 )
 
-// wholeEvery is in how many digests each destination is reported at least once, as in internal/sender.
-const wholeEvery = 10
+// fullListEvery is the number of consecutive digests in which each destination is reported at least once, as in
+// internal/sender.
+const fullListEvery = 10
 
-// countingSender stands between the engine and a policy: it counts what internal/sender counts for its digests, and forbids
-// what its process's guide forbids. Without the cluster it has no process.
+// countingSender is both the host of a policy and the policy of the engine. It counts what internal/sender counts for its
+// digests and forbids endpoints that the guide of its process forbids.
 type countingSender struct {
 	choice.Host
-	policy   sim.Policy
-	zone     choice.ZoneNo
-	set      choice.Settings
-	shortest choice.Time // shortest latency objective of all classes
-	values   *values
-	proc     *process // nil without the cluster
+	policy            sim.Policy
+	zone              choice.ZoneNo
+	settings          choice.Settings
+	shortestObjective choice.Time // shortest latency objective of all classes
+	values            *valueTally
+	process           *process // nil without the cluster
 
 	open    map[choice.MessageID]choice.Message
 	entries map[choice.EndpointID]*entry
 	byDest  map[choice.DestinationID][]*entry
-	escape  bool                                      // where no plan says otherwise, past a home that this sender sees fail
-	seen    map[healthreport.Locality]*clusterapi.Row // since the last digest
+	escape  bool                                      // without a plan for a destination, allow all of its endpoints while those at home fail
+	rows    map[healthreport.Locality]*clusterapi.Row // counts since the last digest
 	listed  map[healthreport.Locality]*listing
-	changed bool
+	changed bool // the endpoint list changed since the last digest
 	digests uint64
 }
 
+// entry is an endpoint of the list with the last reported limit and the time of that report.
 type entry struct {
 	choice.Entry
 	limit   float64
 	limitAt choice.Time
-	failed  choice.Time // when a call last had no answer; 0 once one has
+	failed  choice.Time // time of the last unanswered call; 0 after a call was answered
 }
 
+// listing summarizes the ready endpoints of a locality.
 type listing struct {
-	kind   choice.KindNo
-	ends   []*entry // by id
-	rating float64
+	kind      choice.KindNo
+	endpoints []*entry // sorted by id
+	rating    float64
 }
 
-func newCountingSender(h choice.Host, set choice.Settings, g *values) *countingSender {
-	c := &countingSender{Host: h, zone: set.Zone, set: set, values: g, open: map[choice.MessageID]choice.Message{},
-		entries: map[choice.EndpointID]*entry{}, byDest: map[choice.DestinationID][]*entry{}, seen: map[healthreport.Locality]*clusterapi.Row{}, listed: map[healthreport.Locality]*listing{}}
+// newCountingSender returns a sender without a policy and a process, which the caller sets.
+func newCountingSender(h choice.Host, set choice.Settings, g *valueTally) *countingSender {
+	c := &countingSender{Host: h, zone: set.Zone, settings: set, values: g, open: map[choice.MessageID]choice.Message{},
+		entries: map[choice.EndpointID]*entry{}, byDest: map[choice.DestinationID][]*entry{}, rows: map[healthreport.Locality]*clusterapi.Row{}, listed: map[healthreport.Locality]*listing{}}
 	for i, w := range set.Classes {
-		if i == 0 || w.LatencyObjective < c.shortest {
-			c.shortest = w.LatencyObjective
+		if i == 0 || w.LatencyObjective < c.shortestObjective {
+			c.shortestObjective = w.LatencyObjective
 		}
 	}
 	return c
 }
 
-// The following methods implement the part of choice.Host that the engine does not.
+// The following methods override methods of the embedded choice.Host.
 
-// Allowed asks the routing guide in force at this process.
+// Allowed reports whether the routing guide in force at this process allows an endpoint for a message.
 func (c *countingSender) Allowed(n choice.MessageID, e choice.EndpointID) bool {
-	if c.proc == nil {
+	if c.process == nil {
 		return true
 	}
-	g, en := c.proc.inForce(), c.entries[e]
-	return g == nil || en == nil || g.Allowed(n, en.Destination, en.Zone) || c.escape && c.ejectedHome(g, n, en)
+	g, en := c.process.inForce(), c.entries[e]
+	return g == nil || en == nil || g.Allowed(n, en.Destination, en.Zone) || c.escape && c.homeFails(g, n, en)
 }
 
-// ejectedHome reports whether this sender sees all endpoints fail that the guide limits a message to without a plan.
-func (c *countingSender) ejectedHome(g *apply.Guide, n choice.MessageID, en *entry) bool {
+// homeFails reports whether the guide has no plan for a destination and all endpoints that it allows have failed here, the last
+// time within twice the shortest latency objective.
+func (c *countingSender) homeFails(g *apply.Guide, n choice.MessageID, en *entry) bool {
 	if g.Planned(en.Destination) {
 		return false
 	}
 	for _, other := range c.byDest[en.Destination] {
-		if other.Stage == choice.Ready && (other.failed == 0 || c.Now()-other.failed > 2*c.shortest) && g.Allowed(n, other.Destination, other.Zone) {
+		if other.Stage == choice.Ready && (other.failed == 0 || c.Now()-other.failed > 2*c.shortestObjective) && g.Allowed(n, other.Destination, other.Zone) {
 			return false
 		}
 	}
 	return true
 }
 
+// Shed forgets a message that the policy sheds.
 func (c *countingSender) Shed(id choice.MessageID, comeBackIn choice.Time) {
 	delete(c.open, id)
 	c.Host.Shed(id, comeBackIn)
 }
 
+// Fail forgets a message that the policy fails.
 func (c *countingSender) Fail(id choice.MessageID) {
 	delete(c.open, id)
 	c.Host.Fail(id)
 }
 
-// The following methods implement sim.Policy.
+// The following methods implement sim.Policy: they count and pass each event on to the policy.
 
 func (c *countingSender) UpdateEndpoints(entries []choice.Entry, whole bool) {
 	if whole {
@@ -131,12 +139,12 @@
 		delete(c.open, o.Message)
 	}
 	if o.Final && o.Result == choice.Done {
-		w := &c.set.Classes[n.Class]
+		w := &c.settings.Classes[n.Class]
 		asked := n.Deadline - w.Deadline
-		c.values.delivered(asked, w.Value*w.ValueShare(c.Now()-asked, c.set.Halving))
+		c.values.delivered(asked, w.Value*w.ValueShare(c.Now()-asked, c.settings.Halving))
 	}
-	if e := c.entries[o.Endpoint]; e != nil && c.proc != nil {
-		c.saw(e, o)
+	if e := c.entries[o.Endpoint]; e != nil && c.process != nil {
+		c.recordOutcome(e, o)
 	}
 	c.policy.Ended(o)
 }
@@ -148,8 +156,8 @@
 	return c.policy.Open(e, messages...)
 }
 
-// saw counts the end of a call as internal/sender does. It relies on calls that carry one message each.
-func (c *countingSender) saw(e *entry, o choice.Outcome) {
+// recordOutcome counts the end of a call as internal/sender does. It assumes that each call carries one message.
+func (c *countingSender) recordOutcome(e *entry, o choice.Outcome) {
 	if o.Report.Known {
 		e.limit, e.limitAt = o.Report.Limit, c.Now()
 	}
@@ -159,7 +167,7 @@
 	case choice.Done, choice.Rejected, choice.Errored, choice.Unreadable:
 		e.failed = 0
 	}
-	r := c.row(placeOf(e))
+	r := c.row(localityOf(e))
 	r.Sent++
 	switch o.Result {
 	case choice.Done:
@@ -171,51 +179,54 @@
 	case choice.ConnectFailed:
 		r.Failed, r.Unanswered = r.Failed+1, r.Unanswered+1
 	case choice.TimedOut:
-		if o.Took >= c.shortest {
+		if o.Took >= c.shortestObjective {
 			r.Failed, r.Unanswered = r.Failed+1, r.Unanswered+1
 		}
 	}
 }
 
-func placeOf(e *entry) healthreport.Locality {
+// localityOf returns the locality of an endpoint.
+func localityOf(e *entry) healthreport.Locality {
 	return healthreport.Locality{Destination: e.Destination, Zone: zoneName(int(e.Zone))}
 }
 
+// row returns the row of a locality in the next digest, and adds one if there is none.
 func (c *countingSender) row(at healthreport.Locality) *clusterapi.Row {
-	r := c.seen[at]
+	r := c.rows[at]
 	if r == nil {
 		r = &clusterapi.Row{Destination: at.Destination, Zone: string(at.Zone)}
-		c.seen[at] = r
+		c.rows[at] = r
 	}
 	return r
 }
 
-// digest returns what was counted since the last digest. It leaves waiting messages out, which failover does not use.
+// digest returns the counts since the last digest. It omits waiting messages, which failover does not use.
 func (c *countingSender) digest() clusterapi.Digest {
 	if c.changed {
-		c.readList()
+		c.updateListed()
 	}
 	c.digests++
 	for at := range c.listed {
-		if (uint64(at.Destination)+c.digests)%wholeEvery == 0 {
+		if (uint64(at.Destination)+c.digests)%fullListEvery == 0 {
 			c.row(at)
 		}
 	}
 	var d clusterapi.Digest
-	for at, r := range c.seen {
+	for at, r := range c.rows {
 		if l := c.listed[at]; l != nil {
-			r.Kind, r.Endpoints, r.Rating, r.Limit = l.kind, len(l.ends), l.rating, l.limit(c.set.Kinds)
+			r.Kind, r.Endpoints, r.Rating, r.Limit = l.kind, len(l.endpoints), l.rating, l.limit(c.settings.Kinds)
 		}
 		d.Rows = append(d.Rows, *r)
 	}
 	slices.SortFunc(d.Rows, func(a, b clusterapi.Row) int {
 		return cmp.Or(cmp.Compare(a.Destination, b.Destination), cmp.Compare(a.Zone, b.Zone))
 	})
-	clear(c.seen)
+	clear(c.rows)
 	return d
 }
 
-func (c *countingSender) readList() {
+// updateListed rebuilds the listings from the endpoint list. It adds a row for each locality whose number of endpoints changed.
+func (c *countingSender) updateListed() {
 	c.changed = false
 	old := c.listed
 	c.listed = map[healthreport.Locality]*listing{}
@@ -223,16 +234,16 @@
 		if e.Stage != choice.Ready {
 			continue
 		}
-		l := c.listed[placeOf(e)]
+		l := c.listed[localityOf(e)]
 		if l == nil {
 			l = &listing{}
-			c.listed[placeOf(e)] = l
+			c.listed[localityOf(e)] = l
 		}
-		l.kind, l.ends, l.rating = e.Kind, append(l.ends, e), l.rating+e.Rating
+		l.kind, l.endpoints, l.rating = e.Kind, append(l.endpoints, e), l.rating+e.Rating
 	}
 	for at, l := range c.listed {
-		slices.SortFunc(l.ends, func(a, b *entry) int { return cmp.Compare(a.Endpoint, b.Endpoint) })
-		if was := old[at]; was == nil || len(was.ends) != len(l.ends) {
+		slices.SortFunc(l.endpoints, func(a, b *entry) int { return cmp.Compare(a.Endpoint, b.Endpoint) })
+		if was := old[at]; was == nil || len(was.endpoints) != len(l.endpoints) {
 			c.row(at)
 		}
 	}
@@ -243,19 +254,21 @@
 	}
 }
 
+// limit returns the reported rate limit of a locality: the sum over its endpoints if each has its own limit, or else the
+// limit in the latest report.
 func (l *listing) limit(kinds []choice.Kind) (limit float64) {
-	heard := choice.Time(-1)
-	for _, e := range l.ends {
+	latest := choice.Time(-1)
+	for _, e := range l.endpoints {
 		if kinds[l.kind].SeparateRoutes {
 			limit += e.limit
-		} else if e.limitAt > heard {
-			heard, limit = e.limitAt, e.limit
+		} else if e.limitAt > latest {
+			latest, limit = e.limitAt, e.limit
 		}
 	}
 	return limit
 }
 
-// local is the part of a process's state that its routing guide is compiled with.
+// local returns the sender's part of the input for compiling a routing guide: its zone and the zones of all destinations.
 func (c *countingSender) local(numbers map[view.Zone]choice.ZoneNo) apply.Local {
 	l := apply.Local{Zone: zoneName(int(c.zone)), Numbers: numbers, Listed: map[choice.DestinationID][]choice.ZoneNo{}}
 	for at := range c.listed {
--- a/lab/cluster/size/size_test.go
+++ b/lab/cluster/size/size_test.go
@@ -62,8 +62,8 @@
 		for _, r := range table {
 			fmt.Fprint(os.Stderr, r.Case, " ", r.Seed, ":")
 			for s := range 45 {
-				best := at(r.ByMode[Oracle].values, s)
-				fmt.Fprintf(os.Stderr, " %d:%.2f/%.2f", s, at(r.ByMode[Alone].values, s)/best, at(r.ByMode[Together].values, s)/best)
+				best := valueAt(r.ByMode[Oracle].valueBySecond, s)
+				fmt.Fprintf(os.Stderr, " %d:%.2f/%.2f", s, valueAt(r.ByMode[Alone].valueBySecond, s)/best, valueAt(r.ByMode[Together].valueBySecond, s)/best)
 			}
 			fmt.Fprintln(os.Stderr)
 		}
@@ -105,8 +105,8 @@
 	o := Options{Case: Small(), Seed: 7, Mode: Together}
 	o.Spec.Seconds = 14 // into the outage
 	a, b := play(t, o), play(t, o)
-	if a.Hash == 0 || a.Hash != b.Hash || a.Figure != b.Figure || a.Messages != b.Messages {
-		t.Errorf("hash %x and %x, figure %g and %g, messages %g and %g", a.Hash, b.Hash, a.Figure, b.Figure, a.Messages, b.Messages)
+	if a.Hash == 0 || a.Hash != b.Hash || a.Figure != b.Figure || a.MessagesPerSecond != b.MessagesPerSecond {
+		t.Errorf("hash %x and %x, figure %g and %g, messages %g and %g", a.Hash, b.Hash, a.Figure, b.Figure, a.MessagesPerSecond, b.MessagesPerSecond)
 	}
 }
 
@@ -118,19 +118,19 @@
 		with := play(t, o)
 		o.Mode = Alone
 		alone := play(t, o)
-		t.Logf("with %v %v %v back %v in force %v gain %.0f over %v; alone %v %v %v gain %.0f", with.Before, with.During, with.After,
-			with.Back, with.InForce, with.Value, with.ZoneOver, alone.Before, alone.During, alone.After, alone.Value)
+		t.Logf("with %v %v %v back %v in force %v gain %.0f over %v; alone %v %v %v gain %.0f", with.AwayBefore, with.AwayDuring, with.AwayAfter,
+			with.ReturnedAfter, with.InForceAfter, with.Value, with.ZoneOverload, alone.AwayBefore, alone.AwayDuring, alone.AwayAfter, alone.Value)
 		switch {
-		case with.broken() > 0 || with.PushedOver > 0:
+		case with.violationCount() > 0 || with.PushedOver > 0:
 			t.Errorf("seed %d: rules %v, pushed over %d", o.Seed, with.Rules, with.PushedOver)
-		case with.Before >= calmShare || with.During < calmShare:
-			t.Errorf("seed %d: %.3f leave while all is well, %.3f during the outage", o.Seed, with.Before, with.During)
-		case with.InForce < 0 || with.InForce > 6:
-			t.Errorf("seed %d: in force after %.1f s", o.Seed, with.InForce)
-		case with.After >= 2*calmShare || alone.After <= 4*with.After:
-			t.Errorf("seed %d: at the end %.3f leave, %.3f where each is alone", o.Seed, with.After, alone.After)
-		case with.ZoneOver.Seconds > 1:
-			t.Errorf("seed %d: a receiving zone is over what it can take: %v", o.Seed, with.ZoneOver)
+		case with.AwayBefore >= calmShare || with.AwayDuring < calmShare:
+			t.Errorf("seed %d: %.3f leave while all is well, %.3f during the outage", o.Seed, with.AwayBefore, with.AwayDuring)
+		case with.InForceAfter < 0 || with.InForceAfter > 6:
+			t.Errorf("seed %d: in force after %.1f s", o.Seed, with.InForceAfter)
+		case with.AwayAfter >= 2*calmShare || alone.AwayAfter <= 4*with.AwayAfter:
+			t.Errorf("seed %d: at the end %.3f leave, %.3f where each is alone", o.Seed, with.AwayAfter, alone.AwayAfter)
+		case with.ZoneOverload.Seconds > 1:
+			t.Errorf("seed %d: a receiving zone is over what it can take: %v", o.Seed, with.ZoneOverload)
 		case with.Value < valueAtLeast*alone.Value:
 			t.Errorf("seed %d: gain %.0f in the outage, %.0f where each is alone", o.Seed, with.Value, alone.Value)
 		}
--- a/lab/scale/agree.go
+++ b/lab/scale/agree.go
@@ -9,19 +9,20 @@
 	"flaxcove/lab/scale/host"
 )
 
-// This file waits until all members agree. That they do is the verdict; how long it takes is a figure.
+// This file waits until all members agree. A run fails if they do not; the time until they do is only measured.
 
 const (
-	pollEvery = 400 * time.Millisecond
-	// pollPause bounds the cost of polling a large fleet: a poll of 660 members takes half a second of the processor time
-	// that they need. The pause after a poll is this many times its duration.
-	pollPause  = 5
+	pollInterval = 400 * time.Millisecond
+	// pollPauseFactor is the duration of the pause after a poll, as a multiple of the duration of the poll. It bounds the
+	// cost of polling: a poll of 660 members takes half a second of processor time, which the members need themselves.
+	pollPauseFactor = 5
+	// maxReasons is the largest number of differences in an error text.
 	maxReasons = 5
 )
 
-// states returns the states of all members.
+// states polls the states of all members, the real ones first.
 func (r *run) states(ctx context.Context) ([]host.MemberState, error) {
-	answers, err := r.orderAllHosts(host.Order{Do: host.State})
+	answers, err := r.orderAllHosts(host.Order{Kind: host.ReportState})
 	if err != nil {
 		return nil, err
 	}
@@ -32,36 +33,38 @@
 	return states, nil
 }
 
-// differences returns what keeps members from agreeing on view, leader, root, epoch, configuration and purges.
+// differences describes where members disagree: on the view, leader, root, epoch, configuration or purges. want is the number
+// of members; epochs are compared if failover is set.
 func differences(all []host.MemberState, want int, failover bool) (why []string) {
 	if len(all) != want {
-		return []string{fmt.Sprintf("%d of %d members answer", len(all), want)}
+		return []string{fmt.Sprintf("%d of %d members answered", len(all), want)}
 	}
 	first := all[0]
 	for _, s := range all {
 		switch {
 		case !s.Up:
 			why = append(why, fmt.Sprintf("member %d is not up", s.No))
-		case s.Here != want:
-			why = append(why, fmt.Sprintf("member %d sees %d of %d", s.No, s.Here, want))
-		case s.View != first.View:
-			why = append(why, fmt.Sprintf("members %d and %d see other lives", s.No, first.No))
+		case s.Alive != want:
+			why = append(why, fmt.Sprintf("member %d sees %d of %d members alive", s.No, s.Alive, want))
+		case s.ViewSum != first.ViewSum:
+			why = append(why, fmt.Sprintf("members %d and %d see different incarnations of members", s.No, first.No))
 		case s.Root != first.Root:
-			why = append(why, fmt.Sprintf("member %d has root %s, member %d %s", s.No, s.Root, first.No, first.Root))
+			why = append(why, fmt.Sprintf("member %d reports %s as the root, member %d reports %s", s.No, s.Root, first.No, first.Root))
 		case s.Leader == "" || s.Leader != first.Leader:
-			why = append(why, fmt.Sprintf("member %d knows %q as the leader, member %d %q", s.No, s.Leader, first.No, first.Leader))
+			why = append(why, fmt.Sprintf("member %d reports %q as the leader, member %d reports %q", s.No, s.Leader, first.No, first.Leader))
 		case failover && (s.Epoch == 0 || s.Epoch != first.Epoch):
-			why = append(why, fmt.Sprintf("member %d is at epoch %d, member %d at %d", s.No, s.Epoch, first.No, first.Epoch))
+			why = append(why, fmt.Sprintf("member %d is at epoch %d, member %d is at epoch %d", s.No, s.Epoch, first.No, first.Epoch))
 		case s.Version != first.Version:
-			why = append(why, fmt.Sprintf("member %d runs version %d of the configuration, member %d %d", s.No, s.Version, first.No, first.Version))
+			why = append(why, fmt.Sprintf("member %d runs version %d of the configuration, member %d runs version %d", s.No, s.Version, first.No, first.Version))
 		case s.Purged != first.Purged:
-			why = append(why, fmt.Sprintf("member %d has purged up to %d, member %d to %d", s.No, s.Purged, first.No, first.Purged))
+			why = append(why, fmt.Sprintf("member %d has applied purges up to %d, member %d up to %d", s.No, s.Purged, first.No, first.Purged))
 		}
 	}
 	return why
 }
 
-// awaitAgreement waits until all members agree, and returns how long that took.
+// awaitAgreement waits until all members agree and returns the time that this took. after names the preceding event in reports
+// and errors. It returns an error if they do not agree within Options.AgreeWithin.
 func (r *run) awaitAgreement(ctx context.Context, after string) (time.Duration, error) {
 	began := time.Now()
 	lastReport := time.Now()
@@ -73,20 +76,20 @@
 		}
 		why := differences(states, len(r.fleet.Members), slices.Contains(r.options.Fleet.Uses, "failover"))
 		if len(why) == 0 {
-			r.options.Say("%s: all agree after %.1f s", after, time.Since(began).Seconds())
+			r.options.Say("%s: all members agree after %.1f s", after, time.Since(began).Seconds())
 			return time.Since(began), nil
 		}
 		if time.Since(lastReport) > 5*time.Second {
 			lastReport = time.Now()
-			r.options.Say("%s: %.0f s, %d differ: %v", after, time.Since(began).Seconds(), len(why), why[:min(2, len(why))])
+			r.options.Say("%s: after %.0f s there are %d differences, for example %v", after, time.Since(began).Seconds(), len(why), why[:min(2, len(why))])
 		}
 		if time.Since(began) > r.options.AgreeWithin {
-			return 0, fmt.Errorf("%s: after %v %d members differ: %v", after, r.options.AgreeWithin, len(why), why[:min(maxReasons, len(why))])
+			return 0, fmt.Errorf("%s: after %v there are %d differences between members: %v", after, r.options.AgreeWithin, len(why), why[:min(maxReasons, len(why))])
 		}
 		select {
 		case <-ctx.Done():
 			return 0, ctx.Err()
-		case <-time.After(max(pollEvery, pollPause*time.Since(looked))):
+		case <-time.After(max(pollInterval, pollPauseFactor*time.Since(looked))):
 		}
 	}
 }
--- a/lab/scale/decided.go
+++ b/lab/scale/decided.go
@@ -16,18 +16,18 @@
 	"flaxcove/lab/scale/host"
 )
 
-// This file orders purges and changes of the configuration, and measures when each reaches the hollow members.
+// This file orders purges and changes of the configuration and measures when each has been applied by the hollow members.
 
 const (
-	decideWithin = time.Minute // until an order is decided, and again until all members have it
-	decideLook   = 50 * time.Millisecond
-	// settingsBytes is about the size of a sender's settings in the laboratory.
+	orderTimeout      = time.Minute // bound on the time until an order is decided, and likewise until all members have applied it
+	orderPollInterval = 50 * time.Millisecond
+	// settingsBytes is the approximate size of a sender's settings in the laboratory.
 	settingsBytes = 3000
 )
 
-// orderAll orders purges and changes one after the other.
+// orderAll orders the purges and changes that the options ask for, one after the other.
 func (r *run) orderAll(ctx context.Context) error {
-	by := r.fleet.Find(r.fleet.Founders[0])
+	by := r.fleet.MemberNo(r.fleet.Founders[0])
 	for i := range r.options.Purges {
 		if !slices.Contains(r.options.Fleet.Uses, "purges") {
 			break
@@ -53,29 +53,30 @@
 	return nil
 }
 
-// purge orders a purge of a destination.
-func (r *run) purge(ctx context.Context, by, i int) (s Spread, err error) {
+// purge orders purge i, of destination i, at member by, and measures its propagation.
+func (r *run) purge(ctx context.Context, by, i int) (s Propagation, err error) {
 	began := time.Now()
 	var taken struct {
 		Seq uint64 `json:"seq"`
 	}
 	body := map[string]any{"id": fmt.Sprintf("scale-%d", i), "subject": "notices", "who": "laboratory", "why": "scale",
 		"match": map[string]any{"destination": i}}
-	if err := r.decide(ctx, by, "/v1/purges", body, &taken); err != nil {
+	if err := r.postUntilAccepted(ctx, by, "/v1/purges", body, &taken); err != nil {
 		return s, err
 	}
 	s.DecidedS = time.Since(began).Seconds()
-	return s, r.reaches(ctx, &s, began, host.Order{Do: host.Applied, Purge: taken.Seq})
+	return s, r.awaitApplied(ctx, &s, began, host.Order{Kind: host.ReportApplied, Purge: taken.Seq})
 }
 
-// change orders a change of the configuration based on an earlier version.
-func (r *run) change(ctx context.Context, by, i int, base uint64) (s Spread, version uint64, err error) {
+// change orders change i of the configuration, based on version base, at member by, and measures its propagation. It returns
+// the new version.
+func (r *run) change(ctx context.Context, by, i int, base uint64) (s Propagation, version uint64, err error) {
 	settings, err := r.settings()
 	if err != nil {
 		return s, 0, err
 	}
 	settings["laboratory_change"] = i
-	if len(r.realMembers) > 0 { // real members reject unknown fields
+	if len(r.realMembers) > 0 { // real members reject unknown fields: change a known one
 		delete(settings, "laboratory_change")
 		settings["dialMs"] = 900 + i
 	}
@@ -84,14 +85,14 @@
 		Version uint64 `json:"version"`
 	}
 	body := map[string]any{"id": fmt.Sprintf("scale-%d", i), "base": base, "settings": settings, "who": "laboratory", "why": "scale"}
-	if err := r.decide(ctx, by, "/v1/configuration", body, &taken); err != nil {
+	if err := r.postUntilAccepted(ctx, by, "/v1/configuration", body, &taken); err != nil {
 		return s, 0, err
 	}
 	s.DecidedS = time.Since(began).Seconds()
-	return s, taken.Version, r.reaches(ctx, &s, began, host.Order{Do: host.Applied, Version: taken.Version})
+	return s, taken.Version, r.awaitApplied(ctx, &s, began, host.Order{Kind: host.ReportApplied, Version: taken.Version})
 }
 
-// settings returns the settings of a real member's file, or as many bytes if there is no real member.
+// settings returns the settings in a real member's configuration file, or a filler of about settingsBytes without real members.
 func (r *run) settings() (map[string]any, error) {
 	if len(r.realHomes) == 0 {
 		return map[string]any{"filling": strings.Repeat("setting ", settingsBytes/8)}, nil
@@ -107,27 +108,28 @@
 	return file.Settings, err
 }
 
-// decide posts an order to a member until it is accepted, under one id.
-func (r *run) decide(ctx context.Context, by int, path string, order, taken any) error {
+// postUntilAccepted posts an order to a member until it is accepted. The order has the same id in each attempt. The answer is
+// decoded into taken.
+func (r *run) postUntilAccepted(ctx context.Context, by int, path string, order, taken any) error {
 	body, err := json.Marshal(order)
 	if err != nil {
 		return err
 	}
 	var last error
-	for began := time.Now(); time.Since(began) < decideWithin; {
+	for began := time.Now(); time.Since(began) < orderTimeout; {
 		retry, err := r.post(ctx, "http://"+r.address(by).HTTP+path, body, taken)
 		if err == nil || !retry {
 			return err
 		}
 		last = err
-		if !sleep(ctx, decideLook) {
+		if !sleep(ctx, orderPollInterval) {
 			return ctx.Err()
 		}
 	}
-	return fmt.Errorf("%s: not decided in %v: %w", path, decideWithin, last)
+	return fmt.Errorf("order to %s was not decided within %v; last error: %w", path, orderTimeout, last)
 }
 
-// post makes one attempt; retry says whether another one may succeed.
+// post makes one attempt to post an order. retry reports whether another attempt may succeed.
 func (r *run) post(ctx context.Context, url string, body []byte, taken any) (retry bool, err error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
@@ -141,17 +143,17 @@
 	if answer.StatusCode != http.StatusAccepted {
 		var text bytes.Buffer
 		_, err := text.ReadFrom(answer.Body)
-		return answer.StatusCode >= http.StatusInternalServerError, errors.Join(fmt.Errorf("%s: %d: %s", url, answer.StatusCode, text.String()), err)
+		return answer.StatusCode >= http.StatusInternalServerError, errors.Join(fmt.Errorf("%s answered with HTTP status %d: %s", url, answer.StatusCode, text.String()), err)
 	}
 	return true, json.NewDecoder(answer.Body).Decode(taken)
 }
 
-// reaches waits until all hollow members have applied an order, and records the times.
-func (r *run) reaches(ctx context.Context, s *Spread, began time.Time, applied host.Order) error {
+// awaitApplied waits until all hollow members have applied an order, for orderTimeout at most, and records the times.
+func (r *run) awaitApplied(ctx context.Context, s *Propagation, began time.Time, applied host.Order) error {
 	hollow := len(r.fleet.Members) - len(r.realMembers)
 	var after []float64
-	for waited := time.Now(); time.Since(waited) < decideWithin && len(after) < hollow; {
-		if !sleep(ctx, decideLook) {
+	for waited := time.Now(); time.Since(waited) < orderTimeout && len(after) < hollow; {
+		if !sleep(ctx, orderPollInterval) {
 			return ctx.Err()
 		}
 		answers, err := r.orderAllHosts(applied)
@@ -167,16 +169,16 @@
 	}
 	slices.Sort(after)
 	s.P50S, s.P95S, s.P100S = -1, -1, -1
-	s.of(after, hollow)
+	s.setQuantiles(after, hollow)
 	return nil
 }
 
-// of records quantiles of the times at which members had applied it.
-func (s *Spread) of(after []float64, all int) {
+// setQuantiles sets the quantiles from the sorted times at which members applied an order; all is the number of members.
+func (s *Propagation) setQuantiles(after []float64, all int) {
 	for _, mark := range []struct {
 		share float64
 		at    *float64
-	}{{0.5, &s.P50S}, {enough, &s.P95S}, {1, &s.P100S}} {
+	}{{0.5, &s.P50S}, {mostMembers, &s.P95S}, {1, &s.P100S}} {
 		if i := int(mark.share*float64(all)+0.999) - 1; i >= 0 && i < len(after) {
 			*mark.at = after[i]
 		}
--- a/lab/scale/faults.go
+++ b/lab/scale/faults.go
@@ -12,8 +12,9 @@
 	"flaxcove/lab/world"
 )
 
-// This file plays a schedule's faults, one after the other in the order of their times.
+// This file injects the faults of a schedule one after the other, in the order of the file.
 
+// locations returns the numbers of the members' zones and regions, from 1.
 func (r *run) locations() schedule.Locations {
 	number := func(text string) int {
 		n, _ := strconv.Atoi(text[1:])
@@ -23,7 +24,7 @@
 		Region: func(i int) int { return number(string(r.fleet.Members[i].Region)) }}
 }
 
-// playFaults plays all faults. They must not overlap.
+// playFaults injects all faults of a schedule. They must not overlap: a fault that is due while another one lasts begins late.
 func (r *run) playFaults(ctx context.Context, s *schedule.Schedule) error {
 	began := time.Now()
 	for i := range s.Faults {
@@ -31,15 +32,17 @@
 		if !sleep(ctx, time.Until(began.Add(seconds(f.At)))) {
 			return ctx.Err()
 		}
-		if err := r.fault(ctx, f, s.Affected(f, r.locations())); err != nil {
+		if err := r.playFault(ctx, f, s.Affected(f, r.locations())); err != nil {
 			return fmt.Errorf("fault[%d]: %w", i, err)
 		}
 	}
 	return nil
 }
 
+// seconds converts seconds to a duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
+// sleep waits for d. It returns false if ctx ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -51,13 +54,14 @@
 	}
 }
 
-func (r *run) fault(ctx context.Context, f *schedule.Fault, affected []int) error {
-	r.options.Say("%s: strikes %d members", f.Kind, len(affected))
+// playFault injects one fault and returns once it is over.
+func (r *run) playFault(ctx context.Context, f *schedule.Fault, affected []int) error {
+	r.options.Say("fault %s: affects %d members", f.Kind, len(affected))
 	switch f.Kind {
 	case "kill":
 		return r.kill(ctx, f, affected)
 	case "leader":
-		leader, err := r.leader(ctx)
+		leader, err := r.findLeader(ctx)
 		if err != nil {
 			return err
 		}
@@ -65,35 +69,36 @@
 	case "cut":
 		return r.cut(ctx, f, affected)
 	case "zone":
-		return r.zoneFalls(ctx, f)
+		return r.failZone(ctx, f)
 	case "rolling":
-		return r.rolling(ctx, f)
+		return r.rollingRestart(ctx, f)
 	}
-	return fmt.Errorf("%q is not played at this size", f.Kind)
+	return fmt.Errorf("kind %q cannot be played with a large fleet", f.Kind)
 }
 
-// kill kills members, at once or one after the other, and starts each again after the fault's time.
+// kill kills members, all at once or one after the other over Select.OverS, and starts each again after the duration of the
+// fault.
 func (r *run) kill(ctx context.Context, f *schedule.Fault, affected []int) error {
 	if f.Select.OverS <= 0 || len(affected) < 2 {
-		if err := r.down(affected, host.Kill); err != nil {
+		if err := r.stopAffected(affected, host.Kill); err != nil {
 			return err
 		}
 		if !sleep(ctx, seconds(f.Seconds)) {
 			return ctx.Err()
 		}
-		return r.up(affected)
+		return r.startAffected(affected)
 	}
-	apart := seconds(f.Select.OverS) / time.Duration(len(affected))
+	interval := seconds(f.Select.OverS) / time.Duration(len(affected))
 	began := time.Now()
 	killed, started := 0, 0
 	for started < len(affected) {
-		nextKill := began.Add(time.Duration(killed) * apart)
-		nextStart := began.Add(time.Duration(started)*apart + seconds(f.Seconds))
+		nextKill := began.Add(time.Duration(killed) * interval)
+		nextStart := began.Add(time.Duration(started)*interval + seconds(f.Seconds))
 		if killed < len(affected) && !nextStart.Before(nextKill) {
 			if !sleep(ctx, time.Until(nextKill)) {
 				return ctx.Err()
 			}
-			if err := r.down(affected[killed:killed+1], host.Kill); err != nil {
+			if err := r.stopAffected(affected[killed:killed+1], host.Kill); err != nil {
 				return err
 			}
 			killed++
@@ -102,7 +107,7 @@
 		if !sleep(ctx, time.Until(nextStart)) {
 			return ctx.Err()
 		}
-		if err := r.up(affected[started : started+1]); err != nil {
+		if err := r.startAffected(affected[started : started+1]); err != nil {
 			return err
 		}
 		started++
@@ -110,44 +115,45 @@
 	return nil
 }
 
-// cut separates members from all others for the fault's time.
+// cut separates members from all others for the duration of the fault.
 func (r *run) cut(ctx context.Context, f *schedule.Fault, affected []int) error {
 	for _, m := range r.realMembers {
 		if len(r.real.relays) == 0 || m.Region == r.fleet.LastRegion() {
-			return fmt.Errorf("real members can only be cut off from region %s", r.fleet.LastRegion())
+			return fmt.Errorf("real members can only be separated from region %s, with relays in a schedule that cuts it off", r.fleet.LastRegion())
 		}
 	}
-	if _, err := r.orderAllHosts(host.Order{Do: host.Cut, Apart: affected}); err != nil {
+	if _, err := r.orderAllHosts(host.Order{Kind: host.Cut, Separated: affected}); err != nil {
 		return err
 	}
 	r.cutReal(true)
-	whole := sleep(ctx, seconds(f.Seconds))
+	complete := sleep(ctx, seconds(f.Seconds))
 	r.cutReal(false)
-	_, err := r.orderAllHosts(host.Order{Do: host.Cut})
-	if !whole {
+	_, err := r.orderAllHosts(host.Order{Kind: host.Cut})
+	if !complete {
 		return ctx.Err()
 	}
 	return err
 }
 
-// rolling restarts all members in steps, and records how long that took.
-func (r *run) rolling(ctx context.Context, f *schedule.Fault) error {
+// rollingRestart shuts all members down gracefully and starts them again, in steps, and records the total time. Real members
+// are killed instead.
+func (r *run) rollingRestart(ctx context.Context, f *schedule.Fault) error {
 	began := time.Now()
 	everyone := make([]int, len(r.fleet.Members))
 	for i := range everyone {
 		everyone[i] = i
 	}
-	for step, part := range deal(everyone, f.Steps) {
-		if err := r.down(part, host.Stop); err != nil {
+	for step, part := range split(everyone, f.Steps) {
+		if err := r.stopAffected(part, host.Stop); err != nil {
 			return err
 		}
 		if !sleep(ctx, seconds(f.Seconds)) {
 			return ctx.Err()
 		}
-		if err := r.up(part); err != nil {
+		if err := r.startAffected(part); err != nil {
 			return err
 		}
-		r.options.Say("rolling: step %d of %d after %.1f s", step+1, f.Steps, time.Since(began).Seconds())
+		r.options.Say("rolling restart: step %d of %d done after %.1f s", step+1, f.Steps, time.Since(began).Seconds())
 		if !sleep(ctx, seconds(f.Every)) {
 			return ctx.Err()
 		}
@@ -156,17 +162,18 @@
 	return nil
 }
 
-// down stops members, and up starts them again.
-func (r *run) down(nos []int, how host.Do) error {
+// stopAffected stops members; how is host.Kill or host.Stop. Real members are killed in both cases.
+func (r *run) stopAffected(nos []int, how host.OrderKind) error {
 	affected := setOf(nos)
-	r.act(affected, world.Kill)
+	r.actOnReal(affected, world.Kill)
 	_, err := r.orderHosts(orderFor(affected, how))
 	return err
 }
 
-func (r *run) up(nos []int) error {
+// startAffected starts members again.
+func (r *run) startAffected(nos []int) error {
 	affected := setOf(nos)
-	r.act(affected, world.Start)
+	r.actOnReal(affected, world.Start)
 	_, err := r.orderHosts(orderFor(affected, host.Start))
 	return err
 }
@@ -179,10 +186,10 @@
 	return set
 }
 
-// orderFor returns the order to each host for those of its members that are affected, or nil for none.
-func orderFor(affected map[int]bool, do host.Do) func(*hostProcess) *host.Order {
+// orderFor returns a function that returns the order to a host for its affected members, or nil if none is affected.
+func orderFor(affected map[int]bool, do host.OrderKind) func(*hostProcess) *host.Order {
 	return func(h *hostProcess) *host.Order {
-		order := host.Order{Do: do}
+		order := host.Order{Kind: do}
 		for _, no := range h.members {
 			if affected[no] {
 				order.Members = append(order.Members, no)
@@ -195,35 +202,36 @@
 	}
 }
 
-func (r *run) leader(ctx context.Context) (int, error) {
+// findLeader returns the number of the member that the first member with a known leader reports.
+func (r *run) findLeader(ctx context.Context) (int, error) {
 	states, err := r.states(ctx)
 	if err != nil {
 		return 0, err
 	}
 	for _, s := range states {
-		if no := r.fleet.Find(s.Leader); no >= 0 {
+		if no := r.fleet.MemberNo(s.Leader); no >= 0 {
 			return no, nil
 		}
 	}
-	return 0, fmt.Errorf("nobody knows a leader")
+	return 0, fmt.Errorf("no member reports a leader")
 }
 
 const (
-	fallLook = 100 * time.Millisecond
-	enough   = 0.95 // of the members
+	outagePollInterval = 100 * time.Millisecond
+	mostMembers        = 0.95 // share of the members for the 95% figures
 )
 
-// zoneFalls has a zone's endpoints not answer hollow members, and measures when a plan that routes away from the zone is in
-// force at most of them.
-func (r *run) zoneFalls(ctx context.Context, f *schedule.Fault) error {
-	if _, err := r.orderAllHosts(host.Order{Do: host.Fall, Zones: []int{f.Zone - 1}}); err != nil {
+// failZone makes the endpoints of a zone not answer hollow members for the duration of the fault. It measures when a plan that
+// routes away from the zone is in force at half, 95% and all of the hollow members.
+func (r *run) failZone(ctx context.Context, f *schedule.Fault) error {
+	if _, err := r.orderAllHosts(host.Order{Kind: host.FailZones, Zones: []int{f.Zone - 1}}); err != nil {
 		return err
 	}
 	began := time.Now()
-	fell := Fall{Zone: f.Zone, Members: len(r.fleet.Members), P50S: -1, P95S: -1, P100S: -1}
+	outage := ZoneOutage{Zone: f.Zone, Members: len(r.fleet.Members), P50S: -1, P95S: -1, P100S: -1}
 	name := "z" + strconv.Itoa(f.Zone-1)
 	for time.Since(began) < seconds(f.Seconds) && ctx.Err() == nil {
-		answers, err := r.orderAllHosts(host.Order{Do: host.State})
+		answers, err := r.orderAllHosts(host.Order{Kind: host.ReportState})
 		if err != nil {
 			return err
 		}
@@ -231,7 +239,7 @@
 		for _, a := range answers {
 			for _, s := range a.States {
 				up++
-				if strings.Contains(" "+strings.Join(s.Away, " ")+" ", " "+name+" ") {
+				if strings.Contains(" "+strings.Join(s.DivertedZones, " ")+" ", " "+name+" ") {
 					away++
 				}
 			}
@@ -240,14 +248,14 @@
 		for _, mark := range []struct {
 			share float64
 			at    *float64
-		}{{0.5, &fell.P50S}, {enough, &fell.P95S}, {1, &fell.P100S}} {
+		}{{0.5, &outage.P50S}, {mostMembers, &outage.P95S}, {1, &outage.P100S}} {
 			if *mark.at < 0 && away > 0 && float64(away) >= mark.share*float64(up) {
 				*mark.at = passed
 			}
 		}
-		sleep(ctx, fallLook)
+		sleep(ctx, outagePollInterval)
 	}
-	r.result.Falls = append(r.result.Falls, fell)
-	_, err := r.orderAllHosts(host.Order{Do: host.Fall})
+	r.result.Outages = append(r.result.Outages, outage)
+	_, err := r.orderAllHosts(host.Order{Kind: host.FailZones})
 	return err
 }
--- a/lab/scale/fleet/file.go
+++ b/lab/scale/fleet/file.go
@@ -6,18 +6,20 @@
 	"strings"
 )
 
-// This file writes the cluster file of a member. It names the founders only, as seeds: the member learns of the rest of the
-// fleet by gossip.
+// This file generates the cluster file of a member. The file lists the founders, and the members behind relays; the member
+// learns of all others by gossip.
 
-// places is the bound of localities that a member keeps health reports of: the fleet's longest list, with two zones each.
-const places = 130_000
+// maxLocalities is the bound on the localities of which a member keeps health reports. It suffices for the largest endpoint list
+// of a planned fleet, with two zones for each destination.
+const maxLocalities = 130_000
 
-// File is the text of a member's cluster file; relayed are the numbers of the members that it reaches through relays.
+// File returns the text of the cluster file of member i, which keeps its state in folder. relayed holds the numbers of the members
+// that it reaches through relays.
 func (f *Fleet) File(i int, folder string, relayed []int) []byte {
 	var out strings.Builder
 	say := func(format string, args ...any) { fmt.Fprintf(&out, format+"\n", args...) }
 	self, own := f.Members[i], f.Addresses(i)
-	say("name = %q\nfounders = [\"%s\"]", cluster, strings.Join(stringsOf(f.Founders), `", "`))
+	say("name = %q\nfounders = [\"%s\"]", clusterName, strings.Join(stringsOf(f.Founders), `", "`))
 	say("\n[here]\nprocess = %q\nzone = %q\nfolder = %q", self.Name, self.Zone, folder)
 	say("gossip = %q\ncouncil = %q\nhttp = %q", own.Gossip, own.Consensus, own.HTTP)
 	if !self.Large {
@@ -31,7 +33,7 @@
 	for _, use := range f.Uses {
 		say("%s = true", use)
 	}
-	say("\n[bounds]\ndestinations = %d", places)
+	say("\n[bounds]\ndestinations = %d", maxLocalities)
 	for j, m := range f.Members {
 		through := slices.Contains(relayed, j)
 		if j == i || !through && !slices.Contains(f.Founders, m.Name) {
@@ -46,6 +48,7 @@
 	return []byte(out.String())
 }
 
+// stringsOf converts names to strings.
 func stringsOf[T ~string](all []T) (texts []string) {
 	for _, one := range all {
 		texts = append(texts, string(one))
