--- a/lab/scale/fleet/fleet.go
+++ b/lab/scale/fleet/fleet.go
@@ -1,7 +1,7 @@
 // Package fleet lays out the members of a scale run: their names, zones, roles, addresses and cluster files.
 //
-// It is pure: the same Size gives the same fleet in every process of a run. Roles are derived by the program's own package
-// tree. All addresses are loopback.
+// It is pure: the same Size gives the same fleet in every process of a run. Roles are derived with the program's own package
+// internal/cluster/tree. All addresses are on loopback.
 package fleet
 
 import (
@@ -13,19 +13,19 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// Size describes a fleet.
+// Size describes a fleet. All counts except Large are of the whole fleet.
 type Size struct {
 	Members int `json:"members"`
-	Real    int `json:"real"` // members that are processes of the program
+	Real    int `json:"real"` // number of members that are processes of the program
 	Zones   int `json:"zones"`
 	Regions int `json:"regions"`
-	// Large is how many members of each zone may coordinate and vote; the rest are of the small size.
+	// Large is the number of members of each zone that have the large size and may coordinate and vote. The others are small.
 	Large int      `json:"large"`
-	Port  int      `json:"port"` // of gossip; consensus and HTTP use the next two
-	Uses  []string `json:"uses"`
+	Port  int      `json:"port"` // port of gossip; consensus and HTTP use the next two
+	Uses  []string `json:"uses"` // enabled parts of the cluster
 }
 
-// Role is the highest duty of a member while all members are up.
+// Role is the highest role of a member in the cluster while all members are up.
 type Role string
 
 // Roles, the highest first.
@@ -33,15 +33,15 @@
 	Root       Role = "root"
 	RegionHead Role = "region head"
 	ZoneHead   Role = "zone head"
-	GroupHead  Role = "group head" // others in its zone report to it
-	Voter      Role = "voter"
-	Plain      Role = "sender"
+	GroupHead  Role = "group head" // other members of its zone report to it
+	Voter      Role = "voter"      // of the consensus group, with none of the roles above
+	Plain      Role = "sender"     // coordinates nothing and does not vote
 )
 
-// Roles are all roles, the highest first.
+// Roles holds all roles, the highest first.
 var Roles = []Role{Root, RegionHead, ZoneHead, GroupHead, Voter, Plain}
 
-// Member is one member of a fleet.
+// Member is one member of a fleet. No is its index in Fleet.Members.
 type Member struct {
 	No     int
 	Name   view.Name
@@ -52,7 +52,7 @@
 	Role   Role
 }
 
-// Fleet is a fleet with all its members. It is immutable.
+// Fleet is the layout of a fleet. It is immutable.
 type Fleet struct {
 	Size
 	Members  []Member
@@ -60,12 +60,13 @@
 }
 
 const (
-	cluster  = "scale"
-	founders = 5
-	perNet   = 250 // addresses used of each network of 256
+	clusterName  = "scale"
+	founderCount = 5
+	hostsPerNet  = 250 // number of addresses that are used of each network of 256
 )
 
-// Plan lays a fleet out. Regions consist of consecutive zones, so that the last one is the smallest.
+// Plan returns the fleet of a given size. Regions consist of consecutive zones; if the number of zones differs between regions,
+// the last region has fewest.
 func Plan(size Size) *Fleet {
 	f := &Fleet{Size: size}
 	perZone := map[view.Zone]int{}
@@ -82,14 +83,15 @@
 	return f
 }
 
-// ZoneName is the name of a zone by its number, as in the laboratory's worlds.
+// ZoneName returns the name of a zone by its number from 0. It is the same as in the laboratory's worlds.
 func ZoneName(zone int) view.Zone { return view.Zone(fmt.Sprintf("z%d", zone)) }
 
+// regionOf returns the name of the region of a zone.
 func (f *Fleet) regionOf(zone int) view.Region {
 	return view.Region(fmt.Sprintf("r%d", zone*f.Regions/f.Zones))
 }
 
-// assignRoles derives the roles from the tree of a fleet whose members are all up.
+// assignRoles sets the roles of members in the tree while all members are up.
 func (f *Fleet) assignRoles() {
 	t := tree.Derive(view.New("", 0, f.ViewMembers()))
 	for i := range f.Members {
@@ -119,8 +121,8 @@
 	return all
 }
 
-// chooseFounders takes voters from the regions in turn, from different zones as far as possible, and first those that
-// coordinate nothing, so that the figures of the other roles do not include voting.
+// chooseFounders chooses the founders from the regions in turn and, as far as possible, from different zones. It prefers members
+// that coordinate nothing, so that the measured cost of the other roles does not include voting.
 func (f *Fleet) chooseFounders() {
 	zones := f.zonesInTurn()
 	for _, plain := range []bool{true, false} {
@@ -128,7 +130,7 @@
 			i := slices.IndexFunc(f.Members, func(m Member) bool {
 				return m.Zone == zones[at%len(zones)] && m.Large && (m.Role == Plain) == plain && !slices.Contains(f.Founders, m.Name)
 			})
-			if i < 0 || len(f.Founders) >= founders {
+			if i < 0 || len(f.Founders) >= founderCount {
 				continue
 			}
 			if plain {
@@ -140,7 +142,7 @@
 	slices.Sort(f.Founders)
 }
 
-// zonesInTurn returns all zones, taken from the regions in turn.
+// zonesInTurn returns all zones, alternating between the regions.
 func (f *Fleet) zonesInTurn() (zones []view.Zone) {
 	of := map[view.Region][]view.Zone{}
 	for zone := range f.Zones {
@@ -157,7 +159,8 @@
 	return zones
 }
 
-// chooseReal makes plain senders real, spread over the zones of all regions but the last, which can be cut off from them.
+// chooseReal chooses the real members among the plain senders and spreads them over the zones of RealZones. The last region has
+// none, so that it can be cut off from them.
 func (f *Fleet) chooseReal() {
 	if f.Real >= len(f.Members) {
 		for i := range f.Members {
@@ -175,7 +178,7 @@
 	}
 }
 
-// RealZones is how many zones, from the first, hold real members.
+// RealZones returns the number of zones, counted from the first, that may have real members.
 func (f *Fleet) RealZones() int {
 	if f.Real >= f.Size.Members || f.Regions < 2 {
 		return f.Zones
@@ -189,10 +192,10 @@
 	return last
 }
 
-// LastRegion is the region without real members, unless all members are real.
+// LastRegion returns the region that has no real members unless all members are real.
 func (f *Fleet) LastRegion() view.Region { return f.regionOf(f.Zones - 1) }
 
-// RealMembers returns the real members, in the order of the world's senders.
+// RealMembers returns the real members in the order of the senders of their world.
 func (f *Fleet) RealMembers() (all []Member) {
 	for n := range f.Real {
 		zone := ZoneName(n % f.RealZones())
@@ -206,19 +209,20 @@
 	return all
 }
 
-// Find is a member's number by its name; -1 for none.
-func (f *Fleet) Find(name view.Name) int {
+// MemberNo returns the number of the member with a name, or -1 if there is none.
+func (f *Fleet) MemberNo(name view.Name) int {
 	return slices.IndexFunc(f.Members, func(m Member) bool { return m.Name == name })
 }
 
 // Addresses returns the addresses at which a member listens.
-func (f *Fleet) Addresses(i int) settings.Addresses { return f.at(200, i) }
+func (f *Fleet) Addresses(i int) settings.Addresses { return f.addressesIn(200, i) }
 
 // RelayAddresses returns the addresses at which the relays to a member listen.
-func (f *Fleet) RelayAddresses(i int) settings.Addresses { return f.at(210, i) }
+func (f *Fleet) RelayAddresses(i int) settings.Addresses { return f.addressesIn(210, i) }
 
-func (f *Fleet) at(network, i int) settings.Addresses {
-	host := fmt.Sprintf("127.%d.%d.%d", network, i/perNet, 1+i%perNet)
+// addressesIn returns the addresses of member i in a range of loopback networks.
+func (f *Fleet) addressesIn(network, i int) settings.Addresses {
+	host := fmt.Sprintf("127.%d.%d.%d", network, i/hostsPerNet, 1+i%hostsPerNet)
 	port := func(n int) string { return fmt.Sprintf("%s:%d", host, f.Port+n) }
 	return settings.Addresses{Gossip: port(0), Consensus: port(1), HTTP: port(2)}
 }
--- a/lab/scale/fleet/fleet_test.go
+++ b/lab/scale/fleet/fleet_test.go
@@ -29,15 +29,15 @@
 				}
 			}
 		}
-		if len(f.Founders) != founders {
+		if len(f.Founders) != founderCount {
 			t.Errorf("%+v: founders %v", size, f.Founders)
 		}
 		regions := map[view.Region]int{}
 		for _, name := range f.Founders {
-			regions[f.Members[f.Find(name)].Region]++
+			regions[f.Members[f.MemberNo(name)].Region]++
 		}
 		for region, n := range regions {
-			if 2*n > founders {
+			if 2*n > founderCount {
 				t.Errorf("%+v: %d founders in %s", size, n, region)
 			}
 		}
--- a/lab/scale/hollow/hollow_test.go
+++ b/lab/scale/hollow/hollow_test.go
@@ -40,7 +40,7 @@
 func TestDigest(t *testing.T) {
 	l := Load{Destinations: 1000, Zones: 8, Rate: 400, Down: 0.05, OutageS: 1e6, Ends: 2, Seed: 1}
 	s := newObservations(&l, 3, 1)
-	sent, held, listed := uint64(0), 0, map[place]int{}
+	sent, held, listed := uint64(0), 0, map[locality]int{}
 	for range 10 {
 		for _, r := range s.digest(0, func(int) bool { return false }).Rows {
 			sent += r.Sent
@@ -48,7 +48,7 @@
 			if r.Sent != r.Done+r.Failed || r.Failed > 0 != l.DownAt(r.Destination, 0) && r.Sent > 0 {
 				t.Errorf("row %+v", r)
 			}
-			listed[place{r.Destination, int(r.Zone[1] - '0')}]++
+			listed[locality{r.Destination, int(r.Zone[1] - '0')}]++
 		}
 	}
 	if sent < 1600 || sent > 2200 {
--- a/lab/scale/hollow/sender.go
+++ b/lab/scale/hollow/sender.go
@@ -11,31 +11,31 @@
 	"flaxcove/internal/sender/clusterapi"
 )
 
-// Clock is the time of the run in seconds, the same in all its processes.
+// Clock returns the time of the run in seconds, which is the same in all processes of a run.
 type Clock func() float64
 
-// Sender stands in for a sender. Its methods may be called from any goroutine.
+// Sender is a synthetic sender. Its methods may be called concurrently.
 type Sender struct {
-	clock    Clock
-	fallen   func(zone int) bool
-	observed *observations
-	applied  atomic.Uint64
-
-	mu         sync.Mutex
-	at         map[uint64]time.Time // when a purge was applied; a run orders a handful
-	version    uint64               // of the configuration in force
-	configured map[uint64]time.Time // when each version came into force, likewise
+	clock     Clock
+	zoneFails func(zone int) bool // reports whether a zone's endpoints do not answer
+	observed  *observations
+	applied   atomic.Uint64
+
+	mu        sync.Mutex
+	appliedAt map[uint64]time.Time // time at which each purge was applied; a run orders only a few
+	version   uint64               // version of the configuration in force
+	inForceAt map[uint64]time.Time // time at which each version came into force; likewise
 }
 
-// New creates a sender in a zone. no distinguishes it from others; applied is the highest purge that an earlier incarnation
-// applied, which a sender has in its journal.
-func New(load *Load, zone int, no uint64, applied uint64, clock Clock, fallen func(zone int) bool) *Sender {
-	s := &Sender{clock: clock, fallen: fallen, observed: newObservations(load, zone, no), at: map[uint64]time.Time{}, configured: map[uint64]time.Time{}}
+// New returns a sender in a zone. no is part of its seed and distinguishes it from other senders. applied is the number of the
+// highest purge that an earlier incarnation applied, which a real sender reads from its journal.
+func New(load *Load, zone int, no uint64, applied uint64, clock Clock, zoneFails func(zone int) bool) *Sender {
+	s := &Sender{clock: clock, zoneFails: zoneFails, observed: newObservations(load, zone, no), appliedAt: map[uint64]time.Time{}, inForceAt: map[uint64]time.Time{}}
 	s.applied.Store(applied)
 	return s
 }
 
-// Run reports digests to a cluster until ctx ends.
+// Run reports digests to a cluster and reads the routing guide, digestsPerSecond times a second, until ctx ends.
 func (s *Sender) Run(ctx context.Context, to clusterapi.Cluster) {
 	every := time.NewTicker(time.Second / digestsPerSecond)
 	defer every.Stop()
@@ -44,26 +44,26 @@
 		case <-ctx.Done():
 			return
 		case <-every.C:
-			to.Digest(s.observed.digest(s.clock(), s.fallen))
+			to.Digest(s.observed.digest(s.clock(), s.zoneFails))
 			to.Guide()
 		}
 	}
 }
 
-// AppliedAt is when a purge was applied here; the zero time for never.
+// AppliedAt returns the time at which a purge was applied, or the zero time if it was not.
 func (s *Sender) AppliedAt(seq uint64) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.at[seq]
+	return s.appliedAt[seq]
 }
 
-// Purge applies purges at once: there are no messages that could be purged.
+// Purge reports purges as applied at once, since there are no messages to purge.
 func (s *Sender) Purge(all []clusterapi.Purge, done func(uint64, []clusterapi.Found)) {
 	now := time.Now()
 	s.mu.Lock()
 	for _, p := range all {
-		if s.at[p.Seq].IsZero() {
-			s.at[p.Seq] = now
+		if s.appliedAt[p.Seq].IsZero() {
+			s.appliedAt[p.Seq] = now
 		}
 		s.applied.Store(max(s.applied.Load(), p.Seq))
 	}
@@ -71,46 +71,46 @@
 	go done(s.applied.Load(), make([]clusterapi.Found, len(all)))
 }
 
-// Configure puts a configuration in force at once, unless a newer one is in force.
+// Configure puts a configuration in force at once. It reports an error if a newer version is in force.
 func (s *Sender) Configure(c clusterapi.Configuration, done func(error)) {
 	s.mu.Lock()
 	var err error
 	if c.Version < s.version {
-		err = fmt.Errorf("version %d is in force; %d is older", s.version, c.Version)
-	} else if s.version = c.Version; s.configured[c.Version].IsZero() {
-		s.configured[c.Version] = time.Now()
+		err = fmt.Errorf("version %d is in force and newer than version %d", s.version, c.Version)
+	} else if s.version = c.Version; s.inForceAt[c.Version].IsZero() {
+		s.inForceAt[c.Version] = time.Now()
 	}
 	s.mu.Unlock()
 	go done(err)
 }
 
-// ConfiguredAt is when a version came into force here; the zero time for never.
-func (s *Sender) ConfiguredAt(version uint64) time.Time {
+// InForceAt returns the time at which a version came into force, or the zero time if it did not.
+func (s *Sender) InForceAt(version uint64) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.configured[version]
+	return s.inForceAt[version]
 }
 
-// Version is the version of the configuration in force.
+// Version returns the version of the configuration in force; 0 before the first.
 func (s *Sender) Version() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.version
 }
 
-// Applied is the highest purge applied.
+// Applied returns the number of the highest purge that was applied; 0 for none.
 func (s *Sender) Applied() uint64 { return s.applied.Load() }
 
-// Evict evicts nothing, as there is no state to evict.
+// Evict reports that nothing was evicted, since there is no learned state.
 func (s *Sender) Evict(_ []choice.DestinationID, done func([]choice.DestinationID)) { go done(nil) }
 
-// Holding reports no state.
+// Holding reports that no learned state is held.
 func (s *Sender) Holding(done func([]clusterapi.Held)) { go done(nil) }
 
 // Teach ignores learned state.
 func (s *Sender) Teach([]clusterapi.LearnedEndpoint) {}
 
-// Know returns no learned state.
+// Know reports no learned state.
 func (s *Sender) Know(_ []choice.DestinationID, done func([]clusterapi.LearnedEndpoint)) {
 	go done(nil)
 }
--- a/lab/scale/host/host.go
+++ b/lab/scale/host/host.go
@@ -19,36 +19,37 @@
 	"flaxcove/lab/scale/fleet"
 )
 
-// host runs the members of one process. Orders are carried out one at a time.
+// host runs the hollow members of one process. It executes one order at a time.
 type host struct {
 	spec    Spec
 	fleet   *fleet.Fleet
 	log     *zap.Logger
 	members map[int]*member
-	// separated holds the members on the other side of a cut, fallen the zones whose endpoints do not answer. Both are
-	// replaced as a whole.
-	separated atomic.Pointer[map[view.Name]bool]
-	fallen    atomic.Pointer[[]int]
+	// separated holds the members on one side of a cut, failedZones the numbers of the zones whose endpoints do not answer.
+	// The values are immutable: a new order replaces them.
+	separated   atomic.Pointer[map[view.Name]bool]
+	failedZones atomic.Pointer[[]int]
 }
 
-// maxLine bounds an order or answer.
+// maxLine is the largest length of an order in bytes.
 const maxLine = 16 << 20
 
-// Main serves one parent: it reads a Spec and then orders, until the input ends.
+// Main runs a host: it reads a Spec and then orders from in, one JSON object a line, and answers each on out. It returns when the
+// input ends, after it has killed all members.
 func Main(in io.Reader, out io.Writer) error {
 	lines := bufio.NewScanner(in)
 	lines.Buffer(nil, maxLine)
 	if !lines.Scan() {
-		return fmt.Errorf("no spec: %w", lines.Err())
+		return fmt.Errorf("reading the spec: the input ended: %w", lines.Err())
 	}
 	h := &host{members: map[int]*member{}}
 	if err := json.Unmarshal(lines.Bytes(), &h.spec); err != nil {
-		return fmt.Errorf("spec: %w", err)
+		return fmt.Errorf("decoding the spec: %w", err)
 	}
-	if err := h.open(); err != nil {
+	if err := h.setUp(); err != nil {
 		return err
 	}
-	defer h.closeAll()
+	defer h.killAll()
 	if h.spec.Profile != "" {
 		file, err := os.Create(h.spec.Profile)
 		if err != nil {
@@ -64,35 +65,37 @@
 	for lines.Scan() {
 		var order Order
 		if err := json.Unmarshal(lines.Bytes(), &order); err != nil {
-			return fmt.Errorf("order: %w", err)
+			return fmt.Errorf("decoding an order: %w", err)
 		}
-		if err := answers.Encode(h.answer(&order)); err != nil {
+		if err := answers.Encode(h.execute(&order)); err != nil {
 			return err
 		}
 	}
 	return lines.Err()
 }
 
-func (h *host) open() (err error) {
+// setUp lays out the fleet, opens the log and creates the members, which do not run yet.
+func (h *host) setUp() (err error) {
 	h.fleet = fleet.Plan(h.spec.Fleet)
 	h.log = zap.NewNop()
 	if h.spec.Log != "" {
-		if h.log, err = logTo(h.spec.Log); err != nil {
+		if h.log, err = openLog(h.spec.Log); err != nil {
 			return err
 		}
 	}
 	h.separated.Store(&map[view.Name]bool{})
-	h.fallen.Store(&[]int{})
+	h.failedZones.Store(&[]int{})
 	for _, no := range h.spec.Members {
 		if no < 0 || no >= len(h.fleet.Members) {
-			return fmt.Errorf("spec: there is no member %d", no)
+			return fmt.Errorf("spec names member %d, which is not in the fleet", no)
 		}
 		h.members[no] = &member{host: h, no: no}
 	}
 	return nil
 }
 
-func logTo(path string) (*zap.Logger, error) {
+// openLog returns a logger that appends to a file.
+func openLog(path string) (*zap.Logger, error) {
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return nil, err
@@ -101,55 +104,57 @@
 	return zap.New(zapcore.NewCore(encoder, zapcore.AddSync(file), zap.InfoLevel)), nil
 }
 
-// clock is the run's time in seconds.
+// clock returns the time of the run in seconds.
 func (h *host) clock() float64 { return time.Since(time.Unix(0, h.spec.Began)).Seconds() }
 
-func (h *host) zoneFell(zone int) bool { return slices.Contains(*h.fallen.Load(), zone) }
+// zoneFails reports whether the endpoints of a zone do not answer.
+func (h *host) zoneFails(zone int) bool { return slices.Contains(*h.failedZones.Load(), zone) }
 
-// answer carries out an order.
-func (h *host) answer(order *Order) (a Answer) {
-	switch order.Do {
+// execute executes an order and returns its answer.
+func (h *host) execute(order *Order) (a Answer) {
+	switch order.Kind {
 	case Start:
-		a.Error = h.each(order.Members, (*member).start)
+		a.Error = h.forEach(order.Members, (*member).start)
 	case Kill:
-		a.Error = h.each(order.Members, (*member).kill)
+		a.Error = h.forEach(order.Members, (*member).kill)
 	case Stop:
-		a.Error = h.each(order.Members, (*member).stop)
+		a.Error = h.forEach(order.Members, (*member).stop)
 	case Cut:
-		h.cut(order.Apart)
-	case Fall:
-		h.fallen.Store(&order.Zones)
-	case State:
-		for _, m := range h.ordered() {
+		h.separate(order.Separated)
+	case FailZones:
+		h.failedZones.Store(&order.Zones)
+	case ReportState:
+		for _, m := range h.membersInOrder() {
 			a.States = append(a.States, m.state())
 		}
-	case Applied:
+	case ReportApplied:
 		a.Applied = h.applied(order)
-	case Measure:
+	case ReportUsage:
 		used := measure(false)
-		a.Used, a.Volumes = &used, map[int]MemberTraffic{}
+		a.Usage, a.Traffic = &used, map[int]MemberTraffic{}
 		for no, m := range h.members {
-			a.Volumes[no] = m.traffic()
+			a.Traffic[no] = m.traffic()
 		}
-	case Memory:
+	case ReportMemory:
 		used := measure(true)
-		a.Used, a.Heap = &used, heapByPart()
+		a.Usage, a.Heap = &used, heapByPart()
 	default:
-		a.Error = fmt.Sprintf("unknown order %q", order.Do)
+		a.Error = fmt.Sprintf("unknown order %q", order.Kind)
 	}
 	return a
 }
 
-// cut separates members from all others, or none.
-func (h *host) cut(nos []int) {
-	apart := map[view.Name]bool{}
+// separate cuts members off from all others, or ends the cut if none are given.
+func (h *host) separate(nos []int) {
+	separated := map[view.Name]bool{}
 	for _, no := range nos {
-		apart[h.fleet.Members[no].Name] = true
+		separated[h.fleet.Members[no].Name] = true
 	}
-	h.separated.Store(&apart)
+	h.separated.Store(&separated)
 }
 
-// applied is when each member applied the purge or the version of an order; members that have not are left out.
+// applied returns the time at which each member applied the purge or the version of an order. Members that have not applied it
+// are left out.
 func (h *host) applied(order *Order) map[int]time.Time {
 	times := map[int]time.Time{}
 	for no, m := range h.members {
@@ -160,16 +165,17 @@
 	return times
 }
 
-// ordered returns the members in the order of the spec.
-func (h *host) ordered() (all []*member) {
+// membersInOrder returns the members in the order of the spec.
+func (h *host) membersInOrder() (all []*member) {
 	for _, no := range h.spec.Members {
 		all = append(all, h.members[no])
 	}
 	return all
 }
 
-// each calls do on members concurrently and describes the first error.
-func (h *host) each(nos []int, do func(*member) error) string {
+// forEach calls do for the given members, or for all if none are given, concurrently. It returns the text of the first error,
+// or "".
+func (h *host) forEach(nos []int, do func(*member) error) string {
 	if len(nos) == 0 {
 		nos = h.spec.Members
 	}
@@ -178,7 +184,7 @@
 	for i, no := range nos {
 		m := h.members[no]
 		if m == nil {
-			return fmt.Sprintf("member %d does not live here", no)
+			return fmt.Sprintf("member %d is not run by this host", no)
 		}
 		all.Go(func() { problems[i] = do(m) })
 	}
@@ -191,4 +197,5 @@
 	return ""
 }
 
-func (h *host) closeAll() { h.each(nil, (*member).kill) }
+// killAll kills all members.
+func (h *host) killAll() { h.forEach(nil, (*member).kill) }
--- a/lab/scale/host/host_test.go
+++ b/lab/scale/host/host_test.go
@@ -36,7 +36,7 @@
 			t.Fatal(err)
 		}
 		if !lines.Scan() {
-			t.Fatalf("%s: the host ended: %v", o.Do, lines.Err())
+			t.Fatalf("%s: the host ended: %v", o.Kind, lines.Err())
 		}
 		if err := json.Unmarshal(lines.Bytes(), &a); err != nil {
 			t.Fatal(err)
@@ -45,42 +45,42 @@
 	}
 	await := func(what string, want func([]MemberState) bool) {
 		t.Helper()
-		for began := time.Now(); !want(ask(Order{Do: State}).States); time.Sleep(100 * time.Millisecond) {
+		for began := time.Now(); !want(ask(Order{Kind: ReportState}).States); time.Sleep(100 * time.Millisecond) {
 			if time.Since(began) > 2*time.Minute {
-				t.Fatalf("%s: not within two minutes: %+v", what, ask(Order{Do: State}).States)
+				t.Fatalf("%s: not within two minutes: %+v", what, ask(Order{Kind: ReportState}).States)
 			}
 		}
 	}
 	here := func(counts ...int) func([]MemberState) bool {
 		return func(states []MemberState) bool {
 			for i, n := range counts {
-				if states[i].Here != n || n > 1 && states[i].Leader == "" {
+				if states[i].Alive != n || n > 1 && states[i].Leader == "" {
 					return false
 				}
 			}
 			return true
 		}
 	}
-	if a := ask(Order{Do: Start}); a.Error != "" {
+	if a := ask(Order{Kind: Start}); a.Error != "" {
 		t.Fatal(a.Error)
 	}
 	await("start", here(3, 3, 3))
-	ask(Order{Do: Cut, Apart: []int{2}})
-	await("cut", func(s []MemberState) bool { return s[0].Here == 2 && s[1].Here == 2 && s[2].Here == 1 })
-	ask(Order{Do: Cut})
+	ask(Order{Kind: Cut, Separated: []int{2}})
+	await("cut", func(s []MemberState) bool { return s[0].Alive == 2 && s[1].Alive == 2 && s[2].Alive == 1 })
+	ask(Order{Kind: Cut})
 	await("joined", here(3, 3, 3))
-	ask(Order{Do: Kill, Members: []int{1}})
-	await("kill", func(s []MemberState) bool { return s[0].Here == 2 && !s[1].Up && s[2].Here == 2 })
-	ask(Order{Do: Start, Members: []int{1}})
+	ask(Order{Kind: Kill, Members: []int{1}})
+	await("kill", func(s []MemberState) bool { return s[0].Alive == 2 && !s[1].Up && s[2].Alive == 2 })
+	ask(Order{Kind: Start, Members: []int{1}})
 	await("back", here(3, 3, 3))
-	a := ask(Order{Do: Measure})
-	if a.Used == nil || a.Used.CPU <= 0 || a.Volumes[0].Out == 0 || a.Volumes[0].Packets == 0 {
+	a := ask(Order{Kind: ReportUsage})
+	if a.Usage == nil || a.Usage.CPU <= 0 || a.Traffic[0].Out == 0 || a.Traffic[0].Packets == 0 {
 		t.Errorf("measured: %+v", a)
 	}
-	if a := ask(Order{Do: Memory}); a.Used.Heap == 0 {
+	if a := ask(Order{Kind: ReportMemory}); a.Usage.Heap == 0 {
 		t.Errorf("memory: %+v", a)
 	}
-	if a := ask(Order{Do: Start, Members: []int{7}}); a.Error == "" {
+	if a := ask(Order{Kind: Start, Members: []int{7}}); a.Error == "" {
 		t.Error("a member that does not live here was started")
 	}
 	toHost.Close()
--- a/lab/scale/host/measure.go
+++ b/lab/scale/host/measure.go
@@ -10,10 +10,11 @@
 	"time"
 )
 
-// This file measures the host's own process.
+// This file measures the process of the host.
 
-// measure measures this process. It collects garbage first only if collect is set, since that takes processor time.
-func measure(collect bool) (u Used) {
+// measure returns the resource usage of this process. It runs a garbage collection first if collect is set; that takes
+// processor time and changes what later measurements see.
+func measure(collect bool) (u Usage) {
 	var used syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &used) == nil {
 		u.CPU = time.Duration(used.Utime.Nano() + used.Stime.Nano())
@@ -31,7 +32,7 @@
 	return u
 }
 
-// RSS is the resident memory of a process in bytes; 0 if that is not known.
+// RSS returns the resident memory of a process in bytes, or 0 if it cannot be read.
 func RSS(pid int) uint64 {
 	text, err := os.ReadFile("/proc/" + strconv.Itoa(pid) + "/status")
 	if err != nil {
@@ -46,7 +47,8 @@
 	return 0
 }
 
-// heapByPart sums the sampled heap in use by the innermost part of the cluster, or the library, that allocated it.
+// heapByPart returns the bytes of the heap in use by part of the program. An allocation counts for the innermost function on its
+// stack that belongs to a part of the cluster or to one of its libraries.
 func heapByPart() map[string]int64 {
 	records := make([]runtime.MemProfileRecord, 4096)
 	n, ok := runtime.MemProfile(records, false)
@@ -56,13 +58,14 @@
 	}
 	parts := map[string]int64{}
 	for _, r := range records[:n] {
-		parts[partOf(r.Stack())] += unsampled(&r)
+		parts[partOf(r.Stack())] += estimateBytes(&r)
 	}
 	return parts
 }
 
-// unsampled estimates the bytes that a sampled record stands for: the probability to be sampled grows with the size.
-func unsampled(r *runtime.MemProfileRecord) int64 {
+// estimateBytes estimates the bytes in use that a record of the sampled profile represents. It divides by the probability of a
+// sample, which grows with the size of the object.
+func estimateBytes(r *runtime.MemProfileRecord) int64 {
 	if r.InUseObjects() <= 0 || r.InUseBytes() <= 0 {
 		return 0
 	}
@@ -71,10 +74,10 @@
 	return int64(float64(r.InUseBytes()) / chance)
 }
 
-// prefixes maps the beginnings of function names to parts.
+// prefixes maps prefixes of function names to the names of parts.
 var prefixes = []struct{ prefix, part string }{
 	{"flaxcove/lab/", "laboratory"},
-	{"flaxcove/internal/cluster/", ""}, // the next element of the path
+	{"flaxcove/internal/cluster/", ""}, // the part is the next element of the import path
 	{"flaxcove/internal/cluster.", "feed"},
 	{"github.com/hashicorp/memberlist", "member"},
 	{"github.com/hashicorp/raft", "council"},
@@ -82,6 +85,7 @@
 	{"net/http", "link"},
 }
 
+// partOf returns the part that a stack's innermost matching function belongs to, or "other".
 func partOf(stack []uintptr) string {
 	frames := runtime.CallersFrames(stack)
 	for {
--- a/lab/scale/host/member.go
+++ b/lab/scale/host/member.go
@@ -23,29 +23,30 @@
 	"flaxcove/lab/scale/hollow"
 )
 
-// member is one hollow member: its folder, and the incarnation that runs on it.
+// member is one hollow member. It is stopped if running is nil.
 type member struct {
 	host *host
 	no   int
 
-	mu      sync.Mutex // held while one member is started, ended or read; no other lock of the program is held then
+	mu      sync.Mutex // held while the member is started, ended or read; no other lock is held when it is acquired
 	running *incarnation
-	applied uint64 // the highest purge that an earlier incarnation applied
+	applied uint64 // number of the highest purge that earlier incarnations applied
 }
 
-// incarnation is one run of a member, like that of a process.
+// incarnation is one run of a member, which corresponds to one process of a real member.
 type incarnation struct {
 	node   *cluster.Node
 	sender *hollow.Sender
-	// dead stops all traffic of the member at once: a killed process does not say that it leaves.
-	dead atomic.Bool
-	stop context.CancelFunc
-	work sync.WaitGroup
+	// silenced stops all traffic of the member at once, since a killed process does not announce that it leaves.
+	silenced   atomic.Bool
+	stop       context.CancelFunc
+	goroutines sync.WaitGroup
 }
 
-// longestDeadline is the longest deadline of all classes of the hollow senders.
+// longestDeadline is the longest deadline of a class, as the cluster is told for the hollow senders.
 const longestDeadline = 5 * time.Second
 
+// start starts the member unless it runs.
 func (m *member) start() error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -71,37 +72,40 @@
 			own = zone
 		}
 	}
-	l.sender = hollow.New(&h.spec.Load, own, uint64(m.no), m.applied, h.clock, h.zoneFell)
+	l.sender = hollow.New(&h.spec.Load, own, uint64(m.no), m.applied, h.clock, h.zoneFails)
 	l.node, err = cluster.Start(cluster.Options{Settings: set, Log: h.log.With(zap.String("member", string(self.Name))), Orders: l.sender,
-		Zones: zones, LongestDeadline: longestDeadline, RatingIsRate: true, Partitioned: func(other view.Name) bool { return l.dead.Load() || h.apart(self.Name, other) }})
+		Zones: zones, LongestDeadline: longestDeadline, RatingIsRate: true, Partitioned: func(other view.Name) bool { return l.silenced.Load() || h.areSeparated(self.Name, other) }})
 	if err != nil {
 		return err
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	l.stop = stop
-	if h.digestsRead() {
-		l.work.Go(func() { l.sender.Run(ctx, l.node) })
+	if h.usesDigests() {
+		l.goroutines.Go(func() { l.sender.Run(ctx, l.node) })
 	}
 	m.running = l
 	return nil
 }
 
-// digestsRead reports whether digests are used. If not, none are made, so that they do not add to the members' processor
-// time.
-func (h *host) digestsRead() bool {
+// usesDigests reports whether the enabled parts of the cluster use digests. If not, the senders make none, so that they do not
+// add to the measured processor time.
+func (h *host) usesDigests() bool {
 	return slices.ContainsFunc(h.spec.Fleet.Uses, func(use string) bool { return use == "failover" || use == "popularity" })
 }
 
-// apart reports whether a cut separates two members.
-func (h *host) apart(one, other view.Name) bool {
-	apart := *h.separated.Load()
-	return apart[one] != apart[other]
+// areSeparated reports whether a cut lies between two members.
+func (h *host) areSeparated(one, other view.Name) bool {
+	separated := *h.separated.Load()
+	return separated[one] != separated[other]
 }
 
-// kill ends an incarnation without notice to others, stop with one.
+// kill ends the member without an announcement to the others, like a killed process.
 func (m *member) kill() error { return m.end(true) }
+
+// stop shuts the member down gracefully.
 func (m *member) stop() error { return m.end(false) }
 
+// end stops the running incarnation, if there is one; silent stops its traffic first.
 func (m *member) end(silent bool) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -111,15 +115,16 @@
 	l := m.running
 	m.running = nil
 	m.applied = l.sender.Applied()
-	l.dead.Store(silent)
+	l.silenced.Store(silent)
 	l.stop()
-	l.work.Wait()
+	l.goroutines.Wait()
 	if err := l.node.Close(); err != nil {
-		m.host.log.Warn("member did not close cleanly", zap.Int("member", m.no), zap.Error(err))
+		m.host.log.Warn("closing a hollow member failed", zap.Int("member", m.no), zap.Error(err))
 	}
 	return nil
 }
 
+// state returns the member's state; Up is false if it does not run.
 func (m *member) state() MemberState {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -129,35 +134,37 @@
 	return StateOf(m.no, m.running.node.Status())
 }
 
-// StateOf is a member's state by its status.
+// StateOf returns the state of a running member with the given status.
 func StateOf(no int, s *status.Status) MemberState {
-	here, sum := Alive(s.Members)
-	state := MemberState{No: no, Up: true, Here: here, View: sum, Root: s.Root, Leader: s.Leader, Epoch: s.Epoch, Purged: s.LastPurge}
+	alive, sum := Alive(s.Members)
+	state := MemberState{No: no, Up: true, Alive: alive, ViewSum: sum, Root: s.Root, Leader: s.Leader, Epoch: s.Epoch, Purged: s.LastPurge}
 	if s.Configuration != nil {
 		state.Version = s.Configuration.Version
 	}
 	for name, n := range s.Counts {
 		if zone, is := strings.CutPrefix(name, "away_from_"); is && n > 0 {
-			state.Away = append(state.Away, zone)
+			state.DivertedZones = append(state.DivertedZones, zone)
 		}
 	}
 	return state
 }
 
-var sums = crc64.MakeTable(crc64.ECMA)
+// crcTable is the table for checksums of views.
+var crcTable = crc64.MakeTable(crc64.ECMA)
 
-// Alive counts the members that are alive, with a checksum of their names and incarnations.
-func Alive(members []view.Member) (here int, sum uint64) {
-	hash := crc64.New(sums)
+// Alive returns the number of members that are alive and a checksum of their names and incarnations.
+func Alive(members []view.Member) (alive int, sum uint64) {
+	hash := crc64.New(crcTable)
 	for _, m := range members {
 		if m.State == view.Alive {
-			here++
+			alive++
 			fmt.Fprintf(hash, "%s %d\n", m.Name, m.Incarnation)
 		}
 	}
-	return here, hash.Sum64()
+	return alive, hash.Sum64()
 }
 
+// appliedAt returns the time at which the running incarnation applied the purge or the version of an order; zero for never.
 func (m *member) appliedAt(order *Order) time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -167,9 +174,10 @@
 	if order.Purge > 0 {
 		return m.running.sender.AppliedAt(order.Purge)
 	}
-	return m.running.sender.ConfiguredAt(order.Version)
+	return m.running.sender.InForceAt(order.Version)
 }
 
+// traffic returns the member's traffic, which is zero if it does not run.
 func (m *member) traffic() MemberTraffic {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -179,8 +187,8 @@
 	return TrafficOf(m.running.node.Status())
 }
 
-// TrafficOf returns a member's traffic by its status.
+// TrafficOf returns the traffic of a member with the given status.
 func TrafficOf(s *status.Status) MemberTraffic {
 	t := s.Traffic
-	return MemberTraffic{In: t.In, Out: t.Out, Gossip: t.Gossip, Packets: t.Packets, Consensus: t.Consensus, Kinds: t.Kinds, Lost: s.Counts["digests_lost"]}
+	return MemberTraffic{In: t.In, Out: t.Out, Gossip: t.Gossip, Packets: t.Packets, Consensus: t.Consensus, Paths: t.Kinds, DigestsLost: s.Counts["digests_lost"]}
 }
--- a/lab/scale/hosts.go
+++ b/lab/scale/hosts.go
@@ -20,19 +20,20 @@
 	"flaxcove/lab/scale/host"
 )
 
-// This file runs the hosts' processes and carries orders to them.
+// This file runs the processes of hosts and sends orders to them.
 
-// hostThreads limits a host to two threads of Go code, as a sender with a cluster has: ten hosts with a thread for each core
-// would compete for them and answer probes late.
+// hostThreads is an environment variable that limits a host to two threads of Go code, the number that a sender with a cluster
+// has. Ten hosts with a thread for each core would compete for the cores and answer probes late.
 const hostThreads = "GOMAXPROCS=2"
 
-// hostCollector has the garbage collector of a host run a quarter as often as by default: with forty members and a small
-// heap, a quarter of the processor time went into allocation and collection (360 members starting).
+// hostCollector is an environment variable that makes the garbage collector of a host run a quarter as often as by default. With
+// the default, forty members in a host and a small heap, a quarter of the processor time went into allocation and collection
+// while 360 members started.
 const hostCollector = "GOGC=400"
 
-// membersPerStep is how many hollow members are started at a time. The next step begins once all that run see each other, or
-// after stepTimeout: a machine that starts hundreds at once has no processor time left to answer probes, so that members
-// take each other for dead, which costs even more processor time to correct.
+// membersPerStep is the number of hollow members that are started together. The next step begins once all running members see
+// each other, or after stepTimeout. A machine that starts hundreds of members together has too little processor time to answer
+// probes: members then take each other for dead, and to correct that costs even more processor time.
 const (
 	membersPerStep = 40
 	stepTimeout    = 30 * time.Second
@@ -43,19 +44,19 @@
 	maxAnswerBytes = 64 << 20
 )
 
-// hostProcess is the process of one host.
+// hostProcess is the process of one host and the pipe to it.
 type hostProcess struct {
 	role    fleet.Role
 	members []int
 	cmd     *exec.Cmd
 	ended   chan error
 
-	mu      sync.Mutex // held from an order to its answer; no other lock is taken under it
+	mu      sync.Mutex // held from an order to its answer; no other lock is acquired while it is held
 	in      io.WriteCloser
 	answers *bufio.Scanner
 }
 
-// startHosts starts a process for the members of each role, and several for members that coordinate nothing.
+// startHosts starts a host for the hollow members of each role, and Options.Hosts of them for the role Plain.
 func (r *run) startHosts() error {
 	groups := map[fleet.Role][]int{}
 	for _, m := range r.fleet.Members {
@@ -68,7 +69,7 @@
 		if role == fleet.Plain {
 			parts = r.options.Hosts
 		}
-		for _, part := range deal(groups[role], parts) {
+		for _, part := range split(groups[role], parts) {
 			h, err := r.startHost(role, part)
 			if err != nil {
 				return err
@@ -79,17 +80,18 @@
 	return nil
 }
 
-// deal splits numbers into parts of nearly the same size, without empty ones.
-func deal(all []int, parts int) (dealt [][]int) {
+// split splits numbers into parts of nearly equal size and leaves empty parts out.
+func split(all []int, parts int) (groups [][]int) {
 	for part := range parts {
 		from, to := part*len(all)/parts, (part+1)*len(all)/parts
 		if to > from {
-			dealt = append(dealt, all[from:to])
+			groups = append(groups, all[from:to])
 		}
 	}
-	return dealt
+	return groups
 }
 
+// startHost starts one host and sends it its spec.
 func (r *run) startHost(role fleet.Role, members []int) (*hostProcess, error) {
 	h := &hostProcess{role: role, members: members, ended: make(chan error, 1)}
 	h.cmd = exec.Command(r.options.HostCommand[0], r.options.HostCommand[1:]...)
@@ -117,17 +119,17 @@
 	return h, json.NewEncoder(in).Encode(spec)
 }
 
-// HostVariable is the environment variable that tells a program to run as a host.
+// HostVariable is the environment variable that makes the program run as a host, with any value but "".
 const HostVariable = "FLAXCOVE_SCALE_HOST"
 
-// startMembers starts the hollow members of all hosts, step by step.
+// startMembers starts the hollow members of all hosts in steps of membersPerStep.
 func (r *run) startMembers(ctx context.Context) error {
 	var all []int
 	for _, h := range r.hosts {
 		all = append(all, h.members...)
 	}
-	// In an order in which each host has some to start in each step; founders first, which the others contact.
-	slices.SortStableFunc(all, func(a, b int) int { return cmp.Compare(r.startsAt(a), r.startsAt(b)) })
+	// Founders start first, since the others contact them; the rest by number, so that each step has members of each host.
+	slices.SortStableFunc(all, func(a, b int) int { return cmp.Compare(r.startRank(a), r.startRank(b)) })
 	for started := 0; started < len(all); {
 		n := min(membersPerStep, len(all)-started)
 		if _, err := r.orderHosts(orderFor(setOf(all[started:started+n]), host.Start)); err != nil {
@@ -143,76 +145,77 @@
 	return nil
 }
 
-// awaitStep waits until the hollow members that were started see each other, for stepTimeout at most.
+// awaitStep waits until the hollow members that were started see each other, but no longer than stepTimeout.
 func (r *run) awaitStep(ctx context.Context, started int) error {
 	began := time.Now()
 	for time.Since(began) < stepTimeout {
 		looked := time.Now()
-		answers, err := r.orderAllHosts(host.Order{Do: host.State})
+		answers, err := r.orderAllHosts(host.Order{Kind: host.ReportState})
 		if err != nil {
 			return err
 		}
 		if seeEachOther(answers, started) {
 			return nil
 		}
-		if !sleep(ctx, max(pollEvery, pollPause*time.Since(looked))) {
+		if !sleep(ctx, max(pollInterval, pollPauseFactor*time.Since(looked))) {
 			return ctx.Err()
 		}
 	}
-	r.options.Say("the first %d started do not all see each other after %v", started, stepTimeout)
+	r.options.Say("the first %d members that were started do not all see each other after %v; the next step begins", started, stepTimeout)
 	return nil
 }
 
-// seeEachOther reports whether as many members run as were started, and each sees that many.
+// seeEachOther reports whether all started members run and each sees exactly that number of members alive.
 func seeEachOther(answers []*host.Answer, started int) bool {
-	up := 0
+	running := 0
 	for _, answer := range answers {
 		for _, state := range answer.States {
 			if !state.Up {
 				continue
 			}
-			if up++; state.Here != started {
+			if running++; state.Alive != started {
 				return false
 			}
 		}
 	}
-	return up == started
+	return running == started
 }
 
-// startsAt is a member's rank in the order of starts.
-func (r *run) startsAt(no int) int {
+// startRank returns the position of a member in the order of starts: founders before all others, which start by number.
+func (r *run) startRank(no int) int {
 	if slices.Contains(r.fleet.Founders, r.fleet.Members[no].Name) {
 		return -1
 	}
 	return no
 }
 
-// order sends a host an order and returns its answer.
+// order sends an order to a host and returns the answer. An error in the answer becomes the returned error.
 func (h *hostProcess) order(order host.Order) (*host.Answer, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if err := json.NewEncoder(h.in).Encode(order); err != nil {
-		return nil, fmt.Errorf("host of %ss: %w", h.role, err)
+		return nil, fmt.Errorf("sending an order to the host of role %s: %w", h.role, err)
 	}
 	if !h.answers.Scan() {
-		return nil, fmt.Errorf("host of %ss ended: %w", h.role, errors.Join(h.answers.Err(), io.ErrUnexpectedEOF))
+		return nil, fmt.Errorf("host of role %s ended before it answered: %w", h.role, errors.Join(h.answers.Err(), io.ErrUnexpectedEOF))
 	}
 	var a host.Answer
 	if err := json.Unmarshal(h.answers.Bytes(), &a); err != nil {
 		return nil, err
 	}
 	if a.Error != "" {
-		return nil, fmt.Errorf("host of %ss: %s: %s", h.role, order.Do, a.Error)
+		return nil, fmt.Errorf("host of role %s: order %s: %s", h.role, order.Kind, a.Error)
 	}
 	return &a, nil
 }
 
-// orderAllHosts sends all hosts the same order concurrently. The answers are in the hosts' order.
+// orderAllHosts sends the same order to all hosts concurrently. The answers are in the order of the hosts.
 func (r *run) orderAllHosts(order host.Order) ([]*host.Answer, error) {
 	return r.orderHosts(func(*hostProcess) *host.Order { return &order })
 }
 
-// orderHosts sends each host its order concurrently, unless that is nil.
+// orderHosts sends each host the order that orderOf returns for it, concurrently. A host with a nil order is left out; its
+// answer is nil.
 func (r *run) orderHosts(orderOf func(*hostProcess) *host.Order) ([]*host.Answer, error) {
 	answers, problems := make([]*host.Answer, len(r.hosts)), make([]error, len(r.hosts))
 	var wait sync.WaitGroup
@@ -225,7 +228,7 @@
 	return answers, errors.Join(problems...)
 }
 
-// end closes a host's input, upon which it ends, and kills it if it does not.
+// end closes the input of a host, which makes it end, and kills it if it has not ended within hostEndTimeout.
 func (h *hostProcess) end() error {
 	h.in.Close()
 	go func() { h.ended <- h.cmd.Wait() }()
@@ -235,6 +238,6 @@
 	case <-time.After(hostEndTimeout):
 		syscall.Kill(-h.cmd.Process.Pid, syscall.SIGKILL)
 		<-h.ended
-		return fmt.Errorf("host of %ss did not end in time", h.role)
+		return fmt.Errorf("host of role %s did not end within the time limit and was killed", h.role)
 	}
 }
--- a/lab/scale/hosts_test.go
+++ b/lab/scale/hosts_test.go
@@ -9,7 +9,7 @@
 // TestSeeEachOther: the next members are started once those that run see all that were started, and not while one of them
 // is still on its way, sees fewer, or sees one that is gone.
 func TestSeeEachOther(t *testing.T) {
-	member := func(up bool, here int) host.MemberState { return host.MemberState{Up: up, Here: here} }
+	member := func(up bool, here int) host.MemberState { return host.MemberState{Up: up, Alive: here} }
 	answers := func(hosts ...[]host.MemberState) (all []*host.Answer) {
 		for _, states := range hosts {
 			all = append(all, &host.Answer{States: states})
--- a/lab/scale/library.go
+++ b/lab/scale/library.go
@@ -13,7 +13,7 @@
 //go:embed schedules/*.toml
 var schedules embed.FS
 
-// Schedules returns the names of the built-in schedules.
+// Schedules returns the names of the built-in schedules, sorted.
 func Schedules() (names []string) {
 	files, _ := schedules.ReadDir("schedules")
 	for _, f := range files {
@@ -23,7 +23,7 @@
 	return names
 }
 
-// FindSchedule reads a schedule from a file that ends in .toml, or returns a built-in one.
+// FindSchedule returns the built-in schedule of that name, or reads a schedule file if the name ends in .toml.
 func FindSchedule(name string) (*schedule.Schedule, error) {
 	if strings.HasSuffix(name, ".toml") {
 		text, err := os.ReadFile(name)
@@ -34,7 +34,7 @@
 	}
 	text, err := schedules.ReadFile("schedules/" + name + ".toml")
 	if err != nil {
-		return nil, fmt.Errorf("no schedule is called %q; there are %s", name, strings.Join(Schedules(), ", "))
+		return nil, fmt.Errorf("unknown schedule %q: built-in schedules are %s", name, strings.Join(Schedules(), ", "))
 	}
 	return schedule.Parse(name+".toml", text)
 }
--- a/lab/scale/real.go
+++ b/lab/scale/real.go
@@ -22,34 +22,34 @@
 	"flaxcove/lab/world"
 )
 
-// This file runs the real members: flaxcove serve, with a world of partners by package live.
+// This file runs the real members: processes of flaxcove serve with a world of partners, started by package live.
 
 const (
 	statusTimeout  = 3 * time.Second
-	maxLoadSeconds = 3600 // seconds; the run ends when the faults are over
-	maxListeners   = 3600 // endpoints times senders; lab/live opens a listener for each
+	maxLoadSeconds = 3600 // bound in seconds; a run ends earlier, after the last schedule
+	maxListeners   = 3600 // bound on endpoints times senders, since lab/live opens a listener for each pair
 )
 
-// realRun is the run of the real members.
+// realRun is the state of the real members' run.
 type realRun struct {
-	control *live.RunControl
+	control *live.RunControl // nil without real members
 	relays  []*relay.Relay
 	client  http.Client
 	stop    context.CancelFunc
 	ended   chan error
-	// fault says that a real member was slow to end; it may be read once the run has ended. It is part of the result. A
-	// member that died, hung or would not start fails the run.
-	fault string
+	// slowEnd describes a real member that was slow to end, or is "". It may be read once ended has delivered and becomes part
+	// of the result. A member that died, hung or did not start makes the run fail instead.
+	slowEnd string
 }
 
-// startReal starts the real members, if there are any, and waits until their world begins.
+// startReal starts the real members, if there are any, and waits until their world has begun.
 func (r *run) startReal(ctx context.Context) error {
 	r.realMembers = r.fleet.RealMembers()
 	if len(r.realMembers) == 0 {
 		return nil
 	}
 	if len(r.realMembers) != r.options.Fleet.Real {
-		return fmt.Errorf("%d of %d real members have a place; fewer, or more members a zone", len(r.realMembers), r.options.Fleet.Real)
+		return fmt.Errorf("only %d of %d real members can be placed: ask for fewer, or for more members in each zone", len(r.realMembers), r.options.Fleet.Real)
 	}
 	relayed, err := r.openRelays()
 	if err != nil {
@@ -68,7 +68,7 @@
 		return nil
 	case err := <-r.real.ended:
 		r.real.ended <- err
-		return fmt.Errorf("real members did not begin: %w", err)
+		return fmt.Errorf("starting real members: %w", err)
 	}
 }
 
@@ -80,22 +80,23 @@
 	return []string{"--cluster", path}, os.WriteFile(path, text, 0o644)
 }
 
-// runReal runs the real members until ctx ends. That one was slow to end is no error: it depends on how busy the machine is.
+// runReal runs the real members until ctx ends. A member that is slow to end is not an error, since that depends on how busy the
+// machine is.
 func (r *run) runReal(ctx context.Context, options live.Options) error {
 	result, err := live.Run(ctx, options)
 	switch {
 	case err != nil:
 		return err
 	case result.SlowEnd:
-		r.real.fault = result.Fault
+		r.real.slowEnd = result.Fault
 	case result.Fault != "":
 		return fmt.Errorf("real members: %s", result.Fault)
 	}
 	return nil
 }
 
-// openRelays puts a relay before each member of the region that a schedule cuts off. Hollow members apply a cut by
-// themselves, real ones do not.
+// openRelays opens relays to each member of the last region if a schedule has a cut, and returns the numbers of these members.
+// Hollow members apply a cut themselves; real members need relays for it.
 func (r *run) openRelays() (relayed []int, err error) {
 	if len(r.realMembers) == len(r.fleet.Members) {
 		return nil, nil
@@ -120,7 +121,7 @@
 	return relayed, nil
 }
 
-// worldOf is a world without faults, with the load for real members that the options ask for.
+// worldOf returns a world without faults, with the load for real members from the options.
 func (r *run) worldOf() *world.Spec {
 	spec := world.Base()
 	n := len(r.realMembers)
@@ -134,7 +135,7 @@
 	return &spec
 }
 
-// cutReal has the relays lose everything, or forward again.
+// cutReal makes the relays drop everything if lost is set, and forward again otherwise.
 func (r *run) cutReal(lost bool) {
 	for _, one := range r.real.relays {
 		one.Set(relay.Forward, relay.Fault{Drop: lost})
@@ -142,8 +143,9 @@
 	}
 }
 
-// act applies an action to real members, by their numbers in the fleet.
-func (r *run) act(nos map[int]bool, what world.Act) {
+// actOnReal applies an action to the real members among the given members. It waits for each until it is done, but no longer
+// than hostEndTimeout.
+func (r *run) actOnReal(nos map[int]bool, what world.Act) {
 	if r.real.control == nil {
 		return
 	}
@@ -162,7 +164,8 @@
 	}
 }
 
-// statusOf returns a real member's status, and the length of its answer, which its own counters do not include yet.
+// statusOf returns the status of a real member and the length of the answer in bytes, which the counters in the status do not
+// include yet.
 func (r *run) statusOf(ctx context.Context, no int) (s *status.Status, length int, err error) {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
@@ -183,8 +186,10 @@
 	return s, len(text), json.Unmarshal(text, s)
 }
 
+// address returns the addresses of a member.
 func (r *run) address(no int) settings.Addresses { return r.fleet.Addresses(no) }
 
+// realStates polls the states of the real members. One that does not answer counts as not up.
 func (r *run) realStates(ctx context.Context) (all []host.MemberState) {
 	for _, m := range r.realMembers {
 		if s, _, err := r.statusOf(ctx, m.No); err == nil {
@@ -196,7 +201,8 @@
 	return all
 }
 
-func (r *run) endReal() error {
+// stopReal stops the real members and closes their relays.
+func (r *run) stopReal() error {
 	defer r.real.client.CloseIdleConnections()
 	defer func() {
 		for _, one := range r.real.relays {
@@ -208,11 +214,11 @@
 	}
 	r.real.stop()
 	err := <-r.real.ended
-	r.result.Fault = r.real.fault
+	r.result.Fault = r.real.slowEnd
 	return err
 }
 
-// processOf finds the process id of a real member by the cluster file that it was started with; 0 for none.
+// processOf returns the process id of a real member, found by the cluster file on its command line, or 0.
 func (r *run) processOf(no int) int {
 	folders, _ := os.ReadDir("/proc")
 	for _, f := range folders {
--- a/lab/scale/report.go
+++ b/lab/scale/report.go
@@ -9,16 +9,16 @@
 	"strings"
 )
 
-// This file writes a result as a page.
+// This file formats a result as Markdown.
 
-// The budget that the operators grant the control part of a sender.
+// Budget of the control part of a sender, as granted by the operators.
 const (
-	budgetBytes = 4000.0 // a second
+	budgetBytes = 4000.0 // sent, per second
 	budgetCPU   = 0.047  // of a core
 	budgetMB    = 256.0
 )
 
-// Markdown writes a result as tables.
+// Markdown writes a result as Markdown tables and lines of text.
 func (r *Result) Markdown(out io.Writer) error {
 	var text strings.Builder
 	say := func(format string, args ...any) { fmt.Fprintf(&text, format+"\n", args...) }
@@ -34,23 +34,24 @@
 		if u.Real {
 			kind = ", real"
 		}
-		say("| %s%s | %d | %.0f (%.0f) | %.0f | %.0f, %.1f | %.0f | %.1f, %.1f | %.4f | %.1f | %.1f |", u.Role, kind, u.Members, u.BytesOut, u.MostOut,
+		say("| %s%s | %d | %.0f (%.0f) | %.0f | %.0f, %.1f | %.0f | %.1f, %.1f | %.4f | %.1f | %.1f |", u.Role, kind, u.Members, u.BytesOut, u.MaxOut,
 			u.BytesIn, u.Gossip, u.Packets, u.Consensus, u.Calls, u.Answers, u.CPU, u.HeapMB, u.RSSMB)
 	}
 	say("\n| role | path | calls/s | answers/s | out B/s | in B/s |\n| --- | --- | --- | --- | --- | --- |")
 	for _, u := range r.Roles {
-		for _, path := range slices.Sorted(maps.Keys(u.Kinds)) {
-			if k := u.Kinds[path]; k.Calls+k.Answers > 0 {
+		for _, path := range slices.Sorted(maps.Keys(u.Paths)) {
+			if k := u.Paths[path]; k.Calls+k.Answers > 0 {
 				say("| %s | %s | %.2f | %.2f | %.0f | %.0f |", u.Role, path, k.Calls, k.Answers, k.Out, k.In)
 			}
 		}
 	}
-	r.events(say)
+	r.writeEvents(say)
 	_, err := io.WriteString(out, text.String())
 	return err
 }
 
-func (r *Result) events(say func(string, ...any)) {
+// writeEvents writes the heap by part, purges, changes, outages, the rolling restart and the costs of faults.
+func (r *Result) writeEvents(say func(string, ...any)) {
 	for _, u := range r.Roles {
 		if len(u.HeapParts) == 0 {
 			continue
@@ -69,7 +70,7 @@
 	for i, c := range r.Changes {
 		say("\nConfiguration change %d: decided after %.2f s; in force at 50%% of the hollow members after %.2f s, 95%% %.2f s, all %.2f s.", i, c.DecidedS, c.P50S, c.P95S, c.P100S)
 	}
-	for _, f := range r.Falls {
+	for _, f := range r.Outages {
 		say("\nZone %d fell: a plan that leaves it in force at 50%% after %.2f s, 95%% %.2f s, all %.2f s.", f.Zone, f.P50S, f.P95S, f.P100S)
 	}
 	if r.RollingS > 0 {
--- a/lab/scale/run.go
+++ b/lab/scale/run.go
@@ -12,20 +12,21 @@
 	"flaxcove/lab/scale/fleet"
 )
 
-// run is a run in progress. It belongs to one goroutine.
+// run is the state of a run. It belongs to one goroutine.
 type run struct {
 	options     Options
 	fleet       *fleet.Fleet
-	dir         string
+	dir         string // temporary folder of the hollow members
 	began       time.Time
 	hosts       []*hostProcess
 	real        realRun
 	realMembers []fleet.Member
-	realHomes   []string // their folders
+	realHomes   []string // folders of the real members, in the order of realMembers
 	result      *Result
 }
 
-// Run plays a run. An error says that it could not be played, or that members did not agree in time.
+// Run plays a run. It returns an error if the run could not be played or members did not agree in time; the result then holds
+// what was measured before, and is nil if the run could not be set up.
 func Run(ctx context.Context, o Options) (result *Result, err error) {
 	if err := o.fillAndCheck(); err != nil {
 		return nil, err
@@ -46,14 +47,14 @@
 		}
 	}
 	defer os.RemoveAll(r.dir)
-	defer func() { err = errors.Join(err, r.end()) }()
+	defer func() { err = errors.Join(err, r.stopAll()) }()
 	if err := r.playAll(ctx); err != nil {
 		return r.result, err
 	}
 	return r.result, nil
 }
 
-// playAll plays the parts of a run in their order.
+// playAll plays the parts of a run in order.
 func (r *run) playAll(ctx context.Context) (err error) {
 	if err := r.startHosts(); err != nil {
 		return err
@@ -61,7 +62,7 @@
 	if err := r.startMembers(ctx); err != nil {
 		return err
 	}
-	r.options.Say("%d hollow members in %d processes started after %.1f s", len(r.fleet.Members)-r.options.Fleet.Real, len(r.hosts), time.Since(r.began).Seconds())
+	r.options.Say("%d hollow members in %d processes were started after %.1f s", len(r.fleet.Members)-r.options.Fleet.Real, len(r.hosts), time.Since(r.began).Seconds())
 	if err := r.startReal(ctx); err != nil {
 		return err
 	}
@@ -91,9 +92,9 @@
 	return nil
 }
 
-// playSchedule plays one schedule and waits until all members agree again.
+// playSchedule plays one schedule, waits until all members agree again, and records the cost.
 func (r *run) playSchedule(ctx context.Context, s *schedule.Schedule) error {
-	before, err := r.read(ctx)
+	before, err := r.takeReading(ctx)
 	if err != nil {
 		return err
 	}
@@ -104,7 +105,7 @@
 	if err != nil {
 		return err
 	}
-	after, err := r.read(ctx)
+	after, err := r.takeReading(ctx)
 	if err != nil {
 		return err
 	}
@@ -115,9 +116,9 @@
 	return nil
 }
 
-// end stops all processes.
-func (r *run) end() error {
-	errs := []error{r.endReal()}
+// stopAll stops the real members and all hosts.
+func (r *run) stopAll() error {
+	errs := []error{r.stopReal()}
 	problems := make(chan error, len(r.hosts))
 	for _, h := range r.hosts {
 		go func() { problems <- h.end() }()
@@ -129,22 +130,24 @@
 }
 
 const (
-	firstPort, morePorts, portStep, portTries = 10_000, 9_000, 7, 40
+	firstPort, portRange, portStep, portTries = 10_000, 9_000, 7, 40
 )
 
-// freePort finds three consecutive ports that are free at the members' addresses, below the range that the system assigns.
+// freePort returns the first of three consecutive ports that are free at all members' addresses and lie below the range from
+// which the system assigns ports.
 func freePort(size fleet.Size) (int, error) {
 	for try := range portTries {
-		size.Port = firstPort + (os.Getpid()*31+int(time.Now().UnixNano()%997)+try*portStep)%morePorts
+		size.Port = firstPort + (os.Getpid()*31+int(time.Now().UnixNano()%997)+try*portStep)%portRange
 		f := fleet.Plan(size)
-		if free(f) {
+		if portsFree(f) {
 			return size.Port, nil
 		}
 	}
-	return 0, fmt.Errorf("no port is free at all members' addresses")
+	return 0, fmt.Errorf("found no port that is free at all members' addresses")
 }
 
-func free(f *fleet.Fleet) bool {
+// portsFree reports whether a fleet's addresses are free, including those of the gossip relays.
+func portsFree(f *fleet.Fleet) bool {
 	for i := range f.Members {
 		at, relayed := f.Addresses(i), f.RelayAddresses(i)
 		for _, address := range []string{at.Gossip, at.Consensus, at.HTTP, relayed.Gossip} {
--- a/lab/scale/scale_test.go
+++ b/lab/scale/scale_test.go
@@ -123,13 +123,13 @@
 
 // TestDiffer checks that every kind of difference between members keeps them from agreeing.
 func TestDiffer(t *testing.T) {
-	alike := host.MemberState{Up: true, Here: 2, View: 7, Root: "a", Leader: "b", Epoch: 3, Purged: 4}
+	alike := host.MemberState{Up: true, Alive: 2, ViewSum: 7, Root: "a", Leader: "b", Epoch: 3, Purged: 4}
 	if why := differences([]host.MemberState{alike, alike}, 2, true); len(why) > 0 {
 		t.Errorf("two that see the same: %v", why)
 	}
 	for name, change := range map[string]func(*host.MemberState){
-		"up": func(s *host.MemberState) { s.Up = false }, "here": func(s *host.MemberState) { s.Here = 1 },
-		"view": func(s *host.MemberState) { s.View = 8 }, "root": func(s *host.MemberState) { s.Root = "c" },
+		"up": func(s *host.MemberState) { s.Up = false }, "here": func(s *host.MemberState) { s.Alive = 1 },
+		"view": func(s *host.MemberState) { s.ViewSum = 8 }, "root": func(s *host.MemberState) { s.Root = "c" },
 		"leader": func(s *host.MemberState) { s.Leader = "c" }, "no leader": func(s *host.MemberState) { s.Leader = "" },
 		"epoch": func(s *host.MemberState) { s.Epoch = 2 }, "no epoch": func(s *host.MemberState) { s.Epoch = 0 },
 		"version": func(s *host.MemberState) { s.Version = 3 },
