--- a/choice/allowed_test.go
+++ b/choice/allowed_test.go
@@ -64,9 +64,9 @@
 		host.mute = true
 		host.sender.pauseRoute(host.endpoint("near"), Second, false)
 		host.endpoint("far").route = newRoute(0) // a separate route
-		host.sender.Taken(Message{ID: "far", Key: NoKey, Destination: 3, Deadline: 6 * Second})
+		host.sender.Accept(Message{ID: "far", Key: NoKey, Destination: 3, Deadline: 6 * Second})
 		for i := range newer {
-			host.sender.Taken(Message{ID: MessageID(fmt.Sprint("near", i)), Key: NoKey, Destination: 3, Deadline: 6 * Second})
+			host.sender.Accept(Message{ID: MessageID(fmt.Sprint("near", i)), Key: NoKey, Destination: 3, Deadline: 6 * Second})
 		}
 		host.sender.TurnEnd()
 		fmt.Println(newer, "newer, sent:", host.attempts["far"] == 1)
@@ -82,7 +82,7 @@
 	set := testSettings()
 	set.Classes[1].ZoneGroup = true
 	host := startTwoZones(set)
-	host.sender.Taken(Message{ID: "far1", Class: 1, Key: NoKey, Destination: 3, Deadline: 6 * Second, MayRun: true})
+	host.sender.Accept(Message{ID: "far1", Class: 1, Key: NoKey, Destination: 3, Deadline: 6 * Second, MayRun: true})
 	host.sender.TurnEnd()
 	host.accept(1, 3, "far2")
 	// Output:
--- a/choice/backlog.go
+++ b/choice/backlog.go
@@ -6,9 +6,9 @@
 // of shedding grows with the backlog, so that rejections set in gradually.
 const sheddingThreshold = 0.85
 
-// Taken accepts a message. It ends the message at once if it can no longer be sent or is shed because the backlog is
+// Accept accepts a message. It ends the message at once if it can no longer be sent or is shed because the backlog is
 // full.
-func (s *Sender) Taken(in Message) {
+func (s *Sender) Accept(in Message) {
 	s.now = s.host.Now()
 	msg := &message{Message: in, destination: s.ensureDestination(in.Destination)}
 	msg.acceptedAt = in.Deadline - s.class(msg).Deadline
@@ -44,14 +44,14 @@
 func (s *Sender) limitBacklog(accepted *message) {
 	fullness := float64(len(s.messages)) / float64(s.settings.MaxOpen)
 	pressure := (fullness - sheddingThreshold) / (1 - sheddingThreshold)
-	if pressure <= 0 || accepted.Span > 0 {
+	if pressure <= 0 || accepted.AcceptedLifetime > 0 {
 		return
 	}
 	if s.random.fraction(string(accepted.ID)) >= pressure*(2-s.fullValue(accepted)/s.maxValue) {
 		return
 	}
 	mayShed := func(msg *message) bool {
-		return msg.inFlight == nil && (msg.Span == 0 || msg.attempts > 0)
+		return msg.inFlight == nil && (msg.AcceptedLifetime == 0 || msg.attempts > 0)
 	}
 	s.endUndelivered(minBy(s.messages, mayShed, s.valuePerTime))
 }
@@ -89,9 +89,9 @@
 	return s.assumedCallTime
 }
 
-// Withdrawn ends a message without an answer. The message is not sent again. If a call is in flight, its outcome is
+// Withdraw ends a message without an answer. The message is not sent again. If a call is in flight, its outcome is
 // still counted.
-func (s *Sender) Withdrawn(id MessageID) {
+func (s *Sender) Withdraw(id MessageID) {
 	s.now = s.host.Now()
 	if msg := s.messages[id]; msg != nil {
 		s.release(msg)
@@ -117,7 +117,7 @@
 		return // Ended calls release again when the outcome arrives.
 	}
 	delete(s.messages, msg.ID)
-	s.timers.clear(msg, s.host.Forget)
+	s.timers.clear(msg, s.host.CancelTimer)
 	msg.destination.openMessages--
 	s.markDirty(msg.destination)
 	if msg.keyQueue != nil {
--- a/choice/backlog_test.go
+++ b/choice/backlog_test.go
@@ -19,11 +19,11 @@
 // Outcomes, probe results, withdrawals and timers are ignored if they refer to something unknown or already over.
 func ExampleSender_unknownOrOver() {
 	host := startSender(testSettings()).accept(0, 1, "p")
-	host.sender.Withdrawn("p")
-	host.sender.Withdrawn("p")
+	host.sender.Withdraw("p")
+	host.sender.Withdraw("p")
 	host.end(TimedOut, 0, "a", "p").end(TimedOut, 0, "a", "p", "unknown")
-	host.sender.Probed("unknown", Done)
-	host.sender.TimerDue(999)
+	host.sender.ProbeEnded("unknown", Done)
+	host.sender.TimerFired(999)
 	host.advance(7 * Second)
 	fmt.Println(len(host.sender.messages), "messages", len(host.sender.timers.pending), "timers", len(host.sender.calls), "calls")
 	// Output:
@@ -57,7 +57,7 @@
 	set.MaxOpen, set.InFlightLimit = 20, 0 // nothing is sent, so the backlog stays
 	host := startSender(set)
 	take := func(id MessageID, key OrderKey, to DestinationID) {
-		host.sender.Taken(Message{ID: id, Class: 3, Key: key, Destination: to, Deadline: host.clock + 6*Second})
+		host.sender.Accept(Message{ID: id, Class: 3, Key: key, Destination: to, Deadline: host.clock + 6*Second})
 	}
 	for i := range 16 {
 		take(MessageID(fmt.Sprint(i)), OrderKey(6+i), DestinationID(1+i%2))
--- a/choice/capacity_test.go
+++ b/choice/capacity_test.go
@@ -23,9 +23,9 @@
 func (h *silentHost) Fail(MessageID)                      {}
 func (h *silentHost) Probe(EndpointID)                    {}
 func (h *silentHost) CloseIdle(EndpointID)                {}
-func (h *silentHost) Tell([]byte)                         {}
-func (h *silentHost) Timer(_ Time, id TimerID)            { h.timer = id }
-func (h *silentHost) Forget(TimerID)                      {}
+func (h *silentHost) BroadcastNote([]byte)                {}
+func (h *silentHost) SetTimer(_ Time, id TimerID)         { h.timer = id }
+func (h *silentHost) CancelTimer(TimerID)                 {}
 
 const (
 	capacityZones     = 8
@@ -71,7 +71,7 @@
 		list := capacityList(n, Ready)
 		var s *Sender
 		heap := bench.Heap(func() any {
-			s = Start(&silentHost{}, "s", 7, capacitySettings(1000))
+			s = NewSender(&silentHost{}, "s", 7, capacitySettings(1000))
 			s.UpdateEndpoints(list, true)
 			return s
 		})
@@ -86,7 +86,7 @@
 // destinations.
 func BenchmarkCapacityChange(b *testing.B) {
 	bench.Sizes(b, "destinations", []int{610, 6_100, 61_000}, func(b *testing.B, n int) {
-		s := Start(&silentHost{}, "s", 7, capacitySettings(1000))
+		s := NewSender(&silentHost{}, "s", 7, capacitySettings(1000))
 		list := capacityList(n, Ready)
 		s.UpdateEndpoints(list, true)
 		for b.Loop() {
@@ -98,13 +98,13 @@
 // BenchmarkCapacityTick measures a tick that refreshes all destinations, as after a complete list.
 func BenchmarkCapacityTick(b *testing.B) {
 	bench.Sizes(b, "destinations", []int{610, 6_100, 61_000}, func(b *testing.B, n int) {
-		s := Start(&silentHost{}, "s", 7, capacitySettings(1000))
+		s := NewSender(&silentHost{}, "s", 7, capacitySettings(1000))
 		s.UpdateEndpoints(capacityList(n, Ready), true)
 		for b.Loop() {
 			for _, dest := range s.destinations {
 				s.markDirty(dest)
 			}
-			s.TimerDue(tickTimer)
+			s.TimerFired(tickTimer)
 		}
 	})
 }
@@ -112,10 +112,10 @@
 // senderWithOpen returns a sender with the given number of open messages, for destinations without any usable endpoint.
 func senderWithOpen(open, destinations, maxOpen int) (*Sender, *silentHost) {
 	h := &silentHost{}
-	s := Start(h, "s", 7, capacitySettings(maxOpen))
+	s := NewSender(h, "s", 7, capacitySettings(maxOpen))
 	s.UpdateEndpoints(capacityList(destinations, Draining), true)
 	for i := range open {
-		s.Taken(capacityMessage(i, destinations))
+		s.Accept(capacityMessage(i, destinations))
 	}
 	return s, h
 }
@@ -131,8 +131,8 @@
 		})
 		one := capacityMessage(n, capacityUnavailable)
 		for b.Loop() {
-			s.Taken(one)
-			s.Withdrawn(one.ID)
+			s.Accept(one)
+			s.Withdraw(one.ID)
 		}
 		b.ReportMetric(heap, "heap-B")
 	})
@@ -153,8 +153,8 @@
 		for b.Loop() {
 			i++
 			one := capacityMessage(i, capacityUnavailable)
-			s.Taken(one)
-			s.Withdrawn(one.ID)
+			s.Accept(one)
+			s.Withdraw(one.ID)
 		}
 	})
 }
@@ -172,9 +172,9 @@
 		for b.Loop() {
 			i++
 			one.ID = MessageID(fmt.Sprint(i))
-			s.Taken(one)
+			s.Accept(one)
 			s.TurnEnd()
-			s.Ended(Outcome{Message: one.ID, Endpoint: "healthy", Took: 20 * Millisecond, Result: Done, Final: true})
+			s.AttemptEnded(Outcome{Message: one.ID, Endpoint: "healthy", Duration: 20 * Millisecond, Result: Done, Final: true})
 		}
 		if len(s.messages) != 4*n {
 			b.Fatalf("%d messages open, want %d: the message was not delivered", len(s.messages), 4*n)
--- a/choice/configure_bench_test.go
+++ b/choice/configure_bench_test.go
@@ -23,17 +23,17 @@
 			set := testSettings()
 			set.MaxOpen, set.InFlightLimit = 2*size.open, 0 // nothing is sent
 			host := &fakeHost{attempts: map[MessageID]int{}, mute: true}
-			host.sender = Start(host, "s", 7, set)
+			host.sender = NewSender(host, "s", 7, set)
 			var list []Entry
 			for i := range 2 * size.destinations {
 				list = append(list, Entry{Endpoint: EndpointID(fmt.Sprint("endpoint", i)), Destination: DestinationID(i / 2), Rating: 10})
 			}
 			host.sender.UpdateEndpoints(list, true)
 			for i := range size.open {
-				host.sender.Taken(Message{ID: MessageID(fmt.Sprint("message", i)), Key: NoKey, Destination: DestinationID(i % size.destinations),
+				host.sender.Accept(Message{ID: MessageID(fmt.Sprint("message", i)), Key: NoKey, Destination: DestinationID(i % size.destinations),
 					Deadline: host.clock + 6*Second})
 			}
-			host.sender.TimerDue(tickTimer)
+			host.sender.TimerFired(tickTimer)
 			var turn, tick time.Duration
 			for i := range b.N {
 				size.change(&set, i)
@@ -41,7 +41,7 @@
 				host.sender.Configure(set)
 				turn += time.Since(began)
 				began = time.Now()
-				host.sender.TimerDue(tickTimer)
+				host.sender.TimerFired(tickTimer)
 				tick += time.Since(began)
 			}
 			b.ReportMetric(float64(turn.Microseconds())/1e3/float64(b.N), "ms/turn")
--- a/choice/connections_test.go
+++ b/choice/connections_test.go
@@ -50,7 +50,7 @@
 	host.accept(0, 1, "o").end(Done, 0, "a", "o")
 	for _, id := range []MessageID{"p", "q"} {
 		host.accept(2, 1, id)
-		host.sender.Ended(Outcome{Message: id, Endpoint: "a", Result: Reset, Reused: true})
+		host.sender.AttemptEnded(Outcome{Message: id, Endpoint: "a", Result: Reset, Reused: true})
 	}
 	fmt.Println("ejected:", host.endpoint("a").ejected)
 	// Output:
@@ -75,8 +75,8 @@
 		host.accept(0, 1, "first").accept(0, 3, "other").end(Done, 0, "a", "first").end(Done, 0, "d", "other")
 		host.advance(2 * Second).printCloseIdle = true
 		for _, id := range []MessageID{"p", "q", "r"} {
-			host.accept(0, 1, id).sender.Ended(Outcome{Message: id, Endpoint: "a", Result: Rejected, Closed: closed})
-			host.sender.Withdrawn(id)
+			host.accept(0, 1, id).sender.AttemptEnded(Outcome{Message: id, Endpoint: "a", Result: Rejected, Closed: closed})
+			host.sender.Withdraw(id)
 			host.advance(2 * Second)
 		}
 		fmt.Println("rate cut:", host.destination(1).route.limiter.rate < 100)
@@ -108,7 +108,7 @@
 	set.Senders, set.Probing = 300, false
 	host := startSender(set)
 	host.accept(0, 1, "first").end(Done, 0, "a", "first")
-	host.accept(0, 1, "p").sender.Ended(Outcome{Message: "p", Endpoint: "a", Result: Rejected, Closed: true, RetryAfter: 2 * Second})
+	host.accept(0, 1, "p").sender.AttemptEnded(Outcome{Message: "p", Endpoint: "a", Result: Rejected, Closed: true, RetryAfter: 2 * Second})
 	host.advance(Second).accept(0, 1, "q").advance(2 * Second)
 	// Output:
 	// 0.0     attempt first to a
@@ -119,12 +119,12 @@
 
 // Establishing a connection may take longer than a destination remembers an idempotency key. The repeat must not be
 // sent then.
-func ExampleSender_Open() {
+func ExampleSender_MaySend() {
 	host := startSender(testSettings())
 	host.mute = true
 	host.accept(1, 1, "t").end(Errored, 0, "a", "t").advance(2 * Second)
 	for host.clock < 4*Second {
-		fmt.Println(host.clock/Millisecond, host.sender.Open("a", "t"), host.sender.Open("a"))
+		fmt.Println(host.clock/Millisecond, host.sender.MaySend("a", "t"), host.sender.MaySend("a"))
 		host.clock += 900 * Millisecond
 	}
 	// Output:
@@ -136,14 +136,14 @@
 // A pause or a drain may be reported while a connection is being established. The attempt must not be sent then.
 func Example_open() {
 	host := startSender(testSettings()).accept(0, 1, "one")
-	fmt.Println(host.sender.Open("a"), host.sender.Open("b"), host.sender.Open("unknown"))
+	fmt.Println(host.sender.MaySend("a"), host.sender.MaySend("b"), host.sender.MaySend("unknown"))
 	host.end(Rejected, 300*Millisecond, "a", "one")
-	fmt.Println(host.sender.Open("a"))
+	fmt.Println(host.sender.MaySend("a"))
 	host.mute = true
 	host.advance(400 * Millisecond)
-	fmt.Println(host.sender.Open("a"))
+	fmt.Println(host.sender.MaySend("a"))
 	host.update(Entry{Endpoint: "a", Destination: 1, Stage: Draining})
-	fmt.Println(host.sender.Open("a"))
+	fmt.Println(host.sender.MaySend("a"))
 	// Output:
 	// 0.0     attempt one to a
 	// true false false
@@ -188,7 +188,7 @@
 		for i := range 4 {
 			id := MessageID(fmt.Sprint("down", i))
 			host.advance(2*Second).accept(0, 1, id).end(ConnectFailed, 0, "a", id)
-			host.sender.Withdrawn(id)
+			host.sender.Withdraw(id)
 		}
 		host.mute = false
 		host.accept(0, 3, "healthy").end(Done, 0, "d", "healthy")
--- a/choice/fakehost_test.go
+++ b/choice/fakehost_test.go
@@ -26,7 +26,7 @@
 // testSettings returns settings of a small fleet. Class 0 is idempotent, 1 is keyed, 2 is non-idempotent, and 3 is
 // idempotent and ordered by key.
 func testSettings() Settings {
-	class := func(r Repeat, order bool) Class {
+	class := func(r Repeatability, order bool) Class {
 		return Class{Repeat: r, RepeatWindow: 3 * Second, LatencyObjective: Second, Deadline: 6 * Second,
 			Value: 1 + float64(r), LateValue: 0.1, Ordered: order}
 	}
@@ -39,7 +39,7 @@
 // startSender starts a sender with the endpoints a and b (gone) of destination 1 and c of destination 2.
 func startSender(set Settings) *fakeHost {
 	host := &fakeHost{attempts: map[MessageID]int{}}
-	host.sender = Start(host, "s", 7, set)
+	host.sender = NewSender(host, "s", 7, set)
 	host.sender.UpdateEndpoints([]Entry{
 		{Endpoint: "a", Destination: 1, Rating: 10},
 		{Endpoint: "b", Destination: 1, Stage: Gone, Rating: 10},
@@ -61,7 +61,7 @@
 // accept passes messages with order key 5 to the sender and ends the turn.
 func (h *fakeHost) accept(class ClassNo, to DestinationID, ids ...MessageID) *fakeHost {
 	for _, id := range ids {
-		h.sender.Taken(Message{ID: id, Class: class, Key: 5, Destination: to,
+		h.sender.Accept(Message{ID: id, Class: class, Key: 5, Destination: to,
 			Deadline: h.clock + h.sender.settings.Classes[class].Deadline})
 	}
 	h.sender.TurnEnd()
@@ -71,7 +71,7 @@
 // end passes an outcome for the latest attempt of each message, which took 200 ms, and ends the turn.
 func (h *fakeHost) end(result Result, wait Time, at EndpointID, ids ...MessageID) *fakeHost {
 	for _, id := range ids {
-		h.sender.Ended(Outcome{Message: id, Attempt: h.attempts[id] - 1, Endpoint: at, Took: 200 * Millisecond,
+		h.sender.AttemptEnded(Outcome{Message: id, Attempt: h.attempts[id] - 1, Endpoint: at, Duration: 200 * Millisecond,
 			Result: result, Final: result == Done, RetryAfter: wait})
 	}
 	h.sender.TurnEnd()
@@ -90,7 +90,7 @@
 		next := h.timers[0]
 		h.timers = h.timers[1:]
 		h.clock = max(h.clock, next.at)
-		h.sender.TimerDue(next.id)
+		h.sender.TimerFired(next.id)
 		h.sender.TurnEnd()
 	}
 }
@@ -112,16 +112,16 @@
 func (h *fakeHost) Shed(id MessageID, in Time) { h.printf("shed %s", id) }
 func (h *fakeHost) Fail(id MessageID)          { h.printf("fail %s", id) }
 func (h *fakeHost) Probe(ep EndpointID)        { h.printf("probe %s", ep) }
-func (h *fakeHost) Tell(note []byte)           { h.printf("note %x", note) }
+func (h *fakeHost) BroadcastNote(note []byte)  { h.printf("note %x", note) }
 func (h *fakeHost) CloseIdle(ep EndpointID) {
 	if h.printCloseIdle {
 		h.printf("close %s", ep)
 	}
 }
-func (h *fakeHost) Timer(in Time, id TimerID) {
+func (h *fakeHost) SetTimer(in Time, id TimerID) {
 	h.timers = append(h.timers, fakeTimer{h.clock + in, id})
 }
 
-func (h *fakeHost) Forget(id TimerID) {
+func (h *fakeHost) CancelTimer(id TimerID) {
 	h.timers = slices.DeleteFunc(h.timers, func(t fakeTimer) bool { return t.id == id })
 }
--- a/choice/fleetmodel_test.go
+++ b/choice/fleetmodel_test.go
@@ -118,7 +118,7 @@
 func (h *senderHost) start() {
 	h.incarnation++
 	h.attempts, h.forgotten = map[MessageID]int{}, map[TimerID]bool{}
-	h.sender = Start(h, SenderID(fmt.Sprint("s", h.number, ".", h.incarnation)), int64(h.fleet.seed), h.fleet.set)
+	h.sender = NewSender(h, SenderID(fmt.Sprint("s", h.number, ".", h.incarnation)), int64(h.fleet.seed), h.fleet.set)
 	var entries []Entry
 	for _, id := range sortedKeys(h.fleet.endpoints) {
 		if h.fleet.endpoints[id].upAt < forever {
@@ -152,12 +152,12 @@
 func (h *senderHost) Fail(id MessageID)                        {}
 func (h *senderHost) Shed(id MessageID, in Time)               {}
 func (h *senderHost) CloseIdle(ep EndpointID)                  {}
-func (h *senderHost) Tell(note []byte)                         {}
-func (h *senderHost) Forget(id TimerID)                        { h.forgotten[id] = true }
-func (h *senderHost) Timer(in Time, id TimerID) {
+func (h *senderHost) BroadcastNote(note []byte)                {}
+func (h *senderHost) CancelTimer(id TimerID)                   { h.forgotten[id] = true }
+func (h *senderHost) SetTimer(in Time, id TimerID) {
 	h.later(in, func() {
 		if !h.forgotten[id] {
-			h.sender.TimerDue(id)
+			h.sender.TimerFired(id)
 		}
 		delete(h.forgotten, id)
 	})
@@ -169,10 +169,10 @@
 	o := Outcome{Message: id, Attempt: h.attempts[id] - 1, Endpoint: to, Result: ConnectFailed}
 	h.fleet.after(10*Millisecond+Time(h.fleet.random.IntN(200)), func() {
 		if h.fleet.arrive(h.fleet.endpoints[to], aware) {
-			o.Result, o.Took, o.Final = Done, 60*Millisecond, true
+			o.Result, o.Duration, o.Final = Done, 60*Millisecond, true
 		}
 	})
-	h.later(60*Millisecond, func() { h.sender.Ended(o) })
+	h.later(60*Millisecond, func() { h.sender.AttemptEnded(o) })
 }
 
 func (h *senderHost) Probe(ep EndpointID) {
@@ -182,13 +182,13 @@
 			result = Done
 		}
 	})
-	h.later(30*Millisecond, func() { h.sender.Probed(ep, result) })
+	h.later(30*Millisecond, func() { h.sender.ProbeEnded(ep, result) })
 }
 
 // accept passes one message to the sender and ends the turn.
 func (h *senderHost) accept(dest, serial int) {
 	class := ClassNo(serial % len(h.fleet.set.Classes))
-	h.sender.Taken(Message{
+	h.sender.Accept(Message{
 		ID:          MessageID(fmt.Sprint("n", serial)),
 		Class:       class,
 		Account:     -1,
--- a/choice/host.go
+++ b/choice/host.go
@@ -62,11 +62,11 @@
 	Probe(ep EndpointID)
 	// CloseIdle closes the idle connections to an endpoint.
 	CloseIdle(ep EndpointID)
-	// Tell broadcasts a note to all other senders, whose hosts pass it to Sender.Heard. Notes may be lost. It is called
+	// BroadcastNote broadcasts a note to all other senders, whose hosts pass it to Sender.Heard. Notes may be lost. It is called
 	// only if Settings.Notes is set.
-	Tell(note []byte)
-	// Timer makes the host call Sender.TimerDue with the id after the given time.
-	Timer(in Time, id TimerID)
-	// Forget cancels a timer. If the timer fires nevertheless, the Sender ignores it.
-	Forget(id TimerID)
+	BroadcastNote(note []byte)
+	// SetTimer makes the host call Sender.TimerDue with the id after the given time.
+	SetTimer(in Time, id TimerID)
+	// CancelTimer cancels a timer. If the timer fires nevertheless, the Sender ignores it.
+	CancelTimer(id TimerID)
 }
--- a/choice/inputs.go
+++ b/choice/inputs.go
@@ -43,10 +43,10 @@
 	Key         OrderKey  // NoKey for none
 	Deadline    Time      // on the host's clock
 	Destination DestinationID
-	// Span is the time that the message had until its deadline when an earlier incarnation accepted it. It is 0 for new
+	// AcceptedLifetime is the time that the message had until its deadline when an earlier incarnation accepted it. It is 0 for new
 	// messages from a client, which may still be rejected. A restarted sender uses it so as not to shed much of a full
 	// backlog, or messages whose time was short from the start.
-	Span Time
+	AcceptedLifetime Time
 	// MayRun is set for a message that an earlier incarnation accepted if one of its attempts may have run. RanAt is
 	// the time when that attempt was sent, and RanIn is the zone of its endpoint.
 	MayRun bool
@@ -91,7 +91,7 @@
 	Message    MessageID
 	Attempt    int // number of the attempt, starting at 0
 	Endpoint   EndpointID
-	Took       Time
+	Duration   Time
 	Final      bool // the message needs no further answer
 	Result     Result
 	RetryAfter Time   // Retry-After of the answer, or 0 for none
--- a/choice/keyorder_test.go
+++ b/choice/keyorder_test.go
@@ -13,7 +13,7 @@
 // acceptKeyed passes a message with an order key to the sender and does not end the turn.
 func (h *fakeHost) acceptKeyed(id MessageID, class ClassNo, key OrderKey, to DestinationID) *fakeHost {
 	deadline := h.clock + h.sender.settings.Classes[class].Deadline
-	h.sender.Taken(Message{ID: id, Class: class, Key: key, Destination: to, Deadline: deadline})
+	h.sender.Accept(Message{ID: id, Class: class, Key: key, Destination: to, Deadline: deadline})
 	return h
 }
 
@@ -34,8 +34,8 @@
 	fmt.Println("withdrawn while waiting, then while in flight")
 	host := startSender(orderedSettings())
 	host.acceptKeyed("head", 2, 7, 2).sender.TurnEnd()
-	host.acceptKeyed("waits", 2, 7, 2).acceptKeyed("next", 2, 7, 2).sender.Withdrawn("waits")
-	host.sender.Withdrawn("head")
+	host.acceptKeyed("waits", 2, 7, 2).acceptKeyed("next", 2, 7, 2).sender.Withdraw("waits")
+	host.sender.Withdraw("head")
 	host.advance(10*Millisecond).end(Done, 0, "c", "head")
 	// Output:
 	// 0.0     attempt head to c
--- a/choice/learned_test.go
+++ b/choice/learned_test.go
@@ -4,16 +4,16 @@
 
 // Void replaces learned state, as when a destination has moved: the call times, concurrency limit, rate and pause
 // become the initial ones, or the given ones.
-func ExampleSender_Void() {
+func ExampleSender_ReplaceLearnedState() {
 	for _, l := range []*LearnedState{nil, {Mean: 700, Dev: 100, Past: 600, Seen: 9, Limit: 4, Wait: Second}} {
 		host := startSender(testSettings()).accept(0, 1, "p").end(Done, 0, "a", "p")
 		host.endpoint("a").concurrencyLimit = 8
-		host.accept(0, 1, "q").sender.Ended(Outcome{
+		host.accept(0, 1, "q").sender.AttemptEnded(Outcome{
 			Message: "q", Endpoint: "a", Result: Rejected, RetryAfter: 2 * Second, Report: Report{Known: true, Limit: 50},
 		})
 		host.accept(0, 1, "r").sender.destinations[1].route.limiter.rate = 1
-		host.sender.Void("a", l)
-		host.sender.Void("unknown", l)
+		host.sender.ReplaceLearnedState("a", l)
+		host.sender.ReplaceLearnedState("unknown", l)
 		ep, route := host.endpoint("a"), host.destination(1).route
 		fmt.Println(host.sender.LearnedState("a"), "concurrency limit:", ep.concurrencyLimit,
 			"limited:", route.limiter.rate < unlimitedRate, "rated:", route.rating*host.sender.ratingShare)
@@ -34,7 +34,7 @@
 
 // Void does not lift an outage. An ejected endpoint stays ejected, the pause of an unavailable destination stays, the
 // slow start budget does not grow, and a limit learned by other senders applies only after the outage.
-func ExampleSender_Void_outage() {
+func ExampleSender_ReplaceLearnedState_outage() {
 	set := testSettings()
 	set.Probing = false
 	sent := func(void bool) int {
@@ -45,7 +45,7 @@
 		host.advance(2 * Second)
 		for i := range 200 {
 			if void {
-				host.sender.Void("a", &LearnedState{Mean: 100, Dev: 10, Past: 100, Seen: 99, Limit: 1000})
+				host.sender.ReplaceLearnedState("a", &LearnedState{Mean: 100, Dev: 10, Past: 100, Seen: 99, Limit: 1000})
 			}
 			id := MessageID(fmt.Sprint(i))
 			host.accept(0, 1, id).advance(40 * Millisecond)
@@ -65,7 +65,7 @@
 	fmt.Println("sent in slow start:", before > 10, "more after Void:", after > before)
 	host := startSender(set)
 	host.accept(0, 1, "p").end(Rejected, 4*Second, "a", "p")
-	host.sender.Void("a", nil)
+	host.sender.ReplaceLearnedState("a", nil)
 	host.accept(0, 1, "q").advance(5 * Second)
 	// Output:
 	// sent in slow start: true more after Void: false
@@ -74,9 +74,9 @@
 }
 
 // The learned state of a destination may be evicted unless the destination is in use.
-func ExampleSender_Holds() {
+func ExampleSender_LearnedCalls() {
 	show := func(what string, host *fakeHost, id DestinationID) {
-		calls, inUse := host.sender.Holds(id)
+		calls, inUse := host.sender.LearnedCalls(id)
 		fmt.Println(what, calls, inUse)
 	}
 	host := startSender(testSettings())
@@ -89,7 +89,7 @@
 	host.advance(Second)
 	show("done:", host.end(Done, 0, "c", "q"), 2)
 	show("paused:", host.accept(0, 2, "r").end(Rejected, Second, "c", "r"), 2)
-	host.sender.Withdrawn("r")
+	host.sender.Withdraw("r")
 	show("withdrawn during the pause:", host, 2)
 	show("after the pause:", host.advance(2*Second), 2)
 	host.sender.eject(host.endpoint("c"))
@@ -102,7 +102,7 @@
 	host = startSender(orderedSettings())
 	host.mute = true
 	host.acceptKeyed("head", 3, 7, 2).sender.TurnEnd()
-	host.end(Reset, 0, "c", "head").sender.Withdrawn("head")
+	host.end(Reset, 0, "c", "head").sender.Withdraw("head")
 	show("order key paused:", host, 2)
 	show("order key not paused:", host.advance(Second), 2)
 	// Output:
--- a/choice/loadhost_test.go
+++ b/choice/loadhost_test.go
@@ -74,7 +74,7 @@
 	h.log("attempt %s to %s within %d", id, to, timeOut)
 	h.checkAttempt(h.sender.messages[id], h.sender.endpoints[to])
 	took := 50*Millisecond + Time(hashFraction(id, h.attempts[id], "took")*float64(300*Millisecond))
-	o := Outcome{Message: id, Attempt: h.attempts[id] - 1, Endpoint: to, Took: took, Final: true}
+	o := Outcome{Message: id, Attempt: h.attempts[id] - 1, Endpoint: to, Duration: took, Final: true}
 	if d := h.sender.endpoints[to].destination.id; d == 1 { // the destination that reports its limit
 		o.Report = Report{Known: true, Left: 0.5, Limit: 20}
 	}
@@ -90,13 +90,13 @@
 	case draw < 0.22:
 		o.Result, o.Final, o.Reused = Reset, false, true
 	case draw < 0.26 || took > timeOut:
-		o.Result, o.Final, o.Took = TimedOut, false, timeOut
+		o.Result, o.Final, o.Duration = TimedOut, false, timeOut
 	}
-	h.schedule(h.clock+o.Took, -1, func() {
+	h.schedule(h.clock+o.Duration, -1, func() {
 		if o.Final {
 			h.answered(id, "done")
 		}
-		h.sender.Ended(o)
+		h.sender.AttemptEnded(o)
 	})
 }
 
@@ -147,23 +147,23 @@
 	if h.bDown() {
 		result = ConnectFailed
 	}
-	h.schedule(h.clock+100*Millisecond, -1, func() { h.sender.Probed(e, result) })
+	h.schedule(h.clock+100*Millisecond, -1, func() { h.sender.ProbeEnded(e, result) })
 }
 
 func (h *loadHost) CloseIdle(e EndpointID) { h.log("close %s", e) }
 
-func (h *loadHost) Tell(note []byte) {
+func (h *loadHost) BroadcastNote(note []byte) {
 	h.log("note %x", note)
 	if !h.sender.settings.Notes {
 		h.t.Errorf("%d: note sent although Notes is false", h.clock)
 	}
 }
 
-func (h *loadHost) Timer(in Time, id TimerID) {
-	h.schedule(h.clock+in, id, func() { h.sender.TimerDue(id) })
+func (h *loadHost) SetTimer(in Time, id TimerID) {
+	h.schedule(h.clock+in, id, func() { h.sender.TimerFired(id) })
 }
 
-func (h *loadHost) Forget(id TimerID) {
+func (h *loadHost) CancelTimer(id TimerID) {
 	h.events = slices.DeleteFunc(h.events, func(e loadEvent) bool { return e.timer == id })
 }
 
@@ -190,7 +190,7 @@
 // start starts the sender under test.
 func (h *loadHost) start(set Settings) {
 	h.attempts, h.answers = map[MessageID]int{}, map[MessageID]int{}
-	h.sender = Start(h, "s", 7, set)
+	h.sender = NewSender(h, "s", 7, set)
 }
 
 // listEndpoints gives the sender two destinations, one of each kind. Each has two endpoints, in different zones.
@@ -217,7 +217,7 @@
 				Key: OrderKey(class % 7), Destination: DestinationID(class / 2 % 2)}
 			msg.Deadline = h.clock + set.Classes[msg.Class].Deadline
 			before := len(h.sender.messages)
-			h.sender.Taken(msg)
+			h.sender.Accept(msg)
 			if most := max(before, set.MaxOpen); len(h.sender.messages) > most {
 				h.t.Errorf("%d: %d messages open, want at most %d", h.clock, len(h.sender.messages), most)
 			}
--- a/choice/notes.go
+++ b/choice/notes.go
@@ -9,9 +9,9 @@
 	minLimitPauseCap = Second
 )
 
-// Heard handles a note of another sender. With a wait, that sender hit the limit of the route; without one, the
+// ReceiveNote handles a note of another sender. With a wait, that sender hit the limit of the route; without one, the
 // endpoint had no room for its connection. A malformed note and a note about an unknown endpoint are ignored.
-func (s *Sender) Heard(note []byte) {
+func (s *Sender) ReceiveNote(note []byte) {
 	s.now = s.host.Now()
 	hash, wait := decodeNote(note)
 	ep := s.endpointsByHash[hash]
@@ -39,7 +39,7 @@
 		return
 	}
 	ep.connectionNoteAt = s.now
-	s.host.Tell(encodeNote(ep.id, wait))
+	s.host.BroadcastNote(encodeNote(ep.id, wait))
 }
 
 // applyPeerLimit pauses a route whose limit was hit by any sender of the fleet. The pause is the usual Retry-After of
--- a/choice/notes_test.go
+++ b/choice/notes_test.go
@@ -15,14 +15,14 @@
 // A sender that hits a used-up limit pauses the route and sends a note. A sender that receives the note pauses the
 // route as well, and continues with other destinations. A malformed note and a note about an unknown endpoint are
 // ignored.
-func ExampleSender_Heard() {
+func ExampleSender_ReceiveNote() {
 	host := startSender(notesSettings()).accept(0, 1, "p")
-	host.sender.Ended(Outcome{Message: "p", Endpoint: "a", Result: Rejected, Report: Report{Known: true, Limit: 8}})
+	host.sender.AttemptEnded(Outcome{Message: "p", Endpoint: "a", Result: Rejected, Report: Report{Known: true, Limit: 8}})
 	host.accept(0, 1, "q").advance(1600 * Millisecond)
 	fmt.Println("receiver of a note")
 	host = startSender(notesSettings())
 	for _, note := range [][]byte{{}, {1}, {1, 2}, {1, 2, 3}, {1, 2, 3, 4}, encodeNote("c", noteUnit)} {
-		host.sender.Heard(note)
+		host.sender.ReceiveNote(note)
 	}
 	host.accept(0, 2, "r").accept(0, 1, "s").advance(1600 * Millisecond)
 	// Output:
@@ -37,12 +37,12 @@
 
 // A sender whose connection finds no room sends a note, at most once in two seconds. A sender that receives the note
 // closes its idle connection to the endpoint.
-func ExampleSender_Heard_connectionTableFull() {
+func ExampleSender_ReceiveNote_connectionTableFull() {
 	host := startSender(notesSettings()).accept(0, 1, "p", "q").end(ConnectFailed, 0, "a", "p", "q")
 	host = startSender(notesSettings()).accept(0, 1, "r").end(Done, 0, "a", "r")
 	host.printCloseIdle = true
-	host.sender.Heard(encodeNote("a", 0))
-	host.sender.Heard(encodeNote("a", 0))
+	host.sender.ReceiveNote(encodeNote("a", 0))
+	host.sender.ReceiveNote(encodeNote("a", 0))
 	// Output:
 	// 0.0     attempt q to a
 	// 0.0     attempt p to a
--- a/choice/outcomes.go
+++ b/choice/outcomes.go
@@ -1,8 +1,8 @@
 package choice
 
-// Ended handles the outcome of an attempt. An outcome that does not belong to the message's attempt in flight is
+// AttemptEnded handles the outcome of an attempt. An outcome that does not belong to the message's attempt in flight is
 // ignored.
-func (s *Sender) Ended(o Outcome) {
+func (s *Sender) AttemptEnded(o Outcome) {
 	s.now = s.host.Now()
 	msg := s.messages[o.Message]
 	if msg == nil || msg.inFlight == nil || o.Attempt != msg.attempts-1 {
@@ -128,8 +128,8 @@
 // become much slower.
 func (s *Sender) onDone(call *call, o Outcome) {
 	ep, route, kind := call.endpoint, call.endpoint.route, call.endpoint.destination.kind
-	ep.observe(float64(o.Took), recentWeight, longTermWeight)
-	kind.observe(float64(o.Took), recentWeight, longTermWeight)
+	ep.observe(float64(o.Duration), recentWeight, longTermWeight)
+	kind.observe(float64(o.Duration), recentWeight, longTermWeight)
 	if call.newConnection {
 		kind.connectFailShare *= 1 - recentWeight
 	}
--- a/choice/outlier.go
+++ b/choice/outlier.go
@@ -113,9 +113,9 @@
 	}
 }
 
-// Probed handles the result of a health probe. A passed probe allows a trial call, and a failed one doubles the pause
+// ProbeEnded handles the result of a health probe. A passed probe allows a trial call, and a failed one doubles the pause
 // before the next trial. A cancelled probe was never sent, so it changes no health.
-func (s *Sender) Probed(id EndpointID, result Result) {
+func (s *Sender) ProbeEnded(id EndpointID, result Result) {
 	s.now = s.host.Now()
 	ep := s.endpoints[id]
 	if ep == nil || !ep.probing {
--- a/choice/outlier_test.go
+++ b/choice/outlier_test.go
@@ -4,14 +4,14 @@
 
 // A probe that the host cancelled leaves the pause before the next trial unchanged, whereas a failed probe doubles it.
 // In neither case is another probe sent at once.
-func ExampleSender_Probed_cancelled() {
+func ExampleSender_ProbeEnded_cancelled() {
 	for _, result := range []Result{Cancelled, ConnectFailed} {
 		set := testSettings()
 		set.SlowStart = 0
 		host := startSender(set).advance(3*Second).accept(0, 1, "p")
 		host.end(Errored, 0, "a", "p").advance(Second)
 		before := host.endpoint("a").trialPause
-		host.sender.Probed("a", result)
+		host.sender.ProbeEnded("a", result)
 		fmt.Println("ejected:", host.endpoint("a").ejected, "pause before:", before, "after:", host.endpoint("a").trialPause)
 		host.advance(Second)
 	}
@@ -31,9 +31,9 @@
 // during slow start.
 func ExampleSender_readmission() {
 	host := startSender(testSettings()).accept(0, 1, "p", "q").end(Errored, 0, "a", "p", "q").advance(600 * Millisecond)
-	host.sender.Probed("a", Done)
+	host.sender.ProbeEnded("a", Done)
 	host.advance(3*Second).accept(0, 1, "r", "s", "t", "u").end(Rejected, 0, "a", "p", "q").advance(5 * Second)
-	host.sender.Probed("a", Done)
+	host.sender.ProbeEnded("a", Done)
 	host.advance(4 * Second)
 	// Output:
 	// 0.0     attempt q to a
@@ -197,7 +197,7 @@
 		host := startSender(testSettings())
 		host.accept(0, 1, "first").end(Done, 0, "a", "first")
 		host.endpoint("a").mean = float64(20 * Millisecond)
-		host.sender.Taken(Message{ID: "late", Key: NoKey, Destination: 1, Deadline: host.clock + left})
+		host.sender.Accept(Message{ID: "late", Key: NoKey, Destination: 1, Deadline: host.clock + left})
 		host.accept(0, 1, "other").end(Done, 0, "a", "other")
 		host.clock += 1 // answered after the other calls were sent
 		host.accept(0, 1, "another").end(Done, 0, "a", "another")
@@ -206,7 +206,7 @@
 	}
 	host := startSender(testSettings())
 	host.accept(0, 2, "p", "q")
-	host.sender.Ended(Outcome{Message: "p", Endpoint: "c", Result: Cancelled})
+	host.sender.AttemptEnded(Outcome{Message: "p", Endpoint: "c", Result: Cancelled})
 	fmt.Println("calls in flight:", len(host.sender.calls), "outcome counted:", host.sender.calls[0].outcomeCounted)
 	// Output:
 	// 0.0     attempt first to a
--- a/choice/ratelimit_test.go
+++ b/choice/ratelimit_test.go
@@ -7,7 +7,7 @@
 func ExampleSender_limit() {
 	host := startSender(testSettings()).accept(0, 1, "p", "q").advance(3 * Second)
 	for _, id := range []MessageID{"p", "q"} {
-		host.sender.Ended(Outcome{Message: id, Endpoint: "a", Result: Rejected, Report: Report{true, 0.1, 4}})
+		host.sender.AttemptEnded(Outcome{Message: id, Endpoint: "a", Result: Rejected, Report: Report{true, 0.1, 4}})
 	}
 	fmt.Println("ejected:", host.endpoint("a").ejected, "rate:", host.endpoint("a").route.limiter.rate)
 	host.advance(Second)
@@ -30,14 +30,14 @@
 	host.mute = true
 	host.accept(0, 1, "first").end(Done, 0, "a", "first")
 	endCall := func(id MessageID, result Result, left float64) {
-		host.advance(1100*Millisecond).accept(0, 1, id).sender.Ended(Outcome{Message: id, Attempt: host.attempts[id] - 1, Endpoint: "a", Result: result,
+		host.advance(1100*Millisecond).accept(0, 1, id).sender.AttemptEnded(Outcome{Message: id, Attempt: host.attempts[id] - 1, Endpoint: "a", Result: result,
 			Final: result == Done, Report: Report{Known: true, Left: left, Limit: 80}})
 		fmt.Printf("%v, %.1f left: rate %.2f\n", [...]string{"done", "", "rejected"}[result], left, host.destination(1).route.limiter.rate)
 	}
 	for i, id := range []MessageID{"p", "q", "r", "s", "t"} {
 		host.destination(1).route.limiter.tokens = 1 // otherwise the call would wait for a token at the low rate
 		endCall(id, [...]Result{Rejected, Rejected, Rejected, Done, Done}[i], [...]float64{0, 0, 0, 0.1, 0.5}[i])
-		host.sender.Withdrawn(id)
+		host.sender.Withdraw(id)
 	}
 	// Output:
 	// rejected, 0.0 left: rate 1.00
--- a/choice/restart_test.go
+++ b/choice/restart_test.go
@@ -10,7 +10,7 @@
 	host := startSender(set)
 	for i := range 25 {
 		id := MessageID(fmt.Sprint("old", i))
-		host.sender.Taken(Message{ID: id, Key: NoKey, Destination: 2, Deadline: host.clock + 3*Second, Span: 6 * Second})
+		host.sender.Accept(Message{ID: id, Key: NoKey, Destination: 2, Deadline: host.clock + 3*Second, AcceptedLifetime: 6 * Second})
 	}
 	host.accept(2, 1, "new")
 	fmt.Println("open:", len(host.sender.messages))
@@ -32,7 +32,7 @@
 func ExampleSender_shortDeadline() {
 	host := startSender(testSettings())
 	for _, span := range []Time{0, 600 * Millisecond} {
-		host.sender.Taken(Message{ID: "old", Class: 2, Key: NoKey, Destination: 1, Deadline: host.clock + 300*Millisecond, Span: span})
+		host.sender.Accept(Message{ID: "old", Class: 2, Key: NoKey, Destination: 1, Deadline: host.clock + 300*Millisecond, AcceptedLifetime: span})
 		host.sender.TurnEnd()
 	}
 	// Output:
@@ -46,11 +46,11 @@
 func Example_earlierIncarnation() {
 	host := startSender(testSettings())
 	for i, id := range []MessageID{"idempotent", "keyed", "non-idempotent"} {
-		host.sender.Taken(Message{ID: id, Class: ClassNo(i), Destination: 1, Deadline: 6 * Second, MayRun: true})
+		host.sender.Accept(Message{ID: id, Class: ClassNo(i), Destination: 1, Deadline: 6 * Second, MayRun: true})
 	}
-	host.sender.Taken(Message{ID: "window over", Class: 1, Destination: 1, Deadline: 6 * Second, MayRun: true, RanAt: -3 * Second})
-	host.sender.Taken(Message{ID: "in order", Class: 3, Key: 5, Destination: 1, Deadline: 6 * Second, MayRun: true})
-	host.sender.Taken(Message{ID: "next of key", Class: 3, Key: 5, Destination: 1, Deadline: 6 * Second})
+	host.sender.Accept(Message{ID: "window over", Class: 1, Destination: 1, Deadline: 6 * Second, MayRun: true, RanAt: -3 * Second})
+	host.sender.Accept(Message{ID: "in order", Class: 3, Key: 5, Destination: 1, Deadline: 6 * Second, MayRun: true})
+	host.sender.Accept(Message{ID: "next of key", Class: 3, Key: 5, Destination: 1, Deadline: 6 * Second})
 	host.sender.TurnEnd()
 	host.end(Done, 0, "a", "idempotent", "keyed").advance(Second).end(Done, 0, "a", "in order")
 	// Output:
--- a/choice/retries_test.go
+++ b/choice/retries_test.go
@@ -131,7 +131,7 @@
 	}
 	for at, open := range map[Time]bool{end: true, end + 1: false} {
 		host.clock = at
-		if host.sender.Open("a", "keyed") != open {
+		if host.sender.MaySend("a", "keyed") != open {
 			t.Errorf("Open at %d = %v, want %v", at, !open, open)
 		}
 	}
--- a/choice/selection.go
+++ b/choice/selection.go
@@ -183,9 +183,9 @@
 	return ep.inFlight >= initialConcurrency && s.now-ep.lastSuccess >= recentSuccessSpan
 }
 
-// Open reports whether attempts may still be sent after the host has established a connection for them. They may not if
+// MaySend reports whether attempts may still be sent after the host has established a connection for them. They may not if
 // the endpoint was paused or drained meanwhile, or if one of the messages is a repeat that is now too late.
-func (s *Sender) Open(id EndpointID, messages ...MessageID) bool {
+func (s *Sender) MaySend(id EndpointID, messages ...MessageID) bool {
 	ep, now := s.endpoints[id], s.host.Now()
 	if ep == nil || !ep.listed || now < ep.route.pausedUntil {
 		return false
--- a/choice/selection_test.go
+++ b/choice/selection_test.go
@@ -45,7 +45,7 @@
 	host.clock += 2 * Second
 	host.update(Entry{Endpoint: "a", Destination: 1, Stage: Draining})
 	for _, id := range []MessageID{"p", "q", "r"} {
-		host.sender.Ended(Outcome{Message: id, Took: 100 * Millisecond, Result: Done, Final: true})
+		host.sender.AttemptEnded(Outcome{Message: id, Duration: 100 * Millisecond, Result: Done, Final: true})
 	}
 	host.accept(0, 1, "late").accept(0, 2, "other").advance(100 * Millisecond)
 	fmt.Println("drained endpoint kept:", host.sender.endpoints["a"] != nil, "ejected:", host.endpoint("b").ejected, host.endpoint("c").ejected)
--- a/choice/sender.go
+++ b/choice/sender.go
@@ -75,9 +75,9 @@
 	calls              []*call                        // calls in flight, at most the in-flight limit
 }
 
-// Start returns a new Sender that acts through the host and has no endpoints yet. Its random draws depend on its id and
+// NewSender returns a new Sender that acts through the host and has no endpoints yet. Its random draws depend on its id and
 // the seed.
-func Start(h Host, id SenderID, seed int64, set Settings) *Sender {
+func NewSender(h Host, id SenderID, seed int64, set Settings) *Sender {
 	s := &Sender{
 		host:            h,
 		random:          newRandomSource(id, seed),
@@ -90,7 +90,7 @@
 		endpointsByHash: map[endpointHash]*endpoint{},
 	}
 	s.applySettings(set)
-	h.Timer(tickInterval, tickTimer)
+	h.SetTimer(tickInterval, tickTimer)
 	return s
 }
 
--- a/choice/settings.go
+++ b/choice/settings.go
@@ -2,13 +2,13 @@
 
 import "math"
 
-// Repeat is the effect of running a message twice at its destination. It decides whether the message may be retried
+// Repeatability is the effect of running a message twice at its destination. It decides whether the message may be retried
 // after an attempt that may have run.
-type Repeat int
+type Repeatability int
 
 const (
 	// Idempotent messages may be repeated at any time.
-	Idempotent Repeat = iota
+	Idempotent Repeatability = iota
 	// Keyed messages carry an idempotency key. A repeat has no effect while the destination remembers the key.
 	Keyed
 	// NonIdempotent messages must not be sent again after an attempt that may have run.
@@ -17,7 +17,7 @@
 
 // Class holds the settings of one class of messages.
 type Class struct {
-	Repeat           Repeat
+	Repeat           Repeatability
 	ZoneGroup        bool    // an idempotency key is known only to the endpoints of the zone it was used in
 	RepeatWindow     Time    // how long a destination remembers an idempotency key, counted from when the attempt was sent
 	LatencyObjective Time    // time from acceptance within which an answer has the full Value
--- a/choice/slowstart_test.go
+++ b/choice/slowstart_test.go
@@ -68,7 +68,7 @@
 // number of events must stay bounded, endpoints that came back must be called again, and a fleet must not call all at
 // once unless the settings allow it.
 func TestSlowStartUnderExtremeSettings(t *testing.T) {
-	classes := func(p *outagePlan, n int, r Repeat) {
+	classes := func(p *outagePlan, n int, r Repeatability) {
 		class := p.set.Classes[0]
 		class.Repeat = r
 		p.set.Classes = nil
@@ -165,7 +165,7 @@
 	callsAt := map[EndpointID]int{}
 	for i := range p.senders {
 		host := &fakeHost{attempts: map[MessageID]int{}, mute: true}
-		host.sender = Start(host, SenderID(fmt.Sprint(i)), 7, p.set)
+		host.sender = NewSender(host, SenderID(fmt.Sprint(i)), 7, p.set)
 		host.sender.UpdateEndpoints([]Entry{{Endpoint: "a", Destination: 1, Rating: 20}, {Endpoint: "b", Destination: 1, Rating: 20}}, true)
 		host.clock = 20 * Second
 		for _, id := range []EndpointID{"a", "b"} {
--- a/choice/timers.go
+++ b/choice/timers.go
@@ -7,11 +7,11 @@
 
 // setTimer sets a timer for a message.
 func (s *Sender) setTimer(msg *message, at Time) {
-	s.host.Timer(max(1, at-s.now), s.timers.add(msg))
+	s.host.SetTimer(max(1, at-s.now), s.timers.add(msg))
 }
 
-// TimerDue handles a timer that was set by Host.Timer and has fired.
-func (s *Sender) TimerDue(id TimerID) {
+// TimerFired handles a timer that was set by Host.Timer and has fired.
+func (s *Sender) TimerFired(id TimerID) {
 	s.now = s.host.Now()
 	if id == tickTimer {
 		s.tick()
@@ -25,7 +25,7 @@
 
 // tick marks overdue calls as unanswered and refreshes the dirty destinations.
 func (s *Sender) tick() {
-	s.host.Timer(tickInterval, tickTimer)
+	s.host.SetTimer(tickInterval, tickTimer)
 	for _, call := range s.calls {
 		overdue := max(2*s.assumedCallTime, overdueFactor*call.endpoint.longTermMean)
 		if float64(s.now-call.sentAt) > overdue {
--- a/choice/value.go
+++ b/choice/value.go
@@ -27,4 +27,4 @@
 
 // lifetime returns the time that the message had until its deadline when it was first accepted, as far as that is
 // known.
-func (msg *message) lifetime() Time { return cmp.Or(msg.Span, msg.Deadline-msg.acceptedAt) }
+func (msg *message) lifetime() Time { return cmp.Or(msg.AcceptedLifetime, msg.Deadline-msg.acceptedAt) }
--- a/choice/withdrawn_test.go
+++ b/choice/withdrawn_test.go
@@ -4,7 +4,7 @@
 
 // A withdrawn message is neither sent again nor answered, whatever its state. It frees its place in the in-flight limit
 // when its call ends, and the messages behind it in its key queue continue.
-func ExampleSender_Withdrawn() {
+func ExampleSender_Withdraw() {
 	run := func(name string, set Settings, do func(host *fakeHost)) {
 		fmt.Println(name)
 		host := startSender(set)
@@ -15,12 +15,12 @@
 		}
 	}
 	withdraw := func(host *fakeHost, id MessageID) *fakeHost {
-		host.sender.Withdrawn(id)
+		host.sender.Withdraw(id)
 		host.sender.TurnEnd()
 		return host
 	}
 	run("queued", testSettings(), func(host *fakeHost) {
-		host.sender.Taken(Message{ID: "p", Key: NoKey, Destination: 1, Deadline: 6 * Second})
+		host.sender.Accept(Message{ID: "p", Key: NoKey, Destination: 1, Deadline: 6 * Second})
 		withdraw(host, "p")
 	})
 	run("in the queue of rejected retries", testSettings(), func(host *fakeHost) {
--- a/cmd/flaxcove/lab_scale.go
+++ b/cmd/flaxcove/lab_scale.go
@@ -99,10 +99,10 @@
 		Fleet: fleet.Size{Members: c.Int("members"), Real: c.Int("real"), Zones: c.Int("zones"), Regions: c.Int("regions"),
 			Large: c.Int("large"), Uses: c.StringSlice("uses")},
 		Load: hollow.Load{Destinations: c.Int("destinations"), Rate: c.Float("rate"), Down: c.Float("down"), OutageS: plannedOutageS,
-			Ends: c.Int("ends"), Seed: c.Uint64("seed")},
+			EndpointZones: c.Int("ends"), Seed: c.Uint64("seed")},
 		Hosts: c.Int("hosts"), Calm: c.Duration("calm"), RealRate: c.Float("real-rate"), RealDestinations: c.Int("real-destinations"),
 		HostCommand: []string{self, "lab", "scale"}, ServeCommand: []string{sender, "serve"}, Purges: c.Int("purges"), Changes: c.Int("changes"),
-		AgreeWithin: c.Duration("agree-within"), Logs: c.String("logs"), Say: printStatus,
+		AgreeWithin: c.Duration("agree-within"), Logs: c.String("logs"), Logf: printStatus,
 	}
 	o.Schedules, err = findSchedules(c.StringSlice("schedule"))
 	return o, err
--- a/cmd/flaxcove/lab_serve.go
+++ b/cmd/flaxcove/lab_serve.go
@@ -36,7 +36,7 @@
 	progress := newProgress()
 	showTime := func(now choice.Time) { progress.show("%d of %.0f s", now/choice.Second, s.Spec.Seconds) }
 	result, err := live.Run(ctx, live.Options{Spec: s.Spec, Seed: c.Uint64("seed"), Trace: s.Trace, WorldOnlyFolder: folder, KeepVerdict: true,
-		Say: printStatus, Watch: showTime})
+		Progress: printStatus, Watch: showTime})
 	progress.clear()
 	if errors.Is(err, context.Canceled) {
 		return nil
--- a/cmd/flaxcove/main.go
+++ b/cmd/flaxcove/main.go
@@ -50,7 +50,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%s: %d known endpoints, %d classes, in-flight limit %d\n", cfg.Name, len(cfg.Known.Entries), len(cfg.ClassNumbers), cfg.Settings.InFlightLimit)
+	fmt.Printf("%s: %d known endpoints, %d classes, in-flight limit %d\n", cfg.Name, len(cfg.InitialList.Entries), len(cfg.ClassNumbers), cfg.Settings.InFlightLimit)
 	return nil
 }
 
--- a/cmd/flaxcove/serve.go
+++ b/cmd/flaxcove/serve.go
@@ -136,7 +136,7 @@
 	}
 	go func() { s.DrainSince(<-signalledAt) }()
 	go reloadOnHangup(s, hangups, notes)
-	log.Debug("configuration", zap.Any("settings", cfg.Settings), zap.Any("limits", cfg.Limits), zap.Any("known", cfg.Known))
+	log.Debug("configuration", zap.Any("settings", cfg.Settings), zap.Any("limits", cfg.Limits), zap.Any("known", cfg.InitialList))
 	log.Info("serving", zap.String("name", cfg.Name), zap.String("listen", s.Addr()), zap.String("version", version),
 		zap.Uint64("configuration_version", cfg.Version))
 	s.Run()
--- a/cmd/flaxcove/serve_cluster.go
+++ b/cmd/flaxcove/serve_cluster.go
@@ -65,14 +65,14 @@
 // startCluster starts the cluster code and joins the sender to it. It must be called after sender.Start and before
 // Sender.Run; from then on the cluster may use Sender.Orders. Leave must be called after Run has returned.
 func startCluster(clusterSettings *settings.Settings, cfg *config.Config, s *sender.Sender, log *zap.Logger) (leave func(), err error) {
-	node, err := cluster.Start(cluster.Options{Settings: clusterSettings, Log: log.Named("cluster"), Orders: s.Orders(), Zones: cfg.Zones,
+	node, err := cluster.Start(cluster.Options{Settings: clusterSettings, Log: log.Named("cluster"), Orders: s.Orders(), Zones: cfg.ZoneNumbers,
 		LongestDeadline: duration(longestDeadline(cfg.Settings.Classes)), SlowStart: duration(cfg.Settings.SlowStart), SlowStartFrom: cfg.Settings.SlowStartFrom,
 		FallMultiple: cfg.Settings.OverloadMultiple, RatingIsRate: cfg.Settings.Rating != choice.RatingNone,
 		CheckSettings: settingsCheck(cfg), OwnSettings: cfg.OwnSettings(), Running: runningConfiguration(cfg)})
 	if err != nil {
 		return nil, err
 	}
-	s.Join(node, sender.Joining{Gate: node.CaughtUp()})
+	s.Join(node, sender.JoinOptions{Gate: node.CaughtUp()})
 	return func() {
 		if err := node.Close(); err != nil {
 			log.Warn("cluster shutdown failed", zap.Error(err))
--- a/internal/cluster/antientropy.go
+++ b/internal/cluster/antientropy.go
@@ -129,7 +129,7 @@
 
 // servePresence answers presence queries.
 func (n *Node) servePresence() {
-	n.link.Handle(presencePath, func(_ context.Context, from view.Life, body []byte) (any, error) {
+	n.link.Handle(presencePath, func(_ context.Context, from view.Instance, body []byte) (any, error) {
 		var query presenceQuery
 		if err := json.Unmarshal(body, &query); err != nil {
 			return nil, fmt.Errorf("presence query from %s: %w", from.Name, err)
--- a/internal/cluster/antientropy_test.go
+++ b/internal/cluster/antientropy_test.go
@@ -9,7 +9,7 @@
 )
 
 func memberInState(name view.Name, state view.State) view.Member {
-	return view.Member{Life: view.Life{Name: name, Incarnation: 1}, State: state}
+	return view.Member{Instance: view.Instance{Name: name, Incarnation: 1}, State: state}
 }
 
 // TestTrackGone checks that peers are asked about a member after it was suspected or dead for goneQueryDelay, and never
--- a/internal/cluster/capacity_test.go
+++ b/internal/cluster/capacity_test.go
@@ -30,10 +30,10 @@
 // capacityDigest returns digest number no of a sender, as internal/sender makes it: a row for each locality that was
 // called, and one for a tenth of the localities that the sender lists, of which it reports 8,192 at most.
 func capacityDigest(chance *rand.Rand, destinations, no int) clusterapi.Digest {
-	rows := map[int]*clusterapi.Row{}
-	row := func(d int) *clusterapi.Row {
+	rows := map[int]*clusterapi.DigestRow{}
+	row := func(d int) *clusterapi.DigestRow {
 		if rows[d] == nil {
-			rows[d] = &clusterapi.Row{Destination: choice.DestinationID(d), Zone: fmt.Sprintf("zone-%d", d%8), Endpoints: 1, Rating: 100}
+			rows[d] = &clusterapi.DigestRow{Destination: choice.DestinationID(d), Zone: fmt.Sprintf("zone-%d", d%8), Endpoints: 1, Rating: 100}
 		}
 		return rows[d]
 	}
@@ -74,7 +74,7 @@
 			for now, no := capacityDigestInterval, 0; now <= capacityDuration; now, no = now+capacityDigestInterval, no+1 {
 				d := capacityDigest(chance, n, no)
 				feed.updateListing(now, d.Rows, "zone-3")
-				due := feed.dueSamples(now, feed.window.Take(now, d))
+				due := feed.dueSamples(now, feed.window.Add(now, d))
 				if len(due) == 0 {
 					continue
 				}
--- a/internal/cluster/configuration/run/announce.go
+++ b/internal/cluster/configuration/run/announce.go
@@ -58,7 +58,7 @@
 }
 
 // handleAnnouncement records the caller as the source of a newer version, which the next step fetches.
-func (r *Runner) handleAnnouncement(_ context.Context, from view.Life, body []byte) (any, error) {
+func (r *Runner) handleAnnouncement(_ context.Context, from view.Instance, body []byte) (any, error) {
 	var message announcement
 	if err := json.Unmarshal(body, &message); err != nil {
 		return nil, fmt.Errorf("configuration: announcement: %w", err)
--- a/internal/cluster/configuration/run/decide.go
+++ b/internal/cluster/configuration/run/decide.go
@@ -151,7 +151,7 @@
 }
 
 // handlePropose decides a request that another process has forwarded to the leader.
-func (r *Runner) handlePropose(ctx context.Context, _ view.Life, body []byte) (any, error) {
+func (r *Runner) handlePropose(ctx context.Context, _ view.Instance, body []byte) (any, error) {
 	var request ledger.Request
 	if err := json.Unmarshal(body, &request); err != nil {
 		return nil, fmt.Errorf("configuration: request: %w", err)
--- a/internal/cluster/configuration/run/faults_test.go
+++ b/internal/cluster/configuration/run/faults_test.go
@@ -42,7 +42,7 @@
 	f.publishView()
 	f.waitFor("p12 is shown as absent with its version", func() bool {
 		s := f.mustStatus()
-		return len(s.Away) == 1 && s.Away[0].Name == "p12" && s.Away[0].Version == 1 && s.Away[0].VersionKnown && s.Members == 12
+		return len(s.Absent) == 1 && s.Absent[0].Name == "p12" && s.Absent[0].Version == 1 && s.Absent[0].VersionKnown && s.Members == 12
 	})
 	f.members[12].State = view.Alive
 	f.net.SetDown(false, "p12")
@@ -123,7 +123,7 @@
 	f.waitFor("p11 has version 2", func() bool { return f.runners[11].Status().Version == 2 })
 	f.waitFor("p11 is shown as absent with version 2", func() bool {
 		s := f.mustStatus()
-		return len(s.Away) == 1 && s.Away[0].Name == "p11" && s.Away[0].Version == 2
+		return len(s.Absent) == 1 && s.Absent[0].Name == "p11" && s.Absent[0].Version == 2
 	})
 	f.net.SetCut("p12", "p03", false)
 	f.members[11].State = view.Alive
@@ -196,8 +196,8 @@
 	l := ledger.New()
 	f := &fleet{t: t, net: leadercalltest.New(l, ""), ledger: l}
 	s := &fakeSender{folder: t.TempDir()}
-	member := view.Member{Life: view.Life{Name: "p", Incarnation: 1}}
-	r, err := Start(Options{Self: member, Link: f.net.Link(member.Life), Consensus: f.net.Consensus("p"), Ledger: f.ledger, Orders: s,
+	member := view.Member{Instance: view.Instance{Name: "p", Incarnation: 1}}
+	r, err := Start(Options{Self: member, Link: f.net.Link(member.Instance), Consensus: f.net.Consensus("p"), Ledger: f.ledger, Orders: s,
 		Folder: s.folder, CatchUp: 50 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/cluster/configuration/run/fetch.go
+++ b/internal/cluster/configuration/run/fetch.go
@@ -81,7 +81,7 @@
 // candidates returns the processes to ask when only the leader can answer: those that may lead, as far as they are
 // known here, and then others, up to maxCandidates.
 func (r *Runner) candidates() []view.Name {
-	likely := r.options.Consensus.Ask()
+	likely := r.options.Consensus.LeaderCandidates()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.candidatesFrom(likely)
--- a/internal/cluster/configuration/run/fleet_test.go
+++ b/internal/cluster/configuration/run/fleet_test.go
@@ -99,7 +99,7 @@
 	l := ledger.New()
 	f := &fleet{t: t, net: leadercalltest.New(l, "p02"), ledger: l, senders: make([]*fakeSender, size), runners: make([]*Runner, size)}
 	for i := range size {
-		f.members = append(f.members, view.Member{Life: view.Life{Name: view.Name(fmt.Sprintf("p%02d", i)), Incarnation: 1}, Region: "r", Zone: "z"})
+		f.members = append(f.members, view.Member{Instance: view.Instance{Name: view.Name(fmt.Sprintf("p%02d", i)), Incarnation: 1}, Region: "r", Zone: "z"})
 		f.senders[i] = &fakeSender{folder: t.TempDir()}
 		f.start(i)
 	}
@@ -114,7 +114,7 @@
 // start starts a process with the version that is stored in its folder.
 func (f *fleet) start(i int) {
 	s, m := f.senders[i], f.members[i]
-	l := f.net.Link(m.Life)
+	l := f.net.Link(m.Instance)
 	running, err := configuration.LoadCached(s.folder)
 	if err != nil {
 		f.t.Log(err)
--- a/internal/cluster/configuration/run/leader.go
+++ b/internal/cluster/configuration/run/leader.go
@@ -68,7 +68,7 @@
 		return
 	}
 	if work.state == nil {
-		work.state = spread.NewLeaderState(r.options.Self.Life, work.previous)
+		work.state = spread.NewLeaderState(r.options.Self.Instance, work.previous)
 	}
 	if update.changed && update.newest.Version > 0 {
 		work.progress.Begin(update.newest.Version, work.leading, now)
@@ -86,7 +86,7 @@
 		work.reportChanged = true
 	}
 	if root := leadercall.LifeOf(r.view, r.tree.Root()); root.Name != "" {
-		work.state.SetTree(spread.Parent{}, []view.Life{root}, now)
+		work.state.SetTree(spread.Parent{}, []view.Instance{root}, now)
 	}
 	work.recordSummary(now)
 	r.adopt()
--- a/internal/cluster/configuration/run/messages.go
+++ b/internal/cluster/configuration/run/messages.go
@@ -93,7 +93,7 @@
 
 // handleUpdate passes an update to the state and answers with a report. If the update has content, the answer waits
 // until this process and all below it have put the version in force or rejected it, for spread.MaxAnswerDelay at most.
-func (r *Runner) handleUpdate(ctx context.Context, from view.Life, body []byte) (any, error) {
+func (r *Runner) handleUpdate(ctx context.Context, from view.Instance, body []byte) (any, error) {
 	var update spread.Update
 	if err := json.Unmarshal(body, &update); err != nil {
 		return nil, fmt.Errorf("configuration: update: %w", err)
@@ -124,7 +124,7 @@
 }
 
 // handleReport passes a child's report to the state. On the leader, the report of the root goes to the leader's state.
-func (r *Runner) handleReport(_ context.Context, from view.Life, body []byte) (any, error) {
+func (r *Runner) handleReport(_ context.Context, from view.Instance, body []byte) (any, error) {
 	var report spread.Report
 	if err := json.Unmarshal(body, &report); err != nil {
 		return nil, fmt.Errorf("configuration: report: %w", err)
@@ -149,7 +149,7 @@
 }
 
 // handleFetch answers a process with the newest version known here, if that process lacks it.
-func (r *Runner) handleFetch(_ context.Context, _ view.Life, body []byte) (any, error) {
+func (r *Runner) handleFetch(_ context.Context, _ view.Instance, body []byte) (any, error) {
 	var request spread.FetchRequest
 	if err := json.Unmarshal(body, &request); err != nil {
 		return nil, fmt.Errorf("configuration: fetch request: %w", err)
--- a/internal/cluster/configuration/run/run.go
+++ b/internal/cluster/configuration/run/run.go
@@ -60,7 +60,7 @@
 	leaderWork    leaderWork
 	view          *view.View
 	tree          leadercall.Tree
-	lastLeader    view.Life                // the process that last called this one as the leader; zero if none has
+	lastLeader    view.Instance            // the process that last called this one as the leader; zero if none has
 	running       clusterapi.Configuration // the version that the sender runs; version 0 for its own file
 	fetchInFlight bool
 	nextFetchAt   view.Uptime
@@ -77,7 +77,7 @@
 		return nil, err
 	}
 	r := &Runner{options: o, limiter: make(leadercall.Limiter, maxRequests), running: o.Running}
-	r.state = spread.New(o.Self.Life, r.loadCached(), o.Running.Version)
+	r.state = spread.New(o.Self.Instance, r.loadCached(), o.Running.Version)
 	r.signals = leadercall.NewSignals(&r.mu)
 	r.ctx, r.stop = context.WithCancel(context.Background())
 	r.caller = leadercall.Caller{
@@ -133,7 +133,7 @@
 	if m, found := v.Find(r.options.Self.Name); found && m.Incarnation > r.options.Self.Incarnation {
 		// Other processes knew an earlier incarnation with a higher number, so this one got a number above that.
 		r.options.Self.Incarnation = m.Incarnation
-		r.state.SetIncarnation(m.Life)
+		r.state.SetIncarnation(m.Instance)
 		r.leaderWork = leaderWork{}
 	}
 	r.mu.Unlock()
@@ -219,7 +219,7 @@
 		return
 	}
 	life, isRoot, children := leadercall.TreePosition(r.view, r.tree, r.options.Self.Name, leader, known, r.lastLeader)
-	parent := spread.Parent{Life: life, IsLeader: isRoot}
+	parent := spread.Parent{Instance: life, IsLeader: isRoot}
 	if parent.Name == "" {
 		parent = spread.Parent{}
 	}
@@ -227,8 +227,8 @@
 }
 
 // life returns this process's current incarnation, which SetView may raise.
-func (r *Runner) life() view.Life {
+func (r *Runner) life() view.Instance {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.options.Self.Life
+	return r.options.Self.Instance
 }
--- a/internal/cluster/configuration/run/run_test.go
+++ b/internal/cluster/configuration/run/run_test.go
@@ -43,7 +43,7 @@
 	}
 	s := f.mustStatus()
 	if s.Version != 2 || s.State != InForce || s.Members != 13 || !running(s, 2, 13) ||
-		s.At100MS == 0 || s.At100MS < s.At50MS || s.Why != "try" || len(s.Laggards)+len(s.Away) > 0 {
+		s.At100MS == 0 || s.At100MS < s.At50MS || s.Why != "try" || len(s.Laggards)+len(s.Absent) > 0 {
 		t.Errorf("%+v", s)
 	}
 	f.request("p03", "GET", "/v1/configuration/1", "", &s)
--- a/internal/cluster/configuration/run/status.go
+++ b/internal/cluster/configuration/run/status.go
@@ -40,14 +40,14 @@
 	Bytes    int               `json:"bytes,omitempty"`
 	AgeMS    int64             `json:"age_ms"` // time since the version was committed
 
-	Members  int                   `json:"members"`             // processes that are present in the leader's view
-	Reported int                   `json:"heard_of"`            // number of these that have reported
-	InForce  []spread.Count        `json:"in_force"`            // number of processes by version, newest first
-	Older    int                   `json:"older,omitempty"`     // processes with versions older than these
-	Laggards []spread.Laggard      `json:"laggards"`            // processes without the newest version for more than 1.5 s
-	Unnamed  int                   `json:"unnamed,omitempty"`   // number of further laggards
-	Away     []spread.AbsentMember `json:"away"`                // absent processes, with the latest version that they are known to have had
-	MoreAway int                   `json:"more_away,omitempty"` // number of further absent processes
+	Members    int                   `json:"members"`             // processes that are present in the leader's view
+	Reported   int                   `json:"heard_of"`            // number of these that have reported
+	InForce    []spread.Count        `json:"in_force"`            // number of processes by version, newest first
+	Older      int                   `json:"older,omitempty"`     // processes with versions older than these
+	Laggards   []spread.Laggard      `json:"laggards"`            // processes without the newest version for more than 1.5 s
+	Unnamed    int                   `json:"unnamed,omitempty"`   // number of further laggards
+	Absent     []spread.AbsentMember `json:"away"`                // absent processes, with the latest version that they are known to have had
+	MoreAbsent int                   `json:"more_away,omitempty"` // number of further absent processes
 
 	// The time from the commit until the leader knew that 50, 95 and 100% of the processes had the version in force; 0
 	// if that is not known.
@@ -76,7 +76,7 @@
 }
 
 // handleStatusRequest answers a statusRequest of another process.
-func (r *Runner) handleStatusRequest(_ context.Context, _ view.Life, body []byte) (any, error) {
+func (r *Runner) handleStatusRequest(_ context.Context, _ view.Instance, body []byte) (any, error) {
 	var request statusRequest
 	if err := json.Unmarshal(body, &request); err != nil {
 		return nil, fmt.Errorf("configuration: status request: %w", err)
@@ -126,7 +126,7 @@
 	sum := work.state.Summary(now)
 	s.Members, s.Reported = work.roster.PresentCount(), sum.Members-sum.Unknown
 	s.InForce, s.Older, s.Laggards, s.Unnamed = sum.InForce, sum.Older, sum.Laggards, sum.Unnamed
-	s.Away, s.MoreAway = work.roster.AbsentMembers(now)
+	s.Absent, s.MoreAbsent = work.roster.AbsentMembers(now)
 	if p := work.progress; p.Version == s.Version {
 		s.At50MS, s.At95MS, s.At100MS = p.At50.Milliseconds(), p.At95.Milliseconds(), p.At100.Milliseconds()
 	}
--- a/internal/cluster/configuration/spread/children.go
+++ b/internal/cluster/configuration/spread/children.go
@@ -11,7 +11,7 @@
 
 // child is the state of one child.
 type child struct {
-	life       view.Life
+	life       view.Instance
 	reported   bool        // it has reported since it became a child
 	report     Report      // its latest report, if it has reported
 	reportedAt view.Uptime // when that report arrived
@@ -54,7 +54,7 @@
 // HandleAnswer handles the answer to an update for the child with this incarnation. If the child has restarted
 // meanwhile, its new incarnation may have answered the update and counts its answer as reported. The report is
 // therefore used in any case.
-func (s *State) HandleAnswer(life view.Life, r Report, now view.Uptime) {
+func (s *State) HandleAnswer(life view.Instance, r Report, now view.Uptime) {
 	c := s.children[life.Name]
 	if c == nil || c.life != life {
 		s.HandleReport(r, now)
@@ -73,7 +73,7 @@
 }
 
 // UpdateFailed records that an update or its answer was lost.
-func (s *State) UpdateFailed(life view.Life, now view.Uptime) {
+func (s *State) UpdateFailed(life view.Instance, now view.Uptime) {
 	c := s.children[life.Name]
 	if c == nil || c.life != life {
 		return
--- a/internal/cluster/configuration/spread/messages.go
+++ b/internal/cluster/configuration/spread/messages.go
@@ -104,11 +104,11 @@
 // Report tells a parent the state of a process and all processes below it. It is sent as a message of its own and as
 // the answer to an Update.
 type Report struct {
-	From     view.Life `json:"from"`
-	ToLeader bool      `json:"top,omitempty"` // the receiver is the leader of the consensus group
-	ReportNo uint64    `json:"no"`            // number of the report, which grows with each report of an incarnation
-	Held     Digest    `json:"h"`             // the newest version that the process has, in force or not
-	InForce  uint64    `json:"i"`             // the version that its sender runs
+	From     view.Instance `json:"from"`
+	ToLeader bool          `json:"top,omitempty"` // the receiver is the leader of the consensus group
+	ReportNo uint64        `json:"no"`            // number of the report, which grows with each report of an incarnation
+	Held     Digest        `json:"h"`             // the newest version that the process has, in force or not
+	InForce  uint64        `json:"i"`             // the version that its sender runs
 	// NeedsFull asks for the full content, because received content did not match its checksum.
 	NeedsFull bool    `json:"whole,omitempty"`
 	Settled   bool    `json:"settled,omitempty"` // the process and all below it have put Held in force or rejected it
@@ -125,11 +125,11 @@
 
 // Update tells a child which version is the newest at its parent, with the content that the child lacks.
 type Update struct {
-	From       view.Life `json:"from"`
-	FromLeader bool      `json:"top,omitempty"` // the update is from the leader to the root of the tree
-	UpdateNo   uint64    `json:"no"`            // number of the update, which grows with each update of an incarnation; each is answered once
-	Held       Digest    `json:"h"`
-	Content    *Content  `json:"c,omitempty"`
+	From       view.Instance `json:"from"`
+	FromLeader bool          `json:"top,omitempty"` // the update is from the leader to the root of the tree
+	UpdateNo   uint64        `json:"no"`            // number of the update, which grows with each update of an incarnation; each is answered once
+	Held       Digest        `json:"h"`
+	Content    *Content      `json:"c,omitempty"`
 }
 
 // FetchRequest asks for a newer version than Held. The answer is a ReportAnswer.
@@ -141,12 +141,12 @@
 // Parent is the process that a process reports to: its parent in the tree or, at the root of the tree, the leader of
 // the consensus group (IsLeader is true). The zero value stands for no parent.
 type Parent struct {
-	view.Life
+	view.Instance
 	IsLeader bool
 }
 
 // Outgoing is an update with the child that receives it.
 type Outgoing struct {
-	Child  view.Life
+	Child  view.Instance
 	Update Update
 }
--- a/internal/cluster/configuration/spread/report.go
+++ b/internal/cluster/configuration/spread/report.go
@@ -43,7 +43,7 @@
 func (s *State) Answer(to Update, now view.Uptime) (Report, bool) {
 	u := &s.uplink
 	u.pendingAnswers = max(u.pendingAnswers-1, 0)
-	if to.From != s.parent.Life || to.FromLeader != s.parent.IsLeader {
+	if to.From != s.parent.Instance || to.FromLeader != s.parent.IsLeader {
 		return s.makeReport(to.FromLeader, now), true
 	}
 	if to.UpdateNo <= u.answeredNo {
--- a/internal/cluster/configuration/spread/roster.go
+++ b/internal/cluster/configuration/spread/roster.go
@@ -67,7 +67,7 @@
 
 // memberRecord is the record of one process.
 type memberRecord struct {
-	life         view.Life
+	life         view.Instance
 	version      uint64      // the newest version known to have been in force there, if versionKnown is set
 	versionKnown bool        // false until a report or an answer has named a version
 	absent       bool        // not present in the latest view
@@ -89,12 +89,12 @@
 		record := r.records[m.Name]
 		switch {
 		case record == nil && len(r.records) < maxNames:
-			record = &memberRecord{life: m.Life}
+			record = &memberRecord{life: m.Instance}
 			r.records[m.Name] = record
 		case record == nil:
 			continue
 		case m.Incarnation > record.life.Incarnation:
-			*record = memberRecord{life: m.Life, absent: record.absent, since: record.since} // a restarted process may have another folder, and so an older version
+			*record = memberRecord{life: m.Instance, absent: record.absent, since: record.since} // a restarted process may have another folder, and so an older version
 		}
 		if absent := !m.Present(); absent != record.absent {
 			record.absent, record.since = absent, now
--- a/internal/cluster/configuration/spread/simulation_test.go
+++ b/internal/cluster/configuration/spread/simulation_test.go
@@ -24,7 +24,7 @@
 // process is one simulated process. Its disk survives restarts.
 type process struct {
 	name            view.Name
-	life            view.Life
+	life            view.Instance
 	state           *State                 // nil while it is down
 	disk            configuration.Document // the stored version
 	inForce         uint64                 // the version that its sender runs
@@ -44,7 +44,7 @@
 	order        []int                    // processes in the order of the tree: children of i are 3i+1 to 3i+3
 	leader       int                      // index of the leader in processes
 	leaderState  *State                   // nil while the leader is down
-	leaderLife   view.Life                // the incarnation that leaderState belongs to
+	leaderLife   view.Instance            // the incarnation that leaderState belongs to
 	committed    []configuration.Document // committed documents by version, from 1
 	events       []event                  // not run yet
 	loss         float64                  // probability that a message is lost
@@ -70,7 +70,7 @@
 
 // start starts the next incarnation of a process with the version on its disk.
 func (w *simulation) start(p *process) {
-	p.life = view.Life{Name: p.name, Incarnation: p.life.Incarnation + 1}
+	p.life = view.Instance{Name: p.name, Incarnation: p.life.Incarnation + 1}
 	p.inForce = p.disk.Version
 	w.recordRun(p, p.inForce)
 	p.state = New(p.life, p.disk, p.inForce)
@@ -109,11 +109,11 @@
 	for i, p := range all {
 		var parent Parent
 		if i > 0 {
-			parent.Life = all[(i-1)/w.fan].life
+			parent.Instance = all[(i-1)/w.fan].life
 		} else if l := w.processes[w.leader]; l.state != nil {
 			parent = Parent{l.life, true}
 		}
-		var children []view.Life
+		var children []view.Instance
 		for j := w.fan*i + 1; j <= w.fan*i+w.fan && j < len(all); j++ {
 			children = append(children, all[j].life)
 		}
@@ -135,7 +135,7 @@
 		leader.leaderState = w.leaderState
 	}
 	if len(all) > 0 {
-		w.leaderState.SetTree(Parent{}, []view.Life{all[0].life}, w.now)
+		w.leaderState.SetTree(Parent{}, []view.Instance{all[0].life}, w.now)
 	}
 }
 
--- a/internal/cluster/configuration/spread/spread_test.go
+++ b/internal/cluster/configuration/spread/spread_test.go
@@ -208,13 +208,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	parent := New(view.Life{Name: "p", Incarnation: 1}, document, 3)
-	first, second := view.Life{Name: "c", Incarnation: 1}, view.Life{Name: "c", Incarnation: 2}
-	parent.SetTree(Parent{}, []view.Life{first}, 0)
+	parent := New(view.Instance{Name: "p", Incarnation: 1}, document, 3)
+	first, second := view.Instance{Name: "c", Incarnation: 1}, view.Instance{Name: "c", Incarnation: 2}
+	parent.SetTree(Parent{}, []view.Instance{first}, 0)
 	updates := parent.DueUpdates(time.Second)
-	parent.SetTree(Parent{}, []view.Life{second}, time.Second)
+	parent.SetTree(Parent{}, []view.Instance{second}, time.Second)
 	child := New(second, document, 3)
-	child.SetTree(Parent{Life: view.Life{Name: "p", Incarnation: 1}}, nil, time.Second)
+	child.SetTree(Parent{Instance: view.Instance{Name: "p", Incarnation: 1}}, nil, time.Second)
 	child.BeginAnswer()
 	r, answered := child.Answer(updates[0].Update, time.Second)
 	if !answered {
@@ -241,10 +241,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	life := view.Life{Name: "c", Incarnation: 1}
-	parent, child := New(view.Life{Name: "p", Incarnation: 1}, first, 1), New(life, first, 1)
-	parent.SetTree(Parent{}, []view.Life{life}, 0)
-	child.SetTree(Parent{Life: view.Life{Name: "p", Incarnation: 1}}, nil, 0)
+	life := view.Instance{Name: "c", Incarnation: 1}
+	parent, child := New(view.Instance{Name: "p", Incarnation: 1}, first, 1), New(life, first, 1)
+	parent.SetTree(Parent{}, []view.Instance{life}, 0)
+	child.SetTree(Parent{Instance: view.Instance{Name: "p", Incarnation: 1}}, nil, 0)
 	report := func(now view.Uptime) {
 		t.Helper()
 		r, due := child.DueReport(now)
--- a/internal/cluster/configuration/spread/state.go
+++ b/internal/cluster/configuration/spread/state.go
@@ -13,7 +13,7 @@
 // State is the state of one process. It is not safe for concurrent use; its owner guards it. New and NewLeaderState
 // create it.
 type State struct {
-	self     view.Life
+	self     view.Instance
 	isLeader bool // created by NewLeaderState; it neither applies versions nor counts itself in summaries
 
 	newest      configuration.Document // the newest version here; version 0 for none
@@ -52,13 +52,13 @@
 
 // New returns the state of a process. stored is the version that an earlier incarnation has stored on disk, or the zero
 // value. inForce is the version that the sender runs: that of stored, or 0 if the stored version could not be used.
-func New(self view.Life, stored configuration.Document, inForce uint64) *State {
+func New(self view.Instance, stored configuration.Document, inForce uint64) *State {
 	return &State{self: self, newest: stored, inForce: inForce, children: map[view.Name]*child{}}
 }
 
 // NewLeaderState returns the state of the leader, whose only child is the root of the tree. previous is the state of
 // the last time that this process led, or nil; the numbers of updates continue from there.
-func NewLeaderState(self view.Life, previous *State) *State {
+func NewLeaderState(self view.Instance, previous *State) *State {
 	s := New(self, configuration.Document{}, 0)
 	s.isLeader = true
 	if previous != nil {
@@ -68,7 +68,7 @@
 }
 
 // SetTree sets the parent (the zero value for none) and the children of this process.
-func (s *State) SetTree(parent Parent, children []view.Life, now view.Uptime) {
+func (s *State) SetTree(parent Parent, children []view.Instance, now view.Uptime) {
 	if parent != s.parent {
 		s.parent = parent
 		s.uplink = uplink{reportNo: s.uplink.reportNo, changed: true}
@@ -95,7 +95,7 @@
 
 // SetIncarnation sets a higher incarnation for this process. It is called when other processes know its name with the
 // current incarnation or a higher one.
-func (s *State) SetIncarnation(to view.Life) {
+func (s *State) SetIncarnation(to view.Instance) {
 	s.self = to
 	s.uplink.reported = false
 	s.markChanged()
--- a/internal/cluster/configuration/spread/summary_test.go
+++ b/internal/cluster/configuration/spread/summary_test.go
@@ -14,10 +14,10 @@
 
 // TestSummaryIsBounded checks that the size of a summary is bounded for many children, versions and laggards.
 func TestSummaryIsBounded(t *testing.T) {
-	s := New(view.Life{Name: "p", Incarnation: 1}, configuration.Document{Version: 2000, Sum: "x"}, 2000)
-	var children []view.Life
+	s := New(view.Instance{Name: "p", Incarnation: 1}, configuration.Document{Version: 2000, Sum: "x"}, 2000)
+	var children []view.Instance
 	for i := range 1000 {
-		children = append(children, view.Life{Name: view.Name(fmt.Sprintf("a-rather-long-name-of-a-process-%05d", i)), Incarnation: 1 << 50})
+		children = append(children, view.Instance{Name: view.Name(fmt.Sprintf("a-rather-long-name-of-a-process-%05d", i)), Incarnation: 1 << 50})
 	}
 	s.SetTree(Parent{}, children, 0)
 	for i, life := range children {
@@ -57,7 +57,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s := New(view.Life{Name: "p", Incarnation: 1}, held, 1)
+		s := New(view.Instance{Name: "p", Incarnation: 1}, held, 1)
 		s.HandleUpdate(update, 0)
 		if got := s.Newest(); got.Version < 1 || configuration.SumOf(got.Settings) != got.Sum {
 			t.Fatalf("%+v", got)
@@ -68,7 +68,7 @@
 // TestRosterAndProgress checks the versions of absent processes in a Roster, and the times in a Progress.
 func TestRosterAndProgress(t *testing.T) {
 	member := func(name view.Name, state view.State) view.Member {
-		return view.Member{Life: view.Life{Name: name, Incarnation: 1}, State: state}
+		return view.Member{Instance: view.Instance{Name: name, Incarnation: 1}, State: state}
 	}
 	var r Roster
 	r.UpdateView(view.New("a", 1, []view.Member{member("a", view.Alive), member("b", view.Alive), member("c", view.Alive)}), 0)
--- a/internal/cluster/consensus/consensus.go
+++ b/internal/cluster/consensus/consensus.go
@@ -77,7 +77,7 @@
 	if err := o.complete(); err != nil {
 		return nil, err
 	}
-	g := &Group{options: o, self: voters.ID{Name: o.Self.Name, Folder: o.Self.Folder}, log: o.Log,
+	g := &Group{options: o, self: voters.ID{Name: o.Self.Name, Folder: o.Self.FolderID}, log: o.Log,
 		proposalSlots: make(chan struct{}, maxInFlightProposals), wakeups: make(chan struct{}, 1), appliedSignal: make(chan struct{}, 1),
 		done: make(chan struct{}), machine: machine.New(o.Parts), clockBaseTime: time.Now()}
 	if err := os.MkdirAll(o.Folder, 0o755); err != nil {
--- a/internal/cluster/consensus/consensus_test.go
+++ b/internal/cluster/consensus/consensus_test.go
@@ -39,7 +39,7 @@
 	second := f.leader(rest...)
 	t.Logf("new leader after %v, in term %d", time.Since(killed), second.raft.CurrentTerm())
 	two := f.mustPropose("two", rest...)
-	f.start(dead.member.Name, dead.member.Zone, dead.folder, dead.member.Folder)
+	f.start(dead.member.Name, dead.member.Zone, dead.folder, dead.member.FolderID)
 	f.publishView()
 	f.waitUntilEqual([]string{one, two}, founders...)
 	if diff := cmp.Diff(founders, second.Voters()); diff != "" {
@@ -95,7 +95,7 @@
 		f.cut[[2]view.Name{other, name}] = true
 	}
 	f.mu.Unlock()
-	f.start(name, dead.member.Zone, dead.folder, dead.member.Folder)
+	f.start(name, dead.member.Zone, dead.folder, dead.member.FolderID)
 	f.publishView()
 	back := f.processes[name]
 	f.waitFor("the removed server has the longer election timeout", func() bool { return back.raft.ReloadableConfig().ElectionTimeout == removedElectionTimeout })
@@ -150,7 +150,7 @@
 		at, err := first.store.FirstIndex()
 		return err == nil && at > 2
 	})
-	f.start(name, down.member.Zone, down.folder, down.member.Folder)
+	f.start(name, down.member.Zone, down.folder, down.member.FolderID)
 	f.publishView()
 	f.waitUntilEqual([]string{one, f.mustPropose("two", f.names()...)}, f.names()...)
 }
--- a/internal/cluster/consensus/fleet_test.go
+++ b/internal/cluster/consensus/fleet_test.go
@@ -121,8 +121,8 @@
 func (f *fleet) start(name view.Name, zone view.Zone, folder, folderName string) {
 	f.t.Helper()
 	p := &process{recorder: &recorder{onApply: f.onApply}, folder: folder}
-	p.member = view.Member{Life: view.Life{Name: name}, Zone: zone, Region: view.Region("r" + zone), Size: view.Large,
-		Raft: "here", Folder: folderName}
+	p.member = view.Member{Instance: view.Instance{Name: name}, Zone: zone, Region: view.Region("r" + zone), Size: view.Large,
+		ConsensusAddr: "here", FolderID: folderName}
 	var err error
 	p.Group, err = Start(Options{Self: p.member, Cluster: "test", Folder: filepath.Join(folder, folderName),
 		Listen: "127.0.0.1:0", InitialVoters: founders, Parts: map[string]machine.Part{"recorder": p.recorder},
--- a/internal/cluster/consensus/history_test.go
+++ b/internal/cluster/consensus/history_test.go
@@ -78,7 +78,7 @@
 	dead := f.kill(second.member.Name)
 	f.leader(f.names()...)
 	time.Sleep(200 * time.Millisecond)
-	f.start(dead.member.Name, dead.member.Zone, dead.folder, dead.member.Folder)
+	f.start(dead.member.Name, dead.member.Zone, dead.folder, dead.member.FolderID)
 	f.publishView()
 	time.Sleep(200 * time.Millisecond)
 	stop()
--- a/internal/cluster/consensus/maintain.go
+++ b/internal/cluster/consensus/maintain.go
@@ -84,11 +84,11 @@
 	configuration := raft.Configuration{}
 	for _, name := range g.options.InitialVoters {
 		member, found := v.Find(name)
-		if !found || member.State != view.Alive || member.HasRecords || member.Folder == "" {
+		if !found || member.State != view.Alive || member.HasRecords || member.FolderID == "" {
 			first = false
 			break
 		}
-		id := raftID(voters.ID{Name: member.Name, Folder: member.Folder})
+		id := raftID(voters.ID{Name: member.Name, Folder: member.FolderID})
 		configuration.Servers = append(configuration.Servers,
 			raft.Server{Suffrage: raft.Voter, ID: id, Address: raft.ServerAddress(id)})
 	}
--- a/internal/cluster/consensus/options.go
+++ b/internal/cluster/consensus/options.go
@@ -97,10 +97,10 @@
 	o.setDefaults()
 	o.InitialVoters = slices.Compact(slices.Sorted(slices.Values(o.InitialVoters)))
 	switch {
-	case o.Self.Name == "" || o.Self.Folder == "" || o.Folder == "" || o.AddressOf == nil:
+	case o.Self.Name == "" || o.Self.FolderID == "" || o.Folder == "" || o.AddressOf == nil:
 		return errors.New("consensus: options Self.Name, Self.Folder, Folder and AddressOf must be set")
-	case strings.Contains(string(o.Self.Name)+o.Self.Folder, "@"):
-		return fmt.Errorf("consensus: name %q or folder name %q contains @", o.Self.Name, o.Self.Folder)
+	case strings.Contains(string(o.Self.Name)+o.Self.FolderID, "@"):
+		return fmt.Errorf("consensus: name %q or folder name %q contains @", o.Self.Name, o.Self.FolderID)
 	case len(o.InitialVoters) == 0 || len(o.InitialVoters) > maxVoters:
 		return fmt.Errorf("consensus: %d initial voters; there must be 1 to %d", len(o.InitialVoters), maxVoters)
 	}
--- a/internal/cluster/consensus/propose.go
+++ b/internal/cluster/consensus/propose.go
@@ -139,9 +139,9 @@
 	return g.raft.State() == raft.Leader && g.leadingTerm.Load() == g.raft.CurrentTerm()
 }
 
-// Ask returns the processes that may lead, the likeliest first: the leader if it is known, the voters, and then present
+// LeaderCandidates returns the processes that may lead, the likeliest first: the leader if it is known, the voters, and then present
 // members with raft records. The list has no duplicates and does not contain this process.
-func (g *Group) Ask() []view.Name {
+func (g *Group) LeaderCandidates() []view.Name {
 	var names []view.Name
 	if leader, known := g.Leader(); known {
 		names = append(names, leader)
--- a/internal/cluster/consensus/storeddata_test.go
+++ b/internal/cluster/consensus/storeddata_test.go
@@ -45,7 +45,7 @@
 	}
 	applied := make(chan struct{}, 1)
 	group, err := consensus.Start(consensus.Options{
-		Self:          view.Member{Life: view.Life{Name: "a", Incarnation: 6}, Zone: "z1", Region: "r1", Size: view.Large, Folder: storedFolderID},
+		Self:          view.Member{Instance: view.Instance{Name: "a", Incarnation: 6}, Zone: "z1", Region: "r1", Size: view.Large, FolderID: storedFolderID},
 		Cluster:       "stored",
 		Folder:        folder,
 		Listen:        "127.0.0.1:0",
--- a/internal/cluster/consensus/voters/voters.go
+++ b/internal/cluster/consensus/voters/voters.go
@@ -127,7 +127,7 @@
 // return.
 func (p *planner) isReplaced(id ID) bool {
 	m, found := p.View.Find(id.Name)
-	return found && m.Present() && m.Folder != id.Folder
+	return found && m.Present() && m.FolderID != id.Folder
 }
 
 // isDead reports whether a server counts as dead. A server that does not answer but is present in the view does not, as
@@ -228,8 +228,8 @@
 func (p *planner) candidates() []view.Member {
 	var eligible []view.Member
 	for _, m := range p.View.Members {
-		id := ID{m.Name, m.Folder}
-		if m.State != view.Alive || m.Raft == "" || m.Folder == "" || p.Skipped[id] {
+		id := ID{m.Name, m.FolderID}
+		if m.State != view.Alive || m.ConsensusAddr == "" || m.FolderID == "" || p.Skipped[id] {
 			continue
 		}
 		sameID := func(s Server) bool { return s.ID == id }
@@ -256,7 +256,7 @@
 	var lowest cost
 	found := false
 	for _, m := range p.candidates() {
-		c := placedServer{ID{m.Name, m.Folder}, m.Zone, m.Region, m.Size}
+		c := placedServer{ID{m.Name, m.FolderID}, m.Zone, m.Region, m.Size}
 		if s := p.placementCost(append(slices.Clone(remaining), c)); !found || s.less(lowest) {
 			best, lowest, found = c, s, true
 		}
--- a/internal/cluster/consensus/voters/voters_test.go
+++ b/internal/cluster/consensus/voters/voters_test.go
@@ -28,7 +28,7 @@
 	for i := range rapid.IntRange(1, 12).Draw(t, "processes") {
 		zone := rapid.IntRange(0, zones-1).Draw(t, "zone")
 		name := view.Name(fmt.Sprintf("p%02d", i))
-		w.members[name] = &view.Member{Life: view.Life{Name: name}, Folder: "1", Raft: "here",
+		w.members[name] = &view.Member{Instance: view.Instance{Name: name}, FolderID: "1", ConsensusAddr: "here",
 			Zone: view.Zone(fmt.Sprint("z", zone)), Region: view.Region(fmt.Sprint("r", zone/2)),
 			Size: rapid.SampledFrom([]view.Size{view.Large, view.Small}).Draw(t, "size")}
 	}
@@ -60,7 +60,7 @@
 // up reports whether a server runs: its process is alive and has the server's folder.
 func (w *simulation) up(id ID) bool {
 	m := w.members[id.Name]
-	return m.State == view.Alive && m.Folder == id.Folder
+	return m.State == view.Alive && m.FolderID == id.Folder
 }
 
 // counts returns how many voters are up and how many there are.
@@ -165,7 +165,7 @@
 			"die": func(t *rapid.T) {
 				m := pick(t)
 				m.State = rapid.SampledFrom([]view.State{view.Dead, view.Left}).Draw(t, "how")
-				w.silentFor[ID{m.Name, m.Folder}] = 2 * rule.UnreachableAfter
+				w.silentFor[ID{m.Name, m.FolderID}] = 2 * rule.UnreachableAfter
 				for id, silence := range w.silentFor { // the earlier servers of the same process as well
 					if id.Name == m.Name {
 						w.silentFor[id] = max(silence, 2*rule.UnreachableAfter)
@@ -182,8 +182,8 @@
 			"return": func(t *rapid.T) { pick(t).State = view.Alive },
 			"lose its disk": func(t *rapid.T) {
 				m := pick(t)
-				w.silentFor[ID{m.Name, m.Folder}] = 0 // the leader has not noticed yet that the old server is gone
-				m.Folder += "1"
+				w.silentFor[ID{m.Name, m.FolderID}] = 0 // the leader has not noticed yet that the old server is gone
+				m.FolderID += "1"
 				m.State = view.Alive
 			},
 			"settle": func(t *rapid.T) { w.settle(t) },
@@ -218,7 +218,7 @@
 		order := rapid.Permutation([]int{0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11}).Draw(t, "order")
 		for i, n := range order {
 			name := view.Name(fmt.Sprintf("p%02d", i))
-			w.members[name] = &view.Member{Life: view.Life{Name: name}, Folder: "1", Raft: "here", Size: view.Large,
+			w.members[name] = &view.Member{Instance: view.Instance{Name: name}, FolderID: "1", ConsensusAddr: "here", Size: view.Large,
 				Zone: view.Zone(fmt.Sprint("z", n/2)), Region: view.Region(fmt.Sprint("r", n/4))}
 		}
 		w.settle(t)
@@ -241,7 +241,7 @@
 		s := State{Leader: ID{"a", "1"}}
 		var members []view.Member
 		for i, name := range []view.Name{"a", "b", "c", "d", "e"} {
-			m := view.Member{Life: view.Life{Name: name}, Folder: "1", Raft: "here", Zone: view.Zone(name)}
+			m := view.Member{Instance: view.Instance{Name: name}, FolderID: "1", ConsensusAddr: "here", Zone: view.Zone(name)}
 			server := Server{ID: ID{name, "1"}, Voter: true, CaughtUp: true}
 			if i >= 5-dead {
 				m.State, server.SilentFor = view.Dead, rule.DeadAfter
--- a/internal/cluster/evidence/digest/digest.go
+++ b/internal/cluster/evidence/digest/digest.go
@@ -43,14 +43,14 @@
 // bucket holds the counts of one digest, or of several that arrived close together.
 type bucket struct {
 	startedAt view.Uptime
-	rows      map[healthreport.Locality]clusterapi.Row
+	rows      map[healthreport.Locality]clusterapi.DigestRow
 }
 
 // aggregate is the sum of a locality's rows in all buckets. Counts are added with a row and subtracted when its bucket
 // expires. All other fields are as last reported, which may be as long ago as the span.
 type aggregate struct {
 	buckets int // number of buckets that hold the locality
-	row     clusterapi.Row
+	row     clusterapi.DigestRow
 }
 
 // NewWindow returns a window for the digests of the process witness in a zone; the first digest counts from now on. A
@@ -64,8 +64,8 @@
 		aggregates: map[healthreport.Locality]*aggregate{}}
 }
 
-// Take adds a digest and returns one sample for each locality, sorted by locality.
-func (w *Window) Take(now view.Uptime, d clusterapi.Digest) []healthreport.Sample {
+// Add adds a digest and returns one sample for each locality, sorted by locality.
+func (w *Window) Add(now view.Uptime, d clusterapi.Digest) []healthreport.Sample {
 	w.addDigest(now, d.Rows)
 	// The newest bucket stays even if it covers more than the span.
 	for len(w.buckets) > 1 && w.buckets[0].startedAt < now-w.span {
@@ -81,12 +81,12 @@
 		}
 		samples = append(samples, w.sample(locality, row, span))
 	}
-	slices.SortFunc(samples, func(a, b healthreport.Sample) int { return table.Order(&a, &b) })
+	slices.SortFunc(samples, func(a, b healthreport.Sample) int { return table.Compare(&a, &b) })
 	return samples
 }
 
 // sample converts the counts of a locality over a span to a health sample.
-func (w *Window) sample(locality healthreport.Locality, row clusterapi.Row, span time.Duration) healthreport.Sample {
+func (w *Window) sample(locality healthreport.Locality, row clusterapi.DigestRow, span time.Duration) healthreport.Sample {
 	return healthreport.Sample{
 		Locality: locality, Reporter: w.witness, ReporterZone: w.witnessZone, Kind: row.Kind, Span: max(span, 1),
 		Sent: float64(row.Sent), Done: float64(row.Done), Failed: float64(row.Failed), Unanswered: float64(row.Unanswered),
@@ -97,7 +97,7 @@
 // unansweredSince sums the newest consecutive buckets in which a locality answered no call. It returns when the oldest
 // of them started, and whether any call failed in them. Without it, a locality that just went down would look healthy
 // because of earlier successes in the window.
-func (w *Window) unansweredSince(locality healthreport.Locality) (row clusterapi.Row, since view.Uptime, failing bool) {
+func (w *Window) unansweredSince(locality healthreport.Locality) (row clusterapi.DigestRow, since view.Uptime, failing bool) {
 	found := false
 	for i := len(w.buckets) - 1; i >= 0; i-- {
 		r, present := w.buckets[i].rows[locality]
@@ -118,10 +118,10 @@
 func (w *Window) Dropped() uint64 { return w.dropped }
 
 // addDigest adds the rows of a digest to the newest bucket or to a new one, and to the aggregates.
-func (w *Window) addDigest(now view.Uptime, rows []clusterapi.Row) {
+func (w *Window) addDigest(now view.Uptime, rows []clusterapi.DigestRow) {
 	now = max(now, w.lastDigestAt)
 	if n := len(w.buckets); n == 0 || now-w.buckets[n-1].startedAt >= w.span/maxBuckets {
-		w.buckets = append(w.buckets, bucket{w.lastDigestAt, make(map[healthreport.Locality]clusterapi.Row, len(rows))})
+		w.buckets = append(w.buckets, bucket{w.lastDigestAt, make(map[healthreport.Locality]clusterapi.DigestRow, len(rows))})
 	}
 	w.lastDigestAt = now
 	current := w.buckets[len(w.buckets)-1].rows
@@ -146,7 +146,7 @@
 }
 
 // addCounts returns the later row with the counts of the earlier row added.
-func addCounts(earlier, later clusterapi.Row) clusterapi.Row {
+func addCounts(earlier, later clusterapi.DigestRow) clusterapi.DigestRow {
 	later.Sent += earlier.Sent
 	later.Done += earlier.Done
 	later.Failed += earlier.Failed
@@ -156,7 +156,7 @@
 }
 
 // removeBucket subtracts the rows of an expired bucket from the aggregates.
-func (w *Window) removeBucket(rows map[healthreport.Locality]clusterapi.Row) {
+func (w *Window) removeBucket(rows map[healthreport.Locality]clusterapi.DigestRow) {
 	for locality, r := range rows {
 		total := w.aggregates[locality]
 		if total.buckets--; total.buckets == 0 {
--- a/internal/cluster/evidence/digest/digest_test.go
+++ b/internal/cluster/evidence/digest/digest_test.go
@@ -13,25 +13,25 @@
 )
 
 // digestOf returns a digest of these rows.
-func digestOf(rows ...clusterapi.Row) clusterapi.Digest { return clusterapi.Digest{Rows: rows} }
+func digestOf(rows ...clusterapi.DigestRow) clusterapi.Digest { return clusterapi.Digest{Rows: rows} }
 
 // Counts are summed over the span and expire after it. Other values, such as Waiting, are as last reported.
 func ExampleWindow() {
 	w := NewWindow("anna", "east", time.Second, 2, 0)
 	show := func(now time.Duration, d clusterapi.Digest) {
 		fmt.Print(now, ":")
-		for _, s := range w.Take(now, d) {
+		for _, s := range w.Add(now, d) {
 			fmt.Printf(" %d/%s over %v: sent %v, failed %v, waiting %d;", s.Destination, s.Zone, s.Span, s.Sent, s.Failed, s.Waiting)
 		}
 		fmt.Println()
 	}
 	at := func(tenths int) time.Duration { return time.Duration(tenths) * 100 * time.Millisecond }
-	show(at(5), digestOf(clusterapi.Row{Destination: 1, Zone: "e", Sent: 10, Failed: 4, Waiting: 7}))
-	show(at(10), digestOf(clusterapi.Row{Destination: 1, Zone: "e", Sent: 10, Waiting: 3},
-		clusterapi.Row{Destination: 1, Zone: "b", Sent: 1}))
-	show(at(15), digestOf(clusterapi.Row{Destination: 2, Zone: "e", Sent: 1}))
+	show(at(5), digestOf(clusterapi.DigestRow{Destination: 1, Zone: "e", Sent: 10, Failed: 4, Waiting: 7}))
+	show(at(10), digestOf(clusterapi.DigestRow{Destination: 1, Zone: "e", Sent: 10, Waiting: 3},
+		clusterapi.DigestRow{Destination: 1, Zone: "b", Sent: 1}))
+	show(at(15), digestOf(clusterapi.DigestRow{Destination: 2, Zone: "e", Sent: 1}))
 	show(at(45), digestOf()) // the sender was suspended
-	show(at(50), digestOf(clusterapi.Row{Destination: 2, Zone: "e", Sent: 2}))
+	show(at(50), digestOf(clusterapi.DigestRow{Destination: 2, Zone: "e", Sent: 2}))
 	fmt.Println("dropped:", w.Dropped())
 	// Output:
 	// 500ms: 1/e over 500ms: sent 10, failed 4, waiting 7;
@@ -59,9 +59,9 @@
 			n := uint64(rapid.IntRange(0, 9).Draw(t, "sent"))
 			all = append(all, counted{previous, now, n})
 			previous = now
-			half := clusterapi.Row{Destination: 1, Zone: "e", Sent: n / 2, Done: n / 2}
-			rest := clusterapi.Row{Destination: 1, Zone: "e", Sent: n - n/2, Done: n - n/2}
-			got := w.Take(now, digestOf(half, rest))
+			half := clusterapi.DigestRow{Destination: 1, Zone: "e", Sent: n / 2, Done: n / 2}
+			rest := clusterapi.DigestRow{Destination: 1, Zone: "e", Sent: n - n/2, Done: n - n/2}
+			got := w.Add(now, digestOf(half, rest))
 			var want float64
 			for _, c := range all {
 				if c.from >= now-got[0].Span {
--- a/internal/cluster/evidence/evidence.go
+++ b/internal/cluster/evidence/evidence.go
@@ -171,7 +171,7 @@
 			ordered = append(ordered, &fromShard[j])
 		}
 	}
-	slices.SortFunc(ordered, table.Order)
+	slices.SortFunc(ordered, table.Compare)
 	samples := make([]healthreport.Sample, len(ordered))
 	for i, s := range ordered {
 		samples[i] = *s
--- a/internal/cluster/evidence/table/table.go
+++ b/internal/cluster/evidence/table/table.go
@@ -237,8 +237,8 @@
 	return s.Reporter != "" && s.Age >= 0 && s.Span > 0 && s.Endpoints >= 0 && s.Waiting >= 0
 }
 
-// Order compares samples in the order of Read: by destination, zone and witness.
-func Order(a, b *healthreport.Sample) int {
+// Compare compares samples in the order of Read: by destination, zone and witness.
+func Compare(a, b *healthreport.Sample) int {
 	if c := compareLocality(&a.Locality, &b.Locality); c != 0 {
 		return c
 	}
--- a/internal/cluster/evidence/table/table_test.go
+++ b/internal/cluster/evidence/table/table_test.go
@@ -141,7 +141,7 @@
 			all = append(all, o.sampleAt(now))
 		}
 	}
-	slices.SortFunc(all, func(a, b healthreport.Sample) int { return Order(&a, &b) })
+	slices.SortFunc(all, func(a, b healthreport.Sample) int { return Compare(&a, &b) })
 	return all
 }
 
--- a/internal/cluster/failover/apply/apply_test.go
+++ b/internal/cluster/failover/apply/apply_test.go
@@ -13,7 +13,7 @@
 	"flaxcove/internal/sender/clusterapi"
 )
 
-var _ clusterapi.Guide = (*apply.Guide)(nil)
+var _ clusterapi.RoutingPlan = (*apply.Guide)(nil)
 
 const (
 	ttl    = 10 * time.Second
--- a/internal/cluster/failover/assess/assess_test.go
+++ b/internal/cluster/failover/assess/assess_test.go
@@ -30,7 +30,7 @@
 		reports = append(reports, assess.SummarizeZone(from, samples, defaultBounds)...)
 	}
 	states := map[string]assess.State{}
-	for _, s := range assess.Judge(reports, defaultBounds) {
+	for _, s := range assess.CombineReports(reports, defaultBounds) {
 		key := fmt.Sprint(s.Destination, s.Zone)
 		states[key] = s.State
 		for _, p := range s.ByZone {
@@ -113,7 +113,7 @@
 	table := assess.NewReportTable(defaultBounds)
 	table.Put(0, assess.SummarizeZone("a", []healthreport.Sample{sampleFrom("a", 1, 1, "a", 0, 9)}, defaultBounds))
 	for at, want := range map[view.Uptime]assess.State{time.Second: assess.Failing, 6 * time.Second: assess.Unknown} {
-		if got := assess.Judge(table.Fresh(at), defaultBounds)[0].State; got != want {
+		if got := assess.CombineReports(table.Fresh(at), defaultBounds)[0].State; got != want {
 			t.Errorf("state at %v is %v, want %v", at, got, want)
 		}
 	}
--- a/internal/cluster/failover/plan/capacity_limits_test.go
+++ b/internal/cluster/failover/plan/capacity_limits_test.go
@@ -48,7 +48,7 @@
 			}
 			if expectWithinCapacity(t, next, rate, limit, failing); rapid.Bool().Draw(t, "applied") {
 				epoch++
-				p.PlanInForce(now, next)
+				p.SetPlanInForce(now, next)
 			}
 		}
 	})
--- a/internal/cluster/failover/plan/capacity_test.go
+++ b/internal/cluster/failover/plan/capacity_test.go
@@ -28,10 +28,10 @@
 		for b.Loop() {
 			p := plan.New(plan.DefaultSettings())
 			p.SetRegions(regions)
-			p.UpdateHealth(0, assess.Judge(healthy, assess.DefaultBounds()))
+			p.UpdateHealth(0, assess.CombineReports(healthy, assess.DefaultBounds()))
 			first, _ := p.Step(0)
-			p.PlanInForce(0, first)
-			p.UpdateHealth(2*second, assess.Judge(failing, assess.DefaultBounds()))
+			p.SetPlanInForce(0, first)
+			p.UpdateHealth(2*second, assess.CombineReports(failing, assess.DefaultBounds()))
 			next, found := p.Step(2 * second)
 			if !found {
 				b.Fatal("no plan after a zone failed")
--- a/internal/cluster/failover/plan/fleet_test.go
+++ b/internal/cluster/failover/plan/fleet_test.go
@@ -93,7 +93,7 @@
 		return
 	}
 	f.planner.SetRegions(f.regions)
-	f.planner.UpdateHealth(f.now, assess.Judge(f.reportTable.Fresh(f.now), assess.DefaultBounds()))
+	f.planner.UpdateHealth(f.now, assess.CombineReports(f.reportTable.Fresh(f.now), assess.DefaultBounds()))
 	if next, found := f.planner.Step(f.now); found {
 		f.decide(next)
 	}
@@ -135,7 +135,7 @@
 	if _, err := f.inForce.Apply(1, f.now, plan.Kind, body); err != nil {
 		f.t.Fatal(err)
 	}
-	f.planner.PlanInForce(f.now, f.inForce.Plan())
+	f.planner.SetPlanInForce(f.now, f.inForce.Plan())
 	if next.Epoch > 1 {
 		f.planChanges = append(f.planChanges, f.now)
 	}
--- a/internal/cluster/failover/plan/planner.go
+++ b/internal/cluster/failover/plan/planner.go
@@ -13,10 +13,10 @@
 
 const (
 	maxZones       = 256
-	pendingTimeout = 3 * time.Second // how long Step waits for PlanInForce before it makes another plan
+	pendingTimeout = 3 * time.Second // how long Step waits for SetPlanInForce before it makes another plan
 )
 
-// Planner makes plans at the consensus leader. A new leader creates a Planner, passes the plan in force to PlanInForce,
+// Planner makes plans at the consensus leader. A new leader creates a Planner, passes the plan in force to SetPlanInForce,
 // and then the health of all localities to UpdateHealth. A Planner is not safe for concurrent use.
 type Planner struct {
 	settings         Settings
@@ -34,7 +34,7 @@
 	lastStepAt       view.Uptime              // last step of any returning route
 	healthyLinks     map[link]bool            // see the function healthyLinks
 	inForce          Plan
-	pending          *Plan            // plan that Step returned, until PlanInForce is called
+	pending          *Plan            // plan that Step returned, until SetPlanInForce is called
 	pendingRevisions map[routeKey]int // routeState.revision of each route when pending was made
 	plannedAt        view.Uptime      // when Step last returned a plan
 	regionsChanged   bool             // regions differ from those of the plan in force
@@ -58,7 +58,7 @@
 	}
 }
 
-// Epoch returns the epoch of the plan last passed to PlanInForce, 0 if none was.
+// Epoch returns the epoch of the plan last passed to SetPlanInForce, 0 if none was.
 func (p *Planner) Epoch() view.Epoch { return p.inForce.Epoch }
 
 // SetRegions sets the regions of all zones that have processes. Zones that are no longer among them stay known, since
@@ -117,9 +117,9 @@
 	return healthy
 }
 
-// PlanInForce sets the plan in force, made by this planner or by that of another leader. A plan of a lower epoch than the
+// SetPlanInForce sets the plan in force, made by this planner or by that of another leader. A plan of a lower epoch than the
 // last one is ignored.
-func (p *Planner) PlanInForce(now view.Uptime, in Plan) {
+func (p *Planner) SetPlanInForce(now view.Uptime, in Plan) {
 	if in.Epoch < p.inForce.Epoch {
 		return
 	}
@@ -194,7 +194,7 @@
 }
 
 // Step advances the phases of all routes and returns the next plan, or false if the plan in force needs no change yet.
-// The caller proposes the plan to the consensus group and then calls PlanInForce, whatever the outcome. Until then Step
+// The caller proposes the plan to the consensus group and then calls SetPlanInForce, whatever the outcome. Until then Step
 // returns no other plan for up to pendingTimeout.
 func (p *Planner) Step(now view.Uptime) (Plan, bool) {
 	p.advanceRoutes(now)
@@ -210,7 +210,7 @@
 			return Plan{}, false
 		}
 	}
-	next := Plan{Epoch: p.inForce.Epoch + 1, TTL: p.settings.Hold, Regions: maps.Clone(p.regions), Routes: routes}
+	next := Plan{Epoch: p.inForce.Epoch + 1, TTL: p.settings.PlanTTL, Regions: maps.Clone(p.regions), Routes: routes}
 	p.trimToLimits(&next)
 	p.pending, p.plannedAt, p.pendingRevisions = &next, now, map[routeKey]int{}
 	for k, r := range p.routes {
--- a/internal/cluster/failover/plan/planner_test.go
+++ b/internal/cluster/failover/plan/planner_test.go
@@ -211,7 +211,7 @@
 	f.until("diverted", 2*second, f.awayFrom("a1"))
 	f.now += time.Hour // the new leader's clock differs, so that all earlier reports are too old
 	f.planner = plan.New(plan.DefaultSettings())
-	f.planner.PlanInForce(f.now, f.inForce.Plan())
+	f.planner.SetPlanInForce(f.now, f.inForce.Plan())
 	n := len(f.planChanges)
 	f.run(8 * second)
 	if f.maxShare("a1", "a1") > 0.5 || len(f.planChanges) > n+1 {
@@ -259,7 +259,7 @@
 		}
 		f.planningDisabled = true
 		f.step()
-		health := assess.Judge(f.reportTable.Fresh(f.now), assess.DefaultBounds())
+		health := assess.CombineReports(f.reportTable.Fresh(f.now), assess.DefaultBounds())
 		for _, p := range []*plan.Planner{f.planner, other} {
 			p.SetRegions(f.regions)
 			p.UpdateHealth(f.now, health)
@@ -272,7 +272,7 @@
 			} else if stale := (*plan.StaleEpochError)(nil); !errors.As(err, &stale) {
 				t.Fatal(err)
 			}
-			p.PlanInForce(f.now, f.inForce.Plan())
+			p.SetPlanInForce(f.now, f.inForce.Plan())
 		}
 	}
 	for e := view.Epoch(1); e <= f.inForce.Plan().Epoch; e++ {
@@ -300,7 +300,7 @@
 	}
 	f.reportTable = assess.NewReportTable(assess.DefaultBounds())
 	f.planner = plan.New(plan.DefaultSettings())
-	f.planner.PlanInForce(f.now, f.inForce.Plan())
+	f.planner.SetPlanInForce(f.now, f.inForce.Plan())
 	f.until("second zone diverted", 3*second, func() bool { return f.maxShare("b1", "a2")+f.maxShare("b1", "b2") > 0.2 })
 	f.run(6 * second)
 	if !f.awayFrom("a1")() {
--- a/internal/cluster/failover/plan/settings.go
+++ b/internal/cluster/failover/plan/settings.go
@@ -6,7 +6,7 @@
 // 15 s after a zone is healthy again, a flapping link changes routes at most three times a minute, and a plan is in force
 // 3 s after a failure. SlowStartFrom, SlowStart and OverloadMultiple describe the endpoints, as in package choice.
 type Settings struct {
-	Hold                  time.Duration // TTL of a plan: how long it stays in force without renewal
+	PlanTTL               time.Duration // TTL of a plan: how long it stays in force without renewal
 	Steps                 []float64     // near share of each step of a return, ascending; the last is 1
 	StepDuration          time.Duration // minimum duration of a step; the next step requires that near does not fail meanwhile
 	MinReturnDelay        time.Duration // minimum return delay, and minimum time between two diversions of a route
@@ -32,7 +32,7 @@
 // DefaultSettings returns the settings used in production, except RatingIsRate, SlowStart, SlowStartFrom and
 // OverloadMultiple, which depend on the service and are set by the caller.
 func DefaultSettings() Settings {
-	return Settings{Hold: 10 * time.Second, Steps: []float64{0.05, 0.15, 0.4, 1}, StepDuration: 1500 * time.Millisecond,
+	return Settings{PlanTTL: 10 * time.Second, Steps: []float64{0.05, 0.15, 0.4, 1}, StepDuration: 1500 * time.Millisecond,
 		MinReturnDelay: 3 * time.Second, MaxOutageDelay: 6 * time.Second, MaxReturnDelay: time.Minute, OutageFraction: 0.25,
 		DiversionWindow: 2 * time.Minute, UnobservedReturnAfter: 12 * time.Second, TrialRate: 2, MinTrialShare: 0.01, MaxTrialShare: 0.05,
 		MinShareChange: 0.1, MinPlanInterval: time.Second, MinSharesOnlyInterval: 4 * time.Second,
--- a/internal/cluster/failover/plan/size_test.go
+++ b/internal/cluster/failover/plan/size_test.go
@@ -19,11 +19,11 @@
 	regions, reports := largeFleet.reports(1900, "")
 	p := plan.New(plan.DefaultSettings())
 	p.SetRegions(regions)
-	p.UpdateHealth(0, assess.Judge(reports, assess.DefaultBounds()))
+	p.UpdateHealth(0, assess.CombineReports(reports, assess.DefaultBounds()))
 	first, _ := p.Step(0)
-	p.PlanInForce(0, first)
+	p.SetPlanInForce(0, first)
 	_, reports = largeFleet.reports(1900, "z00")
-	p.UpdateHealth(2*second, assess.Judge(reports, assess.DefaultBounds()))
+	p.UpdateHealth(2*second, assess.CombineReports(reports, assess.DefaultBounds()))
 	next, found := p.Step(2 * second)
 	if !found || len(next.Routes) < 1000 || next.EncodedSize() > 256<<10 || next.Check() != nil {
 		t.Errorf("the plan has %d routes in %d bytes: %v", len(next.Routes), next.EncodedSize(), next.Check())
@@ -44,9 +44,9 @@
 			reports = failing
 		}
 		now += second / 2
-		p.UpdateHealth(now, assess.Judge(reports, assess.DefaultBounds()))
+		p.UpdateHealth(now, assess.CombineReports(reports, assess.DefaultBounds()))
 		if next, found := p.Step(now); found {
-			p.PlanInForce(now, next)
+			p.SetPlanInForce(now, next)
 		}
 	}
 }
--- a/internal/cluster/failover/plan/sparse_fleet_test.go
+++ b/internal/cluster/failover/plan/sparse_fleet_test.go
@@ -81,10 +81,10 @@
 		}
 	}
 	s.leftZone, s.totalCalls = s.leftZone+all-near, s.totalCalls+all
-	s.planner.UpdateHealth(s.now, assess.Judge(s.reportTable.Fresh(s.now), assess.DefaultBounds()))
+	s.planner.UpdateHealth(s.now, assess.CombineReports(s.reportTable.Fresh(s.now), assess.DefaultBounds()))
 	if next, found := s.planner.Step(s.now); found {
 		s.plan = next
-		s.planner.PlanInForce(s.now, next)
+		s.planner.SetPlanInForce(s.now, next)
 		s.planChanges = append(s.planChanges, s.now)
 	}
 }
--- a/internal/cluster/failover/run/announce.go
+++ b/internal/cluster/failover/run/announce.go
@@ -60,7 +60,7 @@
 func (r *Runner) childNamed(name view.Name) *child {
 	c := r.children[name]
 	if c == nil {
-		longAgo := -r.options.Settings.Hold
+		longAgo := -r.options.Settings.PlanTTL
 		c = &child{confirmedAt: longAgo, triedAt: longAgo}
 		r.children[name] = c
 	}
@@ -72,7 +72,7 @@
 func (r *Runner) announceTo(now view.Uptime, name view.Name, c *child) {
 	withPlan := c.epoch != r.holder.Epoch()
 	announcement, found := r.holder.Announce(now, withPlan)
-	renew := r.options.Settings.Hold / renewalsPerTTL
+	renew := r.options.Settings.PlanTTL / renewalsPerTTL
 	due := c.epoch < announcement.Epoch || now-announcement.Age-c.confirmedAt >= renew
 	if !found || !due || c.calling || c.failing && now-c.triedAt < renew/2 {
 		return
@@ -110,7 +110,7 @@
 }
 
 // handlePlan handles an announcement from another process.
-func (r *Runner) handlePlan(_ context.Context, from view.Life, body []byte) (any, error) {
+func (r *Runner) handlePlan(_ context.Context, from view.Instance, body []byte) (any, error) {
 	var in apply.Announcement
 	if err := json.Unmarshal(body, &in); err != nil {
 		r.mu.Lock()
--- a/internal/cluster/failover/run/leader.go
+++ b/internal/cluster/failover/run/leader.go
@@ -32,7 +32,7 @@
 	defer r.mu.Unlock()
 	if r.planner == nil {
 		r.planner = plan.New(r.options.Settings)
-		r.planner.PlanInForce(now, inForce)
+		r.planner.SetPlanInForce(now, inForce)
 	}
 	if inForce.Epoch > 0 {
 		r.renewPlan(now, term, inForce)
@@ -45,7 +45,7 @@
 	// reports reach the planner only here.
 	r.collected.Put(now, r.outgoing.Fresh(now))
 	r.planner.SetRegions(regions)
-	r.planner.UpdateHealth(now, assess.Judge(r.collected.Fresh(now), r.options.Bounds))
+	r.planner.UpdateHealth(now, assess.CombineReports(r.collected.Fresh(now), r.options.Bounds))
 	if next, found := r.planner.Step(now); found && !r.proposing {
 		r.proposing = r.startCall(func() { r.propose(next) })
 	}
@@ -66,7 +66,7 @@
 // holds mu.
 func (r *Runner) renewPlan(now view.Uptime, term uint64, inForce plan.Plan) {
 	if r.planner.Epoch() < inForce.Epoch {
-		r.planner.PlanInForce(now, inForce)
+		r.planner.SetPlanInForce(now, inForce)
 	}
 	in := apply.Announcement{Epoch: inForce.Epoch, Term: term}
 	if held, _ := r.holder.Plan(now); held == nil || held.Epoch != inForce.Epoch {
@@ -94,7 +94,7 @@
 		r.stats.PlansRejected++
 	}
 	if r.planner != nil {
-		r.planner.PlanInForce(now, inForce)
+		r.planner.SetPlanInForce(now, inForce)
 	}
 	r.mu.Unlock()
 	var stale *plan.StaleEpochError
--- a/internal/cluster/failover/run/reports.go
+++ b/internal/cluster/failover/run/reports.go
@@ -87,7 +87,7 @@
 }
 
 // handleReports stores reports from a child, or from any process if they are final.
-func (r *Runner) handleReports(_ context.Context, from view.Life, body []byte) (any, error) {
+func (r *Runner) handleReports(_ context.Context, from view.Instance, body []byte) (any, error) {
 	var in reportsMessage
 	err := json.Unmarshal(body, &in)
 	now := r.options.Now()
--- a/internal/cluster/failover/run/run.go
+++ b/internal/cluster/failover/run/run.go
@@ -43,7 +43,7 @@
 	// Call sends in, encoded as JSON, to a path of another process and decodes the answer into out unless out is nil.
 	Call(ctx context.Context, to view.Name, path string, in, out any) error
 	// Handle registers the handler of calls to a path.
-	Handle(path string, h func(ctx context.Context, from view.Life, body []byte) (any, error))
+	Handle(path string, h func(ctx context.Context, from view.Instance, body []byte) (any, error))
 }
 
 // Consensus is the consensus group that decides on plans.
@@ -154,7 +154,7 @@
 }
 
 // Guide returns the guide compiled from the plan in force, or nil while no plan is in force. It takes no lock.
-func (r *Runner) Guide() clusterapi.Guide {
+func (r *Runner) Guide() clusterapi.RoutingPlan {
 	if c := r.guide.Load(); c != nil && r.options.Now() < c.expiresAt {
 		return c.guide
 	}
@@ -234,11 +234,11 @@
 	if due {
 		r.assessedAt = now
 	}
-	if due && t.ZoneHead(r.options.Zone) == r.options.Self {
+	if due && t.ZoneCoordinator(r.options.Zone) == r.options.Self {
 		summaries := assess.SummarizeZone(r.options.Zone, samples, r.options.Bounds)
 		summaries = slices.DeleteFunc(summaries, func(report assess.Report) bool {
 			// Idle localities in another zone are reported by the coordinator of that zone, if there is one.
-			return report.Idle() && report.Zone != r.options.Zone && t.ZoneHead(report.Zone) != ""
+			return report.Idle() && report.Zone != r.options.Zone && t.ZoneCoordinator(report.Zone) != ""
 		})
 		r.mu.Lock()
 		r.outgoing.Put(now, summaries)
--- a/internal/cluster/failover/run/run_test.go
+++ b/internal/cluster/failover/run/run_test.go
@@ -22,7 +22,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-type handler = func(context.Context, view.Life, []byte) (any, error)
+type handler = func(context.Context, view.Instance, []byte) (any, error)
 
 // testCluster runs several processes in memory. Calls to and from any process can be made to fail, and all processes
 // share one replicated state as their consensus group.
@@ -69,7 +69,7 @@
 	if lost {
 		return errDown
 	}
-	answer, err := h(ctx, view.Life{Name: l.self}, body)
+	answer, err := h(ctx, view.Instance{Name: l.self}, body)
 	if err != nil || out == nil {
 		return err
 	}
@@ -110,7 +110,7 @@
 		runners: map[view.Name]*Runner{}, calls: map[view.Name]int{}}
 	for _, z := range zones {
 		for i := range perZone {
-			c.members = append(c.members, view.Member{Life: view.Life{Name: view.Name(fmt.Sprint(z, "-", i))}, Zone: z,
+			c.members = append(c.members, view.Member{Instance: view.Instance{Name: view.Name(fmt.Sprint(z, "-", i))}, Zone: z,
 				Region: view.Region(z[:1])})
 		}
 	}
@@ -127,7 +127,7 @@
 func (c *testCluster) start(m view.Member) {
 	started := time.Now()
 	settings := plan.DefaultSettings()
-	settings.MinPlanInterval, settings.Hold, settings.MinReturnDelay = 50*time.Millisecond, time.Second, 200*time.Millisecond
+	settings.MinPlanInterval, settings.PlanTTL, settings.MinReturnDelay = 50*time.Millisecond, time.Second, 200*time.Millisecond
 	link := testLink{c, m.Name}
 	c.mu.Lock()
 	delete(c.handlers, m.Name)
@@ -229,7 +229,7 @@
 	c.waitFor(t, 5*time.Second, "zone a1 diverted", moved)
 
 	c.mu.Lock() // the root and the coordinator of zone b1 are down from here on, but still in the tree
-	c.down[c.tree.Root()], c.down[c.tree.ZoneHead("b1")] = true, true
+	c.down[c.tree.Root()], c.down[c.tree.ZoneCoordinator("b1")] = true, true
 	if c.down[c.leader] {
 		c.leader = "a1-1"
 	}
@@ -254,7 +254,7 @@
 	}
 	other := view.Zone("")
 	for _, z := range zones[1:] {
-		if !c.down[c.tree.ZoneHead(z)] {
+		if !c.down[c.tree.ZoneCoordinator(z)] {
 			other = z
 		}
 	}
@@ -299,8 +299,8 @@
 	r := c.runners["b1-0"]
 	epoch := r.Stats().Epoch
 	for _, body := range []string{`{`, `{"epoch":99,"plan":{"epoch":99,"hold":-1}}`, `{"epoch":99,"age":-5}`} {
-		r.handlePlan(t.Context(), view.Life{Name: "x"}, []byte(body))
-		r.handleReports(t.Context(), view.Life{Name: "x"}, []byte(body))
+		r.handlePlan(t.Context(), view.Instance{Name: "x"}, []byte(body))
+		r.handleReports(t.Context(), view.Instance{Name: "x"}, []byte(body))
 	}
 	if s := r.Stats(); s.Epoch != epoch || s.Malformed != 3 {
 		t.Errorf("want epoch %d and 3 malformed messages, got %+v", epoch, s)
--- a/internal/cluster/feed.go
+++ b/internal/cluster/feed.go
@@ -70,8 +70,8 @@
 // local returns the zones in which the sender lists endpoints, by destination.
 func (f *digestFeed) local() apply.Local { return *f.listing.Load() }
 
-// Digest queues a digest of the sender. It never waits: if the queue is full, the digest is dropped and counted.
-func (n *Node) Digest(d clusterapi.Digest) {
+// ReportDigest queues a digest of the sender. It never waits: if the queue is full, the digest is dropped and counted.
+func (n *Node) ReportDigest(d clusterapi.Digest) {
 	select {
 	case n.digests.queue <- d:
 	default:
@@ -79,18 +79,18 @@
 	}
 }
 
-// Guide returns the routing plan in force; nil if there is none.
-func (n *Node) Guide() clusterapi.Guide {
+// RoutingPlan returns the routing plan in force; nil if there is none.
+func (n *Node) RoutingPlan() clusterapi.RoutingPlan {
 	if n.subsystems.failover == nil {
 		return nil
 	}
 	return n.subsystems.failover.Guide()
 }
 
-// Woke asks the region for its learned state of a destination. It does nothing if the popularity feature is off.
-func (n *Node) Woke(d choice.DestinationID) {
+// RequestLearnedState asks the region for its learned state of a destination. It does nothing if the popularity feature is off.
+func (n *Node) RequestLearnedState(d choice.DestinationID) {
 	if n.subsystems.popularity != nil {
-		n.subsystems.popularity.Woke(d)
+		n.subsystems.popularity.RequestLearnedState(d)
 	}
 }
 
@@ -114,20 +114,20 @@
 		n.subsystems.purge.SetLongestDeadline(d.Longest)
 	}
 	if n.subsystems.popularity != nil {
-		n.subsystems.popularity.Digest(d)
+		n.subsystems.popularity.AddCounts(d)
 	}
 	if n.subsystems.failover == nil {
 		return
 	}
 	feed.updateListing(now, d.Rows, n.self.Zone)
-	samples := feed.window.Take(now, d)
+	samples := feed.window.Add(now, d)
 	n.evidence.Add(now, slices.Clone(samples)) // a copy, as Add takes ownership of its argument
 	n.reportSamples(ctx, now, samples)
 }
 
 // reportSamples sends the samples that are due to the zone's coordinator, unless this process is the coordinator.
 func (n *Node) reportSamples(ctx context.Context, now view.Uptime, samples []healthreport.Sample) {
-	coordinator := n.TreeWithoutSuspected().ZoneHead(n.self.Zone)
+	coordinator := n.TreeWithoutSuspected().ZoneCoordinator(n.self.Zone)
 	if coordinator == "" || coordinator == n.self.Name {
 		return
 	}
@@ -143,7 +143,7 @@
 }
 
 // updateListing updates the localities in which the sender lists endpoints, and publishes them if they changed.
-func (f *digestFeed) updateListing(now view.Uptime, rows []clusterapi.Row, zone view.Zone) {
+func (f *digestFeed) updateListing(now view.Uptime, rows []clusterapi.DigestRow, zone view.Zone) {
 	changed := false
 	for _, r := range rows {
 		locality := healthreport.Locality{Destination: r.Destination, Zone: view.Zone(r.Zone)}
@@ -196,7 +196,7 @@
 
 // serveEvidence registers the handler that adds the samples of another process of the zone to this process's tables.
 func (n *Node) serveEvidence() {
-	n.link.Handle(evidencePath, func(_ context.Context, from view.Life, body []byte) (any, error) {
+	n.link.Handle(evidencePath, func(_ context.Context, from view.Instance, body []byte) (any, error) {
 		var samples []healthreport.Sample
 		if err := json.Unmarshal(body, &samples); err != nil {
 			return nil, fmt.Errorf("health report from %s: %w", from.Name, err)
--- a/internal/cluster/leader.go
+++ b/internal/cluster/leader.go
@@ -59,13 +59,13 @@
 	return "", false
 }
 
-// Ask returns the candidates for the leader, the most likely one first.
-func (c consensusClient) Ask() (names []view.Name) {
+// LeaderCandidates returns the candidates for the leader, the most likely one first.
+func (c consensusClient) LeaderCandidates() (names []view.Name) {
 	if name, known := c.Leader(); known && name != c.node.self.Name {
 		names = append(names, name)
 	}
 	if c.node.consensus != nil {
-		for _, name := range c.node.consensus.Ask() {
+		for _, name := range c.node.consensus.LeaderCandidates() {
 			if len(names) == 0 || name != names[0] {
 				names = append(names, name)
 			}
@@ -106,7 +106,7 @@
 // serveLeader answers calls of leaderPath with the leader that this process's own participant knows, never with a hint:
 // two processes that refreshed their hints from each other would name a dead leader forever.
 func (n *Node) serveLeader() {
-	n.link.Handle(leaderPath, func(context.Context, view.Life, []byte) (any, error) {
+	n.link.Handle(leaderPath, func(context.Context, view.Instance, []byte) (any, error) {
 		var answer leaderAnswer
 		if n.consensus != nil {
 			answer.Leader, _ = n.consensus.Leader()
--- a/internal/cluster/leadercall/caller.go
+++ b/internal/cluster/leadercall/caller.go
@@ -19,11 +19,11 @@
 	Link           Link
 	Consensus      Consensus
 	Self           view.Name
-	Life           func() view.Life   // current incarnation of this process; acquires the part's lock
-	Candidates     func() []view.Name // processes that may lead, the likeliest first; acquires the part's lock
-	Done           <-chan struct{}    // closed when the part ends, which ends all retries
-	CallTimeout    time.Duration      // of one message with its answer
-	MinBackoff     time.Duration      // first delay between two attempts; doubled after each attempt up to MaxBackoff
+	Life           func() view.Instance // current incarnation of this process; acquires the part's lock
+	Candidates     func() []view.Name   // processes that may lead, the likeliest first; acquires the part's lock
+	Done           <-chan struct{}      // closed when the part ends, which ends all retries
+	CallTimeout    time.Duration        // of one message with its answer
+	MinBackoff     time.Duration        // first delay between two attempts; doubled after each attempt up to MaxBackoff
 	MaxBackoff     time.Duration
 	ErrNoCandidate error // the cause in Query's error if Candidates returned none at the last attempt
 	ErrUndecided   error // the cause in Propose's error if no candidate was known at any attempt
--- a/internal/cluster/leadercall/leadercall.go
+++ b/internal/cluster/leadercall/leadercall.go
@@ -20,7 +20,7 @@
 )
 
 // Handler handles a message from another process. The answer is encoded as JSON; an error makes the call fail.
-type Handler = func(ctx context.Context, from view.Life, body []byte) (any, error)
+type Handler = func(ctx context.Context, from view.Instance, body []byte) (any, error)
 
 // Link carries messages between processes and has the HTTP interface for callers.
 type Link interface {
@@ -41,8 +41,8 @@
 	Leader() (view.Name, bool)
 	// Leading reports whether this process leads.
 	Leading() bool
-	// Ask returns the processes that may lead, the likeliest first.
-	Ask() []view.Name
+	// LeaderCandidates returns the processes that may lead, the likeliest first.
+	LeaderCandidates() []view.Name
 	// Clock returns the group's clock, which starts at 0 when the group is bootstrapped.
 	Clock() time.Duration
 	// Read calls f while no command is applied. f gets the index of the latest command.
@@ -75,8 +75,8 @@
 // Leading returns false.
 func (NoConsensus) Leading() bool { return false }
 
-// Ask returns nil.
-func (NoConsensus) Ask() []view.Name { return nil }
+// LeaderCandidates returns nil.
+func (NoConsensus) LeaderCandidates() []view.Name { return nil }
 
 // Clock returns 0.
 func (NoConsensus) Clock() time.Duration { return 0 }
@@ -91,18 +91,18 @@
 }
 
 // LifeOf returns the incarnation of a process in the view, or the zero value if the process is not in the view.
-func LifeOf(v *view.View, name view.Name) view.Life {
+func LifeOf(v *view.View, name view.Name) view.Instance {
 	m, found := v.Find(name)
 	if !found {
-		return view.Life{}
+		return view.Instance{}
 	}
-	return m.Life
+	return m.Instance
 }
 
 // TreePosition returns the parent and the children of self in the tree, and reports whether self is the root. The
 // parent of the root is the leader if it is known, and otherwise lastLeader, the process that last called self as the
 // leader. A parent that is not in the view is the zero value. Children that are not in the view are omitted.
-func TreePosition(members *view.View, tree Tree, self, leader view.Name, known bool, lastLeader view.Life) (parent view.Life, isRoot bool, children []view.Life) {
+func TreePosition(members *view.View, tree Tree, self, leader view.Name, known bool, lastLeader view.Instance) (parent view.Instance, isRoot bool, children []view.Instance) {
 	if name, found := tree.Parent(self); found {
 		parent = LifeOf(members, name)
 	} else if tree.Root() == self {
--- a/internal/cluster/leadercall/leadercall_test.go
+++ b/internal/cluster/leadercall/leadercall_test.go
@@ -30,7 +30,7 @@
 // newCaller returns a Caller on a process outside the consensus group.
 func newCaller(u *unreachableLink, candidates func() []view.Name) *Caller {
 	return &Caller{Part: "part", Link: u, Consensus: NoConsensus{}, Self: "self",
-		Life: func() view.Life { return view.Life{Name: "self", Incarnation: 3} }, Candidates: candidates, Done: make(chan struct{}),
+		Life: func() view.Instance { return view.Instance{Name: "self", Incarnation: 3} }, Candidates: candidates, Done: make(chan struct{}),
 		CallTimeout: time.Minute, MinBackoff: time.Millisecond, MaxBackoff: time.Millisecond,
 		ErrNoCandidate: errors.New("no candidate"), ErrUndecided: errors.New("undecided")}
 }
@@ -40,7 +40,7 @@
 func TestCallSelfUsesOwnHandler(t *testing.T) {
 	u := &unreachableLink{}
 	c := newCaller(u, nil)
-	c.Handle(map[string]Handler{"/p": func(_ context.Context, from view.Life, body []byte) (any, error) {
+	c.Handle(map[string]Handler{"/p": func(_ context.Context, from view.Instance, body []byte) (any, error) {
 		return []any{from.Incarnation, json.RawMessage(body)}, nil
 	}})
 	var got []int
@@ -189,7 +189,7 @@
 // the process itself.
 func TestCandidates(t *testing.T) {
 	member := func(name view.Name, hasRecords bool) view.Member {
-		return view.Member{Life: view.Life{Name: name, Incarnation: 1}, HasRecords: hasRecords}
+		return view.Member{Instance: view.Instance{Name: name, Incarnation: 1}, HasRecords: hasRecords}
 	}
 	v := view.New("self", 1, []view.Member{member("a", false), member("b", true), member("c", false), member("self", true)})
 	for _, one := range []struct {
--- a/internal/cluster/leadercall/leadercalltest/leadercalltest.go
+++ b/internal/cluster/leadercall/leadercalltest/leadercalltest.go
@@ -112,13 +112,13 @@
 // Link implements leadercall.Link for one process.
 type Link struct {
 	net    *Net
-	self   view.Life
+	self   view.Instance
 	mux    *http.ServeMux
 	routes map[string]leadercall.Handler
 }
 
 // Link returns a link for a process. The process is reachable after Join.
-func (n *Net) Link(self view.Life) *Link {
+func (n *Net) Link(self view.Instance) *Link {
 	return &Link{net: n, self: self, mux: http.NewServeMux(), routes: map[string]leadercall.Handler{}}
 }
 
@@ -206,8 +206,8 @@
 	return known && name == c.self
 }
 
-// Ask returns the leader, or none if this process does not know it.
-func (c Consensus) Ask() []view.Name {
+// LeaderCandidates returns the leader, or none if this process does not know it.
+func (c Consensus) LeaderCandidates() []view.Name {
 	name, known := c.Leader()
 	if !known {
 		return nil
--- a/internal/cluster/link/guard.go
+++ b/internal/cluster/link/guard.go
@@ -38,22 +38,22 @@
 // (403), a call for another process, as after a port was reassigned (421), a call without a caller's name and
 // incarnation (400), and a caller of an outdated incarnation, as of a process that was suspended while its successor
 // started (409).
-func (l *Link) authorize(r *http.Request) (view.Life, *StatusError) {
+func (l *Link) authorize(r *http.Request) (view.Instance, *StatusError) {
 	if name := r.Header.Get(headerCluster); name != l.opts.Cluster {
-		return view.Life{}, &StatusError{Status: http.StatusForbidden,
+		return view.Instance{}, &StatusError{Status: http.StatusForbidden,
 			Text: fmt.Sprintf("this process belongs to cluster %q, the caller to %q", l.opts.Cluster, name)}
 	}
 	if r.Host != string(l.opts.Self.Name) {
-		return view.Life{}, &StatusError{Status: http.StatusMisdirectedRequest,
+		return view.Instance{}, &StatusError{Status: http.StatusMisdirectedRequest,
 			Text: fmt.Sprintf("this is process %q, the call is for %q", l.opts.Self.Name, r.Host)}
 	}
 	no, err := strconv.ParseUint(r.Header.Get(headerIncarnation), 10, 64)
-	from := view.Life{Name: view.Name(r.Header.Get(headerFrom)), Incarnation: view.Incarnation(no)}
+	from := view.Instance{Name: view.Name(r.Header.Get(headerFrom)), Incarnation: view.Incarnation(no)}
 	if err != nil || from.Name == "" {
-		return view.Life{}, &StatusError{Status: http.StatusBadRequest, Text: "header Fc-From or Fc-Life is missing or invalid"}
+		return view.Instance{}, &StatusError{Status: http.StatusBadRequest, Text: "header Fc-From or Fc-Life is missing or invalid"}
 	}
 	if highest := l.incarnations.observe(from); highest > from.Incarnation {
-		return view.Life{}, &StatusError{Status: http.StatusConflict, HighestSeen: highest,
+		return view.Instance{}, &StatusError{Status: http.StatusConflict, HighestSeen: highest,
 			Text: fmt.Sprintf("process %q has incarnation %d; the caller's %d is outdated", from.Name, highest, no)}
 	}
 	return from, nil
@@ -77,7 +77,7 @@
 }
 
 // observe records an incarnation of a name and returns the highest one observed of that name.
-func (k *incarnationTable) observe(id view.Life) view.Incarnation {
+func (k *incarnationTable) observe(id view.Instance) view.Incarnation {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.clock++
--- a/internal/cluster/link/link.go
+++ b/internal/cluster/link/link.go
@@ -49,9 +49,9 @@
 
 // Options configures a link.
 type Options struct {
-	Cluster string    // name of the cluster; calls of processes of another cluster are rejected
-	Self    view.Life // this process, as the caller
-	Listen  string    // host:port to listen on
+	Cluster string        // name of the cluster; calls of processes of another cluster are rejected
+	Self    view.Instance // this process, as the caller
+	Listen  string        // host:port to listen on
 	// Reach returns the address at which a process is dialled, possibly that of a relay; false for an unknown process.
 	// It is called for each call.
 	Reach func(view.Name) (string, bool)
@@ -154,12 +154,12 @@
 	for was := l.incarnation.Load(); was < uint64(to) && !l.incarnation.CompareAndSwap(was, uint64(to)); was = l.incarnation.Load() {
 	}
 	// Calls of another process with this name and a lower incarnation are rejected from now on.
-	l.incarnations.observe(view.Life{Name: l.opts.Self.Name, Incarnation: to})
+	l.incarnations.observe(view.Instance{Name: l.opts.Self.Name, Incarnation: to})
 }
 
 // ObserveIncarnation records the incarnation of a process that was learned in another way than by a call, as from the
 // membership.
-func (l *Link) ObserveIncarnation(id view.Life) { l.incarnations.observe(id) }
+func (l *Link) ObserveIncarnation(id view.Instance) { l.incarnations.observe(id) }
 
 // begin counts a call or a handler as in flight and returns true, or returns false if the link is closed. Each begin
 // that returns true must be followed by finish.
--- a/internal/cluster/link/link_test.go
+++ b/internal/cluster/link/link_test.go
@@ -27,7 +27,7 @@
 
 func startLink(t *testing.T, all addresses, cluster string, name view.Name, no view.Incarnation, listen string) *Link {
 	t.Helper()
-	l, err := Start(Options{Cluster: cluster, Self: view.Life{Name: name, Incarnation: no},
+	l, err := Start(Options{Cluster: cluster, Self: view.Instance{Name: name, Incarnation: no},
 		Listen: listen, Reach: all.reach, BodyLimit: 4096})
 	if err != nil {
 		t.Fatal(err)
@@ -55,7 +55,7 @@
 }
 
 // echo is a handler that returns the caller and the body of the call.
-func echo(_ context.Context, from view.Life, body []byte) (any, error) {
+func echo(_ context.Context, from view.Instance, body []byte) (any, error) {
 	return map[string]any{"from": from, "body": string(body)}, nil
 }
 
@@ -65,16 +65,16 @@
 	all := addresses{}
 	b := startLink(t, all, "ours", "b", 1, "127.0.0.1:0")
 	b.Handle("/echo", echo)
-	b.Handle("/no", func(context.Context, view.Life, []byte) (any, error) {
+	b.Handle("/no", func(context.Context, view.Instance, []byte) (any, error) {
 		return nil, &StatusError{Status: 410, Text: "gone"}
 	})
-	b.Handle("/bad", func(context.Context, view.Life, []byte) (any, error) { return nil, errors.New("broken") })
+	b.Handle("/bad", func(context.Context, view.Instance, []byte) (any, error) { return nil, errors.New("broken") })
 	b.Public().HandleFunc("GET /v1/x", func(w http.ResponseWriter, _ *http.Request) { w.Write([]byte("public")) })
 	all["b"], all["c"] = b.Addr(), b.Addr()
 	a := startLink(t, all, "ours", "a", 5, "127.0.0.1:0")
 	ctx := context.Background()
 	var got struct {
-		From view.Life
+		From view.Instance
 		Body string
 	}
 	if err := a.Call(ctx, "b", "/echo", 7, &got); err != nil || got.From != a.opts.Self || got.Body != "7" {
@@ -129,8 +129,8 @@
 	all := addresses{}
 	b := startLink(t, all, "ours", "b", 1, "127.0.0.1:0")
 	var calls atomic.Int32
-	b.Handle("/take", func(context.Context, view.Life, []byte) (any, error) { calls.Add(1); return nil, nil })
-	b.Handle("/give", func(context.Context, view.Life, []byte) (any, error) { return strings.Repeat("x", 5000), nil })
+	b.Handle("/take", func(context.Context, view.Instance, []byte) (any, error) { calls.Add(1); return nil, nil })
+	b.Handle("/give", func(context.Context, view.Instance, []byte) (any, error) { return strings.Repeat("x", 5000), nil })
 	all["b"] = b.Addr()
 	a := startLink(t, all, "ours", "a", 1, "127.0.0.1:0")
 	ctx := context.Background()
@@ -221,14 +221,14 @@
 	a, b := startLink(t, all, "ours", "a", 1, "127.0.0.1:0"), startLink(t, all, "ours", "b", 1, "127.0.0.1:0")
 	all["a"], all["b"] = a.Addr(), b.Addr()
 	entered, unblock := make(chan struct{}, 8), make(chan struct{})
-	wait := func(ctx context.Context, _ view.Life, _ []byte) (any, error) {
+	wait := func(ctx context.Context, _ view.Instance, _ []byte) (any, error) {
 		entered <- struct{}{}
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
 	a.Handle("/wait", wait)
 	b.Handle("/wait", wait)
-	b.Handle("/ignores", func(context.Context, view.Life, []byte) (any, error) {
+	b.Handle("/ignores", func(context.Context, view.Instance, []byte) (any, error) {
 		entered <- struct{}{}
 		<-unblock
 		return nil, nil
@@ -272,10 +272,10 @@
 func TestIncarnationTableIsBounded(t *testing.T) {
 	s := &incarnationTable{limit: 3, byName: map[view.Name]*incarnationEntry{}}
 	for _, name := range []view.Name{"a", "b", "c", "a", "d"} {
-		s.observe(view.Life{Name: name, Incarnation: 9})
+		s.observe(view.Instance{Name: name, Incarnation: 9})
 	}
-	if len(s.byName) != 3 || s.observe(view.Life{Name: "a", Incarnation: 1}) != 9 ||
-		s.observe(view.Life{Name: "b", Incarnation: 1}) != 1 {
+	if len(s.byName) != 3 || s.observe(view.Instance{Name: "a", Incarnation: 1}) != 9 ||
+		s.observe(view.Instance{Name: "b", Incarnation: 1}) != 1 {
 		t.Fatal(s.byName)
 	}
 }
--- a/internal/cluster/link/serve.go
+++ b/internal/cluster/link/serve.go
@@ -18,12 +18,12 @@
 
 // handler answers the calls of one path. It must return when its context ends, which happens when the caller's
 // connection ends, after handlerTimeout, or on Close.
-type handler = func(ctx context.Context, from view.Life, body []byte) (any, error)
+type handler = func(ctx context.Context, from view.Instance, body []byte) (any, error)
 
 // Handle registers h for members' calls of a path. The result of h is sent as JSON; a nil result is sent as an empty
 // body. If h returns a *StatusError, that sets the status and the text of the response; any other error is sent with
 // status 500. Handle panics if the path is under /v1/, does not begin with a slash, or has a handler already.
-func (l *Link) Handle(path string, h func(ctx context.Context, from view.Life, body []byte) (any, error)) {
+func (l *Link) Handle(path string, h func(ctx context.Context, from view.Instance, body []byte) (any, error)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !strings.HasPrefix(path, "/") || strings.HasPrefix(path, publicPrefix) || l.handlers[path] != nil {
--- a/internal/cluster/link/volumes_test.go
+++ b/internal/cluster/link/volumes_test.go
@@ -16,7 +16,7 @@
 func TestVolumesAndPartition(t *testing.T) {
 	all := addresses{}
 	var partitioned atomic.Bool
-	b, err := Start(Options{Cluster: "ours", Self: view.Life{Name: "b", Incarnation: 1}, Listen: "127.0.0.1:0", Reach: all.reach,
+	b, err := Start(Options{Cluster: "ours", Self: view.Instance{Name: "b", Incarnation: 1}, Listen: "127.0.0.1:0", Reach: all.reach,
 		Partitioned: func(name view.Name) bool { return partitioned.Load() && name == "a" }})
 	if err != nil {
 		t.Fatal(err)
@@ -26,7 +26,7 @@
 	all["a"], all["b"] = a.Addr(), b.Addr()
 	var answered atomic.Int64
 	for _, l := range []*Link{a, b} {
-		l.Handle("/echo", func(_ context.Context, _ view.Life, body []byte) (any, error) {
+		l.Handle("/echo", func(_ context.Context, _ view.Instance, body []byte) (any, error) {
 			answered.Add(1)
 			return json.RawMessage(body), nil
 		})
--- a/internal/cluster/member/changes_test.go
+++ b/internal/cluster/member/changes_test.go
@@ -110,11 +110,11 @@
 	raised := make(chan view.Incarnation, 9)
 	c.addresses.remove(name)
 	c.members[name] = c.addresses.start(c.t, name, 1, func(o *Options) {
-		o.Self.Empty, o.Self.Folder = true, "new"
+		o.Self.StartedEmpty, o.Self.FolderID = true, "new"
 		o.OnIncarnationRaised = func(i view.Incarnation) { raised <- i }
 	})
 	c.awaitState("back with an empty folder", "", name, view.Alive, 2)
-	if s, _ := c.members["a"].View().Find(name); !s.Empty || s.Folder != "new" || <-raised != 2 {
+	if s, _ := c.members["a"].View().Find(name); !s.StartedEmpty || s.FolderID != "new" || <-raised != 2 {
 		c.t.Errorf("returned as %+v, want an empty folder \"new\" and incarnation 2", s)
 	}
 }
--- a/internal/cluster/member/delegate.go
+++ b/internal/cluster/member/delegate.go
@@ -77,7 +77,7 @@
 // other process is gone. The same incarnation matters too, as other members count acknowledgements by incarnation. If
 // this process may not raise its incarnation, a process with a later one becomes the name owner.
 func (m *Members) handleOwnName(s roster.Observation, gone bool) error {
-	sameProcess := s.Member.Folder == m.self.Member.Folder && s.GossipAddr == m.self.GossipAddr
+	sameProcess := s.Member.FolderID == m.self.Member.FolderID && s.GossipAddr == m.self.GossipAddr
 	superseded := roster.Supersedes(s, m.self)
 	if !superseded && (sameProcess || s.Member.Incarnation < m.self.Member.Incarnation) {
 		return nil
@@ -99,7 +99,7 @@
 		return nil
 	}
 	if m.nameOwner == nil {
-		m.nameOwner = &s.Member.Life
+		m.nameOwner = &s.Member.Instance
 		wake(m.snapshotNeeded)
 	}
 	return errors.New("another process uses this process's name with a later incarnation")
--- a/internal/cluster/member/delegate_test.go
+++ b/internal/cluster/member/delegate_test.go
@@ -12,13 +12,13 @@
 
 // newTestMembers returns a membership without the library, for tests of the methods that the library calls.
 func newTestMembers() *Members {
-	self := view.Member{Life: view.Life{Name: "self", Incarnation: 1}}
+	self := view.Member{Instance: view.Instance{Name: "self", Incarnation: 1}}
 	return newMembers(Options{Self: self, Log: zap.NewNop()}, "")
 }
 
 func nodeOf(t *testing.T, name view.Name, incarnation view.Incarnation, state memberlist.NodeStateType) *memberlist.Node {
 	t.Helper()
-	meta, err := encodeMeta(roster.Observation{Member: view.Member{Life: view.Life{Name: name, Incarnation: incarnation}}})
+	meta, err := encodeMeta(roster.Observation{Member: view.Member{Instance: view.Instance{Name: name, Incarnation: incarnation}}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/cluster/member/loops.go
+++ b/internal/cluster/member/loops.go
@@ -173,7 +173,7 @@
 	view        *view.View
 	raised      bool             // OnIncarnationRaised is due, with incarnation
 	incarnation view.Incarnation // of this process
-	conflict    *view.Life       // argument of OnNameConflict; nil if that is not due
+	conflict    *view.Instance   // argument of OnNameConflict; nil if that is not due
 }
 
 // runNotifications calls the owner's callbacks on a signal of notifyNeeded, one at a time and with the latest view
--- a/internal/cluster/member/member.go
+++ b/internal/cluster/member/member.go
@@ -43,7 +43,7 @@
 	// OnNameConflict is called once if another process becomes the name owner of this process's name. This process's
 	// membership has then ended, without a leave message, as that would announce the leave of the name owner. May be
 	// nil.
-	OnNameConflict func(other view.Life)
+	OnNameConflict func(other view.Instance)
 	// OnIncarnationRaised is called after this process raised its incarnation, because the cluster knew its name with
 	// the same or a later one, as after its folder was lost or an old copy restored. The owner must store the new
 	// incarnation. May be nil.
@@ -93,10 +93,10 @@
 	rejectedName         view.Name   // announced an outdated incarnation; joined next so that it learns the later one
 	firstMetAt           view.Uptime // when the first other member was met; valid if hasMetPeer
 	hasMetPeer           bool
-	raiseCount           int        // raises of the incarnation so far
-	raisePending         bool       // OnIncarnationRaised is due
-	nameOwner            *view.Life // the other process that owns this process's name; nil without a name conflict
-	conflictReported     bool       // OnNameConflict was called
+	raiseCount           int            // raises of the incarnation so far
+	raisePending         bool           // OnIncarnationRaised is due
+	nameOwner            *view.Instance // the other process that owns this process's name; nil without a name conflict
+	conflictReported     bool           // OnNameConflict was called
 }
 
 // Start starts to listen and to join the seeds in the background, and returns at once. It returns an error if the
@@ -214,7 +214,7 @@
 	change(&next.Member)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	next.Member.Life, next.Member.State, next.Member.Folder = m.self.Member.Life, view.Alive, m.self.Member.Folder
+	next.Member.Instance, next.Member.State, next.Member.FolderID = m.self.Member.Instance, view.Alive, m.self.Member.FolderID
 	return m.setSelf(next)
 }
 
--- a/internal/cluster/member/member_test.go
+++ b/internal/cluster/member/member_test.go
@@ -46,7 +46,7 @@
 func (p *addressBook) start(t *testing.T, name view.Name, incarnation view.Incarnation, change func(*Options)) *Members {
 	t.Helper()
 	opts := Options{Cluster: "fleet", Reach: p.addressOf, Seeds: []view.Name{"a", "b"}, Timing: fastTiming,
-		Self: view.Member{Life: view.Life{Name: name, Incarnation: incarnation}, Zone: "z1", Region: "r1", Size: view.Large}}
+		Self: view.Member{Instance: view.Instance{Name: name, Incarnation: incarnation}, Zone: "z1", Region: "r1", Size: view.Large}}
 	if change != nil {
 		change(&opts)
 	}
@@ -118,10 +118,10 @@
 		}
 		return p.addressOf(name)
 	}
-	conflicts := make(chan view.Life, 9)
+	conflicts := make(chan view.Instance, 9)
 	conflicting := func(o *Options) {
 		o.Reach = reach
-		o.OnNameConflict = func(l view.Life) { conflicts <- l }
+		o.OnNameConflict = func(l view.Instance) { conflicts <- l }
 	}
 	a := p.start(t, "a", 1, func(o *Options) { o.Reach = reach })
 	b := p.start(t, "b", 1, func(o *Options) { o.Reach = reach })
--- a/internal/cluster/member/meta.go
+++ b/internal/cluster/member/meta.go
@@ -32,8 +32,8 @@
 // encodeMeta returns a member's encoded metadata, or an error if it is longer than the library allows.
 func encodeMeta(s roster.Observation) ([]byte, error) {
 	m := s.Member
-	body, err := json.Marshal(nodeMeta{m.Incarnation, m.Zone, m.Region, m.Size == view.Small, s.GossipAddr, m.HTTP, m.Raft,
-		m.Empty, m.Folder, m.HasRecords})
+	body, err := json.Marshal(nodeMeta{m.Incarnation, m.Zone, m.Region, m.Size == view.Small, s.GossipAddr, m.HTTPAddr, m.ConsensusAddr,
+		m.StartedEmpty, m.FolderID, m.HasRecords})
 	if err != nil {
 		return nil, err
 	}
@@ -65,9 +65,9 @@
 		size = view.Small
 	}
 	return roster.Observation{GossipAddr: meta.Gossip, Member: view.Member{
-		Life: view.Life{Name: view.Name(n.Name), Incarnation: meta.Incarnation},
-		Zone: meta.Zone, Region: meta.Region, Size: size, State: stateOf[n.State], HTTP: meta.HTTP, Raft: meta.Consensus,
-		Empty: meta.Empty, Folder: meta.Folder, HasRecords: meta.HasRecords,
+		Instance: view.Instance{Name: view.Name(n.Name), Incarnation: meta.Incarnation},
+		Zone:     meta.Zone, Region: meta.Region, Size: size, State: stateOf[n.State], HTTPAddr: meta.HTTP, ConsensusAddr: meta.Consensus,
+		StartedEmpty: meta.Empty, FolderID: meta.Folder, HasRecords: meta.HasRecords,
 	}}, nil
 }
 
--- a/internal/cluster/member/meta_test.go
+++ b/internal/cluster/member/meta_test.go
@@ -13,7 +13,7 @@
 // members of the last snapshot.
 func TestMetaCache(t *testing.T) {
 	node := func(name string, incarnation view.Incarnation, state memberlist.NodeStateType) *memberlist.Node {
-		meta, err := encodeMeta(roster.Observation{Member: view.Member{Life: view.Life{Name: view.Name(name), Incarnation: incarnation}, Zone: "z"}})
+		meta, err := encodeMeta(roster.Observation{Member: view.Member{Instance: view.Instance{Name: view.Name(name), Incarnation: incarnation}, Zone: "z"}})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/cluster/member/roster/roster.go
+++ b/internal/cluster/member/roster/roster.go
@@ -120,7 +120,7 @@
 // the later incarnation takes precedence; within one incarnation it is the one with the greater folder id, or else the
 // one with the greater gossip address, so that all processes decide alike.
 func Supersedes(a, b Observation) bool {
-	return cmp.Or(cmp.Compare(a.Member.Incarnation, b.Member.Incarnation), cmp.Compare(a.Member.Folder, b.Member.Folder),
+	return cmp.Or(cmp.Compare(a.Member.Incarnation, b.Member.Incarnation), cmp.Compare(a.Member.FolderID, b.Member.FolderID),
 		cmp.Compare(a.GossipAddr, b.GossipAddr)) > 0
 }
 
@@ -185,7 +185,7 @@
 func (r *Roster) store(o Observation, now view.Uptime) {
 	since := now
 	e := r.entries[o.Member.Name]
-	if e != nil && e.Member.Life == o.Member.Life && e.Member.State == o.Member.State {
+	if e != nil && e.Member.Instance == o.Member.Instance && e.Member.State == o.Member.State {
 		since = e.stateSince
 	}
 	if e != nil && e.Member.Present() {
--- a/internal/cluster/member/roster/roster_test.go
+++ b/internal/cluster/member/roster/roster_test.go
@@ -11,7 +11,7 @@
 )
 
 func observed(name view.Name, incarnation view.Incarnation, state view.State) Observation {
-	return Observation{Member: view.Member{Life: view.Life{Name: name, Incarnation: incarnation}, State: state}, GossipAddr: "a"}
+	return Observation{Member: view.Member{Instance: view.Instance{Name: name, Incarnation: incarnation}, State: state}, GossipAddr: "a"}
 }
 
 // TestInvariantsUnderAnyTrace applies random observations to a roster and checks the invariants of its view after each.
@@ -121,7 +121,7 @@
 		t.Error("an earlier incarnation was accepted")
 	}
 	restarted := observed("a", 3, 0)
-	restarted.Member.Empty, restarted.Member.Folder = true, "other"
+	restarted.Member.StartedEmpty, restarted.Member.FolderID = true, "other"
 	r.MarkAlive(restarted, 33*time.Second)
 	wantState(view.Alive, 3)
 	r.MarkLeft(restarted, 34*time.Second)
--- a/internal/cluster/member/snapshot_bench_test.go
+++ b/internal/cluster/member/snapshot_bench_test.go
@@ -31,9 +31,9 @@
 
 func benchObservation(no int, incarnation view.Incarnation) roster.Observation {
 	return roster.Observation{GossipAddr: "127.0.0.1:18070", Member: view.Member{
-		Life: view.Life{Name: view.Name(fmt.Sprintf("sender-%05d", no)), Incarnation: incarnation},
-		Zone: view.Zone(fmt.Sprintf("zone-%d", no%24)), Region: view.Region(fmt.Sprintf("region-%d", no%3)),
-		HTTP: "127.0.0.1:18080", Raft: "127.0.0.1:18090", Folder: "0123456789abcdef"}}
+		Instance: view.Instance{Name: view.Name(fmt.Sprintf("sender-%05d", no)), Incarnation: incarnation},
+		Zone:     view.Zone(fmt.Sprintf("zone-%d", no%24)), Region: view.Region(fmt.Sprintf("region-%d", no%3)),
+		HTTPAddr: "127.0.0.1:18080", ConsensusAddr: "127.0.0.1:18090", FolderID: "0123456789abcdef"}}
 }
 
 // alivePacket returns a gossip packet with the alive message of process no. The version is the library's own
--- a/internal/cluster/member/traffic_test.go
+++ b/internal/cluster/member/traffic_test.go
@@ -25,7 +25,7 @@
 		all = append(all, p.start(t, view.Name(fmt.Sprintf("sender-%03d", i)), 1, func(o *Options) {
 			o.Timing = Timing{}
 			o.Seeds = []view.Name{"sender-000", "sender-001", "sender-002"}
-			o.Self.HTTP, o.Self.Raft, o.Self.Folder = "127.0.0.1:18080", "127.0.0.1:18090", "0123456789abcdef"
+			o.Self.HTTPAddr, o.Self.ConsensusAddr, o.Self.FolderID = "127.0.0.1:18080", "127.0.0.1:18090", "0123456789abcdef"
 			o.Self.Zone, o.Self.Region = view.Zone(fmt.Sprintf("zone-%d", i%4)), "region-1"
 		}))
 	}
--- a/internal/cluster/node.go
+++ b/internal/cluster/node.go
@@ -128,8 +128,8 @@
 		return err
 	}
 	n.self = view.Member{
-		Life: view.Life{Name: here.Name, Incarnation: n.folder.Incarnation},
-		Zone: here.Zone, Region: here.Region, Size: here.Size, Folder: n.folder.ID, Empty: n.folder.Empty,
+		Instance: view.Instance{Name: here.Name, Incarnation: n.folder.Incarnation},
+		Zone:     here.Zone, Region: here.Region, Size: here.Size, FolderID: n.folder.ID, StartedEmpty: n.folder.Empty,
 	}
 	n.setView(view.New(n.self.Name, 0, []view.Member{n.self}))
 	return nil
@@ -139,13 +139,13 @@
 func (n *Node) startLink() (err error) {
 	file := n.opts.Settings
 	n.link, err = link.Start(link.Options{
-		Partitioned: n.opts.Partitioned, Cluster: file.Cluster, Self: n.self.Life, Listen: file.Self.Listen.HTTP, Log: n.log.Named("link"),
-		Reach: n.addressOf(func(a settings.Addresses, m view.Member) (string, string) { return a.HTTP, m.HTTP }),
+		Partitioned: n.opts.Partitioned, Cluster: file.Cluster, Self: n.self.Instance, Listen: file.Self.Listen.HTTP, Log: n.log.Named("link"),
+		Reach: n.addressOf(func(a settings.Addresses, m view.Member) (string, string) { return a.HTTP, m.HTTPAddr }),
 	})
 	if err != nil {
 		return err
 	}
-	n.self.HTTP = n.link.Addr()
+	n.self.HTTPAddr = n.link.Addr()
 	return nil
 }
 
@@ -160,12 +160,12 @@
 	n.consensus, err = consensus.Start(consensus.Options{
 		Partitioned: n.opts.Partitioned, Self: n.self, Cluster: file.Cluster, Folder: filepath.Join(file.Self.Folder, "council"),
 		Listen: file.Self.Listen.Consensus, InitialVoters: file.InitialVoters, Parts: parts, Log: n.log.Named("council"),
-		AddressOf: n.addressOf(func(a settings.Addresses, m view.Member) (string, string) { return a.Consensus, m.Raft }),
+		AddressOf: n.addressOf(func(a settings.Addresses, m view.Member) (string, string) { return a.Consensus, m.ConsensusAddr }),
 	})
 	if err != nil {
 		return err
 	}
-	n.self.Raft, n.self.HasRecords = n.consensus.Addr(), n.consensus.HasRecords()
+	n.self.ConsensusAddr, n.self.HasRecords = n.consensus.Addr(), n.consensus.HasRecords()
 	return nil
 }
 
@@ -193,7 +193,7 @@
 }
 
 // leaveToNameOwner closes this node after the name owner, another process, took over this process's name.
-func (n *Node) leaveToNameOwner(owner view.Life) {
+func (n *Node) leaveToNameOwner(owner view.Instance) {
 	n.log.Error("another process uses this process's name with a later incarnation; leaving the cluster",
 		zap.String("name", string(owner.Name)), zap.Uint64("incarnation", uint64(owner.Incarnation)))
 	go n.Close() // in its own goroutine: Close waits for the membership's goroutine, which makes this call
--- a/internal/cluster/popularity/count/count.go
+++ b/internal/cluster/popularity/count/count.go
@@ -104,7 +104,7 @@
 func Decay(age, half time.Duration) float64 { return math.Exp2(-float64(max(age, 0)) / float64(half)) }
 
 // Add counts messages that were submitted up to now.
-func (t *Table) Add(now view.Uptime, all []clusterapi.Count) {
+func (t *Table) Add(now view.Uptime, all []clusterapi.ClientCount) {
 	if now-t.baseTime > rebaseAfterHalfLives*t.bounds.HalfLife {
 		t.rebase(now)
 	}
@@ -117,7 +117,7 @@
 }
 
 // add counts messages, given as a number scaled as of baseTime, and assigns a row to the destination if it has none.
-func (t *Table) add(c clusterapi.Count, messages float64) {
+func (t *Table) add(c clusterapi.ClientCount, messages float64) {
 	t.total += messages
 	r := t.rows[c.Destination]
 	switch {
--- a/internal/cluster/popularity/count/count_test.go
+++ b/internal/cluster/popularity/count/count_test.go
@@ -14,8 +14,8 @@
 )
 
 // submitted returns the count of n messages of one client for a destination.
-func submitted(d int, client string, n uint64) []clusterapi.Count {
-	return []clusterapi.Count{{Destination: choice.DestinationID(d), Client: client, Messages: n}}
+func submitted(d int, client string, n uint64) []clusterapi.ClientCount {
+	return []clusterapi.ClientCount{{Destination: choice.DestinationID(d), Client: client, Messages: n}}
 }
 
 // TestEstimatesWithinBounds compares a table with exact counts. The lower bound of a row never exceeds the exact count, and its
--- a/internal/cluster/popularity/evict/cache_test.go
+++ b/internal/cluster/popularity/evict/cache_test.go
@@ -9,7 +9,7 @@
 
 // cache holds the destinations that a simulated sender caches under one policy.
 type cache struct {
-	held  []clusterapi.Held
+	held  []clusterapi.HeldState
 	index map[choice.DestinationID]int // index in held
 	bytes int                          // sum over held
 	hits  int                          // counted requests for cached destinations
@@ -37,13 +37,13 @@
 		return false
 	}
 	c.index[d] = len(c.held)
-	c.held = append(c.held, clusterapi.Held{Destination: d, Bytes: bytes, Calls: 1})
+	c.held = append(c.held, clusterapi.HeldState{Destination: d, Bytes: bytes, Calls: 1})
 	c.bytes += bytes
 	return true
 }
 
 // evictLowest evicts the destinations with the lowest value, as returned by of, until the bounds hold.
-func (c *cache) evictLowest(b Bounds, of func(h *clusterapi.Held) float64) {
+func (c *cache) evictLowest(b Bounds, of func(h *clusterapi.HeldState) float64) {
 	for b.Destinations > 0 && len(c.held) > b.Destinations || b.Bytes > 0 && c.bytes > b.Bytes {
 		low, least := 0, math.Inf(1)
 		for i := range c.held {
--- a/internal/cluster/popularity/evict/evict.go
+++ b/internal/cluster/popularity/evict/evict.go
@@ -93,13 +93,13 @@
 
 // candidate is a destination that may be evicted, with its priority weight.
 type candidate struct {
-	held   clusterapi.Held
+	held   clusterapi.HeldState
 	weight float64
 }
 
 // Choose selects destinations to evict, so that the others are within the bounds. held lists all cached destinations, and score
 // returns the score of a destination as of now.
-func (e *Evictor) Choose(now view.Uptime, held []clusterapi.Held, b Bounds,
+func (e *Evictor) Choose(now view.Uptime, held []clusterapi.HeldState, b Bounds,
 	score func(choice.DestinationID) float64) (s Selection) {
 	number, bytes := len(held), 0
 	for i := range held {
@@ -123,7 +123,7 @@
 }
 
 // candidates returns the destinations that may be evicted, by ascending priority weight.
-func (e *Evictor) candidates(now view.Uptime, held []clusterapi.Held, score func(choice.DestinationID) float64) []candidate {
+func (e *Evictor) candidates(now view.Uptime, held []clusterapi.HeldState, score func(choice.DestinationID) float64) []candidate {
 	all := make([]candidate, 0, len(held))
 	for _, h := range held {
 		if !h.InUse {
@@ -138,7 +138,7 @@
 
 // priorityWeight returns the priority weight of a destination. Scores and numbers of calls that are invalid count as the lowest
 // possible ones.
-func (e *Evictor) priorityWeight(now view.Uptime, h clusterapi.Held, score float64) float64 {
+func (e *Evictor) priorityWeight(now view.Uptime, h clusterapi.HeldState, score float64) float64 {
 	if !(score >= minScore) || math.IsInf(score, 0) {
 		score = minScore
 	}
--- a/internal/cluster/popularity/evict/evict_test.go
+++ b/internal/cluster/popularity/evict/evict_test.go
@@ -10,9 +10,9 @@
 )
 
 // heldDestinations returns destinations 1 to n with equal sizes and numbers of calls.
-func heldDestinations(n int) (all []clusterapi.Held) {
+func heldDestinations(n int) (all []clusterapi.HeldState) {
 	for d := 1; d <= n; d++ {
-		all = append(all, clusterapi.Held{Destination: choice.DestinationID(d), Bytes: 1000, Calls: 20})
+		all = append(all, clusterapi.HeldState{Destination: choice.DestinationID(d), Bytes: 1000, Calls: 20})
 	}
 	return all
 }
@@ -93,13 +93,13 @@
 		now := time.Duration(n) * 600 * time.Millisecond
 		d := choice.DestinationID(1000 + n)
 		e.Loaded(now, d)
-		held = append(held, clusterapi.Held{Destination: d, Bytes: 1000, Calls: 1})
+		held = append(held, clusterapi.HeldState{Destination: d, Bytes: 1000, Calls: 1})
 		for _, gone := range e.Choose(now, held, Bounds{Destinations: 50}, score).Evict {
 			if gone <= 50 {
 				t.Fatalf("popular destination %d was evicted", gone)
 			}
 			e.Evicted(now, gone)
-			held = slices.DeleteFunc(held, func(h clusterapi.Held) bool { return h.Destination == gone })
+			held = slices.DeleteFunc(held, func(h clusterapi.HeldState) bool { return h.Destination == gone })
 		}
 	}
 	if len(held) != 50 {
--- a/internal/cluster/popularity/evict/size_test.go
+++ b/internal/cluster/popularity/evict/size_test.go
@@ -132,19 +132,19 @@
 			s.evict(now, p, id)
 		}
 	}
-	play := func(policy int, value func(h *clusterapi.Held) float64) {
+	play := func(policy int, value func(h *clusterapi.HeldState) float64) {
 		if s.caches[policy].request(id, bytes, counted) {
 			s.caches[policy].evictLowest(s.bounds, value)
 		}
 	}
-	play(lru, func(h *clusterapi.Held) float64 { return float64(s.last[h.Destination]) })
-	play(lfu, func(h *clusterapi.Held) float64 {
+	play(lru, func(h *clusterapi.HeldState) float64 { return float64(s.last[h.Destination]) })
+	play(lfu, func(h *clusterapi.HeldState) float64 {
 		return s.total[h.Destination] + float64(s.last[h.Destination])/1e9
 	})
-	play(knowsFuture, func(h *clusterapi.Held) float64 {
+	play(knowsFuture, func(h *clusterapi.HeldState) float64 {
 		return -float64(min(math.MaxInt32, s.next[s.last[h.Destination]])-step) * float64(h.Bytes)
 	})
-	play(knowsRates, func(h *clusterapi.Held) float64 {
+	play(knowsRates, func(h *clusterapi.HeldState) float64 {
 		value := float64(s.last[h.Destination])
 		if hot[h.Destination] {
 			value += 1e12
@@ -168,7 +168,7 @@
 
 // regionCounts holds the counts of all senders of a region and its ranking.
 type regionCounts struct {
-	lives   []view.Life
+	lives   []view.Instance
 	tables  [senders]*count.Table
 	merged  *merge.Table
 	ranking *score.Table
@@ -178,7 +178,7 @@
 	r := &regionCounts{merged: merge.NewTable(count.HalfLife), ranking: score.NewTable(count.HalfLife)}
 	for p := range r.tables {
 		r.tables[p] = count.NewTable(count.Bounds{})
-		r.lives = append(r.lives, view.Life{Name: view.Name(fmt.Sprint("p", p)), Incarnation: 1})
+		r.lives = append(r.lives, view.Instance{Name: view.Name(fmt.Sprint("p", p)), Incarnation: 1})
 	}
 	r.merged.SetReporters(r.lives[1:])
 	return r
@@ -189,7 +189,7 @@
 	now := stepTime(step)
 	for p := range r.tables {
 		n := arrived.of[p][step]
-		r.tables[p].Add(now, []clusterapi.Count{{Destination: choice.DestinationID(n), Client: fmt.Sprint(n % 7), Messages: 1}})
+		r.tables[p].Add(now, []clusterapi.ClientCount{{Destination: choice.DestinationID(n), Client: fmt.Sprint(n % 7), Messages: 1}})
 	}
 	if step%(4*perSecond) == 0 {
 		r.rank(now, uint64(step+1))
--- a/internal/cluster/popularity/merge/merge.go
+++ b/internal/cluster/popularity/merge/merge.go
@@ -35,7 +35,7 @@
 // Digest holds the counts of one process and of the processes below it. Its rows are encoded as two lists of equal length, which
 // take less space than a list of objects.
 type Digest struct {
-	From         view.Life              `json:"from"`
+	From         view.Instance          `json:"from"`
 	Seq          uint64                 `json:"seq"`       // grows with each digest that an incarnation makes
 	Age          time.Duration          `json:"age"`       // time since the counts were made
 	Processes    int                    `json:"processes"` // number of processes whose counts it includes
@@ -44,7 +44,7 @@
 }
 
 // NewDigest returns a digest with rows, in which numbers of messages are rounded to a tenth.
-func NewDigest(from view.Life, seq uint64, processes int, rows []count.Row) Digest {
+func NewDigest(from view.Instance, seq uint64, processes int, rows []count.Row) Digest {
 	d := Digest{From: from, Seq: seq, Processes: processes}
 	d.Destinations, d.Messages = Columns(rows)
 	return d
@@ -122,7 +122,7 @@
 
 // SetReporters sets the processes that report here, of which at most maxChildren are accepted. The digests of all others are
 // removed.
-func (t *Table) SetReporters(reporters []view.Life) {
+func (t *Table) SetReporters(reporters []view.Instance) {
 	t.reporters = map[view.Name]view.Incarnation{}
 	for _, l := range reporters[:min(len(reporters), maxChildren)] {
 		t.reporters[l.Name] = l.Incarnation
@@ -173,7 +173,7 @@
 }
 
 // Has reports whether a digest of this incarnation of a process is stored.
-func (t *Table) Has(l view.Life) bool {
+func (t *Table) Has(l view.Instance) bool {
 	stored, found := t.digests[l.Name]
 	return found && stored.incarnation == l.Incarnation
 }
--- a/internal/cluster/popularity/merge/merge_test.go
+++ b/internal/cluster/popularity/merge/merge_test.go
@@ -41,7 +41,7 @@
 		for p := range 3 {
 			for life := view.Incarnation(1); life <= 2; life++ {
 				for seq := range uint64(rapid.IntRange(0, 3).Draw(t, "digests")) {
-					from := view.Life{Name: view.Name(fmt.Sprint(p)), Incarnation: life}
+					from := view.Instance{Name: view.Name(fmt.Sprint(p)), Incarnation: life}
 					s := sentDigest{view.Uptime(life)*5*time.Second + view.Uptime(seq)*time.Second, NewDigest(from, seq, 1,
 						[]count.Row{{Destination: choice.DestinationID(rapid.IntRange(1, 4).Draw(t, "d")),
 							Messages: float64(rapid.IntRange(1, 9).Draw(t, "n"))}})}
@@ -50,7 +50,7 @@
 				}
 			}
 		}
-		lives := []view.Life{{Name: "0"}, {Name: "1"}, {Name: "2"}}
+		lives := []view.Instance{{Name: "0"}, {Name: "1"}, {Name: "2"}}
 		const end = 20 * time.Second
 		want := map[choice.DestinationID]float64{9: 1}
 		for _, s := range newest {
@@ -87,9 +87,9 @@
 // TestPutResults checks the result of Put for valid and invalid digests.
 func TestPutResults(t *testing.T) {
 	table := NewTable(halfLife)
-	table.SetReporters([]view.Life{{Name: "a", Incarnation: 5}})
+	table.SetReporters([]view.Instance{{Name: "a", Incarnation: 5}})
 	good := func() Digest {
-		return NewDigest(view.Life{Name: "a", Incarnation: 5}, 1, 1, []count.Row{{Destination: 1, Messages: 3}})
+		return NewDigest(view.Instance{Name: "a", Incarnation: 5}, 1, 1, []count.Row{{Destination: 1, Messages: 3}})
 	}
 	for i, c := range []struct {
 		want   PutResult
@@ -126,9 +126,9 @@
 // destinations rank before it.
 func TestPopularOnlyInTheRegion(t *testing.T) {
 	table := NewTable(halfLife)
-	var lives []view.Life
+	var lives []view.Instance
 	for p := range 10 {
-		lives = append(lives, view.Life{Name: view.Name(fmt.Sprint(p)), Incarnation: 1})
+		lives = append(lives, view.Instance{Name: view.Name(fmt.Sprint(p)), Incarnation: 1})
 	}
 	table.SetReporters(lives)
 	for p, l := range lives {
--- a/internal/cluster/popularity/run/cluster_test.go
+++ b/internal/cluster/popularity/run/cluster_test.go
@@ -20,7 +20,7 @@
 // This file implements the cluster in memory that the tests run: links that can lose calls, and senders that cache destinations.
 
 // handler handles calls of one path.
-type handler = func(context.Context, view.Life, []byte) (any, error)
+type handler = func(context.Context, view.Instance, []byte) (any, error)
 
 // testCluster is a cluster of processes in two regions, each of which can become unreachable.
 type testCluster struct {
@@ -41,7 +41,7 @@
 // testLink is the Link of one process.
 type testLink struct {
 	cluster *testCluster
-	self    view.Life
+	self    view.Instance
 }
 
 func (e testLink) Handle(path string, h handler) {
@@ -81,7 +81,7 @@
 // fakeSender is a sender that caches destinations. It calls back at once, on the goroutine of the caller.
 type fakeSender struct {
 	mu     sync.Mutex
-	held   map[choice.DestinationID]clusterapi.Held
+	held   map[choice.DestinationID]clusterapi.HeldState
 	taught map[choice.EndpointID]clusterapi.LearnedEndpoint
 }
 
@@ -99,9 +99,9 @@
 	done(retained)
 }
 
-func (s *fakeSender) Holding(done func([]clusterapi.Held)) {
+func (s *fakeSender) ListHeldState(done func([]clusterapi.HeldState)) {
 	s.mu.Lock()
-	var all []clusterapi.Held
+	var all []clusterapi.HeldState
 	for _, h := range s.held {
 		all = append(all, h)
 	}
@@ -109,7 +109,7 @@
 	done(all)
 }
 
-func (s *fakeSender) Teach(learned []clusterapi.LearnedEndpoint) {
+func (s *fakeSender) AdoptLearnedState(learned []clusterapi.LearnedEndpoint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, l := range learned {
@@ -120,13 +120,13 @@
 // endpoint returns the only endpoint of a destination.
 func endpoint(d choice.DestinationID) choice.EndpointID { return choice.EndpointID(fmt.Sprint("e", d)) }
 
-func (s *fakeSender) Know(of []choice.DestinationID, done func([]clusterapi.LearnedEndpoint)) {
+func (s *fakeSender) GetLearnedState(of []choice.DestinationID, done func([]clusterapi.LearnedEndpoint)) {
 	k := choice.LearnedState{Mean: 50, Dev: 5, Past: 50, Seen: 30, Limit: 9}
 	done([]clusterapi.LearnedEndpoint{{Endpoint: endpoint(of[0]), LearnedState: k}})
 }
 
 // hold adds destinations to the cache.
-func (s *fakeSender) hold(all ...clusterapi.Held) {
+func (s *fakeSender) hold(all ...clusterapi.HeldState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, h := range all {
@@ -158,7 +158,7 @@
 		runners: map[view.Name]*Runner{}, senders: map[view.Name]*fakeSender{}}
 	var all []view.Member
 	for i := range 8 {
-		m := view.Member{Life: view.Life{Name: view.Name(fmt.Sprint("p", i)), Incarnation: 1},
+		m := view.Member{Instance: view.Instance{Name: view.Name(fmt.Sprint("p", i)), Incarnation: 1},
 			Zone: view.Zone(fmt.Sprint("z", i%4)), Region: view.Region(fmt.Sprint("r", i%2)), Size: view.Large}
 		if i >= 6 {
 			m.Size = view.Small
@@ -169,9 +169,9 @@
 	for i, m := range all {
 		began := time.Now().Add(-time.Duration(i) * time.Hour) // all clocks differ by hours
 		w.handlers[m.Name] = map[string]handler{}
-		w.senders[m.Name] = &fakeSender{held: map[choice.DestinationID]clusterapi.Held{},
+		w.senders[m.Name] = &fakeSender{held: map[choice.DestinationID]clusterapi.HeldState{},
 			taught: map[choice.EndpointID]clusterapi.LearnedEndpoint{}}
-		w.runners[m.Name] = New(Options{Self: m, Now: func() view.Uptime { return time.Since(began) }, Link: testLink{w, m.Life},
+		w.runners[m.Name] = New(Options{Self: m, Now: func() view.Uptime { return time.Since(began) }, Link: testLink{w, m.Instance},
 			Orders: w.senders[m.Name], View: w.currentView, Tree: w.currentTree, Bounds: bounds, TickInterval: tickInterval})
 	}
 	for _, r := range w.runners {
--- a/internal/cluster/popularity/run/counts.go
+++ b/internal/cluster/popularity/run/counts.go
@@ -41,23 +41,23 @@
 
 // countReportState is the state of sending counts to the parent. It is guarded by mu.
 type countReportState struct {
-	seq           uint64      // of the newest digest
-	parent        view.Life   // the receiver of the counts; this process itself if it is the region's coordinator
-	sentRows      []count.Row // of the newest digest
-	sentAt        view.Uptime // time of the newest digest; valid if sent
-	sent          bool        // whether a digest was sent to the parent
-	inFlight      bool        // a call to a parent is in flight
-	wantedAt      view.Uptime // time at which a process below last asked for a ranking; valid if wantedByChild
-	wantedByChild bool        // whether a process below has ever asked for a ranking
+	seq           uint64        // of the newest digest
+	parent        view.Instance // the receiver of the counts; this process itself if it is the region's coordinator
+	sentRows      []count.Row   // of the newest digest
+	sentAt        view.Uptime   // time of the newest digest; valid if sent
+	sent          bool          // whether a digest was sent to the parent
+	inFlight      bool          // a call to a parent is in flight
+	wantedAt      view.Uptime   // time at which a process below last asked for a ranking; valid if wantedByChild
+	wantedByChild bool          // whether a process below has ever asked for a ranking
 }
 
 // updateReporters accepts the digests of the children that are in this process's region, and of no other process. The caller
 // holds mu.
 func (r *Runner) updateReporters(v *view.View, t *tree.Tree) {
-	var all []view.Life
+	var all []view.Instance
 	for _, name := range t.Children(r.options.Self.Name) {
 		if m, found := v.Find(name); found && t.Region(m.Zone) == r.region(t) {
-			all = append(all, m.Life)
+			all = append(all, m.Instance)
 		}
 	}
 	r.merged.SetReporters(all)
@@ -84,19 +84,19 @@
 
 // countsReceiver returns the process that receives the counts: the parent, or this process itself if it is the region's
 // coordinator. It returns false if the receiver is not in the view or not in the same region.
-func (r *Runner) countsReceiver(v *view.View, t *tree.Tree) (view.Life, bool) {
+func (r *Runner) countsReceiver(v *view.View, t *tree.Tree) (view.Instance, bool) {
 	region := r.region(t)
-	name := t.RegionHead(region)
+	name := t.RegionCoordinator(region)
 	if name != r.options.Self.Name {
 		name, _ = t.Parent(r.options.Self.Name)
 	}
 	m, found := v.Find(name)
-	return m.Life, found && t.Region(m.Zone) == region
+	return m.Instance, found && t.Region(m.Zone) == region
 }
 
 // prepareCounts returns the message for the parent, and whether it has to be sent. The region's coordinator sends none; it turns
 // its digest into the region's ranking.
-func (r *Runner) prepareCounts(now view.Uptime, v *view.View, t *tree.Tree, parent view.Life) (message countsMessage, send bool) {
+func (r *Runner) prepareCounts(now view.Uptime, v *view.View, t *tree.Tree, parent view.Instance) (message countsMessage, send bool) {
 	isCoordinator := parent.Name == r.options.Self.Name
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -136,7 +136,7 @@
 	state := &r.countReport
 	state.seq++
 	state.sentRows, state.sentAt, state.sent = rows, now, true
-	d := merge.NewDigest(r.options.Self.Life, state.seq, processes, rows)
+	d := merge.NewDigest(r.options.Self.Instance, state.seq, processes, rows)
 	return &d
 }
 
@@ -155,7 +155,7 @@
 
 // sendCounts sends a message to the parent and stores the ranking in the answer. If the call fails or the parent has lost the
 // counts, they are due again at the next tick. countedAt is the time of the counts.
-func (r *Runner) sendCounts(to view.Life, message countsMessage, countedAt view.Uptime) {
+func (r *Runner) sendCounts(to view.Instance, message countsMessage, countedAt view.Uptime) {
 	if message.Digest != nil {
 		message.Digest.Age = max(0, r.options.Now()-countedAt)
 	}
@@ -182,7 +182,7 @@
 }
 
 // handleCounts handles the message of a child.
-func (r *Runner) handleCounts(_ context.Context, from view.Life, body []byte) (any, error) {
+func (r *Runner) handleCounts(_ context.Context, from view.Instance, body []byte) (any, error) {
 	var message countsMessage
 	if err := json.Unmarshal(body, &message); err != nil {
 		return nil, r.countMalformed(fmt.Errorf("popularity: cannot decode counts from %q: %w", from.Name, err))
--- a/internal/cluster/popularity/run/eviction.go
+++ b/internal/cluster/popularity/run/eviction.go
@@ -29,7 +29,7 @@
 // large one the sending of learned state.
 type holdings struct {
 	requestNo uint64
-	held      []clusterapi.Held
+	held      []clusterapi.HeldState
 }
 
 // evictionState is the state of the checks. Only the loop's goroutine uses it.
@@ -59,7 +59,7 @@
 	}
 	requestNo := state.requestNo + 1
 	*state = evictionState{requestNo: requestNo, inFlight: true, requestedAt: now, requested: true, bounds: bounds}
-	r.options.Orders.Holding(func(held []clusterapi.Held) { r.deliverHoldings(holdings{requestNo, held}) })
+	r.options.Orders.ListHeldState(func(held []clusterapi.HeldState) { r.deliverHoldings(holdings{requestNo, held}) })
 }
 
 // deliverHoldings passes the sender's answer to the loop. It is called on the sender's loop and never blocks; if an answer is
--- a/internal/cluster/popularity/run/lessons.go
+++ b/internal/cluster/popularity/run/lessons.go
@@ -50,7 +50,7 @@
 	batchNo     uint64                                   // of the newest batch
 	startedAt   view.Uptime                              // time of the newest batch; valid if started
 	started     bool                                     // whether there was any batch
-	coordinator view.Life                                // the coordinator to which sent refers
+	coordinator view.Instance                            // the coordinator to which sent refers
 	sent        map[choice.DestinationID]sentDestination // destinations whose learned state was sent to the coordinator
 }
 
@@ -76,7 +76,7 @@
 			largeProcesses++
 		}
 	}
-	coordinator, found = v.Find(t.RegionHead(region))
+	coordinator, found = v.Find(t.RegionCoordinator(region))
 	return coordinator, max(largeProcesses, 1), found
 }
 
@@ -89,7 +89,7 @@
 	coordinator, large, found := r.regionCoordinator(v, t)
 	state := &r.upload
 	interval := max(r.ticks(batchTicks), r.ticks(large)/(2*maxCallsPerCoordinator))
-	if !found || coordinator.Life == state.coordinator && state.started && now-state.startedAt < interval-r.options.TickInterval/2 {
+	if !found || coordinator.Instance == state.coordinator && state.started && now-state.startedAt < interval-r.options.TickInterval/2 {
 		return
 	}
 	state.batchNo, state.startedAt, state.started = state.batchNo+1, now, true
@@ -97,12 +97,12 @@
 	lost := r.batchFailed
 	r.batchFailed = false
 	r.mu.Unlock()
-	if lost || coordinator.Life != state.coordinator {
-		state.coordinator = coordinator.Life
+	if lost || coordinator.Instance != state.coordinator {
+		state.coordinator = coordinator.Instance
 		clear(state.sent)
 	}
 	batchNo := state.batchNo
-	r.options.Orders.Holding(func(held []clusterapi.Held) { r.deliverHoldings(holdings{batchNo, held}) })
+	r.options.Orders.ListHeldState(func(held []clusterapi.HeldState) { r.deliverHoldings(holdings{batchNo, held}) })
 }
 
 // askForLearnedState asks the sender for the learned state of the destinations that are due, as many as the limits allow. answer
@@ -127,14 +127,14 @@
 	collector := &batchCollector{missing: len(due), batch: learnedBatch{batchNo: answer.requestNo, askedAt: now}}
 	for _, d := range due {
 		state.sent[d.Destination] = sentDestination{d.Calls, now}
-		r.options.Orders.Know([]choice.DestinationID{d.Destination}, func(learned []clusterapi.LearnedEndpoint) {
+		r.options.Orders.GetLearnedState([]choice.DestinationID{d.Destination}, func(learned []clusterapi.LearnedEndpoint) {
 			r.collectLearnedState(collector, d.Destination, learned)
 		})
 	}
 }
 
 // forgetNotHeld drops the records of destinations that the sender does not cache any more.
-func (s *uploadState) forgetNotHeld(held []clusterapi.Held) {
+func (s *uploadState) forgetNotHeld(held []clusterapi.HeldState) {
 	heldNow := make(map[choice.DestinationID]bool, len(held))
 	for _, d := range held {
 		heldNow[d.Destination] = true
@@ -148,8 +148,8 @@
 
 // due returns the destinations to send: first those that were never sent, then those that were sent longest ago. Among equals,
 // those with the most calls come first.
-func (s *uploadState) due(now view.Uptime, held []clusterapi.Held, resendAfter time.Duration) []clusterapi.Held {
-	due := make([]clusterapi.Held, 0, len(held))
+func (s *uploadState) due(now view.Uptime, held []clusterapi.HeldState, resendAfter time.Duration) []clusterapi.HeldState {
+	due := make([]clusterapi.HeldState, 0, len(held))
 	for _, d := range held {
 		last, wasSent := s.sent[d.Destination]
 		changed := d.Calls < last.calls || d.Calls > last.calls*1.25+4
@@ -157,7 +157,7 @@
 			due = append(due, d)
 		}
 	}
-	slices.SortFunc(due, func(a, b clusterapi.Held) int {
+	slices.SortFunc(due, func(a, b clusterapi.HeldState) int {
 		x, y := s.sent[a.Destination], s.sent[b.Destination] // zero if never sent
 		return cmp.Or(cmp.Compare(x.sentAt, y.sentAt), cmp.Compare(b.Calls, a.Calls), cmp.Compare(a.Destination, b.Destination))
 	})
@@ -219,7 +219,7 @@
 }
 
 // callWithBatch sends a batch to the coordinator, in calls of at most maxPerCall destinations. It stops if a call fails.
-func (r *Runner) callWithBatch(coordinator view.Life, batch learnedBatch) {
+func (r *Runner) callWithBatch(coordinator view.Instance, batch learnedBatch) {
 	for rest := batch.destinations; len(rest) > 0; {
 		part := rest[:min(len(rest), maxPerCall)]
 		rest = rest[len(part):]
@@ -257,7 +257,7 @@
 }
 
 // handleLearnedState stores the learned state that another process has sent to the coordinator.
-func (r *Runner) handleLearnedState(_ context.Context, from view.Life, body []byte) (any, error) {
+func (r *Runner) handleLearnedState(_ context.Context, from view.Instance, body []byte) (any, error) {
 	var message learnedStateMessage
 	if err := json.Unmarshal(body, &message); err != nil {
 		return nil, r.countMalformed(fmt.Errorf("popularity: cannot decode learned state from %q: %w", from.Name, err))
--- a/internal/cluster/popularity/run/requests.go
+++ b/internal/cluster/popularity/run/requests.go
@@ -78,7 +78,7 @@
 		state.queued = slices.Delete(state.queued, 0, len(batch))
 		coordinator := view.Name("")
 		if t != nil {
-			coordinator = t.RegionHead(r.region(t))
+			coordinator = t.RegionCoordinator(r.region(t))
 		}
 		r.mu.Lock()
 		r.requestsInFlight++
@@ -109,7 +109,7 @@
 		learned = r.applicableState(answer, destinations, waited)
 	}
 	if len(learned) > 0 && r.ctx.Err() == nil {
-		r.options.Orders.Teach(learned)
+		r.options.Orders.AdoptLearnedState(learned)
 	}
 	r.mu.Lock()
 	r.requestsInFlight--
@@ -152,7 +152,7 @@
 }
 
 // handleRequest answers another process's request for learned state.
-func (r *Runner) handleRequest(_ context.Context, from view.Life, body []byte) (any, error) {
+func (r *Runner) handleRequest(_ context.Context, from view.Instance, body []byte) (any, error) {
 	var request learnedStateRequest
 	if err := json.Unmarshal(body, &request); err != nil {
 		return nil, r.countMalformed(fmt.Errorf("popularity: cannot decode request for learned state from %q: %w", from.Name, err))
--- a/internal/cluster/popularity/run/run.go
+++ b/internal/cluster/popularity/run/run.go
@@ -42,15 +42,15 @@
 // Link calls other processes and receives calls of them.
 type Link interface {
 	Call(ctx context.Context, to view.Name, path string, in, out any) error
-	Handle(path string, h func(ctx context.Context, from view.Life, body []byte) (any, error))
+	Handle(path string, h func(ctx context.Context, from view.Instance, body []byte) (any, error))
 }
 
 // Orders is the part of clusterapi.Orders that a Runner uses to control the sender.
 type Orders interface {
 	Evict(all []choice.DestinationID, done func(retained []choice.DestinationID))
-	Holding(done func([]clusterapi.Held))
-	Teach(learned []clusterapi.LearnedEndpoint)
-	Know(of []choice.DestinationID, done func([]clusterapi.LearnedEndpoint))
+	ListHeldState(done func([]clusterapi.HeldState))
+	AdoptLearnedState(learned []clusterapi.LearnedEndpoint)
+	GetLearnedState(of []choice.DestinationID, done func([]clusterapi.LearnedEndpoint))
 }
 
 // Options configures a Runner. Bounds, TickInterval and Log are optional.
@@ -95,7 +95,7 @@
 	ctx            context.Context
 	cancel         context.CancelFunc
 	goroutines     sync.WaitGroup
-	digests        chan []clusterapi.Count
+	digests        chan []clusterapi.ClientCount
 	loaded         chan choice.DestinationID
 	wake           chan struct{}
 	holdings       chan holdings
@@ -136,7 +136,7 @@
 	r := &Runner{
 		options:        o,
 		bounds:         o.Bounds,
-		digests:        make(chan []clusterapi.Count, maxQueuedDigests),
+		digests:        make(chan []clusterapi.ClientCount, maxQueuedDigests),
 		loaded:         make(chan choice.DestinationID, maxQueuedLoads),
 		wake:           make(chan struct{}, 1),
 		holdings:       make(chan holdings, 1),
@@ -168,9 +168,9 @@
 	r.goroutines.Wait()
 }
 
-// Digest adds the counts of a sender's digest. It never blocks: if the queue of digests is full, the digest is dropped and
+// AddCounts adds the counts of a sender's digest. It never blocks: if the queue of digests is full, the digest is dropped and
 // counted in Status.Dropped.
-func (r *Runner) Digest(d clusterapi.Digest) {
+func (r *Runner) AddCounts(d clusterapi.Digest) {
 	if len(d.Counts) == 0 {
 		return
 	}
@@ -181,9 +181,9 @@
 	}
 }
 
-// Woke requests the region's learned state of a destination of which the sender has none. It never blocks. The answer is handed
+// RequestLearnedState requests the region's learned state of a destination of which the sender has none. It never blocks. The answer is handed
 // to the sender by Orders.Teach; there may be none.
-func (r *Runner) Woke(d choice.DestinationID) {
+func (r *Runner) RequestLearnedState(d choice.DestinationID) {
 	select {
 	case r.loaded <- d:
 	default:
@@ -223,7 +223,7 @@
 	s.Region = r.options.Self.Region
 	if t != nil {
 		s.Region = r.region(t)
-		s.Coordinator = t.RegionHead(s.Region)
+		s.Coordinator = t.RegionCoordinator(s.Region)
 	}
 	return s
 }
--- a/internal/cluster/popularity/score/score.go
+++ b/internal/cluster/popularity/score/score.go
@@ -30,8 +30,8 @@
 // Version identifies a ranking by the incarnation of the region's coordinator that made it and a sequence number. The zero value
 // stands for no ranking.
 type Version struct {
-	Coordinator view.Life `json:"head"`
-	Seq         uint64    `json:"seq"`
+	Coordinator view.Instance `json:"head"`
+	Seq         uint64        `json:"seq"`
 }
 
 // Ranking holds the destinations with the most messages in a region, as it is sent down the tree. Destinations and Messages have
--- a/internal/cluster/popularity/score/score_test.go
+++ b/internal/cluster/popularity/score/score_test.go
@@ -13,7 +13,7 @@
 
 // ranking returns a ranking of ten processes with destination 1 only.
 func ranking(coordinator view.Name, incarnation view.Incarnation, seq uint64, age time.Duration, messages float64) Ranking {
-	return Ranking{Version: Version{view.Life{Name: coordinator, Incarnation: incarnation}, seq}, Region: "r", Age: age, Processes: 10,
+	return Ranking{Version: Version{view.Instance{Name: coordinator, Incarnation: incarnation}, seq}, Region: "r", Age: age, Processes: 10,
 		Destinations: []choice.DestinationID{1}, Messages: []float64{messages}}
 }
 
--- a/internal/cluster/purge/ledger/commands.go
+++ b/internal/cluster/purge/ledger/commands.go
@@ -77,7 +77,7 @@
 // Participant is a process that must acknowledge purges. LongestDeadline is the longest deadline of any message that the
 // process can hold; 0 means unknown.
 type Participant struct {
-	view.Life
+	view.Instance
 	Zone            view.Zone     `json:"zone"`
 	Region          view.Region   `json:"region"`
 	Folder          string        `json:"folder,omitempty"`
@@ -100,7 +100,7 @@
 // Leave is the command that removes participants that hold no messages any more, because they left after a drain or were
 // absent for AbsenceLimit.
 type Leave struct {
-	Lives []view.Life `json:"lives"`
+	Lives []view.Instance `json:"lives"`
 }
 
 // Close is the command that closes the oldest open purges, in ascending order of their Seqs.
@@ -119,11 +119,11 @@
 // ZoneSum is the outcome of a purge in one zone: the number of participants that acknowledged it, the number whose
 // acknowledgement lapsed, and the sum of what the purge found.
 type ZoneSum struct {
-	Region  view.Region      `json:"region"`
-	Zone    view.Zone        `json:"zone"`
-	Reached int              `json:"reached"`
-	Lapsed  int              `json:"lapsed,omitempty"`
-	Found   clusterapi.Found `json:"found"`
+	Region  view.Region            `json:"region"`
+	Zone    view.Zone              `json:"zone"`
+	Reached int                    `json:"reached"`
+	Lapsed  int                    `json:"lapsed,omitempty"`
+	Found   clusterapi.PurgeResult `json:"found"`
 }
 
 // CloseResult is the answer to a Close. Closed purges were closed; Reason says why the next one was not.
@@ -136,21 +136,21 @@
 // record is no longer needed by any process; when it is not among the newest closed purges either, it retains only its id,
 // its state, the checksums and the total sums.
 type Record struct {
-	Seq         uint64           `json:"seq"`
-	ID          string           `json:"id"`
-	Subject     Subject          `json:"subject"`
-	Match       clusterapi.Match `json:"match"`
-	RequestedBy string           `json:"who,omitempty"`
-	Reason      string           `json:"why,omitempty"`
-	OpenedAt    time.Duration    `json:"at"` // time of the consensus group's clock when the purge was opened
-	State       State            `json:"state"`
-	Zones       []ZoneSum        `json:"zones,omitempty"`
-	LapsedNames []view.Name      `json:"names,omitempty"`
-	Reached     int              `json:"reached,omitempty"`
-	Lapsed      int              `json:"lapsed,omitempty"`
-	Found       clusterapi.Found `json:"found"`
-	Checksums   [4]uint32        `json:"prints"` // CRC-32 of each of checksumFields, in that order
-	Compacted   bool             `json:"short,omitempty"`
+	Seq         uint64                 `json:"seq"`
+	ID          string                 `json:"id"`
+	Subject     Subject                `json:"subject"`
+	Match       clusterapi.Match       `json:"match"`
+	RequestedBy string                 `json:"who,omitempty"`
+	Reason      string                 `json:"why,omitempty"`
+	OpenedAt    time.Duration          `json:"at"` // time of the consensus group's clock when the purge was opened
+	State       State                  `json:"state"`
+	Zones       []ZoneSum              `json:"zones,omitempty"`
+	LapsedNames []view.Name            `json:"names,omitempty"`
+	Reached     int                    `json:"reached,omitempty"`
+	Lapsed      int                    `json:"lapsed,omitempty"`
+	Found       clusterapi.PurgeResult `json:"found"`
+	Checksums   [4]uint32              `json:"prints"` // CRC-32 of each of checksumFields, in that order
+	Compacted   bool                   `json:"short,omitempty"`
 }
 
 // Bounds on the texts of a command, in bytes.
--- a/internal/cluster/purge/ledger/ledger_test.go
+++ b/internal/cluster/purge/ledger/ledger_test.go
@@ -35,7 +35,7 @@
 }
 
 func participant(n string, inc view.Incarnation) Participant {
-	return Participant{Life: view.Life{Name: view.Name(n), Incarnation: inc}, Zone: "z1", Region: "r1", LongestDeadline: time.Minute}
+	return Participant{Instance: view.Instance{Name: view.Name(n), Incarnation: inc}, Zone: "z1", Region: "r1", LongestDeadline: time.Minute}
 }
 
 func TestReusedIDIsRejected(t *testing.T) {
@@ -165,7 +165,7 @@
 				if len(l.participants) == 0 {
 					continue
 				}
-				kind, c = KindLeave, Leave{Lives: []view.Life{rapid.SampledFrom(l.participants).Draw(t, "participant").Life}}
+				kind, c = KindLeave, Leave{Lives: []view.Instance{rapid.SampledFrom(l.participants).Draw(t, "participant").Instance}}
 			}
 			last := l.lastSeq
 			one, two := mustApply[map[string]any](t, l, at, kind, c), mustApply[map[string]any](t, twin, at, kind, c)
--- a/internal/cluster/purge/ledger/storeddata_test.go
+++ b/internal/cluster/purge/ledger/storeddata_test.go
@@ -20,21 +20,21 @@
 	return []ledger.Record{
 		{Seq: 1, ID: "one", Subject: "notices", Match: clusterapi.Match{Destination: destination, Class: "pure", Key: "k"},
 			RequestedBy: "ops", Reason: "a key", OpenedAt: 2 * time.Minute, State: "complete", Zones: []ledger.ZoneSum{
-				{Region: "r1", Zone: "z1", Reached: 1, Found: clusterapi.Found{NotBegun: 1, MayRun: 2, Delivered: 3, LearnedState: 4}},
-				{Region: "r1", Zone: "z2", Reached: 1, Found: clusterapi.Found{NotBegun: 5}},
-			}, Reached: 2, Found: clusterapi.Found{NotBegun: 6, MayRun: 2, Delivered: 3, LearnedState: 4},
+				{Region: "r1", Zone: "z1", Reached: 1, Found: clusterapi.PurgeResult{NotBegun: 1, MayRun: 2, Delivered: 3, LearnedState: 4}},
+				{Region: "r1", Zone: "z2", Reached: 1, Found: clusterapi.PurgeResult{NotBegun: 5}},
+			}, Reached: 2, Found: clusterapi.PurgeResult{NotBegun: 6, MayRun: 2, Delivered: 3, LearnedState: 4},
 			Checksums: [4]uint32{1848402386, 70654881, 1526271103, 3079894117}, Compacted: true},
 		{Seq: 2, ID: "two", Subject: "notices", Match: clusterapi.Match{KeyPrefix: "k-"},
 			RequestedBy: "ops", Reason: "a prefix", OpenedAt: 3 * time.Minute, State: "complete with lapsed", Zones: []ledger.ZoneSum{
-				{Region: "r1", Zone: "z1", Reached: 1, Found: clusterapi.Found{Delivered: 6}},
+				{Region: "r1", Zone: "z1", Reached: 1, Found: clusterapi.PurgeResult{Delivered: 6}},
 				{Region: "r1", Zone: "z2", Lapsed: 1},
-			}, LapsedNames: []view.Name{"b"}, Reached: 1, Lapsed: 1, Found: clusterapi.Found{Delivered: 6},
+			}, LapsedNames: []view.Name{"b"}, Reached: 1, Lapsed: 1, Found: clusterapi.PurgeResult{Delivered: 6},
 			Checksums: [4]uint32{1848402386, 3348729753, 1526271103, 2494390781}, Compacted: true},
 		{Seq: 3, ID: "three", Subject: "learnt", Match: clusterapi.Match{Destination: destination},
 			RequestedBy: "ops", Reason: "learnt", OpenedAt: 4 * time.Minute, State: "complete", Zones: []ledger.ZoneSum{
-				{Region: "r1", Zone: "z1", Reached: 1, Found: clusterapi.Found{LearnedState: 9}},
+				{Region: "r1", Zone: "z1", Reached: 1, Found: clusterapi.PurgeResult{LearnedState: 9}},
 				{Region: "r1", Zone: "z2", Reached: 1},
-			}, Reached: 2, Found: clusterapi.Found{LearnedState: 9},
+			}, Reached: 2, Found: clusterapi.PurgeResult{LearnedState: 9},
 			Checksums: [4]uint32{3890170347, 3617051539, 1526271103, 3890170347}},
 		{Seq: 4, ID: "four", Subject: "notices", Match: clusterapi.Match{Class: "line"},
 			RequestedBy: "ops", Reason: "a workload", OpenedAt: 11 * time.Minute, State: "spreading",
@@ -45,8 +45,8 @@
 // storedParticipants returns the participants that result from the stored commands.
 func storedParticipants() []ledger.Participant {
 	return []ledger.Participant{
-		{Life: view.Life{Name: "a", Incarnation: 5}, Zone: "z1", Region: "r1", Folder: "fa", LongestDeadline: time.Minute},
-		{Life: view.Life{Name: "b", Incarnation: 6}, Zone: "z2", Region: "r1", LongestDeadline: 2 * time.Minute},
+		{Instance: view.Instance{Name: "a", Incarnation: 5}, Zone: "z1", Region: "r1", Folder: "fa", LongestDeadline: time.Minute},
+		{Instance: view.Instance{Name: "b", Incarnation: 6}, Zone: "z2", Region: "r1", LongestDeadline: 2 * time.Minute},
 	}
 }
 
--- a/internal/cluster/purge/run/catchup.go
+++ b/internal/cluster/purge/run/catchup.go
@@ -22,7 +22,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	self := r.options.Self
-	return ledger.Participant{Life: self.Life, Zone: self.Zone, Region: self.Region, Folder: self.Folder,
+	return ledger.Participant{Instance: self.Instance, Zone: self.Zone, Region: self.Region, Folder: self.FolderID,
 		LongestDeadline: r.longestDeadline}
 }
 
--- a/internal/cluster/purge/run/leader.go
+++ b/internal/cluster/purge/run/leader.go
@@ -85,7 +85,7 @@
 	}
 	r.leading = true
 	if r.leaderState == nil {
-		r.leaderState = spread.NewLeaderState(r.options.Self.Life)
+		r.leaderState = spread.NewLeaderState(r.options.Self.Instance)
 	}
 	state := r.leaderState
 	if update.changed {
@@ -99,7 +99,7 @@
 	}
 	if r.view != nil && r.tree != nil {
 		if root, found := r.view.Find(r.tree.Root()); found {
-			state.SetRoot(root.Life, now)
+			state.SetRoot(root.Instance, now)
 		}
 		r.syncParticipants(now)
 	}
@@ -116,7 +116,7 @@
 type rootState struct{ *spread.LeaderState }
 
 // HandleAnswer processes the root's answer to an update.
-func (s rootState) HandleAnswer(life view.Life, report spread.Report, now view.Uptime) {
+func (s rootState) HandleAnswer(life view.Instance, report spread.Report, now view.Uptime) {
 	s.HandleRootAnswer(life, report, now)
 }
 
@@ -151,7 +151,7 @@
 }
 
 // expiredParticipants returns the participants that were absent for longer than ledger.AbsenceLimit. The caller holds the lock.
-func (r *Runner) expiredParticipants(now view.Uptime) (expired []view.Life) {
+func (r *Runner) expiredParticipants(now view.Uptime) (expired []view.Instance) {
 	w := &r.leaderWork
 	if w.absentSince == nil {
 		w.absentSince = map[view.Name]view.Uptime{}
@@ -166,7 +166,7 @@
 		case !known:
 			w.absentSince[p.Name] = now
 		case now-since > ledger.AbsenceLimit:
-			expired = append(expired, p.Life)
+			expired = append(expired, p.Instance)
 			delete(w.absentSince, p.Name)
 		}
 	}
@@ -182,7 +182,7 @@
 	for _, m := range r.view.Members {
 		p, joined := participants[m.Name]
 		if m.Present() && (!joined || p.Incarnation < m.Incarnation) {
-			joining = append(joining, ledger.Participant{Life: m.Life, Zone: m.Zone, Region: m.Region, Folder: m.Folder})
+			joining = append(joining, ledger.Participant{Instance: m.Instance, Zone: m.Zone, Region: m.Region, Folder: m.FolderID})
 		}
 	}
 	return joining
--- a/internal/cluster/purge/run/messages.go
+++ b/internal/cluster/purge/run/messages.go
@@ -53,8 +53,8 @@
 
 // updateTracker processes the outcome of an update. It is implemented by spread.State and rootState.
 type updateTracker interface {
-	HandleAnswer(view.Life, spread.Report, view.Uptime)
-	UpdateFailed(view.Life, view.Uptime)
+	HandleAnswer(view.Instance, spread.Report, view.Uptime)
+	UpdateFailed(view.Instance, view.Uptime)
 }
 
 // sendUpdate sends an update to a child, and passes the report in the answer to the tracker.
@@ -91,7 +91,7 @@
 
 // handleUpdate handles an update of the parent. It answers with a report once this process and all processes below it have
 // applied the purges, or after spread.MaxAnswerDelay.
-func (r *Runner) handleUpdate(ctx context.Context, from view.Life, body []byte) (any, error) {
+func (r *Runner) handleUpdate(ctx context.Context, from view.Instance, body []byte) (any, error) {
 	var update spread.Update
 	if err := json.Unmarshal(body, &update); err != nil {
 		return nil, fmt.Errorf("purge: cannot decode update: %w", err)
@@ -110,7 +110,7 @@
 
 // handleRootUpdate handles an update of the leader to the root. It stores who the leader is, because a root outside the
 // consensus group learns only from this message to whom it must report.
-func (r *Runner) handleRootUpdate(ctx context.Context, from view.Life, body []byte) (any, error) {
+func (r *Runner) handleRootUpdate(ctx context.Context, from view.Instance, body []byte) (any, error) {
 	leader, known := r.options.Consensus.Leader()
 	r.mu.Lock()
 	r.lastLeader = from
@@ -120,7 +120,7 @@
 }
 
 // decodeReport decodes a report and checks that it was made by the process that sent it.
-func decodeReport(from view.Life, body []byte) (report spread.Report, err error) {
+func decodeReport(from view.Instance, body []byte) (report spread.Report, err error) {
 	if err = json.Unmarshal(body, &report); err != nil {
 		return report, fmt.Errorf("purge: cannot decode report: %w", err)
 	}
@@ -131,7 +131,7 @@
 }
 
 // handleReport handles a report of a child.
-func (r *Runner) handleReport(_ context.Context, from view.Life, body []byte) (any, error) {
+func (r *Runner) handleReport(_ context.Context, from view.Instance, body []byte) (any, error) {
 	report, err := decodeReport(from, body)
 	if err != nil {
 		return nil, err
@@ -144,7 +144,7 @@
 }
 
 // handleRootReport handles a report of the root. It fails if this process is not the leader.
-func (r *Runner) handleRootReport(_ context.Context, from view.Life, body []byte) (any, error) {
+func (r *Runner) handleRootReport(_ context.Context, from view.Instance, body []byte) (any, error) {
 	report, err := decodeReport(from, body)
 	if err != nil {
 		return nil, err
@@ -160,7 +160,7 @@
 }
 
 // handlePurgesSince answers a process that has started with the purges that it has missed and this process has received.
-func (r *Runner) handlePurgesSince(_ context.Context, _ view.Life, body []byte) (any, error) {
+func (r *Runner) handlePurgesSince(_ context.Context, _ view.Instance, body []byte) (any, error) {
 	var request sinceRequest
 	if err := json.Unmarshal(body, &request); err != nil {
 		return nil, fmt.Errorf("purge: cannot decode request for missed purges: %w", err)
@@ -174,7 +174,7 @@
 }
 
 // handlePropose proposes a command of another process. It fails if this process is not the leader.
-func (r *Runner) handlePropose(ctx context.Context, _ view.Life, body []byte) (any, error) {
+func (r *Runner) handlePropose(ctx context.Context, _ view.Instance, body []byte) (any, error) {
 	var p proposal
 	if err := json.Unmarshal(body, &p); err != nil {
 		return nil, fmt.Errorf("purge: cannot decode proposal: %w", err)
@@ -215,7 +215,7 @@
 // candidates returns the processes to ask for what only the leader can answer: first those that may be the leader, as far as
 // this process knows, then others, at most maxCandidates in total.
 func (r *Runner) candidates() []view.Name {
-	likely := r.options.Consensus.Ask()
+	likely := r.options.Consensus.LeaderCandidates()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return leadercall.Candidates(likely, r.lastLeader.Name, r.view, r.options.Self.Name, maxCandidates)
--- a/internal/cluster/purge/run/run.go
+++ b/internal/cluster/purge/run/run.go
@@ -85,7 +85,7 @@
 	leaderWork       leaderWork
 	view             *view.View      // nil until SetView
 	tree             leadercall.Tree // nil until SetView
-	lastLeader       view.Life       // the process that last called this one as the leader
+	lastLeader       view.Instance   // the process that last called this one as the leader
 	longestDeadline  time.Duration   // of any message that the sender can hold; 0 for unknown
 	reportedDeadline time.Duration   // the longestDeadline that the ledger has of this participant; -1 to join again
 	caughtUp         bool            // see CaughtUp
@@ -98,7 +98,7 @@
 		return nil, err
 	}
 	r := &Runner{options: o, limiter: make(leadercall.Limiter, maxRequests), longestDeadline: o.LongestDeadline,
-		state: spread.New(o.Self.Life, o.Self.Folder, o.Orders.Applied())}
+		state: spread.New(o.Self.Instance, o.Self.FolderID, o.Orders.LastAppliedSeq())}
 	r.signals = leadercall.NewSignals(&r.mu)
 	r.ctx, r.stop = context.WithCancel(context.Background())
 	r.caller = leadercall.Caller{
@@ -142,7 +142,7 @@
 		// An earlier incarnation had a higher number, so this incarnation was raised above it and has to join again.
 		r.options.Self.Incarnation = m.Incarnation
 		r.leaderState = nil
-		r.state.SetIncarnation(m.Life, r.options.Now())
+		r.state.SetIncarnation(m.Instance, r.options.Now())
 		r.reportedDeadline = -1
 	}
 	r.mu.Unlock()
@@ -200,7 +200,7 @@
 		r.goroutines.Go(func() { r.sendReport(parent, report) })
 	}
 	if apply != nil {
-		r.options.Orders.Purge(apply, func(applied uint64, found []clusterapi.Found) {
+		r.options.Orders.Purge(apply, func(applied uint64, found []clusterapi.PurgeResult) {
 			r.mu.Lock()
 			defer r.mu.Unlock()
 			r.state.BatchApplied(applied, found, r.options.Now())
@@ -216,12 +216,12 @@
 		return
 	}
 	life, top, below := leadercall.TreePosition(r.view, r.tree, r.options.Self.Name, leader, known, r.lastLeader)
-	r.state.SetTree(spread.Parent{Life: life, IsLeader: top}, below, now)
+	r.state.SetTree(spread.Parent{Instance: life, IsLeader: top}, below, now)
 }
 
 // life returns the current incarnation of this process, which SetView may raise.
-func (r *Runner) life() view.Life {
+func (r *Runner) life() view.Instance {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.options.Self.Life
+	return r.options.Self.Instance
 }
