--- a/internal/cluster/purge/run/run_test.go
+++ b/internal/cluster/purge/run/run_test.go
@@ -21,15 +21,15 @@
 type fakeSender struct {
 	mu      sync.Mutex
 	applied uint64
-	found   map[uint64]clusterapi.Found
+	found   map[uint64]clusterapi.PurgeResult
 }
 
-func (o *fakeSender) Purge(all []clusterapi.Purge, done func(uint64, []clusterapi.Found)) {
+func (o *fakeSender) Purge(all []clusterapi.Purge, done func(uint64, []clusterapi.PurgeResult)) {
 	o.mu.Lock()
-	var found []clusterapi.Found
+	var found []clusterapi.PurgeResult
 	for _, p := range all {
 		if p.Seq > o.applied {
-			o.applied, o.found[p.Seq] = p.Seq, clusterapi.Found{NotBegun: 1}
+			o.applied, o.found[p.Seq] = p.Seq, clusterapi.PurgeResult{NotBegun: 1}
 		}
 		found = append(found, o.found[p.Seq])
 	}
@@ -38,16 +38,16 @@
 	go done(applied, found)
 }
 
-func (o *fakeSender) Applied() uint64 {
+func (o *fakeSender) LastAppliedSeq() uint64 {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.applied
 }
-func (o *fakeSender) Evict([]choice.DestinationID, func([]choice.DestinationID))      {}
-func (o *fakeSender) Holding(func([]clusterapi.Held))                                 {}
-func (o *fakeSender) Teach([]clusterapi.LearnedEndpoint)                              {}
-func (o *fakeSender) Know([]choice.DestinationID, func([]clusterapi.LearnedEndpoint)) {}
-func (o *fakeSender) Configure(clusterapi.Configuration, func(error))                 {}
+func (o *fakeSender) Evict([]choice.DestinationID, func([]choice.DestinationID))                 {}
+func (o *fakeSender) ListHeldState(func([]clusterapi.HeldState))                                 {}
+func (o *fakeSender) AdoptLearnedState([]clusterapi.LearnedEndpoint)                             {}
+func (o *fakeSender) GetLearnedState([]choice.DestinationID, func([]clusterapi.LearnedEndpoint)) {}
+func (o *fakeSender) Configure(clusterapi.Configuration, func(error))                            {}
 
 // fleet is a simulated network, with a ledger that all Runners on it share.
 type fleet struct {
@@ -63,7 +63,7 @@
 // start starts the Runner of a member. bound is its CatchUpTimeout.
 func (f *fleet) start(t *testing.T, m view.Member, o *fakeSender, bound time.Duration) *Runner {
 	t.Helper()
-	l := f.net.Link(m.Life)
+	l := f.net.Link(m.Instance)
 	r, err := Start(Options{Self: m, Link: l, Consensus: f.net.Consensus(m.Name), Ledger: f.ledger, Orders: o,
 		LongestDeadline: time.Minute, CatchUpTimeout: bound})
 	if err != nil {
@@ -83,9 +83,9 @@
 	var senders []*fakeSender
 	var all []*Runner
 	for i := range 13 {
-		members = append(members, view.Member{Life: view.Life{Name: view.Name(fmt.Sprintf("p%d", i)), Incarnation: 1},
-			Zone: view.Zone(fmt.Sprintf("z%d", i%3)), Region: "r", Folder: fmt.Sprint("f", i)})
-		senders = append(senders, &fakeSender{found: map[uint64]clusterapi.Found{}})
+		members = append(members, view.Member{Instance: view.Instance{Name: view.Name(fmt.Sprintf("p%d", i)), Incarnation: 1},
+			Zone: view.Zone(fmt.Sprintf("z%d", i%3)), Region: "r", FolderID: fmt.Sprint("f", i)})
+		senders = append(senders, &fakeSender{found: map[uint64]clusterapi.PurgeResult{}})
 		all = append(all, f.start(t, members[i], senders[i], 20*time.Second))
 	}
 	defer func() {
@@ -167,7 +167,7 @@
 	f.net.SetDown(false, "p5")
 	all[5] = f.start(t, members[5], senders[5], 20*time.Second)
 	<-all[5].Ready()
-	if seq := senders[5].Applied(); seq < got.Seq {
+	if seq := senders[5].LastAppliedSeq(); seq < got.Seq {
 		t.Errorf("process is ready with purges applied up to %d, want %d", seq, got.Seq)
 	}
 	updateViews()
@@ -192,7 +192,7 @@
 func TestProcessWithoutPeersBecomesReady(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	f := newFleet("")
-	r := f.start(t, view.Member{Life: view.Life{Name: "p", Incarnation: 1}}, &fakeSender{}, 50*time.Millisecond)
+	r := f.start(t, view.Member{Instance: view.Instance{Name: "p", Incarnation: 1}}, &fakeSender{}, 50*time.Millisecond)
 	defer r.Close()
 	select {
 	case <-r.Ready():
--- a/internal/cluster/purge/run/status.go
+++ b/internal/cluster/purge/run/status.go
@@ -44,10 +44,10 @@
 
 // Sums holds the numbers of processes by acknowledgement, and the sum of what the purge found at them.
 type Sums struct {
-	Acknowledged int              `json:"acknowledged"`
-	NotReached   int              `json:"not_reached_yet"`
-	Lapsed       int              `json:"lapsed"`
-	Found        clusterapi.Found `json:"found"`
+	Acknowledged int                    `json:"acknowledged"`
+	NotReached   int                    `json:"not_reached_yet"`
+	Lapsed       int                    `json:"lapsed"`
+	Found        clusterapi.PurgeResult `json:"found"`
 }
 
 // RegionStatus is the status of a purge in one region.
@@ -66,9 +66,9 @@
 
 // ProcessStatus is the status of an open purge at one process.
 type ProcessStatus struct {
-	view.Life
-	AckState AckState         `json:"standing"`
-	Found    clusterapi.Found `json:"found"`
+	view.Instance
+	AckState AckState               `json:"standing"`
+	Found    clusterapi.PurgeResult `json:"found"`
 }
 
 // statusRequest asks the leader for the status of a purge.
@@ -91,7 +91,7 @@
 
 // handleStatusRequest handles a request for a status, by another process or this one. It fails if this process is not the
 // leader.
-func (r *Runner) handleStatusRequest(_ context.Context, _ view.Life, body []byte) (any, error) {
+func (r *Runner) handleStatusRequest(_ context.Context, _ view.Instance, body []byte) (any, error) {
 	var request statusRequest
 	if err := json.Unmarshal(body, &request); err != nil {
 		return nil, fmt.Errorf("purge: cannot decode status request: %w", err)
@@ -140,7 +140,7 @@
 	}
 	for _, p := range acknowledgements {
 		z := s.zone(p.Participant.Region, p.Participant.Zone)
-		one := ProcessStatus{Life: p.Participant.Life, AckState: ackPending, Found: p.Found}
+		one := ProcessStatus{Instance: p.Participant.Instance, AckState: ackPending, Found: p.Found}
 		if p.Acknowledged {
 			one.AckState = ackReceived
 			z.Sums.Acknowledged++
--- a/internal/cluster/purge/spread/children.go
+++ b/internal/cluster/purge/spread/children.go
@@ -11,14 +11,14 @@
 
 // child is the state of one child in the tree, as this process knows it.
 type child struct {
-	life            view.Life
-	reported        bool        // a report was received from this incarnation
-	receivedSeq     uint64      // the child has received all purges up to here
-	messageNo       uint64      // MessageNo of its newest report
-	membersChecksum uint32      // of members
-	members         []view.Life // the child and all processes below it
-	progress        []Progress  // of the members, in the same order
-	resend          bool        // the next update must ask for a complete report
+	life            view.Instance
+	reported        bool            // a report was received from this incarnation
+	receivedSeq     uint64          // the child has received all purges up to here
+	messageNo       uint64          // MessageNo of its newest report
+	membersChecksum uint32          // of members
+	members         []view.Instance // the child and all processes below it
+	progress        []Progress      // of the members, in the same order
+	resend          bool            // the next update must ask for a complete report
 
 	inFlight bool        // an update is in flight
 	failures int         // updates that failed one after the other
@@ -48,7 +48,7 @@
 }
 
 // HandleAnswer processes the answer of a child to an update.
-func (s *State) HandleAnswer(life view.Life, report Report, now view.Uptime) {
+func (s *State) HandleAnswer(life view.Instance, report Report, now view.Uptime) {
 	c := s.children[life.Name]
 	if c == nil || c.life != life {
 		return
@@ -64,7 +64,7 @@
 }
 
 // UpdateFailed records that the call with an update failed; the child may still have received it.
-func (s *State) UpdateFailed(life view.Life, now view.Uptime) {
+func (s *State) UpdateFailed(life view.Instance, now view.Uptime) {
 	c := s.children[life.Name]
 	if c == nil || c.life != life {
 		return
@@ -135,10 +135,10 @@
 }
 
 // seqByLife returns the AppliedSeq of each incarnation.
-func seqByLife(progress []Progress) map[view.Life]uint64 {
-	index := make(map[view.Life]uint64, len(progress))
+func seqByLife(progress []Progress) map[view.Instance]uint64 {
+	index := make(map[view.Instance]uint64, len(progress))
 	for _, p := range progress {
-		index[p.Life] = p.AppliedSeq
+		index[p.Instance] = p.AppliedSeq
 	}
 	return index
 }
--- a/internal/cluster/purge/spread/guarantee_test.go
+++ b/internal/cluster/purge/spread/guarantee_test.go
@@ -78,7 +78,7 @@
 				p.oldDisk = p.disk.copy()
 			case 13: // a new process joins that has already accepted a message
 				p := &process{name: view.Name(fmt.Sprintf("q%02d", len(w.processes))), zone: "z0", alive: true, incarnation: 1,
-					disk: &disk{folder: "new", found: map[uint64]clusterapi.Found{}}}
+					disk: &disk{folder: "new", found: map[uint64]clusterapi.PurgeResult{}}}
 				p.disk.messages = append(p.disk.messages, &testMessage{key: key.Draw(t, "key"), acceptedAt: w.now - time.Second})
 				p.state = New(p.life(), "new", 0)
 				w.processes, w.tree, w.disks = append(w.processes, p), append(w.tree, slices.Index(w.tree, -1)), append(w.disks, p.disk)
@@ -119,7 +119,7 @@
 			t.Fatalf("without faults, purge %d of %d is still open", w.ledger.OldestOpen(), w.ledger.LastSeq())
 		}
 		for seq := uint64(1); seq <= w.ledger.LastSeq(); seq++ {
-			var onAllDisks, onCurrentDisks clusterapi.Found
+			var onAllDisks, onCurrentDisks clusterapi.PurgeResult
 			for _, d := range w.disks {
 				onAllDisks = AddFound(onAllDisks, d.found[seq])
 			}
--- a/internal/cluster/purge/spread/leader.go
+++ b/internal/cluster/purge/spread/leader.go
@@ -27,7 +27,7 @@
 }
 
 // NewLeaderState returns the state of a process that has not been the leader before.
-func NewLeaderState(self view.Life) *LeaderState {
+func NewLeaderState(self view.Instance) *LeaderState {
 	s := New(self, "", 0)
 	s.isLeader = true
 	return &LeaderState{State: s, progress: map[view.Name]Progress{}}
@@ -55,8 +55,8 @@
 }
 
 // SetRoot sets the root of the tree, which is the only child of the leader.
-func (l *LeaderState) SetRoot(root view.Life, now view.Uptime) {
-	l.SetTree(Parent{}, []view.Life{root}, now)
+func (l *LeaderState) SetRoot(root view.Instance, now view.Uptime) {
+	l.SetTree(Parent{}, []view.Instance{root}, now)
 }
 
 // HandleRootReport processes a report of the root and returns the answer to it.
@@ -67,7 +67,7 @@
 }
 
 // HandleRootAnswer processes the root's answer to an update.
-func (l *LeaderState) HandleRootAnswer(life view.Life, report Report, now view.Uptime) {
+func (l *LeaderState) HandleRootAnswer(life view.Instance, report Report, now view.Uptime) {
 	l.HandleAnswer(life, report, now)
 	l.recordProgress()
 }
@@ -124,14 +124,14 @@
 }
 
 // sumFindings adds up the findings of purges first to last, by purge and process.
-func (l *LeaderState) sumFindings(first, last uint64) map[uint64]map[view.Name]clusterapi.Found {
-	sums := map[uint64]map[view.Name]clusterapi.Found{}
+func (l *LeaderState) sumFindings(first, last uint64) map[uint64]map[view.Name]clusterapi.PurgeResult {
+	sums := map[uint64]map[view.Name]clusterapi.PurgeResult{}
 	for k, f := range l.findings {
 		if k.seq < first || k.seq > last {
 			continue
 		}
 		if sums[k.seq] == nil {
-			sums[k.seq] = map[view.Name]clusterapi.Found{}
+			sums[k.seq] = map[view.Name]clusterapi.PurgeResult{}
 		}
 		sums[k.seq][k.name] = AddFound(sums[k.seq][k.name], f.found)
 	}
@@ -139,13 +139,13 @@
 }
 
 // AddFound returns the sum of two findings.
-func AddFound(a, b clusterapi.Found) clusterapi.Found {
-	return clusterapi.Found{NotBegun: a.NotBegun + b.NotBegun, MayRun: a.MayRun + b.MayRun,
+func AddFound(a, b clusterapi.PurgeResult) clusterapi.PurgeResult {
+	return clusterapi.PurgeResult{NotBegun: a.NotBegun + b.NotBegun, MayRun: a.MayRun + b.MayRun,
 		Delivered: a.Delivered + b.Delivered, LearnedState: a.LearnedState + b.LearnedState}
 }
 
 // closure returns the outcome of a purge by zone. found is what the purge found at each process.
-func (l *LeaderState) closure(seq uint64, found map[view.Name]clusterapi.Found) ledger.Closure {
+func (l *LeaderState) closure(seq uint64, found map[view.Name]clusterapi.PurgeResult) ledger.Closure {
 	closure := ledger.Closure{Seq: seq}
 	zones := map[view.Zone]*ledger.ZoneSum{}
 	for _, participant := range l.participants {
@@ -177,7 +177,7 @@
 type ParticipantStatus struct {
 	Participant  ledger.Participant
 	Acknowledged bool
-	Found        clusterapi.Found
+	Found        clusterapi.PurgeResult
 }
 
 // StatusOf returns the status of an open purge at each participant, sorted by name.
--- a/internal/cluster/purge/spread/messages.go
+++ b/internal/cluster/purge/spread/messages.go
@@ -39,7 +39,7 @@
 
 // Progress is the Seq up to which one incarnation of a process has applied all purges.
 type Progress struct {
-	view.Life
+	view.Instance
 	AppliedSeq uint64 `json:"u"`
 }
 
@@ -47,10 +47,10 @@
 // with the same folder finds the same as the earlier one, so its finding replaces the earlier one. Findings of different
 // folders are added up.
 type Finding struct {
-	view.Life
-	Folder string           `json:"folder,omitempty"`
-	Seq    uint64           `json:"seq"`
-	Found  clusterapi.Found `json:"found"`
+	view.Instance
+	Folder string                 `json:"folder,omitempty"`
+	Seq    uint64                 `json:"seq"`
+	Found  clusterapi.PurgeResult `json:"found"`
 }
 
 // Report tells a parent the progress of a process and all processes below it, which are the report's members. The list of
@@ -58,15 +58,15 @@
 // member has applied all purges up to Base, except those listed in Behind. Behind is empty once all members have applied
 // the same purges, so that the size of a report does not depend on the number of processes.
 type Report struct {
-	From            view.Life   `json:"from"`
-	MessageNo       uint64      `json:"no"`             // grows with each report that an incarnation makes
-	PrevMessageNo   uint64      `json:"prev,omitempty"` // number of the report that this one is a difference to; 0 for a complete report
-	ReceivedSeq     uint64      `json:"has"`            // the process has received all purges up to here
-	MembersChecksum uint32      `json:"cohort"`
-	Members         []view.Life `json:"lives,omitempty"`
-	Base            uint64      `json:"base"`
-	Behind          []Progress  `json:"behind,omitempty"`
-	Findings        []Finding   `json:"rows,omitempty"`
+	From            view.Instance   `json:"from"`
+	MessageNo       uint64          `json:"no"`             // grows with each report that an incarnation makes
+	PrevMessageNo   uint64          `json:"prev,omitempty"` // number of the report that this one is a difference to; 0 for a complete report
+	ReceivedSeq     uint64          `json:"has"`            // the process has received all purges up to here
+	MembersChecksum uint32          `json:"cohort"`
+	Members         []view.Instance `json:"lives,omitempty"`
+	Base            uint64          `json:"base"`
+	Behind          []Progress      `json:"behind,omitempty"`
+	Findings        []Finding       `json:"rows,omitempty"`
 }
 
 // ReportAnswer is the answer to a Report. Resend asks for a complete report because an earlier one was not received.
@@ -78,14 +78,14 @@
 // group (IsLeader). While views of the membership differ, the same process can send updates in both roles. The roles are kept
 // apart: a report to the leader does not count as a report to the parent, or vice versa.
 type Parent struct {
-	view.Life
+	view.Instance
 	IsLeader bool
 }
 
 // Update sends a child the purges with a Seq above Base and up to UpTo, without those that no process needs any more. All
 // purges below OldestOpen are closed.
 type Update struct {
-	From       view.Life          `json:"from"`
+	From       view.Instance      `json:"from"`
 	FromLeader bool               `json:"top,omitempty"` // sent by the leader to the root of the tree
 	Base       uint64             `json:"base"`
 	UpTo       uint64             `json:"upto"`
@@ -100,6 +100,6 @@
 
 // OutgoingUpdate is an update and the child to which it must be sent.
 type OutgoingUpdate struct {
-	Child  view.Life
+	Child  view.Instance
 	Update Update
 }
--- a/internal/cluster/purge/spread/network_test.go
+++ b/internal/cluster/purge/spread/network_test.go
@@ -79,13 +79,13 @@
 // handleReport delivers a report. It returns false if the receiver is not alive or not the leader any more.
 func (w *simulation) handleReport(to Parent, report Report) (ReportAnswer, bool) {
 	if to.IsLeader {
-		if to.Life != w.processes[w.leader].life() {
+		if to.Instance != w.processes[w.leader].life() {
 			return ReportAnswer{}, false
 		}
 		return w.leaderState.HandleRootReport(report, w.now), true
 	}
 	for _, p := range w.processes {
-		if p.life() == to.Life && p.alive {
+		if p.life() == to.Instance && p.alive {
 			w.count(to.Name)
 			return p.state.HandleReport(report, w.now), true
 		}
--- a/internal/cluster/purge/spread/report.go
+++ b/internal/cluster/purge/spread/report.go
@@ -142,9 +142,9 @@
 		report.PrevMessageNo = s.reporting.prevMessageNo
 	}
 	if report.PrevMessageNo == 0 || s.reporting.membersChecksum != report.MembersChecksum {
-		report.Members = make([]view.Life, len(progress))
+		report.Members = make([]view.Instance, len(progress))
 		for i, p := range progress {
-			report.Members[i] = p.Life
+			report.Members[i] = p.Instance
 		}
 	}
 	keys := s.findingsToReport(record)
@@ -158,7 +158,7 @@
 	}
 	for _, k := range keys {
 		f := s.findings[k]
-		report.Findings = append(report.Findings, Finding{Life: view.Life{Name: k.name, Incarnation: f.incarnation},
+		report.Findings = append(report.Findings, Finding{Instance: view.Instance{Name: k.name, Incarnation: f.incarnation},
 			Folder: k.folder, Seq: k.seq, Found: f.found})
 		f.reported = f.reported || record
 	}
--- a/internal/cluster/purge/spread/simulation_test.go
+++ b/internal/cluster/purge/spread/simulation_test.go
@@ -30,7 +30,7 @@
 type disk struct {
 	folder   string
 	applied  uint64
-	found    map[uint64]clusterapi.Found
+	found    map[uint64]clusterapi.PurgeResult
 	messages []*testMessage
 }
 
@@ -56,7 +56,9 @@
 	return c
 }
 
-func (p *process) life() view.Life { return view.Life{Name: p.name, Incarnation: p.incarnation} }
+func (p *process) life() view.Instance {
+	return view.Instance{Name: p.name, Incarnation: p.incarnation}
+}
 
 // simulation is a simulated fleet.
 type simulation struct {
@@ -68,7 +70,7 @@
 	tree            []int // index of each process's parent; -1 for the root
 	leader          int   // index of the leader
 	leaderState     *LeaderState
-	leaderStates    map[view.Life]*LeaderState
+	leaderStates    map[view.Instance]*LeaderState
 	network         []envelope // messages that are on their way
 	disks           []*disk    // all that were ever in use, except restored copies
 	longestDeadline time.Duration
@@ -82,7 +84,7 @@
 // the leader. fail reports violations. longestDeadline is that of messages.
 func newSimulation(t testing.TB, fail func(string, ...any), n, zones int, longestDeadline time.Duration) *simulation {
 	w := &simulation{t: t, fail: fail, ledger: ledger.New(), longestDeadline: longestDeadline, openedAt: map[uint64]view.Uptime{},
-		openedKey: map[uint64]string{}, leaderStates: map[view.Life]*LeaderState{}, closedAt: map[uint64]uint64{}}
+		openedKey: map[uint64]string{}, leaderStates: map[view.Instance]*LeaderState{}, closedAt: map[uint64]uint64{}}
 	for i := range n {
 		p := &process{name: view.Name(fmt.Sprintf("p%02d", i)), zone: view.Zone(fmt.Sprintf("z%d", i%zones))}
 		w.processes = append(w.processes, p)
@@ -114,7 +116,7 @@
 	p.incarnation++
 	p.alive = true
 	if empty || p.disk == nil {
-		p.disk = &disk{folder: fmt.Sprintf("%s-%d", p.name, p.incarnation), found: map[uint64]clusterapi.Found{}}
+		p.disk = &disk{folder: fmt.Sprintf("%s-%d", p.name, p.incarnation), found: map[uint64]clusterapi.PurgeResult{}}
 		w.disks = append(w.disks, p.disk)
 	}
 	p.state = New(p.life(), p.disk.folder, p.disk.applied)
@@ -125,7 +127,7 @@
 // join makes a process a participant.
 func (w *simulation) join(p *process) {
 	var j ledger.JoinResult
-	w.propose(ledger.KindJoin, ledger.Join{Participants: []ledger.Participant{{Life: p.life(), Zone: p.zone, Region: "r",
+	w.propose(ledger.KindJoin, ledger.Join{Participants: []ledger.Participant{{Instance: p.life(), Zone: p.zone, Region: "r",
 		Folder: p.disk.folder, LongestDeadline: w.longestDeadline}}}, &j)
 	p.requiredSeq, p.joinedAt = j.Seq, w.ledger.Revision()
 }
@@ -144,11 +146,11 @@
 	self := slices.Index(w.processes, p)
 	var parent Parent
 	if above := w.tree[self]; above >= 0 {
-		parent.Life = w.processes[above].life()
+		parent.Instance = w.processes[above].life()
 	} else {
 		parent = Parent{w.processes[w.leader].life(), true}
 	}
-	var children []view.Life
+	var children []view.Instance
 	for i, above := range w.tree {
 		if above == self {
 			children = append(children, w.processes[i].life())
@@ -174,11 +176,11 @@
 func ticks(t view.Uptime) choice.Time { return config.RoundDown(time.Duration(t).Nanoseconds()) }
 
 // apply applies purges to a disk as a sender does, and returns what they found. Purges are on disk before they are acknowledged.
-func (w *simulation) apply(p *process, all []clusterapi.Purge) (found []clusterapi.Found) {
+func (w *simulation) apply(p *process, all []clusterapi.Purge) (found []clusterapi.PurgeResult) {
 	for _, o := range all {
 		f := p.disk.found[o.Seq]
 		if o.Seq > p.disk.applied {
-			order := withdrawal.Since(o, ticks(w.now))
+			order := withdrawal.NewOrder(o, ticks(w.now))
 			for _, n := range p.disk.messages {
 				if !order.Matches(1, "", n.key, ticks(n.acceptedAt)) {
 					continue
@@ -188,7 +190,7 @@
 					w.fail("%s: purge %d affected a message that was accepted after the purge was received", p.name, o.Seq)
 				}
 				fate.Add(&f)
-				if fate == withdrawal.End {
+				if fate == withdrawal.EndNotRun {
 					n.state = withdrawal.Withdrawn
 				}
 			}
--- a/internal/cluster/purge/spread/spread_test.go
+++ b/internal/cluster/purge/spread/spread_test.go
@@ -141,14 +141,14 @@
 // TestKillBeforeAcknowledging checks that a process that is killed after applying a purge and before acknowledging it is counted
 // once: its next incarnation is handed the purge again and reports the same finding.
 func TestKillBeforeAcknowledging(t *testing.T) {
-	disk := map[uint64]clusterapi.Found{1: {NotBegun: 3}}
-	p := view.Life{Name: "p", Incarnation: 1}
-	g := NewLeaderState(view.Life{Name: "l", Incarnation: 1})
+	disk := map[uint64]clusterapi.PurgeResult{1: {NotBegun: 3}}
+	p := view.Instance{Name: "p", Incarnation: 1}
+	g := NewLeaderState(view.Instance{Name: "l", Incarnation: 1})
 	order := []clusterapi.Purge{{Seq: 1, Match: clusterapi.Match{Key: "a"}}}
 	g.AddPurges(order, 1, 1, time.Hour, 0)
 	for inc := range 3 {
 		p.Incarnation = view.Incarnation(inc + 1)
-		g.SetParticipants([]ledger.Participant{{Life: p}}, uint64(inc))
+		g.SetParticipants([]ledger.Participant{{Instance: p}}, uint64(inc))
 		g.SetRoot(p, 0)
 		if got := g.StatusOf(1)[0]; got.Acknowledged {
 			t.Fatalf("incarnation %d counts as having acknowledged before it did", p.Incarnation)
@@ -158,7 +158,7 @@
 		if all := st.NextBatch(0); len(all) != 1 {
 			t.Fatalf("incarnation %d is handed %v, want one purge", p.Incarnation, all)
 		}
-		st.BatchApplied(1, []clusterapi.Found{disk[1]}, 0)
+		st.BatchApplied(1, []clusterapi.PurgeResult{disk[1]}, 0)
 		report := st.Answer(Update{}, 0)
 		g.HandleRootReport(report, 0)
 		g.HandleRootReport(report, 0)
@@ -171,17 +171,17 @@
 // TestLostAnswer checks that if an answer with findings is lost, the parent does not accept the reports that are differences to it
 // until it has received the findings.
 func TestLostAnswer(t *testing.T) {
-	parentLife, childLife := view.Life{Name: "up", Incarnation: 1}, view.Life{Name: "low", Incarnation: 1}
+	parentLife, childLife := view.Instance{Name: "up", Incarnation: 1}, view.Instance{Name: "low", Incarnation: 1}
 	parent, child := New(parentLife, "u", 0), New(childLife, "l", 0)
-	parent.SetTree(Parent{}, []view.Life{childLife}, 0)
-	child.SetTree(Parent{Life: parentLife}, nil, 0)
+	parent.SetTree(Parent{}, []view.Instance{childLife}, 0)
+	child.SetTree(Parent{Instance: parentLife}, nil, 0)
 	order := func(seq uint64, found int) {
 		d := Update{From: parentLife, Base: seq - 1, UpTo: seq, OldestOpen: 1,
 			Purges: []clusterapi.Purge{{Seq: seq, Match: clusterapi.Match{Key: "a"}}}}
 		parent.HandleUpdate(d, 0)
 		child.HandleUpdate(d, 0)
 		child.NextBatch(0)
-		child.BatchApplied(seq, []clusterapi.Found{{NotBegun: found}}, 0)
+		child.BatchApplied(seq, []clusterapi.PurgeResult{{NotBegun: found}}, 0)
 	}
 	order(1, 0)
 	// The parent is also the leader and sends an update as such: the answer does not count as a report to the parent.
@@ -196,7 +196,7 @@
 	for i := range 3 {
 		now := time.Duration(i+1) * time.Minute
 		if msg, due := child.DueReport(now); due {
-			child.ReportAnswered(Parent{Life: parentLife}, parent.HandleReport(msg, now), now)
+			child.ReportAnswered(Parent{Instance: parentLife}, parent.HandleReport(msg, now), now)
 		}
 		st := parent.children["low"].progress[0]
 		if r := parent.findings[findingKey{2, "low", "l"}]; st.AppliedSeq >= 2 && r == nil {
@@ -243,7 +243,7 @@
 // TestLongKeysFitTheLink checks that updates stay below the link's message size if all keys have the longest length and consist of
 // characters that JSON escapes.
 func TestLongKeysFitTheLink(t *testing.T) {
-	s := New(view.Life{Name: "p"}, "f", 0)
+	s := New(view.Instance{Name: "p"}, "f", 0)
 	d := Update{UpTo: 600, OldestOpen: 1}
 	for i := range 600 {
 		d.Purges = append(d.Purges, clusterapi.Purge{Seq: uint64(i + 1), Match: clusterapi.Match{Key: strings.Repeat("\x01", 512)}})
--- a/internal/cluster/purge/spread/state.go
+++ b/internal/cluster/purge/spread/state.go
@@ -29,7 +29,7 @@
 // State is the state of the distribution of purges at one process. It is not safe for concurrent use; the caller must hold a
 // lock.
 type State struct {
-	self     view.Life
+	self     view.Instance
 	folder   string
 	isLeader bool // the State belongs to a LeaderState: it applies no purges, and its process is not a member of its reports
 
@@ -63,20 +63,20 @@
 // finding is what a purge found, and the incarnation that found it.
 type finding struct {
 	incarnation view.Incarnation
-	found       clusterapi.Found
+	found       clusterapi.PurgeResult
 	reported    bool // it was sent to the current parent
 }
 
 // New returns the state of a process whose earlier incarnations with the same folder have applied all purges up to
 // priorAppliedSeq. The process still receives all purges that any process may need, because it may have to send them to a
 // process below it that has not applied them.
-func New(self view.Life, folder string, priorAppliedSeq uint64) *State {
+func New(self view.Instance, folder string, priorAppliedSeq uint64) *State {
 	return &State{self: self, folder: folder, priorAppliedSeq: priorAppliedSeq, oldestOpen: 1,
 		children: map[view.Name]*child{}, findings: map[findingKey]*finding{}}
 }
 
 // SetTree sets the parent and the children in the tree. The zero Parent means that there is none.
-func (s *State) SetTree(parent Parent, children []view.Life, now view.Uptime) {
+func (s *State) SetTree(parent Parent, children []view.Instance, now view.Uptime) {
 	if parent != s.parent {
 		s.parent = parent
 		s.reporting.retryAt, s.reporting.failures, s.reporting.inFlight = 0, 0, false
@@ -194,7 +194,7 @@
 
 // BatchApplied records that the sender has applied the purges of the batch up to a Seq, durably, and what each of them found.
 // The others are handed over again after maxBackoff.
-func (s *State) BatchApplied(upTo uint64, found []clusterapi.Found, now view.Uptime) {
+func (s *State) BatchApplied(upTo uint64, found []clusterapi.PurgeResult, now view.Uptime) {
 	if !s.applying {
 		return
 	}
@@ -205,7 +205,7 @@
 			s.batchEndSeq = seq - 1
 			break
 		}
-		if i < len(found) && found[i] != (clusterapi.Found{}) {
+		if i < len(found) && found[i] != (clusterapi.PurgeResult{}) {
 			s.addFinding(findingKey{seq, s.self.Name, s.folder}, s.self.Incarnation, found[i])
 		}
 	}
@@ -217,7 +217,7 @@
 
 // addFinding adds a finding, or replaces that of an earlier incarnation with the same folder. It returns whether the findings
 // have changed.
-func (s *State) addFinding(k findingKey, incarnation view.Incarnation, found clusterapi.Found) bool {
+func (s *State) addFinding(k findingKey, incarnation view.Incarnation, found clusterapi.PurgeResult) bool {
 	known := s.findings[k]
 	switch {
 	case k.seq < s.oldestOpen, known == nil && len(s.findings) >= maxFindings:
@@ -264,7 +264,7 @@
 
 // SetIncarnation raises the incarnation of this process. It is called if an earlier incarnation of the process is known to
 // others under the same number or a higher one.
-func (s *State) SetIncarnation(to view.Life, now view.Uptime) {
+func (s *State) SetIncarnation(to view.Instance, now view.Uptime) {
 	for k, f := range s.findings {
 		if k.name == s.self.Name && f.incarnation == s.self.Incarnation {
 			f.incarnation = to.Incarnation
--- a/internal/cluster/serve.go
+++ b/internal/cluster/serve.go
@@ -35,7 +35,7 @@
 		Root:      topology.tree.Root(),
 		Children:  topology.tree.Children(n.self.Name),
 		Since:     n.Now().Milliseconds(),
-		LastPurge: n.opts.Orders.Applied(),
+		LastPurge: n.opts.Orders.LastAppliedSeq(),
 		Counts:    map[string]int{},
 	}
 	s.Self, _ = topology.view.Find(n.self.Name)
--- a/internal/cluster/settings/form.go
+++ b/internal/cluster/settings/form.go
@@ -75,7 +75,7 @@
 	}
 	c := checker{}
 	s := c.settings(&f)
-	if all = appendErrors(all, tomlfile.At(name, text, c.problems)); len(all) > 0 {
+	if all = appendErrors(all, tomlfile.LocateProblems(name, text, c.problems)); len(all) > 0 {
 		slices.SortStableFunc(all, func(a, b *tomlfile.Error) int { return cmp.Compare(a.Line, b.Line) })
 		return nil, all
 	}
@@ -99,7 +99,7 @@
 
 // reject records a problem of the field at path.
 func (c *checker) reject(path, format string, args ...any) {
-	c.problems = append(c.problems, tomlfile.Problem{Path: path, What: fmt.Sprintf(format, args...)})
+	c.problems = append(c.problems, tomlfile.Problem{Path: path, Reason: fmt.Sprintf(format, args...)})
 }
 
 // validName matches the names of clusters, processes, zones and regions. Names are used in headers, as hosts and in
--- a/internal/cluster/storeddata_test.go
+++ b/internal/cluster/storeddata_test.go
@@ -44,7 +44,7 @@
 // storedOrders implements Orders without a sender. The test calls only its method Applied.
 type storedOrders struct{ clusterapi.Orders }
 
-func (storedOrders) Applied() uint64 { return 0 }
+func (storedOrders) LastAppliedSeq() uint64 { return 0 }
 
 // storedFolder returns a copy of a cluster folder with the files that commit 485f0e4 wrote, under the names that they
 // had then: the life record, and the records of the consensus group in the subfolder council.
@@ -101,7 +101,7 @@
 		}
 	}
 	s := node.Status()
-	if s.Self.Incarnation != storedIncarnation+1 || s.Self.Folder != storedFolderID || s.Self.Empty || !s.Self.HasRecords {
+	if s.Self.Incarnation != storedIncarnation+1 || s.Self.FolderID != storedFolderID || s.Self.StartedEmpty || !s.Self.HasRecords {
 		t.Errorf("started as %+v, want incarnation %d of folder %s, with records", s.Self, storedIncarnation+1, storedFolderID)
 	}
 	if !slices.Equal(s.Voters, []view.Name{"a"}) || s.Applied != storedLastIndex {
--- a/internal/cluster/subsystems.go
+++ b/internal/cluster/subsystems.go
@@ -113,7 +113,7 @@
 }
 
 // Purge drops the region's copy of the learned state that the purges match, and passes all purges on to the sender.
-func (f forgettingOrders) Purge(all []clusterapi.Purge, done func(uint64, []clusterapi.Found)) {
+func (f forgettingOrders) Purge(all []clusterapi.Purge, done func(uint64, []clusterapi.PurgeResult)) {
 	for _, p := range all {
 		if p.LearnedState && p.Match.Destination != nil && f.subsystems.popularity != nil {
 			f.subsystems.popularity.Forget(*p.Match.Destination)
--- a/internal/cluster/topology.go
+++ b/internal/cluster/topology.go
@@ -36,7 +36,7 @@
 		return
 	}
 	for _, m := range v.Members {
-		n.link.ObserveIncarnation(m.Life)
+		n.link.ObserveIncarnation(m.Instance)
 	}
 	if n.consensus != nil {
 		n.consensus.SetView(v)
--- a/internal/cluster/tree/rendezvous.go
+++ b/internal/cluster/tree/rendezvous.go
@@ -50,7 +50,7 @@
 // one, as the bound on the number of children has priority over sparing small processes.
 func (t *Tree) assignChildren(key string, parent candidate, candidates []candidate) {
 	others := slices.DeleteFunc(slices.Clone(candidates), func(n candidate) bool { return n.name == parent.name })
-	if len(others) <= Fan {
+	if len(others) <= MaxChildren {
 		for _, n := range others {
 			t.setParent(n.name, parent.name)
 		}
@@ -71,7 +71,7 @@
 // each group in two. Groups are half full on average; if they were full, many would exceed Fan by chance and need a
 // further level.
 func partition(key string, candidates []candidate) [][]candidate {
-	count := min(Fan, 1<<bits.Len(uint(2*len(candidates)/Fan)))
+	count := min(MaxChildren, 1<<bits.Len(uint(2*len(candidates)/MaxChildren)))
 	groups := make([][]candidate, count)
 	for _, n := range candidates {
 		i := score("deal", key, n.key) & uint64(count-1)
--- a/internal/cluster/tree/tree.go
+++ b/internal/cluster/tree/tree.go
@@ -16,11 +16,11 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// Fan is the maximum number of children of a process in one role. The coordinator of a zone may also be the coordinator
+// MaxChildren is the maximum number of children of a process in one role. The coordinator of a zone may also be the coordinator
 // of its region and of the cluster, with this many children in each role. It is a power of two, so that groups are
 // split in halves and members are never redistributed among all groups. At 100 bytes twice a second from each of 32
 // children the busiest process receives 6.4 KB/s; the target is 2 KB/s for each process.
-const Fan = 32
+const MaxChildren = 32
 
 // Tree is the reporting tree of a view: it holds the parent and the children of each present member. It is immutable.
 type Tree struct {
@@ -143,12 +143,12 @@
 // Root returns the cluster's coordinator; "" if no member is present.
 func (t *Tree) Root() view.Name { return t.root }
 
-// ZoneHead returns the coordinator of a zone; "" if no member of it is present.
-func (t *Tree) ZoneHead(z view.Zone) view.Name { return t.zoneCoordinators[z] }
+// ZoneCoordinator returns the coordinator of a zone; "" if no member of it is present.
+func (t *Tree) ZoneCoordinator(z view.Zone) view.Name { return t.zoneCoordinators[z] }
 
-// RegionHead returns the coordinator of a region, which also coordinates one of its zones; "" if no member of the
+// RegionCoordinator returns the coordinator of a region, which also coordinates one of its zones; "" if no member of the
 // region is present.
-func (t *Tree) RegionHead(r view.Region) view.Name { return t.regionCoordinators[r] }
+func (t *Tree) RegionCoordinator(r view.Region) view.Name { return t.regionCoordinators[r] }
 
 // Regions returns the regions with present members, sorted.
 func (t *Tree) Regions() []view.Region { return slices.Sorted(maps.Keys(t.zones)) }
--- a/internal/cluster/tree/tree_test.go
+++ b/internal/cluster/tree/tree_test.go
@@ -16,7 +16,7 @@
 	var all []view.Member
 	for i := range processes {
 		z := i % zones
-		m := view.Member{Life: view.Life{Name: view.Name(fmt.Sprintf("p%04d", i)), Incarnation: 1}, Size: view.Large,
+		m := view.Member{Instance: view.Instance{Name: view.Name(fmt.Sprintf("p%04d", i)), Incarnation: 1}, Size: view.Large,
 			Zone: view.Zone(fmt.Sprintf("z%02d", z)), Region: view.Region(fmt.Sprintf("r%d", z%regions))}
 		if i/zones%3 == 1 {
 			m.Size = view.Small
@@ -51,8 +51,8 @@
 	for _, m := range members {
 		children := tr.Children(m.Name)
 		reporting += len(children)
-		if len(children) > 3*Fan {
-			t.Fatalf("%s has %d children, limit is %d", m.Name, len(children), 3*Fan)
+		if len(children) > 3*MaxChildren {
+			t.Fatalf("%s has %d children, limit is %d", m.Name, len(children), 3*MaxChildren)
 		}
 		for _, c := range children {
 			if parent, _ := tr.Parent(c); parent != m.Name {
@@ -72,11 +72,11 @@
 		members := rapid.SliceOfNDistinct(rapid.Custom(func(t *rapid.T) view.Member {
 			z := rapid.IntRange(0, 5).Draw(t, "zone")
 			return view.Member{
-				Life:   view.Life{Name: view.Name(fmt.Sprintf("p%d", rapid.IntRange(0, 400).Draw(t, "name")))},
-				Zone:   view.Zone(fmt.Sprintf("z%d", z)),
-				Region: view.Region(fmt.Sprintf("r%d", z%3+rapid.IntRange(0, 20).Draw(t, "slip")/20)),
-				Size:   rapid.SampledFrom([]view.Size{view.Large, view.Small}).Draw(t, "size"),
-				State:  rapid.SampledFrom([]view.State{view.Alive, view.Suspected, view.Left, view.Dead}).Draw(t, "state"),
+				Instance: view.Instance{Name: view.Name(fmt.Sprintf("p%d", rapid.IntRange(0, 400).Draw(t, "name")))},
+				Zone:     view.Zone(fmt.Sprintf("z%d", z)),
+				Region:   view.Region(fmt.Sprintf("r%d", z%3+rapid.IntRange(0, 20).Draw(t, "slip")/20)),
+				Size:     rapid.SampledFrom([]view.Size{view.Large, view.Small}).Draw(t, "size"),
+				State:    rapid.SampledFrom([]view.State{view.Alive, view.Suspected, view.Left, view.Dead}).Draw(t, "state"),
 			}
 		}), 0, 120, func(m view.Member) view.Name { return m.Name }).Draw(t, "members")
 		tr := Derive(view.New("p0", 1, members))
@@ -87,7 +87,7 @@
 			t.Fatalf("the tree depends on the order of the members: %s", d)
 		}
 		for _, m := range members {
-			isCoordinator := tr.ZoneHead(m.Zone) == m.Name
+			isCoordinator := tr.ZoneCoordinator(m.Zone) == m.Name
 			if !m.Present() || !isCoordinator || m.Size == view.Large {
 				continue
 			}
@@ -107,16 +107,16 @@
 	for _, r := range tr.Regions() {
 		among := false
 		for _, z := range tr.Zones(r) {
-			among = among || tr.ZoneHead(z) == tr.RegionHead(r)
-			if parent, _ := tr.Parent(tr.ZoneHead(z)); tr.ZoneHead(z) != tr.RegionHead(r) && parent != tr.RegionHead(r) {
+			among = among || tr.ZoneCoordinator(z) == tr.RegionCoordinator(r)
+			if parent, _ := tr.Parent(tr.ZoneCoordinator(z)); tr.ZoneCoordinator(z) != tr.RegionCoordinator(r) && parent != tr.RegionCoordinator(r) {
 				t.Errorf("the coordinator of zone %s reports to %s, not to the coordinator of region %s", z, parent, r)
 			}
 			if tr.Region(z) != r {
 				t.Errorf("zone %s of region %s has region %s", z, r, tr.Region(z))
 			}
 		}
-		if parent, _ := tr.Parent(tr.RegionHead(r)); !among || (tr.RegionHead(r) != tr.Root() && parent != tr.Root()) {
-			t.Errorf("the coordinator of region %s, %s, is not that of a zone or reports to %s instead of the root", r, tr.RegionHead(r), parent)
+		if parent, _ := tr.Parent(tr.RegionCoordinator(r)); !among || (tr.RegionCoordinator(r) != tr.Root() && parent != tr.Root()) {
+			t.Errorf("the coordinator of region %s, %s, is not that of a zone or reports to %s instead of the root", r, tr.RegionCoordinator(r), parent)
 		}
 	}
 }
@@ -143,7 +143,7 @@
 // many members get another parent when one without children leaves.
 func TestFanAtSize(t *testing.T) {
 	for _, c := range []struct{ processes, zones, regions, maxChildren, depth int }{
-		{1000, 12, 4, Fan, 4}, {1000, 1, 1, Fan, 3}, {1000, 200, 2, 2 * Fan, 6}, {3000, 3, 3, 2 * Fan, 6}, {1, 1, 1, 0, 0},
+		{1000, 12, 4, MaxChildren, 4}, {1000, 1, 1, MaxChildren, 3}, {1000, 200, 2, 2 * MaxChildren, 6}, {3000, 3, 3, 2 * MaxChildren, 6}, {1, 1, 1, 0, 0},
 	} {
 		all := fleet(c.processes, c.zones, c.regions)
 		rand.New(rand.NewPCG(1, 2)).Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
@@ -168,8 +168,8 @@
 					moved++
 				}
 			}
-			if moved > Fan {
-				t.Errorf("%+v: after %s left, %d others have another parent, limit is %d", c, gone.Name, moved, Fan)
+			if moved > MaxChildren {
+				t.Errorf("%+v: after %s left, %d others have another parent, limit is %d", c, gone.Name, moved, MaxChildren)
 			}
 		}
 	}
@@ -177,7 +177,7 @@
 
 // TestEmptyViews checks that the tree of a view without present members has no root and no regions.
 func TestEmptyViews(t *testing.T) {
-	dead := view.New("a", 1, []view.Member{{Life: view.Life{Name: "a"}, State: view.Dead}})
+	dead := view.New("a", 1, []view.Member{{Instance: view.Instance{Name: "a"}, State: view.Dead}})
 	for _, v := range []*view.View{nil, {}, dead} {
 		if tr := Derive(v); tr.Root() != "" || len(tr.Regions()) != 0 {
 			t.Errorf("%v: root %q, regions %v, want none", v, tr.Root(), tr.Regions())
--- a/internal/cluster/view/view.go
+++ b/internal/cluster/view/view.go
@@ -48,24 +48,24 @@
 	Dead            // did not answer for so long that other members replace it
 )
 
-// Life identifies one run of a process by its name and incarnation.
-type Life struct {
+// Instance identifies one run of a process by its name and incarnation.
+type Instance struct {
 	Name        Name        `json:"name"`
 	Incarnation Incarnation `json:"incarnation"`
 }
 
 // Member is one process with the metadata that it announces, and its state as this process knows it.
 type Member struct {
-	Life
-	Zone       Zone   `json:"zone"`
-	Region     Region `json:"region"`
-	Size       Size   `json:"size"`
-	State      State  `json:"state"`
-	HTTP       string `json:"http,omitempty"`    // address of its listener for calls (package link)
-	Raft       string `json:"council,omitempty"` // address of its raft transport; "" if it has no participant
-	Empty      bool   `json:"empty,omitempty"`   // it started with an empty folder: data stored before is lost
-	Folder     string `json:"folder,omitempty"`  // random id of its folder; a name with another Folder lost its disk
-	HasRecords bool   `json:"voted,omitempty"`   // its folder holds the records of a consensus group
+	Instance
+	Zone          Zone   `json:"zone"`
+	Region        Region `json:"region"`
+	Size          Size   `json:"size"`
+	State         State  `json:"state"`
+	HTTPAddr      string `json:"http,omitempty"`    // address of its listener for calls (package link)
+	ConsensusAddr string `json:"council,omitempty"` // address of its raft transport; "" if it has no participant
+	StartedEmpty  bool   `json:"empty,omitempty"`   // it started with an empty folder: data stored before is lost
+	FolderID      string `json:"folder,omitempty"`  // random id of its folder; a name with another Folder lost its disk
+	HasRecords    bool   `json:"voted,omitempty"`   // its folder holds the records of a consensus group
 }
 
 // Present reports whether a member is alive or suspected, and so counts as present in the cluster.
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -30,11 +30,11 @@
 	StateDir         string                      // folder whose files outlive the process
 	Seed             int64                       // of the random number generator; 0 if the file has none
 	Limits           Limits                      // of the process
-	Known            directory.List              // the endpoint list to start with
+	InitialList      directory.List              // the endpoint list to start with
 	ClassNumbers     map[string]choice.ClassNo   // by name
-	Accounts         map[string]choice.AccountNo // by name, without unnamed accounts
-	Zones            map[string]choice.ZoneNo    // by name
-	Kinds            map[string]choice.KindNo    // by name of the machine type
+	AccountNumbers   map[string]choice.AccountNo // by name, without unnamed accounts
+	ZoneNumbers      map[string]choice.ZoneNo    // by name
+	KindNumbers      map[string]choice.KindNo    // by name of the machine type
 	LoadReportFields []string                    // names of the fields of load reports
 	Settings         choice.Settings             // converted from the settings object in force
 
@@ -108,9 +108,9 @@
 		{"limits", c.Limits, fresh.Limits},
 		{"settings", c.Settings, fresh.Settings},
 		{"settings.classes", c.ClassNumbers, fresh.ClassNumbers},
-		{"settings.accounts", c.Accounts, fresh.Accounts},
-		{"settings.zones", c.Zones, fresh.Zones},
-		{"settings.machineTypes", c.Kinds, fresh.Kinds},
+		{"settings.accounts", c.AccountNumbers, fresh.AccountNumbers},
+		{"settings.zones", c.ZoneNumbers, fresh.ZoneNumbers},
+		{"settings.machineTypes", c.KindNumbers, fresh.KindNumbers},
 		{"settings.stats.fields", c.LoadReportFields, fresh.LoadReportFields},
 		{"peer_listen", c.PeerListen, fresh.PeerListen},
 		{"peers", c.Peers, fresh.Peers},
@@ -163,7 +163,7 @@
 
 // toConfig checks the file and returns the configuration that follows from it and the environment.
 func (f *configFile) toConfig(getenv func(string) string) (*Config, error) {
-	c := &Config{Limits: f.Limits, Known: f.Known, PeerListen: f.PeerListen, Peers: f.Peers, PeersAll: f.PeersAll, ownSettings: f.Settings}
+	c := &Config{Limits: f.Limits, InitialList: f.Known, PeerListen: f.PeerListen, Peers: f.Peers, PeersAll: f.PeersAll, ownSettings: f.Settings}
 	if err := f.setNamesAndAddresses(c, getenv); err != nil {
 		return nil, err
 	}
--- a/internal/config/extremes_test.go
+++ b/internal/config/extremes_test.go
@@ -214,7 +214,7 @@
 		o := completeConfig()
 		set(o, "settings.extra.carriage", absent)
 		set(o, path, unusualNames)
-		if c, err := read(t, o); err != nil || max(len(c.Zones), len(c.Kinds)) != len(unusualNames) {
+		if c, err := read(t, o); err != nil || max(len(c.ZoneNumbers), len(c.KindNumbers)) != len(unusualNames) {
 			t.Errorf("%s: %v", path, err)
 		}
 	}
--- a/internal/config/running.go
+++ b/internal/config/running.go
@@ -46,21 +46,21 @@
 	// Gossip is off until EnableGossip requests it, even if the settings allow it.
 	c.gossipAllowed = c.Settings.Notes
 	c.Settings.Notes = c.gossipAllowed && c.gossipRequested
-	c.ClassNumbers, c.Accounts = map[string]choice.ClassNo{}, map[string]choice.AccountNo{}
+	c.ClassNumbers, c.AccountNumbers = map[string]choice.ClassNo{}, map[string]choice.AccountNo{}
 	for i, class := range b.Classes {
 		c.ClassNumbers[class.Name] = choice.ClassNo(i)
 	}
 	for i, a := range b.Accounts {
 		if a.Name != "" {
-			c.Accounts[a.Name] = choice.AccountNo(i)
+			c.AccountNumbers[a.Name] = choice.AccountNo(i)
 		}
 	}
-	c.Zones, c.Kinds = map[string]choice.ZoneNo{}, map[string]choice.KindNo{}
+	c.ZoneNumbers, c.KindNumbers = map[string]choice.ZoneNo{}, map[string]choice.KindNo{}
 	for i, zone := range b.Zones {
-		c.Zones[zone] = choice.ZoneNo(i)
+		c.ZoneNumbers[zone] = choice.ZoneNo(i)
 	}
 	for i, kind := range b.MachineTypes {
-		c.Kinds[kind] = choice.KindNo(i)
+		c.KindNumbers[kind] = choice.KindNo(i)
 	}
 	c.LoadReportFields, c.settingsInForce = b.Stats.Fields, raw
 	return nil
--- a/internal/config/running_test.go
+++ b/internal/config/running_test.go
@@ -146,7 +146,7 @@
 		t.Error("WithSettings changed its receiver")
 	}
 	s := with.Settings
-	if s.Number != 4 || s.Zone != 1 || s.Classes[0].Value != 3 || len(s.Quotas) != 2 || with.Accounts["new"] != 1 {
+	if s.Number != 4 || s.Zone != 1 || s.Classes[0].Value != 3 || len(s.Quotas) != 2 || with.AccountNumbers["new"] != 1 {
 		t.Errorf("%+v", with)
 	}
 	if with.Name != own.Name || with.Listen != own.Listen || with.StateDir != own.StateDir || with.Limits != own.Limits || with.Seed != own.Seed {
@@ -157,7 +157,7 @@
 		t.Error("OwnSettings or SettingsInForce returned a wrong settings object")
 	}
 	back, err := with.WithSettings(own.OwnSettings())
-	if err != nil || !reflect.DeepEqual(back.Settings, own.Settings) || !reflect.DeepEqual(back.Accounts, own.Accounts) {
+	if err != nil || !reflect.DeepEqual(back.Settings, own.Settings) || !reflect.DeepEqual(back.AccountNumbers, own.AccountNumbers) {
 		t.Errorf("WithSettings with the file's own settings: %v %+v", err, back)
 	}
 	if c, err := own.WithSettings(json.RawMessage(`{"classes":[]}`)); err == nil || c != nil {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -71,7 +71,7 @@
 }
 
 // repeatByWord maps the words of a class's idempotency field to constants of package choice.
-var repeatByWord = map[string]choice.Repeat{
+var repeatByWord = map[string]choice.Repeatability{
 	"pure": choice.Idempotent, "token": choice.Keyed, "side_effect": choice.NonIdempotent,
 }
 
--- a/internal/config/storeddata_test.go
+++ b/internal/config/storeddata_test.go
@@ -84,15 +84,15 @@
 		{"state", c.StateDir, "state"},
 		{"seed", c.Seed, int64(0x1f)},
 		{"limits", c.Limits, config.Limits{MemoryMB: 64, Sockets: 128, DiskMB: 3.5}},
-		{"known", c.Known, directory.List{Version: 5, Full: true, Entries: []directory.Entry{
+		{"known", c.InitialList, directory.List{Version: 5, Full: true, Entries: []directory.Entry{
 			{ID: "a", Addr: "127.0.0.1:3", Zone: "z1", Kind: "many", Destination: 7, State: "draining", Weight: 100}}}},
 		{"peer_listen", c.PeerListen, "127.0.0.1:4"},
 		{"peers", c.Peers, []string{"127.0.0.1:4", "127.0.0.1:5"}},
 		{"peers_all", c.PeersAll, "127.0.0.1:6"},
 		{"classes", c.ClassNumbers, map[string]choice.ClassNo{"pure": 0, "token": 1, "line": 2}},
-		{"accounts", c.Accounts, map[string]choice.AccountNo{"acme": 0, "umbrella": 1}},
-		{"zones", c.Zones, map[string]choice.ZoneNo{"z1": 0, "z2": 1}},
-		{"machineTypes", c.Kinds, map[string]choice.KindNo{"one": 0, "many": 1}},
+		{"accounts", c.AccountNumbers, map[string]choice.AccountNo{"acme": 0, "umbrella": 1}},
+		{"zones", c.ZoneNumbers, map[string]choice.ZoneNo{"z1": 0, "z2": 1}},
+		{"machineTypes", c.KindNumbers, map[string]choice.KindNo{"one": 0, "many": 1}},
 		{"stats.fields", c.LoadReportFields, []string{"x0", "x1"}},
 		{"settings", c.Settings, storedSettings()},
 	} {
--- a/internal/drill/events.go
+++ b/internal/drill/events.go
@@ -84,7 +84,7 @@
 	}
 	s.output.Reset()
 	s.reportFields, s.classCount = b.Stats.Fields, len(b.Classes)
-	s.core = choice.Start(s, s.id, seed, settings)
+	s.core = choice.NewSender(s, s.id, seed, settings)
 	return nil
 }
 
@@ -123,7 +123,7 @@
 	if m.Class < 0 || int(m.Class) >= s.classCount {
 		return fielderror.New("cls", "there is no class %d", m.Class)
 	}
-	s.core.Taken(m)
+	s.core.Accept(m)
 	return nil
 }
 
@@ -132,7 +132,7 @@
 	if err := f.end(); err != nil || s.core == nil {
 		return err
 	}
-	s.core.Withdrawn(choice.MessageID(id))
+	s.core.Withdraw(choice.MessageID(id))
 	return nil
 }
 
@@ -142,7 +142,7 @@
 	if err := f.end(); err != nil || s.core == nil {
 		return err
 	}
-	s.core.Heard(note)
+	s.core.ReceiveNote(note)
 	return nil
 }
 
@@ -154,7 +154,7 @@
 
 func (s *hostedSender) endAttempt(f *fields) error {
 	o := choice.Outcome{Message: choice.MessageID(f.text("rid"))}
-	o.Took = config.RoundUp(f.integerOr("duration", 0))
+	o.Duration = config.RoundUp(f.integerOr("duration", 0))
 	o.Attempt = int(f.integer("shot"))
 	o.Endpoint = choice.EndpointID(f.text("endpoint"))
 	o.Final = f.boolean("terminal")
@@ -170,7 +170,7 @@
 	if err := f.end(); err != nil || s.core == nil {
 		return err
 	}
-	s.core.Ended(o)
+	s.core.AttemptEnded(o)
 	return nil
 }
 
@@ -195,7 +195,7 @@
 	if err := f.end(); err != nil || s.core == nil {
 		return err
 	}
-	s.core.TimerDue(choice.TimerID(id))
+	s.core.TimerFired(choice.TimerID(id))
 	return nil
 }
 
@@ -207,7 +207,7 @@
 	if err := f.end(); err != nil || s.core == nil {
 		return err
 	}
-	s.core.Probed(id, result)
+	s.core.ProbeEnded(id, result)
 	return nil
 }
 
--- a/internal/drill/host.go
+++ b/internal/drill/host.go
@@ -36,19 +36,19 @@
 // Probe sends a health probe to an endpoint.
 func (s *hostedSender) Probe(e choice.EndpointID) { s.writeLine("poll\t%s\t%s", s.id, e) }
 
-// Tell broadcasts a note to all other senders.
-func (s *hostedSender) Tell(note []byte) {
+// BroadcastNote broadcasts a note to all other senders.
+func (s *hostedSender) BroadcastNote(note []byte) {
 	s.writeLine("publish\t%s\t*\t%s", s.id, base64.StdEncoding.EncodeToString(note))
 }
 
 // CloseIdle closes the idle connections to an endpoint.
 func (s *hostedSender) CloseIdle(e choice.EndpointID) { s.writeLine("free_links\t%s\t%s", s.id, e) }
 
-// Timer sets a timer.
-func (s *hostedSender) Timer(in choice.Time, id choice.TimerID) {
+// SetTimer sets a timer.
+func (s *hostedSender) SetTimer(in choice.Time, id choice.TimerID) {
 	s.writeLine("timer\t%s\t%d\t%d", s.id, config.Nanoseconds(in), int64(id))
 }
 
-// Forget writes nothing: the protocol cannot cancel a timer, and the choice.Sender ignores a timer that it has
+// CancelTimer writes nothing: the protocol cannot cancel a timer, and the choice.Sender ignores a timer that it has
 // forgotten.
-func (s *hostedSender) Forget(choice.TimerID) {}
+func (s *hostedSender) CancelTimer(choice.TimerID) {}
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -131,8 +131,8 @@
 // Limit returns the limit that was passed to Open, in bytes.
 func (j *Journal) Limit() int64 { return j.limit }
 
-// Framed returns the number of bytes that a record of n bytes adds to the file.
-func Framed(n int) int64 { return int64(n) + frameHeadSize }
+// FramedSize returns the number of bytes that a record of n bytes adds to the file.
+func FramedSize(n int) int64 { return int64(n) + frameHeadSize }
 
 // inBlocks returns the size of a file rounded up to whole blocks, in bytes.
 func inBlocks(size int64) int64 { return (size + blockSize - 1) / blockSize * blockSize }
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -37,13 +37,13 @@
 
 // Counts holds the numbers of notes and datagrams since Open.
 type Counts struct {
-	Sent    int64 // notes sent
-	Unsent  int64 // notes dropped: too long, queue full, or rejected by the socket
-	Heard   int64 // notes received and passed on
-	Strange int64 // received datagrams dropped because their source is not the address of a peer
-	Own     int64 // received datagrams dropped because this sender sent them
-	TooLong int64 // received datagrams dropped because they are longer than MaxDatagramSize
-	Spoilt  int64 // received datagrams dropped because they are malformed or damaged
+	Sent          int64 // notes sent
+	Unsent        int64 // notes dropped: too long, queue full, or rejected by the socket
+	Received      int64 // notes received and passed on
+	UnknownSource int64 // received datagrams dropped because their source is not the address of a peer
+	FromSelf      int64 // received datagrams dropped because this sender sent them
+	TooLong       int64 // received datagrams dropped because they are longer than MaxDatagramSize
+	Malformed     int64 // received datagrams dropped because they are malformed or damaged
 }
 
 // Peers is a socket with two goroutines, one that sends and one that receives. Tell and Counts may be called at any time
@@ -129,9 +129,9 @@
 	p.goroutines.Go(func() { p.receive(onNote) })
 }
 
-// Tell queues a note for all other senders. It never blocks: if the note is too long or the queue is full, the note is
+// Send queues a note for all other senders. It never blocks: if the note is too long or the queue is full, the note is
 // dropped and counted.
-func (p *Peers) Tell(note []byte) {
+func (p *Peers) Send(note []byte) {
 	datagram := frame(note)
 	if len(datagram) > MaxDatagramSize {
 		p.unsent.Add(1)
@@ -155,13 +155,13 @@
 // Counts returns the current counts. They are not a consistent snapshot: notes may be counted while it reads.
 func (p *Peers) Counts() Counts {
 	return Counts{
-		Sent:    p.sent.Load(),
-		Unsent:  p.unsent.Load(),
-		Heard:   p.received.Load(),
-		Strange: p.unknownSender.Load(),
-		Own:     p.fromSelf.Load(),
-		TooLong: p.tooLong.Load(),
-		Spoilt:  p.malformed.Load(),
+		Sent:          p.sent.Load(),
+		Unsent:        p.unsent.Load(),
+		Received:      p.received.Load(),
+		UnknownSource: p.unknownSender.Load(),
+		FromSelf:      p.fromSelf.Load(),
+		TooLong:       p.tooLong.Load(),
+		Malformed:     p.malformed.Load(),
 	}
 }
 
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -81,7 +81,7 @@
 			t.Errorf("received %q, want %q", got, want)
 		}
 	}
-	want := Counts{Heard: 3, Strange: 1, Own: 1, Spoilt: int64(damaged) + 2, TooLong: 2}
+	want := Counts{Received: 3, UnknownSource: 1, FromSelf: 1, Malformed: int64(damaged) + 2, TooLong: 2}
 	if got := p.Counts(); got != want {
 		t.Errorf("%+v, want %+v", got, want)
 	}
@@ -104,18 +104,18 @@
 	}
 	each, _ := started(t, Options{Peers: list, Own: 2})
 	for range 3 {
-		each.Tell([]byte("xyz"))
+		each.Send([]byte("xyz"))
 		hears(a, each.Addr())
 		hears(b, each.Addr())
 	}
 	once, _ := started(t, Options{Peers: list, Own: 2, All: all.LocalAddr().String()})
-	once.Tell([]byte("xyz"))
+	once.Send([]byte("xyz"))
 	hears(all, once.Addr())
 	a.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 	if n, _, err := a.ReadFromUDPAddrPort(make([]byte, 300)); err == nil {
 		t.Errorf("%d bytes sent to a single sender in addition to the address of all", n)
 	}
-	once.Tell(make([]byte, MaxDatagramSize))
+	once.Send(make([]byte, MaxDatagramSize))
 	if got := once.Counts(); got.Sent != 1 || got.Unsent != 1 {
 		t.Errorf("%+v", got)
 	}
@@ -129,7 +129,7 @@
 		t.Fatal(err)
 	}
 	for range queueLength + 7 {
-		p.Tell([]byte("abc"))
+		p.Send([]byte("abc"))
 	}
 	if got := p.Counts(); got.Unsent != 7 {
 		t.Errorf("%+v", got)
--- a/internal/routes/file/convert.go
+++ b/internal/routes/file/convert.go
@@ -19,7 +19,7 @@
 
 // problem records a problem with the field at path.
 func (c *converter) problem(path, format string, args ...any) {
-	c.problems = append(c.problems, tomlfile.Problem{Path: path, What: fmt.Sprintf(format, args...)})
+	c.problems = append(c.problems, tomlfile.Problem{Path: path, Reason: fmt.Sprintf(format, args...)})
 }
 
 // addProblems records problems found by package routes.
--- a/internal/routes/file/file.go
+++ b/internal/routes/file/file.go
@@ -71,7 +71,7 @@
 	c.overrides(f.Overrides)
 	c.endpoints(f.Endpoints)
 	r.Rules = append(r.Rules, rules...)
-	return tomlfile.At(name, text, c.problems)
+	return tomlfile.LocateProblems(name, text, c.problems)
 }
 
 // hasRule reports whether an earlier file has a rule with the given name.
--- a/internal/sender/acceptance_test.go
+++ b/internal/sender/acceptance_test.go
@@ -96,7 +96,7 @@
 func TestCommandsInPieces(t *testing.T) {
 	t.Parallel()
 	cfg := testConfig(t.TempDir(), 1000)
-	cfg.Listen, cfg.Discovery, cfg.Known = "127.0.0.1:0", "127.0.0.1:1", directory.List{}
+	cfg.Listen, cfg.Discovery, cfg.InitialList = "127.0.0.1:0", "127.0.0.1:1", directory.List{}
 	s, conn, done := startServing(t, cfg)
 	defer conn.Close()
 	var byteByByte, inTwo net.Conn
--- a/internal/sender/admission.go
+++ b/internal/sender/admission.go
@@ -18,8 +18,8 @@
 	// is below 1 because both files exist during a rewriting. The gap between them keeps rewritings rare.
 	rewriteThreshold = 0.58
 	maxLiveShare     = 0.38
-	// laterRecordBytes is the maximum size in bytes of all records of one message after its accepted record.
-	laterRecordBytes = 3 * (maxID + 64)
+	// maxLaterRecordBytes is the maximum size in bytes of all records of one message after its accepted record.
+	maxLaterRecordBytes = 3 * (maxID + 64)
 	// maxRememberedEnded is the maximum number of ended messages whose ids are remembered, so that a message that is
 	// submitted again after its end does not run again. At three times the usual rate of messages, an id is remembered for
 	// longer than a message may be pending.
@@ -62,14 +62,14 @@
 // hasJournalCapacity reports whether the journal can hold m and its later records. Messages admitted in the same turn count
 // too: a burst beyond the limit could not be written at all, and then no client would be answered.
 func (s *Sender) hasJournalCapacity(m *message) bool {
-	return s.liveBytes+s.reservedBytes+m.size+laterRecordBytes <= int64(maxLiveShare*float64(s.journal.Limit()))
+	return s.liveBytes+s.reservedBytes+m.size+maxLaterRecordBytes <= int64(maxLiveShare*float64(s.journal.Limit()))
 }
 
 // admit makes m pending. Its client is answered at the end of the turn, when its record is written.
 func (s *Sender) admit(m *message) {
 	s.pending[m.ID] = m
 	s.admitted = append(s.admitted, m)
-	s.reservedBytes += m.size + laterRecordBytes
+	s.reservedBytes += m.size + maxLaterRecordBytes
 }
 
 // commit writes the records of the turn to the journal. It reports whether they are written, and so whether answers,
@@ -91,7 +91,7 @@
 			m.journaled = true
 			s.journal.Add(m.acceptedRecord())
 			s.accepted = append(s.accepted, m)
-			s.liveBytes += m.size + laterRecordBytes
+			s.liveBytes += m.size + maxLaterRecordBytes
 		}
 	}
 	s.reservedBytes = 0
@@ -137,7 +137,7 @@
 		return s.journal.Flush()
 	}
 	s.accepted = withoutEnded(s.accepted)
-	s.counts.rewritings++
+	s.counts.rewrites++
 	return s.journal.Rewrite(s.records)
 }
 
--- a/internal/sender/call.go
+++ b/internal/sender/call.go
@@ -134,7 +134,7 @@
 		return
 	}
 	s.eventsPending = true
-	o := choice.Outcome{Message: m.ID, Attempt: m.attempts - 1, Endpoint: c.endpoint.id, Took: s.Now() - c.beganAt, Result: choice.Cancelled}
+	o := choice.Outcome{Message: m.ID, Attempt: m.attempts - 1, Endpoint: c.endpoint.id, Duration: s.Now() - c.beganAt, Result: choice.Cancelled}
 	if c.link == nil {
 		o.Result = choice.NotRun
 		c.messages = slices.DeleteFunc(c.messages, func(other *message) bool { return other == m })
--- a/internal/sender/capacity_sockets_test.go
+++ b/internal/sender/capacity_sockets_test.go
@@ -58,9 +58,9 @@
 	}
 	settings := strings.Replace(fmt.Sprintf(twoClassSettings, 100_000), `"callsOut":8`, `"callsOut":256`, 1)
 	cfg := testConfigWith(child.Dir, settings, `{"version":1,"full":true}`)
-	cfg.Known = capacityList(child.Destinations)
-	for i := range cfg.Known.Entries {
-		cfg.Known.Entries[i].Addr = child.Endpoints[i%len(child.Endpoints)]
+	cfg.InitialList = capacityList(child.Destinations)
+	for i := range cfg.InitialList.Entries {
+		cfg.InitialList.Entries[i].Addr = child.Endpoints[i%len(child.Endpoints)]
 	}
 	cfg.Listen, cfg.Discovery = "127.0.0.1:0", child.Discovery
 	cfg.Limits = config.Limits{MemoryMB: 1 << 20, Sockets: child.Sockets, DiskMB: 1 << 20}
--- a/internal/sender/capacity_test.go
+++ b/internal/sender/capacity_test.go
@@ -41,7 +41,7 @@
 func capacityConfig(b *testing.B, destinations, open int) *config.Config {
 	settings := strings.Replace(fmt.Sprintf(twoClassSettings, 10*open+1000), `"balancers":2`, `"balancers":660`, 1)
 	c := testConfigWith(b.TempDir(), settings, `{"version":1,"full":true}`)
-	c.Known = capacityList(destinations)
+	c.InitialList = capacityList(destinations)
 	c.Limits = config.Limits{MemoryMB: 1 << 20, Sockets: 1 << 20, DiskMB: 1 << 20}
 	return c
 }
@@ -159,15 +159,15 @@
 	rows int // of the last digest
 }
 
-func (c *silentCluster) Digest(d clusterapi.Digest) { c.rows = len(d.Rows) }
-func (c *silentCluster) Guide() clusterapi.Guide    { return nil }
-func (c *silentCluster) Woke(choice.DestinationID)  {}
+func (c *silentCluster) ReportDigest(d clusterapi.Digest)         { c.rows = len(d.Rows) }
+func (c *silentCluster) RoutingPlan() clusterapi.RoutingPlan      { return nil }
+func (c *silentCluster) RequestLearnedState(choice.DestinationID) {}
 
 // BenchmarkCapacityDigest measures one digest, of which two are sent each second, with n waiting messages.
 func BenchmarkCapacityDigest(b *testing.B) {
 	bench.Sizes(b, "open", capacityOpenSizes, func(b *testing.B, n int) {
 		h := filledHarness(b, n)
-		h.s.Join(&silentCluster{}, Joining{})
+		h.s.Join(&silentCluster{}, JoinOptions{})
 		for b.Loop() {
 			h.s.sendDigest()
 		}
@@ -181,7 +181,7 @@
 	bench.Sizes(b, "destinations", []int{610, 6_100, 61_000}, func(b *testing.B, n int) {
 		h := capacityHarness(capacityConfig(b, n, 1))
 		c := &silentCluster{}
-		h.s.Join(c, Joining{})
+		h.s.Join(c, JoinOptions{})
 		h.s.sendDigest()
 		for b.Loop() {
 			h.s.sendDigest()
@@ -201,7 +201,7 @@
 			return h
 		})
 		for b.Loop() {
-			h.s.updateEndpoints(cfg.Known, false)
+			h.s.updateEndpoints(cfg.InitialList, false)
 		}
 		b.ReportMetric(heap, "heap-B")
 		h.s.journal.Close()
--- a/internal/sender/client_harness_test.go
+++ b/internal/sender/client_harness_test.go
@@ -86,8 +86,8 @@
 	}
 }
 
-// state returns the TCP state of a connection.
-func state(t *testing.T, conn net.Conn) (state int) {
+// tcpState returns the TCP state of a connection.
+func tcpState(t *testing.T, conn net.Conn) (state int) {
 	t.Helper()
 	onSocket(t, conn, func(fd int) {
 		info, _ := syscall.GetsockoptInt(fd, syscall.IPPROTO_TCP, syscall.TCP_INFO)
@@ -153,8 +153,8 @@
 	return c
 }
 
-// serving starts a sender without discovery and with a limit of sockets. dial connects a client and sends a text.
-func serving(t *testing.T, sockets int) (s *Sender, dial func(string) net.Conn, done <-chan struct{}) {
+// startServingClients starts a sender without discovery and with a limit of sockets. dial connects a client and sends a text.
+func startServingClients(t *testing.T, sockets int) (s *Sender, dial func(string) net.Conn, done <-chan struct{}) {
 	t.Helper()
 	cfg := testConfig(t.TempDir(), 100)
 	cfg.Listen, cfg.Discovery, cfg.Limits.Sockets = "127.0.0.1:0", "127.0.0.1:1", sockets
--- a/internal/sender/clock_test.go
+++ b/internal/sender/clock_test.go
@@ -33,7 +33,7 @@
 			writeJournal(t, dir, m.acceptedRecord(), attemptRecord("of", clockAt(began), 0, "z"))
 			cfg := fourClassConfig(dir, 100)
 			if c.unlisted > 0 {
-				cfg.Known.Entries = nil
+				cfg.InitialList.Entries = nil
 			}
 			l := recordCalls(t, startAt(cfg, began+c.starts))
 			if c.unlisted > 0 {
--- a/internal/sender/cluster.go
+++ b/internal/sender/cluster.go
@@ -13,24 +13,24 @@
 	"flaxcove/internal/sender/clusterapi"
 )
 
-// gateTimeout is the longest time that a gate holds attempts back, unless Joining.For is set. It is longer than fetching and
+// defaultGateTimeout is the longest time that a gate holds attempts back, unless Joining.For is set. It is longer than fetching and
 // applying missed purges takes over loopback. The latency objectives of the classes seen are 0.8 s and longer.
-const gateTimeout = 2 * time.Second
+const defaultGateTimeout = 2 * time.Second
 
-// Joining holds the options of Join.
-type Joining struct {
+// JoinOptions holds the options of Join.
+type JoinOptions struct {
 	// Gate holds all attempts back until it is closed or For has passed, so that purges that this process missed are
 	// applied first (Orders.Purge). Meanwhile messages are accepted and answered, and end at their deadlines. A nil Gate
 	// holds nothing back. The cost is that messages wait at a start. If For passes first, purged messages may be sent.
 	Gate <-chan struct{}
-	// For is the longest time that Gate holds attempts back, counted from Join; 0 means gateTimeout.
-	For time.Duration
+	// GateTimeout is the longest time that Gate holds attempts back, counted from Join; 0 means defaultGateTimeout.
+	GateTimeout time.Duration
 }
 
 // clusterMember is the part of a Sender that belongs to its cluster. The loop owns it, except for orderQueue.
 type clusterMember struct {
-	cluster      clusterapi.Cluster // nil if the sender has not joined a cluster
-	routingPlan  clusterapi.Guide   // the routing plan at the start of this turn; nil allows all
+	cluster      clusterapi.Cluster     // nil if the sender has not joined a cluster
+	routingPlan  clusterapi.RoutingPlan // the routing plan at the start of this turn; nil allows all
 	learnedStore learnedStore
 	gated        bool // the gate holds attempts back
 	orderQueue   orderQueue
@@ -42,15 +42,15 @@
 
 // learnedStore is the part of choice.Sender that manages learned state. Tests replace it.
 type learnedStore interface {
-	// Void drops the learned state of an endpoint, or replaces it if the state given is not nil.
-	Void(choice.EndpointID, *choice.LearnedState)
-	// Holds returns how many answers the learned state of a destination is based on, and whether the destination must not
+	// ReplaceLearnedState drops the learned state of an endpoint, or replaces it if the state given is not nil.
+	ReplaceLearnedState(choice.EndpointID, *choice.LearnedState)
+	// LearnedCalls returns how many answers the learned state of a destination is based on, and whether the destination must not
 	// be evicted.
-	Holds(choice.DestinationID) (calls float64, mustStay bool)
+	LearnedCalls(choice.DestinationID) (calls float64, mustStay bool)
 }
 
 // Join connects the sender to a cluster. It must be called at most once, before Run.
-func (s *Sender) Join(c clusterapi.Cluster, j Joining) {
+func (s *Sender) Join(c clusterapi.Cluster, j JoinOptions) {
 	s.cluster = c
 	s.digestState.init(s)
 	s.after(digestInterval, s.sendDigest)
@@ -59,7 +59,7 @@
 	}
 	s.gated = true
 	timedOut := make(chan struct{})
-	s.after(cmp.Or(j.For, gateTimeout), func() {
+	s.after(cmp.Or(j.GateTimeout, defaultGateTimeout), func() {
 		close(timedOut)
 		s.openGate()
 	})
@@ -81,7 +81,7 @@
 	if s.cluster == nil {
 		return
 	}
-	s.routingPlan = s.cluster.Guide()
+	s.routingPlan = s.cluster.RoutingPlan()
 	if !s.journalFailing {
 		s.applyPurges()
 	}
@@ -95,11 +95,11 @@
 // the caller waits for an answer before it gives many more orders. After the sender has ended, orders are not answered.
 type orders struct{ s *Sender }
 
-// Applied implements clusterapi.Orders.
-func (o orders) Applied() uint64 { return o.s.durableSeq.Load() }
+// LastAppliedSeq implements clusterapi.Orders.
+func (o orders) LastAppliedSeq() uint64 { return o.s.durableSeq.Load() }
 
 // Purge implements clusterapi.Orders.
-func (o orders) Purge(all []clusterapi.Purge, done func(uint64, []clusterapi.Found)) {
+func (o orders) Purge(all []clusterapi.Purge, done func(uint64, []clusterapi.PurgeResult)) {
 	at := o.s.Now() // the age of a purge counts from here, not from when the loop applies it
 	o.s.enqueueOrder(func() { o.s.purge(all, at, done) })
 }
@@ -112,23 +112,23 @@
 	})
 }
 
-// Holding implements clusterapi.Orders.
-func (o orders) Holding(done func([]clusterapi.Held)) {
+// ListHeldState implements clusterapi.Orders.
+func (o orders) ListHeldState(done func([]clusterapi.HeldState)) {
 	o.s.enqueueOrder(func() {
 		all := o.s.holdings()
 		o.s.afterAppend(func() { done(all) })
 	})
 }
 
-// Teach implements clusterapi.Orders.
-func (o orders) Teach(lessons []clusterapi.LearnedEndpoint) {
-	o.s.enqueueOrder(func() { o.s.adoptLessons(lessons) })
+// AdoptLearnedState implements clusterapi.Orders.
+func (o orders) AdoptLearnedState(lessons []clusterapi.LearnedEndpoint) {
+	o.s.enqueueOrder(func() { o.s.adoptLearned(lessons) })
 }
 
-// Know implements clusterapi.Orders.
-func (o orders) Know(of []choice.DestinationID, done func([]clusterapi.LearnedEndpoint)) {
+// GetLearnedState implements clusterapi.Orders.
+func (o orders) GetLearnedState(of []choice.DestinationID, done func([]clusterapi.LearnedEndpoint)) {
 	o.s.enqueueOrder(func() {
-		all := o.s.learnedLessons(of)
+		all := o.s.exportLearned(of)
 		o.s.afterAppend(func() { done(all) })
 	})
 }
--- a/internal/sender/cluster_test.go
+++ b/internal/sender/cluster_test.go
@@ -16,9 +16,9 @@
 	woke       []choice.DestinationID // the destinations passed to Woke
 }
 
-func (c *fakeCluster) Digest(d clusterapi.Digest)  { c.last = d }
-func (c *fakeCluster) Woke(d choice.DestinationID) { c.woke = append(c.woke, d) }
-func (c *fakeCluster) Guide() clusterapi.Guide     { return c }
+func (c *fakeCluster) ReportDigest(d clusterapi.Digest)           { c.last = d }
+func (c *fakeCluster) RequestLearnedState(d choice.DestinationID) { c.woke = append(c.woke, d) }
+func (c *fakeCluster) RoutingPlan() clusterapi.RoutingPlan        { return c }
 func (c *fakeCluster) Allowed(_ choice.MessageID, _ choice.DestinationID, zone choice.ZoneNo) bool {
 	return zone != c.closedZone
 }
@@ -29,13 +29,15 @@
 	voided   []string             // endpoint and new state of each call of Void
 }
 
-func (m *fakeLearnedStore) Void(id choice.EndpointID, l *choice.LearnedState) {
+func (m *fakeLearnedStore) ReplaceLearnedState(id choice.EndpointID, l *choice.LearnedState) {
 	m.voided = append(m.voided, fmt.Sprint(id, " ", l))
 }
-func (m *fakeLearnedStore) Holds(d choice.DestinationID) (float64, bool) { return 7, d == m.mustStay }
+func (m *fakeLearnedStore) LearnedCalls(d choice.DestinationID) (float64, bool) {
+	return 7, d == m.mustStay
+}
 
 // joinCluster joins the sender to a fakeCluster.
-func (h *harness) joinCluster(j Joining) *fakeCluster {
+func (h *harness) joinCluster(j JoinOptions) *fakeCluster {
 	c := &fakeCluster{closedZone: -1}
 	h.s.Join(c, j)
 	return c
@@ -53,7 +55,7 @@
 	for _, opens := range []bool{true, false} {
 		gate := make(chan struct{})
 		h := start("", 100)
-		h.joinCluster(Joining{Gate: gate, For: time.Second})
+		h.joinCluster(JoinOptions{Gate: gate, GateTimeout: time.Second})
 		h.submit("OUT.ADD 0 id c=status,d=6000,dest=1 x").advance(900 * time.Millisecond)
 		if opens {
 			close(gate)
@@ -78,7 +80,7 @@
 // allowed.
 func Example_routingPlan() {
 	h := start("", 100)
-	c := h.joinCluster(Joining{})
+	c := h.joinCluster(JoinOptions{})
 	fmt.Println(h.s.Allowed("id", "a"))
 	c.closedZone = h.s.endpoints["a"].zone
 	h.advance(5 * time.Millisecond)
@@ -94,7 +96,7 @@
 // destination.
 func Example_digest() {
 	h := start("", 4)
-	c := h.joinCluster(Joining{})
+	c := h.joinCluster(JoinOptions{})
 	h.advance(500 * time.Millisecond)
 	show := func() {
 		for _, row := range c.last.Rows {
@@ -136,13 +138,13 @@
 // endpoints without learned state, and its wait is reduced by its age.
 func Example_evict() {
 	h := start("", 100)
-	c, m := h.joinCluster(Joining{}), &fakeLearnedStore{mustStay: 2}
+	c, m := h.joinCluster(JoinOptions{}), &fakeLearnedStore{mustStay: 2}
 	h.s.learnedStore = m
 	h.submit("OUT.ADD 0 id c=status,d=6000,dest=1 x")
 	h.clock += 50 * time.Millisecond
 	o := h.s.Orders()
 	list := func() {
-		o.Holding(func(all []clusterapi.Held) { fmt.Printf("held %+v\n", all) })
+		o.ListHeldState(func(all []clusterapi.HeldState) { fmt.Printf("held %+v\n", all) })
 		h.runNext().advance(5 * time.Millisecond)
 	}
 	evict := func() {
@@ -154,7 +156,7 @@
 	evict()
 	h.calls[0].endpoint.linkCount-- // the harness has no link that could end
 	h.endpointAnswers(answerOK).advance(5 * time.Millisecond)
-	o.Know([]choice.DestinationID{1}, func(all []clusterapi.LearnedEndpoint) { fmt.Printf("known %+v\n", all) })
+	o.GetLearnedState([]choice.DestinationID{1}, func(all []clusterapi.LearnedEndpoint) { fmt.Printf("known %+v\n", all) })
 	h.runNext().advance(20 * time.Millisecond)
 	list()
 	evict()
@@ -162,7 +164,7 @@
 	h.submit("OUT.ADD 0 again c=status,d=6000,dest=9 x", "OUT.ADD 0 more c=status,d=6000,dest=9 x")
 	fmt.Println("woke", c.woke)
 	k := choice.LearnedState{Mean: 10, Dev: 1, Past: 10, Seen: 3, Wait: 5 * choice.Second}
-	o.Teach([]clusterapi.LearnedEndpoint{{Endpoint: "z", LearnedState: k, Age: 2 * time.Second}, {Endpoint: "a", LearnedState: k},
+	o.AdoptLearnedState([]clusterapi.LearnedEndpoint{{Endpoint: "z", LearnedState: k, Age: 2 * time.Second}, {Endpoint: "a", LearnedState: k},
 		{Endpoint: "none", LearnedState: k},
 		{Endpoint: "b", LearnedState: choice.LearnedState{Mean: -1}}})
 	h.runNext()
--- a/internal/sender/clusterapi/clusterapi.go
+++ b/internal/sender/clusterapi/clusterapi.go
@@ -13,8 +13,8 @@
 	"flaxcove/choice"
 )
 
-// Row counts what one sender observed at a destination's endpoints in one zone since its last digest.
-type Row struct {
+// DigestRow counts what one sender observed at a destination's endpoints in one zone since its last digest.
+type DigestRow struct {
 	Destination choice.DestinationID `json:"d"`
 	Kind        choice.KindNo        `json:"k,omitempty"`
 	Zone        string               `json:"z"`
@@ -29,9 +29,9 @@
 	Waiting     int                  `json:"h,omitempty"` // messages waiting for the destination; set in only one of its rows
 }
 
-// Count is the number of messages that one client host submitted for a destination since the last digest. Each message is
+// ClientCount is the number of messages that one client host submitted for a destination since the last digest. Each message is
 // counted once.
-type Count struct {
+type ClientCount struct {
 	Destination choice.DestinationID `json:"d"`
 	Client      string               `json:"p"` // the client's host, by which the sender tells clients apart
 	Messages    uint64               `json:"n"`
@@ -40,14 +40,14 @@
 // Digest is a sender's summary of its traffic since the digest before. A sender passes one to Cluster.Digest twice a second,
 // and the receiver owns it.
 type Digest struct {
-	Rows   []Row
-	Counts []Count
+	Rows   []DigestRow
+	Counts []ClientCount
 	// Longest is the longest time to the deadline of any class and message. Messages accepted longer ago have ended.
 	Longest time.Duration
 }
 
-// Guide is a routing plan that the cluster has decided. It is immutable and is read without a lock at each attempt.
-type Guide interface {
+// RoutingPlan is a routing plan that the cluster has decided. It is immutable and is read without a lock at each attempt.
+type RoutingPlan interface {
 	// Allowed reports whether message n may be sent to an endpoint of destination d in a zone. The result depends only on
 	// the arguments and the plan. The call takes nanoseconds.
 	Allowed(n choice.MessageID, d choice.DestinationID, zone choice.ZoneNo) bool
@@ -55,13 +55,13 @@
 
 // Cluster is the cluster that a sender has joined, as the sender uses it.
 type Cluster interface {
-	// Digest takes the sender's next digest.
-	Digest(Digest)
-	// Guide returns the current routing plan, or nil if there is none; then every endpoint is allowed.
-	Guide() Guide
-	// Woke asks for the region's learned state of a destination that this sender has evicted. The answer comes through
+	// ReportDigest takes the sender's next digest.
+	ReportDigest(Digest)
+	// RoutingPlan returns the current routing plan, or nil if there is none; then every endpoint is allowed.
+	RoutingPlan() RoutingPlan
+	// RequestLearnedState asks for the region's learned state of a destination that this sender has evicted. The answer comes through
 	// Orders.Teach, or never.
-	Woke(d choice.DestinationID)
+	RequestLearnedState(d choice.DestinationID)
 }
 
 // Match selects messages or learned state. A message must match all fields that are set; an empty field matches everything.
@@ -73,8 +73,8 @@
 	KeyPrefix   string                `json:"key_prefix,omitempty"`
 }
 
-// Found counts the messages or endpoints that a purge matched at one process.
-type Found struct {
+// PurgeResult counts the messages or endpoints that a purge matched at one process.
+type PurgeResult struct {
 	NotBegun     int `json:"not_begun"` // messages that had not run: ended by the purge, and reported as failed
 	MayRun       int `json:"may_run"`   // messages whose call is or was in flight: they may have run, and are not sent again
 	Delivered    int `json:"delivered"` // messages that ended before the purge, as far as they are remembered
@@ -103,26 +103,26 @@
 type Orders interface {
 	// Purge applies purges in the order given and records them on disk. A purge whose Seq was applied before is not applied
 	// again, and is answered as it was the first time. applied is the highest Seq on disk.
-	Purge(all []Purge, done func(applied uint64, found []Found))
-	// Applied returns the highest Seq on disk. It may be called before the loop runs.
-	Applied() uint64
+	Purge(all []Purge, done func(applied uint64, found []PurgeResult))
+	// LastAppliedSeq returns the highest Seq on disk. It may be called before the loop runs.
+	LastAppliedSeq() uint64
 	// Evict makes the sender drop its state of the given destinations. Destinations that are in use stay, and are passed to
 	// done.
 	Evict(all []choice.DestinationID, done func(retained []choice.DestinationID))
-	// Holding lists the destinations of which the sender holds state, for the choice of destinations to evict.
-	Holding(done func([]Held))
-	// Teach passes learned state from other processes, for endpoints of which this sender has learned nothing.
-	Teach(lessons []LearnedEndpoint)
-	// Know passes to done what this sender has learned of the given destinations, or of all destinations if of is empty.
-	Know(of []choice.DestinationID, done func([]LearnedEndpoint))
+	// ListHeldState lists the destinations of which the sender holds state, for the choice of destinations to evict.
+	ListHeldState(done func([]HeldState))
+	// AdoptLearnedState passes learned state from other processes, for endpoints of which this sender has learned nothing.
+	AdoptLearnedState(lessons []LearnedEndpoint)
+	// GetLearnedState passes to done what this sender has learned of the given destinations, or of all destinations if of is empty.
+	GetLearnedState(of []choice.DestinationID, done func([]LearnedEndpoint))
 	// Configure puts a configuration in force in one turn, completely or not at all. done gets nil once the configuration is
 	// in force; otherwise it gets the error, and the previous settings stay in force. A version older than the one in force
 	// is rejected.
 	Configure(c Configuration, done func(error))
 }
 
-// Held is the state that one sender holds of a destination.
-type Held struct {
+// HeldState is the state that one sender holds of a destination.
+type HeldState struct {
 	Destination choice.DestinationID
 	Bytes       int     // estimated size in memory
 	Calls       float64 // number of answers that the learned state is based on, so the cost of learning it again
--- a/internal/sender/command.go
+++ b/internal/sender/command.go
@@ -59,8 +59,8 @@
 	s.log.Debug("message admitted", zap.String("id", string(m.ID)), zap.String("workload", m.className),
 		zap.Int64("dest", int64(m.Destination)), zap.Int64("hard_stop_ms", int64((m.Deadline-s.Now())/choice.Millisecond)))
 	s.admit(m)
-	s.choice.Taken(m.Message)
-	s.wakeDestination(m.Destination)
+	s.choice.Accept(m.Message)
+	s.requestLearnedState(m.Destination)
 }
 
 // answerResubmission answers a submission whose id is that of a message that is pending or has ended, and reports whether
--- a/internal/sender/configure.go
+++ b/internal/sender/configure.go
@@ -75,7 +75,7 @@
 func (s *Sender) apply(next *config.Config) {
 	previous := s.cfg
 	s.cfg = next
-	s.numbering = directory.NameNumbers{Zones: next.Zones, Kinds: next.Kinds}
+	s.numbering = directory.NameNumbers{Zones: next.ZoneNumbers, Kinds: next.KindNumbers}
 	s.clients.setBusyReply(&next.Settings)
 	s.linkPool.init(s.withSystemLimits(next), s.clients.maxConns)
 	if s.cluster != nil {
@@ -94,7 +94,7 @@
 			s.restartIdleTimers(e)
 		}
 	}
-	if len(previous.Zones) != len(next.Zones) || len(previous.Kinds) != len(next.Kinds) {
+	if len(previous.ZoneNumbers) != len(next.ZoneNumbers) || len(previous.KindNumbers) != len(next.KindNumbers) {
 		s.renumberEndpoints()
 	}
 }
--- a/internal/sender/configure_bench_test.go
+++ b/internal/sender/configure_bench_test.go
@@ -37,7 +37,7 @@
 						b.Fatal(err)
 					}
 					h.s.admit(m)
-					h.s.choice.Taken(m.Message)
+					h.s.choice.Accept(m.Message)
 				}
 				b.ResetTimer()
 				for i := range b.N {
--- a/internal/sender/configure_test.go
+++ b/internal/sender/configure_test.go
@@ -153,7 +153,7 @@
 	if text := answer("OUT.ADD 0 again c=offer,d=6000,dest=9 x"); text != "+OK" {
 		t.Errorf("a message of the new class under the old limit is answered %s", text)
 	}
-	h.joinCluster(Joining{})
+	h.joinCluster(JoinOptions{})
 	if counters := strings.Join(h.s.Counters(), " "); !strings.Contains(counters, "configuration_version:2") {
 		t.Error(counters)
 	}
--- a/internal/sender/connecting_test.go
+++ b/internal/sender/connecting_test.go
@@ -122,7 +122,7 @@
 	go checker.serve(endpoint)
 	cfg := fourClassConfig(checker.dir, 100)
 	cfg.Listen, cfg.Discovery = "127.0.0.1:0", "127.0.0.1:1"
-	cfg.Known.Entries = []directory.Entry{{ID: "a", Addr: endpoint.Addr().String(), Zone: "z", Kind: "one", Destination: 1, State: "up", Weight: 9}}
+	cfg.InitialList.Entries = []directory.Entry{{ID: "a", Addr: endpoint.Addr().String(), Zone: "z", Kind: "one", Destination: 1, State: "up", Weight: 9}}
 	s, done := startRunning(t, cfg)
 	client := connectClient(t, s)
 	const all = 12
--- a/internal/sender/counters.go
+++ b/internal/sender/counters.go
@@ -11,13 +11,13 @@
 
 // counts holds the counters of a Sender, which begin at 0 with each process. The loop owns them.
 type counts struct {
-	submitted, accepted, rejected, badCommands, replayed      int64
-	attempts, probes, connects, connectsFailed, callsTimedOut int64
-	delivered, shed, failed, endingsPosted, postsFailed       int64
-	clientsEnded, linksEnded, watchesEnded, rewritings        int64
-	reloads                                                   int64
-	purges, withdrawn, withdrawnInFlight, evicted, taught     int64
-	outcomes                                                  [choice.Unreadable + 1]int64
+	submitted, accepted, rejected, badCommands, replayed          int64
+	attempts, probes, connects, connectsFailed, callsTimedOut     int64
+	delivered, shed, failed, endingsPosted, postsFailed           int64
+	clientsEnded, linksEnded, watchesEnded, rewrites              int64
+	reloads                                                       int64
+	purges, withdrawn, withdrawnInFlight, evicted, learnedAdopted int64
+	outcomes                                                      [choice.Unreadable + 1]int64
 }
 
 // counter is one line of INFO. The names and their order are part of the protocol.
@@ -80,7 +80,7 @@
 		{"watches_ended", n.watchesEnded},
 		{"reloads", n.reloads},
 		{"journal_bytes", s.journal.Size()},
-		{"journal_rewritings", n.rewritings},
+		{"journal_rewritings", n.rewrites},
 		{"owed", int64(len(s.pending))},
 		{"endings_owed", int64(len(s.endings))},
 	}
@@ -95,11 +95,11 @@
 	return []counter{
 		{"notes_told", c.Sent},
 		{"notes_unsent", c.Unsent},
-		{"notes_heard", c.Heard},
-		{"notes_from_strangers", c.Strange},
-		{"notes_own", c.Own},
+		{"notes_heard", c.Received},
+		{"notes_from_strangers", c.UnknownSource},
+		{"notes_own", c.FromSelf},
 		{"notes_too_long", c.TooLong},
-		{"notes_spoilt", c.Spoilt},
+		{"notes_spoilt", c.Malformed},
 	}
 }
 
@@ -115,7 +115,7 @@
 		{"withdrawn", n.withdrawn}, // not included in given_up, though the platform gets the same report for both
 		{"withdrawn_while_out", n.withdrawnInFlight},
 		{"evicted", n.evicted},
-		{"taught", n.taught},
+		{"taught", n.learnedAdopted},
 		{"digest_left_out", s.leftOut},
 	}
 }
--- a/internal/sender/descriptors_test.go
+++ b/internal/sender/descriptors_test.go
@@ -155,17 +155,17 @@
 // fakePartner is discovery, an endpoint and the platform in one server.
 type fakePartner struct {
 	*httptest.Server
-	up             atomic.Bool  // discovery answers; before, it closes each connection
-	asked          atomic.Int64 // requests to discovery
-	inbox, outcome atomic.Int64 // calls to the endpoint, and reports to the platform
+	discoveryUp            atomic.Bool  // discovery answers; before, it closes each connection
+	discoveryRequests      atomic.Int64 // requests to discovery
+	callCount, reportCount atomic.Int64 // calls to the endpoint, and reports to the platform
 }
 
 func (p *fakePartner) ServeHTTP(out http.ResponseWriter, r *http.Request) {
 	io.Copy(io.Discard, r.Body)
 	switch r.URL.Path {
 	case "/api/targets":
-		p.asked.Add(1)
-		if !p.up.Load() {
+		p.discoveryRequests.Add(1)
+		if !p.discoveryUp.Load() {
 			conn, _, _ := out.(http.Hijacker).Hijack()
 			conn.Close()
 			return
@@ -176,10 +176,10 @@
 		out.(http.Flusher).Flush()
 		<-r.Context().Done()
 	case "/v1/outcomes":
-		p.outcome.Add(1)
+		p.reportCount.Add(1)
 		out.WriteHeader(http.StatusNoContent)
 	case "/inbox":
-		p.inbox.Add(1)
+		p.callCount.Add(1)
 	}
 }
 
@@ -230,12 +230,12 @@
 			dial, pid := program.dial, program.Process.Pid
 			idle := floodWithIdle(t, program)
 			used := cpuTime(t, pid)
-			asked, since := p.asked.Load(), time.Now()
-			waitUntil(t, "discovery is asked twice while idle clients hold all descriptors", func() bool { return p.asked.Load() >= asked+2 })
+			asked, since := p.discoveryRequests.Load(), time.Now()
+			waitUntil(t, "discovery is asked twice while idle clients hold all descriptors", func() bool { return p.discoveryRequests.Load() >= asked+2 })
 			if used, took := cpuTime(t, pid)-used, time.Since(since); used > took/2 {
 				t.Errorf("the process used %v of CPU time within %v while it had nothing to do", used, took)
 			}
-			p.up.Store(true)
+			p.discoveryUp.Store(true)
 			conn := dial(t)
 			answers := bufio.NewReader(conn)
 			send := func(id, list string, size int) {
@@ -254,7 +254,7 @@
 				send(fmt.Sprint("many", i), "c=status,d=6000,dest=1", 4<<10)
 			}
 			send("nowhere", "c=status,d=1200,dest=9", 4<<10)
-			waitUntil(t, "60 messages are delivered and one end is reported", func() bool { return p.inbox.Load() >= 60 && p.outcome.Load() >= 1 })
+			waitUntil(t, "60 messages are delivered and one end is reported", func() bool { return p.callCount.Load() >= 60 && p.reportCount.Load() >= 1 })
 			waitUntil(t, "the journal is rewritten", func() bool {
 				io.WriteString(conn, "*1\r\n$4\r\nINFO\r\n")
 				line, _ := answers.ReadString('\n')
--- a/internal/sender/digest.go
+++ b/internal/sender/digest.go
@@ -40,20 +40,20 @@
 
 // digestState is the part of a Sender that collects the next digest.
 type digestState struct {
-	rows              map[destinationZone]*clusterapi.Row // since the last digest
-	submissions       map[submitter]uint64                // messages since the last digest
-	listings          map[destinationZone]*listing        // summary of the endpoint list
-	firstZone         map[choice.DestinationID]string     // the zone in whose row the waiting messages are counted
-	digests           uint64                              // number of digests so far
-	listChanged       bool                                // the endpoint list has changed since listings was built
-	longestDeadline   choice.Time                         // longest time from acceptance to deadline so far
-	shortestObjective choice.Time                         // shortest latency objective of a class so far
-	leftOut           int64                               // rows and counts left out so far
+	rows              map[destinationZone]*clusterapi.DigestRow // since the last digest
+	submissions       map[submitter]uint64                      // messages since the last digest
+	listings          map[destinationZone]*listing              // summary of the endpoint list
+	firstZone         map[choice.DestinationID]string           // the zone in whose row the waiting messages are counted
+	digests           uint64                                    // number of digests so far
+	listChanged       bool                                      // the endpoint list has changed since listings was built
+	longestDeadline   choice.Time                               // longest time from acceptance to deadline so far
+	shortestObjective choice.Time                               // shortest latency objective of a class so far
+	leftOut           int64                                     // rows and counts left out so far
 }
 
 // init prepares the first digest of a sender that joins a cluster.
 func (d *digestState) init(s *Sender) {
-	d.rows, d.submissions, d.listChanged = map[destinationZone]*clusterapi.Row{}, map[submitter]uint64{}, true
+	d.rows, d.submissions, d.listChanged = map[destinationZone]*clusterapi.DigestRow{}, map[submitter]uint64{}, true
 	d.includeClasses(s.cfg.Settings.Classes)
 	for _, m := range s.pending {
 		d.includeMessage(m, s.Now())
@@ -111,14 +111,14 @@
 }
 
 // row returns the row of a destination and zone, adding it if needed; nil if the table is full.
-func (d *digestState) row(key destinationZone) *clusterapi.Row {
+func (d *digestState) row(key destinationZone) *clusterapi.DigestRow {
 	r := d.rows[key]
 	if r == nil {
 		if len(d.rows) >= maxDigestRows {
 			d.leftOut++
 			return nil
 		}
-		r = &clusterapi.Row{Destination: key.destination, Zone: key.zone}
+		r = &clusterapi.DigestRow{Destination: key.destination, Zone: key.zone}
 		d.rows[key] = r
 	}
 	return r
@@ -159,7 +159,7 @@
 	}
 	clear(s.rows)
 	clear(s.submissions)
-	s.cluster.Digest(d)
+	s.cluster.ReportDigest(d)
 }
 
 // addDueRows adds the rows of some listed destinations, so that all rows are sent within fullDigestEvery digests.
@@ -189,7 +189,7 @@
 }
 
 // digestRows returns the rows, completed from the endpoint list and sorted by destination and zone.
-func (d *digestState) digestRows(kinds []choice.Kind) (rows []clusterapi.Row) {
+func (d *digestState) digestRows(kinds []choice.Kind) (rows []clusterapi.DigestRow) {
 	for key, r := range d.rows {
 		if l := d.listings[key]; l != nil {
 			r.Kind, r.Endpoints, r.Rating = l.kind, len(l.endpoints), l.rating
@@ -197,18 +197,18 @@
 		}
 		rows = append(rows, *r)
 	}
-	slices.SortFunc(rows, func(a, b clusterapi.Row) int {
+	slices.SortFunc(rows, func(a, b clusterapi.DigestRow) int {
 		return cmp.Or(cmp.Compare(a.Destination, b.Destination), strings.Compare(a.Zone, b.Zone))
 	})
 	return rows
 }
 
 // digestCounts returns the counts of submitted messages, sorted by destination and client.
-func (d *digestState) digestCounts() (counts []clusterapi.Count) {
+func (d *digestState) digestCounts() (counts []clusterapi.ClientCount) {
 	for from, n := range d.submissions {
-		counts = append(counts, clusterapi.Count{Destination: from.destination, Client: from.host, Messages: n})
+		counts = append(counts, clusterapi.ClientCount{Destination: from.destination, Client: from.host, Messages: n})
 	}
-	slices.SortFunc(counts, func(a, b clusterapi.Count) int {
+	slices.SortFunc(counts, func(a, b clusterapi.ClientCount) int {
 		return cmp.Or(cmp.Compare(a.Destination, b.Destination), strings.Compare(a.Client, b.Client))
 	})
 	return counts
--- a/internal/sender/drain_test.go
+++ b/internal/sender/drain_test.go
@@ -37,7 +37,7 @@
 // resets connections that have unread input. This includes a client with unread input, a client with an incomplete command,
 // and a client that has just connected and has sent nothing.
 func TestDrainHalfClosesAll(t *testing.T) {
-	s, dial, done := serving(t, 64)
+	s, dial, done := startServingClients(t, 64)
 	unread, partial, idle, fresh := dial(pingText), dial("*2\r\n$4\r\nPI"), dial(pingText), dial("")
 	mustRead(t, unread, pongText)
 	mustRead(t, idle, pongText)
@@ -50,7 +50,7 @@
 	drainSignalledBefore(t, s, drainEndTime)
 	waitEnded(t, done)
 	for name, conn := range map[string]net.Conn{"unread": unread, "partial": partial, "idle": idle, "fresh": fresh} {
-		if got := state(t, conn); got != stateCloseWait {
+		if got := tcpState(t, conn); got != stateCloseWait {
 			t.Errorf("client %s: TCP state %d when the process ends, which would reset the connection", name, got)
 		}
 	}
@@ -62,7 +62,7 @@
 // TestDrainAnswersWhatWasRead checks that all commands that were read are answered before the process ends, even if they are
 // more than a window. The process then ends before drainHardEnd.
 func TestDrainAnswersWhatWasRead(t *testing.T) {
-	s, dial, done := serving(t, 64)
+	s, dial, done := startServingClients(t, 64)
 	conn := dial("")
 	c := clientOf(t, s, conn)
 	const commands = 3 * windowSize
@@ -84,7 +84,7 @@
 // TestDrainWithBusyClients checks that a graceful shutdown also closes a client that sends without a pause and so is never
 // idle, and that a client that reads slowly gets all its answers.
 func TestDrainWithBusyClients(t *testing.T) {
-	s, dial, done := serving(t, 64)
+	s, dial, done := startServingClients(t, 64)
 	busy, slow := dial(""), dial("")
 	stop := make(chan struct{})
 	go func() {
@@ -112,7 +112,7 @@
 		t.Errorf("%d of %d bytes of answers, %v", len(text), len(want), err)
 	}
 	slow.Close()
-	waitUntil(t, "the connection of the busy client is closed", func() bool { return state(t, busy) != stateOpen })
+	waitUntil(t, "the connection of the busy client is closed", func() bool { return tcpState(t, busy) != stateOpen })
 	waitEnded(t, done)
 	busy.Close()
 	<-stop
@@ -121,7 +121,7 @@
 // TestDrainCountsFromTheSignal checks that the steps of a graceful shutdown count from the signal, even if the loop handles
 // it later, and that a second signal or a reload changes nothing.
 func TestDrainCountsFromTheSignal(t *testing.T) {
-	s, dial, done := serving(t, 64)
+	s, dial, done := startServingClients(t, 64)
 	var postedBy time.Duration // a time after the signal and before the loop handles it
 	onLoop(t, s, func() {
 		go s.Drain()
@@ -149,7 +149,7 @@
 // TestCommandsAroundTheSignal checks that the first command of a client that connected just before the signal is answered,
 // and that an incomplete command is waited for and answered.
 func TestCommandsAroundTheSignal(t *testing.T) {
-	s, dial, done := serving(t, 64)
+	s, dial, done := startServingClients(t, 64)
 	fresh, partial := dial(""), dial(pingText[:7])
 	clientOf(t, s, fresh)
 	c := clientOf(t, s, partial)
@@ -167,7 +167,7 @@
 // TestNewClientAtTheEnd checks that a client that has sent nothing by drainReadTime is rejected and gets an answer to its
 // first command before its connection is closed.
 func TestNewClientAtTheEnd(t *testing.T) {
-	s, dial, done := serving(t, 64)
+	s, dial, done := startServingClients(t, 64)
 	conn := dial("")
 	c := clientOf(t, s, conn)
 	drainSignalledBefore(t, s, drainReadTime)
@@ -185,7 +185,7 @@
 // TestRejectedAtHardEnd checks that a client that was rejected just before drainHardEnd is half-closed by drainHardEnd,
 // whichever timer fires first.
 func TestRejectedAtHardEnd(t *testing.T) {
-	s, dial, done := serving(t, 64)
+	s, dial, done := startServingClients(t, 64)
 	conn := dial("")
 	c := clientOf(t, s, conn)
 	onLoop(t, s, func() {
@@ -197,7 +197,7 @@
 		s.checkDrain()
 	})
 	waitEnded(t, done)
-	if got := state(t, conn); got != stateCloseWait {
+	if got := tcpState(t, conn); got != stateCloseWait {
 		t.Errorf("TCP state %d when the process ends", got)
 	}
 }
@@ -205,7 +205,7 @@
 // TestLastClient checks that a client that connects after the last client has gone, just before the process ends, is
 // answered.
 func TestLastClient(t *testing.T) {
-	s, dial, done := serving(t, 64)
+	s, dial, done := startServingClients(t, 64)
 	drainSignalledBefore(t, s, drainAcceptTime)
 	waitEnded(t, done)
 	conn := dial(addText("last"))
--- a/internal/sender/endpoints_test.go
+++ b/internal/sender/endpoints_test.go
@@ -97,7 +97,7 @@
 	t.Cleanup(discovery.CloseClientConnections)
 	cfg := testConfig(t.TempDir(), 100)
 	cfg.Listen, cfg.Discovery = "127.0.0.1:0", discovery.Listener.Addr().String()
-	cfg.Known.Entries = []directory.Entry{readyEntry("e", addr, 1)}
+	cfg.InitialList.Entries = []directory.Entry{readyEntry("e", addr, 1)}
 	s, conn, done := startServing(t, cfg)
 	t.Cleanup(func() {
 		conn.Close()
--- a/internal/sender/eviction.go
+++ b/internal/sender/eviction.go
@@ -55,16 +55,16 @@
 }
 
 // holdings returns what this sender holds of each destination with links or learned state, sorted by destination.
-func (s *Sender) holdings() (all []clusterapi.Held) {
-	held := map[choice.DestinationID]*clusterapi.Held{}
+func (s *Sender) holdings() (all []clusterapi.HeldState) {
+	held := map[choice.DestinationID]*clusterapi.HeldState{}
 	for _, e := range s.endpoints {
 		if e.linkCount == 0 && !hasLearned(s.choice.LearnedState(e.id)) {
 			continue
 		}
 		h := held[e.destination]
 		if h == nil {
-			h = &clusterapi.Held{Destination: e.destination}
-			h.Calls, h.InUse = s.learnedStore.Holds(e.destination)
+			h = &clusterapi.HeldState{Destination: e.destination}
+			h.Calls, h.InUse = s.learnedStore.LearnedCalls(e.destination)
 			held[e.destination] = h
 		}
 		h.Bytes += endpointBytesEstimate + e.linkCount*linkBytesEstimate
@@ -96,7 +96,7 @@
 		busy[e.destination] = busy[e.destination] || e.hasBusyLinks()
 	}
 	for _, d := range all {
-		if _, inUse := s.learnedStore.Holds(d); inUse || busy[d] {
+		if _, inUse := s.learnedStore.LearnedCalls(d); inUse || busy[d] {
 			retained = append(retained, d)
 			continue
 		}
@@ -120,7 +120,7 @@
 
 // dropLearned drops the learned state of an endpoint, and closes its idle links.
 func (s *Sender) dropLearned(e *endpoint) {
-	s.learnedStore.Void(e.id, nil)
+	s.learnedStore.ReplaceLearnedState(e.id, nil)
 	s.closeIdleLinks(e, endpointEvicted)
 	e.lastAnswerAt, e.reportedLimit, e.reportedLimitAt = 0, 0, 0
 }
@@ -143,18 +143,18 @@
 	return len(purged), nil
 }
 
-// wakeDestination asks the region for the learned state of an evicted destination when the first message for it is
+// requestLearnedState asks the region for the learned state of an evicted destination when the first message for it is
 // submitted. It does nothing if the destination was not evicted.
-func (s *Sender) wakeDestination(d choice.DestinationID) {
+func (s *Sender) requestLearnedState(d choice.DestinationID) {
 	if _, evicted := s.evicted[d]; evicted {
 		delete(s.evicted, d)
-		s.cluster.Woke(d)
+		s.cluster.RequestLearnedState(d)
 	}
 }
 
-// learnedLessons returns the learned state of the endpoints of some destinations, or of all if none is named. The age of
+// exportLearned returns the learned state of the endpoints of some destinations, or of all if none is named. The age of
 // each is that of the last answer it is based on.
-func (s *Sender) learnedLessons(destinations []choice.DestinationID) (all []clusterapi.LearnedEndpoint) {
+func (s *Sender) exportLearned(destinations []choice.DestinationID) (all []clusterapi.LearnedEndpoint) {
 	now := s.Now()
 	matches := inSet(destinations)
 	if len(destinations) == 0 {
@@ -175,9 +175,9 @@
 	return all
 }
 
-// adoptLessons adopts learned state of other senders for endpoints that have no learned state here. The wait of each is
+// adoptLearned adopts learned state of other senders for endpoints that have no learned state here. The wait of each is
 // reduced by its age.
-func (s *Sender) adoptLessons(lessons []clusterapi.LearnedEndpoint) {
+func (s *Sender) adoptLearned(lessons []clusterapi.LearnedEndpoint) {
 	for _, l := range lessons {
 		e := s.endpoints[l.Endpoint]
 		if e == nil || e.gone || !isPlausible(l.LearnedState) || l.Age < 0 || hasLearned(s.choice.LearnedState(e.id)) {
@@ -185,8 +185,8 @@
 		}
 		age := config.RoundUp(int64(l.Age))
 		l.LearnedState.Wait = max(0, l.LearnedState.Wait-age)
-		s.learnedStore.Void(e.id, &l.LearnedState)
+		s.learnedStore.ReplaceLearnedState(e.id, &l.LearnedState)
 		e.lastAnswerAt = s.Now() - age
-		s.counts.taught++
+		s.counts.learnedAdopted++
 	}
 }
--- a/internal/sender/gossip.go
+++ b/internal/sender/gossip.go
@@ -43,7 +43,7 @@
 func (s *Sender) startGossip(p *peers.Peers) {
 	s.peers = p
 	if p != nil {
-		p.Start(func(note []byte) { s.post(func() { s.choice.Heard(note) }) })
+		p.Start(func(note []byte) { s.post(func() { s.choice.ReceiveNote(note) }) })
 	}
 }
 
--- a/internal/sender/gossip_test.go
+++ b/internal/sender/gossip_test.go
@@ -71,7 +71,7 @@
 	cfg.Listen, cfg.Discovery = "127.0.0.1:0", addr
 	cfg.PeerListen, cfg.Peers = r.peers[number], append(r.peers[:], "127.0.0.1:7", "127.0.0.1:7", "127.0.0.1:7")
 	cfg.Settings.Senders, cfg.Settings.Number, cfg.Settings.Notes = 20, choice.PeerNo(number), on
-	cfg.Known.Entries = []directory.Entry{readyEntry("full", addr, 1)}
+	cfg.InitialList.Entries = []directory.Entry{readyEntry("full", addr, 1)}
 	return startServing(t, cfg)
 }
 
@@ -125,10 +125,10 @@
 	}
 	r.sendBroken(t, peer, packet[:n])
 	waitOnLoop(t, second, "all packets are counted", func() bool {
-		return hasCounters(second, "notes_from_strangers:3", "notes_spoilt:1", "notes_too_long:1") && second.peers.Counts().Heard >= 2
+		return hasCounters(second, "notes_from_strangers:3", "notes_spoilt:1", "notes_too_long:1") && second.peers.Counts().Received >= 2
 	})
 	for _, invalid := range [][]byte{{}, {1}, {1, 2}, {1, 2, 3}, {1, 2, 3, 4}} {
-		second.post(func() { second.choice.Heard(invalid) })
+		second.post(func() { second.choice.ReceiveNote(invalid) })
 	}
 	third, client3, done3 := r.start(t, 2, false)
 	if third.peers != nil {
--- a/internal/sender/harness_test.go
+++ b/internal/sender/harness_test.go
@@ -57,8 +57,8 @@
 func testConfigWith(dir, settings, list string) *config.Config {
 	var b config.Boot
 	c := &config.Config{Name: "s", StateDir: dir, Limits: config.Limits{MemoryMB: 192, Sockets: 256, DiskMB: 0.25},
-		ClassNumbers: map[string]choice.ClassNo{}, Zones: map[string]choice.ZoneNo{}, Kinds: map[string]choice.KindNo{}}
-	for text, to := range map[string]any{settings: &b, list: &c.Known} {
+		ClassNumbers: map[string]choice.ClassNo{}, ZoneNumbers: map[string]choice.ZoneNo{}, KindNumbers: map[string]choice.KindNo{}}
+	for text, to := range map[string]any{settings: &b, list: &c.InitialList} {
 		if err := json.Unmarshal([]byte(text), to); err != nil {
 			fmt.Println(err)
 		}
@@ -66,15 +66,15 @@
 	for i, class := range b.Classes {
 		c.ClassNumbers[class.Name] = choice.ClassNo(i)
 	}
-	c.Accounts = map[string]choice.AccountNo{}
+	c.AccountNumbers = map[string]choice.AccountNo{}
 	for i, a := range b.Accounts {
-		c.Accounts[a.Name] = choice.AccountNo(i)
+		c.AccountNumbers[a.Name] = choice.AccountNo(i)
 	}
 	for i, zone := range b.Zones {
-		c.Zones[zone] = choice.ZoneNo(i)
+		c.ZoneNumbers[zone] = choice.ZoneNo(i)
 	}
 	for i, kind := range b.MachineTypes {
-		c.Kinds[kind] = choice.KindNo(i)
+		c.KindNumbers[kind] = choice.KindNo(i)
 	}
 	c.Settings, _ = b.Settings(true)
 	return c
--- a/internal/sender/host.go
+++ b/internal/sender/host.go
@@ -78,23 +78,23 @@
 	}
 }
 
-// Tell sends a note to all other senders; it does nothing if gossip is off.
-func (s *Sender) Tell(note []byte) {
+// BroadcastNote sends a note to all other senders; it does nothing if gossip is off.
+func (s *Sender) BroadcastNote(note []byte) {
 	if s.peers != nil {
-		s.peers.Tell(note)
+		s.peers.Send(note)
 	}
 }
 
-// Timer sets a timer of package choice, which is due after delay.
-func (s *Sender) Timer(delay choice.Time, id choice.TimerID) {
+// SetTimer sets a timer of package choice, which is due after delay.
+func (s *Sender) SetTimer(delay choice.Time, id choice.TimerID) {
 	s.choiceTimers[id] = s.after(time.Duration(config.Nanoseconds(delay)), func() {
 		delete(s.choiceTimers, id)
-		s.choice.TimerDue(id)
+		s.choice.TimerFired(id)
 	})
 }
 
-// Forget cancels a timer of package choice.
-func (s *Sender) Forget(id choice.TimerID) {
+// CancelTimer cancels a timer of package choice.
+func (s *Sender) CancelTimer(id choice.TimerID) {
 	s.cancelTimer(s.choiceTimers[id])
 	delete(s.choiceTimers, id)
 }
--- a/internal/sender/learned_state_test.go
+++ b/internal/sender/learned_state_test.go
@@ -71,13 +71,13 @@
 		t.Fatal(err)
 	}
 	h := start(dir, 100)
-	h.joinCluster(Joining{})
+	h.joinCluster(JoinOptions{})
 	m := &fakeLearnedStore{}
 	h.s.learnedStore = m
 	d := choice.DestinationID(1)
-	var found []clusterapi.Found
+	var found []clusterapi.PurgeResult
 	h.s.Orders().Purge([]clusterapi.Purge{{Seq: 1, LearnedState: true, Match: clusterapi.Match{Destination: &d}},
-		{Seq: 2, LearnedState: true, Match: clusterapi.Match{Class: "order"}}}, func(_ uint64, f []clusterapi.Found) { found = f })
+		{Seq: 2, LearnedState: true, Match: clusterapi.Match{Class: "order"}}}, func(_ uint64, f []clusterapi.PurgeResult) { found = f })
 	h.runNext().advance(5 * time.Millisecond)
 	if len(found) != 2 || found[0].LearnedState != 2 || found[1].LearnedState != 0 || len(m.voided) != 1 {
 		t.Errorf("found %+v, learned state dropped of %v", found, m.voided)
--- a/internal/sender/lingering_close_test.go
+++ b/internal/sender/lingering_close_test.go
@@ -38,7 +38,7 @@
 		}},
 		{"displaced", served, pongText, func(t *testing.T, s *Sender, c *client, conn net.Conn, dial func(string) net.Conn) {
 			for range sockets {
-				if state(t, conn) != stateOpen {
+				if tcpState(t, conn) != stateOpen {
 					return
 				}
 				mustRead(t, dial(pingText), pongText)
@@ -46,17 +46,17 @@
 		}},
 	} {
 		t.Run(way.name, func(t *testing.T) {
-			s, dial, done := serving(t, sockets)
+			s, dial, done := startServingClients(t, sockets)
 			conn := dial(way.first)
 			if way.end != nil {
 				c := clientOf(t, s, conn)
 				waitUntil(t, "the answer is written", func() bool { return way.first != served || c.idleSince.Load() != 0 })
 				way.end(t, s, c, conn, dial)
 			}
-			waitUntil(t, "the sender closes the connection", func() bool { return state(t, conn) != stateOpen })
+			waitUntil(t, "the sender closes the connection", func() bool { return tcpState(t, conn) != stateOpen })
 			io.WriteString(conn, addText("crossing"))
-			waitUntil(t, "the crossing command has arrived", func() bool { return allAcknowledged(t, conn) || state(t, conn) == stateClosed })
-			if got := state(t, conn); got != stateCloseWait {
+			waitUntil(t, "the crossing command has arrived", func() bool { return allAcknowledged(t, conn) || tcpState(t, conn) == stateClosed })
+			if got := tcpState(t, conn); got != stateCloseWait {
 				t.Errorf("the connection is in TCP state %d, so it was reset", got)
 			}
 			expectToEnd(t, way.name, conn, way.answer)
@@ -106,7 +106,7 @@
 // TestCommandBetweenCheckAndHalfClose checks that a command that the reader gets between the last check of the socket and the
 // half-close is not accepted. The half-close is already decided, so the command's answer could not be written.
 func TestCommandBetweenCheckAndHalfClose(t *testing.T) {
-	s, dial, done := serving(t, 64)
+	s, dial, done := startServingClients(t, 64)
 	conn := dial(pingText)
 	c := clientOf(t, s, conn)
 	waitUntil(t, "the answer is written", func() bool { return c.idleSince.Load() != 0 })
@@ -129,7 +129,7 @@
 // TestCommandsBeforeTheEnd checks that a command counted before the half-close is answered although the client is closing
 // already, and so is a command that is still unread in the socket when the answer before it is written.
 func TestCommandsBeforeTheEnd(t *testing.T) {
-	s, dial, done := serving(t, 64)
+	s, dial, done := startServingClients(t, 64)
 	conn := dial("")
 	c := clientOf(t, s, conn)
 	resume := func() {}
@@ -153,7 +153,7 @@
 // TestLingeringIsBounded checks that the connection of a client that never closes its side is closed after lingerTimeout, and
 // that of a client that keeps sending after a malformed command after a limited number of bytes.
 func TestLingeringIsBounded(t *testing.T) {
-	s, dial, done := serving(t, 64)
+	s, dial, done := startServingClients(t, 64)
 	start := time.Now()
 	still, flood := dial("nonsense\r\n"), dial("nonsense\r\n")
 	c := clientOf(t, s, flood)
--- a/internal/sender/long_day_test.go
+++ b/internal/sender/long_day_test.go
@@ -71,10 +71,10 @@
 	if last > first+first/4 {
 		t.Errorf("heap: %d bytes after three hours, %d after nine", first, last)
 	}
-	t.Logf("heap %d bytes, then %d; rewritings %d, delivered %d, shed %d, failed %d", first, last, h.s.counts.rewritings,
+	t.Logf("heap %d bytes, then %d; rewritings %d, delivered %d, shed %d, failed %d", first, last, h.s.counts.rewrites,
 		h.s.counts.delivered, h.s.counts.shed, h.s.counts.failed)
-	if h.s.counts.rewritings < 3 {
-		t.Errorf("%d rewritings of the journal, want at least 3", h.s.counts.rewritings)
+	if h.s.counts.rewrites < 3 {
+		t.Errorf("%d rewritings of the journal, want at least 3", h.s.counts.rewrites)
 	}
 
 	h.submit("OUT.ADD 0 kept c=status,d=6000,dest=1 body").advance(5 * time.Millisecond)
--- a/internal/sender/many_clients_test.go
+++ b/internal/sender/many_clients_test.go
@@ -17,7 +17,7 @@
 // TestRejectedIsAnswered checks that a new client is answered -BUSY if no other client can be displaced. A new client that
 // sends nothing gets no answer and is closed.
 func TestRejectedIsAnswered(t *testing.T) {
-	s, dial, done := serving(t, 64)
+	s, dial, done := startServingClients(t, 64)
 	s.clients.Lock()
 	maxConns := s.clients.maxConns
 	s.clients.Unlock()
@@ -25,7 +25,7 @@
 		conn := dial("*2\r\n$4\r\nPI")
 		waitUntil(t, "the incomplete command is read, or the client is rejected", func() bool {
 			c := clientOf(t, s, conn)
-			return c.partialSince.Load() != 0 || c.readerBusy.Load() || state(t, conn) != stateOpen
+			return c.partialSince.Load() != 0 || c.readerBusy.Load() || tcpState(t, conn) != stateOpen
 		})
 	}
 	submitting, silent := dial(addText("new")), dial("")
@@ -41,14 +41,14 @@
 // TestDisplacedIsAnswered checks that a client that has sent nothing yet may be displaced, and that its first command is then
 // answered.
 func TestDisplacedIsAnswered(t *testing.T) {
-	s, dial, done := serving(t, 64)
+	s, dial, done := startServingClients(t, 64)
 	first := dial("")
 	clientOf(t, s, first)
 	for range s.clients.maxServed - 1 {
 		clientOf(t, s, dial(""))
 	}
 	mustRead(t, dial(pingText), pongText)
-	if got := state(t, first); got != stateOpen {
+	if got := tcpState(t, first); got != stateOpen {
 		t.Errorf("the client that has been silent longest was closed without an answer: TCP state %d", got)
 	}
 	io.WriteString(first, addText("new"))
@@ -96,7 +96,7 @@
 // TestUnansweredKeepTheirPlaces checks that a client with an unanswered command is not displaced, because its command
 // would be lost. While all clients have one, a new client is rejected. Once they are answered, a new client is served again.
 func TestUnansweredKeepTheirPlaces(t *testing.T) {
-	s, dial, done := serving(t, 64)
+	s, dial, done := startServingClients(t, 64)
 	blocked := make(chan struct{})
 	unblock := sync.OnceFunc(func() { close(blocked) })
 	defer unblock()
@@ -123,7 +123,7 @@
 // connect and stay. A client that connects once all commands are answered is served. Before that it may be answered -BUSY,
 // as clients with unread or unanswered commands keep their places: this has happened to the last client on a busy machine.
 func TestFloodOfClients(t *testing.T) {
-	s, dial, done := serving(t, 64)
+	s, dial, done := startServingClients(t, 64)
 	var held, asking []net.Conn
 	for i := range 300 {
 		conn := dial("")
--- a/internal/sender/message.go
+++ b/internal/sender/message.go
@@ -61,7 +61,7 @@
 	if m.journaled {
 		s.rememberEnded(m.ID)
 		s.journal.Add(idRecord(recClosed, m.ID))
-		s.liveBytes -= m.size + laterRecordBytes
+		s.liveBytes -= m.size + maxLaterRecordBytes
 	}
 	m.body = nil
 }
--- a/internal/sender/message_parse.go
+++ b/internal/sender/message_parse.go
@@ -51,7 +51,7 @@
 	m.Class, m.Destination, m.Account = class, choice.DestinationID(f.destination), s.account(m.tenant)
 	m.acceptedAt = s.Now()
 	m.Deadline = m.acceptedAt + choice.Time(f.deadlineMS*float64(choice.Millisecond))
-	m.size = journal.Framed(len(m.acceptedRecord()))
+	m.size = journal.FramedSize(len(m.acceptedRecord()))
 	return m, nil
 }
 
@@ -78,7 +78,7 @@
 
 // account returns the account of a tenant, whose share its messages use, or -1 if the settings do not name the tenant.
 func (s *Sender) account(tenant string) choice.AccountNo {
-	if no, known := s.cfg.Accounts[tenant]; known {
+	if no, known := s.cfg.AccountNumbers[tenant]; known {
 		return no
 	}
 	return -1
--- a/internal/sender/misbehaving_clients_test.go
+++ b/internal/sender/misbehaving_clients_test.go
@@ -12,7 +12,7 @@
 // TestMisbehavingClients checks that other clients are still served while some clients send nothing, leave a command
 // incomplete, stay idle, or send input that cannot be parsed. Each of these clients gets an error or is closed within 3 s.
 func TestMisbehavingClients(t *testing.T) {
-	s, dial, done := serving(t, 64)
+	s, dial, done := startServingClients(t, 64)
 	t.Run("silent", func(t *testing.T) { checkSilentClients(t, dial) })
 	t.Run("excessive", func(t *testing.T) { checkExcessiveClients(t, dial) })
 	t.Run("idle", func(t *testing.T) { checkIdleClients(t, dial) })
--- a/internal/sender/move_test.go
+++ b/internal/sender/move_test.go
@@ -172,7 +172,7 @@
 	}
 	run := func(settings string, entries ...directory.Entry) (s *Sender, submit func(id, dest, body string), end func()) {
 		cfg := testConfigWith(dir, settings, `{"version":1,"full":true}`)
-		cfg.Listen, cfg.Discovery, cfg.Known.Entries = "127.0.0.1:0", addr, entries
+		cfg.Listen, cfg.Discovery, cfg.InitialList.Entries = "127.0.0.1:0", addr, entries
 		s, done := startRunning(t, cfg)
 		client := connectClient(t, s)
 		submit = func(id, dest, body string) {
--- a/internal/sender/no_delay_test.go
+++ b/internal/sender/no_delay_test.go
@@ -25,20 +25,20 @@
 // discovery, endpoints and the platform. Bytes that the system delays are lost when the connection is reset.
 func TestNoDelay(t *testing.T) {
 	p := &fakePartner{}
-	p.up.Store(true)
+	p.discoveryUp.Store(true)
 	p.Server = httptest.NewServer(p)
 	defer p.Server.Close()
 	defer p.CloseClientConnections()
 	cfg := testConfig(t.TempDir(), 100)
 	cfg.Listen, cfg.Discovery = "127.0.0.1:0", p.Listener.Addr().String()
-	cfg.Known.Entries = []directory.Entry{readyEntry("new", cfg.Discovery, 1),
+	cfg.InitialList.Entries = []directory.Entry{readyEntry("new", cfg.Discovery, 1),
 		{ID: "leaves", Addr: "127.0.0.1:9", Zone: "z", Kind: "one", Destination: 9, State: "draining", Weight: 100}}
 	s, conn, done := startServing(t, cfg)
 	for id, list := range map[string]string{"sent": "c=status,d=6000,dest=1", "ends": "c=status,d=1200,dest=9"} {
 		conn.Write(outAdd("0", id, list, ""))
 		mustRead(t, conn, "+OK\r\n")
 	}
-	waitUntil(t, "one message is delivered, and the other's ending reported", func() bool { return p.inbox.Load() > 0 && p.outcome.Load() > 0 })
+	waitUntil(t, "one message is delivered, and the other's ending reported", func() bool { return p.callCount.Load() > 0 && p.reportCount.Load() > 0 })
 	delaysWrites := func(fd int) bool {
 		on, err := syscall.GetsockoptInt(fd, syscall.IPPROTO_TCP, syscall.TCP_NODELAY)
 		return err != nil || on == 0
--- a/internal/sender/outcomes.go
+++ b/internal/sender/outcomes.go
@@ -58,7 +58,7 @@
 		s.cancelTimer(t)
 	}
 	if c.probe {
-		s.choice.Probed(c.endpoint.id, a.result)
+		s.choice.ProbeEnded(c.endpoint.id, a.result)
 		return
 	}
 	s.countCall(c, a)
@@ -72,7 +72,7 @@
 
 // outcome returns the outcome of one message of a call that was answered with a.
 func (c *call) outcome(m *message, a answer, took choice.Time) choice.Outcome {
-	o := choice.Outcome{Message: m.ID, Attempt: m.attempts - 1, Endpoint: c.endpoint.id, Took: took, Result: a.result,
+	o := choice.Outcome{Message: m.ID, Attempt: m.attempts - 1, Endpoint: c.endpoint.id, Duration: took, Result: a.result,
 		Final: a.final, RetryAfter: a.retryAfter, NoSlot: a.noSlot, Report: a.loadReport(), Reused: c.reused, Closed: a.close}
 	if len(c.messages) > 1 && a.result == choice.Done {
 		o.Result, o.Final = choice.Unreadable, false // unless the answer has its state
@@ -91,13 +91,13 @@
 func (s *Sender) reportOutcome(c *call, m *message, o choice.Outcome, report []float64) {
 	m.inFlight = nil
 	s.log.Debug("attempt ended", zap.String("id", string(m.ID)), zap.String("to", string(c.endpoint.id)),
-		zap.String("result", resultNames[o.Result]), zap.Float64("took_ms", float64(o.Took)/float64(choice.Millisecond)),
+		zap.String("result", resultNames[o.Result]), zap.Float64("took_ms", float64(o.Duration)/float64(choice.Millisecond)),
 		zap.Float64("wait_ms", float64(o.RetryAfter)/float64(choice.Millisecond)), zap.Float64s("report", report))
 	mayRunBefore := m.MayRun
 	s.recordOutcome(m, c, o)
-	s.choice.Ended(o)
+	s.choice.AttemptEnded(o)
 	if m.withdrawn {
-		s.endWithdrawn(m, withdrawal.Ends(o, mayRunBefore))
+		s.endWithdrawn(m, withdrawal.EndOfHeld(o, mayRunBefore))
 	} else if o.Final {
 		s.closeMessage(m)
 	}
--- a/internal/sender/purge.go
+++ b/internal/sender/purge.go
@@ -45,8 +45,8 @@
 // purgeOrder is one call of Orders.Purge.
 type purgeOrder struct {
 	all   []withdrawal.Order
-	found []clusterapi.Found // results of the purges applied so far, in the order of all
-	done  func(uint64, []clusterapi.Found)
+	found []clusterapi.PurgeResult // results of the purges applied so far, in the order of all
+	done  func(uint64, []clusterapi.PurgeResult)
 }
 
 // complete reports whether all purges of the order are applied.
@@ -55,14 +55,14 @@
 // appliedPurge is the remembered result of an applied purge.
 type appliedPurge struct {
 	seq   uint64
-	found clusterapi.Found
+	found clusterapi.PurgeResult
 }
 
 // purge queues the purges of an order that arrived at the time at. The next turns apply them.
-func (s *Sender) purge(all []clusterapi.Purge, at choice.Time, done func(uint64, []clusterapi.Found)) {
+func (s *Sender) purge(all []clusterapi.Purge, at choice.Time, done func(uint64, []clusterapi.PurgeResult)) {
 	o := purgeOrder{done: done}
 	for _, p := range all {
-		o.all = append(o.all, withdrawal.Since(p, at))
+		o.all = append(o.all, withdrawal.NewOrder(p, at))
 	}
 	s.purgeState.waiting = append(s.purgeState.waiting, o)
 }
@@ -112,7 +112,7 @@
 
 // applyOnce applies a purge and returns its result. A purge that was applied before is not applied again; its result is the
 // remembered one, or the zero value if it is no longer remembered.
-func (s *Sender) applyOnce(order *withdrawal.Order) (f clusterapi.Found, err error) {
+func (s *Sender) applyOnce(order *withdrawal.Order) (f clusterapi.PurgeResult, err error) {
 	if order.Seq <= s.appliedSeq {
 		if i := slices.IndexFunc(s.lastApplied, func(p appliedPurge) bool { return p.seq == order.Seq }); i >= 0 {
 			f = s.lastApplied[i].found
@@ -130,7 +130,7 @@
 	s.journal.Add(done.record())
 	s.counts.purges++
 	level := zap.DebugLevel // a process that was down for a long time applies thousands of purges that match nothing
-	if f != (clusterapi.Found{}) {
+	if f != (clusterapi.PurgeResult{}) {
 		level = zap.InfoLevel
 	}
 	s.log.Log(level, "purge applied", zap.Uint64("seq", order.Seq), zap.String("id", order.ID), zap.Bool("learnt", order.LearnedState),
@@ -139,7 +139,7 @@
 }
 
 // withdrawMatching withdraws the messages that a purge matches, in the order of their acceptance, and counts them in found.
-func (s *Sender) withdrawMatching(order *withdrawal.Order, found *clusterapi.Found) {
+func (s *Sender) withdrawMatching(order *withdrawal.Order, found *clusterapi.PurgeResult) {
 	for _, list := range [][]*message{s.accepted, s.admitted} {
 		for _, m := range list {
 			if order.Matches(m.Destination, m.className, m.key, m.acceptedAt) {
@@ -171,12 +171,12 @@
 
 // withdraw ends a message, or, with the fate Hold, makes sure that it ends with the call that is in flight.
 func (s *Sender) withdraw(m *message, fate withdrawal.Fate) {
-	if fate == withdrawal.Untouched || fate == withdrawal.Report {
+	if fate == withdrawal.Untouched || fate == withdrawal.AlreadyEnded {
 		return
 	}
 	m.withdrawn = true
-	s.choice.Withdrawn(m.ID)
-	if fate == withdrawal.Hold {
+	s.choice.Withdraw(m.ID)
+	if fate == withdrawal.AwaitCallEnd {
 		s.counts.withdrawnInFlight++
 		s.journal.Add(endRecord(m.ID, ending{kind: endFailed}))
 		return
@@ -189,7 +189,7 @@
 }
 
 // endWithdrawn ends a withdrawn message whose call has ended as how says.
-func (s *Sender) endWithdrawn(m *message, how withdrawal.CallEnd) {
+func (s *Sender) endWithdrawn(m *message, how withdrawal.HeldEnd) {
 	if how == withdrawal.AsAnswered {
 		s.closeMessage(m)
 		return
@@ -218,11 +218,11 @@
 	}
 	p.appliedSeq = done.seq
 	if len(p.lastApplied) == maxRememberedPurges {
-		bytes -= journal.Framed(len(p.lastApplied[0].record()))
+		bytes -= journal.FramedSize(len(p.lastApplied[0].record()))
 		p.lastApplied = slices.Delete(p.lastApplied, 0, 1)
 	}
 	p.lastApplied = append(p.lastApplied, done)
-	return bytes + journal.Framed(len(done.record()))
+	return bytes + journal.FramedSize(len(done.record()))
 }
 
 // rememberPurge remembers an applied purge and updates liveBytes.
--- a/internal/sender/purge_sockets_test.go
+++ b/internal/sender/purge_sockets_test.go
@@ -26,7 +26,7 @@
 	digests  int
 }
 
-func (l *recordingCluster) Digest(d clusterapi.Digest) {
+func (l *recordingCluster) ReportDigest(d clusterapi.Digest) {
 	l.Lock()
 	defer l.Unlock()
 	l.digests++
@@ -37,8 +37,8 @@
 		l.sent, l.done = l.sent+r.Sent, l.done+r.Done
 	}
 }
-func (l *recordingCluster) Guide() clusterapi.Guide     { return nil }
-func (l *recordingCluster) Woke(_ choice.DestinationID) {}
+func (l *recordingCluster) RoutingPlan() clusterapi.RoutingPlan        { return nil }
+func (l *recordingCluster) RequestLearnedState(_ choice.DestinationID) {}
 
 // purgeRun is a sender on sockets whose messages are purged, with the fakeServer that receives them.
 type purgeRun struct {
@@ -70,14 +70,14 @@
 	cfg := testConfigWith(t.TempDir(), fmt.Sprintf(twoClassSettings, 100), `{"version":1,"full":true}`)
 	cfg.Listen, cfg.Discovery = "127.0.0.1:0", addr
 	for i := range 4 {
-		cfg.Known.Entries = append(cfg.Known.Entries, readyEntry(fmt.Sprint("e", i), addr, i))
+		cfg.InitialList.Entries = append(cfg.InitialList.Entries, readyEntry(fmt.Sprint("e", i), addr, i))
 	}
 	s, err := Start(cfg, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
 	r.s = s
-	s.Join(r.cluster, Joining{Gate: r.gate, For: 20 * time.Second})
+	s.Join(r.cluster, JoinOptions{Gate: r.gate, GateTimeout: 20 * time.Second})
 	r.done = run(s)
 	r.client = connectClient(t, s)
 	return r
@@ -103,10 +103,10 @@
 }
 
 // purge orders a purge of all messages with the key "key" and returns its result.
-func (r *purgeRun) purge(seq uint64) clusterapi.Found {
-	answer := make(chan clusterapi.Found, 1)
+func (r *purgeRun) purge(seq uint64) clusterapi.PurgeResult {
+	answer := make(chan clusterapi.PurgeResult, 1)
 	all := []clusterapi.Purge{{Seq: seq, Match: clusterapi.Match{Key: "key"}}}
-	r.s.Orders().Purge(all, func(_ uint64, f []clusterapi.Found) { answer <- f[0] })
+	r.s.Orders().Purge(all, func(_ uint64, f []clusterapi.PurgeResult) { answer <- f[0] })
 	return <-answer
 }
 
@@ -123,8 +123,8 @@
 		others.Go(func() {
 			for range 20 {
 				answer := make(chan int, 2)
-				r.s.Orders().Holding(func(all []clusterapi.Held) { answer <- len(all) })
-				r.s.Orders().Know(nil, func(all []clusterapi.LearnedEndpoint) { answer <- len(all) })
+				r.s.Orders().ListHeldState(func(all []clusterapi.HeldState) { answer <- len(all) })
+				r.s.Orders().GetLearnedState(nil, func(all []clusterapi.LearnedEndpoint) { answer <- len(all) })
 				<-answer
 				<-answer
 			}
@@ -177,8 +177,8 @@
 	r.client.Close()
 	r.s.Drain()
 	<-r.done
-	if len(r.s.pending) > 0 || r.s.Orders().Applied() != 5 {
-		t.Errorf("%d messages are pending, and the last applied purge is %d, want 0 and 5", len(r.s.pending), r.s.Orders().Applied())
+	if len(r.s.pending) > 0 || r.s.Orders().LastAppliedSeq() != 5 {
+		t.Errorf("%d messages are pending, and the last applied purge is %d, want 0 and 5", len(r.s.pending), r.s.Orders().LastAppliedSeq())
 	}
 	if c := r.cluster; c.messages["127.0.0.1"] != 5 || c.sent < 5 || c.done < 3 {
 		t.Errorf("%d digests: messages %v, calls sent %d, done %d", c.digests, c.messages, c.sent, c.done)
--- a/internal/sender/purge_test.go
+++ b/internal/sender/purge_test.go
@@ -12,7 +12,7 @@
 
 // purge orders a purge and prints the result once it is answered. It handles the order, but runs no turn.
 func (h *harness) purge(age time.Duration, seq uint64, m clusterapi.Match) *harness {
-	h.s.Orders().Purge([]clusterapi.Purge{{Seq: seq, Match: m, Age: age}}, func(applied uint64, found []clusterapi.Found) {
+	h.s.Orders().Purge([]clusterapi.Purge{{Seq: seq, Match: m, Age: age}}, func(applied uint64, found []clusterapi.PurgeResult) {
 		fmt.Printf("applied %d: %+v\n", applied, found)
 	})
 	return h.runNext()
@@ -23,7 +23,7 @@
 // stay pending.
 func Example_purgeNotBegun() {
 	h := start("", 100)
-	h.joinCluster(Joining{})
+	h.joinCluster(JoinOptions{})
 	h.submit("OUT.ADD 0 o1 c=order,d=20000,dest=2 x", "OUT.ADD 0 s1 c=status,d=6000,dest=2 x",
 		"OUT.ADD 0 nobody c=order,d=20000,dest=9 x")
 	h.submit("OUT.ADD 0 later c=order,d=20000,dest=9 x")
@@ -67,22 +67,22 @@
 		state         string
 		before, after string // the answer to the call before the purge, or after it; "kill" for a kill instead
 		dest          int
-		found         clusterapi.Found
+		found         clusterapi.PurgeResult
 		reported      string // the outcome reported to the platform, if any
 	}{
-		{state: "waits for an endpoint", dest: 9, found: clusterapi.Found{NotBegun: 1}, reported: "given_up"},
-		{state: "waits for its connection", found: clusterapi.Found{NotBegun: 1}, reported: "given_up"},
-		{state: "waits after a rejection", before: answerFull, found: clusterapi.Found{NotBegun: 1}, reported: "given_up"},
-		{state: "waits after an error", before: answerError, found: clusterapi.Found{MayRun: 1}, reported: "given_up"},
-		{state: "in flight, then delivered", after: answerOK, found: clusterapi.Found{MayRun: 1}},
-		{state: "in flight, then rejected", after: answerFull, found: clusterapi.Found{MayRun: 1}, reported: "given_up"},
-		{state: "in flight, then an error", after: answerError, found: clusterapi.Found{MayRun: 1}, reported: "given_up"},
-		{state: "in flight, then killed", after: "kill", found: clusterapi.Found{MayRun: 1}, reported: "given_up"},
-		{state: "delivered", before: answerOK, found: clusterapi.Found{Delivered: 1}},
+		{state: "waits for an endpoint", dest: 9, found: clusterapi.PurgeResult{NotBegun: 1}, reported: "given_up"},
+		{state: "waits for its connection", found: clusterapi.PurgeResult{NotBegun: 1}, reported: "given_up"},
+		{state: "waits after a rejection", before: answerFull, found: clusterapi.PurgeResult{NotBegun: 1}, reported: "given_up"},
+		{state: "waits after an error", before: answerError, found: clusterapi.PurgeResult{MayRun: 1}, reported: "given_up"},
+		{state: "in flight, then delivered", after: answerOK, found: clusterapi.PurgeResult{MayRun: 1}},
+		{state: "in flight, then rejected", after: answerFull, found: clusterapi.PurgeResult{MayRun: 1}, reported: "given_up"},
+		{state: "in flight, then an error", after: answerError, found: clusterapi.PurgeResult{MayRun: 1}, reported: "given_up"},
+		{state: "in flight, then killed", after: "kill", found: clusterapi.PurgeResult{MayRun: 1}, reported: "given_up"},
+		{state: "delivered", before: answerOK, found: clusterapi.PurgeResult{Delivered: 1}},
 	} {
 		posted := ""
 		recordPosts := func(h *harness) *harness {
-			h.joinCluster(Joining{})
+			h.joinCluster(JoinOptions{})
 			h.s.postToPlatform = func(_ string, body []byte) (int, error) {
 				posted += string(body)
 				return 204, nil
@@ -96,9 +96,9 @@
 		} else if c.after != "" {
 			h.calls[0].link = &link{sender: h.s, endpoint: h.calls[0].endpoint}
 		}
-		var found []clusterapi.Found
+		var found []clusterapi.PurgeResult
 		h.s.Orders().Purge([]clusterapi.Purge{{Seq: 1, Match: clusterapi.Match{KeyPrefix: "0"}}},
-			func(_ uint64, f []clusterapi.Found) { found = f })
+			func(_ uint64, f []clusterapi.PurgeResult) { found = f })
 		h.runNext().advance(5 * time.Millisecond)
 		if c.after == "kill" {
 			h = recordPosts(start(h.dir, 100))
@@ -123,7 +123,7 @@
 func Example_purgeOrderedKey() {
 	dir, _ := os.MkdirTemp("", "sender")
 	h := startWith(testConfigWith(dir, oldSettings, oldList))
-	h.joinCluster(Joining{})
+	h.joinCluster(JoinOptions{})
 	h.submit("OUT.ADD k head c=change,d=20000,dest=1 x", "OUT.ADD k next c=change,d=20000,dest=1 x",
 		"OUT.ADD other o c=change,d=20000,dest=1 x")
 	for _, c := range h.calls {
@@ -165,7 +165,7 @@
 // nothing is reported to the platform and nothing is recorded.
 func Example_purgeBeforeAnswer() {
 	h := start("", 100)
-	h.joinCluster(Joining{})
+	h.joinCluster(JoinOptions{})
 	c := newClient()
 	h.handle(c, "OUT.ADD 0 id c=order,d=20000,dest=1 x")
 	h.purge(0, 1, clusterapi.Match{Key: "0"}).advance(5 * time.Millisecond).printPending()
@@ -184,7 +184,7 @@
 // acceptance are known after the kill, except from older records, which count as accepted long ago.
 func Example_purgeRestart() {
 	h := start("", 100)
-	h.joinCluster(Joining{})
+	h.joinCluster(JoinOptions{})
 	h.platformUp = false
 	h.submit("OUT.ADD 0 old c=order,d=20000,dest=9 x")
 	h.purge(0, 7, clusterapi.Match{Class: "order"}).advance(100 * time.Millisecond)
@@ -193,14 +193,14 @@
 	restart := func(at time.Duration) {
 		fmt.Println("killed")
 		h = startAt(testConfig(h.dir, 100), at)
-		h.joinCluster(Joining{})
+		h.joinCluster(JoinOptions{})
 	}
 	rewrite := func() {
 		h.s.accepted = withoutEnded(h.s.accepted)
 		h.s.journal.Rewrite(h.s.records)
 	}
 	restart(2 * time.Minute)
-	fmt.Println("applied:", h.s.Orders().Applied(), "same time of acceptance:", h.s.pending["new"].acceptedAt == acceptedAt)
+	fmt.Println("applied:", h.s.Orders().LastAppliedSeq(), "same time of acceptance:", h.s.pending["new"].acceptedAt == acceptedAt)
 	h.purge(0, 7, clusterapi.Match{Class: "order"}).advance(5 * time.Millisecond).printPending()
 	rewrite()
 	restart(2 * time.Minute)
@@ -240,7 +240,7 @@
 	defer func() { os.Stdout = stdout }()
 	const purges = 10_000
 	h := start(t.TempDir(), 1000)
-	h.joinCluster(Joining{})
+	h.joinCluster(JoinOptions{})
 	for i := range 100 {
 		h.submit(fmt.Sprintf("OUT.ADD key-%d n%d c=order,d=20000,dest=9 x", i*100, i))
 	}
@@ -248,8 +248,8 @@
 	for i := range purges {
 		all = append(all, clusterapi.Purge{Seq: uint64(i + 1), Match: clusterapi.Match{Key: fmt.Sprintf("key-%d", i)}})
 	}
-	purge := func(all []clusterapi.Purge) (found []clusterapi.Found, turns int) {
-		h.s.Orders().Purge(all, func(_ uint64, f []clusterapi.Found) { found = f })
+	purge := func(all []clusterapi.Purge) (found []clusterapi.PurgeResult, turns int) {
+		h.s.Orders().Purge(all, func(_ uint64, f []clusterapi.PurgeResult) { found = f })
 		for h.runNext(); found == nil; turns++ {
 			if h.advance(5 * time.Millisecond); turns > purges {
 				t.Fatalf("the purges are not answered after %d turns", turns)
@@ -259,7 +259,7 @@
 	}
 	found, turns := purge(all)
 	for i, f := range found {
-		if want := (clusterapi.Found{NotBegun: map[bool]int{true: 1}[i%100 == 0]}); f != want {
+		if want := (clusterapi.PurgeResult{NotBegun: map[bool]int{true: 1}[i%100 == 0]}); f != want {
 			t.Fatalf("purge %d found %+v", i, f)
 		}
 	}
@@ -270,8 +270,8 @@
 		t.Errorf("the journal has %d of at most %d bytes", size, limit)
 	}
 	h = start(h.dir, 1000)
-	h.joinCluster(Joining{})
-	if got := h.s.Orders().Applied(); got != purges {
+	h.joinCluster(JoinOptions{})
+	if got := h.s.Orders().LastAppliedSeq(); got != purges {
 		t.Fatalf("after a restart the last applied purge is %d, want %d", got, purges)
 	}
 	if again, _ := purge(all[purges-maxRememberedPurges:]); again[purges-100-(purges-maxRememberedPurges)].NotBegun != 1 {
--- a/internal/sender/ready_test.go
+++ b/internal/sender/ready_test.go
@@ -41,7 +41,7 @@
 		m := make(pending)
 		m.body = body
 		j.Add(m.acceptedRecord())
-		if live += journal.Framed(len(m.acceptedRecord())) + laterRecordBytes; inFlight {
+		if live += journal.FramedSize(len(m.acceptedRecord())) + maxLaterRecordBytes; inFlight {
 			j.Add(attemptRecord(m.ID, m.acceptedAt, 0, "z"))
 		}
 	}
@@ -134,7 +134,7 @@
 		cfg.Discovery = silent.Listener.Addr().String()
 	}
 	if c.list.Full {
-		cfg.Known = c.list
+		cfg.InitialList = c.list
 	}
 	return cfg, pending
 }
--- a/internal/sender/replay.go
+++ b/internal/sender/replay.go
@@ -49,7 +49,7 @@
 func (s *Sender) sortReplayed() (unfinished []*message, err error) {
 	unknownClasses := map[string]int{}
 	for _, m := range s.accepted {
-		s.liveBytes += m.size + laterRecordBytes
+		s.liveBytes += m.size + maxLaterRecordBytes
 		if m.ending.kind != endNone {
 			s.endings = append(s.endings, m)
 			continue
@@ -58,9 +58,9 @@
 			unknownClasses[m.className]++
 			continue
 		}
-		m.Span = s.cfg.Settings.Classes[m.Class].Deadline
+		m.AcceptedLifetime = s.cfg.Settings.Classes[m.Class].Deadline
 		if m.acceptedAt != 0 {
-			m.Span = max(1, m.Deadline-m.acceptedAt)
+			m.AcceptedLifetime = max(1, m.Deadline-m.acceptedAt)
 		}
 		unfinished = append(unfinished, m)
 	}
@@ -112,7 +112,7 @@
 
 // replayAccepted makes a message pending from its accepted record, which has the given size in bytes.
 func (s *Sender) replayAccepted(id choice.MessageID, r *recordReader, bytes int) {
-	m := &message{journaled: true, size: journal.Framed(bytes)}
+	m := &message{journaled: true, size: journal.FramedSize(bytes)}
 	m.ID, m.key, m.className = id, r.readString(), r.readString()
 	m.Deadline, m.Destination = choice.Time(r.readNumber()), choice.DestinationID(r.readNumber())
 	m.body = []byte(r.readString())
@@ -165,7 +165,7 @@
 	}
 	// An old record without the zone's name: the settings have not changed since, so the number is that of the present
 	// settings.
-	for name, no := range s.cfg.Zones {
+	for name, no := range s.cfg.ZoneNumbers {
 		if no == m.RanIn {
 			m.ranInZoneName = name
 		}
--- a/internal/sender/restart_test.go
+++ b/internal/sender/restart_test.go
@@ -119,7 +119,7 @@
 		}
 	}
 	info, _ := os.Stat(h.dir + "/notices.log")
-	fmt.Println("under the limit:", info.Size() < 250000, "rewritten:", h.s.counts.rewritings > 0)
+	fmt.Println("under the limit:", info.Size() < 250000, "rewritten:", h.s.counts.rewrites > 0)
 	start(h.dir, 1000).printPending()
 	os.RemoveAll(h.dir)
 	// Output:
--- a/internal/sender/send.go
+++ b/internal/sender/send.go
@@ -54,13 +54,13 @@
 // window may be over. Connections may be established late, the journal may be slow, and a process that was stopped handles
 // its connections before its timers fire.
 func (s *Sender) maySend(c *call, l *link) bool {
-	if c.done || s.Now() >= c.beganAt+c.timeout || l.isObsolete() || !s.choice.Open(c.endpoint.id) {
+	if c.done || s.Now() >= c.beganAt+c.timeout || l.isObsolete() || !s.choice.MaySend(c.endpoint.id) {
 		return false
 	}
 	// The outcome of messages that were cancelled meanwhile is already reported.
 	c.messages = slices.DeleteFunc(c.messages, func(m *message) bool { return m.inFlight != c })
 	for _, m := range slices.Clone(c.messages) {
-		if !s.choice.Open(c.endpoint.id, m.ID) {
+		if !s.choice.MaySend(c.endpoint.id, m.ID) {
 			s.cancelMessage(c, m)
 		}
 	}
--- a/internal/sender/sender.go
+++ b/internal/sender/sender.go
@@ -86,7 +86,7 @@
 		return nil, errors.Join(err, s.journal.Close(), closeGossip(p))
 	}
 	s.startGossip(p)
-	s.watch(cfg.Known.Version)
+	s.watch(cfg.InitialList.Version)
 	s.awaitFirstList(time.After(firstListTimeout))
 	return s, nil
 }
@@ -94,7 +94,7 @@
 // openSender creates a sender and replays its journal. It opens no socket.
 func openSender(cfg *config.Config, log *zap.Logger, start time.Time, clock func() time.Duration) (*Sender, error) {
 	s := &Sender{cfg: cfg, log: log, start: start, clock: clock, inbox: make(chan func(), inboxSize), stop: make(chan struct{})}
-	s.numbering = directory.NameNumbers{Zones: cfg.Zones, Kinds: cfg.Kinds}
+	s.numbering = directory.NameNumbers{Zones: cfg.ZoneNumbers, Kinds: cfg.KindNumbers}
 	limited := s.withSystemLimits(cfg)
 	s.clientFrontend.init(limited)
 	s.routing.init()
@@ -109,11 +109,11 @@
 		return nil, err
 	}
 	s.loadLearned()
-	s.choice = choice.Start(s, choice.SenderID(cfg.Name), cfg.Seed, cfg.Settings)
+	s.choice = choice.NewSender(s, choice.SenderID(cfg.Name), cfg.Seed, cfg.Settings)
 	s.learnedStore = s.choice
-	s.updateEndpoints(cfg.Known, true)
+	s.updateEndpoints(cfg.InitialList, true)
 	for _, m := range unfinished {
-		s.choice.Taken(m.Message)
+		s.choice.Accept(m.Message)
 	}
 	return s, nil
 }
--- a/internal/sender/sockets_test.go
+++ b/internal/sender/sockets_test.go
@@ -139,9 +139,9 @@
 	}
 	cfg := testConfig(t.TempDir(), 100)
 	cfg.Listen, cfg.Discovery = "127.0.0.1:0", addr
-	cfg.Known.Entries = nil
+	cfg.InitialList.Entries = nil
 	for i := range answers {
-		cfg.Known.Entries = append(cfg.Known.Entries, readyEntry(answers[i].id, addr, i))
+		cfg.InitialList.Entries = append(cfg.InitialList.Entries, readyEntry(answers[i].id, addr, i))
 	}
 	s, conn, done := startServing(t, cfg)
 	in := bufio.NewReader(conn)
--- a/internal/sender/storeddata_test.go
+++ b/internal/sender/storeddata_test.go
@@ -44,7 +44,7 @@
 	Messages            []storedMessage
 	EndingsToPost       int
 	Ended               bool // the id of the ended message "over" is remembered
-	Purges              map[uint64]clusterapi.Found
+	Purges              map[uint64]clusterapi.PurgeResult
 	HighestPurge        uint64
 	Learned             choice.LearnedState // of a listed endpoint, with its wait reduced by the time since it was written
 	Unlisted            choice.LearnedState // of an endpoint that is not listed
@@ -66,7 +66,7 @@
 func readStart(s *Sender) storedStart {
 	unlisted := s.learned["unlisted"]
 	_, ended := s.admission.recentlyEnded["over"]
-	start := storedStart{EndingsToPost: len(s.endings), Ended: ended, Purges: map[uint64]clusterapi.Found{}, HighestPurge: s.durableSeq.Load(),
+	start := storedStart{EndingsToPost: len(s.endings), Ended: ended, Purges: map[uint64]clusterapi.PurgeResult{}, HighestPurge: s.durableSeq.Load(),
 		Learned: s.choice.LearnedState("a"), Unlisted: unlisted.LearnedState, UnlistedAddr: unlisted.Addr,
 		UnlistedDestination: unlisted.Destination, LearnedAt: sinceClockStart(s.learnedAt)}
 	for _, n := range s.accepted {
@@ -108,7 +108,7 @@
 		},
 		EndingsToPost:       5,
 		Ended:               true,
-		Purges:              map[uint64]clusterapi.Found{3: {NotBegun: 1, MayRun: 2, Delivered: 3, LearnedState: 4}, 9: {}},
+		Purges:              map[uint64]clusterapi.PurgeResult{3: {NotBegun: 1, MayRun: 2, Delivered: 3, LearnedState: 4}, 9: {}},
 		HighestPurge:        9,
 		Learned:             choice.LearnedState{Mean: 900, Dev: 300, Past: 950, Seen: 9, Limit: 7, Wait: 4 * second},
 		Unlisted:            choice.LearnedState{Mean: 1.5, Dev: 0.5, Past: 2.5, Seen: 3, Limit: 0.25, Wait: 4},
--- a/internal/sender/torn_journal_test.go
+++ b/internal/sender/torn_journal_test.go
@@ -28,9 +28,9 @@
 // twelveEndpointConfig returns a configuration with one endpoint for each of twelve destinations.
 func twelveEndpointConfig(dir string) *config.Config {
 	c := fourClassConfig(dir, 100)
-	c.Known.Entries = nil
+	c.InitialList.Entries = nil
 	for i := range 12 {
-		c.Known.Entries = append(c.Known.Entries, directory.Entry{ID: fmt.Sprint("e", i), Addr: "127.0.0.1:1", Zone: "z", Kind: "one", Destination: float64(i), State: "up", Weight: 9})
+		c.InitialList.Entries = append(c.InitialList.Entries, directory.Entry{ID: fmt.Sprint("e", i), Addr: "127.0.0.1:1", Zone: "z", Kind: "one", Destination: float64(i), State: "up", Weight: 9})
 	}
 	return c
 }
--- a/internal/sender/withdrawal/withdrawal.go
+++ b/internal/sender/withdrawal/withdrawal.go
@@ -20,12 +20,12 @@
 	Cut choice.Time
 }
 
-// Since returns the order for a purge that arrived at the time at. Its cut is at minus the purge's age.
+// NewOrder returns the order for a purge that arrived at the time at. Its cut is at minus the purge's age.
 //
 // The age is a lower bound of the time since the purge was committed, because it does not include the time for its transfer,
 // and the cut is rounded up. So every message accepted before the commit is matched, and a message accepted during the
 // transfer may be matched too.
-func Since(p clusterapi.Purge, at choice.Time) Order {
+func NewOrder(p clusterapi.Purge, at choice.Time) Order {
 	age := max(0, p.Age)
 	return Order{Purge: p, Cut: at - config.RoundDown(age.Nanoseconds())}
 }
@@ -73,53 +73,53 @@
 type Fate uint8
 
 const (
-	Untouched Fate = iota // no effect, and not counted
-	End                   // the message ends now with its one final answer; it has not run
-	Hold                  // the call in flight is the last one, and the message ends with it (see Ends); it may have run
-	Close                 // the message ends now with its one final answer and is not sent again; it may have run
-	Report                // the message had ended before the purge; it is only counted
+	Untouched     Fate = iota // no effect, and not counted
+	EndNotRun                 // the message ends now with its one final answer; it has not run
+	AwaitCallEnd              // the call in flight is the last one, and the message ends with it (see Ends); it may have run
+	EndMayHaveRun             // the message ends now with its one final answer and is not sent again; it may have run
+	AlreadyEnded              // the message had ended before the purge; it is only counted
 )
 
 // Fate returns the effect of a purge on a message in state s that the purge's order matches.
 func (s State) Fate() Fate {
 	switch s {
 	case Waiting:
-		return End
+		return EndNotRun
 	case InFlight:
-		return Hold
+		return AwaitCallEnd
 	case MayRun:
-		return Close
+		return EndMayHaveRun
 	case Delivered, Ended:
-		return Report
+		return AlreadyEnded
 	}
 	return Untouched
 }
 
 // Add counts a message with this fate in found. A message is counted as withdrawn only once, because a second purge that
 // matches it finds it in the state Withdrawn.
-func (f Fate) Add(found *clusterapi.Found) {
+func (f Fate) Add(found *clusterapi.PurgeResult) {
 	switch f {
-	case End:
+	case EndNotRun:
 		found.NotBegun++
-	case Hold, Close:
+	case AwaitCallEnd, EndMayHaveRun:
 		found.MayRun++
-	case Report:
+	case AlreadyEnded:
 		found.Delivered++
 	}
 }
 
-// CallEnd says how a message with the fate Hold ends after its last call has ended.
-type CallEnd uint8
+// HeldEnd says how a message with the fate Hold ends after its last call has ended.
+type HeldEnd uint8
 
 const (
-	AsAnswered  CallEnd = iota // as the final answer says: delivered, or no longer wanted by its endpoint
+	AsAnswered  HeldEnd = iota // as the final answer says: delivered, or no longer wanted by its endpoint
 	AsWithdrawn                // withdrawn: no call has run
 	AsMayRun                   // withdrawn, but a call may have run
 )
 
-// Ends returns how a message with the fate Hold ends. last is the outcome of its last call. earlierMayRun says that an
+// EndOfHeld returns how a message with the fate Hold ends. last is the outcome of its last call. earlierMayRun says that an
 // earlier call may have run; then a rejection of the last call does not prove that the message has not run.
-func Ends(last choice.Outcome, earlierMayRun bool) CallEnd {
+func EndOfHeld(last choice.Outcome, earlierMayRun bool) HeldEnd {
 	if last.Final {
 		return AsAnswered
 	}
--- a/internal/sender/withdrawal/withdrawal_test.go
+++ b/internal/sender/withdrawal/withdrawal_test.go
@@ -49,7 +49,7 @@
 // TestOverlap checks two purges that match the same messages. Each message gets one final answer, and the second purge does
 // not count the messages that the first has ended. Both count a message whose call is in flight as one that may have run.
 func TestOverlap(t *testing.T) {
-	var first, second clusterapi.Found
+	var first, second clusterapi.PurgeResult
 	order := Order{Purge: clusterapi.Purge{Match: clusterapi.Match{Key: "k"}}, Cut: 10}
 	fate := func(s State, acceptedAt choice.Time) Fate {
 		if !order.Matches(5, "orders", "k", acceptedAt) {
@@ -65,10 +65,10 @@
 			t.Errorf("message in state %d accepted after the purge: fate %d, want Untouched", s, f)
 		}
 	}
-	if first != (clusterapi.Found{NotBegun: 1, MayRun: 2, Delivered: 2}) {
+	if first != (clusterapi.PurgeResult{NotBegun: 1, MayRun: 2, Delivered: 2}) {
 		t.Errorf("the first purge found %+v", first)
 	}
-	if second != (clusterapi.Found{MayRun: 1, Delivered: 2}) {
+	if second != (clusterapi.PurgeResult{MayRun: 1, Delivered: 2}) {
 		t.Errorf("the second purge found %+v", second)
 	}
 }
@@ -79,7 +79,7 @@
 	// matched reports whether a purge of this age matches a message that was accepted the time held ago.
 	matched := func(held, age time.Duration) bool {
 		now := time.Hour
-		order := Since(clusterapi.Purge{Match: clusterapi.Match{Key: "k"}, Age: age}, choice.Time(now/tick))
+		order := NewOrder(clusterapi.Purge{Match: clusterapi.Match{Key: "k"}, Age: age}, choice.Time(now/tick))
 		return order.Matches(5, "orders", "k", choice.Time((now-held)/tick))
 	}
 	if !matched(3*time.Second, 2*time.Second) || matched(time.Second, 2*time.Second) || !matched(0, -time.Second) {
@@ -88,18 +88,18 @@
 	if !matched(2*time.Second, 2*time.Second+tick/2) {
 		t.Error("a purge whose age is not a whole number of ticks does not match a message accepted before it")
 	}
-	for r, want := range map[choice.Result]CallEnd{choice.Done: AsAnswered, choice.Rejected: AsWithdrawn,
+	for r, want := range map[choice.Result]HeldEnd{choice.Done: AsAnswered, choice.Rejected: AsWithdrawn,
 		choice.ConnectFailed: AsWithdrawn, choice.TimedOut: AsMayRun, choice.Reset: AsMayRun, choice.Unreadable: AsMayRun,
 		choice.Cancelled: AsMayRun, choice.Errored: AsMayRun, choice.NotRun: AsWithdrawn} {
 		last := choice.Outcome{Result: r, Final: r == choice.Done}
-		if got := Ends(last, false); got != want {
+		if got := EndOfHeld(last, false); got != want {
 			t.Errorf("last call with result %d: the message ends %d, want %d", r, got, want)
 		}
-		if got := Ends(last, true); r != choice.Done && got != AsMayRun {
+		if got := EndOfHeld(last, true); r != choice.Done && got != AsMayRun {
 			t.Errorf("last call with result %d after a call that may have run: the message ends %d, want AsMayRun", r, got)
 		}
 	}
-	if got := Ends(choice.Outcome{Result: choice.NotRun, Final: true}, true); got != AsAnswered {
+	if got := EndOfHeld(choice.Outcome{Result: choice.NotRun, Final: true}, true); got != AsAnswered {
 		t.Errorf("endpoint that no longer wants the message: the message ends %d, want AsAnswered", got)
 	}
 }
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -17,10 +17,10 @@
 
 // Error is one error in a file.
 type Error struct {
-	File  string // name
-	Line  int    // from 1; 0 if the error has no line
-	Field string // path, as in route[2].name; empty if the error is not about a field
-	What  string // what is wrong
+	File   string // name
+	Line   int    // from 1; 0 if the error has no line
+	Field  string // path, as in route[2].name; empty if the error is not about a field
+	Reason string // what is wrong
 }
 
 func (e *Error) Error() string {
@@ -31,7 +31,7 @@
 	if e.Field != "" {
 		at += ": field " + e.Field
 	}
-	return at + ": " + e.What
+	return at + ": " + e.Reason
 }
 
 // Errors holds several errors in one or more files. Its text has one line for each error.
@@ -63,17 +63,17 @@
 
 // Problem reports an invalid value before its line is known. Path is the path of the field, as in route[2].name, and
 // What says what is wrong with the value.
-type Problem struct{ Path, What string }
+type Problem struct{ Path, Reason string }
 
-// At converts problems with the text of the file name into errors with line numbers, sorted by line. It returns nil if
+// LocateProblems converts problems with the text of the file name into errors with line numbers, sorted by line. It returns nil if
 // there are none, an *Error for a single problem, and Errors for several.
-func At(name string, text []byte, problems []Problem) error {
+func LocateProblems(name string, text []byte, problems []Problem) error {
 	if len(problems) == 0 {
 		return nil
 	}
 	lines, all := Lines(text), Errors{}
 	for _, p := range problems {
-		all = append(all, &Error{File: name, Line: LineOf(lines, p.Path), Field: p.Path, What: p.What})
+		all = append(all, &Error{File: name, Line: LineOf(lines, p.Path), Field: p.Path, Reason: p.Reason})
 	}
 	slices.SortStableFunc(all, func(a, b *Error) int { return cmp.Compare(a.Line, b.Line) })
 	return all.asError()
@@ -97,11 +97,11 @@
 	case errors.As(err, &wrong):
 		return decodeError(name, wrong, strings.TrimPrefix(wrong.Error(), "toml: "))
 	}
-	return &Error{File: name, What: err.Error()}
+	return &Error{File: name, Reason: err.Error()}
 }
 
 // decodeError returns an *Error with the line and field of the decoder's error and the given text.
 func decodeError(name string, err *toml.DecodeError, what string) *Error {
 	line, _ := err.Position()
-	return &Error{File: name, Line: line, Field: strings.Join(err.Key(), "."), What: what}
+	return &Error{File: name, Line: line, Field: strings.Join(err.Key(), "."), Reason: what}
 }
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -54,9 +54,9 @@
 }
 
 // The errors are sorted by line. An error whose field has no line comes first.
-func ExampleAt() {
-	fmt.Println(At("f.toml", []byte(text), nil))
-	fmt.Println(At("f.toml", []byte(text), []Problem{{"limits.disk.mb", "too much"}, {"route[0].name", "taken"}, {"none", "missing"}}))
+func ExampleLocateProblems() {
+	fmt.Println(LocateProblems("f.toml", []byte(text), nil))
+	fmt.Println(LocateProblems("f.toml", []byte(text), []Problem{{"limits.disk.mb", "too much"}, {"route[0].name", "taken"}, {"none", "missing"}}))
 	// Output:
 	// <nil>
 	// f.toml: field none: missing
--- a/lab/baseline/baseline.go
+++ b/lab/baseline/baseline.go
@@ -14,8 +14,8 @@
 	"flaxcove/lab/world"
 )
 
-// Kinds describes each policy, by name.
-var Kinds = map[string]string{
+// Descriptions describes each policy, by name.
+var Descriptions = map[string]string{
 	"choice": "the project's own decisions",
 	oneTry:   "attempts each message once, in order of arrival",
 	fixed:    "always retries after one second",
--- a/lab/baseline/messages.go
+++ b/lab/baseline/messages.go
@@ -36,8 +36,8 @@
 	return e
 }
 
-// Taken receives a message that the sender has accepted.
-func (p *policy) Taken(in choice.Message) {
+// Accept receives a message that the sender has accepted.
+func (p *policy) Accept(in choice.Message) {
 	m := &message{Message: in}
 	p.messages[m.ID] = m
 	class := &p.settings.Classes[m.Class]
@@ -75,7 +75,7 @@
 func (p *policy) after(wait choice.Time, f func()) {
 	p.timerNo++
 	p.timers[p.timerNo] = f
-	p.host.Timer(max(1, wait), p.timerNo)
+	p.host.SetTimer(max(1, wait), p.timerNo)
 }
 
 // enqueue adds a message to the queue if it may be sent: it is pending, has no attempt in flight, and is the first of its
@@ -92,8 +92,8 @@
 	p.queue = append(p.queue, m)
 }
 
-// Withdrawn removes a message that was withdrawn, unless it has an attempt in flight.
-func (p *policy) Withdrawn(id choice.MessageID) {
+// Withdraw removes a message that was withdrawn, unless it has an attempt in flight.
+func (p *policy) Withdraw(id choice.MessageID) {
 	if m := p.messages[id]; m != nil && m.sentTo == nil {
 		p.release(m)
 	}
@@ -134,8 +134,8 @@
 	p.release(m)
 }
 
-// TimerDue calls the function of a timer that has fired.
-func (p *policy) TimerDue(id choice.TimerID) {
+// TimerFired calls the function of a timer that has fired.
+func (p *policy) TimerFired(id choice.TimerID) {
 	f := p.timers[id]
 	delete(p.timers, id)
 	if f != nil {
--- a/lab/baseline/outcome.go
+++ b/lab/baseline/outcome.go
@@ -7,8 +7,8 @@
 	"flaxcove/choice"
 )
 
-// Ended receives the end of an attempt. An outcome that does not belong to the attempt in flight is ignored.
-func (p *policy) Ended(o choice.Outcome) {
+// AttemptEnded receives the end of an attempt. An outcome that does not belong to the attempt in flight is ignored.
+func (p *policy) AttemptEnded(o choice.Outcome) {
 	m := p.messages[o.Message]
 	if m == nil || m.sentTo == nil || o.Attempt != m.attempts-1 {
 		return
@@ -116,5 +116,5 @@
 	return true
 }
 
-// Probed does nothing, because baselines send no health probes.
-func (p *policy) Probed(choice.EndpointID, choice.Result) {}
+// ProbeEnded does nothing, because baselines send no health probes.
+func (p *policy) ProbeEnded(choice.EndpointID, choice.Result) {}
--- a/lab/cluster/judge/judge.go
+++ b/lab/cluster/judge/judge.go
@@ -36,7 +36,7 @@
 // Judge collects the observations of one run and checks them. It must be used from one goroutine only.
 type Judge struct {
 	planSums   map[view.Epoch]uint32
-	lastEpochs map[view.Life]view.Epoch
+	lastEpochs map[view.Instance]view.Epoch
 	purges     []*purge
 	accepted   map[choice.MessageID]choice.Time // time of acceptance; grows with the run
 	breaches   []Breach
@@ -64,7 +64,7 @@
 
 // New returns a Judge without observations.
 func New() *Judge {
-	return &Judge{planSums: map[view.Epoch]uint32{}, lastEpochs: map[view.Life]view.Epoch{}, accepted: map[choice.MessageID]choice.Time{},
+	return &Judge{planSums: map[view.Epoch]uint32{}, lastEpochs: map[view.Instance]view.Epoch{}, accepted: map[choice.MessageID]choice.Time{},
 		versions: map[uint64]configuration.Sum{}, newestByFolder: map[folder]uint64{}, changes: map[string]uint64{}}
 }
 
@@ -86,10 +86,10 @@
 	} else if sum != s.PlanSum {
 		j.addBreach(Forked, "%s has a different plan of epoch %d", s.Self.Name, s.Epoch)
 	}
-	if last := j.lastEpochs[s.Self.Life]; s.Epoch < last {
+	if last := j.lastEpochs[s.Self.Instance]; s.Epoch < last {
 		j.addBreach(Forked, "%s went from epoch %d back to %d", s.Self.Name, last, s.Epoch)
 	}
-	j.lastEpochs[s.Self.Life] = s.Epoch
+	j.lastEpochs[s.Self.Instance] = s.Epoch
 }
 
 // checkConfiguration compares the version that a process has in force with the versions observed before.
@@ -98,7 +98,7 @@
 	if c == nil {
 		return
 	}
-	storedIn := folder{s.Self.Name, s.Self.Folder}
+	storedIn := folder{s.Self.Name, s.Self.FolderID}
 	if c.Version < j.newestByFolder[storedIn] {
 		j.addBreach(VersionRegressed, "%s runs version %d after version %d", s.Self.Name, c.Version, j.newestByFolder[storedIn])
 	}
--- a/lab/cluster/judge/judge_test.go
+++ b/lab/cluster/judge/judge_test.go
@@ -13,7 +13,7 @@
 
 // statusOf returns the status of a process with a plan.
 func statusOf(name view.Name, epoch view.Epoch, sum uint32) *status.Status {
-	m := view.Member{Life: view.Life{Name: name, Incarnation: 1}}
+	m := view.Member{Instance: view.Instance{Name: name, Incarnation: 1}}
 	return &status.Status{Self: m, Members: []view.Member{m}, Root: "a", Leader: "a", Epoch: epoch, PlanSum: sum}
 }
 
@@ -69,7 +69,7 @@
 // statusWithVersion returns the status of a process that runs a version of the settings from a folder.
 func statusWithVersion(name view.Name, folder string, version uint64, sum configuration.Sum) *status.Status {
 	s := statusOf(name, 0, 0)
-	s.Self.Folder, s.Configuration = folder, &run.Status{Version: version, Sum: sum}
+	s.Self.FolderID, s.Configuration = folder, &run.Status{Version: version, Sum: sum}
 	return s
 }
 
--- a/lab/cluster/play/change.go
+++ b/lab/cluster/play/change.go
@@ -165,8 +165,8 @@
 				s.Self.Name, c.Version, p.judge.Newest(), c.Rejected, c.Why))
 		}
 	}
-	if s := p.configuration; p.options.OnConfiguration != nil && (s.Version < p.judge.Newest() || s.State != versions.InForce || len(s.Laggards)+len(s.Away) > 0) {
-		differences = append(differences, fmt.Sprintf("the first process reports version %d in state %q, laggards %v, absent processes %v", s.Version, s.State, s.Laggards, s.Away))
+	if s := p.configuration; p.options.OnConfiguration != nil && (s.Version < p.judge.Newest() || s.State != versions.InForce || len(s.Laggards)+len(s.Absent) > 0) {
+		differences = append(differences, fmt.Sprintf("the first process reports version %d in state %q, laggards %v, absent processes %v", s.Version, s.State, s.Laggards, s.Absent))
 	}
 	return differences
 }
--- a/lab/cluster/play/change_test.go
+++ b/lab/cluster/play/change_test.go
@@ -74,7 +74,7 @@
 func lagging(s versions.ConfigurationStatus, name view.Name) (uint64, bool) {
 	var all []spread.Laggard
 	all = append(all, s.Laggards...)
-	for _, away := range s.Away {
+	for _, away := range s.Absent {
 		all = append(all, away.Laggard)
 	}
 	for _, l := range all {
--- a/lab/cluster/play/measure_test.go
+++ b/lab/cluster/play/measure_test.go
@@ -26,7 +26,7 @@
 
 // rates holds the first and the last sample of each process within the measured span.
 type rates struct {
-	first, last map[view.Life]trafficSample
+	first, last map[view.Instance]trafficSample
 }
 
 // trafficSample holds the counters of a process at one time.
@@ -42,12 +42,12 @@
 func (r *rates) record(now choice.Time, all []*status.Status) {
 	for _, s := range all {
 		if now >= measureFrom && now <= measureTo {
-			if _, is := r.first[s.Self.Life]; !is {
-				r.first[s.Self.Life] = trafficSample{at: now, traffic: s.Traffic}
+			if _, is := r.first[s.Self.Instance]; !is {
+				r.first[s.Self.Instance] = trafficSample{at: now, traffic: s.Traffic}
 			}
 			text, _ := json.Marshal(s)
-			before := r.last[s.Self.Life].answerBytes
-			r.last[s.Self.Life] = trafficSample{now, s.Traffic, before + len(text), len(text)}
+			before := r.last[s.Self.Instance].answerBytes
+			r.last[s.Self.Instance] = trafficSample{now, s.Traffic, before + len(text), len(text)}
 		}
 	}
 }
@@ -89,7 +89,7 @@
 		Faults: []schedule.Fault{{Kind: "zone", At: 3, Seconds: 8, Zone: 1}}}
 	for range *measure {
 		for _, s := range []schedule.Schedule{calm, fall} {
-			r := &rates{map[view.Life]trafficSample{}, map[view.Life]trafficSample{}}
+			r := &rates{map[view.Instance]trafficSample{}, map[view.Instance]trafficSample{}}
 			every := time.Duration(0)
 			if len(s.Faults) == 0 {
 				every = 9 * time.Second // an answer has about ten thousand bytes with 30 processes
--- a/lab/cluster/play/play.go
+++ b/lab/cluster/play/play.go
@@ -168,14 +168,14 @@
 // worldOf returns the world of a schedule: four partners, each with an endpoint in each of up to four zones. The world
 // injects the faults of kinds zone, stop and kill.
 func worldOf(s *schedule.Schedule) *world.Spec {
-	spec := world.Base()
+	spec := world.DefaultSpec()
 	spec.Name, spec.Seconds, spec.Senders, spec.Zones = s.Name, s.Seconds, s.Processes, s.Zones
 	spec.Load.Rate = s.Rate
 	spec.Classes = []world.Class{
 		{Name: "status", Share: 3, LatencyObjectiveMS: 800, DeadlineMS: 4000},
 		{Name: "order", Repeat: "single-use", Share: 1, LatencyObjectiveMS: 1500, DeadlineMS: 5000, Value: 3}}
 	endpoints := float64(min(4, s.Zones))
-	spec.Partners = []world.Kind{{Name: "shop", Count: 4, Endpoints: world.Pair{endpoints, endpoints}, Headroom: world.Pair{3, 4}, LeastRate: 40, Reports: true}}
+	spec.Partners = []world.PartnerKind{{Name: "shop", Count: 4, Endpoints: world.Pair{endpoints, endpoints}, Headroom: world.Pair{3, 4}, LeastRate: 40, Reports: true}}
 	for _, f := range s.Faults {
 		t := world.Fault{At: f.At, Seconds: f.Seconds, Selector: world.Selector{Senders: f.From}}
 		switch f.Kind {
--- a/lab/cluster/play/watch.go
+++ b/lab/cluster/play/watch.go
@@ -77,7 +77,7 @@
 // HandInAnswered records an accepted message and passes the event on.
 func (e *ledgerTap) HandInAnswered(h *world.HandIn, answer world.HandInAnswer) {
 	if answer == world.HandInAccepted {
-		e.player.accepted[h.ID] = acceptedMessage{int(h.Request.Partner), h.Request.Class.Name, h.Sender, h.At}
+		e.player.accepted[h.ID] = acceptedMessage{int(h.Request.Destination), h.Request.Class.Name, h.Sender, h.At}
 		e.player.judge.Accepted(h.ID, h.At)
 	}
 	e.Ledger.HandInAnswered(h, answer)
--- a/lab/cluster/schedule/check.go
+++ b/lab/cluster/schedule/check.go
@@ -41,7 +41,7 @@
 }
 
 func (c *checker) addProblem(path, format string, args ...any) {
-	c.problems = append(c.problems, tomlfile.Problem{Path: path, What: fmt.Sprintf(format, args...)})
+	c.problems = append(c.problems, tomlfile.Problem{Path: path, Reason: fmt.Sprintf(format, args...)})
 }
 
 func (c *checker) checkRange(path string, v, least, most float64) {
--- a/lab/cluster/schedule/schedule.go
+++ b/lab/cluster/schedule/schedule.go
@@ -102,7 +102,7 @@
 	if err := tomlfile.Decode(name, text, &s); err != nil {
 		return nil, err
 	}
-	return &s, tomlfile.At(name, text, s.Check())
+	return &s, tomlfile.LocateProblems(name, text, s.Check())
 }
 
 // Write encodes a schedule as the text of a schedule file.
--- a/lab/cluster/size/cases.go
+++ b/lab/cluster/size/cases.go
@@ -19,7 +19,7 @@
 // spec can express. With four zones it has an endpoint in each zone; with twelve, where every fourth zone belongs to the same
 // region, it has one in each region. One kind of partner has a rate limit at each endpoint, the other only a capacity.
 func calmWorld(senders, zones, partners int, rate, seconds float64) *world.Spec {
-	s := world.Base()
+	s := world.DefaultSpec()
 	s.Name, s.Seconds, s.Senders, s.Zones = "size", seconds, senders, zones
 	s.Network.SameMS, s.Network.CrossMS = world.Pair{1, 3}, world.Pair{30, 40}
 	s.Load = load.Spec{Rate: rate, Zipf: 0.7, SenderSkew: 0}
@@ -27,7 +27,7 @@
 		{Name: "status", Repeat: world.Idempotent, Share: 3, LatencyObjectiveMS: 800, DeadlineMS: 5000, Value: 1, LateValue: 0.1},
 		{Name: "order", Repeat: world.NonIdempotent, Share: 1, LatencyObjectiveMS: 3000, DeadlineMS: 9000, Value: 3, LateValue: 0.5},
 	}
-	s.Partners = []world.Kind{
+	s.Partners = []world.PartnerKind{
 		{Name: "told", Count: partners / 2, Endpoints: world.Pair{4, 4}, MeanMS: world.Pair{40, 100}, Reports: true,
 			RetryAfterShare: 0.5, Limit: "rate", LimitTimes: world.Pair{1.6, 2.6}, SeparateRoutes: true, LeastRate: 16},
 		{Name: "untold", Count: partners - partners/2, Endpoints: world.Pair{4, 4}, MeanMS: world.Pair{40, 100},
--- a/lab/cluster/size/fleet.go
+++ b/lab/cluster/size/fleet.go
@@ -97,7 +97,7 @@
 func (f *fleet) begin(o *Options) {
 	var members []view.Member
 	for _, p := range f.order {
-		members = append(members, view.Member{Life: view.Life{Name: p.name, Incarnation: 1}, Zone: p.zone,
+		members = append(members, view.Member{Instance: view.Instance{Name: p.name, Incarnation: 1}, Zone: p.zone,
 			Region: f.regions[p.zone], Size: view.Large})
 	}
 	f.tree = tree.Derive(view.New("", 1, members))
@@ -137,7 +137,7 @@
 // newLeader returns a leader that knows only the plan in force.
 func newLeader(f *fleet, at *process) *leader {
 	l := &leader{fleet: f, process: at, reports: assess.NewReportTable(assess.DefaultBounds()), planner: plan.New(f.settings)}
-	l.planner.PlanInForce(at.now(), f.inForce.Plan())
+	l.planner.SetPlanInForce(at.now(), f.inForce.Plan())
 	return l
 }
 
@@ -150,7 +150,7 @@
 	}
 	l.reports.Put(now, l.process.reports.Fresh(now))
 	l.planner.SetRegions(l.fleet.regions)
-	l.planner.UpdateHealth(now, assess.Judge(l.reports.Fresh(now), assess.DefaultBounds()))
+	l.planner.UpdateHealth(now, assess.CombineReports(l.reports.Fresh(now), assess.DefaultBounds()))
 	next, changed := l.planner.Step(now)
 	if !changed || l.deciding {
 		return
@@ -166,7 +166,7 @@
 		return
 	}
 	if l.planner.Epoch() < inForce.Epoch {
-		l.planner.PlanInForce(now, inForce)
+		l.planner.SetPlanInForce(now, inForce)
 	}
 	announced := apply.Announcement{Epoch: inForce.Epoch, Plan: &inForce}
 	if held, _ := l.process.holder.Plan(now); held != nil && held.Epoch == inForce.Epoch {
@@ -188,7 +188,7 @@
 		panic(err) // unreachable: a plan can always be encoded
 	}
 	_, err = l.fleet.inForce.Apply(uint64(next.Epoch), l.fleet.now(), plan.Kind, body)
-	l.planner.PlanInForce(l.process.now(), l.fleet.inForce.Plan())
+	l.planner.SetPlanInForce(l.process.now(), l.fleet.inForce.Plan())
 	if err == nil {
 		l.fleet.epochs = append(l.fleet.epochs, epoch{l.fleet.now(), l.fleet.inForce.Plan(), map[view.Name]view.Uptime{}})
 		h := fnv.New64a()
--- a/lab/cluster/size/process.go
+++ b/lab/cluster/size/process.go
@@ -102,8 +102,8 @@
 func (p *process) takeDigest() {
 	p.fleet.after(digestEvery, p.takeDigest)
 	now := p.now()
-	p.ownSamples, p.ownSampledAt = p.window.Take(now, p.sender.digest()), now
-	head := p.fleet.tree.ZoneHead(p.zone)
+	p.ownSamples, p.ownSampledAt = p.window.Add(now, p.sender.digest()), now
+	head := p.fleet.tree.ZoneCoordinator(p.zone)
 	if head == p.name {
 		p.takeSamples(now, p.ownSamples)
 		return
@@ -165,11 +165,11 @@
 	if evaluates {
 		p.evaluatedAt = now
 	}
-	if evaluates && t.ZoneHead(p.zone) == p.name {
+	if evaluates && t.ZoneCoordinator(p.zone) == p.name {
 		seen := p.table.Read(now)
-		slices.SortFunc(seen, func(a, b healthreport.Sample) int { return table.Order(&a, &b) })
+		slices.SortFunc(seen, func(a, b healthreport.Sample) int { return table.Compare(&a, &b) })
 		p.reports.Put(now, slices.DeleteFunc(assess.SummarizeZone(p.zone, seen, assess.DefaultBounds()), func(w assess.Report) bool {
-			return w.Idle() && w.Zone != p.zone && t.ZoneHead(w.Zone) != ""
+			return w.Idle() && w.Zone != p.zone && t.ZoneCoordinator(w.Zone) != ""
 		}))
 	}
 	if p.fleet.leader.process == p {
@@ -262,7 +262,7 @@
 			p.children[name] = c
 		}
 		announcement, exists := p.holder.Announce(now, c.epoch != p.holder.Epoch())
-		if !exists || c.inFlight || c.epoch >= announcement.Epoch && now-announcement.Age-c.renewedAt < p.fleet.settings.Hold/renewalsPerHold {
+		if !exists || c.inFlight || c.epoch >= announcement.Epoch && now-announcement.Age-c.renewedAt < p.fleet.settings.PlanTTL/renewalsPerHold {
 			continue
 		}
 		c.inFlight = true
--- a/lab/cluster/size/sender.go
+++ b/lab/cluster/size/sender.go
@@ -33,8 +33,8 @@
 	open    map[choice.MessageID]choice.Message
 	entries map[choice.EndpointID]*entry
 	byDest  map[choice.DestinationID][]*entry
-	escape  bool                                      // without a plan for a destination, allow all of its endpoints while those at home fail
-	rows    map[healthreport.Locality]*clusterapi.Row // counts since the last digest
+	escape  bool                                            // without a plan for a destination, allow all of its endpoints while those at home fail
+	rows    map[healthreport.Locality]*clusterapi.DigestRow // counts since the last digest
 	listed  map[healthreport.Locality]*listing
 	changed bool // the endpoint list changed since the last digest
 	digests uint64
@@ -58,7 +58,7 @@
 // newCountingSender returns a countingSender. The caller sets its policy, escape and process.
 func newCountingSender(h choice.Host, set choice.Settings, g *valueTally) *countingSender {
 	c := &countingSender{Host: h, zone: set.Zone, settings: set, values: g, open: map[choice.MessageID]choice.Message{},
-		entries: map[choice.EndpointID]*entry{}, byDest: map[choice.DestinationID][]*entry{}, rows: map[healthreport.Locality]*clusterapi.Row{}, listed: map[healthreport.Locality]*listing{}}
+		entries: map[choice.EndpointID]*entry{}, byDest: map[choice.DestinationID][]*entry{}, rows: map[healthreport.Locality]*clusterapi.DigestRow{}, listed: map[healthreport.Locality]*listing{}}
 	for i, w := range set.Classes {
 		if i == 0 || w.LatencyObjective < c.shortestObjective {
 			c.shortestObjective = w.LatencyObjective
@@ -123,17 +123,17 @@
 	c.policy.UpdateEndpoints(entries, whole)
 }
 
-func (c *countingSender) Taken(n choice.Message) {
+func (c *countingSender) Accept(n choice.Message) {
 	c.open[n.ID] = n
-	c.policy.Taken(n)
+	c.policy.Accept(n)
 }
 
-func (c *countingSender) Withdrawn(id choice.MessageID) {
+func (c *countingSender) Withdraw(id choice.MessageID) {
 	delete(c.open, id)
-	c.policy.Withdrawn(id)
+	c.policy.Withdraw(id)
 }
 
-func (c *countingSender) Ended(o choice.Outcome) {
+func (c *countingSender) AttemptEnded(o choice.Outcome) {
 	n := c.open[o.Message]
 	if o.Final {
 		delete(c.open, o.Message)
@@ -146,14 +146,14 @@
 	if e := c.entries[o.Endpoint]; e != nil && c.process != nil {
 		c.recordOutcome(e, o)
 	}
-	c.policy.Ended(o)
+	c.policy.AttemptEnded(o)
 }
 
-func (c *countingSender) Probed(e choice.EndpointID, r choice.Result) { c.policy.Probed(e, r) }
-func (c *countingSender) TimerDue(id choice.TimerID)                  { c.policy.TimerDue(id) }
-func (c *countingSender) TurnEnd()                                    { c.policy.TurnEnd() }
-func (c *countingSender) Open(e choice.EndpointID, messages ...choice.MessageID) bool {
-	return c.policy.Open(e, messages...)
+func (c *countingSender) ProbeEnded(e choice.EndpointID, r choice.Result) { c.policy.ProbeEnded(e, r) }
+func (c *countingSender) TimerFired(id choice.TimerID)                    { c.policy.TimerFired(id) }
+func (c *countingSender) TurnEnd()                                        { c.policy.TurnEnd() }
+func (c *countingSender) MaySend(e choice.EndpointID, messages ...choice.MessageID) bool {
+	return c.policy.MaySend(e, messages...)
 }
 
 // recordOutcome counts the end of a call as internal/sender does. It assumes that each call carries one message.
@@ -179,7 +179,7 @@
 	case choice.ConnectFailed:
 		r.Failed, r.Unanswered = r.Failed+1, r.Unanswered+1
 	case choice.TimedOut:
-		if o.Took >= c.shortestObjective {
+		if o.Duration >= c.shortestObjective {
 			r.Failed, r.Unanswered = r.Failed+1, r.Unanswered+1
 		}
 	}
@@ -191,10 +191,10 @@
 }
 
 // row returns the row of a locality in the next digest, and adds one if there is none.
-func (c *countingSender) row(at healthreport.Locality) *clusterapi.Row {
+func (c *countingSender) row(at healthreport.Locality) *clusterapi.DigestRow {
 	r := c.rows[at]
 	if r == nil {
-		r = &clusterapi.Row{Destination: at.Destination, Zone: string(at.Zone)}
+		r = &clusterapi.DigestRow{Destination: at.Destination, Zone: string(at.Zone)}
 		c.rows[at] = r
 	}
 	return r
@@ -218,7 +218,7 @@
 		}
 		d.Rows = append(d.Rows, *r)
 	}
-	slices.SortFunc(d.Rows, func(a, b clusterapi.Row) int {
+	slices.SortFunc(d.Rows, func(a, b clusterapi.DigestRow) int {
 		return cmp.Or(cmp.Compare(a.Destination, b.Destination), cmp.Compare(a.Zone, b.Zone))
 	})
 	clear(c.rows)
--- a/lab/experiment/experiment_test.go
+++ b/lab/experiment/experiment_test.go
@@ -122,7 +122,7 @@
 			fmt.Println("not a tomlfile.Error:", err)
 			continue
 		}
-		fmt.Printf("line %d, field %s: %.48s\n", e.Line, e.Field, e.What)
+		fmt.Printf("line %d, field %s: %.48s\n", e.Line, e.Field, e.Reason)
 	}
 	// Output:
 	// line 1, field scenarios: scenario 0: unknown scenario "nowhere"; the buil
--- a/lab/experiment/plan.go
+++ b/lab/experiment/plan.go
@@ -55,7 +55,7 @@
 
 // fieldError returns a *tomlfile.Error for a field of the plan's file.
 func (p *Plan) fieldError(field, format string, args ...any) error {
-	return &tomlfile.Error{File: p.path, Line: p.lines[field], Field: field, What: fmt.Sprintf(format, args...)}
+	return &tomlfile.Error{File: p.path, Line: p.lines[field], Field: field, Reason: fmt.Sprintf(format, args...)}
 }
 
 // defaults sets the fields that the file leaves out.
--- a/lab/hunt/draw.go
+++ b/lab/hunt/draw.go
@@ -37,7 +37,7 @@
 
 // Draw returns a random scenario. Scale is a factor on its size; with 1 it has one to six senders.
 func Draw(rng *rand.Rand, scale float64) *world.Spec {
-	d := &drawer{rng: rng, scale: scale, spec: world.Base()}
+	d := &drawer{rng: rng, scale: scale, spec: world.DefaultSpec()}
 	d.spec.Name = "drawn"
 	d.drawEnvironment()
 	for i := range 1 + rng.IntN(3) {
@@ -113,8 +113,8 @@
 }
 
 // kind draws kind number no of destinations.
-func (d *drawer) kind(no int) world.Kind {
-	k := world.Kind{
+func (d *drawer) kind(no int) world.PartnerKind {
+	k := world.PartnerKind{
 		Name:            fmt.Sprintf("k%d", no),
 		Count:           max(1, int(d.between(1, 7)*d.scale+0.5)),
 		Endpoints:       world.Pair{1, float64(1 + d.rng.IntN(4))},
@@ -143,7 +143,7 @@
 
 // drawLimit sets the limit of a kind of destination: with equal probabilities a rate limit, a limit on the calls in a span of
 // time, or none.
-func (d *drawer) drawLimit(k *world.Kind) {
+func (d *drawer) drawLimit(k *world.PartnerKind) {
 	times := func() world.Pair { return d.pairBetween(world.Pair{0.9, 1.5}, world.Pair{1.5, 3}) }
 	switch d.rng.IntN(3) {
 	case 0:
--- a/lab/hunt/saved.go
+++ b/lab/hunt/saved.go
@@ -24,13 +24,13 @@
 
 // Read parses a saved find. Name is the name of the file in errors; an invalid field is reported as a *tomlfile.Error.
 func Read(name string, text []byte) (*SavedFind, error) {
-	find := &SavedFind{Spec: world.Base()}
+	find := &SavedFind{Spec: world.DefaultSpec()}
 	if err := tomlfile.Decode(name, text, find); err != nil {
 		return nil, err
 	}
 	find.Defaults()
 	if problems := find.Check(); len(problems) > 0 {
-		return nil, &tomlfile.Error{File: name, Line: tomlfile.Lines(text)[problems[0].Path], Field: problems[0].Path, What: problems[0].What}
+		return nil, &tomlfile.Error{File: name, Line: tomlfile.Lines(text)[problems[0].Path], Field: problems[0].Path, Reason: problems[0].Reason}
 	}
 	return find, nil
 }
--- a/lab/hunt/shrink.go
+++ b/lab/hunt/shrink.go
@@ -144,23 +144,23 @@
 // withSimplerKind halves the number of destinations of kind number no, or removes one special property of that kind.
 func (s *candidates) withSimplerKind(no int) {
 	k := &s.original.Partners[no]
-	try := func(change func(*world.Kind)) {
+	try := func(change func(*world.PartnerKind)) {
 		s.add(func(c *world.Spec) { change(&c.Partners[no]) })
 	}
 	if k.Count > 1 {
-		try(func(k *world.Kind) { k.Count = (k.Count + 1) / 2 })
+		try(func(k *world.PartnerKind) { k.Count = (k.Count + 1) / 2 })
 	}
 	if k.Endpoints[1] > 1 {
-		try(func(k *world.Kind) { k.Endpoints = world.Pair{1, 1} })
+		try(func(k *world.PartnerKind) { k.Endpoints = world.Pair{1, 1} })
 	}
 	if k.Limit != "none" {
-		try(func(k *world.Kind) { k.Limit = "none" })
+		try(func(k *world.PartnerKind) { k.Limit = "none" })
 	}
 	if k.Bundle > 1 {
-		try(func(k *world.Kind) { k.Bundle = 1 })
+		try(func(k *world.PartnerKind) { k.Bundle = 1 })
 	}
 	if k.MaxConnections > 0 {
-		try(func(k *world.Kind) { k.MaxConnections = 0 })
+		try(func(k *world.PartnerKind) { k.MaxConnections = 0 })
 	}
 }
 
--- a/lab/limits/limits.go
+++ b/lab/limits/limits.go
@@ -61,7 +61,7 @@
 
 // baseSpec returns the part of the scenario that all points of both grids share.
 func baseSpec(name string, seconds float64) world.Spec {
-	s := world.Base()
+	s := world.DefaultSpec()
 	s.Name, s.Seconds = name, seconds
 	s.Prices = world.Prices{}
 	s.Classes = []world.Class{
@@ -78,7 +78,7 @@
 	s.Load.Rate = rate
 	s.Sender.InFlightLimit = max(8, int(rate/10))
 	s.Sender.MaxOpen = max(64, int(8*rate))
-	s.Partners = []world.Kind{{Name: "noisy", Count: 1, Endpoints: world.Pair{1, 1}, MeanMS: world.Pair{20, 20}, Sigma: 0.5,
+	s.Partners = []world.PartnerKind{{Name: "noisy", Count: 1, Endpoints: world.Pair{1, 1}, MeanMS: world.Pair{20, 20}, Sigma: 0.5,
 		Headroom: world.Pair{4, 4}, LeastRate: 100, Queue: 4, SlowStartS: 8, SlowStartFrom: 0.2, IdleS: 10}}
 	fault := world.Fault{Seconds: seconds, Amount: share}
 	switch mode {
@@ -178,13 +178,13 @@
 	s.Load.Rate = perSender * float64(senders) / 0.75
 	s.Sender.InFlightLimit = max(8, int(perSender))
 	s.Clients.OwnSender = true
-	kind := world.Kind{Name: "shared", Count: 1, Endpoints: world.Pair{2, 2}, MeanMS: world.Pair{20, 20}, Sigma: 0.5, Limit: "rate",
+	kind := world.PartnerKind{Name: "shared", Count: 1, Endpoints: world.Pair{2, 2}, MeanMS: world.Pair{20, 20}, Sigma: 0.5, Limit: "rate",
 		LimitTimes: world.Pair{0.75, 0.75}, LeastRate: 1, Headroom: world.Pair{4, 4}, Queue: 4, SlowStartS: 8, SlowStartFrom: 0.2, IdleS: 10,
 		CountRefused: countAll}
 	if span > 0 {
 		kind.Limit, kind.SpanS = "span", span
 	}
-	s.Partners = []world.Kind{kind}
+	s.Partners = []world.PartnerKind{kind}
 	third := seconds / 3
 	s.Faults = []world.Fault{{Kind: "throttled", At: third, Seconds: third, Amount: 1. / 3},
 		{Kind: "sender_kill", At: 0.01, Seconds: third / 2, Selector: world.Selector{Senders: []int{senders - 1}}}}
--- a/lab/live/clients.go
+++ b/lab/live/clients.go
@@ -167,11 +167,11 @@
 	body := e.bodyText[:min(len(e.bodyText), max(1, h.Request.Body))]
 	key := "0000000000000000"
 	if h.Request.Class.Ordered {
-		key = fmt.Sprintf("%016x", uint64(h.Request.Partner*1_000_000+h.Request.Key+1))
+		key = fmt.Sprintf("%016x", uint64(h.Request.Destination*1_000_000+h.Request.Key+1))
 	}
 	// The command holds the time until the request's deadline, from which the time of earlier hand-ins is already deducted.
 	return resp.AppendCommand(nil, []byte("OUT.ADD"), []byte(key), []byte(h.ID),
-		fmt.Appendf(nil, "c=%s,d=%d,dest=%d", h.Request.Class.Name, max(1, h.RemainingMS()), h.Request.Partner), body)
+		fmt.Appendf(nil, "c=%s,d=%d,dest=%d", h.Request.Class.Name, max(1, h.RemainingMS()), h.Request.Destination), body)
 }
 
 // exchange writes a command and reads the line of its answer.
--- a/lab/live/control.go
+++ b/lab/live/control.go
@@ -30,7 +30,7 @@
 func (h *RunControl) Addr(s world.SenderNo) string { return h.e.senderAddr(s) }
 
 // Act performs an action on a sender's process as a fault of the world would: Kill, Start, Term, Pause or Continue.
-func (h *RunControl) Act(on world.SenderNo, what world.Act) { h.e.Act(on, what) }
+func (h *RunControl) Act(on world.SenderNo, what world.Action) { h.e.Act(on, what) }
 
 // Alive reports whether a sender's process exists, paused or not.
 func (h *RunControl) Alive(s world.SenderNo) bool { return h.e.senders[s].alive() }
--- a/lab/live/live.go
+++ b/lab/live/live.go
@@ -100,8 +100,8 @@
 
 // newEngine creates the world and its referee. It starts no process and opens no socket.
 func newEngine(ctx context.Context, o Options) (*engine, error) {
-	if o.Say == nil {
-		o.Say = func(string, ...any) {}
+	if o.Progress == nil {
+		o.Progress = func(string, ...any) {}
 	}
 	if o.Spec.Senders > maxSenders {
 		return nil, fmt.Errorf("%w: it has %d senders, and at most %d are supported", ErrTooLarge, o.Spec.Senders, maxSenders)
@@ -187,9 +187,9 @@
 	within := readyWithin
 	if e.opts.WorldOnlyFolder != "" {
 		within = 24 * time.Hour
-		e.opts.Say("waiting for %d sender(s); start each with its configuration:", len(e.senders))
+		e.opts.Progress("waiting for %d sender(s); start each with its configuration:", len(e.senders))
 		for _, p := range e.senders {
-			e.opts.Say("  EDGE_CONFIG=%s flaxcove serve", p.config)
+			e.opts.Progress("  EDGE_CONFIG=%s flaxcove serve", p.config)
 		}
 	}
 	for _, p := range e.senders {
--- a/lab/live/live_test.go
+++ b/lab/live/live_test.go
@@ -26,12 +26,12 @@
 
 // shortSpec returns a world of five seconds with faults of senders, endpoints and clients.
 func shortSpec() *world.Spec {
-	s := world.Base()
+	s := world.DefaultSpec()
 	s.Name, s.Seconds, s.Senders = "short", 5, 2
 	s.Load.Rate = 40
 	s.Classes = []world.Class{{Name: "status", Share: 3, LatencyObjectiveMS: 500, DeadlineMS: 2500},
 		{Name: "order", Repeat: "single-use", Share: 1, LatencyObjectiveMS: 800, DeadlineMS: 3000, Value: 3}}
-	s.Partners = []world.Kind{{Name: "small", Count: 3, Reports: true}, {Name: "bulk", Count: 2, Bundle: 4, Endpoints: world.Pair{2, 2}}}
+	s.Partners = []world.PartnerKind{{Name: "small", Count: 3, Reports: true}, {Name: "bulk", Count: 2, Bundle: 4, Endpoints: world.Pair{2, 2}}}
 	s.Faults = []world.Fault{{Kind: "crash", At: 1, Seconds: 1, Selector: world.Selector{Partners: []int{0}}},
 		{Kind: "sender_kill", At: 2, Seconds: 0.6, Selector: world.Selector{Senders: []int{1}}},
 		{Kind: "hung", At: 2.5, Seconds: 1, Selector: world.Selector{Partners: []int{1}}},
--- a/lab/live/options.go
+++ b/lab/live/options.go
@@ -22,7 +22,7 @@
 	// WorldOnlyFolder, if not "", is the folder in which Run writes a configuration for each sender. Run then waits until the
 	// user has started the senders, and does not start them itself.
 	WorldOnlyFolder string
-	Say             func(format string, args ...any) // prints progress; nil for no output
+	Progress        func(format string, args ...any) // prints progress; nil for no output
 	Watch           func(now choice.Time)            // called once each second; nil for none
 	// KeepVerdict makes Run return the verdict on the part of the run before the end of ctx, in place of an error.
 	KeepVerdict bool
--- a/lab/live/wire.go
+++ b/lab/live/wire.go
@@ -14,7 +14,7 @@
 func (e *engine) Datagram(world.SenderNo, world.SenderNo, []byte) {}
 
 // Act performs the action of a fault on a sender's process or on its clients.
-func (e *engine) Act(on world.SenderNo, what world.Act) {
+func (e *engine) Act(on world.SenderNo, what world.Action) {
 	p := e.senders[on]
 	switch what {
 	case world.Kill:
--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -71,22 +71,22 @@
 
 // Arrival is one message that a client submits. Class, Partner (the destination), Sender and Key are numbers that count from 0.
 type Arrival struct {
-	At      choice.Time
-	Number  int64 // counts from 1; a message that a client submits again keeps its number
-	Class   int
-	Partner int
-	Sender  int
-	Key     int
-	Body    int // size of the body in bytes
+	At          choice.Time
+	Number      int64 // counts from 1; a message that a client submits again keeps its number
+	Class       int
+	Destination int
+	Sender      int
+	Key         int
+	Body        int // size of the body in bytes
 }
 
-// Change is a temporary change of the load: of the rate, of the share that goes to one destination, or of both.
-type Change struct {
-	From, To choice.Time
-	Factor   float64 // factor on the rate; 1 for no change
-	Sender   int     // the sender whose load changes; -1 for all senders
-	Partner  int     // the destination that gets Share of the messages; -1 for none
-	Share    float64
+// LoadChange is a temporary change of the load: of the rate, of the share that goes to one destination, or of both.
+type LoadChange struct {
+	From, To    choice.Time
+	Factor      float64 // factor on the rate; 1 for no change
+	Sender      int     // the sender whose load changes; -1 for all senders
+	Destination int     // the destination that gets Share of the messages; -1 for none
+	Share       float64
 }
 
 // Source provides arrivals in order of time. Ok is false once there are no more.
@@ -98,7 +98,7 @@
 	until                 choice.Time
 	classes               picker
 	destinations, senders picker
-	changes               []Change
+	changes               []LoadChange
 	rng                   *rand.Rand
 	now                   float64 // time of the last drawn batch, in seconds
 	lastNumber            int64
@@ -108,9 +108,9 @@
 	senderWeights         []float64
 }
 
-// New returns a plan that ends at until. Classes, partners and senders hold the weights with which each is drawn; the weights
+// NewPlan returns a plan that ends at until. Classes, partners and senders hold the weights with which each is drawn; the weights
 // need not add up to 1.
-func New(s Spec, seed uint64, until choice.Time, classes, partners, senders []float64, changes []Change) *Plan {
+func NewPlan(s Spec, seed uint64, until choice.Time, classes, partners, senders []float64, changes []LoadChange) *Plan {
 	p := &Plan{spec: s, until: until, changes: changes, rng: rand.New(rand.NewPCG(seed, 0x10ad)),
 		classes: newPicker(classes), destinations: newPicker(partners), senders: newPicker(senders), senderWeights: senders}
 	for _, w := range senders {
@@ -208,7 +208,7 @@
 	}
 	for range p.spec.ClumpSize - 1 {
 		a := p.draw(first.At)
-		a.Partner, a.Sender = first.Partner, first.Sender
+		a.Destination, a.Sender = first.Destination, first.Sender
 		p.batch = append(p.batch, a)
 	}
 }
@@ -222,15 +222,15 @@
 
 // draw draws an arrival at a time, without a number.
 func (p *Plan) draw(at choice.Time) Arrival {
-	a := Arrival{At: at, Class: p.classes.pick(p.rng.Float64()), Partner: p.destinations.pick(p.rng.Float64()),
+	a := Arrival{At: at, Class: p.classes.pick(p.rng.Float64()), Destination: p.destinations.pick(p.rng.Float64()),
 		Sender: p.senders.pick(p.rng.Float64()), Key: p.rng.IntN(p.spec.Keys), Body: p.spec.BodyBytes}
 	partnerDraw, senderDraw := p.rng.Float64(), p.rng.Float64()
 	for _, c := range p.changes {
 		if at < c.From || at >= c.To {
 			continue
 		}
-		if c.Partner >= 0 && (c.Sender < 0 || c.Sender == a.Sender) && partnerDraw < c.Share {
-			a.Partner = c.Partner
+		if c.Destination >= 0 && (c.Sender < 0 || c.Sender == a.Sender) && partnerDraw < c.Share {
+			a.Destination = c.Destination
 		}
 		if c.Sender >= 0 && c.Factor > 1 {
 			// All messages that the change adds to the load go to its sender.
--- a/lab/load/load_test.go
+++ b/lab/load/load_test.go
@@ -12,8 +12,8 @@
 )
 
 // drawArrivals returns all arrivals of a plan with two classes, ten destinations and four senders.
-func drawArrivals(s Spec, seed uint64, until choice.Time, changes ...Change) (all []Arrival) {
-	p := New(s, seed, until, []float64{3, 1}, ZipfWeights(10, s.Zipf), ZipfWeights(4, s.SenderSkew), changes)
+func drawArrivals(s Spec, seed uint64, until choice.Time, changes ...LoadChange) (all []Arrival) {
+	p := NewPlan(s, seed, until, []float64{3, 1}, ZipfWeights(10, s.Zipf), ZipfWeights(4, s.SenderSkew), changes)
 	for a, ok := p.Next(); ok; a, ok = p.Next() {
 		all = append(all, a)
 	}
@@ -62,13 +62,13 @@
 		}
 		return n
 	}
-	all := drawArrivals(s, 1, 30*choice.Second, Change{From: 10 * choice.Second, To: 20 * choice.Second, Factor: 3, Sender: 2, Partner: -1},
-		Change{From: 20 * choice.Second, To: 30 * choice.Second, Factor: 1, Sender: -1, Partner: 7, Share: 0.5})
+	all := drawArrivals(s, 1, 30*choice.Second, LoadChange{From: 10 * choice.Second, To: 20 * choice.Second, Factor: 3, Sender: 2, Destination: -1},
+		LoadChange{From: 20 * choice.Second, To: 30 * choice.Second, Factor: 1, Sender: -1, Destination: 7, Share: 0.5})
 	ofSender2 := func(a Arrival) bool { return a.Sender == 2 }
 	if before, during := count(all, 0, 10*choice.Second, ofSender2), count(all, 10*choice.Second, 20*choice.Second, ofSender2); during < 2*before || during > 4*before {
 		t.Errorf("%d arrivals with a factor of 3, %d before", during, before)
 	}
-	if n := count(all, 20*choice.Second, 30*choice.Second, func(a Arrival) bool { return a.Partner == 7 }); n < 900 || n > 1300 {
+	if n := count(all, 20*choice.Second, 30*choice.Second, func(a Arrival) bool { return a.Destination == 7 }); n < 900 || n > 1300 {
 		t.Errorf("%d of about 2000 arrivals go to the destination that gets half of them and its usual share of the others", n)
 	}
 }
--- a/lab/load/trace.go
+++ b/lab/load/trace.go
@@ -46,7 +46,7 @@
 			return nil, fmt.Errorf("%s:%d: %w", name, no, err)
 		}
 		all = append(all, Arrival{At: choice.Time(*t.AtMS * float64(choice.Millisecond)), Class: class,
-			Partner: t.Partner, Sender: t.Sender, Key: t.Key, Body: max(1, t.Bytes)})
+			Destination: t.Partner, Sender: t.Sender, Key: t.Key, Body: max(1, t.Bytes)})
 	}
 	if err := lines.Err(); err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
--- a/lab/referee/calls.go
+++ b/lab/referee/calls.go
@@ -93,8 +93,8 @@
 		r.addViolation(Elsewhere, s, "%s was sent to %s and no program handed it in, or long ago", h.ID, e.ID)
 		return nil
 	}
-	if h.Request.Partner != int(e.Partner.No) {
-		r.addViolation(Elsewhere, s, "%s is for partner %d and went to %s", h.ID, h.Request.Partner, e.ID)
+	if h.Request.Destination != int(e.Partner.No) {
+		r.addViolation(Elsewhere, s, "%s is for partner %d and went to %s", h.ID, h.Request.Destination, e.ID)
 	}
 	n := r.messages[h]
 	if n == nil && !h.Abandoned() {
--- a/lab/referee/message.go
+++ b/lab/referee/message.go
@@ -124,7 +124,7 @@
 
 // orderKeyOf returns the ordering key of a hand-in, and whether its class is ordered.
 func (r *Referee) orderKeyOf(h *world.HandIn) (orderKey, bool) {
-	return orderKey{h.Sender, h.Request.Partner, h.Request.Key}, h.Request.Class.Ordered
+	return orderKey{h.Sender, h.Request.Destination, h.Request.Key}, h.Request.Class.Ordered
 }
 
 // leaveKeyQueue removes a message from the queue of its ordering key, and forgets the key if that was its last message.
--- a/lab/referee/referee_test.go
+++ b/lab/referee/referee_test.go
@@ -13,7 +13,7 @@
 
 // faultySpec returns a world with faults, limits and a drain, under which a sender with a defect breaks a rule.
 func faultySpec() *world.Spec {
-	s := world.Base()
+	s := world.DefaultSpec()
 	s.Name, s.Seconds, s.Senders, s.Zones = "rough", 25, 3, 2
 	s.Load.Rate, s.Load.Zipf = 60, 0.6
 	s.Load.Keys = 2
@@ -22,7 +22,7 @@
 		{Name: "order", Repeat: "single-use", Share: 1, LatencyObjectiveMS: 2000, DeadlineMS: 8000, Value: 3, LateValue: 0.5},
 		{Name: "ledger", Repeat: "replayable", Share: 1, LatencyObjectiveMS: 2000, DeadlineMS: 8000, Value: 2, LateValue: 0.5, Ordered: true},
 	}
-	s.Partners = []world.Kind{{Name: "plain", Count: 5, Endpoints: world.Pair{1, 3}, SlowStartS: 10, SlowStartFrom: 0.1, Headroom: world.Pair{1.2, 1.6}},
+	s.Partners = []world.PartnerKind{{Name: "plain", Count: 5, Endpoints: world.Pair{1, 3}, SlowStartS: 10, SlowStartFrom: 0.1, Headroom: world.Pair{1.2, 1.6}},
 		{Name: "strict", Count: 3, Limit: "span", SpanS: 2, RetryAfterShare: 1, LimitTimes: world.Pair{0.8, 1.1}}}
 	s.Faults = []world.Fault{
 		{Kind: "crash", At: 4, Seconds: 3, Selector: world.Selector{Kind: "plain", Share: 0.4}},
@@ -88,7 +88,7 @@
 	h.Host.Attempt(n, to, timeOut)
 }
 
-func (p *faultyPolicy) Ended(o choice.Outcome) {
+func (p *faultyPolicy) AttemptEnded(o choice.Outcome) {
 	if o.Final {
 		p.host.ended[o.Message] = true
 	}
@@ -102,14 +102,14 @@
 			o.RetryAfter, o.Result = 0, choice.Errored
 		}
 	}
-	p.Policy.Ended(o)
+	p.Policy.AttemptEnded(o)
 }
 
-func (p *faultyPolicy) Taken(n choice.Message) {
+func (p *faultyPolicy) Accept(n choice.Message) {
 	if p.defect == "ignores ordering keys" {
 		n.Key = choice.NoKey
 	}
-	p.Policy.Taken(n)
+	p.Policy.Accept(n)
 }
 
 func (p *faultyPolicy) UpdateEndpoints(entries []choice.Entry, whole bool) {
@@ -127,7 +127,7 @@
 		for id, s := range p.host.inFlight {
 			if p.host.Now()-s.at > 60*choice.Millisecond {
 				delete(p.host.inFlight, id)
-				p.Policy.Ended(choice.Outcome{Message: id, Attempt: s.attempts - 1, Endpoint: s.to, Took: 1, Result: choice.ConnectFailed})
+				p.Policy.AttemptEnded(choice.Outcome{Message: id, Attempt: s.attempts - 1, Endpoint: s.to, Duration: 1, Result: choice.ConnectFailed})
 			}
 		}
 	}
--- a/lab/scale/agree.go
+++ b/lab/scale/agree.go
@@ -76,12 +76,12 @@
 		}
 		reasons := differences(states, len(r.fleet.Members), slices.Contains(r.options.Fleet.Uses, "failover"))
 		if len(reasons) == 0 {
-			r.options.Say("%s: all members agree after %.1f s", after, time.Since(began).Seconds())
+			r.options.Logf("%s: all members agree after %.1f s", after, time.Since(began).Seconds())
 			return time.Since(began), nil
 		}
 		if time.Since(lastReport) > 5*time.Second {
 			lastReport = time.Now()
-			r.options.Say("%s: after %.0f s there are %d differences, for example %v", after, time.Since(began).Seconds(), len(reasons), reasons[:min(2, len(reasons))])
+			r.options.Logf("%s: after %.0f s there are %d differences, for example %v", after, time.Since(began).Seconds(), len(reasons), reasons[:min(2, len(reasons))])
 		}
 		if time.Since(began) > r.options.AgreeWithin {
 			return 0, fmt.Errorf("%s: after %v there are %d differences between members: %v", after, r.options.AgreeWithin, len(reasons), reasons[:min(maxReasons, len(reasons))])
--- a/lab/scale/faults.go
+++ b/lab/scale/faults.go
@@ -56,7 +56,7 @@
 
 // playFault injects one fault and returns once it is over.
 func (r *run) playFault(ctx context.Context, f *schedule.Fault, affected []int) error {
-	r.options.Say("fault %s: affects %d members", f.Kind, len(affected))
+	r.options.Logf("fault %s: affects %d members", f.Kind, len(affected))
 	switch f.Kind {
 	case "kill":
 		return r.kill(ctx, f, affected)
@@ -153,7 +153,7 @@
 		if err := r.startAffected(part); err != nil {
 			return err
 		}
-		r.options.Say("rolling restart: step %d of %d done after %.1f s", step+1, f.Steps, time.Since(began).Seconds())
+		r.options.Logf("rolling restart: step %d of %d done after %.1f s", step+1, f.Steps, time.Since(began).Seconds())
 		if !sleep(ctx, seconds(f.Every)) {
 			return ctx.Err()
 		}
--- a/lab/scale/fleet/fleet.go
+++ b/lab/scale/fleet/fleet.go
@@ -99,9 +99,9 @@
 		switch {
 		case t.Root() == m.Name:
 			m.Role = Root
-		case t.RegionHead(m.Region) == m.Name:
+		case t.RegionCoordinator(m.Region) == m.Name:
 			m.Role = RegionHead
-		case t.ZoneHead(m.Zone) == m.Name:
+		case t.ZoneCoordinator(m.Zone) == m.Name:
 			m.Role = ZoneHead
 		case len(t.Children(m.Name)) > 0:
 			m.Role = GroupHead
@@ -116,7 +116,7 @@
 		if m.Large {
 			size = view.Large
 		}
-		all = append(all, view.Member{Life: view.Life{Name: m.Name, Incarnation: 1}, Zone: m.Zone, Region: m.Region, Size: size})
+		all = append(all, view.Member{Instance: view.Instance{Name: m.Name, Incarnation: 1}, Zone: m.Zone, Region: m.Region, Size: size})
 	}
 	return all
 }
--- a/lab/scale/hollow/hollow_test.go
+++ b/lab/scale/hollow/hollow_test.go
@@ -39,7 +39,7 @@
 // TestDigest checks that a digest counts the messages of half a second, that ten digests report each listed locality, and that
 // waiting messages are reported.
 func TestDigest(t *testing.T) {
-	l := Load{Destinations: 1000, Zones: 8, Rate: 400, Down: 0.05, OutageS: 1e6, Ends: 2, Seed: 1}
+	l := Load{Destinations: 1000, Zones: 8, Rate: 400, Down: 0.05, OutageS: 1e6, EndpointZones: 2, Seed: 1}
 	s := newObservations(&l, 3, 1)
 	sent, waiting, listed := uint64(0), 0, map[locality]int{}
 	for range 10 {
@@ -69,15 +69,15 @@
 // TestAppliedSurvivesRestart checks that a restarted member still reports the purges that its earlier incarnation applied, as a real
 // sender does from its journal. Otherwise, if such a purge lapsed in the meantime, the members never agreed again.
 func TestAppliedSurvivesRestart(t *testing.T) {
-	load := &Load{Destinations: 4, Rate: 1, Zones: 1, Ends: 1}
+	load := &Load{Destinations: 4, Rate: 1, Zones: 1, EndpointZones: 1}
 	clock := func() float64 { return 0 }
 	first := New(load, 0, 1, 0, clock, func(int) bool { return false })
 	applied := make(chan uint64, 1)
-	first.Purge([]clusterapi.Purge{{Seq: 3}}, func(seq uint64, _ []clusterapi.Found) { applied <- seq })
+	first.Purge([]clusterapi.Purge{{Seq: 3}}, func(seq uint64, _ []clusterapi.PurgeResult) { applied <- seq })
 	if seq := <-applied; seq != 3 {
 		t.Fatalf("applied purges up to %d, want 3", seq)
 	}
-	if next := New(load, 0, 1, first.Applied(), clock, func(int) bool { return false }); next.Applied() != 3 {
-		t.Errorf("the next incarnation reports purges applied up to %d, want 3", next.Applied())
+	if next := New(load, 0, 1, first.LastAppliedSeq(), clock, func(int) bool { return false }); next.LastAppliedSeq() != 3 {
+		t.Errorf("the next incarnation reports purges applied up to %d, want 3", next.LastAppliedSeq())
 	}
 }
