--- a/lab/scale/hollow/load.go
+++ b/lab/scale/hollow/load.go
@@ -16,13 +16,13 @@
 
 // Load describes the world that the senders of a fleet observe.
 type Load struct {
-	Destinations int     `json:"destinations"`
-	Zones        int     `json:"zones"`    // number of zones of the fleet
-	Rate         float64 `json:"rate"`     // messages per second at one sender
-	Down         float64 `json:"down"`     // share of the destinations that are down at any time
-	OutageS      float64 `json:"outage_s"` // duration of an outage of a destination in seconds
-	Ends         int     `json:"ends"`     // number of zones in which a destination has an endpoint
-	Seed         uint64  `json:"seed"`
+	Destinations  int     `json:"destinations"`
+	Zones         int     `json:"zones"`    // number of zones of the fleet
+	Rate          float64 `json:"rate"`     // messages per second at one sender
+	Down          float64 `json:"down"`     // share of the destinations that are down at any time
+	OutageS       float64 `json:"outage_s"` // duration of an outage of a destination in seconds
+	EndpointZones int     `json:"ends"`     // number of zones in which a destination has an endpoint
+	Seed          uint64  `json:"seed"`
 }
 
 // Parameters of digests, as in internal/sender, and of the observations.
@@ -50,7 +50,7 @@
 // zoneOf returns the zone of endpoint number end of a destination.
 func (l *Load) zoneOf(d choice.DestinationID, end int) int {
 	first := int(mix(uint64(d), l.Seed+1) % uint64(l.Zones))
-	return (first + end*max(1, l.Zones/max(1, l.Ends))) % l.Zones
+	return (first + end*max(1, l.Zones/max(1, l.EndpointZones))) % l.Zones
 }
 
 // mix returns a hash of two numbers. It uses the finalizer of splitmix64.
@@ -82,7 +82,7 @@
 	s := &observations{load: load, zone: zone, rng: rand.New(rand.NewPCG(load.Seed, no)), waiting: map[choice.DestinationID]int{}}
 	left := maxLocalities
 	for d := range load.Destinations {
-		for end := range load.Ends {
+		for end := range load.EndpointZones {
 			if left--; left < 0 {
 				return s
 			}
@@ -96,11 +96,11 @@
 // digest returns the sender's next digest, at a time of the run in seconds; zoneFails reports whether a zone's endpoints do not
 // answer.
 func (s *observations) digest(seconds float64, zoneFails func(zone int) bool) clusterapi.Digest {
-	rows := map[locality]*clusterapi.Row{}
-	row := func(at locality) *clusterapi.Row {
+	rows := map[locality]*clusterapi.DigestRow{}
+	row := func(at locality) *clusterapi.DigestRow {
 		r := rows[at]
 		if r == nil {
-			r = &clusterapi.Row{Destination: at.destination, Zone: string(fleet.ZoneName(at.zone)), Endpoints: 1, Rating: rating}
+			r = &clusterapi.DigestRow{Destination: at.destination, Zone: string(fleet.ZoneName(at.zone)), Endpoints: 1, Rating: rating}
 			rows[at] = r
 		}
 		return r
@@ -119,7 +119,7 @@
 		}
 		row(locality{d, s.load.zoneOf(d, 0)}).Waiting = n
 	}
-	d := clusterapi.Digest{Rows: make([]clusterapi.Row, 0, len(rows))}
+	d := clusterapi.Digest{Rows: make([]clusterapi.DigestRow, 0, len(rows))}
 	for _, r := range rows {
 		d.Rows = append(d.Rows, *r)
 	}
@@ -133,7 +133,7 @@
 }
 
 // drawMessage draws one message and counts it as sent or waiting.
-func (s *observations) drawMessage(seconds float64, zoneFails func(zone int) bool, row func(locality) *clusterapi.Row) {
+func (s *observations) drawMessage(seconds float64, zoneFails func(zone int) bool, row func(locality) *clusterapi.DigestRow) {
 	d := choice.DestinationID(s.rng.IntN(s.load.Destinations))
 	down := s.load.DownAt(d, seconds)
 	if down && s.rng.Float64() >= probeShare {
@@ -154,10 +154,10 @@
 // calledZone returns the zone in which the sender calls a destination: its own if the destination has an endpoint there, or else
 // one that depends on the destination and the sender's zone.
 func (s *observations) calledZone(d choice.DestinationID) int {
-	for end := range s.load.Ends {
+	for end := range s.load.EndpointZones {
 		if zone := s.load.zoneOf(d, end); zone == s.zone {
 			return zone
 		}
 	}
-	return s.load.zoneOf(d, int(mix(uint64(d), uint64(s.zone))%uint64(max(1, s.load.Ends))))
+	return s.load.zoneOf(d, int(mix(uint64(d), uint64(s.zone))%uint64(max(1, s.load.EndpointZones))))
 }
--- a/lab/scale/hollow/sender.go
+++ b/lab/scale/hollow/sender.go
@@ -44,8 +44,8 @@
 		case <-ctx.Done():
 			return
 		case <-every.C:
-			to.Digest(s.observed.digest(s.clock(), s.zoneFails))
-			to.Guide()
+			to.ReportDigest(s.observed.digest(s.clock(), s.zoneFails))
+			to.RoutingPlan()
 		}
 	}
 }
@@ -58,7 +58,7 @@
 }
 
 // Purge reports purges as applied at once, since there are no messages to purge.
-func (s *Sender) Purge(all []clusterapi.Purge, done func(uint64, []clusterapi.Found)) {
+func (s *Sender) Purge(all []clusterapi.Purge, done func(uint64, []clusterapi.PurgeResult)) {
 	now := time.Now()
 	s.mu.Lock()
 	for _, p := range all {
@@ -68,7 +68,7 @@
 		s.applied.Store(max(s.applied.Load(), p.Seq))
 	}
 	s.mu.Unlock()
-	go done(s.applied.Load(), make([]clusterapi.Found, len(all)))
+	go done(s.applied.Load(), make([]clusterapi.PurgeResult, len(all)))
 }
 
 // Configure puts a configuration in force at once. It reports an error if a newer version is in force.
@@ -98,19 +98,19 @@
 	return s.version
 }
 
-// Applied returns the number of the highest purge that was applied; 0 for none.
-func (s *Sender) Applied() uint64 { return s.applied.Load() }
+// LastAppliedSeq returns the number of the highest purge that was applied; 0 for none.
+func (s *Sender) LastAppliedSeq() uint64 { return s.applied.Load() }
 
 // Evict reports that nothing was evicted, since there is no learned state.
 func (s *Sender) Evict(_ []choice.DestinationID, done func([]choice.DestinationID)) { go done(nil) }
 
-// Holding reports that no learned state is held.
-func (s *Sender) Holding(done func([]clusterapi.Held)) { go done(nil) }
+// ListHeldState reports that no learned state is held.
+func (s *Sender) ListHeldState(done func([]clusterapi.HeldState)) { go done(nil) }
 
-// Teach ignores learned state.
-func (s *Sender) Teach([]clusterapi.LearnedEndpoint) {}
+// AdoptLearnedState ignores learned state.
+func (s *Sender) AdoptLearnedState([]clusterapi.LearnedEndpoint) {}
 
-// Know reports no learned state.
-func (s *Sender) Know(_ []choice.DestinationID, done func([]clusterapi.LearnedEndpoint)) {
+// GetLearnedState reports no learned state.
+func (s *Sender) GetLearnedState(_ []choice.DestinationID, done func([]clusterapi.LearnedEndpoint)) {
 	go done(nil)
 }
--- a/lab/scale/host/host_test.go
+++ b/lab/scale/host/host_test.go
@@ -16,7 +16,7 @@
 // see each other as expected after each step.
 func TestHost(t *testing.T) {
 	spec := Spec{Fleet: fleet.Size{Members: 3, Zones: 1, Regions: 1, Large: 3, Port: freePort(t), Uses: []string{"failover", "purges"}},
-		Members: []int{0, 1, 2}, Load: hollow.Load{Destinations: 20, Zones: 1, Rate: 10, Down: 0.1, OutageS: 5, Ends: 1}, Folder: t.TempDir(),
+		Members: []int{0, 1, 2}, Load: hollow.Load{Destinations: 20, Zones: 1, Rate: 10, Down: 0.1, OutageS: 5, EndpointZones: 1}, Folder: t.TempDir(),
 		Began: time.Now().UnixNano()}
 	orders, toHost := io.Pipe()
 	fromHost, answers := io.Pipe()
--- a/lab/scale/host/member.go
+++ b/lab/scale/host/member.go
@@ -114,7 +114,7 @@
 	}
 	l := m.running
 	m.running = nil
-	m.applied = l.sender.Applied()
+	m.applied = l.sender.LastAppliedSeq()
 	l.silenced.Store(silent)
 	l.stop()
 	l.goroutines.Wait()
--- a/lab/scale/hosts.go
+++ b/lab/scale/hosts.go
@@ -161,7 +161,7 @@
 			return ctx.Err()
 		}
 	}
-	r.options.Say("the first %d members that were started do not all see each other after %v; the next step begins", started, stepTimeout)
+	r.options.Logf("the first %d members that were started do not all see each other after %v; the next step begins", started, stepTimeout)
 	return nil
 }
 
--- a/lab/scale/real.go
+++ b/lab/scale/real.go
@@ -123,14 +123,14 @@
 
 // worldOf returns a world without faults, with the load for real members from the options.
 func (r *run) worldOf() *world.Spec {
-	spec := world.Base()
+	spec := world.DefaultSpec()
 	n := len(r.realMembers)
 	spec.Name, spec.Seconds, spec.Senders, spec.Zones = "scale", maxLoadSeconds, n, r.fleet.RealZones()
 	spec.Load.Rate = max(1, r.options.RealRate*float64(n))
 	spec.Classes = []world.Class{{Name: "status", LatencyObjectiveMS: 1500, DeadlineMS: 4000}}
 	ends := min(2, spec.Zones)
 	count := max(1, min(r.options.RealDestinations, maxListeners/n/ends))
-	spec.Partners = []world.Kind{{Name: "shop", Count: count, Endpoints: world.Pair{float64(ends), float64(ends)}, Headroom: world.Pair{3, 4}, LeastRate: 40}}
+	spec.Partners = []world.PartnerKind{{Name: "shop", Count: count, Endpoints: world.Pair{float64(ends), float64(ends)}, Headroom: world.Pair{3, 4}, LeastRate: 40}}
 	spec.Defaults()
 	return &spec
 }
@@ -145,7 +145,7 @@
 
 // actOnReal applies an action to the real members among the given members. It waits for each until it is done, but no longer
 // than hostEndTimeout.
-func (r *run) actOnReal(members map[int]bool, action world.Act) {
+func (r *run) actOnReal(members map[int]bool, action world.Action) {
 	if r.real.control == nil {
 		return
 	}
--- a/lab/scale/run.go
+++ b/lab/scale/run.go
@@ -62,7 +62,7 @@
 	if err := r.startMembers(ctx); err != nil {
 		return err
 	}
-	r.options.Say("%d hollow members in %d processes were started after %.1f s", len(r.fleet.Members)-r.options.Fleet.Real, len(r.hosts), time.Since(r.began).Seconds())
+	r.options.Logf("%d hollow members in %d processes were started after %.1f s", len(r.fleet.Members)-r.options.Fleet.Real, len(r.hosts), time.Since(r.began).Seconds())
 	if err := r.startReal(ctx); err != nil {
 		return err
 	}
--- a/lab/scale/scale.go
+++ b/lab/scale/scale.go
@@ -37,7 +37,7 @@
 	Changes          int                              // number of changes of the configuration, likewise
 	AgreeWithin      time.Duration                    // the run fails if members do not agree within this time; 0 for a default
 	Logs             string                           `json:"-"` // folder for the logs of all processes; "" for none
-	Say              func(format string, args ...any) `json:"-"` // reports progress; nil for no reports
+	Logf             func(format string, args ...any) `json:"-"` // reports progress; nil for no reports
 }
 
 // Defaults of options that are 0.
@@ -60,8 +60,8 @@
 	if o.Settle <= 0 {
 		o.Settle = defaultSettle
 	}
-	if o.Say == nil {
-		o.Say = func(string, ...any) {}
+	if o.Logf == nil {
+		o.Logf = func(string, ...any) {}
 	}
 	f := &o.Fleet
 	switch {
@@ -77,13 +77,13 @@
 		return fmt.Errorf("ServeCommand is missing: it runs the real members")
 	case f.Real < f.Members && len(o.HostCommand) == 0:
 		return fmt.Errorf("HostCommand is missing: it runs the hollow members")
-	case o.Load.Destinations < 1 || o.Load.Ends < 1 || o.Load.Ends > f.Zones:
-		return fmt.Errorf("load of %d destinations with endpoints in %d zones each is not possible", o.Load.Destinations, o.Load.Ends)
+	case o.Load.Destinations < 1 || o.Load.EndpointZones < 1 || o.Load.EndpointZones > f.Zones:
+		return fmt.Errorf("load of %d destinations with endpoints in %d zones each is not possible", o.Load.Destinations, o.Load.EndpointZones)
 	}
 	for _, s := range o.Schedules {
 		s.Processes, s.Zones, s.Regions = f.Members, f.Zones, f.Regions
 		if problems := s.Check(); len(problems) > 0 {
-			return fmt.Errorf("schedule field %s: %s", problems[0].Path, problems[0].What)
+			return fmt.Errorf("schedule field %s: %s", problems[0].Path, problems[0].Reason)
 		}
 	}
 	o.Load.Zones = f.Zones
--- a/lab/scale/scale_test.go
+++ b/lab/scale/scale_test.go
@@ -45,9 +45,9 @@
 // smallOptions returns the options of a run that is small enough for any machine.
 func smallOptions(t *testing.T, s *schedule.Schedule) Options {
 	return Options{Fleet: fleet.Size{Members: 40, Real: 2, Zones: 8, Regions: 3, Large: 3, Uses: []string{"failover", "purges", "configuration"}},
-		Load:  hollow.Load{Destinations: 200, Rate: 4, Down: 0.027, OutageS: 60, Ends: 2, Seed: 1},
+		Load:  hollow.Load{Destinations: 200, Rate: 4, Down: 0.027, OutageS: 60, EndpointZones: 2, Seed: 1},
 		Hosts: 2, Schedules: []*schedule.Schedule{s}, Calm: 2 * time.Second, Settle: time.Second, RealRate: 4, RealDestinations: 20, Purges: 1,
-		AgreeWithin: 4 * time.Minute, HostCommand: []string{binary, "lab", "scale"}, ServeCommand: []string{binary, "serve"}, Logs: os.Getenv("SCALE_LOGS"), Say: t.Logf}
+		AgreeWithin: 4 * time.Minute, HostCommand: []string{binary, "lab", "scale"}, ServeCommand: []string{binary, "serve"}, Logs: os.Getenv("SCALE_LOGS"), Logf: t.Logf}
 }
 
 // TestSmall plays a kill and a cut and checks that all members agree afterwards. The time until then is only logged.
--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -38,7 +38,7 @@
 // if the text has none, and a relative path of a trace starts at its folder. An invalid field is reported as a
 // *tomlfile.Error.
 func Parse(name string, text []byte) (*Scenario, error) {
-	spec := world.Base()
+	spec := world.DefaultSpec()
 	if err := tomlfile.Decode(name, text, &spec); err != nil {
 		return nil, err
 	}
@@ -50,7 +50,7 @@
 	for _, p := range spec.Check() {
 		problems = append(problems, tomlfile.Problem(p))
 	}
-	if err := tomlfile.At(name, text, problems); err != nil {
+	if err := tomlfile.LocateProblems(name, text, problems); err != nil {
 		return nil, err
 	}
 	s := &Scenario{Spec: &spec, Path: name, Text: text}
@@ -70,7 +70,7 @@
 	}
 	file, err := os.Open(path)
 	if err != nil {
-		return &tomlfile.Error{File: s.Path, Line: tomlfile.LineOf(tomlfile.Lines(s.Text), "load.trace"), Field: "load.trace", What: err.Error()}
+		return &tomlfile.Error{File: s.Path, Line: tomlfile.LineOf(tomlfile.Lines(s.Text), "load.trace"), Field: "load.trace", Reason: err.Error()}
 	}
 	defer file.Close()
 	var classes []string
--- a/lab/sim/answers.go
+++ b/lab/sim/answers.go
@@ -102,7 +102,7 @@
 func (n *node) reportCall(c *call, result choice.Result, a world.Answer) {
 	n.scheduleTick()
 	if c.probe {
-		n.policy.Probed(c.endpoint.id, result)
+		n.policy.ProbeEnded(c.endpoint.id, result)
 		return
 	}
 	wait := a.RetryAfter
@@ -113,7 +113,7 @@
 		if o.call != c {
 			continue // the message was detached from the call before
 		}
-		out := choice.Outcome{Message: o.ID, Attempt: o.attempts - 1, Endpoint: c.endpoint.id, Took: n.Now() - c.startedAt, Result: result,
+		out := choice.Outcome{Message: o.ID, Attempt: o.attempts - 1, Endpoint: c.endpoint.id, Duration: n.Now() - c.startedAt, Result: result,
 			Final: result == choice.Done, RetryAfter: wait, Report: a.Report, Reused: c.reused, Closed: a.Close}
 		if a.Statuses != nil && result == choice.Done && a.Statuses[i] != 200 {
 			out.Result, out.Final = choice.Errored, false
@@ -138,7 +138,7 @@
 			o.mayRunRecorded = false
 		}
 	}
-	n.policy.Ended(out)
+	n.policy.AttemptEnded(out)
 	if out.Final {
 		n.forgetMessage(o)
 	}
--- a/lab/sim/calls.go
+++ b/lab/sim/calls.go
@@ -78,7 +78,7 @@
 		return
 	}
 	n.scheduleTick()
-	out := choice.Outcome{Message: o.ID, Attempt: o.attempts - 1, Endpoint: c.endpoint.id, Took: n.Now() - c.startedAt, Result: choice.Cancelled}
+	out := choice.Outcome{Message: o.ID, Attempt: o.attempts - 1, Endpoint: c.endpoint.id, Duration: n.Now() - c.startedAt, Result: choice.Cancelled}
 	if c.link == nil || !c.link.up {
 		out.Result = choice.NotRun
 		c.messages = slices.DeleteFunc(c.messages, func(other *openMessage) bool { return other == o })
@@ -107,7 +107,7 @@
 			n.makeIdle(l)
 			return
 		}
-		if n.Now() >= c.startedAt+c.timeout || !c.probe && !n.policy.Open(c.endpoint.id, c.ids()...) {
+		if n.Now() >= c.startedAt+c.timeout || !c.probe && !n.policy.MaySend(c.endpoint.id, c.ids()...) {
 			l.call = nil
 			n.makeIdle(l)
 			n.endCall(c, choice.ConnectFailed, world.Answer{})
--- a/lab/sim/host.go
+++ b/lab/sim/host.go
@@ -78,8 +78,8 @@
 	n.scheduleTick()
 }
 
-// Tell does nothing: gossip between senders (Settings.Notes) is off in both engines.
-func (n *node) Tell([]byte) {}
+// BroadcastNote does nothing: gossip between senders (Settings.Notes) is off in both engines.
+func (n *node) BroadcastNote([]byte) {}
 
 func (n *node) CloseIdle(id choice.EndpointID) {
 	if e := n.endpoints[id]; e != nil {
@@ -87,7 +87,7 @@
 	}
 }
 
-func (n *node) Timer(in choice.Time, id choice.TimerID) {
+func (n *node) SetTimer(in choice.Time, id choice.TimerID) {
 	incarnation := n.incarnation
 	n.timers[id] = true
 	n.e.w.After(in, func() {
@@ -97,11 +97,11 @@
 		n.whenRunning(func() {
 			if n.timers[id] {
 				delete(n.timers, id)
-				n.policy.TimerDue(id)
+				n.policy.TimerFired(id)
 				n.scheduleTick()
 			}
 		})
 	})
 }
 
-func (n *node) Forget(id choice.TimerID) { delete(n.timers, id) }
+func (n *node) CancelTimer(id choice.TimerID) { delete(n.timers, id) }
--- a/lab/sim/node.go
+++ b/lab/sim/node.go
@@ -130,7 +130,7 @@
 			open = append(open, id)
 			o.attempts, o.call, o.unanswered = 0, nil, false
 			o.MayRun = o.mayRunRecorded
-			n.policy.Taken(o.Message)
+			n.policy.Accept(o.Message)
 		}
 	}
 	n.acceptedOrder = open
@@ -214,13 +214,13 @@
 	}
 	a := h.Request
 	o := &openMessage{handIn: h, unanswered: true, Message: choice.Message{ID: h.ID, Class: choice.ClassNo(a.Arrival.Class), Key: choice.NoKey,
-		Deadline: h.Deadline, Destination: choice.DestinationID(a.Partner)}}
+		Deadline: h.Deadline, Destination: choice.DestinationID(a.Destination)}}
 	if a.Class.Ordered {
-		o.Key = choice.OrderKey(a.Partner*1_000_000 + a.Key + 1)
+		o.Key = choice.OrderKey(a.Destination*1_000_000 + a.Key + 1)
 	}
 	n.messages[h.ID] = o
 	n.newMessages = append(n.newMessages, o)
-	n.policy.Taken(o.Message)
+	n.policy.Accept(o.Message)
 	n.scheduleTick()
 }
 
--- a/lab/sim/replay_test.go
+++ b/lab/sim/replay_test.go
@@ -133,7 +133,7 @@
 		r.ids = append(r.ids, id)
 	}
 	r.live[id] = rec
-	rec.Sender = choice.Start(rec, id, seed, set)
+	rec.Sender = choice.NewSender(rec, id, seed, set)
 	return rec
 }
 
@@ -167,26 +167,26 @@
 	r.Host.CloseIdle(e)
 }
 
-// Tell delivers a note to all other senders after 2 ms.
-func (r *recorder) Tell(note []byte) {
+// BroadcastNote delivers a note to all other senders after 2 ms.
+func (r *recorder) BroadcastNote(note []byte) {
 	r.logCall("tell %x", note)
 	r.w.After(2*choice.Millisecond, func() {
 		for _, id := range r.r.ids {
 			if id != r.id {
-				r.r.live[id].Heard(note)
+				r.r.live[id].ReceiveNote(note)
 			}
 		}
 	})
 }
 
-func (r *recorder) Timer(in choice.Time, id choice.TimerID) {
+func (r *recorder) SetTimer(in choice.Time, id choice.TimerID) {
 	r.logCall("timer %d %d", in, id)
-	r.Host.Timer(in, id)
+	r.Host.SetTimer(in, id)
 }
 
-func (r *recorder) Forget(id choice.TimerID) {
+func (r *recorder) CancelTimer(id choice.TimerID) {
 	r.logCall("forget %d", id)
-	r.Host.Forget(id)
+	r.Host.CancelTimer(id)
 }
 
 // isOneIn reports whether an id belongs to the share 1/n of ids that get learned state or are purged. It returns false in
@@ -204,15 +204,15 @@
 	r.Sender.UpdateEndpoints(entries, whole)
 }
 
-func (r *recorder) Taken(n choice.Message) {
-	r.Sender.Taken(n)
+func (r *recorder) Accept(n choice.Message) {
+	r.Sender.Accept(n)
 	if r.isOneIn(20, string(n.ID)) {
 		r.withdrawn = append(r.withdrawn, n.ID)
 	}
 }
 
-func (r *recorder) Ended(o choice.Outcome) {
-	r.Sender.Ended(o)
+func (r *recorder) AttemptEnded(o choice.Outcome) {
+	r.Sender.AttemptEnded(o)
 	if r.isOneIn(7, string(o.Message)) {
 		r.withdrawn = append(r.withdrawn, o.Message)
 	}
@@ -221,20 +221,20 @@
 func (r *recorder) TurnEnd() {
 	for i, id := range r.withdrawn {
 		if i%2 == 0 {
-			r.Withdrawn(id)
+			r.Withdraw(id)
 		}
 	}
 	r.Sender.TurnEnd()
 	for i, id := range r.withdrawn {
 		if i%2 == 1 {
-			r.Withdrawn(id)
+			r.Withdraw(id)
 		}
 	}
 	r.withdrawn = nil
 }
 
-func (r *recorder) Open(e choice.EndpointID, ids ...choice.MessageID) bool {
-	is := r.Sender.Open(e, ids...)
+func (r *recorder) MaySend(e choice.EndpointID, ids ...choice.MessageID) bool {
+	is := r.Sender.MaySend(e, ids...)
 	r.logCall("open %s %s %t", e, ids, is)
 	return is
 }
--- a/lab/sim/settings.go
+++ b/lab/sim/settings.go
@@ -74,7 +74,7 @@
 }
 
 // settingsOfKinds derives the settings from the kinds of partner.
-func settingsOfKinds(all []world.Kind) kindSettings {
+func settingsOfKinds(all []world.PartnerKind) kindSettings {
 	s := kindSettings{names: []string{}, bulkMax: []int{}, separateRoutes: []bool{}, slowStartFrom: 1, idleS: math.MaxFloat64}
 	for i := range all {
 		k := &all[i]
--- a/lab/sim/sim.go
+++ b/lab/sim/sim.go
@@ -21,13 +21,13 @@
 // Policy makes the decisions of a sender. choice.Sender implements it and documents the methods.
 type Policy interface {
 	UpdateEndpoints(entries []choice.Entry, whole bool)
-	Taken(choice.Message)
-	Withdrawn(choice.MessageID)
-	Ended(choice.Outcome)
-	Probed(choice.EndpointID, choice.Result)
-	TimerDue(choice.TimerID)
+	Accept(choice.Message)
+	Withdraw(choice.MessageID)
+	AttemptEnded(choice.Outcome)
+	ProbeEnded(choice.EndpointID, choice.Result)
+	TimerFired(choice.TimerID)
 	TurnEnd()
-	Open(choice.EndpointID, ...choice.MessageID) bool
+	MaySend(choice.EndpointID, ...choice.MessageID) bool
 }
 
 // NewPolicy starts a policy for one incarnation of a sender. The parameter w is for baselines that may see the true state of
@@ -36,7 +36,7 @@
 
 // ChoicePolicy starts choice.Sender, which real senders use.
 func ChoicePolicy(h choice.Host, id choice.SenderID, seed int64, set choice.Settings, _ *world.World) Policy {
-	return choice.Start(h, id, seed, set)
+	return choice.NewSender(h, id, seed, set)
 }
 
 // Options are the inputs of a run.
@@ -187,7 +187,7 @@
 func (e *engine) Datagram(world.SenderNo, world.SenderNo, []byte) {}
 
 // Act performs the action of a fault on a sender's process.
-func (e *engine) Act(on world.SenderNo, what world.Act) {
+func (e *engine) Act(on world.SenderNo, what world.Action) {
 	n := e.nodes[on]
 	switch what {
 	case world.Kill:
--- a/lab/sim/sim_test.go
+++ b/lab/sim/sim_test.go
@@ -14,7 +14,7 @@
 
 // specWithoutFaults returns a small world without faults.
 func specWithoutFaults() *world.Spec {
-	s := world.Base()
+	s := world.DefaultSpec()
 	s.Name, s.Seconds, s.Senders, s.Zones = "small", 20, 3, 2
 	s.Load.Rate, s.Load.Zipf, s.Load.ClumpShare = 50, 0.8, 0.1
 	s.Classes = []world.Class{
@@ -22,7 +22,7 @@
 		{Name: "order", Repeat: "single-use", Share: 1, LatencyObjectiveMS: 3000, DeadlineMS: 9000, Value: 3, LateValue: 0.5},
 		{Name: "booking", Repeat: "tokened", ZoneGroup: true, WindowS: 3, Share: 1, LatencyObjectiveMS: 2000, DeadlineMS: 8000, Value: 2, LateValue: 0.2},
 	}
-	s.Partners = []world.Kind{{Name: "small", Count: 8, RetryAfterShare: 0.4, Reports: true, MaxConnections: 20, HandshakeMS: 10},
+	s.Partners = []world.PartnerKind{{Name: "small", Count: 8, RetryAfterShare: 0.4, Reports: true, MaxConnections: 20, HandshakeMS: 10},
 		{Name: "bulk", Count: 4, Bundle: 5, Endpoints: world.Pair{2, 3}, SeparateRoutes: true, Reports: true}}
 	s.Defaults()
 	return &s
@@ -177,7 +177,7 @@
 		{Kind: "slow", At: 20, Seconds: 8, Selector: world.Selector{Share: 0.3}}}
 	spec.Defaults()
 	service := map[string]float64{}
-	for name := range baseline.Kinds {
+	for name := range baseline.Descriptions {
 		v := run(t, sim.Options{Spec: spec, Seed: 5, Policy: baseline.Named(name)})
 		service[name] = v.Service
 		if v.Asked < 1500 {
--- a/lab/world/check.go
+++ b/lab/world/check.go
@@ -8,9 +8,9 @@
 )
 
 // Problem is one error in a spec: the path of the field, as in trouble[2].part.kind, and a description of the error.
-type Problem struct{ Path, What string }
+type Problem struct{ Path, Reason string }
 
-func (p Problem) Error() string { return p.Path + ": " + p.What }
+func (p Problem) Error() string { return p.Path + ": " + p.Reason }
 
 // Check returns all problems of a spec; Defaults must have been called before. Faults and changes of the list, which refer
 // to other parts of the spec, are checked only if those parts are valid.
@@ -126,7 +126,7 @@
 	}
 }
 
-func (c *checker) partners(all []Kind) {
+func (c *checker) partners(all []PartnerKind) {
 	if len(all) == 0 {
 		c.addProblem("partner", "missing; a scenario needs at least one kind of partner")
 	}
@@ -141,7 +141,7 @@
 	}
 }
 
-func (c *checker) partner(at string, k *Kind) {
+func (c *checker) partner(at string, k *PartnerKind) {
 	c.checkRange(at+"count", float64(k.Count), 1, 1e5)
 	c.checkPair(at+"endpoints", k.Endpoints, 1, maxEndpoints)
 	c.checkPair(at+"mean_ms", k.MeanMS, 0.1, 1e5)
--- a/lab/world/clients.go
+++ b/lab/world/clients.go
@@ -74,22 +74,22 @@
 	for i, p := range w.Partners {
 		partners[i] = p.Share
 	}
-	w.arrivals = load.New(w.Spec.Load, w.seed, w.end, classes, partners,
+	w.arrivals = load.NewPlan(w.Spec.Load, w.seed, w.end, classes, partners,
 		load.ZipfWeights(len(w.senders), w.Spec.Load.SenderSkew), w.loadChanges())
 	return nil
 }
 
 // loadChanges returns the changes of the load by faults of the kinds surge and fixed.
-func (w *World) loadChanges() (changes []load.Change) {
+func (w *World) loadChanges() (changes []load.LoadChange) {
 	for i := range w.Spec.Faults {
 		t := &w.Spec.Faults[i]
-		change := load.Change{From: seconds(t.At), To: seconds(t.At + t.Seconds), Factor: 1, Sender: -1, Partner: -1}
+		change := load.LoadChange{From: seconds(t.At), To: seconds(t.At + t.Seconds), Factor: 1, Sender: -1, Destination: -1}
 		switch t.Kind {
 		case "surge":
 			change.Factor = t.Amount
 		case "fixed":
 			change.Share = t.Amount
-			change.Partner = int(w.partnersOf(&t.Selector, int64(i))[0].No)
+			change.Destination = int(w.partnersOf(&t.Selector, int64(i))[0].No)
 		default:
 			continue
 		}
--- a/lab/world/defaults.go
+++ b/lab/world/defaults.go
@@ -7,8 +7,8 @@
 	"fmt"
 )
 
-// Base returns the spec that a scenario starts from. The scenario's own values override it.
-func Base() Spec {
+// DefaultSpec returns the spec that a scenario starts from. The scenario's own values override it.
+func DefaultSpec() Spec {
 	return Spec{
 		Name: "unnamed", Seconds: 30, Senders: 2, Zones: 1, Halving: true,
 		Network:   Network{SameMS: Pair{1, 3}, CrossMS: Pair{8, 20}, Jitter: 0.2},
@@ -43,7 +43,7 @@
 	w.Repeat = cmp.Or(w.Repeat, Idempotent)
 }
 
-func (k *Kind) defaults(no int) {
+func (k *PartnerKind) defaults(no int) {
 	k.Name = cmp.Or(k.Name, fmt.Sprintf("kind%d", no))
 	k.Count = cmp.Or(k.Count, 1)
 	k.Endpoints = cmp.Or(k.Endpoints, Pair{1, 2})
--- a/lab/world/endpoint.go
+++ b/lab/world/endpoint.go
@@ -13,7 +13,7 @@
 // Partner is one partner system: a destination of messages.
 type Partner struct {
 	No        PartnerNo
-	Kind      *Kind
+	Kind      *PartnerKind
 	KindNo    int
 	Share     float64 // share of the traffic
 	Rate      float64 // capacity of all endpoints together, in calls a second
--- a/lab/world/limit.go
+++ b/lab/world/limit.go
@@ -62,7 +62,7 @@
 }
 
 // newLimit draws the rate limit of a partner, divided by parts if each of its endpoints has a limit of its own.
-func (w *World) newLimit(kind *Kind, p *Partner, parts float64) *limit {
+func (w *World) newLimit(kind *PartnerKind, p *Partner, parts float64) *limit {
 	rate := max(kind.LeastRate, w.Spec.Load.Rate*p.Share*w.drawWithin(kind.LimitTimes, "limit", int64(p.No))) / parts
 	l := &limit{perSecond: rate, tokens: max(1, rate*0.4)}
 	if kind.Limit == "span" {
--- a/lab/world/senderfault.go
+++ b/lab/world/senderfault.go
@@ -49,7 +49,7 @@
 }
 
 // planAction schedules an action on a sender's process.
-func (w *World) planAction(at Time, s SenderNo, what Act) {
+func (w *World) planAction(at Time, s SenderNo, what Action) {
 	w.At(at, func() {
 		if what == Kill || what == Term {
 			w.senders[s].watching = false
--- a/lab/world/spec.go
+++ b/lab/world/spec.go
@@ -11,23 +11,23 @@
 // of keys that end in _ms are milliseconds, those of keys that end in _s, and of the key seconds, are seconds. Shares lie
 // between 0 and 1. A Pair is a range from which each endpoint or partner draws its own value.
 type Spec struct {
-	Name      string      `toml:"name"`
-	About     string      `toml:"about"`
-	Seconds   float64     `toml:"seconds"`
-	Senders   int         `toml:"senders"`
-	Zones     int         `toml:"zones"`
-	Halving   bool        `toml:"halving"` // value halves with each latency objective of delay; else it falls linearly
-	Load      load.Spec   `toml:"load"`
-	Network   Network     `toml:"network"`
-	Discovery Discovery   `toml:"discovery"`
-	Sender    SenderSpec  `toml:"sender"`
-	Clients   Clients     `toml:"clients"`
-	Rules     Rules       `toml:"rules"`
-	Prices    Prices      `toml:"prices"`
-	Classes   []Class     `toml:"workload"`
-	Partners  []Kind      `toml:"partner"`
-	Faults    []Fault     `toml:"trouble"`
-	Changes   []ListEvent `toml:"change"`
+	Name      string        `toml:"name"`
+	About     string        `toml:"about"`
+	Seconds   float64       `toml:"seconds"`
+	Senders   int           `toml:"senders"`
+	Zones     int           `toml:"zones"`
+	Halving   bool          `toml:"halving"` // value halves with each latency objective of delay; else it falls linearly
+	Load      load.Spec     `toml:"load"`
+	Network   Network       `toml:"network"`
+	Discovery Discovery     `toml:"discovery"`
+	Sender    SenderSpec    `toml:"sender"`
+	Clients   Clients       `toml:"clients"`
+	Rules     Rules         `toml:"rules"`
+	Prices    Prices        `toml:"prices"`
+	Classes   []Class       `toml:"workload"`
+	Partners  []PartnerKind `toml:"partner"`
+	Faults    []Fault       `toml:"trouble"`
+	Changes   []ListEvent   `toml:"change"`
 }
 
 // Pair is a range: its lowest and its highest value.
@@ -109,8 +109,8 @@
 	Ordered            bool    `toml:"ordered"`   // messages with the same ordering key are delivered one after another
 }
 
-// Kind describes one kind of partner. Pairs are drawn for each partner, except that MeanMS is drawn for each endpoint.
-type Kind struct {
+// PartnerKind describes one kind of partner. Pairs are drawn for each partner, except that MeanMS is drawn for each endpoint.
+type PartnerKind struct {
 	Name            string  `toml:"name"`
 	Count           int     `toml:"count"`
 	Endpoints       Pair    `toml:"endpoints"`     // number of endpoints of each partner, from one to four
--- a/lab/world/world.go
+++ b/lab/world/world.go
@@ -65,14 +65,14 @@
 	HandIn(h *HandIn)                      // a client hands a message in
 	AcceptingChanged(e *Endpoint, on bool) // the endpoint begins or ceases to accept connections
 	Datagram(from, to SenderNo, text []byte)
-	Act(on SenderNo, what Act) // a fault acts on the sender's process or on its clients
+	Act(on SenderNo, what Action) // a fault acts on the sender's process or on its clients
 }
 
-// Act is an action of a fault on a sender's process, or on the behaviour of its clients.
-type Act int
+// Action is an action of a fault on a sender's process, or on the behaviour of its clients.
+type Action int
 
 const (
-	Kill Act = iota
+	Kill Action = iota
 	Start
 	Term
 	Pause
--- a/lab/world/world_test.go
+++ b/lab/world/world_test.go
@@ -42,7 +42,7 @@
 func (d *eventPrinter) Datagram(from, to SenderNo, text []byte) {
 	d.print("datagram from %d to %d: %s", from, to, text)
 }
-func (d *eventPrinter) Act(on SenderNo, what Act) { d.print("action %d on %d", what, on) }
+func (d *eventPrinter) Act(on SenderNo, what Action) { d.print("action %d on %d", what, on) }
 func (d *eventPrinter) Answered(c *Conn, call *Call, a Answer) {
 	d.statuses[c.No] = a.Status
 	d.print("answer on %d: %d, wait %d ms, incomplete %v, malformed %v", c.No, a.Status, a.RetryAfter/Millisecond, a.Incomplete, a.Malformed)
@@ -78,12 +78,12 @@
 // newPrintedWorld returns the printer of a new world with one partner of one endpoint and two senders that serve. Almost no
 // client hands a message in, so that only the test's calls are printed.
 func newPrintedWorld(change func(*Spec)) *eventPrinter {
-	s := Base()
+	s := DefaultSpec()
 	s.Seconds, s.Senders, s.Load.Rate = 60, 2, 0.001
 	s.Network = Network{SameMS: Pair{10, 10}, CrossMS: Pair{10, 10}}
 	s.Discovery.DelayMS = Pair{100, 100}
 	s.Classes = []Class{{Name: "w", LatencyObjectiveMS: 1000, DeadlineMS: 9000}}
-	s.Partners = []Kind{{Name: "k", Endpoints: Pair{1, 1}, MeanMS: Pair{50, 50}, Sigma: 1e-9, LeastRate: 20}}
+	s.Partners = []PartnerKind{{Name: "k", Endpoints: Pair{1, 1}, MeanMS: Pair{50, 50}, Sigma: 1e-9, LeastRate: 20}}
 	change(&s)
 	s.Defaults()
 	if p := s.Check(); p != nil {
