--- a/choice/backlog.go
+++ b/choice/backlog.go
@@ -114,7 +114,7 @@
 	msg.ended = true
 	s.dequeue(msg)
 	if msg.inFlight != nil {
-		return // Ended calls release again when the outcome arrives.
+		return // AttemptEnded calls release again when the outcome arrives.
 	}
 	delete(s.messages, msg.ID)
 	s.timers.clear(msg, s.host.CancelTimer)
--- a/choice/capacity_test.go
+++ b/choice/capacity_test.go
@@ -34,7 +34,7 @@
 	capacityUnavailable = 1647
 )
 
-// capacitySettings returns settings of a fleet of 660 senders, with classes of all three kinds of Repeat.
+// capacitySettings returns settings of a fleet of 660 senders, with classes of all three kinds of Repeatability.
 func capacitySettings(maxOpen int) Settings {
 	set := testSettings()
 	set.Senders, set.InFlightLimit, set.MaxOpen = 660, 1024, maxOpen
--- a/choice/host.go
+++ b/choice/host.go
@@ -51,21 +51,21 @@
 	// it must take no more than nanoseconds.
 	Allowed(msg MessageID, ep EndpointID) bool
 	// Attempt sends a message to an endpoint. Attempts of one turn to the same endpoint share a bulk call. The host
-	// passes the outcome to Sender.Ended, at the latest when the time-out expires.
+	// passes the outcome to Sender.AttemptEnded, at the latest when the time-out expires.
 	Attempt(msg MessageID, to EndpointID, timeOut Time)
 	// Shed ends a message that certainly never ran. retryIn is the time after which the client may retry, or 0 for no
 	// such time.
 	Shed(msg MessageID, retryIn Time)
 	// Fail ends a message that was not delivered and may have run.
 	Fail(msg MessageID)
-	// Probe sends a health probe. The host passes the result to Sender.Probed.
+	// Probe sends a health probe. The host passes the result to Sender.ProbeEnded.
 	Probe(ep EndpointID)
 	// CloseIdle closes the idle connections to an endpoint.
 	CloseIdle(ep EndpointID)
-	// BroadcastNote broadcasts a note to all other senders, whose hosts pass it to Sender.Heard. Notes may be lost. It is called
-	// only if Settings.Notes is set.
+	// BroadcastNote broadcasts a note to all other senders, whose hosts pass it to Sender.ReceiveNote. Notes may be
+	// lost. It is called only if Settings.Notes is set.
 	BroadcastNote(note []byte)
-	// SetTimer makes the host call Sender.TimerDue with the id after the given time.
+	// SetTimer makes the host call Sender.TimerFired with the id after the given time.
 	SetTimer(in Time, id TimerID)
 	// CancelTimer cancels a timer. If the timer fires nevertheless, the Sender ignores it.
 	CancelTimer(id TimerID)
--- a/choice/learned.go
+++ b/choice/learned.go
@@ -36,10 +36,10 @@
 	ep.route.pausedUntil = max(ep.route.pausedUntil, s.now+learned.Wait)
 }
 
-// ReplaceLearnedState replaces the learned state of an endpoint and its route by the given state, or by the initial one if that is
-// nil. It is called, for example, when the destination has moved. An outage is not lifted: ejection, slow start and the
-// slow start budget stay. While an endpoint of the route is ejected or in slow start, its pause stays as well and the
-// given limit is ignored.
+// ReplaceLearnedState replaces the learned state of an endpoint and its route by the given state, or by the initial one
+// if that is nil. It is called, for example, when the destination has moved. An outage is not lifted: ejection, slow
+// start and the slow start budget stay. While an endpoint of the route is ejected or in slow start, its pause stays as
+// well and the given limit is ignored.
 func (s *Sender) ReplaceLearnedState(id EndpointID, learned *LearnedState) {
 	s.now = s.host.Now()
 	ep := s.endpoints[id]
@@ -71,9 +71,10 @@
 	return shared && slices.ContainsFunc(ep.destination.ranked, s.impaired)
 }
 
-// LearnedCalls returns the number of measured calls behind the learned state of a destination, and whether the destination is
-// in use. It is in use while it has open messages, calls in flight, a paused order key, an endpoint that is not listed
-// as ready, or a pause, ejection or slow start that is not over. A destination that is not in use may be evicted.
+// LearnedCalls returns the number of measured calls behind the learned state of a destination, and whether the
+// destination is in use. It is in use while it has open messages, calls in flight, a paused order key, an endpoint that
+// is not listed as ready, or a pause, ejection or slow start that is not over. A destination that is not in use may be
+// evicted.
 func (s *Sender) LearnedCalls(id DestinationID) (calls float64, inUse bool) {
 	dest := s.destinations[id]
 	s.now = s.host.Now()
--- a/choice/learned_test.go
+++ b/choice/learned_test.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// Void replaces learned state, as when a destination has moved: the call times, concurrency limit, rate and pause
-// become the initial ones, or the given ones.
+// ReplaceLearnedState replaces learned state, as when a destination has moved: the call times, concurrency limit, rate
+// and pause become the initial ones, or the given ones.
 func ExampleSender_ReplaceLearnedState() {
 	for _, l := range []*LearnedState{nil, {Mean: 700, Dev: 100, Past: 600, Seen: 9, Limit: 4, Wait: Second}} {
 		host := startSender(testSettings()).accept(0, 1, "p").end(Done, 0, "a", "p")
@@ -32,8 +32,9 @@
 	// 1000.0  attempt q to a
 }
 
-// Void does not lift an outage. An ejected endpoint stays ejected, the pause of an unavailable destination stays, the
-// slow start budget does not grow, and a limit learned by other senders applies only after the outage.
+// ReplaceLearnedState does not lift an outage. An ejected endpoint stays ejected, the pause of an unavailable
+// destination stays, the slow start budget does not grow, and a limit learned by other senders applies only after the
+// outage.
 func ExampleSender_ReplaceLearnedState_outage() {
 	set := testSettings()
 	set.Probing = false
--- a/choice/outlier.go
+++ b/choice/outlier.go
@@ -113,8 +113,8 @@
 	}
 }
 
-// ProbeEnded handles the result of a health probe. A passed probe allows a trial call, and a failed one doubles the pause
-// before the next trial. A cancelled probe was never sent, so it changes no health.
+// ProbeEnded handles the result of a health probe. A passed probe allows a trial call, and a failed one doubles the
+// pause before the next trial. A cancelled probe was never sent, so it changes no health.
 func (s *Sender) ProbeEnded(id EndpointID, result Result) {
 	s.now = s.host.Now()
 	ep := s.endpoints[id]
--- a/choice/selection.go
+++ b/choice/selection.go
@@ -183,8 +183,8 @@
 	return ep.inFlight >= initialConcurrency && s.now-ep.lastSuccess >= recentSuccessSpan
 }
 
-// MaySend reports whether attempts may still be sent after the host has established a connection for them. They may not if
-// the endpoint was paused or drained meanwhile, or if one of the messages is a repeat that is now too late.
+// MaySend reports whether attempts may still be sent after the host has established a connection for them. They may not
+// if the endpoint was paused or drained meanwhile, or if one of the messages is a repeat that is now too late.
 func (s *Sender) MaySend(id EndpointID, messages ...MessageID) bool {
 	ep, now := s.endpoints[id], s.host.Now()
 	if ep == nil || !ep.listed || now < ep.route.pausedUntil {
--- a/choice/sender.go
+++ b/choice/sender.go
@@ -75,8 +75,8 @@
 	calls              []*call                        // calls in flight, at most the in-flight limit
 }
 
-// NewSender returns a new Sender that acts through the host and has no endpoints yet. Its random draws depend on its id and
-// the seed.
+// NewSender returns a new Sender that acts through the host and has no endpoints yet. Its random draws depend on its id
+// and the seed.
 func NewSender(h Host, id SenderID, seed int64, set Settings) *Sender {
 	s := &Sender{
 		host:            h,
--- a/choice/settings.go
+++ b/choice/settings.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// Repeatability is the effect of running a message twice at its destination. It decides whether the message may be retried
-// after an attempt that may have run.
+// Repeatability is the effect of running a message twice at its destination. It decides whether the message may be
+// retried after an attempt that may have run.
 type Repeatability int
 
 const (
--- a/choice/timers.go
+++ b/choice/timers.go
@@ -10,7 +10,7 @@
 	s.host.SetTimer(max(1, at-s.now), s.timers.add(msg))
 }
 
-// TimerFired handles a timer that was set by Host.Timer and has fired.
+// TimerFired handles a timer that was set by Host.SetTimer and has fired.
 func (s *Sender) TimerFired(id TimerID) {
 	s.now = s.host.Now()
 	if id == tickTimer {
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -5,7 +5,7 @@
 // are made in pure subpackages without a clock, socket, goroutine or logger (tree, consensus/machine, failover, purge,
 // popularity); the subpackages member, consensus, evidence and link have these. Decisions made in common expire; a
 // process that has none in force decides by package choice alone. The sender's loop never waits for this package: it
-// hands over a digest and reads a routing plan (clusterapi.Guide).
+// hands over a digest and reads a routing plan (clusterapi.RoutingPlan).
 //
 // Locks are acquired in the order below, outermost first. No lock is held over I/O, over a channel operation that may
 // block, or over a callback out of its package:
--- a/internal/cluster/configuration/run/leader.go
+++ b/internal/cluster/configuration/run/leader.go
@@ -85,7 +85,7 @@
 		work.roster.UpdateView(r.view, now)
 		work.reportChanged = true
 	}
-	if root := leadercall.LifeOf(r.view, r.tree.Root()); root.Name != "" {
+	if root := leadercall.InstanceOf(r.view, r.tree.Root()); root.Name != "" {
 		work.state.SetTree(spread.Parent{}, []view.Instance{root}, now)
 	}
 	work.recordSummary(now)
--- a/internal/cluster/configuration/run/run.go
+++ b/internal/cluster/configuration/run/run.go
@@ -85,7 +85,7 @@
 		Link:           o.Link,
 		Consensus:      o.Consensus,
 		Self:           o.Self.Name,
-		Life:           r.life,
+		Instance:       r.instance,
 		Candidates:     r.candidates,
 		Done:           r.ctx.Done(),
 		CallTimeout:    callTimeout,
@@ -218,16 +218,16 @@
 	if r.view == nil || r.tree == nil {
 		return
 	}
-	life, isRoot, children := leadercall.TreePosition(r.view, r.tree, r.options.Self.Name, leader, known, r.lastLeader)
-	parent := spread.Parent{Instance: life, IsLeader: isRoot}
+	instance, isRoot, children := leadercall.TreePosition(r.view, r.tree, r.options.Self.Name, leader, known, r.lastLeader)
+	parent := spread.Parent{Instance: instance, IsLeader: isRoot}
 	if parent.Name == "" {
 		parent = spread.Parent{}
 	}
 	r.state.SetTree(parent, children, now)
 }
 
-// life returns this process's current incarnation, which SetView may raise.
-func (r *Runner) life() view.Instance {
+// instance returns this process's current incarnation, which SetView may raise.
+func (r *Runner) instance() view.Instance {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.options.Self.Instance
--- a/internal/cluster/configuration/spread/children.go
+++ b/internal/cluster/configuration/spread/children.go
@@ -11,7 +11,7 @@
 
 // child is the state of one child.
 type child struct {
-	life       view.Instance
+	instance   view.Instance
 	reported   bool        // it has reported since it became a child
 	report     Report      // its latest report, if it has reported
 	reportedAt view.Uptime // when that report arrived
@@ -46,7 +46,7 @@
 			update.Content = s.contentSince(c.report.Held, c.report.NeedsFull)
 		}
 		c.inFlight = true
-		all = append(all, Outgoing{Child: c.life, Update: update})
+		all = append(all, Outgoing{Child: c.instance, Update: update})
 	}
 	return all
 }
@@ -54,9 +54,9 @@
 // HandleAnswer handles the answer to an update for the child with this incarnation. If the child has restarted
 // meanwhile, its new incarnation may have answered the update and counts its answer as reported. The report is
 // therefore used in any case.
-func (s *State) HandleAnswer(life view.Instance, r Report, now view.Uptime) {
-	c := s.children[life.Name]
-	if c == nil || c.life != life {
+func (s *State) HandleAnswer(instance view.Instance, r Report, now view.Uptime) {
+	c := s.children[instance.Name]
+	if c == nil || c.instance != instance {
 		s.HandleReport(r, now)
 		return
 	}
@@ -73,9 +73,9 @@
 }
 
 // UpdateFailed records that an update or its answer was lost.
-func (s *State) UpdateFailed(life view.Instance, now view.Uptime) {
-	c := s.children[life.Name]
-	if c == nil || c.life != life {
+func (s *State) UpdateFailed(instance view.Instance, now view.Uptime) {
+	c := s.children[instance.Name]
+	if c == nil || c.instance != instance {
 		return
 	}
 	c.inFlight = false
@@ -95,12 +95,12 @@
 func (s *State) HandleReport(r Report, now view.Uptime) ReportAnswer {
 	answer := ReportAnswer{Held: s.digest(), Content: s.contentSince(r.Held, r.NeedsFull)}
 	c := s.children[r.From.Name]
-	if c == nil || r.From.Incarnation < c.life.Incarnation {
+	if c == nil || r.From.Incarnation < c.instance.Incarnation {
 		answer.Retry = true
 		return answer
 	}
-	if r.From.Incarnation > c.life.Incarnation {
-		*c = child{life: r.From}
+	if r.From.Incarnation > c.instance.Incarnation {
+		*c = child{instance: r.From}
 	}
 	if c.reported && r.ReportNo <= c.report.ReportNo {
 		return answer // a newer report has overtaken it
--- a/internal/cluster/configuration/spread/messages.go
+++ b/internal/cluster/configuration/spread/messages.go
@@ -13,8 +13,8 @@
 //
 // Load (docs/CAPACITY.md, rows sender and zone, region and fleet coordinator): one call to each child per change, and
 // one report to the parent for each child that was late. While nothing changes, each process sends one report per
-// RefreshInterval. The number of a coordinator's messages therefore grows with the number of its children (tree.Fan)
-// times the number of changes, and with nothing else.
+// RefreshInterval. The number of a coordinator's messages therefore grows with the number of its children
+// (tree.MaxChildren) times the number of changes, and with nothing else.
 //
 // Receivers of a message ignore unknown fields, so that processes of different program versions understand each other.
 package spread
--- a/internal/cluster/configuration/spread/network_test.go
+++ b/internal/cluster/configuration/spread/network_test.go
@@ -56,9 +56,9 @@
 func (w *simulation) call(from *process, to view.Name, message any, handle func(p *process, done func(any)), end func(answer any)) {
 	w.calls++
 	w.countBytes(from.name, to, message)
-	finished, life := false, from.life
+	finished, instance := false, from.instance
 	finish := func(answer any) {
-		if !finished && from.state != nil && from.life == life {
+		if !finished && from.state != nil && from.instance == instance {
 			finished = true
 			end(answer)
 		}
--- a/internal/cluster/configuration/spread/roster.go
+++ b/internal/cluster/configuration/spread/roster.go
@@ -67,7 +67,7 @@
 
 // memberRecord is the record of one process.
 type memberRecord struct {
-	life         view.Instance
+	instance     view.Instance
 	version      uint64      // the newest version known to have been in force there, if versionKnown is set
 	versionKnown bool        // false until a report or an answer has named a version
 	absent       bool        // not present in the latest view
@@ -89,12 +89,12 @@
 		record := r.records[m.Name]
 		switch {
 		case record == nil && len(r.records) < maxNames:
-			record = &memberRecord{life: m.Instance}
+			record = &memberRecord{instance: m.Instance}
 			r.records[m.Name] = record
 		case record == nil:
 			continue
-		case m.Incarnation > record.life.Incarnation:
-			*record = memberRecord{life: m.Instance, absent: record.absent, since: record.since} // a restarted process may have another folder, and so an older version
+		case m.Incarnation > record.instance.Incarnation:
+			*record = memberRecord{instance: m.Instance, absent: record.absent, since: record.since} // a restarted process may have another folder, and so an older version
 		}
 		if absent := !m.Present(); absent != record.absent {
 			record.absent, record.since = absent, now
@@ -170,11 +170,11 @@
 		}
 	}
 	slices.SortFunc(due, func(a, b *memberRecord) int {
-		return cmp.Or(cmp.Compare(a.nextAttempt, b.nextAttempt), cmp.Compare(a.life.Name, b.life.Name))
+		return cmp.Or(cmp.Compare(a.nextAttempt, b.nextAttempt), cmp.Compare(a.instance.Name, b.instance.Name))
 	})
 	for _, record := range due[:min(len(due), limit)] {
 		record.nextAttempt = now + min(max((now-record.since)/attemptShare, minAttemptInterval), maxAttemptInterval)
-		names = append(names, record.life.Name)
+		names = append(names, record.instance.Name)
 	}
 	return names
 }
--- a/internal/cluster/configuration/spread/simulation_test.go
+++ b/internal/cluster/configuration/spread/simulation_test.go
@@ -24,7 +24,7 @@
 // process is one simulated process. Its disk survives restarts.
 type process struct {
 	name            view.Name
-	life            view.Instance
+	instance        view.Instance
 	state           *State                 // nil while it is down
 	disk            configuration.Document // the stored version
 	inForce         uint64                 // the version that its sender runs
@@ -37,27 +37,27 @@
 
 // simulation is a fleet with its network, consensus group and tree.
 type simulation struct {
-	t            fatalReporter
-	random       *rand.Rand
-	now          view.Uptime
-	processes    []*process
-	order        []int                    // processes in the order of the tree: children of i are 3i+1 to 3i+3
-	leader       int                      // index of the leader in processes
-	leaderState  *State                   // nil while the leader is down
-	leaderLife   view.Instance            // the incarnation that leaderState belongs to
-	committed    []configuration.Document // committed documents by version, from 1
-	events       []event                  // not run yet
-	loss         float64                  // probability that a message is lost
-	calls        int                      // number of calls
-	measure      bool                     // count bytes
-	bytes        map[view.Name]int        // bytes of messages and answers that a process has sent and received, without the overhead of the link
-	fan          int                      // children per process in the tree
-	treeVersions int                      // number of trees so far
+	t              fatalReporter
+	random         *rand.Rand
+	now            view.Uptime
+	processes      []*process
+	order          []int                    // processes in the order of the tree: children of i are 3i+1 to 3i+3
+	leader         int                      // index of the leader in processes
+	leaderState    *State                   // nil while the leader is down
+	leaderInstance view.Instance            // the incarnation that leaderState belongs to
+	committed      []configuration.Document // committed documents by version, from 1
+	events         []event                  // not run yet
+	loss           float64                  // probability that a message is lost
+	calls          int                      // number of calls
+	measure        bool                     // count bytes
+	bytes          map[view.Name]int        // bytes of messages and answers that a process has sent and received, without the overhead of the link
+	maxChildren    int                      // children per process in the tree
+	treeVersions   int                      // number of trees so far
 }
 
 // newSimulation returns a fleet of running processes, of which the first leads, without any version.
 func newSimulation(t fatalReporter, seed uint64, size int) *simulation {
-	w := &simulation{t: t, random: rand.New(rand.NewPCG(seed, 1)), bytes: map[view.Name]int{}, fan: 3}
+	w := &simulation{t: t, random: rand.New(rand.NewPCG(seed, 1)), bytes: map[view.Name]int{}, maxChildren: 3}
 	for i := range size {
 		p := &process{name: view.Name(fmt.Sprintf("p%03d", i))}
 		w.processes = append(w.processes, p)
@@ -70,10 +70,10 @@
 
 // start starts the next incarnation of a process with the version on its disk.
 func (w *simulation) start(p *process) {
-	p.life = view.Instance{Name: p.name, Incarnation: p.life.Incarnation + 1}
+	p.instance = view.Instance{Name: p.name, Incarnation: p.instance.Incarnation + 1}
 	p.inForce = p.disk.Version
 	w.recordRun(p, p.inForce)
-	p.state = New(p.life, p.disk, p.inForce)
+	p.state = New(p.instance, p.disk, p.inForce)
 	if p.inForce == p.rejectedVersion && p.inForce > 0 {
 		w.t.Fatalf("%s has stored version %d, which it rejects", p.name, p.inForce)
 	}
@@ -109,17 +109,17 @@
 	for i, p := range all {
 		var parent Parent
 		if i > 0 {
-			parent.Instance = all[(i-1)/w.fan].life
+			parent.Instance = all[(i-1)/w.maxChildren].instance
 		} else if l := w.processes[w.leader]; l.state != nil {
-			parent = Parent{l.life, true}
+			parent = Parent{l.instance, true}
 		}
 		var children []view.Instance
-		for j := w.fan*i + 1; j <= w.fan*i+w.fan && j < len(all); j++ {
-			children = append(children, all[j].life)
+		for j := w.maxChildren*i + 1; j <= w.maxChildren*i+w.maxChildren && j < len(all); j++ {
+			children = append(children, all[j].instance)
 		}
-		life, delay := p.life, time.Duration(w.random.IntN(20))*step
+		instance, delay := p.instance, time.Duration(w.random.IntN(20))*step
 		w.after(delay, func() {
-			if p.state != nil && p.life == life && p.treeVersion < treeVersion {
+			if p.state != nil && p.instance == instance && p.treeVersion < treeVersion {
 				p.treeVersion = treeVersion
 				p.state.SetTree(parent, children, w.now)
 			}
@@ -130,12 +130,12 @@
 		w.leaderState = nil
 		return
 	}
-	if w.leaderState == nil || w.leaderLife != leader.life {
-		w.leaderState, w.leaderLife = NewLeaderState(leader.life, leader.leaderState), leader.life
+	if w.leaderState == nil || w.leaderInstance != leader.instance {
+		w.leaderState, w.leaderInstance = NewLeaderState(leader.instance, leader.leaderState), leader.instance
 		leader.leaderState = w.leaderState
 	}
 	if len(all) > 0 {
-		w.leaderState.SetTree(Parent{}, []view.Instance{all[0].life}, w.now)
+		w.leaderState.SetTree(Parent{}, []view.Instance{all[0].instance}, w.now)
 	}
 }
 
--- a/internal/cluster/configuration/spread/size_test.go
+++ b/internal/cluster/configuration/spread/size_test.go
@@ -14,7 +14,7 @@
 	for _, size := range []int{66, 660, 6600} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			w := newSimulation(b, 3, size)
-			w.fan = 32
+			w.maxChildren = 32
 			w.updateTree()
 			w.commit()
 			w.run(8 * time.Second)
--- a/internal/cluster/configuration/spread/spread_test.go
+++ b/internal/cluster/configuration/spread/spread_test.go
@@ -109,7 +109,7 @@
 func TestFaultlessChange(t *testing.T) {
 	for _, size := range []int{1, 13, 660} {
 		w := newSimulation(t, 3, size)
-		w.fan = 32
+		w.maxChildren = 32
 		w.updateTree()
 		w.commit()
 		w.run(8 * time.Second)
@@ -140,7 +140,7 @@
 // six seconds.
 func TestCoordinatorsDie(t *testing.T) {
 	w := newSimulation(t, 11, 660)
-	w.fan, w.leader = 32, 400
+	w.maxChildren, w.leader = 32, 400
 	w.updateTree()
 	w.commit()
 	w.run(8 * time.Second)
@@ -241,9 +241,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	life := view.Instance{Name: "c", Incarnation: 1}
-	parent, child := New(view.Instance{Name: "p", Incarnation: 1}, first, 1), New(life, first, 1)
-	parent.SetTree(Parent{}, []view.Instance{life}, 0)
+	instance := view.Instance{Name: "c", Incarnation: 1}
+	parent, child := New(view.Instance{Name: "p", Incarnation: 1}, first, 1), New(instance, first, 1)
+	parent.SetTree(Parent{}, []view.Instance{instance}, 0)
 	child.SetTree(Parent{Instance: view.Instance{Name: "p", Incarnation: 1}}, nil, 0)
 	report := func(now view.Uptime) {
 		t.Helper()
--- a/internal/cluster/configuration/spread/state.go
+++ b/internal/cluster/configuration/spread/state.go
@@ -77,12 +77,12 @@
 	for _, name := range s.childNames {
 		gone[name] = true
 	}
-	for _, life := range children {
-		delete(gone, life.Name)
-		if c := s.children[life.Name]; c == nil || c.life.Incarnation < life.Incarnation {
+	for _, instance := range children {
+		delete(gone, instance.Name)
+		if c := s.children[instance.Name]; c == nil || c.instance.Incarnation < instance.Incarnation {
 			// A child reports to a new parent on its own. It gets an update only if it has not done so after
 			// minBackoff.
-			s.children[life.Name] = &child{life: life, retryAt: now + minBackoff}
+			s.children[instance.Name] = &child{instance: instance, retryAt: now + minBackoff}
 			s.markChanged()
 		}
 	}
--- a/internal/cluster/configuration/spread/summary.go
+++ b/internal/cluster/configuration/spread/summary.go
@@ -45,7 +45,7 @@
 // addChild adds a child's latest report. A child that has not reported counts as unknown.
 func (s *State) addChild(sum *Summary, c *child, now view.Uptime) {
 	if c.failures > 0 && now-c.failingSince > LaggardAfter {
-		sum.addLaggard(Laggard{Name: c.life.Name, Version: c.report.InForce, Reason: Unreachable, SinceMS: (now - c.failingSince).Milliseconds()})
+		sum.addLaggard(Laggard{Name: c.instance.Name, Version: c.report.InForce, Reason: Unreachable, SinceMS: (now - c.failingSince).Milliseconds()})
 	}
 	if !c.reported {
 		sum.Members++
@@ -53,7 +53,7 @@
 		return
 	}
 	if held := c.report.Held; held.Version == s.newest.Version && held != s.digest() {
-		sum.addLaggard(Laggard{Name: c.life.Name, Version: c.report.InForce, Reason: Forked})
+		sum.addLaggard(Laggard{Name: c.instance.Name, Version: c.report.InForce, Reason: Forked})
 	}
 	reported := c.report.Summary
 	sum.Members += reported.Members
--- a/internal/cluster/configuration/spread/summary_test.go
+++ b/internal/cluster/configuration/spread/summary_test.go
@@ -20,11 +20,11 @@
 		children = append(children, view.Instance{Name: view.Name(fmt.Sprintf("a-rather-long-name-of-a-process-%05d", i)), Incarnation: 1 << 50})
 	}
 	s.SetTree(Parent{}, children, 0)
-	for i, life := range children {
+	for i, instance := range children {
 		version := uint64(i + 1)
-		s.HandleReport(Report{From: life, ReportNo: 1, Held: Digest{version, "y"}, InForce: version, Summary: Summary{Members: 1,
+		s.HandleReport(Report{From: instance, ReportNo: 1, Held: Digest{version, "y"}, InForce: version, Summary: Summary{Members: 1,
 			InForce:  []Count{{version, 1}},
-			Laggards: []Laggard{{life.Name, version, Rejected, truncated(string(make([]byte, 3*maxReasonBytes))), 1}}}}, 0)
+			Laggards: []Laggard{{instance.Name, version, Rejected, truncated(string(make([]byte, 3*maxReasonBytes))), 1}}}}, 0)
 	}
 	sum := s.Summary(time.Minute)
 	if sum.Members != 1001 || len(sum.Laggards) != MaxLaggards || sum.Unnamed != 1000-MaxLaggards || len(sum.InForce) != MaxCounts {
--- a/internal/cluster/consensus/fleet_test.go
+++ b/internal/cluster/consensus/fleet_test.go
@@ -104,7 +104,7 @@
 	return f
 }
 
-// newFolderName returns the random name of a new folder, as in view.Member.Folder.
+// newFolderName returns the random name of a new folder, as in view.Member.FolderID.
 func (f *fleet) newFolderName() string { f.folders++; return "f" + strconv.Itoa(f.folders) }
 
 // names returns the sorted names of the running processes.
--- a/internal/cluster/consensus/options.go
+++ b/internal/cluster/consensus/options.go
@@ -70,7 +70,7 @@
 
 // Options are the settings of a Group.
 type Options struct {
-	Self          view.Member                    // only Name and Folder (the random name of the data folder) are read
+	Self          view.Member                    // only Name and FolderID (the random name of the data folder) are read
 	Cluster       string                         // name of the cluster, which must be the same at both ends of a connection
 	Folder        string                         // path of the folder with log and snapshots; created if it does not exist
 	Listen        string                         // address of the port for raft connections
--- a/internal/cluster/consensus/propose.go
+++ b/internal/cluster/consensus/propose.go
@@ -16,7 +16,7 @@
 )
 
 // NotLeaderError is returned by Propose on a server that does not lead. Nothing was proposed. Leader is the name of the
-// leader, or "" if it is not known here; Group.Ask then lists the processes to ask.
+// leader, or "" if it is not known here; Group.LeaderCandidates then lists the processes to ask.
 type NotLeaderError struct{ Leader view.Name }
 
 // Error returns a text that names the leader, as far as it is known.
@@ -127,7 +127,7 @@
 }
 
 // Leader returns the name of the leader and reports whether it is known here. A process that is not a server of the
-// group does not know the leader; Ask lists the processes to ask.
+// group does not know the leader; LeaderCandidates lists the processes to ask.
 func (g *Group) Leader() (view.Name, bool) {
 	_, id := g.raft.LeaderWithID()
 	return nameOf(id), id != ""
@@ -139,8 +139,8 @@
 	return g.raft.State() == raft.Leader && g.leadingTerm.Load() == g.raft.CurrentTerm()
 }
 
-// LeaderCandidates returns the processes that may lead, the likeliest first: the leader if it is known, the voters, and then present
-// members with raft records. The list has no duplicates and does not contain this process.
+// LeaderCandidates returns the processes that may lead, the likeliest first: the leader if it is known, the voters, and
+// then present members with raft records. The list has no duplicates and does not contain this process.
 func (g *Group) LeaderCandidates() []view.Name {
 	var names []view.Name
 	if leader, known := g.Leader(); known {
--- a/internal/cluster/evidence/table/table.go
+++ b/internal/cluster/evidence/table/table.go
@@ -166,8 +166,8 @@
 	return oldest
 }
 
-// Read returns all samples with their ages as of now, sorted by Order. It first deletes those older than MaxAge from the
-// table.
+// Read returns all samples with their ages as of now, sorted by Compare. It first deletes those older than MaxAge from
+// the table.
 func (t *Table) Read(now view.Uptime) (samples []healthreport.Sample) {
 	for len(t.byAge) > 0 && now-t.byAge[0].newestAt > t.bounds.MaxAge {
 		t.remove(t.byAge[0])
--- a/internal/cluster/failover/assess/judge.go
+++ b/internal/cluster/failover/assess/judge.go
@@ -52,10 +52,10 @@
 // link is the direction from a sending zone to a receiving zone.
 type link struct{ from, to view.Zone }
 
-// CombineReports combines the reports of all zones, at most one for each sending zone and locality, into the health of each
-// locality, sorted by locality. The overall state is Failing only if no zone gets answers and either two zones or the
-// locality's own zone see it fail. If calls from one zone fail and others are answered, the link is at fault, and only
-// the state seen from that zone is Failing.
+// CombineReports combines the reports of all zones, at most one for each sending zone and locality, into the health of
+// each locality, sorted by locality. The overall state is Failing only if no zone gets answers and either two zones or
+// the locality's own zone see it fail. If calls from one zone fail and others are answered, the link is at fault, and
+// only the state seen from that zone is Failing.
 func CombineReports(reports []Report, b Bounds) []LocalityHealth {
 	reports = slices.Clone(reports)
 	slices.SortStableFunc(reports, func(x, y Report) int {
--- a/internal/cluster/failover/assess/types.go
+++ b/internal/cluster/failover/assess/types.go
@@ -2,9 +2,9 @@
 // of one destination in one zone; a witness is a process that reports on it.
 //
 // SummarizeZone combines the samples of one zone's processes into one report for each locality (zonal.go). ReportTable
-// stores the newest reports of all zones (report_board.go). Judge combines them into the health of each locality, both
-// overall and as seen from each zone that sends there, since a link between zones may fail while the locality works
-// (judge.go).
+// stores the newest reports of all zones (report_board.go). CombineReports combines them into the health of each
+// locality, both overall and as seen from each zone that sends there, since a link between zones may fail while the
+// locality works (judge.go).
 //
 // The package is pure: it reads no clock, never blocks, and its results don't depend on the iteration order of a map.
 // Times are passed in, and ages are durations. The following always holds:
--- a/internal/cluster/failover/plan/planner.go
+++ b/internal/cluster/failover/plan/planner.go
@@ -16,8 +16,8 @@
 	pendingTimeout = 3 * time.Second // how long Step waits for SetPlanInForce before it makes another plan
 )
 
-// Planner makes plans at the consensus leader. A new leader creates a Planner, passes the plan in force to SetPlanInForce,
-// and then the health of all localities to UpdateHealth. A Planner is not safe for concurrent use.
+// Planner makes plans at the consensus leader. A new leader creates a Planner, passes the plan in force to
+// SetPlanInForce, and then the health of all localities to UpdateHealth. A Planner is not safe for concurrent use.
 type Planner struct {
 	settings         Settings
 	regions          map[view.Zone]view.Region
@@ -117,8 +117,8 @@
 	return healthy
 }
 
-// SetPlanInForce sets the plan in force, made by this planner or by that of another leader. A plan of a lower epoch than the
-// last one is ignored.
+// SetPlanInForce sets the plan in force, made by this planner or by that of another leader. A plan of a lower epoch
+// than the last one is ignored.
 func (p *Planner) SetPlanInForce(now view.Uptime, in Plan) {
 	if in.Epoch < p.inForce.Epoch {
 		return
@@ -194,8 +194,8 @@
 }
 
 // Step advances the phases of all routes and returns the next plan, or false if the plan in force needs no change yet.
-// The caller proposes the plan to the consensus group and then calls SetPlanInForce, whatever the outcome. Until then Step
-// returns no other plan for up to pendingTimeout.
+// The caller proposes the plan to the consensus group and then calls SetPlanInForce, whatever the outcome. Until then
+// Step returns no other plan for up to pendingTimeout.
 func (p *Planner) Step(now view.Uptime) (Plan, bool) {
 	p.advanceRoutes(now)
 	sinceLast := now - p.plannedAt
--- a/internal/cluster/failover/plan/route.go
+++ b/internal/cluster/failover/plan/route.go
@@ -35,7 +35,7 @@
 	revision          int         // counts changes of phase and nearShare
 	published         Route       // the route in the plan in force; its phase is steady if there is none
 	publishedRevision int         // revision that published was made from
-	publishedAt       view.Uptime // when published was last confirmed by PlanInForce
+	publishedAt       view.Uptime // when published was last confirmed by SetPlanInForce
 }
 
 // newRouteState returns the state of a steady route.
--- a/internal/cluster/failover/plan/settings.go
+++ b/internal/cluster/failover/plan/settings.go
@@ -2,9 +2,10 @@
 
 import "time"
 
-// Settings configure a Planner. Hold, the return delays and MinShareChange are chosen for these targets: traffic is back
-// 15 s after a zone is healthy again, a flapping link changes routes at most three times a minute, and a plan is in force
-// 3 s after a failure. SlowStartFrom, SlowStart and OverloadMultiple describe the endpoints, as in package choice.
+// Settings configure a Planner. PlanTTL, the return delays and MinShareChange are chosen for these targets: traffic is
+// back 15 s after a zone is healthy again, a flapping link changes routes at most three times a minute, and a plan is
+// in force 3 s after a failure. SlowStartFrom, SlowStart and OverloadMultiple describe the endpoints, as in package
+// choice.
 type Settings struct {
 	PlanTTL               time.Duration // TTL of a plan: how long it stays in force without renewal
 	Steps                 []float64     // near share of each step of a return, ascending; the last is 1
--- a/internal/cluster/feed.go
+++ b/internal/cluster/feed.go
@@ -87,7 +87,8 @@
 	return n.subsystems.failover.Guide()
 }
 
-// RequestLearnedState asks the region for its learned state of a destination. It does nothing if the popularity feature is off.
+// RequestLearnedState asks the region for its learned state of a destination. It does nothing if the popularity feature
+// is off.
 func (n *Node) RequestLearnedState(d choice.DestinationID) {
 	if n.subsystems.popularity != nil {
 		n.subsystems.popularity.RequestLearnedState(d)
--- a/internal/cluster/leadercall/caller.go
+++ b/internal/cluster/leadercall/caller.go
@@ -19,7 +19,7 @@
 	Link           Link
 	Consensus      Consensus
 	Self           view.Name
-	Life           func() view.Instance // current incarnation of this process; acquires the part's lock
+	Instance       func() view.Instance // current incarnation of this process; acquires the part's lock
 	Candidates     func() []view.Name   // processes that may lead, the likeliest first; acquires the part's lock
 	Done           <-chan struct{}      // closed when the part ends, which ends all retries
 	CallTimeout    time.Duration        // of one message with its answer
@@ -49,7 +49,7 @@
 	if to != c.Self {
 		return c.Link.Call(ctx, to, path, in, out)
 	}
-	self := c.Life()
+	self := c.Instance()
 	body, err := json.Marshal(in)
 	if err != nil {
 		return err
--- a/internal/cluster/leadercall/leadercall.go
+++ b/internal/cluster/leadercall/leadercall.go
@@ -90,8 +90,8 @@
 	return func() view.Uptime { return time.Since(start) }
 }
 
-// LifeOf returns the incarnation of a process in the view, or the zero value if the process is not in the view.
-func LifeOf(v *view.View, name view.Name) view.Instance {
+// InstanceOf returns the incarnation of a process in the view, or the zero value if the process is not in the view.
+func InstanceOf(v *view.View, name view.Name) view.Instance {
 	m, found := v.Find(name)
 	if !found {
 		return view.Instance{}
@@ -104,16 +104,16 @@
 // leader. A parent that is not in the view is the zero value. Children that are not in the view are omitted.
 func TreePosition(members *view.View, tree Tree, self, leader view.Name, known bool, lastLeader view.Instance) (parent view.Instance, isRoot bool, children []view.Instance) {
 	if name, found := tree.Parent(self); found {
-		parent = LifeOf(members, name)
+		parent = InstanceOf(members, name)
 	} else if tree.Root() == self {
 		isRoot, parent = true, lastLeader
 		if known {
-			parent = LifeOf(members, leader)
+			parent = InstanceOf(members, leader)
 		}
 	}
 	for _, name := range tree.Children(self) {
-		if life := LifeOf(members, name); life.Name != "" {
-			children = append(children, life)
+		if instance := InstanceOf(members, name); instance.Name != "" {
+			children = append(children, instance)
 		}
 	}
 	return parent, isRoot, children
--- a/internal/cluster/leadercall/leadercall_test.go
+++ b/internal/cluster/leadercall/leadercall_test.go
@@ -30,7 +30,7 @@
 // newCaller returns a Caller on a process outside the consensus group.
 func newCaller(u *unreachableLink, candidates func() []view.Name) *Caller {
 	return &Caller{Part: "part", Link: u, Consensus: NoConsensus{}, Self: "self",
-		Life: func() view.Instance { return view.Instance{Name: "self", Incarnation: 3} }, Candidates: candidates, Done: make(chan struct{}),
+		Instance: func() view.Instance { return view.Instance{Name: "self", Incarnation: 3} }, Candidates: candidates, Done: make(chan struct{}),
 		CallTimeout: time.Minute, MinBackoff: time.Millisecond, MaxBackoff: time.Millisecond,
 		ErrNoCandidate: errors.New("no candidate"), ErrUndecided: errors.New("undecided")}
 }
--- a/internal/cluster/popularity/evict/evict.go
+++ b/internal/cluster/popularity/evict/evict.go
@@ -2,7 +2,7 @@
 //
 // The package does no I/O and reads no clock. Destinations with the lowest priority weight are evicted first. The weight is the
 // destination's score multiplied by the cost of learning its state again, divided by the bytes it takes. A protected destination
-// (clusterapi.Held.InUse) is never chosen. If a bound remains exceeded for that reason, the Selection says so.
+// (clusterapi.HeldState.InUse) is never chosen. If a bound remains exceeded for that reason, the Selection says so.
 package evict
 
 import (
@@ -34,7 +34,7 @@
 // Bounds limit the destinations that are cached. A field that is 0 sets no limit.
 type Bounds struct {
 	Destinations int // number of destinations
-	Bytes        int // sum of clusterapi.Held.Bytes
+	Bytes        int // sum of clusterapi.HeldState.Bytes
 }
 
 // Selection is the result of Evictor.Choose.
--- a/internal/cluster/popularity/evict/size_test.go
+++ b/internal/cluster/popularity/evict/size_test.go
@@ -168,19 +168,19 @@
 
 // regionCounts holds the counts of all senders of a region and its ranking.
 type regionCounts struct {
-	lives   []view.Instance
-	tables  [senders]*count.Table
-	merged  *merge.Table
-	ranking *score.Table
+	instances []view.Instance
+	tables    [senders]*count.Table
+	merged    *merge.Table
+	ranking   *score.Table
 }
 
 func newRegionCounts() *regionCounts {
 	r := &regionCounts{merged: merge.NewTable(count.HalfLife), ranking: score.NewTable(count.HalfLife)}
 	for p := range r.tables {
 		r.tables[p] = count.NewTable(count.Bounds{})
-		r.lives = append(r.lives, view.Instance{Name: view.Name(fmt.Sprint("p", p)), Incarnation: 1})
+		r.instances = append(r.instances, view.Instance{Name: view.Name(fmt.Sprint("p", p)), Incarnation: 1})
 	}
-	r.merged.SetReporters(r.lives[1:])
+	r.merged.SetReporters(r.instances[1:])
 	return r
 }
 
@@ -199,10 +199,10 @@
 // rank merges the counts of all senders to a new ranking.
 func (r *regionCounts) rank(now view.Uptime, seq uint64) {
 	for p := 1; p < senders; p++ {
-		r.merged.Put(now, merge.NewDigest(r.lives[p], seq, 1, r.tables[p].Top(now, merge.MaxRows)))
+		r.merged.Put(now, merge.NewDigest(r.instances[p], seq, 1, r.tables[p].Top(now, merge.MaxRows)))
 	}
 	rows, processes := r.merged.Sum(now, r.tables[0].Top(now, merge.MaxRows))
-	ranking := score.Ranking{Version: score.Version{Coordinator: r.lives[0], Seq: seq}, Region: "r", Processes: processes}
+	ranking := score.Ranking{Version: score.Version{Coordinator: r.instances[0], Seq: seq}, Region: "r", Processes: processes}
 	ranking.Destinations, ranking.Messages = merge.Columns(rows)
 	r.ranking.Update(now, "r", ranking)
 }
--- a/internal/cluster/popularity/merge/merge.go
+++ b/internal/cluster/popularity/merge/merge.go
@@ -26,7 +26,8 @@
 	MaxRows = 384
 	// maxAge is the age beyond which a digest no longer counts. It is longer than two renewals and a half-life.
 	maxAge = 90 * time.Second
-	// maxChildren is the maximum number of processes that report here. It exceeds tree.Fan children in each of three roles.
+	// maxChildren is the maximum number of processes that report here. It exceeds tree.MaxChildren children in each of
+	// three roles.
 	maxChildren       = 128
 	maxFormerVersions = 512 // entries in Table.formerVersions
 	maxRowMessages    = 1e9 // in a row of a digest; a higher number is invalid
--- a/internal/cluster/popularity/merge/merge_test.go
+++ b/internal/cluster/popularity/merge/merge_test.go
@@ -39,10 +39,10 @@
 		var all []sentDigest
 		newest := map[view.Name]sentDigest{}
 		for p := range 3 {
-			for life := view.Incarnation(1); life <= 2; life++ {
+			for incarnation := view.Incarnation(1); incarnation <= 2; incarnation++ {
 				for seq := range uint64(rapid.IntRange(0, 3).Draw(t, "digests")) {
-					from := view.Instance{Name: view.Name(fmt.Sprint(p)), Incarnation: life}
-					s := sentDigest{view.Uptime(life)*5*time.Second + view.Uptime(seq)*time.Second, NewDigest(from, seq, 1,
+					from := view.Instance{Name: view.Name(fmt.Sprint(p)), Incarnation: incarnation}
+					s := sentDigest{view.Uptime(incarnation)*5*time.Second + view.Uptime(seq)*time.Second, NewDigest(from, seq, 1,
 						[]count.Row{{Destination: choice.DestinationID(rapid.IntRange(1, 4).Draw(t, "d")),
 							Messages: float64(rapid.IntRange(1, 9).Draw(t, "n"))}})}
 					all = append(all, s)
@@ -50,20 +50,20 @@
 				}
 			}
 		}
-		lives := []view.Instance{{Name: "0"}, {Name: "1"}, {Name: "2"}}
+		instances := []view.Instance{{Name: "0"}, {Name: "1"}, {Name: "2"}}
 		const end = 20 * time.Second
 		want := map[choice.DestinationID]float64{9: 1}
 		for _, s := range newest {
 			want[s.digest.Destinations[0]] += s.digest.Messages[0] * count.Decay(end-s.countedAt, halfLife)
 		}
 		table := NewTable(halfLife)
-		table.SetReporters(lives)
+		table.SetReporters(instances)
 		for _, s := range append(rapid.Permutation(all).Draw(t, "order"), rapid.Permutation(all).Draw(t, "again")...) {
 			now := s.countedAt + time.Duration(rapid.IntRange(0, 5).Draw(t, "late"))*time.Second
 			table.Put(now, s.aged(now))
 			if rapid.Bool().Draw(t, "stops reporting") { // a process stops reporting here and returns; its old digests must not count
-				table.SetReporters(lives[1:])
-				table.SetReporters(lives)
+				table.SetReporters(instances[1:])
+				table.SetReporters(instances)
 				if s.digest.From.Name == "0" {
 					table.Put(now, newest["0"].aged(max(now, newest["0"].countedAt)))
 				}
@@ -126,12 +126,12 @@
 // destinations rank before it.
 func TestPopularOnlyInTheRegion(t *testing.T) {
 	table := NewTable(halfLife)
-	var lives []view.Instance
+	var instances []view.Instance
 	for p := range 10 {
-		lives = append(lives, view.Instance{Name: view.Name(fmt.Sprint(p)), Incarnation: 1})
+		instances = append(instances, view.Instance{Name: view.Name(fmt.Sprint(p)), Incarnation: 1})
 	}
-	table.SetReporters(lives)
-	for p, l := range lives {
+	table.SetReporters(instances)
+	for p, l := range instances {
 		rows := []count.Row{{Destination: 7, Messages: 10}}
 		for i := range 40 {
 			rows = append(rows, count.Row{Destination: choice.DestinationID(1000*(p+1) + i), Messages: 20})
--- a/internal/cluster/popularity/run/run.go
+++ b/internal/cluster/popularity/run/run.go
@@ -168,8 +168,8 @@
 	r.goroutines.Wait()
 }
 
-// AddCounts adds the counts of a sender's digest. It never blocks: if the queue of digests is full, the digest is dropped and
-// counted in Status.Dropped.
+// AddCounts adds the counts of a sender's digest. It never blocks: if the queue of digests is full, the digest is
+// dropped and counted in Status.Dropped.
 func (r *Runner) AddCounts(d clusterapi.Digest) {
 	if len(d.Counts) == 0 {
 		return
@@ -181,8 +181,8 @@
 	}
 }
 
-// RequestLearnedState requests the region's learned state of a destination of which the sender has none. It never blocks. The answer is handed
-// to the sender by Orders.Teach; there may be none.
+// RequestLearnedState requests the region's learned state of a destination of which the sender has none. It never
+// blocks. The answer is handed to the sender by Orders.AdoptLearnedState; there may be none.
 func (r *Runner) RequestLearnedState(d choice.DestinationID) {
 	select {
 	case r.loaded <- d:
--- a/internal/cluster/purge/ledger/commands.go
+++ b/internal/cluster/purge/ledger/commands.go
@@ -100,7 +100,7 @@
 // Leave is the command that removes participants that hold no messages any more, because they left after a drain or were
 // absent for AbsenceLimit.
 type Leave struct {
-	Lives []view.Instance `json:"lives"`
+	Instances []view.Instance `json:"lives"`
 }
 
 // Close is the command that closes the oldest open purges, in ascending order of their Seqs.
--- a/internal/cluster/purge/ledger/ledger.go
+++ b/internal/cluster/purge/ledger/ledger.go
@@ -161,9 +161,9 @@
 
 // leave removes participants, except those of which another incarnation has joined.
 func (l *Ledger) leave(c Leave) JoinResult {
-	for _, life := range c.Lives {
-		i, found := slices.BinarySearchFunc(l.participants, life.Name, byName)
-		if found && l.participants[i].Incarnation == life.Incarnation {
+	for _, instance := range c.Instances {
+		i, found := slices.BinarySearchFunc(l.participants, instance.Name, byName)
+		if found && l.participants[i].Incarnation == instance.Incarnation {
 			l.participants = slices.Delete(l.participants, i, i+1)
 			l.rosterVersion++
 		}
--- a/internal/cluster/purge/ledger/ledger_test.go
+++ b/internal/cluster/purge/ledger/ledger_test.go
@@ -165,7 +165,7 @@
 				if len(l.participants) == 0 {
 					continue
 				}
-				kind, c = KindLeave, Leave{Lives: []view.Instance{rapid.SampledFrom(l.participants).Draw(t, "participant").Instance}}
+				kind, c = KindLeave, Leave{Instances: []view.Instance{rapid.SampledFrom(l.participants).Draw(t, "participant").Instance}}
 			}
 			last := l.lastSeq
 			one, two := mustApply[map[string]any](t, l, at, kind, c), mustApply[map[string]any](t, twin, at, kind, c)
--- a/internal/cluster/purge/run/leader.go
+++ b/internal/cluster/purge/run/leader.go
@@ -116,8 +116,8 @@
 type rootState struct{ *spread.LeaderState }
 
 // HandleAnswer processes the root's answer to an update.
-func (s rootState) HandleAnswer(life view.Instance, report spread.Report, now view.Uptime) {
-	s.HandleRootAnswer(life, report, now)
+func (s rootState) HandleAnswer(instance view.Instance, report spread.Report, now view.Uptime) {
+	s.HandleRootAnswer(instance, report, now)
 }
 
 // proposeClose proposes a Close. Purges that it does not close are proposed again in a later step.
@@ -141,9 +141,9 @@
 	if r.leaderWork.syncInFlight || r.leaderWork.syncedAt != 0 && now-r.leaderWork.syncedAt < participantSyncInterval {
 		return
 	}
-	leave := ledger.Leave{Lives: r.expiredParticipants(now)}
+	leave := ledger.Leave{Instances: r.expiredParticipants(now)}
 	join := ledger.Join{Participants: r.newParticipants()}
-	if join.Participants == nil && leave.Lives == nil {
+	if join.Participants == nil && leave.Instances == nil {
 		return
 	}
 	r.leaderWork.syncInFlight, r.leaderWork.syncedAt = true, now
@@ -196,7 +196,7 @@
 	if join.Participants != nil {
 		_, err = r.options.Consensus.Propose(ctx, ledger.Part, ledger.KindJoin, join)
 	}
-	if err == nil && leave.Lives != nil {
+	if err == nil && leave.Instances != nil {
 		_, err = r.options.Consensus.Propose(ctx, ledger.Part, ledger.KindLeave, leave)
 	}
 	if err != nil {
--- a/internal/cluster/purge/run/run.go
+++ b/internal/cluster/purge/run/run.go
@@ -39,7 +39,7 @@
 
 // Options configures a Runner. Now, CatchUpTimeout and Log are optional; Consensus and Ledger are set together or not at all.
 type Options struct {
-	Self            view.Member // Life, Zone, Region and Folder are used; SetView may raise the incarnation later
+	Self            view.Member // Instance, Zone, Region and FolderID are used; SetView may raise the incarnation later
 	Link            leadercall.Link
 	Consensus       leadercall.Consensus // nil for a process outside the consensus group
 	Ledger          *ledger.Ledger       // the part ledger.Part of the consensus group's state; nil if Consensus is
@@ -106,7 +106,7 @@
 		Link:           o.Link,
 		Consensus:      o.Consensus,
 		Self:           o.Self.Name,
-		Life:           r.life,
+		Instance:       r.instance,
 		Candidates:     r.candidates,
 		Done:           r.ctx.Done(),
 		CallTimeout:    callTimeout,
@@ -215,12 +215,12 @@
 	if r.view == nil || r.tree == nil {
 		return
 	}
-	life, top, below := leadercall.TreePosition(r.view, r.tree, r.options.Self.Name, leader, known, r.lastLeader)
-	r.state.SetTree(spread.Parent{Instance: life, IsLeader: top}, below, now)
+	instance, top, below := leadercall.TreePosition(r.view, r.tree, r.options.Self.Name, leader, known, r.lastLeader)
+	r.state.SetTree(spread.Parent{Instance: instance, IsLeader: top}, below, now)
 }
 
-// life returns the current incarnation of this process, which SetView may raise.
-func (r *Runner) life() view.Instance {
+// instance returns the current incarnation of this process, which SetView may raise.
+func (r *Runner) instance() view.Instance {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.options.Self.Instance
--- a/internal/cluster/purge/spread/children.go
+++ b/internal/cluster/purge/spread/children.go
@@ -11,7 +11,7 @@
 
 // child is the state of one child in the tree, as this process knows it.
 type child struct {
-	life            view.Instance
+	instance        view.Instance
 	reported        bool            // a report was received from this incarnation
 	receivedSeq     uint64          // the child has received all purges up to here
 	messageNo       uint64          // MessageNo of its newest report
@@ -42,15 +42,15 @@
 		update := s.PurgesSince(since, now)
 		update.Resend = c.resend || !c.reported
 		c.inFlight, c.resend = true, false
-		all = append(all, OutgoingUpdate{Child: c.life, Update: update})
+		all = append(all, OutgoingUpdate{Child: c.instance, Update: update})
 	}
 	return all
 }
 
 // HandleAnswer processes the answer of a child to an update.
-func (s *State) HandleAnswer(life view.Instance, report Report, now view.Uptime) {
-	c := s.children[life.Name]
-	if c == nil || c.life != life {
+func (s *State) HandleAnswer(instance view.Instance, report Report, now view.Uptime) {
+	c := s.children[instance.Name]
+	if c == nil || c.instance != instance {
 		return
 	}
 	c.inFlight, c.failures, c.retryAt = false, 0, 0
@@ -64,9 +64,9 @@
 }
 
 // UpdateFailed records that the call with an update failed; the child may still have received it.
-func (s *State) UpdateFailed(life view.Instance, now view.Uptime) {
-	c := s.children[life.Name]
-	if c == nil || c.life != life {
+func (s *State) UpdateFailed(instance view.Instance, now view.Uptime) {
+	c := s.children[instance.Name]
+	if c == nil || c.instance != instance {
 		return
 	}
 	c.inFlight, c.resend = false, true
@@ -80,11 +80,11 @@
 // HandleReport processes a child's report about itself and all processes below it, and returns the answer to it.
 func (s *State) HandleReport(report Report, now view.Uptime) ReportAnswer {
 	c := s.children[report.From.Name]
-	if c == nil || report.From.Incarnation < c.life.Incarnation {
+	if c == nil || report.From.Incarnation < c.instance.Incarnation {
 		return ReportAnswer{Resend: true} // not a child in this process's view; the report has to be repeated once it is
 	}
-	if report.From.Incarnation > c.life.Incarnation {
-		*c = child{life: report.From}
+	if report.From.Incarnation > c.instance.Incarnation {
+		*c = child{instance: report.From}
 	}
 	newFindings := false
 	for _, r := range report.Findings {
@@ -114,28 +114,28 @@
 // mergeProgress updates the progress of the child's members from a report, and returns whether it has changed. The progress of
 // an incarnation never decreases.
 func (c *child) mergeProgress(report Report) (changed bool) {
-	before := seqByLife(c.progress)
+	before := seqByInstance(c.progress)
 	if report.Members != nil {
 		c.members, c.membersChecksum = report.Members, report.MembersChecksum
 	}
-	behind := seqByLife(report.Behind)
+	behind := seqByInstance(report.Behind)
 	progress := make([]Progress, len(c.members))
 	changed = !c.reported || len(c.members) != len(c.progress)
-	for i, life := range c.members {
-		applied, isBehind := behind[life]
+	for i, instance := range c.members {
+		applied, isBehind := behind[instance]
 		if !isBehind {
 			applied = report.Base
 		}
-		previousSeq, known := before[life]
-		progress[i] = Progress{life, max(applied, previousSeq)}
+		previousSeq, known := before[instance]
+		progress[i] = Progress{instance, max(applied, previousSeq)}
 		changed = changed || !known || progress[i].AppliedSeq > previousSeq
 	}
 	c.reported, c.progress = true, progress
 	return changed
 }
 
-// seqByLife returns the AppliedSeq of each incarnation.
-func seqByLife(progress []Progress) map[view.Instance]uint64 {
+// seqByInstance returns the AppliedSeq of each incarnation.
+func seqByInstance(progress []Progress) map[view.Instance]uint64 {
 	index := make(map[view.Instance]uint64, len(progress))
 	for _, p := range progress {
 		index[p.Instance] = p.AppliedSeq
--- a/internal/cluster/purge/spread/guarantee_test.go
+++ b/internal/cluster/purge/spread/guarantee_test.go
@@ -80,7 +80,7 @@
 				p := &process{name: view.Name(fmt.Sprintf("q%02d", len(w.processes))), zone: "z0", alive: true, incarnation: 1,
 					disk: &disk{folder: "new", found: map[uint64]clusterapi.PurgeResult{}}}
 				p.disk.messages = append(p.disk.messages, &testMessage{key: key.Draw(t, "key"), acceptedAt: w.now - time.Second})
-				p.state = New(p.life(), "new", 0)
+				p.state = New(p.instance(), "new", 0)
 				w.processes, w.tree, w.disks = append(w.processes, p), append(w.tree, slices.Index(w.tree, -1)), append(w.disks, p.disk)
 				n++
 				w.join(p)
--- a/internal/cluster/purge/spread/leader.go
+++ b/internal/cluster/purge/spread/leader.go
@@ -67,8 +67,8 @@
 }
 
 // HandleRootAnswer processes the root's answer to an update.
-func (l *LeaderState) HandleRootAnswer(life view.Instance, report Report, now view.Uptime) {
-	l.HandleAnswer(life, report, now)
+func (l *LeaderState) HandleRootAnswer(instance view.Instance, report Report, now view.Uptime) {
+	l.HandleAnswer(instance, report, now)
 	l.recordProgress()
 }
 
--- a/internal/cluster/purge/spread/network_test.go
+++ b/internal/cluster/purge/spread/network_test.go
@@ -26,7 +26,7 @@
 	}
 	w.leaderState.SetParticipants(w.ledger.Participants(), w.ledger.RosterVersion())
 	root := slices.Index(w.tree, -1)
-	w.leaderState.SetRoot(w.processes[root].life(), w.now)
+	w.leaderState.SetRoot(w.processes[root].instance(), w.now)
 	g := w.leaderState
 	for _, to := range w.leaderState.DueUpdates(w.now) {
 		w.sendUpdate(to, func(report Report) { g.HandleRootAnswer(to.Child, report, w.now) }, func() { g.UpdateFailed(to.Child, w.now) })
@@ -79,13 +79,13 @@
 // handleReport delivers a report. It returns false if the receiver is not alive or not the leader any more.
 func (w *simulation) handleReport(to Parent, report Report) (ReportAnswer, bool) {
 	if to.IsLeader {
-		if to.Instance != w.processes[w.leader].life() {
+		if to.Instance != w.processes[w.leader].instance() {
 			return ReportAnswer{}, false
 		}
 		return w.leaderState.HandleRootReport(report, w.now), true
 	}
 	for _, p := range w.processes {
-		if p.life() == to.Instance && p.alive {
+		if p.instance() == to.Instance && p.alive {
 			w.count(to.Name)
 			return p.state.HandleReport(report, w.now), true
 		}
@@ -98,7 +98,7 @@
 func (w *simulation) sendUpdate(to OutgoingUpdate, answered func(Report), failed func()) {
 	w.network = append(w.network, envelope{func() {
 		for _, p := range w.processes {
-			if p.life() != to.Child || !p.alive {
+			if p.instance() != to.Child || !p.alive {
 				continue
 			}
 			st := p.state
--- a/internal/cluster/purge/spread/simulation_test.go
+++ b/internal/cluster/purge/spread/simulation_test.go
@@ -56,7 +56,7 @@
 	return c
 }
 
-func (p *process) life() view.Instance {
+func (p *process) instance() view.Instance {
 	return view.Instance{Name: p.name, Incarnation: p.incarnation}
 }
 
@@ -119,7 +119,7 @@
 		p.disk = &disk{folder: fmt.Sprintf("%s-%d", p.name, p.incarnation), found: map[uint64]clusterapi.PurgeResult{}}
 		w.disks = append(w.disks, p.disk)
 	}
-	p.state = New(p.life(), p.disk.folder, p.disk.applied)
+	p.state = New(p.instance(), p.disk.folder, p.disk.applied)
 	p.joinedAt = 0
 	w.join(p)
 }
@@ -127,18 +127,18 @@
 // join makes a process a participant.
 func (w *simulation) join(p *process) {
 	var j ledger.JoinResult
-	w.propose(ledger.KindJoin, ledger.Join{Participants: []ledger.Participant{{Instance: p.life(), Zone: p.zone, Region: "r",
+	w.propose(ledger.KindJoin, ledger.Join{Participants: []ledger.Participant{{Instance: p.instance(), Zone: p.zone, Region: "r",
 		Folder: p.disk.folder, LongestDeadline: w.longestDeadline}}}, &j)
 	p.requiredSeq, p.joinedAt = j.Seq, w.ledger.Revision()
 }
 
 // lead makes process i the leader, with the LeaderState that this incarnation had before, if any.
 func (w *simulation) lead(i int) {
-	life := w.processes[i].life()
-	if w.leaderStates[life] == nil {
-		w.leaderStates[life] = NewLeaderState(life)
+	instance := w.processes[i].instance()
+	if w.leaderStates[instance] == nil {
+		w.leaderStates[instance] = NewLeaderState(instance)
 	}
-	w.leader, w.leaderState = i, w.leaderStates[life]
+	w.leader, w.leaderState = i, w.leaderStates[instance]
 }
 
 // updateTree tells a process its current position in the tree.
@@ -146,14 +146,14 @@
 	self := slices.Index(w.processes, p)
 	var parent Parent
 	if above := w.tree[self]; above >= 0 {
-		parent.Instance = w.processes[above].life()
+		parent.Instance = w.processes[above].instance()
 	} else {
-		parent = Parent{w.processes[w.leader].life(), true}
+		parent = Parent{w.processes[w.leader].instance(), true}
 	}
 	var children []view.Instance
 	for i, above := range w.tree {
 		if above == self {
-			children = append(children, w.processes[i].life())
+			children = append(children, w.processes[i].instance())
 		}
 	}
 	p.state.SetTree(parent, children, w.now)
--- a/internal/cluster/purge/spread/spread_test.go
+++ b/internal/cluster/purge/spread/spread_test.go
@@ -171,12 +171,12 @@
 // TestLostAnswer checks that if an answer with findings is lost, the parent does not accept the reports that are differences to it
 // until it has received the findings.
 func TestLostAnswer(t *testing.T) {
-	parentLife, childLife := view.Instance{Name: "up", Incarnation: 1}, view.Instance{Name: "low", Incarnation: 1}
-	parent, child := New(parentLife, "u", 0), New(childLife, "l", 0)
-	parent.SetTree(Parent{}, []view.Instance{childLife}, 0)
-	child.SetTree(Parent{Instance: parentLife}, nil, 0)
+	parentInstance, childInstance := view.Instance{Name: "up", Incarnation: 1}, view.Instance{Name: "low", Incarnation: 1}
+	parent, child := New(parentInstance, "u", 0), New(childInstance, "l", 0)
+	parent.SetTree(Parent{}, []view.Instance{childInstance}, 0)
+	child.SetTree(Parent{Instance: parentInstance}, nil, 0)
 	order := func(seq uint64, found int) {
-		d := Update{From: parentLife, Base: seq - 1, UpTo: seq, OldestOpen: 1,
+		d := Update{From: parentInstance, Base: seq - 1, UpTo: seq, OldestOpen: 1,
 			Purges: []clusterapi.Purge{{Seq: seq, Match: clusterapi.Match{Key: "a"}}}}
 		parent.HandleUpdate(d, 0)
 		child.HandleUpdate(d, 0)
@@ -185,18 +185,18 @@
 	}
 	order(1, 0)
 	// The parent is also the leader and sends an update as such: the answer does not count as a report to the parent.
-	if child.Answer(Update{From: parentLife, FromLeader: true}, 0); !child.reporting.changed {
+	if child.Answer(Update{From: parentInstance, FromLeader: true}, 0); !child.reporting.changed {
 		t.Fatal("an answer to the leader counts as a report to the parent")
 	}
-	parent.HandleReport(child.Answer(Update{From: parentLife}, 0), 0)
+	parent.HandleReport(child.Answer(Update{From: parentInstance}, 0), 0)
 	order(2, 5)
 	parent.DueUpdates(0)
-	child.Answer(Update{From: parentLife}, 0) // lost
+	child.Answer(Update{From: parentInstance}, 0) // lost
 	order(3, 0)
 	for i := range 3 {
 		now := time.Duration(i+1) * time.Minute
 		if msg, due := child.DueReport(now); due {
-			child.ReportAnswered(Parent{Instance: parentLife}, parent.HandleReport(msg, now), now)
+			child.ReportAnswered(Parent{Instance: parentInstance}, parent.HandleReport(msg, now), now)
 		}
 		st := parent.children["low"].progress[0]
 		if r := parent.findings[findingKey{2, "low", "l"}]; st.AppliedSeq >= 2 && r == nil {
--- a/internal/cluster/purge/spread/state.go
+++ b/internal/cluster/purge/spread/state.go
@@ -86,10 +86,10 @@
 	for _, n := range s.childNames {
 		removed[n] = true
 	}
-	for _, life := range children {
-		delete(removed, life.Name)
-		if c := s.children[life.Name]; c == nil || c.life.Incarnation < life.Incarnation {
-			s.children[life.Name] = &child{life: life}
+	for _, instance := range children {
+		delete(removed, instance.Name)
+		if c := s.children[instance.Name]; c == nil || c.instance.Incarnation < instance.Incarnation {
+			s.children[instance.Name] = &child{instance: instance}
 			s.markChanged(now)
 		}
 	}
--- a/internal/cluster/storeddata_test.go
+++ b/internal/cluster/storeddata_test.go
@@ -41,7 +41,7 @@
 z1 = "r1"
 `
 
-// storedOrders implements Orders without a sender. The test calls only its method Applied.
+// storedOrders implements Orders without a sender. The test calls only its method LastAppliedSeq.
 type storedOrders struct{ clusterapi.Orders }
 
 func (storedOrders) LastAppliedSeq() uint64 { return 0 }
--- a/internal/cluster/tree/rendezvous.go
+++ b/internal/cluster/tree/rendezvous.go
@@ -40,9 +40,9 @@
 	return -1
 }
 
-// assignChildren makes all candidates except parent report to parent: directly if they are Fan at most, otherwise in
-// groups, each through a coordinator of its own. A group of more than Fan members is divided further in the same way.
-// The key identifies the group of candidates.
+// assignChildren makes all candidates except parent report to parent: directly if they are MaxChildren at most,
+// otherwise in groups, each through a coordinator of its own. A group of more than MaxChildren members is divided
+// further in the same way. The key identifies the group of candidates.
 //
 // The group of a candidate depends on its own key only, so a process that leaves does not move the members of other
 // groups, even if it coordinates its group. More members move only if a bound is crossed: if a group then needs one
@@ -68,8 +68,8 @@
 }
 
 // partition divides candidates into groups by the lowest bits of a hash, so that doubling the number of groups splits
-// each group in two. Groups are half full on average; if they were full, many would exceed Fan by chance and need a
-// further level.
+// each group in two. Groups are half full on average; if they were full, many would exceed MaxChildren by chance and
+// need a further level.
 func partition(key string, candidates []candidate) [][]candidate {
 	count := min(MaxChildren, 1<<bits.Len(uint(2*len(candidates)/MaxChildren)))
 	groups := make([][]candidate, count)
--- a/internal/cluster/tree/tree.go
+++ b/internal/cluster/tree/tree.go
@@ -16,10 +16,10 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// MaxChildren is the maximum number of children of a process in one role. The coordinator of a zone may also be the coordinator
-// of its region and of the cluster, with this many children in each role. It is a power of two, so that groups are
-// split in halves and members are never redistributed among all groups. At 100 bytes twice a second from each of 32
-// children the busiest process receives 6.4 KB/s; the target is 2 KB/s for each process.
+// MaxChildren is the maximum number of children of a process in one role. The coordinator of a zone may also be the
+// coordinator of its region and of the cluster, with this many children in each role. It is a power of two, so that
+// groups are split in halves and members are never redistributed among all groups. At 100 bytes twice a second from
+// each of 32 children the busiest process receives 6.4 KB/s; the target is 2 KB/s for each process.
 const MaxChildren = 32
 
 // Tree is the reporting tree of a view: it holds the parent and the children of each present member. It is immutable.
@@ -146,8 +146,8 @@
 // ZoneCoordinator returns the coordinator of a zone; "" if no member of it is present.
 func (t *Tree) ZoneCoordinator(z view.Zone) view.Name { return t.zoneCoordinators[z] }
 
-// RegionCoordinator returns the coordinator of a region, which also coordinates one of its zones; "" if no member of the
-// region is present.
+// RegionCoordinator returns the coordinator of a region, which also coordinates one of its zones; "" if no member of
+// the region is present.
 func (t *Tree) RegionCoordinator(r view.Region) view.Name { return t.regionCoordinators[r] }
 
 // Regions returns the regions with present members, sorted.
--- a/internal/cluster/tree/tree_test.go
+++ b/internal/cluster/tree/tree_test.go
@@ -27,7 +27,8 @@
 }
 
 // checkInvariants checks the invariants of a tree: every present member reaches the one root in at most depth steps,
-// parents and children agree, and no process has more than 3*Fan children, which are Fan for each of three roles.
+// parents and children agree, and no process has more than 3*MaxChildren children, which are MaxChildren for each of
+// three roles.
 func checkInvariants(t interface{ Fatalf(string, ...any) }, tr *Tree, members []view.Member, depth int) {
 	present := 0
 	for _, m := range members {
@@ -139,9 +140,9 @@
 	}
 }
 
-// TestFanAtSize checks the number of children and the depth of the tree in clusters of up to 3,000 members, and how
-// many members get another parent when one without children leaves.
-func TestFanAtSize(t *testing.T) {
+// TestMaxChildrenAtSize checks the number of children and the depth of the tree in clusters of up to 3,000 members, and
+// how many members get another parent when one without children leaves.
+func TestMaxChildrenAtSize(t *testing.T) {
 	for _, c := range []struct{ processes, zones, regions, maxChildren, depth int }{
 		{1000, 12, 4, MaxChildren, 4}, {1000, 1, 1, MaxChildren, 3}, {1000, 200, 2, 2 * MaxChildren, 6}, {3000, 3, 3, 2 * MaxChildren, 6}, {1, 1, 1, 0, 0},
 	} {
--- a/internal/cluster/view/view.go
+++ b/internal/cluster/view/view.go
@@ -64,7 +64,7 @@
 	HTTPAddr      string `json:"http,omitempty"`    // address of its listener for calls (package link)
 	ConsensusAddr string `json:"council,omitempty"` // address of its raft transport; "" if it has no participant
 	StartedEmpty  bool   `json:"empty,omitempty"`   // it started with an empty folder: data stored before is lost
-	FolderID      string `json:"folder,omitempty"`  // random id of its folder; a name with another Folder lost its disk
+	FolderID      string `json:"folder,omitempty"`  // random id of its folder; a name with another FolderID lost its disk
 	HasRecords    bool   `json:"voted,omitempty"`   // its folder holds the records of a consensus group
 }
 
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -46,8 +46,8 @@
 	Malformed     int64 // received datagrams dropped because they are malformed or damaged
 }
 
-// Peers is a socket with two goroutines, one that sends and one that receives. Tell and Counts may be called at any time
-// from any goroutine.
+// Peers is a socket with two goroutines, one that sends and one that receives. Send and Counts may be called at any
+// time from any goroutine.
 type Peers struct {
 	conn         *net.UDPConn
 	destinations []netip.AddrPort            // each note is sent to all of them
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -52,7 +52,7 @@
 
 // TestHeard checks that notes of a peer are received, duplicates included. Datagrams from an unknown address or the
 // sender itself, and damaged or too long ones, are dropped and counted.
-func TestHeard(t *testing.T) {
+func TestReceived(t *testing.T) {
 	peer, own, stranger := socket(t), socket(t), socket(t)
 	p, notes := started(t, Options{Peers: []string{own.LocalAddr().String(), peer.LocalAddr().String()}, Own: 0})
 	good := frame([]byte("abc"))
@@ -89,7 +89,7 @@
 
 // TestTell checks that a note is sent from the listening socket, either once to the address that reaches all senders or
 // to each sender except itself, and that a peer that is gone does not affect the others.
-func TestTell(t *testing.T) {
+func TestSend(t *testing.T) {
 	a, b, all, gone := socket(t), socket(t), socket(t), socket(t)
 	gone.Close()
 	list := []string{gone.LocalAddr().String(), a.LocalAddr().String(), "127.0.0.1:9", b.LocalAddr().String()}
@@ -121,9 +121,9 @@
 	}
 }
 
-// TestTellNeverWaits checks that Tell drops and counts notes, instead of blocking, if the queue is full because nothing
+// TestSendNeverWaits checks that Send drops and counts notes, instead of blocking, if the queue is full because nothing
 // is sent.
-func TestTellNeverWaits(t *testing.T) {
+func TestSendNeverWaits(t *testing.T) {
 	p, err := Open(Options{Listen: "127.0.0.1:0", Peers: []string{"127.0.0.1:9"}, Own: 1})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/routes/check.go
+++ b/internal/routes/check.go
@@ -11,7 +11,7 @@
 const maxWeight = 1e6
 
 // Problem reports an invalid field of a rule or an expectation. Path is the path of the field in the file, as in
-// route[2].set[0].under, and What says what is wrong with it.
+// route[2].set[0].under, and Reason says what is wrong with it.
 type Problem struct{ Path, Reason string }
 
 func (p Problem) Error() string { return p.Path + ": " + p.Reason }
--- a/internal/sender/admission.go
+++ b/internal/sender/admission.go
@@ -15,7 +15,7 @@
 const (
 	// rewriteThreshold and maxLiveShare are fractions of the journal's size limit. A journal larger than rewriteThreshold
 	// is rewritten into a new file that holds the pending messages and is no larger than maxLiveShare. The sum of the two
-	// is below 1 because both files exist during a rewriting. The gap between them keeps rewritings rare.
+	// is below 1 because both files exist during a rewrite. The gap between them keeps rewrites rare.
 	rewriteThreshold = 0.58
 	maxLiveShare     = 0.38
 	// maxLaterRecordBytes is the maximum size in bytes of all records of one message after its accepted record.
@@ -130,7 +130,7 @@
 
 // writeJournal appends the added records to the journal's file, or rewrites the file if it is larger than rewriteThreshold.
 func (s *Sender) writeJournal() error {
-	if len(s.accepted) > 2*len(s.pending)+maxEndedInAccepted { // with a large limit, rewritings are too rare to rely on
+	if len(s.accepted) > 2*len(s.pending)+maxEndedInAccepted { // with a large limit, rewrites are too rare to rely on
 		s.accepted = withoutEnded(s.accepted)
 	}
 	if s.journal.Size() <= int64(rewriteThreshold*float64(s.journal.Limit())) {
--- a/internal/sender/client_harness_test.go
+++ b/internal/sender/client_harness_test.go
@@ -153,7 +153,8 @@
 	return c
 }
 
-// startServingClients starts a sender without discovery and with a limit of sockets. dial connects a client and sends a text.
+// startServingClients starts a sender without discovery and with a limit of sockets. dial connects a client and sends a
+// text.
 func startServingClients(t *testing.T, sockets int) (s *Sender, dial func(string) net.Conn, done <-chan struct{}) {
 	t.Helper()
 	cfg := testConfig(t.TempDir(), 100)
--- a/internal/sender/cluster.go
+++ b/internal/sender/cluster.go
@@ -13,15 +13,17 @@
 	"flaxcove/internal/sender/clusterapi"
 )
 
-// defaultGateTimeout is the longest time that a gate holds attempts back, unless Joining.For is set. It is longer than fetching and
-// applying missed purges takes over loopback. The latency objectives of the classes seen are 0.8 s and longer.
+// defaultGateTimeout is the longest time that a gate holds attempts back, unless JoinOptions.GateTimeout is set. It is
+// longer than fetching and applying missed purges takes over loopback. The latency objectives of the classes seen are
+// 0.8 s and longer.
 const defaultGateTimeout = 2 * time.Second
 
 // JoinOptions holds the options of Join.
 type JoinOptions struct {
-	// Gate holds all attempts back until it is closed or For has passed, so that purges that this process missed are
-	// applied first (Orders.Purge). Meanwhile messages are accepted and answered, and end at their deadlines. A nil Gate
-	// holds nothing back. The cost is that messages wait at a start. If For passes first, purged messages may be sent.
+	// Gate holds all attempts back until it is closed or GateTimeout has passed, so that purges that this process
+	// missed are applied first (Orders.Purge). Meanwhile messages are accepted and answered, and end at their
+	// deadlines. A nil Gate holds nothing back. The cost is that messages wait at a start. If GateTimeout passes first,
+	// purged messages may be sent.
 	Gate <-chan struct{}
 	// GateTimeout is the longest time that Gate holds attempts back, counted from Join; 0 means defaultGateTimeout.
 	GateTimeout time.Duration
@@ -44,8 +46,8 @@
 type learnedStore interface {
 	// ReplaceLearnedState drops the learned state of an endpoint, or replaces it if the state given is not nil.
 	ReplaceLearnedState(choice.EndpointID, *choice.LearnedState)
-	// LearnedCalls returns how many answers the learned state of a destination is based on, and whether the destination must not
-	// be evicted.
+	// LearnedCalls returns how many answers the learned state of a destination is based on, and whether the destination
+	// must not be evicted.
 	LearnedCalls(choice.DestinationID) (calls float64, mustStay bool)
 }
 
@@ -121,8 +123,8 @@
 }
 
 // AdoptLearnedState implements clusterapi.Orders.
-func (o orders) AdoptLearnedState(lessons []clusterapi.LearnedEndpoint) {
-	o.s.enqueueOrder(func() { o.s.adoptLearned(lessons) })
+func (o orders) AdoptLearnedState(learned []clusterapi.LearnedEndpoint) {
+	o.s.enqueueOrder(func() { o.s.adoptLearned(learned) })
 }
 
 // GetLearnedState implements clusterapi.Orders.
--- a/internal/sender/cluster_test.go
+++ b/internal/sender/cluster_test.go
@@ -13,24 +13,26 @@
 type fakeCluster struct {
 	last       clusterapi.Digest      // the last digest received
 	closedZone choice.ZoneNo          // a zone to which no message may be sent; -1 for none
-	woke       []choice.DestinationID // the destinations passed to Woke
+	requested  []choice.DestinationID // the destinations passed to RequestLearnedState
 }
 
-func (c *fakeCluster) ReportDigest(d clusterapi.Digest)           { c.last = d }
-func (c *fakeCluster) RequestLearnedState(d choice.DestinationID) { c.woke = append(c.woke, d) }
-func (c *fakeCluster) RoutingPlan() clusterapi.RoutingPlan        { return c }
+func (c *fakeCluster) ReportDigest(d clusterapi.Digest) { c.last = d }
+func (c *fakeCluster) RequestLearnedState(d choice.DestinationID) {
+	c.requested = append(c.requested, d)
+}
+func (c *fakeCluster) RoutingPlan() clusterapi.RoutingPlan { return c }
 func (c *fakeCluster) Allowed(_ choice.MessageID, _ choice.DestinationID, zone choice.ZoneNo) bool {
 	return zone != c.closedZone
 }
 
-// fakeLearnedStore is a learnedStore that records what is voided.
+// fakeLearnedStore is a learnedStore that records its calls.
 type fakeLearnedStore struct {
 	mustStay choice.DestinationID // the one destination that must not be evicted
-	voided   []string             // endpoint and new state of each call of Void
+	replaced []string             // endpoint and new state of each call of ReplaceLearnedState
 }
 
 func (m *fakeLearnedStore) ReplaceLearnedState(id choice.EndpointID, l *choice.LearnedState) {
-	m.voided = append(m.voided, fmt.Sprint(id, " ", l))
+	m.replaced = append(m.replaced, fmt.Sprint(id, " ", l))
 }
 func (m *fakeLearnedStore) LearnedCalls(d choice.DestinationID) (float64, bool) {
 	return 7, d == m.mustStay
@@ -149,7 +151,7 @@
 	}
 	evict := func() {
 		o.Evict([]choice.DestinationID{1, 2, 9}, func(retained []choice.DestinationID) {
-			fmt.Println("kept", retained, "void", m.voided)
+			fmt.Println("kept", retained, "void", m.replaced)
 		})
 		h.runNext().advance(5 * time.Millisecond)
 	}
@@ -160,15 +162,15 @@
 	h.runNext().advance(20 * time.Millisecond)
 	list()
 	evict()
-	m.voided = nil
+	m.replaced = nil
 	h.submit("OUT.ADD 0 again c=status,d=6000,dest=9 x", "OUT.ADD 0 more c=status,d=6000,dest=9 x")
-	fmt.Println("woke", c.woke)
+	fmt.Println("woke", c.requested)
 	k := choice.LearnedState{Mean: 10, Dev: 1, Past: 10, Seen: 3, Wait: 5 * choice.Second}
 	o.AdoptLearnedState([]clusterapi.LearnedEndpoint{{Endpoint: "z", LearnedState: k, Age: 2 * time.Second}, {Endpoint: "a", LearnedState: k},
 		{Endpoint: "none", LearnedState: k},
 		{Endpoint: "b", LearnedState: choice.LearnedState{Mean: -1}}})
 	h.runNext()
-	fmt.Println("taught", m.voided)
+	fmt.Println("taught", m.replaced)
 	os.RemoveAll(h.dir)
 	// Output:
 	// call a: POST /inbox
--- a/internal/sender/clusterapi/clusterapi.go
+++ b/internal/sender/clusterapi/clusterapi.go
@@ -1,10 +1,10 @@
 // Package clusterapi defines the interfaces between a sender and its cluster, and the types that they exchange. Package
 // internal/cluster implements Cluster; a sender that belongs to no cluster runs without it.
 //
-// The sender calls the methods of Cluster and Guide on its loop, so they must return at once: they must not block, and must
-// not take a lock that is held during I/O. The cluster calls the methods of Orders, which post an order to the sender's
-// loop. The answer to an order comes through its done function, which is called on the loop after the append of that turn,
-// so its content is on disk by then.
+// The sender calls the methods of Cluster and RoutingPlan on its loop, so they must return at once: they must not
+// block, and must not take a lock that is held during I/O. The cluster calls the methods of Orders, which post an order
+// to the sender's loop. The answer to an order comes through its done function, which is called on the loop after the
+// append of that turn, so its content is on disk by then.
 package clusterapi
 
 import (
@@ -29,16 +29,16 @@
 	Waiting     int                  `json:"h,omitempty"` // messages waiting for the destination; set in only one of its rows
 }
 
-// ClientCount is the number of messages that one client host submitted for a destination since the last digest. Each message is
-// counted once.
+// ClientCount is the number of messages that one client host submitted for a destination since the last digest. Each
+// message is counted once.
 type ClientCount struct {
 	Destination choice.DestinationID `json:"d"`
 	Client      string               `json:"p"` // the client's host, by which the sender tells clients apart
 	Messages    uint64               `json:"n"`
 }
 
-// Digest is a sender's summary of its traffic since the digest before. A sender passes one to Cluster.Digest twice a second,
-// and the receiver owns it.
+// Digest is a sender's summary of its traffic since the digest before. A sender passes one to Cluster.ReportDigest
+// twice a second, and the receiver owns it.
 type Digest struct {
 	Rows   []DigestRow
 	Counts []ClientCount
@@ -46,7 +46,8 @@
 	Longest time.Duration
 }
 
-// RoutingPlan is a routing plan that the cluster has decided. It is immutable and is read without a lock at each attempt.
+// RoutingPlan is a routing plan that the cluster has decided. It is immutable and is read without a lock at each
+// attempt.
 type RoutingPlan interface {
 	// Allowed reports whether message n may be sent to an endpoint of destination d in a zone. The result depends only on
 	// the arguments and the plan. The call takes nanoseconds.
@@ -59,8 +60,8 @@
 	ReportDigest(Digest)
 	// RoutingPlan returns the current routing plan, or nil if there is none; then every endpoint is allowed.
 	RoutingPlan() RoutingPlan
-	// RequestLearnedState asks for the region's learned state of a destination that this sender has evicted. The answer comes through
-	// Orders.Teach, or never.
+	// RequestLearnedState asks for the region's learned state of a destination that this sender has evicted. The answer
+	// comes through Orders.AdoptLearnedState, or never.
 	RequestLearnedState(d choice.DestinationID)
 }
 
@@ -111,9 +112,11 @@
 	Evict(all []choice.DestinationID, done func(retained []choice.DestinationID))
 	// ListHeldState lists the destinations of which the sender holds state, for the choice of destinations to evict.
 	ListHeldState(done func([]HeldState))
-	// AdoptLearnedState passes learned state from other processes, for endpoints of which this sender has learned nothing.
-	AdoptLearnedState(lessons []LearnedEndpoint)
-	// GetLearnedState passes to done what this sender has learned of the given destinations, or of all destinations if of is empty.
+	// AdoptLearnedState passes learned state from other processes, for endpoints of which this sender has learned
+	// nothing.
+	AdoptLearnedState(learned []LearnedEndpoint)
+	// GetLearnedState passes to done what this sender has learned of the given destinations, or of all destinations if
+	// of is empty.
 	GetLearnedState(of []choice.DestinationID, done func([]LearnedEndpoint))
 	// Configure puts a configuration in force in one turn, completely or not at all. done gets nil once the configuration is
 	// in force; otherwise it gets the error, and the previous settings stay in force. A version older than the one in force
--- a/internal/sender/eviction.go
+++ b/internal/sender/eviction.go
@@ -177,8 +177,8 @@
 
 // adoptLearned adopts learned state of other senders for endpoints that have no learned state here. The wait of each is
 // reduced by its age.
-func (s *Sender) adoptLearned(lessons []clusterapi.LearnedEndpoint) {
-	for _, l := range lessons {
+func (s *Sender) adoptLearned(learned []clusterapi.LearnedEndpoint) {
+	for _, l := range learned {
 		e := s.endpoints[l.Endpoint]
 		if e == nil || e.gone || !isPlausible(l.LearnedState) || l.Age < 0 || hasLearned(s.choice.LearnedState(e.id)) {
 			continue
--- a/internal/sender/learned_state_test.go
+++ b/internal/sender/learned_state_test.go
@@ -79,8 +79,8 @@
 	h.s.Orders().Purge([]clusterapi.Purge{{Seq: 1, LearnedState: true, Match: clusterapi.Match{Destination: &d}},
 		{Seq: 2, LearnedState: true, Match: clusterapi.Match{Class: "order"}}}, func(_ uint64, f []clusterapi.PurgeResult) { found = f })
 	h.runNext().advance(5 * time.Millisecond)
-	if len(found) != 2 || found[0].LearnedState != 2 || found[1].LearnedState != 0 || len(m.voided) != 1 {
-		t.Errorf("found %+v, learned state dropped of %v", found, m.voided)
+	if len(found) != 2 || found[0].LearnedState != 2 || found[1].LearnedState != 0 || len(m.replaced) != 1 {
+		t.Errorf("found %+v, learned state dropped of %v", found, m.replaced)
 	}
 	left, _ := os.ReadFile(file)
 	if strings.Contains(string(left), "gone") || !strings.Contains(string(left), `"b"`) {
--- a/internal/sender/purge.go
+++ b/internal/sender/purge.go
@@ -169,7 +169,7 @@
 	return withdrawal.Waiting
 }
 
-// withdraw ends a message, or, with the fate Hold, makes sure that it ends with the call that is in flight.
+// withdraw ends a message, or, with the fate AwaitCallEnd, makes sure that it ends with the call that is in flight.
 func (s *Sender) withdraw(m *message, fate withdrawal.Fate) {
 	if fate == withdrawal.Untouched || fate == withdrawal.AlreadyEnded {
 		return
--- a/internal/sender/purge_sockets_test.go
+++ b/internal/sender/purge_sockets_test.go
@@ -47,7 +47,7 @@
 	s       *Sender
 	client  *testClient
 	cluster *recordingCluster
-	gate    chan struct{}   // Joining.Gate of the sender
+	gate    chan struct{}   // JoinOptions.Gate of the sender
 	release chan struct{}   // closed to end the call of the message "slow" without an answer
 	done    <-chan struct{} // closed when the sender has ended
 }
--- a/internal/sender/withdrawal/withdrawal.go
+++ b/internal/sender/withdrawal/withdrawal.go
@@ -75,7 +75,7 @@
 const (
 	Untouched     Fate = iota // no effect, and not counted
 	EndNotRun                 // the message ends now with its one final answer; it has not run
-	AwaitCallEnd              // the call in flight is the last one, and the message ends with it (see Ends); it may have run
+	AwaitCallEnd              // the call in flight is the last one, and the message ends with it (see EndOfHeld); it may have run
 	EndMayHaveRun             // the message ends now with its one final answer and is not sent again; it may have run
 	AlreadyEnded              // the message had ended before the purge; it is only counted
 )
@@ -108,7 +108,7 @@
 	}
 }
 
-// HeldEnd says how a message with the fate Hold ends after its last call has ended.
+// HeldEnd says how a message with the fate AwaitCallEnd ends after its last call has ended.
 type HeldEnd uint8
 
 const (
@@ -117,8 +117,9 @@
 	AsMayRun                   // withdrawn, but a call may have run
 )
 
-// EndOfHeld returns how a message with the fate Hold ends. last is the outcome of its last call. earlierMayRun says that an
-// earlier call may have run; then a rejection of the last call does not prove that the message has not run.
+// EndOfHeld returns how a message with the fate AwaitCallEnd ends. last is the outcome of its last call. earlierMayRun
+// says that an earlier call may have run; then a rejection of the last call does not prove that the message has not
+// run.
 func EndOfHeld(last choice.Outcome, earlierMayRun bool) HeldEnd {
 	if last.Final {
 		return AsAnswered
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -62,11 +62,11 @@
 }
 
 // Problem reports an invalid value before its line is known. Path is the path of the field, as in route[2].name, and
-// What says what is wrong with the value.
+// Reason says what is wrong with the value.
 type Problem struct{ Path, Reason string }
 
-// LocateProblems converts problems with the text of the file name into errors with line numbers, sorted by line. It returns nil if
-// there are none, an *Error for a single problem, and Errors for several.
+// LocateProblems converts problems with the text of the file name into errors with line numbers, sorted by line. It
+// returns nil if there are none, an *Error for a single problem, and Errors for several.
 func LocateProblems(name string, text []byte, problems []Problem) error {
 	if len(problems) == 0 {
 		return nil
--- a/lab/baseline/send.go
+++ b/lab/baseline/send.go
@@ -9,8 +9,8 @@
 	"flaxcove/choice"
 )
 
-// MaySend reports whether a call to an endpoint may still be sent after its connection has come up: the endpoint is neither blocked
-// nor draining, and no retry among the messages is too late for its idempotency window.
+// MaySend reports whether a call to an endpoint may still be sent after its connection has come up: the endpoint is
+// neither blocked nor draining, and no retry among the messages is too late for its idempotency window.
 func (p *policy) MaySend(id choice.EndpointID, messages ...choice.MessageID) bool {
 	now := p.host.Now()
 	for _, id := range messages {
--- a/lab/cluster/play/measure_test.go
+++ b/lab/cluster/play/measure_test.go
@@ -55,8 +55,8 @@
 // report logs the rates over the measured span, without the answers to the test's polls.
 func (r *rates) report(t *testing.T) {
 	var in, out, cpu []float64
-	for life, a := range r.first {
-		b := r.last[life]
+	for instance, a := range r.first {
+		b := r.last[instance]
 		if over := float64(b.at-a.at) / float64(choice.Second); over > 0 {
 			in = append(in, float64(b.traffic.In-a.traffic.In)/over)
 			out = append(out, (float64(b.traffic.Out-a.traffic.Out)-float64(b.answerBytes-b.lastAnswerBytes))/over)
--- a/lab/cluster/size/process.go
+++ b/lab/cluster/size/process.go
@@ -98,18 +98,18 @@
 	p.fleet.after(first+minTurn, p.tick)
 }
 
-// takeDigest takes the samples of a digest and reports them to the head of the zone.
+// takeDigest takes the samples of a digest and reports them to the coordinator of the zone.
 func (p *process) takeDigest() {
 	p.fleet.after(digestEvery, p.takeDigest)
 	now := p.now()
 	p.ownSamples, p.ownSampledAt = p.window.Add(now, p.sender.digest()), now
-	head := p.fleet.tree.ZoneCoordinator(p.zone)
-	if head == p.name {
+	coordinator := p.fleet.tree.ZoneCoordinator(p.zone)
+	if coordinator == p.name {
 		p.takeSamples(now, p.ownSamples)
 		return
 	}
 	if due := p.samplesToReport(now); len(due) > 0 {
-		to := p.fleet.processes[head]
+		to := p.fleet.processes[coordinator]
 		p.fleet.send(p, to, due, func() { to.takeSamples(to.now(), due) })
 	}
 }
--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -69,7 +69,7 @@
 	return "", nil
 }
 
-// Arrival is one message that a client submits. Class, Partner (the destination), Sender and Key are numbers that count from 0.
+// Arrival is one message that a client submits. Class, Destination, Sender and Key are numbers that count from 0.
 type Arrival struct {
 	At          choice.Time
 	Number      int64 // counts from 1; a message that a client submits again keeps its number
@@ -108,11 +108,11 @@
 	senderWeights         []float64
 }
 
-// NewPlan returns a plan that ends at until. Classes, partners and senders hold the weights with which each is drawn; the weights
-// need not add up to 1.
-func NewPlan(s Spec, seed uint64, until choice.Time, classes, partners, senders []float64, changes []LoadChange) *Plan {
+// NewPlan returns a plan that ends at until. Classes, destinations and senders hold the weights with which each is
+// drawn; the weights need not add up to 1.
+func NewPlan(s Spec, seed uint64, until choice.Time, classes, destinations, senders []float64, changes []LoadChange) *Plan {
 	p := &Plan{spec: s, until: until, changes: changes, rng: rand.New(rand.NewPCG(seed, 0x10ad)),
-		classes: newPicker(classes), destinations: newPicker(partners), senders: newPicker(senders), senderWeights: senders}
+		classes: newPicker(classes), destinations: newPicker(destinations), senders: newPicker(senders), senderWeights: senders}
 	for _, w := range senders {
 		p.senderTotal += w
 	}
--- a/lab/scale/fleet/fleet.go
+++ b/lab/scale/fleet/fleet.go
@@ -30,16 +30,16 @@
 
 // Roles, the highest first.
 const (
-	Root       Role = "root"
-	RegionHead Role = "region head"
-	ZoneHead   Role = "zone head"
-	GroupHead  Role = "group head" // other members of its zone report to it
-	Voter      Role = "voter"      // of the consensus group, with none of the roles above
-	Plain      Role = "sender"     // coordinates nothing and does not vote
+	Root              Role = "root"
+	RegionCoordinator Role = "region head"
+	ZoneCoordinator   Role = "zone head"
+	GroupCoordinator  Role = "group head" // other members of its zone report to it
+	Voter             Role = "voter"      // of the consensus group, with none of the roles above
+	Plain             Role = "sender"     // coordinates nothing and does not vote
 )
 
 // Roles holds all roles, the highest first.
-var Roles = []Role{Root, RegionHead, ZoneHead, GroupHead, Voter, Plain}
+var Roles = []Role{Root, RegionCoordinator, ZoneCoordinator, GroupCoordinator, Voter, Plain}
 
 // Member is one member of a fleet. No is its index in Fleet.Members.
 type Member struct {
@@ -100,11 +100,11 @@
 		case t.Root() == m.Name:
 			m.Role = Root
 		case t.RegionCoordinator(m.Region) == m.Name:
-			m.Role = RegionHead
+			m.Role = RegionCoordinator
 		case t.ZoneCoordinator(m.Zone) == m.Name:
-			m.Role = ZoneHead
+			m.Role = ZoneCoordinator
 		case len(t.Children(m.Name)) > 0:
-			m.Role = GroupHead
+			m.Role = GroupCoordinator
 		}
 	}
 }
--- a/lab/scale/hollow/sender.go
+++ b/lab/scale/hollow/sender.go
@@ -35,7 +35,7 @@
 	return s
 }
 
-// Run reports digests to a cluster and reads the routing guide, digestsPerSecond times a second, until ctx ends.
+// Run reports digests to a cluster and reads the routing plan, digestsPerSecond times a second, until ctx ends.
 func (s *Sender) Run(ctx context.Context, to clusterapi.Cluster) {
 	every := time.NewTicker(time.Second / digestsPerSecond)
 	defer every.Stop()
--- a/lab/world/connections.go
+++ b/lab/world/connections.go
@@ -55,7 +55,7 @@
 	w.watchIdle(c)
 }
 
-// watchIdle schedules the endpoint's close of a connection if it stays idle for Kind.IdleS.
+// watchIdle schedules the endpoint's close of a connection if it stays idle for PartnerKind.IdleS.
 func (w *World) watchIdle(c *Conn) {
 	c.idleAt = w.now
 	at := w.now
--- a/lab/world/partners.go
+++ b/lab/world/partners.go
@@ -52,7 +52,7 @@
 	return shares
 }
 
-// limitHeadroom is the least ratio of a partner's capacity to its rate limit, unless Kind.LimitAbove is set.
+// limitHeadroom is the least ratio of a partner's capacity to its rate limit, unless PartnerKind.LimitAbove is set.
 const limitHeadroom = 1.25
 
 // drawCapacity draws a partner's capacity and its rate limit.
--- a/lab/world/reply.go
+++ b/lab/world/reply.go
@@ -75,7 +75,7 @@
 	}
 }
 
-// reportOf returns an endpoint's load report, which may be up to Kind.ReportMS old.
+// reportOf returns an endpoint's load report, which may be up to PartnerKind.ReportMS old.
 func (w *World) reportOf(e *Endpoint) choice.Report {
 	if w.now >= e.reportAt {
 		e.reportAt = w.now + ms(e.Partner.Kind.ReportMS)
--- a/lab/world/slowstart.go
+++ b/lab/world/slowstart.go
@@ -30,7 +30,7 @@
 	return k.SlowStartFrom + (1-k.SlowStartFrom)*max(0, since)
 }
 
-// inSlowStart reports whether the endpoint returned from an outage less than Kind.SlowStartS ago.
+// inSlowStart reports whether the endpoint returned from an outage less than PartnerKind.SlowStartS ago.
 func (e *Endpoint) inSlowStart(now Time) bool {
 	return now < e.slowStartBegan+seconds(e.Partner.Kind.SlowStartS)
 }
--- a/lab/world/spec.go
+++ b/lab/world/spec.go
@@ -109,7 +109,8 @@
 	Ordered            bool    `toml:"ordered"`   // messages with the same ordering key are delivered one after another
 }
 
-// PartnerKind describes one kind of partner. Pairs are drawn for each partner, except that MeanMS is drawn for each endpoint.
+// PartnerKind describes one kind of partner. Pairs are drawn for each partner, except that MeanMS is drawn for each
+// endpoint.
 type PartnerKind struct {
 	Name            string  `toml:"name"`
 	Count           int     `toml:"count"`
--- a/lab/world/work.go
+++ b/lab/world/work.go
@@ -93,7 +93,7 @@
 	return 0, false
 }
 
-// refuse answers a call with a refusal. Kind.RetryAfterShare of the refusals carry the wait as Retry-After.
+// refuse answers a call with a refusal. PartnerKind.RetryAfterShare of the refusals carry the wait as Retry-After.
 func (w *World) refuse(call *Call, wait Time) {
 	if w.draw("told", int64(call.No)) >= call.Conn.Endpoint.Partner.Kind.RetryAfterShare {
 		wait = 0
