--- a/internal/sender/admission.go
+++ b/internal/sender/admission.go
@@ -34,7 +34,7 @@
 	pending         map[choice.MessageID]*message
 	accepted        []*message  // pending messages in the order of acceptance; ended ones are removed from time to time
 	admitted        []*message  // messages admitted in this turn
-	liveBytes       int64       // upper bound of the size of the journal after a rewriting
+	liveBytes       int64       // upper bound of the size of the journal after a rewrite
 	reservedBytes   int64       // bytes that the messages admitted in this turn will add to liveBytes
 	latestRecorded  choice.Time // latest time in the records read so far, while the journal is replayed
 	missingZoneName []*message  // replayed messages whose attempt record has a zone number only, until the name is recorded
--- a/internal/sender/torn_journal_test.go
+++ b/internal/sender/torn_journal_test.go
@@ -178,7 +178,7 @@
 		if err := os.WriteFile(filepath.Join(dir, "notices.log"), file[:cut], 0o600); err != nil {
 			t.Fatal(err)
 		}
-		// The file of a rewriting that the kill interrupted: incomplete, or complete and not renamed yet.
+		// The file of a rewrite that the kill interrupted: incomplete, or complete and not renamed yet.
 		if err := os.WriteFile(filepath.Join(dir, "notices.new"), file[:len(file)-cut], 0o600); err != nil {
 			t.Fatal(err)
 		}
