--- a/internal/cluster/consensus/options.go
+++ b/internal/cluster/consensus/options.go
@@ -70,7 +70,7 @@
 
 // Options are the settings of a Group.
 type Options struct {
-	Self          view.Member                    // only Name and Folder (the random name of the data folder) are read
+	Self          view.Member                    // only Name and FolderID (the random name of the data folder) are read
 	Cluster       string                         // name of the cluster, which must be the same at both ends of a connection
 	Folder        string                         // path of the folder with log and snapshots; created if it does not exist
 	Listen        string                         // address of the port for raft connections
@@ -97,10 +97,10 @@
 	o.setDefaults()
 	o.InitialVoters = slices.Compact(slices.Sorted(slices.Values(o.InitialVoters)))
 	switch {
-	case o.Self.Name == "" || o.Self.Folder == "" || o.Folder == "" || o.AddressOf == nil:
+	case o.Self.Name == "" || o.Self.FolderID == "" || o.Folder == "" || o.AddressOf == nil:
 		return errors.New("consensus: options Self.Name, Self.Folder, Folder and AddressOf must be set")
-	case strings.Contains(string(o.Self.Name)+o.Self.Folder, "@"):
-		return fmt.Errorf("consensus: name %q or folder name %q contains @", o.Self.Name, o.Self.Folder)
+	case strings.Contains(string(o.Self.Name)+o.Self.FolderID, "@"):
+		return fmt.Errorf("consensus: name %q or folder name %q contains @", o.Self.Name, o.Self.FolderID)
 	case len(o.InitialVoters) == 0 || len(o.InitialVoters) > maxVoters:
 		return fmt.Errorf("consensus: %d initial voters; there must be 1 to %d", len(o.InitialVoters), maxVoters)
 	}
--- a/internal/cluster/evidence/table/table.go
+++ b/internal/cluster/evidence/table/table.go
@@ -166,8 +166,8 @@
 	return oldest
 }
 
-// Read returns all samples with their ages as of now, sorted by Order. It first deletes those older than MaxAge from the
-// table.
+// Read returns all samples with their ages as of now, sorted by Compare. It first deletes those older than MaxAge from
+// the table.
 func (t *Table) Read(now view.Uptime) (samples []healthreport.Sample) {
 	for len(t.byAge) > 0 && now-t.byAge[0].newestAt > t.bounds.MaxAge {
 		t.remove(t.byAge[0])
@@ -237,8 +237,8 @@
 	return s.Reporter != "" && s.Age >= 0 && s.Span > 0 && s.Endpoints >= 0 && s.Waiting >= 0
 }
 
-// Order compares samples in the order of Read: by destination, zone and witness.
-func Order(a, b *healthreport.Sample) int {
+// Compare compares samples in the order of Read: by destination, zone and witness.
+func Compare(a, b *healthreport.Sample) int {
 	if c := compareLocality(&a.Locality, &b.Locality); c != 0 {
 		return c
 	}
--- a/internal/cluster/purge/run/leader.go
+++ b/internal/cluster/purge/run/leader.go
@@ -85,7 +85,7 @@
 	}
 	r.leading = true
 	if r.leaderState == nil {
-		r.leaderState = spread.NewLeaderState(r.options.Self.Life)
+		r.leaderState = spread.NewLeaderState(r.options.Self.Instance)
 	}
 	state := r.leaderState
 	if update.changed {
@@ -99,7 +99,7 @@
 	}
 	if r.view != nil && r.tree != nil {
 		if root, found := r.view.Find(r.tree.Root()); found {
-			state.SetRoot(root.Life, now)
+			state.SetRoot(root.Instance, now)
 		}
 		r.syncParticipants(now)
 	}
@@ -116,8 +116,8 @@
 type rootState struct{ *spread.LeaderState }
 
 // HandleAnswer processes the root's answer to an update.
-func (s rootState) HandleAnswer(life view.Life, report spread.Report, now view.Uptime) {
-	s.HandleRootAnswer(life, report, now)
+func (s rootState) HandleAnswer(instance view.Instance, report spread.Report, now view.Uptime) {
+	s.HandleRootAnswer(instance, report, now)
 }
 
 // proposeClose proposes a Close. Purges that it does not close are proposed again in a later step.
@@ -141,9 +141,9 @@
 	if r.leaderWork.syncInFlight || r.leaderWork.syncedAt != 0 && now-r.leaderWork.syncedAt < participantSyncInterval {
 		return
 	}
-	leave := ledger.Leave{Lives: r.expiredParticipants(now)}
+	leave := ledger.Leave{Instances: r.expiredParticipants(now)}
 	join := ledger.Join{Participants: r.newParticipants()}
-	if join.Participants == nil && leave.Lives == nil {
+	if join.Participants == nil && leave.Instances == nil {
 		return
 	}
 	r.leaderWork.syncInFlight, r.leaderWork.syncedAt = true, now
@@ -151,7 +151,7 @@
 }
 
 // expiredParticipants returns the participants that were absent for longer than ledger.AbsenceLimit. The caller holds the lock.
-func (r *Runner) expiredParticipants(now view.Uptime) (expired []view.Life) {
+func (r *Runner) expiredParticipants(now view.Uptime) (expired []view.Instance) {
 	w := &r.leaderWork
 	if w.absentSince == nil {
 		w.absentSince = map[view.Name]view.Uptime{}
@@ -166,7 +166,7 @@
 		case !known:
 			w.absentSince[p.Name] = now
 		case now-since > ledger.AbsenceLimit:
-			expired = append(expired, p.Life)
+			expired = append(expired, p.Instance)
 			delete(w.absentSince, p.Name)
 		}
 	}
@@ -182,7 +182,7 @@
 	for _, m := range r.view.Members {
 		p, joined := participants[m.Name]
 		if m.Present() && (!joined || p.Incarnation < m.Incarnation) {
-			joining = append(joining, ledger.Participant{Life: m.Life, Zone: m.Zone, Region: m.Region, Folder: m.Folder})
+			joining = append(joining, ledger.Participant{Instance: m.Instance, Zone: m.Zone, Region: m.Region, Folder: m.FolderID})
 		}
 	}
 	return joining
@@ -196,7 +196,7 @@
 	if join.Participants != nil {
 		_, err = r.options.Consensus.Propose(ctx, ledger.Part, ledger.KindJoin, join)
 	}
-	if err == nil && leave.Lives != nil {
+	if err == nil && leave.Instances != nil {
 		_, err = r.options.Consensus.Propose(ctx, ledger.Part, ledger.KindLeave, leave)
 	}
 	if err != nil {
--- a/internal/cluster/purge/run/run.go
+++ b/internal/cluster/purge/run/run.go
@@ -39,7 +39,7 @@
 
 // Options configures a Runner. Now, CatchUpTimeout and Log are optional; Consensus and Ledger are set together or not at all.
 type Options struct {
-	Self            view.Member // Life, Zone, Region and Folder are used; SetView may raise the incarnation later
+	Self            view.Member // Instance, Zone, Region and FolderID are used; SetView may raise the incarnation later
 	Link            leadercall.Link
 	Consensus       leadercall.Consensus // nil for a process outside the consensus group
 	Ledger          *ledger.Ledger       // the part ledger.Part of the consensus group's state; nil if Consensus is
@@ -85,7 +85,7 @@
 	leaderWork       leaderWork
 	view             *view.View      // nil until SetView
 	tree             leadercall.Tree // nil until SetView
-	lastLeader       view.Life       // the process that last called this one as the leader
+	lastLeader       view.Instance   // the process that last called this one as the leader
 	longestDeadline  time.Duration   // of any message that the sender can hold; 0 for unknown
 	reportedDeadline time.Duration   // the longestDeadline that the ledger has of this participant; -1 to join again
 	caughtUp         bool            // see CaughtUp
@@ -98,7 +98,7 @@
 		return nil, err
 	}
 	r := &Runner{options: o, limiter: make(leadercall.Limiter, maxRequests), longestDeadline: o.LongestDeadline,
-		state: spread.New(o.Self.Life, o.Self.Folder, o.Orders.Applied())}
+		state: spread.New(o.Self.Instance, o.Self.FolderID, o.Orders.LastAppliedSeq())}
 	r.signals = leadercall.NewSignals(&r.mu)
 	r.ctx, r.stop = context.WithCancel(context.Background())
 	r.caller = leadercall.Caller{
@@ -106,7 +106,7 @@
 		Link:           o.Link,
 		Consensus:      o.Consensus,
 		Self:           o.Self.Name,
-		Life:           r.life,
+		Instance:       r.instance,
 		Candidates:     r.candidates,
 		Done:           r.ctx.Done(),
 		CallTimeout:    callTimeout,
@@ -142,7 +142,7 @@
 		// An earlier incarnation had a higher number, so this incarnation was raised above it and has to join again.
 		r.options.Self.Incarnation = m.Incarnation
 		r.leaderState = nil
-		r.state.SetIncarnation(m.Life, r.options.Now())
+		r.state.SetIncarnation(m.Instance, r.options.Now())
 		r.reportedDeadline = -1
 	}
 	r.mu.Unlock()
@@ -200,7 +200,7 @@
 		r.goroutines.Go(func() { r.sendReport(parent, report) })
 	}
 	if apply != nil {
-		r.options.Orders.Purge(apply, func(applied uint64, found []clusterapi.Found) {
+		r.options.Orders.Purge(apply, func(applied uint64, found []clusterapi.PurgeResult) {
 			r.mu.Lock()
 			defer r.mu.Unlock()
 			r.state.BatchApplied(applied, found, r.options.Now())
@@ -215,13 +215,13 @@
 	if r.view == nil || r.tree == nil {
 		return
 	}
-	life, top, below := leadercall.TreePosition(r.view, r.tree, r.options.Self.Name, leader, known, r.lastLeader)
-	r.state.SetTree(spread.Parent{Life: life, IsLeader: top}, below, now)
+	instance, top, below := leadercall.TreePosition(r.view, r.tree, r.options.Self.Name, leader, known, r.lastLeader)
+	r.state.SetTree(spread.Parent{Instance: instance, IsLeader: top}, below, now)
 }
 
-// life returns the current incarnation of this process, which SetView may raise.
-func (r *Runner) life() view.Life {
+// instance returns the current incarnation of this process, which SetView may raise.
+func (r *Runner) instance() view.Instance {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.options.Self.Life
+	return r.options.Self.Instance
 }
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -52,7 +52,7 @@
 
 // TestHeard checks that notes of a peer are received, duplicates included. Datagrams from an unknown address or the
 // sender itself, and damaged or too long ones, are dropped and counted.
-func TestHeard(t *testing.T) {
+func TestReceived(t *testing.T) {
 	peer, own, stranger := socket(t), socket(t), socket(t)
 	p, notes := started(t, Options{Peers: []string{own.LocalAddr().String(), peer.LocalAddr().String()}, Own: 0})
 	good := frame([]byte("abc"))
@@ -81,7 +81,7 @@
 			t.Errorf("received %q, want %q", got, want)
 		}
 	}
-	want := Counts{Heard: 3, Strange: 1, Own: 1, Spoilt: int64(damaged) + 2, TooLong: 2}
+	want := Counts{Received: 3, UnknownSource: 1, FromSelf: 1, Malformed: int64(damaged) + 2, TooLong: 2}
 	if got := p.Counts(); got != want {
 		t.Errorf("%+v, want %+v", got, want)
 	}
@@ -89,7 +89,7 @@
 
 // TestTell checks that a note is sent from the listening socket, either once to the address that reaches all senders or
 // to each sender except itself, and that a peer that is gone does not affect the others.
-func TestTell(t *testing.T) {
+func TestSend(t *testing.T) {
 	a, b, all, gone := socket(t), socket(t), socket(t), socket(t)
 	gone.Close()
 	list := []string{gone.LocalAddr().String(), a.LocalAddr().String(), "127.0.0.1:9", b.LocalAddr().String()}
@@ -104,32 +104,32 @@
 	}
 	each, _ := started(t, Options{Peers: list, Own: 2})
 	for range 3 {
-		each.Tell([]byte("xyz"))
+		each.Send([]byte("xyz"))
 		hears(a, each.Addr())
 		hears(b, each.Addr())
 	}
 	once, _ := started(t, Options{Peers: list, Own: 2, All: all.LocalAddr().String()})
-	once.Tell([]byte("xyz"))
+	once.Send([]byte("xyz"))
 	hears(all, once.Addr())
 	a.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 	if n, _, err := a.ReadFromUDPAddrPort(make([]byte, 300)); err == nil {
 		t.Errorf("%d bytes sent to a single sender in addition to the address of all", n)
 	}
-	once.Tell(make([]byte, MaxDatagramSize))
+	once.Send(make([]byte, MaxDatagramSize))
 	if got := once.Counts(); got.Sent != 1 || got.Unsent != 1 {
 		t.Errorf("%+v", got)
 	}
 }
 
-// TestTellNeverWaits checks that Tell drops and counts notes, instead of blocking, if the queue is full because nothing
+// TestSendNeverWaits checks that Send drops and counts notes, instead of blocking, if the queue is full because nothing
 // is sent.
-func TestTellNeverWaits(t *testing.T) {
+func TestSendNeverWaits(t *testing.T) {
 	p, err := Open(Options{Listen: "127.0.0.1:0", Peers: []string{"127.0.0.1:9"}, Own: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
 	for range queueLength + 7 {
-		p.Tell([]byte("abc"))
+		p.Send([]byte("abc"))
 	}
 	if got := p.Counts(); got.Unsent != 7 {
 		t.Errorf("%+v", got)
--- a/internal/sender/admission.go
+++ b/internal/sender/admission.go
@@ -15,11 +15,11 @@
 const (
 	// rewriteThreshold and maxLiveShare are fractions of the journal's size limit. A journal larger than rewriteThreshold
 	// is rewritten into a new file that holds the pending messages and is no larger than maxLiveShare. The sum of the two
-	// is below 1 because both files exist during a rewriting. The gap between them keeps rewritings rare.
+	// is below 1 because both files exist during a rewrite. The gap between them keeps rewrites rare.
 	rewriteThreshold = 0.58
 	maxLiveShare     = 0.38
-	// laterRecordBytes is the maximum size in bytes of all records of one message after its accepted record.
-	laterRecordBytes = 3 * (maxID + 64)
+	// maxLaterRecordBytes is the maximum size in bytes of all records of one message after its accepted record.
+	maxLaterRecordBytes = 3 * (maxID + 64)
 	// maxRememberedEnded is the maximum number of ended messages whose ids are remembered, so that a message that is
 	// submitted again after its end does not run again. At three times the usual rate of messages, an id is remembered for
 	// longer than a message may be pending.
@@ -34,7 +34,7 @@
 	pending         map[choice.MessageID]*message
 	accepted        []*message  // pending messages in the order of acceptance; ended ones are removed from time to time
 	admitted        []*message  // messages admitted in this turn
-	liveBytes       int64       // upper bound of the size of the journal after a rewriting
+	liveBytes       int64       // upper bound of the size of the journal after a rewrite
 	reservedBytes   int64       // bytes that the messages admitted in this turn will add to liveBytes
 	latestRecorded  choice.Time // latest time in the records read so far, while the journal is replayed
 	missingZoneName []*message  // replayed messages whose attempt record has a zone number only, until the name is recorded
@@ -62,14 +62,14 @@
 // hasJournalCapacity reports whether the journal can hold m and its later records. Messages admitted in the same turn count
 // too: a burst beyond the limit could not be written at all, and then no client would be answered.
 func (s *Sender) hasJournalCapacity(m *message) bool {
-	return s.liveBytes+s.reservedBytes+m.size+laterRecordBytes <= int64(maxLiveShare*float64(s.journal.Limit()))
+	return s.liveBytes+s.reservedBytes+m.size+maxLaterRecordBytes <= int64(maxLiveShare*float64(s.journal.Limit()))
 }
 
 // admit makes m pending. Its client is answered at the end of the turn, when its record is written.
 func (s *Sender) admit(m *message) {
 	s.pending[m.ID] = m
 	s.admitted = append(s.admitted, m)
-	s.reservedBytes += m.size + laterRecordBytes
+	s.reservedBytes += m.size + maxLaterRecordBytes
 }
 
 // commit writes the records of the turn to the journal. It reports whether they are written, and so whether answers,
@@ -91,7 +91,7 @@
 			m.journaled = true
 			s.journal.Add(m.acceptedRecord())
 			s.accepted = append(s.accepted, m)
-			s.liveBytes += m.size + laterRecordBytes
+			s.liveBytes += m.size + maxLaterRecordBytes
 		}
 	}
 	s.reservedBytes = 0
@@ -130,14 +130,14 @@
 
 // writeJournal appends the added records to the journal's file, or rewrites the file if it is larger than rewriteThreshold.
 func (s *Sender) writeJournal() error {
-	if len(s.accepted) > 2*len(s.pending)+maxEndedInAccepted { // with a large limit, rewritings are too rare to rely on
+	if len(s.accepted) > 2*len(s.pending)+maxEndedInAccepted { // with a large limit, rewrites are too rare to rely on
 		s.accepted = withoutEnded(s.accepted)
 	}
 	if s.journal.Size() <= int64(rewriteThreshold*float64(s.journal.Limit())) {
 		return s.journal.Flush()
 	}
 	s.accepted = withoutEnded(s.accepted)
-	s.counts.rewritings++
+	s.counts.rewrites++
 	return s.journal.Rewrite(s.records)
 }
 
--- a/internal/sender/cluster_test.go
+++ b/internal/sender/cluster_test.go
@@ -13,29 +13,33 @@
 type fakeCluster struct {
 	last       clusterapi.Digest      // the last digest received
 	closedZone choice.ZoneNo          // a zone to which no message may be sent; -1 for none
-	woke       []choice.DestinationID // the destinations passed to Woke
+	requested  []choice.DestinationID // the destinations passed to RequestLearnedState
 }
 
-func (c *fakeCluster) Digest(d clusterapi.Digest)  { c.last = d }
-func (c *fakeCluster) Woke(d choice.DestinationID) { c.woke = append(c.woke, d) }
-func (c *fakeCluster) Guide() clusterapi.Guide     { return c }
+func (c *fakeCluster) ReportDigest(d clusterapi.Digest) { c.last = d }
+func (c *fakeCluster) RequestLearnedState(d choice.DestinationID) {
+	c.requested = append(c.requested, d)
+}
+func (c *fakeCluster) RoutingPlan() clusterapi.RoutingPlan { return c }
 func (c *fakeCluster) Allowed(_ choice.MessageID, _ choice.DestinationID, zone choice.ZoneNo) bool {
 	return zone != c.closedZone
 }
 
-// fakeLearnedStore is a learnedStore that records what is voided.
+// fakeLearnedStore is a learnedStore that records its calls.
 type fakeLearnedStore struct {
 	mustStay choice.DestinationID // the one destination that must not be evicted
-	voided   []string             // endpoint and new state of each call of Void
+	replaced []string             // endpoint and new state of each call of ReplaceLearnedState
 }
 
-func (m *fakeLearnedStore) Void(id choice.EndpointID, l *choice.LearnedState) {
-	m.voided = append(m.voided, fmt.Sprint(id, " ", l))
+func (m *fakeLearnedStore) ReplaceLearnedState(id choice.EndpointID, l *choice.LearnedState) {
+	m.replaced = append(m.replaced, fmt.Sprint(id, " ", l))
+}
+func (m *fakeLearnedStore) LearnedCalls(d choice.DestinationID) (float64, bool) {
+	return 7, d == m.mustStay
 }
-func (m *fakeLearnedStore) Holds(d choice.DestinationID) (float64, bool) { return 7, d == m.mustStay }
 
 // joinCluster joins the sender to a fakeCluster.
-func (h *harness) joinCluster(j Joining) *fakeCluster {
+func (h *harness) joinCluster(j JoinOptions) *fakeCluster {
 	c := &fakeCluster{closedZone: -1}
 	h.s.Join(c, j)
 	return c
@@ -53,7 +57,7 @@
 	for _, opens := range []bool{true, false} {
 		gate := make(chan struct{})
 		h := start("", 100)
-		h.joinCluster(Joining{Gate: gate, For: time.Second})
+		h.joinCluster(JoinOptions{Gate: gate, GateTimeout: time.Second})
 		h.submit("OUT.ADD 0 id c=status,d=6000,dest=1 x").advance(900 * time.Millisecond)
 		if opens {
 			close(gate)
@@ -78,7 +82,7 @@
 // allowed.
 func Example_routingPlan() {
 	h := start("", 100)
-	c := h.joinCluster(Joining{})
+	c := h.joinCluster(JoinOptions{})
 	fmt.Println(h.s.Allowed("id", "a"))
 	c.closedZone = h.s.endpoints["a"].zone
 	h.advance(5 * time.Millisecond)
@@ -94,7 +98,7 @@
 // destination.
 func Example_digest() {
 	h := start("", 4)
-	c := h.joinCluster(Joining{})
+	c := h.joinCluster(JoinOptions{})
 	h.advance(500 * time.Millisecond)
 	show := func() {
 		for _, row := range c.last.Rows {
@@ -136,37 +140,37 @@
 // endpoints without learned state, and its wait is reduced by its age.
 func Example_evict() {
 	h := start("", 100)
-	c, m := h.joinCluster(Joining{}), &fakeLearnedStore{mustStay: 2}
+	c, m := h.joinCluster(JoinOptions{}), &fakeLearnedStore{mustStay: 2}
 	h.s.learnedStore = m
 	h.submit("OUT.ADD 0 id c=status,d=6000,dest=1 x")
 	h.clock += 50 * time.Millisecond
 	o := h.s.Orders()
 	list := func() {
-		o.Holding(func(all []clusterapi.Held) { fmt.Printf("held %+v\n", all) })
+		o.ListHeldState(func(all []clusterapi.HeldState) { fmt.Printf("held %+v\n", all) })
 		h.runNext().advance(5 * time.Millisecond)
 	}
 	evict := func() {
 		o.Evict([]choice.DestinationID{1, 2, 9}, func(retained []choice.DestinationID) {
-			fmt.Println("kept", retained, "void", m.voided)
+			fmt.Println("kept", retained, "void", m.replaced)
 		})
 		h.runNext().advance(5 * time.Millisecond)
 	}
 	evict()
 	h.calls[0].endpoint.linkCount-- // the harness has no link that could end
 	h.endpointAnswers(answerOK).advance(5 * time.Millisecond)
-	o.Know([]choice.DestinationID{1}, func(all []clusterapi.LearnedEndpoint) { fmt.Printf("known %+v\n", all) })
+	o.GetLearnedState([]choice.DestinationID{1}, func(all []clusterapi.LearnedEndpoint) { fmt.Printf("known %+v\n", all) })
 	h.runNext().advance(20 * time.Millisecond)
 	list()
 	evict()
-	m.voided = nil
+	m.replaced = nil
 	h.submit("OUT.ADD 0 again c=status,d=6000,dest=9 x", "OUT.ADD 0 more c=status,d=6000,dest=9 x")
-	fmt.Println("woke", c.woke)
+	fmt.Println("woke", c.requested)
 	k := choice.LearnedState{Mean: 10, Dev: 1, Past: 10, Seen: 3, Wait: 5 * choice.Second}
-	o.Teach([]clusterapi.LearnedEndpoint{{Endpoint: "z", LearnedState: k, Age: 2 * time.Second}, {Endpoint: "a", LearnedState: k},
+	o.AdoptLearnedState([]clusterapi.LearnedEndpoint{{Endpoint: "z", LearnedState: k, Age: 2 * time.Second}, {Endpoint: "a", LearnedState: k},
 		{Endpoint: "none", LearnedState: k},
 		{Endpoint: "b", LearnedState: choice.LearnedState{Mean: -1}}})
 	h.runNext()
-	fmt.Println("taught", m.voided)
+	fmt.Println("taught", m.replaced)
 	os.RemoveAll(h.dir)
 	// Output:
 	// call a: POST /inbox
--- a/lab/cluster/size/process.go
+++ b/lab/cluster/size/process.go
@@ -98,18 +98,18 @@
 	p.fleet.after(first+minTurn, p.tick)
 }
 
-// takeDigest takes the samples of a digest and reports them to the head of the zone.
+// takeDigest takes the samples of a digest and reports them to the coordinator of the zone.
 func (p *process) takeDigest() {
 	p.fleet.after(digestEvery, p.takeDigest)
 	now := p.now()
-	p.ownSamples, p.ownSampledAt = p.window.Take(now, p.sender.digest()), now
-	head := p.fleet.tree.ZoneHead(p.zone)
-	if head == p.name {
+	p.ownSamples, p.ownSampledAt = p.window.Add(now, p.sender.digest()), now
+	coordinator := p.fleet.tree.ZoneCoordinator(p.zone)
+	if coordinator == p.name {
 		p.takeSamples(now, p.ownSamples)
 		return
 	}
 	if due := p.samplesToReport(now); len(due) > 0 {
-		to := p.fleet.processes[head]
+		to := p.fleet.processes[coordinator]
 		p.fleet.send(p, to, due, func() { to.takeSamples(to.now(), due) })
 	}
 }
@@ -165,11 +165,11 @@
 	if evaluates {
 		p.evaluatedAt = now
 	}
-	if evaluates && t.ZoneHead(p.zone) == p.name {
+	if evaluates && t.ZoneCoordinator(p.zone) == p.name {
 		seen := p.table.Read(now)
-		slices.SortFunc(seen, func(a, b healthreport.Sample) int { return table.Order(&a, &b) })
+		slices.SortFunc(seen, func(a, b healthreport.Sample) int { return table.Compare(&a, &b) })
 		p.reports.Put(now, slices.DeleteFunc(assess.SummarizeZone(p.zone, seen, assess.DefaultBounds()), func(w assess.Report) bool {
-			return w.Idle() && w.Zone != p.zone && t.ZoneHead(w.Zone) != ""
+			return w.Idle() && w.Zone != p.zone && t.ZoneCoordinator(w.Zone) != ""
 		}))
 	}
 	if p.fleet.leader.process == p {
@@ -262,7 +262,7 @@
 			p.children[name] = c
 		}
 		announcement, exists := p.holder.Announce(now, c.epoch != p.holder.Epoch())
-		if !exists || c.inFlight || c.epoch >= announcement.Epoch && now-announcement.Age-c.renewedAt < p.fleet.settings.Hold/renewalsPerHold {
+		if !exists || c.inFlight || c.epoch >= announcement.Epoch && now-announcement.Age-c.renewedAt < p.fleet.settings.PlanTTL/renewalsPerHold {
 			continue
 		}
 		c.inFlight = true
