--- a/cmd/flaxcove/serve.go
+++ b/cmd/flaxcove/serve.go
@@ -57,7 +57,7 @@
 	notes := c.Bool("notes")
 	if notes {
 		if err := cfg.EnableGossip(); err != nil {
-			log.Warn("notes not enabled", zap.Error(err))
+			log.Warn("gossip between senders stays off although --notes is set", zap.Error(err))
 		}
 	}
 	signalledAt := catchStopSignals()
@@ -155,7 +155,7 @@
 }
 
 // firstSignalTime returns a channel that receives the time of the first signal. The supervisor's grace period before it kills
-// the process counts from that time, which may be long before the end of the start.
+// the process counts from that time, even if the process is still starting then.
 func firstSignalTime(signals <-chan os.Signal) <-chan time.Time {
 	signalledAt := make(chan time.Time, 1)
 	go func() {
--- a/internal/config/checks.go
+++ b/internal/config/checks.go
@@ -58,7 +58,7 @@
 		}
 	}
 	if b.Senders > maxSenders {
-		return settingError("balancers", "%d is above %d", b.Senders, maxSenders)
+		return settingError("balancers", "%d is above the maximum of %d", b.Senders, maxSenders)
 	}
 	return nil
 }
--- a/internal/routes/expect.go
+++ b/internal/routes/expect.go
@@ -217,7 +217,7 @@
 			return fmt.Sprintf("it reaches %s, which is not listed in only", a.Endpoint)
 		}
 		if slices.Contains(x.Never, a.Endpoint) {
-			return fmt.Sprintf("it reaches %s", a.Endpoint)
+			return fmt.Sprintf("it reaches %s, which is listed in never", a.Endpoint)
 		}
 	}
 	if len(r.Allowed) < x.AtLeast {
--- a/internal/routes/expect_test.go
+++ b/internal/routes/expect_test.go
@@ -46,7 +46,7 @@
 	// Output:
 	// only the east, whatever is lost: at destination 1, it reaches c, which is not listed in only; once drained: a; decided by route "orders"
 	// even shares: at destination 1, the share of a is 0.75, not 0.50; with override a-heavy; decided by route "orders"
-	// status never to d: at destination 1, it reaches d; no route matches it
+	// status never to d: at destination 1, it reaches d, which is listed in never; no route matches it
 	// somebody at 7: at destination 7, 0 endpoints remain of 1 expected; no route matches it
 }
 
--- a/lab/cluster/judge/judge.go
+++ b/lab/cluster/judge/judge.go
@@ -159,7 +159,7 @@
 	at, known := j.accepted[n]
 	for _, p := range j.purges {
 		if known && p.completedAt > 0 && now > p.completedAt && at < p.orderedAt && p.matches(n) {
-			j.addBreach(SentAfterPurge, "message %s, accepted at %d, was sent at %d; purge %s was ordered at %d and complete at %d", n, at, now, p.id, p.orderedAt, p.completedAt)
+			j.addBreach(SentAfterPurge, "message %s, accepted at %d, was sent at %d; purge %s was ordered at %d and complete at %d (tenths of a millisecond)", n, at, now, p.id, p.orderedAt, p.completedAt)
 		}
 	}
 }
@@ -210,7 +210,7 @@
 	}
 	for _, p := range j.purges {
 		if p.completedAt == 0 {
-			j.addBreach(Unreported, "purge %s, ordered at %d, was not reported complete", p.id, p.orderedAt)
+			j.addBreach(Unreported, "purge %s, ordered at %d tenths of a millisecond, was not reported complete", p.id, p.orderedAt)
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(j.changes)) {
--- a/lab/cluster/play/falls.go
+++ b/lab/cluster/play/falls.go
@@ -111,11 +111,11 @@
 	for _, o := range p.outages {
 		if p.schedule.Expect.Moves && o.InForceMS < 0 {
 			breaches = append(breaches, judge.Breach{Promise: NotDiverted,
-				Detail: fmt.Sprintf("zone %d failed at %d, but no plan that routes away from it was in force at enough processes", o.Zone, o.from)})
+				Detail: fmt.Sprintf("zone %d failed at %d tenths of a millisecond, but no plan that routes away from it was in force at enough processes", o.Zone, o.from)})
 		}
 		if p.schedule.Expect.Moves && o.AllReturnedMS < 0 {
 			breaches = append(breaches, judge.Breach{Promise: StillDiverted,
-				Detail: fmt.Sprintf("the outage of zone %d ended at %d, but routes led away at the end of the run", o.Zone, o.to)})
+				Detail: fmt.Sprintf("the outage of zone %d ended at %d tenths of a millisecond, but routes led away at the end of the run", o.Zone, o.to)})
 		}
 	}
 	if most := p.schedule.Expect.MostPlans; most > 0 && epochs > most+1 {
--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -64,7 +64,7 @@
 		}
 	}
 	if !slices.Contains([]string{"poisson", "steady", "bursts"}, s.Shape) {
-		return "shape", fmt.Errorf("%q is none of poisson, steady, bursts", s.Shape)
+		return "shape", fmt.Errorf("%q is not one of poisson, steady and bursts", s.Shape)
 	}
 	return "", nil
 }
--- a/lab/scale/faults.go
+++ b/lab/scale/faults.go
@@ -119,7 +119,7 @@
 func (r *run) cut(ctx context.Context, f *schedule.Fault, affected []int) error {
 	for _, m := range r.realMembers {
 		if len(r.real.relays) == 0 || m.Region == r.fleet.LastRegion() {
-			return fmt.Errorf("real members can only be separated from region %s, with relays in a schedule that cuts it off", r.fleet.LastRegion())
+			return fmt.Errorf("real members cannot be separated from region %s: there are no relays to it, or it has real members itself", r.fleet.LastRegion())
 		}
 	}
 	if _, err := r.orderAllHosts(host.Order{Kind: host.Cut, Separated: affected}); err != nil {
--- a/lab/scenario/scenario_test.go
+++ b/lab/scenario/scenario_test.go
@@ -57,12 +57,12 @@
 	// s.toml:6: field load.rate: cannot decode TOML string into struct field load.Spec.Rate of type float64
 	// s.toml:6: field load.rate: -1 is not within 0.001 and 1e+06
 	// s.toml:20: field trouble[0].seconds: ends at 32 s, past the run's end at 10 s
-	// s.toml:18: field trouble[0].kind: no trouble is called "crush"
-	// s.toml:21: field trouble[0].part: no kind of partner is called "large"
-	// s.toml:21: field trouble[0].part: partner 4 of 4, counted from 0
+	// s.toml:18: field trouble[0].kind: unknown kind of fault "crush"; `flaxcove lab scenarios --troubles` lists the kinds
+	// s.toml:21: field trouble[0].part: there is no kind of partner "large"
+	// s.toml:21: field trouble[0].part: there is no partner 4: the scenario has 4, counted from 0
 	// s.toml:11: field workload[0].hard_stop_ms: 500 is not within 800 and 8.64e+07
 	// s.toml:7: field load.trace: open nowhere.jsonl: no such file or directory
-	// s.toml:17: field partner[1].name: "small" is taken by partner[0]
+	// s.toml:17: field partner[1].name: "small" is already used by partner[0]
 	// s.toml:2: unexpected character U+000A at start of value
 }
 
--- a/lab/world/check.go
+++ b/lab/world/check.go
@@ -48,13 +48,13 @@
 	c.checkRange(path, p[0], least, most)
 	c.checkRange(path, p[1], least, most)
 	if p[0] > p[1] {
-		c.addProblem(path, "%g is above %g", p[0], p[1])
+		c.addProblem(path, "the lower end %g is above the upper end %g", p[0], p[1])
 	}
 }
 
 func (c *checker) checkWord(path, v string, known ...string) {
 	if !slices.Contains(known, v) {
-		c.addProblem(path, "%q is none of %v", v, known)
+		c.addProblem(path, "%q is not one of %v", v, known)
 	}
 }
 
@@ -135,7 +135,7 @@
 		c.partner(at, &all[i])
 		for j := range i {
 			if all[j].Name == all[i].Name {
-				c.addProblem(at+"name", "%q is taken by partner[%d]", all[i].Name, j)
+				c.addProblem(at+"name", "%q is already used by partner[%d]", all[i].Name, j)
 			}
 		}
 	}
@@ -169,7 +169,7 @@
 		t, at := &s.Faults[i], fmt.Sprintf("trouble[%d].", i)
 		kind, known := FaultKinds[t.Kind]
 		if !known {
-			c.addProblem(at+"kind", "no trouble is called %q", t.Kind)
+			c.addProblem(at+"kind", "unknown kind of fault %q; `flaxcove lab scenarios --troubles` lists the kinds", t.Kind)
 			continue
 		}
 		c.checkRange(at+"at", t.At, 0, 1e6)
@@ -213,7 +213,7 @@
 	}
 	switch {
 	case named == 0:
-		return fmt.Sprintf("no kind of partner is called %q", p.Kind)
+		return fmt.Sprintf("there is no kind of partner %q", p.Kind)
 	case p.Zone < 0 || p.Zone > s.Zones:
 		return fmt.Sprintf("zone %d does not exist; the scenario has zones 1 to %d", p.Zone, s.Zones)
 	case p.Endpoint < 0 || p.Endpoint > maxEndpoints:
@@ -222,10 +222,10 @@
 		return fmt.Sprintf("share %g is not within 0 and 1", p.Share)
 	}
 	if n, out := firstOutOfRange(p.Partners, total); out {
-		return fmt.Sprintf("partner %d of %d, counted from 0", n, total)
+		return fmt.Sprintf("there is no partner %d: the scenario has %d, counted from 0", n, total)
 	}
 	if n, out := firstOutOfRange(p.Senders, s.Senders); out {
-		return fmt.Sprintf("sender %d of %d, counted from 0", n, s.Senders)
+		return fmt.Sprintf("there is no sender %d: the scenario has %d, counted from 0", n, s.Senders)
 	}
 	return p.mismatch(affects)
 }
@@ -246,7 +246,7 @@
 	switch affects {
 	case "senders":
 		if p.Kind != "" || len(p.Partners) > 0 || p.Endpoint != 0 {
-			return "this kind of trouble affects senders; select them by share, zone or senders only"
+			return "this kind of fault affects senders; select them by share, zone or senders only"
 		}
 	case "clients":
 	default:
