--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -50,7 +50,7 @@
 	}
 }
 
-// TestHeard checks that notes of a peer are received, duplicates included. Datagrams from an unknown address or the
+// TestReceived checks that notes of a peer are received, duplicates included. Datagrams from an unknown address or the
 // sender itself, and damaged or too long ones, are dropped and counted.
 func TestReceived(t *testing.T) {
 	peer, own, stranger := socket(t), socket(t), socket(t)
@@ -87,7 +87,7 @@
 	}
 }
 
-// TestTell checks that a note is sent from the listening socket, either once to the address that reaches all senders or
+// TestSend checks that a note is sent from the listening socket, either once to the address that reaches all senders or
 // to each sender except itself, and that a peer that is gone does not affect the others.
 func TestSend(t *testing.T) {
 	a, b, all, gone := socket(t), socket(t), socket(t), socket(t)
--- a/lab/cluster/schedule/schedule.go
+++ b/lab/cluster/schedule/schedule.go
@@ -25,8 +25,8 @@
 	Seconds   float64 `toml:"seconds"` // duration of the traffic
 	Rate      float64 `toml:"rate"`    // messages a second
 	Small     []int   `toml:"small"`   // numbers of the processes of the small size
-	// Founders are the numbers of the processes that found the consensus group; if empty, the first processes do, which are
-	// spread over the zones. A single founder is the first leader.
+	// Founders are the numbers of the processes that found the consensus group. If empty, the large ones among the first
+	// processes do, five at most; processes are assigned to the zones in turn. A single founder is the first leader.
 	Founders []int `toml:"founders"`
 	// AtOnce starts the run before the consensus group has a leader. Otherwise times count from the election of a leader.
 	AtOnce  bool     `toml:"at_once"`
--- a/lab/hunt/shrink.go
+++ b/lab/hunt/shrink.go
@@ -13,7 +13,7 @@
 const minGapShare = 0.7
 
 // Shrink removes parts of a find's scenario as long as the find is still reproduced. It uses at most the given number of runs
-// after the first, and returns the smallest scenario with its outcome. OnSmaller, if not nil, is called with each smaller
+// after the first, and returns the smallest scenario with its outcome. If onSmaller is not nil, it is called with each smaller
 // scenario that reproduces the find.
 func Shrink(spec *world.Spec, seed uint64, goal Goal, run RunFunc, runs int, onSmaller func(*world.Spec)) (*world.Spec, Outcome, error) {
 	original, err := run(spec, seed, !goal.RulesOnly)
--- a/lab/live/clients.go
+++ b/lab/live/clients.go
@@ -138,8 +138,9 @@
 }
 
 // handIn sends one command and reads its answer. If a reused connection breaks before any byte of the answer, the command is
-// sent once more on a new connection, since the sender may have closed the old one while it was idle.
-func (c *client) handIn(h *world.HandIn) (answer world.HandInAnswer, comeBackMS int64) {
+// sent once more on a new connection, since the sender may have closed the old one while it was idle. It returns the results
+// of parseAnswer, or HandInNoSender if there is no answer.
+func (c *client) handIn(h *world.HandIn) (answer world.HandInAnswer, retryAfterMS int64) {
 	text := c.p.e.addCommand(h)
 	for attempt := range 2 {
 		fresh := c.conn == nil
@@ -184,7 +185,7 @@
 }
 
 // parseAnswer parses a sender's answer to a hand-in. retryAfterMS is the wait of a -BUSY answer in milliseconds, or 0.
-func parseAnswer(line string) (answer world.HandInAnswer, comeBackMS int64) {
+func parseAnswer(line string) (answer world.HandInAnswer, retryAfterMS int64) {
 	line = strings.TrimRight(line, "\r\n")
 	if strings.HasPrefix(line, "+") {
 		return world.HandInAccepted, 0
--- a/lab/load/search.go
+++ b/lab/load/search.go
@@ -4,8 +4,9 @@
 
 import "math"
 
-// Search looks for the highest rate that a sender sustains. It doubles the rate until one is not sustained, and then tries the
-// geometric mean of the highest sustained and the lowest unsustained rate. The caller alternates Next and Record.
+// Search looks for the highest rate that a sender sustains. It doubles the rate until one is not sustained, or halves it until
+// one is sustained if the first is not. Then it tries the geometric mean of the highest sustained and the lowest unsustained
+// rate. It gives up below a 64th of the first rate. The caller alternates Next and Record.
 type Search struct {
 	sustained, notSustained float64 // highest rate that was sustained and lowest that was not; 0 for none yet
 	start                   float64
--- a/lab/referee/calls.go
+++ b/lab/referee/calls.go
@@ -134,7 +134,8 @@
 }
 
 // checkRepeat checks that a message that may have been executed is sent again only if its effect cannot come twice: never
-// if it is non-idempotent, and if it is keyed only within its window and in the zone of the first execution.
+// if it is non-idempotent, and if it is keyed only within its window and, with Class.ZoneGroup, only to the zone of the first
+// attempt that may have been executed.
 func (r *Referee) checkRepeat(c *world.Call, n *message) {
 	now, e, s, h := r.clock(), c.Conn.Endpoint, c.Conn.Sender, n.handIn
 	w := h.Request.Class
--- a/lab/referee/message.go
+++ b/lab/referee/message.go
@@ -144,7 +144,7 @@
 	}
 }
 
-// Pending returns the number of accepted messages that have not ended, plus those that have an attempt in flight.
+// Pending returns the number of messages that were accepted and have not ended, or that have an attempt in flight.
 func (r *Referee) Pending() (count int) {
 	for _, n := range r.messages {
 		if n.outstanding() || n.inFlight > 0 {
--- a/lab/world/partners.go
+++ b/lab/world/partners.go
@@ -88,8 +88,8 @@
 	p.Rate = rate
 }
 
-// makeEndpoint creates the endpoint with index i of a partner that has count endpoints. Its slots are the partner's rate
-// divided by count, rounded up to a whole number, and its rate is what these slots can process.
+// makeEndpoint creates the endpoint with index i of a partner that has count endpoints. Its number of slots is the mean number
+// of calls in work at an equal part of the partner's rate, rounded up. Its rate is what these slots can process.
 func (w *World) makeEndpoint(p *Partner, i, count int) *Endpoint {
 	kind, no := p.Kind, len(w.Endpoints)
 	e := &Endpoint{
--- a/lab/world/work.go
+++ b/lab/world/work.go
@@ -68,7 +68,7 @@
 	w.enqueue(call)
 }
 
-// refusal reports whether an endpoint refuses a call, and the wait until it would accept one, or 0 if that is unknown.
+// refusal reports whether an endpoint refuses a call, and the wait that the refusal may carry as Retry-After, or 0 for none.
 func (w *World) refusal(call *Call) (wait Time, refused bool) {
 	e := call.Conn.Endpoint
 	switch {
