--- a/cmd/flaxcove/serve_cluster_test.go
+++ b/cmd/flaxcove/serve_cluster_test.go
@@ -142,7 +142,7 @@
 	for _, damaged := range []func() string{
 		func() string {
 			writeFile(t, path, string(stored[:len(stored)/2]))
-			return "torn or damaged"
+			return "truncated or damaged"
 		},
 		func() string {
 			if err := configuration.Store(a.folder(), clusterapi.Configuration{Version: 9, Settings: json.RawMessage(`{"classes":[]}`)}); err != nil {
--- a/internal/cluster/antientropy.go
+++ b/internal/cluster/antientropy.go
@@ -39,7 +39,7 @@
 // antiEntropy is the state kept between queries. It belongs to maintain's goroutine, and holds no more members than the
 // view does. The zero value is ready for use.
 type antiEntropy struct {
-	goneSince    map[view.Name]view.Uptime // when each suspected or dead member was first seen in such a state
+	goneSince    map[view.Name]view.Uptime // when each member was first seen suspected or dead; no other members
 	lastChecksum uint64                    // of the own view at the last query
 	backoff      time.Duration             // from the last exchange caused by differing checksums to the next
 	nextExchange view.Uptime               // earliest time of the next such exchange
@@ -132,7 +132,7 @@
 	n.link.Handle(presencePath, func(_ context.Context, from view.Instance, body []byte) (any, error) {
 		var query presenceQuery
 		if err := json.Unmarshal(body, &query); err != nil {
-			return nil, fmt.Errorf("presence query from %s: %w", from.Name, err)
+			return nil, fmt.Errorf("cannot decode presence query from %q: %w", from.Name, err)
 		}
 		v := n.View()
 		return presenceAnswer{
@@ -161,7 +161,7 @@
 	if len(answer.Here) == 0 && !differs {
 		return
 	}
-	n.log.Info("a peer's membership differs from the own one; running a push/pull exchange", zap.String("by", string(peer)),
+	n.log.Info("a peer's membership differs from this process's; running a push/pull exchange with the peer", zap.String("by", string(peer)),
 		zap.Int("members", len(answer.Here)))
 	n.members.Exchange(peer)
 }
--- a/internal/cluster/configuration/cached.go
+++ b/internal/cluster/configuration/cached.go
@@ -104,7 +104,7 @@
 	}
 	var cached cachedVersion
 	if err := json.Unmarshal(text, &cached); err != nil {
-		return clusterapi.Configuration{}, fmt.Errorf("%s: torn or damaged: %w", path, err)
+		return clusterapi.Configuration{}, fmt.Errorf("%s: truncated or damaged: %w", path, err)
 	}
 	switch {
 	case cached.Version == 0:
--- a/internal/cluster/configuration/run/announce.go
+++ b/internal/cluster/configuration/run/announce.go
@@ -61,7 +61,7 @@
 func (r *Runner) handleAnnouncement(_ context.Context, from view.Instance, body []byte) (any, error) {
 	var message announcement
 	if err := json.Unmarshal(body, &message); err != nil {
-		return nil, fmt.Errorf("configuration: announcement: %w", err)
+		return nil, fmt.Errorf("configuration: cannot decode announcement: %w", err)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/cluster/configuration/run/catchup.go
+++ b/internal/cluster/configuration/run/catchup.go
@@ -10,11 +10,11 @@
 	"go.uber.org/zap"
 )
 
-// catchUp gets the newest version from the leader, waits until it is in force here, and then marks the process as
-// ready. After Options.CatchUp the process becomes ready in any case, and catchUp goes on.
+// catchUp gets the newest version from the leader, waits until it is in force or rejected here, and then marks the
+// process as ready. After Options.CatchUp the process becomes ready in any case, and catchUp goes on.
 func (r *Runner) catchUp() {
 	bound := time.AfterFunc(r.options.CatchUp, func() {
-		r.options.Log.Warn("configuration: not caught up in time; serving with the version that is in force here", zap.Duration("after", r.options.CatchUp),
+		r.options.Log.Warn("configuration: newest version not received or not applied in time, serving with the version in force here", zap.Duration("after", r.options.CatchUp),
 			zap.Uint64("version", r.Status().Version))
 		r.signals.MarkReady()
 	})
--- a/internal/cluster/configuration/run/decide.go
+++ b/internal/cluster/configuration/run/decide.go
@@ -154,7 +154,7 @@
 func (r *Runner) handlePropose(ctx context.Context, _ view.Instance, body []byte) (any, error) {
 	var request ledger.Request
 	if err := json.Unmarshal(body, &request); err != nil {
-		return nil, fmt.Errorf("configuration: request: %w", err)
+		return nil, fmt.Errorf("configuration: cannot decode change request: %w", err)
 	}
 	if !r.options.Consensus.Leading() {
 		return nil, errNotLeading
--- a/internal/cluster/configuration/run/leader.go
+++ b/internal/cluster/configuration/run/leader.go
@@ -16,7 +16,7 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// leaderWork holds what only the leader needs. It is guarded by configuration.mu.
+// leaderWork holds the state that only the leader needs. It is guarded by configuration.mu.
 type leaderWork struct {
 	state          *spread.State // nil while another process leads
 	previous       *spread.State // the state when this process led before; nil if it has not
@@ -31,7 +31,7 @@
 	nextAnnounceAt view.Uptime
 }
 
-// ledgerUpdate is what one read of the ledger returned.
+// ledgerUpdate is the result of one read of the ledger.
 type ledgerUpdate struct {
 	leading     bool // this process leads; otherwise nothing was read
 	changed     bool // the ledger has changed since the last read, or this process has just become leader
@@ -128,7 +128,7 @@
 		ctx, cancel := context.WithTimeout(r.ctx, proposeTimeout)
 		defer cancel()
 		_, err := r.options.Consensus.Propose(ctx, ledger.Part, ledger.KindAdopt, ledger.Adopt{Version: known.Version, Settings: known.Settings})
-		r.options.Log.Warn("configuration: proposed a version of members that the consensus group did not know", zap.Uint64("version", known.Version), zap.Error(err))
+		r.options.Log.Warn("configuration: proposed to add a version that members have and the consensus group lacks", zap.Uint64("version", known.Version), zap.Error(err))
 		r.mu.Lock()
 		r.leaderWork.adoptInFlight = false
 		r.mu.Unlock()
--- a/internal/cluster/configuration/run/messages.go
+++ b/internal/cluster/configuration/run/messages.go
@@ -23,8 +23,8 @@
 )
 
 var (
-	errNotLeading      = errors.New("configuration: this process does not lead the consensus group")
-	errNoCandidate     = errors.New("configuration: no process is known that may lead the consensus group")
+	errNotLeading      = errors.New("configuration: this process is not the leader of the consensus group")
+	errNoCandidate     = errors.New("configuration: no candidate for the leader is known")
 	errAlreadyAnswered = errors.New("configuration: this update was already answered")
 )
 
@@ -96,10 +96,10 @@
 func (r *Runner) handleUpdate(ctx context.Context, from view.Instance, body []byte) (any, error) {
 	var update spread.Update
 	if err := json.Unmarshal(body, &update); err != nil {
-		return nil, fmt.Errorf("configuration: update: %w", err)
+		return nil, fmt.Errorf("configuration: cannot decode update: %w", err)
 	}
 	if update.From.Name != from.Name {
-		return nil, fmt.Errorf("configuration: update: it came from %q, but its field from is %q", from.Name, update.From.Name)
+		return nil, fmt.Errorf("configuration: update rejected: the caller is %q, but its field from names %q", from.Name, update.From.Name)
 	}
 	leader, known := r.options.Consensus.Leader()
 	r.mu.Lock()
@@ -127,10 +127,10 @@
 func (r *Runner) handleReport(_ context.Context, from view.Instance, body []byte) (any, error) {
 	var report spread.Report
 	if err := json.Unmarshal(body, &report); err != nil {
-		return nil, fmt.Errorf("configuration: report: %w", err)
+		return nil, fmt.Errorf("configuration: cannot decode report: %w", err)
 	}
 	if report.From.Name != from.Name {
-		return nil, fmt.Errorf("configuration: report: it came from %q, but its field from is %q", from.Name, report.From.Name)
+		return nil, fmt.Errorf("configuration: report rejected: the caller is %q, but its field from names %q", from.Name, report.From.Name)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -152,7 +152,7 @@
 func (r *Runner) handleFetch(_ context.Context, _ view.Instance, body []byte) (any, error) {
 	var request spread.FetchRequest
 	if err := json.Unmarshal(body, &request); err != nil {
-		return nil, fmt.Errorf("configuration: fetch request: %w", err)
+		return nil, fmt.Errorf("configuration: cannot decode fetch request: %w", err)
 	}
 	update := r.readLedger() // read before the answer, which must be up to date because the other process may become ready after it
 	r.mu.Lock()
--- a/internal/cluster/configuration/run/status.go
+++ b/internal/cluster/configuration/run/status.go
@@ -79,7 +79,7 @@
 func (r *Runner) handleStatusRequest(_ context.Context, _ view.Instance, body []byte) (any, error) {
 	var request statusRequest
 	if err := json.Unmarshal(body, &request); err != nil {
-		return nil, fmt.Errorf("configuration: status request: %w", err)
+		return nil, fmt.Errorf("configuration: cannot decode status request: %w", err)
 	}
 	s, err := r.leaderStatus(request.Version)
 	if err != nil {
--- a/internal/cluster/configuration/spread/simulation_test.go
+++ b/internal/cluster/configuration/spread/simulation_test.go
@@ -100,8 +100,8 @@
 	return all
 }
 
-// updateTree makes a tree of the running processes. Each of them sees it after a random delay, the leader's state at
-// once.
+// updateTree makes a tree of the running processes. The leader's state gets it at once, and each process after a random
+// delay.
 func (w *simulation) updateTree() {
 	all := w.running()
 	w.treeVersions++
--- a/internal/cluster/consensus/consensus.go
+++ b/internal/cluster/consensus/consensus.go
@@ -91,7 +91,7 @@
 	file := filepath.Join(o.Folder, "council.db")
 	g.store, err = raftboltdb.New(raftboltdb.Options{Path: file, BoltOptions: &bbolt.Options{Timeout: time.Second}})
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", file, err)
+		return nil, fmt.Errorf("consensus: cannot open the log store %s: %w", file, err)
 	}
 	if g.stream, err = listen(o, raft.ServerAddress(raftID(g.self))); err != nil {
 		return nil, errors.Join(err, g.store.Close())
--- a/internal/cluster/consensus/machine/machine.go
+++ b/internal/cluster/consensus/machine/machine.go
@@ -156,7 +156,7 @@
 	for _, name := range m.names {
 		state, err := m.parts[name].Snapshot()
 		if err != nil {
-			return nil, fmt.Errorf("snapshot of %s: %w", name, err)
+			return nil, fmt.Errorf("snapshot of part %s: %w", name, err)
 		}
 		if string(state) == "null" {
 			continue
@@ -177,7 +177,7 @@
 	states := map[string]json.RawMessage{}
 	for _, p := range all.Parts {
 		if m.parts[p.Name] == nil {
-			return fmt.Errorf("snapshot: %s: %w", p.Name, ErrUnknownPart)
+			return fmt.Errorf("snapshot: part %s: %w", p.Name, ErrUnknownPart)
 		}
 		states[p.Name] = p.State
 	}
@@ -194,7 +194,7 @@
 	for i, name := range m.names {
 		var err error
 		if before[i], err = m.parts[name].Snapshot(); err != nil {
-			return fmt.Errorf("restore of %s: %w", name, err)
+			return fmt.Errorf("restore of part %s: %w", name, err)
 		}
 	}
 	for i, name := range m.names {
@@ -206,7 +206,7 @@
 			for j := range i {
 				err = errors.Join(err, m.parts[m.names[j]].Restore(before[j]))
 			}
-			return fmt.Errorf("restore of %s: %w", name, err)
+			return fmt.Errorf("restore of part %s: %w", name, err)
 		}
 	}
 	return nil
--- a/internal/cluster/consensus/maintain.go
+++ b/internal/cluster/consensus/maintain.go
@@ -99,7 +99,7 @@
 		m.foundersSince = time.Now()
 	case time.Since(m.foundersSince) >= g.options.BootstrapAfter:
 		err := g.raft.BootstrapCluster(configuration).Error()
-		g.log.Info("consensus: bootstrapped", zap.Int("voters", len(configuration.Servers)), zap.Error(err))
+		g.log.Info("consensus: bootstrap of the group attempted", zap.Int("voters", len(configuration.Servers)), zap.Error(err))
 	}
 }
 
--- a/internal/cluster/consensus/options.go
+++ b/internal/cluster/consensus/options.go
@@ -98,7 +98,7 @@
 	o.InitialVoters = slices.Compact(slices.Sorted(slices.Values(o.InitialVoters)))
 	switch {
 	case o.Self.Name == "" || o.Self.FolderID == "" || o.Folder == "" || o.AddressOf == nil:
-		return errors.New("consensus: options Self.Name, Self.Folder, Folder and AddressOf must be set")
+		return errors.New("consensus: options Self.Name, Self.FolderID, Folder and AddressOf must be set")
 	case strings.Contains(string(o.Self.Name)+o.Self.FolderID, "@"):
 		return fmt.Errorf("consensus: name %q or folder name %q contains @", o.Self.Name, o.Self.FolderID)
 	case len(o.InitialVoters) == 0 || len(o.InitialVoters) > maxVoters:
--- a/internal/cluster/consensus/propose.go
+++ b/internal/cluster/consensus/propose.go
@@ -52,7 +52,7 @@
 	}
 	raw, err := json.Marshal(body)
 	if err != nil {
-		return nil, fmt.Errorf("%s %s: %w", part, kind, err)
+		return nil, fmt.Errorf("consensus: part %q: cannot encode command %q: %w", part, kind, err)
 	}
 	command, err := machine.Encode(machine.Command{Part: part, Kind: kind, At: g.Clock(), Body: raw})
 	if err != nil {
--- a/internal/cluster/consensus/transport.go
+++ b/internal/cluster/consensus/transport.go
@@ -135,7 +135,8 @@
 	return nil
 }
 
-// throttle waits until a call to a peer is due (see untilDue). It returns raft.ErrTransportShutdown after Close.
+// throttle waits until a call to a peer is due (see untilDue). A call other than a heartbeat also ends its wait when there
+// is a new proposal. After Close throttle returns raft.ErrTransportShutdown.
 func (t *transport) throttle(id raft.ServerID, request *raft.AppendEntriesRequest, heartbeat bool) error {
 	for {
 		t.mu.Lock()
@@ -192,7 +193,7 @@
 	return p
 }
 
-// notifyProposed sends the calls that throttle delays, because there is a new proposal.
+// notifyProposed makes throttle send the delayed calls, except heartbeats, because there is a new proposal.
 func (t *transport) notifyProposed() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/cluster/consensus/voters/voters.go
+++ b/internal/cluster/consensus/voters/voters.go
@@ -36,7 +36,7 @@
 	Folder string
 }
 
-// Server is what the leader knows of one server of the configuration.
+// Server describes one server of the configuration, as the leader knows it.
 type Server struct {
 	ID
 	Voter     bool
--- a/internal/cluster/failover/apply/holder.go
+++ b/internal/cluster/failover/apply/holder.go
@@ -30,9 +30,10 @@
 	expiresAt   view.Uptime
 }
 
-// Receive handles an announcement and reports whether another plan is in force afterwards. An announcement of a lower
-// epoch, of an earlier term, or older than the plan's TTL is ignored, so that announcements may arrive in any order. An
-// error means that the plan is invalid; the plan in force stays.
+// Receive handles an announcement and reports whether another plan is in force afterwards. It ignores an announcement that
+// is older than the plan's TTL, a renewal by the leader of an earlier term, and a plan of a lower epoch until
+// lowerEpochDelay after the current plan expired, so that announcements may arrive in any order. An error means that the
+// plan is invalid; the plan in force stays.
 func (h *Holder) Receive(now view.Uptime, in Announcement) (changed bool, err error) {
 	if in.Age < 0 {
 		return false, nil
--- a/internal/cluster/failover/assess/assess_test.go
+++ b/internal/cluster/failover/assess/assess_test.go
@@ -104,7 +104,7 @@
 	expectStates(t, statesOf(sampleFrom("a", 1, 1, "a", 5, 5), sampleFrom("a", 2, 1, "a", 5, 5)), map[string]assess.State{"1a": assess.Degraded})
 }
 
-// TestOldReportsExpire checks that samples and reports no longer count above Bounds.MaxAge, and that a ReportTable deletes
+// TestOldReportsExpire checks that samples and reports older than Bounds.MaxAge do not count, and that a ReportTable deletes
 // reports that are minutes old.
 func TestOldReportsExpire(t *testing.T) {
 	old := sampleFrom("a", 1, 1, "a", 0, 9)
--- a/internal/cluster/failover/plan/capacity.go
+++ b/internal/cluster/failover/plan/capacity.go
@@ -12,7 +12,7 @@
 const (
 	bestHalfLife              = 3 * time.Minute  // half-life of localityState.bestRate
 	saturatedRejectedFraction = 0.1              // a locality that rejects a larger fraction of its calls is saturated
-	saturatedFor              = 10 * time.Second // how long a locality counts as saturated after the last such update
+	saturatedFor              = 10 * time.Second // how long a locality counts as saturated after the last update with so many rejected calls
 	localityTTL               = 10 * time.Minute // how long a locality is kept after its last update
 	maxLocalities             = 24000
 	minRate                   = 0.05 // calls per second; lower rates are treated as this rate or as none
@@ -109,9 +109,10 @@
 }
 
 // homeLoadFactor returns the factor by which a zone's demand is subtracted from the capacity of its home: 1, or the near
-// share if part of the demand is diverted for lack of capacity. It is infinite, so that no other zone gets capacity
-// there, for a home that is failing or returning: it may be in slow start, and needs its capacity for the messages that
-// stay or return.
+// share if part of the demand is diverted for lack of capacity. While the route is diverted or returning, it is infinite,
+// so that no other zone gets capacity there: the home may be in slow start, and needs its capacity for the messages that
+// stay or return. It is 1 again while the zone sees its home failing, as the home only has spare capacity if other zones
+// get answers.
 func (p *Planner) homeLoadFactor(k routeKey, at healthreport.Locality) float64 {
 	r := p.routes[k]
 	switch {
--- a/internal/cluster/failover/plan/demand.go
+++ b/internal/cluster/failover/plan/demand.go
@@ -9,7 +9,7 @@
 
 const (
 	demandHalfLife       = 20 * time.Second
-	divertedHalfLife     = 3 * time.Minute // longer, as the calls answered do not show the demand while a route is diverted
+	divertedHalfLife     = 3 * time.Minute // replaces demandHalfLife while a route is diverted, as the calls answered then do not show the demand
 	demandIncreaseWeight = 0.3             // weight of a higher demand in the moving average
 	maxRejectedFraction  = 0.25            // rejected calls count as demand up to this fraction of the calls done; further ones are retries
 	minDemand            = minRate / 10    // calls per second; a lower demand is dropped
--- a/internal/cluster/failover/plan/route.go
+++ b/internal/cluster/failover/plan/route.go
@@ -60,7 +60,8 @@
 	r.phase, r.nearShare, r.revision = phase, near, r.revision+1
 }
 
-// recordDiversion adds a diversion for returnDelay, unless there are maxDiversions already.
+// recordDiversion records that the route is diverted now. It adds the time to diversions, by which returnDelay doubles the
+// delay, unless there are maxDiversions already.
 func (r *routeState) recordDiversion(now view.Uptime) {
 	r.directionChangedAt = now
 	if len(r.diversions) < maxDiversions {
--- a/internal/cluster/failover/plan/share.go
+++ b/internal/cluster/failover/plan/share.go
@@ -15,7 +15,7 @@
 const (
 	overloadTolerance = 1.05            // multiple of a receiver's capacity above which routes to it are reassigned
 	negligibleRate    = 0.5             // excess over that multiple in calls per second that does not count as an overload
-	reassignInterval  = 3 * time.Second // minimum time between two attempts to divert what stayed near for lack of capacity
+	reassignInterval  = 3 * time.Second // minimum time between two attempts to divert messages that stayed near for lack of capacity
 )
 
 // planRoutes returns the routes of the next plan. Routes in force are reused unchanged while they fit, so that varying
@@ -49,7 +49,7 @@
 	return routes, changed, urgent
 }
 
-// assignRoutes returns routes for these keys, and subtracts what they send from the spare capacity. Keys that come earlier
+// assignRoutes returns routes for these keys, and subtracts the calls that they send from the spare capacity. Keys that come earlier
 // are served first.
 func (p *Planner) assignRoutes(keys []routeKey, spare capacities) []Route {
 	routes := make([]Route, len(keys))
@@ -193,7 +193,7 @@
 	}
 }
 
-// assignRemainder lets the rest of the messages go near, where package choice sheds what exceeds the capacity, with a
+// assignRemainder lets the rest of the messages go near, where package choice sheds messages beyond the capacity, with a
 // Retry-After. If no other zone is usable, a diverted route becomes unrestricted, so that messages go where they would
 // go without a plan.
 func (p *Planner) assignRemainder(k routeKey, r *Route) {
--- a/internal/cluster/failover/run/leader.go
+++ b/internal/cluster/failover/run/leader.go
@@ -99,7 +99,7 @@
 	r.mu.Unlock()
 	var stale *plan.StaleEpochError
 	if err != nil && !errors.As(err, &stale) && r.ctx.Err() == nil {
-		r.options.Log.Info("plan proposal failed", zap.Uint64("epoch", uint64(next.Epoch)), zap.Error(err))
+		r.options.Log.Info("plan proposal failed, the planner continues from the plan in force", zap.Uint64("epoch", uint64(next.Epoch)), zap.Error(err))
 	}
 	r.wakeLoop()
 }
--- a/internal/cluster/feed.go
+++ b/internal/cluster/feed.go
@@ -25,8 +25,9 @@
 	evidencePath    = "/evidence"
 	evidenceTimeout = 400 * time.Millisecond // bounds sending one report
 	digestQueueSize = 8                      // further digests are dropped, and their counts with them
-	// healthyInterval is the time between two reports of a locality without failures. Package assess considers a sample
-	// for twice that time.
+	// healthyInterval is the time between two reports of a locality without failures. It is less than half
+	// of the age up to which package assess considers a report (assess.Bounds.MaxAge), so that at least two reports are
+	// sent in that time.
 	healthyInterval = 2 * time.Second
 	// listingTTL is how long a locality counts as listed after the sender last reported it. The sender reports each one
 	// every five seconds.
@@ -200,11 +201,11 @@
 	n.link.Handle(evidencePath, func(_ context.Context, from view.Instance, body []byte) (any, error) {
 		var samples []healthreport.Sample
 		if err := json.Unmarshal(body, &samples); err != nil {
-			return nil, fmt.Errorf("health report from %s: %w", from.Name, err)
+			return nil, fmt.Errorf("cannot decode health report from %q: %w", from.Name, err)
 		}
 		for _, s := range samples {
 			if s.Reporter != from.Name {
-				return nil, fmt.Errorf("health report from %s: field w names another reporter, %q", from.Name, s.Reporter)
+				return nil, fmt.Errorf("health report rejected: the caller is %q, but field w of a sample names %q", from.Name, s.Reporter)
 			}
 		}
 		n.evidence.Add(n.Now(), samples)
--- a/internal/cluster/link/call.go
+++ b/internal/cluster/link/call.go
@@ -28,7 +28,7 @@
 	transport := &http.Transport{
 		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
 			// net/http keeps dialling after a call has ended, to have a connection for the next one. Close must cancel
-			// such a dial too.
+			// that dial too.
 			ctx, cancel := context.WithCancel(ctx)
 			defer cancel()
 			defer context.AfterFunc(l.baseCtx, cancel)()
--- a/internal/cluster/member/delegate.go
+++ b/internal/cluster/member/delegate.go
@@ -74,8 +74,9 @@
 //
 // If the cluster knows the name with the same or a later incarnation of another process, this process raises its own
 // incarnation above that one. It may do so within settlingPeriod of meeting its first member, or at any time if the
-// other process is gone. The same incarnation matters too, as other members count acknowledgements by incarnation. If
-// this process may not raise its incarnation, a process with a later one becomes the name owner.
+// other process is gone, and maxRaises times in total. The same incarnation matters too, as other members count
+// acknowledgements by incarnation. If this process may not raise its incarnation, the other process becomes the name
+// owner if its observation supersedes this process (roster.Supersedes).
 func (m *Members) handleOwnName(s roster.Observation, gone bool) error {
 	sameProcess := s.Member.FolderID == m.self.Member.FolderID && s.GossipAddr == m.self.GossipAddr
 	superseded := roster.Supersedes(s, m.self)
@@ -91,7 +92,7 @@
 		}
 		m.raiseCount, m.raisePending = m.raiseCount+1, true
 		wake(m.notifyNeeded)
-		m.opts.Log.Warn("the cluster knows this process's name with the same or a later incarnation; raising the own incarnation",
+		m.opts.Log.Warn("the cluster knows this process's name with the same or a later incarnation; raising this process's incarnation",
 			zap.Uint64("incarnation", uint64(next.Member.Incarnation)))
 		return nil
 	}
--- a/internal/cluster/member/member.go
+++ b/internal/cluster/member/member.go
@@ -125,7 +125,7 @@
 	}
 	m.transport.snapshots = m.snapshots
 	if m.list, err = memberlist.Create(m.libraryConfig(logger)); err != nil {
-		return nil, errors.Join(fmt.Errorf("membership: %w", err), m.snapshots.list.Shutdown(), nt.Shutdown())
+		return nil, errors.Join(fmt.Errorf("membership: cannot start memberlist: %w", err), m.snapshots.list.Shutdown(), nt.Shutdown())
 	}
 	m.startLoops()
 	return m, nil
@@ -259,7 +259,7 @@
 		return nil // another process owns the name, or the library has ended
 	}
 	if err := m.list.Leave(max(within, time.Millisecond)); err != nil {
-		return fmt.Errorf("membership: %w", err)
+		return fmt.Errorf("membership: announcing the leave failed: %w", err)
 	}
 	return nil
 }
--- a/internal/cluster/member/snapshot.go
+++ b/internal/cluster/member/snapshot.go
@@ -55,7 +55,7 @@
 	conf.Logger = log.New(io.Discard, "", 0) // the library logs each rejected merge
 	list, err := memberlist.Create(conf)
 	if err != nil {
-		return nil, fmt.Errorf("membership: %w", err)
+		return nil, fmt.Errorf("membership: cannot start the snapshot instance: %w", err)
 	}
 	s.list = list
 	return s, nil
--- a/internal/cluster/popularity/count/count_test.go
+++ b/internal/cluster/popularity/count/count_test.go
@@ -19,7 +19,7 @@
 }
 
 // TestEstimatesWithinBounds compares a table with exact counts. The lower bound of a row never exceeds the exact count, and its
-// overestimate never exceeds the total divided by the number of rows. Each message has another client, so that no client is
+// overestimate never exceeds the total divided by the number of rows. Each message comes from a different client, so that no client is
 // limited by its bound.
 func TestEstimatesWithinBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/cluster/popularity/evict/evict.go
+++ b/internal/cluster/popularity/evict/evict.go
@@ -28,7 +28,7 @@
 	returnFactor = 2.0
 	minScore     = 1e-3   // messages; lowest score, so that cost and bytes decide between destinations without a score
 	maxTracked   = 2048   // destinations in each map of an Evictor
-	baseBytes    = 1024.0 // added to the size of each destination, for what any cached destination costs
+	baseBytes    = 1024.0 // added to the size of each destination, as the fixed cost of caching one
 )
 
 // Bounds limit the destinations that are cached. A field that is 0 sets no limit.
--- a/internal/cluster/purge/ledger/ledger.go
+++ b/internal/cluster/purge/ledger/ledger.go
@@ -272,7 +272,8 @@
 	}
 }
 
-// dropContents drops everything of a record except its id, checksums and total sums.
+// dropContents drops the match of a purge, who requested it and why, and its outcome by zone. The id, the checksums and
+// the total sums remain.
 func (r *Record) dropContents() {
 	r.RequestedBy, r.Reason, r.Match, r.Zones, r.LapsedNames = "", "", clusterapi.Match{}, nil, nil
 }
--- a/internal/cluster/purge/run/http.go
+++ b/internal/cluster/purge/run/http.go
@@ -1,7 +1,7 @@
 package run
 
 // This file implements the HTTP interface for callers. An order, which is the body of a POST /v1/purges, is an Open command
-// of the ledger, which also defines what is valid.
+// of the ledger, and the ledger validates it.
 
 import (
 	"context"
--- a/internal/cluster/tree/tree_test.go
+++ b/internal/cluster/tree/tree_test.go
@@ -155,8 +155,8 @@
 				t.Errorf("%+v: %s has %d children", c, m.Name, n)
 			}
 		}
-		// The departure of a member without children moves no other member, or those of one group that then needs one
-		// level less.
+		// The departure of a member without children moves no other member, except if its group then needs one level
+		// less: in that case it may move the members of that group.
 		for i, gone := range all {
 			if i > 20 || len(tr.Children(gone.Name)) > 0 || c.processes == 1 {
 				continue
