--- a/internal/cluster/failover/plan/share.go
+++ b/internal/cluster/failover/plan/share.go
@@ -49,8 +49,8 @@
 	return routes, changed, urgent
 }
 
-// assignRoutes returns routes for these keys, and subtracts the calls that they send from the spare capacity. Keys that come earlier
-// are served first.
+// assignRoutes returns routes for these keys, and subtracts the calls that they send from the spare capacity. Keys that
+// come earlier are served first.
 func (p *Planner) assignRoutes(keys []routeKey, spare capacities) []Route {
 	routes := make([]Route, len(keys))
 	for i, k := range keys {
--- a/internal/cluster/failover/run/reports.go
+++ b/internal/cluster/failover/run/reports.go
@@ -86,7 +86,7 @@
 	r.stats.ReportsSent += uint64(len(reports))
 }
 
-// handleReports stores reports from a child, or from any process if they are final.
+// handleReports stores received reports: final ones for the planner, others to be sent on to the parent.
 func (r *Runner) handleReports(_ context.Context, from view.Instance, body []byte) (any, error) {
 	var in reportsMessage
 	err := json.Unmarshal(body, &in)
--- a/internal/cluster/feed.go
+++ b/internal/cluster/feed.go
@@ -25,9 +25,9 @@
 	evidencePath    = "/evidence"
 	evidenceTimeout = 400 * time.Millisecond // bounds sending one report
 	digestQueueSize = 8                      // further digests are dropped, and their counts with them
-	// healthyInterval is the time between two reports of a locality without failures. It is less than half
-	// of the age up to which package assess considers a report (assess.Bounds.MaxAge), so that at least two reports are
-	// sent in that time.
+	// healthyInterval is the time between two reports of a locality without failures. It is less than half of the age up
+	// to which package assess considers a report (assess.Bounds.MaxAge), so that at least two reports are sent in that
+	// time.
 	healthyInterval = 2 * time.Second
 	// listingTTL is how long a locality counts as listed after the sender last reported it. The sender reports each one
 	// every five seconds.
--- a/internal/cluster/tree/rendezvous.go
+++ b/internal/cluster/tree/rendezvous.go
@@ -14,8 +14,8 @@
 	"flaxcove/internal/cluster/view"
 )
 
-// score returns a candidate's rank in a group; the candidate with the highest becomes its coordinator. The kind
-// separates the hash values of zones, regions, groups and the cluster.
+// score returns the rank of a candidate in a group. The candidate with the highest rank becomes the group's coordinator.
+// The kind separates the hash values of zones, regions, groups and the cluster.
 func score(kind, group, candidate string) uint64 {
 	return xxhash.Sum64String(kind + "\x00" + group + "\x00" + candidate)
 }
--- a/internal/cluster/tree/tree.go
+++ b/internal/cluster/tree/tree.go
@@ -37,9 +37,9 @@
 // candidate is a process that may become the coordinator of a group.
 type candidate struct {
 	name view.Name
-	// key is the string that the candidate's rank is computed from: the name of a process, the zone of a zone's
-	// coordinator, the region of a region's. So a zone's new coordinator does not change which zone provides the
-	// region's coordinator.
+	// key is the string that the candidate's rank is computed from: the name of the process in its zone, the name of
+	// its zone if it is a zone's coordinator, and the name of its region if it is a region's coordinator. So a zone's
+	// new coordinator does not change which zone provides the region's coordinator.
 	key   string
 	large bool
 }
@@ -73,7 +73,7 @@
 }
 
 // deriveRegion selects the coordinators of a region and of its zones, and assigns their children. It returns the
-// region's coordinator as a candidate for the cluster's.
+// region's coordinator as a candidate for the coordinator of the cluster.
 func (t *Tree) deriveRegion(region view.Region, large map[view.Name]bool) candidate {
 	var zoneCoordinators []candidate
 	for _, zone := range t.zones[region] {
@@ -85,7 +85,8 @@
 	return candidate{coordinator.name, string(region), coordinator.large}
 }
 
-// deriveZone selects the coordinator of a zone and assigns its children. It returns it as a candidate for the region's.
+// deriveZone selects the coordinator of a zone and assigns its children. It returns the coordinator as a candidate for
+// the coordinator of the region.
 func (t *Tree) deriveZone(zone view.Zone, large map[view.Name]bool) candidate {
 	var members []candidate
 	for _, name := range t.members[zone] {
