--- a/internal/cluster/configuration/run/apply.go
+++ b/internal/cluster/configuration/run/apply.go
@@ -81,7 +81,7 @@
 	// an older one.
 	c := clusterapi.Configuration{Version: d.Version, Settings: d.Settings}
 	if err := configuration.Store(r.options.Folder, c); err != nil {
-		return fmt.Errorf("not stored on disk: %w", err)
+		return fmt.Errorf("not kept on disk: %w", err)
 	}
 	r.pendingHandover = &handover{document: d, before: before, answer: make(chan error, 1)}
 	answer := r.pendingHandover.answer
