--- a/choice/attempts.go
+++ b/choice/attempts.go
@@ -5,8 +5,8 @@
 	bulkMemberCost = 0.15
 	// timeoutDeviations is the margin of a time-out above the mean call time, in mean absolute deviations.
 	timeoutDeviations = 10.0
-	// finalTimeoutFactor multiplies the time-out of a non-idempotent message, which ends at its first time-out, while
-	// no call is in flight. The factor falls linearly to 1 as the in-flight limit is used up.
+	// finalTimeoutFactor multiplies the time-out of a non-idempotent message, which ends at its first time-out, if the
+	// whole in-flight limit is free. The factor falls linearly to 1 as the in-flight limit is used up.
 	finalTimeoutFactor = 4.0
 	// reusedResetLimit is the share of calls over reused connections that may be reset. Above it, non-idempotent
 	// messages get new connections.
--- a/choice/endpointlist.go
+++ b/choice/endpointlist.go
@@ -7,7 +7,8 @@
 
 // This file applies the endpoint list: it adds and drops endpoints and destinations.
 
-// initialConcurrency is the concurrency limit of an endpoint that has no calls yet, or no recent successful ones.
+// initialConcurrency is the concurrency limit of an endpoint that has no calls yet or begins slow start. An endpoint
+// without a recent successful call gets no more calls in flight than this, whatever its limit.
 const initialConcurrency = 2.0
 
 // UpdateEndpoints applies the endpoint list. With whole, entries are the complete list; otherwise they are the entries
--- a/choice/learned_test.go
+++ b/choice/learned_test.go
@@ -63,13 +63,13 @@
 		return total
 	}
 	before, after := sent(false), sent(true)
-	fmt.Println("sent in slow start:", before > 10, "more after Void:", after > before)
+	fmt.Println("sent in slow start:", before > 10, "more after ReplaceLearnedState:", after > before)
 	host := startSender(set)
 	host.accept(0, 1, "p").end(Rejected, 4*Second, "a", "p")
 	host.sender.ReplaceLearnedState("a", nil)
 	host.accept(0, 1, "q").advance(5 * Second)
 	// Output:
-	// sent in slow start: true more after Void: false
+	// sent in slow start: true more after ReplaceLearnedState: false
 	// 0.0     attempt p to a
 	// 4200.0  attempt q to a
 }
--- a/choice/notes.go
+++ b/choice/notes.go
@@ -30,7 +30,8 @@
 }
 
 // sendNote notifies the other senders that this sender hit a limit or, without a wait, that an endpoint had no room for
-// a connection. The latter note is not sent if any sender has sent it recently.
+// a connection. The latter note is not sent if another sender has sent it recently, or if this sender has recently sent
+// any note about the endpoint.
 func (s *Sender) sendNote(ep *endpoint, wait Time) {
 	if !s.exchangesNotes {
 		return
--- a/choice/outcomes.go
+++ b/choice/outcomes.go
@@ -124,8 +124,8 @@
 }
 
 // onDone handles a successful call. It updates the call times, marks the route as working and, if the call's report
-// shows free capacity, raises the rate to the limit. It raises the endpoint's concurrency limit unless calls have
-// become much slower.
+// shows free capacity, raises the rate to this sender's part of the limit. It readmits an ejected endpoint; otherwise
+// it raises the endpoint's concurrency limit unless calls have become much slower.
 func (s *Sender) onDone(call *call, o Outcome) {
 	ep, route, kind := call.endpoint, call.endpoint.route, call.endpoint.destination.kind
 	ep.observe(float64(o.Duration), recentWeight, longTermWeight)
--- a/choice/outlier.go
+++ b/choice/outlier.go
@@ -21,8 +21,9 @@
 	successesAfterUnanswered = 6
 )
 
-// onUnanswered counts a call as unanswered, at most once. If the endpoint has answered other calls since then, its
-// concurrency limit is halved; otherwise the call counts as a failure.
+// onUnanswered counts a call as unanswered, at most once. If another call to the endpoint has succeeded since this one
+// was sent, the endpoint's concurrency limit is halved, and non-idempotent messages wait until more calls succeed.
+// Otherwise the call counts as a failure.
 func (s *Sender) onUnanswered(call *call) {
 	if call.unanswered {
 		return
@@ -114,7 +115,7 @@
 }
 
 // ProbeEnded handles the result of a health probe. A passed probe allows a trial call, and a failed one doubles the
-// pause before the next trial. A cancelled probe was never sent, so it changes no health.
+// pause before the next trial. A cancelled probe was never sent, so it only postpones the next trial.
 func (s *Sender) ProbeEnded(id EndpointID, result Result) {
 	s.now = s.host.Now()
 	ep := s.endpoints[id]
--- a/choice/retries_test.go
+++ b/choice/retries_test.go
@@ -110,8 +110,8 @@
 	// rate: 0.196
 }
 
-// TestRepeatEnd checks that Open and RepeatableUntil agree on the last moment for a repeat. The host calls Open before
-// it writes an attempt.
+// TestRepeatEnd checks that MaySend and RepeatableUntil agree on the last moment for a repeat. The host calls MaySend
+// before it writes an attempt.
 func TestRepeatEnd(t *testing.T) {
 	host := startSender(testSettings())
 	host.mute = true
--- a/choice/selection.go
+++ b/choice/selection.go
@@ -139,8 +139,9 @@
 // key is known only there. Routing rules do not apply to it then, since they could leave it without an endpoint.
 func (s *Sender) boundToZone(msg *message) bool { return msg.MayRun && s.class(msg).ZoneGroup }
 
-// mustAwaitAnswers reports whether a non-idempotent message must wait because calls to the endpoint went unanswered,
-// until enough of them succeed again. It waits no longer than its deadline allows.
+// mustAwaitAnswers reports whether a non-idempotent message must wait because a call to the endpoint went unanswered.
+// It waits until enough calls have succeeded again or nonIdempotentTrialDelay has passed since that call, but no longer
+// than its deadline allows.
 func (s *Sender) mustAwaitAnswers(msg *message, ep *endpoint) bool {
 	if s.class(msg).Repeat != NonIdempotent || ep.successesNeeded == 0 {
 		return false
--- a/choice/settings.go
+++ b/choice/settings.go
@@ -45,8 +45,8 @@
 	RatingExact
 )
 
-// Settings configure a Sender. They are given to Start, and to Sender.Configure when they change. Rates are in messages
-// or calls a second and, unless noted otherwise, apply to all senders together.
+// Settings configure a Sender. They are passed to NewSender, and to Sender.Configure when they change. Rates are in
+// messages or calls a second and, unless noted otherwise, apply to all senders together.
 type Settings struct {
 	// The fleet, and this sender's place in it.
 
@@ -77,7 +77,7 @@
 	MaxRetryAfter        Time // longest retry time that the answer to a shed message may name; 0 for none
 	DialTimeout          Time // longest time to establish a connection; used by the host only
 	ConnIdle             Time // the host closes connections that have been idle for this long
-	AnswersWhenTableFull bool // an endpoint whose connection table is full answers so (Outcome.Closed); otherwise connecting fails
+	AnswersWhenTableFull bool // an endpoint with a full connection table rejects and closes (Outcome.Closed); otherwise connecting fails
 	TurnInterval         Time // shortest time between two turns
 
 	// Capacity of endpoints, and slow start after an outage.
--- a/choice/state.go
+++ b/choice/state.go
@@ -121,10 +121,10 @@
 	lastSuccess         Time
 
 	idleConnUntil    Time // an idle connection may exist until then
-	connectionNoteAt Time // time of the latest note, sent or received, that the connection table was full
+	connectionNoteAt Time // time of the latest note sent about the endpoint, or received that its connection table was full
 }
 
-// healthState is whether an endpoint is ejected or in slow start, and since when.
+// healthState says whether an endpoint is ejected or in slow start, and since when.
 type healthState struct {
 	ejected     bool
 	probePassed bool // the latest probe passed, so a trial call may be sent
