--- a/internal/drill/drill.go
+++ b/internal/drill/drill.go
@@ -87,7 +87,7 @@
 		return s.beginBatch(event, f)
 	}
 	if s.missingItems > 0 && event != "item" {
-		return fielderror.New("event", "got %q, want %d more items", event, s.missingItems)
+		return fielderror.New("event", "got %q, want %d more item lines of the catalog", event, s.missingItems)
 	}
 	switch event {
 	case "go":
@@ -131,7 +131,7 @@
 
 func (s *server) addItem(f *fields) error {
 	if s.missingItems == 0 {
-		return fielderror.New("event", "an item without a catalog line before it")
+		return fielderror.New("event", "an item line that no catalog line has announced")
 	}
 	entry, err := readItem(f)
 	if err != nil {
--- a/internal/drill/drill_test.go
+++ b/internal/drill/drill_test.go
@@ -95,7 +95,7 @@
 	// line 6: field end: the line has further fields
 	// line 2: field bootInfo: unexpected end of JSON input
 	// line 2: field bootInfo: classes: missing
-	// line 3: field event: got "go", want 2 more items
+	// line 3: field event: got "go", want 2 more item lines of the catalog
 	// line 2: input ends inside a batch
 }
 
