--- a/internal/sender/admission.go
+++ b/internal/sender/admission.go
@@ -72,13 +72,13 @@
 	s.reservedBytes += m.size + maxLaterRecordBytes
 }
 
-// commit writes the records of the turn to the journal. It reports whether they are written, and so whether answers,
-// reports and calls may be sent.
+// commit writes the records of the turn to the journal. It reports whether they are written, and so whether admitted
+// messages and orders may be answered and calls may be sent.
 func (s *Sender) commit() bool {
 	s.recordAdmitted()
 	s.recordCalls()
 	if err := s.writeJournal(); err != nil {
-		s.log.Error("cannot write the journal; no answer, report or call is sent in this turn", zap.Error(err))
+		s.log.Error("cannot write the journal; new messages are rejected and no call begins until a write succeeds", zap.Error(err))
 		return false
 	}
 	return true
--- a/internal/sender/call.go
+++ b/internal/sender/call.go
@@ -37,7 +37,7 @@
 	// recorded reports that the journal has the call as one that may have run. It is false while the call waits for a
 	// connection: a process that is killed then has sent nothing, and a non-idempotent message need not fail.
 	recorded         bool
-	localFailure     bool // it was never sent, for a reason of this process
+	localFailure     bool // the call was never sent, for a reason of this process
 	awaitingCapacity bool // this process could not open a connection for it at the last check
 }
 
@@ -126,9 +126,9 @@
 	s.after(capacityRecheck, func() { s.findLink(c) })
 }
 
-// cancelMessage ends one message of a call at the message's own deadline, while the call goes on. If the write of the call
-// has not begun, the message is removed from the call and has not run. Otherwise it may have run, and the answer comes too
-// late for it.
+// cancelMessage ends the attempt of one message while its call goes on: at the message's own deadline, after its repeat
+// window, or for a purge. If the write of the call has not begun, the message is removed from the call and has not run.
+// Otherwise it may have run, and the answer comes too late for it.
 func (s *Sender) cancelMessage(c *call, m *message) {
 	if c.done || m.inFlight != c {
 		return
--- a/internal/sender/client_input.go
+++ b/internal/sender/client_input.go
@@ -99,8 +99,8 @@
 }
 
 // nextCommand parses one command from the start of text into c.args and returns its length in bytes, or 0 if it is
-// incomplete. An incomplete command is an error if it is longer than maxInput, or if the incomplete commands of all clients
-// take more than maxUnparsedBytes.
+// incomplete. An incomplete command is an error if it is longer than maxInput, or if it is the first input that is held for
+// its client and the incomplete commands of all clients would take more than maxUnparsedBytes.
 func (s *Sender) nextCommand(c *client, text []byte) (took int, err error) {
 	args, took, err := resp.Command(text, c.args)
 	switch {
@@ -116,7 +116,8 @@
 	return took, nil
 }
 
-// keepIncomplete keeps the input after the parsed commands, and the time since which that command is incomplete.
+// keepIncomplete keeps the input after the parsed commands, which is the beginning of an incomplete command, and the time
+// since which that command is incomplete.
 func (s *Sender) keepIncomplete(c *client, parsed int) {
 	rest := c.input[parsed:]
 	if len(rest) == 0 {
--- a/internal/sender/client_timeouts.go
+++ b/internal/sender/client_timeouts.go
@@ -95,8 +95,8 @@
 	}
 }
 
-// idleClients returns the clients that may be closed at a graceful shutdown. With force these are all clients that are not
-// closing yet.
+// idleClients returns the clients that may be closed at a graceful shutdown. With force these are all clients that are
+// neither closing nor lingering.
 func (s *Sender) idleClients(force bool) (idle []*client) {
 	s.clients.Lock()
 	defer s.clients.Unlock()
--- a/internal/sender/cluster.go
+++ b/internal/sender/cluster.go
@@ -14,8 +14,8 @@
 )
 
 // defaultGateTimeout is the longest time that a gate holds attempts back, unless JoinOptions.GateTimeout is set. It is
-// longer than fetching and applying missed purges takes over loopback. The latency objectives of the classes seen are
-// 0.8 s and longer.
+// longer than fetching and applying missed purges takes over loopback. It is also longer than the shortest latency
+// objective seen in settings, 0.8 s: if the gate stays shut until the timeout, messages of such a class are late.
 const defaultGateTimeout = 2 * time.Second
 
 // JoinOptions holds the options of Join.
--- a/internal/sender/clusterapi/clusterapi.go
+++ b/internal/sender/clusterapi/clusterapi.go
@@ -37,7 +37,7 @@
 	Messages    uint64               `json:"n"`
 }
 
-// Digest is a sender's summary of its traffic since the digest before. A sender passes one to Cluster.ReportDigest
+// Digest is a sender's summary of its traffic since its previous digest. A sender passes one to Cluster.ReportDigest
 // twice a second, and the receiver owns it.
 type Digest struct {
 	Rows   []DigestRow
@@ -116,7 +116,7 @@
 	// nothing.
 	AdoptLearnedState(learned []LearnedEndpoint)
 	// GetLearnedState passes to done what this sender has learned of the given destinations, or of all destinations if
-	// of is empty.
+	// none is given.
 	GetLearnedState(of []choice.DestinationID, done func([]LearnedEndpoint))
 	// Configure puts a configuration in force in one turn, completely or not at all. done gets nil once the configuration is
 	// in force; otherwise it gets the error, and the previous settings stay in force. A version older than the one in force
--- a/internal/sender/digest.go
+++ b/internal/sender/digest.go
@@ -47,7 +47,7 @@
 	digests           uint64                                    // number of digests so far
 	listChanged       bool                                      // the endpoint list has changed since listings was built
 	longestDeadline   choice.Time                               // longest time from acceptance to deadline so far
-	shortestObjective choice.Time                               // shortest latency objective of a class so far
+	shortestObjective choice.Time                               // shortest latency objective of a class of the current settings
 	leftOut           int64                                     // rows and counts left out so far
 }
 
@@ -61,7 +61,7 @@
 }
 
 // includeClasses updates longestDeadline and shortestObjective for new settings. The classes of earlier settings still
-// count, as their messages may be pending.
+// count for longestDeadline, as their messages may be pending; shortestObjective is that of the new settings alone.
 func (d *digestState) includeClasses(classes []choice.Class) {
 	for i, class := range classes {
 		d.longestDeadline = max(d.longestDeadline, class.Deadline)
--- a/internal/sender/discovery.go
+++ b/internal/sender/discovery.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// watch watches the list at the current address from version since on. Earlier watches continue until this one receives
-// its first list: a new address that never answers must not leave the sender without a watch.
+// watch starts a watch of the list at the current address, from version since on. Earlier watches continue until this
+// one receives its first list: a new address that never answers must not leave the sender without a watch.
 func (s *Sender) watch(since int64) {
 	addr, stop := s.discovery, make(chan struct{})
 	s.watches = append(s.watches, stop)
@@ -55,7 +55,7 @@
 	go directory.Watch(addr, s.cfg.Settings.Senders, since, stop, onList, onEnd)
 }
 
-// endWatches ends the count oldest watches.
+// endWatches ends the oldest watches, as many as count says.
 func (s *Sender) endWatches(count int) {
 	for _, stop := range s.watches[:count] {
 		close(stop)
--- a/internal/sender/drain_test.go
+++ b/internal/sender/drain_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// drainSignalledBefore starts a graceful shutdown as if its signal had come earlier by the time before, and runs
+// drainSignalledBefore starts a graceful shutdown as if its signal had come some time ago, given by before, and runs
 // checkDrain at once.
 func drainSignalledBefore(t *testing.T, s *Sender, before time.Duration) {
 	t.Helper()
--- a/internal/sender/eviction.go
+++ b/internal/sender/eviction.go
@@ -42,7 +42,7 @@
 	return all
 }
 
-// inSet returns a function that reports whether a destination is one of all.
+// inSet returns a function that reports whether a destination is one of the given ones.
 func inSet(all []choice.DestinationID) func(choice.DestinationID) bool {
 	set := map[choice.DestinationID]struct{}{}
 	for _, d := range all {
--- a/internal/sender/harness_test.go
+++ b/internal/sender/harness_test.go
@@ -97,7 +97,7 @@
 // startWith opens a sender with a configuration.
 func startWith(cfg *config.Config) *harness { return startAt(cfg, time.Minute) }
 
-// startAt opens a sender with a configuration whose clock begins at another time. If that fails it prints the error, and
+// startAt opens a sender with a configuration and a clock that begins at the time at. If that fails it prints the error, and
 // the harness has no sender.
 func startAt(cfg *config.Config, at time.Duration) *harness {
 	dir := cfg.StateDir
--- a/internal/sender/lingering_close.go
+++ b/internal/sender/lingering_close.go
@@ -102,7 +102,8 @@
 	}
 }
 
-// closeWrite writes last, if it is not empty, and shuts down the sending side. The caller holds the client's stateLock.
+// closeWrite writes a last answer, unless it is empty, and shuts down the sending side. The caller holds the client's
+// stateLock.
 func (c *client) closeWrite(last []byte) {
 	c.writeClosed = true
 	conn, known := c.conn.(netpoll.Conn)
@@ -177,7 +178,7 @@
 	return c.writeClosed
 }
 
-// discardIfLingering reports whether more bytes of new input are to be discarded, and counts them if so. It closes the
+// discardIfLingering reports whether new input is to be discarded, and counts its bytes (more) if so. It closes the
 // connection once more than maxDiscarded bytes have been discarded.
 func (s *Sender) discardIfLingering(c *client, more int) bool {
 	if !s.discardsInput(c) {
--- a/internal/sender/outcome_reporter.go
+++ b/internal/sender/outcome_reporter.go
@@ -33,8 +33,8 @@
 // init sets the pause after the first failed post.
 func (r *outcomeReporter) init() { r.retryPause = minPostRetryPause }
 
-// postEndings starts a post of endings unless one is in flight. It is called after the turn's append, so that every
-// reported ending is on record.
+// postEndings starts a post of endings unless one is in flight. It is called after the turn's append, so that the endings
+// that it reports are on record unless this append has failed.
 func (s *Sender) postEndings() {
 	if s.posting || len(s.endings) == 0 {
 		return
--- a/internal/sender/purge.go
+++ b/internal/sender/purge.go
@@ -188,7 +188,7 @@
 	s.endMessage(m, ending{kind: endFailed})
 }
 
-// endWithdrawn ends a withdrawn message whose call has ended as how says.
+// endWithdrawn ends a withdrawn message after its call has ended. how is the result of withdrawal.EndOfHeld.
 func (s *Sender) endWithdrawn(m *message, how withdrawal.HeldEnd) {
 	if how == withdrawal.AsAnswered {
 		s.closeMessage(m)
--- a/internal/sender/ready_test.go
+++ b/internal/sender/ready_test.go
@@ -87,8 +87,8 @@
 	}
 }
 
-// messagesOf returns a function that makes messages of a class that were accepted the time ago earlier. key may contain a
-// formatting verb for the message's number.
+// messagesOf returns a function that makes messages of a class that were accepted some time ago, given by ago. key may
+// contain a formatting verb for the message's number.
 func messagesOf(class, key string, dest choice.DestinationID, ago choice.Time) func(i int) *message {
 	return func(i int) *message {
 		now := config.RoundDown(time.Now().UnixNano())
--- a/internal/sender/records.go
+++ b/internal/sender/records.go
@@ -60,7 +60,7 @@
 	return binary.AppendVarint(append(idRecord(recEnding, id), byte(how.kind)), how.retryMS)
 }
 
-// clockRecord returns a record that the wall clock was put back by the time back.
+// clockRecord returns a record that the wall clock was put back; back says by how much.
 func clockRecord(back choice.Time) []byte { return binary.AppendVarint([]byte{recClock}, int64(back)) }
 
 // records passes to add all records that a rewritten journal holds.
--- a/internal/sender/replay.go
+++ b/internal/sender/replay.go
@@ -163,8 +163,8 @@
 		m.RanIn = s.numbering.Zone(m.ranInZoneName)
 		return
 	}
-	// An old record without the zone's name: the settings have not changed since, so the number is that of the present
-	// settings.
+	// This is an old record, which has no zone name. Its number is taken for one of the present settings; the name is
+	// recorded by recordZoneNames, so that later changes of the settings do not matter.
 	for name, no := range s.cfg.ZoneNumbers {
 		if no == m.RanIn {
 			m.ranInZoneName = name
--- a/internal/sender/send.go
+++ b/internal/sender/send.go
@@ -82,7 +82,8 @@
 	}()
 }
 
-// writeAll writes a request and gives up after until. If it returns an error, the last byte was not sent.
+// writeAll writes a request. It gives up when the time until has passed. If it returns an error, the last byte was not
+// sent.
 func (l *link) writeAll(text []byte, until choice.Time) error {
 	if !l.expectAnswer() {
 		return errLinkEnded
@@ -115,8 +116,9 @@
 	return quiet
 }
 
-// writeSome writes as much as the socket accepts and returns the number of bytes. It returns errBeforeLastByte after
-// until. The clock is read right before the write, so that a byte is sent late only if the process is stopped in between.
+// writeSome writes as much as the socket accepts and returns the number of bytes. It returns errBeforeLastByte when the
+// time until has passed. The clock is read right before the write, so that a byte is sent late only if the process is
+// stopped in between.
 func (l *link) writeSome(text []byte, until choice.Time) (int, error) {
 	l.bufferLock.Lock()
 	defer l.bufferLock.Unlock()
--- a/internal/sender/withdrawal/withdrawal.go
+++ b/internal/sender/withdrawal/withdrawal.go
@@ -20,7 +20,7 @@
 	Cut choice.Time
 }
 
-// NewOrder returns the order for a purge that arrived at the time at. Its cut is at minus the purge's age.
+// NewOrder returns the order for a purge. at is the time at which the purge arrived; Cut is that time less the purge's age.
 //
 // The age is a lower bound of the time since the purge was committed, because it does not include the time for its transfer,
 // and the cut is rounded up. So every message accepted before the commit is matched, and a message accepted during the
--- a/internal/sender/withdrawal/withdrawal_test.go
+++ b/internal/sender/withdrawal/withdrawal_test.go
@@ -73,7 +73,7 @@
 	}
 }
 
-// TestCutAndLastCall checks the cut that Since computes, and the end of a message for each outcome of its last call.
+// TestCutAndLastCall checks the cut that NewOrder computes, and the end of a message for each outcome of its last call.
 func TestCutAndLastCall(t *testing.T) {
 	const tick = 100 * time.Microsecond // the unit of choice.Time
 	// matched reports whether a purge of this age matches a message that was accepted the time held ago.
