--- a/internal/sender/long_day_test.go
+++ b/internal/sender/long_day_test.go
@@ -11,8 +11,9 @@
 	"flaxcove/choice"
 )
 
-// TestLongRunStaysBounded checks that the tables, the journal's file and the heap do not grow over a long run in which
-// messages end in all ways, and that only the pending message is restored after a kill at its end.
+// TestLongRunStaysBounded checks a long run in which messages end in all ways. The tables and the journal's file stay within
+// their limits in every hour, and the heap grows by at most a quarter from the third hour to the ninth. After a kill at the
+// end of the run, only the one pending message is restored. Each hour stands for 4000 messages.
 func TestLongRunStaysBounded(t *testing.T) {
 	stdout := os.Stdout // replaced, because the harness prints for examples
 	null, err := os.OpenFile(os.DevNull, os.O_WRONLY, 0)
@@ -71,10 +72,10 @@
 	if last > first+first/4 {
 		t.Errorf("heap: %d bytes after three hours, %d after nine", first, last)
 	}
-	t.Logf("heap %d bytes, then %d; rewritings %d, delivered %d, shed %d, failed %d", first, last, h.s.counts.rewrites,
+	t.Logf("heap %d bytes, then %d; rewrites %d, delivered %d, shed %d, failed %d", first, last, h.s.counts.rewrites,
 		h.s.counts.delivered, h.s.counts.shed, h.s.counts.failed)
 	if h.s.counts.rewrites < 3 {
-		t.Errorf("%d rewritings of the journal, want at least 3", h.s.counts.rewrites)
+		t.Errorf("%d rewrites of the journal, want at least 3", h.s.counts.rewrites)
 	}
 
 	h.submit("OUT.ADD 0 kept c=status,d=6000,dest=1 body").advance(5 * time.Millisecond)
--- a/internal/sender/storeddata_test.go
+++ b/internal/sender/storeddata_test.go
@@ -157,7 +157,7 @@
 	}
 	want.Ended = false // a rewritten journal does not hold the ids of ended messages
 	if diff := cmp.Diff(want, readStart(startStored(t, dir))); diff != "" {
-		t.Errorf("after a rewriting (-stored +read):\n%s", diff)
+		t.Errorf("after a rewrite (-stored +read):\n%s", diff)
 	}
 }
 
--- a/internal/sender/torn_journal_test.go
+++ b/internal/sender/torn_journal_test.go
@@ -241,6 +241,6 @@
 		t.Fatal(err)
 	}
 	if got := describe(startAt(twelveEndpointConfig(dir), end)); len(want) == 0 || !slices.Equal(got, want) {
-		t.Errorf("%d pending messages, %d after a rewriting:\n%s\n%s", len(want), len(got), strings.Join(want, "\n"), strings.Join(got, "\n"))
+		t.Errorf("%d pending messages, %d after a rewrite:\n%s\n%s", len(want), len(got), strings.Join(want, "\n"), strings.Join(got, "\n"))
 	}
 }
--- a/internal/sender/withdrawal/withdrawal_test.go
+++ b/internal/sender/withdrawal/withdrawal_test.go
@@ -46,8 +46,9 @@
 	}
 }
 
-// TestOverlap checks two purges that match the same messages. Each message gets one final answer, and the second purge does
-// not count the messages that the first has ended. Both count a message whose call is in flight as one that may have run.
+// TestOverlap checks two purges that match the same messages. The second purge does not count the
+// messages that the first has ended. The test leaves a message whose call is in flight in that state, so both purges count
+// it as one that may have run.
 func TestOverlap(t *testing.T) {
 	var first, second clusterapi.PurgeResult
 	order := Order{Purge: clusterapi.Purge{Match: clusterapi.Match{Key: "k"}}, Cut: 10}
@@ -76,7 +77,7 @@
 // TestCutAndLastCall checks the cut that NewOrder computes, and the end of a message for each outcome of its last call.
 func TestCutAndLastCall(t *testing.T) {
 	const tick = 100 * time.Microsecond // the unit of choice.Time
-	// matched reports whether a purge of this age matches a message that was accepted the time held ago.
+	// matched reports whether a purge of this age matches a message that has been held for the given time.
 	matched := func(held, age time.Duration) bool {
 		now := time.Hour
 		order := NewOrder(clusterapi.Purge{Match: clusterapi.Match{Key: "k"}, Age: age}, choice.Time(now/tick))
